--- a/cmd/hazelwing/alone_test.go
+++ b/cmd/hazelwing/alone_test.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"testing"
 
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/testutil"
 )
 
 // startAlone makes a command, whose program is this test's, the daemon with this text as its configuration, and waits until it
@@ -23,7 +23,7 @@
 func startAt(t *testing.T, cmd *exec.Cmd, text, addr string, log io.Writer) string {
 	t.Helper()
 	if addr == "" {
-		l, err := net.Listen("tcp", net.JoinHostPort(standin.OwnHost(), "0"))
+		l, err := net.Listen("tcp", net.JoinHostPort(emulator.OwnHost(), "0"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,7 +42,7 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	})
-	fixture.Until(t, "the daemon", func() bool {
+	testutil.Until(t, "the daemon", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
--- a/cmd/hazelwing/build_test.go
+++ b/cmd/hazelwing/build_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // deployKey is a value of the deploy file.
@@ -55,7 +55,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	fixture.Until(t, "the compiler is half way", func() bool { _, err := os.Stat(filepath.Join(dir, "half")); return err == nil })
+	testutil.Until(t, "the compiler is half way", func() bool { _, err := os.Stat(filepath.Join(dir, "half")); return err == nil })
 	if p := program(); p != "old" {
 		t.Errorf("while it is built the program is %q, want the old one", p)
 	}
--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/lab/capacity"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/hollow"
-	"hazelwing/internal/standin/rig"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/simulation/capacity"
+	"hazelwing/internal/testcluster"
+	"hazelwing/internal/testcluster/hollow"
+	"hazelwing/internal/testutil"
 )
 
 var (
@@ -93,7 +93,7 @@
 }
 
 func calibrateReal(t *testing.T, keys, recovery string) (c calibrated) {
-	r, err := rig.New(rig.Config{Members: *calibrateMembers, Seed: 1, Dir: t.TempDir(), Program: []string{os.Args[0]}, Env: []string{testRun + "=1"}, Fleet: keys,
+	r, err := testcluster.New(testcluster.Config{Members: *calibrateMembers, Seed: 1, Dir: t.TempDir(), Program: []string{os.Args[0]}, Env: []string{testRun + "=1"}, Fleet: keys,
 		Operator: "[recovery]\n" + recovery, Quiet: true})
 	if err != nil {
 		t.Error(err)
@@ -145,7 +145,7 @@
 	}
 	everywhere := func(hollow.Place) bool { return true }
 	for begun := time.Now(); f.Disagreement(everywhere) != "" || f.Behind(everywhere) > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > fixture.Patience { // not fixture.Until: this may be another goroutine than the test's
+		if time.Since(begun) > testutil.Patience { // not fixture.Until: this may be another goroutine than the test's
 			t.Errorf("the hollow ones do not come together: %s", f.Disagreement(everywhere))
 			return c
 		}
@@ -169,7 +169,7 @@
 	return c
 }
 
-// rest lets a fleet tell what is new, and who asked discovery for want of a peer go back: settle of internal/recovery, in the long form.
+// rest lets a fleet tell what is new, and who asked discovery for want of a peer go back: settle of internal/discovery/bootstrap, in the long form.
 func rest() {
 	if *calibrateFor > 30*time.Second {
 		time.Sleep(40 * time.Second)
--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -14,14 +14,14 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // Each row of the page of capacity's table of bounds is a constant of the code with that value, or is counted by a test that is there
 // and holds its count to the row (fixture.HoldToPage). So a change that moves one fails until the page is brought in line.
 func TestCapacityPageBounds(t *testing.T) {
-	root := fixture.Root(t)
-	rows := fixture.PageRows(t)
+	root := testutil.Root(t)
+	rows := testutil.PageRows(t)
 	if len(rows) < 10 {
 		t.Fatalf("%d rows", len(rows))
 	}
@@ -47,7 +47,7 @@
 }
 
 // holds says whether a package has that test, and holds something to the row.
-func holds(t *testing.T, dir string, r fixture.PageRow) bool {
+func holds(t *testing.T, dir string, r testutil.PageRow) bool {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hazelwing/config.go
+++ b/cmd/hazelwing/config.go
@@ -16,8 +16,8 @@
 	"github.com/spf13/cobra"
 
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/controlplane/link"
 	"hazelwing/internal/controlplane/origin"
+	"hazelwing/internal/controlplane/transport"
 )
 
 const (
@@ -38,11 +38,11 @@
 	c.Flags().BoolVar(&f.asJSON, "json", false, "as JSON")
 }
 
-func (f *configFlags) client() (*link.Client, error) {
+func (f *configFlags) client() (*transport.Client, error) {
 	if f.at == "" || f.fleet == "" {
 		return nil, errors.New("config: --origin and --fleet are wanted")
 	}
-	return link.NewClient(f.fleet, f.at), nil
+	return transport.NewClient(f.fleet, f.at), nil
 }
 
 func configCommand() *cobra.Command {
@@ -129,7 +129,7 @@
 }
 
 // waitInForce asks the origin until all that can be reached act on what was pushed, or on what came after it.
-func waitInForce(ctx context.Context, client *link.Client, p *pushed, wait time.Duration) {
+func waitInForce(ctx context.Context, client *transport.Client, p *pushed, wait time.Duration) {
 	begun := time.Now()
 	for {
 		if s, err := client.Status(timed(ctx)); err == nil {
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -14,25 +14,25 @@
 	"time"
 
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/controlplane/link"
 	"hazelwing/internal/controlplane/origin"
-	"hazelwing/internal/membership/relay"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/rig"
+	"hazelwing/internal/controlplane/transport"
+	"hazelwing/internal/discovery/relay"
+	"hazelwing/internal/testcluster"
+	"hazelwing/internal/testutil"
 )
 
 var configLong = flag.Bool("config.long", false, "TestConfigFaults: 30 members and 5 origins, and every fault")
 
 // configRig is a rig with origins.
 type configRig struct {
-	*rig.Rig
+	*testcluster.Rig
 	t                *testing.T
 	members, origins int
 	pushes           int
 }
 
 func newConfigRig(t *testing.T, members, origins int) *configRig {
-	c := rig.Config{Origins: origins, Operator: "[recovery]\nask = 2\nfan = 4\n", Config: "ask = 3\nfan = 4\nwait = \"1s\"\n"}
+	c := testcluster.Config{Origins: origins, Operator: "[recovery]\nask = 2\nfan = 4\n", Config: "ask = 3\nfan = 4\nwait = \"1s\"\n"}
 	r := &configRig{t: t, members: members, origins: origins, Rig: newFleetRig(t, members, 7, c)}
 	r.play("start origins\nstart all\nsettle 500ms 60s")
 	return r
@@ -92,7 +92,7 @@
 		if p.Outcome == origin.Accepted {
 			return p.Stamp, begun
 		}
-		if time.Since(begun) > 2*fixture.Patience {
+		if time.Since(begun) > 2*testutil.Patience {
 			r.fail(fmt.Errorf("not accepted: %+v, %v", p, err))
 		}
 	}
@@ -128,9 +128,9 @@
 	r.t.Helper()
 	var at map[int]time.Time
 	begun := time.Now()
-	fixture.Until(r.t, what+": in force", func() bool {
+	testutil.Until(r.t, what+": in force", func() bool {
 		at = r.times(s, group)
-		return len(at) == len(group) || time.Since(begun) > fixture.Patience-time.Second
+		return len(at) == len(group) || time.Since(begun) > testutil.Patience-time.Second
 	})
 	if len(at) < len(group) {
 		r.fail(fmt.Errorf("%s: %v in force at %d of %d", what, s, len(at), len(group)))
@@ -147,7 +147,7 @@
 	}
 }
 
-func (r *configRig) state(n int) (s link.MemberState) {
+func (r *configRig) state(n int) (s transport.MemberState) {
 	r.Ask(n, "config", &s)
 	return s
 }
@@ -165,9 +165,9 @@
 
 // leader is the origin that leads now.
 func (r *configRig) leader() (k int) {
-	fixture.Until(r.t, "an origin leads", func() bool {
+	testutil.Until(r.t, "an origin leads", func() bool {
 		for k = 1; k <= r.origins; k++ {
-			if s, err := link.NewClient("rig", r.Origin(k)).Status(r.t.Context()); err == nil && s.Part == origin.Leads {
+			if s, err := transport.NewClient("rig", r.Origin(k)).Status(r.t.Context()); err == nil && s.Part == origin.Leads {
 				return true
 			}
 		}
@@ -228,7 +228,7 @@
 	before, _ := r.Servers.Discovery.Calls()
 	s, at = r.pushed(2, r.file(fmt.Sprintf("[discovery]\naddr = %q", r.Servers.Discovery.Addr())))
 	r.inForce("discovery is moved", s, at, r.all(), soon)
-	fixture.Until(t, "all have the list from it, by way of the fleet", func() bool {
+	testutil.Until(t, "all have the list from it, by way of the fleet", func() bool {
 		for _, n := range r.all() {
 			var l relay.SourceState
 			if r.Ask(n, "recovery", &l) != nil || !l.Relay.Live || l.Relay.Version != r.Servers.Discovery.Seq() || l.Group != r.Servers.Discovery.Addr() {
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/controlplane/link"
 	"hazelwing/internal/controlplane/origin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/controlplane/transport"
+	"hazelwing/internal/testutil"
 )
 
 // The commands push, show and tell by status what became of it; what cannot be used is refused by file, line and key, and nothing has
@@ -52,18 +52,18 @@
 		}
 	}
 	// Past the command's own check.
-	a, err := link.NewClient("rig", r.Origin(1)).Push(t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
+	a, err := transport.NewClient("rig", r.Origin(1)).Push(t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
 	if err != nil || a.Outcome != origin.Refused || !strings.Contains(a.Err, "2:1: limits.max_attempts") {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if _, err := link.NewClient("other", r.Origin(1)).Push(t.Context(), "four", 1, text); err == nil || !strings.Contains(err.Error(), "another fleet's") {
+	if _, err := transport.NewClient("other", r.Origin(1)).Push(t.Context(), "four", 1, text); err == nil || !strings.Contains(err.Error(), "another fleet's") {
 		t.Errorf("another fleet's push: %v", err)
 	}
 	if out, err := run("show"); err != nil || out != "# 1.1\n"+string(text) {
 		t.Errorf("%v\n%s", err, out)
 	}
 	var s origin.Status
-	fixture.Until(t, "all are counted", func() bool {
+	testutil.Until(t, "all are counted", func() bool {
 		out, err := run("status", "--json")
 		return json.Unmarshal([]byte(out), &s) == nil && err == nil && s.Report.Members == 3
 	})
@@ -89,7 +89,7 @@
 	// Without any origin.
 	r.play("kill o1")
 	r.inForce("before the origin went", controlplane.Stamp{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
-	fixture.Until(t, "it is kept", func() bool { s := r.state(2); return s.Acts.Version == 2 })
+	testutil.Until(t, "it is kept", func() bool { s := r.state(2); return s.Acts.Version == 2 })
 	r.play("kill all\nstart all")
 	if s := r.state(2); s.Ready || !s.Kept || s.LastKnown == "" || s.Acts.Version != 2 {
 		t.Errorf("it takes requests and does not say that it acts on its last known one: %+v", s)
@@ -133,7 +133,7 @@
 		}
 		r.t.Cleanup(func() { c.Close() })
 	}
-	ctx, end := context.WithTimeout(r.t.Context(), fixture.Patience)
+	ctx, end := context.WithTimeout(r.t.Context(), testutil.Patience)
 	defer end()
 	q, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+member+"/config/watch?epoch=0&version=0", nil)
 	q.Header.Set("X-Config-Fleet", "rig")
@@ -157,7 +157,7 @@
 	}
 	defer c.Close()
 	fmt.Fprint(c, text)
-	c.SetReadDeadline(time.Now().Add(fixture.Patience))
+	c.SetReadDeadline(time.Now().Add(testutil.Patience))
 	for b := make([]byte, 1<<10); ; {
 		if _, err := c.Read(b); err != nil {
 			if e, ok := errors.AsType[net.Error](err); ok && e.Timeout() {
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/controlplane/link"
 	"hazelwing/internal/controlplane/origin"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/rig"
+	"hazelwing/internal/controlplane/transport"
+	"hazelwing/internal/testcluster"
+	"hazelwing/internal/testutil"
 )
 
 // more are the faults of the long form: 30 members, 5 origins, of which a third is in no area that is cut.
@@ -54,7 +54,7 @@
 	accepted := make([]int, 4)
 	for i := range accepted {
 		all.Go(func() {
-			c := link.NewClient("rig", r.Origin(1+i))
+			c := transport.NewClient("rig", r.Origin(1+i))
 			for j := 0; time.Since(begun) < 10*time.Second; j++ {
 				seen, err := c.Show(t.Context(), false)
 				if err != nil {
@@ -113,15 +113,15 @@
 	for range 3 {
 		s, at = r.pushed(1, r.file(""))
 	}
-	fixture.Until(t, "the origin has what its store is to lose", func() bool {
-		st, err := link.NewClient("rig", r.Origin(5)).Status(t.Context())
+	testutil.Until(t, "the origin has what its store is to lose", func() bool {
+		st, err := transport.NewClient("rig", r.Origin(5)).Status(t.Context())
 		return err == nil && st.Stamp == s
 	})
 	r.play("kill o5")
 	restore(5, yesterday)
 	r.play("start o5")
-	fixture.Until(t, "the origin says that its store was rolled back", func() bool {
-		st, err := link.NewClient("rig", r.Origin(5)).Status(t.Context())
+	testutil.Until(t, "the origin says that its store was rolled back", func() bool {
+		st, err := transport.NewClient("rig", r.Origin(5)).Status(t.Context())
 		return err == nil && st.Part == origin.Rolled
 	})
 	s, at = r.pushed(1, r.file(""))
@@ -141,9 +141,9 @@
 	}
 	restore(5, yesterday)
 	r.play("start origins")
-	fixture.Until(t, "an origin hears that members hold a later one", func() bool {
+	testutil.Until(t, "an origin hears that members hold a later one", func() bool {
 		for k := range r.origins {
-			if st, err := link.NewClient("rig", r.Origin(k+1)).Status(t.Context()); err == nil && st.Ahead.Compare(s) == 0 {
+			if st, err := transport.NewClient("rig", r.Origin(k+1)).Status(t.Context()); err == nil && st.Ahead.Compare(s) == 0 {
 				return true
 			}
 		}
@@ -173,7 +173,7 @@
 
 // cost logs what members sent and received a second over a time.
 func (r *configRig) cost(what string, d time.Duration, during func()) {
-	type both struct{ out, in rig.Bytes }
+	type both struct{ out, in testcluster.Bytes }
 	before := map[int]both{}
 	read := func(n int) (b both) { b.out, b.in = r.Bytes(n); return b }
 	for _, n := range r.all() {
--- a/cmd/hazelwing/demo.go
+++ b/cmd/hazelwing/demo.go
@@ -11,7 +11,7 @@
 	"golang.org/x/term"
 
 	"hazelwing/internal/demo"
-	"hazelwing/internal/standin"
+	"hazelwing/internal/emulator"
 )
 
 // demos are further demonstrations, which a build with the tag "small" leaves out.
@@ -33,7 +33,7 @@
 				return fmt.Errorf("--rate is 1 to 5000, --length up to 10m, --nodes 1 to 200")
 			}
 			if traffic != "" {
-				if o.Traffic, err = standin.LoadTraffic(traffic); err != nil {
+				if o.Traffic, err = emulator.LoadTraffic(traffic); err != nil {
 					return err
 				}
 			}
@@ -43,7 +43,7 @@
 					return err
 				}
 				defer f.Close()
-				if o.Script, err = standin.ReadScript(f); err != nil {
+				if o.Script, err = emulator.ReadScript(f); err != nil {
 					return fmt.Errorf("%s: %w", script, err)
 				}
 			}
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/platform"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // record is a log that may be read while it is written.
@@ -91,18 +91,18 @@
 		t.Run(name, func(t *testing.T) {
 			limit := c.limit
 			t.Parallel() // it waits in real time
-			serving := fixture.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
-				for fixture.ReadRequest(r) != nil {
-					io.WriteString(c, fixture.OKAnswer)
+			serving := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+				for testutil.ReadRequest(r) != nil {
+					io.WriteString(c, testutil.OKAnswer)
 				}
 			})
-			down, err := net.Listen("tcp", net.JoinHostPort(standin.OwnHost(), "0"))
+			down, err := net.Listen("tcp", net.JoinHostPort(emulator.OwnHost(), "0"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			discovery := down.Addr().String()
 			down.Close()
-			text := strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, c.told)).Replace(fmt.Sprintf(fixture.Config, discovery, neverUp(t)))
+			text := strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, c.told)).Replace(fmt.Sprintf(testutil.Config, discovery, neverUp(t)))
 			log := new(record)
 			start := func(again string) (*exec.Cmd, string) {
 				cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec \"$0\"", limit), os.Args[0])
@@ -127,7 +127,7 @@
 			up := func() time.Duration {
 				begun := time.Now()
 				client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-				fixture.Until(t, "the answer on /up", func() bool {
+				testutil.Until(t, "the answer on /up", func() bool {
 					resp, err := client.Get("http://" + addr + "/up")
 					if err != nil {
 						return false
@@ -137,7 +137,7 @@
 				})
 				return time.Since(begun)
 			}
-			fixture.Until(t, "the flood", func() bool { return came.Load() > int64(3*limit) })
+			testutil.Until(t, "the flood", func() bool { return came.Load() > int64(3*limit) })
 			t.Logf("/up under the flood after %v", up().Round(time.Millisecond))
 			// The restart, in the middle of it.
 			begun := time.Now()
@@ -163,7 +163,7 @@
 						if err != nil {
 							continue
 						}
-						fixture.Request(t, "http://"+addr, "GET", "look", fmt.Sprint("r", i, "-", try), "").Write(c)
+						testutil.Request(t, "http://"+addr, "GET", "look", fmt.Sprint("r", i, "-", try), "").Write(c)
 						if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 							status = resp.StatusCode
 						}
@@ -192,11 +192,11 @@
 			})}
 			go d.Serve(l)
 			defer d.Close()
-			t.Logf("the list was asked for %v after discovery's return", fixture.Receive(t, had, "the call").Round(time.Millisecond))
+			t.Logf("the list was asked for %v after discovery's return", testutil.Receive(t, had, "the call").Round(time.Millisecond))
 			second.Process.Signal(syscall.SIGHUP) // the old watch stays until the new one has answered
 			served := 0
 			for range requests {
-				if fixture.Receive(t, statuses, "a request's end") == http.StatusOK {
+				if testutil.Receive(t, statuses, "a request's end") == http.StatusOK {
 					served++
 				}
 			}
@@ -205,7 +205,7 @@
 				t.Errorf("%d of %d requests in hand were served", served, requests)
 			}
 			stop()
-			n := fixture.Receive(t, most, "the count")
+			n := testutil.Receive(t, most, "the count")
 			t.Logf("%d connections of clients came; %d descriptors at most of %d", came.Load(), n, limit)
 			if n >= limit {
 				t.Errorf("%d descriptors of %d were open", n, limit)
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/fleet/gossip"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
 	"hazelwing/internal/operator"
 )
 
@@ -145,7 +145,7 @@
 	}
 	n := 0
 	for _, m := range s.Members {
-		if m.State == fleet.Suspect || m.State == fleet.Dead {
+		if m.State == cluster.Suspect || m.State == cluster.Dead {
 			n++
 		}
 	}
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/standin/rig"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/testcluster"
 )
 
 var (
@@ -28,14 +28,14 @@
 const fastFleet = "probe = \"250ms\"\ntimeout = \"120ms\"\ngossip = \"40ms\"\nsync = \"2s\"\nretry = \"500ms\"\nforget = \"6s\"\nkeep_words = \"8s\"\n"
 
 // newFleetRig makes one of this test's own program.
-func newFleetRig(t *testing.T, members int, seed uint64, c rig.Config) *rig.Rig {
+func newFleetRig(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Rig {
 	t.Helper()
 	c.Members, c.Seed, c.Dir = members, seed, t.TempDir()
 	c.Program, c.Env = []string{os.Args[0]}, []string{testRun + "=1"}
 	if c.Fleet == "" {
 		c.Fleet = fastFleet
 	}
-	r, err := rig.New(c)
+	r, err := testcluster.New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 }
 
 // playFleet plays a script; a failure shows the script, the seed and all logs by time.
-func playFleet(t *testing.T, r *rig.Rig, script string) {
+func playFleet(t *testing.T, r *testcluster.Rig, script string) {
 	t.Helper()
 	if err := r.Play(t.Context(), script); err != nil {
 		story := r.Story()
@@ -79,7 +79,7 @@
 		}
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) {
 			for round := range *fleetRounds {
-				r := newFleetRig(t, *fleetSize, *fleetSeed+uint64(round), rig.Config{})
+				r := newFleetRig(t, *fleetSize, *fleetSeed+uint64(round), testcluster.Config{})
 				playFleet(t, r, string(text))
 				r.Close()
 			}
@@ -89,7 +89,7 @@
 
 // The command shows the view of a running sidecar, and says by its status whether all is well.
 func TestFleetCommand(t *testing.T) {
-	r := newFleetRig(t, 3, 1, rig.Config{})
+	r := newFleetRig(t, 3, 1, testcluster.Config{})
 	playFleet(t, r, "start all\nsettle 1s 30s")
 	out, err := execute("fleet", "--admin", r.Admin(1))
 	if err != nil || !strings.Contains(out, "m01 (itself)") || !strings.Contains(out, "3 live of 3 known, reckons with 3") {
@@ -97,7 +97,7 @@
 	}
 	out, err = execute("fleet", "--json", "--admin", r.Admin(2))
 	var s gossip.State
-	if other := json.Unmarshal([]byte(out), &s); err != nil || other != nil || s.Name != "m02" || len(s.Members) != 3 || s.Members[0].State != fleet.Alive {
+	if other := json.Unmarshal([]byte(out), &s); err != nil || other != nil || s.Name != "m02" || len(s.Members) != 3 || s.Members[0].State != cluster.Alive {
 		t.Errorf("%v, %v\n%s", err, other, out)
 	}
 	if err := r.Play(t.Context(), "kill 3\nwait state 3 dead 30s 1-2"); err != nil {
@@ -127,7 +127,7 @@
 	if *fleetTimes == 0 {
 		t.Skip("a measurement: -fleet.times")
 	}
-	r := newFleetRig(t, *fleetSize, *fleetSeed, rig.Config{})
+	r := newFleetRig(t, *fleetSize, *fleetSeed, testcluster.Config{})
 	half := *fleetSize / 2
 	all := map[string][]time.Duration{}
 	play := func(script string, names ...string) {
--- a/cmd/hazelwing/hup_test.go
+++ b/cmd/hazelwing/hup_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // A SIGHUP that comes before the program listens for them ends nothing: the deploy file's run line has it ignored from the
@@ -31,9 +31,9 @@
 	}
 	defer out.Close()
 	cmd := exec.Command("/bin/sh", "-c", string(m[1])+`kill -HUP $$; exec "$0"`, os.Args[0])
-	startAlone(t, cmd, fmt.Sprintf(fixture.Config, fixture.NoAddr, fixture.NoAddr), out)
+	startAlone(t, cmd, fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr), out)
 	cmd.Process.Signal(syscall.SIGHUP)
-	fixture.Until(t, "the new configuration", func() bool {
+	testutil.Until(t, "the new configuration", func() bool {
 		text, err := os.ReadFile(log)
 		return err == nil && strings.Contains(string(text), "msg=discovery")
 	})
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/load"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 var (
@@ -47,7 +47,7 @@
 	os.Exit(m.Run())
 }
 
-var killClasses = []standin.TrafficClass{
+var killClasses = []emulator.TrafficClass{
 	{Name: "look", Effect: "safe", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
 	{Name: "book", Effect: "unsafe", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
 	{Name: "pay", Effect: "keyed", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
@@ -56,7 +56,7 @@
 // daemonRig is a daemon as a process of its own, beside stand-in nodes in this one.
 type daemonRig struct {
 	t     *testing.T
-	fleet *standin.Fleet
+	fleet *emulator.Fleet
 	addr  string
 	env   []string
 	cmd   *exec.Cmd
@@ -75,12 +75,12 @@
 // an empty directory.
 func newDaemonRig(t *testing.T, operator string) *daemonRig {
 	t.Helper()
-	traffic := &standin.Traffic{Head: standin.Head{Classes: killClasses}}
-	var nodes []standin.NodeConfig
+	traffic := &emulator.Traffic{Head: emulator.Head{Classes: killClasses}}
+	var nodes []emulator.NodeConfig
 	for i := range 6 {
-		nodes = append(nodes, standin.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1})
+		nodes = append(nodes, emulator.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1})
 	}
-	fleet, err := standin.NewFleet(standin.FleetConfig{Nodes: nodes, Effects: traffic.Effects()})
+	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	}
 	r := &daemonRig{t: t, fleet: fleet, addr: l.Addr().String()}
 	l.Close()
-	text, err := standin.Platform(traffic, r.addr, fleet.Discovery.Addr(), "7")
+	text, err := emulator.Platform(traffic, r.addr, fleet.Discovery.Addr(), "7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	if err := r.cmd.Start(); err != nil {
 		r.t.Fatal(err)
 	}
-	fixture.Until(r.t, "the daemon", func() bool {
+	testutil.Until(r.t, "the daemon", func() bool {
 		c, err := net.Dial("tcp", r.addr)
 		if err == nil {
 			c.Close()
@@ -154,7 +154,7 @@
 )
 
 // try sends one request under an id of its own. A daemon that runs all the while owes it an answer.
-func (r *daemonRig) try(c *applicant, class standin.TrafficClass, key, id string) tried {
+func (r *daemonRig) try(c *applicant, class emulator.TrafficClass, key, id string) tried {
 	life := r.life.Load()
 	if life != c.life { // connections to another daemon are of no use
 		c.transport.CloseIdleConnections()
@@ -176,7 +176,7 @@
 	return end
 }
 
-func (r *daemonRig) exchange(client *http.Client, req *http.Request, class standin.TrafficClass, key, id string) tried {
+func (r *daemonRig) exchange(client *http.Client, req *http.Request, class emulator.TrafficClass, key, id string) tried {
 	resp, err := client.Do(req)
 	if err != nil {
 		return broken
@@ -239,7 +239,7 @@
 			rng := rand.New(rand.NewPCG(*killSeed, uint64(n)))
 			transport := &http.Transport{DisableKeepAlives: rng.IntN(2) == 0}
 			defer transport.CloseIdleConnections()
-			client := &applicant{client: &http.Client{Transport: transport, Timeout: fixture.Patience}, transport: transport}
+			client := &applicant{client: &http.Client{Transport: transport, Timeout: testutil.Patience}, transport: transport}
 			for i := 0; ; i++ {
 				class := killClasses[rng.IntN(len(killClasses))]
 				key := fmt.Sprintf("k%d-%d", n, i)
@@ -292,11 +292,11 @@
 	if *cost == 0 {
 		t.Skip("-cost is not set")
 	}
-	traffic := func(class string, rate float64) *standin.Traffic {
-		out := &standin.Traffic{Head: standin.Head{Classes: killClasses}}
+	traffic := func(class string, rate float64) *emulator.Traffic {
+		out := &emulator.Traffic{Head: emulator.Head{Classes: killClasses}}
 		rng := rand.New(rand.NewPCG(1, 1))
 		for at := 0.0; at < cost.Seconds(); at += rng.ExpFloat64() / rate {
-			out.Requests = append(out.Requests, standin.Request{AtMS: at * 1000, Class: class, WorkUS: 2000, HintUS: 2000})
+			out.Requests = append(out.Requests, emulator.Request{AtMS: at * 1000, Class: class, WorkUS: 2000, HintUS: 2000})
 		}
 		return out
 	}
@@ -313,13 +313,13 @@
 			}
 			r := newDaemonRig(t, operator)
 			r.start()
-			do, idle := standin.HTTPClient(r.addr, r.fleet.Ledger)
-			var unsafe, safe *standin.Report
+			do, idle := emulator.HTTPClient(r.addr, r.fleet.Ledger)
+			var unsafe, safe *emulator.Report
 			var both sync.WaitGroup
-			both.Go(func() { unsafe = standin.Replay(t.Context(), traffic("book", 150), time.Second, do) })
+			both.Go(func() { unsafe = emulator.Replay(t.Context(), traffic("book", 150), time.Second, do) })
 			both.Go(func() {
-				safe = standin.Replay(t.Context(), traffic("look", 150), time.Second,
-					func(ctx context.Context, n int, c standin.TrafficClass, q standin.Request) standin.Kind {
+				safe = emulator.Replay(t.Context(), traffic("look", 150), time.Second,
+					func(ctx context.Context, n int, c emulator.TrafficClass, q emulator.Request) emulator.Kind {
 						return do(ctx, n+1<<24, c, q)
 					})
 			})
--- a/cmd/hazelwing/lab.go
+++ b/cmd/hazelwing/lab.go
@@ -20,8 +20,8 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"hazelwing/internal/lab/experiment"
-	"hazelwing/internal/lab/report"
+	"hazelwing/internal/simulation/experiment"
+	"hazelwing/internal/simulation/report"
 )
 
 // labDir is where runs are kept unless --out says otherwise.
--- a/cmd/hazelwing/lab_test.go
+++ b/cmd/hazelwing/lab_test.go
@@ -8,14 +8,14 @@
 	"strings"
 	"testing"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // An experiment is checked, listed, played, shown, reported and compared; a claim that does not hold is the status, and a
 // hunt does not write over what was found before.
 func TestLabCommands(t *testing.T) {
 	dir := t.TempDir()
-	labText := fixture.Experiment("Does it run?", "p2c", "random", 5)
+	labText := testutil.Experiment("Does it run?", "p2c", "random", 5)
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/cmd/hazelwing/labcallgraph.go
+++ b/cmd/hazelwing/labcallgraph.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"hazelwing/internal/lab/callgraph"
+	"hazelwing/internal/simulation/callgraph"
 )
 
 func labCallgraph() *cobra.Command {
--- a/cmd/hazelwing/labcapacity.go
+++ b/cmd/hazelwing/labcapacity.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"hazelwing/internal/lab/capacity"
+	"hazelwing/internal/simulation/capacity"
 )
 
 // capacityMemory is from where the collector works harder. Guards against hundreds of queues that fill while the process is short of a
--- a/cmd/hazelwing/labfleet.go
+++ b/cmd/hazelwing/labfleet.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"hazelwing/internal/lab/fleetsim"
+	"hazelwing/internal/simulation/fleetsim"
 )
 
 func labFleet() *cobra.Command {
--- a/cmd/hazelwing/labhunt.go
+++ b/cmd/hazelwing/labhunt.go
@@ -12,13 +12,13 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"hazelwing/internal/lab/experiment"
-	"hazelwing/internal/lab/hunt"
-	"hazelwing/internal/lab/rival"
+	"hazelwing/internal/simulation/baseline"
+	"hazelwing/internal/simulation/experiment"
+	"hazelwing/internal/simulation/worstcase"
 )
 
 func labHunt() *cobra.Command {
-	var o hunt.Options
+	var o worstcase.Options
 	var out string
 	c := &cobra.Command{
 		Use:   "hunt FILE",
@@ -44,14 +44,14 @@
 					fmt.Fprintf(cmd.ErrOrStderr(), "\r%d of %d days, the worst loses %.3f   ", done, of, worst)
 				}
 			}
-			d, err := hunt.Hunt(ctx, e, o)
+			d, err := worstcase.Hunt(ctx, e, o)
 			if live {
 				fmt.Fprintln(cmd.ErrOrStderr())
 			}
 			if err != nil {
 				return err
 			}
-			text, err := hunt.Experiment(e, o, d, filepath.Dir(out))
+			text, err := worstcase.Experiment(e, o, d, filepath.Dir(out))
 			if err != nil {
 				return err
 			}
@@ -74,7 +74,7 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&o.Contestant, "contestant", rival.Own, "who is hunted")
+	f.StringVar(&o.Contestant, "contestant", baseline.Own, "who is hunted")
 	f.StringVar(&o.Rival, "against", "p2c", "the rival")
 	f.IntVar(&o.Tries, "tries", 200, "days that are drawn")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of the drawing")
--- a/cmd/hazelwing/labslopes.go
+++ b/cmd/hazelwing/labslopes.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"hazelwing/internal/lab/capacity"
-	"hazelwing/internal/lab/slope"
+	"hazelwing/internal/simulation/capacity"
+	"hazelwing/internal/simulation/slope"
 )
 
 var errForecast = errors.New("a fit of the smaller sizes does not predict the larger ones")
--- a/cmd/hazelwing/labslopes_test.go
+++ b/cmd/hazelwing/labslopes_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"hazelwing/internal/lab/capacity"
+	"hazelwing/internal/simulation/capacity"
 )
 
 // The slopes of a file of results: what the small sizes predict holds, what they do not is the status and is named, and a file
--- a/cmd/hazelwing/leave_test.go
+++ b/cmd/hazelwing/leave_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 var (
@@ -50,8 +50,8 @@
 	var mu sync.Mutex
 	came := map[string][]time.Time{} // when the attempts of a request came
 	var n atomic.Int64
-	upstream := fixture.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		for q := fixture.ReadRequest(r); q != nil; q = fixture.ReadRequest(r) {
+	upstream := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 			mu.Lock()
 			id := q.Header.Get("X-Request-Id")
 			came[id] = append(came[id], time.Now())
@@ -61,11 +61,11 @@
 				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
-			io.WriteString(c, fixture.OKAnswer)
+			io.WriteString(c, testutil.OKAnswer)
 		}
 	})
 	cmd := exec.Command("/usr/bin/env", "GOMAXPROCS=1", os.Args[0])
-	addr := startAlone(t, cmd, fmt.Sprintf(fixture.Config, fixture.NoAddr, upstream), nil)
+	addr := startAlone(t, cmd, fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream), nil)
 	end := make(chan bool)
 	var pulse sync.WaitGroup
 	pulse.Go(func() {
@@ -101,7 +101,7 @@
 				return
 			}
 			defer c.Close()
-			fixture.Request(t, "http://"+addr, method, class, id, body).Write(c)
+			testutil.Request(t, "http://"+addr, method, class, id, body).Write(c)
 			time.Sleep(wait)
 			c.SetWriteDeadline(time.Now().Add(time.Second)) // its kernel may not take all of it
 			c.Write(bytes.Repeat([]byte{'x'}, way.more))
--- a/cmd/hazelwing/load.go
+++ b/cmd/hazelwing/load.go
@@ -17,8 +17,8 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/load"
-	"hazelwing/internal/standin"
 )
 
 func loadCommand() *cobra.Command {
@@ -104,7 +104,7 @@
 // planOf makes the plan that the flags say.
 func planOf(seed uint64, rate float64, ramp string, length time.Duration, traffic string, shot load.Shot) (load.Plan, error) {
 	if traffic != "" {
-		t, err := standin.LoadTraffic(traffic)
+		t, err := emulator.LoadTraffic(traffic)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/hazelwing/origin.go
+++ b/cmd/hazelwing/origin.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"hazelwing/internal/controlplane/link"
 	"hazelwing/internal/controlplane/origin"
+	"hazelwing/internal/controlplane/transport"
 	"hazelwing/internal/operator"
 	"hazelwing/internal/store"
 )
@@ -85,7 +85,7 @@
 	}
 	defer func() { err = errors.Join(err, st.Close()) }()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	node, err := link.NewOrigin(link.OriginConfig{Store: st, Listen: o.Listen, Peers: o.Addrs, Allowed: o.Allowed, Log: log,
+	node, err := transport.NewOrigin(transport.OriginConfig{Store: st, Listen: o.Listen, Peers: o.Addrs, Allowed: o.Allowed, Log: log,
 		Node: origin.Config{Founding: origin.Founding{Fleet: o.Fleet, Epoch: uint64(o.Epoch), Origins: o.Names}, Self: o.Name, Seed: rand.Uint64(), TickEvery: time.Duration(o.Tick)}})
 	if err != nil {
 		return fmt.Errorf("origin: %w", err)
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/membership/relay"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/rig"
+	"hazelwing/internal/discovery/relay"
+	"hazelwing/internal/testcluster"
+	"hazelwing/internal/testutil"
 )
 
 // listRig is a rig whose members have the list by way of the fleet.
 type listRig struct {
-	*rig.Rig
+	*testcluster.Rig
 	t       *testing.T
 	members int
 }
@@ -42,7 +42,7 @@
 	begun := time.Now()
 	var text []string
 	for ok := false; !ok; time.Sleep(20 * time.Millisecond) {
-		if text, asking, ok = r.sources(group); time.Since(begun) > 2*fixture.Patience {
+		if text, asking, ok = r.sources(group); time.Since(begun) > 2*testutil.Patience {
 			r.t.Fatalf("%s: not current: %s\n%s", what, strings.Join(text, "; "), r.Story())
 		}
 	}
@@ -66,7 +66,7 @@
 // cannot reach discovery, others do; and each change reaches all. Nobody serves from an older list than another had.
 func TestListByWayOfTheFleet(t *testing.T) {
 	const members, ask = 12, 2
-	r := &listRig{t: t, members: members, Rig: newFleetRig(t, members, 3, rig.Config{Operator: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n", Servers: 6})}
+	r := &listRig{t: t, members: members, Rig: newFleetRig(t, members, 3, testcluster.Config{Operator: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n", Servers: 6})}
 	var all []int
 	for n := 1; n <= members; n++ {
 		all = append(all, n)
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -19,8 +19,8 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/testutil"
 )
 
 const (
@@ -88,14 +88,14 @@
 					defer c.Close()
 					r := bufio.NewReader(c)
 					for {
-						req := fixture.ReadRequest(r)
+						req := testutil.ReadRequest(r)
 						if req == nil {
 							return
 						}
 						requests.Add(1)
 						first.Do(func() { used.Add(1) })
 						time.Sleep(work)
-						if _, err := io.WriteString(c, fixture.OKAnswer); err != nil {
+						if _, err := io.WriteString(c, testutil.OKAnswer); err != nil {
 							return
 						}
 					}
@@ -208,14 +208,14 @@
 
 func startSidecar(t *testing.T, s *servers, balancers int, copies bool, profile string) *shareRig {
 	t.Helper()
-	discovery, err := standin.NewDiscovery()
+	discovery, err := emulator.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	var hosts []standin.Host
+	var hosts []emulator.Host
 	for i, a := range s.addrs {
-		h := standin.Host{Host: fmt.Sprint("s", i), Dial: a, Site: "a", Class: "m", Health: "SERVING", Share: 1}
+		h := emulator.Host{Host: fmt.Sprint("s", i), Dial: a, Site: "a", Class: "m", Health: "SERVING", Share: 1}
 		discovery.Set(h)
 		hosts = append(hosts, h)
 	}
@@ -225,7 +225,7 @@
 	}
 	r := &shareRig{t: t, addr: l.Addr().String()}
 	l.Close()
-	text, err := standin.Platform(&standin.Traffic{Head: standin.Head{Classes: killClasses}}, r.addr, discovery.Addr(), "7")
+	text, err := emulator.Platform(&emulator.Traffic{Head: emulator.Head{Classes: killClasses}}, r.addr, discovery.Addr(), "7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.stop)
-	fixture.Until(t, "the sidecar", func() bool {
+	testutil.Until(t, "the sidecar", func() bool {
 		c, err := net.Dial("tcp", r.addr)
 		if err == nil {
 			c.Close()
--- a/cmd/hazelwing/store.go
+++ b/cmd/hazelwing/store.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"hazelwing/internal/ledger/guard"
+	"hazelwing/internal/idempotency/middleware"
 	"hazelwing/internal/store"
 )
 
@@ -49,7 +49,7 @@
 }
 
 func inspect(out io.Writer, _ string, fs store.FS, asJSON bool) error {
-	list, err := guard.Inspect(fs)
+	list, err := middleware.Inspect(fs)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 }
 
 func compact(out io.Writer, dir string, fs store.FS, asJSON bool) (err error) {
-	s, err := store.Open(fs, store.Options{Manual: true, Now: guard.Latest(fs)})
+	s, err := store.Open(fs, store.Options{Manual: true, Now: middleware.Latest(fs)})
 	if err != nil {
 		return fmt.Errorf("%s: %w", dir, err)
 	}
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/ledger"
-	"hazelwing/internal/ledger/guard"
+	"hazelwing/internal/idempotency"
+	"hazelwing/internal/idempotency/middleware"
 	"hazelwing/internal/store"
 )
 
@@ -28,12 +28,12 @@
 		t.Fatal(err)
 	}
 	now := time.Now()
-	at := func(d time.Duration) ledger.Time { return ledger.Time(now.Add(d).UnixMilli()) }
-	for key, r := range map[string]ledger.Record{
-		"a": {Effect: balancer.Unsafe, Class: "confirm-booking", State: ledger.Open, Since: at(0), Expires: at(time.Hour), Places: []ledger.Place{{Zone: "upper-hill"}}},
-		"b": {Effect: balancer.Keyed, Class: "payment-record", State: ledger.Ran, Since: at(-time.Minute), Expires: at(time.Hour), Places: []ledger.Place{{Zone: "athi-river"}}},
+	at := func(d time.Duration) idempotency.Time { return idempotency.Time(now.Add(d).UnixMilli()) }
+	for key, r := range map[string]idempotency.Record{
+		"a": {Effect: balancer.Unsafe, Class: "confirm-booking", State: idempotency.Open, Since: at(0), Expires: at(time.Hour), Places: []idempotency.Place{{Zone: "upper-hill"}}},
+		"b": {Effect: balancer.Keyed, Class: "payment-record", State: idempotency.Ran, Since: at(-time.Minute), Expires: at(time.Hour), Places: []idempotency.Place{{Zone: "athi-river"}}},
 	} {
-		fp := ledger.FingerprintOf(r.Class, "", key)
+		fp := idempotency.FingerprintOf(r.Class, "", key)
 		for range 3 {
 			if err := s.Put(string(fp[:]), r.Append(nil), now.Add(time.Hour)); err != nil {
 				t.Fatal(err)
@@ -48,7 +48,7 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	out, err = execute("store", "inspect", dir, "--json")
-	var list []guard.Remembered
+	var list []middleware.Remembered
 	if e := json.Unmarshal([]byte(out), &list); err != nil || e != nil || len(list) != 2 || list[1].State != "open" || list[1].Where != "upper-hill/0" {
 		t.Errorf("%v, %v\n%s", err, e, out)
 	}
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // sent is a request of TestTermWhileUpstreamsHang's clients, by its time after SIGTERM.
@@ -36,22 +36,22 @@
 			kill := longest + 700*time.Millisecond
 			var mu sync.Mutex
 			hang := false
-			upstream := fixture.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
-				for fixture.ReadRequest(r) != nil {
+			upstream := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+				for testutil.ReadRequest(r) != nil {
 					mu.Lock()
 					silent := hang
 					mu.Unlock()
 					if !silent {
-						io.WriteString(c, fixture.OKAnswer)
+						io.WriteString(c, testutil.OKAnswer)
 					}
 				}
 			})
-			text := strings.ReplaceAll(fmt.Sprintf(fixture.Config, fixture.NoAddr, upstream), `"DeadlineMs":20000`, fmt.Sprintf(`"DeadlineMs":%d`, longest.Milliseconds()))
+			text := strings.ReplaceAll(fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream), `"DeadlineMs":20000`, fmt.Sprintf(`"DeadlineMs":%d`, longest.Milliseconds()))
 			cmd := exec.Command(os.Args[0])
 			addr := startAlone(t, cmd, text, nil)
 			ask := func(c net.Conn, id string, at time.Duration) (*http.Response, error) {
-				c.SetDeadline(time.Now().Add(fixture.Patience))
-				req := fixture.Request(t, "http://"+addr, "GET", "look", id, "")
+				c.SetDeadline(time.Now().Add(testutil.Patience))
+				req := testutil.Request(t, "http://"+addr, "GET", "look", id, "")
 				req.Header.Set("X-Deadline-Ms", fmt.Sprint(longest.Milliseconds()))
 				if err := req.Write(c); err != nil {
 					return nil, err
@@ -132,7 +132,7 @@
 					defer c.Close()
 					time.Sleep(time.Until(term.Add(at * time.Millisecond)))
 					s := sent{at: time.Since(term)}
-					c.SetDeadline(time.Now().Add(fixture.Patience))
+					c.SetDeadline(time.Now().Add(testutil.Patience))
 					if _, s.err = fmt.Fprintf(c, "T /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: late%d\r\nX-Class: look\r\nX-Deadline-Ms: %d\r\n\r\n", at, longest.Milliseconds()); s.err != nil {
 						return
 					}
--- a/cmd/hazelwing/traffic.go
+++ b/cmd/hazelwing/traffic.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"hazelwing/internal/standin"
+	"hazelwing/internal/emulator"
 )
 
 func trafficCommand() *cobra.Command {
@@ -26,20 +26,20 @@
 	c.Flags().DurationVar(&length, "length", 12*time.Second, "how long it goes on")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		if *check {
-			t, err := standin.LoadTraffic(args[0])
+			t, err := emulator.LoadTraffic(args[0])
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%d requests of %d classes in %v\n", len(t.Requests), len(t.Classes), t.Length())
 			}
 			return err
 		}
-		if !(rate > 0) || length <= 0 || rate*length.Seconds() > standin.MaxRequests/2 {
-			return fmt.Errorf("--rate and --length are above 0, and give at most %d requests", standin.MaxRequests/2)
+		if !(rate > 0) || length <= 0 || rate*length.Seconds() > emulator.MaxRequests/2 {
+			return fmt.Errorf("--rate and --length are above 0, and give at most %d requests", emulator.MaxRequests/2)
 		}
 		f, err := os.OpenFile(args[0], os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644) // what is there is not lost
 		if err != nil {
 			return err
 		}
-		return errors.Join(standin.Generate(seed, rate, length).Write(f), f.Close())
+		return errors.Join(emulator.Generate(seed, rate, length).Write(f), f.Close())
 	}
 	return c
 }
--- a/internal/fleet/api.go
+++ b/internal/cluster/api.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"cmp"
--- a/internal/fleet/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
@@ -29,7 +29,7 @@
 
 // What Handle costs: a probe of another's, and a second of a member's own time.
 //
-//	go test ./internal/fleet -run '^$' -bench . -benchmem
+//	go test ./internal/cluster -run '^$' -bench . -benchmem
 func BenchmarkCore(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 5000} {
 		c := grown(b, n)
--- a/internal/fleet/doc.go
+++ b/internal/cluster/doc.go
@@ -1,6 +1,6 @@
-// Package fleet is who else is in the fleet of sidecars, in which life of its, and what is known of it: a view that the
+// Package cluster is who else is in the fleet of sidecars, in which life of its, and what is known of it: a view that the
 // sidecars keep by themselves, without I/O and without clocks. Core.Handle takes an event and answers with actions;
-// internal/fleet/gossip puts sockets and a clock round it, internal/lab/fleetsim simulated time. docs/design/fleet.md has
+// internal/cluster/gossip puts sockets and a clock round it, internal/simulation/fleetsim simulated time. docs/design/fleet.md has
 // the table of states and the ways weighed.
 //
 // In short: each member probes one other in each Probe, round robin in an order of its own, and asks Indirect others to
@@ -21,4 +21,4 @@
 // Members, words, relayed probes, remembered addresses and accusers are bounded (limits.go); a datagram holds at most
 // Config.Datagram bytes. What a member sends does not grow with the fleet but for the answers to joins and for views that
 // differ. A Core is not safe for several goroutines.
-package fleet
+package cluster
--- a/internal/fleet/gossip/codec.go
+++ b/internal/cluster/gossip/codec.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"hazelwing/internal/fleet"
+	"hazelwing/internal/cluster"
 )
 
 // A frame is four bytes of magic with the version, a checksum of the rest, and the rest as CBOR (RFC 8949) with arrays for
@@ -75,20 +75,20 @@
 )
 
 // stamped says whether a kind carries the stamp.
-func stamped(k fleet.Kind) bool { return k <= fleet.Gossip }
+func stamped(k cluster.Kind) bool { return k <= cluster.Gossip }
 
 func ms(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
 // age guards against a number from a peer that no Duration holds.
 func age(n uint64) time.Duration { return time.Duration(min(n, 1<<40)) * time.Millisecond }
 
-func toWire(e *fleet.Entry) wireEntry {
+func toWire(e *cluster.Entry) wireEntry {
 	a, _ := e.Addr.MarshalBinary()
 	return wireEntry{Name: e.Name, Addr: a, Life: e.Life, Run: e.Run, Inc: e.Inc, State: uint8(e.State), By: e.By, AgeMS: ms(e.Age)}
 }
 
-func fromWire(w *wireEntry) fleet.Entry {
-	e := fleet.Entry{Name: w.Name, Version: fleet.Version{Life: w.Life, Run: w.Run, Inc: w.Inc}, State: fleet.State(w.State), By: w.By, Age: age(w.AgeMS)}
+func fromWire(w *wireEntry) cluster.Entry {
+	e := cluster.Entry{Name: w.Name, Version: cluster.Version{Life: w.Life, Run: w.Run, Inc: w.Inc}, State: cluster.State(w.State), By: w.By, Age: age(w.AgeMS)}
 	e.Addr = address(w.Addr)
 	return e
 }
@@ -102,7 +102,7 @@
 }
 
 // Encode makes a frame.
-func Encode(m *fleet.Message) ([]byte, error) {
+func Encode(m *cluster.Message) ([]byte, error) {
 	w := wireMessage{Kind: uint8(m.Kind), Fleet: m.Fleet, From: toWire(&m.From), Seq: m.Seq, Target: m.Target, Digest: m.Digest, Buckets: m.Buckets, Join: m.Join}
 	if m.Epoch > 0 && stamped(m.Kind) {
 		w.Digest = []uint64{m.Epoch, m.Number}
@@ -127,7 +127,7 @@
 }
 
 // Decode reads a frame. Its error is ErrCorrupt or ErrVersion, with details.
-func Decode(frame []byte) (*fleet.Message, error) {
+func Decode(frame []byte) (*cluster.Message, error) {
 	if len(frame) < frameHeader || string(frame[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: no frame of a fleet", ErrCorrupt)
 	}
@@ -142,7 +142,7 @@
 	if err := decoder.Unmarshal(body, &w); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
-	m := &fleet.Message{Kind: fleet.Kind(w.Kind), Fleet: w.Fleet, From: fromWire(&w.From), Seq: w.Seq, Target: w.Target, TargetAddr: address(w.TargetAddr),
+	m := &cluster.Message{Kind: cluster.Kind(w.Kind), Fleet: w.Fleet, From: fromWire(&w.From), Seq: w.Seq, Target: w.Target, TargetAddr: address(w.TargetAddr),
 		Digest: w.Digest, Buckets: w.Buckets, Join: w.Join}
 	if stamped(m.Kind) && len(m.Digest) == 2 {
 		m.Epoch, m.Number, m.Digest = m.Digest[0], m.Digest[1], nil
@@ -151,7 +151,7 @@
 		m.Entries = append(m.Entries, fromWire(&w.Entries[i]))
 	}
 	for _, x := range w.Words {
-		m.Words = append(m.Words, fleet.Word{Server: x.Server, Gone: x.Gone, BornMS: x.BornMS, By: x.By, Age: age(x.AgeMS)})
+		m.Words = append(m.Words, cluster.Word{Server: x.Server, Gone: x.Gone, BornMS: x.BornMS, By: x.By, Age: age(x.AgeMS)})
 	}
 	return m, nil
 }
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/cluster/gossip/codec_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"hazelwing/internal/fleet"
+	"hazelwing/internal/cluster"
 )
 
 var anyAddr = rapid.Custom(func(t *rapid.T) netip.AddrPort {
@@ -21,19 +21,19 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(rapid.SliceOfN(rapid.Byte(), 4, 4).Draw(t, "addr"))), rapid.Uint16().Draw(t, "port"))
 })
 
-var anyEntry = rapid.Custom(func(t *rapid.T) fleet.Entry {
-	return fleet.Entry{Name: rapid.String().Draw(t, "name"), Addr: anyAddr.Draw(t, "at"), State: fleet.State(rapid.IntRange(0, 3).Draw(t, "state")),
-		Version: fleet.Version{Life: rapid.Uint64().Draw(t, "life"), Run: rapid.Uint64().Draw(t, "run"), Inc: rapid.Uint64().Draw(t, "inc")},
+var anyEntry = rapid.Custom(func(t *rapid.T) cluster.Entry {
+	return cluster.Entry{Name: rapid.String().Draw(t, "name"), Addr: anyAddr.Draw(t, "at"), State: cluster.State(rapid.IntRange(0, 3).Draw(t, "state")),
+		Version: cluster.Version{Life: rapid.Uint64().Draw(t, "life"), Run: rapid.Uint64().Draw(t, "run"), Inc: rapid.Uint64().Draw(t, "inc")},
 		By:      rapid.String().Draw(t, "by"), Age: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "age")) * time.Millisecond}
 })
 
 // What is written is read, and a frame with any one byte changed, or cut anywhere, is told from it.
 func TestFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &fleet.Message{Kind: fleet.Kind(rapid.IntRange(0, 7).Draw(t, "kind")), Fleet: rapid.String().Draw(t, "fleet"), From: anyEntry.Draw(t, "from"),
+		m := &cluster.Message{Kind: cluster.Kind(rapid.IntRange(0, 7).Draw(t, "kind")), Fleet: rapid.String().Draw(t, "fleet"), From: anyEntry.Draw(t, "from"),
 			Seq: rapid.Uint64().Draw(t, "seq"), Target: rapid.String().Draw(t, "target"), TargetAddr: anyAddr.Draw(t, "at"),
 			Entries: rapid.SliceOfN(anyEntry, 1, 5).Draw(t, "entries"), Digest: rapid.SliceOfN(rapid.Uint64(), 1, 64).Draw(t, "digest"),
-			Words:   []fleet.Word{{Server: rapid.String().Draw(t, "server"), Gone: rapid.Bool().Draw(t, "gone"), BornMS: 7, By: "b", Age: time.Second}},
+			Words:   []cluster.Word{{Server: rapid.String().Draw(t, "server"), Gone: rapid.Bool().Draw(t, "gone"), BornMS: 7, By: "b", Age: time.Second}},
 			Buckets: rapid.Uint64().Draw(t, "buckets"), Join: rapid.Bool().Draw(t, "join")}
 		if stamped(m.Kind) { // these have no digest, and may have a stamp in its place
 			m.Digest, m.Epoch = nil, rapid.Uint64().Draw(t, "epoch")
@@ -62,7 +62,7 @@
 
 // FuzzDecode: whatever comes is a message or an error.
 func FuzzDecode(f *testing.F) {
-	frame, _ := Encode(&fleet.Message{Kind: fleet.SyncTell, Fleet: "f", From: fleet.Entry{Name: "a"}, Entries: make([]fleet.Entry, 3)})
+	frame, _ := Encode(&cluster.Message{Kind: cluster.SyncTell, Fleet: "f", From: cluster.Entry{Name: "a"}, Entries: make([]cluster.Entry, 3)})
 	f.Add(frame)
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		if m, err := Decode(frame); (m == nil) == (err == nil) {
@@ -73,19 +73,21 @@
 
 // Every datagram stays within its size, also with the longest names, addresses and numbers.
 func TestDatagramsFit(t *testing.T) {
-	long := func(c string, n int) string { return fmt.Sprintf("%s%0*d", strings.Repeat(c, fleet.MostName-8), 8, n) }
+	long := func(c string, n int) string {
+		return fmt.Sprintf("%s%0*d", strings.Repeat(c, cluster.MostName-8), 8, n)
+	}
 	at := func(n int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom16([16]byte{0x20, 1, 13: byte(n >> 16), byte(n >> 8), byte(n)}), 65535)
 	}
-	c, err := fleet.New(fleet.Config{Fleet: strings.Repeat("f", fleet.MostFleet), Name: long("a", 0), Self: at(0), Run: 1 << 63, Seeds: []netip.AddrPort{at(9)}}, 0, 1)
+	c, err := cluster.New(cluster.Config{Fleet: strings.Repeat("f", cluster.MostFleet), Name: long("a", 0), Self: at(0), Run: 1 << 63, Seeds: []netip.AddrPort{at(9)}}, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	big := fleet.Version{Life: fleet.MostNumber - 5, Run: 1<<64 - 1, Inc: fleet.MostNumber - 5}
-	kinds, largest := map[fleet.Kind]int{}, 0
-	look := func(list []fleet.Action) {
+	big := cluster.Version{Life: cluster.MostNumber - 5, Run: 1<<64 - 1, Inc: cluster.MostNumber - 5}
+	kinds, largest := map[cluster.Kind]int{}, 0
+	look := func(list []cluster.Action) {
 		for _, a := range list {
-			if a.Do != fleet.Send || a.Stream {
+			if a.Do != cluster.Send || a.Stream {
 				continue
 			}
 			a.Msg.Epoch, a.Msg.Number = 1<<64-1, 1<<64-1
@@ -99,22 +101,22 @@
 	}
 	now := time.Duration(0)
 	for n := 1; n < 200; n++ {
-		from := fleet.Entry{Name: long("b", n), Addr: at(n), Version: big}
-		m := &fleet.Message{Fleet: strings.Repeat("f", fleet.MostFleet), From: from, Seq: 1<<64 - 1, Target: long("a", 0), Kind: fleet.Ping}
+		from := cluster.Entry{Name: long("b", n), Addr: at(n), Version: big}
+		m := &cluster.Message{Fleet: strings.Repeat("f", cluster.MostFleet), From: from, Seq: 1<<64 - 1, Target: long("a", 0), Kind: cluster.Ping}
 		if n%3 == 0 {
-			m.Kind, m.Target, m.TargetAddr = fleet.PingReq, long("b", n-1), at(n-1)
+			m.Kind, m.Target, m.TargetAddr = cluster.PingReq, long("b", n-1), at(n-1)
 		}
 		if n%5 == 0 {
-			m.Entries = []fleet.Entry{{Name: long("b", n-1), Addr: at(n - 1), Version: big, State: fleet.Suspect, By: long("b", n)}}
+			m.Entries = []cluster.Entry{{Name: long("b", n-1), Addr: at(n - 1), Version: big, State: cluster.Suspect, By: long("b", n)}}
 		}
-		m.Words = []fleet.Word{{Server: long("s", n), BornMS: 1.7e12 + 0.1, By: long("b", n), Age: 20 * time.Second}}
+		m.Words = []cluster.Word{{Server: long("s", n), BornMS: 1.7e12 + 0.1, By: long("b", n), Age: 20 * time.Second}}
 		look(c.Receive(now, m))
 		now += 100 * time.Millisecond
 		for c.Next() <= now {
 			look(c.Tick(max(c.Next(), now-100*time.Millisecond)))
 		}
 	}
-	for _, k := range []fleet.Kind{fleet.Ping, fleet.Ack, fleet.Nack, fleet.PingReq, fleet.Gossip} {
+	for _, k := range []cluster.Kind{cluster.Ping, cluster.Ack, cluster.Nack, cluster.PingReq, cluster.Gossip} {
 		if kinds[k] == 0 {
 			t.Errorf("no datagram of kind %d was seen", k)
 		}
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package gossip puts sockets and a clock round internal/fleet: datagrams between sidecars, a stream where a whole view is
+// Package gossip puts sockets and a clock round internal/cluster: datagrams between sidecars, a stream where a whole view is
 // exchanged, and one goroutine that owns the core.
 //
 // # Goroutines
@@ -31,7 +31,7 @@
 
 	"go4.org/netipx"
 
-	"hazelwing/internal/fleet"
+	"hazelwing/internal/cluster"
 )
 
 // QueueLength is how many messages may wait for the core.
@@ -58,24 +58,24 @@
 
 // Config is a Node's.
 type Config struct {
-	Core    fleet.Config // Run and Allowed are filled in
+	Core    cluster.Config // Run and Allowed are filled in
 	Told    int
 	Listen  string        // address and port, for datagrams and streams
 	Allowed *netipx.IPSet // peers' networks
 	Maps    []Map
 	// Told by others: a server drains or is gone, or that holds no more. Count: how many sidecars to reckon with. Both are
 	// called from Run's goroutine and must not block.
-	OnWord  func(w fleet.Word, holds bool)
+	OnWord  func(w cluster.Word, holds bool)
 	OnCount func(n int)
 	// TableFull and QueueFull are called when a name has no place and when a message has none, from any goroutine; nil: never.
 	TableFull, QueueFull func()
 	// Serve answers peers that speak HTTP to the same address; nil: nobody does.
 	Serve http.Handler
 	// OnView is called with who lives, but for this member, at each change of that; joined says that anybody was heard. As OnWord.
-	OnView func(others []fleet.Member, joined bool)
+	OnView func(others []cluster.Member, joined bool)
 	// OnStamp is called with the stamp of the configuration that another member acts on, for each message with another one than this
 	// member has told by SetStamp. As OnWord.
-	OnStamp func(from fleet.Entry, epoch, number uint64)
+	OnStamp func(from cluster.Entry, epoch, number uint64)
 	// Network stands between this member and its sockets; nil: nothing does, as in the daemon. Only stand-ins set it.
 	Network Network
 	Log     *slog.Logger
@@ -94,7 +94,7 @@
 // Node is this process's place in the fleet.
 type Node struct {
 	cfg    Config
-	core   *fleet.Core
+	core   *cluster.Core
 	begun  time.Time
 	conn   *net.UDPConn
 	listen net.Listener
@@ -114,11 +114,11 @@
 }
 
 type input struct {
-	msg   *fleet.Message
+	msg   *cluster.Message
 	bad   error
 	from  netip.Addr
 	ask   chan<- State
-	word  *fleet.Word
+	word  *cluster.Word
 	nudge bool
 }
 
@@ -132,13 +132,13 @@
 	Name    string        `json:"name"`
 	Fleet   string        `json:"fleet"`
 	Members []MemberState `json:"members"`
-	Core    fleet.Stats   `json:"core"`
+	Core    cluster.Stats `json:"core"`
 	Network NetworkState  `json:"network"`
 }
 
 // MemberState is a member as of now.
 type MemberState struct {
-	fleet.Member
+	cluster.Member
 	For string `json:"for"` // how long it has been in its state
 }
 
@@ -167,8 +167,8 @@
 	}
 	n := &Node{cfg: c, begun: time.Now(), in: make(chan input, QueueLength), out: make(chan outgoing, outLength), say: map[string]time.Time{}}
 	n.cfg.Core.Run = rand.Uint64()
-	n.cfg.Core.Allowed = func(a fleet.Address) bool { return a.Port() != 0 && c.Allowed.Contains(a.Addr()) }
-	if n.core, err = fleet.New(n.cfg.Core, 0, c.Told); err != nil {
+	n.cfg.Core.Allowed = func(a cluster.Address) bool { return a.Port() != 0 && c.Allowed.Contains(a.Addr()) }
+	if n.core, err = cluster.New(n.cfg.Core, 0, c.Told); err != nil {
 		return nil, err
 	}
 	if n.listen, err = net.Listen("tcp", c.Listen); err != nil {
@@ -201,7 +201,7 @@
 
 // Say spreads a word of this process's own sources. It may be called from any goroutine, and does not wait: with a full queue
 // the word is dropped, and the sources of the others bring it.
-func (n *Node) Say(w fleet.Word) {
+func (n *Node) Say(w cluster.Word) {
 	n.post(input{word: &w})
 }
 
@@ -316,19 +316,19 @@
 	}
 }
 
-func (n *Node) act(list []fleet.Action) {
+func (n *Node) act(list []cluster.Action) {
 	for _, a := range list {
 		switch a.Do {
-		case fleet.Send:
+		case cluster.Send:
 			n.send(a)
-		case fleet.Noted:
+		case cluster.Noted:
 			n.cfg.Log.Info("fleet", "member", a.Note.Name, "life", a.Note.Life, "was", a.Note.Was, "now", a.Note.Now, "why", a.Note.Why)
-		case fleet.Told:
+		case cluster.Told:
 			n.cfg.Log.Info("fleet: told of a server", "server", a.Word.Server, "gone", a.Word.Gone, "by", a.Word.By, "age", a.Word.Age)
 			n.cfg.OnWord(a.Word, true)
-		case fleet.Unsaid:
+		case cluster.Unsaid:
 			n.cfg.OnWord(a.Word, false)
-		case fleet.Counted:
+		case cluster.Counted:
 			n.cfg.OnCount(a.Count)
 		}
 	}
@@ -366,7 +366,7 @@
 	return to
 }
 
-func (n *Node) send(a fleet.Action) {
+func (n *Node) send(a cluster.Action) {
 	if s := n.stamp.Load(); s != nil {
 		a.Msg.Epoch, a.Msg.Number = s[0], s[1]
 	}
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/cluster/gossip/gossip_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/goleak"
 	"go4.org/netipx"
 
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/testutil"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -49,7 +49,7 @@
 	*Node
 	at    netip.AddrPort
 	mu    sync.Mutex
-	words []fleet.Word
+	words []cluster.Word
 	count int
 	stop  func()
 }
@@ -59,9 +59,9 @@
 	t.Helper()
 	r := &running{at: freeAddr(t, "127.0.0.1")}
 	c := Config{Listen: r.at.String(), Told: 1, Allowed: networks(t, "127.0.0.0/8"), Log: slog.New(slog.DiscardHandler),
-		OnWord:  func(w fleet.Word, holds bool) { r.mu.Lock(); r.words = append(r.words, w); r.mu.Unlock() },
+		OnWord:  func(w cluster.Word, holds bool) { r.mu.Lock(); r.words = append(r.words, w); r.mu.Unlock() },
 		OnCount: func(n int) { r.mu.Lock(); r.count = n; r.mu.Unlock() },
-		Core: fleet.Config{Fleet: "f", Name: name, Self: r.at, Seeds: seeds, Probe: 200 * time.Millisecond, Timeout: 100 * time.Millisecond,
+		Core: cluster.Config{Fleet: "f", Name: name, Self: r.at, Seeds: seeds, Probe: 200 * time.Millisecond, Timeout: 100 * time.Millisecond,
 			Gossip: 20 * time.Millisecond, SyncEvery: time.Second, Most: 1000}}
 	if more != nil {
 		more(&c)
@@ -78,8 +78,8 @@
 	return r
 }
 
-func states(s State) map[string]fleet.State {
-	out := map[string]fleet.State{}
+func states(s State) map[string]cluster.State {
+	out := map[string]cluster.State{}
 	for _, m := range s.Members {
 		out[m.Name] = m.State
 	}
@@ -93,7 +93,7 @@
 	b := run(t, "b", nil, a.at)
 	c := run(t, "c", nil, b.at)
 	other := run(t, "x", func(c *Config) { c.Core.Fleet = "g" }, a.at)
-	fixture.Until(t, "three know each other", func() bool {
+	testutil.Until(t, "three know each other", func() bool {
 		for _, r := range []*running{a, b, c} {
 			if s := states(r.State()); len(s) != 3 {
 				return false
@@ -101,8 +101,8 @@
 		}
 		return true
 	})
-	b.Say(fleet.Word{Server: "s1", Gone: true, BornMS: 5})
-	fixture.Until(t, "all were told, and count three", func() bool {
+	b.Say(cluster.Word{Server: "s1", Gone: true, BornMS: 5})
+	testutil.Until(t, "all were told, and count three", func() bool {
 		for _, r := range []*running{a, c} {
 			r.mu.Lock()
 			ok := len(r.words) == 1 && r.words[0].Server == "s1" && r.words[0].Gone && r.words[0].By == "b" && r.count == 3
@@ -114,8 +114,8 @@
 		return true
 	})
 	b.stop()
-	fixture.Until(t, "the others know that it left", func() bool {
-		return states(a.State())["b"] == fleet.Left && states(c.State())["b"] == fleet.Left
+	testutil.Until(t, "the others know that it left", func() bool {
+		return states(a.State())["b"] == cluster.Left && states(c.State())["b"] == cluster.Left
 	})
 	if s := other.State(); len(s.Members) != 1 || s.Core.Foreign > 0 && s.Members[0].Name != "x" {
 		t.Errorf("another fleet: %+v", s)
@@ -134,7 +134,7 @@
 	}
 	seen := make(chan stamp, 1000)
 	a := run(t, "a", func(c *Config) {
-		c.OnStamp = func(from fleet.Entry, epoch, number uint64) {
+		c.OnStamp = func(from cluster.Entry, epoch, number uint64) {
 			select {
 			case seen <- stamp{from.Name, epoch, number}:
 			default:
@@ -146,20 +146,20 @@
 	b.SetTold(40)
 	c := run(t, "c", nil, a.at)
 	c.SetStamp(3, 7)
-	fixture.Until(t, "three know each other", func() bool {
+	testutil.Until(t, "three know each other", func() bool {
 		return len(states(a.State())) == 3 && len(states(c.State())) == 3 && len(states(b.State())) == 3
 	})
-	fixture.Until(t, "b reckons with what it was told", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.count == 40 })
-	alien, _ := Encode(&fleet.Message{Kind: fleet.Ping, Fleet: "g", From: fleet.Entry{Name: "x", Addr: c.at, Version: fleet.Version{Life: 1, Run: 2}}, Epoch: 9, Number: 9})
+	testutil.Until(t, "b reckons with what it was told", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.count == 40 })
+	alien, _ := Encode(&cluster.Message{Kind: cluster.Ping, Fleet: "g", From: cluster.Entry{Name: "x", Addr: c.at, Version: cluster.Version{Life: 1, Run: 2}}, Epoch: 9, Number: 9})
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(a.at))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.Write(alien)
-	fixture.Until(t, "another fleet's message was counted", func() bool { return a.State().Core.Foreign > 0 })
+	testutil.Until(t, "another fleet's message was counted", func() bool { return a.State().Core.Foreign > 0 })
 	c.SetStamp(4, 1)
-	if s := fixture.Receive(t, seen, "the stamp"); s != (stamp{"c", 4, 1}) {
+	if s := testutil.Receive(t, seen, "the stamp"); s != (stamp{"c", 4, 1}) {
 		t.Errorf("%+v", s)
 	}
 }
@@ -176,7 +176,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	good, _ := Encode(&fleet.Message{Kind: fleet.Ping, Fleet: "f", From: fleet.Entry{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: fleet.Version{Life: 1, Run: 2}}})
+	good, _ := Encode(&cluster.Message{Kind: cluster.Ping, Fleet: "f", From: cluster.Entry{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: cluster.Version{Life: 1, Run: 2}}})
 	outside := from("127.0.0.9")
 	outside.Write(good)
 	peer := from("127.0.0.2")
@@ -200,9 +200,9 @@
 	stream(1<<31, []byte("x"))
 	stream(streamMost, []byte("less than was said"))
 	for part := range 3 {
-		m := &fleet.Message{Kind: fleet.SyncEnd, Fleet: "f", From: fleet.Entry{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: fleet.Version{Life: 1, Run: 2}}}
+		m := &cluster.Message{Kind: cluster.SyncEnd, Fleet: "f", From: cluster.Entry{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: cluster.Version{Life: 1, Run: 2}}}
 		for i := range 50_000 {
-			m.Entries = append(m.Entries, fleet.Entry{Name: fmt.Sprint("n", part, "-", i), Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: fleet.Version{Life: 1 + uint64(i)<<40, Run: 2}})
+			m.Entries = append(m.Entries, cluster.Entry{Name: fmt.Sprint("n", part, "-", i), Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: cluster.Version{Life: 1 + uint64(i)<<40, Run: 2}})
 		}
 		frame, err := Encode(m)
 		if err != nil {
@@ -213,7 +213,7 @@
 	for range 3000 { // a flood of what must not be answered by more than it is
 		peer.Write(good)
 	}
-	fixture.Until(t, "all is counted, and the member still answers", func() bool {
+	testutil.Until(t, "all is counted, and the member still answers", func() bool {
 		s := a.State()
 		return s.Network.Outside >= 1 && s.Network.Corrupt >= 5 && s.Network.Version >= 1 && s.Core.Refused > 100_000
 	})
@@ -221,8 +221,8 @@
 		t.Errorf("%d members, at most 1,000 are meant", s.Core.Known)
 	}
 	b := run(t, "b", nil, a.at)
-	fixture.Until(t, "one that speaks itself has a place", func() bool { _, ok := states(a.State())["b"]; return ok })
-	fixture.Until(t, "and knows it", func() bool { return states(b.State())["a"] == fleet.Alive })
+	testutil.Until(t, "one that speaks itself has a place", func() bool { _, ok := states(a.State())["b"]; return ok })
+	testutil.Until(t, "and knows it", func() bool { return states(b.State())["a"] == cluster.Alive })
 }
 
 // Addresses are translated one by one, prefix by prefix.
--- a/internal/fleet/gossip/web.go
+++ b/internal/cluster/gossip/web.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"hazelwing/internal/fleet"
+	"hazelwing/internal/cluster"
 )
 
 // WebConns bounds connections that speak HTTP, and how many of them wait to be taken: 64 for the list at its largest fan, as many for
@@ -123,9 +123,9 @@
 		return
 	}
 	n.seen = s
-	var others []fleet.Member
+	var others []cluster.Member
 	for _, m := range n.core.View() {
-		if !m.Self && m.State <= fleet.Suspect {
+		if !m.Self && m.State <= cluster.Suspect {
 			m.Addr = n.reach(m.Addr)
 			others = append(others, m)
 		}
@@ -134,7 +134,7 @@
 }
 
 // lookAtStamp tells OnStamp of a member of this fleet that acts on another configuration. Run's goroutine calls it.
-func (n *Node) lookAtStamp(m *fleet.Message) {
+func (n *Node) lookAtStamp(m *cluster.Message) {
 	if n.cfg.OnStamp == nil || m.Epoch == 0 || m.Fleet != n.cfg.Core.Fleet || !n.cfg.Core.Allowed(m.From.Addr) {
 		return
 	}
--- a/internal/peering/peering.go
+++ b/internal/cluster/node/peering.go
@@ -1,7 +1,7 @@
-// Package peering is a sidecar's place among the others, put together from its parts: the view of the fleet
-// (internal/fleet/gossip), the list by way of others (internal/membership/relay), and what others were told of servers. The daemon
-// and hollow sidecars (internal/standin/hollow) open it alike.
-package peering
+// Package node is a sidecar's place among the others, put together from its parts: the view of the fleet
+// (internal/cluster/gossip), the list by way of others (internal/discovery/relay), and what others were told of servers. The daemon
+// and hollow sidecars (internal/testcluster/hollow) open it alike.
+package node
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/discovery/bootstrap"
+	"hazelwing/internal/discovery/mergedsource"
+	"hazelwing/internal/discovery/relay"
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/membership"
-	"hazelwing/internal/membership/merged"
-	"hazelwing/internal/membership/relay"
-	"hazelwing/internal/membership/watch"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/recovery"
 )
 
 // sourceName is the name of the other sidecars among the sources of members.
@@ -42,9 +42,9 @@
 	// Also answers peers at the fleet's address beside the list; nil: nothing does. As gossip.Config's Serve.
 	Also http.Handler
 	// OnView is called with who lives, after the list's source knows. As gossip.Config's; nil: nobody else wants it.
-	OnView func(others []fleet.Member, joined bool)
+	OnView func(others []cluster.Member, joined bool)
 	// OnStamp is gossip.Config's; nil: the configuration is settled at the start.
-	OnStamp func(from fleet.Entry, epoch, number uint64)
+	OnStamp func(from cluster.Entry, epoch, number uint64)
 	// Network stands between this sidecar and its peers; nil in the daemon. See gossip.Network.
 	Network gossip.Network
 	Log     *slog.Logger
@@ -55,7 +55,7 @@
 	Node *gossip.Node
 	List *relay.Source // nil: the list comes from discovery alone
 
-	onView func(others []fleet.Member, joined bool)
+	onView func(others []cluster.Member, joined bool)
 	said   chan saidWord
 	mu     sync.Mutex
 	count  func(int) // nil: nobody wants it yet
@@ -63,7 +63,7 @@
 }
 
 type saidWord struct {
-	fleet.Word
+	cluster.Word
 	holds bool
 }
 
@@ -74,7 +74,7 @@
 		dial = c.Network.Dial
 	}
 	return relay.NewSource(relay.Config{Discovery: discovery, Known: known, Most: 2 * int(op.Fan), Log: c.Log,
-		Selector: recovery.Config{Self: c.Name, Ask: int(op.Ask), Fan: int(op.Fan), Rate: op.Rate, Told: c.Told, Seed: c.Seed},
+		Selector: bootstrap.Config{Self: c.Name, Ask: int(op.Ask), Fan: int(op.Fan), Rate: op.Rate, Told: c.Told, Seed: c.Seed},
 		Peer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
 			return watch.NewPeer(addr, header, check, c.Log).Through(dial)
 		}})
@@ -84,7 +84,7 @@
 func Open(c Config, op *operator.Fleet, list *relay.Source) (*Part, error) {
 	p := &Part{said: make(chan saidWord, wordsWaiting), List: list, onView: c.OnView}
 	g := gossip.Config{Told: c.Told, Listen: op.Listen, Allowed: op.Allowed, Log: c.Log, OnWord: p.Heard, OnCount: p.Counted, OnStamp: c.OnStamp, Network: c.Network,
-		TableFull: c.TableFull, QueueFull: c.QueueFull, Core: fleet.Config{
+		TableFull: c.TableFull, QueueFull: c.QueueFull, Core: cluster.Config{
 			Fleet: op.Name, Name: c.Name, Self: op.Self, Seeds: op.Peers, Seed: c.Seed,
 			Probe: time.Duration(op.Probe), Timeout: time.Duration(op.Timeout), Gossip: time.Duration(op.Gossip), SyncEvery: time.Duration(op.Sync),
 			RetryEvery: time.Duration(op.Retry), Forget: time.Duration(op.Forget), KeepWords: time.Duration(op.KeepWords), Indirect: int(op.Indirect),
@@ -122,11 +122,11 @@
 }
 
 // viewed tells who may be followed. It is called from the node's goroutine.
-func (p *Part) viewed(others []fleet.Member, joined bool) {
+func (p *Part) viewed(others []cluster.Member, joined bool) {
 	if p.List != nil {
-		list := make([]recovery.Member, 0, len(others))
+		list := make([]bootstrap.Member, 0, len(others))
 		for _, m := range others {
-			list = append(list, recovery.Member{Name: m.Name, Addr: m.Addr})
+			list = append(list, bootstrap.Member{Name: m.Name, Addr: m.Addr})
 		}
 		p.List.View(list, joined)
 	}
@@ -136,7 +136,7 @@
 }
 
 // Heard hands a word to the merge's source. It is called from the node's goroutine, and does not wait.
-func (p *Part) Heard(w fleet.Word, holds bool) {
+func (p *Part) Heard(w cluster.Word, holds bool) {
 	select {
 	case p.said <- saidWord{w, holds}:
 	default:
@@ -172,42 +172,42 @@
 
 // Told passes on what this process's own discovery says.
 func (p *Part) Told(m engine.Member) {
-	p.Node.Say(fleet.Word{Server: m.ID, Gone: m.State == balancer.Left, BornMS: m.BornMS})
+	p.Node.Say(cluster.Word{Server: m.ID, Gone: m.State == balancer.Left, BornMS: m.BornMS})
 }
 
 // Merge is the configuration of a merge of discovery's list with what others were told; sources beside both may be added. p is nil
 // where nobody else is listened to, op where the operator's file has no table.
-func Merge(op *operator.Members, p *Part, discovery engine.Source, known []engine.Member, log *slog.Logger) merged.Config {
+func Merge(op *operator.Members, p *Part, discovery engine.Source, known []engine.Member, log *slog.Logger) mergedsource.Config {
 	if op == nil {
 		op = operator.DefaultMembers()
 	}
-	c := merged.Config{Discovery: discovery, Known: known, Most: int(op.Most), Settle: time.Duration(op.Settle), Forget: time.Duration(op.Forget),
+	c := mergedsource.Config{Discovery: discovery, Known: known, Most: int(op.Most), Settle: time.Duration(op.Settle), Forget: time.Duration(op.Forget),
 		Share: op.Share, Window: time.Duration(op.Window), Log: log}
 	if p != nil {
-		c.Beside, c.Told = []merged.Beside{p.beside()}, p.Told
+		c.Beside, c.Told = []mergedsource.Beside{p.beside()}, p.Told
 	}
 	return c
 }
 
 // beside is the source of what others were told: it may take servers out, within the merge's share, and adds none.
-func (p *Part) beside() merged.Beside {
-	return merged.Beside{Source: membership.Source{Name: sourceName, Rank: 9, Hearsay: true}, Run: p.tell}
+func (p *Part) beside() mergedsource.Beside {
+	return mergedsource.Beside{Source: discovery.Source{Name: sourceName, Rank: 9, Hearsay: true}, Run: p.tell}
 }
 
-func (p *Part) tell(ctx context.Context, tell func(membership.View), _ func(error)) {
+func (p *Part) tell(ctx context.Context, tell func(discovery.View), _ func(error)) {
 	for seq := int64(1); ; seq++ {
 		select {
 		case <-ctx.Done():
 			return
 		case w := <-p.said:
-			e := membership.Entry{ID: w.Server, BornMS: w.BornMS, State: balancer.Leaving}
+			e := discovery.Entry{ID: w.Server, BornMS: w.BornMS, State: balancer.Leaving}
 			if w.Gone {
 				e.State = balancer.Left
 			}
 			if !w.holds {
 				e.State = balancer.Active
 			}
-			tell(membership.View{Seq: seq, Entries: []membership.Entry{e}})
+			tell(discovery.View{Seq: seq, Entries: []discovery.Entry{e}})
 		}
 	}
 }
--- a/internal/controlplane/origin/disk_test.go
+++ b/internal/controlplane/origin/disk_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/faultfs"
+	"hazelwing/internal/emulator/faultfs"
 	"hazelwing/internal/store"
 )
 
--- a/internal/controlplane/snapshot.go
+++ b/internal/controlplane/snapshot.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"hazelwing/internal/strict"
+	"hazelwing/internal/strictdecode"
 )
 
 // Kind is a key of a snapshot, or of what cannot be in one.
@@ -82,13 +82,13 @@
 func Parse(text []byte) (*Snapshot, error) {
 	switch {
 	case len(text) > MaxText:
-		return nil, strict.Fault{Line: 1, Column: 1, Text: fmt.Sprintf("%d bytes are more than %d", len(text), MaxText)}
+		return nil, strictdecode.Fault{Line: 1, Column: 1, Text: fmt.Sprintf("%d bytes are more than %d", len(text), MaxText)}
 	case len(text) == 0:
-		return nil, strict.Fault{Line: 1, Column: 1, Text: "nothing in it: a comment is enough for a snapshot that sets nothing"}
+		return nil, strictdecode.Fault{Line: 1, Column: 1, Text: "nothing in it: a comment is enough for a snapshot that sets nothing"}
 	}
 	s := &Snapshot{Text: text, Stamp: Stamp{Hash: HashOf(text)}}
 	var all []error
-	for _, f := range strict.Decode(text, &s.Settings) {
+	for _, f := range strictdecode.Decode(text, &s.Settings) {
 		if key, ok := strings.CutPrefix(f.Text, "no such key: "); ok {
 			f.Text = unknown(key)
 		}
@@ -97,10 +97,10 @@
 	if len(all) > 0 {
 		return nil, join(all)
 	}
-	where := strict.Places(text)
+	where := strictdecode.Places(text)
 	s.Settings.check(func(key, format string, args ...any) {
 		at := where.At(key)
-		all = append(all, strict.Fault{Line: at.Line, Column: at.Column, Text: key + ": " + fmt.Sprintf(format, args...)})
+		all = append(all, strictdecode.Fault{Line: at.Line, Column: at.Column, Text: key + ": " + fmt.Sprintf(format, args...)})
 	})
 	if len(all) > 0 {
 		return nil, join(all)
--- a/internal/controlplane/link/client.go
+++ b/internal/controlplane/transport/client.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
--- a/internal/controlplane/link/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -1,4 +1,4 @@
-package link_test
+package transport_test
 
 import (
 	"context"
@@ -18,15 +18,15 @@
 
 	"go4.org/netipx"
 
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/controlplane/link"
 	"hazelwing/internal/controlplane/origin"
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/recovery"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/hollow"
+	"hazelwing/internal/controlplane/transport"
+	"hazelwing/internal/discovery/bootstrap"
 	"hazelwing/internal/store"
+	"hazelwing/internal/testcluster/hollow"
+	"hazelwing/internal/testutil"
 )
 
 var (
@@ -44,7 +44,7 @@
 
 	mu    sync.Mutex
 	acts  map[string]acting // by member
-	parts map[string]*link.Member
+	parts map[string]*transport.Member
 	bytes map[string]*atomic.Int64
 }
 
@@ -55,13 +55,13 @@
 }
 
 type hollowOrigin struct {
-	cfg  link.OriginConfig
+	cfg  transport.OriginConfig
 	dir  string
 	stop func()
 }
 
 func newHollowRig(t *testing.T, members, origins int) *hollowRig {
-	r := &hollowRig{t: t, acts: map[string]acting{}, parts: map[string]*link.Member{}, bytes: map[string]*atomic.Int64{}}
+	r := &hollowRig{t: t, acts: map[string]acting{}, parts: map[string]*transport.Member{}, bytes: map[string]*atomic.Int64{}}
 	var b netipx.IPSetBuilder
 	b.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
 	r.allowed, _ = b.IPSet()
@@ -91,7 +91,7 @@
 	}
 	for k, name := range f.Origins {
 		network, _ := r.Machine(1 + k*rack)
-		o := &hollowOrigin{dir: filepath.Join(t.TempDir(), name), cfg: link.OriginConfig{Listen: peers[name], Peers: peers, Allowed: r.allowed, Dial: network.Dial,
+		o := &hollowOrigin{dir: filepath.Join(t.TempDir(), name), cfg: transport.OriginConfig{Listen: peers[name], Peers: peers, Allowed: r.allowed, Dial: network.Dial,
 			Log: slog.New(slog.DiscardHandler), Node: origin.Config{Founding: f, Self: name, Seed: uint64(k), TickEvery: 50 * time.Millisecond}}}
 		st := openStore(t, o.dir)
 		if err := origin.Found(st, f); err != nil {
@@ -119,7 +119,7 @@
 func (o *hollowOrigin) start(t *testing.T) {
 	st := openStore(t, o.dir)
 	o.cfg.Store = st
-	node, err := link.NewOrigin(o.cfg)
+	node, err := transport.NewOrigin(o.cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,9 +135,9 @@
 	r.mu.Lock()
 	delete(r.acts, m.Name)
 	r.mu.Unlock()
-	p, err := link.NewMember(link.MemberConfig{Follower: controlplane.FollowerConfig{Fleet: "hollow", Self: m.Name, Round: 300 * time.Millisecond},
+	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Fleet: "hollow", Self: m.Name, Round: 300 * time.Millisecond},
 		Origins: r.addrs, Most: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
-		Selector: recovery.Config{Self: m.Name, Ask: 40, Fan: 4, Told: len(r.Members), Seed: uint64(m.N)},
+		Selector: bootstrap.Config{Self: m.Name, Ask: 40, Fan: 4, Told: len(r.Members), Seed: uint64(m.N)},
 		Holds:    func(s controlplane.Stamp) { node.Load().SetStamp(s.Epoch, s.Version) },
 		Apply: func(s *controlplane.Snapshot) error {
 			r.mu.Lock()
@@ -153,20 +153,20 @@
 	r.parts[m.Name] = p
 	r.mu.Unlock()
 	return hollow.Attachment{Also: p.Handler(), Run: p.Run, Opened: func(n *gossip.Node) { node.Store(n) },
-		OnStamp: func(from fleet.Entry, epoch, number uint64) {
+		OnStamp: func(from cluster.Entry, epoch, number uint64) {
 			p.PeerStamp(from.Name, from.Addr.String(), epoch, number)
 		},
-		OnView: func(others []fleet.Member, joined bool) {
-			list := make([]recovery.Member, 0, len(others))
+		OnView: func(others []cluster.Member, joined bool) {
+			list := make([]bootstrap.Member, 0, len(others))
 			for _, o := range others {
-				list = append(list, recovery.Member{Name: o.Name, Addr: o.Addr})
+				list = append(list, bootstrap.Member{Name: o.Name, Addr: o.Addr})
 			}
 			p.View(list, joined)
 		}}
 }
 
 // dial counts what configuration costs: at who asks and at whom it is asked.
-func (r *hollowRig) dial(m *hollow.Member) link.Dial {
+func (r *hollowRig) dial(m *hollow.Member) transport.Dial {
 	count := func(addr string) *atomic.Int64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -214,8 +214,8 @@
 	begun := time.Now()
 	id := fmt.Sprint("push-", begun.UnixNano())
 	text := fmt.Appendf(nil, "# %s\n[limits]\nmax_attempts = 3\n# %s\n", id, strings.Repeat("x", 1000))
-	for i := 0; time.Since(begun) < fixture.Patience; i++ {
-		c := link.NewClient("hollow", r.addrs[origins[i%len(origins)]])
+	for i := 0; time.Since(begun) < testutil.Patience; i++ {
+		c := transport.NewClient("hollow", r.addrs[origins[i%len(origins)]])
 		ctx, end := context.WithTimeout(r.t.Context(), time.Second)
 		s, err := c.Show(ctx, false)
 		if err == nil {
@@ -236,7 +236,7 @@
 	if *hollowMembers > 0 {
 		return 2 * time.Minute
 	}
-	return fixture.Patience
+	return testutil.Patience
 }
 
 // inForce waits until all of some act on a stamp, and logs when 50, 99 and 100 in 100 did, after since.
@@ -267,7 +267,7 @@
 			}
 		}
 		for _, addr := range r.addrs {
-			s, err := link.NewClient("hollow", addr).Status(r.t.Context())
+			s, err := transport.NewClient("hollow", addr).Status(r.t.Context())
 			r.t.Logf("%+v, %v", s, err)
 		}
 		r.t.Fatalf("%s: %d of %d act on %v; not%.300s", what, len(took), len(members), s, lack)
@@ -335,7 +335,7 @@
 
 // Changes reach hollow members through the real link and real origins. The long form, with faults and bytes:
 //
-//	go test ./internal/controlplane/link -run Hollow -config.hollow 590 -timeout 1h -v
+//	go test ./internal/controlplane/transport -run Hollow -config.hollow 590 -timeout 1h -v
 func TestHollow(t *testing.T) {
 	t.Parallel()
 	members, origins := 20, 3
@@ -355,7 +355,7 @@
 	}
 	r.inForce("all start, 30 at a time: after the first start", s, begun, r.Members)
 	if *hollowMembers == 0 {
-		fixture.Until(t, "all know each other", func() bool { return r.Disagreement(func(hollow.Place) bool { return true }) == "" })
+		testutil.Until(t, "all know each other", func() bool { return r.Disagreement(func(hollow.Place) bool { return true }) == "" })
 	}
 	s, at := r.push(0, 1)
 	if took := r.inForce("a change", s, at, r.Members); took[len(took)-1] > 4*time.Second {
--- a/internal/controlplane/link/hollowlong_test.go
+++ b/internal/controlplane/transport/hollowlong_test.go
@@ -1,12 +1,12 @@
-package link_test
+package transport_test
 
 import (
 	"fmt"
 	"runtime"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/hollow"
+	"hazelwing/internal/testcluster/hollow"
+	"hazelwing/internal/testutil"
 )
 
 // step carries out a step of the links.
@@ -94,7 +94,7 @@
 	r.settle()
 	s, at = r.push(0, 1)
 	r.inForce("a change after it", s, at, r.Members)
-	if time.Since(at) > fixture.Patience {
+	if time.Since(at) > testutil.Patience {
 		t.Error("late")
 	}
 }
--- a/internal/controlplane/link/link.go
+++ b/internal/controlplane/transport/link.go
@@ -1,4 +1,4 @@
-// Package link puts sockets, disks and a clock round internal/controlplane: Member is a sidecar's place in the distribution of
+// Package transport puts sockets, disks and a clock round internal/controlplane: Member is a sidecar's place in the distribution of
 // configuration, Origin one of the machines set aside, and Client what the commands ask an origin with.
 //
 // Whoever follows asks GET /config/watch?epoch=E&version=V&hash=H and gets lines of JSON for as long as it likes: first who it is that
@@ -21,7 +21,7 @@
 //	an origin's connections                512; messages that wait for another origin 64, the oldest go first
 //
 // A frame that is too long, of another fleet or cut short closes that connection alone.
-package link
+package transport
 
 import (
 	"bytes"
--- a/internal/controlplane/link/link_test.go
+++ b/internal/controlplane/transport/link_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bufio"
@@ -26,8 +26,8 @@
 	"go.uber.org/goleak"
 
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/recovery"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/discovery/bootstrap"
+	"hazelwing/internal/testutil"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -101,7 +101,7 @@
 	m := new(member)
 	var err error
 	m.Member, err = NewMember(MemberConfig{Follower: controlplane.FollowerConfig{Fleet: "f", Self: name, Parse: parse}, Origins: origins, Most: 4, Dir: dir,
-		Selector: recovery.Config{Self: name, Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
+		Selector: bootstrap.Config{Self: name, Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
 		Apply: func(s *controlplane.Snapshot) error {
 			m.mu.Lock()
 			defer m.mu.Unlock()
@@ -130,14 +130,14 @@
 	b.publish(frame(1, "# one"))
 	names := []string{"m1", "m2"} // in the selector's order
 	first := startMember(t, names[0], t.TempDir(), a.addr, b.addr)
-	fixture.Until(t, "the first acts on it", func() bool { return first.acts() == 1 })
+	testutil.Until(t, "the first acts on it", func() bool { return first.acts() == 1 })
 	second := startMember(t, names[1], t.TempDir(), a.addr, b.addr)
 	see := func() {
-		first.View([]recovery.Member{{Name: names[1], Addr: second.addr}}, true)
-		second.View([]recovery.Member{{Name: names[0], Addr: first.addr}}, true)
+		first.View([]bootstrap.Member{{Name: names[1], Addr: second.addr}}, true)
+		second.View([]bootstrap.Member{{Name: names[0], Addr: first.addr}}, true)
 	}
 	see()
-	fixture.Until(t, "both act on it", func() bool { return second.acts() == 1 })
+	testutil.Until(t, "both act on it", func() bool { return second.acts() == 1 })
 	sum := func(s *source) (n int) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -146,15 +146,15 @@
 		}
 		return n
 	}
-	fixture.Until(t, "one origin hears of both", func() bool { return sum(a)+sum(b) == 2 })
+	testutil.Until(t, "one origin hears of both", func() bool { return sum(a)+sum(b) == 2 })
 	up := a
 	if sum(b) > 0 {
 		up = b
 	}
 	a.publish(frame(2, "# two"))
 	b.publish(frame(2, "# two"))
-	fixture.Until(t, "both act on the change", func() bool { return first.acts() == 2 && second.acts() == 2 })
-	fixture.Until(t, "and the origin hears of it", func() bool {
+	testutil.Until(t, "both act on the change", func() bool { return first.acts() == 2 && second.acts() == 2 })
+	testutil.Until(t, "and the origin hears of it", func() bool {
 		up.mu.Lock()
 		defer up.mu.Unlock()
 		for _, r := range up.told {
@@ -170,7 +170,7 @@
 		other = b
 	}
 	other.publish(frame(3, "# three"))
-	fixture.Until(t, "the other origin is followed", func() bool { return first.acts() == 3 && second.acts() == 3 })
+	testutil.Until(t, "the other origin is followed", func() bool { return first.acts() == 3 && second.acts() == 3 })
 	s, _ := first.State()
 	if !s.Ready || s.Acts.Version != 3 || s.Upstream != other.self || s.Kept {
 		t.Errorf("%+v", s)
@@ -189,18 +189,18 @@
 		}
 		return controlplane.Parse(text)
 	}, "m1", "", s.addr)
-	fixture.Until(t, "the old one acts on the first", func() bool { return old.acts() == 1 })
+	testutil.Until(t, "the old one acts on the first", func() bool { return old.acts() == 1 })
 	below := startMember(t, "m2", "", s.addr)
-	old.View([]recovery.Member{{Name: "m2", Addr: below.addr}}, true)
-	below.View([]recovery.Member{{Name: "m1", Addr: old.addr}}, true)
-	fixture.Until(t, "the other follows it, or it the other", func() bool {
+	old.View([]bootstrap.Member{{Name: "m2", Addr: below.addr}}, true)
+	below.View([]bootstrap.Member{{Name: "m1", Addr: old.addr}}, true)
+	testutil.Until(t, "the other follows it, or it the other", func() bool {
 		a, _ := old.State()
 		b, _ := below.State()
 		return a.Upstream == "m2" || b.Upstream == "m1"
 	})
 	s.publish(frame(2, "[price]\nprobe = 0.5\n"))
-	fixture.Until(t, "the other acts on it", func() bool { return below.acts() == 2 })
-	fixture.Until(t, "the origin hears of both", func() bool {
+	testutil.Until(t, "the other acts on it", func() bool { return below.acts() == 2 })
+	testutil.Until(t, "the origin hears of both", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		n, refused := 0, false
@@ -227,10 +227,10 @@
 		s.publish(frame(1, "# one"))
 	}
 	m := startMember(t, "m", "", inOrder("m", idle.addr, good.addr)...)
-	fixture.Until(t, "the first is followed", func() bool { s, _ := m.State(); return s.Upstream == "idle" && m.acts() == 1 })
+	testutil.Until(t, "the first is followed", func() bool { s, _ := m.State(); return s.Upstream == "idle" && m.acts() == 1 })
 	good.publish(frame(2, "# two"))
 	good.part(true)
-	fixture.Until(t, "the other is", func() bool { s, _ := m.State(); return s.Upstream == "good" && m.acts() == 2 })
+	testutil.Until(t, "the other is", func() bool { s, _ := m.State(); return s.Upstream == "good" && m.acts() == 2 })
 }
 
 // inOrder are two origins such that a member begins with the first.
@@ -280,8 +280,8 @@
 				say(w)
 			}))
 			m := startMember(t, "m", "", inOrder("m", bad.addr, good.addr)...)
-			fixture.Receive(t, asked, "the bad one's being asked")
-			fixture.Until(t, "the good one's is in force", func() bool { return m.acts() == 1 })
+			testutil.Receive(t, asked, "the bad one's being asked")
+			testutil.Until(t, "the good one's is in force", func() bool { return m.acts() == 1 })
 			m.stop()
 		})
 	}
@@ -299,9 +299,9 @@
 		<-q.Context().Done()
 	}))
 	m := startMember(t, "m", "", inOrder("m", still.addr, good.addr)...)
-	fixture.Receive(t, asked, "the one that stands still being asked")
+	testutil.Receive(t, asked, "the one that stands still being asked")
 	good.publish(frame(1, "# one"))
-	fixture.Until(t, "the good one's is in force", func() bool { return m.acts() == 1 })
+	testutil.Until(t, "the good one's is in force", func() bool { return m.acts() == 1 })
 }
 
 // A follower that does not read is let go, others are not held up by it, and it costs one frame.
@@ -323,7 +323,7 @@
 	rand.Read(noise)
 	big := "# " + hex.EncodeToString(noise)
 	versions := uint64(0)
-	fixture.Until(t, "the slow one is gone, and the other has all", func() bool {
+	testutil.Until(t, "the slow one is gone, and the other has all", func() bool {
 		if s.state().Following == 2 || versions == 0 {
 			versions++
 			s.publish(frame(versions, big))
@@ -343,18 +343,18 @@
 	s := newSource(t, "o", nil)
 	s.publish(frame(4, "# four"))
 	m := startMember(t, "m", dir, s.addr)
-	if text := m.WaitReady(t.Context(), fixture.Patience); text != "acting on 1.4" {
+	if text := m.WaitReady(t.Context(), testutil.Patience); text != "acting on 1.4" {
 		t.Error(text)
 	}
 	path := filepath.Join(dir, keptName)
-	fixture.Until(t, "it is kept", func() bool { _, err := os.Stat(path); return err == nil })
+	testutil.Until(t, "it is kept", func() bool { _, err := os.Stat(path); return err == nil })
 	m.stop()
 	yesterday := time.Now().Add(-25 * time.Hour)
 	if err := os.Chtimes(path, yesterday, yesterday); err != nil {
 		t.Fatal(err)
 	}
 	m = startMember(t, "m", dir, "127.0.0.1:9")
-	fixture.Until(t, "what was kept is in force", func() bool { return m.acts() == 4 })
+	testutil.Until(t, "what was kept is in force", func() bool { return m.acts() == 4 })
 	if text := m.WaitReady(t.Context(), 50*time.Millisecond); !strings.Contains(text, "the last known one, 1.4, confirmed 25h0m") {
 		t.Error(text)
 	}
@@ -363,7 +363,7 @@
 	}
 	m.stop()
 	m = startMember(t, "m", dir, s.addr)
-	if text := m.WaitReady(t.Context(), fixture.Patience); text != "acting on 1.4" {
+	if text := m.WaitReady(t.Context(), testutil.Patience); text != "acting on 1.4" {
 		t.Error(text)
 	}
 	m.stop()
--- a/internal/controlplane/link/member.go
+++ b/internal/controlplane/transport/member.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/recovery"
+	"hazelwing/internal/discovery/bootstrap"
 )
 
 const (
@@ -32,7 +32,7 @@
 type MemberConfig struct {
 	Follower controlplane.FollowerConfig // Last is filled in from Dir
 	Origins  []string                    // addresses
-	Selector recovery.Config             // the first Ask of the fleet follow an origin, Fan others one member
+	Selector bootstrap.Config            // the first Ask of the fleet follow an origin, Fan others one member
 	Most     int                         // that may follow this one
 	Dir      string                      // of the last known snapshot; empty: none is kept
 	// Apply puts a snapshot in force, all of it or nothing, and returns once it is. It is called from a goroutine of its own, once at a
@@ -64,7 +64,7 @@
 	askingMu sync.Mutex
 
 	mu       sync.Mutex
-	selector *recovery.Selector
+	selector *bootstrap.Selector
 	viewed   chan struct{} // closed when the view changes
 	upstream *target       // nil: none
 	ups      int
@@ -126,7 +126,7 @@
 	}
 	m := &Member{cfg: c, begun: time.Now(), in: make(chan any, memberQueue), apply: make(chan *controlplane.Snapshot, 1),
 		fetches: make(chan struct{}, fetchesMost), keeping: newLatest[controlplane.Kept](), reports: newLatest[controlplane.Report](),
-		ready: make(chan struct{}), ended: make(chan struct{}), selector: recovery.New(c.Selector, 0), viewed: make(chan struct{})}
+		ready: make(chan struct{}), ended: make(chan struct{}), selector: bootstrap.New(c.Selector, 0), viewed: make(chan struct{})}
 	if c.Dir != "" {
 		if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 			return nil, fmt.Errorf("config.dir: %w", err)
@@ -152,7 +152,7 @@
 func (m *Member) Ready() <-chan struct{} { return m.ready }
 
 // View tells who lives. It does not wait.
-func (m *Member) View(others []recovery.Member, joined bool) {
+func (m *Member) View(others []bootstrap.Member, joined bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.selector.View(m.now(), others, joined)
@@ -377,7 +377,7 @@
 	}
 }
 
-func nameOf(c recovery.Choice) string {
+func nameOf(c bootstrap.Choice) string {
 	if c.Discovery {
 		return "the origins"
 	}
@@ -385,7 +385,7 @@
 }
 
 // follow follows one upstream until it fails or there is a better one; opened says that it answered.
-func (m *Member) follow(ctx context.Context, c recovery.Choice, targets []target, turn *int) (opened bool, err error) {
+func (m *Member) follow(ctx context.Context, c bootstrap.Choice, targets []target, turn *int) (opened bool, err error) {
 	m.askingMu.Lock()
 	from := m.asking
 	m.askingMu.Unlock()
@@ -459,7 +459,7 @@
 // lookForBetter ends a watch of a peer when an origin is to be followed and answers, or the peer is none of the fleet any more; and one
 // of an origin that takes no part when another one does. Guards against a fleet that has come to follow the one origin that hears of no
 // changes, while the others were away.
-func (m *Member) lookForBetter(ctx context.Context, c recovery.Choice, idle *atomic.Bool, leave context.CancelCauseFunc, turn *int) {
+func (m *Member) lookForBetter(ctx context.Context, c bootstrap.Choice, idle *atomic.Bool, leave context.CancelCauseFunc, turn *int) {
 	for sleep(ctx, lookEvery) {
 		if c.Discovery {
 			if idle.Load() && m.tryOrigin(ctx, turn, true, false) {
@@ -504,7 +504,7 @@
 		return false
 	}
 	m.mu.Lock()
-	m.selector.Works(m.now(), recovery.Choice{Discovery: true})
+	m.selector.Works(m.now(), bootstrap.Choice{Discovery: true})
 	m.mu.Unlock()
 	return true
 }
--- a/internal/daemon/allocs_test.go
+++ b/internal/daemon/allocs_test.go
@@ -8,14 +8,14 @@
 	"strings"
 	"testing"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // What a request on kept connections makes the sidecar allocate, front, engine, decisions and transport, is counted, not timed: the
 // same on any machine. Client and server allocate nothing.
 func TestAllocationsOfARequest(t *testing.T) {
-	addr := fixture.Raw(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
-		answer, buf := []byte(fixture.OKAnswer), make([]byte, 4096)
+	addr := testutil.Raw(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
+		answer, buf := []byte(testutil.OKAnswer), make([]byte, 4096)
 		for n := 0; ; {
 			k, err := conn.Read(buf[n:])
 			if err != nil {
@@ -27,7 +27,7 @@
 			}
 		}
 	})
-	r := startSidecar(t, fixture.NoAddr, addr)
+	r := startSidecar(t, testutil.NoAddr, addr)
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -69,5 +69,5 @@
 		}
 	}
 	t.Logf("%.1f allocations a request", least)
-	fixture.HoldToPage(t, "allocations a request", least, 0.06)
+	testutil.HoldToPage(t, "allocations a request", least, 0.06)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -12,15 +12,15 @@
 	"sync"
 
 	"hazelwing/internal/admin"
-	"hazelwing/internal/bound"
+	"hazelwing/internal/cluster/node"
+	"hazelwing/internal/discovery/mergedsource"
+	"hazelwing/internal/discovery/relay"
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/engine"
 	"hazelwing/internal/front/httpfront"
-	"hazelwing/internal/ledger/guard"
-	"hazelwing/internal/membership/merged"
-	"hazelwing/internal/membership/relay"
-	"hazelwing/internal/membership/watch"
+	"hazelwing/internal/idempotency/middleware"
+	"hazelwing/internal/limits"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/peering"
 	"hazelwing/internal/platform"
 	"hazelwing/internal/transport/http1"
 )
@@ -30,14 +30,14 @@
 	conns  int // of clients that may be held
 	engine *engine.Engine
 	pool   *http1.Pool
-	bounds *bound.Set
+	bounds *limits.Set
 	front  *httpfront.Server
 	// members is discovery and the sources beside it; nil: there are none.
-	members *merged.Source
-	list    *relay.Source // discovery's list by way of the fleet; nil: from discovery alone
-	fleet   *peering.Part // the other sidecars; nil: they are not known
-	guard   *guard.Guard  // nil: there is no ledger of effects
-	admin   net.Listener  // nil: there is no endpoint
+	members *mergedsource.Source
+	list    *relay.Source     // discovery's list by way of the fleet; nil: from discovery alone
+	fleet   *node.Part        // the other sidecars; nil: they are not known
+	guard   *middleware.Guard // nil: there is no ledger of effects
+	admin   net.Listener      // nil: there is no endpoint
 	extras  []*extra
 	asked   bool // discovery is one service for all, and not an agent on this machine
 	log     *slog.Logger
@@ -55,7 +55,7 @@
 	if op.Config != nil {
 		log, level = levelledLog(log)
 	}
-	bounds := bound.NewSet(log)
+	bounds := limits.NewSet(log)
 	limits, err := cfg.Limits.Keep(descriptors(op))
 	if err != nil {
 		return nil, err
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,18 +13,18 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 func TestRequestAndAnswerGoThroughUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
-	addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-		for q := fixture.ReadRequest(r); q != nil; q = fixture.ReadRequest(r) {
+	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 			seen <- q
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/x-seat\r\nKeep-Alive: 1\r\nContent-Length: 4\r\n\r\nseat")
 		}
 	})
-	r := startSidecar(t, fixture.NoAddr, addr)
+	r := startSidecar(t, testutil.NoAddr, addr)
 	for i, c := range []struct{ method, class, body string }{{"GET", "look", ""}, {"POST", "book", "b\x00dy"}, {"POST", "pay", "card"}} {
 		id := strconv.Itoa(i)
 		req := r.request(t, c.method, c.class, id, c.body)
@@ -34,7 +34,7 @@
 		if resp.StatusCode != 200 || body != "seat" || resp.Header.Get("Content-Type") != "text/x-seat" || resp.Header.Get("Keep-Alive") != "" {
 			t.Errorf("%s: %s %q %v", c.class, resp.Status, body, resp.Header)
 		}
-		q := fixture.Receive(t, seen, "the request")
+		q := testutil.Receive(t, seen, "the request")
 		got, _ := io.ReadAll(q.Body)
 		left, _ := strconv.Atoi(q.Header.Get("X-Deadline-Ms"))
 		if q.Method != c.method || q.RequestURI != "/"+c.class+"/a%2Fb?q=1" || string(got) != c.body ||
@@ -54,15 +54,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			copies := make(chan bool, 100)
-			addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-				for fixture.ReadRequest(r) != nil {
+			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+				for testutil.ReadRequest(r) != nil {
 					copies <- true
 					if io.WriteString(conn, reply); reply == "" {
 						conn.Close()
 					}
 				}
 			})
-			r := startSidecar(t, fixture.NoAddr, addr)
+			r := startSidecar(t, testutil.NoAddr, addr)
 			resp, _ := r.do(t, r.request(t, "POST", "book", "1", "x"))
 			if resp.StatusCode < 500 || resp.StatusCode == 503 || len(copies) != 1 {
 				t.Errorf("%s after %d copies", resp.Status, len(copies))
@@ -79,7 +79,7 @@
 		http.Error(w, "no such seat", http.StatusNotFound)
 	}))
 	defer upstream.Close()
-	r := startSidecar(t, fixture.NoAddr, upstream.Listener.Addr().String())
+	r := startSidecar(t, testutil.NoAddr, upstream.Listener.Addr().String())
 	if resp, body := r.do(t, r.request(t, "GET", "look", "1", "")); resp.StatusCode != 404 || body != "no such seat\n" || copies.Load() != 1 {
 		t.Errorf("%s %q after %d copies", resp.Status, body, copies.Load())
 	}
@@ -87,16 +87,16 @@
 
 // What was turned away unseen may be sent again, also where it must not run twice.
 func TestTurnedAwayIsSentAgain(t *testing.T) {
-	addr := fixture.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
-		for i := 0; fixture.ReadRequest(r) != nil; i++ {
+	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+		for i := 0; testutil.ReadRequest(r) != nil; i++ {
 			if n == 0 && i == 0 {
 				io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			} else {
-				io.WriteString(conn, fixture.OKAnswer)
+				io.WriteString(conn, testutil.OKAnswer)
 			}
 		}
 	})
-	r := startSidecar(t, fixture.NoAddr, addr)
+	r := startSidecar(t, testutil.NoAddr, addr)
 	if resp, body := r.do(t, r.request(t, "POST", "book", "1", "x")); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("%s %q", resp.Status, body)
 	}
@@ -112,19 +112,19 @@
 	}))
 	defer upstream.Close()
 	defer answer()
-	r := startSidecar(t, fixture.NoAddr, upstream.Listener.Addr().String())
+	r := startSidecar(t, testutil.NoAddr, upstream.Listener.Addr().String())
 	status := make(chan int, 1)
 	go func() {
 		if resp, err := r.client.Do(r.request(t, "POST", "book", "1", "x")); err == nil {
 			status <- resp.StatusCode
 		}
 	}()
-	fixture.Receive(t, came, "the first")
+	testutil.Receive(t, came, "the first")
 	if resp, _ := r.do(t, r.request(t, "POST", "book", "1", "x")); resp.StatusCode != 400 {
 		t.Errorf("the second got %s", resp.Status)
 	}
 	answer()
-	if got := fixture.Receive(t, status, "the first answer"); got != 200 {
+	if got := testutil.Receive(t, status, "the first answer"); got != 200 {
 		t.Errorf("the first got %d", got)
 	}
 }
@@ -150,7 +150,7 @@
 			upstream.Listener.Addr())
 	}))
 	defer discovery.Close()
-	r := startSidecar(t, discovery.Listener.Addr().String(), fixture.NoAddr, `"ask"`, strconv.Quote(mode))
+	r := startSidecar(t, discovery.Listener.Addr().String(), testutil.NoAddr, `"ask"`, strconv.Quote(mode))
 	// The known address refuses until the list moves it: the sidecar refuses too, and asking again is harmless.
 	begun := time.Now()
 	for n := 0; ; n++ {
@@ -158,7 +158,7 @@
 		if resp.StatusCode == 200 && body == "new" {
 			break
 		}
-		if time.Since(begun) > fixture.Patience {
+		if time.Since(begun) > testutil.Patience {
 			t.Fatalf("%s %q", resp.Status, body)
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/daemon/deploy_test.go
+++ b/internal/daemon/deploy_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/dnsserver"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/dnsserver"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 var deploy = flag.Bool("deploy", false, "measure service round a deploy that the node list tells of five seconds late (a minute)")
@@ -45,7 +45,7 @@
 // deployed plays one deploy and returns the share of 15 s of requests that was served.
 func deployed(t *testing.T, withList, withSRV bool) float64 {
 	const nodes, length, late, gap, exits = 6, 15 * time.Second, 5 * time.Second, 400 * time.Millisecond, 1500 * time.Millisecond
-	d, err := standin.NewDiscovery()
+	d, err := emulator.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,13 +57,13 @@
 		t.Fatal(err)
 	}
 	defer ns.Close()
-	serve := func(name string) (*httptest.Server, standin.Host) {
+	serve := func(name string) (*httptest.Server, emulator.Host) {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(5 * time.Millisecond)
 			io.WriteString(w, "ok")
 		}))
 		t.Cleanup(s.Close)
-		return s, standin.Host{Host: name, Dial: s.Listener.Addr().String(), Site: "a", Class: "m", Health: "SERVING"}
+		return s, emulator.Host{Host: name, Dial: s.Listener.Addr().String(), Site: "a", Class: "m", Health: "SERVING"}
 	}
 	swap := func(i int, addr string) {
 		_, port, _ := net.SplitHostPort(addr)
@@ -76,7 +76,7 @@
 		ns.Answer(names(append([]string(nil), ports...)...))
 	}
 	var servers []*httptest.Server
-	var hosts []standin.Host
+	var hosts []emulator.Host
 	for i := range nodes {
 		s, h := serve(fmt.Sprint("old", i))
 		servers, hosts = append(servers, s), append(hosts, h)
@@ -96,9 +96,9 @@
 		list = append(list, entry(h.Host, h.Dial))
 	}
 	if !withList {
-		discovery, list = fixture.NoAddr, nil
+		discovery, list = testutil.NoAddr, nil
 	}
-	r, stop := run(t, config(t, discovery, fixture.NoAddr, known(list)...), op)
+	r, stop := run(t, config(t, discovery, testutil.NoAddr, known(list)...), op)
 	defer stop()
 
 	var all sync.WaitGroup
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -8,18 +8,18 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/cluster"
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/controlplane/link"
+	"hazelwing/internal/controlplane/transport"
+	"hazelwing/internal/discovery/bootstrap"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/fleet"
 	"hazelwing/internal/operator"
 	"hazelwing/internal/platform"
-	"hazelwing/internal/recovery"
 )
 
 // configPart is this sidecar's place in the distribution of configuration.
 type configPart struct {
-	member *link.Member
+	member *transport.Member
 	s      *sidecar
 	base   balancer.Settings // the platform's, which hold where a snapshot says nothing
 	level  *slog.LevelVar
@@ -42,9 +42,9 @@
 	d := op.Config
 	p := &configPart{s: s, base: set, level: level, wait: time.Duration(d.Wait), log: log, platform: cfg.Discovery, told: max(set.Balancers, 1)}
 	var err error
-	p.member, err = link.NewMember(link.MemberConfig{Follower: controlplane.FollowerConfig{Fleet: op.Fleet.Name, Self: cfg.Name, Round: fetchAfter},
+	p.member, err = transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Fleet: op.Fleet.Name, Self: cfg.Name, Round: fetchAfter},
 		Origins: d.Origins, Most: 2 * int(d.Fan), Dir: d.Dir, Apply: p.apply, Holds: p.holds, Log: log,
-		Selector: recovery.Config{Self: cfg.Name, Ask: int(d.Ask), Fan: int(d.Fan), Told: set.Balancers, Seed: uint64(cfg.Seed) + 1}})
+		Selector: bootstrap.Config{Self: cfg.Name, Ask: int(d.Ask), Fan: int(d.Fan), Told: set.Balancers, Seed: uint64(cfg.Seed) + 1}})
 	return p, err
 }
 
@@ -147,15 +147,15 @@
 }
 
 // viewed tells who may be followed, and stamped what another sidecar holds. Both are called from the node's goroutine.
-func (p *configPart) viewed(others []fleet.Member, joined bool) {
-	list := make([]recovery.Member, 0, len(others))
+func (p *configPart) viewed(others []cluster.Member, joined bool) {
+	list := make([]bootstrap.Member, 0, len(others))
 	for _, m := range others {
-		list = append(list, recovery.Member{Name: m.Name, Addr: m.Addr})
+		list = append(list, bootstrap.Member{Name: m.Name, Addr: m.Addr})
 	}
 	p.member.View(list, joined)
 }
 
-func (p *configPart) stamped(from fleet.Entry, epoch, version uint64) {
+func (p *configPart) stamped(from cluster.Entry, epoch, version uint64) {
 	p.member.PeerStamp(from.Name, from.Addr.String(), epoch, version)
 }
 
@@ -178,7 +178,7 @@
 	p.s.changing.Lock()
 	defer p.s.changing.Unlock()
 	return struct {
-		link.MemberState
+		transport.MemberState
 		Discovery string `json:"discovery"` // that is followed
 		Level     string `json:"level"`
 	}{s, p.s.followed, p.level.Level().String()}
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -12,7 +12,7 @@
 	"hazelwing/balancer"
 	"hazelwing/internal/controlplane"
 	"hazelwing/internal/platform"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // parsed is a snapshot of a version.
@@ -29,8 +29,8 @@
 // distributed is a sidecar with [config], of which neither view nor link runs.
 func distributed(t *testing.T, discovery string) *running {
 	t.Helper()
-	op := fleetTable(t, fmt.Sprintf("no_words = true\n[config]\norigins = [%q]\ndir = %q\n", fixture.NoAddr, t.TempDir()))
-	r, stop := run(t, config(t, discovery, fixture.NoAddr), op)
+	op := fleetTable(t, fmt.Sprintf("no_words = true\n[config]\norigins = [%q]\ndir = %q\n", testutil.NoAddr, t.TempDir()))
+	r, stop := run(t, config(t, discovery, testutil.NoAddr), op)
 	t.Cleanup(stop)
 	return r
 }
@@ -42,7 +42,7 @@
 	second, secondCalls, _ := watched(t)
 	third, thirdCalls, _ := watched(t)
 	r := distributed(t, first)
-	fixture.Receive(t, firstCalls, "the platform's discovery")
+	testutil.Receive(t, firstCalls, "the platform's discovery")
 	signals, next := make(chan os.Signal), make(chan string, 1)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
@@ -55,18 +55,18 @@
 	}
 	say := func(addr string) string { return fmt.Sprintf("[discovery]\naddr = %q\n", addr) }
 	apply(1, say(second))
-	fixture.Receive(t, secondCalls, "the snapshot's discovery")
+	testutil.Receive(t, secondCalls, "the snapshot's discovery")
 	next <- third
 	signals <- os.Interrupt
-	fixture.Receive(t, thirdCalls, "SIGHUP's discovery")
+	testutil.Receive(t, thirdCalls, "SIGHUP's discovery")
 	apply(2, say(second)+"[limits]\nmax_attempts = 1\n")
 	if r.followed != third {
 		t.Errorf("a snapshot that repeats its address moved the list to %s", r.followed)
 	}
 	apply(3, say(first))
-	fixture.Receive(t, firstCalls, "the later snapshot's discovery")
+	testutil.Receive(t, firstCalls, "the later snapshot's discovery")
 	apply(4, "# says nothing of it")
-	fixture.Receive(t, thirdCalls, "the platform's discovery of now")
+	testutil.Receive(t, thirdCalls, "the platform's discovery of now")
 	if n := len(firstCalls) + len(secondCalls); n > 0 {
 		t.Errorf("%d calls beside", n)
 	}
@@ -78,7 +78,7 @@
 	addr, calls, _ := watched(t)
 	other, otherCalls, _ := watched(t)
 	r := distributed(t, addr)
-	fixture.Receive(t, calls, "the platform's discovery")
+	testutil.Receive(t, calls, "the platform's discovery")
 	if err := r.config.apply(parsed(t, 1, "[log]\nlevel = \"debug\"\n[limits]\nmax_attempts = 1\n[fleet]\nsidecars = 7\n")); err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 
 // Without [config] nothing of it is there.
 func TestWithoutConfig(t *testing.T) {
-	s, err := build(config(t, fixture.NoAddr, fixture.NoAddr), fleetTable(t, ""), quietLog)
+	s, err := build(config(t, testutil.NoAddr, testutil.NoAddr), fleetTable(t, ""), quietLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/extra.go
+++ b/internal/daemon/extra.go
@@ -9,9 +9,9 @@
 
 	"hazelwing/balancer"
 	"hazelwing/internal/admin"
-	"hazelwing/internal/fleet/gossip"
+	"hazelwing/internal/cluster/gossip"
 	"hazelwing/internal/front/httpfront"
-	"hazelwing/internal/ledger/guard"
+	"hazelwing/internal/idempotency/middleware"
 	"hazelwing/internal/operator"
 )
 
@@ -53,7 +53,7 @@
 	if op.Members != nil && op.Members.SRV != nil {
 		n += 2 * len(op.Members.SRV.Servers) // a question by datagram and one by stream
 	}
-	if l := op.Ledger; l != nil && l.Durable != guard.Off {
+	if l := op.Ledger; l != nil && l.Durable != middleware.Off {
 		n += ledgerFiles + int(l.MaxSize/max(l.SegmentSize, 1)) // its segments
 	}
 	return n
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -10,12 +10,12 @@
 
 	"go.uber.org/goleak"
 
-	"hazelwing/internal/bound"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/node"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/fleet"
+	"hazelwing/internal/limits"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/peering"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // fleetTable is an operator's file with [fleet] on loopback.
@@ -38,7 +38,7 @@
 func TestWithoutFleet(t *testing.T) {
 	goroutines := func(op *operator.Config) error { // that are new; those of earlier tests may end meanwhile
 		before := goleak.IgnoreCurrent()
-		s, err := build(config(t, fixture.NoAddr, fixture.NoAddr), op, quietLog)
+		s, err := build(config(t, testutil.NoAddr, testutil.NoAddr), op, quietLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +52,7 @@
 		t.Errorf("before Run without [fleet]: %v", err)
 	}
 	goroutines(fleetTable(t, ""))
-	if s, err := build(config(t, fixture.NoAddr, fixture.NoAddr), fleetTable(t, "no_words = true\n"), quietLog); err != nil || s.members != nil {
+	if s, err := build(config(t, testutil.NoAddr, testutil.NoAddr), fleetTable(t, "no_words = true\n"), quietLog); err != nil || s.members != nil {
 		t.Errorf("no_words: %v, %v", err, s.members)
 	} else {
 		s.close()
@@ -62,7 +62,7 @@
 // What others were told takes a server out and never adds one; held to the merge's share; and given back when the word is old.
 func TestWordsTakeOut(t *testing.T) {
 	op := fleetTable(t, "")
-	p, err := openFleet(op.Fleet, nil, nil, config(t, fixture.NoAddr, fixture.NoAddr), 1, bound.NewSet(quietLog), quietLog)
+	p, err := openFleet(op.Fleet, nil, nil, config(t, testutil.NoAddr, testutil.NoAddr), 1, limits.NewSet(quietLog), quietLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,24 +89,24 @@
 		}
 		return list
 	}
-	fixture.Until(t, "all are listed", func() bool { return len(s.State()) == 10 && len(out()) == 0 })
-	p.Heard(fleet.Word{Server: "s1", Gone: true, BornMS: 1000, By: "b"}, true)
-	p.Heard(fleet.Word{Server: "stranger", By: "b"}, true)
-	fixture.Until(t, "what left is out", func() bool { return strings.Join(out(), " ") == "s1" })
+	testutil.Until(t, "all are listed", func() bool { return len(s.State()) == 10 && len(out()) == 0 })
+	p.Heard(cluster.Word{Server: "s1", Gone: true, BornMS: 1000, By: "b"}, true)
+	p.Heard(cluster.Word{Server: "stranger", By: "b"}, true)
+	testutil.Until(t, "what left is out", func() bool { return strings.Join(out(), " ") == "s1" })
 	// A liar says that all have left: the share of 0.3 holds.
 	for i := range 10 {
-		p.Heard(fleet.Word{Server: fmt.Sprint("s", i), Gone: true, BornMS: 1000, By: "liar"}, true)
+		p.Heard(cluster.Word{Server: fmt.Sprint("s", i), Gone: true, BornMS: 1000, By: "liar"}, true)
 	}
-	fixture.Until(t, "the share is out", func() bool { return len(out()) == 3 })
+	testutil.Until(t, "the share is out", func() bool { return len(out()) == 3 })
 	for _, x := range s.State() {
 		if x.ID == "stranger" {
 			t.Errorf("a word brought in a server: %+v", x)
 		}
 	}
 	for i := range 10 {
-		p.Heard(fleet.Word{Server: fmt.Sprint("s", i), Gone: true, BornMS: 1000, By: "liar"}, false)
+		p.Heard(cluster.Word{Server: fmt.Sprint("s", i), Gone: true, BornMS: 1000, By: "liar"}, false)
 	}
-	fixture.Until(t, "old words hold no more", func() bool { return len(out()) == 0 })
+	testutil.Until(t, "old words hold no more", func() bool { return len(out()) == 0 })
 }
 
 // quiet is a discovery that says nothing.
@@ -116,7 +116,7 @@
 
 // The number of sidecars reaches the module in place of the setting, also where it was known before the engine was there.
 func TestCountReachesTheEngine(t *testing.T) {
-	p := new(peering.Part)
+	p := new(node.Part)
 	p.Counted(7)
 	var got []int
 	p.OnCount(func(n int) { got = append(got, n) })
--- a/internal/daemon/graphql_leave_test.go
+++ b/internal/daemon/graphql_leave_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // A client of GraphQL leaves when two parts of its request have a connection and two wait for theirs to come up: these are not
@@ -33,7 +33,7 @@
 				t.Fatal(err)
 			}
 			l := narrow(t) // one connection is accepted, one more comes up
-			r, stop := run(t, config(t, fixture.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`), op)
+			r, stop := run(t, config(t, testutil.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`), op)
 			defer stop()
 			x := r.extras[0]
 			go x.serve(t.Context(), x.listener)
@@ -48,9 +48,9 @@
 			serve := func(c net.Conn, came chan bool) {
 				defer c.Close()
 				from := bufio.NewReader(c)
-				for q := fixture.ReadRequest(from); q != nil; q = fixture.ReadRequest(from) {
+				for q := testutil.ReadRequest(from); q != nil; q = testutil.ReadRequest(from) {
 					if q.Header.Get("X-Request-Id") == "stays" {
-						io.WriteString(c, fixture.OKAnswer)
+						io.WriteString(c, testutil.OKAnswer)
 						continue
 					}
 					if parts.Add(1); came != nil {
@@ -64,7 +64,7 @@
 			}
 			first := make(chan bool, 1)
 			go serve(c, first)
-			fixture.Receive(t, first, "the first part")
+			testutil.Receive(t, first, "the first part")
 			dialling(t, l.Addr())
 			leave(conn.(*net.TCPConn))
 			leftAt(t, conn)
@@ -77,7 +77,7 @@
 					go serve(c, nil)
 				}
 			}()
-			fixture.Until(t, "the end of the dials", func() bool { return !isDialling(t, l.Addr()) })
+			testutil.Until(t, "the end of the dials", func() bool { return !isDialling(t, l.Addr()) })
 			r.stays(t)
 			if n := parts.Load(); n > 2 {
 				t.Errorf("%d parts were sent, 2 at most before the client left", n)
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -17,11 +17,11 @@
 	"testing"
 	"time"
 
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/gqlnode"
 	"hazelwing/internal/load"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/gqlnode"
+	"hazelwing/internal/testutil"
 )
 
 var (
@@ -33,19 +33,19 @@
 // gqlRig is a daemon with GraphQL before stand-in nodes.
 type gqlRig struct {
 	*running
-	fleet *standin.Fleet
+	fleet *emulator.Fleet
 	url   string
 }
 
-func newGQLRig(t *testing.T, nodes []standin.NodeConfig, m gqlnode.Mischief) *gqlRig {
+func newGQLRig(t *testing.T, nodes []emulator.NodeConfig, m gqlnode.Mischief) *gqlRig {
 	t.Helper()
-	traffic := &standin.Traffic{Head: standin.Head{Classes: gqlnode.Classes}}
-	fleet, err := standin.NewFleet(standin.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), NewServer: gqlnode.New(m), Slack: 500 * time.Millisecond, Notice: 50 * time.Millisecond})
+	traffic := &emulator.Traffic{Head: emulator.Head{Classes: gqlnode.Classes}}
+	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), NewServer: gqlnode.New(m), Slack: 500 * time.Millisecond, Notice: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	text, err := standin.Platform(traffic, "127.0.0.1:0", fleet.Discovery.Addr(), "7")
+	text, err := emulator.Platform(traffic, "127.0.0.1:0", fleet.Discovery.Addr(), "7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 	})
 	g := &gqlRig{running: r, fleet: fleet, url: "http://" + x.listener.Addr().String() + "/graphql"}
 	r.client.Transport.(*http.Transport).MaxIdleConnsPerHost = 64
-	fixture.Until(t, "the list", func() bool {
-		status, _ := g.ask(t, []byte(`{"query":"{seats(train:\"x\"){id}}"}`), fixture.Patience)
+	testutil.Until(t, "the list", func() bool {
+		status, _ := g.ask(t, []byte(`{"query":"{seats(train:\"x\"){id}}"}`), testutil.Patience)
 		return status == 200
 	})
 	return g
@@ -100,9 +100,9 @@
 	return resp.StatusCode, out
 }
 
-func sixNodes() (list []standin.NodeConfig) {
+func sixNodes() (list []emulator.NodeConfig) {
 	for i := range 6 {
-		list = append(list, standin.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1, Seed: uint64(i + 1)})
+		list = append(list, emulator.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1, Seed: uint64(i + 1)})
 	}
 	return list
 }
@@ -120,12 +120,12 @@
 		rng := rand.New(rand.NewPCG(*gqlSeed, 1))
 		for ctx.Err() == nil {
 			node := fmt.Sprint("n", rng.IntN(6))
-			g.fleet.Fault(standin.Fault{Verb: "crash", Node: node})
+			g.fleet.Fault(emulator.Fault{Verb: "crash", Node: node})
 			select {
 			case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 			case <-ctx.Done():
 			}
-			if err := g.fleet.Fault(standin.Fault{Verb: "restart", Node: node}); err != nil {
+			if err := g.fleet.Fault(emulator.Fault{Verb: "restart", Node: node}); err != nil {
 				t.Error(err)
 			}
 		}
@@ -206,12 +206,12 @@
 		asked           atomic.Int64
 	}
 	play := func(split bool) *figures {
-		var nodes []standin.NodeConfig
+		var nodes []emulator.NodeConfig
 		for i := range 12 {
-			nodes = append(nodes, standin.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1, Seed: uint64(i + 1)})
+			nodes = append(nodes, emulator.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1, Seed: uint64(i + 1)})
 		}
 		g := newGQLRig(t, nodes, gqlnode.Mischief{})
-		g.fleet.Fault(standin.Fault{Verb: "slow", Node: "n1", Times: 20, For: time.Hour})
+		g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Times: 20, For: time.Hour})
 		g.fleet.Node("n2").Die()
 		f := &figures{query: load.NewHistogram(), mutation: load.NewHistogram()}
 		plan, err := load.Poisson(1, []load.Point{{Rate: rate}}, length, load.Shot{})
--- a/internal/daemon/leave_test.go
+++ b/internal/daemon/leave_test.go
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // Clients that leave while their request waits: docs/design/crossings.md. What arrives afterwards is counted at the upstream's
@@ -98,7 +98,7 @@
 // leftAt waits until the kernel at the sidecar's side knows that the client has left: that is when its leaving can be known.
 func leftAt(t *testing.T, client net.Conn) {
 	t.Helper()
-	fixture.Until(t, "the leaving", func() bool { return !kernelHas(t, client.RemoteAddr(), client.LocalAddr(), established) })
+	testutil.Until(t, "the leaving", func() bool { return !kernelHas(t, client.RemoteAddr(), client.LocalAddr(), established) })
 }
 
 // States of the kernel's connections.
@@ -130,22 +130,22 @@
 func TestLeavesBeforeThereIsAMember(t *testing.T) {
 	eachLeaving(t, func(t *testing.T, method, class string, leave func(*net.TCPConn)) {
 		var came arrivals
-		addr := fixture.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
-			for q := fixture.ReadRequest(r); q != nil; q = fixture.ReadRequest(r) {
+		addr := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 				came.add(q.Header.Get("X-Request-Id"))
-				io.WriteString(c, fixture.OKAnswer)
+				io.WriteString(c, testutil.OKAnswer)
 			}
 		})
-		d, err := standin.NewDiscovery()
+		d, err := emulator.NewDiscovery()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(d.Close)
-		r := startSidecar(t, d.Addr(), fixture.NoAddr, entry("s", fixture.NoAddr), "")
+		r := startSidecar(t, d.Addr(), testutil.NoAddr, entry("s", testutil.NoAddr), "")
 		c := r.sends(t, method, class, "leaves")
 		leave(c)
 		leftAt(t, c)
-		d.Set(standin.Host{Host: "s", Dial: addr, Site: "a", Class: "m", Health: "SERVING"})
+		d.Set(emulator.Host{Host: "s", Dial: addr, Site: "a", Class: "m", Health: "SERVING"})
 		r.stays(t)
 		if got := came.String(); got != "stays" {
 			t.Errorf("there came: %s", got)
@@ -200,9 +200,9 @@
 func (a *arrivals) answer(c net.Conn) {
 	defer c.Close()
 	from := bufio.NewReader(c)
-	for q := fixture.ReadRequest(from); q != nil; q = fixture.ReadRequest(from) {
+	for q := testutil.ReadRequest(from); q != nil; q = testutil.ReadRequest(from) {
 		a.add(q.Header.Get("X-Request-Id"))
-		io.WriteString(c, fixture.OKAnswer)
+		io.WriteString(c, testutil.OKAnswer)
 	}
 }
 
@@ -211,7 +211,7 @@
 	eachLeaving(t, func(t *testing.T, method, class string, leave func(*net.TCPConn)) {
 		l := narrow(t)
 		block(t, l)
-		r := startSidecar(t, fixture.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
+		r := startSidecar(t, testutil.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
 		c := r.sends(t, method, class, "leaves")
 		dialling(t, l.Addr())
 		leave(c)
@@ -228,7 +228,7 @@
 // dialling waits until the kernel tries to bring up a connection to addr.
 func dialling(t *testing.T, addr net.Addr) {
 	t.Helper()
-	fixture.Until(t, "the dial", func() bool { return isDialling(t, addr) })
+	testutil.Until(t, "the dial", func() bool { return isDialling(t, addr) })
 }
 
 func isDialling(t *testing.T, addr net.Addr) bool {
@@ -242,21 +242,21 @@
 		var came arrivals
 		here, turn := make(chan bool), make(chan bool)
 		serve := func(_ int, c net.Conn, r *bufio.Reader) {
-			for q := fixture.ReadRequest(r); q != nil; q = fixture.ReadRequest(r) {
+			for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 				id := q.Header.Get("X-Request-Id")
 				if came.add(id); id == "leaves" {
 					here <- true
 					<-turn
 					io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				} else {
-					io.WriteString(c, fixture.OKAnswer)
+					io.WriteString(c, testutil.OKAnswer)
 				}
 			}
 		}
-		one, other := fixture.Raw(t, serve), fixture.Raw(t, serve)
-		r := startSidecar(t, fixture.NoAddr, fixture.NoAddr, known([]string{entry("s0", one), entry("s1", other)})...)
+		one, other := testutil.Raw(t, serve), testutil.Raw(t, serve)
+		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, known([]string{entry("s0", one), entry("s1", other)})...)
 		c := r.sends(t, method, class, "leaves")
-		fixture.Receive(t, here, "the first attempt")
+		testutil.Receive(t, here, "the first attempt")
 		leave(c)
 		leftAt(t, c)
 		turn <- true
@@ -281,19 +281,19 @@
 					return
 				}
 				defer c.Close()
-				came.add(fixture.ReadRequest(bufio.NewReader(c)).Header.Get("X-Request-Id"))
+				came.add(testutil.ReadRequest(bufio.NewReader(c)).Header.Get("X-Request-Id"))
 				asked <- i
 				<-turn
 				l.Close() // it cannot be asked again
 				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			}()
 		}
-		r := startSidecar(t, fixture.NoAddr, fixture.NoAddr, append(known([]string{entry("s0", lists[0].Addr().String()), entry("s1", lists[1].Addr().String())}),
+		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, append(known([]string{entry("s0", lists[0].Addr().String()), entry("s1", lists[1].Addr().String())}),
 			`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)...)
 		c := r.sends(t, method, class, "leaves")
-		other := lists[1-fixture.Receive(t, asked, "the first attempt")]
+		other := lists[1-testutil.Receive(t, asked, "the first attempt")]
 		other.SetDeadline(time.Unix(1, 0))
-		fixture.Receive(t, idle, "the end of its accepting")
+		testutil.Receive(t, idle, "the end of its accepting")
 		block(t, other)
 		turn <- true
 		dialling(t, other.Addr())
@@ -301,7 +301,7 @@
 		leftAt(t, c)
 		other.SetDeadline(time.Time{})
 		came.serve(other)
-		fixture.Until(t, "the end of the dial", func() bool { return !isDialling(t, other.Addr()) })
+		testutil.Until(t, "the end of the dial", func() bool { return !isDialling(t, other.Addr()) })
 		r.stays(t)
 		if got := came.String(); got != "leaves stays" {
 			t.Errorf("there came: %s", got)
@@ -317,13 +317,13 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			var came arrivals
-			addr := fixture.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
-				for q := fixture.ReadRequest(r); q != nil; q = fixture.ReadRequest(r) {
+			addr := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+				for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 					came.add(q.Header.Get("X-Request-Id"))
-					io.WriteString(c, fixture.OKAnswer)
+					io.WriteString(c, testutil.OKAnswer)
 				}
 			})
-			cfg := config(t, fixture.NoAddr, addr)
+			cfg := config(t, testutil.NoAddr, addr)
 			s, err := build(cfg, new(operator.Config), quietLog)
 			if err != nil {
 				t.Fatal(err)
@@ -332,7 +332,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &running{sidecar: s, url: "http://" + l.Addr().String(), client: &http.Client{Transport: &http.Transport{}, Timeout: fixture.Patience}}
+			r := &running{sidecar: s, url: "http://" + l.Addr().String(), client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
 			for _, a := range asked {
 				c := r.sends(t, a.method, a.class, "leaves") // into the backlog: nothing of the sidecar runs yet
 				leave(c)
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/ledger/guard"
+	"hazelwing/internal/idempotency/middleware"
 	"hazelwing/internal/operator"
 	"hazelwing/internal/store"
 )
 
 // openLedger opens the ledger of effects as the operator's file says.
-func openLedger(o *operator.Ledger, set balancer.Settings, log *slog.Logger) (*guard.Guard, error) {
+func openLedger(o *operator.Ledger, set balancer.Settings, log *slog.Logger) (*middleware.Guard, error) {
 	remember := time.Duration(o.Remember)
 	for _, c := range set.Classes {
 		// Until its last attempt has ended, and as long as others could take its repeat for the same.
@@ -20,19 +20,19 @@
 			return nil, fmt.Errorf("ledger.remember: %v is too short for the class %s, which needs %v", remember, c.Name, least)
 		}
 	}
-	cfg := guard.Config{Classes: set.Classes, Durability: o.Durable, Trouble: o.OnFailure, Remember: remember,
-		MaxEntries: int(o.MaxEntries), Clocks: guard.Clocks, Log: log,
+	cfg := middleware.Config{Classes: set.Classes, Durability: o.Durable, Trouble: o.OnFailure, Remember: remember,
+		MaxEntries: int(o.MaxEntries), Clocks: middleware.Clocks, Log: log,
 		Store: store.Options{SegmentSize: int64(o.SegmentSize), MaxBytes: int64(o.MaxSize), SyncEvery: time.Duration(o.SyncEvery)}}
 	if set.RetryAfter {
 		cfg.RetryIn = set.MaxRetryAfter
 	}
-	if o.Durable != guard.Off {
+	if o.Durable != middleware.Off {
 		var err error
 		if cfg.FS, err = store.Dir(o.Dir); err != nil {
 			return nil, fmt.Errorf("ledger.dir: %w", err)
 		}
 	}
-	g, err := guard.Open(cfg)
+	g, err := middleware.Open(cfg)
 	if err != nil {
 		return nil, fmt.Errorf("ledger.dir %s: %w", o.Dir, err)
 	}
--- a/internal/daemon/ledger_test.go
+++ b/internal/daemon/ledger_test.go
@@ -10,9 +10,9 @@
 	"strings"
 	"testing"
 
-	"hazelwing/internal/ledger/guard"
+	"hazelwing/internal/idempotency/middleware"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // withOperator starts a daemon with an operator's file, and returns it with what the file's parts show.
@@ -22,15 +22,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(t, loadText(t, fmt.Sprintf(fixture.Config, fixture.NoAddr, upstream)), op)
+	return run(t, loadText(t, fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream)), op)
 }
 
 // With the ledger unsafe requests may bring a key, and a repeat of what may have run is failed at once, also by the next
 // daemon on the same directory.
 func TestLedger(t *testing.T) {
 	copies := make(chan bool, 100)
-	addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-		if fixture.ReadRequest(r) != nil {
+	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		if testutil.ReadRequest(r) != nil {
 			copies <- true
 			conn.Close() // it may have run
 		}
@@ -72,7 +72,7 @@
 		b, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(b)
 	}
-	var state guard.State
+	var state middleware.State
 	status, body := get("/ledger")
 	if err := json.Unmarshal([]byte(body), &state); status != 200 || err != nil || state.Remembered != 1 || state.Failed != 1 || state.Store.Segments == 0 {
 		t.Errorf("%d %v %s", status, err, body)
@@ -95,7 +95,7 @@
 // What cannot be started with is an error that names the key, and lets all else go again.
 func TestLedgerCannotStart(t *testing.T) {
 	dir := t.TempDir()
-	cfg := loadText(t, fmt.Sprintf(fixture.Config, fixture.NoAddr, fixture.NoAddr))
+	cfg := loadText(t, fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr))
 	for text, want := range map[string]string{
 		fmt.Sprintf("[ledger]\ndir = %q\nremember = \"30s\"", dir):                          "ledger.remember: 30s is too short for the class book, which needs 40s",
 		"[ledger]\ndir = \"/dev/null/x\"":                                                   "ledger.dir",
@@ -109,7 +109,7 @@
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	r, stop := withOperator(t, fixture.NoAddr, fmt.Sprintf("[ledger]\ndir = %q", dir)) // nobody holds it any more
+	r, stop := withOperator(t, testutil.NoAddr, fmt.Sprintf("[ledger]\ndir = %q", dir)) // nobody holds it any more
 	defer stop()
 	op, _ := operator.Parse([]byte(fmt.Sprintf("[ledger]\ndir = %q", dir)))
 	if _, err := build(cfg, op, quietLog); err == nil || !strings.Contains(err.Error(), "another process") || r.guard == nil {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
+	"hazelwing/internal/cluster/node"
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/discovery/dns"
+	"hazelwing/internal/discovery/mergedsource"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/membership"
-	"hazelwing/internal/membership/dns"
-	"hazelwing/internal/membership/merged"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/peering"
 )
 
 const (
@@ -20,8 +20,8 @@
 )
 
 // openMembers puts the sources of the operator's file beside discovery.
-func openMembers(op *operator.Members, f *peering.Part, discovery engine.Source, known []engine.Member, seed uint64, log *slog.Logger) (*merged.Source, error) {
-	c := peering.Merge(op, f, discovery, known, log)
+func openMembers(op *operator.Members, f *node.Part, platform engine.Source, known []engine.Member, seed uint64, log *slog.Logger) (*mergedsource.Source, error) {
+	c := node.Merge(op, f, platform, known, log)
 	if op != nil && op.SRV != nil {
 		s := op.SRV
 		r, err := dns.NewRefresh(dns.RefreshConfig{Source: srvName, Stale: time.Duration(s.Stale), Spread: time.Duration(s.Spread)}, seed)
@@ -31,8 +31,8 @@
 		resolver := &dns.Resolver{Servers: s.Servers, Tries: int(s.Tries), Timeout: time.Duration(s.Timeout), Limits: dns.Limits{
 			MinTTL: time.Duration(s.MinTTL), MaxTTL: time.Duration(s.MaxTTL), Most: int(op.Most), Addresses: srvAddresses, Within: s.Within, Public: !s.Private}}
 		source := &dns.Source{Name: s.Name, Lookup: resolver.SRV, Refresh: r, Log: log}
-		c.Beside = slices.Insert(c.Beside, 0, merged.Beside{Source: membership.Source{Name: srvName, Rank: 1, Keep: time.Duration(s.Keep)},
+		c.Beside = slices.Insert(c.Beside, 0, mergedsource.Beside{Source: discovery.Source{Name: srvName, Rank: 1, Keep: time.Duration(s.Keep)},
 			Run: source.Run})
 	}
-	return merged.New(c)
+	return mergedsource.New(c)
 }
--- a/internal/daemon/members_test.go
+++ b/internal/daemon/members_test.go
@@ -13,10 +13,10 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/dnsserver"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/dnsserver"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 const bookings = "_booking._tcp.example.org."
@@ -54,12 +54,12 @@
 		defer node.Close()
 		_, ports[i], _ = net.SplitHostPort(node.Listener.Addr().String())
 	}
-	d, err := standin.NewDiscovery()
+	d, err := emulator.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	host := standin.Host{Host: "n0", Dial: "127.0.0.1:" + ports[0], Site: "a", Class: "m", Health: "SERVING"}
+	host := emulator.Host{Host: "n0", Dial: "127.0.0.1:" + ports[0], Site: "a", Class: "m", Health: "SERVING"}
 	d.Set(host)
 	dns, err := dnsserver.New(names(ports[0]))
 	if err != nil {
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, stop := run(t, config(t, d.Addr(), fixture.NoAddr), op)
+	r, stop := run(t, config(t, d.Addr(), testutil.NoAddr), op)
 	defer stop()
 	n := 0
 	ask := func() bool { // refused is as good: a node that may just have started is spared
@@ -84,7 +84,7 @@
 	}
 	ask()
 	dns.Answer(names(ports[0], ports[1]))
-	fixture.Until(t, "a request to the node that only the name service names", func() bool { ask(); return seen[1].Load() > 0 })
+	testutil.Until(t, "a request to the node that only the name service names", func() bool { ask(); return seen[1].Load() > 0 })
 
 	host.Health = "DRAINING"
 	told := time.Now()
@@ -106,6 +106,6 @@
 	}
 	dns.Answer(func(dnsmessage.Message, bool) [][]byte { return nil })
 	asked := dns.Asked()
-	fixture.Until(t, "lookups that nobody answers", func() bool { ask(); return dns.Asked() > asked+2 })
-	fixture.Until(t, "an answer of the node that is left", ask)
+	testutil.Until(t, "lookups that nobody answers", func() bool { ask(); return dns.Asked() > asked+2 })
+	testutil.Until(t, "an answer of the node that is left", ask)
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -4,8 +4,8 @@
 	"context"
 	"os"
 
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/membership/watch"
 	"hazelwing/internal/platform"
 )
 
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"hazelwing/internal/platform"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // watched is a discovery whose watches say nothing; it tells what was asked and when a watch ended.
@@ -37,23 +37,23 @@
 func TestReload(t *testing.T) {
 	oldAddr, oldCalls, oldEnds := watched(t)
 	newAddr, newCalls, _ := watched(t)
-	r := startSidecar(t, oldAddr, fixture.NoAddr)
+	r := startSidecar(t, oldAddr, testutil.NoAddr)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	signals := make(chan os.Signal)
 	next := make(chan func() (*platform.Config, error), 1)
 	go r.reloads(ctx, signals, func() (*platform.Config, error) { return (<-next)() })
-	if q := fixture.Receive(t, oldCalls, "the first watch"); q != "watch=1&from=1" {
+	if q := testutil.Receive(t, oldCalls, "the first watch"); q != "watch=1&from=1" {
 		t.Errorf("asked %s", q)
 	}
 	next <- func() (*platform.Config, error) { return nil, errors.New("unusable") }
 	signals <- os.Interrupt
 	next <- func() (*platform.Config, error) { return &platform.Config{Discovery: newAddr}, nil }
 	signals <- os.Interrupt
-	if q := fixture.Receive(t, newCalls, "the new watch"); q != "watch=1&from=0" {
+	if q := testutil.Receive(t, newCalls, "the new watch"); q != "watch=1&from=0" {
 		t.Errorf("asked %s", q)
 	}
-	fixture.Receive(t, oldEnds, "the old watch's end")
+	testutil.Receive(t, oldEnds, "the old watch's end")
 	if len(oldCalls) > 0 {
 		t.Error("the old discovery was asked again")
 	}
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -14,7 +14,7 @@
 
 	"hazelwing/internal/operator"
 	"hazelwing/internal/platform"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 var quietLog = slog.New(slog.DiscardHandler)
@@ -42,7 +42,7 @@
 // config is fixture.Config; change is pairs of old and new text of it.
 func config(t *testing.T, discovery, upstream string, change ...string) *platform.Config {
 	t.Helper()
-	return loadText(t, strings.NewReplacer(change...).Replace(fmt.Sprintf(fixture.Config, discovery, upstream)))
+	return loadText(t, strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.Config, discovery, upstream)))
 }
 
 // startSidecar starts one; change is as config's.
@@ -66,7 +66,7 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	r = &running{sidecar: s, url: "http://" + listener.Addr().String(),
-		client: &http.Client{Transport: &http.Transport{}, Timeout: fixture.Patience}}
+		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
 	ran := make(chan struct{})
 	go func() {
 		var parts sync.WaitGroup
@@ -90,10 +90,10 @@
 
 func (r *running) request(t *testing.T, method, class, id, body string) *http.Request {
 	t.Helper()
-	return fixture.Request(t, r.url, method, class, id, body)
+	return testutil.Request(t, r.url, method, class, id, body)
 }
 
 func (r *running) do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	return fixture.Do(t, r.client, req)
+	return testutil.Do(t, r.client, req)
 }
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -14,7 +14,7 @@
 
 	"hazelwing/internal/operator"
 	"hazelwing/internal/platform"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // customer is a deployment that another customer could have.
@@ -53,12 +53,12 @@
 func TestSettingsOfOtherCustomers(t *testing.T) {
 	for name, c := range customers {
 		t.Run(name, func(t *testing.T) {
-			addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-				for fixture.ReadRequest(r) != nil {
-					io.WriteString(conn, fixture.OKAnswer)
+			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+				for testutil.ReadRequest(r) != nil {
+					io.WriteString(conn, testutil.OKAnswer)
 				}
 			})
-			text := strings.NewReplacer(c.change...).Replace(fmt.Sprintf(fixture.Config, fixture.NoAddr, addr))
+			text := strings.NewReplacer(c.change...).Replace(fmt.Sprintf(testutil.Config, testutil.NoAddr, addr))
 			if c.classes != "" {
 				before, rest, _ := strings.Cut(text, `"Classes":[`)
 				_, after, _ := strings.Cut(rest, `"DedupWindowMs":5000}]`)
@@ -127,7 +127,7 @@
 		"configuration":  {`"settings":{`, `"settings":`},
 	} {
 		t.Run(want, func(t *testing.T) {
-			text := strings.NewReplacer(change...).Replace(fmt.Sprintf(fixture.Config, fixture.NoAddr, fixture.NoAddr))
+			text := strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr))
 			path := filepath.Join(t.TempDir(), "config.json")
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // entry is one of a list in the configuration's form.
@@ -29,7 +29,7 @@
 
 // known replaces the one upstream of fixture.Config, whose address was given as NoAddr, by these.
 func known(entries []string) []string {
-	return []string{entry("s", fixture.NoAddr), strings.Join(entries, ",")}
+	return []string{entry("s", testutil.NoAddr), strings.Join(entries, ",")}
 }
 
 // A restarted sidecar is ready and serves from the list that it knew while discovery is out of reach, though a quarter of that
@@ -46,8 +46,8 @@
 	}))
 	defer good.Close()
 	var strangers atomic.Int32
-	other := fixture.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) { // another process has its address, and speaks no HTTP
-		if fixture.ReadRequest(r) != nil {
+	other := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) { // another process has its address, and speaks no HTTP
+		if testutil.ReadRequest(r) != nil {
 			strangers.Add(1)
 			io.WriteString(c, "-ERR unknown command\r\n")
 		}
@@ -57,8 +57,8 @@
 	for i := range list {
 		list[i] = entry(fmt.Sprint("s", i), good.Listener.Addr().String())
 	}
-	list[0], list[1], list[2] = entry("s0", fixture.NoAddr), entry("s1", fixture.NoAddr), entry("s2", other)
-	r := startSidecar(t, fixture.NoAddr, fixture.NoAddr, known(list)...)
+	list[0], list[1], list[2] = entry("s0", testutil.NoAddr), entry("s1", testutil.NoAddr), entry("s2", other)
+	r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, known(list)...)
 	resp, err := r.client.Get(r.url + "/up")
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("/up: %v %v", resp, err)
@@ -99,16 +99,16 @@
 // busy machine adds to it. docs/design/large-fleets.md has the spread over more drains.
 func TestDrainGrace(t *testing.T) {
 	const grace, slack = 250 * time.Millisecond, 250 * time.Millisecond
-	d, err := standin.NewDiscovery()
+	d, err := emulator.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
 	var last [2]atomic.Int64 // when a node was last sent something, Unix nanoseconds
-	host := func(i int, health string) standin.Host {
-		return standin.Host{Host: fmt.Sprint("n", i), Site: "a", Class: "m", Health: health}
+	host := func(i int, health string) emulator.Host {
+		return emulator.Host{Host: fmt.Sprint("n", i), Site: "a", Class: "m", Health: health}
 	}
-	var nodes [2]standin.Host
+	var nodes [2]emulator.Host
 	for i := range nodes {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			last[i].Store(time.Now().UnixNano())
@@ -120,7 +120,7 @@
 		nodes[i].Dial = node.Listener.Addr().String()
 		d.Set(nodes[i])
 	}
-	r := startSidecar(t, d.Addr(), fixture.NoAddr, known([]string{entry("n0", nodes[0].Dial)})...)
+	r := startSidecar(t, d.Addr(), testutil.NoAddr, known([]string{entry("n0", nodes[0].Dial)})...)
 	stop := make(chan bool)
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -146,7 +146,7 @@
 	var after []time.Duration
 	for range *drains {
 		began := time.Now().UnixNano()
-		fixture.Until(t, "a node at work", func() bool { return max(last[0].Load(), last[1].Load()) > began })
+		testutil.Until(t, "a node at work", func() bool { return max(last[0].Load(), last[1].Load()) > began })
 		i := 0 // that one drains: the other may look slow for as long as its estimate lasts
 		if last[1].Load() > last[0].Load() {
 			i = 1
@@ -181,7 +181,7 @@
 		for i := range list {
 			list[i] = entry(fmt.Sprint("s-", i), fmt.Sprintf("10.1.%d.%d:8081", i/250, i%250))
 		}
-		cfg := config(t, fixture.NoAddr, fixture.NoAddr, known(list)...)
+		cfg := config(t, testutil.NoAddr, testutil.NoAddr, known(list)...)
 		before := heap()
 		r, stop := run(t, cfg, new(operator.Config))
 		r.do(t, r.request(t, "GET", "look", "1", "")) // the list is in once this is answered
--- a/internal/daemon/told_test.go
+++ b/internal/daemon/told_test.go
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/membership/watch"
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 var plays = flag.Int("plays", 1, "how often TestToldInTime plays each path")
@@ -179,7 +179,7 @@
 		t.Cleanup(other.Close)
 		y.other = other.Listener.Addr().String()
 	}
-	cfg := config(t, y.addr, fixture.NoAddr, `"Balancers":1`, `"Balancers":300`, `"ask"`, strconv.Quote(mode))
+	cfg := config(t, y.addr, testutil.NoAddr, `"Balancers":1`, `"Balancers":300`, `"ask"`, strconv.Quote(mode))
 	r, end := run(t, cfg, new(operator.Config))
 	y.r, y.stop = r, sync.OnceFunc(end)
 	t.Cleanup(y.stop)
@@ -259,7 +259,7 @@
 		}
 	})
 	until := func(what string, ok func() bool) error {
-		for end := time.Now().Add(fixture.Patience); !ok(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testutil.Patience); !ok(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				return fmt.Errorf("waited in vain for %s", what)
 			}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"hazelwing/internal/daemon"
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/operator"
 	"hazelwing/internal/platform"
-	"hazelwing/internal/standin"
 )
 
 // Options say what is played.
@@ -27,9 +27,9 @@
 	Rate    float64       // requests a second
 	Length  time.Duration // of the traffic, where none is given
 	Nodes   int
-	Traffic *standin.Traffic // nil: generated from Seed
-	Script  []standin.Fault  // nil: DefaultScript
-	Live    bool             // the view is redrawn in place; else a line is printed a second
+	Traffic *emulator.Traffic // nil: generated from Seed
+	Script  []emulator.Fault  // nil: DefaultScript
+	Live    bool              // the view is redrawn in place; else a line is printed a second
 	// Grace and Slack are what a busy machine may add to a client's time and to a drain's grace; 0: 250 ms and 50 ms.
 	Grace, Slack time.Duration
 }
@@ -57,15 +57,15 @@
 func Run(ctx context.Context, o Options, out io.Writer) error {
 	traffic, script := o.Traffic, o.Script
 	if traffic == nil {
-		traffic = standin.Generate(o.Seed, o.Rate, o.Length)
+		traffic = emulator.Generate(o.Seed, o.Rate, o.Length)
 	}
 	if script == nil {
 		var err error
-		if script, err = standin.ReadScript(strings.NewReader(DefaultScript)); err != nil {
+		if script, err = emulator.ReadScript(strings.NewReader(DefaultScript)); err != nil {
 			return err
 		}
 	}
-	fleet, err := standin.NewFleet(standin.FleetConfig{Nodes: standin.MixedNodes(o.Nodes), Effects: traffic.Effects(), Slack: o.Slack})
+	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: emulator.MixedNodes(o.Nodes), Effects: traffic.Effects(), Slack: o.Slack})
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	do, closeIdle := standin.HTTPClient(addr, fleet.Ledger)
+	do, closeIdle := emulator.HTTPClient(addr, fleet.Ledger)
 	defer closeIdle()
 	played := make(chan error, 1)
 	go func() { played <- fleet.Play(ctx, script) }()
@@ -92,7 +92,7 @@
 		defer close(drawn)
 		view.run(drawing)
 	}()
-	report := standin.Replay(ctx, traffic, cmp.Or(o.Grace, defaultGrace), func(ctx context.Context, n int, c standin.TrafficClass, r standin.Request) standin.Kind {
+	report := emulator.Replay(ctx, traffic, cmp.Or(o.Grace, defaultGrace), func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Kind {
 		begun := time.Now()
 		kind := do(ctx, n, c, r)
 		view.note(c, kind, time.Since(begun))
@@ -114,7 +114,7 @@
 }
 
 // verdict says what the rules say of it.
-func verdict(out io.Writer, r *standin.Report, broken []string) error {
+func verdict(out io.Writer, r *emulator.Report, broken []string) error {
 	if r.Unanswered > 0 {
 		broken = append(broken, fmt.Sprintf("%d requests got no final answer in their client's time", r.Unanswered))
 	}
@@ -139,11 +139,11 @@
 
 // StartDaemon runs the daemon in this process until ctx ends, from a configuration as the platform writes it. It returns
 // once the daemon listens at addr; ended brings how it ended.
-func StartDaemon(ctx context.Context, t *standin.Traffic, op *operator.Config, discovery string, seed uint64, log slog.Handler) (addr string, ended chan error, err error) {
+func StartDaemon(ctx context.Context, t *emulator.Traffic, op *operator.Config, discovery string, seed uint64, log slog.Handler) (addr string, ended chan error, err error) {
 	if addr, err = FreeAddr(); err != nil {
 		return "", nil, err
 	}
-	text, err := standin.Platform(t, addr, discovery, fmt.Sprintf("%x", seed))
+	text, err := emulator.Platform(t, addr, discovery, fmt.Sprintf("%x", seed))
 	if err != nil {
 		return "", nil, err
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin"
+	"hazelwing/internal/emulator"
 )
 
 // The demonstration ends by itself, shows what happens to the nodes and keeps the rules.
@@ -15,7 +15,7 @@
 	for name, live := range map[string]bool{"lines": false, "live": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			script, err := standin.ReadScript(strings.NewReader("300ms slow n1 8 1s\n400ms drain n3\n900ms crash n4\n1200ms restart n4"))
+			script, err := emulator.ReadScript(strings.NewReader("300ms slow n1 8 1s\n400ms drain n3\n900ms crash n4\n1200ms restart n4"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -34,7 +34,7 @@
 }
 
 func TestUnknownNode(t *testing.T) {
-	o := Options{Seed: 1, Rate: 10, Length: time.Second, Nodes: 1, Script: []standin.Fault{{Verb: "crash", Node: "n9"}}}
+	o := Options{Seed: 1, Rate: 10, Length: time.Second, Nodes: 1, Script: []emulator.Fault{{Verb: "crash", Node: "n9"}}}
 	if err := Run(t.Context(), o, new(bytes.Buffer)); err == nil || !strings.Contains(err.Error(), "n9") {
 		t.Errorf("%v", err)
 	}
@@ -43,13 +43,13 @@
 // A broken rule has to reach the exit status.
 func TestVerdict(t *testing.T) {
 	var out bytes.Buffer
-	if err := verdict(&out, &standin.Report{}, []string{"confirm-booking 1 ran 2 times"}); !errors.Is(err, ErrRule) || !strings.Contains(out.String(), "ran 2 times") {
+	if err := verdict(&out, &emulator.Report{}, []string{"confirm-booking 1 ran 2 times"}); !errors.Is(err, ErrRule) || !strings.Contains(out.String(), "ran 2 times") {
 		t.Errorf("%v, %s", err, &out)
 	}
-	if err := verdict(&out, &standin.Report{Unanswered: 2}, nil); !errors.Is(err, ErrRule) || !strings.Contains(out.String(), "2 requests") {
+	if err := verdict(&out, &emulator.Report{Unanswered: 2}, nil); !errors.Is(err, ErrRule) || !strings.Contains(out.String(), "2 requests") {
 		t.Errorf("%v, %s", err, &out)
 	}
-	if err := verdict(&out, &standin.Report{}, nil); err != nil {
+	if err := verdict(&out, &emulator.Report{}, nil); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/demo/gqldemo/gqldemo.go
+++ b/internal/demo/gqldemo/gqldemo.go
@@ -20,10 +20,10 @@
 	"time"
 
 	"hazelwing/internal/demo"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/gqlnode"
 	"hazelwing/internal/load"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/gqlnode"
 )
 
 // Options say what is played.
@@ -62,8 +62,8 @@
 	if o.Grace == 0 {
 		o.Grace = 500 * time.Millisecond
 	}
-	traffic := &standin.Traffic{Head: standin.Head{Classes: gqlnode.Classes}}
-	fleet, err := standin.NewFleet(standin.FleetConfig{Nodes: standin.MixedNodes(7), Effects: traffic.Effects(),
+	traffic := &emulator.Traffic{Head: emulator.Head{Classes: gqlnode.Classes}}
+	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: emulator.MixedNodes(7), Effects: traffic.Effects(),
 		NewServer: gqlnode.New(gqlnode.Mischief{After: 0.005, Cut: 0.005, Half: 0.005, Noise: 0.005}), Slack: o.Grace})
 	if err != nil {
 		return err
@@ -101,7 +101,7 @@
 }
 
 // start starts the daemon, and gives the address of its GraphQL.
-func start(ctx context.Context, o Options, traffic *standin.Traffic, fleet *standin.Fleet) (url string, ended chan error, err error) {
+func start(ctx context.Context, o Options, traffic *emulator.Traffic, fleet *emulator.Fleet) (url string, ended chan error, err error) {
 	addr, err := demo.FreeAddr()
 	if err != nil {
 		return "", nil, err
@@ -124,7 +124,7 @@
 }
 
 // trouble crashes a node every second, and starts it again.
-func trouble(ctx context.Context, seed uint64, fleet *standin.Fleet) {
+func trouble(ctx context.Context, seed uint64, fleet *emulator.Fleet) {
 	rng := rand.New(rand.NewPCG(seed, 0x64656d6f))
 	for {
 		node := fmt.Sprint("n", 1+rng.IntN(7))
@@ -134,7 +134,7 @@
 			case <-ctx.Done():
 				return
 			}
-			fleet.Fault(standin.Fault{Verb: verb, Node: node})
+			fleet.Fault(emulator.Fault{Verb: verb, Node: node})
 		}
 	}
 }
@@ -202,7 +202,7 @@
 }
 
 // verdict holds every answer against the nodes' counters.
-func (t *tally) verdict(out io.Writer, ledger *standin.Ledger) error {
+func (t *tally) verdict(out io.Writer, ledger *emulator.Ledger) error {
 	fmt.Fprintln(out, t)
 	broken := append(t.faults, ledger.Broken()...)
 	if t.late > 0 {
--- a/internal/demo/gqldemo/gqldemo_test.go
+++ b/internal/demo/gqldemo/gqldemo_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // The demonstration keeps all rules, and says so.
 func TestRun(t *testing.T) {
 	var out strings.Builder
-	err := Run(t.Context(), Options{Seed: 1, Rate: 60, Length: 2500 * time.Millisecond, Grace: fixture.Patience}, &out)
+	err := Run(t.Context(), Options{Seed: 1, Rate: 60, Length: 2500 * time.Millisecond, Grace: testutil.Patience}, &out)
 	if err != nil || !strings.Contains(out.String(), "all rules kept") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
--- a/internal/demo/view.go
+++ b/internal/demo/view.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/load"
-	"hazelwing/internal/standin"
 )
 
 const (
@@ -27,33 +27,33 @@
 type view struct {
 	out   io.Writer
 	live  bool
-	fleet *standin.Fleet
+	fleet *emulator.Fleet
 	begun time.Time
 	whole time.Duration
 
 	mu    sync.Mutex
 	ends  []end // of the last second, oldest first
 	log   []string
-	total map[standin.Kind]int
+	total map[emulator.Kind]int
 }
 
 type end struct {
 	at     time.Time
-	kind   standin.Kind
+	kind   emulator.Kind
 	inTime bool
 	took   time.Duration
 }
 
-func newView(out io.Writer, live bool, f *standin.Fleet, t *standin.Traffic) *view {
-	return &view{out: out, live: live, fleet: f, begun: time.Now(), whole: t.Length(), total: map[standin.Kind]int{}}
+func newView(out io.Writer, live bool, f *emulator.Fleet, t *emulator.Traffic) *view {
+	return &view{out: out, live: live, fleet: f, begun: time.Now(), whole: t.Length(), total: map[emulator.Kind]int{}}
 }
 
 // note counts a request that has ended.
-func (v *view) note(c standin.TrafficClass, kind standin.Kind, took time.Duration) {
+func (v *view) note(c emulator.TrafficClass, kind emulator.Kind, took time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.total[kind]++
-	v.ends = append(v.ends, end{time.Now(), kind, kind == standin.Served && took.Seconds()*1000 <= c.AimMS, took})
+	v.ends = append(v.ends, end{time.Now(), kind, kind == emulator.Served && took.Seconds()*1000 <= c.AimMS, took})
 }
 
 // Write takes lines of the daemon's log.
@@ -120,8 +120,8 @@
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%shazelwing demo  %.1f of %.0f s\n\n%d requests a second, %.1f%% in time, p50 %v, p99 %v\n", home, at,
 		v.whole.Seconds(), n, 100*inTime, p50.Round(100*time.Microsecond), p99.Round(100*time.Microsecond))
-	fmt.Fprintf(&b, "served %d, refused %d, failed %d, unanswered %d\n\n", v.total[standin.Served], v.total[standin.Refused],
-		v.total[standin.Failed], v.total[standin.Unanswered])
+	fmt.Fprintf(&b, "served %d, refused %d, failed %d, unanswered %d\n\n", v.total[emulator.Served], v.total[emulator.Refused],
+		v.total[emulator.Failed], v.total[emulator.Unanswered])
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "node\tzone\tstate\twarm\tholds\tserved\t")
 	for _, s := range v.fleet.Status() {
@@ -133,7 +133,7 @@
 }
 
 // close writes the summary.
-func (v *view) close(r *standin.Report) {
+func (v *view) close(r *emulator.Report) {
 	if v.live {
 		v.draw()
 	}
--- a/internal/recovery/selector.go
+++ b/internal/discovery/bootstrap/selector.go
@@ -1,12 +1,12 @@
-// Package recovery decides, without I/O, what a sidecar does while its fleet comes back. So far: from whom it has its list of
+// Package bootstrap decides, without I/O, what a sidecar does while its fleet comes back. So far: from whom it has its list of
 // servers, so that calls of discovery do not grow with the fleet. docs/design/recovery.md has the ways weighed.
 //
 // All members have one order, by the hash of their names. The first Ask of it ask discovery; each other one follows one before it,
 // Fan of them the same one, so the list comes down a tree. Whoever has nobody to follow asks discovery after all, at a time by chance
 // that is the later the larger the fleet is: all together call it no more than Rate times a second. Order and view decide alone, so
 // nobody has to agree, and who follows only those before it cannot follow itself in a circle; members whose views differ for a while
-// are held apart by the path that comes with each list (internal/membership/relay).
-package recovery
+// are held apart by the path that comes with each list (internal/discovery/relay).
+package bootstrap
 
 import (
 	"cmp"
--- a/internal/recovery/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -1,4 +1,4 @@
-package recovery
+package bootstrap
 
 import (
 	"fmt"
--- a/internal/membership/dns/dns_test.go
+++ b/internal/discovery/dns/dns_test.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
-	"hazelwing/internal/standin/dnsserver"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/emulator/dnsserver"
+	"hazelwing/internal/testutil"
 )
 
 const service = "_http._tcp.booking.example.org."
@@ -203,7 +203,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := &Resolver{Tries: 2, Timeout: fixture.Patience, Limits: limits}
+			r := &Resolver{Tries: 2, Timeout: testutil.Patience, Limits: limits}
 			switch name {
 			case "one is silent":
 				r.Timeout = 2 * time.Second // the good one has as long
@@ -234,14 +234,14 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := (&Resolver{Servers: []string{fixture.NoAddr}, Tries: 5, Timeout: fixture.Patience, Limits: limits}).SRV(ctx, service); !errors.Is(err, context.Canceled) {
+	if _, err := (&Resolver{Servers: []string{testutil.NoAddr}, Tries: 5, Timeout: testutil.Patience, Limits: limits}).SRV(ctx, service); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
 }
 
 // Whatever a message holds, it is read within its limits or is an error.
 //
-//	go test ./internal/membership/dns -run xxx -fuzz Parse -fuzztime 2m
+//	go test ./internal/discovery/dns -run xxx -fuzz Parse -fuzztime 2m
 func FuzzParse(f *testing.F) {
 	q := dnsmessage.Question{Name: dnsmessage.MustNewName(service), Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}
 	base := dnsmessage.Message{Header: dnsmessage.Header{ID: 7}, Questions: []dnsmessage.Question{q}}
--- a/internal/membership/dns/refresh.go
+++ b/internal/discovery/dns/refresh.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/membership"
+	"hazelwing/internal/discovery"
 )
 
 // When a name is looked up again, and how long its last answer holds while none comes: decisions without I/O. A Source calls
@@ -46,16 +46,16 @@
 	holds   bool          // an answer is held
 	ends    time.Duration // its lifetime does
 	lost    bool          // and that has been told
-	last    []membership.Entry
+	last    []discovery.Entry
 	dropped int
 }
 
 // Step is what follows from an event.
 type Step struct {
-	View *membership.View // what is to be told; nil: nothing new
-	Lost bool             // the source has failed: what it told is too old
-	Ask  time.Duration    // when to look up next
-	Say  string           // for the log; empty: nothing
+	View *discovery.View // what is to be told; nil: nothing new
+	Lost bool            // the source has failed: what it told is too old
+	Ask  time.Duration   // when to look up next
+	Say  string          // for the log; empty: nothing
 }
 
 // NewRefresh makes one, or names what cannot be.
@@ -90,7 +90,7 @@
 	if news {
 		r.seq++
 		r.last = entries
-		s.View = &membership.View{Source: r.cfg.Source, Seq: r.seq, Whole: true, Entries: entries}
+		s.View = &discovery.View{Source: r.cfg.Source, Seq: r.seq, Whole: true, Entries: entries}
 	}
 	return s
 }
@@ -113,17 +113,17 @@
 
 // entriesOf are an answer's targets as members: addresses, whose names only a node list tells. A target's weight is spread over
 // its addresses. The order is that of the addresses, whatever the server's.
-func entriesOf(a *Answer) []membership.Entry {
-	list := []membership.Entry{}
+func entriesOf(a *Answer) []discovery.Entry {
+	list := []discovery.Entry{}
 	for _, t := range a.Targets {
 		for _, at := range t.Addrs {
-			list = append(list, membership.Entry{Addr: netip.AddrPortFrom(at, t.Port).String(), State: balancer.Active,
+			list = append(list, discovery.Entry{Addr: netip.AddrPortFrom(at, t.Port).String(), State: balancer.Active,
 				Priority: int(t.Priority), Share: float64(t.Weight) / float64(len(t.Addrs))})
 		}
 	}
-	slices.SortFunc(list, func(a, b membership.Entry) int {
+	slices.SortFunc(list, func(a, b discovery.Entry) int {
 		return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Priority, b.Priority))
 	})
 	// The same address twice is one node, of the level that is used first.
-	return slices.CompactFunc(list, func(a, b membership.Entry) bool { return a.Addr == b.Addr })
+	return slices.CompactFunc(list, func(a, b discovery.Entry) bool { return a.Addr == b.Addr })
 }
--- a/internal/membership/dns/refresh_test.go
+++ b/internal/discovery/dns/refresh_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"hazelwing/internal/membership"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/testutil"
 )
 
 // target reads "address:port priority weight" as a target of one address; further addresses of the same port are joined by +.
@@ -120,19 +120,19 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		s.Run(ctx, func(v membership.View) { news <- v.Entries[0].Addr }, func(err error) { news <- err.Error() })
+		s.Run(ctx, func(v discovery.View) { news <- v.Entries[0].Addr }, func(err error) { news <- err.Error() })
 		close(ended)
 	}()
 	for _, x := range []any{one, one, failed, failed, failed, two} {
 		answers <- x
 	}
 	for _, want := range []string{"10.0.0.1:80", "time-out", "10.0.0.2:80"} {
-		if got := fixture.Receive(t, news, want); got != want {
+		if got := testutil.Receive(t, news, want); got != want {
 			t.Errorf("told %s, want %s", got, want)
 		}
 	}
 	stop()
-	fixture.Receive(t, ended, "its end")
+	testutil.Receive(t, ended, "its end")
 	if len(news) > 0 {
 		t.Errorf("and then %s", <-news)
 	}
--- a/internal/membership/dns/source.go
+++ b/internal/discovery/dns/source.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"hazelwing/internal/membership"
+	"hazelwing/internal/discovery"
 )
 
 // Lookup finds a service's targets; Resolver.SRV is one. A Source calls it from its goroutine, one call at a time; it returns
@@ -22,7 +22,7 @@
 
 // Run follows the name until ctx ends. It calls tell with each new view, and lost once what it told is too old, both from its
 // own goroutine, one call at a time; neither should block for long.
-func (s *Source) Run(ctx context.Context, tell func(membership.View), lost func(err error)) {
+func (s *Source) Run(ctx context.Context, tell func(discovery.View), lost func(err error)) {
 	begun := time.Now()
 	step := s.Refresh.Start(0)
 	wait := time.NewTimer(step.Ask)
--- a/internal/membership/membership.go
+++ b/internal/discovery/membership.go
@@ -1,4 +1,4 @@
-// Package membership makes one list of members out of what several sources say, without I/O and without clocks: it is told
+// Package discovery makes one list of members out of what several sources say, without I/O and without clocks: it is told
 // what a source says and when, and answers with what changes. docs/design/membership.md has the rules as a table.
 //
 // In short: leaving wins. A node that a source has said to drain or to be gone is out until that source takes it back, or
@@ -11,7 +11,7 @@
 //
 // A view holds at most Config.Most entries, what is beyond is left out and counted; graves are kept for Config.Forget after
 // nobody lists their node any more, Most of them for each source. A Merge is not safe for several goroutines.
-package membership
+package discovery
 
 import (
 	"cmp"
--- a/internal/membership/membership_test.go
+++ b/internal/discovery/membership_test.go
@@ -1,4 +1,4 @@
-package membership
+package discovery
 
 import (
 	"fmt"
--- a/internal/membership/merged/merged.go
+++ b/internal/discovery/mergedsource/merged.go
@@ -1,4 +1,4 @@
-// Package merged puts the merge of sources (internal/membership) before the engine: one source of members, made of the
+// Package mergedsource puts the merge of sources (internal/discovery) before the engine: one source of members, made of the
 // platform's discovery and of others beside it. What holds when they disagree is the merge's; here are the goroutine that asks
 // it, and who may call what.
 //
@@ -6,7 +6,7 @@
 //
 // Run is the only one that touches the merge, and the only one that tells the engine. Watch and its stop leave a note for it and
 // return at once; the sources' own goroutines hand it events through a queue of queueLength, and wait there while it is full.
-package merged
+package mergedsource
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/discovery"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/membership"
 )
 
 // List is the name of the platform's discovery among the sources.
@@ -30,8 +30,8 @@
 // Beside is a source beside discovery. Run calls it once, in a goroutine of its own, and it returns soon after ctx ends. It calls
 // tell with each view and lost when what it told is too old, one call at a time; both may wait.
 type Beside struct {
-	membership.Source
-	Run func(ctx context.Context, tell func(membership.View), lost func(error))
+	discovery.Source
+	Run func(ctx context.Context, tell func(discovery.View), lost func(error))
 }
 
 // Config is what a Source is made of.
@@ -53,7 +53,7 @@
 // Source is an engine.Source.
 type Source struct {
 	cfg    Config
-	merge  *membership.Merge
+	merge  *discovery.Merge
 	events chan event
 	notes  chan struct{} // there is a new wish
 
@@ -84,22 +84,22 @@
 type event struct {
 	wish *wish // news of discovery's watch for it; nil: of a source beside it
 	news engine.News
-	view membership.View
+	view discovery.View
 	from string // lost
 	err  error
-	list chan<- []membership.Listed // who asks for the list; one place
+	list chan<- []discovery.Listed // who asks for the list; one place
 }
 
 // New makes a Source. Nothing is asked before Run and Watch.
 func New(c Config) (*Source, error) {
-	sources := []membership.Source{{Name: List, Rank: 0, Absent: true, Keep: c.Forget}}
+	sources := []discovery.Source{{Name: List, Rank: 0, Absent: true, Keep: c.Forget}}
 	for _, b := range c.Beside {
 		if b.Name == List {
 			return nil, fmt.Errorf("merged: %q is discovery's name", List)
 		}
 		sources = append(sources, b.Source)
 	}
-	m, err := membership.New(membership.Config{Sources: sources, Most: c.Most, Settle: c.Settle, Forget: c.Forget, Share: c.Share, Window: c.Window})
+	m, err := discovery.New(discovery.Config{Sources: sources, Most: c.Most, Settle: c.Settle, Forget: c.Forget, Share: c.Share, Window: c.Window})
 	if err != nil {
 		return nil, err
 	}
@@ -137,8 +137,8 @@
 
 // State is every node that a source lists or the list holds: in the list or not, why, by whom and since when. It may be called
 // from any goroutine, and is empty where Run does not answer.
-func (s *Source) State() []membership.Listed {
-	answer := make(chan []membership.Listed, 1)
+func (s *Source) State() []discovery.Listed {
+	answer := make(chan []discovery.Listed, 1)
 	late := time.After(stateTime)
 	select {
 	case s.events <- event{list: answer}:
@@ -175,7 +175,7 @@
 	}
 	for _, b := range s.cfg.Beside {
 		sources.Go(func() {
-			b.Run(ctx, func(v membership.View) { v.Source = b.Name; post(event{view: v}) }, func(err error) { post(event{from: b.Name, err: err}) })
+			b.Run(ctx, func(v discovery.View) { v.Source = b.Name; post(event{view: v}) }, func(err error) { post(event{from: b.Name, err: err}) })
 		})
 	}
 	tick := time.NewTimer(time.Hour)
@@ -254,13 +254,13 @@
 
 // discovered hands the merge what discovery says. What a whole list of it lacks is gone, as on the platform: it is said, not
 // merely absent, or the merge might hold it.
-func (s *Source) discovered(now time.Duration, n engine.News) ([]membership.Change, time.Duration) {
+func (s *Source) discovered(now time.Duration, n engine.News) ([]discovery.Change, time.Duration) {
 	s.seq++
-	v := membership.View{Source: List, Seq: s.seq, Whole: n.Kind == balancer.Full}
+	v := discovery.View{Source: List, Seq: s.seq, Whole: n.Kind == balancer.Full}
 	there := map[string]bool{}
 	for _, m := range n.Members {
 		there[m.ID] = true
-		v.Entries = append(v.Entries, membership.Entry{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, BornMS: m.BornMS})
+		v.Entries = append(v.Entries, discovery.Entry{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, BornMS: m.BornMS})
 		if delete(s.held, m.ID); m.State == balancer.Active {
 			s.held[m.ID] = true
 		}
@@ -268,7 +268,7 @@
 	if v.Whole {
 		for _, id := range slices.Sorted(maps.Keys(s.held)) {
 			if !there[id] {
-				v.Entries = append(v.Entries, membership.Entry{ID: id, State: balancer.Left})
+				v.Entries = append(v.Entries, discovery.Entry{ID: id, State: balancer.Left})
 				delete(s.held, id)
 			}
 		}
@@ -289,7 +289,7 @@
 }
 
 // beside tells what changed by the word of others than discovery: no sign that discovery is followed.
-func (s *Source) beside(changes []membership.Change) {
+func (s *Source) beside(changes []discovery.Change) {
 	if members := s.members(changes); len(members) > 0 {
 		s.tell(engine.News{Kind: balancer.Aside, Members: members})
 	}
@@ -305,7 +305,7 @@
 // members are changes as the engine knows them. A node that nobody but a source beside discovery names, and that was not in that
 // source's first view, is taken to have started now. Guards against a cold node that is taken for a warm one: a name service does
 // not tell when a process started, and may well be the first that knows of it.
-func (s *Source) members(changes []membership.Change) []engine.Member {
+func (s *Source) members(changes []discovery.Change) []engine.Member {
 	var list []engine.Member
 	for _, c := range changes {
 		m := c.Member
--- a/internal/membership/merged/merged_test.go
+++ b/internal/discovery/mergedsource/merged_test.go
@@ -1,4 +1,4 @@
-package merged
+package mergedsource
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/discovery"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/membership"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
-// discovery is a stand-in for the platform's: the test tells what a watch brings.
-type discovery struct{ watches chan *call }
+// fakeDiscovery is a stand-in for the platform's: the test tells what a watch brings.
+type fakeDiscovery struct{ watches chan *call }
 
 type call struct {
 	seq  int64
@@ -24,9 +24,9 @@
 	ctx  context.Context
 }
 
-func newDiscovery() *discovery { return &discovery{make(chan *call, 10)} }
+func newDiscovery() *fakeDiscovery { return &fakeDiscovery{make(chan *call, 10)} }
 
-func (d *discovery) Watch(seq int64, _ time.Duration, tell func(engine.News)) context.CancelFunc {
+func (d *fakeDiscovery) Watch(seq int64, _ time.Duration, tell func(engine.News)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	d.watches <- &call{seq, tell, ctx}
 	return stop
@@ -36,7 +36,7 @@
 type rig struct {
 	*Source
 	t     *testing.T
-	list  *discovery
+	list  *fakeDiscovery
 	watch *call
 	srv   chan any // views, and errors: it is lost
 	news  chan engine.News
@@ -50,7 +50,7 @@
 	r := &rig{t: t, list: newDiscovery(), srv: make(chan any), news: make(chan engine.News, 100)}
 	s, err := New(Config{Discovery: r.list, Known: members(known...), Most: 100, Settle: settle, Forget: time.Hour, Share: 0.5, Window: time.Minute,
 		Now: func() time.Time { return time.UnixMilli(now) }, Log: slog.New(slog.DiscardHandler),
-		Beside: []Beside{{Source: membership.Source{Name: "srv", Rank: 1, Keep: time.Hour}, Run: func(ctx context.Context, tell func(membership.View), lost func(error)) {
+		Beside: []Beside{{Source: discovery.Source{Name: "srv", Rank: 1, Keep: time.Hour}, Run: func(ctx context.Context, tell func(discovery.View), lost func(error)) {
 			for n := int64(1); ; n++ {
 				select {
 				case x := <-r.srv:
@@ -58,7 +58,7 @@
 						lost(err)
 						continue
 					}
-					v := x.(membership.View)
+					v := x.(discovery.View)
 					v.Seq = n
 					tell(v)
 				case <-ctx.Done():
@@ -73,9 +73,9 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() { s.Run(ctx); close(ended) }()
-	t.Cleanup(func() { stop(); fixture.Receive(t, ended, "its end") })
+	t.Cleanup(func() { stop(); testutil.Receive(t, ended, "its end") })
 	s.Watch(7, 0, func(n engine.News) { r.news <- n })
-	r.watch = fixture.Receive(t, r.list.watches, "discovery's watch")
+	r.watch = testutil.Receive(t, r.list.watches, "discovery's watch")
 	return r
 }
 
@@ -93,10 +93,10 @@
 }
 
 // addresses are a view of the name service's.
-func addresses(names ...string) membership.View {
-	v := membership.View{Whole: true}
+func addresses(names ...string) discovery.View {
+	v := discovery.View{Whole: true}
 	for _, n := range names {
-		v.Entries = append(v.Entries, membership.Entry{Addr: "x:" + n})
+		v.Entries = append(v.Entries, discovery.Entry{Addr: "x:" + n})
 	}
 	return v
 }
@@ -108,7 +108,7 @@
 // want receives news, and compares it with "kind seq: members".
 func (r *rig) want(text string) engine.News {
 	r.t.Helper()
-	n := fixture.Receive(r.t, r.news, "news: "+text)
+	n := testutil.Receive(r.t, r.news, "news: "+text)
 	kinds := map[balancer.MembersKind]string{balancer.Change: "change", balancer.Aside: "aside", balancer.Failed: "failed"}
 	got := fmt.Sprintf("%s %d:", kinds[n.Kind], n.Seq)
 	for _, m := range n.Members {
@@ -177,14 +177,14 @@
 	other := newDiscovery()
 	r.Move(other)
 	stop := r.Watch(engine.OtherVersion, 0, func(n engine.News) { r.news <- n })
-	r.watch = fixture.Receive(t, other.watches, "the new discovery's watch")
+	r.watch = testutil.Receive(t, other.watches, "the new discovery's watch")
 	if r.watch.seq != engine.OtherVersion {
 		t.Errorf("it goes on from %d", r.watch.seq)
 	}
 	r.says(balancer.Change, 2, "-a")
 	r.want("change 2: -a")
 	stop()
-	fixture.Until(t, "the watch's end", func() bool { return r.watch.ctx.Err() != nil })
+	testutil.Until(t, "the watch's end", func() bool { return r.watch.ctx.Err() != nil })
 	r.says(balancer.Change, 3, "f")
 	r.srv <- addresses("g")
 	select {
@@ -214,7 +214,7 @@
 func TestNewRefuses(t *testing.T) {
 	good := Config{Most: 1, Forget: 1, Share: 1, Window: 1}
 	for want, c := range map[string]Config{
-		`"list" is discovery's name`: {Most: 1, Forget: 1, Share: 1, Window: 1, Beside: []Beside{{Source: membership.Source{Name: List}}}},
+		`"list" is discovery's name`: {Most: 1, Forget: 1, Share: 1, Window: 1, Beside: []Beside{{Source: discovery.Source{Name: List}}}},
 		"a share above 0":            {Most: 1, Forget: 1, Window: 1},
 	} {
 		if _, err := New(c); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/membership/relay/log.go
+++ b/internal/discovery/relay/log.go
@@ -1,6 +1,6 @@
 // Package relay passes a list of members on to other sidecars, in discovery's own form: who follows one goes on from the version it
 // holds, here, at another peer or at discovery. Log decides what is told, without I/O; Relay is its place on a connection, and Source
-// the source of members that has its list from where internal/recovery says.
+// the source of members that has its list from where internal/discovery/bootstrap says.
 //
 // A relay tells nothing that it would not act on itself: once its own source is lost, all who follow it are let go at once, and it
 // answers nobody who holds a later version than it does. So nothing that has left comes back by way of a peer that was cut off.
@@ -10,8 +10,8 @@
 	"slices"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/membership/watch"
 )
 
 // mostChanges is how many changes are kept for those who follow; who is further behind gets the whole list.
--- a/internal/membership/relay/relay_test.go
+++ b/internal/discovery/relay/relay_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/discovery/bootstrap"
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/membership/watch"
-	"hazelwing/internal/recovery"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 func member(id string, s balancer.State) engine.Member {
@@ -147,7 +147,7 @@
 
 // asker is a Source that asks discovery, and the address where it is followed.
 func asker(t *testing.T, d engine.Source) (*Source, *httptest.Server) {
-	s := NewSource(Config{Selector: recovery.Config{Self: "head"}, Discovery: d, Most: 4, Log: slog.New(slog.DiscardHandler)})
+	s := NewSource(Config{Selector: bootstrap.Config{Self: "head"}, Discovery: d, Most: 4, Log: slog.New(slog.DiscardHandler)})
 	server := httptest.NewServer(s.Relay())
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	return s, server
@@ -155,12 +155,12 @@
 
 func follower(t *testing.T, d engine.Source, at string) *Source {
 	log := slog.New(slog.DiscardHandler)
-	s := NewSource(Config{Selector: recovery.Config{Self: "other", Ask: 1, Rate: 1000, Told: 2}, Discovery: d, Most: 4, Log: log,
+	s := NewSource(Config{Selector: bootstrap.Config{Self: "other", Ask: 1, Rate: 1000, Told: 2}, Discovery: d, Most: 4, Log: log,
 		Peer: func(addr string, h http.Header, check func(http.Header) error) engine.Source {
 			return watch.NewPeer(addr, h, check, log)
 		}})
 	// Of these names the first of the order is the one that is followed: the test needs that.
-	s.View([]recovery.Member{{Name: "head", Addr: netip.MustParseAddrPort(at)}}, true)
+	s.View([]bootstrap.Member{{Name: "head", Addr: netip.MustParseAddrPort(at)}}, true)
 	if s.selector.Rank() != 1 {
 		t.Fatal("the test's names are in another order")
 	}
@@ -175,14 +175,14 @@
 	var heard1, heard2 heardNews
 	stop1 := first.Watch(engine.NoVersion, 0, heard1.tell)
 	defer stop1()
-	fixture.Until(t, "it asks", func() bool { return one.watches() == 1 })
+	testutil.Until(t, "it asks", func() bool { return one.watches() == 1 })
 	other := follower(t, &two, server.Listener.Addr().String())
 	stop2 := other.Watch(engine.NoVersion, 0, heard2.tell)
 	defer stop2()
 	one.last()(full(5, "x", "y"))
-	fixture.Until(t, "the whole list came by the peer, held until it was there", func() bool { return heard2.has(balancer.Full, 5) })
+	testutil.Until(t, "the whole list came by the peer, held until it was there", func() bool { return heard2.has(balancer.Full, 5) })
 	one.last()(change(6, "x", balancer.Leaving))
-	fixture.Until(t, "a change did", func() bool { return heard2.has(balancer.Change, 6) })
+	testutil.Until(t, "a change did", func() bool { return heard2.has(balancer.Change, 6) })
 	if s := other.State(); s.Source != "head" || strings.Join(s.Relay.Path, " ") != "head" || !s.Relay.Live || first.State().Relay.Following != 1 {
 		t.Errorf("%+v, %+v", s, first.State())
 	}
@@ -191,18 +191,18 @@
 	}
 	// The peer's source is lost: who followed is let go at once, and asks discovery from what it holds.
 	one.last()(engine.News{Kind: balancer.Failed, Seq: 6, Err: errors.New("lost")})
-	fixture.Until(t, "discovery is asked", func() bool { return two.watches() == 1 })
+	testutil.Until(t, "discovery is asked", func() bool { return two.watches() == 1 })
 	if two.from[0] != 6 {
 		t.Errorf("from version %d, want 6", two.from[0])
 	}
 	two.last()(change(9, "y", balancer.Left))
-	fixture.Until(t, "discovery's word came", func() bool { return heard2.has(balancer.Change, 9) })
+	testutil.Until(t, "discovery's word came", func() bool { return heard2.has(balancer.Change, 9) })
 	// The peer is back, with an older list: it turns away who holds more.
 	stop1()
 	defer first.Watch(engine.NoVersion, 0, heard1.tell)()
-	fixture.Until(t, "it asks again", func() bool { return one.watches() == 2 })
+	testutil.Until(t, "it asks again", func() bool { return one.watches() == 2 })
 	one.last()(full(7, "x", "y"))
-	fixture.Until(t, "it is live", func() bool { return first.State().Relay.Live })
+	testutil.Until(t, "it is live", func() bool { return first.State().Relay.Live })
 	req, _ := http.NewRequest(http.MethodGet, server.URL+"/discovery/hosts?watch=1&from=9", nil)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
@@ -216,9 +216,9 @@
 	var three fake
 	other.Move(&three)
 	defer other.Watch(engine.OtherVersion, 0, heard2.tell)()
-	fixture.Until(t, "the other discovery is asked", func() bool { return three.watches() == 1 })
+	testutil.Until(t, "the other discovery is asked", func() bool { return three.watches() == 1 })
 	three.last()(full(1, "z"))
-	fixture.Until(t, "its list came", func() bool { return heard2.has(balancer.Full, 1) })
+	testutil.Until(t, "its list came", func() bool { return heard2.has(balancer.Full, 1) })
 	if other.State().Relay.Live {
 		t.Error("it passes on another discovery's list")
 	}
@@ -248,7 +248,7 @@
 			s.best = 20
 			var heard heardNews
 			defer s.Watch(engine.NoVersion, 0, heard.tell)()
-			fixture.Until(t, "discovery is asked after all", func() bool { return d.watches() == 1 })
+			testutil.Until(t, "discovery is asked after all", func() bool { return d.watches() == 1 })
 			if len(heard.list) > 0 {
 				t.Errorf("told %+v", heard.list)
 			}
--- a/internal/membership/relay/source.go
+++ b/internal/discovery/relay/source.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/discovery/bootstrap"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/recovery"
 )
 
 // Config is a Source's.
 type Config struct {
-	Selector  recovery.Config
+	Selector  bootstrap.Config
 	Discovery engine.Source
 	// Peer is the watch of a member that is followed: asked says who asks, and refuses a path that cannot be followed.
 	Peer  func(addr string, header http.Header, check func(http.Header) error) engine.Source
@@ -34,7 +34,7 @@
 	begun time.Time
 
 	mu       sync.Mutex
-	selector *recovery.Selector
+	selector *bootstrap.Selector
 	viewed   chan struct{} // closed when the view changes
 	latest   int           // the number of the last Watch: it alone is passed on
 	moved    bool          // discovery is another one than the others have: versions cannot be compared any more
@@ -46,7 +46,7 @@
 
 // NewSource makes one. Nothing is asked before Watch.
 func NewSource(c Config) *Source {
-	s := &Source{cfg: c, relay: New(c.Selector.Self, c.Most), begun: time.Now(), selector: recovery.New(c.Selector, 0), viewed: make(chan struct{}), best: engine.NoVersion}
+	s := &Source{cfg: c, relay: New(c.Selector.Self, c.Most), begun: time.Now(), selector: bootstrap.New(c.Selector, 0), viewed: make(chan struct{}), best: engine.NoVersion}
 	if len(c.Known.Members) > 0 { // what comes first may be changes to it. It is passed on only once a source works
 		s.relay.apply(engine.News{Kind: balancer.Full, Seq: c.Known.Seq, Members: c.Known.Members})
 	}
@@ -57,7 +57,7 @@
 func (s *Source) Relay() *Relay { return s.relay }
 
 // View tells who lives. It may be called from any goroutine, and does not wait.
-func (s *Source) View(others []recovery.Member, joined bool) {
+func (s *Source) View(others []bootstrap.Member, joined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.selector.View(s.now(), others, joined)
@@ -132,18 +132,18 @@
 	}
 }
 
-func name(c recovery.Choice) string {
+func name(c bootstrap.Choice) string {
 	if c.Discovery {
 		return "discovery"
 	}
 	return c.Peer.Name
 }
 
-func (s *Source) choose() (recovery.Choice, engine.Source, <-chan struct{}) {
+func (s *Source) choose() (bootstrap.Choice, engine.Source, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.moved {
-		return recovery.Choice{Discovery: true}, s.cfg.Discovery, s.viewed
+		return bootstrap.Choice{Discovery: true}, s.cfg.Discovery, s.viewed
 	}
 	return s.selector.Choose(s.now()), s.cfg.Discovery, s.viewed
 }
@@ -164,7 +164,7 @@
 
 // follow has the list from one source until it fails, or a better one is there: then the error is nil. It returns the version to go
 // on from, and whether the source could be reached.
-func (s *Source) follow(ctx context.Context, mine int, group string, c recovery.Choice, discovery engine.Source, seq int64, tell func(engine.News)) (last int64, reached bool, err error) {
+func (s *Source) follow(ctx context.Context, mine int, group string, c bootstrap.Choice, discovery engine.Source, seq int64, tell func(engine.News)) (last int64, reached bool, err error) {
 	path, from := []string(nil), discovery
 	if !c.Discovery {
 		header := http.Header{whoHeader: {s.cfg.Selector.Self}}
@@ -234,7 +234,7 @@
 	return s.best
 }
 
-func (s *Source) heard(group string, c recovery.Choice, seq int64, first bool) {
+func (s *Source) heard(group string, c bootstrap.Choice, seq int64, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if group != s.group {
--- a/internal/membership/watch/fleet_test.go
+++ b/internal/discovery/watch/fleet_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // lists is a transport that carries nothing, and notes that a whole list of discovery's has come.
@@ -47,13 +47,13 @@
 // more than a quarter of one. All hold its list in the end, and none asks more often than its waits allow: 0.45 s at least from
 // beginning to beginning, or less once where the first call was turned away late.
 func TestAllSidecarsStartAtOnce(t *testing.T) {
-	d, err := standin.NewDiscovery()
+	d, err := emulator.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
 	for _, name := range []string{"a", "b", "c"} {
-		d.Set(standin.Host{Host: name, Dial: "127.0.0.1:1", Health: "SERVING"})
+		d.Set(emulator.Host{Host: name, Dial: "127.0.0.1:1", Health: "SERVING"})
 	}
 	d.Limit(*perCall, *patience)
 	ctx, stop := context.WithCancel(t.Context())
@@ -82,7 +82,7 @@
 		}
 	}
 	for i, l := range fleet {
-		fixture.Until(t, "the list at each sidecar", func() bool { count(); return l.whole.Load() })
+		testutil.Until(t, "the list at each sidecar", func() bool { count(); return l.whole.Load() })
 		if n := l.members.Load(); n != 3 {
 			t.Errorf("sidecar %d holds %d members", i, n)
 		}
--- a/internal/membership/watch/misbehaving_test.go
+++ b/internal/discovery/watch/misbehaving_test.go
@@ -18,7 +18,7 @@
 
 	"hazelwing/balancer"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // view is a transport that carries nothing and knows which members it could send to.
@@ -125,14 +125,14 @@
 			defer running.Wait()
 			defer stop()
 			running.Go(func() { e.Run(ctx) })
-			fixture.Until(t, "the second call", func() bool { return calls.Load() > 1 })
+			testutil.Until(t, "the second call", func() bool { return calls.Load() > 1 })
 			for !recovered.Load() { // all the while: what it knew, without what drains
 				if got := v.String(); calls.Load() < 4 && got != "[a c]" {
 					t.Fatalf("it holds %s while discovery misbehaves", got)
 				}
 				time.Sleep(time.Millisecond)
 			}
-			fixture.Until(t, "the list", func() bool { return v.String() == "[a c d]" })
+			testutil.Until(t, "the list", func() bool { return v.String() == "[a c d]" })
 			if text := log.String(); !strings.Contains(text, c.says) {
 				t.Errorf("the log does not say %q:\n%s", c.says, text)
 			}
--- a/internal/membership/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -83,7 +83,7 @@
 	check   func(http.Header) error
 }
 
-// NewPeer is another sidecar that passes discovery's list on (internal/membership/relay). header goes with each call; check says of
+// NewPeer is another sidecar that passes discovery's list on (internal/discovery/relay). header goes with each call; check says of
 // an answer's headers whether it may be followed.
 func NewPeer(addr string, header http.Header, check func(http.Header) error, log *slog.Logger) *Discovery {
 	d := New(addr, false, log)
