--- a/internal/membership/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -19,7 +19,7 @@
 	"hazelwing/balancer"
 	"hazelwing/internal/backoff"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // watching starts a watch from version 41 on a discovery that answers with serve, and returns its news.
@@ -43,11 +43,11 @@
 
 func TestWatch(t *testing.T) {
 	calls := make(chan string, 1)
-	all := watching(t, fixture.Patience, func(w http.ResponseWriter, r *http.Request) {
+	all := watching(t, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.String()
 		fmt.Fprintf(w, "\n\n%s\n\n%s\n", wholeList, strings.ReplaceAll(wholeList, `43,"whole":true`, `44,"whole":false`))
 	})
-	if got := fixture.Receive(t, calls, "the call"); got != "/discovery/hosts?watch=1&from=41" {
+	if got := testutil.Receive(t, calls, "the call"); got != "/discovery/hosts?watch=1&from=41" {
 		t.Errorf("asked %s", got)
 	}
 	for i, want := range []struct {
@@ -59,7 +59,7 @@
 		{balancer.Full, 43, 1}, {balancer.Change, 44, 1},
 		{balancer.Failed, 44, 0}, // its connection ended
 	} {
-		n := fixture.Receive(t, all, "news")
+		n := testutil.Receive(t, all, "news")
 		if n.Kind != want.kind || n.Seq != want.seq || len(n.Members) != want.hosts {
 			t.Fatalf("news %d: %+v, want %+v", i, n, want)
 		}
@@ -96,7 +96,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := make(chan string, 10)
-			all := watchingFrom(t, engine.NoVersion, fixture.Patience, func(w http.ResponseWriter, r *http.Request) {
+			all := watchingFrom(t, engine.NoVersion, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
 				calls <- r.URL.String()
 				if r.URL.RawQuery == "" {
 					io.WriteString(w, c.list)
@@ -108,7 +108,7 @@
 			})
 			held, got := map[string]bool{}, ""
 			for first := true; got != c.want; first = false { // lines may come before the list or after it
-				n := fixture.Receive(t, all, "news that lead to "+c.want+", after "+got)
+				n := testutil.Receive(t, all, "news that lead to "+c.want+", after "+got)
 				if n.Kind == balancer.Failed {
 					got = fmt.Sprint("failed ", n.Seq)
 					continue
@@ -156,7 +156,7 @@
 			all := make(chan engine.News, 100)
 			defer New(server.Listener.Addr().String(), asked, slog.New(slog.DiscardHandler)).
 				Watch(engine.OtherVersion, 0, func(n engine.News) { all <- n })()
-			if n := fixture.Receive(t, all, "what changed"); n.Kind != balancer.Change || n.Seq != 5 || len(n.Members) != 2 {
+			if n := testutil.Receive(t, all, "what changed"); n.Kind != balancer.Change || n.Seq != 5 || len(n.Members) != 2 {
 				t.Fatalf("told %+v", n)
 			}
 		})
@@ -170,8 +170,8 @@
 		serve   http.HandlerFunc
 		want    string
 	}{
-		"turned away": {fixture.Patience, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, "503"},
-		"broken":      {fixture.Patience, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ""},
+		"turned away": {testutil.Patience, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, "503"},
+		"broken":      {testutil.Patience, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ""},
 		// Guards against a discovery that is cut off: the connection stays open and says nothing.
 		"silent from the start": {50 * time.Millisecond, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, "nothing came"},
 		"silent later": {50 * time.Millisecond, func(w http.ResponseWriter, r *http.Request) {
@@ -181,7 +181,7 @@
 		}, "nothing came"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := fixture.Receive(t, watching(t, c.silence, c.serve), "the failure")
+			n := testutil.Receive(t, watching(t, c.silence, c.serve), "the failure")
 			if n.Kind != balancer.Failed || n.Err == nil || !strings.Contains(n.Err.Error(), c.want) {
 				t.Errorf("%+v, want a failure with %q", n, c.want)
 			}
@@ -191,13 +191,13 @@
 
 // What an unreadable line said is missing from then on: the whole list has to be asked for.
 func TestUnreadableLine(t *testing.T) {
-	all := watching(t, fixture.Patience, func(w http.ResponseWriter, r *http.Request) {
+	all := watching(t, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, wholeList+"\n{\"seq\":44,}\n")
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	fixture.Receive(t, all, "the list")
-	if n := fixture.Receive(t, all, "the failure"); n.Kind != balancer.Failed || n.Seq != engine.OtherVersion {
+	testutil.Receive(t, all, "the list")
+	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.Failed || n.Seq != engine.OtherVersion {
 		t.Errorf("%+v, want a failure that goes on from the whole list", n)
 	}
 }
@@ -210,7 +210,7 @@
 	l.Close()
 	all := make(chan engine.News, 1)
 	defer New(l.Addr().String(), true, slog.New(slog.DiscardHandler)).Watch(1, 0, func(n engine.News) { all <- n })()
-	if n := fixture.Receive(t, all, "the failure"); n.Kind != balancer.Failed {
+	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.Failed {
 		t.Errorf("%+v", n)
 	}
 }
@@ -234,7 +234,7 @@
 		"no line's end yet": {object(1, true, "a"), object(2, false, "b"), odd},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all := watchingFrom(t, engine.NoVersion, fixture.Patience, func(w http.ResponseWriter, r *http.Request) {
+			all := watchingFrom(t, engine.NoVersion, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
 				for _, p := range pieces {
 					io.WriteString(w, p)
 					w.(http.Flusher).Flush()
@@ -243,7 +243,7 @@
 			})
 			held := map[string]bool{}
 			for seq := int64(0); seq < 3; {
-				n := fixture.Receive(t, all, "the news")
+				n := testutil.Receive(t, all, "the news")
 				if n.Kind == balancer.Failed {
 					t.Fatalf("failed: %v", n.Err)
 				}
@@ -296,7 +296,7 @@
 			}
 			all := watchingFrom(t, from, 200*time.Millisecond, c.serve)
 			for {
-				n := fixture.Receive(t, all, "the failure")
+				n := testutil.Receive(t, all, "the failure")
 				if n.Kind == balancer.Failed {
 					if n.Seq != c.from {
 						t.Errorf("it goes on from %d, want %d", n.Seq, c.from)
@@ -336,7 +336,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	if n := fixture.Receive(t, all, "the failure"); n.Kind != balancer.Failed || calls.Load() != backoff.Most {
+	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.Failed || calls.Load() != backoff.Most {
 		t.Errorf("%+v after %d calls", n, calls.Load())
 	}
 }
--- a/internal/standin/gqlnode/gqlnode.go
+++ b/internal/emulator/gqlnode/gqlnode.go
@@ -18,8 +18,8 @@
 	"github.com/vektah/gqlparser/v2/ast"
 	"github.com/vektah/gqlparser/v2/validator"
 
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/graphql/exec"
-	"hazelwing/internal/standin"
 )
 
 // SDL is the nodes' schema.
@@ -42,19 +42,19 @@
 }
 
 // New makes servers of nodes that spoil some of their answers.
-func New(m Mischief) func(n *standin.Node, effects map[string]standin.Effect) standin.Server {
+func New(m Mischief) func(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 	schema := gqlparser.MustLoadSchema(&ast.Source{Name: "booking.graphql", Input: SDL})
-	return func(n *standin.Node, effects map[string]standin.Effect) standin.Server {
+	return func(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 		s := &server{node: n, effects: effects, schema: schema, mischief: m, rng: rand.New(rand.NewPCG(n.Seed, 0x67716c))}
-		s.Resetting = standin.NewResetting(s)
+		s.Resetting = emulator.NewResetting(s)
 		return s
 	}
 }
 
 type server struct {
-	*standin.Resetting
-	node     *standin.Node
-	effects  map[string]standin.Effect
+	*emulator.Resetting
+	node     *emulator.Node
+	effects  map[string]emulator.Effect
 	schema   *ast.Schema
 	mischief Mischief
 
@@ -73,8 +73,8 @@
 		fmt.Fprintf(w, "queue=%d", s.node.Held())
 		return
 	}
-	id := r.Header.Get(standin.IDName)
-	if _, known := s.effects[r.Header.Get(standin.ClassName)]; id == "" || !known || !strings.HasSuffix(r.URL.Path, Path) {
+	id := r.Header.Get(emulator.IDName)
+	if _, known := s.effects[r.Header.Get(emulator.ClassName)]; id == "" || !known || !strings.HasSuffix(r.URL.Path, Path) {
 		http.Error(w, "no such request", http.StatusNotFound)
 		return
 	}
@@ -87,7 +87,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if len(body) == 0 || body[0] != '[' {
-		out, op := s.one(w, r, body, id, r.Header.Get(standin.KeyName))
+		out, op := s.one(w, r, body, id, r.Header.Get(emulator.KeyName))
 		if op != nil {
 			w.Header().Set("Content-Type", "application/graphql-response+json")
 			s.spoil(w, x, op, out)
@@ -133,25 +133,25 @@
 		refuse(w, err.Error())
 		return nil, nil
 	}
-	class := r.Header.Get(standin.ClassName)
+	class := r.Header.Get(emulator.ClassName)
 	effect := s.effects[class]
 	if op.Operation != ast.Mutation {
-		effect = standin.Safe
+		effect = emulator.Safe
 	}
-	j := standin.Job{ID: id, Class: class, Effect: effect, Key: key, Work: standin.WorkOf(r.Header.Get(standin.ExtrasName))}
+	j := emulator.Job{ID: id, Class: class, Effect: effect, Key: key, Work: emulator.WorkOf(r.Header.Get(emulator.ExtrasName))}
 	for _, sel := range op.SelectionSet {
 		if f, ok := sel.(*ast.Field); ok {
 			if us, ok := f.ArgumentMap(vars)["work"]; ok {
-				j.Work += standin.WorkOf(fmt.Sprint("work=", us))
+				j.Work += emulator.WorkOf(fmt.Sprint("work=", us))
 			}
 		}
 	}
 	switch s.node.Do(r.Context(), j) {
-	case standin.Full, standin.Drained:
+	case emulator.Full, emulator.Drained:
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return nil, nil
-	case standin.Lost, standin.Over, standin.Broken:
+	case emulator.Lost, emulator.Over, emulator.Broken:
 		panic(http.ErrAbortHandler)
 	}
 	out, err = json.Marshal(exec.Run(s.schema, doc, op, vars, root{op.Operation, s.node.Name}))
--- a/internal/standin/gqlnode/traffic.go
+++ b/internal/emulator/gqlnode/traffic.go
@@ -6,11 +6,11 @@
 	"math/rand/v2"
 	"strings"
 
-	"hazelwing/internal/standin"
+	"hazelwing/internal/emulator"
 )
 
 // Classes are those of clients that ask for what Fields maps.
-var Classes = []standin.TrafficClass{
+var Classes = []emulator.TrafficClass{
 	{Name: "look", Effect: "safe", AimMS: 1000, DeadlineMS: 8000, Worth: 1, LateShare: 0.5},
 	{Name: "map", Effect: "safe", AimMS: 1000, DeadlineMS: 8000, Worth: 1, LateShare: 0.5},
 	{Name: "book", Effect: "unsafe", AimMS: 1000, DeadlineMS: 8000, Worth: 1, LateShare: 0.5},
--- a/internal/standin/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"hazelwing/internal/standin"
+	"hazelwing/internal/emulator"
 )
 
 // Names of the service.
@@ -37,8 +37,8 @@
 
 // server is a node's.
 type server struct {
-	node    *standin.Node
-	effects map[string]standin.Effect
+	node    *emulator.Node
+	effects map[string]emulator.Effect
 	srv     *grpc.Server
 
 	mu    sync.Mutex
@@ -46,7 +46,7 @@
 }
 
 // New makes the server of a node. It serves grpc.health.v1 too, and tells by ORCA what the node holds ("queue").
-func New(n *standin.Node, effects map[string]standin.Effect) standin.Server {
+func New(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 	s := &server{node: n, effects: effects}
 	s.srv = grpc.NewServer(orca.CallMetricsServerOption(nil), grpc.ChainUnaryInterceptor(s.probe))
 	s.srv.RegisterService(&grpc.ServiceDesc{ServiceName: Service, HandlerType: (*any)(nil),
@@ -128,24 +128,24 @@
 // job runs one on the node, and says why it was not done.
 func (s *server) job(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
-	j := standin.Job{ID: first(md, standin.IDName), Class: first(md, standin.ClassName), Key: first(md, standin.KeyName),
-		Work: standin.WorkOf(first(md, standin.ExtrasName))}
+	j := emulator.Job{ID: first(md, emulator.IDName), Class: first(md, emulator.ClassName), Key: first(md, emulator.KeyName),
+		Work: emulator.WorkOf(first(md, emulator.ExtrasName))}
 	effect, known := s.effects[j.Class]
 	if j.ID == "" || !known {
 		return status.Error(codes.InvalidArgument, "no such request")
 	}
 	j.Effect = effect
 	switch s.node.Do(ctx, j) {
-	case standin.Full, standin.Drained:
+	case emulator.Full, emulator.Drained:
 		grpc.SetTrailer(ctx, metadata.Pairs(NotRun, "1"))
 		return status.Error(codes.Unavailable, "turned away")
-	case standin.Lost:
+	case emulator.Lost:
 		<-ctx.Done() // the connection is about to be reset: no answer goes out
 		return status.Error(codes.Unavailable, "dying")
-	case standin.Broken:
+	case emulator.Broken:
 		s.cut(ctx)
 		return status.Error(codes.Unavailable, "the connection breaks")
-	case standin.Over:
+	case emulator.Over:
 		return status.FromContextError(ctx.Err()).Err()
 	}
 	return nil
--- a/internal/standin/node.go
+++ b/internal/emulator/node.go
@@ -1,11 +1,11 @@
-// Package standin holds the stand-ins that the project's tests, measurements and demonstration run against: booking
+// Package emulator holds the stand-ins that the project's tests, measurements and demonstration run against: booking
 // nodes with one core each, a discovery, faults by script, recorded traffic and clients that replay it. They are
 // written from the public descriptions of what they stand for, and use nothing of the program that they test.
 //
 // A Fleet puts them together and keeps the count of what the rules are about: executions by request, what was sent to
 // a node after its drain was told, and what was sent to a cold one. Everything is on loopback, in real time, and
 // seeded: what chance decides is the same in each run, what the machine's scheduler decides is not.
-package standin
+package emulator
 
 import (
 	"context"
--- a/internal/standin/script.go
+++ b/internal/emulator/script.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
--- a/internal/standin/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 func TestReadScript(t *testing.T) {
@@ -134,7 +134,7 @@
 	for i := range 9 { // 54 s of work in less than a minute: 3 x 0.3 allow it
 		go n.Do(t.Context(), Job{ID: fmt.Sprint(i), Work: 6 * time.Second})
 	}
-	fixture.Until(t, "the jobs", func() bool { return n.Held() == 9 })
+	testutil.Until(t, "the jobs", func() bool { return n.Held() == 9 })
 	if s := n.Status(); s.State != "cold" {
 		t.Errorf("it is %s", s.State)
 	}
@@ -164,13 +164,13 @@
 	for i := range 2 {
 		go func() { replies <- n.Do(ctx, Job{ID: fmt.Sprint("w", i), Work: time.Millisecond}) }()
 	}
-	fixture.Until(t, "two that wait", func() bool { return n.Held() == 2 })
+	testutil.Until(t, "two that wait", func() bool { return n.Held() == 2 })
 	if got := n.Do(t.Context(), Job{ID: "3"}); got != Full {
 		t.Errorf("beyond the waiting room: %v", got)
 	}
 	leave()
 	for range 2 {
-		if got := fixture.Receive(t, replies, "the reply"); got != Over {
+		if got := testutil.Receive(t, replies, "the reply"); got != Over {
 			t.Errorf("for a client that left: %v", got)
 		}
 	}
@@ -191,7 +191,7 @@
 	d.Set(Host{Host: "b", Health: "SERVING"})
 	d.Set(Host{Host: "a", Health: "DELETED"})
 	get := func(query string, n int) string {
-		ctx, stop := context.WithTimeout(t.Context(), fixture.Patience)
+		ctx, stop := context.WithTimeout(t.Context(), testutil.Patience)
 		defer stop()
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr()+"/discovery/hosts"+query, nil)
 		resp, err := http.DefaultClient.Do(req)
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // Where two events cross in the engine: docs/design/crossings.md has the table.
@@ -21,7 +21,7 @@
 	c := newCall("1", "look")
 	c.Left = left.Load
 	done := do(e, t.Context(), c)
-	x := fixture.Receive(t, f.sent, "the attempt")
+	x := testutil.Receive(t, f.sent, "the attempt")
 	permit := x.call.Permit()
 	if !permit() {
 		t.Error("an attempt for a client that waits may not begin")
@@ -31,7 +31,7 @@
 		t.Error("an attempt for a client that left may begin")
 	}
 	x.end <- Outcome{Result: balancer.Overloaded}
-	if r := fixture.Receive(t, done, "the result"); r.Kind != Left || len(f.sent) > 0 {
+	if r := testutil.Receive(t, done, "the result"); r.Kind != Left || len(f.sent) > 0 {
 		t.Errorf("%+v, and %d more attempts", r, len(f.sent))
 	}
 }
@@ -45,7 +45,7 @@
 	first, second := newCall("1", "look"), newCall("2", "look")
 	first.ctx, second.ctx = ctx, ctx
 	e.event(first)
-	x := fixture.Receive(t, f.sent, "the attempt")
+	x := testutil.Receive(t, f.sent, "the attempt")
 	leave()
 	e.event(ended{first, 0, Outcome{Result: balancer.Overloaded}}) // before gone{first}
 	e.event(second)
@@ -53,7 +53,7 @@
 		t.Error("sent for a client that left")
 	}
 	for _, c := range []*Call{first, second} {
-		if r := fixture.Receive(t, c.reply, "the result"); r.Kind != Left {
+		if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Left {
 			t.Errorf("%s: %+v", c.ID, r)
 		}
 		e.event(gone{c}) // comes later, and changes nothing
@@ -69,16 +69,16 @@
 func TestPermitEndsWithTheWindow(t *testing.T) {
 	const window = 200 * time.Millisecond
 	set := testSettings()
-	set.Classes = append(set.Classes, balancer.Class{Name: "pay", Aim: fixture.Patience, Deadline: fixture.Patience,
+	set.Classes = append(set.Classes, balancer.Class{Name: "pay", Aim: testutil.Patience, Deadline: testutil.Patience,
 		Effect: balancer.Keyed, Group: balancer.GroupAll, Window: window})
 	f := newFake()
 	e := idle(t, f, set, 3)
 	c := newCall("1", "pay")
 	begun := time.Now()
 	e.event(c)
-	one := fixture.Receive(t, f.sent, "the attempt").call.Permit()
+	one := testutil.Receive(t, f.sent, "the attempt").call.Permit()
 	e.event(ended{c, 0, Outcome{Result: balancer.Reset}}) // it may have run
-	two := fixture.Receive(t, f.sent, "the next one").call.Permit()
+	two := testutil.Receive(t, f.sent, "the next one").call.Permit()
 	may, asked := two(), time.Since(begun)
 	if !may && asked < window/2 {
 		t.Error("the next one may not begin inside the window")
@@ -105,15 +105,15 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer func() {
 		stop()
-		fixture.Receive(t, e.closed, "the engine's end")
+		testutil.Receive(t, e.closed, "the engine's end")
 	}()
 	go e.Run(ctx)
-	w := fixture.Receive(t, f.watches, "the watch")
+	w := testutil.Receive(t, f.watches, "the watch")
 	leaving := fleet(1)
 	leaving[0].State = balancer.Leaving
 	w.tell(News{Kind: balancer.Change, Seq: 8, Members: leaving})
 	for range calls {
-		x := fixture.Receive(t, f.sent, "the attempt")
+		x := testutil.Receive(t, f.sent, "the attempt")
 		if x.member != "m1" {
 			t.Errorf("sent to %s, which drains", x.member)
 		}
@@ -130,12 +130,12 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer func() {
 		stop()
-		fixture.Receive(t, e.closed, "the engine's end")
+		testutil.Receive(t, e.closed, "the engine's end")
 	}()
 	go e.Run(ctx)
 	done := do(e, t.Context(), newCall("1", "look"))
-	fixture.Receive(t, f.sent, "the attempt").end <- Outcome{Result: balancer.OK, Final: true}
-	if r := fixture.Receive(t, done, "the result"); r.Kind != Served {
+	testutil.Receive(t, f.sent, "the attempt").end <- Outcome{Result: balancer.OK, Final: true}
+	if r := testutil.Receive(t, done, "the result"); r.Kind != Served {
 		t.Errorf("%+v", r)
 	}
 }
@@ -149,12 +149,12 @@
 		t.Run(name, func(t *testing.T) {
 			f, next := newFake(), newFake()
 			e := idle(t, f, testSettings(), 2)
-			old := fixture.Receive(t, f.watches, "the first watch")
+			old := testutil.Receive(t, f.watches, "the first watch")
 			leaving := fleet(1)
 			leaving[0].State, leaving[0].BornMS = balancer.Leaving, c.born
 			old.tell(News{Kind: balancer.Change, Seq: 8, Members: leaving}) // it waits behind what follows
 			e.event(moved{next})
-			fixture.Receive(t, next.watches, "the new watch").tell(News{Kind: balancer.Change, Seq: 3})
+			testutil.Receive(t, next.watches, "the new watch").tell(News{Kind: balancer.Change, Seq: 3})
 			e.news(told{watch: e.watch, News: News{Kind: balancer.Change, Seq: 3}}) // the new one has answered
 			for len(e.lists) > 0 {
 				e.step(nil)
@@ -174,7 +174,7 @@
 	c.Earlier = []Earlier{{Zone: "a", Sent: time.Now()}}
 	e.event(c)
 	e.end()
-	if r := fixture.Receive(t, c.reply, "the result"); r.Kind != Failed {
+	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Failed {
 		t.Errorf("%+v, want a failure", r)
 	}
 }
@@ -192,12 +192,12 @@
 			e := idle(t, f, testSettings(), 2)
 			leaving := fleet(1)
 			leaving[0].State = balancer.Leaving
-			fixture.Receive(t, f.watches, "the first watch").tell(News{Kind: balancer.Change, Seq: 8, Members: leaving})
+			testutil.Receive(t, f.watches, "the first watch").tell(News{Kind: balancer.Change, Seq: 8, Members: leaving})
 			e.step(nil)
 			e.event(moved{next})
 			list := fleet(2)
 			list[0].BornMS = c.born
-			fixture.Receive(t, next.watches, "the new watch").tell(News{Kind: balancer.Full, Seq: c.seq, Members: list})
+			testutil.Receive(t, next.watches, "the new watch").tell(News{Kind: balancer.Full, Seq: c.seq, Members: list})
 			e.step(nil)
 			if got := f.members["m0"].State != balancer.Active; got != c.drains {
 				t.Fatalf("it drains: %v, want %v", got, c.drains)
@@ -207,7 +207,7 @@
 			}
 			e.event(again{e.watch}) // its time has come
 			e.moved = e.moved.Add(-olderView)
-			w := fixture.Receive(t, next.watches, "the list asked for anew")
+			w := testutil.Receive(t, next.watches, "the list asked for anew")
 			if w.seq != OtherVersion {
 				t.Errorf("it goes on from %d", w.seq)
 			}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // fake is a transport and a source whose every exchange and watch is the test's.
@@ -89,9 +89,9 @@
 func testSettings() balancer.Settings {
 	return balancer.Settings{MustSubscribe: true, Tick: time.Millisecond, MaxAttempts: 3, SecondCopies: true, Cancelling: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, Classes: []balancer.Class{
-			{Name: "look", Aim: fixture.Patience, Deadline: fixture.Patience},
-			{Name: "book", Aim: fixture.Patience, Deadline: fixture.Patience, Effect: balancer.Unsafe},
-			{Name: "follow", Aim: fixture.Patience, Deadline: fixture.Patience, Stream: true}}}
+			{Name: "look", Aim: testutil.Patience, Deadline: testutil.Patience},
+			{Name: "book", Aim: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.Unsafe},
+			{Name: "follow", Aim: testutil.Patience, Deadline: testutil.Patience, Stream: true}}}
 }
 
 // fleet is n members.
@@ -127,13 +127,13 @@
 	go e.Run(ctx)
 	t.Cleanup(func() {
 		stop()
-		fixture.Receive(t, e.closed, "the engine's end")
+		testutil.Receive(t, e.closed, "the engine's end")
 	})
 	return e, stop
 }
 
 func newCall(id, class string) *Call {
-	return &Call{ID: id, Class: class, Expires: time.Now().Add(fixture.Patience), reply: make(chan Result, 1), begun: none}
+	return &Call{ID: id, Class: class, Expires: time.Now().Add(testutil.Patience), reply: make(chan Result, 1), begun: none}
 }
 
 func do(e *Engine, ctx context.Context, c *Call) chan Result {
@@ -146,9 +146,9 @@
 	f := newFake()
 	e, _ := start(t, f, 2)
 	done := do(e, t.Context(), newCall("1", "book"))
-	x := fixture.Receive(t, f.sent, "the attempt")
+	x := testutil.Receive(t, f.sent, "the attempt")
 	x.end <- Outcome{Result: balancer.OK, Final: true, Answer: "seat"}
-	if r := fixture.Receive(t, done, "the result"); r.Kind != Served || r.Answer != "seat" || r.Attempts != 1 {
+	if r := testutil.Receive(t, done, "the result"); r.Kind != Served || r.Answer != "seat" || r.Attempts != 1 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -164,16 +164,16 @@
 		e, _ := start(t, f, 3)
 		done := do(e, t.Context(), newCall("1", "book"))
 		cause := errors.New("cause")
-		fixture.Receive(t, f.sent, "the attempt").end <- Outcome{Result: result, Err: cause, Answer: "its words"}
+		testutil.Receive(t, f.sent, "the attempt").end <- Outcome{Result: result, Err: cause, Answer: "its words"}
 		if !again {
-			r := fixture.Receive(t, done, "the result")
+			r := testutil.Receive(t, done, "the result")
 			if r.Kind != Failed || r.Err != cause || r.Answer != "its words" || len(f.sent) > 0 || r.TimedOut != (result == balancer.Timeout) {
 				t.Errorf("result %d: %+v", result, r)
 			}
 			continue
 		}
-		fixture.Receive(t, f.sent, "another attempt").end <- Outcome{Result: balancer.OK, Final: true}
-		if r := fixture.Receive(t, done, "the result"); r.Kind != Served || r.Attempts != 2 {
+		testutil.Receive(t, f.sent, "another attempt").end <- Outcome{Result: balancer.OK, Final: true}
+		if r := testutil.Receive(t, done, "the result"); r.Kind != Served || r.Attempts != 2 {
 			t.Errorf("result %d: %+v", result, r)
 		}
 	}
@@ -185,12 +185,12 @@
 	e, _ := start(t, f, 2)
 	ctx, leave := context.WithCancel(t.Context())
 	done := do(e, ctx, newCall("1", "book"))
-	x := fixture.Receive(t, f.sent, "the attempt")
+	x := testutil.Receive(t, f.sent, "the attempt")
 	leave()
-	if r := fixture.Receive(t, done, "the result"); r.Kind != Left || !errors.Is(r.Err, context.Canceled) {
+	if r := testutil.Receive(t, done, "the result"); r.Kind != Left || !errors.Is(r.Err, context.Canceled) {
 		t.Errorf("%+v", r)
 	}
-	fixture.Receive(t, x.forbid, "word that nothing more may be written")
+	testutil.Receive(t, x.forbid, "word that nothing more may be written")
 	x.end <- Outcome{Result: balancer.Reset}
 }
 
@@ -204,7 +204,7 @@
 	if e.calls["1"] != first || first.answered {
 		t.Error("the first call was given up")
 	}
-	if r := fixture.Receive(t, second.reply, "the second's result"); r.Kind != Duplicate {
+	if r := testutil.Receive(t, second.reply, "the second's result"); r.Kind != Duplicate {
 		t.Errorf("the second got %+v", r)
 	}
 	e.event(ended{first, 0, Outcome{Result: balancer.Moot}})
@@ -221,7 +221,7 @@
 	}
 	c := newCall("one more", "look")
 	e.event(c)
-	if r := fixture.Receive(t, c.reply, "the result"); r.Kind != Refused || !errors.Is(r.Err, errFull) || len(e.calls) != 100 {
+	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Refused || !errors.Is(r.Err, errFull) || len(e.calls) != 100 {
 		t.Errorf("%+v with %d calls in hand", r, len(e.calls))
 	}
 }
@@ -232,15 +232,15 @@
 	e := idle(t, f, testSettings(), 3)
 	c := newCall("1", "follow")
 	e.event(c)
-	x := fixture.Receive(t, f.sent, "the attempt")
-	e.send(&balancer.Action{ID: "1", Upstream: "m1", Timeout: fixture.Patience})
-	y := fixture.Receive(t, f.sent, "the copy")
+	x := testutil.Receive(t, f.sent, "the attempt")
+	e.send(&balancer.Action{ID: "1", Upstream: "m1", Timeout: testutil.Patience})
+	y := testutil.Receive(t, f.sent, "the copy")
 	y.begin <- "stream"
-	fixture.Until(t, "its beginning", func() bool { return len(e.events) == 1 })
+	testutil.Until(t, "its beginning", func() bool { return len(e.events) == 1 })
 	x.begin <- "other"
-	fixture.Until(t, "the other's", func() bool { return len(e.events) == 2 })
+	testutil.Until(t, "the other's", func() bool { return len(e.events) == 2 })
 	e.event(<-e.events)
-	if r := fixture.Receive(t, c.reply, "the result"); r.Kind != Begun || r.Answer != "stream" || !<-y.verdict {
+	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Begun || r.Answer != "stream" || !<-y.verdict {
 		t.Errorf("%+v", r)
 	}
 	e.event(<-e.events)
@@ -261,7 +261,7 @@
 	e := idle(t, f, testSettings(), 1)
 	c := newCall("1", "follow")
 	e.event(c)
-	x := fixture.Receive(t, f.sent, "the attempt")
+	x := testutil.Receive(t, f.sent, "the attempt")
 	x.begin <- "stream"
 	e.event(<-e.events)
 	e.event(gone{c})
@@ -275,10 +275,10 @@
 	f := newFake()
 	e, stop := start(t, f, 2)
 	sent := do(e, t.Context(), newCall("1", "book"))
-	x := fixture.Receive(t, f.sent, "the attempt")
+	x := testutil.Receive(t, f.sent, "the attempt")
 	x.hold = make(chan bool)
 	stop()
-	if r := fixture.Receive(t, sent, "the result"); r.Kind != Failed || !errors.Is(r.Err, errClosed) {
+	if r := testutil.Receive(t, sent, "the result"); r.Kind != Failed || !errors.Is(r.Err, errClosed) {
 		t.Errorf("what may run got %+v", r)
 	}
 	select {
@@ -287,7 +287,7 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 	close(x.hold)
-	fixture.Receive(t, e.closed, "the end")
+	testutil.Receive(t, e.closed, "the end")
 	if r := e.Do(t.Context(), newCall("2", "book")); r.Kind != Refused {
 		t.Errorf("a call after the end got %+v", r)
 	}
@@ -298,12 +298,12 @@
 func TestNewsOfAnOldWatch(t *testing.T) {
 	f := newFake()
 	e := idle(t, f, testSettings(), 1)
-	old := fixture.Receive(t, f.watches, "the first watch")
+	old := testutil.Receive(t, f.watches, "the first watch")
 	if old.seq != 7 {
 		t.Errorf("it goes on from %d", old.seq)
 	}
 	e.subscribe()
-	fixture.Receive(t, f.watches, "the second watch")
+	testutil.Receive(t, f.watches, "the second watch")
 	current, updates := e.watch, f.updates
 	old.tell(News{Kind: balancer.Failed})
 	old.tell(News{Kind: balancer.Full, Seq: 9})
@@ -321,7 +321,7 @@
 		f, set := newFake(), testSettings()
 		set.MustSubscribe = !pushed
 		e := idle(t, f, set, 2)
-		w := fixture.Receive(t, f.watches, "the watch")
+		w := testutil.Receive(t, f.watches, "the watch")
 		w.tell(News{Kind: balancer.Change, Seq: 7})
 		e.step(nil)
 		e.arrive(newCall("1", "look"))
@@ -343,7 +343,7 @@
 		e.subscribe()
 	}
 	e.event(moved{next})
-	if w := fixture.Receive(t, next.watches, "the new watch"); w.seq != OtherVersion {
+	if w := testutil.Receive(t, next.watches, "the new watch"); w.seq != OtherVersion {
 		t.Errorf("it goes on from %d, a version of the other", w.seq)
 	}
 }
@@ -353,11 +353,11 @@
 func TestOldSourceIsHeardUntilTheNewOneAnswers(t *testing.T) {
 	f, next := newFake(), newFake()
 	e := idle(t, f, testSettings(), 3)
-	old := fixture.Receive(t, f.watches, "the first watch")
+	old := testutil.Receive(t, f.watches, "the first watch")
 	e.event(moved{next})
 	e.event(moved{next}) // again, before it has answered
-	fixture.Receive(t, next.watches, "the new watch")
-	w := fixture.Receive(t, next.watches, "the newer watch")
+	testutil.Receive(t, next.watches, "the new watch")
+	w := testutil.Receive(t, next.watches, "the newer watch")
 	// m0 drains, m1 stays, and m2 is gone without a word.
 	leaving := fleet(1)
 	leaving[0].State = balancer.Leaving
@@ -367,7 +367,7 @@
 	if old.ctx.Err() != nil || f.members["m0"].State == balancer.Active || f.members["m2"].State == balancer.Active || f.members["new"].ID != "" || e.seq != OtherVersion {
 		t.Errorf("members %v, version %d, the old watch: %v", f.members, e.seq, old.ctx.Err())
 	}
-	x := fixture.Receive(t, f.sent, "the attempt")
+	x := testutil.Receive(t, f.sent, "the attempt")
 	if x.member != "m1" {
 		t.Errorf("sent to %s", x.member)
 	}
@@ -380,7 +380,7 @@
 	for len(next.watches) == 0 {
 		e.step(nil)
 	}
-	w = fixture.Receive(t, next.watches, "the next one")
+	w = testutil.Receive(t, next.watches, "the next one")
 	w.tell(News{Kind: balancer.Change, Seq: 3})
 	e.step(nil)
 	if old.ctx.Err() == nil || e.seq != 3 {
@@ -398,7 +398,7 @@
 func TestNewsAsideOfALostWatch(t *testing.T) {
 	f := newFake()
 	e := idle(t, f, testSettings(), 1)
-	w := fixture.Receive(t, f.watches, "the watch")
+	w := testutil.Receive(t, f.watches, "the watch")
 	w.tell(News{Kind: balancer.Failed, Seq: 7})
 	e.step(nil)
 	w.tell(News{Kind: balancer.Aside, Members: []Member{{ID: "beside", Zone: "a"}}})
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 const ms = time.Millisecond
@@ -63,13 +63,13 @@
 	e := idle(t, f, set, 3)
 	c := newCall("1", "look")
 	e.event(c)
-	x := fixture.Receive(t, f.sent, "the attempt")
-	fixture.Until(t, "the timer that starts a copy", func() bool { return len(e.timer.C) > 0 || time.Now().After(e.wake) })
+	x := testutil.Receive(t, f.sent, "the attempt")
+	testutil.Until(t, "the timer that starts a copy", func() bool { return len(e.timer.C) > 0 || time.Now().After(e.wake) })
 	e.stalls.last = time.Now().Add(-400 * ms) // it did not run since
 	x.end <- Outcome{Result: balancer.OK, Final: true, Elapsed: 10 * ms}
-	fixture.Until(t, "the outcome", func() bool { return len(e.events) > 0 })
+	testutil.Until(t, "the outcome", func() bool { return len(e.events) > 0 })
 	e.look()
-	e.stalls.settled = time.Now().Add(fixture.Patience) // however slow this machine is
+	e.stalls.settled = time.Now().Add(testutil.Patience) // however slow this machine is
 	for len(c.reply) == 0 {
 		e.step(nil)
 	}
--- a/internal/front/clientconn/conn_test.go
+++ b/internal/front/clientconn/conn_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // pair is a listener, and a client's connection to it from both sides, with a request in hand.
@@ -47,7 +47,7 @@
 		t.Error("it is gone, and has only sent")
 	}
 	client.Close()
-	fixture.Until(t, "the leaving", here.Gone)
+	testutil.Until(t, "the leaving", here.Gone)
 }
 
 // What a client sends beyond all bounds is not lost and not held: it is no longer read until the answer is begun.
@@ -83,7 +83,7 @@
 	if err != nil || !bytes.Equal(append(one[:], rest...), sent) {
 		t.Errorf("%d bytes of %d came, %v", 1+len(rest), len(sent), err)
 	}
-	if err := fixture.Receive(t, wrote, "the client's end"); err != nil {
+	if err := testutil.Receive(t, wrote, "the client's end"); err != nil {
 		t.Error(err)
 	}
 	if l.pool.Load() != sharedAhead || !here.ahead.empty() {
@@ -96,7 +96,7 @@
 	l, client, here := pair(t)
 	l.pool.Store(lent)
 	go client.Write(make([]byte, mostAhead))
-	fixture.Until(t, "the bound", func() bool {
+	testutil.Until(t, "the bound", func() bool {
 		here.Gone()
 		here.reading.Lock()
 		defer here.reading.Unlock()
--- a/internal/front/clientconn/listener_test.go
+++ b/internal/front/clientconn/listener_test.go
@@ -5,7 +5,7 @@
 	"net"
 	"testing"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // A full listener closes none on which a request has begun, read or not, as long as others wait in silence.
@@ -40,7 +40,7 @@
 				c.answered()
 			}
 			io.WriteString(clients[0], "G")
-			fixture.Until(t, "the byte", func() bool { return !conns[0].quiet() })
+			testutil.Until(t, "the byte", func() bool { return !conns[0].quiet() })
 			if read {
 				conns[0].Read(make([]byte, 10))
 			}
--- a/internal/front/graphqlfront/crossing_test.go
+++ b/internal/front/graphqlfront/crossing_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"hazelwing/internal/engine"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // serving is a front on loopback.
@@ -68,7 +68,7 @@
 	}))
 	conn := f.dial(t)
 	io.WriteString(conn, asking)
-	fixture.Receive(t, calls, "the call")
+	testutil.Receive(t, calls, "the call")
 	conn.CloseWrite()
 	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && resp.StatusCode < 500 {
 		t.Errorf("it got %s", resp.Status)
@@ -86,9 +86,9 @@
 	first, later := f.dial(t), f.dial(t)
 	io.WriteString(later, asking[:10]) // has begun
 	io.WriteString(first, asking)
-	fixture.Receive(t, calls, "the first call")
+	testutil.Receive(t, calls, "the first call")
 	f.stop()
-	fixture.Until(t, "the listener's end", func() bool {
+	testutil.Until(t, "the listener's end", func() bool {
 		c, err := net.Dial("tcp", f.addr)
 		if err == nil {
 			c.Close()
@@ -108,7 +108,7 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
-	if err := fixture.Receive(t, f.ended, "the end"); err != nil {
+	if err := testutil.Receive(t, f.ended, "the end"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/front/graphqlfront/front_test.go
+++ b/internal/front/graphqlfront/front_test.go
@@ -23,7 +23,7 @@
 	"hazelwing/internal/graphql/exec"
 	"hazelwing/internal/graphql/plan"
 	"hazelwing/internal/httpmsg"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 const sdl = `type Query { a(x: Int): Int b: Int s: Int slow: Int! }
@@ -349,14 +349,14 @@
 	send := func(words ...string) { all.Go(func() { ask(s, words...) }) }
 	const q = `{"query":"{s}"}`
 	send("X-Deadline-Ms: 30000", q)
-	fixture.Until(t, "the first", func() bool { return count() == 1 })
+	testutil.Until(t, "the first", func() bool { return count() == 1 })
 	for range 3 {
 		send("X-Deadline-Ms: 30000", q) // may find a flight that ends 0 to 50 ms before its own end
 	}
 	send("X-Deadline-Ms: 30000", "Authorization: another", q)
 	send("X-Deadline-Ms: 50000", q)
 	send("X-Deadline-Ms: 30000", `{"query":"{a}"}`)
-	fixture.Until(t, "the others", func() bool { return count() >= 4 })
+	testutil.Until(t, "the others", func() bool { return count() >= 4 })
 	close(release)
 	all.Wait()
 	if n, shared := count(), s.State().Shared; n+int(shared) != 7 || n < 4 {
@@ -365,7 +365,7 @@
 	f := flights{list: map[string]*flight{}}
 	gone, leave := context.WithCancel(t.Context())
 	hold := make(chan struct{})
-	end := time.Now().Add(fixture.Patience)
+	end := time.Now().Add(testutil.Patience)
 	here := func() bool { return false }
 	first, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) {
 		<-hold
@@ -404,12 +404,12 @@
 	for range 2 {
 		go func() { done <- ask(s, `{"query":"{a}"}`).Code }()
 	}
-	fixture.Until(t, "both", func() bool { return s.State().InHand == 2 })
+	testutil.Until(t, "both", func() bool { return s.State().InHand == 2 })
 	if w := ask(s, `{"query":"mutation{m n}"}`); w.Code != 503 || !strings.Contains(w.Body.String(), plan.Refused) {
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
 	close(release)
-	if a, b := fixture.Receive(t, done, "one"), fixture.Receive(t, done, "two"); a != 200 || b != 200 {
+	if a, b := testutil.Receive(t, done, "one"), testutil.Receive(t, done, "two"); a != 200 || b != 200 {
 		t.Error(a, b)
 	}
 }
--- a/internal/front/graphqlfront/leave_test.go
+++ b/internal/front/graphqlfront/leave_test.go
@@ -11,7 +11,7 @@
 
 	"hazelwing/internal/engine"
 	"hazelwing/internal/graphql/plan"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // leavings are the ways in which a client leaves.
@@ -41,13 +41,13 @@
 			conn := f.dial(t)
 			io.WriteString(conn, post("{a b s}"))
 			for range 3 {
-				if c := fixture.Receive(t, calls, "a part"); c.Left() {
+				if c := testutil.Receive(t, calls, "a part"); c.Left() {
 					t.Error("it has left before it did")
 				}
 			}
 			leave(conn)
 			for range 3 {
-				if c := fixture.Receive(t, left, "the leaving"); !c.Left() {
+				if c := testutil.Receive(t, left, "the leaving"); !c.Left() {
 					t.Error("the call does not tell that its client left")
 				}
 			}
@@ -68,12 +68,12 @@
 			}))
 			conn := f.dial(t)
 			io.WriteString(conn, post(`mutation {one: n two: n}`))
-			c := fixture.Receive(t, calls, "the first mutation")
+			c := testutil.Receive(t, calls, "the first mutation")
 			leave(conn)
-			fixture.Until(t, "the leaving", c.Left)
+			testutil.Until(t, "the leaving", c.Left)
 			close(release)
 			f.stop()
-			if err := fixture.Receive(t, f.ended, "the front's end"); err != nil {
+			if err := testutil.Receive(t, f.ended, "the front's end"); err != nil {
 				t.Error(err)
 			}
 			if len(calls) > 0 {
@@ -95,16 +95,16 @@
 	}), &s)
 	first, second := f.dial(t), f.dial(t)
 	io.WriteString(first, post("{s}"))
-	c := fixture.Receive(t, calls, "the part")
+	c := testutil.Receive(t, calls, "the part")
 	io.WriteString(second, strings.Replace(post("{s}"), "Host: h", "Host: h\r\nX-Deadline-Ms: 30000", 1)) // not longer than the first
-	fixture.Until(t, "the second to share it", func() bool { return s.State().Shared == 1 })
+	testutil.Until(t, "the second to share it", func() bool { return s.State().Shared == 1 })
 	first.Close()
-	fixture.Until(t, "the first one's end", func() bool { return s.flights.waiting() == 1 })
+	testutil.Until(t, "the first one's end", func() bool { return s.flights.waiting() == 1 })
 	if len(left) > 0 || c.Left() {
 		t.Error("it ended with the first")
 	}
 	second.Close()
-	if fixture.Receive(t, left, "the leaving") != c || !c.Left() {
+	if testutil.Receive(t, left, "the leaving") != c || !c.Left() {
 		t.Error("the call does not tell that all have left")
 	}
 	if len(calls) > 0 {
@@ -127,7 +127,7 @@
 // Who joins in the instant in which all others have left does not take over their end: he asks anew.
 func TestJoiningWhatEndsForNobody(t *testing.T) {
 	f := flights{list: map[string]*flight{}}
-	end := time.Now().Add(fixture.Patience)
+	end := time.Now().Add(testutil.Patience)
 	here, gone := func() bool { return false }, func() bool { return true }
 	looked, let := make(chan bool), make(chan bool)
 	_, _ = f.join("k", end, gone, func(_ context.Context, left func() bool) (plan.Outcome, bool) {
--- a/internal/front/httpfront/crossing_test.go
+++ b/internal/front/httpfront/crossing_test.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/engine"
 	"hazelwing/internal/front/clientconn"
 	"hazelwing/internal/httpmsg"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // Where two events cross at the client's side: docs/design/crossings.md has the table. Each test brings the bad order about by
@@ -62,9 +62,9 @@
 					method, body = "POST", "seat"
 				}
 				d.request(t, method, class, "1", body).Write(conn)
-				c := fixture.Receive(t, d.calls, "the call")
+				c := testutil.Receive(t, d.calls, "the call")
 				leave(t, conn)
-				if fixture.Receive(t, d.left, "the leaving") != c || !c.Left() {
+				if testutil.Receive(t, d.left, "the leaving") != c || !c.Left() {
 					t.Error("the call does not tell that its client left")
 				}
 			})
@@ -78,12 +78,12 @@
 	conn := d.dial(t)
 	r := bufio.NewReader(conn)
 	d.request(t, "GET", "look", "1", "").Write(conn)
-	fixture.Receive(t, d.calls, "the first call")
+	testutil.Receive(t, d.calls, "the first call")
 	d.request(t, "POST", "book", "2", "seat").Write(conn)
 	d.request(t, "GET", "look", "3", "").Write(conn)
 	for i := range 3 {
 		if i > 0 {
-			fixture.Receive(t, d.calls, "the next call")
+			testutil.Receive(t, d.calls, "the next call")
 		}
 		d.answer <- served("ok")
 		resp, err := http.ReadResponse(r, nil)
@@ -102,9 +102,9 @@
 	d := startDeaf(t)
 	conn := d.dial(t).(*net.TCPConn)
 	d.request(t, "POST", "book", "1", "seat").Write(conn)
-	fixture.Receive(t, d.calls, "the call")
+	testutil.Receive(t, d.calls, "the call")
 	conn.CloseWrite()
-	fixture.Receive(t, d.left, "the leaving")
+	testutil.Receive(t, d.left, "the leaving")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 		} else {
 			io.Copy(io.Discard, resp.Body)
 		}
-		fixture.Receive(t, heard, "the call")
+		testutil.Receive(t, heard, "the call")
 		return b
 	}
 	idle, busy := r.dial(t), r.dial(t)
@@ -169,7 +169,7 @@
 			go func() { ended <- s.Serve(ctx, l, 100, slog.New(slog.DiscardHandler)) }()
 			first, second := r.dial(t), r.dial(t)
 			r.request(t, "GET", "look", "1", "").Write(first)
-			fixture.Receive(t, calls, "the call")
+			testutil.Receive(t, calls, "the call")
 			io.WriteString(second, "GET") // keeps its connection open
 			stop()
 			begun := time.Now()
@@ -186,7 +186,7 @@
 				}
 			}
 			second.Close()
-			if err := fixture.Receive(t, ended, "the end"); err != nil {
+			if err := testutil.Receive(t, ended, "the end"); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -21,12 +21,12 @@
 	"hazelwing/internal/front/clientconn"
 	"hazelwing/internal/httpmsg"
 	"hazelwing/internal/netpeek"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // testClasses are one of each kind.
-var testClasses = []balancer.Class{{Name: "look", Deadline: fixture.Patience}, {Name: "book", Deadline: fixture.Patience,
-	Effect: balancer.Unsafe}, {Name: "pay", Deadline: fixture.Patience, Effect: balancer.Keyed}}
+var testClasses = []balancer.Class{{Name: "look", Deadline: testutil.Patience}, {Name: "book", Deadline: testutil.Patience,
+	Effect: balancer.Unsafe}, {Name: "pay", Deadline: testutil.Patience, Effect: balancer.Keyed}}
 
 // testOpen is how long a stopping front stays open here: long enough for a slow machine to come in time.
 const testOpen = 3 * time.Second
@@ -62,7 +62,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	r := &running{url: "http://" + l.Addr().String(), stop: stop, ended: make(chan error, 1),
-		client: &http.Client{Transport: &http.Transport{}, Timeout: fixture.Patience}}
+		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
 	s := New(d, testClasses)
 	s.open = testOpen
 	s.OnFull(func() { r.full.Add(1) })
@@ -76,7 +76,7 @@
 
 func (r *running) request(t *testing.T, method, class, id, body string) *http.Request {
 	t.Helper()
-	return fixture.Request(t, r.url, method, class, id, body)
+	return testutil.Request(t, r.url, method, class, id, body)
 }
 
 // dial opens a connection of its own.
@@ -87,13 +87,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(fixture.Patience))
+	conn.SetDeadline(time.Now().Add(testutil.Patience))
 	return conn
 }
 
 func (r *running) do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	return fixture.Do(t, r.client, req)
+	return testutil.Do(t, r.client, req)
 }
 
 // deaf is a front whose engine is the test: it receives the calls, and those that left.
@@ -174,9 +174,9 @@
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		go r.client.Do(r.request(t, method, class, "1", body).WithContext(ctx))
-		c := fixture.Receive(t, r.calls, "the request")
+		c := testutil.Receive(t, r.calls, "the request")
 		leave()
-		if fixture.Receive(t, r.left, "the hang-up") != c {
+		if testutil.Receive(t, r.left, "the hang-up") != c {
 			t.Errorf("%s: another call is gone", method)
 		}
 	}
@@ -206,7 +206,7 @@
 		return serves(ctx, c)
 	}), testClasses)
 	ask := func() int {
-		r := fixture.Request(t, "http://x", "GET", "look", "1", "")
+		r := testutil.Request(t, "http://x", "GET", "look", "1", "")
 		r.RequestURI, r.Body = r.URL.RequestURI(), http.NoBody
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, r.WithContext(clientconn.With(t.Context(), conn)))
@@ -216,7 +216,7 @@
 		t.Errorf("there: %d, %d calls", code, calls)
 	}
 	client.Close()
-	fixture.Until(t, "the close", func() bool { return netpeek.At(conn.(*clientconn.Conn).TCPConn) == netpeek.Gone })
+	testutil.Until(t, "the close", func() bool { return netpeek.At(conn.(*clientconn.Conn).TCPConn) == netpeek.Gone })
 	if code := ask(); code != 503 || calls != 1 {
 		t.Errorf("gone: %d, %d calls", code, calls)
 	}
@@ -230,7 +230,7 @@
 	req.AddCookie(&http.Cookie{Name: "user", Value: "u1"})
 	before := time.Now()
 	go r.client.Do(req)
-	c := fixture.Receive(t, r.calls, "the request")
+	c := testutil.Receive(t, r.calls, "the request")
 	m := c.Payload.(*httpmsg.Request)
 	if c.ID != "77" || c.Class != "pay" || c.Tenant != "acme" || c.Key != "u1" || c.Hint != 1500500*time.Nanosecond ||
 		string(m.Body) != "card" || m.URI != "/pay/a%2Fb?q=1" || c.Expires.Sub(before) < 15*time.Second {
@@ -336,7 +336,7 @@
 		body, _ := io.ReadAll(resp.Body)
 		slow <- string(body)
 	}()
-	fixture.Receive(t, came, "the slow request")
+	testutil.Receive(t, came, "the slow request")
 	ask := func(conn net.Conn, id string) error {
 		r.request(t, "GET", "look", id, "").Write(conn)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -371,7 +371,7 @@
 		t.Error("nothing told that the bound was reached")
 	}
 	answer()
-	if got := fixture.Receive(t, slow, "the slow answer"); got != "ok" {
+	if got := testutil.Receive(t, slow, "the slow answer"); got != "ok" {
 		t.Errorf("the open request got %q", got)
 	}
 }
@@ -414,7 +414,7 @@
 		body, _ := io.ReadAll(resp.Body)
 		slow <- string(body)
 	}()
-	fixture.Receive(t, waits, "the slow request")
+	testutil.Receive(t, waits, "the slow request")
 	r.stop()
 	ask := func(n int) bool {
 		resp, err := r.client.Do(r.request(t, "GET", "look", fmt.Sprint("late", n), ""))
@@ -431,13 +431,13 @@
 	time.Sleep(testOpen/3 - time.Since(begun)) // and a new one after a pause
 	ask(n + 1)
 	answer()
-	if got := fixture.Receive(t, slow, "the slow answer"); got != "ok" {
+	if got := testutil.Receive(t, slow, "the slow answer"); got != "ok" {
 		t.Errorf("the request in hand got %q", got)
 	}
-	if err := fixture.Receive(t, r.ended, "the end"); err != nil {
+	if err := testutil.Receive(t, r.ended, "the end"); err != nil {
 		t.Error(err)
 	}
-	if _, err := net.DialTimeout("tcp", strings.TrimPrefix(r.url, "http://"), fixture.Patience); err == nil {
+	if _, err := net.DialTimeout("tcp", strings.TrimPrefix(r.url, "http://"), testutil.Patience); err == nil {
 		t.Error("still listening")
 	}
 }
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/standin/gqlnode"
+	"hazelwing/internal/emulator/gqlnode"
 )
 
 var classes = []balancer.Class{
--- a/internal/ledger/fuzz_test.go
+++ b/internal/idempotency/fuzz_test.go
@@ -1,4 +1,4 @@
-package ledger
+package idempotency
 
 import (
 	"fmt"
--- a/internal/ledger/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger decides what the record of effects allows: which requests may already have run, where, and since when,
+// Package idempotency decides what the record of effects allows: which requests may already have run, where, and since when,
 // so that no client's repeat under a new id, and no restart of the program, brings an effect about twice.
 //
 // It does no I/O and reads no clock. What puts it on a disk and between a front, the engine and a transport is package
@@ -21,7 +21,7 @@
 //     no longer than the clocks say where it forbids.
 //
 // A Ledger is not safe for concurrent use.
-package ledger
+package idempotency
 
 import (
 	"cmp"
--- a/internal/ledger/guard/clocks.go
+++ b/internal/idempotency/middleware/clocks.go
@@ -1,10 +1,10 @@
-package guard
+package middleware
 
 import (
 	"fmt"
 	"time"
 
-	"hazelwing/internal/ledger"
+	"hazelwing/internal/idempotency"
 )
 
 var (
@@ -14,6 +14,6 @@
 
 // processClocks are for machines that have no clock which counts on over restarts of the program: each process is a run
 // of the machine of its own.
-func processClocks() ledger.Reading {
-	return ledger.Reading{Boot: processName, Up: time.Since(processBegan), Wall: time.Now()}
+func processClocks() idempotency.Reading {
+	return idempotency.Reading{Boot: processName, Up: time.Since(processBegan), Wall: time.Now()}
 }
--- a/internal/ledger/guard/clocks_linux.go
+++ b/internal/idempotency/middleware/clocks_linux.go
@@ -1,4 +1,4 @@
-package guard
+package middleware
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hazelwing/internal/ledger"
+	"hazelwing/internal/idempotency"
 )
 
 var bootID = sync.OnceValue(func() string {
@@ -18,10 +18,10 @@
 
 // Clocks reads the machine's: the boot clock counts on over restarts of the program and through sleep, and nobody sets it
 // (clock_gettime(2), proc_sys_kernel(5)). A machine without a boot id is another one at each start.
-func Clocks() ledger.Reading {
+func Clocks() idempotency.Reading {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil || bootID() == "" {
 		return processClocks()
 	}
-	return ledger.Reading{Boot: bootID(), Up: time.Duration(t.Nano()), Wall: time.Now()}
+	return idempotency.Reading{Boot: bootID(), Up: time.Duration(t.Nano()), Wall: time.Now()}
 }
--- a/internal/ledger/guard/guard.go
+++ b/internal/idempotency/middleware/guard.go
@@ -1,8 +1,8 @@
-// Package guard puts the ledger of effects between a front, the engine and a transport, and on a disk: as a Doer before
+// Package middleware puts the ledger of effects between a front, the engine and a transport, and on a disk: as a Doer before
 // the engine it fails what may have run already, as a Transport behind it it holds each attempt of an unsafe or keyed
 // call back until its intent is durable. Safe calls pass it untouched, and the engine's loop never waits for the disk:
 // an attempt waits in a goroutine of its own, within its own time.
-package guard
+package middleware
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"hazelwing/balancer"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/ledger"
+	"hazelwing/internal/idempotency"
 	"hazelwing/internal/store"
 )
 
@@ -48,7 +48,7 @@
 	RetryIn time.Duration
 	FS      store.FS      // nil where Durability is Off
 	Store   store.Options // SyncEvery counts for Batch only; Now is the Guard's
-	Clocks  func() ledger.Reading
+	Clocks  func() idempotency.Reading
 	Log     *slog.Logger
 }
 
@@ -78,16 +78,16 @@
 	effects map[string]balancer.Effect
 	groups  map[string]balancer.Group
 	store   *store.Store // nil where nothing is written
-	line    ledger.Line
+	line    idempotency.Line
 
 	mu      sync.Mutex
-	ledger  *ledger.Ledger
+	ledger  *idempotency.Ledger
 	trouble error     // why the last write failed; nil: it did not
 	since   time.Time // when trouble began
 	until   time.Time // no further write before
 	count   counters
 	waits   waits
-	writing map[ledger.Fingerprint]chan struct{} // writes under way, each closed at its end
+	writing map[idempotency.Fingerprint]chan struct{} // writes under way, each closed at its end
 	writers sync.WaitGroup
 }
 
@@ -99,13 +99,13 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	g := &Guard{cfg: c, effects: map[string]balancer.Effect{}, groups: map[string]balancer.Group{},
-		writing: map[ledger.Fingerprint]chan struct{}{},
-		ledger:  ledger.New(ledger.Config{Classes: c.Classes, Remember: c.Remember, MaxEntries: c.MaxEntries})}
+		writing: map[idempotency.Fingerprint]chan struct{}{},
+		ledger:  idempotency.New(idempotency.Config{Classes: c.Classes, Remember: c.Remember, MaxEntries: c.MaxEntries})}
 	for _, k := range c.Classes {
 		g.effects[k.Name], g.groups[k.Name] = k.Effect, k.Group
 	}
 	if c.Durability == Off {
-		g.line = ledger.Resume(ledger.Saved{}, 0, c.Clocks())
+		g.line = idempotency.Resume(idempotency.Saved{}, 0, c.Clocks())
 		return g, nil
 	}
 	o := c.Store
@@ -127,14 +127,14 @@
 
 // load takes up what an earlier life has left.
 func (g *Guard) load() error {
-	records := map[ledger.Fingerprint]ledger.Record{}
-	var saved ledger.Saved
-	var last ledger.Time
+	records := map[idempotency.Fingerprint]idempotency.Record{}
+	var saved idempotency.Saved
+	var last idempotency.Time
 	odd := 0
 	err := g.store.Each(func(key string, value []byte, _ time.Time) bool {
 		if key == clockKey {
 			var err error
-			if saved, err = ledger.ParseSaved(value); err != nil {
+			if saved, err = idempotency.ParseSaved(value); err != nil {
 				g.cfg.Log.Error("ledger: the line of time", "err", err)
 			}
 			return true
@@ -154,7 +154,7 @@
 	if odd > 0 {
 		g.cfg.Log.Error("ledger: records that cannot be read were left out", "count", odd)
 	}
-	g.line = ledger.Resume(saved, last, g.cfg.Clocks())
+	g.line = idempotency.Resume(saved, last, g.cfg.Clocks())
 	if g.line.Saved != saved {
 		if err := g.store.Put(clockKey, g.line.Append(nil), time.UnixMilli(int64(g.line.At)).Add(keepFor)); err != nil {
 			return fmt.Errorf("ledger: %w", err)
@@ -170,7 +170,7 @@
 	return nil
 }
 
-func (g *Guard) now() ledger.Now { return g.line.Now(g.cfg.Clocks().Up) }
+func (g *Guard) now() idempotency.Now { return g.line.Now(g.cfg.Clocks().Up) }
 
 // Close writes what is left, and lets the store go.
 func (g *Guard) Close() error {
@@ -181,12 +181,12 @@
 	return g.store.Close()
 }
 
-func fingerprint(c *engine.Call) ledger.Fingerprint {
+func fingerprint(c *engine.Call) idempotency.Fingerprint {
 	identity := c.Identity
 	if identity == "" {
 		identity = c.ID
 	}
-	return ledger.FingerprintOf(c.Class, c.Tenant, identity)
+	return idempotency.FingerprintOf(c.Class, c.Tenant, identity)
 }
 
 // Doer takes calls; the engine is one.
@@ -222,12 +222,12 @@
 	return r
 }
 
-func (g *Guard) arrive(fp ledger.Fingerprint, c *engine.Call) (engine.Result, bool) {
+func (g *Guard) arrive(fp idempotency.Fingerprint, c *engine.Call) (engine.Result, bool) {
 	now := g.now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v, places := g.ledger.Arrive(now, fp, c.Class)
-	if v == ledger.Fail {
+	if v == idempotency.Fail {
 		g.count.failed++
 		return engine.Result{Kind: engine.Failed, Err: ErrMayHaveRun}, false
 	}
--- a/internal/ledger/guard/guard_test.go
+++ b/internal/idempotency/middleware/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package middleware
 
 import (
 	"context"
@@ -12,17 +12,17 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/emulator/faultfs"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/ledger"
-	"hazelwing/internal/standin/faultfs"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/idempotency"
 	"hazelwing/internal/store"
+	"hazelwing/internal/testutil"
 )
 
 var classes = []balancer.Class{
-	{Name: "look", Aim: fixture.Patience, Deadline: fixture.Patience},
-	{Name: "book", Aim: fixture.Patience, Deadline: fixture.Patience, Effect: balancer.Unsafe},
-	{Name: "pay", Aim: fixture.Patience, Deadline: fixture.Patience, Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 6 * time.Second},
+	{Name: "look", Aim: testutil.Patience, Deadline: testutil.Patience},
+	{Name: "book", Aim: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.Unsafe},
+	{Name: "pay", Aim: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 6 * time.Second},
 }
 
 // members are one in each of four zones.
@@ -70,10 +70,10 @@
 // machine has the clocks of one that runs on over restarts of the program.
 type machine struct {
 	mu sync.Mutex
-	r  ledger.Reading
+	r  idempotency.Reading
 }
 
-func (m *machine) read() ledger.Reading {
+func (m *machine) read() idempotency.Reading {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.r
@@ -133,7 +133,7 @@
 func (r *rig) call(class, key string) chan engine.Result {
 	r.n++
 	done := make(chan engine.Result, 1)
-	c := &engine.Call{ID: fmt.Sprint("id", r.n, "-", time.Now().UnixNano()), Class: class, Identity: key, Expires: time.Now().Add(fixture.Patience)}
+	c := &engine.Call{ID: fmt.Sprint("id", r.n, "-", time.Now().UnixNano()), Class: class, Identity: key, Expires: time.Now().Add(testutil.Patience)}
 	go func() { done <- r.do.Do(context.Background(), c) }()
 	return done
 }
@@ -143,14 +143,14 @@
 	ctx, leave := context.WithCancel(r.t.Context())
 	done = make(chan engine.Result, 1)
 	go func() {
-		done <- r.do.Do(ctx, &engine.Call{ID: "1", Class: "book", Identity: "k", Expires: time.Now().Add(fixture.Patience)})
+		done <- r.do.Do(ctx, &engine.Call{ID: "1", Class: "book", Identity: "k", Expires: time.Now().Add(testutil.Patience)})
 	}()
 	return done, leave
 }
 
 func (r *rig) want(done chan engine.Result, kind engine.Kind, what string) engine.Result {
 	r.t.Helper()
-	got := fixture.Receive(r.t, done, what)
+	got := testutil.Receive(r.t, done, what)
 	if got.Kind != kind {
 		r.t.Errorf("%s: %+v, want kind %d", what, got, kind)
 	}
@@ -159,11 +159,11 @@
 
 func (r *rig) attempt() *attempt {
 	r.t.Helper()
-	return fixture.Receive(r.t, r.wire.sent, "an attempt")
+	return testutil.Receive(r.t, r.wire.sent, "an attempt")
 }
 
 func newMachine() *machine {
-	return &machine{r: ledger.Reading{Boot: "x", Up: time.Hour, Wall: time.Now()}}
+	return &machine{r: idempotency.Reading{Boot: "x", Up: time.Hour, Wall: time.Now()}}
 }
 
 // A client retries under a new id with the same key, while the old attempt is out, after it, and after a restart, in
@@ -275,10 +275,10 @@
 	r := life(t, newMachine(), fs, nil)
 	fs.Set(func(f *faultfs.FS) { f.SyncTime = 200 * time.Millisecond })
 	done, leave := r.leaver()
-	fixture.Until(t, "its intent", func() bool { return r.g.State().Open == 1 })
+	testutil.Until(t, "its intent", func() bool { return r.g.State().Open == 1 })
 	leave()
 	r.want(done, engine.Left, "the one that left")
-	fixture.Until(t, "its end", func() bool { s := r.g.State(); return s.Open == 0 && s.Remembered == 0 })
+	testutil.Until(t, "its end", func() bool { s := r.g.State(); return s.Open == 0 && s.Remembered == 0 })
 	if len(r.wire.sent) > 0 {
 		t.Error("it went out")
 	}
@@ -300,14 +300,14 @@
 	r := life(t, newMachine(), fs, nil)
 	fs.Set(func(f *faultfs.FS) { f.SyncTime = 200 * time.Millisecond })
 	first := r.call("book", "first")
-	fixture.Until(t, "its intent", func() bool { return r.g.State().Open == 1 })
+	testutil.Until(t, "its intent", func() bool { return r.g.State().Open == 1 })
 	done, leave := r.leaver()
-	fixture.Until(t, "the other's intent", func() bool { return r.g.State().Open == 2 })
+	testutil.Until(t, "the other's intent", func() bool { return r.g.State().Open == 2 })
 	leave()
 	r.want(done, engine.Left, "the one that left")
 	r.attempt().answer()
 	r.want(first, engine.Served, "the first")
-	fixture.Until(t, "its end", func() bool { return r.g.State().Open == 0 })
+	testutil.Until(t, "its end", func() bool { return r.g.State().Open == 0 })
 	r.stop()
 	if list, err := Inspect(fs); err != nil || len(list) != 1 || list[0].State != "ran" {
 		t.Errorf("%+v, %v", list, err)
@@ -350,7 +350,7 @@
 					t.Errorf("%+v, %+v", s, s.Store)
 				}
 				fail(fs, false)
-				fixture.Until(t, "a durable intent", func() bool {
+				testutil.Until(t, "a durable intent", func() bool {
 					done := r.call("book", fmt.Sprint("later", time.Now().UnixNano()))
 					select {
 					case a := <-r.wire.sent:
@@ -431,7 +431,7 @@
 	if _, ok := r.g.arrive(fingerprint(c), c); !ok {
 		t.Fatal("it was not let on")
 	}
-	x := &exchange{g: r.g, fp: fingerprint(c), ends: time.Now().Add(fixture.Patience), over: make(chan struct{})}
+	x := &exchange{g: r.g, fp: fingerprint(c), ends: time.Now().Add(testutil.Patience), over: make(chan struct{})}
 	x.stop()
 	if _, err := x.intend(); !errors.Is(err, errGivenUp) || r.g.State().Open != 0 {
 		t.Errorf("%v, %+v", err, r.g.State())
@@ -449,7 +449,7 @@
 
 // BenchmarkRemembered says what memory a remembered request takes, in the ledger and in the store's index:
 //
-//	go test ./internal/ledger/guard -run xxx -bench Remembered -benchtime 100000x
+//	go test ./internal/idempotency/middleware -run xxx -bench Remembered -benchtime 100000x
 func BenchmarkRemembered(b *testing.B) {
 	g, err := Open(Config{Classes: classes, Durability: Always, Remember: time.Hour, MaxEntries: b.N + 1, FS: must(store.Dir(b.TempDir())), Clocks: Clocks})
 	if err != nil {
--- a/internal/ledger/guard/inspect.go
+++ b/internal/idempotency/middleware/inspect.go
@@ -1,4 +1,4 @@
-package guard
+package middleware
 
 import (
 	"cmp"
@@ -8,17 +8,17 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/ledger"
+	"hazelwing/internal/idempotency"
 	"hazelwing/internal/store"
 )
 
 // parse reads an entry of the store's that is a record.
-func parse(key string, value []byte) (fp ledger.Fingerprint, r ledger.Record, ok bool) {
+func parse(key string, value []byte) (fp idempotency.Fingerprint, r idempotency.Record, ok bool) {
 	if len(key) != len(fp) {
 		return fp, r, false
 	}
 	copy(fp[:], key)
-	r, err := ledger.ParseRecord(value)
+	r, err := idempotency.ParseRecord(value)
 	return fp, r, err == nil
 }
 
@@ -48,7 +48,7 @@
 		}
 		list = append(list, Remembered{Fingerprint: fp.String(), Class: r.Class,
 			Effect: map[balancer.Effect]string{balancer.Keyed: "keyed", balancer.Unsafe: "unsafe"}[r.Effect],
-			State:  map[ledger.State]string{ledger.Open: "open", ledger.Unknown: "unknown", ledger.Ran: "ran"}[r.State],
+			State:  map[idempotency.State]string{idempotency.Open: "open", idempotency.Unknown: "unknown", idempotency.Ran: "ran"}[r.State],
 			Since:  time.UnixMilli(int64(r.Since)), Expires: time.UnixMilli(int64(r.Expires)), Where: strings.Join(where, " ")})
 	})
 	slices.SortFunc(list, func(a, b Remembered) int {
--- a/internal/ledger/guard/state.go
+++ b/internal/idempotency/middleware/state.go
@@ -1,4 +1,4 @@
-package guard
+package middleware
 
 import (
 	"slices"
--- a/internal/ledger/guard/transport.go
+++ b/internal/idempotency/middleware/transport.go
@@ -1,4 +1,4 @@
-package guard
+package middleware
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"hazelwing/balancer"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/ledger"
+	"hazelwing/internal/idempotency"
 )
 
 // Transport is next with the ledger before each attempt of a call that is not safe.
@@ -50,7 +50,7 @@
 type exchange struct {
 	engine.Exchange
 	g    *Guard
-	fp   ledger.Fingerprint
+	fp   idempotency.Fingerprint
 	zone string
 	cell int
 	ends time.Time
@@ -117,16 +117,16 @@
 
 // intend returns once the attempt may go out, or says why it never may. Without an attempt it goes out and nobody
 // remembers it.
-func (x *exchange) intend() (*ledger.Attempt, error) {
+func (x *exchange) intend() (*idempotency.Attempt, error) {
 	g := x.g
 	g.mu.Lock()
 	d, a, record := g.ledger.Intend(g.now(), x.fp, x.zone, x.cell)
 	var done chan struct{}
 	switch d {
-	case ledger.Never:
+	case idempotency.Never:
 		g.mu.Unlock()
 		return nil, errNever
-	case ledger.Full:
+	case idempotency.Full:
 		defer g.mu.Unlock()
 		g.failed(errFull)
 		if g.cfg.Trouble == Continue {
@@ -135,7 +135,7 @@
 		}
 		g.count.refused++
 		return nil, errFull
-	case ledger.Write:
+	case idempotency.Write:
 		if g.refuses() {
 			defer g.mu.Unlock()
 			g.count.refused++
@@ -144,7 +144,7 @@
 			return nil, fmt.Errorf("%w: %w", errNotDurable, g.trouble)
 		}
 		done = g.begin(x.fp, a, record)
-	case ledger.Wait:
+	case idempotency.Wait:
 		done = g.writing[x.fp]
 	}
 	g.mu.Unlock()
--- a/internal/ledger/guard/write.go
+++ b/internal/idempotency/middleware/write.go
@@ -1,16 +1,16 @@
-package guard
+package middleware
 
 import (
 	"time"
 
-	"hazelwing/internal/ledger"
+	"hazelwing/internal/idempotency"
 )
 
 // Writes to the store. Nobody who waits for one holds the lock, and one that nobody waits for any more goes on: what it
 // has written is taken back when it has ended.
 
 // begin starts to write the record of an attempt, and returns what is closed when that has ended. The lock is held.
-func (g *Guard) begin(fp ledger.Fingerprint, a *ledger.Attempt, r ledger.Record) chan struct{} {
+func (g *Guard) begin(fp idempotency.Fingerprint, a *idempotency.Attempt, r idempotency.Record) chan struct{} {
 	if g.store == nil {
 		g.ledger.Written(a, true)
 		return nil
@@ -35,10 +35,10 @@
 	return done
 }
 
-func at(t ledger.Time) time.Time { return time.UnixMilli(int64(t)).Add(slack) }
+func at(t idempotency.Time) time.Time { return time.UnixMilli(int64(t)).Add(slack) }
 
 // covered says whether an attempt may go out now that its write has ended.
-func (g *Guard) covered(a *ledger.Attempt) error {
+func (g *Guard) covered(a *idempotency.Attempt) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.ledger.Covered(a) {
@@ -53,7 +53,7 @@
 }
 
 // giveUp says that an attempt never went out, once its write has ended: before, a delete could come before the put.
-func (g *Guard) giveUp(fp ledger.Fingerprint, a *ledger.Attempt, done chan struct{}) {
+func (g *Guard) giveUp(fp idempotency.Fingerprint, a *idempotency.Attempt, done chan struct{}) {
 	if done == nil {
 		g.ended(fp, a, false, false)
 		return
@@ -66,7 +66,7 @@
 
 // ended tells the ledger how an attempt ended, and the store what follows from it, in one step: who intends the same
 // next writes after it.
-func (g *Guard) ended(fp ledger.Fingerprint, a *ledger.Attempt, mayHaveRun, answered bool) {
+func (g *Guard) ended(fp idempotency.Fingerprint, a *idempotency.Attempt, mayHaveRun, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.ledger.Ended(a, mayHaveRun, answered)
@@ -75,9 +75,9 @@
 	}
 	ok := true
 	switch c.Kind {
-	case ledger.Close:
+	case idempotency.Close:
 		ok = g.store.PutLater(string(fp[:]), c.Record.Append(nil), at(c.Record.Expires))
-	case ledger.Remove:
+	case idempotency.Remove:
 		ok = g.store.DeleteLater(string(fp[:]))
 	}
 	if !ok { // it stays open on the disk: that forbids more than it has to, and no less
--- a/internal/bound/bound.go
+++ b/internal/limits/bound.go
@@ -1,6 +1,6 @@
-// Package bound counts how often each of a process's stated bounds is reached, and says when that is worth a line in the log:
+// Package limits counts how often each of a process's stated bounds is reached, and says when that is worth a line in the log:
 // which, since when, how often. It decides without I/O and without a clock; Set, in set.go, puts a log and the time beside it.
-package bound
+package limits
 
 import (
 	"fmt"
--- a/internal/bound/set.go
+++ b/internal/limits/set.go
@@ -1,4 +1,4 @@
-package bound
+package limits
 
 import (
 	"log/slog"
--- a/internal/load/grpcload/grpcload_test.go
+++ b/internal/load/grpcload/grpcload_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"hazelwing/internal/load"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // Each way that a call can end has its kind, and the metadata and the body arrive.
@@ -65,14 +65,14 @@
 		if c.trailer != "" {
 			trailer = metadata.Pairs(c.trailer, "1")
 		}
-		patience := fixture.Patience
+		patience := testutil.Patience
 		if c.want == load.Late {
 			patience = 50 * time.Millisecond
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), patience)
 		got := target.Send(ctx, "r1", load.Shot{Class: "pay", Effect: "keyed", Work: 1500 * time.Microsecond})
 		cancel()
-		s := fixture.Receive(t, calls, "the call")
+		s := testutil.Receive(t, calls, "the call")
 		if got != c.want || s.body != "r1" || s.md.Get(Key)[0] != "kr1" || s.md.Get(Class)[0] != "pay" || s.md.Get(Extra)[0] != "work=1500" || s.md.Get(ID)[0] != "r1" {
 			t.Errorf("%v: %v, want %v; %v", c.err, got, c.want, s)
 		}
@@ -82,12 +82,12 @@
 			t.Errorf("taken: %q", bad)
 		}
 	}
-	none, err := Dial("grpc://"+fixture.NoAddr+"/a.B/C", []byte{1})
+	none, err := Dial("grpc://"+testutil.NoAddr+"/a.B/C", []byte{1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer none.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), fixture.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
 	defer cancel()
 	if got := none.Send(ctx, "r", load.Shot{}); got != load.Broken {
 		t.Errorf("no server: %v", got)
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -4,7 +4,7 @@
 	"net"
 	"testing"
 
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // Each state is told, also while somebody waits to read, and nothing is taken.
@@ -35,9 +35,9 @@
 		t.Error("not silent")
 	}
 	there.Write([]byte("xy"))
-	fixture.Until(t, "what was written", func() bool { return At(here) == Spoke })
+	testutil.Until(t, "what was written", func() bool { return At(here) == Spoke })
 	close(first)
-	if b := fixture.Receive(t, read, "a byte"); b != 'x' || At(here) != Spoke {
+	if b := testutil.Receive(t, read, "a byte"); b != 'x' || At(here) != Spoke {
 		t.Errorf("%c was read", b)
 	}
 	var rest [1]byte
@@ -47,7 +47,7 @@
 		t.Error("not silent while somebody waits")
 	}
 	there.Close()
-	fixture.Until(t, "the close", func() bool { return At(here) == Gone })
+	testutil.Until(t, "the close", func() bool { return At(here) == Gone })
 	one, _ := net.Pipe()
 	if At(one) != Gone {
 		t.Error("what has no descriptor")
@@ -86,11 +86,11 @@
 			defer here.Close()
 			there.Write([]byte(c.text))
 			if c.text != "" {
-				fixture.Until(t, "the text", func() bool { return At(here) == Spoke })
+				testutil.Until(t, "the text", func() bool { return At(here) == Spoke })
 			}
 			c.end(there.(*net.TCPConn))
 			if c.close {
-				fixture.Until(t, "the close", func() bool { return Closed(here) })
+				testutil.Until(t, "the close", func() bool { return Closed(here) })
 			} else if Closed(here) {
 				t.Error("closed")
 			}
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -6,16 +6,16 @@
 	"slices"
 	"time"
 
-	"hazelwing/internal/strict"
+	"hazelwing/internal/strictdecode"
 )
 
 // Distribution is [config]: what can change while running comes from the origins, by way of the fleet.
 type Distribution struct {
-	Origins []string        `toml:"origins"`
-	Dir     string          `toml:"dir"`
-	Wait    strict.Duration `toml:"wait"`
-	Ask     int64           `toml:"ask"`
-	Fan     int64           `toml:"fan"`
+	Origins []string              `toml:"origins"`
+	Dir     string                `toml:"dir"`
+	Wait    strictdecode.Duration `toml:"wait"`
+	Ask     int64                 `toml:"ask"`
+	Fan     int64                 `toml:"fan"`
 }
 
 // mostOrigins are as many as a quorum of them is asked in reasonable time; docs/design/controlplane.md.
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -10,8 +10,8 @@
 
 	"go4.org/netipx"
 
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/strictdecode"
 )
 
 // Fleet is the view of the other sidecars.
@@ -23,19 +23,19 @@
 	SeedsFile string   `toml:"seeds_file"`
 	Networks  []string `toml:"networks"`
 
-	Probe     strict.Duration `toml:"probe"`
-	Timeout   strict.Duration `toml:"timeout"`
-	Gossip    strict.Duration `toml:"gossip"`
-	Sync      strict.Duration `toml:"sync"`
-	Retry     strict.Duration `toml:"retry"`
-	Forget    strict.Duration `toml:"forget"`
-	KeepWords strict.Duration `toml:"keep_words"`
-	Indirect  int64           `toml:"indirect"`
-	Suspicion float64         `toml:"suspicion"`
-	Most      int64           `toml:"most"`
-	NoWords   bool            `toml:"no_words"`
-	NoCount   bool            `toml:"no_count"`
-	Translate []Translate     `toml:"translate"`
+	Probe     strictdecode.Duration `toml:"probe"`
+	Timeout   strictdecode.Duration `toml:"timeout"`
+	Gossip    strictdecode.Duration `toml:"gossip"`
+	Sync      strictdecode.Duration `toml:"sync"`
+	Retry     strictdecode.Duration `toml:"retry"`
+	Forget    strictdecode.Duration `toml:"forget"`
+	KeepWords strictdecode.Duration `toml:"keep_words"`
+	Indirect  int64                 `toml:"indirect"`
+	Suspicion float64               `toml:"suspicion"`
+	Most      int64                 `toml:"most"`
+	NoWords   bool                  `toml:"no_words"`
+	NoCount   bool                  `toml:"no_count"`
+	Translate []Translate           `toml:"translate"`
 
 	// What check makes of the texts.
 	Self    netip.AddrPort   `toml:"-"`
@@ -59,8 +59,8 @@
 
 // check fills in the defaults and tells what cannot be used.
 func (f *Fleet) check(fault func(key, format string, args ...any)) {
-	if f.Name == "" || len(f.Name) > fleet.MostFleet {
-		fault("fleet.name", "a name of 1 to %d bytes is wanted: sidecars of another fleet are not listened to", fleet.MostFleet)
+	if f.Name == "" || len(f.Name) > cluster.MostFleet {
+		fault("fleet.name", "a name of 1 to %d bytes is wanted: sidecars of another fleet are not listened to", cluster.MostFleet)
 	}
 	address := func(key, text string, port bool) netip.AddrPort {
 		at, err := netip.ParseAddrPort(text)
--- a/internal/operator/graphql.go
+++ b/internal/operator/graphql.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"hazelwing/internal/strict"
+	"hazelwing/internal/strictdecode"
 )
 
 // GraphQL is a listener for GraphQL over HTTP.
@@ -16,7 +16,7 @@
 	Path        string                  `toml:"path"`
 	NodePath    string                  `toml:"node_path"`
 	Schema      string                  `toml:"schema"` // a file
-	Deadline    strict.Duration         `toml:"deadline"`
+	Deadline    strictdecode.Duration   `toml:"deadline"`
 	Connections int64                   `toml:"connections"`
 	MaxBody     Size                    `toml:"max_body"`
 	MaxBatch    int64                   `toml:"max_batch"`
@@ -38,12 +38,12 @@
 
 // GraphQLField says how a root field travels.
 type GraphQLField struct {
-	Class    string          `toml:"class"`
-	Key      string          `toml:"key"`
-	Cost     int64           `toml:"cost"`
-	Work     strict.Duration `toml:"work"`
-	Deadline strict.Duration `toml:"deadline"`
-	Share    bool            `toml:"share"`
+	Class    string                `toml:"class"`
+	Key      string                `toml:"key"`
+	Cost     int64                 `toml:"cost"`
+	Work     strictdecode.Duration `toml:"work"`
+	Deadline strictdecode.Duration `toml:"deadline"`
+	Share    bool                  `toml:"share"`
 }
 
 // check fills in the defaults and tells what cannot be used. What the schema has to say is not looked at here.
--- a/internal/operator/members.go
+++ b/internal/operator/members.go
@@ -5,32 +5,32 @@
 	"strings"
 	"time"
 
-	"hazelwing/internal/strict"
+	"hazelwing/internal/strictdecode"
 )
 
 // Members are sources of members beside the platform's discovery.
 type Members struct {
-	Settle strict.Duration `toml:"settle"`
-	Forget strict.Duration `toml:"forget"`
-	Share  float64         `toml:"share"`
-	Window strict.Duration `toml:"window"`
-	Most   int64           `toml:"most"`
-	SRV    *SRV            `toml:"srv"`
+	Settle strictdecode.Duration `toml:"settle"`
+	Forget strictdecode.Duration `toml:"forget"`
+	Share  float64               `toml:"share"`
+	Window strictdecode.Duration `toml:"window"`
+	Most   int64                 `toml:"most"`
+	SRV    *SRV                  `toml:"srv"`
 }
 
 // SRV is a service's name that is looked up.
 type SRV struct {
-	Name    string          `toml:"name"`
-	Servers []string        `toml:"servers"`
-	Tries   int64           `toml:"tries"`
-	Timeout strict.Duration `toml:"timeout"`
-	MinTTL  strict.Duration `toml:"min_ttl"`
-	MaxTTL  strict.Duration `toml:"max_ttl"`
-	Stale   strict.Duration `toml:"stale"`
-	Keep    strict.Duration `toml:"keep"`
-	Spread  strict.Duration `toml:"spread"`
-	Within  string          `toml:"within"`
-	Private bool            `toml:"private"` // loopback, link-local and other addresses that no name service should give are taken
+	Name    string                `toml:"name"`
+	Servers []string              `toml:"servers"`
+	Tries   int64                 `toml:"tries"`
+	Timeout strictdecode.Duration `toml:"timeout"`
+	MinTTL  strictdecode.Duration `toml:"min_ttl"`
+	MaxTTL  strictdecode.Duration `toml:"max_ttl"`
+	Stale   strictdecode.Duration `toml:"stale"`
+	Keep    strictdecode.Duration `toml:"keep"`
+	Spread  strictdecode.Duration `toml:"spread"`
+	Within  string                `toml:"within"`
+	Private bool                  `toml:"private"` // loopback, link-local and other addresses that no name service should give are taken
 }
 
 // DefaultMembers are the bounds of the merge where the file has no [members] and another table needs it.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -16,8 +16,8 @@
 	"strings"
 	"time"
 
-	"hazelwing/internal/ledger/guard"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/idempotency/middleware"
+	"hazelwing/internal/strictdecode"
 )
 
 // Config is what the file says; nil tables are off.
@@ -31,7 +31,7 @@
 	Config   *Distribution `toml:"config"`
 
 	path  string
-	where strict.Where
+	where strictdecode.Where
 }
 
 // At is where a key stands in the file, or its table: "FILE:LINE:COLUMN".
@@ -42,14 +42,14 @@
 
 // Ledger is the ledger of effects.
 type Ledger struct {
-	Dir         string           `toml:"dir"`
-	Durable     guard.Durability `toml:"durable"`
-	SyncEvery   strict.Duration  `toml:"sync_every"`
-	OnFailure   guard.Trouble    `toml:"on_failure"`
-	Remember    strict.Duration  `toml:"remember"`
-	MaxEntries  int64            `toml:"max_entries"`
-	SegmentSize Size             `toml:"segment_size"`
-	MaxSize     Size             `toml:"max_size"`
+	Dir         string                `toml:"dir"`
+	Durable     middleware.Durability `toml:"durable"`
+	SyncEvery   strictdecode.Duration `toml:"sync_every"`
+	OnFailure   middleware.Trouble    `toml:"on_failure"`
+	Remember    strictdecode.Duration `toml:"remember"`
+	MaxEntries  int64                 `toml:"max_entries"`
+	SegmentSize Size                  `toml:"segment_size"`
+	MaxSize     Size                  `toml:"max_size"`
 }
 
 // Admin is the endpoint for operators.
@@ -125,17 +125,17 @@
 func Parse(text []byte) (*Config, error) {
 	c := new(Config)
 	var all []error
-	for _, f := range strict.Decode(text, c) {
+	for _, f := range strictdecode.Decode(text, c) {
 		all = append(all, f)
 	}
 	if len(all) > 0 {
 		return nil, errors.Join(all...)
 	}
-	where := strict.Places(text)
+	where := strictdecode.Places(text)
 	c.where = where
 	c.check(func(key, format string, args ...any) {
 		at := where.At(key)
-		all = append(all, strict.Fault{Line: at.Line, Column: at.Column, Text: key + ": " + fmt.Sprintf(format, args...)})
+		all = append(all, strictdecode.Fault{Line: at.Line, Column: at.Column, Text: key + ": " + fmt.Sprintf(format, args...)})
 	})
 	if len(all) > 0 {
 		return nil, errors.Join(all...)
@@ -181,8 +181,8 @@
 }
 
 // bounded sets a duration's default, and tells where it is not within its bounds.
-func bounded(fault func(key, format string, args ...any), key string, d *strict.Duration, to, least, most time.Duration) {
-	*d = cmp.Or(*d, strict.Duration(to))
+func bounded(fault func(key, format string, args ...any), key string, d *strictdecode.Duration, to, least, most time.Duration) {
+	*d = cmp.Or(*d, strictdecode.Duration(to))
 	if x := time.Duration(*d); x < least || x > most {
 		fault(key, "%v is not from %v to %v", x, least, most)
 	}
@@ -203,25 +203,25 @@
 	}
 	switch l.Durable {
 	case "":
-		l.Durable = guard.Always
-	case guard.Always, guard.Batch, guard.Off:
+		l.Durable = middleware.Always
+	case middleware.Always, middleware.Batch, middleware.Off:
 	default:
 		fault("ledger.durable", "%q is not \"always\", \"batch\" or \"off\"", l.Durable)
 	}
 	switch l.OnFailure {
 	case "":
-		l.OnFailure = guard.Refuse
-	case guard.Refuse, guard.Continue:
+		l.OnFailure = middleware.Refuse
+	case middleware.Refuse, middleware.Continue:
 	default:
 		fault("ledger.on_failure", "%q is not \"refuse\" or \"continue\"", l.OnFailure)
 	}
 	switch {
-	case l.Durable == guard.Off && l.Dir != "":
+	case l.Durable == middleware.Off && l.Dir != "":
 		fault("ledger.dir", "is of no use where durable is \"off\"")
-	case l.Durable != guard.Off && !filepath.IsAbs(l.Dir):
+	case l.Durable != middleware.Off && !filepath.IsAbs(l.Dir):
 		fault("ledger.dir", "%q is no absolute path", l.Dir)
 	}
-	if l.SyncEvery != 0 && l.Durable != guard.Batch {
+	if l.SyncEvery != 0 && l.Durable != middleware.Batch {
 		fault("ledger.sync_every", "goes with durable = \"batch\"")
 	}
 	if l.SegmentSize == 0 {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/ledger/guard"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/idempotency/middleware"
+	"hazelwing/internal/strictdecode"
 )
 
 func TestParse(t *testing.T) {
@@ -16,13 +16,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Ledger{Dir: "/var/lib/x", Durable: guard.Batch, SyncEvery: strict.Duration(20 * time.Millisecond), OnFailure: guard.Refuse,
-		Remember: strict.Duration(2 * time.Minute), MaxEntries: 100_000, SegmentSize: 4 << 20, MaxSize: 1 << 30}
+	want := Ledger{Dir: "/var/lib/x", Durable: middleware.Batch, SyncEvery: strictdecode.Duration(20 * time.Millisecond), OnFailure: middleware.Refuse,
+		Remember: strictdecode.Duration(2 * time.Minute), MaxEntries: 100_000, SegmentSize: 4 << 20, MaxSize: 1 << 30}
 	if *c.Ledger != want || c.Admin.Listen != "[::1]:9180" {
 		t.Errorf("%+v, %+v", c.Ledger, c.Admin)
 	}
 	c, err = Parse([]byte("[graphql]\nlisten = \"127.0.0.1:1\"\nschema = \"/s\"\n[graphql.field.\"Query.x\"]\nclass = \"c\"\nwork = \"2ms\"\n"))
-	if err != nil || c.GraphQL.Path != "/graphql" || c.GraphQL.MaxDepth != 15 || c.GraphQL.Field["Query.x"] != (GraphQLField{Class: "c", Work: strict.Duration(2 * time.Millisecond)}) ||
+	if err != nil || c.GraphQL.Path != "/graphql" || c.GraphQL.MaxDepth != 15 || c.GraphQL.Field["Query.x"] != (GraphQLField{Class: "c", Work: strictdecode.Duration(2 * time.Millisecond)}) ||
 		c.At("graphql.field.Query.x") != ":4:2" {
 		t.Errorf("%+v, %s, %v", c.GraphQL, c.At("graphql.field.Query.x"), err)
 	}
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -12,21 +12,21 @@
 
 	"go4.org/netipx"
 
+	"hazelwing/internal/cluster"
 	"hazelwing/internal/controlplane"
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/strictdecode"
 )
 
 // Origin is the file of one of the machines set aside.
 type Origin struct {
-	Name     string          `toml:"name"`
-	Listen   string          `toml:"listen"`
-	Dir      string          `toml:"dir"`
-	Fleet    string          `toml:"fleet"`
-	Epoch    int64           `toml:"epoch"`
-	Peers    []OriginPeer    `toml:"peers"`
-	Networks []string        `toml:"networks"`
-	Tick     strict.Duration `toml:"tick"`
+	Name     string                `toml:"name"`
+	Listen   string                `toml:"listen"`
+	Dir      string                `toml:"dir"`
+	Fleet    string                `toml:"fleet"`
+	Epoch    int64                 `toml:"epoch"`
+	Peers    []OriginPeer          `toml:"peers"`
+	Networks []string              `toml:"networks"`
+	Tick     strictdecode.Duration `toml:"tick"`
 
 	// What check makes of the texts.
 	Allowed *netipx.IPSet     `toml:"-"`
@@ -47,12 +47,12 @@
 		return nil, fmt.Errorf("origin's file: %w", err)
 	}
 	o := new(Origin)
-	all := strict.Decode(text, o)
+	all := strictdecode.Decode(text, o)
 	if len(all) == 0 {
-		where := strict.Places(text)
+		where := strictdecode.Places(text)
 		o.check(func(key, format string, args ...any) {
 			at := where.At(key)
-			all = append(all, strict.Fault{Line: max(at.Line, 1), Column: max(at.Column, 1), Text: key + ": " + fmt.Sprintf(format, args...)})
+			all = append(all, strictdecode.Fault{Line: max(at.Line, 1), Column: max(at.Column, 1), Text: key + ": " + fmt.Sprintf(format, args...)})
 		})
 	}
 	var lines []string
@@ -75,8 +75,8 @@
 	if !filepath.IsAbs(o.Dir) {
 		fault("dir", "%q is no absolute path", o.Dir)
 	}
-	if o.Fleet == "" || len(o.Fleet) > fleet.MostFleet {
-		fault("fleet", "the fleet's name is wanted, 1 to %d bytes, as the sidecars have it", fleet.MostFleet)
+	if o.Fleet == "" || len(o.Fleet) > cluster.MostFleet {
+		fault("fleet", "the fleet's name is wanted, 1 to %d bytes, as the sidecars have it", cluster.MostFleet)
 	}
 	if o.Epoch < 1 {
 		fault("epoch", "%d: 1 or more is wanted, the same for all origins, and a higher one each time they are founded anew", o.Epoch)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"syscall"
 
-	"hazelwing/internal/membership/watch"
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/wire"
 )
 
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 func loadWith(t *testing.T, text string, more map[string]string) (*Config, error) {
@@ -26,7 +26,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	cfg, err := loadWith(t, fmt.Sprintf(fixture.Config, "127.0.0.1:2", "127.0.0.1:3"), map[string]string{"RELAY_LISTEN": "127.0.0.1:4"})
+	cfg, err := loadWith(t, fmt.Sprintf(testutil.Config, "127.0.0.1:2", "127.0.0.1:3"), map[string]string{"RELAY_LISTEN": "127.0.0.1:4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 
 // A bad configuration has to name what is wrong, in one line.
 func TestBadConfig(t *testing.T) {
-	good := fmt.Sprintf(fixture.Config, "127.0.0.1:2", "127.0.0.1:3")
+	good := fmt.Sprintf(testutil.Config, "127.0.0.1:2", "127.0.0.1:3")
 	for name, c := range map[string]struct{ old, new, want string }{
 		"not JSON":    {"{", "<", "invalid"},
 		"seed":        {"00000000000000ff", "nonsense", "seed"},
@@ -70,7 +70,7 @@
 
 // A number of sidecars that is not told, or 0, is one: nothing that large fleets do is on.
 func TestSidecarsNotTold(t *testing.T) {
-	good := fmt.Sprintf(fixture.Config, "127.0.0.1:2", "127.0.0.1:3")
+	good := fmt.Sprintf(testutil.Config, "127.0.0.1:2", "127.0.0.1:3")
 	for _, now := range []string{"", `"Balancers":0,`} {
 		cfg, err := loadWith(t, strings.Replace(good, `"Balancers":1,`, now, 1), nil)
 		if err != nil {
@@ -90,7 +90,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"RELAY_CONFIG": path, "RELAY_DISCOVERY": "127.0.0.1:9"}
 	getenv := func(name string) string { return env[name] }
-	if err := os.WriteFile(path, fmt.Appendf(nil, fixture.Config, "127.0.0.1:2", "127.0.0.1:3"), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, testutil.Config, "127.0.0.1:2", "127.0.0.1:3"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for want, load := range map[string]func(func(string) string) (*Config, error){"127.0.0.1:9": Load, "127.0.0.1:2": Reload} {
--- a/internal/lab/rival/pickers.go
+++ b/internal/simulation/baseline/pickers.go
@@ -1,4 +1,4 @@
-package rival
+package baseline
 
 import (
 	"cmp"
--- a/internal/lab/rival/rival.go
+++ b/internal/simulation/baseline/rival.go
@@ -1,10 +1,10 @@
-// Package rival holds other ways to balance, for the lab's worlds: small policies behind the interface of the real module,
+// Package baseline holds other ways to balance, for the lab's worlds: small policies behind the interface of the real module,
 // each from its published description.
 //
 // They share what every client library has: one final answer in time, the rules on repeats, no server that is not in the
 // list, and gRPC's connection backoff for those that refuse connections (gRPC's connection-backoff.md: one second, times
 // 1.6, up to 120). They differ in which server they take. None hedges or refuses by itself, none spares cold servers.
-package rival
+package baseline
 
 import (
 	"container/heap"
@@ -17,7 +17,7 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/lab/world"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // Names lists the policies that there are.
@@ -57,16 +57,16 @@
 }
 
 // New returns a policy by its name.
-func New(name string) (world.NewPolicy, error) {
+func New(name string) (simulator.NewPolicy, error) {
 	if name == Own {
-		return func(s balancer.Settings, _ int, seed uint64) (world.Policy, error) { return balancer.New(s, seed) }, nil
+		return func(s balancer.Settings, _ int, seed uint64) (simulator.Policy, error) { return balancer.New(s, seed) }, nil
 	}
 	base, budget := strings.CutSuffix(name, withBudget)
 	p, ok := pickers[base]
 	if !ok {
 		return nil, fmt.Errorf("no policy %q: there are %s", name, strings.Join(Names(), ", "))
 	}
-	return func(s balancer.Settings, instance int, seed uint64) (world.Policy, error) {
+	return func(s balancer.Settings, instance int, seed uint64) (simulator.Policy, error) {
 		r := &rival{set: s, instance: instance, rng: rand.New(rand.NewPCG(seed, 0x726976616c)), classes: map[string]balancer.Class{},
 			servers: map[string]*server{}, requests: map[string]*request{}, limited: budget}
 		for _, c := range s.Classes {
@@ -91,7 +91,7 @@
 	requests map[string]*request
 	timers   timers
 	picker   picker
-	truth    world.Truth
+	truth    simulator.Truth
 
 	limited bool
 	tokens  float64
@@ -165,7 +165,7 @@
 }
 
 // Tell is described at world.Told.
-func (b *rival) Tell(t world.Truth) { b.truth = t }
+func (b *rival) Tell(t simulator.Truth) { b.truth = t }
 
 // Handle is described at world.Policy.
 func (b *rival) Handle(now time.Duration, e balancer.Event, acts []balancer.Action) []balancer.Action {
--- a/internal/lab/rival/rival_test.go
+++ b/internal/simulation/baseline/rival_test.go
@@ -1,4 +1,4 @@
-package rival
+package baseline
 
 import (
 	"fmt"
@@ -7,21 +7,21 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/lab/world"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // trouble plays a policy through trouble of every kind, with cold servers that can be pushed over or without.
-func trouble(t *testing.T, name string, seed uint64, fall bool) *world.Result {
+func trouble(t *testing.T, name string, seed uint64, fall bool) *simulator.Result {
 	t.Helper()
 	p, err := New(name)
 	if err != nil || Source(name) == "" {
 		t.Fatal(err, Source(name))
 	}
-	cfg := world.Trouble(5, 100)
+	cfg := simulator.Trouble(5, 100)
 	if !fall {
 		cfg.Rules.FallMultiple = 0
 	}
-	r, err := world.Run(cfg, p, seed)
+	r, err := simulator.Run(cfg, p, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/callgraph/callgraph_test.go
+++ b/internal/simulation/callgraph/callgraph_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/strictdecode"
+	"hazelwing/internal/testutil"
 )
 
 func small() *Config {
-	s := func(d time.Duration) strict.Duration { return strict.Duration(d) }
+	s := func(d time.Duration) strictdecode.Duration { return strictdecode.Duration(d) }
 	return &Config{Services: 7, Depth: 3, Instances: 28, Calls: 600, Fan: 1.2, Work: s(4 * time.Millisecond), Queue: 64, Hop: s(time.Millisecond / 2),
 		Deadline: s(time.Second), Attempts: 3, Warm: s(2 * time.Second), Length: s(4 * time.Second), Modes: []string{Fail}, Shares: []float64{1}, Seed: 3}
 }
@@ -123,8 +123,8 @@
 	if err := c.Judge(list); err != nil {
 		t.Error(err)
 	}
-	fixture.HoldToPage(t, "attempts at a leaf that fails at 10 % for each planned call, small.toml", list[1].Times, 0.05)
-	fixture.HoldToPage(t, "attempts at a leaf that fails at 100 % for each planned call, small.toml", list[3].Times, 0.1)
+	testutil.HoldToPage(t, "attempts at a leaf that fails at 10 % for each planned call, small.toml", list[1].Times, 0.05)
+	testutil.HoldToPage(t, "attempts at a leaf that fails at 100 % for each planned call, small.toml", list[3].Times, 0.1)
 	c.Claims = []Claim{{Measure: "times", Mode: Fail, Most: 1.5}}
 	if err := c.Judge(list); err == nil || !strings.Contains(err.Error(), "times is ") {
 		t.Errorf("a claim that cannot hold: %v", err)
--- a/internal/lab/callgraph/experiment.go
+++ b/internal/simulation/callgraph/experiment.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hazelwing/internal/strict"
+	"hazelwing/internal/strictdecode"
 )
 
 // The ways in which the faulty service's calls go wrong.
@@ -22,26 +22,26 @@
 
 // Config is an experiment's world.
 type Config struct {
-	Question  string          `toml:"question"`
-	Services  int             `toml:"services"`  // with the one where users come in
-	Depth     int             `toml:"depth"`     // calls from there to the last layer
-	Instances int             `toml:"instances"` // of all services together, given out by demand
-	Calls     float64         `toml:"calls"`     // a second from sidecars, of all together, where all goes well
-	Fan       float64         `toml:"fan"`       // calls of the next layer that one call brings about, on average
-	Work      strict.Duration `toml:"work"`      // a call's own, on average; exponential
-	Queue     int             `toml:"queue"`     // calls that may wait at an instance
-	Hop       strict.Duration `toml:"hop"`       // one way between instances, sidecar and all
-	Deadline  strict.Duration `toml:"deadline"`  // of a user's call
-	Attempts  int             `toml:"attempts"`  // of a call, at most
-	Copies    bool            `toml:"copies"`    // second copies are allowed
-	Warm      strict.Duration `toml:"warm"`      // before the fault; nothing counts
-	Length    strict.Duration `toml:"length"`    // of the fault
-	Modes     []string        `toml:"modes"`     // fail, slow
-	Shares    []float64       `toml:"shares"`    // of the faulty service's calls, the last one of the last layer
-	Times     float64         `toml:"times"`     // how many times longer a slow call's work takes
-	Seed      uint64          `toml:"seed"`
-	Long      bool            `toml:"long"` // it takes more than a minute: tests leave it out
-	Claims    []Claim         `toml:"claim"`
+	Question  string                `toml:"question"`
+	Services  int                   `toml:"services"`  // with the one where users come in
+	Depth     int                   `toml:"depth"`     // calls from there to the last layer
+	Instances int                   `toml:"instances"` // of all services together, given out by demand
+	Calls     float64               `toml:"calls"`     // a second from sidecars, of all together, where all goes well
+	Fan       float64               `toml:"fan"`       // calls of the next layer that one call brings about, on average
+	Work      strictdecode.Duration `toml:"work"`      // a call's own, on average; exponential
+	Queue     int                   `toml:"queue"`     // calls that may wait at an instance
+	Hop       strictdecode.Duration `toml:"hop"`       // one way between instances, sidecar and all
+	Deadline  strictdecode.Duration `toml:"deadline"`  // of a user's call
+	Attempts  int                   `toml:"attempts"`  // of a call, at most
+	Copies    bool                  `toml:"copies"`    // second copies are allowed
+	Warm      strictdecode.Duration `toml:"warm"`      // before the fault; nothing counts
+	Length    strictdecode.Duration `toml:"length"`    // of the fault
+	Modes     []string              `toml:"modes"`     // fail, slow
+	Shares    []float64             `toml:"shares"`    // of the faulty service's calls, the last one of the last layer
+	Times     float64               `toml:"times"`     // how many times longer a slow call's work takes
+	Seed      uint64                `toml:"seed"`
+	Long      bool                  `toml:"long"` // it takes more than a minute: tests leave it out
+	Claims    []Claim               `toml:"claim"`
 }
 
 // Claim bounds a measure of the points of a mode, up to a share.
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	c := new(Config)
-	if faults := strict.Decode(text, c); len(faults) > 0 {
+	if faults := strictdecode.Decode(text, c); len(faults) > 0 {
 		return nil, fmt.Errorf("%s:%w", path, faults[0])
 	}
 	if err := c.check(); err != nil {
--- a/internal/lab/callgraph/play.go
+++ b/internal/simulation/callgraph/play.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/lab/simtime"
+	"hazelwing/internal/simulation/simtime"
 )
 
 // past is how long the sidecars' clocks have run when the traffic begins.
--- a/internal/lab/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -9,39 +9,39 @@
 	"strings"
 	"time"
 
-	"hazelwing/internal/standin/hollow"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/strictdecode"
+	"hazelwing/internal/testcluster/hollow"
 )
 
 // Experiment is a file: the same phases at every size, in a fleet of its own each.
 type Experiment struct {
-	Question  string          `toml:"question"`
-	Sizes     []int           `toml:"sizes"`     // members
-	Upstreams int             `toml:"upstreams"` // named by the list; 0: one a member
-	Services  int             `toml:"services"`
-	Regions   int             `toml:"regions"`
-	Zones     int             `toml:"zones"`
-	Rack      int             `toml:"rack"` // members of one
-	Phases    []string        `toml:"phases"`
-	Settle    strict.Duration `toml:"settle"` // after the start, before anything is measured
-	Quiet     strict.Duration `toml:"quiet"`
-	Apart     strict.Duration `toml:"apart"` // how long regions are cut from each other
-	Wait      strict.Duration `toml:"wait"`  // for views to agree and lists to be current, at most
-	Day       Day             `toml:"day"`
-	Fleet     string          `toml:"fleet"`    // more keys of the members' [fleet]
-	Recovery  string          `toml:"recovery"` // keys of their [recovery]
-	Claims    []Claim         `toml:"claim"`
+	Question  string                `toml:"question"`
+	Sizes     []int                 `toml:"sizes"`     // members
+	Upstreams int                   `toml:"upstreams"` // named by the list; 0: one a member
+	Services  int                   `toml:"services"`
+	Regions   int                   `toml:"regions"`
+	Zones     int                   `toml:"zones"`
+	Rack      int                   `toml:"rack"` // members of one
+	Phases    []string              `toml:"phases"`
+	Settle    strictdecode.Duration `toml:"settle"` // after the start, before anything is measured
+	Quiet     strictdecode.Duration `toml:"quiet"`
+	Apart     strictdecode.Duration `toml:"apart"` // how long regions are cut from each other
+	Wait      strictdecode.Duration `toml:"wait"`  // for views to agree and lists to be current, at most
+	Day       Day                   `toml:"day"`
+	Fleet     string                `toml:"fleet"`    // more keys of the members' [fleet]
+	Recovery  string                `toml:"recovery"` // keys of their [recovery]
+	Claims    []Claim               `toml:"claim"`
 
 	Name string `toml:"-"` // the file's, without its end
 }
 
 // Day is an ordinary day, in a shorter time. Events are of a fleet of Of members; at another size they are in proportion, at least one.
 type Day struct {
-	For          strict.Duration `toml:"for"`
-	Of           int             `toml:"of"`
-	Failures     int             `toml:"failures"`     // members that are killed, and stay away until the day is over
-	Replacements int             `toml:"replacements"` // an upstream drains and is gone, its sidecar leaves; both come back
-	Drains       int             `toml:"drains"`       // an upstream drains, and serves again
+	For          strictdecode.Duration `toml:"for"`
+	Of           int                   `toml:"of"`
+	Failures     int                   `toml:"failures"`     // members that are killed, and stay away until the day is over
+	Replacements int                   `toml:"replacements"` // an upstream drains and is gone, its sidecar leaves; both come back
+	Drains       int                   `toml:"drains"`       // an upstream drains, and serves again
 }
 
 // Claim is a bound on a figure, at every size that has it, or at one.
@@ -63,11 +63,11 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Experiment{Services: 34, Regions: 2, Zones: 4, Rack: 10, Settle: strict.Duration(20 * time.Second), Quiet: strict.Duration(30 * time.Second),
-		Apart: strict.Duration(30 * time.Second), Wait: strict.Duration(2 * time.Minute), Recovery: "ask = 3",
-		Day:  Day{For: strict.Duration(time.Minute), Of: 590, Failures: 2, Replacements: 63},
+	e := &Experiment{Services: 34, Regions: 2, Zones: 4, Rack: 10, Settle: strictdecode.Duration(20 * time.Second), Quiet: strictdecode.Duration(30 * time.Second),
+		Apart: strictdecode.Duration(30 * time.Second), Wait: strictdecode.Duration(2 * time.Minute), Recovery: "ask = 3",
+		Day:  Day{For: strictdecode.Duration(time.Minute), Of: 590, Failures: 2, Replacements: 63},
 		Name: strings.TrimSuffix(filepath.Base(path), ".toml")}
-	if faults := strict.Decode(text, e); len(faults) > 0 {
+	if faults := strictdecode.Decode(text, e); len(faults) > 0 {
 		return nil, fmt.Errorf("%s:%w", path, faults[0])
 	}
 	var all []error
@@ -91,7 +91,7 @@
 			bad("phases", "no phase %q", p)
 		}
 	}
-	for key, d := range map[string]strict.Duration{"settle": e.Settle, "quiet": e.Quiet, "apart": e.Apart, "wait": e.Wait, "day.for": e.Day.For} {
+	for key, d := range map[string]strictdecode.Duration{"settle": e.Settle, "quiet": e.Quiet, "apart": e.Apart, "wait": e.Wait, "day.for": e.Day.For} {
 		if d <= 0 || time.Duration(d) > mostPhase {
 			bad(key, "%v is not above 0 and up to %v", time.Duration(d), mostPhase)
 		}
--- a/internal/lab/capacity/play.go
+++ b/internal/simulation/capacity/play.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"hazelwing/internal/standin/hollow"
+	"hazelwing/internal/testcluster/hollow"
 )
 
 // lookEvery is how often a wait looks whether it is over.
--- a/internal/lab/capacity/result.go
+++ b/internal/simulation/capacity/result.go
@@ -1,4 +1,4 @@
-// Package capacity plays fleets of growing size without traffic (internal/standin/hollow) and measures what control costs each
+// Package capacity plays fleets of growing size without traffic (internal/testcluster/hollow) and measures what control costs each
 // role: an experiment is a file, its results are rows that slopes are fitted to. See docs/design/capacity.md.
 package capacity
 
--- a/internal/lab/configsim/fleet.go
+++ b/internal/simulation/configsim/fleet.go
@@ -2,7 +2,7 @@
 // origin.Node, recovery.Selector), a network by place between them, and what may fail. It has no socket and no goroutine; one seed gives
 // one course, so its figures do not depend on the machine.
 //
-// What is left out: the fleet's view is not internal/fleet's but told (a death is seen after DeadSeen, a start after LiveSeen), datagrams
+// What is left out: the fleet's view is not internal/cluster's but told (a death is seen after DeadSeen, a start after LiveSeen), datagrams
 // are told as what they carry of the stamps, and a connection is a delay, a bandwidth at its sender and GiveUp until a silent one is given
 // up. Texts are comments of a size; a snapshot is in force Apply after it was offered.
 package configsim
@@ -17,7 +17,7 @@
 
 	"hazelwing/internal/controlplane"
 	"hazelwing/internal/controlplane/origin"
-	"hazelwing/internal/recovery"
+	"hazelwing/internal/discovery/bootstrap"
 )
 
 // Config is a fleet's.
@@ -97,9 +97,9 @@
 type Member struct {
 	machine
 	f        *controlplane.Follower
-	sel      *recovery.Selector
+	sel      *bootstrap.Selector
 	kept     *controlplane.Kept
-	choice   recovery.Choice
+	choice   bootstrap.Choice
 	up1      *session // to the upstream
 	path     []int    // members between it and an origin, nearest first
 	tickAt   time.Duration
@@ -159,7 +159,7 @@
 type view struct {
 	serial uint64
 	live   []bool
-	list   []recovery.Member
+	list   []bootstrap.Member
 }
 
 // New makes a fleet and starts it.
@@ -342,7 +342,7 @@
 	m.up1, m.path, m.viewed, m.next, m.attempts = nil, nil, 0, m.index%f.cfg.Origins, 0
 	var out []controlplane.Action
 	m.f, out = controlplane.NewFollower(controlplane.FollowerConfig{Fleet: "f", Self: m.name, Last: m.kept, Round: f.cfg.Round}, f.Now)
-	m.sel = recovery.New(recovery.Config{Self: m.name, Ask: f.cfg.Ask, Fan: f.cfg.Fan, Rate: float64(f.cfg.AskRate), Told: f.cfg.Members, Seed: f.rng.Uint64()}, f.Now)
+	m.sel = bootstrap.New(bootstrap.Config{Self: m.name, Ask: f.cfg.Ask, Fan: f.cfg.Fan, Rate: float64(f.cfg.AskRate), Told: f.cfg.Members, Seed: f.rng.Uint64()}, f.Now)
 	m.tickAt = 0
 	f.carry(m, out)
 	f.After(time.Duration(f.rng.Int64N(int64(20*time.Millisecond))), f.alive(m, func() { f.choose(m) }))
--- a/internal/lab/configsim/follow.go
+++ b/internal/simulation/configsim/follow.go
@@ -7,10 +7,10 @@
 
 	"hazelwing/internal/controlplane"
 	"hazelwing/internal/controlplane/origin"
-	"hazelwing/internal/recovery"
+	"hazelwing/internal/discovery/bootstrap"
 )
 
-// mostSteps is how many members may stand between an origin and one, as with the list (internal/membership/relay).
+// mostSteps is how many members may stand between an origin and one, as with the list (internal/discovery/relay).
 const mostSteps = 8
 
 // choose connects a member to whom recovery.Selector says.
@@ -241,7 +241,7 @@
 			v.list = v.list[:0]
 			for i, m := range f.Members {
 				if v.live[i] {
-					v.list = append(v.list, recovery.Member{Name: m.name})
+					v.list = append(v.list, bootstrap.Member{Name: m.name})
 				}
 			}
 		}
@@ -257,7 +257,7 @@
 			continue
 		}
 		m.viewed = mark
-		others := make([]recovery.Member, 0, len(v.list))
+		others := make([]bootstrap.Member, 0, len(v.list))
 		for _, p := range v.list {
 			if p.Name != m.name {
 				others = append(others, p)
--- a/internal/lab/experiment/claim.go
+++ b/internal/simulation/experiment/claim.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"hazelwing/internal/lab/world"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // Claim is one as it is written: "MEASURE of CONTESTANT OP TERM", where OP is <, <=, > or >=, and TERM is a number or
@@ -37,33 +37,33 @@
 	measure, contestant string
 }
 
-var measuresOf = map[string]func(r *world.Result) float64{
-	"service":    func(r *world.Result) float64 { return r.Service },
-	"worst":      func(r *world.Result) float64 { return r.WorstClass },
-	"p50":        func(r *world.Result) float64 { return r.P50 },
-	"p99":        func(r *world.Result) float64 { return r.P99 },
-	"p999":       func(r *world.Result) float64 { return r.P999 },
-	"refused":    func(r *world.Result) float64 { return float64(r.Refused) / float64(max(r.Asked, 1)) },
-	"failed":     func(r *world.Result) float64 { return float64(r.Failed+r.Unanswered) / float64(max(r.Asked, 1)) },
-	"unanswered": func(r *world.Result) float64 { return float64(r.Unanswered) },
-	"tries":      func(r *world.Result) float64 { return r.Tries },
-	"attempts":   func(r *world.Result) float64 { return r.Attempts },
-	"wasted":     func(r *world.Result) float64 { return r.Wasted },
-	"handshakes": func(r *world.Result) float64 { return r.Handshakes },
-	"crossing":   func(r *world.Result) float64 { return r.Crossing },
-	"conns":      func(r *world.Result) float64 { return float64(r.Conns) },
-	"probes":     func(r *world.Result) float64 { return r.Probes },
-	"host":       func(r *world.Result) float64 { return r.Host },
-	"opens":      func(r *world.Result) float64 { return float64(r.Opens) },
-	"cold":       func(r *world.Result) float64 { return r.Cold },
-	"calls":      func(r *world.Result) float64 { return float64(r.Calls) },
-	"asks":       func(r *world.Result) float64 { return r.Asks },
-	"turned":     func(r *world.Result) float64 { return float64(r.TurnedAway) },
+var measuresOf = map[string]func(r *simulator.Result) float64{
+	"service":    func(r *simulator.Result) float64 { return r.Service },
+	"worst":      func(r *simulator.Result) float64 { return r.WorstClass },
+	"p50":        func(r *simulator.Result) float64 { return r.P50 },
+	"p99":        func(r *simulator.Result) float64 { return r.P99 },
+	"p999":       func(r *simulator.Result) float64 { return r.P999 },
+	"refused":    func(r *simulator.Result) float64 { return float64(r.Refused) / float64(max(r.Asked, 1)) },
+	"failed":     func(r *simulator.Result) float64 { return float64(r.Failed+r.Unanswered) / float64(max(r.Asked, 1)) },
+	"unanswered": func(r *simulator.Result) float64 { return float64(r.Unanswered) },
+	"tries":      func(r *simulator.Result) float64 { return r.Tries },
+	"attempts":   func(r *simulator.Result) float64 { return r.Attempts },
+	"wasted":     func(r *simulator.Result) float64 { return r.Wasted },
+	"handshakes": func(r *simulator.Result) float64 { return r.Handshakes },
+	"crossing":   func(r *simulator.Result) float64 { return r.Crossing },
+	"conns":      func(r *simulator.Result) float64 { return float64(r.Conns) },
+	"probes":     func(r *simulator.Result) float64 { return r.Probes },
+	"host":       func(r *simulator.Result) float64 { return r.Host },
+	"opens":      func(r *simulator.Result) float64 { return float64(r.Opens) },
+	"cold":       func(r *simulator.Result) float64 { return r.Cold },
+	"calls":      func(r *simulator.Result) float64 { return float64(r.Calls) },
+	"asks":       func(r *simulator.Result) float64 { return r.Asks },
+	"turned":     func(r *simulator.Result) float64 { return float64(r.TurnedAway) },
 	"worst10":    worst10,
-	"imbalance":  func(r *world.Result) float64 { return r.Imbalance },
-	"breaks":     func(r *world.Result) float64 { return float64(r.Breaks) },
+	"imbalance":  func(r *simulator.Result) float64 { return r.Imbalance },
+	"breaks":     func(r *simulator.Result) float64 { return float64(r.Breaks) },
 	// recovered is the service of the run's last quarter: whether trouble that is over has left the fleet.
-	"recovered": func(r *world.Result) float64 {
+	"recovered": func(r *simulator.Result) float64 {
 		n := len(r.Seconds)
 		sum, asked := 0.0, 0
 		for _, s := range r.Seconds[n-n/4:] {
@@ -129,7 +129,7 @@
 	return t, nil
 }
 
-func (t term) value(r map[string]*world.Result) float64 {
+func (t term) value(r map[string]*simulator.Result) float64 {
 	if t.measure == "" {
 		return t.plus
 	}
@@ -212,8 +212,8 @@
 }
 
 // results are all contestants' at a point with a seed; runs is whole, and so in order.
-func (h Header) results(runs []Run, point, seed int) map[string]*world.Result {
-	out := map[string]*world.Result{}
+func (h Header) results(runs []Run, point, seed int) map[string]*simulator.Result {
+	out := map[string]*simulator.Result{}
 	from := (point*h.Seeds + seed - 1) * len(h.Contestants)
 	for _, r := range runs[from : from+len(h.Contestants)] {
 		out[r.Contestant] = r.Result
@@ -222,7 +222,7 @@
 }
 
 // worst10 is the service of the ten seconds in a row that fared worst.
-func worst10(r *world.Result) float64 {
+func worst10(r *simulator.Result) float64 {
 	const length = 10
 	worst, asked, won := r.Service, 0.0, 0.0
 	for n, s := range r.Seconds {
--- a/internal/lab/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"hazelwing/internal/lab/world"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // Difference is how a measure differs between two sides, over seeds that both played.
@@ -52,7 +52,7 @@
 	if lh.Seeds < 5 {
 		return nil, fmt.Errorf("%d seeds are too few to tell a difference from noise: 5 at least", lh.Seeds)
 	}
-	find := func(runs []Run, p, seed int, c string) *world.Result {
+	find := func(runs []Run, p, seed int, c string) *simulator.Result {
 		for _, r := range runs {
 			if r.Point == p && r.Seed == seed && r.Contestant == c {
 				return r.Result
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"hazelwing/internal/lab/world"
+	"hazelwing/internal/simulation/simulator"
 )
 
 var library = flag.Bool("lab", false, "TestLibrary plays all experiments with all their seeds")
@@ -155,7 +155,7 @@
 	for seed := 1; seed <= h.Seeds; seed++ {
 		base := rng.Float64()
 		add := func(list *[]Run, s float64) {
-			*list = append(*list, Run{Seed: seed, Contestant: "x", Result: &world.Result{Service: s}})
+			*list = append(*list, Run{Seed: seed, Contestant: "x", Result: &simulator.Result{Service: s}})
 		}
 		add(&left, base)
 		add(&noise, base+0.02*rng.NormFloat64())
@@ -183,11 +183,11 @@
 	}
 	var runs []Run
 	for seed := 1; seed <= 20; seed++ {
-		x := world.Result{Service: 0.5}
+		x := simulator.Result{Service: 0.5}
 		if seed == 7 {
 			x.Service, x.Breaks = 1, 1
 		}
-		runs = append(runs, Run{Seed: seed, Contestant: "x", Result: &x}, Run{Seed: seed, Contestant: "y", Result: &world.Result{Service: 0.6}})
+		runs = append(runs, Run{Seed: seed, Contestant: "x", Result: &x}, Run{Seed: seed, Contestant: "y", Result: &simulator.Result{Service: 0.6}})
 	}
 	list, err := Judge(e.header(), runs)
 	if err != nil {
@@ -202,7 +202,7 @@
 	if s[0].Contestant != "x" || s[0].Broke != 1 {
 		t.Errorf("%+v", s)
 	}
-	e.Points[0].World = world.Config{} // no nodes: it cannot be played
+	e.Points[0].World = simulator.Config{} // no nodes: it cannot be played
 	if r := e.one(job{0, 1, "p2c"}); r.Error == "" || r.Result.Breaks != 1 {
 		t.Errorf("%+v", r)
 	}
@@ -246,7 +246,7 @@
 // The library's experiments can be read, and play without a broken rule of the module's; with -lab all their claims are
 // judged on all their seeds:
 //
-//	go test ./internal/lab/experiment -run Library -lab -timeout 60m
+//	go test ./internal/simulation/experiment -run Library -lab -timeout 60m
 func TestLibrary(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(paths) < 20 {
--- a/internal/lab/experiment/file.go
+++ b/internal/simulation/experiment/file.go
@@ -23,9 +23,9 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/lab/rival"
-	"hazelwing/internal/lab/world"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/simulation/baseline"
+	"hazelwing/internal/simulation/simulator"
+	"hazelwing/internal/strictdecode"
 )
 
 // File is an experiment as it is written.
@@ -44,19 +44,19 @@
 
 // World is a world as it is written. Times are as Go writes them.
 type World struct {
-	Length    strict.Duration    `toml:"length"`
-	Load      float64            `toml:"load"` // work asked for, over what the nodes can do
-	Rate      float64            `toml:"rate"` // in its place: requests a second
-	Instances int                `toml:"instances"`
-	Nodes     Nodes              `toml:"nodes"`
-	Clients   Clients            `toml:"clients"`
-	Network   Network            `toml:"network"`
-	List      List               `toml:"list"`
-	Discovery Discovery          `toml:"discovery"`
-	Host      Host               `toml:"host"`
-	Rules     Rules              `toml:"rules"`
-	Settings  Settings           `toml:"settings"`
-	Class     map[string]Traffic `toml:"class"`
+	Length    strictdecode.Duration `toml:"length"`
+	Load      float64               `toml:"load"` // work asked for, over what the nodes can do
+	Rate      float64               `toml:"rate"` // in its place: requests a second
+	Instances int                   `toml:"instances"`
+	Nodes     Nodes                 `toml:"nodes"`
+	Clients   Clients               `toml:"clients"`
+	Network   Network               `toml:"network"`
+	List      List                  `toml:"list"`
+	Discovery Discovery             `toml:"discovery"`
+	Host      Host                  `toml:"host"`
+	Rules     Rules                 `toml:"rules"`
+	Settings  Settings              `toml:"settings"`
+	Class     map[string]Traffic    `toml:"class"`
 }
 
 // Nodes are alike but for what is listed: kinds and zones are taken in turn.
@@ -71,42 +71,42 @@
 
 // Clients, Network, List, Rules and Settings are described at the world's.
 type Clients struct {
-	Tries    int             `toml:"tries"`
-	TryShare float64         `toml:"try_share"`
-	Wait     strict.Duration `toml:"wait"`
-	Uneven   float64         `toml:"uneven"` // Zipf's exponent of the instances' traffic; 0: alike
-	Keys     int             `toml:"keys"`
+	Tries    int                   `toml:"tries"`
+	TryShare float64               `toml:"try_share"`
+	Wait     strictdecode.Duration `toml:"wait"`
+	Uneven   float64               `toml:"uneven"` // Zipf's exponent of the instances' traffic; 0: alike
+	Keys     int                   `toml:"keys"`
 
-	Impatient float64         `toml:"impatient"`
-	Patience  strict.Duration `toml:"patience"`
+	Impatient float64               `toml:"impatient"`
+	Patience  strictdecode.Duration `toml:"patience"`
 
 	Curve []Point `toml:"curve"`
 
-	Session float64         `toml:"session"`
-	Think   strict.Duration `toml:"think"`
-	Skew    strict.Duration `toml:"skew"`
-	Traffic string          `toml:"traffic"` // recorded, beside the file
+	Session float64               `toml:"session"`
+	Think   strictdecode.Duration `toml:"think"`
+	Skew    strictdecode.Duration `toml:"skew"`
+	Traffic string                `toml:"traffic"` // recorded, beside the file
 }
 
 // Point is one of the curve that the rate follows.
 type Point struct {
-	At    strict.Duration `toml:"at"`
-	Times float64         `toml:"times"`
+	At    strictdecode.Duration `toml:"at"`
+	Times float64               `toml:"times"`
 }
 
 // Network is described at Clients.
 type Network struct {
-	Same, Cross    strict.Duration
-	Jitter         strict.Duration
+	Same, Cross    strictdecode.Duration
+	Jitter         strictdecode.Duration
 	Loss           float64
-	ConnectTimeout strict.Duration `toml:"connect_timeout"`
-	Idle           strict.Duration
+	ConnectTimeout strictdecode.Duration `toml:"connect_timeout"`
+	Idle           strictdecode.Duration
 	Multiplexed    bool
 }
 
 // List is described at Clients.
 type List struct {
-	Least, Most, Notice strict.Duration
+	Least, Most, Notice strictdecode.Duration
 	Reorder             bool
 }
 
@@ -114,59 +114,59 @@
 type Discovery struct {
 	Capacity float64
 	Call     float64
-	Timeout  strict.Duration
+	Timeout  strictdecode.Duration
 	Overbook float64
 }
 
 // Host is described at Clients.
 type Host struct {
 	Cores                     float64
-	Period                    strict.Duration
-	Request, Attempt, Connect strict.Duration
+	Period                    strictdecode.Duration
+	Request, Attempt, Connect strictdecode.Duration
 }
 
 // Rules is described at Clients.
 type Rules struct {
-	ColdFrom     float64         `toml:"cold_from"`
-	WarmUp       strict.Duration `toml:"warm_up"`
-	FallMultiple float64         `toml:"fall_multiple"`
-	FallTime     strict.Duration `toml:"fall_time"`
-	DrainGrace   strict.Duration `toml:"drain_grace"`
+	ColdFrom     float64               `toml:"cold_from"`
+	WarmUp       strictdecode.Duration `toml:"warm_up"`
+	FallMultiple float64               `toml:"fall_multiple"`
+	FallTime     strictdecode.Duration `toml:"fall_time"`
+	DrainGrace   strictdecode.Duration `toml:"drain_grace"`
 }
 
 // Settings is described at Clients.
 type Settings struct {
-	Tick       strict.Duration
+	Tick       strictdecode.Duration
 	Attempts   int
 	Copies     bool
 	Cancelling bool
 	Probes     bool
-	RetryAfter strict.Duration `toml:"retry_after"`
-	CrossZone  float64         `toml:"cross_zone"`
+	RetryAfter strictdecode.Duration `toml:"retry_after"`
+	CrossZone  float64               `toml:"cross_zone"`
 }
 
 // Traffic is a class's.
 type Traffic struct {
 	Share, Worth, Late float64
-	Work               strict.Duration
+	Work               strictdecode.Duration
 	Kind               string
 	Spread             float64
 	Hint               float64
-	Aim, Deadline      strict.Duration
+	Aim, Deadline      strictdecode.Duration
 	Effect, Group      string
-	Window             strict.Duration
+	Window             strictdecode.Duration
 }
 
 // Fault is one of the world's.
 type Fault struct {
-	At    strict.Duration
+	At    strictdecode.Duration
 	What  string
 	Node  string
 	Zone  string
 	Share float64
 	Times float64
-	For   strict.Duration
-	Every strict.Duration
+	For   strictdecode.Duration
+	Every strictdecode.Duration
 }
 
 // Experiment is a file that was read and can be played.
@@ -181,7 +181,7 @@
 // Setting is a point of the sweep: its factors' values, and its world.
 type Setting struct {
 	Factors []string // "name = value", in order of the names
-	World   world.Config
+	World   simulator.Config
 }
 
 const (
@@ -276,7 +276,7 @@
 
 // read decodes a text strictly; the first fault is its error.
 func read(text []byte, v any) error {
-	if faults := strict.Decode(text, v); len(faults) > 0 {
+	if faults := strictdecode.Decode(text, v); len(faults) > 0 {
 		return faults[0]
 	}
 	return nil
@@ -300,7 +300,7 @@
 		return fmt.Errorf("seeds: %d is not from 1 to %d", e.Seeds, mostSeeds)
 	}
 	for i, c := range e.Contestants {
-		if _, err := rival.New(c); err != nil {
+		if _, err := baseline.New(c); err != nil {
 			return fmt.Errorf("contestants: %w", err)
 		}
 		if slices.Contains(e.Contestants[:i], c) {
@@ -379,12 +379,12 @@
 var groups = map[string]balancer.Group{"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
 
 // Build is the world as the lab plays it, faults included.
-func (f *File) Build() (c world.Config, err error) {
-	d := func(x strict.Duration) time.Duration { return time.Duration(x) }
+func (f *File) Build() (c simulator.Config, err error) {
+	d := func(x strictdecode.Duration) time.Duration { return time.Duration(x) }
 	w := &f.World
 	capacity := 0.0
 	for i := range w.Nodes.Count {
-		n := world.Node{Name: fmt.Sprint("n", i+1), Cores: max(w.Nodes.Cores, 1), Speed: 1, Queue: cmp.Or(w.Nodes.Queue, 64)}
+		n := simulator.Node{Name: fmt.Sprint("n", i+1), Cores: max(w.Nodes.Cores, 1), Speed: 1, Queue: cmp.Or(w.Nodes.Queue, 64)}
 		if z := w.Nodes.Zones; len(z) > 0 {
 			n.Zone = z[i%len(z)]
 		}
@@ -409,8 +409,8 @@
 		if !slices.Contains([]string{"", "exp", "fixed", "lognormal", "pareto"}, t.Kind) {
 			return c, fmt.Errorf("world.class.%s: kind %q is none", name, t.Kind)
 		}
-		c.Classes = append(c.Classes, world.Class{Class: balancer.Class{Name: name, Aim: d(t.Aim), Deadline: d(t.Deadline), Worth: t.Worth, LateShare: t.Late,
-			Effect: effect, Group: group, Window: d(t.Window)}, Share: t.Share, Work: world.Work{Kind: cmp.Or(t.Kind, "exp"), Mean: d(t.Work), Spread: t.Spread}, HintSpan: t.Hint})
+		c.Classes = append(c.Classes, simulator.Class{Class: balancer.Class{Name: name, Aim: d(t.Aim), Deadline: d(t.Deadline), Worth: t.Worth, LateShare: t.Late,
+			Effect: effect, Group: group, Window: d(t.Window)}, Share: t.Share, Work: simulator.Work{Kind: cmp.Or(t.Kind, "exp"), Mean: d(t.Work), Spread: t.Spread}, HintSpan: t.Hint})
 		shares += t.Share
 		work += t.Share * d(t.Work).Seconds()
 	}
@@ -423,7 +423,7 @@
 	}
 	c.Length = d(w.Length)
 	k := &w.Clients
-	c.Clients = world.Clients{Instances: w.Instances, Rate: rate, Zones: w.Nodes.Zones, Tries: max(k.Tries, 1), TryShare: k.TryShare, Wait: d(k.Wait), Keys: k.Keys,
+	c.Clients = simulator.Clients{Instances: w.Instances, Rate: rate, Zones: w.Nodes.Zones, Tries: max(k.Tries, 1), TryShare: k.TryShare, Wait: d(k.Wait), Keys: k.Keys,
 		Impatient: k.Impatient, Patience: d(k.Patience), Session: k.Session, Think: d(k.Think), Skew: d(k.Skew)}
 	if k.Traffic != "" {
 		if c.Clients.Recorded, err = recorded(k.Traffic); err != nil {
@@ -436,22 +436,22 @@
 		}
 	}
 	for _, p := range k.Curve {
-		c.Clients.Curve = append(c.Clients.Curve, world.Point{At: d(p.At), Times: p.Times})
+		c.Clients.Curve = append(c.Clients.Curve, simulator.Point{At: d(p.At), Times: p.Times})
 	}
 	n := &w.Network
-	c.Network = world.Network{Same: d(n.Same), Cross: d(n.Cross), Jitter: d(n.Jitter), Loss: n.Loss, RetransmitTime: 200 * time.Millisecond,
+	c.Network = simulator.Network{Same: d(n.Same), Cross: d(n.Cross), Jitter: d(n.Jitter), Loss: n.Loss, RetransmitTime: 200 * time.Millisecond,
 		ConnectTimeout: cmp.Or(d(n.ConnectTimeout), 250*time.Millisecond), Idle: cmp.Or(d(n.Idle), 15*time.Second), Multiplexed: n.Multiplexed}
-	c.List = world.List{Least: d(w.List.Least), Most: max(d(w.List.Least), d(w.List.Most)), Notice: d(w.List.Notice), Reorder: w.List.Reorder}
+	c.List = simulator.List{Least: d(w.List.Least), Most: max(d(w.List.Least), d(w.List.Most)), Notice: d(w.List.Notice), Reorder: w.List.Reorder}
 	v := &w.Discovery
-	c.Discovery = world.Discovery{Capacity: v.Capacity, Call: v.Call, Timeout: d(v.Timeout), Overbook: v.Overbook}
-	c.Host = world.Host{Cores: w.Host.Cores, Period: d(w.Host.Period), Request: d(w.Host.Request), Attempt: d(w.Host.Attempt), Connect: d(w.Host.Connect)}
+	c.Discovery = simulator.Discovery{Capacity: v.Capacity, Call: v.Call, Timeout: d(v.Timeout), Overbook: v.Overbook}
+	c.Host = simulator.Host{Cores: w.Host.Cores, Period: d(w.Host.Period), Request: d(w.Host.Request), Attempt: d(w.Host.Attempt), Connect: d(w.Host.Connect)}
 	r := &w.Rules
-	c.Rules = world.Rules{ColdFrom: r.ColdFrom, WarmUp: d(r.WarmUp), FallMultiple: r.FallMultiple, FallTime: d(r.FallTime), DrainGrace: d(r.DrainGrace)}
+	c.Rules = simulator.Rules{ColdFrom: r.ColdFrom, WarmUp: d(r.WarmUp), FallMultiple: r.FallMultiple, FallTime: d(r.FallTime), DrainGrace: d(r.DrainGrace)}
 	s := &w.Settings
 	c.Settings = balancer.Settings{Tick: cmp.Or(d(s.Tick), 5*time.Millisecond), MaxAttempts: max(s.Attempts, 1), SecondCopies: s.Copies, Cancelling: s.Cancelling,
 		Probes: s.Probes, LoadByProbes: s.Probes, RetryAfter: s.RetryAfter > 0, MaxRetryAfter: d(s.RetryAfter), PriceCrossZone: s.CrossZone}
 	for _, x := range f.Fault {
-		c.Faults = append(c.Faults, world.Fault{At: d(x.At), What: x.What, Node: x.Node, Zone: x.Zone, Share: x.Share, Times: x.Times, For: d(x.For), Every: d(x.Every)})
+		c.Faults = append(c.Faults, simulator.Fault{At: d(x.At), What: x.What, Node: x.Node, Zone: x.Zone, Share: x.Share, Times: x.Times, For: d(x.For), Every: d(x.Every)})
 	}
 	return c, c.Check()
 }
--- a/internal/lab/experiment/recorded.go
+++ b/internal/simulation/experiment/recorded.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"hazelwing/internal/lab/world"
-	"hazelwing/internal/standin"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // trafficOf is the file of recorded traffic that an experiment names, or nothing.
@@ -17,8 +17,8 @@
 }
 
 // recorded reads traffic for the world.
-func recorded(path string) ([]world.Recorded, error) {
-	t, err := standin.LoadTraffic(path)
+func recorded(path string) ([]simulator.Recorded, error) {
+	t, err := emulator.LoadTraffic(path)
 	if err != nil {
 		return nil, err
 	}
@@ -26,14 +26,14 @@
 }
 
 // Recorded is recorded traffic as the world plays it. Keys become numbers, in order of their first appearance.
-func Recorded(t *standin.Traffic) (list []world.Recorded) {
+func Recorded(t *emulator.Traffic) (list []simulator.Recorded) {
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	keys := map[string]int{"": 0}
 	for _, q := range t.Requests {
 		if _, ok := keys[q.Key]; !ok {
 			keys[q.Key] = len(keys)
 		}
-		list = append(list, world.Recorded{At: q.At(), Class: q.Class, Work: us(q.WorkUS), Hint: us(q.HintUS), Key: keys[q.Key]})
+		list = append(list, simulator.Recorded{At: q.At(), Class: q.Class, Work: us(q.WorkUS), Hint: us(q.HintUS), Key: keys[q.Key]})
 	}
 	return list
 }
--- a/internal/lab/experiment/recorded_test.go
+++ b/internal/simulation/experiment/recorded_test.go
@@ -8,23 +8,23 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/testutil"
 )
 
 // Recorded traffic beside the file is played in place of chance, its text is part of what the run is told by, and what
 // cannot be read is named.
 func TestRecordedTraffic(t *testing.T) {
 	dir := t.TempDir()
-	text := strings.Replace(fixture.Experiment("?", "hazelwing", "random", 1), "load = 0.6\n", "", 1)
-	for _, c := range standin.BookingClasses {
+	text := strings.Replace(testutil.Experiment("?", "hazelwing", "random", 1), "load = 0.6\n", "", 1)
+	for _, c := range emulator.BookingClasses {
 		text += "[world.class." + c.Name + "]\nshare = 1.0\nwork = \"1ms\"\naim = \"1s\"\ndeadline = \"1s\"\n"
 	}
 	text += "[world.clients]\ntraffic = \"day.jsonl\"\nskew = \"2s\"\nsession = 3.0\nthink = \"1s\"\n[world.host]\ncores = 0.5\nperiod = \"100ms\"\nrequest = \"1ms\"\n" +
 		"[world.network]\nmultiplexed = true\n[world.list]\nnotice = \"1s\"\nreorder = true\n"
 	path := filepath.Join(dir, "x.toml")
 	record := func(seed uint64) int {
-		day := standin.Generate(seed, 50, 2*time.Second)
+		day := emulator.Generate(seed, 50, 2*time.Second)
 		var b bytes.Buffer
 		if err := day.Write(&b); err != nil {
 			t.Fatal(err)
--- a/internal/lab/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"hazelwing/internal/lab/rival"
-	"hazelwing/internal/lab/world"
+	"hazelwing/internal/simulation/baseline"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // Header is the first line of a run's file.
@@ -40,18 +40,18 @@
 
 // Run is a line of a run's file: what became of one contestant at one point with one seed.
 type Run struct {
-	Point      int           `json:"point"`
-	Seed       int           `json:"seed"`
-	Contestant string        `json:"contestant"`
-	Error      string        `json:"error,omitempty"` // it crashed, or could not be made
-	Result     *world.Result `json:"result"`
+	Point      int               `json:"point"`
+	Seed       int               `json:"seed"`
+	Contestant string            `json:"contestant"`
+	Error      string            `json:"error,omitempty"` // it crashed, or could not be made
+	Result     *simulator.Result `json:"result"`
 }
 
 func (e *Experiment) header() Header {
 	h := Header{Format: format, Name: e.Name, Question: e.Question, Hash: e.Hash, Commit: commit(), Go: runtime.Version(), Contestants: e.Contestants, Seeds: e.Seeds,
 		Claims: e.Claim}
 	for _, c := range e.Contestants {
-		h.Sources = append(h.Sources, rival.Source(c))
+		h.Sources = append(h.Sources, baseline.Source(c))
 	}
 	for _, p := range e.Points {
 		h.Points = append(h.Points, append([]string{}, p.Factors...))
@@ -180,16 +180,16 @@
 	defer func() {
 		if x := recover(); x != nil {
 			r.Error = fmt.Sprint("it crashed: ", x)
-			r.Result = &world.Result{Breaks: 1, Broken: []string{r.Error}}
+			r.Result = &simulator.Result{Breaks: 1, Broken: []string{r.Error}}
 		}
 	}()
-	policy, err := rival.New(j.contestant)
+	policy, err := baseline.New(j.contestant)
 	if err == nil {
-		r.Result, err = world.Run(e.Points[j.point].World, policy, uint64(j.seed))
+		r.Result, err = simulator.Run(e.Points[j.point].World, policy, uint64(j.seed))
 	}
 	if err != nil {
 		r.Error = err.Error()
-		r.Result = &world.Result{Breaks: 1, Broken: []string{r.Error}}
+		r.Result = &simulator.Result{Breaks: 1, Broken: []string{r.Error}}
 	}
 	return r
 }
--- a/internal/lab/fleetsim/experiment.go
+++ b/internal/simulation/fleetsim/experiment.go
@@ -11,27 +11,27 @@
 	"text/tabwriter"
 	"time"
 
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/strictdecode"
 )
 
 // Experiment is a file: every contestant at every size, loss and share of slow members, by every seed.
 type Experiment struct {
-	Question    string          `toml:"question"`
-	Contestants []string        `toml:"contestants"` // lifeguard, swim, heartbeats
-	Members     []int           `toml:"members"`
-	Loss        []float64       `toml:"loss"` // of datagrams
-	Slow        []float64       `toml:"slow"` // share of members that stand still for SlowFor in every SlowEvery
-	SlowFor     strict.Duration `toml:"slow_for"`
-	SlowEvery   strict.Duration `toml:"slow_every"`
-	Quiet       strict.Duration `toml:"quiet"`      // played before the fault; accusations and traffic are counted in it
-	Kill        int             `toml:"kill"`       // members that die at once
-	KillShare   float64         `toml:"kill_share"` // of the members, in place of kill
-	Cut         strict.Duration `toml:"cut"`        // halves are cut from each other for it; 0: they are not
-	Seeds       int             `toml:"seeds"`
-	Probe       strict.Duration `toml:"probe"`
-	Claims      []Claim         `toml:"claim"`
+	Question    string                `toml:"question"`
+	Contestants []string              `toml:"contestants"` // lifeguard, swim, heartbeats
+	Members     []int                 `toml:"members"`
+	Loss        []float64             `toml:"loss"` // of datagrams
+	Slow        []float64             `toml:"slow"` // share of members that stand still for SlowFor in every SlowEvery
+	SlowFor     strictdecode.Duration `toml:"slow_for"`
+	SlowEvery   strictdecode.Duration `toml:"slow_every"`
+	Quiet       strictdecode.Duration `toml:"quiet"`      // played before the fault; accusations and traffic are counted in it
+	Kill        int                   `toml:"kill"`       // members that die at once
+	KillShare   float64               `toml:"kill_share"` // of the members, in place of kill
+	Cut         strictdecode.Duration `toml:"cut"`        // halves are cut from each other for it; 0: they are not
+	Seeds       int                   `toml:"seeds"`
+	Probe       strictdecode.Duration `toml:"probe"`
+	Claims      []Claim               `toml:"claim"`
 }
 
 // kills is how many of n members die at once.
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	e := new(Experiment)
-	if faults := strict.Decode(text, e); len(faults) > 0 {
+	if faults := strictdecode.Decode(text, e); len(faults) > 0 {
 		return nil, fmt.Errorf("%s:%w", path, faults[0])
 	}
 	bad := func(format string, args ...any) error {
@@ -188,7 +188,7 @@
 }
 
 func (e *Experiment) play(p *Point, seed uint64) {
-	c := Config{Members: p.Members, Seed: seed, Loss: p.Loss, Core: fleet.Config{Probe: time.Duration(e.Probe)}, Size: func(m *fleet.Message) int {
+	c := Config{Members: p.Members, Seed: seed, Loss: p.Loss, Core: cluster.Config{Probe: time.Duration(e.Probe)}, Size: func(m *cluster.Message) int {
 		frame, err := gossip.Encode(m)
 		if err != nil {
 			return 0
@@ -204,19 +204,19 @@
 		m.Sent, m.Bytes = 0, 0
 	}
 	accused := map[string]bool{}
-	f.Noted = func(i int, n fleet.Note) {
+	f.Noted = func(i int, n cluster.Note) {
 		if f.byName(n.Name).Core == nil {
 			return
 		}
 		switch {
-		case n.Now == fleet.Suspect && n.Why == "no answer", n.Now == fleet.Dead && p.Contestant == "heartbeats":
+		case n.Now == cluster.Suspect && n.Why == "no answer", n.Now == cluster.Dead && p.Contestant == "heartbeats":
 			p.Accused++
 		}
-		if n.Now == fleet.Dead && !accused[n.Name] {
+		if n.Now == cluster.Dead && !accused[n.Name] {
 			accused[n.Name] = true
 			p.Buried++
 		}
-		if n.Now == fleet.Alive {
+		if n.Now == cluster.Alive {
 			delete(accused, n.Name)
 		}
 	}
@@ -293,10 +293,10 @@
 			want += kill
 		}
 	}
-	f.Noted = func(i int, n fleet.Note) {
+	f.Noted = func(i int, n cluster.Note) {
 		var dead int
 		fmt.Sscanf(n.Name, "m%d", &dead)
-		if dead < kill && n.Now == fleet.Dead && !known[[2]int{i, dead}] {
+		if dead < kill && n.Now == cluster.Dead && !known[[2]int{i, dead}] {
 			known[[2]int{i, dead}] = true
 			if first < 0 {
 				first = f.Now - begun
--- a/internal/lab/fleetsim/fleetsim.go
+++ b/internal/simulation/fleetsim/fleetsim.go
@@ -1,4 +1,4 @@
-// Package fleetsim plays many cores of internal/fleet against each other in simulated time: a network that loses, delays,
+// Package fleetsim plays many cores of internal/cluster against each other in simulated time: a network that loses, delays,
 // doubles and cuts, members that die, freeze, are slow and come back. It has no I/O and no goroutine; one seed gives one
 // course.
 package fleetsim
@@ -10,33 +10,33 @@
 	"net/netip"
 	"time"
 
-	"hazelwing/internal/fleet"
+	"hazelwing/internal/cluster"
 )
 
 // Config is a fleet's.
 type Config struct {
 	Members int
 	Seed    uint64
-	Core    fleet.Config  // Name, Self, Run, Seeds and Seed are each member's own
-	Latency time.Duration // one way, times 0.5 to 1.5 by chance; 1 ms
-	Loss    float64       // of datagrams
+	Core    cluster.Config // Name, Self, Run, Seeds and Seed are each member's own
+	Latency time.Duration  // one way, times 0.5 to 1.5 by chance; 1 ms
+	Loss    float64        // of datagrams
 	Double  float64
 	Late    float64 // of datagrams that come LateBy later
 	LateBy  time.Duration
 	Told    int // what the setting says there are; 0: Members
 	// New makes another contestant in place of a fleet.Core; nil: a fleet.Core.
-	New func(fleet.Config, time.Duration) Contestant
+	New func(cluster.Config, time.Duration) Contestant
 	// Size is how many bytes a message has on the wire; nil: not measured.
-	Size func(*fleet.Message) int
+	Size func(*cluster.Message) int
 }
 
 // Contestant is what a member runs.
 type Contestant interface {
-	Receive(time.Duration, *fleet.Message) []fleet.Action
-	Tick(time.Duration) []fleet.Action
+	Receive(time.Duration, *cluster.Message) []cluster.Action
+	Tick(time.Duration) []cluster.Action
 	Next() time.Duration
-	Leave(time.Duration) []fleet.Action
-	View() []fleet.Member
+	Leave(time.Duration) []cluster.Action
+	View() []cluster.Member
 }
 
 // Member is one process, or the place of one.
@@ -65,11 +65,11 @@
 	// Linked says whether a message gets from one member to another now; nil: always.
 	Linked func(from, to int) bool
 	// Noted is called with each transition that a member notes.
-	Noted func(member int, n fleet.Note)
+	Noted func(member int, n cluster.Note)
 	// Acted is called with all other actions that are not sends.
-	Acted func(member int, a fleet.Action)
+	Acted func(member int, a cluster.Action)
 	// Sent is called with each message that a member sends.
-	Sent func(member int, a fleet.Action)
+	Sent func(member int, a cluster.Action)
 	// Handled is how many calls of Cores there were.
 	Handled int
 }
@@ -79,7 +79,7 @@
 	serial uint64
 	to     int
 	life   uint64
-	msg    *fleet.Message // nil: a tick
+	msg    *cluster.Message // nil: a tick
 	dead   bool
 	place  int
 }
@@ -122,7 +122,7 @@
 	if f.cfg.New != nil {
 		m.Core = f.cfg.New(c, f.Now+m.Clock)
 	} else {
-		core, err := fleet.New(c, f.Now+m.Clock, f.cfg.Told)
+		core, err := cluster.New(c, f.Now+m.Clock, f.cfg.Told)
 		if err != nil {
 			panic(err) // the experiment's own mistake
 		}
@@ -134,15 +134,15 @@
 
 // StartKnown starts all members that do not run, and tells each of all others: a fleet that has stood for long.
 func (f *Fleet) StartKnown() {
-	var all []fleet.Entry
+	var all []cluster.Entry
 	for i, m := range f.Members {
 		if m.Core == nil {
 			f.Start(i)
 		}
-		all = append(all, fleet.Entry{Name: m.Name, Addr: m.Addr, Version: m.Core.(interface{ Version() fleet.Version }).Version()})
+		all = append(all, cluster.Entry{Name: m.Name, Addr: m.Addr, Version: m.Core.(interface{ Version() cluster.Version }).Version()})
 	}
 	for i := range f.Members {
-		f.act(i, f.Members[i].Core.Receive(f.Now+f.Members[i].Clock, &fleet.Message{Kind: fleet.SyncTell, Fleet: f.cfg.Core.Fleet, From: all[(i+1)%len(all)], Entries: all}))
+		f.act(i, f.Members[i].Core.Receive(f.Now+f.Members[i].Clock, &cluster.Message{Kind: cluster.SyncTell, Fleet: f.cfg.Core.Fleet, From: all[(i+1)%len(all)], Entries: all}))
 		f.schedule(i)
 	}
 }
@@ -201,7 +201,7 @@
 		return
 	}
 	f.Handled++
-	var acts []fleet.Action
+	var acts []cluster.Action
 	if e.msg == nil {
 		m.tick = nil
 		acts = m.Core.Tick(f.Now + m.Clock)
@@ -214,17 +214,17 @@
 }
 
 // Act carries out what a member's core wants, after a call of it from outside.
-func (f *Fleet) Act(i int, acts []fleet.Action) {
+func (f *Fleet) Act(i int, acts []cluster.Action) {
 	f.act(i, acts)
 	f.schedule(i)
 }
 
-func (f *Fleet) act(i int, acts []fleet.Action) {
+func (f *Fleet) act(i int, acts []cluster.Action) {
 	for _, a := range acts {
 		switch {
-		case a.Do == fleet.Noted && f.Noted != nil:
+		case a.Do == cluster.Noted && f.Noted != nil:
 			f.Noted(i, *a.Note)
-		case a.Do == fleet.Send:
+		case a.Do == cluster.Send:
 			f.send(i, a)
 		case f.Acted != nil:
 			f.Acted(i, a)
@@ -232,7 +232,7 @@
 	}
 }
 
-func (f *Fleet) send(from int, a fleet.Action) {
+func (f *Fleet) send(from int, a cluster.Action) {
 	m := f.Members[from]
 	m.Sent++
 	if f.Sent != nil {
@@ -304,9 +304,9 @@
 // A nil group is all.
 func (f *Fleet) Agreed(group func(int) bool) bool {
 	// Views are compared whole only once their fingerprints agree: that costs as much as the square of the members.
-	var first *fleet.Core
+	var first *cluster.Core
 	for i, m := range f.Members {
-		core, ok := m.Core.(*fleet.Core)
+		core, ok := m.Core.(*cluster.Core)
 		if !ok || group != nil && !group(i) {
 			continue
 		}
@@ -324,9 +324,9 @@
 // Disagreement is the first difference between a view and what is true, in words.
 func (f *Fleet) Disagreement(group func(int) bool) string {
 	in := func(i int) bool { return f.Members[i].Core != nil && (group == nil || group(i)) }
-	want := map[string]fleet.Version{}
+	want := map[string]cluster.Version{}
 	for i, m := range f.Members {
-		if v, ok := m.Core.(interface{ Version() fleet.Version }); ok && in(i) {
+		if v, ok := m.Core.(interface{ Version() cluster.Version }); ok && in(i) {
 			want[m.Name] = v.Version()
 		}
 	}
@@ -338,9 +338,9 @@
 		for _, x := range m.Core.View() {
 			v, runs := want[x.Name]
 			switch {
-			case runs && (x.State != fleet.Alive || x.Version != v):
+			case runs && (x.State != cluster.Alive || x.Version != v):
 				return fmt.Sprintf("%v: %s holds %s for %v %+v, and it is alive %+v", f.Now, m.Name, x.Name, x.State, x.Version, v)
-			case !runs && x.State < fleet.Dead:
+			case !runs && x.State < cluster.Dead:
 				return fmt.Sprintf("%v: %s holds %s for %v, and it does not run or is cut off", f.Now, m.Name, x.Name, x.State)
 			case runs:
 				n++
--- a/internal/lab/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/fleet"
+	"hazelwing/internal/cluster"
 )
 
 var histories = flag.Int("histories", 100, "random histories of TestRandomHistories")
@@ -60,7 +60,7 @@
 		members     int
 	}{{10 * time.Second, time.Hour, 20}, {3 * time.Minute, time.Hour, 40}, {10 * time.Minute, 2 * time.Minute, 21}, {10 * time.Minute, 2 * time.Minute, 2}} {
 		t.Run(fmt.Sprint(c.cut, c.forget, c.members), func(t *testing.T) {
-			f := all(t, Config{Members: c.members, Seed: 2, Core: fleet.Config{Forget: c.forget}})
+			f := all(t, Config{Members: c.members, Seed: 2, Core: cluster.Config{Forget: c.forget}})
 			f.Linked = halves(f)
 			f.Run(c.cut)
 			if c.cut > 2*time.Minute {
@@ -78,17 +78,17 @@
 // it does accuse.
 func TestStandingStill(t *testing.T) {
 	accused := func(plain bool) int {
-		f := all(t, Config{Members: 12, Seed: 3, Latency: 60 * time.Millisecond, Core: fleet.Config{Plain: plain}})
+		f := all(t, Config{Members: 12, Seed: 3, Latency: 60 * time.Millisecond, Core: cluster.Config{Plain: plain}})
 		wrong := 0
-		f.Noted = func(i int, n fleet.Note) {
-			if i == 4 && n.Now == fleet.Suspect {
+		f.Noted = func(i int, n cluster.Note) {
+			if i == 4 && n.Now == cluster.Suspect {
 				wrong++
 			}
 		}
 		for range 8 {
 			// It stops right behind a probe's first datagram.
-			f.Sent = func(i int, a fleet.Action) {
-				if i == 4 && a.Msg.Kind == fleet.Ping {
+			f.Sent = func(i int, a cluster.Action) {
+				if i == 4 && a.Msg.Kind == cluster.Ping {
 					f.Freeze(4, 5*time.Second)
 					f.Sent = nil
 				}
@@ -119,7 +119,7 @@
 			continue
 		}
 		for _, x := range m.Core.View() {
-			if x.Name == "m0003" && x.State != fleet.Left {
+			if x.Name == "m0003" && x.State != cluster.Left {
 				t.Errorf("%s holds it for %v", m.Name, x.State)
 			}
 		}
@@ -177,7 +177,7 @@
 func TestCountInACut(t *testing.T) {
 	for _, told := range []int{2, 20, 200} {
 		f := all(t, Config{Members: 20, Seed: 7, Told: told})
-		count := func(i int) int { return f.Members[i].Core.(*fleet.Core).Stats().Count }
+		count := func(i int) int { return f.Members[i].Core.(*cluster.Core).Stats().Count }
 		if told <= 20 && count(0) != 20 {
 			t.Errorf("told %d: %d before the cut", told, count(0))
 		}
@@ -217,14 +217,14 @@
 	rng := rand.New(rand.NewPCG(seed, 99))
 	members := 3 + rng.IntN(14)
 	c := Config{Members: members, Seed: seed, Latency: time.Duration(1+rng.IntN(20)) * time.Millisecond,
-		Core: fleet.Config{Probe: time.Second, Forget: time.Duration(1+rng.IntN(10)) * time.Minute}}
+		Core: cluster.Config{Probe: time.Second, Forget: time.Duration(1+rng.IntN(10)) * time.Minute}}
 	if rng.IntN(2) == 0 {
 		c.Loss, c.Double, c.Late, c.LateBy = 0.3*rng.Float64(), 0.1, 0.1, time.Second
 	}
 	f := New(c)
-	lives := map[[2]int]fleet.Version{} // the last of a name in a view of a process
+	lives := map[[2]int]cluster.Version{} // the last of a name in a view of a process
 	number := func(name string) (n int) { fmt.Sscanf(name, "m%d", &n); return n }
-	f.Noted = func(i int, n fleet.Note) {
+	f.Noted = func(i int, n cluster.Note) {
 		k := [2]int{i<<20 | int(f.Members[i].lives), number(n.Name)}
 		if strings.HasPrefix(n.Why, "is forgotten") {
 			delete(lives, k)
@@ -297,7 +297,7 @@
 		t.Errorf("seed %d: %s", seed, f.Disagreement(nil))
 	}
 	for _, m := range f.Members {
-		if core, ok := m.Core.(*fleet.Core); ok {
+		if core, ok := m.Core.(*cluster.Core); ok {
 			if s := core.Stats(); s.Refused > 0 || s.Known > members {
 				t.Errorf("seed %d: %s: %+v", seed, m.Name, s)
 			}
--- a/internal/lab/report/plots.go
+++ b/internal/simulation/report/plots.go
@@ -15,8 +15,8 @@
 	"gonum.org/v1/plot/vg"
 	_ "gonum.org/v1/plot/vg/vgsvg"
 
-	"hazelwing/internal/lab/experiment"
-	"hazelwing/internal/lab/world"
+	"hazelwing/internal/simulation/experiment"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // colours tell contestants apart, also for those who do not see all colours alike (Okabe and Ito 2008), and read on light
@@ -88,14 +88,14 @@
 // timeLines are what is drawn by the second, as means over the seeds.
 var timeLines = []struct {
 	title, axis string
-	of          func(s world.Second) float64
+	of          func(s simulator.Second) float64
 }{
-	{"Service, by when requests came", "service", func(s world.Second) float64 { return s.Service }},
-	{"p50 of served requests", "ms", func(s world.Second) float64 { return s.P50 }},
-	{"p99 of served requests", "ms", func(s world.Second) float64 { return s.P99 }},
-	{"Refused", "requests a second", func(s world.Second) float64 { return float64(s.Refused) }},
-	{"Failed or without an answer", "requests a second", func(s world.Second) float64 { return float64(s.Failed) }},
-	{"Attempts for each request that came", "attempts", func(s world.Second) float64 { return float64(s.Attempts) / float64(max(s.Asked, 1)) }},
+	{"Service, by when requests came", "service", func(s simulator.Second) float64 { return s.Service }},
+	{"p50 of served requests", "ms", func(s simulator.Second) float64 { return s.P50 }},
+	{"p99 of served requests", "ms", func(s simulator.Second) float64 { return s.P99 }},
+	{"Refused", "requests a second", func(s simulator.Second) float64 { return float64(s.Refused) }},
+	{"Failed or without an answer", "requests a second", func(s simulator.Second) float64 { return float64(s.Failed) }},
+	{"Attempts for each request that came", "attempts", func(s simulator.Second) float64 { return float64(s.Attempts) / float64(max(s.Asked, 1)) }},
 }
 
 // plots are those of one point.
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	of := func(c string) (list []*world.Result) {
+	of := func(c string) (list []*simulator.Result) {
 		for _, r := range runs {
 			if r.Point == point && r.Contestant == c && r.Error == "" {
 				list = append(list, r.Result)
@@ -136,7 +136,7 @@
 	}
 	p := newPlot("ms, logarithmic", "share served within")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	quantiles := world.Quantiles()
+	quantiles := simulator.Quantiles()
 	for n, c := range h.Contestants {
 		var xys plotter.XYs
 		list := of(c)
@@ -170,7 +170,7 @@
 }
 
 // grid is what nodes hold, by second.
-type grid []world.Second
+type grid []simulator.Second
 
 func (g grid) Dims() (c, r int)   { return len(g), len(g[0].Held) }
 func (g grid) X(c int) float64    { return float64(c) }
--- a/internal/lab/report/report.go
+++ b/internal/simulation/report/report.go
@@ -9,7 +9,7 @@
 	"io"
 	"strings"
 
-	"hazelwing/internal/lab/experiment"
+	"hazelwing/internal/simulation/experiment"
 )
 
 //go:embed report.html
--- a/internal/lab/report/report_test.go
+++ b/internal/simulation/report/report_test.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/net/html"
 
-	"hazelwing/internal/lab/experiment"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/simulation/experiment"
+	"hazelwing/internal/testutil"
 )
 
 // The report is one page that asks for nothing else, has the claims before the figures, every plot, and what it was told
@@ -19,7 +19,7 @@
 func TestWrite(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "x.toml")
-	if err := os.WriteFile(path, []byte(fixture.Experiment("Is <b>that</b> so?", "p2c", "random", 2)+"[sweep]\n\"world.load\" = [0.4, 0.8]\n[[claim]]\nsays = \"service of p2c >= 0\"\n[[claim]]\nsays = \"service of p2c >= 2\"\n"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(testutil.Experiment("Is <b>that</b> so?", "p2c", "random", 2)+"[sweep]\n\"world.load\" = [0.4, 0.8]\n[[claim]]\nsays = \"service of p2c >= 0\"\n[[claim]]\nsays = \"service of p2c >= 2\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	e, err := experiment.Load(path)
--- a/internal/lab/world/bench_test.go
+++ b/internal/simulation/simulator/bench_test.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 // BenchmarkWorld says how many simulated requests a second of one core plays, in a plain state:
 //
-//	go test ./internal/lab/world -run xxx -bench World -cpu 1
+//	go test ./internal/simulation/simulator -run xxx -bench World -cpu 1
 func BenchmarkWorld(b *testing.B) {
 	for _, c := range []struct{ nodes, instances int }{{10, 1}, {20, 5}, {100, 1}, {100, 100}, {1000, 100}, {1000, 5000}} {
 		for name, policy := range map[string]NewPolicy{"hazelwing": hazelwing,
--- a/internal/lab/world/doc.go
+++ b/internal/simulation/simulator/doc.go
@@ -1,4 +1,4 @@
-// Package world is an emulator of a fleet in simulated time: clients, instances of a load balancer, a network, nodes and
+// Package simulator is an emulator of a fleet in simulated time: clients, instances of a load balancer, a network, nodes and
 // the list of them, around the real decision module or a rival behind the same interface.
 //
 // One event queue, one clock, seeded random numbers and no goroutine: the same Config and seed give the same Result, to
@@ -21,4 +21,4 @@
 //
 // Queues in switches, the slow start of TCP, kernels' buffers, garbage
 // collections, and everything that is correlated in the real world and not said in the Config.
-package world
+package simulator
--- a/internal/lab/world/trouble.go
+++ b/internal/simulation/simulator/trouble.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 import (
 	"fmt"
--- a/internal/lab/world/world.go
+++ b/internal/simulation/simulator/world.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/lab/simtime"
+	"hazelwing/internal/simulation/simtime"
 )
 
 // Policy decides for one instance, as balancer.Balancer does: it is told what happens and answers with what to do, under
--- a/internal/lab/world/wrong_test.go
+++ b/internal/simulation/simulator/wrong_test.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 import (
 	"flag"
@@ -90,7 +90,7 @@
 
 // What the number of sidecars is worth at 300 of them, told right, wrong, and wrong but mended by the view:
 //
-//	go test ./internal/lab/world -run WorthOfTheNumber -worth -v
+//	go test ./internal/simulation/simulator -run WorthOfTheNumber -worth -v
 func TestWorthOfTheNumber(t *testing.T) {
 	if !*worth {
 		t.Skip("a measurement: -worth")
--- a/internal/lab/hunt/hunt.go
+++ b/internal/simulation/worstcase/hunt.go
@@ -1,7 +1,7 @@
-// Package hunt searches for the day on which a contestant loses most against a rival, or breaks a rule: it draws fault
+// Package worstcase searches for the day on which a contestant loses most against a rival, or breaks a rule: it draws fault
 // scripts and loads over the world of an experiment, keeps the worst, shrinks it to the least script that still does
 // it, and writes it as an experiment of its own. The same experiment, seed and number of tries find the same day.
-package hunt
+package worstcase
 
 import (
 	"cmp"
@@ -17,10 +17,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"hazelwing/internal/lab/experiment"
-	"hazelwing/internal/lab/rival"
-	"hazelwing/internal/lab/world"
-	"hazelwing/internal/strict"
+	"hazelwing/internal/simulation/baseline"
+	"hazelwing/internal/simulation/experiment"
+	"hazelwing/internal/simulation/simulator"
+	"hazelwing/internal/strictdecode"
 )
 
 // Options say what is hunted.
@@ -79,7 +79,7 @@
 // Hunt searches from an experiment's world.
 func Hunt(ctx context.Context, e *experiment.Experiment, o Options) (Day, error) {
 	for _, name := range []string{o.Contestant, o.Rival} {
-		if _, err := rival.New(name); err != nil {
+		if _, err := baseline.New(name); err != nil {
 			return Day{}, err
 		}
 	}
@@ -133,9 +133,9 @@
 func (h *hunt) fault(rng *rand.Rand) experiment.Fault {
 	length := time.Duration(h.e.World.Length)
 	x := draws[rng.IntN(len(draws))]
-	f := experiment.Fault{What: x.what, At: strict.Duration((length/10 + time.Duration(rng.Int64N(int64(length/2)))).Round(100 * time.Millisecond))}
+	f := experiment.Fault{What: x.what, At: strictdecode.Duration((length/10 + time.Duration(rng.Int64N(int64(length/2)))).Round(100 * time.Millisecond))}
 	if x.long {
-		f.For = strict.Duration((time.Second + time.Duration(rng.Int64N(int64(length/3)))).Round(100 * time.Millisecond))
+		f.For = strictdecode.Duration((time.Second + time.Duration(rng.Int64N(int64(length/3)))).Round(100 * time.Millisecond))
 	}
 	if x.most > 0 {
 		f.Times = round(x.least + rng.Float64()*(x.most-x.least))
@@ -144,7 +144,7 @@
 		f.Share = max(0.01, round(rng.Float64()*x.shareMost))
 	}
 	if x.repeat {
-		f.Every = strict.Duration((200*time.Millisecond + time.Duration(rng.Int64N(int64(2*time.Second)))).Round(100 * time.Millisecond))
+		f.Every = strictdecode.Duration((200*time.Millisecond + time.Duration(rng.Int64N(int64(2*time.Second)))).Round(100 * time.Millisecond))
 	}
 	if zones := h.e.World.Nodes.Zones; x.zone && len(zones) > 0 {
 		f.Zone = zones[rng.IntN(len(zones))]
@@ -208,11 +208,11 @@
 	for seed := uint64(1); seed <= daySeeds; seed++ {
 		var service [2]float64
 		for n, name := range []string{h.o.Contestant, h.o.Rival} {
-			p, err := rival.New(name)
+			p, err := baseline.New(name)
 			if err != nil {
 				return err
 			}
-			r, err := world.Run(cfg, p, seed)
+			r, err := simulator.Run(cfg, p, seed)
 			if err != nil {
 				return err
 			}
@@ -241,8 +241,8 @@
 		}
 		for i := range d.Faults {
 			less(func(x *Day) { x.Faults = slices.Delete(x.Faults, i, i+1) })
-			half := func(t strict.Duration) strict.Duration {
-				return strict.Duration((time.Duration(t) / 2).Round(100 * time.Millisecond))
+			half := func(t strictdecode.Duration) strictdecode.Duration {
+				return strictdecode.Duration((time.Duration(t) / 2).Round(100 * time.Millisecond))
 			}
 			if time.Duration(d.Faults[i].For) >= 2*time.Second {
 				less(func(x *Day) { x.Faults[i].For = half(x.Faults[i].For) })
@@ -285,7 +285,7 @@
 	var faults []map[string]any
 	for _, f := range d.Faults {
 		m := map[string]any{"at": f.At, "what": f.What}
-		for key, v := range map[string]strict.Duration{"for": f.For, "every": f.Every} {
+		for key, v := range map[string]strictdecode.Duration{"for": f.For, "every": f.Every} {
 			if v > 0 {
 				m[key] = v
 			}
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/simulation/worstcase/hunt_test.go
@@ -1,4 +1,4 @@
-package hunt
+package worstcase
 
 import (
 	"os"
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"hazelwing/internal/lab/experiment"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/simulation/experiment"
+	"hazelwing/internal/testutil"
 )
 
 // A hunt finds a day on which random choice loses to least requests, the same one again, and writes it so that it can be
@@ -17,7 +17,7 @@
 	dir := t.TempDir()
 	t.Chdir(dir)
 	path := "base.toml" // relative, where the found day's folder is not
-	if err := os.WriteFile(path, []byte(fixture.Experiment("?", "random", "least", 2)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(testutil.Experiment("?", "random", "least", 2)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	e, err := experiment.Load(path)
--- a/internal/store/maintain_test.go
+++ b/internal/store/maintain_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/faultfs"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/emulator/faultfs"
 	"hazelwing/internal/store"
+	"hazelwing/internal/testutil"
 )
 
 // A start from hint files finds the same as one from the segments. A hint file that is cut, spoilt, of another segment
@@ -119,7 +119,7 @@
 	}
 	defer s.Close()
 	full := 0
-	fixture.Until(t, "500 puts", func() bool {
+	testutil.Until(t, "500 puts", func() bool {
 		switch err := s.Put(fmt.Sprint(full), make([]byte, 100), time.Now().Add(20*time.Millisecond)); {
 		case errors.Is(err, store.ErrFull):
 			time.Sleep(time.Millisecond)
@@ -155,7 +155,7 @@
 		m.did(key, value, s.Put(key, value, epoch.Add(time.Hour)))
 	}
 	reopen(t, "killed", fs.Killed(), m, keys)
-	fixture.Until(t, "the syncs", func() bool { st := s.Stats(); return st.Unsynced == 0 && st.Failures > 0 })
+	testutil.Until(t, "the syncs", func() bool { st := s.Stats(); return st.Unsynced == 0 && st.Failures > 0 })
 	reopen(t, "power lost after the sync", fs.PowerLost(rand.New(rand.NewPCG(1, 1))), m, keys)
 	if st := s.Stats(); st.Lost != 0 {
 		t.Errorf("%+v", st)
@@ -184,7 +184,7 @@
 	if !s.PutLater("later", nil, hour) {
 		t.Fatal("it was not taken")
 	}
-	fixture.Until(t, "what was left for later", func() bool { _, ok, _ := s.Get("later"); return ok })
+	testutil.Until(t, "what was left for later", func() bool { _, ok, _ := s.Get("later"); return ok })
 	if _, ok, err := s.Get("k"); !ok || err != nil {
 		t.Errorf("an older delete took a newer put, later (%v)", err)
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin/faultfs"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/emulator/faultfs"
 	"hazelwing/internal/store"
+	"hazelwing/internal/testutil"
 )
 
 func open(t testing.TB, path string, o store.Options) *store.Store {
@@ -203,7 +203,7 @@
 		}
 		reads++
 	}
-	if err := fixture.Receive(t, done, "the put"); err != nil || time.Since(begun) < 300*time.Millisecond || reads < 100 {
+	if err := testutil.Receive(t, done, "the put"); err != nil || time.Since(begun) < 300*time.Millisecond || reads < 100 {
 		t.Errorf("%v after %v, %d reads meanwhile", err, time.Since(begun), reads)
 	}
 }
--- a/internal/strict/places.go
+++ b/internal/strictdecode/places.go
@@ -1,4 +1,4 @@
-package strict
+package strictdecode
 
 import (
 	"strings"
--- a/internal/strict/strict.go
+++ b/internal/strictdecode/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML of the project's own: unknown keys and values of another kind are errors with line and column.
-package strict
+// Package strictdecode reads TOML of the project's own: unknown keys and values of another kind are errors with line and column.
+package strictdecode
 
 import (
 	"bytes"
--- a/internal/standin/rig/clients.go
+++ b/internal/testcluster/clients.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"sync/atomic"
 	"time"
 
+	"hazelwing/internal/emulator"
 	"hazelwing/internal/load"
-	"hazelwing/internal/standin"
 )
 
 // Classes are those of the rig's clients.
-var Classes = []standin.TrafficClass{
+var Classes = []emulator.TrafficClass{
 	{Name: "look", Effect: "safe", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
 	{Name: "book", Effect: "unsafe", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
 	{Name: "pay", Effect: "keyed", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
@@ -56,7 +56,7 @@
 	}
 }
 
-func (r *Rig) ask(client *http.Client, p *process, life int64, class standin.TrafficClass, id string) {
+func (r *Rig) ask(client *http.Client, p *process, life int64, class emulator.TrafficClass, id string) {
 	m := load.Message{ID: id, Class: class.Name, Effect: class.Effect, Patience: clientPatience, Work: clientWork}
 	if class.Effect == "keyed" {
 		m.Key = "k" + id
--- a/internal/standin/hollow/hollow.go
+++ b/internal/testcluster/hollow/hollow.go
@@ -1,5 +1,5 @@
 // Package hollow runs hundreds of sidecars without traffic in one process: the real parts of control, opened as the daemon opens them
-// (internal/peering), on real sockets, each member at an address of its own on loopback. Links between places are cut, slowed and
+// (internal/cluster/node), on real sockets, each member at an address of its own on loopback. Links between places are cut, slowed and
 // healed by a script (Links).
 //
 // # What a hollow one leaves out
@@ -30,9 +30,9 @@
 	"sync"
 	"time"
 
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/standin"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/emulator"
 )
 
 // Most is how many members a fleet may have.
@@ -63,7 +63,7 @@
 
 // Fleet is hollow sidecars, the discovery that they ask, and the links between them.
 type Fleet struct {
-	Discovery *standin.Discovery
+	Discovery *emulator.Discovery
 	Links     *Links
 	Members   []*Member // the first is number 1
 
@@ -108,7 +108,7 @@
 	if f.block, f.net, err = takeBlock(); err != nil {
 		return nil, err
 	}
-	if f.Discovery, err = standin.NewDiscovery(); err != nil {
+	if f.Discovery, err = emulator.NewDiscovery(); err != nil {
 		f.block.Close()
 		return nil, err
 	}
@@ -143,9 +143,9 @@
 }
 
 // Upstream is an entry of the list, from 0; life is how often it was replaced.
-func (f *Fleet) Upstream(i int, health string, life int) standin.Host {
+func (f *Fleet) Upstream(i int, health string, life int) emulator.Host {
 	p := PlaceOf(i+1, f.cfg.Regions, f.cfg.Zones, f.cfg.Rack)
-	h := standin.Host{Host: fmt.Sprintf("s%02d-%04d", i%f.cfg.Services+1, i+1), Dial: fmt.Sprintf("10.%d.%d.%d:8080", life%200, i/250+1, i%250+1),
+	h := emulator.Host{Host: fmt.Sprintf("s%02d-%04d", i%f.cfg.Services+1, i+1), Dial: fmt.Sprintf("10.%d.%d.%d:8080", life%200, i/250+1, i%250+1),
 		Site: fmt.Sprint("z", p.Zone), Class: fmt.Sprint("s", i%f.cfg.Services+1), Block: p.Rack, Health: health}
 	if life > 0 {
 		h.BornMS = float64(time.Now().UnixMilli())
@@ -204,13 +204,13 @@
 	}); err != nil {
 		return err
 	}
-	entries := make([]fleet.Entry, len(f.Members))
+	entries := make([]cluster.Entry, len(f.Members))
 	for i, m := range f.Members {
-		entries[i] = fleet.Entry{Name: m.Name, Addr: m.Addr, Version: fleet.Version{Life: 1, Run: m.running().part.Node.Process()}}
+		entries[i] = cluster.Entry{Name: m.Name, Addr: m.Addr, Version: cluster.Version{Life: 1, Run: m.running().part.Node.Process()}}
 	}
 	var frames [2][]byte // the second is for the first member, who would not believe itself
 	for i := range frames {
-		frame, err := gossip.Encode(&fleet.Message{Kind: fleet.SyncTell, Fleet: f.cfg.Name, From: entries[i%len(entries)], Entries: entries})
+		frame, err := gossip.Encode(&cluster.Message{Kind: cluster.SyncTell, Fleet: f.cfg.Name, From: entries[i%len(entries)], Entries: entries})
 		if err != nil {
 			return err
 		}
--- a/internal/standin/hollow/hollow_test.go
+++ b/internal/testcluster/hollow/hollow_test.go
@@ -11,8 +11,8 @@
 
 	"go.uber.org/goleak"
 
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/testutil"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -36,7 +36,7 @@
 func agree(t *testing.T, f *Fleet, what string, in func(Place) bool) {
 	t.Helper()
 	begun, last := time.Now(), ""
-	for ; time.Since(begun) < fixture.Patience; time.Sleep(10 * time.Millisecond) {
+	for ; time.Since(begun) < testutil.Patience; time.Sleep(10 * time.Millisecond) {
 		if last = f.Disagreement(in); last == "" {
 			t.Logf("%s: %v", what, time.Since(begun).Round(time.Millisecond))
 			return
@@ -47,7 +47,7 @@
 
 func current(t *testing.T, f *Fleet, what string) {
 	t.Helper()
-	fixture.Until(t, what, func() bool { return f.Behind(all) == 0 })
+	testutil.Until(t, what, func() bool { return f.Behind(all) == 0 })
 }
 
 // Members find each other and have the list down a tree, whose root alone asks discovery; links between places are cut and healed, for
@@ -59,7 +59,7 @@
 	}
 	agree(t, f, "all know all", all)
 	current(t, f, "all have the list")
-	fixture.Until(t, "two ask, and the tree has three levels", func() bool {
+	testutil.Until(t, "two ask, and the tree has three levels", func() bool {
 		asks, far := 0, 0
 		for _, m := range f.Members {
 			s, _ := m.List()
@@ -83,7 +83,7 @@
 	f.Discovery.Set(f.Upstream(4, "DRAINING", 0))
 	agree(t, f, "each region knows itself alone", one.Has)
 	agree(t, f, "and the other one", two.Has)
-	fixture.Until(t, "the list goes on in discovery's region", func() bool { return f.Behind(one.Has) == 0 })
+	testutil.Until(t, "the list goes on in discovery's region", func() bool { return f.Behind(one.Has) == 0 })
 	if n := f.Behind(two.Has); n != 8 {
 		t.Errorf("%d of 8 lack what discovery told behind the cut", n)
 	}
@@ -113,7 +113,7 @@
 // ends agree: what a member's streams and datagrams bring is what others sent, and what discovery sent was read.
 func TestStandingFleet(t *testing.T) {
 	f := open(t, Config{Members: 8, Fleet: fast, Recovery: "ask = 1\nfan = 2"})
-	if err := f.StartKnown(t.Context(), fixture.Patience); err != nil {
+	if err := f.StartKnown(t.Context(), testutil.Patience); err != nil {
 		t.Fatal(err)
 	}
 	agree(t, f, "all know all", all)
@@ -156,7 +156,7 @@
 	var viewed, ended atomic.Int64
 	f := open(t, Config{Members: 4, Rack: 1, Fleet: fast, Attach: func(m *Member) Attachment {
 		return Attachment{Also: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(m.Name)) }),
-			OnView: func([]fleet.Member, bool) { viewed.Add(1) },
+			OnView: func([]cluster.Member, bool) { viewed.Add(1) },
 			Run:    func(ctx context.Context) { <-ctx.Done(); ended.Add(1) }}
 	}})
 	if err := f.Start(f.Members...); err != nil {
@@ -175,7 +175,7 @@
 		n, _ := resp.Body.Read(text)
 		return string(text[:n]), nil
 	}
-	if text, err := ask(fixture.Patience); text != "sidecar-0003" {
+	if text, err := ask(testutil.Patience); text != "sidecar-0003" {
 		t.Errorf("%q, %v", text, err)
 	}
 	if err := f.Links.Play("cut z1 z3"); err != nil {
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	begun := time.Now()
-	if text, err := ask(fixture.Patience); text != "sidecar-0003" || time.Since(begun) < 60*time.Millisecond {
+	if text, err := ask(testutil.Patience); text != "sidecar-0003" || time.Since(begun) < 60*time.Millisecond {
 		t.Errorf("over a slow link: %q, %v after %v", text, err, time.Since(begun))
 	}
 	f.Close()
--- a/internal/standin/hollow/machine.go
+++ b/internal/testcluster/hollow/machine.go
@@ -3,7 +3,7 @@
 import (
 	"net/netip"
 
-	"hazelwing/internal/fleet/gossip"
+	"hazelwing/internal/cluster/gossip"
 )
 
 // Machine is the network of something that is no sidecar and stands where a member does, from 1, under its address, and lives as long as
--- a/internal/standin/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -12,14 +12,14 @@
 	"github.com/cespare/xxhash/v2"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/cluster/node"
+	"hazelwing/internal/discovery/mergedsource"
+	"hazelwing/internal/discovery/relay"
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/membership/merged"
-	"hazelwing/internal/membership/relay"
-	"hazelwing/internal/membership/watch"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/peering"
 )
 
 // askAgain and askLongest are how long the daemon's module waits before it asks for a list that is lost again; doubled in between.
@@ -30,11 +30,11 @@
 
 // Attachment is what else runs at a member's address and view, for one life of it. All of it may be nil.
 type Attachment struct {
-	Also   http.Handler                             // answers peers beside the list; see peering.Config
-	OnView func(others []fleet.Member, joined bool) // see gossip.Config
-	Run    func(ctx context.Context)                // runs until ctx ends, in a goroutine of its own
+	Also   http.Handler                               // answers peers beside the list; see peering.Config
+	OnView func(others []cluster.Member, joined bool) // see gossip.Config
+	Run    func(ctx context.Context)                  // runs until ctx ends, in a goroutine of its own
 	// OnStamp is gossip.Config's, and Opened is called once with the member's node, before it runs.
-	OnStamp func(from fleet.Entry, epoch, number uint64)
+	OnStamp func(from cluster.Entry, epoch, number uint64)
 	Opened  func(node *gossip.Node)
 }
 
@@ -66,7 +66,7 @@
 
 // life is one run of a member.
 type life struct {
-	part      *peering.Part
+	part      *node.Part
 	key       uint64
 	meet, ask func()
 	stop      context.CancelFunc
@@ -121,17 +121,17 @@
 	if f.cfg.Attach != nil {
 		attached = f.cfg.Attach(m)
 	}
-	c := peering.Config{Name: m.Name, Seed: f.cfg.Seed*1_000_003 + uint64(m.N), Told: f.cfg.Told, Log: f.cfg.Log, Network: network, Also: attached.Also, OnStamp: attached.OnStamp,
-		OnView: func(others []fleet.Member, joined bool) {
+	c := node.Config{Name: m.Name, Seed: f.cfg.Seed*1_000_003 + uint64(m.N), Told: f.cfg.Told, Log: f.cfg.Log, Network: network, Also: attached.Also, OnStamp: attached.OnStamp,
+		OnView: func(others []cluster.Member, joined bool) {
 			m.viewed(others, joined)
 			if attached.OnView != nil {
 				attached.OnView(others, joined)
 			}
 		}}
-	list := peering.OpenList(c, op.Recovery, watch.New(f.Discovery.Addr(), true, f.cfg.Log).Through(network.Dial), engine.News{Seq: engine.NoVersion})
-	var source *merged.Source
-	if l.part, err = peering.Open(c, op.Fleet, list); err == nil {
-		source, err = merged.New(peering.Merge(nil, l.part, list, nil, f.cfg.Log))
+	list := node.OpenList(c, op.Recovery, watch.New(f.Discovery.Addr(), true, f.cfg.Log).Through(network.Dial), engine.News{Seq: engine.NoVersion})
+	var source *mergedsource.Source
+	if l.part, err = node.Open(c, op.Fleet, list); err == nil {
+		source, err = mergedsource.New(node.Merge(nil, l.part, list, nil, f.cfg.Log))
 	}
 	if err != nil {
 		if l.part != nil {
@@ -192,7 +192,7 @@
 }
 
 // viewed is called from the node's goroutine.
-func (m *Member) viewed(others []fleet.Member, joined bool) {
+func (m *Member) viewed(others []cluster.Member, joined bool) {
 	v := &view{joined: joined, live: len(others)}
 	for i := range others {
 		v.hash += key(others[i].Name, others[i].Run)
--- a/internal/standin/rig/links.go
+++ b/internal/testcluster/links.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bytes"
--- a/internal/standin/rig/origins.go
+++ b/internal/testcluster/origins.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"strings"
 
-	"hazelwing/internal/fleet/gossip"
+	"hazelwing/internal/cluster/gossip"
 )
 
 // Origins are processes like the members, each at an address of its own and behind links of its own, so that a script cuts, kills and
--- a/internal/standin/rig/rig.go
+++ b/internal/testcluster/rig.go
@@ -1,4 +1,4 @@
-// Package rig starts many processes of the program on loopback, with a link of its own for each direction between each two,
+// Package testcluster starts many processes of the program on loopback, with a link of its own for each direction between each two,
 // stand-in servers that count effects, and a client beside each. A script cuts, slows and heals links, and kills, freezes,
 // starves and restarts processes; its steps wait for what the admin endpoints say. docs/operators/rig.md has the script's words.
 //
@@ -6,7 +6,7 @@
 //
 // A rig has 30 members at most, two sockets for each direction between two, and one client a member. It ends only processes
 // that it has started.
-package rig
+package testcluster
 
 import (
 	"context"
@@ -24,8 +24,8 @@
 	"sync"
 	"time"
 
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/standin"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/emulator"
 )
 
 // Most is how many members a rig may have.
@@ -53,7 +53,7 @@
 // Rig is one that runs.
 type Rig struct {
 	cfg     Config
-	Servers *standin.Fleet
+	Servers *emulator.Fleet
 	Answers Answers
 	members []*process // from 1
 	origins []*process // from 1, where there are any
@@ -100,12 +100,12 @@
 			r.Close()
 		}
 	}()
-	traffic := &standin.Traffic{Head: standin.Head{Classes: Classes}}
-	var nodes []standin.NodeConfig
+	traffic := &emulator.Traffic{Head: emulator.Head{Classes: Classes}}
+	var nodes []emulator.NodeConfig
 	for i := range c.Servers {
-		nodes = append(nodes, standin.NodeConfig{Name: fmt.Sprint("n", i+1), Zone: string(rune('a' + i%2)), Kind: "m", Speed: 8, Seed: uint64(i + 1)})
+		nodes = append(nodes, emulator.NodeConfig{Name: fmt.Sprint("n", i+1), Zone: string(rune('a' + i%2)), Kind: "m", Speed: 8, Seed: uint64(i + 1)})
 	}
-	if r.Servers, err = standin.NewFleet(standin.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), Slack: 2 * time.Second}); err != nil {
+	if r.Servers, err = emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), Slack: 2 * time.Second}); err != nil {
 		return nil, err
 	}
 	r.members = []*process{nil}
@@ -144,7 +144,7 @@
 func (r *Rig) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", realAddr(n), r.members[n].port) }
 
 // prepare writes a member's files.
-func (r *Rig) prepare(p *process, traffic *standin.Traffic) error {
+func (r *Rig) prepare(p *process, traffic *emulator.Traffic) error {
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := standin.Platform(traffic, p.listen, at, fmt.Sprintf("%016x", r.cfg.Seed*1000+uint64(p.n)))
+	text, err := emulator.Platform(traffic, p.listen, at, fmt.Sprintf("%016x", r.cfg.Seed*1000+uint64(p.n)))
 	if err != nil {
 		return err
 	}
--- a/internal/standin/rig/script.go
+++ b/internal/testcluster/script.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"hazelwing/internal/fleet"
-	"hazelwing/internal/fleet/gossip"
-	"hazelwing/internal/standin"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/emulator"
 )
 
 const (
@@ -77,7 +77,7 @@
 		}
 		return nil
 	case "server":
-		return r.Servers.Fault(standin.Fault{Node: arg(1), Verb: arg(2)})
+		return r.Servers.Fault(emulator.Fault{Node: arg(1), Verb: arg(2)})
 	}
 	group, err := r.group(arg(1))
 	if err != nil {
@@ -412,7 +412,7 @@
 
 // disagreement is the first difference of the views from each other, or from what runs; empty: none.
 func (r *Rig) disagreement(views map[int]gossip.State) string {
-	lives := map[string]fleet.Version{}
+	lives := map[string]cluster.Version{}
 	for n, v := range views {
 		if v.Name == "" {
 			return fmt.Sprintf("%s does not answer", r.members[n].name)
@@ -428,9 +428,9 @@
 		for _, m := range views[n].Members {
 			v, runs := lives[m.Name]
 			switch {
-			case runs && (m.State != fleet.Alive || m.Version != v):
+			case runs && (m.State != cluster.Alive || m.Version != v):
 				return fmt.Sprintf("%s holds %s for %v %d.%d, and it is alive %d.%d", r.members[n].name, m.Name, m.State, m.Life, m.Inc, v.Life, v.Inc)
-			case !runs && m.State < fleet.Dead:
+			case !runs && m.State < cluster.Dead:
 				return fmt.Sprintf("%s holds %s for %v, and it does not run or is apart", r.members[n].name, m.Name, m.State)
 			case runs:
 				seen++
--- a/internal/transport/grpc/leave_test.go
+++ b/internal/transport/grpc/leave_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/emulator/rawh2"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/rawh2"
+	"hazelwing/internal/testutil"
 )
 
 // crowd is a member with room for one stream, which is taken, and a second attempt that waits for it.
@@ -37,16 +37,16 @@
 	}, rawh2.MaxStreams(1), rawh2.OnReset(func(*rawh2.Stream) { c.resets <- true }))
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, listed(addr, balancer.Active), time.Now())
-	c.one = run(tr.Attempt("s", call(t.Context()), fixture.Patience))
-	c.first = fixture.Receive(t, first, "the first attempt")
+	c.one = run(tr.Attempt("s", call(t.Context()), testutil.Patience))
+	c.first = testutil.Receive(t, first, "the first attempt")
 	ctx, leave := context.WithCancel(t.Context())
 	t.Cleanup(leave)
 	second := call(ctx)
 	c.leave, second.Left = leave, c.left.Load
-	other := tr.Attempt("s", second, fixture.Patience)
+	other := tr.Attempt("s", second, testutil.Patience)
 	c.other = run(other)
 	g := other.(*exchange).gate
-	fixture.Until(t, "the second to be let through", func() bool {
+	testutil.Until(t, "the second to be let through", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return g.passed
@@ -59,11 +59,11 @@
 func TestContextEndsWhileWaitingForRoom(t *testing.T) {
 	c := newCrowd(t)
 	c.leave()
-	if o := fixture.Receive(t, c.other, "the second's end"); o.Result.MayHaveRun() {
+	if o := testutil.Receive(t, c.other, "the second's end"); o.Result.MayHaveRun() {
 		t.Errorf("result %d (%v)", o.Result, o.Err)
 	}
 	c.first.OK(nil)
-	if o := fixture.Receive(t, c.one, "the first's answer"); o.Result != balancer.OK || c.opened.Load() != 1 {
+	if o := testutil.Receive(t, c.one, "the first's answer"); o.Result != balancer.OK || c.opened.Load() != 1 {
 		t.Errorf("result %d, %d streams", o.Result, c.opened.Load())
 	}
 }
@@ -73,10 +73,10 @@
 	c := newCrowd(t)
 	c.left.Store(true)
 	c.first.OK(nil)
-	if o := fixture.Receive(t, c.other, "the second's end"); o.Result != balancer.Cancelled {
+	if o := testutil.Receive(t, c.other, "the second's end"); o.Result != balancer.Cancelled {
 		t.Errorf("result %d (%v), which says something of the member", o.Result, o.Err)
 	}
-	fixture.Receive(t, c.resets, "the stream's end")
+	testutil.Receive(t, c.resets, "the stream's end")
 	if c.written.Load() != 1 {
 		t.Error("its message was written")
 	}
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -15,11 +15,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/grpcnode"
+	"hazelwing/internal/emulator/rawh2"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/grpcnode"
-	"hazelwing/internal/standin/rawh2"
+	"hazelwing/internal/testutil"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -58,22 +58,22 @@
 	}, rawh2.MaxStreams(1))
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, listed(addr, balancer.Active), time.Now())
-	one := tr.Attempt("s", call(t.Context()), fixture.Patience)
+	one := tr.Attempt("s", call(t.Context()), testutil.Patience)
 	oneDone := run(one)
-	fixture.Until(t, "the first attempt", func() bool { return first.Load() != nil })
-	other := tr.Attempt("s", call(t.Context()), fixture.Patience)
+	testutil.Until(t, "the first attempt", func() bool { return first.Load() != nil })
+	other := tr.Attempt("s", call(t.Context()), testutil.Patience)
 	otherDone := run(other)
 	g := other.(*exchange).gate
-	fixture.Until(t, "the second to be let through", func() bool {
+	testutil.Until(t, "the second to be let through", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return g.passed
 	})
 	tr.Update(false, listed(addr, balancer.Leaving), time.Now())
-	if o := fixture.Receive(t, otherDone, "the second's end"); o.Result.MayHaveRun() {
+	if o := testutil.Receive(t, otherDone, "the second's end"); o.Result.MayHaveRun() {
 		t.Errorf("result %d (%v)", o.Result, o.Err)
 	}
-	if first.Load().OK(nil); fixture.Receive(t, oneDone, "the first's answer").Result != balancer.OK {
+	if first.Load().OK(nil); testutil.Receive(t, oneDone, "the first's answer").Result != balancer.OK {
 		t.Error("what was out before the drain was not served")
 	}
 	if came.Load() != 1 {
@@ -105,9 +105,9 @@
 			left.Store(false)
 			asked := call(t.Context())
 			asked.Left = left.Load
-			x := tr.Attempt("s", asked, fixture.Patience)
+			x := tr.Attempt("s", asked, testutil.Patience)
 			c(tr, x, addr)
-			if o := fixture.Receive(t, run(x), "the outcome"); o.Result != balancer.Moot {
+			if o := testutil.Receive(t, run(x), "the outcome"); o.Result != balancer.Moot {
 				t.Errorf("result %d (%v)", o.Result, o.Err)
 			}
 			if came.Load() != 0 {
@@ -124,7 +124,7 @@
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, listed(addr, balancer.Active), time.Now())
 	tr.Update(false, listed(addr, balancer.Leaving), time.Now().Add(-time.Second))
-	o := fixture.Receive(t, run(tr.Attempt("s", call(t.Context()), fixture.Patience)), "the outcome")
+	o := testutil.Receive(t, run(tr.Attempt("s", call(t.Context()), testutil.Patience)), "the outcome")
 	if o.Result != balancer.Moot || came.Load() != 0 {
 		t.Errorf("result %d (%v), %d written", o.Result, o.Err, came.Load())
 	}
@@ -143,15 +143,15 @@
 		t.Error("an attempt to nobody")
 	}
 	tr.Update(true, listed(addr, balancer.Active), time.Now())
-	done := run(tr.Attempt("s", call(t.Context()), fixture.Patience))
-	s := fixture.Receive(t, held, "the attempt")
+	done := run(tr.Attempt("s", call(t.Context()), testutil.Patience))
+	s := testutil.Receive(t, held, "the attempt")
 	m := tr.members["s"]
 	tr.Update(true, nil, time.Now())
 	if m.cc == nil {
 		t.Fatal("a connection with an attempt out was closed")
 	}
 	s.OK([]byte("\n\x01x"))
-	if o := fixture.Receive(t, done, "the outcome"); o.Result != balancer.OK {
+	if o := testutil.Receive(t, done, "the outcome"); o.Result != balancer.OK {
 		t.Errorf("result %d (%v)", o.Result, o.Err)
 	}
 	tr.mu.Lock()
@@ -161,9 +161,9 @@
 	tr.mu.Unlock()
 	// It comes back: a new connection is made. Close takes one that has nothing out.
 	tr.Update(true, listed(addr, balancer.Active), time.Now())
-	done = run(tr.Attempt("s", call(t.Context()), fixture.Patience))
-	fixture.Receive(t, held, "another attempt").OK(nil)
-	fixture.Receive(t, done, "the outcome")
+	done = run(tr.Attempt("s", call(t.Context()), testutil.Patience))
+	testutil.Receive(t, held, "another attempt").OK(nil)
+	testutil.Receive(t, done, "the outcome")
 	if tr.Close("s"); tr.members["s"].cc != nil {
 		t.Error("an idle connection was not closed")
 	}
@@ -181,7 +181,7 @@
 	tr := newTransport(t, time.Second)
 	tr.Update(true, listed(addr, balancer.Active), time.Now())
 	for i := range 3 {
-		o := fixture.Receive(t, run(tr.Attempt("s", call(t.Context()), fixture.Patience)), "the outcome")
+		o := testutil.Receive(t, run(tr.Attempt("s", call(t.Context()), testutil.Patience)), "the outcome")
 		if o.Result != balancer.ConnectFailed || o.Elapsed > 4*time.Second {
 			t.Errorf("attempt %d: result %d (%v) after %v", i, o.Result, o.Err, o.Elapsed)
 		}
@@ -189,19 +189,19 @@
 	if l, err = net.Listen("tcp", addr); err != nil {
 		t.Skip("another process has the address by now")
 	}
-	n := standin.NewNode(standin.NodeConfig{Name: "n", Speed: 1}, time.Time{}, standin.NewLedger())
-	srv := grpcnode.New(n, map[string]standin.Effect{"c": standin.Safe})
+	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewLedger())
+	srv := grpcnode.New(n, map[string]emulator.Effect{"c": emulator.Safe})
 	go srv.Serve(l)
 	defer srv.Stop()
 	ctx := metadata.AppendToOutgoingContext(t.Context(), "x-request-id", "1", "x-class", "c")
-	if o := fixture.Receive(t, run(tr.Attempt("s", call(ctx), fixture.Patience)), "the outcome"); o.Result != balancer.OK {
+	if o := testutil.Receive(t, run(tr.Attempt("s", call(ctx), testutil.Patience)), "the outcome"); o.Result != balancer.OK {
 		t.Errorf("once it listens: result %d (%v)", o.Result, o.Err)
 	}
 }
 
 // A probe asks grpc.health.v1, and brings what the member says that it holds.
 func TestProbe(t *testing.T) {
-	n := standin.NewNode(standin.NodeConfig{Name: "n", Speed: 1}, time.Time{}, standin.NewLedger())
+	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewLedger())
 	n.Pause(time.Hour)
 	defer n.Die()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -212,12 +212,12 @@
 	go srv.Serve(l)
 	defer srv.Stop()
 	for range 3 {
-		go n.Do(t.Context(), standin.Job{ID: "x", Work: time.Hour})
+		go n.Do(t.Context(), emulator.Job{ID: "x", Work: time.Hour})
 	}
-	fixture.Until(t, "the jobs", func() bool { return n.Held() == 3 })
+	testutil.Until(t, "the jobs", func() bool { return n.Held() == 3 })
 	tr := newTransport(t, time.Second)
 	tr.Update(true, listed(l.Addr().String(), balancer.Active), time.Now())
-	o := fixture.Receive(t, run(tr.Probe("s", fixture.Patience)), "the probe")
+	o := testutil.Receive(t, run(tr.Probe("s", testutil.Patience)), "the probe")
 	if o.Result != balancer.OK || o.Load != (balancer.Load{Told: true, Held: 3}) {
 		t.Errorf("%+v", o)
 	}
@@ -233,7 +233,7 @@
 		})
 		tr := newTransport(t, time.Second)
 		tr.Update(true, listed(addr, balancer.Active), time.Now())
-		if o := fixture.Receive(t, run(tr.Probe("s", fixture.Patience)), "the probe"); o.Result != want || o.Load.Told {
+		if o := testutil.Receive(t, run(tr.Probe("s", testutil.Patience)), "the probe"); o.Result != want || o.Load.Told {
 			t.Errorf("status %s: %+v", status, o)
 		}
 	}
@@ -286,7 +286,7 @@
 		})
 		tr := newTransport(t, time.Second)
 		tr.Update(true, listed(addr, balancer.Active), time.Now())
-		if o := fixture.Receive(t, run(tr.Attempt("s", call(t.Context()), fixture.Patience)), "the outcome"); o.Result != balancer.Reset || o.Final {
+		if o := testutil.Receive(t, run(tr.Attempt("s", call(t.Context()), testutil.Patience)), "the outcome"); o.Result != balancer.Reset || o.Final {
 			t.Errorf("%s: result %d, final %v (%v)", name, o.Result, o.Final, o.Err)
 		}
 	}
--- a/internal/transport/http1/crossing_test.go
+++ b/internal/transport/http1/crossing_test.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/engine"
 	"hazelwing/internal/httpmsg"
 	"hazelwing/internal/netpeek"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 // Where two events cross at a connection to an upstream: docs/design/crossings.md has the table.
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			var bytes atomic.Int32
 			accepted := make(chan bool, 1)
-			addr := fixture.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+			addr := testutil.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 				accepted <- true
 				if _, err := r.ReadByte(); err == nil {
 					bytes.Add(1)
@@ -52,13 +52,13 @@
 			}
 			var left atomic.Bool
 			call := &engine.Call{Left: left.Load, Payload: &httpmsg.Request{Method: "POST", URI: "/pay/x", Header: http.Header{}, Body: []byte("b")}}
-			x := p.Attempt("s", call, fixture.Patience).(*exchange)
+			x := p.Attempt("s", call, testutil.Patience).(*exchange)
 			done := make(chan engine.Outcome, 1)
 			go func() { done <- run(x) }()
-			fixture.Receive(t, dialling, "the dial")
+			testutil.Receive(t, dialling, "the dial")
 			c.happens(p, x, &left, addr)
 			close(up)
-			wantResult(t, fixture.Receive(t, done, "the outcome"), c.want)
+			wantResult(t, testutil.Receive(t, done, "the outcome"), c.want)
 			p.mu.Lock()
 			open := p.open
 			p.mu.Unlock()
@@ -79,19 +79,19 @@
 // The same for a place among the open connections: who waited for it hands it on.
 func TestPlaceComesTooLate(t *testing.T) {
 	came := make(chan net.Conn, 3)
-	addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-		for fixture.ReadRequest(r) != nil {
+	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		for testutil.ReadRequest(r) != nil {
 			came <- conn
 		}
 	})
 	p := testPool()
-	p.max, p.dial.Timeout = 1, fixture.Patience
+	p.max, p.dial.Timeout = 1, testutil.Patience
 	u := knownUpstream(t, p, addr)
 	first := make(chan engine.Outcome, 1)
-	go func() { first <- run(p.exchange(u, fixture.Patience, testRequest("POST"))) }()
-	conn := fixture.Receive(t, came, "the first request")
+	go func() { first <- run(p.exchange(u, testutil.Patience, testRequest("POST"))) }()
+	conn := testutil.Receive(t, came, "the first request")
 	waits := func(n int) {
-		fixture.Until(t, "the waiting", func() bool {
+		testutil.Until(t, "the waiting", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return len(p.waiting) == n
@@ -101,7 +101,7 @@
 	outcomes := make(chan engine.Outcome, 2)
 	attempt := func(c *engine.Call) {
 		c.Payload = &httpmsg.Request{Method: "POST", URI: "/pay/x", Header: http.Header{}, Body: []byte("b")}
-		x := p.Attempt("s", c, fixture.Patience)
+		x := p.Attempt("s", c, testutil.Patience)
 		go func() { outcomes <- x.Run(nil) }()
 	}
 	attempt(&engine.Call{Left: left.Load})
@@ -109,11 +109,11 @@
 	attempt(new(engine.Call))
 	waits(2)
 	left.Store(true)
-	io.WriteString(conn, fixture.OKAnswer)
-	wantResult(t, fixture.Receive(t, first, "the first outcome"), balancer.OK)
-	wantResult(t, fixture.Receive(t, outcomes, "the outcome of the one that left"), balancer.Moot)
-	io.WriteString(fixture.Receive(t, came, "the other's request"), fixture.OKAnswer)
-	wantResult(t, fixture.Receive(t, outcomes, "the other's outcome"), balancer.OK)
+	io.WriteString(conn, testutil.OKAnswer)
+	wantResult(t, testutil.Receive(t, first, "the first outcome"), balancer.OK)
+	wantResult(t, testutil.Receive(t, outcomes, "the outcome of the one that left"), balancer.Moot)
+	io.WriteString(testutil.Receive(t, came, "the other's request"), testutil.OKAnswer)
+	wantResult(t, testutil.Receive(t, outcomes, "the other's outcome"), balancer.OK)
 	if len(came) > 0 {
 		t.Error("the one that left was sent on")
 	}
@@ -124,34 +124,34 @@
 func TestSecondAnswerIsNobodysAnswer(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	conns := make(chan net.Conn, 10)
-	addr := fixture.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
-		for i := 0; fixture.ReadRequest(r) != nil; i++ {
+	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+		for i := 0; testutil.ReadRequest(r) != nil; i++ {
 			if n == 1 && i > 0 {
 				io.WriteString(conn, second) // to the first request here, late, and taken for this one's if that was written here
 			} else {
-				io.WriteString(conn, fixture.OKAnswer)
+				io.WriteString(conn, testutil.OKAnswer)
 			}
 			conns <- conn
 		}
 	})
 	p := testPool()
-	p.settle = fixture.Patience
+	p.settle = testutil.Patience
 	u := knownUpstream(t, p, addr)
 	ask := func() net.Conn {
 		t.Helper()
-		o := run(p.exchange(u, fixture.Patience, testRequest("GET")))
+		o := run(p.exchange(u, testutil.Patience, testRequest("GET")))
 		wantResult(t, o, balancer.OK)
 		if got := string(o.Answer.(*httpmsg.Answer).Body); got != "ok" {
 			t.Errorf("a request got %q", got)
 		}
-		return fixture.Receive(t, conns, "the request")
+		return testutil.Receive(t, conns, "the request")
 	}
 	first := ask()
 	if ask() != first {
 		t.Error("a second connection where nothing speaks for it")
 	}
 	io.WriteString(first, second)
-	fixture.Until(t, "the second answer", func() bool { return u.idle[0].look() == netpeek.Spoke })
+	testutil.Until(t, "the second answer", func() bool { return u.idle[0].look() == netpeek.Spoke })
 	next := ask()
 	if next == first {
 		t.Error("the connection that has spoken unasked is used again")
