--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -17,7 +17,7 @@
 	"hazelwing/internal/engine"
 	"hazelwing/internal/httpmsg"
 	"hazelwing/internal/netpeek"
-	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/testutil"
 )
 
 func testPool() *Pool {
@@ -69,9 +69,9 @@
 		reply string // after the whole request, then the connection ends
 		want  balancer.Result
 	}{
-		"served":              {fixture.OKAnswer, balancer.OK},
+		"served":              {testutil.OKAnswer, balancer.OK},
 		"served, chunked":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.OK},
-		"after an interim":    {"HTTP/1.1 103 Early Hints\r\n\r\n" + fixture.OKAnswer, balancer.OK},
+		"after an interim":    {"HTTP/1.1 103 Early Hints\r\n\r\n" + testutil.OKAnswer, balancer.OK},
 		"error":               {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
 		"queue full":          {"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded},
 		"over already":        {"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded},
@@ -93,18 +93,18 @@
 		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ServerError},
 		"length and chunks":   {"HTTP/1.1 200 OK\r\nContent-Length: 99\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.ServerError},
 		"no length":           {"HTTP/1.1 200 OK\r\n\r\nok", balancer.ServerError},
-		"another protocol":    {"HTTP/1.1 101 Switching\r\nContent-Length: 0\r\n\r\n" + fixture.OKAnswer, balancer.ServerError},
+		"another protocol":    {"HTTP/1.1 101 Switching\r\nContent-Length: 0\r\n\r\n" + testutil.OKAnswer, balancer.ServerError},
 		"cut 503 and not run": {"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 5\r\n\r\n", balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-				if fixture.ReadRequest(r) != nil {
+			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+				if testutil.ReadRequest(r) != nil {
 					io.WriteString(conn, c.reply)
 				}
 				conn.Close()
 			})
 			p := testPool()
-			o := run(p.exchange(knownUpstream(t, p, addr), fixture.Patience, testRequest("POST")))
+			o := run(p.exchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
 			wantResult(t, o, c.want)
 			if o.Result == balancer.OK && body(o) != "ok" {
 				t.Errorf("body %q", body(o))
@@ -123,20 +123,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan bool)
-			addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-				fixture.ReadRequest(r)
+			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+				testutil.ReadRequest(r)
 				io.WriteString(conn, reply)
 				r.ReadByte()
 				close(closed)
 			})
 			p := testPool()
-			o := run(p.exchange(knownUpstream(t, p, addr), fixture.Patience, testRequest("POST")))
+			o := run(p.exchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
 			wantResult(t, o, balancer.ServerError)
 			if name == "huge" && !errors.Is(o.Err, errLong) {
 				t.Errorf("it was read: %v", o.Err)
 			}
-			fixture.Receive(t, closed, "the connection's end")
-			if o.Elapsed > fixture.Patience/2 {
+			testutil.Receive(t, closed, "the connection's end")
+			if o.Elapsed > testutil.Patience/2 {
 				t.Errorf("it took %v", o.Elapsed)
 			}
 		})
@@ -146,8 +146,8 @@
 // Guards against taking an answer that is long, and comes in pieces, for a spoilt one.
 func TestLongAnswer(t *testing.T) {
 	long := strings.Repeat("x", leastAnswer/2)
-	addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-		fixture.ReadRequest(r)
+	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		testutil.ReadRequest(r)
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
 		for _, cut := range []int{20, 30, 1000, len(text) - 1050} { // with pauses that together are longer than one may be
 			io.WriteString(conn, text[:cut])
@@ -156,7 +156,7 @@
 		}
 	})
 	p := testPool()
-	o := run(p.exchange(knownUpstream(t, p, addr), fixture.Patience, testRequest("POST")))
+	o := run(p.exchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
 	wantResult(t, o, balancer.OK)
 	if body(o) != long {
 		t.Errorf("%d bytes came", len(body(o)))
@@ -169,25 +169,25 @@
 	for name, more := range map[string]bool{"with it": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			conns := make(chan net.Conn, 2)
-			addr := fixture.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
-				for fixture.ReadRequest(r) != nil {
+			addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+				for testutil.ReadRequest(r) != nil {
 					if conns <- conn; n == 0 && !more {
-						io.WriteString(conn, fixture.OKAnswer+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
+						io.WriteString(conn, testutil.OKAnswer+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
 					} else {
-						io.WriteString(conn, fixture.OKAnswer)
+						io.WriteString(conn, testutil.OKAnswer)
 					}
 				}
 			})
 			p := testPool()
 			u := knownUpstream(t, p, addr)
-			wantResult(t, run(p.exchange(u, fixture.Patience, testRequest("POST"))), balancer.OK)
-			if first := fixture.Receive(t, conns, "the first request"); more {
+			wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+			if first := testutil.Receive(t, conns, "the first request"); more {
 				io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
-				for end := time.Now().Add(fixture.Patience); u.idle[0].look() == netpeek.Silent && time.Now().Before(end); {
+				for end := time.Now().Add(testutil.Patience); u.idle[0].look() == netpeek.Silent && time.Now().Before(end); {
 					runtime.Gosched()
 				}
 			}
-			o := run(p.exchange(u, fixture.Patience, testRequest("POST")))
+			o := run(p.exchange(u, testutil.Patience, testRequest("POST")))
 			wantResult(t, o, balancer.OK)
 			if body(o) != "ok" {
 				t.Errorf("served %q", body(o))
@@ -199,25 +199,25 @@
 // Guards against writing to the process that an upstream was before: a connection opened to it is not kept, nor used.
 func TestConnectionOfAnOlderProcess(t *testing.T) {
 	came, release := make(chan int, 2), make(chan bool)
-	addr := fixture.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
-		for fixture.ReadRequest(r) != nil {
+	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+		for testutil.ReadRequest(r) != nil {
 			came <- n
 			<-release
-			io.WriteString(conn, fixture.OKAnswer)
+			io.WriteString(conn, testutil.OKAnswer)
 		}
 	})
 	p := testPool()
 	u := knownUpstream(t, p, addr)
 	done := make(chan engine.Outcome, 1)
-	go func() { done <- run(p.exchange(u, fixture.Patience, testRequest("POST"))) }()
-	fixture.Receive(t, came, "the first request")
+	go func() { done <- run(p.exchange(u, testutil.Patience, testRequest("POST"))) }()
+	testutil.Receive(t, came, "the first request")
 	restarted := active(addr)
 	restarted[0].BornMS = 5
 	p.Update(false, restarted, time.Now())
 	close(release)
-	wantResult(t, fixture.Receive(t, done, "the outcome"), balancer.OK)
-	wantResult(t, run(p.exchange(u, fixture.Patience, testRequest("POST"))), balancer.OK)
-	if n := fixture.Receive(t, came, "the second request"); n != 1 {
+	wantResult(t, testutil.Receive(t, done, "the outcome"), balancer.OK)
+	wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+	if n := testutil.Receive(t, came, "the second request"); n != 1 {
 		t.Error("the second request went to the old process")
 	}
 }
@@ -229,7 +229,7 @@
 	}
 	l.Close()
 	p := testPool()
-	wantResult(t, run(p.exchange(knownUpstream(t, p, l.Addr().String()), fixture.Patience, testRequest("POST"))), balancer.ConnectFailed)
+	wantResult(t, run(p.exchange(knownUpstream(t, p, l.Addr().String()), testutil.Patience, testRequest("POST"))), balancer.ConnectFailed)
 	if p.open != 0 {
 		t.Errorf("%d connections counted as open", p.open)
 	}
@@ -243,12 +243,12 @@
 		want    balancer.Result
 	}{
 		"timed out": {time.Second, balancer.Timeout},
-		"cancelled": {fixture.Patience, balancer.Cancelled},
+		"cancelled": {testutil.Patience, balancer.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			came, closed := make(chan bool, 1), make(chan bool, 1)
-			addr := fixture.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
-				fixture.ReadRequest(r)
+			addr := testutil.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+				testutil.ReadRequest(r)
 				came <- true
 				r.ReadByte()
 				closed <- true
@@ -257,16 +257,16 @@
 			x := p.exchange(knownUpstream(t, p, addr), c.timeout, testRequest("POST"))
 			done := make(chan engine.Outcome, 1)
 			go func() { done <- run(x) }()
-			fixture.Receive(t, came, "the request")
+			testutil.Receive(t, came, "the request")
 			if c.want == balancer.Cancelled {
 				x.cancel()
 			}
-			o := fixture.Receive(t, done, "the outcome")
+			o := testutil.Receive(t, done, "the outcome")
 			wantResult(t, o, c.want)
 			if c.want == balancer.Timeout && o.Elapsed < c.timeout {
 				t.Errorf("timed out after %v already", o.Elapsed)
 			}
-			fixture.Receive(t, closed, "the connection's end")
+			testutil.Receive(t, closed, "the connection's end")
 		})
 	}
 }
@@ -275,22 +275,22 @@
 // that nobody decided on.
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	var copies atomic.Int32
-	addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-		for n := 0; fixture.ReadRequest(r) != nil; n++ {
+	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		for n := 0; testutil.ReadRequest(r) != nil; n++ {
 			copies.Add(1)
 			if n > 0 {
 				conn.Close()
 				return
 			}
-			io.WriteString(conn, fixture.OKAnswer)
+			io.WriteString(conn, testutil.OKAnswer)
 		}
 	})
 	p := testPool()
 	u := knownUpstream(t, p, addr)
 	for _, method := range []string{"GET", "POST"} {
 		before := copies.Load()
-		wantResult(t, run(p.exchange(u, fixture.Patience, testRequest(method))), balancer.OK)
-		wantResult(t, run(p.exchange(u, fixture.Patience, testRequest(method))), balancer.Reset)
+		wantResult(t, run(p.exchange(u, testutil.Patience, testRequest(method))), balancer.OK)
+		wantResult(t, run(p.exchange(u, testutil.Patience, testRequest(method))), balancer.Reset)
 		if got := copies.Load() - before; got != 2 {
 			t.Errorf("%s: %d copies came, want 2", method, got)
 		}
@@ -301,23 +301,23 @@
 // an unsafe one could not be sent again.
 func TestClosedIdleConnectionIsNoticed(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-		for fixture.ReadRequest(r) != nil {
-			io.WriteString(conn, fixture.OKAnswer)
+	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		for testutil.ReadRequest(r) != nil {
+			io.WriteString(conn, testutil.OKAnswer)
 			conns <- conn
 		}
 	})
 	p := testPool()
 	u := knownUpstream(t, p, addr)
-	wantResult(t, run(p.exchange(u, fixture.Patience, testRequest("POST"))), balancer.OK)
-	fixture.Receive(t, conns, "the first request").Close()
+	wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+	testutil.Receive(t, conns, "the first request").Close()
 	if len(u.idle) != 1 {
 		t.Fatalf("%d idle connections, want 1", len(u.idle))
 	}
-	for end := time.Now().Add(fixture.Patience); u.idle[0].look() == netpeek.Silent && time.Now().Before(end); {
+	for end := time.Now().Add(testutil.Patience); u.idle[0].look() == netpeek.Silent && time.Now().Before(end); {
 		runtime.Gosched()
 	}
-	wantResult(t, run(p.exchange(u, fixture.Patience, testRequest("POST"))), balancer.OK)
+	wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
 	if p.open != 1 {
 		t.Errorf("%d connections counted as open, want 1", p.open)
 	}
@@ -327,10 +327,10 @@
 // written to one that it is about to close is lost.
 func TestIdleConnectionsAreReusedAndRetired(t *testing.T) {
 	numbers := make(chan int, 3)
-	addr := fixture.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
-		for fixture.ReadRequest(r) != nil {
+	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+		for testutil.ReadRequest(r) != nil {
 			numbers <- n
-			io.WriteString(conn, fixture.OKAnswer)
+			io.WriteString(conn, testutil.OKAnswer)
 		}
 	})
 	p := testPool()
@@ -339,8 +339,8 @@
 		if i == 2 {
 			u.idle[0].since = time.Now().Add(-p.idle)
 		}
-		wantResult(t, run(p.exchange(u, fixture.Patience, testRequest("GET"))), balancer.OK)
-		if got := fixture.Receive(t, numbers, "a request"); got != want {
+		wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("GET"))), balancer.OK)
+		if got := testutil.Receive(t, numbers, "a request"); got != want {
 			t.Errorf("request %d came on connection %d, want %d", i, got, want)
 		}
 	}
@@ -370,13 +370,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var copies atomic.Int32
-			addr := fixture.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+			addr := testutil.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 				if _, err := r.ReadByte(); err == nil {
 					copies.Add(1)
 				}
 			})
 			p := testPool()
-			x := p.exchange(knownUpstream(t, p, addr), fixture.Patience, testRequest("POST"))
+			x := p.exchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST"))
 			c.before(p, x, addr)
 			wantResult(t, run(x), c.want)
 			if copies.Load() != 0 {
@@ -390,14 +390,14 @@
 // is not the upstream's fault.
 func TestConnectionLimit(t *testing.T) {
 	came := make(chan bool, 1)
-	addr := fixture.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
-		for fixture.ReadRequest(r) != nil {
+	addr := testutil.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+		for testutil.ReadRequest(r) != nil {
 			came <- true
 		}
 	})
-	answering := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-		for fixture.ReadRequest(r) != nil {
-			io.WriteString(conn, fixture.OKAnswer)
+	answering := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		for testutil.ReadRequest(r) != nil {
+			io.WriteString(conn, testutil.OKAnswer)
 		}
 	})
 	p := testPool()
@@ -406,24 +406,24 @@
 	p.full = func() { full.Add(1) }
 	hosts := append(active(addr), engine.Member{ID: "other", Addr: answering})
 	p.Update(true, hosts, time.Now())
-	wantResult(t, run(p.exchange(p.find("other"), fixture.Patience, testRequest("GET"))), balancer.OK)
-	first := p.exchange(p.find("s"), fixture.Patience, testRequest("GET"))
+	wantResult(t, run(p.exchange(p.find("other"), testutil.Patience, testRequest("GET"))), balancer.OK)
+	first := p.exchange(p.find("s"), testutil.Patience, testRequest("GET"))
 	done := make(chan engine.Outcome, 1)
 	go func() { done <- run(first) }()
-	fixture.Receive(t, came, "the request that takes the idle connection's place")
-	wantResult(t, run(p.exchange(p.find("s"), fixture.Patience, testRequest("GET"))), balancer.Moot)
+	testutil.Receive(t, came, "the request that takes the idle connection's place")
+	wantResult(t, run(p.exchange(p.find("s"), testutil.Patience, testRequest("GET"))), balancer.Moot)
 	// Guards against bursts that burn all attempts in a moment: who comes too many waits for a while.
 	second := make(chan engine.Outcome, 1)
-	p.dial.Timeout = fixture.Patience
-	go func() { second <- run(p.exchange(p.find("other"), fixture.Patience, testRequest("GET"))) }()
-	for begun, waits := time.Now(), false; !waits && time.Since(begun) < fixture.Patience; runtime.Gosched() {
+	p.dial.Timeout = testutil.Patience
+	go func() { second <- run(p.exchange(p.find("other"), testutil.Patience, testRequest("GET"))) }()
+	for begun, waits := time.Now(), false; !waits && time.Since(begun) < testutil.Patience; runtime.Gosched() {
 		p.mu.Lock()
 		waits = len(p.waiting) > 0
 		p.mu.Unlock()
 	}
 	first.cancel()
-	wantResult(t, fixture.Receive(t, done, "the outcome"), balancer.Cancelled)
-	wantResult(t, fixture.Receive(t, second, "the one that waited"), balancer.OK)
+	wantResult(t, testutil.Receive(t, done, "the outcome"), balancer.Cancelled)
+	wantResult(t, testutil.Receive(t, second, "the one that waited"), balancer.OK)
 	if n := full.Load(); n != 2 {
 		t.Errorf("the bound was told as reached %d times, want 2", n)
 	}
@@ -453,8 +453,8 @@
 
 // A probe has to reach the load report and bring the queue to the module.
 func TestProbeTellsTheQueue(t *testing.T) {
-	addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-		for req := fixture.ReadRequest(r); req != nil; req = fixture.ReadRequest(r) {
+	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		for req := testutil.ReadRequest(r); req != nil; req = testutil.ReadRequest(r) {
 			if req.URL.Path == "/metrics/load" && req.Method == "GET" {
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nqueue=4")
 			} else {
@@ -464,7 +464,7 @@
 	})
 	p := testPool()
 	knownUpstream(t, p, addr)
-	o := p.Probe("s", fixture.Patience).Run(nil)
+	o := p.Probe("s", testutil.Patience).Run(nil)
 	wantResult(t, o, balancer.OK)
 	if got := o.Load; got != (balancer.Load{Told: true, Held: 4}) {
 		t.Errorf("told %+v", got)
@@ -478,8 +478,8 @@
 		err    error
 		want   balancer.Result
 	}{{"200 OK", errors.New("half"), balancer.ServerError}, {"200 OK", nil, balancer.OK}, {"503 Full\r\nX-Not-Run: 1", errors.New("half"), balancer.Overloaded}} {
-		addr := fixture.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-			if fixture.ReadRequest(r) != nil {
+		addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			if testutil.ReadRequest(r) != nil {
 				io.WriteString(conn, "HTTP/1.1 "+c.status+"\r\nContent-Length: 2\r\n\r\nok")
 			}
 		})
@@ -491,7 +491,7 @@
 			}
 			return c.err
 		}}}
-		o := p.Attempt("s", call, fixture.Patience).Run(nil)
+		o := p.Attempt("s", call, testutil.Patience).Run(nil)
 		wantResult(t, o, c.want)
 		if o.Final != (c.want == balancer.OK) || c.want == balancer.ServerError && (o.Answer != nil || !o.Result.MayHaveRun()) {
 			t.Errorf("%s, %v: %+v", c.status, c.err, o)
--- a/rpc/hazelgrpc/agree_test.go
+++ b/rpc/grpcbalancer/agree_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"fmt"
@@ -7,45 +7,45 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/lab/experiment"
-	"hazelwing/internal/lab/rival"
-	"hazelwing/internal/lab/world"
-	"hazelwing/internal/standin"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/simulation/baseline"
+	"hazelwing/internal/simulation/experiment"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // emulated plays a contestant's day in the lab: the stand-in fleet's nodes, the same traffic and faults, in simulated
 // time. grpc-go's policies ask once, as they do on sockets.
-func emulated(t *testing.T, c contestant, traffic *standin.Traffic, script string, seed int) *world.Result {
+func emulated(t *testing.T, c contestant, traffic *emulator.Traffic, script string, seed int) *simulator.Result {
 	t.Helper()
-	cfg := world.Config{Length: traffic.Length() + time.Second, Settings: bookingSettings(traffic),
+	cfg := simulator.Config{Length: traffic.Length() + time.Second, Settings: bookingSettings(traffic),
 		// A loopback's ways, and what the programs between client and node take.
-		Network: world.Network{Same: hop, Cross: hop, Jitter: hop / 2, ConnectTimeout: 250 * time.Millisecond, Idle: 15 * time.Second},
-		List:    world.List{Least: time.Millisecond, Most: 2 * time.Millisecond, Notice: time.Second},
-		Rules:   world.Rules{ColdFrom: 0.3, WarmUp: 4 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second, DrainGrace: 250 * time.Millisecond},
-		Clients: world.Clients{Instances: 1, Zones: []string{"a"}, Tries: 1, Recorded: experiment.Recorded(traffic)}}
+		Network: simulator.Network{Same: hop, Cross: hop, Jitter: hop / 2, ConnectTimeout: 250 * time.Millisecond, Idle: 15 * time.Second},
+		List:    simulator.List{Least: time.Millisecond, Most: 2 * time.Millisecond, Notice: time.Second},
+		Rules:   simulator.Rules{ColdFrom: 0.3, WarmUp: 4 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second, DrainGrace: 250 * time.Millisecond},
+		Clients: simulator.Clients{Instances: 1, Zones: []string{"a"}, Tries: 1, Recorded: experiment.Recorded(traffic)}}
 	for _, k := range bookingClasses(traffic) {
-		cfg.Classes = append(cfg.Classes, world.Class{Class: k, Share: 1, Work: world.Work{Kind: "fixed", Mean: time.Millisecond}})
+		cfg.Classes = append(cfg.Classes, simulator.Class{Class: k, Share: 1, Work: simulator.Work{Kind: "fixed", Mean: time.Millisecond}})
 	}
-	for _, n := range standin.MixedNodes(7) {
-		cfg.Nodes = append(cfg.Nodes, world.Node{Name: n.Name, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, Cores: 1, Speed: n.Speed, Queue: 64})
+	for _, n := range emulator.MixedNodes(7) {
+		cfg.Nodes = append(cfg.Nodes, simulator.Node{Name: n.Name, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, Cores: 1, Speed: n.Speed, Queue: 64})
 	}
-	faults, err := standin.ReadScript(strings.NewReader(script))
+	faults, err := emulator.ReadScript(strings.NewReader(script))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range faults {
-		cfg.Faults = append(cfg.Faults, world.Fault{At: f.At, What: f.Verb, Node: f.Node, Times: f.Times, For: f.For})
+		cfg.Faults = append(cfg.Faults, simulator.Fault{At: f.At, What: f.Verb, Node: f.Node, Times: f.Times, For: f.For})
 	}
 	cfg.Network.Multiplexed = c.server != nil // gRPC
-	if c.lab != rival.Own {
+	if c.lab != baseline.Own {
 		cfg.Settings.MaxAttempts = 1
 		cfg.Settings.LoadByProbes = true // ORCA's reports come with answers
 	}
-	policy, err := rival.New(c.lab)
+	policy, err := baseline.New(c.lab)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := world.Run(cfg, policy, uint64(seed))
+	r, err := simulator.Run(cfg, policy, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,10 +114,10 @@
 // In a calm half minute, the lab and the closed form of its own traffic agree on what is asked for: the same requests, the
 // same nodes. What differs on sockets is measured by TestCompare.
 func TestEmulatedDayIsTheSameTraffic(t *testing.T) {
-	traffic := standin.Generate(3, 100, 3*time.Second)
+	traffic := emulator.Generate(3, 100, 3*time.Second)
 	for _, c := range contestants {
 		r := emulated(t, c, traffic, "500ms slow n1 8 1s\n1s crash n4\n2s restart n4\n1s reset n6 0.2 1s\n700ms drain n3", 3)
-		if r.Asked != len(traffic.Requests) || r.Service < 0.5 || !slices.Contains([]string{rival.Own}, c.lab) && r.Wasted > 0 {
+		if r.Asked != len(traffic.Requests) || r.Service < 0.5 || !slices.Contains([]string{baseline.Own}, c.lab) && r.Wasted > 0 {
 			t.Errorf("%s: %d of %d asked, service %.3f, %.3f wasted", c.name, r.Asked, len(traffic.Requests), r.Service, r.Wasted)
 		}
 	}
--- a/rpc/hazelgrpc/bench_test.go
+++ b/rpc/grpcbalancer/bench_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 // BenchmarkInvoke is what a call costs: plain grpc-go, with and without a deadline, beside the plug-in, against a
 // server that answers at once.
 //
-//	go test ./rpc/hazelgrpc -run '^$' -bench Invoke -benchmem -count 6
+//	go test ./rpc/grpcbalancer -run '^$' -bench Invoke -benchmem -count 6
 func BenchmarkInvoke(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/rpc/hazelgrpc/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"google.golang.org/grpc/status"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/rawh2"
+	"hazelwing/internal/emulator/rawh2"
+	"hazelwing/internal/testutil"
 )
 
 // What comes beside an answer reaches the application through its options, once, from the attempt that counts.
@@ -87,7 +87,7 @@
 // A refusal says when to come back; it is one of two codes, and a failure is neither.
 func TestRefusal(t *testing.T) {
 	t.Run("nothing was sent", func(t *testing.T) {
-		cfg := testConfig(Static(Member{Addr: fixture.NoAddr}))
+		cfg := testConfig(Static(Member{Addr: testutil.NoAddr}))
 		cfg.Settings.MaxAttempts = 1
 		p := start(t, cfg)
 		_, err := ask(p, t.Context(), book, "seat")
@@ -104,7 +104,7 @@
 		}
 	})
 	t.Run("after Close", func(t *testing.T) {
-		p := start(t, testConfig(Static(Member{Addr: fixture.NoAddr})))
+		p := start(t, testConfig(Static(Member{Addr: testutil.NoAddr})))
 		p.Close()
 		_, err := ask(p, t.Context(), book, "seat")
 		if _, ok := RefusedFor(err); !ok || status.Code(err) != codes.ResourceExhausted {
@@ -128,7 +128,7 @@
 	}
 	p := start(t, cfg)
 	begun := time.Now()
-	if _, err := ask(p, t.Context(), book, "seat"); status.Code(err) != codes.DeadlineExceeded || time.Since(begun) > fixture.Patience/2 {
+	if _, err := ask(p, t.Context(), book, "seat"); status.Code(err) != codes.DeadlineExceeded || time.Since(begun) > testutil.Patience/2 {
 		t.Errorf("without a deadline: %v after %v", err, time.Since(begun))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
--- a/rpc/hazelgrpc/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"bytes"
@@ -20,19 +20,19 @@
 
 	"hazelwing/balancer"
 	"hazelwing/internal/demo"
+	"hazelwing/internal/discovery/watch"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/grpcnode"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/lab/rival"
-	"hazelwing/internal/lab/world"
-	"hazelwing/internal/membership/watch"
 	"hazelwing/internal/operator"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/grpcnode"
+	"hazelwing/internal/simulation/baseline"
+	"hazelwing/internal/simulation/simulator"
 )
 
 // The measurement: the same recorded traffic and faults through the daemon, the plug-in and grpc-go's own policies,
 // side by side, each with a fleet of its own.
 //
-//	go test ./rpc/hazelgrpc -run TestCompare -v -timeout 30m -compare -compare.seeds 3
+//	go test ./rpc/grpcbalancer -run TestCompare -v -timeout 30m -compare -compare.seeds 3
 var (
 	compare      = flag.Bool("compare", false, "measure the daemon, the plug-in and grpc-go's policies side by side")
 	compareSeeds = flag.Int("compare.seeds", 3, "seeds of the traffic")
@@ -64,25 +64,25 @@
 type contestant struct {
 	name   string
 	lab    string // who plays it in the lab
-	server func(*standin.Node, map[string]standin.Effect) standin.Server
-	start  func(t *testing.T, f *standin.Fleet, traffic *standin.Traffic, seed int) (do standin.Do, closed func())
+	server func(*emulator.Node, map[string]emulator.Effect) emulator.Server
+	start  func(t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int) (do emulator.Do, closed func())
 }
 
 var contestants = []contestant{
-	{"daemon", rival.Own, nil, startDaemon},
-	{"plug-in", rival.Own, grpcnode.New, startPlugin},
+	{"daemon", baseline.Own, nil, startDaemon},
+	{"plug-in", baseline.Own, grpcnode.New, startPlugin},
 	{"round_robin", "round_robin", grpcnode.New, startPolicy(`{"loadBalancingConfig":[{"round_robin":{}}]}`)},
 	{"weighted_round_robin", "weighted", grpcnode.New, startPolicy(`{"loadBalancingConfig":[{"weighted_round_robin":{"blackoutPeriod":"0.5s","weightExpirationPeriod":"5s","weightUpdatePeriod":"0.1s"}}]}`)},
 	{"pick_first", "pick_first", grpcnode.New, startPolicy(`{"loadBalancingConfig":[{"pick_first":{"shuffleAddressList":true}}]}`)},
 }
 
-func startDaemon(t *testing.T, f *standin.Fleet, traffic *standin.Traffic, seed int) (standin.Do, func()) {
+func startDaemon(t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int) (emulator.Do, func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	addr, ended, err := demo.StartDaemon(ctx, traffic, new(operator.Config), f.Discovery.Addr(), uint64(seed), slog.DiscardHandler)
 	if err != nil {
 		t.Fatal(err)
 	}
-	do, closeIdle := standin.HTTPClient(addr, f.Ledger)
+	do, closeIdle := emulator.HTTPClient(addr, f.Ledger)
 	return do, func() {
 		closeIdle()
 		stop()
@@ -90,7 +90,7 @@
 	}
 }
 
-func startPlugin(t *testing.T, f *standin.Fleet, traffic *standin.Traffic, seed int) (standin.Do, func()) {
+func startPlugin(t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int) (emulator.Do, func()) {
 	p, err := New(Config{Settings: bookingSettings(traffic), Members: Watch(f.Discovery.Addr()), Dial: testConfig(Members{}).Dial, Seed: uint64(seed)})
 	if err != nil {
 		t.Fatal(err)
@@ -99,15 +99,15 @@
 }
 
 // unary makes recorded requests unary calls.
-func unary(p grpc.ClientConnInterface, f *standin.Fleet) standin.Do {
-	return func(ctx context.Context, n int, c standin.TrafficClass, r standin.Request) standin.Kind {
+func unary(p grpc.ClientConnInterface, f *emulator.Fleet) emulator.Do {
+	return func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Kind {
 		id := fmt.Sprintf("%08x", n)
 		text, err := ask(p, outgoing(ctx, id, c, r), grpcnode.Do, id)
 		kind := kindOf(err)
 		switch _, ran := f.Ledger.Executions(id); {
 		case err == nil && !strings.HasPrefix(text, id):
 			f.Ledger.Break("call %s was served with %q", id, text)
-		case kind == standin.Refused && ran > 0 && c.Effect == "unsafe":
+		case kind == emulator.Refused && ran > 0 && c.Effect == "unsafe":
 			f.Ledger.Break("%s %s was refused after it ran", c.Name, id)
 		}
 		return kind
@@ -115,8 +115,8 @@
 }
 
 // startPolicy is a client of one of grpc-go's own policies, which hears of members as soon as the others do.
-func startPolicy(config string) func(*testing.T, *standin.Fleet, *standin.Traffic, int) (standin.Do, func()) {
-	return func(t *testing.T, f *standin.Fleet, _ *standin.Traffic, _ int) (standin.Do, func()) {
+func startPolicy(config string) func(*testing.T, *emulator.Fleet, *emulator.Traffic, int) (emulator.Do, func()) {
+	return func(t *testing.T, f *emulator.Fleet, _ *emulator.Traffic, _ int) (emulator.Do, func()) {
 		cc, err := grpc.NewClient("fleet:///", grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithResolvers(fleetResolver{f.Discovery.Addr()}), grpc.WithDefaultServiceConfig(config))
 		if err != nil {
@@ -124,11 +124,11 @@
 		}
 		cc.Connect()
 		policy := unary(cc, f)
-		do := func(ctx context.Context, n int, c standin.TrafficClass, r standin.Request) standin.Kind {
-			if kind := policy(ctx, n, c, r); kind != standin.Refused {
+		do := func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Kind {
+			if kind := policy(ctx, n, c, r); kind != emulator.Refused {
 				return kind
 			}
-			return standin.Failed // these promise nothing
+			return emulator.Failed // these promise nothing
 		}
 		return do, func() { cc.Close() }
 	}
@@ -169,19 +169,19 @@
 
 // result is one contestant's on one day with one seed.
 type result struct {
-	*standin.Report
+	*emulator.Report
 	wasted int
 	broken []string
-	lab    *world.Result // the same in the emulator
+	lab    *simulator.Result // the same in the emulator
 }
 
 // play runs a contestant through a day.
-func play(t *testing.T, c contestant, traffic *standin.Traffic, script string, seed int, grace, slack time.Duration) result {
-	faults, err := standin.ReadScript(strings.NewReader(script))
+func play(t *testing.T, c contestant, traffic *emulator.Traffic, script string, seed int, grace, slack time.Duration) result {
+	faults, err := emulator.ReadScript(strings.NewReader(script))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := standin.NewFleet(standin.FleetConfig{Nodes: standin.MixedNodes(7), Effects: traffic.Effects(), NewServer: c.server, Slack: slack})
+	f, err := emulator.NewFleet(emulator.FleetConfig{Nodes: emulator.MixedNodes(7), Effects: traffic.Effects(), NewServer: c.server, Slack: slack})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var played sync.WaitGroup
 	played.Go(func() { f.Play(ctx, faults) })
-	report := standin.Replay(ctx, traffic, grace, do)
+	report := emulator.Replay(ctx, traffic, grace, do)
 	time.Sleep(200 * time.Millisecond) // for copies that run on
 	stop()
 	played.Wait()
@@ -209,11 +209,11 @@
 	for _, day := range days {
 		all := make([][]result, len(contestants))
 		for seed := 1; seed <= *compareSeeds; seed++ {
-			traffic := standin.Generate(uint64(seed), *compareRate, *compareTime)
+			traffic := emulator.Generate(uint64(seed), *compareRate, *compareTime)
 			results := make([]result, len(contestants))
 			var wg sync.WaitGroup
 			for i, c := range contestants {
-				wg.Go(func() { results[i] = play(t, c, traffic, day.script, seed, standin.Grace, 0) })
+				wg.Go(func() { results[i] = play(t, c, traffic, day.script, seed, emulator.Grace, 0) })
 			}
 			wg.Wait()
 			for i, r := range results {
@@ -257,7 +257,7 @@
 // The rules hold in the daemon and in the plug-in alike, whatever happens to the nodes: a short form of the
 // measurement, whose verdict does not depend on how fast the machine is.
 func TestRulesHoldInBoth(t *testing.T) {
-	traffic := standin.Generate(5, 60, 3*time.Second)
+	traffic := emulator.Generate(5, 60, 3*time.Second)
 	const script = "300ms slow n1 8 1s\n500ms drain n3\n800ms crash n4\n1s pause n2 300ms\n1s reset n1 0.3 1s\n1300ms restart n4\n1600ms drain n5\n2s crash n6"
 	for _, c := range contestants[:2] {
 		t.Run(c.name, func(t *testing.T) {
--- a/rpc/hazelgrpc/example_test.go
+++ b/rpc/grpcbalancer/example_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -12,29 +12,29 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"hazelwing/balancer"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/grpcnode"
-	"hazelwing/rpc/hazelgrpc"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/grpcnode"
+	"hazelwing/rpc/grpcbalancer"
 )
 
 // fleet is two booking nodes on loopback, in place of the reader's own.
-func fleet() *standin.Fleet {
-	f, err := standin.NewFleet(standin.FleetConfig{NewServer: grpcnode.New, Effects: map[string]standin.Effect{"confirm": standin.Unsafe},
-		Nodes: []standin.NodeConfig{{Name: "n1", Zone: "a", Speed: 1}, {Name: "n2", Zone: "a", Speed: 1}}})
+func fleet() *emulator.Fleet {
+	f, err := emulator.NewFleet(emulator.FleetConfig{NewServer: grpcnode.New, Effects: map[string]emulator.Effect{"confirm": emulator.Unsafe},
+		Nodes: []emulator.NodeConfig{{Name: "n1", Zone: "a", Speed: 1}, {Name: "n2", Zone: "a", Speed: 1}}})
 	if err != nil {
 		log.Fatal(err)
 	}
 	return f
 }
 
-func config(f *standin.Fleet) hazelgrpc.Config {
-	return hazelgrpc.Config{
+func config(f *emulator.Fleet) grpcbalancer.Config {
+	return grpcbalancer.Config{
 		Settings: balancer.Settings{
 			Zone: "a", MaxAttempts: 3, Cancelling: true, ConnectTimeout: time.Second,
 			Classes: []balancer.Class{{Name: "confirm", Effect: balancer.Unsafe, Aim: 10 * time.Second, Deadline: 20 * time.Second}},
 		},
-		Methods: map[string]hazelgrpc.Method{"/booking.v1.Booking/": {Class: "confirm"}},
-		Members: hazelgrpc.Watch(f.Discovery.Addr()),
+		Methods: map[string]grpcbalancer.Method{"/booking.v1.Booking/": {Class: "confirm"}},
+		Members: grpcbalancer.Watch(f.Discovery.Addr()),
 		Dial:    []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())},
 	}
 }
@@ -43,7 +43,7 @@
 func ExampleNew() {
 	f := fleet()
 	defer f.Close()
-	p, err := hazelgrpc.New(config(f))
+	p, err := grpcbalancer.New(config(f))
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	ctx := metadata.AppendToOutgoingContext(context.Background(), "x-request-id", "r1", "x-class", "confirm")
 	var reply wrapperspb.StringValue
 	if err := p.Invoke(ctx, grpcnode.Do, wrapperspb.String("seat 12"), &reply); err != nil {
-		if wait, ok := hazelgrpc.RefusedFor(err); ok {
+		if wait, ok := grpcbalancer.RefusedFor(err); ok {
 			fmt.Println("not done; come back in", wait)
 		}
 		log.Fatal(err)
@@ -65,7 +65,7 @@
 func ExamplePlugin_DialOptions() {
 	f := fleet()
 	defer f.Close()
-	p, err := hazelgrpc.New(config(f))
+	p, err := grpcbalancer.New(config(f))
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/rpc/hazelgrpc/hard_test.go
+++ b/rpc/grpcbalancer/hard_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -19,10 +19,10 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/grpcnode"
-	"hazelwing/internal/standin/rawh2"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/grpcnode"
+	"hazelwing/internal/emulator/rawh2"
+	"hazelwing/internal/testutil"
 )
 
 func TestMain(m *testing.M) {
@@ -172,7 +172,7 @@
 	}
 	cfg := testConfig(Static(list...))
 	for i := range cfg.Settings.Classes { // nothing else ends the attempt within the test
-		cfg.Settings.Classes[i].Deadline = 10 * fixture.Patience
+		cfg.Settings.Classes[i].Deadline = 10 * testutil.Patience
 	}
 	p := start(t, cfg)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -181,12 +181,12 @@
 		_, err := ask(p, ctx, book, strings.Repeat("x", 1<<20))
 		done <- err
 	}()
-	fixture.Receive(t, headers, "the attempt")
+	testutil.Receive(t, headers, "the attempt")
 	cancel()
-	if err := fixture.Receive(t, done, "the result"); status.Code(err) != codes.Canceled {
+	if err := testutil.Receive(t, done, "the result"); status.Code(err) != codes.Canceled {
 		t.Errorf("%v", err)
 	}
-	fixture.Receive(t, resets, "the attempt's end") // else the server goes on for nobody
+	testutil.Receive(t, resets, "the attempt's end") // else the server goes on for nobody
 	p.Close()
 	if len(headers) > 0 {
 		t.Error("it was sent again")
@@ -247,12 +247,12 @@
 	if status.Code(err) != codes.Internal || len(got) != 1 {
 		t.Errorf("%q, %v", got, err)
 	}
-	fixture.Receive(t, resets, "the stream's end")
+	testutil.Receive(t, resets, "the stream's end")
 }
 
 // Waiting for a stream that was never made ends with its context.
 func TestStreamWithoutRequest(t *testing.T) {
-	p := start(t, testConfig(Static(Member{Addr: fixture.NoAddr})))
+	p := start(t, testConfig(Static(Member{Addr: testutil.NoAddr})))
 	ctx, cancel := context.WithCancel(t.Context())
 	s, err := p.NewStream(ctx, &grpcnode.FollowDesc, follow)
 	if err != nil {
@@ -289,16 +289,16 @@
 // Two plug-ins in one process share nothing: one is closed under load, and every call of it ends with one result while
 // the other serves on.
 func TestOneOfTwoIsClosedUnderLoad(t *testing.T) {
-	traffic := standin.Generate(1, 100, time.Second)
-	f := grpcFleet(t, standin.MixedNodes(4), traffic)
+	traffic := emulator.Generate(1, 100, time.Second)
+	f := grpcFleet(t, emulator.MixedNodes(4), traffic)
 	cfg := Config{Settings: bookingSettings(traffic), Members: Watch(f.Discovery.Addr()), Dial: testConfig(Members{}).Dial, Seed: 1}
 	one := start(t, cfg)
 	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies, cfg.Seed = 2, false, 2
 	other := start(t, cfg)
 	half := len(traffic.Requests) / 2
 	var closed, afterClose, otherAfter atomic.Int32
-	run := func(p *Plugin, name string) *standin.Report {
-		return standin.Replay(t.Context(), traffic, 10*time.Second, func(ctx context.Context, n int, c standin.TrafficClass, r standin.Request) standin.Kind {
+	run := func(p *Plugin, name string) *emulator.Report {
+		return emulator.Replay(t.Context(), traffic, 10*time.Second, func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Kind {
 			if name == "one" && n == half {
 				one.Close()
 				closed.Add(1)
@@ -308,19 +308,19 @@
 			kind := kindOf(err)
 			switch {
 			case was && name == "one":
-				if afterClose.Add(1); kind != standin.Refused {
+				if afterClose.Add(1); kind != emulator.Refused {
 					t.Errorf("a call after Close: %v", err)
 				}
-			case was && kind == standin.Served:
+			case was && kind == emulator.Served:
 				otherAfter.Add(1)
 			}
 			return kind
 		})
 	}
-	reports := make(chan *standin.Report, 1)
+	reports := make(chan *emulator.Report, 1)
 	go func() { reports <- run(one, "one") }()
 	second := run(other, "other")
-	first := fixture.Receive(t, reports, "the closed one's calls")
+	first := testutil.Receive(t, reports, "the closed one's calls")
 	if n := len(traffic.Requests); first.Asked != n || second.Asked != n || first.Unanswered+second.Unanswered > 0 || afterClose.Load() == 0 {
 		t.Errorf("%v; the other: %v; %d calls after Close", first, second, afterClose.Load())
 	}
--- a/rpc/hazelgrpc/hazelgrpc.go
+++ b/rpc/grpcbalancer/hazelgrpc.go
@@ -1,4 +1,4 @@
-// Package hazelgrpc is hazelwing inside a Go program that speaks gRPC: the decisions of the daemon, under the same four
+// Package grpcbalancer is hazelwing inside a Go program that speaks gRPC: the decisions of the daemon, under the same four
 // rules, with no process beside it.
 //
 // A Plugin takes the place of a *grpc.ClientConn: generated clients take it as it is, since it is a
@@ -30,7 +30,7 @@
 //
 // A Plugin may be used from any number of goroutines. Plugins share nothing that changes: any number of them, of
 // different settings, may live in one process.
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"context"
--- a/rpc/hazelgrpc/leave_test.go
+++ b/rpc/grpcbalancer/leave_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"google.golang.org/grpc/resolver/manual"
 	"google.golang.org/grpc/status"
 
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/rawh2"
+	"hazelwing/internal/emulator/rawh2"
+	"hazelwing/internal/testutil"
 )
 
 // server notes the ids of streams as their headers come, and answers all but those that it is to keep.
@@ -100,13 +100,13 @@
 			<-let
 			return net.Dial("tcp", addr)
 		}))
-		return &wait{cfg: cfg, servers: []*server{s}, waits: func(*Plugin) { fixture.Receive(t, dials, "the dial") }, ends: func() { close(let) }}
+		return &wait{cfg: cfg, servers: []*server{s}, waits: func(*Plugin) { testutil.Receive(t, dials, "the dial") }, ends: func() { close(let) }}
 	},
 	"for its credentials": func(t *testing.T) *wait {
 		s := startServer(t, "")
 		c := waitingCredentials{make(chan bool, 1), make(chan bool)}
 		return &wait{cfg: testConfig(Static(Member{Addr: s.addr})), servers: []*server{s}, opts: []grpc.CallOption{grpc.PerRPCCredentials(c)},
-			waits: func(*Plugin) { fixture.Receive(t, c.asked, "the credentials' turn") }, ends: func() { close(c.let) }}
+			waits: func(*Plugin) { testutil.Receive(t, c.asked, "the credentials' turn") }, ends: func() { close(c.let) }}
 	},
 	"for room on the connection": func(t *testing.T) *wait {
 		s := startServer(t, "keeps", rawh2.MaxStreams(1))
@@ -116,9 +116,9 @@
 		return &wait{cfg: testConfig(Static(Member{Addr: s.addr})), servers: []*server{s}, opts: []grpc.CallOption{grpc.PerRPCCredentials(c)},
 			before: func(p *Plugin) {
 				go ask(p, named(t.Context(), "keeps"), look, "x")
-				held = fixture.Receive(t, s.kept, "the call that keeps the room")
+				held = testutil.Receive(t, s.kept, "the call that keeps the room")
 			},
-			waits: func(*Plugin) { fixture.Receive(t, c.asked, "its turn") }, ends: func() { held.OK(okMessage) }}
+			waits: func(*Plugin) { testutil.Receive(t, c.asked, "its turn") }, ends: func() { held.OK(okMessage) }}
 	},
 	"for its retry": func(t *testing.T) *wait {
 		one, other := startServer(t, "leaves"), startServer(t, "leaves")
@@ -128,7 +128,7 @@
 				select {
 				case held = <-one.kept:
 				case held = <-other.kept:
-				case <-time.After(fixture.Patience):
+				case <-time.After(testutil.Patience):
 					t.Fatal("waited in vain for the first attempt")
 				}
 			},
@@ -164,7 +164,7 @@
 				go func() { done <- do(p, named(ctx, "leaves"), w.opts...) }()
 				w.waits(p)
 				cancel()
-				if err := fixture.Receive(t, done, "the result"); status.Code(err) != codes.Canceled {
+				if err := testutil.Receive(t, done, "the result"); status.Code(err) != codes.Canceled {
 					t.Errorf("%v", err)
 				}
 				w.ends()
--- a/rpc/hazelgrpc/members.go
+++ b/rpc/grpcbalancer/members.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"google.golang.org/grpc/serviceconfig"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/discovery/watch"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/membership/watch"
 )
 
 // Members says where the list of members comes from. Static, Watch and Resolver make one.
--- a/rpc/hazelgrpc/members_test.go
+++ b/rpc/grpcbalancer/members_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"errors"
@@ -9,10 +9,10 @@
 	"google.golang.org/grpc/resolver/manual"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/rawh2"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/rawh2"
+	"hazelwing/internal/testutil"
 )
 
 // Members come from one of gRPC's resolvers, with what it knows of them, and follow it.
@@ -32,7 +32,7 @@
 		t.Fatalf("%q, %v", text, err)
 	}
 	b.UpdateState(resolver.State{Endpoints: []resolver.Endpoint{{Addresses: []resolver.Address{{Addr: other}}}}})
-	fixture.Until(t, "the other member", func() bool {
+	testutil.Until(t, "the other member", func() bool {
 		text, err := ask(p, t.Context(), book, "seat")
 		return err == nil && text == "other"
 	})
@@ -61,14 +61,14 @@
 
 // A drain that discovery tells is kept: what reaches the node later breaks a rule, and the ledger counts it.
 func TestDrainIsKept(t *testing.T) {
-	traffic := standin.Generate(3, 150, 1500*time.Millisecond)
-	f := grpcFleet(t, standin.MixedNodes(3), traffic)
+	traffic := emulator.Generate(3, 150, 1500*time.Millisecond)
+	f := grpcFleet(t, emulator.MixedNodes(3), traffic)
 	p := start(t, Config{Settings: bookingSettings(traffic), Members: Watch(f.Discovery.Addr()), Dial: testConfig(Members{}).Dial, Seed: 3})
 	go func() {
 		time.Sleep(traffic.Length() / 4)
-		f.Fault(standin.Fault{Verb: "drain", Node: "n1"})
+		f.Fault(emulator.Fault{Verb: "drain", Node: "n1"})
 	}()
-	r := standin.Replay(t.Context(), traffic, 10*time.Second, unary(p, f))
+	r := emulator.Replay(t.Context(), traffic, 10*time.Second, unary(p, f))
 	if broken := f.Ledger.Broken(); len(broken) > 0 || r.Served == 0 || f.Node("n2").Status().Served == 0 {
 		t.Errorf("%v, %v", r, broken)
 	}
--- a/rpc/hazelgrpc/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/grpcnode"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/grpcnode"
+	"hazelwing/internal/testutil"
 )
 
 // pausedChild names the discovery that the child process is to use.
@@ -28,8 +28,8 @@
 )
 
 // pausedTraffic is what the child's calls are of: the deadline falls into the pause.
-func pausedTraffic() *standin.Traffic {
-	return &standin.Traffic{Head: standin.Head{Classes: []standin.TrafficClass{
+func pausedTraffic() *emulator.Traffic {
+	return &emulator.Traffic{Head: emulator.Head{Classes: []emulator.TrafficClass{
 		{Name: "look", Effect: "safe", AimMS: 120, DeadlineMS: 250, Worth: 1},
 		{Name: "book", Effect: "unsafe", AimMS: 120, DeadlineMS: 2000, Worth: 1, LateShare: 0.5}}}}
 }
@@ -61,7 +61,7 @@
 				id := fmt.Sprintf("%d-%d", i, n)
 				say("asked %s", id)
 				own, cancel := context.WithTimeout(ctx, time.Duration(c.DeadlineMS)*time.Millisecond)
-				_, err := ask(p, outgoing(own, id, c, standin.Request{WorkUS: float64(pausedWork.Microseconds())}), grpcnode.Do, "x")
+				_, err := ask(p, outgoing(own, id, c, emulator.Request{WorkUS: float64(pausedWork.Microseconds())}), grpcnode.Do, "x")
 				cancel()
 				say("ended %s %v", id, err)
 			}
@@ -85,7 +85,7 @@
 // The host stops all threads for 400 ms in the middle of calls, several times: every call has one result, nothing that
 // must not runs twice, and no member is ejected, since none of them did anything wrong.
 func TestHostStandsStill(t *testing.T) {
-	f := grpcFleet(t, []standin.NodeConfig{{Name: "n1", Zone: "a", Speed: 4}, {Name: "n2", Zone: "a", Speed: 4},
+	f := grpcFleet(t, []emulator.NodeConfig{{Name: "n1", Zone: "a", Speed: 4}, {Name: "n2", Zone: "a", Speed: 4},
 		{Name: "n3", Zone: "a", Speed: 4}, {Name: "n4", Zone: "a", Speed: 4}}, pausedTraffic())
 	child := exec.Command(os.Args[0])
 	child.Env = append(os.Environ(), pausedChild+"="+f.Discovery.Addr())
@@ -124,14 +124,14 @@
 	}
 	read := func(n int) { // n results more
 		for want := len(results) + n; len(results) < want; {
-			note(fixture.Receive(t, lines, "a line of the child"))
+			note(testutil.Receive(t, lines, "a line of the child"))
 		}
 	}
 	read(10 * pausedCalls)
 	const pauses = 4
 	for range pauses {
 		// In the middle of a call: one that waits at a node behind another.
-		fixture.Until(t, "a call in hand", func() bool {
+		testutil.Until(t, "a call in hand", func() bool {
 			for _, n := range f.Status() {
 				if n.Held > 1 {
 					return true
--- a/rpc/hazelgrpc/rig_test.go
+++ b/rpc/grpcbalancer/rig_test.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/emulator/grpcnode"
 	"hazelwing/internal/load"
 	"hazelwing/internal/load/grpcload"
-	"hazelwing/internal/standin"
-	"hazelwing/internal/standin/fixture"
-	"hazelwing/internal/standin/grpcnode"
+	"hazelwing/internal/testutil"
 )
 
 const (
@@ -29,8 +29,8 @@
 // testConfig is one class of each kind; nothing in it comes due within a test.
 func testConfig(members Members) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Aim: fixture.Patience, Deadline: fixture.Patience, Effect: e, LateShare: 0.5,
-			Window: fixture.Patience, Stream: name == "follow"}
+		return balancer.Class{Name: name, Aim: testutil.Patience, Deadline: testutil.Patience, Effect: e, LateShare: 0.5,
+			Window: testutil.Patience, Stream: name == "follow"}
 	}
 	return Config{Members: members, Seed: 1, Dial: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())},
 		Settings: balancer.Settings{Zone: "a", MaxAttempts: 3, SecondCopies: true, Cancelling: true, RetryAfter: true,
@@ -57,7 +57,7 @@
 }
 
 // bookingClasses are the settings' classes of recorded traffic.
-func bookingClasses(t *standin.Traffic) (list []balancer.Class) {
+func bookingClasses(t *emulator.Traffic) (list []balancer.Class) {
 	for _, c := range t.Classes {
 		list = append(list, balancer.Class{Name: c.Name, Aim: time.Duration(c.AimMS * float64(time.Millisecond)),
 			Deadline: time.Duration(c.DeadlineMS * float64(time.Millisecond)), Worth: c.Worth, LateShare: c.LateShare,
@@ -68,15 +68,15 @@
 }
 
 // bookingSettings are those of the stand-in fleet's clients.
-func bookingSettings(t *standin.Traffic) balancer.Settings {
+func bookingSettings(t *emulator.Traffic) balancer.Settings {
 	return balancer.Settings{Balancers: 1, Zone: "a", Tick: time.Millisecond, MaxAttempts: 5, SecondCopies: true, Cancelling: true,
 		RetryAfter: true, MaxRetryAfter: 200 * time.Millisecond, ConnectTimeout: 250 * time.Millisecond, WorthByWork: true,
 		ColdFrom: 0.3, WarmUp: 4 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second, Classes: bookingClasses(t)}
 }
 
-func grpcFleet(t testing.TB, nodes []standin.NodeConfig, traffic *standin.Traffic) *standin.Fleet {
+func grpcFleet(t testing.TB, nodes []emulator.NodeConfig, traffic *emulator.Traffic) *emulator.Fleet {
 	t.Helper()
-	f, err := standin.NewFleet(standin.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), NewServer: grpcnode.New, Slack: 500 * time.Millisecond})
+	f, err := emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), NewServer: grpcnode.New, Slack: 500 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 }
 
 // outgoing is the metadata of a recorded request.
-func outgoing(ctx context.Context, id string, c standin.TrafficClass, r standin.Request) context.Context {
+func outgoing(ctx context.Context, id string, c emulator.TrafficClass, r emulator.Request) context.Context {
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	m := load.Message{ID: id, Class: c.Name, Effect: c.Effect, Work: us(r.WorkUS), Hint: us(r.HintUS)}
 	if c.Effect == "keyed" {
@@ -95,14 +95,14 @@
 }
 
 // kindOf says how a call ended for its client.
-func kindOf(err error) standin.Kind {
+func kindOf(err error) emulator.Kind {
 	if err == nil {
-		return standin.Served
+		return emulator.Served
 	}
 	if _, ok := RefusedFor(err); ok {
-		return standin.Refused
+		return emulator.Refused
 	}
-	return standin.Failed
+	return emulator.Failed
 }
 
 var discardLog = slog.New(slog.DiscardHandler)
--- a/rpc/hazelgrpc/stream.go
+++ b/rpc/grpcbalancer/stream.go
@@ -1,4 +1,4 @@
-package hazelgrpc
+package grpcbalancer
 
 import (
 	"context"
