--- a/balancer/api.go
+++ b/balancer/api.go
@@ -12,33 +12,33 @@
 
 // The three effects. Anything else makes New fail.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // upstreams of one Group drop repeats within Window
-	Unsafe               // must not run twice
+	Idempotent    Effect = iota // may run any number of times
+	Keyed                       // upstreams of one Group drop repeats within Window
+	NonIdempotent               // must not run twice
 )
 
 // Group is the set of upstreams that share the memory of a keyed request.
-type Group int
+type IdempotencyScope int
 
 // The groups of keyed classes.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	ScopeAll IdempotencyScope = iota
+	ScopeZone
+	ScopeCell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name       string
-	Aim        time.Duration // answers within it earn full worth; absent: Deadline
-	AimStretch float64       // the aim grows by this multiple of the request's own work
-	Deadline   time.Duration // what a client waits over all of its tries
-	Worth      float64       // absent: 1
-	LateShare  float64       // share of the worth still earned after the aim
-	Effect     Effect
-	Group      Group
-	Window     time.Duration // keyed: how long repeats are dropped
-	Stream     bool
+	Name              string
+	LatencyObjective  time.Duration // answers within it earn full worth; absent: Deadline
+	ObjectiveStretch  float64       // the aim grows by this multiple of the request's own work
+	Deadline          time.Duration // what a client waits over all of its tries
+	Weight            float64       // absent: 1
+	LateWeight        float64       // share of the worth still earned after the aim
+	Effect            Effect
+	IdempotencyScope  IdempotencyScope
+	IdempotencyWindow time.Duration // keyed: how long repeats are dropped
+	Stream            bool
 }
 
 // Tenant is one of the parties that share the fleet.
@@ -57,87 +57,87 @@
 	MustSubscribe bool          // the list comes only to those who ask
 	Tick          time.Duration // least time between two calls of Handle; absent: 1 ms
 
-	MaxAttempts    int // absent: 1
-	SecondCopies   bool
-	Cancelling     bool
-	Probes         bool
-	WarmKeys       bool // an upstream that served a key lately needs less work for it
-	LoadByProbes   bool // probe results tell what an upstream holds
-	RetryAfter     bool
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
-
-	PriceCrossZone float64 // points of service for crossing zones once a request
-	PriceOpen      float64 // points of service for a mean of 100 open connections an upstream
-	PriceHandshake float64 // points of service for a new connection a request
-	PriceProbe     float64 // points of service for one probe a request
-	OverShareWorth float64 // worth of a request beyond its tenant's share, as a fraction
-	WorthByWork    bool    // worth counts by unit of work
-
-	ColdFrom     float64       // a started upstream has at least this share of its capacity; absent: 1
-	WarmUp       time.Duration // and is warm after at most this long
-	FallMultiple float64       // times present capacity that pushes it over; absent: no such rule
-	FallTime     time.Duration // when kept up for this long
+	MaxAttempts      int // absent: 1
+	Hedging          bool
+	Cancellation     bool
+	Probes           bool
+	KeyAffinity      bool // an upstream that served a key lately needs less work for it
+	ProbesReportLoad bool // probe results tell what an upstream holds
+	RetryAfter       bool
+	MaxRetryAfter    time.Duration
+	ConnectTimeout   time.Duration
+
+	PriceCrossZone      float64 // points of service for crossing zones once a request
+	PriceOpenConnection float64 // points of service for a mean of 100 open connections an upstream
+	PriceHandshake      float64 // points of service for a new connection a request
+	PriceProbe          float64 // points of service for one probe a request
+	OverQuotaWeight     float64 // worth of a request beyond its tenant's share, as a fraction
+	WeightByWork        bool    // worth counts by unit of work
+
+	InitialCapacity  float64       // a started upstream has at least this share of its capacity; absent: 1
+	WarmUp           time.Duration // and is warm after at most this long
+	OverloadMultiple float64       // times present capacity that pushes it over; absent: no such rule
+	OverloadDuration time.Duration // when kept up for this long
 }
 
 // Event is anything a sidecar reports: Members, Request, FirstByte, Outcome, Gone, Wake, ProbeResult, Peer.
 type Event interface{ event() }
 
 // State is an upstream's state in the list.
-type State int
+type EndpointState int
 
 // States of list entries.
 const (
-	Active State = iota
-	Leaving
-	Left
+	Active EndpointState = iota
+	Draining
+	Removed
 )
 
 // Member is an entry of the list of upstreams.
-type Member struct {
-	Upstream, Zone string
-	Kind           string // of machine; upstreams of one kind are taken to be alike until heard of
-	Cell           int
-	State          State
-	CameUp         time.Duration // clock time of its latest start; 0: long ago
+type Endpoint struct {
+	ID, Zone  string
+	Kind      string // of machine; upstreams of one kind are taken to be alike until heard of
+	Cell      int
+	State     EndpointState
+	StartedAt time.Duration // clock time of its latest start; 0: long ago
 }
 
 // MembersKind says how a list is to be read.
-type MembersKind int
+type UpdateKind int
 
 // The kinds of Members events.
 const (
-	Full   MembersKind = iota // the whole list
-	Change                    // changed entries only
-	Saved                     // the whole list as last held; may be stale
-	Failed                    // a Subscribe or Fetch failed, or the subscription broke
-	Aside                     // changed entries that came beside the subscription, of which they say nothing
+	CompleteList UpdateKind = iota // the whole list
+	Delta                          // changed entries only
+	CachedList                     // the whole list as last held; may be stale
+	WatchFailed                    // a Subscribe or Fetch failed, or the subscription broke
+	OutOfBand                      // changed entries that came beside the subscription, of which they say nothing
 )
 
 // Members brings the list of upstreams, or news of it.
-type Members struct {
-	Kind    MembersKind
-	Entries []Member
+type EndpointUpdate struct {
+	Kind      UpdateKind
+	Endpoints []Endpoint
 	// Anew, of kind Failed: what turned the call away could not be reached before, by what is known.
-	Anew bool
+	NewlyReached bool
 }
 
 // Request is a client's request, to be answered exactly once before Expires.
 type Request struct {
 	ID, Class, Tenant string
-	Key               string        // what the request is about; may be absent
-	Expires           time.Duration // clock time
-	Hint              time.Duration // expected work; 0: unknown
+	AffinityKey       string        // what the request is about; may be absent
+	ExpiresAt         time.Duration // clock time
+	ExpectedWork      time.Duration // expected work; 0: unknown
 	// Earlier are attempts of earlier requests with the same effect that may have run. Nil for all but keyed ones: one
 	// that may have run somewhere is tried again in that group only, and while its window lasts, as its own attempts are.
-	Earlier []Earlier
+	PriorAttempts []PriorAttempt
 }
 
 // Earlier is an attempt of another request that may have run.
-type Earlier struct {
-	Zone string
-	Cell int
-	Sent time.Duration // clock time
+type PriorAttempt struct {
+	Zone   string
+	Cell   int
+	SentAt time.Duration // clock time
 }
 
 // FirstByte says that a streamed answer has begun.
@@ -158,16 +158,16 @@
 	ConnectFailed        // did not run
 	Reset                // connection broke; may have run
 	Cancelled            // may have run
-	Moot                 // never sent
+	NotSent              // never sent
 )
 
 // MayHaveRun says whether an attempt that ended so may have had its effect, or may have it yet.
-func (r Result) MayHaveRun() bool { return r != Overloaded && r != ConnectFailed && r != Moot }
+func (r Result) MayHaveRun() bool { return r != Overloaded && r != ConnectFailed && r != NotSent }
 
 // Load is what an upstream says of itself, late and roughly.
-type Load struct {
-	Told bool    // the report came and says what the upstream holds
-	Held float64 // requests it holds, running or waiting
+type LoadReport struct {
+	Reported bool    // the report came and says what the upstream holds
+	InFlight float64 // requests it holds, running or waiting
 }
 
 // Outcome ends an attempt. Each Send has exactly one.
@@ -176,38 +176,38 @@
 	Attempt  int
 	Result   Result
 	Elapsed  time.Duration
-	Finished bool // the request has its final answer
-	Load     Load // that came along with it
+	Finished bool       // the request has its final answer
+	Load     LoadReport // that came along with it
 }
 
 // Gone says that the client left: no answer is owed any more.
-type Gone struct{ ID string }
+type ClientDisconnected struct{ ID string }
 
 // Wake is the timer set by the last SetTimer.
-type Wake struct{}
+type TimerFired struct{}
 
 // ProbeResult ends a probe.
 type ProbeResult struct {
-	Upstream string
+	Endpoint string
 	Result   Result
 	Elapsed  time.Duration
-	Load     Load
+	Load     LoadReport
 }
 
 // Peer is a message from another sidecar. The module sends none, and ignores it.
-type Peer struct {
+type PeerMessage struct {
 	From    int
 	Message string
 }
 
-func (Members) event()     {}
-func (Request) event()     {}
-func (FirstByte) event()   {}
-func (Outcome) event()     {}
-func (Gone) event()        {}
-func (Wake) event()        {}
-func (ProbeResult) event() {}
-func (Peer) event()        {}
+func (EndpointUpdate) event()     {}
+func (Request) event()            {}
+func (FirstByte) event()          {}
+func (Outcome) event()            {}
+func (ClientDisconnected) event() {}
+func (TimerFired) event()         {}
+func (ProbeResult) event()        {}
+func (PeerMessage) event()        {}
 
 // ActionKind tells actions apart.
 type ActionKind int
@@ -216,24 +216,24 @@
 const (
 	Send      ActionKind = iota // start the request's next attempt at Upstream, ending after Timeout, unless that is not before Before
 	Cancel                      // stop waiting for attempt number Attempt
-	Refuse                      // final answer: not done, trying again is harmless; RetryIn is advice
+	Reject                      // final answer: not done, trying again is harmless; RetryIn is advice
 	Fail                        // final answer: no promise
 	SetTimer                    // report Wake at time At; an earlier SetTimer may be dropped
 	Subscribe                   // ask for the list and its changes
-	Close                       // close the idle connections to Upstream
+	CloseIdle                   // close the idle connections to Upstream
 	Probe                       // ask Upstream for its load; answered by a ProbeResult
 	Log                         // a line for the operators
 )
 
 // Action is one thing to do. Only the fields named at its Kind are set.
 type Action struct {
-	Kind     ActionKind
-	ID       string
-	Upstream string
-	Attempt  int
-	Timeout  time.Duration
-	RetryIn  time.Duration
-	At       time.Duration
-	Before   time.Duration // 0: at any time
-	Text     string
+	Kind       ActionKind
+	ID         string
+	Endpoint   string
+	Attempt    int
+	Timeout    time.Duration
+	RetryAfter time.Duration
+	At         time.Duration
+	NotAfter   time.Duration // 0: at any time
+	Text       string
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -91,8 +91,8 @@
 		b.tenants[i].memory = rateMemory
 	}
 	for _, c := range s.Classes {
-		b.classes[c.Name] = &class{Class: c, mean: c.Aim.Seconds() / 4}
-		b.meanAim += c.Aim.Seconds() / float64(len(s.Classes))
+		b.classes[c.Name] = &class{Class: c, mean: c.LatencyObjective.Seconds() / 4}
+		b.meanAim += c.LatencyObjective.Seconds() / float64(len(s.Classes))
 	}
 	b.fleet, b.mean = b.meanAim/4, b.meanAim/4
 	b.unit.weight = unitWeight
@@ -108,7 +108,7 @@
 func (b *Balancer) Handle(now time.Duration, e Event, acts []Action) []Action {
 	b.now, b.acts = max(now, b.now), acts
 	switch e := e.(type) {
-	case Members:
+	case EndpointUpdate:
 		b.members(e)
 	case Request:
 		b.arrive(e)
@@ -120,13 +120,13 @@
 		}
 	case Outcome:
 		b.outcome(e)
-	case Gone:
+	case ClientDisconnected:
 		if r := b.reqs[e.ID]; r != nil {
 			b.close(r, false)
 		}
 	case ProbeResult:
 		b.told(e)
-	case Wake:
+	case TimerFired:
 		b.wake()
 	}
 	b.arm()
@@ -142,25 +142,25 @@
 		return
 	}
 	if c == nil { // no such class: nothing has run and nothing is known of it
-		b.act(Action{Kind: Refuse, ID: e.ID})
+		b.act(Action{Kind: Reject, ID: e.ID})
 		return
 	}
-	r := &request{id: e.ID, class: c, arrived: b.now, expires: e.Expires, earlier: e.Earlier,
-		cost: b.cost(c, e.Hint)}
+	r := &request{id: e.ID, class: c, arrived: b.now, expires: e.ExpiresAt, earlier: e.PriorAttempts,
+		cost: b.cost(c, e.ExpectedWork)}
 	r.tenant = slices.IndexFunc(b.set.Tenants, func(t Tenant) bool { return t.Name == e.Tenant })
-	aim := c.Aim + time.Duration(c.AimStretch*float64(e.Hint))
+	aim := c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(e.ExpectedWork))
 	r.aim = b.now + min(aim, c.Deadline)
-	worthUntil := r.aim + c.firstTry(b.now, e.Expires, b.set.Tick) - b.now
+	worthUntil := r.aim + c.firstTry(b.now, e.ExpiresAt, b.set.Tick) - b.now
 	r.stale = worthUntil <= b.now
 	// The last answer must land before the deadline, also when the next batch comes a tick late. Past its
 	// aim a request without late worth costs work and earns nothing.
 	r.end = r.expires - 2*b.set.Tick
-	if c.LateShare == 0 {
+	if c.LateWeight == 0 {
 		r.end = min(r.end, worthUntil-b.set.Tick)
 	}
-	if b.set.WarmKeys && e.Key != "" {
-		r.key = hash(e.Key)
-		r.choices = 2 + int(keyWidth*b.keys.add(e.Key, keyMemory)*float64(len(b.list)))
+	if b.set.KeyAffinity && e.AffinityKey != "" {
+		r.key = hash(e.AffinityKey)
+		r.choices = 2 + int(keyWidth*b.keys.add(e.AffinityKey, keyMemory)*float64(len(b.list)))
 	}
 	b.reqs[r.id] = r
 	b.hold(r, 1)
@@ -211,7 +211,7 @@
 	if r.done || r.stream || len(r.attempts) >= b.set.MaxAttempts || b.now >= r.expires || !u.listed {
 		return false
 	}
-	if r.out > 0 && (!b.set.SecondCopies || r.class.Effect == Unsafe) {
+	if r.out > 0 && (!b.set.Hedging || r.class.Effect == NonIdempotent) {
 		return false
 	}
 	if b.stuck(r) {
@@ -233,13 +233,13 @@
 // outside: u does not share the memory of repeats with where an attempt went.
 func (c *class) outside(zone string, cell int, u *upstream) bool {
 	return c.Effect == Keyed &&
-		(c.Group == GroupZone && zone != u.zone || c.Group == GroupCell && cell != u.cell)
+		(c.IdempotencyScope == ScopeZone && zone != u.zone || c.IdempotencyScope == ScopeCell && cell != u.cell)
 }
 
 // stuck: an attempt may have run, and nothing may follow it any more.
 func (b *Balancer) stuck(r *request) bool {
 	first, ok := r.firstRun()
-	return ok && (r.class.Effect == Unsafe || r.class.Effect == Keyed && b.now > b.forgotten(r, first))
+	return ok && (r.class.Effect == NonIdempotent || r.class.Effect == Keyed && b.now > b.forgotten(r, first))
 }
 
 // firstRun is when the first attempt was sent that may have run; false: none may.
@@ -250,8 +250,8 @@
 		}
 	}
 	for _, a := range r.earlier {
-		if !ok || a.Sent < at {
-			at, ok = a.Sent, true
+		if !ok || a.SentAt < at {
+			at, ok = a.SentAt, true
 		}
 	}
 	return at, ok
@@ -259,12 +259,12 @@
 
 // forgotten is when those who saw a keyed request first no longer drop its repeats, less what the way takes.
 func (b *Balancer) forgotten(r *request, first time.Duration) time.Duration {
-	return first + r.class.Window - 2*b.set.Tick
+	return first + r.class.IdempotencyWindow - 2*b.set.Tick
 }
 
 // mayRefuse: a refusal tells the client that trying again is harmless.
 func mayRefuse(r *request) bool {
-	if r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
+	if r.class.Effect == Idempotent || r.class.Effect == Keyed && r.class.IdempotencyScope == ScopeAll {
 		return true
 	}
 	return len(r.earlier) == 0 && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun })
@@ -293,8 +293,8 @@
 	u.held++
 	r.pair = [2]*upstream{}
 	timeout := max(r.end-b.now, b.set.Tick)
-	b.act(Action{Kind: Send, ID: r.id, Upstream: u.id, Timeout: timeout, Before: before})
-	if r.class.Effect != Unsafe {
+	b.act(Action{Kind: Send, ID: r.id, Endpoint: u.id, Timeout: timeout, NotAfter: before})
+	if r.class.Effect != NonIdempotent {
 		r.lateAt = b.now + b.patience(r)
 		b.after(r.lateAt, timerLate, r)
 	}
@@ -304,7 +304,7 @@
 // ending it costs its place in the queue: it then waits as long as leaves time for another attempt.
 func (b *Balancer) patience(r *request) time.Duration {
 	d := seconds(b.late.v * r.cost * float64(int(1)<<max(r.out-1, 0)))
-	if !b.set.SecondCopies {
+	if !b.set.Hedging {
 		d = max(d, r.end-b.now-seconds(b.mid.v*r.cost))
 	}
 	return d
@@ -318,14 +318,14 @@
 	if r.out == 0 || b.now < r.lateAt || b.retries < 1 || b.pressure() > copyPressure {
 		return
 	}
-	if b.set.SecondCopies {
+	if b.set.Hedging {
 		if u := b.pick(r); u != nil {
 			b.send(r, u)
 		}
 		return
 	}
 	last := r.attempts[len(r.attempts)-1]
-	if b.set.Cancelling && last.u.heard < last.sent && b.now+seconds(b.mid.v*r.cost) < r.end {
+	if b.set.Cancellation && last.u.heard < last.sent && b.now+seconds(b.mid.v*r.cost) < r.end {
 		b.cancelRest(r, -1)
 	}
 }
@@ -342,7 +342,7 @@
 	a.u.out = slices.DeleteFunc(a.u.out, func(x *attempt) bool { return x == a })
 	b.letGo(a.u)
 	if e.Load.usable() {
-		b.holds(a.u, e.Load.Held)
+		b.holds(a.u, e.Load.InFlight)
 	}
 	b.observe(a, e.Result, e.Elapsed)
 	b.health(a, e.Result, e.Elapsed)
@@ -368,8 +368,8 @@
 // letGo closes the idle connections to u. Guards against tables full of idle connections: one of each sidecar
 // costs more than a new one in each round of the list where 100 handshakes a sidecar are cheaper.
 func (b *Balancer) letGo(u *upstream) {
-	if len(u.out) == 0 && b.set.PriceOpen*float64(b.set.Balancers) > 100*b.set.PriceHandshake {
-		b.act(Action{Kind: Close, Upstream: u.id})
+	if len(u.out) == 0 && b.set.PriceOpenConnection*float64(b.set.Balancers) > 100*b.set.PriceHandshake {
+		b.act(Action{Kind: CloseIdle, Endpoint: u.id})
 	}
 }
 
@@ -381,9 +381,9 @@
 	b.cancelRest(r, -1)
 	b.learnLimit(r)
 	if mayRefuse(r) {
-		a := Action{Kind: Refuse, ID: r.id}
+		a := Action{Kind: Reject, ID: r.id}
 		if b.set.RetryAfter {
-			a.RetryIn = b.set.MaxRetryAfter
+			a.RetryAfter = b.set.MaxRetryAfter
 		}
 		b.act(a)
 	} else {
@@ -395,7 +395,7 @@
 // cancelRest stops the attempts still out, but for the one numbered keep.
 func (b *Balancer) cancelRest(r *request, keep int) {
 	for _, a := range r.attempts {
-		if a.out && a.n != keep && b.set.Cancelling {
+		if a.out && a.n != keep && b.set.Cancellation {
 			b.act(Action{Kind: Cancel, ID: r.id, Attempt: a.n})
 		}
 	}
@@ -611,7 +611,7 @@
 	for _, u := range r.pair {
 		if u.probedAt == 0 || b.now-u.probedAt > wait {
 			u.probedAt = b.now
-			b.act(Action{Kind: Probe, Upstream: u.id})
+			b.act(Action{Kind: Probe, Endpoint: u.id})
 		}
 	}
 	b.askers = append(b.askers, r)
@@ -624,7 +624,7 @@
 
 func (b *Balancer) asks() bool {
 	dear := 2*b.set.PriceProbe > probePrice || !b.cheap() && b.set.Balancers < fewBalancers
-	return b.set.Probes && b.set.LoadByProbes && !dear
+	return b.set.Probes && b.set.ProbesReportLoad && !dear
 }
 
 // crowded says whether the pair told what it holds, and that this is too much for r to be served in time, the
@@ -646,14 +646,14 @@
 
 // told takes a probe's answer, and sends what waited for it.
 func (b *Balancer) told(e ProbeResult) {
-	u := b.ups[e.Upstream]
+	u := b.ups[e.Endpoint]
 	if u == nil || u.probedAt == 0 {
 		return
 	}
 	b.probeTime.add(e.Elapsed.Seconds())
 	u.probedAt = 0
 	if e.Result == OK && e.Load.usable() {
-		b.holds(u, e.Load.Held)
+		b.holds(u, e.Load.InFlight)
 	} else {
 		u.mutedAt = b.now
 	}
@@ -673,7 +673,7 @@
 		return false
 	}
 	// After an ejection one trial at a time, and not with what cannot be sent again.
-	return u.ejections == 0 || len(u.out) == 0 && r.class.Effect != Unsafe
+	return u.ejections == 0 || len(u.out) == 0 && r.class.Effect != NonIdempotent
 }
 
 // health ejects an upstream that refuses connections, breaks several in a row, answers errors only or is
@@ -700,7 +700,7 @@
 	case Timeout, ConnectFailed, Reset, Cancelled:
 		// A copy's winner cuts the others short: late ones among them count. Without copies the one cut
 		// short was moved, perhaps off a long queue.
-		late := b.set.SecondCopies && elapsed.Seconds() >= b.late.v*a.r.cost
+		late := b.set.Hedging && elapsed.Seconds() >= b.late.v*a.r.cost
 		if res == Timeout && a.sent < u.heard || res == Cancelled && (a.sent < u.heard || !late) {
 			return // slow, not silent
 		}
@@ -731,29 +731,30 @@
 // ---- the list ----
 
 // members follows the list, and asks again when it is lost.
-func (b *Balancer) members(e Members) {
+func (b *Balancer) members(e EndpointUpdate) {
 	b.fleetSize() // it was that long until now
-	if e.Kind == Failed {
+	if e.Kind == WatchFailed {
 		if b.subscribed || !b.pace.Lost() {
 			b.log("list lost: asking again")
 		}
 		b.subscribed, b.asking = false, false
-		b.after(b.pace.Fail(b.now, e.Anew), timerAsk, nil)
+		b.after(b.pace.Fail(b.now, e.NewlyReached), timerAsk, nil)
 		return
 	}
-	if e.Kind != Aside && (b.asking || e.Kind != Saved) { // also unasked: the sidecar may subscribe elsewhere
+	// Also unasked: the sidecar may subscribe elsewhere.
+	if e.Kind != OutOfBand && (b.asking || e.Kind != CachedList) {
 		if b.pace.Lost() {
 			b.log("list regained")
 		}
 		b.subscribed, b.asking = true, false
 		b.pace.Good()
 	}
-	if e.Kind != Change && e.Kind != Aside {
+	if e.Kind != Delta && e.Kind != OutOfBand {
 		for _, u := range b.list {
 			u.listed = false
 		}
 	}
-	for _, m := range e.Entries {
+	for _, m := range e.Endpoints {
 		b.member(m)
 	}
 	b.list = slices.DeleteFunc(b.list, func(u *upstream) bool {
@@ -764,25 +765,25 @@
 	})
 	b.fleetSize()
 	b.choose()
-	if e.Kind == Saved && b.set.MustSubscribe && !b.asking && !b.subscribed {
+	if e.Kind == CachedList && b.set.MustSubscribe && !b.asking && !b.subscribed {
 		b.ask()
 	}
 }
 
-func (b *Balancer) member(m Member) {
-	u := b.ups[m.Upstream]
+func (b *Balancer) member(m Endpoint) {
+	u := b.ups[m.ID]
 	if m.State != Active {
 		if u != nil {
 			u.listed = false
 		}
 		return
 	}
-	if u == nil || u.cameUp != m.CameUp { // a new process: what was learnt of the old one is void
+	if u == nil || u.cameUp != m.StartedAt { // a new process: what was learnt of the old one is void
 		old := u
-		u = &upstream{id: m.Upstream, hash: hash(m.Upstream), cameUp: m.CameUp, kind: b.kindOf(m.Kind, m.Zone)}
+		u = &upstream{id: m.ID, hash: hash(m.ID), cameUp: m.StartedAt, kind: b.kindOf(m.Kind, m.Zone)}
 		u.est = estimate{*u.kind, b.now}
-		if m.CameUp > 0 && b.now-m.CameUp < b.set.WarmUp {
-			b.chill(u, m.CameUp)
+		if m.StartedAt > 0 && b.now-m.StartedAt < b.set.WarmUp {
+			b.chill(u, m.StartedAt)
 		}
 		b.ups[u.id] = u
 		if i := slices.Index(b.list, old); old != nil && i >= 0 {
@@ -818,7 +819,7 @@
 		return 1
 	}
 	age := float64(b.now-u.coldFrom) / float64(b.set.WarmUp)
-	return min(1, b.set.ColdFrom+(1-b.set.ColdFrom)*age)
+	return min(1, b.set.InitialCapacity+(1-b.set.InitialCapacity)*age)
 }
 
 // coldAllows holds a cold upstream to a part of what would push it over. The rule is about the work of all
@@ -830,11 +831,11 @@
 	if !u.cold {
 		return true
 	}
-	if b.set.FallMultiple > 0 {
-		f *= coldPart * b.set.FallMultiple * min(coldKind, b.fleet / *u.kind)
+	if b.set.OverloadMultiple > 0 {
+		f *= coldPart * b.set.OverloadMultiple * min(coldKind, b.fleet / *u.kind)
 	}
 	perSec := f * b.offered.per(b.now) * b.coldShare(u)
-	depth := max(1, perSec*b.set.FallTime.Seconds()/10)
+	depth := max(1, perSec*b.set.OverloadDuration.Seconds()/10)
 	u.tokens = min(depth, u.tokens+perSec*(b.now-u.filled).Seconds())
 	u.filled = b.now
 	return u.tokens >= 1
@@ -937,18 +938,18 @@
 // value is a request's worth for each unit of work; part of what a tenant sends beyond its share counts as
 // little.
 func (b *Balancer) value(r *request) float64 {
-	v := r.class.Worth
-	if !b.set.WorthByWork {
+	v := r.class.Weight
+	if !b.set.WeightByWork {
 		v /= r.cost
 	}
 	if r.stale {
-		v *= r.class.LateShare
+		v *= r.class.LateWeight
 	}
 	if r.tenant >= 0 {
 		b.tenants[r.tenant].add(1, b.now)
 		use := shareOf(b.tenants, r.tenant, b.now)
 		if b.rng.Float64()*use > b.set.Tenants[r.tenant].Fraction {
-			v *= b.set.OverShareWorth
+			v *= b.set.OverQuotaWeight
 		}
 	}
 	return v
@@ -979,7 +980,7 @@
 		}
 	case ServerError, Overloaded:
 		norm = max(norm, penaltyAims*b.meanAim)
-	case Moot:
+	case NotSent:
 		return
 	case Cancelled, Timeout: // took at least this long
 		if a.before >= 0 && x > b.unit.v*(a.before+a.r.cost) {
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -14,14 +14,14 @@
 	for i := 0; b.Loop(); i++ {
 		id := strconv.Itoa(i)
 		now += gap
-		acts = bal.Handle(now, Request{ID: id, Class: "c", Expires: now + 1000*ms}, acts[:0])
+		acts = bal.Handle(now, Request{ID: id, Class: "c", ExpiresAt: now + 1000*ms}, acts[:0])
 		if n := len(kinds(acts, Send)); n != 1 {
 			b.Fatalf("%d attempts for request %d", n, i)
 		}
 		now += gap
 		acts = bal.Handle(now, Outcome{ID: id, Result: OK, Elapsed: gap, Finished: true}, acts[:0])
 		if len(acts) > 0 && acts[0].Kind == SetTimer {
-			acts = bal.Handle(acts[0].At, Wake{}, acts[:0])
+			acts = bal.Handle(acts[0].At, TimerFired{}, acts[:0])
 		}
 	}
 }
@@ -36,29 +36,29 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			now, list := 60*1000*ms, []Member{}
+			now, list := 60*1000*ms, []Endpoint{}
 			for i := range members {
-				list = append(list, Member{Upstream: "u" + strconv.Itoa(i), Zone: "a"})
+				list = append(list, Endpoint{ID: "u" + strconv.Itoa(i), Zone: "a"})
 			}
-			bal.Handle(now, Members{Kind: Full, Entries: list}, nil)
+			bal.Handle(now, EndpointUpdate{Kind: CompleteList, Endpoints: list}, nil)
 			serve(b, bal, now, ms)
 		})
 	}
 }
 
 // zoned is a sidecar of a large fleet, of four zones that it pays for crossing, and its list.
-func zoned(b *testing.B, members int) (*Balancer, []Member) {
+func zoned(b *testing.B, members int) (*Balancer, []Endpoint) {
 	s := testSettings()
 	s.Balancers, s.PriceCrossZone = 300, 0.12
 	bal, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	var list []Member
+	var list []Endpoint
 	for i := range members {
-		list = append(list, Member{Upstream: "u" + strconv.Itoa(i), Zone: string(rune('a' + i%4)), Kind: "k"})
+		list = append(list, Endpoint{ID: "u" + strconv.Itoa(i), Zone: string(rune('a' + i%4)), Kind: "k"})
 	}
-	bal.Handle(60*1000*ms, Members{Kind: Full, Entries: list}, nil)
+	bal.Handle(60*1000*ms, EndpointUpdate{Kind: CompleteList, Endpoints: list}, nil)
 	return bal, list
 }
 
@@ -80,9 +80,9 @@
 				now += ms
 				m := list[i%members]
 				if i/members%2 == 0 {
-					m.State = Leaving
+					m.State = Draining
 				}
-				acts = bal.Handle(now, Members{Kind: Change, Entries: []Member{m}}, acts[:0])
+				acts = bal.Handle(now, EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{m}}, acts[:0])
 			}
 		})
 	}
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -150,11 +150,11 @@
 func TestUnheardUpstreamIsLikeItsKind(t *testing.T) {
 	for _, names := range [][2]string{{"x", "y"}, {"y", "x"}} {
 		r := newRig(t, testSettings())
-		var list []Member
+		var list []Endpoint
 		for i := range 8 {
-			list = append(list, Member{Upstream: string(rune('a' + i)), Zone: "a", Kind: names[i%2]})
+			list = append(list, Endpoint{ID: string(rune('a' + i)), Zone: "a", Kind: names[i%2]})
 		}
-		r.list(Full, list...)
+		r.list(CompleteList, list...)
 		for i := range 200 {
 			id := string(rune('A' + i))
 			u := r.wantSend(r.request(id, "c", time.Second))
@@ -166,7 +166,7 @@
 			r.result(id, 0, OK, took)
 		}
 		r.now += time.Hour
-		r.list(Change, Member{Upstream: "new", Zone: "a", Kind: names[1]})
+		r.list(Delta, Endpoint{ID: "new", Zone: "a", Kind: names[1]})
 		fast, slow, fresh := r.b.load(r.b.ups["a"]), r.b.load(r.b.ups["b"]), r.b.load(r.b.ups["new"])
 		if fast > 0.04 || slow < 0.05 || !near(fresh, slow) {
 			t.Errorf("fast %v, slow %v, new of the slow kind %v", fast, slow, fresh)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -12,7 +12,7 @@
 	b, err := balancer.New(balancer.Settings{
 		Zone:        "east",
 		MaxAttempts: 3,
-		Classes:     []balancer.Class{{Name: "read", Aim: 100 * time.Millisecond, Deadline: time.Second}},
+		Classes:     []balancer.Class{{Name: "read", LatencyObjective: 100 * time.Millisecond, Deadline: time.Second}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -24,16 +24,16 @@
 		for _, a := range acts {
 			switch a.Kind {
 			case balancer.Send:
-				fmt.Println("send", a.ID, "to", a.Upstream)
-			case balancer.Refuse, balancer.Fail:
+				fmt.Println("send", a.ID, "to", a.Endpoint)
+			case balancer.Reject, balancer.Fail:
 				fmt.Println("answer", a.ID)
 			case balancer.SetTimer:
 				// arrange for report(a.At, balancer.Wake{})
 			}
 		}
 	}
-	report(time.Second, balancer.Members{Kind: balancer.Full, Entries: []balancer.Member{{Upstream: "s1", Zone: "east"}}})
-	report(2*time.Second, balancer.Request{ID: "r1", Class: "read", Expires: 3 * time.Second})
+	report(time.Second, balancer.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: []balancer.Endpoint{{ID: "s1", Zone: "east"}}})
+	report(2*time.Second, balancer.Request{ID: "r1", Class: "read", ExpiresAt: 3 * time.Second})
 	report(2*time.Second+30*time.Millisecond, balancer.Outcome{ID: "r1", Result: balancer.OK,
 		Elapsed: 30 * time.Millisecond, Finished: true})
 	// Output: send r1 to s1
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -11,27 +11,27 @@
 	for want, change := range map[string]func(*Settings){
 		"Classes":        func(s *Settings) { s.Classes = nil },
 		"Name":           func(s *Settings) { s.Classes[0].Name = "" },
-		"Aim":            func(s *Settings) { s.Classes[0].Aim = -1 },
+		"Aim":            func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
 		"Deadline":       func(s *Settings) { s.Classes[0].Deadline = 0 },
 		"Effect":         func(s *Settings) { s.Classes[0].Effect = 7 },
-		"Group":          func(s *Settings) { s.Classes[0].Group = -1 },
-		"Window":         func(s *Settings) { s.Classes[0].Window = -1 },
-		"Worth":          func(s *Settings) { s.Classes[0].Worth = -1 },
+		"Group":          func(s *Settings) { s.Classes[0].IdempotencyScope = -1 },
+		"Window":         func(s *Settings) { s.Classes[0].IdempotencyWindow = -1 },
+		"Worth":          func(s *Settings) { s.Classes[0].Weight = -1 },
 		"Tick":           func(s *Settings) { s.Tick = -1 },
 		"WarmUp":         func(s *Settings) { s.WarmUp = -1 },
-		"FallMultiple":   func(s *Settings) { s.FallMultiple = -1 },
+		"FallMultiple":   func(s *Settings) { s.OverloadMultiple = -1 },
 		"MaxAttempts":    func(s *Settings) { s.MaxAttempts = -1 },
 		"MaxRetryAfter":  func(s *Settings) { s.MaxRetryAfter = -1 },
 		"ConnectTimeout": func(s *Settings) { s.ConnectTimeout = -1 },
-		"FallTime":       func(s *Settings) { s.FallTime = -1 },
+		"FallTime":       func(s *Settings) { s.OverloadDuration = -1 },
 		"Balancers":      func(s *Settings) { s.Balancers = -1 },
-		"OverShareWorth": func(s *Settings) { s.OverShareWorth = math.NaN() },
-		"ColdFrom":       func(s *Settings) { s.ColdFrom = math.Inf(1) },
+		"OverShareWorth": func(s *Settings) { s.OverQuotaWeight = math.NaN() },
+		"ColdFrom":       func(s *Settings) { s.InitialCapacity = math.Inf(1) },
 		"PriceProbe":     func(s *Settings) { s.PriceProbe = -1 },
-		"PriceOpen":      func(s *Settings) { s.PriceOpen = math.NaN() },
+		"PriceOpen":      func(s *Settings) { s.PriceOpenConnection = math.NaN() },
 		"PriceHandshake": func(s *Settings) { s.PriceHandshake = -1 },
-		"LateShare":      func(s *Settings) { s.Classes[0].LateShare = -1 },
-		"AimStretch":     func(s *Settings) { s.Classes[0].AimStretch = math.NaN() },
+		"LateShare":      func(s *Settings) { s.Classes[0].LateWeight = -1 },
+		"AimStretch":     func(s *Settings) { s.Classes[0].ObjectiveStretch = math.NaN() },
 		"repeated":       func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
 		"Fraction":       func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Fraction: -0.1}} },
 		"Tenants":        func(s *Settings) { s.Tenants = []Tenant{{Name: "t"}, {Name: "t"}} },
@@ -59,8 +59,8 @@
 
 func TestOddInputIsHarmless(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.list(Full) // empty list
-	r.wantFinal(r.request("?", "no such class", time.Second), Refuse)
+	r.list(CompleteList) // empty list
+	r.wantFinal(r.request("?", "no such class", time.Second), Reject)
 	r.fleet(1)
 	r.wantSend(r.request("1", "c", time.Second))
 	r.wantNothing(r.request("1", "c", time.Second)) // the same id again
@@ -68,10 +68,10 @@
 	r.wantNothing(r.result("1", -1, OK, 10*ms))
 	r.wantNothing(r.result("1", 0, OK, 10*ms))
 	r.wantNothing(r.result("1", 0, Reset, 10*ms)) // late repeat
-	r.wantNothing(r.do(Gone{ID: "1"}))
+	r.wantNothing(r.do(ClientDisconnected{ID: "1"}))
 	r.now -= time.Second // a clock that steps back counts as one that stands
-	r.wantSend(r.do(Request{ID: "2", Class: "c", Tenant: "stranger", Expires: r.now + 3*time.Second}))
-	r.wantNothing(r.do(Gone{ID: "2"}))
+	r.wantSend(r.do(Request{ID: "2", Class: "c", Tenant: "stranger", ExpiresAt: r.now + 3*time.Second}))
+	r.wantNothing(r.do(ClientDisconnected{ID: "2"}))
 	r.wantNothing(r.result("2", 0, OK, 10*ms))
 	acts := r.request("3", "c", -time.Second) // its time is over already
 	acts = append(acts, r.pass(time.Second+20*ms)...)
@@ -90,7 +90,7 @@
 		r.result(id, 0, OK, 10*ms)
 		r.pass(5 * ms)
 	}
-	r.list(Full, Member{Upstream: "new"})
+	r.list(CompleteList, Endpoint{ID: "new"})
 	r.pass(2 * time.Second)
 	if len(r.b.reqs) != 0 || len(r.b.ups) != 1 || len(r.b.list) != 1 || r.b.timers.Len() != 0 {
 		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.reqs), len(r.b.ups), len(r.b.list),
--- a/balancer/key_test.go
+++ b/balancer/key_test.go
@@ -9,7 +9,7 @@
 // keyPicks counts where n requests with the same key go, at one of several sidecars.
 func keyPicks(t *testing.T, warm bool, seed uint64, n int, others int) map[string]int {
 	s := testSettings()
-	s.WarmKeys = warm
+	s.KeyAffinity = warm
 	b, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -20,11 +20,11 @@
 	for i := range n {
 		for j := range others {
 			id := fmt.Sprint("o", i, ".", j)
-			r.do(Request{ID: id, Class: "c", Key: id, Expires: r.now + time.Second})
+			r.do(Request{ID: id, Class: "c", AffinityKey: id, ExpiresAt: r.now + time.Second})
 			r.result(id, 0, OK, 20*ms)
 		}
 		id := fmt.Sprint("q", i)
-		got[r.wantSend(r.do(Request{ID: id, Class: "c", Key: "k", Expires: r.now + time.Second}))]++
+		got[r.wantSend(r.do(Request{ID: id, Class: "c", AffinityKey: "k", ExpiresAt: r.now + time.Second}))]++
 		r.result(id, 0, OK, 20*ms)
 		r.now += 10 * ms
 	}
--- a/balancer/names_test.go
+++ b/balancer/names_test.go
@@ -32,8 +32,8 @@
 			all = append(all, acts...)
 			for _, a := range acts {
 				if a.Kind == Probe && g.IntN(4) > 0 {
-					acts = append(acts, b.Handle(now, ProbeResult{Upstream: a.Upstream, Elapsed: ms,
-						Load: Load{Told: true, Held: float64(g.IntN(5))}}, nil)...)
+					acts = append(acts, b.Handle(now, ProbeResult{Endpoint: a.Endpoint, Elapsed: ms,
+						Load: LoadReport{Reported: true, InFlight: float64(g.IntN(5))}}, nil)...)
 				}
 			}
 			all = append(all, acts...)
@@ -48,17 +48,17 @@
 		for i := range 300 {
 			now += s.Tick + time.Duration(g.IntN(20))*ms
 			if i%60 == 0 {
-				var list []Member
+				var list []Endpoint
 				for j := range 12 {
-					list = append(list, Member{Upstream: fmt.Sprint("u", j), Zone: name([]string{"a", "b"}[g.IntN(2)]),
-						Kind: name([]string{"m", "n"}[g.IntN(2)]), Cell: j % 3, CameUp: time.Duration(g.IntN(2)) * (now - 2*time.Second)})
+					list = append(list, Endpoint{ID: fmt.Sprint("u", j), Zone: name([]string{"a", "b"}[g.IntN(2)]),
+						Kind: name([]string{"m", "n"}[g.IntN(2)]), Cell: j % 3, StartedAt: time.Duration(g.IntN(2)) * (now - 2*time.Second)})
 				}
-				deal(Members{Kind: Full, Entries: list})
+				deal(EndpointUpdate{Kind: CompleteList, Endpoints: list})
 			}
 			c := s.Classes[g.IntN(len(s.Classes))]
 			deal(Request{ID: fmt.Sprint(i), Class: c.Name, Tenant: name([]string{"t", "v"}[g.IntN(2)]),
-				Key: []string{"", "k"}[g.IntN(2)], Expires: now + c.Deadline})
-			deal(Wake{})
+				AffinityKey: []string{"", "k"}[g.IntN(2)], ExpiresAt: now + c.Deadline})
+			deal(TimerFired{})
 		}
 		return all
 	}
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -9,7 +9,7 @@
 
 func probeSettings() Settings {
 	s := testSettings()
-	s.Probes, s.LoadByProbes, s.SecondCopies = true, true, false
+	s.Probes, s.ProbesReportLoad, s.Hedging = true, true, false
 	return s
 }
 
@@ -20,13 +20,13 @@
 		r := newRig(t, probeSettings())
 		r.fleet(6)
 		p := kinds(r.request(fmt.Sprint("q", i), "c", time.Second), Probe)
-		if len(p) != 2 || p[0].Upstream == p[1].Upstream {
+		if len(p) != 2 || p[0].Endpoint == p[1].Endpoint {
 			t.Fatalf("want two upstreams asked, got %+v", p)
 		}
 		r.now += ms
-		r.wantNothing(r.do(ProbeResult{Upstream: p[0].Upstream, Elapsed: ms, Load: Load{Told: true, Held: 3}}))
-		got := r.wantSend(r.do(ProbeResult{Upstream: p[1].Upstream, Elapsed: ms, Load: Load{Told: true, Held: 2}}))
-		if got != p[1].Upstream {
+		r.wantNothing(r.do(ProbeResult{Endpoint: p[0].Endpoint, Elapsed: ms, Load: LoadReport{Reported: true, InFlight: 3}}))
+		got := r.wantSend(r.do(ProbeResult{Endpoint: p[1].Endpoint, Elapsed: ms, Load: LoadReport{Reported: true, InFlight: 2}}))
+		if got != p[1].Endpoint {
 			t.Errorf("sent to %s, which holds more", got)
 		}
 	}
@@ -40,10 +40,10 @@
 		r.fleet(6)
 		p := kinds(r.request("q", "c", time.Second), Probe)
 		for _, x := range p[:answers] {
-			r.wantNothing(r.do(ProbeResult{Upstream: x.Upstream, Elapsed: ms, Load: Load{Told: true, Held: 9}}))
+			r.wantNothing(r.do(ProbeResult{Endpoint: x.Endpoint, Elapsed: ms, Load: LoadReport{Reported: true, InFlight: 9}}))
 		}
 		got := r.wantSend(r.pass(50 * ms))
-		if answers == 1 && got != p[0].Upstream {
+		if answers == 1 && got != p[0].Endpoint {
 			t.Errorf("sent to %s, not to the one that answered", got)
 		}
 	}
@@ -52,20 +52,20 @@
 // Nonsensical, failed and foreign probe results leave the plain design.
 func TestProbeResultsThatTellNothing(t *testing.T) {
 	for name, e := range map[string]ProbeResult{
-		"not a number": {Load: Load{Told: true, Held: math.NaN()}},
-		"negative":     {Load: Load{Told: true, Held: -1}},
-		"infinite":     {Load: Load{Told: true, Held: math.Inf(1)}},
+		"not a number": {Load: LoadReport{Reported: true, InFlight: math.NaN()}},
+		"negative":     {Load: LoadReport{Reported: true, InFlight: -1}},
+		"infinite":     {Load: LoadReport{Reported: true, InFlight: math.Inf(1)}},
 		"no report":    {},
-		"failed":       {Result: ConnectFailed, Load: Load{Told: true}},
+		"failed":       {Result: ConnectFailed, Load: LoadReport{Reported: true}},
 	} {
 		r := newRig(t, probeSettings())
 		r.fleet(2)
-		r.do(ProbeResult{Upstream: "nobody"})
-		r.do(ProbeResult{Upstream: "u0", Load: Load{Told: true, Held: 5}}) // never asked
+		r.do(ProbeResult{Endpoint: "nobody"})
+		r.do(ProbeResult{Endpoint: "u0", Load: LoadReport{Reported: true, InFlight: 5}}) // never asked
 		p := kinds(r.request("q", "c", time.Second), Probe)
 		var acts []Action
 		for _, x := range p {
-			e.Upstream, e.Elapsed = x.Upstream, ms
+			e.Endpoint, e.Elapsed = x.Endpoint, ms
 			acts = append(acts, r.do(e)...)
 		}
 		r.wantSend(acts)
@@ -81,7 +81,7 @@
 func TestWhenPairsAreNotAsked(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"not allowed": func(s *Settings) { s.Probes = false },
-		"no report":   func(s *Settings) { s.LoadByProbes = false },
+		"no report":   func(s *Settings) { s.ProbesReportLoad = false },
 		"dear":        func(s *Settings) { s.PriceProbe = 0.01 },
 	} {
 		s := probeSettings()
@@ -106,7 +106,7 @@
 		p := kinds(r.request(fmt.Sprint(i), "c", time.Second), Probe)
 		asked += len(p)
 		for _, x := range p {
-			r.do(ProbeResult{Upstream: x.Upstream, Elapsed: 100 * ms, Load: Load{Told: true}})
+			r.do(ProbeResult{Endpoint: x.Endpoint, Elapsed: 100 * ms, Load: LoadReport{Reported: true}})
 		}
 	}
 	if asked > 100 {
@@ -120,15 +120,15 @@
 	s := probeSettings()
 	s.PriceCrossZone = 0.1
 	r := newRig(t, s)
-	r.list(Full, Member{Upstream: "n1", Zone: "a"}, Member{Upstream: "n2", Zone: "a"},
-		Member{Upstream: "f1", Zone: "b"}, Member{Upstream: "f2", Zone: "b"})
+	r.list(CompleteList, Endpoint{ID: "n1", Zone: "a"}, Endpoint{ID: "n2", Zone: "a"},
+		Endpoint{ID: "f1", Zone: "b"}, Endpoint{ID: "f2", Zone: "b"})
 	for i := range 100 {
 		var acts []Action
 		for _, x := range kinds(r.request(fmt.Sprint(i), "c", time.Second), Probe) {
-			if x.Upstream[0] != 'n' {
+			if x.Endpoint[0] != 'n' {
 				t.Fatal("asked across zones")
 			}
-			acts = append(acts, r.do(ProbeResult{Upstream: x.Upstream, Elapsed: ms, Load: Load{Told: true, Held: 4}})...)
+			acts = append(acts, r.do(ProbeResult{Endpoint: x.Endpoint, Elapsed: ms, Load: LoadReport{Reported: true, InFlight: 4}})...)
 		}
 		if u := r.wantSend(acts); i > 80 && u[0] != 'n' {
 			t.Fatalf("request %d crossed to %s", i, u)
@@ -152,8 +152,8 @@
 			}
 			probes, next = probes+len(p), nil
 			for _, x := range p {
-				next = append(next, r.do(ProbeResult{Upstream: x.Upstream, Elapsed: ms,
-					Load: Load{Told: true, Held: held}})...)
+				next = append(next, r.do(ProbeResult{Endpoint: x.Endpoint, Elapsed: ms,
+					Load: LoadReport{Reported: true, InFlight: held}})...)
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 		r.result(id, 0, OK, 40*ms)
 	}
 	probes, acts := told("full", 30) // 600 ms, wanted within 200 ms
-	r.wantFinal(acts, Refuse)
+	r.wantFinal(acts, Reject)
 	if probes != 2*pairTries {
 		t.Errorf("%d probes before the refusal, want four pairs", probes)
 	}
@@ -177,19 +177,19 @@
 // old start is void, also to requests that wait for the other one's answer. (Found by the property test.)
 func TestAskedPairFollowsTheList(t *testing.T) {
 	r := newRig(t, probeSettings())
-	r.list(Full, Member{Upstream: "u0", Zone: "a"}, Member{Upstream: "u1", Zone: "a"})
+	r.list(CompleteList, Endpoint{ID: "u0", Zone: "a"}, Endpoint{ID: "u1", Zone: "a"})
 	for i := range 10 {
 		id := fmt.Sprint(i)
 		r.request(id, "c", time.Second)
-		r.do(ProbeResult{Upstream: "u0", Elapsed: ms, Load: Load{Told: true}})
-		r.list(Change, Member{Upstream: "u0", Zone: "a", CameUp: r.now + time.Duration(i)})
-		r.list(Change, Member{Upstream: "u0", State: Leaving})
+		r.do(ProbeResult{Endpoint: "u0", Elapsed: ms, Load: LoadReport{Reported: true}})
+		r.list(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: r.now + time.Duration(i)})
+		r.list(Delta, Endpoint{ID: "u0", State: Draining})
 		for _, a := range kinds(r.pass(100*ms), Send) {
-			if a.Upstream != "u1" {
-				t.Fatalf("sent to %s, which drains", a.Upstream)
+			if a.Endpoint != "u1" {
+				t.Fatalf("sent to %s, which drains", a.Endpoint)
 			}
 		}
 		r.result(id, 0, OK, 20*ms)
-		r.list(Change, Member{Upstream: "u0", Zone: "a"})
+		r.list(Delta, Endpoint{ID: "u0", Zone: "a"})
 	}
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -33,7 +33,7 @@
 	now    time.Duration
 	reqs   map[string]*owed
 	order  []string
-	active map[string]Member
+	active map[string]Endpoint
 	timers []time.Duration
 	probes []string // out; their answers come late, in any order, or never
 }
@@ -48,14 +48,14 @@
 	case Send:
 		f.send(a, q)
 	case Cancel:
-		if !f.s.Cancelling {
+		if !f.s.Cancellation {
 			f.t.Fatal("cancel is not allowed")
 		}
 		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
 			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
 		}
-	case Refuse, Fail:
-		if a.Kind == Refuse && !(q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Group == GroupAll) &&
+	case Reject, Fail:
+		if a.Kind == Reject && !(q.class.Effect == Idempotent || q.class.Effect == Keyed && q.class.IdempotencyScope == ScopeAll) &&
 			slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.mayRun }) {
 			f.t.Fatalf("refused %s, which may have run", a.ID)
 		}
@@ -69,39 +69,39 @@
 		if !f.s.Probes {
 			f.t.Fatal("probes are not allowed")
 		}
-		if _, listed := f.active[a.Upstream]; !listed {
-			f.t.Fatalf("probe of %s, which drains or is gone", a.Upstream)
+		if _, listed := f.active[a.Endpoint]; !listed {
+			f.t.Fatalf("probe of %s, which drains or is gone", a.Endpoint)
 		}
-		f.probes = append(f.probes, a.Upstream)
+		f.probes = append(f.probes, a.Endpoint)
 	}
 }
 
 func (f *referee) send(a Action, q *owed) {
 	f.t.Helper()
-	m, listed := f.active[a.Upstream]
+	m, listed := f.active[a.Endpoint]
 	switch {
 	case q.ended:
 		f.t.Fatalf("%s: attempt after its end", a.ID)
 	case f.now >= q.expires:
 		f.t.Fatalf("%s: attempt after its time", a.ID)
 	case !listed:
-		f.t.Fatalf("%s: attempt to %s, which drains or is gone", a.ID, a.Upstream)
+		f.t.Fatalf("%s: attempt to %s, which drains or is gone", a.ID, a.Endpoint)
 	case len(q.attempts) >= f.s.MaxAttempts:
 		f.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, f.s.MaxAttempts)
 	}
 	for _, x := range q.attempts {
-		if x.out && !f.s.SecondCopies {
+		if x.out && !f.s.Hedging {
 			f.t.Fatalf("%s: two attempts out", a.ID)
 		}
 		if !x.mayRun {
 			continue
 		}
 		c := q.class
-		if c.Effect == Unsafe {
+		if c.Effect == NonIdempotent {
 			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
 		}
-		if c.Effect == Keyed && (f.now-x.at > c.Window || c.Group == GroupZone && x.zone != m.Zone ||
-			c.Group == GroupCell && x.cell != m.Cell) {
+		if c.Effect == Keyed && (f.now-x.at > c.IdempotencyWindow || c.IdempotencyScope == ScopeZone && x.zone != m.Zone ||
+			c.IdempotencyScope == ScopeCell && x.cell != m.Cell) {
 			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
 		}
 	}
@@ -109,28 +109,28 @@
 	if a.Timeout != 0 {
 		limit = min(limit, f.now+a.Timeout)
 	}
-	q.attempts = append(q.attempts, &sent{a.Upstream, m.Zone, m.Cell, f.now, limit, true, true})
+	q.attempts = append(q.attempts, &sent{a.Endpoint, m.Zone, m.Cell, f.now, limit, true, true})
 }
 
 func randomSettings(g *rand.Rand) Settings {
 	s := testSettings()
-	s.SecondCopies, s.Cancelling, s.RetryAfter = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
+	s.Hedging, s.Cancellation, s.RetryAfter = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
 	s.MustSubscribe = g.IntN(2) == 0
 	s.MaxAttempts = 1 + g.IntN(5)
 	s.PriceCrossZone = []float64{0, 0.01, 0.2}[g.IntN(3)]
-	s.FallMultiple = float64(g.IntN(4))
+	s.OverloadMultiple = float64(g.IntN(4))
 	s.Balancers = []int{1, 3, 2000}[g.IntN(3)]
-	s.Probes, s.LoadByProbes, s.WarmKeys = g.IntN(3) > 0, g.IntN(3) > 0, g.IntN(2) == 0
+	s.Probes, s.ProbesReportLoad, s.KeyAffinity = g.IntN(3) > 0, g.IntN(3) > 0, g.IntN(2) == 0
 	s.PriceProbe = []float64{0, 0.002, 0.01}[g.IntN(3)]
-	s.PriceOpen, s.PriceHandshake = float64(g.IntN(2)), float64(g.IntN(2))
+	s.PriceOpenConnection, s.PriceHandshake = float64(g.IntN(2)), float64(g.IntN(2))
 	s.Tenants = []Tenant{{Name: "t", Fraction: 0.5}, {Name: "v", Fraction: 0.5}}[:g.IntN(3)]
 	s.Classes = nil
-	for e := Safe; e <= Unsafe; e++ {
-		for group := GroupAll; group <= GroupCell; group++ {
+	for e := Idempotent; e <= NonIdempotent; e++ {
+		for group := ScopeAll; group <= ScopeCell; group++ {
 			aim := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), Aim: aim, Deadline: aim * 2, Effect: e,
-				Group: group, Window: time.Duration(20+g.IntN(800)) * ms, LateShare: float64(g.IntN(2)) / 2,
-				Worth: float64(1 + g.IntN(9)), AimStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: aim, Deadline: aim * 2, Effect: e,
+				IdempotencyScope: group, IdempotencyWindow: time.Duration(20+g.IntN(800)) * ms, LateWeight: float64(g.IntN(2)) / 2,
+				Weight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
 		}
 	}
 	return s
@@ -144,7 +144,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Member{}}
+		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Endpoint{}}
 		deal := func(e Event) {
 			for _, a := range b.Handle(f.now, e, nil) {
 				f.action(a)
@@ -159,7 +159,7 @@
 
 // run plays ticks with random events, then lets all that is open end.
 func run(f *referee, g *rand.Rand, deal func(Event), ticks int) {
-	deal(Members{Kind: Saved})
+	deal(EndpointUpdate{Kind: CachedList})
 	for i := range ticks + 1000 {
 		f.now += f.s.Tick + time.Duration(g.IntN(2000))*time.Microsecond
 		if i < ticks {
@@ -184,31 +184,31 @@
 		return
 	}
 	if g.IntN(6) == 0 {
-		deal(Members{Kind: Failed})
+		deal(EndpointUpdate{Kind: WatchFailed})
 		return
 	}
-	var entries []Member
-	kind := Change
+	var entries []Endpoint
+	kind := Delta
 	if g.IntN(5) == 0 {
-		kind = Full
+		kind = CompleteList
 		clear(f.active)
 	}
 	for range g.IntN(8) {
 		n := g.IntN(10)
-		m := Member{Upstream: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: State(g.IntN(3))}
+		m := Endpoint{ID: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(g.IntN(3))}
 		if g.IntN(2) == 0 {
 			m.State = Active
 		}
 		if g.IntN(3) == 0 {
-			m.Kind, m.CameUp = fmt.Sprint("m", g.IntN(3)), f.now-time.Duration(g.IntN(12000))*ms
+			m.Kind, m.StartedAt = fmt.Sprint("m", g.IntN(3)), f.now-time.Duration(g.IntN(12000))*ms
 		}
-		delete(f.active, m.Upstream)
+		delete(f.active, m.ID)
 		if m.State == Active {
-			f.active[m.Upstream] = m
+			f.active[m.ID] = m
 		}
 		entries = append(entries, m)
 	}
-	deal(Members{Kind: kind, Entries: entries})
+	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
 func (f *referee) randomRequest(g *rand.Rand, deal func(Event), i int) {
@@ -216,11 +216,11 @@
 	id := fmt.Sprint(i, "-", g.Uint32())
 	q := &owed{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
 	f.reqs[id], f.order = q, append(f.order, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], Expires: q.expires,
-		Key: []string{"", "k", "l", id}[g.IntN(4)], Hint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
+	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], ExpiresAt: q.expires,
+		AffinityKey: []string{"", "k", "l", id}[g.IntN(4)], ExpectedWork: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
 	if g.IntN(50) == 0 && !q.ended {
 		q.ended, q.gone = true, true
-		deal(Gone{ID: id})
+		deal(ClientDisconnected{ID: id})
 	}
 }
 
@@ -229,8 +229,8 @@
 	for range g.IntN(4) {
 		if n := len(f.probes); n > 0 {
 			i := g.IntN(n)
-			e := ProbeResult{Upstream: f.probes[i], Elapsed: time.Duration(g.IntN(20)) * ms}
-			e.Load = Load{Told: g.IntN(4) > 0, Held: []float64{0, 3, 90, -1, math.NaN(), math.Inf(1)}[g.IntN(6)]}
+			e := ProbeResult{Endpoint: f.probes[i], Elapsed: time.Duration(g.IntN(20)) * ms}
+			e.Load = LoadReport{Reported: g.IntN(4) > 0, InFlight: []float64{0, 3, 90, -1, math.NaN(), math.Inf(1)}[g.IntN(6)]}
 			if g.IntN(5) == 0 {
 				e.Result = Result(g.IntN(8))
 			}
@@ -247,12 +247,12 @@
 			deal(Outcome{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Finished: true})
 		}
 	case 2:
-		deal(Wake{})
+		deal(TimerFired{})
 	case 3:
-		deal(Gone{ID: "nobody"})
+		deal(ClientDisconnected{ID: "nobody"})
 		deal(FirstByte{ID: "nobody"})
-		deal(ProbeResult{Upstream: "u0"})
-		deal(Peer{Message: "hi"})
+		deal(ProbeResult{Endpoint: "u0"})
+		deal(PeerMessage{Message: "hi"})
 	}
 }
 
@@ -265,7 +265,7 @@
 		return at <= f.now
 	})
 	for range due {
-		deal(Wake{})
+		deal(TimerFired{})
 	}
 }
 
@@ -277,12 +277,12 @@
 			if !x.out || f.now < x.limit && g.IntN(12) > 0 {
 				continue
 			}
-			res := Result(g.IntN(int(Moot) + 1))
+			res := Result(g.IntN(int(NotSent) + 1))
 			if f.now >= x.limit {
 				res = Timeout
 			}
 			x.out = false
-			x.mayRun = res != Overloaded && res != ConnectFailed && res != Moot
+			x.mayRun = res != Overloaded && res != ConnectFailed && res != NotSent
 			if res == OK {
 				q.ended = true
 			}
--- a/balancer/report_test.go
+++ b/balancer/report_test.go
@@ -9,9 +9,9 @@
 // that holds less, whatever else its answers say. One that cannot be true is not believed.
 func TestReportWithAnOutcome(t *testing.T) {
 	for _, c := range []struct {
-		load Load
+		load LoadReport
 		want float64
-	}{{Load{Told: true, Held: 7}, 7}, {Load{}, 0}, {Load{Told: true, Held: -1}, 0}, {Load{Held: 7}, 0}} {
+	}{{LoadReport{Reported: true, InFlight: 7}, 7}, {LoadReport{}, 0}, {LoadReport{Reported: true, InFlight: -1}, 0}, {LoadReport{InFlight: 7}, 0}} {
 		r := newRig(t, testSettings())
 		r.fleet(1)
 		r.request("1", "c", 500*ms)
@@ -27,7 +27,7 @@
 // Streams that have begun are no sign of pressure, however long they last. Guards against refusing all else beside them.
 func TestStreamsAreNoPressure(t *testing.T) {
 	s := testSettings()
-	s.Classes = append(s.Classes, Class{Name: "s", Aim: 200 * ms, Deadline: 1000 * ms, Worth: 1, Stream: true})
+	s.Classes = append(s.Classes, Class{Name: "s", LatencyObjective: 200 * ms, Deadline: 1000 * ms, Weight: 1, Stream: true})
 	r := newRig(t, s)
 	r.fleet(4)
 	for i := range 50 {
@@ -56,10 +56,10 @@
 	for i := range 200 {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		for _, a := range kinds(r.request(id, "c", 500*ms), Send) {
-			counts[a.Upstream]++
-			load := Load{Told: true}
-			if a.Upstream == "u0" {
-				load.Held = 5
+			counts[a.Endpoint]++
+			load := LoadReport{Reported: true}
+			if a.Endpoint == "u0" {
+				load.InFlight = 5
 			}
 			r.now += 10 * ms
 			r.do(Outcome{ID: id, Result: OK, Elapsed: 10 * ms, Finished: true, Load: load})
--- a/balancer/revise.go
+++ b/balancer/revise.go
@@ -7,15 +7,15 @@
 // fractions. It takes nothing else from s: effect, group, window, deadline and aim of a class, the rules of cold upstreams and
 // what the sidecar can do stay as New had them, and classes and tenants that New did not know are left out. It is all or nothing:
 // an error names the setting that cannot be used, and nothing has changed. The caller is Handle's.
-func (b *Balancer) Revise(s Settings) error {
+func (b *Balancer) Reconfigure(s Settings) error {
 	if err := s.check(); err != nil {
 		return err
 	}
-	b.set.MaxAttempts, b.set.SecondCopies = s.MaxAttempts, s.SecondCopies
-	b.set.PriceCrossZone, b.set.PriceOpen, b.set.PriceHandshake, b.set.PriceProbe = s.PriceCrossZone, s.PriceOpen, s.PriceHandshake, s.PriceProbe
+	b.set.MaxAttempts, b.set.Hedging = s.MaxAttempts, s.Hedging
+	b.set.PriceCrossZone, b.set.PriceOpenConnection, b.set.PriceHandshake, b.set.PriceProbe = s.PriceCrossZone, s.PriceOpenConnection, s.PriceHandshake, s.PriceProbe
 	for _, c := range s.Classes {
 		if own := b.classes[c.Name]; own != nil {
-			own.Worth, own.LateShare = c.Worth, c.LateShare
+			own.Weight, own.LateWeight = c.Weight, c.LateWeight
 		}
 	}
 	b.set.Tenants = slices.Clone(b.set.Tenants) // New's caller has the other
--- a/balancer/revise_test.go
+++ b/balancer/revise_test.go
@@ -17,15 +17,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Member{}}
+		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Endpoint{}}
 		run(f, g, func(e Event) {
 			if g.IntN(20) == 0 {
 				next := randomSettings(g) // with other groups, windows, cold rules and deadlines, which must not be taken
 				next.Balancers = s.Balancers
-				if err := b.Revise(next); err != nil {
+				if err := b.Reconfigure(next); err != nil {
 					t.Fatal(err)
 				}
-				f.s.MaxAttempts, f.s.SecondCopies = next.MaxAttempts, next.SecondCopies
+				f.s.MaxAttempts, f.s.Hedging = next.MaxAttempts, next.Hedging
 			}
 			for _, a := range b.Handle(f.now, e, nil) {
 				f.action(a)
@@ -44,16 +44,16 @@
 	r := newRig(t, s)
 	next := s
 	next.MaxAttempts, next.PriceProbe = 1, math.NaN()
-	if err := r.b.Revise(next); err == nil || r.b.set.MaxAttempts != 4 {
+	if err := r.b.Reconfigure(next); err == nil || r.b.set.MaxAttempts != 4 {
 		t.Errorf("%v, %d attempts", err, r.b.set.MaxAttempts)
 	}
 	next.PriceProbe, next.Tenants = 0, []Tenant{{"t", 0.25}, {"u", 0.25}}
-	next.Classes = []Class{{Name: "c", Aim: time.Second, Deadline: 9 * time.Second, Effect: Unsafe, Worth: 7, LateShare: 0.5}}
-	if err := r.b.Revise(next); err != nil {
+	next.Classes = []Class{{Name: "c", LatencyObjective: time.Second, Deadline: 9 * time.Second, Effect: NonIdempotent, Weight: 7, LateWeight: 0.5}}
+	if err := r.b.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	c := r.b.classes["c"]
-	if c.Worth != 7 || c.LateShare != 0.5 || c.Effect != Safe || c.Deadline != time.Second || c.Aim != 200*ms || r.b.set.MaxAttempts != 1 {
+	if c.Weight != 7 || c.LateWeight != 0.5 || c.Effect != Idempotent || c.Deadline != time.Second || c.LatencyObjective != 200*ms || r.b.set.MaxAttempts != 1 {
 		t.Errorf("%+v", c)
 	}
 	if r.b.set.Tenants[0].Fraction != 0.25 || len(r.b.set.Tenants) != 1 || s.Tenants[0].Fraction != 0.5 {
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -20,10 +20,10 @@
 // testSettings are a plain site: one safe class, copies and cancelling allowed, pushed list.
 func testSettings() Settings {
 	return Settings{
-		Balancers: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, SecondCopies: true, Cancelling: true,
+		Balancers: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, Hedging: true, Cancellation: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 200 * ms,
-		ColdFrom: 0.2, WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second,
-		Classes: []Class{{Name: "c", Aim: 200 * ms, Deadline: time.Second, Worth: 1}},
+		InitialCapacity: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: 2 * time.Second,
+		Classes: []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 1}},
 	}
 }
 
@@ -50,25 +50,25 @@
 func (r *rig) pass(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
 		r.now += r.b.set.Tick
-		all = append(all, r.do(Wake{})...)
+		all = append(all, r.do(TimerFired{})...)
 	}
 	return all
 }
 
-func (r *rig) list(kind MembersKind, m ...Member) []Action {
-	return r.do(Members{Kind: kind, Entries: m})
+func (r *rig) list(kind UpdateKind, m ...Endpoint) []Action {
+	return r.do(EndpointUpdate{Kind: kind, Endpoints: m})
 }
 
 func (r *rig) fleet(n int) {
-	var list []Member
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Member{Upstream: fmt.Sprintf("u%d", i), Zone: "a"})
+		list = append(list, Endpoint{ID: fmt.Sprintf("u%d", i), Zone: "a"})
 	}
-	r.list(Full, list...)
+	r.list(CompleteList, list...)
 }
 
 func (r *rig) request(id, class string, left time.Duration) []Action {
-	return r.do(Request{ID: id, Class: class, Expires: r.now + left})
+	return r.do(Request{ID: id, Class: class, ExpiresAt: r.now + left})
 }
 
 func (r *rig) result(id string, n int, res Result, elapsed time.Duration) []Action {
@@ -86,7 +86,7 @@
 }
 
 // finals are the final answers among acts.
-func finals(acts []Action) []Action { return append(kinds(acts, Refuse), kinds(acts, Fail)...) }
+func finals(acts []Action) []Action { return append(kinds(acts, Reject), kinds(acts, Fail)...) }
 
 // wantSend fails the test unless acts hold exactly one attempt, and returns its upstream.
 func (r *rig) wantSend(acts []Action) string {
@@ -95,7 +95,7 @@
 	if len(s) != 1 {
 		r.t.Fatalf("want one attempt, got %+v", acts)
 	}
-	return s[0].Upstream
+	return s[0].Endpoint
 }
 
 // wantFinal fails the test unless acts hold exactly one final answer of kind k and no attempt.
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -10,23 +10,23 @@
 	"hazelwing/internal/backoff"
 )
 
-func keyed(group Group) Settings {
+func keyed(group IdempotencyScope) Settings {
 	s := testSettings()
-	s.SecondCopies = false
-	s.Classes = []Class{{Name: "k", Aim: 400 * ms, Deadline: 1500 * ms, Effect: Keyed, Group: group, Window: time.Second}}
+	s.Hedging = false
+	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Effect: Keyed, IdempotencyScope: group, IdempotencyWindow: time.Second}}
 	return s
 }
 
 func unsafeSettings() Settings {
 	s := testSettings()
-	s.Classes = []Class{{Name: "x", Aim: 400 * ms, Deadline: 1500 * ms, Effect: Unsafe, LateShare: 0.5}}
+	s.Classes = []Class{{Name: "x", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Effect: NonIdempotent, LateWeight: 0.5}}
 	return s
 }
 
 // The request's own end counts, often much sooner than its class's deadline.
 func TestAnswersBeforeItsOwnEnd(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].LateShare = 0.5
+	s.Classes[0].LateWeight = 0.5
 	r := newRig(t, s)
 	r.fleet(2)
 	r.request("1", "c", 60*ms)
@@ -43,7 +43,7 @@
 func TestHeldRequestIsRefusedInTime(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: held
-	r.wantFinal(r.pass(95*ms), Refuse)
+	r.wantFinal(r.pass(95*ms), Reject)
 }
 
 func TestHeldRequestGoesOutWhenAnUpstreamComes(t *testing.T) {
@@ -64,7 +64,7 @@
 }
 
 func TestUnsafeGoesOnOnlyWhenProvedNotRun(t *testing.T) {
-	for res, again := range map[Result]bool{Overloaded: true, ConnectFailed: true, Moot: true,
+	for res, again := range map[Result]bool{Overloaded: true, ConnectFailed: true, NotSent: true,
 		ServerError: false, Timeout: false, Reset: false, Cancelled: false} {
 		r := newRig(t, unsafeSettings())
 		r.fleet(3)
@@ -93,22 +93,22 @@
 	r := newRig(t, s)
 	r.fleet(3)
 	r.wantSend(r.request("1", "x", time.Second))
-	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Refuse)
+	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Reject)
 }
 
 // Once it may have run, a keyed request stays in its group; before that it may go anywhere.
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	for group, same := range map[Group]func(a, b Member) bool{
-		GroupAll:  func(a, b Member) bool { return true },
-		GroupZone: func(a, b Member) bool { return a.Zone == b.Zone },
-		GroupCell: func(a, b Member) bool { return a.Cell == b.Cell },
+	for group, same := range map[IdempotencyScope]func(a, b Endpoint) bool{
+		ScopeAll:  func(a, b Endpoint) bool { return true },
+		ScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
+		ScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
 	} {
-		list := map[string]Member{}
-		var entries []Member
-		for i, m := range []Member{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
+		list := map[string]Endpoint{}
+		var entries []Endpoint
+		for i, m := range []Endpoint{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
 			{Zone: "b", Cell: 2}, {Zone: "a", Cell: 0}, {Zone: "b", Cell: 3}} {
-			m.Upstream = string(rune('p' + i))
-			list[m.Upstream] = m
+			m.ID = string(rune('p' + i))
+			list[m.ID] = m
 			entries = append(entries, m)
 		}
 		for n := range 40 {
@@ -117,11 +117,11 @@
 			for range n {
 				r.b.rng.Uint64()
 			}
-			r.list(Full, entries...)
+			r.list(CompleteList, entries...)
 			first := list[r.wantSend(r.request("1", "k", time.Second))]
 			for _, a := range kinds(r.result("1", 0, ServerError, 10*ms), Send) {
-				if !same(first, list[a.Upstream]) {
-					t.Fatalf("group %d: %+v then %+v", group, first, list[a.Upstream])
+				if !same(first, list[a.Endpoint]) {
+					t.Fatalf("group %d: %+v then %+v", group, first, list[a.Endpoint])
 				}
 			}
 		}
@@ -130,18 +130,18 @@
 
 // The window counts from the sending of the attempt that may have run; afterwards no attempt.
 func TestKeyedWindow(t *testing.T) {
-	s := keyed(GroupAll)
-	s.Classes[0].Window = 100 * ms
-	s.Classes[0].Aim = time.Second
+	s := keyed(ScopeAll)
+	s.Classes[0].IdempotencyWindow = 100 * ms
+	s.Classes[0].LatencyObjective = time.Second
 	r := newRig(t, s)
 	r.fleet(3)
 	r.wantSend(r.request("1", "k", time.Second))
 	r.now += 95 * ms
-	r.wantFinal(r.result("1", 0, Reset, 95*ms), Refuse)
+	r.wantFinal(r.result("1", 0, Reset, 95*ms), Reject)
 }
 
 func TestKeyedRefusal(t *testing.T) {
-	for group, want := range map[Group]ActionKind{GroupAll: Refuse, GroupZone: Fail, GroupCell: Fail} {
+	for group, want := range map[IdempotencyScope]ActionKind{ScopeAll: Reject, ScopeZone: Fail, ScopeCell: Fail} {
 		s := keyed(group)
 		s.MaxAttempts = 1
 		r := newRig(t, s)
@@ -152,7 +152,7 @@
 }
 
 func TestNeverTwoOutWhereCopiesAreRuledOut(t *testing.T) {
-	r := newRig(t, keyed(GroupZone))
+	r := newRig(t, keyed(ScopeZone))
 	r.fleet(4)
 	r.wantSend(r.request("1", "k", time.Second))
 	var cancelled bool
@@ -171,7 +171,7 @@
 func TestDrainingAndGoneGetNothing(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(3)
-	r.list(Change, Member{Upstream: "u0", State: Leaving}, Member{Upstream: "u1", State: Left})
+	r.list(Delta, Endpoint{ID: "u0", State: Draining}, Endpoint{ID: "u1", State: Removed})
 	for i := range 30 {
 		if u := r.wantSend(r.request(string(rune('A'+i)), "c", time.Second)); u != "u2" {
 			t.Fatalf("sent to %s", u)
@@ -179,7 +179,7 @@
 		r.result(string(rune('A'+i)), 0, OK, 10*ms)
 		r.now += 10 * ms
 	}
-	r.list(Full) // nothing is left
+	r.list(CompleteList) // nothing is left
 	r.wantNothing(r.request("z", "c", time.Second))
 }
 
@@ -199,7 +199,7 @@
 		s := testSettings()
 		s.MustSubscribe, s.Balancers = true, c.fleet
 		r := newRig(t, s)
-		if n := len(kinds(r.list(Saved, Member{Upstream: "u0"}), Subscribe)); n != 1 {
+		if n := len(kinds(r.list(CachedList, Endpoint{ID: "u0"}), Subscribe)); n != 1 {
 			t.Fatalf("%d calls at the start", n)
 		}
 		var first time.Duration
@@ -207,7 +207,7 @@
 			if r.pass(c.fails); first == 0 {
 				first = r.now
 			}
-			r.do(Members{Kind: Failed})
+			r.do(EndpointUpdate{Kind: WatchFailed})
 			lost := r.now - first
 			for len(kinds(r.pass(5*ms), Subscribe)) == 0 {
 				if r.now-asked > 20*time.Second {
@@ -223,11 +223,11 @@
 			}
 			asked = r.now
 		}
-		r.list(Change)
+		r.list(Delta)
 		if n := len(kinds(r.pass(20*time.Second), Subscribe)); n != 0 {
 			t.Errorf("%d calls while subscribed", n)
 		}
-		r.do(Members{Kind: Failed}) // the subscription broke
+		r.do(EndpointUpdate{Kind: WatchFailed}) // the subscription broke
 		if n := len(kinds(r.pass(2*time.Second), Subscribe)); n != 1 {
 			t.Errorf("%d calls after the subscription broke", n)
 		}
@@ -240,7 +240,7 @@
 	r.fleet(2)
 	r.b.ups["u0"].est = estimate{5, r.now}
 	r.b.ups["u0"].until = r.now + time.Hour
-	r.list(Change, Member{Upstream: "u0", Zone: "a", CameUp: r.now - time.Second})
+	r.list(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: r.now - time.Second})
 	u := r.b.ups["u0"]
 	if u.est.value > 1 || u.until != 0 || !u.cold || len(r.b.list) != 2 {
 		t.Errorf("still known: %+v", u)
@@ -258,7 +258,7 @@
 			id++
 			name := string(rune('a'+id%26)) + time.Duration(id).String()
 			for _, a := range kinds(r.request(name, "c", time.Second), Send) {
-				n[a.Upstream]++
+				n[a.Endpoint]++
 				r.result(name, 0, OK, 5*ms)
 			}
 			r.pass(5 * ms)
@@ -268,7 +268,7 @@
 		second()
 	}
 	for i := range 9 { // nearly the whole fleet starts anew
-		r.list(Change, Member{Upstream: "u" + string(rune('0'+i)), Zone: "a", CameUp: r.now})
+		r.list(Delta, Endpoint{ID: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
 	clear(n)
 	second()
@@ -292,14 +292,14 @@
 		return 1.25
 	}
 	s := testSettings()
-	s.Balancers, s.ColdFrom = sidecars, 0.3
+	s.Balancers, s.InitialCapacity = sidecars, 0.3
 	var fleet [sidecars]*Balancer
 	now := time.Minute
-	member := func(i int, cameUp time.Duration) Member {
+	member := func(i int, cameUp time.Duration) Endpoint {
 		u := fmt.Sprintf("u%02d", i)
-		return Member{Upstream: u, Zone: "a", Kind: fmt.Sprint(speed(u)), CameUp: cameUp}
+		return Endpoint{ID: u, Zone: "a", Kind: fmt.Sprint(speed(u)), StartedAt: cameUp}
 	}
-	var list, fresh []Member
+	var list, fresh []Endpoint
 	for i := range upstreams {
 		list = append(list, member(i, 0))
 	}
@@ -308,20 +308,20 @@
 	}
 	for i := range fleet {
 		fleet[i], _ = New(s, uint64(i))
-		fleet[i].Handle(now, Members{Kind: Full, Entries: list}, nil)
+		fleet[i].Handle(now, EndpointUpdate{Kind: CompleteList, Endpoints: list}, nil)
 	}
 	sent := map[string][]time.Duration{}
 	for n := 0; now < time.Minute+18*time.Second; n++ { // 20 requests a second each
 		now += 50 * ms
 		for _, b := range fleet {
 			if n == 200 {
-				b.Handle(now, Members{Kind: Change, Entries: fresh}, nil)
+				b.Handle(now, EndpointUpdate{Kind: Delta, Endpoints: fresh}, nil)
 			}
 			id := fmt.Sprint(n)
-			for _, a := range kinds(b.Handle(now, Request{ID: id, Class: "c", Expires: now + time.Second}, nil), Send) {
-				sent[a.Upstream] = append(sent[a.Upstream], now)
-				took := time.Duration(float64(20*ms) / speed(a.Upstream))
-				if n >= 200 && slices.ContainsFunc(fresh, func(m Member) bool { return m.Upstream == a.Upstream }) {
+			for _, a := range kinds(b.Handle(now, Request{ID: id, Class: "c", ExpiresAt: now + time.Second}, nil), Send) {
+				sent[a.Endpoint] = append(sent[a.Endpoint], now)
+				took := time.Duration(float64(20*ms) / speed(a.Endpoint))
+				if n >= 200 && slices.ContainsFunc(fresh, func(m Endpoint) bool { return m.ID == a.Endpoint }) {
 					took = 4 * ms // nothing waits there
 				}
 				b.Handle(now, Outcome{ID: id, Elapsed: took, Finished: true}, nil)
@@ -330,20 +330,20 @@
 	}
 	const mean = 20.0 * sidecars / upstreams // and two thirds of what the fleet can do
 	for _, m := range fresh {
-		can := 1.5 * mean * speed(m.Upstream)
+		can := 1.5 * mean * speed(m.ID)
 		for _, from := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second} {
 			warm := 0.3 + 0.7*float64(from)/float64(s.WarmUp)
 			got := 0
-			for _, at := range sent[m.Upstream] {
-				if d := at - m.CameUp; d >= from && d < from+2*time.Second {
+			for _, at := range sent[m.ID] {
+				if d := at - m.StartedAt; d >= from && d < from+2*time.Second {
 					got++
 				}
 			}
 			if most := 3 * can * warm * 2; float64(got) > most {
-				t.Errorf("%s after %v: %d in 2 s, pushed over by %.0f", m.Upstream, from, got, most)
+				t.Errorf("%s after %v: %d in 2 s, pushed over by %.0f", m.ID, from, got, most)
 			}
-			if least := 0.7 * mean * warm * 2; speed(m.Upstream) > 1 && float64(got) < least {
-				t.Errorf("%s after %v: %d in 2 s, it could have had %.0f", m.Upstream, from, got, least)
+			if least := 0.7 * mean * warm * 2; speed(m.ID) > 1 && float64(got) < least {
+				t.Errorf("%s after %v: %d in 2 s, it could have had %.0f", m.ID, from, got, least)
 			}
 		}
 	}
@@ -368,9 +368,9 @@
 		second()
 	}
 	for i := range 10 {
-		r.list(Change, Member{Upstream: "u" + string(rune('0'+i)), State: Left})
+		r.list(Delta, Endpoint{ID: "u" + string(rune('0'+i)), State: Removed})
 	}
-	r.list(Change, Member{Upstream: "u0", Zone: "a", CameUp: r.now})
+	r.list(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: r.now})
 	sent = 0
 	second()
 	if sent == 0 || sent > 16 { // twice what TestColdBudget allows: half of the fleet may have gone for good
@@ -381,11 +381,11 @@
 // With everything cold, work is held or refused: panic does not go round the limit.
 func TestAllCold(t *testing.T) {
 	r := newRig(t, testSettings())
-	var list []Member
+	var list []Endpoint
 	for i := range 4 {
-		list = append(list, Member{Upstream: "u" + string(rune('0'+i)), Zone: "a", CameUp: r.now})
+		list = append(list, Endpoint{ID: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
-	r.list(Full, list...)
+	r.list(CompleteList, list...)
 	sent, ended := 0, 0
 	for i := range 400 {
 		acts := r.request("r"+time.Duration(i).String(), "c", 150*ms)
@@ -416,15 +416,15 @@
 	}
 	unserved := func(id string) (all time.Duration) { // its client leaves; when the last of its tries ends
 		r.wantSend(r.request(id, "c", 600*ms))
-		r.do(Gone{ID: id})
+		r.do(ClientDisconnected{ID: id})
 		return r.now + time.Second
 	}
 	r.wantSend(r.request("impatient", "c", 50*ms))
 	r.pass(100 * ms)
 	ends := unserved("first")
 	r.pass(450 * ms)
-	r.wantFinal(r.request("stale", "c", ends-r.now), Refuse)
-	r.wantFinal(r.request("told late", "c", ends-r.now+4*ms), Refuse)
+	r.wantFinal(r.request("stale", "c", ends-r.now), Reject)
+	r.wantFinal(r.request("told late", "c", ends-r.now+4*ms), Reject)
 	r.wantSend(r.request("impatient too", "c", ends-r.now-70*ms))
 	r.pass(20 * ms)
 	r.wantSend(r.request("served", "c", 600*ms))
@@ -470,32 +470,32 @@
 func TestEarlierAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect  Effect
-		group   Group
-		earlier []Earlier
+		group   IdempotencyScope
+		earlier []PriorAttempt
 		sends   string
 		final   ActionKind
 	}{
-		"none":            {Keyed, GroupZone, nil, "abc", Refuse},
-		"its zone":        {Keyed, GroupZone, []Earlier{{Zone: "b", Sent: time.Minute}}, "b", Fail},
-		"its cell":        {Keyed, GroupCell, []Earlier{{Cell: 2, Sent: time.Minute}}, "c", Fail},
-		"all":             {Keyed, GroupAll, []Earlier{{Zone: "b", Sent: time.Minute}}, "abc", Refuse},
-		"two zones":       {Keyed, GroupZone, []Earlier{{Zone: "a", Sent: time.Minute}, {Zone: "b", Sent: time.Minute}}, "", Fail},
-		"window over":     {Keyed, GroupZone, []Earlier{{Zone: "b", Sent: time.Minute - time.Second}}, "", Fail},
-		"a zone now gone": {Keyed, GroupZone, []Earlier{{Zone: "z", Sent: time.Minute}}, "", Fail},
-		"unsafe":          {Unsafe, GroupAll, []Earlier{{Zone: "b", Sent: time.Minute}}, "", Fail},
-		"safe":            {Safe, GroupAll, []Earlier{{Zone: "b", Sent: 0}}, "abc", Refuse},
+		"none":            {Keyed, ScopeZone, nil, "abc", Reject},
+		"its zone":        {Keyed, ScopeZone, []PriorAttempt{{Zone: "b", SentAt: time.Minute}}, "b", Fail},
+		"its cell":        {Keyed, ScopeCell, []PriorAttempt{{Cell: 2, SentAt: time.Minute}}, "c", Fail},
+		"all":             {Keyed, ScopeAll, []PriorAttempt{{Zone: "b", SentAt: time.Minute}}, "abc", Reject},
+		"two zones":       {Keyed, ScopeZone, []PriorAttempt{{Zone: "a", SentAt: time.Minute}, {Zone: "b", SentAt: time.Minute}}, "", Fail},
+		"window over":     {Keyed, ScopeZone, []PriorAttempt{{Zone: "b", SentAt: time.Minute - time.Second}}, "", Fail},
+		"a zone now gone": {Keyed, ScopeZone, []PriorAttempt{{Zone: "z", SentAt: time.Minute}}, "", Fail},
+		"unsafe":          {NonIdempotent, ScopeAll, []PriorAttempt{{Zone: "b", SentAt: time.Minute}}, "", Fail},
+		"safe":            {Idempotent, ScopeAll, []PriorAttempt{{Zone: "b", SentAt: 0}}, "abc", Reject},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := keyed(c.group)
 			s.Classes[0].Effect = c.effect
 			r := newRig(t, s)
-			r.list(Full, Member{Upstream: "a", Zone: "a", Cell: 0}, Member{Upstream: "b", Zone: "b", Cell: 1}, Member{Upstream: "c", Zone: "c", Cell: 2})
-			acts := r.do(Request{ID: "1", Class: "k", Expires: r.now + 500*ms, Earlier: c.earlier})
+			r.list(CompleteList, Endpoint{ID: "a", Zone: "a", Cell: 0}, Endpoint{ID: "b", Zone: "b", Cell: 1}, Endpoint{ID: "c", Zone: "c", Cell: 2})
+			acts := r.do(Request{ID: "1", Class: "k", ExpiresAt: r.now + 500*ms, PriorAttempts: c.earlier})
 			for n := 0; len(finals(acts)) == 0 && n < 1000; n++ {
 				sent := kinds(acts, Send)
 				for _, a := range sent {
-					if !strings.Contains(c.sends, a.Upstream) {
-						t.Errorf("sent to %s", a.Upstream)
+					if !strings.Contains(c.sends, a.Endpoint) {
+						t.Errorf("sent to %s", a.Endpoint)
 					}
 					acts = r.result("1", len(r.b.reqs["1"].attempts)-1, Overloaded, ms)
 				}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -16,7 +16,7 @@
 		name string
 		d    time.Duration
 	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"WarmUp", s.WarmUp}, {"FallTime", s.FallTime}} {
+		{"WarmUp", s.WarmUp}, {"FallTime", s.OverloadDuration}} {
 		if t.d < 0 {
 			return fmt.Errorf("setting %s: negative", t.name)
 		}
@@ -26,8 +26,8 @@
 		v    float64
 	}{{"Balancers", float64(s.Balancers)}, {"MaxAttempts", float64(s.MaxAttempts)},
 		{"PriceCrossZone", s.PriceCrossZone}, {"PriceProbe", s.PriceProbe},
-		{"PriceOpen", s.PriceOpen}, {"PriceHandshake", s.PriceHandshake}, {"OverShareWorth", s.OverShareWorth},
-		{"ColdFrom", s.ColdFrom}, {"FallMultiple", s.FallMultiple}} {
+		{"PriceOpen", s.PriceOpenConnection}, {"PriceHandshake", s.PriceHandshake}, {"OverShareWorth", s.OverQuotaWeight},
+		{"ColdFrom", s.InitialCapacity}, {"FallMultiple", s.OverloadMultiple}} {
 		if x.v < 0 || math.IsNaN(x.v) || math.IsInf(x.v, 0) {
 			return fmt.Errorf("setting %s: %v is not usable", x.name, x.v)
 		}
@@ -37,13 +37,13 @@
 	}
 	s.Balancers, s.MaxAttempts = max(s.Balancers, 1), max(s.MaxAttempts, 1)
 	s.Tick = cmp.Or(s.Tick, time.Millisecond)
-	s.ColdFrom = min(cmp.Or(s.ColdFrom, 1), 1)
+	s.InitialCapacity = min(cmp.Or(s.InitialCapacity, 1), 1)
 	s.Classes = slices.Clone(s.Classes)
 	names := map[string]bool{}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		c.Aim = cmp.Or(c.Aim, c.Deadline)
-		c.Worth = cmp.Or(c.Worth, 1)
+		c.LatencyObjective = cmp.Or(c.LatencyObjective, c.Deadline)
+		c.Weight = cmp.Or(c.Weight, 1)
 		if c.Name == "" || names[c.Name] {
 			return fmt.Errorf("setting Classes: Name %q empty or repeated", c.Name)
 		}
@@ -65,21 +65,21 @@
 
 func (c *Class) unusable() string {
 	switch {
-	case c.Aim <= 0:
+	case c.LatencyObjective <= 0:
 		return "Aim"
 	case c.Deadline <= 0:
 		return "Deadline"
-	case c.Effect < Safe || c.Effect > Unsafe:
+	case c.Effect < Idempotent || c.Effect > NonIdempotent:
 		return "Effect"
-	case c.Group < GroupAll || c.Group > GroupCell:
+	case c.IdempotencyScope < ScopeAll || c.IdempotencyScope > ScopeCell:
 		return "Group"
-	case !(c.Worth >= 0):
+	case !(c.Weight >= 0):
 		return "Worth"
-	case !(c.LateShare >= 0):
+	case !(c.LateWeight >= 0):
 		return "LateShare"
-	case !(c.AimStretch >= 0):
+	case !(c.ObjectiveStretch >= 0):
 		return "AimStretch"
-	case c.Window < 0:
+	case c.IdempotencyWindow < 0:
 		return "Window"
 	}
 	return ""
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -70,7 +70,7 @@
 	aim      time.Duration // clock time
 	end      time.Duration // clock time at which we give up
 	cost     float64       // expected work, relative to the mean request
-	earlier  []Earlier
+	earlier  []PriorAttempt
 	attempts []*attempt
 	out      int
 	stale    bool // a repeat whose aim has passed
@@ -151,7 +151,7 @@
 func (b *Balancer) act(a Action) { b.acts = append(b.acts, a) }
 
 // usable says whether a report came and can be true.
-func (l Load) usable() bool { return l.Told && l.Held >= 0 && l.Held < math.MaxInt32 }
+func (l LoadReport) usable() bool { return l.Reported && l.InFlight >= 0 && l.InFlight < math.MaxInt32 }
 
 // holds takes what u says that it holds.
 func (b *Balancer) holds(u *upstream, n float64) {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -13,7 +13,7 @@
 	for i := range n {
 		id := fmt.Sprint(name, i)
 		for _, a := range kinds(r.request(id, "c", time.Second), Send) {
-			got[a.Upstream]++
+			got[a.Endpoint]++
 		}
 		r.now += min(gap, 20*ms)
 		r.result(id, 0, OK, 20*ms)
@@ -79,11 +79,11 @@
 	got := map[string]int{}
 	for i := range 200 {
 		for _, p := range kinds(r.request(fmt.Sprint(i), "c", time.Second), Probe) {
-			got[p.Upstream]++
+			got[p.Endpoint]++
 		}
 		r.now += 500 * ms
-		r.do(Wake{})
-		r.do(Gone{ID: fmt.Sprint(i)})
+		r.do(TimerFired{})
+		r.do(ClientDisconnected{ID: fmt.Sprint(i)})
 	}
 	if len(got) < 25 {
 		t.Errorf("asked %d of 30", len(got))
@@ -111,15 +111,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []Member
+	var list []Endpoint
 	for i := range n {
-		m := Member{Upstream: fmt.Sprint("u", i), Zone: "a", Kind: "k"}
+		m := Endpoint{ID: fmt.Sprint("u", i), Zone: "a", Kind: "k"}
 		if i < small {
 			m.Zone = "b"
 		}
 		list = append(list, m)
 	}
-	b.Handle(time.Minute, Members{Kind: Full, Entries: list}, nil)
+	b.Handle(time.Minute, EndpointUpdate{Kind: CompleteList, Endpoints: list}, nil)
 	return b
 }
 
--- a/balancer/trouble_test.go
+++ b/balancer/trouble_test.go
@@ -35,13 +35,13 @@
 	for _, a := range acts {
 		switch a.Kind {
 		case Send:
-			res, d := w.reply(a.Upstream)
+			res, d := w.reply(a.Endpoint)
 			f := flying{a: a, n: tries[a.ID], sent: w.now, at: w.now + d, res: res}
 			if d < 0 || d > a.Timeout {
 				f.at, f.res = w.now+a.Timeout, Timeout
 			}
 			tries[a.ID]++
-			w.sends[a.Upstream]++
+			w.sends[a.Endpoint]++
 			w.out = append(w.out, f)
 		case Cancel:
 			for i := range w.out {
@@ -49,7 +49,7 @@
 					w.out[i].at, w.out[i].res = w.now, Cancelled
 				}
 			}
-		case Refuse, Fail:
+		case Reject, Fail:
 			w.ended[a.Kind]++
 		}
 	}
@@ -62,11 +62,11 @@
 	due := 0.0
 	for end := w.now + d; w.now < end; {
 		w.now += tick
-		w.take(w.do(Wake{}), tries)
+		w.take(w.do(TimerFired{}), tries)
 		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
 			w.n++
 			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.set.Classes[0].Name,
-				Expires: w.now + w.b.set.Classes[0].Deadline}), tries)
+				ExpiresAt: w.now + w.b.set.Classes[0].Deadline}), tries)
 		}
 		for i := 0; i < len(w.out); i++ {
 			f := w.out[i]
@@ -104,7 +104,7 @@
 	if w.sends["u0"] > 10 {
 		t.Errorf("%d attempts on the crashed upstream", w.sends["u0"])
 	}
-	if w.ended[Refuse]+w.ended[Fail] > 0 {
+	if w.ended[Reject]+w.ended[Fail] > 0 {
 		t.Errorf("requests lost with four upstreams fine: %v", w.ended)
 	}
 	down = false
@@ -118,7 +118,7 @@
 func TestHungUpstreamIsLeft(t *testing.T) {
 	for _, copies := range []bool{true, false} {
 		s := testSettings()
-		s.SecondCopies = copies
+		s.Hedging = copies
 		w := newWorld(t, s, func(u string) (Result, time.Duration) {
 			if u == "u0" {
 				return OK, -1
@@ -170,12 +170,12 @@
 	r.fleet(1)
 	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
 		id := fmt.Sprint(i)
-		r.do(Request{ID: id, Class: "c", Expires: r.now + time.Second, Hint: 20 * ms})
+		r.do(Request{ID: id, Class: "c", ExpiresAt: r.now + time.Second, ExpectedWork: 20 * ms})
 		r.result(id, 0, OK, 20*ms)
 		r.now += 10 * ms
 	}
 	before := r.b.list[0].est.value
-	r.do(Request{ID: "big", Class: "c", Expires: r.now + time.Second, Hint: 120 * ms})
+	r.do(Request{ID: "big", Class: "c", ExpiresAt: r.now + time.Second, ExpectedWork: 120 * ms})
 	r.now += 10 * ms
 	r.result("big", 0, OK, 120*ms)
 	if after := r.b.list[0].est.value; after > 1.5*before {
@@ -195,8 +195,8 @@
 	})
 	w.fleet(4)
 	w.play(5*time.Second, 200)
-	if w.ended[Refuse] > 10 {
-		t.Errorf("%d refused in calm", w.ended[Refuse])
+	if w.ended[Reject] > 10 {
+		t.Errorf("%d refused in calm", w.ended[Reject])
 	}
 	latency = 250 * ms
 	w.play(2*time.Second, 200)
@@ -252,7 +252,7 @@
 	w.reply, w.rig.logs = fine, nil
 	w.play(10*time.Second, 200)
 	for i := range 4 {
-		w.list(Change, Member{Upstream: fmt.Sprint("u", i+4), Zone: "a", CameUp: w.now})
+		w.list(Delta, Endpoint{ID: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
 	}
 	w.reply = func(u string) (Result, time.Duration) {
 		if u == "u0" {
@@ -285,15 +285,15 @@
 		}
 		return OK, 20 * ms
 	})
-	var list []Member
+	var list []Endpoint
 	for i := range 8 {
-		list = append(list, Member{Upstream: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
+		list = append(list, Endpoint{ID: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
 	}
-	w.list(Saved, list...)
-	w.list(Change)
+	w.list(CachedList, list...)
+	w.list(Delta)
 	w.play(5*time.Second, 100)
 	cut = true
-	w.do(Members{Kind: Failed})
+	w.do(EndpointUpdate{Kind: WatchFailed})
 	w.play(3*time.Second, 100)
 	ok, n := w.ok, w.n
 	clear(w.sends)
@@ -324,8 +324,8 @@
 		}
 		return OK, 20 * ms
 	})
-	w.list(Full, Member{Upstream: "u0", Zone: "a"}, Member{Upstream: "u1", Zone: "a"}, Member{Upstream: "u2", Zone: "b"},
-		Member{Upstream: "u3", Zone: "b"})
+	w.list(CompleteList, Endpoint{ID: "u0", Zone: "a"}, Endpoint{ID: "u1", Zone: "a"}, Endpoint{ID: "u2", Zone: "b"},
+		Endpoint{ID: "u3", Zone: "b"})
 	w.play(5*time.Second, 50)
 	if far := w.sends["u2"] + w.sends["u3"]; far > 25 {
 		t.Errorf("%d of %d crossed while home was fine", far, w.n)
@@ -352,11 +352,11 @@
 			}
 			return OK, 25 * ms
 		})
-		var list []Member
+		var list []Endpoint
 		for i := range 10 {
-			list = append(list, Member{Upstream: fmt.Sprint("u", i), Zone: string(rune('a' + i/5))})
+			list = append(list, Endpoint{ID: fmt.Sprint("u", i), Zone: string(rune('a' + i/5))})
 		}
-		w.list(Full, list...)
+		w.list(CompleteList, list...)
 		w.play(5*time.Second, 20)
 		clear(w.sends)
 		w.play(10*time.Second, 20)
@@ -375,8 +375,8 @@
 // Under pressure what is worth least goes first.
 func TestLeastWorthIsRefusedFirst(t *testing.T) {
 	s := testSettings()
-	s.Classes = []Class{{Name: "c", Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-		{Name: "dear", Aim: 200 * ms, Deadline: time.Second, Worth: 9}}
+	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 1},
+		{Name: "dear", LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 9}}
 	r := newRig(t, s)
 	r.fleet(4)
 	refused := map[string]int{}
@@ -404,7 +404,7 @@
 func TestBeyondItsShareCountsLess(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "big", Fraction: 0.5}, {Name: "small", Fraction: 0.5}}
-	s.OverShareWorth = 0.1
+	s.OverQuotaWeight = 0.1
 	r := newRig(t, s)
 	low := map[int]int{}
 	for i := range 1000 {
@@ -460,7 +460,7 @@
 func TestErrorsAtOnceDrawNoPicks(t *testing.T) {
 	broken := true
 	s := testSettings()
-	s.Classes[0].Aim = 400 * ms
+	s.Classes[0].LatencyObjective = 400 * ms
 	w := newWorld(t, s, func(u string) (Result, time.Duration) {
 		if u == "u0" && broken {
 			return ServerError, time.Millisecond
@@ -484,7 +484,7 @@
 func TestLimitNarrowsWhereUpstreamsAreCrowded(t *testing.T) {
 	n, crowded := 0, true
 	s := testSettings()
-	s.SecondCopies = false
+	s.Hedging = false
 	reply := func(string) (Result, time.Duration) {
 		if n++; crowded && n%2 == 0 {
 			return OK, 230 * ms
@@ -510,8 +510,8 @@
 	})
 	w.fleet(4)
 	w.play(2*time.Second, 400)
-	if w.ended[Refuse] == 0 || w.b.limit < limitMax*0.9 {
-		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Refuse], w.b.limit)
+	if w.ended[Reject] == 0 || w.b.limit < limitMax*0.9 {
+		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Reject], w.b.limit)
 	}
 }
 
@@ -536,12 +536,12 @@
 			r.b.served.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
 		}
 		r.now += 2 * time.Second
-		r.do(Wake{})
+		r.do(TimerFired{})
 		for range c.n {
 			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
 		}
 		r.now += c.age
-		r.do(Wake{})
+		r.do(TimerFired{})
 		if p := r.b.pressure(); p > 1 != c.over {
 			t.Errorf("%d in hand for %v, %d answered: pressure %.2f", c.n, c.age, c.answered, p)
 		}
@@ -561,7 +561,7 @@
 	}
 	r.now += 150 * ms // and no answer: all that comes now is refused
 	for i := range 100 {
-		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Refuse)
+		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
 	if r.b.retries != 10*retryRatio {
 		t.Errorf("budget %.2f after a hundred refusals", r.b.retries)
@@ -605,15 +605,15 @@
 		want            int
 	}{{1000, 0.08, 0.08, 1}, {50, 0.08, 0.08, 0}, {1000, 0, 0.08, 0}, {1000, 0, 0, 0}, {2, 0.01, 0, 1}} {
 		s := testSettings()
-		s.Balancers, s.PriceOpen, s.PriceHandshake = c.balancers, c.open, c.handshake
+		s.Balancers, s.PriceOpenConnection, s.PriceHandshake = c.balancers, c.open, c.handshake
 		r := newRig(t, s)
 		r.fleet(1)
 		r.request("a", "c", time.Second)
 		r.request("b", "c", time.Second)
-		if n := len(kinds(r.result("a", 0, OK, 20*ms), Close)); n != 0 {
+		if n := len(kinds(r.result("a", 0, OK, 20*ms), CloseIdle)); n != 0 {
 			t.Errorf("%+v: closed beside an attempt", c)
 		}
-		if n := len(kinds(r.result("b", 0, OK, 20*ms), Close)); n != c.want {
+		if n := len(kinds(r.result("b", 0, OK, 20*ms), CloseIdle)); n != c.want {
 			t.Errorf("%+v: closed %d times, want %d", c, n, c.want)
 		}
 	}
@@ -635,7 +635,7 @@
 		r.request(id, "c", time.Second)
 	}
 	r.now += 100 * ms
-	r.do(Wake{})
+	r.do(TimerFired{})
 	if p := r.b.pressure(); p > 1 {
 		t.Errorf("two in hand for half of their aim: pressure %.2f", p)
 	}
@@ -643,7 +643,7 @@
 		r.request(fmt.Sprint("q", i), "c", time.Second)
 	}
 	r.now += 100 * ms
-	r.do(Wake{})
+	r.do(TimerFired{})
 	if p := r.b.pressure(); p <= 1 {
 		t.Errorf("a queue: pressure %.2f", p)
 	}
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -30,7 +30,7 @@
 	now := time.Now()
 	at := func(d time.Duration) idempotency.Time { return idempotency.Time(now.Add(d).UnixMilli()) }
 	for key, r := range map[string]idempotency.Record{
-		"a": {Effect: balancer.Unsafe, Class: "confirm-booking", State: idempotency.Open, Since: at(0), Expires: at(time.Hour), Places: []idempotency.Place{{Zone: "upper-hill"}}},
+		"a": {Effect: balancer.NonIdempotent, Class: "confirm-booking", State: idempotency.Open, Since: at(0), Expires: at(time.Hour), Places: []idempotency.Place{{Zone: "upper-hill"}}},
 		"b": {Effect: balancer.Keyed, Class: "payment-record", State: idempotency.Ran, Since: at(-time.Minute), Expires: at(time.Hour), Places: []idempotency.Place{{Zone: "athi-river"}}},
 	} {
 		fp := idempotency.FingerprintOf(r.Class, "", key)
--- a/internal/cluster/node/peering.go
+++ b/internal/cluster/node/peering.go
@@ -68,7 +68,7 @@
 }
 
 // OpenList puts the fleet between discovery and this sidecar. known is the list that it holds already. Nothing is asked before Watch.
-func OpenList(c Config, op *operator.Recovery, discovery engine.Source, known engine.News) *relay.Source {
+func OpenList(c Config, op *operator.Recovery, discovery engine.Source, known engine.EndpointUpdate) *relay.Source {
 	var dial watch.Dial
 	if c.Network != nil {
 		dial = c.Network.Dial
@@ -171,13 +171,13 @@
 }
 
 // Told passes on what this process's own discovery says.
-func (p *Part) Told(m engine.Member) {
-	p.Node.Say(cluster.Word{Server: m.ID, Gone: m.State == balancer.Left, BornMS: m.BornMS})
+func (p *Part) Told(m engine.Endpoint) {
+	p.Node.Say(cluster.Word{Server: m.ID, Gone: m.State == balancer.Removed, BornMS: m.StartedAtMS})
 }
 
 // Merge is the configuration of a merge of discovery's list with what others were told; sources beside both may be added. p is nil
 // where nobody else is listened to, op where the operator's file has no table.
-func Merge(op *operator.Members, p *Part, discovery engine.Source, known []engine.Member, log *slog.Logger) mergedsource.Config {
+func Merge(op *operator.Members, p *Part, discovery engine.Source, known []engine.Endpoint, log *slog.Logger) mergedsource.Config {
 	if op == nil {
 		op = operator.DefaultMembers()
 	}
@@ -200,9 +200,9 @@
 		case <-ctx.Done():
 			return
 		case w := <-p.said:
-			e := discovery.Entry{ID: w.Server, BornMS: w.BornMS, State: balancer.Leaving}
+			e := discovery.Entry{ID: w.Server, BornMS: w.BornMS, State: balancer.Draining}
 			if w.Gone {
-				e.State = balancer.Left
+				e.State = balancer.Removed
 			}
 			if !w.holds {
 				e.State = balancer.Active
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -89,7 +89,7 @@
 	}
 	var source engine.Source = watch.New(cfg.Discovery, set.MustSubscribe, log)
 	if op.Recovery != nil {
-		s.list = openList(op.Recovery, cfg, set.Balancers, source, engine.News{Seq: cfg.Known.Seq, Members: known}, log)
+		s.list = openList(op.Recovery, cfg, set.Balancers, source, engine.EndpointUpdate{Version: cfg.Known.Seq, Endpoints: known}, log)
 		source = s.list
 	}
 	if op.Fleet != nil {
@@ -113,7 +113,7 @@
 		source = s.members
 	}
 	s.engine, err = engine.New(engine.Config{Settings: set, Seed: uint64(cfg.Seed), Transport: transport, Source: source,
-		Known: engine.News{Seq: cfg.Known.Seq, Members: known}, Log: log})
+		CachedList: engine.EndpointUpdate{Version: cfg.Known.Seq, Endpoints: known}, Log: log})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -57,12 +57,12 @@
 func (p *configPart) apply(snap *controlplane.Snapshot) error {
 	p.s.changing.Lock()
 	defer p.s.changing.Unlock()
-	r := engine.Revision{Settings: p.base, Sidecars: p.base.Balancers}
+	r := engine.Reconfiguration{Settings: p.base, Balancers: p.base.Balancers}
 	level, addr := slog.LevelInfo, ""
 	c := &snap.Settings
 	r.Settings = revised(p.base, c)
 	if c.Fleet != nil && c.Fleet.Sidecars != nil {
-		r.Sidecars = int(*c.Fleet.Sidecars)
+		r.Balancers = int(*c.Fleet.Sidecars)
 	}
 	if c.Log != nil && c.Log.Level != nil {
 		if err := level.UnmarshalText([]byte(*c.Log.Level)); err != nil {
@@ -73,9 +73,9 @@
 		addr = *c.Discovery.Addr
 	}
 	counts := p.s.fleet.Counts() // then the view goes on from the number, and tells the engine what follows
-	sidecars := max(r.Sidecars, 1)
+	sidecars := max(r.Balancers, 1)
 	if counts {
-		r.Sidecars = 0
+		r.Balancers = 0
 	}
 	to := addr
 	if to == "" {
@@ -88,7 +88,7 @@
 		}
 		r.Source = p.s.discoveryAt(to, p.group(addr))
 	}
-	if err := p.s.engine.Revise(r); err != nil {
+	if err := p.s.engine.Reconfigure(r); err != nil {
 		return err
 	}
 	p.said = addr
@@ -119,7 +119,7 @@
 			s.MaxAttempts = min(max(base.MaxAttempts, 1), int(*l.MaxAttempts))
 		}
 		if l.SecondCopies != nil {
-			s.SecondCopies = base.SecondCopies && *l.SecondCopies
+			s.Hedging = base.Hedging && *l.SecondCopies
 		}
 	}
 	set := func(to, from *float64) {
@@ -129,15 +129,15 @@
 	}
 	if x := c.Price; x != nil {
 		set(&s.PriceCrossZone, x.CrossZone)
-		set(&s.PriceOpen, x.Open)
+		set(&s.PriceOpenConnection, x.Open)
 		set(&s.PriceHandshake, x.Handshake)
 		set(&s.PriceProbe, x.Probe)
 	}
 	s.Classes = slices.Clone(base.Classes)
 	for i := range s.Classes {
 		x := c.Class[s.Classes[i].Name]
-		set(&s.Classes[i].Worth, x.Worth)
-		set(&s.Classes[i].LateShare, x.LateShare)
+		set(&s.Classes[i].Weight, x.Worth)
+		set(&s.Classes[i].LateWeight, x.LateShare)
 	}
 	s.Tenants = slices.Clone(base.Tenants)
 	for i := range s.Tenants {
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -104,14 +104,14 @@
 
 // A snapshot never allows what the platform does not, and leaves out classes and tenants that are not this sidecar's.
 func TestRevisedKeepsWithinThePlatforms(t *testing.T) {
-	base := balancer.Settings{MaxAttempts: 3, PriceProbe: 0.5, Classes: []balancer.Class{{Name: "look", Worth: 1, LateShare: 0.5, Effect: balancer.Unsafe}},
+	base := balancer.Settings{MaxAttempts: 3, PriceProbe: 0.5, Classes: []balancer.Class{{Name: "look", Weight: 1, LateWeight: 0.5, Effect: balancer.NonIdempotent}},
 		Tenants: []balancer.Tenant{{Name: "a", Fraction: 0.5}}}
 	s := revised(base, &parsed(t, 1, "[limits]\nmax_attempts = 9\nsecond_copies = true\n[price]\ncross_zone = 0.25\n[class.look]\nworth = 4.0\n[class.other]\nworth = 9.0\n[tenant.a]\nfraction = 0.25\n[tenant.b]\nfraction = 0.75\n").Settings)
-	if s.MaxAttempts != 3 || s.SecondCopies || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 || len(s.Classes) != 1 || len(s.Tenants) != 1 ||
-		s.Classes[0] != (balancer.Class{Name: "look", Worth: 4, LateShare: 0.5, Effect: balancer.Unsafe}) || s.Tenants[0].Fraction != 0.25 {
+	if s.MaxAttempts != 3 || s.Hedging || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 || len(s.Classes) != 1 || len(s.Tenants) != 1 ||
+		s.Classes[0] != (balancer.Class{Name: "look", Weight: 4, LateWeight: 0.5, Effect: balancer.NonIdempotent}) || s.Tenants[0].Fraction != 0.25 {
 		t.Errorf("%+v", s)
 	}
-	if base.Classes[0].Worth != 1 || base.Tenants[0].Fraction != 0.5 {
+	if base.Classes[0].Weight != 1 || base.Tenants[0].Fraction != 0.5 {
 		t.Errorf("the platform's were written to: %+v", base)
 	}
 	if s := revised(base, &parsed(t, 1, "[limits]\nmax_attempts = 2\n").Settings); s.MaxAttempts != 2 {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -24,7 +24,7 @@
 }
 
 // openList puts the fleet between discovery and this sidecar.
-func openList(op *operator.Recovery, cfg *platform.Config, told int, discovery engine.Source, known engine.News, log *slog.Logger) *relay.Source {
+func openList(op *operator.Recovery, cfg *platform.Config, told int, discovery engine.Source, known engine.EndpointUpdate, log *slog.Logger) *relay.Source {
 	return node.OpenList(place(cfg, told, log), op, discovery, known)
 }
 
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -67,9 +67,9 @@
 		t.Fatal(err)
 	}
 	defer p.Node.Close()
-	var known []engine.Member
+	var known []engine.Endpoint
 	for i := range 10 {
-		known = append(known, engine.Member{ID: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 100+i), BornMS: 1000})
+		known = append(known, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 100+i), StartedAtMS: 1000})
 	}
 	s, err := openMembers(nil, p, quiet{}, known, 1, quietLog)
 	if err != nil {
@@ -79,7 +79,7 @@
 	ran := make(chan struct{})
 	go func() { s.Run(ctx); close(ran) }()
 	defer func() { end(); <-ran }()
-	stop := s.Watch(engine.NoVersion, 0, func(engine.News) {})
+	stop := s.Watch(engine.NoVersion, 0, func(engine.EndpointUpdate) {})
 	defer stop()
 	out := func() (list []string) {
 		for _, x := range s.State() {
@@ -112,7 +112,9 @@
 // quiet is a discovery that says nothing.
 type quiet struct{}
 
-func (quiet) Watch(int64, time.Duration, func(engine.News)) context.CancelFunc { return func() {} }
+func (quiet) Watch(int64, time.Duration, func(engine.EndpointUpdate)) context.CancelFunc {
+	return func() {}
+}
 
 // The number of sidecars reaches the module in place of the setting, also where it was known before the engine was there.
 func TestCountReachesTheEngine(t *testing.T) {
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -16,7 +16,7 @@
 	remember := time.Duration(o.Remember)
 	for _, c := range set.Classes {
 		// Until its last attempt has ended, and as long as others could take its repeat for the same.
-		if least := c.Deadline + max(c.Deadline, c.Window); c.Effect != balancer.Safe && remember < least {
+		if least := c.Deadline + max(c.Deadline, c.IdempotencyWindow); c.Effect != balancer.Idempotent && remember < least {
 			return nil, fmt.Errorf("ledger.remember: %v is too short for the class %s, which needs %v", remember, c.Name, least)
 		}
 	}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -20,7 +20,7 @@
 )
 
 // openMembers puts the sources of the operator's file beside discovery.
-func openMembers(op *operator.Members, f *node.Part, platform engine.Source, known []engine.Member, seed uint64, log *slog.Logger) (*mergedsource.Source, error) {
+func openMembers(op *operator.Members, f *node.Part, platform engine.Source, known []engine.Endpoint, seed uint64, log *slog.Logger) (*mergedsource.Source, error) {
 	c := node.Merge(op, f, platform, known, log)
 	if op != nil && op.SRV != nil {
 		s := op.SRV
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -35,7 +35,7 @@
 	s.changing.Lock()
 	defer s.changing.Unlock()
 	s.platformAddr = addr
-	s.engine.Move(s.discoveryAt(addr, nil))
+	s.engine.SetSource(s.discoveryAt(addr, nil))
 }
 
 // discoveryAt is the source of the list with discovery at another address. group names it where all sidecars are told to follow it, and
--- a/internal/discovery/membership.go
+++ b/internal/discovery/membership.go
@@ -30,7 +30,7 @@
 	Zone     string
 	Kind     string
 	Cell     int
-	State    balancer.State
+	State    balancer.EndpointState
 	BornMS   float64 // when its process started, Unix milliseconds; 0: not known, or long ago
 	Priority int     // failover level, lower first
 	Share    float64 // of the traffic of its level; 0: not told
@@ -196,7 +196,7 @@
 		e.BornMS = max(e.BornMS, old.BornMS)
 	}
 	if e.State == balancer.Active {
-		e.State = balancer.Left
+		e.State = balancer.Removed
 	}
 	if g, ok := s.graves[k]; ok && g.explicit && !explicit {
 		return
@@ -354,13 +354,13 @@
 }
 
 // stateOf is what a node that leaves is told as: draining where a source says that it drains and none that it is gone.
-func (m *Merge) stateOf(e *Entry) balancer.State {
-	state := balancer.Left
+func (m *Merge) stateOf(e *Entry) balancer.EndpointState {
+	state := balancer.Removed
 	for _, s := range m.order {
 		for _, g := range s.graves {
 			if g.covers(e) {
-				if g.State == balancer.Left {
-					return balancer.Left
+				if g.State == balancer.Removed {
+					return balancer.Removed
 				}
 				state = g.State
 			}
--- a/internal/discovery/membership_test.go
+++ b/internal/discovery/membership_test.go
@@ -13,7 +13,7 @@
 	"hazelwing/balancer"
 )
 
-var stateNames = []string{balancer.Active: "active", balancer.Leaving: "leaving", balancer.Left: "left"}
+var stateNames = []string{balancer.Active: "active", balancer.Draining: "leaving", balancer.Removed: "left"}
 
 func testConfig() Config {
 	return Config{Sources: []Source{{Name: "watch", Rank: 1, Absent: true, Keep: 10 * time.Second}, {Name: "dns", Rank: 2, Keep: 5 * time.Second}},
@@ -69,7 +69,7 @@
 		e := Entry{ID: strings.TrimPrefix(w[0], "-"), Addr: w[1]}
 		for _, x := range w[2:] {
 			if n := slices.Index(stateNames, x); n >= 0 {
-				e.State = balancer.State(n)
+				e.State = balancer.EndpointState(n)
 			} else if _, err := fmt.Sscanf(x, "born=%f", &e.BornMS); err != nil {
 				t.Fatal(line)
 			}
@@ -143,7 +143,7 @@
 					if rapid.IntRange(0, 3).Draw(t, "listed") == 0 {
 						continue
 					}
-					e := Entry{ID: id, Addr: "10." + id, BornMS: born[id], State: balancer.State(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 1, 2}).Draw(t, "state"))}
+					e := Entry{ID: id, Addr: "10." + id, BornMS: born[id], State: balancer.EndpointState(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 1, 2}).Draw(t, "state"))}
 					if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 						born[id]++
 						e.BornMS, e.State = born[id], balancer.Active
@@ -221,7 +221,7 @@
 	}
 	m.Tell(0, View{"dns", 1, true, flood})
 	for i := range flood {
-		flood[i].State = balancer.Left
+		flood[i].State = balancer.Removed
 	}
 	for i := 0; i < len(flood); i += 100 {
 		m.Tell(time.Second, View{"watch", int64(i + 1), false, flood[i : i+100]})
--- a/internal/discovery/mergedsource/merged.go
+++ b/internal/discovery/mergedsource/merged.go
@@ -38,14 +38,14 @@
 type Config struct {
 	Discovery engine.Source
 	Beside    []Beside
-	Known     []engine.Member // the list that the engine was given as last held
+	Known     []engine.Endpoint // the list that the engine was given as last held
 	// Most, Settle, Forget, Share and Window are the merge's.
 	Most           int
 	Settle, Forget time.Duration
 	Share          float64
 	Window         time.Duration
 	// Told is called with what discovery says drains or is gone, from Run's goroutine; nil: nobody wants it.
-	Told func(engine.Member)
+	Told func(engine.Endpoint)
 	Now  func() time.Time // nil: the clock; a node that only a source beside discovery names is taken to have started then
 	Log  *slog.Logger
 }
@@ -75,7 +75,7 @@
 type wish struct {
 	seq    int64
 	pause  time.Duration
-	tell   func(engine.News)
+	tell   func(engine.EndpointUpdate)
 	ended  context.Context
 	source engine.Source
 }
@@ -83,7 +83,7 @@
 // event is one of a source's.
 type event struct {
 	wish *wish // news of discovery's watch for it; nil: of a source beside it
-	news engine.News
+	news engine.EndpointUpdate
 	view discovery.View
 	from string // lost
 	err  error
@@ -108,12 +108,12 @@
 	}
 	s := &Source{cfg: c, merge: m, events: make(chan event, queueLength), notes: make(chan struct{}, 1), discovery: c.Discovery,
 		held: map[string]bool{}, spoke: map[string]bool{}, early: map[string]bool{}}
-	s.discovered(0, engine.News{Kind: balancer.Full, Members: c.Known}) // which the engine has
+	s.discovered(0, engine.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: c.Known}) // which the engine has
 	return s, nil
 }
 
 // Watch is discovery's, with what the others say beside it. See engine.Source.
-func (s *Source) Watch(seq int64, pause time.Duration, tell func(engine.News)) context.CancelFunc {
+func (s *Source) Watch(seq int64, pause time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	s.mu.Lock()
 	s.wish = &wish{seq: seq, pause: pause, tell: tell, ended: ctx, source: s.discovery}
@@ -213,7 +213,7 @@
 		s.stop()
 	}
 	s.current = w
-	s.stop = w.source.Watch(w.seq, w.pause, func(n engine.News) { post(event{wish: w, news: n}) })
+	s.stop = w.source.Watch(w.seq, w.pause, func(n engine.EndpointUpdate) { post(event{wish: w, news: n}) })
 	context.AfterFunc(w.ended, s.stop)
 }
 
@@ -225,7 +225,7 @@
 		return 0
 	case e.wish != nil && e.wish != s.current:
 		return 0 // of a watch that has been replaced
-	case e.wish != nil && e.news.Kind == balancer.Failed:
+	case e.wish != nil && e.news.Kind == balancer.WatchFailed:
 		changes, at := s.merge.Lost(s.now(), List)
 		s.beside(changes)
 		s.tell(e.news)
@@ -233,7 +233,7 @@
 	case e.wish != nil:
 		s.passOn(e.news)
 		changes, at := s.discovered(s.now(), e.news)
-		s.tell(engine.News{Kind: balancer.Change, Seq: e.news.Seq, Members: s.members(changes)})
+		s.tell(engine.EndpointUpdate{Kind: balancer.Delta, Version: e.news.Version, Endpoints: s.members(changes)})
 		return at
 	case e.from != "":
 		s.cfg.Log.Warn("a source of members is lost", "source", e.from, "err", e.err)
@@ -254,13 +254,13 @@
 
 // discovered hands the merge what discovery says. What a whole list of it lacks is gone, as on the platform: it is said, not
 // merely absent, or the merge might hold it.
-func (s *Source) discovered(now time.Duration, n engine.News) ([]discovery.Change, time.Duration) {
+func (s *Source) discovered(now time.Duration, n engine.EndpointUpdate) ([]discovery.Change, time.Duration) {
 	s.seq++
-	v := discovery.View{Source: List, Seq: s.seq, Whole: n.Kind == balancer.Full}
+	v := discovery.View{Source: List, Seq: s.seq, Whole: n.Kind == balancer.CompleteList}
 	there := map[string]bool{}
-	for _, m := range n.Members {
+	for _, m := range n.Endpoints {
 		there[m.ID] = true
-		v.Entries = append(v.Entries, discovery.Entry{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, BornMS: m.BornMS})
+		v.Entries = append(v.Entries, discovery.Entry{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, BornMS: m.StartedAtMS})
 		if delete(s.held, m.ID); m.State == balancer.Active {
 			s.held[m.ID] = true
 		}
@@ -268,7 +268,7 @@
 	if v.Whole {
 		for _, id := range slices.Sorted(maps.Keys(s.held)) {
 			if !there[id] {
-				v.Entries = append(v.Entries, discovery.Entry{ID: id, State: balancer.Left})
+				v.Entries = append(v.Entries, discovery.Entry{ID: id, State: balancer.Removed})
 				delete(s.held, id)
 			}
 		}
@@ -277,11 +277,11 @@
 }
 
 // passOn says what discovery has said of leavings, and not what a whole list of it merely lacks: that may be an older list.
-func (s *Source) passOn(n engine.News) {
+func (s *Source) passOn(n engine.EndpointUpdate) {
 	if s.cfg.Told == nil {
 		return
 	}
-	for _, m := range n.Members {
+	for _, m := range n.Endpoints {
 		if m.State != balancer.Active {
 			s.cfg.Told(m)
 		}
@@ -291,12 +291,12 @@
 // beside tells what changed by the word of others than discovery: no sign that discovery is followed.
 func (s *Source) beside(changes []discovery.Change) {
 	if members := s.members(changes); len(members) > 0 {
-		s.tell(engine.News{Kind: balancer.Aside, Members: members})
+		s.tell(engine.EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: members})
 	}
 }
 
 // tell hands news to who watches.
-func (s *Source) tell(n engine.News) {
+func (s *Source) tell(n engine.EndpointUpdate) {
 	if s.current.ended.Err() == nil {
 		s.current.tell(n)
 	}
@@ -305,15 +305,15 @@
 // members are changes as the engine knows them. A node that nobody but a source beside discovery names, and that was not in that
 // source's first view, is taken to have started now. Guards against a cold node that is taken for a warm one: a name service does
 // not tell when a process started, and may well be the first that knows of it.
-func (s *Source) members(changes []discovery.Change) []engine.Member {
-	var list []engine.Member
+func (s *Source) members(changes []discovery.Change) []engine.Endpoint {
+	var list []engine.Endpoint
 	for _, c := range changes {
 		m := c.Member
 		s.cfg.Log.Info("member", "id", m.ID, "addr", m.Addr, "in", m.State == balancer.Active, "why", c.Why)
 		if m.State == balancer.Active && m.BornMS == 0 && !s.held[m.ID] && !s.early[m.Addr] {
 			m.BornMS = float64(s.cfg.Now().UnixMilli())
 		}
-		list = append(list, engine.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, BornMS: m.BornMS})
+		list = append(list, engine.Endpoint{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, StartedAtMS: m.BornMS})
 	}
 	return list
 }
--- a/internal/discovery/mergedsource/merged_test.go
+++ b/internal/discovery/mergedsource/merged_test.go
@@ -20,13 +20,13 @@
 
 type call struct {
 	seq  int64
-	tell func(engine.News)
+	tell func(engine.EndpointUpdate)
 	ctx  context.Context
 }
 
 func newDiscovery() *fakeDiscovery { return &fakeDiscovery{make(chan *call, 10)} }
 
-func (d *fakeDiscovery) Watch(seq int64, _ time.Duration, tell func(engine.News)) context.CancelFunc {
+func (d *fakeDiscovery) Watch(seq int64, _ time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	d.watches <- &call{seq, tell, ctx}
 	return stop
@@ -39,7 +39,7 @@
 	list  *fakeDiscovery
 	watch *call
 	srv   chan any // views, and errors: it is lost
-	news  chan engine.News
+	news  chan engine.EndpointUpdate
 }
 
 const now = 1_700_000_000_000
@@ -47,7 +47,7 @@
 // start runs one that knows these members, and is watched.
 func start(t *testing.T, settle time.Duration, known ...string) *rig {
 	t.Helper()
-	r := &rig{t: t, list: newDiscovery(), srv: make(chan any), news: make(chan engine.News, 100)}
+	r := &rig{t: t, list: newDiscovery(), srv: make(chan any), news: make(chan engine.EndpointUpdate, 100)}
 	s, err := New(Config{Discovery: r.list, Known: members(known...), Most: 100, Settle: settle, Forget: time.Hour, Share: 0.5, Window: time.Minute,
 		Now: func() time.Time { return time.UnixMilli(now) }, Log: slog.New(slog.DiscardHandler),
 		Beside: []Beside{{Source: discovery.Source{Name: "srv", Rank: 1, Keep: time.Hour}, Run: func(ctx context.Context, tell func(discovery.View), lost func(error)) {
@@ -74,18 +74,18 @@
 	ended := make(chan bool)
 	go func() { s.Run(ctx); close(ended) }()
 	t.Cleanup(func() { stop(); testutil.Receive(t, ended, "its end") })
-	s.Watch(7, 0, func(n engine.News) { r.news <- n })
+	s.Watch(7, 0, func(n engine.EndpointUpdate) { r.news <- n })
 	r.watch = testutil.Receive(t, r.list.watches, "discovery's watch")
 	return r
 }
 
 // members reads "a" as a member a at x:a, "-a" as one that drains.
-func members(names ...string) (list []engine.Member) {
+func members(names ...string) (list []engine.Endpoint) {
 	for _, n := range names {
-		m := engine.Member{ID: strings.TrimPrefix(n, "-"), Zone: "z"}
+		m := engine.Endpoint{ID: strings.TrimPrefix(n, "-"), Zone: "z"}
 		m.Addr = "x:" + m.ID
 		if m.ID != n {
-			m.State = balancer.Leaving
+			m.State = balancer.Draining
 		}
 		list = append(list, m)
 	}
@@ -101,17 +101,17 @@
 	return v
 }
 
-func (r *rig) says(kind balancer.MembersKind, seq int64, names ...string) {
-	r.watch.tell(engine.News{Kind: kind, Seq: seq, Members: members(names...)})
+func (r *rig) says(kind balancer.UpdateKind, seq int64, names ...string) {
+	r.watch.tell(engine.EndpointUpdate{Kind: kind, Version: seq, Endpoints: members(names...)})
 }
 
 // want receives news, and compares it with "kind seq: members".
-func (r *rig) want(text string) engine.News {
+func (r *rig) want(text string) engine.EndpointUpdate {
 	r.t.Helper()
 	n := testutil.Receive(r.t, r.news, "news: "+text)
-	kinds := map[balancer.MembersKind]string{balancer.Change: "change", balancer.Aside: "aside", balancer.Failed: "failed"}
-	got := fmt.Sprintf("%s %d:", kinds[n.Kind], n.Seq)
-	for _, m := range n.Members {
+	kinds := map[balancer.UpdateKind]string{balancer.Delta: "change", balancer.OutOfBand: "aside", balancer.WatchFailed: "failed"}
+	got := fmt.Sprintf("%s %d:", kinds[n.Kind], n.Version)
+	for _, m := range n.Endpoints {
 		sign := " "
 		if m.State != balancer.Active {
 			sign = " -"
@@ -127,10 +127,10 @@
 // The list says that a node drains, and the name service lists it on: it leaves at once, and does not come back by that.
 func TestLeavingWins(t *testing.T) {
 	r := start(t, 0, "a", "b", "c")
-	r.says(balancer.Change, 8)
+	r.says(balancer.Delta, 8)
 	r.want("change 8:")
 	r.srv <- addresses("a", "b", "c")
-	r.says(balancer.Change, 9, "-b")
+	r.says(balancer.Delta, 9, "-b")
 	r.want("change 9: -b")
 	r.srv <- addresses("b", "a", "c")
 	r.srv <- addresses("a", "b", "c", "d")
@@ -141,9 +141,9 @@
 // merely no longer lists.
 func TestWholeListOfDiscovery(t *testing.T) {
 	r := start(t, 0, "a", "b", "c", "d")
-	r.says(balancer.Full, 12, "d", "e")
+	r.says(balancer.CompleteList, 12, "d", "e")
 	r.want("change 12: -a -b -c e")
-	r.says(balancer.Full, 13)
+	r.says(balancer.CompleteList, 13)
 	r.want("change 13: -d -e")
 }
 
@@ -151,41 +151,41 @@
 func TestNewAddressCountsAsStartedNow(t *testing.T) {
 	r := start(t, 0)
 	r.srv <- addresses("a")
-	if n := r.want("aside 0: addr x:a"); n.Members[0].BornMS != 0 {
-		t.Errorf("one of the first view is taken to have started at %v", n.Members[0].BornMS)
+	if n := r.want("aside 0: addr x:a"); n.Endpoints[0].StartedAtMS != 0 {
+		t.Errorf("one of the first view is taken to have started at %v", n.Endpoints[0].StartedAtMS)
 	}
 	r.srv <- addresses("a", "b")
-	if n := r.want("aside 0: addr x:b"); n.Members[0].BornMS != now {
-		t.Errorf("a new one is taken to have started at %v", n.Members[0].BornMS)
+	if n := r.want("aside 0: addr x:b"); n.Endpoints[0].StartedAtMS != now {
+		t.Errorf("a new one is taken to have started at %v", n.Endpoints[0].StartedAtMS)
 	}
-	r.says(balancer.Full, 3, "b") // the list names it: one node, which has its name from now on
-	if n := r.want("change 3: -addr x:b b"); n.Members[1].BornMS != 0 {
-		t.Errorf("what the list names has the list's start: %v", n.Members[1].BornMS)
+	r.says(balancer.CompleteList, 3, "b") // the list names it: one node, which has its name from now on
+	if n := r.want("change 3: -addr x:b b"); n.Endpoints[1].StartedAtMS != 0 {
+		t.Errorf("what the list names has the list's start: %v", n.Endpoints[1].StartedAtMS)
 	}
 }
 
 // Discovery fails: the engine hears it and asks again, on the version that it had; the others go on, also while nobody watches.
 func TestDiscoveryFails(t *testing.T) {
 	r := start(t, 0, "a")
-	r.says(balancer.Change, 8)
+	r.says(balancer.Delta, 8)
 	r.want("change 8:")
-	r.watch.tell(engine.News{Kind: balancer.Failed, Seq: 8, Err: errors.New("503")})
+	r.watch.tell(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: 8, Err: errors.New("503")})
 	r.want("failed 8:")
 	r.srv <- addresses("a", "b")
 	r.want("aside 0: addr x:b")
 	r.srv <- errors.New("time-out")
 	other := newDiscovery()
 	r.Move(other)
-	stop := r.Watch(engine.OtherVersion, 0, func(n engine.News) { r.news <- n })
+	stop := r.Watch(engine.UnknownVersion, 0, func(n engine.EndpointUpdate) { r.news <- n })
 	r.watch = testutil.Receive(t, other.watches, "the new discovery's watch")
-	if r.watch.seq != engine.OtherVersion {
+	if r.watch.seq != engine.UnknownVersion {
 		t.Errorf("it goes on from %d", r.watch.seq)
 	}
-	r.says(balancer.Change, 2, "-a")
+	r.says(balancer.Delta, 2, "-a")
 	r.want("change 2: -a")
 	stop()
 	testutil.Until(t, "the watch's end", func() bool { return r.watch.ctx.Err() != nil })
-	r.says(balancer.Change, 3, "f")
+	r.says(balancer.Delta, 3, "f")
 	r.srv <- addresses("g")
 	select {
 	case n := <-r.news:
@@ -198,7 +198,7 @@
 func TestAdditionsSettle(t *testing.T) {
 	r := start(t, time.Hour, "a", "b")
 	r.srv <- addresses("a", "c")
-	r.says(balancer.Change, 8, "-b")
+	r.says(balancer.Delta, 8, "-b")
 	r.want("change 8: -b")
 	select {
 	case n := <-r.news:
--- a/internal/discovery/relay/log.go
+++ b/internal/discovery/relay/log.go
@@ -25,7 +25,7 @@
 	seq     int64
 	held    bool // a whole list is
 	live    bool // its source works
-	members map[string]engine.Member
+	members map[string]engine.Endpoint
 	changes []watch.Listing // oldest first
 	base    int64           // the version before the first of them
 	path    []string        // from whom this one has it, nearest first; empty: discovery
@@ -38,33 +38,33 @@
 func (l *Log) Lost() { l.live = false }
 
 // Apply takes what the source told.
-func (l *Log) Apply(n engine.News) {
+func (l *Log) Apply(n engine.EndpointUpdate) {
 	switch n.Kind {
-	case balancer.Full:
-		l.members = map[string]engine.Member{}
+	case balancer.CompleteList:
+		l.members = map[string]engine.Endpoint{}
 		l.changes, l.held = nil, true
-		l.seq, l.base = n.Seq, n.Seq
-	case balancer.Change:
-		if !l.held || n.Seq < l.seq {
+		l.seq, l.base = n.Version, n.Version
+	case balancer.Delta:
+		if !l.held || n.Version < l.seq {
 			return
 		}
 	default:
 		return
 	}
-	for _, m := range n.Members {
-		if m.State == balancer.Left {
+	for _, m := range n.Endpoints {
+		if m.State == balancer.Removed {
 			delete(l.members, m.ID)
 		} else {
 			l.members[m.ID] = m
 		}
 	}
-	if n.Kind == balancer.Change && n.Seq > l.seq {
-		l.changes = append(l.changes, watch.Listing{Seq: n.Seq, Hosts: hosts(n.Members)})
+	if n.Kind == balancer.Delta && n.Version > l.seq {
+		l.changes = append(l.changes, watch.Listing{Seq: n.Version, Hosts: hosts(n.Endpoints)})
 		if len(l.changes) > mostChanges {
 			l.base = l.changes[0].Seq
 			l.changes = slices.Delete(l.changes, 0, 1)
 		}
-		l.seq = n.Seq
+		l.seq = n.Version
 	}
 }
 
@@ -101,15 +101,15 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		whole.Hosts = append(whole.Hosts, hosts([]engine.Member{l.members[id]})...)
+		whole.Hosts = append(whole.Hosts, hosts([]engine.Endpoint{l.members[id]})...)
 	}
 	return []watch.Listing{whole}
 }
 
-func hosts(list []engine.Member) (out []watch.Host) {
-	health := map[balancer.State]string{balancer.Active: "SERVING", balancer.Leaving: "DRAINING", balancer.Left: "DELETED"}
+func hosts(list []engine.Endpoint) (out []watch.Host) {
+	health := map[balancer.EndpointState]string{balancer.Active: "SERVING", balancer.Draining: "DRAINING", balancer.Removed: "DELETED"}
 	for _, m := range list {
-		out = append(out, watch.Host{Host: m.ID, Dial: m.Addr, Site: m.Zone, Class: m.Kind, Block: m.Cell, Health: health[m.State], BornMS: m.BornMS})
+		out = append(out, watch.Host{Host: m.ID, Dial: m.Addr, Site: m.Zone, Class: m.Kind, Block: m.Cell, Health: health[m.State], BornMS: m.StartedAtMS})
 	}
 	return out
 }
--- a/internal/discovery/relay/relay.go
+++ b/internal/discovery/relay/relay.go
@@ -70,7 +70,7 @@
 	})
 }
 
-func (r *Relay) apply(n engine.News) { r.change(func(l *Log) { l.Apply(n) }) }
+func (r *Relay) apply(n engine.EndpointUpdate) { r.change(func(l *Log) { l.Apply(n) }) }
 
 // State is for the admin endpoint.
 type State struct {
--- a/internal/discovery/relay/relay_test.go
+++ b/internal/discovery/relay/relay_test.go
@@ -20,20 +20,20 @@
 	"hazelwing/internal/testutil"
 )
 
-func member(id string, s balancer.State) engine.Member {
-	return engine.Member{ID: id, Addr: "127.0.0.1:1", State: s}
+func member(id string, s balancer.EndpointState) engine.Endpoint {
+	return engine.Endpoint{ID: id, Addr: "127.0.0.1:1", State: s}
 }
 
-func full(seq int64, ids ...string) engine.News {
-	n := engine.News{Kind: balancer.Full, Seq: seq}
+func full(seq int64, ids ...string) engine.EndpointUpdate {
+	n := engine.EndpointUpdate{Kind: balancer.CompleteList, Version: seq}
 	for _, id := range ids {
-		n.Members = append(n.Members, member(id, balancer.Active))
+		n.Endpoints = append(n.Endpoints, member(id, balancer.Active))
 	}
 	return n
 }
 
-func change(seq int64, id string, s balancer.State) engine.News {
-	return engine.News{Kind: balancer.Change, Seq: seq, Members: []engine.Member{member(id, s)}}
+func change(seq int64, id string, s balancer.EndpointState) engine.EndpointUpdate {
+	return engine.EndpointUpdate{Kind: balancer.Delta, Version: seq, Endpoints: []engine.Endpoint{member(id, s)}}
 }
 
 func text(list []watch.Listing) string {
@@ -63,9 +63,9 @@
 		t.Error("it serves without a source that works")
 	}
 	l.Begin([]string{"a", "c"})
-	l.Apply(change(6, "y", balancer.Leaving))
-	l.Apply(change(7, "x", balancer.Left))
-	l.Apply(engine.News{Kind: balancer.Aside, Members: []engine.Member{member("z", balancer.Left)}})
+	l.Apply(change(6, "y", balancer.Draining))
+	l.Apply(change(7, "x", balancer.Removed))
+	l.Apply(engine.EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: []engine.Endpoint{member("z", balancer.Removed)}})
 	for from, want := range map[int64]string{0: "7 whole y=DRAINING", 4: "7 whole y=DRAINING", 5: "6 y=DRAINING; 7 x=DELETED", 6: "7 x=DELETED", 7: ""} {
 		if got := text(l.Since(from)); got != want {
 			t.Errorf("from %d: %q, want %q", from, got, want)
@@ -99,11 +99,11 @@
 // fake is a source that a test speaks for.
 type fake struct {
 	mu    sync.Mutex
-	tells []func(engine.News)
+	tells []func(engine.EndpointUpdate)
 	from  []int64
 }
 
-func (f *fake) Watch(seq int64, _ time.Duration, tell func(engine.News)) context.CancelFunc {
+func (f *fake) Watch(seq int64, _ time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.tells, f.from = append(f.tells, tell), append(f.from, seq)
@@ -116,7 +116,7 @@
 	return len(f.tells)
 }
 
-func (f *fake) last() func(engine.News) {
+func (f *fake) last() func(engine.EndpointUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tells[len(f.tells)-1]
@@ -125,20 +125,20 @@
 // heardNews collects what a source tells.
 type heardNews struct {
 	mu   sync.Mutex
-	list []engine.News
+	list []engine.EndpointUpdate
 }
 
-func (h *heardNews) tell(n engine.News) {
+func (h *heardNews) tell(n engine.EndpointUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.list = append(h.list, n)
 }
 
-func (h *heardNews) has(kind balancer.MembersKind, seq int64) bool {
+func (h *heardNews) has(kind balancer.UpdateKind, seq int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, n := range h.list {
-		if n.Kind == kind && n.Seq == seq {
+		if n.Kind == kind && n.Version == seq {
 			return true
 		}
 	}
@@ -180,9 +180,9 @@
 	stop2 := other.Watch(engine.NoVersion, 0, heard2.tell)
 	defer stop2()
 	one.last()(full(5, "x", "y"))
-	testutil.Until(t, "the whole list came by the peer, held until it was there", func() bool { return heard2.has(balancer.Full, 5) })
-	one.last()(change(6, "x", balancer.Leaving))
-	testutil.Until(t, "a change did", func() bool { return heard2.has(balancer.Change, 6) })
+	testutil.Until(t, "the whole list came by the peer, held until it was there", func() bool { return heard2.has(balancer.CompleteList, 5) })
+	one.last()(change(6, "x", balancer.Draining))
+	testutil.Until(t, "a change did", func() bool { return heard2.has(balancer.Delta, 6) })
 	if s := other.State(); s.Source != "head" || strings.Join(s.Relay.Path, " ") != "head" || !s.Relay.Live || first.State().Relay.Following != 1 {
 		t.Errorf("%+v, %+v", s, first.State())
 	}
@@ -190,13 +190,13 @@
 		t.Error("discovery was asked, too")
 	}
 	// The peer's source is lost: who followed is let go at once, and asks discovery from what it holds.
-	one.last()(engine.News{Kind: balancer.Failed, Seq: 6, Err: errors.New("lost")})
+	one.last()(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: 6, Err: errors.New("lost")})
 	testutil.Until(t, "discovery is asked", func() bool { return two.watches() == 1 })
 	if two.from[0] != 6 {
 		t.Errorf("from version %d, want 6", two.from[0])
 	}
-	two.last()(change(9, "y", balancer.Left))
-	testutil.Until(t, "discovery's word came", func() bool { return heard2.has(balancer.Change, 9) })
+	two.last()(change(9, "y", balancer.Removed))
+	testutil.Until(t, "discovery's word came", func() bool { return heard2.has(balancer.Delta, 9) })
 	// The peer is back, with an older list: it turns away who holds more.
 	stop1()
 	defer first.Watch(engine.NoVersion, 0, heard1.tell)()
@@ -209,16 +209,16 @@
 		t.Errorf("%v, %v", err, resp)
 	}
 	resp.Body.Close()
-	if heard2.has(balancer.Full, 7) {
+	if heard2.has(balancer.CompleteList, 7) {
 		t.Error("an older list was told")
 	}
 	// With another discovery its versions say nothing to the others: it asks alone, and serves nobody.
 	var three fake
 	other.Move(&three)
-	defer other.Watch(engine.OtherVersion, 0, heard2.tell)()
+	defer other.Watch(engine.UnknownVersion, 0, heard2.tell)()
 	testutil.Until(t, "the other discovery is asked", func() bool { return three.watches() == 1 })
 	three.last()(full(1, "z"))
-	testutil.Until(t, "its list came", func() bool { return heard2.has(balancer.Full, 1) })
+	testutil.Until(t, "its list came", func() bool { return heard2.has(balancer.CompleteList, 1) })
 	if other.State().Relay.Live {
 		t.Error("it passes on another discovery's list")
 	}
--- a/internal/discovery/relay/source.go
+++ b/internal/discovery/relay/source.go
@@ -22,8 +22,8 @@
 	Discovery engine.Source
 	// Peer is the watch of a member that is followed: asked says who asks, and refuses a path that cannot be followed.
 	Peer  func(addr string, header http.Header, check func(http.Header) error) engine.Source
-	Known engine.News // the list that the engine was given as last held
-	Most  int         // that may follow this one
+	Known engine.EndpointUpdate // the list that the engine was given as last held
+	Most  int                   // that may follow this one
 	Log   *slog.Logger
 }
 
@@ -47,8 +47,8 @@
 // NewSource makes one. Nothing is asked before Watch.
 func NewSource(c Config) *Source {
 	s := &Source{cfg: c, relay: New(c.Selector.Self, c.Most), begun: time.Now(), selector: bootstrap.New(c.Selector, 0), viewed: make(chan struct{}), best: engine.NoVersion}
-	if len(c.Known.Members) > 0 { // what comes first may be changes to it. It is passed on only once a source works
-		s.relay.apply(engine.News{Kind: balancer.Full, Seq: c.Known.Seq, Members: c.Known.Members})
+	if len(c.Known.Endpoints) > 0 { // what comes first may be changes to it. It is passed on only once a source works
+		s.relay.apply(engine.EndpointUpdate{Kind: balancer.CompleteList, Version: c.Known.Version, Endpoints: c.Known.Endpoints})
 	}
 	return s
 }
@@ -86,7 +86,7 @@
 
 // Watch follows the list, from one source after another where they fail, and ends as discovery's watch does: with the failure of
 // discovery itself. See engine.Source.
-func (s *Source) Watch(seq int64, pause time.Duration, tell func(engine.News)) context.CancelFunc {
+func (s *Source) Watch(seq int64, pause time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	s.mu.Lock()
 	s.latest++
@@ -96,7 +96,7 @@
 	return stop
 }
 
-func (s *Source) watch(ctx context.Context, mine int, group string, seq int64, pause time.Duration, tell func(engine.News)) {
+func (s *Source) watch(ctx context.Context, mine int, group string, seq int64, pause time.Duration, tell func(engine.EndpointUpdate)) {
 	select {
 	case <-ctx.Done():
 		return
@@ -126,7 +126,7 @@
 		s.selector.Failed(s.now(), c)
 		s.mu.Unlock()
 		if c.Discovery { // the module knows how long to wait
-			tell(engine.News{Kind: balancer.Failed, Seq: seq, Err: err, Reached: reached})
+			tell(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: seq, Err: err, Reachable: reached})
 			return
 		}
 	}
@@ -164,7 +164,7 @@
 
 // follow has the list from one source until it fails, or a better one is there: then the error is nil. It returns the version to go
 // on from, and whether the source could be reached.
-func (s *Source) follow(ctx context.Context, mine int, group string, c bootstrap.Choice, discovery engine.Source, seq int64, tell func(engine.News)) (last int64, reached bool, err error) {
+func (s *Source) follow(ctx context.Context, mine int, group string, c bootstrap.Choice, discovery engine.Source, seq int64, tell func(engine.EndpointUpdate)) (last int64, reached bool, err error) {
 	path, from := []string(nil), discovery
 	if !c.Discovery {
 		header := http.Header{whoHeader: {s.cfg.Selector.Self}}
@@ -179,9 +179,9 @@
 			return nil
 		})
 	}
-	news := make(chan engine.News, 1)
+	news := make(chan engine.EndpointUpdate, 1)
 	over := make(chan struct{})
-	stop := from.Watch(seq, 0, func(n engine.News) {
+	stop := from.Watch(seq, 0, func(n engine.EndpointUpdate) {
 		select {
 		case news <- n:
 		case <-over:
@@ -204,14 +204,14 @@
 				return seq, true, nil
 			}
 		case n := <-news:
-			if n.Kind == balancer.Failed {
-				return n.Seq, n.Reached, n.Err
+			if n.Kind == balancer.WatchFailed {
+				return n.Version, n.Reachable, n.Err
 			}
-			if !c.Discovery && n.Kind == balancer.Full && n.Seq < s.highest(group) {
+			if !c.Discovery && n.Kind == balancer.CompleteList && n.Version < s.highest(group) {
 				return seq, true, errOlder // it would bring back what has left
 			}
-			seq = n.Seq
-			s.heard(group, c, n.Seq, first)
+			seq = n.Version
+			s.heard(group, c, n.Version, first)
 			s.passOn(mine, func() {
 				if first {
 					s.relay.begin(path)
--- a/internal/discovery/watch/course.go
+++ b/internal/discovery/watch/course.go
@@ -35,7 +35,7 @@
 // entry is a member as the version seq showed it.
 type entry struct {
 	seq int64
-	engine.Member
+	engine.Endpoint
 }
 
 // newCourse is of a watch from version seq on; asked says that discovery is one service for all, and not an agent on
@@ -47,18 +47,18 @@
 
 // line takes a line of the watch, n, or nil for an empty one. It returns what to tell. What a line says holds at once,
 // also while the whole list is missing: it may be a drain.
-func (c *course) line(now time.Duration, n *engine.News) []engine.News {
+func (c *course) line(now time.Duration, n *engine.EndpointUpdate) []engine.EndpointUpdate {
 	first := !c.told
 	switch {
 	case n == nil && !first: // it only says that nothing changed
 		return nil
 	case n == nil: // the same, and that the call is answered
-		n = &engine.News{Kind: balancer.Change, Seq: c.seq}
-	case !first && n.Kind == balancer.Change && n.Seq <= c.seq:
+		n = &engine.EndpointUpdate{Kind: balancer.Delta, Version: c.seq}
+	case !first && n.Kind == balancer.Delta && n.Version <= c.seq:
 		return nil // the whole list had it already: it may bring back what has left since
 	}
 	c.told = true
-	if n.Kind == balancer.Full {
+	if n.Kind == balancer.CompleteList {
 		c.missing = false
 		clear(c.since)
 	}
@@ -66,15 +66,15 @@
 		if first {
 			c.begin(now)
 		}
-		for _, m := range n.Members {
-			c.since[m.ID] = entry{n.Seq, m}
+		for _, m := range n.Endpoints {
+			c.since[m.ID] = entry{n.Version, m}
 		}
 	}
-	c.seq = n.Seq
+	c.seq = n.Version
 	if c.missing && !c.held { // these alone would be taken for the whole fleet, and get all of its load
 		return nil
 	}
-	return []engine.News{*n}
+	return []engine.EndpointUpdate{*n}
 }
 
 // begin plans the call for the whole list, beside the first line. Guards against a discovery to which version 0 is a list
@@ -104,29 +104,29 @@
 
 // list takes the whole list. What the watch told of later versions goes before it: it may be older, and would bring
 // back what has left since.
-func (c *course) list(n engine.News) []engine.News {
+func (c *course) list(n engine.EndpointUpdate) []engine.EndpointUpdate {
 	c.asked = false
 	if !c.missing { // the watch itself brought one
 		return nil
 	}
 	c.missing = false
-	newer := map[string]engine.Member{}
+	newer := map[string]engine.Endpoint{}
 	for id, e := range c.since {
-		if e.seq > n.Seq {
-			newer[id] = e.Member
+		if e.seq > n.Version {
+			newer[id] = e.Endpoint
 		}
 	}
 	clear(c.since)
-	n.Members = slices.DeleteFunc(n.Members, func(m engine.Member) bool {
+	n.Endpoints = slices.DeleteFunc(n.Endpoints, func(m engine.Endpoint) bool {
 		_, ok := newer[m.ID]
 		return ok
 	})
 	for _, id := range slices.Sorted(maps.Keys(newer)) {
-		n.Members = append(n.Members, newer[id])
+		n.Endpoints = append(n.Endpoints, newer[id])
 	}
-	n.Seq = max(c.seq, n.Seq)
-	c.seq = n.Seq
-	return []engine.News{n}
+	n.Version = max(c.seq, n.Version)
+	c.seq = n.Version
+	return []engine.EndpointUpdate{n}
 }
 
 // from is the version that the next watch goes on from. lost says that something which this one brought is not known: then
@@ -136,7 +136,7 @@
 	case c.missing && !c.held:
 		return engine.NoVersion
 	case lost || c.missing:
-		return engine.OtherVersion
+		return engine.UnknownVersion
 	}
 	return c.seq
 }
--- a/internal/discovery/watch/course_test.go
+++ b/internal/discovery/watch/course_test.go
@@ -24,22 +24,22 @@
 			d.MaybeScanArgs(t, "at", &at)
 			d.MaybeScanArgs(t, "seq", &seq)
 			now, _ := time.ParseDuration(at)
-			news := &engine.News{Kind: balancer.Change, Seq: seq}
+			news := &engine.EndpointUpdate{Kind: balancer.Delta, Version: seq}
 			if d.HasArg("whole") {
-				news.Kind = balancer.Full
+				news.Kind = balancer.CompleteList
 			}
 			for _, name := range strings.Fields(d.Input) {
-				m := engine.Member{ID: strings.TrimPrefix(name, "-")}
+				m := engine.Endpoint{ID: strings.TrimPrefix(name, "-")}
 				if m.ID != name {
-					m.State = balancer.Leaving
+					m.State = balancer.Draining
 				}
-				news.Members = append(news.Members, m)
+				news.Endpoints = append(news.Endpoints, m)
 			}
-			var told []engine.News
+			var told []engine.EndpointUpdate
 			var out strings.Builder
 			switch d.Cmd {
 			case "new":
-				from := map[string]int64{"nothing": engine.NoVersion, "other": engine.OtherVersion}
+				from := map[string]int64{"nothing": engine.NoVersion, "other": engine.UnknownVersion}
 				var at string
 				d.ScanArgs(t, "from", &at)
 				v, ok := from[at]
@@ -58,7 +58,7 @@
 					out.WriteString("the watch is given up\n")
 				}
 			case "list":
-				news.Kind = balancer.Full
+				news.Kind = balancer.CompleteList
 				told = c.list(*news)
 			case "ends":
 				fmt.Fprintf(&out, "the next one goes on from %d\n", c.from(d.HasArg("lost")))
@@ -67,11 +67,11 @@
 			}
 			for _, n := range told {
 				kind := "change"
-				if n.Kind == balancer.Full {
+				if n.Kind == balancer.CompleteList {
 					kind = "whole"
 				}
-				fmt.Fprintf(&out, "tell %s %d:", kind, n.Seq)
-				for _, m := range n.Members {
+				fmt.Fprintf(&out, "tell %s %d:", kind, n.Version)
+				for _, m := range n.Endpoints {
 					sign := " "
 					if m.State != balancer.Active {
 						sign = " -"
@@ -90,17 +90,17 @@
 
 // Entries that are remembered for a list that never comes are bounded.
 func TestCourseForgets(t *testing.T) {
-	c := newCourse(engine.OtherVersion, true, rand.New(rand.NewPCG(1, 2)))
-	n := engine.News{Kind: balancer.Change}
+	c := newCourse(engine.UnknownVersion, true, rand.New(rand.NewPCG(1, 2)))
+	n := engine.EndpointUpdate{Kind: balancer.Delta}
 	for i := range holdMost + 1 {
-		n.Members = append(n.Members, engine.Member{ID: fmt.Sprint(i)})
+		n.Endpoints = append(n.Endpoints, engine.Endpoint{ID: fmt.Sprint(i)})
 	}
 	c.line(0, &n)
 	c.ask(0)
 	if c.failed(0) {
 		t.Errorf("it goes on with %d entries", len(c.since))
 	}
-	if c.from(true) != engine.OtherVersion {
+	if c.from(true) != engine.UnknownVersion {
 		t.Error("the next one does not begin anew")
 	}
 }
--- a/internal/discovery/watch/fleet_test.go
+++ b/internal/discovery/watch/fleet_test.go
@@ -25,7 +25,7 @@
 	members atomic.Int64
 }
 
-func (l *lists) Update(whole bool, entries []engine.Member, _ time.Time) {
+func (l *lists) Update(whole bool, entries []engine.Endpoint, _ time.Time) {
 	if whole && l.known {
 		l.at.CompareAndSwap(0, time.Now().UnixNano())
 		l.whole.Store(true)
@@ -35,7 +35,7 @@
 }
 func (*lists) Attempt(string, *engine.Call, time.Duration) engine.Exchange { return nil }
 func (*lists) Probe(string, time.Duration) engine.Exchange                 { return nil }
-func (*lists) Close(string)                                                {}
+func (*lists) CloseIdle(string)                                            {}
 
 var (
 	sidecars = flag.Int("sidecars", 40, "how many TestAllSidecarsStartAtOnce starts")
@@ -65,8 +65,8 @@
 	for i := range fleet {
 		fleet[i] = new(lists)
 		e, err := engine.New(engine.Config{Transport: fleet[i], Source: New(d.Addr(), true, slog.New(slog.DiscardHandler)), Seed: uint64(i),
-			Settings: balancer.Settings{MustSubscribe: true, Balancers: *sidecars, Classes: []balancer.Class{{Name: "c", Deadline: time.Second}}},
-			Known:    engine.News{Seq: 0, Members: []engine.Member{{ID: "a", Addr: "127.0.0.1:1"}}}})
+			Settings:   balancer.Settings{MustSubscribe: true, Balancers: *sidecars, Classes: []balancer.Class{{Name: "c", Deadline: time.Second}}},
+			CachedList: engine.EndpointUpdate{Version: 0, Endpoints: []engine.Endpoint{{ID: "a", Addr: "127.0.0.1:1"}}}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/discovery/watch/misbehaving_test.go
+++ b/internal/discovery/watch/misbehaving_test.go
@@ -28,14 +28,14 @@
 	held  map[string]bool
 }
 
-func (v *view) Update(whole bool, entries []engine.Member, _ time.Time) {
+func (v *view) Update(whole bool, entries []engine.Endpoint, _ time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	kind := balancer.Change
+	kind := balancer.Delta
 	if whole {
-		kind = balancer.Full
+		kind = balancer.CompleteList
 	}
-	hold(v.held, engine.News{Kind: kind, Members: entries})
+	hold(v.held, engine.EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
 func (v *view) String() string {
@@ -114,9 +114,9 @@
 			defer server.Close()
 			v, log := &view{held: map[string]bool{}}, new(records)
 			e, err := engine.New(engine.Config{Transport: v, Seed: 1, Log: slog.New(slog.NewTextHandler(log, nil)),
-				Source:   New(server.Listener.Addr().String(), true, slog.New(slog.NewTextHandler(log, nil))),
-				Settings: balancer.Settings{MustSubscribe: true, Balancers: 300, Classes: []balancer.Class{{Name: "c", Deadline: time.Second}}},
-				Known:    engine.News{Seq: 4, Members: []engine.Member{{ID: "a"}}}})
+				Source:     New(server.Listener.Addr().String(), true, slog.New(slog.NewTextHandler(log, nil))),
+				Settings:   balancer.Settings{MustSubscribe: true, Balancers: 300, Classes: []balancer.Class{{Name: "c", Deadline: time.Second}}},
+				CachedList: engine.EndpointUpdate{Version: 4, Endpoints: []engine.Endpoint{{ID: "a"}}}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -46,28 +46,28 @@
 }
 
 // Members are the entries as the engine knows them. One of a health that is not known is taken to drain.
-func (l *Listing) Members() ([]engine.Member, error) {
-	members := make([]engine.Member, len(l.Hosts))
+func (l *Listing) Members() ([]engine.Endpoint, error) {
+	members := make([]engine.Endpoint, len(l.Hosts))
 	var odd error
 	for i, h := range l.Hosts {
 		state, err := h.state()
 		odd = errors.Join(odd, err)
-		members[i] = engine.Member{ID: h.Host, Addr: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, State: state,
-			BornMS: h.BornMS}
+		members[i] = engine.Endpoint{ID: h.Host, Addr: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, State: state,
+			StartedAtMS: h.BornMS}
 	}
 	return members, odd
 }
 
-func (h *Host) state() (balancer.State, error) {
+func (h *Host) state() (balancer.EndpointState, error) {
 	switch h.Health {
 	case "SERVING":
 		return balancer.Active, nil
 	case "DRAINING":
-		return balancer.Leaving, nil
+		return balancer.Draining, nil
 	case "DELETED":
-		return balancer.Left, nil
+		return balancer.Removed, nil
 	}
-	return balancer.Leaving, fmt.Errorf("upstream %s: health %q is not known", h.Host, h.Health)
+	return balancer.Draining, fmt.Errorf("upstream %s: health %q is not known", h.Host, h.Health)
 }
 
 // Discovery makes the calls. Its connections are used once, so that nothing is sent again behind our back.
@@ -119,7 +119,7 @@
 
 // Watch follows what changes after seq, or the whole list from engine.NoVersion on. It ends with news of kind Failed,
 // unless it is stopped first.
-func (d *Discovery) Watch(seq int64, pause time.Duration, tell func(engine.News)) context.CancelFunc {
+func (d *Discovery) Watch(seq int64, pause time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
 		defer stop()
@@ -136,14 +136,14 @@
 }
 
 // follow makes a call that stays open and tells what it brings. It returns what ended it, as news of kind Failed.
-func (d *Discovery) follow(ctx context.Context, seq int64, tell func(engine.News)) engine.News {
+func (d *Discovery) follow(ctx context.Context, seq int64, tell func(engine.EndpointUpdate)) engine.EndpointUpdate {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	begun := time.Now()
 	c := newCourse(seq, d.asked, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	var near, lost atomic.Bool
-	failed := func(err error) engine.News {
-		return engine.News{Kind: balancer.Failed, Seq: c.from(lost.Load()), Err: err, Reached: near.Load() || reached(err)}
+	failed := func(err error) engine.EndpointUpdate {
+		return engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: c.from(lost.Load()), Err: err, Reachable: near.Load() || reached(err)}
 	}
 	s, err := race(ctx, d.silence, d.most, func(ctx context.Context) (*stream, error) {
 		s, partly, err := d.open(ctx, seq)
@@ -168,7 +168,7 @@
 		if at, ok := c.due(); ok {
 			ask = time.After(time.Until(begun.Add(at)))
 		}
-		var news []engine.News
+		var news []engine.EndpointUpdate
 		select {
 		case <-ctx.Done():
 			lost.Store(s.value.objects.partly.Load())
@@ -195,7 +195,7 @@
 				}
 				continue
 			}
-			news = c.list(l.News)
+			news = c.list(l.EndpointUpdate)
 		}
 		for _, n := range news {
 			tell(n)
@@ -227,13 +227,13 @@
 
 // line is one of a watch, or why there are no more: errOdd where one came whose news is lost.
 type line struct {
-	news *engine.News // nil: an empty one
+	news *engine.EndpointUpdate // nil: an empty one
 	err  error
 }
 
 // listed is what became of a call for the whole list.
 type listed struct {
-	engine.News
+	engine.EndpointUpdate
 	err error
 }
 
@@ -289,8 +289,8 @@
 
 // whole asks for the whole list. Guards against an answer that never ends beside a watch that goes on: each call is given up
 // in time.
-func (d *Discovery) whole(ctx context.Context) (engine.News, error) {
-	won, err := race(ctx, d.silence, d.most, func(ctx context.Context) (n engine.News, err error) {
+func (d *Discovery) whole(ctx context.Context) (engine.EndpointUpdate, error) {
+	won, err := race(ctx, d.silence, d.most, func(ctx context.Context) (n engine.EndpointUpdate, err error) {
 		resp, err := d.call(ctx, "")
 		if err != nil {
 			return n, err
@@ -301,30 +301,30 @@
 			return n, broken(ctx, err)
 		}
 		n, err = d.read(text)
-		if err == nil && n.Kind != balancer.Full {
+		if err == nil && n.Kind != balancer.CompleteList {
 			err = errors.New("it does not say that it is whole")
 		}
 		return n, err
 	})
 	if err != nil {
-		return engine.News{}, err
+		return engine.EndpointUpdate{}, err
 	}
 	won.end()
 	return won.value, nil
 }
 
 // read makes news of an object in discovery's form.
-func (d *Discovery) read(text []byte) (engine.News, error) {
+func (d *Discovery) read(text []byte) (engine.EndpointUpdate, error) {
 	var l Listing
 	if err := json.Unmarshal(text, &l); err != nil {
-		return engine.News{}, err
+		return engine.EndpointUpdate{}, err
 	}
-	n := engine.News{Kind: balancer.Change, Seq: l.Seq}
+	n := engine.EndpointUpdate{Kind: balancer.Delta, Version: l.Seq}
 	if l.Whole {
-		n.Kind = balancer.Full
+		n.Kind = balancer.CompleteList
 	}
 	var odd error
-	if n.Members, odd = l.Members(); odd != nil {
+	if n.Endpoints, odd = l.Members(); odd != nil {
 		d.log.Warn("an entry of the list", "err", odd)
 	}
 	return n, nil
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -23,19 +23,19 @@
 )
 
 // watching starts a watch from version 41 on a discovery that answers with serve, and returns its news.
-func watching(t *testing.T, silence time.Duration, serve http.HandlerFunc) <-chan engine.News {
+func watching(t *testing.T, silence time.Duration, serve http.HandlerFunc) <-chan engine.EndpointUpdate {
 	t.Helper()
 	return watchingFrom(t, 41, silence, serve)
 }
 
-func watchingFrom(t *testing.T, seq int64, silence time.Duration, serve http.HandlerFunc) <-chan engine.News {
+func watchingFrom(t *testing.T, seq int64, silence time.Duration, serve http.HandlerFunc) <-chan engine.EndpointUpdate {
 	t.Helper()
 	server := httptest.NewServer(serve)
 	t.Cleanup(server.Close)
-	all := make(chan engine.News, 100)
+	all := make(chan engine.EndpointUpdate, 100)
 	d := New(server.Listener.Addr().String(), true, slog.New(slog.DiscardHandler))
 	d.silence = silence
-	t.Cleanup(d.Watch(seq, 0, func(n engine.News) { all <- n }))
+	t.Cleanup(d.Watch(seq, 0, func(n engine.EndpointUpdate) { all <- n }))
 	return all
 }
 
@@ -51,16 +51,16 @@
 		t.Errorf("asked %s", got)
 	}
 	for i, want := range []struct {
-		kind  balancer.MembersKind
+		kind  balancer.UpdateKind
 		seq   int64
 		hosts int
 	}{
-		{balancer.Change, 41, 0}, // the call is answered, and nothing has changed
-		{balancer.Full, 43, 1}, {balancer.Change, 44, 1},
-		{balancer.Failed, 44, 0}, // its connection ended
+		{balancer.Delta, 41, 0}, // the call is answered, and nothing has changed
+		{balancer.CompleteList, 43, 1}, {balancer.Delta, 44, 1},
+		{balancer.WatchFailed, 44, 0}, // its connection ended
 	} {
 		n := testutil.Receive(t, all, "news")
-		if n.Kind != want.kind || n.Seq != want.seq || len(n.Members) != want.hosts {
+		if n.Kind != want.kind || n.Version != want.seq || len(n.Endpoints) != want.hosts {
 			t.Fatalf("news %d: %+v, want %+v", i, n, want)
 		}
 	}
@@ -109,15 +109,15 @@
 			held, got := map[string]bool{}, ""
 			for first := true; got != c.want; first = false { // lines may come before the list or after it
 				n := testutil.Receive(t, all, "news that lead to "+c.want+", after "+got)
-				if n.Kind == balancer.Failed {
-					got = fmt.Sprint("failed ", n.Seq)
+				if n.Kind == balancer.WatchFailed {
+					got = fmt.Sprint("failed ", n.Version)
 					continue
 				}
-				if first && n.Kind != balancer.Full {
+				if first && n.Kind != balancer.CompleteList {
 					t.Errorf("told %+v before the whole list", n)
 				}
 				hold(held, n)
-				got = fmt.Sprint(n.Seq, " ", slices.Sorted(maps.Keys(held)))
+				got = fmt.Sprint(n.Version, " ", slices.Sorted(maps.Keys(held)))
 			}
 			if len(calls) != c.calls {
 				t.Errorf("%d calls, want %d", len(calls), c.calls)
@@ -127,11 +127,11 @@
 }
 
 // hold follows news in held, as the engine does.
-func hold(held map[string]bool, n engine.News) {
-	if n.Kind == balancer.Full {
+func hold(held map[string]bool, n engine.EndpointUpdate) {
+	if n.Kind == balancer.CompleteList {
 		clear(held)
 	}
-	for _, m := range n.Members {
+	for _, m := range n.Endpoints {
 		if delete(held, m.ID); m.State == balancer.Active {
 			held[m.ID] = true
 		}
@@ -153,10 +153,10 @@
 				<-r.Context().Done()
 			}))
 			defer server.Close()
-			all := make(chan engine.News, 100)
+			all := make(chan engine.EndpointUpdate, 100)
 			defer New(server.Listener.Addr().String(), asked, slog.New(slog.DiscardHandler)).
-				Watch(engine.OtherVersion, 0, func(n engine.News) { all <- n })()
-			if n := testutil.Receive(t, all, "what changed"); n.Kind != balancer.Change || n.Seq != 5 || len(n.Members) != 2 {
+				Watch(engine.UnknownVersion, 0, func(n engine.EndpointUpdate) { all <- n })()
+			if n := testutil.Receive(t, all, "what changed"); n.Kind != balancer.Delta || n.Version != 5 || len(n.Endpoints) != 2 {
 				t.Fatalf("told %+v", n)
 			}
 		})
@@ -182,7 +182,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := testutil.Receive(t, watching(t, c.silence, c.serve), "the failure")
-			if n.Kind != balancer.Failed || n.Err == nil || !strings.Contains(n.Err.Error(), c.want) {
+			if n.Kind != balancer.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), c.want) {
 				t.Errorf("%+v, want a failure with %q", n, c.want)
 			}
 		})
@@ -197,7 +197,7 @@
 		<-r.Context().Done()
 	})
 	testutil.Receive(t, all, "the list")
-	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.Failed || n.Seq != engine.OtherVersion {
+	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed || n.Version != engine.UnknownVersion {
 		t.Errorf("%+v, want a failure that goes on from the whole list", n)
 	}
 }
@@ -208,9 +208,9 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	all := make(chan engine.News, 1)
-	defer New(l.Addr().String(), true, slog.New(slog.DiscardHandler)).Watch(1, 0, func(n engine.News) { all <- n })()
-	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.Failed {
+	all := make(chan engine.EndpointUpdate, 1)
+	defer New(l.Addr().String(), true, slog.New(slog.DiscardHandler)).Watch(1, 0, func(n engine.EndpointUpdate) { all <- n })()
+	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed {
 		t.Errorf("%+v", n)
 	}
 }
@@ -244,11 +244,11 @@
 			held := map[string]bool{}
 			for seq := int64(0); seq < 3; {
 				n := testutil.Receive(t, all, "the news")
-				if n.Kind == balancer.Failed {
+				if n.Kind == balancer.WatchFailed {
 					t.Fatalf("failed: %v", n.Err)
 				}
 				hold(held, n)
-				seq = n.Seq
+				seq = n.Version
 			}
 			if got := fmt.Sprint(slices.Sorted(maps.Keys(held))); got != "[a b c]" {
 				t.Errorf("it holds %s", got)
@@ -280,26 +280,26 @@
 			<-r.Context().Done()
 		}, 41},
 		"bytes between two":         {func(w http.ResponseWriter, r *http.Request) { trickle(w, r, "\n") }, 41},
-		"bytes inside of one":       {func(w http.ResponseWriter, r *http.Request) { trickle(w, r, `{"seq":44,`) }, engine.OtherVersion},
-		"while the list is awaited": {func(w http.ResponseWriter, r *http.Request) { silentList(w, r) }, engine.OtherVersion},
+		"bytes inside of one":       {func(w http.ResponseWriter, r *http.Request) { trickle(w, r, `{"seq":44,`) }, engine.UnknownVersion},
+		"while the list is awaited": {func(w http.ResponseWriter, r *http.Request) { silentList(w, r) }, engine.UnknownVersion},
 		"in the middle of an object": {func(w http.ResponseWriter, r *http.Request) {
 			io.WriteString(w, `{"seq":44,`)
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
-		}, engine.OtherVersion},
+		}, engine.UnknownVersion},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			from := int64(41)
 			if name == "while the list is awaited" {
-				from = engine.OtherVersion
+				from = engine.UnknownVersion
 			}
 			all := watchingFrom(t, from, 200*time.Millisecond, c.serve)
 			for {
 				n := testutil.Receive(t, all, "the failure")
-				if n.Kind == balancer.Failed {
-					if n.Seq != c.from {
-						t.Errorf("it goes on from %d, want %d", n.Seq, c.from)
+				if n.Kind == balancer.WatchFailed {
+					if n.Version != c.from {
+						t.Errorf("it goes on from %d, want %d", n.Version, c.from)
 					}
 					return
 				}
@@ -336,7 +336,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.Failed || calls.Load() != backoff.Most {
+	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed || calls.Load() != backoff.Most {
 		t.Errorf("%+v after %d calls", n, calls.Load())
 	}
 }
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -19,10 +19,10 @@
 	e, _ := start(t, f, 3)
 	var left atomic.Bool
 	c := newCall("1", "look")
-	c.Left = left.Load
+	c.Disconnected = left.Load
 	done := do(e, t.Context(), c)
 	x := testutil.Receive(t, f.sent, "the attempt")
-	permit := x.call.Permit()
+	permit := x.call.MayStart()
 	if !permit() {
 		t.Error("an attempt for a client that waits may not begin")
 	}
@@ -31,7 +31,7 @@
 		t.Error("an attempt for a client that left may begin")
 	}
 	x.end <- Outcome{Result: balancer.Overloaded}
-	if r := testutil.Receive(t, done, "the result"); r.Kind != Left || len(f.sent) > 0 {
+	if r := testutil.Receive(t, done, "the result"); r.Kind != Disconnected || len(f.sent) > 0 {
 		t.Errorf("%+v, and %d more attempts", r, len(f.sent))
 	}
 }
@@ -53,7 +53,7 @@
 		t.Error("sent for a client that left")
 	}
 	for _, c := range []*Call{first, second} {
-		if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Left {
+		if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Disconnected {
 			t.Errorf("%s: %+v", c.ID, r)
 		}
 		e.event(gone{c}) // comes later, and changes nothing
@@ -69,16 +69,16 @@
 func TestPermitEndsWithTheWindow(t *testing.T) {
 	const window = 200 * time.Millisecond
 	set := testSettings()
-	set.Classes = append(set.Classes, balancer.Class{Name: "pay", Aim: testutil.Patience, Deadline: testutil.Patience,
-		Effect: balancer.Keyed, Group: balancer.GroupAll, Window: window})
+	set.Classes = append(set.Classes, balancer.Class{Name: "pay", LatencyObjective: testutil.Patience, Deadline: testutil.Patience,
+		Effect: balancer.Keyed, IdempotencyScope: balancer.ScopeAll, IdempotencyWindow: window})
 	f := newFake()
 	e := idle(t, f, set, 3)
 	c := newCall("1", "pay")
 	begun := time.Now()
 	e.event(c)
-	one := testutil.Receive(t, f.sent, "the attempt").call.Permit()
+	one := testutil.Receive(t, f.sent, "the attempt").call.MayStart()
 	e.event(ended{c, 0, Outcome{Result: balancer.Reset}}) // it may have run
-	two := testutil.Receive(t, f.sent, "the next one").call.Permit()
+	two := testutil.Receive(t, f.sent, "the next one").call.MayStart()
 	may, asked := two(), time.Since(begun)
 	if !may && asked < window/2 {
 		t.Error("the next one may not begin inside the window")
@@ -110,8 +110,8 @@
 	go e.Run(ctx)
 	w := testutil.Receive(t, f.watches, "the watch")
 	leaving := fleet(1)
-	leaving[0].State = balancer.Leaving
-	w.tell(News{Kind: balancer.Change, Seq: 8, Members: leaving})
+	leaving[0].State = balancer.Draining
+	w.tell(EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: leaving})
 	for range calls {
 		x := testutil.Receive(t, f.sent, "the attempt")
 		if x.member != "m1" {
@@ -151,11 +151,11 @@
 			e := idle(t, f, testSettings(), 2)
 			old := testutil.Receive(t, f.watches, "the first watch")
 			leaving := fleet(1)
-			leaving[0].State, leaving[0].BornMS = balancer.Leaving, c.born
-			old.tell(News{Kind: balancer.Change, Seq: 8, Members: leaving}) // it waits behind what follows
+			leaving[0].State, leaving[0].StartedAtMS = balancer.Draining, c.born
+			old.tell(EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: leaving}) // it waits behind what follows
 			e.event(moved{next})
-			testutil.Receive(t, next.watches, "the new watch").tell(News{Kind: balancer.Change, Seq: 3})
-			e.news(told{watch: e.watch, News: News{Kind: balancer.Change, Seq: 3}}) // the new one has answered
+			testutil.Receive(t, next.watches, "the new watch").tell(EndpointUpdate{Kind: balancer.Delta, Version: 3})
+			e.news(told{watch: e.watch, EndpointUpdate: EndpointUpdate{Kind: balancer.Delta, Version: 3}}) // the new one has answered
 			for len(e.lists) > 0 {
 				e.step(nil)
 			}
@@ -171,7 +171,7 @@
 	f := newFake()
 	e := idle(t, f, testSettings(), 0) // nobody to send to: it waits
 	c := newCall("1", "look")
-	c.Earlier = []Earlier{{Zone: "a", Sent: time.Now()}}
+	c.PriorAttempts = []PriorAttempt{{Zone: "a", SentAt: time.Now()}}
 	e.event(c)
 	e.end()
 	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Failed {
@@ -191,13 +191,13 @@
 			f, next := newFake(), newFake()
 			e := idle(t, f, testSettings(), 2)
 			leaving := fleet(1)
-			leaving[0].State = balancer.Leaving
-			testutil.Receive(t, f.watches, "the first watch").tell(News{Kind: balancer.Change, Seq: 8, Members: leaving})
+			leaving[0].State = balancer.Draining
+			testutil.Receive(t, f.watches, "the first watch").tell(EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: leaving})
 			e.step(nil)
 			e.event(moved{next})
 			list := fleet(2)
-			list[0].BornMS = c.born
-			testutil.Receive(t, next.watches, "the new watch").tell(News{Kind: balancer.Full, Seq: c.seq, Members: list})
+			list[0].StartedAtMS = c.born
+			testutil.Receive(t, next.watches, "the new watch").tell(EndpointUpdate{Kind: balancer.CompleteList, Version: c.seq, Endpoints: list})
 			e.step(nil)
 			if got := f.members["m0"].State != balancer.Active; got != c.drains {
 				t.Fatalf("it drains: %v, want %v", got, c.drains)
@@ -208,10 +208,10 @@
 			e.event(again{e.watch}) // its time has come
 			e.moved = e.moved.Add(-olderView)
 			w := testutil.Receive(t, next.watches, "the list asked for anew")
-			if w.seq != OtherVersion {
+			if w.seq != UnknownVersion {
 				t.Errorf("it goes on from %d", w.seq)
 			}
-			w.tell(News{Kind: balancer.Full, Seq: 6, Members: fleet(2)})
+			w.tell(EndpointUpdate{Kind: balancer.CompleteList, Version: 6, Endpoints: fleet(2)})
 			e.step(nil)
 			if f.members["m0"].State != balancer.Active {
 				t.Error("it is not taken back once the new source has had its time")
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -25,18 +25,18 @@
 
 // Config is what an Engine is made of.
 type Config struct {
-	Settings  balancer.Settings
-	Seed      uint64
-	Transport Transport
-	Source    Source // followed from the start, or once the module asks where the settings say MustSubscribe
-	Known     News   // the list as last held, of kind Saved; it may be old, or empty: then the whole list is asked for
-	Log       *slog.Logger
+	Settings   balancer.Settings
+	Seed       uint64
+	Transport  Transport
+	Source     Source         // followed from the start, or once the module asks where the settings say MustSubscribe
+	CachedList EndpointUpdate // the list as last held, of kind Saved; it may be old, or empty: then the whole list is asked for
+	Log        *slog.Logger
 	// MaxCalls bounds the calls in hand, attempts that outlive theirs included; those beyond are refused. 0: the front
 	// bounds them.
 	MaxCalls int
 	// CancelGone ends the attempts of a call whose client left. Without it they run on, and tell the module how they
 	// end, as on the platform.
-	CancelGone bool
+	CancelOnDisconnect bool
 }
 
 // The events, besides *Call and told.
@@ -64,7 +64,7 @@
 // told is news of the watch that was given this mark.
 type told struct {
 	watch *watch
-	News
+	EndpointUpdate
 }
 
 // drain is that a process was told to leave.
@@ -93,7 +93,7 @@
 	lists  chan told     // before all other events
 	closed chan struct{} // Run has returned
 
-	known  News // until Run hands it out
+	known  EndpointUpdate // until Run hands it out
 	calls  map[string]*Call
 	out    int // exchanges that have not ended
 	watch  *watch
@@ -124,16 +124,16 @@
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	e := &Engine{bal: bal, clock: newClock(), transport: cfg.Transport, source: cfg.Source,
-		log: cfg.Log, pushed: !cfg.Settings.MustSubscribe, maxCalls: cfg.MaxCalls, cancelGone: cfg.CancelGone,
+		log: cfg.Log, pushed: !cfg.Settings.MustSubscribe, maxCalls: cfg.MaxCalls, cancelGone: cfg.CancelOnDisconnect,
 		events: make(chan any, queueLength), lists: make(chan told, queueLength), closed: make(chan struct{}),
 		calls: map[string]*Call{}, held: map[string]float64{}, drains: map[string]drain{}, timer: time.NewTimer(time.Hour), beat: time.NewTicker(beatEvery)}
 	e.timer.Stop()
 	e.beat.Stop()
 	e.agent = backoff.NewPace(backoff.Agent(), rand.New(rand.NewPCG(cfg.Seed, 0x6167656e74)))
-	e.known = cfg.Known
-	e.known.Kind = balancer.Saved
-	if len(e.known.Members) == 0 {
-		e.known.Seq = NoVersion
+	e.known = cfg.CachedList
+	e.known.Kind = balancer.CachedList
+	if len(e.known.Endpoints) == 0 {
+		e.known.Version = NoVersion
 	}
 	return e, nil
 }
@@ -143,26 +143,26 @@
 func (e *Engine) Do(ctx context.Context, c *Call) Result {
 	c.ctx, c.reply, c.begun = ctx, make(chan Result, 1), none
 	if !e.post(c) {
-		return Result{Kind: Refused, Err: errClosed}
+		return Result{Kind: Rejected, Err: errClosed}
 	}
 	select {
 	case r := <-c.reply:
 		return r
 	case <-ctx.Done():
 		e.post(gone{c})
-		return Result{Kind: Left, Err: context.Cause(ctx)}
+		return Result{Kind: Disconnected, Err: context.Cause(ctx)}
 	case <-e.closed:
 	}
 	select {
 	case r := <-c.reply:
 		return r
 	default:
-		return Result{Kind: Refused, Err: errClosed} // it came too late to be seen
+		return Result{Kind: Rejected, Err: errClosed} // it came too late to be seen
 	}
 }
 
 // Move follows the list at another source from now on, from its whole list.
-func (e *Engine) Move(s Source) { e.post(moved{s}) }
+func (e *Engine) SetSource(s Source) { e.post(moved{s}) }
 
 // SetBalancers tells how many sidecars there are, in place of the setting, from the next event on. It may be called from any
 // goroutine, and does not wait.
@@ -208,8 +208,8 @@
 // begin hands out the list as last held, before any watch is opened. Guards against losing it: a watch goes on from its
 // version, and brings only what has changed since.
 func (e *Engine) begin() {
-	e.news(told{News: e.known})
-	e.known.Members = nil
+	e.news(told{EndpointUpdate: e.known})
+	e.known.Endpoints = nil
 	if e.pushed {
 		e.subscribe()
 	}
@@ -255,7 +255,7 @@
 		if until := e.stalls.settled; time.Now().Before(until) {
 			e.wakeAt(until)
 		} else {
-			e.handle(balancer.Wake{})
+			e.handle(balancer.TimerFired{})
 		}
 	case event := <-e.events:
 		e.look()
@@ -284,23 +284,23 @@
 	case moved:
 		e.move(v.source)
 	case revise:
-		v.done <- e.revise(v.Revision)
+		v.done <- e.revise(v.Reconfiguration)
 	case again:
 		if v.watch == e.watch && !e.ending {
-			e.seq = OtherVersion
+			e.seq = UnknownVersion
 			e.follow(0)
 		}
 	case probed:
 		e.out--
 		e.stalls.correct(&v.Outcome, v.sent, time.Now())
-		e.handle(balancer.ProbeResult{Upstream: v.member, Result: v.Result, Elapsed: v.Elapsed, Load: v.Load})
+		e.handle(balancer.ProbeResult{Endpoint: v.member, Result: v.Result, Elapsed: v.Elapsed, Load: v.Load})
 	}
 }
 
 func (e *Engine) arrive(c *Call) {
 	switch {
 	case e.ending:
-		c.reply <- Result{Kind: Refused, Err: errClosed}
+		c.reply <- Result{Kind: Rejected, Err: errClosed}
 		return
 	case e.calls[c.ID] != nil:
 		c.answered = true // guards against its client's leaving, which would end the other's call
@@ -308,7 +308,7 @@
 		return
 	case e.maxCalls > 0 && len(e.calls) >= e.maxCalls:
 		c.answered = true
-		c.reply <- Result{Kind: Refused, Err: errFull}
+		c.reply <- Result{Kind: Rejected, Err: errFull}
 		return
 	case c.over(): // it left while it waited here: the module is not troubled with it
 		c.answered = true
@@ -320,9 +320,9 @@
 		e.beat.Reset(beatEvery)
 	}
 	e.calls[c.ID] = c
-	r := balancer.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Expires: e.clock.at(c.Expires), Hint: c.Hint}
-	for _, x := range c.Earlier {
-		r.Earlier = append(r.Earlier, balancer.Earlier{Zone: x.Zone, Cell: x.Cell, Sent: e.clock.at(x.Sent)})
+	r := balancer.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, AffinityKey: c.AffinityKey, ExpiresAt: e.clock.at(c.ExpiresAt), ExpectedWork: c.ExpectedWork}
+	for _, x := range c.PriorAttempts {
+		r.PriorAttempts = append(r.PriorAttempts, balancer.PriorAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: e.clock.at(x.SentAt)})
 	}
 	e.handle(r)
 }
@@ -332,7 +332,7 @@
 	case !c.answered:
 		e.finish(c)
 		c.leave()
-		e.handle(balancer.Gone{ID: c.ID})
+		e.handle(balancer.ClientDisconnected{ID: c.ID})
 		if e.cancelGone {
 			c.cancel()
 		}
@@ -343,7 +343,7 @@
 }
 
 // leave is the result of a call whose client has left, for a Do that has not noticed yet.
-func (c *Call) leave() { c.reply <- Result{Kind: Left, Err: context.Cause(c.ctx)} }
+func (c *Call) leave() { c.reply <- Result{Kind: Disconnected, Err: context.Cause(c.ctx)} }
 
 // began lets an attempt's stream be the call's result, unless the call has one.
 func (e *Engine) began(v began) {
@@ -351,7 +351,7 @@
 	ok := !c.answered
 	if ok {
 		c.begun = v.n
-		e.result(c, Result{Kind: Begun, Answer: v.answer})
+		e.result(c, Result{Kind: Streaming, Answer: v.answer})
 		e.handle(balancer.FirstByte{ID: c.ID, Attempt: v.n})
 	}
 	c.attempts[v.n].verdict <- ok
@@ -397,7 +397,7 @@
 func (e *Engine) finish(c *Call) {
 	c.answered = true
 	for _, a := range c.attempts {
-		a.exchange.Forbid()
+		a.exchange.CancelUnsent()
 	}
 }
 
@@ -437,9 +437,9 @@
 		if c := e.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) {
 			c.attempts[a.Attempt].exchange.Cancel()
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		if c := e.calls[a.ID]; c != nil {
-			e.result(c, Result{Kind: Refused, RetryIn: a.RetryIn, Err: c.last})
+			e.result(c, Result{Kind: Rejected, RetryAfter: a.RetryAfter, Err: c.last})
 			e.forget(c)
 		}
 	case balancer.Fail:
@@ -453,10 +453,10 @@
 		if e.watch == nil { // else the list was moved while the module waited, and a call is under way
 			e.subscribe()
 		}
-	case balancer.Close:
-		e.transport.Close(a.Upstream)
+	case balancer.CloseIdle:
+		e.transport.CloseIdle(a.Endpoint)
 	case balancer.Probe:
-		e.probe(a.Upstream)
+		e.probe(a.Endpoint)
 	case balancer.Log:
 		e.log.Info(a.Text)
 	}
@@ -473,13 +473,13 @@
 	c := e.calls[a.ID]
 	var x Exchange
 	if c != nil {
-		if a.Before > 0 {
-			c.before = e.clock.time(a.Before)
+		if a.NotAfter > 0 {
+			c.before = e.clock.time(a.NotAfter)
 		}
-		x = e.transport.Attempt(a.Upstream, c, a.Timeout)
+		x = e.transport.Attempt(a.Endpoint, c, a.Timeout)
 	}
 	if x == nil { // the module holds to what it was told; this is a fault
-		e.log.Error("an attempt that cannot be made", "request", a.ID, "upstream", a.Upstream)
+		e.log.Error("an attempt that cannot be made", "request", a.ID, "upstream", a.Endpoint)
 		return
 	}
 	n := len(c.attempts)
@@ -510,8 +510,8 @@
 	e.watch.end()
 	e.before.end()
 	for _, c := range e.calls {
-		if len(c.attempts) == 0 && len(c.Earlier) == 0 {
-			e.result(c, Result{Kind: Refused, Err: errClosed})
+		if len(c.attempts) == 0 && len(c.PriorAttempts) == 0 {
+			e.result(c, Result{Kind: Rejected, Err: errClosed})
 		}
 		e.result(c, Result{Kind: Failed, Answer: c.lastAns, Err: errClosed})
 		c.cancel()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -15,7 +15,7 @@
 // fake is a transport and a source whose every exchange and watch is the test's.
 type fake struct {
 	mu      sync.Mutex
-	members map[string]Member
+	members map[string]Endpoint
 	updates int
 	sent    chan *fakeExchange
 	watches chan *fakeWatch
@@ -33,15 +33,15 @@
 
 type fakeWatch struct {
 	seq  int64
-	tell func(News)
+	tell func(EndpointUpdate)
 	ctx  context.Context
 }
 
 func newFake() *fake {
-	return &fake{members: map[string]Member{}, sent: make(chan *fakeExchange, 1000), watches: make(chan *fakeWatch, 100)}
+	return &fake{members: map[string]Endpoint{}, sent: make(chan *fakeExchange, 1000), watches: make(chan *fakeWatch, 100)}
 }
 
-func (f *fake) Update(whole bool, entries []Member, _ time.Time) {
+func (f *fake) Update(whole bool, entries []Endpoint, _ time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.updates++
@@ -58,7 +58,7 @@
 }
 
 func (f *fake) Probe(string, time.Duration) Exchange { return nil }
-func (f *fake) Close(string)                         {}
+func (f *fake) CloseIdle(string)                     {}
 
 func (x *fakeExchange) Run(begin func(any) bool) Outcome {
 	for {
@@ -75,10 +75,10 @@
 		}
 	}
 }
-func (x *fakeExchange) Cancel() { x.cancelled <- true }
-func (x *fakeExchange) Forbid() { x.forbid <- true }
+func (x *fakeExchange) Cancel()       { x.cancelled <- true }
+func (x *fakeExchange) CancelUnsent() { x.forbid <- true }
 
-func (f *fake) Watch(seq int64, _ time.Duration, tell func(News)) context.CancelFunc {
+func (f *fake) Watch(seq int64, _ time.Duration, tell func(EndpointUpdate)) context.CancelFunc {
 	w := &fakeWatch{seq: seq, tell: tell}
 	var stop context.CancelFunc
 	w.ctx, stop = context.WithCancel(context.Background())
@@ -87,17 +87,17 @@
 }
 
 func testSettings() balancer.Settings {
-	return balancer.Settings{MustSubscribe: true, Tick: time.Millisecond, MaxAttempts: 3, SecondCopies: true, Cancelling: true,
+	return balancer.Settings{MustSubscribe: true, Tick: time.Millisecond, MaxAttempts: 3, Hedging: true, Cancellation: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, Classes: []balancer.Class{
-			{Name: "look", Aim: testutil.Patience, Deadline: testutil.Patience},
-			{Name: "book", Aim: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.Unsafe},
-			{Name: "follow", Aim: testutil.Patience, Deadline: testutil.Patience, Stream: true}}}
+			{Name: "look", LatencyObjective: testutil.Patience, Deadline: testutil.Patience},
+			{Name: "book", LatencyObjective: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.NonIdempotent},
+			{Name: "follow", LatencyObjective: testutil.Patience, Deadline: testutil.Patience, Stream: true}}}
 }
 
 // fleet is n members.
-func fleet(n int) (list []Member) {
+func fleet(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Member{ID: fmt.Sprintf("m%d", i), Zone: "a"})
+		list = append(list, Endpoint{ID: fmt.Sprintf("m%d", i), Zone: "a"})
 	}
 	return list
 }
@@ -112,7 +112,7 @@
 
 func made(t *testing.T, f *fake, set balancer.Settings, members int) *Engine {
 	t.Helper()
-	e, err := New(Config{Settings: set, Seed: 1, Transport: f, Source: f, Known: News{Seq: 7, Members: fleet(members)}, MaxCalls: 100})
+	e, err := New(Config{Settings: set, Seed: 1, Transport: f, Source: f, CachedList: EndpointUpdate{Version: 7, Endpoints: fleet(members)}, MaxCalls: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 }
 
 func newCall(id, class string) *Call {
-	return &Call{ID: id, Class: class, Expires: time.Now().Add(testutil.Patience), reply: make(chan Result, 1), begun: none}
+	return &Call{ID: id, Class: class, ExpiresAt: time.Now().Add(testutil.Patience), reply: make(chan Result, 1), begun: none}
 }
 
 func do(e *Engine, ctx context.Context, c *Call) chan Result {
@@ -156,7 +156,7 @@
 // What may have run is not sent again where it must not run twice, and what never did is.
 func TestUnsafeIsSentAgainOnlyWhereItNeverRan(t *testing.T) {
 	for result, again := range map[balancer.Result]bool{balancer.Reset: false, balancer.Timeout: false, balancer.ServerError: false,
-		balancer.Overloaded: true, balancer.ConnectFailed: true, balancer.Moot: true} {
+		balancer.Overloaded: true, balancer.ConnectFailed: true, balancer.NotSent: true} {
 		if result.MayHaveRun() == again {
 			t.Errorf("result %d may have run: %v", result, result.MayHaveRun())
 		}
@@ -187,7 +187,7 @@
 	done := do(e, ctx, newCall("1", "book"))
 	x := testutil.Receive(t, f.sent, "the attempt")
 	leave()
-	if r := testutil.Receive(t, done, "the result"); r.Kind != Left || !errors.Is(r.Err, context.Canceled) {
+	if r := testutil.Receive(t, done, "the result"); r.Kind != Disconnected || !errors.Is(r.Err, context.Canceled) {
 		t.Errorf("%+v", r)
 	}
 	testutil.Receive(t, x.forbid, "word that nothing more may be written")
@@ -207,7 +207,7 @@
 	if r := testutil.Receive(t, second.reply, "the second's result"); r.Kind != Duplicate {
 		t.Errorf("the second got %+v", r)
 	}
-	e.event(ended{first, 0, Outcome{Result: balancer.Moot}})
+	e.event(ended{first, 0, Outcome{Result: balancer.NotSent}})
 	if len(first.attempts) != 2 {
 		t.Error("the module has let the first call go: it is not sent again")
 	}
@@ -221,7 +221,7 @@
 	}
 	c := newCall("one more", "look")
 	e.event(c)
-	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Refused || !errors.Is(r.Err, errFull) || len(e.calls) != 100 {
+	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Rejected || !errors.Is(r.Err, errFull) || len(e.calls) != 100 {
 		t.Errorf("%+v with %d calls in hand", r, len(e.calls))
 	}
 }
@@ -233,14 +233,14 @@
 	c := newCall("1", "follow")
 	e.event(c)
 	x := testutil.Receive(t, f.sent, "the attempt")
-	e.send(&balancer.Action{ID: "1", Upstream: "m1", Timeout: testutil.Patience})
+	e.send(&balancer.Action{ID: "1", Endpoint: "m1", Timeout: testutil.Patience})
 	y := testutil.Receive(t, f.sent, "the copy")
 	y.begin <- "stream"
 	testutil.Until(t, "its beginning", func() bool { return len(e.events) == 1 })
 	x.begin <- "other"
 	testutil.Until(t, "the other's", func() bool { return len(e.events) == 2 })
 	e.event(<-e.events)
-	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Begun || r.Answer != "stream" || !<-y.verdict {
+	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Streaming || r.Answer != "stream" || !<-y.verdict {
 		t.Errorf("%+v", r)
 	}
 	e.event(<-e.events)
@@ -288,10 +288,10 @@
 	}
 	close(x.hold)
 	testutil.Receive(t, e.closed, "the end")
-	if r := e.Do(t.Context(), newCall("2", "book")); r.Kind != Refused {
+	if r := e.Do(t.Context(), newCall("2", "book")); r.Kind != Rejected {
 		t.Errorf("a call after the end got %+v", r)
 	}
-	e.Move(f) // neither blocks
+	e.SetSource(f) // neither blocks
 }
 
 // Guards against news of a watch that was replaced: its end would be taken for the end of the new one.
@@ -305,8 +305,8 @@
 	e.subscribe()
 	testutil.Receive(t, f.watches, "the second watch")
 	current, updates := e.watch, f.updates
-	old.tell(News{Kind: balancer.Failed})
-	old.tell(News{Kind: balancer.Full, Seq: 9})
+	old.tell(EndpointUpdate{Kind: balancer.WatchFailed})
+	old.tell(EndpointUpdate{Kind: balancer.CompleteList, Version: 9})
 	e.step(nil)
 	e.step(nil)
 	if e.watch != current || e.seq == 9 || f.updates != updates || old.ctx.Err() == nil {
@@ -322,14 +322,14 @@
 		set.MustSubscribe = !pushed
 		e := idle(t, f, set, 2)
 		w := testutil.Receive(t, f.watches, "the watch")
-		w.tell(News{Kind: balancer.Change, Seq: 7})
+		w.tell(EndpointUpdate{Kind: balancer.Delta, Version: 7})
 		e.step(nil)
 		e.arrive(newCall("1", "look"))
 		if w.seq != 7 || len(f.members) != 2 || len(f.sent) != 1 {
 			t.Errorf("pushed %v: %d members, %d calls sent on, watched from %d", pushed, len(f.members), len(f.sent), w.seq)
 		}
-		if e = made(t, f, set, 0); e.known.Seq != NoVersion {
-			t.Errorf("pushed %v: without members it watches from %d", pushed, e.known.Seq)
+		if e = made(t, f, set, 0); e.known.Version != NoVersion {
+			t.Errorf("pushed %v: without members it watches from %d", pushed, e.known.Version)
 		}
 	}
 }
@@ -339,11 +339,11 @@
 	f, next := newFake(), newFake()
 	e := idle(t, f, testSettings(), 1)
 	for range 10 {
-		e.news(told{e.watch, News{Kind: balancer.Failed}})
+		e.news(told{e.watch, EndpointUpdate{Kind: balancer.WatchFailed}})
 		e.subscribe()
 	}
 	e.event(moved{next})
-	if w := testutil.Receive(t, next.watches, "the new watch"); w.seq != OtherVersion {
+	if w := testutil.Receive(t, next.watches, "the new watch"); w.seq != UnknownVersion {
 		t.Errorf("it goes on from %d, a version of the other", w.seq)
 	}
 }
@@ -360,11 +360,11 @@
 	w := testutil.Receive(t, next.watches, "the newer watch")
 	// m0 drains, m1 stays, and m2 is gone without a word.
 	leaving := fleet(1)
-	leaving[0].State = balancer.Leaving
-	old.tell(News{Kind: balancer.Full, Seq: 8, Members: append(leaving, fleet(2)[1], Member{ID: "new", Zone: "a"})})
+	leaving[0].State = balancer.Draining
+	old.tell(EndpointUpdate{Kind: balancer.CompleteList, Version: 8, Endpoints: append(leaving, fleet(2)[1], Endpoint{ID: "new", Zone: "a"})})
 	e.step(nil)
 	e.arrive(newCall("1", "look"))
-	if old.ctx.Err() != nil || f.members["m0"].State == balancer.Active || f.members["m2"].State == balancer.Active || f.members["new"].ID != "" || e.seq != OtherVersion {
+	if old.ctx.Err() != nil || f.members["m0"].State == balancer.Active || f.members["m2"].State == balancer.Active || f.members["new"].ID != "" || e.seq != UnknownVersion {
 		t.Errorf("members %v, version %d, the old watch: %v", f.members, e.seq, old.ctx.Err())
 	}
 	x := testutil.Receive(t, f.sent, "the attempt")
@@ -373,21 +373,21 @@
 	}
 	x.end <- Outcome{Result: balancer.OK, Final: true}
 	// That is no sign that the list is followed again: the module asks on.
-	w.tell(News{Kind: balancer.Failed, Seq: OtherVersion})
+	w.tell(EndpointUpdate{Kind: balancer.WatchFailed, Version: UnknownVersion})
 	e.step(nil)
-	old.tell(News{Kind: balancer.Change, Seq: 9, Members: leaving})
+	old.tell(EndpointUpdate{Kind: balancer.Delta, Version: 9, Endpoints: leaving})
 	e.step(nil)
 	for len(next.watches) == 0 {
 		e.step(nil)
 	}
 	w = testutil.Receive(t, next.watches, "the next one")
-	w.tell(News{Kind: balancer.Change, Seq: 3})
+	w.tell(EndpointUpdate{Kind: balancer.Delta, Version: 3})
 	e.step(nil)
 	if old.ctx.Err() == nil || e.seq != 3 {
 		t.Errorf("the new one has answered: version %d, the old watch: %v", e.seq, old.ctx.Err())
 	}
 	updates := f.updates
-	old.tell(News{Kind: balancer.Change, Seq: 9, Members: fleet(1)})
+	old.tell(EndpointUpdate{Kind: balancer.Delta, Version: 9, Endpoints: fleet(1)})
 	e.step(nil)
 	if f.updates != updates {
 		t.Error("the old source is heard after the new one has answered")
@@ -399,9 +399,9 @@
 	f := newFake()
 	e := idle(t, f, testSettings(), 1)
 	w := testutil.Receive(t, f.watches, "the watch")
-	w.tell(News{Kind: balancer.Failed, Seq: 7})
+	w.tell(EndpointUpdate{Kind: balancer.WatchFailed, Version: 7})
 	e.step(nil)
-	w.tell(News{Kind: balancer.Aside, Members: []Member{{ID: "beside", Zone: "a"}}})
+	w.tell(EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: []Endpoint{{ID: "beside", Zone: "a"}}})
 	e.step(nil)
 	if f.members["beside"].ID == "" || e.seq != 7 {
 		t.Errorf("members %v, version %d", f.members, e.seq)
@@ -418,8 +418,8 @@
 		e := idle(t, f, testSettings(), 1)
 		e.events <- newCall("1", "look")
 		leaving := fleet(1)
-		leaving[0].State = balancer.Leaving
-		e.lists <- told{e.watch, News{Kind: balancer.Change, Seq: 8, Members: leaving}}
+		leaving[0].State = balancer.Draining
+		e.lists <- told{e.watch, EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: leaving}}
 		e.step(nil)
 		e.step(nil)
 		if len(f.sent) > 0 {
--- a/internal/engine/revise.go
+++ b/internal/engine/revise.go
@@ -3,16 +3,16 @@
 import "hazelwing/balancer"
 
 // Revision is what may change at once while calls are in hand.
-type Revision struct {
-	Settings balancer.Settings // of which balancer.Revise takes what it names
-	Sidecars int               // how many there are; 0: as before
-	Source   Source            // to which the list moves, as by Move; nil: it stays
+type Reconfiguration struct {
+	Settings  balancer.Settings // of which balancer.Revise takes what it names
+	Balancers int               // how many there are; 0: as before
+	Source    Source            // to which the list moves, as by Move; nil: it stays
 }
 
 // Revise puts a revision in force, all of it between two events: every decision before was made by the old settings, and every one
 // after by the new. It may be called from any goroutine, blocks until that has happened, and returns the module's error; then nothing
 // has changed.
-func (e *Engine) Revise(r Revision) error {
+func (e *Engine) Reconfigure(r Reconfiguration) error {
 	done := make(chan error, 1)
 	if !e.post(revise{r, done}) {
 		return errClosed
@@ -25,16 +25,16 @@
 	}
 }
 
-func (e *Engine) revise(r Revision) error {
+func (e *Engine) revise(r Reconfiguration) error {
 	if e.ending {
 		return errClosed
 	}
-	if err := e.bal.Revise(r.Settings); err != nil {
+	if err := e.bal.Reconfigure(r.Settings); err != nil {
 		return err
 	}
-	if r.Sidecars > 0 {
+	if r.Balancers > 0 {
 		e.sized.Store(0)
-		e.bal.SetBalancers(r.Sidecars)
+		e.bal.SetBalancers(r.Balancers)
 	}
 	if r.Source != nil {
 		e.move(r.Source)
@@ -44,6 +44,6 @@
 
 // revise is the event of a Revision, and where the answer goes.
 type revise struct {
-	Revision
+	Reconfiguration
 	done chan<- error
 }
--- a/internal/engine/stall.go
+++ b/internal/engine/stall.go
@@ -82,6 +82,6 @@
 		// out for long, and takes the time since the first of them, in which we stood still, for its silence.
 		o.Result, o.Elapsed = balancer.Cancelled, 0
 	case balancer.ConnectFailed:
-		o.Result = balancer.Moot
+		o.Result = balancer.NotSent
 	}
 }
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -32,7 +32,7 @@
 		"timed out":                {100 * ms, 640 * ms, Outcome{Result: balancer.Timeout, Elapsed: 540 * ms}, Outcome{Result: balancer.Cancelled}},
 		"sent in the middle of it": {430 * ms, 630 * ms, Outcome{Result: balancer.Timeout, Elapsed: 200 * ms}, Outcome{Result: balancer.Cancelled}},
 		"cut short":                {100 * ms, 640 * ms, Outcome{Result: balancer.Cancelled, Elapsed: 540 * ms}, Outcome{Result: balancer.Cancelled}},
-		"did not come up":          {200 * ms, 640 * ms, Outcome{Result: balancer.ConnectFailed, Elapsed: 440 * ms}, Outcome{Result: balancer.Moot, Elapsed: 40 * ms}},
+		"did not come up":          {200 * ms, 640 * ms, Outcome{Result: balancer.ConnectFailed, Elapsed: 440 * ms}, Outcome{Result: balancer.NotSent, Elapsed: 40 * ms}},
 		"refused after it":         {630 * ms, 640 * ms, Outcome{Result: balancer.ConnectFailed, Elapsed: 10 * ms}, Outcome{Result: balancer.ConnectFailed, Elapsed: 10 * ms}},
 		"broken":                   {200 * ms, 640 * ms, Outcome{Result: balancer.Reset, Elapsed: 440 * ms}, Outcome{Result: balancer.Reset, Elapsed: 40 * ms}},
 		"sent after it":            {630 * ms, 900 * ms, Outcome{Result: balancer.Timeout, Elapsed: 270 * ms}, Outcome{Result: balancer.Timeout, Elapsed: 270 * ms}},
@@ -59,7 +59,7 @@
 func TestAnswersComeBeforeTimersAfterAStall(t *testing.T) {
 	f := newFake()
 	set := testSettings()
-	set.Classes[0].Aim, set.Classes[0].Deadline = time.Second, time.Second
+	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = time.Second, time.Second
 	e := idle(t, f, set, 3)
 	c := newCall("1", "look")
 	e.event(c)
--- a/internal/front/graphqlfront/crossing_test.go
+++ b/internal/front/graphqlfront/crossing_test.go
@@ -64,7 +64,7 @@
 	f := serve(t, contextDoer(func(ctx context.Context, c *engine.Call) engine.Result {
 		calls <- true
 		<-ctx.Done()
-		return engine.Result{Kind: engine.Left}
+		return engine.Result{Kind: engine.Disconnected}
 	}))
 	conn := f.dial(t)
 	io.WriteString(conn, asking)
--- a/internal/front/graphqlfront/execute.go
+++ b/internal/front/graphqlfront/execute.go
@@ -45,7 +45,7 @@
 		s.count.operations.Add(1)
 		for _, p := range plans[i].Parts {
 			effect := p.Class + " " + p.Key
-			if p.Effect == balancer.Safe || p.Key == "" {
+			if p.Effect == balancer.Idempotent || p.Key == "" {
 				continue
 			}
 			if effects[effect] {
@@ -184,8 +184,8 @@
 	if p.Key != "" {
 		header.Set(httpmsg.KeyHeader, p.Key)
 	}
-	c := &engine.Call{ID: id, Class: p.Class, Tenant: j.request.Header.Get(httpmsg.TenantHeader), Key: p.About, Identity: p.Key, Hint: p.Work,
-		Expires: j.partExpires(p), Left: j.left,
+	c := &engine.Call{ID: id, Class: p.Class, Tenant: j.request.Header.Get(httpmsg.TenantHeader), AffinityKey: p.About, IdempotencyKey: p.Key, ExpectedWork: p.Work,
+		ExpiresAt: j.partExpires(p), Disconnected: j.left,
 		Payload: &httpmsg.Request{Method: http.MethodPost, URI: s.cfg.Node, Host: j.request.Host, Header: header, Body: p.Body,
 			Check: func(a *httpmsg.Answer) error {
 				read, err := p.Read(a.Body)
@@ -193,7 +193,7 @@
 				return err
 			}}}
 	r := s.cfg.Doer.Do(j.request.Context(), c)
-	return s.outcome(p, r), r.Kind == engine.Left
+	return s.outcome(p, r), r.Kind == engine.Disconnected
 }
 
 // outcome says what a result means for a part.
@@ -214,12 +214,12 @@
 		case a.Status != http.StatusOK: // it blames the request, in words that are not GraphQL's
 			return plan.Outcome{Ended: plan.TurnedDown, Answer: p.Blamed(fmt.Sprintf("a node turned it down with status %d", a.Status))}
 		}
-	case engine.Refused:
+	case engine.Rejected:
 		s.count.refused.Add(1)
-		return plan.Outcome{Ended: plan.WasRefused, RetryIn: r.RetryIn, Why: "refused: nothing ran; trying again is harmless"}
+		return plan.Outcome{Ended: plan.WasRefused, RetryIn: r.RetryAfter, Why: "refused: nothing ran; trying again is harmless"}
 	}
 	s.count.mayHaveRun.Add(1)
-	if p.Effect == balancer.Safe {
+	if p.Effect == balancer.Idempotent {
 		return plan.Outcome{Ended: plan.MayRun, Why: "no node answered this in time"}
 	}
 	return plan.Outcome{Ended: plan.MayRun, Why: "no answer: it may have run"}
--- a/internal/front/graphqlfront/front_test.go
+++ b/internal/front/graphqlfront/front_test.go
@@ -29,7 +29,7 @@
 const sdl = `type Query { a(x: Int): Int b: Int s: Int slow: Int! }
 type Mutation { m(k: String): Int n: Int! }`
 
-var classes = []balancer.Class{{Name: "q", Deadline: time.Minute}, {Name: "r", Deadline: time.Minute}, {Name: "u", Deadline: time.Minute, Effect: balancer.Unsafe}}
+var classes = []balancer.Class{{Name: "q", Deadline: time.Minute}, {Name: "r", Deadline: time.Minute}, {Name: "u", Deadline: time.Minute, Effect: balancer.NonIdempotent}}
 
 // doer is an engine that answers as a test says, and remembers the calls.
 type doer struct {
@@ -216,11 +216,11 @@
 	for i, want := range []struct{ key, body string }{{"1", `{"query":"mutation M{\n\tx: m(k: \"1\")\n}\n","operationName":"M"}`}, {"K:n", `{"query":"mutation M{\n\tn\n}\n","operationName":"M"}`}} {
 		c := d.calls[i]
 		r := c.Payload.(*httpmsg.Request)
-		if c.Class != "u" || c.Identity != want.key || c.Tenant != "acme" || r.Header.Get(httpmsg.KeyHeader) != want.key || string(r.Body) != want.body || r.URI != "/g" ||
+		if c.Class != "u" || c.IdempotencyKey != want.key || c.Tenant != "acme" || r.Header.Get(httpmsg.KeyHeader) != want.key || string(r.Body) != want.body || r.URI != "/g" ||
 			r.Method != "POST" || r.Header.Get("Authorization") != "me" || r.Header.Get("X-Hop") != "" || r.Header.Get("Content-Type") != jsonMedia || r.Header.Get(httpmsg.IDHeader) != c.ID {
 			t.Errorf("call %d: %+v, %+v, %s", i, c, r, r.Body)
 		}
-		if left := c.Expires.Sub(begun); left < 29*time.Second || left > 31*time.Second+time.Since(begun) {
+		if left := c.ExpiresAt.Sub(begun); left < 29*time.Second || left > 31*time.Second+time.Since(begun) {
 			t.Errorf("it expires in %v", left)
 		}
 		if r.Check(&httpmsg.Answer{Body: []byte(`{"data":{"other":1}}`)}) == nil {
@@ -240,7 +240,7 @@
 	status := func(code int, body string) engine.Result {
 		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: code, Body: []byte(body)}}
 	}
-	refused := engine.Result{Kind: engine.Refused, RetryIn: 1500 * time.Millisecond}
+	refused := engine.Result{Kind: engine.Rejected, RetryAfter: 1500 * time.Millisecond}
 	failed := engine.Result{Kind: engine.Failed, TimedOut: true}
 	for _, c := range []struct {
 		query  string
--- a/internal/front/graphqlfront/leave_test.go
+++ b/internal/front/graphqlfront/leave_test.go
@@ -36,18 +36,18 @@
 				calls <- c
 				<-ctx.Done()
 				left <- c
-				return engine.Result{Kind: engine.Left}
+				return engine.Result{Kind: engine.Disconnected}
 			}))
 			conn := f.dial(t)
 			io.WriteString(conn, post("{a b s}"))
 			for range 3 {
-				if c := testutil.Receive(t, calls, "a part"); c.Left() {
+				if c := testutil.Receive(t, calls, "a part"); c.Disconnected() {
 					t.Error("it has left before it did")
 				}
 			}
 			leave(conn)
 			for range 3 {
-				if c := testutil.Receive(t, left, "the leaving"); !c.Left() {
+				if c := testutil.Receive(t, left, "the leaving"); !c.Disconnected() {
 					t.Error("the call does not tell that its client left")
 				}
 			}
@@ -70,7 +70,7 @@
 			io.WriteString(conn, post(`mutation {one: n two: n}`))
 			c := testutil.Receive(t, calls, "the first mutation")
 			leave(conn)
-			testutil.Until(t, "the leaving", c.Left)
+			testutil.Until(t, "the leaving", c.Disconnected)
 			close(release)
 			f.stop()
 			if err := testutil.Receive(t, f.ended, "the front's end"); err != nil {
@@ -91,7 +91,7 @@
 		calls <- c
 		<-ctx.Done()
 		left <- c
-		return engine.Result{Kind: engine.Left}
+		return engine.Result{Kind: engine.Disconnected}
 	}), &s)
 	first, second := f.dial(t), f.dial(t)
 	io.WriteString(first, post("{s}"))
@@ -100,11 +100,11 @@
 	testutil.Until(t, "the second to share it", func() bool { return s.State().Shared == 1 })
 	first.Close()
 	testutil.Until(t, "the first one's end", func() bool { return s.flights.waiting() == 1 })
-	if len(left) > 0 || c.Left() {
+	if len(left) > 0 || c.Disconnected() {
 		t.Error("it ended with the first")
 	}
 	second.Close()
-	if testutil.Receive(t, left, "the leaving") != c || !c.Left() {
+	if testutil.Receive(t, left, "the leaving") != c || !c.Disconnected() {
 		t.Error("the call does not tell that all have left")
 	}
 	if len(calls) > 0 {
--- a/internal/front/httpfront/crossing_test.go
+++ b/internal/front/httpfront/crossing_test.go
@@ -64,7 +64,7 @@
 				d.request(t, method, class, "1", body).Write(conn)
 				c := testutil.Receive(t, d.calls, "the call")
 				leave(t, conn)
-				if testutil.Receive(t, d.left, "the leaving") != c || !c.Left() {
+				if testutil.Receive(t, d.left, "the leaving") != c || !c.Disconnected() {
 					t.Error("the call does not tell that its client left")
 				}
 			})
@@ -161,7 +161,7 @@
 			s := New(doer(func(ctx context.Context, _ *engine.Call) engine.Result {
 				calls <- true
 				<-ctx.Done() // its upstream hangs
-				return engine.Result{Kind: engine.Left}
+				return engine.Result{Kind: engine.Disconnected}
 			}), []balancer.Class{{Name: "look", Deadline: longest}})
 			ctx, stop := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
--- a/internal/front/httpfront/server.go
+++ b/internal/front/httpfront/server.go
@@ -157,9 +157,9 @@
 	} else if client.Begin(); client.Gone() || s.work.Err() != nil {
 		a, done = refused(0), true // nothing was sent on, and one that has closed its sending half only may read it
 	} else {
-		c.Left = client.Gone
+		c.Disconnected = client.Gone
 		result := s.engine.Do(r.Context(), c)
-		a, done = final(result), result.Kind == engine.Left
+		a, done = final(result), result.Kind == engine.Disconnected
 	}
 	client.Done()
 	if done || s.stopping.Load() || client.Crowded() {
@@ -198,9 +198,9 @@
 		return nil, plain(http.StatusBadRequest, httpmsg.ClassHeader+" does not name the class of the path")
 	case r.Header.Get(httpmsg.IDHeader) == "":
 		return nil, plain(http.StatusBadRequest, httpmsg.IDHeader+" is missing")
-	case effect == balancer.Safe && r.Method != http.MethodGet, effect != balancer.Safe && r.Method != http.MethodPost:
+	case effect == balancer.Idempotent && r.Method != http.MethodGet, effect != balancer.Idempotent && r.Method != http.MethodPost:
 		return nil, plain(http.StatusMethodNotAllowed, "not the method of this class")
-	case effect == balancer.Keyed != (r.Header.Get(httpmsg.KeyHeader) != "") && !(s.keys && effect == balancer.Unsafe):
+	case effect == balancer.Keyed != (r.Header.Get(httpmsg.KeyHeader) != "") && !(s.keys && effect == balancer.NonIdempotent):
 		return nil, plain(http.StatusBadRequest, httpmsg.KeyHeader+" goes with the classes that have a key")
 	}
 	wait, err := strconv.ParseUint(r.Header.Get(httpmsg.DeadlineHeader), 10, 63)
@@ -208,16 +208,16 @@
 		return nil, plain(http.StatusBadRequest, httpmsg.DeadlineHeader+" is not a positive whole number")
 	}
 	c := &engine.Call{ID: r.Header.Get(httpmsg.IDHeader), Class: class, Tenant: r.Header.Get(httpmsg.TenantHeader),
-		Identity: r.Header.Get(httpmsg.KeyHeader),
-		Expires:  came.Add(time.Duration(min(int64(wait), s.longest.Milliseconds())) * time.Millisecond)}
+		IdempotencyKey: r.Header.Get(httpmsg.KeyHeader),
+		ExpiresAt:      came.Add(time.Duration(min(int64(wait), s.longest.Milliseconds())) * time.Millisecond)}
 	message := &httpmsg.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: httpmsg.Onward(r.Header)}
 	c.Payload = message
 	if cookie, err := r.Cookie(httpmsg.KeyCookie); err == nil {
-		c.Key = cookie.Value
+		c.AffinityKey = cookie.Value
 	}
 	if hint, err := strconv.ParseFloat(r.Header.Get(httpmsg.HintHeader), 64); err == nil && hint > 0 {
 		// Guards against a hint that no request of any class can need: the module compares all others with it.
-		c.Hint = time.Duration(min(hint, float64(s.longest.Microseconds())) * float64(time.Microsecond))
+		c.ExpectedWork = time.Duration(min(hint, float64(s.longest.Microseconds())) * float64(time.Microsecond))
 	}
 	if r.Body != http.NoBody {
 		var body bytes.Buffer
@@ -275,11 +275,11 @@
 	switch r.Kind {
 	case engine.Served:
 		return *r.Answer.(*httpmsg.Answer)
-	case engine.Refused:
-		return refused(r.RetryIn)
+	case engine.Rejected:
+		return refused(r.RetryAfter)
 	case engine.Duplicate:
 		return plain(http.StatusBadRequest, "a request with this id is in hand")
-	case engine.Left: // guards against net/http's empty 200 for who has closed its sending half only
+	case engine.Disconnected: // guards against net/http's empty 200 for who has closed its sending half only
 		return failed(true)
 	}
 	return failed(r.TimedOut)
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -26,7 +26,7 @@
 
 // testClasses are one of each kind.
 var testClasses = []balancer.Class{{Name: "look", Deadline: testutil.Patience}, {Name: "book", Deadline: testutil.Patience,
-	Effect: balancer.Unsafe}, {Name: "pay", Deadline: testutil.Patience, Effect: balancer.Keyed}}
+	Effect: balancer.NonIdempotent}, {Name: "pay", Deadline: testutil.Patience, Effect: balancer.Keyed}}
 
 // testOpen is how long a stopping front stays open here: long enough for a slow machine to come in time.
 const testOpen = 3 * time.Second
@@ -112,7 +112,7 @@
 			return r
 		case <-ctx.Done():
 			d.left <- c
-			return engine.Result{Kind: engine.Left}
+			return engine.Result{Kind: engine.Disconnected}
 		}
 	}, 100)
 	return d
@@ -232,8 +232,8 @@
 	go r.client.Do(req)
 	c := testutil.Receive(t, r.calls, "the request")
 	m := c.Payload.(*httpmsg.Request)
-	if c.ID != "77" || c.Class != "pay" || c.Tenant != "acme" || c.Key != "u1" || c.Hint != 1500500*time.Nanosecond ||
-		string(m.Body) != "card" || m.URI != "/pay/a%2Fb?q=1" || c.Expires.Sub(before) < 15*time.Second {
+	if c.ID != "77" || c.Class != "pay" || c.Tenant != "acme" || c.AffinityKey != "u1" || c.ExpectedWork != 1500500*time.Nanosecond ||
+		string(m.Body) != "card" || m.URI != "/pay/a%2Fb?q=1" || c.ExpiresAt.Sub(before) < 15*time.Second {
 		t.Errorf("%+v", c)
 	}
 	r.answer <- served("done")
--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -86,7 +86,7 @@
 		if e != nil {
 			return nil, e
 		}
-		if x.Effect != balancer.Safe && x.Key != "" {
+		if x.Effect != balancer.Idempotent && x.Key != "" {
 			effect := x.Class + " " + x.Key
 			if seen[effect] {
 				e := NewError(KeyTwice, fmt.Sprintf("two mutations of class %s have the same key: only one could run", x.Class))
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -14,10 +14,10 @@
 )
 
 var classes = []balancer.Class{
-	{Name: "search", Aim: time.Second, Deadline: 2 * time.Second},
-	{Name: "map", Aim: time.Second, Deadline: 2 * time.Second},
-	{Name: "book", Aim: time.Second, Deadline: 2 * time.Second, Effect: balancer.Unsafe},
-	{Name: "pay", Aim: time.Second, Deadline: 2 * time.Second, Effect: balancer.Keyed, Window: 5 * time.Second},
+	{Name: "search", LatencyObjective: time.Second, Deadline: 2 * time.Second},
+	{Name: "map", LatencyObjective: time.Second, Deadline: 2 * time.Second},
+	{Name: "book", LatencyObjective: time.Second, Deadline: 2 * time.Second, Effect: balancer.NonIdempotent},
+	{Name: "pay", LatencyObjective: time.Second, Deadline: 2 * time.Second, Effect: balancer.Keyed, IdempotencyWindow: 5 * time.Second},
 }
 
 // mapping is that of the stand-in nodes' schema.
--- a/internal/graphql/plan/schema.go
+++ b/internal/graphql/plan/schema.go
@@ -140,7 +140,7 @@
 		return errors.New("cost, work and deadline are not below 0")
 	case m.Share && !query:
 		return errors.New("share goes with queries")
-	case known && query && class.Effect != balancer.Safe:
+	case known && query && class.Effect != balancer.Idempotent:
 		return fmt.Errorf("class %q is not safe to repeat, and a query has no effect", m.Class)
 	}
 	if m.Key == "" {
--- a/internal/idempotency/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -164,7 +164,7 @@
 		e = &entry{fp: fp, Record: Record{Effect: c.Effect, Class: class}}
 		l.entries[fp] = e
 	}
-	if c.Effect == balancer.Unsafe && (e.calls > 0 || len(e.places) > 0) || !l.inTime(now, e, c) {
+	if c.Effect == balancer.NonIdempotent && (e.calls > 0 || len(e.places) > 0) || !l.inTime(now, e, c) {
 		return Fail, nil
 	}
 	e.calls++
@@ -177,7 +177,7 @@
 // inTime says whether the memory of repeats still holds all that may have run.
 func (l *Ledger) inTime(now Now, e *entry, c balancer.Class) bool {
 	return !slices.ContainsFunc(e.places, func(p *place) bool {
-		return c.Effect != balancer.Keyed || now.AtMost(p.Sent, p.Boot) >= c.Window
+		return c.Effect != balancer.Keyed || now.AtMost(p.Sent, p.Boot) >= c.IdempotencyWindow
 	})
 }
 
@@ -227,7 +227,7 @@
 }
 
 func outside(c balancer.Class, p *place, zone string, cell int) bool {
-	return c.Effect == balancer.Unsafe || c.Group == balancer.GroupZone && p.Zone != zone || c.Group == balancer.GroupCell && p.Cell != cell
+	return c.Effect == balancer.NonIdempotent || c.IdempotencyScope == balancer.ScopeZone && p.Zone != zone || c.IdempotencyScope == balancer.ScopeCell && p.Cell != cell
 }
 
 // Written says that the record for an attempt is durable, or could not be written. All that Wait for it may go out
--- a/internal/idempotency/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -13,10 +13,10 @@
 )
 
 var classes = []balancer.Class{
-	{Name: "book", Effect: balancer.Unsafe},
-	{Name: "pay", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 6 * time.Second},
-	{Name: "cell", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 6 * time.Second},
-	{Name: "any", Effect: balancer.Keyed, Window: 6 * time.Second},
+	{Name: "book", Effect: balancer.NonIdempotent},
+	{Name: "pay", Effect: balancer.Keyed, IdempotencyScope: balancer.ScopeZone, IdempotencyWindow: 6 * time.Second},
+	{Name: "cell", Effect: balancer.Keyed, IdempotencyScope: balancer.ScopeCell, IdempotencyWindow: 6 * time.Second},
+	{Name: "any", Effect: balancer.Keyed, IdempotencyWindow: 6 * time.Second},
 }
 
 var verdicts = map[Verdict]string{Go: "go", Fail: "fail"}
