--- a/internal/idempotency/middleware/guard.go
+++ b/internal/idempotency/middleware/guard.go
@@ -76,7 +76,7 @@
 type Guard struct {
 	cfg     Config
 	effects map[string]balancer.Effect
-	groups  map[string]balancer.Group
+	groups  map[string]balancer.IdempotencyScope
 	store   *store.Store // nil where nothing is written
 	line    idempotency.Line
 
@@ -98,11 +98,11 @@
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
 	}
-	g := &Guard{cfg: c, effects: map[string]balancer.Effect{}, groups: map[string]balancer.Group{},
+	g := &Guard{cfg: c, effects: map[string]balancer.Effect{}, groups: map[string]balancer.IdempotencyScope{},
 		writing: map[idempotency.Fingerprint]chan struct{}{},
 		ledger:  idempotency.New(idempotency.Config{Classes: c.Classes, Remember: c.Remember, MaxEntries: c.MaxEntries})}
 	for _, k := range c.Classes {
-		g.effects[k.Name], g.groups[k.Name] = k.Effect, k.Group
+		g.effects[k.Name], g.groups[k.Name] = k.Effect, k.IdempotencyScope
 	}
 	if c.Durability == Off {
 		g.line = idempotency.Resume(idempotency.Saved{}, 0, c.Clocks())
@@ -182,7 +182,7 @@
 }
 
 func fingerprint(c *engine.Call) idempotency.Fingerprint {
-	identity := c.Identity
+	identity := c.IdempotencyKey
 	if identity == "" {
 		identity = c.ID
 	}
@@ -205,7 +205,7 @@
 // Do fails a call that may have run, refuses one whose intent could not be made durable, and else hands it on.
 func (d doer) Do(ctx context.Context, c *engine.Call) engine.Result {
 	g := d.g
-	if g.effects[c.Class] == balancer.Safe {
+	if g.effects[c.Class] == balancer.Idempotent {
 		return d.next.Do(ctx, c)
 	}
 	fp := fingerprint(c)
@@ -216,7 +216,7 @@
 	g.mu.Lock()
 	mayHaveRun := g.ledger.Done(fp)
 	g.mu.Unlock()
-	if r.Kind == engine.Refused && mayHaveRun && g.groups[c.Class] != balancer.GroupAll {
+	if r.Kind == engine.Rejected && mayHaveRun && g.groups[c.Class] != balancer.ScopeAll {
 		r = engine.Result{Kind: engine.Failed, Attempts: r.Attempts, Err: ErrMayHaveRun} // others' attempts: no promise
 	}
 	return r
@@ -235,10 +235,10 @@
 	if len(places) == 0 && g.refuses() {
 		g.ledger.Done(fp)
 		g.count.refused++
-		return engine.Result{Kind: engine.Refused, RetryIn: g.cfg.RetryIn, Err: fmt.Errorf("%w: %w", errNotDurable, g.trouble)}, false
+		return engine.Result{Kind: engine.Rejected, RetryAfter: g.cfg.RetryIn, Err: fmt.Errorf("%w: %w", errNotDurable, g.trouble)}, false
 	}
 	for _, p := range places {
-		c.Earlier = append(c.Earlier, engine.Earlier{Zone: p.Zone, Cell: p.Cell, Sent: time.Now().Add(-now.AtMost(p.Sent, p.Boot))})
+		c.PriorAttempts = append(c.PriorAttempts, engine.PriorAttempt{Zone: p.Zone, Cell: p.Cell, SentAt: time.Now().Add(-now.AtMost(p.Sent, p.Boot))})
 	}
 	return engine.Result{}, true
 }
--- a/internal/idempotency/middleware/guard_test.go
+++ b/internal/idempotency/middleware/guard_test.go
@@ -20,13 +20,13 @@
 )
 
 var classes = []balancer.Class{
-	{Name: "look", Aim: testutil.Patience, Deadline: testutil.Patience},
-	{Name: "book", Aim: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.Unsafe},
-	{Name: "pay", Aim: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 6 * time.Second},
+	{Name: "look", LatencyObjective: testutil.Patience, Deadline: testutil.Patience},
+	{Name: "book", LatencyObjective: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.NonIdempotent},
+	{Name: "pay", LatencyObjective: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.Keyed, IdempotencyScope: balancer.ScopeZone, IdempotencyWindow: 6 * time.Second},
 }
 
 // members are one in each of four zones.
-var members = []engine.Member{{ID: "a", Zone: "a"}, {ID: "b", Zone: "b"}, {ID: "c", Zone: "c"}, {ID: "d", Zone: "d"}}
+var members = []engine.Endpoint{{ID: "a", Zone: "a"}, {ID: "b", Zone: "b"}, {ID: "c", Zone: "c"}, {ID: "d", Zone: "d"}}
 
 // wire is a transport whose attempts are the test's.
 type wire struct{ sent chan *attempt }
@@ -38,10 +38,12 @@
 	cancel chan bool
 }
 
-func (w *wire) Update(bool, []engine.Member, time.Time)                          {}
-func (w *wire) Probe(string, time.Duration) engine.Exchange                      { return nil }
-func (w *wire) Close(string)                                                     {}
-func (w *wire) Watch(int64, time.Duration, func(engine.News)) context.CancelFunc { return func() {} }
+func (w *wire) Update(bool, []engine.Endpoint, time.Time)   {}
+func (w *wire) Probe(string, time.Duration) engine.Exchange { return nil }
+func (w *wire) CloseIdle(string)                            {}
+func (w *wire) Watch(int64, time.Duration, func(engine.EndpointUpdate)) context.CancelFunc {
+	return func() {}
+}
 func (w *wire) Attempt(m string, c *engine.Call, _ time.Duration) engine.Exchange {
 	return &pending{w, &attempt{m, c, make(chan engine.Outcome, 1), make(chan bool, 9)}}
 }
@@ -60,8 +62,8 @@
 		return engine.Outcome{Result: balancer.Cancelled}
 	}
 }
-func (p *pending) Cancel() { p.cancel <- true }
-func (p *pending) Forbid() {}
+func (p *pending) Cancel()       { p.cancel <- true }
+func (p *pending) CancelUnsent() {}
 
 func (a *attempt) answer() {
 	a.end <- engine.Outcome{Result: balancer.OK, Final: true, Answer: a.member}
@@ -110,7 +112,7 @@
 		t.Fatal(err)
 	}
 	e, err := engine.New(engine.Config{Settings: balancer.Settings{MustSubscribe: true, Tick: time.Millisecond, MaxAttempts: 3, Zone: "a",
-		Classes: classes}, Seed: 1, Transport: r.g.Transport(r.wire), Source: r.wire, Known: engine.News{Members: members}})
+		Classes: classes}, Seed: 1, Transport: r.g.Transport(r.wire), Source: r.wire, CachedList: engine.EndpointUpdate{Endpoints: members}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +135,7 @@
 func (r *rig) call(class, key string) chan engine.Result {
 	r.n++
 	done := make(chan engine.Result, 1)
-	c := &engine.Call{ID: fmt.Sprint("id", r.n, "-", time.Now().UnixNano()), Class: class, Identity: key, Expires: time.Now().Add(testutil.Patience)}
+	c := &engine.Call{ID: fmt.Sprint("id", r.n, "-", time.Now().UnixNano()), Class: class, IdempotencyKey: key, ExpiresAt: time.Now().Add(testutil.Patience)}
 	go func() { done <- r.do.Do(context.Background(), c) }()
 	return done
 }
@@ -143,12 +145,12 @@
 	ctx, leave := context.WithCancel(r.t.Context())
 	done = make(chan engine.Result, 1)
 	go func() {
-		done <- r.do.Do(ctx, &engine.Call{ID: "1", Class: "book", Identity: "k", Expires: time.Now().Add(testutil.Patience)})
+		done <- r.do.Do(ctx, &engine.Call{ID: "1", Class: "book", IdempotencyKey: "k", ExpiresAt: time.Now().Add(testutil.Patience)})
 	}()
 	return done, leave
 }
 
-func (r *rig) want(done chan engine.Result, kind engine.Kind, what string) engine.Result {
+func (r *rig) want(done chan engine.Result, kind engine.ResultKind, what string) engine.Result {
 	r.t.Helper()
 	got := testutil.Receive(r.t, done, what)
 	if got.Kind != kind {
@@ -277,7 +279,7 @@
 	done, leave := r.leaver()
 	testutil.Until(t, "its intent", func() bool { return r.g.State().Open == 1 })
 	leave()
-	r.want(done, engine.Left, "the one that left")
+	r.want(done, engine.Disconnected, "the one that left")
 	testutil.Until(t, "its end", func() bool { s := r.g.State(); return s.Open == 0 && s.Remembered == 0 })
 	if len(r.wire.sent) > 0 {
 		t.Error("it went out")
@@ -304,7 +306,7 @@
 	done, leave := r.leaver()
 	testutil.Until(t, "the other's intent", func() bool { return r.g.State().Open == 2 })
 	leave()
-	r.want(done, engine.Left, "the one that left")
+	r.want(done, engine.Disconnected, "the one that left")
 	r.attempt().answer()
 	r.want(first, engine.Served, "the first")
 	testutil.Until(t, "its end", func() bool { return r.g.State().Open == 0 })
@@ -338,8 +340,8 @@
 						r.want(r.call("book", fmt.Sprint("k", i)), engine.Failed, "its repeat, known to this process")
 						continue
 					}
-					if got := r.want(done, engine.Refused, "one without a durable intent"); i > 0 && got.RetryIn != time.Second {
-						t.Errorf("%+v: told to come back in %v", got.Err, got.RetryIn)
+					if got := r.want(done, engine.Rejected, "one without a durable intent"); i > 0 && got.RetryAfter != time.Second {
+						t.Errorf("%+v: told to come back in %v", got.Err, got.RetryAfter)
 					}
 				}
 				safe := r.call("look", "")
@@ -379,7 +381,7 @@
 				r.attempt().answer()
 				r.want(done, engine.Served, "one that fits")
 			} else {
-				r.want(done, engine.Refused, "one beyond")
+				r.want(done, engine.Rejected, "one beyond")
 			}
 		}
 		if s := r.g.State(); s.Remembered != 2 || s.Trouble == "" {
@@ -397,7 +399,7 @@
 		for range 3 {
 			r.attempt().end <- engine.Outcome{Result: balancer.ConnectFailed}
 		}
-		r.want(done, engine.Refused, "one that never ran")
+		r.want(done, engine.Rejected, "one that never ran")
 	}
 	r.stop()
 	r = life(t, m, fs, nil)
--- a/internal/idempotency/middleware/inspect.go
+++ b/internal/idempotency/middleware/inspect.go
@@ -47,7 +47,7 @@
 			where = append(where, fmt.Sprintf("%s/%d", p.Zone, p.Cell))
 		}
 		list = append(list, Remembered{Fingerprint: fp.String(), Class: r.Class,
-			Effect: map[balancer.Effect]string{balancer.Keyed: "keyed", balancer.Unsafe: "unsafe"}[r.Effect],
+			Effect: map[balancer.Effect]string{balancer.Keyed: "keyed", balancer.NonIdempotent: "unsafe"}[r.Effect],
 			State:  map[idempotency.State]string{idempotency.Open: "open", idempotency.Unknown: "unknown", idempotency.Ran: "ran"}[r.State],
 			Since:  time.UnixMilli(int64(r.Since)), Expires: time.UnixMilli(int64(r.Expires)), Where: strings.Join(where, " ")})
 	})
--- a/internal/idempotency/middleware/transport.go
+++ b/internal/idempotency/middleware/transport.go
@@ -12,22 +12,22 @@
 
 // Transport is next with the ledger before each attempt of a call that is not safe.
 func (g *Guard) Transport(next engine.Transport) engine.Transport {
-	return &transport{Transport: next, g: g, members: map[string]engine.Member{}}
+	return &transport{Transport: next, g: g, members: map[string]engine.Endpoint{}}
 }
 
 // transport is used by the engine's goroutine only, as its interface says.
 type transport struct {
 	engine.Transport
 	g       *Guard
-	members map[string]engine.Member // of the list: as long as that is
+	members map[string]engine.Endpoint // of the list: as long as that is
 }
 
-func (t *transport) Update(whole bool, entries []engine.Member, told time.Time) {
+func (t *transport) Update(whole bool, entries []engine.Endpoint, told time.Time) {
 	if whole {
 		clear(t.members)
 	}
 	for _, m := range entries {
-		if m.State == balancer.Left {
+		if m.State == balancer.Removed {
 			delete(t.members, m.ID)
 		} else {
 			t.members[m.ID] = m
@@ -38,7 +38,7 @@
 
 func (t *transport) Attempt(member string, c *engine.Call, timeout time.Duration) engine.Exchange {
 	x := t.Transport.Attempt(member, c, timeout)
-	if x == nil || t.g.effects[c.Class] == balancer.Safe {
+	if x == nil || t.g.effects[c.Class] == balancer.Idempotent {
 		return x
 	}
 	m := t.members[member]
@@ -67,7 +67,7 @@
 	a, err := x.intend()
 	if err != nil {
 		x.Exchange.Cancel()
-		return engine.Outcome{Result: balancer.Moot, Err: err}
+		return engine.Outcome{Result: balancer.NotSent, Err: err}
 	}
 	waited := time.Since(asked)
 	o := x.Exchange.Run(begin)
@@ -85,9 +85,9 @@
 }
 
 // Forbid ends it unless it has begun to write.
-func (x *exchange) Forbid() {
+func (x *exchange) CancelUnsent() {
 	x.stop()
-	x.Exchange.Forbid()
+	x.Exchange.CancelUnsent()
 }
 
 func (x *exchange) stop() {
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -103,7 +103,7 @@
 	for range in.byte() {
 		r.Places = append(r.Places, Place{Sent: Time(in.uint64()), Boot: in.uint32(), Cell: int(int32(in.uint32())), Zone: in.text()})
 	}
-	if in.bad || len(in.b) > 0 || r.Effect != balancer.Keyed && r.Effect != balancer.Unsafe || r.State < Open || r.State > Ran {
+	if in.bad || len(in.b) > 0 || r.Effect != balancer.Keyed && r.Effect != balancer.NonIdempotent || r.State < Open || r.State > Ran {
 		return Record{}, errRecord
 	}
 	return r, nil
--- a/internal/simulation/baseline/pickers.go
+++ b/internal/simulation/baseline/pickers.go
@@ -41,8 +41,8 @@
 // plain learns nothing.
 type plain struct{ b *rival }
 
-func (plain) listed()                                                      {}
-func (plain) ended(*server, balancer.Result, time.Duration, balancer.Load) {}
+func (plain) listed()                                                            {}
+func (plain) ended(*server, balancer.Result, time.Duration, balancer.LoadReport) {}
 
 // pickFirst stays with one server while it can be had.
 type pickFirst struct {
@@ -74,8 +74,8 @@
 	work := p.b.truth.Work(r.id)
 	var best *server
 	least := r.end - p.b.now
-	if r.class.LateShare == 0 {
-		least = min(least, r.came+r.class.Aim-p.b.now)
+	if r.class.LateWeight == 0 {
+		least = min(least, r.came+r.class.LatencyObjective-p.b.now)
 	}
 	for _, s := range ready {
 		if d, ok := p.b.truth.Ends(s.id, work); ok && d < least {
@@ -145,9 +145,9 @@
 	return x
 }
 
-func (p *peakEWMA) ended(s *server, r balancer.Result, elapsed time.Duration, _ balancer.Load) {
+func (p *peakEWMA) ended(s *server, r balancer.Result, elapsed time.Duration, _ balancer.LoadReport) {
 	x := elapsed.Seconds()
-	if r == balancer.Cancelled || r == balancer.Moot {
+	if r == balancer.Cancelled || r == balancer.NotSent {
 		return
 	}
 	w := math.Exp(-float64(p.b.now-s.stamp) / float64(ewmaMemory))
@@ -209,13 +209,13 @@
 
 func (p *weighted) listed() { p.update() }
 
-func (p *weighted) ended(s *server, r balancer.Result, _ time.Duration, load balancer.Load) {
+func (p *weighted) ended(s *server, r balancer.Result, _ time.Duration, load balancer.LoadReport) {
 	if r == balancer.OK {
 		s.served++
 	}
-	if load.Told {
+	if load.Reported {
 		rate := max(1, float64(s.served)/max((p.b.now-s.since).Seconds(), 0.1))
-		s.reported, s.stamp = rate/min(1, max(leastUtil, load.Held/fullHeld)), p.b.now
+		s.reported, s.stamp = rate/min(1, max(leastUtil, load.InFlight/fullHeld)), p.b.now
 	}
 }
 
--- a/internal/simulation/baseline/rival.go
+++ b/internal/simulation/baseline/rival.go
@@ -140,7 +140,7 @@
 	pick(r *request, ready []*server) *server
 	// listed says that the list has changed.
 	listed()
-	ended(s *server, res balancer.Result, elapsed time.Duration, load balancer.Load)
+	ended(s *server, res balancer.Result, elapsed time.Duration, load balancer.LoadReport)
 }
 
 type timer struct {
@@ -171,10 +171,10 @@
 func (b *rival) Handle(now time.Duration, e balancer.Event, acts []balancer.Action) []balancer.Action {
 	b.now, b.acts = now, acts
 	switch e := e.(type) {
-	case balancer.Members:
+	case balancer.EndpointUpdate:
 		b.members(e)
 	case balancer.Request:
-		r := &request{id: e.ID, key: e.Key, class: b.classes[e.Class], came: now, end: e.Expires - 2*b.set.Tick}
+		r := &request{id: e.ID, key: e.AffinityKey, class: b.classes[e.Class], came: now, end: e.ExpiresAt - 2*b.set.Tick}
 		b.requests[r.id] = r
 		heap.Push(&b.timers, timer{r.end, r})
 		b.act(balancer.Action{Kind: balancer.SetTimer, At: b.timers[0].at})
@@ -182,11 +182,11 @@
 		b.move(r)
 	case balancer.Outcome:
 		b.outcome(e)
-	case balancer.Gone:
+	case balancer.ClientDisconnected:
 		if r := b.requests[e.ID]; r != nil {
 			b.close(r)
 		}
-	case balancer.Wake:
+	case balancer.TimerFired:
 		for len(b.timers) > 0 && b.timers[0].at <= now {
 			if r := heap.Pop(&b.timers).(timer).r; r == nil {
 				b.act(balancer.Action{Kind: balancer.Subscribe})
@@ -203,24 +203,24 @@
 
 func (b *rival) act(a balancer.Action) { b.acts = append(b.acts, a) }
 
-func (b *rival) members(e balancer.Members) {
-	if e.Kind == balancer.Failed {
+func (b *rival) members(e balancer.EndpointUpdate) {
+	if e.Kind == balancer.WatchFailed {
 		heap.Push(&b.timers, timer{at: b.now + askWait})
 		b.act(balancer.Action{Kind: balancer.SetTimer, At: b.timers[0].at})
 		return
 	}
-	if e.Kind == balancer.Saved && b.set.MustSubscribe {
+	if e.Kind == balancer.CachedList && b.set.MustSubscribe {
 		b.act(balancer.Action{Kind: balancer.Subscribe})
 	}
-	if e.Kind != balancer.Change {
+	if e.Kind != balancer.Delta {
 		for _, s := range b.list {
 			s.active = false
 		}
 	}
-	for _, m := range e.Entries {
-		s := b.servers[m.Upstream]
+	for _, m := range e.Endpoints {
+		s := b.servers[m.ID]
 		if s == nil {
-			s = &server{id: m.Upstream, hash: hash(m.Upstream), since: b.now}
+			s = &server{id: m.ID, hash: hash(m.ID), since: b.now}
 			b.servers[s.id] = s
 			b.list = append(b.list, s)
 		}
@@ -261,7 +261,7 @@
 	r.attempts = append(r.attempts, &attempt{s: s, sent: b.now, out: true, mayRun: true})
 	r.out++
 	s.pending++
-	b.act(balancer.Action{Kind: balancer.Send, ID: r.id, Upstream: s.id, Timeout: max(r.end-b.now, b.set.Tick)})
+	b.act(balancer.Action{Kind: balancer.Send, ID: r.id, Endpoint: s.id, Timeout: max(r.end-b.now, b.set.Tick)})
 }
 
 // allowed holds a request to the rules on repeats.
@@ -271,11 +271,11 @@
 			continue
 		}
 		switch r.class.Effect {
-		case balancer.Unsafe:
+		case balancer.NonIdempotent:
 			return false
 		case balancer.Keyed:
-			if b.now-a.sent > r.class.Window-2*b.set.Tick || r.class.Group == balancer.GroupZone && a.s.zone != s.zone ||
-				r.class.Group == balancer.GroupCell && a.s.cell != s.cell {
+			if b.now-a.sent > r.class.IdempotencyWindow-2*b.set.Tick || r.class.IdempotencyScope == balancer.ScopeZone && a.s.zone != s.zone ||
+				r.class.IdempotencyScope == balancer.ScopeCell && a.s.cell != s.cell {
 				return false
 			}
 		}
@@ -344,12 +344,12 @@
 		return
 	}
 	for n, a := range r.attempts {
-		if a.out && b.set.Cancelling {
+		if a.out && b.set.Cancellation {
 			b.act(balancer.Action{Kind: balancer.Cancel, ID: r.id, Attempt: n})
 		}
 	}
-	kind := balancer.Refuse
-	if r.class.Effect != balancer.Safe && slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun }) {
+	kind := balancer.Reject
+	if r.class.Effect != balancer.Idempotent && slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun }) {
 		kind = balancer.Fail
 	}
 	b.act(balancer.Action{Kind: kind, ID: r.id})
--- a/internal/simulation/baseline/rival_test.go
+++ b/internal/simulation/baseline/rival_test.go
@@ -66,18 +66,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var list []balancer.Member
+		var list []balancer.Endpoint
 		for i := range n {
-			list = append(list, balancer.Member{Upstream: fmt.Sprint("u", i)})
+			list = append(list, balancer.Endpoint{ID: fmt.Sprint("u", i)})
 		}
-		p.Handle(0, balancer.Members{Entries: list}, nil)
+		p.Handle(0, balancer.EndpointUpdate{Endpoints: list}, nil)
 		load := map[string]int{}
 		most := 0
 		for i := range n {
-			for _, a := range p.Handle(time.Duration(i), balancer.Request{ID: fmt.Sprint(i), Class: "c", Expires: time.Hour}, nil) {
+			for _, a := range p.Handle(time.Duration(i), balancer.Request{ID: fmt.Sprint(i), Class: "c", ExpiresAt: time.Hour}, nil) {
 				if a.Kind == balancer.Send {
-					load[a.Upstream]++
-					most = max(most, load[a.Upstream])
+					load[a.Endpoint]++
+					most = max(most, load[a.Endpoint])
 				}
 			}
 		}
@@ -98,11 +98,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var list []balancer.Member
+			var list []balancer.Endpoint
 			for s := range servers {
-				list = append(list, balancer.Member{Upstream: fmt.Sprint("u", s)})
+				list = append(list, balancer.Endpoint{ID: fmt.Sprint("u", s)})
 			}
-			p.Handle(0, balancer.Members{Entries: list}, nil)
+			p.Handle(0, balancer.EndpointUpdate{Endpoints: list}, nil)
 			for _, s := range p.(*rival).picker.(*subset).mine {
 				count[s.id]++
 			}
--- a/internal/simulation/callgraph/play.go
+++ b/internal/simulation/callgraph/play.go
@@ -125,18 +125,18 @@
 	x := &sidecar{w: w, to: t, byName: map[string]*node{}, calls: map[string]*call{}}
 	var err error
 	aim := time.Duration(w.cfg.Deadline)
-	x.policy, err = balancer.New(balancer.Settings{Balancers: len(s.nodes), Zone: "a", MaxAttempts: w.cfg.Attempts, Cancelling: true, SecondCopies: w.cfg.Copies,
-		ConnectTimeout: time.Second, Classes: []balancer.Class{{Name: class, Aim: aim, Deadline: aim, LateShare: 0.5, Effect: balancer.Safe}}}, seed)
+	x.policy, err = balancer.New(balancer.Settings{Balancers: len(s.nodes), Zone: "a", MaxAttempts: w.cfg.Attempts, Cancellation: true, Hedging: w.cfg.Copies,
+		ConnectTimeout: time.Second, Classes: []balancer.Class{{Name: class, LatencyObjective: aim, Deadline: aim, LateWeight: 0.5, Effect: balancer.Idempotent}}}, seed)
 	if err != nil {
 		return nil, err
 	}
-	var list []balancer.Member
+	var list []balancer.Endpoint
 	for i, n := range t.nodes {
 		name := fmt.Sprint(t.index, ".", i)
 		x.byName[name] = n
-		list = append(list, balancer.Member{Upstream: name, Zone: "a", Kind: "m"})
+		list = append(list, balancer.Endpoint{ID: name, Zone: "a", Kind: "m"})
 	}
-	x.handle(balancer.Members{Kind: balancer.Full, Entries: list})
+	x.handle(balancer.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: list})
 	return x, nil
 }
 
@@ -238,7 +238,7 @@
 	x.number++
 	c := &call{from: x, id: strconv.Itoa(x.number), path: path, depth: depth, end: end}
 	x.calls[c.id] = c
-	x.handle(balancer.Request{ID: c.id, Class: class, Expires: due + past})
+	x.handle(balancer.Request{ID: c.id, Class: class, ExpiresAt: due + past})
 }
 
 // handle lets the policy decide, and does what it says.
@@ -258,11 +258,11 @@
 	w := x.w
 	switch a.Kind {
 	case balancer.Send:
-		x.send(x.calls[a.ID], x.byName[a.Upstream], a.Timeout)
+		x.send(x.calls[a.ID], x.byName[a.Endpoint], a.Timeout)
 	case balancer.Cancel:
 		try := x.calls[a.ID].attempts[a.Attempt]
 		w.after(0, func() { try.end(balancer.Cancelled) }) // its outcome is an event of its own
-	case balancer.Refuse, balancer.Fail:
+	case balancer.Reject, balancer.Fail:
 		w.m.refused(w, len(x.calls[a.ID].attempts))
 		x.finish(x.calls[a.ID], false)
 	case balancer.SetTimer:
@@ -272,7 +272,7 @@
 			w.queue.Push(at, func() {
 				if x.wake == at {
 					x.wake = 0
-					x.handle(balancer.Wake{})
+					x.handle(balancer.TimerFired{})
 				}
 			})
 		}
--- a/internal/simulation/experiment/file.go
+++ b/internal/simulation/experiment/file.go
@@ -375,8 +375,8 @@
 	return nil, fmt.Errorf("there is no table %s", path[0])
 }
 
-var effects = map[string]balancer.Effect{"": balancer.Safe, "safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
-var groups = map[string]balancer.Group{"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+var effects = map[string]balancer.Effect{"": balancer.Idempotent, "safe": balancer.Idempotent, "keyed": balancer.Keyed, "unsafe": balancer.NonIdempotent}
+var groups = map[string]balancer.IdempotencyScope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 
 // Build is the world as the lab plays it, faults included.
 func (f *File) Build() (c simulator.Config, err error) {
@@ -409,8 +409,8 @@
 		if !slices.Contains([]string{"", "exp", "fixed", "lognormal", "pareto"}, t.Kind) {
 			return c, fmt.Errorf("world.class.%s: kind %q is none", name, t.Kind)
 		}
-		c.Classes = append(c.Classes, simulator.Class{Class: balancer.Class{Name: name, Aim: d(t.Aim), Deadline: d(t.Deadline), Worth: t.Worth, LateShare: t.Late,
-			Effect: effect, Group: group, Window: d(t.Window)}, Share: t.Share, Work: simulator.Work{Kind: cmp.Or(t.Kind, "exp"), Mean: d(t.Work), Spread: t.Spread}, HintSpan: t.Hint})
+		c.Classes = append(c.Classes, simulator.Class{Class: balancer.Class{Name: name, LatencyObjective: d(t.Aim), Deadline: d(t.Deadline), Weight: t.Worth, LateWeight: t.Late,
+			Effect: effect, IdempotencyScope: group, IdempotencyWindow: d(t.Window)}, Share: t.Share, Work: simulator.Work{Kind: cmp.Or(t.Kind, "exp"), Mean: d(t.Work), Spread: t.Spread}, HintSpan: t.Hint})
 		shares += t.Share
 		work += t.Share * d(t.Work).Seconds()
 	}
@@ -448,8 +448,8 @@
 	r := &w.Rules
 	c.Rules = simulator.Rules{ColdFrom: r.ColdFrom, WarmUp: d(r.WarmUp), FallMultiple: r.FallMultiple, FallTime: d(r.FallTime), DrainGrace: d(r.DrainGrace)}
 	s := &w.Settings
-	c.Settings = balancer.Settings{Tick: cmp.Or(d(s.Tick), 5*time.Millisecond), MaxAttempts: max(s.Attempts, 1), SecondCopies: s.Copies, Cancelling: s.Cancelling,
-		Probes: s.Probes, LoadByProbes: s.Probes, RetryAfter: s.RetryAfter > 0, MaxRetryAfter: d(s.RetryAfter), PriceCrossZone: s.CrossZone}
+	c.Settings = balancer.Settings{Tick: cmp.Or(d(s.Tick), 5*time.Millisecond), MaxAttempts: max(s.Attempts, 1), Hedging: s.Copies, Cancellation: s.Cancelling,
+		Probes: s.Probes, ProbesReportLoad: s.Probes, RetryAfter: s.RetryAfter > 0, MaxRetryAfter: d(s.RetryAfter), PriceCrossZone: s.CrossZone}
 	for _, x := range f.Fault {
 		c.Faults = append(c.Faults, simulator.Fault{At: d(x.At), What: x.What, Node: x.Node, Zone: x.Zone, Share: x.Share, Times: x.Times, For: d(x.For), Every: d(x.Every)})
 	}
--- a/internal/simulation/simulator/bench_test.go
+++ b/internal/simulation/simulator/bench_test.go
@@ -18,10 +18,10 @@
 			b.Run(fmt.Sprintf("%d nodes, %d instances, %s", c.nodes, c.instances, name), func(b *testing.B) {
 				cfg := plain(c.nodes, 1, 64, float64(c.nodes)*50, Work{"exp", 10 * ms, 0}, time.Second)
 				cfg.Length = time.Duration(50_000 / cfg.Clients.Rate * float64(time.Second))
-				cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 200*ms, 2*time.Second
+				cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 200*ms, 2*time.Second
 				cfg.Clients.Instances = c.instances
 				cfg.Network.Same = ms
-				cfg.Settings = balancer.Settings{Tick: 5 * ms, MaxAttempts: 3, SecondCopies: true, Cancelling: true}
+				cfg.Settings = balancer.Settings{Tick: 5 * ms, MaxAttempts: 3, Hedging: true, Cancellation: true}
 				requests := 0
 				for b.Loop() {
 					r, err := Run(cfg, policy, 1)
--- a/internal/simulation/simulator/discovery.go
+++ b/internal/simulation/simulator/discovery.go
@@ -27,7 +27,7 @@
 
 // entry is what discovery knows of a node: news of a process takes its time.
 type entry struct {
-	state balancer.State
+	state balancer.EndpointState
 	born  time.Duration
 }
 
@@ -38,7 +38,7 @@
 func (i *instance) subscribe() {
 	w := i.w
 	if !w.asked() {
-		i.handle(balancer.Members{Kind: balancer.Full, Entries: w.list(i)})
+		i.handle(balancer.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: w.list(i)})
 		return
 	}
 	d, c := &w.discovery, &w.cfg.Discovery
@@ -50,9 +50,9 @@
 				return
 			}
 			if i.subscribed = ok && d.falls == falls; i.subscribed {
-				i.hear(func() { i.listed(balancer.Full, d.list(i)) })
+				i.hear(func() { i.listed(balancer.CompleteList, d.list(i)) })
 			} else {
-				i.handle(balancer.Members{Kind: balancer.Failed})
+				i.handle(balancer.EndpointUpdate{Kind: balancer.WatchFailed})
 			}
 		})
 	}
@@ -77,9 +77,9 @@
 }
 
 // list is what discovery has to tell, as an instance sees it.
-func (d *discovery) list(i *instance) (list []balancer.Member) {
+func (d *discovery) list(i *instance) (list []balancer.Endpoint) {
 	for n, e := range d.knows {
-		if e.state != balancer.Left {
+		if e.state != balancer.Removed {
 			list = append(list, i.w.nodes[n].member(i, e.state, e.born))
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 // learn lets discovery know a node's state, late, and tells those whose watch is open.
-func (w *World) learn(n *node, s balancer.State) {
+func (w *World) learn(n *node, s balancer.EndpointState) {
 	born := n.born
 	d := w.cfg.List.Least + time.Duration(w.network.Float64()*float64(w.cfg.List.Most-w.cfg.List.Least))
 	w.after(d, func() {
@@ -96,7 +96,7 @@
 			if life := i.life; i.subscribed {
 				w.after(w.cfg.Network.Same, func() {
 					if i.life == life && i.subscribed {
-						i.hear(func() { i.listed(balancer.Change, []balancer.Member{n.member(i, s, born)}) })
+						i.hear(func() { i.listed(balancer.Delta, []balancer.Endpoint{n.member(i, s, born)}) })
 					}
 				})
 			}
@@ -105,23 +105,23 @@
 }
 
 // listed hands a list, or changes of it, to the policy, and notes what it was told.
-func (i *instance) listed(kind balancer.MembersKind, entries []balancer.Member) {
-	if i.has == nil || kind != balancer.Change {
+func (i *instance) listed(kind balancer.UpdateKind, entries []balancer.Endpoint) {
+	if i.has == nil || kind != balancer.Delta {
 		old := i.has
-		i.has = map[string]balancer.Member{}
+		i.has = map[string]balancer.Endpoint{}
 		for name := range old { // what a whole list does not name is gone
-			i.note(i.w.byName[name], balancer.Left)
+			i.note(i.w.byName[name], balancer.Removed)
 		}
 	}
 	for _, m := range entries {
-		i.has[m.Upstream] = m
-		i.note(i.w.byName[m.Upstream], m.State)
+		i.has[m.ID] = m
+		i.note(i.w.byName[m.ID], m.State)
 	}
-	i.handle(balancer.Members{Kind: kind, Entries: entries})
+	i.handle(balancer.EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
 // note remembers since when an instance has known that a node leaves, or has left.
-func (i *instance) note(n *node, s balancer.State) {
+func (i *instance) note(n *node, s balancer.EndpointState) {
 	if s == balancer.Active {
 		i.told[n.index] = 0
 	} else if i.told[n.index] == 0 {
@@ -139,7 +139,7 @@
 			i.subscribed = false
 			w.after(w.cfg.Network.Same, func() {
 				if i.life == life {
-					i.handle(balancer.Members{Kind: balancer.Failed})
+					i.handle(balancer.EndpointUpdate{Kind: balancer.WatchFailed})
 				}
 			})
 		}
@@ -178,10 +178,10 @@
 		panic(err) // the same settings made one before
 	}
 	i.dead = false
-	var known []balancer.Member
+	var known []balancer.Endpoint
 	for _, name := range slices.Sorted(maps.Keys(i.has)) {
 		known = append(known, i.has[name])
 	}
 	rand.New(rand.NewPCG(seed, 1)).Shuffle(len(known), func(a, b int) { known[a], known[b] = known[b], known[a] })
-	i.listed(balancer.Saved, known)
+	i.listed(balancer.CachedList, known)
 }
--- a/internal/simulation/simulator/discovery_test.go
+++ b/internal/simulation/simulator/discovery_test.go
@@ -21,17 +21,17 @@
 
 func (p *listener) Handle(now time.Duration, e balancer.Event, acts []balancer.Action) []balancer.Action {
 	switch v := e.(type) {
-	case balancer.Members:
-		names := map[balancer.MembersKind]string{balancer.Full: "full", balancer.Change: "change", balancer.Saved: "saved", balancer.Failed: "failed"}
-		*p.log = append(*p.log, fmt.Sprintf("%v %s %d", (now-past).Round(ms), names[v.Kind], len(v.Entries)))
+	case balancer.EndpointUpdate:
+		names := map[balancer.UpdateKind]string{balancer.CompleteList: "full", balancer.Delta: "change", balancer.CachedList: "saved", balancer.WatchFailed: "failed"}
+		*p.log = append(*p.log, fmt.Sprintf("%v %s %d", (now-past).Round(ms), names[v.Kind], len(v.Endpoints)))
 		switch {
-		case v.Kind == balancer.Saved:
+		case v.Kind == balancer.CachedList:
 			return append(acts, balancer.Action{Kind: balancer.Subscribe})
-		case v.Kind == balancer.Failed && p.again > 0:
+		case v.Kind == balancer.WatchFailed && p.again > 0:
 			p.ask = now + p.again
 			return append(acts, balancer.Action{Kind: balancer.SetTimer, At: p.ask})
 		}
-	case balancer.Wake:
+	case balancer.TimerFired:
 		if p.ask > 0 && now >= p.ask {
 			p.ask = 0
 			return append(acts, balancer.Action{Kind: balancer.Subscribe})
--- a/internal/simulation/simulator/faults.go
+++ b/internal/simulation/simulator/faults.go
@@ -45,8 +45,8 @@
 		return
 	case "empty":
 		for _, i := range w.instances {
-			i.handle(balancer.Members{Kind: balancer.Full})
-			w.after(f.For, func() { i.handle(balancer.Members{Kind: balancer.Full, Entries: w.list(i)}) })
+			i.handle(balancer.EndpointUpdate{Kind: balancer.CompleteList})
+			w.after(f.For, func() { i.handle(balancer.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: w.list(i)}) })
 		}
 		return
 	case "stall":
@@ -101,7 +101,7 @@
 		}
 	case "crash", "vanish":
 		n.die(f.What == "vanish")
-		w.notice(n, balancer.Left)
+		w.notice(n, balancer.Removed)
 	case "restart":
 		n.rise()
 		w.notice(n, balancer.Active)
@@ -112,7 +112,7 @@
 			return
 		}
 		n.drains = true
-		w.tell(n, balancer.Leaving)
+		w.tell(n, balancer.Draining)
 		var leave func()
 		leave = func() {
 			if n.held() > 0 {
@@ -120,7 +120,7 @@
 				return
 			}
 			n.die(false)
-			w.notice(n, balancer.Left)
+			w.notice(n, balancer.Removed)
 			if f.What == "replace" {
 				w.after(w.cfg.List.Most, func() {
 					n.rise()
@@ -137,7 +137,7 @@
 		state := balancer.Active
 		for at := time.Duration(0); at < f.For; at += every {
 			w.after(at, func() {
-				state = balancer.Left - state // gone, and there again
+				state = balancer.Removed - state // gone, and there again
 				w.tell(n, state)
 			})
 		}
@@ -146,7 +146,7 @@
 }
 
 // notice tells all instances that a process has died or started, once the list knows and unless it is another by then.
-func (w *World) notice(n *node, s balancer.State) {
+func (w *World) notice(n *node, s balancer.EndpointState) {
 	life := n.life
 	w.after(w.cfg.List.Notice, func() {
 		if n.life == life {
--- a/internal/simulation/simulator/instance.go
+++ b/internal/simulation/simulator/instance.go
@@ -15,10 +15,10 @@
 	index      int
 	zone       int
 	policy     Policy
-	life       int                        // counts its processes
-	dead       bool                       // killed, and not started again
-	has        map[string]balancer.Member // the list, as it was told last; where it has to be asked for
-	subscribed bool                       // discovery tells it of changes
+	life       int                          // counts its processes
+	dead       bool                         // killed, and not started again
+	has        map[string]balancer.Endpoint // the list, as it was told last; where it has to be asked for
+	subscribed bool                         // discovery tells it of changes
 	set        balancer.Settings
 	calls      map[string]*call
 	wake       time.Duration // when the policy is to be woken; 0: not
@@ -74,8 +74,8 @@
 		zone = c.Zones[index%len(c.Zones)]
 	}
 	s.Zone, s.Balancers = zone, c.Instances
-	s.ColdFrom, s.WarmUp = w.cfg.Rules.ColdFrom, w.cfg.Rules.WarmUp
-	s.FallMultiple, s.FallTime = w.cfg.Rules.FallMultiple, w.cfg.Rules.FallTime
+	s.InitialCapacity, s.WarmUp = w.cfg.Rules.ColdFrom, w.cfg.Rules.WarmUp
+	s.OverloadMultiple, s.OverloadDuration = w.cfg.Rules.FallMultiple, w.cfg.Rules.FallTime
 	s.ConnectTimeout = w.cfg.Network.ConnectTimeout
 	s.MustSubscribe = w.asked()
 	s.Classes = nil
@@ -95,9 +95,9 @@
 		return err
 	}
 	if w.asked() {
-		w.at(0, func() { i.listed(balancer.Saved, w.list(i)) })
+		w.at(0, func() { i.listed(balancer.CachedList, w.list(i)) })
 	} else {
-		w.at(0, func() { i.handle(balancer.Members{Kind: balancer.Full, Entries: w.list(i)}) })
+		w.at(0, func() { i.handle(balancer.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: w.list(i)}) })
 	}
 	return nil
 }
@@ -141,9 +141,9 @@
 			x := c.attempts[a.Attempt]
 			w.after(0, func() { w.giveUp(x, balancer.Cancelled) }) // its outcome is an event of its own
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		if c := i.calls[a.ID]; c != nil {
-			c.answer(Refused, a.RetryIn)
+			c.answer(Refused, a.RetryAfter)
 			i.forget(c)
 		}
 	case balancer.Fail:
@@ -160,7 +160,7 @@
 					i.behind(func() {
 						if i.wake == at {
 							i.wake = 0
-							i.handle(balancer.Wake{})
+							i.handle(balancer.TimerFired{})
 						}
 					})
 				}
@@ -168,19 +168,19 @@
 		}
 	case balancer.Subscribe:
 		i.subscribe()
-	case balancer.Close:
-		if n := w.byName[a.Upstream]; n != nil {
+	case balancer.CloseIdle:
+		if n := w.byName[a.Endpoint]; n != nil {
 			i.closeIdle(n)
 		}
 	case balancer.Probe:
-		i.probe(w.byName[a.Upstream])
+		i.probe(w.byName[a.Endpoint])
 	}
 }
 
 func (i *instance) send(a *balancer.Action) {
-	c, n := i.calls[a.ID], i.w.byName[a.Upstream]
+	c, n := i.calls[a.ID], i.w.byName[a.Endpoint]
 	if c == nil || n == nil {
-		i.w.m.broke("an attempt that cannot be made, of %s to %s", a.ID, a.Upstream)
+		i.w.m.broke("an attempt that cannot be made, of %s to %s", a.ID, a.Endpoint)
 		return
 	}
 	if c.answered && !c.left {
@@ -214,9 +214,9 @@
 			return
 		}
 		c.read = true
-		e := balancer.Request{ID: c.id, Class: r.class.Name, Expires: i.w.now + patience + past, Hint: r.hint}
+		e := balancer.Request{ID: c.id, Class: r.class.Name, ExpiresAt: i.w.now + patience + past, ExpectedWork: r.hint}
 		if r.key > 0 {
-			e.Key = strconv.Itoa(r.key)
+			e.AffinityKey = strconv.Itoa(r.key)
 		}
 		i.handle(e)
 	})
@@ -285,7 +285,7 @@
 		return
 	}
 	c.leaving = false
-	i.handle(balancer.Gone{ID: c.id})
+	i.handle(balancer.ClientDisconnected{ID: c.id})
 	for _, a := range c.attempts {
 		i.w.giveUp(a, balancer.Cancelled)
 	}
@@ -299,19 +299,19 @@
 	}
 	n.probes++
 	sent := w.now
-	end := func(r balancer.Result, load balancer.Load) {
-		i.handle(balancer.ProbeResult{Upstream: n.Name, Result: r, Elapsed: w.now - sent, Load: load})
+	end := func(r balancer.Result, load balancer.LoadReport) {
+		i.handle(balancer.ProbeResult{Endpoint: n.Name, Result: r, Elapsed: w.now - sent, Load: load})
 	}
 	z := w.zones[n.Zone]
 	there, ok := w.delay(i.zone, z)
 	back, okBack := w.delay(z, i.zone)
 	if !ok || !okBack || n.dead || n.vanished || n.paused {
-		w.after(probeTime, func() { end(balancer.Timeout, balancer.Load{}) })
+		w.after(probeTime, func() { end(balancer.Timeout, balancer.LoadReport{}) })
 		return
 	}
 	w.after(there, func() {
 		held := float64(n.held())
-		w.after(back, func() { end(balancer.OK, balancer.Load{Told: true, Held: held}) })
+		w.after(back, func() { end(balancer.OK, balancer.LoadReport{Reported: true, InFlight: held}) })
 	})
 }
 
@@ -396,21 +396,21 @@
 // ---- the list ----
 
 // member is how an instance sees a node: when it came up is told by the node's clock, and read by the instance's.
-func (n *node) member(i *instance, s balancer.State, born time.Duration) balancer.Member {
-	m := balancer.Member{Upstream: n.Name, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: s}
+func (n *node) member(i *instance, s balancer.EndpointState, born time.Duration) balancer.Endpoint {
+	m := balancer.Endpoint{ID: n.Name, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: s}
 	if born > 0 {
-		m.CameUp = max(1, born+past+i.skew)
+		m.StartedAt = max(1, born+past+i.skew)
 	}
 	return m
 }
 
 // list is the whole list as it is now, for an instance.
-func (w *World) list(i *instance) (list []balancer.Member) {
+func (w *World) list(i *instance) (list []balancer.Endpoint) {
 	for _, n := range w.nodes {
 		switch {
 		case n.dead || n.vanished:
 		case n.drains:
-			list = append(list, n.member(i, balancer.Leaving, n.born))
+			list = append(list, n.member(i, balancer.Draining, n.born))
 		default:
 			list = append(list, n.member(i, balancer.Active, n.born))
 		}
@@ -419,7 +419,7 @@
 }
 
 // tell tells all instances of a node's state, each late by a time of its own, and in order.
-func (w *World) tell(n *node, s balancer.State) {
+func (w *World) tell(n *node, s balancer.EndpointState) {
 	if w.asked() {
 		w.learn(n, s)
 		return
@@ -435,7 +435,7 @@
 		w.at(at, func() {
 			i.hear(func() {
 				i.note(n, s)
-				i.handle(balancer.Members{Kind: balancer.Change, Entries: []balancer.Member{m}})
+				i.handle(balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{m}})
 			})
 		})
 	}
--- a/internal/simulation/simulator/models_test.go
+++ b/internal/simulation/simulator/models_test.go
@@ -129,18 +129,18 @@
 		_, err := Run(cfg, func(balancer.Settings, int, uint64) (Policy, error) {
 			last := balancer.Active
 			return &noted{inTurn{nodes: 2}, nil, func(_ time.Duration, e balancer.Event) {
-				m, ok := e.(balancer.Members)
-				if !ok || m.Kind != balancer.Change {
+				m, ok := e.(balancer.EndpointUpdate)
+				if !ok || m.Kind != balancer.Delta {
 					return
 				}
-				switch m.Entries[0].Upstream {
+				switch m.Endpoints[0].ID {
 				case "n0":
-					came = append(came, m.Entries[0].CameUp-past-25*time.Second)
+					came = append(came, m.Endpoints[0].StartedAt-past-25*time.Second)
 				case "n1":
-					if m.Entries[0].State == last {
+					if m.Endpoints[0].State == last {
 						again++
 					}
-					last = m.Entries[0].State
+					last = m.Endpoints[0].State
 				}
 			}}, nil
 		}, 3)
@@ -191,7 +191,7 @@
 	_, err = Run(cfg, noting(1, nil, func(now time.Duration, e balancer.Event) {
 		switch e := e.(type) {
 		case balancer.Request:
-			log = append(log, fmt.Sprint(now, " ", e.Key, " ", e.Hint))
+			log = append(log, fmt.Sprint(now, " ", e.AffinityKey, " ", e.ExpectedWork))
 		case balancer.Outcome:
 			log = append(log, fmt.Sprint(now, " done"))
 		}
--- a/internal/simulation/simulator/result.go
+++ b/internal/simulation/simulator/result.go
@@ -172,7 +172,7 @@
 	return 0
 }
 
-func weight(r *request) float64 { return cmp.Or(r.class.Worth, 1) * r.work.Seconds() }
+func weight(r *request) float64 { return cmp.Or(r.class.Weight, 1) * r.work.Seconds() }
 
 func (m *measures) asked(r *request) {
 	m.requests++
@@ -190,10 +190,10 @@
 	if k == Served {
 		won := 0.0
 		switch {
-		case took <= cmp.Or(r.class.Aim, r.class.Deadline):
+		case took <= cmp.Or(r.class.LatencyObjective, r.class.Deadline):
 			won = weight(r)
 		case took <= r.class.Deadline:
-			won = weight(r) * r.class.LateShare
+			won = weight(r) * r.class.LateWeight
 		}
 		m.won[m.classOf(r)] += won
 		m.all.RecordValue(min(max(took.Microseconds(), 1), longest))
@@ -227,7 +227,7 @@
 	m.runs[a.node.index]++
 	if a.call.runs > 1 {
 		m.wasted++
-		if a.call.req.class.Effect != balancer.Safe {
+		if a.call.req.class.Effect != balancer.Idempotent {
 			m.twice++
 			m.broke("%s %d was executed %d times in one try", a.call.req.class.Name, a.call.req.number, a.call.runs)
 		}
--- a/internal/simulation/simulator/truth_test.go
+++ b/internal/simulation/simulator/truth_test.go
@@ -24,7 +24,7 @@
 		acts = p.inTurn.Handle(now, e, acts)
 		for _, a := range acts {
 			if a.Kind == balancer.Send {
-				p.said[a.ID], _ = p.truth.Ends(a.Upstream, p.truth.Work(e.ID))
+				p.said[a.ID], _ = p.truth.Ends(a.Endpoint, p.truth.Work(e.ID))
 			}
 		}
 		return acts
@@ -120,7 +120,7 @@
 func (a *asker) Handle(now time.Duration, e balancer.Event, acts []balancer.Action) []balancer.Action {
 	if r, ok := e.(balancer.Request); ok {
 		a.ask(now, a.truth)
-		acts = append(acts, balancer.Action{Kind: balancer.Refuse, ID: r.ID})
+		acts = append(acts, balancer.Action{Kind: balancer.Reject, ID: r.ID})
 	}
 	return acts
 }
--- a/internal/simulation/simulator/world.go
+++ b/internal/simulation/simulator/world.go
@@ -236,9 +236,9 @@
 			if !served {
 				r = balancer.Overloaded
 			}
-			load := balancer.Load{}
-			if w.cfg.Settings.LoadByProbes {
-				load = balancer.Load{Told: true, Held: held}
+			load := balancer.LoadReport{}
+			if w.cfg.Settings.ProbesReportLoad {
+				load = balancer.LoadReport{Reported: true, InFlight: held}
 			}
 			w.end(a, r, load)
 		})
@@ -259,7 +259,7 @@
 		return
 	}
 	a.call.inst.drop(a.node)
-	w.end(a, r, balancer.Load{})
+	w.end(a, r, balancer.LoadReport{})
 }
 
 // giveUp ends an attempt from the instance's side. The node hears of it.
@@ -272,7 +272,7 @@
 		a.call.inst.drop(a.node)
 	}
 	if !a.out {
-		r = balancer.Moot
+		r = balancer.NotSent
 		if w.now-a.sent >= w.cfg.Network.ConnectTimeout {
 			r = balancer.ConnectFailed
 		}
@@ -283,17 +283,17 @@
 			}
 		})
 	}
-	w.end(a, r, balancer.Load{})
+	w.end(a, r, balancer.LoadReport{})
 }
 
 // end tells an attempt's outcome, once.
-func (w *World) end(a *attempt, r balancer.Result, load balancer.Load) {
+func (w *World) end(a *attempt, r balancer.Result, load balancer.LoadReport) {
 	a.ended = true
 	w.outcome(a, r, load)
 }
 
 // outcome takes it in, later where the host stands still.
-func (w *World) outcome(a *attempt, r balancer.Result, load balancer.Load) {
+func (w *World) outcome(a *attempt, r balancer.Result, load balancer.LoadReport) {
 	c := a.call
 	if w.now < c.inst.stalled {
 		w.at(c.inst.stalled, func() { w.outcome(a, r, load) })
@@ -313,17 +313,17 @@
 	c := a.call
 	k := c.req.class
 	if k.Effect == balancer.Keyed {
-		for len(w.forgets) > 0 && w.now-w.forgets[0].at >= k.Window {
+		for len(w.forgets) > 0 && w.now-w.forgets[0].at >= k.IdempotencyWindow {
 			if x := w.forgets[0]; w.memory[x.key] == x.at {
 				delete(w.memory, x.key)
 			}
 			w.forgets = w.forgets[1:]
 		}
 		group := ""
-		switch k.Group {
-		case balancer.GroupZone:
+		switch k.IdempotencyScope {
+		case balancer.ScopeZone:
 			group = a.node.Zone
-		case balancer.GroupCell:
+		case balancer.ScopeCell:
 			group = fmt.Sprint(a.node.Cell)
 		}
 		key := fmt.Sprintf("%s/%s/%d", k.Name, group, c.req.number)
--- a/internal/simulation/simulator/world_test.go
+++ b/internal/simulation/simulator/world_test.go
@@ -19,10 +19,10 @@
 	switch e := e.(type) {
 	case balancer.Request:
 		p.n++
-		acts = append(acts, balancer.Action{Kind: balancer.Send, ID: e.ID, Upstream: fmt.Sprint("n", p.n%p.nodes), Timeout: time.Hour})
+		acts = append(acts, balancer.Action{Kind: balancer.Send, ID: e.ID, Endpoint: fmt.Sprint("n", p.n%p.nodes), Timeout: time.Hour})
 	case balancer.Outcome:
 		if e.Result != balancer.OK {
-			acts = append(acts, balancer.Action{Kind: balancer.Refuse, ID: e.ID})
+			acts = append(acts, balancer.Action{Kind: balancer.Reject, ID: e.ID})
 		}
 	}
 	return acts
@@ -30,7 +30,7 @@
 
 // plain is a world with nothing in it but a queue: a class with a work, nodes with cores, and a rate.
 func plain(nodes, cores, room int, rate float64, work Work, length time.Duration) Config {
-	c := Config{Length: length, Classes: []Class{{Class: balancer.Class{Name: "c", Aim: time.Hour, Deadline: time.Hour}, Share: 1, Work: work}},
+	c := Config{Length: length, Classes: []Class{{Class: balancer.Class{Name: "c", LatencyObjective: time.Hour, Deadline: time.Hour}, Share: 1, Work: work}},
 		Clients: Clients{Instances: 1, Rate: rate, Tries: 1}, Network: Network{Idle: time.Hour, ConnectTimeout: time.Second}}
 	for i := range nodes {
 		c.Nodes = append(c.Nodes, Node{Name: fmt.Sprint("n", i), Cores: cores, Speed: 1, Queue: room})
--- a/internal/simulation/simulator/wrong_test.go
+++ b/internal/simulation/simulator/wrong_test.go
@@ -23,7 +23,7 @@
 		}
 		c.Clients.Weights = append(c.Clients.Weights, w)
 	}
-	c.Settings.Probes, c.Settings.LoadByProbes, c.Settings.PriceCrossZone = false, false, 0.12
+	c.Settings.Probes, c.Settings.ProbesReportLoad, c.Settings.PriceCrossZone = false, false, 0.12
 	c.Discovery = Discovery{Capacity: 1200, Call: 60, Timeout: time.Second, Overbook: 1}
 	c.List.Notice = time.Second
 	c.Nodes = nil
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -128,7 +128,7 @@
 				attached.OnView(others, joined)
 			}
 		}}
-	list := node.OpenList(c, op.Recovery, watch.New(f.Discovery.Addr(), true, f.cfg.Log).Through(network.Dial), engine.News{Seq: engine.NoVersion})
+	list := node.OpenList(c, op.Recovery, watch.New(f.Discovery.Addr(), true, f.cfg.Log).Through(network.Dial), engine.EndpointUpdate{Version: engine.NoVersion})
 	var source *mergedsource.Source
 	if l.part, err = node.Open(c, op.Fleet, list); err == nil {
 		source, err = mergedsource.New(node.Merge(nil, l.part, list, nil, f.cfg.Log))
@@ -170,14 +170,14 @@
 	for ctx.Err() == nil {
 		lost := make(chan int64, 1)
 		var came atomic.Bool
-		stop := source.Watch(seq, wait, func(n engine.News) {
+		stop := source.Watch(seq, wait, func(n engine.EndpointUpdate) {
 			switch n.Kind {
-			case balancer.Failed:
-				lost <- n.Seq
-			case balancer.Aside:
+			case balancer.WatchFailed:
+				lost <- n.Version
+			case balancer.OutOfBand:
 			default:
 				came.Store(true)
-				m.seq.Store(n.Seq)
+				m.seq.Store(n.Version)
 			}
 		})
 		select {
--- a/internal/transport/grpc/codec.go
+++ b/internal/transport/grpc/codec.go
@@ -51,7 +51,7 @@
 const mostHeld = 10000
 
 // load reads what a trailer's ORCA report says of the requests that the member holds.
-func (t *Transport) load(trailer metadata.MD) (l balancer.Load) {
+func (t *Transport) load(trailer metadata.MD) (l balancer.LoadReport) {
 	v := trailer.Get(orcaTrailer)
 	if len(v) != 1 || len(t.cfg.LoadNames) == 0 {
 		return l
@@ -62,7 +62,7 @@
 	}
 	for _, name := range t.cfg.LoadNames {
 		if x, ok := r.NamedMetrics[name]; ok && x >= 0 && x <= mostHeld {
-			l.Told, l.Held = true, max(l.Held, x)
+			l.Reported, l.InFlight = true, max(l.InFlight, x)
 		}
 	}
 	return l
--- a/internal/transport/grpc/exchange.go
+++ b/internal/transport/grpc/exchange.go
@@ -53,7 +53,7 @@
 func (t *Transport) Attempt(id string, c *engine.Call, timeout time.Duration) engine.Exchange {
 	x := t.exchange(id, c.Payload.(*Request), timeout)
 	if x, ok := x.(*exchange); ok {
-		permit, allow := c.Permit(), x.gate.allow
+		permit, allow := c.MayStart(), x.gate.allow
 		x.gate.allow = func() bool { return permit() && allow() }
 		x.gate.stays = permit
 	}
@@ -105,7 +105,7 @@
 func (x *exchange) Cancel() { x.cancel() }
 
 // Forbid ends it unless its headers are on the connection.
-func (x *exchange) Forbid() { x.gate.forbid() }
+func (x *exchange) CancelUnsent() { x.gate.forbid() }
 
 // Run carries the exchange out.
 func (x *exchange) Run(begin func(any) bool) engine.Outcome {
--- a/internal/transport/grpc/leave_test.go
+++ b/internal/transport/grpc/leave_test.go
@@ -42,7 +42,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	t.Cleanup(leave)
 	second := call(ctx)
-	c.leave, second.Left = leave, c.left.Load
+	c.leave, second.Disconnected = leave, c.left.Load
 	other := tr.Attempt("s", second, testutil.Patience)
 	c.other = run(other)
 	g := other.(*exchange).gate
--- a/internal/transport/grpc/outcome.go
+++ b/internal/transport/grpc/outcome.go
@@ -50,7 +50,7 @@
 	case codes.NotFound, codes.AlreadyExists, codes.FailedPrecondition, codes.Aborted, codes.OutOfRange:
 		return balancer.OK, true // the application's answer
 	case codes.InvalidArgument, codes.PermissionDenied, codes.Unauthenticated, codes.Unimplemented:
-		return balancer.Moot, true // it blames the call, and says nothing of how fast the member is
+		return balancer.NotSent, true // it blames the call, and says nothing of how fast the member is
 	case codes.DeadlineExceeded, codes.Canceled:
 		if ctx.Err() != nil { // the time was ours
 			return broken(ctx, g), false
@@ -65,7 +65,7 @@
 	defer g.mu.Unlock()
 	switch {
 	case g.denied, ctx.Err() == context.Canceled && !g.late.Load(): // not the member's fault
-		return balancer.Moot
+		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
 }
--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -64,7 +64,7 @@
 }
 
 // Update follows the list. A member that drains or is gone keeps its connection while it has attempts out.
-func (t *Transport) Update(whole bool, entries []engine.Member, told time.Time) {
+func (t *Transport) Update(whole bool, entries []engine.Endpoint, told time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	active := map[string]bool{}
@@ -77,12 +77,12 @@
 			continue
 		}
 		active[e.ID] = true
-		if m != nil && (m.addr != e.Addr || m.born != e.BornMS) { // what is out is the old process's
+		if m != nil && (m.addr != e.Addr || m.born != e.StartedAtMS) { // what is out is the old process's
 			t.leave(m, told)
 			m = nil
 		}
 		if m == nil {
-			m = &member{id: e.ID, addr: e.Addr, born: e.BornMS, out: map[*exchange]struct{}{}}
+			m = &member{id: e.ID, addr: e.Addr, born: e.StartedAtMS, out: map[*exchange]struct{}{}}
 			t.members[e.ID] = m
 		}
 		m.left = time.Time{}
@@ -108,7 +108,7 @@
 	for x := range m.out {
 		time.AfterFunc(time.Until(told.Add(t.cfg.Grace)), func() {
 			if !t.mayWrite(m) {
-				x.Forbid()
+				x.CancelUnsent()
 			}
 		})
 	}
@@ -130,7 +130,7 @@
 }
 
 // Close closes the connection to a member that has nothing out.
-func (t *Transport) Close(id string) {
+func (t *Transport) CloseIdle(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.members[id]; m != nil && len(m.out) == 0 {
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -32,8 +32,8 @@
 	return tr
 }
 
-func listed(addr string, state balancer.State) []engine.Member {
-	return []engine.Member{{ID: "s", Addr: addr, State: state}}
+func listed(addr string, state balancer.EndpointState) []engine.Endpoint {
+	return []engine.Endpoint{{ID: "s", Addr: addr, State: state}}
 }
 
 func call(ctx context.Context) *engine.Call {
@@ -69,7 +69,7 @@
 		defer g.mu.Unlock()
 		return g.passed
 	})
-	tr.Update(false, listed(addr, balancer.Leaving), time.Now())
+	tr.Update(false, listed(addr, balancer.Draining), time.Now())
 	if o := testutil.Receive(t, otherDone, "the second's end"); o.Result.MayHaveRun() {
 		t.Errorf("result %d (%v)", o.Result, o.Err)
 	}
@@ -87,14 +87,14 @@
 	var left atomic.Bool
 	for name, c := range map[string]func(tr *Transport, x engine.Exchange, addr string){
 		"its client left": func(*Transport, engine.Exchange, string) { left.Store(true) },
-		"answered":        func(_ *Transport, x engine.Exchange, _ string) { x.Forbid() },
+		"answered":        func(_ *Transport, x engine.Exchange, _ string) { x.CancelUnsent() },
 		"cancelled":       func(_ *Transport, x engine.Exchange, _ string) { x.Cancel() },
 		"drained": func(tr *Transport, _ engine.Exchange, addr string) {
-			tr.Update(false, listed(addr, balancer.Leaving), time.Now().Add(-time.Second))
+			tr.Update(false, listed(addr, balancer.Draining), time.Now().Add(-time.Second))
 		},
 		"gone": func(tr *Transport, _ engine.Exchange, _ string) { tr.Update(true, nil, time.Now().Add(-time.Second)) },
 		"another process": func(tr *Transport, _ engine.Exchange, addr string) {
-			tr.Update(false, []engine.Member{{ID: "s", Addr: addr, BornMS: 5}}, time.Now().Add(-time.Second))
+			tr.Update(false, []engine.Endpoint{{ID: "s", Addr: addr, StartedAtMS: 5}}, time.Now().Add(-time.Second))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -104,10 +104,10 @@
 			tr.Update(true, listed(addr, balancer.Active), time.Now())
 			left.Store(false)
 			asked := call(t.Context())
-			asked.Left = left.Load
+			asked.Disconnected = left.Load
 			x := tr.Attempt("s", asked, testutil.Patience)
 			c(tr, x, addr)
-			if o := testutil.Receive(t, run(x), "the outcome"); o.Result != balancer.Moot {
+			if o := testutil.Receive(t, run(x), "the outcome"); o.Result != balancer.NotSent {
 				t.Errorf("result %d (%v)", o.Result, o.Err)
 			}
 			if came.Load() != 0 {
@@ -123,9 +123,9 @@
 	addr := rawh2.Start(t, func(*rawh2.Stream) { came.Add(1) })
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, listed(addr, balancer.Active), time.Now())
-	tr.Update(false, listed(addr, balancer.Leaving), time.Now().Add(-time.Second))
+	tr.Update(false, listed(addr, balancer.Draining), time.Now().Add(-time.Second))
 	o := testutil.Receive(t, run(tr.Attempt("s", call(t.Context()), testutil.Patience)), "the outcome")
-	if o.Result != balancer.Moot || came.Load() != 0 {
+	if o.Result != balancer.NotSent || came.Load() != 0 {
 		t.Errorf("result %d (%v), %d written", o.Result, o.Err, came.Load())
 	}
 }
@@ -164,7 +164,7 @@
 	done = run(tr.Attempt("s", call(t.Context()), testutil.Patience))
 	testutil.Receive(t, held, "another attempt").OK(nil)
 	testutil.Receive(t, done, "the outcome")
-	if tr.Close("s"); tr.members["s"].cc != nil {
+	if tr.CloseIdle("s"); tr.members["s"].cc != nil {
 		t.Error("an idle connection was not closed")
 	}
 }
@@ -218,14 +218,14 @@
 	tr := newTransport(t, time.Second)
 	tr.Update(true, listed(l.Addr().String(), balancer.Active), time.Now())
 	o := testutil.Receive(t, run(tr.Probe("s", testutil.Patience)), "the probe")
-	if o.Result != balancer.OK || o.Load != (balancer.Load{Told: true, Held: 3}) {
+	if o.Result != balancer.OK || o.Load != (balancer.LoadReport{Reported: true, InFlight: 3}) {
 		t.Errorf("%+v", o)
 	}
 }
 
 // A server without grpc.health.v1 says nothing, and a member that does not serve is not taken to.
 func TestProbeOfOthers(t *testing.T) {
-	for status, want := range map[string]balancer.Result{"12": balancer.Moot, "14": balancer.ServerError} {
+	for status, want := range map[string]balancer.Result{"12": balancer.NotSent, "14": balancer.ServerError} {
 		addr := rawh2.Start(t, func(s *rawh2.Stream) {
 			if s.Whole {
 				s.Only(status)
@@ -233,7 +233,7 @@
 		})
 		tr := newTransport(t, time.Second)
 		tr.Update(true, listed(addr, balancer.Active), time.Now())
-		if o := testutil.Receive(t, run(tr.Probe("s", testutil.Patience)), "the probe"); o.Result != want || o.Load.Told {
+		if o := testutil.Receive(t, run(tr.Probe("s", testutil.Patience)), "the probe"); o.Result != want || o.Load.Reported {
 			t.Errorf("status %s: %+v", status, o)
 		}
 	}
@@ -250,16 +250,16 @@
 	}
 	for _, c := range []struct {
 		values []string
-		want   balancer.Load
+		want   balancer.LoadReport
 	}{
-		{[]string{report(map[string]float64{"queue": 3, "inflight": 5, "other": 9})}, balancer.Load{Told: true, Held: 5}},
-		{[]string{report(map[string]float64{"queue": 0})}, balancer.Load{Told: true}},
-		{[]string{report(map[string]float64{"other": 9})}, balancer.Load{}},
-		{[]string{report(map[string]float64{"queue": -1})}, balancer.Load{}},
-		{[]string{report(map[string]float64{"queue": 1e300})}, balancer.Load{}},
-		{[]string{"\xff\xff"}, balancer.Load{}},
-		{[]string{report(map[string]float64{"queue": 3}), report(map[string]float64{"queue": 4})}, balancer.Load{}},
-		{nil, balancer.Load{}},
+		{[]string{report(map[string]float64{"queue": 3, "inflight": 5, "other": 9})}, balancer.LoadReport{Reported: true, InFlight: 5}},
+		{[]string{report(map[string]float64{"queue": 0})}, balancer.LoadReport{Reported: true}},
+		{[]string{report(map[string]float64{"other": 9})}, balancer.LoadReport{}},
+		{[]string{report(map[string]float64{"queue": -1})}, balancer.LoadReport{}},
+		{[]string{report(map[string]float64{"queue": 1e300})}, balancer.LoadReport{}},
+		{[]string{"\xff\xff"}, balancer.LoadReport{}},
+		{[]string{report(map[string]float64{"queue": 3}), report(map[string]float64{"queue": 4})}, balancer.LoadReport{}},
+		{nil, balancer.LoadReport{}},
 	} {
 		if got := tr.load(metadata.MD{orcaTrailer: c.values}); got != c.want {
 			t.Errorf("%q: %+v, want %+v", c.values, got, c.want)
--- a/internal/transport/http1/answer.go
+++ b/internal/transport/http1/answer.go
@@ -100,7 +100,7 @@
 		}
 	}
 	if httpmsg.TurnedDown(resp.StatusCode) {
-		return balancer.Moot
+		return balancer.NotSent
 	}
 	return balancer.ServerError
 }
@@ -113,23 +113,23 @@
 }
 
 // load reads what a probe's answer says of the requests that the upstream holds.
-func load(a *httpmsg.Answer) balancer.Load {
+func load(a *httpmsg.Answer) balancer.LoadReport {
 	if a == nil || a.Status != http.StatusOK {
-		return balancer.Load{}
+		return balancer.LoadReport{}
 	}
 	text := a.Header.Get(httpmsg.LoadHeader)
 	if text == "" {
 		text = string(a.Body)
 	}
 	const most = 10000 // no upstream holds more: what says so is spoilt
-	var l balancer.Load
+	var l balancer.LoadReport
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(field, "=")
 		if name = strings.TrimSpace(name); name != "inflight" && name != "queue" {
 			continue
 		}
 		if x, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && x >= 0 && x <= most {
-			l.Told, l.Held = true, max(l.Held, x)
+			l.Reported, l.InFlight = true, max(l.InFlight, x)
 		}
 	}
 	return l
--- a/internal/transport/http1/crossing_test.go
+++ b/internal/transport/http1/crossing_test.go
@@ -27,11 +27,11 @@
 		want    balancer.Result
 		open    int
 	}{
-		"its client left":         {func(_ *Pool, _ *exchange, left *atomic.Bool, _ string) { left.Store(true) }, balancer.Moot, 1},
-		"it has its answer":       {func(_ *Pool, x *exchange, _ *atomic.Bool, _ string) { x.Forbid() }, balancer.Cancelled, 0},
-		"the upstream drains":     {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) { p.Update(false, draining(active(a)), time.Now()) }, balancer.Moot, 0},
-		"it is gone":              {func(p *Pool, _ *exchange, _ *atomic.Bool, _ string) { p.Update(true, nil, time.Now()) }, balancer.Moot, 0},
-		"another is there by now": {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) { p.Update(true, reborn(a), time.Now()) }, balancer.Moot, 0},
+		"its client left":         {func(_ *Pool, _ *exchange, left *atomic.Bool, _ string) { left.Store(true) }, balancer.NotSent, 1},
+		"it has its answer":       {func(_ *Pool, x *exchange, _ *atomic.Bool, _ string) { x.CancelUnsent() }, balancer.Cancelled, 0},
+		"the upstream drains":     {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) { p.Update(false, draining(active(a)), time.Now()) }, balancer.NotSent, 0},
+		"it is gone":              {func(p *Pool, _ *exchange, _ *atomic.Bool, _ string) { p.Update(true, nil, time.Now()) }, balancer.NotSent, 0},
+		"another is there by now": {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) { p.Update(true, reborn(a), time.Now()) }, balancer.NotSent, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var bytes atomic.Int32
@@ -51,7 +51,7 @@
 				return nil
 			}
 			var left atomic.Bool
-			call := &engine.Call{Left: left.Load, Payload: &httpmsg.Request{Method: "POST", URI: "/pay/x", Header: http.Header{}, Body: []byte("b")}}
+			call := &engine.Call{Disconnected: left.Load, Payload: &httpmsg.Request{Method: "POST", URI: "/pay/x", Header: http.Header{}, Body: []byte("b")}}
 			x := p.Attempt("s", call, testutil.Patience).(*exchange)
 			done := make(chan engine.Outcome, 1)
 			go func() { done <- run(x) }()
@@ -70,9 +70,9 @@
 }
 
 // reborn lists upstream "s" as another process.
-func reborn(addr string) []engine.Member {
+func reborn(addr string) []engine.Endpoint {
 	m := active(addr)
-	m[0].BornMS = 1
+	m[0].StartedAtMS = 1
 	return m
 }
 
@@ -104,14 +104,14 @@
 		x := p.Attempt("s", c, testutil.Patience)
 		go func() { outcomes <- x.Run(nil) }()
 	}
-	attempt(&engine.Call{Left: left.Load})
+	attempt(&engine.Call{Disconnected: left.Load})
 	waits(1)
 	attempt(new(engine.Call))
 	waits(2)
 	left.Store(true)
 	io.WriteString(conn, testutil.OKAnswer)
 	wantResult(t, testutil.Receive(t, first, "the first outcome"), balancer.OK)
-	wantResult(t, testutil.Receive(t, outcomes, "the outcome of the one that left"), balancer.Moot)
+	wantResult(t, testutil.Receive(t, outcomes, "the outcome of the one that left"), balancer.NotSent)
 	io.WriteString(testutil.Receive(t, came, "the other's request"), testutil.OKAnswer)
 	wantResult(t, testutil.Receive(t, outcomes, "the other's outcome"), balancer.OK)
 	if len(came) > 0 {
--- a/internal/transport/http1/exchange.go
+++ b/internal/transport/http1/exchange.go
@@ -43,7 +43,7 @@
 	}
 	r := c.Payload.(*httpmsg.Request)
 	x := p.exchange(u, timeout, func(left time.Duration) *http.Request { return onward(r, left) })
-	x.check, x.permit = r.Check, c.Permit()
+	x.check, x.permit = r.Check, c.MayStart()
 	return x
 }
 
@@ -88,7 +88,7 @@
 
 // Forbid stops an exchange that has not begun to write. Guards against a dial that finishes after the request's
 // final answer: its request would be sent for nothing, and could run.
-func (x *exchange) Forbid() {
+func (x *exchange) CancelUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.begun {
@@ -209,7 +209,7 @@
 	case errors.Is(x.ctx.Err(), context.Canceled):
 		return balancer.Cancelled
 	case err == nil || errors.Is(err, errFull) || errors.Is(err, errUnsendable): // the upstream is not to blame
-		return balancer.Moot
+		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
 }
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -25,12 +25,12 @@
 }
 
 // active lists upstream "s" at addr.
-func active(addr string) []engine.Member {
-	return []engine.Member{{ID: "s", Addr: addr, Zone: "a", Kind: "m"}}
+func active(addr string) []engine.Endpoint {
+	return []engine.Endpoint{{ID: "s", Addr: addr, Zone: "a", Kind: "m"}}
 }
 
-func draining(m []engine.Member) []engine.Member {
-	m[0].State = balancer.Leaving
+func draining(m []engine.Endpoint) []engine.Endpoint {
+	m[0].State = balancer.Draining
 	return m
 }
 
@@ -77,7 +77,7 @@
 		"over already":        {"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded},
 		"503, may have run":   {"HTTP/1.1 503 Hm\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
 		"not-run says 0":      {"HTTP/1.1 503 Hm\r\nX-Not-Run: 0\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
-		"bad request":         {"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", balancer.Moot},
+		"bad request":         {"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", balancer.NotSent},
 		"429, may have run":   {"HTTP/1.1 429 Hm\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
 		"redirect":            {"HTTP/1.1 302 Go\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
 		"broken at once":      {"", balancer.Reset},
@@ -212,7 +212,7 @@
 	go func() { done <- run(p.exchange(u, testutil.Patience, testRequest("POST"))) }()
 	testutil.Receive(t, came, "the first request")
 	restarted := active(addr)
-	restarted[0].BornMS = 5
+	restarted[0].StartedAtMS = 5
 	p.Update(false, restarted, time.Now())
 	close(release)
 	wantResult(t, testutil.Receive(t, done, "the outcome"), balancer.OK)
@@ -360,13 +360,13 @@
 		before func(p *Pool, x *exchange, addr string)
 		want   balancer.Result
 	}{
-		"answered": {func(_ *Pool, x *exchange, _ string) { x.Forbid() }, balancer.Cancelled},
+		"answered": {func(_ *Pool, x *exchange, _ string) { x.CancelUnsent() }, balancer.Cancelled},
 		"drained": {func(p *Pool, _ *exchange, addr string) {
 			p.Update(false, draining(active(addr)), time.Now().Add(-p.grace))
-		}, balancer.Moot},
+		}, balancer.NotSent},
 		"gone from a whole list": {func(p *Pool, _ *exchange, _ string) {
 			p.Update(true, nil, time.Now().Add(-p.grace))
-		}, balancer.Moot},
+		}, balancer.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var copies atomic.Int32
@@ -404,14 +404,14 @@
 	p.max = 1
 	var full atomic.Int32
 	p.full = func() { full.Add(1) }
-	hosts := append(active(addr), engine.Member{ID: "other", Addr: answering})
+	hosts := append(active(addr), engine.Endpoint{ID: "other", Addr: answering})
 	p.Update(true, hosts, time.Now())
 	wantResult(t, run(p.exchange(p.find("other"), testutil.Patience, testRequest("GET"))), balancer.OK)
 	first := p.exchange(p.find("s"), testutil.Patience, testRequest("GET"))
 	done := make(chan engine.Outcome, 1)
 	go func() { done <- run(first) }()
 	testutil.Receive(t, came, "the request that takes the idle connection's place")
-	wantResult(t, run(p.exchange(p.find("s"), testutil.Patience, testRequest("GET"))), balancer.Moot)
+	wantResult(t, run(p.exchange(p.find("s"), testutil.Patience, testRequest("GET"))), balancer.NotSent)
 	// Guards against bursts that burn all attempts in a moment: who comes too many waits for a while.
 	second := make(chan engine.Outcome, 1)
 	p.dial.Timeout = testutil.Patience
@@ -430,10 +430,10 @@
 }
 
 func TestLoadReport(t *testing.T) {
-	for text, want := range map[string]balancer.Load{
-		"inflight=7,queue=2,util=0.61": {Told: true, Held: 7},
-		"queue=3":                      {Told: true, Held: 3},
-		" queue = 0 ":                  {Told: true},
+	for text, want := range map[string]balancer.LoadReport{
+		"inflight=7,queue=2,util=0.61": {Reported: true, InFlight: 7},
+		"queue=3":                      {Reported: true, InFlight: 3},
+		" queue = 0 ":                  {Reported: true},
 		"util=0.5":                     {},
 		"queue=x":                      {},
 		"queue=-1":                     {},
@@ -446,7 +446,7 @@
 			t.Errorf("%q: %+v, want %+v", text, got, want)
 		}
 	}
-	if got := load(&httpmsg.Answer{Status: 503, Body: []byte("queue=3")}); got.Told {
+	if got := load(&httpmsg.Answer{Status: 503, Body: []byte("queue=3")}); got.Reported {
 		t.Error("a failed probe told something")
 	}
 }
@@ -466,7 +466,7 @@
 	knownUpstream(t, p, addr)
 	o := p.Probe("s", testutil.Patience).Run(nil)
 	wantResult(t, o, balancer.OK)
-	if got := o.Load; got != (balancer.Load{Told: true, Held: 4}) {
+	if got := o.Load; got != (balancer.LoadReport{Reported: true, InFlight: 4}) {
 		t.Errorf("told %+v", got)
 	}
 }
--- a/internal/transport/http1/pool.go
+++ b/internal/transport/http1/pool.go
@@ -220,7 +220,7 @@
 }
 
 // Close closes the idle connections to the upstream named id.
-func (p *Pool) Close(id string) {
+func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if u := p.ups[id]; u != nil {
@@ -229,7 +229,7 @@
 }
 
 // Update follows the list. An upstream that drains or is gone is not forgotten: attempts may be on their way to it.
-func (p *Pool) Update(whole bool, entries []engine.Member, told time.Time) {
+func (p *Pool) Update(whole bool, entries []engine.Endpoint, told time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	active := map[string]bool{}
@@ -246,7 +246,7 @@
 			u = &upstream{id: m.ID}
 			p.ups[m.ID] = u
 		}
-		if now := (process{m.Addr, m.BornMS}); u.process != now { // the connections are the old one's
+		if now := (process{m.Addr, m.StartedAtMS}); u.process != now { // the connections are the old one's
 			p.drop(u, len(u.idle))
 			u.process = now
 		}
--- a/internal/wire/env.go
+++ b/internal/wire/env.go
@@ -50,30 +50,30 @@
 		MustSubscribe:  e.Discovery == "ask",
 		Tick:           Duration(e.TickMs),
 		MaxAttempts:    e.Limits.SendCap,
-		SecondCopies:   e.Limits.SecondCopies,
-		Cancelling:     e.Limits.Cancelling,
+		Hedging:        e.Limits.SecondCopies,
+		Cancellation:   e.Limits.Cancelling,
 		Probes:         e.Limits.Probes,
 		RetryAfter:     e.Limits.RetryAfter,
 		MaxRetryAfter:  Duration(e.Limits.MaxRetryAfterMs),
 		ConnectTimeout: Duration(e.Limits.ConnectTimeoutMs),
-		WarmKeys:       e.FamilyInfo.WarmKeys,
-		LoadByProbes: (e.Stats.Via == "probe" || e.Stats.Via == "answers") &&
+		KeyAffinity:    e.FamilyInfo.WarmKeys,
+		ProbesReportLoad: (e.Stats.Via == "probe" || e.Stats.Via == "answers") &&
 			slices.ContainsFunc(e.Stats.Names, tellsHeld),
-		PriceCrossZone: e.Prices.CrossZone,
-		PriceOpen:      e.Prices.Connection,
-		PriceHandshake: e.Prices.Handshake,
-		PriceProbe:     e.Prices.Probe,
-		OverShareWorth: e.OverShareWorth,
-		WorthByWork:    e.WorthBy == "work",
-		ColdFrom:       e.Rules.ColdFrom,
-		WarmUp:         Duration(e.Rules.WarmUpMs),
-		FallMultiple:   e.Rules.FallMultiple,
-		FallTime:       Duration(e.Rules.FallMs),
+		PriceCrossZone:      e.Prices.CrossZone,
+		PriceOpenConnection: e.Prices.Connection,
+		PriceHandshake:      e.Prices.Handshake,
+		PriceProbe:          e.Prices.Probe,
+		OverQuotaWeight:     e.OverShareWorth,
+		WeightByWork:        e.WorthBy == "work",
+		InitialCapacity:     e.Rules.ColdFrom,
+		WarmUp:              Duration(e.Rules.WarmUpMs),
+		OverloadMultiple:    e.Rules.FallMultiple,
+		OverloadDuration:    Duration(e.Rules.FallMs),
 	}
 	for _, c := range e.Classes {
-		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Aim: Duration(c.AimMs), AimStretch: c.AimStretch,
-			Deadline: Duration(c.DeadlineMs), Worth: c.Importance, LateShare: c.LateShare,
-			Effect: effect(c.Semantics), Group: group(c.KeyScope), Window: Duration(c.DedupWindowMs), Stream: c.Stream})
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, LatencyObjective: Duration(c.AimMs), ObjectiveStretch: c.AimStretch,
+			Deadline: Duration(c.DeadlineMs), Weight: c.Importance, LateWeight: c.LateShare,
+			Effect: effect(c.Semantics), IdempotencyScope: group(c.KeyScope), IdempotencyWindow: Duration(c.DedupWindowMs), Stream: c.Stream})
 	}
 	for _, t := range e.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Fraction: t.Fraction})
@@ -98,23 +98,23 @@
 func effect(word string) balancer.Effect {
 	switch word {
 	case "retryable":
-		return balancer.Safe
+		return balancer.Idempotent
 	case "dedup":
 		return balancer.Keyed
 	case "fragile":
-		return balancer.Unsafe
+		return balancer.NonIdempotent
 	}
 	return unknownWord
 }
 
-func group(word string) balancer.Group {
+func group(word string) balancer.IdempotencyScope {
 	switch word {
 	case "", "all":
-		return balancer.GroupAll
+		return balancer.ScopeAll
 	case "zone":
-		return balancer.GroupZone
+		return balancer.ScopeZone
 	case "cell":
-		return balancer.GroupCell
+		return balancer.ScopeCell
 	}
 	return unknownWord
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -76,14 +76,14 @@
 // host is the table of instances in this process, and the numbered lists they share as messages.
 type host struct {
 	instances map[int]*balancer.Balancer
-	tables    map[int][]balancer.Member
+	tables    map[int][]balancer.Endpoint
 	acts      []balancer.Action
 }
 
 // Serve answers batches from in on out until in ends. Its error names the line that could not be handled.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	h := &host{instances: map[int]*balancer.Balancer{}, tables: map[int][]balancer.Member{}}
+	h := &host{instances: map[int]*balancer.Balancer{}, tables: map[int][]balancer.Endpoint{}}
 	for line := 1; ; line++ {
 		text, err := readLine(r)
 		if err == io.EOF {
@@ -183,21 +183,21 @@
 func (h *host) translate(e *event) balancer.Event {
 	switch e.Verb {
 	case "Topology":
-		kinds := map[string]balancer.MembersKind{"INCREMENTAL": balancer.Change, "FULL": balancer.Full,
-			"SAVED": balancer.Saved, "FAILED": balancer.Failed}
+		kinds := map[string]balancer.UpdateKind{"INCREMENTAL": balancer.Delta, "FULL": balancer.CompleteList,
+			"SAVED": balancer.CachedList, "FAILED": balancer.WatchFailed}
 		kind, known := kinds[e.Scope]
 		if !known {
 			return nil
 		}
-		if kind == balancer.Failed {
-			return balancer.Members{Kind: kind}
+		if kind == balancer.WatchFailed {
+			return balancer.EndpointUpdate{Kind: kind}
 		}
-		return balancer.Members{Kind: kind, Entries: h.tables[e.Table]}
+		return balancer.EndpointUpdate{Kind: kind, Endpoints: h.tables[e.Table]}
 	case "Order":
-		r := balancer.Request{ID: e.ID, Class: e.Type, Key: e.Item, Expires: Duration(e.ExpiresMs)}
+		r := balancer.Request{ID: e.ID, Class: e.Type, AffinityKey: e.Item, ExpiresAt: Duration(e.ExpiresMs)}
 		r.Tenant, _ = e.Billing.(string)
 		if e.Bits&hintValid != 0 {
-			r.Hint = Duration(e.PredictedMs)
+			r.ExpectedWork = Duration(e.PredictedMs)
 		}
 		return r
 	case "FirstByte":
@@ -206,14 +206,14 @@
 		return balancer.Outcome{ID: e.ID, Attempt: e.Hop, Result: result(e.Result),
 			Elapsed: Duration(e.ElapsedMs), Finished: e.Finished}
 	case "Hangup":
-		return balancer.Gone{ID: e.ID}
+		return balancer.ClientDisconnected{ID: e.ID}
 	case "Wakeup":
-		return balancer.Wake{}
+		return balancer.TimerFired{}
 	case "ProbeDone":
-		return balancer.ProbeResult{Upstream: e.Upstream, Result: result(e.Result), Elapsed: Duration(e.ElapsedMs),
+		return balancer.ProbeResult{Endpoint: e.Upstream, Result: result(e.Result), Elapsed: Duration(e.ElapsedMs),
 			Load: load(e.Load)}
 	case "Heard":
-		return balancer.Peer{From: e.By, Message: e.Contents}
+		return balancer.PeerMessage{From: e.By, Message: e.Contents}
 	}
 	return nil
 }
@@ -221,12 +221,12 @@
 func encode(inst int, a *balancer.Action) action {
 	switch a.Kind {
 	case balancer.Send:
-		return action{Verb: "Try", I: inst, ID: a.ID, Upstream: a.Upstream, LimitMs: millis(a.Timeout)}
+		return action{Verb: "Try", I: inst, ID: a.ID, Upstream: a.Endpoint, LimitMs: millis(a.Timeout)}
 	case balancer.Cancel:
 		hop := a.Attempt
 		return action{Verb: "Retract", I: inst, ID: a.ID, Hop: &hop}
-	case balancer.Refuse:
-		return action{Verb: "Refuse", I: inst, ID: a.ID, RetryInMs: millis(a.RetryIn)}
+	case balancer.Reject:
+		return action{Verb: "Refuse", I: inst, ID: a.ID, RetryInMs: millis(a.RetryAfter)}
 	case balancer.Fail:
 		return action{Verb: "Error", I: inst, ID: a.ID}
 	case balancer.SetTimer:
@@ -234,9 +234,9 @@
 	case balancer.Subscribe:
 		return action{Verb: "Watch", I: inst, Enable: true}
 	case balancer.Probe:
-		return action{Verb: "Touch", I: inst, Upstream: a.Upstream}
-	case balancer.Close:
-		return action{Verb: "LetGo", I: inst, Upstream: a.Upstream}
+		return action{Verb: "Touch", I: inst, Upstream: a.Endpoint}
+	case balancer.CloseIdle:
+		return action{Verb: "LetGo", I: inst, Upstream: a.Endpoint}
 	case balancer.Log:
 		return action{Verb: "Emit", I: inst, ReasonText: a.Text}
 	}
@@ -259,23 +259,23 @@
 	case 444:
 		return balancer.Cancelled
 	case 409:
-		return balancer.Moot
+		return balancer.NotSent
 	}
 	return balancer.ServerError
 }
 
-func load(report map[string]float64) balancer.Load {
+func load(report map[string]float64) balancer.LoadReport {
 	held, told := report[heldName]
 	queue, also := report[queueName]
-	return balancer.Load{Told: told || also, Held: max(held, queue)}
+	return balancer.LoadReport{Reported: told || also, InFlight: max(held, queue)}
 }
 
-func members(entries []entry) []balancer.Member {
-	states := map[string]balancer.State{"leaving": balancer.Leaving, "left": balancer.Left}
-	list := make([]balancer.Member, len(entries))
+func members(entries []entry) []balancer.Endpoint {
+	states := map[string]balancer.EndpointState{"leaving": balancer.Draining, "left": balancer.Removed}
+	list := make([]balancer.Endpoint, len(entries))
 	for i, e := range entries {
-		list[i] = balancer.Member{Upstream: e.Upstream, Zone: e.RackZone, Kind: e.Machine, Cell: e.Cell,
-			State: states[e.StageState], CameUp: Duration(e.CameUpMs)}
+		list[i] = balancer.Endpoint{ID: e.Upstream, Zone: e.RackZone, Kind: e.Machine, Cell: e.Cell,
+			State: states[e.StageState], StartedAt: Duration(e.CameUpMs)}
 	}
 	return list
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -68,15 +68,15 @@
 // A panic in a decision becomes a BailOut with its text, and keeps the actions before it.
 func TestPanicBecomesBailOut(t *testing.T) {
 	h := &host{}
-	got := h.decide(nil, 0, 3, balancer.Wake{}, []action{{Verb: "Emit"}})
+	got := h.decide(nil, 0, 3, balancer.TimerFired{}, []action{{Verb: "Emit"}})
 	if len(got) != 2 || got[1].Verb != "BailOut" || got[1].I != 3 || got[1].ReasonText == "" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestEveryActionHasAWireForm(t *testing.T) {
-	for k, want := range map[balancer.ActionKind]string{balancer.Send: "Try", balancer.Cancel: "Retract", balancer.Refuse: "Refuse",
-		balancer.Fail: "Error", balancer.SetTimer: "Defer", balancer.Subscribe: "Watch", balancer.Probe: "Touch", balancer.Close: "LetGo", balancer.Log: "Emit"} {
+	for k, want := range map[balancer.ActionKind]string{balancer.Send: "Try", balancer.Cancel: "Retract", balancer.Reject: "Refuse",
+		balancer.Fail: "Error", balancer.SetTimer: "Defer", balancer.Subscribe: "Watch", balancer.Probe: "Touch", balancer.CloseIdle: "LetGo", balancer.Log: "Emit"} {
 		if got := encode(1, &balancer.Action{Kind: k}).Verb; got != want {
 			t.Errorf("kind %d: %s, want %s", k, got, want)
 		}
@@ -84,36 +84,36 @@
 }
 
 func TestTranslate(t *testing.T) {
-	h := &host{tables: map[int][]balancer.Member{3: {{Upstream: "s"}}}}
+	h := &host{tables: map[int][]balancer.Endpoint{3: {{ID: "s"}}}}
 	for _, c := range []struct {
 		e    event
 		want balancer.Event
 	}{
-		{event{Verb: "Hangup", ID: "x"}, balancer.Gone{ID: "x"}},
+		{event{Verb: "Hangup", ID: "x"}, balancer.ClientDisconnected{ID: "x"}},
 		{event{Verb: "FirstByte", ID: "x", Hop: 2}, balancer.FirstByte{ID: "x", Attempt: 2}},
 		{event{Verb: "Order", ID: "x", Type: "c", Billing: "t", Item: "k", ExpiresMs: 1.5, PredictedMs: 2, Bits: 1},
-			balancer.Request{ID: "x", Class: "c", Tenant: "t", Key: "k", Expires: 1500 * time.Microsecond, Hint: 2 * time.Millisecond}},
+			balancer.Request{ID: "x", Class: "c", Tenant: "t", AffinityKey: "k", ExpiresAt: 1500 * time.Microsecond, ExpectedWork: 2 * time.Millisecond}},
 		{event{Verb: "Order", ID: "x", Type: "c", Billing: 0.0, PredictedMs: 2}, balancer.Request{ID: "x", Class: "c"}},
 		{event{Verb: "Returned", ID: "x", Hop: 1, Result: 520, ElapsedMs: 3},
 			balancer.Outcome{ID: "x", Attempt: 1, Result: balancer.Reset, Elapsed: 3 * time.Millisecond}},
-		{event{Verb: "ProbeDone", Upstream: "s", Result: 200}, balancer.ProbeResult{Upstream: "s"}},
+		{event{Verb: "ProbeDone", Upstream: "s", Result: 200}, balancer.ProbeResult{Endpoint: "s"}},
 		{event{Verb: "ProbeDone", Upstream: "s", Result: 200, Load: map[string]float64{"concurrent": 3, "x": 9}},
-			balancer.ProbeResult{Upstream: "s", Load: balancer.Load{Told: true, Held: 3}}},
+			balancer.ProbeResult{Endpoint: "s", Load: balancer.LoadReport{Reported: true, InFlight: 3}}},
 		{event{Verb: "ProbeDone", Upstream: "s", Result: 200, Load: map[string]float64{"load_share": 1}},
-			balancer.ProbeResult{Upstream: "s"}},
-		{event{Verb: "Heard", By: 2, Contents: "hi"}, balancer.Peer{From: 2, Message: "hi"}},
-		{event{Verb: "Wakeup"}, balancer.Wake{}},
+			balancer.ProbeResult{Endpoint: "s"}},
+		{event{Verb: "Heard", By: 2, Contents: "hi"}, balancer.PeerMessage{From: 2, Message: "hi"}},
+		{event{Verb: "Wakeup"}, balancer.TimerFired{}},
 	} {
 		if got := h.translate(&c.e); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", c.e.Verb, got, c.want)
 		}
 	}
-	m := h.translate(&event{Verb: "Topology", Scope: "FULL", Table: 3}).(balancer.Members)
-	if m.Kind != balancer.Full || len(m.Entries) != 1 {
+	m := h.translate(&event{Verb: "Topology", Scope: "FULL", Table: 3}).(balancer.EndpointUpdate)
+	if m.Kind != balancer.CompleteList || len(m.Endpoints) != 1 {
 		t.Errorf("list: %+v", m)
 	}
 	for code, want := range map[int]balancer.Result{200: balancer.OK, 502: balancer.ServerError, 429: balancer.Overloaded,
-		408: balancer.Timeout, 521: balancer.ConnectFailed, 520: balancer.Reset, 444: balancer.Cancelled, 409: balancer.Moot,
+		408: balancer.Timeout, 521: balancer.ConnectFailed, 520: balancer.Reset, 444: balancer.Cancelled, 409: balancer.NotSent,
 		599: balancer.ServerError} {
 		if got := result(code); got != want {
 			t.Errorf("code %d: %d, want %d", code, got, want)
--- a/rpc/grpcbalancer/agree_test.go
+++ b/rpc/grpcbalancer/agree_test.go
@@ -39,7 +39,7 @@
 	cfg.Network.Multiplexed = c.server != nil // gRPC
 	if c.lab != baseline.Own {
 		cfg.Settings.MaxAttempts = 1
-		cfg.Settings.LoadByProbes = true // ORCA's reports come with answers
+		cfg.Settings.ProbesReportLoad = true // ORCA's reports come with answers
 	}
 	policy, err := baseline.New(c.lab)
 	if err != nil {
--- a/rpc/grpcbalancer/bench_test.go
+++ b/rpc/grpcbalancer/bench_test.go
@@ -38,7 +38,7 @@
 	}
 	defer plain.Close()
 	cfg := testConfig(Static(Member{Addr: l.Addr().String(), Zone: "a"}))
-	cfg.Settings.Classes[0] = balancer.Class{Name: "look", Aim: time.Second, Deadline: time.Minute}
+	cfg.Settings.Classes[0] = balancer.Class{Name: "look", LatencyObjective: time.Second, Deadline: time.Minute}
 	p := start(b, cfg)
 	for _, c := range []struct {
 		name string
--- a/rpc/grpcbalancer/call.go
+++ b/rpc/grpcbalancer/call.go
@@ -64,7 +64,7 @@
 	md, _ := metadata.FromOutgoingContext(ctx)
 	m := p.method(method)
 	c := &engine.Call{ID: p.prefix + strconv.FormatUint(p.last.Add(1), 16), Class: first(md, classKey, m.Class),
-		Tenant: first(md, tenantKey, m.Tenant), Key: first(md, aboutKey, "")}
+		Tenant: first(md, tenantKey, m.Tenant), AffinityKey: first(md, aboutKey, "")}
 	class, ok := p.classes[c.Class]
 	switch {
 	case c.Class == "":
@@ -74,17 +74,17 @@
 	case class.Effect == balancer.Keyed && first(md, idempotencyKey, "") == "":
 		return nil, status.Errorf(codes.InvalidArgument, "hazelgrpc: %s: class %q is keyed, and the call's metadata has no %s", method, c.Class, idempotencyKey)
 	}
-	if c.Key == "" && m.Key != nil {
-		c.Key = m.Key(request)
+	if c.AffinityKey == "" && m.Key != nil {
+		c.AffinityKey = m.Key(request)
 	}
 	hint, err := p.hint(md, m, request)
 	if err != nil {
 		return nil, err
 	}
-	c.Hint = hint
-	c.Expires = time.Now().Add(p.longest)
-	if d, ok := ctx.Deadline(); ok && d.Before(c.Expires) {
-		c.Expires = d
+	c.ExpectedWork = hint
+	c.ExpiresAt = time.Now().Add(p.longest)
+	if d, ok := ctx.Deadline(); ok && d.Before(c.ExpiresAt) {
+		c.ExpiresAt = d
 	}
 	data, err := o.codec.Marshal(request)
 	if err != nil {
--- a/rpc/grpcbalancer/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -124,7 +124,7 @@
 	members, _ := two(t, func(*rawh2.Stream, int32) {}) // they never answer
 	cfg := testConfig(members)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 50*time.Millisecond, 100*time.Millisecond
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 50*time.Millisecond, 100*time.Millisecond
 	}
 	p := start(t, cfg)
 	begun := time.Now()
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -140,12 +140,12 @@
 func (r fleetResolver) Scheme() string { return "fleet" }
 
 func (r fleetResolver) Build(_ resolver.Target, cc resolver.ClientConn, _ resolver.BuildOptions) (resolver.Resolver, error) {
-	members := map[string]engine.Member{}
-	stop := watch.New(r.discovery, false, discardLog).Watch(0, 0, func(n engine.News) {
-		if n.Kind == balancer.Full {
+	members := map[string]engine.Endpoint{}
+	stop := watch.New(r.discovery, false, discardLog).Watch(0, 0, func(n engine.EndpointUpdate) {
+		if n.Kind == balancer.CompleteList {
 			clear(members)
 		}
-		for _, m := range n.Members {
+		for _, m := range n.Endpoints {
 			if m.State == balancer.Active {
 				members[m.ID] = m
 			} else {
--- a/rpc/grpcbalancer/example_test.go
+++ b/rpc/grpcbalancer/example_test.go
@@ -30,8 +30,8 @@
 func config(f *emulator.Fleet) grpcbalancer.Config {
 	return grpcbalancer.Config{
 		Settings: balancer.Settings{
-			Zone: "a", MaxAttempts: 3, Cancelling: true, ConnectTimeout: time.Second,
-			Classes: []balancer.Class{{Name: "confirm", Effect: balancer.Unsafe, Aim: 10 * time.Second, Deadline: 20 * time.Second}},
+			Zone: "a", MaxAttempts: 3, Cancellation: true, ConnectTimeout: time.Second,
+			Classes: []balancer.Class{{Name: "confirm", Effect: balancer.NonIdempotent, LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second}},
 		},
 		Methods: map[string]grpcbalancer.Method{"/booking.v1.Booking/": {Class: "confirm"}},
 		Members: grpcbalancer.Watch(f.Discovery.Addr()),
--- a/rpc/grpcbalancer/hard_test.go
+++ b/rpc/grpcbalancer/hard_test.go
@@ -293,7 +293,7 @@
 	f := grpcFleet(t, emulator.MixedNodes(4), traffic)
 	cfg := Config{Settings: bookingSettings(traffic), Members: Watch(f.Discovery.Addr()), Dial: testConfig(Members{}).Dial, Seed: 1}
 	one := start(t, cfg)
-	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies, cfg.Seed = 2, false, 2
+	cfg.Settings.MaxAttempts, cfg.Settings.Hedging, cfg.Seed = 2, false, 2
 	other := start(t, cfg)
 	half := len(traffic.Requests) / 2
 	var closed, afterClose, otherAfter atomic.Int32
--- a/rpc/grpcbalancer/hazelgrpc.go
+++ b/rpc/grpcbalancer/hazelgrpc.go
@@ -149,7 +149,7 @@
 	set := cfg.Settings
 	set.MustSubscribe = true // the module asks again where a source fails, with a growing wait
 	p.engine, err = engine.New(engine.Config{Settings: set, Seed: cfg.Seed, Transport: p.transport, Source: source,
-		Known: engine.News{Members: known}, Log: cfg.Log, MaxCalls: cfg.MaxCalls, CancelGone: true})
+		CachedList: engine.EndpointUpdate{Endpoints: known}, Log: cfg.Log, MaxCalls: cfg.MaxCalls, CancelOnDisconnect: true})
 	if err != nil {
 		return nil, fmt.Errorf("hazelgrpc: Config.Settings: %w", err)
 	}
--- a/rpc/grpcbalancer/members.go
+++ b/rpc/grpcbalancer/members.go
@@ -20,7 +20,7 @@
 
 // Members says where the list of members comes from. Static, Watch and Resolver make one.
 type Members struct {
-	make func(log *slog.Logger) (engine.Source, []engine.Member, error)
+	make func(log *slog.Logger) (engine.Source, []engine.Endpoint, error)
 }
 
 // Member is what is known of a member beside its address. Zero fields say nothing.
@@ -33,21 +33,21 @@
 	Born time.Time // when its process started; zero: long ago. A member that has just started is cold
 }
 
-func (m Member) entry() engine.Member {
-	e := engine.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell}
+func (m Member) entry() engine.Endpoint {
+	e := engine.Endpoint{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell}
 	if e.ID == "" {
 		e.ID = m.Addr
 	}
 	if !m.Born.IsZero() {
-		e.BornMS = float64(m.Born.UnixMilli())
+		e.StartedAtMS = float64(m.Born.UnixMilli())
 	}
 	return e
 }
 
 // Static is a list that does not change.
 func Static(list ...Member) Members {
-	return Members{func(*slog.Logger) (engine.Source, []engine.Member, error) {
-		entries := make([]engine.Member, len(list))
+	return Members{func(*slog.Logger) (engine.Source, []engine.Endpoint, error) {
+		entries := make([]engine.Endpoint, len(list))
 		for i, m := range list {
 			if m.Addr == "" {
 				return nil, nil, fmt.Errorf("member %d: no address", i)
@@ -58,14 +58,14 @@
 	}}
 }
 
-type static []engine.Member
+type static []engine.Endpoint
 
 // Watch tells the list once.
-func (s static) Watch(_ int64, _ time.Duration, tell func(engine.News)) context.CancelFunc {
+func (s static) Watch(_ int64, _ time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
 		if ctx.Err() == nil {
-			tell(engine.News{Kind: balancer.Full, Seq: 1, Members: s})
+			tell(engine.EndpointUpdate{Kind: balancer.CompleteList, Version: 1, Endpoints: s})
 		}
 	}()
 	return stop
@@ -74,7 +74,7 @@
 // Watch is the project's own: the list, and each change of it, from a discovery that speaks the platform's protocol at
 // addr.
 func Watch(addr string) Members {
-	return Members{func(log *slog.Logger) (engine.Source, []engine.Member, error) {
+	return Members{func(log *slog.Logger) (engine.Source, []engine.Endpoint, error) {
 		return watch.New(addr, false, log), nil, nil
 	}}
 }
@@ -83,7 +83,7 @@
 // those registered with gRPC. What an address means beyond itself is said by WithMember. The resolver's service
 // configuration is not read: the module decides.
 func Resolver(target string, builders ...resolver.Builder) Members {
-	return Members{func(log *slog.Logger) (engine.Source, []engine.Member, error) {
+	return Members{func(log *slog.Logger) (engine.Source, []engine.Endpoint, error) {
 		u, err := url.Parse(target)
 		if err != nil || u.Scheme == "" {
 			return nil, nil, fmt.Errorf("target %q has no scheme", target)
@@ -120,7 +120,7 @@
 }
 
 // Watch builds the resolver in a goroutine, which closes it when the watch is stopped.
-func (r *resolving) Watch(_ int64, pause time.Duration, tell func(engine.News)) context.CancelFunc {
+func (r *resolving) Watch(_ int64, pause time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
 		select {
@@ -132,7 +132,7 @@
 		built, err := r.builder.Build(r.target, cc, resolver.BuildOptions{DisableServiceConfig: true})
 		if err != nil {
 			if ctx.Err() == nil {
-				tell(engine.News{Kind: balancer.Failed, Err: err})
+				tell(engine.EndpointUpdate{Kind: balancer.WatchFailed, Err: err})
 			}
 			return
 		}
@@ -147,7 +147,7 @@
 	ctx  context.Context
 	log  *slog.Logger
 	mu   sync.Mutex // one call of tell at a time
-	tell func(engine.News)
+	tell func(engine.EndpointUpdate)
 	seq  int64
 }
 
@@ -155,7 +155,7 @@
 
 // UpdateState takes a whole list. An empty one is taken for a fault, as gRPC's own balancers do.
 func (c *resolverConn) UpdateState(s resolver.State) error {
-	var list []engine.Member
+	var list []engine.Endpoint
 	add := func(a resolver.Address) {
 		m, _ := a.Attributes.Value(memberKey{}).(Member)
 		m.Addr = a.Addr
@@ -179,7 +179,7 @@
 	defer c.mu.Unlock()
 	if c.ctx.Err() == nil {
 		c.seq++
-		c.tell(engine.News{Kind: balancer.Full, Seq: c.seq, Members: list})
+		c.tell(engine.EndpointUpdate{Kind: balancer.CompleteList, Version: c.seq, Endpoints: list})
 	}
 	return nil
 }
--- a/rpc/grpcbalancer/members_test.go
+++ b/rpc/grpcbalancer/members_test.go
@@ -45,16 +45,16 @@
 
 func TestWhatAResolverKnows(t *testing.T) {
 	born := time.UnixMilli(1_700_000_000_000)
-	news := make(chan engine.News, 1)
-	cc := &resolverConn{ctx: t.Context(), log: discardLog, tell: func(n engine.News) { news <- n }}
+	news := make(chan engine.EndpointUpdate, 1)
+	cc := &resolverConn{ctx: t.Context(), log: discardLog, tell: func(n engine.EndpointUpdate) { news <- n }}
 	addr := WithMember(resolver.Address{Addr: "127.0.0.1:2"}, Member{ID: "s", Zone: "a", Kind: "m", Cell: 3, Born: born})
 	if err := cc.UpdateState(resolver.State{Addresses: []resolver.Address{{Addr: "127.0.0.1:1"}, addr}}); err != nil {
 		t.Fatal(err)
 	}
 	n := <-news
-	want := []engine.Member{{ID: "127.0.0.1:1", Addr: "127.0.0.1:1"},
-		{ID: "s", Addr: "127.0.0.1:2", Zone: "a", Kind: "m", Cell: 3, BornMS: 1_700_000_000_000}}
-	if n.Kind != balancer.Full || len(n.Members) != 2 || n.Members[0] != want[0] || n.Members[1] != want[1] {
+	want := []engine.Endpoint{{ID: "127.0.0.1:1", Addr: "127.0.0.1:1"},
+		{ID: "s", Addr: "127.0.0.1:2", Zone: "a", Kind: "m", Cell: 3, StartedAtMS: 1_700_000_000_000}}
+	if n.Kind != balancer.CompleteList || len(n.Endpoints) != 2 || n.Endpoints[0] != want[0] || n.Endpoints[1] != want[1] {
 		t.Errorf("%+v", n)
 	}
 }
--- a/rpc/grpcbalancer/result.go
+++ b/rpc/grpcbalancer/result.go
@@ -18,11 +18,11 @@
 func answer(ctx context.Context, r engine.Result) (*transport.Answer, error) {
 	a, _ := r.Answer.(*transport.Answer)
 	switch r.Kind {
-	case engine.Served, engine.Begun:
+	case engine.Served, engine.Streaming:
 		return a, a.Err
-	case engine.Refused:
+	case engine.Rejected:
 		return nil, refused(r)
-	case engine.Left:
+	case engine.Disconnected:
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
 	return a, failed(r, a)
@@ -38,8 +38,8 @@
 		text += ": " + r.Err.Error()
 	}
 	s := status.New(code, text)
-	if r.RetryIn > 0 {
-		if d, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(r.RetryIn)}); err == nil {
+	if r.RetryAfter > 0 {
+		if d, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(r.RetryAfter)}); err == nil {
 			s = d
 		}
 	}
--- a/rpc/grpcbalancer/rig_test.go
+++ b/rpc/grpcbalancer/rig_test.go
@@ -29,13 +29,13 @@
 // testConfig is one class of each kind; nothing in it comes due within a test.
 func testConfig(members Members) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Aim: testutil.Patience, Deadline: testutil.Patience, Effect: e, LateShare: 0.5,
-			Window: testutil.Patience, Stream: name == "follow"}
+		return balancer.Class{Name: name, LatencyObjective: testutil.Patience, Deadline: testutil.Patience, Effect: e, LateWeight: 0.5,
+			IdempotencyWindow: testutil.Patience, Stream: name == "follow"}
 	}
 	return Config{Members: members, Seed: 1, Dial: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())},
-		Settings: balancer.Settings{Zone: "a", MaxAttempts: 3, SecondCopies: true, Cancelling: true, RetryAfter: true,
+		Settings: balancer.Settings{Zone: "a", MaxAttempts: 3, Hedging: true, Cancellation: true, RetryAfter: true,
 			MaxRetryAfter: 1500 * time.Millisecond, ConnectTimeout: 5 * time.Second,
-			Classes: []balancer.Class{class("look", balancer.Safe), class("book", balancer.Unsafe), class("pay", balancer.Keyed), class("follow", balancer.Safe)}},
+			Classes: []balancer.Class{class("look", balancer.Idempotent), class("book", balancer.NonIdempotent), class("pay", balancer.Keyed), class("follow", balancer.Idempotent)}},
 		Methods: map[string]Method{look: {Class: "look"}, book: {Class: "book"}, pay: {Class: "pay"}, follow: {Class: "follow"}}}
 }
 
@@ -59,19 +59,19 @@
 // bookingClasses are the settings' classes of recorded traffic.
 func bookingClasses(t *emulator.Traffic) (list []balancer.Class) {
 	for _, c := range t.Classes {
-		list = append(list, balancer.Class{Name: c.Name, Aim: time.Duration(c.AimMS * float64(time.Millisecond)),
-			Deadline: time.Duration(c.DeadlineMS * float64(time.Millisecond)), Worth: c.Worth, LateShare: c.LateShare,
-			Effect: map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}[c.Effect],
-			Group:  balancer.GroupZone, Window: 6 * time.Second})
+		list = append(list, balancer.Class{Name: c.Name, LatencyObjective: time.Duration(c.AimMS * float64(time.Millisecond)),
+			Deadline: time.Duration(c.DeadlineMS * float64(time.Millisecond)), Weight: c.Worth, LateWeight: c.LateShare,
+			Effect:           map[string]balancer.Effect{"safe": balancer.Idempotent, "keyed": balancer.Keyed, "unsafe": balancer.NonIdempotent}[c.Effect],
+			IdempotencyScope: balancer.ScopeZone, IdempotencyWindow: 6 * time.Second})
 	}
 	return list
 }
 
 // bookingSettings are those of the stand-in fleet's clients.
 func bookingSettings(t *emulator.Traffic) balancer.Settings {
-	return balancer.Settings{Balancers: 1, Zone: "a", Tick: time.Millisecond, MaxAttempts: 5, SecondCopies: true, Cancelling: true,
-		RetryAfter: true, MaxRetryAfter: 200 * time.Millisecond, ConnectTimeout: 250 * time.Millisecond, WorthByWork: true,
-		ColdFrom: 0.3, WarmUp: 4 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second, Classes: bookingClasses(t)}
+	return balancer.Settings{Balancers: 1, Zone: "a", Tick: time.Millisecond, MaxAttempts: 5, Hedging: true, Cancellation: true,
+		RetryAfter: true, MaxRetryAfter: 200 * time.Millisecond, ConnectTimeout: 250 * time.Millisecond, WeightByWork: true,
+		InitialCapacity: 0.3, WarmUp: 4 * time.Second, OverloadMultiple: 3, OverloadDuration: 2 * time.Second, Classes: bookingClasses(t)}
 }
 
 func grpcFleet(t testing.TB, nodes []emulator.NodeConfig, traffic *emulator.Traffic) *emulator.Fleet {
