--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,8 +1,3 @@
-// Package balancer makes the decisions of a client-side load balancer that runs as a sidecar.
-//
-// This file is the whole interface: Settings, events in, actions out. The decisions are in balancer.go.
-// A sidecar calls New once, then Handle for each thing that happens, and carries out the actions in order.
-// The package does no I/O and reads no clock; a Balancer is not safe for concurrent use.
 package balancer
 
 import "time"
@@ -10,164 +5,181 @@
 // Effect says what a second run of a request would do.
 type Effect int
 
-// The three effects. Anything else makes New fail.
+// The effects. New returns an error for any other.
 const (
 	Idempotent    Effect = iota // may run any number of times
-	Keyed                       // upstreams of one Group drop repeats within Window
+	Keyed                       // has an idempotency key: endpoints of one IdempotencyScope drop repeats
 	NonIdempotent               // must not run twice
 )
 
-// Group is the set of upstreams that share the memory of a keyed request.
+// IdempotencyScope is the set of endpoints that share the memory of a keyed request.
 type IdempotencyScope int
 
-// The groups of keyed classes.
+// The scopes of keyed classes.
 const (
-	ScopeAll IdempotencyScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  IdempotencyScope = iota // all endpoints
+	ScopeZone                         // those of one zone
+	ScopeCell                         // those of one cell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name              string
-	LatencyObjective  time.Duration // answers within it earn full worth; absent: Deadline
-	ObjectiveStretch  float64       // the aim grows by this multiple of the request's own work
-	Deadline          time.Duration // what a client waits over all of its tries
-	Weight            float64       // absent: 1
-	LateWeight        float64       // share of the worth still earned after the aim
-	Effect            Effect
-	IdempotencyScope  IdempotencyScope
-	IdempotencyWindow time.Duration // keyed: how long repeats are dropped
-	Stream            bool
+	Name string
+	// LatencyObjective is the latency up to which an answer has its full weight. Absent: Deadline.
+	LatencyObjective time.Duration
+	// ObjectiveStretch times the request's expected work is added to its objective.
+	ObjectiveStretch float64
+	// Deadline is how long a client waits over all of its own attempts.
+	Deadline time.Duration
+	// Weight is the priority of requests. Absent: 1.
+	Weight float64
+	// LateWeight is the share of Weight that an answer still has after the objective.
+	LateWeight       float64
+	Effect           Effect
+	IdempotencyScope IdempotencyScope // of keyed classes
+	// IdempotencyWindow is how long endpoints drop the repeats of a keyed request.
+	IdempotencyWindow time.Duration
+	Stream            bool // answers are streamed
 }
 
 // Tenant is one of the parties that share the fleet.
 type Tenant struct {
 	Name     string
-	Fraction float64 // its share of the service
+	Fraction float64 // its quota, as a share of all requests
 }
 
-// Settings is what a sidecar is told at its start. Absent (zero) values mean: feature not allowed, price nil.
+// Settings configures a Balancer. An absent (zero) value means that a feature is off or that a price is nil, unless its
+// comment says otherwise.
 type Settings struct {
-	Balancers int    // sidecars of this tier in all; absent: 1
-	Zone      string // this sidecar's zone
+	Balancers int    // sidecars that send to the same endpoints, this one included; absent: 1
+	Zone      string // the home zone: that of this sidecar
 	Classes   []Class
 	Tenants   []Tenant
 
-	MustSubscribe bool          // the list comes only to those who ask
-	Tick          time.Duration // least time between two calls of Handle; absent: 1 ms
+	MustSubscribe bool          // the endpoint list comes only after a Subscribe action
+	Tick          time.Duration // minimum time between two calls of Handle; absent: 1 ms
 
-	MaxAttempts      int // absent: 1
-	Hedging          bool
-	Cancellation     bool
-	Probes           bool
-	KeyAffinity      bool // an upstream that served a key lately needs less work for it
-	ProbesReportLoad bool // probe results tell what an upstream holds
-	RetryAfter       bool
+	MaxAttempts      int  // attempts for each request, hedges included; absent: 1
+	Hedging          bool // attempts may run beside another one
+	Cancellation     bool // attempts can be canceled
+	Probes           bool // endpoints can be probed
+	KeyAffinity      bool // an endpoint that served an affinity key lately needs less work for it
+	ProbesReportLoad bool // probes report how many requests an endpoint has in flight
+	RetryAfter       bool // rejections advise when to retry
 	MaxRetryAfter    time.Duration
 	ConnectTimeout   time.Duration
 
-	PriceCrossZone      float64 // points of service for crossing zones once a request
-	PriceOpenConnection float64 // points of service for a mean of 100 open connections an upstream
-	PriceHandshake      float64 // points of service for a new connection a request
-	PriceProbe          float64 // points of service for one probe a request
-	OverQuotaWeight     float64 // worth of a request beyond its tenant's share, as a fraction
-	WeightByWork        bool    // worth counts by unit of work
-
-	InitialCapacity  float64       // a started upstream has at least this share of its capacity; absent: 1
-	WarmUp           time.Duration // and is warm after at most this long
-	OverloadMultiple float64       // times present capacity that pushes it over; absent: no such rule
-	OverloadDuration time.Duration // when kept up for this long
+	// Prices, in points of service.
+	PriceCrossZone      float64 // of one crossing of zones for each request
+	PriceOpenConnection float64 // of a mean of 100 open connections for each endpoint
+	PriceHandshake      float64 // of one new connection for each request
+	PriceProbe          float64 // of one probe for each request
+
+	OverQuotaWeight float64 // share of their weight that requests beyond their tenant's quota have
+	WeightByWork    bool    // weights are for each unit of work, not for each request
+
+	// Slow start. An endpoint that has just started has at least InitialCapacity of its capacity (absent: 1), and all
+	// of it after WarmUp at the latest. While it warms up, OverloadMultiple times its present capacity for
+	// OverloadDuration overloads it; absent: there is no such limit.
+	InitialCapacity  float64
+	WarmUp           time.Duration
+	OverloadMultiple float64
+	OverloadDuration time.Duration
 }
 
-// Event is anything a sidecar reports: Members, Request, FirstByte, Outcome, Gone, Wake, ProbeResult, Peer.
+// Event is what a sidecar reports to Handle: EndpointUpdate, Request, FirstByte, Outcome, ClientDisconnected,
+// TimerFired, ProbeResult or PeerMessage.
 type Event interface{ event() }
 
-// State is an upstream's state in the list.
+// EndpointState is an endpoint's state in the endpoint list.
 type EndpointState int
 
-// States of list entries.
+// The states of endpoints.
 const (
-	Active EndpointState = iota
-	Draining
+	Active   EndpointState = iota
+	Draining               // shutting down gracefully: gets no new attempts
 	Removed
 )
 
-// Member is an entry of the list of upstreams.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	ID, Zone  string
-	Kind      string // of machine; upstreams of one kind are taken to be alike until heard of
+	ID        string
+	Zone      string
+	Kind      string // of machine; endpoints of one kind are taken to be alike until they have answered
 	Cell      int
 	State     EndpointState
 	StartedAt time.Duration // clock time of its latest start; 0: long ago
 }
 
-// MembersKind says how a list is to be read.
+// UpdateKind says how an EndpointUpdate is to be read.
 type UpdateKind int
 
-// The kinds of Members events.
+// The kinds of endpoint updates.
 const (
-	CompleteList UpdateKind = iota // the whole list
-	Delta                          // changed entries only
-	CachedList                     // the whole list as last held; may be stale
-	WatchFailed                    // a Subscribe or Fetch failed, or the subscription broke
-	OutOfBand                      // changed entries that came beside the subscription, of which they say nothing
+	CompleteList UpdateKind = iota // all endpoints
+	Delta                          // changed endpoints only
+	CachedList                     // all endpoints as last known; may be out of date
+	WatchFailed                    // a subscription or its call failed; there are no endpoints
+	OutOfBand                      // changed endpoints that did not come by the subscription and do not confirm it
 )
 
-// Members brings the list of upstreams, or news of it.
+// EndpointUpdate brings the endpoint list, or a change of it.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
-	// Anew, of kind Failed: what turned the call away could not be reached before, by what is known.
+	// NewlyReached, of kind WatchFailed, says that the service that failed the call could be reached, as far as is
+	// known, and could not be reached before.
 	NewlyReached bool
 }
 
-// Request is a client's request, to be answered exactly once before Expires.
+// Request is a client's request. It gets exactly one final answer before ExpiresAt.
 type Request struct {
-	ID, Class, Tenant string
-	AffinityKey       string        // what the request is about; may be absent
-	ExpiresAt         time.Duration // clock time
-	ExpectedWork      time.Duration // expected work; 0: unknown
-	// Earlier are attempts of earlier requests with the same effect that may have run. Nil for all but keyed ones: one
-	// that may have run somewhere is tried again in that group only, and while its window lasts, as its own attempts are.
+	ID           string
+	Class        string
+	Tenant       string
+	AffinityKey  string        // what the request is about; may be absent
+	ExpiresAt    time.Duration // clock time
+	ExpectedWork time.Duration // 0: unknown
+	// PriorAttempts are attempts of earlier requests with the same effect that may have run. They count like attempts
+	// of this request: it is sent in their idempotency scope only, and while their window lasts. Nil unless keyed.
 	PriorAttempts []PriorAttempt
 }
 
-// Earlier is an attempt of another request that may have run.
+// PriorAttempt is an attempt of another request that may have run.
 type PriorAttempt struct {
 	Zone   string
 	Cell   int
 	SentAt time.Duration // clock time
 }
 
-// FirstByte says that a streamed answer has begun.
+// FirstByte reports that a streamed answer has begun.
 type FirstByte struct {
 	ID      string
 	Attempt int
 }
 
-// Result is how an attempt ended.
+// Result is how an attempt or a probe ended.
 type Result int
 
-// Results of attempts and probes.
+// The results of attempts and probes.
 const (
 	OK            Result = iota
 	ServerError          // error answer; may have run
-	Overloaded           // turned away unseen (queue full, draining): did not run
+	Overloaded           // rejected before it was looked at (full queue, draining): did not run
 	Timeout              // no answer in time; may have run
 	ConnectFailed        // did not run
-	Reset                // connection broke; may have run
+	Reset                // the connection broke; may have run
 	Cancelled            // may have run
-	NotSent              // never sent
+	NotSent              // did not run
 )
 
-// MayHaveRun says whether an attempt that ended so may have had its effect, or may have it yet.
+// MayHaveRun reports whether an attempt with this result may have had its effect, or may still have it.
 func (r Result) MayHaveRun() bool { return r != Overloaded && r != ConnectFailed && r != NotSent }
 
-// Load is what an upstream says of itself, late and roughly.
+// LoadReport is an endpoint's own measure of its load. It is late and rough.
 type LoadReport struct {
-	Reported bool    // the report came and says what the upstream holds
-	InFlight float64 // requests it holds, running or waiting
+	Reported bool    // the report came and has InFlight
+	InFlight float64 // requests that the endpoint runs or has queued
 }
 
 // Outcome ends an attempt. Each Send has exactly one.
@@ -177,13 +189,13 @@
 	Result   Result
 	Elapsed  time.Duration
 	Finished bool       // the request has its final answer
-	Load     LoadReport // that came along with it
+	Load     LoadReport // that came with the answer
 }
 
-// Gone says that the client left: no answer is owed any more.
+// ClientDisconnected reports that the client no longer waits for an answer.
 type ClientDisconnected struct{ ID string }
 
-// Wake is the timer set by the last SetTimer.
+// TimerFired reports that the time of the last SetTimer has come.
 type TimerFired struct{}
 
 // ProbeResult ends a probe.
@@ -194,7 +206,7 @@
 	Load     LoadReport
 }
 
-// Peer is a message from another sidecar. The module sends none, and ignores it.
+// PeerMessage is a message from another sidecar. A Balancer sends none and ignores it.
 type PeerMessage struct {
 	From    int
 	Message string
@@ -212,20 +224,30 @@
 // ActionKind tells actions apart.
 type ActionKind int
 
-// What a sidecar can be asked to do.
+// What a sidecar is asked to do.
 const (
-	Send      ActionKind = iota // start the request's next attempt at Upstream, ending after Timeout, unless that is not before Before
-	Cancel                      // stop waiting for attempt number Attempt
-	Reject                      // final answer: not done, trying again is harmless; RetryIn is advice
-	Fail                        // final answer: no promise
-	SetTimer                    // report Wake at time At; an earlier SetTimer may be dropped
-	Subscribe                   // ask for the list and its changes
-	CloseIdle                   // close the idle connections to Upstream
-	Probe                       // ask Upstream for its load; answered by a ProbeResult
-	Log                         // a line for the operators
+	// Send starts the request's next attempt, to Endpoint, that ends after Timeout. It must not be written to the
+	// endpoint at NotAfter or later.
+	Send ActionKind = iota
+	// Cancel ends the attempt with number Attempt.
+	Cancel
+	// Reject is a final answer: the request was not done, and to retry is harmless, after RetryAfter if that is set.
+	Reject
+	// Fail is a final answer without a promise.
+	Fail
+	// SetTimer asks for a TimerFired at time At. An earlier SetTimer may be dropped.
+	SetTimer
+	// Subscribe asks for the endpoint list and its changes.
+	Subscribe
+	// CloseIdle closes the idle connections to Endpoint.
+	CloseIdle
+	// Probe asks Endpoint for its load. A ProbeResult answers it.
+	Probe
+	// Log writes Text and Attributes to the log.
+	Log
 )
 
-// Action is one thing to do. Only the fields named at its Kind are set.
+// Action is one thing to do. Only the fields that its kind names are set, and ID for an action about a request.
 type Action struct {
 	Kind       ActionKind
 	ID         string
@@ -236,4 +258,11 @@
 	At         time.Duration
 	NotAfter   time.Duration // 0: at any time
 	Text       string
+	Attributes []Attribute
+}
+
+// Attribute is an attribute of a log line.
+type Attribute struct {
+	Key   string // lower_snake
+	Value any
 }
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -14,23 +14,23 @@
 	half := time.Duration(math.Round(math.Ln2 * 1e9))
 	for _, c := range []struct {
 		name    string
-		e       estimate
+		e       peakEWMA
 		sample  float64
 		now     time.Duration
 		want    float64
 		wantNow time.Duration
 	}{
-		{"above the estimate: replaces it", estimate{0.1, 0}, 0.3, half, 0.3, half},
-		{"above its projection only: replaces it", estimate{0.1, 0}, 0.06, half, 0.06, half},
-		{"below the projection: blended in", estimate{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
-		{"at the projection: stays there", estimate{0.1, 0}, 0.05, half, 0.05, half},
-		{"same moment, lower: no weight", estimate{0.1, half}, 0.02, half, 0.1, half},
-		{"same moment, higher: a peak all the same", estimate{0.1, half}, 0.2, half, 0.2, half},
-		{"earlier than the last: dropped", estimate{0.1, half}, 0.9, half - 1, 0.1, half},
+		{"above the estimate: replaces it", peakEWMA{0.1, 0}, 0.3, half, 0.3, half},
+		{"above its projection only: replaces it", peakEWMA{0.1, 0}, 0.06, half, 0.06, half},
+		{"below the projection: blended in", peakEWMA{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
+		{"at the projection: stays there", peakEWMA{0.1, 0}, 0.05, half, 0.05, half},
+		{"same moment, lower: no weight", peakEWMA{0.1, half}, 0.02, half, 0.1, half},
+		{"same moment, higher: a peak all the same", peakEWMA{0.1, half}, 0.2, half, 0.2, half},
+		{"earlier than the last: dropped", peakEWMA{0.1, half}, 0.9, half - 1, 0.1, half},
 	} {
 		c.e.add(c.sample, c.now, decay)
-		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.at != c.wantNow {
-			t.Errorf("%s: got %v at %v, want %v at %v", c.name, c.e.value, c.e.at, c.want, c.wantNow)
+		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.updatedAt != c.wantNow {
+			t.Errorf("%s: got %v at %v, want %v at %v", c.name, c.e.value, c.e.updatedAt, c.want, c.wantNow)
 		}
 	}
 }
@@ -54,12 +54,12 @@
 		r.fleet(1)
 		r.wantSend(r.request("1", "c", time.Second))
 		r.now += 60 * time.Second // the seed's projection is nothing by now
-		u := r.b.list[0]
-		a := u.out[0]
+		ep := r.b.endpoints[0]
+		a := ep.outstanding[0]
 		r.b.now = r.now
-		r.b.observe(a, c.res, c.elapsed)
-		if !near(u.est.value, c.want) {
-			t.Errorf("result %d after %v: estimate %v, want %v", c.res, c.elapsed, u.est.value, c.want)
+		r.b.observeOutcome(a, c.res, c.elapsed)
+		if !near(ep.latency.value, c.want) {
+			t.Errorf("result %d after %v: estimate %v, want %v", c.res, c.elapsed, ep.latency.value, c.want)
 		}
 	}
 }
@@ -67,9 +67,9 @@
 // The seed is the mean latency known when the upstream is first seen.
 func TestSeed(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.b.fleet = 0.033
+	r.b.meanNormalized = 0.033
 	r.fleet(1)
-	if got := r.b.list[0].est; got.value != 0.033 || got.at != r.now {
+	if got := r.b.endpoints[0].latency; got.value != 0.033 || got.updatedAt != r.now {
 		t.Errorf("seed %+v", got)
 	}
 }
@@ -78,19 +78,19 @@
 func TestLoad(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(1)
-	u := r.b.list[0]
-	u.est = estimate{0.04, r.now}
+	ep := r.b.endpoints[0]
+	ep.latency = peakEWMA{0.04, r.now}
 	r.b.now = r.now
-	if got := r.b.load(u); !near(got, 0.04) {
+	if got := r.b.loadOf(ep); !near(got, 0.04) {
 		t.Errorf("idle: %v", got)
 	}
-	r.b.send(&request{id: "x", class: r.b.classes["c"], cost: 1, expires: r.now + time.Second}, u)
-	if got := r.b.load(u); !near(got, 0.08) {
+	r.b.send(&request{id: "x", class: r.b.classes["c"], cost: 1, expiresAt: r.now + time.Second}, ep)
+	if got := r.b.loadOf(ep); !near(got, 0.08) {
 		t.Errorf("one pending: %v", got)
 	}
 	// A hung attempt's age is a lower bound of the latency.
 	r.b.now += 100 * ms
-	if got := r.b.load(u); !near(got, 0.2) {
+	if got := r.b.loadOf(ep); !near(got, 0.2) {
 		t.Errorf("one pending for 100 ms: %v", got)
 	}
 }
@@ -99,10 +99,10 @@
 func TestIdleEstimateTendsToMean(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.list[0].est = estimate{0.5, r.now}
+	r.b.endpoints[0].latency = peakEWMA{0.5, r.now}
 	r.b.now = r.now + time.Hour
-	if got := r.b.load(r.b.list[0]); !near(got, r.b.fleet) {
-		t.Errorf("idle for long: %v, want the mean %v", got, r.b.fleet)
+	if got := r.b.loadOf(r.b.endpoints[0]); !near(got, r.b.meanNormalized) {
+		t.Errorf("idle for long: %v, want the mean %v", got, r.b.meanNormalized)
 	}
 }
 
@@ -110,8 +110,8 @@
 func TestPickTakesLowerOfTwo(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.list[0].est = estimate{0.02, r.now}
-	r.b.list[1].est = estimate{0.05, r.now}
+	r.b.endpoints[0].latency = peakEWMA{0.02, r.now}
+	r.b.endpoints[1].latency = peakEWMA{0.05, r.now}
 	r.b.now = r.now
 	got := ""
 	for i, want := range []string{"u0", "u0", "u1", "u0", "u0", "u1"} { // loads 20/50, 40/50, 60/50, 60/100, 80/100, 100/100
@@ -129,13 +129,13 @@
 func TestPairIsRandomAndDistinct(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(4)
-	for i, u := range r.b.list {
-		u.est = estimate{0.01 * float64(i+1), r.now}
+	for i, ep := range r.b.endpoints {
+		ep.latency = peakEWMA{0.01 * float64(i+1), r.now}
 	}
 	r.b.now = r.now
 	n := map[string]int{}
 	for range 6000 {
-		n[r.b.twoChoices(nil, func(*upstream) bool { return true }).id]++
+		n[r.b.powerOfTwoChoices(nil, func(*endpoint) bool { return true }).id]++
 	}
 	// Of the six pairs, u0 wins three, u1 two, u2 one, u3 none.
 	for id, want := range map[string]int{"u0": 3000, "u1": 2000, "u2": 1000, "u3": 0} {
@@ -167,7 +167,7 @@
 		}
 		r.now += time.Hour
 		r.list(Delta, Endpoint{ID: "new", Zone: "a", Kind: names[1]})
-		fast, slow, fresh := r.b.load(r.b.ups["a"]), r.b.load(r.b.ups["b"]), r.b.load(r.b.ups["new"])
+		fast, slow, fresh := r.b.loadOf(r.b.endpointsByID["a"]), r.b.loadOf(r.b.endpointsByID["b"]), r.b.loadOf(r.b.endpointsByID["new"])
 		if fast > 0.04 || slow < 0.05 || !near(fresh, slow) {
 			t.Errorf("fast %v, slow %v, new of the slow kind %v", fast, slow, fresh)
 		}
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -92,8 +93,8 @@
 	}
 	r.list(CompleteList, Endpoint{ID: "new"})
 	r.pass(2 * time.Second)
-	if len(r.b.reqs) != 0 || len(r.b.ups) != 1 || len(r.b.list) != 1 || r.b.timers.Len() != 0 {
-		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.reqs), len(r.b.ups), len(r.b.list),
+	if len(r.b.requests) != 0 || len(r.b.endpointsByID) != 1 || len(r.b.endpoints) != 1 || r.b.timers.Len() != 0 {
+		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.requests), len(r.b.endpointsByID), len(r.b.endpoints),
 			r.b.timers.Len())
 	}
 }
@@ -118,7 +119,7 @@
 		t.Fatalf("%d and %d actions", len(a), len(b))
 	}
 	for i := range a {
-		if a[i] != b[i] {
+		if !reflect.DeepEqual(a[i], b[i]) {
 			t.Fatalf("action %d: %+v and %+v", i, a[i], b[i])
 		}
 	}
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -8,7 +8,8 @@
 	"unicode/utf8"
 )
 
-// The policy files named in the deploy file stay short enough to be read: 850 lines, blank ones aside, of 110.
+// The policy files that the deploy file names stay short enough to be read: 1,200 lines in total that are not blank, of
+// 110 columns.
 func TestPolicyFileLimits(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -22,7 +23,7 @@
 	if len(files) == 0 {
 		t.Fatal("policy names no file")
 	}
-	const most = 1200 // what the operators run at the longest
+	const maxLines = 1200 // the operators' limit
 	lines := 0
 	for _, f := range files {
 		text, err := os.ReadFile("../" + string(f[1]))
@@ -38,7 +39,7 @@
 			}
 		}
 	}
-	if lines > most {
-		t.Errorf("%d lines of policy, %d at most", lines, most)
+	if lines > maxLines {
+		t.Errorf("%d lines of policy, %d at most", lines, maxLines)
 	}
 }
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -69,9 +69,9 @@
 			acts = append(acts, r.do(e)...)
 		}
 		r.wantSend(acts)
-		for _, u := range r.b.list {
-			if u.toldAt != 0 {
-				t.Errorf("%s: %s counts as told", name, u.id)
+		for _, ep := range r.b.endpoints {
+			if ep.reportedAt != 0 {
+				t.Errorf("%s: %s counts as told", name, ep.id)
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	probes, acts := told("full", 30) // 600 ms, wanted within 200 ms
 	r.wantFinal(acts, Reject)
-	if probes != 2*pairTries {
+	if probes != 2*maxProbedPairs {
 		t.Errorf("%d probes before the refusal, want four pairs", probes)
 	}
 	_, acts = told("fits", 4)
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -151,7 +151,7 @@
 			}
 		}
 		run(f, g, deal, 1200)
-		if n := len(b.reqs); n != 0 {
+		if n := len(b.requests); n != 0 {
 			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
 		}
 	}
--- a/balancer/revise_test.go
+++ b/balancer/reconfigure_test.go
@@ -31,7 +31,7 @@
 				f.action(a)
 			}
 		}, 400)
-		if n := len(b.reqs); n != 0 {
+		if n := len(b.requests); n != 0 {
 			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
 		}
 	}
@@ -44,8 +44,8 @@
 	r := newRig(t, s)
 	next := s
 	next.MaxAttempts, next.PriceProbe = 1, math.NaN()
-	if err := r.b.Reconfigure(next); err == nil || r.b.set.MaxAttempts != 4 {
-		t.Errorf("%v, %d attempts", err, r.b.set.MaxAttempts)
+	if err := r.b.Reconfigure(next); err == nil || r.b.settings.MaxAttempts != 4 {
+		t.Errorf("%v, %d attempts", err, r.b.settings.MaxAttempts)
 	}
 	next.PriceProbe, next.Tenants = 0, []Tenant{{"t", 0.25}, {"u", 0.25}}
 	next.Classes = []Class{{Name: "c", LatencyObjective: time.Second, Deadline: 9 * time.Second, Effect: NonIdempotent, Weight: 7, LateWeight: 0.5}}
@@ -53,10 +53,10 @@
 		t.Fatal(err)
 	}
 	c := r.b.classes["c"]
-	if c.Weight != 7 || c.LateWeight != 0.5 || c.Effect != Idempotent || c.Deadline != time.Second || c.LatencyObjective != 200*ms || r.b.set.MaxAttempts != 1 {
+	if c.Weight != 7 || c.LateWeight != 0.5 || c.Effect != Idempotent || c.Deadline != time.Second || c.LatencyObjective != 200*ms || r.b.settings.MaxAttempts != 1 {
 		t.Errorf("%+v", c)
 	}
-	if r.b.set.Tenants[0].Fraction != 0.25 || len(r.b.set.Tenants) != 1 || s.Tenants[0].Fraction != 0.5 {
-		t.Errorf("tenants %+v, the caller's %+v", r.b.set.Tenants, s.Tenants)
+	if r.b.settings.Tenants[0].Fraction != 0.25 || len(r.b.settings.Tenants) != 1 || s.Tenants[0].Fraction != 0.5 {
+		t.Errorf("tenants %+v, the caller's %+v", r.b.settings.Tenants, s.Tenants)
 	}
 }
--- a/balancer/report_test.go
+++ b/balancer/report_test.go
@@ -17,9 +17,9 @@
 		r.request("1", "c", 500*ms)
 		r.now += 10 * ms
 		r.do(Outcome{ID: "1", Result: OK, Elapsed: 10 * ms, Finished: true, Load: c.load})
-		u := r.b.ups["u0"]
-		if told := u.toldAt > 0; told != (c.want > 0) || told && u.held != c.want {
-			t.Errorf("%+v: holds %v, told %v", c.load, u.held, told)
+		ep := r.b.endpointsByID["u0"]
+		if told := ep.reportedAt > 0; told != (c.want > 0) || told && ep.inFlight != c.want {
+			t.Errorf("%+v: holds %v, told %v", c.load, ep.inFlight, told)
 		}
 	}
 }
@@ -37,14 +37,14 @@
 		r.do(FirstByte{ID: id})
 	}
 	r.pass(60 * 1000 * ms)
-	if r.b.waiting != 0 || r.b.pressure() != 0 {
-		t.Errorf("%d in hand, pressure %v", r.b.waiting, r.b.pressure())
+	if r.b.inFlight != 0 || r.b.pressure() != 0 {
+		t.Errorf("%d in hand, pressure %v", r.b.inFlight, r.b.pressure())
 	}
 	for i := range 50 {
 		r.do(Outcome{ID: fmt.Sprint("s", i), Result: OK, Elapsed: 5 * ms, Finished: true})
 	}
-	if r.b.waiting != 0 || len(r.b.reqs) != 0 {
-		t.Errorf("%d in hand, %d remembered", r.b.waiting, len(r.b.reqs))
+	if r.b.inFlight != 0 || len(r.b.requests) != 0 {
+		t.Errorf("%d in hand, %d remembered", r.b.inFlight, len(r.b.requests))
 	}
 }
 
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -40,7 +40,11 @@
 	r.acts = r.b.Handle(r.now, e, nil)
 	for _, a := range r.acts {
 		if a.Kind == Log {
-			r.logs = append(r.logs, a.Text)
+			line := a.Text
+			for _, x := range a.Attributes {
+				line += fmt.Sprintf(" %s=%v", x.Key, x.Value)
+			}
+			r.logs = append(r.logs, line)
 		}
 	}
 	return r.acts
@@ -49,7 +53,7 @@
 // pass lets time go by, with a Wake each tick.
 func (r *rig) pass(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
-		r.now += r.b.set.Tick
+		r.now += r.b.settings.Tick
 		all = append(all, r.do(TimerFired{})...)
 	}
 	return all
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -238,12 +238,12 @@
 func TestRestartIsANewProcess(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.ups["u0"].est = estimate{5, r.now}
-	r.b.ups["u0"].until = r.now + time.Hour
+	r.b.endpointsByID["u0"].latency = peakEWMA{5, r.now}
+	r.b.endpointsByID["u0"].ejectedUntil = r.now + time.Hour
 	r.list(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: r.now - time.Second})
-	u := r.b.ups["u0"]
-	if u.est.value > 1 || u.until != 0 || !u.cold || len(r.b.list) != 2 {
-		t.Errorf("still known: %+v", u)
+	ep := r.b.endpointsByID["u0"]
+	if ep.latency.value > 1 || ep.ejectedUntil != 0 || !ep.warmingUp || len(r.b.endpoints) != 2 {
+		t.Errorf("still known: %+v", ep)
 	}
 }
 
@@ -447,8 +447,8 @@
 func TestReturnIsNotAColdStart(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	u := r.b.list[0]
-	u.ejections, u.until = 3, r.now+10*ms
+	ep := r.b.endpoints[0]
+	ep.ejections, ep.ejectedUntil = 3, r.now+10*ms
 	r.now += 20 * ms
 	n := map[string]int{}
 	for i := range 5 {
@@ -460,8 +460,8 @@
 	for i := range 5 {
 		r.result(string(rune('a'+i)), 0, OK, 20*ms)
 	}
-	if u.cold || u.ejections != 0 {
-		t.Errorf("after its return: %+v", u)
+	if ep.warmingUp || ep.ejections != 0 {
+		t.Errorf("after its return: %+v", ep)
 	}
 }
 
@@ -497,7 +497,7 @@
 					if !strings.Contains(c.sends, a.Endpoint) {
 						t.Errorf("sent to %s", a.Endpoint)
 					}
-					acts = r.result("1", len(r.b.reqs["1"].attempts)-1, Overloaded, ms)
+					acts = r.result("1", len(r.b.requests["1"].attempts)-1, Overloaded, ms)
 				}
 				if len(sent) == 0 {
 					acts = r.pass(5 * ms)
@@ -527,15 +527,15 @@
 		w.play(5*time.Second, 100)
 		bad = false
 		for range 100 { // until a trial has found out
-			if w.play(100*ms, 100); w.logged("return u0") {
+			if w.play(100*ms, 100); w.logged("endpoint returned after ejection endpoint=u0 ") {
 				break
 			}
 		}
-		if u := w.b.ups["u0"]; u.cold != tt.cold || !w.logged("return u0") {
-			t.Errorf("%s: cold %v", tt.name, u.cold)
+		if ep := w.b.endpointsByID["u0"]; ep.warmingUp != tt.cold || !w.logged("endpoint returned after ejection endpoint=u0 ") {
+			t.Errorf("%s: cold %v", tt.name, ep.warmingUp)
 		}
-		w.play(w.b.set.WarmUp, 100)
-		if u := w.b.ups["u0"]; w.b.warmth(u) < 1 {
+		w.play(w.b.settings.WarmUp, 100)
+		if ep := w.b.endpointsByID["u0"]; w.b.capacityShare(ep) < 1 {
 			t.Errorf("%s: cold for longer than a warm-up", tt.name)
 		}
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -10,34 +10,62 @@
 	"hazelwing/internal/backoff"
 )
 
-// check fills in the defaults of absent settings and names the first one that cannot be used.
-func (s *Settings) check() error {
-	for _, t := range []struct {
-		name string
-		d    time.Duration
-	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"WarmUp", s.WarmUp}, {"FallTime", s.OverloadDuration}} {
-		if t.d < 0 {
-			return fmt.Errorf("setting %s: negative", t.name)
-		}
-	}
-	for _, x := range []struct {
-		name string
-		v    float64
-	}{{"Balancers", float64(s.Balancers)}, {"MaxAttempts", float64(s.MaxAttempts)},
-		{"PriceCrossZone", s.PriceCrossZone}, {"PriceProbe", s.PriceProbe},
-		{"PriceOpen", s.PriceOpenConnection}, {"PriceHandshake", s.PriceHandshake}, {"OverShareWorth", s.OverQuotaWeight},
-		{"ColdFrom", s.InitialCapacity}, {"FallMultiple", s.OverloadMultiple}} {
-		if x.v < 0 || math.IsNaN(x.v) || math.IsInf(x.v, 0) {
-			return fmt.Errorf("setting %s: %v is not usable", x.name, x.v)
-		}
+// validate fills in the defaults of absent settings and returns an error that names the first one that cannot be used.
+// The names in errors are those that operators know, from before the fields had their present names.
+func (s *Settings) validate() error {
+	if err := s.validateValues(); err != nil {
+		return err
 	}
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("setting Classes: none given")
 	}
-	s.Balancers, s.MaxAttempts = max(s.Balancers, 1), max(s.MaxAttempts, 1)
+	s.Balancers = max(s.Balancers, 1)
+	s.MaxAttempts = max(s.MaxAttempts, 1)
 	s.Tick = cmp.Or(s.Tick, time.Millisecond)
 	s.InitialCapacity = min(cmp.Or(s.InitialCapacity, 1), 1)
+	if err := s.validateClasses(); err != nil {
+		return err
+	}
+	return s.validateTenants()
+}
+
+func (s *Settings) validateValues() error {
+	for _, setting := range []struct {
+		name  string
+		value time.Duration
+	}{
+		{"Tick", s.Tick},
+		{"MaxRetryAfter", s.MaxRetryAfter},
+		{"ConnectTimeout", s.ConnectTimeout},
+		{"WarmUp", s.WarmUp},
+		{"FallTime", s.OverloadDuration},
+	} {
+		if setting.value < 0 {
+			return fmt.Errorf("setting %s: negative", setting.name)
+		}
+	}
+	for _, setting := range []struct {
+		name  string
+		value float64
+	}{
+		{"Balancers", float64(s.Balancers)},
+		{"MaxAttempts", float64(s.MaxAttempts)},
+		{"PriceCrossZone", s.PriceCrossZone},
+		{"PriceProbe", s.PriceProbe},
+		{"PriceOpen", s.PriceOpenConnection},
+		{"PriceHandshake", s.PriceHandshake},
+		{"OverShareWorth", s.OverQuotaWeight},
+		{"ColdFrom", s.InitialCapacity},
+		{"FallMultiple", s.OverloadMultiple},
+	} {
+		if !(setting.value >= 0) || math.IsInf(setting.value, 0) {
+			return fmt.Errorf("setting %s: %v is not usable", setting.name, setting.value)
+		}
+	}
+	return nil
+}
+
+func (s *Settings) validateClasses() error {
 	s.Classes = slices.Clone(s.Classes)
 	names := map[string]bool{}
 	for i := range s.Classes {
@@ -48,22 +76,15 @@
 			return fmt.Errorf("setting Classes: Name %q empty or repeated", c.Name)
 		}
 		names[c.Name] = true
-		if field := c.unusable(); field != "" {
+		if field := c.invalidField(); field != "" {
 			return fmt.Errorf("setting Classes: %s: %s is not usable", c.Name, field)
 		}
 	}
-	for i, t := range s.Tenants {
-		if !(t.Fraction >= 0) || math.IsInf(t.Fraction, 0) {
-			return fmt.Errorf("setting Tenants: %s: Fraction %v is not usable", t.Name, t.Fraction)
-		}
-		if slices.ContainsFunc(s.Tenants[:i], func(o Tenant) bool { return o.Name == t.Name }) {
-			return fmt.Errorf("setting Tenants: Name %q repeated", t.Name)
-		}
-	}
 	return nil
 }
 
-func (c *Class) unusable() string {
+// invalidField names the first field that cannot be used, or returns "". Negated comparisons turn down NaN.
+func (c *Class) invalidField() string {
 	switch {
 	case c.LatencyObjective <= 0:
 		return "Aim"
@@ -85,9 +106,23 @@
 	return ""
 }
 
-// SetBalancers replaces the number of sidecars that the settings told, from the next decision on: subsets, what a crossing
-// weighs, when probes pay and how often a lost list is asked for follow it. Below 1 counts as 1. The caller is Handle's.
+func (s *Settings) validateTenants() error {
+	names := map[string]bool{}
+	for _, t := range s.Tenants {
+		if !(t.Fraction >= 0) || math.IsInf(t.Fraction, 0) {
+			return fmt.Errorf("setting Tenants: %s: Fraction %v is not usable", t.Name, t.Fraction)
+		}
+		if names[t.Name] {
+			return fmt.Errorf("setting Tenants: Name %q repeated", t.Name)
+		}
+		names[t.Name] = true
+	}
+	return nil
+}
+
+// SetBalancers replaces the number of sidecars in the settings, from the next decision on. Subsets, the cost of
+// crossings, the use of probes and the backoff of subscriptions follow it. Below 1 counts as 1. The caller is Handle's.
 func (b *Balancer) SetBalancers(n int) {
-	b.set.Balancers = max(n, 1)
-	b.pace.Config = backoff.Service(b.set.Balancers)
+	b.settings.Balancers = max(n, 1)
+	b.subscribeBackoff.Config = backoff.Service(b.settings.Balancers)
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -1,204 +1,260 @@
 package balancer
 
 import (
-	"fmt"
 	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"hazelwing/internal/backoff"
 )
 
-// What the decisions remember of classes, upstreams, attempts and requests. The decisions are in balancer.go.
+// The state on which decisions are made. Times are those of Handle's clock, unless they are durations by their name.
 
-type class struct {
+// unreported stands for a load that no report brought.
+const unreported = -1
+
+// noAttempt is no attempt's number.
+const noAttempt = -1
+
+type classState struct {
 	Class
-	mean     float64       // seconds an answer takes
-	tryTime  time.Duration // time left to most tries when they come
-	tryVotes int           // how sure that is
-	unserved arrivals      // when requests came that got no answer from an upstream
+	meanSeconds      float64        // mean latency
+	usualTimeLeft    time.Duration  // time to the deadline with which most requests arrive
+	timeLeftVotes    int            // how certain that is, up to maxTimeLeftVotes
+	unservedArrivals recentArrivals // of requests that got no answer from an endpoint
 }
 
-type upstream struct {
-	id, zone string
-	hash     uint64 // of id
-	chosen   bool   // in the subset
-	cell     int
-	listed   bool // active in the list
-	cameUp   time.Duration
-	kind     *float64 // mean normalised latency of its kind, seconds
-	est      estimate
-	out      []*attempt // attempts without outcome, oldest first
-
-	held            float64       // requests it said it holds, and those sent to it since
-	toldAt, mutedAt time.Duration // when a probe last told that, or failed to
-	probedAt        time.Duration // when the probe that is out was sent, 0: none
-
-	heard       time.Duration // when it last answered
-	fails       int           // attempts sent since then that failed
-	silentSince time.Duration // when the first of them was sent
-	errors      int           // error answers in a row
-	ejections   int           // in a row, without an answer between
-	until       time.Duration // ejected until
-	lost        bool          // since it was silent, refused or broke, not for its errors
-
-	cold     bool
-	coldFrom time.Duration // start of its warm-up
-	tokens   float64       // cold budget, in mean requests
-	filled   time.Duration
+type endpoint struct {
+	id        string
+	zone      string
+	cell      int
+	hash      uint64 // of id
+	listed    bool   // active in the endpoint list
+	inSubset  bool
+	startedAt time.Duration
+	kindMean  *float64 // mean normalized latency of its kind in its zone, in seconds
+
+	latency     peakEWMA
+	outstanding []*attempt // oldest first
+
+	inFlight       float64       // requests in flight that it reported last, and those sent to it since
+	reportedAt     time.Duration // 0: never
+	reportFailedAt time.Duration // when a probe last brought no report
+	probeSentAt    time.Duration // of the outstanding probe; 0: there is none
+
+	answeredAt   time.Duration // when it last answered
+	failures     int           // failed attempts since then
+	silentSince  time.Duration // when the first of them was sent
+	errorAnswers int           // in a row
+	ejections    int           // in a row, without an answer between them
+	ejectedUntil time.Duration
+	unreachable  bool // ejected since it was silent, refused or broke connections, not for its error answers
+
+	warmingUp    bool
+	warmUpFrom   time.Duration
+	warmUpTokens float64 // budget of slow start, in mean requests
+	tokensAt     time.Duration
 }
 
 type attempt struct {
-	r      *request
-	n      int
-	u      *upstream
-	zone   string // of the upstream when sent
-	cell   int
-	sent   time.Duration
-	out    bool
-	before float64 // what the upstream had told to hold, -1: not told
-	mayRun bool    // not proved not to have run
+	request          *request
+	number           int
+	endpoint         *endpoint
+	zone             string // of the endpoint when the attempt was sent
+	cell             int
+	sentAt           time.Duration
+	outstanding      bool
+	reportedInFlight float64 // what the endpoint had reported to the probe before, or unreported
+	mayHaveRun       bool    // not known not to have run
 }
 
 type request struct {
-	id       string
-	class    *class
-	tenant   int
-	arrived  time.Duration
-	expires  time.Duration
-	aim      time.Duration // clock time
-	end      time.Duration // clock time at which we give up
-	cost     float64       // expected work, relative to the mean request
-	earlier  []PriorAttempt
-	attempts []*attempt
-	out      int
-	stale    bool // a repeat whose aim has passed
-	done     bool
-	key      uint64        // hash of its key, 0: none, or upstreams do not remember keys
-	choices  int           // upstreams that its key is kept to
-	pair     [2]*upstream  // drawn, and asked for its load
-	askedAt  time.Duration // when
-	asked    int           // pairs so far
-	shed     bool          // refused, but for what upstreams may tell
-	rank     float64       // of its worth among the latest requests, 0 to 1
-	stream   bool          // the answer has begun
-	lateAt   time.Duration // when its latest attempt is late
+	id            string
+	class         *classState
+	tenantIndex   int // -1: not a known tenant
+	arrivedAt     time.Duration
+	expiresAt     time.Duration // when the client stops waiting
+	objectiveAt   time.Duration
+	deadline      time.Duration // when the request is given up
+	cost          float64       // expected work, relative to the mean request
+	priorAttempts []PriorAttempt
+	attempts      []*attempt
+	outstanding   int
+	stale         bool // a client's repeat whose objective has passed
+	done          bool
+	keyHash       uint64 // of its affinity key; 0: it has none, or endpoints do not cache by key
+	keyEndpoints  int    // number of endpoints that its key has
+
+	probedPair        [2]*endpoint
+	pairProbedAt      time.Duration
+	pairsProbed       int
+	provisionallyShed bool    // shed, unless the pair reports enough capacity
+	rank              float64 // of its weight among recent requests, 0 to 1
+	streaming         bool    // its answer has begun
+	lateAt            time.Duration
 }
 
-// Balancer is one sidecar's decisions. It is not safe for concurrent use.
+func (r *request) lastAttempt() *attempt { return r.attempts[len(r.attempts)-1] }
+
+// Balancer is the decisions of one sidecar. It is not safe for concurrent use.
 type Balancer struct {
-	set     Settings
-	rng     *rand.Rand
-	now     time.Duration
-	acts    []Action
-	classes map[string]*class
-	ups     map[string]*upstream
-	list    []*upstream // in order of first appearance; the only order that picks see
-	reqs    map[string]*request
-	timers  timerHeap
-	armed   time.Duration // the earliest SetTimer out, 0: none
-	meanAim float64       // seconds, over classes
-
-	subscribed, asking bool
-	pace               backoff.Pace // when the list is asked for after a failure
-
-	kinds     map[string]*float64 // mean normalised latency by kind of upstream and zone
-	fleet     float64             // mean normalised latency, seconds
-	mean      float64             // mean latency, seconds
-	hintMean  float64
-	mid, late quantile   // of normalised latency
-	retries   float64    // retry budget
-	probeTime quantile   // seconds a probe takes
-	unit      mean       // seconds for each request that an upstream told to hold, and the one sent
-	heldMean  float64    // what upstreams say they hold
-	keys      shares     // of requests, by key
-	askers    []*request // wait for probes
-
-	coldHold             bool           // the cold limit has held work back, and none that was cold is warm yet
-	shedding             time.Duration  // when work was last refused for pressure, 0: not of late
-	ranks                ranks          // of the latest requests' worth
-	limit                float64        // share of their aim that requests in hand may wait
-	waiting              int            // requests in hand
-	inHand               float64        // sum of their 1/aim
-	arrivals             time.Duration  // sum of their arrival times; may wrap around
-	served               rate           // answers a second
-	handMean, servedSlow rate           // inHand, and answers a second, over a longer while
-	trust                float64        // share of requests admitted after misses; above 1: all
-	self                 uint64         // gives the order of its subset
-	subset, fromHome     int            // upstreams that are in it, and those taken for being at home
-	zones                map[string]int // upstreams of each zone, where fromHome counts
-	chosen               time.Duration  // when the subset was last settled
-	handAt               time.Duration  // when inHand last changed
-	offered              rate           // arriving work, in mean requests a second
-	widest               int            // how long the list was at most, in the last fleetMemory
-	widestAt             time.Duration  // until when
-	tenants              []rate         // arriving requests by tenant
-}
+	settings      Settings
+	rng           *rand.Rand
+	now           time.Duration
+	actions       []Action // that answer the current event
+	classes       map[string]*classState
+	endpointsByID map[string]*endpoint
+	endpoints     []*endpoint // in order of first appearance: the only order that picks depend on
+	requests      map[string]*request
+	timers        timerHeap
+	timerAt       time.Duration // the earliest requested timer; 0: none
+	meanObjective float64       // seconds, over classes
 
-// hold counts a request in hand, or with -1 out of it.
-func (b *Balancer) hold(r *request, n int) {
-	b.handMean.add(b.inHand*(b.now-b.handAt).Seconds(), b.now)
-	b.handAt = b.now
-	b.waiting += n
-	b.arrivals += time.Duration(n) * r.arrived
-	b.inHand += float64(n) / (r.aim - r.arrived).Seconds()
-	if b.waiting == 0 {
-		b.inHand = 0 // sums of fractions drift
-	}
+	// The subscription to the endpoint list.
+	subscribed       bool
+	subscribing      bool
+	subscribeBackoff backoff.Pace
+
+	// Estimates. Latencies are in seconds.
+	kindMeans         map[string]*float64 // mean normalized latency by kind and zone
+	meanNormalized    float64             // mean normalized latency
+	meanLatency       float64
+	meanExpectedWork  float64
+	medianLatency     quantile // of normalized latency
+	lateLatency       quantile // of normalized latency: beyond it an attempt is late
+	probeLatency      quantile
+	secondsPerRequest runningMean // for each request in flight at an endpoint, by its report
+	meanInFlight      float64     // mean reported requests in flight
+	keyFrequencies    frequencies // of affinity keys
+
+	retryTokens    float64
+	awaitingProbes []*request
+	warmUpLimiting bool // slow start has delayed a request, and no endpoint has warmed up since
+
+	// Admission control.
+	shedAt                time.Duration // when a request was last shed; 0: not of late
+	weightRanks           recentRanks
+	waitLimit             float64       // share of their objective that requests in flight may wait
+	inFlight              int           // requests
+	arrivalSum            time.Duration // sum of their arrival times; may wrap around
+	inverseObjectives     float64       // sum of 1/objective over them, in 1/s
+	inverseObjectivesMean rate          // the same over a longer time
+	inFlightChangedAt     time.Duration // when inverseObjectives last changed
+	servedRate            rate          // answers
+	slowServedRate        rate          // answers, over a longer time
+	admittedShare         float64       // share of requests to admit after late ones; above 1: all
+	offeredRate           rate          // arriving work, in mean requests
+	tenantRates           []rate        // arriving requests by tenant
+
+	// The subset from which pairs are drawn.
+	subsetSeed     uint64
+	subsetSize     int
+	homeSubsetSize int            // endpoints that were taken for being in the home zone
+	zoneSizes      map[string]int // endpoints by zone, where homeSubsetSize counts
+	subsetChosenAt time.Duration
+
+	maxListSize   int // maximum size of the endpoint list in the last listSizeMemory
+	maxListSizeAt time.Duration
 }
 
-func (b *Balancer) act(a Action) { b.acts = append(b.acts, a) }
+// The streams of the random generators that a Balancer has.
+const (
+	decisionStream = 0x9e3779b97f4a7c15
+	backoffStream  = 0x61736b
+)
 
-// usable says whether a report came and can be true.
-func (l LoadReport) usable() bool { return l.Reported && l.InFlight >= 0 && l.InFlight < math.MaxInt32 }
+// New returns the decisions of one sidecar, or an error that names the setting that cannot be used.
+func New(s Settings, seed uint64) (*Balancer, error) {
+	if err := s.validate(); err != nil {
+		return nil, err
+	}
+	b := &Balancer{
+		settings:              s,
+		rng:                   rand.New(rand.NewPCG(seed, decisionStream)),
+		classes:               map[string]*classState{},
+		endpointsByID:         map[string]*endpoint{},
+		requests:              map[string]*request{},
+		kindMeans:             map[string]*float64{},
+		zoneSizes:             map[string]int{},
+		tenantRates:           make([]rate, len(s.Tenants)),
+		waitLimit:             maxWaitLimit,
+		admittedShare:         maxAdmittedShare,
+		retryTokens:           retryBurst,
+		offeredRate:           rate{memory: rateMemory},
+		servedRate:            rate{memory: servedMemory},
+		slowServedRate:        rate{memory: slowServedMemory},
+		inverseObjectivesMean: rate{memory: slowServedMemory},
+		secondsPerRequest:     runningMean{weight: secondsPerRequestWeight},
+		probeLatency:          quantile{probeProbability, s.Tick.Seconds()},
+	}
+	for i := range b.tenantRates {
+		b.tenantRates[i].memory = rateMemory
+	}
+	for _, c := range s.Classes {
+		objective := c.LatencyObjective.Seconds()
+		b.classes[c.Name] = &classState{Class: c, meanSeconds: objective / objectivePerLatency}
+		b.meanObjective += objective / float64(len(s.Classes))
+	}
+	b.meanNormalized = b.meanObjective / objectivePerLatency
+	b.meanLatency = b.meanNormalized
+	b.medianLatency = quantile{medianProbability, b.meanNormalized}
+	b.lateLatency = quantile{lateProbability, b.meanObjective / 2}
+	b.subsetSeed = b.rng.Uint64()
+	// A generator of its own: picks must not depend on how often the subscription was retried.
+	backoffRNG := rand.New(rand.NewPCG(seed, backoffStream))
+	b.subscribeBackoff = backoff.NewPace(backoff.Service(s.Balancers), backoffRNG)
+	return b, nil
+}
 
-// holds takes what u says that it holds.
-func (b *Balancer) holds(u *upstream, n float64) {
-	u.held, u.toldAt = n, b.now
-	b.heldMean += meanWeight * (u.held - b.heldMean)
+// trackInFlight counts a request as in flight (n is 1) or no longer (n is -1).
+func (b *Balancer) trackInFlight(r *request, n int) {
+	b.inverseObjectivesMean.add(b.inverseObjectives*(b.now-b.inFlightChangedAt).Seconds(), b.now)
+	b.inFlightChangedAt = b.now
+	b.inFlight += n
+	b.arrivalSum += time.Duration(n) * r.arrivedAt
+	b.inverseObjectives += float64(n) / (r.objectiveAt - r.arrivedAt).Seconds()
+	if b.inFlight == 0 {
+		b.inverseObjectives = 0 // sums of fractions drift
+	}
 }
 
-func (b *Balancer) log(format string, args ...any) {
-	b.act(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
+// recordLoad records the number of requests in flight that ep has reported.
+func (b *Balancer) recordLoad(ep *endpoint, inFlight float64) {
+	ep.inFlight = inFlight
+	ep.reportedAt = b.now
+	b.meanInFlight += meanWeight * (ep.inFlight - b.meanInFlight)
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// kindMeanOf returns the mean normalized latency in seconds that endpoints of one kind in one zone share; a new
+// one starts from the mean of all. Zones have their own means: those of a crowded home zone would claim that
+// other zones, from which no answer came, are no better.
+func (b *Balancer) kindMeanOf(kind, zone string) *float64 {
+	name := kind + "\x00" + zone
+	if b.kindMeans[name] == nil {
+		mean := b.meanNormalized
+		b.kindMeans[name] = &mean
+	}
+	return b.kindMeans[name]
+}
 
-func (b *Balancer) coldCount() (n int) {
-	for _, u := range b.list {
-		if u.cold {
+func (b *Balancer) warmingUpCount() (n int) {
+	for _, ep := range b.endpoints {
+		if ep.warmingUp {
 			n++
 		}
 	}
 	return n
 }
 
-// first returns the n upstreams of those that are ok that come first in the order that by gives.
-func first(list []*upstream, n int, ok func(*upstream) bool, by uint64) []*upstream {
-	top := make([]*upstream, 0, n+1)
-	for _, u := range list {
-		if !ok(u) {
-			continue
-		}
-		i := len(top)
-		for i > 0 && mix(by^u.hash) > mix(by^top[i-1].hash) {
-			i--
-		}
-		if top = slices.Insert(top, i, u); len(top) > n {
-			top = top[:n]
-		}
-	}
-	return top
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
+
+func (b *Balancer) log(message string, attributes ...Attribute) {
+	b.emit(Action{Kind: Log, Text: message, Attributes: attributes})
 }
 
-// kindOf is the mean that upstreams of a kind in one zone share; one not met before starts from the mean of all. Zones
-// have means of their own: those of a crowded home would tell that it is no better elsewhere, where nobody has looked.
-func (b *Balancer) kindOf(kind, zone string) *float64 {
-	name := kind + "\x00" + zone
-	if b.kinds[name] == nil {
-		mean := b.fleet
-		b.kinds[name] = &mean
-	}
-	return b.kinds[name]
+// isUsable reports whether a load report came and can be true.
+func (l LoadReport) isUsable() bool {
+	return l.Reported && l.InFlight >= 0 && l.InFlight < math.MaxInt32
 }
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -3,203 +3,216 @@
 import (
 	"hash/fnv"
 	"math"
+	"slices"
 	"time"
 )
 
-// Plain statistics: a quantile, a rate and the design's peak-EWMA. What is fed to them and
-// what follows from them is in balancer.go.
+// Statistics: quantiles, rates, means and the peak-EWMA. What is added to them and what follows from them is in the
+// files of the policy.
 
-// quantile follows a quantile p of what is added.
-type quantile struct{ p, v float64 }
+// quantile follows the quantile of the added values with the given probability, by steps in their logarithm.
+type quantile struct {
+	probability float64
+	value       float64
+}
 
 func (q *quantile) add(x float64) {
-	if x > q.v {
-		q.v *= math.Exp(quantStep * q.p)
+	if x > q.value {
+		q.value *= math.Exp(quantileStep * q.probability)
 	} else {
-		q.v *= math.Exp(-quantStep * (1 - q.p))
+		q.value *= math.Exp(-quantileStep * (1 - q.probability))
 	}
 }
 
-// rate is an exponentially forgetting rate.
+// rate is an exponentially weighted moving rate.
 type rate struct {
-	memory time.Duration
-	sum    float64
-	at     time.Duration
-	since  time.Duration
-	begun  bool
+	memory    time.Duration
+	sum       float64
+	updatedAt time.Duration
+	startedAt time.Duration
+	started   bool
 }
 
 func (r *rate) add(x float64, now time.Duration) {
-	if !r.begun {
-		r.begun, r.since, r.at = true, now, now
+	if !r.started {
+		r.started = true
+		r.startedAt = now
+		r.updatedAt = now
 	}
-	r.sum = r.sum*math.Exp(-float64(now-r.at)/float64(r.memory)) + x
-	r.at = now
+	r.sum = r.decayedSum(now) + x
+	r.updatedAt = now
+}
+
+func (r *rate) decayedSum(now time.Duration) float64 {
+	return r.sum * math.Exp(-float64(now-r.updatedAt)/float64(r.memory))
 }
 
-// per second, not biased low while young.
-func (r *rate) per(now time.Duration) float64 {
-	age := max(now-r.since, r.memory/20)
-	sum := r.sum * math.Exp(-float64(now-r.at)/float64(r.memory))
+// perSecond is the rate at now, without the bias to low values that a young rate would have.
+func (r *rate) perSecond(now time.Duration) float64 {
+	age := max(now-r.startedAt, r.memory/20)
+	sum := r.decayedSum(now)
 	return sum / (r.memory.Seconds() * (1 - math.Exp(-float64(age)/float64(r.memory))))
 }
 
-// estimate is a peak-EWMA in seconds.
-type estimate struct {
-	value float64
-	at    time.Duration
+// peakEWMA is an exponentially weighted moving average, in seconds, that jumps to a peak at once (as that of Twitter's
+// Finagle does).
+type peakEWMA struct {
+	value     float64
+	updatedAt time.Duration
 }
 
-func (e *estimate) weight(now, decay time.Duration) float64 {
-	return math.Exp(-float64(now-e.at) / float64(decay))
+func (e *peakEWMA) decayFactor(now, decay time.Duration) float64 {
+	return math.Exp(-float64(now-e.updatedAt) / float64(decay))
 }
 
-// add replaces the estimate by a sample above its projection to now, and blends in any other.
-func (e *estimate) add(sample float64, now, decay time.Duration) {
-	if now < e.at {
+// add replaces the average by a sample that is above its value decayed to now, and blends in any other.
+func (e *peakEWMA) add(sample float64, now, decay time.Duration) {
+	if now < e.updatedAt {
 		return
 	}
-	w := e.weight(now, decay)
+	w := e.decayFactor(now, decay)
 	if sample > e.value*w {
 		e.value = sample
 	} else {
 		e.value = e.value*w + sample*(1-w)
 	}
-	e.at = now
+	e.updatedAt = now
 }
 
-// shareOf is the part of one among rates.
-func shareOf(rates []rate, one int, now time.Duration) float64 {
+// shareOf is the share of the rate with the given index in the sum of all.
+func shareOf(rates []rate, index int, now time.Duration) float64 {
 	total := 0.0
 	for i := range rates {
-		total += rates[i].per(now)
+		total += rates[i].perSecond(now)
 	}
-	return rates[one].per(now) / total
+	return rates[index].perSecond(now) / total
 }
 
-// shares counts how often each of many names comes, and forgets.
-type shares struct {
-	n   map[string]float64
-	sum float64
+// frequencies counts how often each of many names comes. Counts are halved from time to time.
+type frequencies struct {
+	counts map[string]float64
+	total  float64
 }
 
-// add counts a name and returns its share of what came, low while little has come.
-func (s *shares) add(name string, memory float64) float64 {
-	if s.n == nil {
-		s.n = map[string]float64{}
+// add counts a name and returns its share of the last names, about as many as memory; low while few have come.
+func (f *frequencies) add(name string, memory float64) float64 {
+	if f.counts == nil {
+		f.counts = map[string]float64{}
+	}
+	if f.total >= memory {
+		f.halve()
 	}
-	if s.sum >= memory {
-		s.sum = 0
-		for k, x := range s.n {
-			if x /= 2; x < 0.5 {
-				delete(s.n, k)
-			} else {
-				s.n[k] = x
-				s.sum += x
-			}
+	f.counts[name]++
+	f.total++
+	return f.counts[name] / (f.total + memory/8)
+}
+
+// halve halves all counts, and forgets names whose count becomes less than one half.
+func (f *frequencies) halve() {
+	f.total = 0
+	for name, count := range f.counts {
+		if count /= 2; count < 0.5 {
+			delete(f.counts, name)
+		} else {
+			f.counts[name] = count
+			f.total += count
 		}
 	}
-	s.n[name]++
-	s.sum++
-	return s.n[name] / (s.sum + memory/8)
 }
 
 func hash(s string) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(s))
+	_, _ = h.Write([]byte(s)) // a hash never returns an error
 	return h.Sum64()
 }
 
-// mix spreads the bits of x.
+// mix spreads the bits of x (the finalizer of SplitMix64).
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// mean is a forgetting mean that starts at its first sample.
-type mean struct {
-	weight, v float64
+// topByHash returns the n endpoints of those that are ok with the highest hashes of seed and ID.
+func topByHash(list []*endpoint, n int, ok func(*endpoint) bool, seed uint64) []*endpoint {
+	top := make([]*endpoint, 0, n+1)
+	for _, ep := range list {
+		if !ok(ep) {
+			continue
+		}
+		i := len(top)
+		for i > 0 && mix(seed^ep.hash) > mix(seed^top[i-1].hash) {
+			i--
+		}
+		if top = slices.Insert(top, i, ep); len(top) > n {
+			top = top[:n]
+		}
+	}
+	return top
+}
+
+// runningMean is an exponentially weighted moving mean that starts at its first sample.
+type runningMean struct {
+	weight float64
+	value  float64
 }
 
-func (m *mean) add(x float64) {
-	if m.v == 0 {
-		m.v = x
-	}
-	m.v += m.weight * (x - m.v)
-}
-
-// firstTry is when the client's first try for this request came, as far as its end tells. Guards against
-// work for repeats whose aim has passed. First tries of a class have the same time left, and so most
-// requests do; any other time left may have been cut short by the end of all tries, a Deadline after the first.
-// It was if a request came then that nobody served: clients that wait less than most look the same, and one that
-// was taken for a repeat was refused for nothing.
-func (c *class) firstTry(now, expires, tick time.Duration) time.Duration {
-	left := expires - now
-	if (left - c.tryTime).Abs() <= 2*tick {
-		c.tryVotes = min(c.tryVotes+1, tryVotes)
-		return now
+func (m *runningMean) add(x float64) {
+	if m.value == 0 {
+		m.value = x
 	}
-	if c.tryVotes--; c.tryVotes < 0 {
-		c.tryTime, c.tryVotes = left, 0
-	}
-	first := expires - c.Deadline
-	if c.tryVotes > tryVotes/2 && first < now && c.unserved.near(first, max(2*tick, arrivalNear)) {
-		return first
-	}
-	return now
+	m.value += m.weight * (x - m.value)
 }
 
-const (
-	arrivalsKept = 256                  // a second of a class at a busy sidecar that serves none of it
-	arrivalNear  = 5 * time.Millisecond // ends are told in whole milliseconds, and come late by the way
-)
+// maxArrivals covers a second of a class at a busy sidecar that serves none of its requests.
+const maxArrivals = 256
 
-// arrivals is when the latest of some requests came.
-type arrivals struct {
-	at [arrivalsKept]time.Duration
-	n  int
+// recentArrivals is the times at which the last maxArrivals of some requests arrived.
+type recentArrivals struct {
+	times [maxArrivals]time.Duration
+	count int
 }
 
-func (a *arrivals) add(at time.Duration) {
-	a.at[a.n%arrivalsKept] = at
-	a.n++
+func (a *recentArrivals) add(at time.Duration) {
+	a.times[a.count%maxArrivals] = at
+	a.count++
 }
 
-// near says whether one of them came that close to at.
-func (a *arrivals) near(at, by time.Duration) bool {
-	for _, x := range a.at[:min(a.n, arrivalsKept)] {
-		if (x - at).Abs() <= by {
+// near reports whether one of them arrived within tolerance of at.
+func (a *recentArrivals) near(at, tolerance time.Duration) bool {
+	for _, t := range a.times[:min(a.count, maxArrivals)] {
+		if (t - at).Abs() <= tolerance {
 			return true
 		}
 	}
 	return false
 }
 
-// rankOver is how many values a new one is ranked among.
-const rankOver = 64
+// maxRankSamples is the number of recent values among which a new one is ranked.
+const maxRankSamples = 64
 
-// ranks tells where a value lies among the latest ones.
-type ranks struct {
-	last [rankOver]float64
-	n    int
+// recentRanks ranks a value among recent ones.
+type recentRanks struct {
+	samples [maxRankSamples]float64
+	count   int
 }
 
-// add returns the share of the latest values below v; equal ones count by chance, from 0 to 1.
-func (r *ranks) add(v, chance float64) float64 {
+// add returns the share of recent values below v, 0 to 1, and adds v to them. Of equal values the given part, 0 to 1,
+// counts as below: a random part keeps equal values apart.
+func (r *recentRanks) add(v, equalPart float64) float64 {
 	lower, equal := 0.0, 0.0
-	n := min(r.n, rankOver)
-	for _, x := range r.last[:n] {
+	n := min(r.count, maxRankSamples)
+	for _, x := range r.samples[:n] {
 		if x < v {
 			lower++
 		} else if x == v {
 			equal++
 		}
 	}
-	r.last[r.n%rankOver] = v
-	r.n++
+	r.samples[r.count%maxRankSamples] = v
+	r.count++
 	if n == 0 {
 		return 1
 	}
-	return (lower + equal*chance) / float64(n)
+	return (lower + equal*equalPart) / float64(n)
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -50,13 +50,13 @@
 			t.Errorf("at 20 requests a second it met %d of 30", n)
 		}
 		for u := range got { // every one of them dies
-			r.b.ups[u].until = math.MaxInt64
+			r.b.endpointsByID[u].ejectedUntil = math.MaxInt64
 		}
 		if n := len(met(r, "d", 60, 500*ms)); n < 4 {
 			t.Errorf("%d upstreams in place of those ejected", n)
 		}
-		for _, u := range r.b.list {
-			u.until = 0
+		for _, ep := range r.b.endpoints {
+			ep.ejectedUntil = 0
 		}
 		if n := len(met(r, "b", 3000, 10*ms)); n < 28 {
 			t.Errorf("a busy sidecar met %d of 30", n)
@@ -133,10 +133,10 @@
 	} {
 		b := zonedFleet(t, c.sidecars, c.n, c.small, 1)
 		home, far := 0, 0
-		for _, u := range b.list {
-			if u.chosen && u.zone == "b" {
+		for _, ep := range b.endpoints {
+			if ep.inSubset && ep.zone == "b" {
 				home++
-			} else if u.chosen {
+			} else if ep.inSubset {
 				far++
 			}
 		}
@@ -153,8 +153,8 @@
 	sum := map[string]float64{}
 	for seed := range uint64(sidecars) {
 		b := zonedFleet(t, 300, upstreams, small, seed)
-		for _, u := range b.list {
-			sum[u.zone] += b.coldShare(u) / sidecars
+		for _, ep := range b.endpoints {
+			sum[ep.zone] += b.warmUpShare(ep) / sidecars
 		}
 	}
 	for zone, n := range map[string]int{"a": upstreams - small, "b": small} {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -5,55 +5,70 @@
 	"time"
 )
 
-// Timers: a heap of what is to be looked at again, behind the one Wake that the sidecar keeps for us.
+// Timers: a heap of requests to look at again, behind the one timer that the sidecar keeps for a Balancer.
 
 type timerKind int
 
 const (
-	timerEnd timerKind = iota
-	timerLate
-	timerHeld
-	timerAsk
+	timerDeadline  timerKind = iota // the request's deadline
+	timerLate                       // its latest attempt is late
+	timerAdvance                    // it has waited for a probe or a ready endpoint
+	timerSubscribe                  // subscribe again
 )
 
 type timer struct {
-	at   time.Duration
-	seq  int
-	kind timerKind
-	r    *request
+	at       time.Duration
+	sequence int // timers of the same time run in the order in which they were scheduled
+	kind     timerKind
+	request  *request // nil for timerSubscribe
 }
 
+// timerHeap implements heap.Interface; the earliest timer is the first.
 type timerHeap struct {
-	t   []timer
-	seq int
+	entries  []timer
+	sequence int // of the timer that was scheduled last
 }
 
-func (h *timerHeap) Len() int { return len(h.t) }
+func (h *timerHeap) Len() int { return len(h.entries) }
+
 func (h *timerHeap) Less(i, j int) bool {
-	return h.t[i].at < h.t[j].at || h.t[i].at == h.t[j].at && h.t[i].seq < h.t[j].seq
+	if h.entries[i].at != h.entries[j].at {
+		return h.entries[i].at < h.entries[j].at
+	}
+	return h.entries[i].sequence < h.entries[j].sequence
 }
-func (h *timerHeap) Swap(i, j int) { h.t[i], h.t[j] = h.t[j], h.t[i] }
-func (h *timerHeap) Push(x any)    { h.t = append(h.t, x.(timer)) }
+
+func (h *timerHeap) Swap(i, j int) { h.entries[i], h.entries[j] = h.entries[j], h.entries[i] }
+
+// Push implements heap.Interface.
+func (h *timerHeap) Push(x any) { h.entries = append(h.entries, x.(timer)) }
+
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
-	t := h.t[len(h.t)-1]
-	h.t = h.t[:len(h.t)-1]
-	return t
+	last := h.entries[len(h.entries)-1]
+	h.entries = h.entries[:len(h.entries)-1]
+	return last
+}
+
+// isDue reports whether the earliest timer's time has come.
+func (h *timerHeap) isDue(now time.Duration) bool {
+	return len(h.entries) > 0 && h.entries[0].at <= now
 }
 
-func (b *Balancer) after(at time.Duration, kind timerKind, r *request) {
-	b.timers.seq++
-	heap.Push(&b.timers, timer{at, b.timers.seq, kind, r})
+func (b *Balancer) schedule(at time.Duration, kind timerKind, r *request) {
+	b.timers.sequence++
+	heap.Push(&b.timers, timer{at, b.timers.sequence, kind, r})
 }
 
-// arm asks for a Wake at the earliest timer, if none is out for that early.
-func (b *Balancer) arm() {
-	if len(b.timers.t) == 0 {
+// armTimer requests a timer at the time of the earliest one, unless one is set for no later than that.
+func (b *Balancer) armTimer() {
+	if len(b.timers.entries) == 0 {
 		return
 	}
-	// Timers outside may count microseconds: never wake a moment too early, and then wait for nothing.
-	at := (b.timers.t[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
-	if b.armed == 0 || at < b.armed {
-		b.armed = max(at, 1)
-		b.act(Action{Kind: SetTimer, At: b.armed})
+	// The sidecar's timers may count in microseconds: one that fires a moment too early would find nothing due.
+	at := (b.timers.entries[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
+	if b.timerAt == 0 || at < b.timerAt {
+		b.timerAt = max(at, 1)
+		b.emit(Action{Kind: SetTimer, At: b.timerAt})
 	}
 }
--- a/balancer/trouble_test.go
+++ b/balancer/trouble_test.go
@@ -58,15 +58,15 @@
 // play runs for d with perSec requests a second, spread evenly.
 func (w *world) play(d time.Duration, perSec int) {
 	tries := map[string]int{}
-	tick := w.b.set.Tick
+	tick := w.b.settings.Tick
 	due := 0.0
 	for end := w.now + d; w.now < end; {
 		w.now += tick
 		w.take(w.do(TimerFired{}), tries)
 		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
 			w.n++
-			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.set.Classes[0].Name,
-				ExpiresAt: w.now + w.b.set.Classes[0].Deadline}), tries)
+			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.settings.Classes[0].Name,
+				ExpiresAt: w.now + w.b.settings.Classes[0].Deadline}), tries)
 		}
 		for i := 0; i < len(w.out); i++ {
 			f := w.out[i]
@@ -109,7 +109,7 @@
 	}
 	down = false
 	w.play(10*time.Second, 100)
-	if w.sends["u0"] < 50 || !w.logged("eject u0") || !w.logged("return u0") {
+	if w.sends["u0"] < 50 || !w.logged("endpoint ejected endpoint=u0 ") || !w.logged("endpoint returned after ejection endpoint=u0 ") {
 		t.Errorf("not back: %d attempts, log %q", w.sends["u0"], w.logs)
 	}
 }
@@ -174,11 +174,11 @@
 		r.result(id, 0, OK, 20*ms)
 		r.now += 10 * ms
 	}
-	before := r.b.list[0].est.value
+	before := r.b.endpoints[0].latency.value
 	r.do(Request{ID: "big", Class: "c", ExpiresAt: r.now + time.Second, ExpectedWork: 120 * ms})
 	r.now += 10 * ms
 	r.result("big", 0, OK, 120*ms)
-	if after := r.b.list[0].est.value; after > 1.5*before {
+	if after := r.b.endpoints[0].latency.value; after > 1.5*before {
 		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
 	}
 }
@@ -212,7 +212,7 @@
 	if got := w.ok - ok; float64(got) < 0.95*float64(w.n-n) {
 		t.Errorf("%d of %d served after the overload", got, w.n-n)
 	}
-	if !w.logged("shedding begins") || !w.logged("shedding ended") {
+	if !w.logged("load shedding started") || !w.logged("load shedding stopped") {
 		t.Errorf("log %q", w.logs)
 	}
 }
@@ -230,12 +230,12 @@
 	r := newRig(t, testSettings())
 	r.fleet(1)
 	broken := func(id string) { r.request(id, "c", time.Second); r.result(id, 0, Reset, 10*ms) }
-	u := r.b.ups["u0"]
+	ep := r.b.endpointsByID["u0"]
 	broken("1")
-	if broken("2"); u.until > r.now {
+	if broken("2"); ep.ejectedUntil > r.now {
 		t.Error("ejected for two breaks")
 	}
-	if broken("3"); u.until <= r.now {
+	if broken("3"); ep.ejectedUntil <= r.now {
 		t.Error("not ejected after three breaks with no answer between")
 	}
 }
@@ -409,9 +409,9 @@
 	low := map[int]int{}
 	for i := range 1000 {
 		r.b.now += ms
-		q := &request{class: r.b.classes["c"], cost: 1, tenant: min(i%10/9, 1)} // nine of ten are the first's
-		if r.b.value(q) < 1 {
-			low[q.tenant]++
+		q := &request{class: r.b.classes["c"], cost: 1, tenantIndex: min(i%10/9, 1)} // nine of ten are the first's
+		if r.b.weightOf(q) < 1 {
+			low[q.tenantIndex]++
 		}
 	}
 	if low[1] != 0 || low[0] < 300 || low[0] > 500 { // (0.9-0.5)/0.9 of 900
@@ -435,8 +435,8 @@
 	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
 	w.fleet(4)
 	w.play(5*time.Second, 100)
-	if w.b.retries < 0 {
-		t.Errorf("budget %v", w.b.retries)
+	if w.b.retryTokens < 0 {
+		t.Errorf("budget %v", w.b.retryTokens)
 	}
 }
 
@@ -451,8 +451,8 @@
 		r.request(id, "c", time.Second)
 		r.result(id, 0, OK, ms)
 	}
-	if b := r.b; b.waiting != 1 || b.arrivals != r.now || b.inHand < 4.999 || b.inHand > 5.001 {
-		t.Errorf("in hand %d, %v, %v", b.waiting, b.arrivals, b.inHand)
+	if b := r.b; b.inFlight != 1 || b.arrivalSum != r.now || b.inverseObjectives < 4.999 || b.inverseObjectives > 5.001 {
+		t.Errorf("in hand %d, %v, %v", b.inFlight, b.arrivalSum, b.inverseObjectives)
 	}
 }
 
@@ -474,7 +474,7 @@
 	}
 	broken = false
 	w.play(10*time.Second, 250)
-	if w.sends["u0"] < 200 || !w.logged("return u0") {
+	if w.sends["u0"] < 200 || !w.logged("endpoint returned after ejection endpoint=u0 ") {
 		t.Errorf("not back: %d attempts, log %q", w.sends["u0"], w.logs)
 	}
 }
@@ -494,13 +494,13 @@
 	w := newWorld(t, s, reply)
 	w.fleet(4)
 	w.play(5*time.Second, 400)
-	if w.b.limit > limitMin*1.2 {
-		t.Errorf("limit %.2f with half of all answers late", w.b.limit)
+	if w.b.waitLimit > minWaitLimit*1.2 {
+		t.Errorf("limit %.2f with half of all answers late", w.b.waitLimit)
 	}
 	crowded = false
 	w.play(10*time.Second, 100)
-	if w.b.limit < limitMax {
-		t.Errorf("limit %.2f long after", w.b.limit)
+	if w.b.waitLimit < maxWaitLimit {
+		t.Errorf("limit %.2f long after", w.b.waitLimit)
 	}
 	w = newWorld(t, s, func(u string) (Result, time.Duration) {
 		if u < "u2" {
@@ -510,8 +510,8 @@
 	})
 	w.fleet(4)
 	w.play(2*time.Second, 400)
-	if w.ended[Reject] == 0 || w.b.limit < limitMax*0.9 {
-		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Reject], w.b.limit)
+	if w.ended[Reject] == 0 || w.b.waitLimit < maxWaitLimit*0.9 {
+		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Reject], w.b.waitLimit)
 	}
 }
 
@@ -533,12 +533,12 @@
 		r := newRig(t, testSettings())
 		r.fleet(4)
 		for i := range c.answered { // over 2 s
-			r.b.served.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
+			r.b.servedRate.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
 		}
 		r.now += 2 * time.Second
 		r.do(TimerFired{})
 		for range c.n {
-			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
+			r.b.trackInFlight(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
 		}
 		r.now += c.age
 		r.do(TimerFired{})
@@ -552,19 +552,19 @@
 func TestRefusedRequestsEarnNoRetries(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(4)
-	r.b.retries = 0
+	r.b.retryTokens = 0
 	for i := range 10 {
 		r.wantSend(r.request(fmt.Sprint(i), "c", time.Second))
 	}
-	if r.b.retries != 10*retryRatio {
-		t.Errorf("budget %.2f after ten first attempts", r.b.retries)
+	if r.b.retryTokens != 10*retryRatio {
+		t.Errorf("budget %.2f after ten first attempts", r.b.retryTokens)
 	}
 	r.now += 150 * ms // and no answer: all that comes now is refused
 	for i := range 100 {
 		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
-	if r.b.retries != 10*retryRatio {
-		t.Errorf("budget %.2f after a hundred refusals", r.b.retries)
+	if r.b.retryTokens != 10*retryRatio {
+		t.Errorf("budget %.2f after a hundred refusals", r.b.retryTokens)
 	}
 }
 
@@ -578,16 +578,16 @@
 		r.fleet(4)
 		for range 400 {
 			r.now += 5 * ms
-			r.b.served.add(1, r.now)
+			r.b.servedRate.add(1, r.now)
 		}
-		r.b.late.v = 0.08
+		r.b.lateLatency.value = 0.08
 		r.wantSend(r.request("r", "c", time.Second))
 		for range c.inHand {
-			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
+			r.b.trackInFlight(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
 		}
 		copies := 0
 		for range 24 {
-			r.b.served.add(1, r.now)
+			r.b.servedRate.add(1, r.now)
 			copies += len(kinds(r.pass(5*ms), Send))
 		}
 		if copies > 0 != c.copied {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -458,7 +458,7 @@
 	case balancer.Probe:
 		e.probe(a.Endpoint)
 	case balancer.Log:
-		e.log.Info(a.Text)
+		e.logAction(a)
 	}
 }
 
@@ -524,3 +524,12 @@
 		}
 	}
 }
+
+// logAction writes a log line of the Balancer.
+func (e *Engine) logAction(a *balancer.Action) {
+	attributes := make([]any, 0, len(a.Attributes))
+	for _, x := range a.Attributes {
+		attributes = append(attributes, slog.Any(x.Key, x.Value))
+	}
+	e.log.Info(a.Text, attributes...)
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -238,11 +238,20 @@
 	case balancer.CloseIdle:
 		return action{Verb: "LetGo", I: inst, Upstream: a.Endpoint}
 	case balancer.Log:
-		return action{Verb: "Emit", I: inst, ReasonText: a.Text}
+		return action{Verb: "Emit", I: inst, ReasonText: logLine(a)}
 	}
 	panic(fmt.Sprintf("no wire form for action kind %d", a.Kind))
 }
 
+// logLine is the text of a log action with its attributes.
+func logLine(a *balancer.Action) string {
+	line := a.Text
+	for _, x := range a.Attributes {
+		line += fmt.Sprintf(" %s=%v", x.Key, x.Value)
+	}
+	return line
+}
+
 // result maps completion codes; one that is unknown may have run, so it counts as an error answer.
 func result(code int) balancer.Result {
 	switch code {
