--- /dev/null
+++ b/internal/fleet/gossip/format_test.go
@@ -0,0 +1,214 @@
+package gossip
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"log/slog"
+	"net"
+	"net/netip"
+	"reflect"
+	"testing"
+	"time"
+
+	"hazelwing/internal/fleet"
+	"hazelwing/internal/standin/fixture"
+)
+
+func formatEntry(name string, state fleet.State) fleet.Entry {
+	return fleet.Entry{
+		Name: name, Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Version: fleet.Version{Life: 2, Run: 1<<63 + 5, Inc: 300},
+		State: state, By: "accuser", Age: 1500 * time.Millisecond,
+	}
+}
+
+// formatMessage has every field that a message of this kind may carry.
+func formatMessage(kind fleet.Kind) *fleet.Message {
+	m := &fleet.Message{
+		Kind: kind, Fleet: "booking", From: formatEntry("sender", fleet.Alive), Seq: 70000, Target: "target",
+		TargetAddr: netip.MustParseAddrPort("[2001:db8::1]:7946"),
+		Entries: []fleet.Entry{
+			formatEntry("a", fleet.Alive), formatEntry("b", fleet.Suspect), formatEntry("c", fleet.Dead), formatEntry("d", fleet.Left),
+		},
+		Words: []fleet.Word{
+			{Server: "upstream-1", Gone: true, BornMS: 1700000000000.5, By: "teller", Age: 2 * time.Second},
+			{Server: "upstream-2", BornMS: 0, By: "teller", Age: 3 * time.Second},
+		},
+		Buckets: 1 << 40, Join: true,
+	}
+	if stamped(kind) {
+		m.Epoch, m.Number = 3, 17
+	} else {
+		m.Digest = []uint64{1, 1 << 33, 7}
+	}
+	return m
+}
+
+var formatKinds = []struct {
+	name  string
+	kind  fleet.Kind
+	value uint8
+}{
+	{"ping", fleet.Ping, 0},
+	{"ack", fleet.Ack, 1},
+	{"nack", fleet.Nack, 2},
+	{"ping-req", fleet.PingReq, 3},
+	{"gossip", fleet.Gossip, 4},
+	{"sync-ask", fleet.SyncAsk, 5},
+	{"sync-tell", fleet.SyncTell, 6},
+	{"sync-end", fleet.SyncEnd, 7},
+}
+
+// A frame of each kind has the bytes that the fleet's other members read, and is read back whole.
+func TestGossipFrameFormatIsStable(t *testing.T) {
+	for _, c := range formatKinds {
+		t.Run(c.name, func(t *testing.T) {
+			if uint8(c.kind) != c.value {
+				t.Errorf("the kind travels as %d, want %d", c.kind, c.value)
+			}
+			message := formatMessage(c.kind)
+			frame, err := Encode(message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fixture.GoldenBinary(t, "frame-"+c.name+".hex", frame)
+			decoded, err := Decode(frame)
+			if err != nil || !reflect.DeepEqual(decoded, message) {
+				t.Errorf("%v: read back as\n%+v, want\n%+v", err, decoded, message)
+			}
+		})
+	}
+}
+
+// A short frame, of a member that takes no configuration, carries neither stamp nor digest.
+func TestGossipFrameFormatWithoutStampIsStable(t *testing.T) {
+	message := &fleet.Message{Kind: fleet.Ping, Fleet: "booking", From: fleet.Entry{
+		Name: "sender", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Version: fleet.Version{Life: 1, Run: 5},
+	}, Seq: 1}
+	frame, err := Encode(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.GoldenBinary(t, "frame-without-stamp.hex", frame)
+	if decoded, err := Decode(frame); err != nil || !reflect.DeepEqual(decoded, message) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, decoded, message)
+	}
+}
+
+// States travel as these numbers in frames, and as these names in JSON.
+func TestMemberStateNumbersAndNamesAreStable(t *testing.T) {
+	for _, c := range []struct {
+		state fleet.State
+		value uint8
+		name  string
+	}{
+		{fleet.Alive, 0, "alive"}, {fleet.Suspect, 1, "suspect"}, {fleet.Dead, 2, "dead"}, {fleet.Left, 3, "left"}, {fleet.Unknown, 255, "unknown"},
+	} {
+		text, err := c.state.MarshalText()
+		if err != nil || uint8(c.state) != c.value || string(text) != c.name || c.state.String() != c.name {
+			t.Errorf("%d %q %v %v, want %d %q", c.state, text, c.state, err, c.value, c.name)
+		}
+		var read fleet.State
+		if err := read.UnmarshalText([]byte(c.name)); c.state != fleet.Unknown && (err != nil || read != c.state) {
+			t.Errorf("%q is read as %v: %v", c.name, read, err)
+		}
+	}
+	var read fleet.State
+	if read.UnmarshalText([]byte("unknown")) == nil {
+		t.Error("unknown is read as a state of a member")
+	}
+}
+
+// formatState has no field that is zero.
+func formatState() State {
+	return State{
+		Name: "m1", Fleet: "booking",
+		Members: []MemberState{{
+			Member: fleet.Member{
+				Name: "m2", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Version: fleet.Version{Life: 2, Run: 1<<63 + 5, Inc: 300},
+				State: fleet.Suspect, Since: 1500 * time.Millisecond, By: "accuser", Self: true,
+			},
+			For: "1.5s",
+		}},
+		Core: fleet.Stats{
+			Joining: true, Health: 1, Known: 2, Live: 3, Count: 4, Queue: 5, Words: 6, Forgotten: 7, Refuted: 8, Stalls: 9, Conflicts: 10,
+			Foreign: 11, Refused: 12, Accused: 13, Buried: 14, Full: 15, Unasked: 16, LastStall: 17,
+		},
+		Network: NetworkState{
+			Outside: 1, Corrupt: 2, Version: 3, Full: 4, Unsent: 5, Datagrams: 6, Streams: 7, BytesOut: 8, BytesIn: 9, DatagramsIn: 10,
+			StreamBytesOut: 11, StreamBytesIn: 12,
+		},
+	}
+}
+
+// GET /fleet is this, and what operators' programs read.
+func TestFleetStateFormatIsStable(t *testing.T) {
+	state := formatState()
+	fixture.Filled(t, state)
+	fixture.ExplicitNames(t, "json", state)
+	text, err := json.MarshalIndent(state, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "state.json", append(text, '\n'))
+	var read State
+	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, state) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, state)
+	}
+
+	// Without what may be absent.
+	state.Members[0].By, state.Members[0].Self = "", false
+	if text, err = json.Marshal(state.Members); err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "members-without-optional-fields.json", append(text, '\n'))
+}
+
+// In a stream four bytes with the frame's length come first.
+func TestGossipStreamFormatIsStable(t *testing.T) {
+	message := formatMessage(fleet.SyncTell)
+	frame, err := Encode(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	received := make(chan []byte, 1)
+	go func() {
+		conn, err := listener.Accept()
+		if err != nil {
+			received <- nil
+			return
+		}
+		defer conn.Close()
+		stream, _ := io.ReadAll(conn)
+		received <- stream
+	}()
+	sender := &Node{cfg: Config{Log: slog.New(slog.DiscardHandler)}}
+	to := netip.MustParseAddrPort(listener.Addr().String())
+	if err := sender.write(context.Background(), outgoing{to: to, frame: frame}); err != nil {
+		t.Fatal(err)
+	}
+	stream := <-received
+	fixture.GoldenBinary(t, "stream-sync-tell.hex", stream)
+
+	reader := &Node{in: make(chan input, 1)}
+	writing, reading := net.Pipe()
+	go func() {
+		io.Copy(writing, bytes.NewReader(stream))
+		writing.Close()
+	}()
+	reader.readStream(context.Background(), reading, to.Addr())
+	select {
+	case got := <-reader.in:
+		if got.bad != nil || !reflect.DeepEqual(got.msg, message) {
+			t.Errorf("%v: read as\n%+v, want\n%+v", got.bad, got.msg, message)
+		}
+	default:
+		t.Error("the stream is not read")
+	}
+}
