--- /dev/null
+++ b/internal/bound/format_test.go
@@ -0,0 +1,28 @@
+package bound
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"hazelwing/internal/standin/fixture"
+)
+
+// GET /bounds is a list of these.
+func TestBoundsFormatIsStable(t *testing.T) {
+	at := time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC)
+	state := State{Bound: "connections to upstreams", Limit: 465, Total: 3, Episodes: 2, Since: at, Last: at.Add(time.Second)}
+	fixture.Filled(t, state)
+	fixture.ExplicitNames(t, "json", state)
+	list := []State{state, New("connections of clients", 7).State()}
+	text, err := json.MarshalIndent(list, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "state.json", append(text, '\n'))
+	var read []State
+	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
+	}
+}
--- /dev/null
+++ b/internal/membership/format_test.go
@@ -0,0 +1,39 @@
+package membership
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/standin/fixture"
+)
+
+// GET /members is a list of these.
+func TestMemberListFormatIsStable(t *testing.T) {
+	entry := Entry{
+		ID: "upstream-1", Addr: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, State: balancer.Leaving, BornMS: 1700000000000.5, Priority: 1, Share: 0.5,
+	}
+	list := []Listed{{Entry: entry, In: true, Why: "listed", Sources: []string{"discovery", "dns"}, Since: 1500 * time.Millisecond}, {}}
+	fixture.Filled(t, list[0])
+	fixture.ExplicitNames(t, "json", list)
+	text, err := json.MarshalIndent(list, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "format/list.json", append(text, '\n'))
+	var read []Listed
+	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
+	}
+}
+
+// The states are numbers in GET /members.
+func TestMemberListStateNumbersAreStable(t *testing.T) {
+	for state, want := range map[balancer.State]string{balancer.Active: "0", balancer.Leaving: "1", balancer.Left: "2"} {
+		if text, err := json.Marshal(state); err != nil || string(text) != want {
+			t.Errorf("%s, %v, want %s", text, err, want)
+		}
+	}
+}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -25,15 +25,15 @@
 
 // Entry is a node as a source knows it.
 type Entry struct {
-	ID       string // empty: the source knows addresses only
-	Addr     string
-	Zone     string
-	Kind     string
-	Cell     int
-	State    balancer.State
-	BornMS   float64 // when its process started, Unix milliseconds; 0: not known, or long ago
-	Priority int     // failover level, lower first
-	Share    float64 // of the traffic of its level; 0: not told
+	ID       string         `json:"ID"` // empty: the source knows addresses only
+	Addr     string         `json:"Addr"`
+	Zone     string         `json:"Zone"`
+	Kind     string         `json:"Kind"`
+	Cell     int            `json:"Cell"`
+	State    balancer.State `json:"State"`
+	BornMS   float64        `json:"BornMS"`   // when its process started, Unix milliseconds; 0: not known, or long ago
+	Priority int            `json:"Priority"` // failover level, lower first
+	Share    float64        `json:"Share"`    // of the traffic of its level; 0: not told
 }
 
 // Source is one that speaks.
@@ -78,10 +78,10 @@
 // Listed is an entry of the list, or one that is kept out of it.
 type Listed struct {
 	Entry
-	In      bool
-	Why     string
-	Sources []string // that list it, by rank
-	Since   time.Duration
+	In      bool          `json:"In"`
+	Why     string        `json:"Why"`
+	Sources []string      `json:"Sources"` // that list it, by rank
+	Since   time.Duration `json:"Since"`
 }
 
 // Merge is the list.
--- /dev/null
+++ b/internal/membership/relay/format_test.go
@@ -0,0 +1,93 @@
+package relay
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"testing"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/engine"
+	"hazelwing/internal/standin/fixture"
+)
+
+func formatMembers(seq int64, states ...balancer.State) engine.News {
+	news := engine.News{Kind: balancer.Full, Seq: seq}
+	for i, state := range states {
+		news.Members = append(news.Members, engine.Member{
+			ID: string(rune('a' + i)), Addr: "10.0.0.4:8080", Zone: "z1", Kind: "m", Cell: 2, State: state, BornMS: 1700000000000.5,
+		})
+	}
+	return news
+}
+
+// What a relay answers one that follows it: its headers, the whole list as a line, then an empty line or a change. The headers of
+// the question are those that today's members send.
+func TestRelayLineFormatIsStable(t *testing.T) {
+	r := New("m1", 4)
+	r.regroup("10.0.0.9:8500")
+	r.begin([]string{"m2", "m3"})
+	r.apply(formatMembers(5, balancer.Active, balancer.Leaving))
+	server := httptest.NewServer(r)
+	defer server.Close()
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, server.URL+"/discovery/hosts?watch=1&from=0", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	request.Header.Set("X-List-For", "m4")
+	request.Header.Set("X-List-Discovery", "10.0.0.9:8500")
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	if path := response.Header.Get("X-List-Path"); response.StatusCode != http.StatusOK || path != "m1,m2,m3" ||
+		response.Header.Get("Content-Type") != "application/json" {
+		t.Fatalf("%s, %v", response.Status, response.Header)
+	}
+	lines := bufio.NewReader(response.Body)
+	next := func() []byte {
+		t.Helper()
+		for {
+			line, err := lines.ReadBytes('\n')
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(line) > 1 { // an empty one says that the relay lives
+				return line
+			}
+		}
+	}
+	got := bytes.Clone(next())
+	change := formatMembers(6, balancer.Left)
+	change.Kind = balancer.Change
+	r.apply(change)
+	got = append(got, next()...)
+	fixture.Golden(t, "watch.jsonl", got)
+}
+
+// The headers' names are those of older members.
+func TestRelayHeaderNamesAreStable(t *testing.T) {
+	got := []string{pathHeader, whoHeader, groupHeader}
+	if want := []string{"X-List-Path", "X-List-For", "X-List-Discovery"}; !reflect.DeepEqual(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
+
+// GET /recovery is this.
+func TestRecoveryStateFormatIsStable(t *testing.T) {
+	state := SourceState{
+		Source: "m2", Rank: 3, Changes: 4, Group: "10.0.0.9:8500",
+		Relay: State{Version: 5, Live: true, Path: []string{"m2", "m3"}, Following: 6, Turned: 7},
+	}
+	fixture.Filled(t, state)
+	fixture.ExplicitNames(t, "json", state)
+	text, err := json.MarshalIndent([]SourceState{state, {}}, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "state.json", append(text, '\n'))
+}
