--- a/internal/membership/format_test.go
+++ b/internal/membership/merged/format_test.go
@@ -1,4 +1,4 @@
-package membership
+package merged
 
 import (
 	"encoding/json"
@@ -7,23 +7,25 @@
 	"time"
 
 	"hazelwing/balancer"
+	"hazelwing/internal/membership"
 	"hazelwing/internal/standin/fixture"
 )
 
-// GET /members is a list of these.
+// GET /members is a list of these, as Source.State returns it. The files are here, and not in package membership, since its script
+// test plays every file under its testdata.
 func TestMemberListFormatIsStable(t *testing.T) {
-	entry := Entry{
+	entry := membership.Entry{
 		ID: "upstream-1", Addr: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, State: balancer.Leaving, BornMS: 1700000000000.5, Priority: 1, Share: 0.5,
 	}
-	list := []Listed{{Entry: entry, In: true, Why: "listed", Sources: []string{"discovery", "dns"}, Since: 1500 * time.Millisecond}, {}}
+	list := []membership.Listed{{Entry: entry, In: true, Why: "listed", Sources: []string{"discovery", "dns"}, Since: 1500 * time.Millisecond}, {}}
 	fixture.Filled(t, list[0])
 	fixture.ExplicitNames(t, "json", list)
 	text, err := json.MarshalIndent(list, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fixture.Golden(t, "format/list.json", append(text, '\n'))
-	var read []Listed
+	fixture.Golden(t, "list.json", append(text, '\n'))
+	var read []membership.Listed
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
 	}
--- a/internal/membership/relay/format_test.go
+++ b/internal/membership/relay/format_test.go
@@ -11,6 +11,7 @@
 
 	"hazelwing/balancer"
 	"hazelwing/internal/engine"
+	"hazelwing/internal/membership/watch"
 	"hazelwing/internal/standin/fixture"
 )
 
@@ -91,3 +92,21 @@
 	}
 	fixture.Golden(t, "state.json", append(text, '\n'))
 }
+
+// A line of discovery's watch, which relays pass on in the same form, and which the platform's configuration holds. The file is here since the script test of
+// package watch plays every file under its testdata.
+func TestListingFormatIsStable(t *testing.T) {
+	host := watch.Host{Host: "upstream-1", Dial: "10.0.0.4:8080", Site: "a", Class: "m", Block: 2, Health: "SERVING", BornMS: 1700000000000.5}
+	listing := watch.Listing{Seq: 7, Whole: true, Hosts: []watch.Host{host, {}}}
+	fixture.Filled(t, listing)
+	fixture.ExplicitNames(t, "json", listing)
+	text, err := json.MarshalIndent(listing, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "listing.json", append(text, '\n'))
+	var read watch.Listing
+	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, listing) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, listing)
+	}
+}
