--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -19,21 +19,21 @@
 
 // Config is what the platform tells a sidecar at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      hexSeed
-	Limits    Limits
-	Known     watch.Listing
-	Settings  *wire.Env
+	Name      string        `json:"Name"`
+	Listen    string        `json:"Listen"`
+	Discovery string        `json:"Discovery"`
+	Seed      hexSeed       `json:"Seed"`
+	Limits    Limits        `json:"Limits"`
+	Known     watch.Listing `json:"Known"`
+	Settings  *wire.Env     `json:"Settings"`
 }
 
 // Limits are those of the sidecar's machine; 0: none told.
 type Limits struct {
-	Cores    float64
+	Cores    float64 `json:"Cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int
-	kept     int // descriptors that Keep has set aside
+	Sockets  int     `json:"Sockets"`
+	kept     int     // descriptors that Keep has set aside
 }
 
 // memoryShare of the memory limit is what the Go runtime may use before it collects harder: stacks of the kernel's
--- a/internal/wire/env.go
+++ b/internal/wire/env.go
@@ -9,34 +9,58 @@
 
 // Env is the part of the start-up parameters that is used, here and by the real sidecar.
 type Env struct {
-	Balancers int
+	Balancers int `json:"Balancers"`
 	Classes   []struct {
-		Name, Semantics, KeyScope                 string
-		AimMs, AimStretch, DeadlineMs, Importance float64
-		LateShare, DedupWindowMs                  float64
-		Stream                                    bool
-	}
-	Discovery  string
-	FamilyInfo struct{ WarmKeys bool }
-	Limits     struct {
-		Cancelling, Probes, RetryAfter, SecondCopies  bool
-		ConnectTimeoutMs, MaxRetryAfterMs, ConnIdleMs float64
-		SendCap                                       int
-	}
-	OverShareWorth float64
-	Prices         struct{ Connection, CrossZone, Handshake, Probe float64 }
-	Rules          struct{ ColdFrom, WarmUpMs, FallMs, FallMultiple, DrainGraceMs float64 }
-	Tenants        []struct {
-		Name     string
-		Fraction float64
-	}
+		Name          string  `json:"Name"`
+		Semantics     string  `json:"Semantics"`
+		KeyScope      string  `json:"KeyScope"`
+		AimMs         float64 `json:"AimMs"`
+		AimStretch    float64 `json:"AimStretch"`
+		DeadlineMs    float64 `json:"DeadlineMs"`
+		Importance    float64 `json:"Importance"`
+		LateShare     float64 `json:"LateShare"`
+		DedupWindowMs float64 `json:"DedupWindowMs"`
+		Stream        bool    `json:"Stream"`
+	} `json:"Classes"`
+	Discovery  string `json:"Discovery"`
+	FamilyInfo struct {
+		WarmKeys bool `json:"WarmKeys"`
+	} `json:"FamilyInfo"`
+	Limits struct {
+		Cancelling       bool    `json:"Cancelling"`
+		Probes           bool    `json:"Probes"`
+		RetryAfter       bool    `json:"RetryAfter"`
+		SecondCopies     bool    `json:"SecondCopies"`
+		ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
+		MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"`
+		ConnIdleMs       float64 `json:"ConnIdleMs"`
+		SendCap          int     `json:"SendCap"`
+	} `json:"Limits"`
+	OverShareWorth float64 `json:"OverShareWorth"`
+	Prices         struct {
+		Connection float64 `json:"Connection"`
+		CrossZone  float64 `json:"CrossZone"`
+		Handshake  float64 `json:"Handshake"`
+		Probe      float64 `json:"Probe"`
+	} `json:"Prices"`
+	Rules struct {
+		ColdFrom     float64 `json:"ColdFrom"`
+		WarmUpMs     float64 `json:"WarmUpMs"`
+		FallMs       float64 `json:"FallMs"`
+		FallMultiple float64 `json:"FallMultiple"`
+		DrainGraceMs float64 `json:"DrainGraceMs"`
+	} `json:"Rules"`
+	Tenants []struct {
+		Name     string  `json:"Name"`
+		Fraction float64 `json:"Fraction"`
+	} `json:"Tenants"`
 	Stats struct {
-		Names []string
-		Via   string
-	}
-	TickMs  float64
-	WorthBy string
-	Zone    string
+		Names []string `json:"Names"`
+		Via   string   `json:"Via"`
+	} `json:"Stats"`
+	TickMs  float64 `json:"TickMs"`
+	WorthBy string  `json:"WorthBy"`
+	Zone    string  `json:"Zone"`
 }
 
 // unknownWord is an effect or group that the module will turn down, naming the field.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -16,43 +16,43 @@
 const timerCookie = "w"
 
 type batch struct {
-	TsMs float64
+	TsMs float64           `json:"TsMs"`
 	In   []json.RawMessage `json:"in"`
 }
 
 // event holds the fields of every verb that is read here.
 type event struct {
-	Verb        string `json:"verb"`
-	I           int
-	Prng        json.Number
-	Env         *Env
-	Table       int
-	MembersList []entry
-	Scope       string
-	ID          string `json:"Id"`
-	Type        string
-	Billing     any
-	Item        string
-	ExpiresMs   float64
-	PredictedMs float64
-	Bits        int
-	Hop         int
-	Upstream    string
-	Result      int
-	ElapsedMs   float64
-	Finished    bool
-	Load        map[string]float64
-	By          int
-	Contents    string
+	Verb        string             `json:"verb"`
+	I           int                `json:"I"`
+	Prng        json.Number        `json:"Prng"`
+	Env         *Env               `json:"Env"`
+	Table       int                `json:"Table"`
+	MembersList []entry            `json:"MembersList"`
+	Scope       string             `json:"Scope"`
+	ID          string             `json:"Id"`
+	Type        string             `json:"Type"`
+	Billing     any                `json:"Billing"`
+	Item        string             `json:"Item"`
+	ExpiresMs   float64            `json:"ExpiresMs"`
+	PredictedMs float64            `json:"PredictedMs"`
+	Bits        int                `json:"Bits"`
+	Hop         int                `json:"Hop"`
+	Upstream    string             `json:"Upstream"`
+	Result      int                `json:"Result"`
+	ElapsedMs   float64            `json:"ElapsedMs"`
+	Finished    bool               `json:"Finished"`
+	Load        map[string]float64 `json:"Load"`
+	By          int                `json:"By"`
+	Contents    string             `json:"Contents"`
 }
 
 type entry struct {
-	RackZone   string
-	Cell       int
-	StageState string
-	Machine    string
-	Upstream   string
-	CameUpMs   float64
+	RackZone   string  `json:"RackZone"`
+	Cell       int     `json:"Cell"`
+	StageState string  `json:"StageState"`
+	Machine    string  `json:"Machine"`
+	Upstream   string  `json:"Upstream"`
+	CameUpMs   float64 `json:"CameUpMs"`
 }
 
 // action is any action on the wire.
