--- /dev/null
+++ b/internal/operator/format_test.go
@@ -0,0 +1,58 @@
+package operator
+
+import (
+	"os"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/strict"
+)
+
+// decodeWhole decodes a file of testdata into v, and fails where the file has a key that v has not, or v a field that the file leaves
+// empty. What was decoded is held as TOML under another name.
+func decodeWhole(t *testing.T, path, decoded string, v any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, fault := range strict.Decode(text, v) {
+		t.Errorf("%s:%v", path, fault)
+	}
+	fixture.Filled(t, v)
+	fixture.ExplicitNames(t, "toml", v)
+	got, err := toml.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, decoded, got)
+}
+
+// Each key of the operator's file is read under its name and with its form.
+func TestOperatorFileFormatIsStable(t *testing.T) {
+	decodeWhole(t, "testdata/operator.toml", "operator-decoded.toml", new(Config))
+}
+
+// Each key of an origin's file is read under its name and with its form.
+func TestOriginFileFormatIsStable(t *testing.T) {
+	decodeWhole(t, "testdata/origin.toml", "origin-decoded.toml", new(Origin))
+}
+
+// Where a key is left out its default holds.
+func TestOperatorFileDefaultsAreStable(t *testing.T) {
+	text, err := os.ReadFile("testdata/operator-least.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := toml.Marshal(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "operator-defaults.toml", got)
+}
