--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -192,8 +192,8 @@
 
 // Kept is what a member holds over a restart.
 type Kept struct {
-	Frame   Frame // that was in force
-	Highest Stamp // of all that were ever taken: older ones are refused
+	Frame   Frame `json:"Frame"`   // that was in force
+	Highest Stamp `json:"Highest"` // of all that were ever taken: older ones are refused
 }
 
 // FollowerConfig is a Follower's.
--- /dev/null
+++ b/internal/controlplane/format_test.go
@@ -0,0 +1,147 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/pelletier/go-toml/v2"
+
+	"hazelwing/internal/standin/fixture"
+)
+
+func formatStamp(version uint64) Stamp {
+	return Stamp{Epoch: 3, Version: version, Hash: HashOf([]byte("# text\n"))}
+}
+
+func formatFrame() Frame {
+	return Frame{Fleet: "booking", Stamp: formatStamp(17), Text: []byte("# text\n")}
+}
+
+func formatReport() Report {
+	return Report{
+		Members: 5, Latest: formatStamp(17), Acting: []StampCount{{Stamp: formatStamp(17), N: 3}, {Stamp: formatStamp(16), N: 1}}, Others: 1,
+		Lacking: []Lack{
+			{Name: "m1", Acts: formatStamp(16), Why: Refused, Err: "2:1: log.level", Below: 2},
+			{Name: "m2", Acts: Stamp{}, Why: Behind},
+			{Name: "m3", Acts: Stamp{Epoch: 3, Version: 15}, Why: Cut},
+		},
+		More: 4,
+	}
+}
+
+// What members, origins and operators send each other of a configuration, in JSON.
+func TestConfigurationMessageFormatIsStable(t *testing.T) {
+	kept := Kept{Frame: formatFrame(), Highest: formatStamp(18)}
+	stats := FollowerStats{
+		Held: formatStamp(17), Acts: formatStamp(16), Highest: formatStamp(18), Kept: true, Since: 1, Refused: 2, Older: 3, Conflicts: 4, Broken: 5,
+		Foreign: 6, Fetches: 7, Crowded: 8,
+	}
+	for name, v := range map[string]any{
+		"stamp": formatStamp(17), "frame": formatFrame(), "report": formatReport(), "kept": kept, "follower-stats": stats,
+	} {
+		t.Run(name, func(t *testing.T) {
+			fixture.Filled(t, v)
+			fixture.ExplicitNames(t, "json", v)
+			text, err := json.MarshalIndent(v, "", "  ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			fixture.Golden(t, "format/"+name+".json", append(text, '\n'))
+			empty, err := json.Marshal(reflect.New(reflect.TypeOf(v)).Interface())
+			if err != nil {
+				t.Fatal(err)
+			}
+			fixture.Golden(t, "format/"+name+"-empty.json", append(empty, '\n'))
+			if name == "follower-stats" { // Highest and Since are not encoded
+				return
+			}
+			read := reflect.New(reflect.TypeOf(v))
+			if err := json.Unmarshal(text, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), v) {
+				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), v)
+			}
+		})
+	}
+}
+
+// A report travels between origins in CBOR, by the names that it has in JSON.
+func TestReportFormatInCBORIsStable(t *testing.T) {
+	for name, report := range map[string]Report{"report": formatReport(), "report-empty": {}} {
+		data, err := cbor.Marshal(report)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fixture.GoldenBinary(t, "format/"+name+".cbor.hex", data)
+		var read Report
+		if err := cbor.Unmarshal(data, &read); err != nil || !reflect.DeepEqual(read, report) {
+			t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, report)
+		}
+	}
+}
+
+// The reasons travel as these words.
+func TestReasonNamesAreStable(t *testing.T) {
+	for reason, want := range map[Reason]string{Behind: "behind", Cut: "cut", Refused: "refused"} {
+		if string(reason) != want {
+			t.Errorf("%q, want %q", reason, want)
+		}
+	}
+}
+
+// Each key of a snapshot is read under its name.
+func TestSnapshotFormatIsStable(t *testing.T) {
+	text := `[discovery]
+addr = "10.0.0.2:8500"
+[fleet]
+sidecars = 590
+[log]
+level = "warn"
+[limits]
+max_attempts = 3
+second_copies = true
+[price]
+cross_zone = 1.5
+open = 2.5
+handshake = 3.5
+probe = 4.5
+[class.look]
+worth = 5.5
+late_share = 0.5
+[tenant.one]
+fraction = 0.25
+`
+	snapshot, err := Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Filled(t, snapshot.Settings)
+	fixture.ExplicitNames(t, "toml", snapshot.Settings)
+	decoded, err := toml.Marshal(snapshot.Settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "format/settings.toml", decoded)
+	for key, got := range map[string]bool{
+		"discovery.addr": *snapshot.Settings.Discovery.Addr == "10.0.0.2:8500", "fleet.sidecars": *snapshot.Settings.Fleet.Sidecars == 590,
+		"log.level": *snapshot.Settings.Log.Level == "warn", "limits.max_attempts": *snapshot.Settings.Limits.MaxAttempts == 3,
+		"limits.second_copies": *snapshot.Settings.Limits.SecondCopies, "price.cross_zone": *snapshot.Settings.Price.CrossZone == 1.5,
+		"price.open": *snapshot.Settings.Price.Open == 2.5, "price.handshake": *snapshot.Settings.Price.Handshake == 3.5,
+		"price.probe": *snapshot.Settings.Price.Probe == 4.5, "class.look.worth": *snapshot.Settings.Class["look"].Worth == 5.5,
+		"class.look.late_share": *snapshot.Settings.Class["look"].LateShare == 0.5,
+		"tenant.one.fraction":   *snapshot.Settings.Tenant["one"].Fraction == 0.25,
+	} {
+		if !got {
+			t.Errorf("%s is read as another field", key)
+		}
+	}
+}
+
+// A stamp as operators read it.
+func TestStampTextIsStable(t *testing.T) {
+	for want, stamp := range map[string]Stamp{"none": {}, "3.17": formatStamp(17)} {
+		if got := stamp.String(); got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
