--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -11,14 +11,16 @@
 
 // Difference is how a measure differs between two sides, over seeds that both played.
 type Difference struct {
-	Point       int
-	Contestant  string
-	Measure     string
-	Left, Right float64 // means
-	Mean        float64 // of Right - Left, pair by pair
-	Low, High   float64 // of its mean, with 95 per cent
+	Point      int     `json:"Point"`
+	Contestant string  `json:"Contestant"`
+	Measure    string  `json:"Measure"`
+	Left       float64 `json:"Left"`  // means
+	Right      float64 `json:"Right"` // means
+	Mean       float64 `json:"Mean"`  // of Right - Left, pair by pair
+	Low        float64 `json:"Low"`   // of its mean, with 95 per cent
+	High       float64 `json:"High"`  // of its mean, with 95 per cent
 	// Differs is whether the interval leaves out zero: else it is noise.
-	Differs bool
+	Differs bool `json:"Differs"`
 }
 
 const (
--- /dev/null
+++ b/internal/lab/experiment/format_test.go
@@ -0,0 +1,52 @@
+package experiment
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/strict"
+)
+
+// Each key of an experiment's file is read under its name and with its form.
+func TestExperimentFileFormatIsStable(t *testing.T) {
+	text, err := os.ReadFile("testdata/every-key.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var file File
+	for _, fault := range strict.Decode(text, &file) {
+		t.Errorf("every-key.toml:%v", fault)
+	}
+	fixture.Filled(t, file)
+	fixture.ExplicitNames(t, "toml", file)
+	decoded, err := toml.Marshal(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "every-key-decoded.toml", decoded)
+}
+
+// What lab compare --json prints.
+func TestComparisonFormatIsStable(t *testing.T) {
+	difference := Difference{
+		Point: 1, Contestant: "hazelwing", Measure: "p99", Left: 1.5, Right: 2.5, Mean: 1, Low: 0.5, High: 1.25, Differs: true,
+	}
+	fixture.Filled(t, difference)
+	fixture.ExplicitNames(t, "json", difference)
+	text, err := json.MarshalIndent([]Difference{difference, {}}, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "comparison.json", append(text, '\n'))
+}
+
+// Verdicts, headers and runs have their names in tags; their files are held where runs are.
+func TestRunNamesAreExplicit(t *testing.T) {
+	for _, v := range []any{Header{}, Run{}, Claim{}, Verdict{}} {
+		fixture.ExplicitNames(t, "json", v)
+	}
+}
