--- /dev/null
+++ b/internal/controlplane/link/format_test.go
@@ -0,0 +1,251 @@
+package link
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/controlplane/origin"
+	"hazelwing/internal/standin/fixture"
+)
+
+func formatStamp(version uint64) controlplane.Stamp {
+	return controlplane.Stamp{Epoch: 3, Version: version, Hash: controlplane.HashOf([]byte("# text\n"))}
+}
+
+func formatFrame(version uint64) controlplane.Frame {
+	return controlplane.Frame{Fleet: "f", Stamp: formatStamp(version), Text: []byte("# text\n")}
+}
+
+func formatReport() controlplane.Report {
+	return controlplane.Report{
+		Members: 5, Latest: formatStamp(17), Acting: []controlplane.StampCount{{Stamp: formatStamp(17), N: 3}}, Others: 1,
+		Lacking: []controlplane.Lack{{Name: "m1", Acts: formatStamp(16), Why: controlplane.Refused, Err: "why", Below: 2}}, More: 4,
+	}
+}
+
+func indented(t *testing.T, v any) []byte {
+	t.Helper()
+	text, err := json.MarshalIndent(v, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
+// goldenValue holds the JSON of a value that is filled in whole, and of its zero value.
+func goldenValue(t *testing.T, name string, v any) {
+	t.Helper()
+	fixture.Filled(t, v)
+	fixture.ExplicitNames(t, "json", v)
+	fixture.Golden(t, name+".json", indented(t, v))
+	fixture.Golden(t, name+"-empty.json", indented(t, reflect.Zero(reflect.TypeOf(v)).Interface()))
+	read := reflect.New(reflect.TypeOf(v))
+	if err := json.Unmarshal(indented(t, v), read.Interface()); err != nil {
+		t.Errorf("%s: %v", name, err)
+	}
+}
+
+// A line of a watch, and what an origin and a member say of themselves.
+func TestConfigurationLinkFormatIsStable(t *testing.T) {
+	stamp, frame := formatStamp(17), formatFrame(17)
+	goldenValue(t, "line", line{Path: []string{"m1", "o1"}, Holds: &stamp, Idle: true, Frame: &frame, Packed: []byte{1, 2}})
+	goldenValue(t, "shown", Shown{
+		Answer: origin.Answer{ID: "id", Outcome: origin.Current, Stamp: stamp, Err: "why"}, Frame: frame,
+	})
+	goldenValue(t, "member-state", MemberState{
+		FollowerStats: controlplane.FollowerStats{
+			Held: stamp, Acts: formatStamp(16), Kept: true, Refused: 2, Older: 3, Conflicts: 4, Broken: 5, Foreign: 6, Fetches: 7, Crowded: 8,
+		},
+		Highest: formatStamp(18), Ready: true, LastKnown: "1s", Unconfirmed: "2s", Upstream: "m1", Address: "10.0.0.4:7946", Upstreams: 9, Got: 10,
+		Report: formatReport(),
+		Serves: hubState{Path: []string{"m2", "o1"}, Live: true, Following: 11, Turned: 12, Foreign: 13, Sent: 14},
+	})
+	fixture.ExplicitNames(t, "json", hubState{})
+}
+
+// What a watch answers: who serves it and what that one holds, a snapshot, and another path when it changes.
+func TestSubscriptionLineFormatIsStable(t *testing.T) {
+	source := newSource(t, "m1", nil)
+	source.follows([]string{"o1"})
+	source.publish(formatFrame(17))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+source.addr+"/config/watch?epoch=0&version=0&hash=", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	request.Header.Set("X-Config-Fleet", "f")
+	request.Header.Set("X-Config-For", "m2")
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		t.Fatal(response.Status)
+	}
+	reader := bufio.NewReader(response.Body)
+	next := func() []byte {
+		t.Helper()
+		for {
+			line, err := reader.ReadBytes('\n')
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(line) > 1 { // an empty one says that the upstream lives
+				return line
+			}
+		}
+	}
+	got := append(next(), next()...)
+	source.part(false) // an origin that takes no part
+	got = append(got, next()...)
+	source.publish(formatFrame(18))
+	got = append(got, next()...)
+	fixture.Golden(t, "watch.jsonl", got)
+}
+
+// A text that gzip makes shorter is packed, and the frame is without it. The bytes of gzip are those of its library and not held.
+func TestPackedLineFormatIsStable(t *testing.T) {
+	text := bytes.Repeat([]byte("# the same again\n"), 100)
+	packed := pack(controlplane.Frame{Fleet: "f", Stamp: formatStamp(17), Text: text})
+	if len(packed.Packed) == 0 || packed.Frame == nil || packed.Frame.Text != nil {
+		t.Fatalf("%+v", packed)
+	}
+	if err := packed.unpack(); err != nil || !bytes.Equal(packed.Frame.Text, text) {
+		t.Errorf("%v: %q", err, packed.Frame.Text)
+	}
+	stored, err := os.ReadFile("testdata/packed-line.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read line
+	if err := json.Unmarshal(stored, &read); err != nil {
+		t.Fatal(err)
+	}
+	if err := read.unpack(); err != nil || !bytes.Equal(read.Frame.Text, text) || read.Frame.Stamp != formatStamp(17) {
+		t.Errorf("%v: %+v", err, read.Frame)
+	}
+}
+
+// recorder writes down what it is asked, and answers with a status and a body.
+type recorder struct {
+	lines  strings.Builder
+	status int
+	answer string
+}
+
+func (r *recorder) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	body, _ := io.ReadAll(q.Body)
+	fmt.Fprintf(&r.lines, "%s %s\nX-Config-Fleet: %s\nX-Config-For: %s\n%s\n\n", q.Method, q.URL, q.Header.Get("X-Config-Fleet"),
+		q.Header.Get("X-Config-For"), body)
+	w.WriteHeader(r.status)
+	io.WriteString(w, r.answer)
+}
+
+func record(t *testing.T, status int, answer string) (*recorder, string) {
+	t.Helper()
+	r := &recorder{status: status, answer: answer}
+	server := httptest.NewServer(r)
+	t.Cleanup(server.Close)
+	return r, server.Listener.Addr().String()
+}
+
+// What a member asks and tells its upstream: method, path, headers, body.
+func TestMemberRequestFormatIsStable(t *testing.T) {
+	c := &caller{fleet: "f", self: "m1", client: newClient(nil)}
+	defer c.client.CloseIdleConnections()
+	r, addr := record(t, http.StatusOK, `{"frame":{"fleet":"f","stamp":{"epoch":3,"version":17,"hash":"h"},"text":"IyB0ZXh0Cg=="}}`)
+	watch, err := c.open(t.Context(), []target{{addr: addr}}, formatStamp(17))
+	if err != nil {
+		t.Fatal(err)
+	}
+	watch.end()
+	watch.resp.Body.Close()
+	frame, err := c.fetch(t.Context(), addr)
+	if err != nil || string(frame.Text) != "# text\n" || frame.Stamp.Version != 17 {
+		t.Errorf("%v: %+v", err, frame)
+	}
+	r.status, r.answer = http.StatusNoContent, ""
+	if err := c.report(t.Context(), addr, formatReport()); err != nil {
+		t.Error(err)
+	}
+	fixture.Golden(t, "member-requests.txt", []byte(r.lines.String()))
+}
+
+// What an operator's command asks an origin.
+func TestOperatorRequestFormatIsStable(t *testing.T) {
+	r, addr := record(t, http.StatusOK, `{"answer":{"id":"id","outcome":"current","stamp":{"epoch":3,"version":17,"hash":"h"}}}`)
+	c := NewClient("f", addr)
+	defer c.c.client.CloseIdleConnections()
+	ask := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Error(err)
+		}
+	}
+	_, err := c.Push(t.Context(), "push 1", 16, []byte("# text\n"))
+	ask(err)
+	_, err = c.Became(t.Context(), "push 1")
+	ask(err)
+	_, err = c.Show(t.Context(), false)
+	ask(err)
+	_, err = c.Show(t.Context(), true)
+	ask(err)
+	_, err = c.Status(t.Context())
+	ask(err)
+	fixture.Golden(t, "operator-requests.txt", []byte(r.lines.String()))
+}
+
+// Paths and headers are those of older members and origins.
+func TestConfigurationPathNamesAreStable(t *testing.T) {
+	got := []string{
+		fleetHeader, whoHeader, watchPath, reportPath, snapshotPath, alivePath, messagePath, pushPath, showPath, statusPath,
+	}
+	want := []string{
+		"X-Config-Fleet", "X-Config-For", "/config/watch", "/config/report", "/config/snapshot", "/config/alive", "/origin/message", "/config/push",
+		"/config/show", "/config/status",
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
+
+// The status of the answer to a push.
+func TestOutcomeStatusIsStable(t *testing.T) {
+	want := map[origin.Outcome]int{"accepted": 200, "current": 200, "conflict": 409, "refused": 422, "missing": 404, "unknown": 504}
+	if !reflect.DeepEqual(outcomeStatus, want) {
+		t.Errorf("%v, want %v", outcomeStatus, want)
+	}
+}
+
+// The file of the last known snapshot: its name and bytes, and that it is read back.
+func TestLastKnownFileFormatIsStable(t *testing.T) {
+	dir := t.TempDir()
+	kept := &controlplane.Kept{Frame: formatFrame(17), Highest: formatStamp(18)}
+	if err := keep(dir, kept); err != nil {
+		t.Fatal(err)
+	}
+	entries, err := os.ReadDir(dir)
+	if err != nil || len(entries) != 1 || entries[0].Name() != "last-known.json" {
+		t.Fatalf("%v %v", entries, err)
+	}
+	text, err := os.ReadFile(filepath.Join(dir, "last-known.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "last-known.json", text)
+	read, _, err := load("testdata")
+	if err != nil || !reflect.DeepEqual(read, kept) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, kept)
+	}
+}
