--- /dev/null
+++ b/internal/controlplane/origin/format_test.go
@@ -0,0 +1,223 @@
+package origin
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/standin/fixture"
+)
+
+func formatStamp(version uint64) controlplane.Stamp {
+	return controlplane.Stamp{Epoch: 3, Version: version, Hash: controlplane.HashOf([]byte("# text\n"))}
+}
+
+func formatReport() controlplane.Report {
+	return controlplane.Report{
+		Members: 5, Latest: formatStamp(17), Acting: []controlplane.StampCount{{Stamp: formatStamp(17), N: 3}}, Others: 1,
+		Lacking: []controlplane.Lack{{Name: "m1", Acts: formatStamp(16), Why: controlplane.Refused, Err: "why", Below: 2}}, More: 4,
+	}
+}
+
+func formatFounding() Founding {
+	return Founding{Fleet: "booking", Epoch: 3, Origins: []string{"o1", "o2", "o3"}}
+}
+
+// goldenRecords holds records of a store: keys and values, in order.
+func goldenRecords(t *testing.T, name string, records []Record) {
+	t.Helper()
+	var text bytes.Buffer
+	for _, r := range records {
+		if r.Delete {
+			fmt.Fprintf(&text, "delete %s\n", r.Key)
+			continue
+		}
+		fmt.Fprintf(&text, "put %s\n%s", r.Key, hex.Dump(r.Value))
+	}
+	fixture.Golden(t, name, text.Bytes())
+}
+
+// What is in entries of the log, in the store and in messages, as CBOR.
+func TestOriginEntryFormatIsStable(t *testing.T) {
+	hash := controlplane.HashOf([]byte("# text\n"))
+	report := formatReport()
+	for name, v := range map[string]any{
+		"change": change{ID: "push-1", After: 16, Text: []byte("# text\n")},
+		"machine": machine{
+			Version: 17, Hash: hash, Text: []byte("# text\n"),
+			Ended: []ending{{ID: "push-1", Version: 17, Hash: hash}, {ID: "push-2", Version: 0, Hash: hash}},
+		},
+		"founding": formatFounding(),
+		"root": root{
+			Mark: 9, Seen: []uint64{9, 300, 70000}, Term: 4, Vote: 2, Commit: 11, Index: 10, Since: 3, Last: 12,
+			Runs: []run{{Index: 11, Term: 3}, {Index: 12, Term: 4}}, Rolled: "why",
+		},
+		"envelope": envelope{
+			Founding: []byte("0123456789abcdef"), From: 2, Marks: []uint64{9, 300, 70000}, Rolled: true, Report: &report, Raft: []byte{1, 2, 3},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			fixture.Filled(t, v)
+			data := encode(v)
+			fixture.GoldenBinary(t, name+".cbor.hex", data)
+			read := reflect.New(reflect.TypeOf(v))
+			if err := decode(data, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), v) {
+				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), v)
+			}
+			fixture.GoldenBinary(t, name+"-empty.cbor.hex", encode(reflect.Zero(reflect.TypeOf(v)).Interface()))
+		})
+	}
+}
+
+// A message between origins: the envelope, raft's message and the checksum, with and without a report; another origin opens it.
+func TestOriginMessageFormatIsStable(t *testing.T) {
+	founding := formatFounding()
+	sender := &Node{
+		cfg: Config{Founding: founding, Self: "o2"}, id: 2, key: founding.key(), mark: 300, seen: []uint64{9, 0, 70000}, rolled: "why",
+	}
+	receiver := &Node{cfg: Config{Founding: founding, Self: "o1"}, id: 1, key: founding.key()}
+	kind, from, to, term, index, context := raftpb.MsgHeartbeat, uint64(2), uint64(1), uint64(4), uint64(11), []byte("context")
+	message := &raftpb.Message{Type: &kind, From: &from, To: &to, Term: &term, Commit: &index, Context: context}
+	report := formatReport()
+	for name, sealed := range map[string][]byte{
+		"message":              sender.seal(message, &report),
+		"message-without-raft": sender.seal(nil, nil),
+	} {
+		fixture.GoldenBinary(t, name+".hex", sealed)
+		e, m, err := receiver.open(sealed)
+		if err != nil || e.From != 2 || !slices.Equal(e.Marks, []uint64{9, 300, 70000}) || !e.Rolled {
+			t.Fatalf("%s: %v: %+v", name, err, e)
+		}
+		if (m != nil) != (name == "message") || m != nil && (m.GetCommit() != 11 || m.GetTerm() != 4) {
+			t.Errorf("%s: raft's message is %v", name, m)
+		}
+	}
+	fixture.GoldenBinary(t, "founding-key.hex", []byte(founding.key()))
+}
+
+// What a founding writes, and where the parts of entries and snapshots stand.
+func TestOriginFoundingRecordsAreStable(t *testing.T) {
+	goldenRecords(t, "founded.txt", found(formatFounding()))
+	if got, want := entryKey(0x1f, 3), "e/000000000000001f/0000000000000003"; got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+	if got, want := snapshotKey(0x1f), "s/000000000000001f"; got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+	long := bytes.Repeat([]byte("0123456789"), 13_000)
+	parts := split("s/1", long)
+	records := map[string][]byte{}
+	for i, p := range parts {
+		if want := fmt.Sprintf("s/1/%x", i); p.Key != want {
+			t.Errorf("part %d is %s, want %s", i, p.Key, want)
+		}
+		records[p.Key] = p.Value
+	}
+	if whole, ok := joined(records, "s/1"); len(parts) != 3 || !ok || !bytes.Equal(whole, long) {
+		t.Errorf("%d parts, whole: %t", len(parts), ok)
+	}
+}
+
+// What one origin writes to its store from its founding to an accepted push, and that another process goes on from there.
+func TestOriginStoreFormatIsStable(t *testing.T) {
+	founding := Founding{Fleet: "booking", Epoch: 3, Origins: []string{"o1"}}
+	state, err := Founded(founding)
+	if err != nil {
+		t.Fatal(err)
+	}
+	config := Config{Founding: founding, Self: "o1", Seed: 7}
+	node, actions, err := New(config, state, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var written []Record
+	var answers []Answer
+	carryOut := func(list []Action) {
+		for _, a := range list {
+			switch a := a.(type) {
+			case Persist:
+				written = append(written, a.Records...)
+				state.Write(a)
+			case Answer:
+				answers = append(answers, a)
+			}
+		}
+	}
+	carryOut(actions)
+	now := time.Duration(0)
+	for range 60 {
+		now += 100 * time.Millisecond
+		carryOut(node.Handle(now, Tick{}))
+	}
+	carryOut(node.Handle(now, Propose{ID: "push-1", After: 0, Text: []byte("# text\n")}))
+	carryOut(node.Handle(now, Propose{ID: "push-2", After: 0, Text: []byte("# other\n")}))
+	want := []Answer{
+		{ID: "push-1", Outcome: Accepted, Stamp: formatStamp(1)},
+		{ID: "push-2", Outcome: Conflict, Stamp: formatStamp(1), Err: "made after version 0, and 1 is the latest"},
+	}
+	if !reflect.DeepEqual(answers, want) {
+		t.Fatalf("%+v, want %+v", answers, want)
+	}
+	goldenRecords(t, "store.txt", written)
+
+	again, _, err := New(config, state, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for now = 0; now < 6*time.Second; now += 100 * time.Millisecond {
+		again.Handle(now, Tick{})
+	}
+	if frame, ok := again.Frame(); !ok || frame.Stamp != formatStamp(1) || string(frame.Text) != "# text\n" || frame.Fleet != "booking" {
+		t.Errorf("%t: %+v", ok, frame)
+	}
+}
+
+// What config status and config push have as JSON.
+func TestOriginStatusFormatIsStable(t *testing.T) {
+	status := Status{
+		Self: "o1", Epoch: 3, Part: Follows, Leader: "o2", Stamp: formatStamp(17), Ahead: formatStamp(18), Rolled: []string{"o3"},
+		Report: formatReport(), Foreign: 1, Broken: 2,
+	}
+	answer := Answer{ID: "push-1", Outcome: Accepted, Stamp: formatStamp(17), Err: "why"}
+	for name, v := range map[string]any{"status": status, "answer": answer, "founding": formatFounding()} {
+		fixture.Filled(t, v)
+		fixture.ExplicitNames(t, "json", v)
+		for file, value := range map[string]any{name + ".json": v, name + "-empty.json": reflect.Zero(reflect.TypeOf(v)).Interface()} {
+			text, err := json.MarshalIndent(value, "", "  ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			fixture.Golden(t, file, append(text, '\n'))
+			read := reflect.New(reflect.TypeOf(v))
+			if err := json.Unmarshal(text, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
+				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), value)
+			}
+		}
+	}
+}
+
+// Outcomes and parts travel as these words.
+func TestOutcomeAndPartNamesAreStable(t *testing.T) {
+	for outcome, want := range map[Outcome]string{
+		Accepted: "accepted", Conflict: "conflict", Refused: "refused", Unknown: "unknown", Missing: "missing", Current: "current",
+	} {
+		if string(outcome) != want {
+			t.Errorf("%q, want %q", outcome, want)
+		}
+	}
+	for part, want := range map[Part]string{
+		Starting: "starting", Leads: "leads", Follows: "follows", Seeks: "no majority", Rolled: "rolled back",
+	} {
+		if string(part) != want {
+			t.Errorf("%q, want %q", part, want)
+		}
+	}
+}
