--- /dev/null
+++ b/cmd/hazelwing/format_test.go
@@ -0,0 +1,123 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/controlplane/origin"
+	"hazelwing/internal/load"
+	"hazelwing/internal/standin/fixture"
+)
+
+// printed plays a command against a server that answers each path with a file of testdata/format, and gives its output and status.
+func printed(t *testing.T, answers map[string]string, args ...string) (string, error) {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		text, err := os.ReadFile("testdata/format/" + answers[q.Method+" "+q.URL.Path])
+		if err != nil {
+			t.Errorf("%s %s: %v", q.Method, q.URL, err)
+		}
+		w.Header().Set("Content-Type", "application/json")
+		w.Write(text)
+	}))
+	defer server.Close()
+	for i, arg := range args {
+		args[i] = strings.ReplaceAll(arg, "ADDRESS", server.Listener.Addr().String())
+	}
+	return execute(args...)
+}
+
+// failure is an error as the golden files have it, with the process's status.
+func failure(err error) string {
+	status := 1
+	if s, ok := errors.AsType[exitStatus](err); ok {
+		status = s.status
+	}
+	return fmt.Sprintf("\nstatus %d: %v\n", status, err)
+}
+
+// What config status and config show print of an origin's answers, as JSON and as text.
+func TestConfigCommandOutputIsStable(t *testing.T) {
+	answers := map[string]string{"GET /config/status": "origin-status.json", "GET /config/show": "origin-show.json"}
+	for _, c := range []struct {
+		file string
+		args []string
+	}{
+		{"config-status.json", []string{"config", "status", "--json"}},
+		{"config-status.txt", []string{"config", "status"}},
+		{"config-show.json", []string{"config", "show", "--json"}},
+		{"config-show.txt", []string{"config", "show"}},
+	} {
+		out, err := printed(t, answers, append(c.args, "--origin", "ADDRESS", "--fleet", "booking")...)
+		text := out
+		if err != nil {
+			text += failure(err)
+		}
+		fixture.Golden(t, "format/"+c.file, []byte(text))
+	}
+}
+
+// What hazelwing fleet prints of a sidecar's answer, as JSON and as text.
+func TestFleetCommandOutputIsStable(t *testing.T) {
+	for file, args := range map[string][]string{
+		"fleet.json": {"fleet", "--json", "--admin", "ADDRESS"}, "fleet.txt": {"fleet", "--admin", "ADDRESS"},
+	} {
+		out, err := printed(t, map[string]string{"GET /fleet": "admin-fleet.json"}, args...)
+		if err != nil {
+			out += failure(err)
+		}
+		fixture.Golden(t, "format/"+file, []byte(out))
+	}
+}
+
+// What config push prints as JSON.
+func TestPushOutputFormatIsStable(t *testing.T) {
+	stamp := controlplane.Stamp{Epoch: 3, Version: 17, Hash: "h"}
+	push := pushed{
+		Answer: origin.Answer{ID: "push-1", Outcome: origin.Accepted, Stamp: stamp, Err: "why"}, After: 16, Took: "10ms", Within: "20ms",
+		Report: &controlplane.Report{
+			Members: 5, Latest: stamp, Acting: []controlplane.StampCount{{Stamp: stamp, N: 3}}, Others: 1,
+			Lacking: []controlplane.Lack{{Name: "m1", Acts: stamp, Why: controlplane.Behind, Err: "why", Below: 2}}, More: 4,
+		},
+	}
+	fixture.Filled(t, push)
+	fixture.ExplicitNames(t, "json", push)
+	var out bytes.Buffer
+	for _, v := range []pushed{push, {}} {
+		if err := print(&out, v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	fixture.Golden(t, "format/config-push.json", out.Bytes())
+	var read pushed
+	if err := json.NewDecoder(&out).Decode(&read); err != nil || !reflect.DeepEqual(read, push) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, push)
+	}
+}
+
+// What hazelwing load prints as JSON, and the names of kinds in it.
+func TestLoadReportFormatIsStable(t *testing.T) {
+	report := load.Report{
+		Target: "http://127.0.0.1:8080", Kinds: map[string]int{}, P50: 1.5, P90: 2.5, P99: 3.5, P999: 4.5, Max: 5.5, LateP50: 0.5, LateP99: 0.75,
+		Slow: true,
+	}
+	for kind := load.Served; kind <= load.Unsent; kind++ {
+		report.Kinds[kind.String()] = int(kind) + 1
+	}
+	fixture.Filled(t, report)
+	fixture.ExplicitNames(t, "json", report)
+	var out bytes.Buffer
+	if err := reportLoad(&out, []load.Report{report}, true); err != nil {
+		out.WriteString(failure(err))
+	}
+	fixture.Golden(t, "format/load-report.json", out.Bytes())
+}
--- /dev/null
+++ b/internal/daemon/format_test.go
@@ -0,0 +1,74 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"reflect"
+	"strings"
+	"testing"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/controlplane/link"
+	"hazelwing/internal/recovery"
+	"hazelwing/internal/standin/fixture"
+)
+
+// topKeys are the keys of a JSON object, in order.
+func topKeys(t *testing.T, text []byte) (keys []string) {
+	t.Helper()
+	in := json.NewDecoder(strings.NewReader(string(text)))
+	if _, err := in.Token(); err != nil {
+		t.Fatal(err)
+	}
+	for in.More() {
+		key, err := in.Token()
+		if err != nil {
+			t.Fatal(err)
+		}
+		keys = append(keys, key.(string))
+		var value json.RawMessage
+		if err := in.Decode(&value); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return keys
+}
+
+// GET /config is the member's state, in one object with what this sidecar acts on. The member's own part is held in package link.
+func TestConfigurationStateFormatIsStable(t *testing.T) {
+	member, err := link.NewMember(link.MemberConfig{
+		Follower: controlplane.FollowerConfig{Fleet: "f", Self: "m1"}, Origins: []string{fixture.NoAddr}, Most: 4,
+		Selector: recovery.Config{Self: "m1", Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
+		Apply: func(*controlplane.Snapshot) error { return nil },
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	go func() {
+		member.Run(ctx)
+		close(ended)
+	}()
+	defer func() {
+		stop()
+		<-ended
+	}()
+	part := &configPart{member: member, s: &sidecar{followed: "10.0.0.2:8500"}, level: new(slog.LevelVar)}
+	state := part.state()
+	fixture.ExplicitNames(t, "json", state)
+	text, err := json.Marshal(state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Fields("held acts kept refused older conflicts broken foreign fetches crowded highest ready not_confirmed_for upstreams got " +
+		"report serves discovery level")
+	if got := topKeys(t, text); !reflect.DeepEqual(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+	var own struct{ Discovery, Level string }
+	if err := json.Unmarshal(text, &own); err != nil || own.Discovery != "10.0.0.2:8500" || own.Level != "INFO" {
+		t.Errorf("%v: %+v", err, own)
+	}
+}
