--- /dev/null
+++ b/internal/store/stored_test.go
@@ -0,0 +1,211 @@
+package store_test
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"hazelwing/internal/store"
+)
+
+// storedDir is a directory that the program of 593ba64 has written: see its README.
+const storedDir = "testdata/version-593ba64"
+
+// storedAt is the wall time at which it was written.
+var storedAt = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
+
+// storedOptions gives each closed segment its hint file only when Maintain is called.
+func storedOptions(now *time.Time) store.Options {
+	return store.Options{SegmentSize: 256, Manual: true, Now: func() time.Time { return *now }}
+}
+
+// writeStored does what the directory was made by. One change at a time is waited for, so that it always gives the same bytes.
+func writeStored(t *testing.T, path string) {
+	t.Helper()
+	now := storedAt
+	s := open(t, path, storedOptions(&now))
+	change := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i := range 12 {
+		change(s.Put(fmt.Sprintf("key-%02d", i), bytes.Repeat([]byte{byte(i)}, 3*i), storedAt.Add(time.Duration(i+1)*time.Hour)))
+	}
+	change(s.Put("key-03", []byte("replaced"), storedAt.Add(50*time.Hour)))
+	change(s.Put("\x00\xff/not text", []byte{0, 1, 0xfe, 0xff}, storedAt.Add(51*time.Hour)))
+	change(s.Delete("key-05"))
+	change(s.Put("short", []byte("expired by the time it is read"), storedAt.Add(time.Second)))
+	if err := s.Maintain(); err != nil {
+		t.Fatal(err)
+	}
+	change(s.Put("key-07", []byte("replaced after the hints"), storedAt.Add(52*time.Hour)))
+	change(s.Delete("key-09"))
+	change(s.Close())
+}
+
+type storedEntry struct {
+	value   string
+	expires time.Time
+}
+
+// wantStored is what the directory holds ten seconds after it was written.
+func wantStored() map[string]storedEntry {
+	want := map[string]storedEntry{}
+	for i := range 12 {
+		want[fmt.Sprintf("key-%02d", i)] = storedEntry{strings.Repeat(string([]byte{byte(i)}), 3*i), storedAt.Add(time.Duration(i+1) * time.Hour)}
+	}
+	want["key-03"] = storedEntry{"replaced", storedAt.Add(50 * time.Hour)}
+	want["\x00\xff/not text"] = storedEntry{"\x00\x01\xfe\xff", storedAt.Add(51 * time.Hour)}
+	want["key-07"] = storedEntry{"replaced after the hints", storedAt.Add(52 * time.Hour)}
+	delete(want, "key-05")
+	delete(want, "key-09")
+	return want
+}
+
+// holdsExactly checks every entry, by Each and by Get.
+func holdsExactly(t *testing.T, s *store.Store, want map[string]storedEntry) {
+	t.Helper()
+	got := map[string]storedEntry{}
+	if err := s.Each(func(key string, value []byte, expires time.Time) bool {
+		got[key] = storedEntry{string(value), expires.UTC()}
+		return true
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if !maps.Equal(got, want) {
+		t.Errorf("it holds\n%+v, want\n%+v", got, want)
+	}
+	for key, entry := range want {
+		if value, ok, err := s.Get(key); err != nil || !ok || string(value) != entry.value {
+			t.Errorf("%q is %q, %v, %v, want %q", key, value, ok, err, entry.value)
+		}
+	}
+	if s := s.Stats(); s.Damaged != 0 {
+		t.Errorf("%d bytes damaged", s.Damaged)
+	}
+}
+
+// files are a directory's segments and hints by name.
+func files(t *testing.T, path string) map[string][]byte {
+	t.Helper()
+	list, err := os.ReadDir(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	out := map[string][]byte{}
+	for _, f := range list {
+		if x := filepath.Ext(f.Name()); x == ".log" || x == ".hint" {
+			if out[f.Name()], err = os.ReadFile(filepath.Join(path, f.Name())); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	return out
+}
+
+func copyStored(t *testing.T) string {
+	t.Helper()
+	path := t.TempDir()
+	for name, text := range files(t, storedDir) {
+		if err := os.WriteFile(filepath.Join(path, name), text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return path
+}
+
+// The same changes give the same bytes as they did in 593ba64, segments and hints.
+func TestSegmentsAndHintsKeepTheirBytes(t *testing.T) {
+	path := t.TempDir()
+	writeStored(t, path)
+	got, want := files(t, path), files(t, storedDir)
+	if names := slices.Sorted(maps.Keys(want)); len(names) != 6 || !slices.Equal(slices.Sorted(maps.Keys(got)), names) {
+		t.Errorf("files %q, want %q", slices.Sorted(maps.Keys(got)), names)
+	}
+	for name, text := range want {
+		if !bytes.Equal(got[name], text) {
+			t.Errorf("%s is\n%x, want\n%x", name, got[name], text)
+		}
+	}
+}
+
+// A directory of 593ba64's is read whole, with its hints and without, written on, compacted, and read again.
+func TestDirectoryOfTheVersionBefore(t *testing.T) {
+	for _, hints := range []bool{true, false} {
+		t.Run(fmt.Sprint("hints ", hints), func(t *testing.T) {
+			path := copyStored(t)
+			fs, err := store.Dir(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			list, err := store.Check(fs)
+			if err != nil || len(list) != 4 {
+				t.Fatalf("%d segments, %v", len(list), err)
+			}
+			for i, g := range list {
+				wantHint := "good"
+				if i >= 2 {
+					wantHint = "none" // it was written to after the hints
+				}
+				if g.Damaged != 0 || g.Tail != 0 || g.Fault != "" || g.Hint != wantHint {
+					t.Errorf("%+v, want hint %s", g, wantHint)
+				}
+			}
+			if !hints {
+				for name := range files(t, path) {
+					if strings.HasSuffix(name, ".hint") {
+						if err := os.Remove(filepath.Join(path, name)); err != nil {
+							t.Fatal(err)
+						}
+					}
+				}
+			}
+			now := storedAt.Add(10 * time.Second)
+			want := wantStored()
+			s := open(t, path, storedOptions(&now))
+			holdsExactly(t, s, want)
+
+			if err := s.Put("key-01", []byte("by the new version"), storedAt.Add(60*time.Hour)); err != nil {
+				t.Fatal(err)
+			}
+			want["key-01"] = storedEntry{"by the new version", storedAt.Add(60 * time.Hour)}
+			if err := s.Put("new", nil, storedAt.Add(61*time.Hour)); err != nil {
+				t.Fatal(err)
+			}
+			want["new"] = storedEntry{"", storedAt.Add(61 * time.Hour)}
+			if err := s.Delete("key-03"); err != nil {
+				t.Fatal(err)
+			}
+			delete(want, "key-03")
+			holdsExactly(t, s, want)
+			if err := s.Close(); err != nil {
+				t.Fatal(err)
+			}
+
+			s = open(t, path, storedOptions(&now))
+			holdsExactly(t, s, want)
+			if err := s.Compact(); err != nil {
+				t.Fatal(err)
+			}
+			holdsExactly(t, s, want)
+			if err := s.Close(); err != nil {
+				t.Fatal(err)
+			}
+
+			now = storedAt.Add(5*time.Hour + time.Minute) // key-00, 02 and 04 have expired
+			for _, key := range []string{"key-00", "key-02", "key-04"} {
+				delete(want, key)
+			}
+			s = open(t, path, storedOptions(&now))
+			holdsExactly(t, s, want)
+		})
+	}
+}
