--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -96,33 +96,38 @@
 
 // Network is described at Clients.
 type Network struct {
-	Same, Cross    strict.Duration
-	Jitter         strict.Duration
-	Loss           float64
+	Same           strict.Duration `toml:"same"`
+	Cross          strict.Duration `toml:"cross"`
+	Jitter         strict.Duration `toml:"jitter"`
+	Loss           float64         `toml:"loss"`
 	ConnectTimeout strict.Duration `toml:"connect_timeout"`
-	Idle           strict.Duration
-	Multiplexed    bool
+	Idle           strict.Duration `toml:"idle"`
+	Multiplexed    bool            `toml:"multiplexed"`
 }
 
 // List is described at Clients.
 type List struct {
-	Least, Most, Notice strict.Duration
-	Reorder             bool
+	Least   strict.Duration `toml:"least"`
+	Most    strict.Duration `toml:"most"`
+	Notice  strict.Duration `toml:"notice"`
+	Reorder bool            `toml:"reorder"`
 }
 
 // Discovery is described at Clients.
 type Discovery struct {
-	Capacity float64
-	Call     float64
-	Timeout  strict.Duration
-	Overbook float64
+	Capacity float64         `toml:"capacity"`
+	Call     float64         `toml:"call"`
+	Timeout  strict.Duration `toml:"timeout"`
+	Overbook float64         `toml:"overbook"`
 }
 
 // Host is described at Clients.
 type Host struct {
-	Cores                     float64
-	Period                    strict.Duration
-	Request, Attempt, Connect strict.Duration
+	Cores   float64         `toml:"cores"`
+	Period  strict.Duration `toml:"period"`
+	Request strict.Duration `toml:"request"`
+	Attempt strict.Duration `toml:"attempt"`
+	Connect strict.Duration `toml:"connect"`
 }
 
 // Rules is described at Clients.
@@ -136,37 +141,41 @@
 
 // Settings is described at Clients.
 type Settings struct {
-	Tick       strict.Duration
-	Attempts   int
-	Copies     bool
-	Cancelling bool
-	Probes     bool
+	Tick       strict.Duration `toml:"tick"`
+	Attempts   int             `toml:"attempts"`
+	Copies     bool            `toml:"copies"`
+	Cancelling bool            `toml:"cancelling"`
+	Probes     bool            `toml:"probes"`
 	RetryAfter strict.Duration `toml:"retry_after"`
 	CrossZone  float64         `toml:"cross_zone"`
 }
 
 // Traffic is a class's.
 type Traffic struct {
-	Share, Worth, Late float64
-	Work               strict.Duration
-	Kind               string
-	Spread             float64
-	Hint               float64
-	Aim, Deadline      strict.Duration
-	Effect, Group      string
-	Window             strict.Duration
+	Share    float64         `toml:"share"`
+	Worth    float64         `toml:"worth"`
+	Late     float64         `toml:"late"`
+	Work     strict.Duration `toml:"work"`
+	Kind     string          `toml:"kind"`
+	Spread   float64         `toml:"spread"`
+	Hint     float64         `toml:"hint"`
+	Aim      strict.Duration `toml:"aim"`
+	Deadline strict.Duration `toml:"deadline"`
+	Effect   string          `toml:"effect"`
+	Group    string          `toml:"group"`
+	Window   strict.Duration `toml:"window"`
 }
 
 // Fault is one of the world's.
 type Fault struct {
-	At    strict.Duration
-	What  string
-	Node  string
-	Zone  string
-	Share float64
-	Times float64
-	For   strict.Duration
-	Every strict.Duration
+	At    strict.Duration `toml:"at"`
+	What  string          `toml:"what"`
+	Node  string          `toml:"node"`
+	Zone  string          `toml:"zone"`
+	Share float64         `toml:"share"`
+	Times float64         `toml:"times"`
+	For   strict.Duration `toml:"for"`
+	Every strict.Duration `toml:"every"`
 }
 
 // Experiment is a file that was read and can be played.
--- /dev/null
+++ b/internal/lab/experiment/stored_test.go
@@ -0,0 +1,224 @@
+package experiment
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// storedDir holds files that the program of 593ba64 has written: see its README.
+const storedDir = "testdata/version-593ba64"
+
+const storedRun = "stored-c46d0c9710a5a1fa.jsonl"
+
+func stored(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(storedDir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// unset names the fields of a value, at any depth, that have none.
+func unset(v reflect.Value, path string) (list []string) {
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			list = append(list, unset(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			list = append(list, unset(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			list = append(list, unset(v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key))...)
+		}
+	}
+	if v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0 {
+		list = append(list, path)
+	}
+	return list
+}
+
+// Each key of an experiment's file, by the name that it had in 593ba64, is read into the field that it was read into.
+func TestEveryKeyKeepsItsName(t *testing.T) {
+	var f File
+	if err := read(stored(t, "every-key.toml"), &f); err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range unset(reflect.ValueOf(f), "File") {
+		if path != "File.Base" { // an empty one is there, since the base would be read
+			t.Errorf("no key has set %s", path)
+		}
+	}
+	got := strings.ReplaceAll(fmt.Sprintf("%v\n", f), " {", "\n{")
+	if want := string(stored(t, "every-key.values")); got != want {
+		t.Errorf("it is read as\n%s, want\n%s", got, want)
+	}
+}
+
+// fill gives each field, at any depth, a value of its own.
+func fill(v reflect.Value, n *int) {
+	*n++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i), n)
+		}
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), n)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		fill(v.Index(0), n)
+		fill(v.Index(1), n)
+	case reflect.String:
+		v.SetString(fmt.Sprint("text ", *n))
+	case reflect.Int:
+		v.SetInt(int64(*n))
+	case reflect.Uint64:
+		v.SetUint(uint64(*n))
+	case reflect.Float64:
+		v.SetFloat(float64(*n) + 0.5)
+	default:
+		panic(v.Kind())
+	}
+}
+
+// The header and a line of a run's file with a value in each field keep the bytes that they had in 593ba64, and are read
+// as what they were.
+func TestRunLinesKeepTheirBytes(t *testing.T) {
+	var header, againHeader Header
+	var run, againRun Run
+	n := 0
+	fill(reflect.ValueOf(&header).Elem(), &n)
+	fill(reflect.ValueOf(&run).Elem(), &n)
+	var out []byte
+	for _, v := range []any{header, run, Header{}, Run{}} {
+		line, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out = append(append(out, line...), '\n')
+	}
+	if want := stored(t, "run-line.json"); !bytes.Equal(out, want) {
+		t.Errorf("they are\n%s, want\n%s", out, want)
+	}
+	lines := bytes.Split(out, []byte("\n"))
+	if err := json.Unmarshal(lines[0], &againHeader); err != nil || !reflect.DeepEqual(againHeader, header) {
+		t.Errorf("the header is read as %+v, %v", againHeader, err)
+	}
+	if err := json.Unmarshal(lines[1], &againRun); err != nil || !reflect.DeepEqual(againRun, run) {
+		t.Errorf("the line is read as %+v, %v", againRun, err)
+	}
+}
+
+// A run of 593ba64's program is read and judged, and its lines are written as they were.
+func TestRunOfTheVersionBefore(t *testing.T) {
+	h, runs, err := ReadRun(filepath.Join(storedDir, storedRun))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if h.Name != "stored" || h.Hash != "c46d0c9710a5a1fa" || h.Seeds != 2 || len(h.Contestants) != 2 || len(h.Points) != 2 ||
+		len(h.Claims) != 2 || len(h.Sources) != 2 || h.Claims[1].Where != "world.load = 0.3" || len(runs) != 8 {
+		t.Errorf("%+v, %d runs", h, len(runs))
+	}
+	var out bytes.Buffer
+	enc := func(v any) {
+		t.Helper()
+		line, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out.Write(append(line, '\n'))
+	}
+	enc(h)
+	for i, r := range runs {
+		if want := (job{i / 4, i/2%2 + 1, h.Contestants[i%2]}); r.Point != want.point || r.Seed != want.seed || r.Contestant != want.contestant ||
+			r.Error != "" || r.Result == nil || r.Result.Seed != uint64(want.seed) || r.Result.Asked < 100 || len(r.Result.Seconds) == 0 {
+			t.Errorf("run %d: %+v", i+1, r)
+		}
+		enc(r)
+	}
+	if want := stored(t, storedRun); !bytes.Equal(out.Bytes(), want) {
+		t.Errorf("written again it is\n%s, want\n%s", out.Bytes(), want)
+	}
+	verdicts, err := Judge(h, runs)
+	if err != nil || len(verdicts) != 2 || !verdicts[0].Holds || !verdicts[1].Holds {
+		t.Errorf("%+v, %v", verdicts, err)
+	}
+}
+
+// The experiment of that run has the hash that it had, and what was played of it is kept where the new program goes on:
+// here that program's own header stands before it, since figures of two programs do not stand in one file.
+func TestGoingOnWithARunOfTheVersionBefore(t *testing.T) {
+	e, err := Load(filepath.Join(storedDir, "stored.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if e.Hash != "c46d0c9710a5a1fa" {
+		t.Errorf("the experiment's hash is %s", e.Hash)
+	}
+	was := stored(t, storedRun)
+	path := filepath.Join(t.TempDir(), storedRun)
+	if err := os.WriteFile(path, was, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := e.Play(context.Background(), path, 1, func(int, int) {}); err == nil {
+		t.Error("a run of another program was gone on with")
+	}
+	if text, err := os.ReadFile(path); err != nil || !bytes.Equal(text, was) {
+		t.Errorf("a refused run has changed: %v", err)
+	}
+
+	head, err := json.Marshal(e.header())
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := bytes.SplitAfter(was, []byte("\n"))
+	kept := append(append(head, '\n'), bytes.Join(lines[1:6], nil)...)
+	if err := os.WriteFile(path, append(bytes.Clone(kept), lines[6][:40]...), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	from := -1
+	runs, err := e.Play(context.Background(), path, 1, func(done, of int) {
+		if from < 0 {
+			from = done
+		}
+	})
+	if err != nil || len(runs) != 8 || from != 5 {
+		t.Fatalf("%d runs, from %d on, %v", len(runs), from, err)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil || !bytes.HasPrefix(text, kept) {
+		t.Errorf("what was there is\n%s, %v, want\n%s", text, err, kept)
+	}
+	if _, again, err := ReadRun(path); err != nil || len(again) != 8 {
+		t.Errorf("read again: %d runs, %v", len(again), err)
+	}
+}
+
+// The keys that are yes or no, each alone: among others that are yes, too, one would not be told from the other.
+func TestEveryYesOrNoKeepsItsName(t *testing.T) {
+	for key, of := range map[string]func(s *Settings) bool{
+		"copies":     func(s *Settings) bool { return s.Copies },
+		"cancelling": func(s *Settings) bool { return s.Cancelling },
+		"probes":     func(s *Settings) bool { return s.Probes },
+	} {
+		var f File
+		if err := read([]byte("[world.settings]\n"+key+" = true\n"), &f); err != nil {
+			t.Fatal(err)
+		}
+		if !of(&f.World.Settings) || len(unset(reflect.ValueOf(f.World.Settings), "")) != 6 { // all others
+			t.Errorf("%s is read as %+v", key, f.World.Settings)
+		}
+	}
+}
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if !maps.Equal(got, want) {
-		t.Errorf("it holds\n%+v, want\n%+v", got, want)
+		t.Errorf("it holds\n%#v, want\n%#v", got, want)
 	}
 	for key, entry := range want {
 		if value, ok, err := s.Get(key); err != nil || !ok || string(value) != entry.value {
