--- /dev/null
+++ b/internal/controlplane/link/stored_test.go
@@ -0,0 +1,100 @@
+package link
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/standin/fixture"
+)
+
+// storedDir is a member's directory that the code of 593ba64 has written: see its README.
+const storedDir = "testdata/version-593ba64"
+
+const storedText = "# second\n[limits]\nmax_attempts = 2\n"
+
+func storedMember(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	text, err := os.ReadFile(filepath.Join(storedDir, "last-known.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "last-known.json"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// holds checks what a member's directory keeps.
+func holds(t *testing.T, dir string, version, highest uint64, text string) {
+	t.Helper()
+	k, at, err := load(dir)
+	if err != nil || k == nil {
+		t.Fatalf("%v, %v", k, err)
+	}
+	want := frame(version, text)
+	if got := k.Frame; got.Fleet != "f" || got.Stamp != want.Stamp || string(got.Text) != text {
+		t.Errorf("it keeps %+v, %q, want %+v", got, got.Text, want)
+	}
+	if k.Highest.Epoch != 1 || k.Highest.Version != highest || time.Since(at) > time.Minute {
+		t.Errorf("the highest is %v, confirmed at %v", k.Highest, at)
+	}
+}
+
+// What a member of 593ba64 has kept is in force in the new version while no origin answers; an older snapshot than the highest that
+// the other one has taken is not; a newer one is, and is kept in its place.
+func TestLastKnownOfTheVersionBefore(t *testing.T) {
+	t.Parallel()
+	dir := storedMember(t)
+	holds(t, dir, 2, 2, storedText)
+	m := startMember(t, "m", dir, "127.0.0.1:9")
+	fixture.Until(t, "what was kept is in force", func() bool { return m.acts() == 2 })
+	if s, _ := m.State(); s.Acts != frame(2, storedText).Stamp || !s.Kept {
+		t.Errorf("%+v", s)
+	}
+	m.stop()
+
+	old := newSource(t, "o1", nil)
+	old.publish(frame(1, "# first\n"))
+	m = startMember(t, "m", dir, old.addr)
+	fixture.Until(t, "the older one is known for what it is", func() bool { s, _ := m.State(); return s.Older > 0 })
+	if m.acts() != 2 {
+		t.Errorf("version %d is in force", m.acts())
+	}
+	old.publish(frame(3, "# third\n"))
+	fixture.Until(t, "a newer one is in force", func() bool { return m.acts() == 3 })
+	fixture.Until(t, "it is kept", func() bool {
+		k, _, err := load(dir)
+		return err == nil && k != nil && k.Frame.Stamp.Version == 3
+	})
+	m.stop()
+
+	holds(t, dir, 3, 3, "# third\n")
+	m = startMember(t, "m", dir, "127.0.0.1:9")
+	fixture.Until(t, "it is in force after a restart", func() bool { return m.acts() == 3 })
+	m.stop()
+	holds(t, dir, 3, 3, "# third\n")
+}
+
+// A member keeps the same bytes of the same snapshot.
+func TestLastKnownKeepsItsBytes(t *testing.T) {
+	dir := t.TempDir()
+	f := frame(2, storedText)
+	if err := keep(dir, &controlplane.Kept{Frame: f, Highest: f.Stamp}); err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join(storedDir, "last-known.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	list, err := os.ReadDir(dir)
+	if err != nil || len(list) != 1 || list[0].Name() != "last-known.json" {
+		t.Fatalf("%v, %v", list, err)
+	}
+	if got, err := os.ReadFile(filepath.Join(dir, "last-known.json")); err != nil || string(got) != string(want) {
+		t.Errorf("it is\n%s, %v, want\n%s", got, err, want)
+	}
+}
