--- /dev/null
+++ b/internal/lab/capacity/stored_test.go
@@ -0,0 +1,86 @@
+package capacity
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/strict"
+)
+
+// storedDir holds a file with each key that 593ba64 knew, and what it read them into: see its README.
+const storedDir = "testdata/version-593ba64"
+
+// Each key of an experiment's file, by the name that it had in 593ba64, is read into the field that it was read into.
+func TestEveryKeyKeepsItsName(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(storedDir, "every-key.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join(storedDir, "every-key.values"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var e Experiment
+	if faults := strict.Decode(text, &e); len(faults) > 0 {
+		t.Fatal(faults)
+	}
+	e.Name = "the file's"
+	for _, path := range fixture.Unset(e) {
+		t.Errorf("no key has set %s", path)
+	}
+	if got := fixture.Values(e); got != string(want) {
+		t.Errorf("it is read as\n%s, want\n%s", got, want)
+	}
+}
+
+// A file of results of 593ba64's is read, written on, and read again; its rows keep their bytes.
+func TestResultsOfTheVersionBefore(t *testing.T) {
+	path := filepath.Join(storedDir, "results.json")
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	list, err := Read(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []Result{{Experiment: "quiet", Size: 24, Role: RolePlain, Phase: "quiet", Figure: "bytes sent", Unit: "B/s", Value: 81.25, N: 20},
+		{Experiment: "quiet", Size: 24, Role: RoleAll, Phase: "start", Figure: "joined", Unit: "s", Value: 0, N: 1}}
+	if !slices.Equal(list, want) {
+		t.Errorf("read as %+v", list)
+	}
+	var out bytes.Buffer
+	if err := Write(&out, list); err != nil || out.String() != string(text) {
+		t.Errorf("written as\n%s, %v, want\n%s", &out, err, text)
+	}
+	added := Result{Experiment: "day", Size: 24, Role: RolePlain, Phase: "day", Figure: "events", Unit: "1", Value: 3, N: 20}
+	copied := filepath.Join(t.TempDir(), "results.json")
+	out.Reset()
+	if err := Write(&out, Replace(list, []Result{added})); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(copied, out.Bytes(), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if again, err := Read(copied); err != nil || !slices.Equal(again, append([]Result{added}, want...)) {
+		t.Errorf("read again as %+v, %v", again, err)
+	}
+}
+
+// The results in the repository, which earlier versions have written, are read.
+func TestCommittedResultsAreRead(t *testing.T) {
+	list, err := filepath.Glob(filepath.Join(fixture.Root(t), "lab", "capacity", "results", "*.json"))
+	if err != nil || len(list) == 0 {
+		t.Fatalf("%q, %v", list, err)
+	}
+	for _, path := range list {
+		rows, err := Read(path)
+		if err != nil || len(rows) == 0 {
+			t.Errorf("%s: %d rows, %v", path, len(rows), err)
+		}
+	}
+}
--- a/internal/lab/experiment/stored_test.go
+++ b/internal/lab/experiment/stored_test.go
@@ -8,8 +8,9 @@
 	"os"
 	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
+
+	"hazelwing/internal/standin/fixture"
 )
 
 // storedDir holds files that the program of 593ba64 has written: see its README.
@@ -26,41 +27,18 @@
 	return text
 }
 
-// unset names the fields of a value, at any depth, that have none.
-func unset(v reflect.Value, path string) (list []string) {
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			list = append(list, unset(v.Field(i), path+"."+v.Type().Field(i).Name)...)
-		}
-	case reflect.Slice:
-		for i := range v.Len() {
-			list = append(list, unset(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
-		}
-	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			list = append(list, unset(v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key))...)
-		}
-	}
-	if v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0 {
-		list = append(list, path)
-	}
-	return list
-}
-
 // Each key of an experiment's file, by the name that it had in 593ba64, is read into the field that it was read into.
 func TestEveryKeyKeepsItsName(t *testing.T) {
 	var f File
 	if err := read(stored(t, "every-key.toml"), &f); err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range unset(reflect.ValueOf(f), "File") {
-		if path != "File.Base" { // an empty one is there, since the base would be read
+	for _, path := range fixture.Unset(f) {
+		if path != ".Base" { // an empty one is there, since the base would be read
 			t.Errorf("no key has set %s", path)
 		}
 	}
-	got := strings.ReplaceAll(fmt.Sprintf("%v\n", f), " {", "\n{")
-	if want := string(stored(t, "every-key.values")); got != want {
+	if got, want := fixture.Values(f), string(stored(t, "every-key.values")); got != want {
 		t.Errorf("it is read as\n%s, want\n%s", got, want)
 	}
 }
@@ -217,7 +195,7 @@
 		if err := read([]byte("[world.settings]\n"+key+" = true\n"), &f); err != nil {
 			t.Fatal(err)
 		}
-		if !of(&f.World.Settings) || len(unset(reflect.ValueOf(f.World.Settings), "")) != 6 { // all others
+		if !of(&f.World.Settings) || len(fixture.Unset(f.World.Settings)) != 6 { // all others
 			t.Errorf("%s is read as %+v", key, f.World.Settings)
 		}
 	}
--- /dev/null
+++ b/internal/lab/fleetsim/stored_test.go
@@ -0,0 +1,35 @@
+package fleetsim
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/strict"
+)
+
+// storedDir holds a file with each key that 593ba64 knew, and what it read them into: see its README.
+const storedDir = "testdata/version-593ba64"
+
+// Each key of an experiment's file, by the name that it had in 593ba64, is read into the field that it was read into.
+func TestEveryKeyKeepsItsName(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(storedDir, "every-key.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join(storedDir, "every-key.values"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var e Experiment
+	if faults := strict.Decode(text, &e); len(faults) > 0 {
+		t.Fatal(faults)
+	}
+	for _, path := range fixture.Unset(e) {
+		t.Errorf("no key has set %s", path)
+	}
+	if got := fixture.Values(e); got != string(want) {
+		t.Errorf("it is read as\n%s, want\n%s", got, want)
+	}
+}
