--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -184,7 +184,7 @@
 		messagesIn: (now.messagesIn - old.messagesIn) / k, processor: (now.processor - old.processor) / k, resident: now.resident / float64(n)}
 }
 
-func stirred(s gossip.State) int { return s.Core.Accused + s.Core.Refuted + s.Core.Stalls }
+func stirred(s gossip.State) int { return s.Core.Suspicions + s.Core.Refutations + s.Core.Stalls }
 
 func heapNow() float64 {
 	runtime.GC()
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -124,7 +124,7 @@
 		if m.Self {
 			name += " (itself)"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d.%d\t%s\t%s\t%s\n", name, m.Addr, m.Life, m.Inc, m.State, m.For, cmp.Or(m.By, "-"))
+		fmt.Fprintf(t, "%s\t%s\t%d.%d\t%s\t%s\t%s\n", name, m.Addr, m.Generation, m.Refutations, m.State, m.For, cmp.Or(m.ReportedBy, "-"))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -134,7 +134,7 @@
 	if c.Joining {
 		joining = ", nobody was heard yet"
 	}
-	_, err := fmt.Fprintf(w, "%s of %s: %d live of %d known, reckons with %d, own slowness %d, %d words%s\n", s.Name, s.Fleet, c.Live, c.Known, c.Count, c.Health, c.Words, joining)
+	_, err := fmt.Fprintf(w, "%s of %s: %d live of %d known, reckons with %d, own slowness %d, %d words%s\n", s.Name, s.Fleet, c.LiveMembers, c.KnownMembers, c.EstimatedSize, c.HealthScore, c.Notices, joining)
 	return err
 }
 
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -10,19 +10,19 @@
 
 // grown is a member that knows n others.
 func grown(t testing.TB, n int) *Core {
-	c, err := New(Config{Fleet: "f", Name: "me", Self: netip.MustParseAddrPort("10.9.0.1:7946"), Run: 1, Seed: 1}, 0, 1)
+	c, err := New(Config{ClusterName: "f", Name: "me", AdvertiseAddr: netip.MustParseAddrPort("10.9.0.1:7946"), ProcessID: 1, RandomSeed: 1}, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &Message{Kind: SyncTell, Fleet: "f"}
+	m := &Message{Kind: PushPullResponse, ClusterName: "f"}
 	for i := range n {
 		m.Entries = append(m.Entries, Entry{Name: fmt.Sprintf("member-%06d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946),
-			Version: Version{Life: 1, Run: uint64(i + 2)}})
+			Incarnation: Incarnation{Generation: 1, ProcessID: uint64(i + 2)}})
 	}
 	m.From = m.Entries[0]
 	c.Receive(0, m)
 	for c.spread.len() > 0 {
-		c.Tick(c.Next())
+		c.Tick(c.NextTick())
 	}
 	return c
 }
@@ -36,16 +36,16 @@
 		from := c.entry(c.members["member-000001"])
 		b.Run(fmt.Sprint("ping/", n), func(b *testing.B) {
 			for i := range b.N {
-				c.Receive(c.now, &Message{Kind: Ping, Fleet: "f", From: from, Seq: uint64(i), Target: "me"})
+				c.Receive(c.now, &Message{Kind: Ping, ClusterName: "f", From: from, Seq: uint64(i), Target: "me"})
 			}
 		})
 		b.Run(fmt.Sprint("second/", n), func(b *testing.B) {
 			for range b.N {
-				for end := c.now + time.Second; c.Next() <= end; {
-					c.Tick(c.Next())
+				for end := c.now + time.Second; c.NextTick() <= end; {
+					c.Tick(c.NextTick())
 					if p := &c.probe; p.on { // it is answered
 						x := p.of
-						c.Receive(c.now, &Message{Kind: Ack, Fleet: "f", From: c.entry(x), Seq: p.seq, Target: x.Name})
+						c.Receive(c.now, &Message{Kind: Ack, ClusterName: "f", From: c.entry(x), Seq: p.seq, Target: x.Name})
 					}
 				}
 			}
--- a/internal/cluster/core.go
+++ b/internal/cluster/core.go
@@ -60,25 +60,25 @@
 func New(c Config, now time.Duration, told int) (*Core, error) {
 	c.fill()
 	switch {
-	case c.Name == "" || len(c.Name) > MostName:
-		return nil, fmt.Errorf("fleet: a name of 1 to %d bytes is wanted", MostName)
-	case len(c.Fleet) > MostFleet:
-		return nil, fmt.Errorf("fleet: a fleet's name has at most %d bytes", MostFleet)
-	case !c.Self.IsValid():
+	case c.Name == "" || len(c.Name) > MaxNameLength:
+		return nil, fmt.Errorf("fleet: a name of 1 to %d bytes is wanted", MaxNameLength)
+	case len(c.ClusterName) > MaxClusterNameLength:
+		return nil, fmt.Errorf("fleet: a fleet's name has at most %d bytes", MaxClusterNameLength)
+	case !c.AdvertiseAddr.IsValid():
 		return nil, errors.New("fleet: an address of its own is wanted")
-	case c.Timeout >= c.Probe:
-		return nil, fmt.Errorf("fleet: the time-out of a probe, %v, is not below the interval, %v", c.Timeout, c.Probe)
+	case c.ProbeTimeout >= c.ProbeInterval:
+		return nil, fmt.Errorf("fleet: the time-out of a probe, %v, is not below the interval, %v", c.ProbeTimeout, c.ProbeInterval)
 	}
-	m := &Core{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, c.Run)), now: now, members: map[string]*member{}, words: map[string]*word{}}
-	m.me = Entry{Name: c.Name, Addr: c.Self, Version: Version{Life: 1, Run: c.Run}}
+	m := &Core{cfg: c, rng: rand.New(rand.NewPCG(c.RandomSeed, c.ProcessID)), now: now, members: map[string]*member{}, words: map[string]*word{}}
+	m.me = Entry{Name: c.Name, Addr: c.AdvertiseAddr, Incarnation: Incarnation{Generation: 1, ProcessID: c.ProcessID}}
 	m.counter = newCounter(told)
 	m.tokens, m.refilled = syncAnswers, now
 	m.joinPause = joinFirst
 	// Probes of members that start together are spread over their interval.
-	m.due.probe = now + time.Duration(m.rng.Int64N(int64(c.Probe)))
-	m.due.gossip = now + time.Duration(m.rng.Int64N(int64(c.Gossip)))
-	m.due.sync = now + m.spreadOver(c.SyncEvery)
-	m.due.retry = now + m.spreadOver(c.RetryEvery)
+	m.due.probe = now + time.Duration(m.rng.Int64N(int64(c.ProbeInterval)))
+	m.due.gossip = now + time.Duration(m.rng.Int64N(int64(c.GossipInterval)))
+	m.due.sync = now + m.spreadOver(c.PushPullInterval)
+	m.due.retry = now + m.spreadOver(c.ReconnectInterval)
 	m.due.sweep = now + m.sweepEvery()
 	m.due.join = now
 	return m, nil
@@ -89,7 +89,7 @@
 	return time.Duration(float64(d) * (0.75 + 0.5*m.rng.Float64()))
 }
 
-func (m *Core) sweepEvery() time.Duration { return min(m.cfg.KeepWords/8, m.cfg.Forget/8) }
+func (m *Core) sweepEvery() time.Duration { return min(m.cfg.NoticeTTL/8, m.cfg.DeadMemberTTL/8) }
 
 // Receive takes a message, Tick the time that Next asked for; Say tells a word of this member's own sources; Leave says
 // that this process ends. Each answers with what is to be done. now never goes back; if it does, it is taken for the last.
@@ -108,25 +108,25 @@
 }
 
 // Say spreads that a server drains or is gone, as this member's own sources tell.
-func (m *Core) Say(now time.Duration, w Word) []Action {
+func (m *Core) Announce(now time.Duration, w EndpointNotice) []Action {
 	m.begin(now)
-	w.By, w.Age = m.me.Name, 0
+	w.ReportedBy, w.Age = m.me.Name, 0
 	m.hearWord(w)
 	return m.end()
 }
 
 // Retell replaces what New was told of the number of sidecars.
-func (m *Core) Retell(now time.Duration, told int) []Action {
+func (m *Core) SetConfiguredSize(now time.Duration, told int) []Action {
 	m.begin(now)
 	m.counter.retell(told)
 	return m.end()
 }
 
 // Nudge sends some members a message with nothing in it: what goes with every message, the stamp of the configuration, has changed.
-func (m *Core) Nudge(now time.Duration) []Action {
+func (m *Core) GossipNow(now time.Duration) []Action {
 	m.begin(now)
 	if !m.left {
-		for _, x := range m.pick(m.cfg.GossipTo, nil) {
+		for _, x := range m.pick(m.cfg.GossipFanout, nil) {
 			m.send(x.Addr, &Message{Kind: Gossip})
 		}
 	}
@@ -138,7 +138,7 @@
 	m.begin(now)
 	if !m.left {
 		m.left, m.me.State = true, Left
-		for _, x := range m.pick(2*m.cfg.GossipTo, nil) {
+		for _, x := range m.pick(2*m.cfg.GossipFanout, nil) {
 			m.send(x.Addr, &Message{Kind: Gossip})
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // Next is when Tick is wanted.
-func (m *Core) Next() time.Duration {
+func (m *Core) NextTick() time.Duration {
 	at := min(m.due.gossip, m.due.probe, m.due.sync, m.due.retry, m.due.sweep)
 	if !m.joined {
 		at = min(at, m.due.join)
@@ -166,7 +166,7 @@
 // begin takes the time, notices that the process stood still, and does what is due by then.
 func (m *Core) begin(now time.Duration) {
 	now = max(now, m.now)
-	if late := now - m.Next(); late > m.stallAfter() && !m.cfg.Plain {
+	if late := now - m.NextTick(); late > m.stallAfter() && !m.cfg.DisableLifeguard {
 		m.stood(late)
 	}
 	m.now = now
@@ -175,24 +175,24 @@
 }
 
 // stallAfter is how late a Tick may come before this process counts as one that stood still.
-func (m *Core) stallAfter() time.Duration { return m.cfg.Timeout }
+func (m *Core) stallAfter() time.Duration { return m.cfg.ProbeTimeout }
 
 // stood voids what was not heard while this process stood still: the silence was its own. Guards against a process that
 // wakes after a SIGSTOP, or had no processor, and accuses whom it did not listen to.
 func (m *Core) stood(late time.Duration) {
 	m.stats.Stalls++
-	m.stats.LastStall = int64(late)
+	m.stats.LastStallNS = int64(late)
 	m.unwell(1)
 	m.probe.on = false
 	m.doubts.postpone(late)
 	m.relays = nil
-	m.due.probe = m.now + late + time.Duration(m.rng.Int64N(int64(m.cfg.Probe)))
+	m.due.probe = m.now + late + time.Duration(m.rng.Int64N(int64(m.cfg.ProbeInterval)))
 }
 
 func (m *Core) end() []Action {
 	m.run()
 	if n, changed := m.counter.settle(m.now, m); changed {
-		m.out = append(m.out, Action{Do: Counted, Count: n})
+		m.out = append(m.out, Action{Kind: SizeChanged, EstimatedSize: n})
 	}
 	out := m.out
 	m.out = nil
@@ -211,17 +211,17 @@
 		m.join()
 	}
 	if now >= m.due.gossip {
-		m.due.gossip = now + m.cfg.Gossip
+		m.due.gossip = now + m.cfg.GossipInterval
 		m.gossip()
 	}
 	if now >= m.due.sync {
-		m.due.sync = now + m.spreadOver(m.cfg.SyncEvery)
+		m.due.sync = now + m.spreadOver(m.cfg.PushPullInterval)
 		if x := m.pick(1, nil); len(x) > 0 {
 			m.ask(x[0].Addr, false)
 		}
 	}
 	if now >= m.due.retry {
-		m.due.retry = now + m.spreadOver(m.cfg.RetryEvery)
+		m.due.retry = now + m.spreadOver(m.cfg.ReconnectInterval)
 		m.retry()
 	}
 	if now >= m.due.sweep {
@@ -233,54 +233,54 @@
 
 // send fills in the header and what is new.
 func (m *Core) send(to Address, msg *Message) {
-	msg.Fleet, msg.From = m.cfg.Fleet, m.me
+	msg.ClusterName, msg.From = m.cfg.ClusterName, m.me
 	switch msg.Kind {
 	case Ping, Ack, PingReq, Gossip:
 		m.load(msg)
 	}
-	m.out = append(m.out, Action{Do: Send, To: to, Msg: msg})
+	m.out = append(m.out, Action{Kind: Send, To: to, Message: msg})
 }
 
 func (m *Core) stream(to Address, msg *Message) {
-	msg.Fleet, msg.From = m.cfg.Fleet, m.me
-	m.out = append(m.out, Action{Do: Send, To: to, Msg: msg, Stream: true})
+	msg.ClusterName, msg.From = m.cfg.ClusterName, m.me
+	m.out = append(m.out, Action{Kind: Send, To: to, Message: msg, Stream: true})
 }
 
 func (m *Core) note(x *member, was State, why string) {
-	m.out = append(m.out, Action{Do: Noted, Note: &Note{Name: x.Name, Version: x.Version, Was: was, Now: x.State, Why: why}})
+	m.out = append(m.out, Action{Kind: MemberChanged, Transition: &Transition{Name: x.Name, Incarnation: x.Incarnation, From: was, To: x.State, Reason: why}})
 }
 
 // receive takes a message in: first its sender, then what it says of others, then what it is.
 func (m *Core) receive(msg *Message) {
 	from := msg.From
 	switch {
-	case msg.Fleet != m.cfg.Fleet:
-		m.stats.Foreign++
+	case msg.ClusterName != m.cfg.ClusterName:
+		m.stats.ForeignMessages++
 		return
-	case from.Name == m.me.Name && from.SameLife(m.me.Version):
+	case from.Name == m.me.Name && from.SameProcess(m.me.Incarnation):
 		return // itself, by a seed that is its own address
 	case msg.Kind >= kinds || !m.valid(&from) || from.State != Alive && from.State != Left:
-		m.stats.Refused++
+		m.stats.Rejected++
 		return
 	}
 	if from.Name != m.me.Name { // else another process under this name: what it says of that name is an entry
 		m.joined = true
 	}
-	from.By, from.Age = "", 0
+	from.ReportedBy, from.Age = "", 0
 	m.hear(from, true)
 	for i := range msg.Entries {
-		if i >= mostEntries && msg.Kind == Gossip || i >= m.cfg.Most {
-			m.stats.Refused += len(msg.Entries) - i
+		if i >= mostEntries && msg.Kind == Gossip || i >= m.cfg.MaxMembers {
+			m.stats.Rejected += len(msg.Entries) - i
 			break
 		}
 		m.hear(msg.Entries[i], false)
 	}
-	for i := range msg.Words {
+	for i := range msg.Notices {
 		if i >= mostWords {
 			break
 		}
-		if msg.Words[i].By != m.me.Name {
-			m.hearWord(msg.Words[i])
+		if msg.Notices[i].ReportedBy != m.me.Name {
+			m.hearWord(msg.Notices[i])
 		}
 	}
 	if m.left {
@@ -305,11 +305,11 @@
 		if list := m.contrary(x, &from); list != nil {
 			m.send(from.Addr, &Message{Kind: Gossip, Entries: list})
 		}
-	case SyncAsk:
+	case PushPullRequest:
 		m.answer(msg)
-	case SyncTell:
-		if msg.Buckets != 0 {
-			m.stream(from.Addr, &Message{Kind: SyncEnd, Entries: m.inBuckets(msg.Buckets), Words: m.allWords()})
+	case PushPullResponse:
+		if msg.BucketMask != 0 {
+			m.stream(from.Addr, &Message{Kind: PushPullFinal, Entries: m.inBuckets(msg.BucketMask), Notices: m.allWords()})
 		}
 	}
 }
@@ -320,7 +320,7 @@
 	if from.Name == m.me.Name {
 		return []Entry{m.me}
 	}
-	if x == nil || x.State == Alive && x.SameLife(from.Version) || from.State == Left {
+	if x == nil || x.State == Alive && x.SameProcess(from.Incarnation) || from.State == Left {
 		return nil
 	}
 	return []Entry{m.entry(x)}
@@ -336,8 +336,8 @@
 }
 
 func (m *Core) valid(e *Entry) bool {
-	return e.Name != "" && len(e.Name) <= MostName && len(e.By) <= MostName && e.Addr.IsValid() && e.State <= Left && e.Life >= 1 &&
-		e.Life <= MostNumber && e.Inc <= MostNumber && e.Age >= 0 && (m.cfg.Allowed == nil || m.cfg.Allowed(e.Addr))
+	return e.Name != "" && len(e.Name) <= MaxNameLength && len(e.ReportedBy) <= MaxNameLength && e.Addr.IsValid() && e.State <= Left && e.Generation >= 1 &&
+		e.Generation <= MaxCounter && e.Refutations <= MaxCounter && e.Age >= 0 && (m.cfg.AllowAddress == nil || m.cfg.AllowAddress(e.Addr))
 }
 
 // n is the fleet's size for timers and spreading.
@@ -345,7 +345,7 @@
 
 // unwell moves the measure of one's own slowness.
 func (m *Core) unwell(by int) {
-	if !m.cfg.Plain {
+	if !m.cfg.DisableLifeguard {
 		m.health = min(max(m.health+by, 0), mostHealth)
 	}
 }
@@ -365,18 +365,18 @@
 }
 
 // View is all that is known, by name, this member included.
-func (m *Core) View() []Member {
-	list := []Member{{Name: m.me.Name, Addr: m.me.Addr, Version: m.me.Version, State: m.me.State, Self: true}}
+func (m *Core) Members() []Member {
+	list := []Member{{Name: m.me.Name, Addr: m.me.Addr, Incarnation: m.me.Incarnation, State: m.me.State, Self: true}}
 	for _, x := range m.members {
-		list = append(list, Member{Name: x.Name, Addr: x.Addr, Version: x.Version, State: x.State, Since: x.since, By: x.By})
+		list = append(list, Member{Name: x.Name, Addr: x.Addr, Incarnation: x.Incarnation, State: x.State, Since: x.since, ReportedBy: x.ReportedBy})
 	}
 	slices.SortFunc(list, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
 // Live is how many members are alive or suspect, this one included; Version its own.
-func (m *Core) Live() int        { return m.n() }
-func (m *Core) Version() Version { return m.me.Version }
+func (m *Core) NumLive() int             { return m.n() }
+func (m *Core) Incarnation() Incarnation { return m.me.Incarnation }
 
 // Fingerprint is of who is thought to live, this member included: equal views have equal ones.
 func (m *Core) Fingerprint() (live int, digest [buckets]uint64) {
@@ -387,8 +387,8 @@
 func (m *Core) Stats() Stats {
 	s := m.stats
 	s.Joining = !m.joined && len(m.cfg.Seeds) > 0
-	s.Health, s.Known, s.Live, s.Count = m.health, len(m.members)+1, m.n(), m.counter.n
-	s.Queue, s.Words, s.Forgotten = m.spread.len(), len(m.words), len(m.forgotten)
+	s.HealthScore, s.KnownMembers, s.LiveMembers, s.EstimatedSize = m.health, len(m.members)+1, m.n(), m.counter.n
+	s.QueuedBroadcasts, s.Notices, s.ForgottenAddresses = m.spread.len(), len(m.words), len(m.forgotten)
 	return s
 }
 
@@ -396,7 +396,7 @@
 func (m *Core) Joining() bool { return !m.joined }
 
 // Full is how often a name had no place.
-func (m *Core) Full() int { return m.stats.Full }
+func (m *Core) TableFull() int { return m.stats.TableFull }
 
 // logN is how many rounds news takes, rounded up.
 func (m *Core) logN() int { return int(math.Ceil(math.Log10(float64(m.n() + 1)))) }
--- a/internal/cluster/gossip/codec.go
+++ b/internal/cluster/gossip/codec.go
@@ -84,11 +84,11 @@
 
 func toWire(e *cluster.Entry) wireEntry {
 	a, _ := e.Addr.MarshalBinary()
-	return wireEntry{Name: e.Name, Addr: a, Life: e.Life, Run: e.Run, Inc: e.Inc, State: uint8(e.State), By: e.By, AgeMS: ms(e.Age)}
+	return wireEntry{Name: e.Name, Addr: a, Life: e.Generation, Run: e.ProcessID, Inc: e.Refutations, State: uint8(e.State), By: e.ReportedBy, AgeMS: ms(e.Age)}
 }
 
 func fromWire(w *wireEntry) cluster.Entry {
-	e := cluster.Entry{Name: w.Name, Version: cluster.Version{Life: w.Life, Run: w.Run, Inc: w.Inc}, State: cluster.State(w.State), By: w.By, Age: age(w.AgeMS)}
+	e := cluster.Entry{Name: w.Name, Incarnation: cluster.Incarnation{Generation: w.Life, ProcessID: w.Run, Refutations: w.Inc}, State: cluster.State(w.State), ReportedBy: w.By, Age: age(w.AgeMS)}
 	e.Addr = address(w.Addr)
 	return e
 }
@@ -103,9 +103,9 @@
 
 // Encode makes a frame.
 func Encode(m *cluster.Message) ([]byte, error) {
-	w := wireMessage{Kind: uint8(m.Kind), Fleet: m.Fleet, From: toWire(&m.From), Seq: m.Seq, Target: m.Target, Digest: m.Digest, Buckets: m.Buckets, Join: m.Join}
-	if m.Epoch > 0 && stamped(m.Kind) {
-		w.Digest = []uint64{m.Epoch, m.Number}
+	w := wireMessage{Kind: uint8(m.Kind), Fleet: m.ClusterName, From: toWire(&m.From), Seq: m.Seq, Target: m.Target, Digest: m.Digest, Buckets: m.BucketMask, Join: m.Join}
+	if m.ConfigEpoch > 0 && stamped(m.Kind) {
+		w.Digest = []uint64{m.ConfigEpoch, m.ConfigVersion}
 	}
 	if m.TargetAddr.IsValid() {
 		w.TargetAddr, _ = m.TargetAddr.MarshalBinary()
@@ -113,8 +113,8 @@
 	for i := range m.Entries {
 		w.Entries = append(w.Entries, toWire(&m.Entries[i]))
 	}
-	for _, x := range m.Words {
-		w.Words = append(w.Words, wireWord{Server: x.Server, Gone: x.Gone, BornMS: x.BornMS, By: x.By, AgeMS: ms(x.Age)})
+	for _, x := range m.Notices {
+		w.Words = append(w.Words, wireWord{Server: x.Endpoint, Gone: x.Removed, BornMS: x.StartedMS, By: x.ReportedBy, AgeMS: ms(x.Age)})
 	}
 	body, err := encoder.Marshal(&w)
 	if err != nil {
@@ -142,16 +142,16 @@
 	if err := decoder.Unmarshal(body, &w); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
-	m := &cluster.Message{Kind: cluster.Kind(w.Kind), Fleet: w.Fleet, From: fromWire(&w.From), Seq: w.Seq, Target: w.Target, TargetAddr: address(w.TargetAddr),
-		Digest: w.Digest, Buckets: w.Buckets, Join: w.Join}
+	m := &cluster.Message{Kind: cluster.Kind(w.Kind), ClusterName: w.Fleet, From: fromWire(&w.From), Seq: w.Seq, Target: w.Target, TargetAddr: address(w.TargetAddr),
+		Digest: w.Digest, BucketMask: w.Buckets, Join: w.Join}
 	if stamped(m.Kind) && len(m.Digest) == 2 {
-		m.Epoch, m.Number, m.Digest = m.Digest[0], m.Digest[1], nil
+		m.ConfigEpoch, m.ConfigVersion, m.Digest = m.Digest[0], m.Digest[1], nil
 	}
 	for i := range w.Entries {
 		m.Entries = append(m.Entries, fromWire(&w.Entries[i]))
 	}
 	for _, x := range w.Words {
-		m.Words = append(m.Words, cluster.Word{Server: x.Server, Gone: x.Gone, BornMS: x.BornMS, By: x.By, Age: age(x.AgeMS)})
+		m.Notices = append(m.Notices, cluster.EndpointNotice{Endpoint: x.Server, Removed: x.Gone, StartedMS: x.BornMS, ReportedBy: x.By, Age: age(x.AgeMS)})
 	}
 	return m, nil
 }
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -65,7 +65,7 @@
 	Maps    []Map
 	// Told by others: a server drains or is gone, or that holds no more. Count: how many sidecars to reckon with. Both are
 	// called from Run's goroutine and must not block.
-	OnWord  func(w cluster.Word, holds bool)
+	OnWord  func(w cluster.EndpointNotice, holds bool)
 	OnCount func(n int)
 	// TableFull and QueueFull are called when a name has no place and when a message has none, from any goroutine; nil: never.
 	TableFull, QueueFull func()
@@ -118,7 +118,7 @@
 	bad   error
 	from  netip.Addr
 	ask   chan<- State
-	word  *cluster.Word
+	word  *cluster.EndpointNotice
 	nudge bool
 }
 
@@ -166,8 +166,8 @@
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
 	n := &Node{cfg: c, begun: time.Now(), in: make(chan input, QueueLength), out: make(chan outgoing, outLength), say: map[string]time.Time{}}
-	n.cfg.Core.Run = rand.Uint64()
-	n.cfg.Core.Allowed = func(a cluster.Address) bool { return a.Port() != 0 && c.Allowed.Contains(a.Addr()) }
+	n.cfg.Core.ProcessID = rand.Uint64()
+	n.cfg.Core.AllowAddress = func(a cluster.Address) bool { return a.Port() != 0 && c.Allowed.Contains(a.Addr()) }
 	if n.core, err = cluster.New(n.cfg.Core, 0, c.Told); err != nil {
 		return nil, err
 	}
@@ -191,7 +191,7 @@
 }
 
 // Process tells this process from others under its name: what others hold of it has it as Version.Run.
-func (n *Node) Process() uint64 { return n.cfg.Core.Run }
+func (n *Node) Process() uint64 { return n.cfg.Core.ProcessID }
 
 // Close ends a Node that does not run.
 func (n *Node) Close() {
@@ -201,7 +201,7 @@
 
 // Say spreads a word of this process's own sources. It may be called from any goroutine, and does not wait: with a full queue
 // the word is dropped, and the sources of the others bring it.
-func (n *Node) Say(w cluster.Word) {
+func (n *Node) Say(w cluster.EndpointNotice) {
 	n.post(input{word: &w})
 }
 
@@ -274,10 +274,10 @@
 			n.handle(i)
 		}
 		if told := n.told.Swap(0); told > 0 {
-			n.act(n.core.Retell(n.now(), int(told)))
+			n.act(n.core.SetConfiguredSize(n.now(), int(told)))
 		}
 		n.lookAtView()
-		timer.Reset(max(0, n.core.Next()-n.now()))
+		timer.Reset(max(0, n.core.NextTick()-n.now()))
 	}
 	stop()
 	n.Close()
@@ -294,9 +294,9 @@
 	case i.ask != nil:
 		i.ask <- n.state()
 	case i.word != nil:
-		n.act(n.core.Say(n.now(), *i.word))
+		n.act(n.core.Announce(n.now(), *i.word))
 	case i.nudge:
-		n.act(n.core.Nudge(n.now()))
+		n.act(n.core.GossipNow(n.now()))
 	case i.bad != nil:
 		kind := "corrupt"
 		if errors.Is(i.bad, ErrVersion) {
@@ -308,9 +308,9 @@
 		}
 	default:
 		n.lookAtStamp(i.msg)
-		full := n.core.Full()
+		full := n.core.TableFull()
 		n.act(n.core.Receive(n.now(), i.msg))
-		if n.core.Full() > full && n.cfg.TableFull != nil {
+		if n.core.TableFull() > full && n.cfg.TableFull != nil {
 			n.cfg.TableFull()
 		}
 	}
@@ -318,26 +318,26 @@
 
 func (n *Node) act(list []cluster.Action) {
 	for _, a := range list {
-		switch a.Do {
+		switch a.Kind {
 		case cluster.Send:
 			n.send(a)
-		case cluster.Noted:
-			n.cfg.Log.Info("fleet", "member", a.Note.Name, "life", a.Note.Life, "was", a.Note.Was, "now", a.Note.Now, "why", a.Note.Why)
-		case cluster.Told:
-			n.cfg.Log.Info("fleet: told of a server", "server", a.Word.Server, "gone", a.Word.Gone, "by", a.Word.By, "age", a.Word.Age)
-			n.cfg.OnWord(a.Word, true)
-		case cluster.Unsaid:
-			n.cfg.OnWord(a.Word, false)
-		case cluster.Counted:
-			n.cfg.OnCount(a.Count)
+		case cluster.MemberChanged:
+			n.cfg.Log.Info("fleet", "member", a.Transition.Name, "life", a.Transition.Generation, "was", a.Transition.From, "now", a.Transition.To, "why", a.Transition.Reason)
+		case cluster.NoticeReceived:
+			n.cfg.Log.Info("fleet: told of a server", "server", a.Notice.Endpoint, "gone", a.Notice.Removed, "by", a.Notice.ReportedBy, "age", a.Notice.Age)
+			n.cfg.OnWord(a.Notice, true)
+		case cluster.NoticeExpired:
+			n.cfg.OnWord(a.Notice, false)
+		case cluster.SizeChanged:
+			n.cfg.OnCount(a.EstimatedSize)
 		}
 	}
 }
 
 func (n *Node) state() State {
-	s := State{Name: n.cfg.Core.Name, Fleet: n.cfg.Core.Fleet, Core: n.core.Stats(), Network: n.Network()}
+	s := State{Name: n.cfg.Core.Name, Fleet: n.cfg.Core.ClusterName, Core: n.core.Stats(), Network: n.Network()}
 	now := n.now()
-	for _, m := range n.core.View() {
+	for _, m := range n.core.Members() {
 		s.Members = append(s.Members, MemberState{m, (now - m.Since).Round(time.Millisecond).String()})
 	}
 	return s
@@ -368,9 +368,9 @@
 
 func (n *Node) send(a cluster.Action) {
 	if s := n.stamp.Load(); s != nil {
-		a.Msg.Epoch, a.Msg.Number = s[0], s[1]
+		a.Message.ConfigEpoch, a.Message.ConfigVersion = s[0], s[1]
 	}
-	frame, err := Encode(a.Msg)
+	frame, err := Encode(a.Message)
 	if err != nil {
 		n.count.unsent.Add(1)
 		return
--- a/internal/cluster/gossip/gossip_test.go
+++ b/internal/cluster/gossip/gossip_test.go
@@ -49,7 +49,7 @@
 	*Node
 	at    netip.AddrPort
 	mu    sync.Mutex
-	words []cluster.Word
+	words []cluster.EndpointNotice
 	count int
 	stop  func()
 }
@@ -59,10 +59,10 @@
 	t.Helper()
 	r := &running{at: freeAddr(t, "127.0.0.1")}
 	c := Config{Listen: r.at.String(), Told: 1, Allowed: networks(t, "127.0.0.0/8"), Log: slog.New(slog.DiscardHandler),
-		OnWord:  func(w cluster.Word, holds bool) { r.mu.Lock(); r.words = append(r.words, w); r.mu.Unlock() },
+		OnWord:  func(w cluster.EndpointNotice, holds bool) { r.mu.Lock(); r.words = append(r.words, w); r.mu.Unlock() },
 		OnCount: func(n int) { r.mu.Lock(); r.count = n; r.mu.Unlock() },
-		Core: cluster.Config{Fleet: "f", Name: name, Self: r.at, Seeds: seeds, Probe: 200 * time.Millisecond, Timeout: 100 * time.Millisecond,
-			Gossip: 20 * time.Millisecond, SyncEvery: time.Second, Most: 1000}}
+		Core: cluster.Config{ClusterName: "f", Name: name, AdvertiseAddr: r.at, Seeds: seeds, ProbeInterval: 200 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond,
+			GossipInterval: 20 * time.Millisecond, PushPullInterval: time.Second, MaxMembers: 1000}}
 	if more != nil {
 		more(&c)
 	}
@@ -92,7 +92,7 @@
 	a := run(t, "a", nil)
 	b := run(t, "b", nil, a.at)
 	c := run(t, "c", nil, b.at)
-	other := run(t, "x", func(c *Config) { c.Core.Fleet = "g" }, a.at)
+	other := run(t, "x", func(c *Config) { c.Core.ClusterName = "g" }, a.at)
 	testutil.Until(t, "three know each other", func() bool {
 		for _, r := range []*running{a, b, c} {
 			if s := states(r.State()); len(s) != 3 {
@@ -101,11 +101,11 @@
 		}
 		return true
 	})
-	b.Say(cluster.Word{Server: "s1", Gone: true, BornMS: 5})
+	b.Say(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 5})
 	testutil.Until(t, "all were told, and count three", func() bool {
 		for _, r := range []*running{a, c} {
 			r.mu.Lock()
-			ok := len(r.words) == 1 && r.words[0].Server == "s1" && r.words[0].Gone && r.words[0].By == "b" && r.count == 3
+			ok := len(r.words) == 1 && r.words[0].Endpoint == "s1" && r.words[0].Removed && r.words[0].ReportedBy == "b" && r.count == 3
 			r.mu.Unlock()
 			if !ok {
 				return false
@@ -117,10 +117,10 @@
 	testutil.Until(t, "the others know that it left", func() bool {
 		return states(a.State())["b"] == cluster.Left && states(c.State())["b"] == cluster.Left
 	})
-	if s := other.State(); len(s.Members) != 1 || s.Core.Foreign > 0 && s.Members[0].Name != "x" {
+	if s := other.State(); len(s.Members) != 1 || s.Core.ForeignMessages > 0 && s.Members[0].Name != "x" {
 		t.Errorf("another fleet: %+v", s)
 	}
-	if s := a.State(); s.Core.Foreign == 0 {
+	if s := a.State(); s.Core.ForeignMessages == 0 {
 		t.Errorf("what came from another fleet was not counted: %+v", s.Core)
 	}
 }
@@ -150,14 +150,14 @@
 		return len(states(a.State())) == 3 && len(states(c.State())) == 3 && len(states(b.State())) == 3
 	})
 	testutil.Until(t, "b reckons with what it was told", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.count == 40 })
-	alien, _ := Encode(&cluster.Message{Kind: cluster.Ping, Fleet: "g", From: cluster.Entry{Name: "x", Addr: c.at, Version: cluster.Version{Life: 1, Run: 2}}, Epoch: 9, Number: 9})
+	alien, _ := Encode(&cluster.Message{Kind: cluster.Ping, ClusterName: "g", From: cluster.Entry{Name: "x", Addr: c.at, Incarnation: cluster.Incarnation{Generation: 1, ProcessID: 2}}, ConfigEpoch: 9, ConfigVersion: 9})
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(a.at))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.Write(alien)
-	testutil.Until(t, "another fleet's message was counted", func() bool { return a.State().Core.Foreign > 0 })
+	testutil.Until(t, "another fleet's message was counted", func() bool { return a.State().Core.ForeignMessages > 0 })
 	c.SetStamp(4, 1)
 	if s := testutil.Receive(t, seen, "the stamp"); s != (stamp{"c", 4, 1}) {
 		t.Errorf("%+v", s)
@@ -176,7 +176,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	good, _ := Encode(&cluster.Message{Kind: cluster.Ping, Fleet: "f", From: cluster.Entry{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: cluster.Version{Life: 1, Run: 2}}})
+	good, _ := Encode(&cluster.Message{Kind: cluster.Ping, ClusterName: "f", From: cluster.Entry{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.2:9"), Incarnation: cluster.Incarnation{Generation: 1, ProcessID: 2}}})
 	outside := from("127.0.0.9")
 	outside.Write(good)
 	peer := from("127.0.0.2")
@@ -200,9 +200,9 @@
 	stream(1<<31, []byte("x"))
 	stream(streamMost, []byte("less than was said"))
 	for part := range 3 {
-		m := &cluster.Message{Kind: cluster.SyncEnd, Fleet: "f", From: cluster.Entry{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: cluster.Version{Life: 1, Run: 2}}}
+		m := &cluster.Message{Kind: cluster.PushPullFinal, ClusterName: "f", From: cluster.Entry{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.2:9"), Incarnation: cluster.Incarnation{Generation: 1, ProcessID: 2}}}
 		for i := range 50_000 {
-			m.Entries = append(m.Entries, cluster.Entry{Name: fmt.Sprint("n", part, "-", i), Addr: netip.MustParseAddrPort("127.0.0.2:9"), Version: cluster.Version{Life: 1 + uint64(i)<<40, Run: 2}})
+			m.Entries = append(m.Entries, cluster.Entry{Name: fmt.Sprint("n", part, "-", i), Addr: netip.MustParseAddrPort("127.0.0.2:9"), Incarnation: cluster.Incarnation{Generation: 1 + uint64(i)<<40, ProcessID: 2}})
 		}
 		frame, err := Encode(m)
 		if err != nil {
@@ -215,10 +215,10 @@
 	}
 	testutil.Until(t, "all is counted, and the member still answers", func() bool {
 		s := a.State()
-		return s.Network.Outside >= 1 && s.Network.Corrupt >= 5 && s.Network.Version >= 1 && s.Core.Refused > 100_000
+		return s.Network.Outside >= 1 && s.Network.Corrupt >= 5 && s.Network.Version >= 1 && s.Core.Rejected > 100_000
 	})
-	if s := a.State(); s.Core.Known > 1000 || len(s.Members) > 1000 {
-		t.Errorf("%d members, at most 1,000 are meant", s.Core.Known)
+	if s := a.State(); s.Core.KnownMembers > 1000 || len(s.Members) > 1000 {
+		t.Errorf("%d members, at most 1,000 are meant", s.Core.KnownMembers)
 	}
 	b := run(t, "b", nil, a.at)
 	testutil.Until(t, "one that speaks itself has a place", func() bool { _, ok := states(a.State())["b"]; return ok })
--- a/internal/cluster/gossip/web.go
+++ b/internal/cluster/gossip/web.go
@@ -124,7 +124,7 @@
 	}
 	n.seen = s
 	var others []cluster.Member
-	for _, m := range n.core.View() {
+	for _, m := range n.core.Members() {
 		if !m.Self && m.State <= cluster.Suspect {
 			m.Addr = n.reach(m.Addr)
 			others = append(others, m)
@@ -135,13 +135,13 @@
 
 // lookAtStamp tells OnStamp of a member of this fleet that acts on another configuration. Run's goroutine calls it.
 func (n *Node) lookAtStamp(m *cluster.Message) {
-	if n.cfg.OnStamp == nil || m.Epoch == 0 || m.Fleet != n.cfg.Core.Fleet || !n.cfg.Core.Allowed(m.From.Addr) {
+	if n.cfg.OnStamp == nil || m.ConfigEpoch == 0 || m.ClusterName != n.cfg.Core.ClusterName || !n.cfg.Core.AllowAddress(m.From.Addr) {
 		return
 	}
-	if s := n.stamp.Load(); s != nil && s[0] == m.Epoch && s[1] == m.Number {
+	if s := n.stamp.Load(); s != nil && s[0] == m.ConfigEpoch && s[1] == m.ConfigVersion {
 		return
 	}
 	from := m.From
 	from.Addr = n.reach(from.Addr)
-	n.cfg.OnStamp(from, m.Epoch, m.Number)
+	n.cfg.OnStamp(from, m.ConfigEpoch, m.ConfigVersion)
 }
--- a/internal/cluster/hear.go
+++ b/internal/cluster/hear.go
@@ -9,7 +9,7 @@
 // hear takes in what is said of a member; direct: by itself, in a message's header.
 func (m *Core) hear(e Entry, direct bool) {
 	if !m.valid(&e) {
-		m.stats.Refused++
+		m.stats.Rejected++
 		return
 	}
 	if e.Name == m.me.Name {
@@ -22,8 +22,8 @@
 		if x == nil {
 			return
 		}
-	} else if !x.SameLife(e.Version) {
-		if e.Version.Compare(x.Version) < 0 {
+	} else if !x.SameProcess(e.Incarnation) {
+		if e.Incarnation.Compare(x.Incarnation) < 0 {
 			return // of a life that is over, or one that has to be raised: contrary tells
 		}
 		m.reborn(x, e)
@@ -37,12 +37,12 @@
 
 // meet is a name that was not known. Nothing is made of the dead but that they are tried again and counted.
 func (m *Core) meet(e Entry, direct bool) *member {
-	if e.State >= Dead && e.Age >= m.cfg.Forget {
+	if e.State >= Dead && e.Age >= m.cfg.DeadMemberTTL {
 		return nil
 	}
-	if len(m.members)+1 >= m.cfg.Most && !m.makeRoom(direct) {
-		m.stats.Refused++
-		m.stats.Full++
+	if len(m.members)+1 >= m.cfg.MaxMembers && !m.makeRoom(direct) {
+		m.stats.Rejected++
+		m.stats.TableFull++
 		return nil
 	}
 	x := &member{Entry: e, since: m.now, live: -1}
@@ -53,9 +53,9 @@
 		x.diedAt = m.now - e.Age
 		m.counter.died(x)
 	case Suspect:
-		x.State, x.By = Alive, ""
+		x.State, x.ReportedBy = Alive, ""
 		m.enter(x)
-		m.suspect(x, e.By, "told by "+e.By)
+		m.suspect(x, e.ReportedBy, "told by "+e.ReportedBy)
 	default:
 		m.enter(x)
 		m.note(x, Unknown, "is new")
@@ -95,14 +95,14 @@
 	m.flip(x)
 	m.clear(x)
 	m.counter.over(x)
-	age, by := e.Age, e.By
+	age, by := e.Age, e.ReportedBy
 	x.Entry, x.since, x.heard = e, m.now, false
-	x.Age, x.By = 0, ""
+	x.Age, x.ReportedBy = 0, ""
 	switch e.State {
 	case Dead, Left:
 		m.leave(x)
 		x.diedAt = m.now - age
-		x.By = by
+		x.ReportedBy = by
 		m.counter.died(x)
 	case Suspect:
 		x.State = Alive
@@ -126,38 +126,38 @@
 	switch e.State {
 	case Left:
 		m.counter.over(x)
-		m.become(x, Left, e.Inc, e.Age, "", "has left")
+		m.become(x, Left, e.Refutations, e.Age, "", "has left")
 	case Alive:
-		if e.Inc > x.Inc {
+		if e.Refutations > x.Refutations {
 			was := x.State
 			x.Addr = e.Addr
-			m.become(x, Alive, e.Inc, 0, "", "refutes")
+			m.become(x, Alive, e.Refutations, 0, "", "refutes")
 			if was == Dead {
 				m.meetAgain(x)
 			}
 		}
 	case Suspect:
 		switch {
-		case x.State == Dead && e.Inc <= x.Inc || e.Inc < x.Inc:
-		case x.State == Suspect && e.Inc == x.Inc:
-			m.confirm(x, e.By)
+		case x.State == Dead && e.Refutations <= x.Refutations || e.Refutations < x.Refutations:
+		case x.State == Suspect && e.Refutations == x.Refutations:
+			m.confirm(x, e.ReportedBy)
 		default:
 			m.clear(x)
 			m.flip(x)
-			x.Inc = e.Inc
-			m.suspect(x, e.By, "told by "+e.By)
+			x.Refutations = e.Refutations
+			m.suspect(x, e.ReportedBy, "told by "+e.ReportedBy)
 			m.flip(x)
 		}
 	case Dead:
 		switch {
-		case e.Inc < x.Inc || x.State == Dead:
+		case e.Refutations < x.Refutations || x.State == Dead:
 		case x.State == Suspect:
-			m.become(x, Dead, e.Inc, e.Age, e.By, "told by "+e.By)
+			m.become(x, Dead, e.Refutations, e.Age, e.ReportedBy, "told by "+e.ReportedBy)
 		default:
 			// Who is alive here and dead there was cut off from one of both: it has its time to refute.
 			m.flip(x)
-			x.Inc = e.Inc
-			m.suspect(x, e.By, "dead for "+e.By)
+			x.Refutations = e.Refutations
+			m.suspect(x, e.ReportedBy, "dead for "+e.ReportedBy)
 			m.flip(x)
 		}
 	}
@@ -168,7 +168,7 @@
 	was := x.State
 	m.flip(x)
 	m.clear(x)
-	x.State, x.Inc, x.By = s, inc, by
+	x.State, x.Refutations, x.ReportedBy = s, inc, by
 	if was != s {
 		x.since = m.now
 	}
@@ -232,16 +232,16 @@
 // forgotten by each member at its own time.
 func (m *Core) flip(x *member) {
 	if x.State < Dead {
-		h := hashOf(x.Name, x.Version)
+		h := hashOf(x.Name, x.Incarnation)
 		m.digest[bucketOf(x.Name)] ^= h
 	}
 }
 
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % buckets) }
 
-func hashOf(name string, v Version) uint64 {
+func hashOf(name string, v Incarnation) uint64 {
 	var b [24]byte
-	for i, n := range []uint64{v.Life, v.Run, v.Inc} {
+	for i, n := range []uint64{v.Generation, v.ProcessID, v.Refutations} {
 		for j := range 8 {
 			b[8*i+j] = byte(n >> (8 * j))
 		}
@@ -255,44 +255,44 @@
 // hearOfMe refutes what is wrong, and takes the next life where another process has had this name.
 func (m *Core) hearOfMe(e Entry) {
 	switch {
-	case e.SameLife(m.me.Version):
+	case e.SameProcess(m.me.Incarnation):
 		switch {
 		case m.left || e.State == Alive:
-			if e.Inc > m.me.Inc {
-				m.me.Inc = e.Inc // said in this life's name: nothing that this process says later may be below it
+			if e.Refutations > m.me.Refutations {
+				m.me.Refutations = e.Refutations // said in this life's name: nothing that this process says later may be below it
 			}
 		case e.State == Left:
-			m.nextLife(e.Version)
-		case e.Inc >= m.me.Inc:
-			m.me.Inc = e.Inc + 1
-			m.stats.Refuted++
+			m.nextLife(e.Incarnation)
+		case e.Refutations >= m.me.Refutations:
+			m.me.Refutations = e.Refutations + 1
+			m.stats.Refutations++
 			m.unwell(1)
 			m.spread.add(newsOf(m.me.Name))
 		}
-	case e.Version.Compare(m.me.Version) > 0:
-		m.nextLife(e.Version)
+	case e.Incarnation.Compare(m.me.Incarnation) > 0:
+		m.nextLife(e.Incarnation)
 	}
 }
 
 // nextLife goes past what another process under this name had. Two that run at the same time would chase each other: after
 // conflictRaises in conflictWindow it waits.
-func (m *Core) nextLife(v Version) {
-	if v.Life >= MostNumber {
-		m.stats.Refused++
+func (m *Core) nextLife(v Incarnation) {
+	if v.Generation >= MaxCounter {
+		m.stats.Rejected++
 		return
 	}
 	for len(m.conflicts) > 0 && m.now-m.conflicts[0] > conflictWindow {
 		m.conflicts = m.conflicts[1:]
 	}
 	if len(m.conflicts) >= conflictRaises {
-		m.stats.Conflicts++
+		m.stats.NameConflicts++
 		if m.now-m.conflicts[len(m.conflicts)-1] < conflictPause {
 			return
 		}
-		m.out = append(m.out, Action{Do: Noted, Note: &Note{Name: m.me.Name, Version: v, Was: Alive, Now: Alive, Why: "another process uses this name"}})
+		m.out = append(m.out, Action{Kind: MemberChanged, Transition: &Transition{Name: m.me.Name, Incarnation: v, From: Alive, To: Alive, Reason: "another process uses this name"}})
 		m.conflicts = m.conflicts[1:]
 	}
 	m.conflicts = append(m.conflicts, m.now)
-	m.me.Version = Version{Life: v.Life + 1, Run: m.me.Run}
+	m.me.Incarnation = Incarnation{Generation: v.Generation + 1, ProcessID: m.me.ProcessID}
 	m.spread.add(newsOf(m.me.Name))
 }
--- a/internal/cluster/limits.go
+++ b/internal/cluster/limits.go
@@ -5,9 +5,9 @@
 const (
 	// MostNumber is the highest life or number that is believed. Guards against a peer that sends one that nobody could
 	// outbid.
-	MostNumber = 1 << 48
+	MaxCounter = 1 << 48
 	// MostName is the length of a name, in bytes; MostFleet of a fleet's.
-	MostName, MostFleet = 64, 64
+	MaxNameLength, MaxClusterNameLength = 64, 64
 
 	mostRelays    = 256 // probes that are tried for others at a time; those beyond are not answered
 	mostForgotten = 256 // addresses of members that were forgotten, tried again
@@ -36,29 +36,29 @@
 
 // Config is a Core's. New fills in what is 0.
 type Config struct {
-	Fleet string // members of another one are not listened to
-	Name  string // this member's, the same after a restart
-	Self  Address
-	Run   uint64 // random, of this process: tells its life from others under its name
-	Seeds []Address
-	Seed  uint64 // of random choices
+	ClusterName   string // members of another one are not listened to
+	Name          string // this member's, the same after a restart
+	AdvertiseAddr Address
+	ProcessID     uint64 // random, of this process: tells its life from others under its name
+	Seeds         []Address
+	RandomSeed    uint64 // of random choices
 
-	Probe      time.Duration // one member is probed in each; 1 s
-	Timeout    time.Duration // of a direct probe, below Probe; 300 ms
-	Indirect   int           // members that are asked to try when it fails; 3
-	Suspicion  float64       // a confirmed suspicion lasts Suspicion x max(1, log10 n) x Probe; 4
-	Gossip     time.Duration // what is new is sent to GossipTo members in each; 200 ms
-	GossipTo   int           // 3
-	Spread     int           // news is sent Spread x ceil(log10(n+1)) times by each member; 4
-	SyncEvery  time.Duration // one member's view is compared by digest in each; 30 s
-	RetryEvery time.Duration // a dead member is tried again; 5 s
-	Forget     time.Duration // dead and left members are forgotten after it; 1 h
-	KeepWords  time.Duration // words are told for it; 30 s
-	Most       int           // members; 10,000
-	Datagram   int           // bytes; 1,200
-	Plain      bool          // SWIM without Lifeguard's measures, for comparison
+	ProbeInterval     time.Duration // one member is probed in each; 1 s
+	ProbeTimeout      time.Duration // of a direct probe, below Probe; 300 ms
+	IndirectChecks    int           // members that are asked to try when it fails; 3
+	SuspicionMult     float64       // a confirmed suspicion lasts Suspicion x max(1, log10 n) x Probe; 4
+	GossipInterval    time.Duration // what is new is sent to GossipTo members in each; 200 ms
+	GossipFanout      int           // 3
+	RetransmitMult    int           // news is sent Spread x ceil(log10(n+1)) times by each member; 4
+	PushPullInterval  time.Duration // one member's view is compared by digest in each; 30 s
+	ReconnectInterval time.Duration // a dead member is tried again; 5 s
+	DeadMemberTTL     time.Duration // dead and left members are forgotten after it; 1 h
+	NoticeTTL         time.Duration // words are told for it; 30 s
+	MaxMembers        int           // members; 10,000
+	MaxDatagramBytes  int           // bytes; 1,200
+	DisableLifeguard  bool          // SWIM without Lifeguard's measures, for comparison
 	// Allowed says whether an address may be a member's. nil: all.
-	Allowed func(Address) bool
+	AllowAddress func(Address) bool
 }
 
 func (c *Config) fill() {
@@ -72,20 +72,20 @@
 			*n = to
 		}
 	}
-	set(&c.Probe, time.Second)
-	set(&c.Timeout, c.Probe*3/10)
-	set(&c.Gossip, c.Probe/5)
-	set(&c.SyncEvery, 30*c.Probe)
-	set(&c.RetryEvery, 5*c.Probe)
-	set(&c.Forget, time.Hour)
-	set(&c.KeepWords, 30*time.Second)
-	num(&c.Indirect, 3)
-	num(&c.GossipTo, 3)
-	num(&c.Spread, 4)
-	num(&c.Most, 10_000)
-	num(&c.Datagram, 1200)
-	if c.Suspicion <= 0 {
-		c.Suspicion = 4
+	set(&c.ProbeInterval, time.Second)
+	set(&c.ProbeTimeout, c.ProbeInterval*3/10)
+	set(&c.GossipInterval, c.ProbeInterval/5)
+	set(&c.PushPullInterval, 30*c.ProbeInterval)
+	set(&c.ReconnectInterval, 5*c.ProbeInterval)
+	set(&c.DeadMemberTTL, time.Hour)
+	set(&c.NoticeTTL, 30*time.Second)
+	num(&c.IndirectChecks, 3)
+	num(&c.GossipFanout, 3)
+	num(&c.RetransmitMult, 4)
+	num(&c.MaxMembers, 10_000)
+	num(&c.MaxDatagramBytes, 1200)
+	if c.SuspicionMult <= 0 {
+		c.SuspicionMult = 4
 	}
 	c.Seeds = c.Seeds[:min(len(c.Seeds), mostSeeds)]
 }
--- a/internal/cluster/node/peering.go
+++ b/internal/cluster/node/peering.go
@@ -63,7 +63,7 @@
 }
 
 type saidWord struct {
-	cluster.Word
+	cluster.EndpointNotice
 	holds bool
 }
 
@@ -85,10 +85,10 @@
 	p := &Part{said: make(chan saidWord, wordsWaiting), List: list, onView: c.OnView}
 	g := gossip.Config{Told: c.Told, Listen: op.Listen, Allowed: op.Allowed, Log: c.Log, OnWord: p.Heard, OnCount: p.Counted, OnStamp: c.OnStamp, Network: c.Network,
 		TableFull: c.TableFull, QueueFull: c.QueueFull, Core: cluster.Config{
-			Fleet: op.Name, Name: c.Name, Self: op.Self, Seeds: op.Peers, Seed: c.Seed,
-			Probe: time.Duration(op.Probe), Timeout: time.Duration(op.Timeout), Gossip: time.Duration(op.Gossip), SyncEvery: time.Duration(op.Sync),
-			RetryEvery: time.Duration(op.Retry), Forget: time.Duration(op.Forget), KeepWords: time.Duration(op.KeepWords), Indirect: int(op.Indirect),
-			Suspicion: op.Suspicion, Most: int(op.Most)}}
+			ClusterName: op.Name, Name: c.Name, AdvertiseAddr: op.Self, Seeds: op.Peers, RandomSeed: c.Seed,
+			ProbeInterval: time.Duration(op.Probe), ProbeTimeout: time.Duration(op.Timeout), GossipInterval: time.Duration(op.Gossip), PushPullInterval: time.Duration(op.Sync),
+			ReconnectInterval: time.Duration(op.Retry), DeadMemberTTL: time.Duration(op.Forget), NoticeTTL: time.Duration(op.KeepWords), IndirectChecks: int(op.Indirect),
+			SuspicionMult: op.Suspicion, MaxMembers: int(op.Most)}}
 	g.Serve = c.Also
 	if list != nil || c.OnView != nil {
 		g.OnView = p.viewed
@@ -136,7 +136,7 @@
 }
 
 // Heard hands a word to the merge's source. It is called from the node's goroutine, and does not wait.
-func (p *Part) Heard(w cluster.Word, holds bool) {
+func (p *Part) Heard(w cluster.EndpointNotice, holds bool) {
 	select {
 	case p.said <- saidWord{w, holds}:
 	default:
@@ -172,7 +172,7 @@
 
 // Told passes on what this process's own discovery says.
 func (p *Part) Told(m engine.Member) {
-	p.Node.Say(cluster.Word{Server: m.ID, Gone: m.State == balancer.Left, BornMS: m.BornMS})
+	p.Node.Say(cluster.EndpointNotice{Endpoint: m.ID, Removed: m.State == balancer.Left, StartedMS: m.BornMS})
 }
 
 // Merge is the configuration of a merge of discovery's list with what others were told; sources beside both may be added. p is nil
@@ -200,8 +200,8 @@
 		case <-ctx.Done():
 			return
 		case w := <-p.said:
-			e := discovery.Entry{ID: w.Server, BornMS: w.BornMS, State: balancer.Leaving}
-			if w.Gone {
+			e := discovery.Entry{ID: w.Endpoint, BornMS: w.StartedMS, State: balancer.Leaving}
+			if w.Removed {
 				e.State = balancer.Left
 			}
 			if !w.holds {
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -10,7 +10,7 @@
 	on      bool
 	seq     uint64
 	of      *member
-	version Version
+	version Incarnation
 	direct  time.Duration // the direct time-out; 0: the others were asked
 	until   time.Duration
 	helpers int
@@ -46,7 +46,7 @@
 	if now < m.due.probe {
 		return
 	}
-	m.due.probe = now + m.slowed(m.cfg.Probe)
+	m.due.probe = now + m.slowed(m.cfg.ProbeInterval)
 	if x := m.nextTarget(); x != nil && !m.probe.on {
 		m.begun(x)
 	}
@@ -71,7 +71,7 @@
 
 func (m *Core) begun(x *member) {
 	m.seq++
-	m.probe = probe{on: true, seq: m.seq, of: x, version: x.Version, direct: m.now + m.slowed(m.cfg.Timeout), until: m.now + m.slowed(m.cfg.Probe)}
+	m.probe = probe{on: true, seq: m.seq, of: x, version: x.Incarnation, direct: m.now + m.slowed(m.cfg.ProbeTimeout), until: m.now + m.slowed(m.cfg.ProbeInterval)}
 	msg := &Message{Kind: Ping, Seq: m.seq, Target: x.Name}
 	if x.State == Suspect { // it learns of it from the probe itself, and refutes with the answer
 		msg.Entries = []Entry{m.entry(x)}
@@ -82,7 +82,7 @@
 // askOthers has some others try what was not answered in time.
 func (m *Core) askOthers() {
 	p := &m.probe
-	for _, x := range m.pick(m.cfg.Indirect, func(x *member) bool { return x == p.of || x.State != Alive }) {
+	for _, x := range m.pick(m.cfg.IndirectChecks, func(x *member) bool { return x == p.of || x.State != Alive }) {
 		p.helpers++
 		m.send(x.Addr, &Message{Kind: PingReq, Seq: p.seq, Target: p.of.Name, TargetAddr: p.of.Addr})
 	}
@@ -99,10 +99,10 @@
 	case p.nacks < p.helpers:
 		m.unwell(p.helpers - p.nacks)
 	}
-	if x := p.of; m.members[x.Name] == x && x.live >= 0 && x.Version == p.version {
+	if x := p.of; m.members[x.Name] == x && x.live >= 0 && x.Incarnation == p.version {
 		if x.State == Alive {
 			m.suspect(x, m.me.Name, "no answer")
-			m.stats.Accused++
+			m.stats.Suspicions++
 		} else {
 			m.confirm(x, m.me.Name)
 		}
@@ -131,12 +131,12 @@
 
 // relay tries for another one.
 func (m *Core) relay(msg *Message) {
-	if len(m.relays) >= mostRelays || msg.Target == "" || !msg.TargetAddr.IsValid() || m.cfg.Allowed != nil && !m.cfg.Allowed(msg.TargetAddr) {
-		m.stats.Refused++
+	if len(m.relays) >= mostRelays || msg.Target == "" || !msg.TargetAddr.IsValid() || m.cfg.AllowAddress != nil && !m.cfg.AllowAddress(msg.TargetAddr) {
+		m.stats.Rejected++
 		return
 	}
 	m.seq++
-	m.relays = append(m.relays, relay{m.seq, msg.Seq, msg.From.Addr, msg.Target, m.now + m.cfg.Timeout*4/5})
+	m.relays = append(m.relays, relay{m.seq, msg.Seq, msg.From.Addr, msg.Target, m.now + m.cfg.ProbeTimeout*4/5})
 	m.send(msg.TargetAddr, &Message{Kind: Ping, Seq: m.seq, Target: msg.Target})
 }
 
@@ -144,7 +144,7 @@
 	for len(m.relays) > 0 && m.now >= m.relays[0].until {
 		r := m.relays[0]
 		m.relays = m.relays[1:]
-		if !m.cfg.Plain {
+		if !m.cfg.DisableLifeguard {
 			m.send(r.to, &Message{Kind: Nack, Seq: r.theirs, Target: r.target})
 		}
 	}
--- a/internal/cluster/script_test.go
+++ b/internal/cluster/script_test.go
@@ -77,9 +77,9 @@
 func (s *scripted) do(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "new":
-		c := Config{Fleet: "f", Name: "a", Self: at("a"), Run: 100, Seed: 7, Probe: time.Second, SyncEvery: s.time(value(d, "sync", "1h")), Forget: s.time(value(d, "forget", "1h")),
-			KeepWords: s.time(value(d, "keep", "30s")), Most: int(s.number(value(d, "most", "100"))), RetryEvery: s.time(value(d, "retry", "1h")),
-			Allowed: func(a Address) bool { return a.Addr().Is4() && a.Addr().As4()[0] == 10 }}
+		c := Config{ClusterName: "f", Name: "a", AdvertiseAddr: at("a"), ProcessID: 100, RandomSeed: 7, ProbeInterval: time.Second, PushPullInterval: s.time(value(d, "sync", "1h")), DeadMemberTTL: s.time(value(d, "forget", "1h")),
+			NoticeTTL: s.time(value(d, "keep", "30s")), MaxMembers: int(s.number(value(d, "most", "100"))), ReconnectInterval: s.time(value(d, "retry", "1h")),
+			AllowAddress: func(a Address) bool { return a.Addr().Is4() && a.Addr().As4()[0] == 10 }}
 		for _, a := range d.CmdArgs {
 			if a.Key == "seeds" {
 				for _, name := range a.Vals {
@@ -96,52 +96,52 @@
 	case "tick":
 		end := s.now + s.time(d.CmdArgs[0].Key)
 		var out []string
-		for n := 0; s.core.Next() <= end; n++ {
+		for n := 0; s.core.NextTick() <= end; n++ {
 			if n > 100_000 {
 				t.Fatal("it wants a tick again and again")
 			}
-			s.now = max(s.now, s.core.Next())
+			s.now = max(s.now, s.core.NextTick())
 			out = append(out, s.show(s.core.Tick(s.now))...)
 		}
 		s.now = end
 		return lines(out)
 	case "late": // the process stood still: one Tick comes late
-		s.now = s.core.Next() + s.time(d.CmdArgs[0].Key)
+		s.now = s.core.NextTick() + s.time(d.CmdArgs[0].Key)
 		return lines(s.show(s.core.Tick(s.now)))
 	case "recv":
 		return lines(s.show(s.core.Receive(s.now, s.message(d))))
 	case "say":
-		return lines(s.show(s.core.Say(s.now, Word{Server: d.CmdArgs[0].Key, Gone: value(d, "gone", "") != "", BornMS: float64(s.number(value(d, "born", "0")))})))
+		return lines(s.show(s.core.Announce(s.now, EndpointNotice{Endpoint: d.CmdArgs[0].Key, Removed: value(d, "gone", "") != "", StartedMS: float64(s.number(value(d, "born", "0")))})))
 	case "leave":
 		return lines(s.show(s.core.Leave(s.now)))
 	case "view":
 		var out []string
-		for _, m := range s.core.View() {
-			text := fmt.Sprintf("%s %v %s", m.Name, m.State, versionText(m.Version))
-			if m.By != "" {
-				text += " by=" + m.By
+		for _, m := range s.core.Members() {
+			text := fmt.Sprintf("%s %v %s", m.Name, m.State, versionText(m.Incarnation))
+			if m.ReportedBy != "" {
+				text += " by=" + m.ReportedBy
 			}
 			out = append(out, text)
 		}
 		return lines(out)
 	case "stats":
 		x := s.core.Stats()
-		return fmt.Sprintf("health %d, live %d, count %d, queue %d, words %d, forgotten %d, refuted %d, stalls %d, conflicts %d, foreign %d, refused %d\n", x.Health, x.Live, x.Count,
-			x.Queue, x.Words, x.Forgotten, x.Refuted, x.Stalls, x.Conflicts, x.Foreign, x.Refused)
+		return fmt.Sprintf("health %d, live %d, count %d, queue %d, words %d, forgotten %d, refuted %d, stalls %d, conflicts %d, foreign %d, refused %d\n", x.HealthScore, x.LiveMembers, x.EstimatedSize,
+			x.QueuedBroadcasts, x.Notices, x.ForgottenAddresses, x.Refutations, x.Stalls, x.NameConflicts, x.ForeignMessages, x.Rejected)
 	}
 	t.Fatalf("no directive %s", d.Cmd)
 	return ""
 }
 
 func (s *scripted) message(d *datadriven.TestData) *Message {
-	kind := map[string]Kind{"ping": Ping, "ack": Ack, "nack": Nack, "pingreq": PingReq, "gossip": Gossip, "ask": SyncAsk, "tell": SyncTell, "end": SyncEnd}
+	kind := map[string]Kind{"ping": Ping, "ack": Ack, "nack": Nack, "pingreq": PingReq, "gossip": Gossip, "ask": PushPullRequest, "tell": PushPullResponse, "end": PushPullFinal}
 	k, ok := kind[d.CmdArgs[0].Key]
 	if !ok {
 		s.bad = "no kind " + d.CmdArgs[0].Key
 	}
 	from := value(d, "from", "b")
-	m := &Message{Kind: k, Fleet: value(d, "fleet", "f"), From: Entry{Name: from, Addr: at(from)}, Target: value(d, "target", "")}
-	m.From.Version = Version{s.number(value(d, "life", "1")), s.number(value(d, "run", "200")), s.number(value(d, "inc", "0"))}
+	m := &Message{Kind: k, ClusterName: value(d, "fleet", "f"), From: Entry{Name: from, Addr: at(from)}, Target: value(d, "target", "")}
+	m.From.Incarnation = Incarnation{s.number(value(d, "life", "1")), s.number(value(d, "run", "200")), s.number(value(d, "inc", "0"))}
 	if value(d, "left", "") != "" {
 		m.From.State = Left
 	}
@@ -156,11 +156,11 @@
 	if to := value(d, "at", ""); to != "" {
 		m.TargetAddr = at(to)
 	}
-	if k == SyncAsk {
+	if k == PushPullRequest {
 		m.Digest = make([]uint64, buckets)
 	}
 	if value(d, "buckets", "") != "" {
-		m.Buckets = ^uint64(0)
+		m.BucketMask = ^uint64(0)
 	}
 	m.Join = value(d, "join", "") != ""
 	for line := range strings.Lines(d.Input) {
@@ -180,40 +180,42 @@
 			}
 		}
 		if words[0] == "word" {
-			m.Words = append(m.Words, Word{Server: words[1], Gone: slices.Contains(words, "gone"), BornMS: born, By: by, Age: age})
+			m.Notices = append(m.Notices, EndpointNotice{Endpoint: words[1], Removed: slices.Contains(words, "gone"), StartedMS: born, ReportedBy: by, Age: age})
 			continue
 		}
-		e := Entry{Name: words[0], Addr: at(words[0]), By: by, Age: age}
+		e := Entry{Name: words[0], Addr: at(words[0]), ReportedBy: by, Age: age}
 		if err := e.State.UnmarshalText([]byte(words[1])); err != nil {
 			s.bad = err.Error()
 		}
 		part := strings.Split(words[2], ".")
-		e.Version = Version{s.number(part[0]), s.number(part[1]), s.number(part[2])}
+		e.Incarnation = Incarnation{s.number(part[0]), s.number(part[1]), s.number(part[2])}
 		m.Entries = append(m.Entries, e)
 	}
 	return m
 }
 
-func versionText(v Version) string { return fmt.Sprintf("%d.%d.%d", v.Life, v.Run, v.Inc) }
+func versionText(v Incarnation) string {
+	return fmt.Sprintf("%d.%d.%d", v.Generation, v.ProcessID, v.Refutations)
+}
 
 var kindText = [...]string{"ping", "ack", "nack", "pingreq", "gossip", "ask", "tell", "end"}
 
 func (s *scripted) show(list []Action) (out []string) {
 	for _, a := range list {
-		switch a.Do {
-		case Noted:
-			n := a.Note
-			out = append(out, fmt.Sprintf("note %s %s %v -> %v: %s", n.Name, versionText(n.Version), n.Was, n.Now, n.Why))
-		case Told:
-			out = append(out, fmt.Sprintf("told %s gone=%v by=%s", a.Word.Server, a.Word.Gone, a.Word.By))
-		case Unsaid:
-			out = append(out, "unsaid "+a.Word.Server)
-		case Counted:
-			out = append(out, fmt.Sprint("count ", a.Count))
+		switch a.Kind {
+		case MemberChanged:
+			n := a.Transition
+			out = append(out, fmt.Sprintf("note %s %s %v -> %v: %s", n.Name, versionText(n.Incarnation), n.From, n.To, n.Reason))
+		case NoticeReceived:
+			out = append(out, fmt.Sprintf("told %s gone=%v by=%s", a.Notice.Endpoint, a.Notice.Removed, a.Notice.ReportedBy))
+		case NoticeExpired:
+			out = append(out, "unsaid "+a.Notice.Endpoint)
+		case SizeChanged:
+			out = append(out, fmt.Sprint("count ", a.EstimatedSize))
 		case Send:
-			m := a.Msg
+			m := a.Message
 			to := string(rune(a.To.Addr().As4()[3]))
-			text := fmt.Sprintf("%s to %s as %s", kindText[m.Kind], to, versionText(m.From.Version))
+			text := fmt.Sprintf("%s to %s as %s", kindText[m.Kind], to, versionText(m.From.Incarnation))
 			if m.From.State != Alive {
 				text += " " + m.From.State.String()
 			}
@@ -227,17 +229,17 @@
 				text += " join"
 			}
 			for _, e := range m.Entries {
-				text += fmt.Sprintf(" [%s %v %s", e.Name, e.State, versionText(e.Version))
+				text += fmt.Sprintf(" [%s %v %s", e.Name, e.State, versionText(e.Incarnation))
 				if e.Age > 0 {
 					text += fmt.Sprint(" age=", e.Age.Round(time.Second))
 				}
-				if e.By != "" {
-					text += " by=" + e.By
+				if e.ReportedBy != "" {
+					text += " by=" + e.ReportedBy
 				}
 				text += "]"
 			}
-			for _, w := range m.Words {
-				text += fmt.Sprintf(" [word %s gone=%v by=%s]", w.Server, w.Gone, w.By)
+			for _, w := range m.Notices {
+				text += fmt.Sprintf(" [word %s gone=%v by=%s]", w.Endpoint, w.Removed, w.ReportedBy)
 			}
 			out = append(out, text)
 		}
--- a/internal/cluster/spread.go
+++ b/internal/cluster/spread.go
@@ -84,16 +84,16 @@
 
 // load puts what is new into a message, behind what it has already.
 func (m *Core) load(msg *Message) {
-	room := m.cfg.Datagram - headerBytes
+	room := m.cfg.MaxDatagramBytes - headerBytes
 	for i := range msg.Entries {
-		room -= entryBytes + len(msg.Entries[i].Name) + len(msg.Entries[i].By)
+		room -= entryBytes + len(msg.Entries[i].Name) + len(msg.Entries[i].ReportedBy)
 	}
 	if m.spread.len() == 0 {
 		return
 	}
 	msg.Entries = msg.Entries[:len(msg.Entries):len(msg.Entries)]
-	m.spread.take(m.cfg.Spread*m.logN(), func(n news) (took, more bool) {
-		if len(msg.Entries)+len(msg.Words) >= mostEntries {
+	m.spread.take(m.cfg.RetransmitMult*m.logN(), func(n news) (took, more bool) {
+		if len(msg.Entries)+len(msg.Notices) >= mostEntries {
 			return false, false
 		}
 		if n.server != "" {
@@ -101,10 +101,10 @@
 			if w == nil {
 				return true, true // it is old by now
 			}
-			if room -= wordBytes + len(n.server) + len(w.By); room < 0 {
+			if room -= wordBytes + len(n.server) + len(w.ReportedBy); room < 0 {
 				return false, false
 			}
-			msg.Words = append(msg.Words, m.wordOf(w))
+			msg.Notices = append(msg.Notices, m.wordOf(w))
 			return true, true
 		}
 		if slices.ContainsFunc(msg.Entries, func(e Entry) bool { return e.Name == n.member }) {
@@ -118,7 +118,7 @@
 			}
 			e = m.entry(x)
 		}
-		if room -= entryBytes + len(e.Name) + len(e.By); room < 0 {
+		if room -= entryBytes + len(e.Name) + len(e.ReportedBy); room < 0 {
 			return false, false
 		}
 		msg.Entries = append(msg.Entries, e)
@@ -132,12 +132,12 @@
 		return
 	}
 	if m.spread.len() > syncAbove && m.now >= m.syncBusy {
-		m.syncBusy = m.now + syncBusy*m.cfg.Gossip
+		m.syncBusy = m.now + syncBusy*m.cfg.GossipInterval
 		if x := m.pick(1, nil); len(x) > 0 {
 			m.ask(x[0].Addr, false)
 		}
 	}
-	for _, x := range m.pick(m.cfg.GossipTo, nil) {
+	for _, x := range m.pick(m.cfg.GossipFanout, nil) {
 		if m.spread.len() == 0 {
 			return // all was told often enough
 		}
--- a/internal/cluster/suspicion.go
+++ b/internal/cluster/suspicion.go
@@ -20,14 +20,14 @@
 // suspect begins a suspicion.
 func (m *Core) suspect(x *member, by, why string) {
 	was := x.State
-	x.State, x.By = Suspect, by
+	x.State, x.ReportedBy = Suspect, by
 	if was != Suspect {
 		x.since = m.now
 	}
 	m.enter(x)
-	least := time.Duration(m.cfg.Suspicion * max(1, math.Log10(float64(m.n()))) * float64(m.cfg.Probe))
+	least := time.Duration(m.cfg.SuspicionMult * max(1, math.Log10(float64(m.n()))) * float64(m.cfg.ProbeInterval))
 	s := &suspicion{of: x, began: m.now, least: least, most: longSuspense * least, by: []string{by}}
-	if m.cfg.Plain || m.n()-2 < confirms { // there is hardly anybody who could confirm it
+	if m.cfg.DisableLifeguard || m.n()-2 < confirms { // there is hardly anybody who could confirm it
 		s.most = least
 	}
 	x.doubt = s
@@ -46,11 +46,11 @@
 // confirm is that another one says the same. It is spread anew, so that all suspicions shorten.
 func (m *Core) confirm(x *member, by string) {
 	s := x.doubt
-	if s == nil || m.cfg.Plain || len(s.by) > confirms || slices.Contains(s.by, by) {
+	if s == nil || m.cfg.DisableLifeguard || len(s.by) > confirms || slices.Contains(s.by, by) {
 		return
 	}
 	s.by = append(s.by, by)
-	x.By = by
+	x.ReportedBy = by
 	s.end = max(m.now, s.began+s.lasts())
 	heap.Fix(&m.doubts, s.place)
 	m.spread.add(newsOf(x.Name))
@@ -60,8 +60,8 @@
 func (m *Core) bury(s *suspicion) {
 	x := s.of
 	s.of, x.doubt = nil, nil
-	m.stats.Buried++
-	m.become(x, Dead, x.Inc, 0, m.me.Name, "did not refute in "+(m.now-s.began).Round(time.Millisecond).String())
+	m.stats.DeclaredDead++
+	m.become(x, Dead, x.Refutations, 0, m.me.Name, "did not refute in "+(m.now-s.began).Round(time.Millisecond).String())
 }
 
 // doubtHeap has the suspicion first that ends first; those that have ended otherwise are passed over.
--- a/internal/cluster/sync.go
+++ b/internal/cluster/sync.go
@@ -25,15 +25,15 @@
 
 // ask begins a comparison.
 func (m *Core) ask(at Address, join bool) {
-	m.syncSoon = m.now + m.cfg.Probe
-	m.send(at, &Message{Kind: SyncAsk, Digest: slices.Clone(m.withMe()), Join: join})
+	m.syncSoon = m.now + m.cfg.ProbeInterval
+	m.send(at, &Message{Kind: PushPullRequest, Digest: slices.Clone(m.withMe()), Join: join})
 }
 
 // withMe is the digest with this member in it.
 func (m *Core) withMe() []uint64 {
 	d := m.digest
 	if !m.left {
-		d[bucketOf(m.me.Name)] ^= hashOf(m.me.Name, m.me.Version)
+		d[bucketOf(m.me.Name)] ^= hashOf(m.me.Name, m.me.Incarnation)
 	}
 	return d[:]
 }
@@ -42,7 +42,7 @@
 // is not answered, and who asked asks another one.
 func (m *Core) answer(msg *Message) {
 	if len(msg.Digest) != buckets {
-		m.stats.Refused++
+		m.stats.Rejected++
 		return
 	}
 	var differ uint64
@@ -55,15 +55,15 @@
 		differ = ^uint64(0)
 	}
 	if differ == 0 {
-		m.send(msg.From.Addr, &Message{Kind: SyncTell})
+		m.send(msg.From.Addr, &Message{Kind: PushPullResponse})
 		return
 	}
 	if m.tokens < 1 {
-		m.stats.Unasked++
+		m.stats.PushPullsThrottled++
 		return
 	}
 	m.tokens--
-	m.stream(msg.From.Addr, &Message{Kind: SyncTell, Buckets: differ, Entries: m.inBuckets(differ), Words: m.allWords()})
+	m.stream(msg.From.Addr, &Message{Kind: PushPullResponse, BucketMask: differ, Entries: m.inBuckets(differ), Notices: m.allWords()})
 }
 
 // inBuckets is what is known of the names in some buckets, the dead with their age.
@@ -139,7 +139,7 @@
 func (m *Core) forget() {
 	var over []*member
 	for _, x := range m.members {
-		if x.State >= Dead && m.now-x.diedAt >= m.cfg.Forget {
+		if x.State >= Dead && m.now-x.diedAt >= m.cfg.DeadMemberTTL {
 			over = append(over, x)
 		}
 	}
--- a/internal/cluster/words.go
+++ b/internal/cluster/words.go
@@ -8,36 +8,36 @@
 
 // word is one that holds.
 type word struct {
-	Word
+	EndpointNotice
 	at time.Duration // when it was said
 }
 
-func (m *Core) wordOf(w *word) Word {
-	out := w.Word
+func (m *Core) wordOf(w *word) EndpointNotice {
+	out := w.EndpointNotice
 	out.Age = m.now - w.at
 	return out
 }
 
 // hearWord takes a word in: it holds for KeepWords from when it was first said, is told once, and is spread on. What is less
 // than what is known, or old, is dropped.
-func (m *Core) hearWord(w Word) {
-	if w.Server == "" || len(w.Server) > MostName || w.Age < 0 || w.Age >= m.cfg.KeepWords {
-		m.stats.Refused++
+func (m *Core) hearWord(w EndpointNotice) {
+	if w.Endpoint == "" || len(w.Endpoint) > MaxNameLength || w.Age < 0 || w.Age >= m.cfg.NoticeTTL {
+		m.stats.Rejected++
 		return
 	}
-	old := m.words[w.Server]
-	if old != nil && !w.newer(&old.Word) {
+	old := m.words[w.Endpoint]
+	if old != nil && !w.newer(&old.EndpointNotice) {
 		return
 	}
 	if old == nil && len(m.words) >= mostWords {
-		m.stats.Refused++
+		m.stats.Rejected++
 		return
 	}
-	own := w.By == m.me.Name
-	m.words[w.Server] = &word{w, m.now - w.Age}
-	m.spread.add(news{server: w.Server})
+	own := w.ReportedBy == m.me.Name
+	m.words[w.Endpoint] = &word{w, m.now - w.Age}
+	m.spread.add(news{server: w.Endpoint})
 	if !own {
-		m.out = append(m.out, Action{Do: Told, Word: w})
+		m.out = append(m.out, Action{Kind: NoticeReceived, Notice: w})
 	}
 }
 
@@ -45,23 +45,23 @@
 func (m *Core) dropWords() {
 	var over []string
 	for server, w := range m.words {
-		if m.now-w.at >= m.cfg.KeepWords {
+		if m.now-w.at >= m.cfg.NoticeTTL {
 			over = append(over, server)
 		}
 	}
 	slices.Sort(over)
 	for _, server := range over {
-		if w := m.words[server]; w.By != m.me.Name {
-			m.out = append(m.out, Action{Do: Unsaid, Word: w.Word})
+		if w := m.words[server]; w.ReportedBy != m.me.Name {
+			m.out = append(m.out, Action{Kind: NoticeExpired, Notice: w.EndpointNotice})
 		}
 		delete(m.words, server)
 	}
 }
 
-func (m *Core) allWords() (list []Word) {
+func (m *Core) allWords() (list []EndpointNotice) {
 	for _, w := range m.words {
 		list = append(list, m.wordOf(w))
 	}
-	slices.SortFunc(list, func(a, b Word) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(list, func(a, b EndpointNotice) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return list
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -90,12 +90,12 @@
 		return list
 	}
 	testutil.Until(t, "all are listed", func() bool { return len(s.State()) == 10 && len(out()) == 0 })
-	p.Heard(cluster.Word{Server: "s1", Gone: true, BornMS: 1000, By: "b"}, true)
-	p.Heard(cluster.Word{Server: "stranger", By: "b"}, true)
+	p.Heard(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 1000, ReportedBy: "b"}, true)
+	p.Heard(cluster.EndpointNotice{Endpoint: "stranger", ReportedBy: "b"}, true)
 	testutil.Until(t, "what left is out", func() bool { return strings.Join(out(), " ") == "s1" })
 	// A liar says that all have left: the share of 0.3 holds.
 	for i := range 10 {
-		p.Heard(cluster.Word{Server: fmt.Sprint("s", i), Gone: true, BornMS: 1000, By: "liar"}, true)
+		p.Heard(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, true)
 	}
 	testutil.Until(t, "the share is out", func() bool { return len(out()) == 3 })
 	for _, x := range s.State() {
@@ -104,7 +104,7 @@
 		}
 	}
 	for i := range 10 {
-		p.Heard(cluster.Word{Server: fmt.Sprint("s", i), Gone: true, BornMS: 1000, By: "liar"}, false)
+		p.Heard(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, false)
 	}
 	testutil.Until(t, "old words hold no more", func() bool { return len(out()) == 0 })
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -59,8 +59,8 @@
 
 // check fills in the defaults and tells what cannot be used.
 func (f *Fleet) check(fault func(key, format string, args ...any)) {
-	if f.Name == "" || len(f.Name) > cluster.MostFleet {
-		fault("fleet.name", "a name of 1 to %d bytes is wanted: sidecars of another fleet are not listened to", cluster.MostFleet)
+	if f.Name == "" || len(f.Name) > cluster.MaxClusterNameLength {
+		fault("fleet.name", "a name of 1 to %d bytes is wanted: sidecars of another fleet are not listened to", cluster.MaxClusterNameLength)
 	}
 	address := func(key, text string, port bool) netip.AddrPort {
 		at, err := netip.ParseAddrPort(text)
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -75,8 +75,8 @@
 	if !filepath.IsAbs(o.Dir) {
 		fault("dir", "%q is no absolute path", o.Dir)
 	}
-	if o.Fleet == "" || len(o.Fleet) > cluster.MostFleet {
-		fault("fleet", "the fleet's name is wanted, 1 to %d bytes, as the sidecars have it", cluster.MostFleet)
+	if o.Fleet == "" || len(o.Fleet) > cluster.MaxClusterNameLength {
+		fault("fleet", "the fleet's name is wanted, 1 to %d bytes, as the sidecars have it", cluster.MaxClusterNameLength)
 	}
 	if o.Epoch < 1 {
 		fault("epoch", "%d: 1 or more is wanted, the same for all origins, and a higher one each time they are founded anew", o.Epoch)
--- a/internal/simulation/fleetsim/experiment.go
+++ b/internal/simulation/fleetsim/experiment.go
@@ -101,7 +101,7 @@
 // contestants are configurations of what a member runs.
 var contestants = map[string]func(*Config){
 	"lifeguard":  func(*Config) {},
-	"swim":       func(c *Config) { c.Core.Plain = true },
+	"swim":       func(c *Config) { c.Core.DisableLifeguard = true },
 	"heartbeats": func(c *Config) { c.New = newHeartbeats },
 }
 
@@ -188,7 +188,7 @@
 }
 
 func (e *Experiment) play(p *Point, seed uint64) {
-	c := Config{Members: p.Members, Seed: seed, Loss: p.Loss, Core: cluster.Config{Probe: time.Duration(e.Probe)}, Size: func(m *cluster.Message) int {
+	c := Config{Members: p.Members, Seed: seed, Loss: p.Loss, Core: cluster.Config{ProbeInterval: time.Duration(e.Probe)}, Size: func(m *cluster.Message) int {
 		frame, err := gossip.Encode(m)
 		if err != nil {
 			return 0
@@ -204,19 +204,19 @@
 		m.Sent, m.Bytes = 0, 0
 	}
 	accused := map[string]bool{}
-	f.Noted = func(i int, n cluster.Note) {
+	f.Noted = func(i int, n cluster.Transition) {
 		if f.byName(n.Name).Core == nil {
 			return
 		}
 		switch {
-		case n.Now == cluster.Suspect && n.Why == "no answer", n.Now == cluster.Dead && p.Contestant == "heartbeats":
+		case n.To == cluster.Suspect && n.Reason == "no answer", n.To == cluster.Dead && p.Contestant == "heartbeats":
 			p.Accused++
 		}
-		if n.Now == cluster.Dead && !accused[n.Name] {
+		if n.To == cluster.Dead && !accused[n.Name] {
 			accused[n.Name] = true
 			p.Buried++
 		}
-		if n.Now == cluster.Alive {
+		if n.To == cluster.Alive {
 			delete(accused, n.Name)
 		}
 	}
@@ -293,10 +293,10 @@
 			want += kill
 		}
 	}
-	f.Noted = func(i int, n cluster.Note) {
+	f.Noted = func(i int, n cluster.Transition) {
 		var dead int
 		fmt.Sscanf(n.Name, "m%d", &dead)
-		if dead < kill && n.Now == cluster.Dead && !known[[2]int{i, dead}] {
+		if dead < kill && n.To == cluster.Dead && !known[[2]int{i, dead}] {
 			known[[2]int{i, dead}] = true
 			if first < 0 {
 				first = f.Now - begun
--- a/internal/simulation/fleetsim/fleetsim.go
+++ b/internal/simulation/fleetsim/fleetsim.go
@@ -34,9 +34,9 @@
 type Contestant interface {
 	Receive(time.Duration, *cluster.Message) []cluster.Action
 	Tick(time.Duration) []cluster.Action
-	Next() time.Duration
+	NextTick() time.Duration
 	Leave(time.Duration) []cluster.Action
-	View() []cluster.Member
+	Members() []cluster.Member
 }
 
 // Member is one process, or the place of one.
@@ -65,7 +65,7 @@
 	// Linked says whether a message gets from one member to another now; nil: always.
 	Linked func(from, to int) bool
 	// Noted is called with each transition that a member notes.
-	Noted func(member int, n cluster.Note)
+	Noted func(member int, n cluster.Transition)
 	// Acted is called with all other actions that are not sends.
 	Acted func(member int, a cluster.Action)
 	// Sent is called with each message that a member sends.
@@ -89,8 +89,8 @@
 	if c.Latency == 0 {
 		c.Latency = time.Millisecond
 	}
-	if c.Core.Probe == 0 { // for every contestant: one without an interval would tick for ever at one moment
-		c.Core.Probe = time.Second
+	if c.Core.ProbeInterval == 0 { // for every contestant: one without an interval would tick for ever at one moment
+		c.Core.ProbeInterval = time.Second
 	}
 	if c.Told == 0 {
 		c.Told = c.Members
@@ -114,7 +114,7 @@
 	m := f.Members[i]
 	m.lives++
 	c := f.cfg.Core
-	c.Name, c.Self, c.Run, c.Seed = m.Name, m.Addr, f.rng.Uint64(), f.rng.Uint64()
+	c.Name, c.AdvertiseAddr, c.ProcessID, c.RandomSeed = m.Name, m.Addr, f.rng.Uint64(), f.rng.Uint64()
 	c.Seeds = nil
 	for _, s := range seeds {
 		c.Seeds = append(c.Seeds, Addr(s))
@@ -139,10 +139,10 @@
 		if m.Core == nil {
 			f.Start(i)
 		}
-		all = append(all, cluster.Entry{Name: m.Name, Addr: m.Addr, Version: m.Core.(interface{ Version() cluster.Version }).Version()})
+		all = append(all, cluster.Entry{Name: m.Name, Addr: m.Addr, Incarnation: m.Core.(interface{ Incarnation() cluster.Incarnation }).Incarnation()})
 	}
 	for i := range f.Members {
-		f.act(i, f.Members[i].Core.Receive(f.Now+f.Members[i].Clock, &cluster.Message{Kind: cluster.SyncTell, Fleet: f.cfg.Core.Fleet, From: all[(i+1)%len(all)], Entries: all}))
+		f.act(i, f.Members[i].Core.Receive(f.Now+f.Members[i].Clock, &cluster.Message{Kind: cluster.PushPullResponse, ClusterName: f.cfg.Core.ClusterName, From: all[(i+1)%len(all)], Entries: all}))
 		f.schedule(i)
 	}
 }
@@ -222,9 +222,9 @@
 func (f *Fleet) act(i int, acts []cluster.Action) {
 	for _, a := range acts {
 		switch {
-		case a.Do == cluster.Noted && f.Noted != nil:
-			f.Noted(i, *a.Note)
-		case a.Do == cluster.Send:
+		case a.Kind == cluster.MemberChanged && f.Noted != nil:
+			f.Noted(i, *a.Transition)
+		case a.Kind == cluster.Send:
 			f.send(i, a)
 		case f.Acted != nil:
 			f.Acted(i, a)
@@ -239,7 +239,7 @@
 		f.Sent(from, a)
 	}
 	if f.cfg.Size != nil {
-		m.Bytes += f.cfg.Size(a.Msg)
+		m.Bytes += f.cfg.Size(a.Message)
 	}
 	to, ok := f.byAddr[a.To]
 	if !ok || f.Linked != nil && !f.Linked(from, to) || f.Members[to].Core == nil {
@@ -254,7 +254,7 @@
 			copies = 2
 		}
 	}
-	msg := *a.Msg // the sender's own lists are not touched: cores do not change what they receive
+	msg := *a.Message // the sender's own lists are not touched: cores do not change what they receive
 	for range copies {
 		at := f.Now + time.Duration(float64(f.cfg.Latency)*(0.5+f.rng.Float64()))
 		if !a.Stream && f.rng.Float64() < f.cfg.Late {
@@ -267,7 +267,7 @@
 // schedule has a member's next tick in the queue.
 func (f *Fleet) schedule(i int) {
 	m := f.Members[i]
-	at := max(m.Core.Next()-m.Clock, f.Now+time.Microsecond)
+	at := max(m.Core.NextTick()-m.Clock, f.Now+time.Microsecond)
 	if m.tick != nil {
 		if m.tick.at == at {
 			return
@@ -324,10 +324,10 @@
 // Disagreement is the first difference between a view and what is true, in words.
 func (f *Fleet) Disagreement(group func(int) bool) string {
 	in := func(i int) bool { return f.Members[i].Core != nil && (group == nil || group(i)) }
-	want := map[string]cluster.Version{}
+	want := map[string]cluster.Incarnation{}
 	for i, m := range f.Members {
-		if v, ok := m.Core.(interface{ Version() cluster.Version }); ok && in(i) {
-			want[m.Name] = v.Version()
+		if v, ok := m.Core.(interface{ Incarnation() cluster.Incarnation }); ok && in(i) {
+			want[m.Name] = v.Incarnation()
 		}
 	}
 	for i, m := range f.Members {
@@ -335,11 +335,11 @@
 			continue
 		}
 		n := 0
-		for _, x := range m.Core.View() {
+		for _, x := range m.Core.Members() {
 			v, runs := want[x.Name]
 			switch {
-			case runs && (x.State != cluster.Alive || x.Version != v):
-				return fmt.Sprintf("%v: %s holds %s for %v %+v, and it is alive %+v", f.Now, m.Name, x.Name, x.State, x.Version, v)
+			case runs && (x.State != cluster.Alive || x.Incarnation != v):
+				return fmt.Sprintf("%v: %s holds %s for %v %+v, and it is alive %+v", f.Now, m.Name, x.Name, x.State, x.Incarnation, v)
 			case !runs && x.State < cluster.Dead:
 				return fmt.Sprintf("%v: %s holds %s for %v, and it does not run or is cut off", f.Now, m.Name, x.Name, x.State)
 			case runs:
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -60,7 +60,7 @@
 		members     int
 	}{{10 * time.Second, time.Hour, 20}, {3 * time.Minute, time.Hour, 40}, {10 * time.Minute, 2 * time.Minute, 21}, {10 * time.Minute, 2 * time.Minute, 2}} {
 		t.Run(fmt.Sprint(c.cut, c.forget, c.members), func(t *testing.T) {
-			f := all(t, Config{Members: c.members, Seed: 2, Core: cluster.Config{Forget: c.forget}})
+			f := all(t, Config{Members: c.members, Seed: 2, Core: cluster.Config{DeadMemberTTL: c.forget}})
 			f.Linked = halves(f)
 			f.Run(c.cut)
 			if c.cut > 2*time.Minute {
@@ -78,17 +78,17 @@
 // it does accuse.
 func TestStandingStill(t *testing.T) {
 	accused := func(plain bool) int {
-		f := all(t, Config{Members: 12, Seed: 3, Latency: 60 * time.Millisecond, Core: cluster.Config{Plain: plain}})
+		f := all(t, Config{Members: 12, Seed: 3, Latency: 60 * time.Millisecond, Core: cluster.Config{DisableLifeguard: plain}})
 		wrong := 0
-		f.Noted = func(i int, n cluster.Note) {
-			if i == 4 && n.Now == cluster.Suspect {
+		f.Noted = func(i int, n cluster.Transition) {
+			if i == 4 && n.To == cluster.Suspect {
 				wrong++
 			}
 		}
 		for range 8 {
 			// It stops right behind a probe's first datagram.
 			f.Sent = func(i int, a cluster.Action) {
-				if i == 4 && a.Msg.Kind == cluster.Ping {
+				if i == 4 && a.Message.Kind == cluster.Ping {
 					f.Freeze(4, 5*time.Second)
 					f.Sent = nil
 				}
@@ -118,7 +118,7 @@
 		if i == 3 {
 			continue
 		}
-		for _, x := range m.Core.View() {
+		for _, x := range m.Core.Members() {
 			if x.Name == "m0003" && x.State != cluster.Left {
 				t.Errorf("%s holds it for %v", m.Name, x.State)
 			}
@@ -177,7 +177,7 @@
 func TestCountInACut(t *testing.T) {
 	for _, told := range []int{2, 20, 200} {
 		f := all(t, Config{Members: 20, Seed: 7, Told: told})
-		count := func(i int) int { return f.Members[i].Core.(*cluster.Core).Stats().Count }
+		count := func(i int) int { return f.Members[i].Core.(*cluster.Core).Stats().EstimatedSize }
 		if told <= 20 && count(0) != 20 {
 			t.Errorf("told %d: %d before the cut", told, count(0))
 		}
@@ -217,23 +217,23 @@
 	rng := rand.New(rand.NewPCG(seed, 99))
 	members := 3 + rng.IntN(14)
 	c := Config{Members: members, Seed: seed, Latency: time.Duration(1+rng.IntN(20)) * time.Millisecond,
-		Core: cluster.Config{Probe: time.Second, Forget: time.Duration(1+rng.IntN(10)) * time.Minute}}
+		Core: cluster.Config{ProbeInterval: time.Second, DeadMemberTTL: time.Duration(1+rng.IntN(10)) * time.Minute}}
 	if rng.IntN(2) == 0 {
 		c.Loss, c.Double, c.Late, c.LateBy = 0.3*rng.Float64(), 0.1, 0.1, time.Second
 	}
 	f := New(c)
-	lives := map[[2]int]cluster.Version{} // the last of a name in a view of a process
+	lives := map[[2]int]cluster.Incarnation{} // the last of a name in a view of a process
 	number := func(name string) (n int) { fmt.Sscanf(name, "m%d", &n); return n }
-	f.Noted = func(i int, n cluster.Note) {
+	f.Noted = func(i int, n cluster.Transition) {
 		k := [2]int{i<<20 | int(f.Members[i].lives), number(n.Name)}
-		if strings.HasPrefix(n.Why, "is forgotten") {
+		if strings.HasPrefix(n.Reason, "is forgotten") {
 			delete(lives, k)
 			return
 		}
-		if was := lives[k]; n.Version.Compare(was) < 0 {
-			t.Errorf("seed %d, %v: %d: %s went back from %+v to %+v (%s)", seed, f.Now, i, n.Name, was, n.Version, n.Why)
+		if was := lives[k]; n.Incarnation.Compare(was) < 0 {
+			t.Errorf("seed %d, %v: %d: %s went back from %+v to %+v (%s)", seed, f.Now, i, n.Name, was, n.Incarnation, n.Reason)
 		}
-		lives[k] = n.Version
+		lives[k] = n.Incarnation
 	}
 	cut := map[[2]int]bool{}
 	f.Linked = func(from, to int) bool { return !cut[[2]int{from, to}] }
@@ -298,7 +298,7 @@
 	}
 	for _, m := range f.Members {
 		if core, ok := m.Core.(*cluster.Core); ok {
-			if s := core.Stats(); s.Refused > 0 || s.Known > members {
+			if s := core.Stats(); s.Rejected > 0 || s.KnownMembers > members {
 				t.Errorf("seed %d: %s: %+v", seed, m.Name, s)
 			}
 		}
--- a/internal/simulation/fleetsim/rival.go
+++ b/internal/simulation/fleetsim/rival.go
@@ -28,11 +28,11 @@
 
 func newHeartbeats(c cluster.Config, now time.Duration) Contestant {
 	return &heartbeats{cfg: c, now: now, due: now, seen: map[string]*heard{},
-		me: cluster.Entry{Name: c.Name, Addr: c.Self, Version: cluster.Version{Life: 1, Run: c.Run}}}
+		me: cluster.Entry{Name: c.Name, Addr: c.AdvertiseAddr, Incarnation: cluster.Incarnation{Generation: 1, ProcessID: c.ProcessID}}}
 }
 
-func (h *heartbeats) Version() cluster.Version             { return h.me.Version }
-func (h *heartbeats) Next() time.Duration                  { return h.due }
+func (h *heartbeats) Incarnation() cluster.Incarnation     { return h.me.Incarnation }
+func (h *heartbeats) NextTick() time.Duration              { return h.due }
 func (h *heartbeats) Leave(time.Duration) []cluster.Action { return nil }
 
 func (h *heartbeats) Receive(now time.Duration, m *cluster.Message) (out []cluster.Action) {
@@ -59,12 +59,12 @@
 func (h *heartbeats) turn(x *heard, s cluster.State) cluster.Action {
 	was := x.State
 	x.State, x.since = s, h.now
-	return cluster.Action{Do: cluster.Noted, Note: &cluster.Note{Name: x.Name, Version: x.Version, Was: was, Now: s, Why: "heartbeats"}}
+	return cluster.Action{Kind: cluster.MemberChanged, Transition: &cluster.Transition{Name: x.Name, Incarnation: x.Incarnation, From: was, To: s, Reason: "heartbeats"}}
 }
 
 func (h *heartbeats) Tick(now time.Duration) (out []cluster.Action) {
 	h.now = now
-	h.due = now + h.cfg.Probe
+	h.due = now + h.cfg.ProbeInterval
 	names := make([]string, 0, len(h.seen))
 	for name := range h.seen {
 		names = append(names, name)
@@ -72,18 +72,18 @@
 	slices.Sort(names)
 	for _, name := range names {
 		x := h.seen[name]
-		if x.State == cluster.Alive && now-x.last > silent*h.cfg.Probe {
+		if x.State == cluster.Alive && now-x.last > silent*h.cfg.ProbeInterval {
 			out = append(out, h.turn(x, cluster.Dead))
 		}
-		out = append(out, cluster.Action{Do: cluster.Send, To: x.Addr, Msg: &cluster.Message{Kind: cluster.Gossip, Fleet: h.cfg.Fleet, From: h.me}})
+		out = append(out, cluster.Action{Kind: cluster.Send, To: x.Addr, Message: &cluster.Message{Kind: cluster.Gossip, ClusterName: h.cfg.ClusterName, From: h.me}})
 	}
 	return out
 }
 
-func (h *heartbeats) View() []cluster.Member {
-	list := []cluster.Member{{Name: h.me.Name, Addr: h.me.Addr, Version: h.me.Version, Self: true}}
+func (h *heartbeats) Members() []cluster.Member {
+	list := []cluster.Member{{Name: h.me.Name, Addr: h.me.Addr, Incarnation: h.me.Incarnation, Self: true}}
 	for _, x := range h.seen {
-		list = append(list, cluster.Member{Name: x.Name, Addr: x.Addr, Version: x.Version, State: x.State, Since: x.since})
+		list = append(list, cluster.Member{Name: x.Name, Addr: x.Addr, Incarnation: x.Incarnation, State: x.State, Since: x.since})
 	}
 	slices.SortFunc(list, func(a, b cluster.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return list
--- a/internal/testcluster/hollow/hollow.go
+++ b/internal/testcluster/hollow/hollow.go
@@ -206,11 +206,11 @@
 	}
 	entries := make([]cluster.Entry, len(f.Members))
 	for i, m := range f.Members {
-		entries[i] = cluster.Entry{Name: m.Name, Addr: m.Addr, Version: cluster.Version{Life: 1, Run: m.running().part.Node.Process()}}
+		entries[i] = cluster.Entry{Name: m.Name, Addr: m.Addr, Incarnation: cluster.Incarnation{Generation: 1, ProcessID: m.running().part.Node.Process()}}
 	}
 	var frames [2][]byte // the second is for the first member, who would not believe itself
 	for i := range frames {
-		frame, err := gossip.Encode(&cluster.Message{Kind: cluster.SyncTell, Fleet: f.cfg.Name, From: entries[i%len(entries)], Entries: entries})
+		frame, err := gossip.Encode(&cluster.Message{Kind: cluster.PushPullResponse, ClusterName: f.cfg.Name, From: entries[i%len(entries)], Entries: entries})
 		if err != nil {
 			return err
 		}
@@ -239,7 +239,7 @@
 	}
 	if err := until(ctx, wait, func() string {
 		for _, m := range f.Members {
-			if n := m.View().Core.Queue; n > 0 {
+			if n := m.View().Core.QueuedBroadcasts; n > 0 {
 				time.Sleep(time.Second) // a member's answer costs it as much as it knows
 				return fmt.Sprintf("%s has %d to tell", m.Name, n)
 			}
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -195,7 +195,7 @@
 func (m *Member) viewed(others []cluster.Member, joined bool) {
 	v := &view{joined: joined, live: len(others)}
 	for i := range others {
-		v.hash += key(others[i].Name, others[i].Run)
+		v.hash += key(others[i].Name, others[i].ProcessID)
 	}
 	m.view.Store(v)
 }
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -356,8 +356,8 @@
 		within, seers = arg(2), arg(3)
 		differ = func(views map[int]gossip.State) string {
 			for n, v := range views {
-				if strconv.Itoa(v.Core.Count) != arg(1) {
-					return fmt.Sprintf("%d reckons with %d", n, v.Core.Count)
+				if strconv.Itoa(v.Core.EstimatedSize) != arg(1) {
+					return fmt.Sprintf("%d reckons with %d", n, v.Core.EstimatedSize)
 				}
 			}
 			return ""
@@ -412,14 +412,14 @@
 
 // disagreement is the first difference of the views from each other, or from what runs; empty: none.
 func (r *Rig) disagreement(views map[int]gossip.State) string {
-	lives := map[string]cluster.Version{}
+	lives := map[string]cluster.Incarnation{}
 	for n, v := range views {
 		if v.Name == "" {
 			return fmt.Sprintf("%s does not answer", r.members[n].name)
 		}
 		for _, m := range v.Members {
 			if m.Self {
-				lives[m.Name] = m.Version
+				lives[m.Name] = m.Incarnation
 			}
 		}
 	}
@@ -428,8 +428,8 @@
 		for _, m := range views[n].Members {
 			v, runs := lives[m.Name]
 			switch {
-			case runs && (m.State != cluster.Alive || m.Version != v):
-				return fmt.Sprintf("%s holds %s for %v %d.%d, and it is alive %d.%d", r.members[n].name, m.Name, m.State, m.Life, m.Inc, v.Life, v.Inc)
+			case runs && (m.State != cluster.Alive || m.Incarnation != v):
+				return fmt.Sprintf("%s holds %s for %v %d.%d, and it is alive %d.%d", r.members[n].name, m.Name, m.State, m.Generation, m.Refutations, v.Generation, v.Refutations)
 			case !runs && m.State < cluster.Dead:
 				return fmt.Sprintf("%s holds %s for %v, and it does not run or is apart", r.members[n].name, m.Name, m.State)
 			case runs:
