--- a/internal/cluster/gossip/format_test.go
+++ b/internal/cluster/gossip/format_test.go
@@ -18,27 +18,27 @@
 
 func formatEntry(name string, state cluster.State) cluster.Entry {
 	return cluster.Entry{
-		Name: name, Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Version: cluster.Version{Life: 2, Run: 1<<63 + 5, Inc: 300},
-		State: state, By: "accuser", Age: 1500 * time.Millisecond,
+		Name: name, Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Incarnation: cluster.Incarnation{Generation: 2, ProcessID: 1<<63 + 5, Refutations: 300},
+		State: state, ReportedBy: "accuser", Age: 1500 * time.Millisecond,
 	}
 }
 
 // formatMessage has every field that a message of this kind may carry.
 func formatMessage(kind cluster.Kind) *cluster.Message {
 	m := &cluster.Message{
-		Kind: kind, Fleet: "booking", From: formatEntry("sender", cluster.Alive), Seq: 70000, Target: "target",
+		Kind: kind, ClusterName: "booking", From: formatEntry("sender", cluster.Alive), Seq: 70000, Target: "target",
 		TargetAddr: netip.MustParseAddrPort("[2001:db8::1]:7946"),
 		Entries: []cluster.Entry{
 			formatEntry("a", cluster.Alive), formatEntry("b", cluster.Suspect), formatEntry("c", cluster.Dead), formatEntry("d", cluster.Left),
 		},
-		Words: []cluster.Word{
-			{Server: "upstream-1", Gone: true, BornMS: 1700000000000.5, By: "teller", Age: 2 * time.Second},
-			{Server: "upstream-2", BornMS: 0, By: "teller", Age: 3 * time.Second},
+		Notices: []cluster.EndpointNotice{
+			{Endpoint: "upstream-1", Removed: true, StartedMS: 1700000000000.5, ReportedBy: "teller", Age: 2 * time.Second},
+			{Endpoint: "upstream-2", StartedMS: 0, ReportedBy: "teller", Age: 3 * time.Second},
 		},
-		Buckets: 1 << 40, Join: true,
+		BucketMask: 1 << 40, Join: true,
 	}
 	if stamped(kind) {
-		m.Epoch, m.Number = 3, 17
+		m.ConfigEpoch, m.ConfigVersion = 3, 17
 	} else {
 		m.Digest = []uint64{1, 1 << 33, 7}
 	}
@@ -55,9 +55,9 @@
 	{"nack", cluster.Nack, 2},
 	{"ping-req", cluster.PingReq, 3},
 	{"gossip", cluster.Gossip, 4},
-	{"sync-ask", cluster.SyncAsk, 5},
-	{"sync-tell", cluster.SyncTell, 6},
-	{"sync-end", cluster.SyncEnd, 7},
+	{"sync-ask", cluster.PushPullRequest, 5},
+	{"sync-tell", cluster.PushPullResponse, 6},
+	{"sync-end", cluster.PushPullFinal, 7},
 }
 
 // A frame of each kind has the bytes that the fleet's other members read, and is read back whole.
@@ -83,8 +83,8 @@
 
 // A short frame, of a member that takes no configuration, carries neither stamp nor digest.
 func TestGossipFrameFormatWithoutStampIsStable(t *testing.T) {
-	message := &cluster.Message{Kind: cluster.Ping, Fleet: "booking", From: cluster.Entry{
-		Name: "sender", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Version: cluster.Version{Life: 1, Run: 5},
+	message := &cluster.Message{Kind: cluster.Ping, ClusterName: "booking", From: cluster.Entry{
+		Name: "sender", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Incarnation: cluster.Incarnation{Generation: 1, ProcessID: 5},
 	}, Seq: 1}
 	frame, err := Encode(message)
 	if err != nil {
@@ -126,14 +126,14 @@
 		Name: "m1", Fleet: "booking",
 		Members: []MemberState{{
 			Member: cluster.Member{
-				Name: "m2", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Version: cluster.Version{Life: 2, Run: 1<<63 + 5, Inc: 300},
-				State: cluster.Suspect, Since: 1500 * time.Millisecond, By: "accuser", Self: true,
+				Name: "m2", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Incarnation: cluster.Incarnation{Generation: 2, ProcessID: 1<<63 + 5, Refutations: 300},
+				State: cluster.Suspect, Since: 1500 * time.Millisecond, ReportedBy: "accuser", Self: true,
 			},
 			For: "1.5s",
 		}},
 		Core: cluster.Stats{
-			Joining: true, Health: 1, Known: 2, Live: 3, Count: 4, Queue: 5, Words: 6, Forgotten: 7, Refuted: 8, Stalls: 9, Conflicts: 10,
-			Foreign: 11, Refused: 12, Accused: 13, Buried: 14, Full: 15, Unasked: 16, LastStall: 17,
+			Joining: true, HealthScore: 1, KnownMembers: 2, LiveMembers: 3, EstimatedSize: 4, QueuedBroadcasts: 5, Notices: 6, ForgottenAddresses: 7, Refutations: 8, Stalls: 9, NameConflicts: 10,
+			ForeignMessages: 11, Rejected: 12, Suspicions: 13, DeclaredDead: 14, TableFull: 15, PushPullsThrottled: 16, LastStallNS: 17,
 		},
 		Network: NetworkState{
 			Outside: 1, Corrupt: 2, Version: 3, Full: 4, Unsent: 5, Datagrams: 6, Streams: 7, BytesOut: 8, BytesIn: 9, DatagramsIn: 10,
@@ -158,7 +158,7 @@
 	}
 
 	// Without what may be absent.
-	state.Members[0].By, state.Members[0].Self = "", false
+	state.Members[0].ReportedBy, state.Members[0].Self = "", false
 	if text, err = json.Marshal(state.Members); err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 
 // In a stream four bytes with the frame's length come first.
 func TestGossipStreamFormatIsStable(t *testing.T) {
-	message := formatMessage(cluster.SyncTell)
+	message := formatMessage(cluster.PushPullResponse)
 	frame, err := Encode(message)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/idempotency/stored_test.go
+++ b/internal/idempotency/stored_test.go
@@ -24,7 +24,7 @@
 	name string
 	Record
 }{
-	{"unsafe-open", Record{Effect: balancer.Unsafe, Class: "book", State: Open, Since: 1_796_191_200_001, Expires: 1_796_191_800_002,
+	{"unsafe-open", Record{Effect: balancer.NonIdempotent, Class: "book", State: Open, Since: 1_796_191_200_001, Expires: 1_796_191_800_002,
 		Places: []Place{{Zone: "a", Cell: 0, Sent: 1_796_191_200_003, Boot: 1}}}},
 	{"keyed-unknown", Record{Effect: balancer.Keyed, Class: "pay", State: Unknown, Since: 4, Expires: 5,
 		Places: []Place{{Zone: "zone-2", Cell: 7, Sent: 6, Boot: 0x01020304}, {Zone: "", Cell: -1, Sent: -8, Boot: 9}}}},
