--- a/cmd/hazelwing/ci_test.go
+++ b/cmd/hazelwing/ci_test.go
@@ -24,6 +24,9 @@
 		"deploy/balancer.toml": "build = \"true\"\n",
 		"a/a_test.go":          strings.Replace(red, "%s", "a", 1),
 		"b/b_test.go":          "package b\n\nimport \"testing\"\n\nfunc TestGreen(t *testing.T) {}\n",
+		// In place of the linter, which a small module has no use for. TestLinterRuns has one that complains.
+		"tools/golangci/go.mod":        "module small\n\ngo 1.26\n\ntool small/linter/golangci-lint\n",
+		"linter/golangci-lint/main.go": "package main\n\nfunc main() {}\n",
 	}
 	const line = "a TestRed, the pool forgets, under load, 43\n"
 	otherRed := strings.Replace(red, "%s", "b", 1)
@@ -73,3 +76,55 @@
 		})
 	}
 }
+
+// .ci/run asks the linter about the whole module, and fails when it complains.
+func TestLinterRuns(t *testing.T) {
+	script, err := os.ReadFile("../../.ci/run")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const linter = `package main
+
+import (
+	"fmt"
+	"os"
+)
+
+func main() {
+	fmt.Println("linter called with", os.Args[1:])
+	os.Exit(STATUS)
+}
+`
+	for _, test := range []struct {
+		name, status string
+		green        bool
+	}{
+		{"no complaint", "0", true},
+		{"a complaint", "1", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			dir := t.TempDir()
+			for name, text := range map[string]string{
+				"go.mod":                       "module small\n\ngo 1.26\n",
+				"README.md":                    "    go test ./...\n",
+				"deploy/balancer.toml":         "build = \"true\"\n",
+				"tools/golangci/go.mod":        "module small\n\ngo 1.26\n\ntool small/linter/golangci-lint\n",
+				"linter/golangci-lint/main.go": strings.Replace(linter, "STATUS", test.status, 1),
+				".ci/run":                      string(script),
+			} {
+				path := filepath.Join(dir, name)
+				if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o755), os.WriteFile(path, []byte(text), 0o600)); err != nil {
+					t.Fatal(err)
+				}
+			}
+			run := exec.CommandContext(t.Context(), "bash", ".ci/run")
+			run.Dir = dir
+			out, err := run.CombinedOutput()
+			const called = "linter called with [run ./...]"
+			if (err == nil) != test.green || !strings.Contains(string(out), called) {
+				t.Errorf("green is %v, want %v, with %q in\n%s", err == nil, test.green, called, out)
+			}
+		})
+	}
+}
