--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -11,11 +11,14 @@
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 
 	"hazelwing/internal/controlplane"
 	"hazelwing/internal/controlplane/origin"
+	"hazelwing/internal/ledger/guard"
 	"hazelwing/internal/load"
 	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/store"
 )
 
 // printed plays a command against a server that answers each path with a file of testdata/format, and gives its output and status.
@@ -121,3 +124,34 @@
 	}
 	fixture.Golden(t, "format/load-report.json", out.Bytes())
 }
+
+// What hazelwing store prints as JSON, and GET /ledger.
+func TestStoreOutputFormatIsStable(t *testing.T) {
+	at := time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC)
+	stats := store.Stats{
+		Entries: 1, Segments: 2, Bytes: 3, Live: 4, Damaged: 5, Unsynced: 6, Syncs: 7, Failures: 8, Compactions: 9, Dropped: 10, Lost: 11,
+	}
+	for name, v := range map[string]any{
+		"store-inspect": guard.Remembered{
+			Fingerprint: "0123", Class: "pay", Effect: "keyed", State: "open", Since: at, Expires: at.Add(time.Minute), Where: "a/0",
+		},
+		"store-verify": store.Segment{
+			Name: "00000001.log", Bytes: 1, Puts: 2, Deletes: 3, Damaged: 4, Tail: 5, Hint: "good", Fault: "why",
+		},
+		"store-compact": map[string]store.Stats{"before": stats, "after": stats},
+		"ledger-state": guard.State{
+			Durability: guard.Batch, Trouble: "why", Then: guard.Continue, Remembered: 1, Open: 2, Left: 3, OldestS: 4.5, Failed: 5, Refused: 6,
+			Undurable: 7, Unclosed: 8, WaitP50: 9.5, WaitP99: 10.5, Store: &stats,
+		},
+	} {
+		fixture.Filled(t, v)
+		fixture.ExplicitNames(t, "json", v)
+		var out bytes.Buffer
+		for _, one := range []any{v, reflect.Zero(reflect.TypeOf(v)).Interface()} {
+			if err := print(&out, one); err != nil {
+				t.Fatal(err)
+			}
+		}
+		fixture.Golden(t, "format/"+name+".json", out.Bytes())
+	}
+}
--- a/internal/standin/gqlnode/gqlnode.go
+++ b/internal/standin/gqlnode/gqlnode.go
@@ -194,7 +194,9 @@
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	case x.is(m.Half):
-		var whole struct{ Data map[string]json.RawMessage }
+		var whole struct {
+			Data map[string]json.RawMessage `json:"Data"`
+		}
 		json.Unmarshal(out, &whole)
 		keep := len(whole.Data) / 2
 		for key := range whole.Data {
--- a/internal/standin/gqlnode/traffic.go
+++ b/internal/standin/gqlnode/traffic.go
@@ -111,12 +111,14 @@
 // Claims reads what a response says of each mutation of one operation. An error says that it is no response.
 func Claims(body json.RawMessage, tokens []string) (list []Claim, err error) {
 	var r struct {
-		Data   map[string]json.RawMessage
+		Data   map[string]json.RawMessage `json:"Data"`
 		Errors []struct {
-			Message    string
-			Path       []any
-			Extensions struct{ Code string }
-		}
+			Message    string `json:"Message"`
+			Path       []any  `json:"Path"`
+			Extensions struct {
+				Code string `json:"Code"`
+			} `json:"Extensions"`
+		} `json:"Errors"`
 	}
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, err
