--- /dev/null
+++ b/internal/lab/capacity/format_test.go
@@ -0,0 +1,29 @@
+package capacity
+
+import (
+	"bytes"
+	"testing"
+
+	"hazelwing/internal/standin/fixture"
+)
+
+// The keys of an experiment's file are in tags: the files of the lab, which other tests play, hold their forms.
+func TestExperimentFileNamesAreExplicit(t *testing.T) {
+	fixture.ExplicitNames(t, "toml", Experiment{})
+}
+
+// A row of a file of results, as it is written and read.
+func TestCapacityResultFormatIsStable(t *testing.T) {
+	result := Result{Experiment: "e", Size: 590, Role: "sidecar", Phase: "quiet", Figure: "bytes sent", Unit: "B/s", Value: 1.5, N: 3}
+	fixture.Filled(t, result)
+	fixture.ExplicitNames(t, "json", result)
+	var out bytes.Buffer
+	if err := Write(&out, []Result{result, {}}); err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "results.json", out.Bytes())
+	read, err := Read("testdata/results-one.json")
+	if err != nil || len(read) != 1 || read[0] != result {
+		t.Errorf("%v: %+v", err, read)
+	}
+}
--- /dev/null
+++ b/internal/standin/format_test.go
@@ -0,0 +1,38 @@
+package standin
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"hazelwing/internal/standin/fixture"
+)
+
+// What the stand-in of discovery answers.
+func TestStandInListingFormatIsStable(t *testing.T) {
+	list := listing{Seq: 7, Whole: true, Hosts: []Host{{
+		Host: "upstream-1", Dial: "10.0.0.4:8080", Site: "a", Class: "m", Block: 2, Health: "SERVING", Share: 0.5, BornMS: 1700000000000.5,
+	}}}
+	fixture.Filled(t, list)
+	fixture.ExplicitNames(t, "json", list)
+	text, err := json.MarshalIndent(list, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "listing.json", append(text, '\n'))
+	var read listing
+	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
+	}
+}
+
+// The configuration that the stand-in of the platform gives.
+func TestStandInPlatformFormatIsStable(t *testing.T) {
+	traffic := new(Traffic)
+	traffic.Classes = []TrafficClass{{Name: "look", Effect: "safe", AimMS: 1.5, DeadlineMS: 2.5, Worth: 3.5, LateShare: 0.5}}
+	text, err := Platform(traffic, "127.0.0.1:1", "127.0.0.1:2", "00000000000000ff")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "platform.json", append(text, '\n'))
+}
