--- a/cmd/hazelwing/config.go
+++ b/cmd/hazelwing/config.go
@@ -58,7 +58,7 @@
 
 // pushed is what push prints as JSON.
 type pushed struct {
-	origin.Answer
+	origin.Result
 	After  uint64               `json:"after"`
 	Took   string               `json:"took,omitempty"`   // until the origins had it
 	Within string               `json:"within,omitempty"` // from then until all that can be reached acted on it; empty: they did not
@@ -97,15 +97,15 @@
 				if err != nil {
 					return fmt.Errorf("config: which version is the latest: %w", err)
 				}
-				p.After = s.Answer.Stamp.Version
+				p.After = s.Answer.Revision.Version
 			}
 			id = cmp.Or(id, rand.Text())
 			begun := time.Now()
-			if p.Answer, err = client.Push(timed(ctx), id, p.After, text); err != nil {
+			if p.Result, err = client.Push(timed(ctx), id, p.After, text); err != nil {
 				return fmt.Errorf("config: %w; whether it was accepted is not known: push again with --id %s --after %d", err, id, p.After)
 			}
 			p.Took = time.Since(begun).Round(time.Millisecond).String()
-			if p.Outcome == origin.Accepted && wait > 0 {
+			if p.Outcome == origin.OutcomeAccepted && wait > 0 {
 				waitInForce(ctx, client, &p, wait)
 			}
 			if err := showPushed(cmd.OutOrStdout(), &p, f.asJSON); err != nil {
@@ -134,7 +134,7 @@
 	for {
 		if s, err := client.Status(timed(ctx)); err == nil {
 			p.Report = &s.Report
-			if inForce(&s.Report, p.Stamp) {
+			if inForce(&s.Report, p.Revision) {
 				p.Within = time.Since(begun).Round(time.Millisecond).String()
 				return
 			}
@@ -147,11 +147,11 @@
 }
 
 // inForce says whether all that are counted act on a stamp or a later one. Who is cut off counts for nothing: it is named.
-func inForce(r *controlplane.Report, s controlplane.Stamp) bool {
+func inForce(r *controlplane.Report, s controlplane.Revision) bool {
 	n := 0
-	for _, a := range r.Acting {
-		if a.Stamp.Compare(s) >= 0 {
-			n += a.N
+	for _, a := range r.Active {
+		if a.Revision.Compare(s) >= 0 {
+			n += a.Count
 		}
 	}
 	return r.Members > 0 && n == r.Members
@@ -159,20 +159,20 @@
 
 func pushVerdict(p *pushed, file string, wait time.Duration) error {
 	switch p.Outcome {
-	case origin.Accepted:
-	case origin.Conflict:
-		return fmt.Errorf("config: another change came first: the latest is %v, and this one was made after version %d", p.Stamp, p.After)
-	case origin.Refused:
-		return fmt.Errorf("config: not accepted: %s", strings.ReplaceAll(p.Err, "\n", "\n"+file+":"))
+	case origin.OutcomeAccepted:
+	case origin.OutcomeConflict:
+		return fmt.Errorf("config: another change came first: the latest is %v, and this one was made after version %d", p.Revision, p.After)
+	case origin.OutcomeRejected:
+		return fmt.Errorf("config: not accepted: %s", strings.ReplaceAll(p.Error, "\n", "\n"+file+":"))
 	default:
-		return fmt.Errorf("config: %s: %s; it may come to be: push again with --id %s --after %d", p.Outcome, p.Err, p.ID, p.After)
+		return fmt.Errorf("config: %s: %s; it may come to be: push again with --id %s --after %d", p.Outcome, p.Error, p.ID, p.After)
 	}
 	if wait > 0 && p.Within == "" {
 		text := "nobody has told whether it acts on it"
 		if p.Report != nil {
-			text = fmt.Sprintf("%d lack it", len(p.Report.Lacking)+p.Report.More)
+			text = fmt.Sprintf("%d lack it", len(p.Report.Laggards)+p.Report.UnnamedLaggards)
 		}
-		return exitStatus{fmt.Errorf("config: accepted as %v, and not in force everywhere within %v: %s", p.Stamp, wait, text), lacking}
+		return exitStatus{fmt.Errorf("config: accepted as %v, and not in force everywhere within %v: %s", p.Revision, wait, text), lacking}
 	}
 	return nil
 }
@@ -181,7 +181,7 @@
 	if asJSON {
 		return print(w, p)
 	}
-	fmt.Fprintf(w, "%s: %v, id %s, after version %d, %s\n", p.Outcome, p.Stamp, p.ID, p.After, p.Took)
+	fmt.Fprintf(w, "%s: %v, id %s, after version %d, %s\n", p.Outcome, p.Revision, p.ID, p.After, p.Took)
 	if p.Within != "" {
 		fmt.Fprintf(w, "in force at %d sidecars %s later\n", p.Report.Members, p.Within)
 	}
@@ -214,17 +214,17 @@
 			if f.asJSON {
 				err = print(out, s)
 			} else {
-				fmt.Fprintf(out, "%s: %s, epoch %d, the latest is %v\n", s.Self, s.Part, s.Epoch, s.Stamp)
+				fmt.Fprintf(out, "%s: %s, epoch %d, the latest is %v\n", s.Self, s.Role, s.Epoch, s.Revision)
 				err = showReport(out, &s.Report)
 			}
 			switch {
 			case err != nil:
 				return err
-			case s.Part != origin.Leads && s.Part != origin.Follows:
-				return exitStatus{fmt.Errorf("config: %s takes no changes: %s", s.Self, s.Part), lacking}
-			case s.Ahead.Compare(s.Stamp) > 0:
+			case s.Role != origin.RoleLeader && s.Role != origin.RoleFollower:
+				return exitStatus{fmt.Errorf("config: %s takes no changes: %s", s.Self, s.Role), lacking}
+			case s.Ahead.Compare(s.Revision) > 0:
 				return exitStatus{fmt.Errorf("config: sidecars act on %v, which is later than what the origins have: found a higher epoch", s.Ahead), lacking}
-			case s.Report.Members > 0 && !inForce(&s.Report, s.Stamp):
+			case s.Report.Members > 0 && !inForce(&s.Report, s.Revision):
 				return exitStatus{errors.New("config: the latest is not in force everywhere"), lacking}
 			}
 			return nil
@@ -237,20 +237,20 @@
 func showReport(w io.Writer, r *controlplane.Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SIDECARS\tACT ON")
-	for _, a := range r.Acting {
-		fmt.Fprintf(t, "%d\t%v\n", a.N, a.Stamp)
+	for _, a := range r.Active {
+		fmt.Fprintf(t, "%d\t%v\n", a.Count, a.Revision)
 	}
-	if r.Others > 0 {
-		fmt.Fprintf(t, "%d\tothers\n", r.Others)
+	if r.OtherRevisions > 0 {
+		fmt.Fprintf(t, "%d\tothers\n", r.OtherRevisions)
 	}
-	if len(r.Lacking) > 0 {
+	if len(r.Laggards) > 0 {
 		fmt.Fprintln(t, "LACKS\tACTS ON\tWHY\tBELOW\tERROR")
 	}
-	for _, l := range r.Lacking {
-		fmt.Fprintf(t, "%s\t%v\t%s\t%d\t%s\n", l.Name, l.Acts, l.Why, l.Below, cmp.Or(l.Err, "-"))
+	for _, l := range r.Laggards {
+		fmt.Fprintf(t, "%s\t%v\t%s\t%d\t%s\n", l.Name, l.Active, l.Reason, l.Descendants, cmp.Or(l.Error, "-"))
 	}
-	if r.More > 0 {
-		fmt.Fprintf(t, "and %d more\n", r.More)
+	if r.UnnamedLaggards > 0 {
+		fmt.Fprintf(t, "and %d more\n", r.UnnamedLaggards)
 	}
 	return t.Flush()
 }
@@ -273,11 +273,11 @@
 			}
 			if f.asJSON {
 				return print(cmd.OutOrStdout(), struct {
-					Stamp controlplane.Stamp `json:"stamp"`
-					Text  string             `json:"text"`
-				}{s.Frame.Stamp, string(s.Frame.Text)})
+					Stamp controlplane.Revision `json:"stamp"`
+					Text  string                `json:"text"`
+				}{s.Frame.Revision, string(s.Frame.Text)})
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "# %v\n%s", s.Frame.Stamp, s.Frame.Text)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "# %v\n%s", s.Frame.Revision, s.Frame.Text)
 			return err
 		},
 	}
@@ -308,8 +308,8 @@
 // readSnapshot reads a file and checks it; its error names the file at each fault.
 func readSnapshot(path string) ([]byte, error) {
 	info, err := os.Stat(path)
-	if err == nil && info.Size() > controlplane.MaxText {
-		err = fmt.Errorf("%s:1:1: %d bytes are more than %d", path, info.Size(), controlplane.MaxText)
+	if err == nil && info.Size() > controlplane.MaxSnapshotSize {
+		err = fmt.Errorf("%s:1:1: %d bytes are more than %d", path, info.Size(), controlplane.MaxSnapshotSize)
 	}
 	if err != nil {
 		return nil, err
@@ -318,7 +318,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := controlplane.Parse(text); err != nil {
+	if _, err := controlplane.ParseSnapshot(text); err != nil {
 		return nil, errors.New(path + ":" + strings.ReplaceAll(err.Error(), "\n", "\n"+path+":"))
 	}
 	return text, nil
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -84,13 +84,13 @@
 }
 
 // pushed pushes until it is accepted, by the same ID, as an operator would whose origin has no leader for a moment.
-func (r *configRig) pushed(k int, file string) (controlplane.Stamp, time.Time) {
+func (r *configRig) pushed(k int, file string) (controlplane.Revision, time.Time) {
 	r.t.Helper()
 	begun := time.Now()
 	for id := fmt.Sprintf("push-%d", r.pushes); ; {
 		p, err := r.push(k, file, "--wait", "0", "--id", id)
-		if p.Outcome == origin.Accepted {
-			return p.Stamp, begun
+		if p.Outcome == origin.OutcomeAccepted {
+			return p.Revision, begun
 		}
 		if time.Since(begun) > 2*testutil.Patience {
 			r.fail(fmt.Errorf("not accepted: %+v, %v", p, err))
@@ -99,12 +99,12 @@
 }
 
 // times are when a group's members put a stamp in force, or a later one, as their logs say.
-func (r *configRig) times(s controlplane.Stamp, group []int) map[int]time.Time {
+func (r *configRig) times(s controlplane.Revision, group []int) map[int]time.Time {
 	out := map[int]time.Time{}
 	for _, n := range group {
 		for l := range strings.Lines(r.Log(n)) {
 			_, rest, ok := strings.Cut(l, `msg="config: in force" stamp=`)
-			var got controlplane.Stamp
+			var got controlplane.Revision
 			if !ok {
 				continue
 			}
@@ -124,7 +124,7 @@
 
 // inForce waits until all of a group act on a stamp or a later one, and logs how long after an instant 50, 99 and 100 in 100 did. all
 // is the most it may take in the long form; 0: as long as the patience lasts, for who was away.
-func (r *configRig) inForce(what string, s controlplane.Stamp, since time.Time, group []int, all time.Duration) {
+func (r *configRig) inForce(what string, s controlplane.Revision, since time.Time, group []int, all time.Duration) {
 	r.t.Helper()
 	var at map[int]time.Time
 	begun := time.Now()
@@ -167,7 +167,7 @@
 func (r *configRig) leader() (k int) {
 	testutil.Until(r.t, "an origin leads", func() bool {
 		for k = 1; k <= r.origins; k++ {
-			if s, err := transport.NewClient("rig", r.Origin(k)).Status(r.t.Context()); err == nil && s.Part == origin.Leads {
+			if s, err := transport.NewClient("rig", r.Origin(k)).Status(r.t.Context()); err == nil && s.Role == origin.RoleLeader {
 				return true
 			}
 		}
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -53,7 +53,7 @@
 	}
 	// Past the command's own check.
 	a, err := transport.NewClient("rig", r.Origin(1)).Push(t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
-	if err != nil || a.Outcome != origin.Refused || !strings.Contains(a.Err, "2:1: limits.max_attempts") {
+	if err != nil || a.Outcome != origin.OutcomeRejected || !strings.Contains(a.Error, "2:1: limits.max_attempts") {
 		t.Errorf("%+v, %v", a, err)
 	}
 	if _, err := transport.NewClient("other", r.Origin(1)).Push(t.Context(), "four", 1, text); err == nil || !strings.Contains(err.Error(), "another fleet's") {
@@ -67,7 +67,7 @@
 		out, err := run("status", "--json")
 		return json.Unmarshal([]byte(out), &s) == nil && err == nil && s.Report.Members == 3
 	})
-	if s.Part != origin.Leads || s.Stamp.Version != 1 || len(s.Report.Acting) != 1 || s.Report.Acting[0].N != 3 {
+	if s.Role != origin.RoleLeader || s.Revision.Version != 1 || len(s.Report.Active) != 1 || s.Report.Active[0].Count != 3 {
 		t.Errorf("%+v", s)
 	}
 	if _, err := execute("config", "status"); err == nil || !strings.Contains(err.Error(), "--origin and --fleet are wanted") {
@@ -88,10 +88,10 @@
 
 	// Without any origin.
 	r.play("kill o1")
-	r.inForce("before the origin went", controlplane.Stamp{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
-	testutil.Until(t, "it is kept", func() bool { s := r.state(2); return s.Acts.Version == 2 })
+	r.inForce("before the origin went", controlplane.Revision{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
+	testutil.Until(t, "it is kept", func() bool { s := r.state(2); return s.Active.Version == 2 })
 	r.play("kill all\nstart all")
-	if s := r.state(2); s.Ready || !s.Kept || s.LastKnown == "" || s.Acts.Version != 2 {
+	if s := r.state(2); s.Ready || !s.FromCache || s.LastKnown == "" || s.Active.Version != 2 {
 		t.Errorf("it takes requests and does not say that it acts on its last known one: %+v", s)
 	}
 	if !strings.Contains(r.Log(2), "acting on the last known one, 1.2, confirmed") {
@@ -143,7 +143,7 @@
 		r.t.Fatalf("%v, %v", err, resp)
 	}
 	resp.Body.Close()
-	if s := r.state(1); s.Serves.Foreign == 0 || s.Acts.Version != 1 {
+	if s := r.state(1); s.Serves.Foreign == 0 || s.Active.Version != 1 {
 		r.t.Errorf("%+v", s)
 	}
 }
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -16,7 +16,7 @@
 )
 
 // more are the faults of the long form: 30 members, 5 origins, of which a third is in no area that is cut.
-func (r *configRig) more(s controlplane.Stamp) {
+func (r *configRig) more(s controlplane.Revision) {
 	t := r.t
 	without := func(list []int) []int {
 		return slices.DeleteFunc(r.all(), func(n int) bool { return slices.Contains(list, n) })
@@ -60,8 +60,8 @@
 				if err != nil {
 					continue
 				}
-				a, err := c.Push(t.Context(), fmt.Sprintf("flood-%d-%d", i, j), seen.Answer.Stamp.Version, fmt.Appendf(nil, "# flood %d %d\n", i, j))
-				if err == nil && a.Outcome == origin.Accepted {
+				a, err := c.Push(t.Context(), fmt.Sprintf("flood-%d-%d", i, j), seen.Answer.Revision.Version, fmt.Appendf(nil, "# flood %d %d\n", i, j))
+				if err == nil && a.Outcome == origin.OutcomeAccepted {
 					accepted[i]++
 				}
 			}
@@ -74,10 +74,10 @@
 
 	// As large as a snapshot may be, and what packs badly.
 	b := new(strings.Builder)
-	for i := 0; b.Len() < controlplane.MaxText-200; i++ {
-		fmt.Fprintf(b, "# %x\n", controlplane.HashOf(fmt.Append(nil, i)))
+	for i := 0; b.Len() < controlplane.MaxSnapshotSize-200; i++ {
+		fmt.Fprintf(b, "# %x\n", controlplane.HashText(fmt.Append(nil, i)))
 	}
-	s, at = r.pushed(2, r.file(b.String()[:controlplane.MaxText-200]))
+	s, at = r.pushed(2, r.file(b.String()[:controlplane.MaxSnapshotSize-200]))
 	r.inForce("a snapshot of 256 KiB", s, at, r.all(), soon)
 	s, _ = r.pushed(2, r.file(""))
 
@@ -115,14 +115,14 @@
 	}
 	testutil.Until(t, "the origin has what its store is to lose", func() bool {
 		st, err := transport.NewClient("rig", r.Origin(5)).Status(t.Context())
-		return err == nil && st.Stamp == s
+		return err == nil && st.Revision == s
 	})
 	r.play("kill o5")
 	restore(5, yesterday)
 	r.play("start o5")
 	testutil.Until(t, "the origin says that its store was rolled back", func() bool {
 		st, err := transport.NewClient("rig", r.Origin(5)).Status(t.Context())
-		return err == nil && st.Part == origin.Rolled
+		return err == nil && st.Role == origin.RoleRolledBack
 	})
 	s, at = r.pushed(1, r.file(""))
 	r.inForce("with an origin whose store was rolled back", s, at, r.all(), soon)
@@ -155,8 +155,8 @@
 		t.Logf("a push is turned away: %v", err)
 	}
 	for _, n := range r.all() {
-		if st := r.state(n); st.Acts.Compare(s) != 0 {
-			t.Errorf("m%02d acts on %v after the origins were rolled back, and on %v before", n, st.Acts, s)
+		if st := r.state(n); st.Active.Compare(s) != 0 {
+			t.Errorf("m%02d acts on %v after the origins were rolled back, and on %v before", n, st.Active, s)
 		}
 	}
 	r.play("kill origins")
--- a/cmd/hazelwing/origin.go
+++ b/cmd/hazelwing/origin.go
@@ -50,7 +50,7 @@
 			if err != nil {
 				return err
 			}
-			err = origin.Found(st, origin.Founding{Fleet: o.Fleet, Epoch: uint64(o.Epoch), Origins: o.Names})
+			err = origin.Bootstrap(st, origin.BootstrapConfig{Cluster: o.Fleet, Epoch: uint64(o.Epoch), Origins: o.Names})
 			if err = errors.Join(err, st.Close()); err != nil {
 				return fmt.Errorf("origin: %s: %w", o.Dir, err)
 			}
@@ -86,7 +86,7 @@
 	defer func() { err = errors.Join(err, st.Close()) }()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	node, err := transport.NewOrigin(transport.OriginConfig{Store: st, Listen: o.Listen, Peers: o.Addrs, Allowed: o.Allowed, Log: log,
-		Node: origin.Config{Founding: origin.Founding{Fleet: o.Fleet, Epoch: uint64(o.Epoch), Origins: o.Names}, Self: o.Name, Seed: rand.Uint64(), TickEvery: time.Duration(o.Tick)}})
+		Node: origin.Config{BootstrapConfig: origin.BootstrapConfig{Cluster: o.Fleet, Epoch: uint64(o.Epoch), Origins: o.Names}, Self: o.Name, Seed: rand.Uint64(), TickInterval: time.Duration(o.Tick)}})
 	if err != nil {
 		return fmt.Errorf("origin: %w", err)
 	}
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -8,32 +8,32 @@
 
 // The bounds of what travels.
 const (
-	MaxText    = 256 << 10 // bytes of a snapshot's text
-	MaxStamps  = 8         // stamps that a Report counts by themselves
-	MaxLacking = 64        // members that a Report names
-	MaxError   = 200       // bytes of an error in a Report
-	MaxName    = 128       // bytes of a member's name in a Report; a longer one is cut
+	MaxSnapshotSize   = 256 << 10 // bytes of a snapshot's text
+	MaxRevisionCounts = 8         // stamps that a Report counts by themselves
+	MaxLaggards       = 64        // members that a Report names
+	MaxErrorLength    = 200       // bytes of an error in a Report
+	MaxNameLength     = 128       // bytes of a member's name in a Report; a longer one is cut
 	// MaxReport is how long a Report is at most as JSON, in bytes; a frame that is longer is none.
-	MaxReport = 48 << 10
+	MaxReportSize = 48 << 10
 )
 
 // Stamp says which snapshot it is. The zero Stamp is that of having none.
-type Stamp struct {
+type Revision struct {
 	Epoch   uint64 `json:"epoch"`   // set by the operator where origins are founded
 	Version uint64 `json:"version"` // of the origins' log: the number of changes accepted in the epoch, from 1
 	Hash    string `json:"hash"`    // hexadecimal SHA-256 over the text; empty where only the order is known, as in datagrams
 }
 
 // Compare orders by epoch, then by version: -1, 0 or 1. Two that are equal with different hashes are in conflict.
-func (s Stamp) Compare(t Stamp) int {
+func (s Revision) Compare(t Revision) int {
 	return cmp.Or(cmp.Compare(s.Epoch, t.Epoch), cmp.Compare(s.Version, t.Version))
 }
 
 // None says whether it is the stamp of having none.
-func (s Stamp) None() bool { return s.Epoch == 0 && s.Version == 0 }
+func (s Revision) IsZero() bool { return s.Epoch == 0 && s.Version == 0 }
 
-func (s Stamp) String() string {
-	if s.None() {
+func (s Revision) String() string {
+	if s.IsZero() {
 		return "none"
 	}
 	return fmt.Sprintf("%d.%d", s.Epoch, s.Version)
@@ -41,14 +41,14 @@
 
 // Frame is a snapshot as it travels: always whole.
 type Frame struct {
-	Fleet string `json:"fleet"`
-	Stamp Stamp  `json:"stamp"`
-	Text  []byte `json:"text"`
+	Cluster  string   `json:"fleet"`
+	Revision Revision `json:"stamp"`
+	Text     []byte   `json:"text"`
 }
 
 // Snapshot is a text that was checked. It is not changed once made, and may be shared by goroutines.
 type Snapshot struct {
-	Stamp    Stamp
+	Revision Revision
 	Text     []byte
 	Settings Settings
 }
@@ -109,50 +109,50 @@
 type Event interface{ followerEvent() }
 
 // Offered is a whole snapshot from the upstream, or from a peer that was asked by Fetch.
-type Offered struct {
+type SnapshotReceived struct {
 	From  string
 	Frame Frame
 }
 
 // Confirmed is that the upstream is followed, and has nothing later than what is held: once a second at most.
-type Confirmed struct{ From string }
+type UpstreamConfirmed struct{ From string }
 
 // Lost is that the upstream is followed no more. What is in force stays.
-type Lost struct{ From string }
+type UpstreamLost struct{ From string }
 
 // PeerStamp is what another member holds, as its datagrams say: a hint, which alone changes nothing that is held.
-type PeerStamp struct {
-	Name  string
-	Addr  string
-	Stamp Stamp // without hash
+type PeerRevision struct {
+	Name     string
+	Address  string
+	Revision Revision // without hash
 }
 
 // Applied answers an Apply: exactly once for each, in order.
-type Applied struct {
-	Stamp Stamp
-	Err   error // nil: it is in force; else the one before it is, whole
+type ApplyResult struct {
+	Revision Revision
+	Err      error // nil: it is in force; else the one before it is, whole
 }
 
 // Reported is the sum of a follower and of those below it; From is its name.
-type Reported struct {
+type ReportReceived struct {
 	From   string
 	Report Report
 }
 
 // Gone is that a follower's connection has ended.
-type Gone struct{ From string }
+type SubscriberDisconnected struct{ From string }
 
 // Tick is that time has passed. It is due at Follower.Next, and does no harm earlier.
 type Tick struct{}
 
-func (Offered) followerEvent()   {}
-func (Confirmed) followerEvent() {}
-func (Lost) followerEvent()      {}
-func (PeerStamp) followerEvent() {}
-func (Applied) followerEvent()   {}
-func (Reported) followerEvent()  {}
-func (Gone) followerEvent()      {}
-func (Tick) followerEvent()      {}
+func (SnapshotReceived) followerEvent()       {}
+func (UpstreamConfirmed) followerEvent()      {}
+func (UpstreamLost) followerEvent()           {}
+func (PeerRevision) followerEvent()           {}
+func (ApplyResult) followerEvent()            {}
+func (ReportReceived) followerEvent()         {}
+func (SubscriberDisconnected) followerEvent() {}
+func (Tick) followerEvent()                   {}
 
 // Action is what a Follower wants done: Apply, Keep, Publish, Fetch, SendReport or Noted. The caller carries them out in order.
 type Action interface{ followerAction() }
@@ -161,7 +161,7 @@
 type Apply struct{ Snapshot *Snapshot }
 
 // Keep stores what is to be held at the next start, in place of what was kept. It may be left undone while the disk fails.
-type Keep struct{ Last Kept }
+type Save struct{ Cached CachedSnapshot }
 
 // Publish is the frame that those who follow this member are to get from now on, in place of any before it that is not sent yet. It
 // may be one that this member itself refuses (an older program): those below must not lack it for that.
@@ -169,99 +169,99 @@
 
 // Fetch asks a peer once for its snapshot, which comes back as Offered. Without an answer there is nothing to tell.
 type Fetch struct {
-	Name, Addr string
-	Stamp      Stamp // that it is to hold at least
+	Name, Address string
+	Revision      Revision // that it is to hold at least
 }
 
 // SendReport goes to the upstream, in place of any before it that is not sent yet.
 type SendReport struct{ Report Report }
 
 // Noted is for the log. Repeats of one Kind come at most once in 10 s, with how many there were.
-type Noted struct {
+type LogMessage struct {
 	Kind  string // "in force", "refused", "conflict", "older", "broken", "foreign", "fetch"
 	Text  string
 	Count int // of this kind since the last Noted of it, this one included
 }
 
 func (Apply) followerAction()      {}
-func (Keep) followerAction()       {}
+func (Save) followerAction()       {}
 func (Publish) followerAction()    {}
 func (Fetch) followerAction()      {}
 func (SendReport) followerAction() {}
-func (Noted) followerAction()      {}
+func (LogMessage) followerAction() {}
 
 // Kept is what a member holds over a restart.
-type Kept struct {
-	Frame   Frame // that was in force
-	Highest Stamp // of all that were ever taken: older ones are refused
+type CachedSnapshot struct {
+	Frame   Frame    `json:"Frame"`   // that was in force
+	Highest Revision `json:"Highest"` // of all that were ever taken: older ones are refused
 }
 
 // FollowerConfig is a Follower's.
 type FollowerConfig struct {
-	Fleet string
-	Self  string // its member name
-	Last  *Kept  // from the last run; nil: none
+	Cluster string
+	Self    string          // its member name
+	Cached  *CachedSnapshot // from the last run; nil: none
 	// Round is how long the upstream has to bring what a peer is known to hold; 300 ms.
-	Round time.Duration
+	FetchDelay time.Duration
 	// ReportEvery is the least time between two reports upward, 100 ms, and Refresh the most, 10 s. Gather is how long a change waits
 	// for others to be told with it; 30 ms.
-	ReportEvery, Refresh, Gather time.Duration
+	MinReportInterval, MaxReportInterval, ReportDelay time.Duration
 	// NameAfter is how long after a new snapshot those who are still behind are named and not only counted; 1 s. Most need less, and
 	// their names would be the most of what reports carry.
-	NameAfter time.Duration
+	LaggardGracePeriod time.Duration
 	// CutFor is how long a follower that is gone is named as cut; 60 s. It counts no more from the moment it is gone.
-	CutFor time.Duration
+	DisconnectedRetention time.Duration
 	// Parse checks a text; nil: Parse. A member of an older program has another one.
 	Parse func(text []byte) (*Snapshot, error)
 }
 
 // Report is the sum over a member, or an origin, and all who have the snapshot by way of it.
 type Report struct {
-	Members int          `json:"members"`           // all that are counted, each once
-	Latest  Stamp        `json:"latest"`            // the highest that any of them holds
-	Acting  []StampCount `json:"acting,omitempty"`  // by stamp, highest first, at most MaxStamps
-	Others  int          `json:"others,omitempty"`  // that act on still other ones
-	Lacking []Lack       `json:"lacking,omitempty"` // who does not act on the latest, at most MaxLacking
-	More    int          `json:"more,omitempty"`    // and so many more who are not named
+	Members         int             `json:"members"`           // all that are counted, each once
+	Latest          Revision        `json:"latest"`            // the highest that any of them holds
+	Active          []RevisionCount `json:"acting,omitempty"`  // by stamp, highest first, at most MaxStamps
+	OtherRevisions  int             `json:"others,omitempty"`  // that act on still other ones
+	Laggards        []Laggard       `json:"lacking,omitempty"` // who does not act on the latest, at most MaxLacking
+	UnnamedLaggards int             `json:"more,omitempty"`    // and so many more who are not named
 }
 
 // StampCount is how many act on a snapshot.
-type StampCount struct {
-	Stamp Stamp `json:"stamp"`
-	N     int   `json:"n"`
+type RevisionCount struct {
+	Revision Revision `json:"stamp"`
+	Count    int      `json:"n"`
 }
 
 // Reason says why a member does not act on the latest snapshot.
-type Reason string
+type LaggardReason string
 
 // The reasons.
 const (
-	Behind  Reason = "behind"  // it has not said yet that it does
-	Cut     Reason = "cut"     // its connection has ended, and it was not heard of by another way
-	Refused Reason = "refused" // it cannot use it: Err says why
+	ReasonBehind       LaggardReason = "behind"  // it has not said yet that it does
+	ReasonDisconnected LaggardReason = "cut"     // its connection has ended, and it was not heard of by another way
+	ReasonRejected     LaggardReason = "refused" // it cannot use it: Err says why
 )
 
 // Lack is a member that does not act on the latest snapshot.
-type Lack struct {
-	Name  string `json:"name"`
-	Acts  Stamp  `json:"acts"` // what it acts on, as last heard
-	Why   Reason `json:"why"`
-	Err   string `json:"err,omitempty"`   // Refused: the first MaxError bytes
-	Below int    `json:"below,omitempty"` // so many more behind it for the same reason, who are not named
+type Laggard struct {
+	Name        string        `json:"name"`
+	Active      Revision      `json:"acts"` // what it acts on, as last heard
+	Reason      LaggardReason `json:"why"`
+	Error       string        `json:"err,omitempty"`   // Refused: the first MaxError bytes
+	Descendants int           `json:"below,omitempty"` // so many more behind it for the same reason, who are not named
 }
 
 // FollowerStats count since the start; the rest is now.
 type FollowerStats struct {
-	Held      Stamp         `json:"held"` // what is passed on
-	Acts      Stamp         `json:"acts"` // what is in force
-	Highest   Stamp         `json:"-"`    // of all that were ever taken
-	Kept      bool          `json:"kept"` // what is in force is from the last run: no upstream has confirmed it yet
-	Since     time.Duration `json:"-"`    // when what is in force was confirmed last, on the caller's clock
-	Refused   int           `json:"refused"`
-	Older     int           `json:"older"`
-	Conflicts int           `json:"conflicts"`
-	Broken    int           `json:"broken"` // hash, size or stamp wrong
-	Foreign   int           `json:"foreign"`
-	Fetches   int           `json:"fetches"`
-	Crowded   int           `json:"crowded"` // reports not taken: too many followers
+	Published      Revision      `json:"held"` // what is passed on
+	Active         Revision      `json:"acts"` // what is in force
+	Highest        Revision      `json:"-"`    // of all that were ever taken
+	FromCache      bool          `json:"kept"` // what is in force is from the last run: no upstream has confirmed it yet
+	ConfirmedAt    time.Duration `json:"-"`    // when what is in force was confirmed last, on the caller's clock
+	Rejected       int           `json:"refused"`
+	Stale          int           `json:"older"`
+	Conflicts      int           `json:"conflicts"`
+	Corrupt        int           `json:"broken"` // hash, size or stamp wrong
+	Foreign        int           `json:"foreign"`
+	Fetches        int           `json:"fetches"`
+	DroppedReports int           `json:"crowded"` // reports not taken: too many followers
 }
--- a/internal/controlplane/note.go
+++ b/internal/controlplane/note.go
@@ -10,7 +10,7 @@
 const noteEvery = 10 * time.Second
 
 // Notes lets each kind of line through once in 10 s, and counts those between. The zero value is ready; kinds are few and fixed.
-type Notes struct{ kinds map[string]*noted }
+type LogThrottle struct{ kinds map[string]*noted }
 
 type noted struct {
 	due   time.Duration // of the next line
@@ -19,7 +19,7 @@
 }
 
 // Add takes a line in; true: it is to be logged now, with how many there were.
-func (n *Notes) Add(now time.Duration, kind, text string) (int, bool) {
+func (n *LogThrottle) Add(now time.Duration, kind, text string) (int, bool) {
 	if n.kinds == nil {
 		n.kinds = map[string]*noted{}
 	}
@@ -39,7 +39,7 @@
 }
 
 // Due gives the lines that were held back and are due.
-func (n *Notes) Due(now time.Duration, each func(kind, text string, count int)) {
+func (n *LogThrottle) Flush(now time.Duration, each func(kind, text string, count int)) {
 	for _, kind := range slices.Sorted(maps.Keys(n.kinds)) {
 		if k := n.kinds[kind]; k.count > 0 && now >= k.due {
 			each(kind, k.text, k.count)
@@ -49,7 +49,7 @@
 }
 
 // Next is when a line that was held back is due; false: none is.
-func (n *Notes) Next() (at time.Duration, ok bool) {
+func (n *LogThrottle) Next() (at time.Duration, ok bool) {
 	for _, k := range n.kinds {
 		if k.count > 0 && (!ok || k.due < at) {
 			at, ok = k.due, true
--- a/internal/controlplane/note_test.go
+++ b/internal/controlplane/note_test.go
@@ -23,11 +23,11 @@
 			rows++
 		}
 	}
-	kinds := controlplane.Kinds()
+	kinds := controlplane.SettingRules()
 	for _, k := range kinds {
-		row := fmt.Sprintf("| `%s` | %s |\n", k.Key, k.Holds)
-		if k.Why != "" {
-			row = fmt.Sprintf("| `%s` | cannot: %s |\n", k.Key, k.Why)
+		row := fmt.Sprintf("| `%s` | %s |\n", k.Key, k.EffectiveFrom)
+		if k.FixedReason != "" {
+			row = fmt.Sprintf("| `%s` | cannot: %s |\n", k.Key, k.FixedReason)
 		}
 		if !strings.Contains(page, row) {
 			t.Errorf("the page has no row %s", row)
@@ -36,9 +36,9 @@
 	if rows != len(kinds) {
 		t.Errorf("the page has %d rows of kinds, and there are %d", rows, len(kinds))
 	}
-	for name, value := range map[string]int{"MaxText": controlplane.MaxText, "MaxReport": controlplane.MaxReport, "MaxStamps": controlplane.MaxStamps, "MaxLacking": controlplane.MaxLacking,
-		"MaxError": controlplane.MaxError, "MaxOrigins": origin.MaxOrigins, "MaxPending": origin.MaxPending, "MaxOutcomes": origin.MaxOutcomes, "MaxID": origin.MaxID, "MaxLog": origin.MaxLog,
-		"MaxMessage": origin.MaxMessage} {
+	for name, value := range map[string]int{"MaxSnapshotSize": controlplane.MaxSnapshotSize, "MaxReportSize": controlplane.MaxReportSize, "MaxRevisionCounts": controlplane.MaxRevisionCounts, "MaxLaggards": controlplane.MaxLaggards,
+		"MaxErrorLength": controlplane.MaxErrorLength, "MaxOrigins": origin.MaxOrigins, "MaxPendingRequests": origin.MaxPendingRequests, "MaxOutcomes": origin.MaxOutcomes, "MaxIDLength": origin.MaxIDLength, "MaxUncommittedSize": origin.MaxUncommittedSize,
+		"MaxMessageSize": origin.MaxMessageSize} {
 		before, _, ok := strings.Cut(page, "(`"+name+"`)")
 		line := before[strings.LastIndexByte(before, '\n')+1:]
 		if !ok || !strings.Contains(line, fmt.Sprint(value, " ")) {
--- a/internal/controlplane/origin/api.go
+++ b/internal/controlplane/origin/api.go
@@ -24,35 +24,35 @@
 
 // The bounds.
 const (
-	MaxOrigins  = 7
-	MaxPending  = 64        // pushes and questions that wait for an answer at one origin
-	MaxOutcomes = 256       // pushes whose outcome is remembered, by ID
-	MaxID       = 64        // bytes of a push's ID
-	MaxMessage  = 640 << 10 // bytes of a message between origins; a frame that is longer is none
+	MaxOrigins         = 7
+	MaxPendingRequests = 64        // pushes and questions that wait for an answer at one origin
+	MaxOutcomes        = 256       // pushes whose outcome is remembered, by ID
+	MaxIDLength        = 64        // bytes of a push's ID
+	MaxMessageSize     = 640 << 10 // bytes of a message between origins; a frame that is longer is none
 	// MaxLog is how many bytes of changes may wait for a majority; beyond it pushes are turned away.
-	MaxLog = 4 * controlplane.MaxText
+	MaxUncommittedSize = 4 * controlplane.MaxSnapshotSize
 )
 
 // Founding is what is settled when the origins are founded, the same for all of them. In this slice nobody joins or leaves later: to
 // change the origins, found a higher epoch.
-type Founding struct {
-	Fleet   string   `json:"fleet"`
+type BootstrapConfig struct {
+	Cluster string   `json:"fleet"`
 	Epoch   uint64   `json:"epoch"`   // from 1; higher after a disaster
 	Origins []string `json:"origins"` // names, at most MaxOrigins
 }
 
 // Config is a Node's.
 type Config struct {
-	Founding
+	BootstrapConfig
 	Self string // one of Origins
 	Seed uint64 // of the times of elections
 	// TickEvery is the unit of time: heartbeats each 2 of it, elections after 10 to 20 without one; 100 ms.
-	TickEvery time.Duration
+	TickInterval time.Duration
 	// Wait is how long a push or a question may stay without an answer; 4 s. Then the outcome is Unknown.
-	Wait time.Duration
+	RequestTimeout time.Duration
 	// Settle is how long after its start an origin answers no push while no member has told it what it holds; 3 s. Guards against
 	// origins that were all rolled back together, of which only the members know.
-	Settle time.Duration
+	StartupGracePeriod time.Duration
 }
 
 // Event is what happens to a Node: Message, Propose, Ask, Read, Reported, Gone or Tick.
@@ -67,36 +67,36 @@
 // Propose is a push: the text to follow the version After. ID is the pusher's own choice, the same when it pushes again for want of an
 // answer, which is safe. It is answered by exactly one Answer.
 type Propose struct {
-	ID    string
-	After uint64
-	Text  []byte
+	ID          string
+	BaseVersion uint64
+	Text        []byte
 }
 
 // Ask is what became of the push ID. It is answered by exactly one Answer.
-type Ask struct{ ID string }
+type QueryOutcome struct{ ID string }
 
 // Read is what the latest snapshot is, confirmed by a majority. It is answered by exactly one Answer with its Stamp.
-type Read struct{ ID string }
+type ReadLatest struct{ ID string }
 
 // Reported is the sum of a member that follows this origin; From is its name.
-type Reported struct {
+type ReportReceived struct {
 	From   string
 	Report controlplane.Report
 }
 
 // Gone is that its connection has ended.
-type Gone struct{ From string }
+type SubscriberDisconnected struct{ From string }
 
 // Tick is that time has passed, due every Config.TickEvery.
 type Tick struct{}
 
-func (Message) originEvent()  {}
-func (Propose) originEvent()  {}
-func (Ask) originEvent()      {}
-func (Read) originEvent()     {}
-func (Reported) originEvent() {}
-func (Gone) originEvent()     {}
-func (Tick) originEvent()     {}
+func (Message) originEvent()                {}
+func (Propose) originEvent()                {}
+func (QueryOutcome) originEvent()           {}
+func (ReadLatest) originEvent()             {}
+func (ReportReceived) originEvent()         {}
+func (SubscriberDisconnected) originEvent() {}
+func (Tick) originEvent()                   {}
 
 // Action is what a Node wants done: Persist, Send, Publish, Answer or Noted, in order.
 type Action interface{ originAction() }
@@ -125,63 +125,63 @@
 
 // The outcomes.
 const (
-	Accepted Outcome = "accepted" // by a majority: it will not be lost while one keeps its stores
-	Conflict Outcome = "conflict" // another change came first: Stamp is the latest one
-	Refused  Outcome = "refused"  // this try was not taken, and will not be: Err says why
-	Unknown  Outcome = "unknown"  // no majority answered in time: it may come to be; ask by ID
-	Missing  Outcome = "missing"  // to Ask: a majority knows of no such push (or has forgotten it: MaxOutcomes)
-	Current  Outcome = "current"  // to Read
+	OutcomeAccepted Outcome = "accepted" // by a majority: it will not be lost while one keeps its stores
+	OutcomeConflict Outcome = "conflict" // another change came first: Stamp is the latest one
+	OutcomeRejected Outcome = "refused"  // this try was not taken, and will not be: Err says why
+	OutcomeUnknown  Outcome = "unknown"  // no majority answered in time: it may come to be; ask by ID
+	OutcomeNotFound Outcome = "missing"  // to Ask: a majority knows of no such push (or has forgotten it: MaxOutcomes)
+	OutcomeCurrent  Outcome = "current"  // to Read
 )
 
 // Answer answers a Propose, Ask or Read of this ID.
-type Answer struct {
-	ID      string             `json:"id"`
-	Outcome Outcome            `json:"outcome"`
-	Stamp   controlplane.Stamp `json:"stamp"` // Accepted: that the push got
-	Err     string             `json:"err,omitempty"`
+type Result struct {
+	ID       string                `json:"id"`
+	Outcome  Outcome               `json:"outcome"`
+	Revision controlplane.Revision `json:"stamp"` // Accepted: that the push got
+	Error    string                `json:"err,omitempty"`
 }
 
 // Noted is for the log. Repeats of one Kind come at most once in 10 s, with how many there were.
-type Noted struct {
+type LogMessage struct {
 	Kind  string // "leads", "follows", "no majority", "change", "rolled back", "ahead", "foreign", "broken"
 	Text  string
 	Count int
 }
 
-func (Persist) originAction() {}
-func (Send) originAction()    {}
-func (Publish) originAction() {}
-func (Answer) originAction()  {}
-func (Noted) originAction()   {}
+func (Persist) originAction()    {}
+func (Send) originAction()       {}
+func (Publish) originAction()    {}
+func (Result) originAction()     {}
+func (LogMessage) originAction() {}
 
 // Part says which part an origin takes.
-type Part string
+type Role string
 
 // The parts.
 const (
-	Starting Part = "starting"    // has not heard enough of the others yet
-	Leads    Part = "leads"       // a majority follows it
-	Follows  Part = "follows"     // another one
-	Seeks    Part = "no majority" // knows no leader: serves what it has, changes nothing
-	Rolled   Part = "rolled back" // its store has lost what was durable: takes no part until a higher epoch is founded
+	RoleStarting   Role = "starting"    // has not heard enough of the others yet
+	RoleLeader     Role = "leads"       // a majority follows it
+	RoleFollower   Role = "follows"     // another one
+	RoleNoLeader   Role = "no majority" // knows no leader: serves what it has, changes nothing
+	RoleRolledBack Role = "rolled back" // its store has lost what was durable: takes no part until a higher epoch is founded
 )
 
 // Status is what an origin knows.
 type Status struct {
-	Self    string              `json:"self"`
-	Epoch   uint64              `json:"epoch"`
-	Part    Part                `json:"part"`
-	Leader  string              `json:"leader,omitempty"`
-	Stamp   controlplane.Stamp  `json:"stamp"`
-	Ahead   controlplane.Stamp  `json:"ahead"`  // a later one that members hold, or another content under Stamp's version: pushes are turned away
-	Rolled  []string            `json:"rolled"` // origins whose store is known to be rolled back
-	Report  controlplane.Report `json:"report"` // of all members, as this origin and the others heard
-	Foreign int                 `json:"foreign"`
-	Broken  int                 `json:"broken"`
+	Self            string                `json:"self"`
+	Epoch           uint64                `json:"epoch"`
+	Role            Role                  `json:"part"`
+	Leader          string                `json:"leader,omitempty"`
+	Revision        controlplane.Revision `json:"stamp"`
+	Ahead           controlplane.Revision `json:"ahead"`  // a later one that members hold, or another content under Stamp's version: pushes are turned away
+	RolledBack      []string              `json:"rolled"` // origins whose store is known to be rolled back
+	Report          controlplane.Report   `json:"report"` // of all members, as this origin and the others heard
+	ForeignMessages int                   `json:"foreign"`
+	CorruptMessages int                   `json:"broken"`
 }
 
 // State is what a store holds, as Load read it.
 type State struct {
-	Founding Founding
-	Records  map[string][]byte
+	Bootstrap BootstrapConfig
+	Records   map[string][]byte
 }
--- a/internal/controlplane/origin/bench_test.go
+++ b/internal/controlplane/origin/bench_test.go
@@ -26,7 +26,7 @@
 	v := uint64(0)
 	for b.Loop() {
 		id := fmt.Sprint("p", v)
-		if a := w.push(0, id, v, append(text[:len(text):len(text)], id...)); a.Outcome != Accepted {
+		if a := w.push(0, id, v, append(text[:len(text):len(text)], id...)); a.Outcome != OutcomeAccepted {
 			b.Fatal(a)
 		}
 		v++
@@ -46,7 +46,7 @@
 		if err := s.load(); err != nil {
 			b.Fatal(err)
 		}
-		if _, _, err := New(Config{Self: "o1"}, s, 0); err != nil {
+		if _, _, err := NewNode(Config{Self: "o1"}, s, 0); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/controlplane/origin/disk.go
+++ b/internal/controlplane/origin/disk.go
@@ -83,7 +83,7 @@
 }
 
 // found is what a founding writes.
-func found(f Founding) []Record {
+func found(f BootstrapConfig) []Record {
 	voters := make([]uint64, len(f.Origins))
 	for i := range voters {
 		voters[i] = uint64(i + 1)
@@ -96,8 +96,8 @@
 
 // Found makes a store that of a founding, in place of whatever it held of a lower epoch. An error where it holds the same epoch or a
 // higher one, or another fleet's.
-func Found(st *store.Store, f Founding) error {
-	if err := f.Check(); err != nil {
+func Bootstrap(st *store.Store, f BootstrapConfig) error {
+	if err := f.Validate(); err != nil {
 		return err
 	}
 	s, err := read(st)
@@ -106,8 +106,8 @@
 	}
 	if old, ok, err := s.founding(); err != nil {
 		return err
-	} else if ok && (old.Fleet != f.Fleet || old.Epoch >= f.Epoch) {
-		return fmt.Errorf("the store is that of fleet %q, epoch %d: found a higher epoch, or another directory", old.Fleet, old.Epoch)
+	} else if ok && (old.Cluster != f.Cluster || old.Epoch >= f.Epoch) {
+		return fmt.Errorf("the store is that of fleet %q, epoch %d: found a higher epoch, or another directory", old.Cluster, old.Epoch)
 	}
 	var p Persist
 	for _, key := range slices.Sorted(func(yield func(string) bool) {
@@ -132,7 +132,7 @@
 	return s, err
 }
 
-func (s *State) founding() (f Founding, ok bool, err error) {
+func (s *State) founding() (f BootstrapConfig, ok bool, err error) {
 	data, ok := s.Records[foundingKey]
 	if !ok {
 		return f, false, nil
@@ -160,8 +160,8 @@
 	if !ok {
 		return errors.New("the store was never founded: hazelwing origin found")
 	}
-	s.Founding = f
-	return f.Check()
+	s.Bootstrap = f
+	return f.Validate()
 }
 
 // Write makes a Persist durable, in order. It blocks; after an error the process ends.
@@ -188,7 +188,7 @@
 	r := new(root)
 	ms := raft.NewMemoryStorage()
 	data, ok := s.Records[rootKey]
-	if !ok || decode(data, r) != nil || len(r.Seen) != len(s.Founding.Origins) {
+	if !ok || decode(data, r) != nil || len(r.Seen) != len(s.Bootstrap.Origins) {
 		return nil, nil, fmt.Errorf("%w: no root", errDamaged)
 	}
 	snap, ok := joined(s.Records, snapshotKey(r.Index))
@@ -249,8 +249,8 @@
 }
 
 // Founded is what a store holds that was founded so: for origins without a disk.
-func Founded(f Founding) (*State, error) {
-	if err := f.Check(); err != nil {
+func NewBootstrappedState(f BootstrapConfig) (*State, error) {
+	if err := f.Validate(); err != nil {
 		return nil, err
 	}
 	s := &State{Records: map[string][]byte{}}
--- a/internal/controlplane/origin/disk_test.go
+++ b/internal/controlplane/origin/disk_test.go
@@ -30,10 +30,10 @@
 	for crash := int64(3000); crash < 60_000; crash += 1900 {
 		fs := faultfs.New()
 		st := opened(t, fs)
-		if err := Found(st, Founding{"f", 3, []string{"one"}}); err != nil {
+		if err := Bootstrap(st, BootstrapConfig{"f", 3, []string{"one"}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := Found(st, Founding{"f", 3, []string{"one"}}); err == nil || !strings.Contains(err.Error(), "higher epoch") {
+		if err := Bootstrap(st, BootstrapConfig{"f", 3, []string{"one"}}); err == nil || !strings.Contains(err.Error(), "higher epoch") {
 			t.Fatalf("founded twice: %v", err)
 		}
 		fs.CrashAfter = fs.Steps + crash
@@ -44,7 +44,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			n, out, err := New(Config{Self: "one", Settle: time.Millisecond}, s, 0)
+			n, out, err := NewNode(Config{Self: "one", StartupGracePeriod: time.Millisecond}, s, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,9 +57,9 @@
 						if ok = ok && Write(st, a) == nil; !ok {
 							return
 						}
-					case Answer:
-						if a.Outcome == Accepted {
-							version = max(version, a.Stamp.Version)
+					case Result:
+						if a.Outcome == OutcomeAccepted {
+							version = max(version, a.Revision.Version)
 							acknowledged++
 						}
 					}
@@ -68,7 +68,7 @@
 			done(out)
 			for now := time.Duration(0); ok && now < 10*time.Second; now += 100 * time.Millisecond {
 				done(n.Handle(now, Tick{}))
-				if ok && n.current() == Leads {
+				if ok && n.current() == RoleLeader {
 					pushed++
 					id := fmt.Sprint("p", pushed)
 					done(n.Handle(now, Propose{id, n.state.Version, []byte(strings.Repeat("#", 700) + id)}))
@@ -99,7 +99,7 @@
 	w := begun(t, 1, 1)
 	for v := range uint64(20) {
 		id := fmt.Sprint("p", v)
-		expect(t, id, w.push(0, id, v, []byte(strings.Repeat("#", 70<<10)+id)), Accepted, v+1)
+		expect(t, id, w.push(0, id, v, []byte(strings.Repeat("#", 70<<10)+id)), OutcomeAccepted, v+1)
 	}
 	whole := w.places[0].disk
 	state, _ := newOf(t, maps.Clone(whole))
@@ -129,7 +129,7 @@
 						}
 					}
 				}
-				if out := got.Handle(10*time.Second, Propose{"x", got.state.Version, textOf("x")}); out[len(out)-1].(Answer).Outcome != Refused {
+				if out := got.Handle(10*time.Second, Propose{"x", got.state.Version, textOf("x")}); out[len(out)-1].(Result).Outcome != OutcomeRejected {
 					t.Errorf("%s %s: a push is answered %v", key, what, out)
 				}
 			}
@@ -144,20 +144,20 @@
 	if err := s.load(); err != nil {
 		return nil, err
 	}
-	n, _, err := New(Config{Self: s.Founding.Origins[0]}, s, 0)
+	n, _, err := NewNode(Config{Self: s.Bootstrap.Origins[0]}, s, 0)
 	return n, err
 }
 
 // What cannot be founded or started, by name.
 func TestFoundingIsChecked(t *testing.T) {
 	for _, c := range []struct {
-		f   Founding
+		f   BootstrapConfig
 		why string
 	}{
-		{Founding{"", 1, []string{"a"}}, "fleet"}, {Founding{"f", 0, []string{"a"}}, "epoch"}, {Founding{"f", 1, nil}, "0 origins"},
-		{Founding{"f", 1, originNames(8)}, "8 origins"}, {Founding{"f", 1, []string{"a", "a"}}, "twice"}, {Founding{"f", 1, []string{"a/b"}}, "slashes"},
+		{BootstrapConfig{"", 1, []string{"a"}}, "fleet"}, {BootstrapConfig{"f", 0, []string{"a"}}, "epoch"}, {BootstrapConfig{"f", 1, nil}, "0 origins"},
+		{BootstrapConfig{"f", 1, originNames(8)}, "8 origins"}, {BootstrapConfig{"f", 1, []string{"a", "a"}}, "twice"}, {BootstrapConfig{"f", 1, []string{"a/b"}}, "slashes"},
 	} {
-		if err := Found(opened(t, faultfs.New()), c.f); err == nil || !strings.Contains(err.Error(), c.why) {
+		if err := Bootstrap(opened(t, faultfs.New()), c.f); err == nil || !strings.Contains(err.Error(), c.why) {
 			t.Errorf("%v: %v", c.f, err)
 		}
 	}
@@ -165,25 +165,25 @@
 	if _, err := Load(st); err == nil || !strings.Contains(err.Error(), "never founded") {
 		t.Errorf("an empty store: %v", err)
 	}
-	if err := Found(st, Founding{"f", 4, originNames(3)}); err != nil {
+	if err := Bootstrap(st, BootstrapConfig{"f", 4, originNames(3)}); err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range []Founding{{"f", 3, originNames(3)}, {"f", 4, originNames(3)}, {"g", 5, originNames(3)}} {
-		if err := Found(st, f); err == nil {
+	for _, f := range []BootstrapConfig{{"f", 3, originNames(3)}, {"f", 4, originNames(3)}, {"g", 5, originNames(3)}} {
+		if err := Bootstrap(st, f); err == nil {
 			t.Errorf("%v was founded over epoch 4 of f", f)
 		}
 	}
-	if err := Found(st, Founding{"f", 5, originNames(5)}); err != nil {
+	if err := Bootstrap(st, BootstrapConfig{"f", 5, originNames(5)}); err != nil {
 		t.Error(err)
 	}
 	s, err := Load(st)
-	if err != nil || s.Founding.Epoch != 5 {
+	if err != nil || s.Bootstrap.Epoch != 5 {
 		t.Fatal(s, err)
 	}
-	if _, _, err := New(Config{Self: "o9"}, s, 0); err == nil {
+	if _, _, err := NewNode(Config{Self: "o9"}, s, 0); err == nil {
 		t.Error("o9 is one of five")
 	}
-	if _, _, err := New(Config{Self: "o1", Founding: Founding{"f", 6, originNames(5)}}, s, 0); err == nil {
+	if _, _, err := NewNode(Config{Self: "o1", BootstrapConfig: BootstrapConfig{"f", 6, originNames(5)}}, s, 0); err == nil {
 		t.Error("the settings are of another epoch")
 	}
 	if err := Write(st, Persist{[]Record{{Key: "x", Value: make([]byte, store.MaxValue+1)}}}); !errors.Is(err, store.ErrSize) {
--- a/internal/controlplane/origin/envelope.go
+++ b/internal/controlplane/origin/envelope.go
@@ -32,7 +32,7 @@
 
 // open reads one.
 func (n *Node) open(data []byte) (*envelope, *raftpb.Message, error) {
-	if len(data) > MaxMessage {
+	if len(data) > MaxMessageSize {
 		return nil, nil, fmt.Errorf("%w: %d bytes", errEnvelope, len(data))
 	}
 	body := data[:max(len(data)-4, 0)]
@@ -77,16 +77,16 @@
 }
 
 // key tells foundings apart: the same fleet, epoch and origins.
-func (f *Founding) key() string {
+func (f *BootstrapConfig) key() string {
 	names := slices.Sorted(slices.Values(f.Origins))
-	sum := sha256.Sum256([]byte(fmt.Sprintf("%q %d %q", f.Fleet, f.Epoch, names)))
+	sum := sha256.Sum256([]byte(fmt.Sprintf("%q %d %q", f.Cluster, f.Epoch, names)))
 	return string(sum[:16])
 }
 
 // Check says what is wrong with a founding.
-func (f *Founding) Check() error {
+func (f *BootstrapConfig) Validate() error {
 	switch names := slices.Compact(slices.Sorted(slices.Values(f.Origins))); {
-	case f.Fleet == "":
+	case f.Cluster == "":
 		return errors.New("fleet: no name")
 	case f.Epoch == 0:
 		return errors.New("epoch: is counted from 1")
@@ -95,9 +95,9 @@
 	case len(names) != len(f.Origins):
 		return errors.New("peers: a name is there twice")
 	case slices.ContainsFunc(names, func(s string) bool {
-		return s == "" || len(s) > controlplane.MaxName || strings.ContainsAny(s, "/ \t\n")
+		return s == "" || len(s) > controlplane.MaxNameLength || strings.ContainsAny(s, "/ \t\n")
 	}):
-		return fmt.Errorf("peers: a name is empty, longer than %d bytes or has spaces or slashes", controlplane.MaxName)
+		return fmt.Errorf("peers: a name is empty, longer than %d bytes or has spaces or slashes", controlplane.MaxNameLength)
 	}
 	return nil
 }
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -174,8 +174,8 @@
 	l := h.leader()
 	version := h.places[l].node.state.Version
 	last := &try{id: "last", text: textOf("last")}
-	if a := h.push(l, last.id, version, last.text); a.Outcome != Accepted {
-		h.t.Fatalf("the last push: %s %s\n%s", a.Outcome, a.Err, h.describe())
+	if a := h.push(l, last.id, version, last.text); a.Outcome != OutcomeAccepted {
+		h.t.Fatalf("the last push: %s %s\n%s", a.Outcome, a.Error, h.describe())
 	}
 	h.until(5*time.Second, "all agree on the last push", func() bool { return h.agreed() && h.places[l].node.state.Version == version+1 })
 	for v := uint64(1); v <= version; v++ {
@@ -196,21 +196,21 @@
 		}
 	}
 	for _, x := range h.tries {
-		hash := controlplane.HashOf(x.text)
+		hash := controlplane.HashText(x.text)
 		list := h.answers[x.id]
 		for _, a := range list {
 			switch {
-			case a.Outcome == Accepted && (accepted[hash] != a.Stamp.Version || a.Stamp.Hash != hash):
-				h.t.Fatalf("%s was acknowledged as %v, and is %d", x.id, a.Stamp, accepted[hash])
-			case (a.Outcome == Refused || a.Outcome == Conflict) && !x.lost && accepted[hash] > 0:
+			case a.Outcome == OutcomeAccepted && (accepted[hash] != a.Revision.Version || a.Revision.Hash != hash):
+				h.t.Fatalf("%s was acknowledged as %v, and is %d", x.id, a.Revision, accepted[hash])
+			case (a.Outcome == OutcomeRejected || a.Outcome == OutcomeConflict) && !x.lost && accepted[hash] > 0:
 				h.t.Fatalf("%s was answered %s, and is version %d", x.id, a.Outcome, accepted[hash])
 			}
 		}
-		if slices.ContainsFunc(list, func(a Answer) bool { return a.Outcome == Conflict }) && accepted[hash] > 0 {
+		if slices.ContainsFunc(list, func(a Result) bool { return a.Outcome == OutcomeConflict }) && accepted[hash] > 0 {
 			h.t.Fatalf("%s came second, and is version %d", x.id, accepted[hash])
 		}
 		if v := accepted[hash]; v > 0 || len(list) > 0 {
-			if a := h.ask(l, x.id); a.Outcome == Accepted != (v > 0) {
+			if a := h.ask(l, x.id); a.Outcome == OutcomeAccepted != (v > 0) {
 				h.t.Fatalf("%s is version %d, and is told as %s", x.id, v, a.Outcome)
 			}
 		}
--- a/internal/controlplane/origin/machine.go
+++ b/internal/controlplane/origin/machine.go
@@ -37,7 +37,7 @@
 	if e, ok := m.find(c.ID); ok {
 		return e, false
 	}
-	e := ending{ID: c.ID, Hash: controlplane.HashOf(c.Text)}
+	e := ending{ID: c.ID, Hash: controlplane.HashText(c.Text)}
 	if c.After == m.Version { // guards against two pushes under one version: the log has one first
 		m.Version++
 		m.Hash, m.Text = e.Hash, c.Text
@@ -58,11 +58,11 @@
 	return m.Ended[i], true
 }
 
-func (m *machine) stamp(epoch uint64) controlplane.Stamp {
+func (m *machine) stamp(epoch uint64) controlplane.Revision {
 	if m.Version == 0 {
-		return controlplane.Stamp{}
+		return controlplane.Revision{}
 	}
-	return controlplane.Stamp{Epoch: epoch, Version: m.Version, Hash: m.Hash}
+	return controlplane.Revision{Epoch: epoch, Version: m.Version, Hash: m.Hash}
 }
 
 func (m *machine) marshal() []byte { return encode(m) }
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -31,7 +31,7 @@
 	refreshTicks   = 50                // between two that say the same
 	// The log is cut to the last snapshot when so many entries or bytes lie before it.
 	mostApplied      = 16
-	mostAppliedBytes = 2 * controlplane.MaxText
+	mostAppliedBytes = 2 * controlplane.MaxSnapshotSize
 
 	silentFor = 30 * time.Second // a member that reports nothing for so long is gone
 	cutFor    = time.Minute      // and named as cut for so long
@@ -59,8 +59,8 @@
 
 	state   machine
 	applied uint64
-	told    controlplane.Stamp // published last
-	since   uint64             // bytes of entries applied since the snapshot
+	told    controlplane.Revision // published last
+	since   uint64                // bytes of entries applied since the snapshot
 
 	begun   time.Duration
 	ticked  time.Duration
@@ -75,13 +75,13 @@
 	pending []pending
 	serial  uint64
 
-	members controlplane.Tally // that follow this origin
-	others  controlplane.Tally // sums by origin
+	members controlplane.ReportAggregator // that follow this origin
+	others  controlplane.ReportAggregator // sums by origin
 	toldSum controlplane.Report
 	toldAt  int
 
-	notes           controlplane.Notes
-	part            Part
+	notes           controlplane.LogThrottle
+	part            Role
 	foreign, broken int
 }
 
@@ -89,19 +89,19 @@
 
 // New makes a Node that starts at now from what its store holds; Config.Founding may be empty, and is the store's then, else the two
 // have to be the same.
-func New(c Config, s *State, now time.Duration) (*Node, []Action, error) {
-	if len(c.Origins) == 0 && c.Fleet == "" && c.Epoch == 0 {
-		c.Founding = s.Founding
-	} else if c.Founding.key() != s.Founding.key() {
-		return nil, nil, fmt.Errorf("the store was founded for fleet %q, epoch %d, origins %q; the settings say %q, %d, %q", s.Founding.Fleet, s.Founding.Epoch, s.Founding.Origins, c.Fleet, c.Epoch, c.Origins)
+func NewNode(c Config, s *State, now time.Duration) (*Node, []Action, error) {
+	if len(c.Origins) == 0 && c.Cluster == "" && c.Epoch == 0 {
+		c.BootstrapConfig = s.Bootstrap
+	} else if c.BootstrapConfig.key() != s.Bootstrap.key() {
+		return nil, nil, fmt.Errorf("the store was founded for fleet %q, epoch %d, origins %q; the settings say %q, %d, %q", s.Bootstrap.Cluster, s.Bootstrap.Epoch, s.Bootstrap.Origins, c.Cluster, c.Epoch, c.Origins)
 	}
-	c.TickEvery, c.Wait, c.Settle = cmp.Or(c.TickEvery, defaultTick), cmp.Or(c.Wait, defaultWait), cmp.Or(c.Settle, defaultSettle)
+	c.TickInterval, c.RequestTimeout, c.StartupGracePeriod = cmp.Or(c.TickInterval, defaultTick), cmp.Or(c.RequestTimeout, defaultWait), cmp.Or(c.StartupGracePeriod, defaultSettle)
 	n := &Node{cfg: c, names: slices.Sorted(slices.Values(c.Origins)), rng: rand.New(rand.NewPCG(c.Seed, 44)), begun: now, ticked: now}
 	i, ok := slices.BinarySearch(n.names, c.Self)
 	if !ok {
 		return nil, nil, fmt.Errorf("%q is none of the origins that were founded: %q", c.Self, n.names)
 	}
-	n.id, n.key = uint64(i+1), c.Founding.key()
+	n.id, n.key = uint64(i+1), c.BootstrapConfig.key()
 	n.seen, n.heard, n.spoke = make([]uint64, len(n.names)), make([]bool, len(n.names)), make([]int, len(n.names))
 	n.draw()
 	ms, r, err := s.restore()
@@ -133,8 +133,8 @@
 		term, _ := ms.Term(i)
 		n.written = append(n.written, blob{i, term, partsOf(s.Records, entryKey(i, term))})
 	}
-	n.rn, err = raft.NewRawNode(&raft.Config{ID: n.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: ms, Applied: r.Index, MaxSizePerMsg: controlplane.MaxText,
-		MaxUncommittedEntriesSize: MaxLog, MaxInflightMsgs: 8, MaxInflightBytes: 4 * controlplane.MaxText, CheckQuorum: true, PreVote: true, Logger: silent{}})
+	n.rn, err = raft.NewRawNode(&raft.Config{ID: n.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: ms, Applied: r.Index, MaxSizePerMsg: controlplane.MaxSnapshotSize,
+		MaxUncommittedEntriesSize: MaxUncommittedSize, MaxInflightMsgs: 8, MaxInflightBytes: 4 * controlplane.MaxSnapshotSize, CheckQuorum: true, PreVote: true, Logger: silent{}})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -158,14 +158,14 @@
 		out = n.message(now, ev, out)
 	case Propose:
 		out = n.propose(now, ev, out)
-	case Ask:
+	case QueryOutcome:
 		out = n.question(now, ev.ID, asked, out)
-	case Read:
+	case ReadLatest:
 		out = n.question(now, ev.ID, readers, out)
-	case Reported:
-		n.members.Set(now, ev.From, ev.Report)
-	case Gone:
-		n.members.Gone(now, ev.From, cutFor)
+	case ReportReceived:
+		n.members.Add(now, ev.From, ev.Report)
+	case SubscriberDisconnected:
+		n.members.Disconnect(now, ev.From, cutFor)
 	case Tick:
 		out = n.tick(now, out)
 	}
@@ -195,7 +195,7 @@
 		n.outs = append(n.outs, from)
 	}
 	if e.Report != nil {
-		n.others.Set(now, from, *e.Report)
+		n.others.Add(now, from, *e.Report)
 	}
 	// Guards against a store that was rolled back: what it voted and acknowledged since is forgotten here, and still counts elsewhere.
 	if known := e.Marks[n.id-1]; known > n.mark {
@@ -263,8 +263,8 @@
 
 // tick lets raft's time pass. A follower's own election timer stands here and not in raft, whose is not seeded.
 func (n *Node) tick(now time.Duration, out []Action) []Action {
-	due := int((now - n.ticked) / n.cfg.TickEvery)
-	n.ticked += time.Duration(due) * n.cfg.TickEvery
+	due := int((now - n.ticked) / n.cfg.TickInterval)
+	n.ticked += time.Duration(due) * n.cfg.TickInterval
 	for range min(due, mostTicks) {
 		n.ticks++
 		out = n.begin(now, out)
@@ -297,7 +297,7 @@
 	n.members.Expire(now, silentFor, cutFor)
 	n.others.Expire(now, otherFor, 0)
 	n.again(now)
-	n.notes.Due(now, func(kind, text string, count int) { out = append(out, Noted{kind, text, count}) })
+	n.notes.Flush(now, func(kind, text string, count int) { out = append(out, LogMessage{kind, text, count}) })
 	return n.hellos(out)
 }
 
@@ -305,7 +305,7 @@
 func (n *Node) hellos(out []Action) []Action {
 	var report *controlplane.Report
 	if n.ticks-n.toldAt >= reportTicks {
-		if r := n.members.Sum(n.state.stamp(n.cfg.Epoch), nil); n.ticks-n.toldAt >= refreshTicks || !r.Equal(&n.toldSum) {
+		if r := n.members.Aggregate(n.state.stamp(n.cfg.Epoch), nil); n.ticks-n.toldAt >= refreshTicks || !r.Equal(&n.toldSum) {
 			n.toldSum, n.toldAt = r, n.ticks
 			report = &r
 		}
@@ -361,7 +361,7 @@
 		n.rn.Advance(rd)
 		out = n.compact(out)
 	}
-	if n.told.None() {
+	if n.told.IsZero() {
 		out = n.publish(now, out)
 	}
 	return out
@@ -389,22 +389,22 @@
 
 func (n *Node) publish(now time.Duration, out []Action) []Action {
 	f, ok := n.Frame()
-	if !ok || f.Stamp == n.told {
+	if !ok || f.Revision == n.told {
 		return out
 	}
-	n.told = f.Stamp
+	n.told = f.Revision
 	return append(out, Publish{f})
 }
 
 // Frame is the latest snapshot that this origin knows to be accepted; false: none was yet.
 func (n *Node) Frame() (controlplane.Frame, bool) {
 	s := n.state.stamp(n.cfg.Epoch)
-	return controlplane.Frame{Fleet: n.cfg.Fleet, Stamp: s, Text: n.state.Text}, !s.None()
+	return controlplane.Frame{Cluster: n.cfg.Cluster, Revision: s, Text: n.state.Text}, !s.IsZero()
 }
 
 func (n *Node) note(now time.Duration, out []Action, kind, text string) []Action {
 	if count, ok := n.notes.Add(now, kind, text); ok {
-		out = append(out, Noted{kind, text, count})
+		out = append(out, LogMessage{kind, text, count})
 	}
 	return out
 }
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -14,10 +14,10 @@
 	"hazelwing/internal/controlplane"
 )
 
-func expect(t *testing.T, what string, a Answer, o Outcome, version uint64) {
+func expect(t *testing.T, what string, a Result, o Outcome, version uint64) {
 	t.Helper()
-	if a.Outcome != o || a.Stamp.Version != version {
-		t.Fatalf("%s: %s %v %s, want %s %d", what, a.Outcome, a.Stamp, a.Err, o, version)
+	if a.Outcome != o || a.Revision.Version != version {
+		t.Fatalf("%s: %s %v %s, want %s %d", what, a.Outcome, a.Revision, a.Error, o, version)
 	}
 }
 
@@ -27,26 +27,26 @@
 		w := begun(t, n, uint64(n))
 		for v := range uint64(40) {
 			id := fmt.Sprint("p", v)
-			expect(t, id, w.push(int(v)%n, id, v, textOf(id)), Accepted, v+1)
+			expect(t, id, w.push(int(v)%n, id, v, textOf(id)), OutcomeAccepted, v+1)
 			if v%7 == 0 {
-				expect(t, "again", w.push(int(v+1)%n, id, v, textOf(id)), Accepted, v+1)
+				expect(t, "again", w.push(int(v+1)%n, id, v, textOf(id)), OutcomeAccepted, v+1)
 			}
 		}
 		w.until(time.Second, "all agree", w.agreed)
 		for _, p := range w.places {
-			if f, ok := p.node.Frame(); !ok || string(f.Text) != "# p39\n" || f.Stamp != p.last {
-				t.Errorf("%s holds %v %q", p.name, f.Stamp, f.Text)
+			if f, ok := p.node.Frame(); !ok || string(f.Text) != "# p39\n" || f.Revision != p.last {
+				t.Errorf("%s holds %v %q", p.name, f.Revision, f.Text)
 			}
 			if len(p.disk) > 2*mostApplied+8 {
 				t.Errorf("%s has %d entries in its store", p.name, len(p.disk))
 			}
 		}
-		read := func(i int) Answer {
-			w.handle(i, Read{"read"})
+		read := func(i int) Result {
+			w.handle(i, ReadLatest{"read"})
 			w.until(time.Second, "a read", func() bool { return len(w.answers["read"]) > 0 })
 			return w.answers["read"][0]
 		}
-		expect(t, "a read", read(n-1), Current, 40)
+		expect(t, "a read", read(n-1), OutcomeCurrent, 40)
 	}
 }
 
@@ -59,38 +59,38 @@
 		w.handle(int(v*3+1)%5, Propose{b, v, textOf(b)})
 		w.until(4*time.Second, "two answers", func() bool { return len(w.answers[a]) > 0 && len(w.answers[b]) > 0 })
 		x, y := w.answers[a][0], w.answers[b][0]
-		if y.Outcome == Accepted {
+		if y.Outcome == OutcomeAccepted {
 			x, y = y, x
 		}
-		expect(t, "the first", x, Accepted, v+1)
-		expect(t, "the second", y, Conflict, v+1)
+		expect(t, "the first", x, OutcomeAccepted, v+1)
+		expect(t, "the second", y, OutcomeConflict, v+1)
 	}
 }
 
 // What is wrong with a push is told before the log sees it.
 func TestRefusedPushes(t *testing.T) {
 	w := begun(t, 3, 1)
-	expect(t, "first", w.push(0, "first", 0, textOf("first")), Accepted, 1)
+	expect(t, "first", w.push(0, "first", 0, textOf("first")), OutcomeAccepted, 1)
 	for what, c := range map[string]struct {
 		p    Propose
 		why  string
 		what Outcome
 	}{
-		"no ID":         {Propose{"", 1, textOf("x")}, "ID", Refused},
-		"bad text":      {Propose{"bad", 1, []byte("[log]\nlevel = \"loud\"\n")}, "2:1: log.level", Refused},
-		"too long":      {Propose{"long", 1, bytes.Repeat([]byte("#"), controlplane.MaxText+1)}, "262144", Refused},
-		"older":         {Propose{"older", 0, textOf("x")}, "made after version 0, and 1 is the latest", Conflict},
-		"other content": {Propose{"first", 1, textOf("x")}, "another text", Refused},
+		"no ID":         {Propose{"", 1, textOf("x")}, "ID", OutcomeRejected},
+		"bad text":      {Propose{"bad", 1, []byte("[log]\nlevel = \"loud\"\n")}, "2:1: log.level", OutcomeRejected},
+		"too long":      {Propose{"long", 1, bytes.Repeat([]byte("#"), controlplane.MaxSnapshotSize+1)}, "262144", OutcomeRejected},
+		"older":         {Propose{"older", 0, textOf("x")}, "made after version 0, and 1 is the latest", OutcomeConflict},
+		"other content": {Propose{"first", 1, textOf("x")}, "another text", OutcomeRejected},
 	} {
-		if a := w.push(1, c.p.ID, c.p.After, c.p.Text); a.Outcome != c.what || !strings.Contains(a.Err, c.why) {
-			t.Errorf("%s: %s %s", what, a.Outcome, a.Err)
+		if a := w.push(1, c.p.ID, c.p.BaseVersion, c.p.Text); a.Outcome != c.what || !strings.Contains(a.Error, c.why) {
+			t.Errorf("%s: %s %s", what, a.Outcome, a.Error)
 		}
 	}
-	if a := w.push(1, "later", 7, textOf("later")); a.Outcome != Conflict {
-		t.Errorf("after a version that is not there: %s %s", a.Outcome, a.Err)
+	if a := w.push(1, "later", 7, textOf("later")); a.Outcome != OutcomeConflict {
+		t.Errorf("after a version that is not there: %s %s", a.Outcome, a.Error)
 	}
-	if a := w.ask(2, "nobody's"); a.Outcome != Missing {
-		t.Errorf("nobody's push: %s %s", a.Outcome, a.Err)
+	if a := w.ask(2, "nobody's"); a.Outcome != OutcomeNotFound {
+		t.Errorf("nobody's push: %s %s", a.Outcome, a.Error)
 	}
 }
 
@@ -101,12 +101,12 @@
 	sent := 0
 	for v := range uint64(3) {
 		for i := range 5 {
-			for k := range 2 * MaxPending {
+			for k := range 2 * MaxPendingRequests {
 				id := fmt.Sprint(v, "/", i, "/", k)
 				w.handle(i, Propose{id, v, append(slices.Clone(text), "# "+id...)})
 				sent++
 			}
-			if n := len(w.places[i].node.pending); n > MaxPending {
+			if n := len(w.places[i].node.pending); n > MaxPendingRequests {
 				t.Fatalf("%d wait", n)
 			}
 		}
@@ -119,7 +119,7 @@
 		}
 		count[list[0].Outcome]++
 	}
-	if len(w.answers) != sent || count[Accepted] != 3 {
+	if len(w.answers) != sent || count[OutcomeAccepted] != 3 {
 		t.Errorf("%d answers to %d pushes: %v", len(w.answers), sent, count)
 	}
 	t.Log(count)
@@ -133,8 +133,8 @@
 	w.stop(away)
 	for v := range uint64(20) {
 		id := fmt.Sprint("p", v)
-		text := append(bytes.Repeat([]byte("#"), controlplane.MaxText-len(id)), id...)
-		expect(t, id, w.push((away+1+int(v)%2)%3, id, v, text), Accepted, v+1)
+		text := append(bytes.Repeat([]byte("#"), controlplane.MaxSnapshotSize-len(id)), id...)
+		expect(t, id, w.push((away+1+int(v)%2)%3, id, v, text), OutcomeAccepted, v+1)
 	}
 	w.start(away)
 	w.until(10*time.Second, "all agree", w.agreed)
@@ -146,7 +146,7 @@
 			}
 			sum += len(v)
 		}
-		if sum > 6*controlplane.MaxText {
+		if sum > 6*controlplane.MaxSnapshotSize {
 			t.Errorf("%s stores %d bytes", p.name, sum)
 		}
 		t.Log(p.name, "stores", sum, "bytes")
@@ -160,7 +160,7 @@
 	for _, leads := range []bool{true, false} {
 		for steps := range 20 {
 			w := begun(t, 3, uint64(steps))
-			expect(t, "first", w.push(0, "first", 0, textOf("first")), Accepted, 1)
+			expect(t, "first", w.push(0, "first", 0, textOf("first")), OutcomeAccepted, 1)
 			i := w.leader()
 			if !leads {
 				i = (i + 1) % 3
@@ -171,16 +171,16 @@
 			other := (i + 1) % 3
 			w.until(6*time.Second, "a leader among the others", func() bool { l := w.leader(); return l >= 0 && l != i })
 			b := w.ask(other, "mid")
-			if b.Outcome != Accepted && b.Outcome != Missing || a.Outcome == Accepted && b.Outcome != Accepted {
-				t.Fatalf("after %d steps: the push %q, then %q %s", steps, a.Outcome, b.Outcome, b.Err)
+			if b.Outcome != OutcomeAccepted && b.Outcome != OutcomeNotFound || a.Outcome == OutcomeAccepted && b.Outcome != OutcomeAccepted {
+				t.Fatalf("after %d steps: the push %q, then %q %s", steps, a.Outcome, b.Outcome, b.Error)
 			}
 			outcomes[fmt.Sprintf("the pusher heard %q, then %q", a.Outcome, b.Outcome)]++
 			w.start(i)
 			w.run(5 * time.Second)
-			if c := w.ask(i, "mid"); b.Outcome == Accepted && c.Outcome != Accepted {
+			if c := w.ask(i, "mid"); b.Outcome == OutcomeAccepted && c.Outcome != OutcomeAccepted {
 				t.Fatalf("after %d steps: %q, then %q", steps, b.Outcome, c.Outcome)
 			}
-			expect(t, "again", w.push(other, "mid", 1, textOf("mid")), Accepted, 2)
+			expect(t, "again", w.push(other, "mid", 1, textOf("mid")), OutcomeAccepted, 2)
 			w.until(5*time.Second, "all agree", w.agreed)
 		}
 	}
@@ -198,7 +198,7 @@
 			part = 10 * time.Minute
 		}
 		w := begun(t, 5, 7)
-		expect(t, "before", w.push(0, "before", 0, textOf("before")), Accepted, 1)
+		expect(t, "before", w.push(0, "before", 0, textOf("before")), OutcomeAccepted, 1)
 		w.until(time.Second, "all agree", w.agreed)
 		old := w.leader()
 		for _, i := range small {
@@ -206,24 +206,24 @@
 		}
 		big := slices.IndexFunc(w.group, func(g int) bool { return g == 0 })
 		// At once, while the smaller side may still have a leader: nothing is promised there.
-		if a := w.push(small[0], "at once", 1, textOf("at once")); a.Outcome != Unknown && a.Outcome != Refused {
+		if a := w.push(small[0], "at once", 1, textOf("at once")); a.Outcome != OutcomeUnknown && a.Outcome != OutcomeRejected {
 			t.Fatalf("at once in the smaller part (the leader was %d): %s", old, a.Outcome)
 		}
 		w.until(6*time.Second, "a leader of the larger part", func() bool { l := w.leader(); return l >= 0 && w.group[l] == 0 })
 		v := uint64(1)
 		for range 6 {
 			w.run(part)
-			if a := w.push(small[1], fmt.Sprint("small", v), 1, textOf("small")); a.Outcome != Refused || !strings.Contains(a.Err, "majority") {
-				t.Fatalf("in the smaller part: %s %s", a.Outcome, a.Err)
+			if a := w.push(small[1], fmt.Sprint("small", v), 1, textOf("small")); a.Outcome != OutcomeRejected || !strings.Contains(a.Error, "majority") {
+				t.Fatalf("in the smaller part: %s %s", a.Outcome, a.Error)
 			}
-			if a := w.ask(small[1], "nobody's"); a.Outcome != Unknown {
+			if a := w.ask(small[1], "nobody's"); a.Outcome != OutcomeUnknown {
 				t.Fatalf("a question in the smaller part: %s", a.Outcome)
 			}
-			if f, ok := w.places[small[1]].node.Frame(); !ok || f.Stamp.Version != 1 {
-				t.Fatalf("the smaller part serves %v", f.Stamp)
+			if f, ok := w.places[small[1]].node.Frame(); !ok || f.Revision.Version != 1 {
+				t.Fatalf("the smaller part serves %v", f.Revision)
 			}
 			id := fmt.Sprint("large", v)
-			expect(t, id, w.push(big, id, v, textOf(id)), Accepted, v+1)
+			expect(t, id, w.push(big, id, v, textOf(id)), OutcomeAccepted, v+1)
 			v++
 		}
 		terms := w.places[big].node.root.Term
@@ -234,11 +234,11 @@
 		if got := w.places[big].node.root.Term; got != terms {
 			t.Errorf("the return of the smaller part cost the larger one its leader: term %d, then %d", terms, got)
 		}
-		if a := w.ask(small[0], "at once"); a.Outcome != Missing {
+		if a := w.ask(small[0], "at once"); a.Outcome != OutcomeNotFound {
 			t.Errorf("what the smaller part heard at once: %s", a.Outcome)
 		}
 		for k := range v - 1 {
-			expect(t, "large", w.ask(small[1], fmt.Sprint("large", k+1)), Accepted, k+2)
+			expect(t, "large", w.ask(small[1], fmt.Sprint("large", k+1)), OutcomeAccepted, k+2)
 		}
 	}
 }
@@ -256,7 +256,7 @@
 func TestRolledBackStore(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		w := begun(t, 5, 3)
-		expect(t, "1", w.push(0, "1", 0, textOf("1")), Accepted, 1)
+		expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 		i := w.leader()
 		if !leads {
 			i = (i + 1) % 5
@@ -264,27 +264,27 @@
 		yesterday := maps.Clone(w.places[i].disk)
 		w.run(2 * time.Minute)
 		for v := uint64(1); v < 30; v++ {
-			expect(t, "more", w.push(int(v)%5, fmt.Sprint(v+1), v, textOf("x")), Accepted, v+1)
+			expect(t, "more", w.push(int(v)%5, fmt.Sprint(v+1), v, textOf("x")), OutcomeAccepted, v+1)
 		}
 		w.rollBack(i, yesterday)
-		w.until(time.Second, "it says so", func() bool { return w.places[i].node.Status().Part == Rolled })
+		w.until(time.Second, "it says so", func() bool { return w.places[i].node.Status().Role == RoleRolledBack })
 		if !slices.ContainsFunc(w.places[i].noted, func(s string) bool { return strings.HasPrefix(s, "rolled back: its store was rolled back") }) {
 			t.Errorf("noted: %q", w.places[i].noted)
 		}
 		w.until(5*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 		w.run(3 * time.Second)
-		expect(t, "by others", w.push((i+1)%5, "31", 30, textOf("31")), Accepted, 31)
-		if a := w.push(i, "32", 31, textOf("32")); a.Outcome != Refused || !strings.Contains(a.Err, "rolled back") {
-			t.Errorf("by itself: %s %s", a.Outcome, a.Err)
+		expect(t, "by others", w.push((i+1)%5, "31", 30, textOf("31")), OutcomeAccepted, 31)
+		if a := w.push(i, "32", 31, textOf("32")); a.Outcome != OutcomeRejected || !strings.Contains(a.Error, "rolled back") {
+			t.Errorf("by itself: %s %s", a.Outcome, a.Error)
 		}
 		w.stop(i)
 		w.start(i)
-		if s := w.places[i].node.Status(); s.Part != Rolled { // before it has heard anybody
-			t.Errorf("after a restart it is %s", s.Part)
+		if s := w.places[i].node.Status(); s.Role != RoleRolledBack { // before it has heard anybody
+			t.Errorf("after a restart it is %s", s.Role)
 		}
 		w.run(10 * time.Second)
-		if s := w.places[(i+1)%5].node.Status(); !slices.Contains(s.Rolled, w.places[i].name) {
-			t.Errorf("the others know of %q", s.Rolled)
+		if s := w.places[(i+1)%5].node.Status(); !slices.Contains(s.RolledBack, w.places[i].name) {
+			t.Errorf("the others know of %q", s.RolledBack)
 		}
 	}
 }
@@ -293,15 +293,15 @@
 // one, by whichever origin, and within the first seconds none at all.
 func TestAllStoresRolledBack(t *testing.T) {
 	w := begun(t, 3, 3)
-	expect(t, "1", w.push(0, "1", 0, textOf("1")), Accepted, 1)
+	expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 	var yesterday []map[string][]byte
 	for _, p := range w.places {
 		yesterday = append(yesterday, maps.Clone(p.disk))
 	}
 	for v := uint64(1); v < 5; v++ {
-		expect(t, "more", w.push(0, fmt.Sprint("x", v), v, textOf("x")), Accepted, v+1)
+		expect(t, "more", w.push(0, fmt.Sprint("x", v), v, textOf("x")), OutcomeAccepted, v+1)
 	}
-	later := w.places[0].node.Status().Stamp
+	later := w.places[0].node.Status().Revision
 	for i := range w.places {
 		w.stop(i)
 	}
@@ -311,50 +311,50 @@
 		w.start(i)
 	}
 	w.until(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
-	if a := w.push(w.leader(), "early", 1, textOf("early")); a.Outcome != Refused || !strings.Contains(a.Err, "no member has told") {
-		t.Fatalf("at once: %s %s", a.Outcome, a.Err)
+	if a := w.push(w.leader(), "early", 1, textOf("early")); a.Outcome != OutcomeRejected || !strings.Contains(a.Error, "no member has told") {
+		t.Fatalf("at once: %s %s", a.Outcome, a.Error)
 	}
-	w.handle(1, Reported{"m1", controlplane.Report{Members: 200, Latest: later, Acting: []controlplane.StampCount{{Stamp: later, N: 200}}}})
+	w.handle(1, ReportReceived{"m1", controlplane.Report{Members: 200, Latest: later, Active: []controlplane.RevisionCount{{Revision: later, Count: 200}}}})
 	w.run(time.Second)
 	for i, p := range w.places {
-		if a := w.push(i, "new", 1, textOf("new")); a.Outcome != Refused || !strings.Contains(a.Err, "members hold 1.5") || !strings.Contains(a.Err, "higher epoch") {
-			t.Errorf("%s: %s %s", p.name, a.Outcome, a.Err)
+		if a := w.push(i, "new", 1, textOf("new")); a.Outcome != OutcomeRejected || !strings.Contains(a.Error, "members hold 1.5") || !strings.Contains(a.Error, "higher epoch") {
+			t.Errorf("%s: %s %s", p.name, a.Outcome, a.Error)
 		}
 		if s := p.node.Status(); s.Ahead != later || s.Report.Members != 200 {
 			t.Errorf("%s: ahead %v, %d members", p.name, s.Ahead, s.Report.Members)
 		}
 	}
 	// The same version with other content is as bad.
-	other := w.places[0].node.Status().Stamp
+	other := w.places[0].node.Status().Revision
 	other.Hash = strings.Repeat("0", 64)
-	w.handle(1, Reported{"m1", controlplane.Report{Members: 200, Latest: other, Acting: []controlplane.StampCount{{Stamp: other, N: 200}}}})
+	w.handle(1, ReportReceived{"m1", controlplane.Report{Members: 200, Latest: other, Active: []controlplane.RevisionCount{{Revision: other, Count: 200}}}})
 	w.run(time.Second)
-	if a := w.push(1, "new2", 1, textOf("new")); a.Outcome != Refused || !strings.Contains(a.Err, "(000000000000)") {
-		t.Errorf("members hold another content: %s %s", a.Outcome, a.Err)
+	if a := w.push(1, "new2", 1, textOf("new")); a.Outcome != OutcomeRejected || !strings.Contains(a.Error, "(000000000000)") {
+		t.Errorf("members hold another content: %s %s", a.Outcome, a.Error)
 	}
 	// Members that hold what the origins do are no hindrance (and nobody knows of the later ones any more).
 	clear(w.published)
-	w.handle(1, Reported{"m1", controlplane.Report{Members: 200, Latest: w.places[0].node.Status().Stamp}})
+	w.handle(1, ReportReceived{"m1", controlplane.Report{Members: 200, Latest: w.places[0].node.Status().Revision}})
 	w.run(time.Second)
-	expect(t, "at last", w.push(1, "new3", 1, textOf("new")), Accepted, 2)
+	expect(t, "at last", w.push(1, "new3", 1, textOf("new")), OutcomeAccepted, 2)
 }
 
 // Origins that were founded anew, with a higher epoch, go on though the members still hold what the last epoch had: that is what they
 // are founded for. What members hold of the new epoch itself hinders them as ever.
 func TestFoundedAnew(t *testing.T) {
 	w := begun(t, 3, 3)
-	expect(t, "1", w.push(0, "1", 0, textOf("1")), Accepted, 1)
+	expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 	held := func(epoch, version uint64) {
-		s := controlplane.Stamp{Epoch: epoch, Version: version, Hash: controlplane.HashOf(textOf("old"))}
+		s := controlplane.Revision{Epoch: epoch, Version: version, Hash: controlplane.HashText(textOf("old"))}
 		for i := range w.places {
-			w.handle(i, Reported{"m1", controlplane.Report{Members: 200, Latest: s, Acting: []controlplane.StampCount{{Stamp: s, N: 200}}}})
+			w.handle(i, ReportReceived{"m1", controlplane.Report{Members: 200, Latest: s, Active: []controlplane.RevisionCount{{Revision: s, Count: 200}}}})
 		}
 		w.run(time.Second)
 	}
 	for i := range w.places {
 		w.stop(i)
 		w.places[i].disk = map[string][]byte{}
-		w.write(w.places[i], found(Founding{"f", 2, originNames(3)}))
+		w.write(w.places[i], found(BootstrapConfig{"f", 2, originNames(3)}))
 	}
 	clear(w.published)
 	w.epoch = 2
@@ -363,22 +363,22 @@
 	}
 	w.until(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 	held(2, 4)
-	if a := w.push(0, "behind", 0, textOf("behind")); a.Outcome != Refused || !strings.Contains(a.Err, "members hold 2.4") {
-		t.Errorf("members hold a later one of this epoch: %s %s", a.Outcome, a.Err)
+	if a := w.push(0, "behind", 0, textOf("behind")); a.Outcome != OutcomeRejected || !strings.Contains(a.Error, "members hold 2.4") {
+		t.Errorf("members hold a later one of this epoch: %s %s", a.Outcome, a.Error)
 	}
 	held(1, 603)
-	if s := w.places[0].node.Status(); !s.Ahead.None() {
+	if s := w.places[0].node.Status(); !s.Ahead.IsZero() {
 		t.Errorf("ahead: %v", s.Ahead)
 	}
-	expect(t, "anew", w.push(0, "anew", 0, textOf("anew")), Accepted, 1)
+	expect(t, "anew", w.push(0, "anew", 0, textOf("anew")), OutcomeAccepted, 1)
 }
 
 // Two epochs are never mixed: an origin of the next epoch and those of this one do not hear each other, nor does one of another fleet
 // or of another set.
 func TestTwoEpochsAreNotMixed(t *testing.T) {
-	for _, f := range []Founding{{"f", 2, originNames(3)}, {"g", 1, originNames(3)}, {"f", 1, originNames(4)}} {
+	for _, f := range []BootstrapConfig{{"f", 2, originNames(3)}, {"g", 1, originNames(3)}, {"f", 1, originNames(4)}} {
 		w := begun(t, 3, 3)
-		expect(t, "1", w.push(0, "1", 0, textOf("1")), Accepted, 1)
+		expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 		i := (w.leader() + 1) % 3
 		w.stop(i)
 		w.places[i].disk = map[string][]byte{}
@@ -386,11 +386,11 @@
 		w.start(i)
 		w.run(10 * time.Second)
 		n := w.places[i].node
-		if n.Status().Part != Starting || !n.state.stamp(1).None() || n.foreign == 0 {
-			t.Errorf("%v: %s, foreign %d", f, n.Status().Part, n.foreign)
+		if n.Status().Role != RoleStarting || !n.state.stamp(1).IsZero() || n.foreign == 0 {
+			t.Errorf("%v: %s, foreign %d", f, n.Status().Role, n.foreign)
 		}
-		expect(t, "2", w.push((i+1)%3, "2", 1, textOf("2")), Accepted, 2)
-		if a := w.push(i, "3", 2, textOf("3")); a.Outcome != Refused {
+		expect(t, "2", w.push((i+1)%3, "2", 1, textOf("2")), OutcomeAccepted, 2)
+		if a := w.push(i, "3", 2, textOf("3")); a.Outcome != OutcomeRejected {
 			t.Errorf("%v: %s", f, a.Outcome)
 		}
 	}
@@ -415,7 +415,7 @@
 		w.handle(i, Message{"o2", bad})
 		sent++
 	}
-	w.handle(i, Message{"o2", append(slices.Clone(good), make([]byte, MaxMessage)...)})
+	w.handle(i, Message{"o2", append(slices.Clone(good), make([]byte, MaxMessageSize)...)})
 	if n.broken != sent+1 || n.foreign > 0 {
 		t.Errorf("%d broken, %d foreign, of %d", n.broken, n.foreign, sent+1)
 	}
@@ -423,7 +423,7 @@
 	if n.broken != sent+1 {
 		t.Error("the good one counts as broken")
 	}
-	expect(t, "1", w.push(0, "1", 0, textOf("1")), Accepted, 1)
+	expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 }
 
 // An entry of the log that is none of ours is left out by all alike, and ends nobody.
@@ -432,7 +432,7 @@
 	l := w.leader()
 	prop := w.forge((l+1)%3, l, &raftpb.Message{Type: raftpb.MsgProp.Enum(), Entries: []*raftpb.Entry{{Data: []byte("of a later program")}}})
 	w.handle(l, prop)
-	expect(t, "1", w.push(0, "1", 0, textOf("1")), Accepted, 1)
+	expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 	w.until(time.Second, "all agree", w.agreed)
 	for i := range w.places {
 		if w.places[i].node.broken != 1 {
@@ -442,7 +442,7 @@
 		w.start(i)
 	}
 	w.run(8 * time.Second)
-	expect(t, "2", w.push(0, "2", 1, textOf("2")), Accepted, 2)
+	expect(t, "2", w.push(0, "2", 1, textOf("2")), OutcomeAccepted, 2)
 }
 
 // The machine takes a push once: one that came second stays so, although its version is there by the time that it comes again.
@@ -460,7 +460,7 @@
 	for i := range 2 * MaxOutcomes {
 		m.apply(&change{fmt.Sprint(i), 0, textOf("x")})
 	}
-	if len(m.Ended) != MaxOutcomes || len(m.marshal()) > MaxOutcomes*(MaxID+100)+controlplane.MaxText {
+	if len(m.Ended) != MaxOutcomes || len(m.marshal()) > MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize {
 		t.Errorf("%d outcomes, %d bytes", len(m.Ended), len(m.marshal()))
 	}
 }
@@ -479,8 +479,8 @@
 	i := (l + 1) % 3
 	term, commit := w.places[l].node.root.Term, uint64(999)
 	w.handle(i, w.forge(l, i, &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), Term: &term, Commit: &commit}))
-	if s := w.places[i].node.Status(); s.Part != Rolled || !strings.Contains(w.places[i].node.rolled, "counts on entry 999") {
-		t.Errorf("%s %q", s.Part, w.places[i].node.rolled)
+	if s := w.places[i].node.Status(); s.Role != RoleRolledBack || !strings.Contains(w.places[i].node.rolled, "counts on entry 999") {
+		t.Errorf("%s %q", s.Role, w.places[i].node.rolled)
 	}
 }
 
@@ -491,7 +491,7 @@
 	i := (l + 1) % 3
 	n := w.places[i].node
 	term, index, last := n.root.Term, n.root.Last, n.root.Last+1
-	m := &raftpb.Message{Type: raftpb.MsgApp.Enum(), Term: &term, LogTerm: &term, Index: &index, Entries: []*raftpb.Entry{{Term: &term, Index: &last, Data: make([]byte, MaxMessage)}}}
+	m := &raftpb.Message{Type: raftpb.MsgApp.Enum(), Term: &term, LogTerm: &term, Index: &index, Entries: []*raftpb.Entry{{Term: &term, Index: &last, Data: make([]byte, MaxMessageSize)}}}
 	w.handle(i, w.forge(l, i, m))
 	if n.broken != 1 || n.root.Last != index {
 		t.Errorf("%d broken, the last entry is %d", n.broken, n.root.Last)
@@ -503,7 +503,7 @@
 	w := begun(t, 5, 1)
 	i := 0
 	yesterday := maps.Clone(w.places[i].disk)
-	expect(t, "1", w.push(1, "1", 0, textOf("1")), Accepted, 1)
+	expect(t, "1", w.push(1, "1", 0, textOf("1")), OutcomeAccepted, 1)
 	w.run(2 * time.Second)
 	w.stop(i)
 	w.run(time.Second)
@@ -518,13 +518,13 @@
 	w.places[i].disk = yesterday
 	w.start(i)
 	w.run(2 * time.Second)
-	if s := w.places[i].node.Status(); s.Part != Starting {
-		t.Fatalf("after 2 s, one not heard: %s", s.Part)
+	if s := w.places[i].node.Status(); s.Role != RoleStarting {
+		t.Fatalf("after 2 s, one not heard: %s", s.Role)
 	}
 	clear(w.group)
 	w.run(time.Second)
-	if s := w.places[i].node.Status(); s.Part != Rolled {
-		t.Fatalf("it was at write %d: %s", lost, s.Part)
+	if s := w.places[i].node.Status(); s.Role != RoleRolledBack {
+		t.Fatalf("it was at write %d: %s", lost, s.Role)
 	}
 }
 
@@ -536,7 +536,7 @@
 		l := w.leader()
 		w.stop(l)
 		at := w.now
-		expect(t, "1", w.push((l+1)%5, "1", 0, textOf("1")), Accepted, 1)
+		expect(t, "1", w.push((l+1)%5, "1", 0, textOf("1")), OutcomeAccepted, 1)
 		slowest = max(slowest, w.now-at)
 	}
 	t.Log("the slowest", slowest)
@@ -561,7 +561,7 @@
 				t.Errorf("seed %d: %s follows a leader that is gone", seed, p.name)
 			}
 		}
-		expect(t, "while one is elected", w.push((l+1)%5, "x", 0, textOf("x")), Accepted, 1)
+		expect(t, "while one is elected", w.push((l+1)%5, "x", 0, textOf("x")), OutcomeAccepted, 1)
 	}
 	w := begun(t, 3, 1)
 	l := w.leader()
@@ -569,12 +569,12 @@
 	w.stop((l + 1) % 3)
 	w.run(1300 * time.Millisecond)
 	at := w.now
-	if a := w.push((l+2)%3, "y", 0, textOf("y")); a.Outcome != Refused || a.Err != noMajority || w.now-at < 3*time.Second {
-		t.Errorf("after %v: %s %s", w.now-at, a.Outcome, a.Err)
+	if a := w.push((l+2)%3, "y", 0, textOf("y")); a.Outcome != OutcomeRejected || a.Error != noMajority || w.now-at < 3*time.Second {
+		t.Errorf("after %v: %s %s", w.now-at, a.Outcome, a.Error)
 	}
 	at = w.now
-	if a := w.push((l+2)%3, "z", 0, textOf("z")); a.Outcome != Refused || w.now-at > 100*time.Millisecond {
-		t.Errorf("after %v: %s %s", w.now-at, a.Outcome, a.Err)
+	if a := w.push((l+2)%3, "z", 0, textOf("z")); a.Outcome != OutcomeRejected || w.now-at > 100*time.Millisecond {
+		t.Errorf("after %v: %s %s", w.now-at, a.Outcome, a.Error)
 	}
 }
 
@@ -593,7 +593,7 @@
 			name := w.places[w.leader()].name
 			w.run(500 * time.Millisecond) // the last of them has heard it
 			for _, p := range w.places {
-				if p.node != nil && p.node.Status().Part == Follows && p.node.due < electionTicks {
+				if p.node != nil && p.node.Status().Role == RoleFollower && p.node.due < electionTicks {
 					t.Errorf("seed %d: %s follows, and would seek to lead after %d ticks of silence", seed, p.name, p.node.due)
 				}
 			}
--- a/internal/controlplane/origin/pending.go
+++ b/internal/controlplane/origin/pending.go
@@ -33,30 +33,30 @@
 // propose checks a push and puts it to the log.
 func (n *Node) propose(now time.Duration, ev Propose, out []Action) []Action {
 	answer := func(o Outcome, why string) []Action {
-		return append(out, Answer{ev.ID, o, n.state.stamp(n.cfg.Epoch), why})
+		return append(out, Result{ev.ID, o, n.state.stamp(n.cfg.Epoch), why})
 	}
-	if ev.ID == "" || len(ev.ID) > MaxID {
-		return answer(Refused, fmt.Sprintf("a push has an ID of 1 to %d bytes", MaxID))
+	if ev.ID == "" || len(ev.ID) > MaxIDLength {
+		return answer(OutcomeRejected, fmt.Sprintf("a push has an ID of 1 to %d bytes", MaxIDLength))
 	}
 	if e, ok := n.state.find(ev.ID); ok { // it was pushed before
-		return append(out, n.ended(e, controlplane.HashOf(ev.Text)))
+		return append(out, n.ended(e, controlplane.HashText(ev.Text)))
 	}
-	if _, err := controlplane.Parse(ev.Text); err != nil {
-		return answer(Refused, err.Error())
+	if _, err := controlplane.ParseSnapshot(ev.Text); err != nil {
+		return answer(OutcomeRejected, err.Error())
 	}
 	if why := n.cannot(now); why != "" {
-		return answer(Refused, why)
+		return answer(OutcomeRejected, why)
 	}
-	if ev.After < n.state.Version {
-		return answer(Conflict, fmt.Sprintf("made after version %d, and %d is the latest", ev.After, n.state.Version))
+	if ev.BaseVersion < n.state.Version {
+		return answer(OutcomeConflict, fmt.Sprintf("made after version %d, and %d is the latest", ev.BaseVersion, n.state.Version))
 	}
-	if len(n.pending) >= MaxPending {
-		return answer(Refused, fmt.Sprintf("%d pushes and questions wait already", MaxPending))
+	if len(n.pending) >= MaxPendingRequests {
+		return answer(OutcomeRejected, fmt.Sprintf("%d pushes and questions wait already", MaxPendingRequests))
 	}
-	p := pending{kind: pushed, id: ev.ID, data: encode(change{ev.ID, ev.After, ev.Text}), until: now + n.cfg.Wait, sent: n.ticks}
+	p := pending{kind: pushed, id: ev.ID, data: encode(change{ev.ID, ev.BaseVersion, ev.Text}), until: now + n.cfg.RequestTimeout, sent: n.ticks}
 	if n.rn.BasicStatus().Lead != raft.None { // else it waits for the one that is being elected
 		if err := n.rn.Propose(p.data); err != nil {
-			return answer(Refused, "too much waits for a majority: "+err.Error())
+			return answer(OutcomeRejected, "too much waits for a majority: "+err.Error())
 		}
 		p.put = true
 	}
@@ -79,29 +79,29 @@
 	case later(&report, own) != own:
 		x := later(&report, own)
 		return fmt.Sprintf("members hold %v (%.12s), and this origin has %v (%.12s): it is behind, or the origins were rolled back; if that stays, found a higher epoch", x, x.Hash, own, own.Hash)
-	case report.Members == 0 && now-n.begun < n.cfg.Settle:
-		return fmt.Sprintf("this origin has started within %v, and no member has told yet what it holds", n.cfg.Settle)
+	case report.Members == 0 && now-n.begun < n.cfg.StartupGracePeriod:
+		return fmt.Sprintf("this origin has started within %v, and no member has told yet what it holds", n.cfg.StartupGracePeriod)
 	}
 	return ""
 }
 
 // own is what the members' stamps are held against: the latest, or, before the first change of an epoch, that of its founding. Guards
 // against a founding that what members hold of the epoch before it would hinder for good.
-func (n *Node) own() controlplane.Stamp {
+func (n *Node) own() controlplane.Revision {
 	if n.state.Version == 0 {
-		return controlplane.Stamp{Epoch: n.cfg.Epoch}
+		return controlplane.Revision{Epoch: n.cfg.Epoch}
 	}
 	return n.state.stamp(n.cfg.Epoch)
 }
 
 // later is what members hold that own cannot come before: a later one, or another content under its version; own itself: there is none.
-func later(r *controlplane.Report, own controlplane.Stamp) controlplane.Stamp {
+func later(r *controlplane.Report, own controlplane.Revision) controlplane.Revision {
 	if r.Latest.Compare(own) > 0 {
 		return r.Latest
 	}
-	for _, a := range r.Acting {
-		if a.Stamp.Compare(own) == 0 && a.Stamp != own {
-			return a.Stamp
+	for _, a := range r.Active {
+		if a.Revision.Compare(own) == 0 && a.Revision != own {
+			return a.Revision
 		}
 	}
 	return own
@@ -114,12 +114,12 @@
 	}
 	switch {
 	case n.rolled != "" || !n.ready:
-		return append(out, Answer{id, Unknown, n.state.stamp(n.cfg.Epoch), n.cannot(now)})
-	case len(n.pending) >= MaxPending:
-		return append(out, Answer{id, Unknown, n.state.stamp(n.cfg.Epoch), fmt.Sprintf("%d pushes and questions wait already", MaxPending)})
+		return append(out, Result{id, OutcomeUnknown, n.state.stamp(n.cfg.Epoch), n.cannot(now)})
+	case len(n.pending) >= MaxPendingRequests:
+		return append(out, Result{id, OutcomeUnknown, n.state.stamp(n.cfg.Epoch), fmt.Sprintf("%d pushes and questions wait already", MaxPendingRequests)})
 	}
 	n.serial++
-	p := pending{kind: kind, id: id, mark: n.serial, until: now + n.cfg.Wait, sent: n.ticks}
+	p := pending{kind: kind, id: id, mark: n.serial, until: now + n.cfg.RequestTimeout, sent: n.ticks}
 	n.pending = append(n.pending, p)
 	n.readIndex(p.mark)
 	return out
@@ -176,9 +176,9 @@
 		case p.kind != pushed && p.index > 0 && n.applied >= p.index:
 			out = append(out, n.answered(p, e, ok))
 		case (now >= p.until || n.rolled != "") && p.kind == pushed && !p.put:
-			out = append(out, Answer{p.id, Refused, n.state.stamp(n.cfg.Epoch), noMajority})
+			out = append(out, Result{p.id, OutcomeRejected, n.state.stamp(n.cfg.Epoch), noMajority})
 		case now >= p.until || n.rolled != "":
-			out = append(out, Answer{p.id, Unknown, n.state.stamp(n.cfg.Epoch), "no majority has answered in time: ask again by ID"})
+			out = append(out, Result{p.id, OutcomeUnknown, n.state.stamp(n.cfg.Epoch), "no majority has answered in time: ask again by ID"})
 		default:
 			rest = append(rest, p)
 		}
@@ -188,23 +188,23 @@
 	return out
 }
 
-func (n *Node) answered(p pending, e ending, ok bool) Answer {
+func (n *Node) answered(p pending, e ending, ok bool) Result {
 	switch {
 	case p.kind == readers:
-		return Answer{ID: p.id, Outcome: Current, Stamp: n.state.stamp(n.cfg.Epoch)}
+		return Result{ID: p.id, Outcome: OutcomeCurrent, Revision: n.state.stamp(n.cfg.Epoch)}
 	case ok:
 		return n.ended(e, e.Hash)
 	}
-	return Answer{ID: p.id, Outcome: Missing, Stamp: n.state.stamp(n.cfg.Epoch), Err: fmt.Sprintf("none of the last %d pushes has this ID", MaxOutcomes)}
+	return Result{ID: p.id, Outcome: OutcomeNotFound, Revision: n.state.stamp(n.cfg.Epoch), Error: fmt.Sprintf("none of the last %d pushes has this ID", MaxOutcomes)}
 }
 
 // ended is the answer to a push whose text has this hash.
-func (n *Node) ended(e ending, hash string) Answer {
+func (n *Node) ended(e ending, hash string) Result {
 	switch {
 	case e.Hash != hash:
-		return Answer{e.ID, Refused, n.state.stamp(n.cfg.Epoch), "another text was pushed under this ID"}
+		return Result{e.ID, OutcomeRejected, n.state.stamp(n.cfg.Epoch), "another text was pushed under this ID"}
 	case e.Version == 0:
-		return Answer{e.ID, Conflict, n.state.stamp(n.cfg.Epoch), "another change came first"}
+		return Result{e.ID, OutcomeConflict, n.state.stamp(n.cfg.Epoch), "another change came first"}
 	}
-	return Answer{ID: e.ID, Outcome: Accepted, Stamp: controlplane.Stamp{Epoch: n.cfg.Epoch, Version: e.Version, Hash: e.Hash}}
+	return Result{ID: e.ID, Outcome: OutcomeAccepted, Revision: controlplane.Revision{Epoch: n.cfg.Epoch, Version: e.Version, Hash: e.Hash}}
 }
--- a/internal/controlplane/origin/status.go
+++ b/internal/controlplane/origin/status.go
@@ -15,12 +15,12 @@
 // sum is of all members, as this origin and the others heard.
 func (n *Node) sum() controlplane.Report {
 	all := n.others
-	return all.With(n.names[n.id-1], n.members.Sum(n.state.stamp(n.cfg.Epoch), nil)).Sum(n.state.stamp(n.cfg.Epoch), nil)
+	return all.With(n.names[n.id-1], n.members.Aggregate(n.state.stamp(n.cfg.Epoch), nil)).Aggregate(n.state.stamp(n.cfg.Epoch), nil)
 }
 
 // Status says how it is.
 func (n *Node) Status() Status {
-	s := Status{Self: n.cfg.Self, Epoch: n.cfg.Epoch, Part: n.current(), Stamp: n.state.stamp(n.cfg.Epoch), Rolled: slices.Clone(n.outs), Report: n.sum(), Foreign: n.foreign, Broken: n.broken}
+	s := Status{Self: n.cfg.Self, Epoch: n.cfg.Epoch, Role: n.current(), Revision: n.state.stamp(n.cfg.Epoch), RolledBack: slices.Clone(n.outs), Report: n.sum(), ForeignMessages: n.foreign, CorruptMessages: n.broken}
 	if n.rn != nil && n.ready {
 		if lead := n.rn.BasicStatus().Lead; lead != raft.None {
 			s.Leader = n.names[lead-1]
@@ -30,25 +30,25 @@
 		s.Ahead = x
 	}
 	if n.rolled != "" {
-		s.Rolled = append(s.Rolled, n.cfg.Self)
+		s.RolledBack = append(s.RolledBack, n.cfg.Self)
 	}
 	return s
 }
 
-func (n *Node) current() Part {
+func (n *Node) current() Role {
 	switch {
 	case n.rolled != "":
-		return Rolled
+		return RoleRolledBack
 	case !n.ready:
-		return Starting
+		return RoleStarting
 	}
 	switch s := n.rn.BasicStatus(); {
 	case s.RaftState == raft.StateLeader:
-		return Leads
+		return RoleLeader
 	case s.Lead != raft.None:
-		return Follows
+		return RoleFollower
 	}
-	return Seeks
+	return RoleNoLeader
 }
 
 // parts notes when it takes another part.
@@ -58,7 +58,7 @@
 		return out
 	}
 	n.part = part
-	if part != Rolled {
+	if part != RoleRolledBack {
 		out = n.note(now, out, string(part), fmt.Sprintf("at %v", n.state.stamp(n.cfg.Epoch)))
 	}
 	return out
@@ -78,5 +78,5 @@
 	if decode(data, &c) != nil {
 		return ""
 	}
-	return controlplane.HashOf(c.Text)
+	return controlplane.HashText(c.Text)
 }
--- a/internal/controlplane/origin/world_test.go
+++ b/internal/controlplane/origin/world_test.go
@@ -24,7 +24,7 @@
 	serial  int
 	group   []int // who is in one group reaches each other
 	loss    float64
-	answers map[string][]Answer // by ID, in order
+	answers map[string][]Result // by ID, in order
 	// What was published, by version: one content for ever.
 	published map[uint64]string
 }
@@ -43,7 +43,7 @@
 	begun   time.Duration // of this life's clock
 	skew    time.Duration // that clock begins at it
 	crashIn int           // actions and records until it stops; below 0: never
-	last    controlplane.Stamp
+	last    controlplane.Revision
 	noted   []string
 	// Pushes of this life, and how many were answered.
 	asked    []*try
@@ -79,10 +79,10 @@
 
 // newWorld founds n origins; they do not run yet.
 func newWorld(t fataler, n int, seed uint64) *world {
-	w := &world{t: t, epoch: 1, rng: rand.New(rand.NewPCG(seed, 5)), group: make([]int, n), answers: map[string][]Answer{}, published: map[uint64]string{}}
+	w := &world{t: t, epoch: 1, rng: rand.New(rand.NewPCG(seed, 5)), group: make([]int, n), answers: map[string][]Result{}, published: map[uint64]string{}}
 	for i, name := range originNames(n) {
 		p := &place{name: name, disk: map[string][]byte{}, crashIn: -1, skew: time.Duration(i) * time.Hour}
-		w.write(p, found(Founding{"f", 1, originNames(n)}))
+		w.write(p, found(BootstrapConfig{"f", 1, originNames(n)}))
 		w.places = append(w.places, p)
 	}
 	return w
@@ -123,7 +123,7 @@
 			continue
 		}
 		s := p.node.Status()
-		out += fmt.Sprintf("%s %s leader %s at %v, term %d, applied %d, rolled %q\n", p.name, s.Part, s.Leader, s.Stamp, p.node.root.Term, p.node.applied, p.node.rolled)
+		out += fmt.Sprintf("%s %s leader %s at %v, term %d, applied %d, rolled %q\n", p.name, s.Role, s.Leader, s.Revision, p.node.root.Term, p.node.applied, p.node.rolled)
 	}
 	return out
 }
@@ -148,12 +148,12 @@
 	w.t.Helper()
 	p := w.places[i]
 	p.life++
-	p.begun, p.last, p.crashIn = w.now, controlplane.Stamp{}, -1
+	p.begun, p.last, p.crashIn = w.now, controlplane.Revision{}, -1
 	s := &State{Records: maps.Clone(p.disk)}
 	if err := s.load(); err != nil {
 		w.t.Fatalf("%s: %v", p.name, err)
 	}
-	n, out, err := New(Config{Self: p.name, Seed: w.rng.Uint64()}, s, p.skew)
+	n, out, err := NewNode(Config{Self: p.name, Seed: w.rng.Uint64()}, s, p.skew)
 	if err != nil {
 		w.t.Fatalf("%s: %v", p.name, err)
 	}
@@ -203,23 +203,23 @@
 		case Send:
 			w.send(i, a)
 		case Publish:
-			s := a.Frame.Stamp
+			s := a.Frame.Revision
 			if old, ok := w.published[s.Version]; ok && old != s.Hash {
 				w.t.Fatalf("%v: %s publishes %v with another content than before\n%s", w.now, p.name, s, w.describe())
 			}
-			if s.Hash != controlplane.HashOf(a.Frame.Text) || s.Epoch != w.epoch {
+			if s.Hash != controlplane.HashText(a.Frame.Text) || s.Epoch != w.epoch {
 				w.t.Fatalf("%s publishes %v with a text that is not its own", p.name, s)
 			}
 			if s.Compare(p.last) <= 0 {
 				w.t.Fatalf("%s publishes %v after %v", p.name, s, p.last)
 			}
 			w.published[s.Version], p.last = s.Hash, s
-		case Answer:
+		case Result:
 			w.answers[a.ID] = append(w.answers[a.ID], a)
 			if slices.ContainsFunc(p.asked, func(x *try) bool { return x.id == a.ID }) {
 				p.answered++
 			}
-		case Noted:
+		case LogMessage:
 			p.noted = append(p.noted, a.Kind+": "+a.Text)
 		}
 	}
@@ -230,7 +230,7 @@
 }
 
 func (w *world) send(from int, a Send) {
-	if len(a.Data) > MaxMessage {
+	if len(a.Data) > MaxMessageSize {
 		w.t.Fatalf("%s sends %d bytes", w.places[from].name, len(a.Data))
 	}
 	for i, p := range w.places {
@@ -270,7 +270,7 @@
 		}
 	}
 	for i, p := range w.places {
-		if p.node != nil && p.node.Status().Part == Leads && follow[p.name] > len(w.places)/2 {
+		if p.node != nil && p.node.Status().Role == RoleLeader && follow[p.name] > len(w.places)/2 {
 			at = i
 		}
 	}
@@ -292,34 +292,34 @@
 func textOf(id string) []byte { return []byte("# " + id + "\n") }
 
 // push puts a text to an origin and waits for the answer.
-func (w *world) push(i int, id string, after uint64, text []byte) Answer {
+func (w *world) push(i int, id string, after uint64, text []byte) Result {
 	w.t.Helper()
 	n := len(w.answers[id])
 	w.handle(i, Propose{id, after, text})
 	w.until(5*time.Second, "an answer to "+id, func() bool { return len(w.answers[id]) > n || w.places[i].node == nil })
 	if len(w.answers[id]) == n {
-		return Answer{ID: id}
+		return Result{ID: id}
 	}
 	return w.answers[id][n]
 }
 
 // ask asks an origin what became of a push.
-func (w *world) ask(i int, id string) Answer {
+func (w *world) ask(i int, id string) Result {
 	w.t.Helper()
 	n := len(w.answers[id])
-	w.handle(i, Ask{id})
+	w.handle(i, QueryOutcome{id})
 	w.until(5*time.Second, "an answer to the question for "+id, func() bool { return len(w.answers[id]) > n })
 	return w.answers[id][n]
 }
 
 // agreed is that all who run and were not rolled back hold the same.
 func (w *world) agreed() bool {
-	var first *controlplane.Stamp
+	var first *controlplane.Revision
 	for _, p := range w.places {
 		if p.node == nil || p.node.rolled != "" {
 			continue
 		}
-		s := p.node.Status().Stamp
+		s := p.node.Status().Revision
 		if first == nil {
 			first = &s
 		} else if *first != s {
--- a/internal/controlplane/script_test.go
+++ b/internal/controlplane/script_test.go
@@ -55,21 +55,21 @@
 }
 
 // stampOf reads "1.2".
-func stampOf(t testing.TB, text string) Stamp {
+func stampOf(t testing.TB, text string) Revision {
 	e, v, ok := strings.Cut(text, ".")
 	epoch, err1 := strconv.ParseUint(e, 10, 64)
 	version, err2 := strconv.ParseUint(v, 10, 64)
 	if !ok || err1 != nil || err2 != nil {
 		t.Fatalf("%q is no stamp", text)
 	}
-	return Stamp{Epoch: epoch, Version: version}
+	return Revision{Epoch: epoch, Version: version}
 }
 
 // frame is a good one of a stamp; content makes another text.
-func frame(s Stamp, content string) Frame {
+func frame(s Revision, content string) Frame {
 	text := []byte("# " + s.String() + " " + content + "\n")
-	s.Hash = HashOf(text)
-	return Frame{Fleet: "f", Stamp: s, Text: text}
+	s.Hash = HashText(text)
+	return Frame{Cluster: "f", Revision: s, Text: text}
 }
 
 // oldParse is that of a program that does not know [log].
@@ -77,7 +77,7 @@
 	if strings.Contains(string(text), "[log]") {
 		return nil, errors.New("1:2: no such key: log")
 	}
-	return Parse(text)
+	return ParseSnapshot(text)
 }
 
 func (s *scripted) frame(d *datadriven.TestData) Frame {
@@ -91,8 +91,8 @@
 		n, _ := strconv.Atoi(arg(d, "size", ""))
 		f.Text = []byte(strings.Repeat("#", n))
 	}
-	f.Stamp.Hash = arg(d, "hash", HashOf(f.Text))
-	f.Fleet = arg(d, "fleet", "f")
+	f.Revision.Hash = arg(d, "hash", HashText(f.Text))
+	f.Cluster = arg(d, "fleet", "f")
 	return f
 }
 
@@ -100,47 +100,47 @@
 	s.t = t
 	switch d.Cmd {
 	case "new":
-		c := FollowerConfig{Fleet: "f", Self: "a", Round: s.duration(arg(d, "round", "300ms"))}
+		c := FollowerConfig{Cluster: "f", Self: "a", FetchDelay: s.duration(arg(d, "round", "300ms"))}
 		if arg(d, "old", "") != "" {
 			c.Parse = oldParse
 		}
 		if k := arg(d, "kept", ""); k != "" {
-			c.Last = &Kept{Frame: frame(stampOf(t, k), "")}
-			c.Last.Highest = frame(stampOf(t, arg(d, "highest", k)), "").Stamp
+			c.Cached = &CachedSnapshot{Frame: frame(stampOf(t, k), "")}
+			c.Cached.Highest = frame(stampOf(t, arg(d, "highest", k)), "").Revision
 		}
 		s.now = 0
 		var out []Action
 		s.f, out = NewFollower(c, 0)
 		return s.show(out)
 	case "offer":
-		return s.handle(Offered{arg(d, "from", "b"), s.frame(d)})
+		return s.handle(SnapshotReceived{arg(d, "from", "b"), s.frame(d)})
 	case "applied":
-		ev := Applied{Stamp: stampOf(t, d.CmdArgs[0].Key)}
-		if s.f.applying != nil && s.f.applying.Stamp.Compare(ev.Stamp) == 0 {
-			ev.Stamp = s.f.applying.Stamp
+		ev := ApplyResult{Revision: stampOf(t, d.CmdArgs[0].Key)}
+		if s.f.applying != nil && s.f.applying.Revision.Compare(ev.Revision) == 0 {
+			ev.Revision = s.f.applying.Revision
 		}
 		if e := arg(d, "err", ""); e != "" {
 			ev.Err = errors.New(e)
 		}
 		return s.handle(ev)
 	case "confirmed":
-		return s.handle(Confirmed{"b"})
+		return s.handle(UpstreamConfirmed{"b"})
 	case "lost":
-		return s.handle(Lost{"b"})
+		return s.handle(UpstreamLost{"b"})
 	case "peer":
-		return s.handle(PeerStamp{d.CmdArgs[0].Key, "10.0.0.9:7946", stampOf(t, d.CmdArgs[1].Key)})
+		return s.handle(PeerRevision{d.CmdArgs[0].Key, "10.0.0.9:7946", stampOf(t, d.CmdArgs[1].Key)})
 	case "gone":
-		return s.handle(Gone{d.CmdArgs[0].Key})
+		return s.handle(SubscriberDisconnected{d.CmdArgs[0].Key})
 	case "reported":
-		return s.handle(Reported{d.CmdArgs[0].Key, s.report(d)})
+		return s.handle(ReportReceived{d.CmdArgs[0].Key, s.report(d)})
 	case "tick":
 		end := s.now + s.duration(d.CmdArgs[0].Key)
 		var out []string
-		for n := 0; s.f.Next() <= end; n++ {
+		for n := 0; s.f.NextTick() <= end; n++ {
 			if n > 10_000 {
 				t.Fatal("it wants a tick again and again")
 			}
-			s.now = max(s.now, s.f.Next())
+			s.now = max(s.now, s.f.NextTick())
 			for _, l := range s.lines(s.f.Handle(s.now, Tick{})) {
 				out = append(out, fmt.Sprintf("%v: %s", s.now, l))
 			}
@@ -151,8 +151,8 @@
 		return s.reportText(s.f.Report()) + "\n"
 	case "stats":
 		x := s.f.Stats()
-		return fmt.Sprintf("held %v, acts %v, highest %v, kept %v, since %v, refused %d, older %d, conflicts %d, broken %d, foreign %d, fetches %d\n", x.Held, x.Acts, x.Highest, x.Kept, x.Since,
-			x.Refused, x.Older, x.Conflicts, x.Broken, x.Foreign, x.Fetches)
+		return fmt.Sprintf("held %v, acts %v, highest %v, kept %v, since %v, refused %d, older %d, conflicts %d, broken %d, foreign %d, fetches %d\n", x.Published, x.Active, x.Highest, x.FromCache, x.ConfirmedAt,
+			x.Rejected, x.Stale, x.Conflicts, x.Corrupt, x.Foreign, x.Fetches)
 	}
 	t.Fatalf("no directive %s", d.Cmd)
 	return ""
@@ -161,11 +161,11 @@
 func (s *scripted) handle(ev Event) string { return s.show(s.f.Handle(s.now, ev)) }
 
 func (s *scripted) report(d *datadriven.TestData) (r Report) {
-	stamp := func(text string) Stamp {
+	stamp := func(text string) Revision {
 		if text == "none" {
-			return Stamp{}
+			return Revision{}
 		}
-		return frame(stampOf(s.t, text), "").Stamp
+		return frame(stampOf(s.t, text), "").Revision
 	}
 	number := func(text string) int {
 		n, err := strconv.Atoi(text)
@@ -182,11 +182,11 @@
 		case "latest":
 			r.Latest = stamp(w[1])
 		case "acting":
-			r.Acting = append(r.Acting, StampCount{stamp(w[1]), number(w[2])})
+			r.Active = append(r.Active, RevisionCount{stamp(w[1]), number(w[2])})
 		case "lack":
-			r.Lacking = append(r.Lacking, Lack{Name: w[1], Acts: stamp(w[2]), Why: Reason(w[3]), Err: strings.Join(w[4:], " ")})
+			r.Laggards = append(r.Laggards, Laggard{Name: w[1], Active: stamp(w[2]), Reason: LaggardReason(w[3]), Error: strings.Join(w[4:], " ")})
 		case "more":
-			r.More = number(w[1])
+			r.UnnamedLaggards = number(w[1])
 		default:
 			s.t.Fatalf("no word %s", w[0])
 		}
@@ -196,24 +196,24 @@
 
 func (s *scripted) reportText(r Report) string {
 	out := fmt.Sprintf("report %d members, latest %v", r.Members, r.Latest)
-	for _, a := range r.Acting {
-		out += fmt.Sprintf(", %d on %v", a.N, a.Stamp)
+	for _, a := range r.Active {
+		out += fmt.Sprintf(", %d on %v", a.Count, a.Revision)
 	}
-	if r.Others > 0 {
-		out += fmt.Sprintf(", %d on others", r.Others)
+	if r.OtherRevisions > 0 {
+		out += fmt.Sprintf(", %d on others", r.OtherRevisions)
 	}
-	for _, l := range r.Lacking {
-		out += fmt.Sprintf(" [%s %s, on %v", l.Name, l.Why, l.Acts)
-		if l.Below > 0 {
-			out += fmt.Sprintf(", %d below", l.Below)
+	for _, l := range r.Laggards {
+		out += fmt.Sprintf(" [%s %s, on %v", l.Name, l.Reason, l.Active)
+		if l.Descendants > 0 {
+			out += fmt.Sprintf(", %d below", l.Descendants)
 		}
-		if l.Err != "" {
-			out += ": " + l.Err
+		if l.Error != "" {
+			out += ": " + l.Error
 		}
 		out += "]"
 	}
-	if r.More > 0 {
-		out += fmt.Sprintf(" and %d more", r.More)
+	if r.UnnamedLaggards > 0 {
+		out += fmt.Sprintf(" and %d more", r.UnnamedLaggards)
 	}
 	return out
 }
@@ -224,16 +224,16 @@
 	for _, a := range list {
 		switch a := a.(type) {
 		case Apply:
-			out = append(out, fmt.Sprint("apply ", a.Snapshot.Stamp))
-		case Keep:
-			out = append(out, fmt.Sprintf("keep %v, highest %v", a.Last.Frame.Stamp, a.Last.Highest))
+			out = append(out, fmt.Sprint("apply ", a.Snapshot.Revision))
+		case Save:
+			out = append(out, fmt.Sprintf("keep %v, highest %v", a.Cached.Frame.Revision, a.Cached.Highest))
 		case Publish:
-			out = append(out, fmt.Sprintf("publish %v, %d bytes", a.Frame.Stamp, len(a.Frame.Text)))
+			out = append(out, fmt.Sprintf("publish %v, %d bytes", a.Frame.Revision, len(a.Frame.Text)))
 		case Fetch:
-			out = append(out, fmt.Sprintf("fetch %v from %s at %s", a.Stamp, a.Name, a.Addr))
+			out = append(out, fmt.Sprintf("fetch %v from %s at %s", a.Revision, a.Name, a.Address))
 		case SendReport:
 			out = append(out, s.reportText(a.Report))
-		case Noted:
+		case LogMessage:
 			out = append(out, fmt.Sprintf("note %s x%d: %s", a.Kind, a.Count, a.Text))
 		}
 	}
--- a/internal/controlplane/snapshot.go
+++ b/internal/controlplane/snapshot.go
@@ -15,10 +15,10 @@
 )
 
 // Kind is a key of a snapshot, or of what cannot be in one.
-type Kind struct {
-	Key   string
-	Holds string // the instant from which it does; empty: it cannot change while running
-	Why   string // why it cannot
+type SettingRule struct {
+	Key           string
+	EffectiveFrom string // the instant from which it does; empty: it cannot change while running
+	FixedReason   string // why it cannot
 }
 
 // Why a kind is turned down.
@@ -31,41 +31,41 @@
 
 // kinds is the table of docs/design/controlplane.md. A key that is none of these is an error as well: an older program must refuse
 // what it does not know.
-var kinds = []Kind{
-	{Key: "discovery.addr", Holds: "the next subscription, which begins at once; calls in flight go on with the list that is held"},
-	{Key: "fleet.sidecars", Holds: "the next count of the fleet that is told, within a second"},
-	{Key: "log.level", Holds: "the next line"},
-	{Key: "limits.max_attempts", Holds: "the next decision on any request, those in hand too: none of their attempts is taken back; never more than the platform allows"},
-	{Key: "limits.second_copies", Holds: "the next decision; copies that are out are not taken back; never more than the platform allows"},
-	{Key: "price.cross_zone", Holds: nextChoice},
-	{Key: "price.open", Holds: nextChoice},
-	{Key: "price.handshake", Holds: nextChoice},
-	{Key: "price.probe", Holds: nextChoice},
-	{Key: "class.NAME.worth", Holds: "the next admission"},
-	{Key: "class.NAME.late_share", Holds: "the next admission"},
-	{Key: "tenant.NAME.fraction", Holds: "the next admission"},
-	{Key: "class.NAME.effect", Why: inHand},
-	{Key: "class.NAME.group", Why: inHand},
-	{Key: "class.NAME.window", Why: inHand},
-	{Key: "class.NAME.deadline", Why: inHand},
-	{Key: "class.NAME.aim", Why: inHand},
-	{Key: "class.NAME.stream", Why: inHand},
-	{Key: "limits.connect_timeout", Why: atStart},
-	{Key: "cold", Why: "what a started server bears is counted from it: " + inHand},
-	{Key: "classes", Why: "effect, group and window of repeats: " + inHand},
-	{Key: "ledger", Why: "what may have run is remembered by it: " + inHand},
-	{Key: "graphql", Why: "classes and keys of fields: " + inHand},
-	{Key: "tenants", Why: inHand},
-	{Key: "members", Why: atStart},
-	{Key: "admin", Why: atStart},
-	{Key: "recovery", Why: atStart},
-	{Key: "config", Why: atStart},
-	{Key: "listen", Why: atStart},
-	{Key: "fleet", Why: atStart},
+var kinds = []SettingRule{
+	{Key: "discovery.addr", EffectiveFrom: "the next subscription, which begins at once; calls in flight go on with the list that is held"},
+	{Key: "fleet.sidecars", EffectiveFrom: "the next count of the fleet that is told, within a second"},
+	{Key: "log.level", EffectiveFrom: "the next line"},
+	{Key: "limits.max_attempts", EffectiveFrom: "the next decision on any request, those in hand too: none of their attempts is taken back; never more than the platform allows"},
+	{Key: "limits.second_copies", EffectiveFrom: "the next decision; copies that are out are not taken back; never more than the platform allows"},
+	{Key: "price.cross_zone", EffectiveFrom: nextChoice},
+	{Key: "price.open", EffectiveFrom: nextChoice},
+	{Key: "price.handshake", EffectiveFrom: nextChoice},
+	{Key: "price.probe", EffectiveFrom: nextChoice},
+	{Key: "class.NAME.worth", EffectiveFrom: "the next admission"},
+	{Key: "class.NAME.late_share", EffectiveFrom: "the next admission"},
+	{Key: "tenant.NAME.fraction", EffectiveFrom: "the next admission"},
+	{Key: "class.NAME.effect", FixedReason: inHand},
+	{Key: "class.NAME.group", FixedReason: inHand},
+	{Key: "class.NAME.window", FixedReason: inHand},
+	{Key: "class.NAME.deadline", FixedReason: inHand},
+	{Key: "class.NAME.aim", FixedReason: inHand},
+	{Key: "class.NAME.stream", FixedReason: inHand},
+	{Key: "limits.connect_timeout", FixedReason: atStart},
+	{Key: "cold", FixedReason: "what a started server bears is counted from it: " + inHand},
+	{Key: "classes", FixedReason: "effect, group and window of repeats: " + inHand},
+	{Key: "ledger", FixedReason: "what may have run is remembered by it: " + inHand},
+	{Key: "graphql", FixedReason: "classes and keys of fields: " + inHand},
+	{Key: "tenants", FixedReason: inHand},
+	{Key: "members", FixedReason: atStart},
+	{Key: "admin", FixedReason: atStart},
+	{Key: "recovery", FixedReason: atStart},
+	{Key: "config", FixedReason: atStart},
+	{Key: "listen", FixedReason: atStart},
+	{Key: "fleet", FixedReason: atStart},
 }
 
 // Kinds is the table of what can be in a snapshot, and of what is turned down by name.
-func Kinds() []Kind { return slices.Clone(kinds) }
+func SettingRules() []SettingRule { return slices.Clone(kinds) }
 
 // The bounds of values.
 const (
@@ -79,14 +79,14 @@
 
 // Parse checks a text whole: size, syntax, keys, values and what may change while running. Its error joins strict.Faults, with line and
 // column. The Snapshot's Stamp has the hash alone. Any goroutine may call it; it keeps text.
-func Parse(text []byte) (*Snapshot, error) {
+func ParseSnapshot(text []byte) (*Snapshot, error) {
 	switch {
-	case len(text) > MaxText:
-		return nil, strictdecode.Fault{Line: 1, Column: 1, Text: fmt.Sprintf("%d bytes are more than %d", len(text), MaxText)}
+	case len(text) > MaxSnapshotSize:
+		return nil, strictdecode.Fault{Line: 1, Column: 1, Text: fmt.Sprintf("%d bytes are more than %d", len(text), MaxSnapshotSize)}
 	case len(text) == 0:
 		return nil, strictdecode.Fault{Line: 1, Column: 1, Text: "nothing in it: a comment is enough for a snapshot that sets nothing"}
 	}
-	s := &Snapshot{Text: text, Stamp: Stamp{Hash: HashOf(text)}}
+	s := &Snapshot{Text: text, Revision: Revision{Hash: HashText(text)}}
 	var all []error
 	for _, f := range strictdecode.Decode(text, &s.Settings) {
 		if key, ok := strings.CutPrefix(f.Text, "no such key: "); ok {
@@ -117,7 +117,7 @@
 }
 
 // covers says whether a key is of this kind; NAME in a kind is any name.
-func (k Kind) covers(key string) bool {
+func (k SettingRule) covers(key string) bool {
 	if before, after, named := strings.Cut(k.Key, "NAME"); named {
 		return strings.HasPrefix(key, before) && strings.HasSuffix(key, after)
 	}
@@ -127,8 +127,8 @@
 // unknown says why a key is turned down.
 func unknown(key string) string {
 	for _, k := range kinds {
-		if k.Why != "" && k.covers(key) {
-			return key + ": cannot change while running: " + k.Why
+		if k.FixedReason != "" && k.covers(key) {
+			return key + ": cannot change while running: " + k.FixedReason
 		}
 	}
 	return "no such key: " + key
@@ -187,21 +187,21 @@
 }
 
 // HashOf is a text's hash, as in a Stamp.
-func HashOf(text []byte) string {
+func HashText(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
 // Check says what is wrong with a frame that came from elsewhere, before its text is read: nil, or errForeign or errBroken.
-func (f *Frame) Check(fleet string) error {
+func (f *Frame) Validate(fleet string) error {
 	switch {
-	case f.Fleet != fleet:
-		return fmt.Errorf("%w %q", errForeign, shorten(f.Fleet, MaxName))
-	case len(f.Text) == 0 || len(f.Text) > MaxText:
+	case f.Cluster != fleet:
+		return fmt.Errorf("%w %q", errForeign, shorten(f.Cluster, MaxNameLength))
+	case len(f.Text) == 0 || len(f.Text) > MaxSnapshotSize:
 		return fmt.Errorf("%w: %d bytes of text", errBroken, len(f.Text))
-	case f.Stamp.Epoch == 0 || f.Stamp.Version == 0:
+	case f.Revision.Epoch == 0 || f.Revision.Version == 0:
 		return fmt.Errorf("%w: no stamp", errBroken)
-	case f.Stamp.Hash != HashOf(f.Text):
+	case f.Revision.Hash != HashText(f.Text):
 		return fmt.Errorf("%w: its text is not that of its hash", errBroken)
 	}
 	return nil
--- a/internal/controlplane/snapshot_test.go
+++ b/internal/controlplane/snapshot_test.go
@@ -15,7 +15,7 @@
 		if d.Cmd == "size" {
 			text = sized(d)
 		}
-		s, err := Parse(text)
+		s, err := ParseSnapshot(text)
 		if err != nil {
 			return err.Error() + "\n"
 		}
@@ -54,12 +54,12 @@
 	example := map[string]string{"discovery.addr": `"h:1"`, "fleet.sidecars": "1", "log.level": `"info"`, "limits.max_attempts": "1", "limits.second_copies": "false",
 		"price.cross_zone": "0.5", "price.open": "0.0", "price.handshake": "1.0", "price.probe": "0.1", "class.NAME.worth": "2.0", "class.NAME.late_share": "0.5",
 		"tenant.NAME.fraction": "0.25"}
-	for _, k := range Kinds() {
-		if (k.Holds == "") == (k.Why == "") {
+	for _, k := range SettingRules() {
+		if (k.EffectiveFrom == "") == (k.FixedReason == "") {
 			t.Errorf("%s: either the instant from which it holds or why it cannot", k.Key)
 		}
 		value, ok := example[k.Key]
-		if ok != (k.Holds != "") {
+		if ok != (k.EffectiveFrom != "") {
 			t.Errorf("%s: no example", k.Key)
 			continue
 		}
@@ -69,7 +69,7 @@
 		if k.Key == "fleet" {
 			k.Key = "fleet.listen"
 		}
-		_, err := Parse([]byte(k.Key + " = " + value))
+		_, err := ParseSnapshot([]byte(k.Key + " = " + value))
 		if (err == nil) != ok {
 			t.Errorf("%s: %v", k.Key, err)
 		}
--- a/internal/controlplane/transport/client.go
+++ b/internal/controlplane/transport/client.go
@@ -28,7 +28,7 @@
 }
 
 // answerMost is how long an answer may be at most.
-const answerMost = MaxLine + 4*controlplane.MaxReport
+const answerMost = MaxLine + 4*controlplane.MaxReportSize
 
 func (c *Client) ask(ctx context.Context, method, path string, body []byte, v any) error {
 	q, err := c.c.request(ctx, method, c.addr, path, bytes.NewReader(body))
@@ -51,13 +51,13 @@
 }
 
 // Push proposes a text to follow a version, under an ID of the caller's own choice: doing so again under the same one is safe.
-func (c *Client) Push(ctx context.Context, id string, after uint64, text []byte) (a origin.Answer, err error) {
+func (c *Client) Push(ctx context.Context, id string, after uint64, text []byte) (a origin.Result, err error) {
 	v := url.Values{"id": {id}, "after": {strconv.FormatUint(after, 10)}}
 	return a, c.ask(ctx, http.MethodPost, pushPath+"?"+v.Encode(), text, &a)
 }
 
 // Became asks what became of a push.
-func (c *Client) Became(ctx context.Context, id string) (a origin.Answer, err error) {
+func (c *Client) Became(ctx context.Context, id string) (a origin.Result, err error) {
 	return a, c.ask(ctx, http.MethodGet, pushPath+"?"+url.Values{"id": {id}}.Encode(), nil, &a)
 }
 
@@ -67,8 +67,8 @@
 	if local {
 		path += "?local=1"
 	}
-	if err = c.ask(ctx, http.MethodGet, path, nil, &s); err == nil && !local && s.Answer.Outcome != origin.Current {
-		err = fmt.Errorf("%s has not had it confirmed by a majority: %s %s", c.addr, s.Answer.Outcome, s.Answer.Err)
+	if err = c.ask(ctx, http.MethodGet, path, nil, &s); err == nil && !local && s.Answer.Outcome != origin.OutcomeCurrent {
+		err = fmt.Errorf("%s has not had it confirmed by a majority: %s %s", c.addr, s.Answer.Outcome, s.Answer.Error)
 	}
 	return s, err
 }
--- a/internal/controlplane/transport/follow.go
+++ b/internal/controlplane/transport/follow.go
@@ -59,7 +59,7 @@
 
 // open asks all targets in their order, each a stagger after the one before it or at once when that has failed, and takes the first
 // that answers. It waits for the others to have ended.
-func (c *caller) open(ctx context.Context, targets []target, from controlplane.Stamp) (*opened, error) {
+func (c *caller) open(ctx context.Context, targets []target, from controlplane.Revision) (*opened, error) {
 	type answer struct {
 		*opened
 		err error
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -50,7 +50,7 @@
 
 // acting is what a member acts on, and since when.
 type acting struct {
-	stamp controlplane.Stamp
+	stamp controlplane.Revision
 	at    time.Time
 }
 
@@ -80,7 +80,7 @@
 		}
 		r.Close()
 	})
-	f := origin.Founding{Fleet: "hollow", Epoch: 1}
+	f := origin.BootstrapConfig{Cluster: "hollow", Epoch: 1}
 	peers := map[string]string{}
 	for k := range origins {
 		name := fmt.Sprint("o", k+1)
@@ -92,9 +92,9 @@
 	for k, name := range f.Origins {
 		network, _ := r.Machine(1 + k*rack)
 		o := &hollowOrigin{dir: filepath.Join(t.TempDir(), name), cfg: transport.OriginConfig{Listen: peers[name], Peers: peers, Allowed: r.allowed, Dial: network.Dial,
-			Log: slog.New(slog.DiscardHandler), Node: origin.Config{Founding: f, Self: name, Seed: uint64(k), TickEvery: 50 * time.Millisecond}}}
+			Log: slog.New(slog.DiscardHandler), Node: origin.Config{BootstrapConfig: f, Self: name, Seed: uint64(k), TickInterval: 50 * time.Millisecond}}}
 		st := openStore(t, o.dir)
-		if err := origin.Found(st, f); err != nil {
+		if err := origin.Bootstrap(st, f); err != nil {
 			t.Fatal(err)
 		}
 		st.Close()
@@ -135,14 +135,14 @@
 	r.mu.Lock()
 	delete(r.acts, m.Name)
 	r.mu.Unlock()
-	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Fleet: "hollow", Self: m.Name, Round: 300 * time.Millisecond},
+	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "hollow", Self: m.Name, FetchDelay: 300 * time.Millisecond},
 		Origins: r.addrs, Most: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
 		Selector: bootstrap.Config{Self: m.Name, Ask: 40, Fan: 4, Told: len(r.Members), Seed: uint64(m.N)},
-		Holds:    func(s controlplane.Stamp) { node.Load().SetStamp(s.Epoch, s.Version) },
+		Holds:    func(s controlplane.Revision) { node.Load().SetStamp(s.Epoch, s.Version) },
 		Apply: func(s *controlplane.Snapshot) error {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.acts[m.Name] = acting{s.Stamp, time.Now()}
+			r.acts[m.Name] = acting{s.Revision, time.Now()}
 			return nil
 		}})
 	if err != nil {
@@ -209,7 +209,7 @@
 }
 
 // push has a change accepted, by whichever origin of some takes it.
-func (r *hollowRig) push(origins ...int) (controlplane.Stamp, time.Time) {
+func (r *hollowRig) push(origins ...int) (controlplane.Revision, time.Time) {
 	r.t.Helper()
 	begun := time.Now()
 	id := fmt.Sprint("push-", begun.UnixNano())
@@ -219,16 +219,16 @@
 		ctx, end := context.WithTimeout(r.t.Context(), time.Second)
 		s, err := c.Show(ctx, false)
 		if err == nil {
-			a, err := c.Push(ctx, id, s.Answer.Stamp.Version, text)
-			if err == nil && a.Outcome == origin.Accepted {
+			a, err := c.Push(ctx, id, s.Answer.Revision.Version, text)
+			if err == nil && a.Outcome == origin.OutcomeAccepted {
 				end()
-				return a.Stamp, begun
+				return a.Revision, begun
 			}
 		}
 		end()
 	}
 	r.t.Fatal("no origin has accepted a push")
-	return controlplane.Stamp{}, begun
+	return controlplane.Revision{}, begun
 }
 
 // patience is how long one waits: in the long form one process stands for hundreds, on a machine that others use.
@@ -240,7 +240,7 @@
 }
 
 // inForce waits until all of some act on a stamp, and logs when 50, 99 and 100 in 100 did, after since.
-func (r *hollowRig) inForce(what string, s controlplane.Stamp, since time.Time, members []*hollow.Member) []time.Duration {
+func (r *hollowRig) inForce(what string, s controlplane.Revision, since time.Time, members []*hollow.Member) []time.Duration {
 	r.t.Helper()
 	var took []time.Duration
 	lack := ""
--- a/internal/controlplane/transport/hub.go
+++ b/internal/controlplane/transport/hub.go
@@ -20,7 +20,7 @@
 	gone     func(name string)
 
 	mu        sync.Mutex
-	stamp     controlplane.Stamp
+	stamp     controlplane.Revision
 	text      []byte        // the frame as a line; nil: there is none
 	path      []string      // of this process itself: it first, the origin last
 	idle      bool          // an origin that takes no part: who follows it looks for another one
@@ -51,7 +51,7 @@
 	if err != nil {
 		return // strings and bytes always can be
 	}
-	h.change(func() { h.stamp, h.text = f.Stamp, append(text, '\n') })
+	h.change(func() { h.stamp, h.text = f.Revision, append(text, '\n') })
 }
 
 // follows says that the own upstream works, with its path; lose that it does no more.
@@ -94,7 +94,7 @@
 		return
 	}
 	who := q.Header.Get(whoHeader)
-	if who == "" || len(who) > controlplane.MaxName {
+	if who == "" || len(who) > controlplane.MaxNameLength {
 		http.Error(w, whoHeader+" is wanted", http.StatusBadRequest)
 		return
 	}
@@ -124,7 +124,7 @@
 
 func (h *hub) report(w http.ResponseWriter, q *http.Request, who string) {
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(writeTime))
-	text, err := io.ReadAll(http.MaxBytesReader(w, q.Body, controlplane.MaxReport))
+	text, err := io.ReadAll(http.MaxBytesReader(w, q.Body, controlplane.MaxReportSize))
 	var r controlplane.Report
 	if err == nil {
 		err = json.Unmarshal(text, &r)
@@ -146,7 +146,7 @@
 }
 
 // enter takes a follower in; why not, in words.
-func (h *hub) enter(q *http.Request, who string, asked controlplane.Stamp) string {
+func (h *hub) enter(q *http.Request, who string, asked controlplane.Revision) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for late := time.After(holdTime); !h.live && len(h.following) < h.most; {
@@ -250,7 +250,7 @@
 	}
 }
 
-func askedFrom(q *http.Request) (s controlplane.Stamp, err error) {
+func askedFrom(q *http.Request) (s controlplane.Revision, err error) {
 	v := q.URL.Query()
 	if s.Epoch, err = strconv.ParseUint(v.Get("epoch"), 10, 64); err == nil {
 		s.Version, err = strconv.ParseUint(v.Get("version"), 10, 64)
--- a/internal/controlplane/transport/keep.go
+++ b/internal/controlplane/transport/keep.go
@@ -20,7 +20,7 @@
 
 // load reads what was kept; nil: nothing was. One that cannot be read is an error, and nothing is made of it; whether its text is the one
 // that was kept the core checks.
-func load(dir string) (*controlplane.Kept, time.Time, error) {
+func load(dir string) (*controlplane.CachedSnapshot, time.Time, error) {
 	path := filepath.Join(dir, keptName)
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, time.Time{}, err
 	}
-	k := new(controlplane.Kept)
+	k := new(controlplane.CachedSnapshot)
 	if err := json.Unmarshal(text, k); err != nil {
 		return nil, time.Time{}, fmt.Errorf("%s: %w", path, err)
 	}
@@ -44,7 +44,7 @@
 }
 
 // keep stores it so that a loss of power leaves this one or the one before.
-func keep(dir string, k *controlplane.Kept) error {
+func keep(dir string, k *controlplane.CachedSnapshot) error {
 	text, err := json.Marshal(k)
 	if err != nil {
 		return err
--- a/internal/controlplane/transport/link.go
+++ b/internal/controlplane/transport/link.go
@@ -59,16 +59,16 @@
 	// mostSteps is how many members may stand between one and the origin.
 	mostSteps = 8
 	// MaxLine is a frame as a line of JSON: its text in base64, and the rest.
-	MaxLine = controlplane.MaxText*4/3 + 4<<10
+	MaxLine = controlplane.MaxSnapshotSize*4/3 + 4<<10
 )
 
 // line is what a watch brings; all fields absent: it lives.
 type line struct {
-	Path   []string            `json:"path,omitempty"` // nearest first, the origin last
-	Holds  *controlplane.Stamp `json:"holds,omitempty"`
-	Idle   bool                `json:"idle,omitempty"` // beside Path: an origin that takes no part, and hears of no changes
-	Frame  *controlplane.Frame `json:"frame,omitempty"`
-	Packed []byte              `json:"packed,omitempty"` // the frame's text by gzip (RFC 1952), in the place of the text
+	Path   []string               `json:"path,omitempty"` // nearest first, the origin last
+	Holds  *controlplane.Revision `json:"holds,omitempty"`
+	Idle   bool                   `json:"idle,omitempty"` // beside Path: an origin that takes no part, and hears of no changes
+	Frame  *controlplane.Frame    `json:"frame,omitempty"`
+	Packed []byte                 `json:"packed,omitempty"` // the frame's text by gzip (RFC 1952), in the place of the text
 }
 
 // pack is a frame as a line.
@@ -93,11 +93,11 @@
 	if err != nil {
 		return err
 	}
-	text, err := io.ReadAll(io.LimitReader(z, controlplane.MaxText+1))
+	text, err := io.ReadAll(io.LimitReader(z, controlplane.MaxSnapshotSize+1))
 	if err != nil {
 		return err
 	}
-	if len(text) > controlplane.MaxText {
+	if len(text) > controlplane.MaxSnapshotSize {
 		return errLength
 	}
 	l.Frame.Text, l.Packed = text, nil
--- a/internal/controlplane/transport/link_test.go
+++ b/internal/controlplane/transport/link_test.go
@@ -70,7 +70,7 @@
 }
 
 func frame(version uint64, text string) controlplane.Frame {
-	return controlplane.Frame{Fleet: "f", Stamp: controlplane.Stamp{Epoch: 1, Version: version, Hash: controlplane.HashOf([]byte(text))}, Text: []byte(text)}
+	return controlplane.Frame{Cluster: "f", Revision: controlplane.Revision{Epoch: 1, Version: version, Hash: controlplane.HashText([]byte(text))}, Text: []byte(text)}
 }
 
 type member struct {
@@ -93,19 +93,19 @@
 
 func startMember(t *testing.T, name, dir string, origins ...string) *member {
 	t.Helper()
-	return startParsing(t, controlplane.Parse, name, dir, origins...)
+	return startParsing(t, controlplane.ParseSnapshot, name, dir, origins...)
 }
 
 func startParsing(t *testing.T, parse func([]byte) (*controlplane.Snapshot, error), name, dir string, origins ...string) *member {
 	t.Helper()
 	m := new(member)
 	var err error
-	m.Member, err = NewMember(MemberConfig{Follower: controlplane.FollowerConfig{Fleet: "f", Self: name, Parse: parse}, Origins: origins, Most: 4, Dir: dir,
+	m.Member, err = NewMember(MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "f", Self: name, Parse: parse}, Origins: origins, Most: 4, Dir: dir,
 		Selector: bootstrap.Config{Self: name, Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
 		Apply: func(s *controlplane.Snapshot) error {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.applied = append(m.applied, s.Stamp.Version)
+			m.applied = append(m.applied, s.Revision.Version)
 			return nil
 		}})
 	if err != nil {
@@ -158,7 +158,7 @@
 		up.mu.Lock()
 		defer up.mu.Unlock()
 		for _, r := range up.told {
-			if len(r.Acting) == 1 && r.Acting[0].Stamp.Version == 2 && r.Acting[0].N == 2 {
+			if len(r.Active) == 1 && r.Active[0].Revision.Version == 2 && r.Active[0].Count == 2 {
 				return true
 			}
 		}
@@ -172,7 +172,7 @@
 	other.publish(frame(3, "# three"))
 	testutil.Until(t, "the other origin is followed", func() bool { return first.acts() == 3 && second.acts() == 3 })
 	s, _ := first.State()
-	if !s.Ready || s.Acts.Version != 3 || s.Upstream != other.self || s.Kept {
+	if !s.Ready || s.Active.Version != 3 || s.Upstream != other.self || s.FromCache {
 		t.Errorf("%+v", s)
 	}
 }
@@ -187,7 +187,7 @@
 		if strings.Contains(string(text), "[price]") {
 			return nil, errors.New("1:2: no such key: price")
 		}
-		return controlplane.Parse(text)
+		return controlplane.ParseSnapshot(text)
 	}, "m1", "", s.addr)
 	testutil.Until(t, "the old one acts on the first", func() bool { return old.acts() == 1 })
 	below := startMember(t, "m2", "", s.addr)
@@ -206,8 +206,8 @@
 		n, refused := 0, false
 		for _, r := range s.told {
 			n += r.Members
-			for _, l := range r.Lacking {
-				refused = refused || l.Name == "m1" && l.Why == controlplane.Refused && strings.Contains(l.Err, "no such key: price") && l.Acts.Version == 1
+			for _, l := range r.Laggards {
+				refused = refused || l.Name == "m1" && l.Reason == controlplane.ReasonRejected && strings.Contains(l.Error, "no such key: price") && l.Active.Version == 1
 			}
 		}
 		return n == 2 && refused
@@ -252,7 +252,7 @@
 		"a line that is too long": func(w http.ResponseWriter) { io.WriteString(w, head+strings.Repeat("x", MaxLine+1)) },
 		"half a line":             func(w http.ResponseWriter) { io.WriteString(w, head+`{"frame":{"fleet":"f","stamp":{"ep`) },
 		"a packed text that is too long": func(w http.ResponseWriter) {
-			l := pack(frame(1, "# "+strings.Repeat("x", 2*controlplane.MaxText)))
+			l := pack(frame(1, "# "+strings.Repeat("x", 2*controlplane.MaxSnapshotSize)))
 			l.Path = []string{"bad"}
 			json.NewEncoder(w).Encode(l)
 			l.Path = nil
@@ -319,7 +319,7 @@
 		t.Fatal(err)
 	}
 	m := startMember(t, "m", "", s.addr)
-	noise := make([]byte, controlplane.MaxText/2-10) // which packing leaves as large as it is
+	noise := make([]byte, controlplane.MaxSnapshotSize/2-10) // which packing leaves as large as it is
 	rand.Read(noise)
 	big := "# " + hex.EncodeToString(noise)
 	versions := uint64(0)
@@ -358,7 +358,7 @@
 	if text := m.WaitReady(t.Context(), 50*time.Millisecond); !strings.Contains(text, "the last known one, 1.4, confirmed 25h0m") {
 		t.Error(text)
 	}
-	if s, _ := m.State(); !s.Kept || s.Ready || !strings.HasPrefix(s.LastKnown, "25h0m") {
+	if s, _ := m.State(); !s.FromCache || s.Ready || !strings.HasPrefix(s.LastKnown, "25h0m") {
 		t.Errorf("%+v", s)
 	}
 	m.stop()
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -39,7 +39,7 @@
 	// time, and may block.
 	Apply func(*controlplane.Snapshot) error
 	// Holds is called with the stamp that is held, at each change, from Run's goroutine. It must not block. nil: nobody asks.
-	Holds func(controlplane.Stamp)
+	Holds func(controlplane.Revision)
 	Dial  Dial // nil: the kernel's
 	Log   *slog.Logger
 }
@@ -56,11 +56,11 @@
 	in       chan any
 	apply    chan *controlplane.Snapshot
 	fetches  chan struct{}
-	keeping  latest[controlplane.Kept]
+	keeping  latest[controlplane.CachedSnapshot]
 	reports  latest[controlplane.Report]
 	ready    chan struct{}
-	ended    chan struct{}      // Run has
-	asking   controlplane.Stamp // Run's word to the upstream goroutine: from where to ask
+	ended    chan struct{}         // Run has
+	asking   controlplane.Revision // Run's word to the upstream goroutine: from where to ask
 	askingMu sync.Mutex
 
 	mu       sync.Mutex
@@ -111,7 +111,7 @@
 	askState struct{ answer chan<- MemberState }
 	isUp     struct { // an upstream answers, or has another path
 		from  string
-		holds controlplane.Stamp
+		holds controlplane.Revision
 		first bool // on this watch
 	}
 )
@@ -125,23 +125,23 @@
 		c.Selector.Rate = aloneRate * float64(len(c.Origins))
 	}
 	m := &Member{cfg: c, begun: time.Now(), in: make(chan any, memberQueue), apply: make(chan *controlplane.Snapshot, 1),
-		fetches: make(chan struct{}, fetchesMost), keeping: newLatest[controlplane.Kept](), reports: newLatest[controlplane.Report](),
+		fetches: make(chan struct{}, fetchesMost), keeping: newLatest[controlplane.CachedSnapshot](), reports: newLatest[controlplane.Report](),
 		ready: make(chan struct{}), ended: make(chan struct{}), selector: bootstrap.New(c.Selector, 0), viewed: make(chan struct{})}
 	if c.Dir != "" {
 		if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 			return nil, fmt.Errorf("config.dir: %w", err)
 		}
 		var err error
-		if m.cfg.Follower.Last, m.keptAt, err = load(c.Dir); err != nil {
+		if m.cfg.Follower.Cached, m.keptAt, err = load(c.Dir); err != nil {
 			c.Log.Error("config: the last known snapshot cannot be used", "err", err)
 		}
 	}
 	m.core, m.first = controlplane.NewFollower(m.cfg.Follower, 0)
-	m.caller = &caller{fleet: c.Follower.Fleet, self: c.Follower.Self, client: newClient(c.Dial)}
-	m.hub = newHub(c.Follower.Fleet, c.Follower.Self, c.Most)
+	m.caller = &caller{fleet: c.Follower.Cluster, self: c.Follower.Self, client: newClient(c.Dial)}
+	m.hub = newHub(c.Follower.Cluster, c.Follower.Self, c.Most)
 	m.hub.member = true
-	m.hub.reported = func(name string, r controlplane.Report) { m.post(controlplane.Reported{From: name, Report: r}) }
-	m.hub.gone = func(name string) { m.post(controlplane.Gone{From: name}) }
+	m.hub.reported = func(name string, r controlplane.Report) { m.post(controlplane.ReportReceived{From: name, Report: r}) }
+	m.hub.gone = func(name string) { m.post(controlplane.SubscriberDisconnected{From: name}) }
 	return m, nil
 }
 
@@ -163,7 +163,7 @@
 // PeerStamp tells what another member holds. It does not wait: what there is no room for is dropped, and its next datagram says it again.
 func (m *Member) PeerStamp(name, addr string, epoch, version uint64) {
 	select {
-	case m.in <- controlplane.PeerStamp{Name: name, Addr: addr, Stamp: controlplane.Stamp{Epoch: epoch, Version: version}}:
+	case m.in <- controlplane.PeerRevision{Name: name, Address: addr, Revision: controlplane.Revision{Epoch: epoch, Version: version}}:
 	default:
 	}
 }
@@ -187,8 +187,8 @@
 	all.Go(func() { m.tells(ctx) })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var wants *controlplane.Stamp // that an upstream holds, until it is in force; nil: no upstream has said
-	held, ready := controlplane.Stamp{}, false
+	var wants *controlplane.Revision // that an upstream holds, until it is in force; nil: no upstream has said
+	held, ready := controlplane.Revision{}, false
 	do := func(list []controlplane.Action) {
 		for _, a := range list {
 			m.act(ctx, &all, a)
@@ -197,19 +197,19 @@
 	do(m.first)
 	for {
 		stats := m.core.Stats()
-		if stats.Held != held {
-			if held = stats.Held; m.cfg.Holds != nil {
+		if stats.Published != held {
+			if held = stats.Published; m.cfg.Holds != nil {
 				m.cfg.Holds(held)
 			}
 			m.askingMu.Lock()
 			m.asking = held
 			m.askingMu.Unlock()
 		}
-		if !ready && wants != nil && (stats.Acts.Compare(*wants) >= 0 || stats.Refused > 0 && stats.Held.Compare(*wants) >= 0) {
+		if !ready && wants != nil && (stats.Active.Compare(*wants) >= 0 || stats.Rejected > 0 && stats.Published.Compare(*wants) >= 0) {
 			ready = true
 			close(m.ready)
 		}
-		timer.Reset(max(0, m.core.Next()-m.now()))
+		timer.Reset(max(0, m.core.NextTick()-m.now()))
 		select {
 		case <-ctx.Done():
 			close(m.ended)
@@ -228,7 +228,7 @@
 					m.reports.put(&r)
 				}
 				if wants.Compare(held) <= 0 {
-					do(m.core.Handle(m.now(), controlplane.Confirmed{From: ev.from}))
+					do(m.core.Handle(m.now(), controlplane.UpstreamConfirmed{From: ev.from}))
 				}
 			case controlplane.Event:
 				do(m.core.Handle(m.now(), ev))
@@ -241,9 +241,9 @@
 	switch a := a.(type) {
 	case controlplane.Apply:
 		m.apply <- a.Snapshot // never more than one is unanswered
-	case controlplane.Keep:
+	case controlplane.Save:
 		if m.cfg.Dir != "" {
-			m.keeping.put(&a.Last)
+			m.keeping.put(&a.Cached)
 		}
 	case controlplane.Publish:
 		m.hub.publish(a.Frame)
@@ -252,15 +252,15 @@
 		case m.fetches <- struct{}{}:
 			all.Go(func() {
 				defer func() { <-m.fetches }()
-				if f, err := m.caller.fetch(ctx, a.Addr); err == nil {
-					m.post(controlplane.Offered{From: a.Name, Frame: f})
+				if f, err := m.caller.fetch(ctx, a.Address); err == nil {
+					m.post(controlplane.SnapshotReceived{From: a.Name, Frame: f})
 				}
 			})
 		default:
 		}
 	case controlplane.SendReport:
 		m.reports.put(&a.Report)
-	case controlplane.Noted:
+	case controlplane.LogMessage:
 		m.cfg.Log.Info("config", "what", a.Kind, "text", a.Text, "count", a.Count)
 	}
 }
@@ -271,7 +271,7 @@
 		case <-ctx.Done():
 			return
 		case s := <-m.apply:
-			m.post(controlplane.Applied{Stamp: s.Stamp, Err: m.cfg.Apply(s)})
+			m.post(controlplane.ApplyResult{Revision: s.Revision, Err: m.cfg.Apply(s)})
 		}
 	}
 }
@@ -415,7 +415,7 @@
 		m.mu.Unlock()
 		if worked {
 			m.hub.lose()
-			m.post(controlplane.Lost{From: o.name})
+			m.post(controlplane.UpstreamLost{From: o.name})
 		}
 	}()
 	err = o.read(ctx, func(l line) error {
@@ -444,9 +444,9 @@
 		}
 		if l.Frame != nil {
 			m.got.Add(int64(len(l.Frame.Text)))
-			m.post(controlplane.Offered{From: o.name, Frame: *l.Frame})
+			m.post(controlplane.SnapshotReceived{From: o.name, Frame: *l.Frame})
 		} else {
-			m.post(controlplane.Confirmed{From: o.name})
+			m.post(controlplane.UpstreamConfirmed{From: o.name})
 		}
 		return nil
 	})
@@ -512,16 +512,16 @@
 // MemberState is what a Member says of itself.
 type MemberState struct {
 	controlplane.FollowerStats
-	Highest     controlplane.Stamp  `json:"highest"`
-	Ready       bool                `json:"ready"`
-	LastKnown   string              `json:"last_known,omitempty"`    // how old it is, where what is in force was confirmed by nobody since the start
-	Unconfirmed string              `json:"not_confirmed_for"`       // how long nobody has confirmed what is in force
-	Upstream    string              `json:"upstream,omitempty"`      // empty: none
-	Address     string              `json:"upstream_addr,omitempty"` // of it
-	Upstreams   int                 `json:"upstreams"`               // since the start
-	Got         int64               `json:"got"`                     // bytes of snapshots from upstreams
-	Report      controlplane.Report `json:"report"`                  // of this member and those below it
-	Serves      hubState            `json:"serves"`
+	Highest     controlplane.Revision `json:"highest"`
+	Ready       bool                  `json:"ready"`
+	LastKnown   string                `json:"last_known,omitempty"`    // how old it is, where what is in force was confirmed by nobody since the start
+	Unconfirmed string                `json:"not_confirmed_for"`       // how long nobody has confirmed what is in force
+	Upstream    string                `json:"upstream,omitempty"`      // empty: none
+	Address     string                `json:"upstream_addr,omitempty"` // of it
+	Upstreams   int                   `json:"upstreams"`               // since the start
+	Got         int64                 `json:"got"`                     // bytes of snapshots from upstreams
+	Report      controlplane.Report   `json:"report"`                  // of this member and those below it
+	Serves      hubState              `json:"serves"`
 }
 
 func (m *Member) state() MemberState {
@@ -538,10 +538,10 @@
 		s.Ready = true
 	default:
 	}
-	if s.Kept && !m.keptAt.IsZero() {
+	if s.FromCache && !m.keptAt.IsZero() {
 		s.LastKnown = time.Since(m.keptAt).Round(time.Second).String()
 	}
-	s.Unconfirmed = max(0, m.now()-s.Since).Round(time.Millisecond).String()
+	s.Unconfirmed = max(0, m.now()-s.ConfirmedAt).Round(time.Millisecond).String()
 	return s
 }
 
@@ -576,9 +576,9 @@
 	case !ok:
 		return "nobody has said which configuration holds"
 	case s.Ready:
-		return "acting on " + s.Acts.String()
-	case s.Acts.None():
+		return "acting on " + s.Active.String()
+	case s.Active.IsZero():
 		return fmt.Sprintf("no origin and no member has answered in %v, and nothing is known from before: the platform's settings hold", d)
 	}
-	return fmt.Sprintf("no origin and no member has answered in %v: acting on the last known one, %v, confirmed %s ago", d, s.Acts, s.LastKnown)
+	return fmt.Sprintf("no origin and no member has answered in %v: acting on the last known one, %v, confirmed %s ago", d, s.Active, s.LastKnown)
 }
--- a/internal/controlplane/transport/origin.go
+++ b/internal/controlplane/transport/origin.go
@@ -70,7 +70,7 @@
 	out    map[string]chan []byte
 
 	mu    sync.Mutex
-	waits map[string]chan origin.Answer // for answers, by ID
+	waits map[string]chan origin.Result // for answers, by ID
 	reads uint64
 }
 
@@ -86,20 +86,20 @@
 		return nil, err
 	}
 	o := &Origin{cfg: c, begun: time.Now(), in: make(chan any, originQueue), ended: make(chan struct{}), out: map[string]chan []byte{},
-		waits: map[string]chan origin.Answer{}}
+		waits: map[string]chan origin.Result{}}
 	if o.cfg.Most == 0 {
 		o.cfg.Most = originFollows
 	}
-	if o.cfg.Node.TickEvery == 0 {
-		o.cfg.Node.TickEvery = 100 * time.Millisecond
+	if o.cfg.Node.TickInterval == 0 {
+		o.cfg.Node.TickInterval = 100 * time.Millisecond
 	}
-	if o.node, o.first, err = origin.New(o.cfg.Node, state, 0); err != nil {
+	if o.node, o.first, err = origin.NewNode(o.cfg.Node, state, 0); err != nil {
 		return nil, err
 	}
-	o.caller = &caller{fleet: state.Founding.Fleet, self: c.Node.Self, client: newClient(c.Dial)}
-	o.hub = newHub(state.Founding.Fleet, c.Node.Self, o.cfg.Most)
-	o.hub.reported = func(name string, r controlplane.Report) { o.post(origin.Reported{From: name, Report: r}) }
-	o.hub.gone = func(name string) { o.post(origin.Gone{From: name}) }
+	o.caller = &caller{fleet: state.Bootstrap.Cluster, self: c.Node.Self, client: newClient(c.Dial)}
+	o.hub = newHub(state.Bootstrap.Cluster, c.Node.Self, o.cfg.Most)
+	o.hub.reported = func(name string, r controlplane.Report) { o.post(origin.ReportReceived{From: name, Report: r}) }
+	o.hub.gone = func(name string) { o.post(origin.SubscriberDisconnected{From: name}) }
 	o.hub.follows(nil)
 	for name := range c.Peers {
 		if name != c.Node.Self {
@@ -168,7 +168,7 @@
 
 // own is the goroutine that the node belongs to.
 func (o *Origin) own(ctx context.Context) error {
-	tick := time.NewTicker(o.cfg.Node.TickEvery)
+	tick := time.NewTicker(o.cfg.Node.TickInterval)
 	defer tick.Stop()
 	if err := o.do(o.first); err != nil {
 		return err
@@ -180,8 +180,8 @@
 			return nil
 		case <-tick.C:
 			acts = o.node.Handle(o.now(), origin.Tick{})
-			part := o.node.Status().Part
-			o.hub.part(part == origin.Leads || part == origin.Follows)
+			part := o.node.Status().Role
+			o.hub.part(part == origin.RoleLeader || part == origin.RoleFollower)
 		case ev := <-o.in:
 			switch ev := ev.(type) {
 			case askStatus:
@@ -213,7 +213,7 @@
 			o.queue(a)
 		case origin.Publish:
 			o.hub.publish(a.Frame)
-		case origin.Answer:
+		case origin.Result:
 			o.mu.Lock()
 			wait := o.waits[a.ID]
 			delete(o.waits, a.ID)
@@ -221,7 +221,7 @@
 			if wait != nil {
 				wait <- a
 			}
-		case origin.Noted:
+		case origin.LogMessage:
 			o.cfg.Log.Info("origin", "what", a.Kind, "text", a.Text, "count", a.Count)
 		}
 	}
@@ -273,7 +273,7 @@
 	control := http.NewResponseController(w)
 	if q.URL.Path != watchPath {
 		control.SetReadDeadline(time.Now().Add(readTime))
-		control.SetWriteDeadline(time.Now().Add(o.cfg.Node.Wait + 10*time.Second))
+		control.SetWriteDeadline(time.Now().Add(o.cfg.Node.RequestTimeout + 10*time.Second))
 	}
 	verb := q.Method + " " + q.URL.Path
 	if q.Header.Get(fleetHeader) != o.caller.fleet {
@@ -288,7 +288,7 @@
 	case "POST " + pushPath:
 		o.push(w, q)
 	case "GET " + pushPath:
-		o.answer(w, q, q.URL.Query().Get("id"), origin.Ask{ID: q.URL.Query().Get("id")})
+		o.answer(w, q, q.URL.Query().Get("id"), origin.QueryOutcome{ID: q.URL.Query().Get("id")})
 	case "GET " + showPath:
 		o.show(w, q)
 	case "GET " + statusPath:
@@ -326,7 +326,7 @@
 		http.Error(w, "no other origin of these", http.StatusForbidden)
 		return
 	}
-	if data, ok := readBody(w, q, origin.MaxMessage); ok {
+	if data, ok := readBody(w, q, origin.MaxMessageSize); ok {
 		o.post(origin.Message{From: from, Data: data})
 		w.WriteHeader(http.StatusNoContent)
 	}
@@ -335,21 +335,21 @@
 func (o *Origin) push(w http.ResponseWriter, q *http.Request) {
 	after, err := strconv.ParseUint(q.URL.Query().Get("after"), 10, 64)
 	id := q.URL.Query().Get("id")
-	if err != nil || id == "" || len(id) > origin.MaxID {
+	if err != nil || id == "" || len(id) > origin.MaxIDLength {
 		http.Error(w, "after, a version, and id, 1 to 64 bytes, are wanted", http.StatusBadRequest)
 		return
 	}
-	if text, ok := readBody(w, q, controlplane.MaxText); ok {
-		o.answer(w, q, id, origin.Propose{ID: id, After: after, Text: text})
+	if text, ok := readBody(w, q, controlplane.MaxSnapshotSize); ok {
+		o.answer(w, q, id, origin.Propose{ID: id, BaseVersion: after, Text: text})
 	}
 }
 
-var outcomeStatus = map[origin.Outcome]int{origin.Accepted: http.StatusOK, origin.Current: http.StatusOK, origin.Conflict: http.StatusConflict,
-	origin.Refused: http.StatusUnprocessableEntity, origin.Missing: http.StatusNotFound, origin.Unknown: http.StatusGatewayTimeout}
+var outcomeStatus = map[origin.Outcome]int{origin.OutcomeAccepted: http.StatusOK, origin.OutcomeCurrent: http.StatusOK, origin.OutcomeConflict: http.StatusConflict,
+	origin.OutcomeRejected: http.StatusUnprocessableEntity, origin.OutcomeNotFound: http.StatusNotFound, origin.OutcomeUnknown: http.StatusGatewayTimeout}
 
 // ask has the node answer, within a time that is its own; nil: it has ended, the caller has left, or another one waits under this ID.
-func (o *Origin) ask(ctx context.Context, id string, ev origin.Event) *origin.Answer {
-	wait := make(chan origin.Answer, 1)
+func (o *Origin) ask(ctx context.Context, id string, ev origin.Event) *origin.Result {
+	wait := make(chan origin.Result, 1)
 	o.mu.Lock()
 	taken := o.waits[id] != nil || len(o.waits) >= originConns
 	if !taken {
@@ -380,7 +380,7 @@
 
 // Shown is what show answers.
 type Shown struct {
-	Answer origin.Answer      `json:"answer"`
+	Answer origin.Result      `json:"answer"`
 	Frame  controlplane.Frame `json:"frame"` // Text is empty where there is none
 }
 
@@ -391,10 +391,10 @@
 		o.reads++
 		id := fmt.Sprintf("read-%d", o.reads)
 		o.mu.Unlock()
-		a := o.ask(q.Context(), id, origin.Read{ID: id})
-		if a == nil || a.Outcome != origin.Current {
+		a := o.ask(q.Context(), id, origin.ReadLatest{ID: id})
+		if a == nil || a.Outcome != origin.OutcomeCurrent {
 			if a == nil {
-				a = &origin.Answer{Outcome: origin.Unknown, Err: "too many ask"}
+				a = &origin.Result{Outcome: origin.OutcomeUnknown, Error: "too many ask"}
 			}
 			writeJSON(w, http.StatusGatewayTimeout, Shown{Answer: *a})
 			return
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -42,7 +42,7 @@
 	d := op.Config
 	p := &configPart{s: s, base: set, level: level, wait: time.Duration(d.Wait), log: log, platform: cfg.Discovery, told: max(set.Balancers, 1)}
 	var err error
-	p.member, err = transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Fleet: op.Fleet.Name, Self: cfg.Name, Round: fetchAfter},
+	p.member, err = transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: op.Fleet.Name, Self: cfg.Name, FetchDelay: fetchAfter},
 		Origins: d.Origins, Most: 2 * int(d.Fan), Dir: d.Dir, Apply: p.apply, Holds: p.holds, Log: log,
 		Selector: bootstrap.Config{Self: cfg.Name, Ask: int(d.Ask), Fan: int(d.Fan), Told: set.Balancers, Seed: uint64(cfg.Seed) + 1}})
 	return p, err
@@ -97,7 +97,7 @@
 	}
 	p.told = sidecars
 	p.level.Set(level)
-	p.log.Info("config: in force", "stamp", snap.Stamp)
+	p.log.Info("config: in force", "stamp", snap.Revision)
 	return nil
 }
 
@@ -160,7 +160,7 @@
 }
 
 // holds tells the others which snapshot this one holds. It is called from the member's goroutine.
-func (p *configPart) holds(s controlplane.Stamp) { p.s.fleet.Node.SetStamp(s.Epoch, s.Version) }
+func (p *configPart) holds(s controlplane.Revision) { p.s.fleet.Node.SetStamp(s.Epoch, s.Version) }
 
 // waitReady lets the start wait, so that a joiner does not serve by old settings without saying so.
 func (p *configPart) waitReady(ctx context.Context) {
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -18,11 +18,11 @@
 // parsed is a snapshot of a version.
 func parsed(t *testing.T, version uint64, text string) *controlplane.Snapshot {
 	t.Helper()
-	s, err := controlplane.Parse([]byte(text))
+	s, err := controlplane.ParseSnapshot([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Stamp.Epoch, s.Stamp.Version = 1, version
+	s.Revision.Epoch, s.Revision.Version = 1, version
 	return s
 }
 
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -66,8 +66,8 @@
 }
 
 func (o *Origin) check(fault func(key, format string, args ...any)) {
-	if o.Name == "" || len(o.Name) > controlplane.MaxName {
-		fault("name", "a name of 1 to %d bytes is wanted", controlplane.MaxName)
+	if o.Name == "" || len(o.Name) > controlplane.MaxNameLength {
+		fault("name", "a name of 1 to %d bytes is wanted", controlplane.MaxNameLength)
 	}
 	if _, err := netip.ParseAddrPort(o.Listen); err != nil {
 		fault("listen", "%q is no address such as \"10.0.0.9:7950\"", o.Listen)
--- a/internal/simulation/configsim/configsim_test.go
+++ b/internal/simulation/configsim/configsim_test.go
@@ -160,7 +160,7 @@
 	}
 	f.Run(5 * time.Second)
 	for _, m := range f.Members {
-		if s := m.f.Stats().Acts; s.Epoch != 1 || s.Version != 3 {
+		if s := m.f.Stats().Active; s.Epoch != 1 || s.Version != 3 {
 			t.Fatalf("%s acts on %v without origins", m.name, s)
 		}
 	}
@@ -170,12 +170,12 @@
 	f.Run(5 * time.Second)
 	p := f.Push("again", 0)
 	awake := func(m *Member) bool { return m.index != 7 }
-	if !f.settle(10*time.Second, p, awake) || p.Answer.Stamp.Epoch != 2 || p.Answer.Stamp.Version != 1 {
-		t.Fatalf("in force at %d, %v", len(p.inForce), p.Answer.Stamp)
+	if !f.settle(10*time.Second, p, awake) || p.Answer.Revision.Epoch != 2 || p.Answer.Revision.Version != 1 {
+		t.Fatalf("in force at %d, %v", len(p.inForce), p.Answer.Revision)
 	}
 	f.Freeze(&f.Members[7].machine, false)
 	f.Run(4 * time.Second)
-	if s := f.Members[7].f.Stats().Acts; s != p.Answer.Stamp {
+	if s := f.Members[7].f.Stats().Active; s != p.Answer.Revision {
 		t.Errorf("the one that was away acts on %v", s)
 	}
 	// One of the old ones, with its old store.
@@ -186,7 +186,7 @@
 	}
 	f.Run(20 * time.Second)
 	for _, m := range f.Members {
-		if s := m.f.Stats().Acts; s != p.Answer.Stamp {
+		if s := m.f.Stats().Active; s != p.Answer.Revision {
 			t.Fatalf("%s acts on %v", m.name, s)
 		}
 	}
--- a/internal/simulation/configsim/fleet.go
+++ b/internal/simulation/configsim/fleet.go
@@ -98,7 +98,7 @@
 	machine
 	f        *controlplane.Follower
 	sel      *bootstrap.Selector
-	kept     *controlplane.Kept
+	kept     *controlplane.CachedSnapshot
 	choice   bootstrap.Choice
 	up1      *session // to the upstream
 	path     []int    // members between it and an origin, nearest first
@@ -151,9 +151,9 @@
 	cut     bool // between the regions
 	cutAt   time.Duration
 	views   [2]view // by region while cut; 0 for all else
-	answers map[string]origin.Answer
+	answers map[string]origin.Result
 	// Acted is called when a snapshot comes into force at a member.
-	Acted func(m *Member, s controlplane.Stamp)
+	Acted func(m *Member, s controlplane.Revision)
 }
 
 type view struct {
@@ -165,7 +165,7 @@
 // New makes a fleet and starts it.
 func New(c Config) (*Fleet, error) {
 	c.fill()
-	f := &Fleet{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 9)), answers: map[string]origin.Answer{}}
+	f := &Fleet{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 9)), answers: map[string]origin.Result{}}
 	for i := range c.Origins {
 		f.Origins = append(f.Origins, &Origin{machine: machine{index: i, name: fmt.Sprint("origin", i+1), zone: i % c.Zones, rack: -1 - i, since: -time.Hour}})
 	}
@@ -230,12 +230,12 @@
 
 // Refound founds the origins for an epoch, with empty stores, and starts them.
 func (f *Fleet) Refound(epoch uint64) error {
-	founding := origin.Founding{Fleet: "f", Epoch: epoch}
+	founding := origin.BootstrapConfig{Cluster: "f", Epoch: epoch}
 	for _, o := range f.Origins {
 		founding.Origins = append(founding.Origins, o.name)
 	}
 	for i, o := range f.Origins {
-		s, err := origin.Founded(founding)
+		s, err := origin.NewBootstrappedState(founding)
 		if err != nil {
 			return err
 		}
@@ -251,7 +251,7 @@
 func (f *Fleet) StartOrigin(i int) error {
 	o := f.Origins[i]
 	o.life++
-	node, out, err := origin.New(origin.Config{Self: o.name, Seed: f.rng.Uint64(), TickEvery: f.cfg.ElectionTick}, o.state, f.Now)
+	node, out, err := origin.NewNode(origin.Config{Self: o.name, Seed: f.rng.Uint64(), TickInterval: f.cfg.ElectionTick}, o.state, f.Now)
 	if err != nil {
 		return err
 	}
@@ -308,7 +308,7 @@
 				o.frame = a.Frame
 				f.spread(&o.machine, a.Frame)
 			})
-		case origin.Answer:
+		case origin.Result:
 			then(func() { f.answers[a.ID] = a })
 		}
 	}
@@ -329,7 +329,7 @@
 	f.send(server, &child.machine, n, func() {
 		if !s.closed {
 			child.FramesIn += n
-			f.handle(child, controlplane.Offered{From: server.name, Frame: fr})
+			f.handle(child, controlplane.SnapshotReceived{From: server.name, Frame: fr})
 		}
 	})
 }
@@ -341,7 +341,7 @@
 	m.up, m.frozen, m.since, m.children = true, false, f.Now, map[int]*session{}
 	m.up1, m.path, m.viewed, m.next, m.attempts = nil, nil, 0, m.index%f.cfg.Origins, 0
 	var out []controlplane.Action
-	m.f, out = controlplane.NewFollower(controlplane.FollowerConfig{Fleet: "f", Self: m.name, Last: m.kept, Round: f.cfg.Round}, f.Now)
+	m.f, out = controlplane.NewFollower(controlplane.FollowerConfig{Cluster: "f", Self: m.name, Cached: m.kept, FetchDelay: f.cfg.Round}, f.Now)
 	m.sel = bootstrap.New(bootstrap.Config{Self: m.name, Ask: f.cfg.Ask, Fan: f.cfg.Fan, Rate: float64(f.cfg.AskRate), Told: f.cfg.Members, Seed: f.rng.Uint64()}, f.Now)
 	m.tickAt = 0
 	f.carry(m, out)
@@ -391,13 +391,13 @@
 		switch a := a.(type) {
 		case controlplane.Apply:
 			f.After(f.cfg.Apply, f.alive(m, func() {
-				f.handle(m, controlplane.Applied{Stamp: a.Snapshot.Stamp})
+				f.handle(m, controlplane.ApplyResult{Revision: a.Snapshot.Revision})
 				if f.Acted != nil {
-					f.Acted(m, a.Snapshot.Stamp)
+					f.Acted(m, a.Snapshot.Revision)
 				}
 			}))
-		case controlplane.Keep:
-			kept := a.Last
+		case controlplane.Save:
+			kept := a.Cached
 			m.kept = &kept
 		case controlplane.Publish:
 			f.spread(&m.machine, a.Frame)
@@ -414,7 +414,7 @@
 							p.FramesOut += n
 							f.send(&p.machine, &m.machine, n, func() {
 								m.FramesIn += n
-								f.handle(m, controlplane.Offered{From: p.name, Frame: fr})
+								f.handle(m, controlplane.SnapshotReceived{From: p.name, Frame: fr})
 							})
 						}
 					})
@@ -424,7 +424,7 @@
 			f.report(m, a.Report)
 		}
 	}
-	if at := m.f.Next(); m.up && (m.tickAt <= f.Now || at < m.tickAt) {
+	if at := m.f.NextTick(); m.up && (m.tickAt <= f.Now || at < m.tickAt) {
 		m.tickAt = max(at, f.Now+time.Millisecond)
 		when := m.tickAt
 		f.After(when-f.Now, f.alive(m, func() {
@@ -453,9 +453,9 @@
 		}
 		s.server().ReportsIn += n
 		if s.origin != nil {
-			f.handleOrigin(s.origin, origin.Reported{From: m.name, Report: r})
+			f.handleOrigin(s.origin, origin.ReportReceived{From: m.name, Report: r})
 		} else {
-			f.handle(s.member, controlplane.Reported{From: m.name, Report: r})
+			f.handle(s.member, controlplane.ReportReceived{From: m.name, Report: r})
 		}
 	})
 }
@@ -470,6 +470,6 @@
 	if !ok {
 		return
 	}
-	stamp := controlplane.Stamp{Epoch: fr.Stamp.Epoch, Version: fr.Stamp.Version}
-	f.send(&m.machine, &to.machine, hintSize, func() { f.handle(to, controlplane.PeerStamp{Name: m.name, Addr: m.name, Stamp: stamp}) })
+	stamp := controlplane.Revision{Epoch: fr.Revision.Epoch, Version: fr.Revision.Version}
+	f.send(&m.machine, &to.machine, hintSize, func() { f.handle(to, controlplane.PeerRevision{Name: m.name, Address: m.name, Revision: stamp}) })
 }
--- a/internal/simulation/configsim/follow.go
+++ b/internal/simulation/configsim/follow.go
@@ -74,7 +74,7 @@
 				m.path = append([]int{s.member.index}, s.member.path...)
 			}
 			m.sel.Works(f.Now, c)
-			if fr, ok := serverFrame(s); ok && fr.Stamp.Compare(m.f.Stats().Held) > 0 {
+			if fr, ok := serverFrame(s); ok && fr.Revision.Compare(m.f.Stats().Published) > 0 {
 				f.frame(s, fr)
 			}
 			f.report(m, m.f.Report())
@@ -87,14 +87,14 @@
 
 func serverFrame(s *session) (controlplane.Frame, bool) {
 	if s.origin != nil {
-		return s.origin.frame, !s.origin.frame.Stamp.None()
+		return s.origin.frame, !s.origin.frame.Revision.IsZero()
 	}
 	return s.member.f.Frame()
 }
 
 // turnsAway says why one may not follow; empty: it may.
 func (f *Fleet) turnsAway(s *session) string {
-	if fr, _ := serverFrame(s); fr.Stamp.Compare(s.child.f.Stats().Held) < 0 {
+	if fr, _ := serverFrame(s); fr.Revision.Compare(s.child.f.Stats().Published) < 0 {
 		return "a later one is held than this one has"
 	}
 	if s.origin != nil {
@@ -144,14 +144,14 @@
 	if server.children[m.index] == s {
 		delete(server.children, m.index)
 		if s.origin != nil {
-			f.handleOrigin(s.origin, origin.Gone{From: m.name})
+			f.handleOrigin(s.origin, origin.SubscriberDisconnected{From: m.name})
 		} else {
-			f.handle(s.member, controlplane.Gone{From: m.name})
+			f.handle(s.member, controlplane.SubscriberDisconnected{From: m.name})
 		}
 	}
 	if m.up1 == s {
 		m.up1 = nil
-		f.handle(m, controlplane.Lost{From: server.name})
+		f.handle(m, controlplane.UpstreamLost{From: server.name})
 		if m.up {
 			if s.origin == nil { // else the next origin is tried first: they are one source
 				m.sel.Failed(f.Now, m.choice)
@@ -174,7 +174,7 @@
 			s.broken = 0
 			server.BeatsOut += beatSize
 			if s.child.up1 == s {
-				f.handle(s.child, controlplane.Confirmed{From: server.name})
+				f.handle(s.child, controlplane.UpstreamConfirmed{From: server.name})
 			} else if s.child.up1 != nil {
 				f.close(s) // the child has another one by now
 			}
--- a/internal/simulation/configsim/scenario.go
+++ b/internal/simulation/configsim/scenario.go
@@ -17,7 +17,7 @@
 	ID       string
 	Begun    time.Duration
 	Answered time.Duration // 0: not yet
-	Answer   origin.Answer
+	Answer   origin.Result
 	Known    time.Duration // when an origin's sum says that all whom it counts act on it; 0: not yet
 	inForce  map[int]time.Duration
 	asked    int
@@ -32,19 +32,19 @@
 		text[i] = '#'
 	}
 	copy(text, "# "+id+" ")
-	var latest controlplane.Stamp
+	var latest controlplane.Revision
 	for _, o := range f.Origins {
-		if o.up && !o.frozen && o.frame.Stamp.Compare(latest) > 0 {
-			latest = o.frame.Stamp
+		if o.up && !o.frozen && o.frame.Revision.Compare(latest) > 0 {
+			latest = o.frame.Revision
 		}
 	}
 	after := latest.Version
-	before, hash := f.Acted, controlplane.HashOf(text)
-	f.Acted = func(m *Member, s controlplane.Stamp) {
+	before, hash := f.Acted, controlplane.HashText(text)
+	f.Acted = func(m *Member, s controlplane.Revision) {
 		if before != nil {
 			before(m, s)
 		}
-		if _, ok := p.inForce[m.index]; !ok && (s.Hash == hash || p.Answered > 0 && s.Compare(p.Answer.Stamp) > 0) {
+		if _, ok := p.inForce[m.index]; !ok && (s.Hash == hash || p.Answered > 0 && s.Compare(p.Answer.Revision) > 0) {
 			p.inForce[m.index] = f.Now
 		}
 	}
@@ -55,16 +55,16 @@
 		}
 		o := f.Origins[p.asked%f.cfg.Origins]
 		if o.up {
-			f.handleOrigin(o, origin.Propose{ID: id, After: after, Text: text})
+			f.handleOrigin(o, origin.Propose{ID: id, BaseVersion: after, Text: text})
 		}
 		deadline := f.Now + 1500*time.Millisecond
 		var wait func()
 		wait = func() {
-			if a, ok := f.answers[id]; ok && (a.Outcome == origin.Accepted || a.Outcome == origin.Conflict) {
+			if a, ok := f.answers[id]; ok && (a.Outcome == origin.OutcomeAccepted || a.Outcome == origin.OutcomeConflict) {
 				p.Answered, p.Answer = f.Now, a
 				return
 			}
-			refused := f.answers[id].Outcome == origin.Refused || f.answers[id].Outcome == origin.Unknown
+			refused := f.answers[id].Outcome == origin.OutcomeRejected || f.answers[id].Outcome == origin.OutcomeUnknown
 			if f.Now >= deadline || !o.up || refused {
 				delete(f.answers, id)
 				p.asked++
@@ -147,7 +147,7 @@
 // Leader is the origin that leads, or 0.
 func (f *Fleet) Leader() int {
 	for i, o := range f.Origins {
-		if o.up && o.node.Status().Part == origin.Leads {
+		if o.up && o.node.Status().Role == origin.RoleLeader {
 			return i
 		}
 	}
@@ -287,7 +287,7 @@
 
 func (f *Fleet) row(name string, p *Push, who Who, from time.Duration) Row {
 	r := Row{Name: name, Accepted: -1, Half: p.In(f, who, 0.5, from), Most: p.In(f, who, 0.99, from), All: p.In(f, who, 1, from), Known: -1}
-	if p.Answer.Outcome == origin.Accepted {
+	if p.Answer.Outcome == origin.OutcomeAccepted {
 		r.Accepted = p.Answered - p.Begun
 	}
 	if p.Known > 0 {
@@ -324,8 +324,8 @@
 // knows says whether some origin's sum has all of them on the change.
 func (f *Fleet) knows(p *Push, count int) bool {
 	for _, o := range f.Origins {
-		if o.up && !o.frozen && o.frame.Stamp == p.Answer.Stamp {
-			if r := o.node.Status().Report; r.On(p.Answer.Stamp) >= count {
+		if o.up && !o.frozen && o.frame.Revision == p.Answer.Revision {
+			if r := o.node.Status().Report; r.ActiveOn(p.Answer.Revision) >= count {
 				return true
 			}
 		}
