--- a/internal/simulation/experiment/file.go
+++ b/internal/simulation/experiment/file.go
@@ -96,33 +96,38 @@
 
 // Network is described at Clients.
 type Network struct {
-	Same, Cross    strictdecode.Duration
-	Jitter         strictdecode.Duration
-	Loss           float64
+	Same           strictdecode.Duration `toml:"same"`
+	Cross          strictdecode.Duration `toml:"cross"`
+	Jitter         strictdecode.Duration `toml:"jitter"`
+	Loss           float64               `toml:"loss"`
 	ConnectTimeout strictdecode.Duration `toml:"connect_timeout"`
-	Idle           strictdecode.Duration
-	Multiplexed    bool
+	Idle           strictdecode.Duration `toml:"idle"`
+	Multiplexed    bool                  `toml:"multiplexed"`
 }
 
 // List is described at Clients.
 type List struct {
-	Least, Most, Notice strictdecode.Duration
-	Reorder             bool
+	Least   strictdecode.Duration `toml:"least"`
+	Most    strictdecode.Duration `toml:"most"`
+	Notice  strictdecode.Duration `toml:"notice"`
+	Reorder bool                  `toml:"reorder"`
 }
 
 // Discovery is described at Clients.
 type Discovery struct {
-	Capacity float64
-	Call     float64
-	Timeout  strictdecode.Duration
-	Overbook float64
+	Capacity float64               `toml:"capacity"`
+	Call     float64               `toml:"call"`
+	Timeout  strictdecode.Duration `toml:"timeout"`
+	Overbook float64               `toml:"overbook"`
 }
 
 // Host is described at Clients.
 type Host struct {
-	Cores                     float64
-	Period                    strictdecode.Duration
-	Request, Attempt, Connect strictdecode.Duration
+	Cores   float64               `toml:"cores"`
+	Period  strictdecode.Duration `toml:"period"`
+	Request strictdecode.Duration `toml:"request"`
+	Attempt strictdecode.Duration `toml:"attempt"`
+	Connect strictdecode.Duration `toml:"connect"`
 }
 
 // Rules is described at Clients.
@@ -136,37 +141,41 @@
 
 // Settings is described at Clients.
 type Settings struct {
-	Tick       strictdecode.Duration
-	Attempts   int
-	Copies     bool
-	Cancelling bool
-	Probes     bool
+	Tick       strictdecode.Duration `toml:"tick"`
+	Attempts   int                   `toml:"attempts"`
+	Copies     bool                  `toml:"copies"`
+	Cancelling bool                  `toml:"cancelling"`
+	Probes     bool                  `toml:"probes"`
 	RetryAfter strictdecode.Duration `toml:"retry_after"`
 	CrossZone  float64               `toml:"cross_zone"`
 }
 
 // Traffic is a class's.
 type Traffic struct {
-	Share, Worth, Late float64
-	Work               strictdecode.Duration
-	Kind               string
-	Spread             float64
-	Hint               float64
-	Aim, Deadline      strictdecode.Duration
-	Effect, Group      string
-	Window             strictdecode.Duration
+	Share    float64               `toml:"share"`
+	Worth    float64               `toml:"worth"`
+	Late     float64               `toml:"late"`
+	Work     strictdecode.Duration `toml:"work"`
+	Kind     string                `toml:"kind"`
+	Spread   float64               `toml:"spread"`
+	Hint     float64               `toml:"hint"`
+	Aim      strictdecode.Duration `toml:"aim"`
+	Deadline strictdecode.Duration `toml:"deadline"`
+	Effect   string                `toml:"effect"`
+	Group    string                `toml:"group"`
+	Window   strictdecode.Duration `toml:"window"`
 }
 
 // Fault is one of the world's.
 type Fault struct {
-	At    strictdecode.Duration
-	What  string
-	Node  string
-	Zone  string
-	Share float64
-	Times float64
-	For   strictdecode.Duration
-	Every strictdecode.Duration
+	At    strictdecode.Duration `toml:"at"`
+	What  string                `toml:"what"`
+	Node  string                `toml:"node"`
+	Zone  string                `toml:"zone"`
+	Share float64               `toml:"share"`
+	Times float64               `toml:"times"`
+	For   strictdecode.Duration `toml:"for"`
+	Every strictdecode.Duration `toml:"every"`
 }
 
 // Experiment is a file that was read and can be played.
