--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -84,12 +84,12 @@
 
 // What config push prints as JSON.
 func TestPushOutputFormatIsStable(t *testing.T) {
-	stamp := controlplane.Stamp{Epoch: 3, Version: 17, Hash: "h"}
+	stamp := controlplane.Revision{Epoch: 3, Version: 17, Hash: "h"}
 	push := pushed{
-		Answer: origin.Answer{ID: "push-1", Outcome: origin.Accepted, Stamp: stamp, Err: "why"}, After: 16, Took: "10ms", Within: "20ms",
+		Result: origin.Result{ID: "push-1", Outcome: origin.OutcomeAccepted, Revision: stamp, Error: "why"}, After: 16, Took: "10ms", Within: "20ms",
 		Report: &controlplane.Report{
-			Members: 5, Latest: stamp, Acting: []controlplane.StampCount{{Stamp: stamp, N: 3}}, Others: 1,
-			Lacking: []controlplane.Lack{{Name: "m1", Acts: stamp, Why: controlplane.Behind, Err: "why", Below: 2}}, More: 4,
+			Members: 5, Latest: stamp, Active: []controlplane.RevisionCount{{Revision: stamp, Count: 3}}, OtherRevisions: 1,
+			Laggards: []controlplane.Laggard{{Name: "m1", Active: stamp, Reason: controlplane.ReasonBehind, Error: "why", Descendants: 2}}, UnnamedLaggards: 4,
 		},
 	}
 	testutil.Filled(t, push)
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -88,18 +88,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f := s.Founding; f.Fleet != "stored" || f.Epoch != 3 || !slices.Equal(f.Origins, originNames(3)) {
+		if f := s.Bootstrap; f.Cluster != "stored" || f.Epoch != 3 || !slices.Equal(f.Origins, originNames(3)) {
 			t.Errorf("founded %+v", f)
 		}
 		w.places[i].disk = s.Records
 		if err := st.Close(); err != nil {
 			t.Fatal(err)
 		}
-		n, _, err := New(Config{Self: w.places[i].name}, &State{Records: maps.Clone(s.Records), Founding: s.Founding}, 0)
+		n, _, err := NewNode(Config{Self: w.places[i].name}, &State{Records: maps.Clone(s.Records), Bootstrap: s.Bootstrap}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := controlplane.Stamp{Epoch: 3, Version: version, Hash: controlplane.HashOf([]byte(text))}
+		want := controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte(text))}
 		if got := n.state.stamp(3); n.rolled != "" || got != want || string(n.state.Text) != text {
 			t.Errorf("%s is at %v, %q, rolled %q, want %v", w.places[i].name, got, n.state.Text, n.rolled, want)
 		}
@@ -129,11 +129,11 @@
 		}
 	}
 	ready()
-	expect(t, "what became of the first", w.ask(0, "push-1"), Accepted, 1)
-	expect(t, "what became of the second", w.ask(1, "push-2"), Accepted, 2)
-	expect(t, "what was never pushed", w.ask(2, "push-3"), Missing, 2)
-	expect(t, "the second again", w.push(2, "push-2", 1, []byte(storedSecond)), Accepted, 2)
-	expect(t, "a third", w.push(1, "push-3", 2, textOf("third")), Accepted, 3)
+	expect(t, "what became of the first", w.ask(0, "push-1"), OutcomeAccepted, 1)
+	expect(t, "what became of the second", w.ask(1, "push-2"), OutcomeAccepted, 2)
+	expect(t, "what was never pushed", w.ask(2, "push-3"), OutcomeNotFound, 2)
+	expect(t, "the second again", w.push(2, "push-2", 1, []byte(storedSecond)), OutcomeAccepted, 2)
+	expect(t, "a third", w.push(1, "push-3", 2, textOf("third")), OutcomeAccepted, 3)
 	w.until(4*time.Second, "all hold it", func() bool { return w.agreed() && w.places[0].node.state.Version == 3 })
 	w.run(4 * time.Second)
 
@@ -148,7 +148,7 @@
 	w = fromStores(t, dirs, 3, string(textOf("third")))
 	ready()
 	for v, id := range []string{"push-1", "push-2", "push-3"} {
-		expect(t, "what became of "+id, w.ask(v, id), Accepted, uint64(v+1))
+		expect(t, "what became of "+id, w.ask(v, id), OutcomeAccepted, uint64(v+1))
 	}
 }
 
@@ -170,7 +170,7 @@
 				want[x.Key] = x.Value
 			}
 		}
-		add(Record{Key: foundingKey, Value: encode(s.Founding)}, Record{Key: rootKey, Value: encode(r)})
+		add(Record{Key: foundingKey, Value: encode(s.Bootstrap)}, Record{Key: rootKey, Value: encode(r)})
 		add(split(snapshotKey(r.Index), new(machine).marshal())...)
 		last, err := ms.LastIndex()
 		if err != nil || last != r.Last || r.Index != 1 {
--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -19,18 +19,18 @@
 	"hazelwing/internal/testutil"
 )
 
-func formatStamp(version uint64) controlplane.Stamp {
-	return controlplane.Stamp{Epoch: 3, Version: version, Hash: controlplane.HashOf([]byte("# text\n"))}
+func formatStamp(version uint64) controlplane.Revision {
+	return controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte("# text\n"))}
 }
 
 func formatFrame(version uint64) controlplane.Frame {
-	return controlplane.Frame{Fleet: "f", Stamp: formatStamp(version), Text: []byte("# text\n")}
+	return controlplane.Frame{Cluster: "f", Revision: formatStamp(version), Text: []byte("# text\n")}
 }
 
 func formatReport() controlplane.Report {
 	return controlplane.Report{
-		Members: 5, Latest: formatStamp(17), Acting: []controlplane.StampCount{{Stamp: formatStamp(17), N: 3}}, Others: 1,
-		Lacking: []controlplane.Lack{{Name: "m1", Acts: formatStamp(16), Why: controlplane.Refused, Err: "why", Below: 2}}, More: 4,
+		Members: 5, Latest: formatStamp(17), Active: []controlplane.RevisionCount{{Revision: formatStamp(17), Count: 3}}, OtherRevisions: 1,
+		Laggards: []controlplane.Laggard{{Name: "m1", Active: formatStamp(16), Reason: controlplane.ReasonRejected, Error: "why", Descendants: 2}}, UnnamedLaggards: 4,
 	}
 }
 
@@ -61,11 +61,11 @@
 	stamp, frame := formatStamp(17), formatFrame(17)
 	goldenValue(t, "line", line{Path: []string{"m1", "o1"}, Holds: &stamp, Idle: true, Frame: &frame, Packed: []byte{1, 2}})
 	goldenValue(t, "shown", Shown{
-		Answer: origin.Answer{ID: "id", Outcome: origin.Current, Stamp: stamp, Err: "why"}, Frame: frame,
+		Answer: origin.Result{ID: "id", Outcome: origin.OutcomeCurrent, Revision: stamp, Error: "why"}, Frame: frame,
 	})
 	goldenValue(t, "member-state", MemberState{
 		FollowerStats: controlplane.FollowerStats{
-			Held: stamp, Acts: formatStamp(16), Kept: true, Refused: 2, Older: 3, Conflicts: 4, Broken: 5, Foreign: 6, Fetches: 7, Crowded: 8,
+			Published: stamp, Active: formatStamp(16), FromCache: true, Rejected: 2, Stale: 3, Conflicts: 4, Corrupt: 5, Foreign: 6, Fetches: 7, DroppedReports: 8,
 		},
 		Highest: formatStamp(18), Ready: true, LastKnown: "1s", Unconfirmed: "2s", Upstream: "m1", Address: "10.0.0.4:7946", Upstreams: 9, Got: 10,
 		Report: formatReport(),
@@ -117,7 +117,7 @@
 // A text that gzip makes shorter is packed, and the frame is without it. The bytes of gzip are those of its library and not held.
 func TestPackedLineFormatIsStable(t *testing.T) {
 	text := bytes.Repeat([]byte("# the same again\n"), 100)
-	packed := pack(controlplane.Frame{Fleet: "f", Stamp: formatStamp(17), Text: text})
+	packed := pack(controlplane.Frame{Cluster: "f", Revision: formatStamp(17), Text: text})
 	if len(packed.Packed) == 0 || packed.Frame == nil || packed.Frame.Text != nil {
 		t.Fatalf("%+v", packed)
 	}
@@ -132,7 +132,7 @@
 	if err := json.Unmarshal(stored, &read); err != nil {
 		t.Fatal(err)
 	}
-	if err := read.unpack(); err != nil || !bytes.Equal(read.Frame.Text, text) || read.Frame.Stamp != formatStamp(17) {
+	if err := read.unpack(); err != nil || !bytes.Equal(read.Frame.Text, text) || read.Frame.Revision != formatStamp(17) {
 		t.Errorf("%v: %+v", err, read.Frame)
 	}
 }
@@ -172,7 +172,7 @@
 	watch.end()
 	watch.resp.Body.Close()
 	frame, err := c.fetch(t.Context(), addr)
-	if err != nil || string(frame.Text) != "# text\n" || frame.Stamp.Version != 17 {
+	if err != nil || string(frame.Text) != "# text\n" || frame.Revision.Version != 17 {
 		t.Errorf("%v: %+v", err, frame)
 	}
 	r.status, r.answer = http.StatusNoContent, ""
@@ -231,7 +231,7 @@
 // The file of the last known snapshot: its name and bytes, and that it is read back.
 func TestLastKnownFileFormatIsStable(t *testing.T) {
 	dir := t.TempDir()
-	kept := &controlplane.Kept{Frame: formatFrame(17), Highest: formatStamp(18)}
+	kept := &controlplane.CachedSnapshot{Frame: formatFrame(17), Highest: formatStamp(18)}
 	if err := keep(dir, kept); err != nil {
 		t.Fatal(err)
 	}
