--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -8,32 +8,42 @@
 	"time"
 )
 
-// grown is a member that knows n others.
-func grown(t testing.TB, n int) *Core {
-	c, err := New(Config{ClusterName: "f", Name: "me", AdvertiseAddr: netip.MustParseAddrPort("10.9.0.1:7946"), ProcessID: 1, RandomSeed: 1}, 0, 1)
+// newCoreWithPeers returns a Core that knows n peers and has nothing left to gossip.
+func newCoreWithPeers(t testing.TB, n int) *Core {
+	t.Helper()
+	c, err := New(Config{
+		ClusterName:   "f",
+		Name:          "me",
+		AdvertiseAddr: netip.MustParseAddrPort("10.9.0.1:7946"),
+		ProcessID:     1,
+		RandomSeed:    1,
+	}, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &Message{Kind: PushPullResponse, ClusterName: "f"}
+	msg := &Message{Kind: PushPullResponse, ClusterName: "f"}
 	for i := range n {
-		m.Entries = append(m.Entries, Entry{Name: fmt.Sprintf("member-%06d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946),
-			Incarnation: Incarnation{Generation: 1, ProcessID: uint64(i + 2)}})
+		msg.Entries = append(msg.Entries, Entry{
+			Name:        fmt.Sprintf("member-%06d", i),
+			Addr:        netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946),
+			Incarnation: Incarnation{Generation: 1, ProcessID: uint64(i + 2)},
+		})
 	}
-	m.From = m.Entries[0]
-	c.Receive(0, m)
-	for c.spread.len() > 0 {
+	msg.From = msg.Entries[0]
+	c.Receive(0, msg)
+	for c.broadcasts.len() > 0 {
 		c.Tick(c.NextTick())
 	}
 	return c
 }
 
-// What Handle costs: a probe of another's, and a second of a member's own time.
+// BenchmarkCore measures a received probe, and a second of a member's own protocol.
 //
 //	go test ./internal/cluster -run '^$' -bench . -benchmem
 func BenchmarkCore(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 5000} {
-		c := grown(b, n)
-		from := c.entry(c.members["member-000001"])
+		c := newCoreWithPeers(b, n)
+		from := c.entryOf(c.peers["member-000001"])
 		b.Run(fmt.Sprint("ping/", n), func(b *testing.B) {
 			for i := range b.N {
 				c.Receive(c.now, &Message{Kind: Ping, ClusterName: "f", From: from, Seq: uint64(i), Target: "me"})
@@ -43,36 +53,50 @@
 			for range b.N {
 				for end := c.now + time.Second; c.NextTick() <= end; {
 					c.Tick(c.NextTick())
-					if p := &c.probe; p.on { // it is answered
-						x := p.of
-						c.Receive(c.now, &Message{Kind: Ack, ClusterName: "f", From: c.entry(x), Seq: p.seq, Target: x.Name})
-					}
+					acknowledgeProbe(c)
 				}
 			}
 		})
 	}
 }
 
-// mostMemory is what a member that is known may take, in bytes.
-const mostMemory = 600
+// acknowledgeProbe delivers the acknowledgement of the probe in progress, if there is one.
+func acknowledgeProbe(c *Core) {
+	if !c.probe.active {
+		return
+	}
+	target := c.probe.target
+	c.Receive(c.now, &Message{
+		Kind:        Ack,
+		ClusterName: "f",
+		From:        c.entryOf(target),
+		Seq:         c.probe.seq,
+		Target:      target.Name,
+	})
+}
+
+// maxBytesPerMember is the limit of the memory that a known member takes.
+const maxBytesPerMember = 600
 
-// Memory grows with the fleet, by a stated amount for each member.
+// TestMemoryByMembers tests that memory grows by at most maxBytesPerMember for each member.
 func TestMemoryByMembers(t *testing.T) {
-	heap := func() int64 {
-		runtime.GC()
-		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return int64(m.HeapAlloc)
-	}
 	for _, n := range []int{1000, 5000} {
-		before := heap()
-		c := grown(t, n)
-		took := (heap() - before) / int64(n)
-		t.Logf("%d members: %d bytes each", n, took)
-		if took > mostMemory {
-			t.Errorf("%d members take %d bytes each, at most %d are meant", n, took, mostMemory)
+		before := heapBytes()
+		c := newCoreWithPeers(t, n)
+		perMember := (heapBytes() - before) / int64(n)
+		t.Logf("%d members: %d bytes each", n, perMember)
+		if perMember > maxBytesPerMember {
+			t.Errorf("%d members take %d bytes each, want at most %d", n, perMember, maxBytesPerMember)
 		}
 		runtime.KeepAlive(c)
 	}
 }
+
+// heapBytes returns the bytes of live heap objects.
+func heapBytes() int64 {
+	runtime.GC()
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
+}
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -1,24 +1,39 @@
-// Package cluster is who else is in the fleet of sidecars, in which life of its, and what is known of it: a view that the
-// sidecars keep by themselves, without I/O and without clocks. Core.Handle takes an event and answers with actions;
-// internal/cluster/gossip puts sockets and a clock round it, internal/simulation/fleetsim simulated time. docs/design/fleet.md has
-// the table of states and the ways weighed.
+// Package cluster implements cluster membership among sidecars: which members
+// there are, in which incarnation, and in which state. It is the SWIM protocol
+// (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
+// Process Group Membership Protocol", 2002) with the extensions of Lifeguard
+// (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More
+// Accurate Failure Detection", 2018).
 //
-// In short: each member probes one other in each Probe, round robin in an order of its own, and asks Indirect others to
-// try for it before it suspects. A suspicion is spread; the suspect refutes it with a higher number, or is dead for all
-// when it runs out, the sooner the more others say the same. What is new travels on probes and their answers and on
-// datagrams of its own, so often that everyone has it after a number of rounds that grows with the logarithm of the fleet.
-// Views are compared by digest now and then, and only what differs is sent. The dead are tried again for as long as the
-// process runs, so that two halves that have buried each other meet.
+// The package does no I/O and reads no clock. Each method of [Core] that takes an
+// event returns the actions to carry out. Package internal/cluster/gossip supplies
+// sockets and a clock, package internal/simulation/fleetsim simulated time.
+// docs/design/fleet.md has the table of states and the alternatives considered.
+//
+// # Protocol
+//
+// In every probe interval a member probes one peer, round robin in a shuffled
+// order. If the peer does not answer, a few other members are asked to probe it,
+// and if none of them reaches it either, it is suspected. A suspicion is gossiped.
+// The suspect refutes it with a higher refutation counter; otherwise it is declared
+// dead when the suspicion times out, which is the sooner the more members confirm
+// the suspicion. Updates are piggybacked on probes and acknowledgements and sent in
+// gossip messages of their own, a number of times that grows with the logarithm of
+// the cluster's size. Views are compared by digest from time to time, and only what
+// differs is exchanged (push-pull). Dead members are probed for as long as the
+// process runs, so that two halves that have declared each other dead merge again.
 //
 // # Order without clocks
 //
-// A Version is a life, the process's random run and a number that grows when the process refutes something. A process
-// starts with life 1. Whoever holds another run under its name tells it so, and it takes the next life. Neither wall
-// clocks nor a disk are needed.
+// An [Incarnation] is a generation, the random ID of the process, and a counter of
+// refutations. A process starts with generation 1. A member that knows another
+// process under the same name tells the new process so, which then takes the next
+// generation. Neither wall clocks nor a disk are needed.
 //
-// # Bounds
+// # Limits
 //
-// Members, words, relayed probes, remembered addresses and accusers are bounded (limits.go); a datagram holds at most
-// Config.Datagram bytes. What a member sends does not grow with the fleet but for the answers to joins and for views that
-// differ. A Core is not safe for several goroutines.
+// Members, endpoint notices, relayed probes, remembered addresses and confirmations
+// are limited (limits.go); a datagram has at most Config.MaxDatagramBytes bytes. What
+// a member sends does not grow with the cluster, except for answers to members that
+// join and to views that differ.
 package cluster
--- a/internal/cluster/gossip/codec_test.go
+++ b/internal/cluster/gossip/codec_test.go
@@ -87,7 +87,7 @@
 	kinds, largest := map[cluster.Kind]int{}, 0
 	look := func(list []cluster.Action) {
 		for _, a := range list {
-			if a.Kind != cluster.Send || a.Stream {
+			if a.Kind != cluster.SendMessage || a.Stream {
 				continue
 			}
 			a.Message.ConfigEpoch, a.Message.ConfigVersion = 1<<64-1, 1<<64-1
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -319,7 +319,7 @@
 func (n *Node) act(list []cluster.Action) {
 	for _, a := range list {
 		switch a.Kind {
-		case cluster.Send:
+		case cluster.SendMessage:
 			n.send(a)
 		case cluster.MemberChanged:
 			n.cfg.Log.Info("fleet", "member", a.Transition.Name, "life", a.Transition.Generation, "was", a.Transition.From, "now", a.Transition.To, "why", a.Transition.Reason)
--- /dev/null
+++ b/internal/cluster/notices.go
@@ -0,0 +1,70 @@
+package cluster
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// notice is an endpoint notice that is valid.
+type notice struct {
+	EndpointNotice
+	reportedAt time.Duration
+}
+
+// currentNotice returns the notice to be sent, with its age.
+func (c *Core) currentNotice(n *notice) EndpointNotice {
+	current := n.EndpointNotice
+	current.Age = c.now - n.reportedAt
+	return current
+}
+
+// mergeNotice accepts an endpoint notice if it supersedes the known one. A notice is
+// valid for NoticeTTL from when it was first reported, is passed on to the caller once,
+// and is gossiped.
+func (c *Core) mergeNotice(n EndpointNotice) {
+	if n.Endpoint == "" || len(n.Endpoint) > MaxNameLength || n.Age < 0 || n.Age >= c.cfg.NoticeTTL {
+		c.stats.Rejected++
+		return
+	}
+	known := c.notices[n.Endpoint]
+	if known != nil && !n.supersedes(&known.EndpointNotice) {
+		return
+	}
+	if known == nil && len(c.notices) >= maxNotices {
+		c.stats.Rejected++
+		return
+	}
+	c.notices[n.Endpoint] = &notice{n, c.now - n.Age}
+	c.broadcasts.add(endpointBroadcast(n.Endpoint))
+	if n.ReportedBy != c.self.Name {
+		c.actions = append(c.actions, Action{Kind: NoticeReceived, Notice: n})
+	}
+}
+
+// removeExpiredNotices removes notices older than NoticeTTL. This bounds the effect of a
+// notice that is wrong, or about a process that has been replaced.
+func (c *Core) removeExpiredNotices() {
+	var expired []string
+	for endpoint, n := range c.notices {
+		if c.now-n.reportedAt >= c.cfg.NoticeTTL {
+			expired = append(expired, endpoint)
+		}
+	}
+	slices.Sort(expired)
+	for _, endpoint := range expired {
+		if n := c.notices[endpoint]; n.ReportedBy != c.self.Name {
+			c.actions = append(c.actions, Action{Kind: NoticeExpired, Notice: n.EndpointNotice})
+		}
+		delete(c.notices, endpoint)
+	}
+}
+
+// currentNotices returns all valid notices by endpoint.
+func (c *Core) currentNotices() (list []EndpointNotice) {
+	for _, n := range c.notices {
+		list = append(list, c.currentNotice(n))
+	}
+	slices.SortFunc(list, func(a, b EndpointNotice) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	return list
+}
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -1,151 +1,134 @@
 package cluster
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-// probe is the one that is on.
+// probe is the probe of one peer that is in progress, or was the latest.
 type probe struct {
-	on      bool
-	seq     uint64
-	of      *member
-	version Incarnation
-	direct  time.Duration // the direct time-out; 0: the others were asked
-	until   time.Duration
-	helpers int
-	nacks   int
+	active         bool
+	seq            uint64
+	target         *peer
+	incarnation    Incarnation   // of the target when the probe started
+	directDeadline time.Duration // for an answer to the direct probe; 0 once it has passed
+	deadline       time.Duration // for any answer
+	helpers        int           // members asked for an indirect probe
+	nacks          int           // of them
 }
 
-func (p *probe) next() time.Duration {
-	if p.direct > 0 {
-		return p.direct
+func (p *probe) nextDeadline() time.Duration {
+	if p.directDeadline > 0 {
+		return p.directDeadline
 	}
-	return p.until
+	return p.deadline
 }
 
-// relay is a probe for somebody else.
-type relay struct {
-	seq    uint64 // of the own Ping
-	theirs uint64
-	to     Address
-	target string
-	until  time.Duration // then a Nack is sent
-}
-
-// runProbe ends the probe that is on when its time is over, and begins the next one when it is due.
-func (m *Core) runProbe() {
-	now := m.now
-	if p := &m.probe; p.on && p.direct > 0 && now >= p.direct {
-		p.direct = 0
-		m.askOthers()
+// runProbe ends the probe in progress when its deadline has passed, and starts the next
+// one when it is due.
+func (c *Core) runProbe() {
+	if p := &c.probe; p.active && p.directDeadline > 0 && c.now >= p.directDeadline {
+		p.directDeadline = 0
+		c.requestIndirectProbes()
 	}
-	if m.probe.on && now >= m.probe.until {
-		m.failed()
+	if c.probe.active && c.now >= c.probe.deadline {
+		c.failProbe()
 	}
-	if now < m.due.probe {
+	if c.now < c.due.probe {
 		return
 	}
-	m.due.probe = now + m.slowed(m.cfg.ProbeInterval)
-	if x := m.nextTarget(); x != nil && !m.probe.on {
-		m.begun(x)
+	c.due.probe = c.now + c.scaleByHealth(c.cfg.ProbeInterval)
+	if target := c.nextProbeTarget(); target != nil && !c.probe.active {
+		c.startProbe(target)
 	}
 }
 
-// nextTarget is the next one of the round; a round ends with a new order.
-func (m *Core) nextTarget() *member {
+// nextProbeTarget returns the next peer of the round, or nil if no peer is alive. Each
+// round has a new order.
+func (c *Core) nextProbeTarget() *peer {
 	for range 2 {
-		for m.turn < len(m.round) {
-			x := m.round[m.turn]
-			m.turn++
-			if x.live >= 0 {
-				return x
+		for c.probeIndex < len(c.probeOrder) {
+			p := c.probeOrder[c.probeIndex]
+			c.probeIndex++
+			if p.liveIndex != notLive {
+				return p
 			}
 		}
-		m.round = append(m.round[:0], m.live...)
-		m.rng.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
-		m.turn = 0
+		c.probeOrder = append(c.probeOrder[:0], c.livePeers...)
+		c.random.Shuffle(len(c.probeOrder), func(i, j int) {
+			c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i]
+		})
+		c.probeIndex = 0
 	}
 	return nil
 }
 
-func (m *Core) begun(x *member) {
-	m.seq++
-	m.probe = probe{on: true, seq: m.seq, of: x, version: x.Incarnation, direct: m.now + m.slowed(m.cfg.ProbeTimeout), until: m.now + m.slowed(m.cfg.ProbeInterval)}
-	msg := &Message{Kind: Ping, Seq: m.seq, Target: x.Name}
-	if x.State == Suspect { // it learns of it from the probe itself, and refutes with the answer
-		msg.Entries = []Entry{m.entry(x)}
+// startProbe sends a direct probe. A suspect learns of the suspicion from the probe, and
+// can refute it with its acknowledgement (Lifeguard's buddy system).
+func (c *Core) startProbe(target *peer) {
+	c.lastSeq++
+	c.probe = probe{
+		active:         true,
+		seq:            c.lastSeq,
+		target:         target,
+		incarnation:    target.Incarnation,
+		directDeadline: c.now + c.scaleByHealth(c.cfg.ProbeTimeout),
+		deadline:       c.now + c.scaleByHealth(c.cfg.ProbeInterval),
 	}
-	m.send(x.Addr, msg)
+	msg := &Message{Kind: Ping, Seq: c.lastSeq, Target: target.Name}
+	if target.State == Suspect {
+		msg.Entries = []Entry{c.entryOf(target)}
+	}
+	c.send(target.Addr, msg)
 }
 
-// askOthers has some others try what was not answered in time.
-func (m *Core) askOthers() {
-	p := &m.probe
-	for _, x := range m.pick(m.cfg.IndirectChecks, func(x *member) bool { return x == p.of || x.State != Alive }) {
-		p.helpers++
-		m.send(x.Addr, &Message{Kind: PingReq, Seq: p.seq, Target: p.of.Name, TargetAddr: p.of.Addr})
+// requestIndirectProbes asks other members to probe the target that did not answer in time.
+func (c *Core) requestIndirectProbes() {
+	target := c.probe.target
+	helpers := c.randomLivePeers(c.cfg.IndirectChecks, func(p *peer) bool {
+		return p == target || p.State != Alive
+	})
+	for _, helper := range helpers {
+		c.probe.helpers++
+		c.send(helper.Addr, &Message{
+			Kind:       PingReq,
+			Seq:        c.probe.seq,
+			Target:     target.Name,
+			TargetAddr: target.Addr,
+		})
 	}
 }
 
-// failed is that neither the probed member nor a helper brought an answer. Helpers of whom nothing came at all are a sign
-// against this member itself.
-func (m *Core) failed() {
-	p := m.probe
-	m.probe.on = false
+// failProbe ends a probe without an acknowledgement: the target is suspected. Helpers
+// that did not even send a nack are evidence that this member itself has a problem.
+func (c *Core) failProbe() {
+	failed := c.probe
+	c.probe.active = false
 	switch {
-	case p.helpers == 0:
-		m.unwell(1)
-	case p.nacks < p.helpers:
-		m.unwell(p.helpers - p.nacks)
-	}
-	if x := p.of; m.members[x.Name] == x && x.live >= 0 && x.Incarnation == p.version {
-		if x.State == Alive {
-			m.suspect(x, m.me.Name, "no answer")
-			m.stats.Suspicions++
-		} else {
-			m.confirm(x, m.me.Name)
-		}
+	case failed.helpers == 0:
+		c.adjustHealth(1)
+	case failed.nacks < failed.helpers:
+		c.adjustHealth(failed.helpers - failed.nacks)
 	}
-}
-
-// acked ends the probe, or passes the answer on to who asked for it.
-func (m *Core) acked(msg *Message) {
-	if p := &m.probe; p.on && msg.Seq == p.seq {
-		if msg.Target == p.of.Name {
-			p.on = false
-			m.unwell(-1)
-		}
+	target := failed.target
+	isCurrent := c.peers[target.Name] == target && target.liveIndex != notLive &&
+		target.Incarnation == failed.incarnation
+	if !isCurrent {
 		return
 	}
-	for i, r := range m.relays {
-		if r.seq == msg.Seq {
-			if r.target == msg.Target && msg.From.Name == r.target {
-				m.relays = slices.Delete(m.relays, i, i+1)
-				m.send(r.to, &Message{Kind: Ack, Seq: r.theirs, Target: r.target})
-			}
-			return
-		}
+	if target.State == Alive {
+		c.suspect(target, c.self.Name, "no answer")
+		c.stats.Suspicions++
+	} else {
+		c.confirm(target, c.self.Name)
 	}
 }
 
-// relay tries for another one.
-func (m *Core) relay(msg *Message) {
-	if len(m.relays) >= mostRelays || msg.Target == "" || !msg.TargetAddr.IsValid() || m.cfg.AllowAddress != nil && !m.cfg.AllowAddress(msg.TargetAddr) {
-		m.stats.Rejected++
-		return
-	}
-	m.seq++
-	m.relays = append(m.relays, relay{m.seq, msg.Seq, msg.From.Addr, msg.Target, m.now + m.cfg.ProbeTimeout*4/5})
-	m.send(msg.TargetAddr, &Message{Kind: Ping, Seq: m.seq, Target: msg.Target})
-}
-
-func (m *Core) expireRelays() {
-	for len(m.relays) > 0 && m.now >= m.relays[0].until {
-		r := m.relays[0]
-		m.relays = m.relays[1:]
-		if !m.cfg.DisableLifeguard {
-			m.send(r.to, &Message{Kind: Nack, Seq: r.theirs, Target: r.target})
+// receiveAck completes the probe in progress, or a relayed one.
+func (c *Core) receiveAck(msg *Message) {
+	if p := &c.probe; p.active && msg.Seq == p.seq {
+		if msg.Target == p.target.Name {
+			p.active = false
+			c.adjustHealth(-1)
 		}
+		return
 	}
+	c.relayAck(msg)
 }
--- /dev/null
+++ b/internal/cluster/reconnect.go
@@ -0,0 +1,81 @@
+package cluster
+
+import "slices"
+
+// rememberAddress remembers the address of a removed dead member, so that it is still
+// probed. If there are too many, the oldest is dropped.
+func (c *Core) rememberAddress(addr Address) {
+	if slices.Contains(c.forgotten, addr) {
+		return
+	}
+	if len(c.forgotten) >= maxForgottenAddresses {
+		c.forgotten = c.forgotten[1:]
+	}
+	c.forgotten = append(c.forgotten, addr)
+}
+
+// reconnect probes one random address of a dead member, of a removed one, or of a seed
+// that no live member has. All members together probe each address reconnectAttempts
+// times per ReconnectInterval, so that the cost of a dead member does not grow with the
+// cluster; a few members that see many dead ones probe one address each time.
+func (c *Core) reconnect() {
+	dead, addresses := c.reconnectCandidates()
+	candidates := len(dead) + len(addresses)
+	if candidates == 0 || c.random.Float64()*float64(c.NumLive()) >= float64(reconnectAttempts*candidates) {
+		return
+	}
+	c.lastSeq++
+	ping := &Message{Kind: Ping, Seq: c.lastSeq}
+	i := c.random.IntN(candidates)
+	if i >= len(dead) {
+		c.send(addresses[i-len(dead)], ping)
+		return
+	}
+	ping.Target = dead[i].Name
+	ping.Entries = []Entry{c.entryOf(dead[i])}
+	c.send(dead[i].Addr, ping)
+}
+
+// reconnectCandidates returns the dead peers by name, and the addresses of removed
+// members and seeds that no live member has. It also drops the other addresses of
+// removed members.
+func (c *Core) reconnectCandidates() (dead []*peer, addresses []Address) {
+	isUnused := map[Address]bool{} // of forgotten addresses and seeds
+	for _, addr := range append(slices.Clone(c.forgotten), c.cfg.Seeds...) {
+		isUnused[addr] = addr != c.self.Addr
+	}
+	for _, p := range c.peers {
+		switch {
+		case p.State == Dead:
+			dead = append(dead, p)
+		case p.liveIndex != notLive && isUnused[p.Addr]:
+			isUnused[p.Addr] = false
+		}
+	}
+	slices.SortFunc(dead, comparePeerNames)
+	c.forgotten = slices.DeleteFunc(c.forgotten, func(addr Address) bool { return !isUnused[addr] })
+	addresses = slices.Clone(c.forgotten)
+	for _, seed := range c.cfg.Seeds {
+		if isUnused[seed] && !slices.Contains(addresses, seed) {
+			addresses = append(addresses, seed)
+		}
+	}
+	return dead, addresses
+}
+
+// removeExpiredPeers removes the peers that died or left more than DeadMemberTTL ago.
+func (c *Core) removeExpiredPeers() {
+	var expired []*peer
+	for _, p := range c.peers {
+		if p.State >= Dead && c.now-p.endedAt >= c.cfg.DeadMemberTTL {
+			expired = append(expired, p)
+		}
+	}
+	// Sorted, so that the same random seed always leads to the same history, including
+	// the order of the remembered addresses.
+	slices.SortFunc(expired, comparePeerNames)
+	for _, p := range expired {
+		c.reportTransition(p, p.State, "is forgotten")
+		c.removePeer(p)
+	}
+}
--- /dev/null
+++ b/internal/cluster/relay.go
@@ -0,0 +1,61 @@
+package cluster
+
+import (
+	"slices"
+	"time"
+)
+
+// relayedProbe is an indirect probe that another member asked for.
+type relayedProbe struct {
+	seq          uint64 // of this member's ping
+	requesterSeq uint64
+	requester    Address
+	target       string
+	deadline     time.Duration // then a nack is sent
+}
+
+// relayProbe probes a target on behalf of the sender of a PingReq.
+func (c *Core) relayProbe(msg *Message) {
+	if len(c.relayedProbes) >= maxRelayedProbes || msg.Target == "" || !c.isProbeAddress(msg.TargetAddr) {
+		c.stats.Rejected++
+		return
+	}
+	c.lastSeq++
+	c.relayedProbes = append(c.relayedProbes, relayedProbe{
+		seq:          c.lastSeq,
+		requesterSeq: msg.Seq,
+		requester:    msg.From.Addr,
+		target:       msg.Target,
+		deadline:     c.now + c.cfg.ProbeTimeout*4/5,
+	})
+	c.send(msg.TargetAddr, &Message{Kind: Ping, Seq: c.lastSeq, Target: msg.Target})
+}
+
+func (c *Core) isProbeAddress(addr Address) bool {
+	return addr.IsValid() && (c.cfg.AllowAddress == nil || c.cfg.AllowAddress(addr))
+}
+
+// relayAck passes the acknowledgement of a relayed probe to the member that asked for it.
+func (c *Core) relayAck(msg *Message) {
+	for i, r := range c.relayedProbes {
+		if r.seq != msg.Seq {
+			continue
+		}
+		if r.target == msg.Target && msg.From.Name == r.target {
+			c.relayedProbes = slices.Delete(c.relayedProbes, i, i+1)
+			c.send(r.requester, &Message{Kind: Ack, Seq: r.requesterSeq, Target: r.target})
+		}
+		return
+	}
+}
+
+// expireRelayedProbes sends nacks for relayed probes that were not answered in time.
+func (c *Core) expireRelayedProbes() {
+	for len(c.relayedProbes) > 0 && c.now >= c.relayedProbes[0].deadline {
+		r := c.relayedProbes[0]
+		c.relayedProbes = c.relayedProbes[1:]
+		if !c.cfg.DisableLifeguard {
+			c.send(r.requester, &Message{Kind: Nack, Seq: r.requesterSeq, Target: r.target})
+		}
+	}
+}
--- a/internal/cluster/script_test.go
+++ b/internal/cluster/script_test.go
@@ -12,244 +12,336 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// at is the address of a member of the scripts, whose names are letters.
-func at(name string) Address {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, name[0]}), 7946)
-}
-
-// scripted is a member that a script plays with.
-type scripted struct {
-	core *Core
-	now  time.Duration
-	bad  string
-}
-
-// The core's behaviour as scripts: each directive is an event, and under it stand the actions that must come. The words:
+// TestScripts runs the scripts in testdata. Each directive is an event, followed by the
+// actions that it must return:
 //
-//	new [seeds=(b,c)] [told=N] [KEY=VALUE]   member a, run 100, that probes each second
-//	tick DURATION                            time goes on by it, each Tick at its time
+//	new [seeds=(b,c)] [told=N] [KEY=VALUE]   a Core for member a, process 100, that probes each second
+//	tick DURATION                            advances the time, calling Tick whenever it is due
+//	late DURATION                            calls Tick once, that much too late
 //	recv KIND from=b [run=N] [life=N] [inc=N] [left] [seq=N] [target=x] [at=x] [buckets=all] [join] [fleet=x]
-//	     with a line for each entry: "c suspect 1.200.0 by=d age=5s", and for each word: "word s1 gone born=5 by=d age=1s"
+//	     with a line for each entry: "c suspect 1.200.0 by=d age=5s",
+//	     and for each notice: "word s1 gone born=5 by=d age=1s"
 //	say SERVER [gone] [born=N]    leave    view    stats
 //
-// A Send is shown as its kind, target and what it carries; what goes out by the gossip of "tick" is shown, too.
+// Incarnations are written as generation, process ID and refutations. A message is
+// written as its kind, destination, target and content.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := new(scripted)
+		s := new(scriptRunner)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			out := s.do(t, d)
-			if s.bad != "" {
-				d.Fatalf(t, "%s", s.bad)
+			output := s.run(t, d)
+			if s.syntaxError != "" {
+				d.Fatalf(t, "%s", s.syntaxError)
 			}
-			return out
+			return output
 		})
 	})
 }
 
-func value(d *datadriven.TestData, key, other string) string {
-	for _, a := range d.CmdArgs {
-		if a.Key == key {
-			if len(a.Vals) == 0 {
-				return "yes"
+// scriptRunner runs one script.
+type scriptRunner struct {
+	core        *Core
+	now         time.Duration
+	syntaxError string // of the latest directive; empty if there is none
+}
+
+// run runs a directive and returns its output.
+func (s *scriptRunner) run(t *testing.T, d *datadriven.TestData) string {
+	t.Helper()
+	switch d.Cmd {
+	case "new":
+		return s.newCore(d)
+	case "tick":
+		return s.tick(t, s.duration(d.CmdArgs[0].Key))
+	case "late":
+		s.now = s.core.NextTick() + s.duration(d.CmdArgs[0].Key)
+		return formatActions(s.core.Tick(s.now))
+	case "recv":
+		return formatActions(s.core.Receive(s.now, s.parseMessage(d)))
+	case "say":
+		return formatActions(s.core.Announce(s.now, EndpointNotice{
+			Endpoint:  d.CmdArgs[0].Key,
+			Removed:   argument(d, "gone", "") != "",
+			StartedMS: float64(s.number(argument(d, "born", "0"))),
+		}))
+	case "leave":
+		return formatActions(s.core.Leave(s.now))
+	case "view":
+		return formatMembers(s.core.Members())
+	case "stats":
+		return formatStats(s.core.Stats())
+	}
+	t.Fatalf("unknown directive %s", d.Cmd)
+	return ""
+}
+
+// newCore replaces the Core by a new one that starts at 0.
+func (s *scriptRunner) newCore(d *datadriven.TestData) string {
+	cfg := Config{
+		ClusterName:       "f",
+		Name:              "a",
+		AdvertiseAddr:     addressOf("a"),
+		ProcessID:         100,
+		RandomSeed:        7,
+		ProbeInterval:     time.Second,
+		PushPullInterval:  s.duration(argument(d, "sync", "1h")),
+		DeadMemberTTL:     s.duration(argument(d, "forget", "1h")),
+		NoticeTTL:         s.duration(argument(d, "keep", "30s")),
+		MaxMembers:        int(s.number(argument(d, "most", "100"))),
+		ReconnectInterval: s.duration(argument(d, "retry", "1h")),
+		AllowAddress:      func(addr Address) bool { return addr.Addr().Is4() && addr.Addr().As4()[0] == 10 },
+	}
+	for _, arg := range d.CmdArgs {
+		if arg.Key == "seeds" {
+			for _, name := range arg.Vals {
+				cfg.Seeds = append(cfg.Seeds, addressOf(name))
 			}
-			return a.Vals[0]
 		}
 	}
-	return other
+	s.now = 0
+	var err error
+	if s.core, err = New(cfg, 0, int(s.number(argument(d, "told", "1")))); err != nil {
+		return err.Error()
+	}
+	return ""
 }
 
-func (s *scripted) number(text string) uint64 {
+// tick advances the time and calls Tick whenever it is due.
+func (s *scriptRunner) tick(t *testing.T, duration time.Duration) string {
+	t.Helper()
+	end := s.now + duration
+	var actions []Action
+	for ticks := 0; s.core.NextTick() <= end; ticks++ {
+		if ticks > 100_000 {
+			t.Fatal("NextTick does not advance")
+		}
+		s.now = max(s.now, s.core.NextTick())
+		actions = append(actions, s.core.Tick(s.now)...)
+	}
+	s.now = end
+	return formatActions(actions)
+}
+
+// addressOf returns the address of a member whose name is one letter.
+func addressOf(name string) Address {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, name[0]}), 7946)
+}
+
+// argument returns the value of a directive's argument, "yes" if it has none, and
+// byDefault if the argument is missing.
+func argument(d *datadriven.TestData, key, byDefault string) string {
+	for _, arg := range d.CmdArgs {
+		if arg.Key != key {
+			continue
+		}
+		if len(arg.Vals) == 0 {
+			return "yes"
+		}
+		return arg.Vals[0]
+	}
+	return byDefault
+}
+
+func (s *scriptRunner) number(text string) uint64 {
 	n, err := strconv.ParseUint(text, 0, 64)
 	if err != nil {
-		s.bad = err.Error()
+		s.syntaxError = err.Error()
 	}
 	return n
 }
 
-func (s *scripted) time(text string) time.Duration {
+func (s *scriptRunner) duration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		s.bad = err.Error()
+		s.syntaxError = err.Error()
 	}
 	return d
 }
 
-func (s *scripted) do(t *testing.T, d *datadriven.TestData) string {
-	switch d.Cmd {
-	case "new":
-		c := Config{ClusterName: "f", Name: "a", AdvertiseAddr: at("a"), ProcessID: 100, RandomSeed: 7, ProbeInterval: time.Second, PushPullInterval: s.time(value(d, "sync", "1h")), DeadMemberTTL: s.time(value(d, "forget", "1h")),
-			NoticeTTL: s.time(value(d, "keep", "30s")), MaxMembers: int(s.number(value(d, "most", "100"))), ReconnectInterval: s.time(value(d, "retry", "1h")),
-			AllowAddress: func(a Address) bool { return a.Addr().Is4() && a.Addr().As4()[0] == 10 }}
-		for _, a := range d.CmdArgs {
-			if a.Key == "seeds" {
-				for _, name := range a.Vals {
-					c.Seeds = append(c.Seeds, at(name))
-				}
-			}
-		}
-		s.now = 0
-		var err error
-		if s.core, err = New(c, 0, int(s.number(value(d, "told", "1")))); err != nil {
-			return err.Error()
-		}
-		return ""
-	case "tick":
-		end := s.now + s.time(d.CmdArgs[0].Key)
-		var out []string
-		for n := 0; s.core.NextTick() <= end; n++ {
-			if n > 100_000 {
-				t.Fatal("it wants a tick again and again")
-			}
-			s.now = max(s.now, s.core.NextTick())
-			out = append(out, s.show(s.core.Tick(s.now))...)
+// kindNames are the names of message kinds in scripts.
+var kindNames = [...]string{"ping", "ack", "nack", "pingreq", "gossip", "ask", "tell", "end"}
+
+// parseMessage parses a recv directive.
+func (s *scriptRunner) parseMessage(d *datadriven.TestData) *Message {
+	kind := slices.Index(kindNames[:], d.CmdArgs[0].Key)
+	if kind < 0 {
+		s.syntaxError = "unknown kind " + d.CmdArgs[0].Key
+		return &Message{}
+	}
+	from := argument(d, "from", "b")
+	msg := &Message{
+		Kind:        Kind(kind),
+		ClusterName: argument(d, "fleet", "f"),
+		From: Entry{
+			Name: from,
+			Addr: addressOf(from),
+			Incarnation: Incarnation{
+				Generation:  s.number(argument(d, "life", "1")),
+				ProcessID:   s.number(argument(d, "run", "200")),
+				Refutations: s.number(argument(d, "inc", "0")),
+			},
+		},
+		Seq:    s.parseSeq(argument(d, "seq", "0")),
+		Target: argument(d, "target", ""),
+		Join:   argument(d, "join", "") != "",
+	}
+	if argument(d, "left", "") != "" {
+		msg.From.State = Left
+	}
+	if name := argument(d, "at", ""); name != "" {
+		msg.TargetAddr = addressOf(name)
+	}
+	if msg.Kind == PushPullRequest {
+		msg.Digest = make([]uint64, numBuckets)
+	}
+	if argument(d, "buckets", "") != "" {
+		msg.BucketMask = allBuckets
+	}
+	for line := range strings.Lines(d.Input) {
+		s.parseInputLine(msg, strings.Fields(line))
+	}
+	return msg
+}
+
+// parseSeq parses a number, "probe" for that of the probe in progress, or "relay" for
+// that of the first relayed one.
+func (s *scriptRunner) parseSeq(text string) uint64 {
+	switch text {
+	case "probe":
+		return s.core.probe.seq
+	case "relay":
+		return s.core.relayedProbes[0].seq
+	}
+	return s.number(text)
+}
+
+// parseInputLine appends the entry or notice of one line to a message.
+func (s *scriptRunner) parseInputLine(msg *Message, fields []string) {
+	var reportedBy string
+	var age time.Duration
+	var startedMS float64
+	for _, field := range fields {
+		key, value, _ := strings.Cut(field, "=")
+		switch key {
+		case "by":
+			reportedBy = value
+		case "age":
+			age = s.duration(value)
+		case "born":
+			startedMS = float64(s.number(value))
 		}
-		s.now = end
-		return lines(out)
-	case "late": // the process stood still: one Tick comes late
-		s.now = s.core.NextTick() + s.time(d.CmdArgs[0].Key)
-		return lines(s.show(s.core.Tick(s.now)))
-	case "recv":
-		return lines(s.show(s.core.Receive(s.now, s.message(d))))
-	case "say":
-		return lines(s.show(s.core.Announce(s.now, EndpointNotice{Endpoint: d.CmdArgs[0].Key, Removed: value(d, "gone", "") != "", StartedMS: float64(s.number(value(d, "born", "0")))})))
-	case "leave":
-		return lines(s.show(s.core.Leave(s.now)))
-	case "view":
-		var out []string
-		for _, m := range s.core.Members() {
-			text := fmt.Sprintf("%s %v %s", m.Name, m.State, versionText(m.Incarnation))
-			if m.ReportedBy != "" {
-				text += " by=" + m.ReportedBy
-			}
-			out = append(out, text)
+	}
+	if fields[0] == "word" {
+		msg.Notices = append(msg.Notices, EndpointNotice{
+			Endpoint:   fields[1],
+			Removed:    slices.Contains(fields, "gone"),
+			StartedMS:  startedMS,
+			ReportedBy: reportedBy,
+			Age:        age,
+		})
+		return
+	}
+	entry := Entry{Name: fields[0], Addr: addressOf(fields[0]), ReportedBy: reportedBy, Age: age}
+	if err := entry.State.UnmarshalText([]byte(fields[1])); err != nil {
+		s.syntaxError = err.Error()
+	}
+	parts := strings.Split(fields[2], ".")
+	entry.Incarnation = Incarnation{
+		Generation:  s.number(parts[0]),
+		ProcessID:   s.number(parts[1]),
+		Refutations: s.number(parts[2]),
+	}
+	msg.Entries = append(msg.Entries, entry)
+}
+
+func formatIncarnation(i Incarnation) string {
+	return fmt.Sprintf("%d.%d.%d", i.Generation, i.ProcessID, i.Refutations)
+}
+
+func formatMembers(members []Member) string {
+	var lines []string
+	for _, m := range members {
+		line := fmt.Sprintf("%s %v %s", m.Name, m.State, formatIncarnation(m.Incarnation))
+		if m.ReportedBy != "" {
+			line += " by=" + m.ReportedBy
 		}
-		return lines(out)
-	case "stats":
-		x := s.core.Stats()
-		return fmt.Sprintf("health %d, live %d, count %d, queue %d, words %d, forgotten %d, refuted %d, stalls %d, conflicts %d, foreign %d, refused %d\n", x.HealthScore, x.LiveMembers, x.EstimatedSize,
-			x.QueuedBroadcasts, x.Notices, x.ForgottenAddresses, x.Refutations, x.Stalls, x.NameConflicts, x.ForeignMessages, x.Rejected)
+		lines = append(lines, line)
 	}
-	t.Fatalf("no directive %s", d.Cmd)
-	return ""
+	return joinLines(lines)
 }
 
-func (s *scripted) message(d *datadriven.TestData) *Message {
-	kind := map[string]Kind{"ping": Ping, "ack": Ack, "nack": Nack, "pingreq": PingReq, "gossip": Gossip, "ask": PushPullRequest, "tell": PushPullResponse, "end": PushPullFinal}
-	k, ok := kind[d.CmdArgs[0].Key]
-	if !ok {
-		s.bad = "no kind " + d.CmdArgs[0].Key
+func formatStats(s Stats) string {
+	return fmt.Sprintf("health %d, live %d, count %d, queue %d, words %d, forgotten %d, refuted %d, stalls %d, "+
+		"conflicts %d, foreign %d, refused %d\n",
+		s.HealthScore, s.LiveMembers, s.EstimatedSize, s.QueuedBroadcasts, s.Notices, s.ForgottenAddresses,
+		s.Refutations, s.Stalls, s.NameConflicts, s.ForeignMessages, s.Rejected)
+}
+
+func formatActions(actions []Action) string {
+	var lines []string
+	for _, a := range actions {
+		lines = append(lines, formatAction(a))
 	}
-	from := value(d, "from", "b")
-	m := &Message{Kind: k, ClusterName: value(d, "fleet", "f"), From: Entry{Name: from, Addr: at(from)}, Target: value(d, "target", "")}
-	m.From.Incarnation = Incarnation{s.number(value(d, "life", "1")), s.number(value(d, "run", "200")), s.number(value(d, "inc", "0"))}
-	if value(d, "left", "") != "" {
-		m.From.State = Left
+	return joinLines(lines)
+}
+
+func formatAction(a Action) string {
+	switch a.Kind {
+	case SendMessage:
+		return formatMessage(a)
+	case MemberChanged:
+		t := a.Transition
+		return fmt.Sprintf("note %s %s %v -> %v: %s", t.Name, formatIncarnation(t.Incarnation), t.From, t.To, t.Reason)
+	case NoticeReceived:
+		return fmt.Sprintf("told %s gone=%v by=%s", a.Notice.Endpoint, a.Notice.Removed, a.Notice.ReportedBy)
+	case NoticeExpired:
+		return "unsaid " + a.Notice.Endpoint
+	case SizeChanged:
+		return fmt.Sprint("count ", a.EstimatedSize)
 	}
-	switch seq := value(d, "seq", "0"); seq {
-	case "probe": // that of the probe that is on
-		m.Seq = s.core.probe.seq
-	case "relay":
-		m.Seq = s.core.relays[0].seq
-	default:
-		m.Seq = s.number(seq)
+	return fmt.Sprintf("unknown action %d", a.Kind)
+}
+
+// formatMessage formats a SendMessage action.
+func formatMessage(a Action) string {
+	msg := a.Message
+	to := string(rune(a.To.Addr().As4()[3]))
+	text := fmt.Sprintf("%s to %s as %s", kindNames[msg.Kind], to, formatIncarnation(msg.From.Incarnation))
+	if msg.From.State != Alive {
+		text += " " + msg.From.State.String()
 	}
-	if to := value(d, "at", ""); to != "" {
-		m.TargetAddr = at(to)
+	if msg.Target != "" {
+		text += " target " + msg.Target
 	}
-	if k == PushPullRequest {
-		m.Digest = make([]uint64, buckets)
+	if a.Stream {
+		text += " stream"
 	}
-	if value(d, "buckets", "") != "" {
-		m.BucketMask = ^uint64(0)
+	if msg.Join {
+		text += " join"
 	}
-	m.Join = value(d, "join", "") != ""
-	for line := range strings.Lines(d.Input) {
-		words := strings.Fields(line)
-		var by string
-		var age time.Duration
-		var born float64
-		for _, w := range words {
-			key, v, _ := strings.Cut(w, "=")
-			switch key {
-			case "by":
-				by = v
-			case "age":
-				age = s.time(v)
-			case "born":
-				born = float64(s.number(v))
-			}
-		}
-		if words[0] == "word" {
-			m.Notices = append(m.Notices, EndpointNotice{Endpoint: words[1], Removed: slices.Contains(words, "gone"), StartedMS: born, ReportedBy: by, Age: age})
-			continue
-		}
-		e := Entry{Name: words[0], Addr: at(words[0]), ReportedBy: by, Age: age}
-		if err := e.State.UnmarshalText([]byte(words[1])); err != nil {
-			s.bad = err.Error()
-		}
-		part := strings.Split(words[2], ".")
-		e.Incarnation = Incarnation{s.number(part[0]), s.number(part[1]), s.number(part[2])}
-		m.Entries = append(m.Entries, e)
-	}
-	return m
-}
-
-func versionText(v Incarnation) string {
-	return fmt.Sprintf("%d.%d.%d", v.Generation, v.ProcessID, v.Refutations)
-}
-
-var kindText = [...]string{"ping", "ack", "nack", "pingreq", "gossip", "ask", "tell", "end"}
-
-func (s *scripted) show(list []Action) (out []string) {
-	for _, a := range list {
-		switch a.Kind {
-		case MemberChanged:
-			n := a.Transition
-			out = append(out, fmt.Sprintf("note %s %s %v -> %v: %s", n.Name, versionText(n.Incarnation), n.From, n.To, n.Reason))
-		case NoticeReceived:
-			out = append(out, fmt.Sprintf("told %s gone=%v by=%s", a.Notice.Endpoint, a.Notice.Removed, a.Notice.ReportedBy))
-		case NoticeExpired:
-			out = append(out, "unsaid "+a.Notice.Endpoint)
-		case SizeChanged:
-			out = append(out, fmt.Sprint("count ", a.EstimatedSize))
-		case Send:
-			m := a.Message
-			to := string(rune(a.To.Addr().As4()[3]))
-			text := fmt.Sprintf("%s to %s as %s", kindText[m.Kind], to, versionText(m.From.Incarnation))
-			if m.From.State != Alive {
-				text += " " + m.From.State.String()
-			}
-			if m.Target != "" {
-				text += " target " + m.Target
-			}
-			if a.Stream {
-				text += " stream"
-			}
-			if m.Join {
-				text += " join"
-			}
-			for _, e := range m.Entries {
-				text += fmt.Sprintf(" [%s %v %s", e.Name, e.State, versionText(e.Incarnation))
-				if e.Age > 0 {
-					text += fmt.Sprint(" age=", e.Age.Round(time.Second))
-				}
-				if e.ReportedBy != "" {
-					text += " by=" + e.ReportedBy
-				}
-				text += "]"
-			}
-			for _, w := range m.Notices {
-				text += fmt.Sprintf(" [word %s gone=%v by=%s]", w.Endpoint, w.Removed, w.ReportedBy)
-			}
-			out = append(out, text)
-		}
+	for _, e := range msg.Entries {
+		text += formatEntry(e)
+	}
+	for _, n := range msg.Notices {
+		text += fmt.Sprintf(" [word %s gone=%v by=%s]", n.Endpoint, n.Removed, n.ReportedBy)
+	}
+	return text
+}
+
+func formatEntry(e Entry) string {
+	text := fmt.Sprintf(" [%s %v %s", e.Name, e.State, formatIncarnation(e.Incarnation))
+	if e.Age > 0 {
+		text += fmt.Sprint(" age=", e.Age.Round(time.Second))
+	}
+	if e.ReportedBy != "" {
+		text += " by=" + e.ReportedBy
 	}
-	return out
+	return text + "]"
 }
 
-func lines(out []string) string {
-	if len(out) == 0 {
+func joinLines(lines []string) string {
+	if len(lines) == 0 {
 		return "nothing\n"
 	}
-	return strings.Join(out, "\n") + "\n"
+	return strings.Join(lines, "\n") + "\n"
 }
--- /dev/null
+++ b/internal/cluster/self.go
@@ -0,0 +1,58 @@
+package cluster
+
+// mergeOwnEntry handles an entry about this member: it refutes it if it is wrong, and
+// takes the next generation if another process has had this name.
+func (c *Core) mergeOwnEntry(e Entry) {
+	if !e.SameProcess(c.self.Incarnation) {
+		if e.Compare(c.self.Incarnation) > 0 {
+			c.raiseGeneration(e.Incarnation)
+		}
+		return
+	}
+	switch {
+	case c.leaving || e.State == Alive:
+		// Another process sent it for this one: no later update may be below it.
+		c.self.Refutations = max(c.self.Refutations, e.Refutations)
+	case e.State == Left:
+		c.raiseGeneration(e.Incarnation)
+	case e.Refutations >= c.self.Refutations:
+		c.self.Refutations = e.Refutations + 1
+		c.stats.Refutations++
+		c.adjustHealth(1)
+		c.broadcasts.add(memberBroadcast(c.self.Name))
+	}
+}
+
+// raiseGeneration takes the generation after that of another process under this name.
+// Two processes that run at the same time would outbid each other forever: after
+// maxNameConflicts raises in nameConflictWindow it waits for nameConflictPause.
+func (c *Core) raiseGeneration(other Incarnation) {
+	if other.Generation >= MaxCounter {
+		c.stats.Rejected++
+		return
+	}
+	for len(c.nameConflicts) > 0 && c.now-c.nameConflicts[0] > nameConflictWindow {
+		c.nameConflicts = c.nameConflicts[1:]
+	}
+	if len(c.nameConflicts) >= maxNameConflicts {
+		c.stats.NameConflicts++
+		if c.now-c.nameConflicts[len(c.nameConflicts)-1] < nameConflictPause {
+			return
+		}
+		c.reportNameConflict(other)
+		c.nameConflicts = c.nameConflicts[1:]
+	}
+	c.nameConflicts = append(c.nameConflicts, c.now)
+	c.self.Incarnation = Incarnation{Generation: other.Generation + 1, ProcessID: c.self.ProcessID}
+	c.broadcasts.add(memberBroadcast(c.self.Name))
+}
+
+func (c *Core) reportNameConflict(other Incarnation) {
+	c.actions = append(c.actions, Action{Kind: MemberChanged, Transition: &Transition{
+		Name:        c.self.Name,
+		Incarnation: other,
+		From:        Alive,
+		To:          Alive,
+		Reason:      "another process uses this name",
+	}})
+}
--- /dev/null
+++ b/internal/cluster/state.go
@@ -0,0 +1,64 @@
+package cluster
+
+import (
+	"cmp"
+	"fmt"
+)
+
+// State is the state of a member.
+type State uint8
+
+// The states. Within one incarnation a later one takes precedence.
+const (
+	Alive   State = iota
+	Suspect       // failed a probe, and may still refute the suspicion
+	Dead          // did not refute the suspicion in time
+	Left          // announced that it leaves; final for its process
+	// Unknown is the state of a name before the first update about it.
+	Unknown State = 255
+)
+
+// String returns the name of the state in lower case.
+func (s State) String() string {
+	if s > Left {
+		return "unknown"
+	}
+	return [...]string{"alive", "suspect", "dead", "left"}[s]
+}
+
+// MarshalText returns the state's name.
+func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+
+// UnmarshalText sets s to the state with the given name. It reports an error for
+// any text but the names of Alive, Suspect, Dead and Left.
+func (s *State) UnmarshalText(text []byte) error {
+	for known := Alive; known <= Left; known++ {
+		if known.String() == string(text) {
+			*s = known
+			return nil
+		}
+	}
+	return fmt.Errorf("%q is no state of a member", text)
+}
+
+// Incarnation orders the updates about one name: by generation, then by process,
+// then by refutation counter.
+type Incarnation struct {
+	Generation  uint64 `json:"life"` // of the name, from 1
+	ProcessID   uint64 `json:"run"`  // random, of the process
+	Refutations uint64 `json:"inc"`  // grows whenever the process refutes an update about itself
+}
+
+// SameProcess reports whether both incarnations are of one process in one generation.
+func (i Incarnation) SameProcess(other Incarnation) bool {
+	return i.Generation == other.Generation && i.ProcessID == other.ProcessID
+}
+
+// Compare returns -1 if i is older than other, 0 if they are equal, and 1 if i is newer.
+func (i Incarnation) Compare(other Incarnation) int {
+	return cmp.Or(
+		cmp.Compare(i.Generation, other.Generation),
+		cmp.Compare(i.ProcessID, other.ProcessID),
+		cmp.Compare(i.Refutations, other.Refutations),
+	)
+}
--- a/internal/cluster/suspicion.go
+++ b/internal/cluster/suspicion.go
@@ -7,106 +7,160 @@
 	"time"
 )
 
-// suspicion runs against one member until it refutes, or its time is over.
+// suspicion is that of one peer, until the peer refutes it or it times out.
 type suspicion struct {
-	of         *member // nil: it has ended
-	began, end time.Duration
-	least      time.Duration // it lasts so long when confirms others say the same
-	most       time.Duration
-	by         []string // accusers, confirms+1 at most
-	place      int
+	target     *peer // nil once it is canceled
+	startedAt  time.Duration
+	timeoutAt  time.Duration
+	minTimeout time.Duration // with maxConfirmations confirmations
+	maxTimeout time.Duration // without any
+	accusers   []string      // the first and those who confirmed it, at most maxConfirmations+1
+	heapIndex  int
 }
 
-// suspect begins a suspicion.
-func (m *Core) suspect(x *member, by, why string) {
-	was := x.State
-	x.State, x.ReportedBy = Suspect, by
-	if was != Suspect {
-		x.since = m.now
+// suspect starts a suspicion of a peer, and reports and gossips it.
+func (c *Core) suspect(p *peer, accuser, reason string) {
+	formerState := p.State
+	p.State = Suspect
+	p.ReportedBy = accuser
+	if formerState != Suspect {
+		p.since = c.now
 	}
-	m.enter(x)
-	least := time.Duration(m.cfg.SuspicionMult * max(1, math.Log10(float64(m.n()))) * float64(m.cfg.ProbeInterval))
-	s := &suspicion{of: x, began: m.now, least: least, most: longSuspense * least, by: []string{by}}
-	if m.cfg.DisableLifeguard || m.n()-2 < confirms { // there is hardly anybody who could confirm it
-		s.most = least
+	c.addLive(p)
+	p.suspicion = c.newSuspicion(p, accuser)
+	heap.Push(&c.suspicions, p.suspicion)
+	c.reportTransition(p, formerState, reason)
+	c.broadcasts.add(memberBroadcast(p.Name))
+}
+
+func (c *Core) newSuspicion(p *peer, accuser string) *suspicion {
+	scale := max(1, math.Log10(float64(c.NumLive())))
+	minTimeout := time.Duration(c.cfg.SuspicionMult * scale * float64(c.cfg.ProbeInterval))
+	s := &suspicion{
+		target:     p,
+		startedAt:  c.now,
+		minTimeout: minTimeout,
+		maxTimeout: suspicionMaxTimeoutMult * minTimeout,
+		accusers:   []string{accuser},
+	}
+	tooFewToConfirm := c.NumLive()-2 < maxConfirmations
+	if c.cfg.DisableLifeguard || tooFewToConfirm {
+		s.maxTimeout = minTimeout
 	}
-	x.doubt = s
-	s.end = s.began + s.lasts()
-	heap.Push(&m.doubts, s)
-	m.note(x, was, why)
-	m.spread.add(newsOf(x.Name))
+	s.timeoutAt = s.startedAt + s.timeout()
+	return s
 }
 
-// lasts falls from most to least with the accusers beyond the first, the first of them counting most.
-func (s *suspicion) lasts() time.Duration {
-	part := math.Log(float64(len(s.by))) / math.Log(confirms+1)
-	return max(s.least, s.most-time.Duration(part*float64(s.most-s.least)))
+// timeout falls from maxTimeout to minTimeout with the logarithm of the number of
+// accusers, as in Lifeguard: the first confirmation shortens it most.
+func (s *suspicion) timeout() time.Duration {
+	fraction := math.Log(float64(len(s.accusers))) / math.Log(maxConfirmations+1)
+	return max(s.minTimeout, s.maxTimeout-time.Duration(fraction*float64(s.maxTimeout-s.minTimeout)))
 }
 
-// confirm is that another one says the same. It is spread anew, so that all suspicions shorten.
-func (m *Core) confirm(x *member, by string) {
-	s := x.doubt
-	if s == nil || m.cfg.DisableLifeguard || len(s.by) > confirms || slices.Contains(s.by, by) {
+// confirm adds an accuser to the suspicion of a peer. It is gossiped again, so that the
+// suspicions of the other members shorten as well.
+func (c *Core) confirm(p *peer, accuser string) {
+	s := p.suspicion
+	if s == nil || c.cfg.DisableLifeguard {
 		return
 	}
-	s.by = append(s.by, by)
-	x.ReportedBy = by
-	s.end = max(m.now, s.began+s.lasts())
-	heap.Fix(&m.doubts, s.place)
-	m.spread.add(newsOf(x.Name))
+	if len(s.accusers) > maxConfirmations || slices.Contains(s.accusers, accuser) {
+		return
+	}
+	s.accusers = append(s.accusers, accuser)
+	p.ReportedBy = accuser
+	s.timeoutAt = max(c.now, s.startedAt+s.timeout())
+	heap.Fix(&c.suspicions, s.heapIndex)
+	c.broadcasts.add(memberBroadcast(p.Name))
+}
+
+// cancelSuspicion ends a suspicion, if there is one, before it times out. It stays in
+// the heap until it comes first.
+func (c *Core) cancelSuspicion(p *peer) {
+	if p.suspicion != nil {
+		p.suspicion.target = nil
+		p.suspicion = nil
+	}
 }
 
-// bury ends a suspicion that was not refuted.
-func (m *Core) bury(s *suspicion) {
-	x := s.of
-	s.of, x.doubt = nil, nil
-	m.stats.DeclaredDead++
-	m.become(x, Dead, x.Refutations, 0, m.me.Name, "did not refute in "+(m.now-s.began).Round(time.Millisecond).String())
+// expireSuspicions declares the peers dead whose suspicions have timed out.
+func (c *Core) expireSuspicions() {
+	for s := c.suspicions.popExpired(c.now); s != nil; s = c.suspicions.popExpired(c.now) {
+		c.declareDead(s)
+	}
+}
+
+// declareDead ends a suspicion that was not refuted.
+func (c *Core) declareDead(s *suspicion) {
+	p := s.target
+	c.cancelSuspicion(p)
+	c.stats.DeclaredDead++
+	c.setState(p, stateChange{
+		state:       Dead,
+		refutations: p.Refutations,
+		reportedBy:  c.self.Name,
+		reason:      "did not refute in " + (c.now - s.startedAt).Round(time.Millisecond).String(),
+	})
 }
 
-// doubtHeap has the suspicion first that ends first; those that have ended otherwise are passed over.
-type doubtHeap []*suspicion
+// suspicionHeap has the suspicion that times out first at index 0. It implements
+// heap.Interface. Canceled suspicions are dropped when they come first.
+type suspicionHeap []*suspicion
 
-func (h doubtHeap) Len() int           { return len(h) }
-func (h doubtHeap) Less(i, j int) bool { return h[i].end < h[j].end }
-func (h doubtHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].place, h[j].place = i, j }
-func (h *doubtHeap) Push(x any)        { s := x.(*suspicion); s.place = len(*h); *h = append(*h, s) }
-func (h *doubtHeap) Pop() any {
+func (h suspicionHeap) Len() int           { return len(h) }
+func (h suspicionHeap) Less(i, j int) bool { return h[i].timeoutAt < h[j].timeoutAt }
+
+func (h suspicionHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex = i
+	h[j].heapIndex = j
+}
+
+// Push appends x, a *suspicion. It is for package heap.
+func (h *suspicionHeap) Push(x any) {
+	s := x.(*suspicion)
+	s.heapIndex = len(*h)
+	*h = append(*h, s)
+}
+
+// Pop removes the last element. It is for package heap.
+func (h *suspicionHeap) Pop() any {
 	old := *h
-	s := old[len(old)-1]
+	last := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	return s
+	return last
 }
 
-func (h *doubtHeap) skim() {
-	for len(*h) > 0 && (*h)[0].of == nil {
+func (h *suspicionHeap) dropCanceled() {
+	for len(*h) > 0 && (*h)[0].target == nil {
 		heap.Pop(h)
 	}
 }
 
-// next is when the first ends; -1: there is none.
-func (h *doubtHeap) next() time.Duration {
-	h.skim()
+// nextTimeout returns when the first suspicion times out, and false if there is none.
+func (h *suspicionHeap) nextTimeout() (at time.Duration, ok bool) {
+	h.dropCanceled()
 	if len(*h) == 0 {
-		return -1
+		return 0, false
 	}
-	return (*h)[0].end
+	return (*h)[0].timeoutAt, true
 }
 
-// pop is one that is over; nil: none.
-func (h *doubtHeap) pop(now time.Duration) *suspicion {
-	h.skim()
-	if len(*h) == 0 || (*h)[0].end > now {
+// popExpired removes and returns a suspicion that has timed out by now, or nil.
+func (h *suspicionHeap) popExpired(now time.Duration) *suspicion {
+	h.dropCanceled()
+	if len(*h) == 0 || (*h)[0].timeoutAt > now {
 		return nil
 	}
 	return heap.Pop(h).(*suspicion)
 }
 
-// postpone gives all more time.
-func (h *doubtHeap) postpone(by time.Duration) {
+// postpone extends all suspicions.
+func (h *suspicionHeap) postpone(by time.Duration) {
 	for _, s := range *h {
-		s.began += by
-		s.end += by
+		s.startedAt += by
+		s.timeoutAt += by
 	}
 }
--- a/internal/simulation/fleetsim/fleetsim.go
+++ b/internal/simulation/fleetsim/fleetsim.go
@@ -224,7 +224,7 @@
 		switch {
 		case a.Kind == cluster.MemberChanged && f.Noted != nil:
 			f.Noted(i, *a.Transition)
-		case a.Kind == cluster.Send:
+		case a.Kind == cluster.SendMessage:
 			f.send(i, a)
 		case f.Acted != nil:
 			f.Acted(i, a)
--- a/internal/simulation/fleetsim/rival.go
+++ b/internal/simulation/fleetsim/rival.go
@@ -75,7 +75,7 @@
 		if x.State == cluster.Alive && now-x.last > silent*h.cfg.ProbeInterval {
 			out = append(out, h.turn(x, cluster.Dead))
 		}
-		out = append(out, cluster.Action{Kind: cluster.Send, To: x.Addr, Message: &cluster.Message{Kind: cluster.Gossip, ClusterName: h.cfg.ClusterName, From: h.me}})
+		out = append(out, cluster.Action{Kind: cluster.SendMessage, To: x.Addr, Message: &cluster.Message{Kind: cluster.Gossip, ClusterName: h.cfg.ClusterName, From: h.me}})
 	}
 	return out
 }
