--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -56,39 +56,39 @@
 	testutil.Golden(t, "input-env-decoded.json", indented(t, env))
 	settings := env.Settings()
 	if settings.Balancers != 2 || settings.Zone != "z1" || !settings.MustSubscribe || settings.Tick != 5*time.Millisecond ||
-		settings.MaxAttempts != 3 || settings.PriceOpen != 0.125 || settings.PriceProbe != 0.5 || !settings.WorthByWork ||
-		len(settings.Classes) != 1 || settings.Classes[0].Effect != balancer.Keyed || settings.Classes[0].Group != balancer.GroupZone ||
+		settings.MaxAttempts != 3 || settings.PriceOpenConnection != 0.125 || settings.PriceProbe != 0.5 || !settings.WeightByWork ||
+		len(settings.Classes) != 1 || settings.Classes[0].Effect != balancer.Keyed || settings.Classes[0].IdempotencyScope != balancer.ScopeZone ||
 		len(settings.Tenants) != 1 || settings.Tenants[0].Fraction != 0.25 || env.ConnIdle() != 15*time.Second ||
-		env.DrainGrace() != 250*time.Millisecond || !settings.LoadByProbes {
+		env.DrainGrace() != 250*time.Millisecond || !settings.ProbesReportLoad {
 		t.Errorf("%+v", settings)
 	}
 }
 
 // Each verb of the simulator comes to an event of the module.
 func TestWireVerbsAreStable(t *testing.T) {
-	h := &host{tables: map[int][]balancer.Member{2: {{Upstream: "s1"}}}}
+	h := &host{tables: map[int][]balancer.Endpoint{2: {{ID: "s1"}}}}
 	for verb, want := range map[string]balancer.Event{
 		"FirstByte": balancer.FirstByte{ID: "aa", Attempt: 1},
-		"Returned":  balancer.Outcome{ID: "aa", Attempt: 1, Result: balancer.Moot, Elapsed: 20500 * time.Microsecond, Finished: true},
-		"Hangup":    balancer.Gone{ID: "aa"},
-		"Wakeup":    balancer.Wake{},
-		"Heard":     balancer.Peer{From: 4, Message: "words"},
+		"Returned":  balancer.Outcome{ID: "aa", Attempt: 1, Result: balancer.NotSent, Elapsed: 20500 * time.Microsecond, Finished: true},
+		"Hangup":    balancer.ClientDisconnected{ID: "aa"},
+		"Wakeup":    balancer.TimerFired{},
+		"Heard":     balancer.PeerMessage{From: 4, Message: "words"},
 	} {
 		got := h.translate(&event{Verb: verb, ID: "aa", Hop: 1, Result: 409, ElapsedMs: 20.5, Finished: true, By: 4, Contents: "words"})
 		if got != want {
 			t.Errorf("%s: %+v, want %+v", verb, got, want)
 		}
 	}
-	for scope, want := range map[string]balancer.MembersKind{
-		"INCREMENTAL": balancer.Change, "FULL": balancer.Full, "SAVED": balancer.Saved, "FAILED": balancer.Failed,
+	for scope, want := range map[string]balancer.UpdateKind{
+		"INCREMENTAL": balancer.Delta, "FULL": balancer.CompleteList, "SAVED": balancer.CachedList, "FAILED": balancer.WatchFailed,
 	} {
-		if got, ok := h.translate(&event{Verb: "Topology", Scope: scope, Table: 2}).(balancer.Members); !ok || got.Kind != want {
+		if got, ok := h.translate(&event{Verb: "Topology", Scope: scope, Table: 2}).(balancer.EndpointUpdate); !ok || got.Kind != want {
 			t.Errorf("%s: %+v, want kind %v", scope, got, want)
 		}
 	}
 	for code, want := range map[int]balancer.Result{
 		200: balancer.OK, 429: balancer.Overloaded, 408: balancer.Timeout, 521: balancer.ConnectFailed, 520: balancer.Reset,
-		444: balancer.Cancelled, 409: balancer.Moot, 500: balancer.ServerError,
+		444: balancer.Cancelled, 409: balancer.NotSent, 500: balancer.ServerError,
 	} {
 		if got := result(code); got != want {
 			t.Errorf("%d: %v, want %v", code, got, want)
@@ -101,12 +101,12 @@
 	var lines bytes.Buffer
 	out := json.NewEncoder(&lines)
 	kinds := []balancer.ActionKind{
-		balancer.Send, balancer.Cancel, balancer.Refuse, balancer.Fail, balancer.SetTimer, balancer.Subscribe, balancer.Probe, balancer.Close,
+		balancer.Send, balancer.Cancel, balancer.Reject, balancer.Fail, balancer.SetTimer, balancer.Subscribe, balancer.Probe, balancer.CloseIdle,
 		balancer.Log,
 	}
 	for _, kind := range kinds {
 		full := balancer.Action{
-			Kind: kind, ID: "aa", Upstream: "s1", Attempt: 2, Timeout: 95 * time.Millisecond, RetryIn: 1500 * time.Microsecond,
+			Kind: kind, ID: "aa", Endpoint: "s1", Attempt: 2, Timeout: 95 * time.Millisecond, RetryAfter: 1500 * time.Microsecond,
 			At: 2 * time.Second, Text: "<text>",
 		}
 		for _, a := range []balancer.Action{full, {Kind: kind}} {
