--- /dev/null
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -0,0 +1,403 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/controlplane/link"
+	"hazelwing/internal/controlplane/origin"
+	"hazelwing/internal/fleet/gossip"
+	"hazelwing/internal/membership/relay"
+	"hazelwing/internal/standin/fixture"
+	"hazelwing/internal/standin/rig"
+)
+
+var olderProgram = flag.String("older", "",
+	"TestMixedVersions: absolute path of the older program; empty: the test does not run")
+
+// The groups of the mixed fleet. Origin 1 runs the older program, the other origins the newer one.
+const (
+	mixedMembers  = 6
+	mixedOrigins  = 3
+	olderGroup    = "1-3"
+	newerGroup    = "4-6"
+	olderOrigin   = 1
+	originEpoch   = 2
+	maxElections  = 16
+	mixedPatience = 2 * fixture.Patience
+	// longMemory keeps the dead in the members' views for longer than any wait of this test, so that a wait
+	// for "dead" cannot miss it.
+	longMemory = "forget = \"2m\"\n"
+)
+
+// mixedRig is a fleet of members and origins of which some run the older program and some the newer one.
+type mixedRig struct {
+	*configRig
+	list  *listRig
+	newer []string // the command of the newer program
+}
+
+// TestMixedVersions runs an older program, given by its path, and this one in one fleet: their gossip, the
+// server list by way of the fleet, the pushed configuration, the election of origins, and the stored state
+// of a process that is upgraded. Without a path nothing is started.
+//
+//	go test ./cmd/hazelwing -run TestMixedVersions -older PATH -v
+func TestMixedVersions(t *testing.T) {
+	if *olderProgram == "" {
+		t.Log("not run: -older names no program")
+		return
+	}
+	r := newMixedRig(t)
+	r.checkGossip()
+	r.checkServerList()
+	stamp := r.checkConfiguration()
+	r.checkUpgrade(stamp)
+	r.end()
+}
+
+// newMixedRig starts the fleet with discovery out of reach of the newer members.
+func newMixedRig(t *testing.T) *mixedRig {
+	t.Helper()
+	config := rig.Config{
+		Origins:  mixedOrigins,
+		Fleet:    strings.Replace(fastFleet, "forget = \"6s\"\n", longMemory, 1),
+		Operator: "[recovery]\nask = 2\nfan = 4\n",
+		Config:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
+	}
+	cluster := newFleetRig(t, mixedMembers, 7, config)
+	r := &mixedRig{
+		configRig: &configRig{Rig: cluster, t: t, members: mixedMembers, origins: mixedOrigins},
+		list:      &listRig{Rig: cluster, t: t, members: mixedMembers},
+		newer:     []string{os.Args[0]},
+	}
+	r.setProgram(olderGroup, *olderProgram)
+	r.setProgram(fmt.Sprintf("o%d", olderOrigin), *olderProgram)
+	// The harness has founded all origins by the newer program. A higher epoch lets each found its store by
+	// its own program.
+	if err := r.Found(originEpoch, "origins"); err != nil {
+		t.Fatal(err)
+	}
+	r.play("discovery " + newerGroup + " cut")
+	r.play("start origins\nstart all\nsettle 500ms 60s")
+	return r
+}
+
+func (r *mixedRig) setProgram(group string, program ...string) {
+	r.t.Helper()
+	if err := r.SetProgram(group, program...); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// olderMembers are the numbers of olderGroup.
+func olderMembers() []int { return numbered(1, 3) }
+
+// newerMembers are the numbers of newerGroup.
+func newerMembers() []int { return numbered(4, 6) }
+
+// originStatus is what an origin says of itself.
+func (r *mixedRig) originStatus(number int) (origin.Status, error) {
+	return link.NewClient("rig", r.Origin(number)).Status(r.t.Context())
+}
+
+// checkGossip holds the views of both versions to what runs, before, during and after the loss of a member
+// of each version.
+func (r *mixedRig) checkGossip() {
+	r.t.Helper()
+	for _, n := range r.all() {
+		r.checkExecutable(n)
+	}
+	r.checkNothingRejected()
+	for _, killed := range []int{olderMembers()[0], newerMembers()[0]} {
+		others := slices.DeleteFunc(r.all(), func(n int) bool { return n == killed })
+		r.play(fmt.Sprintf("kill %d\nwait state %d dead 30s %s", killed, killed, numbers(others)))
+		r.play(fmt.Sprintf("start %d\nsettle 500ms 30s", killed))
+	}
+	r.checkNothingRejected()
+	r.t.Log("gossip: each version sees all members, and the death and the return of a member of each version")
+}
+
+// checkExecutable verifies that a member runs the program it is meant to run.
+func (r *mixedRig) checkExecutable(n int) {
+	r.t.Helper()
+	path := r.newer[0]
+	if slices.Contains(olderMembers(), n) {
+		path = *olderProgram
+	}
+	expected, err := os.Stat(path)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	running, err := os.Stat(fmt.Sprintf("/proc/%d/exe", r.PID(n)))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	if !os.SameFile(expected, running) {
+		r.t.Fatalf("member %d does not run %s", n, path)
+	}
+}
+
+// checkNothingRejected verifies that no process has dropped a message of another one as unreadable or
+// foreign: redundant paths would hide it from the other checks.
+func (r *mixedRig) checkNothingRejected() {
+	r.t.Helper()
+	for _, n := range r.all() {
+		var view gossip.State
+		if err := r.Ask(n, "fleet", &view); err != nil {
+			r.t.Errorf("member %d: %v", n, err)
+			continue
+		}
+		unreadable := view.Network.Corrupt + view.Network.Version
+		unusable := view.Core.Foreign + view.Core.Refused
+		if unreadable != 0 || unusable != 0 {
+			r.t.Errorf("member %d has rejected gossip: %+v, %+v", n, view.Network, view.Core)
+		}
+		if s := r.state(n); s.Foreign != 0 || s.Broken != 0 || s.Refused != 0 || s.Conflicts != 0 {
+			r.t.Errorf("member %d has rejected a configuration: %+v", n, s.FollowerStats)
+		}
+	}
+	for k := 1; k <= r.origins; k++ {
+		if s, err := r.originStatus(k); err != nil || s.Foreign != 0 || s.Broken != 0 || len(s.Rolled) != 0 {
+			r.t.Errorf("origin %d: %v, %+v", k, err, s)
+		}
+	}
+}
+
+// checkServerList lets only one version reach discovery, then only the other: each change of the list has
+// to cross the versions.
+func (r *mixedRig) checkServerList() {
+	r.t.Helper()
+	r.checkListCrosses("n1", olderMembers(), newerMembers())
+	r.play("discovery all heal\ndiscovery " + olderGroup + " cut")
+	r.checkListCrosses("n2", newerMembers(), olderMembers())
+	r.play("discovery all heal\nsettle 500ms 30s")
+	r.checkNothingRejected()
+}
+
+// checkListCrosses drains a server and verifies that the group that cannot reach discovery learns it from
+// the group that can.
+func (r *mixedRig) checkListCrosses(server string, from, to []int) {
+	r.t.Helper()
+	before := r.Servers.Discovery.Seq()
+	r.play("server " + server + " drain")
+	r.list.current(fmt.Sprintf("server list from %v to %v", from, to), r.all())
+	if after := r.Servers.Discovery.Seq(); after <= before {
+		r.t.Fatalf("discovery is still at version %d", after)
+	}
+	r.play("wait out " + server + " 10s")
+	crossings := 0
+	for _, n := range to {
+		var s relay.SourceState
+		if err := r.Ask(n, "recovery", &s); err != nil {
+			r.t.Fatal(err)
+		}
+		if s.Source == "discovery" {
+			r.t.Errorf("member %d has the list from discovery, which it cannot reach", n)
+		}
+		if slices.ContainsFunc(from, func(m int) bool { return s.Source == fmt.Sprintf("m%02d", m) }) {
+			crossings++
+		}
+	}
+	if crossings == 0 {
+		r.t.Errorf("none of %v follows one of %v", to, from)
+	}
+}
+
+// checkConfiguration pushes changes through every origin and by both versions' command, across the versions
+// of the members, and under a leader of each version, which is then killed. It returns the latest stamp.
+func (r *mixedRig) checkConfiguration() (stamp controlplane.Stamp) {
+	r.t.Helper()
+	for k := 1; k <= r.origins; k++ {
+		stamp, _ = r.pushed(k, r.file(""))
+		r.waitInForce(fmt.Sprintf("pushed to origin %d", k), stamp)
+	}
+	stamp = r.pushByOlderCommand(mixedOrigins, stamp)
+	r.waitInForce("pushed by the older command to a newer origin", stamp)
+	for _, unreachable := range []string{olderGroup, newerGroup} {
+		r.play("cut " + unreachable + " origins")
+		stamp, _ = r.pushed(mixedOrigins, r.file(""))
+		r.waitInForce("members "+unreachable+" reach no origin", stamp)
+		r.play("heal")
+	}
+	for _, older := range []bool{true, false} {
+		stamp = r.checkLeader(older)
+	}
+	r.checkNothingRejected()
+	return stamp
+}
+
+// pushByOlderCommand pushes a change by the older program's command line.
+func (r *mixedRig) pushByOlderCommand(number int, latest controlplane.Stamp) controlplane.Stamp {
+	r.t.Helper()
+	ctx, cancel := context.WithTimeout(r.t.Context(), fixture.Patience)
+	defer cancel()
+	command := exec.CommandContext(ctx, *olderProgram, "config", "push", r.file(""),
+		"--fleet", "rig", "--origin", r.Origin(number),
+		"--after", fmt.Sprint(latest.Version), "--wait", "0", "--json")
+	output, err := command.Output()
+	var answer pushed
+	if err = errors.Join(err, json.Unmarshal(output, &answer)); err != nil || answer.Outcome != origin.Accepted {
+		r.fail(fmt.Errorf("the older command's push: %v, %s", err, output))
+	}
+	return answer.Stamp
+}
+
+// checkLeader makes an origin of a version the leader, pushes through it, kills it and pushes again. It
+// returns the latest stamp.
+func (r *mixedRig) checkLeader(older bool) (stamp controlplane.Stamp) {
+	r.t.Helper()
+	leader := r.elect(older)
+	for k := 1; k <= r.origins; k++ {
+		stamp, _ = r.pushed(k, r.file(""))
+	}
+	r.waitInForce(fmt.Sprintf("origin %d leads", leader), stamp)
+	r.play(fmt.Sprintf("kill o%d", leader))
+	stamp, _ = r.pushed(1+leader%r.origins, r.file(""))
+	r.waitInForce(fmt.Sprintf("origin %d, which led, is killed", leader), stamp)
+	r.play(fmt.Sprintf("start o%d", leader))
+	r.waitOrigins(stamp)
+	return stamp
+}
+
+// elect kills and restarts leaders until one of the wanted version leads.
+func (r *mixedRig) elect(older bool) (leader int) {
+	r.t.Helper()
+	for range maxElections {
+		if leader = r.leader(); (leader == olderOrigin) == older {
+			return leader
+		}
+		r.play(fmt.Sprintf("kill o%d", leader))
+		r.leader()
+		r.play(fmt.Sprintf("start o%d", leader))
+	}
+	r.fail(fmt.Errorf("no leader of the wanted version in %d elections", maxElections))
+	return 0
+}
+
+// waitInForce waits until all members act on a stamp, and until each running origin's report says so. It
+// reads the admin endpoints and not the logs, whose messages may differ between the versions.
+func (r *mixedRig) waitInForce(what string, stamp controlplane.Stamp) {
+	r.t.Helper()
+	begun := time.Now()
+	r.waitUntil(what, func() error {
+		for _, n := range r.all() {
+			if s := r.state(n); s.Acts != stamp {
+				return fmt.Errorf("member %d acts on %v, not on %v", n, s.Acts, stamp)
+			}
+		}
+		return nil
+	})
+	inForce := time.Since(begun)
+	r.waitUntil(what, func() error { return r.reportsDiffer(stamp) })
+	reported := time.Since(begun)
+	r.t.Logf("%-50s %v in force after %.2f s, reported after %.2f s", what, stamp, inForce.Seconds(), reported.Seconds())
+}
+
+// reportsDiffer returns an error unless all origins that answer count all members as acting on a stamp.
+func (r *mixedRig) reportsDiffer(stamp controlplane.Stamp) error {
+	expected := controlplane.StampCount{Stamp: stamp, N: r.members}
+	answers := 0
+	for k := 1; k <= r.origins; k++ {
+		s, err := r.originStatus(k)
+		if err != nil {
+			continue // it was killed
+		}
+		answers++
+		if s.Report.Members != r.members || len(s.Report.Acting) != 1 || s.Report.Acting[0] != expected {
+			return fmt.Errorf("origin %d reports %+v, not %+v", k, s.Report, expected)
+		}
+	}
+	if answers <= r.origins/2 {
+		return fmt.Errorf("%d of %d origins answer", answers, r.origins)
+	}
+	return nil
+}
+
+// waitOrigins waits until every origin has a stamp.
+func (r *mixedRig) waitOrigins(stamp controlplane.Stamp) {
+	r.t.Helper()
+	r.waitUntil("all origins have the latest change", func() error {
+		for k := 1; k <= r.origins; k++ {
+			if s, err := r.originStatus(k); err != nil || s.Stamp != stamp {
+				return fmt.Errorf("origin %d: %v, stamp %v, not %v", k, err, s.Stamp, stamp)
+			}
+		}
+		return nil
+	})
+}
+
+// waitUntil waits until a condition returns no error.
+func (r *mixedRig) waitUntil(what string, condition func() error) {
+	r.t.Helper()
+	deadline := time.Now().Add(mixedPatience)
+	for {
+		err := condition()
+		if err == nil {
+			return
+		}
+		if time.Now().After(deadline) {
+			r.fail(fmt.Errorf("%s: not within %v: %w", what, mixedPatience, err))
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+}
+
+// checkUpgrade restarts an older member and the older origin by the newer program, each with nobody else to
+// ask: they take up what the older program has stored. Then the whole fleet goes on.
+func (r *mixedRig) checkUpgrade(stamp controlplane.Stamp) {
+	r.t.Helper()
+	const upgraded = 1
+	for _, n := range r.all() {
+		r.waitStored(n, stamp)
+	}
+	r.play("kill origins\nkill all")
+
+	r.setProgram(fmt.Sprint(upgraded), r.newer...)
+	r.play(fmt.Sprintf("start %d", upgraded))
+	if s := r.state(upgraded); s.Ready || !s.Kept || s.LastKnown == "" || s.Acts != stamp {
+		r.t.Errorf("upgraded member does not act on the stored %v: %+v", stamp, s)
+	}
+
+	r.setProgram(fmt.Sprintf("o%d", olderOrigin), r.newer...)
+	r.play(fmt.Sprintf("start o%d", olderOrigin))
+	s, err := r.originStatus(olderOrigin)
+	if err != nil || s.Epoch != originEpoch || s.Stamp != stamp || s.Part == origin.Rolled {
+		r.t.Errorf("upgraded origin does not have the stored %v: %v, %+v", stamp, err, s)
+	}
+
+	r.play("start 2-6\nstart o2-3\nsettle 500ms 30s")
+	stamp, _ = r.pushed(olderOrigin, r.file(""))
+	r.waitInForce("a member and the older origin were upgraded", stamp)
+	r.waitOrigins(stamp)
+	r.checkNothingRejected()
+}
+
+// waitStored waits until a member's directory holds a stamp as its last known one.
+func (r *mixedRig) waitStored(n int, stamp controlplane.Stamp) {
+	r.t.Helper()
+	r.waitUntil(fmt.Sprintf("member %d stores %v", n, stamp), func() error {
+		text, err := os.ReadFile(filepath.Join(r.ConfigDir(n), "last-known.json"))
+		if err != nil {
+			return err
+		}
+		var stored controlplane.Kept
+		if err := json.Unmarshal(text, &stored); err != nil {
+			return err
+		}
+		if stored.Frame.Stamp != stamp {
+			return fmt.Errorf("stored is %v", stored.Frame.Stamp)
+		}
+		return nil
+	})
+}
--- a/internal/standin/rig/origins.go
+++ b/internal/standin/rig/origins.go
@@ -6,7 +6,6 @@
 	"net/http"
 	"net/netip"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 
@@ -50,7 +49,7 @@
 	for k := 1; k <= r.cfg.Origins; k++ {
 		p := &process{n: originBase + k, name: fmt.Sprint("o", k), dir: filepath.Join(r.cfg.Dir, fmt.Sprint("o", k)),
 			env: append(append(os.Environ(), r.cfg.Env...), "GOMAXPROCS=1")}
-		p.program = append(append([]string(nil), r.cfg.Program...), "origin", "run", "--file", filepath.Join(p.dir, "origin.toml"))
+		p.program, p.arguments = r.cfg.Program, []string{"origin", "run", "--file", filepath.Join(p.dir, "origin.toml")}
 		if p.port, err = freePort(realAddr(p.n).String()); err != nil {
 			return err
 		}
@@ -100,9 +99,7 @@
 		if err != nil {
 			return err
 		}
-		c := exec.Command(r.cfg.Program[0], append(append([]string(nil), r.cfg.Program[1:]...), "origin", "found", "--file", path)...)
-		c.Env = p.env
-		if out, err := c.CombinedOutput(); err != nil {
+		if out, err := p.command("origin", "found", "--file", path).CombinedOutput(); err != nil {
 			return fmt.Errorf("%s: %w: %s", p.name, err, out)
 		}
 	}
@@ -120,6 +117,9 @@
 // OriginDir is the directory of an origin's store.
 func (r *Rig) OriginDir(k int) string { return filepath.Join(r.origins[k].dir, "store") }
 
+// ConfigDir is the directory of a member's last known configuration.
+func (r *Rig) ConfigDir(n int) string { return filepath.Join(r.members[n].dir, "config") }
+
 // distribution is [config] of a member's operator's file.
 func (r *Rig) distribution(p *process) string {
 	if r.cfg.Origins == 0 {
@@ -130,7 +130,7 @@
 		addrs = append(addrs, r.seenOrigin(p, to))
 	}
 	list, _ := json.Marshal(addrs)
-	return fmt.Sprintf("[config]\norigins = %s\ndir = %q\n%s\n", list, filepath.Join(p.dir, "config"), r.cfg.Config)
+	return fmt.Sprintf("[config]\norigins = %s\ndir = %q\n%s\n", list, r.ConfigDir(p.n), r.cfg.Config)
 }
 
 // answers says whether a process has come up: a member once it takes requests, too.
--- a/internal/standin/rig/process.go
+++ b/internal/standin/rig/process.go
@@ -7,6 +7,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -20,7 +21,8 @@
 	port          uint16 // of the fleet
 	dir           string
 	env           []string
-	program       []string
+	program       []string // the command that runs it
+	arguments     []string // beside the command's own
 	log           *os.File
 	cmd           *exec.Cmd
 	ended         chan error
@@ -33,13 +35,20 @@
 
 func (p *process) running() bool { return p.cmd != nil }
 
+// command is the process's program with arguments and its environment, not started.
+func (p *process) command(arguments ...string) *exec.Cmd {
+	c := exec.Command(p.program[0], slices.Concat(p.program[1:], arguments)...)
+	c.Env = p.env
+	return c
+}
+
 // start starts it and returns at once.
 func (p *process) start() error {
 	if p.cmd != nil {
 		return fmt.Errorf("%s runs already", p.name)
 	}
-	c := exec.Command(p.program[0], p.program[1:]...)
-	c.Env, c.Stdout, c.Stderr = p.env, p.log, p.log
+	c := p.command(p.arguments...)
+	c.Stdout, c.Stderr = p.log, p.log
 	if err := c.Start(); err != nil {
 		return err
 	}
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -255,6 +255,19 @@
 	return append(list, r.Servers.Ledger.Broken()...)
 }
 
+// SetProgram sets the command that runs the members or origins of a group from their next start on, and that founds these
+// origins. It lets processes of several versions of the program share one fleet.
+func (r *Rig) SetProgram(group string, program ...string) error {
+	list, err := r.group(group)
+	if err != nil {
+		return err
+	}
+	for _, n := range list {
+		r.process(n).program = program
+	}
+	return nil
+}
+
 // Ask reads a part of a member's admin endpoint.
 func (r *Rig) Ask(n int, part string, v any) error {
 	resp, err := r.admin.Get("http://" + r.members[n].admin + "/" + part)
