--- a/internal/cluster/action.go
+++ b/internal/cluster/action.go
@@ -1,5 +1,7 @@
 package cluster
 
+import "time"
+
 // Action is something that a Core asks its caller to do.
 type Action struct {
 	Kind ActionKind
@@ -30,5 +32,28 @@
 	Name string
 	Incarnation
 	From, To State
-	Reason   string
+	Reason   string // in plain words, for the log; one of the constants, or with details
+}
+
+// Reasons of transitions. Others name a member or a duration.
+const (
+	ReasonJoined       = "joined"
+	ReasonRestarted    = "restarted" // another process under the same name
+	ReasonProbeFailed  = "probe timed out"
+	ReasonRefuted      = "refuted"
+	ReasonLeft         = "left"
+	ReasonExpired      = "removed: expired"
+	ReasonTableFull    = "removed: member table is full"
+	ReasonNameConflict = "another process uses this name"
+)
+
+// reportedBy is the reason of a state that another member reported.
+func reportedBy(member string) string { return "reported by " + member }
+
+// reportedDeadBy is the reason of a suspicion of a member that is alive here.
+func reportedDeadBy(member string) string { return "reported dead by " + member }
+
+// notRefutedWithin is the reason for declaring a member dead.
+func notRefutedWithin(d time.Duration) string {
+	return "not refuted within " + d.Round(time.Millisecond).String()
 }
--- a/internal/cluster/merge.go
+++ b/internal/cluster/merge.go
@@ -55,10 +55,10 @@
 		p.State = Alive
 		p.ReportedBy = ""
 		c.addLive(p)
-		c.suspect(p, e.ReportedBy, "told by "+e.ReportedBy)
+		c.suspect(p, e.ReportedBy, reportedBy(e.ReportedBy))
 	default:
 		c.addLive(p)
-		c.reportTransition(p, Unknown, "is new")
+		c.reportTransition(p, Unknown, ReasonJoined)
 		c.broadcasts.add(memberBroadcast(p.Name))
 	}
 	c.toggleInDigest(p)
@@ -89,11 +89,11 @@
 	default:
 		c.addLive(p)
 	}
-	c.reportTransition(p, formerState, "has a new life")
+	c.reportTransition(p, formerState, ReasonRestarted)
 	c.broadcasts.add(memberBroadcast(p.Name))
 	c.toggleInDigest(p)
 	if e.State == Suspect {
-		c.suspect(p, e.ReportedBy, "told by "+e.ReportedBy)
+		c.suspect(p, e.ReportedBy, reportedBy(e.ReportedBy))
 	}
 }
 
@@ -111,7 +111,7 @@
 		c.updateDead(p, e)
 	case Left:
 		c.size.discountDead(p)
-		c.setState(p, stateChange{state: Left, refutations: e.Refutations, age: e.Age, reason: "has left"})
+		c.setState(p, stateChange{state: Left, refutations: e.Refutations, age: e.Age, reason: ReasonLeft})
 	}
 }
 
@@ -122,7 +122,7 @@
 	}
 	formerState := p.State
 	p.Addr = e.Addr
-	c.setState(p, stateChange{state: Alive, refutations: e.Refutations, reason: "refutes"})
+	c.setState(p, stateChange{state: Alive, refutations: e.Refutations, reason: ReasonRefuted})
 	if formerState == Dead {
 		c.pushPullAfterReconnect(p)
 	}
@@ -137,7 +137,7 @@
 		c.confirm(p, e.ReportedBy)
 	default:
 		c.cancelSuspicion(p)
-		c.suspectInIncarnation(p, e, "told by "+e.ReportedBy)
+		c.suspectInIncarnation(p, e, reportedBy(e.ReportedBy))
 	}
 }
 
@@ -153,10 +153,10 @@
 			refutations: e.Refutations,
 			age:         e.Age,
 			reportedBy:  e.ReportedBy,
-			reason:      "told by " + e.ReportedBy,
+			reason:      reportedBy(e.ReportedBy),
 		})
 	default:
-		c.suspectInIncarnation(p, e, "dead for "+e.ReportedBy)
+		c.suspectInIncarnation(p, e, reportedDeadBy(e.ReportedBy))
 	}
 }
 
--- a/internal/cluster/peer.go
+++ b/internal/cluster/peer.go
@@ -80,7 +80,7 @@
 	if victim == nil {
 		return false
 	}
-	c.reportTransition(victim, victim.State, "is forgotten: there are too many")
+	c.reportTransition(victim, victim.State, ReasonTableFull)
 	c.removePeer(victim)
 	return true
 }
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -114,7 +114,7 @@
 		return
 	}
 	if target.State == Alive {
-		c.suspect(target, c.self.Name, "no answer")
+		c.suspect(target, c.self.Name, ReasonProbeFailed)
 		c.stats.Suspicions++
 	} else {
 		c.confirm(target, c.self.Name)
--- a/internal/cluster/reconnect.go
+++ b/internal/cluster/reconnect.go
@@ -75,7 +75,7 @@
 	// the order of the remembered addresses.
 	slices.SortFunc(expired, comparePeerNames)
 	for _, p := range expired {
-		c.reportTransition(p, p.State, "is forgotten")
+		c.reportTransition(p, p.State, ReasonExpired)
 		c.removePeer(p)
 	}
 }
--- a/internal/cluster/script_test.go
+++ b/internal/cluster/script_test.go
@@ -15,13 +15,14 @@
 // TestScripts runs the scripts in testdata. Each directive is an event, followed by the
 // actions that it must return:
 //
-//	new [seeds=(b,c)] [told=N] [KEY=VALUE]   a Core for member a, process 100, that probes each second
+//	new [seeds=(b,c)] [size=N] [KEY=VALUE]   a Core for member a, process 100, that probes each second
 //	tick DURATION                            advances the time, calling Tick whenever it is due
-//	late DURATION                            calls Tick once, that much too late
-//	recv KIND from=b [run=N] [life=N] [inc=N] [left] [seq=N] [target=x] [at=x] [buckets=all] [join] [fleet=x]
+//	stall DURATION                           calls Tick once, that much too late
+//	recv KIND from=b [process=N] [generation=N] [refutations=N] [left] [seq=N] [target=x] [at=x] [buckets=all]
+//	     [join] [cluster=x]
 //	     with a line for each entry: "c suspect 1.200.0 by=d age=5s",
-//	     and for each notice: "word s1 gone born=5 by=d age=1s"
-//	say SERVER [gone] [born=N]    leave    view    stats
+//	     and for each notice: "notice s1 removed started=5 by=d age=1s"
+//	announce ENDPOINT [removed] [started=N]    leave    view    stats
 //
 // Incarnations are written as generation, process ID and refutations. A message is
 // written as its kind, destination, target and content.
@@ -53,16 +54,16 @@
 		return s.newCore(d)
 	case "tick":
 		return s.tick(t, s.duration(d.CmdArgs[0].Key))
-	case "late":
+	case "stall":
 		s.now = s.core.NextTick() + s.duration(d.CmdArgs[0].Key)
 		return formatActions(s.core.Tick(s.now))
 	case "recv":
 		return formatActions(s.core.Receive(s.now, s.parseMessage(d)))
-	case "say":
+	case "announce":
 		return formatActions(s.core.Announce(s.now, EndpointNotice{
 			Endpoint:  d.CmdArgs[0].Key,
-			Removed:   argument(d, "gone", "") != "",
-			StartedMS: float64(s.number(argument(d, "born", "0"))),
+			Removed:   argument(d, "removed", "") != "",
+			StartedMS: float64(s.number(argument(d, "started", "0"))),
 		}))
 	case "leave":
 		return formatActions(s.core.Leave(s.now))
@@ -84,11 +85,11 @@
 		ProcessID:         100,
 		RandomSeed:        7,
 		ProbeInterval:     time.Second,
-		PushPullInterval:  s.duration(argument(d, "sync", "1h")),
-		DeadMemberTTL:     s.duration(argument(d, "forget", "1h")),
-		NoticeTTL:         s.duration(argument(d, "keep", "30s")),
-		MaxMembers:        int(s.number(argument(d, "most", "100"))),
-		ReconnectInterval: s.duration(argument(d, "retry", "1h")),
+		PushPullInterval:  s.duration(argument(d, "push-pull", "1h")),
+		DeadMemberTTL:     s.duration(argument(d, "dead-ttl", "1h")),
+		NoticeTTL:         s.duration(argument(d, "notice-ttl", "30s")),
+		MaxMembers:        int(s.number(argument(d, "max", "100"))),
+		ReconnectInterval: s.duration(argument(d, "reconnect", "1h")),
 		AllowAddress:      func(addr Address) bool { return addr.Addr().Is4() && addr.Addr().As4()[0] == 10 },
 	}
 	for _, arg := range d.CmdArgs {
@@ -100,7 +101,7 @@
 	}
 	s.now = 0
 	var err error
-	if s.core, err = New(cfg, 0, int(s.number(argument(d, "told", "1")))); err != nil {
+	if s.core, err = New(cfg, 0, int(s.number(argument(d, "size", "1")))); err != nil {
 		return err.Error()
 	}
 	return ""
@@ -159,7 +160,9 @@
 }
 
 // kindNames are the names of message kinds in scripts.
-var kindNames = [...]string{"ping", "ack", "nack", "pingreq", "gossip", "ask", "tell", "end"}
+var kindNames = [...]string{
+	"ping", "ack", "nack", "ping-req", "gossip", "push-pull-request", "push-pull-response", "push-pull-final",
+}
 
 // parseMessage parses a recv directive.
 func (s *scriptRunner) parseMessage(d *datadriven.TestData) *Message {
@@ -171,14 +174,14 @@
 	from := argument(d, "from", "b")
 	msg := &Message{
 		Kind:        Kind(kind),
-		ClusterName: argument(d, "fleet", "f"),
+		ClusterName: argument(d, "cluster", "f"),
 		From: Entry{
 			Name: from,
 			Addr: addressOf(from),
 			Incarnation: Incarnation{
-				Generation:  s.number(argument(d, "life", "1")),
-				ProcessID:   s.number(argument(d, "run", "200")),
-				Refutations: s.number(argument(d, "inc", "0")),
+				Generation:  s.number(argument(d, "generation", "1")),
+				ProcessID:   s.number(argument(d, "process", "200")),
+				Refutations: s.number(argument(d, "refutations", "0")),
 			},
 		},
 		Seq:    s.parseSeq(argument(d, "seq", "0")),
@@ -227,14 +230,14 @@
 			reportedBy = value
 		case "age":
 			age = s.duration(value)
-		case "born":
+		case "started":
 			startedMS = float64(s.number(value))
 		}
 	}
-	if fields[0] == "word" {
+	if fields[0] == "notice" {
 		msg.Notices = append(msg.Notices, EndpointNotice{
 			Endpoint:   fields[1],
-			Removed:    slices.Contains(fields, "gone"),
+			Removed:    slices.Contains(fields, "removed"),
 			StartedMS:  startedMS,
 			ReportedBy: reportedBy,
 			Age:        age,
@@ -271,8 +274,8 @@
 }
 
 func formatStats(s Stats) string {
-	return fmt.Sprintf("health %d, live %d, count %d, queue %d, words %d, forgotten %d, refuted %d, stalls %d, "+
-		"conflicts %d, foreign %d, refused %d\n",
+	return fmt.Sprintf("health %d, live %d, size %d, queue %d, notices %d, forgotten %d, refutations %d, stalls %d, "+
+		"conflicts %d, foreign %d, rejected %d\n",
 		s.HealthScore, s.LiveMembers, s.EstimatedSize, s.QueuedBroadcasts, s.Notices, s.ForgottenAddresses,
 		s.Refutations, s.Stalls, s.NameConflicts, s.ForeignMessages, s.Rejected)
 }
@@ -291,13 +294,14 @@
 		return formatMessage(a)
 	case MemberChanged:
 		t := a.Transition
-		return fmt.Sprintf("note %s %s %v -> %v: %s", t.Name, formatIncarnation(t.Incarnation), t.From, t.To, t.Reason)
+		incarnation := formatIncarnation(t.Incarnation)
+		return fmt.Sprintf("transition %s %s %v -> %v: %s", t.Name, incarnation, t.From, t.To, t.Reason)
 	case NoticeReceived:
-		return fmt.Sprintf("told %s gone=%v by=%s", a.Notice.Endpoint, a.Notice.Removed, a.Notice.ReportedBy)
+		return fmt.Sprintf("notice %s removed=%v by=%s", a.Notice.Endpoint, a.Notice.Removed, a.Notice.ReportedBy)
 	case NoticeExpired:
-		return "unsaid " + a.Notice.Endpoint
+		return "expired " + a.Notice.Endpoint
 	case SizeChanged:
-		return fmt.Sprint("count ", a.EstimatedSize)
+		return fmt.Sprint("size ", a.EstimatedSize)
 	}
 	return fmt.Sprintf("unknown action %d", a.Kind)
 }
@@ -323,7 +327,7 @@
 		text += formatEntry(e)
 	}
 	for _, n := range msg.Notices {
-		text += fmt.Sprintf(" [word %s gone=%v by=%s]", n.Endpoint, n.Removed, n.ReportedBy)
+		text += fmt.Sprintf(" [notice %s removed=%v by=%s]", n.Endpoint, n.Removed, n.ReportedBy)
 	}
 	return text
 }
--- a/internal/cluster/self.go
+++ b/internal/cluster/self.go
@@ -53,6 +53,6 @@
 		Incarnation: other,
 		From:        Alive,
 		To:          Alive,
-		Reason:      "another process uses this name",
+		Reason:      ReasonNameConflict,
 	}})
 }
--- a/internal/cluster/suspicion.go
+++ b/internal/cluster/suspicion.go
@@ -100,7 +100,7 @@
 		state:       Dead,
 		refutations: p.Refutations,
 		reportedBy:  c.self.Name,
-		reason:      "did not refute in " + (c.now - s.startedAt).Round(time.Millisecond).String(),
+		reason:      notRefutedWithin(c.now - s.startedAt),
 	})
 }
 
--- a/internal/simulation/fleetsim/experiment.go
+++ b/internal/simulation/fleetsim/experiment.go
@@ -209,7 +209,7 @@
 			return
 		}
 		switch {
-		case n.To == cluster.Suspect && n.Reason == "no answer", n.To == cluster.Dead && p.Contestant == "heartbeats":
+		case n.To == cluster.Suspect && n.Reason == cluster.ReasonProbeFailed, n.To == cluster.Dead && p.Contestant == "heartbeats":
 			p.Accused++
 		}
 		if n.To == cluster.Dead && !accused[n.Name] {
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -4,7 +4,6 @@
 	"flag"
 	"fmt"
 	"math/rand/v2"
-	"strings"
 	"testing"
 	"time"
 
@@ -226,7 +225,7 @@
 	number := func(name string) (n int) { fmt.Sscanf(name, "m%d", &n); return n }
 	f.Noted = func(i int, n cluster.Transition) {
 		k := [2]int{i<<20 | int(f.Members[i].lives), number(n.Name)}
-		if strings.HasPrefix(n.Reason, "is forgotten") {
+		if n.Reason == cluster.ReasonExpired || n.Reason == cluster.ReasonTableFull {
 			delete(lives, k)
 			return
 		}
