--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -11,32 +11,32 @@
 	"hazelwing/internal/testutil"
 )
 
-func formatStamp(version uint64) Stamp {
-	return Stamp{Epoch: 3, Version: version, Hash: HashOf([]byte("# text\n"))}
+func formatStamp(version uint64) Revision {
+	return Revision{Epoch: 3, Version: version, Hash: HashText([]byte("# text\n"))}
 }
 
 func formatFrame() Frame {
-	return Frame{Fleet: "booking", Stamp: formatStamp(17), Text: []byte("# text\n")}
+	return Frame{Cluster: "booking", Revision: formatStamp(17), Text: []byte("# text\n")}
 }
 
 func formatReport() Report {
 	return Report{
-		Members: 5, Latest: formatStamp(17), Acting: []StampCount{{Stamp: formatStamp(17), N: 3}, {Stamp: formatStamp(16), N: 1}}, Others: 1,
-		Lacking: []Lack{
-			{Name: "m1", Acts: formatStamp(16), Why: Refused, Err: "2:1: log.level", Below: 2},
-			{Name: "m2", Acts: Stamp{}, Why: Behind},
-			{Name: "m3", Acts: Stamp{Epoch: 3, Version: 15}, Why: Cut},
+		Members: 5, Latest: formatStamp(17), Active: []RevisionCount{{Revision: formatStamp(17), Count: 3}, {Revision: formatStamp(16), Count: 1}}, OtherRevisions: 1,
+		Laggards: []Laggard{
+			{Name: "m1", Active: formatStamp(16), Reason: ReasonRejected, Error: "2:1: log.level", Descendants: 2},
+			{Name: "m2", Active: Revision{}, Reason: ReasonBehind},
+			{Name: "m3", Active: Revision{Epoch: 3, Version: 15}, Reason: ReasonDisconnected},
 		},
-		More: 4,
+		UnnamedLaggards: 4,
 	}
 }
 
 // What members, origins and operators send each other of a configuration, in JSON.
 func TestConfigurationMessageFormatIsStable(t *testing.T) {
-	kept := Kept{Frame: formatFrame(), Highest: formatStamp(18)}
+	kept := CachedSnapshot{Frame: formatFrame(), Highest: formatStamp(18)}
 	stats := FollowerStats{
-		Held: formatStamp(17), Acts: formatStamp(16), Highest: formatStamp(18), Kept: true, Since: 1, Refused: 2, Older: 3, Conflicts: 4, Broken: 5,
-		Foreign: 6, Fetches: 7, Crowded: 8,
+		Published: formatStamp(17), Active: formatStamp(16), Highest: formatStamp(18), FromCache: true, ConfirmedAt: 1, Rejected: 2, Stale: 3, Conflicts: 4, Corrupt: 5,
+		Foreign: 6, Fetches: 7, DroppedReports: 8,
 	}
 	for name, v := range map[string]any{
 		"stamp": formatStamp(17), "frame": formatFrame(), "report": formatReport(), "kept": kept, "follower-stats": stats,
@@ -82,7 +82,7 @@
 
 // The reasons travel as these words.
 func TestReasonNamesAreStable(t *testing.T) {
-	for reason, want := range map[Reason]string{Behind: "behind", Cut: "cut", Refused: "refused"} {
+	for reason, want := range map[LaggardReason]string{ReasonBehind: "behind", ReasonDisconnected: "cut", ReasonRejected: "refused"} {
 		if string(reason) != want {
 			t.Errorf("%q, want %q", reason, want)
 		}
@@ -111,7 +111,7 @@
 [tenant.one]
 fraction = 0.25
 `
-	snapshot, err := Parse([]byte(text))
+	snapshot, err := ParseSnapshot([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 
 // A stamp as operators read it.
 func TestStampTextIsStable(t *testing.T) {
-	for want, stamp := range map[string]Stamp{"none": {}, "3.17": formatStamp(17)} {
+	for want, stamp := range map[string]Revision{"none": {}, "3.17": formatStamp(17)} {
 		if got := stamp.String(); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -16,19 +16,19 @@
 	"hazelwing/internal/testutil"
 )
 
-func formatStamp(version uint64) controlplane.Stamp {
-	return controlplane.Stamp{Epoch: 3, Version: version, Hash: controlplane.HashOf([]byte("# text\n"))}
+func formatStamp(version uint64) controlplane.Revision {
+	return controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte("# text\n"))}
 }
 
 func formatReport() controlplane.Report {
 	return controlplane.Report{
-		Members: 5, Latest: formatStamp(17), Acting: []controlplane.StampCount{{Stamp: formatStamp(17), N: 3}}, Others: 1,
-		Lacking: []controlplane.Lack{{Name: "m1", Acts: formatStamp(16), Why: controlplane.Refused, Err: "why", Below: 2}}, More: 4,
+		Members: 5, Latest: formatStamp(17), Active: []controlplane.RevisionCount{{Revision: formatStamp(17), Count: 3}}, OtherRevisions: 1,
+		Laggards: []controlplane.Laggard{{Name: "m1", Active: formatStamp(16), Reason: controlplane.ReasonRejected, Error: "why", Descendants: 2}}, UnnamedLaggards: 4,
 	}
 }
 
-func formatFounding() Founding {
-	return Founding{Fleet: "booking", Epoch: 3, Origins: []string{"o1", "o2", "o3"}}
+func formatFounding() BootstrapConfig {
+	return BootstrapConfig{Cluster: "booking", Epoch: 3, Origins: []string{"o1", "o2", "o3"}}
 }
 
 // goldenRecords holds records of a store: keys and values, in order.
@@ -47,7 +47,7 @@
 
 // What is in entries of the log, in the store and in messages, as CBOR.
 func TestOriginEntryFormatIsStable(t *testing.T) {
-	hash := controlplane.HashOf([]byte("# text\n"))
+	hash := controlplane.HashText([]byte("# text\n"))
 	report := formatReport()
 	for name, v := range map[string]any{
 		"change": change{ID: "push-1", After: 16, Text: []byte("# text\n")},
@@ -81,9 +81,9 @@
 func TestOriginMessageFormatIsStable(t *testing.T) {
 	founding := formatFounding()
 	sender := &Node{
-		cfg: Config{Founding: founding, Self: "o2"}, id: 2, key: founding.key(), mark: 300, seen: []uint64{9, 0, 70000}, rolled: "why",
+		cfg: Config{BootstrapConfig: founding, Self: "o2"}, id: 2, key: founding.key(), mark: 300, seen: []uint64{9, 0, 70000}, rolled: "why",
 	}
-	receiver := &Node{cfg: Config{Founding: founding, Self: "o1"}, id: 1, key: founding.key()}
+	receiver := &Node{cfg: Config{BootstrapConfig: founding, Self: "o1"}, id: 1, key: founding.key()}
 	kind, from, to, term, index, context := raftpb.MsgHeartbeat, uint64(2), uint64(1), uint64(4), uint64(11), []byte("context")
 	message := &raftpb.Message{Type: &kind, From: &from, To: &to, Term: &term, Commit: &index, Context: context}
 	report := formatReport()
@@ -128,25 +128,25 @@
 
 // What one origin writes to its store from its founding to an accepted push, and that another process goes on from there.
 func TestOriginStoreFormatIsStable(t *testing.T) {
-	founding := Founding{Fleet: "booking", Epoch: 3, Origins: []string{"o1"}}
-	state, err := Founded(founding)
+	founding := BootstrapConfig{Cluster: "booking", Epoch: 3, Origins: []string{"o1"}}
+	state, err := NewBootstrappedState(founding)
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := Config{Founding: founding, Self: "o1", Seed: 7}
-	node, actions, err := New(config, state, 0)
+	config := Config{BootstrapConfig: founding, Self: "o1", Seed: 7}
+	node, actions, err := NewNode(config, state, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var written []Record
-	var answers []Answer
+	var answers []Result
 	carryOut := func(list []Action) {
 		for _, a := range list {
 			switch a := a.(type) {
 			case Persist:
 				written = append(written, a.Records...)
 				state.Write(a)
-			case Answer:
+			case Result:
 				answers = append(answers, a)
 			}
 		}
@@ -157,25 +157,25 @@
 		now += 100 * time.Millisecond
 		carryOut(node.Handle(now, Tick{}))
 	}
-	carryOut(node.Handle(now, Propose{ID: "push-1", After: 0, Text: []byte("# text\n")}))
-	carryOut(node.Handle(now, Propose{ID: "push-2", After: 0, Text: []byte("# other\n")}))
-	want := []Answer{
-		{ID: "push-1", Outcome: Accepted, Stamp: formatStamp(1)},
-		{ID: "push-2", Outcome: Conflict, Stamp: formatStamp(1), Err: "made after version 0, and 1 is the latest"},
+	carryOut(node.Handle(now, Propose{ID: "push-1", BaseVersion: 0, Text: []byte("# text\n")}))
+	carryOut(node.Handle(now, Propose{ID: "push-2", BaseVersion: 0, Text: []byte("# other\n")}))
+	want := []Result{
+		{ID: "push-1", Outcome: OutcomeAccepted, Revision: formatStamp(1)},
+		{ID: "push-2", Outcome: OutcomeConflict, Revision: formatStamp(1), Error: "made after version 0, and 1 is the latest"},
 	}
 	if !reflect.DeepEqual(answers, want) {
 		t.Fatalf("%+v, want %+v", answers, want)
 	}
 	goldenRecords(t, "store.txt", written)
 
-	again, _, err := New(config, state, 0)
+	again, _, err := NewNode(config, state, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for now = 0; now < 6*time.Second; now += 100 * time.Millisecond {
 		again.Handle(now, Tick{})
 	}
-	if frame, ok := again.Frame(); !ok || frame.Stamp != formatStamp(1) || string(frame.Text) != "# text\n" || frame.Fleet != "booking" {
+	if frame, ok := again.Frame(); !ok || frame.Revision != formatStamp(1) || string(frame.Text) != "# text\n" || frame.Cluster != "booking" {
 		t.Errorf("%t: %+v", ok, frame)
 	}
 }
@@ -183,10 +183,10 @@
 // What config status and config push have as JSON.
 func TestOriginStatusFormatIsStable(t *testing.T) {
 	status := Status{
-		Self: "o1", Epoch: 3, Part: Follows, Leader: "o2", Stamp: formatStamp(17), Ahead: formatStamp(18), Rolled: []string{"o3"},
-		Report: formatReport(), Foreign: 1, Broken: 2,
+		Self: "o1", Epoch: 3, Role: RoleFollower, Leader: "o2", Revision: formatStamp(17), Ahead: formatStamp(18), RolledBack: []string{"o3"},
+		Report: formatReport(), ForeignMessages: 1, CorruptMessages: 2,
 	}
-	answer := Answer{ID: "push-1", Outcome: Accepted, Stamp: formatStamp(17), Err: "why"}
+	answer := Result{ID: "push-1", Outcome: OutcomeAccepted, Revision: formatStamp(17), Error: "why"}
 	for name, v := range map[string]any{"status": status, "answer": answer, "founding": formatFounding()} {
 		testutil.Filled(t, v)
 		testutil.ExplicitNames(t, "json", v)
@@ -207,14 +207,14 @@
 // Outcomes and parts travel as these words.
 func TestOutcomeAndPartNamesAreStable(t *testing.T) {
 	for outcome, want := range map[Outcome]string{
-		Accepted: "accepted", Conflict: "conflict", Refused: "refused", Unknown: "unknown", Missing: "missing", Current: "current",
+		OutcomeAccepted: "accepted", OutcomeConflict: "conflict", OutcomeRejected: "refused", OutcomeUnknown: "unknown", OutcomeNotFound: "missing", OutcomeCurrent: "current",
 	} {
 		if string(outcome) != want {
 			t.Errorf("%q, want %q", outcome, want)
 		}
 	}
-	for part, want := range map[Part]string{
-		Starting: "starting", Leads: "leads", Follows: "follows", Seeks: "no majority", Rolled: "rolled back",
+	for part, want := range map[Role]string{
+		RoleStarting: "starting", RoleLeader: "leads", RoleFollower: "follows", RoleNoLeader: "no majority", RoleRolledBack: "rolled back",
 	} {
 		if string(part) != want {
 			t.Errorf("%q, want %q", part, want)
