--- /dev/null
+++ b/internal/controlplane/aggregator.go
@@ -0,0 +1,217 @@
+package controlplane
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// maxSubscribers limits the subscribers whose reports one member or origin sums up, and those that it names as
+// disconnected.
+const maxSubscribers = 1024
+
+// ReportAggregator sums up the reports of subscribers. The zero value is empty. It is not safe for concurrent use.
+type ReportAggregator struct {
+	subscribers  map[string]subscriberReport
+	disconnected map[string]disconnectedSubscriber
+}
+
+type subscriberReport struct {
+	report     Report
+	receivedAt time.Duration
+}
+
+type disconnectedSubscriber struct {
+	laggard   Laggard
+	expiresAt time.Duration
+}
+
+// Add sets a subscriber's report, in place of its previous one. It returns false if there are too many subscribers.
+func (a *ReportAggregator) Add(now time.Duration, subscriber string, r Report) bool {
+	if a.subscribers == nil {
+		a.subscribers = map[string]subscriberReport{}
+		a.disconnected = map[string]disconnectedSubscriber{}
+	}
+	subscriber = printable(subscriber, MaxNameLength)
+	if _, ok := a.subscribers[subscriber]; !ok && len(a.subscribers) >= maxSubscribers {
+		return false
+	}
+	r.sanitize()
+	a.subscribers[subscriber] = subscriberReport{report: r, receivedAt: now}
+	delete(a.disconnected, subscriber)
+	return true
+}
+
+// Disconnect removes a subscriber from the sum and names it as disconnected for the retention time.
+func (a *ReportAggregator) Disconnect(now time.Duration, subscriber string, retention time.Duration) {
+	subscriber = printable(subscriber, MaxNameLength)
+	s, ok := a.subscribers[subscriber]
+	if !ok {
+		return
+	}
+	delete(a.subscribers, subscriber)
+	if len(a.disconnected) >= maxSubscribers {
+		return
+	}
+	a.disconnected[subscriber] = disconnectedSubscriber{
+		laggard: Laggard{
+			Name:        subscriber,
+			Active:      s.report.mostActive(),
+			Reason:      ReasonDisconnected,
+			Descendants: max(s.report.Members-1, 0),
+		},
+		expiresAt: now + retention,
+	}
+}
+
+// Remove removes a subscriber from the sum without naming it as disconnected.
+func (a *ReportAggregator) Remove(subscriber string) {
+	subscriber = printable(subscriber, MaxNameLength)
+	delete(a.subscribers, subscriber)
+	delete(a.disconnected, subscriber)
+}
+
+// MarkReachable says that a member was heard from by another way, so that it is not named as disconnected any more.
+// It returns true if it was.
+func (a *ReportAggregator) MarkReachable(name string) bool {
+	before := len(a.disconnected)
+	delete(a.disconnected, printable(name, MaxNameLength))
+	return len(a.disconnected) != before
+}
+
+// Expire disconnects subscribers without a report for maxSilence, and removes disconnected ones whose retention has
+// passed. It reports whether the sum has changed, and when the next entry expires; 0 means that there is none.
+func (a *ReportAggregator) Expire(now, maxSilence, retention time.Duration) (changed bool, next time.Duration) {
+	for name, s := range a.subscribers {
+		if now-s.receivedAt >= maxSilence {
+			a.Disconnect(now, name, retention)
+			changed = true
+		} else if at := s.receivedAt + maxSilence; next == 0 || at < next {
+			next = at
+		}
+	}
+	for name, d := range a.disconnected {
+		if now >= d.expiresAt {
+			delete(a.disconnected, name)
+			changed = true
+		} else if next == 0 || d.expiresAt < next {
+			next = d.expiresAt
+		}
+	}
+	return changed, next
+}
+
+// With returns an aggregator of the same subscribers and one more. It does not change a.
+func (a *ReportAggregator) With(subscriber string, r Report) *ReportAggregator {
+	w := &ReportAggregator{
+		subscribers:  maps.Clone(a.subscribers),
+		disconnected: maps.Clone(a.disconnected),
+	}
+	w.Add(0, subscriber, r)
+	return w
+}
+
+// LocalMember is the member that sums up, as an entry of its own report.
+type LocalMember struct {
+	Name        string
+	Published   Revision // that it passes on
+	Active      Revision
+	Err         error // why Published is not active; nil: it is not applied yet
+	GracePeriod bool  // laggards that are only behind are counted, and not named
+}
+
+// Aggregate sums up all subscribers and, unless it is nil, the local member. latest is the highest revision that the
+// caller knows.
+func (a *ReportAggregator) Aggregate(latest Revision, local *LocalMember) Report {
+	names := slices.Sorted(maps.Keys(a.subscribers))
+	for _, name := range names {
+		if l := a.subscribers[name].report.Latest; l.Compare(latest) > 0 {
+			latest = l
+		}
+	}
+	b := reportBuilder{
+		report:      Report{Latest: latest},
+		active:      map[Revision]int{},
+		gracePeriod: local != nil && local.GracePeriod,
+	}
+	if local != nil {
+		b.addLocal(local)
+	}
+	for _, name := range names {
+		r := a.subscribers[name].report
+		b.addSubscriber(name, &r)
+	}
+	for _, name := range slices.Sorted(maps.Keys(a.disconnected)) {
+		b.addLaggard(a.disconnected[name].laggard)
+	}
+	return b.build()
+}
+
+// reportBuilder builds the Report of Aggregate.
+type reportBuilder struct {
+	report      Report
+	active      map[Revision]int // number of members by active revision
+	gracePeriod bool
+}
+
+func (b *reportBuilder) addLaggard(l Laggard) {
+	if l.Reason == ReasonBehind && b.gracePeriod {
+		b.report.UnnamedLaggards += 1 + l.Descendants
+		return
+	}
+	b.report.Laggards = append(b.report.Laggards, l)
+}
+
+func (b *reportBuilder) addLocal(m *LocalMember) {
+	b.report.Members++
+	b.active[m.Active]++
+	if m.Active == b.report.Latest {
+		return
+	}
+	l := Laggard{
+		Name:   printable(m.Name, MaxNameLength),
+		Active: m.Active,
+		Reason: ReasonBehind,
+	}
+	if m.Err != nil && m.Published == b.report.Latest {
+		l.Reason = ReasonRejected
+		l.Error = printable(m.Err.Error(), MaxErrorLength)
+	}
+	b.addLaggard(l)
+}
+
+func (b *reportBuilder) addSubscriber(name string, r *Report) {
+	b.report.Members += r.Members
+	b.report.OtherRevisions += r.OtherRevisions
+	for _, c := range r.Active {
+		b.active[c.Revision] += c.Count
+	}
+	if r.Latest == b.report.Latest {
+		b.report.Laggards = append(b.report.Laggards, r.Laggards...)
+		b.report.UnnamedLaggards += r.UnnamedLaggards
+		return
+	}
+	// Neither the subscriber nor any member below it has received the latest snapshot, so that one entry stands for
+	// all.
+	if r.Members > 0 {
+		b.addLaggard(Laggard{
+			Name:        name,
+			Active:      r.mostActive(),
+			Reason:      ReasonBehind,
+			Descendants: r.Members - 1,
+		})
+	}
+	for _, l := range r.Laggards {
+		if l.Reason == ReasonDisconnected {
+			b.addLaggard(l)
+		}
+	}
+}
+
+func (b *reportBuilder) build() Report {
+	for revision, n := range b.active {
+		b.report.Active = append(b.report.Active, RevisionCount{Revision: revision, Count: n})
+	}
+	b.report.truncate()
+	return b.report
+}
--- a/internal/controlplane/note_test.go
+++ b/internal/controlplane/designpage_test.go
@@ -10,8 +10,9 @@
 	"hazelwing/internal/controlplane/origin"
 )
 
-// The design note has each kind with the instant from which it holds, or why it cannot change, and the bounds as they are.
-func TestDesignNote(t *testing.T) {
+// The design note has each kind with the instant from which it holds, or why it cannot change, and the bounds as they
+// are.
+func TestDesignPage(t *testing.T) {
 	data, err := os.ReadFile("../../docs/design/controlplane.md")
 	if err != nil {
 		t.Fatal(err)
@@ -23,8 +24,8 @@
 			rows++
 		}
 	}
-	kinds := controlplane.SettingRules()
-	for _, k := range kinds {
+	rules := controlplane.SettingRules()
+	for _, k := range rules {
 		row := fmt.Sprintf("| `%s` | %s |\n", k.Key, k.EffectiveFrom)
 		if k.FixedReason != "" {
 			row = fmt.Sprintf("| `%s` | cannot: %s |\n", k.Key, k.FixedReason)
@@ -33,12 +34,22 @@
 			t.Errorf("the page has no row %s", row)
 		}
 	}
-	if rows != len(kinds) {
-		t.Errorf("the page has %d rows of kinds, and there are %d", rows, len(kinds))
+	if rows != len(rules) {
+		t.Errorf("the page has %d rows of rules, and there are %d", rows, len(rules))
 	}
-	for name, value := range map[string]int{"MaxSnapshotSize": controlplane.MaxSnapshotSize, "MaxReportSize": controlplane.MaxReportSize, "MaxRevisionCounts": controlplane.MaxRevisionCounts, "MaxLaggards": controlplane.MaxLaggards,
-		"MaxErrorLength": controlplane.MaxErrorLength, "MaxOrigins": origin.MaxOrigins, "MaxPendingRequests": origin.MaxPendingRequests, "MaxOutcomes": origin.MaxOutcomes, "MaxIDLength": origin.MaxIDLength, "MaxUncommittedSize": origin.MaxUncommittedSize,
-		"MaxMessageSize": origin.MaxMessageSize} {
+	for name, value := range map[string]int{
+		"MaxSnapshotSize":    controlplane.MaxSnapshotSize,
+		"MaxReportSize":      controlplane.MaxReportSize,
+		"MaxRevisionCounts":  controlplane.MaxRevisionCounts,
+		"MaxLaggards":        controlplane.MaxLaggards,
+		"MaxErrorLength":     controlplane.MaxErrorLength,
+		"MaxOrigins":         origin.MaxOrigins,
+		"MaxPendingRequests": origin.MaxPendingRequests,
+		"MaxOutcomes":        origin.MaxOutcomes,
+		"MaxIDLength":        origin.MaxIDLength,
+		"MaxUncommittedSize": origin.MaxUncommittedSize,
+		"MaxMessageSize":     origin.MaxMessageSize,
+	} {
 		before, _, ok := strings.Cut(page, "(`"+name+"`)")
 		line := before[strings.LastIndexByte(before, '\n')+1:]
 		if !ok || !strings.Contains(line, fmt.Sprint(value, " ")) {
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -1,8 +1,12 @@
-// Package controlplane decides, without I/O and without clocks, how a snapshot of configuration travels down the fleet and what is
-// known of where it is in force. docs/design/controlplane.md has the ways weighed, the states and the bounds.
+// Package controlplane distributes configuration snapshots over the cluster and reports which members act on which
+// revision. It does no I/O and reads no clock. docs/design/controlplane.md has the alternatives, the states and the
+// limits.
 //
-// A Snapshot is the whole of what can change while running; a Stamp says which one it is. The origins (package origin beside this)
-// hold it by consensus; each member runs one Follower, which has it from an origin or from another member, passes it on and tells
-// upward on which one it and those below it act. Times are those since some start of the caller's own: none is ever sent, so clocks
-// that differ do no harm.
+// A [Snapshot] holds everything that can change while members run; its [Revision] identifies it. The origins (package
+// origin) agree on the snapshot by consensus. Each member runs one [Follower], which receives the snapshot from an
+// upstream, an origin or another member, passes it on to its subscribers, and reports upstream which revision it and
+// its subscribers act on.
+//
+// Times are durations since an arbitrary start chosen by the caller. None is ever sent, so members' clocks may
+// differ.
 package controlplane
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -7,282 +7,289 @@
 	"time"
 )
 
+// Defaults of FollowerConfig.
 const (
-	defaultRound   = 300 * time.Millisecond
-	defaultReport  = 100 * time.Millisecond
-	defaultGather  = 30 * time.Millisecond
-	defaultNamed   = time.Second
-	defaultRefresh = 10 * time.Second
-	defaultCutFor  = time.Minute
-	// silentFor, in refreshes, is how long a follower that is connected may say nothing. Guards against one that stands still.
-	silentFor = 3
-	// mostWait, in rounds, is the longest time between two fetches that brought nothing. Guards against a stamp that nobody holds.
-	mostWait = 16
+	defaultFetchDelay            = 300 * time.Millisecond
+	defaultMinReportInterval     = 100 * time.Millisecond
+	defaultReportDelay           = 30 * time.Millisecond
+	defaultLaggardGracePeriod    = time.Second
+	defaultMaxReportInterval     = 10 * time.Second
+	defaultDisconnectedRetention = time.Minute
 )
 
-// Follower decides for one member. It is not safe for several goroutines: one owns it.
-type Follower struct {
-	cfg FollowerConfig
+// CachedSnapshot is what a member stores for its next start.
+type CachedSnapshot struct {
+	Frame   Frame    `json:"Frame"`   // that was active
+	Highest Revision `json:"Highest"` // highest that was ever accepted: older ones are rejected
+}
 
-	held     Frame         // passed on
-	highest  Revision      // of all that were taken
-	acts     Revision      // in force
-	force    Frame         // its frame
-	kept     Revision      // from the last run, while no upstream has confirmed it or brought a later one
-	since    time.Duration // of the last confirmation
-	applying *Snapshot     // an Apply that is not answered
-	next     *Snapshot     // what comes after it: the latest only
-	refusal  error         // why held is not in force; nil: it is, or will be
-	kick     hint
+// FollowerConfig configures a Follower. Durations of 0 mean the defaults.
+type FollowerConfig struct {
+	Cluster string
+	Self    string          // the member's name
+	Cached  *CachedSnapshot // from the previous run; nil: there is none
+	// FetchDelay is how long the upstream may take to deliver a revision that a peer is known to have; 300 ms.
+	FetchDelay time.Duration
+	// MinReportInterval and MaxReportInterval limit the time between two reports to the upstream; 100 ms and 10 s.
+	// ReportDelay is how long a change waits for others that can go into the same report; 30 ms.
+	MinReportInterval, MaxReportInterval, ReportDelay time.Duration
+	// LaggardGracePeriod is how long after a new snapshot members that are behind are only counted, and not named; 1
+	// s. The majority needs less, and their names would make up the larger part of all reports.
+	LaggardGracePeriod time.Duration
+	// DisconnectedRetention is how long a disconnected subscriber is named as such; 60 s. It is not counted any more
+	// from the moment that it disconnects.
+	DisconnectedRetention time.Duration
+	// Parse parses a snapshot's text; nil: ParseSnapshot. Tests of older programs set another one.
+	Parse func(text []byte) (*Snapshot, error)
+}
 
-	tally  ReportAggregator
-	dirty  bool // the sum may have changed since it was told
-	waits  bool // to be told, since stale
-	stale  time.Duration
-	expire time.Duration // when something of the tally may
-	fresh  bool          // what is held is: who is behind is counted and not named, until named
-	named  time.Duration
-	sent   Report
-	when   time.Duration // it went out
+func (c FollowerConfig) withDefaults() FollowerConfig {
+	c.FetchDelay = cmp.Or(c.FetchDelay, defaultFetchDelay)
+	c.MinReportInterval = cmp.Or(c.MinReportInterval, defaultMinReportInterval)
+	c.MaxReportInterval = cmp.Or(c.MaxReportInterval, defaultMaxReportInterval)
+	c.ReportDelay = cmp.Or(c.ReportDelay, defaultReportDelay)
+	c.LaggardGracePeriod = cmp.Or(c.LaggardGracePeriod, defaultLaggardGracePeriod)
+	c.DisconnectedRetention = cmp.Or(c.DisconnectedRetention, defaultDisconnectedRetention)
+	if c.Parse == nil {
+		c.Parse = ParseSnapshot
+	}
+	return c
+}
 
-	notes LogThrottle
-	stats FollowerStats
+// FollowerStats is a Follower's state, and its counters since the start.
+type FollowerStats struct {
+	Published      Revision      `json:"held"` // passed on to subscribers
+	Active         Revision      `json:"acts"`
+	Highest        Revision      `json:"-"`       // ever accepted
+	FromCache      bool          `json:"kept"`    // Active is of the previous run and not confirmed yet
+	ConfirmedAt    time.Duration `json:"-"`       // when an upstream last confirmed the snapshot, on the caller's clock
+	Rejected       int           `json:"refused"` // snapshots that cannot be activated
+	Stale          int           `json:"older"`   // frames older than one that was accepted
+	Conflicts      int           `json:"conflicts"`
+	Corrupt        int           `json:"broken"` // frames whose hash, size or revision is wrong
+	Foreign        int           `json:"foreign"`
+	Fetches        int           `json:"fetches"`
+	DroppedReports int           `json:"crowded"` // reports dropped because there are too many subscribers
 }
 
-// hint is that a peer holds a later one.
-type hint struct {
-	PeerRevision
-	due   time.Duration // of the fetch; 0: no hint
-	quiet time.Duration // no fetch before it
-	wait  time.Duration // what the next one waits after this
+// Follower decides for one member which snapshot to activate, to pass on and to report. It is not safe for concurrent
+// use: one goroutine owns it and calls all of its methods.
+type Follower struct {
+	cfg FollowerConfig
+
+	published   Frame         // passed on to subscribers
+	highest     Revision      // highest revision that was accepted
+	active      Frame         // the frame of the active snapshot
+	unconfirmed Revision      // from the previous run, until an upstream confirms or replaces it
+	confirmedAt time.Duration // when an upstream last did so
+	applying    *Snapshot     // of an Apply without response
+	queued      *Snapshot     // to apply after it: the latest only
+	rejection   error         // why published is not active; nil: it is, or will be
+
+	fetch       fetchHint
+	subscribers ReportAggregator
+	reports     reportSchedule
+	log         LogThrottle
+	stats       FollowerStats
 }
 
-// NewFollower makes one that starts at now. The actions put in force and publish what was kept, if anything was.
+// NewFollower returns a Follower that starts at now. The actions publish and activate the cached snapshot, if there
+// is one.
 func NewFollower(c FollowerConfig, now time.Duration) (*Follower, []Action) {
-	c.FetchDelay = cmp.Or(c.FetchDelay, defaultRound)
-	c.MinReportInterval, c.ReportDelay = cmp.Or(c.MinReportInterval, defaultReport), cmp.Or(c.ReportDelay, defaultGather)
-	c.LaggardGracePeriod = cmp.Or(c.LaggardGracePeriod, defaultNamed)
-	c.MaxReportInterval, c.DisconnectedRetention = cmp.Or(c.MaxReportInterval, defaultRefresh), cmp.Or(c.DisconnectedRetention, defaultCutFor)
-	if c.Parse == nil {
-		c.Parse = ParseSnapshot
+	c = c.withDefaults()
+	cached := c.Cached
+	c.Cached = nil
+	f := &Follower{
+		cfg:         c,
+		confirmedAt: now,
+		fetch:       fetchHint{backoff: c.FetchDelay},
+		reports:     newReportSchedule(now, c.MinReportInterval),
 	}
-	f := &Follower{cfg: c, since: now, dirty: true, waits: true, stale: now, when: now - c.MinReportInterval}
-	f.kick.wait = c.FetchDelay
-	if c.Cached == nil {
+	if cached == nil {
 		return f, nil
 	}
-	last := *c.Cached
-	f.cfg.Cached = nil
-	f.highest = last.Highest
-	if err := last.Frame.Validate(c.Cluster); err != nil {
-		return f, f.note(now, nil, "broken", "what was kept: "+err.Error())
+	frame := cached.Frame
+	f.highest = cached.Highest
+	if err := frame.Validate(c.Cluster); err != nil {
+		return f, f.logMessage(now, nil, LogCorrupt, "cached snapshot: "+err.Error())
 	}
-	if last.Highest.Compare(last.Frame.Revision) < 0 {
-		f.highest = last.Frame.Revision
+	if f.highest.Compare(frame.Revision) < 0 {
+		f.highest = frame.Revision
 	}
-	f.kept = last.Frame.Revision
-	return f, f.hold(now, last.Frame, nil)
+	f.unconfirmed = frame.Revision
+	return f, f.publish(now, frame, nil)
 }
 
-// Handle takes an event in. It never blocks.
-func (f *Follower) Handle(now time.Duration, ev Event) (out []Action) {
+// Handle processes an event and returns the actions to execute. It never blocks.
+func (f *Follower) Handle(now time.Duration, ev Event) (actions []Action) {
 	switch ev := ev.(type) {
 	case SnapshotReceived:
-		out = f.offered(now, ev, out)
+		actions = f.handleSnapshot(now, ev, actions)
 	case UpstreamConfirmed:
-		f.kept, f.since = Revision{}, now
-	case UpstreamLost: // what is in force stays
+		f.confirm(now)
+	case UpstreamLost: // the active snapshot stays
 	case PeerRevision:
-		f.peer(now, ev)
+		f.handlePeerRevision(now, ev)
 	case ApplyResult:
-		out = f.applied(now, ev, out)
+		actions = f.handleApplyResult(now, ev, actions)
 	case ReportReceived:
-		if !f.tally.Add(now, ev.From, ev.Report) {
+		if !f.subscribers.Add(now, ev.From, ev.Report) {
 			f.stats.DroppedReports++
 		}
-		f.dirty = true
+		f.reports.changed = true
 	case SubscriberDisconnected:
-		f.tally.Disconnect(now, ev.From, f.cfg.DisconnectedRetention)
-		f.dirty = true
+		f.subscribers.Disconnect(now, ev.From, f.cfg.DisconnectedRetention)
+		f.reports.changed = true
 	}
-	return f.turn(now, out)
+	return f.runDue(now, actions)
 }
 
-// offered takes a frame, or says why not. Guards, in order: another fleet's; one that changed on its way; one that is older than any
-// that was taken (a relay or an origin that was cut off, or rolled back); another content under a stamp that was taken.
-func (f *Follower) offered(now time.Duration, ev SnapshotReceived, out []Action) []Action {
-	stamp := ev.Frame.Revision
+// confirm records that an upstream has confirmed the published snapshot.
+func (f *Follower) confirm(now time.Duration) {
+	f.unconfirmed = Revision{}
+	f.confirmedAt = now
+}
+
+// handleSnapshot accepts a frame or logs why it is rejected. It rejects, in this order: a frame of another cluster; a
+// corrupt one; one that is older than any that was accepted, as a relay or an origin sends that was disconnected or
+// rolled back; and another content of a revision that was accepted.
+func (f *Follower) handleSnapshot(now time.Duration, ev SnapshotReceived, actions []Action) []Action {
+	revision := ev.Frame.Revision
 	if err := ev.Frame.Validate(f.cfg.Cluster); err != nil {
-		if errors.Is(err, errForeign) {
-			f.stats.Foreign++
-			return f.note(now, out, "foreign", fmt.Sprintf("from %s: %v", ev.From, err))
-		}
-		f.stats.Corrupt++
-		return f.note(now, out, "broken", fmt.Sprintf("from %s: %v", ev.From, err))
+		return f.rejectFrame(now, ev.From, err, actions)
 	}
-	switch order := stamp.Compare(f.highest); {
+	switch order := revision.Compare(f.highest); {
 	case order < 0:
 		f.stats.Stale++
-		return f.note(now, out, "older", fmt.Sprintf("from %s: %v, and %v was taken", ev.From, stamp, f.highest))
-	case order == 0 && stamp != f.highest:
+		return f.logMessage(now, actions, LogStale,
+			fmt.Sprintf("from %s: %v is older than %v, which was accepted", ev.From, revision, f.highest))
+	case order == 0 && revision != f.highest:
 		f.stats.Conflicts++
-		return f.note(now, out, "conflict", fmt.Sprintf("from %s: %v with another content (%.12s) than the one that was taken (%.12s)", ev.From, stamp, stamp.Hash, f.highest.Hash))
+		return f.logMessage(now, actions, LogConflict,
+			fmt.Sprintf("from %s: %v has hash %.12s, and the accepted one has %.12s",
+				ev.From, revision, revision.Hash, f.highest.Hash))
+	}
+	f.confirm(now)
+	if revision == f.published.Revision {
+		return actions
 	}
-	if stamp == f.held.Revision {
-		f.kept, f.since = Revision{}, now
-		return out
+	f.highest = revision
+	return f.publish(now, ev.Frame, actions)
+}
+
+// rejectFrame counts and logs a frame that is not valid.
+func (f *Follower) rejectFrame(now time.Duration, from string, err error, actions []Action) []Action {
+	kind := LogCorrupt
+	if errors.Is(err, ErrForeignFrame) {
+		kind = LogForeign
+		f.stats.Foreign++
+	} else {
+		f.stats.Corrupt++
 	}
-	f.highest, f.kept, f.since = stamp, Revision{}, now
-	return f.hold(now, ev.Frame, out)
+	return f.logMessage(now, actions, kind, fmt.Sprintf("from %s: %v", from, err))
 }
 
-// hold passes a frame on and sets about putting it in force.
-func (f *Follower) hold(now time.Duration, frame Frame, out []Action) []Action {
-	f.held, f.refusal, f.dirty = frame, nil, true
-	f.fresh, f.named = true, now+f.cfg.LaggardGracePeriod
-	f.kick.wait = f.cfg.FetchDelay
-	out = append(out, Publish{frame})
+// publish passes a frame on and applies its snapshot, at once or after the one that is being applied.
+func (f *Follower) publish(now time.Duration, frame Frame, actions []Action) []Action {
+	f.published = frame
+	f.rejection = nil
+	f.reports.changed = true
+	f.reports.startGracePeriod(now + f.cfg.LaggardGracePeriod)
+	f.fetch.backoff = f.cfg.FetchDelay
+	actions = append(actions, Publish{frame})
 	s, err := f.cfg.Parse(frame.Text)
 	if err != nil {
-		return f.refuse(now, err, out)
+		return f.rejectSnapshot(now, err, actions)
 	}
 	s.Revision = frame.Revision
 	if f.applying != nil {
-		f.next = s
-		return out
+		f.queued = s
+		return actions
 	}
 	f.applying = s
-	return append(out, Apply{s})
+	return append(actions, Apply{s})
 }
 
-// refuse leaves what is in force where it is.
-func (f *Follower) refuse(now time.Duration, err error, out []Action) []Action {
-	f.refusal, f.dirty = err, true
+// rejectSnapshot records that the published snapshot cannot be activated. The active one stays.
+func (f *Follower) rejectSnapshot(now time.Duration, err error, actions []Action) []Action {
+	f.rejection = err
+	f.reports.changed = true
 	f.stats.Rejected++
-	out = f.note(now, out, "refused", fmt.Sprintf("%v: %v", f.held.Revision, err))
-	if !f.acts.IsZero() {
-		out = append(out, Save{CachedSnapshot{f.force, f.highest}})
+	actions = f.logMessage(now, actions, LogRejected, fmt.Sprintf("%v: %v", f.published.Revision, err))
+	if f.active.Revision.IsZero() {
+		return actions
 	}
-	return out
+	return append(actions, f.save())
 }
 
-// applied goes on with the latest, or is done.
-func (f *Follower) applied(now time.Duration, ev ApplyResult, out []Action) []Action {
+// handleApplyResult records the outcome of an Apply and applies the snapshot that is queued.
+func (f *Follower) handleApplyResult(now time.Duration, ev ApplyResult, actions []Action) []Action {
 	s := f.applying
 	if s == nil || s.Revision != ev.Revision {
-		return out
+		return actions
 	}
 	f.applying = nil
 	switch {
 	case ev.Err == nil:
-		f.acts, f.force, f.dirty = s.Revision, Frame{f.cfg.Cluster, s.Revision, s.Text}, true
-		out = f.note(now, out, "in force", s.Revision.String())
-		out = append(out, Save{CachedSnapshot{f.force, f.highest}})
-	case s.Revision == f.held.Revision:
-		out = f.refuse(now, ev.Err, out)
+		f.active = Frame{Cluster: f.cfg.Cluster, Revision: s.Revision, Text: s.Text}
+		f.reports.changed = true
+		actions = f.logMessage(now, actions, LogActivated, s.Revision.String())
+		actions = append(actions, f.save())
+	case s.Revision == f.published.Revision:
+		actions = f.rejectSnapshot(now, ev.Err, actions)
 	}
-	if f.next != nil {
-		f.applying, f.next = f.next, nil
-		out = append(out, Apply{f.applying})
+	if f.queued != nil {
+		f.applying, f.queued = f.queued, nil
+		actions = append(actions, Apply{f.applying})
 	}
-	return out
+	return actions
 }
 
-// peer remembers the highest hint, from when the first came on: a stream of later ones does not put the fetch off.
-func (f *Follower) peer(now time.Duration, p PeerRevision) {
-	p.Revision.Hash = ""
-	if p.Revision.Compare(f.held.Revision) >= 0 {
-		f.dirty = f.tally.MarkReachable(p.Name) || f.dirty
-	}
-	if p.Revision.Compare(f.held.Revision) <= 0 || p.Revision.Compare(f.highest) < 0 {
-		return
-	}
-	if f.kick.due == 0 {
-		f.kick.PeerRevision, f.kick.due = p, max(now+f.cfg.FetchDelay, f.kick.quiet)
-	} else if p.Revision.Compare(f.kick.Revision) > 0 {
-		f.kick.PeerRevision = p
-	}
+func (f *Follower) save() Save {
+	return Save{CachedSnapshot{Frame: f.active, Highest: f.highest}}
 }
 
-// turn does what is due.
-func (f *Follower) turn(now time.Duration, out []Action) []Action {
-	if k := &f.kick; k.due != 0 && now >= k.due {
-		k.due = 0
-		if k.Revision.Compare(f.held.Revision) > 0 {
-			k.quiet = now + k.wait
-			k.wait = min(2*k.wait, mostWait*f.cfg.FetchDelay)
-			f.stats.Fetches++
-			out = append(out, Fetch{k.Name, k.Address, k.Revision})
-			out = f.note(now, out, "fetch", fmt.Sprintf("%v from %s, which the upstream has not brought", k.Revision, k.Name))
-		}
-	}
-	if f.expire == 0 || now >= f.expire || f.dirty {
-		changed, next := f.tally.Expire(now, silentFor*f.cfg.MaxReportInterval, f.cfg.DisconnectedRetention)
-		f.dirty, f.expire = f.dirty || changed, next
-	}
-	f.notes.Flush(now, func(kind, text string, count int) { out = append(out, LogMessage{kind, text, count}) })
-	if f.fresh && now >= f.named {
-		f.fresh, f.dirty = false, true
-	}
-	if f.dirty && !f.waits {
-		f.stale, f.waits = now, true
-	}
-	refresh := now >= f.when+f.cfg.MaxReportInterval
-	if refresh || f.dirty && now >= f.due() {
-		if r := f.Report(); refresh || !r.Equal(&f.sent) {
-			f.sent, f.when = r, now
-			out = append(out, SendReport{r})
-		}
-		f.dirty, f.waits = false, false
-	}
-	return out
+// runDue executes what is due at now.
+func (f *Follower) runDue(now time.Duration, actions []Action) []Action {
+	actions = f.fetchIfDue(now, actions)
+	f.expireSubscribers(now)
+	f.log.Flush(now, func(kind LogKind, text string, count int) {
+		actions = append(actions, LogMessage{Kind: kind, Text: text, Count: count})
+	})
+	return f.reportIfDue(now, actions)
 }
 
-func (f *Follower) note(now time.Duration, out []Action, kind, text string) []Action {
-	if count, ok := f.notes.Add(now, kind, text); ok {
-		out = append(out, LogMessage{kind, text, count})
+func (f *Follower) logMessage(now time.Duration, actions []Action, kind LogKind, text string) []Action {
+	if count, ok := f.log.Add(now, kind, text); ok {
+		actions = append(actions, LogMessage{Kind: kind, Text: text, Count: count})
 	}
-	return out
-}
-
-// due is when a change of the sum is told: not at once, so that it is one report with what comes with it.
-func (f *Follower) due() time.Duration {
-	return max(f.when+f.cfg.MinReportInterval, f.stale+f.cfg.ReportDelay)
+	return actions
 }
 
-// Next is when a Tick is due at the latest.
+// NextTick returns when a Tick is due at the latest.
 func (f *Follower) NextTick() time.Duration {
-	at := f.when + f.cfg.MaxReportInterval
-	if f.dirty {
-		at = min(at, f.due())
+	at := f.nextReport()
+	if f.fetch.dueAt != 0 {
+		at = min(at, f.fetch.dueAt)
 	}
-	if f.kick.due != 0 {
-		at = min(at, f.kick.due)
-	}
-	if f.expire != 0 {
-		at = min(at, f.expire)
-	}
-	if f.fresh {
-		at = min(at, f.named)
-	}
-	if note, ok := f.notes.Next(); ok {
-		at = min(at, note)
+	if logAt, ok := f.log.Next(); ok {
+		at = min(at, logAt)
 	}
 	return at
 }
 
-// Report is the sum over this member and those below it. The caller sends it once when it begins to follow somebody; later ones are
-// SendReport's.
-func (f *Follower) Report() Report {
-	return f.tally.Aggregate(f.held.Revision, &LocalMember{f.cfg.Self, f.held.Revision, f.acts, f.refusal, f.fresh})
+// Frame returns the frame that is passed on to subscribers; ok is false if there is none yet.
+func (f *Follower) Frame() (frame Frame, ok bool) {
+	return f.published, !f.published.Revision.IsZero()
 }
 
-// Frame is what is passed on; false: nothing yet.
-func (f *Follower) Frame() (Frame, bool) { return f.held, !f.held.Revision.IsZero() }
-
-// Stats says how it is.
+// Stats returns the follower's state and counters.
 func (f *Follower) Stats() FollowerStats {
 	s := f.stats
-	s.Published, s.Active, s.Highest, s.FromCache, s.ConfirmedAt = f.held.Revision, f.acts, f.highest, !f.kept.IsZero() && f.acts == f.kept, f.since
+	s.Published = f.published.Revision
+	s.Active = f.active.Revision
+	s.Highest = f.highest
+	s.FromCache = !f.unconfirmed.IsZero() && f.active.Revision == f.unconfirmed
+	s.ConfirmedAt = f.confirmedAt
 	return s
 }
--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -11,19 +11,28 @@
 	"hazelwing/internal/testutil"
 )
 
-func formatStamp(version uint64) Revision {
+func testRevision(version uint64) Revision {
 	return Revision{Epoch: 3, Version: version, Hash: HashText([]byte("# text\n"))}
 }
 
-func formatFrame() Frame {
-	return Frame{Cluster: "booking", Revision: formatStamp(17), Text: []byte("# text\n")}
+func testFrame() Frame {
+	return Frame{Cluster: "booking", Revision: testRevision(17), Text: []byte("# text\n")}
 }
 
-func formatReport() Report {
+func testReport() Report {
 	return Report{
-		Members: 5, Latest: formatStamp(17), Active: []RevisionCount{{Revision: formatStamp(17), Count: 3}, {Revision: formatStamp(16), Count: 1}}, OtherRevisions: 1,
+		Members:        5,
+		Latest:         testRevision(17),
+		Active:         []RevisionCount{{Revision: testRevision(17), Count: 3}, {Revision: testRevision(16), Count: 1}},
+		OtherRevisions: 1,
 		Laggards: []Laggard{
-			{Name: "m1", Active: formatStamp(16), Reason: ReasonRejected, Error: "2:1: log.level", Descendants: 2},
+			{
+				Name:        "m1",
+				Active:      testRevision(16),
+				Reason:      ReasonRejected,
+				Error:       "2:1: log.level",
+				Descendants: 2,
+			},
 			{Name: "m2", Active: Revision{}, Reason: ReasonBehind},
 			{Name: "m3", Active: Revision{Epoch: 3, Version: 15}, Reason: ReasonDisconnected},
 		},
@@ -33,13 +42,27 @@
 
 // What members, origins and operators send each other of a configuration, in JSON.
 func TestConfigurationMessageFormatIsStable(t *testing.T) {
-	kept := CachedSnapshot{Frame: formatFrame(), Highest: formatStamp(18)}
+	cached := CachedSnapshot{Frame: testFrame(), Highest: testRevision(18)}
 	stats := FollowerStats{
-		Published: formatStamp(17), Active: formatStamp(16), Highest: formatStamp(18), FromCache: true, ConfirmedAt: 1, Rejected: 2, Stale: 3, Conflicts: 4, Corrupt: 5,
-		Foreign: 6, Fetches: 7, DroppedReports: 8,
+		Published:      testRevision(17),
+		Active:         testRevision(16),
+		Highest:        testRevision(18),
+		FromCache:      true,
+		ConfirmedAt:    1,
+		Rejected:       2,
+		Stale:          3,
+		Conflicts:      4,
+		Corrupt:        5,
+		Foreign:        6,
+		Fetches:        7,
+		DroppedReports: 8,
 	}
 	for name, v := range map[string]any{
-		"stamp": formatStamp(17), "frame": formatFrame(), "report": formatReport(), "kept": kept, "follower-stats": stats,
+		"stamp":          testRevision(17),
+		"frame":          testFrame(),
+		"report":         testReport(),
+		"kept":           cached,
+		"follower-stats": stats,
 	} {
 		t.Run(name, func(t *testing.T) {
 			testutil.Filled(t, v)
@@ -54,11 +77,12 @@
 				t.Fatal(err)
 			}
 			testutil.Golden(t, "format/"+name+"-empty.json", append(empty, '\n'))
-			if name == "follower-stats" { // Highest and Since are not encoded
+			if name == "follower-stats" { // Highest and ConfirmedAt are not encoded
 				return
 			}
 			read := reflect.New(reflect.TypeOf(v))
-			if err := json.Unmarshal(text, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), v) {
+			err = json.Unmarshal(text, read.Interface())
+			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), v) {
 				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), v)
 			}
 		})
@@ -67,7 +91,7 @@
 
 // A report travels between origins in CBOR, by the names that it has in JSON.
 func TestReportFormatInCBORIsStable(t *testing.T) {
-	for name, report := range map[string]Report{"report": formatReport(), "report-empty": {}} {
+	for name, report := range map[string]Report{"report": testReport(), "report-empty": {}} {
 		data, err := cbor.Marshal(report)
 		if err != nil {
 			t.Fatal(err)
@@ -82,7 +106,11 @@
 
 // The reasons travel as these words.
 func TestReasonNamesAreStable(t *testing.T) {
-	for reason, want := range map[LaggardReason]string{ReasonBehind: "behind", ReasonDisconnected: "cut", ReasonRejected: "refused"} {
+	for reason, want := range map[LaggardReason]string{
+		ReasonBehind:       "behind",
+		ReasonDisconnected: "cut",
+		ReasonRejected:     "refused",
+	} {
 		if string(reason) != want {
 			t.Errorf("%q, want %q", reason, want)
 		}
@@ -122,25 +150,31 @@
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "format/settings.toml", decoded)
-	for key, got := range map[string]bool{
-		"discovery.addr": *snapshot.Settings.Discovery.Addr == "10.0.0.2:8500", "fleet.sidecars": *snapshot.Settings.Fleet.Sidecars == 590,
-		"log.level": *snapshot.Settings.Log.Level == "warn", "limits.max_attempts": *snapshot.Settings.Limits.MaxAttempts == 3,
-		"limits.second_copies": *snapshot.Settings.Limits.SecondCopies, "price.cross_zone": *snapshot.Settings.Price.CrossZone == 1.5,
-		"price.open": *snapshot.Settings.Price.Open == 2.5, "price.handshake": *snapshot.Settings.Price.Handshake == 3.5,
-		"price.probe": *snapshot.Settings.Price.Probe == 4.5, "class.look.worth": *snapshot.Settings.Class["look"].Worth == 5.5,
-		"class.look.late_share": *snapshot.Settings.Class["look"].LateShare == 0.5,
-		"tenant.one.fraction":   *snapshot.Settings.Tenant["one"].Fraction == 0.25,
+	got := &snapshot.Settings
+	for key, equal := range map[string]bool{
+		"discovery.addr":        *got.Discovery.Addr == "10.0.0.2:8500",
+		"fleet.sidecars":        *got.Fleet.Sidecars == 590,
+		"log.level":             *got.Log.Level == "warn",
+		"limits.max_attempts":   *got.Limits.MaxAttempts == 3,
+		"limits.second_copies":  *got.Limits.SecondCopies,
+		"price.cross_zone":      *got.Price.CrossZone == 1.5,
+		"price.open":            *got.Price.Open == 2.5,
+		"price.handshake":       *got.Price.Handshake == 3.5,
+		"price.probe":           *got.Price.Probe == 4.5,
+		"class.look.worth":      *got.Class["look"].Worth == 5.5,
+		"class.look.late_share": *got.Class["look"].LateShare == 0.5,
+		"tenant.one.fraction":   *got.Tenant["one"].Fraction == 0.25,
 	} {
-		if !got {
+		if !equal {
 			t.Errorf("%s is read as another field", key)
 		}
 	}
 }
 
-// A stamp as operators read it.
-func TestStampTextIsStable(t *testing.T) {
-	for want, stamp := range map[string]Revision{"none": {}, "3.17": formatStamp(17)} {
-		if got := stamp.String(); got != want {
+// A revision as operators read it.
+func TestRevisionTextIsStable(t *testing.T) {
+	for want, revision := range map[string]Revision{"none": {}, "3.17": testRevision(17)} {
+		if got := revision.String(); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
--- a/internal/controlplane/origin/api.go
+++ b/internal/controlplane/origin/api.go
@@ -143,7 +143,7 @@
 
 // Noted is for the log. Repeats of one Kind come at most once in 10 s, with how many there were.
 type LogMessage struct {
-	Kind  string // "leads", "follows", "no majority", "change", "rolled back", "ahead", "foreign", "broken"
+	Kind  controlplane.LogKind // "leads", "follows", "no majority", "change", "rolled back", "ahead", "foreign", "broken"
 	Text  string
 	Count int
 }
--- a/internal/controlplane/origin/disk_test.go
+++ b/internal/controlplane/origin/disk_test.go
@@ -154,8 +154,12 @@
 		f   BootstrapConfig
 		why string
 	}{
-		{BootstrapConfig{"", 1, []string{"a"}}, "fleet"}, {BootstrapConfig{"f", 0, []string{"a"}}, "epoch"}, {BootstrapConfig{"f", 1, nil}, "0 origins"},
-		{BootstrapConfig{"f", 1, originNames(8)}, "8 origins"}, {BootstrapConfig{"f", 1, []string{"a", "a"}}, "twice"}, {BootstrapConfig{"f", 1, []string{"a/b"}}, "slashes"},
+		{BootstrapConfig{"", 1, []string{"a"}}, "fleet"},
+		{BootstrapConfig{"f", 0, []string{"a"}}, "epoch"},
+		{BootstrapConfig{"f", 1, nil}, "0 origins"},
+		{BootstrapConfig{"f", 1, originNames(8)}, "8 origins"},
+		{BootstrapConfig{"f", 1, []string{"a", "a"}}, "twice"},
+		{BootstrapConfig{"f", 1, []string{"a/b"}}, "slashes"},
 	} {
 		if err := Bootstrap(opened(t, faultfs.New()), c.f); err == nil || !strings.Contains(err.Error(), c.why) {
 			t.Errorf("%v: %v", c.f, err)
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -133,8 +133,10 @@
 		term, _ := ms.Term(i)
 		n.written = append(n.written, blob{i, term, partsOf(s.Records, entryKey(i, term))})
 	}
-	n.rn, err = raft.NewRawNode(&raft.Config{ID: n.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: ms, Applied: r.Index, MaxSizePerMsg: controlplane.MaxSnapshotSize,
-		MaxUncommittedEntriesSize: MaxUncommittedSize, MaxInflightMsgs: 8, MaxInflightBytes: 4 * controlplane.MaxSnapshotSize, CheckQuorum: true, PreVote: true, Logger: silent{}})
+	n.rn, err = raft.NewRawNode(&raft.Config{
+		ID: n.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: ms, Applied: r.Index, MaxSizePerMsg: controlplane.MaxSnapshotSize,
+		MaxUncommittedEntriesSize: MaxUncommittedSize, MaxInflightMsgs: 8, MaxInflightBytes: 4 * controlplane.MaxSnapshotSize, CheckQuorum: true, PreVote: true, Logger: silent{},
+	})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -297,7 +299,9 @@
 	n.members.Expire(now, silentFor, cutFor)
 	n.others.Expire(now, otherFor, 0)
 	n.again(now)
-	n.notes.Flush(now, func(kind, text string, count int) { out = append(out, LogMessage{kind, text, count}) })
+	n.notes.Flush(now, func(kind controlplane.LogKind, text string, count int) {
+		out = append(out, LogMessage{kind, text, count})
+	})
 	return n.hellos(out)
 }
 
@@ -402,7 +406,7 @@
 	return controlplane.Frame{Cluster: n.cfg.Cluster, Revision: s, Text: n.state.Text}, !s.IsZero()
 }
 
-func (n *Node) note(now time.Duration, out []Action, kind, text string) []Action {
+func (n *Node) note(now time.Duration, out []Action, kind controlplane.LogKind, text string) []Action {
 	if count, ok := n.notes.Add(now, kind, text); ok {
 		out = append(out, LogMessage{kind, text, count})
 	}
--- a/internal/controlplane/origin/status.go
+++ b/internal/controlplane/origin/status.go
@@ -59,7 +59,7 @@
 	}
 	n.part = part
 	if part != RoleRolledBack {
-		out = n.note(now, out, string(part), fmt.Sprintf("at %v", n.state.stamp(n.cfg.Epoch)))
+		out = n.note(now, out, controlplane.LogKind(part), fmt.Sprintf("at %v", n.state.stamp(n.cfg.Epoch)))
 	}
 	return out
 }
--- a/internal/controlplane/origin/world_test.go
+++ b/internal/controlplane/origin/world_test.go
@@ -220,7 +220,7 @@
 				p.answered++
 			}
 		case LogMessage:
-			p.noted = append(p.noted, a.Kind+": "+a.Text)
+			p.noted = append(p.noted, string(a.Kind)+": "+a.Text)
 		}
 	}
 	if p.crashIn == 0 {
--- a/internal/controlplane/snapshot_test.go
+++ b/internal/controlplane/parse_test.go
@@ -8,22 +8,22 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// What is accepted, and how what isn't is said: "parse" reads the lines below it, "size N" a text of N bytes.
+// What is accepted, and the errors of what is not: "parse" reads the lines below it, "size N" a text of N bytes.
 func TestParse(t *testing.T) {
-	datadriven.RunTest(t, "testdata/snapshot/parse", func(t *testing.T, d *datadriven.TestData) string {
+	datadriven.RunTest(t, "testdata/snapshot/parse", func(_ *testing.T, d *datadriven.TestData) string {
 		text := []byte(d.Input)
 		if d.Cmd == "size" {
-			text = sized(d)
+			text = textOfSize(d)
 		}
 		s, err := ParseSnapshot(text)
 		if err != nil {
 			return err.Error() + "\n"
 		}
-		return show(s) + "\n"
+		return describeSnapshot(s) + "\n"
 	})
 }
 
-func show(s *Snapshot) string {
+func describeSnapshot(s *Snapshot) string {
 	out := "accepted, " + fmt.Sprint(len(s.Text)) + " bytes"
 	if d := s.Settings.Discovery; d != nil && d.Addr != nil {
 		out += ", discovery.addr " + *d.Addr
@@ -40,20 +40,30 @@
 	return out
 }
 
-func sized(d *datadriven.TestData) []byte {
+func textOfSize(d *datadriven.TestData) []byte {
 	var n int
 	if _, err := fmt.Sscan(d.CmdArgs[0].Key, &n); err != nil {
 		panic(err)
 	}
-	text := bytes.Repeat([]byte("#"), n)
-	return text
+	return bytes.Repeat([]byte("#"), n)
 }
 
-// The table of kinds and the keys that Parse takes are the same.
-func TestKindsAreThoseOfParse(t *testing.T) {
-	example := map[string]string{"discovery.addr": `"h:1"`, "fleet.sidecars": "1", "log.level": `"info"`, "limits.max_attempts": "1", "limits.second_copies": "false",
-		"price.cross_zone": "0.5", "price.open": "0.0", "price.handshake": "1.0", "price.probe": "0.1", "class.NAME.worth": "2.0", "class.NAME.late_share": "0.5",
-		"tenant.NAME.fraction": "0.25"}
+// The rules of keys and the keys that ParseSnapshot accepts are the same.
+func TestSettingRulesAreThoseOfParseSnapshot(t *testing.T) {
+	example := map[string]string{
+		"discovery.addr":        `"h:1"`,
+		"fleet.sidecars":        "1",
+		"log.level":             `"info"`,
+		"limits.max_attempts":   "1",
+		"limits.second_copies":  "false",
+		"price.cross_zone":      "0.5",
+		"price.open":            "0.0",
+		"price.handshake":       "1.0",
+		"price.probe":           "0.1",
+		"class.NAME.worth":      "2.0",
+		"class.NAME.late_share": "0.5",
+		"tenant.NAME.fraction":  "0.25",
+	}
 	for _, k := range SettingRules() {
 		if (k.EffectiveFrom == "") == (k.FixedReason == "") {
 			t.Errorf("%s: either the instant from which it holds or why it cannot", k.Key)
--- a/internal/controlplane/script_test.go
+++ b/internal/controlplane/script_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -12,41 +11,50 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// scripted is a follower that a script plays with.
-type scripted struct {
-	t   *testing.T
-	f   *Follower
-	now time.Duration
+// followerScript runs the directives of one script against a follower.
+type followerScript struct {
+	t        *testing.T
+	follower *Follower
+	now      time.Duration
 }
 
-// The follower's behaviour as scripts: each directive is an event, and under it stand the actions that must come. The words:
+// TestScripts holds the follower's behaviour as scripts: each directive is an event, and below it stand the actions
+// that must follow. The directives:
 //
-//	new [kept=1.2] [highest=1.3] [old] [round=1s]    member a at 0 s; old: its program does not know [log]
-//	offer 1.2 [from=b] [text=x] [fleet=x] [hash=x] [size=N] [bad]    text=x is a comment that makes another content; bad: [log] level = "loud"; log: a good one
-//	applied 1.2 [err=x]    confirmed    lost    tick DURATION
-//	peer c 1.3             c's datagram says that it holds 1.3
-//	reported b             with a line for each: "members 3", "latest 1.2", "acting 1.2 3", "lack c 1.1 cut", "more 5"
-//	gone b    report    stats
+//	new [cached=1.2] [highest=1.3] [old] [delay=1s]    member a at 0 s; old: its program does not know [log]
+//	offer 1.2 [from=b] [text=x] [fleet=x] [hash=x] [size=N] [log] [bad]
+//	                       a snapshot arrives; text=x is a comment that makes another content; log: one with [log];
+//	                       bad: one with an invalid value
+//	applied 1.2 [err=x]    the result of an apply
+//	confirmed    lost      of the upstream
+//	tick DURATION          time passes
+//	peer c 1.3             c's gossip says that it has 1.3
+//	reported b             with a line for each: "members 3", "latest 1.2", "active 1.2 3", "laggard c 1.1 cut",
+//	                       "more 5"
+//	disconnected b    report    stats
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/follower", func(t *testing.T, path string) {
-		s := &scripted{t: t}
-		datadriven.RunTest(t, path, s.do)
+		s := &followerScript{t: t}
+		datadriven.RunTest(t, path, s.run)
 	})
 }
 
-func arg(d *datadriven.TestData, key, other string) string {
+// argument returns the value of an argument, "yes" if it has none, or a default if it is absent.
+func argument(d *datadriven.TestData, key, defaultValue string) string {
 	for _, a := range d.CmdArgs {
-		if a.Key == key {
-			if len(a.Vals) == 0 {
-				return "yes"
-			}
-			return a.Vals[0]
+		if a.Key != key {
+			continue
 		}
+		if len(a.Vals) == 0 {
+			return "yes"
+		}
+		return a.Vals[0]
 	}
-	return other
+	return defaultValue
 }
 
-func (s *scripted) duration(text string) time.Duration {
+func (s *followerScript) duration(text string) time.Duration {
+	s.t.Helper()
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		s.t.Fatal(err)
@@ -54,150 +62,182 @@
 	return d
 }
 
-// stampOf reads "1.2".
-func stampOf(t testing.TB, text string) Revision {
-	e, v, ok := strings.Cut(text, ".")
-	epoch, err1 := strconv.ParseUint(e, 10, 64)
-	version, err2 := strconv.ParseUint(v, 10, 64)
+func (s *followerScript) number(text string) int {
+	s.t.Helper()
+	n, err := strconv.Atoi(text)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	return n
+}
+
+// parseRevision parses EPOCH.VERSION.
+func parseRevision(t testing.TB, text string) Revision {
+	t.Helper()
+	epochText, versionText, ok := strings.Cut(text, ".")
+	epoch, err1 := strconv.ParseUint(epochText, 10, 64)
+	version, err2 := strconv.ParseUint(versionText, 10, 64)
 	if !ok || err1 != nil || err2 != nil {
-		t.Fatalf("%q is no stamp", text)
+		t.Fatalf("%q is not a revision", text)
 	}
 	return Revision{Epoch: epoch, Version: version}
 }
 
-// frame is a good one of a stamp; content makes another text.
-func frame(s Revision, content string) Frame {
-	text := []byte("# " + s.String() + " " + content + "\n")
-	s.Hash = HashText(text)
-	return Frame{Cluster: "f", Revision: s, Text: text}
+// validFrame returns a valid frame of a revision; another content makes another text.
+func validFrame(r Revision, content string) Frame {
+	text := []byte("# " + r.String() + " " + content + "\n")
+	r.Hash = HashText(text)
+	return Frame{Cluster: "f", Revision: r, Text: text}
 }
 
-// oldParse is that of a program that does not know [log].
-func oldParse(text []byte) (*Snapshot, error) {
+// parseWithoutLog is the ParseSnapshot of an older program, which does not know [log].
+func parseWithoutLog(text []byte) (*Snapshot, error) {
 	if strings.Contains(string(text), "[log]") {
 		return nil, errors.New("1:2: no such key: log")
 	}
 	return ParseSnapshot(text)
 }
 
-func (s *scripted) frame(d *datadriven.TestData) Frame {
-	f := frame(stampOf(s.t, d.CmdArgs[0].Key), arg(d, "text", ""))
+func (s *followerScript) frame(d *datadriven.TestData) Frame {
+	s.t.Helper()
+	f := validFrame(parseRevision(s.t, d.CmdArgs[0].Key), argument(d, "text", ""))
 	switch {
-	case arg(d, "bad", "") != "":
+	case d.HasArg("bad"):
 		f.Text = []byte("[log]\nlevel = \"loud\"\n")
-	case arg(d, "log", "") != "":
+	case d.HasArg("log"):
 		f.Text = []byte("[log]\nlevel = \"warn\"\n")
-	case arg(d, "size", "") != "":
-		n, _ := strconv.Atoi(arg(d, "size", ""))
-		f.Text = []byte(strings.Repeat("#", n))
+	case d.HasArg("size"):
+		f.Text = []byte(strings.Repeat("#", s.number(argument(d, "size", ""))))
 	}
-	f.Revision.Hash = arg(d, "hash", HashText(f.Text))
-	f.Cluster = arg(d, "fleet", "f")
+	f.Revision.Hash = argument(d, "hash", HashText(f.Text))
+	f.Cluster = argument(d, "fleet", "f")
 	return f
 }
 
-func (s *scripted) do(t *testing.T, d *datadriven.TestData) string {
+func (s *followerScript) run(t *testing.T, d *datadriven.TestData) string {
 	s.t = t
 	switch d.Cmd {
 	case "new":
-		c := FollowerConfig{Cluster: "f", Self: "a", FetchDelay: s.duration(arg(d, "round", "300ms"))}
-		if arg(d, "old", "") != "" {
-			c.Parse = oldParse
-		}
-		if k := arg(d, "kept", ""); k != "" {
-			c.Cached = &CachedSnapshot{Frame: frame(stampOf(t, k), "")}
-			c.Cached.Highest = frame(stampOf(t, arg(d, "highest", k)), "").Revision
-		}
-		s.now = 0
-		var out []Action
-		s.f, out = NewFollower(c, 0)
-		return s.show(out)
+		return s.start(d)
+	case "tick":
+		return s.tick(s.duration(d.CmdArgs[0].Key))
+	case "report":
+		return formatReportLine(s.follower.Report()) + "\n"
+	case "stats":
+		return formatStats(s.follower.Stats())
+	}
+	return joinLines(formatActions(s.follower.Handle(s.now, s.event(d))))
+}
+
+func (s *followerScript) start(d *datadriven.TestData) string {
+	c := FollowerConfig{Cluster: "f", Self: "a", FetchDelay: s.duration(argument(d, "delay", "300ms"))}
+	if d.HasArg("old") {
+		c.Parse = parseWithoutLog
+	}
+	if cached := argument(d, "cached", ""); cached != "" {
+		c.Cached = &CachedSnapshot{Frame: validFrame(parseRevision(s.t, cached), "")}
+		c.Cached.Highest = validFrame(parseRevision(s.t, argument(d, "highest", cached)), "").Revision
+	}
+	s.now = 0
+	var actions []Action
+	s.follower, actions = NewFollower(c, 0)
+	return joinLines(formatActions(actions))
+}
+
+func (s *followerScript) event(d *datadriven.TestData) Event {
+	s.t.Helper()
+	switch d.Cmd {
 	case "offer":
-		return s.handle(SnapshotReceived{arg(d, "from", "b"), s.frame(d)})
+		return SnapshotReceived{From: argument(d, "from", "b"), Frame: s.frame(d)}
 	case "applied":
-		ev := ApplyResult{Revision: stampOf(t, d.CmdArgs[0].Key)}
-		if s.f.applying != nil && s.f.applying.Revision.Compare(ev.Revision) == 0 {
-			ev.Revision = s.f.applying.Revision
-		}
-		if e := arg(d, "err", ""); e != "" {
-			ev.Err = errors.New(e)
-		}
-		return s.handle(ev)
+		return s.applyResult(d)
 	case "confirmed":
-		return s.handle(UpstreamConfirmed{"b"})
+		return UpstreamConfirmed{"b"}
 	case "lost":
-		return s.handle(UpstreamLost{"b"})
+		return UpstreamLost{"b"}
 	case "peer":
-		return s.handle(PeerRevision{d.CmdArgs[0].Key, "10.0.0.9:7946", stampOf(t, d.CmdArgs[1].Key)})
-	case "gone":
-		return s.handle(SubscriberDisconnected{d.CmdArgs[0].Key})
-	case "reported":
-		return s.handle(ReportReceived{d.CmdArgs[0].Key, s.report(d)})
-	case "tick":
-		end := s.now + s.duration(d.CmdArgs[0].Key)
-		var out []string
-		for n := 0; s.f.NextTick() <= end; n++ {
-			if n > 10_000 {
-				t.Fatal("it wants a tick again and again")
-			}
-			s.now = max(s.now, s.f.NextTick())
-			for _, l := range s.lines(s.f.Handle(s.now, Tick{})) {
-				out = append(out, fmt.Sprintf("%v: %s", s.now, l))
-			}
+		return PeerRevision{
+			Name:     d.CmdArgs[0].Key,
+			Address:  "10.0.0.9:7946",
+			Revision: parseRevision(s.t, d.CmdArgs[1].Key),
 		}
-		s.now = end
-		return lines(out)
-	case "report":
-		return s.reportText(s.f.Report()) + "\n"
-	case "stats":
-		x := s.f.Stats()
-		return fmt.Sprintf("held %v, acts %v, highest %v, kept %v, since %v, refused %d, older %d, conflicts %d, broken %d, foreign %d, fetches %d\n", x.Published, x.Active, x.Highest, x.FromCache, x.ConfirmedAt,
-			x.Rejected, x.Stale, x.Conflicts, x.Corrupt, x.Foreign, x.Fetches)
+	case "disconnected":
+		return SubscriberDisconnected{d.CmdArgs[0].Key}
+	case "reported":
+		return ReportReceived{From: d.CmdArgs[0].Key, Report: s.report(d)}
+	}
+	s.t.Fatalf("unknown directive %s", d.Cmd)
+	return nil
+}
+
+func (s *followerScript) applyResult(d *datadriven.TestData) ApplyResult {
+	s.t.Helper()
+	result := ApplyResult{Revision: parseRevision(s.t, d.CmdArgs[0].Key)}
+	if applying := s.follower.applying; applying != nil && applying.Revision.Compare(result.Revision) == 0 {
+		result.Revision = applying.Revision
+	}
+	if text := argument(d, "err", ""); text != "" {
+		result.Err = errors.New(text)
 	}
-	t.Fatalf("no directive %s", d.Cmd)
-	return ""
+	return result
 }
 
-func (s *scripted) handle(ev Event) string { return s.show(s.f.Handle(s.now, ev)) }
+// tick lets time pass, with a Tick whenever the follower asks for one.
+func (s *followerScript) tick(d time.Duration) string {
+	const maxTicks = 10_000
+	end := s.now + d
+	var out []string
+	for n := 0; s.follower.NextTick() <= end; n++ {
+		if n > maxTicks {
+			s.t.Fatal("the follower asks for a tick again and again")
+		}
+		s.now = max(s.now, s.follower.NextTick())
+		for _, line := range formatActions(s.follower.Handle(s.now, Tick{})) {
+			out = append(out, fmt.Sprintf("%v: %s", s.now, line))
+		}
+	}
+	s.now = end
+	return joinLines(out)
+}
 
-func (s *scripted) report(d *datadriven.TestData) (r Report) {
-	stamp := func(text string) Revision {
+// report parses the lines below a directive.
+func (s *followerScript) report(d *datadriven.TestData) (r Report) {
+	s.t.Helper()
+	revision := func(text string) Revision {
 		if text == "none" {
 			return Revision{}
 		}
-		return frame(stampOf(s.t, text), "").Revision
-	}
-	number := func(text string) int {
-		n, err := strconv.Atoi(text)
-		if err != nil {
-			s.t.Fatal(err)
-		}
-		return n
+		return validFrame(parseRevision(s.t, text), "").Revision
 	}
 	for line := range strings.Lines(d.Input) {
 		w := strings.Fields(line)
 		switch w[0] {
 		case "members":
-			r.Members = number(w[1])
+			r.Members = s.number(w[1])
 		case "latest":
-			r.Latest = stamp(w[1])
-		case "acting":
-			r.Active = append(r.Active, RevisionCount{stamp(w[1]), number(w[2])})
-		case "lack":
-			r.Laggards = append(r.Laggards, Laggard{Name: w[1], Active: stamp(w[2]), Reason: LaggardReason(w[3]), Error: strings.Join(w[4:], " ")})
+			r.Latest = revision(w[1])
+		case "active":
+			r.Active = append(r.Active, RevisionCount{Revision: revision(w[1]), Count: s.number(w[2])})
+		case "laggard":
+			r.Laggards = append(r.Laggards, Laggard{
+				Name:   w[1],
+				Active: revision(w[2]),
+				Reason: LaggardReason(w[3]),
+				Error:  strings.Join(w[4:], " "),
+			})
 		case "more":
-			r.UnnamedLaggards = number(w[1])
+			r.UnnamedLaggards = s.number(w[1])
 		default:
-			s.t.Fatalf("no word %s", w[0])
+			s.t.Fatalf("unknown line %s", line)
 		}
 	}
 	return r
 }
 
-func (s *scripted) reportText(r Report) string {
+func formatReportLine(r Report) string {
 	out := fmt.Sprintf("report %d members, latest %v", r.Members, r.Latest)
-	for _, a := range r.Active {
-		out += fmt.Sprintf(", %d on %v", a.Count, a.Revision)
+	for _, c := range r.Active {
+		out += fmt.Sprintf(", %d on %v", c.Count, c.Revision)
 	}
 	if r.OtherRevisions > 0 {
 		out += fmt.Sprintf(", %d on others", r.OtherRevisions)
@@ -218,32 +258,36 @@
 	return out
 }
 
-func (s *scripted) show(list []Action) string { return lines(s.lines(list)) }
+func formatStats(s FollowerStats) string {
+	out := fmt.Sprintf("published %v, active %v, highest %v, ", s.Published, s.Active, s.Highest)
+	out += fmt.Sprintf("from cache %v, confirmed at %v, ", s.FromCache, s.ConfirmedAt)
+	out += fmt.Sprintf("rejected %d, stale %d, conflicts %d, ", s.Rejected, s.Stale, s.Conflicts)
+	return out + fmt.Sprintf("corrupt %d, foreign %d, fetches %d\n", s.Corrupt, s.Foreign, s.Fetches)
+}
 
-func (s *scripted) lines(list []Action) (out []string) {
-	for _, a := range list {
+func formatActions(actions []Action) (out []string) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Apply:
 			out = append(out, fmt.Sprint("apply ", a.Snapshot.Revision))
 		case Save:
-			out = append(out, fmt.Sprintf("keep %v, highest %v", a.Cached.Frame.Revision, a.Cached.Highest))
+			out = append(out, fmt.Sprintf("save %v, highest %v", a.Cached.Frame.Revision, a.Cached.Highest))
 		case Publish:
 			out = append(out, fmt.Sprintf("publish %v, %d bytes", a.Frame.Revision, len(a.Frame.Text)))
 		case Fetch:
 			out = append(out, fmt.Sprintf("fetch %v from %s at %s", a.Revision, a.Name, a.Address))
 		case SendReport:
-			out = append(out, s.reportText(a.Report))
+			out = append(out, formatReportLine(a.Report))
 		case LogMessage:
-			out = append(out, fmt.Sprintf("note %s x%d: %s", a.Kind, a.Count, a.Text))
+			out = append(out, fmt.Sprintf("log %s x%d: %s", a.Kind, a.Count, a.Text))
 		}
 	}
 	return out
 }
 
-func lines(out []string) string {
-	if len(out) == 0 {
+func joinLines(lines []string) string {
+	if len(lines) == 0 {
 		return "nothing\n"
 	}
-	out = slices.Clone(out)
-	return strings.Join(out, "\n") + "\n"
+	return strings.Join(lines, "\n") + "\n"
 }
