--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -111,7 +111,7 @@
 			out, in := r.Traffic(i)
 			c.bytesOut, c.messagesOut = c.bytesOut+float64(out.Bytes), c.messagesOut+float64(out.Messages)
 			c.bytesIn, c.messagesIn = c.bytesIn+float64(in.Bytes), c.messagesIn+float64(in.Messages)
-			var s gossip.State
+			var s gossip.Status
 			if err := r.Ask(i, "fleet", &s); err != nil {
 				t.Error(err)
 			}
@@ -184,7 +184,7 @@
 		messagesIn: (now.messagesIn - old.messagesIn) / k, processor: (now.processor - old.processor) / k, resident: now.resident / float64(n)}
 }
 
-func stirred(s gossip.State) int { return s.Core.Suspicions + s.Core.Refutations + s.Core.Stalls }
+func stirred(s gossip.Status) int { return s.Core.Suspicions + s.Core.Refutations + s.Core.Stalls }
 
 func heapNow() float64 {
 	runtime.GC()
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -150,7 +150,7 @@
 			watched.Store(int64(second.Process.Pid))
 			t.Logf("SIGTERM to the end %v, /up of the next one %v later", ended.Round(time.Millisecond), up().Round(time.Millisecond))
 			// Requests come into hand.
-			requests := platform.Limits{Sockets: limit}.ClientConns() // and each dials
+			requests := platform.Limits{Sockets: limit}.MaxClientConns() // and each dials
 			statuses := make(chan int, requests)
 			for i := range requests {
 				clients.Go(func() {
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -87,7 +87,7 @@
 }
 
 // askFleet asks a running sidecar.
-func askFleet(ctx context.Context, at string) (s gossip.State, err error) {
+func askFleet(ctx context.Context, at string) (s gossip.Status, err error) {
 	ctx, end := context.WithTimeout(ctx, fleetAskTime)
 	defer end()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/fleet", nil)
@@ -111,7 +111,7 @@
 	return s, nil
 }
 
-func showFleet(w io.Writer, s gossip.State, asJSON bool) error {
+func showFleet(w io.Writer, s gossip.Status, asJSON bool) error {
 	if asJSON {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
@@ -124,7 +124,7 @@
 		if m.Self {
 			name += " (itself)"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d.%d\t%s\t%s\t%s\n", name, m.Addr, m.Generation, m.Refutations, m.State, m.For, cmp.Or(m.ReportedBy, "-"))
+		fmt.Fprintf(t, "%s\t%s\t%d.%d\t%s\t%s\t%s\n", name, m.Addr, m.Generation, m.Refutations, m.State, m.StateAge, cmp.Or(m.ReportedBy, "-"))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -134,12 +134,12 @@
 	if c.Joining {
 		joining = ", nobody was heard yet"
 	}
-	_, err := fmt.Fprintf(w, "%s of %s: %d live of %d known, reckons with %d, own slowness %d, %d words%s\n", s.Name, s.Fleet, c.LiveMembers, c.KnownMembers, c.EstimatedSize, c.HealthScore, c.Notices, joining)
+	_, err := fmt.Fprintf(w, "%s of %s: %d live of %d known, reckons with %d, own slowness %d, %d words%s\n", s.Name, s.ClusterName, c.LiveMembers, c.KnownMembers, c.EstimatedSize, c.HealthScore, c.Notices, joining)
 	return err
 }
 
 // verdict is an error with a status where the view is not settled.
-func verdict(s gossip.State) error {
+func verdict(s gossip.Status) error {
 	if s.Core.Joining {
 		return exitStatus{errors.New("fleet: it has not joined yet"), unsettled}
 	}
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -96,7 +96,7 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	out, err = execute("fleet", "--json", "--admin", r.Admin(2))
-	var s gossip.State
+	var s gossip.Status
 	if other := json.Unmarshal([]byte(out), &s); err != nil || other != nil || s.Name != "m02" || len(s.Members) != 3 || s.Members[0].State != cluster.Alive {
 		t.Errorf("%v, %v\n%s", err, other, out)
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -25,15 +25,15 @@
 	maxHeader = 8 << 10
 
 	// Conns is how many connections are served at a time; those beyond wait.
-	Conns = 8
+	MaxConns = 8
 )
 
 // Parts are what can be asked for. Each function is called for each request, from the request's goroutine, and must not
 // block.
-type Parts map[string]func() any
+type Sections map[string]func() any
 
 // ServeHTTP answers from the parts.
-func (p Parts) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p Sections) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		http.Error(w, "GET only", http.StatusMethodNotAllowed)
 		return
@@ -57,12 +57,12 @@
 }
 
 // Serve serves the parts until ctx ends. It closes l.
-func Serve(ctx context.Context, l net.Listener, parts Parts, log *slog.Logger) {
+func Serve(ctx context.Context, l net.Listener, parts Sections, log *slog.Logger) {
 	s := &http.Server{Handler: parts, ReadTimeout: readTime, WriteTimeout: writeTime, IdleTimeout: readTime, MaxHeaderBytes: maxHeader,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	stop := context.AfterFunc(ctx, func() { s.Close() })
 	defer stop()
-	if err := s.Serve(netutil.LimitListener(l, Conns)); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.Serve(netutil.LimitListener(l, MaxConns)); !errors.Is(err, http.ErrServerClosed) {
 		log.Error("the admin endpoint has ended", "err", err)
 	}
 }
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -11,7 +11,7 @@
 
 // An answer is indented JSON and a newline; without a name it is the names of the parts.
 func TestAdminAnswerFormatIsStable(t *testing.T) {
-	server := httptest.NewServer(Parts{
+	server := httptest.NewServer(Sections{
 		"fleet":  func() any { return map[string]any{"name": "<m1>", "live": 2} },
 		"bounds": func() any { return []int{1, 2} },
 	})
--- a/internal/cluster/gossip/codec.go
+++ b/internal/cluster/gossip/codec.go
@@ -25,8 +25,8 @@
 
 // The ways in which a frame cannot be read.
 var (
-	ErrCorrupt = errors.New("it is corrupt")
-	ErrVersion = errors.New("it is of another version")
+	ErrCorrupt            = errors.New("it is corrupt")
+	ErrUnsupportedVersion = errors.New("it is of another version")
 )
 
 type wireEntry struct {
@@ -132,7 +132,7 @@
 		return nil, fmt.Errorf("%w: no frame of a fleet", ErrCorrupt)
 	}
 	if v := frame[len(magic)]; v != version {
-		return nil, fmt.Errorf("%w: %d, and this is %d", ErrVersion, v, version)
+		return nil, fmt.Errorf("%w: %d, and this is %d", ErrUnsupportedVersion, v, version)
 	}
 	body := frame[frameHeader:]
 	if binary.BigEndian.Uint64(frame[len(magic)+1:]) != xxhash.Sum64(body) {
--- a/internal/cluster/gossip/codec_test.go
+++ b/internal/cluster/gossip/codec_test.go
@@ -54,7 +54,7 @@
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 		frame[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-		if _, err := Decode(frame); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrVersion) {
+		if _, err := Decode(frame); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnsupportedVersion) {
 			t.Fatalf("byte %d changed: %v", i, err)
 		}
 	})
--- a/internal/cluster/gossip/format_test.go
+++ b/internal/cluster/gossip/format_test.go
@@ -121,22 +121,22 @@
 }
 
 // formatState has no field that is zero.
-func formatState() State {
-	return State{
-		Name: "m1", Fleet: "booking",
-		Members: []MemberState{{
+func formatState() Status {
+	return Status{
+		Name: "m1", ClusterName: "booking",
+		Members: []MemberStatus{{
 			Member: cluster.Member{
 				Name: "m2", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Incarnation: cluster.Incarnation{Generation: 2, ProcessID: 1<<63 + 5, Refutations: 300},
 				State: cluster.Suspect, Since: 1500 * time.Millisecond, ReportedBy: "accuser", Self: true,
 			},
-			For: "1.5s",
+			StateAge: "1.5s",
 		}},
 		Core: cluster.Stats{
 			Joining: true, HealthScore: 1, KnownMembers: 2, LiveMembers: 3, EstimatedSize: 4, QueuedBroadcasts: 5, Notices: 6, ForgottenAddresses: 7, Refutations: 8, Stalls: 9, NameConflicts: 10,
 			ForeignMessages: 11, Rejected: 12, Suspicions: 13, DeclaredDead: 14, TableFull: 15, PushPullsThrottled: 16, LastStallNS: 17,
 		},
-		Network: NetworkState{
-			Outside: 1, Corrupt: 2, Version: 3, Full: 4, Unsent: 5, Datagrams: 6, Streams: 7, BytesOut: 8, BytesIn: 9, DatagramsIn: 10,
+		Network: NetworkStats{
+			DisallowedPeers: 1, Corrupt: 2, VersionMismatches: 3, QueueFull: 4, Unsent: 5, DatagramsOut: 6, StreamsOut: 7, BytesOut: 8, BytesIn: 9, DatagramsIn: 10,
 			StreamBytesOut: 11, StreamBytesIn: 12,
 		},
 	}
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "state.json", append(text, '\n'))
-	var read State
+	var read Status
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, state) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, state)
 	}
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -49,33 +49,33 @@
 	answerTime   = time.Second
 )
 
-// Descriptors is how many a Node may have open, but for WebConns: for datagrams and streams, and streams each way.
-const Descriptors = 2 + streamsIn + 1 + streamsOut
+// MaxDescriptors is how many a Node may have open, but for MaxHTTPConns: for datagrams and streams, and streams each way.
+const MaxDescriptors = 2 + streamsIn + 1 + streamsOut
 
 // Map is how members of a prefix are reached from here: address by address under another one of the same length. For fleets
 // across networks that translate addresses.
-type Map struct{ From, To netip.Prefix }
+type AddressTranslation struct{ From, To netip.Prefix }
 
 // Config is a Node's.
 type Config struct {
-	Core    cluster.Config // Run and Allowed are filled in
-	Told    int
-	Listen  string        // address and port, for datagrams and streams
-	Allowed *netipx.IPSet // peers' networks
-	Maps    []Map
+	Core           cluster.Config // Run and Allowed are filled in
+	ConfiguredSize int
+	Listen         string        // address and port, for datagrams and streams
+	AllowedPeers   *netipx.IPSet // peers' networks
+	Translations   []AddressTranslation
 	// Told by others: a server drains or is gone, or that holds no more. Count: how many sidecars to reckon with. Both are
 	// called from Run's goroutine and must not block.
-	OnWord  func(w cluster.EndpointNotice, holds bool)
-	OnCount func(n int)
+	OnNotice      func(w cluster.EndpointNotice, holds bool)
+	OnSizeChanged func(n int)
 	// TableFull and QueueFull are called when a name has no place and when a message has none, from any goroutine; nil: never.
-	TableFull, QueueFull func()
+	OnTableFull, OnQueueFull func()
 	// Serve answers peers that speak HTTP to the same address; nil: nobody does.
-	Serve http.Handler
-	// OnView is called with who lives, but for this member, at each change of that; joined says that anybody was heard. As OnWord.
-	OnView func(others []cluster.Member, joined bool)
-	// OnStamp is called with the stamp of the configuration that another member acts on, for each message with another one than this
-	// member has told by SetStamp. As OnWord.
-	OnStamp func(from cluster.Entry, epoch, number uint64)
+	Handler http.Handler
+	// OnMembersChanged is called with who lives, but for this member, at each change of that; joined says that anybody was heard. As OnNotice.
+	OnMembersChanged func(others []cluster.Member, joined bool)
+	// OnConfigRevision is called with the stamp of the configuration that another member acts on, for each message with another one than this
+	// member has told by SetConfigRevision. As OnNotice.
+	OnConfigRevision func(from cluster.Entry, epoch, number uint64)
 	// Network stands between this member and its sockets; nil: nothing does, as in the daemon. Only stand-ins set it.
 	Network Network
 	Log     *slog.Logger
@@ -87,8 +87,8 @@
 	Listen(l net.Listener) net.Listener
 	// Dial opens a stream, as net.Dialer's DialContext.
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
-	// Datagram lets one of size bytes go by calling send now, later or never, at most once. It must not block.
-	Datagram(to netip.AddrPort, size int, send func())
+	// SendDatagram lets one of size bytes go by calling send now, later or never, at most once. It must not block.
+	SendDatagram(to netip.AddrPort, size int, send func())
 }
 
 // Node is this process's place in the fleet.
@@ -117,7 +117,7 @@
 	msg   *cluster.Message
 	bad   error
 	from  netip.Addr
-	ask   chan<- State
+	ask   chan<- Status
 	word  *cluster.EndpointNotice
 	nudge bool
 }
@@ -128,31 +128,31 @@
 }
 
 // State is what a Node says of itself.
-type State struct {
-	Name    string        `json:"name"`
-	Fleet   string        `json:"fleet"`
-	Members []MemberState `json:"members"`
-	Core    cluster.Stats `json:"core"`
-	Network NetworkState  `json:"network"`
+type Status struct {
+	Name        string         `json:"name"`
+	ClusterName string         `json:"fleet"`
+	Members     []MemberStatus `json:"members"`
+	Core        cluster.Stats  `json:"core"`
+	Network     NetworkStats   `json:"network"`
 }
 
-// MemberState is a member as of now.
-type MemberState struct {
+// MemberStatus is a member as of now.
+type MemberStatus struct {
 	cluster.Member
-	For string `json:"for"` // how long it has been in its state
+	StateAge string `json:"for"` // how long it has been in its state
 }
 
-// NetworkState counts since the start.
-type NetworkState struct {
-	Outside   int64 `json:"outside"`   // from outside the allowed networks: dropped
-	Corrupt   int64 `json:"corrupt"`   // could not be read: dropped
-	Version   int64 `json:"version"`   // of another version: dropped
-	Full      int64 `json:"full"`      // came when the queue was full: dropped
-	Unsent    int64 `json:"unsent"`    // could not be sent
-	Datagrams int64 `json:"datagrams"` // sent
-	Streams   int64 `json:"streams"`   // sent
-	BytesOut  int64 `json:"bytes_out"`
-	BytesIn   int64 `json:"bytes_in"`
+// NetworkStats counts since the start.
+type NetworkStats struct {
+	DisallowedPeers   int64 `json:"outside"`   // from outside the allowed networks: dropped
+	Corrupt           int64 `json:"corrupt"`   // could not be read: dropped
+	VersionMismatches int64 `json:"version"`   // of another version: dropped
+	QueueFull         int64 `json:"full"`      // came when the queue was full: dropped
+	Unsent            int64 `json:"unsent"`    // could not be sent
+	DatagramsOut      int64 `json:"datagrams"` // sent
+	StreamsOut        int64 `json:"streams"`   // sent
+	BytesOut          int64 `json:"bytes_out"`
+	BytesIn           int64 `json:"bytes_in"`
 
 	DatagramsIn    int64 `json:"datagrams_in"`
 	StreamBytesOut int64 `json:"stream_bytes_out"` // of bytes_out; the rest are datagrams'
@@ -167,8 +167,8 @@
 	}
 	n := &Node{cfg: c, begun: time.Now(), in: make(chan input, QueueLength), out: make(chan outgoing, outLength), say: map[string]time.Time{}}
 	n.cfg.Core.ProcessID = rand.Uint64()
-	n.cfg.Core.AllowAddress = func(a cluster.Address) bool { return a.Port() != 0 && c.Allowed.Contains(a.Addr()) }
-	if n.core, err = cluster.New(n.cfg.Core, 0, c.Told); err != nil {
+	n.cfg.Core.AllowAddress = func(a cluster.Address) bool { return a.Port() != 0 && c.AllowedPeers.Contains(a.Addr()) }
+	if n.core, err = cluster.New(n.cfg.Core, 0, c.ConfiguredSize); err != nil {
 		return nil, err
 	}
 	if n.listen, err = net.Listen("tcp", c.Listen); err != nil {
@@ -184,14 +184,14 @@
 	if c.Network != nil {
 		n.listen = c.Network.Listen(n.listen)
 	}
-	if c.Serve != nil {
-		n.web = newWeb(c.Serve)
+	if c.Handler != nil {
+		n.web = newWeb(c.Handler)
 	}
 	return n, nil
 }
 
 // Process tells this process from others under its name: what others hold of it has it as Version.Run.
-func (n *Node) Process() uint64 { return n.cfg.Core.ProcessID }
+func (n *Node) ProcessID() uint64 { return n.cfg.Core.ProcessID }
 
 // Close ends a Node that does not run.
 func (n *Node) Close() {
@@ -201,19 +201,19 @@
 
 // Say spreads a word of this process's own sources. It may be called from any goroutine, and does not wait: with a full queue
 // the word is dropped, and the sources of the others bring it.
-func (n *Node) Say(w cluster.EndpointNotice) {
+func (n *Node) Announce(w cluster.EndpointNotice) {
 	n.post(input{word: &w})
 }
 
-// SetStamp has all messages from now on say which configuration this member holds, and tells some members at once, so that one whose
+// SetConfigRevision has all messages from now on say which configuration this member holds, and tells some members at once, so that one whose
 // own way is broken hears of a change within moments. It may be called from any goroutine.
-func (n *Node) SetStamp(epoch, number uint64) {
+func (n *Node) SetConfigRevision(epoch, number uint64) {
 	n.stamp.Store(&[2]uint64{epoch, number})
 	n.post(input{nudge: true})
 }
 
-// SetTold replaces what the settings told of the number of sidecars, from the next event on. It may be called from any goroutine.
-func (n *Node) SetTold(sidecars int) { n.told.Store(int64(sidecars)) }
+// SetConfiguredSize replaces what the settings told of the number of sidecars, from the next event on. It may be called from any goroutine.
+func (n *Node) SetConfiguredSize(sidecars int) { n.told.Store(int64(sidecars)) }
 
 func (n *Node) post(i input) bool {
 	select {
@@ -221,21 +221,21 @@
 		return true
 	default:
 		n.count.full.Add(1)
-		if n.cfg.QueueFull != nil {
-			n.cfg.QueueFull()
+		if n.cfg.OnQueueFull != nil {
+			n.cfg.OnQueueFull()
 		}
 		return false
 	}
 }
 
 // State is the view. It may be called from any goroutine while Run runs; zero: it did not answer in a second.
-func (n *Node) State() (s State) {
-	answer := make(chan State, 1)
+func (n *Node) Status() (s Status) {
+	answer := make(chan Status, 1)
 	late := time.After(answerTime)
 	select {
 	case n.in <- input{ask: answer}:
 	case <-late:
-		return State{}
+		return Status{}
 	}
 	select {
 	case s = <-answer:
@@ -299,7 +299,7 @@
 		n.act(n.core.GossipNow(n.now()))
 	case i.bad != nil:
 		kind := "corrupt"
-		if errors.Is(i.bad, ErrVersion) {
+		if errors.Is(i.bad, ErrUnsupportedVersion) {
 			kind = "version"
 		}
 		if now := time.Now(); now.Sub(n.say[kind]) >= sayEvery {
@@ -310,8 +310,8 @@
 		n.lookAtStamp(i.msg)
 		full := n.core.TableFull()
 		n.act(n.core.Receive(n.now(), i.msg))
-		if n.core.TableFull() > full && n.cfg.TableFull != nil {
-			n.cfg.TableFull()
+		if n.core.TableFull() > full && n.cfg.OnTableFull != nil {
+			n.cfg.OnTableFull()
 		}
 	}
 }
@@ -325,35 +325,35 @@
 			n.cfg.Log.Info("fleet", "member", a.Transition.Name, "life", a.Transition.Generation, "was", a.Transition.From, "now", a.Transition.To, "why", a.Transition.Reason)
 		case cluster.NoticeReceived:
 			n.cfg.Log.Info("fleet: told of a server", "server", a.Notice.Endpoint, "gone", a.Notice.Removed, "by", a.Notice.ReportedBy, "age", a.Notice.Age)
-			n.cfg.OnWord(a.Notice, true)
+			n.cfg.OnNotice(a.Notice, true)
 		case cluster.NoticeExpired:
-			n.cfg.OnWord(a.Notice, false)
+			n.cfg.OnNotice(a.Notice, false)
 		case cluster.SizeChanged:
-			n.cfg.OnCount(a.EstimatedSize)
+			n.cfg.OnSizeChanged(a.EstimatedSize)
 		}
 	}
 }
 
-func (n *Node) state() State {
-	s := State{Name: n.cfg.Core.Name, Fleet: n.cfg.Core.ClusterName, Core: n.core.Stats(), Network: n.Network()}
+func (n *Node) state() Status {
+	s := Status{Name: n.cfg.Core.Name, ClusterName: n.cfg.Core.ClusterName, Core: n.core.Stats(), Network: n.NetworkStats()}
 	now := n.now()
 	for _, m := range n.core.Members() {
-		s.Members = append(s.Members, MemberState{m, (now - m.Since).Round(time.Millisecond).String()})
+		s.Members = append(s.Members, MemberStatus{m, (now - m.Since).Round(time.Millisecond).String()})
 	}
 	return s
 }
 
 // Network is what was counted so far. It may be called from any goroutine, and does not wait.
-func (n *Node) Network() NetworkState {
+func (n *Node) NetworkStats() NetworkStats {
 	c := &n.count
-	return NetworkState{Outside: c.outside.Load(), Corrupt: c.corrupt.Load(), Version: c.version.Load(), Full: c.full.Load(), Unsent: c.unsent.Load(),
-		Datagrams: c.datagrams.Load(), Streams: c.streams.Load(), BytesOut: c.bytesOut.Load(), BytesIn: c.bytesIn.Load(),
+	return NetworkStats{DisallowedPeers: c.outside.Load(), Corrupt: c.corrupt.Load(), VersionMismatches: c.version.Load(), QueueFull: c.full.Load(), Unsent: c.unsent.Load(),
+		DatagramsOut: c.datagrams.Load(), StreamsOut: c.streams.Load(), BytesOut: c.bytesOut.Load(), BytesIn: c.bytesIn.Load(),
 		DatagramsIn: c.datagramsIn.Load(), StreamBytesOut: c.streamBytesOut.Load(), StreamBytesIn: c.streamBytesIn.Load()}
 }
 
 // reach is where an address is reached from here.
 func (n *Node) reach(to netip.AddrPort) netip.AddrPort {
-	for _, m := range n.cfg.Maps {
+	for _, m := range n.cfg.Translations {
 		if a := to.Addr(); m.From.Contains(a) {
 			from, as := a.AsSlice(), m.To.Masked().Addr().AsSlice()
 			for bit := m.From.Bits(); bit < len(as)*8; bit++ {
@@ -388,7 +388,7 @@
 		n.datagram(frame, to)
 		return
 	}
-	n.cfg.Network.Datagram(to, len(frame), func() { n.datagram(frame, to) })
+	n.cfg.Network.SendDatagram(to, len(frame), func() { n.datagram(frame, to) })
 }
 
 func (n *Node) datagram(frame []byte, to netip.AddrPort) {
@@ -459,7 +459,7 @@
 }
 
 func (n *Node) allowed(a netip.Addr) bool {
-	if n.cfg.Allowed.Contains(a.Unmap()) {
+	if n.cfg.AllowedPeers.Contains(a.Unmap()) {
 		return true
 	}
 	n.count.outside.Add(1)
@@ -470,7 +470,7 @@
 	n.count.bytesIn.Add(int64(len(frame)))
 	msg, err := Decode(frame)
 	if err != nil {
-		if errors.Is(err, ErrVersion) {
+		if errors.Is(err, ErrUnsupportedVersion) {
 			n.count.version.Add(1)
 		} else {
 			n.count.corrupt.Add(1)
--- a/internal/cluster/gossip/gossip_test.go
+++ b/internal/cluster/gossip/gossip_test.go
@@ -58,9 +58,9 @@
 func run(t *testing.T, name string, more func(*Config), seeds ...netip.AddrPort) *running {
 	t.Helper()
 	r := &running{at: freeAddr(t, "127.0.0.1")}
-	c := Config{Listen: r.at.String(), Told: 1, Allowed: networks(t, "127.0.0.0/8"), Log: slog.New(slog.DiscardHandler),
-		OnWord:  func(w cluster.EndpointNotice, holds bool) { r.mu.Lock(); r.words = append(r.words, w); r.mu.Unlock() },
-		OnCount: func(n int) { r.mu.Lock(); r.count = n; r.mu.Unlock() },
+	c := Config{Listen: r.at.String(), ConfiguredSize: 1, AllowedPeers: networks(t, "127.0.0.0/8"), Log: slog.New(slog.DiscardHandler),
+		OnNotice:      func(w cluster.EndpointNotice, holds bool) { r.mu.Lock(); r.words = append(r.words, w); r.mu.Unlock() },
+		OnSizeChanged: func(n int) { r.mu.Lock(); r.count = n; r.mu.Unlock() },
 		Core: cluster.Config{ClusterName: "f", Name: name, AdvertiseAddr: r.at, Seeds: seeds, ProbeInterval: 200 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond,
 			GossipInterval: 20 * time.Millisecond, PushPullInterval: time.Second, MaxMembers: 1000}}
 	if more != nil {
@@ -78,7 +78,7 @@
 	return r
 }
 
-func states(s State) map[string]cluster.State {
+func states(s Status) map[string]cluster.State {
 	out := map[string]cluster.State{}
 	for _, m := range s.Members {
 		out[m.Name] = m.State
@@ -95,13 +95,13 @@
 	other := run(t, "x", func(c *Config) { c.Core.ClusterName = "g" }, a.at)
 	testutil.Until(t, "three know each other", func() bool {
 		for _, r := range []*running{a, b, c} {
-			if s := states(r.State()); len(s) != 3 {
+			if s := states(r.Status()); len(s) != 3 {
 				return false
 			}
 		}
 		return true
 	})
-	b.Say(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 5})
+	b.Announce(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 5})
 	testutil.Until(t, "all were told, and count three", func() bool {
 		for _, r := range []*running{a, c} {
 			r.mu.Lock()
@@ -115,12 +115,12 @@
 	})
 	b.stop()
 	testutil.Until(t, "the others know that it left", func() bool {
-		return states(a.State())["b"] == cluster.Left && states(c.State())["b"] == cluster.Left
+		return states(a.Status())["b"] == cluster.Left && states(c.Status())["b"] == cluster.Left
 	})
-	if s := other.State(); len(s.Members) != 1 || s.Core.ForeignMessages > 0 && s.Members[0].Name != "x" {
+	if s := other.Status(); len(s.Members) != 1 || s.Core.ForeignMessages > 0 && s.Members[0].Name != "x" {
 		t.Errorf("another fleet: %+v", s)
 	}
-	if s := a.State(); s.Core.ForeignMessages == 0 {
+	if s := a.Status(); s.Core.ForeignMessages == 0 {
 		t.Errorf("what came from another fleet was not counted: %+v", s.Core)
 	}
 }
@@ -134,20 +134,20 @@
 	}
 	seen := make(chan stamp, 1000)
 	a := run(t, "a", func(c *Config) {
-		c.OnStamp = func(from cluster.Entry, epoch, number uint64) {
+		c.OnConfigRevision = func(from cluster.Entry, epoch, number uint64) {
 			select {
 			case seen <- stamp{from.Name, epoch, number}:
 			default:
 			}
 		}
 	})
-	a.SetStamp(3, 7)
+	a.SetConfigRevision(3, 7)
 	b := run(t, "b", nil, a.at) // knows of no stamps
-	b.SetTold(40)
+	b.SetConfiguredSize(40)
 	c := run(t, "c", nil, a.at)
-	c.SetStamp(3, 7)
+	c.SetConfigRevision(3, 7)
 	testutil.Until(t, "three know each other", func() bool {
-		return len(states(a.State())) == 3 && len(states(c.State())) == 3 && len(states(b.State())) == 3
+		return len(states(a.Status())) == 3 && len(states(c.Status())) == 3 && len(states(b.Status())) == 3
 	})
 	testutil.Until(t, "b reckons with what it was told", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.count == 40 })
 	alien, _ := Encode(&cluster.Message{Kind: cluster.Ping, ClusterName: "g", From: cluster.Entry{Name: "x", Addr: c.at, Incarnation: cluster.Incarnation{Generation: 1, ProcessID: 2}}, ConfigEpoch: 9, ConfigVersion: 9})
@@ -157,8 +157,8 @@
 	}
 	defer conn.Close()
 	conn.Write(alien)
-	testutil.Until(t, "another fleet's message was counted", func() bool { return a.State().Core.ForeignMessages > 0 })
-	c.SetStamp(4, 1)
+	testutil.Until(t, "another fleet's message was counted", func() bool { return a.Status().Core.ForeignMessages > 0 })
+	c.SetConfigRevision(4, 1)
 	if s := testutil.Receive(t, seen, "the stamp"); s != (stamp{"c", 4, 1}) {
 		t.Errorf("%+v", s)
 	}
@@ -167,7 +167,7 @@
 // A broken or hostile peer costs no more than the stated bounds: what cannot be read, other versions, lengths that lie, names
 // without end, floods; and those outside the networks are not listened to. The member goes on.
 func TestBadPeers(t *testing.T) {
-	a := run(t, "a", func(c *Config) { c.Allowed = networks(t, "127.0.0.1/32", "127.0.0.2/32") })
+	a := run(t, "a", func(c *Config) { c.AllowedPeers = networks(t, "127.0.0.1/32", "127.0.0.2/32") })
 	from := func(ip string) *net.UDPConn {
 		c, err := net.DialUDP("udp", &net.UDPAddr{IP: net.ParseIP(ip)}, net.UDPAddrFromAddrPort(a.at))
 		if err != nil {
@@ -214,20 +214,20 @@
 		peer.Write(good)
 	}
 	testutil.Until(t, "all is counted, and the member still answers", func() bool {
-		s := a.State()
-		return s.Network.Outside >= 1 && s.Network.Corrupt >= 5 && s.Network.Version >= 1 && s.Core.Rejected > 100_000
+		s := a.Status()
+		return s.Network.DisallowedPeers >= 1 && s.Network.Corrupt >= 5 && s.Network.VersionMismatches >= 1 && s.Core.Rejected > 100_000
 	})
-	if s := a.State(); s.Core.KnownMembers > 1000 || len(s.Members) > 1000 {
+	if s := a.Status(); s.Core.KnownMembers > 1000 || len(s.Members) > 1000 {
 		t.Errorf("%d members, at most 1,000 are meant", s.Core.KnownMembers)
 	}
 	b := run(t, "b", nil, a.at)
-	testutil.Until(t, "one that speaks itself has a place", func() bool { _, ok := states(a.State())["b"]; return ok })
-	testutil.Until(t, "and knows it", func() bool { return states(b.State())["a"] == cluster.Alive })
+	testutil.Until(t, "one that speaks itself has a place", func() bool { _, ok := states(a.Status())["b"]; return ok })
+	testutil.Until(t, "and knows it", func() bool { return states(b.Status())["a"] == cluster.Alive })
 }
 
 // Addresses are translated one by one, prefix by prefix.
 func TestReach(t *testing.T) {
-	n := &Node{cfg: Config{Maps: []Map{{netip.MustParsePrefix("10.1.0.0/16"), netip.MustParsePrefix("172.20.0.0/16")}, {netip.MustParsePrefix("10.2.3.128/25"), netip.MustParsePrefix("192.168.7.0/25")}}}}
+	n := &Node{cfg: Config{Translations: []AddressTranslation{{netip.MustParsePrefix("10.1.0.0/16"), netip.MustParsePrefix("172.20.0.0/16")}, {netip.MustParsePrefix("10.2.3.128/25"), netip.MustParsePrefix("192.168.7.0/25")}}}}
 	for from, want := range map[string]string{"10.1.2.3:5": "172.20.2.3:5", "10.2.3.200:5": "192.168.7.72:5", "10.2.3.4:5": "10.2.3.4:5", "[::1]:5": "[::1]:5"} {
 		if got := n.reach(netip.MustParseAddrPort(from)).String(); got != want {
 			t.Errorf("%s: %s, want %s", from, got, want)
--- a/internal/cluster/gossip/web.go
+++ b/internal/cluster/gossip/web.go
@@ -9,9 +9,9 @@
 	"hazelwing/internal/cluster"
 )
 
-// WebConns bounds connections that speak HTTP, and how many of them wait to be taken: 64 for the list at its largest fan, as many for
+// MaxHTTPConns bounds connections that speak HTTP, and how many of them wait to be taken: 64 for the list at its largest fan, as many for
 // the configuration, and as many for reports.
-const WebConns = 192
+const MaxHTTPConns = 192
 
 // web serves HTTP on connections that the fleet's listener hands over.
 type web struct {
@@ -39,7 +39,7 @@
 // hand gives a connection to the server; false: there are too many, or it is closed.
 func (w *web) hand(c *peeked) bool {
 	w.mu.Lock()
-	if w.held >= WebConns {
+	if w.held >= MaxHTTPConns {
 		w.mu.Unlock()
 		return false
 	}
@@ -111,7 +111,7 @@
 // lookAtView tells OnView when who lives has changed. Run's goroutine calls it after each event; while nothing changes it costs a
 // comparison of the fingerprints.
 func (n *Node) lookAtView() {
-	if n.cfg.OnView == nil {
+	if n.cfg.OnMembersChanged == nil {
 		return
 	}
 	live, digest := n.core.Fingerprint()
@@ -130,12 +130,12 @@
 			others = append(others, m)
 		}
 	}
-	n.cfg.OnView(others, joined)
+	n.cfg.OnMembersChanged(others, joined)
 }
 
 // lookAtStamp tells OnStamp of a member of this fleet that acts on another configuration. Run's goroutine calls it.
 func (n *Node) lookAtStamp(m *cluster.Message) {
-	if n.cfg.OnStamp == nil || m.ConfigEpoch == 0 || m.ClusterName != n.cfg.Core.ClusterName || !n.cfg.Core.AllowAddress(m.From.Addr) {
+	if n.cfg.OnConfigRevision == nil || m.ConfigEpoch == 0 || m.ClusterName != n.cfg.Core.ClusterName || !n.cfg.Core.AllowAddress(m.From.Addr) {
 		return
 	}
 	if s := n.stamp.Load(); s != nil && s[0] == m.ConfigEpoch && s[1] == m.ConfigVersion {
@@ -143,5 +143,5 @@
 	}
 	from := m.From
 	from.Addr = n.reach(from.Addr)
-	n.cfg.OnStamp(from, m.ConfigEpoch, m.ConfigVersion)
+	n.cfg.OnConfigRevision(from, m.ConfigEpoch, m.ConfigVersion)
 }
--- a/internal/cluster/node/peering.go
+++ b/internal/cluster/node/peering.go
@@ -34,26 +34,26 @@
 
 // Config is what a sidecar's place is opened with.
 type Config struct {
-	Name string // this sidecar's, the same after a restart
-	Seed uint64 // of random choices
-	Told int    // how many sidecars the setting says there are
+	Name           string // this sidecar's, the same after a restart
+	RandomSeed     uint64 // of random choices
+	ConfiguredSize int    // how many sidecars the setting says there are
 	// TableFull and QueueFull are gossip.Config's.
-	TableFull, QueueFull func()
+	OnTableFull, OnQueueFull func()
 	// Also answers peers at the fleet's address beside the list; nil: nothing does. As gossip.Config's Serve.
-	Also http.Handler
+	Handler http.Handler
 	// OnView is called with who lives, after the list's source knows. As gossip.Config's; nil: nobody else wants it.
-	OnView func(others []cluster.Member, joined bool)
+	OnMembersChanged func(others []cluster.Member, joined bool)
 	// OnStamp is gossip.Config's; nil: the configuration is settled at the start.
-	OnStamp func(from cluster.Entry, epoch, number uint64)
+	OnConfigRevision func(from cluster.Entry, epoch, number uint64)
 	// Network stands between this sidecar and its peers; nil in the daemon. See gossip.Network.
 	Network gossip.Network
 	Log     *slog.Logger
 }
 
 // Part is the view of the fleet, and what it is for: the number of sidecars, and what others were told of servers.
-type Part struct {
-	Node *gossip.Node
-	List *relay.Source // nil: the list comes from discovery alone
+type Node struct {
+	Gossip         *gossip.Node
+	EndpointSource *relay.Source // nil: the list comes from discovery alone
 
 	onView func(others []cluster.Member, joined bool)
 	said   chan saidWord
@@ -67,40 +67,40 @@
 	holds bool
 }
 
-// OpenList puts the fleet between discovery and this sidecar. known is the list that it holds already. Nothing is asked before Watch.
-func OpenList(c Config, op *operator.Recovery, discovery engine.Source, known engine.EndpointUpdate) *relay.Source {
+// NewEndpointSource puts the fleet between discovery and this sidecar. known is the list that it holds already. Nothing is asked before Watch.
+func NewEndpointSource(c Config, op *operator.Recovery, discovery engine.Source, known engine.EndpointUpdate) *relay.Source {
 	var dial watch.Dial
 	if c.Network != nil {
 		dial = c.Network.Dial
 	}
 	return relay.NewSource(relay.Config{Discovery: discovery, Known: known, Most: 2 * int(op.Fan), Log: c.Log,
-		Selector: bootstrap.Config{Self: c.Name, Ask: int(op.Ask), Fan: int(op.Fan), Rate: op.Rate, Told: c.Told, Seed: c.Seed},
+		Selector: bootstrap.Config{Self: c.Name, Ask: int(op.Ask), Fan: int(op.Fan), Rate: op.Rate, Told: c.ConfiguredSize, Seed: c.RandomSeed},
 		Peer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
 			return watch.NewPeer(addr, header, check, c.Log).Through(dial)
 		}})
 }
 
 // Open listens at the fleet's address; list is nil where the list comes from discovery alone. Nothing is sent before Node.Run.
-func Open(c Config, op *operator.Fleet, list *relay.Source) (*Part, error) {
-	p := &Part{said: make(chan saidWord, wordsWaiting), List: list, onView: c.OnView}
-	g := gossip.Config{Told: c.Told, Listen: op.Listen, Allowed: op.Allowed, Log: c.Log, OnWord: p.Heard, OnCount: p.Counted, OnStamp: c.OnStamp, Network: c.Network,
-		TableFull: c.TableFull, QueueFull: c.QueueFull, Core: cluster.Config{
-			ClusterName: op.Name, Name: c.Name, AdvertiseAddr: op.Self, Seeds: op.Peers, RandomSeed: c.Seed,
+func Open(c Config, op *operator.Fleet, list *relay.Source) (*Node, error) {
+	p := &Node{said: make(chan saidWord, wordsWaiting), EndpointSource: list, onView: c.OnMembersChanged}
+	g := gossip.Config{ConfiguredSize: c.ConfiguredSize, Listen: op.Listen, AllowedPeers: op.Allowed, Log: c.Log, OnNotice: p.ReceiveNotice, OnSizeChanged: p.SizeChanged, OnConfigRevision: c.OnConfigRevision, Network: c.Network,
+		OnTableFull: c.OnTableFull, OnQueueFull: c.OnQueueFull, Core: cluster.Config{
+			ClusterName: op.Name, Name: c.Name, AdvertiseAddr: op.Self, Seeds: op.Peers, RandomSeed: c.RandomSeed,
 			ProbeInterval: time.Duration(op.Probe), ProbeTimeout: time.Duration(op.Timeout), GossipInterval: time.Duration(op.Gossip), PushPullInterval: time.Duration(op.Sync),
 			ReconnectInterval: time.Duration(op.Retry), DeadMemberTTL: time.Duration(op.Forget), NoticeTTL: time.Duration(op.KeepWords), IndirectChecks: int(op.Indirect),
 			SuspicionMult: op.Suspicion, MaxMembers: int(op.Most)}}
-	g.Serve = c.Also
-	if list != nil || c.OnView != nil {
-		g.OnView = p.viewed
+	g.Handler = c.Handler
+	if list != nil || c.OnMembersChanged != nil {
+		g.OnMembersChanged = p.viewed
 	}
 	if list != nil {
-		g.Serve = serve(list.Relay(), c.Also)
+		g.Handler = serve(list.Relay(), c.Handler)
 	}
 	for _, t := range op.Translate {
-		g.Maps = append(g.Maps, gossip.Map{From: t.Prefix, To: t.As})
+		g.Translations = append(g.Translations, gossip.AddressTranslation{From: t.Prefix, To: t.As})
 	}
 	var err error
-	if p.Node, err = gossip.New(g); err != nil {
+	if p.Gossip, err = gossip.New(g); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	c.Log.Info("fleet: listening", "fleet", op.Summary())
@@ -122,13 +122,13 @@
 }
 
 // viewed tells who may be followed. It is called from the node's goroutine.
-func (p *Part) viewed(others []cluster.Member, joined bool) {
-	if p.List != nil {
+func (p *Node) viewed(others []cluster.Member, joined bool) {
+	if p.EndpointSource != nil {
 		list := make([]bootstrap.Member, 0, len(others))
 		for _, m := range others {
 			list = append(list, bootstrap.Member{Name: m.Name, Addr: m.Addr})
 		}
-		p.List.View(list, joined)
+		p.EndpointSource.View(list, joined)
 	}
 	if p.onView != nil {
 		p.onView(others, joined)
@@ -136,7 +136,7 @@
 }
 
 // Heard hands a word to the merge's source. It is called from the node's goroutine, and does not wait.
-func (p *Part) Heard(w cluster.EndpointNotice, holds bool) {
+func (p *Node) ReceiveNotice(w cluster.EndpointNotice, holds bool) {
 	select {
 	case p.said <- saidWord{w, holds}:
 	default:
@@ -144,7 +144,7 @@
 }
 
 // Counted passes the number of sidecars on. It is called from the node's goroutine.
-func (p *Part) Counted(n int) {
+func (p *Node) SizeChanged(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.last = n
@@ -154,7 +154,7 @@
 }
 
 // OnCount has the number of sidecars told to count from now on, first the last one.
-func (p *Part) OnCount(count func(int)) {
+func (p *Node) OnSizeChanged(count func(int)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.count = count
@@ -164,37 +164,37 @@
 }
 
 // Counts says whether the view tells how many sidecars to reckon with.
-func (p *Part) Counts() bool {
+func (p *Node) HasSizeListener() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count != nil
 }
 
 // Told passes on what this process's own discovery says.
-func (p *Part) Told(m engine.Endpoint) {
-	p.Node.Say(cluster.EndpointNotice{Endpoint: m.ID, Removed: m.State == balancer.Removed, StartedMS: m.StartedAtMS})
+func (p *Node) AnnounceEndpoint(m engine.Endpoint) {
+	p.Gossip.Announce(cluster.EndpointNotice{Endpoint: m.ID, Removed: m.State == balancer.Removed, StartedMS: m.StartedAtMS})
 }
 
 // Merge is the configuration of a merge of discovery's list with what others were told; sources beside both may be added. p is nil
 // where nobody else is listened to, op where the operator's file has no table.
-func Merge(op *operator.Members, p *Part, discovery engine.Source, known []engine.Endpoint, log *slog.Logger) mergedsource.Config {
+func MergeConfig(op *operator.Members, p *Node, discovery engine.Source, known []engine.Endpoint, log *slog.Logger) mergedsource.Config {
 	if op == nil {
 		op = operator.DefaultMembers()
 	}
 	c := mergedsource.Config{Discovery: discovery, Known: known, Most: int(op.Most), Settle: time.Duration(op.Settle), Forget: time.Duration(op.Forget),
 		Share: op.Share, Window: time.Duration(op.Window), Log: log}
 	if p != nil {
-		c.Beside, c.Told = []mergedsource.Beside{p.beside()}, p.Told
+		c.Beside, c.Told = []mergedsource.Beside{p.beside()}, p.AnnounceEndpoint
 	}
 	return c
 }
 
 // beside is the source of what others were told: it may take servers out, within the merge's share, and adds none.
-func (p *Part) beside() mergedsource.Beside {
+func (p *Node) beside() mergedsource.Beside {
 	return mergedsource.Beside{Source: discovery.Source{Name: sourceName, Rank: 9, Hearsay: true}, Run: p.tell}
 }
 
-func (p *Part) tell(ctx context.Context, tell func(discovery.View), _ func(error)) {
+func (p *Node) tell(ctx context.Context, tell func(discovery.View), _ func(error)) {
 	for seq := int64(1); ; seq++ {
 		select {
 		case <-ctx.Done():
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -138,7 +138,7 @@
 	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Fleet: "hollow", Self: m.Name, Round: 300 * time.Millisecond},
 		Origins: r.addrs, Most: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
 		Selector: bootstrap.Config{Self: m.Name, Ask: 40, Fan: 4, Told: len(r.Members), Seed: uint64(m.N)},
-		Holds:    func(s controlplane.Stamp) { node.Load().SetStamp(s.Epoch, s.Version) },
+		Holds:    func(s controlplane.Stamp) { node.Load().SetConfigRevision(s.Epoch, s.Version) },
 		Apply: func(s *controlplane.Snapshot) error {
 			r.mu.Lock()
 			defer r.mu.Unlock()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,7 +35,7 @@
 	// members is discovery and the sources beside it; nil: there are none.
 	members *mergedsource.Source
 	list    *relay.Source     // discovery's list by way of the fleet; nil: from discovery alone
-	fleet   *node.Part        // the other sidecars; nil: they are not known
+	fleet   *node.Node        // the other sidecars; nil: they are not known
 	guard   *middleware.Guard // nil: there is no ledger of effects
 	admin   net.Listener      // nil: there is no endpoint
 	extras  []*extra
@@ -56,18 +56,18 @@
 		log, level = levelledLog(log)
 	}
 	bounds := limits.NewSet(log)
-	limits, err := cfg.Limits.Keep(descriptors(op))
+	limits, err := cfg.Limits.ReserveDescriptors(descriptors(op))
 	if err != nil {
 		return nil, err
 	}
 	pool := http1.New(http1.Config{Connect: set.ConnectTimeout, Idle: cfg.Settings.ConnIdle(),
-		Grace: cfg.Settings.DrainGrace(), Conns: limits.UpstreamConns(), Answer: limits.Answer(),
-		Full: bounds.Add("connections to upstreams", limits.UpstreamConns())})
-	known, odd := cfg.Known.Members()
+		Grace: cfg.Settings.DrainGrace(), Conns: limits.MaxUpstreamConns(), Answer: limits.MaxResponseBytes(),
+		Full: bounds.Add("connections to upstreams", limits.MaxUpstreamConns())})
+	known, odd := cfg.InitialEndpoints.Members()
 	if odd != nil {
 		log.Warn("an entry of the list", "err", odd)
 	}
-	s := &sidecar{conns: limits.ClientConns(), pool: pool, bounds: bounds, asked: set.MustSubscribe, log: log, platformAddr: cfg.Discovery, followed: cfg.Discovery}
+	s := &sidecar{conns: limits.MaxClientConns(), pool: pool, bounds: bounds, asked: set.MustSubscribe, log: log, platformAddr: cfg.Discovery, followed: cfg.Discovery}
 	defer func() {
 		if err != nil {
 			s.close()
@@ -89,7 +89,7 @@
 	}
 	var source engine.Source = watch.New(cfg.Discovery, set.MustSubscribe, log)
 	if op.Recovery != nil {
-		s.list = openList(op.Recovery, cfg, set.Balancers, source, engine.EndpointUpdate{Version: cfg.Known.Seq, Endpoints: known}, log)
+		s.list = openList(op.Recovery, cfg, set.Balancers, source, engine.EndpointUpdate{Version: cfg.InitialEndpoints.Seq, Endpoints: known}, log)
 		source = s.list
 	}
 	if op.Fleet != nil {
@@ -113,12 +113,12 @@
 		source = s.members
 	}
 	s.engine, err = engine.New(engine.Config{Settings: set, Seed: uint64(cfg.Seed), Transport: transport, Source: source,
-		CachedList: engine.EndpointUpdate{Version: cfg.Known.Seq, Endpoints: known}, Log: log})
+		CachedList: engine.EndpointUpdate{Version: cfg.InitialEndpoints.Seq, Endpoints: known}, Log: log})
 	if err != nil {
 		return nil, err
 	}
 	if s.fleet != nil && !op.Fleet.NoCount {
-		s.fleet.OnCount(s.engine.SetBalancers)
+		s.fleet.OnSizeChanged(s.engine.SetBalancers)
 	}
 	var doer httpfront.Doer = s.engine
 	if s.guard != nil {
@@ -143,7 +143,7 @@
 		s.admin.Close()
 	}
 	if s.fleet != nil {
-		s.fleet.Node.Close()
+		s.fleet.Gossip.Close()
 	}
 	for _, x := range s.extras {
 		x.listener.Close()
@@ -152,13 +152,13 @@
 }
 
 // parts are what the admin endpoint shows.
-func (s *sidecar) parts() admin.Parts {
-	p := admin.Parts{"bounds": func() any { return s.bounds.State() }}
+func (s *sidecar) parts() admin.Sections {
+	p := admin.Sections{"bounds": func() any { return s.bounds.State() }}
 	if s.members != nil {
 		p["members"] = func() any { return s.members.State() }
 	}
 	if s.fleet != nil {
-		p["fleet"] = func() any { return s.fleet.Node.State() }
+		p["fleet"] = func() any { return s.fleet.Gossip.Status() }
 	}
 	if s.config != nil {
 		p["config"] = s.config.state
@@ -197,7 +197,7 @@
 		parts.Go(func() { s.members.Run(work) })
 	}
 	if s.fleet != nil {
-		parts.Go(func() { s.fleet.Node.Run(work) })
+		parts.Go(func() { s.fleet.Gossip.Run(work) })
 	}
 	parts.Go(func() { s.reloads(work, reload, again) })
 	if s.admin != nil {
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -72,7 +72,7 @@
 	if c.Discovery != nil && c.Discovery.Addr != nil {
 		addr = *c.Discovery.Addr
 	}
-	counts := p.s.fleet.Counts() // then the view goes on from the number, and tells the engine what follows
+	counts := p.s.fleet.HasSizeListener() // then the view goes on from the number, and tells the engine what follows
 	sidecars := max(r.Balancers, 1)
 	if counts {
 		r.Balancers = 0
@@ -93,7 +93,7 @@
 	}
 	p.said = addr
 	if counts && sidecars != p.told { // said once: the view has the number give way with time
-		p.s.fleet.Node.SetTold(sidecars)
+		p.s.fleet.Gossip.SetConfiguredSize(sidecars)
 	}
 	p.told = sidecars
 	p.level.Set(level)
@@ -160,7 +160,9 @@
 }
 
 // holds tells the others which snapshot this one holds. It is called from the member's goroutine.
-func (p *configPart) holds(s controlplane.Stamp) { p.s.fleet.Node.SetStamp(s.Epoch, s.Version) }
+func (p *configPart) holds(s controlplane.Stamp) {
+	p.s.fleet.Gossip.SetConfigRevision(s.Epoch, s.Version)
+}
 
 // waitReady lets the start wait, so that a joiner does not serve by old settings without saying so.
 func (p *configPart) waitReady(ctx context.Context) {
--- a/internal/daemon/extra.go
+++ b/internal/daemon/extra.go
@@ -33,16 +33,16 @@
 // descriptors is how many the parts may have open that the operator's file asks for, each at its own bound.
 func descriptors(op *operator.Config) (n int) {
 	if op.Admin != nil {
-		n += 1 + admin.Conns + 1 // its listener, and one that is looked at
+		n += 1 + admin.MaxConns + 1 // its listener, and one that is looked at
 	}
 	if op.GraphQL != nil {
 		n += 1 + int(op.GraphQL.Connections) + 1
 	}
 	if op.Fleet != nil {
-		n += gossip.Descriptors
+		n += gossip.MaxDescriptors
 	}
 	if op.Recovery != nil || op.Config != nil {
-		n += gossip.WebConns // those who follow this one
+		n += gossip.MaxHTTPConns // those who follow this one
 	}
 	if op.Recovery != nil {
 		n += 2 * int(op.Recovery.Ask) // a watch and a list of each that it asks
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -13,21 +13,21 @@
 )
 
 // openFleet listens at the fleet's address; config is nil where the configuration is settled at the start. Nothing is sent before the node runs.
-func openFleet(op *operator.Fleet, list *relay.Source, config *configPart, cfg *platform.Config, told int, bounds *limits.Set, log *slog.Logger) (*node.Part, error) {
+func openFleet(op *operator.Fleet, list *relay.Source, config *configPart, cfg *platform.Config, told int, bounds *limits.Set, log *slog.Logger) (*node.Node, error) {
 	c := place(cfg, told, log)
-	c.TableFull = bounds.Add("members of the fleet", int(op.Most))
-	c.QueueFull = bounds.Add("messages of the fleet that wait", gossip.QueueLength)
+	c.OnTableFull = bounds.Add("members of the fleet", int(op.Most))
+	c.OnQueueFull = bounds.Add("messages of the fleet that wait", gossip.QueueLength)
 	if config != nil {
-		c.Also, c.OnView, c.OnStamp = config.member.Handler(), config.viewed, config.stamped
+		c.Handler, c.OnMembersChanged, c.OnConfigRevision = config.member.Handler(), config.viewed, config.stamped
 	}
 	return node.Open(c, op, list)
 }
 
 // openList puts the fleet between discovery and this sidecar.
 func openList(op *operator.Recovery, cfg *platform.Config, told int, discovery engine.Source, known engine.EndpointUpdate, log *slog.Logger) *relay.Source {
-	return node.OpenList(place(cfg, told, log), op, discovery, known)
+	return node.NewEndpointSource(place(cfg, told, log), op, discovery, known)
 }
 
 func place(cfg *platform.Config, told int, log *slog.Logger) node.Config {
-	return node.Config{Name: cfg.Name, Seed: uint64(cfg.Seed), Told: told, Log: log}
+	return node.Config{Name: cfg.Name, RandomSeed: uint64(cfg.Seed), ConfiguredSize: told, Log: log}
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Node.Close()
+	defer p.Gossip.Close()
 	var known []engine.Endpoint
 	for i := range 10 {
 		known = append(known, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 100+i), StartedAtMS: 1000})
@@ -90,12 +90,12 @@
 		return list
 	}
 	testutil.Until(t, "all are listed", func() bool { return len(s.State()) == 10 && len(out()) == 0 })
-	p.Heard(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 1000, ReportedBy: "b"}, true)
-	p.Heard(cluster.EndpointNotice{Endpoint: "stranger", ReportedBy: "b"}, true)
+	p.ReceiveNotice(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 1000, ReportedBy: "b"}, true)
+	p.ReceiveNotice(cluster.EndpointNotice{Endpoint: "stranger", ReportedBy: "b"}, true)
 	testutil.Until(t, "what left is out", func() bool { return strings.Join(out(), " ") == "s1" })
 	// A liar says that all have left: the share of 0.3 holds.
 	for i := range 10 {
-		p.Heard(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, true)
+		p.ReceiveNotice(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, true)
 	}
 	testutil.Until(t, "the share is out", func() bool { return len(out()) == 3 })
 	for _, x := range s.State() {
@@ -104,7 +104,7 @@
 		}
 	}
 	for i := range 10 {
-		p.Heard(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, false)
+		p.ReceiveNotice(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, false)
 	}
 	testutil.Until(t, "old words hold no more", func() bool { return len(out()) == 0 })
 }
@@ -118,11 +118,11 @@
 
 // The number of sidecars reaches the module in place of the setting, also where it was known before the engine was there.
 func TestCountReachesTheEngine(t *testing.T) {
-	p := new(node.Part)
-	p.Counted(7)
+	p := new(node.Node)
+	p.SizeChanged(7)
 	var got []int
-	p.OnCount(func(n int) { got = append(got, n) })
-	p.Counted(9)
+	p.OnSizeChanged(func(n int) { got = append(got, n) })
+	p.SizeChanged(9)
 	if fmt.Sprint(got) != "[7 9]" {
 		t.Errorf("%v", got)
 	}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -20,8 +20,8 @@
 )
 
 // openMembers puts the sources of the operator's file beside discovery.
-func openMembers(op *operator.Members, f *node.Part, platform engine.Source, known []engine.Endpoint, seed uint64, log *slog.Logger) (*mergedsource.Source, error) {
-	c := node.Merge(op, f, platform, known, log)
+func openMembers(op *operator.Members, f *node.Node, platform engine.Source, known []engine.Endpoint, seed uint64, log *slog.Logger) (*mergedsource.Source, error) {
+	c := node.MergeConfig(op, f, platform, known, log)
 	if op != nil && op.SRV != nil {
 		s := op.SRV
 		r, err := dns.NewRefresh(dns.RefreshConfig{Source: srvName, Stale: time.Duration(s.Stale), Spread: time.Duration(s.Spread)}, seed)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -19,13 +19,13 @@
 
 // Config is what the platform tells a sidecar at its start.
 type Config struct {
-	Name      string        `json:"Name"`
-	Listen    string        `json:"Listen"`
-	Discovery string        `json:"Discovery"`
-	Seed      hexSeed       `json:"Seed"`
-	Limits    Limits        `json:"Limits"`
-	Known     watch.Listing `json:"Known"`
-	Settings  *wire.Env     `json:"Settings"`
+	Name             string        `json:"Name"`
+	Listen           string        `json:"Listen"`
+	Discovery        string        `json:"Discovery"`
+	Seed             hexSeed       `json:"Seed"`
+	Limits           Limits        `json:"Limits"`
+	InitialEndpoints watch.Listing `json:"Known"`
+	Settings         *wire.Env     `json:"Settings"`
 }
 
 // Limits are those of the sidecar's machine; 0: none told.
@@ -56,8 +56,8 @@
 // answerShare of the memory limit is what one answer's body may take.
 const answerShare = 1.0 / 64
 
-// Answer is what the body of an answer may be at most, in bytes: most answers are small, but not all.
-func (l Limits) Answer() int64 { return int64(l.MemoryMB * answerShare * (1 << 20)) }
+// MaxResponseBytes is what the body of an answer may be at most, in bytes: most answers are small, but not all.
+func (l Limits) MaxResponseBytes() int64 { return int64(l.MemoryMB * answerShare * (1 << 20)) }
 
 // keptFiles is what clients and upstreams never take of the descriptors. Used of it: standard input, output and error; the runtime's
 // poller (2) and the files in which it reads its share of the cores (2); the listener, and a newcomer that is looked at; discovery's
@@ -78,21 +78,21 @@
 // leastConns is how many connections of clients have to be left where an operator's file asks for descriptors.
 const leastConns = 8
 
-// Keep sets n more descriptors aside, for what an operator's file asks for, or says that they are too few.
-func (l Limits) Keep(n int) (Limits, error) {
-	if l.kept += n; n > 0 && l.ClientConns() < leastConns {
+// ReserveDescriptors sets n more descriptors aside, for what an operator's file asks for, or says that they are too few.
+func (l Limits) ReserveDescriptors(n int) (Limits, error) {
+	if l.kept += n; n > 0 && l.MaxClientConns() < leastConns {
 		return l, fmt.Errorf("limits.sockets: of %d descriptors %d are kept for discovery, log and runtime and %d for what the operator's file asks for: %d connections of clients and as many to upstreams have to be left",
 			l.files(), keptFiles, l.kept, leastConns)
 	}
 	return l, nil
 }
 
-// ClientConns is how many connections of clients may be held. They and UpstreamConns share the descriptors: a request
+// MaxClientConns is how many connections of clients may be held. They and MaxUpstreamConns share the descriptors: a request
 // needs one of each.
-func (l Limits) ClientConns() int { return max(1, (l.files()-keptFiles-l.kept)/2) }
+func (l Limits) MaxClientConns() int { return max(1, (l.files()-keptFiles-l.kept)/2) }
 
-// UpstreamConns is the part for connections to upstreams, those that are coming up among them.
-func (l Limits) UpstreamConns() int { return l.ClientConns() }
+// MaxUpstreamConns is the part for connections to upstreams, those that are coming up among them.
+func (l Limits) MaxUpstreamConns() int { return l.MaxClientConns() }
 
 // hexSeed is a seed for random numbers, written as hexadecimal digits.
 type hexSeed uint64
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -30,11 +30,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 255 || cfg.Listen != "127.0.0.1:4" || cfg.Discovery != "127.0.0.1:2" || len(cfg.Known.Hosts) != 1 ||
-		cfg.Known.Hosts[0].Dial != "127.0.0.1:3" || cfg.Limits.Sockets != 1024 || len(cfg.Settings.Classes) != 3 {
+	if cfg.Seed != 255 || cfg.Listen != "127.0.0.1:4" || cfg.Discovery != "127.0.0.1:2" || len(cfg.InitialEndpoints.Hosts) != 1 ||
+		cfg.InitialEndpoints.Hosts[0].Dial != "127.0.0.1:3" || cfg.Limits.Sockets != 1024 || len(cfg.Settings.Classes) != 3 {
 		t.Errorf("%+v", cfg)
 	}
-	if l := cfg.Limits; l.ClientConns()+l.UpstreamConns() >= l.Sockets {
+	if l := cfg.Limits; l.MaxClientConns()+l.MaxUpstreamConns() >= l.Sockets {
 		t.Error("the shares leave no descriptor over")
 	}
 }
@@ -109,14 +109,14 @@
 // Descriptors that an operator's file asks for are taken from those of clients and upstreams, not from what is kept back for
 // discovery, log and runtime; where too few are left the program says so before it starts.
 func TestKeptDescriptors(t *testing.T) {
-	l, err := Limits{Sockets: 512}.Keep(100)
-	if err != nil || l.ClientConns()+l.UpstreamConns()+100+keptFiles != 512 {
-		t.Errorf("%d and %d connections, %v", l.ClientConns(), l.UpstreamConns(), err)
+	l, err := Limits{Sockets: 512}.ReserveDescriptors(100)
+	if err != nil || l.MaxClientConns()+l.MaxUpstreamConns()+100+keptFiles != 512 {
+		t.Errorf("%d and %d connections, %v", l.MaxClientConns(), l.MaxUpstreamConns(), err)
 	}
-	if l, err := (Limits{Sockets: 20}).Keep(0); err != nil || l.ClientConns() != 2 { // nothing is asked for: as few as there are
-		t.Errorf("%d connections, %v", l.ClientConns(), err)
+	if l, err := (Limits{Sockets: 20}).ReserveDescriptors(0); err != nil || l.MaxClientConns() != 2 { // nothing is asked for: as few as there are
+		t.Errorf("%d connections, %v", l.MaxClientConns(), err)
 	}
-	if _, err := (Limits{Sockets: 64}).Keep(40); err == nil || !strings.Contains(err.Error(), "limits.sockets") {
+	if _, err := (Limits{Sockets: 64}).ReserveDescriptors(40); err == nil || !strings.Contains(err.Error(), "limits.sockets") {
 		t.Errorf("40 of 64: %v", err)
 	}
 }
--- a/internal/testcluster/hollow/hollow.go
+++ b/internal/testcluster/hollow/hollow.go
@@ -206,7 +206,7 @@
 	}
 	entries := make([]cluster.Entry, len(f.Members))
 	for i, m := range f.Members {
-		entries[i] = cluster.Entry{Name: m.Name, Addr: m.Addr, Incarnation: cluster.Incarnation{Generation: 1, ProcessID: m.running().part.Node.Process()}}
+		entries[i] = cluster.Entry{Name: m.Name, Addr: m.Addr, Incarnation: cluster.Incarnation{Generation: 1, ProcessID: m.running().part.Gossip.ProcessID()}}
 	}
 	var frames [2][]byte // the second is for the first member, who would not believe itself
 	for i := range frames {
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -51,7 +51,7 @@
 	mu      sync.Mutex
 	network *network // of the life that runs, or is being started; nil: neither
 	life    *life    // nil: it does not run, or is being started
-	past    gossip.NetworkState
+	past    gossip.NetworkStats
 
 	seq  atomic.Int64 // of the list that it holds
 	view atomic.Pointer[view]
@@ -66,7 +66,7 @@
 
 // life is one run of a member.
 type life struct {
-	part      *node.Part
+	part      *node.Node
 	key       uint64
 	meet, ask func()
 	stop      context.CancelFunc
@@ -121,21 +121,21 @@
 	if f.cfg.Attach != nil {
 		attached = f.cfg.Attach(m)
 	}
-	c := node.Config{Name: m.Name, Seed: f.cfg.Seed*1_000_003 + uint64(m.N), Told: f.cfg.Told, Log: f.cfg.Log, Network: network, Also: attached.Also, OnStamp: attached.OnStamp,
-		OnView: func(others []cluster.Member, joined bool) {
+	c := node.Config{Name: m.Name, RandomSeed: f.cfg.Seed*1_000_003 + uint64(m.N), ConfiguredSize: f.cfg.Told, Log: f.cfg.Log, Network: network, Handler: attached.Also, OnConfigRevision: attached.OnStamp,
+		OnMembersChanged: func(others []cluster.Member, joined bool) {
 			m.viewed(others, joined)
 			if attached.OnView != nil {
 				attached.OnView(others, joined)
 			}
 		}}
-	list := node.OpenList(c, op.Recovery, watch.New(f.Discovery.Addr(), true, f.cfg.Log).Through(network.Dial), engine.EndpointUpdate{Version: engine.NoVersion})
+	list := node.NewEndpointSource(c, op.Recovery, watch.New(f.Discovery.Addr(), true, f.cfg.Log).Through(network.Dial), engine.EndpointUpdate{Version: engine.NoVersion})
 	var source *mergedsource.Source
 	if l.part, err = node.Open(c, op.Fleet, list); err == nil {
-		source, err = mergedsource.New(node.Merge(nil, l.part, list, nil, f.cfg.Log))
+		source, err = mergedsource.New(node.MergeConfig(nil, l.part, list, nil, f.cfg.Log))
 	}
 	if err != nil {
 		if l.part != nil {
-			l.part.Node.Close()
+			l.part.Gossip.Close()
 		}
 		m.mu.Lock()
 		m.network = nil
@@ -143,16 +143,16 @@
 		return nil, fmt.Errorf("hollow: %s: %w", m.Name, err)
 	}
 	if attached.Opened != nil {
-		attached.Opened(l.part.Node)
+		attached.Opened(l.part.Gossip)
 	}
-	l.key = key(m.Name, l.part.Node.Process())
+	l.key = key(m.Name, l.part.Gossip.ProcessID())
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
 	m.mu.Lock()
 	m.life = l
 	m.mu.Unlock()
 	l.meet = func() {
-		l.all.Go(func() { l.part.Node.Run(ctx) })
+		l.all.Go(func() { l.part.Gossip.Run(ctx) })
 		l.all.Go(func() { source.Run(ctx) })
 	}
 	l.ask = func() {
@@ -213,7 +213,7 @@
 	}
 	l.stop()
 	l.all.Wait()
-	n := l.part.Node.Network()
+	n := l.part.Gossip.NetworkStats()
 	m.mu.Lock()
 	m.past.DatagramsIn += n.DatagramsIn
 	m.past.BytesIn += n.BytesIn - n.StreamBytesIn
@@ -236,17 +236,17 @@
 // List says from whom its list comes, and who follows; false: it does not run.
 func (m *Member) List() (relay.SourceState, bool) {
 	if l := m.running(); l != nil {
-		return l.part.List.State(), true
+		return l.part.EndpointSource.State(), true
 	}
 	return relay.SourceState{}, false
 }
 
 // View is what it says of the fleet; nothing where it does not run. It asks the member, and waits for its answer.
-func (m *Member) View() gossip.State {
+func (m *Member) View() gossip.Status {
 	if l := m.running(); l != nil {
-		return l.part.Node.State()
+		return l.part.Gossip.Status()
 	}
-	return gossip.State{}
+	return gossip.Status{}
 }
 
 // Counts are what went over a member's sockets, in all its lives. Messages are datagrams and writes to streams.
@@ -277,7 +277,7 @@
 	defer m.mu.Unlock()
 	n := m.past
 	if m.life != nil {
-		now := m.life.part.Node.Network()
+		now := m.life.part.Gossip.NetworkStats()
 		n.DatagramsIn += now.DatagramsIn
 		n.BytesIn += now.BytesIn - now.StreamBytesIn
 	}
--- a/internal/testcluster/hollow/network.go
+++ b/internal/testcluster/hollow/network.go
@@ -55,8 +55,8 @@
 	return n.dead
 }
 
-// Datagram is gossip.Network's. What the link loses was sent all the same.
-func (n *network) Datagram(to netip.AddrPort, size int, send func()) {
+// SendDatagram is gossip.Network's. What the link loses was sent all the same.
+func (n *network) SendDatagram(to netip.AddrPort, size int, send func()) {
 	if n.isDead() {
 		return
 	}
--- a/internal/testcluster/origins.go
+++ b/internal/testcluster/origins.go
@@ -145,7 +145,7 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusResetContent
 	}
-	if r.Ask(n, "fleet", new(gossip.State)) != nil {
+	if r.Ask(n, "fleet", new(gossip.Status)) != nil {
 		return false
 	}
 	if r.cfg.Origins == 0 {
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -280,16 +280,16 @@
 func (r *Rig) Admin(n int) string { return r.members[n].admin }
 
 // views asks all members of a group that run and are not frozen, side by side.
-func (r *Rig) views(group []int) map[int]gossip.State {
-	out := map[int]gossip.State{}
+func (r *Rig) views(group []int) map[int]gossip.Status {
+	out := map[int]gossip.Status{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for _, n := range group {
 		if p := r.members[n]; p.running() && !p.frozen {
 			all.Go(func() {
-				var s gossip.State
+				var s gossip.Status
 				if r.Ask(n, "fleet", &s) != nil {
-					s = gossip.State{}
+					s = gossip.Status{}
 				}
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -340,7 +340,7 @@
 		return ""
 	}
 	var within, seers string
-	var differ func(map[int]gossip.State) string
+	var differ func(map[int]gossip.Status) string
 	switch arg(0) {
 	case "agree":
 		within, seers = arg(1), arg(2)
@@ -351,10 +351,10 @@
 		if err != nil {
 			return err
 		}
-		differ = func(views map[int]gossip.State) string { return r.statesDiffer(views, of, strings.Split(arg(2), "|")) }
+		differ = func(views map[int]gossip.Status) string { return r.statesDiffer(views, of, strings.Split(arg(2), "|")) }
 	case "count":
 		within, seers = arg(2), arg(3)
-		differ = func(views map[int]gossip.State) string {
+		differ = func(views map[int]gossip.Status) string {
 			for n, v := range views {
 				if strconv.Itoa(v.Core.EstimatedSize) != arg(1) {
 					return fmt.Sprintf("%d reckons with %d", n, v.Core.EstimatedSize)
@@ -364,7 +364,7 @@
 		}
 	case "out":
 		within, seers = arg(2), arg(3)
-		differ = func(views map[int]gossip.State) string { return r.listed(views, arg(1)) }
+		differ = func(views map[int]gossip.Status) string { return r.listed(views, arg(1)) }
 	default:
 		return errors.New("nothing of that name can be waited for")
 	}
@@ -411,7 +411,7 @@
 }
 
 // disagreement is the first difference of the views from each other, or from what runs; empty: none.
-func (r *Rig) disagreement(views map[int]gossip.State) string {
+func (r *Rig) disagreement(views map[int]gossip.Status) string {
 	lives := map[string]cluster.Incarnation{}
 	for n, v := range views {
 		if v.Name == "" {
@@ -443,7 +443,7 @@
 	return ""
 }
 
-func (r *Rig) statesDiffer(views map[int]gossip.State, of []int, states []string) string {
+func (r *Rig) statesDiffer(views map[int]gossip.Status, of []int, states []string) string {
 	for n, v := range views {
 		for _, x := range of {
 			if x == n {
@@ -464,7 +464,7 @@
 }
 
 // listed is the first of the views' members that has a server in its list.
-func (r *Rig) listed(views map[int]gossip.State, server string) string {
+func (r *Rig) listed(views map[int]gossip.Status, server string) string {
 	for n := range views {
 		var list []struct {
 			ID string
