--- a/internal/cluster/gossip/codec.go
+++ b/internal/cluster/gossip/codec.go
@@ -13,145 +13,258 @@
 	"hazelwing/internal/cluster"
 )
 
-// A frame is four bytes of magic with the version, a checksum of the rest, and the rest as CBOR (RFC 8949) with arrays for
-// records. The checksum is against chance, not against an enemy.
+// A frame has a header of magic, the version and a checksum of the body (XXH64,
+// big-endian), and the body: a wireMessage in CBOR (RFC 8949), with structs as arrays.
+// The checksum detects accidental damage. It does not authenticate the sender.
 const (
-	magic       = "HZF"
-	version     = 1
-	frameHeader = len(magic) + 1 + 8
-	// mostEntries are of one frame, also in a stream.
-	mostEntries = 100_000
+	magic            = "HZF"
+	protocolVersion  = 1
+	versionOffset    = len(magic)
+	checksumOffset   = versionOffset + 1
+	frameHeaderBytes = checksumOffset + 8
+
+	// maxFrameEntries is the maximum number of entries, and of elements of any other
+	// array, of a frame in a datagram or stream.
+	maxFrameEntries  = 100_000
+	maxFrameMapPairs = 16
+	maxFrameNesting  = 8
+
+	// maxWireAgeMS limits the age of an entry or notice in a frame, in milliseconds. It
+	// prevents an overflow of time.Duration by the number of a faulty peer.
+	maxWireAgeMS = 1 << 40
 )
 
-// The ways in which a frame cannot be read.
+// The errors of Decode.
 var (
-	ErrCorrupt            = errors.New("it is corrupt")
-	ErrUnsupportedVersion = errors.New("it is of another version")
+	ErrCorrupt            = errors.New("corrupt frame")
+	ErrUnsupportedVersion = errors.New("unsupported protocol version")
 )
 
+// wireEntry is a cluster.Entry in a frame. In this and the other wire types the order
+// of the fields is part of the format, and their names are not.
 type wireEntry struct {
-	_     struct{} `cbor:",toarray"`
-	Name  string
-	Addr  []byte
-	Life  uint64
-	Run   uint64
-	Inc   uint64
-	State uint8
-	By    string
-	AgeMS uint64
-}
-
-type wireWord struct {
-	_      struct{} `cbor:",toarray"`
-	Server string
-	Gone   bool
-	BornMS float64
-	By     string
-	AgeMS  uint64
-}
-
-// wireMessage is a Message. Only a SyncAsk has a digest; in the place of it the short kinds carry the stamp of the configuration that
-// the sender acts on, where it takes one. Programs that know of no stamp do not look there, so fleets may be mixed, and the frame's
-// version stays.
-type wireMessage struct {
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Addr        []byte // as of netip.AddrPort.MarshalBinary
+	Generation  uint64
+	ProcessID   uint64
+	Refutations uint64
+	State       uint8
+	ReportedBy  string
+	AgeMS       uint64
+}
+
+// wireNotice is a cluster.EndpointNotice in a frame.
+type wireNotice struct {
 	_          struct{} `cbor:",toarray"`
-	Kind       uint8
-	Fleet      string
-	From       wireEntry
-	Seq        uint64
-	Target     string
-	TargetAddr []byte
-	Entries    []wireEntry
-	Words      []wireWord
+	Endpoint   string
+	Removed    bool
+	StartedMS  float64
+	ReportedBy string
+	AgeMS      uint64
+}
+
+// wireMessage is a cluster.Message in a frame.
+type wireMessage struct {
+	_           struct{} `cbor:",toarray"`
+	Kind        uint8
+	ClusterName string
+	From        wireEntry
+	Seq         uint64
+	Target      string
+	TargetAddr  []byte
+	Entries     []wireEntry
+	Notices     []wireNotice
+	// Digest has the epoch and version of the configuration in a message that carries a
+	// configuration revision. See carriesRevision.
 	Digest     []uint64
-	Buckets    uint64
+	BucketMask uint64
 	Join       bool
 }
 
+// The modes are immutable and safe for concurrent use.
 var (
-	encoder, _ = cbor.CoreDetEncOptions().EncMode()
-	decoder, _ = cbor.DecOptions{MaxArrayElements: mostEntries, MaxMapPairs: 16, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
+	encodeMode = mustEncodeMode()
+	decodeMode = mustDecodeMode()
 )
 
-// stamped says whether a kind carries the stamp.
-func stamped(k cluster.Kind) bool { return k <= cluster.Gossip }
+func mustEncodeMode() cbor.EncMode {
+	mode, err := cbor.CoreDetEncOptions().EncMode()
+	if err != nil {
+		panic(err) // the options are constant
+	}
+	return mode
+}
+
+func mustDecodeMode() cbor.DecMode {
+	mode, err := cbor.DecOptions{
+		MaxArrayElements:  maxFrameEntries,
+		MaxMapPairs:       maxFrameMapPairs,
+		MaxNestedLevels:   maxFrameNesting,
+		IndefLength:       cbor.IndefLengthForbidden,
+		TagsMd:            cbor.TagsForbidden,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+	}.DecMode()
+	if err != nil {
+		panic(err) // the options are constant
+	}
+	return mode
+}
 
-func ms(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
+// carriesRevision reports whether messages of a kind carry the revision of the
+// configuration. They have no digest, and the revision travels in its place.
+func carriesRevision(k cluster.Kind) bool { return k <= cluster.Gossip }
 
-// age guards against a number from a peer that no Duration holds.
-func age(n uint64) time.Duration { return time.Duration(min(n, 1<<40)) * time.Millisecond }
+// toMilliseconds returns a duration in whole milliseconds, and 0 for a negative one.
+func toMilliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
-func toWire(e *cluster.Entry) wireEntry {
-	a, _ := e.Addr.MarshalBinary()
-	return wireEntry{Name: e.Name, Addr: a, Life: e.Generation, Run: e.ProcessID, Inc: e.Refutations, State: uint8(e.State), By: e.ReportedBy, AgeMS: ms(e.Age)}
+// ageFromWire returns an age that was received in milliseconds, limited to maxWireAgeMS.
+func ageFromWire(ms uint64) time.Duration {
+	return time.Duration(min(ms, maxWireAgeMS)) * time.Millisecond
 }
 
-func fromWire(w *wireEntry) cluster.Entry {
-	e := cluster.Entry{Name: w.Name, Incarnation: cluster.Incarnation{Generation: w.Life, ProcessID: w.Run, Refutations: w.Inc}, State: cluster.State(w.State), ReportedBy: w.By, Age: age(w.AgeMS)}
-	e.Addr = address(w.Addr)
-	return e
+func addrToWire(addr netip.AddrPort) []byte {
+	b, _ := addr.MarshalBinary() // never fails
+	return b
 }
 
-// address is a zero one where it cannot be read: the core refuses what has none.
-func address(b []byte) (a netip.AddrPort) {
-	if len(b) > 0 && a.UnmarshalBinary(b) != nil {
+// addrFromWire returns the zero address if b cannot be decoded. The core rejects
+// entries with that address.
+func addrFromWire(b []byte) netip.AddrPort {
+	var addr netip.AddrPort
+	if len(b) > 0 && addr.UnmarshalBinary(b) != nil {
 		return netip.AddrPort{}
 	}
-	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
+	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 }
 
-// Encode makes a frame.
-func Encode(m *cluster.Message) ([]byte, error) {
-	w := wireMessage{Kind: uint8(m.Kind), Fleet: m.ClusterName, From: toWire(&m.From), Seq: m.Seq, Target: m.Target, Digest: m.Digest, Buckets: m.BucketMask, Join: m.Join}
-	if m.ConfigEpoch > 0 && stamped(m.Kind) {
+func entryToWire(e *cluster.Entry) wireEntry {
+	return wireEntry{
+		Name:        e.Name,
+		Addr:        addrToWire(e.Addr),
+		Generation:  e.Generation,
+		ProcessID:   e.ProcessID,
+		Refutations: e.Refutations,
+		State:       uint8(e.State),
+		ReportedBy:  e.ReportedBy,
+		AgeMS:       toMilliseconds(e.Age),
+	}
+}
+
+func entryFromWire(w *wireEntry) cluster.Entry {
+	return cluster.Entry{
+		Name: w.Name,
+		Addr: addrFromWire(w.Addr),
+		Incarnation: cluster.Incarnation{
+			Generation:  w.Generation,
+			ProcessID:   w.ProcessID,
+			Refutations: w.Refutations,
+		},
+		State:      cluster.State(w.State),
+		ReportedBy: w.ReportedBy,
+		Age:        ageFromWire(w.AgeMS),
+	}
+}
+
+func noticeToWire(n *cluster.EndpointNotice) wireNotice {
+	return wireNotice{
+		Endpoint:   n.Endpoint,
+		Removed:    n.Removed,
+		StartedMS:  n.StartedMS,
+		ReportedBy: n.ReportedBy,
+		AgeMS:      toMilliseconds(n.Age),
+	}
+}
+
+func noticeFromWire(w *wireNotice) cluster.EndpointNotice {
+	return cluster.EndpointNotice{
+		Endpoint:   w.Endpoint,
+		Removed:    w.Removed,
+		StartedMS:  w.StartedMS,
+		ReportedBy: w.ReportedBy,
+		Age:        ageFromWire(w.AgeMS),
+	}
+}
+
+func messageToWire(m *cluster.Message) *wireMessage {
+	w := &wireMessage{
+		Kind:        uint8(m.Kind),
+		ClusterName: m.ClusterName,
+		From:        entryToWire(&m.From),
+		Seq:         m.Seq,
+		Target:      m.Target,
+		Digest:      m.Digest,
+		BucketMask:  m.BucketMask,
+		Join:        m.Join,
+	}
+	if m.ConfigEpoch > 0 && carriesRevision(m.Kind) {
 		w.Digest = []uint64{m.ConfigEpoch, m.ConfigVersion}
 	}
 	if m.TargetAddr.IsValid() {
-		w.TargetAddr, _ = m.TargetAddr.MarshalBinary()
+		w.TargetAddr = addrToWire(m.TargetAddr)
 	}
 	for i := range m.Entries {
-		w.Entries = append(w.Entries, toWire(&m.Entries[i]))
+		w.Entries = append(w.Entries, entryToWire(&m.Entries[i]))
+	}
+	for i := range m.Notices {
+		w.Notices = append(w.Notices, noticeToWire(&m.Notices[i]))
+	}
+	return w
+}
+
+func messageFromWire(w *wireMessage) *cluster.Message {
+	m := &cluster.Message{
+		Kind:        cluster.Kind(w.Kind),
+		ClusterName: w.ClusterName,
+		From:        entryFromWire(&w.From),
+		Seq:         w.Seq,
+		Target:      w.Target,
+		TargetAddr:  addrFromWire(w.TargetAddr),
+		Digest:      w.Digest,
+		BucketMask:  w.BucketMask,
+		Join:        w.Join,
 	}
-	for _, x := range m.Notices {
-		w.Words = append(w.Words, wireWord{Server: x.Endpoint, Gone: x.Removed, BornMS: x.StartedMS, By: x.ReportedBy, AgeMS: ms(x.Age)})
+	if carriesRevision(m.Kind) && len(m.Digest) == 2 {
+		m.ConfigEpoch, m.ConfigVersion = m.Digest[0], m.Digest[1]
+		m.Digest = nil
 	}
-	body, err := encoder.Marshal(&w)
+	for i := range w.Entries {
+		m.Entries = append(m.Entries, entryFromWire(&w.Entries[i]))
+	}
+	for i := range w.Notices {
+		m.Notices = append(m.Notices, noticeFromWire(&w.Notices[i]))
+	}
+	return m
+}
+
+// Encode returns the frame of a message.
+func Encode(m *cluster.Message) ([]byte, error) {
+	body, err := encodeMode.Marshal(messageToWire(m))
 	if err != nil {
 		return nil, err
 	}
-	frame := append(make([]byte, 0, frameHeader+len(body)), magic...)
-	frame = append(frame, version)
+	frame := append(make([]byte, 0, frameHeaderBytes+len(body)), magic...)
+	frame = append(frame, protocolVersion)
 	frame = binary.BigEndian.AppendUint64(frame, xxhash.Sum64(body))
 	return append(frame, body...), nil
 }
 
-// Decode reads a frame. Its error is ErrCorrupt or ErrVersion, with details.
+// Decode returns the message of a frame. Its errors wrap ErrCorrupt or
+// ErrUnsupportedVersion. It does not retain frame.
 func Decode(frame []byte) (*cluster.Message, error) {
-	if len(frame) < frameHeader || string(frame[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: no frame of a fleet", ErrCorrupt)
+	if len(frame) < frameHeaderBytes || string(frame[:versionOffset]) != magic {
+		return nil, fmt.Errorf("%w: no header", ErrCorrupt)
 	}
-	if v := frame[len(magic)]; v != version {
-		return nil, fmt.Errorf("%w: %d, and this is %d", ErrUnsupportedVersion, v, version)
+	if v := frame[versionOffset]; v != protocolVersion {
+		return nil, fmt.Errorf("%w: %d, want %d", ErrUnsupportedVersion, v, protocolVersion)
 	}
-	body := frame[frameHeader:]
-	if binary.BigEndian.Uint64(frame[len(magic)+1:]) != xxhash.Sum64(body) {
-		return nil, fmt.Errorf("%w: the checksum differs", ErrCorrupt)
+	body := frame[frameHeaderBytes:]
+	if binary.BigEndian.Uint64(frame[checksumOffset:]) != xxhash.Sum64(body) {
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
 	}
 	var w wireMessage
-	if err := decoder.Unmarshal(body, &w); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
-	}
-	m := &cluster.Message{Kind: cluster.Kind(w.Kind), ClusterName: w.Fleet, From: fromWire(&w.From), Seq: w.Seq, Target: w.Target, TargetAddr: address(w.TargetAddr),
-		Digest: w.Digest, BucketMask: w.Buckets, Join: w.Join}
-	if stamped(m.Kind) && len(m.Digest) == 2 {
-		m.ConfigEpoch, m.ConfigVersion, m.Digest = m.Digest[0], m.Digest[1], nil
-	}
-	for i := range w.Entries {
-		m.Entries = append(m.Entries, fromWire(&w.Entries[i]))
-	}
-	for _, x := range w.Words {
-		m.Notices = append(m.Notices, cluster.EndpointNotice{Endpoint: x.Server, Removed: x.Gone, StartedMS: x.BornMS, ReportedBy: x.By, Age: age(x.AgeMS)})
+	if err := decodeMode.Unmarshal(body, &w); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	return m, nil
+	return messageFromWire(&w), nil
 }
--- a/internal/cluster/gossip/codec_test.go
+++ b/internal/cluster/gossip/codec_test.go
@@ -14,85 +14,179 @@
 	"hazelwing/internal/cluster"
 )
 
-var anyAddr = rapid.Custom(func(t *rapid.T) netip.AddrPort {
-	if rapid.Bool().Draw(t, "v6") {
-		return netip.AddrPortFrom(netip.AddrFrom16([16]byte(rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "addr"))).Unmap(), rapid.Uint16().Draw(t, "port"))
-	}
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(rapid.SliceOfN(rapid.Byte(), 4, 4).Draw(t, "addr"))), rapid.Uint16().Draw(t, "port"))
-})
+// anyAddr generates IPv4 and IPv6 addresses with ports.
+func anyAddr() *rapid.Generator[netip.AddrPort] {
+	return rapid.Custom(func(t *rapid.T) netip.AddrPort {
+		if rapid.Bool().Draw(t, "is IPv6") {
+			addr := netip.AddrFrom16([16]byte(rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "address")))
+			return netip.AddrPortFrom(addr.Unmap(), rapid.Uint16().Draw(t, "port"))
+		}
+		addr := netip.AddrFrom4([4]byte(rapid.SliceOfN(rapid.Byte(), 4, 4).Draw(t, "address")))
+		return netip.AddrPortFrom(addr, rapid.Uint16().Draw(t, "port"))
+	})
+}
 
-var anyEntry = rapid.Custom(func(t *rapid.T) cluster.Entry {
-	return cluster.Entry{Name: rapid.String().Draw(t, "name"), Addr: anyAddr.Draw(t, "at"), State: cluster.State(rapid.IntRange(0, 3).Draw(t, "state")),
-		Incarnation: cluster.Incarnation{Generation: rapid.Uint64().Draw(t, "life"), ProcessID: rapid.Uint64().Draw(t, "run"), Refutations: rapid.Uint64().Draw(t, "inc")},
-		ReportedBy:  rapid.String().Draw(t, "by"), Age: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "age")) * time.Millisecond}
-})
+func anyEntry() *rapid.Generator[cluster.Entry] {
+	return rapid.Custom(func(t *rapid.T) cluster.Entry {
+		return cluster.Entry{
+			Name:  rapid.String().Draw(t, "name"),
+			Addr:  anyAddr().Draw(t, "address"),
+			State: cluster.State(rapid.IntRange(0, 3).Draw(t, "state")),
+			Incarnation: cluster.Incarnation{
+				Generation:  rapid.Uint64().Draw(t, "generation"),
+				ProcessID:   rapid.Uint64().Draw(t, "process ID"),
+				Refutations: rapid.Uint64().Draw(t, "refutations"),
+			},
+			ReportedBy: rapid.String().Draw(t, "reported by"),
+			Age:        time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "age")) * time.Millisecond,
+		}
+	})
+}
 
-// What is written is read, and a frame with any one byte changed, or cut anywhere, is told from it.
-func TestFrames(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		m := &cluster.Message{Kind: cluster.Kind(rapid.IntRange(0, 7).Draw(t, "kind")), ClusterName: rapid.String().Draw(t, "fleet"), From: anyEntry.Draw(t, "from"),
-			Seq: rapid.Uint64().Draw(t, "seq"), Target: rapid.String().Draw(t, "target"), TargetAddr: anyAddr.Draw(t, "at"),
-			Entries: rapid.SliceOfN(anyEntry, 1, 5).Draw(t, "entries"), Digest: rapid.SliceOfN(rapid.Uint64(), 1, 64).Draw(t, "digest"),
-			Notices:    []cluster.EndpointNotice{{Endpoint: rapid.String().Draw(t, "server"), Removed: rapid.Bool().Draw(t, "gone"), StartedMS: 7, ReportedBy: "b", Age: time.Second}},
-			BucketMask: rapid.Uint64().Draw(t, "buckets"), Join: rapid.Bool().Draw(t, "join")}
-		if stamped(m.Kind) { // these have no digest, and may have a stamp in its place
-			m.Digest, m.ConfigEpoch = nil, rapid.Uint64().Draw(t, "epoch")
+func anyMessage() *rapid.Generator[*cluster.Message] {
+	return rapid.Custom(func(t *rapid.T) *cluster.Message {
+		m := &cluster.Message{
+			Kind:        cluster.Kind(rapid.IntRange(0, 7).Draw(t, "kind")),
+			ClusterName: rapid.String().Draw(t, "cluster"),
+			From:        anyEntry().Draw(t, "from"),
+			Seq:         rapid.Uint64().Draw(t, "sequence number"),
+			Target:      rapid.String().Draw(t, "target"),
+			TargetAddr:  anyAddr().Draw(t, "target address"),
+			Entries:     rapid.SliceOfN(anyEntry(), 1, 5).Draw(t, "entries"),
+			Digest:      rapid.SliceOfN(rapid.Uint64(), 1, 64).Draw(t, "digest"),
+			Notices: []cluster.EndpointNotice{{
+				Endpoint:   rapid.String().Draw(t, "endpoint"),
+				Removed:    rapid.Bool().Draw(t, "removed"),
+				StartedMS:  7,
+				ReportedBy: "b",
+				Age:        time.Second,
+			}},
+			BucketMask: rapid.Uint64().Draw(t, "buckets"),
+			Join:       rapid.Bool().Draw(t, "join"),
+		}
+		if carriesRevision(m.Kind) { // in place of a digest
+			m.Digest = nil
+			m.ConfigEpoch = rapid.Uint64().Draw(t, "epoch")
 			if m.ConfigEpoch > 0 {
-				m.ConfigVersion = rapid.Uint64().Draw(t, "number")
+				m.ConfigVersion = rapid.Uint64().Draw(t, "version")
 			}
 		}
+		return m
+	})
+}
+
+// A frame decodes to the message that was encoded. A frame that is truncated or has
+// one changed byte is rejected.
+func TestFrameRoundTripAndDamage(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := anyMessage().Draw(t, "message")
 		frame, err := Encode(m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := Decode(frame)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Fatalf("%v:\n%+v\n%+v", err, got, m)
+			t.Fatalf("Decode: %v:\n%+v, want\n%+v", err, got, m)
 		}
 		i := rapid.IntRange(0, len(frame)-1).Draw(t, "byte")
 		if _, err := Decode(frame[:i]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("cut at %d: %v", i, err)
+			t.Fatalf("Decode of the first %d bytes: %v, want %v", i, err, ErrCorrupt)
 		}
 		frame[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		if _, err := Decode(frame); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnsupportedVersion) {
-			t.Fatalf("byte %d changed: %v", i, err)
+			t.Fatalf("Decode with byte %d changed: %v, want %v or %v", i, err, ErrCorrupt, ErrUnsupportedVersion)
 		}
 	})
 }
 
-// FuzzDecode: whatever comes is a message or an error.
+// FuzzDecode checks that Decode returns either a message or an error.
 func FuzzDecode(f *testing.F) {
-	frame, _ := Encode(&cluster.Message{Kind: cluster.PushPullResponse, ClusterName: "f", From: cluster.Entry{Name: "a"}, Entries: make([]cluster.Entry, 3)})
+	frame, _ := Encode(&cluster.Message{
+		Kind:        cluster.PushPullResponse,
+		ClusterName: "f",
+		From:        cluster.Entry{Name: "a"},
+		Entries:     make([]cluster.Entry, 3),
+	})
 	f.Add(frame)
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		if m, err := Decode(frame); (m == nil) == (err == nil) {
-			t.Fatalf("%v, %v", m, err)
+			t.Fatalf("Decode: %v, %v", m, err)
 		}
 	})
 }
 
-// Every datagram stays within its size, also with the longest names, addresses and numbers.
-func TestDatagramsFit(t *testing.T) {
-	long := func(c string, n int) string {
-		return fmt.Sprintf("%s%0*d", strings.Repeat(c, cluster.MaxNameLength-8), 8, n)
+// longName returns a name of the maximum length that ends with a number.
+func longName(fill string, n int) string {
+	return fmt.Sprintf("%s%0*d", strings.Repeat(fill, cluster.MaxNameLength-8), 8, n)
+}
+
+// longAddr returns an IPv6 address that contains a number, with the longest port.
+func longAddr(n int) netip.AddrPort {
+	addr := netip.AddrFrom16([16]byte{0x20, 1, 13: byte(n >> 16), byte(n >> 8), byte(n)})
+	return netip.AddrPortFrom(addr, 65535)
+}
+
+// largeIncarnation has the longest encoding that a member accepts.
+func largeIncarnation() cluster.Incarnation {
+	return cluster.Incarnation{
+		Generation:  cluster.MaxCounter - 5,
+		ProcessID:   1<<64 - 1,
+		Refutations: cluster.MaxCounter - 5,
+	}
+}
+
+// largeMessage returns the nth message to the member with longName("a", 0).
+func largeMessage(n int) *cluster.Message {
+	m := &cluster.Message{
+		ClusterName: strings.Repeat("f", cluster.MaxClusterNameLength),
+		From:        cluster.Entry{Name: longName("b", n), Addr: longAddr(n), Incarnation: largeIncarnation()},
+		Seq:         1<<64 - 1,
+		Target:      longName("a", 0),
+		Kind:        cluster.Ping,
+	}
+	if n%3 == 0 {
+		m.Kind = cluster.PingReq
+		m.Target, m.TargetAddr = longName("b", n-1), longAddr(n-1)
 	}
-	at := func(n int) netip.AddrPort {
-		return netip.AddrPortFrom(netip.AddrFrom16([16]byte{0x20, 1, 13: byte(n >> 16), byte(n >> 8), byte(n)}), 65535)
+	if n%5 == 0 {
+		m.Entries = []cluster.Entry{{
+			Name:        longName("b", n-1),
+			Addr:        longAddr(n - 1),
+			Incarnation: largeIncarnation(),
+			State:       cluster.Suspect,
+			ReportedBy:  longName("b", n),
+		}}
 	}
-	c, err := cluster.New(cluster.Config{ClusterName: strings.Repeat("f", cluster.MaxClusterNameLength), Name: long("a", 0), AdvertiseAddr: at(0), ProcessID: 1 << 63, Seeds: []netip.AddrPort{at(9)}}, 0, 1)
+	m.Notices = []cluster.EndpointNotice{{
+		Endpoint:   longName("s", n),
+		StartedMS:  1.7e12 + 0.1,
+		ReportedBy: longName("b", n),
+		Age:        20 * time.Second,
+	}}
+	return m
+}
+
+// Every datagram is within the limit, also with the longest names, addresses and numbers.
+func TestDatagramsFit(t *testing.T) {
+	core, err := cluster.New(cluster.Config{
+		ClusterName:   strings.Repeat("f", cluster.MaxClusterNameLength),
+		Name:          longName("a", 0),
+		AdvertiseAddr: longAddr(0),
+		ProcessID:     1 << 63,
+		Seeds:         []netip.AddrPort{longAddr(9)},
+	}, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	big := cluster.Incarnation{Generation: cluster.MaxCounter - 5, ProcessID: 1<<64 - 1, Refutations: cluster.MaxCounter - 5}
 	kinds, largest := map[cluster.Kind]int{}, 0
-	look := func(list []cluster.Action) {
-		for _, a := range list {
+	check := func(actions []cluster.Action) {
+		for _, a := range actions {
 			if a.Kind != cluster.SendMessage || a.Stream {
 				continue
 			}
 			a.Message.ConfigEpoch, a.Message.ConfigVersion = 1<<64-1, 1<<64-1
 			frame, err := Encode(a.Message)
-			if err != nil || len(frame) > datagramMost {
+			if err != nil || len(frame) > maxDatagramBytes {
 				t.Fatalf("kind %d: %d bytes, %v", a.Message.Kind, len(frame), err)
 			}
 			kinds[a.Message.Kind]++
@@ -101,25 +195,16 @@
 	}
 	now := time.Duration(0)
 	for n := 1; n < 200; n++ {
-		from := cluster.Entry{Name: long("b", n), Addr: at(n), Incarnation: big}
-		m := &cluster.Message{ClusterName: strings.Repeat("f", cluster.MaxClusterNameLength), From: from, Seq: 1<<64 - 1, Target: long("a", 0), Kind: cluster.Ping}
-		if n%3 == 0 {
-			m.Kind, m.Target, m.TargetAddr = cluster.PingReq, long("b", n-1), at(n-1)
-		}
-		if n%5 == 0 {
-			m.Entries = []cluster.Entry{{Name: long("b", n-1), Addr: at(n - 1), Incarnation: big, State: cluster.Suspect, ReportedBy: long("b", n)}}
-		}
-		m.Notices = []cluster.EndpointNotice{{Endpoint: long("s", n), StartedMS: 1.7e12 + 0.1, ReportedBy: long("b", n), Age: 20 * time.Second}}
-		look(c.Receive(now, m))
+		check(core.Receive(now, largeMessage(n)))
 		now += 100 * time.Millisecond
-		for c.NextTick() <= now {
-			look(c.Tick(max(c.NextTick(), now-100*time.Millisecond)))
+		for core.NextTick() <= now {
+			check(core.Tick(max(core.NextTick(), now-100*time.Millisecond)))
 		}
 	}
 	for _, k := range []cluster.Kind{cluster.Ping, cluster.Ack, cluster.Nack, cluster.PingReq, cluster.Gossip} {
 		if kinds[k] == 0 {
-			t.Errorf("no datagram of kind %d was seen", k)
+			t.Errorf("no datagram of kind %d was sent", k)
 		}
 	}
-	t.Logf("the largest has %d bytes", largest)
+	t.Logf("the largest datagram has %d bytes", largest)
 }
--- /dev/null
+++ b/internal/cluster/gossip/eventloop.go
@@ -0,0 +1,171 @@
+package gossip
+
+import (
+	"context"
+	"errors"
+	"net/netip"
+	"sync"
+	"time"
+
+	"hazelwing/internal/cluster"
+)
+
+// event is one item of the queue before the core. Exactly one of its fields is set,
+// and peer beside decodeErr.
+type event struct {
+	message       *cluster.Message
+	decodeErr     error
+	peer          netip.Addr
+	statusRequest chan<- Status // has room for the answer
+	notice        *cluster.EndpointNotice
+	gossipNow     bool
+}
+
+// decodeErrorKind tells apart the errors of frames whose log lines are limited separately.
+type decodeErrorKind int
+
+const (
+	corruptFrame decodeErrorKind = iota
+	unsupportedVersion
+)
+
+// Run takes part in the cluster until ctx is done. It then announces that this member
+// leaves, closes the sockets, waits for all goroutines and returns.
+func (n *Node) Run(ctx context.Context) {
+	// The goroutines go on after ctx is done, until the announcement has been sent.
+	workerCtx, stopWorkers := context.WithCancel(context.WithoutCancel(ctx))
+	var workers sync.WaitGroup
+	workers.Go(n.readDatagrams)
+	workers.Go(func() { n.acceptStreams(workerCtx) })
+	for range maxOutboundStreams {
+		workers.Go(func() { n.sendStreams(workerCtx) })
+	}
+	if n.http != nil {
+		workers.Go(n.http.serve)
+	}
+	n.processEvents(ctx.Done())
+	stopWorkers()
+	n.Close()
+	if n.http != nil {
+		n.http.close()
+	}
+	workers.Wait()
+}
+
+// processEvents passes events and the time to the core until the announcement that
+// follows stop has had its time.
+func (n *Node) processEvents(stop <-chan struct{}) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var left <-chan time.Time
+	for running := true; running; {
+		select {
+		case <-stop:
+			stop = nil
+			n.perform(n.core.Leave(n.now()))
+			left = time.After(leaveDuration)
+		case <-left:
+			running = false
+		case <-timer.C:
+			n.perform(n.core.Tick(n.now()))
+		case e := <-n.events:
+			n.handle(e)
+		}
+		if size := n.configuredSize.Swap(0); size > 0 {
+			n.perform(n.core.SetConfiguredSize(n.now(), int(size)))
+		}
+		n.reportMembers()
+		timer.Reset(max(0, n.core.NextTick()-n.now()))
+	}
+}
+
+// now returns the time on the core's clock.
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
+
+// enqueue queues an event for Run without blocking, and drops it if the queue is full.
+func (n *Node) enqueue(e event) {
+	select {
+	case n.events <- e:
+	default:
+		n.counters.queueFull.Add(1)
+		if n.cfg.OnQueueFull != nil {
+			n.cfg.OnQueueFull()
+		}
+	}
+}
+
+func (n *Node) handle(e event) {
+	switch {
+	case e.statusRequest != nil:
+		e.statusRequest <- n.status()
+	case e.notice != nil:
+		n.perform(n.core.Announce(n.now(), *e.notice))
+	case e.gossipNow:
+		n.perform(n.core.GossipNow(n.now()))
+	case e.decodeErr != nil:
+		n.logDecodeError(e.peer, e.decodeErr)
+	default:
+		n.receive(e.message)
+	}
+}
+
+// logDecodeError logs that a frame cannot be decoded, at most once in peerLogInterval
+// for each kind of error.
+func (n *Node) logDecodeError(peer netip.Addr, err error) {
+	kind := corruptFrame
+	if errors.Is(err, ErrUnsupportedVersion) {
+		kind = unsupportedVersion
+	}
+	now := time.Now()
+	if now.Sub(n.decodeErrorLogged[kind]) < peerLogInterval {
+		return
+	}
+	n.decodeErrorLogged[kind] = now
+	n.log.Warn("cannot decode message", "peer", peer, "err", err)
+}
+
+// receive passes a message to the core.
+func (n *Node) receive(m *cluster.Message) {
+	n.reportConfigRevision(m)
+	tableFull := n.core.TableFull()
+	n.perform(n.core.Receive(n.now(), m))
+	if n.core.TableFull() > tableFull && n.cfg.OnTableFull != nil {
+		n.cfg.OnTableFull()
+	}
+}
+
+// perform carries out the actions that the core asks for.
+func (n *Node) perform(actions []cluster.Action) {
+	for _, a := range actions {
+		switch a.Kind {
+		case cluster.SendMessage:
+			n.send(a)
+		case cluster.MemberChanged:
+			n.logTransition(a.Transition)
+		case cluster.NoticeReceived:
+			n.logNotice(&a.Notice)
+			n.cfg.OnNotice(a.Notice, true)
+		case cluster.NoticeExpired:
+			n.cfg.OnNotice(a.Notice, false)
+		case cluster.SizeChanged:
+			n.cfg.OnSizeChanged(a.EstimatedSize)
+		}
+	}
+}
+
+func (n *Node) logTransition(t *cluster.Transition) {
+	n.log.Info("member state changed",
+		"member", t.Name,
+		"generation", t.Generation,
+		"previous_state", t.From,
+		"state", t.To,
+		"reason", t.Reason)
+}
+
+func (n *Node) logNotice(notice *cluster.EndpointNotice) {
+	n.log.Info("endpoint notice received",
+		"endpoint", notice.Endpoint,
+		"removed", notice.Removed,
+		"reported_by", notice.ReportedBy,
+		"age", notice.Age)
+}
--- a/internal/cluster/gossip/format_test.go
+++ b/internal/cluster/gossip/format_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"io"
 	"log/slog"
@@ -18,26 +17,48 @@
 
 func formatEntry(name string, state cluster.State) cluster.Entry {
 	return cluster.Entry{
-		Name: name, Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Incarnation: cluster.Incarnation{Generation: 2, ProcessID: 1<<63 + 5, Refutations: 300},
-		State: state, ReportedBy: "accuser", Age: 1500 * time.Millisecond,
+		Name:        name,
+		Addr:        netip.MustParseAddrPort("10.0.0.4:7946"),
+		Incarnation: formatIncarnation(),
+		State:       state,
+		ReportedBy:  "accuser",
+		Age:         1500 * time.Millisecond,
 	}
 }
 
-// formatMessage has every field that a message of this kind may carry.
+func formatIncarnation() cluster.Incarnation {
+	return cluster.Incarnation{Generation: 2, ProcessID: 1<<63 + 5, Refutations: 300}
+}
+
+// formatMessage sets every field that a message of this kind may carry.
 func formatMessage(kind cluster.Kind) *cluster.Message {
 	m := &cluster.Message{
-		Kind: kind, ClusterName: "booking", From: formatEntry("sender", cluster.Alive), Seq: 70000, Target: "target",
-		TargetAddr: netip.MustParseAddrPort("[2001:db8::1]:7946"),
+		Kind:        kind,
+		ClusterName: "booking",
+		From:        formatEntry("sender", cluster.Alive),
+		Seq:         70000,
+		Target:      "target",
+		TargetAddr:  netip.MustParseAddrPort("[2001:db8::1]:7946"),
 		Entries: []cluster.Entry{
-			formatEntry("a", cluster.Alive), formatEntry("b", cluster.Suspect), formatEntry("c", cluster.Dead), formatEntry("d", cluster.Left),
+			formatEntry("a", cluster.Alive),
+			formatEntry("b", cluster.Suspect),
+			formatEntry("c", cluster.Dead),
+			formatEntry("d", cluster.Left),
 		},
 		Notices: []cluster.EndpointNotice{
-			{Endpoint: "upstream-1", Removed: true, StartedMS: 1700000000000.5, ReportedBy: "teller", Age: 2 * time.Second},
+			{
+				Endpoint:   "upstream-1",
+				Removed:    true,
+				StartedMS:  1700000000000.5,
+				ReportedBy: "teller",
+				Age:        2 * time.Second,
+			},
 			{Endpoint: "upstream-2", StartedMS: 0, ReportedBy: "teller", Age: 3 * time.Second},
 		},
-		BucketMask: 1 << 40, Join: true,
+		BucketMask: 1 << 40,
+		Join:       true,
 	}
-	if stamped(kind) {
+	if carriesRevision(kind) {
 		m.ConfigEpoch, m.ConfigVersion = 3, 17
 	} else {
 		m.Digest = []uint64{1, 1 << 33, 7}
@@ -45,138 +66,182 @@
 	return m
 }
 
-var formatKinds = []struct {
-	name  string
-	kind  cluster.Kind
-	value uint8
-}{
-	{"ping", cluster.Ping, 0},
-	{"ack", cluster.Ack, 1},
-	{"nack", cluster.Nack, 2},
-	{"ping-req", cluster.PingReq, 3},
-	{"gossip", cluster.Gossip, 4},
-	{"sync-ask", cluster.PushPullRequest, 5},
-	{"sync-tell", cluster.PushPullResponse, 6},
-	{"sync-end", cluster.PushPullFinal, 7},
-}
-
-// A frame of each kind has the bytes that the fleet's other members read, and is read back whole.
+// A frame of each kind has the bytes that other members read, and decodes to the message.
 func TestGossipFrameFormatIsStable(t *testing.T) {
-	for _, c := range formatKinds {
-		t.Run(c.name, func(t *testing.T) {
-			if uint8(c.kind) != c.value {
-				t.Errorf("the kind travels as %d, want %d", c.kind, c.value)
+	for _, test := range []struct {
+		name  string
+		kind  cluster.Kind
+		value uint8
+	}{
+		{"ping", cluster.Ping, 0},
+		{"ack", cluster.Ack, 1},
+		{"nack", cluster.Nack, 2},
+		{"ping-req", cluster.PingReq, 3},
+		{"gossip", cluster.Gossip, 4},
+		{"push-pull-request", cluster.PushPullRequest, 5},
+		{"push-pull-response", cluster.PushPullResponse, 6},
+		{"push-pull-final", cluster.PushPullFinal, 7},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if uint8(test.kind) != test.value {
+				t.Errorf("kind %d, want %d", test.kind, test.value)
 			}
-			message := formatMessage(c.kind)
+			message := formatMessage(test.kind)
 			frame, err := Encode(message)
 			if err != nil {
 				t.Fatal(err)
 			}
-			testutil.GoldenBinary(t, "frame-"+c.name+".hex", frame)
+			testutil.GoldenBinary(t, "frame-"+test.name+".hex", frame)
 			decoded, err := Decode(frame)
 			if err != nil || !reflect.DeepEqual(decoded, message) {
-				t.Errorf("%v: read back as\n%+v, want\n%+v", err, decoded, message)
+				t.Errorf("Decode: %v:\n%+v, want\n%+v", err, decoded, message)
 			}
 		})
 	}
 }
 
-// A short frame, of a member that takes no configuration, carries neither stamp nor digest.
-func TestGossipFrameFormatWithoutStampIsStable(t *testing.T) {
-	message := &cluster.Message{Kind: cluster.Ping, ClusterName: "booking", From: cluster.Entry{
-		Name: "sender", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Incarnation: cluster.Incarnation{Generation: 1, ProcessID: 5},
-	}, Seq: 1}
+// A frame of a member that takes no configuration carries neither revision nor digest.
+func TestGossipFrameFormatWithoutRevisionIsStable(t *testing.T) {
+	message := &cluster.Message{
+		Kind:        cluster.Ping,
+		ClusterName: "booking",
+		From: cluster.Entry{
+			Name:        "sender",
+			Addr:        netip.MustParseAddrPort("10.0.0.4:7946"),
+			Incarnation: cluster.Incarnation{Generation: 1, ProcessID: 5},
+		},
+		Seq: 1,
+	}
 	frame, err := Encode(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	testutil.GoldenBinary(t, "frame-without-stamp.hex", frame)
+	testutil.GoldenBinary(t, "frame-without-revision.hex", frame)
 	if decoded, err := Decode(frame); err != nil || !reflect.DeepEqual(decoded, message) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, decoded, message)
+		t.Errorf("Decode: %v:\n%+v, want\n%+v", err, decoded, message)
 	}
 }
 
-// States travel as these numbers in frames, and as these names in JSON.
+// States have these numbers in frames, and these names in JSON.
 func TestMemberStateNumbersAndNamesAreStable(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		state cluster.State
 		value uint8
 		name  string
 	}{
-		{cluster.Alive, 0, "alive"}, {cluster.Suspect, 1, "suspect"}, {cluster.Dead, 2, "dead"}, {cluster.Left, 3, "left"}, {cluster.Unknown, 255, "unknown"},
+		{cluster.Alive, 0, "alive"},
+		{cluster.Suspect, 1, "suspect"},
+		{cluster.Dead, 2, "dead"},
+		{cluster.Left, 3, "left"},
+		{cluster.Unknown, 255, "unknown"},
 	} {
-		text, err := c.state.MarshalText()
-		if err != nil || uint8(c.state) != c.value || string(text) != c.name || c.state.String() != c.name {
-			t.Errorf("%d %q %v %v, want %d %q", c.state, text, c.state, err, c.value, c.name)
-		}
-		var read cluster.State
-		if err := read.UnmarshalText([]byte(c.name)); c.state != cluster.Unknown && (err != nil || read != c.state) {
-			t.Errorf("%q is read as %v: %v", c.name, read, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			text, err := test.state.MarshalText()
+			if err != nil || string(text) != test.name {
+				t.Errorf("MarshalText: %q, %v, want %q", text, err, test.name)
+			}
+			if uint8(test.state) != test.value || test.state.String() != test.name {
+				t.Errorf("%d %q, want %d %q", test.state, test.state, test.value, test.name)
+			}
+			var decoded cluster.State
+			err = decoded.UnmarshalText([]byte(test.name))
+			if test.state != cluster.Unknown && (err != nil || decoded != test.state) {
+				t.Errorf("UnmarshalText: %v, %v", decoded, err)
+			}
+		})
 	}
-	var read cluster.State
-	if read.UnmarshalText([]byte("unknown")) == nil {
-		t.Error("unknown is read as a state of a member")
+	var decoded cluster.State
+	if decoded.UnmarshalText([]byte("unknown")) == nil {
+		t.Error("UnmarshalText accepts unknown")
 	}
 }
 
-// formatState has no field that is zero.
-func formatState() Status {
+// formatStatus has no field that is zero.
+func formatStatus() Status {
 	return Status{
-		Name: "m1", ClusterName: "booking",
+		Name:        "m1",
+		ClusterName: "booking",
 		Members: []MemberStatus{{
 			Member: cluster.Member{
-				Name: "m2", Addr: netip.MustParseAddrPort("10.0.0.4:7946"), Incarnation: cluster.Incarnation{Generation: 2, ProcessID: 1<<63 + 5, Refutations: 300},
-				State: cluster.Suspect, Since: 1500 * time.Millisecond, ReportedBy: "accuser", Self: true,
+				Name:        "m2",
+				Addr:        netip.MustParseAddrPort("10.0.0.4:7946"),
+				Incarnation: formatIncarnation(),
+				State:       cluster.Suspect,
+				Since:       1500 * time.Millisecond,
+				ReportedBy:  "accuser",
+				Self:        true,
 			},
 			StateAge: "1.5s",
 		}},
 		Core: cluster.Stats{
-			Joining: true, HealthScore: 1, KnownMembers: 2, LiveMembers: 3, EstimatedSize: 4, QueuedBroadcasts: 5, Notices: 6, ForgottenAddresses: 7, Refutations: 8, Stalls: 9, NameConflicts: 10,
-			ForeignMessages: 11, Rejected: 12, Suspicions: 13, DeclaredDead: 14, TableFull: 15, PushPullsThrottled: 16, LastStallNS: 17,
+			Joining:            true,
+			HealthScore:        1,
+			KnownMembers:       2,
+			LiveMembers:        3,
+			EstimatedSize:      4,
+			QueuedBroadcasts:   5,
+			Notices:            6,
+			ForgottenAddresses: 7,
+			Refutations:        8,
+			Stalls:             9,
+			NameConflicts:      10,
+			ForeignMessages:    11,
+			Rejected:           12,
+			Suspicions:         13,
+			DeclaredDead:       14,
+			TableFull:          15,
+			PushPullsThrottled: 16,
+			LastStallNS:        17,
 		},
 		Network: NetworkStats{
-			DisallowedPeers: 1, Corrupt: 2, VersionMismatches: 3, QueueFull: 4, Unsent: 5, DatagramsOut: 6, StreamsOut: 7, BytesOut: 8, BytesIn: 9, DatagramsIn: 10,
-			StreamBytesOut: 11, StreamBytesIn: 12,
+			DisallowedPeers:   1,
+			Corrupt:           2,
+			VersionMismatches: 3,
+			QueueFull:         4,
+			Unsent:            5,
+			DatagramsOut:      6,
+			StreamsOut:        7,
+			BytesOut:          8,
+			BytesIn:           9,
+			DatagramsIn:       10,
+			StreamBytesOut:    11,
+			StreamBytesIn:     12,
 		},
 	}
 }
 
-// GET /fleet is this, and what operators' programs read.
+// The status is what GET /fleet answers and what operators' programs read.
 func TestFleetStateFormatIsStable(t *testing.T) {
-	state := formatState()
-	testutil.Filled(t, state)
-	testutil.ExplicitNames(t, "json", state)
-	text, err := json.MarshalIndent(state, "", "  ")
+	status := formatStatus()
+	testutil.Filled(t, status)
+	testutil.ExplicitNames(t, "json", status)
+	text, err := json.MarshalIndent(status, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "state.json", append(text, '\n'))
-	var read Status
-	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, state) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, state)
+	var decoded Status
+	if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(decoded, status) {
+		t.Errorf("Unmarshal: %v:\n%+v, want\n%+v", err, decoded, status)
 	}
 
-	// Without what may be absent.
-	state.Members[0].ReportedBy, state.Members[0].Self = "", false
-	if text, err = json.Marshal(state.Members); err != nil {
+	// Optional fields are omitted.
+	status.Members[0].ReportedBy, status.Members[0].Self = "", false
+	if text, err = json.Marshal(status.Members); err != nil {
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "members-without-optional-fields.json", append(text, '\n'))
 }
 
-// In a stream four bytes with the frame's length come first.
-func TestGossipStreamFormatIsStable(t *testing.T) {
-	message := formatMessage(cluster.PushPullResponse)
-	frame, err := Encode(message)
-	if err != nil {
-		t.Fatal(err)
-	}
+// acceptOnce returns a listener and a channel that receives all bytes of its first
+// connection, or nil if there is none.
+func acceptOnce(t *testing.T) (net.Listener, <-chan []byte) {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	t.Cleanup(func() { listener.Close() })
 	received := make(chan []byte, 1)
 	go func() {
 		conn, err := listener.Accept()
@@ -185,30 +250,41 @@
 			return
 		}
 		defer conn.Close()
-		stream, _ := io.ReadAll(conn)
+		stream, _ := io.ReadAll(conn) // the caller compares what was read
 		received <- stream
 	}()
-	sender := &Node{cfg: Config{Log: slog.New(slog.DiscardHandler)}}
+	return listener, received
+}
+
+// A stream has the frame's length in four bytes, and the frame.
+func TestGossipStreamFormatIsStable(t *testing.T) {
+	message := formatMessage(cluster.PushPullResponse)
+	frame, err := Encode(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener, received := acceptOnce(t)
+	sender := &Node{log: slog.New(slog.DiscardHandler)}
 	to := netip.MustParseAddrPort(listener.Addr().String())
-	if err := sender.write(context.Background(), outgoing{to: to, frame: frame}); err != nil {
+	if err := sender.sendStream(t.Context(), outboundFrame{to: to, frame: frame}); err != nil {
 		t.Fatal(err)
 	}
 	stream := <-received
-	testutil.GoldenBinary(t, "stream-sync-tell.hex", stream)
+	testutil.GoldenBinary(t, "stream-push-pull-response.hex", stream)
 
-	reader := &Node{in: make(chan input, 1)}
-	writing, reading := net.Pipe()
+	receiver := &Node{events: make(chan event, 1)}
+	writeConn, readConn := net.Pipe()
 	go func() {
-		io.Copy(writing, bytes.NewReader(stream))
-		writing.Close()
+		_, _ = io.Copy(writeConn, bytes.NewReader(stream)) // the message is missing if this fails
+		writeConn.Close()
 	}()
-	reader.readStream(context.Background(), reading, to.Addr())
+	receiver.readStream(t.Context(), readConn, to.Addr())
 	select {
-	case got := <-reader.in:
-		if got.bad != nil || !reflect.DeepEqual(got.msg, message) {
-			t.Errorf("%v: read as\n%+v, want\n%+v", got.bad, got.msg, message)
+	case got := <-receiver.events:
+		if got.decodeErr != nil || !reflect.DeepEqual(got.message, message) {
+			t.Errorf("%v:\n%+v, want\n%+v", got.decodeErr, got.message, message)
 		}
 	default:
-		t.Error("the stream is not read")
+		t.Error("the stream has no message")
 	}
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -16,7 +16,7 @@
 func openFleet(op *operator.Fleet, list *relay.Source, config *configPart, cfg *platform.Config, told int, bounds *limits.Set, log *slog.Logger) (*node.Node, error) {
 	c := place(cfg, told, log)
 	c.OnTableFull = bounds.Add("members of the fleet", int(op.Most))
-	c.OnQueueFull = bounds.Add("messages of the fleet that wait", gossip.QueueLength)
+	c.OnQueueFull = bounds.Add("messages of the fleet that wait", gossip.QueueCapacity)
 	if config != nil {
 		c.Handler, c.OnMembersChanged, c.OnConfigRevision = config.member.Handler(), config.viewed, config.stamped
 	}
