--- a/internal/cluster/node/peering.go
+++ b/internal/cluster/node/peering.go
@@ -181,33 +181,33 @@
 	if op == nil {
 		op = operator.DefaultMembers()
 	}
-	c := mergedsource.Config{Discovery: discovery, Known: known, Most: int(op.Most), Settle: time.Duration(op.Settle), Forget: time.Duration(op.Forget),
-		Share: op.Share, Window: time.Duration(op.Window), Log: log}
+	c := mergedsource.Config{Platform: discovery, CachedList: known, MaxEndpoints: int(op.Most), AdditionInterval: time.Duration(op.Settle), TombstoneTTL: time.Duration(op.Forget),
+		MaxRemovalShare: op.Share, RemovalWindow: time.Duration(op.Window), Log: log}
 	if p != nil {
-		c.Beside, c.Told = []mergedsource.Beside{p.beside()}, p.Told
+		c.Additional, c.OnDeparture = []mergedsource.AdditionalSource{p.beside()}, p.Told
 	}
 	return c
 }
 
 // beside is the source of what others were told: it may take servers out, within the merge's share, and adds none.
-func (p *Part) beside() mergedsource.Beside {
-	return mergedsource.Beside{Source: discovery.Source{Name: sourceName, Rank: 9, Hearsay: true}, Run: p.tell}
+func (p *Part) beside() mergedsource.AdditionalSource {
+	return mergedsource.AdditionalSource{SourceConfig: discovery.SourceConfig{Name: sourceName, Rank: 9, Indirect: true}, Run: p.tell}
 }
 
-func (p *Part) tell(ctx context.Context, tell func(discovery.View), _ func(error)) {
+func (p *Part) tell(ctx context.Context, tell func(discovery.Update), _ func(error)) {
 	for seq := int64(1); ; seq++ {
 		select {
 		case <-ctx.Done():
 			return
 		case w := <-p.said:
-			e := discovery.Entry{ID: w.Endpoint, BornMS: w.StartedMS, State: balancer.Draining}
+			e := discovery.Endpoint{ID: w.Endpoint, StartedAtMS: w.StartedMS, State: balancer.Draining}
 			if w.Removed {
 				e.State = balancer.Removed
 			}
 			if !w.holds {
 				e.State = balancer.Active
 			}
-			tell(discovery.View{Seq: seq, Entries: []discovery.Entry{e}})
+			tell(discovery.Update{Seq: seq, Endpoints: []discovery.Endpoint{e}})
 		}
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -155,7 +155,7 @@
 func (s *sidecar) parts() admin.Parts {
 	p := admin.Parts{"bounds": func() any { return s.bounds.State() }}
 	if s.members != nil {
-		p["members"] = func() any { return s.members.State() }
+		p["members"] = func() any { return s.members.Status() }
 	}
 	if s.fleet != nil {
 		p["fleet"] = func() any { return s.fleet.Node.State() }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -82,14 +82,14 @@
 	stop := s.Watch(engine.NoVersion, 0, func(engine.EndpointUpdate) {})
 	defer stop()
 	out := func() (list []string) {
-		for _, x := range s.State() {
-			if !x.In {
+		for _, x := range s.Status() {
+			if !x.Listed {
 				list = append(list, x.ID)
 			}
 		}
 		return list
 	}
-	testutil.Until(t, "all are listed", func() bool { return len(s.State()) == 10 && len(out()) == 0 })
+	testutil.Until(t, "all are listed", func() bool { return len(s.Status()) == 10 && len(out()) == 0 })
 	p.Heard(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 1000, ReportedBy: "b"}, true)
 	p.Heard(cluster.EndpointNotice{Endpoint: "stranger", ReportedBy: "b"}, true)
 	testutil.Until(t, "what left is out", func() bool { return strings.Join(out(), " ") == "s1" })
@@ -98,7 +98,7 @@
 		p.Heard(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, true)
 	}
 	testutil.Until(t, "the share is out", func() bool { return len(out()) == 3 })
-	for _, x := range s.State() {
+	for _, x := range s.Status() {
 		if x.ID == "stranger" {
 			t.Errorf("a word brought in a server: %+v", x)
 		}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -24,14 +24,14 @@
 	c := node.Merge(op, f, platform, known, log)
 	if op != nil && op.SRV != nil {
 		s := op.SRV
-		r, err := dns.NewRefresh(dns.RefreshConfig{Source: srvName, Stale: time.Duration(s.Stale), Spread: time.Duration(s.Spread)}, seed)
+		r, err := dns.NewRefresher(dns.RefresherConfig{SourceName: srvName, StaleTTL: time.Duration(s.Stale), InitialJitter: time.Duration(s.Spread)}, seed)
 		if err != nil {
 			return nil, fmt.Errorf("members.srv: %w", err)
 		}
-		resolver := &dns.Resolver{Servers: s.Servers, Tries: int(s.Tries), Timeout: time.Duration(s.Timeout), Limits: dns.Limits{
-			MinTTL: time.Duration(s.MinTTL), MaxTTL: time.Duration(s.MaxTTL), Most: int(op.Most), Addresses: srvAddresses, Within: s.Within, Public: !s.Private}}
-		source := &dns.Source{Name: s.Name, Lookup: resolver.SRV, Refresh: r, Log: log}
-		c.Beside = slices.Insert(c.Beside, 0, mergedsource.Beside{Source: discovery.Source{Name: srvName, Rank: 1, Keep: time.Duration(s.Keep)},
+		resolver := &dns.Resolver{Servers: s.Servers, Attempts: int(s.Tries), Timeout: time.Duration(s.Timeout), Limits: dns.Limits{
+			MinTTL: time.Duration(s.MinTTL), MaxTTL: time.Duration(s.MaxTTL), MaxTargets: int(op.Most), MaxAddrs: srvAddresses, Zone: s.Within, RejectLocal: !s.Private}}
+		source := &dns.Source{Name: s.Name, Lookup: resolver.LookupSRV, Refresher: r, Log: log}
+		c.Additional = slices.Insert(c.Additional, 0, mergedsource.AdditionalSource{SourceConfig: discovery.SourceConfig{Name: srvName, Rank: 1, StaleTTL: time.Duration(s.Keep)},
 			Run: source.Run})
 	}
 	return mergedsource.New(c)
--- a/internal/daemon/members_test.go
+++ b/internal/daemon/members_test.go
@@ -99,8 +99,8 @@
 	if after := seen[0].Load(); after > before {
 		t.Errorf("%d requests went to a node that drains", after-before)
 	}
-	for _, e := range r.members.State() {
-		if drains := e.Addr == host.Dial || e.ID == "addr "+host.Dial; e.In == drains || drains && e.Why != "list says that it has left" {
+	for _, e := range r.members.Status() {
+		if drains := e.Addr == host.Dial || e.ID == "addr "+host.Dial; e.Listed == drains || drains && e.Reason != "list says that it has left" {
 			t.Errorf("in the list: %+v", e)
 		}
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -53,7 +53,7 @@
 		source = s.list
 	}
 	if s.members != nil {
-		s.members.Move(source)
+		s.members.SetPlatform(source)
 		source = s.members
 	}
 	return source
--- a/internal/discovery/dns/answer.go
+++ b/internal/discovery/dns/answer.go
@@ -21,16 +21,16 @@
 // Limits bound what is taken from answers.
 type Limits struct {
 	MinTTL, MaxTTL time.Duration // lifetimes below and above are taken for these
-	Most           int           // targets
-	Addresses      int           // of a target
+	MaxTargets     int           // targets
+	MaxAddrs       int           // of a target
 	// Within is a suffix that targets must have; empty: any. Guards against answers that name what is not the zone's.
-	Within string
+	Zone string
 	// Public bars loopback, unspecified, multicast and link-local addresses.
-	Public bool
+	RejectLocal bool
 }
 
 // MaxChain is through how many aliases a name is followed.
-const MaxChain = 8
+const MaxAliases = 8
 
 // Target is one of a service's.
 type Target struct {
@@ -42,11 +42,11 @@
 
 // Answer is what a message says of a name.
 type Answer struct {
-	Targets []Target
-	TTL     time.Duration
-	None    bool   // the name, or the type, is not there: TTL says for how long
-	Follow  string // the name is another's alias, which the message says nothing of
-	Dropped int    // targets and addresses that Limits bar, or that cannot be read
+	Targets  []Target
+	TTL      time.Duration
+	NotFound bool   // the name, or the type, is not there: TTL says for how long
+	Alias    string // the name is another's alias, which the message says nothing of
+	Dropped  int    // targets and addresses that Limits bar, or that cannot be read
 }
 
 // Why an answer is none.
@@ -54,7 +54,7 @@
 	errOther     = errors.New("an answer to another question")
 	errTruncated = errors.New("the answer is truncated")
 	errServer    = errors.New("the server cannot answer")
-	errChain     = fmt.Errorf("more than %d aliases, or a circle of them", MaxChain)
+	errChain     = fmt.Errorf("more than %d aliases, or a circle of them", MaxAliases)
 )
 
 // parse reads a message that answers question id. An error says that it is of no use; errTruncated, that TCP has more.
@@ -93,7 +93,7 @@
 		if next == "" {
 			break
 		}
-		if name = next; hops == MaxChain {
+		if name = next; hops == MaxAliases {
 			return a, errChain
 		}
 	}
@@ -108,7 +108,7 @@
 			if host == "." { // RFC 2782: decidedly not available
 				continue
 			}
-			if b.Port == 0 || l.Within != "" && !within(host, l.Within) || len(a.Targets) >= l.Most {
+			if b.Port == 0 || l.Zone != "" && !within(host, l.Zone) || len(a.Targets) >= l.MaxTargets {
 				a.Dropped++
 				continue
 			}
@@ -123,9 +123,9 @@
 	}
 	if len(a.Targets) == 0 && a.Dropped == 0 {
 		if name != strings.ToLower(q.Name.String()) && m.RCode == dnsmessage.RCodeSuccess && len(m.Authorities) == 0 {
-			a.Follow = name
+			a.Alias = name
 		} else {
-			a.None = true
+			a.NotFound = true
 			ttl = negative(m.Authorities, l)
 		}
 	}
@@ -163,7 +163,7 @@
 	default:
 		return false
 	}
-	if l.Public && (addr.IsLoopback() || addr.IsUnspecified() || addr.IsMulticast() || addr.IsLinkLocalUnicast()) || addr.IsUnspecified() || len(t.Addrs) >= l.Addresses {
+	if l.RejectLocal && (addr.IsLoopback() || addr.IsUnspecified() || addr.IsMulticast() || addr.IsLinkLocalUnicast()) || addr.IsUnspecified() || len(t.Addrs) >= l.MaxAddrs {
 		a.Dropped++
 		return false
 	}
--- a/internal/discovery/dns/dns_test.go
+++ b/internal/discovery/dns/dns_test.go
@@ -16,7 +16,7 @@
 
 const service = "_http._tcp.booking.example.org."
 
-var limits = Limits{MinTTL: 5 * time.Second, MaxTTL: time.Hour, Most: 4, Addresses: 2}
+var limits = Limits{MinTTL: 5 * time.Second, MaxTTL: time.Hour, MaxTargets: 4, MaxAddrs: 2}
 
 type records = []dnsmessage.Resource
 
@@ -35,14 +35,14 @@
 func show(a Answer) string {
 	var b strings.Builder
 	for _, t := range a.Targets {
-		fmt.Fprintf(&b, "%d/%d %s %v; ", t.Priority, t.Weight, t.Host, t.Endpoints())
+		fmt.Fprintf(&b, "%d/%d %s %v; ", t.Priority, t.Weight, t.Host, t.AddrPorts())
 	}
 	fmt.Fprintf(&b, "ttl %v", a.TTL)
-	if a.None {
+	if a.NotFound {
 		b.WriteString(" none")
 	}
-	if a.Follow != "" {
-		b.WriteString(" follow " + a.Follow)
+	if a.Alias != "" {
+		b.WriteString(" follow " + a.Alias)
 	}
 	if a.Dropped > 0 {
 		fmt.Fprintf(&b, " dropped %d", a.Dropped)
@@ -87,8 +87,8 @@
 		"port 0":               {answers: records{srv(60, 0, 0, 0, "n."), srv(60, 80, 0, 0, "m.")}, want: "0/0 m. []; ttl 1m0s dropped 1"},
 		"too many":             {answers: records{srv(60, 1, 0, 0, "n."), srv(60, 2, 0, 0, "n."), srv(60, 3, 0, 0, "n."), srv(60, 4, 0, 0, "n."), srv(60, 5, 0, 0, "n.")}, want: "0/0 n. []; 0/0 n. []; 0/0 n. []; 0/0 n. []; ttl 1m0s dropped 1"},
 		"too many addresses":   {answers: records{srv(60, 80, 0, 0, "n.")}, more: records{a("n.", 60, 1), a("n.", 60, 1), a("n.", 60, 2), a("n.", 60, 3)}, want: "0/0 n. [10.0.0.1:80 10.0.0.2:80]; ttl 1m0s dropped 1"},
-		"outside the zone":     {answers: records{srv(60, 80, 0, 0, "n.evil.org."), srv(60, 80, 0, 0, "notexample.org."), srv(60, 80, 0, 0, "n.example.org.")}, limits: func(l *Limits) { l.Within = "example.org" }, want: "0/0 n.example.org. []; ttl 1m0s dropped 2"},
-		"loopback, barred":     {answers: records{srv(60, 80, 0, 0, "n.")}, more: records{dnsserver.Record("n.", 60, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}})}, limits: func(l *Limits) { l.Public = true }, want: "0/0 n. []; ttl 1m0s dropped 1"},
+		"outside the zone":     {answers: records{srv(60, 80, 0, 0, "n.evil.org."), srv(60, 80, 0, 0, "notexample.org."), srv(60, 80, 0, 0, "n.example.org.")}, limits: func(l *Limits) { l.Zone = "example.org" }, want: "0/0 n.example.org. []; ttl 1m0s dropped 2"},
+		"loopback, barred":     {answers: records{srv(60, 80, 0, 0, "n.")}, more: records{dnsserver.Record("n.", 60, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}})}, limits: func(l *Limits) { l.RejectLocal = true }, want: "0/0 n. []; ttl 1m0s dropped 1"},
 		"loopback":             {answers: records{srv(60, 80, 0, 0, "n.")}, more: records{dnsserver.Record("n.", 60, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}})}, want: "0/0 n. [127.0.0.1:80]; ttl 1m0s"},
 		"unspecified":          {answers: records{srv(60, 80, 0, 0, "n.")}, more: records{dnsserver.Record("n.", 60, &dnsmessage.AResource{})}, want: "0/0 n. []; ttl 1m0s dropped 1"},
 		"another's records":    {answers: records{dnsserver.Record("other.", 60, &dnsmessage.SRVResource{Target: dnsmessage.MustNewName("n."), Port: 8})}, want: "ttl 5s none"},
@@ -203,7 +203,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := &Resolver{Tries: 2, Timeout: testutil.Patience, Limits: limits}
+			r := &Resolver{Attempts: 2, Timeout: testutil.Patience, Limits: limits}
 			switch name {
 			case "one is silent":
 				r.Timeout = 2 * time.Second // the good one has as long
@@ -219,7 +219,7 @@
 			if name == "truncated on" || name == "all fail" {
 				r.Timeout = time.Second // and the pause between tries
 			}
-			got, err := r.SRV(t.Context(), service)
+			got, err := r.LookupSRV(t.Context(), service)
 			if text := show(got); err == nil && text != c.want || err != nil && !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%s, %v; want %s", text, err, c.want)
 			}
@@ -234,7 +234,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := (&Resolver{Servers: []string{testutil.NoAddr}, Tries: 5, Timeout: testutil.Patience, Limits: limits}).SRV(ctx, service); !errors.Is(err, context.Canceled) {
+	if _, err := (&Resolver{Servers: []string{testutil.NoAddr}, Attempts: 5, Timeout: testutil.Patience, Limits: limits}).LookupSRV(ctx, service); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
 }
@@ -248,7 +248,7 @@
 	f.Add(dnsserver.Pack(dnsserver.Message(base, 0, records{srv(60, 80, 1, 1, "n."), cname(service, "x.", 4)}, nil, records{a("n.", 60, 1)})))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		got, err := parse(text, 7, q, &limits)
-		if err == nil && (len(got.Targets) > limits.Most || got.TTL < limits.MinTTL || got.TTL > limits.MaxTTL) {
+		if err == nil && (len(got.Targets) > limits.MaxTargets || got.TTL < limits.MinTTL || got.TTL > limits.MaxTTL) {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/discovery/dns/refresh_test.go
+++ b/internal/discovery/dns/refresh_test.go
@@ -37,7 +37,7 @@
 // The scripts give answers and failures, and show what is told and when the name is looked up next.
 func TestRefresh(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var r *Refresh
+		var r *Refresher
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			duration := func(key string) time.Duration {
 				var text string
@@ -51,44 +51,44 @@
 				return x
 			}
 			now := duration("at")
-			var s Step
+			var s Decision
 			switch d.Cmd {
 			case "new":
 				var err error
-				if r, err = NewRefresh(RefreshConfig{Source: "srv", Stale: duration("stale"), RetryLeast: duration("least"),
-					RetryMost: duration("most"), Spread: duration("spread")}, 1); err != nil {
+				if r, err = NewRefresher(RefresherConfig{SourceName: "srv", StaleTTL: duration("stale"), MinRetry: duration("least"),
+					MaxRetry: duration("most"), InitialJitter: duration("spread")}, 1); err != nil {
 					return err.Error() + "\n"
 				}
 				s = r.Start(0)
 			case "answer":
-				a := Answer{TTL: duration("ttl"), None: d.HasArg("none")}
+				a := Answer{TTL: duration("ttl"), NotFound: d.HasArg("none")}
 				d.MaybeScanArgs(t, "dropped", &a.Dropped)
 				for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 					if line != "" {
 						a.Targets = append(a.Targets, target(t, line))
 					}
 				}
-				s = r.Answered(now, a)
+				s = r.HandleAnswer(now, a)
 			case "fail":
-				s = r.Failed(now, errors.New("time-out"))
+				s = r.HandleFailure(now, errors.New("time-out"))
 			default:
 				d.Fatalf(t, "no such command")
 			}
 			var out strings.Builder
-			if s.View != nil {
-				fmt.Fprintf(&out, "view %d:", s.View.Seq)
-				for _, e := range s.View.Entries {
-					fmt.Fprintf(&out, " %s/%d/%g", e.Addr, e.Priority, e.Share)
+			if s.Update != nil {
+				fmt.Fprintf(&out, "view %d:", s.Update.Seq)
+				for _, e := range s.Update.Endpoints {
+					fmt.Fprintf(&out, " %s/%d/%g", e.Addr, e.Priority, e.TrafficShare)
 				}
 				out.WriteString("\n")
 			}
-			if s.Lost {
+			if s.Failed {
 				out.WriteString("lost\n")
 			}
-			if s.Say != "" {
-				out.WriteString("say: " + s.Say + "\n")
+			if s.LogMessage != "" {
+				out.WriteString("say: " + s.LogMessage + "\n")
 			}
-			fmt.Fprintf(&out, "ask in %v\n", (s.Ask - now).Round(10*time.Millisecond))
+			fmt.Fprintf(&out, "ask in %v\n", (s.NextLookup - now).Round(10*time.Millisecond))
 			return out.String()
 		})
 	})
@@ -100,11 +100,11 @@
 	two := Answer{TTL: time.Millisecond, Targets: []Target{{Port: 80, Addrs: []netip.Addr{netip.MustParseAddr("10.0.0.2")}}}}
 	failed := errors.New("time-out")
 	answers := make(chan any)
-	r, err := NewRefresh(RefreshConfig{Source: "srv", Stale: time.Nanosecond, RetryLeast: time.Millisecond, RetryMost: time.Millisecond}, 1)
+	r, err := NewRefresher(RefresherConfig{SourceName: "srv", StaleTTL: time.Nanosecond, MinRetry: time.Millisecond, MaxRetry: time.Millisecond}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Source{Name: "_booking._tcp.example.org.", Refresh: r, Log: slog.New(slog.DiscardHandler),
+	s := &Source{Name: "_booking._tcp.example.org.", Refresher: r, Log: slog.New(slog.DiscardHandler),
 		Lookup: func(ctx context.Context, name string) (Answer, error) {
 			select {
 			case x := <-answers:
@@ -120,7 +120,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		s.Run(ctx, func(v discovery.View) { news <- v.Entries[0].Addr }, func(err error) { news <- err.Error() })
+		s.Run(ctx, func(v discovery.Update) { news <- v.Endpoints[0].Addr }, func(err error) { news <- err.Error() })
 		close(ended)
 	}()
 	for _, x := range []any{one, one, failed, failed, failed, two} {
--- a/internal/discovery/dns/resolver.go
+++ b/internal/discovery/dns/resolver.go
@@ -16,10 +16,10 @@
 
 // Resolver looks services up. It may be used from any goroutine; it keeps nothing between lookups.
 type Resolver struct {
-	Servers []string // addresses with ports, asked in turn from a random one on
-	Tries   int      // of each server
-	Timeout time.Duration
-	Limits  Limits
+	Servers  []string // addresses with ports, asked in turn from a random one on
+	Attempts int      // of each server
+	Timeout  time.Duration
+	Limits   Limits
 }
 
 const (
@@ -29,9 +29,9 @@
 
 // SRV looks a service up, and the addresses of its targets where the answer has none. An error joins why each server was
 // of no use.
-func (r *Resolver) SRV(ctx context.Context, name string) (Answer, error) {
+func (r *Resolver) LookupSRV(ctx context.Context, name string) (Answer, error) {
 	a, err := r.lookup(ctx, name, dnsmessage.TypeSRV)
-	if err != nil || a.None {
+	if err != nil || a.NotFound {
 		return a, err
 	}
 	for i := range a.Targets {
@@ -57,17 +57,17 @@
 // lookup asks for one type, and follows aliases.
 func (r *Resolver) lookup(ctx context.Context, name string, kind dnsmessage.Type) (Answer, error) {
 	ttl := r.Limits.MaxTTL
-	for range MaxChain + 1 {
+	for range MaxAliases + 1 {
 		n, err := dnsmessage.NewName(name)
 		if err != nil {
 			return Answer{}, fmt.Errorf("%q: %w", name, err)
 		}
 		a, err := r.ask(ctx, dnsmessage.Question{Name: n, Type: kind, Class: dnsmessage.ClassINET})
 		a.TTL = min(a.TTL, ttl)
-		if err != nil || a.Follow == "" {
+		if err != nil || a.Alias == "" {
 			return a, err
 		}
-		name, ttl = a.Follow, a.TTL
+		name, ttl = a.Alias, a.TTL
 	}
 	return Answer{}, errChain
 }
@@ -76,7 +76,7 @@
 func (r *Resolver) ask(ctx context.Context, q dnsmessage.Question) (Answer, error) {
 	var faults []error
 	first := rand.IntN(max(len(r.Servers), 1))
-	for try := range r.Tries {
+	for try := range r.Attempts {
 		for i := range r.Servers {
 			server := r.Servers[(first+i)%len(r.Servers)]
 			a, err := r.once(ctx, server, q)
@@ -88,7 +88,7 @@
 			}
 			faults = append(faults, fmt.Errorf("%s: %w", server, err))
 		}
-		if try+1 < r.Tries { // with jitter, so that instances that failed together do not ask together
+		if try+1 < r.Attempts { // with jitter, so that instances that failed together do not ask together
 			select {
 			case <-time.After(time.Duration((0.5 + rand.Float64()) * float64(r.Timeout) / 4)):
 			case <-ctx.Done():
@@ -177,7 +177,7 @@
 }
 
 // Endpoints are a target's addresses with its port.
-func (t Target) Endpoints() (list []netip.AddrPort) {
+func (t Target) AddrPorts() (list []netip.AddrPort) {
 	for _, a := range t.Addrs {
 		list = append(list, netip.AddrPortFrom(a, t.Port))
 	}
--- a/internal/discovery/dns/source.go
+++ b/internal/discovery/dns/source.go
@@ -10,22 +10,22 @@
 
 // Lookup finds a service's targets; Resolver.SRV is one. A Source calls it from its goroutine, one call at a time; it returns
 // soon after ctx ends.
-type Lookup func(ctx context.Context, name string) (Answer, error)
+type LookupFunc func(ctx context.Context, name string) (Answer, error)
 
 // Source follows one SRV name.
 type Source struct {
-	Name    string
-	Lookup  Lookup
-	Refresh *Refresh
-	Log     *slog.Logger
+	Name      string
+	Lookup    LookupFunc
+	Refresher *Refresher
+	Log       *slog.Logger
 }
 
 // Run follows the name until ctx ends. It calls tell with each new view, and lost once what it told is too old, both from its
 // own goroutine, one call at a time; neither should block for long.
-func (s *Source) Run(ctx context.Context, tell func(discovery.View), lost func(err error)) {
+func (s *Source) Run(ctx context.Context, tell func(discovery.Update), lost func(err error)) {
 	begun := time.Now()
-	step := s.Refresh.Start(0)
-	wait := time.NewTimer(step.Ask)
+	step := s.Refresher.Start(0)
+	wait := time.NewTimer(step.NextLookup)
 	defer wait.Stop()
 	for {
 		select {
@@ -39,19 +39,19 @@
 		}
 		now := time.Since(begun)
 		if err != nil {
-			step = s.Refresh.Failed(now, err)
+			step = s.Refresher.HandleFailure(now, err)
 		} else {
-			step = s.Refresh.Answered(now, a)
+			step = s.Refresher.HandleAnswer(now, a)
 		}
-		if step.Say != "" {
-			s.Log.Info("name service: "+step.Say, "name", s.Name)
+		if step.LogMessage != "" {
+			s.Log.Info("name service: "+step.LogMessage, "name", s.Name)
 		}
-		if step.View != nil {
-			tell(*step.View)
+		if step.Update != nil {
+			tell(*step.Update)
 		}
-		if step.Lost {
+		if step.Failed {
 			lost(err)
 		}
-		wait.Reset(step.Ask - now)
+		wait.Reset(step.NextLookup - now)
 	}
 }
--- a/internal/discovery/membership_test.go
+++ b/internal/discovery/membership_test.go
@@ -16,8 +16,8 @@
 var stateNames = []string{balancer.Active: "active", balancer.Draining: "leaving", balancer.Removed: "left"}
 
 func testConfig() Config {
-	return Config{Sources: []Source{{Name: "watch", Rank: 1, Absent: true, Keep: 10 * time.Second}, {Name: "dns", Rank: 2, Keep: 5 * time.Second}},
-		Most: 100, Settle: time.Second, Forget: time.Hour, Share: 0.5, Window: 10 * time.Second}
+	return Config{Sources: []SourceConfig{{Name: "watch", Rank: 1, AbsenceMeansRemoved: true, StaleTTL: 10 * time.Second}, {Name: "dns", Rank: 2, StaleTTL: 5 * time.Second}},
+		MaxEndpoints: 100, AdditionInterval: time.Second, TombstoneTTL: time.Hour, MaxRemovalShare: 0.5, RemovalWindow: 10 * time.Second}
 }
 
 // The scripts read as what sources say, and under each what changes in the list and when the merge wants to be called.
@@ -27,7 +27,7 @@
 //	lost at=T from=NAME | tick at=T | list at=T
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var m *Merge
+		var m *Merger
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var at, from string
 			var seq int64
@@ -43,15 +43,15 @@
 				}
 				return ""
 			case "tell":
-				return told(m.Tell(now, View{from, seq, !d.HasArg("changes"), entries(t, d.Input)}))
+				return told(m.Apply(now, Update{from, seq, !d.HasArg("changes"), entries(t, d.Input)}))
 			case "lost":
-				return told(m.Lost(now, from))
+				return told(m.SourceFailed(now, from))
 			case "tick":
 				return told(m.Tick(now))
 			case "list":
 				var b strings.Builder
-				for _, l := range m.List(now) {
-					fmt.Fprintf(&b, "%s in=%v %v: %s\n", l.ID, l.In, l.Sources, l.Why)
+				for _, l := range m.Status(now) {
+					fmt.Fprintf(&b, "%s in=%v %v: %s\n", l.ID, l.Listed, l.Sources, l.Reason)
 				}
 				return b.String()
 			}
@@ -60,17 +60,17 @@
 	})
 }
 
-func entries(t *testing.T, text string) (list []Entry) {
+func entries(t *testing.T, text string) (list []Endpoint) {
 	for line := range strings.Lines(text) {
 		w := strings.Fields(line)
 		if len(w) == 0 {
 			continue
 		}
-		e := Entry{ID: strings.TrimPrefix(w[0], "-"), Addr: w[1]}
+		e := Endpoint{ID: strings.TrimPrefix(w[0], "-"), Addr: w[1]}
 		for _, x := range w[2:] {
 			if n := slices.Index(stateNames, x); n >= 0 {
 				e.State = balancer.EndpointState(n)
-			} else if _, err := fmt.Sscanf(x, "born=%f", &e.BornMS); err != nil {
+			} else if _, err := fmt.Sscanf(x, "born=%f", &e.StartedAtMS); err != nil {
 				t.Fatal(line)
 			}
 		}
@@ -82,7 +82,7 @@
 func told(changes []Change, wake time.Duration) string {
 	var b strings.Builder
 	for _, c := range changes {
-		fmt.Fprintf(&b, "%s %s %s: %s\n", stateNames[c.Member.State], c.Member.ID, c.Member.Addr, c.Why)
+		fmt.Fprintf(&b, "%s %s %s: %s\n", stateNames[c.Endpoint.State], c.Endpoint.ID, c.Endpoint.Addr, c.Reason)
 	}
 	if wake > 0 {
 		fmt.Fprintf(&b, "again at %v\n", wake)
@@ -104,18 +104,18 @@
 		}
 		ids := []string{"a", "b", "c", "d", "e"}
 		names := []string{"watch", "dns"}
-		list := map[string]Entry{}    // as the module has it
-		said := map[string]Entry{}    // source/id: what was said to have left, and not taken back
-		seq := map[string]int64{}     // of each source
-		views := map[string][]View{}  // that it has told
-		born := map[string]float64{}  // newest start that any source told
-		explicit := map[string]bool{} // ids that were ever said to leave
+		list := map[string]Endpoint{}  // as the module has it
+		said := map[string]Endpoint{}  // source/id: what was said to have left, and not taken back
+		seq := map[string]int64{}      // of each source
+		views := map[string][]Update{} // that it has told
+		born := map[string]float64{}   // newest start that any source told
+		explicit := map[string]bool{}  // ids that were ever said to leave
 		apply := func(changes []Change) {
 			for _, c := range changes {
-				if c.Member.State == balancer.Active {
-					list[c.Member.ID] = c.Member
+				if c.Endpoint.State == balancer.Active {
+					list[c.Endpoint.ID] = c.Endpoint
 				} else {
-					delete(list, c.Member.ID)
+					delete(list, c.Endpoint.ID)
 				}
 			}
 		}
@@ -126,33 +126,33 @@
 			had := len(list)
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				c, _ := m.Lost(now, from)
+				c, _ := m.SourceFailed(now, from)
 				apply(c)
 			case 1:
 				c, _ := m.Tick(now)
 				apply(c)
 			case 2: // a late copy
 				if old := views[from]; len(old) > 0 {
-					c, _ := m.Tell(now, old[rapid.IntRange(0, len(old)-1).Draw(t, "old")])
+					c, _ := m.Apply(now, old[rapid.IntRange(0, len(old)-1).Draw(t, "old")])
 					apply(c)
 				}
 			default:
 				seq[from]++
-				v := View{Source: from, Seq: seq[from], Whole: rapid.Bool().Draw(t, "whole")}
+				v := Update{Source: from, Seq: seq[from], Complete: rapid.Bool().Draw(t, "whole")}
 				for _, id := range ids {
 					if rapid.IntRange(0, 3).Draw(t, "listed") == 0 {
 						continue
 					}
-					e := Entry{ID: id, Addr: "10." + id, BornMS: born[id], State: balancer.EndpointState(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 1, 2}).Draw(t, "state"))}
+					e := Endpoint{ID: id, Addr: "10." + id, StartedAtMS: born[id], State: balancer.EndpointState(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 1, 2}).Draw(t, "state"))}
 					if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 						born[id]++
-						e.BornMS, e.State = born[id], balancer.Active
+						e.StartedAtMS, e.State = born[id], balancer.Active
 					}
-					v.Entries = append(v.Entries, e)
+					v.Endpoints = append(v.Endpoints, e)
 					if e.State == balancer.Active {
 						delete(said, from+"/"+id)
 						for _, s := range names {
-							if g, ok := said[s+"/"+id]; ok && e.BornMS > g.BornMS {
+							if g, ok := said[s+"/"+id]; ok && e.StartedAtMS > g.StartedAtMS {
 								delete(said, s+"/"+id)
 							}
 						}
@@ -162,11 +162,11 @@
 					}
 				}
 				views[from] = append(views[from], v)
-				c, _ := m.Tell(now, v)
+				c, _ := m.Apply(now, v)
 				apply(c)
 			}
 			for key, g := range said {
-				if e, in := list[g.ID]; in && e.BornMS <= g.BornMS {
+				if e, in := list[g.ID]; in && e.StartedAtMS <= g.StartedAtMS {
 					t.Fatalf("%v: %s has left by the word of %s, and is in the list", now, g.ID, key)
 				}
 			}
@@ -180,21 +180,21 @@
 					t.Fatalf("%v: the list is empty, and nobody was said to leave", now)
 				}
 			}
-			if len(m.sources["watch"].graves) > testConfig().Most || len(m.out) != len(list) {
+			if len(m.sources["watch"].graves) > testConfig().MaxEndpoints || len(m.out) != len(list) {
 				t.Fatalf("%d listed, the module has %d", len(m.out), len(list))
 			}
 		}
-		var agreed []Entry // newer starts of all, told by both
+		var agreed []Endpoint // newer starts of all, told by both
 		for _, id := range ids[:3] {
-			agreed = append(agreed, Entry{ID: id, Addr: "10." + id, BornMS: born[id] + 1})
+			agreed = append(agreed, Endpoint{ID: id, Addr: "10." + id, StartedAtMS: born[id] + 1})
 		}
 		for _, s := range names {
 			seq[s]++
-			c, _ := m.Tell(now, View{Source: s, Seq: seq[s], Whole: true, Entries: agreed})
+			c, _ := m.Apply(now, Update{Source: s, Seq: seq[s], Complete: true, Endpoints: agreed})
 			apply(c)
 		}
 		for range 10 { // a window takes out a share
-			now += testConfig().Window
+			now += testConfig().RemovalWindow
 			c, _ := m.Tick(now)
 			apply(c)
 		}
@@ -206,8 +206,8 @@
 
 // Neither what cannot be is made, nor is more kept than may be.
 func TestBounds(t *testing.T) {
-	for i, change := range []func(*Config){func(c *Config) { c.Sources = nil }, func(c *Config) { c.Share = 0 }, func(c *Config) { c.Most = 0 }, func(c *Config) { c.Window = 0 },
-		func(c *Config) { c.Sources[1].Name = "watch" }, func(c *Config) { c.Sources[0].Keep = -1 }, func(c *Config) { c.Forget = 0 }} {
+	for i, change := range []func(*Config){func(c *Config) { c.Sources = nil }, func(c *Config) { c.MaxRemovalShare = 0 }, func(c *Config) { c.MaxEndpoints = 0 }, func(c *Config) { c.RemovalWindow = 0 },
+		func(c *Config) { c.Sources[1].Name = "watch" }, func(c *Config) { c.Sources[0].StaleTTL = -1 }, func(c *Config) { c.TombstoneTTL = 0 }} {
 		c := testConfig()
 		change(&c)
 		if _, err := New(c); err == nil {
@@ -215,16 +215,16 @@
 		}
 	}
 	m, _ := New(testConfig())
-	var flood []Entry
+	var flood []Endpoint
 	for i := range 10_000 {
-		flood = append(flood, Entry{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("x", i)})
+		flood = append(flood, Endpoint{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("x", i)})
 	}
-	m.Tell(0, View{"dns", 1, true, flood})
+	m.Apply(0, Update{"dns", 1, true, flood})
 	for i := range flood {
 		flood[i].State = balancer.Removed
 	}
 	for i := 0; i < len(flood); i += 100 {
-		m.Tell(time.Second, View{"watch", int64(i + 1), false, flood[i : i+100]})
+		m.Apply(time.Second, Update{"watch", int64(i + 1), false, flood[i : i+100]})
 	}
 	if len(m.out) > 100 || m.Dropped() != 9900 || len(m.sources["watch"].graves) > 100 {
 		t.Errorf("%d in the list, %d left out, %d graves", len(m.out), m.Dropped(), len(m.sources["watch"].graves))
--- a/internal/discovery/mergedsource/format_test.go
+++ b/internal/discovery/mergedsource/format_test.go
@@ -14,10 +14,10 @@
 // GET /members is a list of these, as Source.State returns it. The files are here, and not in package membership, since its script
 // test plays every file under its testdata.
 func TestMemberListFormatIsStable(t *testing.T) {
-	entry := discovery.Entry{
-		ID: "upstream-1", Addr: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, State: balancer.Draining, BornMS: 1700000000000.5, Priority: 1, Share: 0.5,
+	entry := discovery.Endpoint{
+		ID: "upstream-1", Addr: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, State: balancer.Draining, StartedAtMS: 1700000000000.5, Priority: 1, TrafficShare: 0.5,
 	}
-	list := []discovery.Listed{{Entry: entry, In: true, Why: "listed", Sources: []string{"discovery", "dns"}, Since: 1500 * time.Millisecond}, {}}
+	list := []discovery.EndpointStatus{{Endpoint: entry, Listed: true, Reason: "listed", Sources: []string{"discovery", "dns"}, Since: 1500 * time.Millisecond}, {}}
 	testutil.Filled(t, list[0])
 	testutil.ExplicitNames(t, "json", list)
 	text, err := json.MarshalIndent(list, "", "  ")
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "list.json", append(text, '\n'))
-	var read []discovery.Listed
+	var read []discovery.EndpointStatus
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
 	}
--- a/internal/discovery/mergedsource/merged.go
+++ b/internal/discovery/mergedsource/merged.go
@@ -23,37 +23,37 @@
 )
 
 // List is the name of the platform's discovery among the sources.
-const List = "list"
+const PlatformSourceName = "list"
 
 const queueLength = 64
 
 // Beside is a source beside discovery. Run calls it once, in a goroutine of its own, and it returns soon after ctx ends. It calls
 // tell with each view and lost when what it told is too old, one call at a time; both may wait.
-type Beside struct {
-	discovery.Source
-	Run func(ctx context.Context, tell func(discovery.View), lost func(error))
+type AdditionalSource struct {
+	discovery.SourceConfig
+	Run func(ctx context.Context, tell func(discovery.Update), lost func(error))
 }
 
 // Config is what a Source is made of.
 type Config struct {
-	Discovery engine.Source
-	Beside    []Beside
-	Known     []engine.Endpoint // the list that the engine was given as last held
+	Platform   engine.Source
+	Additional []AdditionalSource
+	CachedList []engine.Endpoint // the list that the engine was given as last held
 	// Most, Settle, Forget, Share and Window are the merge's.
-	Most           int
-	Settle, Forget time.Duration
-	Share          float64
-	Window         time.Duration
+	MaxEndpoints                   int
+	AdditionInterval, TombstoneTTL time.Duration
+	MaxRemovalShare                float64
+	RemovalWindow                  time.Duration
 	// Told is called with what discovery says drains or is gone, from Run's goroutine; nil: nobody wants it.
-	Told func(engine.Endpoint)
-	Now  func() time.Time // nil: the clock; a node that only a source beside discovery names is taken to have started then
-	Log  *slog.Logger
+	OnDeparture func(engine.Endpoint)
+	Now         func() time.Time // nil: the clock; a node that only a source beside discovery names is taken to have started then
+	Log         *slog.Logger
 }
 
 // Source is an engine.Source.
 type Source struct {
 	cfg    Config
-	merge  *discovery.Merge
+	merge  *discovery.Merger
 	events chan event
 	notes  chan struct{} // there is a new wish
 
@@ -84,31 +84,31 @@
 type event struct {
 	wish *wish // news of discovery's watch for it; nil: of a source beside it
 	news engine.EndpointUpdate
-	view discovery.View
+	view discovery.Update
 	from string // lost
 	err  error
-	list chan<- []discovery.Listed // who asks for the list; one place
+	list chan<- []discovery.EndpointStatus // who asks for the list; one place
 }
 
 // New makes a Source. Nothing is asked before Run and Watch.
 func New(c Config) (*Source, error) {
-	sources := []discovery.Source{{Name: List, Rank: 0, Absent: true, Keep: c.Forget}}
-	for _, b := range c.Beside {
-		if b.Name == List {
-			return nil, fmt.Errorf("merged: %q is discovery's name", List)
+	sources := []discovery.SourceConfig{{Name: PlatformSourceName, Rank: 0, AbsenceMeansRemoved: true, StaleTTL: c.TombstoneTTL}}
+	for _, b := range c.Additional {
+		if b.Name == PlatformSourceName {
+			return nil, fmt.Errorf("merged: %q is discovery's name", PlatformSourceName)
 		}
-		sources = append(sources, b.Source)
+		sources = append(sources, b.SourceConfig)
 	}
-	m, err := discovery.New(discovery.Config{Sources: sources, Most: c.Most, Settle: c.Settle, Forget: c.Forget, Share: c.Share, Window: c.Window})
+	m, err := discovery.New(discovery.Config{Sources: sources, MaxEndpoints: c.MaxEndpoints, AdditionInterval: c.AdditionInterval, TombstoneTTL: c.TombstoneTTL, MaxRemovalShare: c.MaxRemovalShare, RemovalWindow: c.RemovalWindow})
 	if err != nil {
 		return nil, err
 	}
 	if c.Now == nil {
 		c.Now = time.Now
 	}
-	s := &Source{cfg: c, merge: m, events: make(chan event, queueLength), notes: make(chan struct{}, 1), discovery: c.Discovery,
+	s := &Source{cfg: c, merge: m, events: make(chan event, queueLength), notes: make(chan struct{}, 1), discovery: c.Platform,
 		held: map[string]bool{}, spoke: map[string]bool{}, early: map[string]bool{}}
-	s.discovered(0, engine.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: c.Known}) // which the engine has
+	s.discovered(0, engine.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: c.CachedList}) // which the engine has
 	return s, nil
 }
 
@@ -126,7 +126,7 @@
 }
 
 // Move lets discovery be another one, from the next Watch on. It may be called from any goroutine.
-func (s *Source) Move(discovery engine.Source) {
+func (s *Source) SetPlatform(discovery engine.Source) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.discovery = discovery
@@ -137,8 +137,8 @@
 
 // State is every node that a source lists or the list holds: in the list or not, why, by whom and since when. It may be called
 // from any goroutine, and is empty where Run does not answer.
-func (s *Source) State() []discovery.Listed {
-	answer := make(chan []discovery.Listed, 1)
+func (s *Source) Status() []discovery.EndpointStatus {
+	answer := make(chan []discovery.EndpointStatus, 1)
 	late := time.After(stateTime)
 	select {
 	case s.events <- event{list: answer}:
@@ -173,9 +173,9 @@
 	case <-ctx.Done():
 		return
 	}
-	for _, b := range s.cfg.Beside {
+	for _, b := range s.cfg.Additional {
 		sources.Go(func() {
-			b.Run(ctx, func(v discovery.View) { v.Source = b.Name; post(event{view: v}) }, func(err error) { post(event{from: b.Name, err: err}) })
+			b.Run(ctx, func(v discovery.Update) { v.Source = b.Name; post(event{view: v}) }, func(err error) { post(event{from: b.Name, err: err}) })
 		})
 	}
 	tick := time.NewTimer(time.Hour)
@@ -221,12 +221,12 @@
 func (s *Source) handle(e event) time.Duration {
 	switch {
 	case e.list != nil:
-		e.list <- s.merge.List(s.now())
+		e.list <- s.merge.Status(s.now())
 		return 0
 	case e.wish != nil && e.wish != s.current:
 		return 0 // of a watch that has been replaced
 	case e.wish != nil && e.news.Kind == balancer.WatchFailed:
-		changes, at := s.merge.Lost(s.now(), List)
+		changes, at := s.merge.SourceFailed(s.now(), PlatformSourceName)
 		s.beside(changes)
 		s.tell(e.news)
 		return at
@@ -237,17 +237,17 @@
 		return at
 	case e.from != "":
 		s.cfg.Log.Warn("a source of members is lost", "source", e.from, "err", e.err)
-		changes, at := s.merge.Lost(s.now(), e.from)
+		changes, at := s.merge.SourceFailed(s.now(), e.from)
 		s.beside(changes)
 		return at
 	}
 	if !s.spoke[e.view.Source] {
 		s.spoke[e.view.Source] = true
-		for _, x := range e.view.Entries[:min(len(e.view.Entries), s.cfg.Most)] {
+		for _, x := range e.view.Endpoints[:min(len(e.view.Endpoints), s.cfg.MaxEndpoints)] {
 			s.early[x.Addr] = true
 		}
 	}
-	changes, at := s.merge.Tell(s.now(), e.view)
+	changes, at := s.merge.Apply(s.now(), e.view)
 	s.beside(changes)
 	return at
 }
@@ -256,34 +256,34 @@
 // merely absent, or the merge might hold it.
 func (s *Source) discovered(now time.Duration, n engine.EndpointUpdate) ([]discovery.Change, time.Duration) {
 	s.seq++
-	v := discovery.View{Source: List, Seq: s.seq, Whole: n.Kind == balancer.CompleteList}
+	v := discovery.Update{Source: PlatformSourceName, Seq: s.seq, Complete: n.Kind == balancer.CompleteList}
 	there := map[string]bool{}
 	for _, m := range n.Endpoints {
 		there[m.ID] = true
-		v.Entries = append(v.Entries, discovery.Entry{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, BornMS: m.StartedAtMS})
+		v.Endpoints = append(v.Endpoints, discovery.Endpoint{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, StartedAtMS: m.StartedAtMS})
 		if delete(s.held, m.ID); m.State == balancer.Active {
 			s.held[m.ID] = true
 		}
 	}
-	if v.Whole {
+	if v.Complete {
 		for _, id := range slices.Sorted(maps.Keys(s.held)) {
 			if !there[id] {
-				v.Entries = append(v.Entries, discovery.Entry{ID: id, State: balancer.Removed})
+				v.Endpoints = append(v.Endpoints, discovery.Endpoint{ID: id, State: balancer.Removed})
 				delete(s.held, id)
 			}
 		}
 	}
-	return s.merge.Tell(now, v)
+	return s.merge.Apply(now, v)
 }
 
 // passOn says what discovery has said of leavings, and not what a whole list of it merely lacks: that may be an older list.
 func (s *Source) passOn(n engine.EndpointUpdate) {
-	if s.cfg.Told == nil {
+	if s.cfg.OnDeparture == nil {
 		return
 	}
 	for _, m := range n.Endpoints {
 		if m.State != balancer.Active {
-			s.cfg.Told(m)
+			s.cfg.OnDeparture(m)
 		}
 	}
 }
@@ -308,12 +308,12 @@
 func (s *Source) members(changes []discovery.Change) []engine.Endpoint {
 	var list []engine.Endpoint
 	for _, c := range changes {
-		m := c.Member
-		s.cfg.Log.Info("member", "id", m.ID, "addr", m.Addr, "in", m.State == balancer.Active, "why", c.Why)
-		if m.State == balancer.Active && m.BornMS == 0 && !s.held[m.ID] && !s.early[m.Addr] {
-			m.BornMS = float64(s.cfg.Now().UnixMilli())
+		m := c.Endpoint
+		s.cfg.Log.Info("member", "id", m.ID, "addr", m.Addr, "in", m.State == balancer.Active, "why", c.Reason)
+		if m.State == balancer.Active && m.StartedAtMS == 0 && !s.held[m.ID] && !s.early[m.Addr] {
+			m.StartedAtMS = float64(s.cfg.Now().UnixMilli())
 		}
-		list = append(list, engine.Endpoint{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, StartedAtMS: m.BornMS})
+		list = append(list, engine.Endpoint{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, StartedAtMS: m.StartedAtMS})
 	}
 	return list
 }
--- a/internal/discovery/mergedsource/merged_test.go
+++ b/internal/discovery/mergedsource/merged_test.go
@@ -48,9 +48,9 @@
 func start(t *testing.T, settle time.Duration, known ...string) *rig {
 	t.Helper()
 	r := &rig{t: t, list: newDiscovery(), srv: make(chan any), news: make(chan engine.EndpointUpdate, 100)}
-	s, err := New(Config{Discovery: r.list, Known: members(known...), Most: 100, Settle: settle, Forget: time.Hour, Share: 0.5, Window: time.Minute,
+	s, err := New(Config{Platform: r.list, CachedList: members(known...), MaxEndpoints: 100, AdditionInterval: settle, TombstoneTTL: time.Hour, MaxRemovalShare: 0.5, RemovalWindow: time.Minute,
 		Now: func() time.Time { return time.UnixMilli(now) }, Log: slog.New(slog.DiscardHandler),
-		Beside: []Beside{{Source: discovery.Source{Name: "srv", Rank: 1, Keep: time.Hour}, Run: func(ctx context.Context, tell func(discovery.View), lost func(error)) {
+		Additional: []AdditionalSource{{SourceConfig: discovery.SourceConfig{Name: "srv", Rank: 1, StaleTTL: time.Hour}, Run: func(ctx context.Context, tell func(discovery.Update), lost func(error)) {
 			for n := int64(1); ; n++ {
 				select {
 				case x := <-r.srv:
@@ -58,7 +58,7 @@
 						lost(err)
 						continue
 					}
-					v := x.(discovery.View)
+					v := x.(discovery.Update)
 					v.Seq = n
 					tell(v)
 				case <-ctx.Done():
@@ -93,10 +93,10 @@
 }
 
 // addresses are a view of the name service's.
-func addresses(names ...string) discovery.View {
-	v := discovery.View{Whole: true}
+func addresses(names ...string) discovery.Update {
+	v := discovery.Update{Complete: true}
 	for _, n := range names {
-		v.Entries = append(v.Entries, discovery.Entry{Addr: "x:" + n})
+		v.Endpoints = append(v.Endpoints, discovery.Endpoint{Addr: "x:" + n})
 	}
 	return v
 }
@@ -175,7 +175,7 @@
 	r.want("aside 0: addr x:b")
 	r.srv <- errors.New("time-out")
 	other := newDiscovery()
-	r.Move(other)
+	r.SetPlatform(other)
 	stop := r.Watch(engine.UnknownVersion, 0, func(n engine.EndpointUpdate) { r.news <- n })
 	r.watch = testutil.Receive(t, other.watches, "the new discovery's watch")
 	if r.watch.seq != engine.UnknownVersion {
@@ -212,10 +212,10 @@
 
 // What cannot be is an error that says so.
 func TestNewRefuses(t *testing.T) {
-	good := Config{Most: 1, Forget: 1, Share: 1, Window: 1}
+	good := Config{MaxEndpoints: 1, TombstoneTTL: 1, MaxRemovalShare: 1, RemovalWindow: 1}
 	for want, c := range map[string]Config{
-		`"list" is discovery's name`: {Most: 1, Forget: 1, Share: 1, Window: 1, Beside: []Beside{{Source: discovery.Source{Name: List}}}},
-		"a share above 0":            {Most: 1, Forget: 1, Window: 1},
+		`"list" is discovery's name`: {MaxEndpoints: 1, TombstoneTTL: 1, MaxRemovalShare: 1, RemovalWindow: 1, Additional: []AdditionalSource{{SourceConfig: discovery.SourceConfig{Name: PlatformSourceName}}}},
+		"a share above 0":            {MaxEndpoints: 1, TombstoneTTL: 1, RemovalWindow: 1},
 	} {
 		if _, err := New(c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
