--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -153,12 +153,12 @@
 func (r *mixedRig) checkNothingRejected() {
 	r.t.Helper()
 	for _, n := range r.all() {
-		var view gossip.State
+		var view gossip.Status
 		if err := r.Ask(n, "fleet", &view); err != nil {
 			r.t.Errorf("member %d: %v", n, err)
 			continue
 		}
-		unreadable := view.Network.Corrupt + view.Network.Version
+		unreadable := view.Network.Corrupt + view.Network.VersionMismatches
 		unusable := view.Core.ForeignMessages + view.Core.Rejected
 		if unreadable != 0 || unusable != 0 {
 			r.t.Errorf("member %d has rejected gossip: %+v, %+v", n, view.Network, view.Core)
