--- a/internal/cluster/node/peering.go
+++ b/internal/cluster/node/peering.go
@@ -69,14 +69,14 @@
 
 // NewEndpointSource puts the fleet between discovery and this sidecar. known is the list that it holds already. Nothing is asked before Watch.
 func NewEndpointSource(c Config, op *operator.Recovery, discovery engine.Source, known engine.EndpointUpdate) *relay.Source {
-	var dial watch.Dial
+	var dial watch.DialFunc
 	if c.Network != nil {
 		dial = c.Network.Dial
 	}
-	return relay.NewSource(relay.Config{Discovery: discovery, Known: known, Most: 2 * int(op.Fan), Log: c.Log,
-		Selector: bootstrap.Config{Self: c.Name, Ask: int(op.Ask), Fan: int(op.Fan), Rate: op.Rate, Told: c.ConfiguredSize, Seed: c.RandomSeed},
-		Peer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
-			return watch.NewPeer(addr, header, check, c.Log).Through(dial)
+	return relay.NewSource(relay.Config{Discovery: discovery, CachedList: known, MaxFollowers: 2 * int(op.Fan), Log: c.Log,
+		Selector: bootstrap.Config{Self: c.Name, Roots: int(op.Ask), FanOut: int(op.Fan), MaxCallRate: op.Rate, ConfiguredSize: c.ConfiguredSize, RandomSeed: c.RandomSeed},
+		NewPeer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
+			return watch.NewPeerClient(addr, header, check, c.Log).WithDialer(dial)
 		}})
 }
 
@@ -94,7 +94,7 @@
 		g.OnMembersChanged = p.viewed
 	}
 	if list != nil {
-		g.Handler = serve(list.Relay(), c.Handler)
+		g.Handler = serve(list.Server(), c.Handler)
 	}
 	for _, t := range op.Translate {
 		g.Translations = append(g.Translations, gossip.AddressTranslation{From: t.Prefix, To: t.As})
@@ -128,7 +128,7 @@
 		for _, m := range others {
 			list = append(list, bootstrap.Member{Name: m.Name, Addr: m.Addr})
 		}
-		p.EndpointSource.View(list, joined)
+		p.EndpointSource.UpdateMembers(list, joined)
 	}
 	if p.onView != nil {
 		p.onView(others, joined)
