--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -98,7 +98,7 @@
 	b.unit.weight = unitWeight
 	b.self = b.rng.Uint64()
 	// Its chance is apart from that of picks, which do not depend on how often discovery was asked.
-	b.pace = backoff.NewPace(backoff.Service(s.Balancers), rand.New(rand.NewPCG(seed, 0x61736b)))
+	b.pace = backoff.NewScheduler(backoff.ServiceConfig(s.Balancers), rand.New(rand.NewPCG(seed, 0x61736b)))
 	b.probeTime = quantile{0.75, s.Tick.Seconds()}
 	b.mid, b.late = quantile{0.5, b.meanAim / 4}, quantile{lateQuant, b.meanAim / 2}
 	return b, nil
@@ -734,20 +734,20 @@
 func (b *Balancer) members(e EndpointUpdate) {
 	b.fleetSize() // it was that long until now
 	if e.Kind == WatchFailed {
-		if b.subscribed || !b.pace.Lost() {
+		if b.subscribed || !b.pace.Failing() {
 			b.log("list lost: asking again")
 		}
 		b.subscribed, b.asking = false, false
-		b.after(b.pace.Fail(b.now, e.NewlyReached), timerAsk, nil)
+		b.after(b.pace.CallFailed(b.now, e.NewlyReached), timerAsk, nil)
 		return
 	}
 	// Also unasked: the sidecar may subscribe elsewhere.
 	if e.Kind != OutOfBand && (b.asking || e.Kind != CachedList) {
-		if b.pace.Lost() {
+		if b.pace.Failing() {
 			b.log("list regained")
 		}
 		b.subscribed, b.asking = true, false
-		b.pace.Good()
+		b.pace.CallSucceeded()
 	}
 	if e.Kind != Delta && e.Kind != OutOfBand {
 		for _, u := range b.list {
@@ -797,7 +797,7 @@
 
 func (b *Balancer) ask() {
 	b.asking = true
-	b.pace.Begin(b.now)
+	b.pace.CallStarted(b.now)
 	b.act(Action{Kind: Subscribe})
 }
 
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -215,7 +215,7 @@
 				}
 			}
 			want := c.soon
-			if lost >= backoff.Told {
+			if lost >= backoff.NotificationDeadline {
 				want = c.late
 			}
 			if space := r.now - asked; space < want[0] || space > want[1] {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -89,5 +89,5 @@
 // weighs, when probes pay and how often a lost list is asked for follow it. Below 1 counts as 1. The caller is Handle's.
 func (b *Balancer) SetBalancers(n int) {
 	b.set.Balancers = max(n, 1)
-	b.pace.Config = backoff.Service(b.set.Balancers)
+	b.pace.Config = backoff.ServiceConfig(b.set.Balancers)
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -101,7 +101,7 @@
 	meanAim float64       // seconds, over classes
 
 	subscribed, asking bool
-	pace               backoff.Pace // when the list is asked for after a failure
+	pace               backoff.Scheduler // when the list is asked for after a failure
 
 	kinds     map[string]*float64 // mean normalised latency by kind of upstream and zone
 	fleet     float64             // mean normalised latency, seconds
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -27,11 +27,11 @@
 		if err := r.Ask(n, "recovery", &s); err != nil {
 			return nil, nil, false
 		}
-		text = append(text, fmt.Sprintf("%d from %s at %d, %v", n, s.Source, s.Relay.Version, s.Relay.Live))
+		text = append(text, fmt.Sprintf("%d from %s at %d, %v", n, s.Source, s.Server.Version, s.Server.Live))
 		if s.Source == "discovery" {
 			asking = append(asking, n)
 		}
-		current = current && s.Relay.Live && s.Relay.Version == r.Servers.Discovery.Seq()
+		current = current && s.Server.Live && s.Server.Version == r.Servers.Discovery.Seq()
 	}
 	return text, asking, current
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -16,25 +16,25 @@
 
 const (
 	// Told is when a change counts as told, from when discovery had it and could be reached.
-	Told = 6 * time.Second
+	NotificationDeadline = 6 * time.Second
 	// Silence is when a watch counts as dead, and a call that has brought no line is given up: an empty line comes every
 	// 2 s. Guards against a discovery that is cut off and says nothing, where TCP notices nothing.
-	Silence = 2500 * time.Millisecond
+	SilenceTimeout = 2500 * time.Millisecond
 	// Beside is when a call that has brought nothing gets another one beside it. Guards against one that hangs: given up
 	// first, it leaves no time for a second failure. It is above what a call may wait for its turn (1 s on the platform).
-	Beside = Silence / 2
+	HedgeDelay = SilenceTimeout / 2
 	// Most is how many calls one attempt makes so, of which two are out at a time.
-	Most = 3
+	MaxAttempts = 3
 )
 
 // Config is how calls are spaced. Times are spread by chance, so that sidecars do not stay together.
 type Config struct {
 	// Soon is the pause after a failure at least: between Soon/4 and Soon.
-	Soon time.Duration
+	RetryDelay time.Duration
 	// Space is from the beginning of a call to that of the next while news may come in time, times 0.75 to 1.25.
-	Space time.Duration
+	FastInterval time.Duration
 	// Later is the same from then on, doubled with each failure up to LaterMost.
-	Later, LaterMost time.Duration
+	SlowInterval, MaxInterval time.Duration
 }
 
 const (
@@ -48,28 +48,28 @@
 )
 
 // Service is for a discovery that n sidecars ask.
-func Service(n int) Config {
+func ServiceConfig(n int) Config {
 	later := min(max(time.Duration(n)*time.Second/fleetCalls, laterMin), laterMax)
-	return Config{Soon: soon, Space: space, Later: later, LaterMost: later}
+	return Config{RetryDelay: soon, FastInterval: space, SlowInterval: later, MaxInterval: later}
 }
 
 // Agent is for one on this machine: calls cost nothing. What it learns when discovery comes back counts as told at once:
 // the pause stays below the least grace of a drain.
-func Agent() Config { return Config{Soon: 100 * time.Millisecond} }
+func AgentConfig() Config { return Config{RetryDelay: 100 * time.Millisecond} }
 
 // First is how long the whole list beside a watch that tells the changes anyhow is waited with, times 0.5 to 1.5. Guards
 // against a discovery of fixed capacity to which all instances were moved at once: with a list and a watch of each in
 // the same second it turned both away, and who had no watch heard of no drain.
-const First = 2 * time.Second
+const ListDelay = 2 * time.Second
 
 // List is for the whole list beside a watch, of a discovery that all sidecars ask.
-func List() Config {
-	return Config{Soon: soon, Space: 750 * time.Millisecond, Later: 3 * time.Second, LaterMost: 24 * time.Second}
+func ListConfig() Config {
+	return Config{RetryDelay: soon, FastInterval: 750 * time.Millisecond, SlowInterval: 3 * time.Second, MaxInterval: 24 * time.Second}
 }
 
 // Pace spaces the calls of one source. Its caller's clock is any that does not go back; its methods are called by one
 // goroutine.
-type Pace struct {
+type Scheduler struct {
 	Config
 	rng   *rand.Rand
 	lost  bool          // a call has failed since the last that did not
@@ -79,40 +79,42 @@
 }
 
 // NewPace is one that has made no call.
-func NewPace(c Config, rng *rand.Rand) Pace { return Pace{Config: c, rng: rng, begun: -time.Hour} }
+func NewScheduler(c Config, rng *rand.Rand) Scheduler {
+	return Scheduler{Config: c, rng: rng, begun: -time.Hour}
+}
 
 // Begin says that a call begins.
-func (p *Pace) Begin(now time.Duration) { p.begun = now }
+func (p *Scheduler) CallStarted(now time.Duration) { p.begun = now }
 
 // Good says that a call was answered.
-func (p *Pace) Good() { p.lost = false }
+func (p *Scheduler) CallSucceeded() { p.lost = false }
 
 // Lost says that a call has failed, or what it had opened broke, and none was answered since.
-func (p *Pace) Lost() bool { return p.lost }
+func (p *Scheduler) Failing() bool { return p.lost }
 
 // Fail says that a call has failed, or that what it had opened broke, and returns when the next is to begin. anew: the
 // source could not be reached before. What it has learnt meanwhile counts as told from now on, so the time begins anew.
-func (p *Pace) Fail(now time.Duration, anew bool) time.Duration {
+func (p *Scheduler) CallFailed(now time.Duration, anew bool) time.Duration {
 	if !p.lost || anew {
 		p.lost, p.since, p.fails = true, now, 0
 	}
-	space := p.Space
-	if now-p.since >= Told {
-		space = min(p.Later<<min(p.fails, 10), p.LaterMost)
+	space := p.FastInterval
+	if now-p.since >= NotificationDeadline {
+		space = min(p.SlowInterval<<min(p.fails, 10), p.MaxInterval)
 		p.fails++
 	}
-	soon := now + p.Soon/4 + p.part(3*p.Soon/4)
+	soon := now + p.RetryDelay/4 + p.part(3*p.RetryDelay/4)
 	return max(soon, p.begun+3*space/4+p.part(space/2))
 }
 
 // part is a time by chance, up to d.
-func (p *Pace) part(d time.Duration) time.Duration {
+func (p *Scheduler) part(d time.Duration) time.Duration {
 	return time.Duration(p.rng.Float64() * float64(d))
 }
 
 // Wait says that what is to be asked for has been missing from now on, beside a watch, and returns when the first call is to
 // begin.
-func (p *Pace) Wait(now time.Duration) time.Duration {
+func (p *Scheduler) DelayFirstCall(now time.Duration) time.Duration {
 	p.lost, p.since = true, now
-	return now + First/2 + p.part(First)
+	return now + ListDelay/2 + p.part(ListDelay)
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -13,7 +13,7 @@
 // to 10 ms.
 func TestPace(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var paces []Pace
+		var paces []Scheduler
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var text string
 			d.MaybeScanArgs(t, "at", &text)
@@ -22,7 +22,7 @@
 				d.Fatalf(t, "at: %v", err)
 			}
 			least, most := time.Duration(1<<62), time.Duration(0)
-			each := func(next func(*Pace) time.Duration) string {
+			each := func(next func(*Scheduler) time.Duration) string {
 				for i := range paces {
 					at := next(&paces[i])
 					least, most = min(least, at), max(most, at)
@@ -31,27 +31,27 @@
 			}
 			switch d.Cmd {
 			case "service", "agent", "list":
-				c := map[string]Config{"agent": Agent(), "list": List()}[d.Cmd]
+				c := map[string]Config{"agent": AgentConfig(), "list": ListConfig()}[d.Cmd]
 				if d.Cmd == "service" {
 					var n int
 					d.ScanArgs(t, "sidecars", &n)
-					c = Service(n)
+					c = ServiceConfig(n)
 				}
 				paces = nil
 				for seed := range uint64(4000) {
-					paces = append(paces, NewPace(c, rand.New(rand.NewPCG(seed, 1))))
+					paces = append(paces, NewScheduler(c, rand.New(rand.NewPCG(seed, 1))))
 				}
 			case "begin":
 				for i := range paces {
-					paces[i].Begin(now)
+					paces[i].CallStarted(now)
 				}
 			case "fail":
-				return each(func(p *Pace) time.Duration { return p.Fail(now, d.HasArg("anew")) })
+				return each(func(p *Scheduler) time.Duration { return p.CallFailed(now, d.HasArg("anew")) })
 			case "wait":
-				return each(func(p *Pace) time.Duration { return p.Wait(now) })
+				return each(func(p *Scheduler) time.Duration { return p.DelayFirstCall(now) })
 			case "good":
 				for i := range paces {
-					paces[i].Good()
+					paces[i].CallSucceeded()
 				}
 			default:
 				d.Fatalf(t, "no such command")
@@ -66,12 +66,12 @@
 func TestCallsInASecond(t *testing.T) {
 	for _, n := range []int{1, 300, 590} {
 		for _, late := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
-			p := NewPace(Service(n), rand.New(rand.NewPCG(uint64(n), 2)))
+			p := NewScheduler(ServiceConfig(n), rand.New(rand.NewPCG(uint64(n), 2)))
 			var calls []time.Duration
 			for now := time.Duration(0); now < time.Hour; {
-				p.Begin(now)
+				p.CallStarted(now)
 				calls = append(calls, now)
-				now = p.Fail(now+late, false)
+				now = p.CallFailed(now+late, false)
 			}
 			most := 0
 			for i, j := 0, 0; i < len(calls); i++ {
@@ -80,7 +80,7 @@
 				}
 				most = max(most, i-j+1)
 			}
-			if mean := time.Hour / time.Duration(len(calls)); most > 3 || mean < min(Service(n).Later, 2*time.Second)*97/100 {
+			if mean := time.Hour / time.Duration(len(calls)); most > 3 || mean < min(ServiceConfig(n).SlowInterval, 2*time.Second)*97/100 {
 				t.Errorf("%d sidecars, turned away after %v: %d calls in a second, one in %v", n, late, most, mean)
 			}
 		}
--- a/internal/cluster/node/peering.go
+++ b/internal/cluster/node/peering.go
@@ -69,14 +69,14 @@
 
 // OpenList puts the fleet between discovery and this sidecar. known is the list that it holds already. Nothing is asked before Watch.
 func OpenList(c Config, op *operator.Recovery, discovery engine.Source, known engine.EndpointUpdate) *relay.Source {
-	var dial watch.Dial
+	var dial watch.DialFunc
 	if c.Network != nil {
 		dial = c.Network.Dial
 	}
-	return relay.NewSource(relay.Config{Discovery: discovery, Known: known, Most: 2 * int(op.Fan), Log: c.Log,
-		Selector: bootstrap.Config{Self: c.Name, Ask: int(op.Ask), Fan: int(op.Fan), Rate: op.Rate, Told: c.Told, Seed: c.Seed},
-		Peer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
-			return watch.NewPeer(addr, header, check, c.Log).Through(dial)
+	return relay.NewSource(relay.Config{Discovery: discovery, CachedList: known, MaxFollowers: 2 * int(op.Fan), Log: c.Log,
+		Selector: bootstrap.Config{Self: c.Name, Roots: int(op.Ask), FanOut: int(op.Fan), MaxCallRate: op.Rate, ConfiguredSize: c.Told, RandomSeed: c.Seed},
+		NewPeer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
+			return watch.NewPeerClient(addr, header, check, c.Log).WithDialer(dial)
 		}})
 }
 
@@ -94,7 +94,7 @@
 		g.OnView = p.viewed
 	}
 	if list != nil {
-		g.Serve = serve(list.Relay(), c.Also)
+		g.Serve = serve(list.Server(), c.Also)
 	}
 	for _, t := range op.Translate {
 		g.Maps = append(g.Maps, gossip.Map{From: t.Prefix, To: t.As})
@@ -128,7 +128,7 @@
 		for _, m := range others {
 			list = append(list, bootstrap.Member{Name: m.Name, Addr: m.Addr})
 		}
-		p.List.View(list, joined)
+		p.List.UpdateMembers(list, joined)
 	}
 	if p.onView != nil {
 		p.onView(others, joined)
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -137,7 +137,7 @@
 	r.mu.Unlock()
 	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "hollow", Self: m.Name, FetchDelay: 300 * time.Millisecond},
 		Origins: r.addrs, Most: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
-		Selector: bootstrap.Config{Self: m.Name, Ask: 40, Fan: 4, Told: len(r.Members), Seed: uint64(m.N)},
+		Selector: bootstrap.Config{Self: m.Name, Roots: 40, FanOut: 4, ConfiguredSize: len(r.Members), RandomSeed: uint64(m.N)},
 		Holds:    func(s controlplane.Revision) { node.Load().SetStamp(s.Epoch, s.Version) },
 		Apply: func(s *controlplane.Snapshot) error {
 			r.mu.Lock()
--- a/internal/controlplane/transport/link_test.go
+++ b/internal/controlplane/transport/link_test.go
@@ -101,7 +101,7 @@
 	m := new(member)
 	var err error
 	m.Member, err = NewMember(MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "f", Self: name, Parse: parse}, Origins: origins, Most: 4, Dir: dir,
-		Selector: bootstrap.Config{Self: name, Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
+		Selector: bootstrap.Config{Self: name, Roots: 1, FanOut: 2, ConfiguredSize: 1, RandomSeed: 1}, Log: slog.New(slog.DiscardHandler),
 		Apply: func(s *controlplane.Snapshot) error {
 			m.mu.Lock()
 			defer m.mu.Unlock()
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -121,8 +121,8 @@
 	if len(c.Origins) == 0 {
 		return nil, errors.New("config: origins are wanted")
 	}
-	if c.Selector.Rate == 0 {
-		c.Selector.Rate = aloneRate * float64(len(c.Origins))
+	if c.Selector.MaxCallRate == 0 {
+		c.Selector.MaxCallRate = aloneRate * float64(len(c.Origins))
 	}
 	m := &Member{cfg: c, begun: time.Now(), in: make(chan any, memberQueue), apply: make(chan *controlplane.Snapshot, 1),
 		fetches: make(chan struct{}, fetchesMost), keeping: newLatest[controlplane.CachedSnapshot](), reports: newLatest[controlplane.Report](),
@@ -155,7 +155,7 @@
 func (m *Member) View(others []bootstrap.Member, joined bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.selector.View(m.now(), others, joined)
+	m.selector.UpdateMembers(m.now(), others, joined)
 	close(m.viewed)
 	m.viewed = make(chan struct{})
 }
@@ -336,13 +336,13 @@
 	misses := 0                                                                       // origins in a row that answered and were no good
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		c, viewed := m.selector.Choose(m.now()), m.viewed
+		c, viewed := m.selector.Select(m.now()), m.viewed
 		m.mu.Unlock()
-		if c.Wait > 0 {
+		if c.Delay > 0 {
 			select {
 			case <-ctx.Done():
 			case <-viewed:
-			case <-time.After(min(c.Wait, lookEvery)):
+			case <-time.After(min(c.Delay, lookEvery)):
 				m.tryOrigin(ctx, &turn, false, true)
 			}
 			continue
@@ -372,12 +372,12 @@
 		}
 		misses = 0
 		m.mu.Lock()
-		m.selector.Failed(m.now(), c)
+		m.selector.ReportFailure(m.now(), c)
 		m.mu.Unlock()
 	}
 }
 
-func nameOf(c bootstrap.Choice) string {
+func nameOf(c bootstrap.Selection) string {
 	if c.Discovery {
 		return "the origins"
 	}
@@ -385,7 +385,7 @@
 }
 
 // follow follows one upstream until it fails or there is a better one; opened says that it answered.
-func (m *Member) follow(ctx context.Context, c bootstrap.Choice, targets []target, turn *int) (opened bool, err error) {
+func (m *Member) follow(ctx context.Context, c bootstrap.Selection, targets []target, turn *int) (opened bool, err error) {
 	m.askingMu.Lock()
 	from := m.asking
 	m.askingMu.Unlock()
@@ -427,7 +427,7 @@
 			o.name = l.Path[0]
 			m.hub.follows(l.Path)
 			m.mu.Lock()
-			m.selector.Works(m.now(), c)
+			m.selector.ReportSuccess(m.now(), c)
 			m.upstream = &target{o.name, o.addr}
 			if !worked {
 				m.ups++
@@ -459,7 +459,7 @@
 // lookForBetter ends a watch of a peer when an origin is to be followed and answers, or the peer is none of the fleet any more; and one
 // of an origin that takes no part when another one does. Guards against a fleet that has come to follow the one origin that hears of no
 // changes, while the others were away.
-func (m *Member) lookForBetter(ctx context.Context, c bootstrap.Choice, idle *atomic.Bool, leave context.CancelCauseFunc, turn *int) {
+func (m *Member) lookForBetter(ctx context.Context, c bootstrap.Selection, idle *atomic.Bool, leave context.CancelCauseFunc, turn *int) {
 	for sleep(ctx, lookEvery) {
 		if c.Discovery {
 			if idle.Load() && m.tryOrigin(ctx, turn, true, false) {
@@ -469,7 +469,7 @@
 			continue
 		}
 		m.mu.Lock()
-		better := m.selector.Better(m.now(), c)
+		better := m.selector.ShouldSwitch(m.now(), c)
 		m.mu.Unlock()
 		if better || m.tryOrigin(ctx, turn, false, false) {
 			leave(errBetter)
@@ -483,7 +483,7 @@
 // they could not reach, when a cut has healed. There are as many of them as are to follow an origin, and each asks once a second.
 func (m *Member) tryOrigin(ctx context.Context, turn *int, follows, idle bool) bool {
 	m.mu.Lock()
-	mine := m.selector.Rank() < m.cfg.Selector.Ask
+	mine := m.selector.Rank() < m.cfg.Selector.Roots
 	m.mu.Unlock()
 	if !mine && !follows {
 		return false
@@ -504,7 +504,7 @@
 		return false
 	}
 	m.mu.Lock()
-	m.selector.Works(m.now(), bootstrap.Choice{Discovery: true})
+	m.selector.ReportSuccess(m.now(), bootstrap.Selection{Discovery: true})
 	m.mu.Unlock()
 	return true
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -63,7 +63,7 @@
 	pool := http1.New(http1.Config{Connect: set.ConnectTimeout, Idle: cfg.Settings.ConnIdle(),
 		Grace: cfg.Settings.DrainGrace(), Conns: limits.UpstreamConns(), Answer: limits.Answer(),
 		Full: bounds.Add("connections to upstreams", limits.UpstreamConns())})
-	known, odd := cfg.Known.Members()
+	known, odd := cfg.Known.ToEndpoints()
 	if odd != nil {
 		log.Warn("an entry of the list", "err", odd)
 	}
@@ -87,9 +87,9 @@
 	if s.guard != nil {
 		transport = s.guard.Transport(pool)
 	}
-	var source engine.Source = watch.New(cfg.Discovery, set.MustSubscribe, log)
+	var source engine.Source = watch.NewClient(cfg.Discovery, set.MustSubscribe, log)
 	if op.Recovery != nil {
-		s.list = openList(op.Recovery, cfg, set.Balancers, source, engine.EndpointUpdate{Version: cfg.Known.Seq, Endpoints: known}, log)
+		s.list = openList(op.Recovery, cfg, set.Balancers, source, engine.EndpointUpdate{Version: cfg.Known.Version, Endpoints: known}, log)
 		source = s.list
 	}
 	if op.Fleet != nil {
@@ -113,7 +113,7 @@
 		source = s.members
 	}
 	s.engine, err = engine.New(engine.Config{Settings: set, Seed: uint64(cfg.Seed), Transport: transport, Source: source,
-		CachedList: engine.EndpointUpdate{Version: cfg.Known.Seq, Endpoints: known}, Log: log})
+		CachedList: engine.EndpointUpdate{Version: cfg.Known.Version, Endpoints: known}, Log: log})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -44,7 +44,7 @@
 	var err error
 	p.member, err = transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: op.Fleet.Name, Self: cfg.Name, FetchDelay: fetchAfter},
 		Origins: d.Origins, Most: 2 * int(d.Fan), Dir: d.Dir, Apply: p.apply, Holds: p.holds, Log: log,
-		Selector: bootstrap.Config{Self: cfg.Name, Ask: int(d.Ask), Fan: int(d.Fan), Told: set.Balancers, Seed: uint64(cfg.Seed) + 1}})
+		Selector: bootstrap.Config{Self: cfg.Name, Roots: int(d.Ask), FanOut: int(d.Fan), ConfiguredSize: set.Balancers, RandomSeed: uint64(cfg.Seed) + 1}})
 	return p, err
 }
 
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -39,7 +39,7 @@
 func TestConfigurationStateFormatIsStable(t *testing.T) {
 	member, err := transport.NewMember(transport.MemberConfig{
 		Follower: controlplane.FollowerConfig{Cluster: "f", Self: "m1"}, Origins: []string{testutil.NoAddr}, Most: 4,
-		Selector: bootstrap.Config{Self: "m1", Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
+		Selector: bootstrap.Config{Self: "m1", Roots: 1, FanOut: 2, ConfiguredSize: 1, RandomSeed: 1}, Log: slog.New(slog.DiscardHandler),
 		Apply: func(*controlplane.Snapshot) error { return nil },
 	})
 	if err != nil {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -43,12 +43,12 @@
 func (s *sidecar) discoveryAt(addr string, group *string) engine.Source {
 	s.log.Info("discovery", "addr", addr)
 	s.followed = addr
-	var source engine.Source = watch.New(addr, s.asked, s.log)
+	var source engine.Source = watch.NewClient(addr, s.asked, s.log)
 	if s.list != nil {
 		if group != nil {
-			s.list.MoveTogether(source, *group)
+			s.list.SetGroupDiscovery(source, *group)
 		} else {
-			s.list.Move(source)
+			s.list.SetDiscovery(source)
 		}
 		source = s.list
 	}
--- a/internal/daemon/told_test.go
+++ b/internal/daemon/told_test.go
@@ -286,7 +286,7 @@
 	}
 	if y.moves {
 		drain = time.Now()
-		y.r.engine.SetSource(watch.New(y.other, y.mode == "ask", quietLog))
+		y.r.engine.SetSource(watch.NewClient(y.other, y.mode == "ask", quietLog))
 	}
 	if err := until("the news", func() bool {
 		select {
--- a/internal/discovery/bootstrap/selector.go
+++ b/internal/discovery/bootstrap/selector.go
@@ -41,17 +41,17 @@
 
 // Config is a Selector's.
 type Config struct {
-	Self string
-	Ask  int     // members that ask discovery; 3
-	Fan  int     // members that follow one; 16
-	Rate float64 // calls a second of discovery by who has nobody to follow, by the whole fleet; 10
-	Told int     // how many sidecars the setting says there are, for a start that knows nobody
-	Seed uint64
+	Self           string
+	Roots          int     // members that ask discovery; 3
+	FanOut         int     // members that follow one; 16
+	MaxCallRate    float64 // calls a second of discovery by who has nobody to follow, by the whole fleet; 10
+	ConfiguredSize int     // how many sidecars the setting says there are, for a start that knows nobody
+	RandomSeed     uint64
 }
 
 // Choice is from whom the list is had now.
-type Choice struct {
-	Wait      time.Duration // above 0: nobody yet; choose again then, or when the view changes
+type Selection struct {
+	Delay     time.Duration // above 0: nobody yet; choose again then, or when the view changes
 	Discovery bool          // else Peer
 	Peer      Member
 }
@@ -78,17 +78,17 @@
 
 // New makes one that starts at now.
 func New(c Config, now time.Duration) *Selector {
-	c.Ask, c.Fan, c.Told = max(c.Ask, 1), max(c.Fan, 1), max(c.Told, 1)
-	if c.Rate <= 0 {
-		c.Rate = 10
+	c.Roots, c.FanOut, c.ConfiguredSize = max(c.Roots, 1), max(c.FanOut, 1), max(c.ConfiguredSize, 1)
+	if c.MaxCallRate <= 0 {
+		c.MaxCallRate = 10
 	}
-	s := &Selector{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), begun: now, bans: map[string]ban{}}
-	s.View(now, nil, false)
+	s := &Selector{cfg: c, rng: rand.New(rand.NewPCG(c.RandomSeed, 11)), begun: now, bans: map[string]ban{}}
+	s.UpdateMembers(now, nil, false)
 	return s
 }
 
 // View is who lives, but for this member itself; joined says that anybody was heard at all.
-func (s *Selector) View(now time.Duration, others []Member, joined bool) {
+func (s *Selector) UpdateMembers(now time.Duration, others []Member, joined bool) {
 	s.joined, s.turned = joined, now
 	type keyed struct {
 		key uint64
@@ -116,27 +116,27 @@
 func (s *Selector) banned(now time.Duration, name string) bool { return now < s.bans[name].until }
 
 // Choose says from whom to have the list now.
-func (s *Selector) Choose(now time.Duration) Choice {
+func (s *Selector) Select(now time.Duration) Selection {
 	s.works = false
-	if left := s.begun + joinWait - now; left > 0 && (s.joined || s.cfg.Told > 1) {
+	if left := s.begun + joinWait - now; left > 0 && (s.joined || s.cfg.ConfiguredSize > 1) {
 		if quiet := s.turned + calm - now; s.joined && quiet < left {
 			left = quiet
 		}
 		if left > 0 {
-			return Choice{Wait: left}
+			return Selection{Delay: left}
 		}
 	}
-	if !s.joined && s.cfg.Told > 1 {
-		return s.alone(now, s.cfg.Told)
+	if !s.joined && s.cfg.ConfiguredSize > 1 {
+		return s.alone(now, s.cfg.ConfiguredSize)
 	}
-	if s.rank < s.cfg.Ask {
+	if s.rank < s.cfg.Roots {
 		if !s.banned(now, "") {
-			return Choice{Discovery: true}
+			return Selection{Discovery: true}
 		}
 	}
 	if s.last == 0 || now < s.last { // the time that was drawn holds, whoever was tried meanwhile
 		if p, ok := s.peer(now); ok {
-			return Choice{Peer: p}
+			return Selection{Peer: p}
 		}
 	}
 	return s.alone(now, len(s.order))
@@ -145,13 +145,13 @@
 // peer is whom to follow: the parent in the tree, or else some before this one by chance, or, for one that asks and cannot reach
 // discovery, anybody.
 func (s *Selector) peer(now time.Duration) (Member, bool) {
-	if s.rank >= s.cfg.Ask {
-		if p := s.order[(s.rank-s.cfg.Ask)/s.cfg.Fan]; !s.banned(now, p.Name) {
+	if s.rank >= s.cfg.Roots {
+		if p := s.order[(s.rank-s.cfg.Roots)/s.cfg.FanOut]; !s.banned(now, p.Name) {
 			return p, true
 		}
 	}
 	among := s.order[:s.rank]
-	if s.rank < s.cfg.Ask {
+	if s.rank < s.cfg.Roots {
 		among = s.order // the path that comes with a list keeps two from following each other
 	}
 	failed := 0
@@ -172,18 +172,18 @@
 }
 
 // alone asks discovery itself, at a time that is drawn once: n members that all do so make Rate calls a second.
-func (s *Selector) alone(now time.Duration, n int) Choice {
+func (s *Selector) alone(now time.Duration, n int) Selection {
 	if s.last == 0 {
-		s.last = now + time.Duration(s.rng.Float64()*float64(n)/s.cfg.Rate*float64(time.Second)) + 1
+		s.last = now + time.Duration(s.rng.Float64()*float64(n)/s.cfg.MaxCallRate*float64(time.Second)) + 1
 	}
 	if wait := s.last - now; wait > 0 {
-		return Choice{Wait: wait}
+		return Selection{Delay: wait}
 	}
-	return Choice{Discovery: true}
+	return Selection{Discovery: true}
 }
 
 // Works says that the source that was chosen brings the list.
-func (s *Selector) Works(now time.Duration, c Choice) {
+func (s *Selector) ReportSuccess(now time.Duration, c Selection) {
 	if !s.works {
 		s.works, s.since = true, now
 	}
@@ -191,7 +191,7 @@
 	delete(s.bans, s.name(c))
 }
 
-func (s *Selector) name(c Choice) string {
+func (s *Selector) name(c Selection) string {
 	if c.Discovery {
 		return ""
 	}
@@ -199,7 +199,7 @@
 }
 
 // Failed says that it did not, or no longer.
-func (s *Selector) Failed(now time.Duration, c Choice) {
+func (s *Selector) ReportFailure(now time.Duration, c Selection) {
 	s.works = false
 	if c.Discovery {
 		s.last = 0
@@ -223,11 +223,11 @@
 
 // Better says whether a source that works should be left for a better one: who asks discovery for want of a peer and need not, and
 // who follows one although it is to ask. Both wait until settle has passed.
-func (s *Selector) Better(now time.Duration, c Choice) bool {
+func (s *Selector) ShouldSwitch(now time.Duration, c Selection) bool {
 	if !s.works || now-s.since < settle || !s.joined {
 		return false
 	}
-	if s.rank < s.cfg.Ask {
+	if s.rank < s.cfg.Roots {
 		return !c.Discovery && !s.banned(now, "")
 	}
 	if c.Discovery {
--- a/internal/discovery/bootstrap/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -33,10 +33,10 @@
 		all := members(n)
 		parent, asks, fan := map[string]string{}, 0, map[string]int{}
 		for _, m := range all {
-			a := New(Config{Self: m.Name, Ask: 3, Fan: 16, Told: n}, 0)
-			a.View(0, others(all, m.Name), true)
-			switch c := a.Choose(joinWait); {
-			case c.Wait > 0:
+			a := New(Config{Self: m.Name, Roots: 3, FanOut: 16, ConfiguredSize: n}, 0)
+			a.UpdateMembers(0, others(all, m.Name), true)
+			switch c := a.Select(joinWait); {
+			case c.Delay > 0:
 				t.Fatalf("%d members: %s waits", n, m.Name)
 			case c.Discovery:
 				asks++
@@ -75,20 +75,20 @@
 		n := rapid.IntRange(1, 60).Draw(t, "n")
 		all := members(n)
 		self := all[rapid.IntRange(0, n-1).Draw(t, "self")].Name
-		a := New(Config{Self: self, Ask: 3, Fan: 4, Rate: 10, Told: n, Seed: rapid.Uint64().Draw(t, "seed")}, 0)
+		a := New(Config{Self: self, Roots: 3, FanOut: 4, MaxCallRate: 10, ConfiguredSize: n, RandomSeed: rapid.Uint64().Draw(t, "seed")}, 0)
 		now := time.Duration(0)
 		discovery := false
 		for range 200 {
 			if rapid.IntRange(0, 9).Draw(t, "view") == 0 {
 				k := rapid.IntRange(0, n).Draw(t, "known")
-				a.View(now, others(all[:k], self), k > 1)
+				a.UpdateMembers(now, others(all[:k], self), k > 1)
 			}
-			c := a.Choose(now)
-			if c.Wait > 0 {
-				if c.Wait > joinWait+time.Duration(n)*time.Second/10+1 {
-					t.Fatalf("it waits for %v", c.Wait)
+			c := a.Select(now)
+			if c.Delay > 0 {
+				if c.Delay > joinWait+time.Duration(n)*time.Second/10+1 {
+					t.Fatalf("it waits for %v", c.Delay)
 				}
-				now += c.Wait
+				now += c.Delay
 				continue
 			}
 			if !c.Discovery && c.Peer.Name == self {
@@ -98,7 +98,7 @@
 				t.Fatalf("it follows %s, which failed", c.Peer.Name)
 			}
 			discovery = discovery || c.Discovery
-			a.Failed(now, c)
+			a.ReportFailure(now, c)
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 		}
 		if !discovery {
@@ -117,21 +117,21 @@
 	for _, joined := range []bool{false, true} {
 		seconds := map[int]int{}
 		for i, m := range all {
-			a := New(Config{Self: m.Name, Ask: 3, Fan: 16, Rate: rate, Told: n, Seed: uint64(i)}, 0)
+			a := New(Config{Self: m.Name, Roots: 3, FanOut: 16, MaxCallRate: rate, ConfiguredSize: n, RandomSeed: uint64(i)}, 0)
 			if joined {
 				a.joined, a.order, a.rank = true, all, 1000+i%1000 // as View leaves them, without sorting 5,000 times
 			}
 			for now := time.Duration(0); ; {
-				c := a.Choose(now)
-				if c.Wait > 0 {
-					now += c.Wait
+				c := a.Select(now)
+				if c.Delay > 0 {
+					now += c.Delay
 					continue
 				}
 				if c.Discovery {
 					seconds[int(now.Seconds())]++
 					break
 				}
-				a.Failed(now, c)
+				a.ReportFailure(now, c)
 			}
 		}
 		most := 0
@@ -150,41 +150,41 @@
 // Roles move late: who asks for want of a peer goes back to one after settle, and one whose rank falls begins to ask.
 func TestBetter(t *testing.T) {
 	all := members(10)
-	a := New(Config{Self: "m0", Ask: 2, Fan: 2, Rate: 1000, Told: 10}, 0)
-	a.View(0, others(all, "m0"), true)
+	a := New(Config{Self: "m0", Roots: 2, FanOut: 2, MaxCallRate: 1000, ConfiguredSize: 10}, 0)
+	a.UpdateMembers(0, others(all, "m0"), true)
 	var order []string
 	for _, m := range a.order {
 		order = append(order, m.Name)
 	}
 	self := order[5]
-	a = New(Config{Self: self, Ask: 2, Fan: 2, Rate: 1000, Told: 10}, 0)
-	a.View(0, others(all, self), true)
-	if c := a.Choose(0); c.Wait != calm {
+	a = New(Config{Self: self, Roots: 2, FanOut: 2, MaxCallRate: 1000, ConfiguredSize: 10}, 0)
+	a.UpdateMembers(0, others(all, self), true)
+	if c := a.Select(0); c.Delay != calm {
 		t.Fatalf("at the start: %+v", c)
 	}
 	now := joinWait
-	if c := a.Choose(now); c.Peer.Name != order[1] {
+	if c := a.Select(now); c.Peer.Name != order[1] {
 		t.Fatalf("%+v in %s: want %s", c, strings.Join(order, " "), order[1])
 	}
 	for range 3 { // the parent and two more fail: discovery, soon
-		a.Failed(now, a.Choose(now))
+		a.ReportFailure(now, a.Select(now))
 	}
-	c := a.Choose(now)
-	if c.Wait == 0 || c.Wait > 20*time.Millisecond {
+	c := a.Select(now)
+	if c.Delay == 0 || c.Delay > 20*time.Millisecond {
 		t.Fatalf("%+v", c)
 	}
-	now += c.Wait
-	if c = a.Choose(now); !c.Discovery {
+	now += c.Delay
+	if c = a.Select(now); !c.Discovery {
 		t.Fatalf("%+v", c)
 	}
-	a.Works(now, c)
-	if a.Better(now+settle/2, c) || !a.Better(now+settle, c) {
+	a.ReportSuccess(now, c)
+	if a.ShouldSwitch(now+settle/2, c) || !a.ShouldSwitch(now+settle, c) {
 		t.Error("it goes back to a peer after settle, and not before")
 	}
-	p := Choice{Peer: Member{Name: order[1]}}
-	a.Works(now, p)
-	a.View(now, nil, true)
-	if !a.Better(now+2*settle, p) {
+	p := Selection{Peer: Member{Name: order[1]}}
+	a.ReportSuccess(now, p)
+	a.UpdateMembers(now, nil, true)
+	if !a.ShouldSwitch(now+2*settle, p) {
 		t.Error("alone, it does not begin to ask")
 	}
 }
--- a/internal/discovery/relay/format_test.go
+++ b/internal/discovery/relay/format_test.go
@@ -28,7 +28,7 @@
 // What a relay answers one that follows it: its headers, the whole list as a line, then an empty line or a change. The headers of
 // the question are those that today's members send.
 func TestRelayLineFormatIsStable(t *testing.T) {
-	r := New("m1", 4)
+	r := NewServer("m1", 4)
 	r.regroup("10.0.0.9:8500")
 	r.begin([]string{"m2", "m3"})
 	r.apply(formatMembers(5, balancer.Active, balancer.Draining))
@@ -82,7 +82,7 @@
 func TestRecoveryStateFormatIsStable(t *testing.T) {
 	state := SourceState{
 		Source: "m2", Rank: 3, Changes: 4, Group: "10.0.0.9:8500",
-		Relay: State{Version: 5, Live: true, Path: []string{"m2", "m3"}, Following: 6, Turned: 7},
+		Server: ServerState{Version: 5, Live: true, Path: []string{"m2", "m3"}, Followers: 6, Rejected: 7},
 	}
 	testutil.Filled(t, state)
 	testutil.ExplicitNames(t, "json", state)
@@ -96,8 +96,8 @@
 // A line of discovery's watch, which relays pass on in the same form, and which the platform's configuration holds. The file is here since the script test of
 // package watch plays every file under its testdata.
 func TestListingFormatIsStable(t *testing.T) {
-	host := watch.Host{Host: "upstream-1", Dial: "10.0.0.4:8080", Site: "a", Class: "m", Block: 2, Health: "SERVING", BornMS: 1700000000000.5}
-	listing := watch.Listing{Seq: 7, Whole: true, Hosts: []watch.Host{host, {}}}
+	host := watch.Endpoint{ID: "upstream-1", Addr: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, Health: "SERVING", StartedAtMS: 1700000000000.5}
+	listing := watch.Event{Version: 7, Complete: true, Endpoints: []watch.Endpoint{host, {}}}
 	testutil.Filled(t, listing)
 	testutil.ExplicitNames(t, "json", listing)
 	text, err := json.MarshalIndent(listing, "", "  ")
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "listing.json", append(text, '\n'))
-	var read watch.Listing
+	var read watch.Event
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, listing) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, listing)
 	}
--- a/internal/discovery/relay/log.go
+++ b/internal/discovery/relay/log.go
@@ -21,24 +21,24 @@
 const mostSteps = 8
 
 // Log is a list and how it came to be.
-type Log struct {
+type ChangeLog struct {
 	seq     int64
 	held    bool // a whole list is
 	live    bool // its source works
 	members map[string]engine.Endpoint
-	changes []watch.Listing // oldest first
-	base    int64           // the version before the first of them
-	path    []string        // from whom this one has it, nearest first; empty: discovery
+	changes []watch.Event // oldest first
+	base    int64         // the version before the first of them
+	path    []string      // from whom this one has it, nearest first; empty: discovery
 }
 
 // Begin is that a source works from now on, with its path.
-func (l *Log) Begin(path []string) { l.live, l.path = true, path }
+func (l *ChangeLog) SourceStarted(path []string) { l.live, l.path = true, path }
 
 // Lost is that it does so no more. What is held stays for its own use.
-func (l *Log) Lost() { l.live = false }
+func (l *ChangeLog) SourceLost() { l.live = false }
 
 // Apply takes what the source told.
-func (l *Log) Apply(n engine.EndpointUpdate) {
+func (l *ChangeLog) Apply(n engine.EndpointUpdate) {
 	switch n.Kind {
 	case balancer.CompleteList:
 		l.members = map[string]engine.Endpoint{}
@@ -59,9 +59,9 @@
 		}
 	}
 	if n.Kind == balancer.Delta && n.Version > l.seq {
-		l.changes = append(l.changes, watch.Listing{Seq: n.Version, Hosts: hosts(n.Endpoints)})
+		l.changes = append(l.changes, watch.Event{Version: n.Version, Endpoints: hosts(n.Endpoints)})
 		if len(l.changes) > mostChanges {
-			l.base = l.changes[0].Seq
+			l.base = l.changes[0].Version
 			l.changes = slices.Delete(l.changes, 0, 1)
 		}
 		l.seq = n.Version
@@ -69,7 +69,7 @@
 }
 
 // Serves says whether somebody who holds a version may follow; why not, in words.
-func (l *Log) Serves(from int64, who string) string {
+func (l *ChangeLog) CheckFollower(from int64, who string) string {
 	switch {
 	case !l.held || !l.live:
 		return "no list from a source that works"
@@ -84,32 +84,32 @@
 }
 
 // Since is what one that holds a version is to be told.
-func (l *Log) Since(from int64) []watch.Listing {
+func (l *ChangeLog) EventsSince(from int64) []watch.Event {
 	if from == l.seq {
 		return nil
 	}
 	if from > 0 && from >= l.base {
-		i := slices.IndexFunc(l.changes, func(c watch.Listing) bool { return c.Seq > from })
+		i := slices.IndexFunc(l.changes, func(c watch.Event) bool { return c.Version > from })
 		if i >= 0 {
 			return l.changes[i:]
 		}
 	}
-	whole := watch.Listing{Seq: l.seq, Whole: true, Hosts: []watch.Host{}}
+	whole := watch.Event{Version: l.seq, Complete: true, Endpoints: []watch.Endpoint{}}
 	ids := make([]string, 0, len(l.members))
 	for id := range l.members {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		whole.Hosts = append(whole.Hosts, hosts([]engine.Endpoint{l.members[id]})...)
+		whole.Endpoints = append(whole.Endpoints, hosts([]engine.Endpoint{l.members[id]})...)
 	}
-	return []watch.Listing{whole}
+	return []watch.Event{whole}
 }
 
-func hosts(list []engine.Endpoint) (out []watch.Host) {
+func hosts(list []engine.Endpoint) (out []watch.Endpoint) {
 	health := map[balancer.EndpointState]string{balancer.Active: "SERVING", balancer.Draining: "DRAINING", balancer.Removed: "DELETED"}
 	for _, m := range list {
-		out = append(out, watch.Host{Host: m.ID, Dial: m.Addr, Site: m.Zone, Class: m.Kind, Block: m.Cell, Health: health[m.State], BornMS: m.StartedAtMS})
+		out = append(out, watch.Endpoint{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Health: health[m.State], StartedAtMS: m.StartedAtMS})
 	}
 	return out
 }
--- a/internal/discovery/relay/relay.go
+++ b/internal/discovery/relay/relay.go
@@ -26,12 +26,12 @@
 )
 
 // Relay is a Log that peers follow over HTTP. Its methods may be called from any goroutine.
-type Relay struct {
+type Server struct {
 	self string
 	most int // that follow at a time
 
 	mu        sync.Mutex
-	log       Log
+	log       ChangeLog
 	changed   chan struct{} // closed at each change
 	epoch     int           // of the source; another one: who followed has to ask again
 	group     string        // whose versions the log has
@@ -40,11 +40,11 @@
 }
 
 // New is a relay of a member; most is how many may follow it.
-func New(self string, most int) *Relay {
-	return &Relay{self: self, most: most, changed: make(chan struct{})}
+func NewServer(self string, most int) *Server {
+	return &Server{self: self, most: most, changed: make(chan struct{})}
 }
 
-func (r *Relay) change(f func(*Log)) {
+func (r *Server) change(f func(*ChangeLog)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.log)
@@ -53,43 +53,43 @@
 }
 
 // begin is that the source works, with its path; lost that it does no more: all who follow are let go.
-func (r *Relay) begin(path []string) { r.change(func(l *Log) { l.Begin(path) }) }
-func (r *Relay) lost() {
-	r.change(func(l *Log) {
-		l.Lost()
+func (r *Server) begin(path []string) { r.change(func(l *ChangeLog) { l.SourceStarted(path) }) }
+func (r *Server) lost() {
+	r.change(func(l *ChangeLog) {
+		l.SourceLost()
 		r.epoch++
 	})
 }
 
 // regroup begins anew with another discovery's versions; all who follow are let go.
-func (r *Relay) regroup(group string) {
-	r.change(func(l *Log) {
-		*l = Log{}
+func (r *Server) regroup(group string) {
+	r.change(func(l *ChangeLog) {
+		*l = ChangeLog{}
 		r.epoch++
 		r.group = group
 	})
 }
 
-func (r *Relay) apply(n engine.EndpointUpdate) { r.change(func(l *Log) { l.Apply(n) }) }
+func (r *Server) apply(n engine.EndpointUpdate) { r.change(func(l *ChangeLog) { l.Apply(n) }) }
 
 // State is for the admin endpoint.
-type State struct {
+type ServerState struct {
 	Version   int64    `json:"version"`
 	Live      bool     `json:"live"` // it is served to others
 	Path      []string `json:"path"` // from whom it comes, nearest first; none: discovery
-	Following int      `json:"following"`
-	Turned    int      `json:"turned"` // away, since the start
+	Followers int      `json:"following"`
+	Rejected  int      `json:"turned"` // away, since the start
 }
 
 // State is what it says of itself.
-func (r *Relay) State() State {
+func (r *Server) State() ServerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return State{r.log.seq, r.log.live && r.log.held, r.log.path, r.following, r.turned}
+	return ServerState{r.log.seq, r.log.live && r.log.held, r.log.path, r.following, r.turned}
 }
 
 // ServeHTTP is discovery's watch, from what this member holds. One that cannot be served gets 503, and asks another one.
-func (r *Relay) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (r *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.Method != http.MethodGet || q.URL.Path != "/discovery/hosts" || q.URL.Query().Get("watch") == "" {
 		http.NotFound(w, q)
 		return
@@ -113,7 +113,7 @@
 		}
 		r.mu.Lock()
 	}
-	why := r.log.Serves(from, q.Header.Get(whoHeader))
+	why := r.log.CheckFollower(from, q.Header.Get(whoHeader))
 	if r.group != group {
 		why = "another discovery is followed here"
 	}
@@ -141,7 +141,7 @@
 	defer tick.Stop()
 	for {
 		r.mu.Lock()
-		news, changed, over := r.log.Since(from), r.changed, r.epoch != epoch
+		news, changed, over := r.log.EventsSince(from), r.changed, r.epoch != epoch
 		r.mu.Unlock()
 		if over {
 			return
@@ -151,7 +151,7 @@
 			if out.Encode(l) != nil {
 				return
 			}
-			from = l.Seq
+			from = l.Version
 		}
 		if len(news) == 0 {
 			w.Write([]byte("\n"))
--- a/internal/discovery/relay/relay_test.go
+++ b/internal/discovery/relay/relay_test.go
@@ -36,15 +36,15 @@
 	return engine.EndpointUpdate{Kind: balancer.Delta, Version: seq, Endpoints: []engine.Endpoint{member(id, s)}}
 }
 
-func text(list []watch.Listing) string {
+func text(list []watch.Event) string {
 	var out []string
 	for _, l := range list {
-		line := fmt.Sprint(l.Seq)
-		if l.Whole {
+		line := fmt.Sprint(l.Version)
+		if l.Complete {
 			line += " whole"
 		}
-		for _, h := range l.Hosts {
-			line += " " + h.Host + "=" + h.Health
+		for _, h := range l.Endpoints {
+			line += " " + h.ID + "=" + h.Health
 		}
 		out = append(out, line)
 	}
@@ -53,21 +53,21 @@
 
 // What one that follows is told, from what it holds, and who is turned away.
 func TestLog(t *testing.T) {
-	var l Log
-	if why := l.Serves(0, "b"); why == "" {
+	var l ChangeLog
+	if why := l.CheckFollower(0, "b"); why == "" {
 		t.Error("it serves without a list")
 	}
 	l.Apply(change(3, "x", balancer.Active)) // without a list a change says nothing
 	l.Apply(full(5, "x", "y"))
-	if why := l.Serves(0, "b"); why == "" {
+	if why := l.CheckFollower(0, "b"); why == "" {
 		t.Error("it serves without a source that works")
 	}
-	l.Begin([]string{"a", "c"})
+	l.SourceStarted([]string{"a", "c"})
 	l.Apply(change(6, "y", balancer.Draining))
 	l.Apply(change(7, "x", balancer.Removed))
 	l.Apply(engine.EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: []engine.Endpoint{member("z", balancer.Removed)}})
 	for from, want := range map[int64]string{0: "7 whole y=DRAINING", 4: "7 whole y=DRAINING", 5: "6 y=DRAINING; 7 x=DELETED", 6: "7 x=DELETED", 7: ""} {
-		if got := text(l.Since(from)); got != want {
+		if got := text(l.EventsSince(from)); got != want {
 			t.Errorf("from %d: %q, want %q", from, got, want)
 		}
 	}
@@ -76,23 +76,23 @@
 		who  string
 		ok   bool
 	}{{7, "b", true}, {8, "b", false}, {0, "c", false}} {
-		if why := l.Serves(c.from, c.who); (why == "") != c.ok {
+		if why := l.CheckFollower(c.from, c.who); (why == "") != c.ok {
 			t.Errorf("%d for %s: %q", c.from, c.who, why)
 		}
 	}
-	l.Begin(make([]string, mostSteps))
-	if l.Serves(0, "b") == "" {
+	l.SourceStarted(make([]string, mostSteps))
+	if l.CheckFollower(0, "b") == "" {
 		t.Error("it serves far from discovery")
 	}
-	l.Lost()
-	if l.Serves(7, "b") == "" {
+	l.SourceLost()
+	if l.CheckFollower(7, "b") == "" {
 		t.Error("it serves after its source was lost")
 	}
 	for i := range int64(3000) {
 		l.Apply(change(8+i, "x", balancer.Active))
 	}
-	if len(l.changes) != mostChanges || !strings.HasPrefix(text(l.Since(100)), "3007 whole") || len(l.Since(l.base)) != mostChanges {
-		t.Errorf("%d changes kept; %.40s", len(l.changes), text(l.Since(100)))
+	if len(l.changes) != mostChanges || !strings.HasPrefix(text(l.EventsSince(100)), "3007 whole") || len(l.EventsSince(l.base)) != mostChanges {
+		t.Errorf("%d changes kept; %.40s", len(l.changes), text(l.EventsSince(100)))
 	}
 }
 
@@ -147,20 +147,20 @@
 
 // asker is a Source that asks discovery, and the address where it is followed.
 func asker(t *testing.T, d engine.Source) (*Source, *httptest.Server) {
-	s := NewSource(Config{Selector: bootstrap.Config{Self: "head"}, Discovery: d, Most: 4, Log: slog.New(slog.DiscardHandler)})
-	server := httptest.NewServer(s.Relay())
+	s := NewSource(Config{Selector: bootstrap.Config{Self: "head"}, Discovery: d, MaxFollowers: 4, Log: slog.New(slog.DiscardHandler)})
+	server := httptest.NewServer(s.Server())
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	return s, server
 }
 
 func follower(t *testing.T, d engine.Source, at string) *Source {
 	log := slog.New(slog.DiscardHandler)
-	s := NewSource(Config{Selector: bootstrap.Config{Self: "other", Ask: 1, Rate: 1000, Told: 2}, Discovery: d, Most: 4, Log: log,
-		Peer: func(addr string, h http.Header, check func(http.Header) error) engine.Source {
-			return watch.NewPeer(addr, h, check, log)
+	s := NewSource(Config{Selector: bootstrap.Config{Self: "other", Roots: 1, MaxCallRate: 1000, ConfiguredSize: 2}, Discovery: d, MaxFollowers: 4, Log: log,
+		NewPeer: func(addr string, h http.Header, check func(http.Header) error) engine.Source {
+			return watch.NewPeerClient(addr, h, check, log)
 		}})
 	// Of these names the first of the order is the one that is followed: the test needs that.
-	s.View([]bootstrap.Member{{Name: "head", Addr: netip.MustParseAddrPort(at)}}, true)
+	s.UpdateMembers([]bootstrap.Member{{Name: "head", Addr: netip.MustParseAddrPort(at)}}, true)
 	if s.selector.Rank() != 1 {
 		t.Fatal("the test's names are in another order")
 	}
@@ -183,7 +183,7 @@
 	testutil.Until(t, "the whole list came by the peer, held until it was there", func() bool { return heard2.has(balancer.CompleteList, 5) })
 	one.last()(change(6, "x", balancer.Draining))
 	testutil.Until(t, "a change did", func() bool { return heard2.has(balancer.Delta, 6) })
-	if s := other.State(); s.Source != "head" || strings.Join(s.Relay.Path, " ") != "head" || !s.Relay.Live || first.State().Relay.Following != 1 {
+	if s := other.State(); s.Source != "head" || strings.Join(s.Server.Path, " ") != "head" || !s.Server.Live || first.State().Server.Followers != 1 {
 		t.Errorf("%+v, %+v", s, first.State())
 	}
 	if two.watches() != 0 {
@@ -202,7 +202,7 @@
 	defer first.Watch(engine.NoVersion, 0, heard1.tell)()
 	testutil.Until(t, "it asks again", func() bool { return one.watches() == 2 })
 	one.last()(full(7, "x", "y"))
-	testutil.Until(t, "it is live", func() bool { return first.State().Relay.Live })
+	testutil.Until(t, "it is live", func() bool { return first.State().Server.Live })
 	req, _ := http.NewRequest(http.MethodGet, server.URL+"/discovery/hosts?watch=1&from=9", nil)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
@@ -214,12 +214,12 @@
 	}
 	// With another discovery its versions say nothing to the others: it asks alone, and serves nobody.
 	var three fake
-	other.Move(&three)
+	other.SetDiscovery(&three)
 	defer other.Watch(engine.UnknownVersion, 0, heard2.tell)()
 	testutil.Until(t, "the other discovery is asked", func() bool { return three.watches() == 1 })
 	three.last()(full(1, "z"))
 	testutil.Until(t, "its list came", func() bool { return heard2.has(balancer.CompleteList, 1) })
-	if other.State().Relay.Live {
+	if other.State().Server.Live {
 		t.Error("it passes on another discovery's list")
 	}
 }
--- a/internal/discovery/relay/source.go
+++ b/internal/discovery/relay/source.go
@@ -21,16 +21,16 @@
 	Selector  bootstrap.Config
 	Discovery engine.Source
 	// Peer is the watch of a member that is followed: asked says who asks, and refuses a path that cannot be followed.
-	Peer  func(addr string, header http.Header, check func(http.Header) error) engine.Source
-	Known engine.EndpointUpdate // the list that the engine was given as last held
-	Most  int                   // that may follow this one
-	Log   *slog.Logger
+	NewPeer      func(addr string, header http.Header, check func(http.Header) error) engine.Source
+	CachedList   engine.EndpointUpdate // the list that the engine was given as last held
+	MaxFollowers int                   // that may follow this one
+	Log          *slog.Logger
 }
 
 // Source is an engine.Source that has the list from discovery or from another sidecar, as recovery.Selector says, and passes it on.
 type Source struct {
 	cfg   Config
-	relay *Relay
+	relay *Server
 	begun time.Time
 
 	mu       sync.Mutex
@@ -46,27 +46,27 @@
 
 // NewSource makes one. Nothing is asked before Watch.
 func NewSource(c Config) *Source {
-	s := &Source{cfg: c, relay: New(c.Selector.Self, c.Most), begun: time.Now(), selector: bootstrap.New(c.Selector, 0), viewed: make(chan struct{}), best: engine.NoVersion}
-	if len(c.Known.Endpoints) > 0 { // what comes first may be changes to it. It is passed on only once a source works
-		s.relay.apply(engine.EndpointUpdate{Kind: balancer.CompleteList, Version: c.Known.Version, Endpoints: c.Known.Endpoints})
+	s := &Source{cfg: c, relay: NewServer(c.Selector.Self, c.MaxFollowers), begun: time.Now(), selector: bootstrap.New(c.Selector, 0), viewed: make(chan struct{}), best: engine.NoVersion}
+	if len(c.CachedList.Endpoints) > 0 { // what comes first may be changes to it. It is passed on only once a source works
+		s.relay.apply(engine.EndpointUpdate{Kind: balancer.CompleteList, Version: c.CachedList.Version, Endpoints: c.CachedList.Endpoints})
 	}
 	return s
 }
 
 // Relay is where others follow.
-func (s *Source) Relay() *Relay { return s.relay }
+func (s *Source) Server() *Server { return s.relay }
 
 // View tells who lives. It may be called from any goroutine, and does not wait.
-func (s *Source) View(others []bootstrap.Member, joined bool) {
+func (s *Source) UpdateMembers(others []bootstrap.Member, joined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.selector.View(s.now(), others, joined)
+	s.selector.UpdateMembers(s.now(), others, joined)
 	close(s.viewed)
 	s.viewed = make(chan struct{})
 }
 
 // Move lets discovery be another one. From then on this sidecar asks it by itself: its versions are not those of the others.
-func (s *Source) Move(discovery engine.Source) {
+func (s *Source) SetDiscovery(discovery engine.Source) {
 	s.mu.Lock()
 	s.cfg.Discovery, s.moved = discovery, true
 	s.mu.Unlock()
@@ -75,7 +75,7 @@
 
 // MoveTogether lets discovery be another one, as the others of a group have it by the same word: they go on following each other, and
 // whoever is of another group is not followed and does not follow.
-func (s *Source) MoveTogether(discovery engine.Source, group string) {
+func (s *Source) SetGroupDiscovery(discovery engine.Source, group string) {
 	s.mu.Lock()
 	s.cfg.Discovery, s.moved, s.group, s.best = discovery, false, group, engine.NoVersion
 	s.mu.Unlock()
@@ -104,9 +104,9 @@
 	}
 	for ctx.Err() == nil {
 		c, source, viewed := s.choose()
-		if c.Wait > 0 {
+		if c.Delay > 0 {
 			select {
-			case <-time.After(c.Wait):
+			case <-time.After(c.Delay):
 			case <-viewed:
 			case <-ctx.Done():
 			}
@@ -123,7 +123,7 @@
 		}
 		s.cfg.Log.Info("the list's source is lost", "source", name(c), "err", err)
 		s.mu.Lock()
-		s.selector.Failed(s.now(), c)
+		s.selector.ReportFailure(s.now(), c)
 		s.mu.Unlock()
 		if c.Discovery { // the module knows how long to wait
 			tell(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: seq, Err: err, Reachable: reached})
@@ -132,20 +132,20 @@
 	}
 }
 
-func name(c bootstrap.Choice) string {
+func name(c bootstrap.Selection) string {
 	if c.Discovery {
 		return "discovery"
 	}
 	return c.Peer.Name
 }
 
-func (s *Source) choose() (bootstrap.Choice, engine.Source, <-chan struct{}) {
+func (s *Source) choose() (bootstrap.Selection, engine.Source, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.moved {
-		return bootstrap.Choice{Discovery: true}, s.cfg.Discovery, s.viewed
+		return bootstrap.Selection{Discovery: true}, s.cfg.Discovery, s.viewed
 	}
-	return s.selector.Choose(s.now()), s.cfg.Discovery, s.viewed
+	return s.selector.Select(s.now()), s.cfg.Discovery, s.viewed
 }
 
 func (s *Source) passOn(mine int, f func()) {
@@ -164,14 +164,14 @@
 
 // follow has the list from one source until it fails, or a better one is there: then the error is nil. It returns the version to go
 // on from, and whether the source could be reached.
-func (s *Source) follow(ctx context.Context, mine int, group string, c bootstrap.Choice, discovery engine.Source, seq int64, tell func(engine.EndpointUpdate)) (last int64, reached bool, err error) {
+func (s *Source) follow(ctx context.Context, mine int, group string, c bootstrap.Selection, discovery engine.Source, seq int64, tell func(engine.EndpointUpdate)) (last int64, reached bool, err error) {
 	path, from := []string(nil), discovery
 	if !c.Discovery {
 		header := http.Header{whoHeader: {s.cfg.Selector.Self}}
 		if group != "" {
 			header.Set(groupHeader, group)
 		}
-		from = s.cfg.Peer(c.Peer.Addr.String(), header, func(h http.Header) error {
+		from = s.cfg.NewPeer(c.Peer.Addr.String(), header, func(h http.Header) error {
 			path = strings.Split(h.Get(pathHeader), ",")
 			if slices.Contains(path, s.cfg.Selector.Self) || len(path) > mostSteps {
 				return fmt.Errorf("its list comes from here, or from far: %s", strings.Join(path, ", "))
@@ -198,7 +198,7 @@
 			return seq, false, ctx.Err()
 		case <-look.C:
 			s.mu.Lock()
-			better := !s.moved && s.selector.Better(s.now(), c)
+			better := !s.moved && s.selector.ShouldSwitch(s.now(), c)
 			s.mu.Unlock()
 			if better {
 				return seq, true, nil
@@ -234,13 +234,13 @@
 	return s.best
 }
 
-func (s *Source) heard(group string, c bootstrap.Choice, seq int64, first bool) {
+func (s *Source) heard(group string, c bootstrap.Selection, seq int64, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if group != s.group {
 		return
 	}
-	s.selector.Works(s.now(), c)
+	s.selector.ReportSuccess(s.now(), c)
 	s.best = max(s.best, seq)
 	if first {
 		s.source = name(c)
@@ -250,11 +250,11 @@
 
 // SourceState is for the admin endpoint.
 type SourceState struct {
-	Source  string `json:"source"` // from whom the list is had now, or was last
-	Rank    int    `json:"rank"`   // in the order of the fleet; the first ask discovery
-	Changes int    `json:"changes"`
-	Relay   State  `json:"relay"`
-	Group   string `json:"group,omitempty"` // the discovery that a snapshot of the configuration has named
+	Source  string      `json:"source"` // from whom the list is had now, or was last
+	Rank    int         `json:"rank"`   // in the order of the fleet; the first ask discovery
+	Changes int         `json:"changes"`
+	Server  ServerState `json:"relay"`
+	Group   string      `json:"group,omitempty"` // the discovery that a snapshot of the configuration has named
 }
 
 // State is from whom the list comes, and who follows.
--- a/internal/discovery/watch/course.go
+++ b/internal/discovery/watch/course.go
@@ -22,7 +22,7 @@
 type course struct {
 	held    bool // a list is, if of another discovery
 	patient bool // and calls have a price: the whole one can wait
-	pace    backoff.Pace
+	pace    backoff.Scheduler
 
 	seq     int64
 	told    bool
@@ -42,7 +42,7 @@
 // this machine. Times are counted from any one moment.
 func newCourse(seq int64, asked bool, rng *rand.Rand) *course {
 	held := seq != engine.NoVersion
-	return &course{held: held, patient: held && asked, pace: backoff.NewPace(backoff.List(), rng), seq: seq, missing: seq < 0, since: map[string]entry{}}
+	return &course{held: held, patient: held && asked, pace: backoff.NewScheduler(backoff.ListConfig(), rng), seq: seq, missing: seq < 0, since: map[string]entry{}}
 }
 
 // line takes a line of the watch, n, or nil for an empty one. It returns what to tell. What a line says holds at once,
@@ -81,7 +81,7 @@
 // like others: its first line tells what changed since, which alone is of little use to who does not hold that.
 func (c *course) begin(now time.Duration) {
 	if c.at = now; c.patient {
-		c.at = c.pace.Wait(now)
+		c.at = c.pace.DelayFirstCall(now)
 	}
 }
 
@@ -91,14 +91,14 @@
 // ask says that it is asked for.
 func (c *course) ask(now time.Duration) {
 	c.asked = true
-	c.pace.Begin(now)
+	c.pace.CallStarted(now)
 }
 
 // failed takes a failure of that call. It returns false where the watch is to be given up: nothing is held that could
 // be served meanwhile, and the module, who knows how long the list is lost, decides how soon to try again.
 func (c *course) failed(now time.Duration) bool {
 	c.asked = false
-	c.at = c.pace.Fail(now, false)
+	c.at = c.pace.CallFailed(now, false)
 	return c.patient && len(c.since) <= holdMost
 }
 
--- a/internal/discovery/watch/fleet_test.go
+++ b/internal/discovery/watch/fleet_test.go
@@ -64,7 +64,7 @@
 	fleet := make([]*lists, *sidecars)
 	for i := range fleet {
 		fleet[i] = new(lists)
-		e, err := engine.New(engine.Config{Transport: fleet[i], Source: New(d.Addr(), true, slog.New(slog.DiscardHandler)), Seed: uint64(i),
+		e, err := engine.New(engine.Config{Transport: fleet[i], Source: NewClient(d.Addr(), true, slog.New(slog.DiscardHandler)), Seed: uint64(i),
 			Settings:   balancer.Settings{MustSubscribe: true, Balancers: *sidecars, Classes: []balancer.Class{{Name: "c", Deadline: time.Second}}},
 			CachedList: engine.EndpointUpdate{Version: 0, Endpoints: []engine.Endpoint{{ID: "a", Addr: "127.0.0.1:1"}}}})
 		if err != nil {
--- a/internal/discovery/watch/format_test.go
+++ b/internal/discovery/watch/format_test.go
@@ -9,7 +9,7 @@
 // The healths of discovery.
 func TestListingHealthNamesAreStable(t *testing.T) {
 	for health, want := range map[string]balancer.EndpointState{"SERVING": balancer.Active, "DRAINING": balancer.Draining, "DELETED": balancer.Removed} {
-		if state, err := (&Host{Health: health}).state(); err != nil || state != want {
+		if state, err := (&Endpoint{Health: health}).state(); err != nil || state != want {
 			t.Errorf("%s is read as %v, %v; want %v", health, state, err, want)
 		}
 	}
--- a/internal/discovery/watch/misbehaving_test.go
+++ b/internal/discovery/watch/misbehaving_test.go
@@ -114,7 +114,7 @@
 			defer server.Close()
 			v, log := &view{held: map[string]bool{}}, new(records)
 			e, err := engine.New(engine.Config{Transport: v, Seed: 1, Log: slog.New(slog.NewTextHandler(log, nil)),
-				Source:     New(server.Listener.Addr().String(), true, slog.New(slog.NewTextHandler(log, nil))),
+				Source:     NewClient(server.Listener.Addr().String(), true, slog.New(slog.NewTextHandler(log, nil))),
 				Settings:   balancer.Settings{MustSubscribe: true, Balancers: 300, Classes: []balancer.Class{{Name: "c", Deadline: time.Second}}},
 				CachedList: engine.EndpointUpdate{Version: 4, Endpoints: []engine.Endpoint{{ID: "a"}}}})
 			if err != nil {
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -28,37 +28,37 @@
 const longestLine = 4 << 20
 
 // Listing is the list of members, or what changed in it, in discovery's form.
-type Listing struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []Host `json:"hosts"`
+type Event struct {
+	Version   int64      `json:"seq"`
+	Complete  bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 }
 
 // Host is an entry. Dial is where it listens, as seen from this instance; Host is who it is.
-type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	BornMS float64 `json:"born_ms"`
+type Endpoint struct {
+	ID          string  `json:"host"`
+	Addr        string  `json:"dial"`
+	Zone        string  `json:"site"`
+	Kind        string  `json:"class"`
+	Cell        int     `json:"block"`
+	Health      string  `json:"health"`
+	StartedAtMS float64 `json:"born_ms"`
 }
 
 // Members are the entries as the engine knows them. One of a health that is not known is taken to drain.
-func (l *Listing) Members() ([]engine.Endpoint, error) {
-	members := make([]engine.Endpoint, len(l.Hosts))
+func (l *Event) ToEndpoints() ([]engine.Endpoint, error) {
+	members := make([]engine.Endpoint, len(l.Endpoints))
 	var odd error
-	for i, h := range l.Hosts {
+	for i, h := range l.Endpoints {
 		state, err := h.state()
 		odd = errors.Join(odd, err)
-		members[i] = engine.Endpoint{ID: h.Host, Addr: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, State: state,
-			StartedAtMS: h.BornMS}
+		members[i] = engine.Endpoint{ID: h.ID, Addr: h.Addr, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, State: state,
+			StartedAtMS: h.StartedAtMS}
 	}
 	return members, odd
 }
 
-func (h *Host) state() (balancer.EndpointState, error) {
+func (h *Endpoint) state() (balancer.EndpointState, error) {
 	switch h.Health {
 	case "SERVING":
 		return balancer.Active, nil
@@ -67,11 +67,11 @@
 	case "DELETED":
 		return balancer.Removed, nil
 	}
-	return balancer.Draining, fmt.Errorf("upstream %s: health %q is not known", h.Host, h.Health)
+	return balancer.Draining, fmt.Errorf("upstream %s: health %q is not known", h.ID, h.Health)
 }
 
 // Discovery makes the calls. Its connections are used once, so that nothing is sent again behind our back.
-type Discovery struct {
+type Client struct {
 	addr   string
 	asked  bool // it is one service for all sidecars, to which a call has a price
 	log    *slog.Logger
@@ -85,22 +85,22 @@
 
 // NewPeer is another sidecar that passes discovery's list on (internal/discovery/relay). header goes with each call; check says of
 // an answer's headers whether it may be followed.
-func NewPeer(addr string, header http.Header, check func(http.Header) error, log *slog.Logger) *Discovery {
-	d := New(addr, false, log)
+func NewPeerClient(addr string, header http.Header, check func(http.Header) error, log *slog.Logger) *Client {
+	d := NewClient(addr, false, log)
 	d.header, d.check = header, check
 	d.most = 1 // there are other peers
 	return d
 }
 
 // Dial opens a connection, as net.Dialer's DialContext.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Through lets all connections be opened by dial; nil: by the network itself, as in the daemon. It is called before Watch, by
 // stand-ins that cut and slow links. It returns d.
-func (d *Discovery) Through(dial Dial) *Discovery {
+func (d *Client) WithDialer(dial DialFunc) *Client {
 	if dial != nil {
 		d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, end := context.WithTimeout(ctx, backoff.Silence) // as long as the network's own
+			ctx, end := context.WithTimeout(ctx, backoff.SilenceTimeout) // as long as the network's own
 			defer end()
 			return dial(ctx, network, addr)
 		}
@@ -110,16 +110,16 @@
 
 // New is the discovery at addr; asked says that it is one service for all sidecars, and not an agent on this machine.
 // Nothing is asked before Watch.
-func New(addr string, asked bool, log *slog.Logger) *Discovery {
-	return &Discovery{addr: addr, asked: asked, log: log, silence: backoff.Silence, most: backoff.Most, client: &http.Client{Transport: &http.Transport{
-		DialContext:       (&net.Dialer{Timeout: backoff.Silence}).DialContext,
+func NewClient(addr string, asked bool, log *slog.Logger) *Client {
+	return &Client{addr: addr, asked: asked, log: log, silence: backoff.SilenceTimeout, most: backoff.MaxAttempts, client: &http.Client{Transport: &http.Transport{
+		DialContext:       (&net.Dialer{Timeout: backoff.SilenceTimeout}).DialContext,
 		DisableKeepAlives: true, DisableCompression: true,
 	}}}
 }
 
 // Watch follows what changes after seq, or the whole list from engine.NoVersion on. It ends with news of kind Failed,
 // unless it is stopped first.
-func (d *Discovery) Watch(seq int64, pause time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
+func (d *Client) Watch(seq int64, pause time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
 		defer stop()
@@ -136,7 +136,7 @@
 }
 
 // follow makes a call that stays open and tells what it brings. It returns what ended it, as news of kind Failed.
-func (d *Discovery) follow(ctx context.Context, seq int64, tell func(engine.EndpointUpdate)) engine.EndpointUpdate {
+func (d *Client) follow(ctx context.Context, seq int64, tell func(engine.EndpointUpdate)) engine.EndpointUpdate {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	begun := time.Now()
@@ -212,7 +212,7 @@
 
 // open makes a call for a watch, and returns it with its first line. lost says that it has brought something whose news is
 // lost.
-func (d *Discovery) open(ctx context.Context, seq int64) (s *stream, lost bool, err error) {
+func (d *Client) open(ctx context.Context, seq int64) (s *stream, lost bool, err error) {
 	resp, err := d.call(ctx, "?watch=1&from="+strconv.FormatInt(max(seq, 0), 10))
 	if err != nil {
 		return nil, false, err
@@ -238,7 +238,7 @@
 }
 
 // line reads the next one.
-func (d *Discovery) line(o *objects) line {
+func (d *Client) line(o *objects) line {
 	text, err := o.next()
 	if text == nil || err != nil {
 		return line{err: err}
@@ -251,7 +251,7 @@
 }
 
 // lines tells a watch's lines, from the first on, until they end or ctx does.
-func (d *Discovery) lines(ctx context.Context, s *stream, out chan<- line) {
+func (d *Client) lines(ctx context.Context, s *stream, out chan<- line) {
 	for l := s.first; ; l = d.line(s.objects) {
 		select {
 		case out <- l:
@@ -264,7 +264,7 @@
 }
 
 // call asks for the list. Its answer, whose body the caller closes, is a good one.
-func (d *Discovery) call(ctx context.Context, query string) (*http.Response, error) {
+func (d *Client) call(ctx context.Context, query string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.addr+"/discovery/hosts"+query, nil)
 	if err != nil {
 		return nil, err
@@ -289,7 +289,7 @@
 
 // whole asks for the whole list. Guards against an answer that never ends beside a watch that goes on: each call is given up
 // in time.
-func (d *Discovery) whole(ctx context.Context) (engine.EndpointUpdate, error) {
+func (d *Client) whole(ctx context.Context) (engine.EndpointUpdate, error) {
 	won, err := race(ctx, d.silence, d.most, func(ctx context.Context) (n engine.EndpointUpdate, err error) {
 		resp, err := d.call(ctx, "")
 		if err != nil {
@@ -314,17 +314,17 @@
 }
 
 // read makes news of an object in discovery's form.
-func (d *Discovery) read(text []byte) (engine.EndpointUpdate, error) {
-	var l Listing
+func (d *Client) read(text []byte) (engine.EndpointUpdate, error) {
+	var l Event
 	if err := json.Unmarshal(text, &l); err != nil {
 		return engine.EndpointUpdate{}, err
 	}
-	n := engine.EndpointUpdate{Kind: balancer.Delta, Version: l.Seq}
-	if l.Whole {
+	n := engine.EndpointUpdate{Kind: balancer.Delta, Version: l.Version}
+	if l.Complete {
 		n.Kind = balancer.CompleteList
 	}
 	var odd error
-	if n.Endpoints, odd = l.Members(); odd != nil {
+	if n.Endpoints, odd = l.ToEndpoints(); odd != nil {
 		d.log.Warn("an entry of the list", "err", odd)
 	}
 	return n, nil
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -33,7 +33,7 @@
 	server := httptest.NewServer(serve)
 	t.Cleanup(server.Close)
 	all := make(chan engine.EndpointUpdate, 100)
-	d := New(server.Listener.Addr().String(), true, slog.New(slog.DiscardHandler))
+	d := NewClient(server.Listener.Addr().String(), true, slog.New(slog.DiscardHandler))
 	d.silence = silence
 	t.Cleanup(d.Watch(seq, 0, func(n engine.EndpointUpdate) { all <- n }))
 	return all
@@ -154,7 +154,7 @@
 			}))
 			defer server.Close()
 			all := make(chan engine.EndpointUpdate, 100)
-			defer New(server.Listener.Addr().String(), asked, slog.New(slog.DiscardHandler)).
+			defer NewClient(server.Listener.Addr().String(), asked, slog.New(slog.DiscardHandler)).
 				Watch(engine.UnknownVersion, 0, func(n engine.EndpointUpdate) { all <- n })()
 			if n := testutil.Receive(t, all, "what changed"); n.Kind != balancer.Delta || n.Version != 5 || len(n.Endpoints) != 2 {
 				t.Fatalf("told %+v", n)
@@ -209,7 +209,7 @@
 	}
 	l.Close()
 	all := make(chan engine.EndpointUpdate, 1)
-	defer New(l.Addr().String(), true, slog.New(slog.DiscardHandler)).Watch(1, 0, func(n engine.EndpointUpdate) { all <- n })()
+	defer NewClient(l.Addr().String(), true, slog.New(slog.DiscardHandler)).Watch(1, 0, func(n engine.EndpointUpdate) { all <- n })()
 	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed {
 		t.Errorf("%+v", n)
 	}
@@ -336,7 +336,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed || calls.Load() != backoff.Most {
+	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed || calls.Load() != backoff.MaxAttempts {
 		t.Errorf("%+v after %d calls", n, calls.Load())
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,7 +17,7 @@
 	probeTimeout = 400 * time.Millisecond
 	// olderView is how long after a move a list of a lower version than that of a drain is not believed about it. What discovery
 	// has to tell counts as told 6 s later at the latest: by then the new source has to know.
-	olderView = backoff.Told
+	olderView = backoff.NotificationDeadline
 	// agentFirst is how long calls wait for an agent's first word. What it has counts as told from the start of this process,
 	// and it answers at once; where it is silent the list as last held has to do.
 	agentFirst = 250 * time.Millisecond
@@ -104,7 +104,7 @@
 	moved  time.Time          // when that was
 	lost   bool               // the pushed list's source did not answer
 	near   bool               // the source could be reached when it was last called
-	agent  backoff.Pace       // when the source of a pushed list is asked
+	agent  backoff.Scheduler  // when the source of a pushed list is asked
 	timer  *time.Timer
 	wake   time.Time // when the timer fires; zero: it is not set
 	acts   []balancer.Action
@@ -129,7 +129,7 @@
 		calls: map[string]*Call{}, held: map[string]float64{}, drains: map[string]drain{}, timer: time.NewTimer(time.Hour), beat: time.NewTicker(beatEvery)}
 	e.timer.Stop()
 	e.beat.Stop()
-	e.agent = backoff.NewPace(backoff.Agent(), rand.New(rand.NewPCG(cfg.Seed, 0x6167656e74)))
+	e.agent = backoff.NewScheduler(backoff.AgentConfig(), rand.New(rand.NewPCG(cfg.Seed, 0x6167656e74)))
 	e.known = cfg.CachedList
 	e.known.Kind = balancer.CachedList
 	if len(e.known.Endpoints) == 0 {
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -109,7 +109,7 @@
 				e.log.Warn("list lost", "err", n.Err)
 			}
 			e.lost = true
-			e.follow(e.agent.Fail(e.clock.now(), anew) - e.clock.now())
+			e.follow(e.agent.CallFailed(e.clock.now(), anew) - e.clock.now())
 			return
 		}
 		e.log.Warn("list lost", "err", n.Err)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -19,13 +19,13 @@
 
 // Config is what the platform tells a sidecar at its start.
 type Config struct {
-	Name      string        `json:"Name"`
-	Listen    string        `json:"Listen"`
-	Discovery string        `json:"Discovery"`
-	Seed      hexSeed       `json:"Seed"`
-	Limits    Limits        `json:"Limits"`
-	Known     watch.Listing `json:"Known"`
-	Settings  *wire.Env     `json:"Settings"`
+	Name      string      `json:"Name"`
+	Listen    string      `json:"Listen"`
+	Discovery string      `json:"Discovery"`
+	Seed      hexSeed     `json:"Seed"`
+	Limits    Limits      `json:"Limits"`
+	Known     watch.Event `json:"Known"`
+	Settings  *wire.Env   `json:"Settings"`
 }
 
 // Limits are those of the sidecar's machine; 0: none told.
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 255 || cfg.Listen != "127.0.0.1:4" || cfg.Discovery != "127.0.0.1:2" || len(cfg.Known.Hosts) != 1 ||
-		cfg.Known.Hosts[0].Dial != "127.0.0.1:3" || cfg.Limits.Sockets != 1024 || len(cfg.Settings.Classes) != 3 {
+	if cfg.Seed != 255 || cfg.Listen != "127.0.0.1:4" || cfg.Discovery != "127.0.0.1:2" || len(cfg.Known.Endpoints) != 1 ||
+		cfg.Known.Endpoints[0].Addr != "127.0.0.1:3" || cfg.Limits.Sockets != 1024 || len(cfg.Settings.Classes) != 3 {
 		t.Errorf("%+v", cfg)
 	}
 	if l := cfg.Limits; l.ClientConns()+l.UpstreamConns() >= l.Sockets {
--- a/internal/simulation/capacity/play.go
+++ b/internal/simulation/capacity/play.go
@@ -137,7 +137,7 @@
 			switch {
 			case s.Source == "discovery":
 				role = RoleAsks
-			case s.Relay.Following > 0:
+			case s.Server.Followers > 0:
 				role = RoleFollowed
 			default:
 				role = RolePlain
--- a/internal/simulation/configsim/fleet.go
+++ b/internal/simulation/configsim/fleet.go
@@ -99,7 +99,7 @@
 	f        *controlplane.Follower
 	sel      *bootstrap.Selector
 	kept     *controlplane.CachedSnapshot
-	choice   bootstrap.Choice
+	choice   bootstrap.Selection
 	up1      *session // to the upstream
 	path     []int    // members between it and an origin, nearest first
 	tickAt   time.Duration
@@ -342,7 +342,7 @@
 	m.up1, m.path, m.viewed, m.next, m.attempts = nil, nil, 0, m.index%f.cfg.Origins, 0
 	var out []controlplane.Action
 	m.f, out = controlplane.NewFollower(controlplane.FollowerConfig{Cluster: "f", Self: m.name, Cached: m.kept, FetchDelay: f.cfg.Round}, f.Now)
-	m.sel = bootstrap.New(bootstrap.Config{Self: m.name, Ask: f.cfg.Ask, Fan: f.cfg.Fan, Rate: float64(f.cfg.AskRate), Told: f.cfg.Members, Seed: f.rng.Uint64()}, f.Now)
+	m.sel = bootstrap.New(bootstrap.Config{Self: m.name, Roots: f.cfg.Ask, FanOut: f.cfg.Fan, MaxCallRate: float64(f.cfg.AskRate), ConfiguredSize: f.cfg.Members, RandomSeed: f.rng.Uint64()}, f.Now)
 	m.tickAt = 0
 	f.carry(m, out)
 	f.After(time.Duration(f.rng.Int64N(int64(20*time.Millisecond))), f.alive(m, func() { f.choose(m) }))
--- a/internal/simulation/configsim/follow.go
+++ b/internal/simulation/configsim/follow.go
@@ -29,9 +29,9 @@
 			}
 		}))
 	}
-	c := m.sel.Choose(f.Now)
-	if c.Wait > 0 {
-		again(min(c.Wait, time.Second)) // the view may change meanwhile
+	c := m.sel.Select(f.Now)
+	if c.Delay > 0 {
+		again(min(c.Delay, time.Second)) // the view may change meanwhile
 		return
 	}
 	s := &session{child: m}
@@ -48,7 +48,7 @@
 	failed := func() {
 		if m.attempts == attempt && m.up1 == nil {
 			if m.tried++; !c.Discovery || m.tried >= f.cfg.Origins {
-				m.sel.Failed(f.Now, c)
+				m.sel.ReportFailure(f.Now, c)
 				m.tried = 0
 			}
 			again(10 * time.Millisecond)
@@ -73,7 +73,7 @@
 			if s.member != nil {
 				m.path = append([]int{s.member.index}, s.member.path...)
 			}
-			m.sel.Works(f.Now, c)
+			m.sel.ReportSuccess(f.Now, c)
 			if fr, ok := serverFrame(s); ok && fr.Revision.Compare(m.f.Stats().Published) > 0 {
 				f.frame(s, fr)
 			}
@@ -154,7 +154,7 @@
 		f.handle(m, controlplane.UpstreamLost{From: server.name})
 		if m.up {
 			if s.origin == nil { // else the next origin is tried first: they are one source
-				m.sel.Failed(f.Now, m.choice)
+				m.sel.ReportFailure(f.Now, m.choice)
 			}
 			m.tried = 0
 			f.choose(m)
@@ -191,7 +191,7 @@
 		if m.up1 == nil && m.idle {
 			f.choose(m)
 		}
-		if m.up1 != nil && m.sel.Better(f.Now, m.choice) {
+		if m.up1 != nil && m.sel.ShouldSwitch(f.Now, m.choice) {
 			f.close(m.up1)
 		}
 		if m.tickAt <= f.Now {
@@ -263,6 +263,6 @@
 				others = append(others, p)
 			}
 		}
-		m.sel.View(f.Now, others, len(others) > 0)
+		m.sel.UpdateMembers(f.Now, others, len(others) > 0)
 	}
 }
--- a/internal/testcluster/hollow/hollow_test.go
+++ b/internal/testcluster/hollow/hollow_test.go
@@ -66,7 +66,7 @@
 			if s.Source == "discovery" {
 				asks++
 			}
-			far = max(far, len(s.Relay.Path))
+			far = max(far, len(s.Server.Path))
 		}
 		return asks == 2 && far >= 2
 	})
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -128,7 +128,7 @@
 				attached.OnView(others, joined)
 			}
 		}}
-	list := node.OpenList(c, op.Recovery, watch.New(f.Discovery.Addr(), true, f.cfg.Log).Through(network.Dial), engine.EndpointUpdate{Version: engine.NoVersion})
+	list := node.OpenList(c, op.Recovery, watch.NewClient(f.Discovery.Addr(), true, f.cfg.Log).WithDialer(network.Dial), engine.EndpointUpdate{Version: engine.NoVersion})
 	var source *mergedsource.Source
 	if l.part, err = node.Open(c, op.Fleet, list); err == nil {
 		source, err = mergedsource.New(node.Merge(nil, l.part, list, nil, f.cfg.Log))
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -141,7 +141,7 @@
 
 func (r fleetResolver) Build(_ resolver.Target, cc resolver.ClientConn, _ resolver.BuildOptions) (resolver.Resolver, error) {
 	members := map[string]engine.Endpoint{}
-	stop := watch.New(r.discovery, false, discardLog).Watch(0, 0, func(n engine.EndpointUpdate) {
+	stop := watch.NewClient(r.discovery, false, discardLog).Watch(0, 0, func(n engine.EndpointUpdate) {
 		if n.Kind == balancer.CompleteList {
 			clear(members)
 		}
--- a/rpc/grpcbalancer/members.go
+++ b/rpc/grpcbalancer/members.go
@@ -75,7 +75,7 @@
 // addr.
 func Watch(addr string) Members {
 	return Members{func(log *slog.Logger) (engine.Source, []engine.Endpoint, error) {
-		return watch.New(addr, false, log), nil, nil
+		return watch.NewClient(addr, false, log), nil, nil
 	}}
 }
 
