--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,12 +1,13 @@
-// Package backoff decides when discovery is called: after a failure, beside a call that hangs, and for the whole list
-// beside a watch. Decisions without I/O; its tests are the scripts under testdata, and the sums that it is made for
-// stand in docs/design/crossings.md.
+// Package backoff schedules the calls of the discovery service: after a failure, beside a call that hangs, and for the
+// complete endpoint list beside a watch. It performs no I/O and does not read the clock. The scripts under testdata
+// are its tests; docs/design/crossings.md derives the constants.
 //
-// Two things pull at it. A change counts as told 6 s after discovery had it and could be reached, whatever became of the
-// calls meanwhile: of several calls one has to come through in that time. And all sidecars of a fleet call together
-// when discovery has failed or silenced them together. So calls are spaced from beginning to beginning: one that was
-// turned away late is followed soon, one that was turned away at once is not, and no sidecar begins more than three
-// in any second. Once the 6 s are lost, calls are as rare as all sidecars together may make them.
+// Two requirements pull in opposite directions. An endpoint counts as notified of a change [NotificationDeadline]
+// after the service had that change and could be reached, whatever became of the calls in between: one of several
+// calls has to succeed within that time. But all sidecars of a cluster call at once when the service fails or falls
+// silent for all of them at once. Calls are therefore spaced from start to start: a call that is rejected late is
+// followed soon, one that is rejected immediately is not, and no sidecar starts more than three in any second. Once
+// the deadline has passed, calls are as rare as the rate allowed to all sidecars together requires.
 package backoff
 
 import (
@@ -15,106 +16,140 @@
 )
 
 const (
-	// Told is when a change counts as told, from when discovery had it and could be reached.
+	// NotificationDeadline is when a change counts as notified, from the time at which the discovery service had the
+	// change and could be reached.
 	NotificationDeadline = 6 * time.Second
-	// Silence is when a watch counts as dead, and a call that has brought no line is given up: an empty line comes every
-	// 2 s. Guards against a discovery that is cut off and says nothing, where TCP notices nothing.
+	// SilenceTimeout is when a watch counts as broken, and when a call that has returned nothing is abandoned. The
+	// service sends an empty line every 2 s. This prevents waiting for a service that is cut off and sends nothing,
+	// which TCP does not notice.
 	SilenceTimeout = 2500 * time.Millisecond
-	// Beside is when a call that has brought nothing gets another one beside it. Guards against one that hangs: given up
-	// first, it leaves no time for a second failure. It is above what a call may wait for its turn (1 s on the platform).
+	// HedgeDelay is when a call that has returned nothing is hedged by another one. This prevents a hanging call from
+	// using up the time: if it were abandoned first, there would be none left for a second failure. It is above the
+	// time that a call may be queued by the service (1 s on the platform).
 	HedgeDelay = SilenceTimeout / 2
-	// Most is how many calls one attempt makes so, of which two are out at a time.
+	// MaxAttempts limits the calls of one hedged request; two of them are in flight at a time.
 	MaxAttempts = 3
 )
 
-// Config is how calls are spaced. Times are spread by chance, so that sidecars do not stay together.
+const (
+	retryDelay      = 250 * time.Millisecond
+	fastInterval    = 600 * time.Millisecond
+	minSlowInterval = fastInterval
+	maxSlowInterval = 2 * time.Second
+	// maxClusterRate is how many calls a second all sidecars together may make in the long run to a service that
+	// rejects them. A cluster in which each sidecar would then call less than once in maxSlowInterval makes more. It
+	// is the rate of a cluster of 300 sidecars.
+	maxClusterRate = 150
+
+	agentRetryDelay = 100 * time.Millisecond
+
+	listFastInterval = 750 * time.Millisecond
+	listSlowInterval = 3 * time.Second
+	listMaxInterval  = 24 * time.Second
+
+	// maxDoublings limits the growth of the slow interval. This prevents an overflow of the shift.
+	maxDoublings = 10
+	// neverStarted is the start of the latest call before there was one: long enough ago that it delays nothing.
+	neverStarted = -time.Hour
+)
+
+// ListDelay is the mean delay of the call for the complete list beside a watch, which delivers the changes in any
+// case; the delay is multiplied by a random factor between 0.5 and 1.5. This prevents an overload of a service of
+// fixed capacity to which all sidecars are migrated at once: with a list and a watch of each in the same second, it
+// rejected both, and sidecars without a watch learned of no draining endpoint.
+const ListDelay = 2 * time.Second
+
+// Config is the spacing of calls. All times are randomized, so that sidecars do not stay synchronized.
 type Config struct {
-	// Soon is the pause after a failure at least: between Soon/4 and Soon.
+	// RetryDelay is the longest minimum delay after a failure: the delay is at least between RetryDelay/4 and
+	// RetryDelay.
 	RetryDelay time.Duration
-	// Space is from the beginning of a call to that of the next while news may come in time, times 0.75 to 1.25.
+	// FastInterval is the time from the start of a call to the start of the next one while NotificationDeadline can
+	// still be met, multiplied by a random factor between 0.75 and 1.25.
 	FastInterval time.Duration
-	// Later is the same from then on, doubled with each failure up to LaterMost.
-	SlowInterval, MaxInterval time.Duration
+	// SlowInterval is the same time once the deadline has passed. It doubles with each failure, up to MaxInterval.
+	SlowInterval time.Duration
+	MaxInterval  time.Duration
 }
 
-const (
-	soon     = 250 * time.Millisecond
-	space    = 600 * time.Millisecond
-	laterMin = space
-	laterMax = 2 * time.Second
-	// fleetCalls is how many calls a second all sidecars may make in the long run, to a discovery that turns them away;
-	// more where each would call less than once in laterMax. It is what 300 have always made.
-	fleetCalls = 150
-)
-
-// Service is for a discovery that n sidecars ask.
-func ServiceConfig(n int) Config {
-	later := min(max(time.Duration(n)*time.Second/fleetCalls, laterMin), laterMax)
-	return Config{RetryDelay: soon, FastInterval: space, SlowInterval: later, MaxInterval: later}
+// ServiceConfig returns the spacing for calls of a discovery service that is shared by the given number of sidecars.
+func ServiceConfig(sidecars int) Config {
+	interval := time.Duration(sidecars) * time.Second / maxClusterRate
+	interval = min(max(interval, minSlowInterval), maxSlowInterval)
+	return Config{
+		RetryDelay:   retryDelay,
+		FastInterval: fastInterval,
+		SlowInterval: interval,
+		MaxInterval:  interval,
+	}
 }
 
-// Agent is for one on this machine: calls cost nothing. What it learns when discovery comes back counts as told at once:
-// the pause stays below the least grace of a drain.
-func AgentConfig() Config { return Config{RetryDelay: 100 * time.Millisecond} }
+// AgentConfig returns the spacing for calls of a discovery agent on this machine, which cost nothing. What the agent
+// learns when the discovery service recovers counts as notified at once, so the delay stays below the shortest grace
+// period of a draining endpoint.
+func AgentConfig() Config { return Config{RetryDelay: agentRetryDelay} }
 
-// First is how long the whole list beside a watch that tells the changes anyhow is waited with, times 0.5 to 1.5. Guards
-// against a discovery of fixed capacity to which all instances were moved at once: with a list and a watch of each in
-// the same second it turned both away, and who had no watch heard of no drain.
-const ListDelay = 2 * time.Second
-
-// List is for the whole list beside a watch, of a discovery that all sidecars ask.
+// ListConfig returns the spacing for calls for the complete list, beside a watch, of a discovery service that is
+// shared by all sidecars.
 func ListConfig() Config {
-	return Config{RetryDelay: soon, FastInterval: 750 * time.Millisecond, SlowInterval: 3 * time.Second, MaxInterval: 24 * time.Second}
+	return Config{
+		RetryDelay:   retryDelay,
+		FastInterval: listFastInterval,
+		SlowInterval: listSlowInterval,
+		MaxInterval:  listMaxInterval,
+	}
 }
 
-// Pace spaces the calls of one source. Its caller's clock is any that does not go back; its methods are called by one
-// goroutine.
+// Scheduler schedules the calls of one source. Times are read from any clock of the caller that does not run
+// backwards. A Scheduler is not safe for concurrent use.
 type Scheduler struct {
 	Config
-	rng   *rand.Rand
-	lost  bool          // a call has failed since the last that did not
-	since time.Duration // of that: when
-	begun time.Duration // when the latest call began
-	fails int           // since news could not come in time any more
+	rng           *rand.Rand
+	failing       bool          // a call has failed, and none has succeeded since
+	failingSince  time.Duration // valid if failing
+	lastCallStart time.Duration
+	lateFailures  int // failures after NotificationDeadline
 }
 
-// NewPace is one that has made no call.
-func NewScheduler(c Config, rng *rand.Rand) Scheduler {
-	return Scheduler{Config: c, rng: rng, begun: -time.Hour}
+// NewScheduler returns a Scheduler that has made no call.
+func NewScheduler(config Config, rng *rand.Rand) Scheduler {
+	return Scheduler{Config: config, rng: rng, lastCallStart: neverStarted}
 }
 
-// Begin says that a call begins.
-func (p *Scheduler) CallStarted(now time.Duration) { p.begun = now }
+// CallStarted records that a call starts at now.
+func (s *Scheduler) CallStarted(now time.Duration) { s.lastCallStart = now }
 
-// Good says that a call was answered.
-func (p *Scheduler) CallSucceeded() { p.lost = false }
+// CallSucceeded records that a call was answered.
+func (s *Scheduler) CallSucceeded() { s.failing = false }
 
-// Lost says that a call has failed, or what it had opened broke, and none was answered since.
-func (p *Scheduler) Failing() bool { return p.lost }
+// Failing reports whether a call, or the watch that it opened, has failed and no call has succeeded since.
+func (s *Scheduler) Failing() bool { return s.failing }
 
-// Fail says that a call has failed, or that what it had opened broke, and returns when the next is to begin. anew: the
-// source could not be reached before. What it has learnt meanwhile counts as told from now on, so the time begins anew.
-func (p *Scheduler) CallFailed(now time.Duration, anew bool) time.Duration {
-	if !p.lost || anew {
-		p.lost, p.since, p.fails = true, now, 0
+// CallFailed records that a call, or the watch that it opened, has failed at now. It returns the time at which the
+// next call is to start. newlyReached says that the source could not be reached before: what it has learned in the
+// meantime counts as notified from now on, so NotificationDeadline starts again.
+func (s *Scheduler) CallFailed(now time.Duration, newlyReached bool) time.Duration {
+	if !s.failing || newlyReached {
+		s.failing, s.failingSince, s.lateFailures = true, now, 0
 	}
-	space := p.FastInterval
-	if now-p.since >= NotificationDeadline {
-		space = min(p.SlowInterval<<min(p.fails, 10), p.MaxInterval)
-		p.fails++
+	interval := s.FastInterval
+	if now-s.failingSince >= NotificationDeadline {
+		interval = min(s.SlowInterval<<min(s.lateFailures, maxDoublings), s.MaxInterval)
+		s.lateFailures++
 	}
-	soon := now + p.RetryDelay/4 + p.part(3*p.RetryDelay/4)
-	return max(soon, p.begun+3*space/4+p.part(space/2))
+	afterFailure := now + s.RetryDelay/4 + s.randomPart(3*s.RetryDelay/4)
+	afterStart := s.lastCallStart + 3*interval/4 + s.randomPart(interval/2)
+	return max(afterFailure, afterStart)
 }
 
-// part is a time by chance, up to d.
-func (p *Scheduler) part(d time.Duration) time.Duration {
-	return time.Duration(p.rng.Float64() * float64(d))
+// DelayFirstCall records that the complete list is missing from now on, beside a watch. It returns the time at which
+// the first call for it is to start.
+func (s *Scheduler) DelayFirstCall(now time.Duration) time.Duration {
+	s.failing, s.failingSince = true, now
+	return now + ListDelay/2 + s.randomPart(ListDelay)
 }
 
-// Wait says that what is to be asked for has been missing from now on, beside a watch, and returns when the first call is to
-// begin.
-func (p *Scheduler) DelayFirstCall(now time.Duration) time.Duration {
-	p.lost, p.since = true, now
-	return now + ListDelay/2 + p.part(ListDelay)
+// randomPart returns a random duration below limit.
+func (s *Scheduler) randomPart(limit time.Duration) time.Duration {
+	return time.Duration(s.rng.Float64() * float64(limit))
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,80 +9,109 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// The scripts say when calls begin and how they end, and show between which times the next one begins: over many seeds, rounded
-// to 10 ms.
-func TestPace(t *testing.T) {
+// schedulerScript plays one script against many schedulers that differ in their random seeds.
+type schedulerScript struct {
+	schedulers []Scheduler
+}
+
+// reset replaces the schedulers by new ones.
+func (s *schedulerScript) reset(config Config) {
+	const seeds = 4000
+	s.schedulers = nil
+	for seed := range uint64(seeds) {
+		s.schedulers = append(s.schedulers, NewScheduler(config, rand.New(rand.NewPCG(seed, 1))))
+	}
+}
+
+// nextCalls applies an event to all schedulers and formats the range of the times at which their next calls start.
+func (s *schedulerScript) nextCalls(event func(*Scheduler) time.Duration) string {
+	earliest, latest := time.Duration(1<<62), time.Duration(0)
+	for i := range s.schedulers {
+		start := event(&s.schedulers[i])
+		earliest = min(earliest, start)
+		latest = max(latest, start)
+	}
+	const precision = 10 * time.Millisecond
+	return fmt.Sprintf("%v to %v\n", earliest.Round(precision), latest.Round(precision))
+}
+
+// run executes one command of a script.
+func (s *schedulerScript) run(t *testing.T, d *datadriven.TestData) string {
+	t.Helper()
+	var text string
+	d.MaybeScanArgs(t, "at", &text)
+	now, err := time.ParseDuration(text)
+	if text != "" && err != nil {
+		d.Fatalf(t, "at: %v", err)
+	}
+	switch d.Cmd {
+	case "service":
+		var sidecars int
+		d.ScanArgs(t, "sidecars", &sidecars)
+		s.reset(ServiceConfig(sidecars))
+	case "agent":
+		s.reset(AgentConfig())
+	case "list":
+		s.reset(ListConfig())
+	case "start":
+		for i := range s.schedulers {
+			s.schedulers[i].CallStarted(now)
+		}
+	case "fail":
+		newlyReached := d.HasArg("newly-reached")
+		return s.nextCalls(func(s *Scheduler) time.Duration { return s.CallFailed(now, newlyReached) })
+	case "delay":
+		return s.nextCalls(func(s *Scheduler) time.Duration { return s.DelayFirstCall(now) })
+	case "succeed":
+		for i := range s.schedulers {
+			s.schedulers[i].CallSucceeded()
+		}
+	default:
+		d.Fatalf(t, "unknown command %q", d.Cmd)
+	}
+	return ""
+}
+
+// The scripts give the times at which calls start and how they end, and hold the range of the times at which the next
+// call starts: over many seeds, rounded to 10 ms.
+func TestSchedulerScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var paces []Scheduler
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			var text string
-			d.MaybeScanArgs(t, "at", &text)
-			now, err := time.ParseDuration(text)
-			if text != "" && err != nil {
-				d.Fatalf(t, "at: %v", err)
-			}
-			least, most := time.Duration(1<<62), time.Duration(0)
-			each := func(next func(*Scheduler) time.Duration) string {
-				for i := range paces {
-					at := next(&paces[i])
-					least, most = min(least, at), max(most, at)
-				}
-				return fmt.Sprintf("%v to %v\n", least.Round(10*time.Millisecond), most.Round(10*time.Millisecond))
-			}
-			switch d.Cmd {
-			case "service", "agent", "list":
-				c := map[string]Config{"agent": AgentConfig(), "list": ListConfig()}[d.Cmd]
-				if d.Cmd == "service" {
-					var n int
-					d.ScanArgs(t, "sidecars", &n)
-					c = ServiceConfig(n)
-				}
-				paces = nil
-				for seed := range uint64(4000) {
-					paces = append(paces, NewScheduler(c, rand.New(rand.NewPCG(seed, 1))))
-				}
-			case "begin":
-				for i := range paces {
-					paces[i].CallStarted(now)
-				}
-			case "fail":
-				return each(func(p *Scheduler) time.Duration { return p.CallFailed(now, d.HasArg("anew")) })
-			case "wait":
-				return each(func(p *Scheduler) time.Duration { return p.DelayFirstCall(now) })
-			case "good":
-				for i := range paces {
-					paces[i].CallSucceeded()
-				}
-			default:
-				d.Fatalf(t, "no such command")
-			}
-			return ""
-		})
+		var script schedulerScript
+		datadriven.RunTest(t, path, script.run)
 	})
 }
 
-// A service that turns all away at once, or late, gets few calls of one sidecar in any second, and no more in the long run than
-// its part of what all may make.
-func TestCallsInASecond(t *testing.T) {
-	for _, n := range []int{1, 300, 590} {
-		for _, late := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
-			p := NewScheduler(ServiceConfig(n), rand.New(rand.NewPCG(uint64(n), 2)))
-			var calls []time.Duration
-			for now := time.Duration(0); now < time.Hour; {
-				p.CallStarted(now)
-				calls = append(calls, now)
-				now = p.CallFailed(now+late, false)
-			}
-			most := 0
-			for i, j := 0, 0; i < len(calls); i++ {
-				for calls[i]-calls[j] >= time.Second {
-					j++
-				}
-				most = max(most, i-j+1)
-			}
-			if mean := time.Hour / time.Duration(len(calls)); most > 3 || mean < min(ServiceConfig(n).SlowInterval, 2*time.Second)*97/100 {
-				t.Errorf("%d sidecars, turned away after %v: %d calls in a second, one in %v", n, late, most, mean)
-			}
+// A service that rejects all calls, immediately or late, receives few calls of one sidecar in any second, and in the
+// long run no more than that sidecar's part of the rate of all.
+func TestCallRateOfRejectedSidecar(t *testing.T) {
+	for _, sidecars := range []int{1, 300, 590} {
+		for _, callTime := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
+			t.Run(fmt.Sprintf("%d sidecars, rejected after %v", sidecars, callTime), func(t *testing.T) {
+				testCallRate(t, sidecars, callTime)
+			})
+		}
+	}
+}
+
+func testCallRate(t *testing.T, sidecars int, callTime time.Duration) {
+	t.Helper()
+	scheduler := NewScheduler(ServiceConfig(sidecars), rand.New(rand.NewPCG(uint64(sidecars), 2)))
+	var starts []time.Duration
+	for now := time.Duration(0); now < time.Hour; {
+		scheduler.CallStarted(now)
+		starts = append(starts, now)
+		now = scheduler.CallFailed(now+callTime, false)
+	}
+	maxInSecond := 0
+	for i, first := 0, 0; i < len(starts); i++ {
+		for starts[i]-starts[first] >= time.Second {
+			first++
 		}
+		maxInSecond = max(maxInSecond, i-first+1)
+	}
+	interval := time.Hour / time.Duration(len(starts))
+	minInterval := min(ServiceConfig(sidecars).SlowInterval, 2*time.Second) * 97 / 100
+	if maxInSecond > 3 || interval < minInterval {
+		t.Errorf("%d calls in one second, one in %v on average", maxInSecond, interval)
 	}
 }
