--- a/internal/controlplane/origin/bench_test.go
+++ b/internal/controlplane/origin/bench_test.go
@@ -43,7 +43,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		s := &State{Records: disk}
-		if err := s.load(); err != nil {
+		if err := s.validate(); err != nil {
 			b.Fatal(err)
 		}
 		if _, _, err := NewNode(Config{Self: "o1"}, s, 0); err != nil {
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -50,18 +50,18 @@
 	hash := controlplane.HashText([]byte("# text\n"))
 	report := formatReport()
 	for name, v := range map[string]any{
-		"change": change{ID: "push-1", After: 16, Text: []byte("# text\n")},
-		"machine": machine{
+		"change": logEntry{ID: "push-1", BaseVersion: 16, Text: []byte("# text\n")},
+		"machine": stateMachine{
 			Version: 17, Hash: hash, Text: []byte("# text\n"),
-			Ended: []ending{{ID: "push-1", Version: 17, Hash: hash}, {ID: "push-2", Version: 0, Hash: hash}},
+			Outcomes: []changeOutcome{{ID: "push-1", Version: 17, Hash: hash}, {ID: "push-2", Version: 0, Hash: hash}},
 		},
 		"founding": formatFounding(),
-		"root": root{
-			Mark: 9, Seen: []uint64{9, 300, 70000}, Term: 4, Vote: 2, Commit: 11, Index: 10, Since: 3, Last: 12,
-			Runs: []run{{Index: 11, Term: 3}, {Index: 12, Term: 4}}, Rolled: "why",
+		"root": rootRecord{
+			WriteNumber: 9, WriteNumbers: []uint64{9, 300, 70000}, Term: 4, Vote: 2, Commit: 11, SnapshotIndex: 10, SnapshotTerm: 3, LastIndex: 12,
+			TermRuns: []termRun{{Index: 11, Term: 3}, {Index: 12, Term: 4}}, RollbackReason: "why",
 		},
 		"envelope": envelope{
-			Founding: []byte("0123456789abcdef"), From: 2, Marks: []uint64{9, 300, 70000}, Rolled: true, Report: &report, Raft: []byte{1, 2, 3},
+			BootstrapKey: []byte("0123456789abcdef"), From: 2, WriteNumbers: []uint64{9, 300, 70000}, RolledBack: true, Report: &report, Raft: []byte{1, 2, 3},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,23 +77,24 @@
 	}
 }
 
-// A message between origins: the envelope, raft's message and the checksum, with and without a report; another origin opens it.
+// A message between origins: the envelope, raft's message and the checksum, with and without a report; another origin
+// opens it.
 func TestOriginMessageFormatIsStable(t *testing.T) {
 	founding := formatFounding()
 	sender := &Node{
-		cfg: Config{BootstrapConfig: founding, Self: "o2"}, id: 2, key: founding.key(), mark: 300, seen: []uint64{9, 0, 70000}, rolled: "why",
+		cfg: Config{BootstrapConfig: founding, Self: "o2"}, id: 2, bootstrapKey: founding.key(), writeNumber: 300, writeNumbers: []uint64{9, 0, 70000}, rollbackReason: "why",
 	}
-	receiver := &Node{cfg: Config{BootstrapConfig: founding, Self: "o1"}, id: 1, key: founding.key()}
+	receiver := &Node{cfg: Config{BootstrapConfig: founding, Self: "o1"}, id: 1, bootstrapKey: founding.key()}
 	kind, from, to, term, index, context := raftpb.MsgHeartbeat, uint64(2), uint64(1), uint64(4), uint64(11), []byte("context")
 	message := &raftpb.Message{Type: &kind, From: &from, To: &to, Term: &term, Commit: &index, Context: context}
 	report := formatReport()
 	for name, sealed := range map[string][]byte{
-		"message":              sender.seal(message, &report),
-		"message-without-raft": sender.seal(nil, nil),
+		"message":              sender.sealEnvelope(message, &report),
+		"message-without-raft": sender.sealEnvelope(nil, nil),
 	} {
 		testutil.GoldenBinary(t, name+".hex", sealed)
-		e, m, err := receiver.open(sealed)
-		if err != nil || e.From != 2 || !slices.Equal(e.Marks, []uint64{9, 300, 70000}) || !e.Rolled {
+		e, m, err := receiver.openEnvelope(sealed)
+		if err != nil || e.From != 2 || !slices.Equal(e.WriteNumbers, []uint64{9, 300, 70000}) || !e.RolledBack {
 			t.Fatalf("%s: %v: %+v", name, err, e)
 		}
 		if (m != nil) != (name == "message") || m != nil && (m.GetCommit() != 11 || m.GetTerm() != 4) {
@@ -105,7 +106,7 @@
 
 // What a founding writes, and where the parts of entries and snapshots stand.
 func TestOriginFoundingRecordsAreStable(t *testing.T) {
-	goldenRecords(t, "founded.txt", found(formatFounding()))
+	goldenRecords(t, "founded.txt", bootstrapRecords(formatFounding()))
 	if got, want := entryKey(0x1f, 3), "e/000000000000001f/0000000000000003"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
@@ -113,7 +114,7 @@
 		t.Errorf("%s, want %s", got, want)
 	}
 	long := bytes.Repeat([]byte("0123456789"), 13_000)
-	parts := split("s/1", long)
+	parts := splitValue("s/1", long)
 	records := map[string][]byte{}
 	for i, p := range parts {
 		if want := fmt.Sprintf("s/1/%x", i); p.Key != want {
@@ -121,12 +122,13 @@
 		}
 		records[p.Key] = p.Value
 	}
-	if whole, ok := joined(records, "s/1"); len(parts) != 3 || !ok || !bytes.Equal(whole, long) {
+	if whole, ok := joinValue(records, "s/1"); len(parts) != 3 || !ok || !bytes.Equal(whole, long) {
 		t.Errorf("%d parts, whole: %t", len(parts), ok)
 	}
 }
 
-// What one origin writes to its store from its founding to an accepted push, and that another process goes on from there.
+// What one origin writes to its store from its founding to an accepted push, and that another process goes on from
+// there.
 func TestOriginStoreFormatIsStable(t *testing.T) {
 	founding := BootstrapConfig{Cluster: "booking", Epoch: 3, Origins: []string{"o1"}}
 	state, err := NewBootstrappedState(founding)
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -32,8 +32,8 @@
 	most   int // that may be rolled back
 }
 
-// Random histories: crashes between any two writes and sends, restarts, cuts, loss, late and doubled messages, stores that are rolled
-// back, pushes at once and again. In each of them:
+// Random histories: crashes between any two writes and sends, restarts, cuts, loss, late and doubled messages, stores
+// that are rolled back, pushes at once and again. In each of them:
 //
 //   - a version has one content for ever, whoever publishes it, and no origin publishes an older one after a later one (world.carry);
 //   - what was acknowledged is there at the end under its stamp; what was refused or came second never is;
@@ -41,8 +41,9 @@
 //   - a store that was rolled back takes no part, one that wasn't does;
 //   - once all is well, all agree, and a push is accepted.
 //
-// A store is rolled back while the others run and reach it, and no more of them than the rest can do without: that is what is promised.
-// More histories: go test ./internal/controlplane/origin -run RandomHistories -rapid.checks=10000 -rapid.seed=N.
+// A store is rolled back while the others run and reach it, and no more of them than the rest can do without: that is
+// what is promised. More histories: go test ./internal/controlplane/origin -run RandomHistories -rapid.checks=10000
+// -rapid.seed=N.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5, 3, 1, 2, 4}).Draw(t, "origins")
@@ -134,15 +135,15 @@
 	if p.node == nil {
 		return
 	}
-	before := p.node.mark
+	before := p.node.writeNumber
 	h.rollBack(i, disk)
 	h.run(4 * time.Second)
-	after := new(root)
-	if err := decode(disk[rootKey], after); err != nil {
+	after := new(rootRecord)
+	if err := decode(disk[rootRecordKey], after); err != nil {
 		h.t.Fatalf("%v", err)
 	}
-	if lost := after.Mark < before; lost != (p.node.rolled != "") && !h.rolled[i] {
-		h.t.Fatalf("%s's store went from write %d to %d: rolled back %q\n%s", p.name, before, after.Mark, p.node.rolled, h.describe())
+	if lost := after.WriteNumber < before; lost != (p.node.rollbackReason != "") && !h.rolled[i] {
+		h.t.Fatalf("%s's store went from write %d to %d: rolled back %q\n%s", p.name, before, after.WriteNumber, p.node.rollbackReason, h.describe())
 	} else if lost {
 		h.rolled[i] = true
 	}
@@ -166,8 +167,8 @@
 		if p.node == nil {
 			h.t.Fatalf("%s is down", p.name)
 		}
-		if (p.node.rolled != "") != h.rolled[i] {
-			h.t.Fatalf("%s takes no part: %q", p.name, p.node.rolled)
+		if (p.node.rollbackReason != "") != h.rolled[i] {
+			h.t.Fatalf("%s takes no part: %q", p.name, p.node.rollbackReason)
 		}
 	}
 	h.until(20*time.Second, "all agree and one leads", func() bool { return h.agreed() && h.leader() >= 0 })
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -15,400 +15,321 @@
 )
 
 const (
-	defaultTick   = 100 * time.Millisecond
-	defaultWait   = 4 * time.Second
-	defaultSettle = 3 * time.Second
+	// randomStream is the second half of the seed of Config.Seed's random numbers.
+	randomStream = 44
 
-	heartbeatTicks = 2
-	electionTicks  = 10
-	againLeast     = 2                 // ticks until it seeks to lead again, at least; electionTicks at most
-	mostTicks      = 2 * electionTicks // that one Tick makes up for
-	helloTicks     = 10                // between two messages to another origin that nothing else was told
-	startTicks     = 30                // how long a start waits for all others; then a majority with itself will do
-	electionWait   = 2 * electionTicks // how long without a leader pushes still wait for one
-	againTicks     = 10                // a push or a question that has no answer is sent again
-	reportTicks    = 3                 // between two reports to the others
-	refreshTicks   = 50                // between two that say the same
-	// The log is cut to the last snapshot when so many entries or bytes lie before it.
-	mostApplied      = 16
-	mostAppliedBytes = 2 * controlplane.MaxSnapshotSize
+	maxInflightMessages = 8 // of raft, to one follower
+	maxInflightBytes    = 4 * controlplane.MaxSnapshotSize
 
-	silentFor = 30 * time.Second // a member that reports nothing for so long is gone
-	cutFor    = time.Minute      // and named as cut for so long
-	// otherFor is how long another origin's report counts. Guards against a sum of members that have long gone to this one.
-	otherFor = 15 * time.Second
+	maxMemberSilence      = 30 * time.Second // a member without a report for so long is disconnected
+	disconnectedRetention = time.Minute      // how long a disconnected member is named
+	// maxPeerReportAge is how long another origin's report counts. After it, its members may have moved to this origin,
+	// which would count them twice.
+	maxPeerReportAge = 15 * time.Second
 )
 
 // Node is one origin.
 type Node struct {
-	cfg   Config
-	id    uint64
-	key   string
-	rng   *rand.Rand
-	rn    *raft.RawNode // nil: its store is damaged
-	ms    *raft.MemoryStorage
-	names []string // by identity, from 1
+	cfg          Config
+	id           uint64   // in raft: 1 and the index in names
+	names        []string // of all origins, sorted
+	bootstrapKey string
+	rng          *rand.Rand
 
-	// Of the store.
-	root    root
-	mark    uint64 // of the last Persist
-	seen    []uint64
-	rolled  string // why it takes no part; empty: it does
-	written []blob // entries that the root names, oldest first
-	kept    int    // parts of the snapshot that it names
+	raft *raft.RawNode       // nil: the store is damaged
+	log  *raft.MemoryStorage // nil: the store is damaged
 
-	state   machine
-	applied uint64
-	told    controlplane.Revision // published last
-	since   uint64                // bytes of entries applied since the snapshot
+	// What the store has.
+	root           rootRecord
+	writeNumber    uint64        // of the last Persist
+	writeNumbers   []uint64      // by origin: highest that is known
+	rollbackReason string        // why this origin has withdrawn; empty: it has not
+	storedEntries  []storedEntry // that the root references, oldest first
+	snapshotParts  int           // records of the snapshot that the root references
 
-	begun   time.Duration
-	ticked  time.Duration
-	ticks   int // since the start
-	heard   []bool
-	ready   bool // it takes part
-	quiet   int  // ticks since the leader was heard
-	alone   int  // ticks without a leader
-	due     int  // ticks of quiet after which it seeks to lead
-	spoke   []int
-	outs    []string // origins that say that they were rolled back
-	pending []pending
-	serial  uint64
+	state        stateMachine
+	applied      uint64                // index of the last applied entry
+	appliedBytes uint64                // of entries since the last snapshot
+	published    controlplane.Revision // last
 
-	members controlplane.ReportAggregator // that follow this origin
-	others  controlplane.ReportAggregator // sums by origin
-	toldSum controlplane.Report
-	toldAt  int
+	startedAt       time.Duration
+	tickedAt        time.Duration // time up to which ticks are counted
+	ticks           int           // since the start
+	participating   bool          // in consensus
+	heardFrom       []bool        // by origin
+	leaderSilence   int           // ticks since a message of the leader
+	leaderlessTicks int           // ticks without a known leader
+	electionTimeout int           // ticks of leaderSilence after which it campaigns
+	ticksSinceSend  []int         // by origin
+	rolledBackPeers []string      // origins that say that they have withdrawn
 
-	notes           controlplane.LogThrottle
-	part            Role
-	foreign, broken int
-}
+	pending    []pendingRequest
+	readSerial uint64 // of the last read index request
+
+	memberReports controlplane.ReportAggregator // of members that receive the snapshot from this origin
+	peerReports   controlplane.ReportAggregator // of the other origins
+	sentReport    controlplane.Report           // last, to the other origins
+	sentReportAt  int                           // tick
 
-var errForeign = errors.New("it is of another founding")
+	role            Role // last logged
+	logThrottle     controlplane.LogThrottle
+	foreignMessages int
+	corruptMessages int
+}
 
-// New makes a Node that starts at now from what its store holds; Config.Founding may be empty, and is the store's then, else the two
-// have to be the same.
+// NewNode returns a Node that starts at now from the state of its store, and the first actions. If
+// Config.BootstrapConfig is not empty it must be that of the store.
 func NewNode(c Config, s *State, now time.Duration) (*Node, []Action, error) {
-	if len(c.Origins) == 0 && c.Cluster == "" && c.Epoch == 0 {
-		c.BootstrapConfig = s.Bootstrap
-	} else if c.BootstrapConfig.key() != s.Bootstrap.key() {
-		return nil, nil, fmt.Errorf("the store was founded for fleet %q, epoch %d, origins %q; the settings say %q, %d, %q", s.Bootstrap.Cluster, s.Bootstrap.Epoch, s.Bootstrap.Origins, c.Cluster, c.Epoch, c.Origins)
+	c, err := c.complete(s.Bootstrap)
+	if err != nil {
+		return nil, nil, err
 	}
-	c.TickInterval, c.RequestTimeout, c.StartupGracePeriod = cmp.Or(c.TickInterval, defaultTick), cmp.Or(c.RequestTimeout, defaultWait), cmp.Or(c.StartupGracePeriod, defaultSettle)
-	n := &Node{cfg: c, names: slices.Sorted(slices.Values(c.Origins)), rng: rand.New(rand.NewPCG(c.Seed, 44)), begun: now, ticked: now}
-	i, ok := slices.BinarySearch(n.names, c.Self)
+	names := slices.Sorted(slices.Values(c.Origins))
+	i, ok := slices.BinarySearch(names, c.Self)
 	if !ok {
-		return nil, nil, fmt.Errorf("%q is none of the origins that were founded: %q", c.Self, n.names)
-	}
-	n.id, n.key = uint64(i+1), c.BootstrapConfig.key()
-	n.seen, n.heard, n.spoke = make([]uint64, len(n.names)), make([]bool, len(n.names)), make([]int, len(n.names))
-	n.draw()
-	ms, r, err := s.restore()
-	var out []Action
-	switch {
-	case errors.Is(err, errDamaged):
-		n.rolled = err.Error()
-	case err != nil:
+		return nil, nil, fmt.Errorf("%q is none of the origins that were founded: %q", c.Self, names)
+	}
+	n := &Node{
+		cfg:            c,
+		id:             uint64(i + 1),
+		names:          names,
+		bootstrapKey:   c.key(),
+		rng:            rand.New(rand.NewPCG(c.Seed, randomStream)),
+		writeNumbers:   make([]uint64, len(names)),
+		startedAt:      now,
+		tickedAt:       now,
+		heardFrom:      make([]bool, len(names)),
+		ticksSinceSend: make([]int, len(names)),
+	}
+	n.resetElectionTimeout()
+	if err := n.restore(s); err != nil {
 		return nil, nil, err
 	}
-	if r != nil {
-		n.root, n.mark, n.kept, n.seen = *r, r.Mark, partsOf(s.Records, snapshotKey(r.Index)), r.Seen
-		n.rolled = cmp.Or(r.Rolled, n.rolled)
+	var actions []Action
+	if n.raft != nil {
+		// A crash may have come between the root and its deletes.
+		if deletes := s.unreferenced(&n.root, n.log); len(deletes) > 0 {
+			actions = append(actions, Persist{deletes})
+		}
+		actions = n.processReady(now, actions)
 	}
-	if ms == nil {
-		return n, n.note(now, out, "rolled back", n.rolled), nil
+	if n.rollbackReason != "" {
+		actions = n.logMessage(now, actions, LogRolledBack, n.rollbackReason)
 	}
-	snap, err := ms.Snapshot()
-	if err != nil {
-		return nil, nil, err
+	return n, actions, nil
+}
+
+// restore sets the node's state from that of its store. If the store is damaged, the node withdraws; if nothing can be
+// served either, raft and log stay nil.
+func (n *Node) restore(s *State) error {
+	log, root, err := s.restore()
+	switch {
+	case errors.Is(err, errDamagedStore):
+		n.rollbackReason = err.Error()
+	case err != nil:
+		return err
 	}
-	if err := decode(snap.GetData(), &n.state); err != nil {
-		return nil, nil, fmt.Errorf("the snapshot in the store: %w", err)
+	if root != nil {
+		n.root = *root
+		n.writeNumber = root.WriteNumber
+		n.writeNumbers = root.WriteNumbers
+		n.snapshotParts = countParts(s.Records, snapshotKey(root.SnapshotIndex))
+		n.rollbackReason = cmp.Or(root.RollbackReason, n.rollbackReason)
 	}
-	n.applied = r.Index
-	n.ms = ms
-	last, _ := ms.LastIndex()
-	for i := r.Index + 1; i <= last; i++ {
-		term, _ := ms.Term(i)
-		n.written = append(n.written, blob{i, term, partsOf(s.Records, entryKey(i, term))})
+	if log == nil {
+		return nil
 	}
-	n.rn, err = raft.NewRawNode(&raft.Config{
-		ID: n.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: ms, Applied: r.Index, MaxSizePerMsg: controlplane.MaxSnapshotSize,
-		MaxUncommittedEntriesSize: MaxUncommittedSize, MaxInflightMsgs: 8, MaxInflightBytes: 4 * controlplane.MaxSnapshotSize, CheckQuorum: true, PreVote: true, Logger: silent{},
-	})
+	n.log = log
+	snapshot, err := log.Snapshot()
 	if err != nil {
-		return nil, nil, err
-	}
-	if g := s.garbage(r, ms); len(g) > 0 { // a crash lay between the root and its deletes
-		out = append(out, Persist{g})
-	}
-	out = n.turn(now, out)
-	if n.rolled != "" {
-		out = n.note(now, out, "rolled back", n.rolled)
-	}
-	return n, out, nil
+		return err
+	}
+	if err := decode(snapshot.GetData(), &n.state); err != nil {
+		return fmt.Errorf("the snapshot in the store: %w", err)
+	}
+	n.applied = root.SnapshotIndex
+	n.restoreStoredEntries(s)
+	n.raft, err = raft.NewRawNode(&raft.Config{
+		ID:                        n.id,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   log,
+		Applied:                   root.SnapshotIndex,
+		MaxSizePerMsg:             controlplane.MaxSnapshotSize,
+		MaxUncommittedEntriesSize: MaxUncommittedSize,
+		MaxInflightMsgs:           maxInflightMessages,
+		MaxInflightBytes:          maxInflightBytes,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		Logger:                    raftLogger{},
+	})
+	return err
 }
 
-// draw sets when it seeks to lead: at a time by chance, its own, so that two do not do so together again and again.
-func (n *Node) draw() { n.quiet, n.due = 0, electionTicks+n.rng.IntN(electionTicks) }
+// restoreStoredEntries sets the list of the entries that the store has.
+func (n *Node) restoreStoredEntries(s *State) {
+	last, _ := n.log.LastIndex() // of a MemoryStorage, which has no error
+	for i := n.root.SnapshotIndex + 1; i <= last; i++ {
+		term, _ := n.log.Term(i) // the index is in the log
+		n.storedEntries = append(n.storedEntries, storedEntry{
+			index: i,
+			term:  term,
+			parts: countParts(s.Records, entryKey(i, term)),
+		})
+	}
+}
 
-// Handle takes an event in. It never blocks.
-func (n *Node) Handle(now time.Duration, ev Event) (out []Action) {
+// Handle processes an event and returns the actions to execute. It never blocks.
+func (n *Node) Handle(now time.Duration, ev Event) (actions []Action) {
 	switch ev := ev.(type) {
 	case Message:
-		out = n.message(now, ev, out)
+		actions = n.handleMessage(now, ev, actions)
 	case Propose:
-		out = n.propose(now, ev, out)
+		actions = n.handlePropose(now, ev, actions)
 	case QueryOutcome:
-		out = n.question(now, ev.ID, asked, out)
+		actions = n.handleRead(now, ev.ID, requestQuery, actions)
 	case ReadLatest:
-		out = n.question(now, ev.ID, readers, out)
+		actions = n.handleRead(now, ev.ID, requestRead, actions)
 	case ReportReceived:
-		n.members.Add(now, ev.From, ev.Report)
+		n.memberReports.Add(now, ev.From, ev.Report)
 	case SubscriberDisconnected:
-		n.members.Disconnect(now, ev.From, cutFor)
+		n.memberReports.Disconnect(now, ev.From, disconnectedRetention)
 	case Tick:
-		out = n.tick(now, out)
+		actions = n.handleTick(now, actions)
 	}
-	out = n.turn(now, out)
-	out = n.answers(now, out)
-	return n.parts(now, out)
+	actions = n.processReady(now, actions)
+	actions = n.completePending(now, actions)
+	return n.updateRole(now, actions)
 }
 
-// message takes one from another origin.
-func (n *Node) message(now time.Duration, ev Message, out []Action) []Action {
-	e, m, err := n.open(ev.Data)
-	switch {
-	case errors.Is(err, errForeign):
-		n.foreign++
-		return n.note(now, out, "foreign", fmt.Sprintf("from %s: %v", ev.From, err))
-	case err != nil:
-		n.broken++
-		return n.note(now, out, "broken", fmt.Sprintf("from %s: %v", ev.From, err))
-	}
-	from := n.names[e.From-1]
-	for i, mark := range e.Marks {
-		if uint64(i+1) != n.id {
-			n.seen[i] = max(n.seen[i], mark)
-		}
-	}
-	if e.Rolled && !slices.Contains(n.outs, from) {
-		n.outs = append(n.outs, from)
-	}
-	if e.Report != nil {
-		n.others.Add(now, from, *e.Report)
-	}
-	// Guards against a store that was rolled back: what it voted and acknowledged since is forgotten here, and still counts elsewhere.
-	if known := e.Marks[n.id-1]; known > n.mark {
-		return n.leave(now, out, fmt.Sprintf("its store was rolled back: %s knows of write %d, and the store's last is %d", from, known, n.mark))
-	}
-	if !n.heard[e.From-1] {
-		n.heard[e.From-1] = true
-		out = n.begin(now, out)
-	}
-	if m == nil || !n.ready || n.rolled != "" {
-		return out
-	}
-	// Guards against raft's own panic, should a leader count as here what is not.
-	if last, _ := n.ms.LastIndex(); m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > last && m.GetTerm() >= n.root.Term {
-		return n.leave(now, out, fmt.Sprintf("its store was rolled back: %s counts on entry %d, and the last one here is %d", from, m.GetCommit(), last))
-	}
-	vote := n.rn.BasicStatus().HardState.GetVote()
-	if err := n.rn.Step(m); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-		n.broken++
-		return n.note(now, out, "broken", fmt.Sprintf("from %s: %v", from, err))
-	}
-	status := n.rn.BasicStatus()
-	switch m.GetType() {
-	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		if status.Lead == m.GetFrom() {
-			if n.quiet = 0; n.due < electionTicks { // it sought to lead itself
-				n.draw()
-			}
-		}
-	case raftpb.MsgVote:
-		if v := status.HardState.GetVote(); v != vote && v == m.GetFrom() {
-			n.draw()
-		}
-	}
-	return out
-}
+// canStep reports whether raft may process messages, time and requests.
+func (n *Node) canStep() bool { return n.participating && n.rollbackReason == "" }
 
-// leave is for good: only a higher epoch brings it back.
-func (n *Node) leave(now time.Duration, out []Action, why string) []Action {
-	if n.rolled != "" {
-		return out
-	}
-	n.rolled, n.ready = why, false
-	n.root.Rolled = why
-	out = append(out, n.persist(nil, nil))
-	return n.note(now, out, "rolled back", why)
+// withdraw takes the origin out of consensus for good: only the bootstrap of a higher epoch brings it back.
+func (n *Node) withdraw(now time.Duration, actions []Action, reason string) []Action {
+	if n.rollbackReason != "" {
+		return actions
+	}
+	n.rollbackReason = reason
+	n.participating = false
+	n.root.RollbackReason = reason
+	actions = append(actions, n.persist(nil, nil))
+	return n.logMessage(now, actions, LogRolledBack, reason)
 }
 
-// begin is that it takes part, once all others were heard, or a majority with itself and all have had their time. Guards against a
-// store that was rolled back: whoever knows it has said so by then.
-func (n *Node) begin(now time.Duration, out []Action) []Action {
-	count := 1
-	for _, h := range n.heard {
-		if h {
-			count++
+// processReady executes what raft has ready: first what must be durable, then the messages, then the committed entries.
+func (n *Node) processReady(now time.Duration, actions []Action) []Action {
+	for n.raft != nil && n.rollbackReason == "" && n.raft.HasReady() {
+		ready := n.raft.Ready()
+		actions = n.persistReady(&ready, actions)
+		for _, m := range ready.Messages {
+			actions = append(actions, n.sendRaft(m))
+		}
+		if !raft.IsEmptySnap(ready.Snapshot) {
+			actions = n.applySnapshot(ready.Snapshot, actions)
+		}
+		for _, e := range ready.CommittedEntries {
+			actions = n.applyCommitted(now, e, actions)
 		}
+		n.handleReadStates(ready.ReadStates)
+		n.raft.Advance(ready)
+		actions = n.compactLog(actions)
 	}
-	if n.ready || n.rolled != "" || n.rn == nil || count < len(n.names) && (n.ticks < startTicks || count <= len(n.names)/2) {
-		return out
+	if n.published.IsZero() {
+		actions = n.publish(actions)
 	}
-	n.ready = true
-	n.draw()
-	return out
+	return actions
 }
 
-// tick lets raft's time pass. A follower's own election timer stands here and not in raft, whose is not seeded.
-func (n *Node) tick(now time.Duration, out []Action) []Action {
-	due := int((now - n.ticked) / n.cfg.TickInterval)
-	n.ticked += time.Duration(due) * n.cfg.TickInterval
-	for range min(due, mostTicks) {
-		n.ticks++
-		out = n.begin(now, out)
-		for i := range n.spoke {
-			n.spoke[i]++
-		}
-		if !n.ready || n.rolled != "" {
-			continue
-		}
-		if n.rn.BasicStatus().RaftState == raft.StateLeader {
-			n.rn.Tick()
-			n.quiet, n.alone = 0, 0
-			continue
-		}
-		n.quiet++
-		n.alone++
-		if n.rn.BasicStatus().Lead != raft.None {
-			n.alone = 0
-		}
-		if n.quiet >= electionTicks && n.rn.BasicStatus().Lead != raft.None {
-			_ = n.rn.ForgetLeader()
-		}
-		if n.quiet >= n.due {
-			// Again soon: the others may have heard the leader a moment later, and still wait for it, or two may have sought to lead at
-			// once. PreVote keeps this from costing a leader that works anything.
-			n.quiet, n.due = 0, againLeast+n.rng.IntN(electionTicks-againLeast)
-			_ = n.rn.Campaign()
-		}
-	}
-	n.members.Expire(now, silentFor, cutFor)
-	n.others.Expire(now, otherFor, 0)
-	n.again(now)
-	n.notes.Flush(now, func(kind controlplane.LogKind, text string, count int) {
-		out = append(out, LogMessage{kind, text, count})
-	})
-	return n.hellos(out)
+// persistReady brings the log to raft's new entries, snapshot and hard state, and persists them.
+func (n *Node) persistReady(ready *raft.Ready, actions []Action) []Action {
+	var snapshot *raftpb.Snapshot
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		snapshot = ready.Snapshot
+		_ = n.log.ApplySnapshot(snapshot) // the only error is that the log has a later one
+	}
+	if err := n.log.Append(ready.Entries); err != nil {
+		panic(err) // raft's own entries do not fit its own log
+	}
+	if state := ready.HardState; state != nil {
+		_ = n.log.SetHardState(state) // of a MemoryStorage, which has no error
+		n.root.Term = state.GetTerm()
+		n.root.Vote = state.GetVote()
+		n.root.Commit = state.GetCommit()
+	}
+	if snapshot == nil && len(ready.Entries) == 0 && ready.HardState == nil {
+		return actions
+	}
+	return append(actions, n.persist(ready.Entries, snapshot))
 }
 
-// hellos go to whom nothing else was said for a while, with the sum of the members that follow this origin where it is new.
-func (n *Node) hellos(out []Action) []Action {
-	var report *controlplane.Report
-	if n.ticks-n.toldAt >= reportTicks {
-		if r := n.members.Aggregate(n.state.stamp(n.cfg.Epoch), nil); n.ticks-n.toldAt >= refreshTicks || !r.Equal(&n.toldSum) {
-			n.toldSum, n.toldAt = r, n.ticks
-			report = &r
-		}
-	}
-	for i, name := range n.names {
-		if every := helloTicks; uint64(i+1) != n.id && (report != nil || n.spoke[i] >= every || !n.ready && n.rolled == "" && n.spoke[i] >= heartbeatTicks) {
-			n.spoke[i] = 0
-			out = append(out, Send{name, n.seal(nil, report)})
-		}
-	}
-	return out
+// sendRaft sends a message of raft.
+func (n *Node) sendRaft(m *raftpb.Message) Send {
+	peer := m.GetTo() - 1
+	n.ticksSinceSend[peer] = 0
+	send := Send{To: n.names[peer], Data: n.sealEnvelope(m, nil)}
+	if m.GetType() == raftpb.MsgSnap {
+		// A snapshot that is lost is sent again once the follower's responses show that it lacks it.
+		n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+	}
+	return send
 }
 
-// turn carries out what raft has ready: what has to be durable, then the messages, then what the log has decided.
-func (n *Node) turn(now time.Duration, out []Action) []Action {
-	for n.rn != nil && n.rolled == "" && n.rn.HasReady() {
-		rd := n.rn.Ready()
-		var fresh *raftpb.Snapshot
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			fresh = rd.Snapshot
-			_ = n.ms.ApplySnapshot(fresh) // out of date: there is a later one
-		}
-		if err := n.ms.Append(rd.Entries); err != nil {
-			panic(err) // raft's own entries do not fit its own log
-		}
-		if rd.HardState != nil {
-			_ = n.ms.SetHardState(rd.HardState)
-			n.root.Term, n.root.Vote, n.root.Commit = rd.HardState.GetTerm(), rd.HardState.GetVote(), rd.HardState.GetCommit()
-		}
-		if fresh != nil || len(rd.Entries) > 0 || rd.HardState != nil {
-			out = append(out, n.persist(rd.Entries, fresh))
-		}
-		for _, m := range rd.Messages {
-			i := m.GetTo() - 1
-			n.spoke[i] = 0
-			out = append(out, Send{n.names[i], n.seal(m, nil)})
-			if m.GetType() == raftpb.MsgSnap {
-				n.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // one that is lost is sent again when it is missed
-			}
-		}
-		if fresh != nil {
-			var state machine
-			if err := decode(fresh.GetData(), &state); err != nil {
-				panic(err) // the leader's machine is no machine
-			}
-			n.state, n.applied, n.since = state, fresh.GetMetadata().GetIndex(), 0
-			out = n.publish(now, out)
-		}
-		for _, e := range rd.CommittedEntries {
-			out = n.decided(now, e, out)
-		}
-		n.reads(rd.ReadStates)
-		n.rn.Advance(rd)
-		out = n.compact(out)
-	}
-	if n.told.IsZero() {
-		out = n.publish(now, out)
-	}
-	return out
+// applySnapshot replaces the state machine by the leader's.
+func (n *Node) applySnapshot(snapshot *raftpb.Snapshot, actions []Action) []Action {
+	var state stateMachine
+	if err := decode(snapshot.GetData(), &state); err != nil {
+		panic(err) // the leader has encoded it
+	}
+	n.state = state
+	n.applied = snapshot.GetMetadata().GetIndex()
+	n.appliedBytes = 0
+	return n.publish(actions)
 }
 
-// decided takes in an entry that a majority holds.
-func (n *Node) decided(now time.Duration, e *raftpb.Entry, out []Action) []Action {
+// applyCommitted applies an entry that a majority has.
+func (n *Node) applyCommitted(now time.Duration, e *raftpb.Entry, actions []Action) []Action {
 	n.applied = e.GetIndex()
-	n.since += uint64(len(e.GetData()))
-	if len(e.GetData()) == 0 { // of a new leader
-		return out
-	}
-	var c change
-	if err := decode(e.GetData(), &c); err != nil {
-		// Of a later program, or of none of ours: all leave it out alike. Guards against one entry that ends every origin, at each start.
-		n.broken++
-		return n.note(now, out, "broken", fmt.Sprintf("entry %d of the log: %v", n.applied, err))
-	}
-	if _, fresh := n.state.apply(&c); fresh {
-		out = n.publish(now, out)
-		out = n.note(now, out, "change", fmt.Sprintf("%v by push %s", n.state.stamp(n.cfg.Epoch), c.ID))
-	}
-	return out
+	n.appliedBytes += uint64(len(e.GetData()))
+	if len(e.GetData()) == 0 { // a new leader appends an empty entry
+		return actions
+	}
+	var change logEntry
+	if err := decode(e.GetData(), &change); err != nil {
+		// It is of a later program, or of none of ours. All origins skip it alike: one entry must not end each origin
+		// at each of its starts.
+		n.corruptMessages++
+		return n.logMessage(now, actions, LogCorrupt, fmt.Sprintf("entry %d of the log: %v", n.applied, err))
+	}
+	if _, changed := n.state.apply(&change); changed {
+		actions = n.publish(actions)
+		actions = n.logMessage(now, actions, LogChange, fmt.Sprintf("%v by push %s", n.revision(), change.ID))
+	}
+	return actions
 }
 
-func (n *Node) publish(now time.Duration, out []Action) []Action {
+// publish publishes the latest snapshot unless it was published last.
+func (n *Node) publish(actions []Action) []Action {
 	f, ok := n.Frame()
-	if !ok || f.Revision == n.told {
-		return out
+	if !ok || f.Revision == n.published {
+		return actions
 	}
-	n.told = f.Revision
-	return append(out, Publish{f})
+	n.published = f.Revision
+	return append(actions, Publish{f})
 }
 
-// Frame is the latest snapshot that this origin knows to be accepted; false: none was yet.
-func (n *Node) Frame() (controlplane.Frame, bool) {
-	s := n.state.stamp(n.cfg.Epoch)
-	return controlplane.Frame{Cluster: n.cfg.Cluster, Revision: s, Text: n.state.Text}, !s.IsZero()
+// Frame returns the latest snapshot that this origin knows to be accepted; ok is false if there is none yet.
+func (n *Node) Frame() (frame controlplane.Frame, ok bool) {
+	revision := n.revision()
+	frame = controlplane.Frame{Cluster: n.cfg.Cluster, Revision: revision, Text: n.state.Text}
+	return frame, !revision.IsZero()
 }
 
-func (n *Node) note(now time.Duration, out []Action, kind controlplane.LogKind, text string) []Action {
-	if count, ok := n.notes.Add(now, kind, text); ok {
-		out = append(out, LogMessage{kind, text, count})
+func (n *Node) logMessage(
+	now time.Duration, actions []Action, kind controlplane.LogKind, text string,
+) []Action {
+	if count, ok := n.logThrottle.Add(now, kind, text); ok {
+		actions = append(actions, LogMessage{Kind: kind, Text: text, Count: count})
 	}
-	return out
+	return actions
 }
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -37,7 +37,7 @@
 			if f, ok := p.node.Frame(); !ok || string(f.Text) != "# p39\n" || f.Revision != p.last {
 				t.Errorf("%s holds %v %q", p.name, f.Revision, f.Text)
 			}
-			if len(p.disk) > 2*mostApplied+8 {
+			if len(p.disk) > 2*maxAppliedEntries+8 {
 				t.Errorf("%s has %d entries in its store", p.name, len(p.disk))
 			}
 		}
@@ -50,7 +50,8 @@
 	}
 }
 
-// Two pushes at once under one version: the log takes the first, the other is told of the conflict, by whatever origins they came.
+// Two pushes at once under one version: the log takes the first, the other is told of the conflict, by whatever
+// origins they came.
 func TestTwoPushesUnderOneVersion(t *testing.T) {
 	w := begun(t, 5, 1)
 	for v := range uint64(10) {
@@ -94,7 +95,8 @@
 	}
 }
 
-// A flood of pushes at every origin at once: what waits is bounded, each has exactly one answer, one is accepted under each version.
+// A flood of pushes at every origin at once: what waits is bounded, each has exactly one answer, one is accepted
+// under each version.
 func TestFloodOfPushes(t *testing.T) {
 	w := begun(t, 5, 1)
 	text := bytes.Repeat([]byte("# flood\n"), 1000)
@@ -125,8 +127,8 @@
 	t.Log(count)
 }
 
-// A snapshot at its size limit goes through the log from any origin, and to one that was away, as a snapshot of the log; messages and
-// store keep their bounds (send checks the first).
+// A snapshot at its size limit goes through the log from any origin, and to one that was away, as a snapshot of the
+// log; messages and store keep their bounds (send checks the first).
 func TestSnapshotAtTheSizeLimit(t *testing.T) {
 	w := begun(t, 3, 1)
 	away := (w.leader() + 1) % 3
@@ -141,7 +143,7 @@
 	for _, p := range w.places {
 		sum := 0
 		for _, v := range p.disk {
-			if len(v) > partSize {
+			if len(v) > maxPartSize {
 				t.Errorf("%s stores %d bytes under one key", p.name, len(v))
 			}
 			sum += len(v)
@@ -153,8 +155,8 @@
 	}
 }
 
-// An origin killed in mid-push, after each of its writes and sends: another one can be asked by ID what became of the push, the answer
-// stays the same, and a push again under the ID does no harm.
+// An origin killed in mid-push, after each of its writes and sends: another one can be asked by ID what became of the
+// push, the answer stays the same, and a push again under the ID does no harm.
 func TestKilledInMidPush(t *testing.T) {
 	outcomes := map[string]int{}
 	for _, leads := range []bool{true, false} {
@@ -190,7 +192,8 @@
 	}
 }
 
-// Two regions cut for an hour, three origins on one side and two on the other: what each side permits, and how they are one again.
+// Two regions cut for an hour, three origins on one side and two on the other: what each side permits, and how they
+// are one again.
 func TestRegionsCutForAnHour(t *testing.T) {
 	for k, small := range [][]int{{0, 1}, {2, 4}, {1, 3}} {
 		part := time.Minute
@@ -251,8 +254,8 @@
 	w.start(i)
 }
 
-// One origin with yesterday's store: it says so by name, never votes or acknowledges again, not after a restart either, and the
-// others go on; raft's own panic (a follower that lost what its leader counts on) does not come.
+// One origin with yesterday's store: it says so by name, never votes or acknowledges again, not after a restart
+// either, and the others go on; raft's own panic (a follower that lost what its leader counts on) does not come.
 func TestRolledBackStore(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		w := begun(t, 5, 3)
@@ -289,8 +292,8 @@
 	}
 }
 
-// All origins with yesterday's stores know nothing of it from each other. The members do: no push is taken while they hold a later
-// one, by whichever origin, and within the first seconds none at all.
+// All origins with yesterday's stores know nothing of it from each other. The members do: no push is taken while they
+// hold a later one, by whichever origin, and within the first seconds none at all.
 func TestAllStoresRolledBack(t *testing.T) {
 	w := begun(t, 3, 3)
 	expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
@@ -339,8 +342,8 @@
 	expect(t, "at last", w.push(1, "new3", 1, textOf("new")), OutcomeAccepted, 2)
 }
 
-// Origins that were founded anew, with a higher epoch, go on though the members still hold what the last epoch had: that is what they
-// are founded for. What members hold of the new epoch itself hinders them as ever.
+// Origins that were founded anew, with a higher epoch, go on though the members still hold what the last epoch had:
+// that is what they are founded for. What members hold of the new epoch itself hinders them as ever.
 func TestFoundedAnew(t *testing.T) {
 	w := begun(t, 3, 3)
 	expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
@@ -354,7 +357,7 @@
 	for i := range w.places {
 		w.stop(i)
 		w.places[i].disk = map[string][]byte{}
-		w.write(w.places[i], found(BootstrapConfig{"f", 2, originNames(3)}))
+		w.write(w.places[i], bootstrapRecords(BootstrapConfig{"f", 2, originNames(3)}))
 	}
 	clear(w.published)
 	w.epoch = 2
@@ -373,8 +376,8 @@
 	expect(t, "anew", w.push(0, "anew", 0, textOf("anew")), OutcomeAccepted, 1)
 }
 
-// Two epochs are never mixed: an origin of the next epoch and those of this one do not hear each other, nor does one of another fleet
-// or of another set.
+// Two epochs are never mixed: an origin of the next epoch and those of this one do not hear each other, nor does one
+// of another fleet or of another set.
 func TestTwoEpochsAreNotMixed(t *testing.T) {
 	for _, f := range []BootstrapConfig{{"f", 2, originNames(3)}, {"g", 1, originNames(3)}, {"f", 1, originNames(4)}} {
 		w := begun(t, 3, 3)
@@ -382,12 +385,12 @@
 		i := (w.leader() + 1) % 3
 		w.stop(i)
 		w.places[i].disk = map[string][]byte{}
-		w.write(w.places[i], found(f))
+		w.write(w.places[i], bootstrapRecords(f))
 		w.start(i)
 		w.run(10 * time.Second)
 		n := w.places[i].node
-		if n.Status().Role != RoleStarting || !n.state.stamp(1).IsZero() || n.foreign == 0 {
-			t.Errorf("%v: %s, foreign %d", f, n.Status().Role, n.foreign)
+		if n.Status().Role != RoleStarting || !n.state.revision(1).IsZero() || n.foreignMessages == 0 {
+			t.Errorf("%v: %s, foreign %d", f, n.Status().Role, n.foreignMessages)
 		}
 		expect(t, "2", w.push((i+1)%3, "2", 1, textOf("2")), OutcomeAccepted, 2)
 		if a := w.push(i, "3", 2, textOf("3")); a.Outcome != OutcomeRejected {
@@ -416,11 +419,11 @@
 		sent++
 	}
 	w.handle(i, Message{"o2", append(slices.Clone(good), make([]byte, MaxMessageSize)...)})
-	if n.broken != sent+1 || n.foreign > 0 {
-		t.Errorf("%d broken, %d foreign, of %d", n.broken, n.foreign, sent+1)
+	if n.corruptMessages != sent+1 || n.foreignMessages > 0 {
+		t.Errorf("%d broken, %d foreign, of %d", n.corruptMessages, n.foreignMessages, sent+1)
 	}
 	w.handle(i, Message{"o2", good})
-	if n.broken != sent+1 {
+	if n.corruptMessages != sent+1 {
 		t.Error("the good one counts as broken")
 	}
 	expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
@@ -435,8 +438,8 @@
 	expect(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 	w.until(time.Second, "all agree", w.agreed)
 	for i := range w.places {
-		if w.places[i].node.broken != 1 {
-			t.Errorf("%s counts %d", w.places[i].name, w.places[i].node.broken)
+		if w.places[i].node.corruptMessages != 1 {
+			t.Errorf("%s counts %d", w.places[i].name, w.places[i].node.corruptMessages)
 		}
 		w.stop(i)
 		w.start(i)
@@ -445,23 +448,24 @@
 	expect(t, "2", w.push(0, "2", 1, textOf("2")), OutcomeAccepted, 2)
 }
 
-// The machine takes a push once: one that came second stays so, although its version is there by the time that it comes again.
+// The machine takes a push once: one that came second stays so, although its version is there by the time that it
+// comes again.
 func TestMachine(t *testing.T) {
-	m := new(machine)
-	if e, fresh := m.apply(&change{"early", 1, textOf("early")}); fresh || e.Version != 0 {
+	m := new(stateMachine)
+	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 {
 		t.Fatal("a push after a version that is not there", e)
 	}
-	if e, fresh := m.apply(&change{"first", 0, textOf("first")}); !fresh || e.Version != 1 {
+	if e, fresh := m.apply(&logEntry{"first", 0, textOf("first")}); !fresh || e.Version != 1 {
 		t.Fatal("the first", e)
 	}
-	if e, fresh := m.apply(&change{"early", 1, textOf("early")}); fresh || e.Version != 0 || m.Version != 1 {
+	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 || m.Version != 1 {
 		t.Fatal("it came second, and is taken when it comes again", e)
 	}
 	for i := range 2 * MaxOutcomes {
-		m.apply(&change{fmt.Sprint(i), 0, textOf("x")})
+		m.apply(&logEntry{fmt.Sprint(i), 0, textOf("x")})
 	}
-	if len(m.Ended) != MaxOutcomes || len(m.marshal()) > MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize {
-		t.Errorf("%d outcomes, %d bytes", len(m.Ended), len(m.marshal()))
+	if len(m.Outcomes) != MaxOutcomes || len(m.marshal()) > MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize {
+		t.Errorf("%d outcomes, %d bytes", len(m.Outcomes), len(m.marshal()))
 	}
 }
 
@@ -469,18 +473,19 @@
 func (w *world) forge(from, to int, m *raftpb.Message) Message {
 	f, id := uint64(from+1), uint64(to+1)
 	m.From, m.To = &f, &id
-	return Message{w.places[from].name, w.places[from].node.seal(m, nil)}
+	return Message{w.places[from].name, w.places[from].node.sealEnvelope(m, nil)}
 }
 
-// A leader that counts on entries that are not here, with no mark to tell it: the origin leaves by name, where raft would panic.
+// A leader that counts on entries that are not here, with no mark to tell it: the origin leaves by name, where raft
+// would panic.
 func TestCountedOnBeyondTheLog(t *testing.T) {
 	w := begun(t, 3, 1)
 	l := w.leader()
 	i := (l + 1) % 3
 	term, commit := w.places[l].node.root.Term, uint64(999)
 	w.handle(i, w.forge(l, i, &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), Term: &term, Commit: &commit}))
-	if s := w.places[i].node.Status(); s.Role != RoleRolledBack || !strings.Contains(w.places[i].node.rolled, "counts on entry 999") {
-		t.Errorf("%s %q", s.Role, w.places[i].node.rolled)
+	if s := w.places[i].node.Status(); s.Role != RoleRolledBack || !strings.Contains(w.places[i].node.rollbackReason, "counts on entry 999") {
+		t.Errorf("%s %q", s.Role, w.places[i].node.rollbackReason)
 	}
 }
 
@@ -490,15 +495,16 @@
 	l := w.leader()
 	i := (l + 1) % 3
 	n := w.places[i].node
-	term, index, last := n.root.Term, n.root.Last, n.root.Last+1
+	term, index, last := n.root.Term, n.root.LastIndex, n.root.LastIndex+1
 	m := &raftpb.Message{Type: raftpb.MsgApp.Enum(), Term: &term, LogTerm: &term, Index: &index, Entries: []*raftpb.Entry{{Term: &term, Index: &last, Data: make([]byte, MaxMessageSize)}}}
 	w.handle(i, w.forge(l, i, m))
-	if n.broken != 1 || n.root.Last != index {
-		t.Errorf("%d broken, the last entry is %d", n.broken, n.root.Last)
+	if n.corruptMessages != 1 || n.root.LastIndex != index {
+		t.Errorf("%d broken, the last entry is %d", n.corruptMessages, n.root.LastIndex)
 	}
 }
 
-// A start hears all others who answer before it takes part: the one that knows what its store has lost may not be among the first.
+// A start hears all others who answer before it takes part: the one that knows what its store has lost may not be
+// among the first.
 func TestStartHearsTheOthers(t *testing.T) {
 	w := begun(t, 5, 1)
 	i := 0
@@ -510,10 +516,10 @@
 	knows := 1 // in the other region: it answers last
 	for k, p := range w.places {
 		if k != i && k != knows {
-			p.node.seen[i] = 1
+			p.node.writeNumbers[i] = 1
 		}
 	}
-	lost := w.places[knows].node.seen[i]
+	lost := w.places[knows].node.writeNumbers[i]
 	w.group = []int{0, 1, 0, 0, 0} // and tells the others nothing meanwhile
 	w.places[i].disk = yesterday
 	w.start(i)
@@ -545,8 +551,8 @@
 	}
 }
 
-// Who has not heard its leader for a second follows nobody. A push waits for the next one, and is refused at once where there has been
-// none for long.
+// Who has not heard its leader for a second follows nobody. A push waits for the next one, and is refused at once
+// where there has been none for long.
 func TestSilentLeaderIsForgotten(t *testing.T) {
 	for seed := range uint64(5) {
 		w := begun(t, 5, seed)
@@ -569,7 +575,7 @@
 	w.stop((l + 1) % 3)
 	w.run(1300 * time.Millisecond)
 	at := w.now
-	if a := w.push((l+2)%3, "y", 0, textOf("y")); a.Outcome != OutcomeRejected || a.Error != noMajority || w.now-at < 3*time.Second {
+	if a := w.push((l+2)%3, "y", 0, textOf("y")); a.Outcome != OutcomeRejected || a.Error != ErrNotLeader.Error() || w.now-at < 3*time.Second {
 		t.Errorf("after %v: %s %s", w.now-at, a.Outcome, a.Error)
 	}
 	at = w.now
@@ -593,8 +599,8 @@
 			name := w.places[w.leader()].name
 			w.run(500 * time.Millisecond) // the last of them has heard it
 			for _, p := range w.places {
-				if p.node != nil && p.node.Status().Role == RoleFollower && p.node.due < electionTicks {
-					t.Errorf("seed %d: %s follows, and would seek to lead after %d ticks of silence", seed, p.name, p.node.due)
+				if p.node != nil && p.node.Status().Role == RoleFollower && p.node.electionTimeout < electionTicks {
+					t.Errorf("seed %d: %s follows, and would seek to lead after %d ticks of silence", seed, p.name, p.node.electionTimeout)
 				}
 			}
 			for range 20 {
--- /dev/null
+++ b/internal/controlplane/origin/requests.go
@@ -0,0 +1,286 @@
+package origin
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"time"
+
+	"go.etcd.io/raft/v3"
+
+	"hazelwing/internal/controlplane"
+)
+
+// ErrNotLeader says that no leader is known that could accept a change.
+var ErrNotLeader = errors.New("no majority of the origins is reachable: nothing changes, and the last snapshot stays")
+
+// requestKind is the kind of a pending request.
+type requestKind uint8
+
+// Kinds of pending requests.
+const (
+	requestPropose requestKind = iota
+	requestQuery
+	requestRead
+)
+
+// pendingRequest is a request that waits for its result.
+type pendingRequest struct {
+	kind       requestKind
+	id         string
+	entry      []byte // of a proposal: the entry for the log
+	readID     uint64 // of a query or read: the ID of its read index request
+	readIndex  uint64 // of a query or read: index to apply before its result; 0: raft has not responded
+	sentAtTick int    // of the last attempt
+	proposed   bool   // raft has accepted the proposal, which may take effect from then on
+	deadline   time.Duration
+}
+
+// result returns a Result with the latest revision.
+func (n *Node) result(id string, outcome Outcome, reason string) Result {
+	return Result{ID: id, Outcome: outcome, Revision: n.revision(), Error: reason}
+}
+
+// handlePropose checks a change and proposes it to raft. If no leader is known, the proposal waits for the one that
+// is being elected.
+func (n *Node) handlePropose(now time.Duration, ev Propose, actions []Action) []Action {
+	if ev.ID == "" || len(ev.ID) > MaxIDLength {
+		reason := fmt.Sprintf("a push has an ID of 1 to %d bytes", MaxIDLength)
+		return append(actions, n.result(ev.ID, OutcomeRejected, reason))
+	}
+	if outcome, ok := n.state.find(ev.ID); ok { // it was proposed before
+		return append(actions, n.resultOf(outcome, controlplane.HashText(ev.Text)))
+	}
+	if outcome, reason := n.checkProposal(now, &ev); reason != "" {
+		return append(actions, n.result(ev.ID, outcome, reason))
+	}
+	p := pendingRequest{
+		kind:       requestPropose,
+		id:         ev.ID,
+		entry:      encode(logEntry(ev)),
+		deadline:   now + n.cfg.RequestTimeout,
+		sentAtTick: n.ticks,
+	}
+	if n.raft.BasicStatus().Lead != raft.None {
+		if err := n.raft.Propose(p.entry); err != nil {
+			reason := "too much waits for a majority: " + err.Error()
+			return append(actions, n.result(ev.ID, OutcomeRejected, reason))
+		}
+		p.proposed = true
+	}
+	n.pending = append(n.pending, p)
+	return actions
+}
+
+// checkProposal returns why a change cannot be proposed; the reason is empty if it can be.
+func (n *Node) checkProposal(now time.Duration, ev *Propose) (outcome Outcome, reason string) {
+	if _, err := controlplane.ParseSnapshot(ev.Text); err != nil {
+		return OutcomeRejected, err.Error()
+	}
+	if err := n.checkWritable(now); err != nil {
+		return OutcomeRejected, err.Error()
+	}
+	if ev.BaseVersion < n.state.Version {
+		return OutcomeConflict,
+			fmt.Sprintf("made after version %d, and %d is the latest", ev.BaseVersion, n.state.Version)
+	}
+	if len(n.pending) >= MaxPendingRequests {
+		return OutcomeRejected, tooManyPending()
+	}
+	return "", ""
+}
+
+func tooManyPending() string {
+	return fmt.Sprintf("%d pushes and questions wait already", MaxPendingRequests)
+}
+
+// checkWritable returns why no change can be proposed now; nil: one can be.
+func (n *Node) checkWritable(now time.Duration) error {
+	report := n.clusterReport()
+	switch {
+	case n.rollbackReason != "":
+		return errors.New("this origin takes no part: " + n.rollbackReason)
+	case !n.participating:
+		return errors.New("this origin has just started, and has not heard enough of the others")
+	case n.raft.BasicStatus().Lead == raft.None && n.leaderlessTicks >= maxLeaderlessTicks:
+		return ErrNotLeader
+	}
+	own := n.comparableRevision()
+	if ahead, ok := conflictingRevision(&report, own); ok {
+		return fmt.Errorf("members hold %v (%.12s), and this origin has %v (%.12s): it is behind, "+
+			"or the origins were rolled back; if that stays, found a higher epoch", ahead, ahead.Hash, own, own.Hash)
+	}
+	if report.Members == 0 && now-n.startedAt < n.cfg.StartupGracePeriod {
+		return fmt.Errorf("this origin has started within %v, and no member has told yet what it holds",
+			n.cfg.StartupGracePeriod)
+	}
+	return nil
+}
+
+// comparableRevision returns the revision to compare with those of the members: the latest, or, before the first
+// change of an epoch, one that is higher than all of the epochs before it. Otherwise what members have of those would
+// prevent the first change for good.
+func (n *Node) comparableRevision() controlplane.Revision {
+	if n.state.Version == 0 {
+		return controlplane.Revision{Epoch: n.cfg.Epoch}
+	}
+	return n.revision()
+}
+
+// conflictingRevision returns a revision that members have and that own cannot precede: a later one, or one of the same
+// version with another content.
+func conflictingRevision(
+	r *controlplane.Report, own controlplane.Revision,
+) (revision controlplane.Revision, ok bool) {
+	if r.Latest.Compare(own) > 0 {
+		return r.Latest, true
+	}
+	for _, c := range r.Active {
+		if c.Revision.Compare(own) == 0 && c.Revision != own {
+			return c.Revision, true
+		}
+	}
+	return controlplane.Revision{}, false
+}
+
+// handleRead processes a QueryOutcome or a ReadLatest. Its result must wait until this origin has applied what a
+// majority has: raft confirms the index.
+func (n *Node) handleRead(now time.Duration, id string, kind requestKind, actions []Action) []Action {
+	if outcome, ok := n.state.find(id); ok && kind == requestQuery {
+		return append(actions, n.resultOf(outcome, outcome.Hash))
+	}
+	if !n.canStep() {
+		reason := ""
+		if err := n.checkWritable(now); err != nil {
+			reason = err.Error()
+		}
+		return append(actions, n.result(id, OutcomeUnknown, reason))
+	}
+	if len(n.pending) >= MaxPendingRequests {
+		return append(actions, n.result(id, OutcomeUnknown, tooManyPending()))
+	}
+	n.readSerial++
+	n.pending = append(n.pending, pendingRequest{
+		kind:       kind,
+		id:         id,
+		readID:     n.readSerial,
+		deadline:   now + n.cfg.RequestTimeout,
+		sentAtTick: n.ticks,
+	})
+	n.requestReadIndex(n.readSerial)
+	return actions
+}
+
+// readContextSize is the size of a read index request's context: this origin's ID and the read's, 8 bytes each.
+const readContextSize = 16
+
+// requestReadIndex asks raft for the index that a majority has.
+func (n *Node) requestReadIndex(readID uint64) {
+	if n.raft.BasicStatus().Lead == raft.None {
+		return
+	}
+	context := binary.BigEndian.AppendUint64(nil, n.id)
+	n.raft.ReadIndex(binary.BigEndian.AppendUint64(context, readID))
+}
+
+// handleReadStates records the responses to read index requests.
+func (n *Node) handleReadStates(states []raft.ReadState) {
+	for _, s := range states {
+		if len(s.RequestCtx) != readContextSize || binary.BigEndian.Uint64(s.RequestCtx) != n.id {
+			continue
+		}
+		readID := binary.BigEndian.Uint64(s.RequestCtx[8:])
+		for i := range n.pending {
+			if p := &n.pending[i]; p.kind != requestPropose && p.readID == readID {
+				p.readIndex = max(s.Index, 1)
+			}
+		}
+	}
+}
+
+// retryPending repeats requests without response: the leader that they were sent to may be gone. The state machine
+// applies a change once, however often it was proposed.
+func (n *Node) retryPending() {
+	if !n.canStep() {
+		return
+	}
+	for i := range n.pending {
+		p := &n.pending[i]
+		hasLeader := n.raft.BasicStatus().Lead != raft.None
+		neverSent := p.kind == requestPropose && !p.proposed
+		isRecent := n.ticks-p.sentAtTick < retryTicks
+		if p.readIndex > 0 || !hasLeader || isRecent && !neverSent {
+			continue
+		}
+		p.sentAtTick = n.ticks
+		if p.kind == requestPropose {
+			p.proposed = n.raft.Propose(p.entry) == nil || p.proposed
+		} else {
+			n.requestReadIndex(p.readID)
+		}
+	}
+}
+
+// completePending returns the results of pending requests that have one.
+func (n *Node) completePending(now time.Duration, actions []Action) []Action {
+	waiting := n.pending[:0]
+	for _, p := range n.pending {
+		if result, ok := n.completeRequest(now, &p); ok {
+			actions = append(actions, result)
+		} else {
+			waiting = append(waiting, p)
+		}
+	}
+	clear(n.pending[len(waiting):])
+	n.pending = waiting
+	return actions
+}
+
+// completeRequest returns the result of a pending request; ok is false if it has none yet.
+func (n *Node) completeRequest(now time.Duration, p *pendingRequest) (result Result, ok bool) {
+	outcome, known := n.state.find(p.id)
+	isExpired := now >= p.deadline || n.rollbackReason != ""
+	switch {
+	case p.kind == requestPropose && known:
+		return n.resultOf(outcome, hashOfEntry(p.entry)), true
+	case p.kind != requestPropose && p.readIndex > 0 && n.applied >= p.readIndex:
+		return n.completeRead(p, outcome, known), true
+	case isExpired && p.kind == requestPropose && !p.proposed:
+		return n.result(p.id, OutcomeRejected, ErrNotLeader.Error()), true
+	case isExpired:
+		return n.result(p.id, OutcomeUnknown, "no majority has answered in time: ask again by ID"), true
+	}
+	return Result{}, false
+}
+
+// completeRead returns the result of a read whose index is applied.
+func (n *Node) completeRead(p *pendingRequest, outcome changeOutcome, known bool) Result {
+	switch {
+	case p.kind == requestRead:
+		return n.result(p.id, OutcomeCurrent, "")
+	case known:
+		return n.resultOf(outcome, outcome.Hash)
+	}
+	return n.result(p.id, OutcomeNotFound, fmt.Sprintf("none of the last %d pushes has this ID", MaxOutcomes))
+}
+
+// resultOf returns the result of a proposal, whose text has the given hash, from the outcome of its ID.
+func (n *Node) resultOf(o changeOutcome, hash string) Result {
+	switch {
+	case o.Hash != hash:
+		return n.result(o.ID, OutcomeRejected, "another text was pushed under this ID")
+	case o.Version == 0:
+		return n.result(o.ID, OutcomeConflict, "another change came first")
+	}
+	revision := controlplane.Revision{Epoch: n.cfg.Epoch, Version: o.Version, Hash: o.Hash}
+	return Result{ID: o.ID, Outcome: OutcomeAccepted, Revision: revision}
+}
+
+// hashOfEntry returns the hash of the text in an entry of the log.
+func hashOfEntry(data []byte) string {
+	var change logEntry
+	if decode(data, &change) != nil {
+		return ""
+	}
+	return controlplane.HashText(change.Text)
+}
--- a/internal/controlplane/origin/world_test.go
+++ b/internal/controlplane/origin/simulation_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/controlplane"
 )
 
-// world is origins in simulated time: a network that delays, loses, doubles and cuts, disks that are rolled back, processes that stop
-// between any two writes. One seed gives one course.
+// world is origins in simulated time: a network that delays, loses, doubles and cuts, disks that are rolled back,
+// processes that stop between any two writes. One seed gives one course.
 type world struct {
 	epoch   uint64 // that it was founded with
 	t       fataler
@@ -82,7 +82,7 @@
 	w := &world{t: t, epoch: 1, rng: rand.New(rand.NewPCG(seed, 5)), group: make([]int, n), answers: map[string][]Result{}, published: map[uint64]string{}}
 	for i, name := range originNames(n) {
 		p := &place{name: name, disk: map[string][]byte{}, crashIn: -1, skew: time.Duration(i) * time.Hour}
-		w.write(p, found(BootstrapConfig{"f", 1, originNames(n)}))
+		w.write(p, bootstrapRecords(BootstrapConfig{"f", 1, originNames(n)}))
 		w.places = append(w.places, p)
 	}
 	return w
@@ -123,7 +123,7 @@
 			continue
 		}
 		s := p.node.Status()
-		out += fmt.Sprintf("%s %s leader %s at %v, term %d, applied %d, rolled %q\n", p.name, s.Role, s.Leader, s.Revision, p.node.root.Term, p.node.applied, p.node.rolled)
+		out += fmt.Sprintf("%s %s leader %s at %v, term %d, applied %d, rolled %q\n", p.name, s.Role, s.Leader, s.Revision, p.node.root.Term, p.node.applied, p.node.rollbackReason)
 	}
 	return out
 }
@@ -150,7 +150,7 @@
 	p.life++
 	p.begun, p.last, p.crashIn = w.now, controlplane.Revision{}, -1
 	s := &State{Records: maps.Clone(p.disk)}
-	if err := s.load(); err != nil {
+	if err := s.validate(); err != nil {
 		w.t.Fatalf("%s: %v", p.name, err)
 	}
 	n, out, err := NewNode(Config{Self: p.name, Seed: w.rng.Uint64()}, s, p.skew)
@@ -316,7 +316,7 @@
 func (w *world) agreed() bool {
 	var first *controlplane.Revision
 	for _, p := range w.places {
-		if p.node == nil || p.node.rolled != "" {
+		if p.node == nil || p.node.rollbackReason != "" {
 			continue
 		}
 		s := p.node.Status().Revision
--- /dev/null
+++ b/internal/controlplane/origin/state.go
@@ -0,0 +1,226 @@
+package origin
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"hazelwing/internal/store"
+)
+
+// State is the content of an origin's store, as Load reads it.
+type State struct {
+	Bootstrap BootstrapConfig
+	Records   map[string][]byte
+}
+
+// ErrNotBootstrapped says that a store has no bootstrap configuration.
+var ErrNotBootstrapped = errors.New("the store was never founded: hazelwing origin found")
+
+// errDamagedStore says that the store lacks what its root references.
+var errDamagedStore = errors.New("its store lacks what it had made durable")
+
+// Bootstrap writes the records of a new origin to a store. A store of a lower epoch of the same cluster is
+// overwritten; one of the same or a higher epoch, or of another cluster, is an error.
+func Bootstrap(st *store.Store, c BootstrapConfig) error {
+	if err := c.Validate(); err != nil {
+		return err
+	}
+	s, err := readState(st)
+	if err != nil {
+		return err
+	}
+	old, ok, err := s.bootstrapConfig()
+	if err != nil {
+		return err
+	}
+	if ok && (old.Cluster != c.Cluster || old.Epoch >= c.Epoch) {
+		return fmt.Errorf("the store is that of fleet %q, epoch %d: found a higher epoch, or another directory",
+			old.Cluster, old.Epoch)
+	}
+	var p Persist
+	for _, key := range slices.Sorted(maps.Keys(s.Records)) {
+		p.Records = append(p.Records, Record{Key: key, Delete: true})
+	}
+	p.Records = append(p.Records, bootstrapRecords(c)...)
+	return Write(st, p)
+}
+
+// NewBootstrappedState returns the state of an origin that was just bootstrapped and has no store.
+func NewBootstrappedState(c BootstrapConfig) (*State, error) {
+	if err := c.Validate(); err != nil {
+		return nil, err
+	}
+	s := &State{Records: map[string][]byte{}}
+	s.Write(Persist{bootstrapRecords(c)})
+	return s, s.validate()
+}
+
+// Load reads the state from a store. The error is ErrNotBootstrapped if the store was never bootstrapped.
+func Load(st *store.Store) (*State, error) {
+	s, err := readState(st)
+	if err != nil {
+		return nil, err
+	}
+	return s, s.validate()
+}
+
+// Write makes a Persist durable. It blocks. After an error the process must exit.
+func Write(st *store.Store, p Persist) error {
+	// The store's records have an expiry. An origin's never expire.
+	noExpiry := time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)
+	for _, r := range p.Records {
+		var err error
+		if r.Delete {
+			err = st.Delete(r.Key)
+		} else {
+			err = st.Put(r.Key, r.Value, noExpiry)
+		}
+		if err != nil {
+			return fmt.Errorf("the origin's store: %w", err)
+		}
+	}
+	return nil
+}
+
+// Write applies a Persist to the state in memory.
+func (s *State) Write(p Persist) {
+	for _, r := range p.Records {
+		if r.Delete {
+			delete(s.Records, r.Key)
+		} else {
+			s.Records[r.Key] = r.Value
+		}
+	}
+}
+
+func readState(st *store.Store) (*State, error) {
+	s := &State{Records: map[string][]byte{}}
+	err := st.Each(func(key string, value []byte, _ time.Time) bool {
+		s.Records[key] = slices.Clone(value)
+		return true
+	})
+	return s, err
+}
+
+// bootstrapConfig decodes the bootstrap configuration; ok is false if there is none.
+func (s *State) bootstrapConfig() (c BootstrapConfig, ok bool, err error) {
+	data, ok := s.Records[bootstrapRecordKey]
+	if !ok {
+		return c, false, nil
+	}
+	if err := decode(data, &c); err != nil {
+		return c, false, fmt.Errorf("the store's founding cannot be read: %w", err)
+	}
+	return c, true, nil
+}
+
+// validate sets Bootstrap from the records and checks it.
+func (s *State) validate() error {
+	c, ok, err := s.bootstrapConfig()
+	if err != nil {
+		return err
+	}
+	if !ok {
+		return ErrNotBootstrapped
+	}
+	s.Bootstrap = c
+	return c.Validate()
+}
+
+// restore returns raft's view of the log, and the root. If the error is errDamagedStore, log and root have what could
+// be read, for serving only, and are nil if that is nothing.
+func (s *State) restore() (log *raft.MemoryStorage, root *rootRecord, err error) {
+	root = new(rootRecord)
+	data, ok := s.Records[rootRecordKey]
+	if !ok || decode(data, root) != nil || len(root.WriteNumbers) != len(s.Bootstrap.Origins) {
+		return nil, nil, fmt.Errorf("%w: no root", errDamagedStore)
+	}
+	snapshot, ok := joinValue(s.Records, snapshotKey(root.SnapshotIndex))
+	if !ok {
+		return nil, root, fmt.Errorf("%w: the snapshot of %d", errDamagedStore, root.SnapshotIndex)
+	}
+	log = raft.NewMemoryStorage()
+	err = log.ApplySnapshot(&raftpb.Snapshot{
+		Data: snapshot,
+		Metadata: &raftpb.SnapshotMetadata{
+			Index:     &root.SnapshotIndex,
+			Term:      &root.SnapshotTerm,
+			ConfState: voters(len(root.WriteNumbers)),
+		},
+	})
+	if err != nil {
+		return nil, root, err
+	}
+	last, err := s.restoreEntries(log, root)
+	if err != nil && !errors.Is(err, errDamagedStore) {
+		return nil, root, err
+	}
+	commit := min(root.Commit, last)
+	state := &raftpb.HardState{Term: &root.Term, Vote: &root.Vote, Commit: &commit}
+	return log, root, errors.Join(err, log.SetHardState(state))
+}
+
+// restoreEntries appends the entries after the snapshot to the log, up to the first that is missing or damaged. It
+// returns the index of the last.
+func (s *State) restoreEntries(log *raft.MemoryStorage, root *rootRecord) (last uint64, err error) {
+	last = root.SnapshotIndex
+	for last < root.LastIndex {
+		e, err := s.restoreEntry(root, last+1)
+		if err != nil {
+			return last, err
+		}
+		if err := log.Append([]*raftpb.Entry{e}); err != nil {
+			return last, err
+		}
+		last++
+	}
+	return last, nil
+}
+
+func (s *State) restoreEntry(root *rootRecord, index uint64) (*raftpb.Entry, error) {
+	term, ok := root.termOf(index)
+	if !ok {
+		return nil, fmt.Errorf("%w: no term of entry %d", errDamagedStore, index)
+	}
+	e := new(raftpb.Entry)
+	data, ok := joinValue(s.Records, entryKey(index, term))
+	if !ok || proto.Unmarshal(data, e) != nil || e.GetIndex() != index || e.GetTerm() != term {
+		return nil, fmt.Errorf("%w: entry %d", errDamagedStore, index)
+	}
+	return e, nil
+}
+
+// voters returns raft's configuration of n origins.
+func voters(n int) *raftpb.ConfState {
+	c := new(raftpb.ConfState)
+	for i := range n {
+		c.Voters = append(c.Voters, uint64(i+1))
+	}
+	return c
+}
+
+// unreferenced returns deletes of all records that the root does not reference. A crash may have left them.
+func (s *State) unreferenced(root *rootRecord, log *raft.MemoryStorage) (deletes []Record) {
+	referenced := map[string]bool{snapshotKey(root.SnapshotIndex): true}
+	for i := root.SnapshotIndex + 1; i <= root.LastIndex; i++ {
+		if term, err := log.Term(i); err == nil {
+			referenced[entryKey(i, term)] = true
+		}
+	}
+	for key := range s.Records {
+		value := key[:max(strings.LastIndexByte(key, '/'), 0)] // without the part
+		if value != "" && !referenced[value] {
+			deletes = append(deletes, Record{Key: key, Delete: true})
+		}
+	}
+	slices.SortFunc(deletes, func(x, y Record) int { return strings.Compare(x.Key, y.Key) })
+	return deletes
+}
--- a/internal/controlplane/origin/disk_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -23,8 +23,9 @@
 	return st
 }
 
-// On the embedded store: founded, run, stopped by a loss of power after every so many bytes, and begun again from what is there. What
-// was acknowledged is there, and a store that lost nothing is not taken for one that was rolled back.
+// On the embedded store: founded, run, stopped by a loss of power after every so many bytes, and begun again from
+// what is there. What was acknowledged is there, and a store that lost nothing is not taken for one that was rolled
+// back.
 func TestRestartFromTheStore(t *testing.T) {
 	acknowledged, lives := 0, 0
 	for crash := int64(3000); crash < 60_000; crash += 1900 {
@@ -68,14 +69,14 @@
 			done(out)
 			for now := time.Duration(0); ok && now < 10*time.Second; now += 100 * time.Millisecond {
 				done(n.Handle(now, Tick{}))
-				if ok && n.current() == RoleLeader {
+				if ok && n.currentRole() == RoleLeader {
 					pushed++
 					id := fmt.Sprint("p", pushed)
 					done(n.Handle(now, Propose{id, n.state.Version, []byte(strings.Repeat("#", 700) + id)}))
 				}
 			}
-			if n.rolled != "" {
-				t.Fatalf("life %d: %s", life, n.rolled)
+			if n.rollbackReason != "" {
+				t.Fatalf("life %d: %s", life, n.rollbackReason)
 			}
 			if n.state.Version < version {
 				t.Fatalf("life %d: %d was acknowledged, and it is at %d", life, version, n.state.Version)
@@ -94,7 +95,8 @@
 	}
 }
 
-// A store that lacks any one of its entries, or has another in its place: the origin takes no part, by name, or has lost nothing.
+// A store that lacks any one of its entries, or has another in its place: the origin takes no part, by name, or has
+// lost nothing.
 func TestDamagedStore(t *testing.T) {
 	w := begun(t, 1, 1)
 	for v := range uint64(20) {
@@ -113,10 +115,10 @@
 			change(disk)
 			got, err := newOf(t, disk)
 			switch {
-			case err != nil && key == foundingKey:
+			case err != nil && key == bootstrapRecordKey:
 			case err != nil:
 				t.Errorf("%s %s: %v", key, what, err)
-			case got.rolled == "":
+			case got.rollbackReason == "":
 				t.Errorf("%s %s is not noticed", key, what)
 			case got.state.Version > state.state.Version:
 				t.Errorf("%s %s: at %d", key, what, got.state.Version)
@@ -141,7 +143,7 @@
 func newOf(t *testing.T, disk map[string][]byte) (*Node, error) {
 	t.Helper()
 	s := &State{Records: disk}
-	if err := s.load(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	n, _, err := NewNode(Config{Self: s.Bootstrap.Origins[0]}, s, 0)
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -48,7 +48,7 @@
 // keepDisk brings a store to what an origin's disk of the world holds.
 func keepDisk(t *testing.T, st *store.Store, disk map[string][]byte) {
 	t.Helper()
-	before, err := read(st)
+	before, err := readState(st)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,8 +100,8 @@
 			t.Fatal(err)
 		}
 		want := controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte(text))}
-		if got := n.state.stamp(3); n.rolled != "" || got != want || string(n.state.Text) != text {
-			t.Errorf("%s is at %v, %q, rolled %q, want %v", w.places[i].name, got, n.state.Text, n.rolled, want)
+		if got := n.state.revision(3); n.rollbackReason != "" || got != want || string(n.state.Text) != text {
+			t.Errorf("%s is at %v, %q, rolled %q, want %v", w.places[i].name, got, n.state.Text, n.rollbackReason, want)
 		}
 	}
 	for i := range dirs {
@@ -123,8 +123,8 @@
 		w.until(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 		w.run(4 * time.Second)
 		for _, p := range w.places {
-			if p.node.rolled != "" {
-				t.Errorf("%s takes its store for one that was rolled back: %s", p.name, p.node.rolled)
+			if p.node.rollbackReason != "" {
+				t.Errorf("%s takes its store for one that was rolled back: %s", p.name, p.node.rollbackReason)
 			}
 		}
 	}
@@ -170,28 +170,28 @@
 				want[x.Key] = x.Value
 			}
 		}
-		add(Record{Key: foundingKey, Value: encode(s.Bootstrap)}, Record{Key: rootKey, Value: encode(r)})
-		add(split(snapshotKey(r.Index), new(machine).marshal())...)
+		add(Record{Key: bootstrapRecordKey, Value: encode(s.Bootstrap)}, Record{Key: rootRecordKey, Value: encode(r)})
+		add(splitValue(snapshotKey(r.SnapshotIndex), new(stateMachine).marshal())...)
 		last, err := ms.LastIndex()
-		if err != nil || last != r.Last || r.Index != 1 {
+		if err != nil || last != r.LastIndex || r.SnapshotIndex != 1 {
 			t.Fatal(last, r, err)
 		}
-		m := new(machine)
-		for i := r.Index + 1; i <= last; i++ {
+		m := new(stateMachine)
+		for i := r.SnapshotIndex + 1; i <= last; i++ {
 			list, err := ms.Entries(i, i+1, 1<<20)
 			if err != nil {
 				t.Fatal(err)
 			}
 			e := list[0]
 			if data := e.GetData(); len(data) > 0 {
-				c := new(change)
+				c := new(logEntry)
 				if err := decode(data, c); err != nil {
 					t.Fatal(err)
 				}
 				e.Data = encode(c)
 				m.apply(c)
 			}
-			add(split(entryKey(i, e.GetTerm()), marshalEntry(e))...)
+			add(splitValue(entryKey(i, e.GetTerm()), marshalEntry(e))...)
 		}
 		if m.Version != 2 || string(m.Text) != storedSecond {
 			t.Errorf("%s: the entries make %+v", name, m)
