--- a/internal/controlplane/origin/bench_test.go
+++ b/internal/controlplane/origin/bench_test.go
@@ -8,7 +8,7 @@
 
 // An idle second of five origins: what all of them cost together.
 func BenchmarkIdleSecond(b *testing.B) {
-	w := begun(b, 5, 1)
+	w := newRunningSimulation(b, 5, 1)
 	b.ReportAllocs()
 	for b.Loop() {
 		w.run(time.Second)
@@ -17,7 +17,7 @@
 
 // A push of 8 KiB through five origins, without disks.
 func BenchmarkPush(b *testing.B) {
-	w := begun(b, 5, 1)
+	w := newRunningSimulation(b, 5, 1)
 	text := make([]byte, 8<<10)
 	for i := range text {
 		text[i] = '#'
@@ -35,11 +35,11 @@
 
 // A start from a store that holds a log of 16 changes of 8 KiB.
 func BenchmarkStart(b *testing.B) {
-	w := begun(b, 1, 1)
+	w := newRunningSimulation(b, 1, 1)
 	for v := range uint64(15) {
 		w.push(0, fmt.Sprint("p", v), v, append(make([]byte, 0, 8<<10), fmt.Sprintf("#%8192d", v)...))
 	}
-	disk := w.places[0].disk
+	disk := w.machines[0].disk
 	b.ReportAllocs()
 	for b.Loop() {
 		s := &State{Records: disk}
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -16,18 +16,28 @@
 	"hazelwing/internal/testutil"
 )
 
-func formatStamp(version uint64) controlplane.Revision {
+func testRevision(version uint64) controlplane.Revision {
 	return controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte("# text\n"))}
 }
 
-func formatReport() controlplane.Report {
+func testReport() controlplane.Report {
 	return controlplane.Report{
-		Members: 5, Latest: formatStamp(17), Active: []controlplane.RevisionCount{{Revision: formatStamp(17), Count: 3}}, OtherRevisions: 1,
-		Laggards: []controlplane.Laggard{{Name: "m1", Active: formatStamp(16), Reason: controlplane.ReasonRejected, Error: "why", Descendants: 2}}, UnnamedLaggards: 4,
+		Members:        5,
+		Latest:         testRevision(17),
+		Active:         []controlplane.RevisionCount{{Revision: testRevision(17), Count: 3}},
+		OtherRevisions: 1,
+		Laggards: []controlplane.Laggard{{
+			Name:        "m1",
+			Active:      testRevision(16),
+			Reason:      controlplane.ReasonRejected,
+			Error:       "why",
+			Descendants: 2,
+		}},
+		UnnamedLaggards: 4,
 	}
 }
 
-func formatFounding() BootstrapConfig {
+func testBootstrapConfig() BootstrapConfig {
 	return BootstrapConfig{Cluster: "booking", Epoch: 3, Origins: []string{"o1", "o2", "o3"}}
 }
 
@@ -48,20 +58,32 @@
 // What is in entries of the log, in the store and in messages, as CBOR.
 func TestOriginEntryFormatIsStable(t *testing.T) {
 	hash := controlplane.HashText([]byte("# text\n"))
-	report := formatReport()
+	report := testReport()
 	for name, v := range map[string]any{
 		"change": logEntry{ID: "push-1", BaseVersion: 16, Text: []byte("# text\n")},
 		"machine": stateMachine{
 			Version: 17, Hash: hash, Text: []byte("# text\n"),
 			Outcomes: []changeOutcome{{ID: "push-1", Version: 17, Hash: hash}, {ID: "push-2", Version: 0, Hash: hash}},
 		},
-		"founding": formatFounding(),
+		"founding": testBootstrapConfig(),
 		"root": rootRecord{
-			WriteNumber: 9, WriteNumbers: []uint64{9, 300, 70000}, Term: 4, Vote: 2, Commit: 11, SnapshotIndex: 10, SnapshotTerm: 3, LastIndex: 12,
-			TermRuns: []termRun{{Index: 11, Term: 3}, {Index: 12, Term: 4}}, RollbackReason: "why",
+			WriteNumber:   9,
+			WriteNumbers:  []uint64{9, 300, 70000},
+			Term:          4,
+			Vote:          2,
+			Commit:        11,
+			SnapshotIndex: 10,
+			SnapshotTerm:  3,
+			LastIndex:     12,
+			TermRuns:      []termRun{{Index: 11, Term: 3}, {Index: 12, Term: 4}}, RollbackReason: "why",
 		},
 		"envelope": envelope{
-			BootstrapKey: []byte("0123456789abcdef"), From: 2, WriteNumbers: []uint64{9, 300, 70000}, RolledBack: true, Report: &report, Raft: []byte{1, 2, 3},
+			BootstrapKey: []byte("0123456789abcdef"),
+			From:         2,
+			WriteNumbers: []uint64{9, 300, 70000},
+			RolledBack:   true,
+			Report:       &report,
+			Raft:         []byte{1, 2, 3},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -80,14 +102,20 @@
 // A message between origins: the envelope, raft's message and the checksum, with and without a report; another origin
 // opens it.
 func TestOriginMessageFormatIsStable(t *testing.T) {
-	founding := formatFounding()
+	founding := testBootstrapConfig()
 	sender := &Node{
-		cfg: Config{BootstrapConfig: founding, Self: "o2"}, id: 2, bootstrapKey: founding.key(), writeNumber: 300, writeNumbers: []uint64{9, 0, 70000}, rollbackReason: "why",
+		cfg:            Config{BootstrapConfig: founding, Self: "o2"},
+		id:             2,
+		bootstrapKey:   founding.key(),
+		writeNumber:    300,
+		writeNumbers:   []uint64{9, 0, 70000},
+		rollbackReason: "why",
 	}
 	receiver := &Node{cfg: Config{BootstrapConfig: founding, Self: "o1"}, id: 1, bootstrapKey: founding.key()}
-	kind, from, to, term, index, context := raftpb.MsgHeartbeat, uint64(2), uint64(1), uint64(4), uint64(11), []byte("context")
+	kind, from, to := raftpb.MsgHeartbeat, uint64(2), uint64(1)
+	term, index, context := uint64(4), uint64(11), []byte("context")
 	message := &raftpb.Message{Type: &kind, From: &from, To: &to, Term: &term, Commit: &index, Context: context}
-	report := formatReport()
+	report := testReport()
 	for name, sealed := range map[string][]byte{
 		"message":              sender.sealEnvelope(message, &report),
 		"message-without-raft": sender.sealEnvelope(nil, nil),
@@ -104,9 +132,9 @@
 	testutil.GoldenBinary(t, "founding-key.hex", []byte(founding.key()))
 }
 
-// What a founding writes, and where the parts of entries and snapshots stand.
-func TestOriginFoundingRecordsAreStable(t *testing.T) {
-	goldenRecords(t, "founded.txt", bootstrapRecords(formatFounding()))
+// What a bootstrap writes, and where the parts of entries and snapshots stand.
+func TestOriginBootstrapRecordsAreStable(t *testing.T) {
+	goldenRecords(t, "founded.txt", bootstrapRecords(testBootstrapConfig()))
 	if got, want := entryKey(0x1f, 3), "e/000000000000001f/0000000000000003"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
@@ -127,7 +155,7 @@
 	}
 }
 
-// What one origin writes to its store from its founding to an accepted push, and that another process goes on from
+// What one origin writes to its store from its bootstrap to an accepted push, and that another process goes on from
 // there.
 func TestOriginStoreFormatIsStable(t *testing.T) {
 	founding := BootstrapConfig{Cluster: "booking", Epoch: 3, Origins: []string{"o1"}}
@@ -162,8 +190,11 @@
 	carryOut(node.Handle(now, Propose{ID: "push-1", BaseVersion: 0, Text: []byte("# text\n")}))
 	carryOut(node.Handle(now, Propose{ID: "push-2", BaseVersion: 0, Text: []byte("# other\n")}))
 	want := []Result{
-		{ID: "push-1", Outcome: OutcomeAccepted, Revision: formatStamp(1)},
-		{ID: "push-2", Outcome: OutcomeConflict, Revision: formatStamp(1), Error: "made after version 0, and 1 is the latest"},
+		{ID: "push-1", Outcome: OutcomeAccepted, Revision: testRevision(1)},
+		{
+			ID: "push-2", Outcome: OutcomeConflict, Revision: testRevision(1),
+			Error: "made after version 0, and 1 is the latest",
+		},
 	}
 	if !reflect.DeepEqual(answers, want) {
 		t.Fatalf("%+v, want %+v", answers, want)
@@ -177,7 +208,8 @@
 	for now = 0; now < 6*time.Second; now += 100 * time.Millisecond {
 		again.Handle(now, Tick{})
 	}
-	if frame, ok := again.Frame(); !ok || frame.Revision != formatStamp(1) || string(frame.Text) != "# text\n" || frame.Cluster != "booking" {
+	if frame, ok := again.Frame(); !ok || frame.Revision != testRevision(1) || string(frame.Text) != "# text\n" ||
+		frame.Cluster != "booking" {
 		t.Errorf("%t: %+v", ok, frame)
 	}
 }
@@ -185,38 +217,57 @@
 // What config status and config push have as JSON.
 func TestOriginStatusFormatIsStable(t *testing.T) {
 	status := Status{
-		Self: "o1", Epoch: 3, Role: RoleFollower, Leader: "o2", Revision: formatStamp(17), Ahead: formatStamp(18), RolledBack: []string{"o3"},
-		Report: formatReport(), ForeignMessages: 1, CorruptMessages: 2,
+		Self:       "o1",
+		Epoch:      3,
+		Role:       RoleFollower,
+		Leader:     "o2",
+		Revision:   testRevision(17),
+		Ahead:      testRevision(18),
+		RolledBack: []string{"o3"},
+		Report:     testReport(), ForeignMessages: 1, CorruptMessages: 2,
 	}
-	answer := Result{ID: "push-1", Outcome: OutcomeAccepted, Revision: formatStamp(17), Error: "why"}
-	for name, v := range map[string]any{"status": status, "answer": answer, "founding": formatFounding()} {
+	answer := Result{ID: "push-1", Outcome: OutcomeAccepted, Revision: testRevision(17), Error: "why"}
+	for name, v := range map[string]any{"status": status, "answer": answer, "founding": testBootstrapConfig()} {
 		testutil.Filled(t, v)
 		testutil.ExplicitNames(t, "json", v)
-		for file, value := range map[string]any{name + ".json": v, name + "-empty.json": reflect.Zero(reflect.TypeOf(v)).Interface()} {
+		for file, value := range map[string]any{
+			name + ".json":       v,
+			name + "-empty.json": reflect.Zero(reflect.TypeOf(v)).Interface(),
+		} {
 			text, err := json.MarshalIndent(value, "", "  ")
 			if err != nil {
 				t.Fatal(err)
 			}
 			testutil.Golden(t, file, append(text, '\n'))
 			read := reflect.New(reflect.TypeOf(v))
-			if err := json.Unmarshal(text, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
+			err = json.Unmarshal(text, read.Interface())
+			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
 				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), value)
 			}
 		}
 	}
 }
 
-// Outcomes and parts travel as these words.
-func TestOutcomeAndPartNamesAreStable(t *testing.T) {
+// Outcomes and roles are sent as these words.
+func TestOutcomeAndRoleNamesAreStable(t *testing.T) {
 	for outcome, want := range map[Outcome]string{
-		OutcomeAccepted: "accepted", OutcomeConflict: "conflict", OutcomeRejected: "refused", OutcomeUnknown: "unknown", OutcomeNotFound: "missing", OutcomeCurrent: "current",
+		OutcomeAccepted: "accepted",
+		OutcomeConflict: "conflict",
+		OutcomeRejected: "refused",
+		OutcomeUnknown:  "unknown",
+		OutcomeNotFound: "missing",
+		OutcomeCurrent:  "current",
 	} {
 		if string(outcome) != want {
 			t.Errorf("%q, want %q", outcome, want)
 		}
 	}
 	for part, want := range map[Role]string{
-		RoleStarting: "starting", RoleLeader: "leads", RoleFollower: "follows", RoleNoLeader: "no majority", RoleRolledBack: "rolled back",
+		RoleStarting:   "starting",
+		RoleLeader:     "leads",
+		RoleFollower:   "follows",
+		RoleNoLeader:   "no majority",
+		RoleRolledBack: "rolled back",
 	} {
 		if string(part) != want {
 			t.Errorf("%q, want %q", part, want)
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"fmt"
 	"maps"
-	"slices"
 	"testing"
 	"time"
 
@@ -13,33 +12,33 @@
 	"hazelwing/internal/controlplane"
 )
 
-// try is one push of a history.
-type try struct {
+// attempt is one change that a history proposes.
+type attempt struct {
 	id   string
 	text []byte
-	// after is the version that it was made after, each time.
-	after uint64
-	lost  bool // its origin stopped, or it was pushed again: its outcome is not told by one answer
+	base uint64 // version that it was made after, each time
+	lost bool   // its origin stopped, or it was proposed again: one result does not tell its outcome
 }
 
-// history is a world with what was pushed and what may fail.
+// history is a simulation with what was proposed and what may fail.
 type history struct {
-	*world
-	t      *rapid.T
-	tries  []*try
-	backup map[int]map[string][]byte
-	rolled map[int]bool
-	most   int // that may be rolled back
+	*simulation
+	t            *rapid.T
+	attempts     []*attempt
+	backups      map[int]map[string][]byte // of disks, by origin
+	rolledBack   map[int]bool              // by origin
+	maxRollbacks int                       // origins that may be rolled back
 }
 
 // Random histories: crashes between any two writes and sends, restarts, cuts, loss, late and doubled messages, stores
 // that are rolled back, pushes at once and again. In each of them:
 //
-//   - a version has one content for ever, whoever publishes it, and no origin publishes an older one after a later one (world.carry);
-//   - what was acknowledged is there at the end under its stamp; what was refused or came second never is;
-//   - each push has one answer, unless its origin stopped;
-//   - a store that was rolled back takes no part, one that wasn't does;
-//   - once all is well, all agree, and a push is accepted.
+//   - a version has one content for ever, whoever publishes it, and no origin publishes an older one after a later one
+//     (simulation.checkPublish);
+//   - what was acknowledged is there at the end under its revision; what was rejected or in conflict never is;
+//   - each proposal has one result, unless its origin stopped;
+//   - an origin whose store was rolled back has withdrawn, another one has not;
+//   - once nothing fails any more, all agree, and a change is accepted.
 //
 // A store is rolled back while the others run and reach it, and no more of them than the rest can do without: that is
 // what is promised. More histories: go test ./internal/controlplane/origin -run RandomHistories -rapid.checks=10000
@@ -47,7 +46,13 @@
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5, 3, 1, 2, 4}).Draw(t, "origins")
-		h := &history{world: newWorld(t, n, rapid.Uint64Range(0, 1<<30).Draw(t, "seed")), t: t, backup: map[int]map[string][]byte{}, rolled: map[int]bool{}, most: (n - 1) / 2}
+		h := &history{
+			simulation:   newSimulation(t, n, rapid.Uint64Range(0, 1<<30).Draw(t, "seed")),
+			t:            t,
+			backups:      map[int]map[string][]byte{},
+			rolledBack:   map[int]bool{},
+			maxRollbacks: (n - 1) / 2,
+		}
 		h.loss = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "loss")
 		for i := range n {
 			h.start(i)
@@ -60,20 +65,22 @@
 	})
 }
 
-func (h *history) any(what string) int { return rapid.IntRange(0, len(h.places)-1).Draw(h.t, what) }
+func (h *history) anyOrigin(what string) int {
+	return rapid.IntRange(0, len(h.machines)-1).Draw(h.t, what)
+}
 
 func (h *history) step() {
-	i := h.any("origin")
-	p := h.places[i]
+	i := h.anyOrigin("origin")
+	p := h.machines[i]
 	switch rapid.IntRange(0, 15).Draw(h.t, "step") {
 	case 0, 1, 2, 3:
-		h.try(i)
+		h.proposeNew(i)
 	case 4, 5:
-		h.try(i)
-		h.try(h.any("other"))
+		h.proposeNew(i)
+		h.proposeNew(h.anyOrigin("other"))
 	case 6:
-		if len(h.tries) > 0 { // again
-			x := h.tries[rapid.IntRange(0, len(h.tries)-1).Draw(h.t, "again")]
+		if len(h.attempts) > 0 { // again
+			x := h.attempts[rapid.IntRange(0, len(h.attempts)-1).Draw(h.t, "again")]
 			x.lost = true
 			h.propose(i, x)
 		}
@@ -81,57 +88,57 @@
 		h.stop(i)
 	case 8, 9:
 		if p.node != nil {
-			p.crashIn = rapid.IntRange(0, 12).Draw(h.t, "crash in")
+			p.stepsToCrash = rapid.IntRange(0, 12).Draw(h.t, "crash in")
 		}
 	case 10, 11:
 		if p.node == nil {
 			h.start(i)
 		}
 	case 12:
-		for k := range h.group {
-			h.group[k] = rapid.IntRange(0, 1).Draw(h.t, "group")
+		for k := range h.partition {
+			h.partition[k] = rapid.IntRange(0, 1).Draw(h.t, "group")
 		}
 	case 13:
-		clear(h.group)
+		clear(h.partition)
 	case 14:
-		h.backup[i] = maps.Clone(p.disk)
+		h.backups[i] = maps.Clone(p.disk)
 	case 15:
 		h.rollBackSafely(i)
 	}
 	h.run(time.Duration(rapid.SampledFrom([]int{1, 5, 30, 200, 1200, 2500}).Draw(h.t, "ms")) * time.Millisecond)
 }
 
-func (h *history) try(i int) {
-	id := fmt.Sprint("p", len(h.tries))
+func (h *history) proposeNew(i int) {
+	id := fmt.Sprint("p", len(h.attempts))
 	text := textOf(id)
 	if rapid.IntRange(0, 7).Draw(h.t, "long") == 0 {
 		text = append(bytes.Repeat([]byte("#"), 130<<10), id...)
 	}
-	if n := h.places[i].node; n != nil {
-		x := &try{id: id, text: text, after: n.state.Version}
-		h.tries = append(h.tries, x)
+	if n := h.machines[i].node; n != nil {
+		x := &attempt{id: id, text: text, base: n.state.Version}
+		h.attempts = append(h.attempts, x)
 		h.propose(i, x)
 	}
 }
 
-func (h *history) propose(i int, x *try) {
-	p := h.places[i]
+func (h *history) propose(i int, x *attempt) {
+	p := h.machines[i]
 	if p.node == nil {
 		return
 	}
-	p.asked = append(p.asked, x)
-	h.handle(i, Propose{x.id, x.after, x.text})
+	p.attempts = append(p.attempts, x)
+	h.handle(i, Propose{x.id, x.base, x.text})
 }
 
-// rollBackSafely is within what is promised.
+// rollBackSafely rolls a store back within what the origins can detect.
 func (h *history) rollBackSafely(i int) {
-	disk := h.backup[i]
-	if disk == nil || !h.rolled[i] && len(h.rolled) >= h.most {
+	disk := h.backups[i]
+	if disk == nil || !h.rolledBack[i] && len(h.rolledBack) >= h.maxRollbacks {
 		return
 	}
 	h.heal()
 	h.run(5 * time.Second)
-	p := h.places[i]
+	p := h.machines[i]
 	if p.node == nil {
 		return
 	}
@@ -142,17 +149,18 @@
 	if err := decode(disk[rootRecordKey], after); err != nil {
 		h.t.Fatalf("%v", err)
 	}
-	if lost := after.WriteNumber < before; lost != (p.node.rollbackReason != "") && !h.rolled[i] {
-		h.t.Fatalf("%s's store went from write %d to %d: rolled back %q\n%s", p.name, before, after.WriteNumber, p.node.rollbackReason, h.describe())
+	if lost := after.WriteNumber < before; lost != (p.node.rollbackReason != "") && !h.rolledBack[i] {
+		h.t.Fatalf("%s's store went from write %d to %d: rolled back %q\n%s", p.name, before, after.WriteNumber,
+			p.node.rollbackReason, h.describe())
 	} else if lost {
-		h.rolled[i] = true
+		h.rolledBack[i] = true
 	}
 }
 
 func (h *history) heal() {
-	clear(h.group)
-	for i, p := range h.places {
-		p.crashIn = -1
+	clear(h.partition)
+	for i, p := range h.machines {
+		p.stepsToCrash = -1
 		if p.node == nil {
 			h.start(i)
 		}
@@ -162,58 +170,81 @@
 func (h *history) end() {
 	h.heal()
 	h.loss = 0
-	h.run(5 * time.Second) // what was late has come, or waits no more
-	for i, p := range h.places {
+	h.run(5 * time.Second) // delayed messages have arrived, or their requests have expired
+	for i, p := range h.machines {
 		if p.node == nil {
 			h.t.Fatalf("%s is down", p.name)
 		}
-		if (p.node.rollbackReason != "") != h.rolled[i] {
-			h.t.Fatalf("%s takes no part: %q", p.name, p.node.rollbackReason)
+		if (p.node.rollbackReason != "") != h.rolledBack[i] {
+			h.t.Fatalf("%s has withdrawn: %q", p.name, p.node.rollbackReason)
 		}
 	}
-	h.until(20*time.Second, "all agree and one leads", func() bool { return h.agreed() && h.leader() >= 0 })
-	l := h.leader()
-	version := h.places[l].node.state.Version
-	last := &try{id: "last", text: textOf("last")}
-	if a := h.push(l, last.id, version, last.text); a.Outcome != OutcomeAccepted {
-		h.t.Fatalf("the last push: %s %s\n%s", a.Outcome, a.Error, h.describe())
+	h.waitUntil(20*time.Second, "all agree and one leads", func() bool { return h.allAgree() && h.leader() >= 0 })
+	leader := h.leader()
+	version := h.proposeLast(leader)
+	h.checkPublished(version)
+	accepted := map[string]uint64{} // by hash
+	for v, hash := range h.published {
+		accepted[hash] = v
 	}
-	h.until(5*time.Second, "all agree on the last push", func() bool { return h.agreed() && h.places[l].node.state.Version == version+1 })
-	for v := uint64(1); v <= version; v++ {
-		if h.published[v] == "" {
-			h.t.Fatalf("version %d of %d was never published", v, version)
+	for _, p := range h.machines {
+		if p.completed != len(p.attempts) {
+			h.t.Fatalf("%s gave %d results for %d proposals", p.name, p.completed, len(p.attempts))
 		}
 	}
-	if len(h.published) != int(version)+1 {
-		h.t.Fatalf("%d versions were published, and %d is the last", len(h.published), version+1)
+	for _, x := range h.attempts {
+		h.checkOutcome(x, accepted[controlplane.HashText(x.text)], leader)
 	}
-	accepted := map[string]uint64{}
-	for v, hash := range h.published {
-		accepted[hash] = v
+}
+
+// proposeLast proposes a last change, which must be accepted, and returns its version.
+func (h *history) proposeLast(leader int) uint64 {
+	state := &h.machines[leader].node.state
+	version := state.Version
+	last := &attempt{id: "last", text: textOf("last")}
+	if a := h.push(leader, last.id, version, last.text); a.Outcome != OutcomeAccepted {
+		h.t.Fatalf("the last push: %s %s\n%s", a.Outcome, a.Error, h.describe())
 	}
-	for _, p := range h.places {
-		if p.answered != len(p.asked) {
-			h.t.Fatalf("%s gave %d answers to %d pushes", p.name, p.answered, len(p.asked))
+	h.waitUntil(5*time.Second, "all agree on the last push", func() bool {
+		return h.allAgree() && state.Version == version+1
+	})
+	return version + 1
+}
+
+// checkPublished checks that each version was published.
+func (h *history) checkPublished(latest uint64) {
+	for v := uint64(1); v < latest; v++ {
+		if h.published[v] == "" {
+			h.t.Fatalf("version %d of %d was never published", v, latest-1)
 		}
 	}
-	for _, x := range h.tries {
-		hash := controlplane.HashText(x.text)
-		list := h.answers[x.id]
-		for _, a := range list {
-			switch {
-			case a.Outcome == OutcomeAccepted && (accepted[hash] != a.Revision.Version || a.Revision.Hash != hash):
-				h.t.Fatalf("%s was acknowledged as %v, and is %d", x.id, a.Revision, accepted[hash])
-			case (a.Outcome == OutcomeRejected || a.Outcome == OutcomeConflict) && !x.lost && accepted[hash] > 0:
-				h.t.Fatalf("%s was answered %s, and is version %d", x.id, a.Outcome, accepted[hash])
-			}
-		}
-		if slices.ContainsFunc(list, func(a Result) bool { return a.Outcome == OutcomeConflict }) && accepted[hash] > 0 {
-			h.t.Fatalf("%s came second, and is version %d", x.id, accepted[hash])
-		}
-		if v := accepted[hash]; v > 0 || len(list) > 0 {
-			if a := h.ask(l, x.id); a.Outcome == OutcomeAccepted != (v > 0) {
-				h.t.Fatalf("%s is version %d, and is told as %s", x.id, v, a.Outcome)
-			}
+	if len(h.published) != int(latest) {
+		h.t.Fatalf("%d versions were published, and %d is the last", len(h.published), latest)
+	}
+}
+
+// checkOutcome checks the results of an attempt, which is a version, or 0 if it was not accepted.
+func (h *history) checkOutcome(x *attempt, version uint64, leader int) {
+	hash := controlplane.HashText(x.text)
+	results := h.results[x.id]
+	isConflict := false
+	for _, a := range results {
+		isConflict = isConflict || a.Outcome == OutcomeConflict
+		isFinal := a.Outcome == OutcomeRejected || a.Outcome == OutcomeConflict
+		switch {
+		case a.Outcome == OutcomeAccepted && (version != a.Revision.Version || a.Revision.Hash != hash):
+			h.t.Fatalf("%s was acknowledged as %v, and is %d", x.id, a.Revision, version)
+		case isFinal && !x.lost && version > 0:
+			h.t.Fatalf("the result of %s is %s, and it is version %d", x.id, a.Outcome, version)
 		}
 	}
+	if isConflict && version > 0 {
+		h.t.Fatalf("%s was in conflict, and is version %d", x.id, version)
+	}
+	if version == 0 && len(results) == 0 {
+		return
+	}
+	if a := h.query(leader, x.id); a.Outcome == OutcomeAccepted != (version > 0) {
+		h.t.Fatalf("%s is version %d, and a query says %s", x.id, version, a.Outcome)
+	}
 }
--- a/internal/controlplane/origin/simulation_test.go
+++ b/internal/controlplane/origin/simulation_test.go
@@ -12,42 +12,40 @@
 	"hazelwing/internal/controlplane"
 )
 
-// world is origins in simulated time: a network that delays, loses, doubles and cuts, disks that are rolled back,
-// processes that stop between any two writes. One seed gives one course.
-type world struct {
-	epoch   uint64 // that it was founded with
-	t       fataler
-	rng     *rand.Rand
-	now     time.Duration
-	places  []*place
-	events  eventQueue
-	serial  int
-	group   []int // who is in one group reaches each other
-	loss    float64
-	answers map[string][]Result // by ID, in order
-	// What was published, by version: one content for ever.
-	published map[uint64]string
+// simulation runs origins in simulated time, over a network that delays, loses, duplicates and partitions, on disks
+// that are rolled back, in processes that stop between any two writes. Equal seeds give equal runs.
+type simulation struct {
+	epoch     uint64 // of the bootstrap
+	t         failer
+	rng       *rand.Rand
+	now       time.Duration
+	machines  []*machine
+	events    eventQueue
+	serial    int
+	partition []int // by machine: those with equal numbers reach each other
+	loss      float64
+	results   map[string][]Result // by ID, in order
+	published map[uint64]string   // hash by version: one content for ever
 }
 
-type fataler interface {
+type failer interface {
 	Helper()
 	Fatalf(string, ...any)
 }
 
-// place is an origin's machine.
-type place struct {
-	name    string
-	node    *Node // nil: it is down
-	life    int
-	disk    map[string][]byte
-	begun   time.Duration // of this life's clock
-	skew    time.Duration // that clock begins at it
-	crashIn int           // actions and records until it stops; below 0: never
-	last    controlplane.Revision
-	noted   []string
-	// Pushes of this life, and how many were answered.
-	asked    []*try
-	answered int
+// machine is an origin's machine.
+type machine struct {
+	name         string
+	node         *Node // nil: it is down
+	incarnation  int
+	disk         map[string][]byte
+	startedAt    time.Duration // of this incarnation's clock
+	clockOffset  time.Duration // at which that clock begins
+	stepsToCrash int           // actions and records until it stops; below 0: it does not
+	published    controlplane.Revision
+	logged       []string
+	attempts     []*attempt // proposals of this incarnation
+	completed    int        // of them, with a result
 }
 
 type simEvent struct {
@@ -77,23 +75,33 @@
 	return out
 }
 
-// newWorld founds n origins; they do not run yet.
-func newWorld(t fataler, n int, seed uint64) *world {
-	w := &world{t: t, epoch: 1, rng: rand.New(rand.NewPCG(seed, 5)), group: make([]int, n), answers: map[string][]Result{}, published: map[uint64]string{}}
+// newSimulation bootstraps n origins and starts none.
+func newSimulation(t failer, n int, seed uint64) *simulation {
+	w := &simulation{
+		t:         t,
+		epoch:     1,
+		rng:       rand.New(rand.NewPCG(seed, 5)),
+		partition: make([]int, n),
+		results:   map[string][]Result{},
+		published: map[uint64]string{},
+	}
 	for i, name := range originNames(n) {
-		p := &place{name: name, disk: map[string][]byte{}, crashIn: -1, skew: time.Duration(i) * time.Hour}
-		w.write(p, bootstrapRecords(BootstrapConfig{"f", 1, originNames(n)}))
-		w.places = append(w.places, p)
+		p := &machine{
+			name: name, disk: map[string][]byte{}, stepsToCrash: -1,
+			clockOffset: time.Duration(i) * time.Hour,
+		}
+		w.writeRecords(p, bootstrapRecords(BootstrapConfig{"f", 1, originNames(n)}))
+		w.machines = append(w.machines, p)
 	}
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) schedule(d time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, simEvent{w.now + d, w.serial, do})
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	end := w.now + d
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := heap.Pop(&w.events).(simEvent)
@@ -103,137 +111,152 @@
 	w.now = end
 }
 
-// until runs on until ok, or fails after most.
-func (w *world) until(most time.Duration, what string, ok func() bool) time.Duration {
+// waitUntil runs until ok, or fails after the limit. It returns how long that took.
+func (w *simulation) waitUntil(limit time.Duration, what string, ok func() bool) time.Duration {
 	w.t.Helper()
-	begun := w.now
+	start := w.now
 	for !ok() {
-		if w.now-begun >= most {
-			w.t.Fatalf("not within %v: %s\n%s", most, what, w.describe())
+		if w.now-start >= limit {
+			w.t.Fatalf("not within %v: %s\n%s", limit, what, w.describe())
 		}
 		w.run(10 * time.Millisecond)
 	}
-	return w.now - begun
+	return w.now - start
 }
 
-func (w *world) describe() (out string) {
-	for _, p := range w.places {
+func (w *simulation) describe() (out string) {
+	for _, p := range w.machines {
 		if p.node == nil {
 			out += p.name + " is down\n"
 			continue
 		}
 		s := p.node.Status()
-		out += fmt.Sprintf("%s %s leader %s at %v, term %d, applied %d, rolled %q\n", p.name, s.Role, s.Leader, s.Revision, p.node.root.Term, p.node.applied, p.node.rollbackReason)
+		out += fmt.Sprintf("%s %s leader %s at %v, term %d, applied %d, rolled %q\n", p.name, s.Role, s.Leader,
+			s.Revision, p.node.root.Term, p.node.applied, p.node.rollbackReason)
 	}
 	return out
 }
 
-func (w *world) write(p *place, list []Record) bool {
+// writeRecords writes to the disk of a machine until that is to crash.
+func (w *simulation) writeRecords(p *machine, list []Record) {
 	for _, r := range list {
-		if p.crashIn == 0 {
-			return false
+		if p.stepsToCrash == 0 {
+			return
 		}
-		p.crashIn--
+		p.stepsToCrash--
 		if r.Delete {
 			delete(p.disk, r.Key)
 		} else {
 			p.disk[r.Key] = r.Value
 		}
 	}
-	return true
 }
 
 // start runs an origin from its disk.
-func (w *world) start(i int) {
+func (w *simulation) start(i int) {
 	w.t.Helper()
-	p := w.places[i]
-	p.life++
-	p.begun, p.last, p.crashIn = w.now, controlplane.Revision{}, -1
+	p := w.machines[i]
+	p.incarnation++
+	p.startedAt, p.published, p.stepsToCrash = w.now, controlplane.Revision{}, -1
 	s := &State{Records: maps.Clone(p.disk)}
 	if err := s.validate(); err != nil {
 		w.t.Fatalf("%s: %v", p.name, err)
 	}
-	n, out, err := NewNode(Config{Self: p.name, Seed: w.rng.Uint64()}, s, p.skew)
+	n, out, err := NewNode(Config{Self: p.name, Seed: w.rng.Uint64()}, s, p.clockOffset)
 	if err != nil {
 		w.t.Fatalf("%s: %v", p.name, err)
 	}
 	p.node = n
-	w.carry(i, out)
-	w.ticks(i, p.life)
+	w.execute(i, out)
+	w.scheduleTick(i, p.incarnation)
 }
 
-func (w *world) ticks(i, life int) {
-	w.after(100*time.Millisecond, func() {
-		if p := w.places[i]; p.node != nil && p.life == life {
+func (w *simulation) scheduleTick(i, life int) {
+	w.schedule(100*time.Millisecond, func() {
+		if p := w.machines[i]; p.node != nil && p.incarnation == life {
 			w.handle(i, Tick{})
-			w.ticks(i, life)
+			w.scheduleTick(i, life)
 		}
 	})
 }
 
-func (w *world) stop(i int) {
-	p := w.places[i]
+func (w *simulation) stop(i int) {
+	p := w.machines[i]
 	p.node = nil
-	for _, x := range p.asked {
+	for _, x := range p.attempts {
 		x.lost = true
 	}
-	p.asked, p.answered = nil, 0
+	p.attempts, p.completed = nil, 0
 }
 
-func (w *world) handle(i int, ev Event) {
-	if p := w.places[i]; p.node != nil {
-		w.carry(i, p.node.Handle(w.now-p.begun+p.skew, ev))
+func (w *simulation) handle(i int, ev Event) {
+	if p := w.machines[i]; p.node != nil {
+		w.execute(i, p.node.Handle(w.now-p.startedAt+p.clockOffset, ev))
 	}
 }
 
-// carry does what a process does with the actions, and stops where it is to crash.
-func (w *world) carry(i int, out []Action) {
+// execute executes actions as a process does, and stops it where it is to crash.
+func (w *simulation) execute(i int, actions []Action) {
 	w.t.Helper()
-	p := w.places[i]
-	for _, a := range out {
-		if p.crashIn == 0 {
+	p := w.machines[i]
+	for _, a := range actions {
+		if p.stepsToCrash == 0 {
 			break
 		}
-		if _, ok := a.(Persist); !ok && p.crashIn > 0 {
-			p.crashIn--
-		}
-		switch a := a.(type) {
-		case Persist:
-			w.write(p, a.Records)
-		case Send:
-			w.send(i, a)
-		case Publish:
-			s := a.Frame.Revision
-			if old, ok := w.published[s.Version]; ok && old != s.Hash {
-				w.t.Fatalf("%v: %s publishes %v with another content than before\n%s", w.now, p.name, s, w.describe())
-			}
-			if s.Hash != controlplane.HashText(a.Frame.Text) || s.Epoch != w.epoch {
-				w.t.Fatalf("%s publishes %v with a text that is not its own", p.name, s)
-			}
-			if s.Compare(p.last) <= 0 {
-				w.t.Fatalf("%s publishes %v after %v", p.name, s, p.last)
-			}
-			w.published[s.Version], p.last = s.Hash, s
-		case Result:
-			w.answers[a.ID] = append(w.answers[a.ID], a)
-			if slices.ContainsFunc(p.asked, func(x *try) bool { return x.id == a.ID }) {
-				p.answered++
-			}
-		case LogMessage:
-			p.noted = append(p.noted, string(a.Kind)+": "+a.Text)
+		if _, ok := a.(Persist); !ok && p.stepsToCrash > 0 {
+			p.stepsToCrash--
 		}
+		w.executeOne(i, a)
 	}
-	if p.crashIn == 0 {
-		p.crashIn = -1
+	if p.stepsToCrash == 0 {
+		p.stepsToCrash = -1
 		w.stop(i)
 	}
 }
 
-func (w *world) send(from int, a Send) {
+func (w *simulation) executeOne(i int, a Action) {
+	w.t.Helper()
+	p := w.machines[i]
+	switch a := a.(type) {
+	case Persist:
+		w.writeRecords(p, a.Records)
+	case Send:
+		w.send(i, a)
+	case Publish:
+		w.checkPublish(p, a.Frame)
+	case Result:
+		w.results[a.ID] = append(w.results[a.ID], a)
+		if slices.ContainsFunc(p.attempts, func(x *attempt) bool { return x.id == a.ID }) {
+			p.completed++
+		}
+	case LogMessage:
+		p.logged = append(p.logged, string(a.Kind)+": "+a.Text)
+	}
+}
+
+// checkPublish checks that a version has one content, and that a machine does not publish an older one after a later
+// one.
+func (w *simulation) checkPublish(p *machine, f controlplane.Frame) {
+	w.t.Helper()
+	r := f.Revision
+	if old, ok := w.published[r.Version]; ok && old != r.Hash {
+		w.t.Fatalf("%v: %s publishes %v with another content than before\n%s", w.now, p.name, r, w.describe())
+	}
+	if r.Hash != controlplane.HashText(f.Text) || r.Epoch != w.epoch {
+		w.t.Fatalf("%s publishes %v with a text that is not its own", p.name, r)
+	}
+	if r.Compare(p.published) <= 0 {
+		w.t.Fatalf("%s publishes %v after %v", p.name, r, p.published)
+	}
+	w.published[r.Version] = r.Hash
+	p.published = r
+}
+
+func (w *simulation) send(from int, a Send) {
 	if len(a.Data) > MaxMessageSize {
-		w.t.Fatalf("%s sends %d bytes", w.places[from].name, len(a.Data))
+		w.t.Fatalf("%s sends %d bytes", w.machines[from].name, len(a.Data))
 	}
-	for i, p := range w.places {
+	for i, p := range w.machines {
 		if p.name != a.To {
 			continue
 		}
@@ -250,72 +273,73 @@
 			if w.rng.Float64() < w.loss {
 				delay += time.Duration(w.rng.Int64N(int64(3 * time.Second)))
 			}
-			w.after(delay, func() {
-				if w.group[from] == w.group[i] {
-					w.handle(i, Message{w.places[from].name, a.Data})
+			w.schedule(delay, func() {
+				if w.partition[from] == w.partition[i] {
+					w.handle(i, Message{w.machines[from].name, a.Data})
 				}
 			})
 		}
 	}
 }
 
-// leader is who leads, if there is exactly one that the majority follows; else -1.
-func (w *world) leader() int {
+// leader returns the leader that a majority follows; -1: there is none.
+func (w *simulation) leader() int {
 	at, follow := -1, map[string]int{}
-	for _, p := range w.places {
+	for _, p := range w.machines {
 		if p.node != nil {
 			if l := p.node.Status().Leader; l != "" {
 				follow[l]++
 			}
 		}
 	}
-	for i, p := range w.places {
-		if p.node != nil && p.node.Status().Role == RoleLeader && follow[p.name] > len(w.places)/2 {
+	for i, p := range w.machines {
+		if p.node != nil && p.node.Status().Role == RoleLeader && follow[p.name] > len(w.machines)/2 {
 			at = i
 		}
 	}
 	return at
 }
 
-// begun starts all of n origins and waits for a leader and for pushes to be taken.
-func begun(t testing.TB, n int, seed uint64) *world {
+// newRunningSimulation starts n origins and waits for a leader that accepts changes.
+func newRunningSimulation(t testing.TB, n int, seed uint64) *simulation {
 	t.Helper()
-	w := newWorld(t, n, seed)
+	w := newSimulation(t, n, seed)
 	for i := range n {
 		w.start(i)
 	}
-	w.until(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
+	w.waitUntil(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 	w.run(3 * time.Second)
 	return w
 }
 
 func textOf(id string) []byte { return []byte("# " + id + "\n") }
 
-// push puts a text to an origin and waits for the answer.
-func (w *world) push(i int, id string, after uint64, text []byte) Result {
+// push proposes a change to an origin and waits for the result.
+func (w *simulation) push(i int, id string, after uint64, text []byte) Result {
 	w.t.Helper()
-	n := len(w.answers[id])
+	n := len(w.results[id])
 	w.handle(i, Propose{id, after, text})
-	w.until(5*time.Second, "an answer to "+id, func() bool { return len(w.answers[id]) > n || w.places[i].node == nil })
-	if len(w.answers[id]) == n {
+	w.waitUntil(5*time.Second, "an answer to "+id,
+		func() bool { return len(w.results[id]) > n || w.machines[i].node == nil })
+	if len(w.results[id]) == n {
 		return Result{ID: id}
 	}
-	return w.answers[id][n]
+	return w.results[id][n]
 }
 
-// ask asks an origin what became of a push.
-func (w *world) ask(i int, id string) Result {
+// query asks an origin for the outcome of a change.
+func (w *simulation) query(i int, id string) Result {
 	w.t.Helper()
-	n := len(w.answers[id])
+	n := len(w.results[id])
 	w.handle(i, QueryOutcome{id})
-	w.until(5*time.Second, "an answer to the question for "+id, func() bool { return len(w.answers[id]) > n })
-	return w.answers[id][n]
+	w.waitUntil(5*time.Second, "an answer to the question for "+id, func() bool { return len(w.results[id]) > n })
+	return w.results[id][n]
 }
 
-// agreed is that all who run and were not rolled back hold the same.
-func (w *world) agreed() bool {
+// allAgree reports whether all origins that run and have not withdrawn have the same revision.
+func (w *simulation) allAgree() bool {
 	var first *controlplane.Revision
-	for _, p := range w.places {
+	for _, p := range w.machines {
 		if p.node == nil || p.node.rollbackReason != "" {
 			continue
 		}
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -13,7 +13,7 @@
 	"hazelwing/internal/store"
 )
 
-func opened(t *testing.T, fs store.FS) *store.Store {
+func openStore(t *testing.T, fs store.FS) *store.Store {
 	t.Helper()
 	st, err := store.Open(fs, store.Options{Manual: true})
 	if err != nil {
@@ -23,19 +23,19 @@
 	return st
 }
 
-// On the embedded store: founded, run, stopped by a loss of power after every so many bytes, and begun again from
-// what is there. What was acknowledged is there, and a store that lost nothing is not taken for one that was rolled
-// back.
+// On the embedded store: bootstrapped, run, stopped by a loss of power after every so many bytes, and restarted from
+// what is there. What was acknowledged is there, and a store that lost nothing is not taken for a rolled back one.
 func TestRestartFromTheStore(t *testing.T) {
 	acknowledged, lives := 0, 0
 	for crash := int64(3000); crash < 60_000; crash += 1900 {
 		fs := faultfs.New()
-		st := opened(t, fs)
+		st := openStore(t, fs)
 		if err := Bootstrap(st, BootstrapConfig{"f", 3, []string{"one"}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := Bootstrap(st, BootstrapConfig{"f", 3, []string{"one"}}); err == nil || !strings.Contains(err.Error(), "higher epoch") {
-			t.Fatalf("founded twice: %v", err)
+		if err := Bootstrap(st, BootstrapConfig{"f", 3, []string{"one"}}); err == nil ||
+			!strings.Contains(err.Error(), "higher epoch") {
+			t.Fatalf("bootstrapped twice: %v", err)
 		}
 		fs.CrashAfter = fs.Steps + crash
 		version, pushed := uint64(0), uint64(0)
@@ -50,8 +50,7 @@
 				t.Fatal(err)
 			}
 			ok := true
-			var done func(out []Action)
-			done = func(out []Action) {
+			done := func(out []Action) {
 				for _, a := range out {
 					switch a := a.(type) {
 					case Persist:
@@ -86,7 +85,7 @@
 				fs.CrashAfter = fs.Steps + crash
 			}
 			st.Close()
-			st = opened(t, fs)
+			st = openStore(t, fs)
 		}
 	}
 	t.Log(lives, "lives", acknowledged, "acknowledged")
@@ -95,16 +94,16 @@
 	}
 }
 
-// A store that lacks any one of its entries, or has another in its place: the origin takes no part, by name, or has
-// lost nothing.
+// A store that lacks any one of its entries, or has another in its place: the origin withdraws, or has lost
+// nothing.
 func TestDamagedStore(t *testing.T) {
-	w := begun(t, 1, 1)
+	w := newRunningSimulation(t, 1, 1)
 	for v := range uint64(20) {
 		id := fmt.Sprint("p", v)
-		expect(t, id, w.push(0, id, v, []byte(strings.Repeat("#", 70<<10)+id)), OutcomeAccepted, v+1)
+		checkResult(t, id, w.push(0, id, v, []byte(strings.Repeat("#", 70<<10)+id)), OutcomeAccepted, v+1)
 	}
-	whole := w.places[0].disk
-	state, _ := newOf(t, maps.Clone(whole))
+	whole := w.machines[0].disk
+	state, _ := nodeFromDisk(t, maps.Clone(whole))
 	for key := range whole {
 		for what, change := range map[string]func(map[string][]byte){
 			"lost":  func(m map[string][]byte) { delete(m, key) },
@@ -113,7 +112,7 @@
 		} {
 			disk := maps.Clone(whole)
 			change(disk)
-			got, err := newOf(t, disk)
+			got, err := nodeFromDisk(t, disk)
 			switch {
 			case err != nil && key == bootstrapRecordKey:
 			case err != nil:
@@ -131,7 +130,8 @@
 						}
 					}
 				}
-				if out := got.Handle(10*time.Second, Propose{"x", got.state.Version, textOf("x")}); out[len(out)-1].(Result).Outcome != OutcomeRejected {
+				if out := got.Handle(10*time.Second,
+					Propose{"x", got.state.Version, textOf("x")}); out[len(out)-1].(Result).Outcome != OutcomeRejected {
 					t.Errorf("%s %s: a push is answered %v", key, what, out)
 				}
 			}
@@ -139,8 +139,8 @@
 	}
 }
 
-// newOf makes a node of a disk.
-func newOf(t *testing.T, disk map[string][]byte) (*Node, error) {
+// nodeFromDisk returns a node that starts from a disk.
+func nodeFromDisk(t *testing.T, disk map[string][]byte) (*Node, error) {
 	t.Helper()
 	s := &State{Records: disk}
 	if err := s.validate(); err != nil {
@@ -150,8 +150,8 @@
 	return n, err
 }
 
-// What cannot be founded or started, by name.
-func TestFoundingIsChecked(t *testing.T) {
+// Bootstraps and starts that are rejected.
+func TestBootstrapIsChecked(t *testing.T) {
 	for _, c := range []struct {
 		f   BootstrapConfig
 		why string
@@ -163,11 +163,11 @@
 		{BootstrapConfig{"f", 1, []string{"a", "a"}}, "twice"},
 		{BootstrapConfig{"f", 1, []string{"a/b"}}, "slashes"},
 	} {
-		if err := Bootstrap(opened(t, faultfs.New()), c.f); err == nil || !strings.Contains(err.Error(), c.why) {
+		if err := Bootstrap(openStore(t, faultfs.New()), c.f); err == nil || !strings.Contains(err.Error(), c.why) {
 			t.Errorf("%v: %v", c.f, err)
 		}
 	}
-	st := opened(t, faultfs.New())
+	st := openStore(t, faultfs.New())
 	if _, err := Load(st); err == nil || !strings.Contains(err.Error(), "never founded") {
 		t.Errorf("an empty store: %v", err)
 	}
@@ -176,7 +176,7 @@
 	}
 	for _, f := range []BootstrapConfig{{"f", 3, originNames(3)}, {"f", 4, originNames(3)}, {"g", 5, originNames(3)}} {
 		if err := Bootstrap(st, f); err == nil {
-			t.Errorf("%v was founded over epoch 4 of f", f)
+			t.Errorf("%v was bootstrapped over epoch 4 of f", f)
 		}
 	}
 	if err := Bootstrap(st, BootstrapConfig{"f", 5, originNames(5)}); err != nil {
@@ -189,10 +189,12 @@
 	if _, _, err := NewNode(Config{Self: "o9"}, s, 0); err == nil {
 		t.Error("o9 is one of five")
 	}
-	if _, _, err := NewNode(Config{Self: "o1", BootstrapConfig: BootstrapConfig{"f", 6, originNames(5)}}, s, 0); err == nil {
+	if _, _, err := NewNode(Config{Self: "o1", BootstrapConfig: BootstrapConfig{"f", 6, originNames(5)}}, s,
+		0); err == nil {
 		t.Error("the settings are of another epoch")
 	}
-	if err := Write(st, Persist{[]Record{{Key: "x", Value: make([]byte, store.MaxValue+1)}}}); !errors.Is(err, store.ErrSize) {
+	if err := Write(st, Persist{[]Record{{Key: "x", Value: make([]byte, store.MaxValue+1)}}}); !errors.Is(err,
+		store.ErrSize) {
 		t.Error(err)
 	}
 }
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -21,8 +21,8 @@
 	storedSecond = "# second\n[limits]\nmax_attempts = 2\n"
 )
 
-// storedOrigin is a copy of one's directory.
-func storedOrigin(t *testing.T, name string) store.FS {
+// copyStoredOrigin returns a copy of one's directory.
+func copyStoredOrigin(t *testing.T, name string) store.FS {
 	t.Helper()
 	path := t.TempDir()
 	logs, err := filepath.Glob(filepath.Join(storedDir, name, "*.log"))
@@ -45,8 +45,8 @@
 	return fs
 }
 
-// keepDisk brings a store to what an origin's disk of the world holds.
-func keepDisk(t *testing.T, st *store.Store, disk map[string][]byte) {
+// writeDisk brings a store to the content of a simulated disk.
+func writeDisk(t *testing.T, st *store.Store, disk map[string][]byte) {
 	t.Helper()
 	before, err := readState(st)
 	if err != nil {
@@ -68,40 +68,24 @@
 	}
 }
 
-// fromStores is a world of three origins on what their directories hold; each of them has to be at a version.
-func fromStores(t *testing.T, dirs []store.FS, version uint64, text string) *world {
+// simulationFromStores runs three origins on the content of their directories, each of which must be at a version.
+func simulationFromStores(t *testing.T, dirs []store.FS, version uint64, text string) *simulation {
 	t.Helper()
-	w := newWorld(t, len(dirs), 7)
+	w := newSimulation(t, len(dirs), 7)
 	w.epoch = 3
+	want := controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte(text))}
 	for i, fs := range dirs {
-		list, err := store.Check(fs)
+		m := w.machines[i]
+		s := loadIntact(t, fs)
+		m.disk = s.Records
+		copied := &State{Records: maps.Clone(s.Records), Bootstrap: s.Bootstrap}
+		n, _, err := NewNode(Config{Self: m.name}, copied, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, g := range list {
-			if g.Damaged != 0 || g.Tail != 0 || g.Fault != "" {
-				t.Errorf("%+v", g)
-			}
-		}
-		st := opened(t, fs)
-		s, err := Load(st)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if f := s.Bootstrap; f.Cluster != "stored" || f.Epoch != 3 || !slices.Equal(f.Origins, originNames(3)) {
-			t.Errorf("founded %+v", f)
-		}
-		w.places[i].disk = s.Records
-		if err := st.Close(); err != nil {
-			t.Fatal(err)
-		}
-		n, _, err := NewNode(Config{Self: w.places[i].name}, &State{Records: maps.Clone(s.Records), Bootstrap: s.Bootstrap}, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		want := controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte(text))}
-		if got := n.state.revision(3); n.rollbackReason != "" || got != want || string(n.state.Text) != text {
-			t.Errorf("%s is at %v, %q, rolled %q, want %v", w.places[i].name, got, n.state.Text, n.rollbackReason, want)
+		got := n.state.revision(3)
+		if n.rollbackReason != "" || got != want || string(n.state.Text) != text {
+			t.Errorf("%s is at %v, %q, rolled back %q, want %v", m.name, got, n.state.Text, n.rollbackReason, want)
 		}
 	}
 	for i := range dirs {
@@ -110,52 +94,79 @@
 	return w
 }
 
-// The origins of 593ba64 go on in the new version: they hold what was pushed and what became of it, take another push,
-// and hold all of it after one more restart from their directories.
+// loadIntact loads the state from a directory, which must have no damage.
+func loadIntact(t *testing.T, fs store.FS) *State {
+	t.Helper()
+	segments, err := store.Check(fs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, g := range segments {
+		if g.Damaged != 0 || g.Tail != 0 || g.Fault != "" {
+			t.Errorf("%+v", g)
+		}
+	}
+	st := openStore(t, fs)
+	s, err := Load(st)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c := s.Bootstrap; c.Cluster != "stored" || c.Epoch != 3 || !slices.Equal(c.Origins, originNames(3)) {
+		t.Errorf("bootstrapped %+v", c)
+	}
+	if err := st.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// The origins of 593ba64 continue in the new version: they have the changes and their outcomes, accept another change,
+// and have all of it after one more restart from their directories.
 func TestOriginsOfTheVersionBefore(t *testing.T) {
 	var dirs []store.FS
 	for _, name := range originNames(3) {
-		dirs = append(dirs, storedOrigin(t, name))
+		dirs = append(dirs, copyStoredOrigin(t, name))
 	}
-	w := fromStores(t, dirs, 2, storedSecond)
+	w := simulationFromStores(t, dirs, 2, storedSecond)
 	ready := func() {
 		t.Helper()
-		w.until(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
+		w.waitUntil(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 		w.run(4 * time.Second)
-		for _, p := range w.places {
+		for _, p := range w.machines {
 			if p.node.rollbackReason != "" {
-				t.Errorf("%s takes its store for one that was rolled back: %s", p.name, p.node.rollbackReason)
+				t.Errorf("%s takes its store for a rolled back one: %s", p.name, p.node.rollbackReason)
 			}
 		}
 	}
 	ready()
-	expect(t, "what became of the first", w.ask(0, "push-1"), OutcomeAccepted, 1)
-	expect(t, "what became of the second", w.ask(1, "push-2"), OutcomeAccepted, 2)
-	expect(t, "what was never pushed", w.ask(2, "push-3"), OutcomeNotFound, 2)
-	expect(t, "the second again", w.push(2, "push-2", 1, []byte(storedSecond)), OutcomeAccepted, 2)
-	expect(t, "a third", w.push(1, "push-3", 2, textOf("third")), OutcomeAccepted, 3)
-	w.until(4*time.Second, "all hold it", func() bool { return w.agreed() && w.places[0].node.state.Version == 3 })
+	checkResult(t, "what became of the first", w.query(0, "push-1"), OutcomeAccepted, 1)
+	checkResult(t, "what became of the second", w.query(1, "push-2"), OutcomeAccepted, 2)
+	checkResult(t, "what was never pushed", w.query(2, "push-3"), OutcomeNotFound, 2)
+	checkResult(t, "the second again", w.push(2, "push-2", 1, []byte(storedSecond)), OutcomeAccepted, 2)
+	checkResult(t, "a third", w.push(1, "push-3", 2, textOf("third")), OutcomeAccepted, 3)
+	w.waitUntil(4*time.Second, "all hold it",
+		func() bool { return w.allAgree() && w.machines[0].node.state.Version == 3 })
 	w.run(4 * time.Second)
 
 	for i, fs := range dirs {
 		w.stop(i)
-		st := opened(t, fs)
-		keepDisk(t, st, w.places[i].disk)
+		st := openStore(t, fs)
+		writeDisk(t, st, w.machines[i].disk)
 		if err := st.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w = fromStores(t, dirs, 3, string(textOf("third")))
+	w = simulationFromStores(t, dirs, 3, string(textOf("third")))
 	ready()
 	for v, id := range []string{"push-1", "push-2", "push-3"} {
-		expect(t, "what became of "+id, w.ask(v, id), OutcomeAccepted, uint64(v+1))
+		checkResult(t, "what became of "+id, w.query(v, id), OutcomeAccepted, uint64(v+1))
 	}
 }
 
 // The entries of a directory are byte for byte those that the new version writes of the same values.
 func TestOriginsEntriesKeepTheirBytes(t *testing.T) {
 	for _, name := range originNames(3) {
-		st := opened(t, storedOrigin(t, name))
+		st := openStore(t, copyStoredOrigin(t, name))
 		s, err := Load(st)
 		if err != nil {
 			t.Fatal(err)
