--- /dev/null
+++ b/internal/discovery/watch/errors.go
@@ -0,0 +1,36 @@
+package watch
+
+import (
+	"context"
+	"errors"
+	"net"
+)
+
+var (
+	// errNoData is why a call was abandoned.
+	errNoData = errors.New("no data received")
+	// errMalformedEvent is why bytes cannot be an event of a watch. The service would send the same bytes again.
+	errMalformedEvent = errors.New("malformed watch event")
+	// errWatchEnded is why a watch failed whose connection the service closed between two events.
+	errWatchEnded = errors.New("the service ended the watch")
+	// errNotComplete is why a response to a call for the complete list is not used.
+	errNotComplete = errors.New("the response is not marked as a complete list")
+)
+
+// causeOf returns why an operation under ctx failed: the cause of the end of ctx if it has ended, otherwise err.
+func causeOf(ctx context.Context, err error) error {
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
+	}
+	return err
+}
+
+// reachedService reports whether a call that failed with err reached the service: it responded, or closed the
+// connection.
+func reachedService(err error) bool {
+	if errors.Is(err, errNoData) {
+		return false
+	}
+	var netErr *net.OpError
+	return !errors.As(err, &netErr) || netErr.Op != "dial"
+}
--- /dev/null
+++ b/internal/discovery/watch/event.go
@@ -0,0 +1,115 @@
+package watch
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/engine"
+)
+
+// Event is the complete endpoint list, or what changed in it, in the form of the discovery service.
+type Event struct {
+	Version   int64      `json:"seq"`
+	Complete  bool       `json:"whole"` // otherwise it is a delta
+	Endpoints []Endpoint `json:"hosts"`
+}
+
+// Endpoint is an entry of an Event.
+type Endpoint struct {
+	ID          string  `json:"host"`
+	Addr        string  `json:"dial"` // where it listens, as seen from this sidecar
+	Zone        string  `json:"site"`
+	Kind        string  `json:"class"`
+	Cell        int     `json:"block"`
+	Health      string  `json:"health"`
+	StartedAtMS float64 `json:"born_ms"` // Unix milliseconds
+}
+
+// Values of Endpoint.Health.
+const (
+	healthServing  = "SERVING"
+	healthDraining = "DRAINING"
+	healthDeleted  = "DELETED"
+)
+
+// ToEndpoints converts the entries to those of the engine. An entry of unknown health counts as draining; the error
+// names all such entries, and is nil if there are none.
+func (e *Event) ToEndpoints() ([]engine.Endpoint, error) {
+	endpoints := make([]engine.Endpoint, len(e.Endpoints))
+	var unknown error
+	for i, endpoint := range e.Endpoints {
+		state, err := endpoint.state()
+		unknown = errors.Join(unknown, err)
+		endpoints[i] = engine.Endpoint{
+			ID:          endpoint.ID,
+			Addr:        endpoint.Addr,
+			Zone:        endpoint.Zone,
+			Kind:        endpoint.Kind,
+			Cell:        endpoint.Cell,
+			State:       state,
+			StartedAtMS: endpoint.StartedAtMS,
+		}
+	}
+	return endpoints, unknown
+}
+
+// EndpointsFromEngine converts entries of the engine to those of an Event. It returns nil for an empty list.
+func EndpointsFromEngine(list []engine.Endpoint) []Endpoint {
+	var endpoints []Endpoint
+	for _, endpoint := range list {
+		endpoints = append(endpoints, Endpoint{
+			ID:          endpoint.ID,
+			Addr:        endpoint.Addr,
+			Zone:        endpoint.Zone,
+			Kind:        endpoint.Kind,
+			Cell:        endpoint.Cell,
+			Health:      healthFromState(endpoint.State),
+			StartedAtMS: endpoint.StartedAtMS,
+		})
+	}
+	return endpoints
+}
+
+func healthFromState(state balancer.EndpointState) string {
+	switch state {
+	case balancer.Active:
+		return healthServing
+	case balancer.Draining:
+		return healthDraining
+	case balancer.Removed:
+		return healthDeleted
+	}
+	return ""
+}
+
+func (e *Endpoint) state() (balancer.EndpointState, error) {
+	switch e.Health {
+	case healthServing:
+		return balancer.Active, nil
+	case healthDraining:
+		return balancer.Draining, nil
+	case healthDeleted:
+		return balancer.Removed, nil
+	}
+	return balancer.Draining, fmt.Errorf("upstream %s: health %q is not known", e.ID, e.Health)
+}
+
+// updateFromJSON decodes an Event as an update for the engine.
+func (c *Client) updateFromJSON(text []byte) (engine.EndpointUpdate, error) {
+	var event Event
+	if err := json.Unmarshal(text, &event); err != nil {
+		return engine.EndpointUpdate{}, err
+	}
+	update := engine.EndpointUpdate{Kind: balancer.Delta, Version: event.Version}
+	if event.Complete {
+		update.Kind = balancer.CompleteList
+	}
+	endpoints, err := event.ToEndpoints()
+	if err != nil {
+		c.log.Warn("endpoint with unknown health counts as draining", "err", err)
+	}
+	update.Endpoints = endpoints
+	return update, nil
+}
--- a/internal/discovery/watch/format_test.go
+++ b/internal/discovery/watch/format_test.go
@@ -6,9 +6,13 @@
 	"hazelwing/balancer"
 )
 
-// The healths of discovery.
-func TestListingHealthNamesAreStable(t *testing.T) {
-	for health, want := range map[string]balancer.EndpointState{"SERVING": balancer.Active, "DRAINING": balancer.Draining, "DELETED": balancer.Removed} {
+// The values of the health field are those of the discovery service.
+func TestHealthValuesAreStable(t *testing.T) {
+	for health, want := range map[string]balancer.EndpointState{
+		"SERVING":  balancer.Active,
+		"DRAINING": balancer.Draining,
+		"DELETED":  balancer.Removed,
+	} {
 		if state, err := (&Endpoint{Health: health}).state(); err != nil || state != want {
 			t.Errorf("%s is read as %v, %v; want %v", health, state, err, want)
 		}
--- /dev/null
+++ b/internal/discovery/watch/listtracker_test.go
@@ -0,0 +1,139 @@
+package watch
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/datadriven"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/engine"
+)
+
+// trackerScript plays one script against a tracker.
+type trackerScript struct {
+	tracker *listTracker
+}
+
+// run executes one command of a script.
+func (s *trackerScript) run(t *testing.T, d *datadriven.TestData) string {
+	t.Helper()
+	var at string
+	d.MaybeScanArgs(t, "at", &at)
+	now, err := time.ParseDuration(at)
+	if at != "" && err != nil {
+		d.Fatalf(t, "at: %v", err)
+	}
+	update := parseUpdate(t, d)
+	var delivered []engine.EndpointUpdate
+	var out strings.Builder
+	switch d.Cmd {
+	case "new":
+		version := parseStartVersion(t, d)
+		s.tracker = newListTracker(version, !d.HasArg("agent"), rand.New(rand.NewPCG(1, 2)))
+	case "event":
+		delivered = s.tracker.applyEvent(now, &update)
+	case "empty":
+		delivered = s.tracker.applyEvent(now, nil)
+	case "request":
+		s.tracker.listRequested(now)
+	case "failed":
+		if !s.tracker.listRequestFailed(now) {
+			out.WriteString("the watch is abandoned\n")
+		}
+	case "list":
+		update.Kind = balancer.CompleteList
+		delivered = s.tracker.applyList(update)
+	case "end":
+		fmt.Fprintf(&out, "the next watch resumes from %d\n", s.tracker.resumeVersion(d.HasArg("events-lost")))
+	default:
+		d.Fatalf(t, "unknown command %q", d.Cmd)
+	}
+	writeUpdates(&out, delivered)
+	if due, ok := s.tracker.nextListRequest(); ok {
+		fmt.Fprintf(&out, "request the complete list at %v\n", due.Round(10*time.Millisecond))
+	}
+	return out.String()
+}
+
+// parseUpdate reads the update of a command: its version and kind are arguments, its endpoints the input. An endpoint
+// "-x" is x, draining.
+func parseUpdate(t *testing.T, d *datadriven.TestData) engine.EndpointUpdate {
+	t.Helper()
+	update := engine.EndpointUpdate{Kind: balancer.Delta}
+	d.MaybeScanArgs(t, "version", &update.Version)
+	if d.HasArg("complete") {
+		update.Kind = balancer.CompleteList
+	}
+	for _, name := range strings.Fields(d.Input) {
+		endpoint := engine.Endpoint{ID: strings.TrimPrefix(name, "-")}
+		if endpoint.ID != name {
+			endpoint.State = balancer.Draining
+		}
+		update.Endpoints = append(update.Endpoints, endpoint)
+	}
+	return update
+}
+
+// parseStartVersion reads the version from which a watch starts.
+func parseStartVersion(t *testing.T, d *datadriven.TestData) int64 {
+	t.Helper()
+	var from string
+	d.ScanArgs(t, "from", &from)
+	switch from {
+	case "no-version":
+		return engine.NoVersion
+	case "unknown-version":
+		return engine.UnknownVersion
+	}
+	var version int64
+	d.ScanArgs(t, "from", &version)
+	return version
+}
+
+func writeUpdates(out *strings.Builder, updates []engine.EndpointUpdate) {
+	for _, update := range updates {
+		kind := "delta"
+		if update.Kind == balancer.CompleteList {
+			kind = "complete list"
+		}
+		fmt.Fprintf(out, "deliver %s %d:", kind, update.Version)
+		for _, endpoint := range update.Endpoints {
+			sign := " "
+			if endpoint.State != balancer.Active {
+				sign = " -"
+			}
+			out.WriteString(sign + endpoint.ID)
+		}
+		out.WriteString("\n")
+	}
+}
+
+// The scripts give the events of a watch and the results of its calls for the complete list, and hold what is
+// delivered and when the list is requested.
+func TestListTrackerScripts(t *testing.T) {
+	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
+		var script trackerScript
+		datadriven.RunTest(t, path, script.run)
+	})
+}
+
+// Changes that are remembered for a list that never arrives are bounded.
+func TestPendingChangesAreBounded(t *testing.T) {
+	tracker := newListTracker(engine.UnknownVersion, true, rand.New(rand.NewPCG(1, 2)))
+	update := engine.EndpointUpdate{Kind: balancer.Delta}
+	for i := range maxPendingChanges + 1 {
+		update.Endpoints = append(update.Endpoints, engine.Endpoint{ID: fmt.Sprint(i)})
+	}
+	tracker.applyEvent(0, &update)
+	tracker.listRequested(0)
+	if tracker.listRequestFailed(0) {
+		t.Errorf("the watch goes on with %d pending changes", len(tracker.pendingChanges))
+	}
+	if tracker.resumeVersion(true) != engine.UnknownVersion {
+		t.Error("the next watch does not start from the complete list")
+	}
+}
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -22,102 +23,139 @@
 	"hazelwing/internal/testutil"
 )
 
-// watching starts a watch from version 41 on a discovery that answers with serve, and returns its news.
-func watching(t *testing.T, silence time.Duration, serve http.HandlerFunc) <-chan engine.EndpointUpdate {
+// startVersion is the version from which startWatch starts.
+const startVersion = 41
+
+// startWatch starts a watch on a discovery service that responds with serve, and returns its updates.
+func startWatch(
+	t *testing.T, silenceTimeout time.Duration, serve http.HandlerFunc,
+) <-chan engine.EndpointUpdate {
 	t.Helper()
-	return watchingFrom(t, 41, silence, serve)
+	return startWatchFrom(t, startVersion, silenceTimeout, serve)
 }
 
-func watchingFrom(t *testing.T, seq int64, silence time.Duration, serve http.HandlerFunc) <-chan engine.EndpointUpdate {
+func startWatchFrom(
+	t *testing.T, version int64, silenceTimeout time.Duration, serve http.HandlerFunc,
+) <-chan engine.EndpointUpdate {
 	t.Helper()
 	server := httptest.NewServer(serve)
 	t.Cleanup(server.Close)
-	all := make(chan engine.EndpointUpdate, 100)
-	d := NewClient(server.Listener.Addr().String(), true, slog.New(slog.DiscardHandler))
-	d.silence = silence
-	t.Cleanup(d.Watch(seq, 0, func(n engine.EndpointUpdate) { all <- n }))
-	return all
+	updates := make(chan engine.EndpointUpdate, 100)
+	client := NewClient(server.Listener.Addr().String(), true, slog.New(slog.DiscardHandler))
+	client.silenceTimeout = silenceTimeout
+	t.Cleanup(client.Watch(version, 0, func(update engine.EndpointUpdate) { updates <- update }))
+	return updates
+}
+
+// send writes text as a part of a response, and flushes it. The client may be disconnected: the error is ignored.
+func send(w http.ResponseWriter, text string) {
+	_, _ = io.WriteString(w, text)
+	w.(http.Flusher).Flush()
+}
+
+// sendUntilDisconnected sends text again and again.
+func sendUntilDisconnected(w http.ResponseWriter, r *http.Request, text string, interval time.Duration) {
+	for r.Context().Err() == nil {
+		send(w, text)
+		time.Sleep(interval)
+	}
 }
 
-const wholeList = `{"seq":43,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","class":"m","block":3,"health":"SERVING","share":1.0,"born_ms":0}]}`
+// hang waits until the client is disconnected.
+func hang(r *http.Request) { <-r.Context().Done() }
+
+// isListRequest reports whether the call is for the complete list, and not for a watch.
+func isListRequest(r *http.Request) bool { return r.URL.RawQuery == "" }
+
+const completeList43 = `{"seq":43,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1",` +
+	`"site":"a","class":"m","block":3,"health":"SERVING","share":1.0,"born_ms":0}]}`
 
 func TestWatch(t *testing.T) {
+	delta44 := strings.ReplaceAll(completeList43, `43,"whole":true`, `44,"whole":false`)
 	calls := make(chan string, 1)
-	all := watching(t, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
+	updates := startWatch(t, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.String()
-		fmt.Fprintf(w, "\n\n%s\n\n%s\n", wholeList, strings.ReplaceAll(wholeList, `43,"whole":true`, `44,"whole":false`))
+		_, _ = io.WriteString(w, "\n\n"+completeList43+"\n\n"+delta44+"\n")
 	})
 	if got := testutil.Receive(t, calls, "the call"); got != "/discovery/hosts?watch=1&from=41" {
-		t.Errorf("asked %s", got)
+		t.Errorf("called %s", got)
 	}
 	for i, want := range []struct {
-		kind  balancer.UpdateKind
-		seq   int64
-		hosts int
+		kind      balancer.UpdateKind
+		version   int64
+		endpoints int
 	}{
-		{balancer.Delta, 41, 0}, // the call is answered, and nothing has changed
-		{balancer.CompleteList, 43, 1}, {balancer.Delta, 44, 1},
+		{balancer.Delta, startVersion, 0}, // the call is answered, and nothing has changed
+		{balancer.CompleteList, 43, 1},
+		{balancer.Delta, 44, 1},
 		{balancer.WatchFailed, 44, 0}, // its connection ended
 	} {
-		n := testutil.Receive(t, all, "news")
-		if n.Kind != want.kind || n.Version != want.seq || len(n.Endpoints) != want.hosts {
-			t.Fatalf("news %d: %+v, want %+v", i, n, want)
+		got := testutil.Receive(t, updates, "an update")
+		if got.Kind != want.kind || got.Version != want.version || len(got.Endpoints) != want.endpoints {
+			t.Fatalf("update %d: %+v, want %+v", i, got, want)
 		}
 	}
 }
 
-// object is one of discovery's, with entries such as "a" or, of one that is gone, "-b".
-func object(seq int, whole bool, entries ...string) string {
+// eventJSON is an event of the discovery service, with endpoints such as "a" or, for one that is removed, "-b".
+func eventJSON(version int, complete bool, endpoints ...string) string {
 	var hosts []string
-	for _, e := range entries {
-		name, health := e, "SERVING"
-		if e[0] == '-' {
-			name, health = e[1:], "DELETED"
+	for _, endpoint := range endpoints {
+		name, health := endpoint, "SERVING"
+		if endpoint[0] == '-' {
+			name, health = endpoint[1:], "DELETED"
 		}
 		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","health":%q}`, name, health))
 	}
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, strings.Join(hosts, ","))
 }
 
-// From NoVersion on the whole list comes first, whatever the discovery counts from, and nothing older after it.
-func TestWholeListFirst(t *testing.T) {
+// A watch from NoVersion delivers the complete list first, whatever the lowest version of the service, and nothing
+// older after it.
+func TestCompleteListIsDeliveredFirst(t *testing.T) {
+	delta0 := eventJSON(0, false)
+	delta1 := eventJSON(1, false, "b")
+	list0 := eventJSON(0, true, "a")
 	for name, c := range map[string]struct {
 		watch []string
 		list  string
-		want  string // the last version, and what is held then; or a failure
+		want  string // the last version and the endpoints that are listed then, or a failure
 		calls int
 	}{
-		"0 is no version":         {[]string{object(3, true, "a"), object(4, false, "b")}, "", "4 [a b]", 1},
-		"0 is a list":             {[]string{object(0, false), object(1, false, "b")}, object(0, true, "a"), "1 [a b]", 2},
-		"nothing has changed":     {[]string{"", object(1, false, "b")}, object(0, true, "a"), "1 [a b]", 2},
-		"the list was newer":      {[]string{object(1, false, "b"), object(2, false, "-b"), object(3, false, "c")}, object(2, true, "a"), "3 [a c]", 2},
-		"the list is not whole":   {[]string{object(0, false)}, object(0, false, "a"), "failed -1", 2},
-		"the list cannot be read": {[]string{object(0, false)}, "{", "failed -1", 2},
+		"0 is no version":     {[]string{eventJSON(3, true, "a"), eventJSON(4, false, "b")}, "", "4 [a b]", 1},
+		"0 is a version":      {[]string{delta0, delta1}, list0, "1 [a b]", 2},
+		"nothing has changed": {[]string{"", delta1}, list0, "1 [a b]", 2},
+		"the list is newer": {
+			[]string{delta1, eventJSON(2, false, "-b"), eventJSON(3, false, "c")},
+			eventJSON(2, true, "a"), "3 [a c]", 2,
+		},
+		"the response is a delta":    {[]string{delta0}, eventJSON(0, false, "a"), "failed -1", 2},
+		"the response is unreadable": {[]string{delta0}, "{", "failed -1", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := make(chan string, 10)
-			all := watchingFrom(t, engine.NoVersion, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
-				calls <- r.URL.String()
-				if r.URL.RawQuery == "" {
-					io.WriteString(w, c.list)
-					return
-				}
-				io.WriteString(w, strings.Join(c.watch, "\n")+"\n")
-				w.(http.Flusher).Flush()
-				<-r.Context().Done()
-			})
-			held, got := map[string]bool{}, ""
-			for first := true; got != c.want; first = false { // lines may come before the list or after it
-				n := testutil.Receive(t, all, "news that lead to "+c.want+", after "+got)
-				if n.Kind == balancer.WatchFailed {
-					got = fmt.Sprint("failed ", n.Version)
+			updates := startWatchFrom(t, engine.NoVersion, testutil.Patience,
+				func(w http.ResponseWriter, r *http.Request) {
+					calls <- r.URL.String()
+					if isListRequest(r) {
+						_, _ = io.WriteString(w, c.list)
+						return
+					}
+					send(w, strings.Join(c.watch, "\n")+"\n")
+					hang(r)
+				})
+			listed, got := map[string]bool{}, ""
+			for first := true; got != c.want; first = false { // events may be delivered before the list or after it
+				update := testutil.Receive(t, updates, "an update that leads to "+c.want+", after "+got)
+				if update.Kind == balancer.WatchFailed {
+					got = fmt.Sprint("failed ", update.Version)
 					continue
 				}
-				if first && n.Kind != balancer.CompleteList {
-					t.Errorf("told %+v before the whole list", n)
+				if first && update.Kind != balancer.CompleteList {
+					t.Errorf("delivered %+v before the complete list", update)
 				}
-				hold(held, n)
-				got = fmt.Sprint(n.Version, " ", slices.Sorted(maps.Keys(held)))
+				apply(listed, update)
+				got = fmt.Sprint(update.Version, " ", slices.Sorted(maps.Keys(listed)))
 			}
 			if len(calls) != c.calls {
 				t.Errorf("%d calls, want %d", len(calls), c.calls)
@@ -126,180 +164,223 @@
 	}
 }
 
-// hold follows news in held, as the engine does.
-func hold(held map[string]bool, n engine.EndpointUpdate) {
-	if n.Kind == balancer.CompleteList {
-		clear(held)
+// apply applies an update to the listed endpoints, as the engine does.
+func apply(listed map[string]bool, update engine.EndpointUpdate) {
+	if update.Kind == balancer.CompleteList {
+		clear(listed)
 	}
-	for _, m := range n.Endpoints {
-		if delete(held, m.ID); m.State == balancer.Active {
-			held[m.ID] = true
+	for _, endpoint := range update.Endpoints {
+		delete(listed, endpoint.ID)
+		if endpoint.State == balancer.Active {
+			listed[endpoint.ID] = true
 		}
 	}
 }
 
-// A discovery to which the watch was moved tells changes at once: also while it turns away whoever asks for the whole list,
-// and that does not end the watch. Guards against drains that a moved sidecar had been written, and waited with.
-func TestMovedWatchTellsAtOnce(t *testing.T) {
-	for name, asked := range map[string]bool{"asked": true, "an agent": false} {
+// A discovery service to which the watch is migrated delivers changes at once, even while it rejects calls for the
+// complete list, and such a rejection does not end the watch. This prevents a migrated sidecar from withholding the
+// draining endpoints that it was notified of.
+func TestMigratedWatchDeliversAtOnce(t *testing.T) {
+	for name, shared := range map[string]bool{"shared service": true, "local agent": false} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if r.URL.RawQuery == "" {
+				if isListRequest(r) {
 					w.WriteHeader(http.StatusServiceUnavailable)
 					return
 				}
-				io.WriteString(w, object(5, false, "b", "-a")+"\n")
-				w.(http.Flusher).Flush()
-				<-r.Context().Done()
+				send(w, eventJSON(5, false, "b", "-a")+"\n")
+				hang(r)
 			}))
 			defer server.Close()
-			all := make(chan engine.EndpointUpdate, 100)
-			defer NewClient(server.Listener.Addr().String(), asked, slog.New(slog.DiscardHandler)).
-				Watch(engine.UnknownVersion, 0, func(n engine.EndpointUpdate) { all <- n })()
-			if n := testutil.Receive(t, all, "what changed"); n.Kind != balancer.Delta || n.Version != 5 || len(n.Endpoints) != 2 {
-				t.Fatalf("told %+v", n)
+			updates := make(chan engine.EndpointUpdate, 100)
+			client := NewClient(server.Listener.Addr().String(), shared, slog.New(slog.DiscardHandler))
+			deliver := func(update engine.EndpointUpdate) { updates <- update }
+			defer client.Watch(engine.UnknownVersion, 0, deliver)()
+			update := testutil.Receive(t, updates, "the change")
+			if update.Kind != balancer.Delta || update.Version != 5 || len(update.Endpoints) != 2 {
+				t.Fatalf("delivered %+v", update)
 			}
 		})
 	}
 }
 
-// A watch that cannot go on has to be reported, or the module would believe an old list for ever.
+// A watch that cannot go on has to be reported, or the balancer would use an old list forever.
 func TestWatchFails(t *testing.T) {
 	for name, c := range map[string]struct {
-		silence time.Duration
-		serve   http.HandlerFunc
-		want    string
+		silenceTimeout time.Duration
+		serve          http.HandlerFunc
+		want           string
 	}{
-		"turned away": {testutil.Patience, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, "503"},
-		"broken":      {testutil.Patience, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ""},
-		// Guards against a discovery that is cut off: the connection stays open and says nothing.
-		"silent from the start": {50 * time.Millisecond, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, "nothing came"},
-		"silent later": {50 * time.Millisecond, func(w http.ResponseWriter, r *http.Request) {
-			w.WriteHeader(http.StatusOK)
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-		}, "nothing came"},
+		"rejected": {
+			testutil.Patience,
+			func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+			"503",
+		},
+		"reset": {
+			testutil.Patience,
+			func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+			"",
+		},
+		// This is a discovery service that is cut off: the connection stays open and no data arrives.
+		"silent from the start": {
+			50 * time.Millisecond,
+			func(_ http.ResponseWriter, r *http.Request) { hang(r) },
+			"no data received",
+		},
+		"silent after the headers": {
+			50 * time.Millisecond,
+			func(w http.ResponseWriter, r *http.Request) {
+				w.WriteHeader(http.StatusOK)
+				w.(http.Flusher).Flush()
+				hang(r)
+			},
+			"no data received",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := testutil.Receive(t, watching(t, c.silence, c.serve), "the failure")
-			if n.Kind != balancer.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), c.want) {
-				t.Errorf("%+v, want a failure with %q", n, c.want)
+			update := testutil.Receive(t, startWatch(t, c.silenceTimeout, c.serve), "the failure")
+			if update.Kind != balancer.WatchFailed || update.Err == nil ||
+				!strings.Contains(update.Err.Error(), c.want) {
+				t.Errorf("%+v, want a failure with %q", update, c.want)
 			}
 		})
 	}
 }
 
-// What an unreadable line said is missing from then on: the whole list has to be asked for.
-func TestUnreadableLine(t *testing.T) {
-	all := watching(t, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, wholeList+"\n{\"seq\":44,}\n")
-		w.(http.Flusher).Flush()
-		<-r.Context().Done()
+// The changes in an unreadable event are missing from then on: the complete list has to be requested.
+func TestUnreadableEvent(t *testing.T) {
+	updates := startWatch(t, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
+		send(w, completeList43+"\n{\"seq\":44,}\n")
+		hang(r)
 	})
-	testutil.Receive(t, all, "the list")
-	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed || n.Version != engine.UnknownVersion {
-		t.Errorf("%+v, want a failure that goes on from the whole list", n)
+	testutil.Receive(t, updates, "the list")
+	update := testutil.Receive(t, updates, "the failure")
+	if update.Kind != balancer.WatchFailed || update.Version != engine.UnknownVersion {
+		t.Errorf("%+v, want a failure that resumes from the complete list", update)
 	}
 }
 
-func TestDiscoveryIsDown(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestServiceIsDown(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Close()
-	all := make(chan engine.EndpointUpdate, 1)
-	defer NewClient(l.Addr().String(), true, slog.New(slog.DiscardHandler)).Watch(1, 0, func(n engine.EndpointUpdate) { all <- n })()
-	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed {
-		t.Errorf("%+v", n)
+	listener.Close()
+	updates := make(chan engine.EndpointUpdate, 1)
+	client := NewClient(listener.Addr().String(), true, slog.New(slog.DiscardHandler))
+	defer client.Watch(1, 0, func(update engine.EndpointUpdate) { updates <- update })()
+	if update := testutil.Receive(t, updates, "the failure"); update.Kind != balancer.WatchFailed {
+		t.Errorf("%+v", update)
 	}
 }
 
-// Lists may come indented: whole ones and those of a watch, over many lines, in pieces, several at once, with braces inside
-// strings. An empty line is a sign of life between two, and none inside of one.
-func TestIndentedLists(t *testing.T) {
+// Events and complete lists may be indented: over many lines, in pieces, several at once, with braces in strings. An
+// empty line is a sign of life between two objects, and none within one.
+func TestIndentedEvents(t *testing.T) {
 	indent := func(text string) string {
+		t.Helper()
 		var out bytes.Buffer
 		if err := json.Indent(&out, []byte(text), "", "\t"); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
 	}
-	odd := strings.ReplaceAll(object(3, false, "c"), `"127.0.0.1:1"`, `"}{\"]:1"`)
+	first := eventJSON(1, true, "a")
+	second := eventJSON(2, false, "b")
+	braces := strings.ReplaceAll(eventJSON(3, false, "c"), `"127.0.0.1:1"`, `"}{\"]:1"`)
 	for name, pieces := range map[string][]string{
-		"a line each":       {object(1, true, "a") + "\n", object(2, false, "b") + "\n", odd + "\n"},
-		"indented":          {indent(object(1, true, "a")) + "\n", indent(object(2, false, "b")) + "\n", indent(odd) + "\n"},
-		"in one piece":      {indent(object(1, true, "a")) + object(2, false, "b") + "\r\n\r\n" + indent(odd)},
-		"byte by byte":      strings.Split(indent(object(1, true, "a"))+"\n\n\n"+indent(object(2, false, "b"))+indent(odd), ""),
-		"no line's end yet": {object(1, true, "a"), object(2, false, "b"), odd},
+		"a line each":     {first + "\n", second + "\n", braces + "\n"},
+		"indented":        {indent(first) + "\n", indent(second) + "\n", indent(braces) + "\n"},
+		"in one piece":    {indent(first) + second + "\r\n\r\n" + indent(braces)},
+		"byte by byte":    strings.Split(indent(first)+"\n\n\n"+indent(second)+indent(braces), ""),
+		"no line end yet": {first, second, braces},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all := watchingFrom(t, engine.NoVersion, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
-				for _, p := range pieces {
-					io.WriteString(w, p)
-					w.(http.Flusher).Flush()
-				}
-				<-r.Context().Done()
-			})
-			held := map[string]bool{}
-			for seq := int64(0); seq < 3; {
-				n := testutil.Receive(t, all, "the news")
-				if n.Kind == balancer.WatchFailed {
-					t.Fatalf("failed: %v", n.Err)
+			updates := startWatchFrom(t, engine.NoVersion, testutil.Patience,
+				func(w http.ResponseWriter, r *http.Request) {
+					for _, piece := range pieces {
+						send(w, piece)
+					}
+					hang(r)
+				})
+			listed := map[string]bool{}
+			for version := int64(0); version < 3; {
+				update := testutil.Receive(t, updates, "the update")
+				if update.Kind == balancer.WatchFailed {
+					t.Fatalf("failed: %v", update.Err)
 				}
-				hold(held, n)
-				seq = n.Version
+				apply(listed, update)
+				version = update.Version
 			}
-			if got := fmt.Sprint(slices.Sorted(maps.Keys(held))); got != "[a b c]" {
-				t.Errorf("it holds %s", got)
+			if got := fmt.Sprint(slices.Sorted(maps.Keys(listed))); got != "[a b c]" {
+				t.Errorf("listed: %s", got)
 			}
 		})
 	}
 }
 
-// A watch that falls silent is given up in time wherever it does so, also where bytes go on to come that make no object; what
-// it may have brought in part is asked for anew.
+// A watch that falls silent is abandoned in time wherever it does so, even if bytes go on to arrive that do not
+// complete an event; what it may have delivered in part is requested again.
 func TestSilenceAnywhere(t *testing.T) {
-	trickle := func(w http.ResponseWriter, r *http.Request, text string) {
-		io.WriteString(w, text)
-		for r.Context().Err() == nil {
-			io.WriteString(w, " ")
-			w.(http.Flusher).Flush()
-			time.Sleep(5 * time.Millisecond)
-		}
-	}
+	const interval = 5 * time.Millisecond
 	for name, c := range map[string]struct {
-		serve func(w http.ResponseWriter, r *http.Request)
-		from  int64
+		serve http.HandlerFunc
+		start int64 // 0: startVersion
+		want  int64 // the version to resume from
 	}{
-		"before the headers":    {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, 41},
-		"before the first line": {func(w http.ResponseWriter, r *http.Request) { w.(http.Flusher).Flush(); <-r.Context().Done() }, 41},
-		"after an empty line": {func(w http.ResponseWriter, r *http.Request) {
-			io.WriteString(w, "\n")
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-		}, 41},
-		"bytes between two":         {func(w http.ResponseWriter, r *http.Request) { trickle(w, r, "\n") }, 41},
-		"bytes inside of one":       {func(w http.ResponseWriter, r *http.Request) { trickle(w, r, `{"seq":44,`) }, engine.UnknownVersion},
-		"while the list is awaited": {func(w http.ResponseWriter, r *http.Request) { silentList(w, r) }, engine.UnknownVersion},
-		"in the middle of an object": {func(w http.ResponseWriter, r *http.Request) {
-			io.WriteString(w, `{"seq":44,`)
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-		}, engine.UnknownVersion},
+		"before the headers": {
+			serve: func(_ http.ResponseWriter, r *http.Request) { hang(r) },
+			want:  startVersion,
+		},
+		"before the first event": {
+			serve: func(w http.ResponseWriter, r *http.Request) {
+				w.(http.Flusher).Flush()
+				hang(r)
+			},
+			want: startVersion,
+		},
+		"after an empty line": {
+			serve: func(w http.ResponseWriter, r *http.Request) {
+				send(w, "\n")
+				hang(r)
+			},
+			want: startVersion,
+		},
+		"bytes between two events": {
+			serve: func(w http.ResponseWriter, r *http.Request) {
+				_, _ = io.WriteString(w, "\n")
+				sendUntilDisconnected(w, r, " ", interval)
+			},
+			want: startVersion,
+		},
+		"bytes within an event": {
+			serve: func(w http.ResponseWriter, r *http.Request) {
+				_, _ = io.WriteString(w, `{"seq":44,`)
+				sendUntilDisconnected(w, r, " ", interval)
+			},
+			want: engine.UnknownVersion,
+		},
+		"while the list is awaited": {
+			serve: serveDeltaAndNoList,
+			start: engine.UnknownVersion,
+			want:  engine.UnknownVersion,
+		},
+		"in the middle of an event": {
+			serve: func(w http.ResponseWriter, r *http.Request) {
+				send(w, `{"seq":44,`)
+				hang(r)
+			},
+			want: engine.UnknownVersion,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			from := int64(41)
-			if name == "while the list is awaited" {
-				from = engine.UnknownVersion
-			}
-			all := watchingFrom(t, from, 200*time.Millisecond, c.serve)
+			updates := startWatchFrom(t, cmp.Or(c.start, startVersion), 200*time.Millisecond, c.serve)
 			for {
-				n := testutil.Receive(t, all, "the failure")
-				if n.Kind == balancer.WatchFailed {
-					if n.Version != c.from {
-						t.Errorf("it goes on from %d, want %d", n.Version, c.from)
+				update := testutil.Receive(t, updates, "the failure")
+				if update.Kind == balancer.WatchFailed {
+					if update.Version != c.want {
+						t.Errorf("it resumes from %d, want %d", update.Version, c.want)
 					}
 					return
 				}
@@ -308,35 +389,32 @@
 	}
 }
 
-// silentList tells a change and never the whole list.
-func silentList(w http.ResponseWriter, r *http.Request) {
-	if r.URL.RawQuery != "" {
-		io.WriteString(w, object(44, false, "b")+"\n")
+// serveDeltaAndNoList delivers a change and never the complete list.
+func serveDeltaAndNoList(w http.ResponseWriter, r *http.Request) {
+	if !isListRequest(r) {
+		_, _ = io.WriteString(w, eventJSON(44, false, "b")+"\n")
 	}
 	w.(http.Flusher).Flush()
-	<-r.Context().Done()
+	hang(r)
 }
 
-// A call for the whole list that never ends, beside a watch that goes on, is given up, after others beside it, and the watch
-// with it where nothing is held.
-func TestWholeListThatNeverEnds(t *testing.T) {
+// A call for the complete list that never ends, beside a watch that goes on, is abandoned after it was hedged, and the
+// watch with it if there is no list.
+func TestCompleteListNeverEnds(t *testing.T) {
 	var calls atomic.Int32
-	all := watchingFrom(t, engine.NoVersion, 200*time.Millisecond, func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery == "" {
-			calls.Add(1)
-			io.WriteString(w, `{"seq":44,`)
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-			return
-		}
-		io.WriteString(w, object(44, false, "b")+"\n")
-		for r.Context().Err() == nil {
-			io.WriteString(w, "\n")
-			w.(http.Flusher).Flush()
-			time.Sleep(20 * time.Millisecond)
-		}
-	})
-	if n := testutil.Receive(t, all, "the failure"); n.Kind != balancer.WatchFailed || calls.Load() != backoff.MaxAttempts {
-		t.Errorf("%+v after %d calls", n, calls.Load())
+	updates := startWatchFrom(t, engine.NoVersion, 200*time.Millisecond,
+		func(w http.ResponseWriter, r *http.Request) {
+			if isListRequest(r) {
+				calls.Add(1)
+				send(w, `{"seq":44,`)
+				hang(r)
+				return
+			}
+			_, _ = io.WriteString(w, eventJSON(44, false, "b")+"\n")
+			sendUntilDisconnected(w, r, "\n", 20*time.Millisecond)
+		})
+	update := testutil.Receive(t, updates, "the failure")
+	if update.Kind != balancer.WatchFailed || calls.Load() != backoff.MaxAttempts {
+		t.Errorf("%+v after %d calls", update, calls.Load())
 	}
 }
