--- a/cmd/hazelwing/store.go
+++ b/cmd/hazelwing/store.go
@@ -59,8 +59,8 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FINGERPRINT\tCLASS\tEFFECT\tSTATE\tINTENDED\tEXPIRES\tWHERE")
 	for _, r := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Fingerprint, r.Class, r.Effect, r.State, r.Since.Format(time.RFC3339),
-			r.Expires.Format(time.RFC3339), r.Where)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Fingerprint, r.Class, r.Effect, r.State, r.IntendedAt.Format(time.RFC3339),
+			r.ExpiresAt.Format(time.RFC3339), r.Locations)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -97,7 +97,7 @@
 }
 
 func compact(out io.Writer, dir string, fs store.FS, asJSON bool) (err error) {
-	s, err := store.Open(fs, store.Options{Manual: true, Now: middleware.Latest(fs)})
+	s, err := store.Open(fs, store.Options{Manual: true, Now: middleware.CompactionClock(fs)})
 	if err != nil {
 		return fmt.Errorf("%s: %w", dir, err)
 	}
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -30,10 +30,10 @@
 	now := time.Now()
 	at := func(d time.Duration) idempotency.Time { return idempotency.Time(now.Add(d).UnixMilli()) }
 	for key, r := range map[string]idempotency.Record{
-		"a": {Effect: balancer.NonIdempotent, Class: "confirm-booking", State: idempotency.Open, Since: at(0), Expires: at(time.Hour), Places: []idempotency.Place{{Zone: "upper-hill"}}},
-		"b": {Effect: balancer.Keyed, Class: "payment-record", State: idempotency.Ran, Since: at(-time.Minute), Expires: at(time.Hour), Places: []idempotency.Place{{Zone: "athi-river"}}},
+		"a": {Effect: balancer.NonIdempotent, Class: "confirm-booking", State: idempotency.StateOpen, IntendedAt: at(0), ExpiresAt: at(time.Hour), Locations: []idempotency.Location{{Zone: "upper-hill"}}},
+		"b": {Effect: balancer.Keyed, Class: "payment-record", State: idempotency.StateExecuted, IntendedAt: at(-time.Minute), ExpiresAt: at(time.Hour), Locations: []idempotency.Location{{Zone: "athi-river"}}},
 	} {
-		fp := idempotency.FingerprintOf(r.Class, "", key)
+		fp := idempotency.NewFingerprint(r.Class, "", key)
 		for range 3 {
 			if err := s.Put(string(fp[:]), r.Append(nil), now.Add(time.Hour)); err != nil {
 				t.Fatal(err)
@@ -48,8 +48,8 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	out, err = execute("store", "inspect", dir, "--json")
-	var list []middleware.Remembered
-	if e := json.Unmarshal([]byte(out), &list); err != nil || e != nil || len(list) != 2 || list[1].State != "open" || list[1].Where != "upper-hill/0" {
+	var list []middleware.RecordInfo
+	if e := json.Unmarshal([]byte(out), &list); err != nil || e != nil || len(list) != 2 || list[1].State != "open" || list[1].Locations != "upper-hill/0" {
 		t.Errorf("%v, %v\n%s", err, e, out)
 	}
 	s.Close()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,10 +34,10 @@
 	front  *httpfront.Server
 	// members is discovery and the sources beside it; nil: there are none.
 	members *mergedsource.Source
-	list    *relay.Source     // discovery's list by way of the fleet; nil: from discovery alone
-	fleet   *node.Part        // the other sidecars; nil: they are not known
-	guard   *middleware.Guard // nil: there is no ledger of effects
-	admin   net.Listener      // nil: there is no endpoint
+	list    *relay.Source            // discovery's list by way of the fleet; nil: from discovery alone
+	fleet   *node.Part               // the other sidecars; nil: they are not known
+	guard   *middleware.Deduplicator // nil: there is no ledger of effects
+	admin   net.Listener             // nil: there is no endpoint
 	extras  []*extra
 	asked   bool // discovery is one service for all, and not an agent on this machine
 	log     *slog.Logger
@@ -167,7 +167,7 @@
 		p["recovery"] = func() any { return s.list.State() }
 	}
 	if s.guard != nil {
-		p["ledger"] = func() any { return s.guard.State() }
+		p["ledger"] = func() any { return s.guard.Status() }
 	}
 	for _, x := range s.extras {
 		p[x.name] = x.state
--- a/internal/daemon/extra.go
+++ b/internal/daemon/extra.go
@@ -53,7 +53,7 @@
 	if op.Members != nil && op.Members.SRV != nil {
 		n += 2 * len(op.Members.SRV.Servers) // a question by datagram and one by stream
 	}
-	if l := op.Ledger; l != nil && l.Durable != middleware.Off {
+	if l := op.Ledger; l != nil && l.Durable != middleware.DurabilityOff {
 		n += ledgerFiles + int(l.MaxSize/max(l.SegmentSize, 1)) // its segments
 	}
 	return n
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -12,7 +12,7 @@
 )
 
 // openLedger opens the ledger of effects as the operator's file says.
-func openLedger(o *operator.Ledger, set balancer.Settings, log *slog.Logger) (*middleware.Guard, error) {
+func openLedger(o *operator.Ledger, set balancer.Settings, log *slog.Logger) (*middleware.Deduplicator, error) {
 	remember := time.Duration(o.Remember)
 	for _, c := range set.Classes {
 		// Until its last attempt has ended, and as long as others could take its repeat for the same.
@@ -20,13 +20,13 @@
 			return nil, fmt.Errorf("ledger.remember: %v is too short for the class %s, which needs %v", remember, c.Name, least)
 		}
 	}
-	cfg := middleware.Config{Classes: set.Classes, Durability: o.Durable, Trouble: o.OnFailure, Remember: remember,
-		MaxEntries: int(o.MaxEntries), Clocks: middleware.Clocks, Log: log,
+	cfg := middleware.Config{Classes: set.Classes, Durability: o.Durable, OnFailure: o.OnFailure, Retention: remember,
+		MaxEntries: int(o.MaxEntries), Clocks: middleware.MachineClocks(), Logger: log,
 		Store: store.Options{SegmentSize: int64(o.SegmentSize), MaxBytes: int64(o.MaxSize), SyncEvery: time.Duration(o.SyncEvery)}}
 	if set.RetryAfter {
-		cfg.RetryIn = set.MaxRetryAfter
+		cfg.RetryAfter = set.MaxRetryAfter
 	}
-	if o.Durable != middleware.Off {
+	if o.Durable != middleware.DurabilityOff {
 		var err error
 		if cfg.FS, err = store.Dir(o.Dir); err != nil {
 			return nil, fmt.Errorf("ledger.dir: %w", err)
--- a/internal/daemon/ledger_test.go
+++ b/internal/daemon/ledger_test.go
@@ -72,7 +72,7 @@
 		b, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(b)
 	}
-	var state middleware.State
+	var state middleware.Status
 	status, body := get("/ledger")
 	if err := json.Unmarshal([]byte(body), &state); status != 200 || err != nil || state.Remembered != 1 || state.Failed != 1 || state.Store.Segments == 0 {
 		t.Errorf("%d %v %s", status, err, body)
--- a/internal/idempotency/clock.go
+++ b/internal/idempotency/clock.go
@@ -2,57 +2,66 @@
 
 import "time"
 
-// Time is a point of the ledger's own line of time, in milliseconds. It goes on over restarts and never goes back: while
-// the machine is up it follows the machine's boot clock, whatever becomes of wall time, and a restart of the machine
-// continues it by wall time, where that has moved on.
+// Time is a point on the timeline of the records, in milliseconds. The timeline continues over restarts of the program
+// and never goes back: while the machine is up it follows the machine's boot clock, whatever happens to wall time, and
+// after a restart of the machine it continues at wall time, if that is later.
 type Time int64
 
-// Reading is what the machine's clocks say.
+// Reading holds the values of the machine's clocks at one moment.
 type Reading struct {
-	Boot string        // names this run of the machine
-	Up   time.Duration // since it began, sleep included
-	Wall time.Time
+	BootID string        // identifies the machine's boot
+	Uptime time.Duration // since that boot, including sleep
+	Wall   time.Time
 }
 
-// Saved is where a line of time was taken up, as the disk keeps it.
-type Saved struct {
-	Boot   string
-	Up     time.Duration
-	At     Time
-	Number uint32 // of the machine's run, counted
+// ClockState is the stored state of a Clock: the point at which its timeline was started or continued.
+type ClockState struct {
+	BootID     string
+	Uptime     time.Duration
+	Time       Time
+	BootNumber uint32 // counts the boots of the machine that the timeline has seen, from 1
 }
 
-// Line is the line of time of one life of the program.
-type Line struct{ Saved }
+// Clock is the timeline of one run of the program.
+type Clock struct{ ClockState }
 
-// Resume takes up a line of time: saved is what the last life was told to keep (zero: none), last the latest Time that
-// is known to have been. What the returned line has Saved is to be kept where it differs.
-func Resume(saved Saved, last Time, r Reading) Line {
-	if saved.Number > 0 && saved.Boot == r.Boot && r.Up >= saved.Up {
-		return Line{saved}
+// ResumeClock continues a timeline. stored is the state that the last run of the program stored, zero if there is none;
+// latest is the latest Time that any record mentions. The caller stores the state of the returned Clock if it differs
+// from stored.
+func ResumeClock(stored ClockState, latest Time, reading Reading) Clock {
+	if stored.BootNumber > 0 && stored.BootID == reading.BootID && reading.Uptime >= stored.Uptime {
+		return Clock{stored}
 	}
-	return Line{Saved{Boot: r.Boot, Up: r.Up, At: max(Time(r.Wall.UnixMilli()), last, saved.At), Number: saved.Number + 1}}
+	return Clock{ClockState{
+		BootID:     reading.BootID,
+		Uptime:     reading.Uptime,
+		Time:       max(Time(reading.Wall.UnixMilli()), latest, stored.Time),
+		BootNumber: stored.BootNumber + 1,
+	}}
 }
 
-// Now is the line's point at a time that the machine has been up for.
-func (l Line) Now(up time.Duration) Now {
-	return Now{At: l.At + Time((up - l.Up).Milliseconds()), Boot: l.Number}
+// At returns the instant at which the machine has been up for uptime.
+func (c Clock) At(uptime time.Duration) Instant {
+	return Instant{
+		Time:       c.Time + Time((uptime - c.Uptime).Milliseconds()),
+		BootNumber: c.BootNumber,
+	}
 }
 
-// Now is a point of time, and the run of the machine that it is in.
-type Now struct {
-	At   Time
-	Boot uint32
+// Instant is a point on the timeline together with the boot of the machine in which it was read.
+type Instant struct {
+	Time       Time
+	BootNumber uint32
 }
 
-// forever is longer than anything is remembered.
-const forever = 100 * 365 * 24 * time.Hour
+// unmeasured is the duration between instants of different boots. It is longer than any retention.
+const unmeasured = 100 * 365 * 24 * time.Hour
 
-// AtMost is how much time has passed at most since another point: forever, where the machine was restarted between, since
-// nothing has measured that.
-func (n Now) AtMost(then Time, boot uint32) time.Duration {
-	if boot != n.Boot {
-		return forever
+// MaxElapsedSince returns an upper bound of the time that has passed since an earlier instant. Between instants of
+// different boots nothing has measured the time, and the bound is longer than any retention.
+func (i Instant) MaxElapsedSince(earlier Time, bootNumber uint32) time.Duration {
+	if bootNumber != i.BootNumber {
+		return unmeasured
 	}
-	return time.Duration(n.At-then+1) * time.Millisecond // both were cut to whole milliseconds
+	return time.Duration(i.Time-earlier+1) * time.Millisecond // both were truncated to whole milliseconds
 }
--- /dev/null
+++ b/internal/idempotency/encoding.go
@@ -0,0 +1,134 @@
+package idempotency
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"time"
+
+	"hazelwing/balancer"
+)
+
+// formatVersion is the version of the encodings of Record and ClockState. Numbers are little-endian; a Record is
+//
+//	version (1) | effect (1) | state (1) | intended at (8) | expires at (8) | class: length (1), text |
+//	locations: count (1), each: sent at (8) | boot number (4) | cell (4) | zone: length (1), text
+const formatVersion = 1
+
+// Limits of the encoding, whose lengths and counts take one byte. A record has one location as a rule; further ones are
+// in the same idempotency scope by the balancer's choice.
+const (
+	maxTextBytes = 255
+	maxLocations = 255
+)
+
+// ErrFormat is returned for stored data that is not in a format that this version of the program reads.
+var ErrFormat = errors.New("idempotency: stored data has an unknown format")
+
+// Append appends the encoding of the record to b. Class and zone names are truncated to 255 bytes.
+func (r *Record) Append(b []byte) []byte {
+	b = append(b, formatVersion, byte(r.Effect), byte(r.State))
+	b = binary.LittleEndian.AppendUint64(b, uint64(r.IntendedAt))
+	b = binary.LittleEndian.AppendUint64(b, uint64(r.ExpiresAt))
+	b = appendText(b, r.Class)
+	locations := r.Locations[:min(len(r.Locations), maxLocations)]
+	b = append(b, byte(len(locations)))
+	for _, location := range locations {
+		b = binary.LittleEndian.AppendUint64(b, uint64(location.SentAt))
+		b = binary.LittleEndian.AppendUint32(b, location.BootNumber)
+		b = binary.LittleEndian.AppendUint32(b, uint32(location.Cell))
+		b = appendText(b, location.Zone)
+	}
+	return b
+}
+
+func appendText(b []byte, text string) []byte {
+	text = text[:min(len(text), maxTextBytes)]
+	b = append(b, byte(len(text)))
+	return append(b, text...)
+}
+
+// ParseRecord decodes a record. Its errors wrap ErrFormat.
+func ParseRecord(data []byte) (Record, error) {
+	d := decoder{rest: data}
+	if err := d.version(); err != nil {
+		return Record{}, err
+	}
+	r := Record{
+		Effect:     balancer.Effect(d.byte()),
+		State:      State(d.byte()),
+		IntendedAt: Time(d.uint64()),
+		ExpiresAt:  Time(d.uint64()),
+		Class:      d.text(),
+	}
+	for range d.byte() {
+		r.Locations = append(r.Locations, Location{
+			SentAt:     Time(d.uint64()),
+			BootNumber: d.uint32(),
+			Cell:       int(int32(d.uint32())),
+			Zone:       d.text(),
+		})
+	}
+	isValid := r.Effect == balancer.Keyed || r.Effect == balancer.NonIdempotent
+	isValid = isValid && r.State >= StateOpen && r.State <= StateExecuted
+	if d.truncated || len(d.rest) > 0 || !isValid {
+		return Record{}, ErrFormat
+	}
+	return r, nil
+}
+
+// Append appends the encoding of the clock's state to b: version (1) | time (8) | uptime, ns (8) | boot number (4) |
+// boot ID.
+func (s *ClockState) Append(b []byte) []byte {
+	b = append(b, formatVersion)
+	b = binary.LittleEndian.AppendUint64(b, uint64(s.Time))
+	b = binary.LittleEndian.AppendUint64(b, uint64(s.Uptime))
+	b = binary.LittleEndian.AppendUint32(b, s.BootNumber)
+	return append(b, s.BootID...)
+}
+
+// ParseClockState decodes the state of a clock. Its errors wrap ErrFormat.
+func ParseClockState(data []byte) (ClockState, error) {
+	d := decoder{rest: data}
+	if err := d.version(); err != nil {
+		return ClockState{}, err
+	}
+	s := ClockState{
+		Time:       Time(d.uint64()),
+		Uptime:     time.Duration(d.uint64()),
+		BootNumber: d.uint32(),
+	}
+	if d.truncated {
+		return ClockState{}, ErrFormat
+	}
+	s.BootID = string(d.rest)
+	return s, nil
+}
+
+// decoder reads an encoding from its start. After a read beyond the end it is truncated and returns zeros.
+type decoder struct {
+	rest      []byte
+	truncated bool
+}
+
+func (d *decoder) take(n int) []byte {
+	if len(d.rest) < n {
+		d.truncated, d.rest = true, nil
+		return make([]byte, n)
+	}
+	taken := d.rest[:n]
+	d.rest = d.rest[n:]
+	return taken
+}
+
+func (d *decoder) version() error {
+	if v := d.byte(); d.truncated || v != formatVersion {
+		return fmt.Errorf("%w: version %d", ErrFormat, v)
+	}
+	return nil
+}
+
+func (d *decoder) byte() byte     { return d.take(1)[0] }
+func (d *decoder) uint32() uint32 { return binary.LittleEndian.Uint32(d.take(4)) }
+func (d *decoder) uint64() uint64 { return binary.LittleEndian.Uint64(d.take(8)) }
+func (d *decoder) text() string   { return string(d.take(int(d.byte()))) }
--- /dev/null
+++ b/internal/idempotency/encoding_test.go
@@ -0,0 +1,122 @@
+package idempotency
+
+import (
+	"encoding/hex"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"hazelwing/balancer"
+)
+
+// storedEncodings are the encodings that 593ba64 wrote of storedRecords and storedClocks, a line each: name,
+// hexadecimal digits.
+//
+//nolint:lll // one line an encoding
+const storedEncodings = `unsafe-open 01020101a35635a2010000c2ca5f35a201000004626f6f6b0103a35635a201000001000000000000000161
+keyed-unknown 01010204000000000000000500000000000000037061790206000000000000000403020107000000067a6f6e652d32f8ffffffffffffff09000000ffffffff00
+keyed-ran 010103f6ffffffffffffff00000000000000100000
+time 010ca35635a20100000ba0b830460300000d000000626f6f742d6f662d35393362613634
+time-of-nothing 010000000000000000000000000000000000000000
+fingerprint cb30dce5ed4527e8770d1a13e6a9b3d9
+`
+
+var storedRecords = []struct {
+	name string
+	Record
+}{
+	{"unsafe-open", Record{
+		Effect:     balancer.NonIdempotent,
+		Class:      "book",
+		State:      StateOpen,
+		IntendedAt: 1_796_191_200_001,
+		ExpiresAt:  1_796_191_800_002,
+		Locations:  []Location{{Zone: "a", Cell: 0, SentAt: 1_796_191_200_003, BootNumber: 1}},
+	}},
+	{"keyed-unknown", Record{
+		Effect:     balancer.Keyed,
+		Class:      "pay",
+		State:      StateUnknown,
+		IntendedAt: 4,
+		ExpiresAt:  5,
+		Locations: []Location{
+			{Zone: "zone-2", Cell: 7, SentAt: 6, BootNumber: 0x01020304},
+			{Zone: "", Cell: -1, SentAt: -8, BootNumber: 9},
+		},
+	}},
+	{"keyed-ran", Record{
+		Effect:     balancer.Keyed,
+		Class:      "",
+		State:      StateExecuted,
+		IntendedAt: -10,
+		ExpiresAt:  1 << 60,
+	}},
+}
+
+var storedClocks = []struct {
+	name string
+	ClockState
+}{
+	{"time", ClockState{
+		BootID:     "boot-of-593ba64",
+		Uptime:     time.Hour + 11,
+		Time:       1_796_191_200_012,
+		BootNumber: 13,
+	}},
+	{"time-of-nothing", ClockState{}},
+}
+
+// Records, clocks and fingerprints are encoded as in 593ba64, and decoded as what they were.
+func TestEncodingsAreStable(t *testing.T) {
+	var out strings.Builder
+	for _, r := range storedRecords {
+		data := r.Append(nil)
+		fmt.Fprintln(&out, r.name, hex.EncodeToString(data))
+		if decoded, err := ParseRecord(data); err != nil || !reflect.DeepEqual(decoded, r.Record) {
+			t.Errorf("%s is read as %+v, %v", r.name, decoded, err)
+		}
+	}
+	for _, s := range storedClocks {
+		data := s.Append(nil)
+		fmt.Fprintln(&out, s.name, hex.EncodeToString(data))
+		if decoded, err := ParseClockState(data); err != nil || decoded != s.ClockState {
+			t.Errorf("%s is read as %+v, %v", s.name, decoded, err)
+		}
+	}
+	fmt.Fprintln(&out, "fingerprint", NewFingerprint("book", "tenant", "key"))
+	if got := out.String(); got != storedEncodings {
+		t.Errorf("they are\n%s, want\n%s", got, storedEncodings)
+	}
+}
+
+// A record is decoded as what was encoded, and no encoding that is cut or longer is decoded.
+func TestRecordEncoding(t *testing.T) {
+	want := Record{
+		Effect:     balancer.Keyed,
+		Class:      "pay",
+		State:      StateUnknown,
+		IntendedAt: 5,
+		ExpiresAt:  7,
+		Locations: []Location{
+			{Zone: "a", Cell: -3, SentAt: 6, BootNumber: 9},
+			{Zone: "", Cell: 4, SentAt: 8},
+		},
+	}
+	data := want.Append(nil)
+	if got, err := ParseRecord(data); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded as %+v, %v", got, err)
+	}
+	for n := range data {
+		if _, err := ParseRecord(data[:n]); err == nil {
+			t.Errorf("cut at byte %d of %d, it is decoded", n, len(data))
+		}
+	}
+	if _, err := ParseRecord(append(data, 0)); err == nil {
+		t.Error("a record with a further byte is decoded")
+	}
+	if NewFingerprint("a", "bc", "d") == NewFingerprint("ab", "c", "d") {
+		t.Error("two requests have the same fingerprint")
+	}
+}
--- a/internal/idempotency/middleware/clocks.go
+++ b/internal/idempotency/middleware/clocks.go
@@ -7,13 +7,12 @@
 	"hazelwing/internal/idempotency"
 )
 
-var (
-	processBegan = time.Now()
-	processName  = fmt.Sprint("process ", processBegan.UnixNano())
-)
-
-// processClocks are for machines that have no clock which counts on over restarts of the program: each process is a run
-// of the machine of its own.
-func processClocks() idempotency.Reading {
-	return idempotency.Reading{Boot: processName, Up: time.Since(processBegan), Wall: time.Now()}
+// processClocks returns clocks for a machine without a clock that continues over restarts of the program: the process
+// counts as a boot of the machine.
+func processClocks() func() idempotency.Reading {
+	start := time.Now()
+	bootID := fmt.Sprint("process ", start.UnixNano())
+	return func() idempotency.Reading {
+		return idempotency.Reading{BootID: bootID, Uptime: time.Since(start), Wall: time.Now()}
+	}
 }
--- a/internal/idempotency/middleware/clocks_linux.go
+++ b/internal/idempotency/middleware/clocks_linux.go
@@ -3,7 +3,6 @@
 import (
 	"os"
 	"strings"
-	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -11,17 +10,19 @@
 	"hazelwing/internal/idempotency"
 )
 
-var bootID = sync.OnceValue(func() string {
-	b, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	return strings.TrimSpace(string(b))
-})
-
-// Clocks reads the machine's: the boot clock counts on over restarts of the program and through sleep, and nobody sets it
-// (clock_gettime(2), proc_sys_kernel(5)). A machine without a boot id is another one at each start.
-func Clocks() idempotency.Reading {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil || bootID() == "" {
-		return processClocks()
+// MachineClocks returns a function that reads the clocks of the machine. The boot clock continues over restarts of the
+// program and through sleep, and cannot be set (clock_gettime(2), proc_sys_kernel(5)). On a machine without a boot ID
+// each process counts as a boot.
+func MachineClocks() func() idempotency.Reading {
+	processReading := processClocks()
+	// Without a boot ID the clocks of the process are used.
+	bootIDFile, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	bootID := strings.TrimSpace(string(bootIDFile))
+	return func() idempotency.Reading {
+		var t unix.Timespec
+		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil || bootID == "" {
+			return processReading()
+		}
+		return idempotency.Reading{BootID: bootID, Uptime: time.Duration(t.Nano()), Wall: time.Now()}
 	}
-	return idempotency.Reading{Boot: bootID(), Up: time.Duration(t.Nano()), Wall: time.Now()}
 }
--- a/internal/idempotency/middleware/clocks_other.go
+++ b/internal/idempotency/middleware/clocks_other.go
@@ -4,5 +4,5 @@
 
 import "hazelwing/internal/idempotency"
 
-// Clocks reads the machine's clocks, as far as this process can measure with them.
-func Clocks() idempotency.Reading { return processClocks() }
+// MachineClocks returns a function that reads the clocks of the machine, as far as this process can measure them.
+func MachineClocks() func() idempotency.Reading { return processClocks() }
--- a/internal/idempotency/middleware/inspect.go
+++ b/internal/idempotency/middleware/inspect.go
@@ -12,61 +12,71 @@
 	"hazelwing/internal/store"
 )
 
-// parse reads an entry of the store's that is a record.
-func parse(key string, value []byte) (fp idempotency.Fingerprint, r idempotency.Record, ok bool) {
-	if len(key) != len(fp) {
-		return fp, r, false
-	}
-	copy(fp[:], key)
-	r, err := idempotency.ParseRecord(value)
-	return fp, r, err == nil
-}
-
-// Remembered is a record of a directory, for operators.
-type Remembered struct {
+// RecordInfo describes a stored record for operators.
+type RecordInfo struct {
 	Fingerprint string    `json:"fingerprint"`
 	Class       string    `json:"class"`
 	Effect      string    `json:"effect"`
-	State       string    `json:"state"` // open: no outcome was noted; unknown: it may have run; ran: it was answered
-	Since       time.Time `json:"intended"`
-	Expires     time.Time `json:"expires"`
-	Where       string    `json:"where"` // zone/cell of the attempts
+	State       string    `json:"state"` // open: no outcome was stored; unknown: it may have run; ran: it was answered
+	IntendedAt  time.Time `json:"intended"`
+	ExpiresAt   time.Time `json:"expires"`
+	Locations   string    `json:"where"` // zone/cell of the attempts, separated by spaces
 }
 
-// Inspect reads a ledger's directory, oldest first, and changes nothing: the daemon may run meanwhile. Times are of the
-// ledger's own line, which is wall time unless that was set back.
-func Inspect(fs store.FS) ([]Remembered, error) {
-	list := []Remembered{}
+var (
+	effectNames = map[balancer.Effect]string{
+		balancer.Keyed:         "keyed",
+		balancer.NonIdempotent: "unsafe",
+	}
+	stateNames = map[idempotency.State]string{
+		idempotency.StateOpen:     "open",
+		idempotency.StateUnknown:  "unknown",
+		idempotency.StateExecuted: "ran",
+	}
+)
+
+// Inspect reads the records of a write-ahead log, oldest first, and changes nothing: the daemon may run meanwhile.
+// Times are of the records' own timeline, which is wall time unless that was set back.
+func Inspect(fs store.FS) ([]RecordInfo, error) {
+	list := []RecordInfo{}
 	err := store.Read(fs, func(key string, value []byte, _ time.Time) {
-		fp, r, ok := parse(key, value)
-		if !ok {
-			return // the line of time
-		}
-		var where []string
-		for _, p := range r.Places {
-			where = append(where, fmt.Sprintf("%s/%d", p.Zone, p.Cell))
+		if fp, record, ok := parseEntry(key, value); ok { // otherwise it is the clock's state
+			list = append(list, newRecordInfo(fp, &record))
 		}
-		list = append(list, Remembered{Fingerprint: fp.String(), Class: r.Class,
-			Effect: map[balancer.Effect]string{balancer.Keyed: "keyed", balancer.NonIdempotent: "unsafe"}[r.Effect],
-			State:  map[idempotency.State]string{idempotency.Open: "open", idempotency.Unknown: "unknown", idempotency.Ran: "ran"}[r.State],
-			Since:  time.UnixMilli(int64(r.Since)), Expires: time.UnixMilli(int64(r.Expires)), Where: strings.Join(where, " ")})
 	})
-	slices.SortFunc(list, func(a, b Remembered) int {
-		return cmp.Or(a.Since.Compare(b.Since), strings.Compare(a.Fingerprint, b.Fingerprint))
+	slices.SortFunc(list, func(a, b RecordInfo) int {
+		return cmp.Or(a.IntendedAt.Compare(b.IntendedAt), strings.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return list, err
 }
 
-// Latest is a clock for who compacts a directory while no daemon runs: the earliest that the ledger's line of time may be
-// at, so that nothing is taken that it still remembers.
-func Latest(fs store.FS) func() time.Time {
-	var last time.Time
-	store.Read(fs, func(key string, value []byte, _ time.Time) {
-		if _, r, ok := parse(key, value); ok {
-			if t := time.UnixMilli(int64(r.Latest())); t.After(last) {
-				last = t
+func newRecordInfo(fp idempotency.Fingerprint, record *idempotency.Record) RecordInfo {
+	var locations []string
+	for _, l := range record.Locations {
+		locations = append(locations, fmt.Sprintf("%s/%d", l.Zone, l.Cell))
+	}
+	return RecordInfo{
+		Fingerprint: fp.String(),
+		Class:       record.Class,
+		Effect:      effectNames[record.Effect],
+		State:       stateNames[record.State],
+		IntendedAt:  wallTime(record.IntendedAt),
+		ExpiresAt:   wallTime(record.ExpiresAt),
+		Locations:   strings.Join(locations, " "),
+	}
+}
+
+// CompactionClock returns a clock for compacting a write-ahead log while no daemon runs. It stands at the earliest time
+// that the records' timeline may have reached, so that no record is dropped that a daemon would still remember.
+func CompactionClock(fs store.FS) func() time.Time {
+	var latest time.Time
+	// A directory that cannot be read leaves the clock at zero, at which nothing has expired; opening it says why.
+	_ = store.Read(fs, func(key string, value []byte, _ time.Time) {
+		if _, record, ok := parseEntry(key, value); ok {
+			if t := wallTime(record.Latest()); t.After(latest) {
+				latest = t
 			}
 		}
 	})
-	return func() time.Time { return last }
+	return func() time.Time { return latest }
 }
--- /dev/null
+++ b/internal/idempotency/middleware/status.go
@@ -0,0 +1,89 @@
+package middleware
+
+import (
+	"slices"
+	"time"
+
+	"hazelwing/internal/store"
+)
+
+// Status describes a Deduplicator for operators.
+type Status struct {
+	Durability   Durability    `json:"durability"`
+	WriteFailure string        `json:"trouble,omitempty"` // why intents cannot be made durable at present
+	OnFailure    FailurePolicy `json:"on_failure"`
+
+	Remembered        int     `json:"remembered"` // fingerprints
+	Open              int     `json:"open"`       // intents of this process without an outcome
+	RestoredOpen      int     `json:"left_open"`  // intents that an earlier process left without an outcome
+	OldestOpenSeconds float64 `json:"oldest_open_s"`
+
+	Failed     uint64 `json:"failed"`    // requests whose effect may have been brought about already
+	Rejected   uint64 `json:"refused"`   // requests and attempts whose intent could not be made durable
+	NotDurable uint64 `json:"undurable"` // attempts that were sent without a durable intent, with ContinueOnFailure
+	// UnrecordedOutcomes counts the outcomes that could not be stored: their records stay open on the disk.
+	UnrecordedOutcomes uint64 `json:"unclosed"`
+
+	// Quantiles of the latest writes that attempts waited for, in milliseconds.
+	WaitP50 float64 `json:"wait_p50_ms"`
+	WaitP99 float64 `json:"wait_p99_ms"`
+
+	Store *store.Stats `json:"store,omitempty"` // nil with DurabilityOff
+}
+
+// Status returns the present status.
+func (d *Deduplicator) Status() Status {
+	now := d.now()
+	d.mu.Lock()
+	tracked := d.tracker.Stats()
+	status := Status{
+		Durability:         d.config.Durability,
+		OnFailure:          d.config.OnFailure,
+		Remembered:         tracked.Entries,
+		Open:               tracked.Open,
+		RestoredOpen:       tracked.RestoredOpen,
+		Failed:             d.counters.failed,
+		Rejected:           d.counters.rejected,
+		NotDurable:         d.counters.notDurable,
+		UnrecordedOutcomes: d.counters.unrecordedOutcomes,
+	}
+	if tracked.OldestOpen > 0 {
+		status.OldestOpenSeconds = float64(now.Time-tracked.OldestOpen) / 1000
+	}
+	if d.failure.err != nil {
+		status.WriteFailure = d.failure.err.Error()
+	}
+	waits := d.waits
+	d.mu.Unlock()
+
+	status.WaitP50, status.WaitP99 = waits.quantiles()
+	if d.store != nil {
+		stats := d.store.Stats()
+		status.Store = &stats
+	}
+	return status
+}
+
+// waitTimes holds the latest wait times, in a ring.
+type waitTimes struct {
+	ring  [1024]time.Duration
+	count int // added so far
+}
+
+func (w *waitTimes) add(d time.Duration) {
+	w.ring[w.count%len(w.ring)] = d
+	w.count++
+}
+
+// quantiles returns the median and the 99th percentile in milliseconds, 0 if there is none. It sorts the ring.
+func (w *waitTimes) quantiles() (p50, p99 float64) {
+	sorted := w.ring[:min(w.count, len(w.ring))]
+	if len(sorted) == 0 {
+		return 0, 0
+	}
+	slices.Sort(sorted)
+	quantile := func(q float64) float64 {
+		return sorted[int(q*float64(len(sorted)-1))].Seconds() * 1000
+	}
+	return quantile(0.5), quantile(0.99)
+}
--- a/internal/idempotency/middleware/stored_test.go
+++ b/internal/idempotency/middleware/stored_test.go
@@ -15,29 +15,32 @@
 	"hazelwing/internal/testutil"
 )
 
-// storedDir is a ledger's directory that the program of 593ba64 has left when it was killed: see its README.
+// storedDir is a write-ahead log that the program of 593ba64 left when it was killed: see its README.
 const storedDir = "testdata/version-593ba64"
 
-// storedMachine is the machine that it was written on, at the time of the last intent.
+// storedMachine is the machine on which storedDir was written, at the time of the last intent.
 func storedMachine() *machine {
-	return &machine{r: idempotency.Reading{Boot: "boot-of-593ba64", Up: time.Hour + 2*time.Second,
-		Wall: time.Date(2026, 12, 2, 6, 0, 2, 0, time.UTC)}}
+	return &machine{reading: idempotency.Reading{
+		BootID: "boot-of-593ba64",
+		Uptime: time.Hour + 2*time.Second,
+		Wall:   time.Date(2026, 12, 2, 6, 0, 2, 0, time.UTC),
+	}}
 }
 
-// storedLedger is a copy of the directory.
-func storedLedger(t *testing.T) store.FS {
+// copyStoredLog returns a copy of storedDir.
+func copyStoredLog(t *testing.T) store.FS {
 	t.Helper()
 	path := t.TempDir()
-	logs, err := filepath.Glob(filepath.Join(storedDir, "*.log"))
-	if err != nil || len(logs) == 0 {
-		t.Fatalf("%d segments, %v", len(logs), err)
+	segments, err := filepath.Glob(filepath.Join(storedDir, "*.log"))
+	if err != nil || len(segments) == 0 {
+		t.Fatalf("%d segments, %v", len(segments), err)
 	}
-	for _, name := range logs {
-		text, err := os.ReadFile(name)
+	for _, name := range segments {
+		data, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(path, filepath.Base(name)), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(path, filepath.Base(name)), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -48,124 +51,137 @@
 	return fs
 }
 
-// wantStored is what the directory remembers, but for the zone of the keyed one that is open: it was drawn.
-func wantStored() []Remembered {
-	began := time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
-	want := func(class, effect, key, state string, after time.Duration) Remembered {
-		return Remembered{Fingerprint: idempotency.FingerprintOf(class, "", key).String(), Class: class, Effect: effect, State: state,
-			Since: began.Add(after), Expires: began.Add(after + 10*time.Minute)}
-	}
-	return []Remembered{
-		want("book", "unsafe", "answered", "ran", 0),
-		want("book", "unsafe", "reset", "unknown", 500*time.Millisecond),
-		want("book", "unsafe", "open", "open", time.Second),
-		want("pay", "keyed", "open", "open", 2*time.Second),
+// storedRecords returns the records of storedDir, without their locations: the zone of the keyed one was drawn.
+func storedRecords() []RecordInfo {
+	start := time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
+	record := func(class, effect, key, state string, after time.Duration) RecordInfo {
+		return RecordInfo{
+			Fingerprint: idempotency.NewFingerprint(class, "", key).String(),
+			Class:       class,
+			Effect:      effect,
+			State:       state,
+			IntendedAt:  start.Add(after),
+			ExpiresAt:   start.Add(after + 10*time.Minute),
+		}
+	}
+	return []RecordInfo{
+		record("book", "unsafe", "answered", "ran", 0),
+		record("book", "unsafe", "reset", "unknown", 500*time.Millisecond),
+		record("book", "unsafe", "open", "open", time.Second),
+		record("pay", "keyed", "open", "open", 2*time.Second),
 	}
 }
 
-// remembers holds a directory to what it is to remember, and returns where the last of these was sent.
-func remembers(t *testing.T, fs store.FS, want []Remembered) (zone string) {
+// wantRecords compares the records of a log but for their locations, and returns the zone of the last one.
+func wantRecords(t *testing.T, fs store.FS, want []RecordInfo) (zone string) {
 	t.Helper()
 	got, err := Inspect(fs)
 	if err != nil || len(got) != len(want) {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for i, r := range got {
-		if zone = r.Where; len(zone) != 3 || zone[1:] != "/0" {
-			t.Errorf("%s: where %q", r.Fingerprint, zone)
+		if zone = r.Locations; len(zone) != 3 || zone[1:] != "/0" {
+			t.Errorf("%s: locations %q", r.Fingerprint, zone)
 		}
-		r.Where, r.Since, r.Expires = "", r.Since.UTC(), r.Expires.UTC()
+		r.Locations, r.IntendedAt, r.ExpiresAt = "", r.IntendedAt.UTC(), r.ExpiresAt.UTC()
 		if r != want[i] {
-			t.Errorf("it remembers\n%+v, want\n%+v", r, want[i])
+			t.Errorf("record\n%+v, want\n%+v", r, want[i])
 		}
 	}
 	return zone[:1]
 }
 
-// What 593ba64 has left open, unknown or answered holds in the new version: nothing unsafe goes out again, a keyed one
-// goes on in its zone while its window lasts. What the new version adds is there with it after another restart, and all
-// is let go when it was to be.
-func TestLedgerOfTheVersionBefore(t *testing.T) {
-	fs, m := storedLedger(t), storedMachine()
-	list, err := store.Check(fs)
-	if err != nil || len(list) != 1 || list[0].Damaged != 0 || list[0].Tail != 0 || list[0].Fault != "" {
-		t.Fatalf("%+v, %v", list, err)
-	}
-	zone := remembers(t, fs, wantStored())
-
-	m.pass(time.Second, -time.Minute) // the clock goes back, and the machine's run is the same
-	r := life(t, m, fs, nil)
-	if s := r.g.State(); s.Remembered != 4 || s.Left != 2 || s.Open != 0 || s.OldestS != 2 {
-		t.Errorf("taken up: %+v", s)
-	}
-	unsafe := []string{"answered", "reset", "open"}
-	repeats := func(r *rig) {
-		t.Helper()
-		for _, key := range unsafe {
-			if got := r.want(r.call("book", key), engine.Failed, key); !errors.Is(got.Err, ErrMayHaveRun) {
-				t.Errorf("%s: %v", key, got.Err)
-			}
-		}
-		if len(r.wire.sent) > 0 {
-			t.Error("an unsafe one went out again")
+// wantRepeatsFail checks that repeats of class "book" fail and that nothing is sent.
+func wantRepeatsFail(t *testing.T, p *program, keys []string) {
+	t.Helper()
+	for _, key := range keys {
+		if got := p.wantResult(p.send("book", key), engine.Failed, key); !errors.Is(got.Err, ErrMayHaveRun) {
+			t.Errorf("%s: %v", key, got.Err)
 		}
 	}
-	repeats(r)
-	keyed := r.call("pay", "open")
-	for range 3 { // as many attempts as the settings allow; chance would find another zone
-		a := r.attempt()
-		if a.member != zone {
-			t.Errorf("it went to zone %s, after %s", a.member, zone)
+	if len(p.transport.sent) > 0 {
+		t.Error("a request that is not idempotent was sent again")
+	}
+}
+
+// The new version honours the records that 593ba64 left open, unknown or answered: nothing that is not idempotent is
+// sent again, and a keyed request goes on in its zone while its window lasts. After a further restart the records of
+// the new version are there beside them, and all of them expire in time.
+func TestStoredRecordsOfPreviousVersion(t *testing.T) {
+	fs, m := copyStoredLog(t), storedMachine()
+	segments, err := store.Check(fs)
+	if err != nil || len(segments) != 1 {
+		t.Fatalf("%+v, %v", segments, err)
+	}
+	if s := segments[0]; s.Damaged != 0 || s.Tail != 0 || s.Fault != "" {
+		t.Fatalf("%+v", s)
+	}
+	zone := wantRecords(t, fs, storedRecords())
+
+	m.pass(time.Second, -time.Minute) // wall time goes back, in the same boot of the machine
+	p := startProgram(t, m, fs, nil)
+	s := p.deduplicator.Status()
+	if s.Remembered != 4 || s.RestoredOpen != 2 || s.Open != 0 || s.OldestOpenSeconds != 2 {
+		t.Errorf("restored: %+v", s)
+	}
+	keys := []string{"answered", "reset", "open"}
+	wantRepeatsFail(t, p, keys)
+	keyed := p.send("pay", "open")
+	for range maxAttempts { // a random choice would find another zone
+		a := p.nextAttempt()
+		if a.endpoint != zone {
+			t.Errorf("sent to zone %s, after %s", a.endpoint, zone)
 		}
-		a.end <- engine.Outcome{Result: balancer.Overloaded}
+		a.outcome <- engine.Outcome{Result: balancer.Overloaded}
 	}
-	r.want(keyed, engine.Failed, "turned away there: it may have run, so it is not refused")
+	p.wantResult(keyed, engine.Failed, "rejected there: the first may have run, so the repeat is not rejected")
 
-	done := r.call("book", "new")
-	r.attempt().answer()
-	r.want(done, engine.Served, "a new one")
-	r.stop()
-	want := wantStored()
+	done := p.send("book", "new")
+	p.nextAttempt().answer()
+	p.wantResult(done, engine.Served, "a request with a new key")
+	p.stop()
+	want := storedRecords()
 	want[3].State = "unknown" // its repeat ended
 	last := want[0]
-	last.Fingerprint = idempotency.FingerprintOf("book", "", "new").String()
-	last.Since, last.Expires = last.Since.Add(3*time.Second), last.Expires.Add(3*time.Second)
-	remembers(t, fs, append(slices.Clone(want), last))
+	last.Fingerprint = idempotency.NewFingerprint("book", "", "new").String()
+	last.IntendedAt, last.ExpiresAt = last.IntendedAt.Add(3*time.Second), last.ExpiresAt.Add(3*time.Second)
+	wantRecords(t, fs, append(slices.Clone(want), last))
 
-	m.pass(5*time.Second, time.Hour) // six seconds after the first intent: the window is over
-	r = life(t, m, fs, nil)
-	if s := r.g.State(); s.Remembered != 5 || s.Left != 1 {
-		t.Errorf("taken up again: %+v", s)
-	}
-	unsafe = append(unsafe, "new")
-	repeats(r)
-	r.want(r.call("pay", "open"), engine.Failed, "a keyed one after its window")
-	if len(r.wire.sent) > 0 {
-		t.Error("a keyed one went out after its window")
-	}
-	r.stop()
+	m.pass(5*time.Second, time.Hour) // six seconds after the first intent: the window has passed
+	p = startProgram(t, m, fs, nil)
+	if s := p.deduplicator.Status(); s.Remembered != 5 || s.RestoredOpen != 1 {
+		t.Errorf("restored again: %+v", s)
+	}
+	keys = append(keys, "new")
+	wantRepeatsFail(t, p, keys)
+	p.wantResult(p.send("pay", "open"), engine.Failed, "a keyed request after its window")
+	if len(p.transport.sent) > 0 {
+		t.Error("a keyed request was sent after its window")
+	}
+	p.stop()
 
 	m.pass(10*time.Minute, 0)
-	r = life(t, m, fs, nil)
-	for _, key := range unsafe {
-		done := r.call("book", key)
-		r.attempt().answer()
-		r.want(done, engine.Served, "long after it: "+key)
+	p = startProgram(t, m, fs, nil)
+	for _, key := range keys {
+		done := p.send("book", key)
+		p.nextAttempt().answer()
+		p.wantResult(done, engine.Served, "after the retention: "+key)
 	}
 }
 
-// On another run of the machine nothing tells how much time has passed: what 593ba64 had sent keyed is not sent again.
-func TestLedgerOfTheVersionBeforeAfterAReboot(t *testing.T) {
-	fs, m := storedLedger(t), storedMachine()
-	m.r.Boot, m.r.Up = "another", time.Minute
-	r := life(t, m, fs, nil)
-	if s := r.g.State(); s.Remembered != 4 || s.Left != 2 {
-		t.Errorf("taken up: %+v", s)
-	}
-	r.want(r.call("pay", "open"), engine.Failed, "a keyed one")
-	r.want(r.call("book", "open"), engine.Failed, "an unsafe one")
-	if len(r.wire.sent) > 0 {
-		t.Error("something went out again")
-	}
-	testutil.Until(t, "no request is in hand", func() bool { return r.g.State().Open == 0 })
+// After a restart of the machine nothing tells how much time has passed: a keyed request that 593ba64 sent is not sent
+// again.
+func TestStoredRecordsOfPreviousVersionAfterReboot(t *testing.T) {
+	fs, m := copyStoredLog(t), storedMachine()
+	m.reading.BootID, m.reading.Uptime = "another", time.Minute
+	p := startProgram(t, m, fs, nil)
+	if s := p.deduplicator.Status(); s.Remembered != 4 || s.RestoredOpen != 2 {
+		t.Errorf("restored: %+v", s)
+	}
+	p.wantResult(p.send("pay", "open"), engine.Failed, "a keyed request")
+	p.wantResult(p.send("book", "open"), engine.Failed, "a request that is not idempotent")
+	if len(p.transport.sent) > 0 {
+		t.Error("a request was sent again")
+	}
+	testutil.Until(t, "the end of all requests", func() bool { return p.deduplicator.Status().Open == 0 })
 }
--- a/internal/idempotency/middleware/transport.go
+++ b/internal/idempotency/middleware/transport.go
@@ -1,7 +1,6 @@
 package middleware
 
 import (
-	"fmt"
 	"sync"
 	"time"
 
@@ -10,165 +9,160 @@
 	"hazelwing/internal/idempotency"
 )
 
-// Transport is next with the ledger before each attempt of a call that is not safe.
-func (g *Guard) Transport(next engine.Transport) engine.Transport {
-	return &transport{Transport: next, g: g, members: map[string]engine.Endpoint{}}
+// Transport returns a transport whose attempts of calls that are not idempotent wait for their intent to be durable
+// before next carries them out.
+func (d *Deduplicator) Transport(next engine.Transport) engine.Transport {
+	return &transport{Transport: next, deduplicator: d, endpoints: map[string]engine.Endpoint{}}
 }
 
-// transport is used by the engine's goroutine only, as its interface says.
+// transport is used by the engine's goroutine only, as engine.Transport specifies.
 type transport struct {
 	engine.Transport
-	g       *Guard
-	members map[string]engine.Endpoint // of the list: as long as that is
+	deduplicator *Deduplicator
+	endpoints    map[string]engine.Endpoint // the endpoint list, by ID
 }
 
-func (t *transport) Update(whole bool, entries []engine.Endpoint, told time.Time) {
-	if whole {
-		clear(t.members)
+// Update implements engine.Transport.
+func (t *transport) Update(complete bool, entries []engine.Endpoint, notifiedAt time.Time) {
+	if complete {
+		clear(t.endpoints)
 	}
-	for _, m := range entries {
-		if m.State == balancer.Removed {
-			delete(t.members, m.ID)
+	for _, endpoint := range entries {
+		if endpoint.State == balancer.Removed {
+			delete(t.endpoints, endpoint.ID)
 		} else {
-			t.members[m.ID] = m
+			t.endpoints[endpoint.ID] = endpoint
 		}
 	}
-	t.Transport.Update(whole, entries, told)
+	t.Transport.Update(complete, entries, notifiedAt)
 }
 
-func (t *transport) Attempt(member string, c *engine.Call, timeout time.Duration) engine.Exchange {
-	x := t.Transport.Attempt(member, c, timeout)
-	if x == nil || t.g.effects[c.Class] == balancer.Idempotent {
-		return x
+// Attempt implements engine.Transport.
+func (t *transport) Attempt(endpointID string, c *engine.Call, timeout time.Duration) engine.Exchange {
+	next := t.Transport.Attempt(endpointID, c, timeout)
+	if next == nil || t.deduplicator.effects[c.Class] == balancer.Idempotent {
+		return next
+	}
+	endpoint := t.endpoints[endpointID]
+	return &exchange{
+		Exchange:     next,
+		deduplicator: t.deduplicator,
+		fingerprint:  fingerprint(c),
+		zone:         endpoint.Zone,
+		cell:         endpoint.Cell,
+		deadline:     time.Now().Add(timeout),
+		abandoned:    make(chan struct{}),
 	}
-	m := t.members[member]
-	return &exchange{Exchange: x, g: t.g, fp: fingerprint(c), zone: m.Zone, cell: m.Cell,
-		ends: time.Now().Add(timeout), over: make(chan struct{})}
 }
 
-// exchange is an attempt that waits for its intent first.
+// exchange is an attempt that waits for its intent to be durable.
 type exchange struct {
 	engine.Exchange
-	g    *Guard
-	fp   idempotency.Fingerprint
-	zone string
-	cell int
-	ends time.Time
+	deduplicator *Deduplicator
+	fingerprint  idempotency.Fingerprint
+	zone         string
+	cell         int
+	deadline     time.Time
 
-	mu    sync.Mutex
-	begun bool          // the attempt itself has been started
-	over  chan struct{} // closed where it never will be
+	mu        sync.Mutex
+	started   bool          // the wrapped exchange may run
+	abandoned chan struct{} // closed if the wrapped exchange will never run
 }
 
-// Run waits for the intent and then carries the attempt out. What did not go out is Moot: it never ran, and says nothing
-// of its member; and what the disk took is not the member's time.
+// Run waits for the intent to be durable and then runs the wrapped exchange. An attempt that was not sent has the
+// result NotSent: it never ran, and says nothing about its endpoint. The time of the wait is not counted as the
+// endpoint's.
 func (x *exchange) Run(begin func(any) bool) engine.Outcome {
-	asked := time.Now()
-	a, err := x.intend()
+	waitStart := time.Now()
+	attempt, err := x.awaitIntent()
 	if err != nil {
 		x.Exchange.Cancel()
 		return engine.Outcome{Result: balancer.NotSent, Err: err}
 	}
-	waited := time.Since(asked)
-	o := x.Exchange.Run(begin)
-	o.Elapsed = max(0, o.Elapsed-waited)
-	if a != nil {
-		x.g.ended(x.fp, a, o.Result.MayHaveRun(), o.Final)
+	waited := time.Since(waitStart)
+	outcome := x.Exchange.Run(begin)
+	outcome.Elapsed = max(0, outcome.Elapsed-waited)
+	if attempt != nil {
+		x.deduplicator.endAttempt(x.fingerprint, attempt, outcome.Result.MayHaveRun(), outcome.Final)
 	}
-	return o
+	return outcome
 }
 
-// Cancel ends it, also while it waits.
+// Cancel implements engine.Exchange. It also ends an exchange that waits for its intent.
 func (x *exchange) Cancel() {
-	x.stop()
+	x.abandon()
 	x.Exchange.Cancel()
 }
 
-// Forbid ends it unless it has begun to write.
+// CancelUnsent implements engine.Exchange.
 func (x *exchange) CancelUnsent() {
-	x.stop()
+	x.abandon()
 	x.Exchange.CancelUnsent()
 }
 
-func (x *exchange) stop() {
+// abandon prevents the wrapped exchange from running, unless it has been started.
+func (x *exchange) abandon() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.begun {
-		select {
-		case <-x.over:
-		default:
-			close(x.over)
-		}
+	if x.started {
+		return
+	}
+	select {
+	case <-x.abandoned:
+	default:
+		close(x.abandoned)
 	}
 }
 
-// start claims the right to go out, against stop.
+// start reports whether the wrapped exchange may run. After that abandon has no effect.
 func (x *exchange) start() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	select {
-	case <-x.over:
+	case <-x.abandoned:
 		return false
 	default:
-		x.begun = true
+		x.started = true
 		return true
 	}
 }
 
-// intend returns once the attempt may go out, or says why it never may. Without an attempt it goes out and nobody
-// remembers it.
-func (x *exchange) intend() (*idempotency.Attempt, error) {
-	g := x.g
-	g.mu.Lock()
-	d, a, record := g.ledger.Intend(g.now(), x.fp, x.zone, x.cell)
-	var done chan struct{}
-	switch d {
-	case idempotency.Never:
-		g.mu.Unlock()
-		return nil, errNever
-	case idempotency.Full:
-		defer g.mu.Unlock()
-		g.failed(errFull)
-		if g.cfg.Trouble == Continue {
-			g.count.undurable++
-			return nil, nil // nobody remembers it
-		}
-		g.count.refused++
-		return nil, errFull
-	case idempotency.Write:
-		if g.refuses() {
-			defer g.mu.Unlock()
-			g.count.refused++
-			g.ledger.Written(a, false)
-			g.ledger.Ended(a, false, false)
-			return nil, fmt.Errorf("%w: %w", errNotDurable, g.trouble)
-		}
-		done = g.begin(x.fp, a, record)
-	case idempotency.Wait:
-		done = g.writing[x.fp]
-	}
-	g.mu.Unlock()
-	var err error
-	if done != nil {
-		timer := time.NewTimer(time.Until(x.ends))
-		defer timer.Stop()
-		select {
-		case <-done:
-		case <-timer.C:
-			err = errGivenUp
-		case <-x.over:
-			err = errGivenUp
-		}
+// awaitIntent returns when the attempt may be sent, or the reason why it must not be. If it returns neither an attempt
+// nor an error, the attempt may be sent and nothing remembers it.
+func (x *exchange) awaitIntent() (*idempotency.Attempt, error) {
+	d := x.deduplicator
+	attempt, written, err := d.beginAttempt(x.fingerprint, x.zone, x.cell)
+	if attempt == nil {
+		return nil, err
 	}
+	err = x.awaitWrite(written)
 	if err == nil {
-		err = g.covered(a)
+		err = d.checkDurable(attempt)
 	}
 	if err == nil && !x.start() {
-		err = errGivenUp
+		err = errAbandoned
 	}
 	if err != nil {
-		g.giveUp(x.fp, a, done)
+		d.abandonAttempt(x.fingerprint, attempt, written)
 		return nil, err
 	}
-	return a, nil
+	return attempt, nil
+}
+
+// awaitWrite waits until a write has ended, for as long as the attempt has time and is not abandoned. There is nothing
+// to wait for if written is nil.
+func (x *exchange) awaitWrite(written <-chan struct{}) error {
+	if written == nil {
+		return nil
+	}
+	timer := time.NewTimer(time.Until(x.deadline))
+	defer timer.Stop()
+	select {
+	case <-written:
+		return nil
+	case <-timer.C:
+		return errAbandoned
+	case <-x.abandoned:
+		return errAbandoned
+	}
 }
--- /dev/null
+++ b/internal/idempotency/tracker.go
@@ -0,0 +1,292 @@
+package idempotency
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"hazelwing/balancer"
+)
+
+// Config configures a Tracker.
+type Config struct {
+	Classes []balancer.Class
+	// Retention is how long it is remembered that an attempt may have run, from the intent of the first attempt on. It
+	// has to be longer than any request can be in flight, and than the idempotency window of any class.
+	Retention time.Duration
+	// MaxEntries bounds the fingerprints that are remembered. Beyond it BeginAttempt returns TableFull.
+	MaxEntries int
+}
+
+// Verdict is the answer of AdmitRequest.
+type Verdict int
+
+// The verdicts.
+const (
+	Proceed Verdict = iota // the request proceeds, bound to where earlier attempts may have run
+	Fail                   // its effect may have been brought about and nothing may be sent: the request fails
+)
+
+// Decision is the answer of BeginAttempt.
+type Decision int
+
+// The decisions.
+const (
+	Send        Decision = iota // the attempt may be sent
+	WriteRecord                 // it may be sent once the returned record is durable: the caller calls RecordWritten
+	AwaitWrite                  // it may be sent once the fingerprint's write in flight is durable: see IsDurable
+	Forbid                      // it must not be sent
+	TableFull                   // it would need an entry beyond Config.MaxEntries
+)
+
+// Tracker tracks which requests may have run. It is not safe for concurrent use.
+type Tracker struct {
+	config  Config
+	classes map[string]balancer.Class
+	entries map[Fingerprint]*entry
+
+	// byExpiry holds the entries with an intent, in order of ExpiresAt, and released ones among them.
+	byExpiry      []*entry
+	releasedCount int
+
+	// open holds the entries with attempts in flight, and those that an earlier run of the program left open.
+	open map[Fingerprint]*entry
+}
+
+// Attempt is an attempt that BeginAttempt accepted. It belongs to the Tracker.
+type Attempt struct {
+	entry    *entry
+	location *location
+	ended    bool
+}
+
+// New returns an empty Tracker.
+func New(config Config) *Tracker {
+	t := &Tracker{
+		config:  config,
+		classes: map[string]balancer.Class{},
+		entries: map[Fingerprint]*entry{},
+		open:    map[Fingerprint]*entry{},
+	}
+	for _, class := range config.Classes {
+		t.classes[class.Name] = class
+	}
+	return t
+}
+
+// Restore adds a record of an earlier run of the program. Records are restored in any order, before any other call. A
+// record that has expired, has no location, or is a second one of its fingerprint is ignored.
+func (t *Tracker) Restore(now Instant, fp Fingerprint, record Record) {
+	if record.ExpiresAt <= now.Time || t.entries[fp] != nil || len(record.Locations) == 0 {
+		return
+	}
+	e := &entry{fingerprint: fp, Record: record, isRestored: true, writeAttempted: true}
+	for _, l := range record.Locations {
+		e.locations = append(e.locations, &location{Location: l, possibleRuns: 1, isDurable: true})
+	}
+	if record.State == StateOpen {
+		t.open[fp] = e
+	}
+	t.entries[fp] = e
+	index, _ := slices.BinarySearchFunc(t.byExpiry, e, func(a, b *entry) int {
+		return cmp.Compare(a.ExpiresAt, b.ExpiresAt)
+	})
+	t.byExpiry = slices.Insert(t.byExpiry, index, e)
+}
+
+// AdmitRequest decides on a request of a class that is not idempotent. If it returns Proceed, the caller calls
+// EndRequest once; the locations are where attempts of other requests with the same fingerprint may have run.
+func (t *Tracker) AdmitRequest(now Instant, fp Fingerprint, class string) (Verdict, []Location) {
+	t.expire(now)
+	c := t.classes[class]
+	e := t.entries[fp]
+	if e == nil {
+		e = &entry{fingerprint: fp, Record: Record{Effect: c.Effect, Class: class}}
+		t.entries[fp] = e
+	}
+	isRepeat := e.requests > 0 || len(e.locations) > 0
+	if c.Effect == balancer.NonIdempotent && isRepeat || !e.withinWindow(now, c) {
+		return Fail, nil
+	}
+	e.requests++
+	var earlier []Location
+	for _, l := range e.locations {
+		earlier = append(earlier, l.Location)
+	}
+	return Proceed, earlier
+}
+
+// BeginAttempt decides whether an attempt may be sent to an endpoint in the given zone and cell. Unless it returns
+// Forbid or TableFull, the caller calls EndAttempt once; if it returns WriteRecord, the caller first calls
+// RecordWritten, when the returned record is durable or could not be written.
+func (t *Tracker) BeginAttempt(now Instant, fp Fingerprint, zone string, cell int) (Decision, *Attempt, Record) {
+	e := t.entries[fp]
+	if e == nil { // the request proceeded, and has had its final answer since
+		return Forbid, nil, Record{}
+	}
+	class := t.classes[e.Class]
+	if !e.withinWindow(now, class) || e.hasLocationOutside(class, zone, cell) {
+		return Forbid, nil, Record{}
+	}
+	if e.IntendedAt == 0 {
+		if len(t.byExpiry)-t.releasedCount >= t.config.MaxEntries {
+			return TableFull, nil, Record{}
+		}
+		e.IntendedAt = now.Time
+		e.ExpiresAt = now.Time + Time(t.config.Retention.Milliseconds())
+		t.byExpiry = append(t.byExpiry, e)
+	}
+	l := e.addPossibleRun(now, zone, cell)
+	e.attempts++
+	e.State = StateOpen
+	t.open[fp] = e
+	attempt := &Attempt{entry: e, location: l}
+	switch {
+	case l.isDurable:
+		return Send, attempt, Record{}
+	case e.writeInFlight:
+		return AwaitWrite, attempt, Record{}
+	}
+	e.writeInFlight, e.writeAttempted = true, true
+	return WriteRecord, attempt, e.record()
+}
+
+// RecordWritten reports that the record of an attempt is durable, or could not be written. Attempts that await the same
+// write may be sent if IsDurable says so.
+func (t *Tracker) RecordWritten(a *Attempt, isDurable bool) {
+	a.entry.writeInFlight = false
+	a.location.isDurable = isDurable
+}
+
+// IsDurable reports whether a durable record covers an attempt.
+func (t *Tracker) IsDurable(a *Attempt) bool { return a.location.isDurable }
+
+// Update is a change of a fingerprint's stored record that nobody has to wait for.
+type Update struct {
+	Kind   UpdateKind
+	Record Record // the new record, if Kind is PutRecord
+}
+
+// UpdateKind is the kind of an Update.
+type UpdateKind int
+
+// The kinds of updates.
+const (
+	NoUpdate     UpdateKind = iota // the stored record stays
+	PutRecord                      // the stored record is replaced
+	DeleteRecord                   // the stored record is deleted: nothing has run
+)
+
+// EndAttempt reports the end of an attempt. mayHaveRun is false if it is proved that the attempt never ran, wasAnswered
+// is true if it was answered. Of an attempt whose record is being written it is called after RecordWritten.
+func (t *Tracker) EndAttempt(a *Attempt, mayHaveRun, wasAnswered bool) Update {
+	if a.ended {
+		return Update{}
+	}
+	a.ended = true
+	e := a.entry
+	e.attempts--
+	if !mayHaveRun {
+		e.removePossibleRun(a.location)
+	}
+	if wasAnswered && mayHaveRun {
+		e.State = StateExecuted
+	}
+	if e.attempts > 0 {
+		return Update{}
+	}
+	delete(t.open, e.fingerprint)
+	if len(e.locations) == 0 {
+		t.release(e)
+		if e.writeAttempted { // also if the write was not confirmed: the record may be stored
+			return Update{Kind: DeleteRecord}
+		}
+		return Update{}
+	}
+	if e.State == StateOpen {
+		e.State = StateUnknown
+	}
+	return Update{Kind: PutRecord, Record: e.record()}
+}
+
+// EndRequest reports that a request that proceeded has its final answer. It returns whether any attempt with its
+// fingerprint may have run.
+func (t *Tracker) EndRequest(fp Fingerprint) (mayHaveRun bool) {
+	e := t.entries[fp]
+	if e == nil {
+		return false
+	}
+	e.requests--
+	mayHaveRun = len(e.locations) > 0
+	t.release(e)
+	return mayHaveRun
+}
+
+// release removes an entry that nothing needs any more.
+func (t *Tracker) release(e *entry) {
+	if len(e.locations) > 0 || e.attempts > 0 {
+		return
+	}
+	if e.IntendedAt != 0 { // a later attempt of a request in flight starts from a new entry
+		e.isReleased = true
+		t.releasedCount++
+		if t.releasedCount > len(t.byExpiry)/2 {
+			t.byExpiry = slices.DeleteFunc(t.byExpiry, func(e *entry) bool { return e.isReleased })
+			t.releasedCount = 0
+		}
+		e = &entry{
+			fingerprint: e.fingerprint,
+			Record:      Record{Effect: e.Effect, Class: e.Class},
+			requests:    e.requests,
+		}
+		t.entries[e.fingerprint] = e
+	}
+	if e.requests == 0 {
+		delete(t.entries, e.fingerprint)
+	}
+}
+
+// expire removes the entries whose retention has passed. An entry that is in flight for longer than that stays until it
+// ends, with those behind it.
+func (t *Tracker) expire(now Instant) {
+	count := 0
+	for _, e := range t.byExpiry {
+		if e.isReleased {
+			t.releasedCount--
+			count++
+			continue
+		}
+		if e.ExpiresAt > now.Time || e.attempts > 0 || e.requests > 0 {
+			break
+		}
+		delete(t.entries, e.fingerprint)
+		delete(t.open, e.fingerprint)
+		count++
+	}
+	t.byExpiry = t.byExpiry[count:]
+}
+
+// Stats describes the state of a Tracker.
+type Stats struct {
+	Entries      int // fingerprints remembered
+	Open         int // intents of this run of the program without an outcome
+	RestoredOpen int // intents that an earlier run of the program left without an outcome
+	// OldestOpen is when the oldest of the open intents of either kind was made, 0 if there is none.
+	OldestOpen Time
+}
+
+// Stats returns the current statistics. It takes time in proportion to the number of open entries.
+func (t *Tracker) Stats() Stats {
+	s := Stats{Entries: len(t.entries)}
+	for _, e := range t.open {
+		if e.isRestored && e.attempts == 0 {
+			s.RestoredOpen++
+		} else {
+			s.Open++
+		}
+		if s.OldestOpen == 0 || e.IntendedAt < s.OldestOpen {
+			s.OldestOpen = e.IntendedAt
+		}
+	}
+	return s
+}
--- /dev/null
+++ b/internal/idempotency/tracker_test.go
@@ -0,0 +1,201 @@
+package idempotency
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/datadriven"
+)
+
+// The words of the scripts.
+var (
+	verdictNames  = map[Verdict]string{Proceed: "go", Fail: "fail"}
+	decisionNames = map[Decision]string{
+		Send:        "send",
+		WriteRecord: "write",
+		AwaitWrite:  "wait",
+		Forbid:      "never",
+		TableFull:   "full",
+	}
+	updateNames = map[UpdateKind]string{NoUpdate: "keep", PutRecord: "close", DeleteRecord: "remove"}
+	stateNames  = map[State]string{StateOpen: "open", StateUnknown: "unknown", StateExecuted: "ran"}
+)
+
+// scriptRun is a machine whose events a script gives.
+type scriptRun struct {
+	*machine
+	attempts     map[string]*Attempt
+	fingerprints map[string]Fingerprint
+}
+
+// scriptLine is a line of a script: an event and its arguments.
+type scriptLine struct {
+	t     *testing.T
+	data  *datadriven.TestData
+	words []string
+}
+
+// arg returns an argument, "" if there is none.
+func (l *scriptLine) arg(i int) string {
+	if i < len(l.words) {
+		return l.words[i]
+	}
+	return ""
+}
+
+func (l *scriptLine) duration(i int) time.Duration {
+	d, err := time.ParseDuration(l.arg(i))
+	if err != nil {
+		l.data.Fatalf(l.t, "%s: %v", strings.Join(l.words, " "), err)
+	}
+	return d
+}
+
+// number returns an argument as a number, 0 if there is none.
+func (l *scriptLine) number(i int) int {
+	if l.arg(i) == "" {
+		return 0
+	}
+	n, err := strconv.Atoi(l.arg(i))
+	if err != nil {
+		l.data.Fatalf(l.t, "%s: %v", strings.Join(l.words, " "), err)
+	}
+	return n
+}
+
+func (r *scriptRun) start(t *testing.T) {
+	t.Helper()
+	r.attempts = map[string]*Attempt{}
+	r.machine.start(t)
+}
+
+// play plays a script and returns what was decided, a line for each event that decides something.
+func (r *scriptRun) play(t *testing.T, d *datadriven.TestData) string {
+	t.Helper()
+	events := map[string]func(*scriptLine) string{
+		"arrive":  r.admitRequest,
+		"intend":  r.beginAttempt,
+		"written": r.recordWritten,
+		"covered": func(l *scriptLine) string { return fmt.Sprintln(r.tracker.IsDurable(r.attempts[l.words[1]])) },
+		"ended":   r.endAttempt,
+		"done":    r.endRequest,
+		"pass":    r.passTime,
+		"wall":    r.moveWall,
+		"restart": r.restart,
+		"stats":   r.stats,
+	}
+	var out strings.Builder
+	for text := range strings.Lines(d.Input) {
+		line := &scriptLine{t: t, data: d, words: strings.Fields(text)}
+		event, ok := events[line.words[0]]
+		if !ok {
+			d.Fatalf(t, "no such event: %s", text)
+		}
+		out.WriteString(event(line))
+	}
+	return out.String()
+}
+
+// admitRequest is "arrive REQUEST CLASS".
+func (r *scriptRun) admitRequest(l *scriptLine) string {
+	name, class := l.words[1], l.words[2]
+	r.fingerprints[name] = NewFingerprint(class, "", name)
+	verdict, earlier := r.tracker.AdmitRequest(r.now(), r.fingerprints[name], class)
+	return fmt.Sprintf("%s%s\n", verdictNames[verdict], formatLocations(earlier))
+}
+
+// beginAttempt is "intend REQUEST ATTEMPT ZONE [CELL]".
+func (r *scriptRun) beginAttempt(l *scriptLine) string {
+	fp := r.fingerprints[l.arg(1)]
+	decision, a, record := r.tracker.BeginAttempt(r.now(), fp, l.words[3], l.number(4))
+	r.attempts[l.words[2]] = a
+	if decision != WriteRecord {
+		return fmt.Sprintln(decisionNames[decision])
+	}
+	r.write(fp, &record)
+	locations := formatLocations(record.Locations)
+	return fmt.Sprintf("%s %s%s\n", decisionNames[decision], stateNames[record.State], locations)
+}
+
+// recordWritten is "written ATTEMPT [no]".
+func (r *scriptRun) recordWritten(l *scriptLine) string {
+	a := r.attempts[l.words[1]]
+	failed := l.arg(2) == "no"
+	r.tracker.RecordWritten(a, !failed)
+	if failed {
+		delete(r.disk, a.entry.fingerprint)
+	}
+	return fmt.Sprintf("covered %v\n", r.tracker.IsDurable(a))
+}
+
+// endAttempt is "ended ATTEMPT ran|maybe|never".
+func (r *scriptRun) endAttempt(l *scriptLine) string {
+	update := r.end(r.attempts[l.words[1]], l.words[2] != "never", l.words[2] == "ran")
+	if update.Kind == PutRecord {
+		return fmt.Sprintf("%s %s\n", updateNames[update.Kind], stateNames[update.Record.State])
+	}
+	return fmt.Sprintln(updateNames[update.Kind])
+}
+
+// endRequest is "done REQUEST".
+func (r *scriptRun) endRequest(l *scriptLine) string {
+	return fmt.Sprintf("may have run: %v\n", r.tracker.EndRequest(r.fingerprints[l.arg(1)]))
+}
+
+// passTime is "pass DURATION".
+func (r *scriptRun) passTime(l *scriptLine) string {
+	r.pass(l.duration(1))
+	return ""
+}
+
+// moveWall is "wall DURATION": wall time jumps.
+func (r *scriptRun) moveWall(l *scriptLine) string {
+	r.reading.Wall = r.reading.Wall.Add(l.duration(1))
+	return ""
+}
+
+// restart is "restart [machine]".
+func (r *scriptRun) restart(l *scriptLine) string {
+	if l.arg(1) == "machine" {
+		r.reboot()
+	}
+	r.start(l.t)
+	return ""
+}
+
+func (r *scriptRun) stats(*scriptLine) string {
+	s := r.tracker.Stats()
+	oldest := "none"
+	if s.OldestOpen > 0 {
+		oldest = fmt.Sprint(time.Duration(r.now().Time-s.OldestOpen) * time.Millisecond)
+	}
+	return fmt.Sprintf("%d entries, %d open, %d left, oldest %s; %d on disk\n",
+		s.Entries, s.Open, s.RestoredOpen, oldest, len(r.disk))
+}
+
+func formatLocations(list []Location) string {
+	var out strings.Builder
+	for _, l := range list {
+		fmt.Fprintf(&out, " %s/%d", l.Zone, l.Cell)
+	}
+	return out.String()
+}
+
+// The scripts in testdata give events, and below them what is decided.
+func TestScripts(t *testing.T) {
+	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
+		var r *scriptRun
+		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+			if d.Cmd != "new" {
+				return r.play(t, d)
+			}
+			r = &scriptRun{machine: newMachine(100), fingerprints: map[string]Fingerprint{}}
+			d.MaybeScanArgs(t, "most", &r.maxEntries)
+			r.start(t)
+			return ""
+		})
+	})
+}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -42,14 +42,14 @@
 
 // Ledger is the ledger of effects.
 type Ledger struct {
-	Dir         string                `toml:"dir"`
-	Durable     middleware.Durability `toml:"durable"`
-	SyncEvery   strictdecode.Duration `toml:"sync_every"`
-	OnFailure   middleware.Trouble    `toml:"on_failure"`
-	Remember    strictdecode.Duration `toml:"remember"`
-	MaxEntries  int64                 `toml:"max_entries"`
-	SegmentSize Size                  `toml:"segment_size"`
-	MaxSize     Size                  `toml:"max_size"`
+	Dir         string                   `toml:"dir"`
+	Durable     middleware.Durability    `toml:"durable"`
+	SyncEvery   strictdecode.Duration    `toml:"sync_every"`
+	OnFailure   middleware.FailurePolicy `toml:"on_failure"`
+	Remember    strictdecode.Duration    `toml:"remember"`
+	MaxEntries  int64                    `toml:"max_entries"`
+	SegmentSize Size                     `toml:"segment_size"`
+	MaxSize     Size                     `toml:"max_size"`
 }
 
 // Admin is the endpoint for operators.
@@ -203,25 +203,25 @@
 	}
 	switch l.Durable {
 	case "":
-		l.Durable = middleware.Always
-	case middleware.Always, middleware.Batch, middleware.Off:
+		l.Durable = middleware.DurabilityAlways
+	case middleware.DurabilityAlways, middleware.DurabilityBatch, middleware.DurabilityOff:
 	default:
 		fault("ledger.durable", "%q is not \"always\", \"batch\" or \"off\"", l.Durable)
 	}
 	switch l.OnFailure {
 	case "":
-		l.OnFailure = middleware.Refuse
-	case middleware.Refuse, middleware.Continue:
+		l.OnFailure = middleware.RejectOnFailure
+	case middleware.RejectOnFailure, middleware.ContinueOnFailure:
 	default:
 		fault("ledger.on_failure", "%q is not \"refuse\" or \"continue\"", l.OnFailure)
 	}
 	switch {
-	case l.Durable == middleware.Off && l.Dir != "":
+	case l.Durable == middleware.DurabilityOff && l.Dir != "":
 		fault("ledger.dir", "is of no use where durable is \"off\"")
-	case l.Durable != middleware.Off && !filepath.IsAbs(l.Dir):
+	case l.Durable != middleware.DurabilityOff && !filepath.IsAbs(l.Dir):
 		fault("ledger.dir", "%q is no absolute path", l.Dir)
 	}
-	if l.SyncEvery != 0 && l.Durable != middleware.Batch {
+	if l.SyncEvery != 0 && l.Durable != middleware.DurabilityBatch {
 		fault("ledger.sync_every", "goes with durable = \"batch\"")
 	}
 	if l.SegmentSize == 0 {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Ledger{Dir: "/var/lib/x", Durable: middleware.Batch, SyncEvery: strictdecode.Duration(20 * time.Millisecond), OnFailure: middleware.Refuse,
+	want := Ledger{Dir: "/var/lib/x", Durable: middleware.DurabilityBatch, SyncEvery: strictdecode.Duration(20 * time.Millisecond), OnFailure: middleware.RejectOnFailure,
 		Remember: strictdecode.Duration(2 * time.Minute), MaxEntries: 100_000, SegmentSize: 4 << 20, MaxSize: 1 << 30}
 	if *c.Ledger != want || c.Admin.Listen != "[::1]:9180" {
 		t.Errorf("%+v, %+v", c.Ledger, c.Admin)
