--- /dev/null
+++ b/internal/discovery/mergedsource/endpoints.go
@@ -0,0 +1,115 @@
+package mergedsource
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/engine"
+)
+
+// applyPlatformUpdate passes an update of the platform's discovery to the merger. The endpoints that a complete
+// list lacks are passed as removed, as the platform's protocol defines: if they were merely absent, the merger
+// might defer their removal.
+func (s *Source) applyPlatformUpdate(
+	now time.Duration,
+	received engine.EndpointUpdate,
+) (changes []discovery.Change, nextTick time.Duration) {
+	s.platformSeq++
+	update := discovery.Update{
+		Source:   PlatformSourceName,
+		Seq:      s.platformSeq,
+		Complete: received.Kind == balancer.CompleteList,
+	}
+	listed := map[string]bool{}
+	for _, e := range received.Endpoints {
+		listed[e.ID] = true
+		update.Endpoints = append(update.Endpoints, fromEngine(e))
+		if e.State == balancer.Active {
+			s.platformIDs[e.ID] = true
+		} else {
+			delete(s.platformIDs, e.ID)
+		}
+	}
+	if update.Complete {
+		for _, id := range slices.Sorted(maps.Keys(s.platformIDs)) {
+			if !listed[id] {
+				update.Endpoints = append(update.Endpoints, discovery.Endpoint{ID: id, State: balancer.Removed})
+				delete(s.platformIDs, id)
+			}
+		}
+	}
+	return s.merger.Apply(now, update)
+}
+
+// reportDepartures calls Config.OnDeparture for the endpoints that the platform reports as draining or removed.
+// Endpoints that a complete list merely lacks are not reported, since the list may be an older one.
+func (s *Source) reportDepartures(update engine.EndpointUpdate) {
+	if s.cfg.OnDeparture == nil {
+		return
+	}
+	for _, e := range update.Endpoints {
+		if e.State != balancer.Active {
+			s.cfg.OnDeparture(e)
+		}
+	}
+}
+
+// notifyOutOfBand notifies the engine of changes that an update of the platform's discovery did not cause. The
+// engine does not take them as a sign that the watch of the platform works.
+func (s *Source) notifyOutOfBand(changes []discovery.Change) {
+	if endpoints := s.engineEndpoints(changes); len(endpoints) > 0 {
+		s.notify(engine.EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: endpoints})
+	}
+}
+
+// notify passes an update to the caller of the current Watch, unless that has been stopped.
+func (s *Source) notify(update engine.EndpointUpdate) {
+	if s.current.ctx.Err() == nil {
+		s.current.notify(update)
+	}
+}
+
+// engineEndpoints logs changes of the list and returns them as the engine's endpoints. An endpoint that only an
+// additional source lists, and did not list in its first update, is taken to have started now. This prevents a
+// cold endpoint from being taken for a warm one: a name service does not say when a process started, and may be
+// the first to list it.
+func (s *Source) engineEndpoints(changes []discovery.Change) []engine.Endpoint {
+	var list []engine.Endpoint
+	for _, change := range changes {
+		e := change.Endpoint
+		isListed := e.State == balancer.Active
+		s.log.Info("endpoint list changed", "id", e.ID, "addr", e.Addr, "listed", isListed, "reason", change.Reason)
+		if isListed && e.StartedAtMS == 0 && !s.platformIDs[e.ID] && !s.initialAddrs[e.Addr] {
+			e.StartedAtMS = float64(s.cfg.Now().UnixMilli())
+		}
+		list = append(list, toEngine(e))
+	}
+	return list
+}
+
+func fromEngine(e engine.Endpoint) discovery.Endpoint {
+	return discovery.Endpoint{
+		ID:          e.ID,
+		Addr:        e.Addr,
+		Zone:        e.Zone,
+		Kind:        e.Kind,
+		Cell:        e.Cell,
+		State:       e.State,
+		StartedAtMS: e.StartedAtMS,
+	}
+}
+
+func toEngine(e discovery.Endpoint) engine.Endpoint {
+	return engine.Endpoint{
+		ID:          e.ID,
+		Addr:        e.Addr,
+		Zone:        e.Zone,
+		Kind:        e.Kind,
+		Cell:        e.Cell,
+		State:       e.State,
+		StartedAtMS: e.StartedAtMS,
+	}
+}
--- a/internal/discovery/mergedsource/format_test.go
+++ b/internal/discovery/mergedsource/format_test.go
@@ -11,13 +11,27 @@
 	"hazelwing/internal/testutil"
 )
 
-// GET /members is a list of these, as Source.State returns it. The files are here, and not in package membership, since its script
-// test plays every file under its testdata.
+// GET /members is a list of these, as Source.Status returns it. The golden file is here and not in package
+// discovery, since the script test there plays every file under its testdata.
 func TestMemberListFormatIsStable(t *testing.T) {
-	entry := discovery.Endpoint{
-		ID: "upstream-1", Addr: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, State: balancer.Draining, StartedAtMS: 1700000000000.5, Priority: 1, TrafficShare: 0.5,
+	endpoint := discovery.Endpoint{
+		ID:           "upstream-1",
+		Addr:         "10.0.0.4:8080",
+		Zone:         "a",
+		Kind:         "m",
+		Cell:         2,
+		State:        balancer.Draining,
+		StartedAtMS:  1700000000000.5,
+		Priority:     1,
+		TrafficShare: 0.5,
 	}
-	list := []discovery.EndpointStatus{{Endpoint: entry, Listed: true, Reason: "listed", Sources: []string{"discovery", "dns"}, Since: 1500 * time.Millisecond}, {}}
+	list := []discovery.EndpointStatus{{
+		Endpoint: endpoint,
+		Listed:   true,
+		Reason:   "listed",
+		Sources:  []string{"discovery", "dns"},
+		Since:    1500 * time.Millisecond,
+	}, {}}
 	testutil.Filled(t, list[0])
 	testutil.ExplicitNames(t, "json", list)
 	text, err := json.MarshalIndent(list, "", "  ")
@@ -33,7 +47,12 @@
 
 // The states are numbers in GET /members.
 func TestMemberListStateNumbersAreStable(t *testing.T) {
-	for state, want := range map[balancer.EndpointState]string{balancer.Active: "0", balancer.Draining: "1", balancer.Removed: "2"} {
+	numbers := map[balancer.EndpointState]string{
+		balancer.Active:   "0",
+		balancer.Draining: "1",
+		balancer.Removed:  "2",
+	}
+	for state, want := range numbers {
 		if text, err := json.Marshal(state); err != nil || string(text) != want {
 			t.Errorf("%s, %v, want %s", text, err, want)
 		}
--- /dev/null
+++ b/internal/discovery/mergedsource/run.go
@@ -0,0 +1,166 @@
+package mergedsource
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/engine"
+)
+
+// Run runs all sources, and notifies the caller of the latest Watch of changes, until ctx ends. The additional
+// sources start with the first Watch, since nobody could be notified before.
+func (s *Source) Run(ctx context.Context) {
+	s.startedAt = time.Now()
+	s.log = s.cfg.Log.With("component", "discovery")
+	var sources sync.WaitGroup
+	defer sources.Wait()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	select {
+	case <-s.watchRequested:
+		s.startPlatformWatch(ctx)
+	case <-ctx.Done():
+		return
+	}
+	for _, additional := range s.cfg.Additional {
+		sources.Go(func() { s.runAdditional(ctx, additional) })
+	}
+	s.loop(ctx)
+	s.stopPlatformWatch()
+}
+
+// loop handles events until ctx ends.
+func (s *Source) loop(ctx context.Context) {
+	tick := time.NewTimer(time.Hour)
+	defer tick.Stop()
+	for {
+		var nextTick time.Duration
+		select {
+		case <-ctx.Done():
+			return
+		case <-s.watchRequested:
+			s.startPlatformWatch(ctx)
+		case <-tick.C:
+			var changes []discovery.Change
+			changes, nextTick = s.merger.Tick(s.now())
+			s.notifyOutOfBand(changes)
+		case e := <-s.events:
+			nextTick = e.handle(s)
+		}
+		if nextTick > 0 {
+			tick.Reset(max(0, nextTick-s.now()))
+		}
+	}
+}
+
+// now returns the merger's time.
+func (s *Source) now() time.Duration { return time.Since(s.startedAt) }
+
+// post queues an event for Run.
+func (s *Source) post(ctx context.Context, e event) {
+	select {
+	case s.events <- e:
+	case <-ctx.Done():
+	}
+}
+
+// startPlatformWatch replaces the watch of the platform's discovery by the one last requested.
+func (s *Source) startPlatformWatch(ctx context.Context) {
+	s.mu.Lock()
+	request := s.request
+	s.mu.Unlock()
+	if s.stopPlatformWatch != nil {
+		s.stopPlatformWatch()
+	}
+	s.current = request
+	s.stopPlatformWatch = request.source.Watch(request.version, request.pause, func(update engine.EndpointUpdate) {
+		s.post(ctx, platformEvent{request, update})
+	})
+	//nolint:contextcheck // the watch ends with the request of the engine, and Run stops it at its own end
+	context.AfterFunc(request.ctx, s.stopPlatformWatch)
+}
+
+// runAdditional runs an additional source until ctx ends.
+func (s *Source) runAdditional(ctx context.Context, additional AdditionalSource) {
+	update := func(update discovery.Update) {
+		update.Source = additional.Name
+		s.post(ctx, updateEvent{update})
+	}
+	failed := func(err error) { s.post(ctx, failureEvent{additional.Name, err}) }
+	additional.Run(ctx, update, failed)
+}
+
+// event is what other goroutines pass to Run.
+type event interface {
+	// handle processes the event in Run's goroutine. It returns when the merger's Tick is to be called next; 0
+	// leaves that as it is.
+	handle(s *Source) (nextTick time.Duration)
+}
+
+// platformEvent is an update of the platform's discovery.
+type platformEvent struct {
+	request *watchRequest // whose watch it belongs to
+	update  engine.EndpointUpdate
+}
+
+func (e platformEvent) handle(s *Source) time.Duration {
+	if e.request != s.current {
+		return 0 // of a watch that has been replaced
+	}
+	if e.update.Kind == balancer.WatchFailed {
+		changes, nextTick := s.merger.SourceFailed(s.now(), PlatformSourceName)
+		s.notifyOutOfBand(changes)
+		s.notify(e.update)
+		return nextTick
+	}
+	s.reportDepartures(e.update)
+	changes, nextTick := s.applyPlatformUpdate(s.now(), e.update)
+	s.notify(engine.EndpointUpdate{
+		Kind:      balancer.Delta,
+		Version:   e.update.Version,
+		Endpoints: s.engineEndpoints(changes),
+	})
+	return nextTick
+}
+
+// updateEvent is an update of an additional source.
+type updateEvent struct{ update discovery.Update }
+
+func (e updateEvent) handle(s *Source) time.Duration {
+	if !s.hasReported[e.update.Source] {
+		s.hasReported[e.update.Source] = true
+		first := e.update.Endpoints
+		for _, endpoint := range first[:min(len(first), s.cfg.MaxEndpoints)] {
+			s.initialAddrs[endpoint.Addr] = true
+		}
+	}
+	changes, nextTick := s.merger.Apply(s.now(), e.update)
+	s.notifyOutOfBand(changes)
+	return nextTick
+}
+
+// failureEvent says that an additional source has failed.
+type failureEvent struct {
+	source string
+	err    error
+}
+
+func (e failureEvent) handle(s *Source) time.Duration {
+	s.log.Warn("endpoint source failed", "source", e.source, "error", e.err)
+	changes, nextTick := s.merger.SourceFailed(s.now(), e.source)
+	s.notifyOutOfBand(changes)
+	return nextTick
+}
+
+// statusRequest asks for the state of the list. Its channel has room for the reply.
+type statusRequest struct {
+	reply chan<- []discovery.EndpointStatus
+}
+
+func (e statusRequest) handle(s *Source) time.Duration {
+	e.reply <- s.merger.Status(s.now())
+	return 0
+}
--- a/internal/discovery/mergedsource/source_test.go
+++ b/internal/discovery/mergedsource/source_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"log/slog"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -15,213 +16,251 @@
 	"hazelwing/internal/testutil"
 )
 
-// fakeDiscovery is a stand-in for the platform's: the test tells what a watch brings.
-type fakeDiscovery struct{ watches chan *call }
+// fakePlatform is a platform's discovery whose updates the test sends.
+type fakePlatform struct{ watches chan *fakeWatch }
 
-type call struct {
-	seq  int64
-	tell func(engine.EndpointUpdate)
-	ctx  context.Context
+// fakeWatch is a call of fakePlatform.Watch.
+type fakeWatch struct {
+	version int64
+	notify  func(engine.EndpointUpdate)
+	stopped atomic.Bool
 }
 
-func newDiscovery() *fakeDiscovery { return &fakeDiscovery{make(chan *call, 10)} }
+func newFakePlatform() *fakePlatform { return &fakePlatform{make(chan *fakeWatch, 10)} }
 
-func (d *fakeDiscovery) Watch(seq int64, _ time.Duration, tell func(engine.EndpointUpdate)) context.CancelFunc {
-	ctx, stop := context.WithCancel(context.Background())
-	d.watches <- &call{seq, tell, ctx}
-	return stop
+func (p *fakePlatform) Watch(version int64, _ time.Duration, notify func(engine.EndpointUpdate)) context.CancelFunc {
+	watch := &fakeWatch{version: version, notify: notify}
+	p.watches <- watch
+	return func() { watch.stopped.Store(true) }
 }
 
-// rig is a Source that runs, with one source beside discovery, and what it tells.
-type rig struct {
+// harness is a running Source with one additional source, and the updates that it sends.
+type harness struct {
 	*Source
-	t     *testing.T
-	list  *fakeDiscovery
-	watch *call
-	srv   chan any // views, and errors: it is lost
-	news  chan engine.EndpointUpdate
+	t        *testing.T
+	platform *fakePlatform
+	watch    *fakeWatch
+	srv      chan srvEvent
+	updates  chan engine.EndpointUpdate
 }
 
-const now = 1_700_000_000_000
+// srvEvent is an update of the additional source, or its failure where err is set.
+type srvEvent struct {
+	update discovery.Update
+	err    error
+}
+
+const nowMS = 1_700_000_000_000
 
-// start runs one that knows these members, and is watched.
-func start(t *testing.T, settle time.Duration, known ...string) *rig {
+// start runs a Source that has these endpoints cached, and watches it.
+func start(t *testing.T, additionInterval time.Duration, cached ...string) *harness {
 	t.Helper()
-	r := &rig{t: t, list: newDiscovery(), srv: make(chan any), news: make(chan engine.EndpointUpdate, 100)}
-	s, err := New(Config{Platform: r.list, CachedList: members(known...), MaxEndpoints: 100, AdditionInterval: settle, TombstoneTTL: time.Hour, MaxRemovalShare: 0.5, RemovalWindow: time.Minute,
-		Now: func() time.Time { return time.UnixMilli(now) }, Log: slog.New(slog.DiscardHandler),
-		Additional: []AdditionalSource{{SourceConfig: discovery.SourceConfig{Name: "srv", Rank: 1, StaleTTL: time.Hour}, Run: func(ctx context.Context, tell func(discovery.Update), lost func(error)) {
-			for n := int64(1); ; n++ {
-				select {
-				case x := <-r.srv:
-					if err, ok := x.(error); ok {
-						lost(err)
-						continue
-					}
-					v := x.(discovery.Update)
-					v.Seq = n
-					tell(v)
-				case <-ctx.Done():
-					return
-				}
-			}
-		}}}})
+	h := &harness{
+		t:        t,
+		platform: newFakePlatform(),
+		srv:      make(chan srvEvent),
+		updates:  make(chan engine.EndpointUpdate, 100),
+	}
+	s, err := New(Config{
+		Platform: h.platform,
+		Additional: []AdditionalSource{{
+			SourceConfig: discovery.SourceConfig{Name: "srv", Rank: 1, StaleTTL: time.Hour},
+			Run:          h.runSRV,
+		}},
+		CachedList:       endpoints(cached...),
+		MaxEndpoints:     100,
+		AdditionInterval: additionInterval,
+		TombstoneTTL:     time.Hour,
+		MaxRemovalShare:  0.5,
+		RemovalWindow:    time.Minute,
+		Now:              func() time.Time { return time.UnixMilli(nowMS) },
+		Log:              slog.New(slog.DiscardHandler),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Source = s
+	h.Source = s
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan bool)
-	go func() { s.Run(ctx); close(ended) }()
-	t.Cleanup(func() { stop(); testutil.Receive(t, ended, "its end") })
-	s.Watch(7, 0, func(n engine.EndpointUpdate) { r.news <- n })
-	r.watch = testutil.Receive(t, r.list.watches, "discovery's watch")
-	return r
-}
-
-// members reads "a" as a member a at x:a, "-a" as one that drains.
-func members(names ...string) (list []engine.Endpoint) {
-	for _, n := range names {
-		m := engine.Endpoint{ID: strings.TrimPrefix(n, "-"), Zone: "z"}
-		m.Addr = "x:" + m.ID
-		if m.ID != n {
-			m.State = balancer.Draining
+	done := make(chan bool)
+	go func() { s.Run(ctx); close(done) }()
+	t.Cleanup(func() { stop(); testutil.Receive(t, done, "the end of Run") })
+	s.Watch(7, 0, func(update engine.EndpointUpdate) { h.updates <- update })
+	h.watch = testutil.Receive(t, h.platform.watches, "the watch of the platform")
+	return h
+}
+
+// runSRV is the additional source.
+func (h *harness) runSRV(ctx context.Context, update func(discovery.Update), failed func(error)) {
+	for seq := int64(1); ; seq++ {
+		select {
+		case e := <-h.srv:
+			if e.err != nil {
+				failed(e.err)
+				continue
+			}
+			e.update.Seq = seq
+			update(e.update)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// endpoints reads "a" as an endpoint a at x:a, and "-a" as one that is draining.
+func endpoints(names ...string) []engine.Endpoint {
+	var list []engine.Endpoint
+	for _, name := range names {
+		e := engine.Endpoint{ID: strings.TrimPrefix(name, "-"), Zone: "z"}
+		e.Addr = "x:" + e.ID
+		if e.ID != name {
+			e.State = balancer.Draining
 		}
-		list = append(list, m)
+		list = append(list, e)
 	}
 	return list
 }
 
-// addresses are a view of the name service's.
-func addresses(names ...string) discovery.Update {
-	v := discovery.Update{Complete: true}
-	for _, n := range names {
-		v.Endpoints = append(v.Endpoints, discovery.Endpoint{Addr: "x:" + n})
+// addrs sends an update of the additional source, which lists the addresses of these endpoints.
+func (h *harness) addrs(names ...string) {
+	update := discovery.Update{Complete: true}
+	for _, name := range names {
+		update.Endpoints = append(update.Endpoints, discovery.Endpoint{Addr: "x:" + name})
 	}
-	return v
+	h.srv <- srvEvent{update: update}
 }
 
-func (r *rig) says(kind balancer.UpdateKind, seq int64, names ...string) {
-	r.watch.tell(engine.EndpointUpdate{Kind: kind, Version: seq, Endpoints: members(names...)})
+// platformUpdate sends an update of the platform's discovery.
+func (h *harness) platformUpdate(kind balancer.UpdateKind, version int64, names ...string) {
+	h.watch.notify(engine.EndpointUpdate{Kind: kind, Version: version, Endpoints: endpoints(names...)})
 }
 
-// want receives news, and compares it with "kind seq: members".
-func (r *rig) want(text string) engine.EndpointUpdate {
-	r.t.Helper()
-	n := testutil.Receive(r.t, r.news, "news: "+text)
-	kinds := map[balancer.UpdateKind]string{balancer.Delta: "change", balancer.OutOfBand: "aside", balancer.WatchFailed: "failed"}
-	got := fmt.Sprintf("%s %d:", kinds[n.Kind], n.Version)
-	for _, m := range n.Endpoints {
+// want receives an update, and compares it with "kind version: endpoints".
+func (h *harness) want(text string) engine.EndpointUpdate {
+	h.t.Helper()
+	update := testutil.Receive(h.t, h.updates, "update: "+text)
+	kinds := map[balancer.UpdateKind]string{
+		balancer.Delta:       "delta",
+		balancer.OutOfBand:   "out-of-band",
+		balancer.WatchFailed: "failed",
+	}
+	got := fmt.Sprintf("%s %d:", kinds[update.Kind], update.Version)
+	for _, e := range update.Endpoints {
 		sign := " "
-		if m.State != balancer.Active {
+		if e.State != balancer.Active {
 			sign = " -"
 		}
-		got += sign + m.ID
+		got += sign + e.ID
 	}
 	if got != text {
-		r.t.Fatalf("told %q, want %q", got, text)
+		h.t.Fatalf("update %q, want %q", got, text)
 	}
-	return n
+	return update
 }
 
-// The list says that a node drains, and the name service lists it on: it leaves at once, and does not come back by that.
-func TestLeavingWins(t *testing.T) {
-	r := start(t, 0, "a", "b", "c")
-	r.says(balancer.Delta, 8)
-	r.want("change 8:")
-	r.srv <- addresses("a", "b", "c")
-	r.says(balancer.Delta, 9, "-b")
-	r.want("change 9: -b")
-	r.srv <- addresses("b", "a", "c")
-	r.srv <- addresses("a", "b", "c", "d")
-	r.want("aside 0: addr x:d")
+// The platform reports an endpoint as draining while the name service still lists it: the endpoint is removed
+// at once, and does not come back.
+func TestRemovalWins(t *testing.T) {
+	h := start(t, 0, "a", "b", "c")
+	h.platformUpdate(balancer.Delta, 8)
+	h.want("delta 8:")
+	h.addrs("a", "b", "c")
+	h.platformUpdate(balancer.Delta, 9, "-b")
+	h.want("delta 9: -b")
+	h.addrs("b", "a", "c")
+	h.addrs("a", "b", "c", "d")
+	h.want("out-of-band 0: addr x:d")
 }
 
-// A whole list lacks most of what was known: that is told whole and at once, however much it is, unlike what a name service
-// merely no longer lists.
-func TestWholeListOfDiscovery(t *testing.T) {
-	r := start(t, 0, "a", "b", "c", "d")
-	r.says(balancer.CompleteList, 12, "d", "e")
-	r.want("change 12: -a -b -c e")
-	r.says(balancer.CompleteList, 13)
-	r.want("change 13: -d -e")
+// A complete list lacks most of the cached endpoints: all of them are removed at once, unlike those that a name
+// service no longer lists.
+func TestCompleteListOfPlatform(t *testing.T) {
+	h := start(t, 0, "a", "b", "c", "d")
+	h.platformUpdate(balancer.CompleteList, 12, "d", "e")
+	h.want("delta 12: -a -b -c e")
+	h.platformUpdate(balancer.CompleteList, 13)
+	h.want("delta 13: -d -e")
 }
 
-// A node that only the name service names, and did not in its first view, may just have started.
+// An endpoint that only the name service lists, and not in its first update, may just have started.
 func TestNewAddressCountsAsStartedNow(t *testing.T) {
-	r := start(t, 0)
-	r.srv <- addresses("a")
-	if n := r.want("aside 0: addr x:a"); n.Endpoints[0].StartedAtMS != 0 {
-		t.Errorf("one of the first view is taken to have started at %v", n.Endpoints[0].StartedAtMS)
-	}
-	r.srv <- addresses("a", "b")
-	if n := r.want("aside 0: addr x:b"); n.Endpoints[0].StartedAtMS != now {
-		t.Errorf("a new one is taken to have started at %v", n.Endpoints[0].StartedAtMS)
-	}
-	r.says(balancer.CompleteList, 3, "b") // the list names it: one node, which has its name from now on
-	if n := r.want("change 3: -addr x:b b"); n.Endpoints[1].StartedAtMS != 0 {
-		t.Errorf("what the list names has the list's start: %v", n.Endpoints[1].StartedAtMS)
-	}
-}
-
-// Discovery fails: the engine hears it and asks again, on the version that it had; the others go on, also while nobody watches.
-func TestDiscoveryFails(t *testing.T) {
-	r := start(t, 0, "a")
-	r.says(balancer.Delta, 8)
-	r.want("change 8:")
-	r.watch.tell(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: 8, Err: errors.New("503")})
-	r.want("failed 8:")
-	r.srv <- addresses("a", "b")
-	r.want("aside 0: addr x:b")
-	r.srv <- errors.New("time-out")
-	other := newDiscovery()
-	r.SetPlatform(other)
-	stop := r.Watch(engine.UnknownVersion, 0, func(n engine.EndpointUpdate) { r.news <- n })
-	r.watch = testutil.Receive(t, other.watches, "the new discovery's watch")
-	if r.watch.seq != engine.UnknownVersion {
-		t.Errorf("it goes on from %d", r.watch.seq)
-	}
-	r.says(balancer.Delta, 2, "-a")
-	r.want("change 2: -a")
+	h := start(t, 0)
+	h.addrs("a")
+	if update := h.want("out-of-band 0: addr x:a"); update.Endpoints[0].StartedAtMS != 0 {
+		t.Errorf("an address of the first update has the start %v", update.Endpoints[0].StartedAtMS)
+	}
+	h.addrs("a", "b")
+	if update := h.want("out-of-band 0: addr x:b"); update.Endpoints[0].StartedAtMS != nowMS {
+		t.Errorf("a new address has the start %v", update.Endpoints[0].StartedAtMS)
+	}
+	h.platformUpdate(balancer.CompleteList, 3, "b") // from now on the endpoint goes by its ID
+	if update := h.want("delta 3: -addr x:b b"); update.Endpoints[1].StartedAtMS != 0 {
+		t.Errorf("what the platform lists has the start %v", update.Endpoints[1].StartedAtMS)
+	}
+}
+
+// The watch of the platform fails: the engine is notified, and watches again from the version that it had. The
+// other source goes on, also while nobody watches.
+func TestPlatformFails(t *testing.T) {
+	h := start(t, 0, "a")
+	h.platformUpdate(balancer.Delta, 8)
+	h.want("delta 8:")
+	h.watch.notify(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: 8, Err: errors.New("503")})
+	h.want("failed 8:")
+	h.addrs("a", "b")
+	h.want("out-of-band 0: addr x:b")
+	h.srv <- srvEvent{err: errors.New("time-out")}
+	other := newFakePlatform()
+	h.SetPlatform(other)
+	stop := h.Watch(engine.UnknownVersion, 0, func(update engine.EndpointUpdate) { h.updates <- update })
+	h.watch = testutil.Receive(t, other.watches, "the watch of the new platform")
+	if h.watch.version != engine.UnknownVersion {
+		t.Errorf("it continues from version %d", h.watch.version)
+	}
+	h.platformUpdate(balancer.Delta, 2, "-a")
+	h.want("delta 2: -a")
 	stop()
-	testutil.Until(t, "the watch's end", func() bool { return r.watch.ctx.Err() != nil })
-	r.says(balancer.Delta, 3, "f")
-	r.srv <- addresses("g")
+	testutil.Until(t, "the end of the watch", h.watch.stopped.Load)
+	h.platformUpdate(balancer.Delta, 3, "f")
+	h.addrs("g")
 	select {
-	case n := <-r.news:
-		t.Errorf("told %+v after the end", n)
+	case update := <-h.updates:
+		t.Errorf("update %+v after the watch was stopped", update)
 	case <-time.After(10 * time.Millisecond):
 	}
 }
 
-// Additions are handed out at most once in Settle, leavings at once.
-func TestAdditionsSettle(t *testing.T) {
-	r := start(t, time.Hour, "a", "b")
-	r.srv <- addresses("a", "c")
-	r.says(balancer.Delta, 8, "-b")
-	r.want("change 8: -b")
+// Additions are passed on at most once in the addition interval, removals at once.
+func TestAdditionInterval(t *testing.T) {
+	h := start(t, time.Hour, "a", "b")
+	h.addrs("a", "c")
+	h.platformUpdate(balancer.Delta, 8, "-b")
+	h.want("delta 8: -b")
 	select {
-	case n := <-r.news:
-		t.Errorf("an addition within Settle of the last: %+v", n)
+	case update := <-h.updates:
+		t.Errorf("an addition within the interval: %+v", update)
 	case <-time.After(10 * time.Millisecond):
 	}
-	r = start(t, 20*time.Millisecond, "a")
-	r.srv <- addresses("a", "c")
-	r.want("aside 0: addr x:c") // by itself, once Settle has passed
+	h = start(t, 20*time.Millisecond, "a")
+	h.addrs("a", "c")
+	h.want("out-of-band 0: addr x:c") // without another event, once the interval has passed
 }
 
-// What cannot be is an error that says so.
-func TestNewRefuses(t *testing.T) {
-	good := Config{MaxEndpoints: 1, TombstoneTTL: 1, MaxRemovalShare: 1, RemovalWindow: 1}
-	for want, c := range map[string]Config{
-		`"list" is discovery's name`: {MaxEndpoints: 1, TombstoneTTL: 1, MaxRemovalShare: 1, RemovalWindow: 1, Additional: []AdditionalSource{{SourceConfig: discovery.SourceConfig{Name: PlatformSourceName}}}},
-		"a share above 0":            {MaxEndpoints: 1, TombstoneTTL: 1, RemovalWindow: 1},
+// An invalid configuration is an error that names the fault.
+func TestNewRejectsInvalidConfig(t *testing.T) {
+	valid := Config{MaxEndpoints: 1, TombstoneTTL: 1, MaxRemovalShare: 1, RemovalWindow: 1}
+	reservedName := valid
+	reservedName.Additional = []AdditionalSource{{SourceConfig: discovery.SourceConfig{Name: PlatformSourceName}}}
+	noShare := valid
+	noShare.MaxRemovalShare = 0
+	for want, cfg := range map[string]Config{
+		`"list" is the name of the platform's discovery`: reservedName,
+		"a share above 0": noShare,
 	} {
-		if _, err := New(c); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	if _, err := New(good); err != nil {
+	if _, err := New(valid); err != nil {
 		t.Error(err)
 	}
 }
