--- a/internal/discovery/dns/source.go
+++ b/internal/discovery/dns/source.go
@@ -8,11 +8,11 @@
 	"hazelwing/internal/discovery"
 )
 
-// Lookup finds a service's targets; Resolver.SRV is one. A Source calls it from its goroutine, one call at a time; it returns
-// soon after ctx ends.
+// LookupFunc finds the targets of a service, as Resolver.LookupSRV does. A Source calls it from its goroutine,
+// one call at a time. It returns soon after ctx ends.
 type LookupFunc func(ctx context.Context, name string) (Answer, error)
 
-// Source follows one SRV name.
+// Source watches one SRV name.
 type Source struct {
 	Name      string
 	Lookup    LookupFunc
@@ -20,38 +20,39 @@
 	Log       *slog.Logger
 }
 
-// Run follows the name until ctx ends. It calls tell with each new view, and lost once what it told is too old, both from its
-// own goroutine, one call at a time; neither should block for long.
-func (s *Source) Run(ctx context.Context, tell func(discovery.Update), lost func(err error)) {
-	begun := time.Now()
-	step := s.Refresher.Start(0)
-	wait := time.NewTimer(step.NextLookup)
-	defer wait.Stop()
+// Run watches the name until ctx ends. It calls update with each new update, and failed once when the last one
+// is too old to rely on, both from its own goroutine, one call at a time. Neither should block for long.
+func (s *Source) Run(ctx context.Context, update func(discovery.Update), failed func(err error)) {
+	log := s.Log.With("component", "dns", "name", s.Name)
+	startedAt := time.Now()
+	decision := s.Refresher.Start(0)
+	timer := time.NewTimer(decision.NextLookup)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-wait.C:
+		case <-timer.C:
 		}
-		a, err := s.Lookup(ctx, s.Name)
+		answer, err := s.Lookup(ctx, s.Name)
 		if ctx.Err() != nil {
 			return
 		}
-		now := time.Since(begun)
+		now := time.Since(startedAt)
 		if err != nil {
-			step = s.Refresher.HandleFailure(now, err)
+			decision = s.Refresher.HandleFailure(now, err)
 		} else {
-			step = s.Refresher.HandleAnswer(now, a)
+			decision = s.Refresher.HandleAnswer(now, answer)
 		}
-		if step.LogMessage != "" {
-			s.Log.Info("name service: "+step.LogMessage, "name", s.Name)
+		if entry := decision.Log; entry.Message != "" {
+			log.LogAttrs(ctx, slog.LevelInfo, entry.Message, entry.Attrs...)
 		}
-		if step.Update != nil {
-			tell(*step.Update)
+		if decision.Update != nil {
+			update(*decision.Update)
 		}
-		if step.Failed {
-			lost(err)
+		if decision.Failed {
+			failed(err)
 		}
-		wait.Reset(step.NextLookup - now)
+		timer.Reset(decision.NextLookup - now)
 	}
 }
--- /dev/null
+++ b/internal/discovery/dns/source_test.go
@@ -0,0 +1,76 @@
+package dns
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/netip"
+	"testing"
+	"time"
+
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/testutil"
+)
+
+// lookupResult is what a lookup returns.
+type lookupResult struct {
+	answer Answer
+	err    error
+}
+
+// addrResult is an answer with one target that has this address.
+func addrResult(addr string) lookupResult {
+	target := Target{Port: 80, Addrs: []netip.Addr{netip.MustParseAddr(addr)}}
+	return lookupResult{answer: Answer{TTL: time.Millisecond, Targets: []Target{target}}}
+}
+
+// A source sends each update once, reports once that it has failed, goes on looking up, and ends with its context.
+func TestSource(t *testing.T) {
+	first, second := addrResult("10.0.0.1"), addrResult("10.0.0.2")
+	failure := lookupResult{err: errors.New("time-out")}
+	results := make(chan lookupResult)
+	refresher, err := NewRefresher(RefresherConfig{
+		SourceName: "srv",
+		StaleTTL:   time.Nanosecond,
+		MinRetry:   time.Millisecond,
+		MaxRetry:   time.Millisecond,
+	}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	source := &Source{
+		Name:      "_booking._tcp.example.org.",
+		Refresher: refresher,
+		Log:       slog.New(slog.DiscardHandler),
+		Lookup: func(ctx context.Context, _ string) (Answer, error) {
+			select {
+			case result := <-results:
+				return result.answer, result.err
+			case <-ctx.Done():
+				return Answer{}, ctx.Err()
+			}
+		},
+	}
+	events := make(chan string, 10)
+	ctx, stop := context.WithCancel(t.Context())
+	done := make(chan bool)
+	go func() {
+		source.Run(ctx,
+			func(update discovery.Update) { events <- update.Endpoints[0].Addr },
+			func(err error) { events <- err.Error() })
+		close(done)
+	}()
+	for _, result := range []lookupResult{first, first, failure, failure, failure, second} {
+		results <- result
+	}
+	for _, want := range []string{"10.0.0.1:80", "time-out", "10.0.0.2:80"} {
+		if got := testutil.Receive(t, events, want); got != want {
+			t.Errorf("event %s, want %s", got, want)
+		}
+	}
+	stop()
+	testutil.Receive(t, done, "the end of Run")
+	if len(events) > 0 {
+		t.Errorf("unexpected event %s", <-events)
+	}
+}
