--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -11,10 +11,13 @@
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 
 	"hazelwing/internal/controlplane"
 	"hazelwing/internal/controlplane/origin"
+	"hazelwing/internal/idempotency/middleware"
 	"hazelwing/internal/load"
+	"hazelwing/internal/store"
 	"hazelwing/internal/testutil"
 )
 
@@ -81,12 +84,12 @@
 
 // What config push prints as JSON.
 func TestPushOutputFormatIsStable(t *testing.T) {
-	stamp := controlplane.Stamp{Epoch: 3, Version: 17, Hash: "h"}
+	stamp := controlplane.Revision{Epoch: 3, Version: 17, Hash: "h"}
 	push := pushed{
-		Answer: origin.Answer{ID: "push-1", Outcome: origin.Accepted, Stamp: stamp, Err: "why"}, After: 16, Took: "10ms", Within: "20ms",
+		Result: origin.Result{ID: "push-1", Outcome: origin.OutcomeAccepted, Revision: stamp, Error: "why"}, After: 16, Took: "10ms", Within: "20ms",
 		Report: &controlplane.Report{
-			Members: 5, Latest: stamp, Acting: []controlplane.StampCount{{Stamp: stamp, N: 3}}, Others: 1,
-			Lacking: []controlplane.Lack{{Name: "m1", Acts: stamp, Why: controlplane.Behind, Err: "why", Below: 2}}, More: 4,
+			Members: 5, Latest: stamp, Active: []controlplane.RevisionCount{{Revision: stamp, Count: 3}}, OtherRevisions: 1,
+			Laggards: []controlplane.Laggard{{Name: "m1", Active: stamp, Reason: controlplane.ReasonBehind, Error: "why", Descendants: 2}}, UnnamedLaggards: 4,
 		},
 	}
 	testutil.Filled(t, push)
@@ -121,3 +124,34 @@
 	}
 	testutil.Golden(t, "format/load-report.json", out.Bytes())
 }
+
+// What hazelwing store prints as JSON, and GET /ledger.
+func TestStoreOutputFormatIsStable(t *testing.T) {
+	at := time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC)
+	stats := store.Stats{
+		Entries: 1, Segments: 2, Bytes: 3, Live: 4, Damaged: 5, Unsynced: 6, Syncs: 7, Failures: 8, Compactions: 9, Dropped: 10, Lost: 11,
+	}
+	for name, v := range map[string]any{
+		"store-inspect": middleware.Remembered{
+			Fingerprint: "0123", Class: "pay", Effect: "keyed", State: "open", Since: at, Expires: at.Add(time.Minute), Where: "a/0",
+		},
+		"store-verify": store.Segment{
+			Name: "00000001.log", Bytes: 1, Puts: 2, Deletes: 3, Damaged: 4, Tail: 5, Hint: "good", Fault: "why",
+		},
+		"store-compact": map[string]store.Stats{"before": stats, "after": stats},
+		"ledger-state": middleware.State{
+			Durability: middleware.Batch, Trouble: "why", Then: middleware.Continue, Remembered: 1, Open: 2, Left: 3, OldestS: 4.5, Failed: 5, Refused: 6,
+			Undurable: 7, Unclosed: 8, WaitP50: 9.5, WaitP99: 10.5, Store: &stats,
+		},
+	} {
+		testutil.Filled(t, v)
+		testutil.ExplicitNames(t, "json", v)
+		var out bytes.Buffer
+		for _, one := range []any{v, reflect.Zero(reflect.TypeOf(v)).Interface()} {
+			if err := print(&out, one); err != nil {
+				t.Fatal(err)
+			}
+		}
+		testutil.Golden(t, "format/"+name+".json", out.Bytes())
+	}
+}
--- a/internal/simulation/configsim/follow.go
+++ b/internal/simulation/configsim/follow.go
@@ -29,9 +29,9 @@
 			}
 		}))
 	}
-	c := m.sel.Choose(f.Now)
-	if c.Wait > 0 {
-		again(min(c.Wait, time.Second)) // the view may change meanwhile
+	c := m.sel.Select(f.Now)
+	if c.Delay > 0 {
+		again(min(c.Delay, time.Second)) // the view may change meanwhile
 		return
 	}
 	s := &session{child: m}
@@ -48,7 +48,7 @@
 	failed := func() {
 		if m.attempts == attempt && m.up1 == nil {
 			if m.tried++; !c.Discovery || m.tried >= f.cfg.Origins {
-				m.sel.Failed(f.Now, c)
+				m.sel.ReportFailure(f.Now, c)
 				m.tried = 0
 			}
 			again(10 * time.Millisecond)
@@ -73,8 +73,8 @@
 			if s.member != nil {
 				m.path = append([]int{s.member.index}, s.member.path...)
 			}
-			m.sel.Works(f.Now, c)
-			if fr, ok := serverFrame(s); ok && fr.Stamp.Compare(m.f.Stats().Held) > 0 {
+			m.sel.ReportSuccess(f.Now, c)
+			if fr, ok := serverFrame(s); ok && fr.Revision.Compare(m.f.Stats().Published) > 0 {
 				f.frame(s, fr)
 			}
 			f.report(m, m.f.Report())
@@ -87,14 +87,14 @@
 
 func serverFrame(s *session) (controlplane.Frame, bool) {
 	if s.origin != nil {
-		return s.origin.frame, !s.origin.frame.Stamp.None()
+		return s.origin.frame, !s.origin.frame.Revision.IsZero()
 	}
 	return s.member.f.Frame()
 }
 
 // turnsAway says why one may not follow; empty: it may.
 func (f *Fleet) turnsAway(s *session) string {
-	if fr, _ := serverFrame(s); fr.Stamp.Compare(s.child.f.Stats().Held) < 0 {
+	if fr, _ := serverFrame(s); fr.Revision.Compare(s.child.f.Stats().Published) < 0 {
 		return "a later one is held than this one has"
 	}
 	if s.origin != nil {
@@ -144,17 +144,17 @@
 	if server.children[m.index] == s {
 		delete(server.children, m.index)
 		if s.origin != nil {
-			f.handleOrigin(s.origin, origin.Gone{From: m.name})
+			f.handleOrigin(s.origin, origin.SubscriberDisconnected{From: m.name})
 		} else {
-			f.handle(s.member, controlplane.Gone{From: m.name})
+			f.handle(s.member, controlplane.SubscriberDisconnected{From: m.name})
 		}
 	}
 	if m.up1 == s {
 		m.up1 = nil
-		f.handle(m, controlplane.Lost{From: server.name})
+		f.handle(m, controlplane.UpstreamLost{From: server.name})
 		if m.up {
 			if s.origin == nil { // else the next origin is tried first: they are one source
-				m.sel.Failed(f.Now, m.choice)
+				m.sel.ReportFailure(f.Now, m.choice)
 			}
 			m.tried = 0
 			f.choose(m)
@@ -174,7 +174,7 @@
 			s.broken = 0
 			server.BeatsOut += beatSize
 			if s.child.up1 == s {
-				f.handle(s.child, controlplane.Confirmed{From: server.name})
+				f.handle(s.child, controlplane.UpstreamConfirmed{From: server.name})
 			} else if s.child.up1 != nil {
 				f.close(s) // the child has another one by now
 			}
@@ -191,7 +191,7 @@
 		if m.up1 == nil && m.idle {
 			f.choose(m)
 		}
-		if m.up1 != nil && m.sel.Better(f.Now, m.choice) {
+		if m.up1 != nil && m.sel.ShouldSwitch(f.Now, m.choice) {
 			f.close(m.up1)
 		}
 		if m.tickAt <= f.Now {
@@ -263,6 +263,6 @@
 				others = append(others, p)
 			}
 		}
-		m.sel.View(f.Now, others, len(others) > 0)
+		m.sel.UpdateMembers(f.Now, others, len(others) > 0)
 	}
 }
