--- a/cmd/hazelwing/config.go
+++ b/cmd/hazelwing/config.go
@@ -97,7 +97,7 @@
 				if err != nil {
 					return fmt.Errorf("config: which version is the latest: %w", err)
 				}
-				p.After = s.Answer.Revision.Version
+				p.After = s.Result.Revision.Version
 			}
 			id = cmp.Or(id, rand.Text())
 			begun := time.Now()
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -156,8 +156,8 @@
 func (r *configRig) followed(besides ...int) (most int) {
 	best := -1
 	for _, n := range r.all() {
-		if s := r.state(n); s.Serves.Following > best && !slices.Contains(besides, n) {
-			most, best = n, s.Serves.Following
+		if s := r.state(n); s.Server.Subscribers > best && !slices.Contains(besides, n) {
+			most, best = n, s.Server.Subscribers
 		}
 	}
 	return most
@@ -278,7 +278,7 @@
 	<-done
 	r.inForce("half of the fleet restarts: the others", s, at, numbered(half+1, members), soon)
 	for n := range half {
-		if st := r.state(n + 1); !st.Ready && st.LastKnown == "" {
+		if st := r.state(n + 1); !st.Ready && st.CachedAge == "" {
 			t.Errorf("%d takes requests, and neither has it nor says what it acts on: %+v", n+1, st)
 		}
 	}
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -91,7 +91,7 @@
 	r.inForce("before the origin went", controlplane.Revision{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
 	testutil.Until(t, "it is kept", func() bool { s := r.state(2); return s.Active.Version == 2 })
 	r.play("kill all\nstart all")
-	if s := r.state(2); s.Ready || !s.FromCache || s.LastKnown == "" || s.Active.Version != 2 {
+	if s := r.state(2); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active.Version != 2 {
 		t.Errorf("it takes requests and does not say that it acts on its last known one: %+v", s)
 	}
 	if !strings.Contains(r.Log(2), "acting on the last known one, 1.2, confirmed") {
@@ -143,7 +143,7 @@
 		r.t.Fatalf("%v, %v", err, resp)
 	}
 	resp.Body.Close()
-	if s := r.state(1); s.Serves.Foreign == 0 || s.Active.Version != 1 {
+	if s := r.state(1); s.Server.OtherCluster == 0 || s.Active.Version != 1 {
 		r.t.Errorf("%+v", s)
 	}
 }
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -60,7 +60,7 @@
 				if err != nil {
 					continue
 				}
-				a, err := c.Push(t.Context(), fmt.Sprintf("flood-%d-%d", i, j), seen.Answer.Revision.Version, fmt.Appendf(nil, "# flood %d %d\n", i, j))
+				a, err := c.Push(t.Context(), fmt.Sprintf("flood-%d-%d", i, j), seen.Result.Revision.Version, fmt.Appendf(nil, "# flood %d %d\n", i, j))
 				if err == nil && a.Outcome == origin.OutcomeAccepted {
 					accepted[i]++
 				}
--- a/cmd/hazelwing/origin.go
+++ b/cmd/hazelwing/origin.go
@@ -85,7 +85,7 @@
 	}
 	defer func() { err = errors.Join(err, st.Close()) }()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	node, err := transport.NewOrigin(transport.OriginConfig{Store: st, Listen: o.Listen, Peers: o.Addrs, Allowed: o.Allowed, Log: log,
+	node, err := transport.NewOrigin(transport.OriginConfig{Store: st, ListenAddr: o.Listen, PeerAddrs: o.Addrs, AllowedNetworks: o.Allowed, Log: log,
 		Node: origin.Config{BootstrapConfig: origin.BootstrapConfig{Cluster: o.Fleet, Epoch: uint64(o.Epoch), Origins: o.Names}, Self: o.Name, Seed: rand.Uint64(), TickInterval: time.Duration(o.Tick)}})
 	if err != nil {
 		return fmt.Errorf("origin: %w", err)
--- a/internal/controlplane/transport/client.go
+++ b/internal/controlplane/transport/client.go
@@ -28,7 +28,7 @@
 }
 
 // answerMost is how long an answer may be at most.
-const answerMost = MaxLine + 4*controlplane.MaxReportSize
+const answerMost = MaxLineSize + 4*controlplane.MaxReportSize
 
 func (c *Client) ask(ctx context.Context, method, path string, body []byte, v any) error {
 	q, err := c.c.request(ctx, method, c.addr, path, bytes.NewReader(body))
@@ -57,18 +57,18 @@
 }
 
 // Became asks what became of a push.
-func (c *Client) Became(ctx context.Context, id string) (a origin.Result, err error) {
+func (c *Client) PushOutcome(ctx context.Context, id string) (a origin.Result, err error) {
 	return a, c.ask(ctx, http.MethodGet, pushPath+"?"+url.Values{"id": {id}}.Encode(), nil, &a)
 }
 
 // Show is the latest snapshot; local: as this origin has it, without asking the others.
-func (c *Client) Show(ctx context.Context, local bool) (s Shown, err error) {
+func (c *Client) Show(ctx context.Context, local bool) (s ShowResponse, err error) {
 	path := showPath
 	if local {
 		path += "?local=1"
 	}
-	if err = c.ask(ctx, http.MethodGet, path, nil, &s); err == nil && !local && s.Answer.Outcome != origin.OutcomeCurrent {
-		err = fmt.Errorf("%s has not had it confirmed by a majority: %s %s", c.addr, s.Answer.Outcome, s.Answer.Error)
+	if err = c.ask(ctx, http.MethodGet, path, nil, &s); err == nil && !local && s.Result.Outcome != origin.OutcomeCurrent {
+		err = fmt.Errorf("%s has not had it confirmed by a majority: %s %s", c.addr, s.Result.Outcome, s.Result.Error)
 	}
 	return s, err
 }
--- a/internal/controlplane/transport/follow.go
+++ b/internal/controlplane/transport/follow.go
@@ -131,7 +131,7 @@
 	defer quiet.Stop()
 	defer context.AfterFunc(ctx, o.end)()
 	lines := bufio.NewScanner(o.resp.Body)
-	lines.Buffer(make([]byte, 0, 1<<10), MaxLine)
+	lines.Buffer(make([]byte, 0, 1<<10), MaxLineSize)
 	for lines.Scan() {
 		if !quiet.Reset(silence) {
 			return errQuiet
@@ -175,11 +175,11 @@
 		return f, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxLine+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxLineSize+1))
 	if err != nil {
 		return f, err
 	}
-	if len(text) > MaxLine {
+	if len(text) > MaxLineSize {
 		return f, errLength
 	}
 	var l line
--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -60,16 +60,16 @@
 func TestConfigurationLinkFormatIsStable(t *testing.T) {
 	stamp, frame := formatStamp(17), formatFrame(17)
 	goldenValue(t, "line", line{Path: []string{"m1", "o1"}, Holds: &stamp, Idle: true, Frame: &frame, Packed: []byte{1, 2}})
-	goldenValue(t, "shown", Shown{
-		Answer: origin.Result{ID: "id", Outcome: origin.OutcomeCurrent, Revision: stamp, Error: "why"}, Frame: frame,
+	goldenValue(t, "shown", ShowResponse{
+		Result: origin.Result{ID: "id", Outcome: origin.OutcomeCurrent, Revision: stamp, Error: "why"}, Frame: frame,
 	})
 	goldenValue(t, "member-state", MemberState{
 		FollowerStats: controlplane.FollowerStats{
 			Published: stamp, Active: formatStamp(16), FromCache: true, Rejected: 2, Stale: 3, Conflicts: 4, Corrupt: 5, Foreign: 6, Fetches: 7, DroppedReports: 8,
 		},
-		Highest: formatStamp(18), Ready: true, LastKnown: "1s", Unconfirmed: "2s", Upstream: "m1", Address: "10.0.0.4:7946", Upstreams: 9, Got: 10,
+		Highest: formatStamp(18), Ready: true, CachedAge: "1s", UnconfirmedFor: "2s", Upstream: "m1", UpstreamAddr: "10.0.0.4:7946", UpstreamCount: 9, BytesReceived: 10,
 		Report: formatReport(),
-		Serves: hubState{Path: []string{"m2", "o1"}, Live: true, Following: 11, Turned: 12, Foreign: 13, Sent: 14},
+		Server: hubState{Path: []string{"m2", "o1"}, UpstreamHealthy: true, Subscribers: 11, Rejected: 12, OtherCluster: 13, BytesSent: 14},
 	})
 	testutil.ExplicitNames(t, "json", hubState{})
 }
@@ -195,7 +195,7 @@
 	}
 	_, err := c.Push(t.Context(), "push 1", 16, []byte("# text\n"))
 	ask(err)
-	_, err = c.Became(t.Context(), "push 1")
+	_, err = c.PushOutcome(t.Context(), "push 1")
 	ask(err)
 	_, err = c.Show(t.Context(), false)
 	ask(err)
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -91,7 +91,7 @@
 	}
 	for k, name := range f.Origins {
 		network, _ := r.Machine(1 + k*rack)
-		o := &hollowOrigin{dir: filepath.Join(t.TempDir(), name), cfg: transport.OriginConfig{Listen: peers[name], Peers: peers, Allowed: r.allowed, Dial: network.Dial,
+		o := &hollowOrigin{dir: filepath.Join(t.TempDir(), name), cfg: transport.OriginConfig{ListenAddr: peers[name], PeerAddrs: peers, AllowedNetworks: r.allowed, Dial: network.Dial,
 			Log: slog.New(slog.DiscardHandler), Node: origin.Config{BootstrapConfig: f, Self: name, Seed: uint64(k), TickInterval: 50 * time.Millisecond}}}
 		st := openStore(t, o.dir)
 		if err := origin.Bootstrap(st, f); err != nil {
@@ -136,9 +136,9 @@
 	delete(r.acts, m.Name)
 	r.mu.Unlock()
 	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "hollow", Self: m.Name, FetchDelay: 300 * time.Millisecond},
-		Origins: r.addrs, Most: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
+		Origins: r.addrs, MaxSubscribers: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
 		Selector: bootstrap.Config{Self: m.Name, Ask: 40, Fan: 4, Told: len(r.Members), Seed: uint64(m.N)},
-		Holds:    func(s controlplane.Revision) { node.Load().SetStamp(s.Epoch, s.Version) },
+		OnRevision:    func(s controlplane.Revision) { node.Load().SetStamp(s.Epoch, s.Version) },
 		Apply: func(s *controlplane.Snapshot) error {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -154,19 +154,19 @@
 	r.mu.Unlock()
 	return hollow.Attachment{Also: p.Handler(), Run: p.Run, Opened: func(n *gossip.Node) { node.Store(n) },
 		OnStamp: func(from cluster.Entry, epoch, number uint64) {
-			p.PeerStamp(from.Name, from.Addr.String(), epoch, number)
+			p.ReceivePeerRevision(from.Name, from.Addr.String(), epoch, number)
 		},
 		OnView: func(others []cluster.Member, joined bool) {
 			list := make([]bootstrap.Member, 0, len(others))
 			for _, o := range others {
 				list = append(list, bootstrap.Member{Name: o.Name, Addr: o.Addr})
 			}
-			p.View(list, joined)
+			p.UpdateMembers(list, joined)
 		}}
 }
 
 // dial counts what configuration costs: at who asks and at whom it is asked.
-func (r *hollowRig) dial(m *hollow.Member) transport.Dial {
+func (r *hollowRig) dial(m *hollow.Member) transport.DialFunc {
 	count := func(addr string) *atomic.Int64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -219,7 +219,7 @@
 		ctx, end := context.WithTimeout(r.t.Context(), time.Second)
 		s, err := c.Show(ctx, false)
 		if err == nil {
-			a, err := c.Push(ctx, id, s.Answer.Revision.Version, text)
+			a, err := c.Push(ctx, id, s.Result.Revision.Version, text)
 			if err == nil && a.Outcome == origin.OutcomeAccepted {
 				end()
 				return a.Revision, begun
--- a/internal/controlplane/transport/keep.go
+++ b/internal/controlplane/transport/keep.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		return nil, time.Time{}, err
 	}
-	if info.Size() > 2*MaxLine {
-		return nil, time.Time{}, fmt.Errorf("%s is larger than %d bytes", path, 2*MaxLine)
+	if info.Size() > 2*MaxLineSize {
+		return nil, time.Time{}, fmt.Errorf("%s is larger than %d bytes", path, 2*MaxLineSize)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/controlplane/transport/link.go
+++ b/internal/controlplane/transport/link.go
@@ -59,7 +59,7 @@
 	// mostSteps is how many members may stand between one and the origin.
 	mostSteps = 8
 	// MaxLine is a frame as a line of JSON: its text in base64, and the rest.
-	MaxLine = controlplane.MaxSnapshotSize*4/3 + 4<<10
+	MaxLineSize = controlplane.MaxSnapshotSize*4/3 + 4<<10
 )
 
 // line is what a watch brings; all fields absent: it lives.
@@ -121,10 +121,10 @@
 }
 
 // Dial opens a stream, as net.Dialer's DialContext. Stand-ins put a network between by it.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // newClient makes calls, by a dial or, where it is nil, as the kernel does; connections that nothing is asked on are kept for a second.
-func newClient(dial Dial) *http.Client {
+func newClient(dial DialFunc) *http.Client {
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
 	}
--- a/internal/controlplane/transport/link_test.go
+++ b/internal/controlplane/transport/link_test.go
@@ -100,7 +100,7 @@
 	t.Helper()
 	m := new(member)
 	var err error
-	m.Member, err = NewMember(MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "f", Self: name, Parse: parse}, Origins: origins, Most: 4, Dir: dir,
+	m.Member, err = NewMember(MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "f", Self: name, Parse: parse}, Origins: origins, MaxSubscribers: 4, CacheDir: dir,
 		Selector: bootstrap.Config{Self: name, Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
 		Apply: func(s *controlplane.Snapshot) error {
 			m.mu.Lock()
@@ -133,8 +133,8 @@
 	testutil.Until(t, "the first acts on it", func() bool { return first.acts() == 1 })
 	second := startMember(t, names[1], t.TempDir(), a.addr, b.addr)
 	see := func() {
-		first.View([]bootstrap.Member{{Name: names[1], Addr: second.addr}}, true)
-		second.View([]bootstrap.Member{{Name: names[0], Addr: first.addr}}, true)
+		first.UpdateMembers([]bootstrap.Member{{Name: names[1], Addr: second.addr}}, true)
+		second.UpdateMembers([]bootstrap.Member{{Name: names[0], Addr: first.addr}}, true)
 	}
 	see()
 	testutil.Until(t, "both act on it", func() bool { return second.acts() == 1 })
@@ -191,8 +191,8 @@
 	}, "m1", "", s.addr)
 	testutil.Until(t, "the old one acts on the first", func() bool { return old.acts() == 1 })
 	below := startMember(t, "m2", "", s.addr)
-	old.View([]bootstrap.Member{{Name: "m2", Addr: below.addr}}, true)
-	below.View([]bootstrap.Member{{Name: "m1", Addr: old.addr}}, true)
+	old.UpdateMembers([]bootstrap.Member{{Name: "m2", Addr: below.addr}}, true)
+	below.UpdateMembers([]bootstrap.Member{{Name: "m1", Addr: old.addr}}, true)
 	testutil.Until(t, "the other follows it, or it the other", func() bool {
 		a, _ := old.State()
 		b, _ := below.State()
@@ -249,7 +249,7 @@
 	good.publish(frame(1, "# one"))
 	head := `{"path":["bad"],"holds":{"epoch":1,"version":9,"hash":""}}` + "\n"
 	for name, say := range map[string]func(w http.ResponseWriter){
-		"a line that is too long": func(w http.ResponseWriter) { io.WriteString(w, head+strings.Repeat("x", MaxLine+1)) },
+		"a line that is too long": func(w http.ResponseWriter) { io.WriteString(w, head+strings.Repeat("x", MaxLineSize+1)) },
 		"half a line":             func(w http.ResponseWriter) { io.WriteString(w, head+`{"frame":{"fleet":"f","stamp":{"ep`) },
 		"a packed text that is too long": func(w http.ResponseWriter) {
 			l := pack(frame(1, "# "+strings.Repeat("x", 2*controlplane.MaxSnapshotSize)))
@@ -324,11 +324,11 @@
 	big := "# " + hex.EncodeToString(noise)
 	versions := uint64(0)
 	testutil.Until(t, "the slow one is gone, and the other has all", func() bool {
-		if s.state().Following == 2 || versions == 0 {
+		if s.state().Subscribers == 2 || versions == 0 {
 			versions++
 			s.publish(frame(versions, big))
 		}
-		return s.state().Following == 1 && m.acts() == versions
+		return s.state().Subscribers == 1 && m.acts() == versions
 	})
 	if versions == 0 {
 		t.Error("nothing was published")
@@ -358,7 +358,7 @@
 	if text := m.WaitReady(t.Context(), 50*time.Millisecond); !strings.Contains(text, "the last known one, 1.4, confirmed 25h0m") {
 		t.Error(text)
 	}
-	if s, _ := m.State(); !s.FromCache || s.Ready || !strings.HasPrefix(s.LastKnown, "25h0m") {
+	if s, _ := m.State(); !s.FromCache || s.Ready || !strings.HasPrefix(s.CachedAge, "25h0m") {
 		t.Errorf("%+v", s)
 	}
 	m.stop()
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -33,14 +33,14 @@
 	Follower controlplane.FollowerConfig // Last is filled in from Dir
 	Origins  []string                    // addresses
 	Selector bootstrap.Config            // the first Ask of the fleet follow an origin, Fan others one member
-	Most     int                         // that may follow this one
-	Dir      string                      // of the last known snapshot; empty: none is kept
+	MaxSubscribers     int                         // that may follow this one
+	CacheDir      string                      // of the last known snapshot; empty: none is kept
 	// Apply puts a snapshot in force, all of it or nothing, and returns once it is. It is called from a goroutine of its own, once at a
 	// time, and may block.
 	Apply func(*controlplane.Snapshot) error
 	// Holds is called with the stamp that is held, at each change, from Run's goroutine. It must not block. nil: nobody asks.
-	Holds func(controlplane.Revision)
-	Dial  Dial // nil: the kernel's
+	OnRevision func(controlplane.Revision)
+	Dial  DialFunc // nil: the kernel's
 	Log   *slog.Logger
 }
 
@@ -127,18 +127,18 @@
 	m := &Member{cfg: c, begun: time.Now(), in: make(chan any, memberQueue), apply: make(chan *controlplane.Snapshot, 1),
 		fetches: make(chan struct{}, fetchesMost), keeping: newLatest[controlplane.CachedSnapshot](), reports: newLatest[controlplane.Report](),
 		ready: make(chan struct{}), ended: make(chan struct{}), selector: bootstrap.New(c.Selector, 0), viewed: make(chan struct{})}
-	if c.Dir != "" {
-		if err := os.MkdirAll(c.Dir, 0o755); err != nil {
+	if c.CacheDir != "" {
+		if err := os.MkdirAll(c.CacheDir, 0o755); err != nil {
 			return nil, fmt.Errorf("config.dir: %w", err)
 		}
 		var err error
-		if m.cfg.Follower.Cached, m.keptAt, err = load(c.Dir); err != nil {
+		if m.cfg.Follower.Cached, m.keptAt, err = load(c.CacheDir); err != nil {
 			c.Log.Error("config: the last known snapshot cannot be used", "err", err)
 		}
 	}
 	m.core, m.first = controlplane.NewFollower(m.cfg.Follower, 0)
 	m.caller = &caller{fleet: c.Follower.Cluster, self: c.Follower.Self, client: newClient(c.Dial)}
-	m.hub = newHub(c.Follower.Cluster, c.Follower.Self, c.Most)
+	m.hub = newHub(c.Follower.Cluster, c.Follower.Self, c.MaxSubscribers)
 	m.hub.member = true
 	m.hub.reported = func(name string, r controlplane.Report) { m.post(controlplane.ReportReceived{From: name, Report: r}) }
 	m.hub.gone = func(name string) { m.post(controlplane.SubscriberDisconnected{From: name}) }
@@ -152,7 +152,7 @@
 func (m *Member) Ready() <-chan struct{} { return m.ready }
 
 // View tells who lives. It does not wait.
-func (m *Member) View(others []bootstrap.Member, joined bool) {
+func (m *Member) UpdateMembers(others []bootstrap.Member, joined bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.selector.View(m.now(), others, joined)
@@ -161,7 +161,7 @@
 }
 
 // PeerStamp tells what another member holds. It does not wait: what there is no room for is dropped, and its next datagram says it again.
-func (m *Member) PeerStamp(name, addr string, epoch, version uint64) {
+func (m *Member) ReceivePeerRevision(name, addr string, epoch, version uint64) {
 	select {
 	case m.in <- controlplane.PeerRevision{Name: name, Address: addr, Revision: controlplane.Revision{Epoch: epoch, Version: version}}:
 	default:
@@ -198,8 +198,8 @@
 	for {
 		stats := m.core.Stats()
 		if stats.Published != held {
-			if held = stats.Published; m.cfg.Holds != nil {
-				m.cfg.Holds(held)
+			if held = stats.Published; m.cfg.OnRevision != nil {
+				m.cfg.OnRevision(held)
 			}
 			m.askingMu.Lock()
 			m.asking = held
@@ -242,7 +242,7 @@
 	case controlplane.Apply:
 		m.apply <- a.Snapshot // never more than one is unanswered
 	case controlplane.Save:
-		if m.cfg.Dir != "" {
+		if m.cfg.CacheDir != "" {
 			m.keeping.put(&a.Cached)
 		}
 	case controlplane.Publish:
@@ -285,12 +285,12 @@
 		case <-ctx.Done():
 			return
 		case <-confirm.C:
-			if m.cfg.Dir != "" && m.up() != nil {
-				touch(m.cfg.Dir)
+			if m.cfg.CacheDir != "" && m.up() != nil {
+				touch(m.cfg.CacheDir)
 			}
 		case <-m.keeping.wake:
 			if k := m.keeping.take(); k != nil {
-				if err := keep(m.cfg.Dir, k); err != nil && time.Since(said) > 10*time.Second {
+				if err := keep(m.cfg.CacheDir, k); err != nil && time.Since(said) > 10*time.Second {
 					said = time.Now()
 					m.cfg.Log.Error("config: the last known snapshot cannot be kept: a restart would begin from an older one", "err", err)
 				}
@@ -514,24 +514,24 @@
 	controlplane.FollowerStats
 	Highest     controlplane.Revision `json:"highest"`
 	Ready       bool                  `json:"ready"`
-	LastKnown   string                `json:"last_known,omitempty"`    // how old it is, where what is in force was confirmed by nobody since the start
-	Unconfirmed string                `json:"not_confirmed_for"`       // how long nobody has confirmed what is in force
+	CachedAge   string                `json:"last_known,omitempty"`    // how old it is, where what is in force was confirmed by nobody since the start
+	UnconfirmedFor string                `json:"not_confirmed_for"`       // how long nobody has confirmed what is in force
 	Upstream    string                `json:"upstream,omitempty"`      // empty: none
-	Address     string                `json:"upstream_addr,omitempty"` // of it
-	Upstreams   int                   `json:"upstreams"`               // since the start
-	Got         int64                 `json:"got"`                     // bytes of snapshots from upstreams
+	UpstreamAddr     string                `json:"upstream_addr,omitempty"` // of it
+	UpstreamCount   int                   `json:"upstreams"`               // since the start
+	BytesReceived         int64                 `json:"got"`                     // bytes of snapshots from upstreams
 	Report      controlplane.Report   `json:"report"`                  // of this member and those below it
-	Serves      hubState              `json:"serves"`
+	Server      hubState              `json:"serves"`
 }
 
 func (m *Member) state() MemberState {
-	s := MemberState{FollowerStats: m.core.Stats(), Report: m.core.Report(), Serves: m.hub.state(), Got: m.got.Load()}
+	s := MemberState{FollowerStats: m.core.Stats(), Report: m.core.Report(), Server: m.hub.state(), BytesReceived: m.got.Load()}
 	s.Highest = s.FollowerStats.Highest
 	m.mu.Lock()
 	if m.upstream != nil {
-		s.Upstream, s.Address = m.upstream.name, m.upstream.addr
+		s.Upstream, s.UpstreamAddr = m.upstream.name, m.upstream.addr
 	}
-	s.Upstreams = m.ups
+	s.UpstreamCount = m.ups
 	m.mu.Unlock()
 	select {
 	case <-m.ready:
@@ -539,9 +539,9 @@
 	default:
 	}
 	if s.FromCache && !m.keptAt.IsZero() {
-		s.LastKnown = time.Since(m.keptAt).Round(time.Second).String()
+		s.CachedAge = time.Since(m.keptAt).Round(time.Second).String()
 	}
-	s.Unconfirmed = max(0, m.now()-s.ConfirmedAt).Round(time.Millisecond).String()
+	s.UnconfirmedFor = max(0, m.now()-s.ConfirmedAt).Round(time.Millisecond).String()
 	return s
 }
 
@@ -580,5 +580,5 @@
 	case s.Active.IsZero():
 		return fmt.Sprintf("no origin and no member has answered in %v, and nothing is known from before: the platform's settings hold", d)
 	}
-	return fmt.Sprintf("no origin and no member has answered in %v: acting on the last known one, %v, confirmed %s ago", d, s.Active, s.LastKnown)
+	return fmt.Sprintf("no origin and no member has answered in %v: acting on the last known one, %v, confirmed %s ago", d, s.Active, s.CachedAge)
 }
--- a/internal/controlplane/transport/origin.go
+++ b/internal/controlplane/transport/origin.go
@@ -40,12 +40,12 @@
 type OriginConfig struct {
 	Node   origin.Config
 	Store  *store.Store
-	Listen string
-	Peers  map[string]string // addresses of the other origins, by name
+	ListenAddr string
+	PeerAddrs  map[string]string // addresses of the other origins, by name
 	// Allowed are the networks of the fleet, the operators and the other origins; nobody else is listened to.
-	Allowed *netipx.IPSet
-	Most    int  // members that may follow; 0: 256
-	Dial    Dial // of what goes to the other origins; nil: the kernel's
+	AllowedNetworks *netipx.IPSet
+	MaxSubscribers    int  // members that may follow; 0: 256
+	Dial    DialFunc // of what goes to the other origins; nil: the kernel's
 	Log     *slog.Logger
 }
 
@@ -87,8 +87,8 @@
 	}
 	o := &Origin{cfg: c, begun: time.Now(), in: make(chan any, originQueue), ended: make(chan struct{}), out: map[string]chan []byte{},
 		waits: map[string]chan origin.Result{}}
-	if o.cfg.Most == 0 {
-		o.cfg.Most = originFollows
+	if o.cfg.MaxSubscribers == 0 {
+		o.cfg.MaxSubscribers = originFollows
 	}
 	if o.cfg.Node.TickInterval == 0 {
 		o.cfg.Node.TickInterval = 100 * time.Millisecond
@@ -97,20 +97,20 @@
 		return nil, err
 	}
 	o.caller = &caller{fleet: state.Bootstrap.Cluster, self: c.Node.Self, client: newClient(c.Dial)}
-	o.hub = newHub(state.Bootstrap.Cluster, c.Node.Self, o.cfg.Most)
+	o.hub = newHub(state.Bootstrap.Cluster, c.Node.Self, o.cfg.MaxSubscribers)
 	o.hub.reported = func(name string, r controlplane.Report) { o.post(origin.ReportReceived{From: name, Report: r}) }
 	o.hub.gone = func(name string) { o.post(origin.SubscriberDisconnected{From: name}) }
 	o.hub.follows(nil)
-	for name := range c.Peers {
+	for name := range c.PeerAddrs {
 		if name != c.Node.Self {
 			o.out[name] = make(chan []byte, peerQueue)
 		}
 	}
-	l, err := net.Listen("tcp", c.Listen)
+	l, err := net.Listen("tcp", c.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
-	o.listen = netutil.LimitListener(&allowedListener{l, c.Allowed}, originConns)
+	o.listen = netutil.LimitListener(&allowedListener{l, c.AllowedNetworks}, originConns)
 	return o, nil
 }
 
@@ -257,7 +257,7 @@
 		case data = <-queue:
 		}
 		one, end := context.WithTimeout(ctx, headTime)
-		q, err := o.caller.request(one, http.MethodPost, o.cfg.Peers[name], messagePath, bytes.NewReader(data))
+		q, err := o.caller.request(one, http.MethodPost, o.cfg.PeerAddrs[name], messagePath, bytes.NewReader(data))
 		if err == nil {
 			var resp *http.Response
 			if resp, err = o.caller.do(q, http.StatusNoContent); err == nil {
@@ -379,13 +379,13 @@
 }
 
 // Shown is what show answers.
-type Shown struct {
-	Answer origin.Result      `json:"answer"`
+type ShowResponse struct {
+	Result origin.Result      `json:"answer"`
 	Frame  controlplane.Frame `json:"frame"` // Text is empty where there is none
 }
 
 func (o *Origin) show(w http.ResponseWriter, q *http.Request) {
-	var s Shown
+	var s ShowResponse
 	if q.URL.Query().Get("local") == "" {
 		o.mu.Lock()
 		o.reads++
@@ -396,10 +396,10 @@
 			if a == nil {
 				a = &origin.Result{Outcome: origin.OutcomeUnknown, Error: "too many ask"}
 			}
-			writeJSON(w, http.StatusGatewayTimeout, Shown{Answer: *a})
+			writeJSON(w, http.StatusGatewayTimeout, ShowResponse{Result: *a})
 			return
 		}
-		s.Answer = *a
+		s.Result = *a
 	}
 	answer := make(chan *controlplane.Frame, 1)
 	o.post(askFrame{answer})
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -43,7 +43,7 @@
 	p := &configPart{s: s, base: set, level: level, wait: time.Duration(d.Wait), log: log, platform: cfg.Discovery, told: max(set.Balancers, 1)}
 	var err error
 	p.member, err = transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: op.Fleet.Name, Self: cfg.Name, FetchDelay: fetchAfter},
-		Origins: d.Origins, Most: 2 * int(d.Fan), Dir: d.Dir, Apply: p.apply, Holds: p.holds, Log: log,
+		Origins: d.Origins, MaxSubscribers: 2 * int(d.Fan), CacheDir: d.Dir, Apply: p.apply, OnRevision: p.holds, Log: log,
 		Selector: bootstrap.Config{Self: cfg.Name, Ask: int(d.Ask), Fan: int(d.Fan), Told: set.Balancers, Seed: uint64(cfg.Seed) + 1}})
 	return p, err
 }
@@ -152,11 +152,11 @@
 	for _, m := range others {
 		list = append(list, bootstrap.Member{Name: m.Name, Addr: m.Addr})
 	}
-	p.member.View(list, joined)
+	p.member.UpdateMembers(list, joined)
 }
 
 func (p *configPart) stamped(from cluster.Entry, epoch, version uint64) {
-	p.member.PeerStamp(from.Name, from.Addr.String(), epoch, version)
+	p.member.ReceivePeerRevision(from.Name, from.Addr.String(), epoch, version)
 }
 
 // holds tells the others which snapshot this one holds. It is called from the member's goroutine.
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -38,7 +38,7 @@
 // GET /config is the member's state, in one object with what this sidecar acts on. The member's own part is held in package link.
 func TestConfigurationStateFormatIsStable(t *testing.T) {
 	member, err := transport.NewMember(transport.MemberConfig{
-		Follower: controlplane.FollowerConfig{Cluster: "f", Self: "m1"}, Origins: []string{testutil.NoAddr}, Most: 4,
+		Follower: controlplane.FollowerConfig{Cluster: "f", Self: "m1"}, Origins: []string{testutil.NoAddr}, MaxSubscribers: 4,
 		Selector: bootstrap.Config{Self: "m1", Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
 		Apply: func(*controlplane.Snapshot) error { return nil },
 	})
