--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -137,8 +137,8 @@
 	r.mu.Unlock()
 	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "hollow", Self: m.Name, FetchDelay: 300 * time.Millisecond},
 		Origins: r.addrs, MaxSubscribers: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
-		Selector: bootstrap.Config{Self: m.Name, Ask: 40, Fan: 4, Told: len(r.Members), Seed: uint64(m.N)},
-		OnRevision:    func(s controlplane.Revision) { node.Load().SetStamp(s.Epoch, s.Version) },
+		Selector:   bootstrap.Config{Self: m.Name, Ask: 40, Fan: 4, Told: len(r.Members), Seed: uint64(m.N)},
+		OnRevision: func(s controlplane.Revision) { node.Load().SetStamp(s.Epoch, s.Version) },
 		Apply: func(s *controlplane.Snapshot) error {
 			r.mu.Lock()
 			defer r.mu.Unlock()
--- a/internal/controlplane/transport/hub.go
+++ b/internal/controlplane/transport/hub.go
@@ -265,12 +265,12 @@
 
 // hubState is for operators.
 type hubState struct {
-	Path      []string `json:"path"` // this one first, the origin last
-	UpstreamHealthy      bool     `json:"live"` // its own upstream works
-	Subscribers int      `json:"following"`
-	Rejected    int      `json:"turned"`  // away, since the start
-	OtherCluster   int      `json:"foreign"` // of another fleet
-	BytesSent      int64    `json:"sent"`    // bytes to followers
+	Path            []string `json:"path"` // this one first, the origin last
+	UpstreamHealthy bool     `json:"live"` // its own upstream works
+	Subscribers     int      `json:"following"`
+	Rejected        int      `json:"turned"`  // away, since the start
+	OtherCluster    int      `json:"foreign"` // of another fleet
+	BytesSent       int64    `json:"sent"`    // bytes to followers
 }
 
 func (h *hub) state() hubState {
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -30,18 +30,18 @@
 
 // MemberConfig is a Member's.
 type MemberConfig struct {
-	Follower controlplane.FollowerConfig // Last is filled in from Dir
-	Origins  []string                    // addresses
-	Selector bootstrap.Config            // the first Ask of the fleet follow an origin, Fan others one member
-	MaxSubscribers     int                         // that may follow this one
-	CacheDir      string                      // of the last known snapshot; empty: none is kept
+	Follower       controlplane.FollowerConfig // Last is filled in from Dir
+	Origins        []string                    // addresses
+	Selector       bootstrap.Config            // the first Ask of the fleet follow an origin, Fan others one member
+	MaxSubscribers int                         // that may follow this one
+	CacheDir       string                      // of the last known snapshot; empty: none is kept
 	// Apply puts a snapshot in force, all of it or nothing, and returns once it is. It is called from a goroutine of its own, once at a
 	// time, and may block.
 	Apply func(*controlplane.Snapshot) error
 	// Holds is called with the stamp that is held, at each change, from Run's goroutine. It must not block. nil: nobody asks.
 	OnRevision func(controlplane.Revision)
-	Dial  DialFunc // nil: the kernel's
-	Log   *slog.Logger
+	Dial       DialFunc // nil: the kernel's
+	Log        *slog.Logger
 }
 
 // Member is a sidecar's place in the distribution of configuration. Its methods may be called from any goroutine.
@@ -512,16 +512,16 @@
 // MemberState is what a Member says of itself.
 type MemberState struct {
 	controlplane.FollowerStats
-	Highest     controlplane.Revision `json:"highest"`
-	Ready       bool                  `json:"ready"`
-	CachedAge   string                `json:"last_known,omitempty"`    // how old it is, where what is in force was confirmed by nobody since the start
+	Highest        controlplane.Revision `json:"highest"`
+	Ready          bool                  `json:"ready"`
+	CachedAge      string                `json:"last_known,omitempty"`    // how old it is, where what is in force was confirmed by nobody since the start
 	UnconfirmedFor string                `json:"not_confirmed_for"`       // how long nobody has confirmed what is in force
-	Upstream    string                `json:"upstream,omitempty"`      // empty: none
-	UpstreamAddr     string                `json:"upstream_addr,omitempty"` // of it
-	UpstreamCount   int                   `json:"upstreams"`               // since the start
-	BytesReceived         int64                 `json:"got"`                     // bytes of snapshots from upstreams
-	Report      controlplane.Report   `json:"report"`                  // of this member and those below it
-	Server      hubState              `json:"serves"`
+	Upstream       string                `json:"upstream,omitempty"`      // empty: none
+	UpstreamAddr   string                `json:"upstream_addr,omitempty"` // of it
+	UpstreamCount  int                   `json:"upstreams"`               // since the start
+	BytesReceived  int64                 `json:"got"`                     // bytes of snapshots from upstreams
+	Report         controlplane.Report   `json:"report"`                  // of this member and those below it
+	Server         hubState              `json:"serves"`
 }
 
 func (m *Member) state() MemberState {
--- a/internal/controlplane/transport/origin.go
+++ b/internal/controlplane/transport/origin.go
@@ -38,15 +38,15 @@
 
 // OriginConfig is an Origin's.
 type OriginConfig struct {
-	Node   origin.Config
-	Store  *store.Store
+	Node       origin.Config
+	Store      *store.Store
 	ListenAddr string
 	PeerAddrs  map[string]string // addresses of the other origins, by name
 	// Allowed are the networks of the fleet, the operators and the other origins; nobody else is listened to.
 	AllowedNetworks *netipx.IPSet
-	MaxSubscribers    int  // members that may follow; 0: 256
-	Dial    DialFunc // of what goes to the other origins; nil: the kernel's
-	Log     *slog.Logger
+	MaxSubscribers  int      // members that may follow; 0: 256
+	Dial            DialFunc // of what goes to the other origins; nil: the kernel's
+	Log             *slog.Logger
 }
 
 // Origin is one of the machines set aside. Beside what members serve it answers
