--- /dev/null
+++ b/internal/controlplane/transport/allowedlistener.go
@@ -0,0 +1,29 @@
+package transport
+
+import (
+	"net"
+	"net/netip"
+
+	"go4.org/netipx"
+)
+
+// allowedListener closes connections from other networks before anything is read.
+type allowedListener struct {
+	net.Listener
+	allowed *netipx.IPSet
+}
+
+// Accept returns the next connection from an allowed network.
+func (l *allowedListener) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		remote, _ := netip.ParseAddrPort(conn.RemoteAddr().String()) // the zero address is in no network
+		if l.allowed.Contains(remote.Addr().Unmap()) {
+			return conn, nil
+		}
+		_ = conn.Close()
+	}
+}
--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -59,7 +59,7 @@
 // A line of a watch, and what an origin and a member say of themselves.
 func TestConfigurationLinkFormatIsStable(t *testing.T) {
 	stamp, frame := formatStamp(17), formatFrame(17)
-	goldenValue(t, "line", line{Path: []string{"m1", "o1"}, Holds: &stamp, Idle: true, Frame: &frame, Packed: []byte{1, 2}})
+	goldenValue(t, "line", line{Path: []string{"m1", "o1"}, Revision: &stamp, Idle: true, Frame: &frame, Packed: []byte{1, 2}})
 	goldenValue(t, "shown", ShowResponse{
 		Result: origin.Result{ID: "id", Outcome: origin.OutcomeCurrent, Revision: stamp, Error: "why"}, Frame: frame,
 	})
@@ -69,15 +69,15 @@
 		},
 		Highest: formatStamp(18), Ready: true, CachedAge: "1s", UnconfirmedFor: "2s", Upstream: "m1", UpstreamAddr: "10.0.0.4:7946", UpstreamCount: 9, BytesReceived: 10,
 		Report: formatReport(),
-		Server: hubState{Path: []string{"m2", "o1"}, UpstreamHealthy: true, Subscribers: 11, Rejected: 12, OtherCluster: 13, BytesSent: 14},
+		Server: serverState{Path: []string{"m2", "o1"}, UpstreamHealthy: true, Subscribers: 11, Rejected: 12, OtherCluster: 13, BytesSent: 14},
 	})
-	testutil.ExplicitNames(t, "json", hubState{})
+	testutil.ExplicitNames(t, "json", serverState{})
 }
 
 // What a watch answers: who serves it and what that one holds, a snapshot, and another path when it changes.
 func TestSubscriptionLineFormatIsStable(t *testing.T) {
 	source := newSource(t, "m1", nil)
-	source.follows([]string{"o1"})
+	source.setUpstream([]string{"o1"})
 	source.publish(formatFrame(17))
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+source.addr+"/config/watch?epoch=0&version=0&hash=", nil)
 	if err != nil {
@@ -107,14 +107,15 @@
 		}
 	}
 	got := append(next(), next()...)
-	source.part(false) // an origin that takes no part
+	source.setParticipating(false) // an origin that takes no part
 	got = append(got, next()...)
 	source.publish(formatFrame(18))
 	got = append(got, next()...)
 	testutil.Golden(t, "watch.jsonl", got)
 }
 
-// A text that gzip makes shorter is packed, and the frame is without it. The bytes of gzip are those of its library and not held.
+// A text that gzip makes shorter is packed, and the frame is without it. The bytes of gzip are those of its library
+// and not held.
 func TestPackedLineFormatIsStable(t *testing.T) {
 	text := bytes.Repeat([]byte("# the same again\n"), 100)
 	packed := pack(controlplane.Frame{Cluster: "f", Revision: formatStamp(17), Text: text})
@@ -162,21 +163,21 @@
 
 // What a member asks and tells its upstream: method, path, headers, body.
 func TestMemberRequestFormatIsStable(t *testing.T) {
-	c := &caller{fleet: "f", self: "m1", client: newClient(nil)}
+	c := &peerClient{cluster: "f", self: "m1", client: newHTTPClient(nil)}
 	defer c.client.CloseIdleConnections()
 	r, addr := record(t, http.StatusOK, `{"frame":{"fleet":"f","stamp":{"epoch":3,"version":17,"hash":"h"},"text":"IyB0ZXh0Cg=="}}`)
-	watch, err := c.open(t.Context(), []target{{addr: addr}}, formatStamp(17))
+	watch, err := c.subscribe(t.Context(), []target{{addr: addr}}, formatStamp(17))
 	if err != nil {
 		t.Fatal(err)
 	}
-	watch.end()
-	watch.resp.Body.Close()
-	frame, err := c.fetch(t.Context(), addr)
+	watch.cancel()
+	watch.response.Body.Close()
+	frame, err := c.fetchSnapshot(t.Context(), addr)
 	if err != nil || string(frame.Text) != "# text\n" || frame.Revision.Version != 17 {
 		t.Errorf("%v: %+v", err, frame)
 	}
 	r.status, r.answer = http.StatusNoContent, ""
-	if err := c.report(t.Context(), addr, formatReport()); err != nil {
+	if err := c.sendReport(t.Context(), addr, formatReport()); err != nil {
 		t.Error(err)
 	}
 	testutil.Golden(t, "member-requests.txt", []byte(r.lines.String()))
@@ -186,7 +187,7 @@
 func TestOperatorRequestFormatIsStable(t *testing.T) {
 	r, addr := record(t, http.StatusOK, `{"answer":{"id":"id","outcome":"current","stamp":{"epoch":3,"version":17,"hash":"h"}}}`)
 	c := NewClient("f", addr)
-	defer c.c.client.CloseIdleConnections()
+	defer c.peer.client.CloseIdleConnections()
 	ask := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -209,7 +210,7 @@
 // Paths and headers are those of older members and origins.
 func TestConfigurationPathNamesAreStable(t *testing.T) {
 	got := []string{
-		fleetHeader, whoHeader, watchPath, reportPath, snapshotPath, alivePath, messagePath, pushPath, showPath, statusPath,
+		clusterHeader, senderHeader, watchPath, reportPath, snapshotPath, alivePath, messagePath, pushPath, showPath, statusPath,
 	}
 	want := []string{
 		"X-Config-Fleet", "X-Config-For", "/config/watch", "/config/report", "/config/snapshot", "/config/alive", "/origin/message", "/config/push",
@@ -232,7 +233,7 @@
 func TestLastKnownFileFormatIsStable(t *testing.T) {
 	dir := t.TempDir()
 	kept := &controlplane.CachedSnapshot{Frame: formatFrame(17), Highest: formatStamp(18)}
-	if err := keep(dir, kept); err != nil {
+	if err := saveCachedSnapshot(dir, kept); err != nil {
 		t.Fatal(err)
 	}
 	entries, err := os.ReadDir(dir)
@@ -244,7 +245,7 @@
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "last-known.json", text)
-	read, _, err := load("testdata")
+	read, _, err := loadCachedSnapshot("testdata")
 	if err != nil || !reflect.DeepEqual(read, kept) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, kept)
 	}
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -290,7 +290,8 @@
 	return list
 }
 
-// cost is what a member sent and received a second over a time: in all, by datagrams (the view), for the list and for configuration.
+// cost is what a member sent and received a second over a time: in all, by datagrams (the view), for the list and for
+// configuration.
 func (r *hollowRig) cost(what string, d time.Duration, during func()) {
 	type reading struct{ all, streams, config int64 }
 	read := func() map[*hollow.Member]reading {
--- a/internal/controlplane/transport/link_test.go
+++ b/internal/controlplane/transport/member_test.go
@@ -34,7 +34,7 @@
 
 // source is an origin's hub without the origin.
 type source struct {
-	*hub
+	*subscriptionServer
 	addr   string
 	mu     sync.Mutex
 	told   map[string]controlplane.Report
@@ -43,16 +43,16 @@
 
 func newSource(t *testing.T, name string, h http.Handler) *source {
 	t.Helper()
-	s := &source{hub: newHub("f", name, 10), told: map[string]controlplane.Report{}}
-	s.reported = func(name string, r controlplane.Report) { s.mu.Lock(); s.told[name] = r; s.mu.Unlock() }
-	s.gone = func(name string) { s.mu.Lock(); delete(s.told, name); s.mu.Unlock() }
-	s.follows(nil)
+	s := &source{subscriptionServer: newSubscriptionServer("f", name, 10), told: map[string]controlplane.Report{}}
+	s.onReport = func(name string, r controlplane.Report) { s.mu.Lock(); s.told[name] = r; s.mu.Unlock() }
+	s.onDisconnect = func(name string) { s.mu.Lock(); delete(s.told, name); s.mu.Unlock() }
+	s.setUpstream(nil)
 	if h == nil {
 		h = s
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == alivePath {
-			s.answerAlive(w)
+			s.serveAlive(w)
 			return
 		}
 		h.ServeHTTP(w, q)
@@ -65,7 +65,7 @@
 
 // down closes the connections of a source, which takes no new ones from now on.
 func (s *source) down() {
-	s.lose()
+	s.setUpstreamLost()
 	s.server.CloseClientConnections()
 }
 
@@ -121,8 +121,8 @@
 	return m
 }
 
-// A change comes by way of a member to one that follows it, is in force, and is told upward as the sum of both; when the origin goes
-// the next one is followed; when the member that is followed goes the origin is.
+// A change comes by way of a member to one that follows it, is in force, and is told upward as the sum of both; when
+// the origin goes the next one is followed; when the member that is followed goes the origin is.
 func TestChangeComesDownAndIsToldUpward(t *testing.T) {
 	t.Parallel()
 	a, b := newSource(t, "o1", nil), newSource(t, "o2", nil)
@@ -177,8 +177,8 @@
 	}
 }
 
-// A member of an older program refuses what it does not know and acts on the last good one, who follows it has it all the same, and the
-// origin hears who refuses it and why.
+// A member of an older program refuses what it does not know and acts on the last good one, who follows it has it all
+// the same, and the origin hears who refuses it and why.
 func TestOlderProgramPassesOn(t *testing.T) {
 	t.Parallel()
 	s := newSource(t, "o1", nil)
@@ -221,15 +221,15 @@
 func TestOriginThatTakesNoPart(t *testing.T) {
 	t.Parallel()
 	idle, good := newSource(t, "idle", nil), newSource(t, "good", nil)
-	idle.part(false)
-	good.part(false)
+	idle.setParticipating(false)
+	good.setParticipating(false)
 	for _, s := range []*source{idle, good} {
 		s.publish(frame(1, "# one"))
 	}
 	m := startMember(t, "m", "", inOrder("m", idle.addr, good.addr)...)
 	testutil.Until(t, "the first is followed", func() bool { s, _ := m.State(); return s.Upstream == "idle" && m.acts() == 1 })
 	good.publish(frame(2, "# two"))
-	good.part(true)
+	good.setParticipating(true)
 	testutil.Until(t, "the other is", func() bool { s, _ := m.State(); return s.Upstream == "good" && m.acts() == 2 })
 }
 
@@ -314,7 +314,7 @@
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	fmt.Fprintf(conn, "GET %s?epoch=0&version=0 HTTP/1.1\r\nHost: o\r\n%s: f\r\n%s: slow\r\n\r\n", watchPath, fleetHeader, whoHeader)
+	fmt.Fprintf(conn, "GET %s?epoch=0&version=0 HTTP/1.1\r\nHost: o\r\n%s: f\r\n%s: slow\r\n\r\n", watchPath, clusterHeader, senderHeader)
 	if _, err := bufio.NewReaderSize(conn, 16).ReadByte(); err != nil {
 		t.Fatal(err)
 	}
@@ -335,8 +335,8 @@
 	}
 }
 
-// A restarted member begins from what it kept, and says so and how old that is until an origin confirms it; what was spoilt on disk is
-// not used.
+// A restarted member begins from what it kept, and says so and how old that is until an origin confirms it; what was
+// spoilt on disk is not used.
 func TestLastKnown(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -346,7 +346,7 @@
 	if text := m.WaitReady(t.Context(), testutil.Patience); text != "acting on 1.4" {
 		t.Error(text)
 	}
-	path := filepath.Join(dir, keptName)
+	path := filepath.Join(dir, cacheFileName)
 	testutil.Until(t, "it is kept", func() bool { _, err := os.Stat(path); return err == nil })
 	m.stop()
 	yesterday := time.Now().Add(-25 * time.Hour)
--- /dev/null
+++ b/internal/controlplane/transport/memberstate.go
@@ -0,0 +1,70 @@
+package transport
+
+import (
+	"time"
+
+	"hazelwing/internal/controlplane"
+)
+
+// MemberState is the state of a Member, for operators.
+type MemberState struct {
+	controlplane.FollowerStats
+	Highest controlplane.Revision `json:"highest"` // ever accepted
+	Ready   bool                  `json:"ready"`
+	// CachedAge is how long ago the revision in force was last confirmed; set while it comes from the cache file and no
+	// upstream has confirmed it since the start.
+	CachedAge      string              `json:"last_known,omitempty"`
+	UnconfirmedFor string              `json:"not_confirmed_for"`  // since an upstream confirmed the revision in force
+	Upstream       string              `json:"upstream,omitempty"` // its name; empty if there is none
+	UpstreamAddr   string              `json:"upstream_addr,omitempty"`
+	UpstreamCount  int                 `json:"upstreams"` // since the start
+	BytesReceived  int64               `json:"got"`       // of snapshots from upstreams
+	Report         controlplane.Report `json:"report"`    // of this member and its descendants
+	Server         serverState         `json:"serves"`
+}
+
+// State returns the state of the member. It returns false if the event loop has not answered in stateTimeout, or has
+// stopped.
+func (m *Member) State() (MemberState, bool) {
+	response := make(chan MemberState, 1)
+	timeout := time.After(stateTimeout)
+	select {
+	case m.events <- stateRequest{response}:
+	case <-timeout:
+		return MemberState{}, false
+	}
+	select {
+	case state := <-response:
+		return state, true
+	case <-timeout:
+		return MemberState{}, false
+	}
+}
+
+// state is called by the event loop, which owns the core.
+func (m *Member) state() MemberState {
+	stats := m.core.Stats()
+	state := MemberState{
+		FollowerStats: stats,
+		Highest:       stats.Highest,
+		Report:        m.core.Report(),
+		Server:        m.server.state(),
+		BytesReceived: m.bytesReceived.Load(),
+	}
+	m.mu.Lock()
+	if m.upstream != nil {
+		state.Upstream, state.UpstreamAddr = m.upstream.name, m.upstream.addr
+	}
+	state.UpstreamCount = m.upstreamCount
+	m.mu.Unlock()
+	select {
+	case <-m.ready:
+		state.Ready = true
+	default:
+	}
+	if stats.FromCache && !m.cacheAge.IsZero() {
+		state.CachedAge = time.Since(m.cacheAge).Round(time.Second).String()
+	}
+	state.UnconfirmedFor = max(0, m.now()-stats.ConfirmedAt).Round(time.Millisecond).String()
+	return state
+}
--- /dev/null
+++ b/internal/controlplane/transport/originhttp.go
@@ -0,0 +1,188 @@
+package transport
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/controlplane/origin"
+)
+
+const (
+	pushPath   = "/config/push"
+	showPath   = "/config/show"
+	statusPath = "/config/status"
+
+	// bodyReadTimeout is for the whole body of a push or a message.
+	bodyReadTimeout = 5 * time.Second
+	// responseMargin is how long after the node's own timeout a response may be written.
+	responseMargin = 10 * time.Second
+)
+
+// outcomeStatus is the HTTP status of a result.
+var outcomeStatus = map[origin.Outcome]int{
+	origin.OutcomeAccepted: http.StatusOK,
+	origin.OutcomeCurrent:  http.StatusOK,
+	origin.OutcomeConflict: http.StatusConflict,
+	origin.OutcomeRejected: http.StatusUnprocessableEntity,
+	origin.OutcomeNotFound: http.StatusNotFound,
+	origin.OutcomeUnknown:  http.StatusGatewayTimeout,
+}
+
+// ShowResponse is the response to a request for the latest snapshot.
+type ShowResponse struct {
+	Result origin.Result      `json:"answer"`
+	Frame  controlplane.Frame `json:"frame"` // its text is empty if there is no snapshot
+}
+
+// ServeHTTP serves members, operators and the other origins.
+func (o *Origin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	control := http.NewResponseController(w)
+	if r.URL.Path != watchPath {
+		setReadDeadline(control, bodyReadTimeout)
+		setWriteDeadline(control, o.cfg.Node.RequestTimeout+responseMargin)
+	}
+	if r.Header.Get(clusterHeader) != o.client.cluster {
+		o.server.ServeHTTP(w, r) // which counts and rejects it
+		return
+	}
+	switch r.Method + " " + r.URL.Path {
+	case "GET " + alivePath:
+		o.server.serveAlive(w)
+	case "POST " + messagePath:
+		o.serveMessage(w, r)
+	case "POST " + pushPath:
+		o.servePush(w, r)
+	case "GET " + pushPath:
+		id := r.URL.Query().Get("id")
+		o.serveResult(w, r, id, origin.QueryOutcome{ID: id})
+	case "GET " + showPath:
+		o.serveShow(w, r)
+	case "GET " + statusPath:
+		o.serveStatus(w)
+	default:
+		o.server.ServeHTTP(w, r)
+	}
+}
+
+// readBody reads a body of at most limit bytes. If that fails it responds with the error, closes the connection and
+// returns false.
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+	if err == nil {
+		return text, true
+	}
+	w.Header().Set("Connection", "close")
+	status := http.StatusBadRequest
+	if _, tooLarge := errors.AsType[*http.MaxBytesError](err); tooLarge {
+		status = http.StatusRequestEntityTooLarge
+	}
+	http.Error(w, err.Error(), status)
+	return nil, false
+}
+
+func (o *Origin) serveMessage(w http.ResponseWriter, r *http.Request) {
+	sender := r.Header.Get(senderHeader)
+	if o.outgoing[sender] == nil {
+		http.Error(w, "no other origin of these", http.StatusForbidden)
+		return
+	}
+	data, ok := readBody(w, r, origin.MaxMessageSize)
+	if !ok {
+		return
+	}
+	o.post(nodeEvent{origin.Message{From: sender, Data: data}})
+	w.WriteHeader(http.StatusNoContent)
+}
+
+func (o *Origin) servePush(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	id := query.Get("id")
+	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
+	if err != nil || id == "" || len(id) > origin.MaxIDLength {
+		http.Error(w, "after, a version, and id, 1 to 64 bytes, are wanted", http.StatusBadRequest)
+		return
+	}
+	text, ok := readBody(w, r, controlplane.MaxSnapshotSize)
+	if !ok {
+		return
+	}
+	o.serveResult(w, r, id, origin.Propose{ID: id, BaseVersion: after, Text: text})
+}
+
+// serveResult has the node handle a push or a question, and responds with the result.
+func (o *Origin) serveResult(w http.ResponseWriter, r *http.Request, id string, event origin.Event) {
+	result := o.request(r.Context(), id, event)
+	if result == nil {
+		http.Error(w, "this origin ends, or another one asks under this ID", http.StatusServiceUnavailable)
+		return
+	}
+	writeJSON(w, outcomeStatus[result.Outcome], result)
+}
+
+func (o *Origin) serveShow(w http.ResponseWriter, r *http.Request) {
+	var shown ShowResponse
+	if r.URL.Query().Get("local") == "" {
+		shown.Result = o.confirmLatest(r)
+		if shown.Result.Outcome != origin.OutcomeCurrent {
+			writeJSON(w, http.StatusGatewayTimeout, shown)
+			return
+		}
+	}
+	response := make(chan *controlplane.Frame, 1)
+	o.post(frameRequest{response})
+	select {
+	case frame := <-response:
+		if frame != nil {
+			shown.Frame = *frame
+		}
+		writeJSON(w, http.StatusOK, shown)
+	case <-time.After(stateTimeout):
+		writeBusy(w)
+	}
+}
+
+// confirmLatest has a majority confirm the latest revision.
+func (o *Origin) confirmLatest(r *http.Request) origin.Result {
+	o.mu.Lock()
+	o.readCount++
+	id := fmt.Sprintf("read-%d", o.readCount)
+	o.mu.Unlock()
+	result := o.request(r.Context(), id, origin.ReadLatest{ID: id})
+	if result == nil {
+		return origin.Result{Outcome: origin.OutcomeUnknown, Error: "too many ask"}
+	}
+	return *result
+}
+
+func (o *Origin) serveStatus(w http.ResponseWriter) {
+	response := make(chan origin.Status, 1)
+	o.post(statusRequest{response})
+	select {
+	case status := <-response:
+		writeJSON(w, http.StatusOK, status)
+	case <-time.After(stateTimeout):
+		writeBusy(w)
+	}
+}
+
+// writeBusy responds that the event loop has not answered in stateTimeout.
+func writeBusy(w http.ResponseWriter) {
+	http.Error(w, "too busy to say", http.StatusServiceUnavailable)
+}
+
+func writeJSON(w http.ResponseWriter, status int, value any) {
+	text, err := json.Marshal(value)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_, _ = w.Write(append(text, '\n')) // a client that disconnects asks again
+}
--- /dev/null
+++ b/internal/controlplane/transport/peerclient.go
@@ -0,0 +1,164 @@
+package transport
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"hazelwing/internal/controlplane"
+)
+
+const (
+	dialTimeout     = 500 * time.Millisecond
+	responseTimeout = 2 * time.Second
+	// maxErrorBody is how many bytes of an unexpected response become part of the error.
+	maxErrorBody = 200
+)
+
+// DialFunc opens a connection, as net.Dialer's DialContext does. Tests replace it to put an emulated network
+// between the processes.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// newHTTPClient returns a client that connects with dial, or with net.Dialer if dial is nil. It keeps an idle
+// connection for a second.
+func newHTTPClient(dial DialFunc) *http.Client {
+	if dial == nil {
+		dial = new(net.Dialer).DialContext
+	}
+	return &http.Client{Transport: &http.Transport{
+		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+			defer cancel()
+			return dial(ctx, network, addr)
+		},
+		ResponseHeaderTimeout: responseTimeout,
+		IdleConnTimeout:       time.Second,
+		MaxIdleConnsPerHost:   1,
+		DisableCompression:    true,
+	}}
+}
+
+// peerClient sends requests to other members and origins of a cluster. Its methods may be called from any
+// goroutine.
+type peerClient struct {
+	cluster string
+	self    string
+	client  *http.Client
+}
+
+// newRequest returns a request with the headers that each receiver requires.
+func (c *peerClient) newRequest(
+	ctx context.Context, method, addr, path string, body io.Reader,
+) (*http.Request, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set(clusterHeader, c.cluster)
+	request.Header.Set(senderHeader, c.self)
+	return request, nil
+}
+
+// do sends a request and returns the response if it has the expected status, which the caller then closes.
+// Any other status is an error.
+func (c *peerClient) do(request *http.Request, expectedStatus int) (*http.Response, error) {
+	response, err := c.client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode != expectedStatus {
+		defer discardBody(response)
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody)) // the status is the error
+		return nil, fmt.Errorf("%s answers %s: %s", request.URL.Host, response.Status, bytes.TrimSpace(text))
+	}
+	return response, nil
+}
+
+// discardBody closes the body of a response. The error says nothing about what was read.
+func discardBody(response *http.Response) { _ = response.Body.Close() }
+
+// fetchSnapshot returns the latest frame of a member or an origin.
+func (c *peerClient) fetchSnapshot(ctx context.Context, addr string) (controlplane.Frame, error) {
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
+	defer cancel()
+	request, err := c.newRequest(ctx, http.MethodGet, addr, snapshotPath, nil)
+	if err != nil {
+		return controlplane.Frame{}, err
+	}
+	response, err := c.do(request, http.StatusOK)
+	if err != nil {
+		return controlplane.Frame{}, err
+	}
+	defer discardBody(response)
+	text, err := io.ReadAll(io.LimitReader(response.Body, MaxLineSize+1))
+	if err != nil {
+		return controlplane.Frame{}, err
+	}
+	if len(text) > MaxLineSize {
+		return controlplane.Frame{}, errLineTooLong
+	}
+	return parseFrame(text)
+}
+
+// parseFrame reads the frame of a line.
+func parseFrame(text []byte) (controlplane.Frame, error) {
+	var l line
+	if err := json.Unmarshal(text, &l); err != nil {
+		return controlplane.Frame{}, err
+	}
+	if err := l.unpack(); err != nil {
+		return controlplane.Frame{}, err
+	}
+	if l.Frame == nil {
+		return controlplane.Frame{}, errors.New("line has no frame")
+	}
+	return *l.Frame, nil
+}
+
+// sendReport posts a report to the upstream.
+func (c *peerClient) sendReport(ctx context.Context, addr string, report controlplane.Report) error {
+	text, err := json.Marshal(report)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
+	defer cancel()
+	return c.post(ctx, addr, reportPath, text)
+}
+
+// post sends a body that is answered by an empty response.
+func (c *peerClient) post(ctx context.Context, addr, path string, body []byte) error {
+	request, err := c.newRequest(ctx, http.MethodPost, addr, path, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	response, err := c.do(request, http.StatusNoContent)
+	if err != nil {
+		return err
+	}
+	discardBody(response)
+	return nil
+}
+
+// probeOrigin asks an origin whether it participates in the consensus. It returns the status of the answer:
+// http.StatusNoContent if it does, http.StatusResetContent if it does not.
+func (c *peerClient) probeOrigin(ctx context.Context, addr string) (status int, err error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	request, err := c.newRequest(ctx, http.MethodGet, addr, alivePath, nil)
+	if err != nil {
+		return 0, err
+	}
+	response, err := c.client.Do(request)
+	if err != nil {
+		return 0, err
+	}
+	discardBody(response)
+	return response.StatusCode, nil
+}
--- /dev/null
+++ b/internal/controlplane/transport/server.go
@@ -0,0 +1,194 @@
+package transport
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+
+	"hazelwing/internal/controlplane"
+)
+
+// subscriptionServer serves the snapshot that one process has to its subscribers. Its methods may be called from any
+// goroutine.
+type subscriptionServer struct {
+	cluster        string
+	self           string
+	maxSubscribers int
+	// isMember makes it reject subscribers that have a later revision than this process. Origins take them: they learn
+	// of that revision from their reports.
+	isMember bool
+	// onReport and onDisconnect are called from the goroutines of requests. They may wait for the core.
+	onReport     func(name string, report controlplane.Report)
+	onDisconnect func(name string)
+
+	mu              sync.Mutex
+	revision        controlplane.Revision
+	frame           []byte        // the published frame as a line; nil if there is none
+	path            []string      // of this process: its own name first, the origin last. It is replaced, never changed
+	idle            bool          // this is an origin that does not participate: its subscribers look for another one
+	upstreamHealthy bool          // this process has an upstream
+	changed         chan struct{} // closed and replaced at each change of the fields above
+	subscribers     map[string]int
+	rejected        int
+	otherCluster    int
+	bytesSent       int64
+}
+
+func newSubscriptionServer(cluster, self string, maxSubscribers int) *subscriptionServer {
+	return &subscriptionServer{
+		cluster:        cluster,
+		self:           self,
+		maxSubscribers: maxSubscribers,
+		path:           []string{self},
+		changed:        make(chan struct{}),
+		subscribers:    map[string]int{},
+	}
+}
+
+// update changes what subscribers are sent, and wakes them.
+func (s *subscriptionServer) update(change func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	change()
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// publish sends a frame to all subscribers, in place of any earlier one that they have not received yet.
+func (s *subscriptionServer) publish(frame controlplane.Frame) {
+	text, err := json.Marshal(pack(frame))
+	if err != nil {
+		return // strings and bytes can always be encoded
+	}
+	text = append(text, '\n')
+	s.update(func() { s.revision, s.frame = frame.Revision, text })
+}
+
+// setUpstream records that this process has an upstream, and the path of that.
+func (s *subscriptionServer) setUpstream(path []string) {
+	s.update(func() { s.path, s.upstreamHealthy = append([]string{s.self}, path...), true })
+}
+
+// setUpstreamLost records that this process has no upstream any more. Its subscribers stay.
+func (s *subscriptionServer) setUpstreamLost() {
+	s.update(func() { s.upstreamHealthy = false })
+}
+
+// setParticipating records whether this origin participates in the consensus.
+func (s *subscriptionServer) setParticipating(participating bool) {
+	s.mu.Lock()
+	unchanged := s.idle == !participating
+	s.mu.Unlock()
+	if !unchanged {
+		s.update(func() { s.idle = !participating })
+	}
+}
+
+// serveAlive answers whether this origin participates in the consensus: 204 if it does, 205 if it does not.
+func (s *subscriptionServer) serveAlive(w http.ResponseWriter) {
+	s.mu.Lock()
+	idle := s.idle
+	s.mu.Unlock()
+	if idle {
+		w.WriteHeader(http.StatusResetContent)
+		return
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// ServeHTTP serves the requests that members and origins have in common.
+func (s *subscriptionServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.Header.Get(clusterHeader) != s.cluster {
+		s.mu.Lock()
+		s.otherCluster++
+		s.mu.Unlock()
+		w.Header().Set("Connection", "close")
+		http.Error(w, "another fleet's", http.StatusForbidden)
+		return
+	}
+	sender := r.Header.Get(senderHeader)
+	if sender == "" || len(sender) > controlplane.MaxNameLength {
+		http.Error(w, senderHeader+" is wanted", http.StatusBadRequest)
+		return
+	}
+	switch {
+	case r.Method == http.MethodGet && r.URL.Path == watchPath:
+		s.serveWatch(w, r, sender)
+	case r.Method == http.MethodGet && r.URL.Path == snapshotPath:
+		s.serveSnapshot(w)
+	case r.Method == http.MethodPost && r.URL.Path == reportPath:
+		s.serveReport(w, r, sender)
+	default:
+		http.NotFound(w, r)
+	}
+}
+
+func (s *subscriptionServer) serveSnapshot(w http.ResponseWriter) {
+	s.mu.Lock()
+	frame := s.frame
+	s.mu.Unlock()
+	if frame == nil {
+		http.Error(w, "there is none", http.StatusNotFound)
+		return
+	}
+	setWriteDeadline(http.NewResponseController(w), writeTimeout)
+	_, _ = w.Write(frame) // a client that disconnects asks again
+}
+
+func (s *subscriptionServer) serveReport(w http.ResponseWriter, r *http.Request, sender string) {
+	setReadDeadline(http.NewResponseController(w), writeTimeout)
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, controlplane.MaxReportSize))
+	var report controlplane.Report
+	if err == nil {
+		err = json.Unmarshal(text, &report)
+	}
+	if err != nil {
+		w.Header().Set("Connection", "close")
+		http.Error(w, "no report: "+err.Error(), http.StatusBadRequest)
+		return
+	}
+	s.mu.Lock()
+	subscribed := s.subscribers[sender] > 0
+	s.mu.Unlock()
+	if !subscribed {
+		http.Error(w, "follow first", http.StatusConflict)
+		return
+	}
+	s.onReport(sender, report)
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// setReadDeadline and setWriteDeadline limit how long a client may take. They fail only for a connection that cannot be
+// used any more, and then so does what follows.
+func setReadDeadline(control *http.ResponseController, timeout time.Duration) {
+	_ = control.SetReadDeadline(time.Now().Add(timeout))
+}
+
+func setWriteDeadline(control *http.ResponseController, timeout time.Duration) {
+	_ = control.SetWriteDeadline(time.Now().Add(timeout))
+}
+
+// serverState is what operators see of a subscriptionServer.
+type serverState struct {
+	Path            []string `json:"path"`      // of this process: its own name first, the origin last
+	UpstreamHealthy bool     `json:"live"`      // this process has an upstream
+	Subscribers     int      `json:"following"` // now
+	Rejected        int      `json:"turned"`    // subscribers, since the start
+	OtherCluster    int      `json:"foreign"`   // requests for another cluster, since the start
+	BytesSent       int64    `json:"sent"`      // to subscribers
+}
+
+func (s *subscriptionServer) state() serverState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return serverState{
+		Path:            s.path,
+		UpstreamHealthy: s.upstreamHealthy,
+		Subscribers:     len(s.subscribers),
+		Rejected:        s.rejected,
+		OtherCluster:    s.otherCluster,
+		BytesSent:       s.bytesSent,
+	}
+}
--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -32,7 +32,7 @@
 // holds checks what a member's directory keeps.
 func holds(t *testing.T, dir string, version, highest uint64, text string) {
 	t.Helper()
-	k, at, err := load(dir)
+	k, at, err := loadCachedSnapshot(dir)
 	if err != nil || k == nil {
 		t.Fatalf("%v, %v", k, err)
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// What a member of 593ba64 has kept is in force in the new version while no origin answers; an older snapshot than the highest that
-// the other one has taken is not; a newer one is, and is kept in its place.
+// What a member of 593ba64 has kept is in force in the new version while no origin answers; an older snapshot than
+// the highest that the other one has taken is not; a newer one is, and is kept in its place.
 func TestLastKnownOfTheVersionBefore(t *testing.T) {
 	t.Parallel()
 	dir := storedMember(t)
@@ -65,7 +65,7 @@
 	old.publish(frame(3, "# third\n"))
 	testutil.Until(t, "a newer one is in force", func() bool { return m.acts() == 3 })
 	testutil.Until(t, "it is kept", func() bool {
-		k, _, err := load(dir)
+		k, _, err := loadCachedSnapshot(dir)
 		return err == nil && k != nil && k.Frame.Revision.Version == 3
 	})
 	m.stop()
@@ -84,7 +84,7 @@
 func TestLastKnownKeepsItsBytes(t *testing.T) {
 	dir := t.TempDir()
 	f := frame(2, storedText)
-	if err := keep(dir, &controlplane.CachedSnapshot{Frame: f, Highest: f.Revision}); err != nil {
+	if err := saveCachedSnapshot(dir, &controlplane.CachedSnapshot{Frame: f, Highest: f.Revision}); err != nil {
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile(filepath.Join(storedDir, "last-known.json"))
