--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -365,7 +365,7 @@
 
 	r.setProgram(fmt.Sprint(upgraded), r.newer...)
 	r.play(fmt.Sprintf("start %d", upgraded))
-	if s := r.state(upgraded); s.Ready || !s.FromCache || s.LastKnown == "" || s.Active != stamp {
+	if s := r.state(upgraded); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active != stamp {
 		r.t.Errorf("upgraded member does not act on the stored %v: %+v", stamp, s)
 	}
 
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -138,7 +138,7 @@
 	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "hollow", Self: m.Name, FetchDelay: 300 * time.Millisecond},
 		Origins: r.addrs, MaxSubscribers: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
 		Selector:   bootstrap.Config{Self: m.Name, Roots: 40, FanOut: 4, ConfiguredSize: len(r.Members), RandomSeed: uint64(m.N)},
-		OnRevision: func(s controlplane.Revision) { node.Load().SetStamp(s.Epoch, s.Version) },
+		OnRevision: func(s controlplane.Revision) { node.Load().SetConfigRevision(s.Epoch, s.Version) },
 		Apply: func(s *controlplane.Snapshot) error {
 			r.mu.Lock()
 			defer r.mu.Unlock()
