--- a/internal/discovery/reconcile.go
+++ b/internal/discovery/reconcile.go
@@ -192,9 +192,9 @@
 
 // deferRemoval decides whether the removal of an endpoint has to wait, and until when; an empty reason means
 // that it does not. This limits what the list loses because one source no longer lists endpoints: that source
-// may remove its share within the window, and not the last endpoint. A removal that a source reported
-// explicitly is never deferred, unless the source is indirect. Neither is that of an endpoint without any
-// tombstone, which all sources have stopped listing.
+// may remove its share within the window, and the last endpoint stays. A removal that a source reported
+// explicitly is never deferred, unless the source is indirect. That of an endpoint without any tombstone, which
+// all sources have stopped listing, is deferred only for the last endpoint.
 func (m *Merger) deferRemoval(now time.Duration, e *Endpoint) (reason string, retryAt time.Duration) {
 	s, confirmed := m.removingSource(e)
 	switch {
