--- a/internal/cluster/broadcast.go
+++ b/internal/cluster/broadcast.go
@@ -119,7 +119,7 @@
 	})
 }
 
-// appendNotice appends the notice about an endpoint and takes its size off room. It
+// appendNotice appends the notice about an endpoint and subtracts its size from room. It
 // returns false if there is not enough room. A notice that has expired needs none.
 func (c *Core) appendNotice(msg *Message, room *int, endpoint string) bool {
 	n := c.notices[endpoint]
@@ -134,7 +134,7 @@
 	return true
 }
 
-// appendEntry appends the entry of a member and takes its size off room. It returns
+// appendEntry appends the entry of a member and subtracts its size from room. It returns
 // false if there is not enough room. An entry that the message has already, or of a
 // member that was removed, needs none.
 func (c *Core) appendEntry(msg *Message, room *int, name string) bool {
--- a/internal/cluster/merge.go
+++ b/internal/cluster/merge.go
@@ -34,7 +34,7 @@
 
 // addPeer adds a member that was not known. A dead one is neither reported nor gossiped;
 // it is probed from time to time and counts for the estimated size. addPeer returns nil
-// if there is no room, or the member ended longer ago than DeadMemberTTL.
+// if there is no room, or the member died or left longer ago than DeadMemberTTL.
 func (c *Core) addPeer(e Entry, direct bool) *peer {
 	if e.State >= Dead && e.Age >= c.cfg.DeadMemberTTL {
 		return nil
@@ -49,7 +49,7 @@
 	c.peers[e.Name] = p
 	switch e.State {
 	case Dead, Left:
-		p.endedAt = c.now - e.Age
+		p.departedAt = c.now - e.Age
 		c.size.countDead(p)
 	case Suspect:
 		p.State = Alive
@@ -80,7 +80,7 @@
 	switch e.State {
 	case Dead, Left:
 		c.removeLive(p)
-		p.endedAt = c.now - e.Age
+		p.departedAt = c.now - e.Age
 		p.ReportedBy = e.ReportedBy
 		c.size.countDead(p)
 	case Suspect:
@@ -172,7 +172,7 @@
 type stateChange struct {
 	state       State
 	refutations uint64
-	age         time.Duration // Dead, Left: how long ago it ended
+	age         time.Duration // Dead, Left: how long ago it died or left
 	reportedBy  string
 	reason      string
 }
@@ -189,7 +189,7 @@
 		p.since = c.now
 	}
 	if change.state >= Dead {
-		p.endedAt = c.now - change.age
+		p.departedAt = c.now - change.age
 		c.removeLive(p)
 		c.size.countDead(p)
 	} else {
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -15,7 +15,7 @@
 	Incarnation
 	State      State
 	ReportedBy string        // Suspect, Dead: the member that reported the state
-	Age        time.Duration // Dead, Left: how long ago it ended, as far as the sender knows
+	Age        time.Duration // Dead, Left: how long ago it died or left, as far as the sender knows
 }
 
 // EndpointNotice is the gossiped update that an endpoint is draining or was removed
--- a/internal/cluster/peer.go
+++ b/internal/cluster/peer.go
@@ -12,7 +12,7 @@
 type peer struct {
 	Entry
 	since       time.Duration // start of State
-	endedAt     time.Duration // Dead, Left: when it ended, as far as is known
+	departedAt  time.Duration // Dead, Left: when it died or left, as far as is known
 	heardFrom   bool          // a message of its own has arrived
 	suspicion   *suspicion    // nil if it is not suspected
 	liveIndex   int           // index in Core.livePeers, or notLive
@@ -25,7 +25,7 @@
 func (c *Core) entryOf(p *peer) Entry {
 	e := p.Entry
 	if e.State >= Dead {
-		e.Age = c.now - p.endedAt
+		e.Age = c.now - p.departedAt
 	}
 	return e
 }
@@ -85,19 +85,19 @@
 	return true
 }
 
-// longestDead returns the peer that has been dead or gone for longest, or nil.
+// longestDead returns the peer that died or left first, or nil.
 func (c *Core) longestDead() (oldest *peer) {
 	for _, p := range c.peers {
-		if p.State >= Dead && (oldest == nil || p.endedBefore(oldest)) {
+		if p.State >= Dead && (oldest == nil || p.departedBefore(oldest)) {
 			oldest = p
 		}
 	}
 	return oldest
 }
 
-// endedBefore orders peers that have ended by time, then by name.
-func (p *peer) endedBefore(other *peer) bool {
-	return p.endedAt < other.endedAt || p.endedAt == other.endedAt && p.Name < other.Name
+// departedBefore orders peers that died or left by time, then by name.
+func (p *peer) departedBefore(other *peer) bool {
+	return p.departedAt < other.departedAt || p.departedAt == other.departedAt && p.Name < other.Name
 }
 
 // firstNeverHeardFrom returns the first peer by name of which no message has arrived, or nil.
--- a/internal/cluster/reconnect.go
+++ b/internal/cluster/reconnect.go
@@ -67,7 +67,7 @@
 func (c *Core) removeExpiredPeers() {
 	var expired []*peer
 	for _, p := range c.peers {
-		if p.State >= Dead && c.now-p.endedAt >= c.cfg.DeadMemberTTL {
+		if p.State >= Dead && c.now-p.departedAt >= c.cfg.DeadMemberTTL {
 			expired = append(expired, p)
 		}
 	}
--- a/internal/cluster/size.go
+++ b/internal/cluster/size.go
@@ -90,7 +90,7 @@
 	}
 	s.configured *= sizeDecayFactor
 	for _, p := range c.peers {
-		if p.countedDead && c.now-p.endedAt >= sizeHoldTime {
+		if p.countedDead && c.now-p.departedAt >= sizeHoldTime {
 			s.discountDead(p)
 		}
 	}
