--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -79,7 +79,7 @@
 	fixedByRequests = "a request in hand relies on it: it can change with a restart alone"
 	fixedAtStart    = "it is settled at the process's start"
 
-	effectiveNextPick      = "the next choice of a server"
+	effectiveNextPick      = "the next pick of an endpoint"
 	effectiveNextAdmission = "the next admission"
 )
 
@@ -87,19 +87,21 @@
 // program must reject what it does not know.
 var settingRules = []SettingRule{
 	{
-		Key:           "discovery.addr",
-		EffectiveFrom: "the next subscription, which begins at once; calls in flight go on with the list that is held",
+		Key: "discovery.addr",
+		EffectiveFrom: "the next subscription, which starts at once; " +
+			"calls in flight continue with the list that they have",
 	},
-	{Key: "fleet.sidecars", EffectiveFrom: "the next count of the fleet that is told, within a second"},
+	{Key: "fleet.sidecars", EffectiveFrom: "the next estimate of the cluster's size, within a second"},
 	{Key: "log.level", EffectiveFrom: "the next line"},
 	{
 		Key: "limits.max_attempts",
-		EffectiveFrom: "the next decision on any request, those in hand too: none of their attempts is taken back; " +
+		EffectiveFrom: "the next decision on any request, also on those in flight: " +
+			"none of their attempts is cancelled; " +
 			"never more than the platform allows",
 	},
 	{
 		Key: "limits.second_copies",
-		EffectiveFrom: "the next decision; copies that are out are not taken back; " +
+		EffectiveFrom: "the next decision; hedged requests in flight are not cancelled; " +
 			"never more than the platform allows",
 	},
 	{Key: "price.cross_zone", EffectiveFrom: effectiveNextPick},
