--- a/internal/controlplane/origin/envelope.go
+++ b/internal/controlplane/origin/envelope.go
@@ -31,8 +31,8 @@
 
 // Errors of openEnvelope.
 var (
-	errForeignMessage = errors.New("it is of another founding")
-	errCorruptMessage = errors.New("it is no message of an origin")
+	errForeignMessage = errors.New("message of another bootstrap")
+	errCorruptMessage = errors.New("invalid message")
 )
 
 // openEnvelope decodes and checks a message; m is nil if there is no message of raft in it.
@@ -72,7 +72,7 @@
 	}
 	body := data[:max(len(data)-checksumSize, 0)]
 	if len(data) < checksumSize || crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[len(body):]) {
-		return nil, fmt.Errorf("%w: its checksum is not that of its content", errCorruptMessage)
+		return nil, fmt.Errorf("%w: checksum mismatch", errCorruptMessage)
 	}
 	return body, nil
 }
