--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -186,7 +186,7 @@
 				a.Outcome == OutcomeAccepted && b.Outcome != OutcomeAccepted {
 				t.Fatalf("after %d steps: the push %q, then %q %s", steps, a.Outcome, b.Outcome, b.Error)
 			}
-			outcomes[fmt.Sprintf("the pusher heard %q, then %q", a.Outcome, b.Outcome)]++
+			outcomes[fmt.Sprintf("the push %q, then %q", a.Outcome, b.Outcome)]++
 			w.start(i)
 			w.run(5 * time.Second)
 			if c := w.query(i, "mid"); b.Outcome == OutcomeAccepted && c.Outcome != OutcomeAccepted {
@@ -204,7 +204,7 @@
 
 // Two regions partitioned for an hour, three origins on one side and two on the other: what each side permits, and how
 // they agree again.
-func TestRegionsCutForAnHour(t *testing.T) {
+func TestRegionsPartitionedForAnHour(t *testing.T) {
 	for k, small := range [][]int{{0, 1}, {2, 4}, {1, 3}} {
 		part := time.Minute
 		if k == 0 {
@@ -218,7 +218,7 @@
 			w.partition[i] = 1
 		}
 		big := slices.IndexFunc(w.partition, func(g int) bool { return g == 0 })
-		// At once, while the smaller side may still have a leader: nothing is promised there.
+		// At once, while the smaller side may still have a leader: a majority never gets it.
 		if a := w.push(small[0], "at once", 1, textOf("at once")); a.Outcome != OutcomeUnknown &&
 			a.Outcome != OutcomeRejected {
 			t.Fatalf("at once in the smaller part (the leader was %d): %s", old, a.Outcome)
@@ -233,7 +233,7 @@
 				t.Fatalf("in the smaller part: %s %s", a.Outcome, a.Error)
 			}
 			if a := w.query(small[1], "nobody's"); a.Outcome != OutcomeUnknown {
-				t.Fatalf("a question in the smaller part: %s", a.Outcome)
+				t.Fatalf("a query in the smaller part: %s", a.Outcome)
 			}
 			if f, ok := w.machines[small[1]].node.Frame(); !ok || f.Revision.Version != 1 {
 				t.Fatalf("the smaller part serves %v", f.Revision)
@@ -246,12 +246,12 @@
 		for i := range w.partition {
 			w.partition[i] = 0
 		}
-		t.Log("one again after", w.waitUntil(5*time.Second, "all agree", w.allAgree))
+		t.Log("all agree after", w.waitUntil(5*time.Second, "all agree", w.allAgree))
 		if got := w.machines[big].node.root.Term; got != terms {
 			t.Errorf("the return of the smaller part cost the larger one its leader: term %d, then %d", terms, got)
 		}
 		if a := w.query(small[0], "at once"); a.Outcome != OutcomeNotFound {
-			t.Errorf("what the smaller part heard at once: %s", a.Outcome)
+			t.Errorf("what was pushed to the smaller part at once: %s", a.Outcome)
 		}
 		for k := range v - 1 {
 			checkResult(t, "large", w.query(small[1], fmt.Sprint("large", k+1)), OutcomeAccepted, k+2)
@@ -287,7 +287,7 @@
 			func() bool { return w.machines[i].node.Status().Role == RoleRolledBack })
 		if !slices.ContainsFunc(w.machines[i].logged,
 			func(s string) bool { return strings.HasPrefix(s, "rolled back: its store was rolled back") }) {
-			t.Errorf("noted: %q", w.machines[i].logged)
+			t.Errorf("logged: %q", w.machines[i].logged)
 		}
 		w.waitUntil(5*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 		w.run(3 * time.Second)
@@ -298,7 +298,7 @@
 		}
 		w.stop(i)
 		w.start(i)
-		if s := w.machines[i].node.Status(); s.Role != RoleRolledBack { // before it has heard anybody
+		if s := w.machines[i].node.Status(); s.Role != RoleRolledBack { // before it has heard from any other
 			t.Errorf("after a restart it is %s", s.Role)
 		}
 		w.run(10 * time.Second)
@@ -308,6 +308,15 @@
 	}
 }
 
+// reportOf200 returns the report of 200 members on which a revision is active.
+func reportOf200(revision controlplane.Revision) controlplane.Report {
+	return controlplane.Report{
+		Members: 200,
+		Latest:  revision,
+		Active:  []controlplane.RevisionCount{{Revision: revision, Count: 200}},
+	}
+}
+
 // All origins with yesterday's stores cannot detect it from each other. The members do: no origin accepts a push while
 // they have a later revision, and none at all within the first seconds.
 func TestAllStoresRolledBack(t *testing.T) {
@@ -334,13 +343,7 @@
 		!strings.Contains(a.Error, "no member has told") {
 		t.Fatalf("at once: %s %s", a.Outcome, a.Error)
 	}
-	w.handle(1, ReportReceived{
-		"m1",
-		controlplane.Report{
-			Members: 200, Latest: later,
-			Active: []controlplane.RevisionCount{{Revision: later, Count: 200}},
-		},
-	})
+	w.handle(1, ReportReceived{"m1", reportOf200(later)})
 	w.run(time.Second)
 	for i, p := range w.machines {
 		if a := w.push(i, "new", 1, textOf("new")); a.Outcome != OutcomeRejected ||
@@ -354,19 +357,13 @@
 	// The same version with other content is as bad.
 	other := w.machines[0].node.Status().Revision
 	other.Hash = strings.Repeat("0", 64)
-	w.handle(1, ReportReceived{
-		"m1",
-		controlplane.Report{
-			Members: 200, Latest: other,
-			Active: []controlplane.RevisionCount{{Revision: other, Count: 200}},
-		},
-	})
+	w.handle(1, ReportReceived{"m1", reportOf200(other)})
 	w.run(time.Second)
 	if a := w.push(1, "new2", 1, textOf("new")); a.Outcome != OutcomeRejected ||
 		!strings.Contains(a.Error, "(000000000000)") {
 		t.Errorf("members hold another content: %s %s", a.Outcome, a.Error)
 	}
-	// Members that hold what the origins do are no hindrance (and nobody knows of the later ones any more).
+	// Members that have what the origins have prevent nothing (and none reports the later revisions any more).
 	clear(w.published)
 	w.handle(1, ReportReceived{"m1", controlplane.Report{Members: 200, Latest: w.machines[0].node.Status().Revision}})
 	w.run(time.Second)
@@ -382,13 +379,7 @@
 	report := func(epoch, version uint64) {
 		s := controlplane.Revision{Epoch: epoch, Version: version, Hash: controlplane.HashText(textOf("old"))}
 		for i := range w.machines {
-			w.handle(i, ReportReceived{
-				"m1",
-				controlplane.Report{
-					Members: 200, Latest: s,
-					Active: []controlplane.RevisionCount{{Revision: s, Count: 200}},
-				},
-			})
+			w.handle(i, ReportReceived{"m1", reportOf200(s)})
 		}
 		w.run(time.Second)
 	}
