--- /dev/null
+++ b/internal/cluster/node/node.go
@@ -0,0 +1,120 @@
+package node
+
+import (
+	"fmt"
+	"net/http"
+	"sync"
+
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/cluster/gossip"
+	"hazelwing/internal/discovery/bootstrap"
+	"hazelwing/internal/discovery/relay"
+	"hazelwing/internal/discovery/watch"
+	"hazelwing/internal/engine"
+	"hazelwing/internal/operator"
+)
+
+// endpointListPath is the path at which peers follow the endpoint list. Requests for
+// other paths go to Config.Handler.
+const endpointListPath = "/discovery/hosts"
+
+// Node is this process as a member of the cluster, with what the membership is used
+// for: the endpoint list relayed by peers, the estimated number of members, and the
+// notices of peers about endpoints.
+type Node struct {
+	Gossip         *gossip.Node
+	EndpointSource *relay.Source // nil if the endpoint list comes from discovery alone
+
+	onMembersChanged func(others []cluster.Member, joined bool) // may be nil
+	notices          chan receivedNotice
+
+	mu            sync.Mutex
+	onSizeChanged func(size int) // nil until OnSizeChanged is called
+	size          int            // the last estimate; 0 if there is none yet
+}
+
+// NewEndpointSource returns a source of the endpoint list that follows discovery or a
+// peer. cachedList is the list that the process holds already. No request is sent
+// before Watch.
+func NewEndpointSource(
+	c Config, op *operator.Recovery, discovery engine.Source, cachedList engine.EndpointUpdate,
+) *relay.Source {
+	var dial watch.Dial
+	if c.Network != nil {
+		dial = c.Network.Dial
+	}
+	return relay.NewSource(relay.Config{
+		Discovery: discovery,
+		Known:     cachedList,
+		Most:      2 * int(op.Fan),
+		Log:       c.Log,
+		Selector: bootstrap.Config{
+			Self: c.Name,
+			Ask:  int(op.Ask),
+			Fan:  int(op.Fan),
+			Rate: op.Rate,
+			Told: c.ConfiguredSize,
+			Seed: c.RandomSeed,
+		},
+		Peer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
+			return watch.NewPeer(addr, header, check, c.Log).Through(dial)
+		},
+	})
+}
+
+// Open returns a Node that listens at the cluster's address. endpoints is nil if the
+// endpoint list comes from discovery alone. Nothing is sent before Gossip.Run. It
+// reports an error if the address cannot be used.
+func Open(c Config, op *operator.Fleet, endpoints *relay.Source) (*Node, error) {
+	n := &Node{
+		EndpointSource:   endpoints,
+		onMembersChanged: c.OnMembersChanged,
+		notices:          make(chan receivedNotice, maxQueuedNotices),
+	}
+	g := c.gossipConfig(op)
+	g.OnNotice = n.ReceiveNotice
+	g.OnSizeChanged = n.SizeChanged
+	g.Handler = c.Handler
+	if endpoints != nil {
+		g.Handler = route(endpoints.Relay(), c.Handler)
+	}
+	if endpoints != nil || c.OnMembersChanged != nil {
+		g.OnMembersChanged = n.membersChanged
+	}
+	var err error
+	if n.Gossip, err = gossip.New(g); err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	c.Log.Info("listening for cluster members", "component", "cluster", "summary", op.Summary())
+	return n, nil
+}
+
+// route returns a handler that passes requests for the endpoint list to one handler
+// and all others to another, which may be nil.
+func route(endpointList, others http.Handler) http.Handler {
+	if others == nil {
+		return endpointList
+	}
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == endpointListPath {
+			endpointList.ServeHTTP(w, r)
+			return
+		}
+		others.ServeHTTP(w, r)
+	})
+}
+
+// membersChanged passes on the members that may be followed. The goroutine of
+// Gossip.Run calls it.
+func (n *Node) membersChanged(others []cluster.Member, joined bool) {
+	if n.EndpointSource != nil {
+		members := make([]bootstrap.Member, 0, len(others))
+		for _, m := range others {
+			members = append(members, bootstrap.Member{Name: m.Name, Addr: m.Addr})
+		}
+		n.EndpointSource.View(members, joined)
+	}
+	if n.onMembersChanged != nil {
+		n.onMembersChanged(others, joined)
+	}
+}
--- /dev/null
+++ b/internal/cluster/node/notices.go
@@ -0,0 +1,114 @@
+package node
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/cluster"
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/discovery/mergedsource"
+	"hazelwing/internal/engine"
+	"hazelwing/internal/operator"
+)
+
+const (
+	// noticeSourceName is the name of the gossiped notices among the sources of endpoints.
+	noticeSourceName = "fleet"
+	// noticeSourceRank is the last of the ranks: attributes are taken from any other source first.
+	noticeSourceRank = 9
+
+	// maxQueuedNotices is the number of notices that may wait for the merger. Those
+	// beyond are dropped, and discovery reports the change later.
+	maxQueuedNotices = 256
+)
+
+// receivedNotice is a notice of another member. It is active until it expires.
+type receivedNotice struct {
+	cluster.EndpointNotice
+	active bool
+}
+
+// ReceiveNotice queues a notice of another member for the merger. It does not block.
+// The goroutine of Gossip.Run calls it.
+func (n *Node) ReceiveNotice(notice cluster.EndpointNotice, active bool) {
+	select {
+	case n.notices <- receivedNotice{notice, active}:
+	default:
+	}
+}
+
+// AnnounceEndpoint gossips that an endpoint is draining or was removed, as this
+// process learned from discovery. It does not block.
+func (n *Node) AnnounceEndpoint(e engine.Endpoint) {
+	n.Gossip.Announce(cluster.EndpointNotice{
+		Endpoint:  e.ID,
+		Removed:   e.State == balancer.Removed,
+		StartedMS: e.StartedAtMS,
+	})
+}
+
+// MergeConfig returns the configuration of a source that merges the list of discovery
+// with the notices of other members. Further sources may be added to it. n is nil if
+// there are no other members, op if the operator's file has no table of members.
+func MergeConfig(
+	op *operator.Members, n *Node, platform engine.Source, cachedList []engine.Endpoint, log *slog.Logger,
+) mergedsource.Config {
+	if op == nil {
+		op = operator.DefaultMembers()
+	}
+	c := mergedsource.Config{
+		Platform:         platform,
+		CachedList:       cachedList,
+		MaxEndpoints:     int(op.Most),
+		AdditionInterval: time.Duration(op.Settle),
+		TombstoneTTL:     time.Duration(op.Forget),
+		MaxRemovalShare:  op.Share,
+		RemovalWindow:    time.Duration(op.Window),
+		Log:              log,
+	}
+	if n != nil {
+		c.Additional = []mergedsource.AdditionalSource{n.noticeSource()}
+		c.OnDeparture = n.AnnounceEndpoint
+	}
+	return c
+}
+
+// noticeSource returns the source of the notices. It may remove endpoints, within the
+// merger's limit on removals, and adds none.
+func (n *Node) noticeSource() mergedsource.AdditionalSource {
+	return mergedsource.AdditionalSource{
+		SourceConfig: discovery.SourceConfig{
+			Name:     noticeSourceName,
+			Rank:     noticeSourceRank,
+			Indirect: true,
+		},
+		Run: n.forwardNotices,
+	}
+}
+
+// forwardNotices passes notices to update until ctx is done.
+func (n *Node) forwardNotices(ctx context.Context, update func(discovery.Update), _ func(error)) {
+	for seq := int64(1); ; seq++ {
+		select {
+		case <-ctx.Done():
+			return
+		case notice := <-n.notices:
+			update(discovery.Update{Seq: seq, Endpoints: []discovery.Endpoint{endpointFromNotice(&notice)}})
+		}
+	}
+}
+
+// endpointFromNotice returns the endpoint in the state that a notice implies: active
+// again if the notice has expired.
+func endpointFromNotice(notice *receivedNotice) discovery.Endpoint {
+	e := discovery.Endpoint{ID: notice.Endpoint, StartedAtMS: notice.StartedMS, State: balancer.Draining}
+	if notice.Removed {
+		e.State = balancer.Removed
+	}
+	if !notice.active {
+		e.State = balancer.Active
+	}
+	return e
+}
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -30,7 +30,7 @@
 
 // Attachment is what else runs at a member's address and view, for one life of it. All of it may be nil.
 type Attachment struct {
-	Also   http.Handler                               // answers peers beside the list; see peering.Config
+	Also   http.Handler                               // answers peers beside the list; see node.Config
 	OnView func(others []cluster.Member, joined bool) // see gossip.Config
 	Run    func(ctx context.Context)                  // runs until ctx ends, in a goroutine of its own
 	// OnStamp is gossip.Config's, and Opened is called once with the member's node, before it runs.
