--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -39,25 +39,25 @@
 func NewEndpointSource(
 	c Config, op *operator.Recovery, discovery engine.Source, cachedList engine.EndpointUpdate,
 ) *relay.Source {
-	var dial watch.Dial
+	var dial watch.DialFunc
 	if c.Network != nil {
 		dial = c.Network.Dial
 	}
 	return relay.NewSource(relay.Config{
-		Discovery: discovery,
-		Known:     cachedList,
-		Most:      2 * int(op.Fan),
-		Log:       c.Log,
+		Discovery:    discovery,
+		CachedList:   cachedList,
+		MaxFollowers: 2 * int(op.Fan),
+		Log:          c.Log,
 		Selector: bootstrap.Config{
-			Self: c.Name,
-			Ask:  int(op.Ask),
-			Fan:  int(op.Fan),
-			Rate: op.Rate,
-			Told: c.ConfiguredSize,
-			Seed: c.RandomSeed,
+			Self:           c.Name,
+			Roots:          int(op.Ask),
+			FanOut:         int(op.Fan),
+			MaxCallRate:    op.Rate,
+			ConfiguredSize: c.ConfiguredSize,
+			RandomSeed:     c.RandomSeed,
 		},
-		Peer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
-			return watch.NewPeer(addr, header, check, c.Log).Through(dial)
+		NewPeer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
+			return watch.NewPeerClient(addr, header, check, c.Log).WithDialer(dial)
 		},
 	})
 }
@@ -76,7 +76,7 @@
 	g.OnSizeChanged = n.SizeChanged
 	g.Handler = c.Handler
 	if endpoints != nil {
-		g.Handler = route(endpoints.Relay(), c.Handler)
+		g.Handler = route(endpoints.Server(), c.Handler)
 	}
 	if endpoints != nil || c.OnMembersChanged != nil {
 		g.OnMembersChanged = n.membersChanged
@@ -112,7 +112,7 @@
 		for _, m := range others {
 			members = append(members, bootstrap.Member{Name: m.Name, Addr: m.Addr})
 		}
-		n.EndpointSource.View(members, joined)
+		n.EndpointSource.UpdateMembers(members, joined)
 	}
 	if n.onMembersChanged != nil {
 		n.onMembersChanged(others, joined)
