--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -75,8 +75,8 @@
 	if len(c.Origins) == 0 {
 		return nil, errors.New("config: origins are wanted")
 	}
-	if c.Selector.Rate == 0 {
-		c.Selector.Rate = fallbackRate * float64(len(c.Origins))
+	if c.Selector.MaxCallRate == 0 {
+		c.Selector.MaxCallRate = fallbackRate * float64(len(c.Origins))
 	}
 	m := &Member{
 		cfg:         c,
@@ -136,7 +136,7 @@
 func (m *Member) UpdateMembers(others []bootstrap.Member, joined bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.selector.View(m.now(), others, joined)
+	m.selector.UpdateMembers(m.now(), others, joined)
 	close(m.viewChanged)
 	m.viewChanged = make(chan struct{})
 }
--- a/internal/controlplane/transport/upstream.go
+++ b/internal/controlplane/transport/upstream.go
@@ -35,10 +35,10 @@
 	failedOrigins := 0 // in a row, that have answered
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		selection, viewChanged := m.selector.Choose(m.now()), m.viewChanged
+		selection, viewChanged := m.selector.Select(m.now()), m.viewChanged
 		m.mu.Unlock()
-		if selection.Wait > 0 {
-			m.awaitSelection(ctx, selection.Wait, viewChanged, &originIndex)
+		if selection.Delay > 0 {
+			m.awaitSelection(ctx, selection.Delay, viewChanged, &originIndex)
 			continue
 		}
 		startedAt := m.now()
@@ -61,7 +61,7 @@
 		}
 		failedOrigins = 0
 		m.mu.Lock()
-		m.selector.Failed(m.now(), selection)
+		m.selector.ReportFailure(m.now(), selection)
 		m.mu.Unlock()
 	}
 }
@@ -82,7 +82,7 @@
 }
 
 // selectionName is the upstream in log lines.
-func selectionName(selection bootstrap.Choice) string {
+func selectionName(selection bootstrap.Selection) string {
 	if selection.Discovery {
 		return "the origins"
 	}
@@ -90,7 +90,7 @@
 }
 
 // targetsOf returns whom to subscribe to: a peer, or all origins in turn from one on.
-func (m *Member) targetsOf(selection bootstrap.Choice, originIndex int) []target {
+func (m *Member) targetsOf(selection bootstrap.Selection, originIndex int) []target {
 	if !selection.Discovery {
 		return []target{{name: selection.Peer.Name, addr: selection.Peer.Addr.String()}}
 	}
@@ -104,7 +104,7 @@
 // followUpstream subscribes to one upstream until that fails or there is a better one, and returns whether it has
 // answered and why it ended. originIndex becomes the origin that was subscribed to or tried last.
 func (m *Member) followUpstream(
-	ctx context.Context, selection bootstrap.Choice, originIndex *int,
+	ctx context.Context, selection bootstrap.Selection, originIndex *int,
 ) (answered bool, err error) {
 	m.subscribeFromMu.Lock()
 	from := m.subscribeFrom
@@ -140,7 +140,7 @@
 // upstreamSession is one subscription of a member.
 type upstreamSession struct {
 	member      *Member
-	selection   bootstrap.Choice
+	selection   bootstrap.Selection
 	upstream    target      // its name is that of its last path
 	identified  bool        // the upstream has sent its path
 	idle        atomic.Bool // the upstream is an origin that does not participate
@@ -175,7 +175,7 @@
 	m.server.setUpstream(l.Path)
 	isFirst := !s.identified
 	m.mu.Lock()
-	m.selector.Works(m.now(), s.selection)
+	m.selector.ReportSuccess(m.now(), s.selection)
 	upstream := s.upstream
 	m.upstream = &upstream
 	if isFirst {
@@ -220,7 +220,7 @@
 		return s.idle.Load() && m.tryNextOrigin(ctx, &s.originIndex, false)
 	}
 	m.mu.Lock()
-	isBetter := m.selector.Better(m.now(), s.selection)
+	isBetter := m.selector.ShouldSwitch(m.now(), s.selection)
 	m.mu.Unlock()
 	return isBetter || m.shouldFollowOrigin() && m.tryNextOrigin(ctx, &s.originIndex, false)
 }
@@ -229,7 +229,7 @@
 func (m *Member) shouldFollowOrigin() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.selector.Rank() < m.cfg.Selector.Ask
+	return m.selector.Rank() < m.cfg.Selector.Roots
 }
 
 // tryNextOrigin asks the next origin whether it participates, or with acceptIdle whether it answers at all, and tells
@@ -248,7 +248,7 @@
 		return false
 	}
 	m.mu.Lock()
-	m.selector.Works(m.now(), bootstrap.Choice{Discovery: true})
+	m.selector.ReportSuccess(m.now(), bootstrap.Selection{Discovery: true})
 	m.mu.Unlock()
 	return true
 }
