--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -19,18 +19,29 @@
 	"hazelwing/internal/testutil"
 )
 
-func formatStamp(version uint64) controlplane.Revision {
+// formatRevision returns a revision of epoch 3.
+func formatRevision(version uint64) controlplane.Revision {
 	return controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte("# text\n"))}
 }
 
 func formatFrame(version uint64) controlplane.Frame {
-	return controlplane.Frame{Cluster: "f", Revision: formatStamp(version), Text: []byte("# text\n")}
+	return controlplane.Frame{Cluster: "f", Revision: formatRevision(version), Text: []byte("# text\n")}
 }
 
 func formatReport() controlplane.Report {
 	return controlplane.Report{
-		Members: 5, Latest: formatStamp(17), Active: []controlplane.RevisionCount{{Revision: formatStamp(17), Count: 3}}, OtherRevisions: 1,
-		Laggards: []controlplane.Laggard{{Name: "m1", Active: formatStamp(16), Reason: controlplane.ReasonRejected, Error: "why", Descendants: 2}}, UnnamedLaggards: 4,
+		Members:        5,
+		Latest:         formatRevision(17),
+		Active:         []controlplane.RevisionCount{{Revision: formatRevision(17), Count: 3}},
+		OtherRevisions: 1,
+		Laggards: []controlplane.Laggard{{
+			Name:        "m1",
+			Active:      formatRevision(16),
+			Reason:      controlplane.ReasonRejected,
+			Error:       "why",
+			Descendants: 2,
+		}},
+		UnnamedLaggards: 4,
 	}
 }
 
@@ -43,7 +54,7 @@
 	return append(text, '\n')
 }
 
-// goldenValue holds the JSON of a value that is filled in whole, and of its zero value.
+// goldenValue compares the JSON of a value whose fields are all set, and of its zero value, with the golden files.
 func goldenValue(t *testing.T, name string, v any) {
 	t.Helper()
 	testutil.Filled(t, v)
@@ -56,30 +67,61 @@
 	}
 }
 
-// A line of a watch, and what an origin and a member say of themselves.
-func TestConfigurationLinkFormatIsStable(t *testing.T) {
-	stamp, frame := formatStamp(17), formatFrame(17)
-	goldenValue(t, "line", line{Path: []string{"m1", "o1"}, Revision: &stamp, Idle: true, Frame: &frame, Packed: []byte{1, 2}})
+// The format of a line of a subscription, of the response to show, and of a member's state.
+func TestSubscriptionAndStateFormatIsStable(t *testing.T) {
+	revision, frame := formatRevision(17), formatFrame(17)
+	goldenValue(t, "line", line{
+		Path:     []string{"m1", "o1"},
+		Revision: &revision,
+		Idle:     true,
+		Frame:    &frame,
+		Packed:   []byte{1, 2},
+	})
 	goldenValue(t, "shown", ShowResponse{
-		Result: origin.Result{ID: "id", Outcome: origin.OutcomeCurrent, Revision: stamp, Error: "why"}, Frame: frame,
+		Result: origin.Result{ID: "id", Outcome: origin.OutcomeCurrent, Revision: revision, Error: "why"},
+		Frame:  frame,
 	})
 	goldenValue(t, "member-state", MemberState{
 		FollowerStats: controlplane.FollowerStats{
-			Published: stamp, Active: formatStamp(16), FromCache: true, Rejected: 2, Stale: 3, Conflicts: 4, Corrupt: 5, Foreign: 6, Fetches: 7, DroppedReports: 8,
+			Published:      revision,
+			Active:         formatRevision(16),
+			FromCache:      true,
+			Rejected:       2,
+			Stale:          3,
+			Conflicts:      4,
+			Corrupt:        5,
+			Foreign:        6,
+			Fetches:        7,
+			DroppedReports: 8,
+		},
+		Highest:        formatRevision(18),
+		Ready:          true,
+		CachedAge:      "1s",
+		UnconfirmedFor: "2s",
+		Upstream:       "m1",
+		UpstreamAddr:   "10.0.0.4:7946",
+		UpstreamCount:  9,
+		BytesReceived:  10,
+		Report:         formatReport(),
+		Server: serverState{
+			Path:            []string{"m2", "o1"},
+			UpstreamHealthy: true,
+			Subscribers:     11,
+			Rejected:        12,
+			OtherCluster:    13,
+			BytesSent:       14,
 		},
-		Highest: formatStamp(18), Ready: true, CachedAge: "1s", UnconfirmedFor: "2s", Upstream: "m1", UpstreamAddr: "10.0.0.4:7946", UpstreamCount: 9, BytesReceived: 10,
-		Report: formatReport(),
-		Server: serverState{Path: []string{"m2", "o1"}, UpstreamHealthy: true, Subscribers: 11, Rejected: 12, OtherCluster: 13, BytesSent: 14},
 	})
 	testutil.ExplicitNames(t, "json", serverState{})
 }
 
-// What a watch answers: who serves it and what that one holds, a snapshot, and another path when it changes.
+// The lines of a watch: the path and the revision of the upstream, a snapshot, and the path again when it changes.
 func TestSubscriptionLineFormatIsStable(t *testing.T) {
 	source := newSource(t, "m1", nil)
 	source.setUpstream([]string{"o1"})
 	source.publish(formatFrame(17))
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+source.addr+"/config/watch?epoch=0&version=0&hash=", nil)
+	url := "http://" + source.addr + "/config/watch?epoch=0&version=0&hash="
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,29 +143,29 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(line) > 1 { // an empty one says that the upstream lives
+			if len(line) > 1 { // not a keep-alive
 				return line
 			}
 		}
 	}
 	got := append(next(), next()...)
-	source.setParticipating(false) // an origin that takes no part
+	source.setParticipating(false)
 	got = append(got, next()...)
 	source.publish(formatFrame(18))
 	got = append(got, next()...)
 	testutil.Golden(t, "watch.jsonl", got)
 }
 
-// A text that gzip makes shorter is packed, and the frame is without it. The bytes of gzip are those of its library
-// and not held.
+// A text that gzip makes shorter is packed, and the frame is without it. The compressed bytes depend on the version of
+// the library: they are not compared.
 func TestPackedLineFormatIsStable(t *testing.T) {
 	text := bytes.Repeat([]byte("# the same again\n"), 100)
-	packed := pack(controlplane.Frame{Cluster: "f", Revision: formatStamp(17), Text: text})
+	packed := pack(controlplane.Frame{Cluster: "f", Revision: formatRevision(17), Text: text})
 	if len(packed.Packed) == 0 || packed.Frame == nil || packed.Frame.Text != nil {
-		t.Fatalf("%+v", packed)
+		t.Fatalf("pack returns %+v, want a packed text", packed)
 	}
 	if err := packed.unpack(); err != nil || !bytes.Equal(packed.Frame.Text, text) {
-		t.Errorf("%v: %q", err, packed.Frame.Text)
+		t.Errorf("unpacked text is %q, %v", packed.Frame.Text, err)
 	}
 	stored, err := os.ReadFile("testdata/packed-line.json")
 	if err != nil {
@@ -133,112 +175,118 @@
 	if err := json.Unmarshal(stored, &read); err != nil {
 		t.Fatal(err)
 	}
-	if err := read.unpack(); err != nil || !bytes.Equal(read.Frame.Text, text) || read.Frame.Revision != formatStamp(17) {
-		t.Errorf("%v: %+v", err, read.Frame)
+	err = read.unpack()
+	if err != nil || !bytes.Equal(read.Frame.Text, text) || read.Frame.Revision != formatRevision(17) {
+		t.Errorf("frame is %+v, %v", read.Frame, err)
 	}
 }
 
-// recorder writes down what it is asked, and answers with a status and a body.
+// recorder records requests, and responds with a status and a body.
 type recorder struct {
-	lines  strings.Builder
-	status int
-	answer string
+	lines    strings.Builder
+	status   int
+	response string
 }
 
-func (r *recorder) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	body, _ := io.ReadAll(q.Body)
-	fmt.Fprintf(&r.lines, "%s %s\nX-Config-Fleet: %s\nX-Config-For: %s\n%s\n\n", q.Method, q.URL, q.Header.Get("X-Config-Fleet"),
-		q.Header.Get("X-Config-For"), body)
+func (r *recorder) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	body, _ := io.ReadAll(request.Body) // a truncated body differs from the golden file
+	fmt.Fprintf(&r.lines, "%s %s\nX-Config-Fleet: %s\nX-Config-For: %s\n%s\n\n", request.Method, request.URL,
+		request.Header.Get("X-Config-Fleet"), request.Header.Get("X-Config-For"), body)
 	w.WriteHeader(r.status)
-	io.WriteString(w, r.answer)
+	_ = writeText(w, r.response)
 }
 
-func record(t *testing.T, status int, answer string) (*recorder, string) {
+// record starts a server and returns its address.
+func record(t *testing.T, status int, response string) (*recorder, string) {
 	t.Helper()
-	r := &recorder{status: status, answer: answer}
+	r := &recorder{status: status, response: response}
 	server := httptest.NewServer(r)
 	t.Cleanup(server.Close)
 	return r, server.Listener.Addr().String()
 }
 
-// What a member asks and tells its upstream: method, path, headers, body.
+// A member's requests to its upstream: method, path, headers, body.
 func TestMemberRequestFormatIsStable(t *testing.T) {
 	c := &peerClient{cluster: "f", self: "m1", client: newHTTPClient(nil)}
 	defer c.client.CloseIdleConnections()
-	r, addr := record(t, http.StatusOK, `{"frame":{"fleet":"f","stamp":{"epoch":3,"version":17,"hash":"h"},"text":"IyB0ZXh0Cg=="}}`)
-	watch, err := c.subscribe(t.Context(), []target{{addr: addr}}, formatStamp(17))
+	r, addr := record(t, http.StatusOK,
+		`{"frame":{"fleet":"f","stamp":{"epoch":3,"version":17,"hash":"h"},"text":"IyB0ZXh0Cg=="}}`)
+	watch, err := c.subscribe(t.Context(), []target{{addr: addr}}, formatRevision(17))
 	if err != nil {
 		t.Fatal(err)
 	}
-	watch.cancel()
-	watch.response.Body.Close()
+	watch.close()
 	frame, err := c.fetchSnapshot(t.Context(), addr)
 	if err != nil || string(frame.Text) != "# text\n" || frame.Revision.Version != 17 {
-		t.Errorf("%v: %+v", err, frame)
+		t.Errorf("fetched frame is %+v, %v", frame, err)
 	}
-	r.status, r.answer = http.StatusNoContent, ""
+	r.status, r.response = http.StatusNoContent, ""
 	if err := c.sendReport(t.Context(), addr, formatReport()); err != nil {
 		t.Error(err)
 	}
 	testutil.Golden(t, "member-requests.txt", []byte(r.lines.String()))
 }
 
-// What an operator's command asks an origin.
+// The requests of the operator's commands to an origin.
 func TestOperatorRequestFormatIsStable(t *testing.T) {
-	r, addr := record(t, http.StatusOK, `{"answer":{"id":"id","outcome":"current","stamp":{"epoch":3,"version":17,"hash":"h"}}}`)
+	r, addr := record(t, http.StatusOK,
+		`{"answer":{"id":"id","outcome":"current","stamp":{"epoch":3,"version":17,"hash":"h"}}}`)
 	c := NewClient("f", addr)
 	defer c.peer.client.CloseIdleConnections()
-	ask := func(err error) {
+	check := func(err error) {
 		t.Helper()
 		if err != nil {
 			t.Error(err)
 		}
 	}
 	_, err := c.Push(t.Context(), "push 1", 16, []byte("# text\n"))
-	ask(err)
+	check(err)
 	_, err = c.PushOutcome(t.Context(), "push 1")
-	ask(err)
+	check(err)
 	_, err = c.Show(t.Context(), false)
-	ask(err)
+	check(err)
 	_, err = c.Show(t.Context(), true)
-	ask(err)
+	check(err)
 	_, err = c.Status(t.Context())
-	ask(err)
+	check(err)
 	testutil.Golden(t, "operator-requests.txt", []byte(r.lines.String()))
 }
 
-// Paths and headers are those of older members and origins.
+// Members and origins of older versions use these paths and headers.
 func TestConfigurationPathNamesAreStable(t *testing.T) {
 	got := []string{
-		clusterHeader, senderHeader, watchPath, reportPath, snapshotPath, alivePath, messagePath, pushPath, showPath, statusPath,
+		clusterHeader, senderHeader, watchPath, reportPath, snapshotPath, alivePath,
+		messagePath, pushPath, showPath, statusPath,
 	}
 	want := []string{
-		"X-Config-Fleet", "X-Config-For", "/config/watch", "/config/report", "/config/snapshot", "/config/alive", "/origin/message", "/config/push",
-		"/config/show", "/config/status",
+		"X-Config-Fleet", "X-Config-For", "/config/watch", "/config/report", "/config/snapshot", "/config/alive",
+		"/origin/message", "/config/push", "/config/show", "/config/status",
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
 
-// The status of the answer to a push.
+// The HTTP status of each outcome.
 func TestOutcomeStatusIsStable(t *testing.T) {
-	want := map[origin.Outcome]int{"accepted": 200, "current": 200, "conflict": 409, "refused": 422, "missing": 404, "unknown": 504}
+	want := map[origin.Outcome]int{
+		"accepted": 200, "current": 200, "conflict": 409, "refused": 422, "missing": 404, "unknown": 504,
+	}
 	if !reflect.DeepEqual(outcomeStatus, want) {
 		t.Errorf("%v, want %v", outcomeStatus, want)
 	}
 }
 
-// The file of the last known snapshot: its name and bytes, and that it is read back.
-func TestLastKnownFileFormatIsStable(t *testing.T) {
+// The cache file's name and bytes, and that it is read back.
+func TestCacheFileFormatIsStable(t *testing.T) {
 	dir := t.TempDir()
-	kept := &controlplane.CachedSnapshot{Frame: formatFrame(17), Highest: formatStamp(18)}
-	if err := saveCachedSnapshot(dir, kept); err != nil {
+	cached := &controlplane.CachedSnapshot{Frame: formatFrame(17), Highest: formatRevision(18)}
+	if err := saveCachedSnapshot(dir, cached); err != nil {
 		t.Fatal(err)
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil || len(entries) != 1 || entries[0].Name() != "last-known.json" {
-		t.Fatalf("%v %v", entries, err)
+		t.Fatalf("directory has %v, %v, want last-known.json", entries, err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "last-known.json"))
 	if err != nil {
@@ -246,7 +294,7 @@
 	}
 	testutil.Golden(t, "last-known.json", text)
 	read, _, err := loadCachedSnapshot("testdata")
-	if err != nil || !reflect.DeepEqual(read, kept) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, kept)
+	if err != nil || !reflect.DeepEqual(read, cached) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, cached)
 	}
 }
--- /dev/null
+++ b/internal/controlplane/transport/helpers_test.go
@@ -0,0 +1,210 @@
+package transport
+
+import (
+	"context"
+	"log/slog"
+	"maps"
+	"net/http"
+	"net/http/httptest"
+	"net/netip"
+	"slices"
+	"sync"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+	"go.uber.org/goleak"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/discovery/bootstrap"
+	"hazelwing/internal/testutil"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+const testCluster = "f"
+
+// unreachableOrigin is an address at which nothing listens.
+const unreachableOrigin = "127.0.0.1:9"
+
+// testSource is the subscription server of an origin, without the origin.
+type testSource struct {
+	*subscriptionServer
+	addr       string
+	httpServer *httptest.Server
+
+	reportsMu sync.Mutex
+	reports   map[string]controlplane.Report
+}
+
+// newSource starts a source. If handler is set, it serves everything but alivePath in the source's place.
+func newSource(t *testing.T, name string, handler http.Handler) *testSource {
+	t.Helper()
+	s := &testSource{
+		subscriptionServer: newSubscriptionServer(testCluster, name, 10),
+		reports:            map[string]controlplane.Report{},
+	}
+	s.onReport = func(name string, report controlplane.Report) {
+		s.reportsMu.Lock()
+		defer s.reportsMu.Unlock()
+		s.reports[name] = report
+	}
+	s.onDisconnect = func(name string) {
+		s.reportsMu.Lock()
+		defer s.reportsMu.Unlock()
+		delete(s.reports, name)
+	}
+	s.setUpstream(nil)
+	if handler == nil {
+		handler = s
+	}
+	s.httpServer = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == alivePath {
+			s.serveAlive(w)
+			return
+		}
+		handler.ServeHTTP(w, r)
+	}))
+	t.Cleanup(func() {
+		s.httpServer.CloseClientConnections()
+		s.httpServer.Close()
+	})
+	s.addr = s.httpServer.Listener.Addr().String()
+	return s
+}
+
+// fail closes the connections of the source, which rejects new subscribers from then on.
+func (s *testSource) fail() {
+	s.setUpstreamLost()
+	s.httpServer.CloseClientConnections()
+}
+
+// currentReports returns the reports of the present subscribers.
+func (s *testSource) currentReports() []controlplane.Report {
+	s.reportsMu.Lock()
+	defer s.reportsMu.Unlock()
+	return slices.Collect(maps.Values(s.reports))
+}
+
+// reportedMembers is how many members the reports count.
+func reportedMembers(reports []controlplane.Report) int {
+	sum := 0
+	for _, report := range reports {
+		sum += report.Members
+	}
+	return sum
+}
+
+// testFrame returns a frame of epoch 1.
+func testFrame(version uint64, text string) controlplane.Frame {
+	revision := controlplane.Revision{Epoch: 1, Version: version, Hash: controlplane.HashText([]byte(text))}
+	return controlplane.Frame{Cluster: testCluster, Revision: revision, Text: []byte(text)}
+}
+
+// testMember is a running member on a listener of its own.
+type testMember struct {
+	*Member
+	addr netip.AddrPort
+	stop func()
+
+	appliedMu sync.Mutex
+	applied   []uint64 // versions
+}
+
+// activeVersion is the version that was put in force last; 0 if none was.
+func (m *testMember) activeVersion() uint64 {
+	m.appliedMu.Lock()
+	defer m.appliedMu.Unlock()
+	if len(m.applied) == 0 {
+		return 0
+	}
+	return m.applied[len(m.applied)-1]
+}
+
+func (m *testMember) apply(snapshot *controlplane.Snapshot) error {
+	m.appliedMu.Lock()
+	defer m.appliedMu.Unlock()
+	m.applied = append(m.applied, snapshot.Revision.Version)
+	return nil
+}
+
+// subscribesTo reports whether the member's upstream has this name.
+func (m *testMember) subscribesTo(name string) bool {
+	state, _ := m.State()
+	return state.Upstream == name
+}
+
+// startMember starts a member. An empty dir is that it stores no snapshot.
+func startMember(t *testing.T, name, dir string, origins ...string) *testMember {
+	t.Helper()
+	return startParsing(t, controlplane.ParseSnapshot, name, dir, origins...)
+}
+
+// startParsing starts a member that parses snapshots in its own way.
+func startParsing(
+	t *testing.T, parse func([]byte) (*controlplane.Snapshot, error), name, dir string, origins ...string,
+) *testMember {
+	t.Helper()
+	m := new(testMember)
+	var err error
+	m.Member, err = NewMember(MemberConfig{
+		Follower:       controlplane.FollowerConfig{Cluster: testCluster, Self: name, Parse: parse},
+		Origins:        origins,
+		MaxSubscribers: 4,
+		CacheDir:       dir,
+		Selector:       bootstrap.Config{Self: name, Roots: 1, FanOut: 2, ConfiguredSize: 1, RandomSeed: 1},
+		Log:            slog.New(slog.DiscardHandler),
+		Apply:          m.apply,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := httptest.NewServer(m.Handler())
+	m.addr = netip.MustParseAddrPort(server.Listener.Addr().String())
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan struct{})
+	go func() {
+		m.Run(ctx)
+		close(stopped)
+	}()
+	m.stop = sync.OnceFunc(func() {
+		cancel()
+		<-stopped
+		server.CloseClientConnections()
+		server.Close()
+	})
+	t.Cleanup(m.stop)
+	return m
+}
+
+// introduce tells two members of each other, as the cluster's membership does.
+func introduce(a, b *testMember) {
+	a.UpdateMembers([]bootstrap.Member{{Name: b.cfg.Follower.Self, Addr: b.addr}}, true)
+	b.UpdateMembers([]bootstrap.Member{{Name: a.cfg.Follower.Self, Addr: a.addr}}, true)
+}
+
+// inOrder returns two origins in such an order that a member of this name begins with first.
+func inOrder(name, first, second string) []string {
+	origins := []string{first, second}
+	if xxhash.Sum64String(name)%2 == 1 {
+		slices.Reverse(origins)
+	}
+	return origins
+}
+
+// cachedVersion is the version in a member's cache file; 0 if there is none.
+func cachedVersion(t *testing.T, dir string) uint64 {
+	t.Helper()
+	cached, _, err := loadCachedSnapshot(dir)
+	if err != nil || cached == nil {
+		return 0
+	}
+	return cached.Frame.Revision.Version
+}
+
+// awaitVersion waits until a version is in force at all members.
+func awaitVersion(t *testing.T, what string, version uint64, members ...*testMember) {
+	t.Helper()
+	testutil.Until(t, what, func() bool {
+		return !slices.ContainsFunc(members, func(m *testMember) bool { return m.activeVersion() != version })
+	})
+}
--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -11,12 +11,14 @@
 	"hazelwing/internal/testutil"
 )
 
-// storedDir is a member's directory that the code of 593ba64 has written: see its README.
+// storedDir is a member's directory as the code of 593ba64 has written it: see its README.
 const storedDir = "testdata/version-593ba64"
 
+// storedText is the text of version 2, which the cache file in storedDir has.
 const storedText = "# second\n[limits]\nmax_attempts = 2\n"
 
-func storedMember(t *testing.T) string {
+// copyStoredDir returns a directory with the stored cache file.
+func copyStoredDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	text, err := os.ReadFile(filepath.Join(storedDir, "last-known.json"))
@@ -29,62 +31,63 @@
 	return dir
 }
 
-// holds checks what a member's directory keeps.
-func holds(t *testing.T, dir string, version, highest uint64, text string) {
+// checkCache checks the content of a member's cache file.
+func checkCache(t *testing.T, dir string, version, highest uint64, text string) {
 	t.Helper()
-	k, at, err := loadCachedSnapshot(dir)
-	if err != nil || k == nil {
-		t.Fatalf("%v, %v", k, err)
+	cached, confirmedAt, err := loadCachedSnapshot(dir)
+	if err != nil || cached == nil {
+		t.Fatalf("load: %v, %v", cached, err)
 	}
-	want := frame(version, text)
-	if got := k.Frame; got.Cluster != "f" || got.Revision != want.Revision || string(got.Text) != text {
-		t.Errorf("it keeps %+v, %q, want %+v", got, got.Text, want)
+	want := testFrame(version, text)
+	got := cached.Frame
+	if got.Cluster != "f" || got.Revision != want.Revision || string(got.Text) != text {
+		t.Errorf("cached frame is %+v, %q, want %+v", got, got.Text, want)
 	}
-	if k.Highest.Epoch != 1 || k.Highest.Version != highest || time.Since(at) > time.Minute {
-		t.Errorf("the highest is %v, confirmed at %v", k.Highest, at)
+	if cached.Highest.Epoch != 1 || cached.Highest.Version != highest || time.Since(confirmedAt) > time.Minute {
+		t.Errorf("highest revision is %v, confirmed at %v", cached.Highest, confirmedAt)
 	}
 }
 
-// What a member of 593ba64 has kept is in force in the new version while no origin answers; an older snapshot than
-// the highest that the other one has taken is not; a newer one is, and is kept in its place.
-func TestLastKnownOfTheVersionBefore(t *testing.T) {
+// The snapshot that a member of 593ba64 has stored is in force in the new version while no origin answers. A snapshot
+// that is older than the highest revision of the other version is not put in force; a newer one is, and is stored in its
+// place.
+func TestCachedSnapshotOfPreviousVersion(t *testing.T) {
 	t.Parallel()
-	dir := storedMember(t)
-	holds(t, dir, 2, 2, storedText)
-	m := startMember(t, "m", dir, "127.0.0.1:9")
-	testutil.Until(t, "what was kept is in force", func() bool { return m.acts() == 2 })
-	if s, _ := m.State(); s.Active != frame(2, storedText).Revision || !s.FromCache {
-		t.Errorf("%+v", s)
+	dir := copyStoredDir(t)
+	checkCache(t, dir, 2, 2, storedText)
+	m := startMember(t, "m", dir, unreachableOrigin)
+	awaitVersion(t, "the stored snapshot is in force", 2, m)
+	if s, _ := m.State(); s.Active != testFrame(2, storedText).Revision || !s.FromCache {
+		t.Errorf("state is %+v, want the stored snapshot in force", s)
 	}
 	m.stop()
 
-	old := newSource(t, "o1", nil)
-	old.publish(frame(1, "# first\n"))
-	m = startMember(t, "m", dir, old.addr)
-	testutil.Until(t, "the origin that holds an older one is followed", func() bool { s, _ := m.State(); return s.Upstream == "o1" })
-	old.publish(frame(3, "# third\n"))
-	testutil.Until(t, "a newer one is in force", func() bool { return m.acts() == 3 })
-	testutil.Until(t, "it is kept", func() bool {
-		k, _, err := loadCachedSnapshot(dir)
-		return err == nil && k != nil && k.Frame.Revision.Version == 3
+	source := newSource(t, "o1", nil)
+	source.publish(testFrame(1, "# first\n"))
+	m = startMember(t, "m", dir, source.addr)
+	testutil.Until(t, "the member subscribes to the origin, which has an older version", func() bool {
+		return m.subscribesTo("o1")
 	})
+	source.publish(testFrame(3, "# third\n"))
+	awaitVersion(t, "the newer version is in force", 3, m)
+	testutil.Until(t, "the newer version is stored", func() bool { return cachedVersion(t, dir) == 3 })
 	m.stop()
 	if !slices.Equal(m.applied, []uint64{2, 3}) {
 		t.Errorf("versions %d were in force, want 2 and 3", m.applied)
 	}
 
-	holds(t, dir, 3, 3, "# third\n")
-	m = startMember(t, "m", dir, "127.0.0.1:9")
-	testutil.Until(t, "it is in force after a restart", func() bool { return m.acts() == 3 })
+	checkCache(t, dir, 3, 3, "# third\n")
+	m = startMember(t, "m", dir, unreachableOrigin)
+	awaitVersion(t, "the newer version is in force after a restart", 3, m)
 	m.stop()
-	holds(t, dir, 3, 3, "# third\n")
+	checkCache(t, dir, 3, 3, "# third\n")
 }
 
-// A member keeps the same bytes of the same snapshot.
-func TestLastKnownKeepsItsBytes(t *testing.T) {
+// The cache file of the same snapshot has the same bytes as in 593ba64.
+func TestCacheFileBytesOfPreviousVersion(t *testing.T) {
 	dir := t.TempDir()
-	f := frame(2, storedText)
-	if err := saveCachedSnapshot(dir, &controlplane.CachedSnapshot{Frame: f, Highest: f.Revision}); err != nil {
+	frame := testFrame(2, storedText)
+	if err := saveCachedSnapshot(dir, &controlplane.CachedSnapshot{Frame: frame, Highest: frame.Revision}); err != nil {
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile(filepath.Join(storedDir, "last-known.json"))
@@ -93,9 +96,10 @@
 	}
 	list, err := os.ReadDir(dir)
 	if err != nil || len(list) != 1 || list[0].Name() != "last-known.json" {
-		t.Fatalf("%v, %v", list, err)
+		t.Fatalf("directory has %v, %v, want last-known.json", list, err)
 	}
-	if got, err := os.ReadFile(filepath.Join(dir, "last-known.json")); err != nil || string(got) != string(want) {
-		t.Errorf("it is\n%s, %v, want\n%s", got, err, want)
+	got, err := os.ReadFile(filepath.Join(dir, "last-known.json"))
+	if err != nil || string(got) != string(want) {
+		t.Errorf("file is\n%s, %v, want\n%s", got, err, want)
 	}
 }
