--- a/internal/discovery/bootstrap/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -10,15 +10,20 @@
 	"pgregory.net/rapid"
 )
 
-func members(n int) (list []Member) {
+// testMembers returns n members.
+func testMembers(n int) []Member {
+	var list []Member
 	for i := range n {
-		list = append(list, Member{Name: fmt.Sprint("m", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1)})
+		addr := netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)})
+		list = append(list, Member{Name: fmt.Sprint("m", i), Addr: netip.AddrPortFrom(addr, 1)})
 	}
 	return list
 }
 
-func others(all []Member, self string) (list []Member) {
-	for _, m := range all {
+// without returns the members except self.
+func without(members []Member, self string) []Member {
+	var list []Member
+	for _, m := range members {
 		if m.Name != self {
 			list = append(list, m)
 		}
@@ -26,165 +31,199 @@
 	return list
 }
 
-// However large the fleet, Ask members ask discovery, nobody is followed by more than Fan, and all others come to one that asks
-// in few steps.
-func TestTree(t *testing.T) {
-	for _, n := range []int{1, 2, 3, 4, 20, 300, 2000} {
-		all := members(n)
-		parent, asks, fan := map[string]string{}, 0, map[string]int{}
-		for _, m := range all {
-			a := New(Config{Self: m.Name, Roots: 3, FanOut: 16, ConfiguredSize: n}, 0)
-			a.UpdateMembers(0, others(all, m.Name), true)
-			switch c := a.Select(joinWait); {
-			case c.Delay > 0:
-				t.Fatalf("%d members: %s waits", n, m.Name)
-			case c.Discovery:
-				asks++
-			default:
-				parent[m.Name] = c.Peer.Name
-				fan[c.Peer.Name]++
-			}
+// treeDepth returns the number of steps from a member to a root.
+func treeDepth(t *testing.T, parents map[string]string, name string) int {
+	t.Helper()
+	const maxDepth = 10
+	depth := 0
+	for at := name; parents[at] != ""; depth++ {
+		at = parents[at]
+		if depth > maxDepth {
+			t.Fatalf("%s follows itself in a cycle", name)
 		}
-		deep := 0
-		for _, m := range all {
-			d, at := 0, m.Name
-			for parent[at] != "" {
-				if at = parent[at]; d > 10 {
-					t.Fatalf("%d members: %s follows in a circle", n, m.Name)
+	}
+	return depth
+}
+
+// However large the cluster is, Roots members call the discovery service, no member is followed by more than FanOut,
+// and all others reach a root in few steps.
+func TestSelectionsFormATree(t *testing.T) {
+	const roots, fanOut = 3, 16
+	for _, size := range []int{1, 2, 3, 4, 20, 300, 2000} {
+		t.Run(fmt.Sprint(size, " members"), func(t *testing.T) {
+			members := testMembers(size)
+			parents, followers, callers := map[string]string{}, map[string]int{}, 0
+			for _, m := range members {
+				s := New(Config{Self: m.Name, Roots: roots, FanOut: fanOut, ConfiguredSize: size}, 0)
+				s.UpdateMembers(0, without(members, m.Name), true)
+				switch selected := s.Select(maxJoinDelay); {
+				case selected.Delay > 0:
+					t.Fatalf("%s waits", m.Name)
+				case selected.Discovery:
+					callers++
+				default:
+					parents[m.Name] = selected.Peer.Name
+					followers[selected.Peer.Name]++
 				}
-				d++
 			}
-			deep = max(deep, d)
-		}
-		for name, k := range fan {
-			if k > 16 {
-				t.Errorf("%d members: %d follow %s", n, k, name)
+			depth := 0
+			for _, m := range members {
+				depth = max(depth, treeDepth(t, parents, m.Name))
 			}
-		}
-		if asks != min(n, 3) || deep > 4 {
-			t.Errorf("%d members: %d ask, %d steps", n, asks, deep)
-		}
-		t.Logf("%d members: %d ask, %d steps at most", n, asks, deep)
+			for name, n := range followers {
+				if n > fanOut {
+					t.Errorf("%d follow %s", n, name)
+				}
+			}
+			if callers != min(size, roots) || depth > 4 {
+				t.Errorf("%d call the discovery service, %d steps", callers, depth)
+			}
+			t.Logf("%d call the discovery service, %d steps at most", callers, depth)
+		})
 	}
 }
 
-// Whatever fails, a choice is a source or a wait that ends, nobody follows itself or one that failed just now, and who never
-// hears anything asks discovery in the end; calls of a fleet that has nobody to follow are spread.
-func TestAnyFailures(t *testing.T) {
+// Whatever fails, a selection is a source or a delay that ends, no member follows itself or a source that just failed,
+// a member that never succeeds calls the discovery service in the end, and the memory of failures is bounded.
+func TestSelectionsUnderAnyFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 60).Draw(t, "n")
-		all := members(n)
-		self := all[rapid.IntRange(0, n-1).Draw(t, "self")].Name
-		a := New(Config{Self: self, Roots: 3, FanOut: 4, MaxCallRate: 10, ConfiguredSize: n, RandomSeed: rapid.Uint64().Draw(t, "seed")}, 0)
+		size := rapid.IntRange(1, 60).Draw(t, "size")
+		members := testMembers(size)
+		self := members[rapid.IntRange(0, size-1).Draw(t, "self")].Name
+		s := New(Config{
+			Self:           self,
+			Roots:          3,
+			FanOut:         4,
+			MaxCallRate:    10,
+			ConfiguredSize: size,
+			RandomSeed:     rapid.Uint64().Draw(t, "seed"),
+		}, 0)
+		maxDelay := maxJoinDelay + time.Duration(size)*time.Second/10 + 1
 		now := time.Duration(0)
-		discovery := false
+		discoveryCalled := false
 		for range 200 {
 			if rapid.IntRange(0, 9).Draw(t, "view") == 0 {
-				k := rapid.IntRange(0, n).Draw(t, "known")
-				a.UpdateMembers(now, others(all[:k], self), k > 1)
+				known := rapid.IntRange(0, size).Draw(t, "known")
+				s.UpdateMembers(now, without(members[:known], self), known > 1)
 			}
-			c := a.Select(now)
-			if c.Delay > 0 {
-				if c.Delay > joinWait+time.Duration(n)*time.Second/10+1 {
-					t.Fatalf("it waits for %v", c.Delay)
+			selected := s.Select(now)
+			if selected.Delay > 0 {
+				if selected.Delay > maxDelay {
+					t.Fatalf("it waits for %v", selected.Delay)
 				}
-				now += c.Delay
+				now += selected.Delay
 				continue
 			}
-			if !c.Discovery && c.Peer.Name == self {
+			if !selected.Discovery && selected.Peer.Name == self {
 				t.Fatal("it follows itself")
 			}
-			if !c.Discovery && a.banned(now, c.Peer.Name) {
-				t.Fatalf("it follows %s, which failed", c.Peer.Name)
+			if !selected.Discovery && s.excluded(now, selected.Peer.Name) {
+				t.Fatalf("it follows %s, which failed", selected.Peer.Name)
 			}
-			discovery = discovery || c.Discovery
-			a.ReportFailure(now, c)
+			discoveryCalled = discoveryCalled || selected.Discovery
+			s.ReportFailure(now, selected)
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 		}
-		if !discovery {
-			t.Fatal("discovery was never asked")
+		if !discoveryCalled {
+			t.Fatal("the discovery service was never called")
 		}
-		if len(a.bans) > mostBans {
-			t.Fatal("bans without a bound")
+		if len(s.exclusions) > maxExclusions {
+			t.Fatal("the exclusions are not bounded")
 		}
 	})
 }
 
-// A fleet of 5,000 that starts and hears nobody, and one whose every peer fails, call discovery Rate times a second.
-func TestCallsForWantOfPeers(t *testing.T) {
-	const n, rate = 5000, 50
-	all := members(n)
+// firstDiscoveryCall returns when a selector whose every peer fails calls the discovery service.
+func firstDiscoveryCall(s *Selector) time.Duration {
+	for now := time.Duration(0); ; {
+		selected := s.Select(now)
+		if selected.Delay > 0 {
+			now += selected.Delay
+			continue
+		}
+		if selected.Discovery {
+			return now
+		}
+		s.ReportFailure(now, selected)
+	}
+}
+
+// A cluster of 5,000 members that starts and reaches no other member, and one in which every peer fails, call the
+// discovery service about MaxCallRate times a second.
+func TestCallRateWithoutPeers(t *testing.T) {
+	const size, rate = 5000, 50
+	members := testMembers(size)
 	for _, joined := range []bool{false, true} {
-		seconds := map[int]int{}
-		for i, m := range all {
-			a := New(Config{Self: m.Name, Roots: 3, FanOut: 16, MaxCallRate: rate, ConfiguredSize: n, RandomSeed: uint64(i)}, 0)
+		callsInSecond := map[int]int{}
+		for i, m := range members {
+			s := New(Config{
+				Self:           m.Name,
+				Roots:          3,
+				FanOut:         16,
+				MaxCallRate:    rate,
+				ConfiguredSize: size,
+				RandomSeed:     uint64(i),
+			}, 0)
 			if joined {
-				a.joined, a.order, a.rank = true, all, 1000+i%1000 // as View leaves them, without sorting 5,000 times
-			}
-			for now := time.Duration(0); ; {
-				c := a.Select(now)
-				if c.Delay > 0 {
-					now += c.Delay
-					continue
-				}
-				if c.Discovery {
-					seconds[int(now.Seconds())]++
-					break
-				}
-				a.ReportFailure(now, c)
+				// As UpdateMembers would set them, without sorting 5,000 times.
+				s.joined, s.order, s.rank = true, members, 1000+i%1000
 			}
+			callsInSecond[int(firstDiscoveryCall(s).Seconds())]++
 		}
-		most := 0
-		for s, k := range seconds {
-			if s > 0 { // those that are to ask do so at once
-				most = max(most, k)
+		maxCalls := 0
+		for second, calls := range callsInSecond {
+			if second > 0 { // roots call at once
+				maxCalls = max(maxCalls, calls)
 			}
 		}
-		t.Logf("joined %v: %d calls in a second at most, %d s", joined, most, len(seconds))
-		if most > 2*rate {
-			t.Errorf("joined %v: %d calls in one second, %d are meant", joined, most, rate)
+		t.Logf("joined %v: %d calls in a second at most, %d s", joined, maxCalls, len(callsInSecond))
+		if maxCalls > 2*rate {
+			t.Errorf("joined %v: %d calls in one second, want about %d", joined, maxCalls, rate)
 		}
 	}
 }
 
-// Roles move late: who asks for want of a peer goes back to one after settle, and one whose rank falls begins to ask.
-func TestBetter(t *testing.T) {
-	all := members(10)
-	a := New(Config{Self: "m0", Roots: 2, FanOut: 2, MaxCallRate: 1000, ConfiguredSize: 10}, 0)
-	a.UpdateMembers(0, others(all, "m0"), true)
+// Roles change late: a member that calls the discovery service for lack of a peer returns to a peer after
+// minSourceTime, and a member that becomes a root starts to call the discovery service.
+func TestShouldSwitch(t *testing.T) {
+	members := testMembers(10)
+	newSelector := func(self string) *Selector {
+		s := New(Config{Self: self, Roots: 2, FanOut: 2, MaxCallRate: 1000, ConfiguredSize: 10}, 0)
+		s.UpdateMembers(0, without(members, self), true)
+		return s
+	}
 	var order []string
-	for _, m := range a.order {
+	for _, m := range newSelector("m0").order {
 		order = append(order, m.Name)
 	}
-	self := order[5]
-	a = New(Config{Self: self, Roots: 2, FanOut: 2, MaxCallRate: 1000, ConfiguredSize: 10}, 0)
-	a.UpdateMembers(0, others(all, self), true)
-	if c := a.Select(0); c.Delay != calm {
-		t.Fatalf("at the start: %+v", c)
+	s := newSelector(order[5])
+	if selected := s.Select(0); selected.Delay != viewStableTime {
+		t.Fatalf("at the start: %+v", selected)
 	}
-	now := joinWait
-	if c := a.Select(now); c.Peer.Name != order[1] {
-		t.Fatalf("%+v in %s: want %s", c, strings.Join(order, " "), order[1])
+	now := maxJoinDelay
+	if selected := s.Select(now); selected.Peer.Name != order[1] {
+		t.Fatalf("%+v in %s: want %s", selected, strings.Join(order, " "), order[1])
 	}
-	for range 3 { // the parent and two more fail: discovery, soon
-		a.ReportFailure(now, a.Select(now))
+	for range 3 { // the parent and two more fail: the discovery service, soon
+		s.ReportFailure(now, s.Select(now))
 	}
-	c := a.Select(now)
-	if c.Delay == 0 || c.Delay > 20*time.Millisecond {
-		t.Fatalf("%+v", c)
+	selected := s.Select(now)
+	if selected.Delay == 0 || selected.Delay > 20*time.Millisecond {
+		t.Fatalf("%+v", selected)
 	}
-	now += c.Delay
-	if c = a.Select(now); !c.Discovery {
-		t.Fatalf("%+v", c)
+	now += selected.Delay
+	selected = s.Select(now)
+	if !selected.Discovery {
+		t.Fatalf("%+v", selected)
 	}
-	a.ReportSuccess(now, c)
-	if a.ShouldSwitch(now+settle/2, c) || !a.ShouldSwitch(now+settle, c) {
-		t.Error("it goes back to a peer after settle, and not before")
+	s.ReportSuccess(now, selected)
+	if s.ShouldSwitch(now+minSourceTime/2, selected) || !s.ShouldSwitch(now+minSourceTime, selected) {
+		t.Error("it does not return to a peer after minSourceTime, or does so before")
 	}
-	p := Selection{Peer: Member{Name: order[1]}}
-	a.ReportSuccess(now, p)
-	a.UpdateMembers(now, nil, true)
-	if !a.ShouldSwitch(now+2*settle, p) {
-		t.Error("alone, it does not begin to ask")
+	peer := Selection{Peer: Member{Name: order[1]}}
+	s.ReportSuccess(now, peer)
+	s.UpdateMembers(now, nil, true)
+	if !s.ShouldSwitch(now+2*minSourceTime, peer) {
+		t.Error("alone, it does not start to call the discovery service")
 	}
 }
