--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,9 +60,9 @@
 	if err != nil {
 		return nil, err
 	}
-	pool := http1.New(http1.Config{Connect: set.ConnectTimeout, Idle: cfg.Settings.ConnIdle(),
-		Grace: cfg.Settings.DrainGrace(), Conns: limits.MaxUpstreamConns(), Answer: limits.MaxResponseBytes(),
-		Full: bounds.Add("connections to upstreams", limits.MaxUpstreamConns())})
+	pool := http1.New(http1.Config{ConnectTimeout: set.ConnectTimeout, UpstreamIdleTimeout: cfg.Settings.ConnIdle(),
+		DrainGrace: cfg.Settings.DrainGrace(), MaxConns: limits.MaxUpstreamConns(), MaxResponseBytes: limits.MaxResponseBytes(),
+		OnConnLimit: bounds.Add("connections to upstreams", limits.MaxUpstreamConns())})
 	known, odd := cfg.InitialEndpoints.ToEndpoints()
 	if odd != nil {
 		log.Warn("an entry of the list", "err", odd)
@@ -125,9 +125,9 @@
 		doer = s.guard.Doer(s.engine)
 	}
 	s.front = httpfront.New(doer, set.Classes)
-	s.front.OnFull(bounds.Add("connections of clients", s.conns))
+	s.front.OnConnLimit(bounds.Add("connections of clients", s.conns))
 	if s.guard != nil {
-		s.front.TakeKeys()
+		s.front.AcceptIdempotencyKeys()
 	}
 	s.extras, err = openExtras(op, set, doer, log)
 	return s, err
--- a/internal/front/clientconn/conn_test.go
+++ b/internal/front/clientconn/conn_test.go
@@ -30,30 +30,30 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.(*Conn).Begin()
+	conn.(*Conn).BeginRequest()
 	return l, c.(*net.TCPConn), conn.(*Conn)
 }
 
 // A look at the connection tells of a close behind far more than the kernel holds, though nobody reads: the process may be behind.
-func TestGoneBehindUnreadBytes(t *testing.T) {
+func TestDisconnectBehindUnreadBytesIsNoticed(t *testing.T) {
 	_, client, here := pair(t)
-	if here.Gone() {
+	if here.Disconnected() {
 		t.Error("it is gone before it left")
 	}
-	if _, err := client.Write(make([]byte, 6*maxAhead)); err != nil {
+	if _, err := client.Write(make([]byte, 6*minReadAhead)); err != nil {
 		t.Fatal(err)
 	}
-	if here.Gone() {
+	if here.Disconnected() {
 		t.Error("it is gone, and has only sent")
 	}
 	client.Close()
-	testutil.Until(t, "the leaving", here.Gone)
+	testutil.Until(t, "the leaving", here.Disconnected)
 }
 
 // What a client sends beyond all bounds is not lost and not held: it is no longer read until the answer is begun.
 func TestReadAheadIsBounded(t *testing.T) {
 	l, client, here := pair(t)
-	sent := make([]byte, 4*mostAhead)
+	sent := make([]byte, 4*maxReadAhead)
 	for i := range sent {
 		sent[i] = byte(rand.Uint32())
 	}
@@ -70,15 +70,15 @@
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	for end := time.Now().Add(20 * time.Millisecond); time.Now().Before(end); {
-		if here.Gone() {
+		if here.Disconnected() {
 			t.Fatal("gone, with bytes on the way")
 		}
 	}
-	if got := here.ahead.size(); got > mostAhead || got < mostAhead/2 || l.pool.Load() != sharedAhead-int64(here.borrowed) {
-		t.Errorf("%d bytes are put by, and %d of the pool are left", got, l.pool.Load())
+	if got := here.readAhead.size(); got > maxReadAhead || got < maxReadAhead/2 || l.readAheadPool.Load() != sharedReadAhead-int64(here.borrowed) {
+		t.Errorf("%d bytes are put by, and %d of the pool are left", got, l.readAheadPool.Load())
 	}
 	close(closes)
-	here.Done()
+	here.BeginResponse()
 	rest, err := io.ReadAll(here)
 	if err != nil || !bytes.Equal(append(one[:], rest...), sent) {
 		t.Errorf("%d bytes of %d came, %v", 1+len(rest), len(sent), err)
@@ -86,27 +86,27 @@
 	if err := testutil.Receive(t, wrote, "the client's end"); err != nil {
 		t.Error(err)
 	}
-	if l.pool.Load() != sharedAhead || !here.ahead.empty() {
-		t.Errorf("%d of %d of the pool came back", l.pool.Load(), sharedAhead)
+	if l.readAheadPool.Load() != sharedReadAhead || !here.readAhead.isEmpty() {
+		t.Errorf("%d of %d of the pool came back", l.readAheadPool.Load(), sharedReadAhead)
 	}
 }
 
 // Where the pool is empty each connection still has a request's size of its own, and a connection that ends gives back.
 func TestSharedReadAhead(t *testing.T) {
 	l, client, here := pair(t)
-	l.pool.Store(lent)
-	go client.Write(make([]byte, mostAhead))
+	l.readAheadPool.Store(borrowStep)
+	go client.Write(make([]byte, maxReadAhead))
 	testutil.Until(t, "the bound", func() bool {
-		here.Gone()
-		here.reading.Lock()
-		defer here.reading.Unlock()
-		return here.full
+		here.Disconnected()
+		here.readMu.Lock()
+		defer here.readMu.Unlock()
+		return here.paused
 	})
-	if got := here.ahead.size(); got <= maxAhead || got > maxAhead+lent || l.pool.Load() != 0 {
-		t.Errorf("%d bytes are put by, %d of the pool are left", got, l.pool.Load())
+	if got := here.readAhead.size(); got <= minReadAhead || got > minReadAhead+borrowStep || l.readAheadPool.Load() != 0 {
+		t.Errorf("%d bytes are put by, %d of the pool are left", got, l.readAheadPool.Load())
 	}
 	here.Close()
-	if l.pool.Load() != lent {
-		t.Errorf("%d of the pool came back", l.pool.Load())
+	if l.readAheadPool.Load() != borrowStep {
+		t.Errorf("%d of the pool came back", l.readAheadPool.Load())
 	}
 }
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -22,43 +22,43 @@
 // Listener accepts clients' connections, as Conns.
 type Listener struct {
 	*net.TCPListener
-	max      int
-	reached  func()       // is called for each connection that comes when max are held
-	accepted atomic.Int64 // when a connection last came, Unix nanoseconds
-	pool     atomic.Int64 // bytes that connections may still borrow for what they read ahead
+	maxConns      int
+	onLimit       func()       // is called for each connection that comes when max are held
+	lastAccepted  atomic.Int64 // when a connection last came, Unix nanoseconds
+	readAheadPool atomic.Int64 // bytes that connections may still borrow for what they read ahead
 
-	mu   sync.Mutex
-	held int // descriptors: a connection counts until its own is free
+	mu        sync.Mutex
+	openConns int // descriptors: a connection counts until its own is free
 	// Connections with no request open, those that wait longest in front.
-	strangers list.List // that never sent a good request
-	known     list.List
-	stopping  bool
-	closed    bool
-	empty     chan struct{} // closed once no more connections can come and none is held
+	unproven list.List // that never sent a good request
+	served   list.List
+	stopping bool
+	closed   bool
+	drained  chan struct{} // closed once no more connections can come and none is held
 }
 
 const (
 	// sharedAhead is what all connections of a listener together may read ahead beyond a request's size each, in bytes.
-	sharedAhead = 8 << 20
-	lent        = 64 << 10 // is borrowed of it at a time
+	sharedReadAhead = 8 << 20
+	borrowStep      = 64 << 10 // is borrowed of it at a time
 	// keptShare of the places is for connections that have sent a good request, before answers begin to close them.
-	keptShare = 1.0 / 3
+	maxIdleShare = 1.0 / 3
 	// mostLooks bounds what a newcomer to a full listener costs.
-	mostLooks = 8
+	maxEvictionChecks = 8
 )
 
 // New makes a Listener of a TCP listener. It holds at most limit connections; reached is called, from the goroutine that accepts,
 // for each that comes when all places are taken.
 func New(l net.Listener, limit int, reached func()) *Listener {
-	n := &Listener{TCPListener: l.(*net.TCPListener), max: limit, reached: reached, empty: make(chan struct{})}
-	n.pool.Store(sharedAhead)
+	n := &Listener{TCPListener: l.(*net.TCPListener), maxConns: limit, onLimit: reached, drained: make(chan struct{})}
+	n.readAheadPool.Store(sharedReadAhead)
 	return n
 }
 
 // lend takes a piece of the pool; false: there is none.
-func (l *Listener) lend() bool {
-	if l.pool.Add(-lent) < 0 {
-		l.pool.Add(lent)
+func (l *Listener) borrow() bool {
+	if l.readAheadPool.Add(-borrowStep) < 0 {
+		l.readAheadPool.Add(borrowStep)
 		return false
 	}
 	return true
@@ -71,14 +71,14 @@
 		if err != nil {
 			// Guards against descriptors that others have taken: a connection that waits gives up its own. Where there is none
 			// net/http tries again by itself.
-			if (errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)) && l.shed() {
+			if (errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)) && l.evict() {
 				continue
 			}
 			return nil, err
 		}
-		l.accepted.Store(time.Now().UnixNano())
-		if l.full() {
-			l.reached()
+		l.lastAccepted.Store(time.Now().UnixNano())
+		if l.isFull() {
+			l.onLimit()
 			runtime.Gosched() // who came before may have sent a good request: it is read first
 		}
 		if conn := l.admit(c); conn != nil {
@@ -89,12 +89,12 @@
 }
 
 // LastAccepted is when a connection last came.
-func (l *Listener) LastAccepted() time.Time { return time.Unix(0, l.accepted.Load()) }
+func (l *Listener) LastAccepted() time.Time { return time.Unix(0, l.lastAccepted.Load()) }
 
-func (l *Listener) full() bool {
+func (l *Listener) isFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held >= l.max
+	return l.openConns >= l.maxConns
 }
 
 // admit gives c a place, another's where need be, or returns nil.
@@ -103,35 +103,35 @@
 	if err != nil { // it is closed
 		return nil
 	}
-	if l.full() && !l.shed() {
+	if l.isFull() && !l.evict() {
 		return nil
 	}
 	c := &Conn{TCPConn: tcp, listener: l, raw: raw}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held++
-	c.wait(&l.strangers)
+	l.openConns++
+	c.enqueue(&l.unproven)
 	return c
 }
 
 // shed closes the connection that has waited longest; false: all have a request open.
-func (l *Listener) shed() bool {
+func (l *Listener) evict() bool {
 	l.mu.Lock()
-	old := longest(&l.strangers)
-	if old == nil && l.strangers.Len() > 0 {
-		old = l.strangers.Front().Value.(*Conn) // all have sent something, and perhaps never more
+	old := longestIdle(&l.unproven)
+	if old == nil && l.unproven.Len() > 0 {
+		old = l.unproven.Front().Value.(*Conn) // all have sent something, and perhaps never more
 	}
 	if old == nil {
-		old = longest(&l.known)
+		old = longestIdle(&l.served)
 	}
 	if old != nil {
-		old.leave()
+		old.markClosed()
 	}
 	l.mu.Unlock()
 	if old == nil {
 		return false
 	}
-	old.shut()
+	old.closeSocket()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.release()
@@ -140,11 +140,11 @@
 
 // longest is the connection that has waited longest of those on which nothing has come. Guards against closing one whose next
 // request is read already, or waits to be. The lock is held.
-func longest(queue *list.List) *Conn {
+func longestIdle(queue *list.List) *Conn {
 	looks := 0
-	for e := queue.Front(); e != nil && looks < mostLooks; e = e.Next() {
+	for e := queue.Front(); e != nil && looks < maxEvictionChecks; e = e.Next() {
 		looks++
-		if c := e.Value.(*Conn); c.quiet() {
+		if c := e.Value.(*Conn); c.isQuiet() {
 			return c
 		}
 	}
@@ -158,45 +158,45 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopping = true
-	for _, queue := range []*list.List{&l.known, &l.strangers} {
+	for _, queue := range []*list.List{&l.served, &l.unproven} {
 		for e := queue.Front(); e != nil; {
 			c := e.Value.(*Conn)
 			e = e.Next()
-			c.retire()
+			c.closeIfIdle()
 		}
 	}
 }
 
 // NoMore says that Accept will not be called again.
-func (l *Listener) NoMore() {
+func (l *Listener) AcceptDone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	l.ended()
+	l.closeIfDrained()
 }
 
 // Empty is closed once no more connections can come and none is held.
-func (l *Listener) Empty() <-chan struct{} { return l.empty }
+func (l *Listener) Drained() <-chan struct{} { return l.drained }
 
 // release gives a place back. The lock is held.
 func (l *Listener) release() {
-	l.held--
-	l.ended()
+	l.openConns--
+	l.closeIfDrained()
 }
 
 // ended tells that the last connection has gone, once no more can come. The lock is held.
-func (l *Listener) ended() {
-	if l.closed && l.held == 0 {
-		close(l.empty)
+func (l *Listener) closeIfDrained() {
+	if l.closed && l.openConns == 0 {
+		close(l.drained)
 	}
 }
 
 // Attach makes h, which serves l, keep the connections: a request's context holds the one that it came on.
 func (l *Listener) Attach(h *http.Server) {
-	h.ConnContext = With
+	h.ConnContext = NewContext
 	h.ConnState = func(c net.Conn, state http.ConnState) {
 		if state == http.StateIdle {
-			c.(*Conn).answered()
+			c.(*Conn).responseWritten()
 		}
 	}
 }
--- a/internal/front/clientconn/listener_test.go
+++ b/internal/front/clientconn/listener_test.go
@@ -9,7 +9,7 @@
 )
 
 // A full listener closes none on which a request has begun, read or not, as long as others wait in silence.
-func TestFullListenerSparesWhatHasBegun(t *testing.T) {
+func TestFullListenerKeepsConnectionsThatBeganARequest(t *testing.T) {
 	for name, read := range map[string]bool{"read": true, "not read": false} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,12 +35,12 @@
 			come()
 			come()
 			for _, c := range conns { // each has been served once
-				c.Begin()
-				c.Done()
-				c.answered()
+				c.BeginRequest()
+				c.BeginResponse()
+				c.responseWritten()
 			}
 			io.WriteString(clients[0], "G")
-			testutil.Until(t, "the byte", func() bool { return !conns[0].quiet() })
+			testutil.Until(t, "the byte", func() bool { return !conns[0].isQuiet() })
 			if read {
 				conns[0].Read(make([]byte, 10))
 			}
--- a/internal/front/graphqlfront/execute.go
+++ b/internal/front/graphqlfront/execute.go
@@ -27,10 +27,10 @@
 
 // carryOut plans all requests of a batch, carries them out at the same time, and answers.
 func (s *Server) carryOut(r *http.Request, list []params, batch bool, kind string, expires time.Time) answer {
-	client := clientconn.Of(r)
-	client.Begin()
-	j := &job{s: s, request: r, header: onward(r.Header), expires: expires, left: client.Gone}
-	key := r.Header.Get(httpmsg.KeyHeader)
+	client := clientconn.FromRequest(r)
+	client.BeginRequest()
+	j := &job{s: s, request: r, header: onward(r.Header), expires: expires, left: client.Disconnected}
+	key := r.Header.Get(httpmsg.IdempotencyKeyHeader)
 	plans := make([]*plan.Plan, len(list))
 	faults := make([][]*plan.Error, len(list))
 	effects := map[string]bool{}
@@ -94,10 +94,10 @@
 }
 
 // own are headers that a part has of its own.
-var own = []string{"Accept", "Accept-Encoding", "Content-Type", "Content-Length", httpmsg.IDHeader, httpmsg.ClassHeader, httpmsg.KeyHeader, httpmsg.DeadlineHeader}
+var own = []string{"Accept", "Accept-Encoding", "Content-Type", "Content-Length", httpmsg.RequestIDHeader, httpmsg.ClassHeader, httpmsg.IdempotencyKeyHeader, httpmsg.DeadlineHeader}
 
 func onward(h http.Header) http.Header {
-	out := httpmsg.Onward(h)
+	out := httpmsg.EndToEndHeaders(h)
 	for _, name := range own {
 		out.Del(name)
 	}
@@ -179,15 +179,15 @@
 	header := j.header.Clone()
 	header.Set("Content-Type", jsonMedia)
 	header.Set("Accept", respMedia+", "+jsonMedia+";q=0.9")
-	header.Set(httpmsg.IDHeader, id)
+	header.Set(httpmsg.RequestIDHeader, id)
 	header.Set(httpmsg.ClassHeader, p.Class)
 	if p.Key != "" {
-		header.Set(httpmsg.KeyHeader, p.Key)
+		header.Set(httpmsg.IdempotencyKeyHeader, p.Key)
 	}
 	c := &engine.Call{ID: id, Class: p.Class, Tenant: j.request.Header.Get(httpmsg.TenantHeader), AffinityKey: p.About, IdempotencyKey: p.Key, ExpectedWork: p.Work,
 		ExpiresAt: j.partExpires(p), Disconnected: j.left,
 		Payload: &httpmsg.Request{Method: http.MethodPost, URI: s.cfg.Node, Host: j.request.Host, Header: header, Body: p.Body,
-			Check: func(a *httpmsg.Answer) error {
+			Check: func(a *httpmsg.Response) error {
 				read, err := p.Read(a.Body)
 				a.Value = read
 				return err
@@ -200,7 +200,7 @@
 func (s *Server) outcome(p *plan.Part, r engine.Result) plan.Outcome {
 	switch r.Kind {
 	case engine.Served:
-		a := r.Answer.(*httpmsg.Answer)
+		a := r.Answer.(*httpmsg.Response)
 		read, ok := a.Value.(*plan.Answer)
 		var err error
 		if !ok { // only answers with status 200 are checked
--- a/internal/front/graphqlfront/front_test.go
+++ b/internal/front/graphqlfront/front_test.go
@@ -59,7 +59,7 @@
 		return engine.Result{Kind: engine.Failed, Err: errs}
 	}
 	text, _ := json.Marshal(exec.Run(schema, doc, doc.Operations[0], map[string]any{}, ones{}))
-	return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: 200, Body: text}}
+	return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: 200, Body: text}}
 }
 
 type ones struct{}
@@ -216,14 +216,14 @@
 	for i, want := range []struct{ key, body string }{{"1", `{"query":"mutation M{\n\tx: m(k: \"1\")\n}\n","operationName":"M"}`}, {"K:n", `{"query":"mutation M{\n\tn\n}\n","operationName":"M"}`}} {
 		c := d.calls[i]
 		r := c.Payload.(*httpmsg.Request)
-		if c.Class != "u" || c.IdempotencyKey != want.key || c.Tenant != "acme" || r.Header.Get(httpmsg.KeyHeader) != want.key || string(r.Body) != want.body || r.URI != "/g" ||
-			r.Method != "POST" || r.Header.Get("Authorization") != "me" || r.Header.Get("X-Hop") != "" || r.Header.Get("Content-Type") != jsonMedia || r.Header.Get(httpmsg.IDHeader) != c.ID {
+		if c.Class != "u" || c.IdempotencyKey != want.key || c.Tenant != "acme" || r.Header.Get(httpmsg.IdempotencyKeyHeader) != want.key || string(r.Body) != want.body || r.URI != "/g" ||
+			r.Method != "POST" || r.Header.Get("Authorization") != "me" || r.Header.Get("X-Hop") != "" || r.Header.Get("Content-Type") != jsonMedia || r.Header.Get(httpmsg.RequestIDHeader) != c.ID {
 			t.Errorf("call %d: %+v, %+v, %s", i, c, r, r.Body)
 		}
 		if left := c.ExpiresAt.Sub(begun); left < 29*time.Second || left > 31*time.Second+time.Since(begun) {
 			t.Errorf("it expires in %v", left)
 		}
-		if r.Check(&httpmsg.Answer{Body: []byte(`{"data":{"other":1}}`)}) == nil {
+		if r.Check(&httpmsg.Response{Body: []byte(`{"data":{"other":1}}`)}) == nil {
 			t.Error("another's answer was taken")
 		}
 	}
@@ -235,10 +235,10 @@
 // How calls end decides what is said of their fields, and of the whole.
 func TestEnds(t *testing.T) {
 	ok := func(body string) engine.Result {
-		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: 200, Body: []byte(body)}}
+		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: 200, Body: []byte(body)}}
 	}
 	status := func(code int, body string) engine.Result {
-		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: code, Body: []byte(body)}}
+		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: code, Body: []byte(body)}}
 	}
 	refused := engine.Result{Kind: engine.Rejected, RetryAfter: 1500 * time.Millisecond}
 	failed := engine.Result{Kind: engine.Failed, TimedOut: true}
@@ -530,7 +530,7 @@
 				body = `{"data":{"a":1}}`
 			}
 		}
-		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: 200, Body: []byte(body)}}
+		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: 200, Body: []byte(body)}}
 	}
 	for _, c := range []struct{ name, body string }{{"one query", `{"query":"query Seats($x: Int) { a(x: $x) }","variables":{"x":3}}`}, {"batch of 20", "[" + strings.Join(batch, ",") + "]"}} {
 		for _, kept := range []bool{true, false} {
--- a/internal/front/graphqlfront/server.go
+++ b/internal/front/graphqlfront/server.go
@@ -148,11 +148,11 @@
 		return err
 	}
 	<-fault // it has noticed
-	conns.NoMore()
+	conns.AcceptDone()
 	last := time.NewTimer(s.cfg.Deadline + headerTime + bodyTime + answerTime)
 	defer last.Stop()
 	select {
-	case <-conns.Empty():
+	case <-conns.Drained():
 	case <-last.C: // guards against a client that does not take its answer
 	}
 	return h.Close()
@@ -163,7 +163,7 @@
 	came := time.Now()
 	s.count.requests.Add(1)
 	a := s.answer(w, r, came)
-	clientconn.Of(r).Done()
+	clientconn.FromRequest(r).BeginResponse()
 	if a.status == 0 {
 		// The client has left. Guards against the empty 200 that net/http sends to one that has closed its sending half only.
 		panic(http.ErrAbortHandler)
--- a/internal/front/httpfront/crossing_test.go
+++ b/internal/front/httpfront/crossing_test.go
@@ -21,10 +21,10 @@
 // waiting for the one event before it lets the other happen.
 
 // readAhead is what each client's connection may read ahead whatever others do: a request's size.
-const readAhead = clientconn.MaxHeader + httpmsg.MaxBody
+const readAhead = clientconn.MaxHeaderBytes + httpmsg.MaxBodyBytes
 
 // ways are those in which a client leaves.
-var ways = map[string]func(t *testing.T, c *net.TCPConn){
+var disconnects = map[string]func(t *testing.T, c *net.TCPConn){
 	"FIN": func(_ *testing.T, c *net.TCPConn) { c.Close() },
 	"reset": func(_ *testing.T, c *net.TCPConn) {
 		c.SetLinger(0)
@@ -51,11 +51,11 @@
 }
 
 // A client that leaves while its request is in hand is noticed, also behind bytes that nobody reads.
-func TestLeavingIsNoticed(t *testing.T) {
-	for name, leave := range ways {
+func TestDisconnectIsNoticed(t *testing.T) {
+	for name, leave := range disconnects {
 		for _, class := range []string{"look", "book"} {
 			t.Run(name+" "+class, func(t *testing.T) {
-				d := startDeaf(t)
+				d := startFakeEngine(t)
 				conn := d.dial(t).(*net.TCPConn)
 				method, body := "GET", ""
 				if class == "book" {
@@ -64,7 +64,7 @@
 				d.request(t, method, class, "1", body).Write(conn)
 				c := testutil.Receive(t, d.calls, "the call")
 				leave(t, conn)
-				if testutil.Receive(t, d.left, "the leaving") != c || !c.Disconnected() {
+				if testutil.Receive(t, d.disconnected, "the leaving") != c || !c.Disconnected() {
 					t.Error("the call does not tell that its client left")
 				}
 			})
@@ -73,8 +73,8 @@
 }
 
 // What a client sends ahead of its turn is not lost with the reading on.
-func TestRequestsSentAheadAreServed(t *testing.T) {
-	d := startDeaf(t)
+func TestPipelinedRequestsAreServed(t *testing.T) {
+	d := startFakeEngine(t)
 	conn := d.dial(t)
 	r := bufio.NewReader(conn)
 	d.request(t, "GET", "look", "1", "").Write(conn)
@@ -85,7 +85,7 @@
 		if i > 0 {
 			testutil.Receive(t, d.calls, "the next call")
 		}
-		d.answer <- served("ok")
+		d.results <- servedResult("ok")
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -99,12 +99,12 @@
 // A client that closes its sending half alone can still read: what it gets must be no success. Guards against the empty 200
 // that net/http sends where a handler writes nothing.
 func TestHalfClosedClientGetsNoSuccess(t *testing.T) {
-	d := startDeaf(t)
+	d := startFakeEngine(t)
 	conn := d.dial(t).(*net.TCPConn)
 	d.request(t, "POST", "book", "1", "seat").Write(conn)
 	testutil.Receive(t, d.calls, "the call")
 	conn.CloseWrite()
-	testutil.Receive(t, d.left, "the leaving")
+	testutil.Receive(t, d.disconnected, "the leaving")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -116,11 +116,11 @@
 
 // At the stop what waits between two requests is closed at once, while a client whose request crosses that can come again;
 // what has begun to send is not closed, and newcomers are let in.
-func TestStopClosesWhatWaitsWhileNewcomersAreLetIn(t *testing.T) {
+func TestStopClosesIdleConnectionsAndAcceptsNewOnes(t *testing.T) {
 	heard := make(chan bool, 10)
 	r := startFront(t, func(context.Context, *engine.Call) engine.Result {
 		heard <- true
-		return served("ok")
+		return servedResult("ok")
 	}, 100)
 	ask := func(conn net.Conn, id string) *bufio.Reader {
 		b := bufio.NewReader(conn)
@@ -149,7 +149,7 @@
 }
 
 // What hangs is answered before SIGKILL may come, whatever its deadline; and what comes later still is refused at once.
-func TestStopAnswersWhatHangs(t *testing.T) {
+func TestStopAnswersHangingRequests(t *testing.T) {
 	for name, longest := range map[string]time.Duration{"short deadlines": 300 * time.Millisecond, "long ones": time.Minute} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // it waits in real time
@@ -158,14 +158,14 @@
 				t.Fatal(err)
 			}
 			calls := make(chan bool, 10)
-			s := New(doer(func(ctx context.Context, _ *engine.Call) engine.Result {
+			s := New(doerFunc(func(ctx context.Context, _ *engine.Call) engine.Result {
 				calls <- true
 				<-ctx.Done() // its upstream hangs
 				return engine.Result{Kind: engine.Disconnected}
 			}), []balancer.Class{{Name: "look", Deadline: longest}})
 			ctx, stop := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
-			r := &running{url: "http://" + l.Addr().String()}
+			r := &testFront{url: "http://" + l.Addr().String()}
 			go func() { ended <- s.Serve(ctx, l, 100, slog.New(slog.DiscardHandler)) }()
 			first, second := r.dial(t), r.dial(t)
 			r.request(t, "GET", "look", "1", "").Write(first)
@@ -174,11 +174,11 @@
 			stop()
 			begun := time.Now()
 			resp, err := http.ReadResponse(bufio.NewReader(first), nil)
-			kill := killAfter + min(longest, killLongest)
+			kill := killGrace + min(longest, maxKillDelay)
 			if err != nil || resp.StatusCode != http.StatusGatewayTimeout || time.Since(begun) > kill {
 				t.Errorf("%+v, %v after %v, want 504 before %v", resp, err, time.Since(begun), kill)
 			}
-			if longest < killLongest { // the half request is given up by its own time otherwise
+			if longest < maxKillDelay { // the half request is given up by its own time otherwise
 				io.WriteString(second, " /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: 2\r\nX-Class: look\r\nX-Deadline-Ms: 300\r\n\r\n")
 				resp, err := http.ReadResponse(bufio.NewReader(second), nil)
 				if err != nil || resp.StatusCode != http.StatusServiceUnavailable || len(calls) > 0 {
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -29,44 +29,44 @@
 	Effect: balancer.NonIdempotent}, {Name: "pay", Deadline: testutil.Patience, Effect: balancer.Keyed}}
 
 // testOpen is how long a stopping front stays open here: long enough for a slow machine to come in time.
-const testOpen = 3 * time.Second
+const testMinOpen = 3 * time.Second
 
 // doer is an engine that a function stands in for.
-type doer func(ctx context.Context, c *engine.Call) engine.Result
+type doerFunc func(ctx context.Context, c *engine.Call) engine.Result
 
-func (d doer) Do(ctx context.Context, c *engine.Call) engine.Result { return d(ctx, c) }
+func (d doerFunc) Do(ctx context.Context, c *engine.Call) engine.Result { return d(ctx, c) }
 
-func served(text string) engine.Result {
-	a := plain(http.StatusOK, "")
+func servedResult(text string) engine.Result {
+	a := plainText(http.StatusOK, "")
 	a.Body = []byte(text)
 	return engine.Result{Kind: engine.Served, Answer: &a}
 }
 
 // serves answers every call at once.
-func serves(context.Context, *engine.Call) engine.Result { return served("ok") }
+func serveOK(context.Context, *engine.Call) engine.Result { return servedResult("ok") }
 
 // running is a front on loopback.
-type running struct {
-	url    string
-	full   atomic.Int32       // connections that came when all places were taken
-	stop   context.CancelFunc // as SIGTERM does
-	ended  chan error
-	client *http.Client
+type testFront struct {
+	url           string
+	connLimitHits atomic.Int32       // connections that came when all places were taken
+	stop          context.CancelFunc // as SIGTERM does
+	served        chan error
+	client        *http.Client
 }
 
-func startFront(t *testing.T, d doer, conns int) *running {
+func startFront(t *testing.T, d doerFunc, conns int) *testFront {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{url: "http://" + l.Addr().String(), stop: stop, ended: make(chan error, 1),
+	r := &testFront{url: "http://" + l.Addr().String(), stop: stop, served: make(chan error, 1),
 		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
 	s := New(d, testClasses)
-	s.open = testOpen
-	s.OnFull(func() { r.full.Add(1) })
-	go func() { r.ended <- s.Serve(ctx, l, conns, slog.New(slog.DiscardHandler)) }()
+	s.minOpenTime = testMinOpen
+	s.OnConnLimit(func() { r.connLimitHits.Add(1) })
+	go func() { r.served <- s.Serve(ctx, l, conns, slog.New(slog.DiscardHandler)) }()
 	t.Cleanup(func() {
 		r.client.CloseIdleConnections()
 		stop()
@@ -74,13 +74,13 @@
 	return r
 }
 
-func (r *running) request(t *testing.T, method, class, id, body string) *http.Request {
+func (r *testFront) request(t *testing.T, method, class, id, body string) *http.Request {
 	t.Helper()
 	return testutil.Request(t, r.url, method, class, id, body)
 }
 
 // dial opens a connection of its own.
-func (r *running) dial(t *testing.T) net.Conn {
+func (r *testFront) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
@@ -91,27 +91,27 @@
 	return conn
 }
 
-func (r *running) do(t *testing.T, req *http.Request) (*http.Response, string) {
+func (r *testFront) do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	return testutil.Do(t, r.client, req)
 }
 
 // deaf is a front whose engine is the test: it receives the calls, and those that left.
-type deaf struct {
-	*running
-	calls, left chan *engine.Call
-	answer      chan engine.Result
+type fakeEngine struct {
+	*testFront
+	calls, disconnected chan *engine.Call
+	results             chan engine.Result
 }
 
-func startDeaf(t *testing.T) *deaf {
-	d := &deaf{calls: make(chan *engine.Call, 10), left: make(chan *engine.Call, 10), answer: make(chan engine.Result)}
-	d.running = startFront(t, func(ctx context.Context, c *engine.Call) engine.Result {
+func startFakeEngine(t *testing.T) *fakeEngine {
+	d := &fakeEngine{calls: make(chan *engine.Call, 10), disconnected: make(chan *engine.Call, 10), results: make(chan engine.Result)}
+	d.testFront = startFront(t, func(ctx context.Context, c *engine.Call) engine.Result {
 		d.calls <- c
 		select {
-		case r := <-d.answer:
+		case r := <-d.results:
 			return r
 		case <-ctx.Done():
-			d.left <- c
+			d.disconnected <- c
 			return engine.Result{Kind: engine.Disconnected}
 		}
 	}, 100)
@@ -120,8 +120,8 @@
 
 // What is malformed gets a plain answer of its own, and goes to no upstream. None of these is a refusal, which would
 // say that trying again helps.
-func TestTurnedDown(t *testing.T) {
-	r := startDeaf(t)
+func TestMalformedRequestsAreNotForwarded(t *testing.T) {
+	r := startFakeEngine(t)
 	for name, c := range map[string]struct {
 		method, class, body string
 		change              func(*http.Request)
@@ -139,7 +139,7 @@
 		"safe by POST":     {"POST", "look", "x", nil, 405},
 		"keyed, no key":    {"POST", "pay", "x", func(q *http.Request) { q.Header.Del("Idempotency-Key") }, 400},
 		"unsafe and a key": {"POST", "book", "x", func(q *http.Request) { q.Header.Set("Idempotency-Key", "k") }, 400},
-		"oversized":        {"POST", "book", strings.Repeat("x", httpmsg.MaxBody+1), nil, 413},
+		"oversized":        {"POST", "book", strings.Repeat("x", httpmsg.MaxBodyBytes+1), nil, 413},
 		"chunks":           {"POST", "book", "x", func(q *http.Request) { q.ContentLength = -1 }, 411},
 		"a GET with body":  {"GET", "look", "x", nil, 400},
 		"two ids":          {"GET", "look", "", func(q *http.Request) { q.Header.Add("X-Request-Id", "2") }, 400},
@@ -165,18 +165,18 @@
 }
 
 // Guards against work for a client that has left: it is noticed only when the body has been read to its end.
-func TestHangUpIsNoticed(t *testing.T) {
-	r := startDeaf(t)
+func TestDisconnectIsNoticedAfterTheBody(t *testing.T) {
+	r := startFakeEngine(t)
 	for _, method := range []string{"GET", "POST"} {
 		class, body := "look", ""
 		if method == "POST" {
-			class, body = "book", strings.Repeat("x", httpmsg.MaxBody)
+			class, body = "book", strings.Repeat("x", httpmsg.MaxBodyBytes)
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		go r.client.Do(r.request(t, method, class, "1", body).WithContext(ctx))
 		c := testutil.Receive(t, r.calls, "the request")
 		leave()
-		if testutil.Receive(t, r.left, "the hang-up") != c {
+		if testutil.Receive(t, r.disconnected, "the hang-up") != c {
 			t.Errorf("%s: another call is gone", method)
 		}
 	}
@@ -184,7 +184,7 @@
 
 // A client that closed before its request was read is refused, and nothing is done for it. Guards against work for nobody
 // where requests wait longer unread than their clients do.
-func TestGoneBeforeItWasRead(t *testing.T) {
+func TestDisconnectBeforeTheRequestWasRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -201,29 +201,29 @@
 	}
 	defer conn.Close()
 	calls := 0
-	s := New(doer(func(ctx context.Context, c *engine.Call) engine.Result {
+	s := New(doerFunc(func(ctx context.Context, c *engine.Call) engine.Result {
 		calls++
-		return serves(ctx, c)
+		return serveOK(ctx, c)
 	}), testClasses)
 	ask := func() int {
 		r := testutil.Request(t, "http://x", "GET", "look", "1", "")
 		r.RequestURI, r.Body = r.URL.RequestURI(), http.NoBody
 		w := httptest.NewRecorder()
-		s.ServeHTTP(w, r.WithContext(clientconn.With(t.Context(), conn)))
+		s.ServeHTTP(w, r.WithContext(clientconn.NewContext(t.Context(), conn)))
 		return w.Code
 	}
 	if code := ask(); code != 200 || calls != 1 {
 		t.Errorf("there: %d, %d calls", code, calls)
 	}
 	client.Close()
-	testutil.Until(t, "the close", func() bool { return netpeek.At(conn.(*clientconn.Conn).TCPConn) == netpeek.Gone })
+	testutil.Until(t, "the close", func() bool { return netpeek.Peek(conn.(*clientconn.Conn).TCPConn) == netpeek.Closed })
 	if code := ask(); code != 503 || calls != 1 {
 		t.Errorf("gone: %d, %d calls", code, calls)
 	}
 }
 
-func TestCallIsReadWhole(t *testing.T) {
-	r := startDeaf(t)
+func TestCallFromRequest(t *testing.T) {
+	r := startFakeEngine(t)
 	req := r.request(t, "POST", "pay", "77", "card")
 	req.Header.Set("X-Cost-Hint", "1500.5")
 	req.Header.Set("X-Tenant", "acme")
@@ -236,19 +236,19 @@
 		string(m.Body) != "card" || m.URI != "/pay/a%2Fb?q=1" || c.ExpiresAt.Sub(before) < 15*time.Second {
 		t.Errorf("%+v", c)
 	}
-	r.answer <- served("done")
+	r.results <- servedResult("done")
 }
 
 // A refusal must be one of two codes and a failure neither: clients repeat what is refused.
-func TestFinalAnswers(t *testing.T) {
-	if a := refused(1250 * time.Millisecond); a.Status != 503 || a.Header.Get("Retry-After") != "1.25" {
+func TestRejectionAndFailureResponses(t *testing.T) {
+	if a := rejectedResponse(1250 * time.Millisecond); a.Status != 503 || a.Header.Get("Retry-After") != "1.25" {
 		t.Errorf("refusal: %+v", a)
 	}
-	if a := refused(0); a.Status != 503 || a.Header.Get("Retry-After") != "" {
+	if a := rejectedResponse(0); a.Status != 503 || a.Header.Get("Retry-After") != "" {
 		t.Errorf("refusal without advice: %+v", a)
 	}
 	for _, timedOut := range []bool{false, true} {
-		if a := failed(timedOut); a.Status < 500 || a.Status == 503 || a.Header.Get("Retry-After") != "" {
+		if a := failedResponse(timedOut); a.Status < 500 || a.Status == 503 || a.Header.Get("Retry-After") != "" {
 			t.Errorf("failure: %+v", a)
 		}
 	}
@@ -269,7 +269,7 @@
 			var taken atomic.Int32
 			r := startFront(t, func(context.Context, *engine.Call) engine.Result {
 				taken.Add(1)
-				return served("taken")
+				return servedResult("taken")
 			}, 100)
 			conn := r.dial(t)
 			io.WriteString(conn, c.text)
@@ -286,8 +286,8 @@
 
 // A client that stops in the middle of a request is answered or closed within the time that it is owed that in, and
 // one whose body is far too long at once.
-func TestHalfSentRequests(t *testing.T) {
-	r := startFront(t, serves, 100)
+func TestIncompleteRequestsEndInTime(t *testing.T) {
+	r := startFront(t, serveOK, 100)
 	head := "POST /book HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nX-Class: book\r\nX-Deadline-Ms: 9000\r\n"
 	for name, text := range map[string]string{
 		"nothing":        "",
@@ -307,14 +307,14 @@
 			}
 		})
 	}
-	if owed := 3 * time.Second; headerTime+bodyTime > owed-owed/8 {
-		t.Errorf("a head and a body may take %v", headerTime+bodyTime)
+	if owed := 3 * time.Second; headerTimeout+bodyTimeout > owed-owed/8 {
+		t.Errorf("a head and a body may take %v", headerTimeout+bodyTimeout)
 	}
 }
 
 // Guards against clients that connect and say nothing, or ask once and stay: they make room for newcomers, those
 // that never asked first, and none with a request open.
-func TestWaitingConnectionsMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
 	came, release := make(chan bool, 1), make(chan bool)
 	answer := sync.OnceFunc(func() { close(release) })
 	engine := func(_ context.Context, c *engine.Call) engine.Result {
@@ -322,7 +322,7 @@
 			came <- true
 			<-release
 		}
-		return served("ok")
+		return servedResult("ok")
 	}
 	defer answer()
 	r := startFront(t, engine, 9)
@@ -367,7 +367,7 @@
 			t.Errorf("newcomer %d: %v", i, err)
 		}
 	}
-	if r.full.Load() == 0 {
+	if r.connLimitHits.Load() == 0 {
 		t.Error("nothing told that the bound was reached")
 	}
 	answer()
@@ -378,8 +378,8 @@
 
 // Guards against clients that ask once and keep their connection: where many do, answers close it, so that others find
 // a place.
-func TestAnswersCloseWhereManyStay(t *testing.T) {
-	r := startFront(t, serves, 9) // 3 to keep
+func TestResponsesCloseConnectionsWhenManyAreIdle(t *testing.T) {
+	r := startFront(t, serveOK, 9) // 3 to keep
 	for i := range 6 {
 		conn := r.dial(t)
 		r.request(t, "GET", "look", fmt.Sprint(i), "").Write(conn)
@@ -392,7 +392,7 @@
 
 // At a planned restart the requests in hand are answered, and so are those that come while the platform still sends
 // new connections: what was accepted is never reset. Then the program ends.
-func TestStopLosesNothing(t *testing.T) {
+func TestStopLosesNoRequest(t *testing.T) {
 	waits, release := make(chan bool, 1), make(chan bool)
 	answer := sync.OnceFunc(func() { close(release) })
 	engine := func(_ context.Context, c *engine.Call) engine.Result {
@@ -400,7 +400,7 @@
 			waits <- true
 			<-release
 		}
-		return served("ok")
+		return servedResult("ok")
 	}
 	defer answer()
 	r := startFront(t, engine, 100)
@@ -428,13 +428,13 @@
 	begun, n := time.Now(), 0
 	for ; !ask(n); n++ { // until clients are told to leave their connections
 	}
-	time.Sleep(testOpen/3 - time.Since(begun)) // and a new one after a pause
+	time.Sleep(testMinOpen/3 - time.Since(begun)) // and a new one after a pause
 	ask(n + 1)
 	answer()
 	if got := testutil.Receive(t, slow, "the slow answer"); got != "ok" {
 		t.Errorf("the request in hand got %q", got)
 	}
-	if err := testutil.Receive(t, r.ended, "the end"); err != nil {
+	if err := testutil.Receive(t, r.served, "the end"); err != nil {
 		t.Error(err)
 	}
 	if _, err := net.DialTimeout("tcp", strings.TrimPrefix(r.url, "http://"), testutil.Patience); err == nil {
--- a/internal/httpmsg/httpmsg.go
+++ b/internal/httpmsg/httpmsg.go
@@ -10,21 +10,21 @@
 
 // Names of the platform's headers.
 const (
-	IDHeader       = "X-Request-Id"
-	ClassHeader    = "X-Class"
-	TenantHeader   = "X-Tenant"
-	DeadlineHeader = "X-Deadline-Ms"
-	HintHeader     = "X-Cost-Hint"
-	KeyHeader      = "Idempotency-Key"
-	NotRunHeader   = "X-Not-Run" // with which a node says that it turned a request away unseen
-	LoadHeader     = "X-Load"
-	KeyCookie      = "user"
+	RequestIDHeader      = "X-Request-Id"
+	ClassHeader          = "X-Class"
+	TenantHeader         = "X-Tenant"
+	DeadlineHeader       = "X-Deadline-Ms"
+	CostHintHeader       = "X-Cost-Hint"
+	IdempotencyKeyHeader = "Idempotency-Key"
+	NotRunHeader         = "X-Not-Run" // with which a node says that it turned a request away unseen
+	LoadHeader           = "X-Load"
+	AffinityCookie       = "user"
 
 	LoadPath = "/metrics/load" // of a probe
 )
 
 // MaxBody is what the body of a request may hold, in bytes.
-const MaxBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 // Request is what goes on to a node. Nobody changes one once it was handed on.
 type Request struct {
@@ -33,11 +33,11 @@
 	Body              []byte
 	// Check says why an answer with status 200 is none to this request, such as another's or half of one; nil: any is.
 	// The transport calls it from the attempt's goroutine, and takes what it turns down for an error of the node's.
-	Check func(*Answer) error
+	Check func(*Response) error
 }
 
 // Answer is what a client gets.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -50,7 +50,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
 // Onward returns the headers that go on to the other side.
-func Onward(h http.Header) http.Header {
+func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -65,6 +65,6 @@
 
 // TurnedDown says that a status blames the request, which no other node will take either: the client gets it as it
 // is. Guards against blaming the nodes for what one client sends.
-func TurnedDown(status int) bool {
+func IsRequestError(status int) bool {
 	return status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
--- a/internal/netpeek/netpeek.go
+++ b/internal/netpeek/netpeek.go
@@ -14,30 +14,30 @@
 
 // The states.
 const (
-	Silent State = iota // it is there, and has said nothing that was not read
-	Spoke               // something waits to be read
-	Gone                // it has closed, or broken the connection
+	Idle     State = iota // it is there, and has said nothing that was not read
+	Readable              // something waits to be read
+	Closed                // it has closed, or broken the connection
 )
 
 // At looks at a TCP connection, at once, also while another goroutine waits to read from it.
-func At(c net.Conn) State {
+func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
-		return Gone
+		return Closed
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return Gone
+		return Closed
 	}
-	state := Gone
+	state := Closed
 	raw.Control(func(fd uintptr) { // Read would wait for whoever reads
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			state = Silent
+			state = Idle
 		case err == nil && n > 0:
-			state = Spoke
+			state = Readable
 		}
 	})
 	return state
@@ -45,11 +45,11 @@
 
 // Closed looks whether the other side has closed or broken a connection, also behind bytes that nobody has read yet. Half a
 // close, of its sending alone, looks the same.
-func Closed(c net.Conn) bool {
-	switch At(c) {
-	case Gone:
+func PeerClosed(c net.Conn) bool {
+	switch Peek(c) {
+	case Closed:
 		return true
-	case Silent:
+	case Idle:
 		return false
 	}
 	raw, err := c.(syscall.Conn).SyscallConn()
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each state is told, also while somebody waits to read, and nothing is taken.
-func TestAt(t *testing.T) {
+func TestPeek(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -31,31 +31,31 @@
 		here.Read(b[:])
 		read <- b[0]
 	}()
-	if At(here) != Silent {
+	if Peek(here) != Idle {
 		t.Error("not silent")
 	}
 	there.Write([]byte("xy"))
-	testutil.Until(t, "what was written", func() bool { return At(here) == Spoke })
+	testutil.Until(t, "what was written", func() bool { return Peek(here) == Readable })
 	close(first)
-	if b := testutil.Receive(t, read, "a byte"); b != 'x' || At(here) != Spoke {
+	if b := testutil.Receive(t, read, "a byte"); b != 'x' || Peek(here) != Readable {
 		t.Errorf("%c was read", b)
 	}
 	var rest [1]byte
 	here.Read(rest[:])
 	go func() { here.Read(make([]byte, 1)) }() // waits
-	if At(here) != Silent {
+	if Peek(here) != Idle {
 		t.Error("not silent while somebody waits")
 	}
 	there.Close()
-	testutil.Until(t, "the close", func() bool { return At(here) == Gone })
+	testutil.Until(t, "the close", func() bool { return Peek(here) == Closed })
 	one, _ := net.Pipe()
-	if At(one) != Gone {
+	if Peek(one) != Closed {
 		t.Error("what has no descriptor")
 	}
 }
 
 // A close is seen behind what nobody has read, and only where there is one.
-func TestClosed(t *testing.T) {
+func TestPeerClosed(t *testing.T) {
 	for name, c := range map[string]struct {
 		text  string
 		end   func(*net.TCPConn)
@@ -86,12 +86,12 @@
 			defer here.Close()
 			there.Write([]byte(c.text))
 			if c.text != "" {
-				testutil.Until(t, "the text", func() bool { return At(here) == Spoke })
+				testutil.Until(t, "the text", func() bool { return Peek(here) == Readable })
 			}
 			c.end(there.(*net.TCPConn))
 			if c.close {
-				testutil.Until(t, "the close", func() bool { return Closed(here) })
-			} else if Closed(here) {
+				testutil.Until(t, "the close", func() bool { return PeerClosed(here) })
+			} else if PeerClosed(here) {
 				t.Error("closed")
 			}
 		})
--- a/internal/transport/http1/crossing_test.go
+++ b/internal/transport/http1/crossing_test.go
@@ -21,17 +21,21 @@
 
 // A client leaves, or a drain is told, while its attempt waits for a dial: the connection comes up, and nothing is written to
 // it. It is kept where others may use it, and no place is lost.
-func TestDialComesUpTooLate(t *testing.T) {
+func TestNothingIsWrittenAfterALateDial(t *testing.T) {
 	for name, c := range map[string]struct {
 		happens func(p *Pool, x *exchange, left *atomic.Bool, addr string)
 		want    balancer.Result
 		open    int
 	}{
-		"its client left":         {func(_ *Pool, _ *exchange, left *atomic.Bool, _ string) { left.Store(true) }, balancer.NotSent, 1},
-		"it has its answer":       {func(_ *Pool, x *exchange, _ *atomic.Bool, _ string) { x.CancelUnsent() }, balancer.Cancelled, 0},
-		"the upstream drains":     {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) { p.Update(false, draining(active(a)), time.Now()) }, balancer.NotSent, 0},
-		"it is gone":              {func(p *Pool, _ *exchange, _ *atomic.Bool, _ string) { p.Update(true, nil, time.Now()) }, balancer.NotSent, 0},
-		"another is there by now": {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) { p.Update(true, reborn(a), time.Now()) }, balancer.NotSent, 0},
+		"its client left":   {func(_ *Pool, _ *exchange, left *atomic.Bool, _ string) { left.Store(true) }, balancer.NotSent, 1},
+		"it has its answer": {func(_ *Pool, x *exchange, _ *atomic.Bool, _ string) { x.CancelUnsent() }, balancer.Cancelled, 0},
+		"the upstream drains": {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) {
+			p.Update(false, drainingEndpoints(activeEndpoints(a)), time.Now())
+		}, balancer.NotSent, 0},
+		"it is gone": {func(p *Pool, _ *exchange, _ *atomic.Bool, _ string) { p.Update(true, nil, time.Now()) }, balancer.NotSent, 0},
+		"another is there by now": {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) {
+			p.Update(true, restartedEndpoints(a), time.Now())
+		}, balancer.NotSent, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var bytes atomic.Int32
@@ -45,7 +49,7 @@
 			p := testPool()
 			knownUpstream(t, p, addr)
 			dialling, up := make(chan bool), make(chan bool)
-			p.dial.Control = func(string, string, syscall.RawConn) error {
+			p.dialer.Control = func(string, string, syscall.RawConn) error {
 				dialling <- true
 				<-up
 				return nil
@@ -60,7 +64,7 @@
 			close(up)
 			wantResult(t, testutil.Receive(t, done, "the outcome"), c.want)
 			p.mu.Lock()
-			open := p.open
+			open := p.openConns
 			p.mu.Unlock()
 			if bytes.Load() > 0 || open != c.open {
 				t.Errorf("%d requests were begun, %d places are taken, want %d", bytes.Load(), open, c.open)
@@ -70,14 +74,14 @@
 }
 
 // reborn lists upstream "s" as another process.
-func reborn(addr string) []engine.Endpoint {
-	m := active(addr)
+func restartedEndpoints(addr string) []engine.Endpoint {
+	m := activeEndpoints(addr)
 	m[0].StartedAtMS = 1
 	return m
 }
 
 // The same for a place among the open connections: who waited for it hands it on.
-func TestPlaceComesTooLate(t *testing.T) {
+func TestLateConnectionSlotIsPassedOn(t *testing.T) {
 	came := make(chan net.Conn, 3)
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
@@ -85,16 +89,16 @@
 		}
 	})
 	p := testPool()
-	p.max, p.dial.Timeout = 1, testutil.Patience
+	p.maxConns, p.dialer.Timeout = 1, testutil.Patience
 	u := knownUpstream(t, p, addr)
 	first := make(chan engine.Outcome, 1)
-	go func() { first <- run(p.exchange(u, testutil.Patience, testRequest("POST"))) }()
+	go func() { first <- run(p.newExchange(u, testutil.Patience, testRequest("POST"))) }()
 	conn := testutil.Receive(t, came, "the first request")
 	waits := func(n int) {
 		testutil.Until(t, "the waiting", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return len(p.waiting) == n
+			return len(p.waiters) == n
 		})
 	}
 	var left atomic.Bool
@@ -121,7 +125,7 @@
 
 // A second answer that comes after the first is no answer to the next request. Where it has come the connection is not used
 // again, and from then on connections are left alone for as long as one may still come.
-func TestSecondAnswerIsNobodysAnswer(t *testing.T) {
+func TestUnsolicitedResponseIsNotUsed(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	conns := make(chan net.Conn, 10)
 	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
@@ -135,13 +139,13 @@
 		}
 	})
 	p := testPool()
-	p.settle = testutil.Patience
+	p.settleTime = testutil.Patience
 	u := knownUpstream(t, p, addr)
 	ask := func() net.Conn {
 		t.Helper()
-		o := run(p.exchange(u, testutil.Patience, testRequest("GET")))
+		o := run(p.newExchange(u, testutil.Patience, testRequest("GET")))
 		wantResult(t, o, balancer.OK)
-		if got := string(o.Answer.(*httpmsg.Answer).Body); got != "ok" {
+		if got := string(o.Answer.(*httpmsg.Response).Body); got != "ok" {
 			t.Errorf("a request got %q", got)
 		}
 		return testutil.Receive(t, conns, "the request")
@@ -151,7 +155,7 @@
 		t.Error("a second connection where nothing speaks for it")
 	}
 	io.WriteString(first, second)
-	testutil.Until(t, "the second answer", func() bool { return u.idle[0].look() == netpeek.Spoke })
+	testutil.Until(t, "the second answer", func() bool { return u.idle[0].peek() == netpeek.Readable })
 	next := ask()
 	if next == first {
 		t.Error("the connection that has spoken unasked is used again")
@@ -159,7 +163,7 @@
 	if ask() == next {
 		t.Error("the next request followed at once where a second answer may come")
 	}
-	if len(u.idle) != 2 || p.open != 2 {
-		t.Errorf("%d idle connections and %d places, want 2", len(u.idle), p.open)
+	if len(u.idle) != 2 || p.openConns != 2 {
+		t.Errorf("%d idle connections and %d places, want 2", len(u.idle), p.openConns)
 	}
 }
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -21,22 +21,22 @@
 )
 
 func testPool() *Pool {
-	return New(Config{Connect: time.Second, Idle: 15 * time.Second, Grace: 250 * time.Millisecond, Conns: 100})
+	return New(Config{ConnectTimeout: time.Second, UpstreamIdleTimeout: 15 * time.Second, DrainGrace: 250 * time.Millisecond, MaxConns: 100})
 }
 
 // active lists upstream "s" at addr.
-func active(addr string) []engine.Endpoint {
+func activeEndpoints(addr string) []engine.Endpoint {
 	return []engine.Endpoint{{ID: "s", Addr: addr, Zone: "a", Kind: "m"}}
 }
 
-func draining(m []engine.Endpoint) []engine.Endpoint {
+func drainingEndpoints(m []engine.Endpoint) []engine.Endpoint {
 	m[0].State = balancer.Draining
 	return m
 }
 
 func knownUpstream(t *testing.T, p *Pool, addr string) *upstream {
 	t.Helper()
-	p.Update(true, active(addr), time.Now())
+	p.Update(true, activeEndpoints(addr), time.Now())
 	u := p.find("s")
 	if u == nil {
 		t.Fatal("the upstream is not known")
@@ -48,7 +48,7 @@
 func testRequest(method string) func(time.Duration) *http.Request {
 	r := &httpmsg.Request{Method: method, URI: "/pay/x?y=1", Host: "service.internal", Header: http.Header{
 		"X-Request-Id": {"1"}, "Idempotency-Key": {"k"}}, Body: []byte("body")}
-	return func(left time.Duration) *http.Request { return onward(r, left) }
+	return func(left time.Duration) *http.Request { return forwardedRequest(r, left) }
 }
 
 func run(x *exchange) engine.Outcome { return x.Run(nil) }
@@ -60,7 +60,7 @@
 	}
 }
 
-func body(o engine.Outcome) string { return string(o.Answer.(*httpmsg.Answer).Body) }
+func bodyOf(o engine.Outcome) string { return string(o.Answer.(*httpmsg.Response).Body) }
 
 // What comes back decides whether a request may be sent again, so each answer must be told for what it is. Guards
 // against an unsafe request that may have run and looks as if it had not.
@@ -84,8 +84,8 @@
 		"broken in the head":  {"HTTP/1.1 200 OK\r\nConte", balancer.Reset},
 		"broken in the body":  {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.Reset},
 		"cut chunk":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok", balancer.Reset},
-		"oversized":           {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", leastAnswer+1, strings.Repeat("x", leastAnswer+1)), balancer.ServerError},
-		"oversized chunk":     {fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", leastAnswer+1, strings.Repeat("x", leastAnswer+1)), balancer.ServerError},
+		"oversized":           {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", minMaxResponseBytes+1, strings.Repeat("x", minMaxResponseBytes+1)), balancer.ServerError},
+		"oversized chunk":     {fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", minMaxResponseBytes+1, strings.Repeat("x", minMaxResponseBytes+1)), balancer.ServerError},
 		"noise":               {"\x9b\xdc3y\n\n", balancer.ServerError},
 		"no status":           {"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok", balancer.ServerError},
 		"no such line":        {"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", balancer.ServerError},
@@ -104,17 +104,17 @@
 				conn.Close()
 			})
 			p := testPool()
-			o := run(p.exchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
+			o := run(p.newExchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
 			wantResult(t, o, c.want)
-			if o.Result == balancer.OK && body(o) != "ok" {
-				t.Errorf("body %q", body(o))
+			if o.Result == balancer.OK && bodyOf(o) != "ok" {
+				t.Errorf("body %q", bodyOf(o))
 			}
 		})
 	}
 }
 
 // Guards against spoilt answers whose connection stays open: what cannot end well ends soon.
-func TestSpoiltAnswerOnOpenConnection(t *testing.T) {
+func TestMalformedResponseEndsTheAttempt(t *testing.T) {
 	for name, reply := range map[string]string{
 		"huge":             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx",
 		"head without end": "HTTP/1.1 200 OK\r\nX-More: ",
@@ -130,9 +130,9 @@
 				close(closed)
 			})
 			p := testPool()
-			o := run(p.exchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
+			o := run(p.newExchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
 			wantResult(t, o, balancer.ServerError)
-			if name == "huge" && !errors.Is(o.Err, errLong) {
+			if name == "huge" && !errors.Is(o.Err, errResponseTooLong) {
 				t.Errorf("it was read: %v", o.Err)
 			}
 			testutil.Receive(t, closed, "the connection's end")
@@ -144,28 +144,28 @@
 }
 
 // Guards against taking an answer that is long, and comes in pieces, for a spoilt one.
-func TestLongAnswer(t *testing.T) {
-	long := strings.Repeat("x", leastAnswer/2)
+func TestLongResponse(t *testing.T) {
+	long := strings.Repeat("x", minMaxResponseBytes/2)
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		testutil.ReadRequest(r)
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
 		for _, cut := range []int{20, 30, 1000, len(text) - 1050} { // with pauses that together are longer than one may be
 			io.WriteString(conn, text[:cut])
 			text = text[cut:]
-			time.Sleep(testPool().dial.Timeout * 2 / 5)
+			time.Sleep(testPool().dialer.Timeout * 2 / 5)
 		}
 	})
 	p := testPool()
-	o := run(p.exchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
+	o := run(p.newExchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
 	wantResult(t, o, balancer.OK)
-	if body(o) != long {
-		t.Errorf("%d bytes came", len(body(o)))
+	if bodyOf(o) != long {
+		t.Errorf("%d bytes came", len(bodyOf(o)))
 	}
 }
 
 // Guards against serving a client with what belongs to another: a connection on which more came than the answer is
 // not used again, whether that was seen with the answer or comes later.
-func TestMoreThanTheAnswer(t *testing.T) {
+func TestConnectionWithExcessBytesIsNotReused(t *testing.T) {
 	for name, more := range map[string]bool{"with it": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			conns := make(chan net.Conn, 2)
@@ -180,24 +180,24 @@
 			})
 			p := testPool()
 			u := knownUpstream(t, p, addr)
-			wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+			wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
 			if first := testutil.Receive(t, conns, "the first request"); more {
 				io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
-				for end := time.Now().Add(testutil.Patience); u.idle[0].look() == netpeek.Silent && time.Now().Before(end); {
+				for end := time.Now().Add(testutil.Patience); u.idle[0].peek() == netpeek.Idle && time.Now().Before(end); {
 					runtime.Gosched()
 				}
 			}
-			o := run(p.exchange(u, testutil.Patience, testRequest("POST")))
+			o := run(p.newExchange(u, testutil.Patience, testRequest("POST")))
 			wantResult(t, o, balancer.OK)
-			if body(o) != "ok" {
-				t.Errorf("served %q", body(o))
+			if bodyOf(o) != "ok" {
+				t.Errorf("served %q", bodyOf(o))
 			}
 		})
 	}
 }
 
 // Guards against writing to the process that an upstream was before: a connection opened to it is not kept, nor used.
-func TestConnectionOfAnOlderProcess(t *testing.T) {
+func TestConnectionToAFormerProcessIsNotReused(t *testing.T) {
 	came, release := make(chan int, 2), make(chan bool)
 	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
@@ -209,14 +209,14 @@
 	p := testPool()
 	u := knownUpstream(t, p, addr)
 	done := make(chan engine.Outcome, 1)
-	go func() { done <- run(p.exchange(u, testutil.Patience, testRequest("POST"))) }()
+	go func() { done <- run(p.newExchange(u, testutil.Patience, testRequest("POST"))) }()
 	testutil.Receive(t, came, "the first request")
-	restarted := active(addr)
+	restarted := activeEndpoints(addr)
 	restarted[0].StartedAtMS = 5
 	p.Update(false, restarted, time.Now())
 	close(release)
 	wantResult(t, testutil.Receive(t, done, "the outcome"), balancer.OK)
-	wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+	wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
 	if n := testutil.Receive(t, came, "the second request"); n != 1 {
 		t.Error("the second request went to the old process")
 	}
@@ -229,15 +229,15 @@
 	}
 	l.Close()
 	p := testPool()
-	wantResult(t, run(p.exchange(knownUpstream(t, p, l.Addr().String()), testutil.Patience, testRequest("POST"))), balancer.ConnectFailed)
-	if p.open != 0 {
-		t.Errorf("%d connections counted as open", p.open)
+	wantResult(t, run(p.newExchange(knownUpstream(t, p, l.Addr().String()), testutil.Patience, testRequest("POST"))), balancer.ConnectFailed)
+	if p.openConns != 0 {
+		t.Errorf("%d connections counted as open", p.openConns)
 	}
 }
 
 // A cut-off machine says nothing. Guards against attempts that hang past their time, and against pooling a connection
 // on which an answer may still come.
-func TestSilentUpstream(t *testing.T) {
+func TestUnresponsiveUpstream(t *testing.T) {
 	for name, c := range map[string]struct {
 		timeout time.Duration
 		want    balancer.Result
@@ -254,7 +254,7 @@
 				closed <- true
 			})
 			p := testPool()
-			x := p.exchange(knownUpstream(t, p, addr), c.timeout, testRequest("POST"))
+			x := p.newExchange(knownUpstream(t, p, addr), c.timeout, testRequest("POST"))
 			done := make(chan engine.Outcome, 1)
 			go func() { done <- run(x) }()
 			testutil.Receive(t, came, "the request")
@@ -289,8 +289,8 @@
 	u := knownUpstream(t, p, addr)
 	for _, method := range []string{"GET", "POST"} {
 		before := copies.Load()
-		wantResult(t, run(p.exchange(u, testutil.Patience, testRequest(method))), balancer.OK)
-		wantResult(t, run(p.exchange(u, testutil.Patience, testRequest(method))), balancer.Reset)
+		wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest(method))), balancer.OK)
+		wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest(method))), balancer.Reset)
 		if got := copies.Load() - before; got != 2 {
 			t.Errorf("%s: %d copies came, want 2", method, got)
 		}
@@ -299,7 +299,7 @@
 
 // Guards against a request written to an idle connection that the upstream has closed: it would count as reset, and
 // an unsafe one could not be sent again.
-func TestClosedIdleConnectionIsNoticed(t *testing.T) {
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
@@ -309,23 +309,23 @@
 	})
 	p := testPool()
 	u := knownUpstream(t, p, addr)
-	wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+	wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
 	testutil.Receive(t, conns, "the first request").Close()
 	if len(u.idle) != 1 {
 		t.Fatalf("%d idle connections, want 1", len(u.idle))
 	}
-	for end := time.Now().Add(testutil.Patience); u.idle[0].look() == netpeek.Silent && time.Now().Before(end); {
+	for end := time.Now().Add(testutil.Patience); u.idle[0].peek() == netpeek.Idle && time.Now().Before(end); {
 		runtime.Gosched()
 	}
-	wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
-	if p.open != 1 {
-		t.Errorf("%d connections counted as open, want 1", p.open)
+	wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+	if p.openConns != 1 {
+		t.Errorf("%d connections counted as open, want 1", p.openConns)
 	}
 }
 
 // Connections are kept, since a new one costs the upstream work, but not as long as the upstream keeps them: what is
 // written to one that it is about to close is lost.
-func TestIdleConnectionsAreReusedAndRetired(t *testing.T) {
+func TestIdleConnectionsAreReusedAndExpire(t *testing.T) {
 	numbers := make(chan int, 3)
 	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
@@ -337,35 +337,35 @@
 	u := knownUpstream(t, p, addr)
 	for i, want := range []int{0, 0, 1} {
 		if i == 2 {
-			u.idle[0].since = time.Now().Add(-p.idle)
+			u.idle[0].idleSince = time.Now().Add(-p.maxIdle)
 		}
-		wantResult(t, run(p.exchange(u, testutil.Patience, testRequest("GET"))), balancer.OK)
+		wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("GET"))), balancer.OK)
 		if got := testutil.Receive(t, numbers, "a request"); got != want {
 			t.Errorf("request %d came on connection %d, want %d", i, got, want)
 		}
 	}
-	if p.idle >= 15*time.Second {
-		t.Errorf("idle connections are kept for %v, as long as upstreams keep them", p.idle)
+	if p.maxIdle >= 15*time.Second {
+		t.Errorf("idle connections are kept for %v, as long as upstreams keep them", p.maxIdle)
 	}
-	p.Update(false, draining(active(addr)), time.Now())
-	if len(u.idle) != 0 || p.open != 0 {
-		t.Errorf("%d idle and %d open connections to an upstream that left", len(u.idle), p.open)
+	p.Update(false, drainingEndpoints(activeEndpoints(addr)), time.Now())
+	if len(u.idle) != 0 || p.openConns != 0 {
+		t.Errorf("%d idle and %d open connections to an upstream that left", len(u.idle), p.openConns)
 	}
 }
 
 // Guards against a dial that finishes late: after the request's final answer nothing is sent for it, and after an
 // upstream's grace nothing is sent to it.
-func TestLateDialIsNotWritten(t *testing.T) {
+func TestNothingIsWrittenAfterCancelOrRemoval(t *testing.T) {
 	for name, c := range map[string]struct {
 		before func(p *Pool, x *exchange, addr string)
 		want   balancer.Result
 	}{
 		"answered": {func(_ *Pool, x *exchange, _ string) { x.CancelUnsent() }, balancer.Cancelled},
 		"drained": {func(p *Pool, _ *exchange, addr string) {
-			p.Update(false, draining(active(addr)), time.Now().Add(-p.grace))
+			p.Update(false, drainingEndpoints(activeEndpoints(addr)), time.Now().Add(-p.drainGrace))
 		}, balancer.NotSent},
 		"gone from a whole list": {func(p *Pool, _ *exchange, _ string) {
-			p.Update(true, nil, time.Now().Add(-p.grace))
+			p.Update(true, nil, time.Now().Add(-p.drainGrace))
 		}, balancer.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -376,7 +376,7 @@
 				}
 			})
 			p := testPool()
-			x := p.exchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST"))
+			x := p.newExchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST"))
 			c.before(p, x, addr)
 			wantResult(t, run(x), c.want)
 			if copies.Load() != 0 {
@@ -401,24 +401,24 @@
 		}
 	})
 	p := testPool()
-	p.max = 1
+	p.maxConns = 1
 	var full atomic.Int32
-	p.full = func() { full.Add(1) }
-	hosts := append(active(addr), engine.Endpoint{ID: "other", Addr: answering})
+	p.onConnLimit = func() { full.Add(1) }
+	hosts := append(activeEndpoints(addr), engine.Endpoint{ID: "other", Addr: answering})
 	p.Update(true, hosts, time.Now())
-	wantResult(t, run(p.exchange(p.find("other"), testutil.Patience, testRequest("GET"))), balancer.OK)
-	first := p.exchange(p.find("s"), testutil.Patience, testRequest("GET"))
+	wantResult(t, run(p.newExchange(p.find("other"), testutil.Patience, testRequest("GET"))), balancer.OK)
+	first := p.newExchange(p.find("s"), testutil.Patience, testRequest("GET"))
 	done := make(chan engine.Outcome, 1)
 	go func() { done <- run(first) }()
 	testutil.Receive(t, came, "the request that takes the idle connection's place")
-	wantResult(t, run(p.exchange(p.find("s"), testutil.Patience, testRequest("GET"))), balancer.NotSent)
+	wantResult(t, run(p.newExchange(p.find("s"), testutil.Patience, testRequest("GET"))), balancer.NotSent)
 	// Guards against bursts that burn all attempts in a moment: who comes too many waits for a while.
 	second := make(chan engine.Outcome, 1)
-	p.dial.Timeout = testutil.Patience
-	go func() { second <- run(p.exchange(p.find("other"), testutil.Patience, testRequest("GET"))) }()
+	p.dialer.Timeout = testutil.Patience
+	go func() { second <- run(p.newExchange(p.find("other"), testutil.Patience, testRequest("GET"))) }()
 	for begun, waits := time.Now(), false; !waits && time.Since(begun) < testutil.Patience; runtime.Gosched() {
 		p.mu.Lock()
-		waits = len(p.waiting) > 0
+		waits = len(p.waiters) > 0
 		p.mu.Unlock()
 	}
 	first.cancel()
@@ -442,17 +442,17 @@
 		"queue=1e300":                  {},
 		"":                             {},
 	} {
-		if got := load(&httpmsg.Answer{Status: 200, Body: []byte(text)}); got != want {
+		if got := loadReportFromResponse(&httpmsg.Response{Status: 200, Body: []byte(text)}); got != want {
 			t.Errorf("%q: %+v, want %+v", text, got, want)
 		}
 	}
-	if got := load(&httpmsg.Answer{Status: 503, Body: []byte("queue=3")}); got.Reported {
+	if got := loadReportFromResponse(&httpmsg.Response{Status: 503, Body: []byte("queue=3")}); got.Reported {
 		t.Error("a failed probe told something")
 	}
 }
 
 // A probe has to reach the load report and bring the queue to the module.
-func TestProbeTellsTheQueue(t *testing.T) {
+func TestProbeReturnsTheLoadReport(t *testing.T) {
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for req := testutil.ReadRequest(r); req != nil; req = testutil.ReadRequest(r) {
 			if req.URL.Path == "/metrics/load" && req.Method == "GET" {
@@ -472,7 +472,7 @@
 }
 
 // A whole answer that is none to its request is an error of the node's, which has run it; others are not asked about.
-func TestAnswerThatIsNone(t *testing.T) {
+func TestResponseCheck(t *testing.T) {
 	for _, c := range []struct {
 		status string
 		err    error
@@ -484,8 +484,8 @@
 			}
 		})
 		p := testPool()
-		p.Update(true, active(addr), time.Now())
-		call := &engine.Call{Payload: &httpmsg.Request{Method: "POST", URI: "/x", Host: "h", Header: http.Header{}, Check: func(a *httpmsg.Answer) error {
+		p.Update(true, activeEndpoints(addr), time.Now())
+		call := &engine.Call{Payload: &httpmsg.Request{Method: "POST", URI: "/x", Host: "h", Header: http.Header{}, Check: func(a *httpmsg.Response) error {
 			if string(a.Body) != "ok" {
 				t.Errorf("asked about %q", a.Body)
 			}
--- a/internal/transport/http1/answer.go
+++ b/internal/transport/http1/response.go
@@ -15,27 +15,27 @@
 )
 
 var (
-	errLong       = errors.New("the answer is too long")
-	errEndless    = errors.New("the answer's end cannot be told")
-	errUnsendable = errors.New("the request cannot be written")
+	errResponseTooLong   = errors.New("the answer is too long")
+	errNoResponseLength  = errors.New("the answer's end cannot be told")
+	errUnwritableRequest = errors.New("the request cannot be written")
 )
 
 // startBody is what the body of an answer is given room for at first.
-const startBody = 64 << 10
+const initialBodyBuffer = 64 << 10
 
 // readAnswer reads a whole answer with a body of at most most bytes. Guards against spoilt answers whose connection
 // stays open: heads without end, and lengths that do not fit. One that has begun may pause, but not for long.
-func (c *conn) readAnswer(most int64) (*http.Response, []byte, error) {
+func (c *conn) readResponse(most int64) (*http.Response, []byte, error) {
 	for {
-		if _, err := c.r.Peek(1); err != nil {
+		if _, err := c.reader.Peek(1); err != nil {
 			return nil, nil, err
 		}
-		c.late = time.AfterFunc(c.stall, func() { c.SetReadDeadline(time.Unix(1, 0)) })
-		resp, body, err := c.readOne(most)
-		if !c.late.Stop() && err == nil {
+		c.stallTimer = time.AfterFunc(c.stallTimeout, func() { c.SetReadDeadline(time.Unix(1, 0)) })
+		resp, body, err := c.readOneResponse(most)
+		if !c.stallTimer.Stop() && err == nil {
 			resp.Close = true // the deadline may be set, or be set yet
 		}
-		c.late = nil
+		c.stallTimer = nil
 		if err != nil || resp.StatusCode >= 200 {
 			return resp, body, err
 		}
@@ -43,13 +43,13 @@
 }
 
 // readOne reads one whole answer; an interim one, which says nothing yet, has no body.
-func (c *conn) readOne(most int64) (*http.Response, []byte, error) {
-	head, err := c.head()
+func (c *conn) readOneResponse(most int64) (*http.Response, []byte, error) {
+	head, err := c.peekHead()
 	if err != nil {
 		return nil, nil, err
 	}
 	measured := bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length"))
-	resp, err := http.ReadResponse(c.r, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	switch {
 	case err != nil:
 		return nil, nil, err
@@ -57,25 +57,25 @@
 		resp.ContentLength < 0 && (measured || len(resp.TransferEncoding) == 0):
 		// Guards against answers cut short: with neither length nor chunks a broken connection looks like the end,
 		// and of both net/http hides the length.
-		return nil, nil, errEndless
+		return nil, nil, errNoResponseLength
 	case resp.ContentLength > most: // guards against reading what will be of no use
-		return nil, nil, errLong
+		return nil, nil, errResponseTooLong
 	}
 	var body bytes.Buffer
-	body.Grow(int(min(max(resp.ContentLength, 0), startBody)) + bytes.MinRead)
+	body.Grow(int(min(max(resp.ContentLength, 0), initialBodyBuffer)) + bytes.MinRead)
 	_, err = body.ReadFrom(io.LimitReader(resp.Body, most+1))
 	if err == nil && int64(body.Len()) > most {
-		err = errLong
+		err = errResponseTooLong
 	}
 	return resp, body.Bytes(), err
 }
 
 // head returns the bytes of an answer's head, the first ones where it is longer than the buffer, or why it did not
 // come whole.
-func (c *conn) head() ([]byte, error) {
-	for n := 1; ; n = c.r.Buffered() + 1 {
-		_, err := c.r.Peek(n)
-		text, _ := c.r.Peek(c.r.Buffered())
+func (c *conn) peekHead() ([]byte, error) {
+	for n := 1; ; n = c.reader.Buffered() + 1 {
+		_, err := c.reader.Peek(n)
+		text, _ := c.reader.Peek(c.reader.Buffered())
 		for _, end := range []string{"\r\n\r\n", "\n\n"} {
 			if i := bytes.Index(text, []byte(end)); i >= 0 {
 				return text[:i], nil
@@ -90,7 +90,7 @@
 	}
 }
 
-func result(resp *http.Response) balancer.Result {
+func resultFromResponse(resp *http.Response) balancer.Result {
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return balancer.OK
@@ -99,7 +99,7 @@
 			return balancer.Overloaded
 		}
 	}
-	if httpmsg.TurnedDown(resp.StatusCode) {
+	if httpmsg.IsRequestError(resp.StatusCode) {
 		return balancer.NotSent
 	}
 	return balancer.ServerError
@@ -113,7 +113,7 @@
 }
 
 // load reads what a probe's answer says of the requests that the upstream holds.
-func load(a *httpmsg.Answer) balancer.LoadReport {
+func loadReportFromResponse(a *httpmsg.Response) balancer.LoadReport {
 	if a == nil || a.Status != http.StatusOK {
 		return balancer.LoadReport{}
 	}
