--- a/internal/httpmsg/httpmsg.go
+++ b/internal/httpmsg/httpmsg.go
@@ -1,5 +1,5 @@
-// Package httpmsg holds what the HTTP fronts and the HTTP transport both know of a message: its parts, the platform's
-// header names, and which headers belong to one connection (RFC 9110, section 7.6.1).
+// Package httpmsg defines what the HTTP fronts and the HTTP transport share of a message: its parts, the names of the
+// platform's headers, and which headers belong to one connection (RFC 9110, section 7.6.1).
 package httpmsg
 
 import (
@@ -8,48 +8,59 @@
 	"strings"
 )
 
-// Names of the platform's headers.
+// Names of the platform's headers, cookie and path.
 const (
 	RequestIDHeader      = "X-Request-Id"
 	ClassHeader          = "X-Class"
 	TenantHeader         = "X-Tenant"
-	DeadlineHeader       = "X-Deadline-Ms"
-	CostHintHeader       = "X-Cost-Hint"
+	DeadlineHeader       = "X-Deadline-Ms" // the time left, in milliseconds
+	CostHintHeader       = "X-Cost-Hint"   // the expected work, in microseconds
 	IdempotencyKeyHeader = "Idempotency-Key"
-	NotRunHeader         = "X-Not-Run" // with which a node says that it turned a request away unseen
-	LoadHeader           = "X-Load"
-	AffinityCookie       = "user"
+	NotRunHeader         = "X-Not-Run" // "1" in the response of a node that rejected the request without running it
+	LoadHeader           = "X-Load"    // the load report in the response to a probe
 
-	LoadPath = "/metrics/load" // of a probe
+	AffinityCookie = "user"          // its value is the affinity key
+	LoadPath       = "/metrics/load" // the path of a probe
 )
 
-// MaxBody is what the body of a request may hold, in bytes.
+// MaxBodyBytes is the limit on the body of a request.
 const MaxBodyBytes = 64 << 10
 
-// Request is what goes on to a node. Nobody changes one once it was handed on.
+// Request is a request as it is forwarded to a node. It is not changed once it was handed to the engine.
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// Check says why an answer with status 200 is none to this request, such as another's or half of one; nil: any is.
-	// The transport calls it from the attempt's goroutine, and takes what it turns down for an error of the node's.
+	// Check reports why a response with status 200 cannot be used, such as one to another request or half of one; nil
+	// accepts any. The transport calls it from the attempt's goroutine, and takes an error for one of the node.
 	Check func(*Response) error
 }
 
-// Answer is what a client gets.
+// Response is a response to a client.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Value is what the request's Check has made of the body; nil: nothing.
+	// Value is what the request's Check decoded from the body; nil: nothing.
 	Value any
 }
 
-// hopByHop headers belong to one connection and are not passed on.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
-	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
+// hopByHopHeaders belong to one connection and are not forwarded, nor is Content-Length, which net/http writes anew.
+var hopByHopHeaders = []string{
+	"Connection",
+	"Keep-Alive",
+	"Proxy-Authenticate",
+	"Proxy-Authorization",
+	"Proxy-Connection",
+	"Te",
+	"Trailer",
+	"Transfer-Encoding",
+	"Upgrade",
+	"Expect",
+	"Content-Length",
+}
 
-// Onward returns the headers that go on to the other side.
+// EndToEndHeaders returns a copy of h without the headers that belong to one connection.
 func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
@@ -57,14 +68,14 @@
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// TurnedDown says that a status blames the request, which no other node will take either: the client gets it as it
-// is. Guards against blaming the nodes for what one client sends.
+// IsRequestError reports whether a status means that the request is at fault. No other node would accept it either, so
+// the client gets the response as it is. This prevents nodes from being blamed for what one client sends.
 func IsRequestError(status int) bool {
 	return status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
--- a/internal/netpeek/netpeek.go
+++ b/internal/netpeek/netpeek.go
@@ -1,4 +1,4 @@
-// Package netpeek looks at what a connection's other side has sent, without taking it.
+// Package netpeek reports what the peer of a TCP connection has sent, without reading it.
 package netpeek
 
 import (
@@ -9,17 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what can be seen of the other side.
+// State is the state of a connection as far as the kernel knows it.
 type State int
 
-// The states.
+// The states of a connection.
 const (
-	Idle     State = iota // it is there, and has said nothing that was not read
-	Readable              // something waits to be read
-	Closed                // it has closed, or broken the connection
+	Idle     State = iota // open, with nothing to read
+	Readable              // there is something to read
+	Closed                // the peer has closed or reset it
 )
 
-// At looks at a TCP connection, at once, also while another goroutine waits to read from it.
+// Peek returns the state of a TCP connection. It does not block, also while another goroutine waits in Read. What is
+// not a TCP connection, or was closed on this side, is Closed.
 func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -30,7 +31,8 @@
 		return Closed
 	}
 	state := Closed
-	raw.Control(func(fd uintptr) { // Read would wait for whoever reads
+	// Control, since raw.Read would wait for a goroutine that reads. It fails only where c was closed on this side.
+	_ = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
@@ -43,8 +45,8 @@
 	return state
 }
 
-// Closed looks whether the other side has closed or broken a connection, also behind bytes that nobody has read yet. Half a
-// close, of its sending alone, looks the same.
+// PeerClosed reports whether the peer has closed or reset a TCP connection, also behind bytes that nobody has read
+// yet. A peer that has closed its sending half only looks the same. It does not block.
 func PeerClosed(c net.Conn) bool {
 	switch Peek(c) {
 	case Closed:
@@ -57,7 +59,7 @@
 		return true
 	}
 	closed := false
-	raw.Control(func(fd uintptr) {
+	_ = raw.Control(func(fd uintptr) { // fails only where c was closed on this side
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		closed = err == nil && info.State != unix.BPF_TCP_ESTABLISHED && info.State != unix.BPF_TCP_SYN_RECV
 	})
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -7,93 +7,105 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each state is told, also while somebody waits to read, and nothing is taken.
-func TestPeek(t *testing.T) {
+// connect returns the two ends of a TCP connection on loopback, which are closed when the test ends.
+func connect(t *testing.T) (local, peer *net.TCPConn) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	there, err := net.Dial("tcp", l.Addr().String())
+	dialled, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	here, err := l.Accept()
+	t.Cleanup(func() { dialled.Close() })
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer here.Close()
+	t.Cleanup(func() { accepted.Close() })
+	return accepted.(*net.TCPConn), dialled.(*net.TCPConn)
+}
+
+func write(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := c.Write([]byte(text)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Each state is recognized, also while a goroutine waits in Read, and nothing is consumed.
+func TestPeek(t *testing.T) {
+	local, peer := connect(t)
 	read := make(chan byte, 1)
-	first := make(chan bool)
+	start := make(chan bool)
 	go func() {
 		var b [1]byte
-		<-first
-		here.Read(b[:])
+		<-start
+		_, _ = local.Read(b[:]) // the byte shows whether it failed
 		read <- b[0]
 	}()
-	if Peek(here) != Idle {
-		t.Error("not silent")
+	if Peek(local) != Idle {
+		t.Error("not idle")
 	}
-	there.Write([]byte("xy"))
-	testutil.Until(t, "what was written", func() bool { return Peek(here) == Readable })
-	close(first)
-	if b := testutil.Receive(t, read, "a byte"); b != 'x' || Peek(here) != Readable {
+	write(t, peer, "xy")
+	testutil.Until(t, "what was written", func() bool { return Peek(local) == Readable })
+	close(start)
+	if b := testutil.Receive(t, read, "a byte"); b != 'x' || Peek(local) != Readable {
 		t.Errorf("%c was read", b)
 	}
 	var rest [1]byte
-	here.Read(rest[:])
-	go func() { here.Read(make([]byte, 1)) }() // waits
-	if Peek(here) != Idle {
-		t.Error("not silent while somebody waits")
+	if _, err := local.Read(rest[:]); err != nil {
+		t.Fatal(err)
+	}
+	go func() { _, _ = local.Read(make([]byte, 1)) }() // waits until the peer closes
+	if Peek(local) != Idle {
+		t.Error("not idle while a goroutine waits in Read")
 	}
-	there.Close()
-	testutil.Until(t, "the close", func() bool { return Peek(here) == Closed })
-	one, _ := net.Pipe()
-	if Peek(one) != Closed {
-		t.Error("what has no descriptor")
+	peer.Close()
+	testutil.Until(t, "the close", func() bool { return Peek(local) == Closed })
+	pipe, _ := net.Pipe()
+	if Peek(pipe) != Closed {
+		t.Error("a connection without a descriptor is not closed")
 	}
 }
 
-// A close is seen behind what nobody has read, and only where there is one.
+// A close is noticed behind bytes that nobody has read, and only where there is one.
 func TestPeerClosed(t *testing.T) {
 	for name, c := range map[string]struct {
-		text  string
-		end   func(*net.TCPConn)
-		close bool
+		text   string
+		action func(*net.TCPConn) error
+		closed bool
 	}{
-		"silent":          {"", func(*net.TCPConn) {}, false},
-		"spoke":           {"x", func(*net.TCPConn) {}, false},
-		"FIN":             {"", func(c *net.TCPConn) { c.Close() }, true},
-		"half of it":      {"", func(c *net.TCPConn) { c.CloseWrite() }, true},
-		"FIN behind text": {"xyz", func(c *net.TCPConn) { c.Close() }, true},
-		"reset":           {"xyz", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, true},
+		"idle":            {"", func(*net.TCPConn) error { return nil }, false},
+		"readable":        {"x", func(*net.TCPConn) error { return nil }, false},
+		"FIN":             {"", (*net.TCPConn).Close, true},
+		"half-closed":     {"", (*net.TCPConn).CloseWrite, true},
+		"FIN behind text": {"xyz", (*net.TCPConn).Close, true},
+		"reset":           {"xyz", reset, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer l.Close()
-			there, err := net.Dial("tcp", l.Addr().String())
-			if err != nil {
-				t.Fatal(err)
+			local, peer := connect(t)
+			write(t, peer, c.text)
+			if c.text != "" {
+				testutil.Until(t, "the text", func() bool { return Peek(local) == Readable })
 			}
-			defer there.Close()
-			here, err := l.Accept()
-			if err != nil {
+			if err := c.action(peer); err != nil {
 				t.Fatal(err)
 			}
-			defer here.Close()
-			there.Write([]byte(c.text))
-			if c.text != "" {
-				testutil.Until(t, "the text", func() bool { return Peek(here) == Readable })
-			}
-			c.end(there.(*net.TCPConn))
-			if c.close {
-				testutil.Until(t, "the close", func() bool { return PeerClosed(here) })
-			} else if PeerClosed(here) {
+			if c.closed {
+				testutil.Until(t, "the close", func() bool { return PeerClosed(local) })
+			} else if PeerClosed(local) {
 				t.Error("closed")
 			}
 		})
 	}
 }
+
+func reset(c *net.TCPConn) error {
+	if err := c.SetLinger(0); err != nil {
+		return err
+	}
+	return c.Close()
+}
--- a/internal/transport/http1/crossing_test.go
+++ b/internal/transport/http1/crossing_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"io"
 	"net"
 	"net/http"
 	"sync/atomic"
@@ -17,25 +16,45 @@
 	"hazelwing/internal/testutil"
 )
 
-// Where two events cross at a connection to an upstream: docs/design/crossings.md has the table.
+// Races between two events at a connection to an upstream: docs/design/crossings.md has the table.
 
-// A client leaves, or a drain is told, while its attempt waits for a dial: the connection comes up, and nothing is written to
-// it. It is kept where others may use it, and no place is lost.
+// A client disconnects, or a drain is notified, while an attempt waits for a dial: the connection is established, and
+// nothing is written to it. It is retained where others may use it, and no slot is lost.
 func TestNothingIsWrittenAfterALateDial(t *testing.T) {
 	for name, c := range map[string]struct {
-		happens func(p *Pool, x *exchange, left *atomic.Bool, addr string)
-		want    balancer.Result
-		open    int
+		event func(p *Pool, x *exchange, disconnected *atomic.Bool, addr string)
+		want  balancer.Result
+		open  int
 	}{
-		"its client left":   {func(_ *Pool, _ *exchange, left *atomic.Bool, _ string) { left.Store(true) }, balancer.NotSent, 1},
-		"it has its answer": {func(_ *Pool, x *exchange, _ *atomic.Bool, _ string) { x.CancelUnsent() }, balancer.Cancelled, 0},
-		"the upstream drains": {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) {
-			p.Update(false, drainingEndpoints(activeEndpoints(a)), time.Now())
-		}, balancer.NotSent, 0},
-		"it is gone": {func(p *Pool, _ *exchange, _ *atomic.Bool, _ string) { p.Update(true, nil, time.Now()) }, balancer.NotSent, 0},
-		"another is there by now": {func(p *Pool, _ *exchange, _ *atomic.Bool, a string) {
-			p.Update(true, restartedEndpoints(a), time.Now())
-		}, balancer.NotSent, 0},
+		"client disconnects": {
+			func(_ *Pool, _ *exchange, disconnected *atomic.Bool, _ string) { disconnected.Store(true) },
+			balancer.NotSent,
+			1,
+		},
+		"call has its result": {
+			func(_ *Pool, x *exchange, _ *atomic.Bool, _ string) { x.CancelUnsent() },
+			balancer.Cancelled,
+			0,
+		},
+		"upstream drains": {
+			func(p *Pool, _ *exchange, _ *atomic.Bool, addr string) {
+				p.Update(false, drainingEndpoints(activeEndpoints(addr)), time.Now())
+			},
+			balancer.NotSent,
+			0,
+		},
+		"upstream is removed": {
+			func(p *Pool, _ *exchange, _ *atomic.Bool, _ string) { p.Update(true, nil, time.Now()) },
+			balancer.NotSent,
+			0,
+		},
+		"upstream restarts": {
+			func(p *Pool, _ *exchange, _ *atomic.Bool, addr string) {
+				p.Update(true, restartedEndpoints(addr), time.Now())
+			},
+			balancer.NotSent,
+			0,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var bytes atomic.Int32
@@ -48,44 +67,49 @@
 			})
 			p := testPool()
 			knownUpstream(t, p, addr)
-			dialling, up := make(chan bool), make(chan bool)
+			dialling, proceed := make(chan bool), make(chan bool)
 			p.dialer.Control = func(string, string, syscall.RawConn) error {
 				dialling <- true
-				<-up
+				<-proceed
 				return nil
 			}
-			var left atomic.Bool
-			call := &engine.Call{Disconnected: left.Load, Payload: &httpmsg.Request{Method: "POST", URI: "/pay/x", Header: http.Header{}, Body: []byte("b")}}
+			var disconnected atomic.Bool
+			call := &engine.Call{Disconnected: disconnected.Load, Payload: newPayload()}
 			x := p.Attempt("s", call, testutil.Patience).(*exchange)
 			done := make(chan engine.Outcome, 1)
 			go func() { done <- run(x) }()
 			testutil.Receive(t, dialling, "the dial")
-			c.happens(p, x, &left, addr)
-			close(up)
+			c.event(p, x, &disconnected, addr)
+			close(proceed)
 			wantResult(t, testutil.Receive(t, done, "the outcome"), c.want)
 			p.mu.Lock()
 			open := p.openConns
 			p.mu.Unlock()
 			if bytes.Load() > 0 || open != c.open {
-				t.Errorf("%d requests were begun, %d places are taken, want %d", bytes.Load(), open, c.open)
+				t.Errorf("%d requests were started, %d slots are in use, want 0 and %d", bytes.Load(), open, c.open)
 			}
 		})
 	}
 }
 
-// reborn lists upstream "s" as another process.
+// newPayload is the request of a call.
+func newPayload() *httpmsg.Request {
+	return &httpmsg.Request{Method: "POST", URI: "/pay/x", Header: http.Header{}, Body: []byte("b")}
+}
+
+// restartedEndpoints is a list of endpoint "s" as another process.
 func restartedEndpoints(addr string) []engine.Endpoint {
-	m := activeEndpoints(addr)
-	m[0].StartedAtMS = 1
-	return m
+	list := activeEndpoints(addr)
+	list[0].StartedAtMS = 1
+	return list
 }
 
-// The same for a place among the open connections: who waited for it hands it on.
+// A client disconnects while its attempt waits for a connection slot: the slot goes to the next one that waits.
 func TestLateConnectionSlotIsPassedOn(t *testing.T) {
-	came := make(chan net.Conn, 3)
+	received := make(chan net.Conn, 3)
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
-			came <- conn
+			received <- conn
 		}
 	})
 	p := testPool()
@@ -93,47 +117,50 @@
 	u := knownUpstream(t, p, addr)
 	first := make(chan engine.Outcome, 1)
 	go func() { first <- run(p.newExchange(u, testutil.Patience, testRequest("POST"))) }()
-	conn := testutil.Receive(t, came, "the first request")
-	waits := func(n int) {
-		testutil.Until(t, "the waiting", func() bool {
+	conn := testutil.Receive(t, received, "the first request")
+	untilWaiters := func(n int) {
+		t.Helper()
+		testutil.Until(t, "the waiting exchanges", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return len(p.waiters) == n
 		})
 	}
-	var left atomic.Bool
+	var disconnected atomic.Bool
 	outcomes := make(chan engine.Outcome, 2)
 	attempt := func(c *engine.Call) {
-		c.Payload = &httpmsg.Request{Method: "POST", URI: "/pay/x", Header: http.Header{}, Body: []byte("b")}
+		c.Payload = newPayload()
 		x := p.Attempt("s", c, testutil.Patience)
 		go func() { outcomes <- x.Run(nil) }()
 	}
-	attempt(&engine.Call{Disconnected: left.Load})
-	waits(1)
+	attempt(&engine.Call{Disconnected: disconnected.Load})
+	untilWaiters(1)
 	attempt(new(engine.Call))
-	waits(2)
-	left.Store(true)
-	io.WriteString(conn, testutil.OKAnswer)
+	untilWaiters(2)
+	disconnected.Store(true)
+	write(conn, testutil.OKAnswer)
 	wantResult(t, testutil.Receive(t, first, "the first outcome"), balancer.OK)
-	wantResult(t, testutil.Receive(t, outcomes, "the outcome of the one that left"), balancer.NotSent)
-	io.WriteString(testutil.Receive(t, came, "the other's request"), testutil.OKAnswer)
+	wantResult(t, testutil.Receive(t, outcomes, "the outcome of the disconnected one"), balancer.NotSent)
+	write(testutil.Receive(t, received, "the other's request"), testutil.OKAnswer)
 	wantResult(t, testutil.Receive(t, outcomes, "the other's outcome"), balancer.OK)
-	if len(came) > 0 {
-		t.Error("the one that left was sent on")
+	if len(received) > 0 {
+		t.Error("the request of the disconnected client was sent")
 	}
 }
 
-// A second answer that comes after the first is no answer to the next request. Where it has come the connection is not used
-// again, and from then on connections are left alone for as long as one may still come.
+// A second response that comes after the first is not taken for that of the next request. The connection that it
+// arrived on is not used again, and from then on connections are not reused for as long as such a response may still
+// come.
 func TestUnsolicitedResponseIsNotUsed(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	conns := make(chan net.Conn, 10)
 	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for i := 0; testutil.ReadRequest(r) != nil; i++ {
 			if n == 1 && i > 0 {
-				io.WriteString(conn, second) // to the first request here, late, and taken for this one's if that was written here
+				// This answers the first request here, late; it would be taken for the response to this one.
+				write(conn, second)
 			} else {
-				io.WriteString(conn, testutil.OKAnswer)
+				write(conn, testutil.OKAnswer)
 			}
 			conns <- conn
 		}
@@ -141,7 +168,7 @@
 	p := testPool()
 	p.settleTime = testutil.Patience
 	u := knownUpstream(t, p, addr)
-	ask := func() net.Conn {
+	request := func() net.Conn {
 		t.Helper()
 		o := run(p.newExchange(u, testutil.Patience, testRequest("GET")))
 		wantResult(t, o, balancer.OK)
@@ -150,20 +177,20 @@
 		}
 		return testutil.Receive(t, conns, "the request")
 	}
-	first := ask()
-	if ask() != first {
-		t.Error("a second connection where nothing speaks for it")
+	first := request()
+	if request() != first {
+		t.Error("a second connection was opened without need")
 	}
-	io.WriteString(first, second)
+	write(first, second)
 	testutil.Until(t, "the second answer", func() bool { return u.idle[0].peek() == netpeek.Readable })
-	next := ask()
+	next := request()
 	if next == first {
-		t.Error("the connection that has spoken unasked is used again")
+		t.Error("the connection with unsolicited data was used again")
 	}
-	if ask() == next {
-		t.Error("the next request followed at once where a second answer may come")
+	if request() == next {
+		t.Error("a connection was reused at once where a second response may come")
 	}
 	if len(u.idle) != 2 || p.openConns != 2 {
-		t.Errorf("%d idle connections and %d places, want 2", len(u.idle), p.openConns)
+		t.Errorf("%d idle connections and %d slots in use, want 2", len(u.idle), p.openConns)
 	}
 }
--- a/internal/transport/http1/response.go
+++ b/internal/transport/http1/response.go
@@ -6,34 +6,32 @@
 	"errors"
 	"io"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
-
-	"hazelwing/balancer"
-	"hazelwing/internal/httpmsg"
 )
 
+// What is wrong with a response whose connection is intact.
 var (
-	errResponseTooLong   = errors.New("the answer is too long")
-	errNoResponseLength  = errors.New("the answer's end cannot be told")
-	errUnwritableRequest = errors.New("the request cannot be written")
+	errResponseTooLong  = errors.New("the answer is too long")
+	errNoResponseLength = errors.New("the answer's end cannot be told")
 )
 
-// startBody is what the body of an answer is given room for at first.
+// initialBodyBuffer limits the bytes that are allocated for the body of a response before any of it has come.
 const initialBodyBuffer = 64 << 10
 
-// readAnswer reads a whole answer with a body of at most most bytes. Guards against spoilt answers whose connection
-// stays open: heads without end, and lengths that do not fit. One that has begun may pause, but not for long.
-func (c *conn) readResponse(most int64) (*http.Response, []byte, error) {
+// readResponse reads a complete response with a body of at most maxBytes. Interim responses are skipped. It limits the
+// head, and how long a response that has begun may pause: this prevents malformed responses whose connection stays
+// open, such as heads without end and lengths that do not fit, from holding the attempt.
+func (c *conn) readResponse(maxBytes int64) (*http.Response, []byte, error) {
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
 			return nil, nil, err
 		}
-		c.stallTimer = time.AfterFunc(c.stallTimeout, func() { c.SetReadDeadline(time.Unix(1, 0)) })
-		resp, body, err := c.readOneResponse(most)
+		c.stallTimer = time.AfterFunc(c.stallTimeout, func() {
+			_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
+		})
+		resp, body, err := c.readOneResponse(maxBytes)
 		if !c.stallTimer.Stop() && err == nil {
-			resp.Close = true // the deadline may be set, or be set yet
+			resp.Close = true // the deadline may have been set, or be about to be
 		}
 		c.stallTimer = nil
 		if err != nil || resp.StatusCode >= 200 {
@@ -42,40 +40,41 @@
 	}
 }
 
-// readOne reads one whole answer; an interim one, which says nothing yet, has no body.
-func (c *conn) readOneResponse(most int64) (*http.Response, []byte, error) {
+// readOneResponse reads one complete response; an interim one has no body. The body is not closed: that would read the
+// rest of one that is too long.
+func (c *conn) readOneResponse(maxBytes int64) (*http.Response, []byte, error) {
 	head, err := c.peekHead()
 	if err != nil {
 		return nil, nil, err
 	}
-	measured := bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length"))
+	hasLength := bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length"))
 	resp, err := http.ReadResponse(c.reader, nil)
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case resp.StatusCode == http.StatusSwitchingProtocols,
-		resp.ContentLength < 0 && (measured || len(resp.TransferEncoding) == 0):
-		// Guards against answers cut short: with neither length nor chunks a broken connection looks like the end,
-		// and of both net/http hides the length.
+		resp.ContentLength < 0 && (hasLength || len(resp.TransferEncoding) == 0):
+		// This prevents truncated responses from passing: with neither a length nor chunks a broken connection looks
+		// like the end, and where there are both net/http hides the length.
 		return nil, nil, errNoResponseLength
-	case resp.ContentLength > most: // guards against reading what will be of no use
+	case resp.ContentLength > maxBytes: // nothing of a body that cannot be used is read
 		return nil, nil, errResponseTooLong
 	}
 	var body bytes.Buffer
 	body.Grow(int(min(max(resp.ContentLength, 0), initialBodyBuffer)) + bytes.MinRead)
-	_, err = body.ReadFrom(io.LimitReader(resp.Body, most+1))
-	if err == nil && int64(body.Len()) > most {
+	_, err = body.ReadFrom(io.LimitReader(resp.Body, maxBytes+1))
+	if err == nil && int64(body.Len()) > maxBytes {
 		err = errResponseTooLong
 	}
 	return resp, body.Bytes(), err
 }
 
-// head returns the bytes of an answer's head, the first ones where it is longer than the buffer, or why it did not
-// come whole.
+// peekHead returns the bytes of a response's head, or the first of them where it is longer than the buffer; the error
+// says why it is incomplete.
 func (c *conn) peekHead() ([]byte, error) {
 	for n := 1; ; n = c.reader.Buffered() + 1 {
 		_, err := c.reader.Peek(n)
-		text, _ := c.reader.Peek(c.reader.Buffered())
+		text, _ := c.reader.Peek(c.reader.Buffered()) // cannot fail: these bytes are buffered
 		for _, end := range []string{"\r\n\r\n", "\n\n"} {
 			if i := bytes.Index(text, []byte(end)); i >= 0 {
 				return text[:i], nil
@@ -89,48 +88,3 @@
 		}
 	}
 }
-
-func resultFromResponse(resp *http.Response) balancer.Result {
-	switch resp.StatusCode {
-	case http.StatusOK:
-		return balancer.OK
-	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if resp.Header.Get(httpmsg.NotRunHeader) == "1" {
-			return balancer.Overloaded
-		}
-	}
-	if httpmsg.IsRequestError(resp.StatusCode) {
-		return balancer.NotSent
-	}
-	return balancer.ServerError
-}
-
-// probeRequest asks for the load report.
-func probeRequest(time.Duration) *http.Request {
-	req, _ := http.NewRequest(http.MethodGet, "http://upstream.internal"+httpmsg.LoadPath, nil)
-	req.Header.Set("User-Agent", "")
-	return req
-}
-
-// load reads what a probe's answer says of the requests that the upstream holds.
-func loadReportFromResponse(a *httpmsg.Response) balancer.LoadReport {
-	if a == nil || a.Status != http.StatusOK {
-		return balancer.LoadReport{}
-	}
-	text := a.Header.Get(httpmsg.LoadHeader)
-	if text == "" {
-		text = string(a.Body)
-	}
-	const most = 10000 // no upstream holds more: what says so is spoilt
-	var l balancer.LoadReport
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(field, "=")
-		if name = strings.TrimSpace(name); name != "inflight" && name != "queue" {
-			continue
-		}
-		if x, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && x >= 0 && x <= most {
-			l.Reported, l.InFlight = true, max(l.InFlight, x)
-		}
-	}
-	return l
-}
