--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -135,7 +135,7 @@
 		"store-inspect": middleware.RecordInfo{
 			Fingerprint: "0123", Class: "pay", Effect: "keyed", State: "open", IntendedAt: at, ExpiresAt: at.Add(time.Minute), Locations: "a/0",
 		},
-		"store-verify": store.Segment{
+		"store-verify": store.SegmentReport{
 			Name: "00000001.log", Bytes: 1, Puts: 2, Deletes: 3, Damaged: 4, Tail: 5, Hint: "good", Fault: "why",
 		},
 		"store-compact": map[string]store.Stats{"before": stats, "after": stats},
--- a/cmd/hazelwing/store.go
+++ b/cmd/hazelwing/store.go
@@ -78,7 +78,7 @@
 	}
 	damaged := false
 	for _, g := range list {
-		damaged = damaged || g.Damaged > 0 || g.Fault != "" || g.Hint == "spoilt"
+		damaged = damaged || g.Damaged > 0 || g.Fault != "" || g.Hint == store.HintDamaged
 	}
 	if asJSON {
 		err = print(out, list)
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -56,7 +56,7 @@
 	if out, err := execute("store", "compact", dir); err != nil || !strings.Contains(out, "2 entries: 1 segments") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	var segments []store.Segment
+	var segments []store.SegmentReport
 	out, err = execute("store", "verify", "--json", dir)
 	if e := json.Unmarshal([]byte(out), &segments); err != nil || e != nil || len(segments) != 1 || segments[0].Puts != 2 {
 		t.Fatalf("%v, %v\n%s", err, e, out)
--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -34,7 +34,7 @@
 // openLog opens the store and restores its records.
 func (d *Deduplicator) openLog(logger *slog.Logger) error {
 	options := d.config.Store
-	options.Log = logger
+	options.Logger = logger
 	// Until restore has resumed the clock nothing has expired: only the stored records say what time it is.
 	options.Now = func() time.Time { return wallTime(d.now().Time) }
 	if d.config.Durability == DurabilityAlways {
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -8,122 +8,122 @@
 	"time"
 )
 
-// Segment is what Check says of one.
-type Segment struct {
+// SegmentReport is what Check reports of a segment.
+type SegmentReport struct {
 	Name    string `json:"name"`
 	Bytes   int64  `json:"bytes"`
 	Puts    int    `json:"puts"`
 	Deletes int    `json:"deletes"`
-	Damaged int64  `json:"damaged"` // bytes between records that are none: the disk has changed them
-	Tail    int64  `json:"tail"`    // bytes behind the last record that are none: the end of a write that a crash cut, mostly
-	Hint    string `json:"hint"`    // good, none, or spoilt
+	Damaged int64  `json:"damaged"` // bytes between records that are not records: the disk has changed them
+	Tail    int64  `json:"tail"`    // bytes after the last record: mostly the end of a write that a crash cut
+	Hint    string `json:"hint"`    // HintGood, HintMissing or HintDamaged
 	Fault   string `json:"fault,omitempty"`
 }
 
-// Check reads all segments of a directory, record by record, and changes nothing: it takes no lock, and a store that is
+// States of a hint file.
+const (
+	HintGood    = "good"
+	HintMissing = "none"
+	HintDamaged = "spoilt"
+)
+
+// Check reads all segments of a directory, record by record, and changes nothing. It takes no lock: a store that is
 // open may change meanwhile. An error means that the directory could not be read.
-func Check(fs FS) ([]Segment, error) {
-	names, err := fs.List()
-	if err != nil {
-		return nil, err
-	}
-	slices.Sort(names)
-	list := []Segment{}
-	for _, name := range names {
-		if n := fileNumber(name, suffix); n > 0 {
-			g, err := check(fs, name, n)
-			if errors.Is(err, os.ErrNotExist) { // a compaction has taken it
-				continue
-			}
-			if err != nil {
-				return list, fmt.Errorf("store: %s: %w", name, err)
-			}
-			list = append(list, g)
-		}
-	}
-	return list, nil
+func Check(fs FS) ([]SegmentReport, error) {
+	list := []SegmentReport{}
+	err := eachSegment(fs, func(name string, number uint64, content []byte) {
+		list = append(list, checkSegment(fs, name, number, content))
+	})
+	return list, err
 }
 
-func check(fs FS, name string, n uint64) (Segment, error) {
-	g := Segment{Name: name, Hint: "none"}
-	b, err := content(fs, name)
+// Read calls visit with every entry of a directory, including expired ones, and changes nothing. It takes no lock: a
+// store that is open may change meanwhile. What it cannot read it leaves out.
+func Read(fs FS, visit func(key string, value []byte, expiresAt time.Time)) error {
+	latest := map[string]record{}
+	err := eachSegment(fs, func(_ string, number uint64, content []byte) {
+		scan(content, number, func(r record, _, _ int64) {
+			if old, ok := latest[r.key]; !ok || old.sequence < r.sequence {
+				latest[r.key] = r
+			}
+		})
+	})
 	if err != nil {
-		return g, err
-	}
-	g.Bytes = int64(len(b))
-	switch v := version(b); {
-	case v == 0:
-		g.Fault = "its header is not whole"
-	case v != magic[len(magic)-1]:
-		g.Fault = fmt.Sprintf("format %d, this program knows %d", v, magic[len(magic)-1])
-	}
-	type entry struct {
-		kind         kind
-		seq          uint64
-		offset, size int64
-		key          string
+		return err
 	}
-	var found, hinted []entry
-	end, damaged := scan(b, n, func(r record, offset, size int64) {
-		if r.kind == put {
-			g.Puts++
-		} else {
-			g.Deletes++
-		}
-		found = append(found, entry{r.kind, r.seq, offset, size, r.key})
-	})
-	g.Damaged, g.Tail = damaged, g.Bytes-end
-	if h, err := content(fs, hintName(n)); err == nil {
-		g.Hint = "spoilt"
-		e, ok := readHint(h, n, func(r *record, offset, size int64) {
-			hinted = append(hinted, entry{r.kind, r.seq, offset, size, r.key})
-		})
-		if ok && e <= g.Bytes && slices.Equal(found, hinted) {
-			g.Hint = "good"
+	for key, r := range latest {
+		if r.kind == kindPut {
+			visit(key, r.value, time.UnixMilli(r.expiresAt))
 		}
 	}
-	return g, nil
+	return nil
 }
 
-// Read calls each with every entry of a directory, expired ones included, and changes nothing: it takes no lock, and a
-// store that is open may change meanwhile. What it cannot read it leaves out.
-func Read(fs FS, each func(key string, value []byte, expires time.Time)) error {
+// eachSegment calls visit with the content of each segment of a directory, in order of their numbers.
+func eachSegment(fs FS, visit func(name string, number uint64, content []byte)) error {
 	names, err := fs.List()
 	if err != nil {
 		return err
 	}
-	latest := map[string]record{}
+	slices.Sort(names)
 	for _, name := range names {
-		n := fileNumber(name, suffix)
-		if n == 0 {
+		number := fileNumber(name, segmentSuffix)
+		if number == 0 {
 			continue
 		}
-		b, err := content(fs, name)
-		if errors.Is(err, os.ErrNotExist) { // a compaction has taken it
+		content, err := readFile(fs, name)
+		if errors.Is(err, os.ErrNotExist) { // a compaction has removed it
 			continue
 		}
 		if err != nil {
 			return fmt.Errorf("store: %s: %w", name, err)
 		}
-		scan(b, n, func(r record, _, _ int64) {
-			if old, ok := latest[r.key]; !ok || old.seq < r.seq {
-				latest[r.key] = r
-			}
-		})
-	}
-	for key, r := range latest {
-		if r.kind == put {
-			each(key, r.value, time.UnixMilli(r.expires))
-		}
+		visit(name, number, content)
 	}
 	return nil
 }
 
-func content(fs FS, name string) ([]byte, error) {
-	f, err := fs.Open(name)
-	if err != nil {
-		return nil, err
+// checkedRecord is what a segment and its hint file both say of a record.
+type checkedRecord struct {
+	kind         recordKind
+	sequence     uint64
+	offset, size int64
+	key          string
+}
+
+func checkSegment(fs FS, name string, number uint64, content []byte) SegmentReport {
+	report := SegmentReport{Name: name, Bytes: int64(len(content)), Hint: HintMissing}
+	switch v := headerVersion(content); {
+	case v == 0:
+		report.Fault = "its header is not whole"
+	case v != formatVersion:
+		report.Fault = fmt.Sprintf("format %d, this program knows %d", v, formatVersion)
+	}
+	var records []checkedRecord
+	end, damaged := scan(content, number, func(r record, offset, size int64) {
+		if r.kind == kindPut {
+			report.Puts++
+		} else {
+			report.Deletes++
+		}
+		records = append(records, checkedRecord{r.kind, r.sequence, offset, size, r.key})
+	})
+	report.Damaged = damaged
+	report.Tail = report.Bytes - end
+	if hint, err := readFile(fs, hintName(number)); err == nil {
+		report.Hint = HintDamaged
+		if isHintOf(hint, number, report.Bytes, records) {
+			report.Hint = HintGood
+		}
 	}
-	defer f.Close()
-	return whole(f)
+	return report
+}
+
+// isHintOf reports whether a hint file lists exactly the given records of a segment.
+func isHintOf(hint []byte, number uint64, segmentSize int64, records []checkedRecord) bool {
+	var hinted []checkedRecord
+	end, ok := decodeHint(hint, number, func(r *record, offset, size int64) {
+		hinted = append(hinted, checkedRecord{r.kind, r.sequence, offset, size, r.key})
+	})
+	return ok && end <= segmentSize && slices.Equal(records, hinted)
 }
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -5,112 +5,146 @@
 	"fmt"
 )
 
-// copyBuffer is how much Compact writes at a time.
-const copyBuffer = 256 << 10
+// copyBufferSize is how much Compact writes at a time, in bytes.
+const copyBufferSize = 256 << 10
 
-// Compact gives back the place of what has expired, was deleted or was replaced. Reads and writes go on meanwhile. After
-// an error the store is as it was, but for a file that the next one takes up.
+// Compact reclaims the space of entries that have expired, were deleted or were replaced. Reads and writes go on
+// meanwhile. After an error the store is as it was, but for a file that the next compaction takes up.
 func (s *Store) Compact() error {
-	s.compacting.Lock()
-	defer s.compacting.Unlock()
+	s.compactMu.Lock()
+	defer s.compactMu.Unlock()
 	var output uint64
 	var sealed []*segment
-	if err := s.do(op{roll: func(n uint64, list []*segment) { output, sealed = n, list }}); err != nil {
+	rotate := func(number uint64, list []*segment) { output, sealed = number, list }
+	if err := s.submit(op{rotate: rotate}); err != nil {
 		return err
 	}
 	if len(sealed) == 0 {
 		return nil
 	}
-	g, moved, err := s.copy(output, sealed)
+	g, moved, err := s.copyLive(output, sealed)
 	if err != nil {
 		return err
 	}
-	now := s.o.Now().UnixMilli()
+	s.replaceSegments(sealed, g, moved)
+	for _, old := range sealed {
+		err = errors.Join(err, old.file.Close())
+	}
+	return errors.Join(err, s.removeFiles(sealed...))
+}
+
+// replaceSegments puts a compacted segment in the place of the old ones. moved has the locations of its entries.
+func (s *Store) replaceSegments(old []*segment, compacted *segment, moved map[string]location) {
+	now := s.options.Now().UnixMilli()
 	s.mu.Lock()
-	s.segments[output] = g
-	g.sealed = true
-	for key, p := range moved {
-		if s.index[key].seq == p.seq {
-			s.index[key] = p
-			g.holds(p)
+	defer s.mu.Unlock()
+	s.segments[compacted.number] = compacted
+	compacted.sealed = true
+	for key, l := range moved {
+		if s.index[key].sequence == l.sequence {
+			s.index[key] = l
+			compacted.addEntry(l)
 		}
 	}
-	old := map[uint64]bool{}
-	for _, x := range sealed {
-		old[x.number] = true
+	isOld := map[uint64]bool{}
+	for _, g := range old {
+		isOld[g.number] = true
 	}
-	for key, p := range s.index { // what was not copied has expired, or cannot be read
-		if old[p.segment] {
-			if p.expires > now {
-				s.damaged += int64(p.size)
+	for key, l := range s.index { // what was not copied has expired, or cannot be read
+		if isOld[l.segment] {
+			if l.expiresAt > now {
+				s.damaged += int64(l.size)
 			}
 			delete(s.index, key)
 		}
 	}
-	for _, x := range sealed {
-		delete(s.segments, x.number)
-	}
-	s.count.compactions++
-	s.compacted = 0
-	for _, x := range s.segments {
-		s.compacted += x.size
+	for _, g := range old {
+		delete(s.segments, g.number)
 	}
-	s.mu.Unlock()
-	for _, x := range sealed {
-		err = errors.Join(err, x.f.Close())
+	s.counters.compactions++
+	s.sizeAfterCompaction = 0
+	for _, g := range s.segments {
+		s.sizeAfterCompaction += g.size
 	}
-	return errors.Join(err, s.remove(sealed...))
 }
 
-// copy writes what counts in sealed segments to a new one, and syncs it.
-func (s *Store) copy(output uint64, sealed []*segment) (*segment, map[string]place, error) {
-	g, err := s.create(output)
+// copier copies records to a new segment.
+type copier struct {
+	*Store
+	output *segment
+	buffer []byte
+	moved  map[string]location
+	now    int64 // Unix ms
+}
+
+// copyLive copies the records of sealed segments that count to a new segment, and syncs it.
+func (s *Store) copyLive(output uint64, sealed []*segment) (*segment, map[string]location, error) {
+	g, err := s.createSegment(output)
 	if err != nil {
 		return nil, nil, err
 	}
-	moved := map[string]place{}
-	var buf []byte
-	now := s.o.Now().UnixMilli()
-	flush := func() error {
-		_, err := g.f.Write(buf)
-		g.size += int64(len(buf))
-		buf = buf[:0]
-		return err
-	}
-	for _, x := range sealed {
-		b, e := whole(x.f)
-		if e != nil {
-			err = fmt.Errorf("store: %s: %w", segmentName(x.number), e)
-			break
-		}
-		scan(b[:min(int64(len(b)), x.size)], x.number, func(r record, offset, _ int64) {
-			s.mu.RLock()
-			p := s.index[r.key]
-			s.mu.RUnlock()
-			if r.kind != put || p.seq != r.seq || p.segment != x.number || p.expires <= now || err != nil {
-				return
-			}
-			at := g.size + int64(len(buf))
-			buf = r.add(buf, output, at)
-			moved[r.key] = place{r.seq, r.expires, output, at, int32(r.size())}
-			if len(buf) >= copyBuffer {
-				err = flush()
-			}
-		})
-		if err != nil {
+	c := &copier{Store: s, output: g, moved: map[string]location{}, now: s.options.Now().UnixMilli()}
+	for _, source := range sealed {
+		if err = c.copySegment(source); err != nil {
 			break
 		}
 	}
 	if err == nil {
-		err = flush()
+		err = c.flush()
 	}
 	if err == nil {
-		err = g.f.Sync()
+		err = g.file.Sync()
 	}
 	if err != nil {
-		// Copies do no harm before the next compaction, and would after it: deletes that it takes away may be of them.
-		g.f.Close()
-		return nil, nil, errors.Join(err, s.remove(g))
+		// The copies do no harm before the next compaction. After it they would, since it removes deletes of their
+		// keys.
+		_ = g.file.Close() // nothing in it counts
+		return nil, nil, errors.Join(err, s.removeFiles(g))
 	}
-	return g, moved, nil
+	return g, c.moved, nil
+}
+
+// copySegment copies the records of a segment that count.
+func (c *copier) copySegment(source *segment) error {
+	b, err := readAll(source.file)
+	if err != nil {
+		return fmt.Errorf("store: %s: %w", segmentName(source.number), err)
+	}
+	scan(b[:min(int64(len(b)), source.size)], source.number, func(r record, _, _ int64) {
+		if err == nil && c.counts(&r, source.number) {
+			err = c.copyRecord(&r)
+		}
+	})
+	return err
+}
+
+// counts reports whether a record of a segment is the one that its entry has.
+func (c *copier) counts(r *record, segment uint64) bool {
+	c.mu.RLock()
+	l := c.index[r.key]
+	c.mu.RUnlock()
+	return r.kind == kindPut && l.sequence == r.sequence && l.segment == segment && l.expiresAt > c.now
+}
+
+func (c *copier) copyRecord(r *record) error {
+	offset := c.output.size + int64(len(c.buffer))
+	c.buffer = r.appendTo(c.buffer, c.output.number, offset)
+	c.moved[r.key] = location{
+		sequence:  r.sequence,
+		expiresAt: r.expiresAt,
+		segment:   c.output.number,
+		offset:    offset,
+		size:      int32(r.size()),
+	}
+	if len(c.buffer) >= copyBufferSize {
+		return c.flush()
+	}
+	return nil
+}
+
+func (c *copier) flush() error {
+	_, err := c.output.file.Write(c.buffer)
+	c.output.size += int64(len(c.buffer))
+	c.buffer = c.buffer[:0]
+	return err
 }
--- a/internal/store/hint.go
+++ b/internal/store/hint.go
@@ -5,97 +5,110 @@
 	"hash/crc32"
 )
 
-// A hint file tells what its segment holds, without the values: a start reads it in the segment's place. It is written
-// after the segment was closed, and believed only whole: what is missing or spoilt costs time and nothing else.
+// A hint file lists what its segment holds, without the values: a start reads it in place of the segment. It is written
+// after the segment was sealed, and used only if it is complete: one that is missing or damaged costs time and nothing
+// else.
 
 const (
-	hintMagic  = "hzwhnt\x00\x01"
-	hintSuffix = ".hint"
-	hintHead   = 28 // magic, number, end, count
-	hintEntry  = 27 // without the key
+	hintMagic      = "hzwhnt\x00\x01"
+	hintSuffix     = ".hint"
+	hintHeaderSize = 28 // magic, number, end, count
+	hintEntrySize  = 27 // without the key
+	hintFooterSize = 4  // checksum
+	// maxHintedSize is the size beyond which a segment has no hint file: offsets have 32 bits.
+	maxHintedSize = 1<<32 - 1
 )
 
-func hintName(n uint64) string { return fileName(n, hintSuffix) }
+// visitHint receives an entry of a hint file: a record without its value, where it lies, and its size there.
+type visitHint func(r *record, offset, size int64)
 
-// appendHint adds a record's entry.
-func appendHint(b []byte, r *record, offset int64) []byte {
-	b = append(b, byte(r.kind))
-	b = binary.LittleEndian.AppendUint64(b, r.seq)
-	b = binary.LittleEndian.AppendUint64(b, uint64(r.expires))
-	b = binary.LittleEndian.AppendUint32(b, uint32(offset))
-	b = binary.LittleEndian.AppendUint32(b, uint32(r.size()))
-	b = binary.LittleEndian.AppendUint16(b, uint16(len(r.key)))
-	return append(b, r.key...)
-}
+func hintName(number uint64) string { return fileName(number, hintSuffix) }
 
-// hint is the hint file of a segment whose content, up to its end, is b. nil: it is too large for one.
-func hint(n uint64, b []byte) []byte {
-	if int64(len(b)) > 1<<32-1 {
+// encodeHint returns the hint file of a segment whose content, up to its end, is b, or nil if it is too large for one.
+func encodeHint(number uint64, b []byte) []byte {
+	if int64(len(b)) > maxHintedSize {
 		return nil
 	}
-	h := binary.LittleEndian.AppendUint64([]byte(hintMagic), n)
+	h := binary.LittleEndian.AppendUint64([]byte(hintMagic), number)
 	h = binary.LittleEndian.AppendUint64(h, uint64(len(b)))
-	h = append(h, 0, 0, 0, 0)
+	h = append(h, 0, 0, 0, 0) // the count, below
 	count := uint32(0)
-	scan(b, n, func(r record, offset, _ int64) {
-		h = appendHint(h, &r, offset)
+	scan(b, number, func(r record, offset, _ int64) {
+		h = appendHintEntry(h, &r, offset)
 		count++
 	})
 	binary.LittleEndian.PutUint32(h[24:], count)
 	return binary.LittleEndian.AppendUint32(h, crc32.Checksum(h, castagnoli))
 }
 
-// readHint goes through a hint file's entries; ok is false where it is not a whole one of segment n.
-func readHint(h []byte, n uint64, each func(r *record, offset, size int64)) (end int64, ok bool) {
-	last := len(h) - 4
-	if last < hintHead || string(h[:8]) != hintMagic || binary.LittleEndian.Uint64(h[8:]) != n ||
-		binary.LittleEndian.Uint32(h[last:]) != crc32.Checksum(h[:last], castagnoli) {
+// appendHintEntry appends the entry of a record.
+func appendHintEntry(h []byte, r *record, offset int64) []byte {
+	h = append(h, byte(r.kind))
+	h = binary.LittleEndian.AppendUint64(h, r.sequence)
+	h = binary.LittleEndian.AppendUint64(h, uint64(r.expiresAt))
+	h = binary.LittleEndian.AppendUint32(h, uint32(offset))
+	h = binary.LittleEndian.AppendUint32(h, uint32(r.size()))
+	h = binary.LittleEndian.AppendUint16(h, uint16(len(r.key)))
+	return append(h, r.key...)
+}
+
+// decodeHint calls visit with each entry of a hint file, and returns the end of its segment. ok is false if it is not
+// the complete hint file of that segment; if its checksum is right, all entries were visited in that case too.
+func decodeHint(h []byte, number uint64, visit visitHint) (end int64, ok bool) {
+	footer := len(h) - hintFooterSize
+	if footer < hintHeaderSize || string(h[:8]) != hintMagic || binary.LittleEndian.Uint64(h[8:]) != number {
+		return 0, false
+	}
+	if binary.LittleEndian.Uint32(h[footer:]) != crc32.Checksum(h[:footer], castagnoli) {
 		return 0, false
 	}
-	end = int64(binary.LittleEndian.Uint64(h[16:]))
-	b := h[hintHead:last]
+	rest := h[hintHeaderSize:footer]
 	for range binary.LittleEndian.Uint32(h[24:]) {
-		if len(b) < hintEntry {
+		if len(rest) < hintEntrySize {
 			return 0, false
 		}
-		r := record{kind: kind(b[0]), seq: binary.LittleEndian.Uint64(b[1:]), expires: int64(binary.LittleEndian.Uint64(b[9:]))}
-		offset, size := int64(binary.LittleEndian.Uint32(b[17:])), int64(binary.LittleEndian.Uint32(b[21:]))
-		k := int(binary.LittleEndian.Uint16(b[25:]))
-		if len(b) < hintEntry+k {
+		r := record{
+			kind:      recordKind(rest[0]),
+			sequence:  binary.LittleEndian.Uint64(rest[1:]),
+			expiresAt: int64(binary.LittleEndian.Uint64(rest[9:])),
+		}
+		offset := int64(binary.LittleEndian.Uint32(rest[17:]))
+		size := int64(binary.LittleEndian.Uint32(rest[21:]))
+		keySize := int(binary.LittleEndian.Uint16(rest[25:]))
+		if len(rest) < hintEntrySize+keySize {
 			return 0, false
 		}
-		r.key, b = string(b[hintEntry:hintEntry+k]), b[hintEntry+k:]
-		each(&r, offset, size)
+		r.key = string(rest[hintEntrySize : hintEntrySize+keySize])
+		rest = rest[hintEntrySize+keySize:]
+		visit(&r, offset, size)
 	}
-	return end, len(b) == 0
+	return hintedEnd(h), len(rest) == 0
 }
 
-// loadHint takes a segment's entries from its hint file, if that can be used: it is whole, and the segment is as long
-// as it says. A checksum that holds makes all of it good, so nothing was taken where it says false.
-func (s *Store) loadHint(g *segment, take func(r *record, offset, size int64)) (end int64, ok bool) {
-	f, err := s.fs.Open(hintName(g.number))
-	if err != nil {
-		return 0, false
-	}
-	defer f.Close()
-	h, err := whole(f)
+// hintedEnd returns the end of the segment that a hint file names.
+func hintedEnd(h []byte) int64 { return int64(binary.LittleEndian.Uint64(h[16:])) }
+
+// loadHint visits the entries of a segment's hint file. ok is false if it cannot be used: it is not complete, or the
+// segment is shorter than it says. No entry was visited then, since a right checksum makes all of the file good.
+func (s *Store) loadHint(g *segment, visit visitHint) (end int64, ok bool) {
+	h, err := readFile(s.fs, hintName(g.number))
 	if err != nil {
 		return 0, false
 	}
-	size, err := g.f.Size()
-	if len(h) < hintHead || err != nil || int64(binary.LittleEndian.Uint64(h[16:])) > size {
+	size, err := g.file.Size()
+	if err != nil || len(h) < hintHeaderSize || hintedEnd(h) > size {
 		return 0, false
 	}
-	return readHint(h, g.number, take)
+	return decodeHint(h, g.number, visit)
 }
 
-// writeHint makes the hint file of a closed segment. It is not synced: half of one is none.
+// writeHint writes the hint file of a sealed segment. It is not synced: an incomplete one is not used.
 func (s *Store) writeHint(g *segment) error {
-	b, err := whole(g.f)
+	b, err := readAll(g.file)
 	if err != nil {
 		return err
 	}
-	h := hint(g.number, b[:min(int64(len(b)), g.size)])
+	h := encodeHint(g.number, b[:min(int64(len(b)), g.size)])
 	if h == nil {
 		return nil
 	}
@@ -104,9 +117,9 @@
 		return err
 	}
 	_, err = f.Write(h)
-	f.Close()
+	_ = f.Close() // the checksum tells whether the file is complete
 	if err != nil {
-		s.fs.Remove(hintName(g.number)) // as far as it goes
+		_ = s.fs.Remove(hintName(g.number)) // an incomplete one is not used
 	}
 	return err
 }
--- a/internal/store/maintain.go
+++ b/internal/store/maintain.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"os"
@@ -8,121 +9,132 @@
 	"time"
 )
 
-// What the store does by itself: hint files, and giving back the place of what has expired, was deleted or replaced.
+// What the store does by itself: it writes hint files, and reclaims the space of entries that have expired, were
+// deleted or were replaced.
 
 const (
-	// A compaction is worth it where at least compactSegments segments' worth, and this share of all, are of no use;
-	// and where the store is fuller than compactFull of what it may be, each time that it has grown by compactStep of that.
-	compactSegments = 2
-	compactShare    = 0.5
-	compactFull     = 0.75
-	compactStep     = 0.0625
+	// Segments are compacted when at least this many segments' worth of bytes, and this share of all, does not count.
+	minWasteSegments = 2
+	minWasteShare    = 0.5
+	// They are also compacted when the store is fuller than this share of Options.MaxBytes, each time that it has grown
+	// by that step.
+	fullShare = 0.75
+	fullStep  = 0.0625
 )
 
-// maintain runs Maintain whenever there may be something to do.
-func (s *Store) maintain() {
-	defer close(s.idle)
-	tick := time.NewTicker(s.o.MaintainEvery)
-	defer tick.Stop()
+// runMaintainer calls Maintain whenever there may be something to do, until the store is closed.
+func (s *Store) runMaintainer() {
+	defer close(s.maintainerDone)
+	ticker := time.NewTicker(s.options.MaintainEvery)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.closed:
 			return
-		case <-s.tidy:
-		case <-tick.C:
+		case <-s.maintenanceRequests:
+		case <-ticker.C:
 		}
 		if err := s.Maintain(); err != nil && !errors.Is(err, ErrClosed) {
-			s.o.Log.Warn("store: maintenance; it is tried again", "err", err)
+			s.logger.Warn("maintenance failed and will be retried", "error", err)
 		}
 	}
 }
 
-// wanted says that there may be something to maintain. It does not block.
-func (s *Store) wanted() {
+// requestMaintenance tells the maintainer that there may be something to do. It does not block.
+func (s *Store) requestMaintenance() {
 	select {
-	case s.tidy <- struct{}{}:
+	case s.maintenanceRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Maintain writes the hint files that are missing, drops the oldest segments as far as nothing in them counts, and
-// compacts where enough of the rest is of no use. It may be called at any time; reads and writes go on meanwhile.
+// Maintain drops the oldest segments while no record in them counts, compacts the rest if enough of it does not count,
+// and writes the hint files that are missing. It may be called at any time; reads and writes go on meanwhile.
 func (s *Store) Maintain() error {
-	err := s.drop()
-	if err == nil && s.worthIt() {
+	err := s.dropSegments()
+	if err == nil && s.shouldCompact() {
 		err = s.Compact()
 	}
-	return errors.Join(err, s.hint())
+	return errors.Join(err, s.writeHints())
 }
 
-// sealed lists the closed segments, oldest first.
-func (s *Store) sealed() (list []*segment) {
+// sealedSegments returns the sealed segments, oldest first.
+func (s *Store) sealedSegments() []*segment {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
+	var list []*segment
 	for _, g := range s.segments {
 		if g.sealed {
 			list = append(list, g)
 		}
 	}
-	slices.SortFunc(list, func(a, b *segment) int { return int(int64(a.number) - int64(b.number)) })
+	slices.SortFunc(list, func(a, b *segment) int { return cmp.Compare(a.number, b.number) })
 	return list
 }
 
-func (s *Store) hint() (err error) {
-	s.compacting.Lock()
-	defer s.compacting.Unlock()
-	for _, g := range s.sealed() {
-		select {
-		case <-s.closed:
+// writeHints writes the hint files that are missing. Each is tried once: a segment without one only takes longer to
+// load.
+func (s *Store) writeHints() error {
+	s.compactMu.Lock()
+	defer s.compactMu.Unlock()
+	var err error
+	for _, g := range s.sealedSegments() {
+		if s.isClosed() {
 			return err
-		default:
 		}
-		if !g.hinted {
-			g.hinted = true // once a life: a segment without one is only slower to start with
+		if !g.hintTried {
+			g.hintTried = true
 			err = errors.Join(err, s.writeHint(g))
 		}
 	}
 	return err
 }
 
-// drop removes the oldest closed segments while nothing in them counts. Only from that end: a delete in one of them is
-// still needed while a put of its key may lie in an older one.
-func (s *Store) drop() error {
-	s.compacting.Lock()
-	defer s.compacting.Unlock()
-	for _, g := range s.sealed() {
-		now := s.o.Now().UnixMilli()
-		s.mu.Lock()
-		if g.entries > 0 && g.lastExpires > now {
-			s.mu.Unlock()
+// dropSegments removes the oldest sealed segments while no record in them counts. It stops at the first one that is
+// needed: a delete in a later one still is while a put of its key may lie in an older one.
+func (s *Store) dropSegments() error {
+	s.compactMu.Lock()
+	defer s.compactMu.Unlock()
+	for _, g := range s.sealedSegments() {
+		if !s.drop(g) {
 			return nil
 		}
-		if g.entries > 0 {
-			for key, p := range s.index {
-				if p.segment == g.number {
-					delete(s.index, key)
-				}
-			}
-		}
-		delete(s.segments, g.number)
-		s.count.dropped++
-		s.mu.Unlock()
-		g.f.Close()
-		if err := s.remove(g); err != nil {
+		_ = g.file.Close() // nothing in it counts
+		if err := s.removeFiles(g); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// remove removes the files of segments in order, each durably before the next and all before those of a later call: no
-// put outlives its delete. What it could not remove it tries again the next time.
-func (s *Store) remove(list ...*segment) error {
-	s.doomed = append(s.doomed, list...)
-	for len(s.doomed) > 0 {
-		g := s.doomed[0]
-		if g.hinted {
-			s.fs.Remove(hintName(g.number)) // one that stays is removed at the next start
+// drop takes a segment and its expired entries out of the index. It returns false if the segment is needed.
+func (s *Store) drop(g *segment) bool {
+	now := s.options.Now().UnixMilli()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if g.entries > 0 && g.lastExpiry > now {
+		return false
+	}
+	if g.entries > 0 {
+		for key, l := range s.index {
+			if l.segment == g.number {
+				delete(s.index, key)
+			}
+		}
+	}
+	delete(s.segments, g.number)
+	s.counters.dropped++
+	return true
+}
+
+// removeFiles removes the files of segments in order, each durably before the next and all before those of a later
+// call: no put outlives its delete. What it could not remove it tries again the next time. The caller holds compactMu.
+func (s *Store) removeFiles(list ...*segment) error {
+	s.pendingRemovals = append(s.pendingRemovals, list...)
+	for len(s.pendingRemovals) > 0 {
+		g := s.pendingRemovals[0]
+		if g.hintTried {
+			_ = s.fs.Remove(hintName(g.number)) // one that stays is removed at the next start
 		}
 		if err := s.fs.Remove(segmentName(g.number)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("store: %s: %w", segmentName(g.number), err)
@@ -130,31 +142,31 @@
 		if err := s.fs.SyncDir(); err != nil {
 			return err
 		}
-		s.doomed = s.doomed[1:]
+		s.pendingRemovals = s.pendingRemovals[1:]
 	}
 	return nil
 }
 
-// worthIt says whether a compaction would give back enough.
-func (s *Store) worthIt() bool {
-	s.compacting.Lock()
-	last := s.compacted
-	s.compacting.Unlock()
-	now := s.o.Now().UnixMilli()
+// shouldCompact reports whether a compaction would reclaim enough.
+func (s *Store) shouldCompact() bool {
+	s.compactMu.Lock()
+	lastSize := s.sizeAfterCompaction
+	s.compactMu.Unlock()
+	now := s.options.Now().UnixMilli()
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	var all, waste int64
+	var size, waste int64
 	for _, g := range s.segments {
-		all += g.size
-		if g.lastExpires <= now {
+		size += g.size
+		if g.lastExpiry <= now {
 			waste += g.size
 		} else {
 			waste += g.size - g.live
 		}
 	}
-	if waste >= compactSegments*s.o.SegmentSize && float64(waste) >= compactShare*float64(all) {
+	if waste >= minWasteSegments*s.options.SegmentSize && float64(waste) >= minWasteShare*float64(size) {
 		return true
 	}
-	limit := float64(s.o.MaxBytes)
-	return float64(all) > compactFull*limit && float64(all-last) > compactStep*limit
+	limit := float64(s.options.MaxBytes)
+	return float64(size) > fullShare*limit && float64(size-lastSize) > fullStep*limit
 }
--- a/internal/store/maintain_test.go
+++ b/internal/store/maintain_test.go
@@ -13,12 +13,12 @@
 	"hazelwing/internal/testutil"
 )
 
-// A start from hint files finds the same as one from the segments. A hint file that is cut, spoilt, of another segment
-// or of a longer one is not believed.
+// A start from hint files finds the same as one from the segments. A hint file that is cut, damaged, of another segment
+// or of a longer one is not used.
 func TestHints(t *testing.T) {
 	fs := faultfs.New()
-	m, keys, _ := history(fs, rand.New(rand.NewPCG(9, 0)), 200)
-	s, err := store.Open(fs, options())
+	m, keys, _ := playHistory(fs, rand.New(rand.NewPCG(9, 0)), 200)
+	s, err := store.Open(fs, testOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,67 +26,75 @@
 		t.Fatal(err)
 	}
 	names, _ := fs.List()
-	var hints, logs []string
+	var hints, segments []string
 	for _, name := range names {
-		if strings.HasSuffix(name, ".hint") {
+		if base, isHint := strings.CutSuffix(name, ".hint"); isHint {
 			hints = append(hints, name)
-			logs = append(logs, strings.TrimSuffix(name, ".hint")+".log")
+			segments = append(segments, base+".log")
 		}
 	}
 	if len(hints) < 2 {
 		t.Fatalf("%v: want two segments with a hint file", names)
 	}
-	hinted := fs.Killed()
-	hinted.Flip(logs[0], 40, 0) // noticed only by who reads the segment
-	if s, err = store.Open(hinted, options()); err != nil || s.Stats().Damaged != 0 {
+	damaged := fs.Killed()
+	damaged.Flip(segments[0], 40, 0) // found only by reading the segment
+	s, err = store.Open(damaged, testOptions())
+	if err != nil || s.Stats().Damaged != 0 {
 		t.Fatalf("%v: the hint files were not used", err)
 	}
 	s.Close()
-	reopen(t, "from hint files", fs.Killed(), m, keys)
-	if list, err := store.Check(fs); err != nil || list[0].Hint != "good" || list[0].Damaged != 0 || list[0].Puts == 0 {
+	m.checkRecovery(t, "from hint files", fs.Killed(), keys)
+	list, err := store.Check(fs)
+	if err != nil || list[0].Hint != store.HintGood || list[0].Damaged != 0 || list[0].Puts == 0 {
 		t.Errorf("%+v, %v", list, err)
 	}
-	if list, err := store.Check(hinted); err != nil || list[0].Hint != "spoilt" || list[0].Damaged == 0 {
+	list, err = store.Check(damaged)
+	if err != nil || list[0].Hint != store.HintDamaged || list[0].Damaged == 0 {
 		t.Errorf("%+v, %v", list, err)
 	}
 	size := len(fs.Content(hints[0]))
 	for at := range size {
-		bad := fs.Killed()
-		bad.Flip(hints[0], int64(at), uint(at%8))
-		reopen(t, fmt.Sprint("hint file spoilt at ", at), bad, m, keys)
-		bad = fs.Killed()
-		bad.Cut(hints[0], int64(at))
-		reopen(t, fmt.Sprint("hint file cut at ", at), bad, m, keys)
-	}
-	for name, spoil := range map[string]func(f *faultfs.FS){
-		"another segment's": func(f *faultfs.FS) { f.Put(hints[0], fs.Content(hints[1])) },
-		"an empty one":      func(f *faultfs.FS) { f.Put(hints[0], nil) },
-		"of none":           func(f *faultfs.FS) { f.Put("00000000000000ff.hint", fs.Content(hints[0])) },
+		flipped := fs.Killed()
+		flipped.Flip(hints[0], int64(at), uint(at%8))
+		m.checkRecovery(t, fmt.Sprint("hint file damaged at ", at), flipped, keys)
+		cut := fs.Killed()
+		cut.Cut(hints[0], int64(at))
+		m.checkRecovery(t, fmt.Sprint("hint file cut at ", at), cut, keys)
+	}
+	for name, replaceHint := range map[string]func(f *faultfs.FS){
+		"of another segment": func(f *faultfs.FS) { f.Put(hints[0], fs.Content(hints[1])) },
+		"empty":              func(f *faultfs.FS) { f.Put(hints[0], nil) },
+		"of no segment":      func(f *faultfs.FS) { f.Put("00000000000000ff.hint", fs.Content(hints[0])) },
 	} {
-		bad := fs.Killed()
-		spoil(bad)
-		reopen(t, name, bad, m, keys)
-		if left, _ := bad.List(); strings.Contains(strings.Join(left, " "), "ff.hint") {
-			t.Errorf("%s: it stays: %v", name, left)
+		replaced := fs.Killed()
+		replaceHint(replaced)
+		m.checkRecovery(t, "hint file "+name, replaced, keys)
+		if left, _ := replaced.List(); strings.Contains(strings.Join(left, " "), "ff.hint") {
+			t.Errorf("hint file %s: it stays: %v", name, left)
 		}
 	}
 }
 
-// Entries that live shortly cost no more disk for ever: their segments are dropped whole, one long-lived entry among
-// them makes for compactions, and a store that was full goes on by itself.
-func TestChurn(t *testing.T) {
-	for name, long := range map[string]bool{"short lives": false, "one that stays": true} {
+// The space of short-lived entries is reclaimed: their segments are dropped whole, one long-lived entry among them
+// causes compactions, and the size of the store stays bounded.
+func TestSpaceOfExpiredEntries(t *testing.T) {
+	for name, hasLongLived := range map[string]bool{"short-lived only": false, "one long-lived": true} {
 		fs, now := faultfs.New(), epoch
-		s, err := store.Open(fs, store.Options{SegmentSize: 2 << 10, MaxBytes: 64 << 10, Manual: true, Now: func() time.Time { return now }})
+		s, err := store.Open(fs, store.Options{
+			SegmentSize: 2 << 10,
+			MaxBytes:    64 << 10,
+			Manual:      true,
+			Now:         func() time.Time { return now },
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if long {
+		if hasLongLived {
 			if err := s.Put("long", []byte("x"), now.Add(time.Hour)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		most := int64(0)
+		maxBytes := int64(0)
 		for i := range 4000 {
 			now = now.Add(10 * time.Millisecond)
 			if err := s.Put(fmt.Sprint("k", i), []byte("some value"), now.Add(time.Second)); err != nil {
@@ -97,51 +105,54 @@
 					t.Fatal(err)
 				}
 			}
-			most = max(most, s.Stats().Bytes)
+			maxBytes = max(maxBytes, s.Stats().Bytes)
 		}
-		st := s.Stats()
-		if most > 24<<10 || st.Entries > 300 || long != (st.Dropped == 0) || long != (st.Compactions > 0) {
-			t.Errorf("%s: at most %d bytes, %+v", name, most, st)
+		stats := s.Stats()
+		dropped, compacted := stats.Dropped > 0, stats.Compactions > 0
+		isReclaimed := dropped != hasLongLived && compacted == hasLongLived
+		if maxBytes > 24<<10 || stats.Entries > 300 || !isReclaimed {
+			t.Errorf("%s: at most %d bytes, %+v", name, maxBytes, stats)
 		}
-		if _, ok, err := s.Get("long"); ok != long || err != nil {
+		if _, ok, err := s.Get("long"); ok != hasLongLived || err != nil {
 			t.Errorf("%s: %v, %v", name, ok, err)
 		}
 		s.Close()
 	}
 }
 
-// Nobody calls Maintain: closed segments get their hint files and what expired its place back, by themselves.
-func TestMaintainsItself(t *testing.T) {
+// Without Options.Manual, sealed segments get their hint files and the space of expired entries is reclaimed in the
+// background.
+func TestMaintenanceInBackground(t *testing.T) {
 	fs := faultfs.New()
 	s, err := store.Open(fs, store.Options{SegmentSize: 1 << 10, MaxBytes: 8 << 10, MaintainEvery: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	full := 0
+	puts := 0
 	testutil.Until(t, "500 puts", func() bool {
-		switch err := s.Put(fmt.Sprint(full), make([]byte, 100), time.Now().Add(20*time.Millisecond)); {
+		switch err := s.Put(fmt.Sprint(puts), make([]byte, 100), time.Now().Add(20*time.Millisecond)); {
 		case errors.Is(err, store.ErrFull):
 			time.Sleep(time.Millisecond)
 		case err != nil:
 			t.Fatal(err)
 		default:
-			full++
+			puts++
 		}
-		return full >= 500
+		return puts >= 500
 	})
-	if st := s.Stats(); st.Dropped == 0 {
-		t.Errorf("%+v", st)
+	if stats := s.Stats(); stats.Dropped == 0 {
+		t.Errorf("%+v", stats)
 	}
 }
 
-// With SyncEvery a kill takes nothing, and a sync that failed is made good in a new segment: then a loss of power takes
-// nothing either.
+// With SyncEvery a kill loses nothing. What a failed sync covered is written again to a new segment: then a loss of
+// power loses nothing either.
 func TestSyncEvery(t *testing.T) {
 	fs := faultfs.New()
-	o := options()
-	o.SyncEvery = 5 * time.Millisecond
-	s, err := store.Open(fs, o)
+	options := testOptions()
+	options.SyncEvery = 5 * time.Millisecond
+	s, err := store.Open(fs, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,18 +163,21 @@
 			fs.Set(func(f *faultfs.FS) { f.FailSyncs = 1 })
 		}
 		key, value := keys[i%3], fmt.Append(nil, i)
-		m.did(key, value, s.Put(key, value, epoch.Add(time.Hour)))
+		m.record(key, value, s.Put(key, value, epoch.Add(time.Hour)))
 	}
-	reopen(t, "killed", fs.Killed(), m, keys)
-	testutil.Until(t, "the syncs", func() bool { st := s.Stats(); return st.Unsynced == 0 && st.Failures > 0 })
-	reopen(t, "power lost after the sync", fs.PowerLost(rand.New(rand.NewPCG(1, 1))), m, keys)
-	if st := s.Stats(); st.Lost != 0 {
-		t.Errorf("%+v", st)
+	m.checkRecovery(t, "killed", fs.Killed(), keys)
+	testutil.Until(t, "the syncs", func() bool {
+		stats := s.Stats()
+		return stats.Unsynced == 0 && stats.Failures > 0
+	})
+	m.checkRecovery(t, "power lost after the sync", fs.PowerLost(rand.New(rand.NewPCG(1, 1))), keys)
+	if stats := s.Stats(); stats.Lost != 0 {
+		t.Errorf("%+v", stats)
 	}
 }
 
-// What is left for later is written soon, before what is asked for after it, and no more of it waits than is stated.
-func TestLater(t *testing.T) {
+// Deferred changes are written soon, before what is requested after them, and their number is bounded.
+func TestDeferredChanges(t *testing.T) {
 	fs := faultfs.New()
 	s, err := store.Open(fs, store.Options{})
 	if err != nil {
@@ -172,42 +186,47 @@
 	hour := time.Now().Add(time.Hour)
 	for i := range 200 {
 		if !s.DeleteLater("k") {
-			t.Fatal("it was not taken")
+			t.Fatal("a deferred delete was not accepted")
 		}
 		if err := s.Put("k", fmt.Append(nil, i), hour); err != nil {
 			t.Fatal(err)
 		}
 		if _, ok, err := s.Get("k"); !ok || err != nil {
-			t.Fatalf("%d: an older delete took a newer put (%v)", i, err)
+			t.Fatalf("%d: an older delete took effect after a newer put (%v)", i, err)
 		}
 	}
 	if !s.PutLater("later", nil, hour) {
-		t.Fatal("it was not taken")
+		t.Fatal("a deferred put was not accepted")
 	}
-	testutil.Until(t, "what was left for later", func() bool { _, ok, _ := s.Get("later"); return ok })
+	testutil.Until(t, "the deferred put", func() bool {
+		_, ok, _ := s.Get("later")
+		return ok
+	})
 	if _, ok, err := s.Get("k"); !ok || err != nil {
-		t.Errorf("an older delete took a newer put, later (%v)", err)
+		t.Errorf("an older delete took effect after a newer put, later (%v)", err)
 	}
 	fs.Set(func(f *faultfs.FS) { f.SyncTime = 50 * time.Millisecond })
-	n := 0
-	for ; n < 20_000 && s.DeleteLater("x"); n++ {
+	const tooMany = 20_000
+	accepted := 0
+	for accepted < tooMany && s.DeleteLater("x") {
+		accepted++
 	}
-	if n == 20_000 {
-		t.Error("no bound on what waits")
+	if accepted == tooMany {
+		t.Error("the number of deferred changes is not bounded")
 	}
 	s.Close()
 	if s.DeleteLater("x") {
-		t.Error("taken after Close")
+		t.Error("a deferred delete was accepted after Close")
 	}
 }
 
-// A write that failed closes a segment in which something waits for its sync: the next segment's sync does not stand for
-// that one, and Close leaves nothing unsynced.
-func TestClosedUnsynced(t *testing.T) {
+// A failed write seals a segment in which an entry waits to be synced: a sync of the next segment does not cover that
+// entry, and Close leaves nothing unsynced.
+func TestCloseSyncsSealedSegment(t *testing.T) {
 	fs := faultfs.New()
-	o := options()
-	o.SyncEvery = time.Hour
-	s, err := store.Open(fs, o)
+	options := testOptions()
+	options.SyncEvery = time.Hour
+	s, err := store.Open(fs, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +235,7 @@
 		if key == "b" {
 			fs.Set(func(f *faultfs.FS) { f.FailWrites = 1 })
 		}
-		m.did(key, []byte(key), s.Put(key, []byte(key), epoch.Add(time.Hour)))
+		m.record(key, []byte(key), s.Put(key, []byte(key), epoch.Add(time.Hour)))
 	}
 	if m.confirmed["a"] == nil || m.confirmed["b"] != nil || m.confirmed["c"] == nil {
 		t.Fatalf("%q", m.confirmed)
@@ -225,14 +244,15 @@
 		t.Fatal(err)
 	}
 	for seed := range uint64(20) {
-		reopen(t, fmt.Sprint("power lost after Close, seed ", seed), fs.PowerLost(rand.New(rand.NewPCG(seed, 1))), m, keys)
+		powerLost := fs.PowerLost(rand.New(rand.NewPCG(seed, 1)))
+		m.checkRecovery(t, fmt.Sprint("power lost after Close, seed ", seed), powerLost, keys)
 	}
 }
 
-// A disk with room for the headers of many segments and for no record: a try leaves no file behind.
-func TestNoFileForEachTry(t *testing.T) {
+// On a disk with room for the headers of many segments and for no record, failed attempts leave no files behind.
+func TestFailedAttemptsLeaveNoSegments(t *testing.T) {
 	fs := faultfs.New()
-	s, err := store.Open(fs, options())
+	s, err := store.Open(fs, testOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -6,108 +6,126 @@
 	"slices"
 )
 
-// recover reads what the directory holds: hint files where they can be used, and whole segments otherwise. A segment
-// that holds no record is removed: a crash left it, and nothing in it was confirmed.
+// recovery is the state of reading a directory.
+type recovery struct {
+	*Store
+	hints   map[uint64]bool   // numbers of the hint files
+	deletes map[string]uint64 // sequence number of the latest delete of each key
+}
+
+// recover reads what the directory holds: hint files where they can be used, and segments otherwise. It removes
+// segments without a record, which a crash left and in which nothing was confirmed, and hint files without a segment.
 func (s *Store) recover() error {
 	names, err := s.fs.List()
 	if err != nil {
 		return err
 	}
 	slices.Sort(names)
-	hints := map[uint64]bool{}
+	r := &recovery{Store: s, hints: map[uint64]bool{}, deletes: map[string]uint64{}}
+	r.findHints(names)
+	if err := r.loadSegments(names); err != nil {
+		return err
+	}
+	for number := range r.hints { // those of segments were taken out
+		if err := s.fs.Remove(hintName(number)); err != nil {
+			return fmt.Errorf("store: %s: %w", hintName(number), err)
+		}
+	}
+	for key, sequence := range r.deletes {
+		if l, ok := s.index[key]; ok && l.sequence < sequence {
+			delete(s.index, key)
+		}
+	}
+	for _, l := range s.index {
+		s.segments[l.segment].addEntry(l)
+	}
+	return nil
+}
+
+// findHints lists the hint files. A number is not used again while a file has it.
+func (r *recovery) findHints(names []string) {
 	for _, name := range names {
-		if n := fileNumber(name, hintSuffix); n > 0 {
-			hints[n] = true
-			s.next = max(s.next, n+1) // a number is not used again while something tells of it
+		if number := fileNumber(name, hintSuffix); number > 0 {
+			r.hints[number] = true
+			r.nextSegment = max(r.nextSegment, number+1)
 		}
 	}
-	removed := map[string]uint64{} // deletes seen, by key
+}
+
+func (r *recovery) loadSegments(names []string) error {
 	for _, name := range names {
-		n := fileNumber(name, suffix)
-		if n == 0 {
+		number := fileNumber(name, segmentSuffix)
+		if number == 0 {
 			continue
 		}
-		s.next = max(s.next, n+1)
-		g, err := s.load(n, hints[n], removed)
+		r.nextSegment = max(r.nextSegment, number+1)
+		g, err := r.loadSegment(number)
 		if err != nil {
 			return fmt.Errorf("store: %s: %w", name, err)
 		}
-		delete(hints, n)
+		delete(r.hints, number)
 		if g != nil {
-			s.segments[n] = g
-		}
-	}
-	for n := range hints { // of a segment that is gone
-		if err := s.fs.Remove(hintName(n)); err != nil {
-			return fmt.Errorf("store: %s: %w", hintName(n), err)
+			r.segments[number] = g
 		}
 	}
-	for key, seq := range removed {
-		if p, ok := s.index[key]; ok && p.seq < seq {
-			delete(s.index, key)
-		}
-	}
-	for _, p := range s.index {
-		s.segments[p.segment].holds(p)
-	}
 	return nil
 }
 
-// load reads one segment, or its hint file in its place. nil: it held nothing, and was removed.
-func (s *Store) load(n uint64, hint bool, removed map[string]uint64) (*segment, error) {
-	name := segmentName(n)
-	f, err := s.fs.Open(name)
+// loadSegment reads a segment, or its hint file in its place. It returns nil if the segment held no record and was
+// removed.
+func (r *recovery) loadSegment(number uint64) (*segment, error) {
+	f, err := r.fs.Open(segmentName(number))
 	if err != nil {
 		return nil, err
 	}
-	g := &segment{number: n, f: f, sealed: true, hinted: hint}
-	take := func(r *record, offset, size int64) {
-		s.seq = max(s.seq, r.seq+1)
-		if r.kind == remove {
-			removed[r.key] = max(removed[r.key], r.seq)
-		} else if old, ok := s.index[r.key]; !ok || old.seq < r.seq {
-			s.index[r.key] = place{r.seq, r.expires, n, offset, int32(size)}
-		}
-	}
-	if hint {
-		if end, ok := s.loadHint(g, take); ok {
+	g := &segment{number: number, file: f, sealed: true, hintTried: r.hints[number]}
+	add := func(rec *record, offset, size int64) { r.addRecord(number, rec, offset, size) }
+	if g.hintTried {
+		if end, ok := r.loadHint(g, add); ok {
 			g.size = end
 			return g, nil
 		}
-		g.hinted = false
-		if err := s.fs.Remove(hintName(n)); err != nil { // it is made anew
+		g.hintTried = false
+		if err := r.fs.Remove(hintName(number)); err != nil { // it is written again
 			return nil, errors.Join(err, f.Close())
 		}
 	}
-	b, err := whole(f)
+	b, err := readAll(f)
 	if err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
-	if v := version(b); v > 0 && v != magic[len(magic)-1] {
-		f.Close()
-		return nil, fmt.Errorf("format %d, this program knows %d", v, magic[len(magic)-1])
+	if v := headerVersion(b); v > 0 && v != formatVersion {
+		_ = f.Close() // it was only read
+		return nil, fmt.Errorf("format %d, this program knows %d", v, formatVersion)
 	}
 	records := 0
-	end, damaged := scan(b, n, func(r record, offset, size int64) {
+	end, damaged := scan(b, number, func(rec record, offset, size int64) {
 		records++
-		take(&r, offset, size)
+		add(&rec, offset, size)
 	})
-	s.damaged += damaged
+	r.damaged += damaged
 	if records == 0 && damaged == 0 {
-		return nil, errors.Join(f.Close(), s.fs.Remove(name))
+		return nil, errors.Join(f.Close(), r.fs.Remove(segmentName(number)))
 	}
 	g.size = end
 	return g, nil
 }
 
-func whole(f File) ([]byte, error) {
-	size, err := f.Size()
-	if err != nil {
-		return nil, err
+// addRecord adds a record to the index, or to the deletes.
+func (r *recovery) addRecord(segment uint64, rec *record, offset, size int64) {
+	r.nextSequence = max(r.nextSequence, rec.sequence+1)
+	if rec.kind == kindDelete {
+		r.deletes[rec.key] = max(r.deletes[rec.key], rec.sequence)
+		return
 	}
-	b := make([]byte, size)
-	if n, err := f.ReadAt(b, 0); int64(n) < size {
-		return nil, err
+	if old, ok := r.index[rec.key]; ok && old.sequence >= rec.sequence {
+		return
+	}
+	r.index[rec.key] = location{
+		sequence:  rec.sequence,
+		expiresAt: rec.expiresAt,
+		segment:   segment,
+		offset:    offset,
+		size:      int32(size),
 	}
-	return b, nil
 }
--- /dev/null
+++ b/internal/store/segment.go
@@ -0,0 +1,99 @@
+package store
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"strconv"
+	"strings"
+)
+
+const (
+	segmentMagic  = "hzwlog\x00\x01" // ends with formatVersion
+	formatVersion = 1
+	segmentSuffix = ".log"
+	headerSize    = 24
+)
+
+// segment is a file of the log. Store.mu protects its fields, but for number and file, which do not change.
+type segment struct {
+	number uint64
+	file   File
+	size   int64 // confirmed bytes
+	sealed bool  // nothing more is written to it
+	// hintTried is set if its hint file exists, or could not be written and is not tried again.
+	hintTried bool
+
+	// Of the entries whose record lies in it:
+	entries    int
+	live       int64 // bytes
+	lastExpiry int64 // latest that any had, Unix ms
+}
+
+// addEntry counts an entry whose record lies in the segment.
+func (g *segment) addEntry(l location) {
+	g.entries++
+	g.live += int64(l.size)
+	g.lastExpiry = max(g.lastExpiry, l.expiresAt)
+}
+
+// removeEntry takes back addEntry. The latest expiry stays.
+func (g *segment) removeEntry(l location) {
+	g.entries--
+	g.live -= int64(l.size)
+}
+
+// encodeHeader returns the header of a segment.
+func encodeHeader(number uint64) []byte {
+	b := binary.LittleEndian.AppendUint64([]byte(segmentMagic), number)
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	return append(b, 0, 0, 0, 0)
+}
+
+// headerVersion returns the version of the format that a segment's header names, 0 if the header is not complete.
+func headerVersion(b []byte) byte {
+	magicSize := len(segmentMagic) - 1 // without the version
+	if len(b) < headerSize || string(b[:magicSize]) != segmentMagic[:magicSize] {
+		return 0
+	}
+	if binary.LittleEndian.Uint32(b[16:]) != crc32.Checksum(b[:16], castagnoli) {
+		return 0
+	}
+	return b[magicSize]
+}
+
+func fileName(number uint64, suffix string) string { return fmt.Sprintf("%016x%s", number, suffix) }
+
+func segmentName(number uint64) string { return fileName(number, segmentSuffix) }
+
+// fileNumber returns the number in the name of a file, 0 if the name does not have the suffix.
+func fileNumber(name, suffix string) uint64 {
+	digits, ok := strings.CutSuffix(name, suffix)
+	if !ok || len(digits) != 16 {
+		return 0
+	}
+	number, err := strconv.ParseUint(digits, 16, 64)
+	if err != nil {
+		return 0
+	}
+	return number
+}
+
+// scan calls visit with each record of a segment; b is the whole file. Where bytes are not a record it looks for the
+// next one: the bytes in between were changed by the disk, or are the end of a write that a crash cut. It returns where
+// the last record ends, and how many bytes before that are not part of a record.
+func scan(b []byte, number uint64, visit func(r record, offset, size int64)) (end, damaged int64) {
+	end = min(headerSize, int64(len(b)))
+	for offset := end; offset < int64(len(b)); {
+		r, ok := decodeRecord(b[offset:], number, offset)
+		if !ok {
+			offset++
+			continue
+		}
+		damaged += offset - end
+		visit(r, offset, r.size())
+		offset += r.size()
+		end = offset
+	}
+	return end, damaged
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -2,45 +2,46 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"sync"
 	"time"
 )
 
-// Options are a store's. What is 0 has a default.
+// Options configure a Store. Zero values stand for the defaults.
 type Options struct {
-	SegmentSize int64 // a segment is closed at; 4 MiB
-	// MaxBytes is of all segments; 256 MiB. Put fails with ErrFull beyond, Delete does not. While Compact runs, a copy of
-	// what counts comes on top.
+	SegmentSize int64 // a segment is sealed at this size, in bytes; 4 MiB
+	// MaxBytes limits the size of all segments; 256 MiB. Beyond it Put fails with ErrFull, Delete does not. While
+	// Compact runs, a copy of what counts comes on top.
 	MaxBytes int64
-	// SyncEvery above 0 confirms an entry once the operating system has it, and syncs at most so much later: entries
-	// survive the end of the process, but a loss of power may take the last ones. 0: each batch is synced first.
+	// SyncEvery above 0 confirms an entry once the operating system has it, and syncs it at most so much later: entries
+	// survive the end of the process, but a loss of power may take the last ones. With 0 each batch is synced before it
+	// is confirmed.
 	SyncEvery time.Duration
-	// Manual leaves it to the caller to call Maintain. Otherwise a goroutine does, whenever a segment is closed or the
+	// Manual leaves it to the caller to call Maintain. Otherwise a goroutine does, whenever a segment is sealed or the
 	// store is full, and every MaintainEvery.
 	Manual        bool
 	MaintainEvery time.Duration    // 10 s
 	Now           func() time.Time // wall time
-	Log           *slog.Logger     // what goes on in the background; nil: nowhere
+	Logger        *slog.Logger     // for what happens in the background; nil: nothing is logged
 }
 
 const (
-	defaultSegment = 4 << 20
-	defaultMax     = 256 << 20
-	defaultEvery   = 10 * time.Second
-	// maxBatch and waitingOps bound what one sync makes durable, and what waits for the next.
-	maxBatch   = 1024
-	waitingOps = 1024
-	// laterOps bound what PutLater and DeleteLater have left to be written, and laterWait for how long.
-	laterOps  = 4096
-	laterWait = 100 * time.Millisecond
-	// unsyncedOps bound what SyncEvery leaves to be synced.
-	unsyncedOps = 4096
+	defaultSegmentSize   = 4 << 20
+	defaultMaxBytes      = 256 << 20
+	defaultMaintainEvery = 10 * time.Second
+
+	// maxBatch bounds what one sync makes durable, and maxWaitingOps what waits for the next.
+	maxBatch      = 1024
+	maxWaitingOps = 1024
+	// maxDeferredOps bounds what PutLater and DeleteLater have left to be written, and maxDeferral for how long.
+	maxDeferredOps = 4096
+	maxDeferral    = 100 * time.Millisecond
+	// maxUnsyncedOps bounds what was confirmed with SyncEvery and waits to be synced.
+	maxUnsyncedOps = 4096
 )
 
-// The errors that callers may want to tell apart, beside those of the file system.
+// Errors beside those of the file system.
 var (
 	ErrClosed = errors.New("store: closed")
 	ErrFull   = errors.New("store: as large as it may be")
@@ -50,170 +51,163 @@
 	errChanged  = errors.New("it has changed on disk")
 )
 
-// Store may be used from any goroutine.
+// Store is safe for concurrent use. One goroutine writes records, and another one maintains the store unless
+// Options.Manual is set; Close waits for both.
 type Store struct {
-	fs   FS
-	o    Options
-	lock io.Closer
-
-	ops    chan op
-	later  chan op
-	closed chan struct{} // Close was called
-	ended  chan struct{} // the writer has
-	tidy   chan struct{} // there may be something to maintain
-	idle   chan struct{} // the maintainer has ended
-
-	compacting sync.Mutex
-	// The lock of compacting guards:
-	compacted int64      // bytes of all segments after the last compaction
-	doomed    []*segment // to be removed, in this order and before any other
+	fs      FS
+	options Options
+	logger  *slog.Logger
+	lock    io.Closer
+
+	ops                 chan op
+	deferredOps         chan op       // of PutLater and DeleteLater
+	maintenanceRequests chan struct{} // holds a token when there may be something to maintain
+	closed              chan struct{} // closed by Close
+	writerDone          chan struct{} // closed when the writer has ended
+	maintainerDone      chan struct{} // closed when the maintainer has ended
+
+	compactMu           sync.Mutex // held while segments are compacted, dropped or removed
+	sizeAfterCompaction int64      // bytes of all segments after the last compaction
+	pendingRemovals     []*segment // to be removed, in this order and before any other
 
 	mu       sync.RWMutex
-	index    map[string]place
+	index    map[string]location
 	segments map[uint64]*segment
-	damaged  int64
-	count    counters
-
-	// The writer's own.
-	active   *segment // nil: the next batch makes one
-	next     uint64   // segment number
-	seq      uint64
-	buf      []byte
-	unsynced []op // confirmed and not synced yet, in order: of SyncEvery
-	rewrite  bool // some of them lie in a segment that was closed: syncing the next one does not make them durable
+	damaged  int64 // bytes
+	counters counters
+
+	// Used by the writer's goroutine only, but for unsynced, which it changes with mu held.
+	active       *segment // nil: the next batch creates one
+	nextSegment  uint64
+	nextSequence uint64
+	buffer       []byte
+	unsynced     []op // confirmed with SyncEvery and not synced yet, in order
+	mustRewrite  bool // some of unsynced lie in a sealed segment: syncing the active one does not make them durable
 }
 
-// place is where an entry's record lies.
-type place struct {
-	seq     uint64
-	expires int64
-	segment uint64
-	offset  int64
-	size    int32
+// location is where the record of an entry lies.
+type location struct {
+	sequence  uint64
+	expiresAt int64 // Unix ms
+	segment   uint64
+	offset    int64
+	size      int32
 }
 
-// segment is a file of the log.
-type segment struct {
-	number uint64
-	f      File
-	size   int64 // confirmed
-	sealed bool  // nothing more is written to it
-	hinted bool  // its hint file is there, or not worth another try
-
-	// Of the entries whose record lies in it:
-	entries     int
-	live        int64 // bytes
-	lastExpires int64 // the latest that any had, Unix ms
-}
-
-// holds counts an entry's record in.
-func (g *segment) holds(p place) {
-	g.entries++
-	g.live += int64(p.size)
-	g.lastExpires = max(g.lastExpires, p.expires)
-}
-
-// counters since the store was opened.
-type counters struct{ syncs, failures, compactions, dropped, lost uint64 }
-
-// op is what the writer is asked for: to write a record, or, with roll, to close the segment that it writes to.
+// op is a request to the writer: to write a record or, with rotate, to seal the active segment.
 type op struct {
 	record
-	roll func(output uint64, sealed []*segment)
-	done chan error // nil: nobody waits
+	// rotate receives the sealed segments and the number of the segment to which the caller may compact them.
+	rotate func(output uint64, sealed []*segment)
+	done   chan error // nil: nobody waits
 }
 
-func (o *op) end(err error) {
+// finish reports the result of an op to the caller that waits for it.
+func (o *op) finish(err error) {
 	if o.done != nil {
 		o.done <- err
 	}
 }
 
-// Open opens the store in fs, and makes one where there is none. It reads all segments.
-func Open(fs FS, o Options) (*Store, error) {
-	if o.SegmentSize == 0 {
-		o.SegmentSize = defaultSegment
-	}
-	if o.MaxBytes == 0 {
-		o.MaxBytes = defaultMax
-	}
-	if o.Now == nil {
-		o.Now = time.Now
-	}
+// Open opens the store in a directory, and creates it if there is none. It reads all segments, or their hint files.
+func Open(fs FS, options Options) (*Store, error) {
+	setDefaults(&options)
 	lock, err := fs.Lock("lock")
 	if err != nil {
 		return nil, err
 	}
-	if o.MaintainEvery == 0 {
-		o.MaintainEvery = defaultEvery
-	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+	s := &Store{
+		fs:      fs,
+		options: options,
+		logger:  options.Logger.With("component", "store"),
+		lock:    lock,
+
+		ops:                 make(chan op, maxWaitingOps),
+		deferredOps:         make(chan op, maxDeferredOps),
+		maintenanceRequests: make(chan struct{}, 1),
+		closed:              make(chan struct{}),
+		writerDone:          make(chan struct{}),
+		maintainerDone:      make(chan struct{}),
+
+		index:    map[string]location{},
+		segments: map[uint64]*segment{},
+
+		nextSegment:  1,
+		nextSequence: 1,
 	}
-	s := &Store{fs: fs, o: o, lock: lock, ops: make(chan op, waitingOps), later: make(chan op, laterOps), closed: make(chan struct{}),
-		ended: make(chan struct{}), tidy: make(chan struct{}, 1), idle: make(chan struct{}), index: map[string]place{},
-		segments: map[uint64]*segment{}, next: 1, seq: 1}
 	if err := s.recover(); err != nil {
-		s.shut()
+		_ = s.release() // nothing was written that counts; recover's error says what failed
 		return nil, err
 	}
-	go s.write()
-	if o.Manual {
-		close(s.idle)
+	go s.runWriter()
+	if options.Manual {
+		close(s.maintainerDone)
 	} else {
-		go s.maintain()
+		go s.runMaintainer()
 	}
 	return s, nil
 }
 
-// Put makes an entry durable, in place of what its key had. It returns once it is, or says why it may not be.
-func (s *Store) Put(key string, value []byte, expires time.Time) error {
-	if key == "" || len(key) > MaxKey || len(value) > MaxValue {
+func setDefaults(o *Options) {
+	if o.SegmentSize == 0 {
+		o.SegmentSize = defaultSegmentSize
+	}
+	if o.MaxBytes == 0 {
+		o.MaxBytes = defaultMaxBytes
+	}
+	if o.MaintainEvery == 0 {
+		o.MaintainEvery = defaultMaintainEvery
+	}
+	if o.Now == nil {
+		o.Now = time.Now
+	}
+	if o.Logger == nil {
+		o.Logger = slog.New(slog.DiscardHandler)
+	}
+}
+
+// Put stores an entry, in place of what its key had. It returns when the entry is confirmed, or the reason why it may
+// not be stored: ErrSize, ErrFull, ErrClosed or an error of the file system.
+func (s *Store) Put(key string, value []byte, expiresAt time.Time) error {
+	if !isValidSize(key, value) {
 		return ErrSize
 	}
-	return s.do(op{record: record{kind: put, key: key, value: value, expires: expires.UnixMilli()}})
+	return s.submit(op{record: newPut(key, value, expiresAt)})
 }
 
-// Delete makes the absence of an entry durable.
+// Delete deletes an entry. It returns when its absence is confirmed.
 func (s *Store) Delete(key string) error {
-	if key == "" || len(key) > MaxKey {
+	if !isValidSize(key, nil) {
 		return ErrSize
 	}
-	return s.do(op{record: record{kind: remove, key: key}})
+	return s.submit(op{record: record{kind: kindDelete, key: key}})
 }
 
-// PutLater and DeleteLater leave a change to be written with the next batch, within 100 ms, and do not block: it is
-// never confirmed. Of one key they go before what is asked for after them. false: too many wait, and nothing was done.
-func (s *Store) PutLater(key string, value []byte, expires time.Time) bool {
-	return key != "" && len(key) <= MaxKey && len(value) <= MaxValue &&
-		s.leave(op{record: record{kind: put, key: key, value: value, expires: expires.UnixMilli()}})
+// PutLater puts an entry with the next batch, within 100 ms, and does not block: it is never confirmed. Of one key,
+// PutLater and DeleteLater take effect before any change that is requested after them. It returns false if nothing is
+// done since too many changes wait, the size is not valid, or the store is closed.
+func (s *Store) PutLater(key string, value []byte, expiresAt time.Time) bool {
+	return isValidSize(key, value) && s.enqueue(op{record: newPut(key, value, expiresAt)})
 }
 
-// DeleteLater is described at PutLater.
+// DeleteLater deletes an entry in the manner of PutLater.
 func (s *Store) DeleteLater(key string) bool {
-	return key != "" && len(key) <= MaxKey && s.leave(op{record: record{kind: remove, key: key}})
+	return isValidSize(key, nil) && s.enqueue(op{record: record{kind: kindDelete, key: key}})
 }
 
-func (s *Store) leave(o op) bool {
-	select {
-	case <-s.closed:
-		return false
-	default:
-	}
-	select {
-	case s.later <- o:
-		return true
-	default:
-		return false
-	}
+func isValidSize(key string, value []byte) bool {
+	return key != "" && len(key) <= MaxKey && len(value) <= MaxValue
+}
+
+func newPut(key string, value []byte, expiresAt time.Time) record {
+	return record{kind: kindPut, key: key, value: value, expiresAt: expiresAt.UnixMilli()}
 }
 
-func (s *Store) do(o op) error {
+// submit hands an op to the writer and waits for its result.
+func (s *Store) submit(o op) error {
 	o.done = make(chan error, 1)
-	select {
-	case <-s.closed:
+	if s.isClosed() {
 		return ErrClosed
-	default:
 	}
 	select {
 	case s.ops <- o:
@@ -223,7 +217,7 @@
 	select {
 	case err := <-o.done:
 		return err
-	case <-s.ended:
+	case <-s.writerDone:
 	}
 	select {
 	case err := <-o.done:
@@ -233,107 +227,47 @@
 	}
 }
 
-// Get returns an entry that has not expired; ok is false where there is none.
-func (s *Store) Get(key string) (value []byte, ok bool, err error) {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	p, ok := s.index[key]
-	if !ok || p.expires <= s.o.Now().UnixMilli() {
-		return nil, false, nil
-	}
-	r, err := s.at(p)
-	return r.value, err == nil, err
-}
-
-// at reads the record at a place. The lock is held.
-func (s *Store) at(p place) (record, error) {
-	b := make([]byte, p.size)
-	if n, err := s.segments[p.segment].f.ReadAt(b, p.offset); n < len(b) {
-		return record{}, fmt.Errorf("store: %s: %w", segmentName(p.segment), err)
-	}
-	r, ok := read(b, p.segment, p.offset)
-	if !ok {
-		return record{}, fmt.Errorf("store: %s: the record at %d: %w", segmentName(p.segment), p.offset, errChanged)
+// enqueue leaves an op to the writer, unless too many wait.
+func (s *Store) enqueue(o op) bool {
+	if s.isClosed() {
+		return false
 	}
-	return r, nil
-}
-
-// Each calls each with every entry that has not expired, in no order, until it returns false. An entry that the disk
-// has changed is left out, and counted as damaged.
-func (s *Store) Each(each func(key string, value []byte, expires time.Time) bool) error {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	now := s.o.Now().UnixMilli()
-	for key, p := range s.index {
-		if p.expires <= now {
-			continue
-		}
-		r, err := s.at(p)
-		if errors.Is(err, errChanged) {
-			s.o.Log.Error("store: an entry is lost", "err", err)
-			continue
-		}
-		if err != nil {
-			return err
-		}
-		if !each(key, r.value, time.UnixMilli(r.expires)) {
-			return nil
-		}
+	select {
+	case s.deferredOps <- o:
+		return true
+	default:
+		return false
 	}
-	return nil
 }
 
-// Stats is how a store stands.
-type Stats struct {
-	Entries  int   `json:"entries"`  // expired ones whose place was not given back yet included
-	Segments int   `json:"segments"` //
-	Bytes    int64 `json:"bytes"`    // of all segments
-	Live     int64 `json:"live"`     // of them, records that count
-	Damaged  int64 `json:"damaged"`  // bytes that the disk has changed
-	Unsynced int   `json:"unsynced"` // entries that SyncEvery has confirmed and no sync yet
-
-	// Since it was opened:
-	Syncs       uint64 `json:"syncs"`
-	Failures    uint64 `json:"failures"`    // batches that could not be written or synced
-	Compactions uint64 `json:"compactions"` //
-	Dropped     uint64 `json:"dropped"`     // segments given back whole, since all in them had expired or was replaced
-	Lost        uint64 `json:"lost"`        // entries of SyncEvery whose sync failed and that could not be written again yet
-}
-
-// Stats returns it. It takes time in proportion to the segments, not to the entries.
-func (s *Store) Stats() Stats {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	c := s.count
-	st := Stats{Entries: len(s.index), Segments: len(s.segments), Damaged: s.damaged, Unsynced: len(s.unsynced), Syncs: c.syncs,
-		Failures: c.failures, Compactions: c.compactions, Dropped: c.dropped, Lost: c.lost}
-	for _, g := range s.segments {
-		st.Bytes += g.size
-		st.Live += g.live
+func (s *Store) isClosed() bool {
+	select {
+	case <-s.closed:
+		return true
+	default:
+		return false
 	}
-	return st
 }
 
-// Close waits for what was asked for, and lets the store go.
+// Close waits for the changes that were requested and closes the store.
 func (s *Store) Close() error {
-	s.compacting.Lock()
-	select {
-	case <-s.closed:
-		s.compacting.Unlock()
+	s.compactMu.Lock()
+	if s.isClosed() {
+		s.compactMu.Unlock()
 		return nil
-	default:
 	}
 	close(s.closed)
-	s.compacting.Unlock()
-	<-s.ended
-	<-s.idle
-	return s.shut()
+	s.compactMu.Unlock()
+	<-s.writerDone
+	<-s.maintainerDone
+	return s.release()
 }
 
-func (s *Store) shut() error {
+// release closes the files and the lock.
+func (s *Store) release() error {
 	var err error
 	for _, g := range s.segments {
-		err = errors.Join(err, g.f.Close())
+		err = errors.Join(err, g.file.Close())
 	}
 	return errors.Join(err, s.lock.Close())
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,13 +15,14 @@
 	"hazelwing/internal/testutil"
 )
 
-func open(t testing.TB, path string, o store.Options) *store.Store {
+// openDir opens a store in a directory of the disk, and closes it at the end of the test at the latest.
+func openDir(t testing.TB, path string, options store.Options) *store.Store {
 	t.Helper()
 	fs, err := store.Dir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := store.Open(fs, o)
+	s, err := store.Open(fs, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,12 +30,12 @@
 	return s
 }
 
-// On a real disk: what was put is there after a restart, what expired is not, and a second process is kept out.
+// On a real disk: entries are there after a restart, expired ones are not, and a second process is excluded.
 func TestRestart(t *testing.T) {
 	path := t.TempDir()
 	now := epoch
-	o := store.Options{SegmentSize: 4096, Manual: true, Now: func() time.Time { return now }}
-	s := open(t, path, o)
+	options := store.Options{SegmentSize: 4096, Manual: true, Now: func() time.Time { return now }}
+	s := openDir(t, path, options)
 	for i := range 300 {
 		if err := s.Put(fmt.Sprint("k", i%100), fmt.Append(nil, i), now.Add(time.Duration(i)*time.Second)); err != nil {
 			t.Fatal(err)
@@ -44,16 +45,17 @@
 		t.Fatal(err)
 	}
 	fs, _ := store.Dir(path)
-	if _, err := store.Open(fs, o); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a second one: %v", err)
+	if _, err := store.Open(fs, options); !errors.Is(err, store.ErrLocked) {
+		t.Errorf("a second process: %v", err)
 	}
 	s.Close()
-	s = open(t, path, o)
+	s = openDir(t, path, options)
 	check := func(when string, first int) {
 		t.Helper()
 		for i := range 100 {
 			value, ok, err := s.Get(fmt.Sprint("k", i))
-			if want := i != 7 && i+200 > first; err != nil || ok != want || ok && string(value) != fmt.Sprint(i+200) {
+			want := i != 7 && i+200 > first
+			if err != nil || ok != want || ok && string(value) != fmt.Sprint(i+200) {
 				t.Errorf("%s: k%d is %q, %v, %v", when, i, value, ok, err)
 			}
 		}
@@ -70,15 +72,15 @@
 		t.Errorf("compacted from %+v to %+v", before, after)
 	}
 	s.Close()
-	s = open(t, path, o)
+	s = openDir(t, path, options)
 	check("compacted and restarted", 250)
-	now = epoch // the clock goes back across a restart: what was taken away stays away, the rest lives longer
+	now = epoch // the clock goes back: what was removed stays removed, the rest lives longer
 	if _, ok, _ := s.Get("k60"); !ok {
-		t.Error("an entry ended early")
+		t.Error("an entry expired early")
 	}
 }
 
-// Writers, readers and compactions at the same time. Many that wait share a sync.
+// Writers, readers and compactions run at the same time. Writers that wait at the same time share a sync.
 func TestConcurrent(t *testing.T) {
 	fs := faultfs.New()
 	fs.SyncTime = time.Millisecond
@@ -119,13 +121,19 @@
 	all.Wait()
 	close(stop)
 	compactor.Wait()
-	if st := s.Stats(); st.Entries != writers*5 || st.Syncs > writers*each/2 {
-		t.Errorf("%+v: %d writers should share syncs", st, writers)
+	if stats := s.Stats(); stats.Entries != writers*5 || stats.Syncs > writers*each/2 {
+		t.Errorf("%+v: %d writers should share syncs", stats, writers)
 	}
 }
 
-func TestBounds(t *testing.T) {
-	s, err := store.Open(faultfs.New(), store.Options{SegmentSize: 1 << 10, MaxBytes: 4 << 10, Manual: true, Now: func() time.Time { return epoch }})
+// Entries beyond the limits are rejected, and a full store goes on after a compaction.
+func TestLimits(t *testing.T) {
+	s, err := store.Open(faultfs.New(), store.Options{
+		SegmentSize: 1 << 10,
+		MaxBytes:    4 << 10,
+		Manual:      true,
+		Now:         func() time.Time { return epoch },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,12 +148,12 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	full := false
-	for i := 0; i < 100 && !full; i++ {
-		full = errors.Is(s.Put("k", make([]byte, 300), hour), store.ErrFull)
+	isFull := false
+	for i := 0; i < 100 && !isFull; i++ {
+		isFull = errors.Is(s.Put("k", make([]byte, 300), hour), store.ErrFull)
 	}
-	if st := s.Stats(); !full || st.Bytes > 4<<10 {
-		t.Errorf("full: %v, %+v", full, st)
+	if stats := s.Stats(); !isFull || stats.Bytes > 4<<10 {
+		t.Errorf("full: %v, %+v", isFull, stats)
 	}
 	if err := errors.Join(s.Delete("k"), s.Compact(), s.Put("k", make([]byte, 300), hour)); err != nil {
 		t.Errorf("after a compaction: %v", err)
@@ -156,10 +164,10 @@
 	}
 }
 
-// A format that this program does not know is left alone.
-func TestOtherFormat(t *testing.T) {
+// A segment whose header is damaged is read: the header says nothing then, and the records count.
+func TestDamagedHeader(t *testing.T) {
 	path := t.TempDir()
-	s := open(t, path, store.Options{})
+	s := openDir(t, path, store.Options{})
 	if err := s.Put("k", nil, time.Now().Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
@@ -169,18 +177,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b[7] = 9 // and its checksum, below
-	copy(b[16:], []byte{0, 0, 0, 0})
+	b[7] = 9                         // the version of the format
+	copy(b[16:], []byte{0, 0, 0, 0}) // the checksum
 	if err := os.WriteFile(name, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again := open(t, path, store.Options{}) // a header that is no whole one says nothing: the record counts
+	again := openDir(t, path, store.Options{})
 	if _, ok, err := again.Get("k"); !ok || err != nil {
 		t.Errorf("%v, %v", ok, err)
 	}
 }
 
-// A slow sync makes writers wait, and no reader.
+// Writers wait for a slow sync, readers do not.
 func TestSlowSync(t *testing.T) {
 	fs := faultfs.New()
 	s, err := store.Open(fs, store.Options{})
@@ -194,7 +202,7 @@
 	}
 	fs.SyncTime = 300 * time.Millisecond
 	done := make(chan error, 1)
-	begun := time.Now()
+	start := time.Now()
 	go func() { done <- s.Put("b", nil, hour) }()
 	reads := 0
 	for len(done) == 0 {
@@ -203,7 +211,8 @@
 		}
 		reads++
 	}
-	if err := testutil.Receive(t, done, "the put"); err != nil || time.Since(begun) < 300*time.Millisecond || reads < 100 {
-		t.Errorf("%v after %v, %d reads meanwhile", err, time.Since(begun), reads)
+	err = testutil.Receive(t, done, "the put")
+	if err != nil || time.Since(start) < 300*time.Millisecond || reads < 100 {
+		t.Errorf("%v after %v, %d reads meanwhile", err, time.Since(start), reads)
 	}
 }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -14,22 +14,23 @@
 	"hazelwing/internal/store"
 )
 
-// storedDir is a directory that the program of 593ba64 has written: see its README.
+// storedDir is a directory that the program of 593ba64 wrote: see its README.
 const storedDir = "testdata/version-593ba64"
 
-// storedAt is the wall time at which it was written.
+// storedAt is the wall time at which storedDir was written.
 var storedAt = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
 
-// storedOptions gives each closed segment its hint file only when Maintain is called.
+// storedOptions make small segments, whose hint files are written only when Maintain is called.
 func storedOptions(now *time.Time) store.Options {
 	return store.Options{SegmentSize: 256, Manual: true, Now: func() time.Time { return *now }}
 }
 
-// writeStored does what the directory was made by. One change at a time is waited for, so that it always gives the same bytes.
+// writeStored makes the changes that storedDir was written by. It waits for each change, so that the bytes are always
+// the same.
 func writeStored(t *testing.T, path string) {
 	t.Helper()
 	now := storedAt
-	s := open(t, path, storedOptions(&now))
+	s := openDir(t, path, storedOptions(&now))
 	change := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -37,7 +38,8 @@
 		}
 	}
 	for i := range 12 {
-		change(s.Put(fmt.Sprintf("key-%02d", i), bytes.Repeat([]byte{byte(i)}, 3*i), storedAt.Add(time.Duration(i+1)*time.Hour)))
+		value := bytes.Repeat([]byte{byte(i)}, 3*i)
+		change(s.Put(fmt.Sprintf("key-%02d", i), value, storedAt.Add(time.Duration(i+1)*time.Hour)))
 	}
 	change(s.Put("key-03", []byte("replaced"), storedAt.Add(50*time.Hour)))
 	change(s.Put("\x00\xff/not text", []byte{0, 1, 0xfe, 0xff}, storedAt.Add(51*time.Hour)))
@@ -52,15 +54,16 @@
 }
 
 type storedEntry struct {
-	value   string
-	expires time.Time
+	value     string
+	expiresAt time.Time
 }
 
-// wantStored is what the directory holds ten seconds after it was written.
-func wantStored() map[string]storedEntry {
+// storedEntries returns what storedDir holds ten seconds after it was written.
+func storedEntries() map[string]storedEntry {
 	want := map[string]storedEntry{}
 	for i := range 12 {
-		want[fmt.Sprintf("key-%02d", i)] = storedEntry{strings.Repeat(string([]byte{byte(i)}), 3*i), storedAt.Add(time.Duration(i+1) * time.Hour)}
+		value := strings.Repeat(string([]byte{byte(i)}), 3*i)
+		want[fmt.Sprintf("key-%02d", i)] = storedEntry{value, storedAt.Add(time.Duration(i+1) * time.Hour)}
 	}
 	want["key-03"] = storedEntry{"replaced", storedAt.Add(50 * time.Hour)}
 	want["\x00\xff/not text"] = storedEntry{"\x00\x01\xfe\xff", storedAt.Add(51 * time.Hour)}
@@ -70,12 +73,12 @@
 	return want
 }
 
-// holdsExactly checks every entry, by Each and by Get.
-func holdsExactly(t *testing.T, s *store.Store, want map[string]storedEntry) {
+// wantEntries compares all entries of a store, by Each and by Get.
+func wantEntries(t *testing.T, s *store.Store, want map[string]storedEntry) {
 	t.Helper()
 	got := map[string]storedEntry{}
-	if err := s.Each(func(key string, value []byte, expires time.Time) bool {
-		got[key] = storedEntry{string(value), expires.UTC()}
+	if err := s.Each(func(key string, value []byte, expiresAt time.Time) bool {
+		got[key] = storedEntry{string(value), expiresAt.UTC()}
 		return true
 	}); err != nil {
 		t.Fatal(err)
@@ -88,13 +91,13 @@
 			t.Errorf("%q is %q, %v, %v, want %q", key, value, ok, err, entry.value)
 		}
 	}
-	if s := s.Stats(); s.Damaged != 0 {
-		t.Errorf("%d bytes damaged", s.Damaged)
+	if stats := s.Stats(); stats.Damaged != 0 {
+		t.Errorf("%d bytes damaged", stats.Damaged)
 	}
 }
 
-// files are a directory's segments and hints by name.
-func files(t *testing.T, path string) map[string][]byte {
+// readFiles returns the content of the segments and hint files of a directory, by name.
+func readFiles(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	list, err := os.ReadDir(path)
 	if err != nil {
@@ -111,10 +114,11 @@
 	return out
 }
 
+// copyStored returns a copy of storedDir.
 func copyStored(t *testing.T) string {
 	t.Helper()
 	path := t.TempDir()
-	for name, text := range files(t, storedDir) {
+	for name, text := range readFiles(t, storedDir) {
 		if err := os.WriteFile(filepath.Join(path, name), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -122,11 +126,11 @@
 	return path
 }
 
-// The same changes give the same bytes as they did in 593ba64, segments and hints.
-func TestSegmentsAndHintsKeepTheirBytes(t *testing.T) {
+// The same changes write the same segments and hint files as in 593ba64, byte by byte.
+func TestSegmentsAndHintsAreStable(t *testing.T) {
 	path := t.TempDir()
 	writeStored(t, path)
-	got, want := files(t, path), files(t, storedDir)
+	got, want := readFiles(t, path), readFiles(t, storedDir)
 	if names := slices.Sorted(maps.Keys(want)); len(names) != 6 || !slices.Equal(slices.Sorted(maps.Keys(got)), names) {
 		t.Errorf("files %q, want %q", slices.Sorted(maps.Keys(got)), names)
 	}
@@ -137,10 +141,10 @@
 	}
 }
 
-// A directory of 593ba64's is read whole, with its hints and without, written on, compacted, and read again.
-func TestDirectoryOfTheVersionBefore(t *testing.T) {
-	for _, hints := range []bool{true, false} {
-		t.Run(fmt.Sprint("hints ", hints), func(t *testing.T) {
+// A directory that 593ba64 wrote is read, with its hint files and without, changed, compacted, and read again.
+func TestDirectoryOfPreviousVersion(t *testing.T) {
+	for _, hasHints := range []bool{true, false} {
+		t.Run(fmt.Sprint("hints ", hasHints), func(t *testing.T) {
 			path := copyStored(t)
 			fs, err := store.Dir(path)
 			if err != nil {
@@ -151,16 +155,16 @@
 				t.Fatalf("%d segments, %v", len(list), err)
 			}
 			for i, g := range list {
-				wantHint := "good"
+				wantHint := store.HintGood
 				if i >= 2 {
-					wantHint = "none" // it was written to after the hints
+					wantHint = store.HintMissing // it was written to after the hint files
 				}
 				if g.Damaged != 0 || g.Tail != 0 || g.Fault != "" || g.Hint != wantHint {
 					t.Errorf("%+v, want hint %s", g, wantHint)
 				}
 			}
-			if !hints {
-				for name := range files(t, path) {
+			if !hasHints {
+				for name := range readFiles(t, path) {
 					if strings.HasSuffix(name, ".hint") {
 						if err := os.Remove(filepath.Join(path, name)); err != nil {
 							t.Fatal(err)
@@ -169,9 +173,9 @@
 				}
 			}
 			now := storedAt.Add(10 * time.Second)
-			want := wantStored()
-			s := open(t, path, storedOptions(&now))
-			holdsExactly(t, s, want)
+			want := storedEntries()
+			s := openDir(t, path, storedOptions(&now))
+			wantEntries(t, s, want)
 
 			if err := s.Put("key-01", []byte("by the new version"), storedAt.Add(60*time.Hour)); err != nil {
 				t.Fatal(err)
@@ -185,17 +189,17 @@
 				t.Fatal(err)
 			}
 			delete(want, "key-03")
-			holdsExactly(t, s, want)
+			wantEntries(t, s, want)
 			if err := s.Close(); err != nil {
 				t.Fatal(err)
 			}
 
-			s = open(t, path, storedOptions(&now))
-			holdsExactly(t, s, want)
+			s = openDir(t, path, storedOptions(&now))
+			wantEntries(t, s, want)
 			if err := s.Compact(); err != nil {
 				t.Fatal(err)
 			}
-			holdsExactly(t, s, want)
+			wantEntries(t, s, want)
 			if err := s.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -204,8 +208,8 @@
 			for _, key := range []string{"key-00", "key-02", "key-04"} {
 				delete(want, key)
 			}
-			s = open(t, path, storedOptions(&now))
-			holdsExactly(t, s, want)
+			s = openDir(t, path, storedOptions(&now))
+			wantEntries(t, s, want)
 		})
 	}
 }
