--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -156,8 +156,8 @@
 func (r *configRig) followed(besides ...int) (most int) {
 	best := -1
 	for _, n := range r.all() {
-		if s := r.state(n); s.Serves.Following > best && !slices.Contains(besides, n) {
-			most, best = n, s.Serves.Following
+		if s := r.state(n); s.Server.Subscribers > best && !slices.Contains(besides, n) {
+			most, best = n, s.Server.Subscribers
 		}
 	}
 	return most
@@ -231,7 +231,7 @@
 	testutil.Until(t, "all have the list from it, by way of the fleet", func() bool {
 		for _, n := range r.all() {
 			var l relay.SourceState
-			if r.Ask(n, "recovery", &l) != nil || !l.Relay.Live || l.Relay.Version != r.Servers.Discovery.Seq() || l.Group != r.Servers.Discovery.Addr() {
+			if r.Ask(n, "recovery", &l) != nil || !l.Server.Live || l.Server.Version != r.Servers.Discovery.Seq() || l.Group != r.Servers.Discovery.Addr() {
 				return false
 			}
 		}
@@ -278,7 +278,7 @@
 	<-done
 	r.inForce("half of the fleet restarts: the others", s, at, numbered(half+1, members), soon)
 	for n := range half {
-		if st := r.state(n + 1); !st.Ready && st.LastKnown == "" {
+		if st := r.state(n + 1); !st.Ready && st.CachedAge == "" {
 			t.Errorf("%d takes requests, and neither has it nor says what it acts on: %+v", n+1, st)
 		}
 	}
--- a/internal/controlplane/transport/link_test.go
+++ b/internal/controlplane/transport/member_test.go
@@ -34,7 +34,7 @@
 
 // source is an origin's hub without the origin.
 type source struct {
-	*hub
+	*subscriptionServer
 	addr   string
 	mu     sync.Mutex
 	told   map[string]controlplane.Report
@@ -43,16 +43,16 @@
 
 func newSource(t *testing.T, name string, h http.Handler) *source {
 	t.Helper()
-	s := &source{hub: newHub("f", name, 10), told: map[string]controlplane.Report{}}
-	s.reported = func(name string, r controlplane.Report) { s.mu.Lock(); s.told[name] = r; s.mu.Unlock() }
-	s.gone = func(name string) { s.mu.Lock(); delete(s.told, name); s.mu.Unlock() }
-	s.follows(nil)
+	s := &source{subscriptionServer: newSubscriptionServer("f", name, 10), told: map[string]controlplane.Report{}}
+	s.onReport = func(name string, r controlplane.Report) { s.mu.Lock(); s.told[name] = r; s.mu.Unlock() }
+	s.onDisconnect = func(name string) { s.mu.Lock(); delete(s.told, name); s.mu.Unlock() }
+	s.setUpstream(nil)
 	if h == nil {
 		h = s
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == alivePath {
-			s.answerAlive(w)
+			s.serveAlive(w)
 			return
 		}
 		h.ServeHTTP(w, q)
@@ -65,7 +65,7 @@
 
 // down closes the connections of a source, which takes no new ones from now on.
 func (s *source) down() {
-	s.lose()
+	s.setUpstreamLost()
 	s.server.CloseClientConnections()
 }
 
@@ -100,8 +100,8 @@
 	t.Helper()
 	m := new(member)
 	var err error
-	m.Member, err = NewMember(MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "f", Self: name, Parse: parse}, Origins: origins, Most: 4, Dir: dir,
-		Selector: bootstrap.Config{Self: name, Ask: 1, Fan: 2, Told: 1, Seed: 1}, Log: slog.New(slog.DiscardHandler),
+	m.Member, err = NewMember(MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "f", Self: name, Parse: parse}, Origins: origins, MaxSubscribers: 4, CacheDir: dir,
+		Selector: bootstrap.Config{Self: name, Roots: 1, FanOut: 2, ConfiguredSize: 1, RandomSeed: 1}, Log: slog.New(slog.DiscardHandler),
 		Apply: func(s *controlplane.Snapshot) error {
 			m.mu.Lock()
 			defer m.mu.Unlock()
@@ -121,8 +121,8 @@
 	return m
 }
 
-// A change comes by way of a member to one that follows it, is in force, and is told upward as the sum of both; when the origin goes
-// the next one is followed; when the member that is followed goes the origin is.
+// A change comes by way of a member to one that follows it, is in force, and is told upward as the sum of both; when
+// the origin goes the next one is followed; when the member that is followed goes the origin is.
 func TestChangeComesDownAndIsToldUpward(t *testing.T) {
 	t.Parallel()
 	a, b := newSource(t, "o1", nil), newSource(t, "o2", nil)
@@ -133,8 +133,8 @@
 	testutil.Until(t, "the first acts on it", func() bool { return first.acts() == 1 })
 	second := startMember(t, names[1], t.TempDir(), a.addr, b.addr)
 	see := func() {
-		first.View([]bootstrap.Member{{Name: names[1], Addr: second.addr}}, true)
-		second.View([]bootstrap.Member{{Name: names[0], Addr: first.addr}}, true)
+		first.UpdateMembers([]bootstrap.Member{{Name: names[1], Addr: second.addr}}, true)
+		second.UpdateMembers([]bootstrap.Member{{Name: names[0], Addr: first.addr}}, true)
 	}
 	see()
 	testutil.Until(t, "both act on it", func() bool { return second.acts() == 1 })
@@ -177,8 +177,8 @@
 	}
 }
 
-// A member of an older program refuses what it does not know and acts on the last good one, who follows it has it all the same, and the
-// origin hears who refuses it and why.
+// A member of an older program refuses what it does not know and acts on the last good one, who follows it has it all
+// the same, and the origin hears who refuses it and why.
 func TestOlderProgramPassesOn(t *testing.T) {
 	t.Parallel()
 	s := newSource(t, "o1", nil)
@@ -191,8 +191,8 @@
 	}, "m1", "", s.addr)
 	testutil.Until(t, "the old one acts on the first", func() bool { return old.acts() == 1 })
 	below := startMember(t, "m2", "", s.addr)
-	old.View([]bootstrap.Member{{Name: "m2", Addr: below.addr}}, true)
-	below.View([]bootstrap.Member{{Name: "m1", Addr: old.addr}}, true)
+	old.UpdateMembers([]bootstrap.Member{{Name: "m2", Addr: below.addr}}, true)
+	below.UpdateMembers([]bootstrap.Member{{Name: "m1", Addr: old.addr}}, true)
 	testutil.Until(t, "the other follows it, or it the other", func() bool {
 		a, _ := old.State()
 		b, _ := below.State()
@@ -221,15 +221,15 @@
 func TestOriginThatTakesNoPart(t *testing.T) {
 	t.Parallel()
 	idle, good := newSource(t, "idle", nil), newSource(t, "good", nil)
-	idle.part(false)
-	good.part(false)
+	idle.setParticipating(false)
+	good.setParticipating(false)
 	for _, s := range []*source{idle, good} {
 		s.publish(frame(1, "# one"))
 	}
 	m := startMember(t, "m", "", inOrder("m", idle.addr, good.addr)...)
 	testutil.Until(t, "the first is followed", func() bool { s, _ := m.State(); return s.Upstream == "idle" && m.acts() == 1 })
 	good.publish(frame(2, "# two"))
-	good.part(true)
+	good.setParticipating(true)
 	testutil.Until(t, "the other is", func() bool { s, _ := m.State(); return s.Upstream == "good" && m.acts() == 2 })
 }
 
@@ -249,7 +249,7 @@
 	good.publish(frame(1, "# one"))
 	head := `{"path":["bad"],"holds":{"epoch":1,"version":9,"hash":""}}` + "\n"
 	for name, say := range map[string]func(w http.ResponseWriter){
-		"a line that is too long": func(w http.ResponseWriter) { io.WriteString(w, head+strings.Repeat("x", MaxLine+1)) },
+		"a line that is too long": func(w http.ResponseWriter) { io.WriteString(w, head+strings.Repeat("x", MaxLineSize+1)) },
 		"half a line":             func(w http.ResponseWriter) { io.WriteString(w, head+`{"frame":{"fleet":"f","stamp":{"ep`) },
 		"a packed text that is too long": func(w http.ResponseWriter) {
 			l := pack(frame(1, "# "+strings.Repeat("x", 2*controlplane.MaxSnapshotSize)))
@@ -314,7 +314,7 @@
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	fmt.Fprintf(conn, "GET %s?epoch=0&version=0 HTTP/1.1\r\nHost: o\r\n%s: f\r\n%s: slow\r\n\r\n", watchPath, fleetHeader, whoHeader)
+	fmt.Fprintf(conn, "GET %s?epoch=0&version=0 HTTP/1.1\r\nHost: o\r\n%s: f\r\n%s: slow\r\n\r\n", watchPath, clusterHeader, senderHeader)
 	if _, err := bufio.NewReaderSize(conn, 16).ReadByte(); err != nil {
 		t.Fatal(err)
 	}
@@ -324,19 +324,19 @@
 	big := "# " + hex.EncodeToString(noise)
 	versions := uint64(0)
 	testutil.Until(t, "the slow one is gone, and the other has all", func() bool {
-		if s.state().Following == 2 || versions == 0 {
+		if s.state().Subscribers == 2 || versions == 0 {
 			versions++
 			s.publish(frame(versions, big))
 		}
-		return s.state().Following == 1 && m.acts() == versions
+		return s.state().Subscribers == 1 && m.acts() == versions
 	})
 	if versions == 0 {
 		t.Error("nothing was published")
 	}
 }
 
-// A restarted member begins from what it kept, and says so and how old that is until an origin confirms it; what was spoilt on disk is
-// not used.
+// A restarted member begins from what it kept, and says so and how old that is until an origin confirms it; what was
+// spoilt on disk is not used.
 func TestLastKnown(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -346,7 +346,7 @@
 	if text := m.WaitReady(t.Context(), testutil.Patience); text != "acting on 1.4" {
 		t.Error(text)
 	}
-	path := filepath.Join(dir, keptName)
+	path := filepath.Join(dir, cacheFileName)
 	testutil.Until(t, "it is kept", func() bool { _, err := os.Stat(path); return err == nil })
 	m.stop()
 	yesterday := time.Now().Add(-25 * time.Hour)
@@ -358,7 +358,7 @@
 	if text := m.WaitReady(t.Context(), 50*time.Millisecond); !strings.Contains(text, "the last known one, 1.4, confirmed 25h0m") {
 		t.Error(text)
 	}
-	if s, _ := m.State(); !s.FromCache || s.Ready || !strings.HasPrefix(s.LastKnown, "25h0m") {
+	if s, _ := m.State(); !s.FromCache || s.Ready || !strings.HasPrefix(s.CachedAge, "25h0m") {
 		t.Errorf("%+v", s)
 	}
 	m.stop()
