--- /dev/null
+++ b/cmd/hazelwing/architecture_test.go
@@ -0,0 +1,138 @@
+package main
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+const (
+	moduleRoot       = "../.."
+	architecturePage = moduleRoot + "/docs/ARCHITECTURE.md"
+)
+
+var (
+	// codeSpan is a piece of code in a Markdown page.
+	codeSpan = regexp.MustCompile("`([^`]+)`")
+	// packagePath is the path of a package below the module's root.
+	packagePath = regexp.MustCompile(`^(balancer|(cmd|internal|rpc)/[a-z0-9/]+)$`)
+	// diagramPath finds package paths in the page's diagram, which has no code spans.
+	diagramPath = regexp.MustCompile(`\b(?:cmd|internal|rpc)/[a-z0-9/]+`)
+	// qualifiedName is an exported identifier with its package, and a method or field of it.
+	qualifiedName = regexp.MustCompile(`^([a-z0-9]+)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
+)
+
+// The architecture page names packages and exported identifiers that exist.
+func TestArchitecturePageNamesTheCode(t *testing.T) {
+	page, err := os.ReadFile(architecturePage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range diagramPath.FindAllString(string(page), -1) {
+		if !isPackage(name) {
+			t.Errorf("there is no package %s", name)
+		}
+	}
+	declared := exportedNames(t)
+	checked := 0
+	for _, span := range codeSpan.FindAllStringSubmatch(string(page), -1) {
+		name := span[1]
+		switch {
+		case packagePath.MatchString(name):
+			if !isPackage(name) {
+				t.Errorf("there is no package %s", name)
+			}
+		case qualifiedName.MatchString(name):
+			checked++
+			if !declared[name] {
+				t.Errorf("the code declares no %s", name)
+			}
+		}
+	}
+	if checked < 30 {
+		t.Errorf("%d identifiers were found on the page, 30 or more are expected", checked)
+	}
+}
+
+func isPackage(name string) bool {
+	files, err := filepath.Glob(filepath.Join(moduleRoot, name, "*.go"))
+	if err != nil {
+		return false
+	}
+	below, err := filepath.Glob(filepath.Join(moduleRoot, name, "*", "*.go"))
+	return err == nil && len(files)+len(below) > 0
+}
+
+// exportedNames returns the exported identifiers of all packages, as package.Name and package.Type.Member, by the last
+// element of the package's path.
+func exportedNames(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	for _, pattern := range []string{"balancer", "internal/*", "internal/*/*", "rpc/*"} {
+		files, err := filepath.Glob(filepath.Join(moduleRoot, pattern, "*.go"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range files {
+			if strings.HasSuffix(name, "_test.go") {
+				continue
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+			if err != nil {
+				t.Fatal(err)
+			}
+			addNames(names, path.Base(path.Dir(filepath.ToSlash(name))), file)
+		}
+	}
+	return names
+}
+
+// addNames adds the declarations of a file.
+func addNames(names map[string]bool, packageName string, file *ast.File) {
+	for _, declaration := range file.Decls {
+		switch declaration := declaration.(type) {
+		case *ast.FuncDecl:
+			name := declaration.Name.Name
+			if declaration.Recv != nil {
+				name = receiverName(declaration.Recv) + "." + name
+			}
+			names[packageName+"."+name] = true
+		case *ast.GenDecl:
+			for _, spec := range declaration.Specs {
+				addSpec(names, packageName, spec)
+			}
+		}
+	}
+}
+
+func addSpec(names map[string]bool, packageName string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.TypeSpec:
+		names[packageName+"."+spec.Name.Name] = true
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			names[packageName+"."+name.Name] = true
+		}
+	}
+}
+
+// receiverName is the name of a method's type.
+func receiverName(receiver *ast.FieldList) string {
+	expression := receiver.List[0].Type
+	if pointer, ok := expression.(*ast.StarExpr); ok {
+		expression = pointer.X
+	}
+	if generic, ok := expression.(*ast.IndexExpr); ok {
+		expression = generic.X
+	}
+	if name, ok := expression.(*ast.Ident); ok {
+		return name.Name
+	}
+	return ""
+}
