--- a/internal/controlplane/transport/hollow_long_test.go
+++ b/internal/controlplane/transport/hollow_long_test.go
@@ -5,96 +5,134 @@
 	"runtime"
 	"time"
 
+	"hazelwing/internal/controlplane"
 	"hazelwing/internal/testcluster/hollow"
 	"hazelwing/internal/testutil"
 )
 
-// step carries out a step of the links.
-func (r *hollowRig) step(text string) {
-	r.t.Helper()
-	if err := r.Links.Play(text); err != nil {
-		r.t.Fatal(err)
+const (
+	// changeInterval is the time between changes while traffic is measured: ten times as many as 1,700 a day.
+	changeInterval = 5 * time.Second
+	// cutDuration is how long an area is cut off before the second change.
+	cutDuration = 12 * time.Second
+	// replacedMembers is how many members are replaced at once.
+	replacedMembers = 63
+)
+
+// playLinks carries out a step of the emulated network.
+func (h *hollowTest) playLinks(step string) {
+	h.t.Helper()
+	if err := h.Links.Play(step); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-func (r *hollowRig) settle() {
-	r.t.Helper()
-	begun := time.Now()
-	for r.Disagreement(func(hollow.Place) bool { return true }) != "" && time.Since(begun) < 2*time.Minute {
+// awaitAgreement waits until all members know each other, and logs how long that took.
+func (h *hollowTest) awaitAgreement() {
+	h.t.Helper()
+	everywhere := func(hollow.Place) bool { return true }
+	startedAt := time.Now()
+	for h.Disagreement(everywhere) != "" && time.Since(startedAt) < longFormPatience {
 		time.Sleep(100 * time.Millisecond)
 	}
-	r.t.Logf("views whole after %.1f s: %q", time.Since(begun).Seconds(), r.Disagreement(func(hollow.Place) bool { return true }))
+	h.t.Logf("views complete after %.1f s: %q", time.Since(startedAt).Seconds(), h.Disagreement(everywhere))
 }
 
-// long is a day's faults, one after the other.
-func (r *hollowRig) long() {
-	t := r.t
-	r.settle()
-	time.Sleep(*hollowQuiet / 2) // what the start has to tell is told
-	var mem runtime.MemStats
-	runtime.ReadMemStats(&mem)
-	t.Logf("%d members: heap %d MB, %d goroutines", len(r.Members), mem.HeapInuse>>20, runtime.NumGoroutine())
-	r.cost("quiet", *hollowQuiet, func() {})
-	r.cost("a change of 1 KB each 5 s (ten times 1,700 a day)", *hollowQuiet, func() {
-		for range int(*hollowQuiet/time.Second) / 5 {
-			s, at := r.push(0, 1)
-			r.inForce("one of them", s, at, r.Members)
-			time.Sleep(max(0, 5*time.Second-time.Since(at)))
-		}
-	})
-
-	// The origins one after the other are killed while a change is pushed.
+// runLongForm plays a day's faults, one after the other.
+func (h *hollowTest) runLongForm() {
+	h.awaitAgreement()
+	time.Sleep(*hollowQuiet / 2) // until the updates of the start have been sent
+	h.measureTraffic()
 	for k := range 2 {
-		go func() { time.Sleep(5 * time.Millisecond); r.origins[k].stop() }()
-		s, at := r.push((k+1)%5, (k+2)%5, 4)
-		r.inForce(fmt.Sprintf("origin %d killed in mid-push", k+1), s, at, r.Members)
-		r.origins[k].stop()
-		r.origins[k].start(t)
+		h.killOriginDuringPush(k)
 	}
 	time.Sleep(5 * time.Second)
+	h.cutArea("a rack", "k3")
+	h.cutArea("a zone", "z2")
+	h.cutArea("the region without a majority", "r2")
+	h.restartAll(h.replaceMembersDuringPush())
+}
 
-	for _, x := range []struct{ what, area string }{{"a rack", "k3"}, {"a zone", "z2"}, {"the region without a majority", "r2"}} {
-		area := hollow.Area(x.area)
-		r.step("cut " + x.area + " rest")
-		s, at := r.push(0, 4)
-		r.inForce(x.what+" is cut off: the others, at once", s, at, r.running(area))
-		time.Sleep(12 * time.Second)
-		s, at = r.push(0, 4)
-		r.inForce(x.what+" is cut off: the others, 12 s later", s, at, r.running(area))
-		at = time.Now()
-		r.step("heal")
-		r.inForce(x.what+": those, after the healing", s, at, r.In(area))
-		s, at = r.push(0, 1)
-		r.inForce(x.what+": a change right after it", s, at, r.Members)
-		r.settle()
-	}
+// measureTraffic logs the traffic at rest and with changes.
+func (h *hollowTest) measureTraffic() {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	h.t.Logf("%d members: heap %d MB, %d goroutines", len(h.Members), memory.HeapInuse>>20, runtime.NumGoroutine())
+	h.logTraffic("quiet", *hollowQuiet, func() {})
+	h.logTraffic("a change of 1 KB each 5 s (ten times 1,700 a day)", *hollowQuiet, func() {
+		for range int(*hollowQuiet / changeInterval) {
+			revision, pushedAt := h.push(0, 1)
+			h.awaitActive("one of them", revision, pushedAt, h.Members)
+			time.Sleep(max(0, changeInterval-time.Since(pushedAt)))
+		}
+	})
+}
+
+// killOriginDuringPush kills an origin while a change is pushed to others, and restarts it.
+func (h *hollowTest) killOriginDuringPush(k int) {
+	killed := h.origins[k]
+	go func() {
+		time.Sleep(5 * time.Millisecond)
+		killed.stop()
+	}()
+	revision, pushedAt := h.push((k+1)%5, (k+2)%5, 4)
+	h.awaitActive(fmt.Sprintf("origin %d killed in mid-push", k+1), revision, pushedAt, h.Members)
+	killed.stop() // waits for the goroutine's call
+	killed.start(h.t)
+}
 
-	// Replacements: 63 at once, while a change is pushed.
-	some := r.Members[len(r.Members)/2:]
-	some = some[:min(63, len(some))]
+// cutArea cuts an area off, pushes changes meanwhile and afterwards, and heals the cut.
+func (h *hollowTest) cutArea(what, name string) {
+	area := hollow.Area(name)
+	h.playLinks("cut " + name + " rest")
+	revision, pushedAt := h.push(0, 4)
+	h.awaitActive(what+" is cut off: the others, at once", revision, pushedAt, h.running(area))
+	time.Sleep(cutDuration)
+	revision, pushedAt = h.push(0, 4)
+	h.awaitActive(what+" is cut off: the others, 12 s later", revision, pushedAt, h.running(area))
+	healedAt := time.Now()
+	h.playLinks("heal")
+	h.awaitActive(what+": those, after the healing", revision, healedAt, h.In(area))
+	revision, pushedAt = h.push(0, 1)
+	h.awaitActive(what+": a change right after it", revision, pushedAt, h.Members)
+	h.awaitAgreement()
+}
+
+// replaceMembersDuringPush replaces many members at once while a change is pushed, and returns its revision.
+func (h *hollowTest) replaceMembersDuringPush() controlplane.Revision {
+	half := len(h.Members) / 2
+	replaced := h.Members[half:]
+	replaced = replaced[:min(replacedMembers, len(replaced))]
 	done := make(chan error)
-	go func() { r.Kill(some...); done <- r.Start(some...) }()
-	s, at := r.push(0, 1)
-	r.inForce("63 are replaced in mid-push: the others", s, at, r.Members[:len(r.Members)/2])
+	go func() {
+		h.Kill(replaced...)
+		done <- h.Start(replaced...)
+	}()
+	revision, pushedAt := h.push(0, 1)
+	h.awaitActive("63 are replaced in mid-push: the others", revision, pushedAt, h.Members[:half])
 	if err := <-done; err != nil {
-		t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	at = time.Now()
-	r.inForce("63 are replaced in mid-push: they, after their start", s, at, some)
+	startedAt := time.Now()
+	h.awaitActive("63 are replaced in mid-push: they, after their start", revision, startedAt, replaced)
+	return revision
+}
 
-	at = time.Now()
-	r.Kill(r.Members...)
-	ended := time.Since(at)
-	at = time.Now()
-	if err := r.Start(r.Members...); err != nil {
-		t.Fatal(err)
+// restartAll restarts all members, without cached snapshots, waits for the latest revision, and pushes a change.
+func (h *hollowTest) restartAll(latest controlplane.Revision) {
+	stoppedAt := time.Now()
+	h.Kill(h.Members...)
+	stopTime := time.Since(stoppedAt)
+	startedAt := time.Now()
+	if err := h.Start(h.Members...); err != nil {
+		h.t.Fatal(err)
 	}
-	t.Logf("all ended in %.1f s, started in %.1f s", ended.Seconds(), time.Since(at).Seconds())
-	r.inForce("all are restarted, nothing kept: since the first start", s, at, r.Members)
-	r.settle()
-	s, at = r.push(0, 1)
-	r.inForce("a change after it", s, at, r.Members)
-	if time.Since(at) > testutil.Patience {
-		t.Error("late")
+	h.t.Logf("all stopped in %.1f s, started in %.1f s", stopTime.Seconds(), time.Since(startedAt).Seconds())
+	h.awaitActive("all are restarted, nothing kept: since the first start", latest, startedAt, h.Members)
+	h.awaitAgreement()
+	revision, pushedAt := h.push(0, 1)
+	h.awaitActive("a change after it", revision, pushedAt, h.Members)
+	if took := time.Since(pushedAt); took > testutil.Patience {
+		h.t.Errorf("a change after the restart took %v, want at most %v", took, testutil.Patience)
 	}
 }
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -30,81 +30,124 @@
 )
 
 var (
-	hollowMembers = flag.Int("config.hollow", 0, "TestHollow: how many hollow members; 0: 20, and the short form")
-	hollowQuiet   = flag.Duration("config.quiet", 20*time.Second, "TestHollow's long form: how long bytes are counted for")
+	hollowMembers = flag.Int("config.hollow", 0,
+		"TestHollow: how many hollow members; 0: 20, and the short form")
+	hollowQuiet = flag.Duration("config.quiet", 20*time.Second,
+		"TestHollow's long form: how long bytes are counted for")
 )
 
-// hollowRig is hollow members with the real link, and real origins beside them.
-type hollowRig struct {
+const (
+	hollowCluster = "hollow"
+	// longFormPatience is how long the long form waits: one process runs hundreds of members, on a machine that others
+	// use.
+	longFormPatience = 2 * time.Minute
+	// maxLoggedMembers is how many members without a revision are logged with their state.
+	maxLoggedMembers = 8
+)
+
+// hollowTest is a cluster of hollow members, each with a Member of this package, and of origins.
+type hollowTest struct {
 	*hollow.Fleet
-	t       *testing.T
-	origins []*hollowOrigin
-	addrs   []string
-	allowed *netipx.IPSet
-
-	mu    sync.Mutex
-	acts  map[string]acting // by member
-	parts map[string]*transport.Member
-	bytes map[string]*atomic.Int64
+	t           *testing.T
+	origins     []*hollowOrigin
+	originAddrs []string
+	allowed     *netipx.IPSet
+
+	mu            sync.Mutex
+	active        map[string]activeRevision    // by member
+	configMembers map[string]*transport.Member // by member
+	bytes         map[string]*atomic.Int64     // of configuration, by address
 }
 
-// acting is what a member acts on, and since when.
-type acting struct {
-	stamp controlplane.Revision
-	at    time.Time
+// activeRevision is the revision in force at a member, and since when.
+type activeRevision struct {
+	revision controlplane.Revision
+	since    time.Time
 }
 
+// hollowOrigin is an origin that can be restarted.
 type hollowOrigin struct {
 	cfg  transport.OriginConfig
 	dir  string
 	stop func()
 }
 
-func newHollowRig(t *testing.T, members, origins int) *hollowRig {
-	r := &hollowRig{t: t, acts: map[string]acting{}, parts: map[string]*transport.Member{}, bytes: map[string]*atomic.Int64{}}
-	var b netipx.IPSetBuilder
-	b.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
-	r.allowed, _ = b.IPSet()
+// newHollowTest starts the origins. The members are not started yet.
+func newHollowTest(t *testing.T, members, origins int) *hollowTest {
+	t.Helper()
+	h := &hollowTest{
+		t:             t,
+		active:        map[string]activeRevision{},
+		configMembers: map[string]*transport.Member{},
+		bytes:         map[string]*atomic.Int64{},
+	}
+	var allowed netipx.IPSetBuilder
+	allowed.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
+	h.allowed, _ = allowed.IPSet() // a valid prefix makes a valid set
 	rack := 10
 	if members < 100 {
 		rack = 2
 	}
 	var err error
-	if r.Fleet, err = hollow.New(hollow.Config{Members: members, Rack: rack, Seed: 1, Attach: r.attach}); err != nil {
+	if h.Fleet, err = hollow.New(hollow.Config{Members: members, Rack: rack, Seed: 1, Attach: h.attach}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		r.Kill(r.Members...)
-		for _, o := range r.origins {
+		h.Kill(h.Members...)
+		for _, o := range h.origins {
 			o.stop()
 		}
-		r.Close()
+		h.Close()
 	})
-	f := origin.BootstrapConfig{Cluster: "hollow", Epoch: 1}
+	h.startOrigins(origins, rack)
+	return h
+}
+
+// startOrigins starts origins on the first machines of as many racks.
+func (h *hollowTest) startOrigins(count, rack int) {
+	h.t.Helper()
+	bootstrapConfig := origin.BootstrapConfig{Cluster: hollowCluster, Epoch: 1}
 	peers := map[string]string{}
-	for k := range origins {
+	for k := range count {
 		name := fmt.Sprint("o", k+1)
-		_, at := r.Machine(1 + k*rack)
-		addr := netip.AddrPortFrom(at, 7950).String()
-		f.Origins, peers[name] = append(f.Origins, name), addr
-		r.addrs = append(r.addrs, addr)
-	}
-	for k, name := range f.Origins {
-		network, _ := r.Machine(1 + k*rack)
-		o := &hollowOrigin{dir: filepath.Join(t.TempDir(), name), cfg: transport.OriginConfig{ListenAddr: peers[name], PeerAddrs: peers, AllowedNetworks: r.allowed, Dial: network.Dial,
-			Log: slog.New(slog.DiscardHandler), Node: origin.Config{BootstrapConfig: f, Self: name, Seed: uint64(k), TickInterval: 50 * time.Millisecond}}}
-		st := openStore(t, o.dir)
-		if err := origin.Bootstrap(st, f); err != nil {
-			t.Fatal(err)
+		_, ip := h.Machine(1 + k*rack)
+		addr := netip.AddrPortFrom(ip, 7950).String()
+		bootstrapConfig.Origins = append(bootstrapConfig.Origins, name)
+		peers[name] = addr
+		h.originAddrs = append(h.originAddrs, addr)
+	}
+	for k, name := range bootstrapConfig.Origins {
+		network, _ := h.Machine(1 + k*rack)
+		o := &hollowOrigin{
+			dir: filepath.Join(h.t.TempDir(), name),
+			cfg: transport.OriginConfig{
+				ListenAddr:      peers[name],
+				PeerAddrs:       peers,
+				AllowedNetworks: h.allowed,
+				Dial:            network.Dial,
+				Log:             slog.New(slog.DiscardHandler),
+				Node: origin.Config{
+					BootstrapConfig: bootstrapConfig,
+					Self:            name,
+					Seed:            uint64(k),
+					TickInterval:    50 * time.Millisecond,
+				},
+			},
+		}
+		st := openStore(h.t, o.dir)
+		if err := origin.Bootstrap(st, bootstrapConfig); err != nil {
+			h.t.Fatal(err)
 		}
-		st.Close()
-		r.origins = append(r.origins, o)
-		o.start(t)
+		if err := st.Close(); err != nil {
+			h.t.Fatal(err)
+		}
+		h.origins = append(h.origins, o)
+		o.start(h.t)
 	}
-	return r
 }
 
 func openStore(t *testing.T, dir string) *store.Store {
+	t.Helper()
 	fs, err := store.Dir(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -117,224 +160,293 @@
 }
 
 func (o *hollowOrigin) start(t *testing.T) {
+	t.Helper()
 	st := openStore(t, o.dir)
 	o.cfg.Store = st
 	node, err := transport.NewOrigin(o.cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
-	ran := make(chan struct{})
-	go func() { node.Run(ctx); st.Close(); close(ran) }()
-	o.stop = sync.OnceFunc(func() { end(); <-ran })
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		_ = node.Run(ctx) // without it no change is accepted, which fails the test
+		_ = st.Close()
+	}()
+	o.stop = sync.OnceFunc(func() {
+		cancel()
+		<-stopped
+	})
 }
 
-// attach is a member's place in the distribution, as the daemon opens it, but that nothing is kept on a disk.
-func (r *hollowRig) attach(m *hollow.Member) hollow.Attachment {
+// attach gives a hollow member its part in the distribution, as the daemon does, but without a cache file.
+func (h *hollowTest) attach(m *hollow.Member) hollow.Attachment {
 	var node atomic.Pointer[gossip.Node]
-	r.mu.Lock()
-	delete(r.acts, m.Name)
-	r.mu.Unlock()
-	p, err := transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: "hollow", Self: m.Name, FetchDelay: 300 * time.Millisecond},
-		Origins: r.addrs, MaxSubscribers: 8, Log: slog.New(slog.DiscardHandler), Dial: r.dial(m),
-		Selector:   bootstrap.Config{Self: m.Name, Roots: 40, FanOut: 4, ConfiguredSize: len(r.Members), RandomSeed: uint64(m.N)},
-		OnRevision: func(s controlplane.Revision) { node.Load().SetConfigRevision(s.Epoch, s.Version) },
-		Apply: func(s *controlplane.Snapshot) error {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			r.acts[m.Name] = acting{s.Revision, time.Now()}
+	h.mu.Lock()
+	delete(h.active, m.Name)
+	h.mu.Unlock()
+	member, err := transport.NewMember(transport.MemberConfig{
+		Follower: controlplane.FollowerConfig{
+			Cluster:    hollowCluster,
+			Self:       m.Name,
+			FetchDelay: 300 * time.Millisecond,
+		},
+		Origins:        h.originAddrs,
+		MaxSubscribers: 8,
+		Log:            slog.New(slog.DiscardHandler),
+		Dial:           h.dial(m),
+		Selector: bootstrap.Config{
+			Self:           m.Name,
+			Roots:          40,
+			FanOut:         4,
+			ConfiguredSize: len(h.Members),
+			RandomSeed:     uint64(m.N),
+		},
+		OnRevision: func(r controlplane.Revision) { node.Load().SetConfigRevision(r.Epoch, r.Version) },
+		Apply: func(snapshot *controlplane.Snapshot) error {
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.active[m.Name] = activeRevision{snapshot.Revision, time.Now()}
 			return nil
-		}})
+		},
+	})
 	if err != nil {
-		r.t.Error(err)
+		h.t.Error(err)
 		return hollow.Attachment{}
 	}
-	r.mu.Lock()
-	r.parts[m.Name] = p
-	r.mu.Unlock()
-	return hollow.Attachment{Also: p.Handler(), Run: p.Run, Opened: func(n *gossip.Node) { node.Store(n) },
+	h.mu.Lock()
+	h.configMembers[m.Name] = member
+	h.mu.Unlock()
+	return hollow.Attachment{
+		Also:   member.Handler(),
+		Run:    member.Run,
+		Opened: func(n *gossip.Node) { node.Store(n) },
 		OnStamp: func(from cluster.Entry, epoch, number uint64) {
-			p.ReceivePeerRevision(from.Name, from.Addr.String(), epoch, number)
+			member.ReceivePeerRevision(from.Name, from.Addr.String(), epoch, number)
 		},
 		OnView: func(others []cluster.Member, joined bool) {
-			list := make([]bootstrap.Member, 0, len(others))
-			for _, o := range others {
-				list = append(list, bootstrap.Member{Name: o.Name, Addr: o.Addr})
-			}
-			p.UpdateMembers(list, joined)
-		}}
+			member.UpdateMembers(toBootstrapMembers(others), joined)
+		},
+	}
 }
 
-// dial counts what configuration costs: at who asks and at whom it is asked.
-func (r *hollowRig) dial(m *hollow.Member) transport.DialFunc {
-	count := func(addr string) *atomic.Int64 {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		if r.bytes[addr] == nil {
-			r.bytes[addr] = new(atomic.Int64)
+func toBootstrapMembers(members []cluster.Member) []bootstrap.Member {
+	list := make([]bootstrap.Member, 0, len(members))
+	for _, m := range members {
+		list = append(list, bootstrap.Member{Name: m.Name, Addr: m.Addr})
+	}
+	return list
+}
+
+// dial counts the bytes of configuration, at the member that connects and at the one that it connects to.
+func (h *hollowTest) dial(m *hollow.Member) transport.DialFunc {
+	counter := func(addr string) *atomic.Int64 {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		if h.bytes[addr] == nil {
+			h.bytes[addr] = new(atomic.Int64)
 		}
-		return r.bytes[addr]
+		return h.bytes[addr]
 	}
-	own := count(m.Addr.String())
+	own := counter(m.Addr.String())
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		n := m.Network()
 		if n == nil {
 			return nil, net.ErrClosed
 		}
-		c, err := n.Dial(ctx, network, addr)
+		conn, err := n.Dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &counted{c, own, count(addr)}, nil
+		return &countingConn{conn, own, counter(addr)}, nil
 	}
 }
 
-type counted struct {
+// countingConn counts bytes at both ends of a connection.
+type countingConn struct {
 	net.Conn
 	own, peer *atomic.Int64
 }
 
-func (c *counted) add(n int) { c.own.Add(int64(n)); c.peer.Add(int64(n)) }
+func (c *countingConn) add(n int) {
+	c.own.Add(int64(n))
+	c.peer.Add(int64(n))
+}
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.add(n)
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.add(n)
 	return n, err
 }
 
-// push has a change accepted, by whichever origin of some takes it.
-func (r *hollowRig) push(origins ...int) (controlplane.Revision, time.Time) {
-	r.t.Helper()
-	begun := time.Now()
-	id := fmt.Sprint("push-", begun.UnixNano())
+// push has a change accepted by any of some origins, and returns its revision and when the push began.
+func (h *hollowTest) push(origins ...int) (controlplane.Revision, time.Time) {
+	h.t.Helper()
+	startedAt := time.Now()
+	id := fmt.Sprint("push-", startedAt.UnixNano())
 	text := fmt.Appendf(nil, "# %s\n[limits]\nmax_attempts = 3\n# %s\n", id, strings.Repeat("x", 1000))
-	for i := 0; time.Since(begun) < testutil.Patience; i++ {
-		c := transport.NewClient("hollow", r.addrs[origins[i%len(origins)]])
-		ctx, end := context.WithTimeout(r.t.Context(), time.Second)
-		s, err := c.Show(ctx, false)
-		if err == nil {
-			a, err := c.Push(ctx, id, s.Result.Revision.Version, text)
-			if err == nil && a.Outcome == origin.OutcomeAccepted {
-				end()
-				return a.Revision, begun
-			}
+	for i := 0; time.Since(startedAt) < testutil.Patience; i++ {
+		client := transport.NewClient(hollowCluster, h.originAddrs[origins[i%len(origins)]])
+		if revision, ok := pushOnce(h.t.Context(), client, id, text); ok {
+			return revision, startedAt
 		}
-		end()
 	}
-	r.t.Fatal("no origin has accepted a push")
-	return controlplane.Revision{}, begun
+	h.t.Fatal("no origin has accepted a push")
+	return controlplane.Revision{}, startedAt
+}
+
+// pushOnce pushes a change of the latest version, and returns its revision if it is accepted within a second.
+func pushOnce(ctx context.Context, client *transport.Client, id string, text []byte) (controlplane.Revision, bool) {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	shown, err := client.Show(ctx, false)
+	if err != nil {
+		return controlplane.Revision{}, false
+	}
+	result, err := client.Push(ctx, id, shown.Result.Revision.Version, text)
+	return result.Revision, err == nil && result.Outcome == origin.OutcomeAccepted
 }
 
-// patience is how long one waits: in the long form one process stands for hundreds, on a machine that others use.
-func (r *hollowRig) patience() time.Duration {
+// patience is how long the test waits for a change.
+func (h *hollowTest) patience() time.Duration {
 	if *hollowMembers > 0 {
-		return 2 * time.Minute
+		return longFormPatience
 	}
 	return testutil.Patience
 }
 
-// inForce waits until all of some act on a stamp, and logs when 50, 99 and 100 in 100 did, after since.
-func (r *hollowRig) inForce(what string, s controlplane.Revision, since time.Time, members []*hollow.Member) []time.Duration {
-	r.t.Helper()
-	var took []time.Duration
-	lack := ""
-	for end := time.Now().Add(r.patience()); ; {
-		took, lack = took[:0], ""
-		r.mu.Lock()
-		for _, m := range members {
-			if a := r.acts[m.Name]; a.stamp.Compare(s) >= 0 {
-				took = append(took, max(0, a.at.Sub(since)))
-			} else {
-				lack += " " + m.Name
-			}
-		}
-		r.mu.Unlock()
-		if lack == "" || time.Now().After(end) {
-			break
-		}
+// awaitActive waits until a revision, or a later one, is in force at all of some members. It returns and logs how long
+// after since that took, at 50, 99 and 100 in 100 members.
+func (h *hollowTest) awaitActive(
+	what string, revision controlplane.Revision, since time.Time, members []*hollow.Member,
+) []time.Duration {
+	h.t.Helper()
+	deadline := time.Now().Add(h.patience())
+	took, missing := h.activeAt(revision, since, members)
+	for len(missing) > 0 && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
+		took, missing = h.activeAt(revision, since, members)
 	}
-	if lack != "" {
-		for i, name := range strings.Fields(lack) {
-			if s, ok := r.parts[name].State(); i < 8 {
-				r.t.Logf("%s, %v: %+v", name, ok, s)
-			}
-		}
-		for _, addr := range r.addrs {
-			s, err := transport.NewClient("hollow", addr).Status(r.t.Context())
-			r.t.Logf("%+v, %v", s, err)
-		}
-		r.t.Fatalf("%s: %d of %d act on %v; not%.300s", what, len(took), len(members), s, lack)
+	if len(missing) > 0 {
+		h.logStates(missing)
+		h.t.Fatalf("%s: %v is in force at %d of %d members; not at %.300s",
+			what, revision, len(took), len(members), strings.Join(missing, " "))
 	}
 	slices.Sort(took)
-	of := func(share float64) float64 { return took[min(len(took)-1, int(share*float64(len(took))))].Seconds() }
-	load, _ := os.ReadFile("/proc/loadavg")
-	word, _, _ := strings.Cut(string(load), " ")
-	r.t.Logf("| %-46s | %4d | %.3f | %.3f | %.3f | load %s", what, len(took), of(0.5), of(0.99), took[len(took)-1].Seconds(), word)
+	quantile := func(share float64) float64 {
+		return took[min(len(took)-1, int(share*float64(len(took))))].Seconds()
+	}
+	loadavg, _ := os.ReadFile("/proc/loadavg") // empty where there is none
+	load, _, _ := strings.Cut(string(loadavg), " ")
+	h.t.Logf("| %-46s | %4d | %.3f | %.3f | %.3f | load %s",
+		what, len(took), quantile(0.5), quantile(0.99), took[len(took)-1].Seconds(), load)
 	return took
 }
 
-// running are the members that run and stand in no area of some.
-func (r *hollowRig) running(besides ...hollow.Area) (list []*hollow.Member) {
-	for _, m := range r.Members {
-		if m.Runs() && !slices.ContainsFunc(besides, func(a hollow.Area) bool { return a.Has(m.Place) }) {
+// activeAt returns how long after since a revision came into force at members, and the names of those at which it has
+// not.
+func (h *hollowTest) activeAt(
+	revision controlplane.Revision, since time.Time, members []*hollow.Member,
+) (took []time.Duration, missing []string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, m := range members {
+		active := h.active[m.Name]
+		if active.revision.Compare(revision) < 0 {
+			missing = append(missing, m.Name)
+			continue
+		}
+		took = append(took, max(0, active.since.Sub(since)))
+	}
+	return took, missing
+}
+
+// logStates logs the state of the first of some members, and of all origins.
+func (h *hollowTest) logStates(names []string) {
+	for _, name := range names[:min(len(names), maxLoggedMembers)] {
+		h.mu.Lock()
+		member := h.configMembers[name]
+		h.mu.Unlock()
+		state, ok := member.State()
+		h.t.Logf("%s, %v: %+v", name, ok, state)
+	}
+	for _, addr := range h.originAddrs {
+		status, err := transport.NewClient(hollowCluster, addr).Status(h.t.Context())
+		h.t.Logf("%+v, %v", status, err)
+	}
+}
+
+// running returns the members that run outside of some areas.
+func (h *hollowTest) running(excluded ...hollow.Area) []*hollow.Member {
+	var list []*hollow.Member
+	for _, m := range h.Members {
+		isExcluded := slices.ContainsFunc(excluded, func(area hollow.Area) bool { return area.Has(m.Place) })
+		if m.Runs() && !isExcluded {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// cost is what a member sent and received a second over a time: in all, by datagrams (the view), for the list and for
-// configuration.
-func (r *hollowRig) cost(what string, d time.Duration, during func()) {
-	type reading struct{ all, streams, config int64 }
-	read := func() map[*hollow.Member]reading {
-		out := map[*hollow.Member]reading{}
-		for _, m := range r.Members {
-			c := m.Counts()
-			r.mu.Lock()
-			config := r.bytes[m.Addr.String()]
-			r.mu.Unlock()
-			x := reading{c.BytesIn + c.BytesOut, c.StreamIn + c.StreamOut, 0}
-			if config != nil {
-				x.config = config.Load()
-			}
-			out[m] = x
+// memberTraffic is what a member has sent and received, in bytes.
+type memberTraffic struct{ total, streams, config int64 }
+
+func (h *hollowTest) traffic() map[*hollow.Member]memberTraffic {
+	all := map[*hollow.Member]memberTraffic{}
+	for _, m := range h.Members {
+		counts := m.Counts()
+		h.mu.Lock()
+		config := h.bytes[m.Addr.String()]
+		h.mu.Unlock()
+		traffic := memberTraffic{total: counts.BytesIn + counts.BytesOut, streams: counts.StreamIn + counts.StreamOut}
+		if config != nil {
+			traffic.config = config.Load()
 		}
-		return out
+		all[m] = traffic
 	}
-	before, begun := read(), time.Now()
-	during()
-	if left := d - time.Since(begun); left > 0 {
+	return all
+}
+
+// logTraffic logs how many bytes a second a member sends and receives while action runs, and for at least d: in all, in
+// datagrams (the view), for the endpoint list, and for configuration.
+func (h *hollowTest) logTraffic(what string, d time.Duration, action func()) {
+	before, startedAt := h.traffic(), time.Now()
+	action()
+	if left := d - time.Since(startedAt); left > 0 {
 		time.Sleep(left)
 	}
-	after, secs := read(), time.Since(begun).Seconds()
-	var all, view, list, config []float64
+	after, seconds := h.traffic(), time.Since(startedAt).Seconds()
+	var total, view, list, config []float64
 	for m, b := range before {
 		a := after[m]
-		all = append(all, float64(a.all-b.all)/secs)
-		streams := a.streams - b.streams
-		view = append(view, float64(a.all-b.all-streams)/secs)
-		config = append(config, float64(a.config-b.config)/secs)
-		list = append(list, float64(streams-(a.config-b.config))/secs)
-	}
-	mean := func(x []float64) (sum float64) {
-		for _, v := range x {
-			sum += v / float64(len(x))
-		}
-		return sum
+		streams, configBytes := a.streams-b.streams, a.config-b.config
+		total = append(total, float64(a.total-b.total)/seconds)
+		view = append(view, float64(a.total-b.total-streams)/seconds)
+		config = append(config, float64(configBytes)/seconds)
+		list = append(list, float64(streams-configBytes)/seconds)
+	}
+	h.t.Logf("| %-46s | bytes a second a member, sent and received, mean (max): all %.0f (%.0f), view %.0f (%.0f), "+
+		"list and views compared %.0f (%.0f), configuration %.0f (%.0f)", what,
+		mean(total), slices.Max(total), mean(view), slices.Max(view), mean(list), slices.Max(list),
+		mean(config), slices.Max(config))
+}
+
+func mean(values []float64) float64 {
+	sum := 0.0
+	for _, v := range values {
+		sum += v / float64(len(values))
 	}
-	r.t.Logf("| %-46s | bytes a second a member, sent and received, mean (most): all %.0f (%.0f), view %.0f (%.0f), list and views compared %.0f (%.0f), configuration %.0f (%.0f)", what,
-		mean(all), slices.Max(all), mean(view), slices.Max(view), mean(list), slices.Max(list), mean(config), slices.Max(config))
+	return sum
 }
 
-// Changes reach hollow members through the real link and real origins. The long form, with faults and bytes:
+// Changes reach hollow members through the real transport and real origins. The long form, with faults and traffic:
 //
 //	go test ./internal/controlplane/transport -run Hollow -config.hollow 590 -timeout 1h -v
 func TestHollow(t *testing.T) {
@@ -343,26 +455,29 @@
 	if *hollowMembers > 0 {
 		members, origins = *hollowMembers, 5
 	}
-	r := newHollowRig(t, members, origins)
-	s, _ := r.push(0, 1)
-	begun := time.Now()
-	for batch := range slices.Chunk(r.Members, 30) { // one process bears no more of them at once
-		if err := r.Start(batch...); err != nil {
+	h := newHollowTest(t, members, origins)
+	revision, _ := h.push(0, 1)
+	startedAt := time.Now()
+	for batch := range slices.Chunk(h.Members, 30) { // one process cannot start more of them at once
+		if err := h.Start(batch...); err != nil {
 			t.Fatal(err)
 		}
 		if members > 100 {
 			time.Sleep(700 * time.Millisecond)
 		}
 	}
-	r.inForce("all start, 30 at a time: after the first start", s, begun, r.Members)
+	h.awaitActive("all start, 30 at a time: after the first start", revision, startedAt, h.Members)
 	if *hollowMembers == 0 {
-		testutil.Until(t, "all know each other", func() bool { return r.Disagreement(func(hollow.Place) bool { return true }) == "" })
+		testutil.Until(t, "all members know each other", func() bool {
+			return h.Disagreement(func(hollow.Place) bool { return true }) == ""
+		})
 	}
-	s, at := r.push(0, 1)
-	if took := r.inForce("a change", s, at, r.Members); took[len(took)-1] > 4*time.Second {
-		t.Errorf("in force everywhere after %v", took[len(took)-1])
+	revision, pushedAt := h.push(0, 1)
+	took := h.awaitActive("a change", revision, pushedAt, h.Members)
+	if slowest := took[len(took)-1]; slowest > 4*time.Second {
+		t.Errorf("change in force at all members after %v, want at most 4s", slowest)
 	}
 	if *hollowMembers > 0 {
-		r.long()
+		h.runLongForm()
 	}
 }
--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -49,8 +49,8 @@
 }
 
 // The snapshot that a member of 593ba64 has stored is in force in the new version while no origin answers. A snapshot
-// that is older than the highest revision of the other version is not put in force; a newer one is, and is stored in its
-// place.
+// that is older than the highest revision of the other version is not put in force; a newer one is, and is stored in
+// its place.
 func TestCachedSnapshotOfPreviousVersion(t *testing.T) {
 	t.Parallel()
 	dir := copyStoredDir(t)
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -35,7 +35,7 @@
 	return keys
 }
 
-// GET /config is the member's state, in one object with what this sidecar acts on. The member's own part is held in package link.
+// GET /config is the member's state, in one object with what this sidecar acts on. The member's own part is held in package transport.
 func TestConfigurationStateFormatIsStable(t *testing.T) {
 	member, err := transport.NewMember(transport.MemberConfig{
 		Follower: controlplane.FollowerConfig{Cluster: "f", Self: "m1"}, Origins: []string{testutil.NoAddr}, MaxSubscribers: 4,
