--- a/internal/discovery/relay/format_test.go
+++ b/internal/discovery/relay/format_test.go
@@ -15,26 +15,34 @@
 	"hazelwing/internal/testutil"
 )
 
-func formatMembers(seq int64, states ...balancer.EndpointState) engine.EndpointUpdate {
-	news := engine.EndpointUpdate{Kind: balancer.CompleteList, Version: seq}
+// formatUpdate is a complete list with endpoints of the given states, whose fields are all set.
+func formatUpdate(version int64, states ...balancer.EndpointState) engine.EndpointUpdate {
+	update := engine.EndpointUpdate{Kind: balancer.CompleteList, Version: version}
 	for i, state := range states {
-		news.Endpoints = append(news.Endpoints, engine.Endpoint{
-			ID: string(rune('a' + i)), Addr: "10.0.0.4:8080", Zone: "z1", Kind: "m", Cell: 2, State: state, StartedAtMS: 1700000000000.5,
+		update.Endpoints = append(update.Endpoints, engine.Endpoint{
+			ID:          string(rune('a' + i)),
+			Addr:        "10.0.0.4:8080",
+			Zone:        "z1",
+			Kind:        "m",
+			Cell:        2,
+			State:       state,
+			StartedAtMS: 1700000000000.5,
 		})
 	}
-	return news
+	return update
 }
 
-// What a relay answers one that follows it: its headers, the whole list as a line, then an empty line or a change. The headers of
-// the question are those that today's members send.
+// This is the response of a relay to a follower: its headers, the complete list as a line, then empty lines and
+// changes. The headers of the request are those that present members send.
 func TestRelayLineFormatIsStable(t *testing.T) {
-	r := NewServer("m1", 4)
-	r.regroup("10.0.0.9:8500")
-	r.begin([]string{"m2", "m3"})
-	r.apply(formatMembers(5, balancer.Active, balancer.Draining))
-	server := httptest.NewServer(r)
+	relay := NewServer("m1", 4)
+	relay.resetGroup("10.0.0.9:8500")
+	relay.sourceStarted([]string{"m2", "m3"})
+	relay.apply(formatUpdate(5, balancer.Active, balancer.Draining))
+	server := httptest.NewServer(relay)
 	defer server.Close()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, server.URL+"/discovery/hosts?watch=1&from=0", nil)
+	url := server.URL + "/discovery/hosts?watch=1&from=0"
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,39 +58,42 @@
 		t.Fatalf("%s, %v", response.Status, response.Header)
 	}
 	lines := bufio.NewReader(response.Body)
-	next := func() []byte {
+	nextEvent := func() []byte {
 		t.Helper()
 		for {
 			line, err := lines.ReadBytes('\n')
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(line) > 1 { // an empty one says that the relay lives
+			if len(line) > 1 { // an empty line keeps the watch alive
 				return line
 			}
 		}
 	}
-	got := bytes.Clone(next())
-	change := formatMembers(6, balancer.Removed)
+	got := bytes.Clone(nextEvent())
+	change := formatUpdate(6, balancer.Removed)
 	change.Kind = balancer.Delta
-	r.apply(change)
-	got = append(got, next()...)
+	relay.apply(change)
+	got = append(got, nextEvent()...)
 	testutil.Golden(t, "watch.jsonl", got)
 }
 
-// The headers' names are those of older members.
+// The names of the headers are those that older members send and read.
 func TestRelayHeaderNamesAreStable(t *testing.T) {
-	got := []string{pathHeader, whoHeader, groupHeader}
+	got := []string{pathHeader, followerHeader, groupHeader}
 	if want := []string{"X-List-Path", "X-List-For", "X-List-Discovery"}; !reflect.DeepEqual(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
 
-// GET /recovery is this.
+// This is the response to GET /recovery.
 func TestRecoveryStateFormatIsStable(t *testing.T) {
 	state := SourceState{
-		Source: "m2", Rank: 3, Changes: 4, Group: "10.0.0.9:8500",
-		Server: ServerState{Version: 5, Live: true, Path: []string{"m2", "m3"}, Followers: 6, Rejected: 7},
+		Source:  "m2",
+		Rank:    3,
+		Changes: 4,
+		Server:  ServerState{Version: 5, Live: true, Path: []string{"m2", "m3"}, Followers: 6, Rejected: 7},
+		Group:   "10.0.0.9:8500",
 	}
 	testutil.Filled(t, state)
 	testutil.ExplicitNames(t, "json", state)
@@ -93,20 +104,29 @@
 	testutil.Golden(t, "state.json", append(text, '\n'))
 }
 
-// A line of discovery's watch, which relays pass on in the same form, and which the platform's configuration holds. The file is here since the script test of
-// package watch plays every file under its testdata.
-func TestListingFormatIsStable(t *testing.T) {
-	host := watch.Endpoint{ID: "upstream-1", Addr: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, Health: "SERVING", StartedAtMS: 1700000000000.5}
-	listing := watch.Event{Version: 7, Complete: true, Endpoints: []watch.Endpoint{host, {}}}
-	testutil.Filled(t, listing)
-	testutil.ExplicitNames(t, "json", listing)
-	text, err := json.MarshalIndent(listing, "", "  ")
+// An event of the discovery service's watch, which relays pass on in the same form, and which is a part of the
+// platform's configuration. The test stands here because the script test of package watch plays every file under its
+// testdata.
+func TestEventFormatIsStable(t *testing.T) {
+	endpoint := watch.Endpoint{
+		ID:          "upstream-1",
+		Addr:        "10.0.0.4:8080",
+		Zone:        "a",
+		Kind:        "m",
+		Cell:        2,
+		Health:      "SERVING",
+		StartedAtMS: 1700000000000.5,
+	}
+	event := watch.Event{Version: 7, Complete: true, Endpoints: []watch.Endpoint{endpoint, {}}}
+	testutil.Filled(t, event)
+	testutil.ExplicitNames(t, "json", event)
+	text, err := json.MarshalIndent(event, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "listing.json", append(text, '\n'))
 	var read watch.Event
-	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, listing) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, listing)
+	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, event) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, event)
 	}
 }
--- /dev/null
+++ b/internal/discovery/relay/source_test.go
@@ -0,0 +1,226 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"net/netip"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/discovery/bootstrap"
+	"hazelwing/internal/discovery/watch"
+	"hazelwing/internal/engine"
+	"hazelwing/internal/testutil"
+)
+
+// fakeSource is an endpoint source whose updates the test delivers.
+type fakeSource struct {
+	mu       sync.Mutex
+	delivers []func(engine.EndpointUpdate) // of each watch
+	versions []int64                       // from which each watch started
+}
+
+func (f *fakeSource) Watch(version int64, _ time.Duration, deliver func(engine.EndpointUpdate)) context.CancelFunc {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.delivers, f.versions = append(f.delivers, deliver), append(f.versions, version)
+	return func() {}
+}
+
+func (f *fakeSource) watches() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.delivers)
+}
+
+// deliver delivers an update to the latest watch.
+func (f *fakeSource) deliver(update engine.EndpointUpdate) {
+	f.mu.Lock()
+	latest := f.delivers[len(f.delivers)-1]
+	f.mu.Unlock()
+	latest(update)
+}
+
+// updateRecorder records what a source delivers.
+type updateRecorder struct {
+	mu      sync.Mutex
+	updates []engine.EndpointUpdate
+}
+
+func (u *updateRecorder) record(update engine.EndpointUpdate) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.updates = append(u.updates, update)
+}
+
+func (u *updateRecorder) has(kind balancer.UpdateKind, version int64) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, update := range u.updates {
+		if update.Kind == kind && update.Version == version {
+			return true
+		}
+	}
+	return false
+}
+
+// newRoot returns a Source that calls the discovery service, and the server that other members follow.
+func newRoot(t *testing.T, discovery engine.Source) (*Source, *httptest.Server) {
+	t.Helper()
+	s := NewSource(Config{
+		Selector:     bootstrap.Config{Self: "head"},
+		Discovery:    discovery,
+		MaxFollowers: 4,
+		Log:          slog.New(slog.DiscardHandler),
+	})
+	server := httptest.NewServer(s.Server())
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	return s, server
+}
+
+// newFollower returns a Source that follows the member at addr.
+func newFollower(t *testing.T, discovery engine.Source, addr string) *Source {
+	t.Helper()
+	log := slog.New(slog.DiscardHandler)
+	s := NewSource(Config{
+		Selector:     bootstrap.Config{Self: "other", Roots: 1, MaxCallRate: 1000, ConfiguredSize: 2},
+		Discovery:    discovery,
+		MaxFollowers: 4,
+		Log:          log,
+		NewPeer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
+			return watch.NewPeerClient(addr, header, check, log)
+		},
+	})
+	// The test needs that of these names the first one in the order is the member that is followed.
+	s.UpdateMembers([]bootstrap.Member{{Name: "head", Addr: netip.MustParseAddrPort(addr)}}, true)
+	if s.selector.Rank() != 1 {
+		t.Fatal("the names of the test are in another order")
+	}
+	return s
+}
+
+// One member follows another: the complete list, changes, the loss of the other's source, and then the discovery
+// service itself. A peer never delivers anything older than what the follower has.
+func TestSourceFollowsAPeer(t *testing.T) {
+	var rootDiscovery, followerDiscovery fakeSource
+	var rootUpdates, followerUpdates updateRecorder
+	root, server := newRoot(t, &rootDiscovery)
+	stopRoot := root.Watch(engine.NoVersion, 0, rootUpdates.record)
+	defer stopRoot()
+	testutil.Until(t, "the root calls", func() bool { return rootDiscovery.watches() == 1 })
+	follower := newFollower(t, &followerDiscovery, server.Listener.Addr().String())
+	defer follower.Watch(engine.NoVersion, 0, followerUpdates.record)()
+	rootDiscovery.deliver(completeList(5, "x", "y"))
+	testutil.Until(t, "the peer, which waited for it, relayed the complete list", func() bool {
+		return followerUpdates.has(balancer.CompleteList, 5)
+	})
+	rootDiscovery.deliver(delta(6, "x", balancer.Draining))
+	testutil.Until(t, "the peer relayed a change", func() bool { return followerUpdates.has(balancer.Delta, 6) })
+	if s := follower.State(); s.Source != "head" || strings.Join(s.Server.Path, " ") != "head" ||
+		!s.Server.Live || root.State().Server.Followers != 1 {
+		t.Errorf("%+v, %+v", s, root.State())
+	}
+	if followerDiscovery.watches() != 0 {
+		t.Error("the follower called the discovery service, too")
+	}
+	// The peer's source is lost: its followers are disconnected at once, and call the discovery service from the
+	// version that they have.
+	rootDiscovery.deliver(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: 6, Err: errors.New("lost")})
+	testutil.Until(t, "the follower calls the discovery service", func() bool {
+		return followerDiscovery.watches() == 1
+	})
+	if followerDiscovery.versions[0] != 6 {
+		t.Errorf("from version %d, want 6", followerDiscovery.versions[0])
+	}
+	followerDiscovery.deliver(delta(9, "y", balancer.Removed))
+	testutil.Until(t, "the discovery service's change arrived", func() bool {
+		return followerUpdates.has(balancer.Delta, 9)
+	})
+	// The peer works again, with an older list: it rejects a follower with a later version.
+	stopRoot()
+	defer root.Watch(engine.NoVersion, 0, rootUpdates.record)()
+	testutil.Until(t, "the root calls again", func() bool { return rootDiscovery.watches() == 2 })
+	rootDiscovery.deliver(completeList(7, "x", "y"))
+	testutil.Until(t, "the root is live", func() bool { return root.State().Server.Live })
+	if status := watchStatus(t, server.URL, 9); status != http.StatusServiceUnavailable {
+		t.Errorf("a follower with a later version receives status %d", status)
+	}
+	if followerUpdates.has(balancer.CompleteList, 7) {
+		t.Error("an older list was delivered")
+	}
+	testIndependentDiscovery(t, follower, &followerUpdates)
+}
+
+// watchStatus returns the status of the response to a watch from version.
+func watchStatus(t *testing.T, serverURL string, version int64) int {
+	t.Helper()
+	url := fmt.Sprintf("%s/discovery/hosts?watch=1&from=%d", serverURL, version)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp.Body.Close()
+	return resp.StatusCode
+}
+
+// testIndependentDiscovery replaces the discovery service of one member alone. Its versions mean nothing to the
+// others: the member calls that service itself, and serves nobody.
+func testIndependentDiscovery(t *testing.T, s *Source, updates *updateRecorder) {
+	t.Helper()
+	var discovery fakeSource
+	s.SetDiscovery(&discovery)
+	stop := s.Watch(engine.UnknownVersion, 0, updates.record)
+	defer stop()
+	testutil.Until(t, "the other discovery service is called", func() bool { return discovery.watches() == 1 })
+	discovery.deliver(completeList(1, "z"))
+	testutil.Until(t, "its list arrived", func() bool { return updates.has(balancer.CompleteList, 1) })
+	if s.State().Server.Live {
+		t.Error("it relays the list of another discovery service")
+	}
+}
+
+// A peer is left that responds with an older complete list although it should reject the follower, or whose list is
+// relayed by the follower or by too many members.
+func TestMisbehavingPeer(t *testing.T) {
+	respond := func(path, event string) http.HandlerFunc {
+		return func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set(pathHeader, path)
+			_, _ = fmt.Fprintln(w, event)
+		}
+	}
+	for name, handler := range map[string]http.HandlerFunc{
+		"older list":    respond("head", `{"seq":3,"whole":true,"hosts":[]}`),
+		"cycle":         respond("head,other", `{"seq":30,"whole":true,"hosts":[]}`),
+		"path too long": respond(strings.Repeat("x,", maxPathLength)+"y", `{"seq":30,"whole":true,"hosts":[]}`),
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := httptest.NewServer(handler)
+			defer server.Close()
+			var discovery fakeSource
+			s := newFollower(t, &discovery, server.Listener.Addr().String())
+			s.maxVersion = 20
+			var recorder updateRecorder
+			defer s.Watch(engine.NoVersion, 0, recorder.record)()
+			testutil.Until(t, "the discovery service is called after all", func() bool {
+				return discovery.watches() == 1
+			})
+			if len(recorder.updates) > 0 {
+				t.Errorf("delivered %+v", recorder.updates)
+			}
+		})
+	}
+}
