--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,8 @@
-// Package admin is the endpoint for operators, on loopback: what the parts of a running daemon say of themselves, as JSON.
+// Package admin is the HTTP endpoint for operators, on loopback. It answers with the
+// status of the components of a running daemon, as JSON.
 //
-//	GET /          the names of the parts
-//	GET /NAME      one part
+//	GET /          the names of the sections
+//	GET /NAME      one section
 package admin
 
 import (
@@ -19,50 +20,58 @@
 	"golang.org/x/net/netutil"
 )
 
-const (
-	readTime  = 2 * time.Second
-	writeTime = 5 * time.Second
-	maxHeader = 8 << 10
+// MaxConns is the maximum number of connections that are served at a time. Further
+// ones wait.
+const MaxConns = 8
 
-	// Conns is how many connections are served at a time; those beyond wait.
-	MaxConns = 8
+const (
+	readTimeout    = 2 * time.Second
+	writeTimeout   = 5 * time.Second
+	maxHeaderBytes = 8 << 10
 )
 
-// Parts are what can be asked for. Each function is called for each request, from the request's goroutine, and must not
-// block.
+// Sections are the functions that return the status of each component, by the name
+// under which it is requested. They are called for each request, from the goroutine of
+// the request, and must not block.
 type Sections map[string]func() any
 
-// ServeHTTP answers from the parts.
-func (p Sections) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP answers with one section, or with the names of all.
+func (s Sections) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		http.Error(w, "GET only", http.StatusMethodNotAllowed)
 		return
 	}
-	var v any = slices.Sorted(maps.Keys(p))
+	var content any = slices.Sorted(maps.Keys(s))
 	if name := strings.TrimPrefix(r.URL.Path, "/"); name != "" {
-		part := p[name]
-		if part == nil {
+		section := s[name]
+		if section == nil {
 			http.Error(w, "no such part", http.StatusNotFound)
 			return
 		}
-		v = part()
+		content = section()
 	}
-	b, err := json.MarshalIndent(v, "", "  ")
+	body, err := json.MarshalIndent(content, "", "  ")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(append(b, '\n'))
+	_, _ = w.Write(append(body, '\n')) // fails if the client has disconnected
 }
 
-// Serve serves the parts until ctx ends. It closes l.
-func Serve(ctx context.Context, l net.Listener, parts Sections, log *slog.Logger) {
-	s := &http.Server{Handler: parts, ReadTimeout: readTime, WriteTimeout: writeTime, IdleTimeout: readTime, MaxHeaderBytes: maxHeader,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
-	stop := context.AfterFunc(ctx, func() { s.Close() })
-	defer stop()
-	if err := s.Serve(netutil.LimitListener(l, MaxConns)); !errors.Is(err, http.ErrServerClosed) {
-		log.Error("the admin endpoint has ended", "err", err)
+// Serve serves the sections on l until ctx is done. It closes l.
+func Serve(ctx context.Context, l net.Listener, sections Sections, log *slog.Logger) {
+	server := &http.Server{
+		Handler:        sections,
+		ReadTimeout:    readTimeout,
+		WriteTimeout:   writeTimeout,
+		IdleTimeout:    readTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
+	stopClosing := context.AfterFunc(ctx, func() { _ = server.Close() }) // open requests are abandoned
+	defer stopClosing()
+	if err := server.Serve(netutil.LimitListener(l, MaxConns)); !errors.Is(err, http.ErrServerClosed) {
+		log.Error("admin endpoint stopped", "component", "admin", "err", err)
 	}
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -11,112 +11,118 @@
 	"hazelwing/internal/testutil"
 )
 
-func loadWith(t *testing.T, text string, more map[string]string) (*Config, error) {
+// validConfig returns a configuration file that is valid.
+func validConfig() string {
+	return fmt.Sprintf(testutil.Config, "127.0.0.1:2", "127.0.0.1:3")
+}
+
+// load loads a configuration file with the given text. env are variables beside RELAY_CONFIG.
+func load(t *testing.T, text string, env map[string]string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return Load(func(name string) string {
-		if name == "RELAY_CONFIG" {
+		if name == envConfigFile {
 			return path
 		}
-		return more[name]
+		return env[name]
 	})
 }
 
 func TestLoad(t *testing.T) {
-	cfg, err := loadWith(t, fmt.Sprintf(testutil.Config, "127.0.0.1:2", "127.0.0.1:3"), map[string]string{"RELAY_LISTEN": "127.0.0.1:4"})
+	cfg, err := load(t, validConfig(), map[string]string{envListen: "127.0.0.1:4"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 255 || cfg.Listen != "127.0.0.1:4" || cfg.Discovery != "127.0.0.1:2" || len(cfg.InitialEndpoints.Endpoints) != 1 ||
-		cfg.InitialEndpoints.Endpoints[0].Addr != "127.0.0.1:3" || cfg.Limits.Sockets != 1024 || len(cfg.Settings.Classes) != 3 {
-		t.Errorf("%+v", cfg)
+	if cfg.Seed != 255 || cfg.Listen != "127.0.0.1:4" || cfg.Discovery != "127.0.0.1:2" ||
+		len(cfg.InitialEndpoints.Endpoints) != 1 || cfg.InitialEndpoints.Endpoints[0].Addr != "127.0.0.1:3" ||
+		cfg.Limits.Sockets != 1024 || len(cfg.Settings.Classes) != 3 {
+		t.Errorf("Load: %+v", cfg)
 	}
 	if l := cfg.Limits; l.MaxClientConns()+l.MaxUpstreamConns() >= l.Sockets {
-		t.Error("the shares leave no descriptor over")
+		t.Errorf("%d connections of clients and %d to upstreams use all of %d descriptors",
+			l.MaxClientConns(), l.MaxUpstreamConns(), l.Sockets)
 	}
 }
 
-// A bad configuration has to name what is wrong, in one line.
-func TestBadConfig(t *testing.T) {
-	good := fmt.Sprintf(testutil.Config, "127.0.0.1:2", "127.0.0.1:3")
-	for name, c := range map[string]struct{ old, new, want string }{
-		"not JSON":    {"{", "<", "invalid"},
-		"seed":        {"00000000000000ff", "nonsense", "seed"},
-		"no settings": {`"settings"`, `"setting"`, "settings"},
-		"listen":      {"127.0.0.1:0", "here", "listen"},
-		"discovery":   {"127.0.0.1:2", "there", "discovery"},
-		"semantics":   {`"fragile"`, `"odd"`, "Effect"},
-		"negative":    {`"Balancers":1`, `"Balancers":-3`, "Balancers"},
-		"fractional":  {`"Balancers":1`, `"Balancers":2.5`, "Balancers"},
-		"no number":   {`"Balancers":1`, `"Balancers":"many"`, "Balancers"},
+// The error of an invalid configuration names what is wrong, in one line.
+func TestInvalidConfig(t *testing.T) {
+	for _, test := range []struct{ name, old, replacement, want string }{
+		{"not JSON", "{", "<", "invalid"},
+		{"seed", "00000000000000ff", "nonsense", "seed"},
+		{"no settings", `"settings"`, `"setting"`, "settings"},
+		{"listen", "127.0.0.1:0", "here", "listen"},
+		{"discovery", "127.0.0.1:2", "there", "discovery"},
+		{"semantics", `"fragile"`, `"odd"`, "Effect"},
+		{"negative", `"Balancers":1`, `"Balancers":-3`, "Balancers"},
+		{"fractional", `"Balancers":1`, `"Balancers":2.5`, "Balancers"},
+		{"no number", `"Balancers":1`, `"Balancers":"many"`, "Balancers"},
 	} {
-		t.Run(name, func(t *testing.T) {
-			cfg, err := loadWith(t, strings.Replace(good, c.old, c.new, 1), nil)
+		t.Run(test.name, func(t *testing.T) {
+			cfg, err := load(t, strings.Replace(validConfig(), test.old, test.replacement, 1), nil)
 			if err == nil {
 				_, err = balancer.New(cfg.Settings.Settings(), 1)
 			}
-			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, want one line with %q", err, c.want)
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want one line with %q", err, test.want)
 			}
 		})
 	}
-	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("no variable: %v", err)
+	_, err := Load(func(string) string { return "" })
+	if err == nil || !strings.Contains(err.Error(), envConfigFile) {
+		t.Errorf("Load without variables: error %v, want one with %q", err, envConfigFile)
 	}
 }
 
-// A number of sidecars that is not told, or 0, is one: nothing that large fleets do is on.
-func TestSidecarsNotTold(t *testing.T) {
-	good := fmt.Sprintf(testutil.Config, "127.0.0.1:2", "127.0.0.1:3")
-	for _, now := range []string{"", `"Balancers":0,`} {
-		cfg, err := loadWith(t, strings.Replace(good, `"Balancers":1,`, now, 1), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if n := cfg.Settings.Settings().Balancers; n != 0 { // the module takes 0 for 1
-			t.Errorf("%q: %d", now, n)
-		}
-		if _, err := balancer.New(cfg.Settings.Settings(), 1); err != nil {
-			t.Errorf("%q: %v", now, err)
-		}
+// The number of sidecars is optional. If it is missing or 0, the balancer assumes one
+// sidecar, and everything that is for large clusters only is off.
+func TestNumberOfSidecarsIsOptional(t *testing.T) {
+	for _, test := range []struct{ name, setting string }{
+		{"missing", ""},
+		{"0", `"Balancers":0,`},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			cfg, err := load(t, strings.Replace(validConfig(), `"Balancers":1,`, test.setting, 1), nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if n := cfg.Settings.Settings().Balancers; n != 0 {
+				t.Errorf("%d balancers, want 0", n)
+			}
+			if _, err := balancer.New(cfg.Settings.Settings(), 1); err != nil {
+				t.Errorf("balancer.New: %v", err)
+			}
+		})
 	}
 }
 
-// At the start the variable names discovery, after a new configuration the file does.
-func TestReloadedFileGoesBeforeVariables(t *testing.T) {
+// At the start the variable takes precedence over the file, after a reload the file over
+// the variable.
+func TestPrecedenceOfVariables(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	env := map[string]string{"RELAY_CONFIG": path, "RELAY_DISCOVERY": "127.0.0.1:9"}
+	env := map[string]string{envConfigFile: path, envDiscovery: "127.0.0.1:9"}
 	getenv := func(name string) string { return env[name] }
-	if err := os.WriteFile(path, fmt.Appendf(nil, testutil.Config, "127.0.0.1:2", "127.0.0.1:3"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for want, load := range map[string]func(func(string) string) (*Config, error){"127.0.0.1:9": Load, "127.0.0.1:2": Reload} {
-		if cfg, err := load(getenv); err != nil || cfg.Discovery != want {
-			t.Errorf("%+v, %v, want %s", cfg, err, want)
+	for _, test := range []struct {
+		name string
+		load func(func(string) string) (*Config, error)
+		want string
+	}{
+		{"Load", Load, "127.0.0.1:9"},
+		{"Reload", Reload, "127.0.0.1:2"},
+	} {
+		if cfg, err := test.load(getenv); err != nil || cfg.Discovery != test.want {
+			t.Errorf("%s: %+v, %v, want discovery at %s", test.name, cfg, err, test.want)
 		}
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Reload(getenv); err == nil {
-		t.Error("half a file was taken")
-	}
-}
-
-// Descriptors that an operator's file asks for are taken from those of clients and upstreams, not from what is kept back for
-// discovery, log and runtime; where too few are left the program says so before it starts.
-func TestKeptDescriptors(t *testing.T) {
-	l, err := Limits{Sockets: 512}.ReserveDescriptors(100)
-	if err != nil || l.MaxClientConns()+l.MaxUpstreamConns()+100+keptFiles != 512 {
-		t.Errorf("%d and %d connections, %v", l.MaxClientConns(), l.MaxUpstreamConns(), err)
-	}
-	if l, err := (Limits{Sockets: 20}).ReserveDescriptors(0); err != nil || l.MaxClientConns() != 2 { // nothing is asked for: as few as there are
-		t.Errorf("%d connections, %v", l.MaxClientConns(), err)
-	}
-	if _, err := (Limits{Sockets: 64}).ReserveDescriptors(40); err == nil || !strings.Contains(err.Error(), "limits.sockets") {
-		t.Errorf("40 of 64: %v", err)
+		t.Error("Reload accepts a truncated file")
 	}
 }
--- a/internal/platform/format_test.go
+++ b/internal/platform/format_test.go
@@ -10,16 +10,17 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each key of the platform's configuration is read under its name, as the platform writes it; and the type's own names stay.
+// Each key of the platform's configuration is read under the name that the platform
+// writes, and the names under which the type is encoded are stable.
 func TestPlatformConfigurationFormatIsStable(t *testing.T) {
 	text, err := os.ReadFile("testdata/configuration.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var config Config
-	in := json.NewDecoder(bytes.NewReader(text))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&config); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&config); err != nil {
 		t.Fatal(err)
 	}
 	testutil.Filled(t, config)
@@ -31,7 +32,7 @@
 	testutil.Golden(t, "configuration-decoded.json", append(decoded, '\n'))
 }
 
-// An error of the configuration names the field as it did.
+// The error of a value of the wrong type names the field in the same form as before.
 func TestPlatformConfigurationErrorNamesTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"listen":1}`:                     ".Listen of type string",
@@ -39,20 +40,23 @@
 		`{"settings":{"TickMs":"x"}}`:      "Settings.TickMs of type float64",
 		`{"known":{"hosts":[{"host":1}]}}`: "Known.hosts.host of type string",
 	} {
-		if _, err := loadWith(t, text, nil); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := load(t, text, nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
 }
 
-// The variables that the platform sets.
+// The names of the variables that the platform sets are stable.
 func TestPlatformVariableNamesAreStable(t *testing.T) {
-	var asked []string
-	Load(func(name string) string {
-		asked = append(asked, name)
+	var names []string
+	_, err := Load(func(name string) string {
+		names = append(names, name)
 		return map[string]string{"RELAY_CONFIG": "testdata/configuration.json"}[name]
 	})
-	if got, want := strings.Join(asked, " "), "RELAY_CONFIG RELAY_NAME RELAY_LISTEN RELAY_DISCOVERY"; got != want {
-		t.Errorf("%s, want %s", got, want)
+	if err != nil {
+		t.Error(err)
+	}
+	if got, want := strings.Join(names, " "), "RELAY_CONFIG RELAY_NAME RELAY_LISTEN RELAY_DISCOVERY"; got != want {
+		t.Errorf("Load reads %s, want %s", got, want)
 	}
 }
