--- a/internal/limits/format_test.go
+++ b/internal/limits/format_test.go
@@ -9,13 +9,20 @@
 	"hazelwing/internal/testutil"
 )
 
-// GET /bounds is a list of these.
-func TestBoundsFormatIsStable(t *testing.T) {
+// GET /bounds answers with a list of these.
+func TestStateFormatIsStable(t *testing.T) {
 	at := time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC)
-	state := State{Bound: "connections to upstreams", Limit: 465, Total: 3, Episodes: 2, Since: at, Last: at.Add(time.Second)}
+	state := State{
+		Name:      "connections to upstreams",
+		Limit:     465,
+		Total:     3,
+		Episodes:  2,
+		StartedAt: at,
+		ReachedAt: at.Add(time.Second),
+	}
 	testutil.Filled(t, state)
 	testutil.ExplicitNames(t, "json", state)
-	list := []State{state, New("connections of clients", 7).State()}
+	list := []State{state, NewMeter("connections of clients", 7).State()}
 	text, err := json.MarshalIndent(list, "", "  ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/limits/set.go
+++ b/internal/limits/set.go
@@ -6,40 +6,44 @@
 	"time"
 )
 
-// Set is the meters of one process. What reaches a bound calls the function that Add gave it, from any goroutine; it holds
-// its lock for a count, and writes to the log outside it.
+// Set holds the meters of a process. It is safe for concurrent use.
 type Set struct {
-	log    *slog.Logger
+	logger *slog.Logger
+
 	mu     sync.Mutex
-	meters []*Meter // as many as were added at the start
+	meters []*Meter
 }
 
-// NewSet is an empty one.
-func NewSet(log *slog.Logger) *Set { return &Set{log: log} }
+// NewSet returns an empty Set that reports to a logger.
+func NewSet(logger *slog.Logger) *Set {
+	return &Set{logger: logger.With("component", "limits")}
+}
 
-// Add makes a meter, and returns what to call when its bound is reached.
+// Add adds a meter, and returns the function to call whenever its limit is reached. The function may be called from any
+// goroutine: it holds a lock while it counts, and logs without it.
 func (s *Set) Add(name string, limit int) (reached func()) {
-	m := New(name, limit)
+	m := NewMeter(name, limit)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.meters = append(s.meters, m)
 	return func() {
 		s.mu.Lock()
-		line := m.Reached(time.Now())
+		report, isDue := m.Reached(time.Now())
 		s.mu.Unlock()
-		if line != "" {
-			s.log.Warn(line)
+		if isDue {
+			s.logger.Warn("limit reached",
+				"limit_name", report.Name, "limit", report.Limit, "count", report.Count, "duration", report.Duration)
 		}
 	}
 }
 
-// State is what is known of all, in the order in which they were added.
+// State returns the state of all meters, in the order in which they were added.
 func (s *Set) State() []State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make([]State, len(s.meters))
+	states := make([]State, len(s.meters))
 	for i, m := range s.meters {
-		all[i] = m.State()
+		states[i] = m.State()
 	}
-	return all
+	return states
 }
