--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -132,16 +132,28 @@
 		Entries: 1, Segments: 2, Bytes: 3, Live: 4, Damaged: 5, Unsynced: 6, Syncs: 7, Failures: 8, Compactions: 9, Dropped: 10, Lost: 11,
 	}
 	for name, v := range map[string]any{
-		"store-inspect": middleware.Remembered{
-			Fingerprint: "0123", Class: "pay", Effect: "keyed", State: "open", Since: at, Expires: at.Add(time.Minute), Where: "a/0",
+		"store-inspect": middleware.RecordInfo{
+			Fingerprint: "0123", Class: "pay", Effect: "keyed", State: "open", IntendedAt: at, ExpiresAt: at.Add(time.Minute), Locations: "a/0",
 		},
 		"store-verify": store.Segment{
 			Name: "00000001.log", Bytes: 1, Puts: 2, Deletes: 3, Damaged: 4, Tail: 5, Hint: "good", Fault: "why",
 		},
 		"store-compact": map[string]store.Stats{"before": stats, "after": stats},
-		"ledger-state": middleware.State{
-			Durability: middleware.Batch, Trouble: "why", Then: middleware.Continue, Remembered: 1, Open: 2, Left: 3, OldestS: 4.5, Failed: 5, Refused: 6,
-			Undurable: 7, Unclosed: 8, WaitP50: 9.5, WaitP99: 10.5, Store: &stats,
+		"ledger-state": middleware.Status{
+			Durability:         middleware.DurabilityBatch,
+			WriteFailure:       "why",
+			OnFailure:          middleware.ContinueOnFailure,
+			Remembered:         1,
+			Open:               2,
+			RestoredOpen:       3,
+			OldestOpenSeconds:  4.5,
+			Failed:             5,
+			Rejected:           6,
+			NotDurable:         7,
+			UnrecordedOutcomes: 8,
+			WaitP50:            9.5,
+			WaitP99:            10.5,
+			Store:              &stats,
 		},
 	} {
 		testutil.Filled(t, v)
