--- a/internal/front/clientconn/backlog.go
+++ b/internal/front/clientconn/bytequeue.go
@@ -2,26 +2,27 @@
 
 import "sync"
 
-// backlog is bytes in the order in which they came, in chunks that connections hand on to each other. Guards against a client that
-// sends much and goes, over and over: growing and clearing memory for it costs more than reading it.
+// byteQueue is a FIFO queue of bytes, in chunks that are reused by other connections. This keeps clients that send much
+// and disconnect, again and again, from causing work: growing and clearing memory for it costs more than reading it.
 type byteQueue struct {
 	chunks []*chunk
-	start  int // of the first chunk
-	end    int // of the last one; bytes from there on are free
+	start  int // of the bytes in the first chunk
+	end    int // of the bytes in the last chunk; what follows is free
 }
 
 type chunk [chunkSize]byte
 
+// chunkPool is shared by all connections of the process.
 var chunkPool = sync.Pool{New: func() any { return new(chunk) }}
 
-// size is the memory that it uses.
+// size is the memory in use, in bytes.
 func (q *byteQueue) size() int { return len(q.chunks) * chunkSize }
 
 func (q *byteQueue) isEmpty() bool {
 	return len(q.chunks) == 0 || len(q.chunks) == 1 && q.start == q.end
 }
 
-// free is where the next bytes go; empty: grow first.
+// free returns the space for the next bytes. Where it is empty, grow first; who writes to it adds to end.
 func (q *byteQueue) free() []byte {
 	if len(q.chunks) == 0 {
 		return nil
@@ -29,12 +30,14 @@
 	return q.chunks[len(q.chunks)-1][q.end:]
 }
 
+// grow adds a chunk and returns the free space.
 func (q *byteQueue) grow() []byte {
-	q.chunks, q.end = append(q.chunks, chunkPool.Get().(*chunk)), 0
+	q.chunks = append(q.chunks, chunkPool.Get().(*chunk))
+	q.end = 0
 	return q.free()
 }
 
-// take moves bytes from its front to b.
+// read moves bytes from the front of the queue to b and returns their number.
 func (q *byteQueue) read(b []byte) (n int) {
 	for n < len(b) && !q.isEmpty() {
 		end := chunkSize
@@ -43,9 +46,11 @@
 		}
 		moved := copy(b[n:], q.chunks[0][q.start:end])
 		n += moved
-		if q.start += moved; q.start == chunkSize {
+		q.start += moved
+		if q.start == chunkSize {
 			chunkPool.Put(q.chunks[0])
-			q.chunks, q.start = q.chunks[1:], 0
+			q.chunks = q.chunks[1:]
+			q.start = 0
 		}
 	}
 	if q.isEmpty() {
@@ -54,7 +59,7 @@
 	return n
 }
 
-// drop lets all go.
+// release discards all bytes and gives their memory back.
 func (q *byteQueue) release() {
 	for _, c := range q.chunks {
 		chunkPool.Put(c)
--- a/internal/front/clientconn/conn_test.go
+++ b/internal/front/clientconn/conn_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -11,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// pair is a listener, and a client's connection to it from both sides, with a request in hand.
-func pair(t *testing.T) (l *Listener, client *net.TCPConn, here *Conn) {
+// openRequest returns a listener and both ends of a client's connection to it, on which a request is open.
+func openRequest(t *testing.T) (l *Listener, client *net.TCPConn, server *Conn) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,79 +35,83 @@
 	return l, c.(*net.TCPConn), conn.(*Conn)
 }
 
-// A look at the connection tells of a close behind far more than the kernel holds, though nobody reads: the process may be behind.
+// A disconnect is noticed behind far more bytes than the kernel's buffers hold, though nobody reads: the process may
+// be slow.
 func TestDisconnectBehindUnreadBytesIsNoticed(t *testing.T) {
-	_, client, here := pair(t)
-	if here.Disconnected() {
-		t.Error("it is gone before it left")
+	_, client, server := openRequest(t)
+	if server.Disconnected() {
+		t.Error("disconnected before the close")
 	}
 	if _, err := client.Write(make([]byte, 6*minReadAhead)); err != nil {
 		t.Fatal(err)
 	}
-	if here.Disconnected() {
-		t.Error("it is gone, and has only sent")
+	if server.Disconnected() {
+		t.Error("disconnected, after sending only")
 	}
 	client.Close()
-	testutil.Until(t, "the leaving", here.Disconnected)
+	testutil.Until(t, "the disconnect", server.Disconnected)
 }
 
-// What a client sends beyond all bounds is not lost and not held: it is no longer read until the answer is begun.
+// What a client sends beyond the limits is neither lost nor stored: its connection is not read until the response
+// begins.
 func TestReadAheadIsBounded(t *testing.T) {
-	l, client, here := pair(t)
+	l, client, server := openRequest(t)
 	sent := make([]byte, 4*maxReadAhead)
 	for i := range sent {
 		sent[i] = byte(rand.Uint32())
 	}
-	wrote, closes := make(chan error, 1), make(chan struct{})
+	written, mayClose := make(chan error, 1), make(chan struct{})
 	go func() {
 		_, err := client.Write(sent)
-		<-closes // else the kernel may hold all of it, and the close behind it is noticed as it should be
-		client.CloseWrite()
-		wrote <- err
+		<-mayClose // else the kernel may hold all of it, and the close behind it is noticed as it should be
+		written <- errors.Join(err, client.CloseWrite())
 	}()
 	var one [1]byte
-	n, err := here.Read(one[:]) // as net/http does while a request is in hand
+	n, err := server.Read(one[:]) // as net/http does while a request is open
 	if n != 1 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	for end := time.Now().Add(20 * time.Millisecond); time.Now().Before(end); {
-		if here.Disconnected() {
-			t.Fatal("gone, with bytes on the way")
+		if server.Disconnected() {
+			t.Fatal("disconnected, with bytes under way")
 		}
 	}
-	if got := here.readAhead.size(); got > maxReadAhead || got < maxReadAhead/2 || l.readAheadPool.Load() != sharedReadAhead-int64(here.borrowed) {
-		t.Errorf("%d bytes are put by, and %d of the pool are left", got, l.readAheadPool.Load())
+	size, pool := server.readAhead.size(), l.readAheadPool.Load()
+	if size > maxReadAhead || size < maxReadAhead/2 || pool != sharedReadAhead-int64(server.borrowed) {
+		t.Errorf("%d bytes were read ahead, and the pool has %d left", size, pool)
 	}
-	close(closes)
-	here.BeginResponse()
-	rest, err := io.ReadAll(here)
+	close(mayClose)
+	server.BeginResponse()
+	rest, err := io.ReadAll(server)
 	if err != nil || !bytes.Equal(append(one[:], rest...), sent) {
-		t.Errorf("%d bytes of %d came, %v", 1+len(rest), len(sent), err)
+		t.Errorf("%d bytes of %d were read, %v", 1+len(rest), len(sent), err)
 	}
-	if err := testutil.Receive(t, wrote, "the client's end"); err != nil {
+	if err := testutil.Receive(t, written, "the client's close"); err != nil {
 		t.Error(err)
 	}
-	if l.readAheadPool.Load() != sharedReadAhead || !here.readAhead.isEmpty() {
-		t.Errorf("%d of %d of the pool came back", l.readAheadPool.Load(), sharedReadAhead)
+	if l.readAheadPool.Load() != sharedReadAhead || !server.readAhead.isEmpty() {
+		t.Errorf("%d of %d were returned to the pool", l.readAheadPool.Load(), sharedReadAhead)
 	}
 }
 
-// Where the pool is empty each connection still has a request's size of its own, and a connection that ends gives back.
+// Where the pool is empty each connection may still read ahead a request's size, and a connection that is closed
+// returns what it borrowed.
 func TestSharedReadAhead(t *testing.T) {
-	l, client, here := pair(t)
+	l, client, server := openRequest(t)
 	l.readAheadPool.Store(borrowStep)
-	go client.Write(make([]byte, maxReadAhead))
-	testutil.Until(t, "the bound", func() bool {
-		here.Disconnected()
-		here.readMu.Lock()
-		defer here.readMu.Unlock()
-		return here.paused
+	go func() { _, _ = client.Write(make([]byte, maxReadAhead)) }() // ends with the connection
+	testutil.Until(t, "the limit", func() bool {
+		server.Disconnected()
+		server.readMu.Lock()
+		defer server.readMu.Unlock()
+		return server.paused
 	})
-	if got := here.readAhead.size(); got <= minReadAhead || got > minReadAhead+borrowStep || l.readAheadPool.Load() != 0 {
-		t.Errorf("%d bytes are put by, %d of the pool are left", got, l.readAheadPool.Load())
+	size, pool := server.readAhead.size(), l.readAheadPool.Load()
+	if size <= minReadAhead || size > minReadAhead+borrowStep || pool != 0 {
+		t.Errorf("%d bytes were read ahead, the pool has %d left", size, pool)
 	}
-	here.Close()
+	server.Close()
 	if l.readAheadPool.Load() != borrowStep {
-		t.Errorf("%d of the pool came back", l.readAheadPool.Load())
+		t.Errorf("%d were returned to the pool", l.readAheadPool.Load())
 	}
 }
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -1,10 +1,12 @@
-// Package clientconn is the connections of a front's clients: which of them are held, and when a client has left.
+// Package clientconn manages the connections of a front's clients: which of them stay open, and when a client has
+// disconnected.
 //
-// Every connection is accepted; where there are more than may be held, the one that has waited longest with no request open is
-// closed. Guards against clients that connect and say nothing, or ask once and stay: a listener that stops accepting would leave
-// newcomers with neither an answer nor a close.
+// Every connection is accepted. Where there are more than the limit, the one that has been idle for longest, with no
+// request open, is closed. A listener that stopped accepting would leave new clients with neither a response nor a
+// close, because of clients that connect and send nothing, or send one request and stay.
 //
-// A Listener holds at most as many descriptors as it may hold connections, one more while a newcomer is looked at, and its own.
+// A Listener uses at most as many descriptors as its limit on connections, one more while a new connection is
+// admitted, and its own.
 package clientconn
 
 import (
@@ -23,55 +25,65 @@
 type Listener struct {
 	*net.TCPListener
 	maxConns      int
-	onLimit       func()       // is called for each connection that comes when max are held
-	lastAccepted  atomic.Int64 // when a connection last came, Unix nanoseconds
+	onLimit       func()       // called for each connection that is accepted while maxConns are open
+	lastAccepted  atomic.Int64 // when a connection was last accepted, Unix nanoseconds
 	readAheadPool atomic.Int64 // bytes that connections may still borrow for what they read ahead
 
 	mu        sync.Mutex
-	openConns int // descriptors: a connection counts until its own is free
-	// Connections with no request open, those that wait longest in front.
-	unproven list.List // that never sent a good request
+	openConns int // a connection counts until its descriptor is free
+	// The idle connections, those that have been idle for longest first.
+	unproven list.List // have not sent a valid request yet
 	served   list.List
 	stopping bool
 	closed   bool
-	drained  chan struct{} // closed once no more connections can come and none is held
+	drained  chan struct{} // closed once there are no connections and no more can come
 }
 
 const (
-	// sharedAhead is what all connections of a listener together may read ahead beyond a request's size each, in bytes.
+	// sharedReadAhead is what all connections of a listener together may read ahead beyond one request's size each, in
+	// bytes.
 	sharedReadAhead = 8 << 20
-	borrowStep      = 64 << 10 // is borrowed of it at a time
-	// keptShare of the places is for connections that have sent a good request, before answers begin to close them.
+	// borrowStep is how much of it a connection borrows at a time, in bytes.
+	borrowStep = 64 << 10
+	// maxIdleShare is the share of the limit that connections which have sent a valid request may reach before
+	// responses begin to close them.
 	maxIdleShare = 1.0 / 3
-	// mostLooks bounds what a newcomer to a full listener costs.
+	// maxEvictionChecks limits the cost of a new connection where the limit is reached.
 	maxEvictionChecks = 8
 )
 
-// New makes a Listener of a TCP listener. It holds at most limit connections; reached is called, from the goroutine that accepts,
-// for each that comes when all places are taken.
-func New(l net.Listener, limit int, reached func()) *Listener {
-	n := &Listener{TCPListener: l.(*net.TCPListener), maxConns: limit, onLimit: reached, drained: make(chan struct{})}
-	n.readAheadPool.Store(sharedReadAhead)
-	return n
+// New wraps a TCP listener. It has at most maxConns connections open; onLimit is called, from the goroutine that
+// accepts, for each that is accepted while all of them are in use.
+func New(l net.Listener, maxConns int, onLimit func()) *Listener {
+	listener := &Listener{
+		TCPListener: l.(*net.TCPListener),
+		maxConns:    maxConns,
+		onLimit:     onLimit,
+		drained:     make(chan struct{}),
+	}
+	listener.readAheadPool.Store(sharedReadAhead)
+	return listener
 }
 
-// lend takes a piece of the pool; false: there is none.
-func (l *Listener) borrow() bool {
-	if l.readAheadPool.Add(-borrowStep) < 0 {
-		l.readAheadPool.Add(borrowStep)
-		return false
+// Attach makes h, which serves l, report to the connections: a request's context has the one that it came on.
+func (l *Listener) Attach(h *http.Server) {
+	h.ConnContext = NewContext
+	h.ConnState = func(c net.Conn, state http.ConnState) {
+		if state == http.StateIdle {
+			c.(*Conn).responseWritten()
+		}
 	}
-	return true
 }
 
-// Accept returns the next connection that there is a place for. One goroutine calls it.
+// Accept returns the next connection that there is room for. It is called from one goroutine.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.AcceptTCP()
+		tcp, err := l.AcceptTCP()
 		if err != nil {
-			// Guards against descriptors that others have taken: a connection that waits gives up its own. Where there is none
-			// net/http tries again by itself.
-			if (errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)) && l.evict() {
+			// Where others have used up the descriptors, an idle connection makes room for the new one. Without one,
+			// net/http calls again by itself.
+			outOfDescriptors := errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
+			if outOfDescriptors && l.evict() {
 				continue
 			}
 			return nil, err
@@ -79,16 +91,16 @@
 		l.lastAccepted.Store(time.Now().UnixNano())
 		if l.isFull() {
 			l.onLimit()
-			runtime.Gosched() // who came before may have sent a good request: it is read first
+			runtime.Gosched() // earlier clients may have sent a valid request: that is read first
 		}
-		if conn := l.admit(c); conn != nil {
-			return conn, nil
+		if c := l.admit(tcp); c != nil {
+			return c, nil
 		}
-		c.Close() // all others have a request open
+		_ = tcp.Close() // all others have a request open
 	}
 }
 
-// LastAccepted is when a connection last came.
+// LastAccepted returns when a connection was last accepted.
 func (l *Listener) LastAccepted() time.Time { return time.Unix(0, l.lastAccepted.Load()) }
 
 func (l *Listener) isFull() bool {
@@ -97,7 +109,8 @@
 	return l.openConns >= l.maxConns
 }
 
-// admit gives c a place, another's where need be, or returns nil.
+// admit makes a Conn of a new connection, and evicts another one if there is no room. It returns nil if none can be
+// evicted.
 func (l *Listener) admit(tcp *net.TCPConn) *Conn {
 	raw, err := tcp.SyscallConn()
 	if err != nil { // it is closed
@@ -114,36 +127,37 @@
 	return c
 }
 
-// shed closes the connection that has waited longest; false: all have a request open.
+// evict closes the connection that has been idle for longest, and reports whether there was one.
 func (l *Listener) evict() bool {
 	l.mu.Lock()
-	old := longestIdle(&l.unproven)
-	if old == nil && l.unproven.Len() > 0 {
-		old = l.unproven.Front().Value.(*Conn) // all have sent something, and perhaps never more
+	oldest := longestIdle(&l.unproven)
+	if oldest == nil && l.unproven.Len() > 0 {
+		oldest = l.unproven.Front().Value.(*Conn) // all have sent something, and may never send more
 	}
-	if old == nil {
-		old = longestIdle(&l.served)
+	if oldest == nil {
+		oldest = longestIdle(&l.served)
 	}
-	if old != nil {
-		old.markClosed()
+	if oldest != nil {
+		oldest.markClosed()
 	}
 	l.mu.Unlock()
-	if old == nil {
+	if oldest == nil {
 		return false
 	}
-	old.closeSocket()
+	_ = oldest.closeSocket() // it has no request open
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.release()
 	return true
 }
 
-// longest is the connection that has waited longest of those on which nothing has come. Guards against closing one whose next
-// request is read already, or waits to be. The lock is held.
+// longestIdle returns the connection that has been idle for longest among the first ones of a queue, or nil. It skips
+// those that received something: this prevents closing a connection whose next request was read already, or is about
+// to be. The lock is held.
 func longestIdle(queue *list.List) *Conn {
-	looks := 0
-	for e := queue.Front(); e != nil && looks < maxEvictionChecks; e = e.Next() {
-		looks++
+	checks := 0
+	for e := queue.Front(); e != nil && checks < maxEvictionChecks; e = e.Next() {
+		checks++
 		if c := e.Value.(*Conn); c.isQuiet() {
 			return c
 		}
@@ -151,9 +165,18 @@
 	return nil
 }
 
-// CloseIdle closes the connections that wait between two requests, and from then on each that would begin to, unless a request has
-// come on it. Guards against closing them later, when a client whose request crosses that could no longer come again:
-// newcomers are still let in.
+// borrow takes borrowStep bytes from the pool, and reports whether they were there.
+func (l *Listener) borrow() bool {
+	if l.readAheadPool.Add(-borrowStep) < 0 {
+		l.readAheadPool.Add(borrowStep)
+		return false
+	}
+	return true
+}
+
+// CloseIdle closes the connections that wait between two requests, and from then on each that would begin to, unless a
+// request has begun to arrive on it. Closed later, a client whose request crosses the close could not connect again:
+// new connections are still accepted now.
 func (l *Listener) CloseIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,7 +190,7 @@
 	}
 }
 
-// NoMore says that Accept will not be called again.
+// AcceptDone tells that Accept will not be called again.
 func (l *Listener) AcceptDone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,28 +198,18 @@
 	l.closeIfDrained()
 }
 
-// Empty is closed once no more connections can come and none is held.
+// Drained returns a channel that is closed once there are no connections, after AcceptDone.
 func (l *Listener) Drained() <-chan struct{} { return l.drained }
 
-// release gives a place back. The lock is held.
+// release makes room for another connection. The lock is held.
 func (l *Listener) release() {
 	l.openConns--
 	l.closeIfDrained()
 }
 
-// ended tells that the last connection has gone, once no more can come. The lock is held.
+// closeIfDrained closes the channel drained after the last connection, once no more can come. The lock is held.
 func (l *Listener) closeIfDrained() {
 	if l.closed && l.openConns == 0 {
 		close(l.drained)
 	}
 }
-
-// Attach makes h, which serves l, keep the connections: a request's context holds the one that it came on.
-func (l *Listener) Attach(h *http.Server) {
-	h.ConnContext = NewContext
-	h.ConnState = func(c net.Conn, state http.ConnState) {
-		if state == http.StateIdle {
-			c.(*Conn).responseWritten()
-		}
-	}
-}
--- a/internal/front/clientconn/listener_test.go
+++ b/internal/front/clientconn/listener_test.go
@@ -8,45 +8,49 @@
 	"hazelwing/internal/testutil"
 )
 
-// A full listener closes none on which a request has begun, read or not, as long as others wait in silence.
+// A full listener closes no connection on which a request has begun, read or not, as long as others are idle.
 func TestFullListenerKeepsConnectionsThatBeganARequest(t *testing.T) {
-	for name, read := range map[string]bool{"read": true, "not read": false} {
+	for name, read := range map[string]bool{"read": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			tcp, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
-			listener := New(l, 2, func() {})
+			defer tcp.Close()
+			listener := New(tcp, 2, func() {})
 			var clients []net.Conn
 			var conns []*Conn
-			come := func() {
-				c, err := net.Dial("tcp", l.Addr().String())
+			connect := func() {
+				c, err := net.Dial("tcp", tcp.Addr().String())
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer t.Cleanup(func() { c.Close() })
-				here, err := listener.Accept()
+				server, err := listener.Accept()
 				if err != nil {
 					t.Fatal(err)
 				}
-				clients, conns = append(clients, c), append(conns, here.(*Conn))
+				clients, conns = append(clients, c), append(conns, server.(*Conn))
 			}
-			come()
-			come()
-			for _, c := range conns { // each has been served once
+			connect()
+			connect()
+			for _, c := range conns { // each has got one response
 				c.BeginRequest()
 				c.BeginResponse()
 				c.responseWritten()
 			}
-			io.WriteString(clients[0], "G")
+			if _, err := io.WriteString(clients[0], "G"); err != nil {
+				t.Fatal(err)
+			}
 			testutil.Until(t, "the byte", func() bool { return !conns[0].isQuiet() })
 			if read {
-				conns[0].Read(make([]byte, 10))
+				if _, err := conns[0].Read(make([]byte, 10)); err != nil {
+					t.Fatal(err)
+				}
 			}
-			come()
+			connect()
 			if conns[0].closed || !conns[1].closed {
-				t.Errorf("closed: the one that has begun %v, the silent one %v", conns[0].closed, conns[1].closed)
+				t.Errorf("closed: the one with a request %v, the idle one %v", conns[0].closed, conns[1].closed)
 			}
 		})
 	}
