--- a/internal/front/httpfront/crossing_test.go
+++ b/internal/front/httpfront/crossing_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -17,17 +18,17 @@
 	"hazelwing/internal/testutil"
 )
 
-// Where two events cross at the client's side: docs/design/crossings.md has the table. Each test brings the bad order about by
-// waiting for the one event before it lets the other happen.
+// Races between two events at a client's connection: docs/design/crossings.md has the table. Each test forces the bad
+// order by waiting for the one event before it lets the other happen.
 
-// readAhead is what each client's connection may read ahead whatever others do: a request's size.
+// readAhead is what each client's connection may read ahead in any case: the size of a request.
 const readAhead = clientconn.MaxHeaderBytes + httpmsg.MaxBodyBytes
 
-// ways are those in which a client leaves.
+// disconnects are the ways in which a client disconnects.
 var disconnects = map[string]func(t *testing.T, c *net.TCPConn){
 	"FIN": func(_ *testing.T, c *net.TCPConn) { c.Close() },
 	"reset": func(_ *testing.T, c *net.TCPConn) {
-		c.SetLinger(0)
+		_ = c.SetLinger(0) // fails only on a closed connection
 		c.Close()
 	},
 	"FIN behind more": func(t *testing.T, c *net.TCPConn) {
@@ -50,9 +51,9 @@
 	},
 }
 
-// A client that leaves while its request is in hand is noticed, also behind bytes that nobody reads.
+// A disconnect while a request is open is noticed, also behind bytes that nobody reads.
 func TestDisconnectIsNoticed(t *testing.T) {
-	for name, leave := range disconnects {
+	for name, disconnect := range disconnects {
 		for _, class := range []string{"look", "book"} {
 			t.Run(name+" "+class, func(t *testing.T) {
 				d := startFakeEngine(t)
@@ -61,96 +62,102 @@
 				if class == "book" {
 					method, body = "POST", "seat"
 				}
-				d.request(t, method, class, "1", body).Write(conn)
+				send(t, conn, d.request(t, method, class, "1", body))
 				c := testutil.Receive(t, d.calls, "the call")
-				leave(t, conn)
-				if testutil.Receive(t, d.disconnected, "the leaving") != c || !c.Disconnected() {
-					t.Error("the call does not tell that its client left")
+				disconnect(t, conn)
+				if testutil.Receive(t, d.disconnected, "the disconnect") != c || !c.Disconnected() {
+					t.Error("the call does not report that its client disconnected")
 				}
 			})
 		}
 	}
 }
 
-// What a client sends ahead of its turn is not lost with the reading on.
+// Requests that a client sends before the response to an earlier one are not lost with reading ahead.
 func TestPipelinedRequestsAreServed(t *testing.T) {
 	d := startFakeEngine(t)
 	conn := d.dial(t)
 	r := bufio.NewReader(conn)
-	d.request(t, "GET", "look", "1", "").Write(conn)
+	send(t, conn, d.request(t, "GET", "look", "1", ""))
 	testutil.Receive(t, d.calls, "the first call")
-	d.request(t, "POST", "book", "2", "seat").Write(conn)
-	d.request(t, "GET", "look", "3", "").Write(conn)
+	send(t, conn, d.request(t, "POST", "book", "2", "seat"))
+	send(t, conn, d.request(t, "GET", "look", "3", ""))
 	for i := range 3 {
 		if i > 0 {
 			testutil.Receive(t, d.calls, "the next call")
 		}
 		d.results <- servedResult("ok")
-		resp, err := http.ReadResponse(r, nil)
+		got, err := readReply(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != "ok" || err != nil {
-			t.Errorf("answer %d: %s %q %v", i, resp.Status, body, err)
+		if got.status != 200 || got.body != "ok" {
+			t.Errorf("response %d: %+v", i, got)
 		}
 	}
 }
 
-// A client that closes its sending half alone can still read: what it gets must be no success. Guards against the empty 200
-// that net/http sends where a handler writes nothing.
+// A client that closes its sending half only can still read: it must not get a success, such as the empty 200 that
+// net/http sends where a handler writes nothing.
 func TestHalfClosedClientGetsNoSuccess(t *testing.T) {
 	d := startFakeEngine(t)
 	conn := d.dial(t).(*net.TCPConn)
-	d.request(t, "POST", "book", "1", "seat").Write(conn)
+	send(t, conn, d.request(t, "POST", "book", "1", "seat"))
 	testutil.Receive(t, d.calls, "the call")
-	conn.CloseWrite()
-	testutil.Receive(t, d.disconnected, "the leaving")
-	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err := conn.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	testutil.Receive(t, d.disconnected, "the disconnect")
+	got, err := readReply(bufio.NewReader(conn))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if resp.StatusCode != http.StatusGatewayTimeout || !resp.Close {
-		t.Errorf("%s, close %v, want 504 and an end", resp.Status, resp.Close)
+	if got.status != http.StatusGatewayTimeout || !got.close {
+		t.Errorf("status %d, close %v, want 504 and a close", got.status, got.close)
 	}
 }
 
-// At the stop what waits between two requests is closed at once, while a client whose request crosses that can come again;
-// what has begun to send is not closed, and newcomers are let in.
+// At the stop connections between two requests are closed at once, while a client whose request crosses the close can
+// connect again; those on which a request has begun to arrive are not closed, and new ones are accepted.
 func TestStopClosesIdleConnectionsAndAcceptsNewOnes(t *testing.T) {
-	heard := make(chan bool, 10)
+	received := make(chan bool, 10)
 	r := startFront(t, func(context.Context, *engine.Call) engine.Result {
-		heard <- true
+		received <- true
 		return servedResult("ok")
 	}, 100)
-	ask := func(conn net.Conn, id string) *bufio.Reader {
-		b := bufio.NewReader(conn)
-		r.request(t, "GET", "look", id, "").Write(conn)
-		if resp, err := http.ReadResponse(b, nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v, %v", resp, err)
-		} else {
-			io.Copy(io.Discard, resp.Body)
+	request := func(conn net.Conn, id string) *bufio.Reader {
+		t.Helper()
+		reader := bufio.NewReader(conn)
+		send(t, conn, r.request(t, "GET", "look", id, ""))
+		if got, err := readReply(reader); err != nil || got.status != 200 {
+			t.Fatalf("%+v, %v", got, err)
 		}
-		testutil.Receive(t, heard, "the call")
-		return b
+		testutil.Receive(t, received, "the call")
+		return reader
 	}
 	idle, busy := r.dial(t), r.dial(t)
-	fromIdle, fromBusy := ask(idle, "1"), ask(busy, "2")
-	io.WriteString(busy, "G") // its next request has begun: it is read, or waits to be
+	fromIdle, fromBusy := request(idle, "1"), request(busy, "2")
+	sendText(t, busy, "G") // its next request has begun to arrive: it is read, or about to be
 	r.stop()
-	if _, err := fromIdle.ReadByte(); err != io.EOF {
-		t.Errorf("the connection that waited: %v, want its end", err)
+	if _, err := fromIdle.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the idle connection: %v, want its end", err)
 	}
-	ask(r.dial(t), "3")
-	io.WriteString(busy, "ET /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: 4\r\nX-Class: look\r\nX-Deadline-Ms: 1000\r\n\r\n")
-	resp, err := http.ReadResponse(fromBusy, nil)
-	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("the one that had begun: %+v, %v", resp, err)
+	request(r.dial(t), "3")
+	sendText(t, busy, "ET /look/x HTTP/1.1\r\nHost: h\r\n")
+	sendText(t, busy, "X-Request-Id: 4\r\nX-Class: look\r\nX-Deadline-Ms: 1000\r\n\r\n")
+	got, err := readReply(fromBusy)
+	if err != nil || got.status != 200 || !got.close {
+		t.Errorf("the one with a request: %+v, %v", got, err)
 	}
 }
 
-// What hangs is answered before SIGKILL may come, whatever its deadline; and what comes later still is refused at once.
+// Requests that hang are answered before SIGKILL may come, whatever their deadlines; those that arrive still later are
+// rejected at once.
 func TestStopAnswersHangingRequests(t *testing.T) {
-	for name, longest := range map[string]time.Duration{"short deadlines": 300 * time.Millisecond, "long ones": time.Minute} {
+	for name, deadline := range map[string]time.Duration{
+		"short deadlines": 300 * time.Millisecond,
+		"long deadlines":  time.Minute,
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // it waits in real time
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -162,31 +169,32 @@
 				calls <- true
 				<-ctx.Done() // its upstream hangs
 				return engine.Result{Kind: engine.Disconnected}
-			}), []balancer.Class{{Name: "look", Deadline: longest}})
+			}), []balancer.Class{{Name: "look", Deadline: deadline}})
 			ctx, stop := context.WithCancel(t.Context())
-			ended := make(chan error, 1)
+			served := make(chan error, 1)
 			r := &testFront{url: "http://" + l.Addr().String()}
-			go func() { ended <- s.Serve(ctx, l, 100, slog.New(slog.DiscardHandler)) }()
+			go func() { served <- s.Serve(ctx, l, 100, slog.New(slog.DiscardHandler)) }()
 			first, second := r.dial(t), r.dial(t)
-			r.request(t, "GET", "look", "1", "").Write(first)
+			send(t, first, r.request(t, "GET", "look", "1", ""))
 			testutil.Receive(t, calls, "the call")
-			io.WriteString(second, "GET") // keeps its connection open
+			sendText(t, second, "GET") // keeps its connection open
 			stop()
-			begun := time.Now()
-			resp, err := http.ReadResponse(bufio.NewReader(first), nil)
-			kill := killGrace + min(longest, maxKillDelay)
-			if err != nil || resp.StatusCode != http.StatusGatewayTimeout || time.Since(begun) > kill {
-				t.Errorf("%+v, %v after %v, want 504 before %v", resp, err, time.Since(begun), kill)
+			start := time.Now()
+			got, err := readReply(bufio.NewReader(first))
+			kill := killGrace + min(deadline, maxKillDelay)
+			if err != nil || got.status != http.StatusGatewayTimeout || time.Since(start) > kill {
+				t.Errorf("%+v, %v after %v, want 504 before %v", got, err, time.Since(start), kill)
 			}
-			if longest < maxKillDelay { // the half request is given up by its own time otherwise
-				io.WriteString(second, " /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: 2\r\nX-Class: look\r\nX-Deadline-Ms: 300\r\n\r\n")
-				resp, err := http.ReadResponse(bufio.NewReader(second), nil)
-				if err != nil || resp.StatusCode != http.StatusServiceUnavailable || len(calls) > 0 {
-					t.Errorf("the later one: %+v, %v, %d calls", resp, err, len(calls))
+			if deadline < maxKillDelay { // otherwise the incomplete request is ended by its own timeout
+				sendText(t, second, " /look/x HTTP/1.1\r\nHost: h\r\n")
+				sendText(t, second, "X-Request-Id: 2\r\nX-Class: look\r\nX-Deadline-Ms: 300\r\n\r\n")
+				got, err := readReply(bufio.NewReader(second))
+				if err != nil || got.status != http.StatusServiceUnavailable || len(calls) > 0 {
+					t.Errorf("the later one: %+v, %v, %d calls", got, err, len(calls))
 				}
 			}
 			second.Close()
-			if err := testutil.Receive(t, ended, "the end"); err != nil {
+			if err := testutil.Receive(t, served, "the end of Serve"); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -24,32 +24,35 @@
 	"hazelwing/internal/testutil"
 )
 
-// testClasses are one of each kind.
-var testClasses = []balancer.Class{{Name: "look", Deadline: testutil.Patience}, {Name: "book", Deadline: testutil.Patience,
-	Effect: balancer.NonIdempotent}, {Name: "pay", Deadline: testutil.Patience, Effect: balancer.Keyed}}
+// testClasses has a class of each effect.
+var testClasses = []balancer.Class{
+	{Name: "look", Deadline: testutil.Patience},
+	{Name: "book", Deadline: testutil.Patience, Effect: balancer.NonIdempotent},
+	{Name: "pay", Deadline: testutil.Patience, Effect: balancer.Keyed},
+}
 
-// testOpen is how long a stopping front stays open here: long enough for a slow machine to come in time.
+// testMinOpen is how long a front that stops accepts connections here: long enough for a slow machine.
 const testMinOpen = 3 * time.Second
 
-// doer is an engine that a function stands in for.
+// doerFunc is an engine made of a function.
 type doerFunc func(ctx context.Context, c *engine.Call) engine.Result
 
 func (d doerFunc) Do(ctx context.Context, c *engine.Call) engine.Result { return d(ctx, c) }
 
 func servedResult(text string) engine.Result {
-	a := plainText(http.StatusOK, "")
-	a.Body = []byte(text)
-	return engine.Result{Kind: engine.Served, Answer: &a}
+	response := plainText(http.StatusOK, "")
+	response.Body = []byte(text)
+	return engine.Result{Kind: engine.Served, Answer: &response}
 }
 
-// serves answers every call at once.
+// serveOK answers every call at once.
 func serveOK(context.Context, *engine.Call) engine.Result { return servedResult("ok") }
 
-// running is a front on loopback.
+// testFront is a front on loopback, and a client.
 type testFront struct {
 	url           string
-	connLimitHits atomic.Int32       // connections that came when all places were taken
-	stop          context.CancelFunc // as SIGTERM does
+	connLimitHits atomic.Int32       // connections that were accepted while all were in use
+	stop          context.CancelFunc // has the effect of SIGTERM
 	served        chan error
 	client        *http.Client
 }
@@ -61,8 +64,10 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &testFront{url: "http://" + l.Addr().String(), stop: stop, served: make(chan error, 1),
-		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
+	r := &testFront{
+		url: "http://" + l.Addr().String(), stop: stop, served: make(chan error, 1),
+		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience},
+	}
 	s := New(d, testClasses)
 	s.minOpenTime = testMinOpen
 	s.OnConnLimit(func() { r.connLimitHits.Add(1) })
@@ -79,7 +84,7 @@
 	return testutil.Request(t, r.url, method, class, id, body)
 }
 
-// dial opens a connection of its own.
+// dial opens a connection.
 func (r *testFront) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
@@ -87,16 +92,77 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(testutil.Patience))
+	if err := conn.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
+		t.Fatal(err)
+	}
 	return conn
 }
 
-func (r *testFront) do(t *testing.T, req *http.Request) (*http.Response, string) {
+// reply is a response as a client sees it.
+type reply struct {
+	status int
+	body   string
+	close  bool // the connection is closed after it
+}
+
+func (r *testFront) do(t *testing.T, req *http.Request) reply {
 	t.Helper()
-	return testutil.Do(t, r.client, req)
+	resp, err := r.client.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := readAll(resp)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return got
+}
+
+// body sends a request and returns the body of the response, or the error's text.
+func (r *testFront) body(req *http.Request) string {
+	resp, err := r.client.Do(req)
+	if err != nil {
+		return err.Error()
+	}
+	got, err := readAll(resp)
+	if err != nil {
+		return err.Error()
+	}
+	return got.body
 }
 
-// deaf is a front whose engine is the test: it receives the calls, and those that left.
+// readReply reads a response from a connection.
+func readReply(r *bufio.Reader) (reply, error) {
+	resp, err := http.ReadResponse(r, nil)
+	if err != nil {
+		return reply{}, err
+	}
+	return readAll(resp)
+}
+
+func readAll(resp *http.Response) (reply, error) {
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return reply{resp.StatusCode, string(body), resp.Close}, err
+}
+
+// send writes a request to a connection.
+func send(t *testing.T, conn net.Conn, req *http.Request) {
+	t.Helper()
+	if err := req.Write(conn); err != nil {
+		t.Error(err)
+	}
+}
+
+// sendText writes a part of a request, or a malformed one, to a connection.
+func sendText(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Error(err)
+	}
+}
+
+// fakeEngine is a front whose engine is the test: it receives the calls, and those whose client disconnected.
 type fakeEngine struct {
 	*testFront
 	calls, disconnected chan *engine.Call
@@ -104,27 +170,32 @@
 }
 
 func startFakeEngine(t *testing.T) *fakeEngine {
-	d := &fakeEngine{calls: make(chan *engine.Call, 10), disconnected: make(chan *engine.Call, 10), results: make(chan engine.Result)}
-	d.testFront = startFront(t, func(ctx context.Context, c *engine.Call) engine.Result {
-		d.calls <- c
+	e := &fakeEngine{
+		calls:        make(chan *engine.Call, 10),
+		disconnected: make(chan *engine.Call, 10),
+		results:      make(chan engine.Result),
+	}
+	e.testFront = startFront(t, func(ctx context.Context, c *engine.Call) engine.Result {
+		e.calls <- c
 		select {
-		case r := <-d.results:
+		case r := <-e.results:
 			return r
 		case <-ctx.Done():
-			d.disconnected <- c
+			e.disconnected <- c
 			return engine.Result{Kind: engine.Disconnected}
 		}
 	}, 100)
-	return d
+	return e
 }
 
-// What is malformed gets a plain answer of its own, and goes to no upstream. None of these is a refusal, which would
-// say that trying again helps.
+// A malformed request gets a response of the front's own, and is not forwarded. None of these is a rejection, which
+// would say that a retry helps.
 func TestMalformedRequestsAreNotForwarded(t *testing.T) {
 	r := startFakeEngine(t)
+	overlong := strings.Repeat("x", 300)
 	for name, c := range map[string]struct {
 		method, class, body string
-		change              func(*http.Request)
+		modify              func(*http.Request)
 		want                int
 	}{
 		"unknown path":     {"GET", "look", "", func(q *http.Request) { q.URL.Path = "/nothing" }, 404},
@@ -135,36 +206,37 @@
 		"no deadline":      {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Deadline-Ms") }, 400},
 		"negative":         {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "-4") }, 400},
 		"no number":        {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "soon") }, 400},
-		"unsafe by GET":    {"GET", "book", "", nil, 405},
-		"safe by POST":     {"POST", "look", "x", nil, 405},
-		"keyed, no key":    {"POST", "pay", "x", func(q *http.Request) { q.Header.Del("Idempotency-Key") }, 400},
-		"unsafe and a key": {"POST", "book", "x", func(q *http.Request) { q.Header.Set("Idempotency-Key", "k") }, 400},
+		"book by GET":      {"GET", "book", "", nil, 405},
+		"look by POST":     {"POST", "look", "x", nil, 405},
+		"key missing":      {"POST", "pay", "x", func(q *http.Request) { q.Header.Del("Idempotency-Key") }, 400},
+		"key not expected": {"POST", "book", "x", func(q *http.Request) { q.Header.Set("Idempotency-Key", "k") }, 400},
 		"oversized":        {"POST", "book", strings.Repeat("x", httpmsg.MaxBodyBytes+1), nil, 413},
 		"chunks":           {"POST", "book", "x", func(q *http.Request) { q.ContentLength = -1 }, 411},
 		"a GET with body":  {"GET", "look", "x", nil, 400},
 		"two ids":          {"GET", "look", "", func(q *http.Request) { q.Header.Add("X-Request-Id", "2") }, 400},
 		"two deadlines":    {"GET", "look", "", func(q *http.Request) { q.Header.Add("X-Deadline-Ms", "9") }, 400},
-		"overlong id":      {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", strings.Repeat("x", 300)) }, 400},
-		"odd id":           {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", "\xff") }, 400},
+		"overlong id":      {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", overlong) }, 400},
+		"binary id":        {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", "\xff") }, 400},
 		"POST to ready":    {"POST", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 405},
 		"ready":            {"GET", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			req := r.request(t, c.method, c.class, "1", c.body)
-			if c.change != nil {
-				c.change(req)
+			if c.modify != nil {
+				c.modify(req)
 			}
-			if resp, body := r.do(t, req); resp.StatusCode != c.want || body == "" {
-				t.Errorf("%s %q, want %d and a message", resp.Status, body, c.want)
+			if got := r.do(t, req); got.status != c.want || got.body == "" {
+				t.Errorf("%d %q, want %d and a message", got.status, got.body, c.want)
 			}
 			if len(r.calls) > 0 {
-				t.Errorf("it went on: %+v", <-r.calls)
+				t.Errorf("it was forwarded: %+v", <-r.calls)
 			}
 		})
 	}
 }
 
-// Guards against work for a client that has left: it is noticed only when the body has been read to its end.
+// A disconnect is noticed, which takes that the body was read to its end: nothing must be done for a client that has
+// disconnected.
 func TestDisconnectIsNoticedAfterTheBody(t *testing.T) {
 	r := startFakeEngine(t)
 	for _, method := range []string{"GET", "POST"} {
@@ -172,30 +244,31 @@
 		if method == "POST" {
 			class, body = "book", strings.Repeat("x", httpmsg.MaxBodyBytes)
 		}
-		ctx, leave := context.WithCancel(t.Context())
-		go r.client.Do(r.request(t, method, class, "1", body).WithContext(ctx))
+		ctx, disconnect := context.WithCancel(t.Context())
+		req := r.request(t, method, class, "1", body).WithContext(ctx)
+		go r.body(req)
 		c := testutil.Receive(t, r.calls, "the request")
-		leave()
-		if testutil.Receive(t, r.disconnected, "the hang-up") != c {
-			t.Errorf("%s: another call is gone", method)
+		disconnect()
+		if testutil.Receive(t, r.disconnected, "the disconnect") != c {
+			t.Errorf("%s: another call was cancelled", method)
 		}
 	}
 }
 
-// A client that closed before its request was read is refused, and nothing is done for it. Guards against work for nobody
-// where requests wait longer unread than their clients do.
+// The request of a client that closed before it was read is rejected, and nothing is done for it. This prevents work
+// for nobody where requests wait unread for longer than their clients wait.
 func TestDisconnectBeforeTheRequestWasRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	g := clientconn.New(l, 10, func() {})
+	listener := clientconn.New(l, 10, func() {})
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := g.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -205,23 +278,25 @@
 		calls++
 		return serveOK(ctx, c)
 	}), testClasses)
-	ask := func() int {
+	request := func() int {
 		r := testutil.Request(t, "http://x", "GET", "look", "1", "")
 		r.RequestURI, r.Body = r.URL.RequestURI(), http.NoBody
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, r.WithContext(clientconn.NewContext(t.Context(), conn)))
 		return w.Code
 	}
-	if code := ask(); code != 200 || calls != 1 {
-		t.Errorf("there: %d, %d calls", code, calls)
+	if code := request(); code != 200 || calls != 1 {
+		t.Errorf("connected: %d, %d calls", code, calls)
 	}
 	client.Close()
-	testutil.Until(t, "the close", func() bool { return netpeek.Peek(conn.(*clientconn.Conn).TCPConn) == netpeek.Closed })
-	if code := ask(); code != 503 || calls != 1 {
-		t.Errorf("gone: %d, %d calls", code, calls)
+	tcp := conn.(*clientconn.Conn).TCPConn
+	testutil.Until(t, "the close", func() bool { return netpeek.Peek(tcp) == netpeek.Closed })
+	if code := request(); code != 503 || calls != 1 {
+		t.Errorf("disconnected: %d, %d calls", code, calls)
 	}
 }
 
+// A call has all that a request says.
 func TestCallFromRequest(t *testing.T) {
 	r := startFakeEngine(t)
 	req := r.request(t, "POST", "pay", "77", "card")
@@ -229,23 +304,24 @@
 	req.Header.Set("X-Tenant", "acme")
 	req.AddCookie(&http.Cookie{Name: "user", Value: "u1"})
 	before := time.Now()
-	go r.client.Do(req)
+	go r.body(req)
 	c := testutil.Receive(t, r.calls, "the request")
 	m := c.Payload.(*httpmsg.Request)
-	if c.ID != "77" || c.Class != "pay" || c.Tenant != "acme" || c.AffinityKey != "u1" || c.ExpectedWork != 1500500*time.Nanosecond ||
-		string(m.Body) != "card" || m.URI != "/pay/a%2Fb?q=1" || c.ExpiresAt.Sub(before) < 15*time.Second {
+	if c.ID != "77" || c.Class != "pay" || c.Tenant != "acme" || c.AffinityKey != "u1" ||
+		c.ExpectedWork != 1500500*time.Nanosecond || c.ExpiresAt.Sub(before) < 15*time.Second ||
+		string(m.Body) != "card" || m.URI != "/pay/a%2Fb?q=1" {
 		t.Errorf("%+v", c)
 	}
 	r.results <- servedResult("done")
 }
 
-// A refusal must be one of two codes and a failure neither: clients repeat what is refused.
+// A rejection has one of two codes and a failure neither: clients retry what was rejected.
 func TestRejectionAndFailureResponses(t *testing.T) {
 	if a := rejectedResponse(1250 * time.Millisecond); a.Status != 503 || a.Header.Get("Retry-After") != "1.25" {
-		t.Errorf("refusal: %+v", a)
+		t.Errorf("rejection: %+v", a)
 	}
 	if a := rejectedResponse(0); a.Status != 503 || a.Header.Get("Retry-After") != "" {
-		t.Errorf("refusal without advice: %+v", a)
+		t.Errorf("rejection without Retry-After: %+v", a)
 	}
 	for _, timedOut := range []bool{false, true} {
 		if a := failedResponse(timedOut); a.Status < 500 || a.Status == 503 || a.Header.Get("Retry-After") != "" {
@@ -254,38 +330,45 @@
 	}
 }
 
-// What follows a request that was turned down may be the rest of it. Guards against reading that as a request: it
-// would be one that no client sent.
+// What follows a malformed request may be the rest of it. It is not read as another request, which no client would have
+// sent.
 func TestHiddenRequestIsNotRead(t *testing.T) {
 	hidden := "GET /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: look\r\nX-Deadline-Ms: 9000\r\n\r\n"
 	head := "X-Request-Id: 1\r\nX-Class: book\r\nX-Deadline-Ms: 9000\r\n"
+	lengthAndChunks := "POST /book HTTP/1.1\r\nHost: h\r\n" + head +
+		fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", len(hidden)+5)
+	chunksInHTTP10 := "POST /book HTTP/1.0\r\nConnection: keep-alive\r\n" + head +
+		"Transfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n"
+	noClass := "POST /book HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nContent-Length: 0\r\n\r\n"
+	readyWithBody := "GET /up HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	for name, c := range map[string]struct{ text, want string }{
-		"length and chunks": {fmt.Sprintf("POST /book HTTP/1.1\r\nHost: h\r\n%sContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", head, len(hidden)+5, hidden), "411"},
-		"chunks in 1.0":     {fmt.Sprintf("POST /book HTTP/1.0\r\nConnection: keep-alive\r\n%sTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n%s", head, hidden), "505"},
-		"no class":          {"POST /book HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nContent-Length: 0\r\n\r\n" + hidden, "400"},
-		"ready with a body": {"GET /up HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, "200"},
+		"length and chunks": {lengthAndChunks + hidden, "411"},
+		"chunks in 1.0":     {chunksInHTTP10 + hidden, "505"},
+		"no class":          {noClass + hidden, "400"},
+		"ready with a body": {readyWithBody + hidden, "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var taken atomic.Int32
+			var calls atomic.Int32
 			r := startFront(t, func(context.Context, *engine.Call) engine.Result {
-				taken.Add(1)
-				return servedResult("taken")
+				calls.Add(1)
+				return servedResult("served")
 			}, 100)
 			conn := r.dial(t)
-			io.WriteString(conn, c.text)
+			sendText(t, conn, c.text)
 			text, err := io.ReadAll(conn)
-			if err != nil || !strings.Contains(string(text), " "+c.want+" ") || strings.Count(string(text), "HTTP/1.") != 1 {
+			responses := strings.Count(string(text), "HTTP/1.")
+			if err != nil || !strings.Contains(string(text), " "+c.want+" ") || responses != 1 {
 				t.Errorf("%q, %v", text, err)
 			}
-			if n := taken.Load(); n > 0 {
-				t.Errorf("%d requests were taken", n)
+			if n := calls.Load(); n > 0 {
+				t.Errorf("%d requests were served", n)
 			}
 		})
 	}
 }
 
-// A client that stops in the middle of a request is answered or closed within the time that it is owed that in, and
-// one whose body is far too long at once.
+// A client that stops in the middle of a request gets a response or a close within the time that the protocol page
+// gives, and one whose body is far too long at once.
 func TestIncompleteRequestsEndInTime(t *testing.T) {
 	r := startFront(t, serveOK, 100)
 	head := "POST /book HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nX-Class: book\r\nX-Deadline-Ms: 9000\r\n"
@@ -300,26 +383,26 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn := r.dial(t)
-			io.WriteString(conn, text)
+			sendText(t, conn, text)
 			answer, err := io.ReadAll(conn)
 			if err != nil || len(answer) > 0 && !strings.HasPrefix(string(answer), "HTTP/1.1 4") {
 				t.Errorf("%q, %v", answer, err)
 			}
 		})
 	}
-	if owed := 3 * time.Second; headerTimeout+bodyTimeout > owed-owed/8 {
+	if limit := 3 * time.Second; headerTimeout+bodyTimeout > limit-limit/8 {
 		t.Errorf("a head and a body may take %v", headerTimeout+bodyTimeout)
 	}
 }
 
-// Guards against clients that connect and say nothing, or ask once and stay: they make room for newcomers, those
-// that never asked first, and none with a request open.
+// Clients that connect and send nothing, or send one request and stay, make room for new ones: those that never sent a
+// request first, and none with a request open.
 func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
-	came, release := make(chan bool, 1), make(chan bool)
+	received, release := make(chan bool, 1), make(chan bool)
 	answer := sync.OnceFunc(func() { close(release) })
 	engine := func(_ context.Context, c *engine.Call) engine.Result {
 		if c.Class == "book" {
-			came <- true
+			received <- true
 			<-release
 		}
 		return servedResult("ok")
@@ -327,77 +410,71 @@
 	defer answer()
 	r := startFront(t, engine, 9)
 	slow := make(chan string, 1)
-	go func() {
-		resp, err := r.client.Do(r.request(t, "POST", "book", "slow", "x"))
-		if err != nil {
-			slow <- err.Error()
-			return
+	slowRequest := r.request(t, "POST", "book", "slow", "x")
+	go func() { slow <- r.body(slowRequest) }()
+	testutil.Receive(t, received, "the slow request")
+	request := func(conn net.Conn, id string) error {
+		if err := r.request(t, "GET", "look", id, "").Write(conn); err != nil {
+			return err
 		}
-		body, _ := io.ReadAll(resp.Body)
-		slow <- string(body)
-	}()
-	testutil.Receive(t, came, "the slow request")
-	ask := func(conn net.Conn, id string) error {
-		r.request(t, "GET", "look", id, "").Write(conn)
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err == nil && resp.StatusCode != 200 {
-			err = errors.New(resp.Status)
+		got, err := readReply(bufio.NewReader(conn))
+		if err == nil && got.status != 200 {
+			err = fmt.Errorf("status %d", got.status)
 		}
 		return err
 	}
-	known := r.dial(t)
-	if err := ask(known, "first"); err != nil {
+	served := r.dial(t)
+	if err := request(served, "first"); err != nil {
 		t.Fatal(err)
 	}
 	silent := r.dial(t)
 	for range 6 {
 		r.dial(t)
 	}
-	if err := ask(r.dial(t), "new"); err != nil {
-		t.Fatalf("a newcomer was not served: %v", err)
+	if err := request(r.dial(t), "new"); err != nil {
+		t.Fatalf("a new client was not served: %v", err)
 	}
-	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the silent one was not closed: %v", err)
+	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the silent connection was not closed: %v", err)
 	}
-	if err := ask(known, "again"); err != nil {
-		t.Errorf("one that had asked was closed before the silent one: %v", err)
+	if err := request(served, "again"); err != nil {
+		t.Errorf("one that had sent a request was closed before the silent one: %v", err)
 	}
 	for i := range 12 {
-		if err := ask(r.dial(t), fmt.Sprint(i)); err != nil {
-			t.Errorf("newcomer %d: %v", i, err)
+		if err := request(r.dial(t), fmt.Sprint(i)); err != nil {
+			t.Errorf("new client %d: %v", i, err)
 		}
 	}
 	if r.connLimitHits.Load() == 0 {
-		t.Error("nothing told that the bound was reached")
+		t.Error("the limit was not reported as reached")
 	}
 	answer()
-	if got := testutil.Receive(t, slow, "the slow answer"); got != "ok" {
+	if got := testutil.Receive(t, slow, "the slow response"); got != "ok" {
 		t.Errorf("the open request got %q", got)
 	}
 }
 
-// Guards against clients that ask once and keep their connection: where many do, answers close it, so that others find
-// a place.
+// Where many clients send one request and keep their connection, responses close it, so that others can connect.
 func TestResponsesCloseConnectionsWhenManyAreIdle(t *testing.T) {
-	r := startFront(t, serveOK, 9) // 3 to keep
+	r := startFront(t, serveOK, 9) // 3 are retained
 	for i := range 6 {
 		conn := r.dial(t)
-		r.request(t, "GET", "look", fmt.Sprint(i), "").Write(conn)
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || resp.StatusCode != 200 || resp.Close != (i >= 3) {
-			t.Errorf("client %d: %+v, %v", i, resp, err)
+		send(t, conn, r.request(t, "GET", "look", fmt.Sprint(i), ""))
+		got, err := readReply(bufio.NewReader(conn))
+		if err != nil || got.status != 200 || got.close != (i >= 3) {
+			t.Errorf("client %d: %+v, %v", i, got, err)
 		}
 	}
 }
 
-// At a planned restart the requests in hand are answered, and so are those that come while the platform still sends
-// new connections: what was accepted is never reset. Then the program ends.
+// At a planned restart the open requests are answered, and so are those that arrive while the platform still sends new
+// connections: what was accepted is never reset. Then the program ends.
 func TestStopLosesNoRequest(t *testing.T) {
-	waits, release := make(chan bool, 1), make(chan bool)
+	received, release := make(chan bool, 1), make(chan bool)
 	answer := sync.OnceFunc(func() { close(release) })
 	engine := func(_ context.Context, c *engine.Call) engine.Result {
 		if c.Class == "book" {
-			waits <- true
+			received <- true
 			<-release
 		}
 		return servedResult("ok")
@@ -405,36 +482,32 @@
 	defer answer()
 	r := startFront(t, engine, 100)
 	slow := make(chan string, 1)
-	go func() {
-		resp, err := r.client.Do(r.request(t, "POST", "book", "1", "x"))
-		if err != nil {
-			slow <- err.Error()
-			return
-		}
-		body, _ := io.ReadAll(resp.Body)
-		slow <- string(body)
-	}()
-	testutil.Receive(t, waits, "the slow request")
+	slowRequest := r.request(t, "POST", "book", "1", "x")
+	go func() { slow <- r.body(slowRequest) }()
+	testutil.Receive(t, received, "the slow request")
 	r.stop()
-	ask := func(n int) bool {
+	closesAfter := func(n int) bool {
+		t.Helper()
 		resp, err := r.client.Do(r.request(t, "GET", "look", fmt.Sprint("late", n), ""))
 		if err != nil {
 			t.Fatalf("after the stop: %v", err)
 		}
-		io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		return resp.Close
+		got, err := readAll(resp)
+		if err != nil {
+			t.Errorf("after the stop: %v", err)
+		}
+		return got.close
 	}
-	begun, n := time.Now(), 0
-	for ; !ask(n); n++ { // until clients are told to leave their connections
+	start, n := time.Now(), 0
+	for ; !closesAfter(n); n++ { // until responses close the connections
 	}
-	time.Sleep(testMinOpen/3 - time.Since(begun)) // and a new one after a pause
-	ask(n + 1)
+	time.Sleep(testMinOpen/3 - time.Since(start)) // and a new connection after a pause
+	closesAfter(n + 1)
 	answer()
-	if got := testutil.Receive(t, slow, "the slow answer"); got != "ok" {
-		t.Errorf("the request in hand got %q", got)
+	if got := testutil.Receive(t, slow, "the slow response"); got != "ok" {
+		t.Errorf("the open request got %q", got)
 	}
-	if err := testutil.Receive(t, r.served, "the end"); err != nil {
+	if err := testutil.Receive(t, r.served, "the end of Serve"); err != nil {
 		t.Error(err)
 	}
 	if _, err := net.DialTimeout("tcp", strings.TrimPrefix(r.url, "http://"), testutil.Patience); err == nil {
