--- a/cmd/hazelwing/origin.go
+++ b/cmd/hazelwing/origin.go
@@ -50,11 +50,11 @@
 			if err != nil {
 				return err
 			}
-			err = origin.Bootstrap(st, origin.BootstrapConfig{Cluster: o.Fleet, Epoch: uint64(o.Epoch), Origins: o.Names})
+			err = origin.Bootstrap(st, origin.BootstrapConfig{Cluster: o.Cluster, Epoch: uint64(o.Epoch), Origins: o.OriginNames})
 			if err = errors.Join(err, st.Close()); err != nil {
 				return fmt.Errorf("origin: %s: %w", o.Dir, err)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is founded: fleet %s, epoch %d, %d origins\n", o.Name, o.Fleet, o.Epoch, len(o.Names))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s is founded: fleet %s, epoch %d, %d origins\n", o.Name, o.Cluster, o.Epoch, len(o.OriginNames))
 			return nil
 		})
 	add("run", "Run an origin that was founded",
@@ -85,11 +85,11 @@
 	}
 	defer func() { err = errors.Join(err, st.Close()) }()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	node, err := transport.NewOrigin(transport.OriginConfig{Store: st, ListenAddr: o.Listen, PeerAddrs: o.Addrs, AllowedNetworks: o.Allowed, Log: log,
-		Node: origin.Config{BootstrapConfig: origin.BootstrapConfig{Cluster: o.Fleet, Epoch: uint64(o.Epoch), Origins: o.Names}, Self: o.Name, Seed: rand.Uint64(), TickInterval: time.Duration(o.Tick)}})
+	node, err := transport.NewOrigin(transport.OriginConfig{Store: st, ListenAddr: o.Listen, PeerAddrs: o.OriginAddrs, AllowedNetworks: o.AllowedNetworks, Log: log,
+		Node: origin.Config{BootstrapConfig: origin.BootstrapConfig{Cluster: o.Cluster, Epoch: uint64(o.Epoch), Origins: o.OriginNames}, Self: o.Name, Seed: rand.Uint64(), TickInterval: time.Duration(o.TickInterval)}})
 	if err != nil {
 		return fmt.Errorf("origin: %w", err)
 	}
-	log.Info("origin: listening", "name", o.Name, "at", node.Addr(), "fleet", o.Fleet, "epoch", o.Epoch)
+	log.Info("origin: listening", "name", o.Name, "at", node.Addr(), "fleet", o.Cluster, "epoch", o.Epoch)
 	return node.Run(ctx)
 }
--- a/internal/cluster/node/peering.go
+++ b/internal/cluster/node/peering.go
@@ -68,27 +68,27 @@
 }
 
 // NewEndpointSource puts the fleet between discovery and this sidecar. known is the list that it holds already. Nothing is asked before Watch.
-func NewEndpointSource(c Config, op *operator.Recovery, discovery engine.Source, known engine.EndpointUpdate) *relay.Source {
+func NewEndpointSource(c Config, op *operator.Bootstrap, discovery engine.Source, known engine.EndpointUpdate) *relay.Source {
 	var dial watch.DialFunc
 	if c.Network != nil {
 		dial = c.Network.Dial
 	}
-	return relay.NewSource(relay.Config{Discovery: discovery, CachedList: known, MaxFollowers: 2 * int(op.Fan), Log: c.Log,
-		Selector: bootstrap.Config{Self: c.Name, Roots: int(op.Ask), FanOut: int(op.Fan), MaxCallRate: op.Rate, ConfiguredSize: c.ConfiguredSize, RandomSeed: c.RandomSeed},
+	return relay.NewSource(relay.Config{Discovery: discovery, CachedList: known, MaxFollowers: 2 * int(op.FanOut), Log: c.Log,
+		Selector: bootstrap.Config{Self: c.Name, Roots: int(op.Roots), FanOut: int(op.FanOut), MaxCallRate: op.MaxCallRate, ConfiguredSize: c.ConfiguredSize, RandomSeed: c.RandomSeed},
 		NewPeer: func(addr string, header http.Header, check func(http.Header) error) engine.Source {
 			return watch.NewPeerClient(addr, header, check, c.Log).WithDialer(dial)
 		}})
 }
 
 // Open listens at the fleet's address; list is nil where the list comes from discovery alone. Nothing is sent before Node.Run.
-func Open(c Config, op *operator.Fleet, list *relay.Source) (*Node, error) {
+func Open(c Config, op *operator.Cluster, list *relay.Source) (*Node, error) {
 	p := &Node{said: make(chan saidWord, wordsWaiting), EndpointSource: list, onView: c.OnMembersChanged}
-	g := gossip.Config{ConfiguredSize: c.ConfiguredSize, Listen: op.Listen, AllowedPeers: op.Allowed, Log: c.Log, OnNotice: p.ReceiveNotice, OnSizeChanged: p.SizeChanged, OnConfigRevision: c.OnConfigRevision, Network: c.Network,
+	g := gossip.Config{ConfiguredSize: c.ConfiguredSize, Listen: op.Listen, AllowedPeers: op.AllowedNetworks, Log: c.Log, OnNotice: p.ReceiveNotice, OnSizeChanged: p.SizeChanged, OnConfigRevision: c.OnConfigRevision, Network: c.Network,
 		OnTableFull: c.OnTableFull, OnQueueFull: c.OnQueueFull, Core: cluster.Config{
-			ClusterName: op.Name, Name: c.Name, AdvertiseAddr: op.Self, Seeds: op.Peers, RandomSeed: c.RandomSeed,
-			ProbeInterval: time.Duration(op.Probe), ProbeTimeout: time.Duration(op.Timeout), GossipInterval: time.Duration(op.Gossip), PushPullInterval: time.Duration(op.Sync),
-			ReconnectInterval: time.Duration(op.Retry), DeadMemberTTL: time.Duration(op.Forget), NoticeTTL: time.Duration(op.KeepWords), IndirectChecks: int(op.Indirect),
-			SuspicionMult: op.Suspicion, MaxMembers: int(op.Most)}}
+			ClusterName: op.Name, Name: c.Name, AdvertiseAddr: op.AdvertiseAddr, Seeds: op.SeedAddrs, RandomSeed: c.RandomSeed,
+			ProbeInterval: time.Duration(op.ProbeInterval), ProbeTimeout: time.Duration(op.ProbeTimeout), GossipInterval: time.Duration(op.GossipInterval), PushPullInterval: time.Duration(op.PushPullInterval),
+			ReconnectInterval: time.Duration(op.ReconnectInterval), DeadMemberTTL: time.Duration(op.DeadMemberTTL), NoticeTTL: time.Duration(op.NoticeTTL), IndirectChecks: int(op.IndirectChecks),
+			SuspicionMult: op.SuspicionMult, MaxMembers: int(op.MaxMembers)}}
 	g.Handler = c.Handler
 	if list != nil || c.OnMembersChanged != nil {
 		g.OnMembersChanged = p.viewed
@@ -96,8 +96,8 @@
 	if list != nil {
 		g.Handler = serve(list.Server(), c.Handler)
 	}
-	for _, t := range op.Translate {
-		g.Translations = append(g.Translations, gossip.AddressTranslation{From: t.Prefix, To: t.As})
+	for _, t := range op.Translations {
+		g.Translations = append(g.Translations, gossip.AddressTranslation{From: t.FromPrefix, To: t.ToPrefix})
 	}
 	var err error
 	if p.Gossip, err = gossip.New(g); err != nil {
@@ -177,12 +177,12 @@
 
 // Merge is the configuration of a merge of discovery's list with what others were told; sources beside both may be added. p is nil
 // where nobody else is listened to, op where the operator's file has no table.
-func MergeConfig(op *operator.Members, p *Node, discovery engine.Source, known []engine.Endpoint, log *slog.Logger) mergedsource.Config {
+func MergeConfig(op *operator.Discovery, p *Node, discovery engine.Source, known []engine.Endpoint, log *slog.Logger) mergedsource.Config {
 	if op == nil {
-		op = operator.DefaultMembers()
+		op = operator.DefaultDiscovery()
 	}
-	c := mergedsource.Config{Platform: discovery, CachedList: known, MaxEndpoints: int(op.Most), AdditionInterval: time.Duration(op.Settle), TombstoneTTL: time.Duration(op.Forget),
-		MaxRemovalShare: op.Share, RemovalWindow: time.Duration(op.Window), Log: log}
+	c := mergedsource.Config{Platform: discovery, CachedList: known, MaxEndpoints: int(op.MaxEndpoints), AdditionInterval: time.Duration(op.AdditionInterval), TombstoneTTL: time.Duration(op.TombstoneTTL),
+		MaxRemovalShare: op.MaxRemovalShare, RemovalWindow: time.Duration(op.RemovalWindow), Log: log}
 	if p != nil {
 		c.Additional, c.OnDeparture = []mergedsource.AdditionalSource{p.beside()}, p.AnnounceEndpoint
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -52,7 +52,7 @@
 func build(cfg *platform.Config, op *operator.Config, log *slog.Logger) (_ *sidecar, err error) {
 	set := cfg.Settings.Settings()
 	var level *slog.LevelVar
-	if op.Config != nil {
+	if op.ControlPlane != nil {
 		log, level = levelledLog(log)
 	}
 	bounds := limits.NewSet(log)
@@ -73,8 +73,8 @@
 			s.close()
 		}
 	}()
-	if op.Ledger != nil {
-		if s.guard, err = openLedger(op.Ledger, set, log); err != nil {
+	if op.Idempotency != nil {
+		if s.guard, err = openLedger(op.Idempotency, set, log); err != nil {
 			return nil, err
 		}
 	}
@@ -88,26 +88,26 @@
 		transport = s.guard.Transport(pool)
 	}
 	var source engine.Source = watch.NewClient(cfg.Discovery, set.MustSubscribe, log)
-	if op.Recovery != nil {
-		s.list = openList(op.Recovery, cfg, set.Balancers, source, engine.EndpointUpdate{Version: cfg.InitialEndpoints.Version, Endpoints: known}, log)
+	if op.Bootstrap != nil {
+		s.list = openList(op.Bootstrap, cfg, set.Balancers, source, engine.EndpointUpdate{Version: cfg.InitialEndpoints.Version, Endpoints: known}, log)
 		source = s.list
 	}
-	if op.Fleet != nil {
-		if op.Config != nil {
+	if op.Cluster != nil {
+		if op.ControlPlane != nil {
 			if s.config, err = openConfig(op, cfg, set, s, level, log); err != nil {
 				return nil, err
 			}
 		}
-		if s.fleet, err = openFleet(op.Fleet, s.list, s.config, cfg, set.Balancers, bounds, log); err != nil {
+		if s.fleet, err = openFleet(op.Cluster, s.list, s.config, cfg, set.Balancers, bounds, log); err != nil {
 			return nil, err
 		}
 	}
-	if words := op.Fleet != nil && !op.Fleet.NoWords; op.Members != nil || words {
+	if words := op.Cluster != nil && !op.Cluster.DisableNotices; op.Discovery != nil || words {
 		f := s.fleet
 		if !words {
 			f = nil
 		}
-		if s.members, err = openMembers(op.Members, f, source, known, uint64(cfg.Seed), log); err != nil {
+		if s.members, err = openMembers(op.Discovery, f, source, known, uint64(cfg.Seed), log); err != nil {
 			return nil, err
 		}
 		source = s.members
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.fleet != nil && !op.Fleet.NoCount {
+	if s.fleet != nil && !op.Cluster.DisableSizeUpdates {
 		s.fleet.OnSizeChanged(s.engine.SetBalancers)
 	}
 	var doer httpfront.Doer = s.engine
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -39,12 +39,12 @@
 
 // openConfig asks nothing before run. s has no engine yet: a snapshot is put in force only after it has.
 func openConfig(op *operator.Config, cfg *platform.Config, set balancer.Settings, s *sidecar, level *slog.LevelVar, log *slog.Logger) (*configPart, error) {
-	d := op.Config
-	p := &configPart{s: s, base: set, level: level, wait: time.Duration(d.Wait), log: log, platform: cfg.Discovery, told: max(set.Balancers, 1)}
+	d := op.ControlPlane
+	p := &configPart{s: s, base: set, level: level, wait: time.Duration(d.ReadyTimeout), log: log, platform: cfg.Discovery, told: max(set.Balancers, 1)}
 	var err error
-	p.member, err = transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: op.Fleet.Name, Self: cfg.Name, FetchDelay: fetchAfter},
-		Origins: d.Origins, MaxSubscribers: 2 * int(d.Fan), CacheDir: d.Dir, Apply: p.apply, OnRevision: p.holds, Log: log,
-		Selector: bootstrap.Config{Self: cfg.Name, Roots: int(d.Ask), FanOut: int(d.Fan), ConfiguredSize: set.Balancers, RandomSeed: uint64(cfg.Seed) + 1}})
+	p.member, err = transport.NewMember(transport.MemberConfig{Follower: controlplane.FollowerConfig{Cluster: op.Cluster.Name, Self: cfg.Name, FetchDelay: fetchAfter},
+		Origins: d.Origins, MaxSubscribers: 2 * int(d.FanOut), CacheDir: d.CacheDir, Apply: p.apply, OnRevision: p.holds, Log: log,
+		Selector: bootstrap.Config{Self: cfg.Name, Roots: int(d.Roots), FanOut: int(d.FanOut), ConfiguredSize: set.Balancers, RandomSeed: uint64(cfg.Seed) + 1}})
 	return p, err
 }
 
--- a/internal/daemon/extra.go
+++ b/internal/daemon/extra.go
@@ -36,25 +36,25 @@
 		n += 1 + admin.MaxConns + 1 // its listener, and one that is looked at
 	}
 	if op.GraphQL != nil {
-		n += 1 + int(op.GraphQL.Connections) + 1
+		n += 1 + int(op.GraphQL.MaxConnections) + 1
 	}
-	if op.Fleet != nil {
+	if op.Cluster != nil {
 		n += gossip.MaxDescriptors
 	}
-	if op.Recovery != nil || op.Config != nil {
+	if op.Bootstrap != nil || op.ControlPlane != nil {
 		n += gossip.MaxHTTPConns // those who follow this one
 	}
-	if op.Recovery != nil {
-		n += 2 * int(op.Recovery.Ask) // a watch and a list of each that it asks
+	if op.Bootstrap != nil {
+		n += 2 * int(op.Bootstrap.Roots) // a watch and a list of each that it asks
 	}
-	if op.Config != nil {
-		n += configConns + len(op.Config.Origins) // of which each may be tried at a time
+	if op.ControlPlane != nil {
+		n += configConns + len(op.ControlPlane.Origins) // of which each may be tried at a time
 	}
-	if op.Members != nil && op.Members.SRV != nil {
-		n += 2 * len(op.Members.SRV.Servers) // a question by datagram and one by stream
+	if op.Discovery != nil && op.Discovery.SRV != nil {
+		n += 2 * len(op.Discovery.SRV.NameServers) // a question by datagram and one by stream
 	}
-	if l := op.Ledger; l != nil && l.Durable != middleware.DurabilityOff {
-		n += ledgerFiles + int(l.MaxSize/max(l.SegmentSize, 1)) // its segments
+	if l := op.Idempotency; l != nil && l.Durability != middleware.DurabilityOff {
+		n += ledgerFiles + int(l.MaxBytes/max(l.SegmentSize, 1)) // its segments
 	}
 	return n
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		defer s.close()
-		if on := op.Fleet != nil; (s.fleet != nil) != on || (s.members != nil) != on || (s.parts()["fleet"] != nil) != on {
+		if on := op.Cluster != nil; (s.fleet != nil) != on || (s.members != nil) != on || (s.parts()["fleet"] != nil) != on {
 			t.Errorf("fleet on: %v; the sidecar has %v, %v", on, s.fleet, s.members)
 		}
 		return goleak.Find(before)
@@ -62,7 +62,7 @@
 // What others were told takes a server out and never adds one; held to the merge's share; and given back when the word is old.
 func TestWordsTakeOut(t *testing.T) {
 	op := fleetTable(t, "")
-	p, err := openFleet(op.Fleet, nil, nil, config(t, testutil.NoAddr, testutil.NoAddr), 1, limits.NewSet(quietLog), quietLog)
+	p, err := openFleet(op.Cluster, nil, nil, config(t, testutil.NoAddr, testutil.NoAddr), 1, limits.NewSet(quietLog), quietLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -38,35 +38,35 @@
 // graphQL makes the front of the operator's file; without classes it only checks what can be known without them.
 func graphQL(op *operator.Config, classes []balancer.Class, doer httpfront.Doer, log *slog.Logger) (*graphqlfront.Server, error) {
 	g := op.GraphQL
-	text, err := readFile(g.Schema)
+	text, err := readFile(g.SchemaFile)
 	if err != nil {
-		return nil, fmt.Errorf("%s: graphql.schema: %w", op.At("graphql.schema"), err)
+		return nil, fmt.Errorf("%s: graphql.schema: %w", op.Position("graphql.schema"), err)
 	}
 	fields := map[string]plan.Field{}
-	for name, f := range g.Field {
-		fields[name] = plan.Field{Class: f.Class, Key: f.Key, Cost: int(f.Cost), Work: time.Duration(f.Work), Deadline: time.Duration(f.Deadline), Share: f.Share}
+	for name, f := range g.Fields {
+		fields[name] = plan.Field{Class: f.Class, Key: f.KeyArgument, Cost: int(f.Cost), Work: time.Duration(f.ExpectedWork), Deadline: time.Duration(f.Deadline), Share: f.Coalesce}
 	}
-	schema, err := plan.New(plan.Config{Name: g.Schema, SDL: string(text), Fields: fields, Classes: classes, Introspection: g.Introspect,
-		Limits: plan.Limits{Bytes: int(g.MaxDocument), Tokens: int(g.MaxTokens), Depth: int(g.MaxDepth), Aliases: int(g.MaxAliases), Roots: int(g.MaxRoots),
+	schema, err := plan.New(plan.Config{Name: g.SchemaFile, SDL: string(text), Fields: fields, Classes: classes, Introspection: g.Introspection,
+		Limits: plan.Limits{Bytes: int(g.MaxDocument), Tokens: int(g.MaxTokens), Depth: int(g.MaxDepth), Aliases: int(g.MaxAliases), Roots: int(g.MaxRootFields),
 			Fields: int(g.MaxFields), Cost: int(g.MaxCost)}})
 	if err != nil {
 		return nil, located(op, err)
 	}
 	trusted := map[string]string{}
-	if g.Trusted != "" {
-		text, err := readFile(g.Trusted)
+	if g.TrustedFile != "" {
+		text, err := readFile(g.TrustedFile)
 		if err == nil {
 			err = json.Unmarshal(text, &trusted)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: graphql.trusted: %w", op.At("graphql.trusted"), err)
+			return nil, fmt.Errorf("%s: graphql.trusted: %w", op.Position("graphql.trusted"), err)
 		}
 	}
-	s, err := graphqlfront.New(graphqlfront.Config{Schema: schema, Doer: doer, Path: g.Path, Node: g.NodePath, Conns: int(g.Connections),
-		Deadline: time.Duration(g.Deadline), MaxBody: int64(g.MaxBody), MaxBatch: int(g.MaxBatch), MaxParts: int(g.MaxParts), Documents: int(g.Documents),
-		Persisted: g.Persisted, Trusted: trusted, Only: g.OnlyTrusted, Log: log})
+	s, err := graphqlfront.New(graphqlfront.Config{Schema: schema, Doer: doer, Path: g.Path, Node: g.NodePath, Conns: int(g.MaxConnections),
+		Deadline: time.Duration(g.Deadline), MaxBody: int64(g.MaxBody), MaxBatch: int(g.MaxBatch), MaxParts: int(g.MaxParts), Documents: int(g.MaxCachedDocuments),
+		Persisted: g.PersistedQueries, Trusted: trusted, Only: g.TrustedOnly, Log: log})
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", op.At("graphql.trusted"), err)
+		return nil, fmt.Errorf("%s: %w", op.Position("graphql.trusted"), err)
 	}
 	return s, nil
 }
@@ -92,7 +92,7 @@
 	for _, e := range list {
 		var f plan.FieldFault
 		if errors.As(e, &f) {
-			lines = append(lines, fmt.Sprintf("%s: graphql.field.%q: %v", op.At("graphql.field."+f.Field), f.Field, f.Err))
+			lines = append(lines, fmt.Sprintf("%s: graphql.field.%q: %v", op.Position("graphql.field."+f.Field), f.Field, f.Err))
 			continue
 		}
 		lines = append(lines, e.Error())
--- a/internal/operator/format_test.go
+++ b/internal/operator/format_test.go
@@ -10,8 +10,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// decodeWhole decodes a file of testdata into v, and fails where the file has a key that v has not, or v a field that the file leaves
-// empty. What was decoded is held as TOML under another name.
+// decodeWhole decodes a file of testdata into v. It fails where v has no field for a key, or where the file leaves a
+// field empty. What was decoded is compared, as TOML, with the golden file of another name.
 func decodeWhole(t *testing.T, path, decoded string, v any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -1,13 +1,10 @@
 package operator
 
 import (
-	"errors"
 	"fmt"
-	"net/netip"
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"time"
 
 	"go4.org/netipx"
@@ -17,88 +14,95 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// Origin is the file of one of the machines set aside.
+// Origin is the file of an origin, a replica of the configuration service.
 type Origin struct {
-	Name     string                `toml:"name"`
-	Listen   string                `toml:"listen"`
-	Dir      string                `toml:"dir"`
-	Fleet    string                `toml:"fleet"`
-	Epoch    int64                 `toml:"epoch"`
-	Peers    []OriginPeer          `toml:"peers"`
-	Networks []string              `toml:"networks"`
-	Tick     strictdecode.Duration `toml:"tick"`
+	Name         string                `toml:"name"`
+	Listen       string                `toml:"listen"`
+	Dir          string                `toml:"dir"`
+	Cluster      string                `toml:"fleet"`
+	Epoch        int64                 `toml:"epoch"`
+	Peers        []OriginPeer          `toml:"peers"`
+	Networks     []string              `toml:"networks"`
+	TickInterval strictdecode.Duration `toml:"tick"`
 
-	// What check makes of the texts.
-	Allowed *netipx.IPSet     `toml:"-"`
-	Addrs   map[string]string `toml:"-"` // of all origins, by name
-	Names   []string          `toml:"-"` // in their order
+	// What validate parses.
+	AllowedNetworks *netipx.IPSet     `toml:"-"`
+	OriginAddrs     map[string]string `toml:"-"` // of all origins, by name
+	OriginNames     []string          `toml:"-"` // sorted
 }
 
-// OriginPeer is an origin, this one included.
+// OriginPeer is one of the origins; an origin's file lists the origin itself too.
 type OriginPeer struct {
 	Name string `toml:"name"`
 	Addr string `toml:"addr"`
 }
 
-// LoadOrigin reads an origin's file. Its error names file, line and column of each fault.
+// LoadOrigin reads and validates the file of an origin. What cannot be used in it is a *FileError.
 func LoadOrigin(path string) (*Origin, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("origin's file: %w", err)
 	}
 	o := new(Origin)
-	all := strictdecode.Decode(text, o)
-	if len(all) == 0 {
-		where := strictdecode.Places(text)
-		o.check(func(key, format string, args ...any) {
-			at := where.At(key)
-			all = append(all, strictdecode.Fault{Line: max(at.Line, 1), Column: max(at.Column, 1), Text: key + ": " + fmt.Sprintf(format, args...)})
-		})
+	faults := strictdecode.Decode(text, o)
+	if len(faults) == 0 {
+		positions := strictdecode.Places(text)
+		o.validate(validator{report: func(key, text string) {
+			position := positions.At(key)
+			// A key that the file does not have has no position: its error is at the file's start.
+			faults = append(faults, strictdecode.Fault{
+				Line:   max(position.Line, 1),
+				Column: max(position.Column, 1),
+				Text:   key + ": " + text,
+			})
+		}})
 	}
-	var lines []string
-	for _, f := range all {
-		lines = append(lines, fmt.Sprintf("%s:%v", path, f))
-	}
-	if len(lines) > 0 {
-		return nil, errors.New(strings.Join(lines, "\n"))
+	if len(faults) > 0 {
+		return nil, &FileError{Path: path, Errs: errorsFromFaults(faults)}
 	}
 	return o, nil
 }
 
-func (o *Origin) check(fault func(key, format string, args ...any)) {
+// validate parses addresses, fills in the defaults and reports values that cannot be used.
+func (o *Origin) validate(v validator) {
 	if o.Name == "" || len(o.Name) > controlplane.MaxNameLength {
-		fault("name", "a name of 1 to %d bytes is wanted", controlplane.MaxNameLength)
-	}
-	if _, err := netip.ParseAddrPort(o.Listen); err != nil {
-		fault("listen", "%q is no address such as \"10.0.0.9:7950\"", o.Listen)
+		v.errorf("name", "a name of 1 to %d bytes is wanted", controlplane.MaxNameLength)
 	}
+	v.address("listen", o.Listen, originExample)
 	if !filepath.IsAbs(o.Dir) {
-		fault("dir", "%q is no absolute path", o.Dir)
+		v.errorf("dir", "%q is no absolute path", o.Dir)
 	}
-	if o.Fleet == "" || len(o.Fleet) > cluster.MaxClusterNameLength {
-		fault("fleet", "the fleet's name is wanted, 1 to %d bytes, as the sidecars have it", cluster.MaxClusterNameLength)
+	if o.Cluster == "" || len(o.Cluster) > cluster.MaxClusterNameLength {
+		v.errorf("fleet", "the fleet's name is wanted, 1 to %d bytes, as the sidecars have it",
+			cluster.MaxClusterNameLength)
 	}
 	if o.Epoch < 1 {
-		fault("epoch", "%d: 1 or more is wanted, the same for all origins, and a higher one each time they are founded anew", o.Epoch)
+		v.errorf("epoch", "%d: 1 or more is wanted, the same for all origins, "+
+			"and a higher one each time they are founded anew", o.Epoch)
 	}
-	if len(o.Peers) == 0 || len(o.Peers) > mostOrigins {
-		fault("peers", "%d origins, and 1 to %d are wanted, this one among them", len(o.Peers), mostOrigins)
+	o.validatePeers(v)
+	v.duration("tick", &o.TickInterval, 50*time.Millisecond, 10*time.Millisecond, time.Second)
+	o.AllowedNetworks = v.networks("networks", o.Networks)
+}
+
+// validatePeers collects the names and addresses of all origins.
+func (o *Origin) validatePeers(v validator) {
+	if len(o.Peers) == 0 || len(o.Peers) > maxOrigins {
+		v.errorf("peers", "%d origins, and 1 to %d are wanted, this one among them", len(o.Peers), maxOrigins)
 	}
-	o.Addrs = map[string]string{}
-	for _, p := range o.Peers {
-		if at, err := netip.ParseAddrPort(p.Addr); err != nil || at.Port() == 0 {
-			fault("peers", "%q: %q is no address such as \"10.0.0.9:7950\"", p.Name, p.Addr)
+	o.OriginAddrs = map[string]string{}
+	for _, peer := range o.Peers {
+		if _, ok := parsePeerAddress(peer.Addr); !ok {
+			v.errorf("peers", "%q: %q is no address such as %q", peer.Name, peer.Addr, originExample)
 		}
-		if p.Name == "" || o.Addrs[p.Name] != "" {
-			fault("peers", "the name %q is empty, or there twice", p.Name)
+		if peer.Name == "" || o.OriginAddrs[peer.Name] != "" {
+			v.errorf("peers", "the name %q is empty, or there twice", peer.Name)
 		}
-		o.Addrs[p.Name] = p.Addr
-		o.Names = append(o.Names, p.Name)
+		o.OriginAddrs[peer.Name] = peer.Addr
+		o.OriginNames = append(o.OriginNames, peer.Name)
 	}
-	if len(o.Peers) > 0 && !slices.Contains(o.Names, o.Name) {
-		fault("peers", "%q, this origin itself, is not among them", o.Name)
+	if len(o.Peers) > 0 && !slices.Contains(o.OriginNames, o.Name) {
+		v.errorf("peers", "%q, this origin itself, is not among them", o.Name)
 	}
-	slices.Sort(o.Names)
-	bounded(fault, "tick", &o.Tick, 50*time.Millisecond, 10*time.Millisecond, time.Second)
-	o.Allowed = networkSet("networks", o.Networks, fault)
+	slices.Sort(o.OriginNames)
 }
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -128,9 +128,9 @@
 				attached.OnView(others, joined)
 			}
 		}}
-	list := node.NewEndpointSource(c, op.Recovery, watch.NewClient(f.Discovery.Addr(), true, f.cfg.Log).WithDialer(network.Dial), engine.EndpointUpdate{Version: engine.NoVersion})
+	list := node.NewEndpointSource(c, op.Bootstrap, watch.NewClient(f.Discovery.Addr(), true, f.cfg.Log).WithDialer(network.Dial), engine.EndpointUpdate{Version: engine.NoVersion})
 	var source *mergedsource.Source
-	if l.part, err = node.Open(c, op.Fleet, list); err == nil {
+	if l.part, err = node.Open(c, op.Cluster, list); err == nil {
 		source, err = mergedsource.New(node.MergeConfig(nil, l.part, list, nil, f.cfg.Log))
 	}
 	if err != nil {
