--- /dev/null
+++ b/internal/operator/decodeerror.go
@@ -0,0 +1,123 @@
+package operator
+
+import (
+	"regexp"
+	"strings"
+
+	"hazelwing/internal/strictdecode"
+)
+
+// The TOML decoder writes Go identifiers into the text of an error: "cannot decode TOML integer into struct field
+// operator.Fleet.Probe of type strict.Duration". These texts are output of "hazelwing check" and "hazelwing run", and
+// their form stays while identifiers are renamed. The tables have the identifiers that the texts were introduced with.
+
+// fieldPattern matches the identifiers of such a text: the type of the struct, its field, and the field's type.
+var fieldPattern = regexp.MustCompile(`struct field operator\.(\w+)\.(\w+) of type (\S+)$`)
+
+// fieldNamesInErrors maps a renamed field to its name in error texts.
+var fieldNamesInErrors = map[string]string{
+	"Bootstrap.FanOut":           "Recovery.Fan",
+	"Bootstrap.MaxCallRate":      "Recovery.Rate",
+	"Bootstrap.Roots":            "Recovery.Ask",
+	"Cluster.DeadMemberTTL":      "Fleet.Forget",
+	"Cluster.DisableNotices":     "Fleet.NoWords",
+	"Cluster.DisableSizeUpdates": "Fleet.NoCount",
+	"Cluster.GossipInterval":     "Fleet.Gossip",
+	"Cluster.IndirectChecks":     "Fleet.Indirect",
+	"Cluster.MaxMembers":         "Fleet.Most",
+	"Cluster.NoticeTTL":          "Fleet.KeepWords",
+	"Cluster.ProbeInterval":      "Fleet.Probe",
+	"Cluster.ProbeTimeout":       "Fleet.Timeout",
+	"Cluster.PushPullInterval":   "Fleet.Sync",
+	"Cluster.ReconnectInterval":  "Fleet.Retry",
+	"Cluster.SuspicionMult":      "Fleet.Suspicion",
+	"Cluster.Translations":       "Fleet.Translate",
+	"Config.Bootstrap":           "Config.Recovery",
+	"Config.Cluster":             "Config.Fleet",
+	"Config.ControlPlane":        "Config.Config",
+	"Config.Discovery":           "Config.Members",
+	"Config.Idempotency":         "Config.Ledger",
+	"ControlPlane.CacheDir":      "Distribution.Dir",
+	"ControlPlane.FanOut":        "Distribution.Fan",
+	"ControlPlane.ReadyTimeout":  "Distribution.Wait",
+	"ControlPlane.Roots":         "Distribution.Ask",
+	"Discovery.AdditionInterval": "Members.Settle",
+	"Discovery.MaxEndpoints":     "Members.Most",
+	"Discovery.MaxRemovalShare":  "Members.Share",
+	"Discovery.RemovalWindow":    "Members.Window",
+	"Discovery.TombstoneTTL":     "Members.Forget",
+	"GraphQL.Fields":             "GraphQL.Field",
+	"GraphQL.Introspection":      "GraphQL.Introspect",
+	"GraphQL.MaxCachedDocuments": "GraphQL.Documents",
+	"GraphQL.MaxConnections":     "GraphQL.Connections",
+	"GraphQL.MaxRootFields":      "GraphQL.MaxRoots",
+	"GraphQL.PersistedQueries":   "GraphQL.Persisted",
+	"GraphQL.SchemaFile":         "GraphQL.Schema",
+	"GraphQL.TrustedFile":        "GraphQL.Trusted",
+	"GraphQL.TrustedOnly":        "GraphQL.OnlyTrusted",
+	"GraphQLField.Coalesce":      "GraphQLField.Share",
+	"GraphQLField.ExpectedWork":  "GraphQLField.Work",
+	"GraphQLField.KeyArgument":   "GraphQLField.Key",
+	"Idempotency.Durability":     "Ledger.Durable",
+	"Idempotency.MaxBytes":       "Ledger.MaxSize",
+	"Idempotency.Retention":      "Ledger.Remember",
+	"Origin.Cluster":             "Origin.Fleet",
+	"Origin.TickInterval":        "Origin.Tick",
+	"SRV.AllowLocal":             "SRV.Private",
+	"SRV.Attempts":               "SRV.Tries",
+	"SRV.InitialJitter":          "SRV.Spread",
+	"SRV.NameServers":            "SRV.Servers",
+	"SRV.StaleAnswerTTL":         "SRV.Stale",
+	"SRV.StaleTTL":               "SRV.Keep",
+	"SRV.Zone":                   "SRV.Within",
+}
+
+// structNamesInErrors maps a renamed struct type to its name in error texts.
+var structNamesInErrors = map[string]string{
+	"Bootstrap":    "Recovery",
+	"Cluster":      "Fleet",
+	"ControlPlane": "Distribution",
+	"Discovery":    "Members",
+	"Idempotency":  "Ledger",
+	"Translation":  "Translate",
+}
+
+// fieldTypesInErrors replaces the types of fields, of this package and of others, by their names in error texts.
+var fieldTypesInErrors = strings.NewReplacer(
+	"middleware.Durability", "guard.Durability",
+	"middleware.FailurePolicy", "guard.Trouble",
+	"strictdecode.Duration", "strict.Duration",
+	"operator.Bootstrap", "operator.Recovery",
+	"operator.Cluster", "operator.Fleet",
+	"operator.ControlPlane", "operator.Distribution",
+	"operator.Discovery", "operator.Members",
+	"operator.Idempotency", "operator.Ledger",
+	"operator.Translation", "operator.Translate",
+)
+
+// errorsFromFaults returns the faults as errors, with stable texts; nil: there are none.
+func errorsFromFaults(faults []strictdecode.Fault) []error {
+	var errs []error
+	for _, fault := range faults {
+		fault.Text = stableErrorText(fault.Text)
+		errs = append(errs, fault)
+	}
+	return errs
+}
+
+// stableErrorText replaces the identifiers in the text of a decoder's error.
+func stableErrorText(text string) string {
+	match := fieldPattern.FindStringSubmatch(text)
+	if match == nil {
+		return text
+	}
+	structName, fieldName, fieldType := match[1], match[2], match[3]
+	qualified := structName + "." + fieldName
+	if name, ok := fieldNamesInErrors[qualified]; ok {
+		qualified = name
+	} else if name, ok := structNamesInErrors[structName]; ok {
+		qualified = name + "." + fieldName
+	}
+	prefix := strings.TrimSuffix(text, match[0])
+	return prefix + "struct field operator." + qualified + " of type " + fieldTypesInErrors.Replace(fieldType)
+}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"strings"
-
-	"hazelwing/internal/strictdecode"
 )
 
 // FileError reports all that cannot be used in a file.
@@ -28,12 +26,3 @@
 func (e *FileError) Unwrap() []error {
 	return e.Errs
 }
-
-// errorsFromFaults returns the faults as errors; nil: there are none.
-func errorsFromFaults(faults []strictdecode.Fault) []error {
-	var errs []error
-	for _, fault := range faults {
-		errs = append(errs, fault)
-	}
-	return errs
-}
--- a/internal/operator/format_test.go
+++ b/internal/operator/format_test.go
@@ -1,7 +1,10 @@
 package operator
 
 import (
+	"fmt"
 	"os"
+	"slices"
+	"strings"
 	"testing"
 
 	"github.com/pelletier/go-toml/v2"
@@ -56,3 +59,30 @@
 	}
 	testutil.Golden(t, "operator-defaults.toml", got)
 }
+
+// The decoder's error texts, which have Go identifiers, do not follow renames.
+func TestDecodeErrorTextsAreStable(t *testing.T) {
+	file, err := os.ReadFile("testdata/operator.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(string(file), "\n")
+	var texts strings.Builder
+	for i, line := range lines {
+		key, _, ok := strings.Cut(line, " = ")
+		if !ok {
+			continue
+		}
+		for _, wrongType := range []string{"1", "true", "[1]", "[true]"} {
+			changed := slices.Clone(lines)
+			changed[i] = key + " = " + wrongType
+			_, err := Parse([]byte(strings.Join(changed, "\n")))
+			fmt.Fprintf(&texts, "%s = %s: %v\n", key, wrongType, err)
+		}
+	}
+	for _, table := range []string{"ledger", "admin", "graphql", "members", "fleet", "recovery", "config"} {
+		_, err := Parse([]byte(table + " = 1"))
+		fmt.Fprintf(&texts, "%s = 1: %v\n", table, err)
+	}
+	testutil.Golden(t, "decode-errors.txt", []byte(texts.String()))
+}
