--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -37,7 +37,7 @@
 // peer. cachedList is the list that the process holds already. No request is sent
 // before Watch.
 func NewEndpointSource(
-	c Config, op *operator.Recovery, discovery engine.Source, cachedList engine.EndpointUpdate,
+	c Config, op *operator.Bootstrap, discovery engine.Source, cachedList engine.EndpointUpdate,
 ) *relay.Source {
 	var dial watch.DialFunc
 	if c.Network != nil {
@@ -46,13 +46,13 @@
 	return relay.NewSource(relay.Config{
 		Discovery:    discovery,
 		CachedList:   cachedList,
-		MaxFollowers: 2 * int(op.Fan),
+		MaxFollowers: 2 * int(op.FanOut),
 		Log:          c.Log,
 		Selector: bootstrap.Config{
 			Self:           c.Name,
-			Roots:          int(op.Ask),
-			FanOut:         int(op.Fan),
-			MaxCallRate:    op.Rate,
+			Roots:          int(op.Roots),
+			FanOut:         int(op.FanOut),
+			MaxCallRate:    op.MaxCallRate,
 			ConfiguredSize: c.ConfiguredSize,
 			RandomSeed:     c.RandomSeed,
 		},
@@ -65,7 +65,7 @@
 // Open returns a Node that listens at the cluster's address. endpoints is nil if the
 // endpoint list comes from discovery alone. Nothing is sent before Gossip.Run. It
 // reports an error if the address cannot be used.
-func Open(c Config, op *operator.Fleet, endpoints *relay.Source) (*Node, error) {
+func Open(c Config, op *operator.Cluster, endpoints *relay.Source) (*Node, error) {
 	n := &Node{
 		EndpointSource:   endpoints,
 		onMembersChanged: c.OnMembersChanged,
