--- a/internal/controlplane/parse.go
+++ b/internal/controlplane/parse.go
@@ -22,9 +22,6 @@
 	maxErrors   = 20  // that are listed for one text
 )
 
-// unknownKeyPrefix is how strictdecode starts the text of an error about a key that does not exist.
-const unknownKeyPrefix = "no such key: "
-
 // ErrSnapshotTooLarge says that a snapshot's text is longer than MaxSnapshotSize.
 var ErrSnapshotTooLarge = errors.New("the snapshot is too large")
 
@@ -58,20 +55,20 @@
 		return nil, &sizeError{len(text)}
 	case len(text) == 0:
 		const reason = "nothing in it: a comment is enough for a snapshot that sets nothing"
-		return nil, strictdecode.Fault{Line: 1, Column: 1, Text: reason}
+		return nil, &strictdecode.DecodeError{Line: 1, Column: 1, Reason: reason}
 	}
 	s := &Snapshot{Text: text, Revision: Revision{Hash: HashText(text)}}
 	var errs []error
 	for _, fault := range strictdecode.Decode(text, &s.Settings) {
-		if key, ok := strings.CutPrefix(fault.Text, unknownKeyPrefix); ok {
-			fault.Text = unknownKeyReason(key)
+		if fault.UnknownKey {
+			fault.Reason = unknownKeyReason(fault.Key)
 		}
 		errs = append(errs, fault)
 	}
 	if len(errs) > 0 {
 		return nil, joinErrors(errs)
 	}
-	v := validator{positions: strictdecode.Places(text)}
+	v := validator{positions: strictdecode.FindPositions(text)}
 	v.settings(&s.Settings)
 	if len(v.errs) > 0 {
 		return nil, joinErrors(v.errs)
@@ -89,12 +86,12 @@
 
 // validator collects the faults of a snapshot's values.
 type validator struct {
-	positions strictdecode.Where
+	positions strictdecode.Positions
 	errs      []error
 }
 
 func (v *validator) fail(key, format string, args ...any) {
-	at := v.positions.At(key)
+	at := v.positions.Of(key)
 	v.errs = append(v.errs, &ValidationError{
 		Line:   at.Line,
 		Column: at.Column,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -31,12 +31,12 @@
 	Config   *Distribution `toml:"config"`
 
 	path  string
-	where strictdecode.Where
+	where strictdecode.Positions
 }
 
 // At is where a key stands in the file, or its table: "FILE:LINE:COLUMN".
 func (c *Config) At(key string) string {
-	at := c.where.At(key)
+	at := c.where.Of(key)
 	return fmt.Sprintf("%s:%d:%d", c.path, at.Line, at.Column)
 }
 
@@ -121,7 +121,7 @@
 	return []error{err}
 }
 
-// Parse reads a file's text. Its error joins strict.Faults.
+// Parse reads a file's text. Its error joins strictdecode.DecodeErrors.
 func Parse(text []byte) (*Config, error) {
 	c := new(Config)
 	var all []error
@@ -131,11 +131,10 @@
 	if len(all) > 0 {
 		return nil, errors.Join(all...)
 	}
-	where := strictdecode.Places(text)
+	where := strictdecode.FindPositions(text)
 	c.where = where
 	c.check(func(key, format string, args ...any) {
-		at := where.At(key)
-		all = append(all, strictdecode.Fault{Line: at.Line, Column: at.Column, Text: key + ": " + fmt.Sprintf(format, args...)})
+		all = append(all, where.Errorf(key, format, args...))
 	})
 	if len(all) > 0 {
 		return nil, errors.Join(all...)
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -49,10 +49,11 @@
 	o := new(Origin)
 	all := strictdecode.Decode(text, o)
 	if len(all) == 0 {
-		where := strictdecode.Places(text)
+		where := strictdecode.FindPositions(text)
 		o.check(func(key, format string, args ...any) {
-			at := where.At(key)
-			all = append(all, strictdecode.Fault{Line: max(at.Line, 1), Column: max(at.Column, 1), Text: key + ": " + fmt.Sprintf(format, args...)})
+			err := where.Errorf(key, format, args...)
+			err.Line, err.Column = max(err.Line, 1), max(err.Column, 1)
+			all = append(all, err)
 		})
 	}
 	var lines []string
--- /dev/null
+++ b/internal/strictdecode/positions.go
@@ -0,0 +1,66 @@
+package strictdecode
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+// Positions maps the dotted name of each key and table of a text to where it begins.
+type Positions map[string]unstable.Position
+
+// FindPositions returns the positions of a text that Decode accepts.
+func FindPositions(text []byte) Positions {
+	positions := Positions{}
+	var parser unstable.Parser
+	parser.Reset(text)
+	table := "" // the name of the present table and a dot
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		if expression.Kind != unstable.Table && expression.Kind != unstable.KeyValue {
+			continue
+		}
+		name, start := expressionName(&parser, expression)
+		if expression.Kind == unstable.Table {
+			table = name + "."
+		} else {
+			name = table + name
+		}
+		positions[name] = start
+	}
+	return positions
+}
+
+// expressionName returns the dotted name of a table or key, and where it begins.
+func expressionName(parser *unstable.Parser, expression *unstable.Node) (string, unstable.Position) {
+	var parts []string
+	var start unstable.Position
+	for key := expression.Key(); key.Next(); {
+		if len(parts) == 0 {
+			start = parser.Shape(key.Node().Raw).Start
+		}
+		parts = append(parts, string(key.Node().Data))
+	}
+	return strings.Join(parts, "."), start
+}
+
+// Of returns where a key begins, or its table if the key is not there.
+func (p Positions) Of(key string) unstable.Position {
+	if position, ok := p[key]; ok {
+		return position
+	}
+	table, _, _ := strings.Cut(key, ".")
+	return p[table]
+}
+
+// Errorf returns an error about a key at its position. Line and column are 0 if neither the key nor its table is there.
+func (p Positions) Errorf(key, format string, args ...any) *DecodeError {
+	position := p.Of(key)
+	return &DecodeError{
+		Line:   position.Line,
+		Column: position.Column,
+		Key:    key,
+		Reason: fmt.Sprintf(format, args...),
+	}
+}
