--- a/internal/idempotency/tracker_test.go
+++ b/internal/idempotency/tracker_test.go
@@ -12,16 +12,16 @@
 
 // The words of the scripts.
 var (
-	verdictNames  = map[Verdict]string{Proceed: "go", Fail: "fail"}
+	verdictNames  = map[Verdict]string{Proceed: "proceed", Fail: "fail"}
 	decisionNames = map[Decision]string{
 		Send:        "send",
 		WriteRecord: "write",
-		AwaitWrite:  "wait",
-		Forbid:      "never",
+		AwaitWrite:  "await",
+		Forbid:      "forbid",
 		TableFull:   "full",
 	}
-	updateNames = map[UpdateKind]string{NoUpdate: "keep", PutRecord: "close", DeleteRecord: "remove"}
-	stateNames  = map[State]string{StateOpen: "open", StateUnknown: "unknown", StateExecuted: "ran"}
+	updateNames = map[UpdateKind]string{NoUpdate: "none", PutRecord: "put", DeleteRecord: "delete"}
+	stateNames  = map[State]string{StateOpen: "open", StateUnknown: "unknown", StateExecuted: "executed"}
 )
 
 // scriptRun is a machine whose events a script gives.
@@ -76,16 +76,16 @@
 func (r *scriptRun) play(t *testing.T, d *datadriven.TestData) string {
 	t.Helper()
 	events := map[string]func(*scriptLine) string{
-		"arrive":  r.admitRequest,
-		"intend":  r.beginAttempt,
-		"written": r.recordWritten,
-		"covered": func(l *scriptLine) string { return fmt.Sprintln(r.tracker.IsDurable(r.attempts[l.words[1]])) },
-		"ended":   r.endAttempt,
-		"done":    r.endRequest,
-		"pass":    r.passTime,
-		"wall":    r.moveWall,
-		"restart": r.restart,
-		"stats":   r.stats,
+		"admit":       r.admitRequest,
+		"begin":       r.beginAttempt,
+		"written":     r.recordWritten,
+		"durable":     func(l *scriptLine) string { return fmt.Sprintln(r.tracker.IsDurable(r.attempts[l.words[1]])) },
+		"end":         r.endAttempt,
+		"end-request": r.endRequest,
+		"pass":        r.passTime,
+		"wall":        r.moveWall,
+		"restart":     r.restart,
+		"stats":       r.stats,
 	}
 	var out strings.Builder
 	for text := range strings.Lines(d.Input) {
@@ -99,7 +99,7 @@
 	return out.String()
 }
 
-// admitRequest is "arrive REQUEST CLASS".
+// admitRequest is "admit REQUEST CLASS".
 func (r *scriptRun) admitRequest(l *scriptLine) string {
 	name, class := l.words[1], l.words[2]
 	r.fingerprints[name] = NewFingerprint(class, "", name)
@@ -107,7 +107,7 @@
 	return fmt.Sprintf("%s%s\n", verdictNames[verdict], formatLocations(earlier))
 }
 
-// beginAttempt is "intend REQUEST ATTEMPT ZONE [CELL]".
+// beginAttempt is "begin REQUEST ATTEMPT ZONE [CELL]".
 func (r *scriptRun) beginAttempt(l *scriptLine) string {
 	fp := r.fingerprints[l.arg(1)]
 	decision, a, record := r.tracker.BeginAttempt(r.now(), fp, l.words[3], l.number(4))
@@ -128,19 +128,19 @@
 	if failed {
 		delete(r.disk, a.entry.fingerprint)
 	}
-	return fmt.Sprintf("covered %v\n", r.tracker.IsDurable(a))
+	return fmt.Sprintf("durable %v\n", r.tracker.IsDurable(a))
 }
 
-// endAttempt is "ended ATTEMPT ran|maybe|never".
+// endAttempt is "end ATTEMPT answered|maybe|never".
 func (r *scriptRun) endAttempt(l *scriptLine) string {
-	update := r.end(r.attempts[l.words[1]], l.words[2] != "never", l.words[2] == "ran")
+	update := r.end(r.attempts[l.words[1]], l.words[2] != "never", l.words[2] == "answered")
 	if update.Kind == PutRecord {
 		return fmt.Sprintf("%s %s\n", updateNames[update.Kind], stateNames[update.Record.State])
 	}
 	return fmt.Sprintln(updateNames[update.Kind])
 }
 
-// endRequest is "done REQUEST".
+// endRequest is "end-request REQUEST".
 func (r *scriptRun) endRequest(l *scriptLine) string {
 	return fmt.Sprintf("may have run: %v\n", r.tracker.EndRequest(r.fingerprints[l.arg(1)]))
 }
@@ -172,7 +172,7 @@
 	if s.OldestOpen > 0 {
 		oldest = fmt.Sprint(time.Duration(r.now().Time-s.OldestOpen) * time.Millisecond)
 	}
-	return fmt.Sprintf("%d entries, %d open, %d left, oldest %s; %d on disk\n",
+	return fmt.Sprintf("%d entries, %d open, %d restored, oldest %s; %d on disk\n",
 		s.Entries, s.Open, s.RestoredOpen, oldest, len(r.disk))
 }
 
@@ -193,7 +193,7 @@
 				return r.play(t, d)
 			}
 			r = &scriptRun{machine: newMachine(100), fingerprints: map[string]Fingerprint{}}
-			d.MaybeScanArgs(t, "most", &r.maxEntries)
+			d.MaybeScanArgs(t, "max_entries", &r.maxEntries)
 			r.start(t)
 			return ""
 		})
