--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -26,7 +26,7 @@
 	ControlPlane *ControlPlane `toml:"config"`
 
 	path      string
-	positions strictdecode.Where
+	positions strictdecode.Positions
 }
 
 // Admin is the table [admin]: the endpoint for operators.
@@ -37,7 +37,7 @@
 // Position returns the position of a key in the file, as "FILE:LINE:COLUMN". It is that of the key's table where the
 // file does not have the key.
 func (c *Config) Position(key string) string {
-	position := c.positions.At(key)
+	position := c.positions.Of(key)
 	return fmt.Sprintf("%s:%d:%d", c.path, position.Line, position.Column)
 }
 
@@ -55,7 +55,7 @@
 	return c, nil
 }
 
-// Parse validates the text of a file. Its error joins strictdecode.Fault values.
+// Parse validates the text of a file. Its error joins *strictdecode.DecodeError values.
 func Parse(text []byte) (*Config, error) {
 	c, errs := parse(text)
 	if len(errs) > 0 {
@@ -67,20 +67,15 @@
 // parse decodes and validates the text of a file. Values are validated only in a text that could be decoded whole.
 func parse(text []byte) (*Config, []error) {
 	c := new(Config)
-	faults := strictdecode.Decode(text, c)
-	if len(faults) > 0 {
-		return nil, errorsFromFaults(faults)
+	decodeErrors := strictdecode.Decode(text, c)
+	if len(decodeErrors) > 0 {
+		return nil, stableErrors(decodeErrors)
 	}
-	c.positions = strictdecode.Places(text)
+	c.positions = strictdecode.FindPositions(text)
 	c.validate(validator{report: func(key, text string) {
-		position := c.positions.At(key)
-		faults = append(faults, strictdecode.Fault{
-			Line:   position.Line,
-			Column: position.Column,
-			Text:   key + ": " + text,
-		})
+		decodeErrors = append(decodeErrors, c.positions.Errorf(key, "%s", text))
 	}})
-	return c, errorsFromFaults(faults)
+	return c, stableErrors(decodeErrors)
 }
 
 // validate fills in the defaults and reports values that cannot be used.
--- a/internal/operator/decodeerror.go
+++ b/internal/operator/decodeerror.go
@@ -95,12 +95,12 @@
 	"operator.Translation", "operator.Translate",
 )
 
-// errorsFromFaults returns the faults as errors, with stable texts; nil: there are none.
-func errorsFromFaults(faults []strictdecode.Fault) []error {
+// stableErrors returns the errors of a decoder with stable texts; nil: there are none.
+func stableErrors(decodeErrors []*strictdecode.DecodeError) []error {
 	var errs []error
-	for _, fault := range faults {
-		fault.Text = stableErrorText(fault.Text)
-		errs = append(errs, fault)
+	for _, err := range decodeErrors {
+		err.Reason = stableErrorText(err.Reason)
+		errs = append(errs, err)
 	}
 	return errs
 }
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -44,21 +44,19 @@
 		return nil, fmt.Errorf("origin's file: %w", err)
 	}
 	o := new(Origin)
-	faults := strictdecode.Decode(text, o)
-	if len(faults) == 0 {
-		positions := strictdecode.Places(text)
+	decodeErrors := strictdecode.Decode(text, o)
+	if len(decodeErrors) == 0 {
+		positions := strictdecode.FindPositions(text)
 		o.validate(validator{report: func(key, text string) {
-			position := positions.At(key)
+			err := positions.Errorf(key, "%s", text)
 			// A key that the file does not have has no position: its error is at the file's start.
-			faults = append(faults, strictdecode.Fault{
-				Line:   max(position.Line, 1),
-				Column: max(position.Column, 1),
-				Text:   key + ": " + text,
-			})
+			err.Line = max(err.Line, 1)
+			err.Column = max(err.Column, 1)
+			decodeErrors = append(decodeErrors, err)
 		}})
 	}
-	if len(faults) > 0 {
-		return nil, &FileError{Path: path, Errs: errorsFromFaults(faults)}
+	if len(decodeErrors) > 0 {
+		return nil, &FileError{Path: path, Errs: stableErrors(decodeErrors)}
 	}
 	return o, nil
 }
