--- a/internal/cluster/node/config.go
+++ b/internal/cluster/node/config.go
@@ -34,42 +34,42 @@
 }
 
 // coreConfig returns the configuration of the membership protocol.
-func (c *Config) coreConfig(op *operator.Fleet) cluster.Config {
+func (c *Config) coreConfig(op *operator.Cluster) cluster.Config {
 	return cluster.Config{
 		ClusterName:       op.Name,
 		Name:              c.Name,
-		AdvertiseAddr:     op.Self,
-		Seeds:             op.Peers,
+		AdvertiseAddr:     op.AdvertiseAddr,
+		Seeds:             op.SeedAddrs,
 		RandomSeed:        c.RandomSeed,
-		ProbeInterval:     time.Duration(op.Probe),
-		ProbeTimeout:      time.Duration(op.Timeout),
-		GossipInterval:    time.Duration(op.Gossip),
-		PushPullInterval:  time.Duration(op.Sync),
-		ReconnectInterval: time.Duration(op.Retry),
-		DeadMemberTTL:     time.Duration(op.Forget),
-		NoticeTTL:         time.Duration(op.KeepWords),
-		IndirectChecks:    int(op.Indirect),
-		SuspicionMult:     op.Suspicion,
-		MaxMembers:        int(op.Most),
+		ProbeInterval:     time.Duration(op.ProbeInterval),
+		ProbeTimeout:      time.Duration(op.ProbeTimeout),
+		GossipInterval:    time.Duration(op.GossipInterval),
+		PushPullInterval:  time.Duration(op.PushPullInterval),
+		ReconnectInterval: time.Duration(op.ReconnectInterval),
+		DeadMemberTTL:     time.Duration(op.DeadMemberTTL),
+		NoticeTTL:         time.Duration(op.NoticeTTL),
+		IndirectChecks:    int(op.IndirectChecks),
+		SuspicionMult:     op.SuspicionMult,
+		MaxMembers:        int(op.MaxMembers),
 	}
 }
 
 // gossipConfig returns the configuration of the gossip, without the callbacks of the
 // Node and the handler.
-func (c *Config) gossipConfig(op *operator.Fleet) gossip.Config {
+func (c *Config) gossipConfig(op *operator.Cluster) gossip.Config {
 	g := gossip.Config{
 		Core:             c.coreConfig(op),
 		ConfiguredSize:   c.ConfiguredSize,
 		Listen:           op.Listen,
-		AllowedPeers:     op.Allowed,
+		AllowedPeers:     op.AllowedNetworks,
 		OnTableFull:      c.OnTableFull,
 		OnQueueFull:      c.OnQueueFull,
 		OnConfigRevision: c.OnConfigRevision,
 		Network:          c.Network,
 		Log:              c.Log,
 	}
-	for _, t := range op.Translate {
-		g.Translations = append(g.Translations, gossip.AddressTranslation{From: t.Prefix, To: t.As})
+	for _, t := range op.Translations {
+		g.Translations = append(g.Translations, gossip.AddressTranslation{From: t.FromPrefix, To: t.ToPrefix})
 	}
 	return g
 }
