--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -1,223 +1,150 @@
-// Package grpc reaches members by gRPC, with google.golang.org/grpc: one connection to each member, on which every
-// stream is an attempt that the module decided on.
+// Package grpc carries out attempts and probes over gRPC, with google.golang.org/grpc: one connection to each
+// endpoint, on which every stream is an attempt that the balancer decided on.
 //
-// grpc-go sends by itself what it believes harmless to send again. Here it must not: an attempt is one stream, and
-// gate.go turns away the second one of each, by the means that grpc-go offers to anyone. What proves that an attempt
-// never ran is listed in outcome.go, and nowhere else.
+// grpc-go retries by itself what it believes harmless to send again. Here it must not: an attempt is one stream, and
+// gate.go denies the second one of each, by the means that grpc-go offers to anyone. What proves that an attempt never
+// ran is listed in outcome.go, and nowhere else.
 package grpc
 
 import (
 	"cmp"
-	"context"
 	"sync"
 	"time"
 
 	"google.golang.org/grpc"
-	"google.golang.org/grpc/backoff"
-	"google.golang.org/grpc/connectivity"
 
 	"hazelwing/balancer"
 	"hazelwing/internal/engine"
 )
 
 const (
-	defaultConnect = 250 * time.Millisecond
-	defaultGrace   = 250 * time.Millisecond
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultDrainGrace     = 250 * time.Millisecond
 )
 
-// Config says what a Transport may do. What is 0 has a default.
+// Config configures a Transport. A field that is zero has the default given.
 type Config struct {
-	Connect time.Duration // for a connection to come up; 250 ms
-	Grace   time.Duration // in which a drain that was told may still be written to; 250 ms
-	Dial    []grpc.DialOption
-	// LoadNames are the named metrics of an ORCA report that say how many requests a member holds; the largest counts.
+	ConnectTimeout time.Duration // limits how long it takes to establish a connection; 250 ms
+	DrainGrace     time.Duration // how long a draining endpoint may still be written to; 250 ms
+	DialOptions    []grpc.DialOption
+	// LoadNames are the named metrics of an ORCA report that count the requests in an endpoint; the largest counts.
 	LoadNames []string
-	// Service is what probes ask grpc.health.v1 for; empty: the server as a whole.
+	// Service is the service name in health checks; empty: the server as a whole.
 	Service string
 }
 
-// Transport is the transport. It holds one connection to each member of the list that was sent to, and one to each
-// that left and has attempts out.
+// Transport is the transport of gRPC. It has a connection to each endpoint of the list that requests were sent to, and
+// one to each that drains or was removed and has exchanges in flight. Its methods may be called from any goroutine.
 type Transport struct {
-	cfg Config
+	config Config
 
-	mu      sync.Mutex
-	members map[string]*member
-	closed  bool
-	done    sync.WaitGroup // connections being closed
+	mu        sync.Mutex
+	endpoints map[string]*endpoint
+	closed    bool
+	closing   sync.WaitGroup // connections being closed
 }
 
-// member is a process of a member, and the connection to it. The transport's lock guards it.
-type member struct {
-	id   string
-	addr string
-	born float64
-	left time.Time // when it was told to drain, to be gone, or to be another process; zero: active
-	cc   *grpc.ClientConn
-	out  map[*exchange]struct{} // attempts and probes that have not ended
+// endpoint is a process of an endpoint, and the connection to it. The transport's lock guards it.
+type endpoint struct {
+	id          string
+	addr        string
+	startedAtMS float64
+	removedAt   time.Time // when it was reported as draining, removed, or another process; zero while it is active
+	conn        *grpc.ClientConn
+	exchanges   map[*exchange]struct{} // attempts and probes in flight
 }
 
-// New makes a Transport. Nothing is opened before the first attempt.
+// New returns a Transport. It opens no connection before the first attempt.
 func New(c Config) *Transport {
-	c.Connect, c.Grace = cmp.Or(c.Connect, defaultConnect), cmp.Or(c.Grace, defaultGrace)
-	return &Transport{cfg: c, members: map[string]*member{}}
+	c.ConnectTimeout = cmp.Or(c.ConnectTimeout, defaultConnectTimeout)
+	c.DrainGrace = cmp.Or(c.DrainGrace, defaultDrainGrace)
+	return &Transport{config: c, endpoints: map[string]*endpoint{}}
 }
 
-// Update follows the list. A member that drains or is gone keeps its connection while it has attempts out.
-func (t *Transport) Update(whole bool, entries []engine.Endpoint, told time.Time) {
+// Update applies an endpoint update that was notified at notifiedAt; complete tells that entries are the complete
+// list. An endpoint that drains or is removed keeps its connection while it has exchanges in flight.
+func (t *Transport) Update(complete bool, entries []engine.Endpoint, notifiedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	active := map[string]bool{}
-	for _, e := range entries {
-		m := t.members[e.ID]
-		if e.State != balancer.Active {
-			if m != nil {
-				t.leave(m, told)
+	for _, entry := range entries {
+		e := t.endpoints[entry.ID]
+		if entry.State != balancer.Active {
+			if e != nil {
+				t.markRemoved(e, notifiedAt)
 			}
 			continue
 		}
-		active[e.ID] = true
-		if m != nil && (m.addr != e.Addr || m.born != e.StartedAtMS) { // what is out is the old process's
-			t.leave(m, told)
-			m = nil
+		active[entry.ID] = true
+		if e != nil && (e.addr != entry.Addr || e.startedAtMS != entry.StartedAtMS) {
+			// What is in flight belongs to the former process.
+			t.markRemoved(e, notifiedAt)
+			e = nil
 		}
-		if m == nil {
-			m = &member{id: e.ID, addr: e.Addr, born: e.StartedAtMS, out: map[*exchange]struct{}{}}
-			t.members[e.ID] = m
+		if e == nil {
+			e = &endpoint{
+				id:          entry.ID,
+				addr:        entry.Addr,
+				startedAtMS: entry.StartedAtMS,
+				exchanges:   map[*exchange]struct{}{},
+			}
+			t.endpoints[entry.ID] = e
 		}
-		m.left = time.Time{}
+		e.removedAt = time.Time{}
 	}
-	for id, m := range t.members {
-		if whole && !active[id] {
-			t.leave(m, told)
+	for id, e := range t.endpoints {
+		if complete && !active[id] {
+			t.markRemoved(e, notifiedAt)
 		}
-		if !m.left.IsZero() && told.Sub(m.left) > t.cfg.Grace {
-			delete(t.members, id)
+		if !e.removedAt.IsZero() && notifiedAt.Sub(e.removedAt) > t.config.DrainGrace {
+			delete(t.endpoints, id)
 		}
 	}
 }
 
-// leave marks m as left since told, and ends what is not on the wire by the end of its grace. Guards against streams
-// that wait in grpc-go for room on the connection: they would be written whenever some comes. The lock is held.
-func (t *Transport) leave(m *member, told time.Time) {
-	if !m.left.IsZero() {
+// markRemoved marks e as draining or removed since at, and ends its exchanges that are not on the wire when the drain
+// grace has passed. Streams that wait in grpc-go for a slot on the connection would be written whenever there is one.
+// The lock is held.
+func (t *Transport) markRemoved(e *endpoint, at time.Time) {
+	if !e.removedAt.IsZero() {
 		return
 	}
-	m.left = told
-	t.retire(m)
-	for x := range m.out {
-		time.AfterFunc(time.Until(told.Add(t.cfg.Grace)), func() {
-			if !t.mayWrite(m) {
+	e.removedAt = at
+	t.closeIfUnused(e)
+	for x := range e.exchanges {
+		time.AfterFunc(time.Until(at.Add(t.config.DrainGrace)), func() {
+			if !t.maySend(e) {
 				x.CancelUnsent()
 			}
 		})
 	}
 }
 
-// retire closes the connection to m if it has left and nothing is out. The lock is held.
-func (t *Transport) retire(m *member) {
-	if !m.left.IsZero() && len(m.out) == 0 {
-		t.disconnect(m)
-	}
-}
-
-// disconnect closes the connection to m, away from the caller, which may not block. The lock is held.
-func (t *Transport) disconnect(m *member) {
-	if cc := m.cc; cc != nil {
-		m.cc = nil
-		t.done.Go(func() { cc.Close() })
-	}
-}
-
-// Close closes the connection to a member that has nothing out.
-func (t *Transport) CloseIdle(id string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if m := t.members[id]; m != nil && len(m.out) == 0 {
-		t.disconnect(m)
-	}
-}
-
-// Shut closes all connections and waits until they are. The engine has ended before.
-func (t *Transport) Shut() {
-	t.mu.Lock()
-	t.closed = true
-	for _, m := range t.members {
-		t.disconnect(m)
-	}
-	t.mu.Unlock()
-	t.done.Wait()
-}
-
-// mayWrite says whether something new may still be written to m's process.
-func (t *Transport) mayWrite(m *member) bool {
+// maySend reports whether something new may still be written to e's process.
+func (t *Transport) maySend(e *endpoint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return m.left.IsZero() || time.Since(m.left) < t.cfg.Grace
+	return e.removedAt.IsZero() || time.Since(e.removedAt) < t.config.DrainGrace
 }
 
-// enter adds x to what is out.
-func (t *Transport) enter(id string, x *exchange) bool {
+// register adds x to the exchanges of the endpoint named id. It returns false if that is unknown, or the transport is
+// closed.
+func (t *Transport) register(id string, x *exchange) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := t.members[id]
-	if m == nil || t.closed {
+	e := t.endpoints[id]
+	if e == nil || t.closed {
 		return false
 	}
-	x.to = m
-	m.out[x] = struct{}{}
+	x.endpoint = e
+	e.exchanges[x] = struct{}{}
 	return true
 }
 
-func (t *Transport) exit(x *exchange) {
+// deregister removes an exchange that has ended.
+func (t *Transport) deregister(x *exchange) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(x.to.out, x)
-	t.retire(x.to)
-}
-
-// conn is the connection to m, which is made on first use.
-func (t *Transport) conn(m *member) (*grpc.ClientConn, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if m.cc != nil && m.cc.GetState() != connectivity.TransientFailure {
-		return m.cc, nil
-	}
-	// One that failed stays in that state until it is up again, whatever it tries meanwhile: nobody could tell how this
-	// try goes.
-	t.disconnect(m)
-	opts := append(append([]grpc.DialOption(nil), t.cfg.Dial...),
-		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithStatsHandler(observer{}),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: t.cfg.Connect,
-			Backoff: backoff.Config{BaseDelay: time.Second, Multiplier: 2, Jitter: 0.2, MaxDelay: 8 * time.Second}}))
-	cc, err := grpc.NewClient("passthrough:///"+m.addr, opts...)
-	if err == nil {
-		m.cc = cc
-	}
-	return cc, err
-}
-
-// connect waits until the connection to m is up. grpc-go's own waiting ends in an old error where an earlier attempt
-// to connect failed; the module decided on this one, so it is tried anew.
-func (t *Transport) connect(ctx context.Context, m *member) (*grpc.ClientConn, error) {
-	cc, err := t.conn(m)
-	if err != nil {
-		return nil, err
-	}
-	ctx, cancel := context.WithTimeout(ctx, t.cfg.Connect)
-	defer cancel()
-	for {
-		state := cc.GetState()
-		switch state {
-		case connectivity.Ready:
-			return cc, nil
-		case connectivity.Idle:
-			cc.Connect()
-		case connectivity.TransientFailure, connectivity.Shutdown:
-			return nil, errNotUp
-		}
-		if !cc.WaitForStateChange(ctx, state) {
-			return nil, ctx.Err()
-		}
-	}
+	delete(x.endpoint.exchanges, x)
+	t.closeIfUnused(x.endpoint)
 }
--- a/rpc/grpcbalancer/hazelgrpc.go
+++ b/rpc/grpcbalancer/hazelgrpc.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hazelgrpc: Config.Members: %w", err)
 	}
-	p.transport = transport.New(transport.Config{Connect: cfg.Settings.ConnectTimeout, Grace: cfg.DrainGrace, Dial: cfg.Dial,
+	p.transport = transport.New(transport.Config{ConnectTimeout: cfg.Settings.ConnectTimeout, DrainGrace: cfg.DrainGrace, DialOptions: cfg.Dial,
 		LoadNames: cfg.LoadNames, Service: cfg.HealthService})
 	set := cfg.Settings
 	set.MustSubscribe = true // the module asks again where a source fails, with a growing wait
@@ -158,7 +158,7 @@
 	go func() {
 		defer close(p.ended)
 		p.engine.Run(ctx)
-		p.transport.Shut()
+		p.transport.Close()
 	}()
 	return p, nil
 }
