--- a/internal/store/hint.go
+++ b/internal/store/hint.go
@@ -53,7 +53,8 @@
 }
 
 // decodeHint calls visit with each entry of a hint file, and returns the end of its segment. ok is false if it is not
-// the complete hint file of that segment; if its checksum is right, all entries were visited in that case too.
+// the complete hint file of that segment. The checksum is verified first, so that no entry of a damaged file is
+// visited.
 func decodeHint(h []byte, number uint64, visit visitHint) (end int64, ok bool) {
 	footer := len(h) - hintFooterSize
 	if footer < hintHeaderSize || string(h[:8]) != hintMagic || binary.LittleEndian.Uint64(h[8:]) != number {
@@ -89,7 +90,7 @@
 func hintedEnd(h []byte) int64 { return int64(binary.LittleEndian.Uint64(h[16:])) }
 
 // loadHint visits the entries of a segment's hint file. ok is false if it cannot be used: it is not complete, or the
-// segment is shorter than it says. No entry was visited then, since a right checksum makes all of the file good.
+// segment is shorter than it says.
 func (s *Store) loadHint(g *segment, visit visitHint) (end int64, ok bool) {
 	h, err := readFile(s.fs, hintName(g.number))
 	if err != nil {
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -15,7 +15,8 @@
 	headerSize    = 24
 )
 
-// segment is a file of the log. Store.mu protects its fields, but for number and file, which do not change.
+// segment is a file of the log. Store.mu protects its fields, but for number and file, which do not change, and
+// hintTried, which Store.compactMu protects.
 type segment struct {
 	number uint64
 	file   File
