--- a/internal/cluster/node/notices.go
+++ b/internal/cluster/node/notices.go
@@ -53,19 +53,19 @@
 // with the notices of other members. Further sources may be added to it. n is nil if
 // there are no other members, op if the operator's file has no table of members.
 func MergeConfig(
-	op *operator.Members, n *Node, platform engine.Source, cachedList []engine.Endpoint, log *slog.Logger,
+	op *operator.Discovery, n *Node, platform engine.Source, cachedList []engine.Endpoint, log *slog.Logger,
 ) mergedsource.Config {
 	if op == nil {
-		op = operator.DefaultMembers()
+		op = operator.DefaultDiscovery()
 	}
 	c := mergedsource.Config{
 		Platform:         platform,
 		CachedList:       cachedList,
-		MaxEndpoints:     int(op.Most),
-		AdditionInterval: time.Duration(op.Settle),
-		TombstoneTTL:     time.Duration(op.Forget),
-		MaxRemovalShare:  op.Share,
-		RemovalWindow:    time.Duration(op.Window),
+		MaxEndpoints:     int(op.MaxEndpoints),
+		AdditionInterval: time.Duration(op.AdditionInterval),
+		TombstoneTTL:     time.Duration(op.TombstoneTTL),
+		MaxRemovalShare:  op.MaxRemovalShare,
+		RemovalWindow:    time.Duration(op.RemovalWindow),
 		Log:              log,
 	}
 	if n != nil {
