--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -42,13 +42,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: graphql.schema: %w", op.Position("graphql.schema"), err)
 	}
-	fields := map[string]plan.Field{}
+	fields := map[string]plan.FieldMapping{}
 	for name, f := range g.Fields {
-		fields[name] = plan.Field{Class: f.Class, Key: f.KeyArgument, Cost: int(f.Cost), Work: time.Duration(f.ExpectedWork), Deadline: time.Duration(f.Deadline), Share: f.Coalesce}
+		fields[name] = plan.FieldMapping{Class: f.Class, KeyArgument: f.KeyArgument, Cost: int(f.Cost), ExpectedWork: time.Duration(f.ExpectedWork), Deadline: time.Duration(f.Deadline), Coalesce: f.Coalesce}
 	}
-	schema, err := plan.New(plan.Config{Name: g.SchemaFile, SDL: string(text), Fields: fields, Classes: classes, Introspection: g.Introspection,
-		Limits: plan.Limits{Bytes: int(g.MaxDocument), Tokens: int(g.MaxTokens), Depth: int(g.MaxDepth), Aliases: int(g.MaxAliases), Roots: int(g.MaxRootFields),
-			Fields: int(g.MaxFields), Cost: int(g.MaxCost)}})
+	schema, err := plan.New(plan.Config{SchemaFile: g.SchemaFile, SDL: string(text), Fields: fields, Classes: classes, Introspection: g.Introspection,
+		Limits: plan.Limits{MaxBytes: int(g.MaxDocument), MaxTokens: int(g.MaxTokens), MaxDepth: int(g.MaxDepth), MaxAliases: int(g.MaxAliases), MaxRootFields: int(g.MaxRootFields),
+			MaxFields: int(g.MaxFields), MaxCost: int(g.MaxCost)}})
 	if err != nil {
 		return nil, located(op, err)
 	}
@@ -90,7 +90,7 @@
 	}
 	var lines []string
 	for _, e := range list {
-		var f plan.FieldFault
+		var f plan.FieldMappingError
 		if errors.As(e, &f) {
 			lines = append(lines, fmt.Sprintf("%s: graphql.field.%q: %v", op.Position("graphql.field."+f.Field), f.Field, f.Err))
 			continue
--- a/internal/front/graphqlfront/execute.go
+++ b/internal/front/graphqlfront/execute.go
@@ -44,12 +44,12 @@
 		}
 		s.count.operations.Add(1)
 		for _, p := range plans[i].Parts {
-			effect := p.Class + " " + p.Key
-			if p.Effect == balancer.Idempotent || p.Key == "" {
+			effect := p.Class + " " + p.IdempotencyKey
+			if p.Effect == balancer.Idempotent || p.IdempotencyKey == "" {
 				continue
 			}
 			if effects[effect] {
-				plans[i], faults[i] = nil, []*plan.Error{plan.NewError(plan.KeyTwice, "another request of the batch has the same key: only one could run")}
+				plans[i], faults[i] = nil, []*plan.Error{plan.NewError(plan.CodeDuplicateKey, "another request of the batch has the same key: only one could run")}
 				break
 			}
 			effects[effect] = true
@@ -59,7 +59,7 @@
 	var all sync.WaitGroup
 	for i := range list {
 		if plans[i] == nil {
-			responses[i].Body = plan.Failed(faults[i]...)
+			responses[i].Body = plan.ErrorResponse(faults[i]...)
 			continue
 		}
 		all.Go(func() { responses[i] = j.run(plans[i]) })
@@ -71,8 +71,8 @@
 	a := answer{status: http.StatusOK, media: kind, body: responses[0].Body}
 	refused := true
 	for _, x := range responses {
-		refused = refused && x.Refused
-		a.retryIn = max(a.retryIn, x.RetryIn)
+		refused = refused && x.Rejected
+		a.retryIn = max(a.retryIn, x.RetryAfter)
 	}
 	switch {
 	case refused: // nothing ran: trying again is harmless, and the status says so to all on the way
@@ -121,19 +121,19 @@
 	goes := true
 	for i, part := range p.Parts {
 		if !goes || j.gone() || time.Until(j.expires) <= 0 {
-			outcomes[i] = plan.Outcome{Ended: plan.WasNotStarted, Why: "not started: the mutation before it did not end well, or the time is up"}
+			outcomes[i] = plan.Outcome{Kind: plan.OutcomeNotStarted, Reason: "not started: the mutation before it did not end well, or the time is up"}
 			goes = false
 			continue
 		}
 		outcomes[i], _ = j.part(part)
-		goes = p.Goes(outcomes[i])
+		goes = p.MayContinueAfter(outcomes[i])
 	}
 	return p.Merge(outcomes)
 }
 
 // query carries out a part of a query, or takes the answer of one like it that is in flight.
 func (j *job) query(p *plan.Part) plan.Outcome {
-	for p.Share && !j.gone() {
+	for p.Coalesce && !j.gone() {
 		expires := j.partExpires(p)
 		x, shared := j.s.flights.join(flightKey(p, j.header), expires, j.left, func(ctx context.Context, left func() bool) (plan.Outcome, bool) {
 			all := *j // whoever asked first may leave: the others wait for it
@@ -172,7 +172,7 @@
 		defer func() { <-s.places }()
 	default:
 		s.count.refused.Add(1)
-		return plan.Outcome{Ended: plan.WasRefused, Why: "refused: too much is in hand; trying again is harmless"}, false
+		return plan.Outcome{Kind: plan.OutcomeRejected, Reason: "refused: too much is in hand; trying again is harmless"}, false
 	}
 	s.count.parts.Add(1)
 	id := s.prefix + strconv.FormatUint(s.last.Add(1), 36)
@@ -181,14 +181,14 @@
 	header.Set("Accept", respMedia+", "+jsonMedia+";q=0.9")
 	header.Set(httpmsg.RequestIDHeader, id)
 	header.Set(httpmsg.ClassHeader, p.Class)
-	if p.Key != "" {
-		header.Set(httpmsg.IdempotencyKeyHeader, p.Key)
+	if p.IdempotencyKey != "" {
+		header.Set(httpmsg.IdempotencyKeyHeader, p.IdempotencyKey)
 	}
-	c := &engine.Call{ID: id, Class: p.Class, Tenant: j.request.Header.Get(httpmsg.TenantHeader), AffinityKey: p.About, IdempotencyKey: p.Key, ExpectedWork: p.Work,
+	c := &engine.Call{ID: id, Class: p.Class, Tenant: j.request.Header.Get(httpmsg.TenantHeader), AffinityKey: p.AffinityKey, IdempotencyKey: p.IdempotencyKey, ExpectedWork: p.ExpectedWork,
 		ExpiresAt: j.partExpires(p), Disconnected: j.left,
 		Payload: &httpmsg.Request{Method: http.MethodPost, URI: s.cfg.Node, Host: j.request.Host, Header: header, Body: p.Body,
 			Check: func(a *httpmsg.Response) error {
-				read, err := p.Read(a.Body)
+				read, err := p.ParseResponse(a.Body)
 				a.Value = read
 				return err
 			}}}
@@ -201,26 +201,26 @@
 	switch r.Kind {
 	case engine.Served:
 		a := r.Answer.(*httpmsg.Response)
-		read, ok := a.Value.(*plan.Answer)
+		read, ok := a.Value.(*plan.NodeResponse)
 		var err error
 		if !ok { // only answers with status 200 are checked
-			read, err = p.Read(a.Body)
+			read, err = p.ParseResponse(a.Body)
 		}
 		switch {
 		case err == nil && read.Executed():
-			return plan.Outcome{Ended: plan.Answered, Answer: read}
+			return plan.Outcome{Kind: plan.OutcomeExecuted, Response: read}
 		case err == nil:
-			return plan.Outcome{Ended: plan.TurnedDown, Answer: read}
+			return plan.Outcome{Kind: plan.OutcomeNodeRejected, Response: read}
 		case a.Status != http.StatusOK: // it blames the request, in words that are not GraphQL's
-			return plan.Outcome{Ended: plan.TurnedDown, Answer: p.Blamed(fmt.Sprintf("a node turned it down with status %d", a.Status))}
+			return plan.Outcome{Kind: plan.OutcomeNodeRejected, Response: p.RejectedResponse(fmt.Sprintf("a node turned it down with status %d", a.Status))}
 		}
 	case engine.Rejected:
 		s.count.refused.Add(1)
-		return plan.Outcome{Ended: plan.WasRefused, RetryIn: r.RetryAfter, Why: "refused: nothing ran; trying again is harmless"}
+		return plan.Outcome{Kind: plan.OutcomeRejected, RetryAfter: r.RetryAfter, Reason: "refused: nothing ran; trying again is harmless"}
 	}
 	s.count.mayHaveRun.Add(1)
 	if p.Effect == balancer.Idempotent {
-		return plan.Outcome{Ended: plan.MayRun, Why: "no node answered this in time"}
+		return plan.Outcome{Kind: plan.OutcomeUnknown, Reason: "no node answered this in time"}
 	}
-	return plan.Outcome{Ended: plan.MayRun, Why: "no answer: it may have run"}
+	return plan.Outcome{Kind: plan.OutcomeUnknown, Reason: "no answer: it may have run"}
 }
--- a/internal/front/graphqlfront/front_test.go
+++ b/internal/front/graphqlfront/front_test.go
@@ -69,9 +69,9 @@
 
 func newServer(t testing.TB, d *doer, change func(*Config)) *Server {
 	t.Helper()
-	schema, err := plan.New(plan.Config{Name: "s", SDL: sdl, Classes: classes, Limits: plan.DefaultLimits, Fields: map[string]plan.Field{
-		"Query.a": {Class: "q"}, "Query.b": {Class: "r"}, "Query.s": {Class: "q", Share: true}, "Query.slow": {Class: "q", Deadline: time.Second},
-		"Mutation.m": {Class: "u", Key: "k"}, "Mutation.n": {Class: "u"}}})
+	schema, err := plan.New(plan.Config{SchemaFile: "s", SDL: sdl, Classes: classes, Limits: plan.DefaultLimits, Fields: map[string]plan.FieldMapping{
+		"Query.a": {Class: "q"}, "Query.b": {Class: "r"}, "Query.s": {Class: "q", Coalesce: true}, "Query.slow": {Class: "q", Deadline: time.Second},
+		"Mutation.m": {Class: "u", KeyArgument: "k"}, "Mutation.n": {Class: "u"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -369,7 +369,7 @@
 	here := func() bool { return false }
 	first, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) {
 		<-hold
-		return plan.Outcome{Why: "there"}, false
+		return plan.Outcome{Reason: "there"}, false
 	})
 	second, joined := f.join("k", end.Add(lateBy), here, nil)
 	if shared || !joined {
@@ -379,18 +379,18 @@
 		t.Error("one with more patience joined")
 	}
 	leave()
-	if o, _ := first.wait(gone, end); o.Ended != plan.MayRun {
+	if o, _ := first.wait(gone, end); o.Kind != plan.OutcomeUnknown {
 		t.Errorf("the one that left: %+v", o)
 	}
-	if o, _ := first.wait(t.Context(), time.Now()); o.Ended != plan.MayRun {
+	if o, _ := first.wait(t.Context(), time.Now()); o.Kind != plan.OutcomeUnknown {
 		t.Errorf("the one whose time is up: %+v", o)
 	}
 	close(hold)
-	if o, ok := second.wait(t.Context(), end); o.Why != "there" || !ok {
+	if o, ok := second.wait(t.Context(), end); o.Reason != "there" || !ok {
 		t.Errorf("the one that stayed: %+v", o)
 	}
-	anew, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) { return plan.Outcome{Why: "anew"}, false })
-	if o, _ := anew.wait(t.Context(), end); shared || o.Why != "anew" {
+	anew, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) { return plan.Outcome{Reason: "anew"}, false })
+	if o, _ := anew.wait(t.Context(), end); shared || o.Reason != "anew" {
 		t.Error("a flight that has ended was joined")
 	}
 }
@@ -405,7 +405,7 @@
 		go func() { done <- ask(s, `{"query":"{a}"}`).Code }()
 	}
 	testutil.Until(t, "both", func() bool { return s.State().InHand == 2 })
-	if w := ask(s, `{"query":"mutation{m n}"}`); w.Code != 503 || !strings.Contains(w.Body.String(), plan.Refused) {
+	if w := ask(s, `{"query":"mutation{m n}"}`); w.Code != 503 || !strings.Contains(w.Body.String(), plan.CodeRefused) {
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
 	close(release)
--- a/internal/front/graphqlfront/leave_test.go
+++ b/internal/front/graphqlfront/leave_test.go
@@ -134,7 +134,7 @@
 		nobody := left()
 		looked <- true
 		<-let
-		return plan.Outcome{Ended: plan.MayRun}, nobody
+		return plan.Outcome{Kind: plan.OutcomeUnknown}, nobody
 	})
 	<-looked
 	x, shared := f.join("k", end, here, nil)
@@ -142,8 +142,8 @@
 	if _, ok := x.wait(t.Context(), end); ok || !shared {
 		t.Errorf("it has the end of others for its own: shared %v, an outcome %v", shared, ok)
 	}
-	anew, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) { return plan.Outcome{Why: "anew"}, false })
-	if o, ok := anew.wait(t.Context(), end); shared || !ok || !strings.Contains(o.Why, "anew") {
+	anew, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) { return plan.Outcome{Reason: "anew"}, false })
+	if o, ok := anew.wait(t.Context(), end); shared || !ok || !strings.Contains(o.Reason, "anew") {
 		t.Errorf("%+v", o)
 	}
 }
--- a/internal/front/graphqlfront/request.go
+++ b/internal/front/graphqlfront/request.go
@@ -100,7 +100,7 @@
 }
 
 func (s *Server) fail(media string, status int, code, text string) answer {
-	return answer{status: status, media: media, body: plan.Failed(plan.NewError(code, text))}
+	return answer{status: status, media: media, body: plan.ErrorResponse(plan.NewError(code, text))}
 }
 
 // answer reads a request and carries it out.
@@ -294,7 +294,7 @@
 	if d, ok := s.documents.Get(text); ok {
 		return d, nil
 	}
-	d, errs := s.cfg.Schema.Document(text)
+	d, errs := s.cfg.Schema.ParseDocument(text)
 	if len(errs) == 0 {
 		s.documents.Add(strings.Clone(text), d)
 	}
@@ -308,7 +308,7 @@
 		return nil, errs
 	}
 	if r.Method != http.MethodPost {
-		if kind, err := d.Operation(p.Operation); err != nil || kind != ast.Query {
+		if kind, err := d.OperationType(p.Operation); err != nil || kind != ast.Query {
 			if err == nil {
 				err = plan.NewError(getMutation, "a GET carries queries only")
 			}
@@ -329,7 +329,7 @@
 		return http.StatusMethodNotAllowed
 	case kind == jsonMedia:
 		return http.StatusOK
-	case code == plan.ValidationFailed, code == plan.BadInput, code == plan.NoIntrospection, code == plan.KeyMissing, code == plan.KeyTwice:
+	case code == plan.CodeValidationFailed, code == plan.CodeBadInput, code == plan.CodeIntrospectionDisabled, code == plan.CodeKeyMissing, code == plan.CodeDuplicateKey:
 		return http.StatusUnprocessableEntity
 	}
 	return http.StatusBadRequest
--- a/internal/front/graphqlfront/server.go
+++ b/internal/front/graphqlfront/server.go
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	for id, text := range c.Trusted {
-		d, errs := c.Schema.Document(text)
+		d, errs := c.Schema.ParseDocument(text)
 		if len(errs) > 0 {
 			return nil, errors.New("trusted document " + id + ": " + errs[0].Message)
 		}
--- a/internal/front/graphqlfront/share.go
+++ b/internal/front/graphqlfront/share.go
@@ -136,5 +136,5 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return plan.Outcome{Ended: plan.MayRun, Why: "no node answered this in time"}, true
+	return plan.Outcome{Kind: plan.OutcomeUnknown, Reason: "no node answered this in time"}, true
 }
--- a/internal/graphql/plan/document.go
+++ b/internal/graphql/plan/document.go
@@ -22,20 +22,20 @@
 }
 
 // Document parses a text and validates it. Its errors are the request's.
-func (s *Schema) Document(text string) (*Document, []*Error) {
+func (s *Schema) ParseDocument(text string) (*Document, []*Error) {
 	fail := func(e *Error) (*Document, []*Error) { return nil, []*Error{e} }
-	if len(text) > s.limits.Bytes {
-		return fail(NewError(TooLarge, fmt.Sprintf("the document is longer than %d bytes", s.limits.Bytes)))
+	if len(text) > s.limits.MaxBytes {
+		return fail(NewError(CodeLimitExceeded, fmt.Sprintf("the document is longer than %d bytes", s.limits.MaxBytes)))
 	}
 	if !utf8.ValidString(text) {
-		return fail(NewError(ParseFailed, "the document is not UTF-8"))
+		return fail(NewError(CodeParseFailed, "the document is not UTF-8"))
 	}
-	doc, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, s.limits.Tokens)
+	doc, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, s.limits.MaxTokens)
 	if err != nil {
-		return fail(fromParser(err, ParseFailed))
+		return fail(fromParser(err, CodeParseFailed))
 	}
 	if len(doc.Operations) == 0 {
-		return fail(NewError(ParseFailed, "the document has no operation"))
+		return fail(NewError(CodeParseFailed, "the document has no operation"))
 	}
 	if e := s.limits.within(doc); e != nil {
 		return fail(e)
@@ -44,7 +44,7 @@
 		const mostErrors = 10
 		var errs []*Error
 		for _, e := range list[:min(len(list), mostErrors)] {
-			errs = append(errs, fromParser(e, ValidationFailed))
+			errs = append(errs, fromParser(e, CodeValidationFailed))
 		}
 		return nil, errs
 	}
@@ -57,16 +57,16 @@
 		if len(d.doc.Operations) == 1 {
 			return d.doc.Operations[0], nil
 		}
-		return nil, NewError(BadInput, "the document has several operations, and operationName names none")
+		return nil, NewError(CodeBadInput, "the document has several operations, and operationName names none")
 	}
 	if op := d.doc.Operations.ForName(name); op != nil {
 		return op, nil
 	}
-	return nil, NewError(BadInput, fmt.Sprintf("the document has no operation %q", cut(name)))
+	return nil, NewError(CodeBadInput, fmt.Sprintf("the document has no operation %q", cut(name)))
 }
 
 // Operation says of which type the operation of a name is.
-func (d *Document) Operation(name string) (ast.Operation, *Error) {
+func (d *Document) OperationType(name string) (ast.Operation, *Error) {
 	op, err := d.operation(name)
 	if err != nil {
 		return "", err
@@ -115,8 +115,8 @@
 		return nil, err
 	}
 	f = &frame{op: op, roots: c.list}
-	if n := len(f.roots); n > d.schema.limits.Roots {
-		return nil, NewError(TooLarge, fmt.Sprintf("the operation has more than %d root fields", d.schema.limits.Roots))
+	if n := len(f.roots); n > d.schema.limits.MaxRootFields {
+		return nil, NewError(CodeLimitExceeded, fmt.Sprintf("the operation has more than %d root fields", d.schema.limits.MaxRootFields))
 	}
 	for _, r := range f.roots {
 		if r.local {
@@ -132,8 +132,8 @@
 		}
 		f.parts = append(f.parts, &piece{roots: []*root{r}, class: m.Class})
 	}
-	if f.cost > d.schema.limits.Cost {
-		return nil, NewError(TooLarge, fmt.Sprintf("the operation costs more than %d", d.schema.limits.Cost))
+	if f.cost > d.schema.limits.MaxCost {
+		return nil, NewError(CodeLimitExceeded, fmt.Sprintf("the operation costs more than %d", d.schema.limits.MaxCost))
 	}
 	for _, p := range f.parts {
 		d.write(op, p)
@@ -147,10 +147,10 @@
 }
 
 // piece is the part that a query's field travels with.
-func (f *frame) piece(m Field, fields map[string]Field) *piece {
+func (f *frame) piece(m FieldMapping, fields map[string]FieldMapping) *piece {
 	for _, p := range f.parts {
 		o := fields[p.roots[0].name]
-		if o.Class == m.Class && o.Deadline == m.Deadline && o.Share == m.Share {
+		if o.Class == m.Class && o.Deadline == m.Deadline && o.Coalesce == m.Coalesce {
 			return p
 		}
 	}
@@ -203,7 +203,7 @@
 	if r == nil {
 		r = &root{key: f.Alias, name: c.root.Name + "." + f.Name, nonNull: f.Definition.Type.NonNull, local: strings.HasPrefix(f.Name, "__")}
 		if r.local && f.Name != "__typename" && !c.doc.schema.introspection {
-			return NewError(NoIntrospection, "introspection is off")
+			return NewError(CodeIntrospectionDisabled, "introspection is off")
 		}
 		c.byKey[f.Alias] = r
 		c.list = append(c.list, r)
--- a/internal/graphql/plan/errors.go
+++ b/internal/graphql/plan/errors.go
@@ -10,24 +10,24 @@
 // Codes of errors, in extensions.code.
 const (
 	// Of a field: see the package's comment.
-	Refused     = "REFUSED"
-	NotStarted  = "NOT_STARTED"
-	MayHaveRun  = "MAY_HAVE_RUN"
-	Unavailable = "UNAVAILABLE"
+	CodeRefused     = "REFUSED"
+	CodeNotStarted  = "NOT_STARTED"
+	CodeMayHaveRun  = "MAY_HAVE_RUN"
+	CodeUnavailable = "UNAVAILABLE"
 	// Rejected is of a field whose node turned the request down before it executed anything.
-	Rejected = "REJECTED"
+	CodeRejected = "REJECTED"
 	// Executed is of a mutation that ran, and whose result is lost with the data: another field is null that cannot be.
-	Executed = "EXECUTED"
+	CodeExecuted = "EXECUTED"
 
 	// Of a whole request, of which nothing was sent.
-	ParseFailed      = "GRAPHQL_PARSE_FAILED"
-	ValidationFailed = "GRAPHQL_VALIDATION_FAILED"
-	BadInput         = "BAD_USER_INPUT"
-	TooLarge         = "LIMIT_EXCEEDED"
-	Unsupported      = "NOT_SUPPORTED"
-	NoIntrospection  = "INTROSPECTION_DISABLED"
-	KeyMissing       = "KEY_MISSING"
-	KeyTwice         = "KEY_TWICE"
+	CodeParseFailed      = "GRAPHQL_PARSE_FAILED"
+	CodeValidationFailed = "GRAPHQL_VALIDATION_FAILED"
+	CodeBadInput         = "BAD_USER_INPUT"
+	CodeLimitExceeded         = "LIMIT_EXCEEDED"
+	CodeNotSupported      = "NOT_SUPPORTED"
+	CodeIntrospectionDisabled  = "INTROSPECTION_DISABLED"
+	CodeKeyMissing       = "KEY_MISSING"
+	CodeDuplicateKey         = "KEY_TWICE"
 )
 
 // Error is one of a response's.
@@ -73,7 +73,7 @@
 }
 
 // Failed is the response to a request that was not executed: it has errors and no data.
-func Failed(errs ...*Error) []byte {
+func ErrorResponse(errs ...*Error) []byte {
 	text, err := json.Marshal(struct {
 		Errors []*Error `json:"errors"`
 	}{errs})
--- a/internal/graphql/plan/limits.go
+++ b/internal/graphql/plan/limits.go
@@ -57,7 +57,7 @@
 		return s, nil
 	}
 	if m.open[sel.Name] {
-		e := NewError(ValidationFailed, fmt.Sprintf("Cannot spread fragment %q within itself.", cut(sel.Name)))
+		e := NewError(CodeValidationFailed, fmt.Sprintf("Cannot spread fragment %q within itself.", cut(sel.Name)))
 		return size{}, e
 	}
 	f := m.doc.Fragments.ForName(sel.Name)
@@ -99,9 +99,9 @@
 	for _, x := range []struct {
 		what      string
 		got, most int
-	}{{"levels of fields", s.depth, l.Depth}, {"aliases", s.aliases, l.Aliases}, {"fields", s.fields, l.Fields}} {
+	}{{"levels of fields", s.depth, l.MaxDepth}, {"aliases", s.aliases, l.MaxAliases}, {"fields", s.fields, l.MaxFields}} {
 		if x.got > x.most {
-			return NewError(TooLarge, fmt.Sprintf("the operation has more than %d %s", x.most, x.what))
+			return NewError(CodeLimitExceeded, fmt.Sprintf("the operation has more than %d %s", x.most, x.what))
 		}
 	}
 	return nil
--- a/internal/graphql/plan/merge.go
+++ b/internal/graphql/plan/merge.go
@@ -10,27 +10,27 @@
 )
 
 // Ended says how a part ended.
-type Ended int
+type OutcomeKind int
 
 // The ways.
 const (
-	Answered      Ended = iota // the node's answer is there: it ran, whatever its errors are
-	TurnedDown                 // the node's answer says that nothing was executed
-	WasRefused                 // nothing ran
-	WasNotStarted              // nothing was sent
-	MayRun                     // no promise
+	OutcomeExecuted      OutcomeKind = iota // the node's answer is there: it ran, whatever its errors are
+	OutcomeNodeRejected                 // the node's answer says that nothing was executed
+	OutcomeRejected                 // nothing ran
+	OutcomeNotStarted              // nothing was sent
+	OutcomeUnknown                     // no promise
 )
 
 // Outcome is what became of a part.
 type Outcome struct {
-	Ended   Ended
-	Answer  *Answer       // Answered, TurnedDown
-	RetryIn time.Duration // WasRefused: when to come back; 0: no advice
-	Why     string        // for the client
+	Kind   OutcomeKind
+	Response  *NodeResponse       // Answered, TurnedDown
+	RetryAfter time.Duration // WasRefused: when to come back; 0: no advice
+	Reason     string        // for the client
 }
 
 // Answer is a node's, to one part.
-type Answer struct {
+type NodeResponse struct {
 	values     map[string]json.RawMessage // nil: data is null
 	executed   bool                       // data is there
 	errors     []nodeError
@@ -44,15 +44,15 @@
 }
 
 // Executed says whether the node's answer says that it executed the part.
-func (a *Answer) Executed() bool { return a.executed }
+func (a *NodeResponse) Executed() bool { return a.executed }
 
 // Read reads an answer to the part. An error says that it is none: half of one, another part's, or spoilt.
-func (p *Part) Read(body []byte) (*Answer, error) {
+func (p *Part) ParseResponse(body []byte) (*NodeResponse, error) {
 	top, err := object(body)
 	if err != nil {
 		return nil, err
 	}
-	a := &Answer{extensions: top["extensions"]}
+	a := &NodeResponse{extensions: top["extensions"]}
 	if text, ok := top["errors"]; ok {
 		if err := json.Unmarshal(text, &a.errors); err != nil {
 			return nil, fmt.Errorf("errors: %w", err)
@@ -80,12 +80,12 @@
 	if a.values, err = object(data); err != nil {
 		return nil, fmt.Errorf("data: %w", err)
 	}
-	for _, key := range p.Fields {
+	for _, key := range p.ResponseKeys {
 		if _, ok := a.values[key]; !ok {
 			return nil, fmt.Errorf("data has no %q", key)
 		}
 	}
-	if len(a.values) != len(p.Fields) {
+	if len(a.values) != len(p.ResponseKeys) {
 		return nil, errors.New("data has what was not asked for")
 	}
 	return a, nil
@@ -97,7 +97,7 @@
 		return nil
 	}
 	var key string
-	if err := json.Unmarshal(path[0], &key); err != nil || !slices.Contains(p.Fields, key) {
+	if err := json.Unmarshal(path[0], &key); err != nil || !slices.Contains(p.ResponseKeys, key) {
 		return fmt.Errorf("errors: a path begins with %.50s, which was not asked for", path[0])
 	}
 	return nil
@@ -136,24 +136,24 @@
 
 // Goes says whether the part after one that ended so may begin: only after an answer that says what was executed, and
 // that leaves the response's data in place.
-func (p *Plan) Goes(o Outcome) bool {
-	return o.Ended == Answered && o.Answer.values != nil
+func (p *Plan) MayContinueAfter(o Outcome) bool {
+	return o.Kind == OutcomeExecuted && o.Response.values != nil
 }
 
 // Response is what a client is answered.
 type Response struct {
 	Body []byte
 	// Refused says that nothing of the operation ran, since it was refused, and RetryIn when to come back; 0: no advice.
-	Refused bool
-	RetryIn time.Duration
+	Rejected bool
+	RetryAfter time.Duration
 }
 
-var codes = map[Ended]string{WasRefused: Refused, WasNotStarted: NotStarted, MayRun: MayHaveRun}
+var codes = map[OutcomeKind]string{OutcomeRejected: CodeRefused, OutcomeNotStarted: CodeNotStarted, OutcomeUnknown: CodeMayHaveRun}
 
 // Merge puts the response together: data in the operation's order, with the nulls that the specification asks for
 // (section 6.4.4), and all errors. outcomes are of all Parts, in their order.
 func (p *Plan) Merge(outcomes []Outcome) Response {
-	r := Response{Refused: len(outcomes) > 0}
+	r := Response{Rejected: len(outcomes) > 0}
 	var errs [][]byte
 	add := func(e any) {
 		text, err := json.Marshal(e)
@@ -163,35 +163,35 @@
 		errs = append(errs, text)
 	}
 	for i, o := range outcomes {
-		switch o.Ended {
-		case Answered:
-			r.Refused = false
-			for _, e := range o.Answer.errors {
+		switch o.Kind {
+		case OutcomeExecuted:
+			r.Rejected = false
+			for _, e := range o.Response.errors {
 				add(e)
 			}
-		case TurnedDown:
-			r.Refused = false
-			for _, e := range o.Answer.errors {
-				for _, key := range p.Parts[i].Fields {
-					x := NewError(Rejected, e.Message)
+		case OutcomeNodeRejected:
+			r.Rejected = false
+			for _, e := range o.Response.errors {
+				for _, key := range p.Parts[i].ResponseKeys {
+					x := NewError(CodeRejected, e.Message)
 					x.Path = []any{key}
 					add(x)
 				}
 			}
 		default:
-			if o.Ended == WasRefused {
-				r.RetryIn = max(r.RetryIn, o.RetryIn)
+			if o.Kind == OutcomeRejected {
+				r.RetryAfter = max(r.RetryAfter, o.RetryAfter)
 			}
-			r.Refused = r.Refused && o.Ended != MayRun
-			for _, key := range p.Parts[i].Fields {
-				code := codes[o.Ended]
-				if code == MayHaveRun && !p.Serial {
-					code = Unavailable
+			r.Rejected = r.Rejected && o.Kind != OutcomeUnknown
+			for _, key := range p.Parts[i].ResponseKeys {
+				code := codes[o.Kind]
+				if code == CodeMayHaveRun && !p.Serial {
+					code = CodeUnavailable
 				}
-				x := NewError(code, o.Why)
+				x := NewError(code, o.Reason)
 				x.Path = []any{key}
-				if o.Ended == WasRefused && o.RetryIn > 0 {
-					x.Extensions["retryAfterMs"] = o.RetryIn.Milliseconds()
+				if o.Kind == OutcomeRejected && o.RetryAfter > 0 {
+					x.Extensions["retryAfterMs"] = o.RetryAfter.Milliseconds()
 				}
 				add(x)
 			}
@@ -199,9 +199,9 @@
 	}
 	data, null := p.data(outcomes)
 	for i, o := range outcomes {
-		if null && p.Serial && o.Ended == Answered && o.Answer.values != nil {
-			x := NewError(Executed, "it ran; its result is lost with the data, in which another field cannot be null")
-			x.Path = []any{p.Parts[i].Fields[0]}
+		if null && p.Serial && o.Kind == OutcomeExecuted && o.Response.values != nil {
+			x := NewError(CodeExecuted, "it ran; its result is lost with the data, in which another field cannot be null")
+			x.Path = []any{p.Parts[i].ResponseKeys[0]}
 			add(x)
 		}
 	}
@@ -219,9 +219,9 @@
 		b.Write(data)
 	}
 	// What nodes add belongs to their answers: it is passed on where there is only one.
-	if len(outcomes) == 1 && outcomes[0].Answer != nil && len(outcomes[0].Answer.extensions) > 0 {
+	if len(outcomes) == 1 && outcomes[0].Response != nil && len(outcomes[0].Response.extensions) > 0 {
 		b.WriteString(`,"extensions":`)
-		b.Write(outcomes[0].Answer.extensions)
+		b.Write(outcomes[0].Response.extensions)
 	}
 	b.WriteByte('}')
 	r.Body = b.Bytes()
@@ -235,7 +235,7 @@
 	for i, root := range p.roots {
 		v, ok := p.locals[root.key]
 		if !ok {
-			if a := outcomes[p.owner[root.key]].Answer; a != nil {
+			if a := outcomes[p.owner[root.key]].Response; a != nil {
 				v = a.values[root.key]
 			}
 		}
@@ -258,4 +258,4 @@
 }
 
 // Blamed is the answer of a node that turned the part down in words of its own.
-func (p *Part) Blamed(why string) *Answer { return &Answer{errors: []nodeError{{Message: why}}} }
+func (p *Part) RejectedResponse(why string) *NodeResponse { return &NodeResponse{errors: []nodeError{{Message: why}}} }
--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -35,12 +35,12 @@
 type Part struct {
 	Class    string
 	Effect   balancer.Effect
-	Key      string        // the same in all requests for one effect; empty: there is none
-	About    string        // what a query is about; empty: nothing, or several things
-	Work     time.Duration // expected; 0: unknown
+	IdempotencyKey      string        // the same in all requests for one effect; empty: there is none
+	AffinityKey    string        // what a query is about; empty: nothing, or several things
+	ExpectedWork     time.Duration // expected; 0: unknown
 	Deadline time.Duration // from its beginning on
-	Share    bool
-	Fields   []string // response keys, in the operation's order
+	Coalesce    bool
+	ResponseKeys   []string // response keys, in the operation's order
 	Body     []byte   // the request as nodes get it, application/json
 
 	nonNull bool // one of the fields cannot be null
@@ -62,7 +62,7 @@
 		return nil, e
 	}
 	if op.Operation == ast.Subscription {
-		return nil, NewError(Unsupported, "subscriptions are not carried")
+		return nil, NewError(CodeNotSupported, "subscriptions are not carried")
 	}
 	vars, e := d.coerce(op, variables)
 	if e != nil {
@@ -86,11 +86,11 @@
 		if e != nil {
 			return nil, e
 		}
-		if x.Effect != balancer.Idempotent && x.Key != "" {
-			effect := x.Class + " " + x.Key
+		if x.Effect != balancer.Idempotent && x.IdempotencyKey != "" {
+			effect := x.Class + " " + x.IdempotencyKey
 			if seen[effect] {
-				e := NewError(KeyTwice, fmt.Sprintf("two mutations of class %s have the same key: only one could run", x.Class))
-				e.Path = []any{x.Fields[0]}
+				e := NewError(CodeDuplicateKey, fmt.Sprintf("two mutations of class %s have the same key: only one could run", x.Class))
+				e.Path = []any{x.ResponseKeys[0]}
 				return nil, e
 			}
 			seen[effect] = true
@@ -115,17 +115,17 @@
 		in.UseNumber()
 		var x any
 		if err := in.Decode(&x); err != nil {
-			return nil, NewError(BadInput, fmt.Sprintf("variable %s: %s", v.Variable, cut(err.Error())))
+			return nil, NewError(CodeBadInput, fmt.Sprintf("variable %s: %s", v.Variable, cut(err.Error())))
 		}
 		plain[v.Variable] = x
 	}
 	vars, err := validator.VariableValues(d.schema.ast, op, plain)
 	if err != nil {
-		return nil, fromParser(err, BadInput)
+		return nil, fromParser(err, CodeBadInput)
 	}
 	for _, v := range op.VariableDefinitions {
 		if !d.schema.inRange(v.Type, plain[v.Variable]) {
-			return nil, NewError(BadInput, fmt.Sprintf("variable %s: an Int is a 32-bit signed integer", v.Variable))
+			return nil, NewError(CodeBadInput, fmt.Sprintf("variable %s: an Int is a 32-bit signed integer", v.Variable))
 		}
 	}
 	return vars, nil
@@ -158,14 +158,14 @@
 func (d *Document) local(op *ast.OperationDefinition, r *root, vars map[string]any) (json.RawMessage, *Error) {
 	text, err := exec.Meta(d.schema.ast, d.doc, op.Operation, r.nodes, vars)
 	if err != nil {
-		return nil, NewError(ValidationFailed, err.Error())
+		return nil, NewError(CodeValidationFailed, err.Error())
 	}
 	return text, nil
 }
 
 // part makes one of its piece.
 func (d *Document) part(op *ast.OperationDefinition, c *piece, vars map[string]any, raw map[string]json.RawMessage, key string) (*Part, *Error) {
-	p := &Part{Class: c.class, Share: op.Operation == ast.Query}
+	p := &Part{Class: c.class, Coalesce: op.Operation == ast.Query}
 	class, known := d.schema.classes[c.class]
 	if known {
 		p.Effect, p.Deadline = class.Effect, class.Deadline
@@ -173,30 +173,30 @@
 	keys := map[string]bool{}
 	for _, r := range c.roots {
 		m := d.schema.fields[r.name]
-		p.Fields = append(p.Fields, r.key)
+		p.ResponseKeys = append(p.ResponseKeys, r.key)
 		p.nonNull = p.nonNull || r.nonNull
-		p.Work += m.Work
-		p.Share = p.Share && m.Share
+		p.ExpectedWork += m.ExpectedWork
+		p.Coalesce = p.Coalesce && m.Coalesce
 		if m.Deadline > 0 && (p.Deadline == 0 || m.Deadline < p.Deadline) {
 			p.Deadline = m.Deadline
 		}
-		if m.Key != "" {
-			keys[keyOf(r.nodes[0].ArgumentMap(vars), m.Key)] = true
+		if m.KeyArgument != "" {
+			keys[keyOf(r.nodes[0].ArgumentMap(vars), m.KeyArgument)] = true
 		}
 	}
 	if len(keys) == 1 {
 		for k := range keys {
-			p.About = k
+			p.AffinityKey = k
 		}
 	}
 	if op.Operation == ast.Mutation {
-		p.Key, p.About = p.About, ""
-		if p.Key == "" && key != "" {
-			p.Key = plainKey(key + ":" + p.Fields[0])
+		p.IdempotencyKey, p.AffinityKey = p.AffinityKey, ""
+		if p.IdempotencyKey == "" && key != "" {
+			p.IdempotencyKey = plainKey(key + ":" + p.ResponseKeys[0])
 		}
-		if p.Effect == balancer.Keyed && p.Key == "" {
-			e := NewError(KeyMissing, fmt.Sprintf("%s: no key: neither its argument nor the request has one", c.roots[0].name))
-			e.Path = []any{p.Fields[0]}
+		if p.Effect == balancer.Keyed && p.IdempotencyKey == "" {
+			e := NewError(CodeKeyMissing, fmt.Sprintf("%s: no key: neither its argument nor the request has one", c.roots[0].name))
+			e.Path = []any{p.ResponseKeys[0]}
 			return nil, e
 		}
 	}
@@ -210,7 +210,7 @@
 	enc := json.NewEncoder(&out)
 	enc.SetEscapeHTML(false)
 	if err := enc.Encode(body); err != nil {
-		return nil, NewError(BadInput, cut(err.Error()))
+		return nil, NewError(CodeBadInput, cut(err.Error()))
 	}
 	p.Body = bytes.TrimSuffix(out.Bytes(), []byte("\n"))
 	return p, nil
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -21,16 +21,16 @@
 }
 
 // mapping is that of the stand-in nodes' schema.
-func mapping() map[string]Field {
-	return map[string]Field{
-		"Query.seats": {Class: "search", Key: "train", Cost: 2, Share: true}, "Query.coach": {Class: "map", Deadline: time.Second, Work: time.Millisecond},
+func mapping() map[string]FieldMapping {
+	return map[string]FieldMapping{
+		"Query.seats": {Class: "search", KeyArgument: "train", Cost: 2, Coalesce: true}, "Query.coach": {Class: "map", Deadline: time.Second, ExpectedWork: time.Millisecond},
 		"Query.booking": {Class: "search"}, "Query.items": {Class: "search"}, "Query.fails": {Class: "search"},
-		"Mutation.confirmBooking": {Class: "book", Key: "token"}, "Mutation.holdSeat": {Class: "book"}, "Mutation.recordPayment": {Class: "pay", Key: "input.key"},
+		"Mutation.confirmBooking": {Class: "book", KeyArgument: "token"}, "Mutation.holdSeat": {Class: "book"}, "Mutation.recordPayment": {Class: "pay", KeyArgument: "input.key"},
 	}
 }
 
 func config() Config {
-	return Config{Name: "booking.graphql", SDL: gqlnode.SDL, Fields: mapping(), Classes: classes, Limits: DefaultLimits}
+	return Config{SchemaFile: "booking.graphql", SDL: gqlnode.SDL, Fields: mapping(), Classes: classes, Limits: DefaultLimits}
 }
 
 func schema(t testing.TB, change func(*Config)) *Schema {
@@ -76,7 +76,7 @@
 		if c.Introspection {
 			return
 		}
-		c.Limits.Roots, c.Limits.Depth, c.Limits.Aliases, c.Limits.Cost, c.Limits.Fields = 6, 5, 6, 8, 40
+		c.Limits.MaxRootFields, c.Limits.MaxDepth, c.Limits.MaxAliases, c.Limits.MaxCost, c.Limits.MaxFields = 6, 5, 6, 8, 40
 	})
 	text := d.Input
 	var vars map[string]json.RawMessage
@@ -86,7 +86,7 @@
 		}
 		text = rest
 	}
-	doc, errs := s.Document(text)
+	doc, errs := s.ParseDocument(text)
 	if len(errs) > 0 {
 		var out []string
 		for _, e := range errs {
@@ -100,18 +100,18 @@
 	}
 	var b strings.Builder
 	for i, x := range p.Parts {
-		fmt.Fprintf(&b, "%d: %s %v", i+1, x.Class, x.Fields)
-		if x.Key != "" {
-			fmt.Fprintf(&b, " key=%s", x.Key)
+		fmt.Fprintf(&b, "%d: %s %v", i+1, x.Class, x.ResponseKeys)
+		if x.IdempotencyKey != "" {
+			fmt.Fprintf(&b, " key=%s", x.IdempotencyKey)
 		}
-		if x.About != "" {
-			fmt.Fprintf(&b, " about=%s", x.About)
+		if x.AffinityKey != "" {
+			fmt.Fprintf(&b, " about=%s", x.AffinityKey)
 		}
-		if x.Share {
+		if x.Coalesce {
 			b.WriteString(" share")
 		}
 		fmt.Fprintf(&b, " within %v\n   %s\n", x.Deadline, x.Body)
-		if _, errs := s.Document(decoded(x.Body)); len(errs) > 0 {
+		if _, errs := s.ParseDocument(decoded(x.Body)); len(errs) > 0 {
 			fmt.Fprintf(&b, "   NOT VALID BY ITSELF: %s\n", errs[0].Message)
 		}
 	}
@@ -143,26 +143,26 @@
 		case "-":
 			continue
 		case "answered":
-			a, err := p.Parts[i].Read([]byte(rest))
+			a, err := p.Parts[i].ParseResponse([]byte(rest))
 			if err != nil {
 				return "not an answer: " + err.Error()
 			}
-			if o.Ended, o.Answer = Answered, a; !a.Executed() {
-				o.Ended = TurnedDown
+			if o.Kind, o.Response = OutcomeExecuted, a; !a.Executed() {
+				o.Kind = OutcomeNodeRejected
 			}
 		case "refused":
 			d, _ := time.ParseDuration(rest)
-			o = Outcome{Ended: WasRefused, RetryIn: d, Why: "refused"}
+			o = Outcome{Kind: OutcomeRejected, RetryAfter: d, Reason: "refused"}
 		case "may":
-			o = Outcome{Ended: MayRun, Why: "no answer"}
+			o = Outcome{Kind: OutcomeUnknown, Reason: "no answer"}
 		case "notstarted":
-			o = Outcome{Ended: WasNotStarted, Why: "not started"}
+			o = Outcome{Kind: OutcomeNotStarted, Reason: "not started"}
 			if goes {
 				return "it could have been started"
 			}
 		}
 		if p.Serial {
-			goes = p.Goes(o)
+			goes = p.MayContinueAfter(o)
 		}
 		outcomes = append(outcomes, o)
 	}
@@ -171,8 +171,8 @@
 	if !json.Valid(r.Body) {
 		out += "\nNOT JSON"
 	}
-	if r.Refused {
-		out += fmt.Sprintf("\nrefused as a whole, come back in %v", r.RetryIn)
+	if r.Rejected {
+		out += fmt.Sprintf("\nrefused as a whole, come back in %v", r.RetryAfter)
 	}
 	return out
 }
@@ -184,20 +184,20 @@
 		want   string
 	}{
 		"no class":       {func(c *Config) { delete(c.Fields, "Query.coach") }, "booking.graphql:56:3: Query.coach has no class"},
-		"unknown field":  {func(c *Config) { c.Fields["Query.seat"] = Field{Class: "map"} }, "Query.seat: the schema has no such root field"},
-		"unknown class":  {func(c *Config) { c.Fields["Query.coach"] = Field{Class: "x"} }, "Query.coach: class \"x\" is none"},
-		"empty class":    {func(c *Config) { c.Fields["Query.coach"] = Field{} }, "class is missing"},
-		"unsafe query":   {func(c *Config) { c.Fields["Query.coach"] = Field{Class: "book"} }, "not safe to repeat"},
-		"shared":         {func(c *Config) { c.Fields["Mutation.holdSeat"] = Field{Class: "book", Share: true} }, "share goes with queries"},
-		"cost":           {func(c *Config) { c.Fields["Query.coach"] = Field{Class: "map", Cost: -1} }, "not below 0"},
-		"no argument":    {func(c *Config) { c.Fields["Mutation.holdSeat"] = Field{Class: "book", Key: "tokn"} }, "no argument \"tokn\""},
-		"no input field": {func(c *Config) { c.Fields["Mutation.recordPayment"] = Field{Class: "pay", Key: "input.keys"} }, "PaymentInput has no field \"keys\""},
-		"no input":       {func(c *Config) { c.Fields["Mutation.holdSeat"] = Field{Class: "book", Key: "seat.x"} }, "\"seat\" has no fields"},
-		"no scalar":      {func(c *Config) { c.Fields["Mutation.recordPayment"] = Field{Class: "pay", Key: "input"} }, "is no scalar"},
+		"unknown field":  {func(c *Config) { c.Fields["Query.seat"] = FieldMapping{Class: "map"} }, "Query.seat: the schema has no such root field"},
+		"unknown class":  {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "x"} }, "Query.coach: class \"x\" is none"},
+		"empty class":    {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{} }, "class is missing"},
+		"unsafe query":   {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "book"} }, "not safe to repeat"},
+		"shared":         {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", Coalesce: true} }, "share goes with queries"},
+		"cost":           {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "map", Cost: -1} }, "not below 0"},
+		"no argument":    {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", KeyArgument: "tokn"} }, "no argument \"tokn\""},
+		"no input field": {func(c *Config) { c.Fields["Mutation.recordPayment"] = FieldMapping{Class: "pay", KeyArgument: "input.keys"} }, "PaymentInput has no field \"keys\""},
+		"no input":       {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", KeyArgument: "seat.x"} }, "\"seat\" has no fields"},
+		"no scalar":      {func(c *Config) { c.Fields["Mutation.recordPayment"] = FieldMapping{Class: "pay", KeyArgument: "input"} }, "is no scalar"},
 		"SDL":            {func(c *Config) { c.SDL = "type Query {\n  x: Nothing }" }, "booking.graphql:2:"},
 		"subscription": {func(c *Config) {
 			c.SDL = "type Query { x: Int }\ntype Subscription { y: Int }"
-			c.Fields = map[string]Field{"Query.x": {Class: "map"}}
+			c.Fields = map[string]FieldMapping{"Query.x": {Class: "map"}}
 		}, "2:6: subscriptions are not carried"},
 	} {
 		cfg := config()
@@ -210,7 +210,7 @@
 
 // A document that is planned again is planned by its own variables, not by those of the request before.
 func TestPlannedAgain(t *testing.T) {
-	d, errs := schema(t, nil).Document(`query ($b: Boolean!, $t: ID!) { seats(train: $t) { id } coach(id: "1") @include(if: $b) { id } }`)
+	d, errs := schema(t, nil).ParseDocument(`query ($b: Boolean!, $t: ID!) { seats(train: $t) { id } coach(id: "1") @include(if: $b) { id } }`)
 	if len(errs) > 0 {
 		t.Fatal(errs)
 	}
@@ -238,11 +238,11 @@
 		}
 		var outcomes []Outcome
 		for _, x := range p.Parts {
-			a, err := x.Read(answers[x.Fields[0]])
+			a, err := x.ParseResponse(answers[x.ResponseKeys[0]])
 			if err != nil {
 				b.Fatal(err)
 			}
-			outcomes = append(outcomes, Outcome{Ended: Answered, Answer: a})
+			outcomes = append(outcomes, Outcome{Kind: OutcomeExecuted, Response: a})
 		}
 		if r := p.Merge(outcomes); len(r.Body) < 20 {
 			b.Fatal(string(r.Body))
@@ -263,7 +263,7 @@
 						d := docs[text]
 						if d == nil || !kept {
 							var errs []*Error
-							if d, errs = s.Document(text); len(errs) > 0 {
+							if d, errs = s.ParseDocument(text); len(errs) > 0 {
 								b.Fatal(errs)
 							}
 							docs[text] = d
--- a/internal/graphql/plan/property_test.go
+++ b/internal/graphql/plan/property_test.go
@@ -21,13 +21,13 @@
 func TestPlanEqualsDirectExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGenerated(t)
-		s, err := New(Config{Name: "generated", SDL: g.sdl, Fields: g.fields, Classes: classes,
-			Limits: Limits{Bytes: 1 << 20, Tokens: 1 << 20, Depth: 50, Aliases: 1 << 20, Roots: 100, Fields: 1 << 20, Cost: 1000}})
+		s, err := New(Config{SchemaFile: "generated", SDL: g.sdl, Fields: g.fields, Classes: classes,
+			Limits: Limits{MaxBytes: 1 << 20, MaxTokens: 1 << 20, MaxDepth: 50, MaxAliases: 1 << 20, MaxRootFields: 100, MaxFields: 1 << 20, MaxCost: 1000}})
 		if err != nil {
 			t.Fatal(err, g.sdl)
 		}
 		text, vars := g.operation(t)
-		d, errs := s.Document(text)
+		d, errs := s.ParseDocument(text)
 		if len(errs) > 0 {
 			t.Fatalf("%s\n%s\n%s", errs[0].Message, text, g.sdl)
 		}
@@ -63,7 +63,7 @@
 		goes := true
 		for _, part := range p.Parts {
 			if p.Serial && !goes {
-				outcomes = append(outcomes, Outcome{Ended: WasNotStarted})
+				outcomes = append(outcomes, Outcome{Kind: OutcomeNotStarted})
 				continue
 			}
 			var r request
@@ -74,12 +74,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a, err := part.Read(body)
+			a, err := part.ParseResponse(body)
 			if err != nil {
 				t.Fatalf("%v\n%s\n%s", err, r.Query, body)
 			}
-			o := Outcome{Ended: Answered, Answer: a}
-			goes = p.Goes(o)
+			o := Outcome{Kind: OutcomeExecuted, Response: a}
+			goes = p.MayContinueAfter(o)
 			outcomes = append(outcomes, o)
 		}
 		var got struct {
@@ -95,7 +95,7 @@
 		}
 		seen := map[string]int{}
 		for _, e := range got.Errors {
-			if e.Code() != NotStarted && e.Code() != Executed {
+			if e.Code() != CodeNotStarted && e.Code() != CodeExecuted {
 				seen[fmt.Sprint(e.Message, e.Path)]++
 			}
 		}
@@ -113,7 +113,7 @@
 // generated is a schema of a few object types whose fields are scalars, objects and lists, some of them never null.
 type generated struct {
 	sdl    string
-	fields map[string]Field
+	fields map[string]FieldMapping
 	types  map[string][]genField
 	seed   uint32
 	names  int
@@ -122,7 +122,7 @@
 type genField struct{ name, arg, of, kind string } // of: the object type, or empty; arg: whether it takes one
 
 func newGenerated(t *rapid.T) *generated {
-	g := &generated{fields: map[string]Field{}, types: map[string][]genField{}, seed: rapid.Uint32().Draw(t, "seed")}
+	g := &generated{fields: map[string]FieldMapping{}, types: map[string][]genField{}, seed: rapid.Uint32().Draw(t, "seed")}
 	objects := []string{"A", "B", "C"}
 	var b strings.Builder
 	for _, name := range append([]string{"Query", "Mutation"}, objects...) {
@@ -143,9 +143,9 @@
 			g.types[name] = append(g.types[name], f)
 			switch name {
 			case "Query":
-				g.fields["Query."+f.name] = Field{Class: rapid.SampledFrom([]string{"search", "map"}).Draw(t, "class")}
+				g.fields["Query."+f.name] = FieldMapping{Class: rapid.SampledFrom([]string{"search", "map"}).Draw(t, "class")}
 			case "Mutation":
-				g.fields["Mutation."+f.name] = Field{Class: rapid.SampledFrom([]string{"book", "pay", "map"}).Draw(t, "class")}
+				g.fields["Mutation."+f.name] = FieldMapping{Class: rapid.SampledFrom([]string{"book", "pay", "map"}).Draw(t, "class")}
 			}
 		}
 		b.WriteString("}\n")
--- a/internal/graphql/plan/schema.go
+++ b/internal/graphql/plan/schema.go
@@ -18,35 +18,35 @@
 )
 
 // Field says how a root field travels.
-type Field struct {
+type FieldMapping struct {
 	Class string
 	// Key names the argument that holds the field's key, with dots into input objects: "input.idempotencyKey". Of a
 	// mutation it tells repeats of one effect, of a query what it is about. Empty: there is none.
-	Key      string
+	KeyArgument      string
 	Cost     int           // counted against Limits.Cost; 0: 1
-	Work     time.Duration // expected, at a node; 0: unknown
+	ExpectedWork     time.Duration // expected, at a node; 0: unknown
 	Deadline time.Duration // shorter than the class's; 0: none
-	Share    bool          // identical parts in flight may share one execution; queries only
+	Coalesce    bool          // identical parts in flight may share one execution; queries only
 }
 
 // Limits bound what is done for a request. All are above 0.
 type Limits struct {
-	Bytes   int // of a document
-	Tokens  int // of a document
-	Depth   int // of nested fields
-	Aliases int // of an operation, expanded
-	Roots   int // root fields of an operation
-	Fields  int // of an operation, expanded
-	Cost    int // of an operation's root fields
+	MaxBytes   int // of a document
+	MaxTokens  int // of a document
+	MaxDepth   int // of nested fields
+	MaxAliases int // of an operation, expanded
+	MaxRootFields   int // root fields of an operation
+	MaxFields  int // of an operation, expanded
+	MaxCost    int // of an operation's root fields
 }
 
 // DefaultLimits are generous for what applications send.
-var DefaultLimits = Limits{Bytes: 64 << 10, Tokens: 8000, Depth: 15, Aliases: 100, Roots: 30, Fields: 2000, Cost: 100}
+var DefaultLimits = Limits{MaxBytes: 64 << 10, MaxTokens: 8000, MaxDepth: 15, MaxAliases: 100, MaxRootFields: 30, MaxFields: 2000, MaxCost: 100}
 
 // Schema is what requests are planned with.
 type Schema struct {
 	ast           *ast.Schema
-	fields        map[string]Field // by "Query.seats"
+	fields        map[string]FieldMapping // by "Query.seats"
 	classes       map[string]balancer.Class
 	limits        Limits
 	introspection bool
@@ -55,34 +55,34 @@
 
 // Config is what a Schema is made of.
 type Config struct {
-	Name          string // of the file that SDL was read from, for errors
+	SchemaFile          string // of the file that SDL was read from, for errors
 	SDL           string
-	Fields        map[string]Field
+	Fields        map[string]FieldMapping
 	Classes       []balancer.Class // nil: they are not known yet, and not checked
 	Limits        Limits
 	Introspection bool // __schema and __type are answered
 }
 
 // FieldFault is what is wrong with the mapping of a root field.
-type FieldFault struct {
+type FieldMappingError struct {
 	Field string
 	Err   error
 }
 
-func (f FieldFault) Error() string { return f.Field + ": " + f.Err.Error() }
+func (f FieldMappingError) Error() string { return f.Field + ": " + f.Err.Error() }
 
 // New makes a Schema. Its error joins all faults, each on a line: those of the SDL, and of root fields without a class,
 // with the place in the SDL; those of the mapping, each a FieldFault.
 func New(c Config) (*Schema, error) {
-	parsed, err := gqlparser.LoadSchema(&ast.Source{Name: c.Name, Input: c.SDL})
+	parsed, err := gqlparser.LoadSchema(&ast.Source{Name: c.SchemaFile, Input: c.SDL})
 	if err != nil {
 		var at *gqlerror.Error
 		if errors.As(err, &at) && len(at.Locations) > 0 {
-			return nil, fmt.Errorf("%s:%d:%d: %s", c.Name, at.Locations[0].Line, at.Locations[0].Column, at.Message)
+			return nil, fmt.Errorf("%s:%d:%d: %s", c.SchemaFile, at.Locations[0].Line, at.Locations[0].Column, at.Message)
 		}
-		return nil, fmt.Errorf("%s: %w", c.Name, err)
+		return nil, fmt.Errorf("%s: %w", c.SchemaFile, err)
 	}
-	s := &Schema{ast: parsed, fields: map[string]Field{}, limits: c.Limits, introspection: c.Introspection, rules: rules.NewDefaultRules()}
+	s := &Schema{ast: parsed, fields: map[string]FieldMapping{}, limits: c.Limits, introspection: c.Introspection, rules: rules.NewDefaultRules()}
 	if !c.Introspection { // or errors would tell the schema: "Did you mean ..."
 		for _, r := range []validator.Rule{rules.FieldsOnCorrectTypeRuleWithoutSuggestions, rules.KnownArgumentNamesRuleWithoutSuggestions,
 			rules.KnownTypeNamesRuleWithoutSuggestions, rules.ScalarLeafsRuleWithoutSuggestions, rules.ValuesOfCorrectTypeRuleWithoutSuggestions} {
@@ -107,28 +107,28 @@
 			}
 			m, ok := c.Fields[name]
 			if !ok {
-				faults = append(faults, fmt.Errorf("%s:%d:%d: %s has no class: no graphql.field.%q", c.Name, f.Position.Line, f.Position.Column, name, name))
+				faults = append(faults, fmt.Errorf("%s:%d:%d: %s has no class: no graphql.field.%q", c.SchemaFile, f.Position.Line, f.Position.Column, name, name))
 				continue
 			}
 			s.fields[name] = m
 			if err := s.check(root, f, m); err != nil {
-				faults = append(faults, FieldFault{name, err})
+				faults = append(faults, FieldMappingError{name, err})
 			}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Fields)) {
 		if _, ok := s.fields[name]; !ok {
-			faults = append(faults, FieldFault{name, errors.New("the schema has no such root field of Query or Mutation")})
+			faults = append(faults, FieldMappingError{name, errors.New("the schema has no such root field of Query or Mutation")})
 		}
 	}
 	if parsed.Subscription != nil {
 		p := parsed.Subscription.Position
-		faults = append(faults, fmt.Errorf("%s:%d:%d: subscriptions are not carried", c.Name, p.Line, p.Column))
+		faults = append(faults, fmt.Errorf("%s:%d:%d: subscriptions are not carried", c.SchemaFile, p.Line, p.Column))
 	}
 	return s, errors.Join(faults...)
 }
 
-func (s *Schema) check(root *ast.Definition, f *ast.FieldDefinition, m Field) error {
+func (s *Schema) check(root *ast.Definition, f *ast.FieldDefinition, m FieldMapping) error {
 	query := root == s.ast.Query
 	class, known := s.classes[m.Class]
 	switch {
@@ -136,18 +136,18 @@
 		return errors.New("class is missing")
 	case s.classes != nil && !known:
 		return fmt.Errorf("class %q is none of the settings'", m.Class)
-	case m.Cost < 0 || m.Work < 0 || m.Deadline < 0:
+	case m.Cost < 0 || m.ExpectedWork < 0 || m.Deadline < 0:
 		return errors.New("cost, work and deadline are not below 0")
-	case m.Share && !query:
+	case m.Coalesce && !query:
 		return errors.New("share goes with queries")
 	case known && query && class.Effect != balancer.Idempotent:
 		return fmt.Errorf("class %q is not safe to repeat, and a query has no effect", m.Class)
 	}
-	if m.Key == "" {
+	if m.KeyArgument == "" {
 		return nil
 	}
 	args, place := f.Arguments, "the field"
-	words := strings.Split(m.Key, ".")
+	words := strings.Split(m.KeyArgument, ".")
 	var of *ast.Type
 	for i, word := range words {
 		if i == 0 {
@@ -169,7 +169,7 @@
 		of = in.Type
 	}
 	if of.Elem != nil || s.ast.Types[of.Name()].Kind != ast.Scalar && s.ast.Types[of.Name()].Kind != ast.Enum {
-		return fmt.Errorf("key: %q is no scalar", m.Key)
+		return fmt.Errorf("key: %q is no scalar", m.KeyArgument)
 	}
 	return nil
 }
