--- a/internal/graphql/plan/errors.go
+++ b/internal/graphql/plan/errors.go
@@ -20,14 +20,14 @@
 	CodeExecuted = "EXECUTED"
 
 	// Of a whole request, of which nothing was sent.
-	CodeParseFailed      = "GRAPHQL_PARSE_FAILED"
-	CodeValidationFailed = "GRAPHQL_VALIDATION_FAILED"
-	CodeBadInput         = "BAD_USER_INPUT"
+	CodeParseFailed           = "GRAPHQL_PARSE_FAILED"
+	CodeValidationFailed      = "GRAPHQL_VALIDATION_FAILED"
+	CodeBadInput              = "BAD_USER_INPUT"
 	CodeLimitExceeded         = "LIMIT_EXCEEDED"
-	CodeNotSupported      = "NOT_SUPPORTED"
-	CodeIntrospectionDisabled  = "INTROSPECTION_DISABLED"
-	CodeKeyMissing       = "KEY_MISSING"
-	CodeDuplicateKey         = "KEY_TWICE"
+	CodeNotSupported          = "NOT_SUPPORTED"
+	CodeIntrospectionDisabled = "INTROSPECTION_DISABLED"
+	CodeKeyMissing            = "KEY_MISSING"
+	CodeDuplicateKey          = "KEY_TWICE"
 )
 
 // Error is one of a response's.
--- a/internal/graphql/plan/merge.go
+++ b/internal/graphql/plan/merge.go
@@ -14,17 +14,17 @@
 
 // The ways.
 const (
-	OutcomeExecuted      OutcomeKind = iota // the node's answer is there: it ran, whatever its errors are
-	OutcomeNodeRejected                 // the node's answer says that nothing was executed
-	OutcomeRejected                 // nothing ran
-	OutcomeNotStarted              // nothing was sent
-	OutcomeUnknown                     // no promise
+	OutcomeExecuted     OutcomeKind = iota // the node's answer is there: it ran, whatever its errors are
+	OutcomeNodeRejected                    // the node's answer says that nothing was executed
+	OutcomeRejected                        // nothing ran
+	OutcomeNotStarted                      // nothing was sent
+	OutcomeUnknown                         // no promise
 )
 
 // Outcome is what became of a part.
 type Outcome struct {
-	Kind   OutcomeKind
-	Response  *NodeResponse       // Answered, TurnedDown
+	Kind       OutcomeKind
+	Response   *NodeResponse // Answered, TurnedDown
 	RetryAfter time.Duration // WasRefused: when to come back; 0: no advice
 	Reason     string        // for the client
 }
@@ -144,7 +144,7 @@
 type Response struct {
 	Body []byte
 	// Refused says that nothing of the operation ran, since it was refused, and RetryIn when to come back; 0: no advice.
-	Rejected bool
+	Rejected   bool
 	RetryAfter time.Duration
 }
 
@@ -258,4 +258,6 @@
 }
 
 // Blamed is the answer of a node that turned the part down in words of its own.
-func (p *Part) RejectedResponse(why string) *NodeResponse { return &NodeResponse{errors: []nodeError{{Message: why}}} }
+func (p *Part) RejectedResponse(why string) *NodeResponse {
+	return &NodeResponse{errors: []nodeError{{Message: why}}}
+}
--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -33,15 +33,15 @@
 
 // Part is a request of its own.
 type Part struct {
-	Class    string
-	Effect   balancer.Effect
-	IdempotencyKey      string        // the same in all requests for one effect; empty: there is none
+	Class          string
+	Effect         balancer.Effect
+	IdempotencyKey string        // the same in all requests for one effect; empty: there is none
 	AffinityKey    string        // what a query is about; empty: nothing, or several things
-	ExpectedWork     time.Duration // expected; 0: unknown
-	Deadline time.Duration // from its beginning on
-	Coalesce    bool
+	ExpectedWork   time.Duration // expected; 0: unknown
+	Deadline       time.Duration // from its beginning on
+	Coalesce       bool
 	ResponseKeys   []string // response keys, in the operation's order
-	Body     []byte   // the request as nodes get it, application/json
+	Body           []byte   // the request as nodes get it, application/json
 
 	nonNull bool // one of the fields cannot be null
 }
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -183,18 +183,20 @@
 		change func(*Config)
 		want   string
 	}{
-		"no class":       {func(c *Config) { delete(c.Fields, "Query.coach") }, "booking.graphql:56:3: Query.coach has no class"},
-		"unknown field":  {func(c *Config) { c.Fields["Query.seat"] = FieldMapping{Class: "map"} }, "Query.seat: the schema has no such root field"},
-		"unknown class":  {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "x"} }, "Query.coach: class \"x\" is none"},
-		"empty class":    {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{} }, "class is missing"},
-		"unsafe query":   {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "book"} }, "not safe to repeat"},
-		"shared":         {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", Coalesce: true} }, "share goes with queries"},
-		"cost":           {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "map", Cost: -1} }, "not below 0"},
-		"no argument":    {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", KeyArgument: "tokn"} }, "no argument \"tokn\""},
-		"no input field": {func(c *Config) { c.Fields["Mutation.recordPayment"] = FieldMapping{Class: "pay", KeyArgument: "input.keys"} }, "PaymentInput has no field \"keys\""},
-		"no input":       {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", KeyArgument: "seat.x"} }, "\"seat\" has no fields"},
-		"no scalar":      {func(c *Config) { c.Fields["Mutation.recordPayment"] = FieldMapping{Class: "pay", KeyArgument: "input"} }, "is no scalar"},
-		"SDL":            {func(c *Config) { c.SDL = "type Query {\n  x: Nothing }" }, "booking.graphql:2:"},
+		"no class":      {func(c *Config) { delete(c.Fields, "Query.coach") }, "booking.graphql:56:3: Query.coach has no class"},
+		"unknown field": {func(c *Config) { c.Fields["Query.seat"] = FieldMapping{Class: "map"} }, "Query.seat: the schema has no such root field"},
+		"unknown class": {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "x"} }, "Query.coach: class \"x\" is none"},
+		"empty class":   {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{} }, "class is missing"},
+		"unsafe query":  {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "book"} }, "not safe to repeat"},
+		"shared":        {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", Coalesce: true} }, "share goes with queries"},
+		"cost":          {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "map", Cost: -1} }, "not below 0"},
+		"no argument":   {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", KeyArgument: "tokn"} }, "no argument \"tokn\""},
+		"no input field": {func(c *Config) {
+			c.Fields["Mutation.recordPayment"] = FieldMapping{Class: "pay", KeyArgument: "input.keys"}
+		}, "PaymentInput has no field \"keys\""},
+		"no input":  {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", KeyArgument: "seat.x"} }, "\"seat\" has no fields"},
+		"no scalar": {func(c *Config) { c.Fields["Mutation.recordPayment"] = FieldMapping{Class: "pay", KeyArgument: "input"} }, "is no scalar"},
+		"SDL":       {func(c *Config) { c.SDL = "type Query {\n  x: Nothing }" }, "booking.graphql:2:"},
 		"subscription": {func(c *Config) {
 			c.SDL = "type Query { x: Int }\ntype Subscription { y: Int }"
 			c.Fields = map[string]FieldMapping{"Query.x": {Class: "map"}}
--- a/internal/graphql/plan/schema.go
+++ b/internal/graphql/plan/schema.go
@@ -22,22 +22,22 @@
 	Class string
 	// Key names the argument that holds the field's key, with dots into input objects: "input.idempotencyKey". Of a
 	// mutation it tells repeats of one effect, of a query what it is about. Empty: there is none.
-	KeyArgument      string
-	Cost     int           // counted against Limits.Cost; 0: 1
-	ExpectedWork     time.Duration // expected, at a node; 0: unknown
-	Deadline time.Duration // shorter than the class's; 0: none
-	Coalesce    bool          // identical parts in flight may share one execution; queries only
+	KeyArgument  string
+	Cost         int           // counted against Limits.Cost; 0: 1
+	ExpectedWork time.Duration // expected, at a node; 0: unknown
+	Deadline     time.Duration // shorter than the class's; 0: none
+	Coalesce     bool          // identical parts in flight may share one execution; queries only
 }
 
 // Limits bound what is done for a request. All are above 0.
 type Limits struct {
-	MaxBytes   int // of a document
-	MaxTokens  int // of a document
-	MaxDepth   int // of nested fields
-	MaxAliases int // of an operation, expanded
-	MaxRootFields   int // root fields of an operation
-	MaxFields  int // of an operation, expanded
-	MaxCost    int // of an operation's root fields
+	MaxBytes      int // of a document
+	MaxTokens     int // of a document
+	MaxDepth      int // of nested fields
+	MaxAliases    int // of an operation, expanded
+	MaxRootFields int // root fields of an operation
+	MaxFields     int // of an operation, expanded
+	MaxCost       int // of an operation's root fields
 }
 
 // DefaultLimits are generous for what applications send.
@@ -55,7 +55,7 @@
 
 // Config is what a Schema is made of.
 type Config struct {
-	SchemaFile          string // of the file that SDL was read from, for errors
+	SchemaFile    string // of the file that SDL was read from, for errors
 	SDL           string
 	Fields        map[string]FieldMapping
 	Classes       []balancer.Class // nil: they are not known yet, and not checked
