--- a/internal/transport/grpc/codec.go
+++ b/internal/transport/grpc/codec.go
@@ -6,33 +6,34 @@
 	"google.golang.org/grpc/mem"
 )
 
-// frame is a message as it is on the wire. The application's codec encodes and decodes it once a call, not once an
-// attempt: several attempts may be under way at the same time, and only one of their responses is the client's.
+// frame is an encoded message. The application's codec encodes the request and decodes the response once a call rather
+// than once an attempt: several attempts may be in flight at the same time, and the response of only one is the call's.
 type frame struct{ data []byte }
 
-// frameCodec is a codec that leaves frames as they are, under the name of the codec that encoded them. grpc-go calls
-// Marshal once the stream is open, right before the message is written.
+// frameCodec passes frames through unchanged, under the name of the codec that encoded them. It implements
+// encoding.CodecV2.
 type frameCodec struct {
 	name string
 	gate *gate
 }
 
-// Name returns the name of the application's codec.
+// Name returns the content-subtype of the call.
 func (c frameCodec) Name() string { return c.name }
 
-// Marshal returns the bytes of a frame. It fails if the message may no longer be written.
+// Marshal returns the encoded request. grpc-go calls it once the stream is open, right before the message is written,
+// so that this is the last point at which the message can be withheld.
 func (c frameCodec) Marshal(v any) (mem.BufferSlice, error) {
 	f, ok := v.(*frame)
 	if !ok {
 		return nil, fmt.Errorf("hazelwing: an interceptor below the plug-in replaced the message by a %T", v)
 	}
-	if !c.gate.claimMessage() {
+	if !c.gate.allowMessage() {
 		return nil, errDenied
 	}
 	return mem.BufferSlice{mem.SliceBuffer(f.data)}, nil
 }
 
-// Unmarshal copies data to a frame.
+// Unmarshal stores the encoded response in v.
 func (c frameCodec) Unmarshal(data mem.BufferSlice, v any) error {
 	f, ok := v.(*frame)
 	if !ok {
--- a/internal/transport/grpc/exchange.go
+++ b/internal/transport/grpc/exchange.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"io"
 	"time"
 
 	"google.golang.org/grpc"
@@ -14,83 +16,94 @@
 	"hazelwing/internal/engine"
 )
 
-// Request is a call's Payload. It is not changed once it was handed to the engine.
+const (
+	// transportCallOptions is how many options callOptions adds to those of a request.
+	transportCallOptions = 5
+	// retryBufferOverhead is what grpc-go's replay buffer has to have room for beside the message, in bytes.
+	retryBufferOverhead = 1024
+)
+
+// Request is the Payload of an engine.Call. It must not be changed once it was handed to the engine.
 type Request struct {
-	// Context is the application's: attempts have its values and outgoing metadata, and a stream ends with it.
-	Context     context.Context  //nolint:containedctx // it belongs to the call, as in http.Request
-	Method      string           // "/package.Service/Method"
-	Stream      *grpc.StreamDesc // nil: unary
-	Message     []byte           // as the codec encoded it
-	Codec       string           // the codec's name
+	// Context is the application's. Its values and outgoing metadata are the attempts' too, and a stream ends with it.
+	//
+	//nolint:containedctx // the context of the request that the value stands for, as in net/http.Request
+	Context context.Context
+	// Method is the full name, "/package.Service/Method".
+	Method string
+	// Stream describes a server-streaming call; nil for a unary one.
+	Stream *grpc.StreamDesc
+	// Message is the encoded request message.
+	Message []byte
+	// Codec is the name of the codec that encoded Message.
+	Codec string
+	// Credentials are the call's own; may be nil.
 	Credentials credentials.PerRPCCredentials
-	// Options has none that writes through a pointer, and none about codecs, credentials or waiting.
-	Options []grpc.CallOption
+	// CallOptions are further options of each attempt: none that writes through a pointer, and none about codecs,
+	// credentials or waiting.
+	CallOptions []grpc.CallOption
 }
 
-// Response is the response to an attempt: all of that to a unary call, the beginning of a stream.
+// Response is what an attempt returned: all of a unary call, or the beginning of a stream.
 type Response struct {
-	Message []byte // of a unary call, or a stream's first; nil where there is none
-	Err     error  // a status, or io.EOF: a stream that has ended well without a message
+	Message []byte // the encoded response message, or the stream's first one; nil if there is none
+	Err     error  // a status error, or io.EOF for a stream that ended well without a message
 	Header  metadata.MD
 	Trailer metadata.MD
 	Peer    peer.Peer
-	Stream  *Stream // set where Message is the first of a stream
+	Stream  *Stream // the rest of a stream of which Message is the first message; nil otherwise
 }
 
-// exchange is an attempt or a probe. It implements engine.Exchange.
+// exchange is an attempt or a probe. It implements engine.Exchange: the engine calls Run in a goroutine of its own, and
+// Cancel and CancelUnsent from any other.
 type exchange struct {
 	transport *Transport
 	endpoint  *endpoint
-	request   *Request // nil: a probe
-	isProbe   bool
-	startedAt time.Time // when the engine asked for it
+	request   *Request // nil for a probe
+	startedAt time.Time
 	gate      *gate
-	// ctx ends with the exchange's timeout or with Cancel, which the engine may call before Run.
-	ctx          context.Context //nolint:containedctx // one exchange is one operation, cancelled from outside of Run
+	//nolint:containedctx // the deadline counts from the attempt's creation, and Cancel may come before Run has begun
+	ctx          context.Context
 	cancel       context.CancelFunc
-	timeoutTimer *time.Timer // of a stream: ends it unless it has begun in time; nil otherwise
+	beginTimeout *time.Timer // ends a stream that has no message within its timeout; nil for others
 }
 
-// Attempt prepares an attempt of a call whose Payload is a *Request. It returns nil for an unknown endpoint.
+// Attempt prepares an attempt of a call whose Payload is a *Request. It returns nil if the endpoint is not known. The
+// engine calls it from the goroutine of its Run.
 func (t *Transport) Attempt(id string, c *engine.Call, timeout time.Duration) engine.Exchange {
 	x := t.newExchange(id, c.Payload.(*Request), timeout)
 	if x == nil {
 		return nil
 	}
-	mayStart, maySend := c.MayStart(), x.gate.mayOpen
-	x.gate.mayOpen = func() bool { return mayStart() && maySend() }
-	x.gate.mayWrite = mayStart
+	mayStart, mayOpen := c.MayStart(), x.gate.mayOpen
+	x.gate.mayOpen = func() bool { return mayStart() && mayOpen() }
+	x.gate.maySend = mayStart
 	return x
 }
 
-// Probe prepares a probe: Check of grpc.health.v1, whose trailer may have an ORCA report. It returns nil for an unknown
-// endpoint.
+// Probe prepares a probe: Check of grpc.health.v1, whose trailer may have an ORCA report. It returns nil if the
+// endpoint is not known. The engine calls it from the goroutine of its Run.
 func (t *Transport) Probe(id string, timeout time.Duration) engine.Exchange {
 	x := t.newExchange(id, nil, timeout)
 	if x == nil {
 		return nil
 	}
-	x.isProbe = true
 	return x
 }
 
-// newExchange returns an exchange with the endpoint named id; nil if that is unknown, or the transport is closed.
-func (t *Transport) newExchange(id string, r *Request, timeout time.Duration) *exchange {
-	x := &exchange{transport: t, request: r, startedAt: time.Now()}
+// newExchange returns an exchange with an endpoint that ends after timeout, or nil if the endpoint is not known. The
+// request is nil for a probe.
+func (t *Transport) newExchange(id string, request *Request, timeout time.Duration) *exchange {
+	x := &exchange{transport: t, request: request, startedAt: time.Now()}
 	base := context.Background()
-	if r != nil {
-		base = context.WithoutCancel(r.Context)
-	}
-	x.gate = &gate{mayOpen: func() bool { return t.maySend(x.endpoint) }}
-	base = context.WithValue(base, gateKey{}, x.gate)
-	if r == nil || r.Stream == nil {
-		x.ctx, x.cancel = context.WithDeadline(base, x.startedAt.Add(timeout)) // the server is told the deadline
-	} else {
-		x.startStreamTimeout(base, timeout)
+	if request != nil {
+		base = context.WithoutCancel(request.Context)
 	}
+	x.gate = &gate{mayOpen: func() bool { return t.mayWrite(x.endpoint) }}
+	x.setContext(context.WithValue(base, gateKey{}, x.gate), timeout)
 	x.gate.cancel = x.cancel
-	if r != nil {
-		x.gate.credentials = r.Credentials
+	if request != nil {
+		x.gate.credentials = request.Credentials
 	}
 	if !t.register(id, x) {
 		x.cancel()
@@ -99,102 +112,115 @@
 	return x
 }
 
-// startStreamTimeout gives a stream the application's deadline, and ends it if it has not begun by its timeout.
-func (x *exchange) startStreamTimeout(base context.Context, timeout time.Duration) {
+// setContext derives x's context from base. The timeout of a unary call or a probe is its deadline, which the server is
+// told. That of a stream ends with its first message, so the deadline is the application's.
+func (x *exchange) setContext(base context.Context, timeout time.Duration) {
+	if x.request == nil || x.request.Stream == nil {
+		x.ctx, x.cancel = context.WithDeadline(base, x.startedAt.Add(timeout))
+		return
+	}
 	if deadline, ok := x.request.Context.Deadline(); ok {
 		x.ctx, x.cancel = context.WithDeadline(base, deadline)
 	} else {
 		x.ctx, x.cancel = context.WithCancel(base)
 	}
-	x.timeoutTimer = time.AfterFunc(timeout, func() {
+	x.beginTimeout = time.AfterFunc(timeout, func() {
 		x.gate.timedOut.Store(true)
 		x.cancel()
 	})
 }
 
-// Cancel ends the exchange. It does not block.
+// Cancel ends the exchange.
 func (x *exchange) Cancel() { x.cancel() }
 
-// CancelUnsent ends the exchange unless its headers are on the connection.
-func (x *exchange) CancelUnsent() { x.gate.forbid() }
+// CancelUnsent ends the exchange unless its headers are on the connection, and refuses any further stream.
+func (x *exchange) CancelUnsent() { x.gate.close() }
 
-// Run carries the exchange out.
+// Run carries out the exchange and returns its outcome. begin is called with the *Response of a stream that has begun,
+// and reports whether the stream is the call's.
 func (x *exchange) Run(begin func(any) bool) engine.Outcome {
-	defer x.transport.deregister(x)
+	defer x.transport.unregister(x)
 	defer x.cancel()
-	if x.timeoutTimer != nil {
-		defer x.timeoutTimer.Stop()
+	if x.beginTimeout != nil {
+		defer x.beginTimeout.Stop()
 	}
-	if x.request != nil { // the engine calls CancelUnsent as well, once it gets to it
-		stop := context.AfterFunc(x.request.Context, x.gate.forbid)
-		defer stop()
+	if x.request != nil {
+		// The engine calls CancelUnsent too when the client disconnects, but only once it gets to it.
+		release := context.AfterFunc(x.request.Context, x.gate.close)
+		defer release()
 	}
 	var outcome engine.Outcome
 	conn, err := x.transport.connect(x.ctx, x.endpoint)
 	switch {
 	case err != nil:
-		outcome = engine.Outcome{Result: unwrittenResult(x.ctx, x.gate), Err: err}
-	case x.isProbe:
-		outcome = x.runProbe(conn)
+		outcome = engine.Outcome{Result: unsentResult(x.ctx, x.gate), Err: err}
+	case x.request == nil:
+		outcome = x.probe(conn)
 	case x.request.Stream != nil:
-		return x.runStream(conn, begin)
+		return x.stream(conn, begin)
 	default:
-		outcome = x.runUnary(conn)
+		outcome = x.unary(conn)
 	}
 	outcome.Elapsed = time.Since(x.startedAt)
 	return outcome
 }
 
-// options returns the call's options and then those of the transport: the last one of a kind counts.
-func (x *exchange) options(more ...grpc.CallOption) []grpc.CallOption {
-	opts := make([]grpc.CallOption, 0, len(x.request.Options)+len(more)+5)
-	opts = append(opts, x.request.Options...)
-	opts = append(opts,
-		grpc.ForceCodecV2(frameCodec{x.request.Codec, x.gate}),
-		grpc.CallContentSubtype(x.request.Codec),
+// callOptions returns the options of the request, then those of the transport, then the given ones. Of options that
+// contradict each other the last one counts.
+func (x *exchange) callOptions(more ...grpc.CallOption) []grpc.CallOption {
+	r := x.request
+	opts := make([]grpc.CallOption, 0, len(r.CallOptions)+len(more)+transportCallOptions)
+	opts = append(opts, r.CallOptions...)
+	opts = append(
+		opts,
+		grpc.ForceCodecV2(frameCodec{r.Codec, x.gate}),
+		grpc.CallContentSubtype(r.Codec),
 		grpc.PerRPCCredentials(x.gate),
 		grpc.WaitForReady(false),
-		grpc.MaxRetryRPCBufferSize(len(x.request.Message)+1024),
+		grpc.MaxRetryRPCBufferSize(len(r.Message)+retryBufferOverhead),
 	)
 	return append(opts, more...)
 }
 
-// runUnary carries out an attempt of a unary call.
-func (x *exchange) runUnary(conn *grpc.ClientConn) engine.Outcome {
+// unary carries out a unary call.
+func (x *exchange) unary(conn *grpc.ClientConn) engine.Outcome {
 	response := new(Response)
 	var reply frame
-	opts := x.options(grpc.Header(&response.Header), grpc.Trailer(&response.Trailer), grpc.Peer(&response.Peer))
+	opts := x.callOptions(grpc.Header(&response.Header), grpc.Trailer(&response.Trailer), grpc.Peer(&response.Peer))
 	response.Err = conn.Invoke(x.ctx, x.request.Method, &frame{x.request.Message}, &reply, opts...)
 	response.Message = reply.data
-	return x.outcomeFromResponse(response)
+	return x.outcome(response)
 }
 
-// outcomeFromResponse is the outcome of an attempt of a unary call, or of a stream that has not begun.
-func (x *exchange) outcomeFromResponse(r *Response) engine.Outcome {
-	err := r.Err
-	if isEndOfStream(err) {
-		err = nil
-	}
-	outcome := engine.Outcome{Err: err, Load: x.transport.loadReport(r.Trailer)}
-	outcome.Result, outcome.Final = resultFromStatus(x.ctx, x.gate, err, r.Trailer)
-	if outcome.Final || x.gate.hasTrailer.Load() {
-		outcome.Answer = r
+// outcome returns the outcome of an attempt that has ended with response. The response is part of it when the server
+// sent it: a status that grpc-go made up is none.
+func (x *exchange) outcome(response *Response) engine.Outcome {
+	err := ignoreEOF(response.Err)
+	outcome := engine.Outcome{Err: err, Load: x.transport.loadReport(response.Trailer)}
+	outcome.Result, outcome.Final = classify(x.ctx, x.gate, err, response.Trailer)
+	if outcome.Final || x.gate.trailerReceived.Load() {
+		outcome.Answer = response
 	}
 	return outcome
 }
 
-// runProbe carries out a health check.
-func (x *exchange) runProbe(conn *grpc.ClientConn) engine.Outcome {
+// ignoreEOF returns err, or nil if it is io.EOF: the end of a stream that went well.
+func ignoreEOF(err error) error {
+	if errors.Is(err, io.EOF) {
+		return nil
+	}
+	return err
+}
+
+// probe asks the endpoint for its health and its load.
+func (x *exchange) probe(conn *grpc.ClientConn) engine.Outcome {
 	var trailer metadata.MD
-	request := &healthpb.HealthCheckRequest{Service: x.transport.config.Service}
-	response, err := healthpb.NewHealthClient(conn).Check(x.ctx, request,
-		grpc.PerRPCCredentials(x.gate),
-		grpc.WaitForReady(false),
-		grpc.Trailer(&trailer),
-	)
+	request := &healthpb.HealthCheckRequest{Service: x.transport.cfg.HealthService}
+	health, err := healthpb.NewHealthClient(conn).Check(x.ctx, request,
+		grpc.PerRPCCredentials(x.gate), grpc.WaitForReady(false), grpc.Trailer(&trailer))
 	outcome := engine.Outcome{Err: err, Load: x.transport.loadReport(trailer)}
-	outcome.Result, _ = resultFromStatus(x.ctx, x.gate, err, trailer)
-	if err == nil && response.Status != healthpb.HealthCheckResponse_SERVING {
+	outcome.Result, _ = classify(x.ctx, x.gate, err, trailer)
+	if err == nil && health.Status != healthpb.HealthCheckResponse_SERVING {
 		outcome.Result = balancer.Overloaded
 	}
 	return outcome
--- a/internal/transport/grpc/gate.go
+++ b/internal/transport/grpc/gate.go
@@ -11,113 +11,118 @@
 	"google.golang.org/grpc/status"
 )
 
-// gate lets one stream of an exchange be opened, and no other. It is the call's credentials, which grpc-go calls for
-// each stream that it is about to open, and is informed by statsHandler; both are public interfaces of grpc-go.
+// gate allows one stream of an exchange, and no other. It builds on two public interfaces of grpc-go: the call's
+// credentials are asked for their metadata before each stream that is opened, and the statistics handler is notified of
+// each stream.
 //
 //   - grpc-go's transparent retry cannot be switched off (WithDisableRetry leaves it on): it opens another stream for
-//     the same call where it knows that the first was not processed. stats.Begin tells that it is one, and the
-//     credentials deny it. An interceptor that retries by itself is denied too, but that proves nothing.
-//   - A stream that was let through may wait for a slot on the connection (SETTINGS_MAX_CONCURRENT_STREAMS). It is on
-//     the wire when its headers were counted as sent, not before. Where its client has disconnected by then, no message
-//     follows: a server runs no method before that has arrived.
+//     the same call where it knows that the first one was not processed. stats.Begin reports that a stream is such a
+//     retry, and the credentials refuse it. An interceptor that retries by itself is refused too, but proves nothing.
+//   - A stream that was allowed may wait for capacity on the connection (SETTINGS_MAX_CONCURRENT_STREAMS). It is on the
+//     wire when its headers were counted (stats.OutHeader), not before. If its client has disconnected by then, the
+//     message does not follow: a server runs no method before it has the message.
+//
+// It implements credentials.PerRPCCredentials. Its methods may be called from any goroutine.
 type gate struct {
 	credentials credentials.PerRPCCredentials // the call's own; may be nil
-	mayOpen     func() bool                   // called right before the headers are written
-	mayWrite    func() bool                   // called right before the message is written; nil: it may be
+	mayOpen     func() bool                   // asked right before the headers are written
+	maySend     func() bool                   // asked right before the message is written; nil: always
 	cancel      context.CancelFunc            // ends the call
 
-	mu        sync.Mutex
-	opened    bool // the one stream was let through
-	forbidden bool
-	denied    bool // the one stream was not let through
+	mu     sync.Mutex
+	opened bool // the one stream was allowed
+	closed bool // no stream is allowed any more
+	denied bool // the one stream was refused
 
-	notProcessed   atomic.Bool // grpc-go knows that the one stream was not processed: it went on to open another
-	headersWritten atomic.Bool // the headers are on the connection
-	timedOut       atomic.Bool // a stream did not begin in time
-	hasTrailer     atomic.Bool // the server has ended the stream itself, with a status
+	retried         atomic.Bool // grpc-go went on to a transparent retry: the one stream was not processed
+	headersSent     atomic.Bool // the headers are on the connection
+	timedOut        atomic.Bool // a stream had no message within its timeout
+	trailerReceived atomic.Bool // the server has ended the stream itself, with a status
 }
 
 var errDenied = status.Error(codes.Unavailable, "hazelwing: this attempt may not be written")
 
-// GetRequestMetadata is called by grpc-go in the call's goroutine. The call's own credentials may take long: the gate
-// is checked again after them.
+// GetRequestMetadata decides on a stream, and returns the metadata of the call's own credentials. grpc-go calls it in
+// the goroutine of the call before it opens a stream. The call's own credentials may take long: the decision is made
+// again after them.
 func (g *gate) GetRequestMetadata(ctx context.Context, uri ...string) (map[string]string, error) {
-	if !g.claimStream(ctx, g.credentials == nil) {
+	if !g.allowStream(ctx, g.credentials == nil) {
 		return nil, errDenied
 	}
 	if g.credentials == nil {
 		return nil, nil
 	}
 	data, err := g.credentials.GetRequestMetadata(ctx, uri...)
-	if err == nil && !g.claimStream(ctx, true) {
+	if err == nil && !g.allowStream(ctx, true) {
 		return nil, errDenied
 	}
 	return data, err
 }
 
-// claimStream reports whether the one stream may be opened. With final set, it is opened from then on.
-func (g *gate) claimStream(ctx context.Context, final bool) bool {
+// allowStream reports whether the one stream may be opened. If final, the stream counts as opened from now on.
+func (g *gate) allowStream(ctx context.Context, final bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ok := !g.forbidden && !g.opened && ctx.Err() == nil && g.mayOpen()
+	ok := !g.closed && !g.opened && ctx.Err() == nil && g.mayOpen()
 	g.denied = g.denied || !ok && !g.opened
 	g.opened = g.opened || ok && final
 	return ok
 }
 
-// claimMessage reports whether the message may be written to the stream that was opened, and ends the call if not.
-func (g *gate) claimMessage() bool {
-	if g.mayWrite == nil || g.mayWrite() {
+// allowMessage reports whether the message may be written on the stream that was opened, and ends the call if not.
+func (g *gate) allowMessage() bool {
+	if g.maySend == nil || g.maySend() {
 		return true
 	}
 	g.cancel()
 	return false
 }
 
-// RequireTransportSecurity returns what the call's own credentials do.
+// RequireTransportSecurity reports what the call's own credentials do.
 func (g *gate) RequireTransportSecurity() bool {
 	return g.credentials != nil && g.credentials.RequireTransportSecurity()
 }
 
-// forbid closes the gate, and ends the call unless its headers are on the connection.
-func (g *gate) forbid() {
+// close refuses any further stream, and ends the call unless its headers are on the connection.
+func (g *gate) close() {
 	g.mu.Lock()
-	g.forbidden = true
+	g.closed = true
 	g.mu.Unlock()
-	if !g.headersWritten.Load() {
+	if !g.headersSent.Load() {
 		g.cancel()
 	}
 }
 
-// gateKey is the key of a call's gate in its context.
+// gateKey is the context key of a call's gate.
 type gateKey struct{}
 
-// statsHandler informs a call's gate of what grpc-go does. It has no state of its own.
+// statsHandler notifies the gate of a call, which it finds in the call's context, of what grpc-go does with the call.
+// It has no state of its own. grpc-go calls it from the goroutine of the call and from those of the connection.
 type statsHandler struct{}
 
-// HandleRPC is called by grpc-go in goroutines of its own.
-func (statsHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
+// HandleRPC notifies the gate of a transparent retry, of the headers written and of the trailer read.
+func (statsHandler) HandleRPC(ctx context.Context, event stats.RPCStats) {
 	g, ok := ctx.Value(gateKey{}).(*gate)
 	if !ok {
 		return
 	}
-	switch v := s.(type) {
+	switch event := event.(type) {
 	case *stats.Begin:
-		if v.IsTransparentRetryAttempt {
-			g.notProcessed.Store(true)
-			g.cancel() // it would wait for another connection only to be denied there
+		if event.IsTransparentRetryAttempt {
+			g.retried.Store(true)
+			g.cancel() // this prevents a wait for another connection, on which the stream would be refused
 		}
 	case *stats.OutHeader:
-		g.headersWritten.Store(true)
+		g.headersSent.Store(true)
 	case *stats.InTrailer:
-		g.hasTrailer.Store(true)
+		g.trailerReceived.Store(true)
 	}
 }
 
-// TagRPC does nothing.
+// TagRPC returns ctx as it is.
 func (statsHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// TagConn does nothing.
+// TagConn returns ctx as it is.
 func (statsHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
 // HandleConn does nothing.
--- a/internal/transport/grpc/loadreport.go
+++ b/internal/transport/grpc/loadreport.go
@@ -8,29 +8,29 @@
 	"hazelwing/balancer"
 )
 
-// orcaTrailer has the load report of a call (gRFC A51, xds.data.orca.v3.OrcaLoadReport).
-const orcaTrailer = "endpoint-load-metrics-bin"
-
-// maxInFlight is more requests than any endpoint has: a report that says so is corrupt.
-const maxInFlight = 10000
+const (
+	// orcaTrailer has the load report of a call, an encoded xds.data.orca.v3.OrcaLoadReport (gRFC A51).
+	orcaTrailer = "endpoint-load-metrics-bin"
+	// maxReportedInFlight is more requests than any endpoint has in flight: a larger value is invalid.
+	maxReportedInFlight = 10000
+)
 
-// loadReport reads the number of requests in an endpoint from a trailer's ORCA report. Reported is false where there is
-// none, or more than one.
-func (t *Transport) loadReport(trailer metadata.MD) balancer.LoadReport {
-	values := trailer.Get(orcaTrailer)
-	if len(values) != 1 || len(t.config.LoadNames) == 0 {
-		return balancer.LoadReport{}
+// loadReport returns the requests in flight that the ORCA report in a trailer gives. The report is empty when there is
+// none, or none that can be used.
+func (t *Transport) loadReport(trailer metadata.MD) (load balancer.LoadReport) {
+	encoded := trailer.Get(orcaTrailer)
+	if len(encoded) != 1 || len(t.cfg.LoadMetrics) == 0 {
+		return load
 	}
-	var orca orcapb.OrcaLoadReport
-	if proto.Unmarshal([]byte(values[0]), &orca) != nil {
-		return balancer.LoadReport{}
+	var report orcapb.OrcaLoadReport
+	if proto.Unmarshal([]byte(encoded[0]), &report) != nil {
+		return load
 	}
-	var report balancer.LoadReport
-	for _, name := range t.config.LoadNames {
-		if x, ok := orca.NamedMetrics[name]; ok && x >= 0 && x <= maxInFlight {
-			report.Reported = true
-			report.InFlight = max(report.InFlight, x)
+	for _, name := range t.cfg.LoadMetrics {
+		if n, ok := report.NamedMetrics[name]; ok && n >= 0 && n <= maxReportedInFlight {
+			load.Reported = true
+			load.InFlight = max(load.InFlight, n)
 		}
 	}
-	return report
+	return load
 }
--- a/internal/transport/grpc/stream.go
+++ b/internal/transport/grpc/stream.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"time"
 
 	"google.golang.org/grpc"
@@ -12,63 +11,31 @@
 	"hazelwing/internal/engine"
 )
 
-// Stream is the rest of a stream that has begun. The application reads it in its own goroutine.
-type Stream struct {
-	grpc.ClientStream
-	result chan error // has room for one: how the stream ended
-}
-
-// Next reads the next message; an error is the stream's end.
-func (s *Stream) Next() ([]byte, error) {
-	var f frame
-	err := s.RecvMsg(&f)
-	if err != nil {
-		s.Finish(err)
-	}
-	return f.data, err
-}
-
-// Finish ends the stream, whether or not more would come; only the first call counts. It does not block.
-func (s *Stream) Finish(err error) {
-	select {
-	case s.result <- err:
-	default:
-	}
-}
-
-// trailerAfter returns the trailer of a stream that has ended with err; it may be read only of one that has ended well.
-func (s *Stream) trailerAfter(err error) metadata.MD {
-	if err != nil {
-		return nil
-	}
-	return s.Trailer()
-}
-
-// isEndOfStream reports whether err says that a stream has ended well. grpc-go returns io.EOF itself.
-func isEndOfStream(err error) bool {
-	return err == io.EOF //nolint:errorlint // an error that wraps it is an interceptor's, and no good end
-}
-
-// runStream opens a stream, and passes it to begin once its first message has arrived. It returns when the stream has
-// ended.
-func (x *exchange) runStream(conn *grpc.ClientConn, begin func(any) bool) engine.Outcome {
+// stream carries out a server-streaming call. It hands the stream on through begin once its first message is here, and
+// returns when the stream has ended. The outcome's Elapsed is the time to the first message: the rest depends on how
+// fast the application reads.
+func (x *exchange) stream(conn *grpc.ClientConn, begin func(any) bool) engine.Outcome {
 	response := new(Response)
-	stream, first, err := x.openStream(conn, response)
+	s, err := x.open(conn, response)
+	var first frame
+	if err == nil {
+		err = s.RecvMsg(&first)
+	}
 	elapsed := time.Since(x.startedAt)
-	if stream != nil {
-		response.Header, _ = stream.Header() // nil where there is none; err says why
+	if s != nil {
+		response.Header, _ = s.Header() // an error is the stream's, which err has already
 	}
 	if err != nil {
 		response.Err = err
-		if stream != nil {
-			response.Trailer = stream.Trailer()
+		if s != nil {
+			response.Trailer = s.Trailer()
 		}
-		outcome := x.outcomeFromResponse(response)
+		outcome := x.outcome(response)
 		outcome.Elapsed = elapsed
 		return outcome
 	}
-	response.Message = first
-	response.Stream = &Stream{ClientStream: stream, result: make(chan error, 1)}
+	response.Message = first.data
+	response.Stream = &Stream{ClientStream: s, finished: make(chan error, 1)}
 	if !begin(response) {
 		return engine.Outcome{Result: balancer.Cancelled, Elapsed: elapsed}
 	}
@@ -77,43 +44,70 @@
 	return outcome
 }
 
-// openStream opens a stream, writes the request and reads the first message. The stream is nil if it could not be
-// opened.
-func (x *exchange) openStream(conn *grpc.ClientConn, response *Response) (grpc.ClientStream, []byte, error) {
-	stream, err := conn.NewStream(x.ctx, x.request.Stream, x.request.Method, x.options(grpc.Peer(&response.Peer))...)
-	if err == nil {
-		// SendMsg returns io.EOF for a stream that has ended; RecvMsg says how.
-		if err = stream.SendMsg(&frame{x.request.Message}); err == nil || isEndOfStream(err) {
-			err = stream.CloseSend()
-		}
+// open opens a stream and sends the request on it. The stream may be there beside an error.
+func (x *exchange) open(conn *grpc.ClientConn, response *Response) (grpc.ClientStream, error) {
+	opts := x.callOptions(grpc.Peer(&response.Peer))
+	s, err := conn.NewStream(x.ctx, x.request.Stream, x.request.Method, opts...)
+	if err != nil {
+		return s, err
 	}
-	var first frame
-	if err == nil {
-		err = stream.RecvMsg(&first)
+	// SendMsg returns io.EOF for any stream that has ended; RecvMsg returns how it did.
+	if err = s.SendMsg(&frame{x.request.Message}); ignoreEOF(err) == nil {
+		err = s.CloseSend()
 	}
-	return stream, first.data, err
+	return s, err
 }
 
-// awaitEnd waits until the application has read a stream to its end, finished it or disconnected.
+// awaitEnd waits until the stream, which has begun, is finished or the application's context has ended.
 func (x *exchange) awaitEnd(s *Stream) engine.Outcome {
-	x.timeoutTimer.Stop()
-	stop := context.AfterFunc(x.request.Context, x.cancel)
-	defer stop()
+	x.beginTimeout.Stop()
+	release := context.AfterFunc(x.request.Context, x.cancel)
+	defer release()
 	var err error
 	select {
-	case err = <-s.result:
+	case err = <-s.finished:
 	case <-x.ctx.Done():
 		err = x.ctx.Err()
 	}
-	if isEndOfStream(err) {
-		err = nil
-	}
+	err = ignoreEOF(err)
 	outcome := engine.Outcome{Err: err}
-	outcome.Result, _ = resultFromStatus(x.ctx, x.gate, err, nil)
+	outcome.Result, _ = classify(x.ctx, x.gate, err, nil)
 	if err != nil && x.ctx.Err() != nil {
-		// The application has disconnected: how long it read says nothing of the endpoint.
+		// The application left: how long it stayed is no evidence of the endpoint's speed.
 		outcome.Result = balancer.Cancelled
 	}
-	outcome.Load = x.transport.loadReport(s.trailerAfter(err))
+	outcome.Load = x.transport.loadReport(s.trailer(err))
 	return outcome
 }
+
+// Stream is the rest of a stream that has begun. The application reads it from one goroutine of its own.
+type Stream struct {
+	grpc.ClientStream
+	finished chan error // receives how the stream ended; holds one value
+}
+
+// Recv returns the next encoded message. An error finishes the stream: io.EOF where it ended well.
+func (s *Stream) Recv() ([]byte, error) {
+	var f frame
+	err := s.RecvMsg(&f)
+	if err != nil {
+		s.Finish(err)
+	}
+	return f.data, err
+}
+
+// Finish ends the stream with err, whether or not more messages would come. Only the first call has an effect.
+func (s *Stream) Finish(err error) {
+	select {
+	case s.finished <- err:
+	default:
+	}
+}
+
+// trailer returns the trailer of a stream that ended with err. It may be read only of one that ended well.
+func (s *Stream) trailer(err error) metadata.MD {
+	if err != nil {
+		return nil
+	}
+	return s.Trailer()
+}
--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -1,9 +1,9 @@
-// Package grpc carries out attempts and probes over gRPC, with google.golang.org/grpc: one connection to each
-// endpoint, on which every stream is an attempt that the balancer decided on.
+// Package grpc implements engine.Transport over gRPC, with google.golang.org/grpc. It opens one connection to each
+// endpoint; every stream on it is an attempt that the balancer decided on, or a probe.
 //
-// grpc-go retries by itself what it believes harmless to send again. Here it must not: an attempt is one stream, and
-// gate.go denies the second one of each, by the means that grpc-go offers to anyone. What proves that an attempt never
-// ran is listed in outcome.go, and nowhere else.
+// By itself, grpc-go resends a call that it knows was not processed (transparent retry). This package must not let it:
+// an attempt is one stream, and the gate of its call refuses a second one through public interfaces of grpc-go. Which
+// outcomes prove that an attempt never ran is decided in outcome.go, and nowhere else.
 package grpc
 
 import (
@@ -22,113 +22,124 @@
 	defaultDrainGrace     = 250 * time.Millisecond
 )
 
-// Config configures a Transport. A field that is zero has the default given.
+// Config configures a Transport. Zero fields have the defaults given below.
 type Config struct {
-	ConnectTimeout time.Duration // limits how long it takes to establish a connection; 250 ms
-	DrainGrace     time.Duration // how long a draining endpoint may still be written to; 250 ms
-	DialOptions    []grpc.DialOption
-	// LoadNames are the named metrics of an ORCA report that count the requests in an endpoint; the largest counts.
-	LoadNames []string
-	// Service is the service name in health checks; empty: the server as a whole.
-	Service string
+	// ConnectTimeout is how long an attempt waits for its connection to come up; 250 ms by default.
+	ConnectTimeout time.Duration
+	// DrainGrace is how long after the notification of its drain or removal an endpoint may still be written to;
+	// 250 ms by default.
+	DrainGrace time.Duration
+	// DialOptions are for the connections to the endpoints, transport credentials among them.
+	DialOptions []grpc.DialOption
+	// LoadMetrics are the named metrics of an ORCA report that count an endpoint's requests in flight. The largest one
+	// is taken.
+	LoadMetrics []string
+	// HealthService is the service that probes ask grpc.health.v1 about; the server as a whole when empty.
+	HealthService string
 }
 
-// Transport is the transport of gRPC. It has a connection to each endpoint of the list that requests were sent to, and
-// one to each that drains or was removed and has exchanges in flight. Its methods may be called from any goroutine.
+// Transport carries out attempts and probes by gRPC. It has at most one connection to each active endpoint, and one to
+// each endpoint that drains or was removed and has exchanges in flight.
 type Transport struct {
-	config Config
+	cfg Config
 
 	mu        sync.Mutex
-	endpoints map[string]*endpoint
+	endpoints map[string]*endpoint // by ID
 	closed    bool
-	closing   sync.WaitGroup // connections being closed
+	closing   sync.WaitGroup // connections that are being closed
 }
 
-// endpoint is a process of an endpoint, and the connection to it. The transport's lock guards it.
+// endpoint is one process of an endpoint, and the connection to it. The transport's mutex guards its variable fields.
 type endpoint struct {
 	id          string
 	addr        string
-	startedAtMS float64
-	removedAt   time.Time // when it was reported as draining, removed, or another process; zero while it is active
-	conn        *grpc.ClientConn
-	exchanges   map[*exchange]struct{} // attempts and probes in flight
+	startedAtMS float64 // Unix milliseconds; a different value means a different process
+
+	leftAt   time.Time // when its drain, removal or replacement was notified; zero while it is active
+	conn     *grpc.ClientConn
+	inFlight map[*exchange]struct{} // attempts and probes that have not ended
 }
 
-// New returns a Transport. It opens no connection before the first attempt.
+// New returns a Transport. It opens no connection before the first attempt or probe. The caller has to call Close.
 func New(c Config) *Transport {
 	c.ConnectTimeout = cmp.Or(c.ConnectTimeout, defaultConnectTimeout)
 	c.DrainGrace = cmp.Or(c.DrainGrace, defaultDrainGrace)
-	return &Transport{config: c, endpoints: map[string]*endpoint{}}
+	return &Transport{cfg: c, endpoints: map[string]*endpoint{}}
 }
 
-// Update applies an endpoint update that was notified at notifiedAt; complete tells that entries are the complete
-// list. An endpoint that drains or is removed keeps its connection while it has exchanges in flight.
+// Update applies an update of the endpoint list, which the engine was notified of at notifiedAt. The connection to an
+// endpoint that drains or was removed stays open while it has exchanges in flight.
+//
+// The engine calls it from the goroutine of its Run.
 func (t *Transport) Update(complete bool, entries []engine.Endpoint, notifiedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	active := map[string]bool{}
 	for _, entry := range entries {
-		e := t.endpoints[entry.ID]
-		if entry.State != balancer.Active {
-			if e != nil {
-				t.markRemoved(e, notifiedAt)
-			}
-			continue
-		}
-		active[entry.ID] = true
-		if e != nil && (e.addr != entry.Addr || e.startedAtMS != entry.StartedAtMS) {
-			// What is in flight belongs to the former process.
-			t.markRemoved(e, notifiedAt)
-			e = nil
-		}
-		if e == nil {
-			e = &endpoint{
-				id:          entry.ID,
-				addr:        entry.Addr,
-				startedAtMS: entry.StartedAtMS,
-				exchanges:   map[*exchange]struct{}{},
-			}
-			t.endpoints[entry.ID] = e
+		if entry.State == balancer.Active {
+			active[entry.ID] = true
+			t.activate(entry, notifiedAt)
+		} else if e := t.endpoints[entry.ID]; e != nil {
+			t.deactivate(e, notifiedAt)
 		}
-		e.removedAt = time.Time{}
 	}
 	for id, e := range t.endpoints {
 		if complete && !active[id] {
-			t.markRemoved(e, notifiedAt)
+			t.deactivate(e, notifiedAt)
 		}
-		if !e.removedAt.IsZero() && notifiedAt.Sub(e.removedAt) > t.config.DrainGrace {
+		if !e.leftAt.IsZero() && notifiedAt.Sub(e.leftAt) > t.cfg.DrainGrace {
 			delete(t.endpoints, id)
 		}
 	}
 }
 
-// markRemoved marks e as draining or removed since at, and ends its exchanges that are not on the wire when the drain
-// grace has passed. Streams that wait in grpc-go for a slot on the connection would be written whenever there is one.
-// The lock is held.
-func (t *Transport) markRemoved(e *endpoint, at time.Time) {
-	if !e.removedAt.IsZero() {
+// activate makes the endpoint of an active entry usable. What is in flight to an earlier process of it stays with that
+// one. t.mu is held.
+func (t *Transport) activate(entry engine.Endpoint, notifiedAt time.Time) {
+	e := t.endpoints[entry.ID]
+	if e != nil && (e.addr != entry.Addr || e.startedAtMS != entry.StartedAtMS) {
+		t.deactivate(e, notifiedAt)
+		e = nil
+	}
+	if e == nil {
+		e = &endpoint{
+			id:          entry.ID,
+			addr:        entry.Addr,
+			startedAtMS: entry.StartedAtMS,
+			inFlight:    map[*exchange]struct{}{},
+		}
+		t.endpoints[entry.ID] = e
+	}
+	e.leftAt = time.Time{}
+}
+
+// deactivate marks e as left since notifiedAt, and arranges that what has not been written by the end of its grace is
+// cancelled. This prevents streams that wait in grpc-go for capacity on the connection from being written whenever
+// there is some. t.mu is held.
+func (t *Transport) deactivate(e *endpoint, notifiedAt time.Time) {
+	if !e.leftAt.IsZero() {
 		return
 	}
-	e.removedAt = at
-	t.closeIfUnused(e)
-	for x := range e.exchanges {
-		time.AfterFunc(time.Until(at.Add(t.config.DrainGrace)), func() {
-			if !t.maySend(e) {
+	e.leftAt = notifiedAt
+	t.disconnectIfUnused(e)
+	for x := range e.inFlight {
+		time.AfterFunc(time.Until(notifiedAt.Add(t.cfg.DrainGrace)), func() {
+			if !t.mayWrite(e) {
 				x.CancelUnsent()
 			}
 		})
 	}
 }
 
-// maySend reports whether something new may still be written to e's process.
-func (t *Transport) maySend(e *endpoint) bool {
+// mayWrite reports whether a new stream may still be written to e's process.
+func (t *Transport) mayWrite(e *endpoint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return e.removedAt.IsZero() || time.Since(e.removedAt) < t.config.DrainGrace
+	return e.leftAt.IsZero() || time.Since(e.leftAt) < t.cfg.DrainGrace
 }
 
-// register adds x to the exchanges of the endpoint named id. It returns false if that is unknown, or the transport is
-// closed.
+// register sets x's endpoint and counts x as in flight to it. It reports whether the endpoint is known and the
+// transport open.
 func (t *Transport) register(id string, x *exchange) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,14 +148,14 @@
 		return false
 	}
 	x.endpoint = e
-	e.exchanges[x] = struct{}{}
+	e.inFlight[x] = struct{}{}
 	return true
 }
 
-// deregister removes an exchange that has ended.
-func (t *Transport) deregister(x *exchange) {
+// unregister removes x, which has ended, from what is in flight.
+func (t *Transport) unregister(x *exchange) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(x.endpoint.exchanges, x)
-	t.closeIfUnused(x.endpoint)
+	delete(x.endpoint.inFlight, x)
+	t.disconnectIfUnused(x.endpoint)
 }
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -29,36 +29,44 @@
 	tr := New(Config{
 		ConnectTimeout: 5 * time.Second,
 		DrainGrace:     grace,
-		LoadNames:      []string{"queue", "inflight"},
+		LoadMetrics:    []string{"queue", "inflight"},
 		DialOptions:    []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())},
 	})
 	t.Cleanup(tr.Close)
 	return tr
 }
 
+// endpointList returns a list with one endpoint, "s".
 func endpointList(addr string, state balancer.EndpointState) []engine.Endpoint {
 	return []engine.Endpoint{{ID: "s", Addr: addr, State: state}}
 }
 
-func call(ctx context.Context) *engine.Call {
-	return &engine.Call{ID: "1", Payload: &Request{
-		Context: ctx,
-		Method:  grpcnode.Do,
-		Codec:   "proto",
-		Message: []byte("\n\x01x"),
-	}}
+func newCall(ctx context.Context) *engine.Call {
+	request := &Request{Context: ctx, Method: grpcnode.Do, Codec: "proto", Message: []byte("\n\x01x")}
+	return &engine.Call{ID: "1", Payload: request}
 }
 
-// run carries out an exchange in another goroutine.
+// run runs x in a goroutine and returns the channel that receives its outcome.
 func run(x engine.Exchange) chan engine.Outcome {
-	done := make(chan engine.Outcome, 1)
-	go func() { done <- x.Run(nil) }()
-	return done
+	outcome := make(chan engine.Outcome, 1)
+	go func() { outcome <- x.Run(nil) }()
+	return outcome
 }
 
-// A stream that waits for a slot on the connection has been handed to grpc-go, and would be written whenever there is
-// one. It is not written after the endpoint's drain grace: it ends then, and never ran.
-func TestDrainWhileWaitingForAStream(t *testing.T) {
+// awaitOpened waits until the gate of x has allowed its stream.
+func awaitOpened(t *testing.T, x engine.Exchange) {
+	t.Helper()
+	g := x.(*exchange).gate
+	testutil.Until(t, "the stream to be allowed", func() bool {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		return g.opened
+	})
+}
+
+// A stream that waits for capacity on the connection has been handed to grpc-go, and would be written whenever there is
+// some. It must not be written after the endpoint's grace: it ends then, and never ran.
+func TestDrainWhileWaitingForStreamCapacity(t *testing.T) {
 	var first atomic.Pointer[rawh2.Stream]
 	var received atomic.Int32
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
@@ -68,37 +76,33 @@
 	}, rawh2.MaxStreams(1))
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-	firstDone := run(tr.Attempt("s", call(t.Context()), testutil.Patience))
+	firstOutcome := run(tr.Attempt("s", newCall(t.Context()), testutil.Patience))
 	testutil.Until(t, "the first attempt", func() bool { return first.Load() != nil })
-	second := tr.Attempt("s", call(t.Context()), testutil.Patience)
-	secondDone := run(second)
-	g := second.(*exchange).gate
-	testutil.Until(t, "the second stream to be let through", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.opened
-	})
+	second := tr.Attempt("s", newCall(t.Context()), testutil.Patience)
+	secondOutcome := run(second)
+	awaitOpened(t, second)
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now())
-	if o := testutil.Receive(t, secondDone, "the second outcome"); o.Result.MayHaveRun() {
+	if o := testutil.Receive(t, secondOutcome, "the second's outcome"); o.Result.MayHaveRun() {
 		t.Errorf("result %d (%v)", o.Result, o.Err)
 	}
-	if first.Load().OK(nil); testutil.Receive(t, firstDone, "the first outcome").Result != balancer.OK {
-		t.Error("the attempt in flight before the drain was not served")
+	first.Load().OK(nil)
+	if testutil.Receive(t, firstOutcome, "the first's outcome").Result != balancer.OK {
+		t.Error("an attempt in flight before the drain was not served")
 	}
 	if received.Load() != 1 {
 		t.Errorf("%d attempts reached a draining endpoint", received.Load())
 	}
 }
 
-// Nothing is written to a connection that is established late: neither after the call's result, nor after the
-// endpoint's drain grace, nor to another process.
-func TestNothingIsWrittenOnALateConnection(t *testing.T) {
+// A connection that comes up late is not written to: neither after the call's result, nor after the endpoint's grace,
+// nor to another process.
+func TestLateConnectionIsNotWrittenTo(t *testing.T) {
 	var disconnected atomic.Bool
-	for name, event := range map[string]func(tr *Transport, x engine.Exchange, addr string){
+	for name, interrupt := range map[string]func(tr *Transport, x engine.Exchange, addr string){
 		"client disconnected": func(*Transport, engine.Exchange, string) { disconnected.Store(true) },
-		"call has its result": func(_ *Transport, x engine.Exchange, _ string) { x.CancelUnsent() },
+		"answered":            func(_ *Transport, x engine.Exchange, _ string) { x.CancelUnsent() },
 		"cancelled":           func(_ *Transport, x engine.Exchange, _ string) { x.Cancel() },
-		"draining": func(tr *Transport, _ engine.Exchange, addr string) {
+		"drained": func(tr *Transport, _ engine.Exchange, addr string) {
 			tr.Update(false, endpointList(addr, balancer.Draining), time.Now().Add(-time.Second))
 		},
 		"removed": func(tr *Transport, _ engine.Exchange, _ string) {
@@ -114,34 +118,35 @@
 			tr := newTransport(t, 100*time.Millisecond)
 			tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 			disconnected.Store(false)
-			c := call(t.Context())
-			c.Disconnected = disconnected.Load
-			x := tr.Attempt("s", c, testutil.Patience)
-			event(tr, x, addr)
+			call := newCall(t.Context())
+			call.Disconnected = disconnected.Load
+			x := tr.Attempt("s", call, testutil.Patience)
+			interrupt(tr, x, addr)
 			if o := testutil.Receive(t, run(x), "the outcome"); o.Result != balancer.NotSent {
 				t.Errorf("result %d (%v)", o.Result, o.Err)
 			}
 			if received.Load() != 0 {
-				t.Error("a stream was opened")
+				t.Error("something was written")
 			}
 		})
 	}
 }
 
-// An attempt that is prepared after the drain was notified is not written after the drain grace either.
-func TestAttemptAfterDrain(t *testing.T) {
+// An attempt that is prepared after the notification of a drain is not written after the grace either.
+func TestAttemptAfterDrainIsNotWritten(t *testing.T) {
 	var received atomic.Int32
 	addr := rawh2.Start(t, func(*rawh2.Stream) { received.Add(1) })
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now().Add(-time.Second))
-	o := testutil.Receive(t, run(tr.Attempt("s", call(t.Context()), testutil.Patience)), "the outcome")
+	o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.Patience)), "the outcome")
 	if o.Result != balancer.NotSent || received.Load() != 0 {
 		t.Errorf("result %d (%v), %d written", o.Result, o.Err, received.Load())
 	}
 }
 
-// Nothing is sent to an unknown endpoint, and the connection to a removed one is closed when its exchanges have ended.
+// Nothing is sent to an unknown endpoint, and the connection to a removed one is closed when what was in flight has
+// ended.
 func TestConnectionsFollowTheEndpointList(t *testing.T) {
 	streams := make(chan *rawh2.Stream, 1)
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
@@ -150,11 +155,11 @@
 		}
 	})
 	tr := newTransport(t, time.Hour)
-	if tr.Attempt("s", call(t.Context()), time.Second) != nil {
+	if tr.Attempt("s", newCall(t.Context()), time.Second) != nil {
 		t.Error("an attempt to an unknown endpoint")
 	}
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-	done := run(tr.Attempt("s", call(t.Context()), testutil.Patience))
+	outcome := run(tr.Attempt("s", newCall(t.Context()), testutil.Patience))
 	s := testutil.Receive(t, streams, "the attempt")
 	e := tr.endpoints["s"]
 	tr.Update(true, nil, time.Now())
@@ -162,27 +167,29 @@
 		t.Fatal("a connection with an attempt in flight was closed")
 	}
 	s.OK([]byte("\n\x01x"))
-	if o := testutil.Receive(t, done, "the outcome"); o.Result != balancer.OK {
+	if o := testutil.Receive(t, outcome, "the outcome"); o.Result != balancer.OK {
 		t.Errorf("result %d (%v)", o.Result, o.Err)
 	}
 	tr.mu.Lock()
 	if e.conn != nil {
-		t.Error("the connection to a removed endpoint was not closed")
+		t.Error("the connection to a removed endpoint stays open")
 	}
 	tr.mu.Unlock()
-	// The endpoint is back: a new connection is made. CloseIdle closes one that has nothing in flight.
+
+	// The endpoint is listed again: a new connection is made. CloseIdle closes one that has nothing in flight.
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-	done = run(tr.Attempt("s", call(t.Context()), testutil.Patience))
-	testutil.Receive(t, streams, "another attempt").OK(nil)
-	testutil.Receive(t, done, "the outcome")
-	if tr.CloseIdle("s"); tr.endpoints["s"].conn != nil {
+	outcome = run(tr.Attempt("s", newCall(t.Context()), testutil.Patience))
+	testutil.Receive(t, streams, "the next attempt").OK(nil)
+	testutil.Receive(t, outcome, "the outcome")
+	tr.CloseIdle("s")
+	if tr.endpoints["s"].conn != nil {
 		t.Error("an idle connection was not closed")
 	}
 }
 
 // An endpoint that refuses connections is known at once not to have run anything, also a second time: grpc-go would
 // wait for its own backoff.
-func TestRefusedConnection(t *testing.T) {
+func TestRefusedConnectionFailsAtOnce(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -192,7 +199,7 @@
 	tr := newTransport(t, time.Second)
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 	for i := range 3 {
-		o := testutil.Receive(t, run(tr.Attempt("s", call(t.Context()), testutil.Patience)), "the outcome")
+		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.Patience)), "the outcome")
 		if o.Result != balancer.ConnectFailed || o.Elapsed > 4*time.Second {
 			t.Errorf("attempt %d: result %d (%v) after %v", i, o.Result, o.Err, o.Elapsed)
 		}
@@ -202,17 +209,17 @@
 	}
 	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewLedger())
 	srv := grpcnode.New(n, map[string]emulator.Effect{"c": emulator.Safe})
-	go func() { _ = srv.Serve(l) }() // ends with Stop
+	go func() { _ = srv.Serve(l) }() // returns when Stop is called
 	defer srv.Stop()
 	ctx := metadata.AppendToOutgoingContext(t.Context(), "x-request-id", "1", "x-class", "c")
-	o := testutil.Receive(t, run(tr.Attempt("s", call(ctx), testutil.Patience)), "the outcome")
+	o := testutil.Receive(t, run(tr.Attempt("s", newCall(ctx), testutil.Patience)), "the outcome")
 	if o.Result != balancer.OK {
-		t.Errorf("once the endpoint listens: result %d (%v)", o.Result, o.Err)
+		t.Errorf("with a listener: result %d (%v)", o.Result, o.Err)
 	}
 }
 
-// A probe calls grpc.health.v1, and returns the load report.
-func TestProbe(t *testing.T) {
+// A probe asks grpc.health.v1, and returns the requests in flight that the endpoint reports.
+func TestProbeReturnsTheLoadReport(t *testing.T) {
 	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewLedger())
 	n.Pause(time.Hour)
 	defer n.Die()
@@ -221,7 +228,7 @@
 		t.Fatal(err)
 	}
 	srv := grpcnode.New(n, nil)
-	go func() { _ = srv.Serve(l) }() // ends with Stop
+	go func() { _ = srv.Serve(l) }() // returns when Stop is called
 	defer srv.Stop()
 	for range 3 {
 		go n.Do(t.Context(), emulator.Job{ID: "x", Work: time.Hour})
@@ -235,8 +242,8 @@
 	}
 }
 
-// A server without grpc.health.v1 is not at fault, and one that reports a failure is.
-func TestProbeWithoutHealthyService(t *testing.T) {
+// A server without grpc.health.v1 (UNIMPLEMENTED) gives no evidence; any other error counts against the endpoint.
+func TestProbeThatIsNotAnswered(t *testing.T) {
 	for status, want := range map[string]balancer.Result{"12": balancer.NotSent, "14": balancer.ServerError} {
 		addr := rawh2.Start(t, func(s *rawh2.Stream) {
 			if s.Whole {
@@ -252,46 +259,69 @@
 	}
 }
 
-// A load report is the largest of the named metrics in a trailer's one valid ORCA report.
 func TestLoadReport(t *testing.T) {
 	tr := newTransport(t, time.Second)
-	type metrics map[string]float64
-	report := func(named metrics) string {
-		b, err := proto.Marshal(&orcapb.OrcaLoadReport{NamedMetrics: named})
+	report := func(metrics map[string]float64) string {
+		encoded, err := proto.Marshal(&orcapb.OrcaLoadReport{NamedMetrics: metrics})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return string(b)
+		return string(encoded)
 	}
 	for _, c := range []struct {
+		name   string
 		values []string
 		want   balancer.LoadReport
 	}{
 		{
-			[]string{report(metrics{"queue": 3, "inflight": 5, "other": 9})},
-			balancer.LoadReport{Reported: true, InFlight: 5},
+			name:   "largest of the metrics",
+			values: []string{report(map[string]float64{"queue": 3, "inflight": 5, "other": 9})},
+			want:   balancer.LoadReport{Reported: true, InFlight: 5},
+		},
+		{
+			name:   "zero",
+			values: []string{report(map[string]float64{"queue": 0})},
+			want:   balancer.LoadReport{Reported: true},
+		},
+		{
+			name:   "other metrics only",
+			values: []string{report(map[string]float64{"other": 9})},
+		},
+		{
+			name:   "negative",
+			values: []string{report(map[string]float64{"queue": -1})},
+		},
+		{
+			name:   "above the maximum",
+			values: []string{report(map[string]float64{"queue": 1e300})},
+		},
+		{
+			name:   "not a report",
+			values: []string{"\xff\xff"},
+		},
+		{
+			name:   "two reports",
+			values: []string{report(map[string]float64{"queue": 3}), report(map[string]float64{"queue": 4})},
+		},
+		{
+			name: "none",
 		},
-		{[]string{report(metrics{"queue": 0})}, balancer.LoadReport{Reported: true}},
-		{[]string{report(metrics{"other": 9})}, balancer.LoadReport{}},
-		{[]string{report(metrics{"queue": -1})}, balancer.LoadReport{}},
-		{[]string{report(metrics{"queue": 1e300})}, balancer.LoadReport{}},
-		{[]string{"\xff\xff"}, balancer.LoadReport{}},
-		{[]string{report(metrics{"queue": 3}), report(metrics{"queue": 4})}, balancer.LoadReport{}},
-		{nil, balancer.LoadReport{}},
 	} {
-		if got := tr.loadReport(metadata.MD{orcaTrailer: c.values}); got != c.want {
-			t.Errorf("%q: %+v, want %+v", c.values, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := tr.loadReport(metadata.MD{orcaTrailer: c.values}); got != c.want {
+				t.Errorf("%q: %+v, want %+v", c.values, got, c.want)
+			}
+		})
 	}
 }
 
-// The status of a stream that the server has not ended is grpc-go's own, and is due to the connection: it is not the
-// server's response, and above all not one that is the client's.
-func TestStatusOfGRPCGoIsNotFinal(t *testing.T) {
-	for name, action := range map[string]func(*rawh2.Stream){
-		"closed": (*rawh2.Stream).Break,
+// The status of a stream that the server has not ended is grpc-go's own, and means that the connection failed: it is
+// not the server's response, and above all not a final one.
+func TestLocallyGeneratedStatusIsNotAResponse(t *testing.T) {
+	for name, end := range map[string]func(*rawh2.Stream){
+		"broken": (*rawh2.Stream).Break,
 		"reset":  (*rawh2.Stream).Reset,
-		"malformed response": func(s *rawh2.Stream) {
+		"a response that cannot be decoded": func(s *rawh2.Stream) {
 			s.Header()
 			s.Message([]byte("\xff\xff"))
 			s.Break()
@@ -299,12 +329,12 @@
 	} {
 		addr := rawh2.Start(t, func(s *rawh2.Stream) {
 			if s.Whole {
-				action(s)
+				end(s)
 			}
 		})
 		tr := newTransport(t, time.Second)
 		tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-		o := testutil.Receive(t, run(tr.Attempt("s", call(t.Context()), testutil.Patience)), "the outcome")
+		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.Patience)), "the outcome")
 		if o.Result != balancer.Reset || o.Final {
 			t.Errorf("%s: result %d, final %v (%v)", name, o.Result, o.Final, o.Err)
 		}
--- a/rpc/grpcbalancer/hazelgrpc.go
+++ b/rpc/grpcbalancer/hazelgrpc.go
@@ -145,7 +145,7 @@
 		return nil, fmt.Errorf("hazelgrpc: Config.Members: %w", err)
 	}
 	p.transport = transport.New(transport.Config{ConnectTimeout: cfg.Settings.ConnectTimeout, DrainGrace: cfg.DrainGrace, DialOptions: cfg.Dial,
-		LoadNames: cfg.LoadNames, Service: cfg.HealthService})
+		LoadMetrics: cfg.LoadNames, HealthService: cfg.HealthService})
 	set := cfg.Settings
 	set.MustSubscribe = true // the module asks again where a source fails, with a growing wait
 	p.engine, err = engine.New(engine.Config{Settings: set, Seed: cfg.Seed, Transport: p.transport, Source: source,
--- a/rpc/grpcbalancer/stream.go
+++ b/rpc/grpcbalancer/stream.go
@@ -126,7 +126,7 @@
 		s.first = true
 		return s.answer.Message, nil
 	}
-	data, err := s.answer.Stream.Next()
+	data, err := s.answer.Stream.Recv()
 	if err != nil { // it has ended by itself: only then may its trailer be read
 		s.answer.Trailer = s.answer.Stream.Trailer()
 		err = promiseless(err)
