--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -103,7 +103,7 @@
 	out := map[int]time.Time{}
 	for _, n := range group {
 		for l := range strings.Lines(r.Log(n)) {
-			_, rest, ok := strings.Cut(l, `msg="config: in force" stamp=`)
+			_, rest, ok := strings.Cut(l, `msg="configuration applied" component=controlplane revision=`)
 			var got controlplane.Revision
 			if !ok {
 				continue
--- a/cmd/hazelwing/hup_test.go
+++ b/cmd/hazelwing/hup_test.go
@@ -35,6 +35,6 @@
 	cmd.Process.Signal(syscall.SIGHUP)
 	testutil.Until(t, "the new configuration", func() bool {
 		text, err := os.ReadFile(log)
-		return err == nil && strings.Contains(string(text), "msg=discovery")
+		return err == nil && strings.Contains(string(text), `msg="discovery address changed"`)
 	})
 }
--- a/internal/daemon/allocs_test.go
+++ b/internal/daemon/allocs_test.go
@@ -11,8 +11,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// What a request on kept connections makes the sidecar allocate, front, engine, decisions and transport, is counted, not timed: the
-// same on any machine. Client and server allocate nothing.
+// What a request on kept connections makes the sidecar allocate, front, engine, decisions and transport, is counted,
+// not timed: the same on any machine. Client and server allocate nothing.
 func TestAllocationsOfARequest(t *testing.T) {
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
 		answer, buf := []byte(testutil.OKAnswer), make([]byte, 4096)
--- /dev/null
+++ b/internal/daemon/component.go
@@ -0,0 +1,120 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"net"
+	"slices"
+	"sync"
+
+	"hazelwing/internal/admin"
+)
+
+// component is a part of the sidecar, in the one form in which all parts are started, stopped and shown. A part that
+// has nothing to do at one of these points has nil there.
+type component struct {
+	// name is the component's name, by which the admin endpoint shows its state.
+	name string
+	// run does the component's work until ctx ends. It has a goroutine of its own.
+	run func(ctx context.Context)
+	// close releases what the component has open. It is called once, after run has returned, or without a call of run.
+	close func() error
+	// state returns what the admin endpoint shows. It may be called from any goroutine and must not block.
+	state func() any
+}
+
+// components returns the sidecar's parts in the order in which they start. They stop together, since each only needs
+// the others until their contexts end, and are closed in reverse. Parts that the configuration leaves out are left
+// out here.
+func (s *sidecar) components() []component {
+	var list []component
+	for _, front := range s.additionalFronts {
+		list = append(list, component{name: front.name, close: closeListener(front.listener), state: front.state})
+	}
+	list = append(list,
+		component{name: "bounds", state: func() any { return s.limits.State() }},
+		component{name: "connections", run: s.pool.Sweep},
+	)
+	if s.engine != nil {
+		list = append(list, component{name: "engine", run: s.engine.Run})
+	}
+	if s.endpoints != nil {
+		list = append(list, component{
+			name:  "members",
+			run:   s.endpoints.Run,
+			state: func() any { return s.endpoints.Status() },
+		})
+	}
+	if s.relaySource != nil {
+		list = append(list, component{name: "recovery", state: func() any { return s.relaySource.State() }})
+	}
+	if s.cluster != nil {
+		list = append(list, component{
+			name:  "fleet",
+			run:   s.cluster.Gossip.Run,
+			close: func() error { s.cluster.Gossip.Close(); return nil },
+			state: func() any { return s.cluster.Gossip.Status() },
+		})
+	}
+	if s.reloads.signals != nil {
+		list = append(list, component{name: "reloads", run: s.runReloads})
+	}
+	if s.adminListener != nil {
+		list = append(list, component{
+			name:  "admin",
+			run:   func(ctx context.Context) { admin.Serve(ctx, s.adminListener, s.sections(), s.processLog) },
+			close: closeListener(s.adminListener),
+		})
+	}
+	if s.configMember != nil {
+		list = append(list, component{name: "config", run: s.configMember.member.Run, state: s.configMember.state})
+	}
+	if s.deduplicator != nil {
+		list = append(list, component{
+			name:  "ledger",
+			close: s.deduplicator.Close,
+			state: func() any { return s.deduplicator.Status() },
+		})
+	}
+	return list
+}
+
+// startAll starts the components in order. running is done when all have returned after ctx has ended.
+func startAll(ctx context.Context, components []component, running *sync.WaitGroup) {
+	for _, c := range components {
+		if c.run != nil {
+			running.Go(func() { c.run(ctx) })
+		}
+	}
+}
+
+// closeAll closes the components in reverse order, and returns what could not be closed.
+func closeAll(components []component) error {
+	var errs []error
+	for _, c := range slices.Backward(components) {
+		if c.close != nil {
+			errs = append(errs, c.close())
+		}
+	}
+	return errors.Join(errs...)
+}
+
+// closeListener returns a function that closes a listener. One that was served is closed already, and a listener has
+// nothing that could be lost, so errors are discarded.
+func closeListener(listener net.Listener) func() error {
+	return func() error {
+		_ = listener.Close()
+		return nil
+	}
+}
+
+// sections returns the states of the components for the admin endpoint.
+func (s *sidecar) sections() admin.Sections {
+	sections := admin.Sections{}
+	for _, c := range s.components() {
+		if c.state != nil {
+			sections[c.name] = c.state
+		}
+	}
+	return sections
+}
--- a/internal/daemon/deploy_test.go
+++ b/internal/daemon/deploy_test.go
@@ -21,8 +21,8 @@
 
 var deploy = flag.Bool("deploy", false, "measure service round a deploy that the node list tells of five seconds late (a minute)")
 
-// Six nodes are replaced one after the other; a name service tells of each at once, the node list five seconds later. The same
-// with the list alone, with the name service alone and with both.
+// Six nodes are replaced one after the other; a name service tells of each at once, the node list five seconds later.
+// The same with the list alone, with the name service alone and with both.
 //
 //	go test ./internal/daemon -run DeployWithALateList -deploy -v
 func TestDeployWithALateList(t *testing.T) {
@@ -34,7 +34,7 @@
 		name      string
 		list, srv bool
 	}{{"list alone", true, false}, {"name service alone", false, true}, {"both", true, true}} {
-		service[c.name] = deployed(t, c.list, c.srv)
+		service[c.name] = serviceDuringDeploy(t, c.list, c.srv)
 		t.Logf("%-20s %.3f served", c.name, service[c.name])
 	}
 	if service["both"] <= service["list alone"] {
@@ -43,7 +43,7 @@
 }
 
 // deployed plays one deploy and returns the share of 15 s of requests that was served.
-func deployed(t *testing.T, withList, withSRV bool) float64 {
+func serviceDuringDeploy(t *testing.T, withList, withSRV bool) float64 {
 	const nodes, length, late, gap, exits = 6, 15 * time.Second, 5 * time.Second, 400 * time.Millisecond, 1500 * time.Millisecond
 	d, err := emulator.NewDiscovery()
 	if err != nil {
@@ -93,12 +93,12 @@
 	}
 	discovery, list := d.Addr(), []string{}
 	for _, h := range hosts {
-		list = append(list, entry(h.Host, h.Dial))
+		list = append(list, endpointEntry(h.Host, h.Dial))
 	}
 	if !withList {
 		discovery, list = testutil.NoAddr, nil
 	}
-	r, stop := run(t, config(t, discovery, testutil.NoAddr, known(list)...), op)
+	r, stop := run(t, config(t, discovery, testutil.NoAddr, knownEndpoints(list)...), op)
 	defer stop()
 
 	var all sync.WaitGroup
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -16,7 +16,7 @@
 )
 
 // parsed is a snapshot of a version.
-func parsed(t *testing.T, version uint64, text string) *controlplane.Snapshot {
+func parseSnapshot(t *testing.T, version uint64, text string) *controlplane.Snapshot {
 	t.Helper()
 	s, err := controlplane.ParseSnapshot([]byte(text))
 	if err != nil {
@@ -27,29 +27,33 @@
 }
 
 // distributed is a sidecar with [config], of which neither view nor link runs.
-func distributed(t *testing.T, discovery string) *running {
+func startWithControlPlane(t *testing.T, discovery string) *testSidecar {
 	t.Helper()
-	op := fleetTable(t, fmt.Sprintf("no_words = true\n[config]\norigins = [%q]\ndir = %q\n", testutil.NoAddr, t.TempDir()))
+	op := clusterConfig(t, fmt.Sprintf("no_words = true\n[config]\norigins = [%q]\ndir = %q\n", testutil.NoAddr, t.TempDir()))
 	r, stop := run(t, config(t, discovery, testutil.NoAddr), op)
 	t.Cleanup(stop)
 	return r
 }
 
-// Of two words on discovery's address the later one holds, be it SIGHUP's or a snapshot's; a snapshot that repeats its address moves
-// nothing, and one without goes back to the platform's.
+// Of two words on discovery's address the later one holds, be it SIGHUP's or a snapshot's; a snapshot that repeats
+// its address moves nothing, and one without goes back to the platform's.
 func TestTheLaterWordOnDiscoveryHolds(t *testing.T) {
-	first, firstCalls, _ := watched(t)
-	second, secondCalls, _ := watched(t)
-	third, thirdCalls, _ := watched(t)
-	r := distributed(t, first)
+	first, firstCalls, _ := startSilentDiscovery(t)
+	second, secondCalls, _ := startSilentDiscovery(t)
+	third, thirdCalls, _ := startSilentDiscovery(t)
+	r := startWithControlPlane(t, first)
 	testutil.Receive(t, firstCalls, "the platform's discovery")
 	signals, next := make(chan os.Signal), make(chan string, 1)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
-	go r.reloads(ctx, signals, func() (*platform.Config, error) { return &platform.Config{Discovery: <-next}, nil })
+	r.reloads = reloads{
+		signals: signals,
+		load:    func() (*platform.Config, error) { return &platform.Config{Discovery: <-next}, nil },
+	}
+	go r.runReloads(ctx)
 	apply := func(version uint64, text string) {
 		t.Helper()
-		if err := r.config.apply(parsed(t, version, text)); err != nil {
+		if err := r.configMember.apply(parseSnapshot(t, version, text)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -60,8 +64,8 @@
 	signals <- os.Interrupt
 	testutil.Receive(t, thirdCalls, "SIGHUP's discovery")
 	apply(2, say(second)+"[limits]\nmax_attempts = 1\n")
-	if r.followed != third {
-		t.Errorf("a snapshot that repeats its address moved the list to %s", r.followed)
+	if r.currentDiscovery != third {
+		t.Errorf("a snapshot that repeats its address moved the list to %s", r.currentDiscovery)
 	}
 	apply(3, say(first))
 	testutil.Receive(t, firstCalls, "the later snapshot's discovery")
@@ -72,32 +76,32 @@
 	}
 }
 
-// What a snapshot says is in force with its end, what it does not say is as the platform has it, and one that the module turns down
-// changes nothing.
+// What a snapshot says is in force with its end, what it does not say is as the platform has it, and one that the
+// module turns down changes nothing.
 func TestSnapshotIsInForceWhole(t *testing.T) {
-	addr, calls, _ := watched(t)
-	other, otherCalls, _ := watched(t)
-	r := distributed(t, addr)
+	addr, calls, _ := startSilentDiscovery(t)
+	other, otherCalls, _ := startSilentDiscovery(t)
+	r := startWithControlPlane(t, addr)
 	testutil.Receive(t, calls, "the platform's discovery")
-	if err := r.config.apply(parsed(t, 1, "[log]\nlevel = \"debug\"\n[limits]\nmax_attempts = 1\n[fleet]\nsidecars = 7\n")); err != nil {
+	if err := r.configMember.apply(parseSnapshot(t, 1, "[log]\nlevel = \"debug\"\n[limits]\nmax_attempts = 1\n[fleet]\nsidecars = 7\n")); err != nil {
 		t.Fatal(err)
 	}
-	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.config.told != 7 {
+	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.configMember.clusterSize != 7 {
 		t.Error("not in force")
 	}
-	bad := parsed(t, 2, fmt.Sprintf("[log]\nlevel = \"error\"\n[discovery]\naddr = %q\n", other))
+	bad := parseSnapshot(t, 2, fmt.Sprintf("[log]\nlevel = \"error\"\n[discovery]\naddr = %q\n", other))
 	nan := math.NaN()
 	bad.Settings.Price = &controlplane.Price{Probe: &nan} // as a check that missed it would let it through
-	if err := r.config.apply(bad); err == nil || !strings.Contains(err.Error(), "PriceProbe") {
+	if err := r.configMember.apply(bad); err == nil || !strings.Contains(err.Error(), "PriceProbe") {
 		t.Errorf("%v", err)
 	}
-	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.followed != addr || r.config.said != "" || len(otherCalls) > 0 {
+	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.currentDiscovery != addr || r.configMember.snapshotDiscovery != "" || len(otherCalls) > 0 {
 		t.Error("a part of what was turned down is in force")
 	}
-	if err := r.config.apply(parsed(t, 3, "# nothing")); err != nil {
+	if err := r.configMember.apply(parseSnapshot(t, 3, "# nothing")); err != nil {
 		t.Fatal(err)
 	}
-	if r.log.Enabled(t.Context(), slog.LevelDebug) || r.config.told != 1 {
+	if r.log.Enabled(t.Context(), slog.LevelDebug) || r.configMember.clusterSize != 1 {
 		t.Error("what is not said is not as at the start")
 	}
 }
@@ -106,7 +110,7 @@
 func TestRevisedKeepsWithinThePlatforms(t *testing.T) {
 	base := balancer.Settings{MaxAttempts: 3, PriceProbe: 0.5, Classes: []balancer.Class{{Name: "look", Weight: 1, LateWeight: 0.5, Effect: balancer.NonIdempotent}},
 		Tenants: []balancer.Tenant{{Name: "a", Fraction: 0.5}}}
-	s := revised(base, &parsed(t, 1, "[limits]\nmax_attempts = 9\nsecond_copies = true\n[price]\ncross_zone = 0.25\n[class.look]\nworth = 4.0\n[class.other]\nworth = 9.0\n[tenant.a]\nfraction = 0.25\n[tenant.b]\nfraction = 0.75\n").Settings)
+	s := effectiveSettings(base, &parseSnapshot(t, 1, "[limits]\nmax_attempts = 9\nsecond_copies = true\n[price]\ncross_zone = 0.25\n[class.look]\nworth = 4.0\n[class.other]\nworth = 9.0\n[tenant.a]\nfraction = 0.25\n[tenant.b]\nfraction = 0.75\n").Settings)
 	if s.MaxAttempts != 3 || s.Hedging || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 || len(s.Classes) != 1 || len(s.Tenants) != 1 ||
 		s.Classes[0] != (balancer.Class{Name: "look", Weight: 4, LateWeight: 0.5, Effect: balancer.NonIdempotent}) || s.Tenants[0].Fraction != 0.25 {
 		t.Errorf("%+v", s)
@@ -114,19 +118,19 @@
 	if base.Classes[0].Weight != 1 || base.Tenants[0].Fraction != 0.5 {
 		t.Errorf("the platform's were written to: %+v", base)
 	}
-	if s := revised(base, &parsed(t, 1, "[limits]\nmax_attempts = 2\n").Settings); s.MaxAttempts != 2 {
+	if s := effectiveSettings(base, &parseSnapshot(t, 1, "[limits]\nmax_attempts = 2\n").Settings); s.MaxAttempts != 2 {
 		t.Errorf("%+v", s)
 	}
 }
 
 // Without [config] nothing of it is there.
 func TestWithoutConfig(t *testing.T) {
-	s, err := build(config(t, testutil.NoAddr, testutil.NoAddr), fleetTable(t, ""), quietLog)
+	s, err := build(t.Context(), config(t, testutil.NoAddr, testutil.NoAddr), clusterConfig(t, ""), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
-	if s.config != nil || s.parts()["config"] != nil || s.log != quietLog {
+	if s.configMember != nil || s.sections()["config"] != nil || s.log != discardLog {
 		t.Error("there is something of [config]")
 	}
 }
--- /dev/null
+++ b/internal/daemon/endpoints.go
@@ -0,0 +1,82 @@
+package daemon
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"hazelwing/internal/cluster/node"
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/discovery/dns"
+	"hazelwing/internal/discovery/mergedsource"
+	"hazelwing/internal/operator"
+)
+
+const (
+	srvSourceName = "srv"
+	srvRank       = 1  // among the additional sources
+	maxSRVAddrs   = 16 // of one target
+)
+
+// mergeEndpoints merges discovery's list with what the cluster gossips and with the sources of the operator's file,
+// where there are any.
+func (b *builder) mergeEndpoints() error {
+	// Without notices the cluster is no source of endpoints.
+	var notices *node.Node
+	if b.op.Cluster != nil && !b.op.Cluster.DisableNotices {
+		notices = b.cluster
+	}
+	if b.op.Discovery == nil && notices == nil {
+		return nil
+	}
+	cfg := node.MergeConfig(b.op.Discovery, notices, b.source, b.cachedList.Endpoints, b.log)
+	if b.op.Discovery != nil && b.op.Discovery.SRV != nil {
+		source, err := b.newSRVSource(b.op.Discovery)
+		if err != nil {
+			return fmt.Errorf("members.srv: %w", err)
+		}
+		cfg.Additional = slices.Insert(cfg.Additional, 0, source)
+	}
+	merged, err := mergedsource.New(cfg)
+	if err != nil {
+		return err
+	}
+	b.endpoints = merged
+	b.source = merged
+	return nil
+}
+
+// newSRVSource returns the source of the endpoints that SRV records name.
+func (b *builder) newSRVSource(op *operator.Discovery) (mergedsource.AdditionalSource, error) {
+	srv := op.SRV
+	refresher, err := dns.NewRefresher(dns.RefresherConfig{
+		SourceName:    srvSourceName,
+		StaleTTL:      time.Duration(srv.StaleAnswerTTL),
+		InitialJitter: time.Duration(srv.InitialJitter),
+	}, uint64(b.cfg.Seed))
+	if err != nil {
+		return mergedsource.AdditionalSource{}, err
+	}
+	resolver := &dns.Resolver{
+		Servers:  srv.NameServers,
+		Attempts: int(srv.Attempts),
+		Timeout:  time.Duration(srv.Timeout),
+		Limits: dns.Limits{
+			MinTTL:      time.Duration(srv.MinTTL),
+			MaxTTL:      time.Duration(srv.MaxTTL),
+			MaxTargets:  int(op.MaxEndpoints),
+			MaxAddrs:    maxSRVAddrs,
+			Zone:        srv.Zone,
+			RejectLocal: !srv.AllowLocal,
+		},
+	}
+	source := &dns.Source{Name: srv.Name, Lookup: resolver.LookupSRV, Refresher: refresher, Log: b.log}
+	return mergedsource.AdditionalSource{
+		SourceConfig: discovery.SourceConfig{
+			Name:     srvSourceName,
+			Rank:     srvRank,
+			StaleTTL: time.Duration(srv.StaleTTL),
+		},
+		Run: source.Run,
+	}, nil
+}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -13,13 +13,12 @@
 	"hazelwing/internal/cluster"
 	"hazelwing/internal/cluster/node"
 	"hazelwing/internal/engine"
-	"hazelwing/internal/limits"
 	"hazelwing/internal/operator"
 	"hazelwing/internal/testutil"
 )
 
-// fleetTable is an operator's file with [fleet] on loopback.
-func fleetTable(t *testing.T, more string) *operator.Config {
+// clusterConfig is an operator's file with [fleet] on loopback.
+func clusterConfig(t *testing.T, more string) *operator.Config {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,43 +37,50 @@
 func TestWithoutFleet(t *testing.T) {
 	goroutines := func(op *operator.Config) error { // that are new; those of earlier tests may end meanwhile
 		before := goleak.IgnoreCurrent()
-		s, err := build(config(t, testutil.NoAddr, testutil.NoAddr), op, quietLog)
+		s, err := build(t.Context(), config(t, testutil.NoAddr, testutil.NoAddr), op, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.close()
-		if on := op.Cluster != nil; (s.fleet != nil) != on || (s.members != nil) != on || (s.parts()["fleet"] != nil) != on {
-			t.Errorf("fleet on: %v; the sidecar has %v, %v", on, s.fleet, s.members)
+		if on := op.Cluster != nil; (s.cluster != nil) != on || (s.endpoints != nil) != on || (s.sections()["fleet"] != nil) != on {
+			t.Errorf("fleet on: %v; the sidecar has %v, %v", on, s.cluster, s.endpoints)
 		}
 		return goleak.Find(before)
 	}
 	if err := goroutines(new(operator.Config)); err != nil {
 		t.Errorf("before Run without [fleet]: %v", err)
 	}
-	goroutines(fleetTable(t, ""))
-	if s, err := build(config(t, testutil.NoAddr, testutil.NoAddr), fleetTable(t, "no_words = true\n"), quietLog); err != nil || s.members != nil {
-		t.Errorf("no_words: %v, %v", err, s.members)
+	goroutines(clusterConfig(t, ""))
+	if s, err := build(t.Context(), config(t, testutil.NoAddr, testutil.NoAddr), clusterConfig(t, "no_words = true\n"), discardLog); err != nil || s.endpoints != nil {
+		t.Errorf("no_words: %v, %v", err, s.endpoints)
 	} else {
 		s.close()
 	}
 }
 
-// What others were told takes a server out and never adds one; held to the merge's share; and given back when the word is old.
+// What others were told takes a server out and never adds one; held to the merge's share; and given back when the
+// word is old.
 func TestWordsTakeOut(t *testing.T) {
-	op := fleetTable(t, "")
-	p, err := openFleet(op.Cluster, nil, nil, config(t, testutil.NoAddr, testutil.NoAddr), 1, limits.NewSet(quietLog), quietLog)
+	op := clusterConfig(t, "")
+	b, err := newBuilder(config(t, testutil.NoAddr, testutil.NoAddr), op, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
+	if err := b.openCluster(); err != nil {
+		t.Fatal(err)
+	}
+	p := b.cluster
 	defer p.Gossip.Close()
 	var known []engine.Endpoint
 	for i := range 10 {
 		known = append(known, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 100+i), StartedAtMS: 1000})
 	}
-	s, err := openMembers(nil, p, quiet{}, known, 1, quietLog)
-	if err != nil {
+	b.source = silentSource{}
+	b.cachedList.Endpoints = known
+	if err := b.mergeEndpoints(); err != nil {
 		t.Fatal(err)
 	}
+	s := b.endpoints
 	ctx, end := context.WithCancel(context.Background())
 	ran := make(chan struct{})
 	go func() { s.Run(ctx); close(ran) }()
@@ -110,13 +116,14 @@
 }
 
 // quiet is a discovery that says nothing.
-type quiet struct{}
+type silentSource struct{}
 
-func (quiet) Watch(int64, time.Duration, func(engine.EndpointUpdate)) context.CancelFunc {
+func (silentSource) Watch(int64, time.Duration, func(engine.EndpointUpdate)) context.CancelFunc {
 	return func() {}
 }
 
-// The number of sidecars reaches the module in place of the setting, also where it was known before the engine was there.
+// The number of sidecars reaches the module in place of the setting, also where it was known before the engine was
+// there.
 func TestCountReachesTheEngine(t *testing.T) {
 	p := new(node.Node)
 	p.SizeChanged(7)
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -15,7 +15,7 @@
 )
 
 // topKeys are the keys of a JSON object, in order.
-func topKeys(t *testing.T, text []byte) (keys []string) {
+func objectKeys(t *testing.T, text []byte) (keys []string) {
 	t.Helper()
 	in := json.NewDecoder(strings.NewReader(string(text)))
 	if _, err := in.Token(); err != nil {
@@ -35,7 +35,8 @@
 	return keys
 }
 
-// GET /config is the member's state, in one object with what this sidecar acts on. The member's own part is held in package transport.
+// GET /config is the member's state, in one object with what this sidecar acts on. The member's own part is held in
+// package transport.
 func TestConfigurationStateFormatIsStable(t *testing.T) {
 	member, err := transport.NewMember(transport.MemberConfig{
 		Follower: controlplane.FollowerConfig{Cluster: "f", Self: "m1"}, Origins: []string{testutil.NoAddr}, MaxSubscribers: 4,
@@ -55,7 +56,7 @@
 		stop()
 		<-ended
 	}()
-	part := &configPart{member: member, s: &sidecar{followed: "10.0.0.2:8500"}, level: new(slog.LevelVar)}
+	part := &configMember{member: member, sidecar: &sidecar{currentDiscovery: "10.0.0.2:8500"}, level: new(slog.LevelVar)}
 	state := part.state()
 	testutil.ExplicitNames(t, "json", state)
 	text, err := json.Marshal(state)
@@ -64,7 +65,7 @@
 	}
 	want := strings.Fields("held acts kept refused older conflicts broken foreign fetches crowded highest ready not_confirmed_for upstreams got " +
 		"report serves discovery level")
-	if got := topKeys(t, text); !reflect.DeepEqual(got, want) {
+	if got := objectKeys(t, text); !reflect.DeepEqual(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
 	var own struct{ Discovery, Level string }
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -18,84 +18,150 @@
 	"hazelwing/internal/operator"
 )
 
+// maxFileBytes is the size that the schema and the trusted documents may have.
+const maxFileBytes = 16 << 20
+
 func init() {
-	openGraphQL = func(op *operator.Config, set balancer.Settings, doer httpfront.Doer, log *slog.Logger) (*extra, error) {
-		s, err := graphQL(op, set.Classes, doer, log)
+	newGraphQLFront = func(
+		op *operator.Config, settings balancer.Settings, doer httpfront.Doer, log *slog.Logger,
+	) (*additionalFront, error) {
+		server, err := newGraphQLServer(op, settings.Classes, doer, log)
 		if err != nil {
 			return nil, err
 		}
-		return &extra{name: "graphql", listen: op.GraphQL.Listen, serve: s.Serve, state: func() any { return s.State() }}, nil
+		return &additionalFront{
+			name:  "graphql",
+			addr:  op.GraphQL.Listen,
+			serve: server.Serve,
+			state: func() any { return server.State() },
+		}, nil
 	}
 	checkGraphQL = func(op *operator.Config) error {
-		_, err := graphQL(op, nil, nil, nil)
+		_, err := newGraphQLServer(op, nil, nil, nil)
 		return err
 	}
 }
 
-// mostFile bounds the schema and the trusted documents.
-const mostFile = 16 << 20
+// newGraphQLServer makes the front of the operator's file. Without classes it only checks what does not need them.
+func newGraphQLServer(
+	op *operator.Config, classes []balancer.Class, doer httpfront.Doer, log *slog.Logger,
+) (*graphqlfront.Server, error) {
+	schema, err := loadSchema(op, classes)
+	if err != nil {
+		return nil, err
+	}
+	trusted, err := loadTrustedDocuments(op)
+	if err != nil {
+		return nil, err
+	}
+	cfg := op.GraphQL
+	server, err := graphqlfront.New(graphqlfront.Config{
+		Schema:    schema,
+		Doer:      doer,
+		Path:      cfg.Path,
+		Node:      cfg.NodePath,
+		Conns:     int(cfg.MaxConnections),
+		Deadline:  time.Duration(cfg.Deadline),
+		MaxBody:   int64(cfg.MaxBody),
+		MaxBatch:  int(cfg.MaxBatch),
+		MaxParts:  int(cfg.MaxParts),
+		Documents: int(cfg.MaxCachedDocuments),
+		Persisted: cfg.PersistedQueries,
+		Trusted:   trusted,
+		Only:      cfg.TrustedOnly,
+		Log:       log,
+	})
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", op.Position("graphql.trusted"), err)
+	}
+	return server, nil
+}
 
-// graphQL makes the front of the operator's file; without classes it only checks what can be known without them.
-func graphQL(op *operator.Config, classes []balancer.Class, doer httpfront.Doer, log *slog.Logger) (*graphqlfront.Server, error) {
-	g := op.GraphQL
-	text, err := readFile(g.SchemaFile)
+// loadSchema reads the schema and checks it with the mapping of its root fields.
+func loadSchema(op *operator.Config, classes []balancer.Class) (*plan.Schema, error) {
+	cfg := op.GraphQL
+	text, err := readLimitedFile(cfg.SchemaFile)
 	if err != nil {
 		return nil, fmt.Errorf("%s: graphql.schema: %w", op.Position("graphql.schema"), err)
 	}
 	fields := map[string]plan.Field{}
-	for name, f := range g.Fields {
-		fields[name] = plan.Field{Class: f.Class, Key: f.KeyArgument, Cost: int(f.Cost), Work: time.Duration(f.ExpectedWork), Deadline: time.Duration(f.Deadline), Share: f.Coalesce}
+	for name, field := range cfg.Fields {
+		fields[name] = plan.Field{
+			Class:    field.Class,
+			Key:      field.KeyArgument,
+			Cost:     int(field.Cost),
+			Work:     time.Duration(field.ExpectedWork),
+			Deadline: time.Duration(field.Deadline),
+			Share:    field.Coalesce,
+		}
 	}
-	schema, err := plan.New(plan.Config{Name: g.SchemaFile, SDL: string(text), Fields: fields, Classes: classes, Introspection: g.Introspection,
-		Limits: plan.Limits{Bytes: int(g.MaxDocument), Tokens: int(g.MaxTokens), Depth: int(g.MaxDepth), Aliases: int(g.MaxAliases), Roots: int(g.MaxRootFields),
-			Fields: int(g.MaxFields), Cost: int(g.MaxCost)}})
+	schema, err := plan.New(plan.Config{
+		Name:          cfg.SchemaFile,
+		SDL:           string(text),
+		Fields:        fields,
+		Classes:       classes,
+		Introspection: cfg.Introspection,
+		Limits: plan.Limits{
+			Bytes:   int(cfg.MaxDocument),
+			Tokens:  int(cfg.MaxTokens),
+			Depth:   int(cfg.MaxDepth),
+			Aliases: int(cfg.MaxAliases),
+			Roots:   int(cfg.MaxRootFields),
+			Fields:  int(cfg.MaxFields),
+			Cost:    int(cfg.MaxCost),
+		},
+	})
 	if err != nil {
-		return nil, located(op, err)
+		return nil, withPositions(op, err)
 	}
-	trusted := map[string]string{}
-	if g.TrustedFile != "" {
-		text, err := readFile(g.TrustedFile)
-		if err == nil {
-			err = json.Unmarshal(text, &trusted)
-		}
-		if err != nil {
-			return nil, fmt.Errorf("%s: graphql.trusted: %w", op.Position("graphql.trusted"), err)
-		}
+	return schema, nil
+}
+
+// loadTrustedDocuments reads the trusted documents by their ids; without a file there are none.
+func loadTrustedDocuments(op *operator.Config) (map[string]string, error) {
+	documents := map[string]string{}
+	if op.GraphQL.TrustedFile == "" {
+		return documents, nil
+	}
+	text, err := readLimitedFile(op.GraphQL.TrustedFile)
+	if err == nil {
+		err = json.Unmarshal(text, &documents)
 	}
-	s, err := graphqlfront.New(graphqlfront.Config{Schema: schema, Doer: doer, Path: g.Path, Node: g.NodePath, Conns: int(g.MaxConnections),
-		Deadline: time.Duration(g.Deadline), MaxBody: int64(g.MaxBody), MaxBatch: int(g.MaxBatch), MaxParts: int(g.MaxParts), Documents: int(g.MaxCachedDocuments),
-		Persisted: g.PersistedQueries, Trusted: trusted, Only: g.TrustedOnly, Log: log})
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", op.Position("graphql.trusted"), err)
+		return nil, fmt.Errorf("%s: graphql.trusted: %w", op.Position("graphql.trusted"), err)
 	}
-	return s, nil
+	return documents, nil
 }
 
-func readFile(path string) ([]byte, error) {
+// readLimitedFile reads a file of at most maxFileBytes.
+func readLimitedFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
-	if err == nil && info.Size() > mostFile {
-		err = fmt.Errorf("%s is larger than %d bytes", path, mostFile)
-	}
 	if err != nil {
 		return nil, err
 	}
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s is larger than %d bytes", path, maxFileBytes)
+	}
 	return os.ReadFile(path)
 }
 
-// located gives each fault of the mapping its place in the operator's file; those of the schema have one in the schema.
-func located(op *operator.Config, err error) error {
-	list := []error{err}
-	if all, ok := err.(interface{ Unwrap() []error }); ok {
-		list = all.Unwrap()
+// withPositions adds the position in the operator's file to each error of the mapping. Errors of the schema have a
+// position in the schema.
+func withPositions(op *operator.Config, err error) error {
+	errs := []error{err}
+	// Only an outermost error joins those of the mapping; a wrapped one is one error of the schema.
+	if joined, ok := err.(interface{ Unwrap() []error }); ok {
+		errs = joined.Unwrap()
 	}
-	var lines []string
-	for _, e := range list {
-		var f plan.FieldFault
-		if errors.As(e, &f) {
-			lines = append(lines, fmt.Sprintf("%s: graphql.field.%q: %v", op.Position("graphql.field."+f.Field), f.Field, f.Err))
+	lines := make([]string, 0, len(errs))
+	for _, err := range errs {
+		var field plan.FieldFault
+		if errors.As(err, &field) {
+			position := op.Position("graphql.field." + field.Field)
+			lines = append(lines, fmt.Sprintf("%s: graphql.field.%q: %v", position, field.Field, field.Err))
 			continue
 		}
-		lines = append(lines, e.Error())
+		lines = append(lines, err.Error())
 	}
 	return errors.New(strings.Join(lines, "\n"))
 }
--- a/internal/daemon/graphql_leave_test.go
+++ b/internal/daemon/graphql_leave_test.go
@@ -14,10 +14,10 @@
 	"hazelwing/internal/testutil"
 )
 
-// A client of GraphQL leaves when two parts of its request have a connection and two wait for theirs to come up: these are not
-// sent when they do.
+// A client of GraphQL leaves when two parts of its request have a connection and two wait for theirs to come up:
+// these are not sent when they do.
 func TestLeavesWhilePartsWait(t *testing.T) {
-	for name, leave := range leavings {
+	for name, leave := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // it waits for the kernel's clock
 			schema := filepath.Join(t.TempDir(), "s.graphql")
@@ -35,7 +35,7 @@
 			l := narrow(t) // one connection is accepted, one more comes up
 			r, stop := run(t, config(t, testutil.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`), op)
 			defer stop()
-			x := r.extras[0]
+			x := r.additionalFronts[0]
 			go x.serve(t.Context(), x.listener)
 			conn, err := net.Dial("tcp", x.listener.Addr().String())
 			if err != nil {
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -31,13 +31,13 @@
 )
 
 // gqlRig is a daemon with GraphQL before stand-in nodes.
-type gqlRig struct {
-	*running
+type graphQLSidecar struct {
+	*testSidecar
 	fleet *emulator.Fleet
 	url   string
 }
 
-func newGQLRig(t *testing.T, nodes []emulator.NodeConfig, m gqlnode.Mischief) *gqlRig {
+func startGraphQLSidecar(t *testing.T, nodes []emulator.NodeConfig, m gqlnode.Mischief) *graphQLSidecar {
 	t.Helper()
 	traffic := &emulator.Traffic{Head: emulator.Head{Classes: gqlnode.Classes}}
 	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), NewServer: gqlnode.New(m), Slack: 500 * time.Millisecond, Notice: 50 * time.Millisecond})
@@ -58,11 +58,11 @@
 		t.Fatal(err)
 	}
 	warm := strings.Replace(string(text), `"WarmUpMs":4000`, `"WarmUpMs":100`, 1) // these nodes start warm, and are killed all the time
-	r, stop := run(t, loadText(t, warm), op)
+	r, stop := run(t, parseConfig(t, warm), op)
 	t.Cleanup(stop)
 	ctx, end := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	x := r.extras[0]
+	x := r.additionalFronts[0]
 	go func() { served <- x.serve(ctx, x.listener) }()
 	t.Cleanup(func() {
 		end()
@@ -70,7 +70,7 @@
 			t.Error(err)
 		}
 	})
-	g := &gqlRig{running: r, fleet: fleet, url: "http://" + x.listener.Addr().String() + "/graphql"}
+	g := &graphQLSidecar{testSidecar: r, fleet: fleet, url: "http://" + x.listener.Addr().String() + "/graphql"}
 	r.client.Transport.(*http.Transport).MaxIdleConnsPerHost = 64
 	testutil.Until(t, "the list", func() bool {
 		status, _ := g.ask(t, []byte(`{"query":"{seats(train:\"x\"){id}}"}`), testutil.Patience)
@@ -80,7 +80,7 @@
 }
 
 // ask posts a request, and gives its status and body.
-func (g *gqlRig) ask(t testing.TB, body []byte, patience time.Duration) (int, []byte) {
+func (g *graphQLSidecar) ask(t testing.TB, body []byte, patience time.Duration) (int, []byte) {
 	req, err := http.NewRequest("POST", g.url, bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
@@ -107,12 +107,12 @@
 	return list
 }
 
-// While nodes are killed at seeded random points and spoil their answers, no mutation runs more than once, each client has
-// one well-formed answer in its time, and no answer says of a mutation what the nodes' counters deny.
+// While nodes are killed at seeded random points and spoil their answers, no mutation runs more than once, each
+// client has one well-formed answer in its time, and no answer says of a mutation what the nodes' counters deny.
 //
 //	go test ./internal/daemon -run NoMutationTwice -gql.operations 200000 -timeout 60m
 func TestGraphQLNoMutationTwice(t *testing.T) {
-	g := newGQLRig(t, sixNodes(), gqlnode.Mischief{Before: 0.01, After: 0.01, Cut: 0.01, Half: 0.01, Alias: 0.01, Null: 0.005, Noise: 0.01})
+	g := startGraphQLSidecar(t, sixNodes(), gqlnode.Mischief{Before: 0.01, After: 0.01, Cut: 0.01, Half: 0.01, Alias: 0.01, Null: 0.005, Noise: 0.01})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var chaos sync.WaitGroup
@@ -210,7 +210,7 @@
 		for i := range 12 {
 			nodes = append(nodes, emulator.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1, Seed: uint64(i + 1)})
 		}
-		g := newGQLRig(t, nodes, gqlnode.Mischief{})
+		g := startGraphQLSidecar(t, nodes, gqlnode.Mischief{})
 		g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Times: 20, For: time.Hour})
 		g.fleet.Node("n2").Die()
 		f := &figures{query: load.NewHistogram(), mutation: load.NewHistogram()}
@@ -230,7 +230,7 @@
 			body, _ := json.Marshal([]any{query, mutation})
 			url, class := g.url, ""
 			if !split {
-				url, class = g.running.url+"/book/graphql", "book"
+				url, class = g.testSidecar.url+"/book/graphql", "book"
 			}
 			req, _ := http.NewRequest("POST", url, bytes.NewReader(body))
 			req.Header.Set("Content-Type", "application/json")
--- /dev/null
+++ b/internal/daemon/idempotency.go
@@ -0,0 +1,66 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/idempotency/middleware"
+	"hazelwing/internal/operator"
+	"hazelwing/internal/store"
+)
+
+// openDeduplicator opens the idempotency records, where the operator's file has them.
+func (b *builder) openDeduplicator(context.Context) error {
+	op := b.op.Idempotency
+	if op == nil {
+		return nil
+	}
+	if err := checkRetention(op, b.settings.Classes); err != nil {
+		return err
+	}
+	cfg := middleware.Config{
+		Classes:    b.settings.Classes,
+		Durability: op.Durability,
+		OnFailure:  op.OnFailure,
+		Retention:  time.Duration(op.Retention),
+		MaxEntries: int(op.MaxEntries),
+		Clocks:     middleware.MachineClocks(),
+		Logger:     b.log,
+		Store: store.Options{
+			SegmentSize: int64(op.SegmentSize),
+			MaxBytes:    int64(op.MaxBytes),
+			SyncEvery:   time.Duration(op.SyncEvery),
+		},
+	}
+	if b.settings.RetryAfter {
+		cfg.RetryAfter = b.settings.MaxRetryAfter
+	}
+	var err error
+	if op.Durability != middleware.DurabilityOff {
+		if cfg.FS, err = store.Dir(op.Dir); err != nil {
+			return fmt.Errorf("ledger.dir: %w", err)
+		}
+	}
+	deduplicator, err := middleware.Open(cfg)
+	if err != nil {
+		return fmt.Errorf("ledger.dir %s: %w", op.Dir, err)
+	}
+	b.deduplicator = deduplicator
+	return nil
+}
+
+// checkRetention reports a retention that is too short for a class whose requests are not idempotent. A record is
+// needed until the last attempt of its request has ended, and then as long as upstreams recognize a repeat of it.
+func checkRetention(op *operator.Idempotency, classes []balancer.Class) error {
+	retention := time.Duration(op.Retention)
+	for _, class := range classes {
+		minRetention := class.Deadline + max(class.Deadline, class.IdempotencyWindow)
+		if class.Effect != balancer.Idempotent && retention < minRetention {
+			return fmt.Errorf("ledger.remember: %v is too short for the class %s, which needs %v",
+				retention, class.Name, minRetention)
+		}
+	}
+	return nil
+}
--- a/internal/daemon/leave_test.go
+++ b/internal/daemon/leave_test.go
@@ -21,11 +21,11 @@
 	"hazelwing/internal/testutil"
 )
 
-// Clients that leave while their request waits: docs/design/crossings.md. What arrives afterwards is counted at the upstream's
-// socket; a request of a client that stays comes behind, so that none can still be on its way.
+// Clients that leave while their request waits: docs/design/crossings.md. What arrives afterwards is counted at the
+// upstream's socket; a request of a client that stays comes behind, so that none can still be on its way.
 
 // leavings are the ways in which a client leaves.
-var leavings = map[string]func(c *net.TCPConn){
+var disconnects = map[string]func(c *net.TCPConn){
 	"FIN":   func(c *net.TCPConn) { c.Close() },
 	"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"FIN behind more": func(c *net.TCPConn) {
@@ -57,7 +57,7 @@
 }
 
 // sends opens a connection of its own and writes request id.
-func (r *running) sends(t *testing.T, method, class, id string) *net.TCPConn {
+func (r *testSidecar) sendRequest(t *testing.T, method, class, id string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
@@ -75,7 +75,7 @@
 }
 
 // stays is a client that waits for its answer.
-func (r *running) stays(t *testing.T) {
+func (r *testSidecar) stays(t *testing.T) {
 	t.Helper()
 	if resp, _ := r.do(t, r.request(t, "GET", "look", "stays", "")); resp.StatusCode != http.StatusOK {
 		t.Errorf("the client that stays got %s", resp.Status)
@@ -85,7 +85,7 @@
 var asked = []struct{ method, class string }{{"GET", "look"}, {"POST", "book"}, {"POST", "pay"}}
 
 func eachLeaving(t *testing.T, test func(t *testing.T, method, class string, leave func(*net.TCPConn))) {
-	for name, leave := range leavings {
+	for name, leave := range disconnects {
 		for _, a := range asked {
 			t.Run(name+" "+a.class, func(t *testing.T) {
 				t.Parallel() // some wait for the kernel's clock
@@ -95,7 +95,8 @@
 	}
 }
 
-// leftAt waits until the kernel at the sidecar's side knows that the client has left: that is when its leaving can be known.
+// leftAt waits until the kernel at the sidecar's side knows that the client has left: that is when its leaving can be
+// known.
 func leftAt(t *testing.T, client net.Conn) {
 	t.Helper()
 	testutil.Until(t, "the leaving", func() bool { return !kernelHas(t, client.RemoteAddr(), client.LocalAddr(), established) })
@@ -141,8 +142,8 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(d.Close)
-		r := startSidecar(t, d.Addr(), testutil.NoAddr, entry("s", testutil.NoAddr), "")
-		c := r.sends(t, method, class, "leaves")
+		r := startSidecar(t, d.Addr(), testutil.NoAddr, endpointEntry("s", testutil.NoAddr), "")
+		c := r.sendRequest(t, method, class, "leaves")
 		leave(c)
 		leftAt(t, c)
 		d.Set(emulator.Host{Host: "s", Dial: addr, Site: "a", Class: "m", Health: "SERVING"})
@@ -212,7 +213,7 @@
 		l := narrow(t)
 		block(t, l)
 		r := startSidecar(t, testutil.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
-		c := r.sends(t, method, class, "leaves")
+		c := r.sendRequest(t, method, class, "leaves")
 		dialling(t, l.Addr())
 		leave(c)
 		leftAt(t, c)
@@ -254,8 +255,8 @@
 			}
 		}
 		one, other := testutil.Raw(t, serve), testutil.Raw(t, serve)
-		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, known([]string{entry("s0", one), entry("s1", other)})...)
-		c := r.sends(t, method, class, "leaves")
+		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints([]string{endpointEntry("s0", one), endpointEntry("s1", other)})...)
+		c := r.sendRequest(t, method, class, "leaves")
 		testutil.Receive(t, here, "the first attempt")
 		leave(c)
 		leftAt(t, c)
@@ -288,9 +289,9 @@
 				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			}()
 		}
-		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, append(known([]string{entry("s0", lists[0].Addr().String()), entry("s1", lists[1].Addr().String())}),
+		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, append(knownEndpoints([]string{endpointEntry("s0", lists[0].Addr().String()), endpointEntry("s1", lists[1].Addr().String())}),
 			`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)...)
-		c := r.sends(t, method, class, "leaves")
+		c := r.sendRequest(t, method, class, "leaves")
 		other := lists[1-testutil.Receive(t, asked, "the first attempt")]
 		other.SetDeadline(time.Unix(1, 0))
 		testutil.Receive(t, idle, "the end of its accepting")
@@ -311,7 +312,7 @@
 
 // It has left before its request is read: the process is behind, and everything waits in the kernel.
 func TestLeavesBeforeItIsRead(t *testing.T) {
-	for name, leave := range leavings {
+	for name, leave := range disconnects {
 		if strings.Contains(name, "far") {
 			continue // nobody can know of a close behind more than the kernel holds before that is read
 		}
@@ -324,7 +325,7 @@
 				}
 			})
 			cfg := config(t, testutil.NoAddr, addr)
-			s, err := build(cfg, new(operator.Config), quietLog)
+			s, err := build(t.Context(), cfg, new(operator.Config), discardLog)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -332,16 +333,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &running{sidecar: s, url: "http://" + l.Addr().String(), client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
+			r := &testSidecar{sidecar: s, url: "http://" + l.Addr().String(), client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
 			for _, a := range asked {
-				c := r.sends(t, a.method, a.class, "leaves") // into the backlog: nothing of the sidecar runs yet
+				c := r.sendRequest(t, a.method, a.class, "leaves") // into the backlog: nothing of the sidecar runs yet
 				leave(c)
 				leftAt(t, c)
 			}
 			ctx, end := context.WithCancel(t.Context())
 			var parts sync.WaitGroup
 			parts.Go(func() { s.engine.Run(ctx) })
-			parts.Go(func() { s.front.Serve(ctx, l, 10, quietLog) })
+			parts.Go(func() { s.front.Serve(ctx, l, 10, discardLog) })
 			r.stays(t)
 			if got := came.String(); got != "stays" {
 				t.Errorf("there came: %s", got)
--- a/internal/daemon/ledger_test.go
+++ b/internal/daemon/ledger_test.go
@@ -16,17 +16,17 @@
 )
 
 // withOperator starts a daemon with an operator's file, and returns it with what the file's parts show.
-func withOperator(t *testing.T, upstream, text string) (r *running, stop func()) {
+func runWithOperatorFile(t *testing.T, upstream, text string) (r *testSidecar, stop func()) {
 	t.Helper()
 	op, err := operator.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(t, loadText(t, fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream)), op)
+	return run(t, parseConfig(t, fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream)), op)
 }
 
-// With the ledger unsafe requests may bring a key, and a repeat of what may have run is failed at once, also by the next
-// daemon on the same directory.
+// With the ledger unsafe requests may bring a key, and a repeat of what may have run is failed at once, also by the
+// next daemon on the same directory.
 func TestLedger(t *testing.T) {
 	copies := make(chan bool, 100)
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -36,23 +36,23 @@
 		}
 	})
 	text := fmt.Sprintf("[ledger]\ndir = %q\n[admin]\nlisten = \"127.0.0.1:0\"\n", t.TempDir())
-	try := func(r *running, id string) (int, string) {
+	try := func(r *testSidecar, id string) (int, string) {
 		req := r.request(t, "POST", "book", id, "x")
 		req.Header.Set("Idempotency-Key", "same")
 		resp, body := r.do(t, req)
 		return resp.StatusCode, body
 	}
-	r, stop := withOperator(t, addr, text)
+	r, stop := runWithOperatorFile(t, addr, text)
 	for i := range 3 {
 		if status, body := try(r, fmt.Sprint(i)); status != 502 {
 			t.Errorf("try %d: %d %s", i, status, body)
 		}
 	}
-	if r.admin == nil {
+	if r.adminListener == nil {
 		t.Error("no endpoint")
 	}
 	stop()
-	r, stop = withOperator(t, addr, text)
+	r, stop = runWithOperatorFile(t, addr, text)
 	defer stop()
 	if status, body := try(r, "later"); status != 502 {
 		t.Errorf("after a restart: %d %s", status, body)
@@ -61,10 +61,10 @@
 		t.Errorf("%d copies were sent", len(copies))
 	}
 	go func() { // what the endpoint shows
-		http.Serve(r.admin, r.parts())
+		http.Serve(r.adminListener, r.sections())
 	}()
 	get := func(path string) (int, string) {
-		resp, err := r.client.Get("http://" + r.admin.Addr().String() + path)
+		resp, err := r.client.Get("http://" + r.adminListener.Addr().String() + path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 	if status, _ := get("/other"); status != 404 {
 		t.Error(status)
 	}
-	if resp, err := r.client.Post("http://"+r.admin.Addr().String()+"/ledger", "", nil); err != nil || resp.StatusCode != 405 {
+	if resp, err := r.client.Post("http://"+r.adminListener.Addr().String()+"/ledger", "", nil); err != nil || resp.StatusCode != 405 {
 		t.Errorf("%v, %v", resp, err)
 	}
 }
@@ -95,7 +95,7 @@
 // What cannot be started with is an error that names the key, and lets all else go again.
 func TestLedgerCannotStart(t *testing.T) {
 	dir := t.TempDir()
-	cfg := loadText(t, fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr))
+	cfg := parseConfig(t, fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr))
 	for text, want := range map[string]string{
 		fmt.Sprintf("[ledger]\ndir = %q\nremember = \"30s\"", dir):                          "ledger.remember: 30s is too short for the class book, which needs 40s",
 		"[ledger]\ndir = \"/dev/null/x\"":                                                   "ledger.dir",
@@ -105,14 +105,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := build(cfg, op, quietLog); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := build(t.Context(), cfg, op, discardLog); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	r, stop := withOperator(t, testutil.NoAddr, fmt.Sprintf("[ledger]\ndir = %q", dir)) // nobody holds it any more
+	r, stop := runWithOperatorFile(t, testutil.NoAddr, fmt.Sprintf("[ledger]\ndir = %q", dir)) // nobody holds it any more
 	defer stop()
 	op, _ := operator.Parse([]byte(fmt.Sprintf("[ledger]\ndir = %q", dir)))
-	if _, err := build(cfg, op, quietLog); err == nil || !strings.Contains(err.Error(), "another process") || r.guard == nil {
+	if _, err := build(t.Context(), cfg, op, discardLog); err == nil || !strings.Contains(err.Error(), "another process") || r.deduplicator == nil {
 		t.Errorf("a second one: %v", err)
 	}
 }
--- a/internal/daemon/members_test.go
+++ b/internal/daemon/members_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// A name service beside discovery: what only it names is sent to; what the list says to drain is sent nothing new beyond the
-// grace, though the name service lists it on; and a name service that is silent takes nothing away.
+// A name service beside discovery: what only it names is sent to; what the list says to drain is sent nothing new
+// beyond the grace, though the name service lists it on; and a name service that is silent takes nothing away.
 func TestSRVBesideDiscovery(t *testing.T) {
 	var seen [2]atomic.Int64
 	var ports [2]string
@@ -99,7 +99,7 @@
 	if after := seen[0].Load(); after > before {
 		t.Errorf("%d requests went to a node that drains", after-before)
 	}
-	for _, e := range r.members.Status() {
+	for _, e := range r.endpoints.Status() {
 		if drains := e.Addr == host.Dial || e.ID == "addr "+host.Dial; e.Listed == drains || drains && e.Reason != "list says that it has left" {
 			t.Errorf("in the list: %+v", e)
 		}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -9,52 +9,58 @@
 	"hazelwing/internal/platform"
 )
 
-// New configurations of the platform. Of these only discovery's address is taken over: the rest is settled at the start, or comes by
-// snapshots (distribution.go).
+// reloads is how new configurations of the platform arrive. Of these only discovery's address is applied: the rest is
+// read at the start only, or is set by snapshots of the cluster's configuration.
+type reloads struct {
+	signals <-chan os.Signal
+	load    func() (*platform.Config, error)
+}
 
-// reloads reads the configuration again for each signal, until ctx ends: away from the engine, which does not wait for
-// files. One that cannot be used is logged, and the old one stays.
-func (s *sidecar) reloads(ctx context.Context, signals <-chan os.Signal, again func() (*platform.Config, error)) {
+// runReloads loads the configuration for each signal, until ctx ends. It does not run in the engine's goroutine, which
+// does not wait for files. A configuration that cannot be used is logged and changes nothing.
+func (s *sidecar) runReloads(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-signals:
+		case <-s.reloads.signals:
 		}
-		cfg, err := again()
+		cfg, err := s.reloads.load()
 		if err != nil {
-			s.log.Error("the new configuration cannot be used: the old one stays", "err", err)
+			s.log.Error("reloaded configuration cannot be used, keeping the current one",
+				"component", "daemon", "error", err)
 			continue
 		}
-		s.platformMoved(cfg.Discovery)
+		s.setPlatformDiscovery(cfg.Discovery)
 	}
 }
 
-// platformMoved follows the discovery that the platform names from now on, whatever a snapshot said before: the later word holds.
-func (s *sidecar) platformMoved(addr string) {
-	s.changing.Lock()
-	defer s.changing.Unlock()
-	s.platformAddr = addr
-	s.engine.SetSource(s.discoveryAt(addr, nil))
+// setPlatformDiscovery follows discovery at the platform's new address, whatever address a snapshot has set before.
+func (s *sidecar) setPlatformDiscovery(addr string) {
+	s.reconfigureMu.Lock()
+	defer s.reconfigureMu.Unlock()
+	s.platformDiscovery = addr
+	s.engine.SetSource(s.discoverySource(addr, nil))
 }
 
-// discoveryAt is the source of the list with discovery at another address. group names it where all sidecars are told to follow it, and
-// go on passing its list on to each other; nil: it is this sidecar's alone. The caller hands it to the engine and holds changing.
-func (s *sidecar) discoveryAt(addr string, group *string) engine.Source {
-	s.log.Info("discovery", "addr", addr)
-	s.followed = addr
-	var source engine.Source = watch.NewClient(addr, s.asked, s.log)
-	if s.list != nil {
+// discoverySource returns the source of the endpoint list with discovery at another address. group names the address
+// where all members of the cluster change to it, so that they go on relaying its list to each other; it is nil where
+// only this sidecar does. The caller holds reconfigureMu and hands the source to the engine.
+func (s *sidecar) discoverySource(addr string, group *string) engine.Source {
+	s.log.Info("discovery address changed", "component", "daemon", "addr", addr)
+	s.currentDiscovery = addr
+	var source engine.Source = watch.NewClient(addr, s.sharedDiscovery, s.log)
+	if s.relaySource != nil {
 		if group != nil {
-			s.list.SetGroupDiscovery(source, *group)
+			s.relaySource.SetGroupDiscovery(source, *group)
 		} else {
-			s.list.SetDiscovery(source)
+			s.relaySource.SetDiscovery(source)
 		}
-		source = s.list
+		source = s.relaySource
 	}
-	if s.members != nil {
-		s.members.SetPlatform(source)
-		source = s.members
+	if s.endpoints != nil {
+		s.endpoints.SetPlatform(source)
+		source = s.endpoints
 	}
 	return source
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -14,7 +14,7 @@
 )
 
 // watched is a discovery whose watches say nothing; it tells what was asked and when a watch ended.
-func watched(t *testing.T) (addr string, calls, ends chan string) {
+func startSilentDiscovery(t *testing.T) (addr string, calls, ends chan string) {
 	t.Helper()
 	calls, ends = make(chan string, 100), make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,14 +35,18 @@
 
 // A new configuration moves the watch at once, from the beginning; one that cannot be used changes nothing.
 func TestReload(t *testing.T) {
-	oldAddr, oldCalls, oldEnds := watched(t)
-	newAddr, newCalls, _ := watched(t)
+	oldAddr, oldCalls, oldEnds := startSilentDiscovery(t)
+	newAddr, newCalls, _ := startSilentDiscovery(t)
 	r := startSidecar(t, oldAddr, testutil.NoAddr)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	signals := make(chan os.Signal)
 	next := make(chan func() (*platform.Config, error), 1)
-	go r.reloads(ctx, signals, func() (*platform.Config, error) { return (<-next)() })
+	r.reloads = reloads{
+		signals: signals,
+		load:    func() (*platform.Config, error) { return (<-next)() },
+	}
+	go r.runReloads(ctx)
 	if q := testutil.Receive(t, oldCalls, "the first watch"); q != "watch=1&from=1" {
 		t.Errorf("asked %s", q)
 	}
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -17,16 +17,16 @@
 	"hazelwing/internal/testutil"
 )
 
-var quietLog = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 // running is a sidecar on loopback.
-type running struct {
+type testSidecar struct {
 	*sidecar
 	url    string
 	client *http.Client
 }
 
-func loadText(t *testing.T, text string) *platform.Config {
+func parseConfig(t *testing.T, text string) *platform.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -42,11 +42,11 @@
 // config is fixture.Config; change is pairs of old and new text of it.
 func config(t *testing.T, discovery, upstream string, change ...string) *platform.Config {
 	t.Helper()
-	return loadText(t, strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.Config, discovery, upstream)))
+	return parseConfig(t, strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.Config, discovery, upstream)))
 }
 
 // startSidecar starts one; change is as config's.
-func startSidecar(t *testing.T, discovery, upstream string, change ...string) *running {
+func startSidecar(t *testing.T, discovery, upstream string, change ...string) *testSidecar {
 	t.Helper()
 	r, stop := run(t, config(t, discovery, upstream, change...), new(operator.Config))
 	t.Cleanup(stop)
@@ -54,9 +54,9 @@
 }
 
 // run runs a sidecar until stop.
-func run(t *testing.T, cfg *platform.Config, op *operator.Config) (r *running, stop func()) {
+func run(t *testing.T, cfg *platform.Config, op *operator.Config) (r *testSidecar, stop func()) {
 	t.Helper()
-	s, err := build(cfg, op, quietLog)
+	s, err := build(t.Context(), cfg, op, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,19 +65,19 @@
 		t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	r = &running{sidecar: s, url: "http://" + listener.Addr().String(),
+	r = &testSidecar{sidecar: s, url: "http://" + listener.Addr().String(),
 		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
 	ran := make(chan struct{})
 	go func() {
 		var parts sync.WaitGroup
-		if s.members != nil {
-			parts.Go(func() { s.members.Run(ctx) })
+		if s.endpoints != nil {
+			parts.Go(func() { s.endpoints.Run(ctx) })
 		}
 		s.engine.Run(ctx)
 		parts.Wait()
 		close(ran)
 	}()
-	go s.front.Serve(ctx, listener, s.conns, quietLog)
+	go s.front.Serve(ctx, listener, s.maxClientConns, discardLog)
 	return r, func() {
 		r.client.CloseIdleConnections()
 		end()
@@ -88,12 +88,12 @@
 	}
 }
 
-func (r *running) request(t *testing.T, method, class, id, body string) *http.Request {
+func (r *testSidecar) request(t *testing.T, method, class, id, body string) *http.Request {
 	t.Helper()
 	return testutil.Request(t, r.url, method, class, id, body)
 }
 
-func (r *running) do(t *testing.T, req *http.Request) (*http.Response, string) {
+func (r *testSidecar) do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	return testutil.Do(t, r.client, req)
 }
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -69,7 +69,7 @@
 					t.Fatalf("the settings do not have %s", c.change[i])
 				}
 			}
-			cfg := loadText(t, text)
+			cfg := parseConfig(t, text)
 			r, stop := run(t, cfg, new(operator.Config))
 			defer stop()
 			for i, k := range cfg.Settings.Classes {
@@ -134,7 +134,7 @@
 			}
 			cfg, err := platform.Load(func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] })
 			if err == nil {
-				_, err = build(cfg, new(operator.Config), quietLog)
+				_, err = build(t.Context(), cfg, new(operator.Config), discardLog)
 			}
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v, want an error that names %s", err, want)
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -23,17 +23,18 @@
 )
 
 // entry is one of a list in the configuration's form.
-func entry(name, dial string) string {
+func endpointEntry(name, dial string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":"SERVING","share":1.0,"born_ms":0}`, name, dial)
 }
 
 // known replaces the one upstream of fixture.Config, whose address was given as NoAddr, by these.
-func known(entries []string) []string {
-	return []string{entry("s", testutil.NoAddr), strings.Join(entries, ",")}
+func knownEndpoints(entries []string) []string {
+	return []string{endpointEntry("s", testutil.NoAddr), strings.Join(entries, ",")}
 }
 
-// A restarted sidecar is ready and serves from the list that it knew while discovery is out of reach, though a quarter of that
-// list is dead or has been taken over by others. Each wrong entry costs a few attempts, and no unsafe request runs twice.
+// A restarted sidecar is ready and serves from the list that it knew while discovery is out of reach, though a
+// quarter of that list is dead or has been taken over by others. Each wrong entry costs a few attempts, and no unsafe
+// request runs twice.
 func TestStartWithAnOldListServes(t *testing.T) {
 	const members, wrong, requests = 12, 3, 150
 	var mu sync.Mutex
@@ -55,10 +56,10 @@
 	})
 	list := make([]string, members)
 	for i := range list {
-		list[i] = entry(fmt.Sprint("s", i), good.Listener.Addr().String())
+		list[i] = endpointEntry(fmt.Sprint("s", i), good.Listener.Addr().String())
 	}
-	list[0], list[1], list[2] = entry("s0", testutil.NoAddr), entry("s1", testutil.NoAddr), entry("s2", other)
-	r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, known(list)...)
+	list[0], list[1], list[2] = endpointEntry("s0", testutil.NoAddr), endpointEntry("s1", testutil.NoAddr), endpointEntry("s2", other)
+	r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(list)...)
 	resp, err := r.client.Get(r.url + "/up")
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("/up: %v %v", resp, err)
@@ -95,8 +96,8 @@
 
 var drains = flag.Int("drains", 10, "how many drains TestDrainGrace announces")
 
-// From when discovery has written that a node drains to the last first byte that the node is sent: within the grace, and what a
-// busy machine adds to it. docs/design/large-fleets.md has the spread over more drains.
+// From when discovery has written that a node drains to the last first byte that the node is sent: within the grace,
+// and what a busy machine adds to it. docs/design/large-fleets.md has the spread over more drains.
 func TestDrainGrace(t *testing.T) {
 	const grace, slack = 250 * time.Millisecond, 250 * time.Millisecond
 	d, err := emulator.NewDiscovery()
@@ -120,7 +121,7 @@
 		nodes[i].Dial = node.Listener.Addr().String()
 		d.Set(nodes[i])
 	}
-	r := startSidecar(t, d.Addr(), testutil.NoAddr, known([]string{entry("n0", nodes[0].Dial)})...)
+	r := startSidecar(t, d.Addr(), testutil.NoAddr, knownEndpoints([]string{endpointEntry("n0", nodes[0].Dial)})...)
 	stop := make(chan bool)
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -167,7 +168,8 @@
 	}
 }
 
-// What a sidecar holds for each member is bounded: the list, its estimates and the transport's entry, whatever its length.
+// What a sidecar holds for each member is bounded: the list, its estimates and the transport's entry, whatever its
+// length.
 func TestMemoryByMembers(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
@@ -179,9 +181,9 @@
 	for _, n := range []int{60, 300, 1000} {
 		list := make([]string, n)
 		for i := range list {
-			list[i] = entry(fmt.Sprint("s-", i), fmt.Sprintf("10.1.%d.%d:8081", i/250, i%250))
+			list[i] = endpointEntry(fmt.Sprint("s-", i), fmt.Sprintf("10.1.%d.%d:8081", i/250, i%250))
 		}
-		cfg := config(t, testutil.NoAddr, testutil.NoAddr, known(list)...)
+		cfg := config(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(list)...)
 		before := heap()
 		r, stop := run(t, cfg, new(operator.Config))
 		r.do(t, r.request(t, "GET", "look", "1", "")) // the list is in once this is answered
--- a/internal/daemon/told_test.go
+++ b/internal/daemon/told_test.go
@@ -21,12 +21,13 @@
 	"hazelwing/internal/testutil"
 )
 
-var plays = flag.Int("plays", 1, "how often TestToldInTime plays each path")
+var noticeRuns = flag.Int("plays", 1, "how often TestToldInTime plays each path")
 
 const (
-	// told is when a change counts as told, from when discovery had it and could be reached; a rule breaks so much later.
-	told  = 6 * time.Second
-	grace = 250 * time.Millisecond
+	// told is when a change counts as told, from when discovery had it and could be reached; a rule breaks so much
+	// later.
+	maxNoticeDelay = 6 * time.Second
+	grace          = 250 * time.Millisecond
 	// slack is what a machine that does much beside a play may add to a sum.
 	slack = 250 * time.Millisecond
 )
@@ -35,7 +36,7 @@
 type answer func(w http.ResponseWriter, r *http.Request)
 
 // say answers with text, and goes on with next.
-func say(text string, next answer) answer {
+func respond(text string, next answer) answer {
 	return func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, text)
 		w.(http.Flusher).Flush()
@@ -47,7 +48,7 @@
 func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 // away turns a call away after d.
-func away(d time.Duration) answer {
+func rejectAfter(d time.Duration) answer {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(d):
@@ -60,7 +61,7 @@
 func reset(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // lives says an empty line now and then.
-func lives(w http.ResponseWriter, r *http.Request) {
+func sendHeartbeats(w http.ResponseWriter, r *http.Request) {
 	for {
 		select {
 		case <-time.After(400 * time.Millisecond):
@@ -76,11 +77,11 @@
 func times(n int, a answer) []answer { return slices.Repeat([]answer{a}, n) }
 
 // path is a way on which news of a drain comes late: what becomes of the calls after the watch has been lost.
-type path struct {
+type noticePath struct {
 	name  string
 	calls []answer // one after another; then news come
-	// sum is the worst case from the drain, at which discovery has it and could be reached, to the beginning of the call
-	// that brings it, in the terms of docs/design/crossings.md.
+	// sum is the worst case from the drain, at which discovery has it and could be reached, to the beginning of the
+	// call that brings it, in the terms of docs/design/crossings.md.
 	sum time.Duration
 	// lost is how the watch ends, when the drain comes; nil: it falls silent.
 	lost answer
@@ -88,7 +89,8 @@
 	down time.Duration
 	// moves: the list is moved to another discovery at once.
 	moves bool
-	// lists: of the one that it is moved to the watch works and tells nothing of this; the calls are those for the whole list.
+	// lists: of the one that it is moved to the watch works and tells nothing of this; the calls are those for the
+	// whole list.
 	lists bool
 	// pushed: an agent's too.
 	pushed bool
@@ -96,53 +98,53 @@
 
 const ms = time.Millisecond
 
-var paths = []path{
+var noticePaths = []noticePath{
 	{name: "answered", sum: 2750 * ms, pushed: true},
-	{name: "turned away after 2 s", calls: times(1, away(2*time.Second)), sum: 4000 * ms, pushed: true},
-	{name: "turned away after 2 s, twice", calls: times(2, away(2*time.Second)), sum: 5250 * ms},
-	{name: "turned away after 1 s, twice", calls: times(2, away(time.Second)), sum: 5250 * ms, pushed: true},
-	{name: "turned away after 0.3 s, three times", calls: times(3, away(300*ms)), sum: 5000 * ms},
-	{name: "turned away at once, four times", calls: times(4, away(0)), sum: 5750 * ms, pushed: true},
+	{name: "turned away after 2 s", calls: times(1, rejectAfter(2*time.Second)), sum: 4000 * ms, pushed: true},
+	{name: "turned away after 2 s, twice", calls: times(2, rejectAfter(2*time.Second)), sum: 5250 * ms},
+	{name: "turned away after 1 s, twice", calls: times(2, rejectAfter(time.Second)), sum: 5250 * ms, pushed: true},
+	{name: "turned away after 0.3 s, three times", calls: times(3, rejectAfter(300*ms)), sum: 5000 * ms},
+	{name: "turned away at once, four times", calls: times(4, rejectAfter(0)), sum: 5750 * ms, pushed: true},
 	{name: "hangs", calls: times(1, hang), sum: 4000 * ms, pushed: true},
 	{name: "hangs, twice", calls: times(2, hang), sum: 5250 * ms, pushed: true},
-	{name: "hangs, and is turned away beside that", calls: []answer{hang, away(0)}, sum: 5500 * ms},
+	{name: "hangs, and is turned away beside that", calls: []answer{hang, rejectAfter(0)}, sum: 5500 * ms},
 	{name: "reset, four times", calls: times(4, reset), sum: 5750 * ms},
-	{name: "headers and no more", calls: times(1, say("", hang)), sum: 4000 * ms, pushed: true},
-	{name: "half of an object and no more", calls: times(1, say(`{"seq":6,"who`, hang)), sum: 4000 * ms},
-	{name: "one line and no more", calls: times(1, say("\n", hang)), sum: 5500 * ms, pushed: true},
-	{name: "refused, and then turned away after 1 s, twice", down: 7 * time.Second, calls: times(2, away(time.Second)), sum: 5000 * ms},
-	{name: "refused, and then turned away at once, four times", down: 7 * time.Second, calls: times(4, away(0)), sum: 5500 * ms},
-	{name: "moved, turned away after 1 s, three times", moves: true, lost: reset, calls: times(3, away(time.Second)), sum: 3750 * ms},
+	{name: "headers and no more", calls: times(1, respond("", hang)), sum: 4000 * ms, pushed: true},
+	{name: "half of an object and no more", calls: times(1, respond(`{"seq":6,"who`, hang)), sum: 4000 * ms},
+	{name: "one line and no more", calls: times(1, respond("\n", hang)), sum: 5500 * ms, pushed: true},
+	{name: "refused, and then turned away after 1 s, twice", down: 7 * time.Second, calls: times(2, rejectAfter(time.Second)), sum: 5000 * ms},
+	{name: "refused, and then turned away at once, four times", down: 7 * time.Second, calls: times(4, rejectAfter(0)), sum: 5500 * ms},
+	{name: "moved, turned away after 1 s, three times", moves: true, lost: reset, calls: times(3, rejectAfter(time.Second)), sum: 3750 * ms},
 	{name: "moved, hangs, twice", moves: true, lost: reset, calls: times(2, hang), sum: 2500 * ms},
-	{name: "moved while refused, turned away after 1 s, three times", moves: true, down: 7 * time.Second, calls: times(3, away(time.Second)), sum: 3750 * ms},
-	{name: "the whole list is turned away at once, three times", moves: true, lists: true, calls: times(3, away(0)), sum: 5812 * ms},
-	{name: "the whole list is turned away after 1 s, twice", moves: true, lists: true, calls: times(2, away(time.Second)), sum: 5500 * ms},
+	{name: "moved while refused, turned away after 1 s, three times", moves: true, down: 7 * time.Second, calls: times(3, rejectAfter(time.Second)), sum: 3750 * ms},
+	{name: "the whole list is turned away at once, three times", moves: true, lists: true, calls: times(3, rejectAfter(0)), sum: 5812 * ms},
+	{name: "the whole list is turned away after 1 s, twice", moves: true, lists: true, calls: times(2, rejectAfter(time.Second)), sum: 5500 * ms},
 	{name: "the whole list hangs", moves: true, lists: true, calls: times(1, hang), sum: 4250 * ms},
 }
 
 // play is a path with a sidecar, two servers and a client of 20 requests a second, over sockets.
-type play struct {
-	path
-	mode string
-	list string // of both servers, with the first as it was before the drain
-	news string
+type drainRun struct {
+	noticePath
+	mode   string
+	list   string // of both servers, with the first as it was before the drain
+	update string
 
-	fell chan struct{} // closed when the watch is to end
-	made atomic.Int32  // calls since then
-	came chan struct{} // closed when news were told
-	tell func()
-	last [2]atomic.Int64 // when a server was last sent something, Unix nanoseconds
+	watchLost    chan struct{} // closed when the watch is to end
+	callsMade    atomic.Int32  // calls since then
+	newsSent     chan struct{} // closed when news were told
+	markNewsSent func()
+	last         [2]atomic.Int64 // when a server was last sent something, Unix nanoseconds
 
-	r         *running
+	r         *testSidecar
 	stop      func()
 	discovery *http.Server // that is followed at the beginning
 	addr      string
 	other     string // discovery's address that the list is moved to
 }
 
-func startPlay(t *testing.T, p path, mode string) *play {
-	y := &play{path: p, mode: mode, fell: make(chan struct{}), came: make(chan struct{})}
-	y.tell = sync.OnceFunc(func() { close(y.came) })
+func startDrainRun(t *testing.T, p noticePath, mode string) *drainRun {
+	y := &drainRun{noticePath: p, mode: mode, watchLost: make(chan struct{}), newsSent: make(chan struct{})}
+	y.markNewsSent = sync.OnceFunc(func() { close(y.newsSent) })
 	entry := func(i int, health, dial string) string {
 		return fmt.Sprintf(`{"host":"n%d","dial":%q,"site":"a","class":"m","health":%q}`, i, dial, health)
 	}
@@ -157,7 +159,7 @@
 		dial[i] = node.Listener.Addr().String()
 	}
 	y.list = `{"seq":5,"whole":true,"hosts":[` + entry(0, "SERVING", dial[0]) + "," + entry(1, "SERVING", dial[1]) + "]}\n"
-	y.news = `{"seq":6,"whole":false,"hosts":[` + entry(0, "DRAINING", dial[0]) + "]}\n"
+	y.update = `{"seq":6,"whole":false,"hosts":[` + entry(0, "DRAINING", dial[0]) + "]}\n"
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -169,11 +171,11 @@
 		other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			switch {
 			case !p.lists:
-				y.after(w, r, y.news)
+				y.answerAfterLoss(w, r, y.update)
 			case r.URL.RawQuery == "":
-				y.after(w, r, `{"seq":6,"whole":true,"hosts":[`+entry(1, "SERVING", dial[1])+"]}\n") // what it does not name is gone
+				y.answerAfterLoss(w, r, `{"seq":6,"whole":true,"hosts":[`+entry(1, "SERVING", dial[1])+"]}\n") // what it does not name is gone
 			default:
-				say("\n", lives)(w, r)
+				respond("\n", sendHeartbeats)(w, r)
 			}
 		}))
 		t.Cleanup(other.Close)
@@ -187,26 +189,26 @@
 }
 
 // serve lets discovery listen at l.
-func (y *play) serve(l net.Listener) {
+func (y *drainRun) serve(l net.Listener) {
 	y.discovery = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-y.fell:
+		case <-y.watchLost:
 			if y.moves {
-				away(0)(w, r)
+				rejectAfter(0)(w, r)
 			} else {
-				y.after(w, r, y.news)
+				y.answerAfterLoss(w, r, y.update)
 			}
 			return
 		default:
 		}
-		say(y.list, func(w http.ResponseWriter, r *http.Request) {
+		respond(y.list, func(w http.ResponseWriter, r *http.Request) {
 			for { // so that the client's end may be seen, and the fall is at once
 				select {
-				case <-y.fell:
+				case <-y.watchLost:
 					if y.lost != nil {
 						y.lost(w, r)
 					}
-					say("\n", hang)(w, r)
+					respond("\n", hang)(w, r)
 					return
 				case <-time.After(400 * time.Millisecond):
 					io.WriteString(w, "\n")
@@ -221,21 +223,21 @@
 }
 
 // after answers a call since the watch was lost.
-func (y *play) after(w http.ResponseWriter, r *http.Request, news string) {
-	if n := int(y.made.Add(1)) - 1; n < len(y.calls) {
+func (y *drainRun) answerAfterLoss(w http.ResponseWriter, r *http.Request, news string) {
+	if n := int(y.callsMade.Add(1)) - 1; n < len(y.calls) {
 		y.calls[n](w, r)
 		return
 	}
-	y.tell()
-	say(news, func(w http.ResponseWriter, r *http.Request) {
+	y.markNewsSent()
+	respond(news, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
-			lives(w, r)
+			sendHeartbeats(w, r)
 		}
 	})(w, r)
 }
 
 // run plays it, and returns how long after the drain the last attempt at that server began.
-func (y *play) run(t *testing.T, number int) (time.Duration, error) {
+func (y *drainRun) run(t *testing.T, number int) (time.Duration, error) {
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -271,7 +273,7 @@
 		return 0, err
 	}
 	drain := time.Now()
-	close(y.fell)
+	close(y.watchLost)
 	if y.down > 0 {
 		y.discovery.Close()
 		time.Sleep(y.down)
@@ -286,11 +288,11 @@
 	}
 	if y.moves {
 		drain = time.Now()
-		y.r.engine.SetSource(watch.NewClient(y.other, y.mode == "ask", quietLog))
+		y.r.engine.SetSource(watch.NewClient(y.other, y.mode == "ask", discardLog))
 	}
 	if err := until("the news", func() bool {
 		select {
-		case <-y.came:
+		case <-y.newsSent:
 			return true
 		default:
 			return false
@@ -306,15 +308,16 @@
 	return time.Unix(0, y.last[0].Load()).Sub(drain), nil
 }
 
-// A server drains in the instant in which the watch is lost, and the next calls to discovery fail, each in another way. What is
-// sent to that server ends with the first call that brings the news, which has to begin in time for the 6 s after which it counts
-// as told, whatever failed meanwhile. Each bad order is brought about every time; the plays are waits, and run side by side.
+// A server drains in the instant in which the watch is lost, and the next calls to discovery fail, each in another
+// way. What is sent to that server ends with the first call that brings the news, which has to begin in time for the
+// 6 s after which it counts as told, whatever failed meanwhile. Each bad order is brought about every time; the plays
+// are waits, and run side by side.
 func TestToldInTime(t *testing.T) {
 	measured := map[string][]string{}
-	for range *plays {
+	for range *noticeRuns {
 		round(t, measured)
 	}
-	for _, p := range paths {
+	for _, p := range noticePaths {
 		for _, mode := range []string{"ask", "push"} {
 			if m := measured[mode+": "+p.name]; m != nil {
 				t.Logf("%-4s %-56s sum %.2f: %s", mode, p.name, p.sum.Seconds(), strings.Join(m, " "))
@@ -329,11 +332,11 @@
 		last time.Duration
 		err  error
 	}
-	var all []*play
-	for _, p := range paths {
-		all = append(all, startPlay(t, p, "ask"))
+	var all []*drainRun
+	for _, p := range noticePaths {
+		all = append(all, startDrainRun(t, p, "ask"))
 		if p.pushed {
-			all = append(all, startPlay(t, p, "push"))
+			all = append(all, startDrainRun(t, p, "push"))
 		}
 	}
 	results := make([]result, len(all))
@@ -353,8 +356,8 @@
 		if last <= 0 {
 			t.Errorf("%s: nothing was sent to the server that drained: this tests nothing", name)
 		}
-		if last > y.sum+slack || y.sum > told || last > told+grace {
-			t.Errorf("%s: sent to %v after it drained, %d calls; the sum is %v", name, last.Round(10*time.Millisecond), y.made.Load(), y.sum)
+		if last > y.sum+slack || y.sum > maxNoticeDelay || last > maxNoticeDelay+grace {
+			t.Errorf("%s: sent to %v after it drained, %d calls; the sum is %v", name, last.Round(10*time.Millisecond), y.callsMade.Load(), y.sum)
 		}
 		y.stop()
 	}
