--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -84,31 +84,31 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: graphql.schema: %w", op.Position("graphql.schema"), err)
 	}
-	fields := map[string]plan.Field{}
+	fields := map[string]plan.FieldMapping{}
 	for name, field := range cfg.Fields {
-		fields[name] = plan.Field{
-			Class:    field.Class,
-			Key:      field.KeyArgument,
-			Cost:     int(field.Cost),
-			Work:     time.Duration(field.ExpectedWork),
-			Deadline: time.Duration(field.Deadline),
-			Share:    field.Coalesce,
+		fields[name] = plan.FieldMapping{
+			Class:        field.Class,
+			KeyArgument:  field.KeyArgument,
+			Cost:         int(field.Cost),
+			ExpectedWork: time.Duration(field.ExpectedWork),
+			Deadline:     time.Duration(field.Deadline),
+			Coalesce:     field.Coalesce,
 		}
 	}
 	schema, err := plan.New(plan.Config{
-		Name:          cfg.SchemaFile,
+		SchemaFile:    cfg.SchemaFile,
 		SDL:           string(text),
 		Fields:        fields,
 		Classes:       classes,
 		Introspection: cfg.Introspection,
 		Limits: plan.Limits{
-			Bytes:   int(cfg.MaxDocument),
-			Tokens:  int(cfg.MaxTokens),
-			Depth:   int(cfg.MaxDepth),
-			Aliases: int(cfg.MaxAliases),
-			Roots:   int(cfg.MaxRootFields),
-			Fields:  int(cfg.MaxFields),
-			Cost:    int(cfg.MaxCost),
+			MaxBytes:      int(cfg.MaxDocument),
+			MaxTokens:     int(cfg.MaxTokens),
+			MaxDepth:      int(cfg.MaxDepth),
+			MaxAliases:    int(cfg.MaxAliases),
+			MaxRootFields: int(cfg.MaxRootFields),
+			MaxFields:     int(cfg.MaxFields),
+			MaxCost:       int(cfg.MaxCost),
 		},
 	})
 	if err != nil {
@@ -155,7 +155,7 @@
 	}
 	lines := make([]string, 0, len(errs))
 	for _, err := range errs {
-		var field plan.FieldFault
+		var field plan.FieldMappingError
 		if errors.As(err, &field) {
 			position := op.Position("graphql.field." + field.Field)
 			lines = append(lines, fmt.Sprintf("%s: graphql.field.%q: %v", position, field.Field, field.Err))
