--- a/internal/daemon/allocs_test.go
+++ b/internal/daemon/allocs_test.go
@@ -11,8 +11,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// What a request on kept connections makes the sidecar allocate, front, engine, decisions and transport, is counted,
-// not timed: the same on any machine. Client and server allocate nothing.
+// The allocations of a request on open connections, in the front, the engine, the balancer and the transport, are
+// counted and not timed, so they are the same on any machine. Client and server allocate nothing.
 func TestAllocationsOfARequest(t *testing.T) {
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
 		answer, buf := []byte(testutil.OKAnswer), make([]byte, 4096)
@@ -22,7 +22,7 @@
 				return
 			}
 			if n += k; bytes.HasSuffix(buf[:n], []byte("\r\n\r\n")) {
-				conn.Write(answer)
+				_, _ = conn.Write(answer)
 				n = 0
 			}
 		}
@@ -33,7 +33,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	request, buf := []byte("GET /look/x HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: 0000\r\nX-Class: look\r\nX-Deadline-Ms: 15000\r\n\r\n"), make([]byte, 4096)
+	request := []byte("GET /look/x HTTP/1.1\r\nHost: service.internal\r\n" +
+		"X-Request-Id: 0000\r\nX-Class: look\r\nX-Deadline-Ms: 15000\r\n\r\n")
+	buf := make([]byte, 4096)
 	id := bytes.Index(request, []byte("0000"))
 	number := 0
 	do := func() {
@@ -56,18 +58,18 @@
 	for range requests {
 		do()
 	}
-	least := 0.0
-	for range 3 { // what the runtime does beside, now and then, is no request's
+	lowest := 0.0
+	for range 3 { // the runtime allocates now and then, and the lowest count is without that
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for range requests {
 			do()
 		}
 		runtime.ReadMemStats(&after)
-		if n := float64(after.Mallocs-before.Mallocs) / requests; least == 0 || n < least {
-			least = n
+		if n := float64(after.Mallocs-before.Mallocs) / requests; lowest == 0 || n < lowest {
+			lowest = n
 		}
 	}
-	t.Logf("%.1f allocations a request", least)
-	testutil.HoldToPage(t, "allocations a request", least, 0.06)
+	t.Logf("%.1f allocations a request", lowest)
+	testutil.HoldToPage(t, "allocations a request", lowest, 0.06)
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/cluster_test.go
@@ -17,7 +17,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// clusterConfig is an operator's file with [fleet] on loopback.
+// clusterConfig returns an operator's file with [fleet] on loopback, and more keys of that table or further tables.
 func clusterConfig(t *testing.T, more string) *operator.Config {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,23 +26,26 @@
 	}
 	at := l.Addr().String()
 	l.Close()
-	op, err := operator.Parse([]byte(fmt.Sprintf("[fleet]\nname = \"f\"\nlisten = %q\nseeds = [%q]\nnetworks = [\"127.0.0.0/8\"]\n%s", at, at, more)))
+	table := fmt.Sprintf("[fleet]\nname = \"f\"\nlisten = %q\nseeds = [%q]\nnetworks = [\"127.0.0.0/8\"]\n", at, at)
+	op, err := operator.Parse([]byte(table + more))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return op
 }
 
-// Without [fleet] nothing of it is there: no source before the engine, no socket, no goroutine.
-func TestWithoutFleet(t *testing.T) {
-	goroutines := func(op *operator.Config) error { // that are new; those of earlier tests may end meanwhile
+// Without [fleet] there is no part of a cluster: no source before the engine, no socket, no goroutine.
+func TestWithoutCluster(t *testing.T) {
+	// Of the goroutines only new ones count; those of earlier tests may end meanwhile.
+	goroutines := func(op *operator.Config) error {
 		before := goleak.IgnoreCurrent()
 		s, err := build(t.Context(), config(t, testutil.NoAddr, testutil.NoAddr), op, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer s.close()
-		if on := op.Cluster != nil; (s.cluster != nil) != on || (s.endpoints != nil) != on || (s.sections()["fleet"] != nil) != on {
+		defer func() { _ = s.close() }()
+		on := op.Cluster != nil
+		if (s.cluster != nil) != on || (s.endpoints != nil) != on || (s.sections()["fleet"] != nil) != on {
 			t.Errorf("fleet on: %v; the sidecar has %v, %v", on, s.cluster, s.endpoints)
 		}
 		return goleak.Find(before)
@@ -50,17 +53,21 @@
 	if err := goroutines(new(operator.Config)); err != nil {
 		t.Errorf("before Run without [fleet]: %v", err)
 	}
-	goroutines(clusterConfig(t, ""))
-	if s, err := build(t.Context(), config(t, testutil.NoAddr, testutil.NoAddr), clusterConfig(t, "no_words = true\n"), discardLog); err != nil || s.endpoints != nil {
-		t.Errorf("no_words: %v, %v", err, s.endpoints)
-	} else {
-		s.close()
+	_ = goroutines(clusterConfig(t, "")) // only that the parts are there
+	cfg := config(t, testutil.NoAddr, testutil.NoAddr)
+	s, err := build(t.Context(), cfg, clusterConfig(t, "no_words = true\n"), discardLog)
+	if err != nil {
+		t.Fatalf("no_words: %v", err)
+	}
+	defer func() { _ = s.close() }()
+	if s.endpoints != nil {
+		t.Errorf("no_words: %v", s.endpoints)
 	}
 }
 
-// What others were told takes a server out and never adds one; held to the merge's share; and given back when the
-// word is old.
-func TestWordsTakeOut(t *testing.T) {
+// Gossiped endpoint updates remove endpoints, within the share of the merge, and never add one. An endpoint comes back
+// when the update has expired.
+func TestNoticesRemoveEndpoints(t *testing.T) {
 	op := clusterConfig(t, "")
 	b, err := newBuilder(config(t, testutil.NoAddr, testutil.NoAddr), op, discardLog)
 	if err != nil {
@@ -73,7 +80,11 @@
 	defer p.Gossip.Close()
 	var known []engine.Endpoint
 	for i := range 10 {
-		known = append(known, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 100+i), StartedAtMS: 1000})
+		known = append(known, engine.Endpoint{
+			ID:          fmt.Sprint("s", i),
+			Addr:        fmt.Sprintf("127.0.0.1:%d", 100+i),
+			StartedAtMS: 1000,
+		})
 	}
 	b.source = silentSource{}
 	b.cachedList.Endpoints = known
@@ -98,33 +109,40 @@
 	testutil.Until(t, "all are listed", func() bool { return len(s.Status()) == 10 && len(out()) == 0 })
 	p.ReceiveNotice(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 1000, ReportedBy: "b"}, true)
 	p.ReceiveNotice(cluster.EndpointNotice{Endpoint: "stranger", ReportedBy: "b"}, true)
-	testutil.Until(t, "what left is out", func() bool { return strings.Join(out(), " ") == "s1" })
-	// A liar says that all have left: the share of 0.3 holds.
-	for i := range 10 {
-		p.ReceiveNotice(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, true)
+	testutil.Until(t, "the removal", func() bool { return strings.Join(out(), " ") == "s1" })
+	// A faulty member reports that all have left: the share of 0.3 is the limit.
+	reportAll := func(holds bool) {
+		for i := range 10 {
+			notice := cluster.EndpointNotice{
+				Endpoint:   fmt.Sprint("s", i),
+				Removed:    true,
+				StartedMS:  1000,
+				ReportedBy: "liar",
+			}
+			p.ReceiveNotice(notice, holds)
+		}
 	}
-	testutil.Until(t, "the share is out", func() bool { return len(out()) == 3 })
+	reportAll(true)
+	testutil.Until(t, "removals up to the share", func() bool { return len(out()) == 3 })
 	for _, x := range s.Status() {
 		if x.ID == "stranger" {
-			t.Errorf("a word brought in a server: %+v", x)
+			t.Errorf("an update added an endpoint: %+v", x)
 		}
 	}
-	for i := range 10 {
-		p.ReceiveNotice(cluster.EndpointNotice{Endpoint: fmt.Sprint("s", i), Removed: true, StartedMS: 1000, ReportedBy: "liar"}, false)
-	}
-	testutil.Until(t, "old words hold no more", func() bool { return len(out()) == 0 })
+	reportAll(false)
+	testutil.Until(t, "the end of expired updates", func() bool { return len(out()) == 0 })
 }
 
-// quiet is a discovery that says nothing.
+// silentSource is a discovery that sends nothing.
 type silentSource struct{}
 
 func (silentSource) Watch(int64, time.Duration, func(engine.EndpointUpdate)) context.CancelFunc {
 	return func() {}
 }
 
-// The number of sidecars reaches the module in place of the setting, also where it was known before the engine was
-// there.
-func TestCountReachesTheEngine(t *testing.T) {
+// The number of sidecars reaches the module in place of the setting, also where it was known before there was an
+// engine.
+func TestClusterSizeReachesTheEngine(t *testing.T) {
 	p := new(node.Node)
 	p.SizeChanged(7)
 	var got []int
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/configmember_test.go
@@ -15,7 +15,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// parsed is a snapshot of a version.
+// parseSnapshot returns a snapshot with a version.
 func parseSnapshot(t *testing.T, version uint64, text string) *controlplane.Snapshot {
 	t.Helper()
 	s, err := controlplane.ParseSnapshot([]byte(text))
@@ -26,18 +26,19 @@
 	return s
 }
 
-// distributed is a sidecar with [config], of which neither view nor link runs.
+// startWithControlPlane starts a sidecar with [config], of which neither the cluster's node nor the member runs.
 func startWithControlPlane(t *testing.T, discovery string) *testSidecar {
 	t.Helper()
-	op := clusterConfig(t, fmt.Sprintf("no_words = true\n[config]\norigins = [%q]\ndir = %q\n", testutil.NoAddr, t.TempDir()))
+	op := clusterConfig(t,
+		fmt.Sprintf("no_words = true\n[config]\norigins = [%q]\ndir = %q\n", testutil.NoAddr, t.TempDir()))
 	r, stop := run(t, config(t, discovery, testutil.NoAddr), op)
 	t.Cleanup(stop)
 	return r
 }
 
-// Of two words on discovery's address the later one holds, be it SIGHUP's or a snapshot's; a snapshot that repeats
-// its address moves nothing, and one without goes back to the platform's.
-func TestTheLaterWordOnDiscoveryHolds(t *testing.T) {
+// Of two changes of discovery's address the latest is used, whether by SIGHUP or by a snapshot. A snapshot that repeats
+// its address changes nothing, and one without an address goes back to the platform's.
+func TestLatestDiscoveryAddressIsUsed(t *testing.T) {
 	first, firstCalls, _ := startSilentDiscovery(t)
 	second, secondCalls, _ := startSilentDiscovery(t)
 	third, thirdCalls, _ := startSilentDiscovery(t)
@@ -76,43 +77,53 @@
 	}
 }
 
-// What a snapshot says is in force with its end, what it does not say is as the platform has it, and one that the
-// module turns down changes nothing.
-func TestSnapshotIsInForceWhole(t *testing.T) {
+// What a snapshot sets has taken effect when apply returns, what it does not set is as the platform has it, and a
+// snapshot that the module rejects changes nothing.
+func TestSnapshotIsAppliedCompletely(t *testing.T) {
 	addr, calls, _ := startSilentDiscovery(t)
 	other, otherCalls, _ := startSilentDiscovery(t)
 	r := startWithControlPlane(t, addr)
 	testutil.Receive(t, calls, "the platform's discovery")
-	if err := r.configMember.apply(parseSnapshot(t, 1, "[log]\nlevel = \"debug\"\n[limits]\nmax_attempts = 1\n[fleet]\nsidecars = 7\n")); err != nil {
+	first := parseSnapshot(t, 1, "[log]\nlevel = \"debug\"\n[limits]\nmax_attempts = 1\n[fleet]\nsidecars = 7\n")
+	if err := r.configMember.apply(first); err != nil {
 		t.Fatal(err)
 	}
 	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.configMember.clusterSize != 7 {
-		t.Error("not in force")
+		t.Error("the snapshot was not applied")
 	}
 	bad := parseSnapshot(t, 2, fmt.Sprintf("[log]\nlevel = \"error\"\n[discovery]\naddr = %q\n", other))
 	nan := math.NaN()
-	bad.Settings.Price = &controlplane.Price{Probe: &nan} // as a check that missed it would let it through
+	bad.Settings.Price = &controlplane.Price{Probe: &nan} // as if validation had missed it
 	if err := r.configMember.apply(bad); err == nil || !strings.Contains(err.Error(), "PriceProbe") {
 		t.Errorf("%v", err)
 	}
-	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.currentDiscovery != addr || r.configMember.snapshotDiscovery != "" || len(otherCalls) > 0 {
-		t.Error("a part of what was turned down is in force")
+	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.currentDiscovery != addr ||
+		r.configMember.snapshotDiscovery != "" || len(otherCalls) > 0 {
+		t.Error("a part of the rejected snapshot was applied")
 	}
 	if err := r.configMember.apply(parseSnapshot(t, 3, "# nothing")); err != nil {
 		t.Fatal(err)
 	}
 	if r.log.Enabled(t.Context(), slog.LevelDebug) || r.configMember.clusterSize != 1 {
-		t.Error("what is not said is not as at the start")
+		t.Error("what the snapshot does not set is not as at the start")
 	}
 }
 
-// A snapshot never allows what the platform does not, and leaves out classes and tenants that are not this sidecar's.
-func TestRevisedKeepsWithinThePlatforms(t *testing.T) {
-	base := balancer.Settings{MaxAttempts: 3, PriceProbe: 0.5, Classes: []balancer.Class{{Name: "look", Weight: 1, LateWeight: 0.5, Effect: balancer.NonIdempotent}},
-		Tenants: []balancer.Tenant{{Name: "a", Fraction: 0.5}}}
-	s := effectiveSettings(base, &parseSnapshot(t, 1, "[limits]\nmax_attempts = 9\nsecond_copies = true\n[price]\ncross_zone = 0.25\n[class.look]\nworth = 4.0\n[class.other]\nworth = 9.0\n[tenant.a]\nfraction = 0.25\n[tenant.b]\nfraction = 0.75\n").Settings)
-	if s.MaxAttempts != 3 || s.Hedging || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 || len(s.Classes) != 1 || len(s.Tenants) != 1 ||
-		s.Classes[0] != (balancer.Class{Name: "look", Weight: 4, LateWeight: 0.5, Effect: balancer.NonIdempotent}) || s.Tenants[0].Fraction != 0.25 {
+// A snapshot never allows what the platform does not, and its other classes and tenants are ignored.
+func TestEffectiveSettingsStayWithinThePlatforms(t *testing.T) {
+	base := balancer.Settings{
+		MaxAttempts: 3,
+		PriceProbe:  0.5,
+		Classes:     []balancer.Class{{Name: "look", Weight: 1, LateWeight: 0.5, Effect: balancer.NonIdempotent}},
+		Tenants:     []balancer.Tenant{{Name: "a", Fraction: 0.5}},
+	}
+	snapshot := parseSnapshot(t, 1, "[limits]\nmax_attempts = 9\nsecond_copies = true\n[price]\ncross_zone = 0.25\n"+
+		"[class.look]\nworth = 4.0\n[class.other]\nworth = 9.0\n"+
+		"[tenant.a]\nfraction = 0.25\n[tenant.b]\nfraction = 0.75\n")
+	s := effectiveSettings(base, &snapshot.Settings)
+	class := balancer.Class{Name: "look", Weight: 4, LateWeight: 0.5, Effect: balancer.NonIdempotent}
+	if s.MaxAttempts != 3 || s.Hedging || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 ||
+		len(s.Classes) != 1 || len(s.Tenants) != 1 || s.Classes[0] != class || s.Tenants[0].Fraction != 0.25 {
 		t.Errorf("%+v", s)
 	}
 	if base.Classes[0].Weight != 1 || base.Tenants[0].Fraction != 0.5 {
@@ -123,14 +134,14 @@
 	}
 }
 
-// Without [config] nothing of it is there.
-func TestWithoutConfig(t *testing.T) {
+// Without [config] there is no part of it.
+func TestWithoutControlPlane(t *testing.T) {
 	s, err := build(t.Context(), config(t, testutil.NoAddr, testutil.NoAddr), clusterConfig(t, ""), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.close()
+	defer func() { _ = s.close() }()
 	if s.configMember != nil || s.sections()["config"] != nil || s.log != discardLog {
-		t.Error("there is something of [config]")
+		t.Error("there is a part of [config]")
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -16,37 +15,43 @@
 	"hazelwing/internal/testutil"
 )
 
-func TestRequestAndAnswerGoThroughUnchanged(t *testing.T) {
+func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 			seen <- q
-			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/x-seat\r\nKeep-Alive: 1\r\nContent-Length: 4\r\n\r\nseat")
+			send(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/x-seat\r\nKeep-Alive: 1\r\nContent-Length: 4\r\n\r\nseat")
 		}
 	})
 	r := startSidecar(t, testutil.NoAddr, addr)
-	for i, c := range []struct{ method, class, body string }{{"GET", "look", ""}, {"POST", "book", "b\x00dy"}, {"POST", "pay", "card"}} {
+	for i, c := range []struct{ method, class, body string }{
+		{"GET", "look", ""},
+		{"POST", "book", "b\x00dy"},
+		{"POST", "pay", "card"},
+	} {
 		id := strconv.Itoa(i)
 		req := r.request(t, c.method, c.class, id, c.body)
 		req.Header.Set("X-Other", "kept")
 		req.Header.Set("Te", "trailers")
 		resp, body := r.do(t, req)
-		if resp.StatusCode != 200 || body != "seat" || resp.Header.Get("Content-Type") != "text/x-seat" || resp.Header.Get("Keep-Alive") != "" {
+		if resp.StatusCode != 200 || body != "seat" ||
+			resp.Header.Get("Content-Type") != "text/x-seat" || resp.Header.Get("Keep-Alive") != "" {
 			t.Errorf("%s: %s %q %v", c.class, resp.Status, body, resp.Header)
 		}
 		q := testutil.Receive(t, seen, "the request")
 		got, _ := io.ReadAll(q.Body)
 		left, _ := strconv.Atoi(q.Header.Get("X-Deadline-Ms"))
 		if q.Method != c.method || q.RequestURI != "/"+c.class+"/a%2Fb?q=1" || string(got) != c.body ||
-			q.Header.Get("X-Request-Id") != id || q.Header.Get("Idempotency-Key") != req.Header.Get("Idempotency-Key") ||
+			q.Header.Get("X-Request-Id") != id ||
+			q.Header.Get("Idempotency-Key") != req.Header.Get("Idempotency-Key") ||
 			q.Header.Get("X-Other") != "kept" || q.Header.Get("Te") != "" || left <= 0 || left > 15000 {
 			t.Errorf("%s: %s %s %q %v", c.class, q.Method, q.RequestURI, got, q.Header)
 		}
 	}
 }
 
-// An upstream's own 503 says nothing of whether the request ran. Guards against passing it on: the client would take
-// it for a refusal and repeat what must not run twice.
+// An upstream's own 503 does not tell whether the request ran. This prevents forwarding it: the client would take it
+// for a rejection and repeat what must not run twice.
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	for name, reply := range map[string]string{
 		"503":   "HTTP/1.1 503 Hm\r\nContent-Length: 0\r\n\r\n",
@@ -57,7 +62,8 @@
 			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
 					copies <- true
-					if io.WriteString(conn, reply); reply == "" {
+					send(conn, reply)
+					if reply == "" {
 						conn.Close()
 					}
 				}
@@ -71,8 +77,8 @@
 	}
 }
 
-// Guards against asking all upstreams for what none can take, and blaming them for it.
-func TestBadRequestIsTheClients(t *testing.T) {
+// This prevents retries of a request that no upstream accepts, and counting them as faults of the upstreams.
+func TestClientErrorIsNotRetried(t *testing.T) {
 	var copies atomic.Int32
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		copies.Add(1)
@@ -80,19 +86,20 @@
 	}))
 	defer upstream.Close()
 	r := startSidecar(t, testutil.NoAddr, upstream.Listener.Addr().String())
-	if resp, body := r.do(t, r.request(t, "GET", "look", "1", "")); resp.StatusCode != 404 || body != "no such seat\n" || copies.Load() != 1 {
+	resp, body := r.do(t, r.request(t, "GET", "look", "1", ""))
+	if resp.StatusCode != 404 || body != "no such seat\n" || copies.Load() != 1 {
 		t.Errorf("%s %q after %d copies", resp.Status, body, copies.Load())
 	}
 }
 
-// What was turned away unseen may be sent again, also where it must not run twice.
-func TestTurnedAwayIsSentAgain(t *testing.T) {
+// A request that was rejected before it ran may be retried, also where it must not run twice.
+func TestRejectedRequestIsRetried(t *testing.T) {
 	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for i := 0; testutil.ReadRequest(r) != nil; i++ {
 			if n == 0 && i == 0 {
-				io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+				send(conn, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			} else {
-				io.WriteString(conn, testutil.OKAnswer)
+				send(conn, testutil.OKAnswer)
 			}
 		}
 	})
@@ -102,12 +109,12 @@
 	}
 }
 
-// A second request under an id in hand would leave one of the two without an answer.
-func TestIDInHand(t *testing.T) {
-	came, release := make(chan bool, 1), make(chan bool)
+// A second request with the ID of one in flight would leave one of the two without a response.
+func TestRequestIDInFlightIsRejected(t *testing.T) {
+	arrived, release := make(chan bool, 1), make(chan bool)
 	answer := sync.OnceFunc(func() { close(release) })
-	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
+	upstream := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		arrived <- true
 		<-release
 	}))
 	defer upstream.Close()
@@ -116,10 +123,11 @@
 	status := make(chan int, 1)
 	go func() {
 		if resp, err := r.client.Do(r.request(t, "POST", "book", "1", "x")); err == nil {
+			resp.Body.Close()
 			status <- resp.StatusCode
 		}
 	}()
-	testutil.Receive(t, came, "the first")
+	testutil.Receive(t, arrived, "the first")
 	if resp, _ := r.do(t, r.request(t, "POST", "book", "1", "x")); resp.StatusCode != 400 {
 		t.Errorf("the second got %s", resp.Status)
 	}
@@ -129,8 +137,8 @@
 	}
 }
 
-// The list that discovery tells replaces the known one, and the sidecar goes on without discovery. A pushed list
-// comes without the module's asking, and its agent is asked again when it was silent.
+// The list of discovery replaces the initial one, and the sidecar continues without discovery. A pushed list arrives
+// without a call of the module, and its agent is called again after silence.
 func TestFollowsDiscovery(t *testing.T) {
 	for _, mode := range []string{"ask", "push"} {
 		t.Run(mode, func(t *testing.T) { followsDiscovery(t, mode) })
@@ -139,26 +147,27 @@
 
 func followsDiscovery(t *testing.T, mode string) {
 	var calls atomic.Int32
-	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "new") }))
+	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { send(w, "new") }))
 	defer upstream.Close()
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		fmt.Fprintf(w, `{"seq":2,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"a","class":"m","block":0,"health":"SERVING","share":1.0,"born_ms":0}]}`+"\n",
-			upstream.Listener.Addr())
+		entry := endpointEntry("s", upstream.Listener.Addr().String())
+		send(w, `{"seq":2,"whole":true,"hosts":[`+entry+"]}\n")
 	}))
 	defer discovery.Close()
 	r := startSidecar(t, discovery.Listener.Addr().String(), testutil.NoAddr, `"ask"`, strconv.Quote(mode))
-	// The known address refuses until the list moves it: the sidecar refuses too, and asking again is harmless.
-	begun := time.Now()
+	// The initial address refuses connections until the list changes it: the sidecar rejects too, and a retry is
+	// harmless.
+	started := time.Now()
 	for n := 0; ; n++ {
 		resp, body := r.do(t, r.request(t, "GET", "look", strconv.Itoa(n), ""))
 		if resp.StatusCode == 200 && body == "new" {
 			break
 		}
-		if time.Since(begun) > testutil.Patience {
+		if time.Since(started) > testutil.Patience {
 			t.Fatalf("%s %q", resp.Status, body)
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/daemon/deploy_test.go
+++ b/internal/daemon/deploy_test.go
@@ -16,13 +16,15 @@
 	"hazelwing/internal/emulator"
 	"hazelwing/internal/emulator/dnsserver"
 	"hazelwing/internal/operator"
+	"hazelwing/internal/platform"
 	"hazelwing/internal/testutil"
 )
 
-var deploy = flag.Bool("deploy", false, "measure service round a deploy that the node list tells of five seconds late (a minute)")
+var deploy = flag.Bool("deploy", false,
+	"measure service during a deploy that the endpoint list shows five seconds late (a minute)")
 
-// Six nodes are replaced one after the other; a name service tells of each at once, the node list five seconds later.
-// The same with the list alone, with the name service alone and with both.
+// Six nodes are replaced one after the other. A name service lists each at once, the endpoint list five seconds later.
+// This is measured with the list alone, with the name service alone and with both.
 //
 //	go test ./internal/daemon -run DeployWithALateList -deploy -v
 func TestDeployWithALateList(t *testing.T) {
@@ -42,83 +44,122 @@
 	}
 }
 
-// deployed plays one deploy and returns the share of 15 s of requests that was served.
-func serviceDuringDeploy(t *testing.T, withList, withSRV bool) float64 {
-	const nodes, length, late, gap, exits = 6, 15 * time.Second, 5 * time.Second, 400 * time.Millisecond, 1500 * time.Millisecond
+// Of a deploy: the number of nodes, how long requests are sent, how late the endpoint list has a replacement, the time
+// between two replacements, and after which an old node exits.
+const (
+	deployNodes           = 6
+	deployLength          = 15 * time.Second
+	deployListDelay       = 5 * time.Second
+	deployGap             = 400 * time.Millisecond
+	deployExitDelay       = 1500 * time.Millisecond
+	deployWarmUp          = 3 * time.Second
+	deployRequestInterval = 10 * time.Millisecond // between two requests
+)
+
+// rollout is a set of nodes that a deploy replaces one by one, and where they are listed.
+type rollout struct {
+	discovery *emulator.Discovery
+	dns       *dnsserver.Server
+	servers   [deployNodes]*httptest.Server
+	hosts     [deployNodes]emulator.Host
+	ports     [deployNodes]string // that are serving, as the name service lists them
+}
+
+// startNode starts a node.
+func startNode(t *testing.T, name string) (*httptest.Server, emulator.Host) {
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		time.Sleep(5 * time.Millisecond)
+		send(w, "ok")
+	}))
+	t.Cleanup(s.Close)
+	return s, emulator.Host{Host: name, Dial: s.Listener.Addr().String(), Site: "a", Class: "m", Health: "SERVING"}
+}
+
+// startRollout starts the nodes before the deploy.
+func startRollout(t *testing.T) *rollout {
+	t.Helper()
 	d, err := emulator.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
-	var mu sync.Mutex
-	var ports []string // that are serving
-	ns, err := dnsserver.New(names())
+	t.Cleanup(d.Close)
+	dns, err := dnsserver.New(srvReply())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ns.Close()
-	serve := func(name string) (*httptest.Server, emulator.Host) {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(5 * time.Millisecond)
-			io.WriteString(w, "ok")
-		}))
-		t.Cleanup(s.Close)
-		return s, emulator.Host{Host: name, Dial: s.Listener.Addr().String(), Site: "a", Class: "m", Health: "SERVING"}
+	t.Cleanup(dns.Close)
+	r := &rollout{discovery: d, dns: dns}
+	for i := range deployNodes {
+		r.servers[i], r.hosts[i] = startNode(t, fmt.Sprint("old", i))
+		d.Set(r.hosts[i])
+		r.listPort(i, r.hosts[i].Dial)
 	}
-	swap := func(i int, addr string) {
-		_, port, _ := net.SplitHostPort(addr)
-		mu.Lock()
-		defer mu.Unlock()
-		if i == len(ports) {
-			ports = append(ports, port)
+	return r
+}
+
+// listPort has the name service list another port for a node.
+func (r *rollout) listPort(i int, addr string) {
+	_, r.ports[i], _ = net.SplitHostPort(addr)
+	var listed []string
+	for _, port := range r.ports {
+		if port != "" {
+			listed = append(listed, port)
 		}
-		ports[i] = port
-		ns.Answer(names(append([]string(nil), ports...)...))
 	}
-	var servers []*httptest.Server
-	var hosts []emulator.Host
-	for i := range nodes {
-		s, h := serve(fmt.Sprint("old", i))
-		servers, hosts = append(servers, s), append(hosts, h)
-		d.Set(h)
-		swap(i, h.Dial)
+	r.dns.Answer(srvReply(listed...))
+}
+
+// replaceAll replaces the nodes one by one. The name service lists each at once, the endpoint list late.
+func (r *rollout) replaceAll(t *testing.T) {
+	for i := range deployNodes {
+		s, h := startNode(t, fmt.Sprint("new", i))
+		h.BornMS = float64(time.Now().UnixMilli())
+		old := r.hosts[i]
+		old.Health = "DRAINING"
+		r.listPort(i, h.Dial)
+		time.AfterFunc(deployListDelay, func() { r.discovery.Set(h); r.discovery.Set(old) })
+		time.AfterFunc(deployExitDelay, r.servers[i].Close)
+		r.hosts[i], r.servers[i] = h, s
+		time.Sleep(deployGap)
 	}
+}
+
+// configuration returns the sidecar's configuration with the sources that it is to use.
+func (r *rollout) configuration(t *testing.T, withList, withSRV bool) (*platform.Config, *operator.Config) {
+	t.Helper()
 	text := ""
 	if withSRV {
-		text = fmt.Sprintf("[members]\nsettle = \"50ms\"\n[members.srv]\nname = %q\nservers = [%q]\nmin_ttl = \"200ms\"\ntimeout = \"200ms\"\nprivate = true\n", bookings, ns.Addr)
+		text = fmt.Sprintf("[members]\nsettle = \"50ms\"\n[members.srv]\nname = %q\nservers = [%q]\n"+
+			"min_ttl = \"200ms\"\ntimeout = \"200ms\"\nprivate = true\n", bookingService, r.dns.Addr)
 	}
 	op, err := operator.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	discovery, list := d.Addr(), []string{}
-	for _, h := range hosts {
-		list = append(list, endpointEntry(h.Host, h.Dial))
-	}
 	if !withList {
-		discovery, list = testutil.NoAddr, nil
+		return config(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(nil)...), op
 	}
-	r, stop := run(t, config(t, discovery, testutil.NoAddr, knownEndpoints(list)...), op)
-	defer stop()
+	var list []string
+	for _, h := range r.hosts {
+		list = append(list, endpointEntry(h.Host, h.Dial))
+	}
+	return config(t, r.discovery.Addr(), testutil.NoAddr, knownEndpoints(list)...), op
+}
 
+// serviceDuringDeploy runs one deploy and returns the share of the requests that was served.
+func serviceDuringDeploy(t *testing.T, withList, withSRV bool) float64 {
+	nodes := startRollout(t)
+	cfg, op := nodes.configuration(t, withList, withSRV)
+	r, stop := run(t, cfg, op)
+	defer stop()
 	var all sync.WaitGroup
 	all.Go(func() {
-		time.Sleep(3 * time.Second)
-		for i := range nodes {
-			s, h := serve(fmt.Sprint("new", i))
-			h.BornMS = float64(time.Now().UnixMilli())
-			old := hosts[i]
-			old.Health = "DRAINING"
-			swap(i, h.Dial)
-			time.AfterFunc(late, func() { d.Set(h); d.Set(old) })
-			time.AfterFunc(exits, servers[i].Close)
-			hosts[i], servers[i] = h, s
-			time.Sleep(gap)
-		}
+		time.Sleep(deployWarmUp)
+		nodes.replaceAll(t)
 	})
-	var served, asked atomic.Int64
-	for began, n := time.Now(), 0; time.Since(began) < length; n++ {
-		asked.Add(1)
+	var served, sent atomic.Int64
+	for started, n := time.Now(), 0; time.Since(started) < deployLength; n++ {
+		sent.Add(1)
 		req := r.request(t, "GET", "look", strconv.Itoa(n), "")
 		req.Header.Set("X-Deadline-Ms", "500")
 		all.Go(func() {
@@ -126,14 +167,14 @@
 			if err != nil {
 				return
 			}
-			io.Copy(io.Discard, resp.Body)
+			_, _ = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				served.Add(1)
 			}
 		})
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(deployRequestInterval)
 	}
 	all.Wait()
-	return float64(served.Load()) / float64(asked.Load())
+	return float64(served.Load()) / float64(sent.Load())
 }
--- /dev/null
+++ b/internal/daemon/disconnect_test.go
@@ -0,0 +1,369 @@
+package daemon
+
+import (
+	"bufio"
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/operator"
+	"hazelwing/internal/testutil"
+)
+
+// Clients that disconnect while their request waits: docs/design/crossings.md. The requests that arrive afterwards are
+// counted at the upstream's socket. The request of another client follows, so that none can still be in flight.
+
+// disconnects are the ways in which a client disconnects.
+var disconnects = map[string]func(c *net.TCPConn){
+	"FIN":   func(c *net.TCPConn) { c.Close() },
+	"reset": func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
+	"FIN behind more": func(c *net.TCPConn) {
+		send(c, "GET /look/more HTTP/1.1\r\n")
+		c.Close()
+	},
+	"FIN behind far more": func(c *net.TCPConn) { // more than is read ahead at once, and than the kernel buffers
+		_, _ = c.Write(make([]byte, 512<<10))
+		c.Close()
+	},
+}
+
+// arrivals are the IDs of the requests that arrived at an upstream's socket.
+type arrivals struct {
+	mu  sync.Mutex
+	ids []string
+}
+
+func (a *arrivals) add(id string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.ids = append(a.ids, id)
+}
+
+func (a *arrivals) String() string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return strings.Join(a.ids, " ")
+}
+
+// sendRequest opens a connection and writes the request of the client that disconnects.
+func (r *testSidecar) sendRequest(t *testing.T, method, class string) *net.TCPConn {
+	t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	body := ""
+	if method == "POST" {
+		body = "x"
+	}
+	if err := r.request(t, method, class, "leaves", body).Write(c); err != nil {
+		t.Fatal(err)
+	}
+	return c.(*net.TCPConn)
+}
+
+// checkOtherClientIsServed sends the request of a client that waits for its response.
+func (r *testSidecar) checkOtherClientIsServed(t *testing.T) {
+	t.Helper()
+	if resp, _ := r.do(t, r.request(t, "GET", "look", "stays", "")); resp.StatusCode != http.StatusOK {
+		t.Errorf("the other client got %s", resp.Status)
+	}
+}
+
+var disconnectRequests = []struct{ method, class string }{{"GET", "look"}, {"POST", "book"}, {"POST", "pay"}}
+
+// forEachDisconnect runs a test for each way of disconnecting and each class.
+func forEachDisconnect(t *testing.T, test func(t *testing.T, method, class string, disconnect func(*net.TCPConn))) {
+	for name, disconnect := range disconnects {
+		for _, a := range disconnectRequests {
+			t.Run(name+" "+a.class, func(t *testing.T) {
+				t.Parallel() // some wait for timers of the kernel
+				test(t, a.method, a.class, disconnect)
+			})
+		}
+	}
+}
+
+// waitForDisconnect waits until the kernel at the sidecar's side knows that the client has disconnected, which is when
+// the sidecar can know it.
+func waitForDisconnect(t *testing.T, client net.Conn) {
+	t.Helper()
+	testutil.Until(t, "the client's disconnect", func() bool {
+		return !kernelHasConn(t, client.RemoteAddr(), client.LocalAddr(), stateEstablished)
+	})
+}
+
+// States of the kernel's connections.
+const (
+	stateEstablished = "01"
+	stateSynSent     = "02"
+)
+
+// kernelHasConn reports whether the kernel has a connection between two addresses in a state; from nil stands for any.
+func kernelHasConn(t *testing.T, from, to net.Addr, state string) bool {
+	t.Helper()
+	table, err := os.ReadFile("/proc/net/tcp")
+	if err != nil {
+		t.Fatal(err)
+	}
+	hex := func(a net.Addr) string { // as in /proc/net/tcp
+		at := a.(*net.TCPAddr)
+		return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(at.IP.To4()), at.Port)
+	}
+	for line := range strings.Lines(string(table)) {
+		f := strings.Fields(line)
+		if len(f) > 3 && (from == nil || f[1] == hex(from)) && f[2] == hex(to) && f[3] == state {
+			return true
+		}
+	}
+	return false
+}
+
+// The request waits for an endpoint, and there is one only after the client has disconnected.
+func TestDisconnectBeforeThereIsAnEndpoint(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
+		var arrived arrivals
+		addr := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
+				arrived.add(q.Header.Get("X-Request-Id"))
+				send(c, testutil.OKAnswer)
+			}
+		})
+		d, err := emulator.NewDiscovery()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(d.Close)
+		r := startSidecar(t, d.Addr(), testutil.NoAddr, endpointEntry("s", testutil.NoAddr), "")
+		c := r.sendRequest(t, method, class)
+		disconnect(c)
+		waitForDisconnect(t, c)
+		d.Set(emulator.Host{Host: "s", Dial: addr, Site: "a", Class: "m", Health: "SERVING"})
+		r.checkOtherClientIsServed(t)
+		if got := arrived.String(); got != "stays" {
+			t.Errorf("arrived: %s", got)
+		}
+	})
+}
+
+// listenWithoutBacklog returns a listener with a backlog of one connection, the smallest that the kernel has.
+func listenWithoutBacklog(t *testing.T) *net.TCPListener {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := os.NewFile(uintptr(fd), "listener")
+	defer f.Close()
+	bound := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+	if err := errors.Join(bound, syscall.Listen(fd, 0)); err != nil {
+		t.Fatal(err)
+	}
+	l, err := net.FileListener(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l.(*net.TCPListener)
+}
+
+// fillBacklog fills the backlog: no connection is established before one is accepted.
+func fillBacklog(t *testing.T, l net.Listener) {
+	t.Helper()
+	first, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { first.Close() })
+}
+
+// serve accepts connections from now on, and answers each request.
+func (a *arrivals) serve(l net.Listener) {
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go a.answer(c)
+		}
+	}()
+}
+
+// answer answers each request of a connection.
+func (a *arrivals) answer(c net.Conn) {
+	defer c.Close()
+	from := bufio.NewReader(c)
+	for q := testutil.ReadRequest(from); q != nil; q = testutil.ReadRequest(from) {
+		a.add(q.Header.Get("X-Request-Id"))
+		send(c, testutil.OKAnswer)
+	}
+}
+
+// The connection to the upstream is established after the client has disconnected: its backlog is full until then.
+func TestDisconnectWhileDialing(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
+		l := listenWithoutBacklog(t)
+		fillBacklog(t, l)
+		r := startSidecar(t, testutil.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
+		c := r.sendRequest(t, method, class)
+		waitForDial(t, l.Addr())
+		disconnect(c)
+		waitForDisconnect(t, c)
+		var arrived arrivals
+		arrived.serve(l)
+		r.checkOtherClientIsServed(t)
+		if got := arrived.String(); got != "stays" {
+			t.Errorf("arrived: %s", got)
+		}
+	})
+}
+
+// waitForDial waits until the kernel tries to establish a connection to addr.
+func waitForDial(t *testing.T, addr net.Addr) {
+	t.Helper()
+	testutil.Until(t, "the dial", func() bool { return isDialing(t, addr) })
+}
+
+// isDialing reports whether the kernel tries to establish a connection to addr.
+func isDialing(t *testing.T, addr net.Addr) bool {
+	t.Helper()
+	return kernelHasConn(t, nil, addr, stateSynSent)
+}
+
+// The first attempt is rejected before it ran, after the client has disconnected: there is no retry.
+func TestDisconnectBeforeRetry(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
+		var arrived arrivals
+		here, turn := make(chan bool), make(chan bool)
+		serve := func(_ int, c net.Conn, r *bufio.Reader) {
+			for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
+				id := q.Header.Get("X-Request-Id")
+				if arrived.add(id); id == "leaves" {
+					here <- true
+					<-turn
+					send(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+				} else {
+					send(c, testutil.OKAnswer)
+				}
+			}
+		}
+		one, other := testutil.Raw(t, serve), testutil.Raw(t, serve)
+		entries := []string{endpointEntry("s0", one), endpointEntry("s1", other)}
+		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(entries)...)
+		c := r.sendRequest(t, method, class)
+		testutil.Receive(t, here, "the first attempt")
+		disconnect(c)
+		waitForDisconnect(t, c)
+		turn <- true
+		r.checkOtherClientIsServed(t)
+		if got := arrived.String(); got != "leaves stays" {
+			t.Errorf("arrived: %s", got)
+		}
+	})
+}
+
+// A retry was decided on, and its connection is established after the client has disconnected.
+func TestDisconnectWhileRetryIsDialing(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
+		var arrived arrivals
+		asked, turn, idle := make(chan int, 2), make(chan bool), make(chan bool, 2)
+		lists := []*net.TCPListener{listenWithoutBacklog(t), listenWithoutBacklog(t)}
+		for i, l := range lists {
+			go func() {
+				c, err := l.Accept()
+				if err != nil {
+					idle <- true
+					return
+				}
+				defer c.Close()
+				arrived.add(testutil.ReadRequest(bufio.NewReader(c)).Header.Get("X-Request-Id"))
+				asked <- i
+				<-turn
+				l.Close() // it gets no retry
+				send(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+			}()
+		}
+		change := knownEndpoints([]string{
+			endpointEntry("s0", lists[0].Addr().String()),
+			endpointEntry("s1", lists[1].Addr().String()),
+		})
+		change = append(change, `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
+		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, change...)
+		c := r.sendRequest(t, method, class)
+		other := lists[1-testutil.Receive(t, asked, "the first attempt")]
+		_ = other.SetDeadline(time.Unix(1, 0))
+		testutil.Receive(t, idle, "the end of its accepting")
+		fillBacklog(t, other)
+		turn <- true
+		waitForDial(t, other.Addr())
+		disconnect(c)
+		waitForDisconnect(t, c)
+		_ = other.SetDeadline(time.Time{})
+		arrived.serve(other)
+		testutil.Until(t, "the end of the dial", func() bool { return !isDialing(t, other.Addr()) })
+		r.checkOtherClientIsServed(t)
+		if got := arrived.String(); got != "leaves stays" {
+			t.Errorf("arrived: %s", got)
+		}
+	})
+}
+
+// The client has disconnected before its request is read: the process is behind, and everything waits in the kernel.
+func TestDisconnectBeforeRequestIsRead(t *testing.T) {
+	for name, disconnect := range disconnects {
+		if strings.Contains(name, "far") {
+			continue // a close behind more than the kernel buffers cannot be known before that is read
+		}
+		t.Run(name, func(t *testing.T) {
+			var arrived arrivals
+			addr := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+				for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
+					arrived.add(q.Header.Get("X-Request-Id"))
+					send(c, testutil.OKAnswer)
+				}
+			})
+			cfg := config(t, testutil.NoAddr, addr)
+			s, err := build(t.Context(), cfg, new(operator.Config), discardLog)
+			if err != nil {
+				t.Fatal(err)
+			}
+			l, err := net.Listen("tcp", cfg.Listen)
+			if err != nil {
+				t.Fatal(err)
+			}
+			r := &testSidecar{
+				sidecar: s,
+				url:     "http://" + l.Addr().String(),
+				client:  &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience},
+			}
+			for _, a := range disconnectRequests {
+				c := r.sendRequest(t, a.method, a.class) // into the backlog: nothing of the sidecar runs yet
+				disconnect(c)
+				waitForDisconnect(t, c)
+			}
+			ctx, end := context.WithCancel(t.Context())
+			var parts sync.WaitGroup
+			parts.Go(func() { s.engine.Run(ctx) })
+			parts.Go(func() { _ = s.front.Serve(ctx, l, 10, discardLog) })
+			r.checkOtherClientIsServed(t)
+			if got := arrived.String(); got != "stays" {
+				t.Errorf("arrived: %s", got)
+			}
+			r.client.CloseIdleConnections()
+			end()
+			parts.Wait()
+		})
+	}
+}
--- a/internal/daemon/members_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -19,10 +18,10 @@
 	"hazelwing/internal/testutil"
 )
 
-const bookings = "_booking._tcp.example.org."
+const bookingService = "_booking._tcp.example.org."
 
-// names is a name service that lists these ports of 127.0.0.1, for a tenth of a second.
-func names(ports ...string) dnsserver.Reply {
+// srvReply returns the replies of a name service that lists ports of 127.0.0.1, for a tenth of a second.
+func srvReply(ports ...string) dnsserver.Reply {
 	return func(q dnsmessage.Message, _ bool) [][]byte {
 		var list []dnsmessage.Resource
 		for i, text := range ports {
@@ -30,7 +29,9 @@
 			host := fmt.Sprintf("n%d.example.org.", i)
 			switch q.Questions[0].Type {
 			case dnsmessage.TypeSRV:
-				list = append(list, dnsserver.Record(bookings, 0, &dnsmessage.SRVResource{Target: dnsmessage.MustNewName(host), Port: uint16(port), Weight: 1}))
+				target := dnsmessage.MustNewName(host)
+				srv := &dnsmessage.SRVResource{Target: target, Port: uint16(port), Weight: 1}
+				list = append(list, dnsserver.Record(bookingService, 0, srv))
 			case dnsmessage.TypeA:
 				if q.Questions[0].Name.String() == host {
 					list = append(list, dnsserver.Record(host, 0, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}}))
@@ -41,15 +42,15 @@
 	}
 }
 
-// A name service beside discovery: what only it names is sent to; what the list says to drain is sent nothing new
-// beyond the grace, though the name service lists it on; and a name service that is silent takes nothing away.
+// A name service beside discovery: an endpoint that only it lists gets requests. One that discovery lists as draining
+// gets no new ones beyond the grace, though the name service still lists it. A silent name service removes nothing.
 func TestSRVBesideDiscovery(t *testing.T) {
 	var seen [2]atomic.Int64
 	var ports [2]string
 	for i := range ports {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			seen[i].Add(1)
-			io.WriteString(w, "ok")
+			send(w, "ok")
 		}))
 		defer node.Close()
 		_, ports[i], _ = net.SplitHostPort(node.Listener.Addr().String())
@@ -61,20 +62,22 @@
 	defer d.Close()
 	host := emulator.Host{Host: "n0", Dial: "127.0.0.1:" + ports[0], Site: "a", Class: "m", Health: "SERVING"}
 	d.Set(host)
-	dns, err := dnsserver.New(names(ports[0]))
+	dns, err := dnsserver.New(srvReply(ports[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer dns.Close()
-	op, err := operator.Parse([]byte(fmt.Sprintf("[members]\nsettle = \"10ms\"\n[members.srv]\nname = %q\nservers = [%q]\nmin_ttl = \"100ms\"\ntimeout = \"200ms\"\nprivate = true\n",
-		bookings, dns.Addr)))
+	table := fmt.Sprintf("[members]\nsettle = \"10ms\"\n[members.srv]\nname = %q\nservers = [%q]\n"+
+		"min_ttl = \"100ms\"\ntimeout = \"200ms\"\nprivate = true\n", bookingService, dns.Addr)
+	op, err := operator.Parse([]byte(table))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r, stop := run(t, config(t, d.Addr(), testutil.NoAddr), op)
 	defer stop()
 	n := 0
-	ask := func() bool { // refused is as good: a node that may just have started is spared
+	// A rejection is as good: a node that may just have started is warming up.
+	ask := func() bool {
 		n++
 		resp, _ := r.do(t, r.request(t, "GET", "look", strconv.Itoa(n), ""))
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
@@ -83,13 +86,16 @@
 		return resp.StatusCode == http.StatusOK
 	}
 	ask()
-	dns.Answer(names(ports[0], ports[1]))
-	testutil.Until(t, "a request to the node that only the name service names", func() bool { ask(); return seen[1].Load() > 0 })
+	dns.Answer(srvReply(ports[0], ports[1]))
+	testutil.Until(t, "a request to the node that only the name service names", func() bool {
+		ask()
+		return seen[1].Load() > 0
+	})
 
 	host.Health = "DRAINING"
-	told := time.Now()
+	drainedAt := time.Now()
 	d.Set(host)
-	for time.Since(told) < 600*time.Millisecond { // the grace, and what a busy machine adds to it
+	for time.Since(drainedAt) < 600*time.Millisecond { // the grace, and the delay of a busy machine
 		ask()
 	}
 	before := seen[0].Load()
@@ -100,7 +106,8 @@
 		t.Errorf("%d requests went to a node that drains", after-before)
 	}
 	for _, e := range r.endpoints.Status() {
-		if drains := e.Addr == host.Dial || e.ID == "addr "+host.Dial; e.Listed == drains || drains && e.Reason != "list says that it has left" {
+		drains := e.Addr == host.Dial || e.ID == "addr "+host.Dial
+		if e.Listed == drains || drains && e.Reason != "list says that it has left" {
 			t.Errorf("in the list: %+v", e)
 		}
 	}
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// topKeys are the keys of a JSON object, in order.
+// objectKeys returns the keys of a JSON object, in order.
 func objectKeys(t *testing.T, text []byte) (keys []string) {
 	t.Helper()
 	in := json.NewDecoder(strings.NewReader(string(text)))
@@ -35,13 +35,16 @@
 	return keys
 }
 
-// GET /config is the member's state, in one object with what this sidecar acts on. The member's own part is held in
-// package transport.
+// GET /config is the member's state, in one object with what this sidecar follows. A test of package transport has the
+// golden file of the member's own part.
 func TestConfigurationStateFormatIsStable(t *testing.T) {
 	member, err := transport.NewMember(transport.MemberConfig{
-		Follower: controlplane.FollowerConfig{Cluster: "f", Self: "m1"}, Origins: []string{testutil.NoAddr}, MaxSubscribers: 4,
-		Selector: bootstrap.Config{Self: "m1", Roots: 1, FanOut: 2, ConfiguredSize: 1, RandomSeed: 1}, Log: slog.New(slog.DiscardHandler),
-		Apply: func(*controlplane.Snapshot) error { return nil },
+		Follower:       controlplane.FollowerConfig{Cluster: "f", Self: "m1"},
+		Origins:        []string{testutil.NoAddr},
+		MaxSubscribers: 4,
+		Selector:       bootstrap.Config{Self: "m1", Roots: 1, FanOut: 2, ConfiguredSize: 1, RandomSeed: 1},
+		Log:            slog.New(slog.DiscardHandler),
+		Apply:          func(*controlplane.Snapshot) error { return nil },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -56,15 +59,19 @@
 		stop()
 		<-ended
 	}()
-	part := &configMember{member: member, sidecar: &sidecar{currentDiscovery: "10.0.0.2:8500"}, level: new(slog.LevelVar)}
+	part := &configMember{
+		member:  member,
+		sidecar: &sidecar{currentDiscovery: "10.0.0.2:8500"},
+		level:   new(slog.LevelVar),
+	}
 	state := part.state()
 	testutil.ExplicitNames(t, "json", state)
 	text, err := json.Marshal(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := strings.Fields("held acts kept refused older conflicts broken foreign fetches crowded highest ready not_confirmed_for upstreams got " +
-		"report serves discovery level")
+	want := strings.Fields("held acts kept refused older conflicts broken foreign fetches crowded highest ready " +
+		"not_confirmed_for upstreams got report serves discovery level")
 	if got := objectKeys(t, text); !reflect.DeepEqual(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -30,7 +30,7 @@
 	gqlFigures    = flag.Bool("gql.figures", false, "TestGraphQLGoodput: measure")
 )
 
-// gqlRig is a daemon with GraphQL before stand-in nodes.
+// graphQLSidecar is a sidecar with GraphQL in front of emulated nodes.
 type graphQLSidecar struct {
 	*testSidecar
 	fleet *emulator.Fleet
@@ -40,7 +40,13 @@
 func startGraphQLSidecar(t *testing.T, nodes []emulator.NodeConfig, m gqlnode.Mischief) *graphQLSidecar {
 	t.Helper()
 	traffic := &emulator.Traffic{Head: emulator.Head{Classes: gqlnode.Classes}}
-	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), NewServer: gqlnode.New(m), Slack: 500 * time.Millisecond, Notice: 50 * time.Millisecond})
+	fleet, err := emulator.NewFleet(emulator.FleetConfig{
+		Nodes:     nodes,
+		Effects:   traffic.Effects(),
+		NewServer: gqlnode.New(m),
+		Slack:     500 * time.Millisecond,
+		Notice:    50 * time.Millisecond,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,11 +59,13 @@
 	if err := os.WriteFile(schema, []byte(gqlnode.SDL), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	op, err := operator.Parse([]byte(strings.NewReplacer("LISTEN", "127.0.0.1:0", "SCHEMA", schema).Replace(gqlnode.Operator)))
+	file := strings.NewReplacer("LISTEN", "127.0.0.1:0", "SCHEMA", schema).Replace(gqlnode.Operator)
+	op, err := operator.Parse([]byte(file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	warm := strings.Replace(string(text), `"WarmUpMs":4000`, `"WarmUpMs":100`, 1) // these nodes start warm, and are killed all the time
+	// These nodes start warm, and are killed all the time.
+	warm := strings.Replace(string(text), `"WarmUpMs":4000`, `"WarmUpMs":100`, 1)
 	r, stop := run(t, parseConfig(t, warm), op)
 	t.Cleanup(stop)
 	ctx, end := context.WithCancel(context.Background())
@@ -79,9 +87,9 @@
 	return g
 }
 
-// ask posts a request, and gives its status and body.
+// ask posts a request and returns its status and body.
 func (g *graphQLSidecar) ask(t testing.TB, body []byte, patience time.Duration) (int, []byte) {
-	req, err := http.NewRequest("POST", g.url, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(t.Context(), "POST", g.url, bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,19 +108,35 @@
 	return resp.StatusCode, out
 }
 
-func sixNodes() (list []emulator.NodeConfig) {
-	for i := range 6 {
-		list = append(list, emulator.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1, Seed: uint64(i + 1)})
+// nodeConfigs returns count nodes in three zones.
+func nodeConfigs(count int) []emulator.NodeConfig {
+	nodes := make([]emulator.NodeConfig, count)
+	for i := range nodes {
+		nodes[i] = emulator.NodeConfig{
+			Name:  fmt.Sprint("n", i),
+			Zone:  string(rune('a' + i%3)),
+			Kind:  "m",
+			Speed: 1,
+			Seed:  uint64(i + 1),
+		}
 	}
-	return list
+	return nodes
 }
 
-// While nodes are killed at seeded random points and spoil their answers, no mutation runs more than once, each
-// client has one well-formed answer in its time, and no answer says of a mutation what the nodes' counters deny.
+// While nodes are killed at seeded random points and corrupt their responses, no mutation runs more than once, each
+// client has one well-formed response in time, and no response contradicts the nodes' counters of mutations.
 //
 //	go test ./internal/daemon -run NoMutationTwice -gql.operations 200000 -timeout 60m
 func TestGraphQLNoMutationTwice(t *testing.T) {
-	g := startGraphQLSidecar(t, sixNodes(), gqlnode.Mischief{Before: 0.01, After: 0.01, Cut: 0.01, Half: 0.01, Alias: 0.01, Null: 0.005, Noise: 0.01})
+	g := startGraphQLSidecar(t, nodeConfigs(6), gqlnode.Mischief{
+		Before: 0.01,
+		After:  0.01,
+		Cut:    0.01,
+		Half:   0.01,
+		Alias:  0.01,
+		Null:   0.005,
+		Noise:  0.01,
+	})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var chaos sync.WaitGroup
@@ -120,7 +144,7 @@
 		rng := rand.New(rand.NewPCG(*gqlSeed, 1))
 		for ctx.Err() == nil {
 			node := fmt.Sprint("n", rng.IntN(6))
-			g.fleet.Fault(emulator.Fault{Verb: "crash", Node: node})
+			_ = g.fleet.Fault(emulator.Fault{Verb: "crash", Node: node})
 			select {
 			case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 			case <-ctx.Done():
@@ -140,10 +164,10 @@
 			for n := range next {
 				rng := rand.New(rand.NewPCG(*gqlSeed, uint64(n)+100))
 				body, tokens := gqlnode.Operation(rng, n)
-				begun := time.Now()
+				started := time.Now()
 				const patience = 8 * time.Second
 				status, out := g.ask(t, body, patience)
-				if took := time.Since(begun); took > patience+2*time.Second {
+				if took := time.Since(started); took > patience+2*time.Second {
 					t.Errorf("operation %d was answered after %v", n, took)
 				}
 				responses := []json.RawMessage{out}
@@ -173,7 +197,7 @@
 	clients.Wait()
 	stop()
 	chaos.Wait()
-	g.fleet.Close() // whatever still runs has ended
+	g.fleet.Close() // whatever still ran has returned
 	says := map[gqlnode.Says]int{}
 	for _, c := range all {
 		says[c.Says]++
@@ -191,8 +215,8 @@
 	}
 }
 
-// Twelve nodes, one of them twenty times slower and one that dies at the start: the same requests, each a batch
-// of a seat search and a booking, in parts, and whole through the plain front as one unsafe class.
+// Twelve nodes, one of them twenty times slower and one that dies at the start, get the same requests, each a batch
+// of a seat search and a booking: in parts, and whole through the plain front as one class that is not idempotent.
 //
 //	go test ./internal/daemon -run GraphQLGoodput -gql.figures -v
 func TestGraphQLGoodput(t *testing.T) {
@@ -206,12 +230,8 @@
 		asked           atomic.Int64
 	}
 	play := func(split bool) *figures {
-		var nodes []emulator.NodeConfig
-		for i := range 12 {
-			nodes = append(nodes, emulator.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1, Seed: uint64(i + 1)})
-		}
-		g := startGraphQLSidecar(t, nodes, gqlnode.Mischief{})
-		g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Times: 20, For: time.Hour})
+		g := startGraphQLSidecar(t, nodeConfigs(12), gqlnode.Mischief{})
+		_ = g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Times: 20, For: time.Hour})
 		g.fleet.Node("n2").Die()
 		f := &figures{query: load.NewHistogram(), mutation: load.NewHistogram()}
 		plan, err := load.Poisson(1, []load.Point{{Rate: rate}}, length, load.Shot{})
@@ -226,13 +246,15 @@
 		}, 4096, func(n int, intended time.Time) {
 			f.asked.Add(1)
 			query := map[string]any{"query": `{seats(train:"x",work:15000){id} coach(id:"c",work:15000){number}}`}
-			mutation := map[string]any{"query": fmt.Sprintf(`mutation{m0:confirmBooking(seat:"s",token:"g%d",work:15000){id}}`, n)}
+			mutation := map[string]any{
+				"query": fmt.Sprintf(`mutation{m0:confirmBooking(seat:"s",token:"g%d",work:15000){id}}`, n),
+			}
 			body, _ := json.Marshal([]any{query, mutation})
 			url, class := g.url, ""
 			if !split {
 				url, class = g.testSidecar.url+"/book/graphql", "book"
 			}
-			req, _ := http.NewRequest("POST", url, bytes.NewReader(body))
+			req, _ := http.NewRequestWithContext(t.Context(), "POST", url, bytes.NewReader(body))
 			req.Header.Set("Content-Type", "application/json")
 			req.Header.Set("X-Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
 			if class != "" {
@@ -245,7 +267,8 @@
 			}
 			defer resp.Body.Close()
 			var out []struct{ Data map[string]json.RawMessage }
-			if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || json.Unmarshal(text, &out) != nil || len(out) != 2 {
+			text, err := io.ReadAll(resp.Body)
+			if err != nil || resp.StatusCode != 200 || json.Unmarshal(text, &out) != nil || len(out) != 2 {
 				return
 			}
 			took := time.Since(intended)
@@ -266,13 +289,14 @@
 	for _, split := range []bool{true, false} {
 		f := play(split)
 		n := float64(f.asked.Load())
-		t.Logf("split %v: queries answered %.4f, within %v %.4f, p50 %v, p99 %v; mutations answered %.4f, within %v %.4f, p50 %v, p99 %v", split,
+		t.Logf("split %v: queries answered %.4f, within %v %.4f, p50 %v, p99 %v; "+
+			"mutations answered %.4f, within %v %.4f, p50 %v, p99 %v", split,
 			float64(f.query.Count())/n, aim, float64(f.inTime[0].Load())/n, f.query.At(0.5), f.query.At(0.99),
 			float64(f.mutation.Count())/n, aim, float64(f.inTime[1].Load())/n, f.mutation.At(0.5), f.mutation.At(0.99))
 	}
 }
 
-// What of the operator's file only the schema can tell is found before anything runs, with its place.
+// What only the schema shows to be wrong in the operator's file is found before anything runs, with its position.
 func TestCheckGraphQL(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -284,15 +308,36 @@
 	}
 	schema := write("booking.graphql", gqlnode.SDL)
 	good := strings.NewReplacer("LISTEN", "127.0.0.1:0", "SCHEMA", schema).Replace(gqlnode.Operator)
+	badTrusted := write("t.json", `{"home":"{nothing}"}`)
 	for name, c := range map[string]struct{ old, new, want string }{
-		"good":            {"x", "x", ""},
-		"no class":        {"[graphql.field.\"Query.coach\"]\nclass = \"map\"\n", "", schema + ":56:3: Query.coach has no class"},
-		"no such field":   {"Query.coach", "Query.coatch", `op.toml:7:2: graphql.field."Query.coatch": the schema has no such root field`},
-		"no key":          {"key = \"token\"", "key = \"tokn\"", `graphql.field."Mutation.confirmBooking": key: the field has no argument "tokn"`},
-		"no schema":       {schema, schema + "x", "op.toml:3:1: graphql.schema: "},
-		"no trusted":      {"deadline", "trusted = \"/absent\"\ndeadline", "op.toml:4:1: graphql.trusted: "},
-		"trusted, no map": {"deadline", "trusted = \"" + schema + "\"\ndeadline", "op.toml:4:1: graphql.trusted: invalid character"},
-		"trusted, bad":    {"deadline", "trusted = \"" + write("t.json", `{"home":"{nothing}"}`) + "\"\ndeadline", "trusted document home: Cannot query field"},
+		"good": {"x", "x", ""},
+		"no class": {
+			"[graphql.field.\"Query.coach\"]\nclass = \"map\"\n",
+			"",
+			schema + ":56:3: Query.coach has no class",
+		},
+		"no such field": {
+			"Query.coach",
+			"Query.coatch",
+			`op.toml:7:2: graphql.field."Query.coatch": the schema has no such root field`,
+		},
+		"no key": {
+			"key = \"token\"",
+			"key = \"tokn\"",
+			`graphql.field."Mutation.confirmBooking": key: the field has no argument "tokn"`,
+		},
+		"no schema":  {schema, schema + "x", "op.toml:3:1: graphql.schema: "},
+		"no trusted": {"deadline", "trusted = \"/absent\"\ndeadline", "op.toml:4:1: graphql.trusted: "},
+		"trusted, no map": {
+			"deadline",
+			"trusted = \"" + schema + "\"\ndeadline",
+			"op.toml:4:1: graphql.trusted: invalid character",
+		},
+		"trusted, bad": {
+			"deadline",
+			"trusted = \"" + badTrusted + "\"\ndeadline",
+			"trusted document home: Cannot query field",
+		},
 	} {
 		op, err := operator.Load(write("op.toml", strings.Replace(good, c.old, c.new, 1)))
 		if err != nil {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"io"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -13,18 +12,19 @@
 	"hazelwing/internal/testutil"
 )
 
-// watched is a discovery whose watches say nothing; it tells what was asked and when a watch ended.
+// startSilentDiscovery starts a discovery whose watches send nothing. calls has the query of each call, and ends that
+// of each watch that has ended.
 func startSilentDiscovery(t *testing.T) (addr string, calls, ends chan string) {
 	t.Helper()
 	calls, ends = make(chan string, 100), make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
 		if r.URL.RawQuery == "" {
-			io.WriteString(w, `{"seq":0,"whole":true,"hosts":[]}`)
+			send(w, `{"seq":0,"whole":true,"hosts":[]}`)
 			return
 		}
 		w.WriteHeader(http.StatusOK)
-		io.WriteString(w, "\n")
+		send(w, "\n")
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 		ends <- r.URL.RawQuery
@@ -33,7 +33,7 @@
 	return server.Listener.Addr().String(), calls, ends
 }
 
-// A new configuration moves the watch at once, from the beginning; one that cannot be used changes nothing.
+// A new configuration moves the watch at once, from the first version; one that cannot be used changes nothing.
 func TestReload(t *testing.T) {
 	oldAddr, oldCalls, oldEnds := startSilentDiscovery(t)
 	newAddr, newCalls, _ := startSilentDiscovery(t)
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/url"
@@ -17,107 +16,230 @@
 	"hazelwing/internal/testutil"
 )
 
-// customer is a deployment that another customer could have.
-type customer struct {
-	classes string // of the settings, as JSON objects
-	change  []string
+// deployment is a platform's configuration that another operator could have.
+type deployment struct {
+	name    string
+	classes []string // of the settings, as JSON objects; empty: those of the common configuration
+	change  []string // pairs of old and new text of the configuration
 }
 
-const class = `{"Name":%q,"AimMs":%d,"DeadlineMs":%d,"Importance":%v,"LateShare":%v,"Semantics":%q,"KeyScope":%q,"DedupWindowMs":%d}`
+// class returns a class of the settings as a JSON object.
+func class(
+	name string, objectiveMS, deadlineMS int, weight, lateShare any, semantics, scope string, windowMS int,
+) string {
+	return fmt.Sprintf(`{"Name":%q,"AimMs":%d,"DeadlineMs":%d,"Importance":%v,"LateShare":%v,`+
+		`"Semantics":%q,"KeyScope":%q,"DedupWindowMs":%d}`,
+		name, objectiveMS, deadlineMS, weight, lateShare, semantics, scope, windowMS)
+}
+
+var deployments = []deployment{
+	{
+		name: "names of one letter",
+		classes: []string{
+			class("q", 100, 500, 1, 0, "retryable", "all", 300),
+			class("Q", 100, 500, 1, 0, "fragile", "", 0),
+		},
+	},
+	{
+		name: "odd names",
+		classes: []string{
+			class("board.show_all~1", 100, 500, 1, 0, "retryable", "all", 300),
+			class("50% off", 100, 500, 1, 0, "dedup", "all", 300),
+			class("réservé", 100, 500, 1, 0, "fragile", "all", 300),
+		},
+	},
+	{
+		name: "all unsafe",
+		classes: []string{
+			class("a", 100, 500, 1, 0, "fragile", "all", 0),
+			class("b", 2000, 60000, 9, 1, "fragile", "cell", 0),
+		},
+	},
+	{
+		name: "all keyed",
+		classes: []string{
+			class("a", 100, 300, 1, 0, "dedup", "all", 300),
+			class("b", 100, 900, 1, 0, "dedup", "zone", 300),
+			class("c", 100, 60000, 1, 0, "dedup", "cell", 90000),
+		},
+	},
+	{
+		name:    "all safe",
+		classes: []string{class("a", 100, 300, 0, 0, "retryable", "", 0)},
+	},
+	{
+		name:    "objectives beyond deadlines",
+		classes: []string{class("a", 5000, 300, 1, 0, "retryable", "", 0)},
+	},
+	{
+		name:    "no objectives and no weights",
+		classes: []string{`{"Name":"a","DeadlineMs":400,"Semantics":"retryable"}`},
+	},
+	{
+		name: "one attempt, no hedging",
+		change: []string{
+			`"SendCap":3`, `"SendCap":1`,
+			`"Cancelling":true`, `"Cancelling":false,"SecondCopies":false,"Probes":false`,
+			`"RetryAfter":true`, `"RetryAfter":false`,
+		},
+	},
+	{
+		name:   "hedging and probes",
+		change: []string{`"Cancelling":true`, `"Cancelling":true,"SecondCopies":true,"Probes":true`},
+	},
+	{
+		name: "short times",
+		change: []string{
+			`"ConnIdleMs":15000`, `"ConnIdleMs":1000`,
+			`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":50`,
+			`"DrainGraceMs":250`, `"DrainGraceMs":100`,
+		},
+	},
+	{
+		name: "no limits",
+		change: []string{
+			`"Limits":{"Cancelling":true,"ConnIdleMs":15000,"ConnectTimeoutMs":1000,` +
+				`"SendCap":3,"RetryAfter":true,"MaxRetryAfterMs":1500}`,
+			`"Limits":{}`,
+		},
+	},
+	{
+		name: "no rules",
+		change: []string{
+			`"Rules":{"ColdFrom":0.3,"WarmUpMs":8000,"FallMultiple":3,"FallMs":2000,"DrainGraceMs":250}`,
+			`"Rules":{}`,
+		},
+	},
+	{name: "few sockets", change: []string{`"sockets":1024`, `"sockets":22`}},
+	{name: "little memory", change: []string{`"memory_mb":192`, `"memory_mb":32`}},
+	{name: "lists pushed", change: []string{`"Discovery":"ask"`, `"Discovery":"push"`}},
+	{
+		name:   "many sidecars, no zone",
+		change: []string{`"Balancers":1`, `"Balancers":5000`, `"Zone":"a"`, `"Zone":""`},
+	},
+	{
+		name: "tenants",
+		change: []string{
+			`"TickMs":5`,
+			`"TickMs":5,"Tenants":[{"Name":"x","Fraction":0.5},{"Name":"ünder & sons","Fraction":0.5}],` +
+				`"OverShareWorth":0.1,"WorthBy":"work"`,
+		},
+	},
+	{
+		name: "unknown keys",
+		change: []string{
+			`"TickMs":5`,
+			`"TickMs":5,"NotKnown":{"a":[1,2,{"b":null}]},"Stats":null,"Prices":{"Odd":1}`,
+		},
+	},
+	{name: "a long tick", change: []string{`"TickMs":5`, `"TickMs":50`}},
+}
 
-func classes(list ...string) string { return strings.Join(list, ",") }
+// text returns the deployment's configuration, with one upstream.
+func (d *deployment) text(t *testing.T, upstream string) string {
+	t.Helper()
+	text := strings.NewReplacer(d.change...).Replace(fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream))
+	if len(d.classes) > 0 {
+		before, rest, _ := strings.Cut(text, `"Classes":[`)
+		_, after, _ := strings.Cut(rest, `"DedupWindowMs":5000}]`)
+		text = before + `"Classes":[` + strings.Join(d.classes, ",") + "]" + after
+	}
+	for i := 0; i+1 < len(d.change); i += 2 {
+		if !strings.Contains(text, d.change[i+1]) {
+			t.Fatalf("the settings do not have %s", d.change[i])
+		}
+	}
+	return text
+}
 
-var customers = map[string]customer{
-	"names of one letter":      {classes: classes(fmt.Sprintf(class, "q", 100, 500, 1, 0, "retryable", "all", 300), fmt.Sprintf(class, "Q", 100, 500, 1, 0, "fragile", "", 0))},
-	"odd names":                {classes: classes(fmt.Sprintf(class, "board.show_all~1", 100, 500, 1, 0, "retryable", "all", 300), fmt.Sprintf(class, "50% off", 100, 500, 1, 0, "dedup", "all", 300), fmt.Sprintf(class, "réservé", 100, 500, 1, 0, "fragile", "all", 300))},
-	"all unsafe":               {classes: classes(fmt.Sprintf(class, "a", 100, 500, 1, 0, "fragile", "all", 0), fmt.Sprintf(class, "b", 2000, 60000, 9, 1, "fragile", "cell", 0))},
-	"all keyed":                {classes: classes(fmt.Sprintf(class, "a", 100, 300, 1, 0, "dedup", "all", 300), fmt.Sprintf(class, "b", 100, 900, 1, 0, "dedup", "zone", 300), fmt.Sprintf(class, "c", 100, 60000, 1, 0, "dedup", "cell", 90000))},
-	"all safe":                 {classes: classes(fmt.Sprintf(class, "a", 100, 300, 0, 0, "retryable", "", 0))},
-	"aims beyond deadlines":    {classes: classes(fmt.Sprintf(class, "a", 5000, 300, 1, 0, "retryable", "", 0))},
-	"no aims and no worth":     {classes: `{"Name":"a","DeadlineMs":400,"Semantics":"retryable"}`},
-	"one attempt, no copies":   {change: []string{`"SendCap":3`, `"SendCap":1`, `"Cancelling":true`, `"Cancelling":false,"SecondCopies":false,"Probes":false`, `"RetryAfter":true`, `"RetryAfter":false`}},
-	"second copies and probes": {change: []string{`"Cancelling":true`, `"Cancelling":true,"SecondCopies":true,"Probes":true`}},
-	"short times":              {change: []string{`"ConnIdleMs":15000`, `"ConnIdleMs":1000`, `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":50`, `"DrainGraceMs":250`, `"DrainGraceMs":100`}},
-	"no limits told":           {change: []string{`"Limits":{"Cancelling":true,"ConnIdleMs":15000,"ConnectTimeoutMs":1000,"SendCap":3,"RetryAfter":true,"MaxRetryAfterMs":1500}`, `"Limits":{}`}},
-	"no rules told":            {change: []string{`"Rules":{"ColdFrom":0.3,"WarmUpMs":8000,"FallMultiple":3,"FallMs":2000,"DrainGraceMs":250}`, `"Rules":{}`}},
-	"few sockets":              {change: []string{`"sockets":1024`, `"sockets":22`}},
-	"little memory":            {change: []string{`"memory_mb":192`, `"memory_mb":32`}},
-	"lists pushed":             {change: []string{`"Discovery":"ask"`, `"Discovery":"push"`}},
-	"many sidecars, no zone":   {change: []string{`"Balancers":1`, `"Balancers":5000`, `"Zone":"a"`, `"Zone":""`}},
-	"tenants":                  {change: []string{`"TickMs":5`, `"TickMs":5,"Tenants":[{"Name":"x","Fraction":0.5},{"Name":"ünder & sons","Fraction":0.5}],"OverShareWorth":0.1,"WorthBy":"work"`}},
-	"keys that are not known":  {change: []string{`"TickMs":5`, `"TickMs":5,"NotKnown":{"a":[1,2,{"b":null}]},"Stats":null,"Prices":{"Odd":1}`}},
-	"a long tick":              {change: []string{`"TickMs":5`, `"TickMs":50`}},
+// settingsClass is a class of a deployment's settings.
+type settingsClass struct {
+	position        int // in the settings
+	name, semantics string
+	deadlineMS      float64
+}
+
+// classRequest returns request n of a class.
+func (r *testSidecar) classRequest(t *testing.T, c settingsClass, n int) *http.Request {
+	t.Helper()
+	method, body := "POST", "x"
+	if c.semantics == "retryable" {
+		method, body = "GET", ""
+	}
+	target := r.url + "/" + url.PathEscape(c.name) + "/x"
+	req, err := http.NewRequestWithContext(t.Context(), method, target, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if body == "" {
+		req.Body, req.ContentLength = nil, 0
+	}
+	req.Header = http.Header{
+		"X-Request-Id":  {fmt.Sprint(c.position, "-", n)},
+		"X-Class":       {c.name},
+		"X-Deadline-Ms": {fmt.Sprint(int(c.deadlineMS))},
+		"X-Tenant":      {"ünder & sons"},
+	}
+	if c.semantics == "dedup" {
+		req.Header.Set("Idempotency-Key", fmt.Sprintf("k%d-%d", c.position, n))
+	}
+	return req
 }
 
-// Under each customer's settings the sidecar starts, serves each of its classes, turns away what is none, and drains.
-func TestSettingsOfOtherCustomers(t *testing.T) {
-	for name, c := range customers {
-		t.Run(name, func(t *testing.T) {
+// Under the settings of each deployment the sidecar starts, serves each of its classes, rejects an unknown class, and
+// drains.
+func TestSettingsOfOtherDeployments(t *testing.T) {
+	for _, d := range deployments {
+		t.Run(d.name, func(t *testing.T) {
 			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
-					io.WriteString(conn, testutil.OKAnswer)
+					send(conn, testutil.OKAnswer)
 				}
 			})
-			text := strings.NewReplacer(c.change...).Replace(fmt.Sprintf(testutil.Config, testutil.NoAddr, addr))
-			if c.classes != "" {
-				before, rest, _ := strings.Cut(text, `"Classes":[`)
-				_, after, _ := strings.Cut(rest, `"DedupWindowMs":5000}]`)
-				text = before + `"Classes":[` + c.classes + "]" + after
-			}
-			for i := 0; i+1 < len(c.change); i += 2 {
-				if !strings.Contains(text, c.change[i+1]) {
-					t.Fatalf("the settings do not have %s", c.change[i])
-				}
-			}
-			cfg := parseConfig(t, text)
+			cfg := parseConfig(t, d.text(t, addr))
 			r, stop := run(t, cfg, new(operator.Config))
 			defer stop()
-			for i, k := range cfg.Settings.Classes {
-				served := 0
-				for n := range 3 {
-					method, body := "POST", "x"
-					if k.Semantics == "retryable" {
-						method, body = "GET", ""
-					}
-					req, err := http.NewRequest(method, r.url+"/"+url.PathEscape(k.Name)+"/x", strings.NewReader(body))
-					if err != nil {
-						t.Fatal(err)
-					}
-					if body == "" {
-						req.Body, req.ContentLength = nil, 0
-					}
-					req.Header = http.Header{"X-Request-Id": {fmt.Sprint(i, "-", n)}, "X-Class": {k.Name}, "X-Deadline-Ms": {fmt.Sprint(int(k.DeadlineMs))},
-						"X-Tenant": {"ünder & sons"}}
-					if k.Semantics == "dedup" {
-						req.Header.Set("Idempotency-Key", fmt.Sprintf("k%d-%d", i, n))
-					}
-					resp, got := r.do(t, req)
-					if late := resp.StatusCode == http.StatusGatewayTimeout || resp.StatusCode == http.StatusServiceUnavailable; late && k.DeadlineMs < 1000 {
-						continue // a slow machine; the others have to be served
-					}
-					if resp.StatusCode != http.StatusOK || got != "ok" {
-						t.Errorf("class %q: %s %q", k.Name, resp.Status, got)
-						continue
-					}
-					served++
-				}
-				if served == 0 {
-					t.Errorf("class %q: none was served", k.Name)
-				}
+			for i, c := range cfg.Settings.Classes {
+				checkClassIsServed(t, r, settingsClass{i, c.Name, c.Semantics, c.DeadlineMs})
 			}
-			if resp, _ := r.do(t, r.request(t, "GET", "no-such-class", "z", "")); resp.StatusCode != http.StatusNotFound {
-				t.Errorf("a class that is none: %s", resp.Status)
+			resp, _ := r.do(t, r.request(t, "GET", "no-such-class", "z", ""))
+			if resp.StatusCode != http.StatusNotFound {
+				t.Errorf("an unknown class: %s", resp.Status)
 			}
 		})
 	}
 }
 
-// What cannot be used is named, and nothing starts.
-func TestSettingsThatCannotBeUsed(t *testing.T) {
+// checkClassIsServed sends a few requests of a class. Of those with a short deadline a slow machine may miss some.
+func checkClassIsServed(t *testing.T, r *testSidecar, c settingsClass) {
+	t.Helper()
+	served := 0
+	for n := range 3 {
+		resp, got := r.do(t, r.classRequest(t, c, n))
+		late := resp.StatusCode == http.StatusGatewayTimeout || resp.StatusCode == http.StatusServiceUnavailable
+		if late && c.deadlineMS < 1000 {
+			continue
+		}
+		if resp.StatusCode != http.StatusOK || got != "ok" {
+			t.Errorf("class %q: %s %q", c.name, resp.Status, got)
+			continue
+		}
+		served++
+	}
+	if served == 0 {
+		t.Errorf("class %q: none was served", c.name)
+	}
+}
+
+// What cannot be used is named in the error, and nothing starts.
+func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string][]string{
-		"Effect":         {`"retryable"`, `"perhaps"`},
-		"Group":          {`"dedup"`, `"dedup","KeyScope":"planet"`},
-		"Deadline":       {`"DeadlineMs":20000,"LateShare":0.5,"Semantics":"fragile"`, `"DeadlineMs":-1,"Semantics":"fragile"`},
+		"Effect": {`"retryable"`, `"perhaps"`},
+		"Group":  {`"dedup"`, `"dedup","KeyScope":"planet"`},
+		"Deadline": {
+			`"DeadlineMs":20000,"LateShare":0.5,"Semantics":"fragile"`,
+			`"DeadlineMs":-1,"Semantics":"fragile"`,
+		},
 		"ConnectTimeout": {`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":-1`},
 		"Name":           {`"Name":"book"`, `"Name":"look"`},
 		"MaxAttempts":    {`"SendCap":3`, `"SendCap":-3`},
@@ -127,7 +249,8 @@
 		"configuration":  {`"settings":{`, `"settings":`},
 	} {
 		t.Run(want, func(t *testing.T) {
-			text := strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr))
+			text := fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr)
+			text = strings.NewReplacer(change...).Replace(text)
 			path := filepath.Join(t.TempDir(), "config.json")
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -19,7 +20,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// running is a sidecar on loopback.
+// testSidecar is a sidecar on loopback.
 type testSidecar struct {
 	*sidecar
 	url    string
@@ -39,13 +40,13 @@
 	return cfg
 }
 
-// config is fixture.Config; change is pairs of old and new text of it.
+// config returns testutil.Config; change has pairs of old and new text of it.
 func config(t *testing.T, discovery, upstream string, change ...string) *platform.Config {
 	t.Helper()
 	return parseConfig(t, strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.Config, discovery, upstream)))
 }
 
-// startSidecar starts one; change is as config's.
+// startSidecar runs a sidecar until the test ends; change is that of config.
 func startSidecar(t *testing.T, discovery, upstream string, change ...string) *testSidecar {
 	t.Helper()
 	r, stop := run(t, config(t, discovery, upstream, change...), new(operator.Config))
@@ -65,8 +66,11 @@
 		t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	r = &testSidecar{sidecar: s, url: "http://" + listener.Addr().String(),
-		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience}}
+	r = &testSidecar{
+		sidecar: s,
+		url:     "http://" + listener.Addr().String(),
+		client:  &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience},
+	}
 	ran := make(chan struct{})
 	go func() {
 		var parts sync.WaitGroup
@@ -77,7 +81,7 @@
 		parts.Wait()
 		close(ran)
 	}()
-	go s.front.Serve(ctx, listener, s.maxClientConns, discardLog)
+	go func() { _ = s.front.Serve(ctx, listener, s.maxClientConns, discardLog) }()
 	return r, func() {
 		r.client.CloseIdleConnections()
 		end()
@@ -93,7 +97,21 @@
 	return testutil.Request(t, r.url, method, class, id, body)
 }
 
-func (r *testSidecar) do(t *testing.T, req *http.Request) (*http.Response, string) {
+// reply is the response to a request, without its body.
+type reply struct {
+	StatusCode int
+	Status     string
+	Header     http.Header
+}
+
+// do sends a request and returns its reply and body.
+func (r *testSidecar) do(t *testing.T, req *http.Request) (reply, string) {
 	t.Helper()
-	return testutil.Do(t, r.client, req)
+	resp, body := testutil.Do(t, r.client, req) //nolint:bodyclose // Do reads the body and closes it
+	return reply{StatusCode: resp.StatusCode, Status: resp.Status, Header: resp.Header}, body
+}
+
+// send writes text. The other side may have closed the connection, which is a case of these tests and no failure.
+func send(w io.Writer, text string) {
+	_, _ = io.WriteString(w, text)
 }
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -22,20 +22,21 @@
 	"hazelwing/internal/testutil"
 )
 
-// entry is one of a list in the configuration's form.
+// endpointEntry returns an entry of a list in the configuration's form.
 func endpointEntry(name, dial string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":"SERVING","share":1.0,"born_ms":0}`, name, dial)
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,`+
+		`"health":"SERVING","share":1.0,"born_ms":0}`, name, dial)
 }
 
-// known replaces the one upstream of fixture.Config, whose address was given as NoAddr, by these.
+// knownEndpoints returns the change of testutil.Config that replaces its one upstream, with address NoAddr, by these.
 func knownEndpoints(entries []string) []string {
 	return []string{endpointEntry("s", testutil.NoAddr), strings.Join(entries, ",")}
 }
 
-// A restarted sidecar is ready and serves from the list that it knew while discovery is out of reach, though a
-// quarter of that list is dead or has been taken over by others. Each wrong entry costs a few attempts, and no unsafe
-// request runs twice.
-func TestStartWithAnOldListServes(t *testing.T) {
+// A restarted sidecar is ready and serves from its cached list while discovery cannot be reached, though a quarter of
+// that list is dead or has other processes at its addresses. Each wrong entry costs a few attempts, and no request that
+// is not idempotent runs twice.
+func TestStartWithStaleListServes(t *testing.T) {
 	const members, wrong, requests = 12, 3, 150
 	var mu sync.Mutex
 	ran := map[string]int{}
@@ -43,14 +44,15 @@
 		mu.Lock()
 		ran[r.Header.Get("X-Request-Id")]++
 		mu.Unlock()
-		io.WriteString(w, "ok")
+		send(w, "ok")
 	}))
 	defer good.Close()
-	var strangers atomic.Int32
-	other := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) { // another process has its address, and speaks no HTTP
+	var otherRequests atomic.Int32
+	// Another process has the address, and does not serve HTTP.
+	other := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if testutil.ReadRequest(r) != nil {
-			strangers.Add(1)
-			io.WriteString(c, "-ERR unknown command\r\n")
+			otherRequests.Add(1)
+			send(c, "-ERR unknown command\r\n")
 		}
 		c.Close()
 	})
@@ -58,13 +60,17 @@
 	for i := range list {
 		list[i] = endpointEntry(fmt.Sprint("s", i), good.Listener.Addr().String())
 	}
-	list[0], list[1], list[2] = endpointEntry("s0", testutil.NoAddr), endpointEntry("s1", testutil.NoAddr), endpointEntry("s2", other)
+	list[0] = endpointEntry("s0", testutil.NoAddr)
+	list[1] = endpointEntry("s1", testutil.NoAddr)
+	list[2] = endpointEntry("s2", other)
 	r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(list)...)
-	resp, err := r.client.Get(r.url + "/up")
-	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("/up: %v %v", resp, err)
+	up, err := http.NewRequestWithContext(t.Context(), "GET", r.url+"/up", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if resp, _ := r.do(t, up); resp.StatusCode != http.StatusOK {
+		t.Fatalf("/up: %v", resp)
 	}
-	resp.Body.Close()
 	served := 0
 	for i := range requests {
 		method, class, body := "GET", "look", ""
@@ -78,11 +84,11 @@
 			t.Errorf("request %d: %s", i, resp.Status)
 		}
 	}
-	// Only what was written whole to the stranger may have run there, so that is all that may fail.
-	if lost := requests - served; lost > int(strangers.Load()) {
-		t.Errorf("%d requests failed, %d were written to a stranger", lost, strangers.Load())
+	// Only what was written completely to the other process may have run there, so that is all that may fail.
+	if lost := requests - served; lost > int(otherRequests.Load()) {
+		t.Errorf("%d requests failed, %d were written to a stranger", lost, otherRequests.Load())
 	}
-	if n := strangers.Load(); n > 3+requests/25 {
+	if n := otherRequests.Load(); n > 3+requests/25 {
 		t.Errorf("%d requests went to a stranger", n)
 	}
 	mu.Lock()
@@ -96,8 +102,9 @@
 
 var drains = flag.Int("drains", 10, "how many drains TestDrainGrace announces")
 
-// From when discovery has written that a node drains to the last first byte that the node is sent: within the grace,
-// and what a busy machine adds to it. docs/design/large-fleets.md has the spread over more drains.
+// From the moment when discovery has written that a node drains to the last first byte that is sent to the node, it
+// takes the grace at most, and the delay of a busy machine. docs/design/large-fleets.md has the spread over more
+// drains.
 func TestDrainGrace(t *testing.T) {
 	const grace, slack = 250 * time.Millisecond, 250 * time.Millisecond
 	d, err := emulator.NewDiscovery()
@@ -114,7 +121,7 @@
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			last[i].Store(time.Now().UnixNano())
 			time.Sleep(time.Millisecond)
-			io.WriteString(w, "ok")
+			send(w, "ok")
 		}))
 		defer node.Close()
 		nodes[i] = host(i, "SERVING")
@@ -139,7 +146,7 @@
 					t.Error(err)
 					return
 				}
-				io.Copy(io.Discard, resp.Body)
+				_, _ = io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 			}
 		})
@@ -148,7 +155,7 @@
 	for range *drains {
 		began := time.Now().UnixNano()
 		testutil.Until(t, "a node at work", func() bool { return max(last[0].Load(), last[1].Load()) > began })
-		i := 0 // that one drains: the other may look slow for as long as its estimate lasts
+		i := 0 // the one in use drains: the other may look slow for as long as its estimate lasts
 		if last[1].Load() > last[0].Load() {
 			i = 1
 		}
@@ -156,7 +163,7 @@
 		h.Health = "DRAINING"
 		told := time.Now()
 		d.Set(h)
-		time.Sleep(grace + slack + 20*time.Millisecond) // one that is sent to all the while is found out
+		time.Sleep(grace + slack + 20*time.Millisecond) // requests that continue to be sent show
 		after = append(after, max(0, time.Unix(0, last[i].Load()).Sub(told)))
 		d.Set(nodes[i])
 	}
@@ -168,13 +175,13 @@
 	}
 }
 
-// What a sidecar holds for each member is bounded: the list, its estimates and the transport's entry, whatever its
-// length.
-func TestMemoryByMembers(t *testing.T) {
+// The memory of a sidecar for each endpoint is bounded: the list, its estimates and the transport's entry, whatever the
+// length of the list.
+func TestMemoryByEndpoints(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
-		runtime.GC() // what finalizers let go
+		runtime.GC() // what finalizers released
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
@@ -186,7 +193,7 @@
 		cfg := config(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(list)...)
 		before := heap()
 		r, stop := run(t, cfg, new(operator.Config))
-		r.do(t, r.request(t, "GET", "look", "1", "")) // the list is in once this is answered
+		r.do(t, r.request(t, "GET", "look", "1", "")) // the list is complete once this is answered
 		each := float64(heap()-before) / float64(n)
 		t.Logf("%d members: %.1f KB, %.0f bytes each", n, float64(heap()-before)/1024, each)
 		if n == 1000 && each > 4096 {
