--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -35,24 +35,24 @@
 }
 
 func (b *Balancer) handleWatchFailed(e EndpointUpdate) {
-	if b.subscribed || !b.subscribeBackoff.Lost() {
+	if b.subscribed || !b.subscribeBackoff.Failing() {
 		b.log("endpoint list lost; subscribing again")
 	}
 	b.subscribed, b.subscribing = false, false
-	b.schedule(b.subscribeBackoff.Fail(b.now, e.NewlyReached), timerSubscribe, nil)
+	b.schedule(b.subscribeBackoff.CallFailed(b.now, e.NewlyReached), timerSubscribe, nil)
 }
 
 func (b *Balancer) confirmSubscription() {
-	if b.subscribeBackoff.Lost() {
+	if b.subscribeBackoff.Failing() {
 		b.log("endpoint list followed again")
 	}
 	b.subscribed, b.subscribing = true, false
-	b.subscribeBackoff.Good()
+	b.subscribeBackoff.CallSucceeded()
 }
 
 func (b *Balancer) subscribe() {
 	b.subscribing = true
-	b.subscribeBackoff.Begin(b.now)
+	b.subscribeBackoff.CallStarted(b.now)
 	b.emit(Action{Kind: Subscribe})
 }
 
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -113,7 +113,7 @@
 	// The subscription to the endpoint list.
 	subscribed       bool
 	subscribing      bool
-	subscribeBackoff backoff.Pace
+	subscribeBackoff backoff.Scheduler
 
 	// Estimates. Latencies are in seconds.
 	kindMeans         map[string]*float64 // mean normalized latency by kind and zone
@@ -202,7 +202,7 @@
 	b.subsetSeed = b.rng.Uint64()
 	// A generator of its own: picks must not depend on how often the subscription was retried.
 	backoffRNG := rand.New(rand.NewPCG(seed, backoffStream))
-	b.subscribeBackoff = backoff.NewPace(backoff.Service(s.Balancers), backoffRNG)
+	b.subscribeBackoff = backoff.NewScheduler(backoff.ServiceConfig(s.Balancers), backoffRNG)
 	return b, nil
 }
 
--- /dev/null
+++ b/cmd/hazelwing/format_test.go
@@ -0,0 +1,169 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"hazelwing/internal/controlplane"
+	"hazelwing/internal/controlplane/origin"
+	"hazelwing/internal/idempotency/middleware"
+	"hazelwing/internal/load"
+	"hazelwing/internal/store"
+	"hazelwing/internal/testutil"
+)
+
+// printed plays a command against a server that answers each path with a file of testdata/format, and gives its output and status.
+func printed(t *testing.T, answers map[string]string, args ...string) (string, error) {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		text, err := os.ReadFile("testdata/format/" + answers[q.Method+" "+q.URL.Path])
+		if err != nil {
+			t.Errorf("%s %s: %v", q.Method, q.URL, err)
+		}
+		w.Header().Set("Content-Type", "application/json")
+		w.Write(text)
+	}))
+	defer server.Close()
+	for i, arg := range args {
+		args[i] = strings.ReplaceAll(arg, "ADDRESS", server.Listener.Addr().String())
+	}
+	return execute(args...)
+}
+
+// failure is an error as the golden files have it, with the process's status.
+func failure(err error) string {
+	status := 1
+	if s, ok := errors.AsType[exitStatus](err); ok {
+		status = s.status
+	}
+	return fmt.Sprintf("\nstatus %d: %v\n", status, err)
+}
+
+// What config status and config show print of an origin's answers, as JSON and as text.
+func TestConfigCommandOutputIsStable(t *testing.T) {
+	answers := map[string]string{"GET /config/status": "origin-status.json", "GET /config/show": "origin-show.json"}
+	for _, c := range []struct {
+		file string
+		args []string
+	}{
+		{"config-status.json", []string{"config", "status", "--json"}},
+		{"config-status.txt", []string{"config", "status"}},
+		{"config-show.json", []string{"config", "show", "--json"}},
+		{"config-show.txt", []string{"config", "show"}},
+	} {
+		out, err := printed(t, answers, append(c.args, "--origin", "ADDRESS", "--fleet", "booking")...)
+		text := out
+		if err != nil {
+			text += failure(err)
+		}
+		testutil.Golden(t, "format/"+c.file, []byte(text))
+	}
+}
+
+// What hazelwing fleet prints of a sidecar's answer, as JSON and as text.
+func TestFleetCommandOutputIsStable(t *testing.T) {
+	for file, args := range map[string][]string{
+		"fleet.json": {"fleet", "--json", "--admin", "ADDRESS"}, "fleet.txt": {"fleet", "--admin", "ADDRESS"},
+	} {
+		out, err := printed(t, map[string]string{"GET /fleet": "admin-fleet.json"}, args...)
+		if err != nil {
+			out += failure(err)
+		}
+		testutil.Golden(t, "format/"+file, []byte(out))
+	}
+}
+
+// What config push prints as JSON.
+func TestPushOutputFormatIsStable(t *testing.T) {
+	stamp := controlplane.Revision{Epoch: 3, Version: 17, Hash: "h"}
+	push := pushed{
+		Result: origin.Result{ID: "push-1", Outcome: origin.OutcomeAccepted, Revision: stamp, Error: "why"}, After: 16, Took: "10ms", Within: "20ms",
+		Report: &controlplane.Report{
+			Members: 5, Latest: stamp, Active: []controlplane.RevisionCount{{Revision: stamp, Count: 3}}, OtherRevisions: 1,
+			Laggards: []controlplane.Laggard{{Name: "m1", Active: stamp, Reason: controlplane.ReasonBehind, Error: "why", Descendants: 2}}, UnnamedLaggards: 4,
+		},
+	}
+	testutil.Filled(t, push)
+	testutil.ExplicitNames(t, "json", push)
+	var out bytes.Buffer
+	for _, v := range []pushed{push, {}} {
+		if err := print(&out, v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	testutil.Golden(t, "format/config-push.json", out.Bytes())
+	var read pushed
+	if err := json.NewDecoder(&out).Decode(&read); err != nil || !reflect.DeepEqual(read, push) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, push)
+	}
+}
+
+// What hazelwing load prints as JSON, and the names of kinds in it.
+func TestLoadReportFormatIsStable(t *testing.T) {
+	report := load.Report{
+		Target: "http://127.0.0.1:8080", Kinds: map[string]int{}, P50: 1.5, P90: 2.5, P99: 3.5, P999: 4.5, Max: 5.5, LateP50: 0.5, LateP99: 0.75,
+		Slow: true,
+	}
+	for kind := load.Served; kind <= load.Unsent; kind++ {
+		report.Kinds[kind.String()] = int(kind) + 1
+	}
+	testutil.Filled(t, report)
+	testutil.ExplicitNames(t, "json", report)
+	var out bytes.Buffer
+	if err := reportLoad(&out, []load.Report{report}, true); err != nil {
+		out.WriteString(failure(err))
+	}
+	testutil.Golden(t, "format/load-report.json", out.Bytes())
+}
+
+// What hazelwing store prints as JSON, and GET /ledger.
+func TestStoreOutputFormatIsStable(t *testing.T) {
+	at := time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC)
+	stats := store.Stats{
+		Entries: 1, Segments: 2, Bytes: 3, Live: 4, Damaged: 5, Unsynced: 6, Syncs: 7, Failures: 8, Compactions: 9, Dropped: 10, Lost: 11,
+	}
+	for name, v := range map[string]any{
+		"store-inspect": middleware.RecordInfo{
+			Fingerprint: "0123", Class: "pay", Effect: "keyed", State: "open", IntendedAt: at, ExpiresAt: at.Add(time.Minute), Locations: "a/0",
+		},
+		"store-verify": store.SegmentReport{
+			Name: "00000001.log", Bytes: 1, Puts: 2, Deletes: 3, Damaged: 4, Tail: 5, Hint: "good", Fault: "why",
+		},
+		"store-compact": map[string]store.Stats{"before": stats, "after": stats},
+		"ledger-state": middleware.Status{
+			Durability:         middleware.DurabilityBatch,
+			WriteFailure:       "why",
+			OnFailure:          middleware.ContinueOnFailure,
+			Remembered:         1,
+			Open:               2,
+			RestoredOpen:       3,
+			OldestOpenSeconds:  4.5,
+			Failed:             5,
+			Rejected:           6,
+			NotDurable:         7,
+			UnrecordedOutcomes: 8,
+			WaitP50:            9.5,
+			WaitP99:            10.5,
+			Store:              &stats,
+		},
+	} {
+		testutil.Filled(t, v)
+		testutil.ExplicitNames(t, "json", v)
+		var out bytes.Buffer
+		for _, one := range []any{v, reflect.Zero(reflect.TypeOf(v)).Interface()} {
+			if err := print(&out, one); err != nil {
+				t.Fatal(err)
+			}
+		}
+		testutil.Golden(t, "format/"+name+".json", out.Bytes())
+	}
+}
--- a/internal/cluster/limits.go
+++ b/internal/cluster/limits.go
@@ -2,90 +2,54 @@
 
 import "time"
 
+// Limits of names and counters.
 const (
-	// MostNumber is the highest life or number that is believed. Guards against a peer that sends one that nobody could
-	// outbid.
-	MostNumber = 1 << 48
-	// MostName is the length of a name, in bytes; MostFleet of a fleet's.
-	MostName, MostFleet = 64, 64
-
-	mostRelays    = 256 // probes that are tried for others at a time; those beyond are not answered
-	mostForgotten = 256 // addresses of members that were forgotten, tried again
-	mostWords     = 1000
-	mostSeeds     = 64
-	mostEntries   = 64 // of a datagram
-	mostHealth    = 8  // of the measure of one's own slowness
-	confirms      = 3  // accusers that shorten a suspicion
-	buckets       = 64 // of a digest
-	entryBytes    = 72 // of an entry on the wire, beside its name: upper bound
-	wordBytes     = 56 // of a word, beside its server's name
-	headerBytes   = 300
-	retryTries    = 3    // tries for each dead address in RetryEvery, by the whole fleet together
-	syncAnswers   = 50.0 // answered a second
-	// syncAbove is how much news is more than datagrams are meant for: then views are compared each syncBusy gossips, too.
-	// Guards against a healed cut of a large fleet, which datagrams alone would take minutes to tell.
-	syncAbove      = 2 * mostEntries
-	syncBusy       = 3
-	joinFirst      = 200 * time.Millisecond
-	joinLongest    = 5 * time.Second
-	conflictWindow = time.Minute
-	conflictRaises = 3
-	conflictPause  = 30 * time.Second
-	longSuspense   = 6 // a suspicion that nobody confirms lasts so much longer than one that three do
+	// MaxCounter is the highest generation or refutation counter that is accepted. This
+	// keeps a peer from sending one that nobody could exceed.
+	MaxCounter = 1 << 48
+	// MaxNameLength is the length of a member's name, in bytes.
+	MaxNameLength = 64
+	// MaxClusterNameLength is the length of a cluster's name, in bytes.
+	MaxClusterNameLength = 64
 )
 
-// Config is a Core's. New fills in what is 0.
-type Config struct {
-	Fleet string // members of another one are not listened to
-	Name  string // this member's, the same after a restart
-	Self  Address
-	Run   uint64 // random, of this process: tells its life from others under its name
-	Seeds []Address
-	Seed  uint64 // of random choices
+const (
+	maxRelayedProbes      = 256 // indirect probes at a time; further requests are not answered
+	maxForgottenAddresses = 256 // addresses of removed members that are still probed
+	maxNotices            = 1000
+	maxSeeds              = 64
+	maxEntries            = 64 // in a datagram
+	maxHealthScore        = 8
+	maxConfirmations      = 3  // confirmations that shorten a suspicion
+	numBuckets            = 64 // of a digest; a bucket mask has one bit for each
+
+	// Upper bounds of encoded sizes, in bytes.
+	entryBytes  = 72 // an entry, not counting names
+	noticeBytes = 56 // a notice, not counting names
+	headerBytes = 300
 
-	Probe      time.Duration // one member is probed in each; 1 s
-	Timeout    time.Duration // of a direct probe, below Probe; 300 ms
-	Indirect   int           // members that are asked to try when it fails; 3
-	Suspicion  float64       // a confirmed suspicion lasts Suspicion x max(1, log10 n) x Probe; 4
-	Gossip     time.Duration // what is new is sent to GossipTo members in each; 200 ms
-	GossipTo   int           // 3
-	Spread     int           // news is sent Spread x ceil(log10(n+1)) times by each member; 4
-	SyncEvery  time.Duration // one member's view is compared by digest in each; 30 s
-	RetryEvery time.Duration // a dead member is tried again; 5 s
-	Forget     time.Duration // dead and left members are forgotten after it; 1 h
-	KeepWords  time.Duration // words are told for it; 30 s
-	Most       int           // members; 10,000
-	Datagram   int           // bytes; 1,200
-	Plain      bool          // SWIM without Lifeguard's measures, for comparison
-	// Allowed says whether an address may be a member's. nil: all.
-	Allowed func(Address) bool
-}
+	// reconnectAttempts is how often each dead address is probed per ReconnectInterval, by
+	// all members together.
+	reconnectAttempts = 3
+	// pushPullRate is how many push-pull requests are answered per second.
+	pushPullRate = 50.0
+	// pushPullBacklog is how many queued broadcasts are more than datagrams are meant for.
+	// Above it, views are also compared once in pushPullBacklogRounds gossip intervals: after
+	// a partition of a large cluster has healed, datagrams alone would take minutes.
+	pushPullBacklog       = 2 * maxEntries
+	pushPullBacklogRounds = 3
 
-func (c *Config) fill() {
-	set := func(d *time.Duration, to time.Duration) {
-		if *d <= 0 {
-			*d = to
-		}
-	}
-	num := func(n *int, to int) {
-		if *n <= 0 {
-			*n = to
-		}
-	}
-	set(&c.Probe, time.Second)
-	set(&c.Timeout, c.Probe*3/10)
-	set(&c.Gossip, c.Probe/5)
-	set(&c.SyncEvery, 30*c.Probe)
-	set(&c.RetryEvery, 5*c.Probe)
-	set(&c.Forget, time.Hour)
-	set(&c.KeepWords, 30*time.Second)
-	num(&c.Indirect, 3)
-	num(&c.GossipTo, 3)
-	num(&c.Spread, 4)
-	num(&c.Most, 10_000)
-	num(&c.Datagram, 1200)
-	if c.Suspicion <= 0 {
-		c.Suspicion = 4
-	}
-	c.Seeds = c.Seeds[:min(len(c.Seeds), mostSeeds)]
-}
+	minJoinBackoff = 200 * time.Millisecond
+	maxJoinBackoff = 5 * time.Second
+	maxJoinSeeds   = 3 // seeds that are asked at a time
+
+	// After maxNameConflicts in nameConflictWindow a member waits for nameConflictPause
+	// before it takes the next generation.
+	nameConflictWindow = time.Minute
+	maxNameConflicts   = 3
+	nameConflictPause  = 30 * time.Second
+
+	// suspicionMaxTimeoutMult is the timeout of a suspicion that nobody confirms, as a
+	// multiple of that of a fully confirmed one (memberlist's SuspicionMaxTimeoutMult).
+	suspicionMaxTimeoutMult = 6
+)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -77,7 +77,7 @@
 	drains          map[string]drain   // by ID, for staleListPeriod
 	listLost        bool               // the source of a pushed list has not answered
 	sourceReachable bool               // at the last call
-	watchBackoff    backoff.Pace       // of a pushed list
+	watchBackoff    backoff.Scheduler       // of a pushed list
 }
 
 // New returns an Engine, or an error that names the setting that cannot be used. Nothing happens before Run.
@@ -112,7 +112,7 @@
 	e.timer.Stop()
 	e.heartbeat.Stop()
 	rng := rand.New(rand.NewPCG(cfg.Seed, watchBackoffStream))
-	e.watchBackoff = backoff.NewPace(backoff.Agent(), rng)
+	e.watchBackoff = backoff.NewScheduler(backoff.AgentConfig(), rng)
 	e.cachedList.Kind = balancer.CachedList
 	if len(e.cachedList.Endpoints) == 0 {
 		e.cachedList.Version = NoVersion
--- a/internal/front/clientconn/conn_test.go
+++ b/internal/front/clientconn/conn_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -11,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// pair is a listener, and a client's connection to it from both sides, with a request in hand.
-func pair(t *testing.T) (l *Listener, client *net.TCPConn, here *Conn) {
+// openRequest returns a listener and both ends of a client's connection to it, on which a request is open.
+func openRequest(t *testing.T) (l *Listener, client *net.TCPConn, server *Conn) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,83 +31,87 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.(*Conn).Begin()
+	conn.(*Conn).BeginRequest()
 	return l, c.(*net.TCPConn), conn.(*Conn)
 }
 
-// A look at the connection tells of a close behind far more than the kernel holds, though nobody reads: the process may be behind.
-func TestGoneBehindUnreadBytes(t *testing.T) {
-	_, client, here := pair(t)
-	if here.Gone() {
-		t.Error("it is gone before it left")
+// A disconnect is noticed behind far more bytes than the kernel's buffers hold, though nobody reads: the process may
+// be slow.
+func TestDisconnectBehindUnreadBytesIsNoticed(t *testing.T) {
+	_, client, server := openRequest(t)
+	if server.Disconnected() {
+		t.Error("disconnected before the close")
 	}
-	if _, err := client.Write(make([]byte, 6*maxAhead)); err != nil {
+	if _, err := client.Write(make([]byte, 6*minReadAhead)); err != nil {
 		t.Fatal(err)
 	}
-	if here.Gone() {
-		t.Error("it is gone, and has only sent")
+	if server.Disconnected() {
+		t.Error("disconnected, after sending only")
 	}
 	client.Close()
-	testutil.Until(t, "the leaving", here.Gone)
+	testutil.Until(t, "the disconnect", server.Disconnected)
 }
 
-// What a client sends beyond all bounds is not lost and not held: it is no longer read until the answer is begun.
+// What a client sends beyond the limits is neither lost nor stored: its connection is not read until the response
+// begins.
 func TestReadAheadIsBounded(t *testing.T) {
-	l, client, here := pair(t)
-	sent := make([]byte, 4*mostAhead)
+	l, client, server := openRequest(t)
+	sent := make([]byte, 4*maxReadAhead)
 	for i := range sent {
 		sent[i] = byte(rand.Uint32())
 	}
-	wrote, closes := make(chan error, 1), make(chan struct{})
+	written, mayClose := make(chan error, 1), make(chan struct{})
 	go func() {
 		_, err := client.Write(sent)
-		<-closes // else the kernel may hold all of it, and the close behind it is noticed as it should be
-		client.CloseWrite()
-		wrote <- err
+		<-mayClose // else the kernel may hold all of it, and the close behind it is noticed as it should be
+		written <- errors.Join(err, client.CloseWrite())
 	}()
 	var one [1]byte
-	n, err := here.Read(one[:]) // as net/http does while a request is in hand
+	n, err := server.Read(one[:]) // as net/http does while a request is open
 	if n != 1 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	for end := time.Now().Add(20 * time.Millisecond); time.Now().Before(end); {
-		if here.Gone() {
-			t.Fatal("gone, with bytes on the way")
+		if server.Disconnected() {
+			t.Fatal("disconnected, with bytes under way")
 		}
 	}
-	if got := here.ahead.size(); got > mostAhead || got < mostAhead/2 || l.pool.Load() != sharedAhead-int64(here.borrowed) {
-		t.Errorf("%d bytes are put by, and %d of the pool are left", got, l.pool.Load())
+	size, pool := server.readAhead.size(), l.readAheadPool.Load()
+	if size > maxReadAhead || size < maxReadAhead/2 || pool != sharedReadAhead-int64(server.borrowed) {
+		t.Errorf("%d bytes were read ahead, and the pool has %d left", size, pool)
 	}
-	close(closes)
-	here.Done()
-	rest, err := io.ReadAll(here)
+	close(mayClose)
+	server.BeginResponse()
+	rest, err := io.ReadAll(server)
 	if err != nil || !bytes.Equal(append(one[:], rest...), sent) {
-		t.Errorf("%d bytes of %d came, %v", 1+len(rest), len(sent), err)
+		t.Errorf("%d bytes of %d were read, %v", 1+len(rest), len(sent), err)
 	}
-	if err := testutil.Receive(t, wrote, "the client's end"); err != nil {
+	if err := testutil.Receive(t, written, "the client's close"); err != nil {
 		t.Error(err)
 	}
-	if l.pool.Load() != sharedAhead || !here.ahead.empty() {
-		t.Errorf("%d of %d of the pool came back", l.pool.Load(), sharedAhead)
+	if l.readAheadPool.Load() != sharedReadAhead || !server.readAhead.isEmpty() {
+		t.Errorf("%d of %d were returned to the pool", l.readAheadPool.Load(), sharedReadAhead)
 	}
 }
 
-// Where the pool is empty each connection still has a request's size of its own, and a connection that ends gives back.
+// Where the pool is empty each connection may still read ahead a request's size, and a connection that is closed
+// returns what it borrowed.
 func TestSharedReadAhead(t *testing.T) {
-	l, client, here := pair(t)
-	l.pool.Store(lent)
-	go client.Write(make([]byte, mostAhead))
-	testutil.Until(t, "the bound", func() bool {
-		here.Gone()
-		here.reading.Lock()
-		defer here.reading.Unlock()
-		return here.full
+	l, client, server := openRequest(t)
+	l.readAheadPool.Store(borrowStep)
+	go func() { _, _ = client.Write(make([]byte, maxReadAhead)) }() // ends with the connection
+	testutil.Until(t, "the limit", func() bool {
+		server.Disconnected()
+		server.readMu.Lock()
+		defer server.readMu.Unlock()
+		return server.paused
 	})
-	if got := here.ahead.size(); got <= maxAhead || got > maxAhead+lent || l.pool.Load() != 0 {
-		t.Errorf("%d bytes are put by, %d of the pool are left", got, l.pool.Load())
+	size, pool := server.readAhead.size(), l.readAheadPool.Load()
+	if size <= minReadAhead || size > minReadAhead+borrowStep || pool != 0 {
+		t.Errorf("%d bytes were read ahead, the pool has %d left", size, pool)
 	}
-	here.Close()
-	if l.pool.Load() != lent {
-		t.Errorf("%d of the pool came back", l.pool.Load())
+	server.Close()
+	if l.readAheadPool.Load() != borrowStep {
+		t.Errorf("%d were returned to the pool", l.readAheadPool.Load())
 	}
 }
--- /dev/null
+++ b/internal/front/graphqlfront/format_test.go
@@ -0,0 +1,39 @@
+package graphqlfront
+
+import (
+	"encoding/json"
+	"testing"
+
+	"hazelwing/internal/testutil"
+)
+
+// GET /graphql of the admin endpoint is this.
+func TestGraphQLStateFormatIsStable(t *testing.T) {
+	state := State{
+		Requests: 1, Operations: 2, Parts: 3, Refused: 4, MayHaveRun: 5, Rejected: 6, Shared: 7, InHand: 8, Documents: 9,
+	}
+	testutil.Filled(t, state)
+	testutil.ExplicitNames(t, "json", state)
+	text, err := json.MarshalIndent(state, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	testutil.Golden(t, "state.json", append(text, '\n'))
+}
+
+// Each parameter of a request is read under its name.
+func TestGraphQLParametersFormatIsStable(t *testing.T) {
+	text := `{"query":"{a}","documentId":"d","operationName":"o","variables":{"v":1},
+		"extensions":{"persistedQuery":{"version":1,"sha256Hash":"h"}}}`
+	var p params
+	if err := json.Unmarshal([]byte(text), &p); err != nil {
+		t.Fatal(err)
+	}
+	testutil.Filled(t, p)
+	testutil.ExplicitNames(t, "json", p)
+	decoded, err := json.MarshalIndent(p, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	testutil.Golden(t, "parameters.json", append(decoded, '\n'))
+}
--- /dev/null
+++ b/internal/platform/format_test.go
@@ -0,0 +1,62 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"strings"
+	"testing"
+
+	"hazelwing/internal/testutil"
+)
+
+// Each key of the platform's configuration is read under the name that the platform
+// writes, and the names under which the type is encoded are stable.
+func TestPlatformConfigurationFormatIsStable(t *testing.T) {
+	text, err := os.ReadFile("testdata/configuration.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var config Config
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&config); err != nil {
+		t.Fatal(err)
+	}
+	testutil.Filled(t, config)
+	testutil.ExplicitNames(t, "json", config)
+	decoded, err := json.MarshalIndent(config, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	testutil.Golden(t, "configuration-decoded.json", append(decoded, '\n'))
+}
+
+// The error of a value of the wrong type names the field in the same form as before.
+func TestPlatformConfigurationErrorNamesTheField(t *testing.T) {
+	for text, want := range map[string]string{
+		`{"listen":1}`:                     ".Listen of type string",
+		`{"limits":{"cores":"x"}}`:         "Limits.Cores of type float64",
+		`{"settings":{"TickMs":"x"}}`:      "Settings.TickMs of type float64",
+		`{"known":{"hosts":[{"host":1}]}}`: "Known.hosts.host of type string",
+	} {
+		if _, err := load(t, text, nil); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %q", text, err, want)
+		}
+	}
+}
+
+// The names of the variables that the platform sets are stable.
+func TestPlatformVariableNamesAreStable(t *testing.T) {
+	var names []string
+	_, err := Load(func(name string) string {
+		names = append(names, name)
+		return map[string]string{"RELAY_CONFIG": "testdata/configuration.json"}[name]
+	})
+	if err != nil {
+		t.Error(err)
+	}
+	if got, want := strings.Join(names, " "), "RELAY_CONFIG RELAY_NAME RELAY_LISTEN RELAY_DISCOVERY"; got != want {
+		t.Errorf("Load reads %s, want %s", got, want)
+	}
+}
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -340,7 +340,7 @@
 		return ""
 	}
 	var within, seers string
-	var differ func(map[int]gossip.State) string
+	var differ func(map[int]gossip.Status) string
 	switch arg(0) {
 	case "agree":
 		within, seers = arg(1), arg(2)
@@ -351,20 +351,20 @@
 		if err != nil {
 			return err
 		}
-		differ = func(views map[int]gossip.State) string { return r.statesDiffer(views, of, strings.Split(arg(2), "|")) }
+		differ = func(views map[int]gossip.Status) string { return r.statesDiffer(views, of, strings.Split(arg(2), "|")) }
 	case "count":
 		within, seers = arg(2), arg(3)
-		differ = func(views map[int]gossip.State) string {
+		differ = func(views map[int]gossip.Status) string {
 			for n, v := range views {
-				if strconv.Itoa(v.Core.Count) != arg(1) {
-					return fmt.Sprintf("%d reckons with %d", n, v.Core.Count)
+				if strconv.Itoa(v.Core.EstimatedSize) != arg(1) {
+					return fmt.Sprintf("%d reckons with %d", n, v.Core.EstimatedSize)
 				}
 			}
 			return ""
 		}
 	case "out":
 		within, seers = arg(2), arg(3)
-		differ = func(views map[int]gossip.State) string { return r.listed(views, arg(1)) }
+		differ = func(views map[int]gossip.Status) string { return r.listed(views, arg(1)) }
 	default:
 		return errors.New("nothing of that name can be waited for")
 	}
@@ -411,15 +411,15 @@
 }
 
 // disagreement is the first difference of the views from each other, or from what runs; empty: none.
-func (r *Rig) disagreement(views map[int]gossip.State) string {
-	lives := map[string]cluster.Version{}
+func (r *Rig) disagreement(views map[int]gossip.Status) string {
+	lives := map[string]cluster.Incarnation{}
 	for n, v := range views {
 		if v.Name == "" {
 			return fmt.Sprintf("%s does not answer", r.members[n].name)
 		}
 		for _, m := range v.Members {
 			if m.Self {
-				lives[m.Name] = m.Version
+				lives[m.Name] = m.Incarnation
 			}
 		}
 	}
@@ -428,8 +428,8 @@
 		for _, m := range views[n].Members {
 			v, runs := lives[m.Name]
 			switch {
-			case runs && (m.State != cluster.Alive || m.Version != v):
-				return fmt.Sprintf("%s holds %s for %v %d.%d, and it is alive %d.%d", r.members[n].name, m.Name, m.State, m.Life, m.Inc, v.Life, v.Inc)
+			case runs && (m.State != cluster.Alive || m.Incarnation != v):
+				return fmt.Sprintf("%s holds %s for %v %d.%d, and it is alive %d.%d", r.members[n].name, m.Name, m.State, m.Generation, m.Refutations, v.Generation, v.Refutations)
 			case !runs && m.State < cluster.Dead:
 				return fmt.Sprintf("%s holds %s for %v, and it does not run or is apart", r.members[n].name, m.Name, m.State)
 			case runs:
@@ -443,7 +443,7 @@
 	return ""
 }
 
-func (r *Rig) statesDiffer(views map[int]gossip.State, of []int, states []string) string {
+func (r *Rig) statesDiffer(views map[int]gossip.Status, of []int, states []string) string {
 	for n, v := range views {
 		for _, x := range of {
 			if x == n {
@@ -464,7 +464,7 @@
 }
 
 // listed is the first of the views' members that has a server in its list.
-func (r *Rig) listed(views map[int]gossip.State, server string) string {
+func (r *Rig) listed(views map[int]gossip.Status, server string) string {
 	for n := range views {
 		var list []struct {
 			ID string
--- a/internal/transport/http1/exchange.go
+++ b/internal/transport/http1/exchange.go
@@ -5,228 +5,189 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
-	"hazelwing/balancer"
 	"hazelwing/internal/engine"
 	"hazelwing/internal/httpmsg"
 	"hazelwing/internal/netpeek"
 )
 
-// exchange is one request to an upstream and its answer: an attempt or a probe.
-type exchange struct {
-	pool   *Pool
-	up     *upstream
-	sent   time.Time // when it was asked for
-	ctx    context.Context
-	cancel context.CancelFunc
-	build  func(left time.Duration) *http.Request
-	permit func() bool                 // whether it may still begin
-	check  func(*httpmsg.Answer) error // of an answer with status 200; nil: any is good
-	load   bool                        // the answer is a load report
+// errUnwritableRequest says that a request cannot be written as HTTP/1.1.
+var errUnwritableRequest = errors.New("the request cannot be written")
 
-	mu      sync.Mutex
-	begun   bool // its first byte may be written
-	stopped bool // it never will be
+// exchange is one request to an upstream and its response: an attempt or a probe. It implements engine.Exchange.
+type exchange struct {
+	pool      *Pool
+	upstream  *upstream
+	startedAt time.Time // when the engine asked for it
+	// ctx ends with the exchange's timeout or with Cancel, which the engine may call before Run.
+	ctx           context.Context //nolint:containedctx // one exchange is one operation, cancelled from outside of Run
+	cancel        context.CancelFunc
+	buildRequest  func(timeLeft time.Duration) *http.Request
+	mayStart      func() bool                   // reports whether it may still start
+	checkResponse func(*httpmsg.Response) error // checks a response with status 200; nil accepts any
+	isProbe       bool                          // the response is a load report
+
+	mu           sync.Mutex
+	writeStarted bool // its first byte may have been written
+	forbidden    bool // nothing may be written any more
 }
 
-// Attempt prepares an attempt of a call whose Payload is a *httpmsg.Request.
-func (p *Pool) Attempt(member string, c *engine.Call, timeout time.Duration) engine.Exchange {
-	u := p.find(member)
+// Attempt prepares an attempt of a call whose Payload is a *httpmsg.Request. It returns nil for an unknown endpoint.
+func (p *Pool) Attempt(endpoint string, c *engine.Call, timeout time.Duration) engine.Exchange {
+	u := p.find(endpoint)
 	if u == nil {
 		return nil
 	}
 	r := c.Payload.(*httpmsg.Request)
-	x := p.exchange(u, timeout, func(left time.Duration) *http.Request { return onward(r, left) })
-	x.check, x.permit = r.Check, c.MayStart()
+	x := p.newExchange(u, timeout, func(timeLeft time.Duration) *http.Request { return forwardedRequest(r, timeLeft) })
+	x.checkResponse = r.Check
+	x.mayStart = c.MayStart()
 	return x
 }
 
-// Probe prepares a probe, which asks for the load report.
-func (p *Pool) Probe(member string, timeout time.Duration) engine.Exchange {
-	u := p.find(member)
+// Probe prepares a probe, which asks for the load report. It returns nil for an unknown endpoint.
+func (p *Pool) Probe(endpoint string, timeout time.Duration) engine.Exchange {
+	u := p.find(endpoint)
 	if u == nil {
 		return nil
 	}
-	x := p.exchange(u, timeout, probeRequest)
-	x.load = true
+	x := p.newExchange(u, timeout, probeRequest)
+	x.isProbe = true
 	return x
 }
 
-// onward is the request as it goes on to an upstream, which is told how long we wait.
-func onward(r *httpmsg.Request, left time.Duration) *http.Request {
-	req, _ := http.NewRequest(r.Method, "http://upstream.internal", nil)
-	req.URL.Opaque = r.URI
-	req.Host = r.Host
-	req.Header = r.Header.Clone()
-	req.Header.Set(httpmsg.DeadlineHeader, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	if _, told := req.Header["User-Agent"]; !told {
-		req.Header["User-Agent"] = []string{""} // none is added
-	}
-	if req.Method != http.MethodGet || len(r.Body) > 0 {
-		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(r.Body)), int64(len(r.Body))
-		if len(r.Body) == 0 {
-			req.Body = http.NoBody
-		}
+func (p *Pool) newExchange(u *upstream, timeout time.Duration, build func(time.Duration) *http.Request) *exchange {
+	x := &exchange{
+		pool:         p,
+		upstream:     u,
+		startedAt:    time.Now(),
+		buildRequest: build,
+		mayStart:     func() bool { return true },
 	}
-	return req
-}
-
-func (p *Pool) exchange(u *upstream, timeout time.Duration, build func(time.Duration) *http.Request) *exchange {
-	x := &exchange{pool: p, up: u, sent: time.Now(), build: build, permit: func() bool { return true }}
-	x.ctx, x.cancel = context.WithDeadline(context.Background(), x.sent.Add(timeout))
+	x.ctx, x.cancel = context.WithDeadline(context.Background(), x.startedAt.Add(timeout))
 	return x
 }
 
-// Cancel ends the exchange.
+// Cancel ends the exchange. It does not block.
 func (x *exchange) Cancel() { x.cancel() }
 
-// Forbid stops an exchange that has not begun to write. Guards against a dial that finishes after the request's
-// final answer: its request would be sent for nothing, and could run.
+// CancelUnsent ends an exchange that has not started to write. This prevents a dial that completes after the call's
+// result from sending a request for nothing, which could run.
 func (x *exchange) CancelUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.begun {
-		x.stopped = true
+	if !x.writeStarted {
+		x.forbidden = true
 		x.cancel()
 	}
 }
 
-// begin claims the right to write to c: neither was the exchange stopped, nor has its client left, nor is the upstream's drain
-// known, nor has another process taken its place. Guards against a dial that finishes late. The client is looked at last of all:
-// nothing is waited for between that and the write.
-func (x *exchange) begin(c *conn) bool {
+// claimWrite claims the right to write to c. It fails if the exchange was cancelled, if the upstream is known to drain
+// or another process has taken its place, or if the client has disconnected. This prevents a dial that completes late
+// from carrying a request. The client is checked last: nothing blocks between that and the write.
+func (x *exchange) claimWrite(c *conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.stopped || x.ctx.Err() != nil || !x.pool.maySend(x.up, c.to) || !x.permit() {
+	if x.forbidden || x.ctx.Err() != nil || !x.pool.maySend(x.upstream, c.process) || !x.mayStart() {
 		return false
 	}
-	x.begun = true
+	x.writeStarted = true
 	return true
 }
 
-// Run carries the exchange out. It returns by the exchange's deadline; no answer is a stream.
+// Run carries the exchange out. It returns by the exchange's timeout; no response is a stream.
 func (x *exchange) Run(func(any) bool) engine.Outcome {
 	defer x.cancel()
-	o := x.attempt()
-	o.Elapsed = time.Since(x.sent)
-	return o
+	outcome := x.roundTrip()
+	outcome.Elapsed = time.Since(x.startedAt)
+	return outcome
 }
 
-// attempt writes the request once and reads its answer. What proves that a request never ran (the platform's protocol
-// page) is all in here: unsent, for a request not written whole, and result, for an answer that says so.
-func (x *exchange) attempt() engine.Outcome {
-	if !x.permit() { // a dial for it would be for nothing
-		return engine.Outcome{Result: x.unsent(nil)}
+// roundTrip writes the request once and reads its response. Before it returns, the connection is closed or back in the
+// pool.
+func (x *exchange) roundTrip() engine.Outcome {
+	if !x.mayStart() { // a dial for it would be for nothing
+		return engine.Outcome{Result: x.unsentResult(nil)}
 	}
-	c, text, err := x.ready()
+	c, request, err := x.prepare()
 	if err != nil {
-		return engine.Outcome{Result: x.unsent(err), Err: err}
+		return engine.Outcome{Result: x.unsentResult(err), Err: err}
 	}
-	keep := false
+	returned := false // to the pool
 	defer func() {
-		if !keep {
-			c.Close()
+		if !returned {
+			_ = c.Close() // the exchange has its outcome by now
 		}
 	}()
-	// The end of the context, by time or by cancel, ends all reading and writing.
-	release := context.AfterFunc(x.ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	defer release()
-	if !x.begin(c) {
-		if release() { // nothing was written: others may use it
-			keep = true
-			x.pool.put(x.up, c)
+	// The end of the context, by timeout or by cancel, ends all reading and writing.
+	stop := context.AfterFunc(x.ctx, func() {
+		_ = c.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection
+	})
+	defer stop()
+	if !x.claimWrite(c) {
+		if stop() { // nothing was written: others may use it
+			returned = true
+			x.pool.put(x.upstream, c)
 		}
-		return engine.Outcome{Result: x.unsent(x.ctx.Err()), Err: x.ctx.Err()}
+		return engine.Outcome{Result: x.unsentResult(x.ctx.Err()), Err: x.ctx.Err()}
 	}
-	c.limit.N = maxHead + x.pool.body
-	if n, err := c.Write(text); err != nil {
-		if n < len(text) { // the upstream begins a request when its last byte has come
-			return engine.Outcome{Result: x.unsent(err), Err: err}
-		}
-		return engine.Outcome{Result: x.broken(err), Err: err}
+	resp, body, failure := x.transfer(c, request) //nolint:bodyclose // it was read; c is closed where it was not
+	if resp == nil {
+		return failure
 	}
-	resp, body, err := c.readAnswer(x.pool.body)
-	if err != nil {
-		if c.limit.N <= 0 {
-			err = errLong
-		}
-		return engine.Outcome{Result: x.broken(err), Err: err}
+	if stop() && !resp.Close {
+		returned = true
+		x.pool.put(x.upstream, c)
 	}
-	if release() && !resp.Close {
-		keep = true
-		x.pool.put(x.up, c)
-	}
-	a := &httpmsg.Answer{Status: resp.StatusCode, Header: httpmsg.Onward(resp.Header), Body: body}
-	o := engine.Outcome{Result: result(resp), Answer: a}
-	if o.Result == balancer.OK && x.check != nil {
-		if err := x.check(a); err != nil { // it has run, and what came is of no use
-			return engine.Outcome{Result: balancer.ServerError, Err: err}
+	return x.outcomeFromResponse(resp, body)
+}
+
+// transfer writes the request to c and reads the response. The response is nil where there is none that can be used;
+// the outcome then says why.
+func (x *exchange) transfer(c *conn, request []byte) (*http.Response, []byte, engine.Outcome) {
+	c.limited.N = maxResponseHeadBytes + x.pool.maxResponseBytes
+	if n, err := c.Write(request); err != nil {
+		if n < len(request) { // the upstream starts a request when its last byte has come
+			return nil, nil, engine.Outcome{Result: x.unsentResult(err), Err: err}
 		}
+		return nil, nil, engine.Outcome{Result: x.brokenResult(err), Err: err}
 	}
-	o.Final = o.Result == balancer.OK || httpmsg.TurnedDown(a.Status)
-	if x.load {
-		o.Load = load(a)
+	resp, body, err := c.readResponse(x.pool.maxResponseBytes)
+	if err != nil {
+		if c.limited.N <= 0 {
+			err = errResponseTooLong
+		}
+		return nil, nil, engine.Outcome{Result: x.brokenResult(err), Err: err}
 	}
-	return o
+	return resp, body, engine.Outcome{}
 }
 
-// ready returns a connection and the request to write to it. An idle one is looked at last of all, right before the
+// prepare returns a connection and the request to write to it. An idle connection is checked last, right before the
 // write.
-func (x *exchange) ready() (*conn, []byte, error) {
+func (x *exchange) prepare() (*conn, []byte, error) {
 	for {
-		c, err := x.pool.get(x.ctx, x.up)
+		c, err := x.pool.get(x.ctx, x.upstream)
 		if err != nil {
 			return nil, nil, err
 		}
-		deadline, _ := x.ctx.Deadline()
-		var text bytes.Buffer
-		if err := x.build(time.Until(deadline)).Write(&text); err != nil {
-			c.Close()
-			return nil, nil, fmt.Errorf("%w: %w", errUnsendable, err)
+		deadline, _ := x.ctx.Deadline() // newExchange has set one
+		var request bytes.Buffer
+		if err := x.buildRequest(time.Until(deadline)).Write(&request); err != nil {
+			_ = c.Close() // nothing was written to it
+			return nil, nil, fmt.Errorf("%w: %w", errUnwritableRequest, err)
 		}
-		if c.since.IsZero() {
-			return c, text.Bytes(), nil
+		if c.idleSince.IsZero() {
+			return c, request.Bytes(), nil
 		}
-		switch c.look() {
-		case netpeek.Silent:
-			return c, text.Bytes(), nil
-		case netpeek.Spoke:
-			x.pool.spoke()
+		switch c.peek() {
+		case netpeek.Idle:
+			return c, request.Bytes(), nil
+		case netpeek.Readable:
+			x.pool.noteUnsolicitedData()
 		}
-		c.Close()
-	}
-}
-
-// unsent is the result of an exchange whose request was not written whole.
-func (x *exchange) unsent(err error) balancer.Result {
-	switch {
-	case errors.Is(x.ctx.Err(), context.Canceled):
-		return balancer.Cancelled
-	case err == nil || errors.Is(err, errFull) || errors.Is(err, errUnsendable): // the upstream is not to blame
-		return balancer.NotSent
-	}
-	return balancer.ConnectFailed
-}
-
-// broken is the result of an exchange whose request was written and whose answer did not come whole. An answer that
-// came and cannot be used is an error of a process that lives. Guards against taking it for dead: what spoils answers
-// may do so with those of all upstreams.
-func (x *exchange) broken(err error) balancer.Result {
-	switch x.ctx.Err() {
-	case context.Canceled:
-		return balancer.Cancelled
-	case context.DeadlineExceeded:
-		return balancer.Timeout
-	}
-	var network *net.OpError
-	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &network) && !network.Timeout() {
-		return balancer.Reset
+		_ = c.Close() // nothing was written to it
 	}
-	return balancer.ServerError
 }
--- /dev/null
+++ b/internal/transport/http1/response.go
@@ -0,0 +1,90 @@
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+)
+
+// What is wrong with a response whose connection is intact.
+var (
+	errResponseTooLong  = errors.New("the answer is too long")
+	errNoResponseLength = errors.New("the answer's end cannot be told")
+)
+
+// initialBodyBuffer limits the bytes that are allocated for the body of a response before any of it has come.
+const initialBodyBuffer = 64 << 10
+
+// readResponse reads a complete response with a body of at most maxBytes. Interim responses are skipped. It limits the
+// head, and how long a response that has begun may pause: this prevents malformed responses whose connection stays
+// open, such as heads without end and lengths that do not fit, from holding the attempt.
+func (c *conn) readResponse(maxBytes int64) (*http.Response, []byte, error) {
+	for {
+		if _, err := c.reader.Peek(1); err != nil {
+			return nil, nil, err
+		}
+		c.stallTimer = time.AfterFunc(c.stallTimeout, func() {
+			_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
+		})
+		resp, body, err := c.readOneResponse(maxBytes)
+		if !c.stallTimer.Stop() && err == nil {
+			resp.Close = true // the deadline may have been set, or be about to be
+		}
+		c.stallTimer = nil
+		if err != nil || resp.StatusCode >= 200 {
+			return resp, body, err
+		}
+	}
+}
+
+// readOneResponse reads one complete response; an interim one has no body. The body is not closed: that would read the
+// rest of one that is too long.
+func (c *conn) readOneResponse(maxBytes int64) (*http.Response, []byte, error) {
+	head, err := c.peekHead()
+	if err != nil {
+		return nil, nil, err
+	}
+	hasLength := bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length"))
+	resp, err := http.ReadResponse(c.reader, nil)
+	switch {
+	case err != nil:
+		return nil, nil, err
+	case resp.StatusCode == http.StatusSwitchingProtocols,
+		resp.ContentLength < 0 && (hasLength || len(resp.TransferEncoding) == 0):
+		// This prevents truncated responses from passing: with neither a length nor chunks a broken connection looks
+		// like the end, and where there are both net/http hides the length.
+		return nil, nil, errNoResponseLength
+	case resp.ContentLength > maxBytes: // nothing of a body that cannot be used is read
+		return nil, nil, errResponseTooLong
+	}
+	var body bytes.Buffer
+	body.Grow(int(min(max(resp.ContentLength, 0), initialBodyBuffer)) + bytes.MinRead)
+	_, err = body.ReadFrom(io.LimitReader(resp.Body, maxBytes+1))
+	if err == nil && int64(body.Len()) > maxBytes {
+		err = errResponseTooLong
+	}
+	return resp, body.Bytes(), err
+}
+
+// peekHead returns the bytes of a response's head, or the first of them where it is longer than the buffer; the error
+// says why it is incomplete.
+func (c *conn) peekHead() ([]byte, error) {
+	for n := 1; ; n = c.reader.Buffered() + 1 {
+		_, err := c.reader.Peek(n)
+		text, _ := c.reader.Peek(c.reader.Buffered()) // cannot fail: these bytes are buffered
+		for _, end := range []string{"\r\n\r\n", "\n\n"} {
+			if i := bytes.Index(text, []byte(end)); i >= 0 {
+				return text[:i], nil
+			}
+		}
+		if errors.Is(err, bufio.ErrBufferFull) {
+			return text, nil
+		}
+		if err != nil {
+			return nil, err
+		}
+	}
+}
