--- /dev/null
+++ b/cmd/hazelwing/loggingpage_test.go
@@ -0,0 +1,131 @@
+package main
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const loggingPage = moduleRoot + "/docs/operators/logging.md"
+
+// loggingPackages are the packages whose log lines an operator sees: those of the daemon, of an origin and of the plug-in.
+var loggingPackages = []string{
+	"balancer",
+	"cmd/hazelwing",
+	"internal/admin",
+	"internal/cluster",
+	"internal/cluster/*",
+	"internal/controlplane",
+	"internal/controlplane/*",
+	"internal/daemon",
+	"internal/discovery",
+	"internal/discovery/*",
+	"internal/engine",
+	"internal/front/*",
+	"internal/idempotency",
+	"internal/idempotency/*",
+	"internal/limits",
+	"internal/operator",
+	"internal/platform",
+	"internal/store",
+	"internal/transport/*",
+	"rpc/grpcbalancer",
+}
+
+var (
+	// loggingRow is a row of the page's table of messages: its first cell is the message.
+	loggingRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| (?:debug|info|warn|error) \\|")
+	// loggerName ends the expression that a message is logged through.
+	loggerName = regexp.MustCompile(`(?i)(log|logger)$`)
+)
+
+// logMethods are the methods that take a message as their first argument. The balancer's own is log.
+var logMethods = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "log": true}
+
+// The page of log messages has a row for each message in the code, and none that the code does not log.
+func TestLoggingPageHasAllMessages(t *testing.T) {
+	page, err := os.ReadFile(loggingPage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	documented := map[string]bool{}
+	for _, row := range loggingRow.FindAllStringSubmatch(string(page), -1) {
+		documented[row[1]] = true
+	}
+	logged := loggedMessages(t)
+	for message, place := range logged {
+		if !documented[message] {
+			t.Errorf("%s logs %q, which is not on the page", place, message)
+		}
+	}
+	for message := range documented {
+		if logged[message] == "" {
+			t.Errorf("the page has %q, which nothing logs", message)
+		}
+	}
+}
+
+// loggedMessages returns the messages in the code, each with a place that logs it.
+func loggedMessages(t *testing.T) map[string]string {
+	t.Helper()
+	messages := map[string]string{}
+	for _, pattern := range loggingPackages {
+		files, err := filepath.Glob(filepath.Join(moduleRoot, pattern, "*.go"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range files {
+			if strings.HasSuffix(name, "_test.go") {
+				continue
+			}
+			set := token.NewFileSet()
+			file, err := parser.ParseFile(set, name, nil, parser.SkipObjectResolution)
+			if err != nil {
+				t.Fatal(err)
+			}
+			ast.Inspect(file, func(n ast.Node) bool {
+				if call, ok := n.(*ast.CallExpr); ok {
+					if message, ok := loggedMessage(call); ok {
+						messages[message] = set.Position(call.Pos()).String()
+					}
+				}
+				return true
+			})
+		}
+	}
+	return messages
+}
+
+// loggedMessage returns the constant message of a call that logs one.
+func loggedMessage(call *ast.CallExpr) (string, bool) {
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || !logMethods[method.Sel.Name] || len(call.Args) == 0 {
+		return "", false
+	}
+	if method.Sel.Name != "log" && !loggerName.MatchString(lastName(method.X)) {
+		return "", false
+	}
+	literal, ok := call.Args[0].(*ast.BasicLit)
+	if !ok || literal.Kind != token.STRING {
+		return "", false
+	}
+	message, err := strconv.Unquote(literal.Value)
+	return message, err == nil
+}
+
+// lastName is the last identifier of an expression such as c.cfg.Log.
+func lastName(expression ast.Expr) string {
+	switch expression := expression.(type) {
+	case *ast.Ident:
+		return expression.Name
+	case *ast.SelectorExpr:
+		return expression.Sel.Name
+	}
+	return ""
+}
