--- a/balancer/api.go
+++ b/balancer/api.go
@@ -48,8 +48,8 @@
 	Fraction float64 // its quota, as a share of all requests
 }
 
-// Settings configures a Balancer. An absent (zero) value means that a feature is off or that a price is nil, unless its
-// comment says otherwise.
+// Settings configures a Balancer. An absent (zero) value means that a feature is off or that a price is nil, unless
+// its comment says otherwise.
 type Settings struct {
 	Balancers int    // sidecars that send to the same endpoints, this one included; absent: 1
 	Zone      string // the home zone: that of this sidecar
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -10,8 +10,8 @@
 	"hazelwing/internal/backoff"
 )
 
-// validate fills in the defaults of absent settings and returns an error that names the first one that cannot be used.
-// The names in errors are those that operators know, from before the fields had their present names.
+// validate fills in the defaults of absent settings and returns an error that names the first one that cannot be
+// used. The names in errors are those that operators know, from before the fields had their present names.
 func (s *Settings) validate() error {
 	if err := s.validateValues(); err != nil {
 		return err
@@ -121,7 +121,8 @@
 }
 
 // SetBalancers replaces the number of sidecars in the settings, from the next decision on. Subsets, the cost of
-// crossings, the use of probes and the backoff of subscriptions follow it. Below 1 counts as 1. The caller is Handle's.
+// crossings, the use of probes and the backoff of subscriptions follow it. Below 1 counts as 1. The caller is
+// Handle's.
 func (b *Balancer) SetBalancers(n int) {
 	b.settings.Balancers = max(n, 1)
 	b.subscribeBackoff.Config = backoff.Service(b.settings.Balancers)
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -54,8 +54,8 @@
 	return sum / (r.memory.Seconds() * (1 - math.Exp(-float64(age)/float64(r.memory))))
 }
 
-// peakEWMA is an exponentially weighted moving average, in seconds, that jumps to a peak at once (as that of Twitter's
-// Finagle does).
+// peakEWMA is an exponentially weighted moving average, in seconds, that jumps to a peak at once (as that of
+// Twitter's Finagle does).
 type peakEWMA struct {
 	value     float64
 	updatedAt time.Duration
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// past is how long before the start the module's clock begins: a member that came up shortly before the engine did is
-// still cold, and has to have a time on that clock.
-const past = time.Hour
+// clockHeadStart is how long before the engine's start the Balancer's clock begins: an endpoint that started shortly
+// before the engine is still warming up, and needs a start time on that clock.
+const clockHeadStart = time.Hour
 
-// clock is the module's clock: monotonic, but for what comes from outside as wall time.
+// clock is the Balancer's clock: monotonic, except for times from outside, which are wall times.
 type clock struct{ base time.Time }
 
-func newClock() clock { return clock{time.Now().Add(-past)} }
+func newClock() clock { return clock{time.Now().Add(-clockHeadStart)} }
+
+func (c clock) now() time.Duration { return time.Since(c.base) }
 
-func (c clock) now() time.Duration           { return time.Since(c.base) }
 func (c clock) at(t time.Time) time.Duration { return t.Sub(c.base) }
-func (c clock) time(d time.Duration) time.Time {
-	return c.base.Add(d)
-}
 
-// wall maps Unix milliseconds; 0 or before the clock's begin is long ago: 0.
-func (c clock) wall(ms float64) time.Duration {
+func (c clock) timeAt(d time.Duration) time.Time { return c.base.Add(d) }
+
+// fromUnixMS converts Unix milliseconds; 0 or a time before the clock's begin is long ago: 0.
+func (c clock) fromUnixMS(ms float64) time.Duration {
 	return max(0, time.Duration(ms-float64(c.base.UnixMilli()))*time.Millisecond)
 }
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -44,21 +44,21 @@
 	ctx, leave := context.WithCancel(t.Context())
 	first, second := newCall("1", "look"), newCall("2", "look")
 	first.ctx, second.ctx = ctx, ctx
-	e.event(first)
+	e.handleCall(first)
 	x := testutil.Receive(t, f.sent, "the attempt")
 	leave()
-	e.event(ended{first, 0, Outcome{Result: balancer.Overloaded}}) // before gone{first}
-	e.event(second)
+	attemptEnded{first, 0, Outcome{Result: balancer.Overloaded}}.handle(e) // before gone{first}
+	e.handleCall(second)
 	if len(f.sent) > 0 {
 		t.Error("sent for a client that left")
 	}
 	for _, c := range []*Call{first, second} {
-		if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Disconnected {
+		if r := testutil.Receive(t, c.result, "the result"); r.Kind != Disconnected {
 			t.Errorf("%s: %+v", c.ID, r)
 		}
-		e.event(gone{c}) // comes later, and changes nothing
+		callDisconnected{c}.handle(e) // comes later, and changes nothing
 	}
-	if len(e.calls) > 0 || len(first.reply)+len(second.reply) > 0 {
+	if len(e.calls) > 0 || len(first.result)+len(second.result) > 0 {
 		t.Errorf("%d calls in hand, more than one result", len(e.calls))
 	}
 	x.end <- Outcome{}
@@ -75,9 +75,9 @@
 	e := idle(t, f, set, 3)
 	c := newCall("1", "pay")
 	begun := time.Now()
-	e.event(c)
+	e.handleCall(c)
 	one := testutil.Receive(t, f.sent, "the attempt").call.MayStart()
-	e.event(ended{c, 0, Outcome{Result: balancer.Reset}}) // it may have run
+	attemptEnded{c, 0, Outcome{Result: balancer.Reset}}.handle(e) // it may have run
 	two := testutil.Receive(t, f.sent, "the next one").call.MayStart()
 	may, asked := two(), time.Since(begun)
 	if !may && asked < window/2 {
@@ -100,7 +100,7 @@
 	e := made(t, f, set, 2)
 	const calls = 12
 	for i := range calls { // they are there before anything else happens
-		e.events <- newCall(fmt.Sprint(i), "look")
+		e.events <- callArrived{newCall(fmt.Sprint(i), "look")}
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer func() {
@@ -153,10 +153,10 @@
 			leaving := fleet(1)
 			leaving[0].State, leaving[0].StartedAtMS = balancer.Draining, c.born
 			old.tell(EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: leaving}) // it waits behind what follows
-			e.event(moved{next})
+			sourceChanged{next}.handle(e)
 			testutil.Receive(t, next.watches, "the new watch").tell(EndpointUpdate{Kind: balancer.Delta, Version: 3})
-			e.news(told{watch: e.watch, EndpointUpdate: EndpointUpdate{Kind: balancer.Delta, Version: 3}}) // the new one has answered
-			for len(e.lists) > 0 {
+			e.handleUpdate(watchUpdate{watch: e.watch, EndpointUpdate: EndpointUpdate{Kind: balancer.Delta, Version: 3}}) // the new one has answered
+			for len(e.updates) > 0 {
 				e.step(nil)
 			}
 			if got := f.members["m0"].State != balancer.Active; got != c.drains {
@@ -172,9 +172,9 @@
 	e := idle(t, f, testSettings(), 0) // nobody to send to: it waits
 	c := newCall("1", "look")
 	c.PriorAttempts = []PriorAttempt{{Zone: "a", SentAt: time.Now()}}
-	e.event(c)
-	e.end()
-	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Failed {
+	e.handleCall(c)
+	e.shutDown()
+	if r := testutil.Receive(t, c.result, "the result"); r.Kind != Failed {
 		t.Errorf("%+v, want a failure", r)
 	}
 }
@@ -194,7 +194,7 @@
 			leaving[0].State = balancer.Draining
 			testutil.Receive(t, f.watches, "the first watch").tell(EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: leaving})
 			e.step(nil)
-			e.event(moved{next})
+			sourceChanged{next}.handle(e)
 			list := fleet(2)
 			list[0].StartedAtMS = c.born
 			testutil.Receive(t, next.watches, "the new watch").tell(EndpointUpdate{Kind: balancer.CompleteList, Version: c.seq, Endpoints: list})
@@ -205,8 +205,8 @@
 			if !c.drains {
 				return
 			}
-			e.event(again{e.watch}) // its time has come
-			e.moved = e.moved.Add(-olderView)
+			relistDue{e.watch}.handle(e) // its time has come
+			e.sourceChangedAt = e.sourceChangedAt.Add(-staleListPeriod)
 			w := testutil.Receive(t, next.watches, "the list asked for anew")
 			if w.seq != UnknownVersion {
 				t.Errorf("it goes on from %d", w.seq)
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,21 +1,21 @@
-// Package engine drives one balancer.Balancer: it owns its clock, its timer, the calls in hand and their attempts, and
-// knows no network.
+// Package engine runs one balancer.Balancer: it owns the Balancer's clock, its timer, the calls in flight and their
+// attempts, and knows no network.
 //
-// Three kinds of things meet in it, each behind an interface or a type that the engine owns:
+// Three kinds of components meet in it, each behind a type or an interface of the engine:
 //
 //   - a front hands it a Call through Do and gets exactly one Result;
-//   - a Transport carries out one attempt or one probe at a time, as an Exchange, and says what is known of it;
-//   - a Source tells it of the members.
+//   - a Transport prepares attempts and probes, each of which the engine runs as an Exchange;
+//   - a Source tells it of the endpoints.
 //
-// All decisions are the Balancer's. The engine runs them in one goroutine, Run's, which never waits for a socket:
-// everything that happens is posted to it as an event, and what the Balancer answers is carried out in order, each
-// exchange in a goroutine of its own. A front with no Balancer beside it would have to keep these promises by itself;
-// here they are kept once for all fronts:
+// All decisions are the Balancer's. The engine handles events in one goroutine, that of Run, which never waits for a
+// socket: whatever happens is queued as an event, and the Balancer's actions are carried out in order, each exchange
+// in a goroutine of its own. The engine makes these promises to all fronts:
 //
-//   - each Call gets one Result, whatever happens to its attempts, its client or the engine;
-//   - once a Call has its Result, none of its attempts that has not begun to write ever will;
-//   - news of members goes before all else that waits;
-//   - a host that stood still (see Stall in stall.go) is not taken for members that fell silent.
+//   - Each Call gets one Result, whatever becomes of its attempts, its client or the engine.
+//   - Once a Call has its Result, no attempt of it that has not begun to write ever will.
+//   - Updates of the endpoint list are handled before all other events that wait.
+//   - A process that was stalled (see stall.go) does not take its endpoints for silent ones.
 //
-// A program makes one with New, runs Run in a goroutine, and ends it through Run's context. Engines share nothing.
+// A program makes an Engine with New, calls Run in a goroutine, and ends it through Run's context. Engines share
+// nothing.
 package engine
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -106,7 +106,7 @@
 func idle(t *testing.T, f *fake, set balancer.Settings, members int) *Engine {
 	t.Helper()
 	e := made(t, f, set, members)
-	e.begin() // the known list; the module asks for changes
+	e.publishCachedList() // the known list; the module asks for changes
 	return e
 }
 
@@ -133,7 +133,7 @@
 }
 
 func newCall(id, class string) *Call {
-	return &Call{ID: id, Class: class, ExpiresAt: time.Now().Add(testutil.Patience), reply: make(chan Result, 1), begun: none}
+	return &Call{ID: id, Class: class, ExpiresAt: time.Now().Add(testutil.Patience), result: make(chan Result, 1), streamAttempt: noAttempt}
 }
 
 func do(e *Engine, ctx context.Context, c *Call) chan Result {
@@ -198,16 +198,16 @@
 func TestLeavingDuplicate(t *testing.T) {
 	e := idle(t, newFake(), testSettings(), 1)
 	first, second := newCall("1", "look"), newCall("1", "look")
-	e.event(first)
-	e.event(second)
-	e.event(gone{second})
+	e.handleCall(first)
+	e.handleCall(second)
+	callDisconnected{second}.handle(e)
 	if e.calls["1"] != first || first.answered {
 		t.Error("the first call was given up")
 	}
-	if r := testutil.Receive(t, second.reply, "the second's result"); r.Kind != Duplicate {
+	if r := testutil.Receive(t, second.result, "the second's result"); r.Kind != Duplicate {
 		t.Errorf("the second got %+v", r)
 	}
-	e.event(ended{first, 0, Outcome{Result: balancer.NotSent}})
+	attemptEnded{first, 0, Outcome{Result: balancer.NotSent}}.handle(e)
 	if len(first.attempts) != 2 {
 		t.Error("the module has let the first call go: it is not sent again")
 	}
@@ -217,11 +217,11 @@
 func TestMaxCalls(t *testing.T) {
 	e := idle(t, newFake(), testSettings(), 1)
 	for i := range 100 {
-		e.event(newCall(fmt.Sprint(i), "look"))
+		e.handleCall(newCall(fmt.Sprint(i), "look"))
 	}
 	c := newCall("one more", "look")
-	e.event(c)
-	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Rejected || !errors.Is(r.Err, errFull) || len(e.calls) != 100 {
+	e.handleCall(c)
+	if r := testutil.Receive(t, c.result, "the result"); r.Kind != Rejected || !errors.Is(r.Err, errTooManyCalls) || len(e.calls) != 100 {
 		t.Errorf("%+v with %d calls in hand", r, len(e.calls))
 	}
 }
@@ -231,7 +231,7 @@
 	f := newFake()
 	e := idle(t, f, testSettings(), 3)
 	c := newCall("1", "follow")
-	e.event(c)
+	e.handleCall(c)
 	x := testutil.Receive(t, f.sent, "the attempt")
 	e.send(&balancer.Action{ID: "1", Endpoint: "m1", Timeout: testutil.Patience})
 	y := testutil.Receive(t, f.sent, "the copy")
@@ -239,17 +239,17 @@
 	testutil.Until(t, "its beginning", func() bool { return len(e.events) == 1 })
 	x.begin <- "other"
 	testutil.Until(t, "the other's", func() bool { return len(e.events) == 2 })
-	e.event(<-e.events)
-	if r := testutil.Receive(t, c.reply, "the result"); r.Kind != Streaming || r.Answer != "stream" || !<-y.verdict {
+	(<-e.events).handle(e)
+	if r := testutil.Receive(t, c.result, "the result"); r.Kind != Streaming || r.Answer != "stream" || !<-y.verdict {
 		t.Errorf("%+v", r)
 	}
-	e.event(<-e.events)
+	(<-e.events).handle(e)
 	if <-x.verdict {
 		t.Error("two streams are the client's")
 	}
-	e.event(<-e.events) // the module cancels the copy
+	(<-e.events).handle(e) // the module cancels the copy
 	y.end <- Outcome{Result: balancer.Reset}
-	e.event(<-e.events)
+	(<-e.events).handle(e)
 	if len(e.calls) != 0 || len(f.sent) > 0 {
 		t.Errorf("%d calls in hand, %d more attempts", len(e.calls), len(f.sent))
 	}
@@ -260,12 +260,12 @@
 	f := newFake()
 	e := idle(t, f, testSettings(), 1)
 	c := newCall("1", "follow")
-	e.event(c)
+	e.handleCall(c)
 	x := testutil.Receive(t, f.sent, "the attempt")
 	x.begin <- "stream"
-	e.event(<-e.events)
-	e.event(gone{c})
-	if e.event(<-e.events); len(e.calls) != 0 {
+	(<-e.events).handle(e)
+	callDisconnected{c}.handle(e)
+	if (<-e.events).handle(e); len(e.calls) != 0 {
 		t.Error("the stream goes on")
 	}
 }
@@ -302,14 +302,14 @@
 	if old.seq != 7 {
 		t.Errorf("it goes on from %d", old.seq)
 	}
-	e.subscribe()
+	e.startWatch(0)
 	testutil.Receive(t, f.watches, "the second watch")
 	current, updates := e.watch, f.updates
 	old.tell(EndpointUpdate{Kind: balancer.WatchFailed})
 	old.tell(EndpointUpdate{Kind: balancer.CompleteList, Version: 9})
 	e.step(nil)
 	e.step(nil)
-	if e.watch != current || e.seq == 9 || f.updates != updates || old.ctx.Err() == nil {
+	if e.watch != current || e.version == 9 || f.updates != updates || old.ctx.Err() == nil {
 		t.Error("an old watch was heard")
 	}
 }
@@ -324,12 +324,12 @@
 		w := testutil.Receive(t, f.watches, "the watch")
 		w.tell(EndpointUpdate{Kind: balancer.Delta, Version: 7})
 		e.step(nil)
-		e.arrive(newCall("1", "look"))
+		e.handleCall(newCall("1", "look"))
 		if w.seq != 7 || len(f.members) != 2 || len(f.sent) != 1 {
 			t.Errorf("pushed %v: %d members, %d calls sent on, watched from %d", pushed, len(f.members), len(f.sent), w.seq)
 		}
-		if e = made(t, f, set, 0); e.known.Version != NoVersion {
-			t.Errorf("pushed %v: without members it watches from %d", pushed, e.known.Version)
+		if e = made(t, f, set, 0); e.cachedList.Version != NoVersion {
+			t.Errorf("pushed %v: without members it watches from %d", pushed, e.cachedList.Version)
 		}
 	}
 }
@@ -339,10 +339,10 @@
 	f, next := newFake(), newFake()
 	e := idle(t, f, testSettings(), 1)
 	for range 10 {
-		e.news(told{e.watch, EndpointUpdate{Kind: balancer.WatchFailed}})
-		e.subscribe()
+		e.handleUpdate(watchUpdate{e.watch, EndpointUpdate{Kind: balancer.WatchFailed}})
+		e.startWatch(0)
 	}
-	e.event(moved{next})
+	sourceChanged{next}.handle(e)
 	if w := testutil.Receive(t, next.watches, "the new watch"); w.seq != UnknownVersion {
 		t.Errorf("it goes on from %d, a version of the other", w.seq)
 	}
@@ -354,8 +354,8 @@
 	f, next := newFake(), newFake()
 	e := idle(t, f, testSettings(), 3)
 	old := testutil.Receive(t, f.watches, "the first watch")
-	e.event(moved{next})
-	e.event(moved{next}) // again, before it has answered
+	sourceChanged{next}.handle(e)
+	sourceChanged{next}.handle(e) // again, before it has answered
 	testutil.Receive(t, next.watches, "the new watch")
 	w := testutil.Receive(t, next.watches, "the newer watch")
 	// m0 drains, m1 stays, and m2 is gone without a word.
@@ -363,9 +363,9 @@
 	leaving[0].State = balancer.Draining
 	old.tell(EndpointUpdate{Kind: balancer.CompleteList, Version: 8, Endpoints: append(leaving, fleet(2)[1], Endpoint{ID: "new", Zone: "a"})})
 	e.step(nil)
-	e.arrive(newCall("1", "look"))
-	if old.ctx.Err() != nil || f.members["m0"].State == balancer.Active || f.members["m2"].State == balancer.Active || f.members["new"].ID != "" || e.seq != UnknownVersion {
-		t.Errorf("members %v, version %d, the old watch: %v", f.members, e.seq, old.ctx.Err())
+	e.handleCall(newCall("1", "look"))
+	if old.ctx.Err() != nil || f.members["m0"].State == balancer.Active || f.members["m2"].State == balancer.Active || f.members["new"].ID != "" || e.version != UnknownVersion {
+		t.Errorf("members %v, version %d, the old watch: %v", f.members, e.version, old.ctx.Err())
 	}
 	x := testutil.Receive(t, f.sent, "the attempt")
 	if x.member != "m1" {
@@ -383,8 +383,8 @@
 	w = testutil.Receive(t, next.watches, "the next one")
 	w.tell(EndpointUpdate{Kind: balancer.Delta, Version: 3})
 	e.step(nil)
-	if old.ctx.Err() == nil || e.seq != 3 {
-		t.Errorf("the new one has answered: version %d, the old watch: %v", e.seq, old.ctx.Err())
+	if old.ctx.Err() == nil || e.version != 3 {
+		t.Errorf("the new one has answered: version %d, the old watch: %v", e.version, old.ctx.Err())
 	}
 	updates := f.updates
 	old.tell(EndpointUpdate{Kind: balancer.Delta, Version: 9, Endpoints: fleet(1)})
@@ -403,8 +403,8 @@
 	e.step(nil)
 	w.tell(EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: []Endpoint{{ID: "beside", Zone: "a"}}})
 	e.step(nil)
-	if f.members["beside"].ID == "" || e.seq != 7 {
-		t.Errorf("members %v, version %d", f.members, e.seq)
+	if f.members["beside"].ID == "" || e.version != 7 {
+		t.Errorf("members %v, version %d", f.members, e.version)
 	}
 	for len(f.watches) == 0 { // the module asks again all the same
 		e.step(nil)
@@ -416,10 +416,10 @@
 	for range 10 { // without the order, each has an even chance
 		f := newFake()
 		e := idle(t, f, testSettings(), 1)
-		e.events <- newCall("1", "look")
+		e.events <- callArrived{newCall("1", "look")}
 		leaving := fleet(1)
 		leaving[0].State = balancer.Draining
-		e.lists <- told{e.watch, EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: leaving}}
+		e.updates <- watchUpdate{e.watch, EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: leaving}}
 		e.step(nil)
 		e.step(nil)
 		if len(f.sent) > 0 {
--- a/internal/engine/stall.go
+++ b/internal/engine/stall.go
@@ -6,81 +6,84 @@
 	"hazelwing/balancer"
 )
 
-// A host may stop all threads of a process for a while: a debugger, a laptop's lid, a machine that has no core left.
-// To the process it looks as if every member had fallen silent at the same moment, and then all its timers fire at
-// once. Nothing of that says anything about a member.
+// A host may stop all threads of a process for a while: a debugger, a suspended laptop, a machine that has no free
+// core. To the process it looks as if every endpoint had fallen silent at the same moment, and afterwards all its
+// timers fire at once. None of that says anything about an endpoint.
 
 const (
-	beatEvery = 50 * time.Millisecond
-	// stallLeast is how much later than it should a beat comes at the least when the process stood still. Below it
-	// is what a busy machine does to everybody now and then.
-	stallLeast = 100 * time.Millisecond
-	// settleTime is how long the module's timers wait after a stall, so that what lies ready on the sockets comes
-	// first: it would be hedged or given up though its answer is here.
-	settleTime = 10 * time.Millisecond
-	// maxStalls is how many are remembered: an attempt is unlikely to live through more.
+	heartbeatInterval = 50 * time.Millisecond
+	// minStall is how late a heartbeat must come to count as a stall. A busy machine delays any process by less.
+	minStall = 100 * time.Millisecond
+	// settlePeriod is how long the Balancer's timers wait after a stall, so that answers that lie ready on the
+	// sockets are handled first: their attempts would be hedged or given up otherwise.
+	settlePeriod = 10 * time.Millisecond
+	// maxStalls is how many stalls are remembered: an attempt is unlikely to outlast more.
 	maxStalls = 16
 )
 
 // stall is a time in which the process did not run.
-type stall struct{ from, to time.Time }
+type stall struct {
+	from time.Time
+	to   time.Time
+}
 
-// stalls notices them by a beat that comes late. It reads no clock itself.
+// stalls detects stalls by heartbeats that come late. It does not read the clock itself.
 type stalls struct {
-	last    time.Time // it ran at this time for sure
-	recent  []stall   // the latest last
-	settled time.Time // timers wait until then
+	lastRunAt time.Time // when the process was last known to run
+	recent    []stall   // the latest is the last
+	settledAt time.Time // timers wait until then
 }
 
-// start begins to look: before, there was no beat.
-func (s *stalls) start(now time.Time) { s.last = now }
+// start begins a time with heartbeats.
+func (s *stalls) start(now time.Time) { s.lastRunAt = now }
 
-// look is called whenever the process does something, and at each beat while beating. It returns how long the
-// process has just stood still, or 0.
-func (s *stalls) look(now time.Time, beating bool) time.Duration {
-	from := s.last.Add(beatEvery)
+// check is called whenever the process does something, heartbeats included; beating says whether there are any. It
+// returns how long the process has just been stalled, or 0.
+func (s *stalls) check(now time.Time, beating bool) time.Duration {
+	from := s.lastRunAt.Add(heartbeatInterval)
 	late := now.Sub(from)
-	s.last = now
-	if !beating || late < stallLeast {
+	s.lastRunAt = now
+	if !beating || late < minStall {
 		return 0
 	}
 	if len(s.recent) == maxStalls {
 		s.recent = append(s.recent[:0], s.recent[1:]...)
 	}
 	s.recent = append(s.recent, stall{from, now})
-	s.settled = now.Add(settleTime)
+	s.settledAt = now.Add(settlePeriod)
 	return late
 }
 
-// within is how much of the time between the two the process stood still.
+// within returns how long the process was stalled between two times.
 func (s *stalls) within(from, to time.Time) (sum time.Duration) {
 	for _, x := range s.recent {
-		f, t := x.from, x.to
-		if f.Before(from) {
-			f = from
+		start, end := x.from, x.to
+		if start.Before(from) {
+			start = from
 		}
-		if t.After(to) {
-			t = to
+		if end.After(to) {
+			end = to
 		}
-		sum += max(0, t.Sub(f))
+		sum += max(0, end.Sub(start))
 	}
 	return sum
 }
 
-// correct takes from an outcome what a stall made of it. The time is not the member's. An attempt that we ended says
-// nothing of the member, however long it was out, but may have run as before. A connection that did not come up may
-// have done so in time for a process that ran: it counts as not tried.
-func (s *stalls) correct(o *Outcome, sent, now time.Time) {
-	stood := s.within(sent, now)
-	if stood == 0 {
+// correct removes a stall's effects from an outcome. The stall's time is not the endpoint's. An attempt that this
+// process ended says nothing of the endpoint, however long it was outstanding, but may have run. A connection that
+// did not come up might have done so in time without the stall: it counts as not tried.
+func (s *stalls) correct(o *Outcome, sentAt, now time.Time) {
+	stalled := s.within(sentAt, now)
+	if stalled == 0 {
 		return
 	}
-	o.Elapsed = max(0, o.Elapsed-stood)
+	o.Elapsed = max(0, o.Elapsed-stalled)
 	switch o.Result {
 	case balancer.Timeout, balancer.Cancelled:
-		// Guards against ejecting a member for two attempts that were cut short: the module counts those that were
-		// out for long, and takes the time since the first of them, in which we stood still, for its silence.
-		o.Result, o.Elapsed = balancer.Cancelled, 0
+		// The Balancer counts attempts that were cut short after a long time, and would take the time since the first
+		// of them, with the stall, for the endpoint's silence: two such attempts would eject it.
+		o.Result = balancer.Cancelled
+		o.Elapsed = 0
 	case balancer.ConnectFailed:
 		o.Result = balancer.NotSent
 	}
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -17,11 +17,11 @@
 	var s stalls
 	s.start(at(0))
 	for _, d := range []time.Duration{50 * ms, 100 * ms, 180 * ms} { // beats, one of them a little late
-		if got := s.look(at(d), true); got != 0 {
+		if got := s.check(at(d), true); got != 0 {
 			t.Errorf("a beat at %v: a stall of %v", d, got)
 		}
 	}
-	if got := s.look(at(630*ms), true); got != 400*ms {
+	if got := s.check(at(630*ms), true); got != 400*ms {
 		t.Errorf("a stall of %v, want 400ms", got)
 	}
 	for name, c := range map[string]struct {
@@ -44,11 +44,11 @@
 			t.Errorf("%s: result %d in %v, want %d in %v", name, got.Result, got.Elapsed, c.want.Result, c.want.Elapsed)
 		}
 	}
-	if s.look(at(5000*ms), false) != 0 {
+	if s.check(at(5000*ms), false) != 0 {
 		t.Error("a time with nothing in hand counts as a stall")
 	}
 	for i := range 3 * maxStalls {
-		s.look(at(time.Duration(6+i)*time.Second), true)
+		s.check(at(time.Duration(6+i)*time.Second), true)
 	}
 	if len(s.recent) != maxStalls {
 		t.Errorf("%d stalls are remembered", len(s.recent))
@@ -62,15 +62,15 @@
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = time.Second, time.Second
 	e := idle(t, f, set, 3)
 	c := newCall("1", "look")
-	e.event(c)
+	e.handleCall(c)
 	x := testutil.Receive(t, f.sent, "the attempt")
-	testutil.Until(t, "the timer that starts a copy", func() bool { return len(e.timer.C) > 0 || time.Now().After(e.wake) })
-	e.stalls.last = time.Now().Add(-400 * ms) // it did not run since
+	testutil.Until(t, "the timer that starts a copy", func() bool { return len(e.timer.C) > 0 || time.Now().After(e.timerAt) })
+	e.stalls.lastRunAt = time.Now().Add(-400 * ms) // it did not run since
 	x.end <- Outcome{Result: balancer.OK, Final: true, Elapsed: 10 * ms}
 	testutil.Until(t, "the outcome", func() bool { return len(e.events) > 0 })
-	e.look()
-	e.stalls.settled = time.Now().Add(testutil.Patience) // however slow this machine is
-	for len(c.reply) == 0 {
+	e.checkStall()
+	e.stalls.settledAt = time.Now().Add(testutil.Patience) // however slow this machine is
+	for len(c.result) == 0 {
 		e.step(nil)
 	}
 	if len(f.sent) > 0 {
--- a/rpc/grpcbalancer/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -116,7 +116,7 @@
 			asked = append(asked, line[len("asked "):])
 		case strings.HasPrefix(line, "ended "):
 			results[strings.Fields(line)[1]]++
-		case strings.Contains(line, "stood still"):
+		case strings.Contains(line, "process was stalled"):
 			stalls++
 		case strings.Contains(line, "eject"), strings.HasPrefix(line, "error"):
 			t.Error(line)
