--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -125,5 +125,5 @@
 // Handle's.
 func (b *Balancer) SetBalancers(n int) {
 	b.settings.Balancers = max(n, 1)
-	b.subscribeBackoff.Config = backoff.Service(b.settings.Balancers)
+	b.subscribeBackoff.Config = backoff.ServiceConfig(b.settings.Balancers)
 }
--- /dev/null
+++ b/internal/discovery/mergedsource/format_test.go
@@ -0,0 +1,60 @@
+package mergedsource
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/discovery"
+	"hazelwing/internal/testutil"
+)
+
+// GET /members is a list of these, as Source.Status returns it. The golden file is here and not in package
+// discovery, since the script test there plays every file under its testdata.
+func TestMemberListFormatIsStable(t *testing.T) {
+	endpoint := discovery.Endpoint{
+		ID:           "upstream-1",
+		Addr:         "10.0.0.4:8080",
+		Zone:         "a",
+		Kind:         "m",
+		Cell:         2,
+		State:        balancer.Draining,
+		StartedAtMS:  1700000000000.5,
+		Priority:     1,
+		TrafficShare: 0.5,
+	}
+	list := []discovery.EndpointStatus{{
+		Endpoint: endpoint,
+		Listed:   true,
+		Reason:   "listed",
+		Sources:  []string{"discovery", "dns"},
+		Since:    1500 * time.Millisecond,
+	}, {}}
+	testutil.Filled(t, list[0])
+	testutil.ExplicitNames(t, "json", list)
+	text, err := json.MarshalIndent(list, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	testutil.Golden(t, "list.json", append(text, '\n'))
+	var read []discovery.EndpointStatus
+	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
+		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
+	}
+}
+
+// The states are numbers in GET /members.
+func TestMemberListStateNumbersAreStable(t *testing.T) {
+	numbers := map[balancer.EndpointState]string{
+		balancer.Active:   "0",
+		balancer.Draining: "1",
+		balancer.Removed:  "2",
+	}
+	for state, want := range numbers {
+		if text, err := json.Marshal(state); err != nil || string(text) != want {
+			t.Errorf("%s, %v, want %s", text, err, want)
+		}
+	}
+}
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -12,7 +12,7 @@
 // staleListPeriod is how long after a change of the source a list of a lower version than that of a drain is not
 // believed about it. An update of discovery counts as known after this time at the latest: by then the new source has
 // it.
-const staleListPeriod = backoff.Told
+const staleListPeriod = backoff.NotificationDeadline
 
 // watch is one open call of a source's Watch.
 type watch struct{ stop context.CancelFunc }
@@ -119,7 +119,7 @@
 		return
 	}
 	e.listLost = true
-	e.startWatch(e.watchBackoff.Fail(e.clock.now(), newlyReached) - e.clock.now())
+	e.startWatch(e.watchBackoff.CallFailed(e.clock.now(), newlyReached) - e.clock.now())
 }
 
 // handleCurrentUpdate applies an update of the open watch, or the cached list.
--- a/internal/front/graphqlfront/front_test.go
+++ b/internal/front/graphqlfront/front_test.go
@@ -59,7 +59,7 @@
 		return engine.Result{Kind: engine.Failed, Err: errs}
 	}
 	text, _ := json.Marshal(exec.Run(schema, doc, doc.Operations[0], map[string]any{}, ones{}))
-	return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: 200, Body: text}}
+	return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: 200, Body: text}}
 }
 
 type ones struct{}
@@ -69,9 +69,9 @@
 
 func newServer(t testing.TB, d *doer, change func(*Config)) *Server {
 	t.Helper()
-	schema, err := plan.New(plan.Config{Name: "s", SDL: sdl, Classes: classes, Limits: plan.DefaultLimits, Fields: map[string]plan.Field{
-		"Query.a": {Class: "q"}, "Query.b": {Class: "r"}, "Query.s": {Class: "q", Share: true}, "Query.slow": {Class: "q", Deadline: time.Second},
-		"Mutation.m": {Class: "u", Key: "k"}, "Mutation.n": {Class: "u"}}})
+	schema, err := plan.New(plan.Config{SchemaFile: "s", SDL: sdl, Classes: classes, Limits: plan.DefaultLimits, Fields: map[string]plan.FieldMapping{
+		"Query.a": {Class: "q"}, "Query.b": {Class: "r"}, "Query.s": {Class: "q", Coalesce: true}, "Query.slow": {Class: "q", Deadline: time.Second},
+		"Mutation.m": {Class: "u", KeyArgument: "k"}, "Mutation.n": {Class: "u"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,14 +216,14 @@
 	for i, want := range []struct{ key, body string }{{"1", `{"query":"mutation M{\n\tx: m(k: \"1\")\n}\n","operationName":"M"}`}, {"K:n", `{"query":"mutation M{\n\tn\n}\n","operationName":"M"}`}} {
 		c := d.calls[i]
 		r := c.Payload.(*httpmsg.Request)
-		if c.Class != "u" || c.IdempotencyKey != want.key || c.Tenant != "acme" || r.Header.Get(httpmsg.KeyHeader) != want.key || string(r.Body) != want.body || r.URI != "/g" ||
-			r.Method != "POST" || r.Header.Get("Authorization") != "me" || r.Header.Get("X-Hop") != "" || r.Header.Get("Content-Type") != jsonMedia || r.Header.Get(httpmsg.IDHeader) != c.ID {
+		if c.Class != "u" || c.IdempotencyKey != want.key || c.Tenant != "acme" || r.Header.Get(httpmsg.IdempotencyKeyHeader) != want.key || string(r.Body) != want.body || r.URI != "/g" ||
+			r.Method != "POST" || r.Header.Get("Authorization") != "me" || r.Header.Get("X-Hop") != "" || r.Header.Get("Content-Type") != jsonMedia || r.Header.Get(httpmsg.RequestIDHeader) != c.ID {
 			t.Errorf("call %d: %+v, %+v, %s", i, c, r, r.Body)
 		}
 		if left := c.ExpiresAt.Sub(begun); left < 29*time.Second || left > 31*time.Second+time.Since(begun) {
 			t.Errorf("it expires in %v", left)
 		}
-		if r.Check(&httpmsg.Answer{Body: []byte(`{"data":{"other":1}}`)}) == nil {
+		if r.Check(&httpmsg.Response{Body: []byte(`{"data":{"other":1}}`)}) == nil {
 			t.Error("another's answer was taken")
 		}
 	}
@@ -235,10 +235,10 @@
 // How calls end decides what is said of their fields, and of the whole.
 func TestEnds(t *testing.T) {
 	ok := func(body string) engine.Result {
-		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: 200, Body: []byte(body)}}
+		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: 200, Body: []byte(body)}}
 	}
 	status := func(code int, body string) engine.Result {
-		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: code, Body: []byte(body)}}
+		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: code, Body: []byte(body)}}
 	}
 	refused := engine.Result{Kind: engine.Rejected, RetryAfter: 1500 * time.Millisecond}
 	failed := engine.Result{Kind: engine.Failed, TimedOut: true}
@@ -369,7 +369,7 @@
 	here := func() bool { return false }
 	first, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) {
 		<-hold
-		return plan.Outcome{Why: "there"}, false
+		return plan.Outcome{Reason: "there"}, false
 	})
 	second, joined := f.join("k", end.Add(lateBy), here, nil)
 	if shared || !joined {
@@ -379,18 +379,18 @@
 		t.Error("one with more patience joined")
 	}
 	leave()
-	if o, _ := first.wait(gone, end); o.Ended != plan.MayRun {
+	if o, _ := first.wait(gone, end); o.Kind != plan.OutcomeUnknown {
 		t.Errorf("the one that left: %+v", o)
 	}
-	if o, _ := first.wait(t.Context(), time.Now()); o.Ended != plan.MayRun {
+	if o, _ := first.wait(t.Context(), time.Now()); o.Kind != plan.OutcomeUnknown {
 		t.Errorf("the one whose time is up: %+v", o)
 	}
 	close(hold)
-	if o, ok := second.wait(t.Context(), end); o.Why != "there" || !ok {
+	if o, ok := second.wait(t.Context(), end); o.Reason != "there" || !ok {
 		t.Errorf("the one that stayed: %+v", o)
 	}
-	anew, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) { return plan.Outcome{Why: "anew"}, false })
-	if o, _ := anew.wait(t.Context(), end); shared || o.Why != "anew" {
+	anew, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) { return plan.Outcome{Reason: "anew"}, false })
+	if o, _ := anew.wait(t.Context(), end); shared || o.Reason != "anew" {
 		t.Error("a flight that has ended was joined")
 	}
 }
@@ -405,7 +405,7 @@
 		go func() { done <- ask(s, `{"query":"{a}"}`).Code }()
 	}
 	testutil.Until(t, "both", func() bool { return s.State().InHand == 2 })
-	if w := ask(s, `{"query":"mutation{m n}"}`); w.Code != 503 || !strings.Contains(w.Body.String(), plan.Refused) {
+	if w := ask(s, `{"query":"mutation{m n}"}`); w.Code != 503 || !strings.Contains(w.Body.String(), plan.CodeRefused) {
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
 	close(release)
@@ -530,7 +530,7 @@
 				body = `{"data":{"a":1}}`
 			}
 		}
-		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Answer{Status: 200, Body: []byte(body)}}
+		return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: 200, Body: []byte(body)}}
 	}
 	for _, c := range []struct{ name, body string }{{"one query", `{"query":"query Seats($x: Int) { a(x: $x) }","variables":{"x":3}}`}, {"batch of 20", "[" + strings.Join(batch, ",") + "]"}} {
 		for _, kept := range []bool{true, false} {
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -255,6 +255,19 @@
 	return append(list, r.Servers.Ledger.Broken()...)
 }
 
+// SetProgram sets the command that runs the members or origins of a group from their next start on, and that founds these
+// origins. It lets processes of several versions of the program share one fleet.
+func (r *Rig) SetProgram(group string, program ...string) error {
+	list, err := r.group(group)
+	if err != nil {
+		return err
+	}
+	for _, n := range list {
+		r.process(n).program = program
+	}
+	return nil
+}
+
 // Ask reads a part of a member's admin endpoint.
 func (r *Rig) Ask(n int, part string, v any) error {
 	resp, err := r.admin.Get("http://" + r.members[n].admin + "/" + part)
@@ -280,16 +293,16 @@
 func (r *Rig) Admin(n int) string { return r.members[n].admin }
 
 // views asks all members of a group that run and are not frozen, side by side.
-func (r *Rig) views(group []int) map[int]gossip.State {
-	out := map[int]gossip.State{}
+func (r *Rig) views(group []int) map[int]gossip.Status {
+	out := map[int]gossip.Status{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for _, n := range group {
 		if p := r.members[n]; p.running() && !p.frozen {
 			all.Go(func() {
-				var s gossip.State
+				var s gossip.Status
 				if r.Ask(n, "fleet", &s) != nil {
-					s = gossip.State{}
+					s = gossip.Status{}
 				}
 				mu.Lock()
 				defer mu.Unlock()
