--- a/internal/graphql/exec/exec.go
+++ b/internal/graphql/exec/exec.go
@@ -1,5 +1,5 @@
-// Package exec executes GraphQL documents that were validated, on objects that resolve their own fields. The daemon
-// answers introspection with it; the stand-in nodes execute a whole schema.
+// Package exec executes validated GraphQL documents on objects that resolve their own fields. The daemon answers
+// introspection with it, and the emulated nodes execute a whole schema.
 package exec
 
 import (
@@ -11,194 +11,270 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// Object resolves fields. Type is the name of its object type.
+const (
+	skipDirective    = "skip"
+	includeDirective = "include"
+	typenameField    = "__typename"
+)
+
+// Object is a value of an object type, which resolves its own fields.
 type Object interface {
+	// Type returns the name of the object type.
 	Type() string
-	// Resolve returns a field's value: nil, a string, bool, number or json.Number, an Object, or a []any of these.
+	// Resolve returns the value of a field: nil, a string, bool, number or json.Number, an Object, or a []any of these.
 	Resolve(field string, args map[string]any) (any, error)
 }
 
-// Error is one of a field's.
+// Error is an error of a field.
 type Error struct {
 	Message string `json:"message"`
 	Path    []any  `json:"path"`
 }
 
-// Result is an operation's: its data, null where a field is that cannot be.
+// Result is the result of an operation. Data is null if a field is null that cannot be.
 type Result struct {
 	Data   json.RawMessage `json:"data"`
 	Errors []Error         `json:"errors,omitempty"`
 }
 
+// execution is the state of the execution of one operation.
 type execution struct {
 	schema *ast.Schema
-	doc    *ast.QueryDocument
+	query  *ast.QueryDocument
 	vars   map[string]any
 	errors []Error
 }
 
-// Run executes an operation whose variables were coerced. Of a mutation the fields are resolved one after the other, up to
-// one that makes the data null.
-func Run(schema *ast.Schema, doc *ast.QueryDocument, op *ast.OperationDefinition, vars map[string]any, root Object) Result {
-	x := &execution{schema: schema, doc: doc, vars: vars}
-	data, ok := x.object(op.SelectionSet, root, nil)
+// Run executes an operation. Its variables are coerced. The fields of a mutation are resolved one after the other, up
+// to the first that makes the data null.
+func Run(
+	schema *ast.Schema, query *ast.QueryDocument, op *ast.OperationDefinition, vars map[string]any, root Object,
+) Result {
+	x := &execution{schema: schema, query: query, vars: vars}
+	data, ok := x.executeSelectionSet(op.SelectionSet, root, nil)
 	if !ok {
 		data = json.RawMessage("null")
 	}
 	return Result{Data: data, Errors: x.errors}
 }
 
-// Meta answers selections of one response key of __typename, __schema or __type.
-func Meta(schema *ast.Schema, doc *ast.QueryDocument, operation ast.Operation, nodes []*ast.Field, vars map[string]any) (json.RawMessage, error) {
-	x := &execution{schema: schema, doc: doc, vars: vars}
-	root := schema.Query
+// ResolveMetaField returns the value of __typename, __schema or __type on the root type of an operation. selections are
+// all selections of it with one response key; vars are coerced.
+func ResolveMetaField(
+	schema *ast.Schema,
+	query *ast.QueryDocument,
+	operation ast.Operation,
+	selections []*ast.Field,
+	vars map[string]any,
+) (json.RawMessage, error) {
+	x := &execution{schema: schema, query: query, vars: vars}
+	rootType := schema.Query
 	if operation == ast.Mutation {
-		root = schema.Mutation
+		rootType = schema.Mutation
 	}
-	text, ok := x.field(nodes, metaRoot{schema, root.Name}, nil)
+	value, ok := x.executeField(selections, metaRoot{schema, rootType.Name}, nil)
 	if !ok || len(x.errors) > 0 {
 		return nil, fmt.Errorf("introspection: %v", x.errors)
 	}
-	return text, nil
+	return value, nil
 }
 
-// object executes a selection on an object; false: one of its fields cannot be null and is.
-func (x *execution) object(set ast.SelectionSet, o Object, path []any) (json.RawMessage, bool) {
-	var order []string
-	fields := map[string][]*ast.Field{}
-	x.collect(set, o, &order, fields, map[string]bool{})
-	var b bytes.Buffer
-	b.WriteByte('{')
-	for i, key := range order {
-		v, ok := x.field(fields[key], o, append(path[:len(path):len(path)], key))
+// executeSelectionSet executes a selection set on an object. It returns false if a field is null that cannot be.
+func (x *execution) executeSelectionSet(set ast.SelectionSet, object Object, path []any) (json.RawMessage, bool) {
+	fields := &fieldCollector{
+		execution:      x,
+		object:         object,
+		selections:     map[string][]*ast.Field{},
+		visitedSpreads: map[string]bool{},
+	}
+	fields.collect(set)
+	var encoded bytes.Buffer
+	encoded.WriteByte('{')
+	for i, key := range fields.responseKeys {
+		value, ok := x.executeField(fields.selections[key], object, appendPath(path, key))
 		if !ok {
 			return nil, false
 		}
 		if i > 0 {
-			b.WriteByte(',')
+			encoded.WriteByte(',')
 		}
-		fmt.Fprintf(&b, "%q:", key)
-		b.Write(v)
+		fmt.Fprintf(&encoded, "%q:", key)
+		encoded.Write(value)
 	}
-	b.WriteByte('}')
-	return b.Bytes(), true
+	encoded.WriteByte('}')
+	return encoded.Bytes(), true
 }
 
-func (x *execution) collect(set ast.SelectionSet, o Object, order *[]string, fields map[string][]*ast.Field, spread map[string]bool) {
-	for _, sel := range set {
-		switch sel := sel.(type) {
+// appendPath returns a copy of a path with one more element, since the elements of a selection set share their prefix.
+func appendPath(path []any, element any) []any {
+	return append(path[:len(path):len(path)], element)
+}
+
+// fieldCollector collects the fields of an object's selection set (section 6.3.2 of the GraphQL specification).
+type fieldCollector struct {
+	execution      *execution
+	object         Object
+	responseKeys   []string                // in the order of their first selection
+	selections     map[string][]*ast.Field // by response key
+	visitedSpreads map[string]bool
+}
+
+func (c *fieldCollector) collect(set ast.SelectionSet) {
+	for _, selection := range set {
+		switch selection := selection.(type) {
 		case *ast.Field:
-			if x.included(sel.Directives) {
-				if fields[sel.Alias] == nil {
-					*order = append(*order, sel.Alias)
-				}
-				fields[sel.Alias] = append(fields[sel.Alias], sel)
-			}
+			c.addField(selection)
 		case *ast.InlineFragment:
-			if x.included(sel.Directives) && x.applies(sel.TypeCondition, o) {
-				x.collect(sel.SelectionSet, o, order, fields, spread)
+			if c.execution.isIncluded(selection.Directives) && c.matchesObject(selection.TypeCondition) {
+				c.collect(selection.SelectionSet)
 			}
 		case *ast.FragmentSpread:
-			if f := x.doc.Fragments.ForName(sel.Name); f != nil && x.included(sel.Directives) && !spread[sel.Name] {
-				spread[sel.Name] = true
-				if x.applies(f.TypeCondition, o) {
-					x.collect(f.SelectionSet, o, order, fields, spread)
-				}
-			}
+			c.addSpread(selection)
 		}
 	}
 }
 
-func (x *execution) included(list ast.DirectiveList) bool {
-	for _, name := range []string{"skip", "include"} {
-		if d := list.ForName(name); d != nil {
-			if on, _ := d.ArgumentMap(x.vars)["if"].(bool); on == (name == "skip") {
-				return false
-			}
-		}
+func (c *fieldCollector) addField(f *ast.Field) {
+	if !c.execution.isIncluded(f.Directives) {
+		return
+	}
+	if c.selections[f.Alias] == nil {
+		c.responseKeys = append(c.responseKeys, f.Alias)
+	}
+	c.selections[f.Alias] = append(c.selections[f.Alias], f)
+}
+
+func (c *fieldCollector) addSpread(spread *ast.FragmentSpread) {
+	fragment := c.execution.query.Fragments.ForName(spread.Name)
+	if fragment == nil || !c.execution.isIncluded(spread.Directives) || c.visitedSpreads[spread.Name] {
+		return
+	}
+	c.visitedSpreads[spread.Name] = true
+	if c.matchesObject(fragment.TypeCondition) {
+		c.collect(fragment.SelectionSet)
 	}
-	return true
 }
 
-func (x *execution) applies(condition string, o Object) bool {
-	if condition == "" || condition == o.Type() {
+// matchesObject reports whether a fragment with the given type condition applies to the object.
+func (c *fieldCollector) matchesObject(typeCondition string) bool {
+	if typeCondition == "" || typeCondition == c.object.Type() {
 		return true
 	}
-	for _, t := range x.schema.GetPossibleTypes(x.schema.Types[condition]) {
-		if t.Name == o.Type() {
+	schema := c.execution.schema
+	for _, possible := range schema.GetPossibleTypes(schema.Types[typeCondition]) {
+		if possible.Name == c.object.Type() {
 			return true
 		}
 	}
 	return false
 }
 
-// field resolves and completes one; false: it is null and cannot be.
-func (x *execution) field(nodes []*ast.Field, o Object, path []any) (json.RawMessage, bool) {
-	f := nodes[0]
-	if f.Name == "__typename" {
-		text, _ := json.Marshal(o.Type())
-		return text, true
-	}
-	def := f.Definition
-	if named := x.schema.Types[o.Type()]; named != nil && !strings.HasPrefix(f.Name, "__") {
-		if d := named.Fields.ForName(f.Name); d != nil {
-			def = d
+// isIncluded evaluates @skip and @include.
+func (x *execution) isIncluded(directives ast.DirectiveList) bool {
+	for _, name := range []string{skipDirective, includeDirective} {
+		directive := directives.ForName(name)
+		if directive == nil {
+			continue
+		}
+		condition, _ := directive.ArgumentMap(x.vars)["if"].(bool)
+		if condition == (name == skipDirective) {
+			return false
 		}
 	}
-	v, err := o.Resolve(f.Name, f.ArgumentMap(x.vars))
+	return true
+}
+
+// executeField resolves and completes a field. It returns false if the field is null and cannot be.
+func (x *execution) executeField(selections []*ast.Field, object Object, path []any) (json.RawMessage, bool) {
+	field := selections[0]
+	if field.Name == typenameField {
+		name, _ := json.Marshal(object.Type()) // a string can always be encoded
+		return name, true
+	}
+	definition := x.definitionOf(field, object)
+	value, err := object.Resolve(field.Name, field.ArgumentMap(x.vars))
 	if err != nil {
-		x.fault(path, err.Error())
-		return json.RawMessage("null"), !def.Type.NonNull
+		x.addError(path, err.Error())
+		return json.RawMessage("null"), !definition.Type.NonNull
+	}
+	return x.completeValue(definition.Type, selections, value, path)
+}
+
+// definitionOf returns the definition of a field in the object's own type, which may be stricter than the one in the
+// interface that the field is selected on.
+func (x *execution) definitionOf(field *ast.Field, object Object) *ast.FieldDefinition {
+	objectType := x.schema.Types[object.Type()]
+	if objectType == nil || strings.HasPrefix(field.Name, "__") {
+		return field.Definition
+	}
+	if definition := objectType.Fields.ForName(field.Name); definition != nil {
+		return definition
 	}
-	return x.complete(def.Type, nodes, v, path)
+	return field.Definition
 }
 
-func (x *execution) fault(path []any, text string) {
-	x.errors = append(x.errors, Error{Message: text, Path: append([]any{}, path...)})
+func (x *execution) addError(path []any, message string) {
+	x.errors = append(x.errors, Error{Message: message, Path: append([]any{}, path...)})
 }
 
-func (x *execution) complete(t *ast.Type, nodes []*ast.Field, v any, path []any) (json.RawMessage, bool) {
+// completeValue encodes a value of the given type (section 6.4.3 of the GraphQL specification). It returns false if the
+// value is null and cannot be.
+func (x *execution) completeValue(
+	t *ast.Type, selections []*ast.Field, value any, path []any,
+) (json.RawMessage, bool) {
 	null := json.RawMessage("null")
-	if v == nil {
+	if value == nil {
 		if t.NonNull {
-			x.fault(path, "null for a field that cannot be")
+			x.addError(path, "null for a field that cannot be")
 		}
 		return null, !t.NonNull
 	}
-	var text json.RawMessage
-	ok := true
-	switch v := v.(type) {
+	var encoded json.RawMessage
+	var ok bool
+	switch value := value.(type) {
 	case []any:
-		var b bytes.Buffer
-		b.WriteByte('[')
-		for i, e := range v {
-			item, good := x.complete(t.Elem, nodes, e, append(path[:len(path):len(path)], i))
-			if !good {
-				ok = false
-				break
-			}
-			if i > 0 {
-				b.WriteByte(',')
-			}
-			b.Write(item)
-		}
-		b.WriteByte(']')
-		text = b.Bytes()
+		encoded, ok = x.completeList(t.Elem, selections, value, path)
 	case Object:
 		var set ast.SelectionSet
-		for _, n := range nodes {
-			set = append(set, n.SelectionSet...)
+		for _, selection := range selections {
+			set = append(set, selection.SelectionSet...)
 		}
-		text, ok = x.object(set, v, path)
+		encoded, ok = x.executeSelectionSet(set, value, path)
 	default:
-		var err error
-		if text, err = json.Marshal(v); err != nil {
-			x.fault(path, err.Error())
-			ok = false
-		}
+		encoded, ok = x.completeLeaf(value, path)
 	}
 	if !ok {
 		return null, !t.NonNull
 	}
-	return text, true
+	return encoded, true
+}
+
+// completeList encodes a list. It returns false if an element is null and cannot be.
+func (x *execution) completeList(
+	elementType *ast.Type, selections []*ast.Field, values []any, path []any,
+) (json.RawMessage, bool) {
+	var encoded bytes.Buffer
+	encoded.WriteByte('[')
+	for i, value := range values {
+		element, ok := x.completeValue(elementType, selections, value, appendPath(path, i))
+		if !ok {
+			return nil, false
+		}
+		if i > 0 {
+			encoded.WriteByte(',')
+		}
+		encoded.Write(element)
+	}
+	encoded.WriteByte(']')
+	return encoded.Bytes(), true
+}
+
+// completeLeaf encodes a scalar or an enum value. It returns false if it cannot be encoded.
+func (x *execution) completeLeaf(value any, path []any) (json.RawMessage, bool) {
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		x.addError(path, err.Error())
+		return nil, false
+	}
+	return encoded, true
 }
--- a/internal/graphql/exec/introspection.go
+++ b/internal/graphql/exec/introspection.go
@@ -8,258 +8,308 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// The introspection schema (section 4.2 of the specification), on a parsed schema. Each object is a function from a field
-// to its value.
+// The introspection schema (section 4.2 of the GraphQL specification) on a parsed schema. Each object is a function
+// from a field to its value.
 
-// object is one of the introspection types'.
-type object struct {
-	name string
-	get  func(field string, args map[string]any) any
+const (
+	schemaField           = "__schema"
+	deprecatedDirective   = "deprecated"
+	defaultReason         = "No longer supported" // of @deprecated, by the specification
+	specifiedByDirective  = "specifiedBy"
+	oneOfDirective        = "oneOf"
+	includeDeprecatedFlag = "includeDeprecated"
+)
+
+// resolver returns the value of a field.
+type resolver func(field string, args map[string]any) any
+
+// introspectionObject is an object of an introspection type.
+type introspectionObject struct {
+	typeName string
+	resolve  resolver
 }
 
-func (o object) Type() string { return o.name }
+// Type implements Object.
+func (o introspectionObject) Type() string { return o.typeName }
 
-func (o object) Resolve(field string, args map[string]any) (any, error) {
-	return o.get(field, args), nil
+// Resolve implements Object. It never fails.
+func (o introspectionObject) Resolve(field string, args map[string]any) (any, error) {
+	return o.resolve(field, args), nil
 }
 
-// metaRoot resolves the meta fields of a root type.
+// metaRoot resolves __schema and __type on a root type.
 type metaRoot struct {
-	schema *ast.Schema
-	name   string
+	schema   *ast.Schema
+	typeName string
 }
 
-func (m metaRoot) Type() string { return m.name }
+// Type implements Object.
+func (m metaRoot) Type() string { return m.typeName }
 
+// Resolve implements Object. It never fails.
 func (m metaRoot) Resolve(field string, args map[string]any) (any, error) {
-	if field == "__schema" {
-		return m.whole(), nil
+	if field == schemaField {
+		return m.schemaObject(), nil
 	}
 	name, _ := args["name"].(string)
-	if t := m.schema.Types[name]; t != nil {
-		return m.named(t), nil
+	if definition := m.schema.Types[name]; definition != nil {
+		return m.namedType(definition), nil
 	}
 	return nil, nil
 }
 
-func (m metaRoot) whole() object {
-	return object{"__Schema", func(field string, _ map[string]any) any {
+func (m metaRoot) schemaObject() introspectionObject {
+	return introspectionObject{"__Schema", func(field string, _ map[string]any) any {
 		switch field {
 		case "types":
-			return list(slices.Sorted(maps.Keys(m.schema.Types)), func(name string) any { return m.named(m.schema.Types[name]) })
+			return mapList(slices.Sorted(maps.Keys(m.schema.Types)), m.typeByName)
 		case "queryType":
-			return m.named(m.schema.Query)
+			return m.namedType(m.schema.Query)
 		case "mutationType":
-			return m.named(m.schema.Mutation)
+			return m.namedType(m.schema.Mutation)
 		case "subscriptionType":
-			return m.named(m.schema.Subscription)
+			return m.namedType(m.schema.Subscription)
 		case "directives":
-			return list(slices.Sorted(maps.Keys(m.schema.Directives)), func(name string) any { return m.directive(m.schema.Directives[name]) })
+			return mapList(slices.Sorted(maps.Keys(m.schema.Directives)), m.directiveByName)
 		case "description":
-			return text(m.schema.Description)
+			return nullIfEmpty(m.schema.Description)
 		}
 		return nil
 	}}
 }
 
-func list[T any](in []T, of func(T) any) []any {
-	out := []any{}
-	for _, x := range in {
-		out = append(out, of(x))
+// mapList returns the result of convert for each element. It is never nil: an empty list is not null.
+func mapList[T any](list []T, convert func(T) any) []any {
+	converted := []any{}
+	for _, element := range list {
+		converted = append(converted, convert(element))
 	}
-	return out
+	return converted
 }
 
-// text is null where it is empty.
-func text(s string) any {
-	if s == "" {
+func nullIfEmpty(text string) any {
+	if text == "" {
 		return nil
 	}
-	return s
+	return text
 }
 
-func (m metaRoot) directive(d *ast.DirectiveDefinition) any {
-	return object{"__Directive", func(field string, args map[string]any) any {
+func (m metaRoot) typeByName(name string) any { return m.namedType(m.schema.Types[name]) }
+
+func (m metaRoot) directiveByName(name string) any {
+	definition := m.schema.Directives[name]
+	return introspectionObject{"__Directive", func(field string, args map[string]any) any {
 		switch field {
 		case "name":
-			return d.Name
+			return definition.Name
 		case "description":
-			return text(d.Description)
+			return nullIfEmpty(definition.Description)
 		case "isRepeatable":
-			return d.IsRepeatable
+			return definition.IsRepeatable
 		case "locations":
-			return list(d.Locations, func(l ast.DirectiveLocation) any { return string(l) })
+			return mapList(definition.Locations, func(l ast.DirectiveLocation) any { return string(l) })
 		case "args":
-			return m.inputs(d.Arguments, args)
+			return m.arguments(definition.Arguments, args)
 		}
 		return nil
 	}}
 }
 
-// deprecated says whether something is, and why.
-func deprecated(list ast.DirectiveList) (reason any, is bool) {
-	d := list.ForName("deprecated")
-	if d == nil {
+// deprecation reports whether an element of the schema is deprecated, and why.
+func deprecation(directives ast.DirectiveList) (reason any, isDeprecated bool) {
+	directive := directives.ForName(deprecatedDirective)
+	if directive == nil {
 		return nil, false
 	}
-	if a := d.Arguments.ForName("reason"); a != nil {
-		return a.Value.Raw, true
+	if argument := directive.Arguments.ForName("reason"); argument != nil {
+		return argument.Value.Raw, true
 	}
-	return "No longer supported", true
+	return defaultReason, true
 }
 
-// shown leaves deprecated ones out unless includeDeprecated asks for them.
-func shown(args map[string]any, directives ast.DirectiveList) bool {
-	all, _ := args["includeDeprecated"].(bool)
-	_, is := deprecated(directives)
-	return all || !is
+// isListed reports whether an element of the schema is listed: deprecated ones only if includeDeprecated is set.
+func isListed(args map[string]any, directives ast.DirectiveList) bool {
+	includeDeprecated, _ := args[includeDeprecatedFlag].(bool)
+	_, isDeprecated := deprecation(directives)
+	return includeDeprecated || !isDeprecated
 }
 
-func (m metaRoot) inputs(list ast.ArgumentDefinitionList, args map[string]any) []any {
-	out := []any{}
-	for _, a := range list {
-		if shown(args, a.Directives) {
-			out = append(out, m.input(a.Name, a.Description, a.Type, a.DefaultValue, a.Directives))
-		}
-	}
-	return out
-}
-
-// described is an object with a name, a description and perhaps a deprecation; more resolves its other fields.
-func described(kind, name, description string, directives ast.DirectiveList, more func(field string, args map[string]any) any) any {
-	return object{kind, func(field string, args map[string]any) any {
+// describedObject returns an object with a name, a description and perhaps a deprecation. rest resolves its other
+// fields.
+func describedObject(typeName, name, description string, directives ast.DirectiveList, rest resolver) any {
+	return introspectionObject{typeName, func(field string, args map[string]any) any {
 		switch field {
 		case "name":
 			return name
 		case "description":
-			return text(description)
+			return nullIfEmpty(description)
 		case "isDeprecated":
-			_, is := deprecated(directives)
-			return is
+			_, isDeprecated := deprecation(directives)
+			return isDeprecated
 		case "deprecationReason":
-			reason, _ := deprecated(directives)
+			reason, _ := deprecation(directives)
 			return reason
 		}
-		return more(field, args)
+		return rest(field, args)
 	}}
 }
 
-func (m metaRoot) input(name, description string, t *ast.Type, def *ast.Value, directives ast.DirectiveList) any {
-	return described("__InputValue", name, description, directives, func(field string, _ map[string]any) any {
+func (m metaRoot) arguments(definitions ast.ArgumentDefinitionList, args map[string]any) []any {
+	list := []any{}
+	for _, d := range definitions {
+		if isListed(args, d.Directives) {
+			list = append(list, m.inputValue(d.Name, d.Description, d.Type, d.DefaultValue, d.Directives))
+		}
+	}
+	return list
+}
+
+func (m metaRoot) inputValue(
+	name, description string, t *ast.Type, defaultValue *ast.Value, directives ast.DirectiveList,
+) any {
+	return describedObject("__InputValue", name, description, directives, func(field string, _ map[string]any) any {
 		switch {
 		case field == "type":
-			return m.wrapped(t)
-		case field == "defaultValue" && def != nil:
-			return def.String()
+			return m.typeReference(t)
+		case field == "defaultValue" && defaultValue != nil:
+			return defaultValue.String()
 		}
 		return nil
 	})
 }
 
-// wrapped is a type with its lists and non-nulls.
-func (m metaRoot) wrapped(t *ast.Type) any {
+// typeReference returns a type with its list and non-null wrappers.
+func (m metaRoot) typeReference(t *ast.Type) any {
 	switch {
 	case t.NonNull:
-		inner := *t
-		inner.NonNull = false
-		return wrapper("NON_NULL", func() any { return m.wrapped(&inner) })
+		nullable := *t
+		nullable.NonNull = false
+		return wrappingType("NON_NULL", func() any { return m.typeReference(&nullable) })
 	case t.Elem != nil:
-		return wrapper("LIST", func() any { return m.wrapped(t.Elem) })
+		return wrappingType("LIST", func() any { return m.typeReference(t.Elem) })
 	}
-	return m.named(m.schema.Types[t.NamedType])
+	return m.typeByName(t.NamedType)
 }
 
-func wrapper(kind string, of func() any) any {
-	return object{"__Type", func(field string, _ map[string]any) any {
+func wrappingType(kind string, ofType func() any) any {
+	return introspectionObject{"__Type", func(field string, _ map[string]any) any {
 		switch field {
 		case "kind":
 			return kind
 		case "ofType":
-			return of()
+			return ofType()
 		}
 		return nil
 	}}
 }
 
-func (m metaRoot) named(t *ast.Definition) any {
-	if t == nil {
+// namedType returns a type without wrappers, or nil if there is none.
+func (m metaRoot) namedType(definition *ast.Definition) any {
+	if definition == nil {
 		return nil
 	}
-	return object{"__Type", func(field string, args map[string]any) any {
+	return introspectionObject{"__Type", func(field string, args map[string]any) any {
 		switch field {
 		case "kind":
-			return string(t.Kind)
+			return string(definition.Kind)
 		case "name":
-			return t.Name
+			return definition.Name
 		case "description":
-			return text(t.Description)
+			return nullIfEmpty(definition.Description)
 		case "specifiedByURL":
-			if d := t.Directives.ForName("specifiedBy"); d != nil {
-				return d.Arguments.ForName("url").Value.Raw
-			}
+			return specifiedByURL(definition)
 		case "fields":
-			return m.fields(t, args)
+			return m.fields(definition, args)
 		case "interfaces":
-			if t.Kind == ast.Object || t.Kind == ast.Interface {
-				return list(t.Interfaces, func(name string) any { return m.named(m.schema.Types[name]) })
-			}
+			return m.interfaces(definition)
 		case "possibleTypes":
-			if t.Kind == ast.Union || t.Kind == ast.Interface {
-				return list(m.schema.GetPossibleTypes(t), m.named)
-			}
+			return m.possibleTypes(definition)
 		case "enumValues":
-			return m.enum(t, args)
+			return m.enumValues(definition, args)
 		case "inputFields":
-			if t.Kind == ast.InputObject {
-				out := []any{}
-				for _, f := range t.Fields {
-					if shown(args, f.Directives) {
-						out = append(out, m.input(f.Name, f.Description, f.Type, f.DefaultValue, f.Directives))
-					}
-				}
-				return out
-			}
+			return m.inputFields(definition, args)
 		case "isOneOf":
-			if t.Kind == ast.InputObject {
-				return t.Directives.ForName("oneOf") != nil
-			}
+			return isOneOf(definition)
 		}
 		return nil
 	}}
 }
 
-func (m metaRoot) fields(t *ast.Definition, args map[string]any) any {
-	if t.Kind != ast.Object && t.Kind != ast.Interface {
+func specifiedByURL(definition *ast.Definition) any {
+	directive := definition.Directives.ForName(specifiedByDirective)
+	if directive == nil {
+		return nil
+	}
+	return directive.Arguments.ForName("url").Value.Raw
+}
+
+func isOneOf(definition *ast.Definition) any {
+	if definition.Kind != ast.InputObject {
 		return nil
 	}
-	out := []any{}
-	for _, f := range t.Fields {
-		if strings.HasPrefix(f.Name, "__") || !shown(args, f.Directives) {
+	return definition.Directives.ForName(oneOfDirective) != nil
+}
+
+func (m metaRoot) interfaces(definition *ast.Definition) any {
+	if definition.Kind != ast.Object && definition.Kind != ast.Interface {
+		return nil
+	}
+	return mapList(definition.Interfaces, m.typeByName)
+}
+
+func (m metaRoot) possibleTypes(definition *ast.Definition) any {
+	if definition.Kind != ast.Union && definition.Kind != ast.Interface {
+		return nil
+	}
+	return mapList(m.schema.GetPossibleTypes(definition), m.namedType)
+}
+
+func (m metaRoot) inputFields(definition *ast.Definition, args map[string]any) any {
+	if definition.Kind != ast.InputObject {
+		return nil
+	}
+	list := []any{}
+	for _, f := range definition.Fields {
+		if isListed(args, f.Directives) {
+			list = append(list, m.inputValue(f.Name, f.Description, f.Type, f.DefaultValue, f.Directives))
+		}
+	}
+	return list
+}
+
+func (m metaRoot) fields(definition *ast.Definition, args map[string]any) any {
+	if definition.Kind != ast.Object && definition.Kind != ast.Interface {
+		return nil
+	}
+	list := []any{}
+	for _, f := range definition.Fields {
+		if strings.HasPrefix(f.Name, "__") || !isListed(args, f.Directives) {
 			continue
 		}
-		out = append(out, described("__Field", f.Name, f.Description, f.Directives, func(field string, args map[string]any) any {
+		rest := func(field string, args map[string]any) any {
 			switch field {
 			case "args":
-				return m.inputs(f.Arguments, args)
+				return m.arguments(f.Arguments, args)
 			case "type":
-				return m.wrapped(f.Type)
+				return m.typeReference(f.Type)
 			}
 			return nil
-		}))
+		}
+		list = append(list, describedObject("__Field", f.Name, f.Description, f.Directives, rest))
 	}
-	return out
+	return list
 }
 
-func (m metaRoot) enum(t *ast.Definition, args map[string]any) any {
-	if t.Kind != ast.Enum {
+func (m metaRoot) enumValues(definition *ast.Definition, args map[string]any) any {
+	if definition.Kind != ast.Enum {
 		return nil
 	}
-	out := []any{}
-	for _, v := range t.EnumValues {
-		if !shown(args, v.Directives) {
-			continue
+	noMoreFields := func(string, map[string]any) any { return nil }
+	list := []any{}
+	for _, v := range definition.EnumValues {
+		if isListed(args, v.Directives) {
+			list = append(list, describedObject("__EnumValue", v.Name, v.Description, v.Directives, noMoreFields))
 		}
-		out = append(out, described("__EnumValue", v.Name, v.Description, v.Directives, func(string, map[string]any) any { return nil }))
 	}
-	return out
+	return list
 }
--- a/internal/graphql/plan/errors.go
+++ b/internal/graphql/plan/errors.go
@@ -7,30 +7,35 @@
 	"github.com/vektah/gqlparser/v2/gqlerror"
 )
 
-// Codes of errors, in extensions.code.
+// Values of extensions.code for errors of single fields. The package comment says what each of them guarantees.
 const (
-	// Of a field: see the package's comment.
 	CodeRefused     = "REFUSED"
 	CodeNotStarted  = "NOT_STARTED"
 	CodeMayHaveRun  = "MAY_HAVE_RUN"
 	CodeUnavailable = "UNAVAILABLE"
-	// Rejected is of a field whose node turned the request down before it executed anything.
+	// CodeRejected is the code of a field whose node rejected the request before it executed anything.
 	CodeRejected = "REJECTED"
-	// Executed is of a mutation that ran, and whose result is lost with the data: another field is null that cannot be.
+	// CodeExecuted is the code of a mutation that ran and whose result is lost: another field that cannot be null is,
+	// and with it the whole data.
 	CodeExecuted = "EXECUTED"
+)
 
-	// Of a whole request, of which nothing was sent.
-	CodeParseFailed      = "GRAPHQL_PARSE_FAILED"
-	CodeValidationFailed = "GRAPHQL_VALIDATION_FAILED"
-	CodeBadInput         = "BAD_USER_INPUT"
+// Values of extensions.code for errors of whole requests, of which nothing was sent.
+const (
+	CodeParseFailed           = "GRAPHQL_PARSE_FAILED"
+	CodeValidationFailed      = "GRAPHQL_VALIDATION_FAILED"
+	CodeBadInput              = "BAD_USER_INPUT"
 	CodeLimitExceeded         = "LIMIT_EXCEEDED"
-	CodeNotSupported      = "NOT_SUPPORTED"
-	CodeIntrospectionDisabled  = "INTROSPECTION_DISABLED"
-	CodeKeyMissing       = "KEY_MISSING"
-	CodeDuplicateKey         = "KEY_TWICE"
+	CodeNotSupported          = "NOT_SUPPORTED"
+	CodeIntrospectionDisabled = "INTROSPECTION_DISABLED"
+	CodeKeyMissing            = "KEY_MISSING"
+	CodeDuplicateKey          = "KEY_TWICE"
 )
 
-// Error is one of a response's.
+// maxQuotedText limits, in bytes, what an error message quotes of a document.
+const maxQuotedText = 500
+
+// Error is an entry of a response's errors (section 7.1.2 of the GraphQL specification).
 type Error struct {
 	Message    string              `json:"message"`
 	Locations  []gqlerror.Location `json:"locations,omitempty"`
@@ -38,46 +43,51 @@
 	Extensions map[string]any      `json:"extensions,omitempty"`
 }
 
+// NewError returns an error with the given extensions.code.
+func NewError(code, message string) *Error {
+	return &Error{Message: message, Extensions: map[string]any{"code": code}}
+}
+
+// newFieldError returns an error of the root field with the given response key.
+func newFieldError(code, message, responseKey string) *Error {
+	e := NewError(code, message)
+	e.Path = []any{responseKey}
+	return e
+}
+
+// Error returns the message.
 func (e *Error) Error() string { return e.Message }
 
-// Code is its extensions.code.
+// Code returns extensions.code, or an empty string if there is none.
 func (e *Error) Code() string {
 	code, _ := e.Extensions["code"].(string)
 	return code
 }
 
-// NewError makes one.
-func NewError(code, message string) *Error {
-	return &Error{Message: message, Extensions: map[string]any{"code": code}}
-}
-
-// longestMessage bounds what an error quotes of a document.
-const longestMessage = 500
-
-// fromParser gives a parser's or validator's error a code.
-func fromParser(err error, code string) *Error {
-	var g *gqlerror.Error
-	if !errors.As(err, &g) {
-		return NewError(code, cut(err.Error()))
+// fromParserError converts an error of the parser or the validator.
+func fromParserError(err error, code string) *Error {
+	var parserError *gqlerror.Error
+	if !errors.As(err, &parserError) {
+		return NewError(code, truncate(err.Error()))
 	}
-	e := NewError(code, cut(g.Message))
-	e.Locations = g.Locations
+	e := NewError(code, truncate(parserError.Message))
+	e.Locations = parserError.Locations
 	return e
 }
 
-func cut(text string) string {
-	if len(text) > longestMessage {
-		return text[:longestMessage] + "..."
+func truncate(text string) string {
+	if len(text) > maxQuotedText {
+		return text[:maxQuotedText] + "..."
 	}
 	return text
 }
 
-// Failed is the response to a request that was not executed: it has errors and no data.
+// ErrorResponse returns the response to a request that was not executed: it has errors and no data.
 func ErrorResponse(errs ...*Error) []byte {
 	text, err := json.Marshal(struct {
 		Errors []*Error `json:"errors"`
 	}{errs})
-	if err != nil { // of strings and numbers
+	if err != nil { // cannot happen: errors hold strings and numbers only
 		panic(err)
 	}
 	return text
--- a/internal/graphql/plan/limits.go
+++ b/internal/graphql/plan/limits.go
@@ -6,102 +6,143 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// size is what a selection comes to with its fragments expanded. Sums stop at most.
-type size struct{ depth, aliases, fields int }
+// Limits bound the work that a request may cause. All are above 0.
+type Limits struct {
+	MaxBytes      int // of a document
+	MaxTokens     int // of a document
+	MaxDepth      int // of nested fields
+	MaxAliases    int // of an operation, with its fragments expanded
+	MaxRootFields int // of an operation
+	MaxFields     int // of an operation, with its fragments expanded
+	MaxCost       int // of the root fields of an operation, in the unit of FieldMapping.Cost
+}
+
+// DefaultLimits are generous for what applications send.
+var DefaultLimits = Limits{
+	MaxBytes:      64 << 10,
+	MaxTokens:     8000,
+	MaxDepth:      15,
+	MaxAliases:    100,
+	MaxRootFields: 30,
+	MaxFields:     2000,
+	MaxCost:       100,
+}
 
-const most = 1 << 30
+// maxSum is where sums saturate, which prevents overflow by fragments that double.
+const maxSum = 1 << 30
 
-func plus(a, b int) int { return min(a+b, most) }
+func saturatingAdd(a, b int) int { return min(a+b, maxSum) }
 
-func (s *size) add(o size) {
-	s.depth = max(s.depth, o.depth)
-	s.aliases, s.fields = plus(s.aliases, o.aliases), plus(s.fields, o.fields)
+// selectionSize is the size of a selection set with its fragments expanded. Its sums saturate at maxSum.
+type selectionSize struct {
+	depth   int
+	aliases int
+	fields  int
 }
 
-// measure adds up sizes. Each fragment is measured once, whatever spreads it.
-type measure struct {
-	doc   *ast.QueryDocument
-	known map[string]size
-	open  map[string]bool
+func (s *selectionSize) add(other selectionSize) {
+	s.depth = max(s.depth, other.depth)
+	s.aliases = saturatingAdd(s.aliases, other.aliases)
+	s.fields = saturatingAdd(s.fields, other.fields)
 }
 
-// of is a selection's size; an error is a fragment that spreads itself.
-func (m *measure) of(set ast.SelectionSet) (total size, err *Error) {
-	for _, sel := range set {
-		var s size
-		switch sel := sel.(type) {
-		case *ast.Field:
-			if s, err = m.of(sel.SelectionSet); err != nil {
-				return total, err
-			}
-			s.depth++
-			s.fields = plus(s.fields, 1)
-			if sel.Alias != sel.Name {
-				s.aliases = plus(s.aliases, 1)
-			}
-		case *ast.InlineFragment:
-			s, err = m.of(sel.SelectionSet)
-		case *ast.FragmentSpread:
-			s, err = m.fragment(sel)
-		}
+// sizer measures selection sets. It visits each fragment once, however often it is spread.
+type sizer struct {
+	query    *ast.QueryDocument
+	measured map[string]selectionSize
+	open     map[string]bool // fragments that are being measured
+}
+
+// selectionSet returns the size of a selection set. Its error says that a fragment spreads itself.
+func (z *sizer) selectionSet(set ast.SelectionSet) (selectionSize, *Error) {
+	var total selectionSize
+	for _, selection := range set {
+		size, err := z.selection(selection)
 		if err != nil {
 			return total, err
 		}
-		total.add(s)
+		total.add(size)
 	}
 	return total, nil
 }
 
-func (m *measure) fragment(sel *ast.FragmentSpread) (size, *Error) {
-	if s, ok := m.known[sel.Name]; ok {
-		return s, nil
+func (z *sizer) selection(selection ast.Selection) (selectionSize, *Error) {
+	switch selection := selection.(type) {
+	case *ast.Field:
+		return z.field(selection)
+	case *ast.InlineFragment:
+		return z.selectionSet(selection.SelectionSet)
+	case *ast.FragmentSpread:
+		return z.fragment(selection.Name)
 	}
-	if m.open[sel.Name] {
-		e := NewError(CodeValidationFailed, fmt.Sprintf("Cannot spread fragment %q within itself.", cut(sel.Name)))
-		return size{}, e
+	return selectionSize{}, nil
+}
+
+func (z *sizer) field(f *ast.Field) (selectionSize, *Error) {
+	size, err := z.selectionSet(f.SelectionSet)
+	if err != nil {
+		return size, err
 	}
-	f := m.doc.Fragments.ForName(sel.Name)
-	if f == nil {
-		return size{}, nil // validation says so
+	size.depth++
+	size.fields = saturatingAdd(size.fields, 1)
+	if f.Alias != f.Name {
+		size.aliases = saturatingAdd(size.aliases, 1)
 	}
-	m.open[sel.Name] = true
-	s, err := m.of(f.SelectionSet)
-	m.open[sel.Name] = false
-	m.known[sel.Name] = s
-	return s, err
+	return size, nil
 }
 
-// within checks a parsed document, each operation by itself, before it is validated.
-func (l *Limits) within(doc *ast.QueryDocument) *Error {
-	m := &measure{doc: doc, known: map[string]size{}, open: map[string]bool{}}
-	for _, f := range doc.Fragments { // also those that nothing spreads: validation goes through them
-		s, err := m.of(f.SelectionSet)
-		if err == nil {
-			err = l.allow(s)
-		}
-		if err != nil {
+func (z *sizer) fragment(name string) (selectionSize, *Error) {
+	if size, ok := z.measured[name]; ok {
+		return size, nil
+	}
+	if z.open[name] {
+		message := fmt.Sprintf("Cannot spread fragment %q within itself.", truncate(name))
+		return selectionSize{}, NewError(CodeValidationFailed, message)
+	}
+	definition := z.query.Fragments.ForName(name)
+	if definition == nil {
+		return selectionSize{}, nil // validation reports it
+	}
+	z.open[name] = true
+	size, err := z.selectionSet(definition.SelectionSet)
+	z.open[name] = false
+	z.measured[name] = size
+	return size, err
+}
+
+// checkDocument checks a parsed document before it is validated, each of its operations by itself.
+func (l *Limits) checkDocument(query *ast.QueryDocument) *Error {
+	z := &sizer{query: query, measured: map[string]selectionSize{}, open: map[string]bool{}}
+	for _, fragment := range query.Fragments { // unused ones too: validation visits them
+		if err := l.checkSelectionSet(z, fragment.SelectionSet); err != nil {
 			return err
 		}
 	}
-	for _, op := range doc.Operations {
-		s, err := m.of(op.SelectionSet)
-		if err == nil {
-			err = l.allow(s)
-		}
-		if err != nil {
+	for _, op := range query.Operations {
+		if err := l.checkSelectionSet(z, op.SelectionSet); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (l *Limits) allow(s size) *Error {
-	for _, x := range []struct {
-		what      string
-		got, most int
-	}{{"levels of fields", s.depth, l.MaxDepth}, {"aliases", s.aliases, l.MaxAliases}, {"fields", s.fields, l.MaxFields}} {
-		if x.got > x.most {
-			return NewError(CodeLimitExceeded, fmt.Sprintf("the operation has more than %d %s", x.most, x.what))
+func (l *Limits) checkSelectionSet(z *sizer, set ast.SelectionSet) *Error {
+	size, err := z.selectionSet(set)
+	if err != nil {
+		return err
+	}
+	for _, limit := range []struct {
+		what  string
+		size  int
+		limit int
+	}{
+		{"levels of fields", size.depth, l.MaxDepth},
+		{"aliases", size.aliases, l.MaxAliases},
+		{"fields", size.fields, l.MaxFields},
+	} {
+		if limit.size > limit.limit {
+			message := fmt.Sprintf("the operation has more than %d %s", limit.limit, limit.what)
+			return NewError(CodeLimitExceeded, message)
 		}
 	}
 	return nil
--- a/internal/graphql/plan/merge.go
+++ b/internal/graphql/plan/merge.go
@@ -3,259 +3,169 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"fmt"
-	"slices"
 	"time"
 )
 
-// Ended says how a part ended.
-type OutcomeKind int
-
-// The ways.
-const (
-	OutcomeExecuted      OutcomeKind = iota // the node's answer is there: it ran, whatever its errors are
-	OutcomeNodeRejected                 // the node's answer says that nothing was executed
-	OutcomeRejected                 // nothing ran
-	OutcomeNotStarted              // nothing was sent
-	OutcomeUnknown                     // no promise
-)
-
-// Outcome is what became of a part.
-type Outcome struct {
-	Kind   OutcomeKind
-	Response  *NodeResponse       // Answered, TurnedDown
-	RetryAfter time.Duration // WasRefused: when to come back; 0: no advice
-	Reason     string        // for the client
+// Response is the response to the client.
+type Response struct {
+	Body []byte
+	// Rejected says that nothing of the operation ran because it was rejected.
+	Rejected bool
+	// RetryAfter is when the client of a rejected operation may retry; 0: unknown.
+	RetryAfter time.Duration
 }
 
-// Answer is a node's, to one part.
-type NodeResponse struct {
-	values     map[string]json.RawMessage // nil: data is null
-	executed   bool                       // data is there
-	errors     []nodeError
-	extensions json.RawMessage
+// Merge builds the response: data in the order of the operation, with nulls propagated as section 6.4.4 of the GraphQL
+// specification requires, and all errors. outcomes are those of all Parts, in the same order.
+func (p *Plan) Merge(outcomes []Outcome) Response {
+	response := Response{Rejected: len(outcomes) > 0}
+	var errs encodedErrors
+	for i, outcome := range outcomes {
+		response.addOutcome(outcome)
+		p.appendErrors(&errs, p.Parts[i], outcome)
+	}
+	data, isNull := p.mergeData(outcomes)
+	if isNull {
+		data = []byte("null")
+		p.appendLostResults(&errs, outcomes)
+	}
+	response.Body = encodeResponse(errs, data, extensionsOf(outcomes))
+	return response
 }
 
-type nodeError struct {
-	Message    string            `json:"message"`
-	Path       []json.RawMessage `json:"path,omitempty"`
-	Extensions json.RawMessage   `json:"extensions,omitempty"`
+// addOutcome updates whether, and until when, the whole operation was rejected.
+func (r *Response) addOutcome(outcome Outcome) {
+	switch outcome.Kind {
+	case OutcomeRejected:
+		r.RetryAfter = max(r.RetryAfter, outcome.RetryAfter)
+	case OutcomeNotStarted:
+		// Nothing ran, which does not contradict a rejection.
+	case OutcomeExecuted, OutcomeNodeRejected, OutcomeUnknown:
+		r.Rejected = false
+	}
 }
 
-// Executed says whether the node's answer says that it executed the part.
-func (a *NodeResponse) Executed() bool { return a.executed }
+// encodedErrors are the encoded entries of a response's errors.
+type encodedErrors [][]byte
 
-// Read reads an answer to the part. An error says that it is none: half of one, another part's, or spoilt.
-func (p *Part) ParseResponse(body []byte) (*NodeResponse, error) {
-	top, err := object(body)
-	if err != nil {
-		return nil, err
+// add adds a *Error or a nodeError.
+func (e *encodedErrors) add(entry any) {
+	text, err := json.Marshal(entry)
+	if err != nil { // cannot happen: entries hold strings, numbers and JSON that was parsed
+		panic(err)
 	}
-	a := &NodeResponse{extensions: top["extensions"]}
-	if text, ok := top["errors"]; ok {
-		if err := json.Unmarshal(text, &a.errors); err != nil {
-			return nil, fmt.Errorf("errors: %w", err)
+	*e = append(*e, text)
+}
+
+// appendErrors adds the errors of a part.
+func (p *Plan) appendErrors(errs *encodedErrors, part *Part, outcome Outcome) {
+	switch outcome.Kind {
+	case OutcomeExecuted:
+		for _, e := range outcome.Response.errors {
+			errs.add(e)
 		}
-		for _, e := range a.errors {
-			if err := p.owns(e.Path); err != nil {
-				return nil, err
+	case OutcomeNodeRejected:
+		for _, e := range outcome.Response.errors {
+			for _, key := range part.ResponseKeys {
+				errs.add(newFieldError(CodeRejected, e.Message, key))
 			}
 		}
-	}
-	data, ok := top["data"]
-	switch {
-	case !ok && len(a.errors) == 0:
-		return nil, errors.New("neither data nor errors")
-	case !ok:
-		return a, nil
-	}
-	a.executed = true
-	if string(data) == "null" {
-		if len(a.errors) == 0 {
-			return nil, errors.New("data is null without an error")
-		}
-		return a, nil
-	}
-	if a.values, err = object(data); err != nil {
-		return nil, fmt.Errorf("data: %w", err)
-	}
-	for _, key := range p.ResponseKeys {
-		if _, ok := a.values[key]; !ok {
-			return nil, fmt.Errorf("data has no %q", key)
+	case OutcomeRejected, OutcomeNotStarted, OutcomeUnknown:
+		for _, key := range part.ResponseKeys {
+			e := newFieldError(p.failureCode(outcome.Kind), outcome.Reason, key)
+			if outcome.Kind == OutcomeRejected && outcome.RetryAfter > 0 {
+				e.Extensions["retryAfterMs"] = outcome.RetryAfter.Milliseconds()
+			}
+			errs.add(e)
 		}
 	}
-	if len(a.values) != len(p.ResponseKeys) {
-		return nil, errors.New("data has what was not asked for")
-	}
-	return a, nil
 }
 
-// owns checks that an error's path, if it has one, begins with a field of the part.
-func (p *Part) owns(path []json.RawMessage) error {
-	if len(path) == 0 {
-		return nil
-	}
-	var key string
-	if err := json.Unmarshal(path[0], &key); err != nil || !slices.Contains(p.ResponseKeys, key) {
-		return fmt.Errorf("errors: a path begins with %.50s, which was not asked for", path[0])
-	}
-	return nil
+// failureCode returns the error code of a field whose part has no response.
+func (p *Plan) failureCode(kind OutcomeKind) string {
+	switch {
+	case kind == OutcomeRejected:
+		return CodeRefused
+	case kind == OutcomeNotStarted:
+		return CodeNotStarted
+	case p.Serial:
+		return CodeMayHaveRun
+	}
+	return CodeUnavailable // a query has no effect
 }
 
-// object reads an object whose members have different names, and nothing behind it.
-func object(text []byte) (map[string]json.RawMessage, error) {
-	in := json.NewDecoder(bytes.NewReader(text))
-	if t, err := in.Token(); err != nil || t != json.Delim('{') {
-		return nil, errors.New("no JSON object")
+// appendLostResults adds an error for each mutation that ran and whose result is lost because the data is null: the
+// client could not tell otherwise which of them ran.
+func (p *Plan) appendLostResults(errs *encodedErrors, outcomes []Outcome) {
+	if !p.Serial {
+		return
 	}
-	out := map[string]json.RawMessage{}
-	for in.More() {
-		t, err := in.Token()
-		if err != nil {
-			return nil, err
+	const message = "it ran; its result is lost with the data, in which another field cannot be null"
+	for i, outcome := range outcomes {
+		if outcome.Kind == OutcomeExecuted && outcome.Response.values != nil {
+			errs.add(newFieldError(CodeExecuted, message, p.Parts[i].ResponseKeys[0]))
 		}
-		name, _ := t.(string)
-		if _, ok := out[name]; ok {
-			return nil, fmt.Errorf("%.50q is there twice", name)
-		}
-		var v json.RawMessage
-		if err := in.Decode(&v); err != nil {
-			return nil, err
-		}
-		out[name] = v
-	}
-	if _, err := in.Token(); err != nil {
-		return nil, err
-	}
-	if _, err := in.Token(); err == nil {
-		return nil, errors.New("something follows the object")
 	}
-	return out, nil
-}
-
-// Goes says whether the part after one that ended so may begin: only after an answer that says what was executed, and
-// that leaves the response's data in place.
-func (p *Plan) MayContinueAfter(o Outcome) bool {
-	return o.Kind == OutcomeExecuted && o.Response.values != nil
-}
-
-// Response is what a client is answered.
-type Response struct {
-	Body []byte
-	// Refused says that nothing of the operation ran, since it was refused, and RetryIn when to come back; 0: no advice.
-	Rejected bool
-	RetryAfter time.Duration
 }
 
-var codes = map[OutcomeKind]string{OutcomeRejected: CodeRefused, OutcomeNotStarted: CodeNotStarted, OutcomeUnknown: CodeMayHaveRun}
-
-// Merge puts the response together: data in the operation's order, with the nulls that the specification asks for
-// (section 6.4.4), and all errors. outcomes are of all Parts, in their order.
-func (p *Plan) Merge(outcomes []Outcome) Response {
-	r := Response{Rejected: len(outcomes) > 0}
-	var errs [][]byte
-	add := func(e any) {
-		text, err := json.Marshal(e)
-		if err != nil { // of strings and of JSON that was read
-			panic(err)
-		}
-		errs = append(errs, text)
-	}
-	for i, o := range outcomes {
-		switch o.Kind {
-		case OutcomeExecuted:
-			r.Rejected = false
-			for _, e := range o.Response.errors {
-				add(e)
-			}
-		case OutcomeNodeRejected:
-			r.Rejected = false
-			for _, e := range o.Response.errors {
-				for _, key := range p.Parts[i].ResponseKeys {
-					x := NewError(CodeRejected, e.Message)
-					x.Path = []any{key}
-					add(x)
-				}
-			}
-		default:
-			if o.Kind == OutcomeRejected {
-				r.RetryAfter = max(r.RetryAfter, o.RetryAfter)
-			}
-			r.Rejected = r.Rejected && o.Kind != OutcomeUnknown
-			for _, key := range p.Parts[i].ResponseKeys {
-				code := codes[o.Kind]
-				if code == CodeMayHaveRun && !p.Serial {
-					code = CodeUnavailable
-				}
-				x := NewError(code, o.Reason)
-				x.Path = []any{key}
-				if o.Kind == OutcomeRejected && o.RetryAfter > 0 {
-					x.Extensions["retryAfterMs"] = o.RetryAfter.Milliseconds()
-				}
-				add(x)
+// mergeData builds the response's data. isNull is set if it is null because a field that cannot be null is.
+func (p *Plan) mergeData(outcomes []Outcome) (data []byte, isNull bool) {
+	var merged bytes.Buffer
+	merged.WriteByte('{')
+	for i, field := range p.rootFields {
+		value := p.value(field, outcomes)
+		if len(value) == 0 || string(value) == "null" {
+			if field.nonNull {
+				return nil, true
 			}
+			value = json.RawMessage("null")
 		}
-	}
-	data, null := p.data(outcomes)
-	for i, o := range outcomes {
-		if null && p.Serial && o.Kind == OutcomeExecuted && o.Response.values != nil {
-			x := NewError(CodeExecuted, "it ran; its result is lost with the data, in which another field cannot be null")
-			x.Path = []any{p.Parts[i].ResponseKeys[0]}
-			add(x)
+		if i > 0 {
+			merged.WriteByte(',')
 		}
+		key, _ := json.Marshal(field.responseKey) // a string can always be encoded
+		merged.Write(key)
+		merged.WriteByte(':')
+		merged.Write(value)
 	}
-	var b bytes.Buffer
-	b.WriteByte('{')
-	if len(errs) > 0 {
-		b.WriteString(`"errors":[`)
-		b.Write(bytes.Join(errs, []byte(",")))
-		b.WriteString("],")
-	}
-	b.WriteString(`"data":`)
-	if null {
-		b.WriteString("null")
-	} else {
-		b.Write(data)
+	merged.WriteByte('}')
+	return merged.Bytes(), false
+}
+
+// value returns the value of a root field, or nil if it has none.
+func (p *Plan) value(field *rootField, outcomes []Outcome) json.RawMessage {
+	if value, ok := p.local[field.responseKey]; ok {
+		return value
 	}
-	// What nodes add belongs to their answers: it is passed on where there is only one.
-	if len(outcomes) == 1 && outcomes[0].Response != nil && len(outcomes[0].Response.extensions) > 0 {
-		b.WriteString(`,"extensions":`)
-		b.Write(outcomes[0].Response.extensions)
+	response := outcomes[p.partOf[field.responseKey]].Response
+	if response == nil {
+		return nil
 	}
-	b.WriteByte('}')
-	r.Body = b.Bytes()
-	return r
+	return response.values[field.responseKey]
 }
 
-// data is the response's, or null where a field is that cannot be.
-func (p *Plan) data(outcomes []Outcome) (text []byte, null bool) {
-	var b bytes.Buffer
-	b.WriteByte('{')
-	for i, root := range p.roots {
-		v, ok := p.locals[root.key]
-		if !ok {
-			if a := outcomes[p.owner[root.key]].Response; a != nil {
-				v = a.values[root.key]
-			}
-		}
-		if len(v) == 0 || string(v) == "null" {
-			if root.nonNull {
-				return nil, true
-			}
-			v = json.RawMessage("null")
-		}
-		if i > 0 {
-			b.WriteByte(',')
-		}
-		key, _ := json.Marshal(root.key)
-		b.Write(key)
-		b.WriteByte(':')
-		b.Write(v)
+// extensionsOf returns the extensions of the only node response. With several parts there is no rule to merge theirs.
+func extensionsOf(outcomes []Outcome) json.RawMessage {
+	if len(outcomes) != 1 || outcomes[0].Response == nil {
+		return nil
 	}
-	b.WriteByte('}')
-	return b.Bytes(), false
+	return outcomes[0].Response.extensions
 }
 
-// Blamed is the answer of a node that turned the part down in words of its own.
-func (p *Part) RejectedResponse(why string) *NodeResponse { return &NodeResponse{errors: []nodeError{{Message: why}}} }
+func encodeResponse(errs encodedErrors, data []byte, extensions json.RawMessage) []byte {
+	var body bytes.Buffer
+	body.WriteByte('{')
+	if len(errs) > 0 {
+		body.WriteString(`"errors":[`)
+		body.Write(bytes.Join(errs, []byte(",")))
+		body.WriteString("],")
+	}
+	body.WriteString(`"data":`)
+	body.Write(data)
+	if len(extensions) > 0 {
+		body.WriteString(`,"extensions":`)
+		body.Write(extensions)
+	}
+	body.WriteByte('}')
+	return body.Bytes()
+}
--- /dev/null
+++ b/internal/graphql/plan/part.go
@@ -0,0 +1,128 @@
+package plan
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"github.com/vektah/gqlparser/v2/ast"
+
+	"hazelwing/balancer"
+)
+
+// Part is a request to a node for some of an operation's root fields.
+type Part struct {
+	Class          string
+	Effect         balancer.Effect
+	IdempotencyKey string        // the same in all requests for one effect; empty: none
+	AffinityKey    string        // what a query is about; empty: nothing, or several things
+	ExpectedWork   time.Duration // 0: unknown
+	Deadline       time.Duration // from the time at which the part is sent; 0: none
+	Coalesce       bool          // identical parts in flight may share one execution
+	ResponseKeys   []string      // of the root fields, in the operation's order
+	Body           []byte        // the request's body, application/json
+
+	nonNull bool // one of the fields cannot be null
+}
+
+// request is the body of a part.
+type request struct {
+	Query         string                     `json:"query"`
+	OperationName string                     `json:"operationName,omitempty"`
+	Variables     map[string]json.RawMessage `json:"variables,omitempty"`
+}
+
+// partBuilder builds the parts of one operation with its variables.
+type partBuilder struct {
+	schema     *Schema
+	operation  *ast.OperationDefinition
+	vars       map[string]any             // coerced
+	variables  map[string]json.RawMessage // as the client sent them
+	requestKey string
+}
+
+func (b *partBuilder) build(template *partTemplate) (*Part, *Error) {
+	part := &Part{Class: template.class, Coalesce: b.operation.Operation == ast.Query}
+	if class, known := b.schema.classes[template.class]; known {
+		part.Effect = class.Effect
+		part.Deadline = class.Deadline
+	}
+	key := b.applyMappings(part, template)
+	if b.operation.Operation == ast.Mutation {
+		if err := b.setIdempotencyKey(part, key, template.rootFields[0].coordinate); err != nil {
+			return nil, err
+		}
+	} else {
+		part.AffinityKey = key
+	}
+	body, err := b.encodeBody(template)
+	if err != nil {
+		return nil, err
+	}
+	part.Body = body
+	return part, nil
+}
+
+// applyMappings applies the mappings of a part's root fields. It returns the value of their key arguments, or an empty
+// string if there is none or they differ.
+func (b *partBuilder) applyMappings(part *Part, template *partTemplate) string {
+	keys := map[string]bool{}
+	for _, field := range template.rootFields {
+		mapping := b.schema.mappings[field.coordinate]
+		part.ResponseKeys = append(part.ResponseKeys, field.responseKey)
+		part.nonNull = part.nonNull || field.nonNull
+		part.ExpectedWork += mapping.ExpectedWork
+		part.Coalesce = part.Coalesce && mapping.Coalesce
+		if mapping.Deadline > 0 && (part.Deadline == 0 || mapping.Deadline < part.Deadline) {
+			part.Deadline = mapping.Deadline
+		}
+		if mapping.KeyArgument != "" {
+			arguments := field.selections[0].ArgumentMap(b.vars)
+			keys[argumentKey(arguments, mapping.KeyArgument)] = true
+		}
+	}
+	if len(keys) != 1 {
+		return ""
+	}
+	var key string
+	for key = range keys {
+		break
+	}
+	return key
+}
+
+// setIdempotencyKey sets the key of a mutation: that of its argument, or else one derived from the request's.
+func (b *partBuilder) setIdempotencyKey(part *Part, argument, coordinate string) *Error {
+	responseKey := part.ResponseKeys[0]
+	part.IdempotencyKey = argument
+	if part.IdempotencyKey == "" && b.requestKey != "" {
+		part.IdempotencyKey = headerSafeKey(b.requestKey + ":" + responseKey)
+	}
+	if part.Effect == balancer.Keyed && part.IdempotencyKey == "" {
+		message := fmt.Sprintf("%s: no key: neither its argument nor the request has one", coordinate)
+		return newFieldError(CodeKeyMissing, message, responseKey)
+	}
+	return nil
+}
+
+// encodeBody encodes a part's request with the variables that it uses, as the client sent them.
+func (b *partBuilder) encodeBody(template *partTemplate) ([]byte, *Error) {
+	body := request{
+		Query:         template.text,
+		OperationName: b.operation.Name,
+		Variables:     map[string]json.RawMessage{},
+	}
+	for _, name := range template.variables {
+		if value, ok := b.variables[name]; ok {
+			body.Variables[name] = value
+		}
+	}
+	var encoded bytes.Buffer
+	encoder := json.NewEncoder(&encoded)
+	encoder.SetEscapeHTML(false)
+	if err := encoder.Encode(body); err != nil {
+		return nil, NewError(CodeBadInput, truncate(err.Error()))
+	}
+	return bytes.TrimSuffix(encoded.Bytes(), []byte("\n")), nil
+}
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -13,43 +13,67 @@
 	"hazelwing/internal/emulator/gqlnode"
 )
 
-var classes = []balancer.Class{
+var testClasses = []balancer.Class{
 	{Name: "search", LatencyObjective: time.Second, Deadline: 2 * time.Second},
 	{Name: "map", LatencyObjective: time.Second, Deadline: 2 * time.Second},
-	{Name: "book", LatencyObjective: time.Second, Deadline: 2 * time.Second, Effect: balancer.NonIdempotent},
-	{Name: "pay", LatencyObjective: time.Second, Deadline: 2 * time.Second, Effect: balancer.Keyed, IdempotencyWindow: 5 * time.Second},
+	{
+		Name:             "book",
+		LatencyObjective: time.Second,
+		Deadline:         2 * time.Second,
+		Effect:           balancer.NonIdempotent,
+	},
+	{
+		Name:              "pay",
+		LatencyObjective:  time.Second,
+		Deadline:          2 * time.Second,
+		Effect:            balancer.Keyed,
+		IdempotencyWindow: 5 * time.Second,
+	},
 }
 
-// mapping is that of the stand-in nodes' schema.
-func mapping() map[string]FieldMapping {
+// testMappings returns mappings of the emulated nodes' schema.
+func testMappings() map[string]FieldMapping {
 	return map[string]FieldMapping{
-		"Query.seats": {Class: "search", KeyArgument: "train", Cost: 2, Coalesce: true}, "Query.coach": {Class: "map", Deadline: time.Second, ExpectedWork: time.Millisecond},
-		"Query.booking": {Class: "search"}, "Query.items": {Class: "search"}, "Query.fails": {Class: "search"},
-		"Mutation.confirmBooking": {Class: "book", KeyArgument: "token"}, "Mutation.holdSeat": {Class: "book"}, "Mutation.recordPayment": {Class: "pay", KeyArgument: "input.key"},
+		"Query.seats":             {Class: "search", KeyArgument: "train", Cost: 2, Coalesce: true},
+		"Query.coach":             {Class: "map", Deadline: time.Second, ExpectedWork: time.Millisecond},
+		"Query.booking":           {Class: "search"},
+		"Query.items":             {Class: "search"},
+		"Query.fails":             {Class: "search"},
+		"Mutation.confirmBooking": {Class: "book", KeyArgument: "token"},
+		"Mutation.holdSeat":       {Class: "book"},
+		"Mutation.recordPayment":  {Class: "pay", KeyArgument: "input.key"},
 	}
 }
 
-func config() Config {
-	return Config{SchemaFile: "booking.graphql", SDL: gqlnode.SDL, Fields: mapping(), Classes: classes, Limits: DefaultLimits}
+func testConfig() Config {
+	return Config{
+		SchemaFile: "booking.graphql",
+		SDL:        gqlnode.SDL,
+		Fields:     testMappings(),
+		Classes:    testClasses,
+		Limits:     DefaultLimits,
+	}
 }
 
-func schema(t testing.TB, change func(*Config)) *Schema {
-	t.Helper()
-	c := config()
-	if change != nil {
-		change(&c)
+// newTestSchema returns a Schema of testConfig, modified by modify unless that is nil.
+func newTestSchema(tb testing.TB, modify func(*Config)) *Schema {
+	tb.Helper()
+	config := testConfig()
+	if modify != nil {
+		modify(&config)
 	}
-	s, err := New(c)
+	s, err := New(config)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s
 }
 
-// The scripts read as documents and, under each, what becomes of it; then as ends of the parts, and the response.
+// TestScripts runs the scripts in testdata: documents with their plans, and outcomes of the parts with the response.
 //
-//	plan [op=NAME] [key=KEY] [introspection]    input: the document, after a line "vars: JSON" where there are some
-//	merge                                       input: a line for each part: answered JSON | refused [MS] | may | notstarted
+//	plan [op=NAME] [key=KEY] [introspection]    input: the document, after an optional line "vars: JSON"
+//	merge                                       input: one line for each part, one of
+//	                                              response JSON | rejected [DURATION] | unknown | not-started
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var p *Plan
@@ -57,218 +81,316 @@
 			switch d.Cmd {
 			case "plan":
 				var text string
-				p, text = planned(t, d)
+				p, text = runPlan(t, d)
 				return text
 			case "merge":
-				return merged(p, d.Input)
+				return runMerge(p, d.Input)
 			}
 			return "no such command"
 		})
 	})
 }
 
-func planned(t *testing.T, d *datadriven.TestData) (*Plan, string) {
-	var op, key string
-	d.MaybeScanArgs(t, "op", &op)
+// runPlan plans a document and describes the plan, or the errors.
+func runPlan(t *testing.T, d *datadriven.TestData) (*Plan, string) {
+	t.Helper()
+	var operationName, key string
+	d.MaybeScanArgs(t, "op", &operationName)
 	d.MaybeScanArgs(t, "key", &key)
-	s := schema(t, func(c *Config) {
+	s := newTestSchema(t, func(c *Config) {
 		c.Introspection = d.HasArg("introspection")
 		if c.Introspection {
 			return
 		}
-		c.Limits.MaxRootFields, c.Limits.MaxDepth, c.Limits.MaxAliases, c.Limits.MaxCost, c.Limits.MaxFields = 6, 5, 6, 8, 40
+		c.Limits.MaxRootFields = 6
+		c.Limits.MaxDepth = 5
+		c.Limits.MaxAliases = 6
+		c.Limits.MaxCost = 8
+		c.Limits.MaxFields = 40
 	})
-	text := d.Input
-	var vars map[string]json.RawMessage
-	if line, rest, ok := strings.Cut(text, "\n"); ok && strings.HasPrefix(line, "vars: ") {
-		if err := json.Unmarshal([]byte(line[6:]), &vars); err != nil {
-			t.Fatal(err)
-		}
-		text = rest
-	}
-	doc, errs := s.ParseDocument(text)
+	text, variables := splitVariables(t, d.Input)
+	document, errs := s.ParseDocument(text)
 	if len(errs) > 0 {
-		var out []string
+		var lines []string
 		for _, e := range errs {
-			out = append(out, fmt.Sprintf("%s: %s %v", e.Code(), e.Message, e.Locations))
+			lines = append(lines, fmt.Sprintf("%s: %s %v", e.Code(), e.Message, e.Locations))
 		}
-		return nil, strings.Join(out, "\n")
+		return nil, strings.Join(lines, "\n")
 	}
-	p, err := doc.Plan(op, vars, key)
+	p, err := document.Plan(operationName, variables, key)
 	if err != nil {
 		return nil, fmt.Sprintf("%s: %s %v", err.Code(), err.Message, err.Path)
 	}
+	return p, describeParts(t, s, p)
+}
+
+// splitVariables splits a script's input into the document and its variables.
+func splitVariables(t *testing.T, input string) (text string, variables map[string]json.RawMessage) {
+	t.Helper()
+	line, rest, ok := strings.Cut(input, "\n")
+	encoded, hasVariables := strings.CutPrefix(line, "vars: ")
+	if !ok || !hasVariables {
+		return input, nil
+	}
+	if err := json.Unmarshal([]byte(encoded), &variables); err != nil {
+		t.Fatal(err)
+	}
+	return rest, variables
+}
+
+// describeParts describes the parts of a plan, and checks that each is a valid document by itself.
+func describeParts(t *testing.T, s *Schema, p *Plan) string {
+	t.Helper()
 	var b strings.Builder
-	for i, x := range p.Parts {
-		fmt.Fprintf(&b, "%d: %s %v", i+1, x.Class, x.ResponseKeys)
-		if x.IdempotencyKey != "" {
-			fmt.Fprintf(&b, " key=%s", x.IdempotencyKey)
+	for i, part := range p.Parts {
+		fmt.Fprintf(&b, "%d: %s %v", i+1, part.Class, part.ResponseKeys)
+		if part.IdempotencyKey != "" {
+			fmt.Fprintf(&b, " key=%s", part.IdempotencyKey)
 		}
-		if x.AffinityKey != "" {
-			fmt.Fprintf(&b, " about=%s", x.AffinityKey)
+		if part.AffinityKey != "" {
+			fmt.Fprintf(&b, " affinity=%s", part.AffinityKey)
 		}
-		if x.Coalesce {
-			b.WriteString(" share")
+		if part.Coalesce {
+			b.WriteString(" coalesce")
+		}
+		fmt.Fprintf(&b, " deadline=%v\n   %s\n", part.Deadline, part.Body)
+		var body request
+		if err := json.Unmarshal(part.Body, &body); err != nil {
+			t.Fatal(err)
 		}
-		fmt.Fprintf(&b, " within %v\n   %s\n", x.Deadline, x.Body)
-		if _, errs := s.ParseDocument(decoded(x.Body)); len(errs) > 0 {
+		if _, errs := s.ParseDocument(body.Query); len(errs) > 0 {
 			fmt.Fprintf(&b, "   NOT VALID BY ITSELF: %s\n", errs[0].Message)
 		}
 	}
 	if len(p.Parts) == 0 {
 		b.WriteString("nothing to send\n")
 	}
-	return p, b.String()
+	return b.String()
 }
 
-func decoded(body []byte) string {
-	var r request
-	json.Unmarshal(body, &r)
-	return r.Query
-}
-
-func merged(p *Plan, input string) string {
+// runMerge merges outcomes and describes the response.
+func runMerge(p *Plan, input string) string {
 	if p == nil {
 		return "there is no plan"
 	}
 	var outcomes []Outcome
-	goes := true
-	if input == "" {
-		input = "-"
-	}
-	for i, line := range strings.Split(input, "\n") {
-		what, rest, _ := strings.Cut(line, " ")
-		var o Outcome
-		switch what {
-		case "-":
-			continue
-		case "answered":
-			a, err := p.Parts[i].ParseResponse([]byte(rest))
-			if err != nil {
-				return "not an answer: " + err.Error()
+	if input != "" {
+		mayContinue := true
+		for i, line := range strings.Split(input, "\n") {
+			outcome, fault := parseOutcome(p.Parts[i], line)
+			if fault != "" {
+				return fault
 			}
-			if o.Kind, o.Response = OutcomeExecuted, a; !a.Executed() {
-				o.Kind = OutcomeNodeRejected
-			}
-		case "refused":
-			d, _ := time.ParseDuration(rest)
-			o = Outcome{Kind: OutcomeRejected, RetryAfter: d, Reason: "refused"}
-		case "may":
-			o = Outcome{Kind: OutcomeUnknown, Reason: "no answer"}
-		case "notstarted":
-			o = Outcome{Kind: OutcomeNotStarted, Reason: "not started"}
-			if goes {
+			if outcome.Kind == OutcomeNotStarted && mayContinue {
 				return "it could have been started"
 			}
+			if p.Serial {
+				mayContinue = p.MayContinueAfter(outcome)
+			}
+			outcomes = append(outcomes, outcome)
 		}
-		if p.Serial {
-			goes = p.MayContinueAfter(o)
-		}
-		outcomes = append(outcomes, o)
 	}
-	r := p.Merge(outcomes)
-	out := string(r.Body)
-	if !json.Valid(r.Body) {
-		out += "\nNOT JSON"
+	response := p.Merge(outcomes)
+	text := string(response.Body)
+	if !json.Valid(response.Body) {
+		text += "\nNOT JSON"
 	}
-	if r.Rejected {
-		out += fmt.Sprintf("\nrefused as a whole, come back in %v", r.RetryAfter)
+	if response.Rejected {
+		text += fmt.Sprintf("\nrejected as a whole, retry after %v", response.RetryAfter)
 	}
-	return out
+	return text
 }
 
-// The schema and the mapping have to fit, and what does not is named with its place.
-func TestConfigFaults(t *testing.T) {
-	for name, c := range map[string]struct {
-		change func(*Config)
+// parseOutcome parses a line of a script. fault says what is wrong with it, or with the response in it.
+func parseOutcome(part *Part, line string) (outcome Outcome, fault string) {
+	kind, argument, _ := strings.Cut(line, " ")
+	switch kind {
+	case "response":
+		response, err := part.ParseResponse([]byte(argument))
+		if err != nil {
+			return outcome, "invalid response: " + err.Error()
+		}
+		outcome = Outcome{Kind: OutcomeExecuted, Response: response}
+		if !response.Executed() {
+			outcome.Kind = OutcomeNodeRejected
+		}
+		return outcome, ""
+	case "rejected":
+		outcome = Outcome{Kind: OutcomeRejected, Reason: "refused"}
+		if argument == "" {
+			return outcome, ""
+		}
+		retryAfter, err := time.ParseDuration(argument)
+		if err != nil {
+			return outcome, err.Error()
+		}
+		outcome.RetryAfter = retryAfter
+		return outcome, ""
+	case "unknown":
+		return Outcome{Kind: OutcomeUnknown, Reason: "no answer"}, ""
+	case "not-started":
+		return Outcome{Kind: OutcomeNotStarted, Reason: "not started"}, ""
+	}
+	return outcome, "no such outcome: " + kind
+}
+
+// TestConfigErrors checks that a schema and a mapping that do not fit are rejected, naming the place.
+func TestConfigErrors(t *testing.T) {
+	setField := func(coordinate string, mapping FieldMapping) func(*Config) {
+		return func(c *Config) { c.Fields[coordinate] = mapping }
+	}
+	for name, test := range map[string]struct {
+		modify func(*Config)
 		want   string
 	}{
-		"no class":       {func(c *Config) { delete(c.Fields, "Query.coach") }, "booking.graphql:56:3: Query.coach has no class"},
-		"unknown field":  {func(c *Config) { c.Fields["Query.seat"] = FieldMapping{Class: "map"} }, "Query.seat: the schema has no such root field"},
-		"unknown class":  {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "x"} }, "Query.coach: class \"x\" is none"},
-		"empty class":    {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{} }, "class is missing"},
-		"unsafe query":   {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "book"} }, "not safe to repeat"},
-		"shared":         {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", Coalesce: true} }, "share goes with queries"},
-		"cost":           {func(c *Config) { c.Fields["Query.coach"] = FieldMapping{Class: "map", Cost: -1} }, "not below 0"},
-		"no argument":    {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", KeyArgument: "tokn"} }, "no argument \"tokn\""},
-		"no input field": {func(c *Config) { c.Fields["Mutation.recordPayment"] = FieldMapping{Class: "pay", KeyArgument: "input.keys"} }, "PaymentInput has no field \"keys\""},
-		"no input":       {func(c *Config) { c.Fields["Mutation.holdSeat"] = FieldMapping{Class: "book", KeyArgument: "seat.x"} }, "\"seat\" has no fields"},
-		"no scalar":      {func(c *Config) { c.Fields["Mutation.recordPayment"] = FieldMapping{Class: "pay", KeyArgument: "input"} }, "is no scalar"},
-		"SDL":            {func(c *Config) { c.SDL = "type Query {\n  x: Nothing }" }, "booking.graphql:2:"},
-		"subscription": {func(c *Config) {
-			c.SDL = "type Query { x: Int }\ntype Subscription { y: Int }"
-			c.Fields = map[string]FieldMapping{"Query.x": {Class: "map"}}
-		}, "2:6: subscriptions are not carried"},
+		"no class": {
+			func(c *Config) { delete(c.Fields, "Query.coach") },
+			"booking.graphql:56:3: Query.coach has no class",
+		},
+		"unknown field": {
+			setField("Query.seat", FieldMapping{Class: "map"}),
+			"Query.seat: the schema has no such root field",
+		},
+		"unknown class": {
+			setField("Query.coach", FieldMapping{Class: "x"}),
+			"Query.coach: class \"x\" is none",
+		},
+		"empty class": {
+			setField("Query.coach", FieldMapping{}),
+			"class is missing",
+		},
+		"query with an effect": {
+			setField("Query.coach", FieldMapping{Class: "book"}),
+			"not safe to repeat",
+		},
+		"coalesced mutation": {
+			setField("Mutation.holdSeat", FieldMapping{Class: "book", Coalesce: true}),
+			"share goes with queries",
+		},
+		"negative cost": {
+			setField("Query.coach", FieldMapping{Class: "map", Cost: -1}),
+			"not below 0",
+		},
+		"no argument": {
+			setField("Mutation.holdSeat", FieldMapping{Class: "book", KeyArgument: "tokn"}),
+			"no argument \"tokn\"",
+		},
+		"no input field": {
+			setField("Mutation.recordPayment", FieldMapping{Class: "pay", KeyArgument: "input.keys"}),
+			"PaymentInput has no field \"keys\"",
+		},
+		"no input object": {
+			setField("Mutation.holdSeat", FieldMapping{Class: "book", KeyArgument: "seat.x"}),
+			"\"seat\" has no fields",
+		},
+		"no scalar": {
+			setField("Mutation.recordPayment", FieldMapping{Class: "pay", KeyArgument: "input"}),
+			"is no scalar",
+		},
+		"SDL": {
+			func(c *Config) { c.SDL = "type Query {\n  x: Nothing }" },
+			"booking.graphql:2:",
+		},
+		"subscription": {
+			func(c *Config) {
+				c.SDL = "type Query { x: Int }\ntype Subscription { y: Int }"
+				c.Fields = map[string]FieldMapping{"Query.x": {Class: "map"}}
+			},
+			"2:6: subscriptions are not carried",
+		},
 	} {
-		cfg := config()
-		c.change(&cfg)
-		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", name, err, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			config := testConfig()
+			test.modify(&config)
+			if _, err := New(config); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("error %v, want %s", err, test.want)
+			}
+		})
 	}
 }
 
-// A document that is planned again is planned by its own variables, not by those of the request before.
-func TestPlannedAgain(t *testing.T) {
-	d, errs := schema(t, nil).ParseDocument(`query ($b: Boolean!, $t: ID!) { seats(train: $t) { id } coach(id: "1") @include(if: $b) { id } }`)
+// TestCachedLayoutUsesOwnVariables checks that a document that is planned again is planned with its own variables, and
+// not with those of the request before.
+func TestCachedLayoutUsesOwnVariables(t *testing.T) {
+	const text = `query ($b: Boolean!, $t: ID!) {
+		seats(train: $t) { id }
+		coach(id: "1") @include(if: $b) { id }
+	}`
+	document, errs := newTestSchema(t, nil).ParseDocument(text)
 	if len(errs) > 0 {
 		t.Fatal(errs)
 	}
 	for i, want := range []int{2, 1, 2} {
 		train := fmt.Sprintf("%q", fmt.Sprint("T", i))
-		p, err := d.Plan("", map[string]json.RawMessage{"b": json.RawMessage(fmt.Sprint(want == 2)), "t": json.RawMessage(train)}, "")
+		variables := map[string]json.RawMessage{
+			"b": json.RawMessage(fmt.Sprint(want == 2)),
+			"t": json.RawMessage(train),
+		}
+		p, err := document.Plan("", variables, "")
 		if err != nil || len(p.Parts) != want || !strings.Contains(string(p.Parts[0].Body), `"variables":{"t":`+train) {
 			t.Errorf("%d: %d parts, want %d; %v", i, len(p.Parts), want, err)
 		}
 	}
 }
 
-// BenchmarkPlan is what a seat search costs, and a batch of 15 such and 5 bookings: parse and validate (but where its
-// document is kept), plan, read the parts' answers, and merge.
-func BenchmarkPlan(b *testing.B) {
-	search, _ := gqlnode.Search("T1")["query"].(string)
-	const book = `mutation ($t: String) { m0: confirmBooking(seat: "s", token: $t) { id } }`
-	answers := map[string][]byte{"seats": []byte(`{"data":{"seats":[{"id":"a","coach":{"number":1}},{"id":"b","coach":{"number":2}},{"id":"c","coach":{"number":3}}]}}`),
-		"c": []byte(`{"data":{"c":{"id":"c","seats":[{"id":"1"},{"id":"2"}]}}}`), "items": []byte(`{"data":{"items":[{"__typename":"Seat"},{"__typename":"Coach"}]}}`),
-		"m0": []byte(`{"data":{"m0":{"id":"s"}}}`)}
-	one := func(d *Document, vars map[string]json.RawMessage) {
-		p, err := d.Plan("", vars, "")
+// benchmarkResponses are the nodes' responses in BenchmarkPlan, by the first response key of the part.
+var benchmarkResponses = map[string][]byte{
+	"seats": []byte(`{"data":{"seats":[` +
+		`{"id":"a","coach":{"number":1}},{"id":"b","coach":{"number":2}},{"id":"c","coach":{"number":3}}]}}`),
+	"c":     []byte(`{"data":{"c":{"id":"c","seats":[{"id":"1"},{"id":"2"}]}}}`),
+	"items": []byte(`{"data":{"items":[{"__typename":"Seat"},{"__typename":"Coach"}]}}`),
+	"m0":    []byte(`{"data":{"m0":{"id":"s"}}}`),
+}
+
+// planAndMerge plans a document, parses the parts' responses and merges them.
+func planAndMerge(b *testing.B, document *Document, variables map[string]json.RawMessage) {
+	b.Helper()
+	p, err := document.Plan("", variables, "")
+	if err != nil {
+		b.Fatal(err)
+	}
+	var outcomes []Outcome
+	for _, part := range p.Parts {
+		response, err := part.ParseResponse(benchmarkResponses[part.ResponseKeys[0]])
 		if err != nil {
 			b.Fatal(err)
 		}
-		var outcomes []Outcome
-		for _, x := range p.Parts {
-			a, err := x.ParseResponse(answers[x.ResponseKeys[0]])
-			if err != nil {
-				b.Fatal(err)
-			}
-			outcomes = append(outcomes, Outcome{Kind: OutcomeExecuted, Response: a})
-		}
-		if r := p.Merge(outcomes); len(r.Body) < 20 {
-			b.Fatal(string(r.Body))
-		}
+		outcomes = append(outcomes, Outcome{Kind: OutcomeExecuted, Response: response})
 	}
-	for _, n := range []int{1, 20} {
-		for _, kept := range []bool{true, false} {
-			b.Run(fmt.Sprintf("of %d, kept %v", n, kept), func(b *testing.B) {
-				s := schema(b, nil)
-				docs := map[string]*Document{}
+	const minBody = 20
+	if response := p.Merge(outcomes); len(response.Body) < minBody {
+		b.Fatal(string(response.Body))
+	}
+}
+
+// BenchmarkPlan measures a seat search, and a batch of 15 searches and 5 bookings: parsing and validation (unless the
+// document is cached), planning, parsing of the parts' responses, and merging.
+func BenchmarkPlan(b *testing.B) {
+	search, _ := gqlnode.Search("T1")["query"].(string)
+	const book = `mutation ($t: String) { m0: confirmBooking(seat: "s", token: $t) { id } }`
+	for _, operations := range []int{1, 20} {
+		for _, cached := range []bool{true, false} {
+			b.Run(fmt.Sprintf("of %d, cached %v", operations, cached), func(b *testing.B) {
+				s := newTestSchema(b, nil)
+				documents := map[string]*Document{}
 				b.ReportAllocs()
 				for b.Loop() {
-					for i := range n {
-						text, vars := search, map[string]json.RawMessage{"t": json.RawMessage(`"T1"`)}
+					for i := range operations {
+						text := search
+						variables := map[string]json.RawMessage{"t": json.RawMessage(`"T1"`)}
 						if i%4 == 3 {
-							text, vars["t"] = book, json.RawMessage(fmt.Sprintf(`"k%d"`, i))
+							text = book
+							variables["t"] = json.RawMessage(fmt.Sprintf(`"k%d"`, i))
 						}
-						d := docs[text]
-						if d == nil || !kept {
+						document := documents[text]
+						if document == nil || !cached {
 							var errs []*Error
-							if d, errs = s.ParseDocument(text); len(errs) > 0 {
+							if document, errs = s.ParseDocument(text); len(errs) > 0 {
 								b.Fatal(errs)
 							}
-							docs[text] = d
+							documents[text] = document
 						}
-						one(d, vars)
+						planAndMerge(b, document, variables)
 					}
 				}
 			})
--- a/internal/graphql/plan/property_test.go
+++ b/internal/graphql/plan/property_test.go
@@ -16,136 +16,189 @@
 	"hazelwing/internal/graphql/exec"
 )
 
-// Cut up, executed in parts and put together, an operation gives what executing it whole on one node gives: for generated
-// schemas, operations, variables, nulls and errors.
+// TestPlanEqualsDirectExecution checks that an operation that is split, executed in parts and merged gives what its
+// direct execution on one node gives: for generated schemas, operations, variables, nulls and errors.
 func TestPlanEqualsDirectExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGenerated(t)
-		s, err := New(Config{SchemaFile: "generated", SDL: g.sdl, Fields: g.fields, Classes: classes,
-			Limits: Limits{MaxBytes: 1 << 20, MaxTokens: 1 << 20, MaxDepth: 50, MaxAliases: 1 << 20, MaxRootFields: 100, MaxFields: 1 << 20, MaxCost: 1000}})
+		generated := newGeneratedSchema(t)
+		s, err := New(Config{
+			SchemaFile: "generated",
+			SDL:        generated.sdl,
+			Fields:     generated.mappings,
+			Classes:    testClasses,
+			Limits: Limits{
+				MaxBytes:      1 << 20,
+				MaxTokens:     1 << 20,
+				MaxDepth:      50,
+				MaxAliases:    1 << 20,
+				MaxRootFields: 100,
+				MaxFields:     1 << 20,
+				MaxCost:       1000,
+			},
+		})
 		if err != nil {
-			t.Fatal(err, g.sdl)
+			t.Fatal(err, generated.sdl)
 		}
-		text, vars := g.operation(t)
-		d, errs := s.ParseDocument(text)
+		text, variables := generated.drawOperation(t)
+		document, errs := s.ParseDocument(text)
 		if len(errs) > 0 {
-			t.Fatalf("%s\n%s\n%s", errs[0].Message, text, g.sdl)
+			t.Fatalf("%s\n%s\n%s", errs[0].Message, text, generated.sdl)
 		}
-		p, e := d.Plan("", vars, "k")
+		p, e := document.Plan("", variables, "k")
 		if e != nil {
 			t.Fatal(e, text)
 		}
-		node := func(text string, vars map[string]json.RawMessage) exec.Result {
-			doc, errs := gqlparser.LoadQuery(s.ast, text)
-			if len(errs) > 0 {
-				t.Fatalf("%v\n%s", errs, text)
-			}
-			plain := map[string]any{}
-			for name, v := range vars {
-				var x any
-				if err := json.Unmarshal(v, &x); err != nil {
-					t.Fatal(err)
-				}
-				plain[name] = x
-			}
-			op := doc.Operations[0]
-			coerced, err := validator.VariableValues(s.ast, op, plain)
-			if err != nil {
-				t.Fatal(err, text)
-			}
-			root := "Query"
-			if op.Operation == ast.Mutation {
-				root = "Mutation"
-			}
-			return exec.Run(s.ast, doc, op, coerced, thing{g, root, root})
-		}
-		var outcomes []Outcome
-		goes := true
-		for _, part := range p.Parts {
-			if p.Serial && !goes {
-				outcomes = append(outcomes, Outcome{Kind: OutcomeNotStarted})
-				continue
-			}
-			var r request
-			if err := json.Unmarshal(part.Body, &r); err != nil {
-				t.Fatal(err)
-			}
-			body, err := json.Marshal(node(r.Query, r.Variables))
-			if err != nil {
-				t.Fatal(err)
-			}
-			a, err := part.ParseResponse(body)
-			if err != nil {
-				t.Fatalf("%v\n%s\n%s", err, r.Query, body)
-			}
-			o := Outcome{Kind: OutcomeExecuted, Response: a}
-			goes = p.MayContinueAfter(o)
-			outcomes = append(outcomes, o)
-		}
-		var got struct {
-			Data   json.RawMessage
-			Errors []Error
-		}
-		if err := json.Unmarshal(p.Merge(outcomes).Body, &got); err != nil {
+		node := &testNode{schema: s.ast, generated: generated}
+		var got mergedResponse
+		if err := json.Unmarshal(p.Merge(node.executeParts(t, p)).Body, &got); err != nil {
 			t.Fatal(err)
 		}
-		want := node(text, vars)
+		want := node.execute(t, text, variables)
 		if string(got.Data) != string(want.Data) {
-			t.Fatalf("data %s\nwant %s\n%s\n%s", got.Data, want.Data, text, g.sdl)
-		}
-		seen := map[string]int{}
-		for _, e := range got.Errors {
-			if e.Code() != CodeNotStarted && e.Code() != CodeExecuted {
-				seen[fmt.Sprint(e.Message, e.Path)]++
-			}
+			t.Fatalf("data %s\nwant %s\n%s\n%s", got.Data, want.Data, text, generated.sdl)
 		}
-		for _, e := range want.Errors {
-			seen[fmt.Sprint(e.Message, e.Path)]--
-		}
-		for e, n := range seen {
-			if n < 0 || n > 0 && (p.Serial || string(want.Data) != "null") { // whole, a query ends at the first such null
+		// Direct execution of a query stops at the first null that makes the data null, the parts do not.
+		mayHaveMore := !p.Serial && string(want.Data) == "null"
+		for e, n := range errorDifference(got, want) {
+			if n < 0 || n > 0 && !mayHaveMore {
 				t.Fatalf("error %s: %+d\n%s", e, n, text)
 			}
 		}
 	})
 }
 
-// generated is a schema of a few object types whose fields are scalars, objects and lists, some of them never null.
-type generated struct {
-	sdl    string
-	fields map[string]FieldMapping
-	types  map[string][]genField
-	seed   uint32
-	names  int
+// mergedResponse is a decoded Response.
+type mergedResponse struct {
+	Data   json.RawMessage
+	Errors []Error
+}
+
+// errorDifference returns, by message and path, how many more errors got has than want, apart from those that exist
+// only in parts.
+func errorDifference(got mergedResponse, want exec.Result) map[string]int {
+	difference := map[string]int{}
+	for _, e := range got.Errors {
+		if e.Code() != CodeNotStarted && e.Code() != CodeExecuted {
+			difference[fmt.Sprint(e.Message, e.Path)]++
+		}
+	}
+	for _, e := range want.Errors {
+		difference[fmt.Sprint(e.Message, e.Path)]--
+	}
+	return difference
+}
+
+// testNode executes documents on a generated schema.
+type testNode struct {
+	schema    *ast.Schema
+	generated *generatedSchema
+}
+
+// executeParts executes the parts of a plan as a front does.
+func (n *testNode) executeParts(t *rapid.T, p *Plan) []Outcome {
+	t.Helper()
+	var outcomes []Outcome
+	mayContinue := true
+	for _, part := range p.Parts {
+		if p.Serial && !mayContinue {
+			outcomes = append(outcomes, Outcome{Kind: OutcomeNotStarted})
+			continue
+		}
+		var r request
+		if err := json.Unmarshal(part.Body, &r); err != nil {
+			t.Fatal(err)
+		}
+		body, err := json.Marshal(n.execute(t, r.Query, r.Variables))
+		if err != nil {
+			t.Fatal(err)
+		}
+		response, err := part.ParseResponse(body)
+		if err != nil {
+			t.Fatalf("%v\n%s\n%s", err, r.Query, body)
+		}
+		outcome := Outcome{Kind: OutcomeExecuted, Response: response}
+		mayContinue = p.MayContinueAfter(outcome)
+		outcomes = append(outcomes, outcome)
+	}
+	return outcomes
+}
+
+// execute executes a document directly.
+func (n *testNode) execute(t *rapid.T, text string, variables map[string]json.RawMessage) exec.Result {
+	t.Helper()
+	query, errs := gqlparser.LoadQueryWithRules(n.schema, text, nil)
+	if len(errs) > 0 {
+		t.Fatalf("%v\n%s", errs, text)
+	}
+	decoded := map[string]any{}
+	for name, encoded := range variables {
+		var value any
+		if err := json.Unmarshal(encoded, &value); err != nil {
+			t.Fatal(err)
+		}
+		decoded[name] = value
+	}
+	op := query.Operations[0]
+	vars, err := validator.VariableValues(n.schema, op, decoded)
+	if err != nil {
+		t.Fatal(err, text)
+	}
+	root := "Query"
+	if op.Operation == ast.Mutation {
+		root = "Mutation"
+	}
+	return exec.Run(n.schema, query, op, vars, generatedObject{n.generated, root, root})
 }
 
-type genField struct{ name, arg, of, kind string } // of: the object type, or empty; arg: whether it takes one
+// generatedSchema is a schema of a few object types whose fields are scalars, objects and lists, some of them non-null.
+type generatedSchema struct {
+	sdl      string
+	mappings map[string]FieldMapping
+	types    map[string][]generatedField
+	seed     uint32
+	names    int // how many names have been generated
+}
 
-func newGenerated(t *rapid.T) *generated {
-	g := &generated{fields: map[string]FieldMapping{}, types: map[string][]genField{}, seed: rapid.Uint32().Draw(t, "seed")}
-	objects := []string{"A", "B", "C"}
+type generatedField struct {
+	name        string
+	hasArgument bool
+	objectType  string // empty: Int
+	typeFormat  string // of the type, with a verb for its name
+}
+
+func newGeneratedSchema(t *rapid.T) *generatedSchema {
+	g := &generatedSchema{
+		mappings: map[string]FieldMapping{},
+		types:    map[string][]generatedField{},
+		seed:     rapid.Uint32().Draw(t, "seed"),
+	}
+	objectTypes := []string{"A", "B", "C"}
 	var b strings.Builder
-	for _, name := range append([]string{"Query", "Mutation"}, objects...) {
-		fmt.Fprintf(&b, "type %s {\n", name)
+	for _, typeName := range append([]string{"Query", "Mutation"}, objectTypes...) {
+		fmt.Fprintf(&b, "type %s {\n", typeName)
 		for i := range rapid.IntRange(1, 4).Draw(t, "fields") {
-			f := genField{name: fmt.Sprintf("f%d", i), kind: rapid.SampledFrom([]string{"%s", "%s", "%s!", "[%s]", "[%s!]", "[%s!]!"}).Draw(t, "kind")}
-			of := "Int"
+			typeFormats := []string{"%s", "%s", "%s!", "[%s]", "[%s!]", "[%s!]!"}
+			f := generatedField{
+				name:       fmt.Sprintf("f%d", i),
+				typeFormat: rapid.SampledFrom(typeFormats).Draw(t, "kind"),
+			}
+			valueType := "Int"
 			if rapid.Bool().Draw(t, "object") {
-				f.of = rapid.SampledFrom(objects).Draw(t, "type")
-				of = f.of
+				f.objectType = rapid.SampledFrom(objectTypes).Draw(t, "type")
+				valueType = f.objectType
 			}
-			args := ""
+			arguments := ""
 			if rapid.Bool().Draw(t, "arg") {
-				f.arg = "x"
-				args = "(x: Int, y: Boolean = true)"
+				f.hasArgument = true
+				arguments = "(x: Int, y: Boolean = true)"
 			}
-			fmt.Fprintf(&b, "  %s%s: %s\n", f.name, args, fmt.Sprintf(f.kind, of))
-			g.types[name] = append(g.types[name], f)
-			switch name {
+			fmt.Fprintf(&b, "  %s%s: %s\n", f.name, arguments, fmt.Sprintf(f.typeFormat, valueType))
+			g.types[typeName] = append(g.types[typeName], f)
+			switch typeName {
 			case "Query":
-				g.fields["Query."+f.name] = FieldMapping{Class: rapid.SampledFrom([]string{"search", "map"}).Draw(t, "class")}
+				g.drawMapping(t, "Query."+f.name, "search", "map")
 			case "Mutation":
-				g.fields["Mutation."+f.name] = FieldMapping{Class: rapid.SampledFrom([]string{"book", "pay", "map"}).Draw(t, "class")}
+				g.drawMapping(t, "Mutation."+f.name, "book", "pay", "map")
 			}
 		}
 		b.WriteString("}\n")
@@ -154,100 +207,119 @@
 	return g
 }
 
-// operation draws one that is valid, and its variables.
-func (g *generated) operation(t *rapid.T) (string, map[string]json.RawMessage) {
+func (g *generatedSchema) drawMapping(t *rapid.T, coordinate string, classes ...string) {
+	g.mappings[coordinate] = FieldMapping{Class: rapid.SampledFrom(classes).Draw(t, "class")}
+}
+
+// drawOperation draws a valid operation and its variables.
+func (g *generatedSchema) drawOperation(t *rapid.T) (string, map[string]json.RawMessage) {
 	root := rapid.SampledFrom([]string{"Query", "Mutation"}).Draw(t, "root")
 	var fragments strings.Builder
-	body := g.selection(t, root, 3, &fragments)
-	text := strings.ToLower(root) + " ($v: Int, $b: Boolean! = false) {" + body + " v: __typename @include(if: $b) w: __typename}" + fragments.String()
-	vars := map[string]json.RawMessage{}
+	body := g.drawSelectionSet(t, root, 3, &fragments)
+	text := strings.ToLower(root) + " ($v: Int, $b: Boolean! = false) {" + body +
+		" v: __typename @include(if: $b) w: __typename}" + fragments.String()
+	variables := map[string]json.RawMessage{}
 	if rapid.Bool().Draw(t, "v") {
-		vars["v"] = json.RawMessage(fmt.Sprint(rapid.IntRange(-5, 5).Draw(t, "value")))
+		variables["v"] = json.RawMessage(fmt.Sprint(rapid.IntRange(-5, 5).Draw(t, "value")))
 	}
 	if rapid.Bool().Draw(t, "b") {
-		vars["b"] = json.RawMessage(fmt.Sprint(rapid.Bool().Draw(t, "value")))
+		variables["b"] = json.RawMessage(fmt.Sprint(rapid.Bool().Draw(t, "value")))
 	}
 	if !strings.Contains(text, "$v)") && !strings.Contains(text, "$v,") {
 		text = strings.Replace(text, "($v: Int, ", "(", 1)
-		delete(vars, "v")
+		delete(variables, "v")
 	}
-	return text, vars
+	return text, variables
 }
 
-func (g *generated) selection(t *rapid.T, on string, depth int, fragments *strings.Builder) string {
+// drawSelectionSet draws selections on a type and adds the fragments that they spread.
+func (g *generatedSchema) drawSelectionSet(
+	t *rapid.T, typeName string, depth int, fragments *strings.Builder,
+) string {
+	conditions := []string{
+		"", "", "",
+		" @skip(if: $b)", " @include(if: $b)", " @include(if: true)", " @skip(if: true)",
+	}
+	argumentLists := []string{"", "(x: 1)", "(x: $v)", "(x: $v, y: $b)", "(y: false)"}
 	var b strings.Builder
 	for range rapid.IntRange(1, 3).Draw(t, "selections") {
-		when := rapid.SampledFrom([]string{"", "", "", " @skip(if: $b)", " @include(if: $b)", " @include(if: true)", " @skip(if: true)"}).Draw(t, "when")
+		condition := rapid.SampledFrom(conditions).Draw(t, "when")
 		if depth > 0 && rapid.IntRange(0, 4).Draw(t, "fragment") == 0 {
-			inner := g.selection(t, on, depth-1, fragments)
+			inner := g.drawSelectionSet(t, typeName, depth-1, fragments)
 			if rapid.Bool().Draw(t, "inline") {
-				fmt.Fprintf(&b, " ... on %s%s {%s}", on, when, inner)
+				fmt.Fprintf(&b, " ... on %s%s {%s}", typeName, condition, inner)
 			} else {
 				g.names++
-				fmt.Fprintf(&b, " ...F%d%s", g.names, when)
-				fmt.Fprintf(fragments, " fragment F%d on %s {%s}", g.names, on, inner)
+				fmt.Fprintf(&b, " ...F%d%s", g.names, condition)
+				fmt.Fprintf(fragments, " fragment F%d on %s {%s}", g.names, typeName, inner)
 			}
 			continue
 		}
-		f := rapid.SampledFrom(g.types[on]).Draw(t, "field")
-		if f.of != "" && depth == 0 {
+		f := rapid.SampledFrom(g.types[typeName]).Draw(t, "field")
+		if f.objectType != "" && depth == 0 {
 			b.WriteString(" t: __typename")
 			continue
 		}
 		g.names++
 		fmt.Fprintf(&b, " n%d: %s", g.names, f.name)
-		if f.arg != "" {
-			b.WriteString(rapid.SampledFrom([]string{"", "(x: 1)", "(x: $v)", "(x: $v, y: $b)", "(y: false)"}).Draw(t, "args"))
+		if f.hasArgument {
+			b.WriteString(rapid.SampledFrom(argumentLists).Draw(t, "args"))
 		}
-		b.WriteString(when)
-		if f.of != "" {
-			b.WriteString(" {" + g.selection(t, f.of, depth-1, fragments) + "}")
+		b.WriteString(condition)
+		if f.objectType != "" {
+			b.WriteString(" {" + g.drawSelectionSet(t, f.objectType, depth-1, fragments) + "}")
 		}
 	}
 	return b.String()
 }
 
-// thing resolves its fields by their place alone: what is null, fails or how long a list is, is the seed's.
-type thing struct {
-	g          *generated
-	kind, path string
+// generatedObject resolves its fields by their path alone: the schema's seed decides which are null or fail, and how
+// long lists are.
+type generatedObject struct {
+	schema   *generatedSchema
+	typeName string
+	path     string
 }
 
-func (x thing) Type() string { return x.kind }
+func (o generatedObject) Type() string { return o.typeName }
 
-func (x thing) Resolve(name string, args map[string]any) (any, error) {
-	path := fmt.Sprint(x.path, ".", name, args["x"], args["y"])
-	h := fnv.New32a()
-	fmt.Fprint(h, x.g.seed, path)
-	n := h.Sum32()
-	switch {
-	case n%11 == 0:
+func (o generatedObject) Resolve(name string, args map[string]any) (any, error) {
+	path := fmt.Sprint(o.path, ".", name, args["x"], args["y"])
+	hash := fnv.New32a()
+	_, _ = fmt.Fprint(hash, o.schema.seed, path) // a hash never fails
+	n := hash.Sum32()
+	switch n % 11 {
+	case 0:
 		return nil, nil
-	case n%11 == 1:
+	case 1:
 		return nil, errors.New("fails at " + path)
 	}
-	for _, f := range x.g.types[x.kind] {
-		if f.name != name {
-			continue
+	for _, f := range o.schema.types[o.typeName] {
+		if f.name == name {
+			return o.value(f, n, path), nil
 		}
-		value := func(i int) any {
-			if f.of == "" {
-				return int(n%1000) + i
-			}
-			return thing{x.g, f.of, fmt.Sprint(path, i)}
-		}
-		if !strings.HasPrefix(f.kind, "[") {
-			return value(0), nil
+	}
+	return nil, errors.New("no such field")
+}
+
+// value returns the value of a field that neither is null nor fails.
+func (o generatedObject) value(f generatedField, n uint32, path string) any {
+	element := func(i int) any {
+		if f.objectType == "" {
+			return int(n%1000) + i
 		}
-		list := []any{}
-		for i := range int(n/11) % 4 {
-			if (n>>8+uint32(i))%9 == 0 {
-				list = append(list, nil)
-				continue
-			}
-			list = append(list, value(i))
+		return generatedObject{o.schema, f.objectType, fmt.Sprint(path, i)}
+	}
+	if !strings.HasPrefix(f.typeFormat, "[") {
+		return element(0)
+	}
+	list := []any{}
+	for i := range int(n/11) % 4 {
+		if (n>>8+uint32(i))%9 == 0 {
+			list = append(list, nil)
+			continue
 		}
-		return list, nil
+		list = append(list, element(i))
 	}
-	return nil, errors.New("no such field")
+	return list
 }
--- /dev/null
+++ b/internal/graphql/plan/response.go
@@ -0,0 +1,141 @@
+package plan
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// NodeResponse is a node's response to one part.
+type NodeResponse struct {
+	values     map[string]json.RawMessage // by response key; nil: data is null or absent
+	executed   bool                       // data is present
+	errors     []nodeError
+	extensions json.RawMessage
+}
+
+// nodeError is an entry of the errors of a node's response. Its locations are dropped: they refer to the part's
+// document, and not to the client's.
+type nodeError struct {
+	Message    string            `json:"message"`
+	Path       []json.RawMessage `json:"path,omitempty"`
+	Extensions json.RawMessage   `json:"extensions,omitempty"`
+}
+
+// Executed reports whether the node states that it executed the part.
+func (r *NodeResponse) Executed() bool { return r.executed }
+
+// RejectedResponse returns the response of a node that rejected the part by other means than GraphQL.
+func (p *Part) RejectedResponse(message string) *NodeResponse {
+	return &NodeResponse{errors: []nodeError{{Message: message}}}
+}
+
+// ParseResponse parses a node's response to the part. An error means that the body is not a response to it: it is
+// truncated or corrupt, or belongs to another part.
+func (p *Part) ParseResponse(body []byte) (*NodeResponse, error) {
+	members, err := parseObject(body)
+	if err != nil {
+		return nil, err
+	}
+	r := &NodeResponse{extensions: members["extensions"]}
+	if text, ok := members["errors"]; ok {
+		if r.errors, err = p.parseErrors(text); err != nil {
+			return nil, err
+		}
+	}
+	data, ok := members["data"]
+	if !ok {
+		if len(r.errors) == 0 {
+			return nil, errors.New("neither data nor errors")
+		}
+		return r, nil
+	}
+	r.executed = true
+	if string(data) == "null" {
+		if len(r.errors) == 0 {
+			return nil, errors.New("data is null without an error")
+		}
+		return r, nil
+	}
+	if r.values, err = p.parseData(data); err != nil {
+		return nil, err
+	}
+	return r, nil
+}
+
+// parseErrors parses the errors of a response.
+func (p *Part) parseErrors(text []byte) ([]nodeError, error) {
+	var nodeErrors []nodeError
+	if err := json.Unmarshal(text, &nodeErrors); err != nil {
+		return nil, fmt.Errorf("errors: %w", err)
+	}
+	for _, e := range nodeErrors {
+		if err := p.checkErrorPath(e.Path); err != nil {
+			return nil, err
+		}
+	}
+	return nodeErrors, nil
+}
+
+// parseData parses data that is not null and checks that it has exactly the part's response keys.
+func (p *Part) parseData(text []byte) (map[string]json.RawMessage, error) {
+	values, err := parseObject(text)
+	if err != nil {
+		return nil, fmt.Errorf("data: %w", err)
+	}
+	for _, key := range p.ResponseKeys {
+		if _, ok := values[key]; !ok {
+			return nil, fmt.Errorf("data has no %q", key)
+		}
+	}
+	if len(values) != len(p.ResponseKeys) {
+		return nil, errors.New("data has what was not asked for")
+	}
+	return values, nil
+}
+
+// checkErrorPath checks that an error's path, if it has one, begins with a response key of the part.
+func (p *Part) checkErrorPath(path []json.RawMessage) error {
+	if len(path) == 0 {
+		return nil
+	}
+	var key string
+	if err := json.Unmarshal(path[0], &key); err != nil || !slices.Contains(p.ResponseKeys, key) {
+		return fmt.Errorf("errors: a path begins with %.50s, which was not asked for", path[0])
+	}
+	return nil
+}
+
+// parseObject parses a JSON object whose member names are unique and which nothing follows. encoding/json would accept
+// repeated names and keep the last value.
+func parseObject(text []byte) (map[string]json.RawMessage, error) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
+		return nil, errors.New("no JSON object")
+	}
+	members := map[string]json.RawMessage{}
+	for decoder.More() {
+		token, err := decoder.Token()
+		if err != nil {
+			return nil, err
+		}
+		name, _ := token.(string) // Decoder guarantees that a member's name is a string
+		if _, ok := members[name]; ok {
+			return nil, fmt.Errorf("%.50q is there twice", name)
+		}
+		var value json.RawMessage
+		if err := decoder.Decode(&value); err != nil {
+			return nil, err
+		}
+		members[name] = value
+	}
+	if _, err := decoder.Token(); err != nil {
+		return nil, err
+	}
+	if _, err := decoder.Token(); err == nil {
+		return nil, errors.New("something follows the object")
+	}
+	return members, nil
+}
--- a/internal/graphql/plan/schema.go
+++ b/internal/graphql/plan/schema.go
@@ -6,7 +6,6 @@
 	"maps"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/vektah/gqlparser/v2"
 	"github.com/vektah/gqlparser/v2/ast"
@@ -17,162 +16,121 @@
 	"hazelwing/balancer"
 )
 
-// Field says how a root field travels.
-type FieldMapping struct {
-	Class string
-	// Key names the argument that holds the field's key, with dots into input objects: "input.idempotencyKey". Of a
-	// mutation it tells repeats of one effect, of a query what it is about. Empty: there is none.
-	KeyArgument      string
-	Cost     int           // counted against Limits.Cost; 0: 1
-	ExpectedWork     time.Duration // expected, at a node; 0: unknown
-	Deadline time.Duration // shorter than the class's; 0: none
-	Coalesce    bool          // identical parts in flight may share one execution; queries only
-}
-
-// Limits bound what is done for a request. All are above 0.
-type Limits struct {
-	MaxBytes   int // of a document
-	MaxTokens  int // of a document
-	MaxDepth   int // of nested fields
-	MaxAliases int // of an operation, expanded
-	MaxRootFields   int // root fields of an operation
-	MaxFields  int // of an operation, expanded
-	MaxCost    int // of an operation's root fields
+// Config is the configuration of a Schema.
+type Config struct {
+	SchemaFile    string // the name of the file that SDL was read from, for errors
+	SDL           string // the schema in the schema definition language
+	Fields        map[string]FieldMapping
+	Classes       []balancer.Class // nil: not known yet, and not checked
+	Limits        Limits
+	Introspection bool // __schema and __type are resolved
 }
 
-// DefaultLimits are generous for what applications send.
-var DefaultLimits = Limits{MaxBytes: 64 << 10, MaxTokens: 8000, MaxDepth: 15, MaxAliases: 100, MaxRootFields: 30, MaxFields: 2000, MaxCost: 100}
-
-// Schema is what requests are planned with.
+// Schema parses and plans operations.
 type Schema struct {
 	ast           *ast.Schema
-	fields        map[string]FieldMapping // by "Query.seats"
-	classes       map[string]balancer.Class
+	mappings      map[string]FieldMapping   // by schema coordinate, such as Query.seats
+	classes       map[string]balancer.Class // by name; nil: not known yet
 	limits        Limits
 	introspection bool
 	rules         *rules.Rules
 }
 
-// Config is what a Schema is made of.
-type Config struct {
-	SchemaFile          string // of the file that SDL was read from, for errors
-	SDL           string
-	Fields        map[string]FieldMapping
-	Classes       []balancer.Class // nil: they are not known yet, and not checked
-	Limits        Limits
-	Introspection bool // __schema and __type are answered
-}
-
-// FieldFault is what is wrong with the mapping of a root field.
-type FieldMappingError struct {
-	Field string
-	Err   error
-}
-
-func (f FieldMappingError) Error() string { return f.Field + ": " + f.Err.Error() }
-
-// New makes a Schema. Its error joins all faults, each on a line: those of the SDL, and of root fields without a class,
-// with the place in the SDL; those of the mapping, each a FieldFault.
-func New(c Config) (*Schema, error) {
-	parsed, err := gqlparser.LoadSchema(&ast.Source{Name: c.SchemaFile, Input: c.SDL})
+// New returns a Schema. Its error joins all faults. Those of the SDL, and of root fields without a mapping, begin with
+// the position in the SDL; those of the mapping are each a FieldMappingError.
+func New(config Config) (*Schema, error) {
+	parsed, err := parseSDL(config)
 	if err != nil {
-		var at *gqlerror.Error
-		if errors.As(err, &at) && len(at.Locations) > 0 {
-			return nil, fmt.Errorf("%s:%d:%d: %s", c.SchemaFile, at.Locations[0].Line, at.Locations[0].Column, at.Message)
-		}
-		return nil, fmt.Errorf("%s: %w", c.SchemaFile, err)
+		return nil, err
 	}
-	s := &Schema{ast: parsed, fields: map[string]FieldMapping{}, limits: c.Limits, introspection: c.Introspection, rules: rules.NewDefaultRules()}
-	if !c.Introspection { // or errors would tell the schema: "Did you mean ..."
-		for _, r := range []validator.Rule{rules.FieldsOnCorrectTypeRuleWithoutSuggestions, rules.KnownArgumentNamesRuleWithoutSuggestions,
-			rules.KnownTypeNamesRuleWithoutSuggestions, rules.ScalarLeafsRuleWithoutSuggestions, rules.ValuesOfCorrectTypeRuleWithoutSuggestions} {
-			s.rules.ReplaceRule(strings.TrimSuffix(r.Name, "WithoutSuggestions"), r.RuleFunc)
-		}
+	s := &Schema{
+		ast:           parsed,
+		mappings:      map[string]FieldMapping{},
+		limits:        config.Limits,
+		introspection: config.Introspection,
+		rules:         validationRules(config.Introspection),
 	}
-	if c.Classes != nil {
+	if config.Classes != nil {
 		s.classes = map[string]balancer.Class{}
-		for _, k := range c.Classes {
-			s.classes[k.Name] = k
+		for _, class := range config.Classes {
+			s.classes[class.Name] = class
 		}
 	}
 	var faults []error
-	for _, root := range []*ast.Definition{parsed.Query, parsed.Mutation} {
-		if root == nil {
-			continue
-		}
-		for _, f := range root.Fields {
-			name := root.Name + "." + f.Name
-			if strings.HasPrefix(f.Name, "__") {
-				continue
-			}
-			m, ok := c.Fields[name]
-			if !ok {
-				faults = append(faults, fmt.Errorf("%s:%d:%d: %s has no class: no graphql.field.%q", c.SchemaFile, f.Position.Line, f.Position.Column, name, name))
-				continue
-			}
-			s.fields[name] = m
-			if err := s.check(root, f, m); err != nil {
-				faults = append(faults, FieldMappingError{name, err})
-			}
+	for _, rootType := range []*ast.Definition{parsed.Query, parsed.Mutation} {
+		if rootType != nil {
+			faults = append(faults, s.mapRootFields(rootType, config)...)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.Fields)) {
-		if _, ok := s.fields[name]; !ok {
-			faults = append(faults, FieldMappingError{name, errors.New("the schema has no such root field of Query or Mutation")})
+	for _, coordinate := range slices.Sorted(maps.Keys(config.Fields)) {
+		if _, ok := s.mappings[coordinate]; !ok {
+			err := errors.New("the schema has no such root field of Query or Mutation")
+			faults = append(faults, FieldMappingError{Field: coordinate, Err: err})
 		}
 	}
 	if parsed.Subscription != nil {
-		p := parsed.Subscription.Position
-		faults = append(faults, fmt.Errorf("%s:%d:%d: subscriptions are not carried", c.SchemaFile, p.Line, p.Column))
+		position := parsed.Subscription.Position
+		const format = "%s:%d:%d: subscriptions are not carried"
+		faults = append(faults, fmt.Errorf(format, config.SchemaFile, position.Line, position.Column))
 	}
 	return s, errors.Join(faults...)
 }
 
-func (s *Schema) check(root *ast.Definition, f *ast.FieldDefinition, m FieldMapping) error {
-	query := root == s.ast.Query
-	class, known := s.classes[m.Class]
-	switch {
-	case m.Class == "":
-		return errors.New("class is missing")
-	case s.classes != nil && !known:
-		return fmt.Errorf("class %q is none of the settings'", m.Class)
-	case m.Cost < 0 || m.ExpectedWork < 0 || m.Deadline < 0:
-		return errors.New("cost, work and deadline are not below 0")
-	case m.Coalesce && !query:
-		return errors.New("share goes with queries")
-	case known && query && class.Effect != balancer.Idempotent:
-		return fmt.Errorf("class %q is not safe to repeat, and a query has no effect", m.Class)
+// AST returns the parsed schema, which must not be changed.
+func (s *Schema) AST() *ast.Schema { return s.ast }
+
+// parseSDL parses the schema. Its error begins with the position, if the parser gives one.
+func parseSDL(config Config) (*ast.Schema, error) {
+	parsed, err := gqlparser.LoadSchema(&ast.Source{Name: config.SchemaFile, Input: config.SDL})
+	if err == nil {
+		return parsed, nil
+	}
+	var located *gqlerror.Error
+	if errors.As(err, &located) && len(located.Locations) > 0 {
+		location := located.Locations[0]
+		return nil, fmt.Errorf("%s:%d:%d: %s", config.SchemaFile, location.Line, location.Column, located.Message)
+	}
+	return nil, fmt.Errorf("%s: %w", config.SchemaFile, err)
+}
+
+// validationRules returns the rules that documents are validated by. Without introspection, errors have no suggestions
+// such as "Did you mean ...", which would disclose the schema.
+func validationRules(introspection bool) *rules.Rules {
+	all := rules.NewDefaultRules()
+	if introspection {
+		return all
 	}
-	if m.KeyArgument == "" {
-		return nil
+	for _, rule := range []validator.Rule{
+		rules.FieldsOnCorrectTypeRuleWithoutSuggestions,
+		rules.KnownArgumentNamesRuleWithoutSuggestions,
+		rules.KnownTypeNamesRuleWithoutSuggestions,
+		rules.ScalarLeafsRuleWithoutSuggestions,
+		rules.ValuesOfCorrectTypeRuleWithoutSuggestions,
+	} {
+		all.ReplaceRule(strings.TrimSuffix(rule.Name, "WithoutSuggestions"), rule.RuleFunc)
 	}
-	args, place := f.Arguments, "the field"
-	words := strings.Split(m.KeyArgument, ".")
-	var of *ast.Type
-	for i, word := range words {
-		if i == 0 {
-			a := args.ForName(word)
-			if a == nil {
-				return fmt.Errorf("key: %s has no argument %q", place, word)
-			}
-			of = a.Type
+	return all
+}
+
+// mapRootFields takes over the mappings of a root type's fields and returns what is wrong with them.
+func (s *Schema) mapRootFields(rootType *ast.Definition, config Config) []error {
+	var faults []error
+	for _, field := range rootType.Fields {
+		if strings.HasPrefix(field.Name, "__") {
 			continue
 		}
-		def := s.ast.Types[of.Name()]
-		if def.Kind != ast.InputObject || of.Elem != nil {
-			return fmt.Errorf("key: %q has no fields", strings.Join(words[:i], "."))
+		coordinate := rootType.Name + "." + field.Name
+		mapping, ok := config.Fields[coordinate]
+		if !ok {
+			at := field.Position
+			const format = "%s:%d:%d: %s has no class: no graphql.field.%q"
+			faults = append(faults, fmt.Errorf(format, config.SchemaFile, at.Line, at.Column, coordinate, coordinate))
+			continue
 		}
-		in := def.Fields.ForName(word)
-		if in == nil {
-			return fmt.Errorf("key: %s has no field %q", def.Name, word)
+		s.mappings[coordinate] = mapping
+		if err := s.checkMapping(rootType, field, mapping); err != nil {
+			faults = append(faults, FieldMappingError{Field: coordinate, Err: err})
 		}
-		of = in.Type
 	}
-	if of.Elem != nil || s.ast.Types[of.Name()].Kind != ast.Scalar && s.ast.Types[of.Name()].Kind != ast.Enum {
-		return fmt.Errorf("key: %q is no scalar", m.KeyArgument)
-	}
-	return nil
+	return faults
 }
-
-// AST is the parsed schema; nobody changes it.
-func (s *Schema) AST() *ast.Schema { return s.ast }
