--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -62,9 +62,9 @@
 			return nil, fmt.Errorf("%s: graphql.trusted: %w", op.Position("graphql.trusted"), err)
 		}
 	}
-	s, err := graphqlfront.New(graphqlfront.Config{Schema: schema, Doer: doer, Path: g.Path, Node: g.NodePath, Conns: int(g.MaxConnections),
-		Deadline: time.Duration(g.Deadline), MaxBody: int64(g.MaxBody), MaxBatch: int(g.MaxBatch), MaxParts: int(g.MaxParts), Documents: int(g.MaxCachedDocuments),
-		Persisted: g.PersistedQueries, Trusted: trusted, Only: g.TrustedOnly, Log: log})
+	s, err := graphqlfront.New(graphqlfront.Config{Schema: schema, Doer: doer, Path: g.Path, NodePath: g.NodePath, MaxConns: int(g.MaxConnections),
+		Deadline: time.Duration(g.Deadline), MaxBody: int64(g.MaxBody), MaxBatch: int(g.MaxBatch), MaxParts: int(g.MaxParts), MaxDocuments: int(g.MaxCachedDocuments),
+		PersistedQueries: g.PersistedQueries, TrustedDocuments: trusted, TrustedOnly: g.TrustedOnly, Log: log})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", op.Position("graphql.trusted"), err)
 	}
--- /dev/null
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -0,0 +1,182 @@
+package graphqlfront
+
+import (
+	"context"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"hazelwing/internal/engine"
+	"hazelwing/internal/graphql/plan"
+	"hazelwing/internal/testutil"
+)
+
+func connected() bool { return false }
+
+// returning returns a runFunc with an outcome that has the given reason.
+func returning(reason string) runFunc {
+	return func(context.Context, func() bool) (plan.Outcome, bool) { return plan.Outcome{Reason: reason}, false }
+}
+
+// TestCoalescing checks that identical parts in flight have one execution if the operator allows it, but not those of
+// clients with other headers or a longer deadline; and that a client which disconnects does not take the result from
+// the others.
+func TestCoalescing(t *testing.T) {
+	release := make(chan struct{})
+	d := &recordingDoer{do: func(_ int, c *engine.Call) engine.Result {
+		<-release
+		return serveOnes(c)
+	}}
+	s := newTestServer(t, d, nil)
+	var running sync.WaitGroup
+	start := func(parts ...string) { running.Go(func() { send(s, parts...) }) }
+	const q = `{"query":"{s}"}`
+	start("X-Deadline-Ms: 30000", q)
+	testutil.Until(t, "the first call", func() bool { return d.count() == 1 })
+	for range 3 {
+		start("X-Deadline-Ms: 30000", q) // may find a flight that expires 0 to 50 ms sooner
+	}
+	start("X-Deadline-Ms: 30000", "Authorization: another", q)
+	start("X-Deadline-Ms: 50000", q)
+	start("X-Deadline-Ms: 30000", `{"query":"{a}"}`)
+	testutil.Until(t, "the other calls", func() bool { return d.count() >= 4 })
+	close(release)
+	running.Wait()
+	if n, coalesced := d.count(), s.State().CoalescedParts; n+int(coalesced) != 7 || n < 4 {
+		t.Errorf("%d calls, %d coalesced", n, coalesced)
+	}
+}
+
+// TestFlight checks who may join a flight, and what those who wait for it receive.
+func TestFlight(t *testing.T) {
+	group := flightGroup{flights: map[string]*flight{}}
+	canceled, cancel := context.WithCancel(t.Context())
+	release := make(chan struct{})
+	expiresAt := time.Now().Add(testutil.Patience)
+	first, isShared := group.join("k", expiresAt, connected, func(context.Context, func() bool) (plan.Outcome, bool) {
+		<-release
+		return plan.Outcome{Reason: "first"}, false
+	})
+	second, secondIsShared := group.join("k", expiresAt.Add(maxEarlierExpiry), connected, nil)
+	if isShared || !secondIsShared {
+		t.Error("the second caller did not join the flight of the first")
+	}
+	if joined, _ := group.join("k", expiresAt.Add(2*maxEarlierExpiry), connected, nil); joined != nil {
+		t.Error("a caller with a longer deadline joined")
+	}
+	cancel()
+	if outcome, _ := first.wait(canceled, expiresAt); outcome.Kind != plan.OutcomeUnknown {
+		t.Errorf("the caller that left received %+v", outcome)
+	}
+	if outcome, _ := first.wait(t.Context(), time.Now()); outcome.Kind != plan.OutcomeUnknown {
+		t.Errorf("the caller that has expired received %+v", outcome)
+	}
+	close(release)
+	if outcome, ok := second.wait(t.Context(), expiresAt); outcome.Reason != "first" || !ok {
+		t.Errorf("the caller that stayed received %+v", outcome)
+	}
+	next, isShared := group.join("k", expiresAt, connected, returning("next"))
+	if outcome, _ := next.wait(t.Context(), expiresAt); isShared || outcome.Reason != "next" {
+		t.Error("a flight that has ended was joined")
+	}
+}
+
+// TestSharedPartEndsWithTheLastToLeave checks that a part that several clients share continues while one of them is
+// connected, and no longer.
+func TestSharedPartEndsWithTheLastToLeave(t *testing.T) {
+	calls := make(chan *engine.Call, 10)
+	aborted := make(chan *engine.Call, 10)
+	front := startFront(t, contextDoer(func(ctx context.Context, c *engine.Call) engine.Result {
+		calls <- c
+		<-ctx.Done()
+		aborted <- c
+		return engine.Result{Kind: engine.Disconnected}
+	}))
+	first := front.dial(t)
+	second := front.dial(t)
+	write(t, first, post("{s}"))
+	call := testutil.Receive(t, calls, "the call")
+	shorter := strings.Replace(post("{s}"), "Host: h", "Host: h\r\nX-Deadline-Ms: 30000", 1) // so that it may join
+	write(t, second, shorter)
+	testutil.Until(t, "the second client to join", func() bool { return front.server.State().CoalescedParts == 1 })
+	closeConn(t, first)
+	testutil.Until(t, "the first client to leave", func() bool { return front.server.flights.waiting() == 1 })
+	if len(aborted) > 0 || call.Disconnected() {
+		t.Error("the call ended with the first client")
+	}
+	closeConn(t, second)
+	if testutil.Receive(t, aborted, "the call's end") != call || !call.Disconnected() {
+		t.Error("the call does not say that all clients have disconnected")
+	}
+	if len(calls) > 0 {
+		t.Error("another call was made for nobody")
+	}
+}
+
+// waiting returns the number of callers that wait, over all flights.
+func (g *flightGroup) waiting() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	n := 0
+	for _, f := range g.flights {
+		f.mu.Lock()
+		n += len(f.waiters)
+		f.mu.Unlock()
+	}
+	return n
+}
+
+// TestJoiningAbandonedFlight checks that a caller that joins a flight at the moment at which all others have
+// disconnected does not receive their result, but starts again.
+func TestJoiningAbandonedFlight(t *testing.T) {
+	group := flightGroup{flights: map[string]*flight{}}
+	expiresAt := time.Now().Add(testutil.Patience)
+	disconnected := func() bool { return true }
+	looked := make(chan bool)
+	release := make(chan bool)
+	run := func(_ context.Context, abandoned func() bool) (plan.Outcome, bool) {
+		aborted := abandoned()
+		looked <- true
+		<-release
+		return plan.Outcome{Kind: plan.OutcomeUnknown}, aborted
+	}
+	_, _ = group.join("k", expiresAt, disconnected, run)
+	<-looked
+	joined, isShared := group.join("k", expiresAt, connected, nil)
+	close(release)
+	if _, ok := joined.wait(t.Context(), expiresAt); ok || !isShared {
+		t.Errorf("the abandoned flight's result was received: shared %v, an outcome %v", isShared, ok)
+	}
+	next, isShared := group.join("k", expiresAt, connected, returning("next"))
+	outcome, ok := next.wait(t.Context(), expiresAt)
+	if isShared || !ok || !strings.Contains(outcome.Reason, "next") {
+		t.Errorf("outcome %+v", outcome)
+	}
+}
+
+// TestPartsAreBounded checks that parts beyond the maximum in flight are rejected.
+func TestPartsAreBounded(t *testing.T) {
+	release := make(chan struct{})
+	d := &recordingDoer{do: func(_ int, c *engine.Call) engine.Result {
+		<-release
+		return serveOnes(c)
+	}}
+	s := newTestServer(t, d, func(c *Config) { c.MaxParts = 2 })
+	statuses := make(chan int, 2)
+	for range 2 {
+		go func() { statuses <- send(s, `{"query":"{a}"}`).Code }()
+	}
+	testutil.Until(t, "two parts in flight", func() bool { return s.State().PartsInFlight == 2 })
+	w := send(s, `{"query":"mutation{m n}"}`)
+	if w.Code != http.StatusServiceUnavailable || !strings.Contains(w.Body.String(), plan.CodeRefused) {
+		t.Errorf("%d %s", w.Code, w.Body)
+	}
+	close(release)
+	first := testutil.Receive(t, statuses, "the first response")
+	second := testutil.Receive(t, statuses, "the second response")
+	if first != http.StatusOK || second != http.StatusOK {
+		t.Error(first, second)
+	}
+}
--- /dev/null
+++ b/internal/front/graphqlfront/disconnect_test.go
@@ -0,0 +1,96 @@
+package graphqlfront
+
+import (
+	"context"
+	"io"
+	"net"
+	"testing"
+
+	"hazelwing/internal/engine"
+	"hazelwing/internal/testutil"
+)
+
+// disconnects are the ways in which a client disconnects. Writes may fail, since the front may close the connection.
+var disconnects = map[string]func(t *testing.T, conn *net.TCPConn){
+	"FIN": func(t *testing.T, conn *net.TCPConn) {
+		t.Helper()
+		closeConn(t, conn)
+	},
+	"reset": func(t *testing.T, conn *net.TCPConn) {
+		t.Helper()
+		if err := conn.SetLinger(0); err != nil {
+			t.Fatal(err)
+		}
+		closeConn(t, conn)
+	},
+	"FIN after more data": func(t *testing.T, conn *net.TCPConn) {
+		t.Helper()
+		_, _ = io.WriteString(conn, "POST /gra")
+		closeConn(t, conn)
+	},
+	"FIN after much more data": func(t *testing.T, conn *net.TCPConn) {
+		t.Helper()
+		_, _ = conn.Write(make([]byte, 512<<10))
+		closeConn(t, conn)
+	},
+}
+
+// TestDisconnectIsNoticedByEachPart checks that all parts in flight notice that their client disconnects, so that none
+// that waits is sent.
+func TestDisconnectIsNoticedByEachPart(t *testing.T) {
+	for name, disconnect := range disconnects {
+		t.Run(name, func(t *testing.T) {
+			calls := make(chan *engine.Call, 10)
+			aborted := make(chan *engine.Call, 10)
+			front := startFront(t, contextDoer(func(ctx context.Context, c *engine.Call) engine.Result {
+				calls <- c
+				<-ctx.Done()
+				aborted <- c
+				return engine.Result{Kind: engine.Disconnected}
+			}))
+			conn := front.dial(t)
+			write(t, conn, post("{a b s}"))
+			for range 3 {
+				if call := testutil.Receive(t, calls, "a call"); call.Disconnected() {
+					t.Error("the client counts as disconnected before it did")
+				}
+			}
+			disconnect(t, conn)
+			for range 3 {
+				if call := testutil.Receive(t, aborted, "a call's end"); !call.Disconnected() {
+					t.Error("the call does not say that its client has disconnected")
+				}
+			}
+		})
+	}
+}
+
+// TestNoMutationAfterDisconnect checks that no mutation is started for a client that disconnected during the one
+// before. The connection itself is looked at, since the event that reports the disconnect may be delayed behind
+// others.
+func TestNoMutationAfterDisconnect(t *testing.T) {
+	for name, disconnect := range disconnects {
+		t.Run(name, func(t *testing.T) {
+			calls := make(chan *engine.Call, 10)
+			release := make(chan bool)
+			front := startFront(t, contextDoer(func(_ context.Context, c *engine.Call) engine.Result {
+				calls <- c
+				<-release // it is served although its client has disconnected
+				return serveOnes(c)
+			}))
+			conn := front.dial(t)
+			write(t, conn, post(`mutation {one: n two: n}`))
+			call := testutil.Receive(t, calls, "the first mutation")
+			disconnect(t, conn)
+			testutil.Until(t, "the disconnect", call.Disconnected)
+			close(release)
+			front.stop()
+			if err := testutil.Receive(t, front.served, "the end of Serve"); err != nil {
+				t.Error(err)
+			}
+			if len(calls) > 0 {
+				t.Error("the second mutation was started")
+			}
+		})
+	}
+}
--- a/internal/front/graphqlfront/execute.go
+++ b/internal/front/graphqlfront/execute.go
@@ -3,224 +3,245 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"net/http"
 	"strconv"
 	"sync"
 	"time"
 
+	"github.com/vektah/gqlparser/v2/ast"
+
 	"hazelwing/balancer"
-	"hazelwing/internal/engine"
 	"hazelwing/internal/front/clientconn"
 	"hazelwing/internal/graphql/plan"
 	"hazelwing/internal/httpmsg"
 )
 
-// job is one HTTP request while it is carried out.
-type job struct {
-	s       *Server
-	request *http.Request
-	header  http.Header // that goes on to nodes
-	expires time.Time
-	left    func() bool // looks whether its client has gone, sooner than the request's context may tell
+// execution is an HTTP request while it is executed.
+type execution struct {
+	server    *Server
+	host      string
+	tenant    string
+	header    http.Header // of the requests to nodes, apart from what each part sets
+	expiresAt time.Time
+	// clientDisconnected looks whether the client has disconnected, which may be known sooner than the end of the
+	// request's context.
+	clientDisconnected func() bool
+}
+
+// plannedOperation is the plan of an operation, or what is wrong with it.
+type plannedOperation struct {
+	plan *plan.Plan // nil: there are errors
+	errs []*plan.Error
 }
 
-// carryOut plans all requests of a batch, carries them out at the same time, and answers.
-func (s *Server) carryOut(r *http.Request, list []params, batch bool, kind string, expires time.Time) answer {
+// execute plans all operations of a request, executes them concurrently, and returns the reply.
+func (s *Server) execute(r *http.Request, parsed request, mediaType string) reply {
 	client := clientconn.FromRequest(r)
 	client.BeginRequest()
-	j := &job{s: s, request: r, header: onward(r.Header), expires: expires, left: client.Disconnected}
-	key := r.Header.Get(httpmsg.IdempotencyKeyHeader)
-	plans := make([]*plan.Plan, len(list))
-	faults := make([][]*plan.Error, len(list))
+	x := &execution{
+		server:             s,
+		host:               r.Host,
+		tenant:             r.Header.Get(httpmsg.TenantHeader),
+		header:             forwardedHeader(r.Header),
+		expiresAt:          parsed.expiresAt,
+		clientDisconnected: client.Disconnected,
+	}
+	operations := s.planOperations(r, parsed)
+	responses := x.runOperations(r.Context(), operations)
+	if x.isDisconnected(r.Context()) {
+		return reply{}
+	}
+	return newReply(mediaType, parsed.isBatch, operations, responses)
+}
+
+// partHeaders are the headers that each part sets for itself.
+var partHeaders = []string{
+	"Accept",
+	"Accept-Encoding",
+	"Content-Type",
+	"Content-Length",
+	httpmsg.RequestIDHeader,
+	httpmsg.ClassHeader,
+	httpmsg.IdempotencyKeyHeader,
+	httpmsg.DeadlineHeader,
+}
+
+// forwardedHeader returns the headers of a request that are forwarded to nodes.
+func forwardedHeader(header http.Header) http.Header {
+	forwarded := httpmsg.EndToEndHeaders(header)
+	for _, name := range partHeaders {
+		forwarded.Del(name)
+	}
+	return forwarded
+}
+
+// planOperations plans the operations of a request. Two of a batch must not have the same effect: the second would be
+// taken for a repeat of the first.
+func (s *Server) planOperations(r *http.Request, parsed request) []plannedOperation {
+	requestKey := r.Header.Get(httpmsg.IdempotencyKeyHeader)
+	operations := make([]plannedOperation, len(parsed.operations))
 	effects := map[string]bool{}
-	for i := range list {
-		own := key
-		if own != "" && batch {
-			own += "/" + strconv.Itoa(i)
+	for i := range parsed.operations {
+		key := requestKey
+		if key != "" && parsed.isBatch {
+			key += "/" + strconv.Itoa(i)
 		}
-		if plans[i], faults[i] = s.plan(r, &list[i], own); len(faults[i]) > 0 {
+		p, errs := s.planOperation(r.Method, &parsed.operations[i], key)
+		if len(errs) > 0 {
+			operations[i].errs = errs
 			continue
 		}
-		s.count.operations.Add(1)
-		for _, p := range plans[i].Parts {
-			effect := p.Class + " " + p.IdempotencyKey
-			if p.Effect == balancer.Idempotent || p.IdempotencyKey == "" {
-				continue
-			}
-			if effects[effect] {
-				plans[i], faults[i] = nil, []*plan.Error{plan.NewError(plan.CodeDuplicateKey, "another request of the batch has the same key: only one could run")}
-				break
-			}
-			effects[effect] = true
+		s.operations.Add(1)
+		if !addEffects(effects, p) {
+			const message = "another request of the batch has the same key: only one could run"
+			operations[i].errs = []*plan.Error{plan.NewError(plan.CodeDuplicateKey, message)}
+			continue
 		}
+		operations[i].plan = p
 	}
-	responses := make([]plan.Response, len(list))
-	var all sync.WaitGroup
-	for i := range list {
-		if plans[i] == nil {
-			responses[i].Body = plan.ErrorResponse(faults[i]...)
+	return operations
+}
+
+// addEffects adds the effects of a plan's parts. It returns false at the first that is there already.
+func addEffects(effects map[string]bool, p *plan.Plan) bool {
+	for _, part := range p.Parts {
+		if part.Effect == balancer.Idempotent || part.IdempotencyKey == "" {
 			continue
 		}
-		all.Go(func() { responses[i] = j.run(plans[i]) })
-	}
-	all.Wait()
-	if j.gone() {
-		return answer{}
+		effect := part.Class + " " + part.IdempotencyKey
+		if effects[effect] {
+			return false
+		}
+		effects[effect] = true
 	}
-	a := answer{status: http.StatusOK, media: kind, body: responses[0].Body}
-	refused := true
-	for _, x := range responses {
-		refused = refused && x.Rejected
-		a.retryIn = max(a.retryIn, x.RetryAfter)
+	return true
+}
+
+// planOperation plans one operation. Only a POST may have a mutation.
+func (s *Server) planOperation(method string, p *params, key string) (*plan.Plan, []*plan.Error) {
+	document, errs := s.document(p)
+	if len(errs) > 0 {
+		return nil, errs
 	}
-	switch {
-	case refused: // nothing ran: trying again is harmless, and the status says so to all on the way
-		a.status = http.StatusServiceUnavailable
-	case !batch && plans[0] == nil:
-		a.status = statusOf(kind, faults[0][0])
-		if a.status == http.StatusMethodNotAllowed {
-			a.allow = "POST"
+	if method != http.MethodPost {
+		operationType, err := document.OperationType(p.OperationName)
+		if err == nil && operationType != ast.Query {
+			err = plan.NewError(codeMethodNotAllowed, "a GET carries queries only")
 		}
-	}
-	if batch {
-		bodies := make([][]byte, len(list))
-		for i, x := range responses {
-			bodies[i] = x.Body
+		if err != nil {
+			return nil, []*plan.Error{err}
 		}
-		a.body = append(append([]byte{'['}, bytes.Join(bodies, []byte(","))...), ']')
 	}
-	return a
+	planned, err := document.Plan(p.OperationName, p.Variables, key)
+	if err != nil {
+		return nil, []*plan.Error{err}
+	}
+	return planned, nil
 }
 
-// own are headers that a part has of its own.
-var own = []string{"Accept", "Accept-Encoding", "Content-Type", "Content-Length", httpmsg.RequestIDHeader, httpmsg.ClassHeader, httpmsg.IdempotencyKeyHeader, httpmsg.DeadlineHeader}
-
-func onward(h http.Header) http.Header {
-	out := httpmsg.EndToEndHeaders(h)
-	for _, name := range own {
-		out.Del(name)
+// runOperations executes operations concurrently and returns their responses.
+func (x *execution) runOperations(ctx context.Context, operations []plannedOperation) []plan.Response {
+	responses := make([]plan.Response, len(operations))
+	var running sync.WaitGroup
+	for i, operation := range operations {
+		if operation.plan == nil {
+			responses[i].Body = plan.ErrorResponse(operation.errs...)
+			continue
+		}
+		running.Go(func() { responses[i] = x.runPlan(ctx, operation.plan) })
 	}
-	return out
+	running.Wait()
+	return responses
 }
 
-// gone says that the client has left, as far as can be told now.
-func (j *job) gone() bool { return j.request.Context().Err() != nil || j.left() }
-
-// run carries out a plan.
-func (j *job) run(p *plan.Plan) plan.Response {
-	outcomes := make([]plan.Outcome, len(p.Parts))
-	if !p.Serial {
-		var all sync.WaitGroup
-		for i, part := range p.Parts {
-			all.Go(func() { outcomes[i] = j.query(part) })
-		}
-		all.Wait()
-		return p.Merge(outcomes)
+// runPlan executes the parts of a plan: one after the other, or concurrently.
+func (x *execution) runPlan(ctx context.Context, p *plan.Plan) plan.Response {
+	if p.Serial {
+		return p.Merge(x.runSerially(ctx, p))
 	}
-	goes := true
+	outcomes := make([]plan.Outcome, len(p.Parts))
+	var running sync.WaitGroup
 	for i, part := range p.Parts {
-		if !goes || j.gone() || time.Until(j.expires) <= 0 {
-			outcomes[i] = plan.Outcome{Kind: plan.OutcomeNotStarted, Reason: "not started: the mutation before it did not end well, or the time is up"}
-			goes = false
-			continue
-		}
-		outcomes[i], _ = j.part(part)
-		goes = p.MayContinueAfter(outcomes[i])
+		running.Go(func() { outcomes[i] = x.runQueryPart(ctx, part) })
 	}
+	running.Wait()
 	return p.Merge(outcomes)
 }
 
-// query carries out a part of a query, or takes the answer of one like it that is in flight.
-func (j *job) query(p *plan.Part) plan.Outcome {
-	for p.Coalesce && !j.gone() {
-		expires := j.partExpires(p)
-		x, shared := j.s.flights.join(flightKey(p, j.header), expires, j.left, func(ctx context.Context, left func() bool) (plan.Outcome, bool) {
-			all := *j // whoever asked first may leave: the others wait for it
-			all.request, all.left = j.request.WithContext(ctx), left
-			return all.part(p)
-		})
-		if x == nil {
-			break
-		}
-		if shared {
-			j.s.count.shared.Add(1)
-		}
-		if outcome, ok := x.wait(j.request.Context(), expires); ok {
-			return outcome
+// runSerially executes the parts of a mutation one after the other, until one does not let the next begin.
+func (x *execution) runSerially(ctx context.Context, p *plan.Plan) []plan.Outcome {
+	outcomes := make([]plan.Outcome, len(p.Parts))
+	mayContinue := true
+	for i, part := range p.Parts {
+		if !mayContinue || x.isDisconnected(ctx) || time.Until(x.expiresAt) <= 0 {
+			outcomes[i] = plan.Outcome{
+				Kind:   plan.OutcomeNotStarted,
+				Reason: "not started: the mutation before it did not end well, or the time is up",
+			}
+			mayContinue = false
+			continue
 		}
+		outcomes[i], _ = x.runPart(ctx, part)
+		mayContinue = p.MayContinueAfter(outcomes[i])
 	}
-	outcome, _ := j.part(p)
-	return outcome
+	return outcomes
+}
+
+// isDisconnected reports whether the client is known to have disconnected.
+func (x *execution) isDisconnected(ctx context.Context) bool {
+	return ctx.Err() != nil || x.clientDisconnected()
 }
 
-// partExpires is when a part's answer is of no more use.
-func (j *job) partExpires(p *plan.Part) time.Time {
-	if p.Deadline > 0 {
-		if t := time.Now().Add(p.Deadline); t.Before(j.expires) {
-			return t
+// newReply returns the reply with the responses to all operations.
+func newReply(mediaType string, isBatch bool, operations []plannedOperation, responses []plan.Response) reply {
+	r := reply{status: http.StatusOK, mediaType: mediaType, body: responses[0].Body}
+	isRejected := true
+	for _, response := range responses {
+		isRejected = isRejected && response.Rejected
+		r.retryAfter = max(r.retryAfter, response.RetryAfter)
+	}
+	switch {
+	case isRejected:
+		// Nothing ran, so that a retry is harmless: the status says so to everything between here and the client.
+		r.status = http.StatusServiceUnavailable
+	case !isBatch && operations[0].plan == nil:
+		r.status = errorStatus(mediaType, operations[0].errs[0])
+		if r.status == http.StatusMethodNotAllowed {
+			r.allow = http.MethodPost
 		}
 	}
-	return j.expires
+	if isBatch {
+		r.body = joinBatch(responses)
+	}
+	return r
 }
 
-// part makes one call of a part; left says that it ended since its client had left.
-func (j *job) part(p *plan.Part) (outcome plan.Outcome, left bool) {
-	s := j.s
-	select {
-	case s.places <- struct{}{}:
-		defer func() { <-s.places }()
-	default:
-		s.count.refused.Add(1)
-		return plan.Outcome{Kind: plan.OutcomeRejected, Reason: "refused: too much is in hand; trying again is harmless"}, false
-	}
-	s.count.parts.Add(1)
-	id := s.prefix + strconv.FormatUint(s.last.Add(1), 36)
-	header := j.header.Clone()
-	header.Set("Content-Type", jsonMedia)
-	header.Set("Accept", respMedia+", "+jsonMedia+";q=0.9")
-	header.Set(httpmsg.RequestIDHeader, id)
-	header.Set(httpmsg.ClassHeader, p.Class)
-	if p.IdempotencyKey != "" {
-		header.Set(httpmsg.IdempotencyKeyHeader, p.IdempotencyKey)
-	}
-	c := &engine.Call{ID: id, Class: p.Class, Tenant: j.request.Header.Get(httpmsg.TenantHeader), AffinityKey: p.AffinityKey, IdempotencyKey: p.IdempotencyKey, ExpectedWork: p.ExpectedWork,
-		ExpiresAt: j.partExpires(p), Disconnected: j.left,
-		Payload: &httpmsg.Request{Method: http.MethodPost, URI: s.cfg.Node, Host: j.request.Host, Header: header, Body: p.Body,
-			Check: func(a *httpmsg.Response) error {
-				read, err := p.ParseResponse(a.Body)
-				a.Value = read
-				return err
-			}}}
-	r := s.cfg.Doer.Do(j.request.Context(), c)
-	return s.outcome(p, r), r.Kind == engine.Disconnected
+// errorStatus returns the status of a response to an operation that was not executed. In application/json it is 200 for
+// all that could be read as a GraphQL request.
+func errorStatus(mediaType string, err *plan.Error) int {
+	code := err.Code()
+	if code == codeMethodNotAllowed {
+		return http.StatusMethodNotAllowed
+	}
+	if mediaType == jsonMediaType {
+		return http.StatusOK
+	}
+	switch code {
+	case plan.CodeValidationFailed,
+		plan.CodeBadInput,
+		plan.CodeIntrospectionDisabled,
+		plan.CodeKeyMissing,
+		plan.CodeDuplicateKey:
+		return http.StatusUnprocessableEntity
+	}
+	return http.StatusBadRequest
 }
 
-// outcome says what a result means for a part.
-func (s *Server) outcome(p *plan.Part, r engine.Result) plan.Outcome {
-	switch r.Kind {
-	case engine.Served:
-		a := r.Answer.(*httpmsg.Response)
-		read, ok := a.Value.(*plan.NodeResponse)
-		var err error
-		if !ok { // only answers with status 200 are checked
-			read, err = p.ParseResponse(a.Body)
-		}
-		switch {
-		case err == nil && read.Executed():
-			return plan.Outcome{Kind: plan.OutcomeExecuted, Response: read}
-		case err == nil:
-			return plan.Outcome{Kind: plan.OutcomeNodeRejected, Response: read}
-		case a.Status != http.StatusOK: // it blames the request, in words that are not GraphQL's
-			return plan.Outcome{Kind: plan.OutcomeNodeRejected, Response: p.RejectedResponse(fmt.Sprintf("a node turned it down with status %d", a.Status))}
-		}
-	case engine.Rejected:
-		s.count.refused.Add(1)
-		return plan.Outcome{Kind: plan.OutcomeRejected, RetryAfter: r.RetryAfter, Reason: "refused: nothing ran; trying again is harmless"}
-	}
-	s.count.mayHaveRun.Add(1)
-	if p.Effect == balancer.Idempotent {
-		return plan.Outcome{Kind: plan.OutcomeUnknown, Reason: "no node answered this in time"}
+// joinBatch returns a JSON array of responses.
+func joinBatch(responses []plan.Response) []byte {
+	bodies := make([][]byte, len(responses))
+	for i, response := range responses {
+		bodies[i] = response.Body
 	}
-	return plan.Outcome{Kind: plan.OutcomeUnknown, Reason: "no answer: it may have run"}
+	return append(append([]byte{'['}, bytes.Join(bodies, []byte(","))...), ']')
 }
--- a/internal/front/graphqlfront/format_test.go
+++ b/internal/front/graphqlfront/format_test.go
@@ -7,10 +7,18 @@
 	"hazelwing/internal/testutil"
 )
 
-// GET /graphql of the admin endpoint is this.
+// TestGraphQLStateFormatIsStable holds the format of GET /graphql of the admin endpoint.
 func TestGraphQLStateFormatIsStable(t *testing.T) {
 	state := State{
-		Requests: 1, Operations: 2, Parts: 3, Refused: 4, MayHaveRun: 5, Rejected: 6, Shared: 7, InHand: 8, Documents: 9,
+		Requests:        1,
+		Operations:      2,
+		Parts:           3,
+		RejectedParts:   4,
+		UnknownParts:    5,
+		InvalidRequests: 6,
+		CoalescedParts:  7,
+		PartsInFlight:   8,
+		CachedDocuments: 9,
 	}
 	testutil.Filled(t, state)
 	testutil.ExplicitNames(t, "json", state)
@@ -21,7 +29,7 @@
 	testutil.Golden(t, "state.json", append(text, '\n'))
 }
 
-// Each parameter of a request is read under its name.
+// TestGraphQLParametersFormatIsStable holds the names of a request's parameters.
 func TestGraphQLParametersFormatIsStable(t *testing.T) {
 	text := `{"query":"{a}","documentId":"d","operationName":"o","variables":{"v":1},
 		"extensions":{"persistedQuery":{"version":1,"sha256Hash":"h"}}}`
--- /dev/null
+++ b/internal/front/graphqlfront/limits_test.go
@@ -0,0 +1,148 @@
+package graphqlfront
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"hazelwing/internal/graphql/plan"
+)
+
+// doublingFragments returns a document whose fragments each spread the next one twice.
+func doublingFragments() string {
+	var b strings.Builder
+	b.WriteString("{...f0}")
+	for i := range 60 {
+		fmt.Fprintf(&b, " fragment f%d on Query {...f%d ...f%d}", i, i+1, i+1)
+	}
+	b.WriteString(" fragment f60 on Query {a}")
+	return b.String()
+}
+
+func aliases(n int) string {
+	var b strings.Builder
+	for i := range n {
+		fmt.Fprintf(&b, " a%d:a", i)
+	}
+	return "{" + b.String() + "}"
+}
+
+func cyclicFragments() string {
+	return "{...a} fragment a on Query {...b} fragment b on Query {...c} fragment c on Query {...a}"
+}
+
+// batchOf returns a batch of n operations.
+func batchOf(n int) string {
+	return "[" + strings.Repeat(`{"query":"{a}"},`, n-1) + `{"query":"{a}"}]`
+}
+
+// bombs returns requests that ask for far more work than their length suggests.
+func bombs(tb testing.TB) map[string][]byte {
+	tb.Helper()
+	request := func(document string) []byte {
+		body, err := json.Marshal(map[string]string{"query": document})
+		if err != nil {
+			tb.Fatal(err)
+		}
+		return body
+	}
+	const beforeVariable = `{"query":"query($x:Int){a(x:$x)}","variables":{"x":`
+	variables := func(value string) []byte { return []byte(beforeVariable + value + "}}") }
+	longString := strings.Repeat("x", 60<<20)
+	return map[string][]byte{
+		"10 MB of nested braces":       request(strings.Repeat("{a", 5<<20)),
+		"nested braces":                request(strings.Repeat("{a", 15<<10)),
+		"nested lists":                 request("{a(x:" + strings.Repeat("[", 20000) + ")}"),
+		"a million aliases":            request(aliases(1_000_000)),
+		"aliases":                      request(aliases(1500)),
+		"fragments that double":        request(doublingFragments()),
+		"fragments in a circle":        request(cyclicFragments()),
+		"variables of 60 MB":           []byte(`{"query":"{a}","variables":{"x":"` + longString + `"}}`),
+		"nested variables":             variables(strings.Repeat("[", 30000) + strings.Repeat("]", 30000)),
+		"a batch of 100,000":           []byte(batchOf(100_000)),
+		"a batch of 1,000":             []byte(batchOf(1000)),
+		"invalid UTF-8":                []byte("{\"query\":\"{a} # \xc3\x28\"}"),
+		"a number out of range":        request("{a(x:99999999999999999999999)}"),
+		"a variable out of range":      variables("1e999"),
+		"many directives":              request("{a" + strings.Repeat(" @skip(if:false)", 4000) + "}"),
+		"many operations":              request(strings.Repeat("query q {a} ", 2000)),
+		"the same field over and over": request("{" + strings.Repeat("a ", 5000) + "}"),
+		"comments":                     request(strings.Repeat("#x\n", 20000) + "{c}"),
+		"a string without end":         request(`{a(x:"` + strings.Repeat("x", 60000)),
+	}
+}
+
+// TestBombs checks that each bomb is an error within limits of time and memory, and that nothing of it is sent.
+func TestBombs(t *testing.T) {
+	const (
+		maxDuration = 10 * time.Second // a second on a machine that is not busy
+		maxMemory   = 16 << 20         // beyond the request itself
+		maxResponse = 10_000
+	)
+	d := &recordingDoer{}
+	s := newTestServer(t, d, nil)
+	for name, body := range bombs(t) {
+		var before, after runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&before)
+		sentAt := time.Now()
+		w := send(s, string(body))
+		took := time.Since(sentAt)
+		runtime.ReadMemStats(&after)
+		grew := int(after.TotalAlloc-before.TotalAlloc) - 2*len(body) // what the request itself takes here
+		var got struct{ Errors []plan.Error }
+		err := json.Unmarshal(w.Body.Bytes(), &got)
+		isError := err == nil && w.Code >= 400 && len(got.Errors) > 0 && got.Errors[0].Code() != ""
+		if !isError || w.Body.Len() > maxResponse {
+			t.Errorf("%s: %d %.300s", name, w.Code, w.Body)
+			continue
+		}
+		if took > maxDuration || grew > maxMemory {
+			t.Errorf("%s: %v, %d KiB", name, took, grew>>10)
+		}
+		message := got.Errors[0].Message
+		t.Logf("%s: %d in %v, %d KiB: %s", name, w.Code, took.Round(time.Microsecond), max(grew, 0)>>10, message)
+	}
+	if len(d.calls) > 0 {
+		t.Errorf("%d calls were made", len(d.calls))
+	}
+}
+
+// FuzzRequest checks that the response to any body is one well-formed response with a status.
+//
+//	go test ./internal/front/graphqlfront -run xxx -fuzz Request -fuzztime 5m
+func FuzzRequest(f *testing.F) {
+	const maxSeed = 4 << 10
+	for _, body := range bombs(f) {
+		if len(body) < maxSeed {
+			f.Add(body)
+		}
+	}
+	for _, text := range []string{
+		`{"query":"{a b}"}`,
+		`[{"query":"mutation($k:String){m(k:$k) n}","variables":{"k":"1"}}]`,
+		`{"query":"query Q($b:Boolean=true){...F @include(if:$b)} fragment F on Query{a x:b}","operationName":"Q"}`,
+		`{"extensions":{"persistedQuery":{"version":1,"sha256Hash":"x"}}}`,
+	} {
+		f.Add([]byte(text))
+	}
+	s := newTestServer(f, &recordingDoer{}, nil)
+	f.Fuzz(func(t *testing.T, body []byte) {
+		if len(body) == 0 {
+			return
+		}
+		w := httptest.NewRecorder()
+		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/graphql", bytes.NewReader(body))
+		r.Header.Set("Content-Type", "application/json")
+		s.ServeHTTP(w, r)
+		if w.Code < 200 || !json.Valid(w.Body.Bytes()) {
+			t.Errorf("%d %q", w.Code, w.Body)
+		}
+	})
+}
--- /dev/null
+++ b/internal/front/graphqlfront/part.go
@@ -0,0 +1,148 @@
+package graphqlfront
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/engine"
+	"hazelwing/internal/graphql/plan"
+	"hazelwing/internal/httpmsg"
+)
+
+// noResponseInTime is the reason of a query's part without a response.
+const noResponseInTime = "no node answered this in time"
+
+// runQueryPart executes a part of a query, or takes the outcome of an identical one in flight.
+func (x *execution) runQueryPart(ctx context.Context, part *plan.Part) plan.Outcome {
+	for part.Coalesce && !x.isDisconnected(ctx) {
+		expiresAt := x.partExpiry(part)
+		run := func(ctx context.Context, abandoned func() bool) (plan.Outcome, bool) {
+			flightExecution := *x // the client that was first may disconnect: the others wait on
+			flightExecution.clientDisconnected = abandoned
+			return flightExecution.runPart(ctx, part)
+		}
+		key := flightKey(part, x.header)
+		//nolint:contextcheck // a flight outlives the request that starts it
+		joined, isShared := x.server.flights.join(key, expiresAt, x.clientDisconnected, run)
+		if joined == nil {
+			break
+		}
+		if isShared {
+			x.server.coalescedParts.Add(1)
+		}
+		if outcome, ok := joined.wait(ctx, expiresAt); ok {
+			return outcome
+		}
+	}
+	outcome, _ := x.runPart(ctx, part)
+	return outcome
+}
+
+// partExpiry returns when a part that is sent now expires.
+func (x *execution) partExpiry(part *plan.Part) time.Time {
+	if part.Deadline > 0 {
+		if expiresAt := time.Now().Add(part.Deadline); expiresAt.Before(x.expiresAt) {
+			return expiresAt
+		}
+	}
+	return x.expiresAt
+}
+
+// runPart executes a part by one call. disconnected says that the call ended because its client disconnected.
+func (x *execution) runPart(ctx context.Context, part *plan.Part) (outcome plan.Outcome, disconnected bool) {
+	s := x.server
+	select {
+	case s.partSlots <- struct{}{}:
+		defer func() { <-s.partSlots }()
+	default:
+		s.rejectedParts.Add(1)
+		const reason = "refused: too much is in hand; trying again is harmless"
+		return plan.Outcome{Kind: plan.OutcomeRejected, Reason: reason}, false
+	}
+	s.parts.Add(1)
+	result := s.config.Doer.Do(ctx, x.newCall(part))
+	return s.outcomeOf(part, result), result.Kind == engine.Disconnected
+}
+
+// newCall returns the call for a part.
+func (x *execution) newCall(part *plan.Part) *engine.Call {
+	s := x.server
+	id := s.requestIDPrefix + strconv.FormatUint(s.lastRequestID.Add(1), 36)
+	header := x.header.Clone()
+	header.Set("Content-Type", jsonMediaType)
+	header.Set("Accept", graphqlMediaType+", "+jsonMediaType+";q=0.9")
+	header.Set(httpmsg.RequestIDHeader, id)
+	header.Set(httpmsg.ClassHeader, part.Class)
+	if part.IdempotencyKey != "" {
+		header.Set(httpmsg.IdempotencyKeyHeader, part.IdempotencyKey)
+	}
+	return &engine.Call{
+		ID:             id,
+		Class:          part.Class,
+		Tenant:         x.tenant,
+		AffinityKey:    part.AffinityKey,
+		IdempotencyKey: part.IdempotencyKey,
+		ExpectedWork:   part.ExpectedWork,
+		ExpiresAt:      x.partExpiry(part),
+		Disconnected:   x.clientDisconnected,
+		Payload: &httpmsg.Request{
+			Method: http.MethodPost,
+			URI:    s.config.NodePath,
+			Host:   x.host,
+			Header: header,
+			Body:   part.Body,
+			// The transport calls this for each response with status 200, so that the balancer sees an invalid one as a
+			// fault of the node.
+			Check: func(response *httpmsg.Response) error {
+				parsed, err := part.ParseResponse(response.Body)
+				response.Value = parsed
+				return err
+			},
+		},
+	}
+}
+
+// outcomeOf returns what a call's result means for its part.
+func (s *Server) outcomeOf(part *plan.Part, result engine.Result) plan.Outcome {
+	switch result.Kind {
+	case engine.Served:
+		if outcome, ok := outcomeOfResponse(part, result.Answer.(*httpmsg.Response)); ok {
+			return outcome
+		}
+	case engine.Rejected:
+		s.rejectedParts.Add(1)
+		return plan.Outcome{
+			Kind:       plan.OutcomeRejected,
+			RetryAfter: result.RetryAfter,
+			Reason:     "refused: nothing ran; trying again is harmless",
+		}
+	}
+	s.unknownParts.Add(1)
+	if part.Effect == balancer.Idempotent {
+		return plan.Outcome{Kind: plan.OutcomeUnknown, Reason: noResponseInTime}
+	}
+	return plan.Outcome{Kind: plan.OutcomeUnknown, Reason: "no answer: it may have run"}
+}
+
+// outcomeOfResponse returns what a node's response means for its part. It returns false if the response is invalid.
+func outcomeOfResponse(part *plan.Part, response *httpmsg.Response) (plan.Outcome, bool) {
+	parsed, isChecked := response.Value.(*plan.NodeResponse)
+	var err error
+	if !isChecked { // its status is not 200
+		parsed, err = part.ParseResponse(response.Body)
+	}
+	switch {
+	case err == nil && parsed.Executed():
+		return plan.Outcome{Kind: plan.OutcomeExecuted, Response: parsed}, true
+	case err == nil:
+		return plan.Outcome{Kind: plan.OutcomeNodeRejected, Response: parsed}, true
+	case response.Status != http.StatusOK: // it rejects the request by other means than GraphQL
+		message := fmt.Sprintf("a node turned it down with status %d", response.Status)
+		return plan.Outcome{Kind: plan.OutcomeNodeRejected, Response: part.RejectedResponse(message)}, true
+	}
+	return plan.Outcome{}, false
+}
--- /dev/null
+++ b/internal/front/graphqlfront/serve.go
@@ -0,0 +1,112 @@
+package graphqlfront
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"hazelwing/internal/front/clientconn"
+)
+
+const (
+	headerTimeout  = 2 * time.Second  // for a request's header, from its connection or first byte
+	bodyTimeout    = 5 * time.Second  // for a request's body
+	idleTimeout    = 30 * time.Second // for the next request on a connection
+	writeAllowance = time.Second      // what a response may take beyond its request's deadline
+	maxHeaderBytes = 32 << 10
+)
+
+// Serve serves the connections to l until ctx ends, and then until all accepted requests are answered.
+func (s *Server) Serve(ctx context.Context, l net.Listener) error {
+	server := &http.Server{
+		Handler:           s,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		WriteTimeout:      bodyTimeout + s.config.Deadline + writeAllowance, // for a client that does not read
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(s.config.Log.Handler(), slog.LevelDebug),
+	}
+	listener := clientconn.New(l, s.config.MaxConns, s.config.OnConnLimit)
+	listener.Attach(server)
+	var serveErr error
+	served := make(chan struct{})
+	go func() {
+		defer close(served)
+		serveErr = server.Serve(listener)
+	}()
+	select {
+	case <-served:
+		return serveErr
+	case <-ctx.Done():
+	}
+	return s.stop(l, listener, server, served)
+}
+
+// stop closes the listener, waits until all requests are answered, and closes the server. The channel served has a
+// value when the server's Serve has returned.
+func (s *Server) stop(
+	l net.Listener, listener *clientconn.Listener, server *http.Server, served <-chan struct{},
+) error {
+	s.stopping.Store(true)
+	// This is not server.Shutdown: from then on net/http drops each request that it has just read, and closes its
+	// connection without a response.
+	listener.CloseIdle()
+	if err := l.Close(); err != nil {
+		return err
+	}
+	<-served // it returns since the listener is closed
+	listener.AcceptDone()
+	timer := time.NewTimer(s.config.Deadline + headerTimeout + bodyTimeout + writeAllowance)
+	defer timer.Stop()
+	select {
+	case <-listener.Drained():
+	case <-timer.C: // a client does not read its response
+	}
+	return server.Close()
+}
+
+// reply is the HTTP response to a request. Its zero value means that the client has disconnected.
+type reply struct {
+	status     int
+	mediaType  string
+	body       []byte
+	allow      string        // the methods that are allowed, if that is what is wrong
+	retryAfter time.Duration // for status 503; 0: unknown
+	closeConn  bool          // what follows on the connection may be the rest of a request that was rejected
+}
+
+// ServeHTTP answers one request. net/http calls it from the goroutine of the client's connection.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	receivedAt := time.Now()
+	s.requests.Add(1)
+	response := s.respond(w, r, receivedAt)
+	clientconn.FromRequest(r).BeginResponse()
+	if response.status == 0 {
+		// The client has disconnected. This prevents the empty 200 that net/http would send to a client that has closed
+		// its sending half only.
+		panic(http.ErrAbortHandler)
+	}
+	if response.status >= http.StatusBadRequest && response.status != http.StatusServiceUnavailable {
+		s.invalidRequests.Add(1)
+	}
+	header := w.Header()
+	header.Set("Content-Type", response.mediaType+"; charset=utf-8")
+	header.Set("Content-Length", strconv.Itoa(len(response.body)))
+	header.Set("X-Content-Type-Options", "nosniff")
+	if response.allow != "" {
+		header.Set("Allow", response.allow)
+	}
+	if response.status == http.StatusServiceUnavailable && response.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(response.retryAfter.Seconds(), 'f', -1, 64))
+	}
+	if s.stopping.Load() || response.closeConn {
+		header.Set("Connection", "close")
+	}
+	w.WriteHeader(response.status)
+	if r.Method != http.MethodHead {
+		_, _ = w.Write(response.body) // fails if the client has disconnected: nobody is left to tell
+	}
+}
