--- a/internal/front/graphqlfront/documents.go
+++ b/internal/front/graphqlfront/documents.go
@@ -37,7 +37,7 @@
 
 // requestedID returns the ID or the hash of the document that an operation names, or an empty string if there is none.
 func requestedID(p *params) (string, *plan.Error) {
-	persisted := p.Extensions.PersistedQuery
+	persisted := p.Extensions.Persisted
 	if persisted == nil {
 		return strings.TrimPrefix(p.DocumentID, documentIDPrefix), nil
 	}
@@ -53,7 +53,7 @@
 	if document, ok := s.trusted[id]; ok && (p.Query == nil || hashOf(*p.Query) == id) {
 		return document, nil
 	}
-	if s.config.TrustedOnly || p.Extensions.PersistedQuery == nil || !s.config.PersistedQueries {
+	if s.config.TrustedOnly || p.Extensions.Persisted == nil || !s.config.PersistedQueries {
 		return noDocument(codeDocumentNotFound, "no such document")
 	}
 	if p.Query == nil {
--- a/internal/front/graphqlfront/http_test.go
+++ b/internal/front/graphqlfront/http_test.go
@@ -88,6 +88,11 @@
 			[]string{`{"query":"{a}","extensions":{"persistedQuery":{"sha256Hash":1}}}`},
 			400, wrongType + ".extensions.persistedQuery.sha256Hash of type string",
 		},
+		{
+			[]string{`{"extensions":5}`}, 400, wrongType +
+				`params.extensions of type struct { Persisted *struct { Version int \"json:\\\"version\\\"\"; ` +
+				`Hash string \"json:\\\"sha256Hash\\\"\" } \"json:\\\"persistedQuery\\\"\" }`,
+		},
 		{
 			[]string{"GET", urlQuery("{a}") + "&extensions=" + url.QueryEscape(`{"persistedQuery":5}`)},
 			400, "extensions: " + wrongType +
--- a/internal/front/graphqlfront/params.go
+++ b/internal/front/graphqlfront/params.go
@@ -10,15 +10,15 @@
 	"unicode/utf8"
 )
 
-// params are the parameters of one operation. Clients see the name of this type, and the form of the anonymous ones
-// in it, in the messages of package encoding/json about parameters of a wrong type.
+// params are the parameters of one operation. Clients see the name of this type, and the definitions of the anonymous
+// ones in it, in the messages of package encoding/json about parameters of a wrong type.
 type params struct {
 	Query         *string                    `json:"query"`
 	DocumentID    string                     `json:"documentId"`
 	OperationName string                     `json:"operationName"`
 	Variables     map[string]json.RawMessage `json:"variables"`
 	Extensions    struct {
-		PersistedQuery *struct {
+		Persisted *struct {
 			Version int    `json:"version"`
 			Hash    string `json:"sha256Hash"`
 		} `json:"persistedQuery"`
@@ -27,7 +27,7 @@
 
 // validate checks that a document is named in some way.
 func (p *params) validate() error {
-	if p.Query == nil && p.DocumentID == "" && p.Extensions.PersistedQuery == nil {
+	if p.Query == nil && p.DocumentID == "" && p.Extensions.Persisted == nil {
 		return errors.New("query is missing")
 	}
 	return nil
