--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -56,20 +56,20 @@
 	}
 	cfg := op.GraphQL
 	server, err := graphqlfront.New(graphqlfront.Config{
-		Schema:    schema,
-		Doer:      doer,
-		Path:      cfg.Path,
-		Node:      cfg.NodePath,
-		Conns:     int(cfg.MaxConnections),
-		Deadline:  time.Duration(cfg.Deadline),
-		MaxBody:   int64(cfg.MaxBody),
-		MaxBatch:  int(cfg.MaxBatch),
-		MaxParts:  int(cfg.MaxParts),
-		Documents: int(cfg.MaxCachedDocuments),
-		Persisted: cfg.PersistedQueries,
-		Trusted:   trusted,
-		Only:      cfg.TrustedOnly,
-		Log:       log,
+		Schema:           schema,
+		Doer:             doer,
+		Path:             cfg.Path,
+		NodePath:         cfg.NodePath,
+		MaxConns:         int(cfg.MaxConnections),
+		Deadline:         time.Duration(cfg.Deadline),
+		MaxBody:          int64(cfg.MaxBody),
+		MaxBatch:         int(cfg.MaxBatch),
+		MaxParts:         int(cfg.MaxParts),
+		MaxDocuments:     int(cfg.MaxCachedDocuments),
+		PersistedQueries: cfg.PersistedQueries,
+		TrustedDocuments: trusted,
+		TrustedOnly:      cfg.TrustedOnly,
+		Log:              log,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", op.Position("graphql.trusted"), err)
