--- a/cmd/hazelwing/command_test.go
+++ b/cmd/hazelwing/command_test.go
@@ -9,7 +9,7 @@
 )
 
 func execute(args ...string) (string, error) {
-	c := root()
+	c := newRootCommand()
 	var out bytes.Buffer
 	c.SetOut(&out)
 	c.SetArgs(args)
--- a/cmd/hazelwing/config.go
+++ b/cmd/hazelwing/config.go
@@ -172,7 +172,7 @@
 		if p.Report != nil {
 			text = fmt.Sprintf("%d lack it", len(p.Report.Laggards)+p.Report.UnnamedLaggards)
 		}
-		return exitStatus{fmt.Errorf("config: accepted as %v, and not in force everywhere within %v: %s", p.Revision, wait, text), lacking}
+		return exitError{fmt.Errorf("config: accepted as %v, and not in force everywhere within %v: %s", p.Revision, wait, text), lacking}
 	}
 	return nil
 }
@@ -221,11 +221,11 @@
 			case err != nil:
 				return err
 			case s.Role != origin.RoleLeader && s.Role != origin.RoleFollower:
-				return exitStatus{fmt.Errorf("config: %s takes no changes: %s", s.Self, s.Role), lacking}
+				return exitError{fmt.Errorf("config: %s takes no changes: %s", s.Self, s.Role), lacking}
 			case s.Ahead.Compare(s.Revision) > 0:
-				return exitStatus{fmt.Errorf("config: sidecars act on %v, which is later than what the origins have: found a higher epoch", s.Ahead), lacking}
+				return exitError{fmt.Errorf("config: sidecars act on %v, which is later than what the origins have: found a higher epoch", s.Ahead), lacking}
 			case s.Report.Members > 0 && !inForce(&s.Report, s.Revision):
-				return exitStatus{errors.New("config: the latest is not in force everywhere"), lacking}
+				return exitError{errors.New("config: the latest is not in force everywhere"), lacking}
 			}
 			return nil
 		},
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -102,7 +102,7 @@
 
 // status is the exit status of an error.
 func status(err error) int {
-	if s, ok := errors.AsType[exitStatus](err); ok {
+	if s, ok := errors.AsType[exitError](err); ok {
 		return s.status
 	}
 	if err != nil {
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -141,7 +141,7 @@
 // verdict is an error with a status where the view is not settled.
 func verdict(s gossip.Status) error {
 	if s.Core.Joining {
-		return exitStatus{errors.New("fleet: it has not joined yet"), unsettled}
+		return exitError{errors.New("fleet: it has not joined yet"), unsettled}
 	}
 	n := 0
 	for _, m := range s.Members {
@@ -150,7 +150,7 @@
 		}
 	}
 	if n > 0 {
-		return exitStatus{fmt.Errorf("fleet: %d suspect or dead", n), unsettled}
+		return exitError{fmt.Errorf("fleet: %d suspect or dead", n), unsettled}
 	}
 	return nil
 }
--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -42,7 +42,7 @@
 // failure is an error as the golden files have it, with the process's status.
 func failure(err error) string {
 	status := 1
-	if s, ok := errors.AsType[exitStatus](err); ok {
+	if s, ok := errors.AsType[exitError](err); ok {
 		status = s.status
 	}
 	return fmt.Sprintf("\nstatus %d: %v\n", status, err)
--- a/cmd/hazelwing/lab.go
+++ b/cmd/hazelwing/lab.go
@@ -32,7 +32,7 @@
 
 var errClaim = errors.New("a claim does not hold")
 
-func init() { more = append(more, labCommand) }
+func init() { optionalCommands = append(optionalCommands, labCommand) }
 
 func labCommand() *cobra.Command {
 	c := &cobra.Command{
--- a/cmd/hazelwing/main.go
+++ b/cmd/hazelwing/main.go
@@ -12,41 +12,58 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "hazelwing:", err)
 		status := 1
-		if s, ok := errors.AsType[exitStatus](err); ok {
-			status = s.status
+		if exitErr, ok := errors.AsType[exitError](err); ok {
+			status = exitErr.status
 		}
 		os.Exit(status)
 	}
 }
 
-// exitStatus is an error with a status of its own.
-type exitStatus struct {
-	error
+// exitError is an error with which the program exits with another status than 1.
+type exitError struct {
+	err    error
 	status int
 }
 
-// more are the commands that a build with the tag "small" leaves out: the lab, whose plots and their fonts make up half of
-// the program.
-var more []func() *cobra.Command
+// Error returns the text of the error.
+func (e exitError) Error() string { return e.err.Error() }
 
-// root is the whole command line; each command has a file of its own.
-func root() *cobra.Command {
-	c := &cobra.Command{
-		Use:           "hazelwing",
-		Short:         "A client-side load balancer",
-		Long:          "hazelwing balances requests on the client's side. Without a command it is the daemon, as with \"run\".",
+// Unwrap returns the error.
+func (e exitError) Unwrap() error { return e.err }
+
+// optionalCommands are the commands that a build with the tag "small" leaves out: the lab, whose plots and their fonts
+// make up half of the program.
+var optionalCommands []func() *cobra.Command
+
+// newRootCommand returns the whole command line; each command has a file of its own.
+func newRootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:   "hazelwing",
+		Short: "A client-side load balancer",
+		Long: "hazelwing balances requests on the client's side. " +
+			"Without a command it is the daemon, as with \"run\".",
 		Args:          cobra.NoArgs,
 		RunE:          func(*cobra.Command, []string) error { return run(os.Getenv(operatorVariable)) },
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	c.CompletionOptions.DisableDefaultCmd = true
-	c.AddCommand(runCommand(), demoCommand(), trafficCommand(), checkCommand(), storeCommand(), loadCommand(), fleetCommand(), configCommand(), originCommand())
-	for _, command := range more {
-		c.AddCommand(command())
+	root.CompletionOptions.DisableDefaultCmd = true
+	root.AddCommand(
+		runCommand(),
+		demoCommand(),
+		trafficCommand(),
+		checkCommand(),
+		storeCommand(),
+		loadCommand(),
+		fleetCommand(),
+		configCommand(),
+		originCommand(),
+	)
+	for _, newCommand := range optionalCommands {
+		root.AddCommand(newCommand())
 	}
-	return c
+	return root
 }
--- a/cmd/hazelwing/run.go
+++ b/cmd/hazelwing/run.go
@@ -14,30 +14,37 @@
 	"hazelwing/internal/platform"
 )
 
-// operatorVariable names the operator's file where no flag does.
+// operatorVariable is the environment variable that names the operator's file where no flag does.
 const operatorVariable = "HAZELWING_OPERATOR"
 
+// runHelp is the long help of the command "run".
+const runHelp = "Run the daemon: it serves the application beside it at RELAY_LISTEN " +
+	"and sends its requests on to upstreams, as the\n" +
+	"JSON file says that RELAY_CONFIG names. It ends with status 0 after SIGTERM or SIGINT, " +
+	"and with status 1 and one line on\n" +
+	"standard error when it cannot start or serve. On SIGHUP it reads its configuration again.\n\n" +
+	"What is beyond the platform's configuration, such as the ledger of effects, " +
+	"is set in the operator's file (--operator, or\n" +
+	"the variable HAZELWING_OPERATOR). Without one all of it is off."
+
+// runCommand returns the command that runs the daemon.
 func runCommand() *cobra.Command {
-	var file string
+	var operatorFile string
 	c := &cobra.Command{
 		Use:   "run",
 		Short: "Run the daemon, as the platform's RELAY_ variables say",
-		Long: `Run the daemon: it serves the application beside it at RELAY_LISTEN and sends its requests on to upstreams, as the
-JSON file says that RELAY_CONFIG names. It ends with status 0 after SIGTERM or SIGINT, and with status 1 and one line on
-standard error when it cannot start or serve. On SIGHUP it reads its configuration again.
-
-What is beyond the platform's configuration, such as the ledger of effects, is set in the operator's file (--operator, or
-the variable HAZELWING_OPERATOR). Without one all of it is off.`,
-		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return run(file) },
+		Long:  runHelp,
+		Args:  cobra.NoArgs,
+		RunE:  func(*cobra.Command, []string) error { return run(operatorFile) },
 	}
-	c.Flags().StringVar(&file, "operator", os.Getenv(operatorVariable), "the operator's file")
+	c.Flags().StringVar(&operatorFile, "operator", os.Getenv(operatorVariable), "the operator's file")
 	return c
 }
 
-// run is the daemon; file is the operator's, empty for none.
-func run(file string) error {
-	// Before all else: a signal that comes early would end the program. One that waits stands for all that follow.
+// run runs the daemon. An empty operatorFile stands for none.
+func run(operatorFile string) error {
+	// This comes first, because an early SIGHUP would end the program. A signal that waits in the channel stands for
+	// all that follow it.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	cfg, err := platform.Load(os.Getenv)
@@ -45,14 +52,15 @@
 		return err
 	}
 	op := new(operator.Config)
-	if file != "" {
-		if op, err = operator.Load(file); err != nil {
+	if operatorFile != "" {
+		if op, err = operator.Load(operatorFile); err != nil {
 			return err
 		}
 	}
 	cfg.Limits.Apply()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	again := func() (*platform.Config, error) { return platform.Reload(os.Getenv) }
-	return daemon.Run(ctx, cfg, op, reload, again, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	load := func() (*platform.Config, error) { return platform.Reload(os.Getenv) }
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	return daemon.Run(ctx, cfg, op, reload, load, log)
 }
