--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -65,7 +65,9 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	r := &testFront{
-		url: "http://" + l.Addr().String(), stop: stop, served: make(chan error, 1),
+		url:    "http://" + l.Addr().String(),
+		stop:   stop,
+		served: make(chan error, 1),
 		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience},
 	}
 	s := New(d, testClasses)
