--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -61,15 +61,16 @@
 
 // Config is the spacing of calls. All times are randomized, so that sidecars do not stay synchronized.
 type Config struct {
-	// RetryDelay is the longest minimum delay after a failure: the delay is at least between RetryDelay/4 and
-	// RetryDelay.
+	// RetryDelay limits the random delay from a failure to the next call, which is at least RetryDelay/4. The delay is
+	// longer if the interval between the starts of the calls requires it.
 	RetryDelay time.Duration
 	// FastInterval is the time from the start of a call to the start of the next one while NotificationDeadline can
 	// still be met, multiplied by a random factor between 0.75 and 1.25.
 	FastInterval time.Duration
-	// SlowInterval is the same time once the deadline has passed. It doubles with each failure, up to MaxInterval.
+	// SlowInterval is the same time once the deadline has passed. It doubles with each failure.
 	SlowInterval time.Duration
-	MaxInterval  time.Duration
+	// MaxInterval limits the growth of SlowInterval.
+	MaxInterval time.Duration
 }
 
 // ServiceConfig returns the spacing for calls of a discovery service that is shared by the given number of sidecars.
