--- a/cmd/hazelwing/alone_test.go
+++ b/cmd/hazelwing/alone_test.go
@@ -23,7 +23,7 @@
 func startAt(t *testing.T, cmd *exec.Cmd, text, addr string, log io.Writer) string {
 	t.Helper()
 	if addr == "" {
-		l, err := net.Listen("tcp", net.JoinHostPort(emulator.OwnHost(), "0"))
+		l, err := net.Listen("tcp", net.JoinHostPort(emulator.LoopbackHost(), "0"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -145,7 +145,7 @@
 	}
 	everywhere := func(hollow.Place) bool { return true }
 	for begun := time.Now(); f.Disagreement(everywhere) != "" || f.Behind(everywhere) > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > testutil.Patience { // not fixture.Until: this may be another goroutine than the test's
+		if time.Since(begun) > testutil.WaitTimeout { // not testutil.Until: this may be another goroutine than the test's
 			t.Errorf("the hollow ones do not come together: %s", f.Disagreement(everywhere))
 			return c
 		}
--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -18,36 +18,36 @@
 )
 
 // Each row of the page of capacity's table of bounds is a constant of the code with that value, or is counted by a test that is there
-// and holds its count to the row (fixture.HoldToPage). So a change that moves one fails until the page is brought in line.
+// and holds its count to the row (testutil.CheckCapacityBound). So a change that moves one fails until the page is brought in line.
 func TestCapacityPageBounds(t *testing.T) {
-	root := testutil.Root(t)
-	rows := testutil.PageRows(t)
+	root := testutil.RepositoryRoot(t)
+	rows := testutil.CapacityBounds(t)
 	if len(rows) < 10 {
 		t.Fatalf("%d rows", len(rows))
 	}
 	for _, r := range rows {
-		if len(r.By) != 2 {
-			t.Errorf("%s: it is from %q, want a file or package and a name", r.Name, r.By)
+		if len(r.Sources) != 2 {
+			t.Errorf("%s: it is from %q, want a file or package and a name", r.Name, r.Sources)
 			continue
 		}
-		path := filepath.Join(root, r.By[0])
-		if strings.HasPrefix(r.By[1], "Test") {
+		path := filepath.Join(root, r.Sources[0])
+		if strings.HasPrefix(r.Sources[1], "Test") {
 			if !holds(t, path, r) {
-				t.Errorf("%s: no %s of %s holds it", r.Name, r.By[1], r.By[0])
+				t.Errorf("%s: no %s of %s holds it", r.Name, r.Sources[1], r.Sources[0])
 			}
 			continue
 		}
-		got, err := constant(path, r.By[1])
+		got, err := constant(path, r.Sources[1])
 		if err != nil {
 			t.Errorf("%s: %v", r.Name, err)
 		} else if math.Abs(got-r.Figure) > 1e-9*math.Abs(r.Figure) {
-			t.Errorf("%s: %s has %v, docs/CAPACITY.md says %v", r.Name, r.By[1], got, r.Figure)
+			t.Errorf("%s: %s has %v, docs/CAPACITY.md says %v", r.Name, r.Sources[1], got, r.Figure)
 		}
 	}
 }
 
 // holds says whether a package has that test, and holds something to the row.
-func holds(t *testing.T, dir string, r testutil.PageRow) bool {
+func holds(t *testing.T, dir string, r testutil.CapacityBound) bool {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if regexp.MustCompile(`(?m)^func `+r.By[1]+`\(`).Match(text) && strings.Contains(string(text), fmt.Sprintf("HoldToPage(t, %q", r.Name)) {
+		if regexp.MustCompile(`(?m)^func `+r.Sources[1]+`\(`).Match(text) && strings.Contains(string(text), fmt.Sprintf("CheckCapacityBound(t, %q", r.Name)) {
 			return true
 		}
 	}
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -92,7 +92,7 @@
 		if p.Outcome == origin.OutcomeAccepted {
 			return p.Revision, begun
 		}
-		if time.Since(begun) > 2*testutil.Patience {
+		if time.Since(begun) > 2*testutil.WaitTimeout {
 			r.fail(fmt.Errorf("not accepted: %+v, %v", p, err))
 		}
 	}
@@ -130,7 +130,7 @@
 	begun := time.Now()
 	testutil.Until(r.t, what+": in force", func() bool {
 		at = r.times(s, group)
-		return len(at) == len(group) || time.Since(begun) > testutil.Patience-time.Second
+		return len(at) == len(group) || time.Since(begun) > testutil.WaitTimeout-time.Second
 	})
 	if len(at) < len(group) {
 		r.fail(fmt.Errorf("%s: %v in force at %d of %d", what, s, len(at), len(group)))
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -133,7 +133,7 @@
 		}
 		r.t.Cleanup(func() { c.Close() })
 	}
-	ctx, end := context.WithTimeout(r.t.Context(), testutil.Patience)
+	ctx, end := context.WithTimeout(r.t.Context(), testutil.WaitTimeout)
 	defer end()
 	q, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+member+"/config/watch?epoch=0&version=0", nil)
 	q.Header.Set("X-Config-Fleet", "rig")
@@ -157,7 +157,7 @@
 	}
 	defer c.Close()
 	fmt.Fprint(c, text)
-	c.SetReadDeadline(time.Now().Add(testutil.Patience))
+	c.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	for b := make([]byte, 1<<10); ; {
 		if _, err := c.Read(b); err != nil {
 			if e, ok := errors.AsType[net.Error](err); ok && e.Timeout() {
--- a/cmd/hazelwing/cost_test.go
+++ b/cmd/hazelwing/cost_test.go
@@ -23,7 +23,7 @@
 	const length = 8 * time.Second
 	spent := func(rate float64) (time.Duration, load.Report) {
 		r.start()
-		plan, err := load.Poisson(1, []load.Point{{Rate: max(rate, 1)}}, length, load.Shot{Class: "look", Effect: "safe", Deadline: testutil.Patience, Work: time.Millisecond})
+		plan, err := load.Poisson(1, []load.Point{{Rate: max(rate, 1)}}, length, load.Shot{Class: "look", Effect: "safe", Deadline: testutil.WaitTimeout, Work: time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -91,18 +91,18 @@
 		t.Run(name, func(t *testing.T) {
 			limit := c.limit
 			t.Parallel() // it waits in real time
-			serving := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			serving := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
-					io.WriteString(c, testutil.OKAnswer)
+					io.WriteString(c, testutil.OKResponse)
 				}
 			})
-			down, err := net.Listen("tcp", net.JoinHostPort(emulator.OwnHost(), "0"))
+			down, err := net.Listen("tcp", net.JoinHostPort(emulator.LoopbackHost(), "0"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			discovery := down.Addr().String()
 			down.Close()
-			text := strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, c.told)).Replace(fmt.Sprintf(testutil.Config, discovery, neverUp(t)))
+			text := strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, c.told)).Replace(fmt.Sprintf(testutil.PlatformConfig, discovery, neverUp(t)))
 			log := new(record)
 			start := func(again string) (*exec.Cmd, string) {
 				cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec \"$0\"", limit), os.Args[0])
--- a/cmd/hazelwing/hup_test.go
+++ b/cmd/hazelwing/hup_test.go
@@ -31,7 +31,7 @@
 	}
 	defer out.Close()
 	cmd := exec.Command("/bin/sh", "-c", string(m[1])+`kill -HUP $$; exec "$0"`, os.Args[0])
-	startAlone(t, cmd, fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr), out)
+	startAlone(t, cmd, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, testutil.UnusedAddr), out)
 	cmd.Process.Signal(syscall.SIGHUP)
 	testutil.Until(t, "the new configuration", func() bool {
 		text, err := os.ReadFile(log)
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -48,9 +48,9 @@
 }
 
 var killClasses = []emulator.TrafficClass{
-	{Name: "look", Effect: "safe", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
-	{Name: "book", Effect: "unsafe", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
-	{Name: "pay", Effect: "keyed", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
+	{Name: "look", Effect: "safe", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
+	{Name: "book", Effect: "unsafe", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
+	{Name: "pay", Effect: "keyed", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
 }
 
 // daemonRig is a daemon as a process of its own, beside stand-in nodes in this one.
@@ -75,7 +75,7 @@
 // an empty directory.
 func newDaemonRig(t *testing.T, operator string) *daemonRig {
 	t.Helper()
-	traffic := &emulator.Traffic{Head: emulator.Head{Classes: killClasses}}
+	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}
 	var nodes []emulator.NodeConfig
 	for i := range 6 {
 		nodes = append(nodes, emulator.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1})
@@ -91,7 +91,7 @@
 	}
 	r := &daemonRig{t: t, fleet: fleet, addr: l.Addr().String()}
 	l.Close()
-	text, err := emulator.Platform(traffic, r.addr, fleet.Discovery.Addr(), "7")
+	text, err := emulator.PlatformConfig(traffic, r.addr, fleet.Discovery.Addr(), "7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 		}
 		return served
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		if runs := r.fleet.Ledger.KeyRuns(key); runs > 0 && class.Effect == "unsafe" {
+		if runs := r.fleet.Rules.KeyExecutions(key); runs > 0 && class.Effect == "unsafe" {
 			r.t.Errorf("%s with key %s was refused after it ran", id, key)
 		}
 		return refused
@@ -239,7 +239,7 @@
 			rng := rand.New(rand.NewPCG(*killSeed, uint64(n)))
 			transport := &http.Transport{DisableKeepAlives: rng.IntN(2) == 0}
 			defer transport.CloseIdleConnections()
-			client := &applicant{client: &http.Client{Transport: transport, Timeout: testutil.Patience}, transport: transport}
+			client := &applicant{client: &http.Client{Transport: transport, Timeout: testutil.WaitTimeout}, transport: transport}
 			for i := 0; ; i++ {
 				class := killClasses[rng.IntN(len(killClasses))]
 				key := fmt.Sprintf("k%d-%d", n, i)
@@ -272,10 +272,10 @@
 	}
 	close(stop)
 	all.Wait()
-	for _, rule := range r.fleet.Ledger.Broken() {
+	for _, rule := range r.fleet.Rules.Violations() {
 		t.Error("rule broken:", rule)
 	}
-	total, _ := r.fleet.Ledger.Executions("")
+	total, _ := r.fleet.Rules.Executions("")
 	t.Logf("%s: %d kills, %d executions; tries served %d, refused %d, failed %d, broken off %d; after a kill served %d, refused %d, failed %d", durable, *kills,
 		total, ends[served].Load(), ends[refused].Load(), ends[failed].Load(), ends[broken].Load(), later[served].Load(), later[refused].Load(), later[failed].Load())
 	if ends[served].Load() == 0 || later[failed].Load() == 0 {
@@ -293,10 +293,10 @@
 		t.Skip("-cost is not set")
 	}
 	traffic := func(class string, rate float64) *emulator.Traffic {
-		out := &emulator.Traffic{Head: emulator.Head{Classes: killClasses}}
+		out := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}
 		rng := rand.New(rand.NewPCG(1, 1))
 		for at := 0.0; at < cost.Seconds(); at += rng.ExpFloat64() / rate {
-			out.Requests = append(out.Requests, emulator.Request{AtMS: at * 1000, Class: class, WorkUS: 2000, HintUS: 2000})
+			out.Requests = append(out.Requests, emulator.Request{AtMS: at * 1000, Class: class, WorkUS: 2000, ExpectedWorkUS: 2000})
 		}
 		return out
 	}
@@ -313,13 +313,13 @@
 			}
 			r := newDaemonRig(t, operator)
 			r.start()
-			do, idle := emulator.HTTPClient(r.addr, r.fleet.Ledger)
+			do, idle := emulator.HTTPClient(r.addr, r.fleet.Rules)
 			var unsafe, safe *emulator.Report
 			var both sync.WaitGroup
 			both.Go(func() { unsafe = emulator.Replay(t.Context(), traffic("book", 150), time.Second, do) })
 			both.Go(func() {
 				safe = emulator.Replay(t.Context(), traffic("look", 150), time.Second,
-					func(ctx context.Context, n int, c emulator.TrafficClass, q emulator.Request) emulator.Kind {
+					func(ctx context.Context, n int, c emulator.TrafficClass, q emulator.Request) emulator.Outcome {
 						return do(ctx, n+1<<24, c, q)
 					})
 			})
@@ -328,7 +328,7 @@
 			r.kill()
 			ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
 			fmt.Printf("| %d | %s | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f | %d of %d |\n", round+1, mode, ms(unsafe.P50), ms(unsafe.P99), ms(unsafe.P999),
-				ms(safe.P50), ms(safe.P99), ms(safe.P999), unsafe.Served+safe.Served, unsafe.Asked+safe.Asked)
+				ms(safe.P50), ms(safe.P99), ms(safe.P999), unsafe.Served+safe.Served, unsafe.Sent+safe.Sent)
 		}
 	}
 }
--- a/cmd/hazelwing/leave_test.go
+++ b/cmd/hazelwing/leave_test.go
@@ -50,7 +50,7 @@
 	var mu sync.Mutex
 	came := map[string][]time.Time{} // when the attempts of a request came
 	var n atomic.Int64
-	upstream := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	upstream := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 			mu.Lock()
 			id := q.Header.Get("X-Request-Id")
@@ -61,11 +61,11 @@
 				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
-			io.WriteString(c, testutil.OKAnswer)
+			io.WriteString(c, testutil.OKResponse)
 		}
 	})
 	cmd := exec.Command("/usr/bin/env", "GOMAXPROCS=1", os.Args[0])
-	addr := startAlone(t, cmd, fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream), nil)
+	addr := startAlone(t, cmd, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream), nil)
 	end := make(chan bool)
 	var pulse sync.WaitGroup
 	pulse.Go(func() {
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -35,7 +35,7 @@
 	olderOrigin   = 1
 	originEpoch   = 2
 	maxElections  = 16
-	mixedPatience = 2 * testutil.Patience
+	mixedPatience = 2 * testutil.WaitTimeout
 	// longMemory keeps the dead in the members' views for longer than any wait of this test, so that a wait
 	// for "dead" cannot miss it.
 	longMemory = "forget = \"2m\"\n"
@@ -240,7 +240,7 @@
 // pushByOlderCommand pushes a change by the older program's command line.
 func (r *mixedRig) pushByOlderCommand(number int, latest controlplane.Revision) controlplane.Revision {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, *olderProgram, "config", "push", r.file(""),
 		"--fleet", "rig", "--origin", r.Origin(number),
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -42,7 +42,7 @@
 	begun := time.Now()
 	var text []string
 	for ok := false; !ok; time.Sleep(20 * time.Millisecond) {
-		if text, asking, ok = r.sources(group); time.Since(begun) > 2*testutil.Patience {
+		if text, asking, ok = r.sources(group); time.Since(begun) > 2*testutil.WaitTimeout {
 			r.t.Fatalf("%s: not current: %s\n%s", what, strings.Join(text, "; "), r.Story())
 		}
 	}
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -238,7 +238,7 @@
 		target := load.NewHTTP("http://" + r.addr)
 		before := s.counts()
 		for i := range requests {
-			ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 			if k := target.Send(ctx, fmt.Sprint(c.balancers, "-", i), load.Shot{Class: "look", Effect: "safe"}); k != load.Served {
 				text, _ := os.ReadFile(r.log)
 				t.Fatalf("request %d was %v\n%s", i, k, text)
@@ -248,7 +248,7 @@
 		after := s.counts()
 		target.Close()
 		r.stop()
-		testutil.HoldToPage(t, "attempts a request where all goes well", float64(after.Requests-before.Requests)/requests, 0)
+		testutil.CheckCapacityBound(t, "attempts a request where all goes well", float64(after.Requests-before.Requests)/requests, 0)
 		opened := int(after.Conns - before.Conns)
 		t.Logf("%d sidecars: %d connections for %d requests", c.balancers, opened, requests)
 		if opened < c.least || opened > c.most {
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -95,7 +95,7 @@
 						requests.Add(1)
 						first.Do(func() { used.Add(1) })
 						time.Sleep(work)
-						if _, err := io.WriteString(c, testutil.OKAnswer); err != nil {
+						if _, err := io.WriteString(c, testutil.OKResponse); err != nil {
 							return
 						}
 					}
@@ -213,9 +213,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	var hosts []emulator.Host
+	var hosts []emulator.Endpoint
 	for i, a := range s.addrs {
-		h := emulator.Host{Host: fmt.Sprint("s", i), Dial: a, Site: "a", Class: "m", Health: "SERVING", Share: 1}
+		h := emulator.Endpoint{Name: fmt.Sprint("s", i), Address: a, Zone: "a", Kind: "m", Health: "SERVING", TrafficShare: 1}
 		discovery.Set(h)
 		hosts = append(hosts, h)
 	}
@@ -225,7 +225,7 @@
 	}
 	r := &shareRig{t: t, addr: l.Addr().String()}
 	l.Close()
-	text, err := emulator.Platform(&emulator.Traffic{Head: emulator.Head{Classes: killClasses}}, r.addr, discovery.Addr(), "7")
+	text, err := emulator.PlatformConfig(&emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}, r.addr, discovery.Addr(), "7")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -36,21 +36,21 @@
 			kill := longest + 700*time.Millisecond
 			var mu sync.Mutex
 			hang := false
-			upstream := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			upstream := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
 					mu.Lock()
 					silent := hang
 					mu.Unlock()
 					if !silent {
-						io.WriteString(c, testutil.OKAnswer)
+						io.WriteString(c, testutil.OKResponse)
 					}
 				}
 			})
-			text := strings.ReplaceAll(fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream), `"DeadlineMs":20000`, fmt.Sprintf(`"DeadlineMs":%d`, longest.Milliseconds()))
+			text := strings.ReplaceAll(fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream), `"DeadlineMs":20000`, fmt.Sprintf(`"DeadlineMs":%d`, longest.Milliseconds()))
 			cmd := exec.Command(os.Args[0])
 			addr := startAlone(t, cmd, text, nil)
 			ask := func(c net.Conn, id string, at time.Duration) (*http.Response, error) {
-				c.SetDeadline(time.Now().Add(testutil.Patience))
+				c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 				req := testutil.Request(t, "http://"+addr, "GET", "look", id, "")
 				req.Header.Set("X-Deadline-Ms", fmt.Sprint(longest.Milliseconds()))
 				if err := req.Write(c); err != nil {
@@ -132,7 +132,7 @@
 					defer c.Close()
 					time.Sleep(time.Until(term.Add(at * time.Millisecond)))
 					s := sent{at: time.Since(term)}
-					c.SetDeadline(time.Now().Add(testutil.Patience))
+					c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 					if _, s.err = fmt.Fprintf(c, "T /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: late%d\r\nX-Class: look\r\nX-Deadline-Ms: %d\r\n\r\n", at, longest.Milliseconds()); s.err != nil {
 						return
 					}
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -81,7 +81,7 @@
 				t.Fatalf("life %d: %d was acknowledged, and it is at %d", life, version, n.state.Version)
 			}
 			if !ok {
-				fs = fs.PowerLost(rand.New(rand.NewPCG(uint64(crash), 1)))
+				fs = fs.AfterPowerLoss(rand.New(rand.NewPCG(uint64(crash), 1)))
 				fs.CrashAfter = fs.Steps + crash
 			}
 			st.Close()
--- a/internal/controlplane/transport/hollow_long_test.go
+++ b/internal/controlplane/transport/hollow_long_test.go
@@ -132,7 +132,7 @@
 	h.awaitAgreement()
 	revision, pushedAt := h.push(0, 1)
 	h.awaitActive("a change after it", revision, pushedAt, h.Members)
-	if took := time.Since(pushedAt); took > testutil.Patience {
-		h.t.Errorf("a change after the restart took %v, want at most %v", took, testutil.Patience)
+	if took := time.Since(pushedAt); took > testutil.WaitTimeout {
+		h.t.Errorf("a change after the restart took %v, want at most %v", took, testutil.WaitTimeout)
 	}
 }
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -292,7 +292,7 @@
 	startedAt := time.Now()
 	id := fmt.Sprint("push-", startedAt.UnixNano())
 	text := fmt.Appendf(nil, "# %s\n[limits]\nmax_attempts = 3\n# %s\n", id, strings.Repeat("x", 1000))
-	for i := 0; time.Since(startedAt) < testutil.Patience; i++ {
+	for i := 0; time.Since(startedAt) < testutil.WaitTimeout; i++ {
 		client := transport.NewClient(hollowCluster, h.originAddrs[origins[i%len(origins)]])
 		if revision, ok := pushOnce(h.t.Context(), client, id, text); ok {
 			return revision, startedAt
@@ -319,7 +319,7 @@
 	if *hollowMembers > 0 {
 		return longFormPatience
 	}
-	return testutil.Patience
+	return testutil.WaitTimeout
 }
 
 // awaitActive waits until a revision, or a later one, is in force at all of some members. It returns and logs how long
--- a/internal/controlplane/transport/member_test.go
+++ b/internal/controlplane/transport/member_test.go
@@ -242,7 +242,7 @@
 	source := newSource(t, "o", nil)
 	source.publish(testFrame(4, "# four"))
 	m := startMember(t, "m", dir, source.addr)
-	if text := m.WaitReady(t.Context(), testutil.Patience); text != "acting on 1.4" {
+	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "acting on 1.4" {
 		t.Error(text)
 	}
 	path := filepath.Join(dir, cacheFileName)
@@ -263,7 +263,7 @@
 	}
 	m.stop()
 	m = startMember(t, "m", dir, source.addr)
-	if text := m.WaitReady(t.Context(), testutil.Patience); text != "acting on 1.4" {
+	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "acting on 1.4" {
 		t.Error(text)
 	}
 	m.stop()
--- a/internal/daemon/allocs_test.go
+++ b/internal/daemon/allocs_test.go
@@ -14,8 +14,8 @@
 // The allocations of a request on open connections, in the front, the engine, the balancer and the transport, are
 // counted and not timed, so they are the same on any machine. Client and server allocate nothing.
 func TestAllocationsOfARequest(t *testing.T) {
-	addr := testutil.Raw(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
-		answer, buf := []byte(testutil.OKAnswer), make([]byte, 4096)
+	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
+		answer, buf := []byte(testutil.OKResponse), make([]byte, 4096)
 		for n := 0; ; {
 			k, err := conn.Read(buf[n:])
 			if err != nil {
@@ -27,7 +27,7 @@
 			}
 		}
 	})
-	r := startSidecar(t, testutil.NoAddr, addr)
+	r := startSidecar(t, testutil.UnusedAddr, addr)
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -71,5 +71,5 @@
 		}
 	}
 	t.Logf("%.1f allocations a request", lowest)
-	testutil.HoldToPage(t, "allocations a request", lowest, 0.06)
+	testutil.CheckCapacityBound(t, "allocations a request", lowest, 0.06)
 }
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -39,7 +39,7 @@
 	// Of the goroutines only new ones count; those of earlier tests may end meanwhile.
 	goroutines := func(op *operator.Config) error {
 		before := goleak.IgnoreCurrent()
-		s, err := build(t.Context(), config(t, testutil.NoAddr, testutil.NoAddr), op, discardLog)
+		s, err := build(t.Context(), config(t, testutil.UnusedAddr, testutil.UnusedAddr), op, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 		t.Errorf("before Run without [fleet]: %v", err)
 	}
 	_ = goroutines(clusterConfig(t, "")) // only that the parts are there
-	cfg := config(t, testutil.NoAddr, testutil.NoAddr)
+	cfg := config(t, testutil.UnusedAddr, testutil.UnusedAddr)
 	s, err := build(t.Context(), cfg, clusterConfig(t, "no_words = true\n"), discardLog)
 	if err != nil {
 		t.Fatalf("no_words: %v", err)
@@ -69,7 +69,7 @@
 // when the update has expired.
 func TestNoticesRemoveEndpoints(t *testing.T) {
 	op := clusterConfig(t, "")
-	b, err := newBuilder(config(t, testutil.NoAddr, testutil.NoAddr), op, discardLog)
+	b, err := newBuilder(config(t, testutil.UnusedAddr, testutil.UnusedAddr), op, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/configmember_test.go
+++ b/internal/daemon/configmember_test.go
@@ -30,8 +30,8 @@
 func startWithControlPlane(t *testing.T, discovery string) *testSidecar {
 	t.Helper()
 	op := clusterConfig(t,
-		fmt.Sprintf("no_words = true\n[config]\norigins = [%q]\ndir = %q\n", testutil.NoAddr, t.TempDir()))
-	r, stop := run(t, config(t, discovery, testutil.NoAddr), op)
+		fmt.Sprintf("no_words = true\n[config]\norigins = [%q]\ndir = %q\n", testutil.UnusedAddr, t.TempDir()))
+	r, stop := run(t, config(t, discovery, testutil.UnusedAddr), op)
 	t.Cleanup(stop)
 	return r
 }
@@ -136,7 +136,7 @@
 
 // Without [config] there is no part of it.
 func TestWithoutControlPlane(t *testing.T) {
-	s, err := build(t.Context(), config(t, testutil.NoAddr, testutil.NoAddr), clusterConfig(t, ""), discardLog)
+	s, err := build(t.Context(), config(t, testutil.UnusedAddr, testutil.UnusedAddr), clusterConfig(t, ""), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,13 +17,13 @@
 
 func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
-	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 			seen <- q
 			send(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/x-seat\r\nKeep-Alive: 1\r\nContent-Length: 4\r\n\r\nseat")
 		}
 	})
-	r := startSidecar(t, testutil.NoAddr, addr)
+	r := startSidecar(t, testutil.UnusedAddr, addr)
 	for i, c := range []struct{ method, class, body string }{
 		{"GET", "look", ""},
 		{"POST", "book", "b\x00dy"},
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			copies := make(chan bool, 100)
-			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
 					copies <- true
 					send(conn, reply)
@@ -68,7 +68,7 @@
 					}
 				}
 			})
-			r := startSidecar(t, testutil.NoAddr, addr)
+			r := startSidecar(t, testutil.UnusedAddr, addr)
 			resp, _ := r.do(t, r.request(t, "POST", "book", "1", "x"))
 			if resp.StatusCode < 500 || resp.StatusCode == 503 || len(copies) != 1 {
 				t.Errorf("%s after %d copies", resp.Status, len(copies))
@@ -85,7 +85,7 @@
 		http.Error(w, "no such seat", http.StatusNotFound)
 	}))
 	defer upstream.Close()
-	r := startSidecar(t, testutil.NoAddr, upstream.Listener.Addr().String())
+	r := startSidecar(t, testutil.UnusedAddr, upstream.Listener.Addr().String())
 	resp, body := r.do(t, r.request(t, "GET", "look", "1", ""))
 	if resp.StatusCode != 404 || body != "no such seat\n" || copies.Load() != 1 {
 		t.Errorf("%s %q after %d copies", resp.Status, body, copies.Load())
@@ -94,16 +94,16 @@
 
 // A request that was rejected before it ran may be retried, also where it must not run twice.
 func TestRejectedRequestIsRetried(t *testing.T) {
-	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for i := 0; testutil.ReadRequest(r) != nil; i++ {
 			if n == 0 && i == 0 {
 				send(conn, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			} else {
-				send(conn, testutil.OKAnswer)
+				send(conn, testutil.OKResponse)
 			}
 		}
 	})
-	r := startSidecar(t, testutil.NoAddr, addr)
+	r := startSidecar(t, testutil.UnusedAddr, addr)
 	if resp, body := r.do(t, r.request(t, "POST", "book", "1", "x")); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("%s %q", resp.Status, body)
 	}
@@ -119,7 +119,7 @@
 	}))
 	defer upstream.Close()
 	defer answer()
-	r := startSidecar(t, testutil.NoAddr, upstream.Listener.Addr().String())
+	r := startSidecar(t, testutil.UnusedAddr, upstream.Listener.Addr().String())
 	status := make(chan int, 1)
 	go func() {
 		if resp, err := r.client.Do(r.request(t, "POST", "book", "1", "x")); err == nil {
@@ -158,7 +158,7 @@
 		send(w, `{"seq":2,"whole":true,"hosts":[`+entry+"]}\n")
 	}))
 	defer discovery.Close()
-	r := startSidecar(t, discovery.Listener.Addr().String(), testutil.NoAddr, `"ask"`, strconv.Quote(mode))
+	r := startSidecar(t, discovery.Listener.Addr().String(), testutil.UnusedAddr, `"ask"`, strconv.Quote(mode))
 	// The initial address refuses connections until the list changes it: the sidecar rejects too, and a retry is
 	// harmless.
 	started := time.Now()
@@ -167,7 +167,7 @@
 		if resp.StatusCode == 200 && body == "new" {
 			break
 		}
-		if time.Since(started) > testutil.Patience {
+		if time.Since(started) > testutil.WaitTimeout {
 			t.Fatalf("%s %q", resp.Status, body)
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/daemon/deploy_test.go
+++ b/internal/daemon/deploy_test.go
@@ -61,18 +61,18 @@
 	discovery *emulator.Discovery
 	dns       *dnsserver.Server
 	servers   [deployNodes]*httptest.Server
-	hosts     [deployNodes]emulator.Host
+	hosts     [deployNodes]emulator.Endpoint
 	ports     [deployNodes]string // that are serving, as the name service lists them
 }
 
 // startNode starts a node.
-func startNode(t *testing.T, name string) (*httptest.Server, emulator.Host) {
+func startNode(t *testing.T, name string) (*httptest.Server, emulator.Endpoint) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(5 * time.Millisecond)
 		send(w, "ok")
 	}))
 	t.Cleanup(s.Close)
-	return s, emulator.Host{Host: name, Dial: s.Listener.Addr().String(), Site: "a", Class: "m", Health: "SERVING"}
+	return s, emulator.Endpoint{Name: name, Address: s.Listener.Addr().String(), Zone: "a", Kind: "m", Health: "SERVING"}
 }
 
 // startRollout starts the nodes before the deploy.
@@ -92,7 +92,7 @@
 	for i := range deployNodes {
 		r.servers[i], r.hosts[i] = startNode(t, fmt.Sprint("old", i))
 		d.Set(r.hosts[i])
-		r.listPort(i, r.hosts[i].Dial)
+		r.listPort(i, r.hosts[i].Address)
 	}
 	return r
 }
@@ -106,17 +106,17 @@
 			listed = append(listed, port)
 		}
 	}
-	r.dns.Answer(srvReply(listed...))
+	r.dns.SetReply(srvReply(listed...))
 }
 
 // replaceAll replaces the nodes one by one. The name service lists each at once, the endpoint list late.
 func (r *rollout) replaceAll(t *testing.T) {
 	for i := range deployNodes {
 		s, h := startNode(t, fmt.Sprint("new", i))
-		h.BornMS = float64(time.Now().UnixMilli())
+		h.StartedAtMS = float64(time.Now().UnixMilli())
 		old := r.hosts[i]
 		old.Health = "DRAINING"
-		r.listPort(i, h.Dial)
+		r.listPort(i, h.Address)
 		time.AfterFunc(deployListDelay, func() { r.discovery.Set(h); r.discovery.Set(old) })
 		time.AfterFunc(deployExitDelay, r.servers[i].Close)
 		r.hosts[i], r.servers[i] = h, s
@@ -137,13 +137,13 @@
 		t.Fatal(err)
 	}
 	if !withList {
-		return config(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(nil)...), op
+		return config(t, testutil.UnusedAddr, testutil.UnusedAddr, knownEndpoints(nil)...), op
 	}
 	var list []string
 	for _, h := range r.hosts {
-		list = append(list, endpointEntry(h.Host, h.Dial))
+		list = append(list, endpointEntry(h.Name, h.Address))
 	}
-	return config(t, r.discovery.Addr(), testutil.NoAddr, knownEndpoints(list)...), op
+	return config(t, r.discovery.Addr(), testutil.UnusedAddr, knownEndpoints(list)...), op
 }
 
 // serviceDuringDeploy runs one deploy and returns the share of the requests that was served.
--- a/internal/daemon/disconnect_test.go
+++ b/internal/daemon/disconnect_test.go
@@ -134,10 +134,10 @@
 func TestDisconnectBeforeThereIsAnEndpoint(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
 		var arrived arrivals
-		addr := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		addr := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 				arrived.add(q.Header.Get("X-Request-Id"))
-				send(c, testutil.OKAnswer)
+				send(c, testutil.OKResponse)
 			}
 		})
 		d, err := emulator.NewDiscovery()
@@ -145,11 +145,11 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(d.Close)
-		r := startSidecar(t, d.Addr(), testutil.NoAddr, endpointEntry("s", testutil.NoAddr), "")
+		r := startSidecar(t, d.Addr(), testutil.UnusedAddr, endpointEntry("s", testutil.UnusedAddr), "")
 		c := r.sendRequest(t, method, class)
 		disconnect(c)
 		waitForDisconnect(t, c)
-		d.Set(emulator.Host{Host: "s", Dial: addr, Site: "a", Class: "m", Health: "SERVING"})
+		d.Set(emulator.Endpoint{Name: "s", Address: addr, Zone: "a", Kind: "m", Health: "SERVING"})
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "stays" {
 			t.Errorf("arrived: %s", got)
@@ -207,7 +207,7 @@
 	from := bufio.NewReader(c)
 	for q := testutil.ReadRequest(from); q != nil; q = testutil.ReadRequest(from) {
 		a.add(q.Header.Get("X-Request-Id"))
-		send(c, testutil.OKAnswer)
+		send(c, testutil.OKResponse)
 	}
 }
 
@@ -216,7 +216,7 @@
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
 		l := listenWithoutBacklog(t)
 		fillBacklog(t, l)
-		r := startSidecar(t, testutil.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
+		r := startSidecar(t, testutil.UnusedAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
 		c := r.sendRequest(t, method, class)
 		waitForDial(t, l.Addr())
 		disconnect(c)
@@ -255,13 +255,13 @@
 					<-turn
 					send(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				} else {
-					send(c, testutil.OKAnswer)
+					send(c, testutil.OKResponse)
 				}
 			}
 		}
-		one, other := testutil.Raw(t, serve), testutil.Raw(t, serve)
+		one, other := testutil.ServeRaw(t, serve), testutil.ServeRaw(t, serve)
 		entries := []string{endpointEntry("s0", one), endpointEntry("s1", other)}
-		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(entries)...)
+		r := startSidecar(t, testutil.UnusedAddr, testutil.UnusedAddr, knownEndpoints(entries)...)
 		c := r.sendRequest(t, method, class)
 		testutil.Receive(t, here, "the first attempt")
 		disconnect(c)
@@ -300,7 +300,7 @@
 			endpointEntry("s1", lists[1].Addr().String()),
 		})
 		change = append(change, `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
-		r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, change...)
+		r := startSidecar(t, testutil.UnusedAddr, testutil.UnusedAddr, change...)
 		c := r.sendRequest(t, method, class)
 		other := lists[1-testutil.Receive(t, asked, "the first attempt")]
 		_ = other.SetDeadline(time.Unix(1, 0))
@@ -328,13 +328,13 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			var arrived arrivals
-			addr := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 					arrived.add(q.Header.Get("X-Request-Id"))
-					send(c, testutil.OKAnswer)
+					send(c, testutil.OKResponse)
 				}
 			})
-			cfg := config(t, testutil.NoAddr, addr)
+			cfg := config(t, testutil.UnusedAddr, addr)
 			s, err := build(t.Context(), cfg, new(operator.Config), discardLog)
 			if err != nil {
 				t.Fatal(err)
@@ -346,7 +346,7 @@
 			r := &testSidecar{
 				sidecar: s,
 				url:     "http://" + l.Addr().String(),
-				client:  &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience},
+				client:  &http.Client{Transport: &http.Transport{}, Timeout: testutil.WaitTimeout},
 			}
 			for _, a := range disconnectRequests {
 				c := r.sendRequest(t, a.method, a.class) // into the backlog: nothing of the sidecar runs yet
--- a/internal/daemon/drainnotice_test.go
+++ b/internal/daemon/drainnotice_test.go
@@ -206,7 +206,7 @@
 	if p.moves {
 		d.serveOther(t, second)
 	}
-	cfg := config(t, d.addr, testutil.NoAddr, `"Balancers":1`, `"Balancers":300`, `"ask"`, strconv.Quote(mode))
+	cfg := config(t, d.addr, testutil.UnusedAddr, `"Balancers":1`, `"Balancers":300`, `"ask"`, strconv.Quote(mode))
 	r, end := run(t, cfg, new(operator.Config))
 	d.r, d.stop = r, sync.OnceFunc(end)
 	t.Cleanup(d.stop)
@@ -367,7 +367,7 @@
 
 // waitUntil waits for a condition, in a goroutine that may not end the test.
 func waitUntil(what string, ok func() bool) error {
-	for deadline := time.Now().Add(testutil.Patience); !ok(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testutil.WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			return fmt.Errorf("waited in vain for %s", what)
 		}
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -21,7 +21,7 @@
 const bookingService = "_booking._tcp.example.org."
 
 // srvReply returns the replies of a name service that lists ports of 127.0.0.1, for a tenth of a second.
-func srvReply(ports ...string) dnsserver.Reply {
+func srvReply(ports ...string) dnsserver.ReplyFunc {
 	return func(q dnsmessage.Message, _ bool) [][]byte {
 		var list []dnsmessage.Resource
 		for i, text := range ports {
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	host := emulator.Host{Host: "n0", Dial: "127.0.0.1:" + ports[0], Site: "a", Class: "m", Health: "SERVING"}
+	host := emulator.Endpoint{Name: "n0", Address: "127.0.0.1:" + ports[0], Zone: "a", Kind: "m", Health: "SERVING"}
 	d.Set(host)
 	dns, err := dnsserver.New(srvReply(ports[0]))
 	if err != nil {
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, stop := run(t, config(t, d.Addr(), testutil.NoAddr), op)
+	r, stop := run(t, config(t, d.Addr(), testutil.UnusedAddr), op)
 	defer stop()
 	n := 0
 	// A rejection is as good: a node that may just have started is warming up.
@@ -86,7 +86,7 @@
 		return resp.StatusCode == http.StatusOK
 	}
 	ask()
-	dns.Answer(srvReply(ports[0], ports[1]))
+	dns.SetReply(srvReply(ports[0], ports[1]))
 	testutil.Until(t, "a request to the node that only the name service names", func() bool {
 		ask()
 		return seen[1].Load() > 0
@@ -106,13 +106,13 @@
 		t.Errorf("%d requests went to a node that drains", after-before)
 	}
 	for _, e := range r.endpoints.Status() {
-		drains := e.Addr == host.Dial || e.ID == "addr "+host.Dial
+		drains := e.Addr == host.Address || e.ID == "addr "+host.Address
 		if e.Listed == drains || drains && e.Reason != "list says that it has left" {
 			t.Errorf("in the list: %+v", e)
 		}
 	}
-	dns.Answer(func(dnsmessage.Message, bool) [][]byte { return nil })
-	asked := dns.Asked()
-	testutil.Until(t, "lookups that nobody answers", func() bool { ask(); return dns.Asked() > asked+2 })
+	dns.SetReply(func(dnsmessage.Message, bool) [][]byte { return nil })
+	asked := dns.Queries()
+	testutil.Until(t, "lookups that nobody answers", func() bool { ask(); return dns.Queries() > asked+2 })
 	testutil.Until(t, "an answer of the node that is left", ask)
 }
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -40,7 +40,7 @@
 func TestConfigurationStateFormatIsStable(t *testing.T) {
 	member, err := transport.NewMember(transport.MemberConfig{
 		Follower:       controlplane.FollowerConfig{Cluster: "f", Self: "m1"},
-		Origins:        []string{testutil.NoAddr},
+		Origins:        []string{testutil.UnusedAddr},
 		MaxSubscribers: 4,
 		Selector:       bootstrap.Config{Self: "m1", Roots: 1, FanOut: 2, ConfiguredSize: 1, RandomSeed: 1},
 		Log:            slog.New(slog.DiscardHandler),
--- a/internal/daemon/graphql_disconnect_test.go
+++ b/internal/daemon/graphql_disconnect_test.go
@@ -32,7 +32,7 @@
 				t.Fatal(err)
 			}
 			l := listenWithoutBacklog(t) // one connection is accepted, one more is established
-			cfg := config(t, testutil.NoAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
+			cfg := config(t, testutil.UnusedAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
 			r, stop := run(t, cfg, op)
 			defer stop()
 			x := r.additionalFronts[0]
@@ -51,7 +51,7 @@
 				from := bufio.NewReader(c)
 				for q := testutil.ReadRequest(from); q != nil; q = testutil.ReadRequest(from) {
 					if q.Header.Get("X-Request-Id") == "stays" {
-						send(c, testutil.OKAnswer)
+						send(c, testutil.OKResponse)
 						continue
 					}
 					if parts.Add(1); came != nil {
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -39,19 +39,19 @@
 
 func startGraphQLSidecar(t *testing.T, nodes []emulator.NodeConfig, m gqlnode.Mischief) *graphQLSidecar {
 	t.Helper()
-	traffic := &emulator.Traffic{Head: emulator.Head{Classes: gqlnode.Classes}}
+	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: gqlnode.Classes}}
 	fleet, err := emulator.NewFleet(emulator.FleetConfig{
-		Nodes:     nodes,
-		Effects:   traffic.Effects(),
-		NewServer: gqlnode.New(m),
-		Slack:     500 * time.Millisecond,
-		Notice:    50 * time.Millisecond,
+		Nodes:          nodes,
+		Effects:        traffic.Effects(),
+		NewServer:      gqlnode.New(m),
+		DrainSlack:     500 * time.Millisecond,
+		DiscoveryDelay: 50 * time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	text, err := emulator.Platform(traffic, "127.0.0.1:0", fleet.Discovery.Addr(), "7")
+	text, err := emulator.PlatformConfig(traffic, "127.0.0.1:0", fleet.Discovery.Addr(), "7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	g := &graphQLSidecar{testSidecar: r, fleet: fleet, url: "http://" + x.listener.Addr().String() + "/graphql"}
 	r.client.Transport.(*http.Transport).MaxIdleConnsPerHost = 64
 	testutil.Until(t, "the list", func() bool {
-		status, _ := g.ask(t, []byte(`{"query":"{seats(train:\"x\"){id}}"}`), testutil.Patience)
+		status, _ := g.ask(t, []byte(`{"query":"{seats(train:\"x\"){id}}"}`), testutil.WaitTimeout)
 		return status == 200
 	})
 	return g
@@ -201,12 +201,12 @@
 	says := map[gqlnode.Says]int{}
 	for _, c := range all {
 		says[c.Says]++
-		ran := g.fleet.Ledger.KeyRuns(c.Token)
+		ran := g.fleet.Rules.KeyExecutions(c.Token)
 		if c.Denied(ran) {
 			t.Errorf("%s: the answer says %q, and it ran %d times", c.Token, c.Says, ran)
 		}
 	}
-	for _, broken := range g.fleet.Ledger.Broken() {
+	for _, broken := range g.fleet.Rules.Violations() {
 		t.Error(broken)
 	}
 	t.Logf("%d operations, %d mutations: %v; statuses %v", *gqlOperations, len(all), says, statuses)
@@ -231,7 +231,7 @@
 	}
 	play := func(split bool) *figures {
 		g := startGraphQLSidecar(t, nodeConfigs(12), gqlnode.Mischief{})
-		_ = g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Times: 20, For: time.Hour})
+		_ = g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Factor: 20, Duration: time.Hour})
 		g.fleet.Node("n2").Die()
 		f := &figures{query: load.NewHistogram(), mutation: load.NewHistogram()}
 		plan, err := load.Poisson(1, []load.Point{{Rate: rate}}, length, load.Shot{})
@@ -281,7 +281,7 @@
 				}
 			}
 		}, func(int, time.Time) {})
-		if broken := g.fleet.Ledger.Broken(); len(broken) > 0 {
+		if broken := g.fleet.Rules.Violations(); len(broken) > 0 {
 			t.Error(broken)
 		}
 		return f
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -21,14 +21,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(t, parseConfig(t, fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream)), op)
+	return run(t, parseConfig(t, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream)), op)
 }
 
 // With idempotency records requests that are not idempotent may have a key, and a repeat of one that may have run fails
 // at once, also by the next daemon with the same directory.
 func TestIdempotencyRecords(t *testing.T) {
 	copies := make(chan bool, 100)
-	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		if testutil.ReadRequest(r) != nil {
 			copies <- true
 			conn.Close() // it may have run
@@ -97,7 +97,7 @@
 // A start that fails returns an error that names the key, and releases all that was open.
 func TestIdempotencyRecordsCannotBeOpened(t *testing.T) {
 	dir := t.TempDir()
-	cfg := parseConfig(t, fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr))
+	cfg := parseConfig(t, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, testutil.UnusedAddr))
 	tests := []struct{ name, text, want string }{
 		{
 			name: "retention too short",
@@ -128,7 +128,7 @@
 		})
 	}
 	// The directory is not in use any more.
-	r, stop := runWithOperatorFile(t, testutil.NoAddr, fmt.Sprintf("[ledger]\ndir = %q", dir))
+	r, stop := runWithOperatorFile(t, testutil.UnusedAddr, fmt.Sprintf("[ledger]\ndir = %q", dir))
 	defer stop()
 	op, _ := operator.Parse([]byte(fmt.Sprintf("[ledger]\ndir = %q", dir)))
 	_, err := build(t.Context(), cfg, op, discardLog)
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -37,7 +37,7 @@
 func TestReload(t *testing.T) {
 	oldAddr, oldCalls, oldEnds := startSilentDiscovery(t)
 	newAddr, newCalls, _ := startSilentDiscovery(t)
-	r := startSidecar(t, oldAddr, testutil.NoAddr)
+	r := startSidecar(t, oldAddr, testutil.UnusedAddr)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	signals := make(chan os.Signal)
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -138,7 +138,7 @@
 // text returns the deployment's configuration, with one upstream.
 func (d *deployment) text(t *testing.T, upstream string) string {
 	t.Helper()
-	text := strings.NewReplacer(d.change...).Replace(fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream))
+	text := strings.NewReplacer(d.change...).Replace(fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream))
 	if len(d.classes) > 0 {
 		before, rest, _ := strings.Cut(text, `"Classes":[`)
 		_, after, _ := strings.Cut(rest, `"DedupWindowMs":5000}]`)
@@ -191,9 +191,9 @@
 func TestSettingsOfOtherDeployments(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
-			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
-					send(conn, testutil.OKAnswer)
+					send(conn, testutil.OKResponse)
 				}
 			})
 			cfg := parseConfig(t, d.text(t, addr))
@@ -249,7 +249,7 @@
 		"configuration":  {`"settings":{`, `"settings":`},
 	} {
 		t.Run(want, func(t *testing.T) {
-			text := fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr)
+			text := fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, testutil.UnusedAddr)
 			text = strings.NewReplacer(change...).Replace(text)
 			path := filepath.Join(t.TempDir(), "config.json")
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/daemon/sidecar_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -43,7 +43,7 @@
 // config returns testutil.Config; change has pairs of old and new text of it.
 func config(t *testing.T, discovery, upstream string, change ...string) *platform.Config {
 	t.Helper()
-	return parseConfig(t, strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.Config, discovery, upstream)))
+	return parseConfig(t, strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.PlatformConfig, discovery, upstream)))
 }
 
 // startSidecar runs a sidecar until the test ends; change is that of config.
@@ -69,7 +69,7 @@
 	r = &testSidecar{
 		sidecar: s,
 		url:     "http://" + listener.Addr().String(),
-		client:  &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience},
+		client:  &http.Client{Transport: &http.Transport{}, Timeout: testutil.WaitTimeout},
 	}
 	ran := make(chan struct{})
 	go func() {
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -30,7 +30,7 @@
 
 // knownEndpoints returns the change of testutil.Config that replaces its one upstream, with address NoAddr, by these.
 func knownEndpoints(entries []string) []string {
-	return []string{endpointEntry("s", testutil.NoAddr), strings.Join(entries, ",")}
+	return []string{endpointEntry("s", testutil.UnusedAddr), strings.Join(entries, ",")}
 }
 
 // A restarted sidecar is ready and serves from its cached list while discovery cannot be reached, though a quarter of
@@ -49,7 +49,7 @@
 	defer good.Close()
 	var otherRequests atomic.Int32
 	// Another process has the address, and does not serve HTTP.
-	other := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	other := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if testutil.ReadRequest(r) != nil {
 			otherRequests.Add(1)
 			send(c, "-ERR unknown command\r\n")
@@ -60,10 +60,10 @@
 	for i := range list {
 		list[i] = endpointEntry(fmt.Sprint("s", i), good.Listener.Addr().String())
 	}
-	list[0] = endpointEntry("s0", testutil.NoAddr)
-	list[1] = endpointEntry("s1", testutil.NoAddr)
+	list[0] = endpointEntry("s0", testutil.UnusedAddr)
+	list[1] = endpointEntry("s1", testutil.UnusedAddr)
 	list[2] = endpointEntry("s2", other)
-	r := startSidecar(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(list)...)
+	r := startSidecar(t, testutil.UnusedAddr, testutil.UnusedAddr, knownEndpoints(list)...)
 	up, err := http.NewRequestWithContext(t.Context(), "GET", r.url+"/up", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -113,10 +113,10 @@
 	}
 	defer d.Close()
 	var last [2]atomic.Int64 // when a node was last sent something, Unix nanoseconds
-	host := func(i int, health string) emulator.Host {
-		return emulator.Host{Host: fmt.Sprint("n", i), Site: "a", Class: "m", Health: health}
+	host := func(i int, health string) emulator.Endpoint {
+		return emulator.Endpoint{Name: fmt.Sprint("n", i), Zone: "a", Kind: "m", Health: health}
 	}
-	var nodes [2]emulator.Host
+	var nodes [2]emulator.Endpoint
 	for i := range nodes {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			last[i].Store(time.Now().UnixNano())
@@ -125,10 +125,10 @@
 		}))
 		defer node.Close()
 		nodes[i] = host(i, "SERVING")
-		nodes[i].Dial = node.Listener.Addr().String()
+		nodes[i].Address = node.Listener.Addr().String()
 		d.Set(nodes[i])
 	}
-	r := startSidecar(t, d.Addr(), testutil.NoAddr, knownEndpoints([]string{endpointEntry("n0", nodes[0].Dial)})...)
+	r := startSidecar(t, d.Addr(), testutil.UnusedAddr, knownEndpoints([]string{endpointEntry("n0", nodes[0].Address)})...)
 	stop := make(chan bool)
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -190,7 +190,7 @@
 		for i := range list {
 			list[i] = endpointEntry(fmt.Sprint("s-", i), fmt.Sprintf("10.1.%d.%d:8081", i/250, i%250))
 		}
-		cfg := config(t, testutil.NoAddr, testutil.NoAddr, knownEndpoints(list)...)
+		cfg := config(t, testutil.UnusedAddr, testutil.UnusedAddr, knownEndpoints(list)...)
 		before := heap()
 		r, stop := run(t, cfg, new(operator.Config))
 		r.do(t, r.request(t, "GET", "look", "1", "")) // the list is complete once this is answered
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -65,7 +65,7 @@
 			return err
 		}
 	}
-	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: emulator.MixedNodes(o.Nodes), Effects: traffic.Effects(), Slack: o.Slack})
+	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: emulator.MixedNodes(o.Nodes), Effects: traffic.Effects(), DrainSlack: o.Slack})
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	do, closeIdle := emulator.HTTPClient(addr, fleet.Ledger)
+	do, closeIdle := emulator.HTTPClient(addr, fleet.Rules)
 	defer closeIdle()
 	played := make(chan error, 1)
 	go func() { played <- fleet.Play(ctx, script) }()
@@ -92,7 +92,7 @@
 		defer close(drawn)
 		view.run(drawing)
 	}()
-	report := emulator.Replay(ctx, traffic, cmp.Or(o.Grace, defaultGrace), func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Kind {
+	report := emulator.Replay(ctx, traffic, cmp.Or(o.Grace, defaultGrace), func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
 		begun := time.Now()
 		kind := do(ctx, n, c, r)
 		view.note(c, kind, time.Since(begun))
@@ -110,7 +110,7 @@
 	if err := <-ended; err != nil {
 		return fmt.Errorf("the daemon: %w", err)
 	}
-	return verdict(out, report, fleet.Ledger.Broken())
+	return verdict(out, report, fleet.Rules.Violations())
 }
 
 // verdict says what the rules say of it.
@@ -143,7 +143,7 @@
 	if addr, err = FreeAddr(); err != nil {
 		return "", nil, err
 	}
-	text, err := emulator.Platform(t, addr, discovery, fmt.Sprintf("%x", seed))
+	text, err := emulator.PlatformConfig(t, addr, discovery, fmt.Sprintf("%x", seed))
 	if err != nil {
 		return "", nil, err
 	}
--- a/internal/demo/gqldemo/gqldemo.go
+++ b/internal/demo/gqldemo/gqldemo.go
@@ -62,9 +62,9 @@
 	if o.Grace == 0 {
 		o.Grace = 500 * time.Millisecond
 	}
-	traffic := &emulator.Traffic{Head: emulator.Head{Classes: gqlnode.Classes}}
+	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: gqlnode.Classes}}
 	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: emulator.MixedNodes(7), Effects: traffic.Effects(),
-		NewServer: gqlnode.New(gqlnode.Mischief{After: 0.005, Cut: 0.005, Half: 0.005, Noise: 0.005}), Slack: o.Grace})
+		NewServer: gqlnode.New(gqlnode.Mischief{After: 0.005, Cut: 0.005, Half: 0.005, Noise: 0.005}), DrainSlack: o.Grace})
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 		return fmt.Errorf("the daemon: %w", err)
 	}
 	fleet.Close() // whatever still ran has ended
-	return t.verdict(out, fleet.Ledger)
+	return t.verdict(out, fleet.Rules)
 }
 
 // start starts the daemon, and gives the address of its GraphQL.
@@ -202,14 +202,14 @@
 }
 
 // verdict holds every answer against the nodes' counters.
-func (t *tally) verdict(out io.Writer, ledger *emulator.Ledger) error {
+func (t *tally) verdict(out io.Writer, ledger *emulator.RuleChecker) error {
 	fmt.Fprintln(out, t)
-	broken := append(t.faults, ledger.Broken()...)
+	broken := append(t.faults, ledger.Violations()...)
 	if t.late > 0 {
 		broken = append(broken, fmt.Sprintf("%d answers came after their client's time", t.late))
 	}
 	for _, c := range t.claims {
-		if ran := ledger.KeyRuns(c.Token); c.Denied(ran) {
+		if ran := ledger.KeyExecutions(c.Token); c.Denied(ran) {
 			broken = append(broken, fmt.Sprintf("%s: the answer says %q, and it ran %d times", c.Token, c.Says, ran))
 		}
 	}
--- a/internal/demo/view.go
+++ b/internal/demo/view.go
@@ -34,26 +34,26 @@
 	mu    sync.Mutex
 	ends  []end // of the last second, oldest first
 	log   []string
-	total map[emulator.Kind]int
+	total map[emulator.Outcome]int
 }
 
 type end struct {
 	at     time.Time
-	kind   emulator.Kind
+	kind   emulator.Outcome
 	inTime bool
 	took   time.Duration
 }
 
 func newView(out io.Writer, live bool, f *emulator.Fleet, t *emulator.Traffic) *view {
-	return &view{out: out, live: live, fleet: f, begun: time.Now(), whole: t.Length(), total: map[emulator.Kind]int{}}
+	return &view{out: out, live: live, fleet: f, begun: time.Now(), whole: t.Length(), total: map[emulator.Outcome]int{}}
 }
 
 // note counts a request that has ended.
-func (v *view) note(c emulator.TrafficClass, kind emulator.Kind, took time.Duration) {
+func (v *view) note(c emulator.TrafficClass, kind emulator.Outcome, took time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.total[kind]++
-	v.ends = append(v.ends, end{time.Now(), kind, kind == emulator.Served && took.Seconds()*1000 <= c.AimMS, took})
+	v.ends = append(v.ends, end{time.Now(), kind, kind == emulator.Served && took.Seconds()*1000 <= c.ObjectiveMS, took})
 }
 
 // Write takes lines of the daemon's log.
@@ -120,12 +120,12 @@
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%shazelwing demo  %.1f of %.0f s\n\n%d requests a second, %.1f%% in time, p50 %v, p99 %v\n", home, at,
 		v.whole.Seconds(), n, 100*inTime, p50.Round(100*time.Microsecond), p99.Round(100*time.Microsecond))
-	fmt.Fprintf(&b, "served %d, refused %d, failed %d, unanswered %d\n\n", v.total[emulator.Served], v.total[emulator.Refused],
+	fmt.Fprintf(&b, "served %d, refused %d, failed %d, unanswered %d\n\n", v.total[emulator.Served], v.total[emulator.Rejected],
 		v.total[emulator.Failed], v.total[emulator.Unanswered])
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "node\tzone\tstate\twarm\tholds\tserved\t")
 	for _, s := range v.fleet.Status() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%d\t%d\t%s\n", s.Name, s.Zone, s.State, 100*s.Warmth, s.Held, s.Served, strings.Repeat("#", min(s.Held, 40)))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%d\t%d\t%s\n", s.Name, s.Zone, s.State, 100*s.CapacityShare, s.InFlight, s.Served, strings.Repeat("#", min(s.InFlight, 40)))
 	}
 	w.Flush()
 	fmt.Fprintf(&b, "\nthe daemon's log:\n%s\n", strings.Join(v.log, "\n"))
@@ -137,6 +137,6 @@
 	if v.live {
 		v.draw()
 	}
-	total, _ := v.fleet.Ledger.Executions("")
-	fmt.Fprintf(v.out, "\n%v\n%d executions for %d requests\n", r, total, r.Asked)
+	total, _ := v.fleet.Rules.Executions("")
+	fmt.Fprintf(v.out, "\n%v\n%d executions for %d requests\n", r, total, r.Sent)
 }
--- a/internal/discovery/dns/resolver_test.go
+++ b/internal/discovery/dns/resolver_test.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/testutil"
 )
 
-func startServer(t *testing.T, reply dnsserver.Reply) *dnsserver.Server {
+func startServer(t *testing.T, reply dnsserver.ReplyFunc) *dnsserver.Server {
 	t.Helper()
 	server, err := dnsserver.New(reply)
 	if err != nil {
@@ -43,12 +43,12 @@
 }
 
 // codeReply is a reply without records.
-func codeReply(code dnsmessage.RCode) dnsserver.Reply {
+func codeReply(code dnsmessage.RCode) dnsserver.ReplyFunc {
 	return func(query dnsmessage.Message, _ bool) [][]byte { return reply(query, code, nil) }
 }
 
 // forgedReply is a changed message with a wrong target, followed by noise and then by the good reply.
-func forgedReply(change func(*dnsmessage.Message)) dnsserver.Reply {
+func forgedReply(change func(*dnsmessage.Message)) dnsserver.ReplyFunc {
 	return func(query dnsmessage.Message, tcp bool) [][]byte {
 		m := dnsserver.Message(query, 0, records{srv(60, 99, 1, 1, "evil.")}, nil, nil)
 		m.Questions = append([]dnsmessage.Question(nil), m.Questions...)
@@ -95,71 +95,71 @@
 	wrongQuestion := forgedReply(func(m *dnsmessage.Message) { m.Questions[0].Name = dnsmessage.MustNewName("x.") })
 	alwaysTruncated := forgedReply(func(m *dnsmessage.Message) { m.Truncated = true })
 	for name, c := range map[string]struct {
-		replies    []dnsserver.Reply // of a server each
-		timeout    time.Duration     // 0: testutil.Patience
-		want       string            // an answer, or part of an error
-		minQueries int               // to all servers together
+		replies    []dnsserver.ReplyFunc // of a server each
+		timeout    time.Duration         // 0: testutil.Patience
+		want       string                // an answer, or part of an error
+		minQueries int                   // to all servers together
 	}{
 		"good": {
-			replies:    []dnsserver.Reply{goodReply},
+			replies:    []dnsserver.ReplyFunc{goodReply},
 			want:       good,
 			minQueries: 2,
 		},
 		"one is silent": {
-			replies:    []dnsserver.Reply{silentReply, goodReply},
+			replies:    []dnsserver.ReplyFunc{silentReply, goodReply},
 			timeout:    2 * time.Second, // also that of the good one
 			want:       good,
 			minQueries: 2,
 		},
 		"one fails": {
-			replies:    []dnsserver.Reply{failing, goodReply},
+			replies:    []dnsserver.ReplyFunc{failing, goodReply},
 			want:       good,
 			minQueries: 2,
 		},
 		"one refuses": {
-			replies:    []dnsserver.Reply{codeReply(dnsmessage.RCodeRefused), goodReply},
+			replies:    []dnsserver.ReplyFunc{codeReply(dnsmessage.RCodeRefused), goodReply},
 			want:       good,
 			minQueries: 2,
 		},
 		"wrong ID": {
-			replies:    []dnsserver.Reply{wrongID},
+			replies:    []dnsserver.ReplyFunc{wrongID},
 			want:       good,
 			minQueries: 2,
 		},
 		"wrong question": {
-			replies:    []dnsserver.Reply{wrongQuestion},
+			replies:    []dnsserver.ReplyFunc{wrongQuestion},
 			want:       good,
 			minQueries: 2,
 		},
 		"truncated": {
-			replies:    []dnsserver.Reply{longReply},
+			replies:    []dnsserver.ReplyFunc{longReply},
 			want:       good,
 			minQueries: 3,
 		},
 		"an alias": {
-			replies:    []dnsserver.Reply{aliasReply},
+			replies:    []dnsserver.ReplyFunc{aliasReply},
 			want:       good,
 			minQueries: 3,
 		},
 		"no such name": {
-			replies:    []dnsserver.Reply{codeReply(dnsmessage.RCodeNameError)},
+			replies:    []dnsserver.ReplyFunc{codeReply(dnsmessage.RCodeNameError)},
 			want:       "ttl 5s not found",
 			minQueries: 1,
 		},
 		"all fail": {
-			replies:    []dnsserver.Reply{failing, failing},
+			replies:    []dnsserver.ReplyFunc{failing, failing},
 			timeout:    time.Second, // which also sets the pause between attempts
 			want:       errServerFailure.Error(),
 			minQueries: 4,
 		},
 		"all silent": {
-			replies:    []dnsserver.Reply{silentReply},
+			replies:    []dnsserver.ReplyFunc{silentReply},
 			timeout:    200 * time.Millisecond,
 			want:       "i/o timeout",
 			minQueries: 2,
 		},
 		"always truncated": {
-			replies:    []dnsserver.Reply{alwaysTruncated},
+			replies:    []dnsserver.ReplyFunc{alwaysTruncated},
 			timeout:    time.Second, // which also sets the pause between attempts
 			want:       "truncated",
 			minQueries: 4,
@@ -167,7 +167,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			resolver := &Resolver{Attempts: 2, Timeout: testutil.Patience, Limits: testLimits}
+			resolver := &Resolver{Attempts: 2, Timeout: testutil.WaitTimeout, Limits: testLimits}
 			if c.timeout > 0 {
 				resolver.Timeout = c.timeout
 			}
@@ -184,7 +184,7 @@
 			}
 			queries := 0
 			for _, server := range servers {
-				queries += server.Asked()
+				queries += server.Queries()
 			}
 			if queries < c.minQueries {
 				t.Errorf("%d queries, want %d at least", queries, c.minQueries)
@@ -194,9 +194,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	resolver := &Resolver{
-		Servers:  []string{testutil.NoAddr},
+		Servers:  []string{testutil.UnusedAddr},
 		Attempts: 5,
-		Timeout:  testutil.Patience,
+		Timeout:  testutil.WaitTimeout,
 		Limits:   testLimits,
 	}
 	if _, err := resolver.LookupSRV(ctx, service); !errors.Is(err, context.Canceled) {
--- a/internal/discovery/watch/startup_test.go
+++ b/internal/discovery/watch/startup_test.go
@@ -106,7 +106,7 @@
 	}
 	t.Cleanup(service.Close)
 	for _, name := range []string{"a", "b", "c"} {
-		service.Set(emulator.Host{Host: name, Dial: "127.0.0.1:1", Health: "SERVING"})
+		service.Set(emulator.Endpoint{Name: name, Address: "127.0.0.1:1", Health: "SERVING"})
 	}
 	service.Limit(*perCall, *patience)
 	startedAt := time.Now()
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -73,7 +73,7 @@
 func TestWatch(t *testing.T) {
 	delta44 := strings.ReplaceAll(completeList43, `43,"whole":true`, `44,"whole":false`)
 	calls := make(chan string, 1)
-	updates := startWatch(t, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
+	updates := startWatch(t, testutil.WaitTimeout, func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.String()
 		_, _ = io.WriteString(w, "\n\n"+completeList43+"\n\n"+delta44+"\n")
 	})
@@ -134,7 +134,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := make(chan string, 10)
-			updates := startWatchFrom(t, engine.NoVersion, testutil.Patience,
+			updates := startWatchFrom(t, engine.NoVersion, testutil.WaitTimeout,
 				func(w http.ResponseWriter, r *http.Request) {
 					calls <- r.URL.String()
 					if isListRequest(r) {
@@ -212,12 +212,12 @@
 		want           string
 	}{
 		"rejected": {
-			testutil.Patience,
+			testutil.WaitTimeout,
 			func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 			"503",
 		},
 		"reset": {
-			testutil.Patience,
+			testutil.WaitTimeout,
 			func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			"",
 		},
@@ -249,7 +249,7 @@
 
 // The changes in an unreadable event are missing from then on: the complete list has to be requested.
 func TestUnreadableEvent(t *testing.T) {
-	updates := startWatch(t, testutil.Patience, func(w http.ResponseWriter, r *http.Request) {
+	updates := startWatch(t, testutil.WaitTimeout, func(w http.ResponseWriter, r *http.Request) {
 		send(w, completeList43+"\n{\"seq\":44,}\n")
 		hang(r)
 	})
@@ -296,7 +296,7 @@
 		"no line end yet": {first, second, braces},
 	} {
 		t.Run(name, func(t *testing.T) {
-			updates := startWatchFrom(t, engine.NoVersion, testutil.Patience,
+			updates := startWatchFrom(t, engine.NoVersion, testutil.WaitTimeout,
 				func(w http.ResponseWriter, r *http.Request) {
 					for _, piece := range pieces {
 						send(w, piece)
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -16,17 +16,17 @@
 
 // HTTPClient is an application beside a daemon at addr: it sends recorded requests as the platform's protocol says.
 // What serves a request with another's answer breaks a rule of ledger's. Close its idle connections when done.
-func HTTPClient(addr string, ledger *Ledger) (do Do, closeIdle func()) {
+func HTTPClient(addr string, ledger *RuleChecker) (do RequestFunc, closeIdle func()) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxOpen, DisableCompression: true}
 	client := &http.Client{Transport: transport}
-	return func(patience context.Context, n int, c TrafficClass, r Request) Kind {
+	return func(patience context.Context, n int, c TrafficClass, r Request) Outcome {
 		deadline, _ := patience.Deadline()
 		// Longer than the client's patience: who answers late is to be told from who does not answer.
 		ctx, cancel := context.WithDeadline(context.WithoutCancel(patience), deadline.Add(longAfter))
 		defer cancel()
 		id := fmt.Sprintf("%08x", n)
 		us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
-		m := load.Message{ID: id, Class: c.Name, Effect: c.Effect, Patience: time.Until(deadline), Work: us(r.WorkUS), Hint: us(r.HintUS)}
+		m := load.Message{ID: id, Class: c.Name, Effect: c.Effect, Patience: time.Until(deadline), Work: us(r.WorkUS), Hint: us(r.ExpectedWorkUS)}
 		if c.Effect == "keyed" {
 			m.Key = "k" + id
 		}
@@ -34,8 +34,8 @@
 		if err != nil {
 			return Failed
 		}
-		if r.Key != "" {
-			req.AddCookie(&http.Cookie{Name: "user", Value: r.Key})
+		if r.AffinityKey != "" {
+			req.AddCookie(&http.Cookie{Name: "user", Value: r.AffinityKey})
 		}
 		resp, err := client.Do(req)
 		if err != nil {
@@ -48,14 +48,14 @@
 			return Failed
 		case resp.StatusCode == http.StatusOK:
 			if !strings.HasPrefix(string(text), id) {
-				ledger.Break("request %s was served with %q", id, text)
+				ledger.ReportViolation("request %s was served with %q", id, text)
 			}
 			return Served
 		case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusTooManyRequests:
 			if _, ran := ledger.Executions(id); ran > 0 && c.Effect == "unsafe" {
-				ledger.Break("%s %s was refused after it ran", c.Name, id)
+				ledger.ReportViolation("%s %s was refused after it ran", c.Name, id)
 			}
-			return Refused
+			return Rejected
 		}
 		return Failed
 	}, transport.CloseIdleConnections
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// Host is an entry of discovery's list, in the platform's form.
-type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"` // SERVING, DRAINING, DELETED
-	Share  float64 `json:"share"`
-	BornMS float64 `json:"born_ms"`
+// Endpoint is an entry of discovery's list, in the platform's form.
+type Endpoint struct {
+	Name         string  `json:"host"`
+	Address      string  `json:"dial"`
+	Zone         string  `json:"site"`
+	Kind         string  `json:"class"`
+	Cell         int     `json:"block"`
+	Health       string  `json:"health"` // SERVING, DRAINING, DELETED
+	TrafficShare float64 `json:"share"`
+	StartedAtMS  float64 `json:"born_ms"`
 }
 
 type listing struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []Host `json:"hosts"`
+	Seq   int64      `json:"seq"`
+	Whole bool       `json:"whole"`
+	Hosts []Endpoint `json:"hosts"`
 }
 
 // Discovery is the platform's, on loopback: the whole list, or a watch on its changes.
@@ -34,7 +34,7 @@
 
 	mu      sync.Mutex
 	seq     int64
-	hosts   map[string]Host
+	hosts   map[string]Endpoint
 	log     []listing // changes, in order
 	changed chan struct{}
 
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{l: l, hosts: map[string]Host{}, changed: make(chan struct{})}
+	d := &Discovery{l: l, hosts: map[string]Endpoint{}, changed: make(chan struct{})}
 	d.srv = &http.Server{Handler: d, ReadHeaderTimeout: 10 * time.Second}
 	go d.srv.Serve(l)
 	return d, nil
@@ -101,17 +101,17 @@
 func (d *Discovery) Close() { d.srv.Close() }
 
 // Set changes an entry, and tells all watches.
-func (d *Discovery) Set(h Host) {
+func (d *Discovery) Set(h Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seq++
-	h.Share = 1
+	h.TrafficShare = 1
 	if h.Health == "DELETED" {
-		delete(d.hosts, h.Host)
+		delete(d.hosts, h.Name)
 	} else {
-		d.hosts[h.Host] = h
+		d.hosts[h.Name] = h
 	}
-	d.log = append(d.log, listing{Seq: d.seq, Hosts: []Host{h}})
+	d.log = append(d.log, listing{Seq: d.seq, Hosts: []Endpoint{h}})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -123,7 +123,7 @@
 	if seq > 0 && seq <= d.seq {
 		return d.log[seq:], d.changed // entry i of the log has the version i+1
 	}
-	whole := listing{Seq: d.seq, Whole: true, Hosts: []Host{}}
+	whole := listing{Seq: d.seq, Whole: true, Hosts: []Endpoint{}}
 	for _, h := range d.hosts {
 		whole.Hosts = append(whole.Hosts, h)
 	}
--- a/internal/emulator/dnsserver/dnsserver.go
+++ b/internal/emulator/dnsserver/dnsserver.go
@@ -11,9 +11,9 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// Reply makes messages of a question, whole ones; over UDP each is a datagram of its own, over TCP the first is sent. None:
+// ReplyFunc makes messages of a question, whole ones; over UDP each is a datagram of its own, over TCP the first is sent. None:
 // silence.
-type Reply func(q dnsmessage.Message, tcp bool) [][]byte
+type ReplyFunc func(q dnsmessage.Message, tcp bool) [][]byte
 
 // Server is one.
 type Server struct {
@@ -24,12 +24,12 @@
 	parts sync.WaitGroup
 
 	mu    sync.Mutex
-	reply Reply
+	reply ReplyFunc
 	asked int
 }
 
 // New starts one that answers with reply.
-func New(reply Reply) (*Server, error) {
+func New(reply ReplyFunc) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -45,15 +45,15 @@
 	return s, nil
 }
 
-// Answer changes what it answers with.
-func (s *Server) Answer(reply Reply) {
+// SetReply changes what it answers with.
+func (s *Server) SetReply(reply ReplyFunc) {
 	s.mu.Lock()
 	s.reply = reply
 	s.mu.Unlock()
 }
 
-// Asked is how many questions it was asked.
-func (s *Server) Asked() int {
+// Queries is how many questions it was asked.
+func (s *Server) Queries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asked
--- a/internal/emulator/faultfs/faultfs.go
+++ b/internal/emulator/faultfs/faultfs.go
@@ -35,8 +35,8 @@
 	// Steps counts them.
 	CrashAfter int64
 	Steps      int64
-	// Space is how many bytes fit on the disk; -1: any.
-	Space int64
+	// Capacity is how many bytes fit on the disk; -1: any.
+	Capacity int64
 	// FailSyncs, FailWrites and FailRemoves make so many of the next ones fail with EIO.
 	FailSyncs, FailWrites, FailRemoves int
 	// SyncTime is how long a Sync takes.
@@ -54,7 +54,7 @@
 
 // New is an empty one.
 func New() *FS {
-	return &FS{files: map[string]*inode{}, durable: map[string]*inode{}, CrashAfter: -1, Space: -1}
+	return &FS{files: map[string]*inode{}, durable: map[string]*inode{}, CrashAfter: -1, Capacity: -1}
 }
 
 // step takes n steps, or as many as are left until the crash. The lock is held.
@@ -190,8 +190,8 @@
 		return half, syscall.EIO
 	}
 	var full error
-	if f.Space >= 0 && int64(len(b)) > f.Space-f.used {
-		b, full = b[:max(0, f.Space-f.used)], syscall.ENOSPC
+	if f.Capacity >= 0 && int64(len(b)) > f.Capacity-f.used {
+		b, full = b[:max(0, f.Capacity-f.used)], syscall.ENOSPC
 	}
 	n, err := f.step(int64(len(b)))
 	h.i.data = append(h.i.data, b[:n]...)
@@ -243,8 +243,8 @@
 
 func (h *file) Close() error { return nil }
 
-// Killed is what a new process finds when the old one was killed: all that it had written.
-func (f *FS) Killed() *FS {
+// AfterKill is what a new process finds when the old one was killed: all that it had written.
+func (f *FS) AfterKill() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	after := New()
@@ -254,9 +254,9 @@
 	return after
 }
 
-// PowerLost is what is on the disk when the power was lost: of what was not synced any part, in any order of sectors and
+// AfterPowerLoss is what is on the disk when the power was lost: of what was not synced any part, in any order of sectors and
 // names, and the last sector torn.
-func (f *FS) PowerLost(rng *rand.Rand) *FS {
+func (f *FS) AfterPowerLoss(rng *rand.Rand) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	after := New()
@@ -308,18 +308,18 @@
 	f.used += int64(len(data))
 }
 
-// Flip flips one bit of a file.
-func (f *FS) Flip(name string, at int64, bit uint) {
+// FlipBit flips one bit of a file.
+func (f *FS) FlipBit(name string, at int64, bit uint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.files[name].data[at] ^= 1 << bit
 }
 
-// Cut cuts a file.
-func (f *FS) Cut(name string, size int64) { f.Put(name, f.Content(name)[:size]) }
+// Truncate cuts a file.
+func (f *FS) Truncate(name string, size int64) { f.SetContent(name, f.Content(name)[:size]) }
 
-// Put gives a file a content that is durable.
-func (f *FS) Put(name string, data []byte) {
+// SetContent gives a file a content that is durable.
+func (f *FS) SetContent(name string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if i := f.files[name]; i != nil {
@@ -328,8 +328,8 @@
 	f.put(name, data)
 }
 
-// Set changes fields while the file system is in use.
-func (f *FS) Set(change func(f *FS)) {
+// Update changes fields while the file system is in use.
+func (f *FS) Update(change func(f *FS)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -14,18 +14,18 @@
 	Effects map[string]Effect
 	// NewServer puts a node on sockets; nil: HTTP.
 	NewServer func(n *Node, effects map[string]Effect) Server
-	// Slack is added to the nodes' DrainGrace; 0: 50 ms. Tests that have to give one verdict on a busy machine, too, take
+	// DrainSlack is added to the nodes' DrainGrace; 0: 50 ms. Tests that have to give one verdict on a busy machine, too, take
 	// more.
-	Slack time.Duration
-	// Notice is how long discovery takes to learn that a process died or started; 0: 1 s.
-	Notice time.Duration
+	DrainSlack time.Duration
+	// DiscoveryDelay is how long discovery takes to learn that a process died or started; 0: 1 s.
+	DiscoveryDelay time.Duration
 }
 
 // Fleet is nodes, and the discovery that lists them.
 type Fleet struct {
 	cfg       FleetConfig
 	Discovery *Discovery
-	Ledger    *Ledger
+	Rules     *RuleChecker
 
 	mu    sync.Mutex
 	nodes map[string]*running
@@ -52,7 +52,7 @@
 	for i := range n {
 		k := kinds[i%len(kinds)]
 		list = append(list, NodeConfig{Name: fmt.Sprintf("n%d", i+1), Zone: string(rune('a' + i%4)), Kind: k.kind, Speed: k.speed,
-			Seed: uint64(i + 1), ColdFrom: 0.3, Warm: 4 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second, DrainGrace: 250 * time.Millisecond})
+			Seed: uint64(i + 1), InitialCapacity: 0.3, WarmUp: 4 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second, DrainGrace: 250 * time.Millisecond})
 	}
 	return list
 }
@@ -70,16 +70,16 @@
 	if c.NewServer == nil {
 		c.NewServer = func(n *Node, effects map[string]Effect) Server { return NewHTTP(n, effects) }
 	}
-	if c.Notice == 0 {
-		c.Notice = time.Second
+	if c.DiscoveryDelay == 0 {
+		c.DiscoveryDelay = time.Second
 	}
 	d, err := NewDiscovery()
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{cfg: c, Discovery: d, Ledger: NewLedger(), nodes: map[string]*running{}, quit: make(chan struct{})}
-	if c.Slack > 0 {
-		f.Ledger.Slack = c.Slack
+	f := &Fleet{cfg: c, Discovery: d, Rules: NewRuleChecker(), nodes: map[string]*running{}, quit: make(chan struct{})}
+	if c.DrainSlack > 0 {
+		f.Rules.DrainSlack = c.DrainSlack
 	}
 	for _, n := range c.Nodes {
 		r, err := f.start(n, time.Time{})
@@ -95,11 +95,11 @@
 
 // start starts a process on an address of its own.
 func (f *Fleet) start(c NodeConfig, born time.Time) (*running, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(OwnHost(), "0"))
+	l, err := net.Listen("tcp", net.JoinHostPort(LoopbackHost(), "0"))
 	if err != nil {
 		return nil, err
 	}
-	n := NewNode(c, born, f.Ledger)
+	n := NewNode(c, born, f.Rules)
 	r := &running{Node: n, addr: l.Addr().String(), server: f.cfg.NewServer(n, f.cfg.Effects)}
 	f.mu.Lock()
 	f.nodes[c.Name] = r
@@ -109,7 +109,7 @@
 		select {
 		case <-n.Dead():
 			r.server.Stop()
-			f.after(f.cfg.Notice, func() {
+			f.after(f.cfg.DiscoveryDelay, func() {
 				if f.find(c.Name) == r { // else another process has its name by now
 					f.tell(r, "DELETED")
 				}
@@ -118,16 +118,16 @@
 			r.server.Stop()
 		}
 		if n.Status().State == pushedOver {
-			f.Ledger.Break("%s was pushed over while cold", n.Name)
+			f.Rules.ReportViolation("%s was pushed over while cold", n.Name)
 		}
 	})
 	return r, nil
 }
 
 func (f *Fleet) tell(r *running, health string) {
-	h := Host{Host: r.Name, Dial: r.addr, Site: r.Zone, Class: r.Kind, Block: r.Cell, Health: health}
+	h := Endpoint{Name: r.Name, Address: r.addr, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, Health: health}
 	if !r.born.IsZero() {
-		h.BornMS = float64(r.born.UnixMilli())
+		h.StartedAtMS = float64(r.born.UnixMilli())
 	}
 	f.Discovery.Set(h)
 }
@@ -183,13 +183,13 @@
 	r := f.find(x.Node)
 	switch x.Verb {
 	case "slow":
-		r.Slow(x.Times)
-		f.after(x.For, func() { r.Slow(1) })
+		r.Slow(x.Factor)
+		f.after(x.Duration, func() { r.Slow(1) })
 	case "reset":
-		r.Break(x.Times)
-		f.after(x.For, func() { r.Break(0) })
+		r.BreakConnections(x.Factor)
+		f.after(x.Duration, func() { r.BreakConnections(0) })
 	case "pause":
-		r.Pause(x.For)
+		r.Pause(x.Duration)
 	case "drain":
 		// It is told, and the node knows when: what comes a grace later breaks a rule.
 		f.tell(r, "DRAINING")
@@ -203,14 +203,14 @@
 		if err != nil {
 			return err
 		}
-		f.after(f.cfg.Notice, func() { f.tell(n, "SERVING") })
+		f.after(f.cfg.DiscoveryDelay, func() { f.tell(n, "SERVING") })
 	}
 	return nil
 }
 
 // leave ends a node that drains once it has nothing left to do, and discovery's news is old.
 func (f *Fleet) leave(r *running) {
-	for begun := time.Now(); time.Since(begun) < f.cfg.Notice || r.Held() > 0; {
+	for begun := time.Now(); time.Since(begun) < f.cfg.DiscoveryDelay || r.InFlight() > 0; {
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-r.Dead():
--- a/internal/emulator/format_test.go
+++ b/internal/emulator/format_test.go
@@ -10,8 +10,8 @@
 
 // What the stand-in of discovery answers.
 func TestStandInListingFormatIsStable(t *testing.T) {
-	list := listing{Seq: 7, Whole: true, Hosts: []Host{{
-		Host: "upstream-1", Dial: "10.0.0.4:8080", Site: "a", Class: "m", Block: 2, Health: "SERVING", Share: 0.5, BornMS: 1700000000000.5,
+	list := listing{Seq: 7, Whole: true, Hosts: []Endpoint{{
+		Name: "upstream-1", Address: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, Health: "SERVING", TrafficShare: 0.5, StartedAtMS: 1700000000000.5,
 	}}}
 	testutil.Filled(t, list)
 	testutil.ExplicitNames(t, "json", list)
@@ -29,8 +29,8 @@
 // The configuration that the stand-in of the platform gives.
 func TestStandInPlatformFormatIsStable(t *testing.T) {
 	traffic := new(Traffic)
-	traffic.Classes = []TrafficClass{{Name: "look", Effect: "safe", AimMS: 1.5, DeadlineMS: 2.5, Worth: 3.5, LateShare: 0.5}}
-	text, err := Platform(traffic, "127.0.0.1:1", "127.0.0.1:2", "00000000000000ff")
+	traffic.Classes = []TrafficClass{{Name: "look", Effect: "safe", ObjectiveMS: 1.5, DeadlineMS: 2.5, Weight: 3.5, LateWeight: 0.5}}
+	text, err := PlatformConfig(traffic, "127.0.0.1:1", "127.0.0.1:2", "00000000000000ff")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/gqlnode/gqlnode.go
+++ b/internal/emulator/gqlnode/gqlnode.go
@@ -46,13 +46,13 @@
 	schema := gqlparser.MustLoadSchema(&ast.Source{Name: "booking.graphql", Input: SDL})
 	return func(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 		s := &server{node: n, effects: effects, schema: schema, mischief: m, rng: rand.New(rand.NewPCG(n.Seed, 0x67716c))}
-		s.Resetting = emulator.NewResetting(s)
+		s.ResettingServer = emulator.NewResettingServer(s)
 		return s
 	}
 }
 
 type server struct {
-	*emulator.Resetting
+	*emulator.ResettingServer
 	node     *emulator.Node
 	effects  map[string]emulator.Effect
 	schema   *ast.Schema
@@ -70,11 +70,11 @@
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/metrics/load" {
-		fmt.Fprintf(w, "queue=%d", s.node.Held())
+		fmt.Fprintf(w, "queue=%d", s.node.InFlight())
 		return
 	}
-	id := r.Header.Get(emulator.IDName)
-	if _, known := s.effects[r.Header.Get(emulator.ClassName)]; id == "" || !known || !strings.HasSuffix(r.URL.Path, Path) {
+	id := r.Header.Get(emulator.RequestIDHeader)
+	if _, known := s.effects[r.Header.Get(emulator.ClassHeader)]; id == "" || !known || !strings.HasSuffix(r.URL.Path, Path) {
 		http.Error(w, "no such request", http.StatusNotFound)
 		return
 	}
@@ -87,7 +87,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if len(body) == 0 || body[0] != '[' {
-		out, op := s.one(w, r, body, id, r.Header.Get(emulator.KeyName))
+		out, op := s.one(w, r, body, id, r.Header.Get(emulator.IdempotencyKeyHeader))
 		if op != nil {
 			w.Header().Set("Content-Type", "application/graphql-response+json")
 			s.spoil(w, x, op, out)
@@ -133,25 +133,25 @@
 		refuse(w, err.Error())
 		return nil, nil
 	}
-	class := r.Header.Get(emulator.ClassName)
+	class := r.Header.Get(emulator.ClassHeader)
 	effect := s.effects[class]
 	if op.Operation != ast.Mutation {
-		effect = emulator.Safe
+		effect = emulator.Idempotent
 	}
-	j := emulator.Job{ID: id, Class: class, Effect: effect, Key: key, Work: emulator.WorkOf(r.Header.Get(emulator.ExtrasName))}
+	j := emulator.Job{ID: id, Class: class, Effect: effect, IdempotencyKey: key, Work: emulator.WorkFromExtras(r.Header.Get(emulator.ExtrasHeader))}
 	for _, sel := range op.SelectionSet {
 		if f, ok := sel.(*ast.Field); ok {
 			if us, ok := f.ArgumentMap(vars)["work"]; ok {
-				j.Work += emulator.WorkOf(fmt.Sprint("work=", us))
+				j.Work += emulator.WorkFromExtras(fmt.Sprint("work=", us))
 			}
 		}
 	}
 	switch s.node.Do(r.Context(), j) {
-	case emulator.Full, emulator.Drained:
+	case emulator.QueueFull, emulator.Draining:
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return nil, nil
-	case emulator.Lost, emulator.Over, emulator.Broken:
+	case emulator.NodeDied, emulator.ClientDisconnected, emulator.ConnectionBroken:
 		panic(http.ErrAbortHandler)
 	}
 	out, err = json.Marshal(exec.Run(s.schema, doc, op, vars, root{op.Operation, s.node.Name}))
--- a/internal/emulator/gqlnode/traffic.go
+++ b/internal/emulator/gqlnode/traffic.go
@@ -11,10 +11,10 @@
 
 // Classes are those of clients that ask for what Fields maps.
 var Classes = []emulator.TrafficClass{
-	{Name: "look", Effect: "safe", AimMS: 1000, DeadlineMS: 8000, Worth: 1, LateShare: 0.5},
-	{Name: "map", Effect: "safe", AimMS: 1000, DeadlineMS: 8000, Worth: 1, LateShare: 0.5},
-	{Name: "book", Effect: "unsafe", AimMS: 1000, DeadlineMS: 8000, Worth: 1, LateShare: 0.5},
-	{Name: "pay", Effect: "keyed", AimMS: 1000, DeadlineMS: 8000, Worth: 1, LateShare: 0.5},
+	{Name: "look", Effect: "safe", ObjectiveMS: 1000, DeadlineMS: 8000, Weight: 1, LateWeight: 0.5},
+	{Name: "map", Effect: "safe", ObjectiveMS: 1000, DeadlineMS: 8000, Weight: 1, LateWeight: 0.5},
+	{Name: "book", Effect: "unsafe", ObjectiveMS: 1000, DeadlineMS: 8000, Weight: 1, LateWeight: 0.5},
+	{Name: "pay", Effect: "keyed", ObjectiveMS: 1000, DeadlineMS: 8000, Weight: 1, LateWeight: 0.5},
 }
 
 // Operator is an operator's table for them; LISTEN and SCHEMA stand for an address and a file.
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -110,7 +110,7 @@
 
 func (s *server) report(ctx context.Context) {
 	if r := orca.CallMetricsRecorderFromContext(ctx); r != nil {
-		held := float64(s.node.Held())
+		held := float64(s.node.InFlight())
 		r.SetNamedMetric("queue", held)
 		// What weighted_round_robin reads: requests a second over utilisation.
 		r.SetApplicationUtilization(min(1, max(0.01, held/4)))
@@ -128,24 +128,24 @@
 // job runs one on the node, and says why it was not done.
 func (s *server) job(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
-	j := emulator.Job{ID: first(md, emulator.IDName), Class: first(md, emulator.ClassName), Key: first(md, emulator.KeyName),
-		Work: emulator.WorkOf(first(md, emulator.ExtrasName))}
+	j := emulator.Job{ID: first(md, emulator.RequestIDHeader), Class: first(md, emulator.ClassHeader), IdempotencyKey: first(md, emulator.IdempotencyKeyHeader),
+		Work: emulator.WorkFromExtras(first(md, emulator.ExtrasHeader))}
 	effect, known := s.effects[j.Class]
 	if j.ID == "" || !known {
 		return status.Error(codes.InvalidArgument, "no such request")
 	}
 	j.Effect = effect
 	switch s.node.Do(ctx, j) {
-	case emulator.Full, emulator.Drained:
+	case emulator.QueueFull, emulator.Draining:
 		grpc.SetTrailer(ctx, metadata.Pairs(NotRun, "1"))
 		return status.Error(codes.Unavailable, "turned away")
-	case emulator.Lost:
+	case emulator.NodeDied:
 		<-ctx.Done() // the connection is about to be reset: no answer goes out
 		return status.Error(codes.Unavailable, "dying")
-	case emulator.Broken:
+	case emulator.ConnectionBroken:
 		s.cut(ctx)
 		return status.Error(codes.Unavailable, "the connection breaks")
-	case emulator.Over:
+	case emulator.ClientDisconnected:
 		return status.FromContextError(ctx.Err()).Err()
 	}
 	return nil
--- a/internal/emulator/http.go
+++ b/internal/emulator/http.go
@@ -20,14 +20,14 @@
 
 // Names of headers and metadata that stand-ins read.
 const (
-	IDName     = "x-request-id"
-	KeyName    = "idempotency-key"
-	ClassName  = "x-class"
-	ExtrasName = "x-extras" // holds work=MICROSECONDS
+	RequestIDHeader      = "x-request-id"
+	IdempotencyKeyHeader = "idempotency-key"
+	ClassHeader          = "x-class"
+	ExtrasHeader         = "x-extras" // holds work=MICROSECONDS
 )
 
-// WorkOf reads the work that a request brings along in its extras.
-func WorkOf(extras string) time.Duration {
+// WorkFromExtras reads the work that a request brings along in its extras.
+func WorkFromExtras(extras string) time.Duration {
 	for field := range strings.SplitSeq(extras, ",") {
 		if text, ok := strings.CutPrefix(field, "work="); ok {
 			if us, err := strconv.ParseFloat(text, 64); err == nil && us >= 0 && us < 1e9 {
@@ -38,17 +38,17 @@
 	return 0
 }
 
-// Resetting serves a handler until Stop, which resets all connections, as the death of a process does.
-type Resetting struct {
+// ResettingServer serves a handler until Stop, which resets all connections, as the death of a process does.
+type ResettingServer struct {
 	srv *http.Server
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
-// NewResetting makes one.
-func NewResetting(h http.Handler) *Resetting {
-	r := &Resetting{conns: map[net.Conn]bool{}}
+// NewResettingServer makes one.
+func NewResettingServer(h http.Handler) *ResettingServer {
+	r := &ResettingServer{conns: map[net.Conn]bool{}}
 	r.srv = &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ConnState: func(c net.Conn, s http.ConnState) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -63,10 +63,10 @@
 }
 
 // Serve serves until Stop.
-func (r *Resetting) Serve(l net.Listener) error { return r.srv.Serve(l) }
+func (r *ResettingServer) Serve(l net.Listener) error { return r.srv.Serve(l) }
 
 // Stop resets all connections.
-func (r *Resetting) Stop() {
+func (r *ResettingServer) Stop() {
 	r.mu.Lock()
 	for c := range r.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -79,7 +79,7 @@
 
 // HTTP serves a node as the platform's protocol says: HTTP/1.1, the load report at /metrics/load.
 type HTTP struct {
-	*Resetting
+	*ResettingServer
 	node    *Node
 	effects map[string]Effect
 }
@@ -87,17 +87,17 @@
 // NewHTTP makes the server; effects are those of the classes.
 func NewHTTP(n *Node, effects map[string]Effect) *HTTP {
 	h := &HTTP{node: n, effects: effects}
-	h.Resetting = NewResetting(h)
+	h.ResettingServer = NewResettingServer(h)
 	return h
 }
 
 func (h *HTTP) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/metrics/load" {
-		fmt.Fprintf(w, "queue=%d", h.node.Held())
+		fmt.Fprintf(w, "queue=%d", h.node.InFlight())
 		return
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	id := r.Header.Get(IDName)
+	id := r.Header.Get(RequestIDHeader)
 	effect, known := h.effects[class]
 	if id == "" || !known {
 		http.Error(w, "no such request", http.StatusNotFound)
@@ -106,14 +106,14 @@
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
-	j := Job{ID: id, Class: class, Effect: effect, Key: r.Header.Get(KeyName), Work: WorkOf(r.Header.Get(ExtrasName))}
+	j := Job{ID: id, Class: class, Effect: effect, IdempotencyKey: r.Header.Get(IdempotencyKeyHeader), Work: WorkFromExtras(r.Header.Get(ExtrasHeader))}
 	switch h.node.Do(r.Context(), j) {
 	case Done:
 		fmt.Fprintf(w, "%s by %s", id, h.node.Name)
-	case Full, Drained:
+	case QueueFull, Draining:
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Lost, Over, Broken:
+	case NodeDied, ClientDisconnected, ConnectionBroken:
 		panic(http.ErrAbortHandler) // the connection breaks
 	}
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -20,18 +20,18 @@
 
 // The three effects.
 const (
-	Safe Effect = iota
+	Idempotent Effect = iota
 	Keyed
-	Unsafe
+	NonIdempotent
 )
 
 // Job is a request as it reaches a node.
 type Job struct {
-	ID     string // of the request; all attempts of one call carry the same
-	Class  string
-	Effect Effect
-	Key    string // of a keyed one
-	Work   time.Duration
+	ID             string // of the request; all attempts of one call carry the same
+	Class          string
+	Effect         Effect
+	IdempotencyKey string // of a keyed one
+	Work           time.Duration
 }
 
 // Reply says what a node made of a job.
@@ -39,12 +39,12 @@
 
 // The replies.
 const (
-	Done    Reply = iota
-	Full          // turned away unseen: the waiting room is full
-	Drained       // turned away unseen: the node drains
-	Lost          // the node died: no answer goes out
-	Over          // the client has left
-	Broken        // it ran, and its connection breaks before the answer
+	Done               Reply = iota
+	QueueFull                // turned away unseen: the waiting room is full
+	Draining                 // turned away unseen: the node drains
+	NodeDied                 // the node died: no answer goes out
+	ClientDisconnected       // the client has left
+	ConnectionBroken         // it ran, and its connection breaks before the answer
 )
 
 // NodeConfig is a node's machine.
@@ -53,10 +53,10 @@
 	Cell             int
 	Speed            float64       // of its core; a job takes Work / Speed
 	Queue            int           // jobs that may wait; 0: 64
-	ColdFrom         float64       // share of its speed that it starts with, where Warm is set
-	Warm             time.Duration // until it has all of it
-	FallMultiple     float64       // times its present speed that pushes a cold one over, in FallTime; 0: nothing does
-	FallTime         time.Duration
+	InitialCapacity  float64       // share of its speed that it starts with, where Warm is set
+	WarmUp           time.Duration // until it has all of it
+	OverloadMultiple float64       // times its present speed that pushes a cold one over, in FallTime; 0: nothing does
+	OverloadWindow   time.Duration
 	DrainGrace       time.Duration // after its drain was told; what comes later breaks a rule
 	Seed             uint64        // of what chance decides
 }
@@ -65,7 +65,7 @@
 // goroutine.
 type Node struct {
 	NodeConfig
-	ledger *Ledger
+	ledger *RuleChecker
 	born   time.Time // of its process; zero: long ago
 	since  time.Time // when this object was made
 
@@ -89,7 +89,7 @@
 }
 
 // NewNode starts a node; born is when its process started, zero for long ago. ledger is the fleet's.
-func NewNode(c NodeConfig, born time.Time, ledger *Ledger) *Node {
+func NewNode(c NodeConfig, born time.Time, ledger *RuleChecker) *Node {
 	if c.Queue == 0 {
 		c.Queue = 64
 	}
@@ -102,7 +102,7 @@
 // step is how often a job looks at what has become of its node and its client.
 const step = 2 * time.Millisecond
 
-// Do takes a job and returns when it is done, or will not be.
+// RequestFunc takes a job and returns when it is done, or will not be.
 func (n *Node) Do(ctx context.Context, j Job) Reply {
 	now := time.Now()
 	n.mu.Lock()
@@ -110,13 +110,13 @@
 	switch {
 	case n.isDead():
 		n.mu.Unlock()
-		return Lost
+		return NodeDied
 	case !n.told.IsZero():
 		n.mu.Unlock()
-		return Drained
+		return Draining
 	case n.waiting >= n.Queue:
 		n.mu.Unlock()
-		return Full
+		return QueueFull
 	}
 	n.waiting++
 	n.chill(now, j.Work)
@@ -129,9 +129,9 @@
 	select { // runtime hands the core on in order of waiting
 	case <-n.core:
 	case <-ctx.Done():
-		return Over
+		return ClientDisconnected
 	case <-n.dead:
-		return Lost
+		return NodeDied
 	}
 	defer func() { n.core <- struct{}{} }()
 	if !n.ledger.begin(j, n.Zone, time.Now()) {
@@ -156,9 +156,9 @@
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
-			return Over // work stops when its request is cancelled
+			return ClientDisconnected // work stops when its request is cancelled
 		case <-n.dead:
-			return Lost
+			return NodeDied
 		case <-timer.C:
 		}
 		now := time.Now()
@@ -166,7 +166,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if n.breaks > 0 && n.rng.Float64() < n.breaks {
-				return Broken
+				return ConnectionBroken
 			}
 			n.served++
 			return Done
@@ -185,28 +185,28 @@
 
 // warmth is the share of its speed that a node has that started a while ago.
 func (n *Node) warmth(now time.Time) float64 {
-	if n.born.IsZero() || n.Warm == 0 {
+	if n.born.IsZero() || n.WarmUp == 0 {
 		return 1
 	}
-	return min(1, n.ColdFrom+(1-n.ColdFrom)*now.Sub(n.born).Seconds()/n.Warm.Seconds())
+	return min(1, n.InitialCapacity+(1-n.InitialCapacity)*now.Sub(n.born).Seconds()/n.WarmUp.Seconds())
 }
 
 // chill counts what is sent to a cold node, and pushes it over where that is too much. The lock is held.
 func (n *Node) chill(now time.Time, work time.Duration) {
 	w := n.warmth(now)
-	if w >= 1 || n.FallMultiple == 0 {
+	if w >= 1 || n.OverloadMultiple == 0 {
 		n.got = nil
 		return
 	}
 	n.got = append(n.got, arrival{now, work})
-	for len(n.got) > 0 && now.Sub(n.got[0].at) > n.FallTime {
+	for len(n.got) > 0 && now.Sub(n.got[0].at) > n.OverloadWindow {
 		n.got = n.got[1:]
 	}
 	var sum time.Duration
 	for _, a := range n.got {
 		sum += a.work
 	}
-	if sum.Seconds() > n.FallMultiple*n.Speed*w*n.FallTime.Seconds() {
+	if sum.Seconds() > n.OverloadMultiple*n.Speed*w*n.OverloadWindow.Seconds() {
 		n.fallen = true
 		n.die()
 	}
@@ -234,8 +234,8 @@
 	n.mu.Unlock()
 }
 
-// Break makes a share of the jobs end with a connection that breaks after they ran.
-func (n *Node) Break(share float64) {
+// BreakConnections makes a share of the jobs end with a connection that breaks after they ran.
+func (n *Node) BreakConnections(share float64) {
 	n.mu.Lock()
 	n.breaks = share
 	n.mu.Unlock()
@@ -267,8 +267,8 @@
 // Dead is closed when the process has ended.
 func (n *Node) Dead() <-chan struct{} { return n.dead }
 
-// Held is how many jobs wait or run.
-func (n *Node) Held() int {
+// InFlight is how many jobs wait or run.
+func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.waiting
@@ -279,8 +279,8 @@
 // Status is what a node is doing.
 type Status struct {
 	Name, Zone, State string
-	Held, Served      int
-	Warmth            float64
+	InFlight, Served  int
+	CapacityShare     float64
 }
 
 // Status returns it.
@@ -288,7 +288,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	s := Status{Name: n.Name, Zone: n.Zone, State: "serving", Held: n.waiting, Served: n.served, Warmth: n.warmth(now)}
+	s := Status{Name: n.Name, Zone: n.Zone, State: "serving", InFlight: n.waiting, Served: n.served, CapacityShare: n.warmth(now)}
 	switch {
 	case n.fallen:
 		s.State = pushedOver
@@ -302,7 +302,7 @@
 		s.State = "slow"
 	case n.breaks > 0:
 		s.State = "resetting"
-	case s.Warmth < 1:
+	case s.CapacityShare < 1:
 		s.State = "cold"
 	}
 	return s
--- a/internal/emulator/replay.go
+++ b/internal/emulator/replay.go
@@ -10,13 +10,13 @@
 	"hazelwing/internal/load"
 )
 
-// Kind says how a request ended for its client.
-type Kind int
+// Outcome says how a request ended for its client.
+type Outcome int
 
 // The kinds.
 const (
-	Served Kind = iota
-	Refused
+	Served Outcome = iota
+	Rejected
 	Failed
 	Unanswered // no final answer in the client's time
 )
@@ -24,13 +24,13 @@
 // Grace is how long after the client's time a final answer still counts as one on sockets.
 const Grace = 70 * time.Millisecond
 
-// Do carries out one request as a client; n tells it from all others. The context's deadline is the end of the client's
+// RequestFunc carries out one request as a client; n tells it from all others. The context's deadline is the end of the client's
 // patience.
-type Do func(ctx context.Context, n int, c TrafficClass, r Request) Kind
+type RequestFunc func(ctx context.Context, n int, c TrafficClass, r Request) Outcome
 
 // Report is what became of recorded traffic.
 type Report struct {
-	Asked, Served, InTime, Refused, Failed, Unanswered int
+	Sent, Served, WithinObjective, Rejected, Failed, Unanswered int
 
 	Service        float64       // worth answered in time, or late at a share, over the worth asked for
 	P50, P99, P999 time.Duration // of all requests, whatever their end
@@ -51,7 +51,7 @@
 
 // Replay plays traffic at its own pace, whatever the answers do, and returns when all have come. An answer that comes
 // later than grace after its client's time is none. Worth counts by unit of work, as booking sites do.
-func Replay(ctx context.Context, t *Traffic, grace time.Duration, do Do) *Report {
+func Replay(ctx context.Context, t *Traffic, grace time.Duration, do RequestFunc) *Report {
 	r := &Report{grace: grace, took: load.NewHistogram(), served: load.NewHistogram()}
 	classes := map[string]TrafficClass{}
 	for _, c := range t.Classes {
@@ -68,12 +68,12 @@
 		r.one(ctx, n, classes[q.Class], q, intended, do)
 	}, func(n int, intended time.Time) {
 		q := t.Requests[n]
-		r.one(ctx, n, classes[q.Class], q, intended, func(context.Context, int, TrafficClass, Request) Kind { return Unanswered })
+		r.one(ctx, n, classes[q.Class], q, intended, func(context.Context, int, TrafficClass, Request) Outcome { return Unanswered })
 	})
 	return r.close()
 }
 
-func (r *Report) one(ctx context.Context, n int, c TrafficClass, q Request, came time.Time, do Do) {
+func (r *Report) one(ctx context.Context, n int, c TrafficClass, q Request, came time.Time, do RequestFunc) {
 	patience := time.Duration(c.DeadlineMS * float64(time.Millisecond))
 	ctx, cancel := context.WithDeadline(ctx, came.Add(patience))
 	defer cancel()
@@ -82,24 +82,24 @@
 	if took > patience+r.grace {
 		kind = Unanswered
 	}
-	worth := c.Worth * q.WorkUS
+	worth := c.Weight * q.WorkUS
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Asked++
+	r.Sent++
 	r.worth += worth
 	r.took.Add(took)
 	switch kind {
 	case Served:
 		r.Served++
 		r.served.Add(took)
-		if took.Seconds()*1000 <= c.AimMS {
-			r.InTime++
+		if took.Seconds()*1000 <= c.ObjectiveMS {
+			r.WithinObjective++
 			r.won += worth
 		} else if took <= patience {
-			r.won += worth * c.LateShare
+			r.won += worth * c.LateWeight
 		}
-	case Refused:
-		r.Refused++
+	case Rejected:
+		r.Rejected++
 	case Failed:
 		r.Failed++
 	case Unanswered:
@@ -119,6 +119,6 @@
 
 func (r *Report) String() string {
 	return fmt.Sprintf("service %.4f, %d asked: %d served (%d in time), %d refused, %d failed, %d unanswered; p50 %v, p99 %v, p99.9 %v",
-		r.Service, r.Asked, r.Served, r.InTime, r.Refused, r.Failed, r.Unanswered,
+		r.Service, r.Sent, r.Served, r.WithinObjective, r.Rejected, r.Failed, r.Unanswered,
 		r.P50.Round(100*time.Microsecond), r.P99.Round(100*time.Microsecond), r.P999.Round(100*time.Microsecond))
 }
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -12,11 +12,11 @@
 
 // Fault is one line of a fault script.
 type Fault struct {
-	At    time.Duration
-	Verb  string // slow, pause, reset, drain, crash, restart
-	Node  string
-	Times float64       // slow: so many times slower; reset: share of the answers
-	For   time.Duration // slow, reset: until it ends; pause: how long
+	At       time.Duration
+	Verb     string // slow, pause, reset, drain, crash, restart
+	Node     string
+	Factor   float64       // slow: so many times slower; reset: share of the answers
+	Duration time.Duration // slow, reset: until it ends; pause: how long
 }
 
 // ReadScript reads a fault script, a line a fault:
@@ -65,17 +65,17 @@
 		return f, fmt.Errorf("%s takes %d more words, not %d", f.Verb, args, len(w)-3)
 	}
 	if f.Verb == "slow" {
-		if f.Times, err = strconv.ParseFloat(w[3], 64); err != nil || !(f.Times >= 1) || f.Times > 1e6 {
+		if f.Factor, err = strconv.ParseFloat(w[3], 64); err != nil || !(f.Factor >= 1) || f.Factor > 1e6 {
 			return f, fmt.Errorf("%q is no factor of 1 or more", w[3])
 		}
 	}
 	if f.Verb == "reset" {
-		if f.Times, err = strconv.ParseFloat(w[3], 64); err != nil || !(f.Times > 0) || f.Times > 1 {
+		if f.Factor, err = strconv.ParseFloat(w[3], 64); err != nil || !(f.Factor > 0) || f.Factor > 1 {
 			return f, fmt.Errorf("%q is no share above 0 and up to 1", w[3])
 		}
 	}
 	if args > 0 {
-		if f.For, err = time.ParseDuration(w[len(w)-1]); err != nil || f.For <= 0 {
+		if f.Duration, err = time.ParseDuration(w[len(w)-1]); err != nil || f.Duration <= 0 {
 			return f, fmt.Errorf("%q is no time", w[len(w)-1])
 		}
 	}
--- a/internal/emulator/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -18,8 +18,8 @@
 	if err != nil || len(list) != 5 {
 		t.Fatalf("%v, %v", list, err)
 	}
-	if list[0] != (Fault{At: 2 * time.Second, Verb: "slow", Node: "n1", Times: 8, For: 3 * time.Second}) ||
-		list[1] != (Fault{At: 3 * time.Second, Verb: "pause", Node: "n2", For: 400 * time.Millisecond}) {
+	if list[0] != (Fault{At: 2 * time.Second, Verb: "slow", Node: "n1", Factor: 8, Duration: 3 * time.Second}) ||
+		list[1] != (Fault{At: 3 * time.Second, Verb: "pause", Node: "n2", Duration: 400 * time.Millisecond}) {
 		t.Errorf("%+v", list)
 	}
 	for text, want := range map[string]string{
@@ -76,51 +76,51 @@
 }
 
 func job(id string, e Effect) Job {
-	return Job{ID: id, Class: "c", Effect: e, Key: "k" + id, Work: time.Millisecond}
+	return Job{ID: id, Class: "c", Effect: e, IdempotencyKey: "k" + id, Work: time.Millisecond}
 }
 
 // The ledger sees what the rules forbid: without that every test that looks at it would pass.
 func TestLedgerSeesBrokenRules(t *testing.T) {
 	ctx := t.Context()
 	for name, c := range map[string]struct {
-		do   func(l *Ledger)
+		do   func(l *RuleChecker)
 		want string
 	}{
-		"unsafe twice": {func(l *Ledger) {
+		"unsafe twice": {func(l *RuleChecker) {
 			a, b := NewNode(NodeConfig{Name: "a", Speed: 1}, time.Time{}, l), NewNode(NodeConfig{Name: "b", Speed: 1}, time.Time{}, l)
-			a.Do(ctx, job("1", Unsafe))
-			b.Do(ctx, job("1", Unsafe))
+			a.Do(ctx, job("1", NonIdempotent))
+			b.Do(ctx, job("1", NonIdempotent))
 		}, "ran 2 times"},
-		"keyed in two zones": {func(l *Ledger) {
+		"keyed in two zones": {func(l *RuleChecker) {
 			a, b := NewNode(NodeConfig{Name: "a", Zone: "a", Speed: 1}, time.Time{}, l), NewNode(NodeConfig{Name: "b", Zone: "b", Speed: 1}, time.Time{}, l)
 			a.Do(ctx, job("1", Keyed))
 			b.Do(ctx, job("1", Keyed))
 		}, "with key k1 ran 2 times"},
-		"keyed in one": {func(l *Ledger) {
+		"keyed in one": {func(l *RuleChecker) {
 			a, b := NewNode(NodeConfig{Name: "a", Zone: "a", Speed: 1}, time.Time{}, l), NewNode(NodeConfig{Name: "b", Zone: "a", Speed: 1}, time.Time{}, l)
 			a.Do(ctx, job("1", Keyed))
 			if b.Do(ctx, job("1", Keyed)) != Done {
-				l.Break("the repeat was not answered")
+				l.ReportViolation("the repeat was not answered")
 			}
 		}, ""},
-		"safe twice": {func(l *Ledger) {
+		"safe twice": {func(l *RuleChecker) {
 			a := NewNode(NodeConfig{Name: "a", Speed: 1}, time.Time{}, l)
-			a.Do(ctx, job("1", Safe))
-			a.Do(ctx, job("1", Safe))
+			a.Do(ctx, job("1", Idempotent))
+			a.Do(ctx, job("1", Idempotent))
 		}, ""},
-		"after a drain": {func(l *Ledger) {
+		"after a drain": {func(l *RuleChecker) {
 			a := NewNode(NodeConfig{Name: "a", Speed: 1, DrainGrace: time.Millisecond}, time.Time{}, l)
 			a.Drain()
-			if a.Do(ctx, job("1", Safe)) != Drained {
-				l.Break("it was not turned away")
+			if a.Do(ctx, job("1", Idempotent)) != Draining {
+				l.ReportViolation("it was not turned away")
 			}
 			time.Sleep(defaultSlack + 5*time.Millisecond)
-			a.Do(ctx, job("2", Safe))
+			a.Do(ctx, job("2", Idempotent))
 		}, "after its drain was told"},
 	} {
-		l := NewLedger()
+		l := NewRuleChecker()
 		c.do(l)
-		got := strings.Join(l.Broken(), "; ")
+		got := strings.Join(l.Violations(), "; ")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) || strings.Count(got, ";") > 0 {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
@@ -129,16 +129,16 @@
 
 // A cold node that is sent too much falls over, and stays down.
 func TestColdNodeFallsOver(t *testing.T) {
-	c := NodeConfig{Name: "a", Speed: 1, ColdFrom: 0.3, Warm: 1000 * time.Hour, FallMultiple: 3, FallTime: time.Minute, Queue: 1000}
-	n := NewNode(c, time.Now(), NewLedger())
+	c := NodeConfig{Name: "a", Speed: 1, InitialCapacity: 0.3, WarmUp: 1000 * time.Hour, OverloadMultiple: 3, OverloadWindow: time.Minute, Queue: 1000}
+	n := NewNode(c, time.Now(), NewRuleChecker())
 	for i := range 9 { // 54 s of work in less than a minute: 3 x 0.3 allow it
 		go n.Do(t.Context(), Job{ID: fmt.Sprint(i), Work: 6 * time.Second})
 	}
-	testutil.Until(t, "the jobs", func() bool { return n.Held() == 9 })
+	testutil.Until(t, "the jobs", func() bool { return n.InFlight() == 9 })
 	if s := n.Status(); s.State != "cold" {
 		t.Errorf("it is %s", s.State)
 	}
-	if got := n.Do(t.Context(), Job{ID: "one more", Work: 3 * time.Second}); got != Lost {
+	if got := n.Do(t.Context(), Job{ID: "one more", Work: 3 * time.Second}); got != NodeDied {
 		t.Errorf("one more: %v", got)
 	}
 	if s := n.Status(); s.State != pushedOver {
@@ -148,7 +148,7 @@
 
 // A node works at its speed, one job at a time, and not for those who left.
 func TestNodeWorks(t *testing.T) {
-	n := NewNode(NodeConfig{Name: "a", Speed: 2, Queue: 2}, time.Time{}, NewLedger())
+	n := NewNode(NodeConfig{Name: "a", Speed: 2, Queue: 2}, time.Time{}, NewRuleChecker())
 	begun := time.Now()
 	if n.Do(t.Context(), Job{ID: "1", Work: 100 * time.Millisecond}) != Done || time.Since(begun) < 45*time.Millisecond {
 		t.Errorf("100 ms of work at twice the speed took %v", time.Since(begun))
@@ -164,18 +164,18 @@
 	for i := range 2 {
 		go func() { replies <- n.Do(ctx, Job{ID: fmt.Sprint("w", i), Work: time.Millisecond}) }()
 	}
-	testutil.Until(t, "two that wait", func() bool { return n.Held() == 2 })
-	if got := n.Do(t.Context(), Job{ID: "3"}); got != Full {
+	testutil.Until(t, "two that wait", func() bool { return n.InFlight() == 2 })
+	if got := n.Do(t.Context(), Job{ID: "3"}); got != QueueFull {
 		t.Errorf("beyond the waiting room: %v", got)
 	}
 	leave()
 	for range 2 {
-		if got := testutil.Receive(t, replies, "the reply"); got != Over {
+		if got := testutil.Receive(t, replies, "the reply"); got != ClientDisconnected {
 			t.Errorf("for a client that left: %v", got)
 		}
 	}
 	n.Die()
-	if got := n.Do(t.Context(), Job{ID: "4"}); got != Lost {
+	if got := n.Do(t.Context(), Job{ID: "4"}); got != NodeDied {
 		t.Errorf("after its death: %v", got)
 	}
 }
@@ -187,11 +187,11 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	d.Set(Host{Host: "a", Health: "SERVING"})
-	d.Set(Host{Host: "b", Health: "SERVING"})
-	d.Set(Host{Host: "a", Health: "DELETED"})
+	d.Set(Endpoint{Name: "a", Health: "SERVING"})
+	d.Set(Endpoint{Name: "b", Health: "SERVING"})
+	d.Set(Endpoint{Name: "a", Health: "DELETED"})
 	get := func(query string, n int) string {
-		ctx, stop := context.WithTimeout(t.Context(), testutil.Patience)
+		ctx, stop := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 		defer stop()
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr()+"/discovery/hosts"+query, nil)
 		resp, err := http.DefaultClient.Do(req)
--- a/internal/emulator/stored_test.go
+++ b/internal/emulator/stored_test.go
@@ -22,14 +22,14 @@
 		t.Fatal(err)
 	}
 	if tr.Format != "hazelwing-traffic" || tr.Version != 1 || !slices.Equal(tr.Classes, BookingClasses) || len(tr.Requests) != 35 {
-		t.Errorf("head %+v, %d requests", tr.Head, len(tr.Requests))
+		t.Errorf("head %+v, %d requests", tr.TrafficHeader, len(tr.Requests))
 	}
-	first := Request{AtMS: 64.232, Class: "seat-search", Key: "u131", WorkUS: 11858, HintUS: 9239}
+	first := Request{AtMS: 64.232, Class: "seat-search", AffinityKey: "u131", WorkUS: 11858, ExpectedWorkUS: 9239}
 	if got := tr.Requests[0]; got != first || got.At() != 64232*time.Microsecond {
 		t.Errorf("the first is %+v, want %+v", got, first)
 	}
 	for i, q := range tr.Requests {
-		if q.Key == "" || q.WorkUS <= 0 || q.HintUS <= 0 || tr.Effects()[q.Class] != effectNames[map[string]string{
+		if q.AffinityKey == "" || q.WorkUS <= 0 || q.ExpectedWorkUS <= 0 || tr.Effects()[q.Class] != effectNames[map[string]string{
 			"seat-search": "safe", "coach-map": "safe", "confirm-booking": "unsafe", "payment-record": "keyed"}[q.Class]] {
 			t.Errorf("request %d: %+v", i+1, q)
 		}
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -15,8 +15,8 @@
 // Recorded traffic is a file of JSON objects, a line each: first a Head, then a Request for each that a client made,
 // in order of time. Its page is docs/operators/traffic.md.
 
-// Head is the first line of recorded traffic.
-type Head struct {
+// TrafficHeader is the first line of recorded traffic.
+type TrafficHeader struct {
 	Format  string         `json:"format"` // "hazelwing-traffic"
 	Version int            `json:"version"`
 	Classes []TrafficClass `json:"classes"`
@@ -24,21 +24,21 @@
 
 // TrafficClass is a class of requests as clients know it.
 type TrafficClass struct {
-	Name       string  `json:"name"`
-	Effect     string  `json:"effect"` // safe, keyed, unsafe
-	AimMS      float64 `json:"aim_ms"`
-	DeadlineMS float64 `json:"deadline_ms"`
-	Worth      float64 `json:"worth"`
-	LateShare  float64 `json:"late_share"` // of the worth, for an answer after the aim
+	Name        string  `json:"name"`
+	Effect      string  `json:"effect"` // safe, keyed, unsafe
+	ObjectiveMS float64 `json:"aim_ms"`
+	DeadlineMS  float64 `json:"deadline_ms"`
+	Weight      float64 `json:"worth"`
+	LateWeight  float64 `json:"late_share"` // of the worth, for an answer after the aim
 }
 
 // Request is one that a client made.
 type Request struct {
-	AtMS   float64 `json:"at_ms"` // since the recording began
-	Class  string  `json:"class"`
-	Key    string  `json:"key,omitempty"` // what it is about
-	WorkUS float64 `json:"work_us"`       // at speed 1
-	HintUS float64 `json:"hint_us,omitempty"`
+	AtMS           float64 `json:"at_ms"` // since the recording began
+	Class          string  `json:"class"`
+	AffinityKey    string  `json:"key,omitempty"` // what it is about
+	WorkUS         float64 `json:"work_us"`       // at speed 1
+	ExpectedWorkUS float64 `json:"hint_us,omitempty"`
 }
 
 // At is when it was made, since the recording began.
@@ -46,7 +46,7 @@
 
 // Traffic is a recording.
 type Traffic struct {
-	Head
+	TrafficHeader
 	Requests []Request
 }
 
@@ -58,7 +58,7 @@
 	longestLine = 64 << 10
 )
 
-var effectNames = map[string]Effect{"safe": Safe, "keyed": Keyed, "unsafe": Unsafe}
+var effectNames = map[string]Effect{"safe": Idempotent, "keyed": Keyed, "unsafe": NonIdempotent}
 
 // Effects are those of the classes.
 func (t *Traffic) Effects() map[string]Effect {
@@ -82,7 +82,7 @@
 	out := bufio.NewWriter(w)
 	enc := json.NewEncoder(out)
 	t.Format, t.Version = trafficFormat, trafficVersion
-	err := enc.Encode(t.Head)
+	err := enc.Encode(t.TrafficHeader)
 	for i := 0; i < len(t.Requests) && err == nil; i++ {
 		err = enc.Encode(t.Requests[i])
 	}
@@ -114,10 +114,10 @@
 	for lines.Scan() {
 		n++
 		if n == 1 {
-			if err := json.Unmarshal(lines.Bytes(), &t.Head); err != nil {
+			if err := json.Unmarshal(lines.Bytes(), &t.TrafficHeader); err != nil {
 				return fault(err)
 			}
-			if err := t.Head.check(known); err != nil {
+			if err := t.TrafficHeader.check(known); err != nil {
 				return fault(err)
 			}
 			continue
@@ -129,7 +129,7 @@
 		switch last := len(t.Requests) - 1; {
 		case !known[q.Class]:
 			return fault(fmt.Errorf("class %q is not in the head", q.Class))
-		case !usable(q.AtMS), !usable(q.WorkUS), !usable(q.HintUS):
+		case !usable(q.AtMS), !usable(q.WorkUS), !usable(q.ExpectedWorkUS):
 			return fault(errors.New("at_ms, work_us or hint_us is negative or too large"))
 		case last >= 0 && q.AtMS < t.Requests[last].AtMS:
 			return fault(fmt.Errorf("at_ms %v is before the line above", q.AtMS))
@@ -151,13 +151,13 @@
 
 func usable(x float64) bool { return x >= 0 && x < 1e12 }
 
-func (h *Head) check(known map[string]bool) error {
+func (h *TrafficHeader) check(known map[string]bool) error {
 	if h.Format != trafficFormat || h.Version != trafficVersion {
 		return fmt.Errorf("format %q, version %d: want %q, version %d", h.Format, h.Version, trafficFormat, trafficVersion)
 	}
 	for _, c := range h.Classes {
 		_, effect := effectNames[c.Effect]
-		if c.Name == "" || known[c.Name] || !effect || !(c.AimMS > 0) || !(c.DeadlineMS > 0) || !(c.Worth >= 0) || !(c.LateShare >= 0) {
+		if c.Name == "" || known[c.Name] || !effect || !(c.ObjectiveMS > 0) || !(c.DeadlineMS > 0) || !(c.Weight >= 0) || !(c.LateWeight >= 0) {
 			return fmt.Errorf("class %q: a name of its own, an effect, aim_ms, deadline_ms, worth and late_share are wanted", c.Name)
 		}
 		known[c.Name] = true
@@ -167,17 +167,17 @@
 
 // BookingClasses are like those of a booking site, ten times as fast.
 var BookingClasses = []TrafficClass{
-	{Name: "seat-search", Effect: "safe", AimMS: 80, DeadlineMS: 400, Worth: 3, LateShare: 0.3},
-	{Name: "coach-map", Effect: "safe", AimMS: 60, DeadlineMS: 400, Worth: 3, LateShare: 0.3},
-	{Name: "confirm-booking", Effect: "unsafe", AimMS: 120, DeadlineMS: 600, Worth: 10, LateShare: 0.5},
-	{Name: "payment-record", Effect: "keyed", AimMS: 250, DeadlineMS: 600, Worth: 8, LateShare: 0.3},
+	{Name: "seat-search", Effect: "safe", ObjectiveMS: 80, DeadlineMS: 400, Weight: 3, LateWeight: 0.3},
+	{Name: "coach-map", Effect: "safe", ObjectiveMS: 60, DeadlineMS: 400, Weight: 3, LateWeight: 0.3},
+	{Name: "confirm-booking", Effect: "unsafe", ObjectiveMS: 120, DeadlineMS: 600, Weight: 10, LateWeight: 0.5},
+	{Name: "payment-record", Effect: "keyed", ObjectiveMS: 250, DeadlineMS: 600, Weight: 8, LateWeight: 0.3},
 }
 
 // Generate draws traffic of BookingClasses: rate requests a second on average, for a while, as Poisson arrivals with
 // works of a lognormal kind. The same seed gives the same traffic.
 func Generate(seed uint64, rate float64, length time.Duration) *Traffic {
 	rng := rand.New(rand.NewPCG(seed, 0x7261696c))
-	t := &Traffic{Head: Head{Classes: BookingClasses}}
+	t := &Traffic{TrafficHeader: TrafficHeader{Classes: BookingClasses}}
 	share := []float64{0.40, 0.70, 0.91, 1}
 	mean := []float64{10500, 11500, 18000, 19000} // µs
 	for at := rng.ExpFloat64() / rate; at < length.Seconds(); at += rng.ExpFloat64() / rate {
@@ -188,7 +188,7 @@
 		const sigma = 0.5
 		work := mean[i] * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 		t.Requests = append(t.Requests, Request{AtMS: math.Round(at*1e6) / 1e3, Class: BookingClasses[i].Name,
-			Key: fmt.Sprintf("u%d", rng.IntN(500)), WorkUS: math.Round(work), HintUS: math.Round(work * math.Exp(0.2*rng.NormFloat64()))})
+			AffinityKey: fmt.Sprintf("u%d", rng.IntN(500)), WorkUS: math.Round(work), ExpectedWorkUS: math.Round(work * math.Exp(0.2*rng.NormFloat64()))})
 	}
 	return t
 }
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -69,7 +69,7 @@
 func TestPermitEndsWithTheWindow(t *testing.T) {
 	const window = 200 * time.Millisecond
 	set := testSettings()
-	set.Classes = append(set.Classes, balancer.Class{Name: "pay", LatencyObjective: testutil.Patience, Deadline: testutil.Patience,
+	set.Classes = append(set.Classes, balancer.Class{Name: "pay", LatencyObjective: testutil.WaitTimeout, Deadline: testutil.WaitTimeout,
 		Effect: balancer.Keyed, IdempotencyScope: balancer.ScopeAll, IdempotencyWindow: window})
 	f := newFake()
 	e := idle(t, f, set, 3)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -89,9 +89,9 @@
 func testSettings() balancer.Settings {
 	return balancer.Settings{MustSubscribe: true, Tick: time.Millisecond, MaxAttempts: 3, Hedging: true, Cancellation: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, Classes: []balancer.Class{
-			{Name: "look", LatencyObjective: testutil.Patience, Deadline: testutil.Patience},
-			{Name: "book", LatencyObjective: testutil.Patience, Deadline: testutil.Patience, Effect: balancer.NonIdempotent},
-			{Name: "follow", LatencyObjective: testutil.Patience, Deadline: testutil.Patience, Stream: true}}}
+			{Name: "look", LatencyObjective: testutil.WaitTimeout, Deadline: testutil.WaitTimeout},
+			{Name: "book", LatencyObjective: testutil.WaitTimeout, Deadline: testutil.WaitTimeout, Effect: balancer.NonIdempotent},
+			{Name: "follow", LatencyObjective: testutil.WaitTimeout, Deadline: testutil.WaitTimeout, Stream: true}}}
 }
 
 // fleet is n members.
@@ -133,7 +133,7 @@
 }
 
 func newCall(id, class string) *Call {
-	return &Call{ID: id, Class: class, ExpiresAt: time.Now().Add(testutil.Patience), reply: make(chan Result, 1), begun: none}
+	return &Call{ID: id, Class: class, ExpiresAt: time.Now().Add(testutil.WaitTimeout), reply: make(chan Result, 1), begun: none}
 }
 
 func do(e *Engine, ctx context.Context, c *Call) chan Result {
@@ -233,7 +233,7 @@
 	c := newCall("1", "follow")
 	e.event(c)
 	x := testutil.Receive(t, f.sent, "the attempt")
-	e.send(&balancer.Action{ID: "1", Endpoint: "m1", Timeout: testutil.Patience})
+	e.send(&balancer.Action{ID: "1", Endpoint: "m1", Timeout: testutil.WaitTimeout})
 	y := testutil.Receive(t, f.sent, "the copy")
 	y.begin <- "stream"
 	testutil.Until(t, "its beginning", func() bool { return len(e.events) == 1 })
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -69,7 +69,7 @@
 	x.end <- Outcome{Result: balancer.OK, Final: true, Elapsed: 10 * ms}
 	testutil.Until(t, "the outcome", func() bool { return len(e.events) > 0 })
 	e.look()
-	e.stalls.settled = time.Now().Add(testutil.Patience) // however slow this machine is
+	e.stalls.settled = time.Now().Add(testutil.WaitTimeout) // however slow this machine is
 	for len(c.reply) == 0 {
 		e.step(nil)
 	}
--- a/internal/front/graphqlfront/front_test.go
+++ b/internal/front/graphqlfront/front_test.go
@@ -365,7 +365,7 @@
 	f := flights{list: map[string]*flight{}}
 	gone, leave := context.WithCancel(t.Context())
 	hold := make(chan struct{})
-	end := time.Now().Add(testutil.Patience)
+	end := time.Now().Add(testutil.WaitTimeout)
 	here := func() bool { return false }
 	first, shared := f.join("k", end, here, func(context.Context, func() bool) (plan.Outcome, bool) {
 		<-hold
--- a/internal/front/graphqlfront/leave_test.go
+++ b/internal/front/graphqlfront/leave_test.go
@@ -127,7 +127,7 @@
 // Who joins in the instant in which all others have left does not take over their end: he asks anew.
 func TestJoiningWhatEndsForNobody(t *testing.T) {
 	f := flights{list: map[string]*flight{}}
-	end := time.Now().Add(testutil.Patience)
+	end := time.Now().Add(testutil.WaitTimeout)
 	here, gone := func() bool { return false }, func() bool { return true }
 	looked, let := make(chan bool), make(chan bool)
 	_, _ = f.join("k", end, gone, func(_ context.Context, left func() bool) (plan.Outcome, bool) {
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -26,9 +26,9 @@
 
 // testClasses has a class of each effect.
 var testClasses = []balancer.Class{
-	{Name: "look", Deadline: testutil.Patience},
-	{Name: "book", Deadline: testutil.Patience, Effect: balancer.NonIdempotent},
-	{Name: "pay", Deadline: testutil.Patience, Effect: balancer.Keyed},
+	{Name: "look", Deadline: testutil.WaitTimeout},
+	{Name: "book", Deadline: testutil.WaitTimeout, Effect: balancer.NonIdempotent},
+	{Name: "pay", Deadline: testutil.WaitTimeout, Effect: balancer.Keyed},
 }
 
 // testMinOpen is how long a front that stops accepts connections here: long enough for a slow machine.
@@ -68,7 +68,7 @@
 		url:    "http://" + l.Addr().String(),
 		stop:   stop,
 		served: make(chan error, 1),
-		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.Patience},
+		client: &http.Client{Transport: &http.Transport{}, Timeout: testutil.WaitTimeout},
 	}
 	s := New(d, testClasses)
 	s.minOpenTime = testMinOpen
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testutil.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn
@@ -512,7 +512,7 @@
 	if err := testutil.Receive(t, r.served, "the end of Serve"); err != nil {
 		t.Error(err)
 	}
-	if _, err := net.DialTimeout("tcp", strings.TrimPrefix(r.url, "http://"), testutil.Patience); err == nil {
+	if _, err := net.DialTimeout("tcp", strings.TrimPrefix(r.url, "http://"), testutil.WaitTimeout); err == nil {
 		t.Error("still listening")
 	}
 }
--- a/internal/idempotency/middleware/harness_test.go
+++ b/internal/idempotency/middleware/harness_test.go
@@ -19,19 +19,19 @@
 var testClasses = []balancer.Class{
 	{
 		Name:             "look",
-		LatencyObjective: testutil.Patience,
-		Deadline:         testutil.Patience,
+		LatencyObjective: testutil.WaitTimeout,
+		Deadline:         testutil.WaitTimeout,
 	},
 	{
 		Name:             "book",
-		LatencyObjective: testutil.Patience,
-		Deadline:         testutil.Patience,
+		LatencyObjective: testutil.WaitTimeout,
+		Deadline:         testutil.WaitTimeout,
 		Effect:           balancer.NonIdempotent,
 	},
 	{
 		Name:              "pay",
-		LatencyObjective:  testutil.Patience,
-		Deadline:          testutil.Patience,
+		LatencyObjective:  testutil.WaitTimeout,
+		Deadline:          testutil.WaitTimeout,
 		Effect:            balancer.Keyed,
 		IdempotencyScope:  balancer.ScopeZone,
 		IdempotencyWindow: 6 * time.Second,
@@ -210,7 +210,7 @@
 		ID:             fmt.Sprint("id", p.requests, "-", time.Now().UnixNano()),
 		Class:          class,
 		IdempotencyKey: key,
-		ExpiresAt:      time.Now().Add(testutil.Patience),
+		ExpiresAt:      time.Now().Add(testutil.WaitTimeout),
 	}
 	go func() { done <- p.doer.Do(context.Background(), c) }()
 	return done
@@ -225,7 +225,7 @@
 		ID:             "1",
 		Class:          "book",
 		IdempotencyKey: "k",
-		ExpiresAt:      time.Now().Add(testutil.Patience),
+		ExpiresAt:      time.Now().Add(testutil.WaitTimeout),
 	}
 	go func() { done <- p.doer.Do(ctx, c) }()
 	return done, disconnect
--- a/internal/idempotency/middleware/middleware_test.go
+++ b/internal/idempotency/middleware/middleware_test.go
@@ -32,7 +32,7 @@
 		p.wantResult(p.send("book", "k"), engine.Failed, "a repeat after it")
 		open := p.send("book", "other")
 		p.nextAttempt()
-		killed := fs.Killed()
+		killed := fs.AfterKill()
 		p.stop()
 		p.wantResult(open, engine.Failed, "the request in flight at the end of the program")
 
@@ -63,7 +63,7 @@
 	p := startProgram(t, m, fs, nil)
 	first := p.send("pay", "k")
 	zone := p.nextAttempt().endpoint
-	killed := fs.Killed()
+	killed := fs.AfterKill()
 	p.stop()
 	p.wantResult(first, engine.Failed, "the request in flight at the end of the program")
 	for range 10 { // a random choice would find another zone
@@ -78,7 +78,7 @@
 			a.outcome <- engine.Outcome{Result: balancer.Overloaded}
 		}
 		p.wantResult(again, engine.Failed, "rejected there: the first may have run, so the repeat is not rejected")
-		killed = fs.Killed()
+		killed = fs.AfterKill()
 		p.stop()
 	}
 	m.pass(6*time.Second, -time.Minute)
@@ -94,7 +94,7 @@
 func TestSlowSync(t *testing.T) {
 	fs := faultfs.New()
 	p := startProgram(t, newMachine(), fs, nil)
-	fs.Set(func(f *faultfs.FS) { f.SyncTime = 2 * time.Second })
+	fs.Update(func(f *faultfs.FS) { f.SyncTime = 2 * time.Second })
 	start := time.Now()
 	booking := p.send("book", "k")
 	const others = 600
@@ -110,7 +110,7 @@
 	if len(booking) > 0 {
 		t.Fatal("answered without a durable intent")
 	}
-	fs.Set(func(f *faultfs.FS) { f.SyncTime = 0 })
+	fs.Update(func(f *faultfs.FS) { f.SyncTime = 0 })
 	if a := p.nextAttempt(); time.Since(start) < 2*time.Second {
 		t.Errorf("sent after %v", time.Since(start))
 	} else {
@@ -126,7 +126,7 @@
 func TestDisconnectDuringWrite(t *testing.T) {
 	fs := faultfs.New()
 	p := startProgram(t, newMachine(), fs, nil)
-	fs.Set(func(f *faultfs.FS) { f.SyncTime = 200 * time.Millisecond })
+	fs.Update(func(f *faultfs.FS) { f.SyncTime = 200 * time.Millisecond })
 	done, disconnect := p.sendDisconnecting()
 	testutil.Until(t, "its intent", func() bool { return p.deduplicator.Status().Open == 1 })
 	disconnect()
@@ -138,12 +138,12 @@
 	if len(p.transport.sent) > 0 {
 		t.Error("it was sent")
 	}
-	fs.Set(func(f *faultfs.FS) { f.SyncTime = 0 })
+	fs.Update(func(f *faultfs.FS) { f.SyncTime = 0 })
 	again := p.send("book", "k")
 	p.nextAttempt().answer()
 	p.wantResult(again, engine.Served, "a repeat")
 	p.stop()
-	p = startProgram(t, newMachine(), fs.Killed(), nil)
+	p = startProgram(t, newMachine(), fs.AfterKill(), nil)
 	if s := p.deduplicator.Status(); s.Remembered != 1 || s.RestoredOpen != 0 {
 		t.Errorf("%+v", s)
 	}
@@ -154,7 +154,7 @@
 func TestDisconnectDuringOtherSync(t *testing.T) {
 	fs := faultfs.New()
 	p := startProgram(t, newMachine(), fs, nil)
-	fs.Set(func(f *faultfs.FS) { f.SyncTime = 200 * time.Millisecond })
+	fs.Update(func(f *faultfs.FS) { f.SyncTime = 200 * time.Millisecond })
 	first := p.send("book", "first")
 	testutil.Until(t, "the first intent", func() bool { return p.deduplicator.Status().Open == 1 })
 	done, disconnect := p.sendDisconnecting()
@@ -176,10 +176,10 @@
 func TestWriteFailure(t *testing.T) {
 	for name, fail := range map[string]func(fs *faultfs.FS, fails bool){
 		"full": func(fs *faultfs.FS, fails bool) {
-			fs.Set(func(f *faultfs.FS) { f.Space = map[bool]int64{true: 0, false: -1}[fails] })
+			fs.Update(func(f *faultfs.FS) { f.Capacity = map[bool]int64{true: 0, false: -1}[fails] })
 		},
 		"sync": func(fs *faultfs.FS, fails bool) {
-			fs.Set(func(f *faultfs.FS) { f.FailSyncs = map[bool]int{true: 1 << 30}[fails] })
+			fs.Update(func(f *faultfs.FS) { f.FailSyncs = map[bool]int{true: 1 << 30}[fails] })
 		},
 	} {
 		for _, policy := range []FailurePolicy{RejectOnFailure, ContinueOnFailure} {
@@ -309,7 +309,7 @@
 	x := &exchange{
 		deduplicator: p.deduplicator,
 		fingerprint:  fingerprint(c),
-		deadline:     time.Now().Add(testutil.Patience),
+		deadline:     time.Now().Add(testutil.WaitTimeout),
 		abandoned:    make(chan struct{}),
 	}
 	x.abandon()
--- a/internal/load/grpcload/grpcload_test.go
+++ b/internal/load/grpcload/grpcload_test.go
@@ -65,7 +65,7 @@
 		if c.trailer != "" {
 			trailer = metadata.Pairs(c.trailer, "1")
 		}
-		patience := testutil.Patience
+		patience := testutil.WaitTimeout
 		if c.want == load.Late {
 			patience = 50 * time.Millisecond
 		}
@@ -82,12 +82,12 @@
 			t.Errorf("taken: %q", bad)
 		}
 	}
-	none, err := Dial("grpc://"+testutil.NoAddr+"/a.B/C", []byte{1})
+	none, err := Dial("grpc://"+testutil.UnusedAddr+"/a.B/C", []byte{1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer none.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	if got := none.Send(ctx, "r", load.Shot{}); got != load.Broken {
 		t.Errorf("no server: %v", got)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -46,7 +46,7 @@
 	defer s.Close()
 	target := NewHTTP(s.URL)
 	defer target.Close()
-	r := Run(t.Context(), shots(60, time.Millisecond, testutil.Patience), []Target{target}, quiet)[0]
+	r := Run(t.Context(), shots(60, time.Millisecond, testutil.WaitTimeout), []Target{target}, quiet)[0]
 	if seen["GET key false"] != 20 || seen["POST key true"] != 20 || seen["POST key false"] != 20 {
 		t.Errorf("%v", seen)
 	}
@@ -81,7 +81,7 @@
 		"late ":  accept(func(net.Conn) {}),
 		"broken": accept(func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }),
 	}
-	targets["broken "] = "http://" + testutil.NoAddr
+	targets["broken "] = "http://" + testutil.UnusedAddr
 	for want, url := range targets {
 		target := NewHTTP(url)
 		r := Run(t.Context(), shots(100, 2*time.Millisecond, 300*time.Millisecond), []Target{target}, quiet)[0]
@@ -105,7 +105,7 @@
 func TestUnsent(t *testing.T) {
 	s := stuck{make(chan struct{})}
 	const beyond = 100
-	r := Run(t.Context(), shots(maxOpen+beyond, 0, testutil.Patience), []Target{s}, func(_ int, k Kind, _ time.Duration) {
+	r := Run(t.Context(), shots(maxOpen+beyond, 0, testutil.WaitTimeout), []Target{s}, func(_ int, k Kind, _ time.Duration) {
 		if k == Unsent {
 			select {
 			case <-s.release:
@@ -164,12 +164,12 @@
 	defer s.Close()
 	target := NewHTTP(s.URL)
 	defer target.Close()
-	r := Run(t.Context(), shots(20_000, time.Millisecond, testutil.Patience), []Target{target}, quiet)[0]
+	r := Run(t.Context(), shots(20_000, time.Millisecond, testutil.WaitTimeout), []Target{target}, quiet)[0]
 	t.Logf("stands still for one second every ten, 1,000 a second: p90 %.1f ms, p99 %.1f ms, max %.1f ms; sent late by p50 %.3f, p99 %.3f ms", r.P90, r.P99, r.Max, r.LateP50, r.LateP99)
 	if r.P99 < 850 || r.P99 > 950 || r.P90 > 50 {
 		t.Errorf("p90 %.1f ms, p99 %.1f ms; want below 50, and 900", r.P90, r.P99)
 	}
-	plan := shots(50_000, 100*time.Microsecond, testutil.Patience)
+	plan := shots(50_000, 100*time.Microsecond, testutil.WaitTimeout)
 	p := Pace(t.Context(), func(n int) (time.Duration, bool) { return time.Duration(n) * 100 * time.Microsecond, n < len(plan) }, maxOpen,
 		func(int, time.Time) {}, func(int, time.Time) {})
 	t.Logf("10,000 a second: sent late by p50 %v, p99 %v, p99.9 %v", p.Late.At(0.5), p.Late.At(0.99), p.Late.At(0.999))
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -13,7 +13,7 @@
 
 // validConfig returns a configuration file that is valid.
 func validConfig() string {
-	return fmt.Sprintf(testutil.Config, "127.0.0.1:2", "127.0.0.1:3")
+	return fmt.Sprintf(testutil.PlatformConfig, "127.0.0.1:2", "127.0.0.1:3")
 }
 
 // load loads a configuration file with the given text. env are variables beside RELAY_CONFIG.
--- a/internal/simulation/callgraph/callgraph_test.go
+++ b/internal/simulation/callgraph/callgraph_test.go
@@ -123,8 +123,8 @@
 	if err := c.Judge(list); err != nil {
 		t.Error(err)
 	}
-	testutil.HoldToPage(t, "attempts at a leaf that fails at 10 % for each planned call, small.toml", list[1].Times, 0.05)
-	testutil.HoldToPage(t, "attempts at a leaf that fails at 100 % for each planned call, small.toml", list[3].Times, 0.1)
+	testutil.CheckCapacityBound(t, "attempts at a leaf that fails at 10 % for each planned call, small.toml", list[1].Times, 0.05)
+	testutil.CheckCapacityBound(t, "attempts at a leaf that fails at 100 % for each planned call, small.toml", list[3].Times, 0.1)
 	c.Claims = []Claim{{Measure: "times", Mode: Fail, Most: 1.5}}
 	if err := c.Judge(list); err == nil || !strings.Contains(err.Error(), "times is ") {
 		t.Errorf("a claim that cannot hold: %v", err)
--- a/internal/simulation/capacity/capacity_test.go
+++ b/internal/simulation/capacity/capacity_test.go
@@ -39,11 +39,11 @@
 		return -1
 	}
 	// Members that started together probe together: a round at the edge of the 8 s falls in it or not.
-	testutil.HoldToPage(t, "control: bytes a second that a quiet sidecar of small.toml sends", quiet(RolePlain, "bytes sent"), 0.05)
-	testutil.HoldToPage(t, "control: messages a second of these", quiet(RolePlain, "messages sent"), 0.05)
-	testutil.HoldToPage(t, "control: bytes a second of the list's streams that it reads", quiet(RolePlain, "bytes received in streams"), 0.1)
-	testutil.HoldToPage(t, "control: descriptors of a quiet hollow sidecar", quiet(RoleAll, "descriptors"), 0.05)
-	testutil.HoldToPage(t, "control: goroutines of a quiet hollow sidecar", quiet(RoleAll, "goroutines"), 0.1)
+	testutil.CheckCapacityBound(t, "control: bytes a second that a quiet sidecar of small.toml sends", quiet(RolePlain, "bytes sent"), 0.05)
+	testutil.CheckCapacityBound(t, "control: messages a second of these", quiet(RolePlain, "messages sent"), 0.05)
+	testutil.CheckCapacityBound(t, "control: bytes a second of the list's streams that it reads", quiet(RolePlain, "bytes received in streams"), 0.1)
+	testutil.CheckCapacityBound(t, "control: descriptors of a quiet hollow sidecar", quiet(RoleAll, "descriptors"), 0.05)
+	testutil.CheckCapacityBound(t, "control: goroutines of a quiet hollow sidecar", quiet(RoleAll, "goroutines"), 0.1)
 	path := filepath.Join(t.TempDir(), "results.json")
 	f, err := os.Create(path)
 	if err != nil {
--- a/internal/simulation/capacity/stored_test.go
+++ b/internal/simulation/capacity/stored_test.go
@@ -29,10 +29,10 @@
 		t.Fatal(faults)
 	}
 	e.Name = "the file's"
-	for _, path := range testutil.Unset(e) {
+	for _, path := range testutil.UnsetFields(e) {
 		t.Errorf("no key has set %s", path)
 	}
-	if got := testutil.Values(e); got != string(want) {
+	if got := testutil.FieldValues(e); got != string(want) {
 		t.Errorf("it is read as\n%s, want\n%s", got, want)
 	}
 }
@@ -73,7 +73,7 @@
 
 // The results in the repository, which earlier versions have written, are read.
 func TestCommittedResultsAreRead(t *testing.T) {
-	list, err := filepath.Glob(filepath.Join(testutil.Root(t), "lab", "capacity", "results", "*.json"))
+	list, err := filepath.Glob(filepath.Join(testutil.RepositoryRoot(t), "lab", "capacity", "results", "*.json"))
 	if err != nil || len(list) == 0 {
 		t.Fatalf("%q, %v", list, err)
 	}
--- a/internal/simulation/experiment/recorded.go
+++ b/internal/simulation/experiment/recorded.go
@@ -30,10 +30,10 @@
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	keys := map[string]int{"": 0}
 	for _, q := range t.Requests {
-		if _, ok := keys[q.Key]; !ok {
-			keys[q.Key] = len(keys)
+		if _, ok := keys[q.AffinityKey]; !ok {
+			keys[q.AffinityKey] = len(keys)
 		}
-		list = append(list, simulator.Recorded{At: q.At(), Class: q.Class, Work: us(q.WorkUS), Hint: us(q.HintUS), Key: keys[q.Key]})
+		list = append(list, simulator.Recorded{At: q.At(), Class: q.Class, Work: us(q.WorkUS), Hint: us(q.ExpectedWorkUS), Key: keys[q.AffinityKey]})
 	}
 	return list
 }
--- a/internal/simulation/experiment/stored_test.go
+++ b/internal/simulation/experiment/stored_test.go
@@ -33,12 +33,12 @@
 	if err := read(stored(t, "every-key.toml"), &f); err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range testutil.Unset(f) {
+	for _, path := range testutil.UnsetFields(f) {
 		if path != ".Base" { // an empty one is there, since the base would be read
 			t.Errorf("no key has set %s", path)
 		}
 	}
-	if got, want := testutil.Values(f), string(stored(t, "every-key.values")); got != want {
+	if got, want := testutil.FieldValues(f), string(stored(t, "every-key.values")); got != want {
 		t.Errorf("it is read as\n%s, want\n%s", got, want)
 	}
 }
@@ -195,7 +195,7 @@
 		if err := read([]byte("[world.settings]\n"+key+" = true\n"), &f); err != nil {
 			t.Fatal(err)
 		}
-		if !of(&f.World.Settings) || len(testutil.Unset(f.World.Settings)) != 6 { // all others
+		if !of(&f.World.Settings) || len(testutil.UnsetFields(f.World.Settings)) != 6 { // all others
 			t.Errorf("%s is read as %+v", key, f.World.Settings)
 		}
 	}
--- a/internal/simulation/fleetsim/stored_test.go
+++ b/internal/simulation/fleetsim/stored_test.go
@@ -26,10 +26,10 @@
 	if faults := strictdecode.Decode(text, &e); len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	for _, path := range testutil.Unset(e) {
+	for _, path := range testutil.UnsetFields(e) {
 		t.Errorf("no key has set %s", path)
 	}
-	if got := testutil.Values(e); got != string(want) {
+	if got := testutil.FieldValues(e); got != string(want) {
 		t.Errorf("it is read as\n%s, want\n%s", got, want)
 	}
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -34,8 +34,8 @@
 		fs := faultfs.New()
 		fs.CrashAfter = cut
 		m, keys, _ := playHistory(fs, rand.New(rand.NewPCG(seed, 0)), calls)
-		m.checkRecovery(t, fmt.Sprintf("killed after step %d", cut), fs.Killed(), keys)
-		powerLost := fs.PowerLost(rand.New(rand.NewPCG(uint64(cut), 1)))
+		m.checkRecovery(t, fmt.Sprintf("killed after step %d", cut), fs.AfterKill(), keys)
+		powerLost := fs.AfterPowerLoss(rand.New(rand.NewPCG(uint64(cut), 1)))
 		m.checkRecovery(t, fmt.Sprintf("power lost after step %d", cut), powerLost, keys)
 	}
 }
@@ -64,8 +64,8 @@
 			damagedKey = "d"
 		}
 		for bit := range uint(8) {
-			flipped := fs.Killed()
-			flipped.Flip(name, at, bit)
+			flipped := fs.AfterKill()
+			flipped.FlipBit(name, at, bit)
 			s, err := store.Open(flipped, testOptions())
 			if err != nil {
 				t.Fatal(err)
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	fs.Flip(names[0], headerSize, 0) // in the length of the record
+	fs.FlipBit(names[0], headerSize, 0) // in the length of the record
 	s, err = store.Open(fs, testOptions())
 	if err != nil {
 		t.Fatal(err)
@@ -140,16 +140,16 @@
 				t.Fatalf("seed %d, run %d: %v", seed, run, err)
 			}
 			steps := rng.Int64N(4000)
-			fs.Set(func(f *faultfs.FS) { f.CrashAfter = f.Steps + steps })
+			fs.Update(func(f *faultfs.FS) { f.CrashAfter = f.Steps + steps })
 			for i := range 60 {
 				injectFault(fs, rng)
 				playCall(s, fs, rng, m, keys, fmt.Sprintf("%d/%d:", run, i))
 			}
 			s.Close()
 			if rng.IntN(2) == 0 || options.SyncEvery > 0 {
-				fs = fs.Killed()
+				fs = fs.AfterKill()
 			} else {
-				fs = fs.PowerLost(rng)
+				fs = fs.AfterPowerLoss(rng)
 			}
 		}
 	}
@@ -160,15 +160,15 @@
 	switch rng.IntN(12) {
 	case 0:
 		n := rng.IntN(3)
-		fs.Set(func(f *faultfs.FS) { f.FailSyncs = n })
+		fs.Update(func(f *faultfs.FS) { f.FailSyncs = n })
 	case 1:
 		n := rng.IntN(3)
-		fs.Set(func(f *faultfs.FS) { f.FailWrites = n })
+		fs.Update(func(f *faultfs.FS) { f.FailWrites = n })
 	case 2:
 		n := rng.Int64N(4000)
-		fs.Set(func(f *faultfs.FS) { f.Space = n })
+		fs.Update(func(f *faultfs.FS) { f.Capacity = n })
 	case 3:
-		fs.Set(func(f *faultfs.FS) { f.Space = -1 })
+		fs.Update(func(f *faultfs.FS) { f.Capacity = -1 })
 	}
 }
 
@@ -180,7 +180,7 @@
 		m.record(key, nil, s.Delete(key))
 	case 2:
 		n := rng.IntN(2) * rng.IntN(3)
-		fs.Set(func(f *faultfs.FS) { f.FailRemoves = n })
+		fs.Update(func(f *faultfs.FS) { f.FailRemoves = n })
 		_ = s.Maintain() // one that fails changes nothing that counts
 		if rng.IntN(2) == 0 {
 			_ = s.Compact() // likewise
@@ -209,14 +209,14 @@
 	if err := put("a", "1"); err != nil {
 		t.Fatal(err)
 	}
-	fs.Space = s.Stats().Bytes + 10
+	fs.Capacity = s.Stats().Bytes + 10
 	if put("b", "2") == nil || s.Compact() == nil {
 		t.Fatal("a full disk takes more")
 	}
 	if err := m.check(s, keys); err != nil {
 		t.Fatal(err)
 	}
-	fs.Space = -1
+	fs.Capacity = -1
 	if err := errors.Join(put("b", "3"), s.Compact(), put("a", "4")); err != nil {
 		t.Fatalf("with room again: %v", err)
 	}
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	recovered, err := store.Open(fs.PowerLost(rand.New(rand.NewPCG(1, 1))), testOptions())
+	recovered, err := store.Open(fs.AfterPowerLoss(rand.New(rand.NewPCG(1, 1))), testOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/maintain_test.go
+++ b/internal/store/maintain_test.go
@@ -36,14 +36,14 @@
 	if len(hints) < 2 {
 		t.Fatalf("%v: want two segments with a hint file", names)
 	}
-	damaged := fs.Killed()
-	damaged.Flip(segments[0], 40, 0) // found only by reading the segment
+	damaged := fs.AfterKill()
+	damaged.FlipBit(segments[0], 40, 0) // found only by reading the segment
 	s, err = store.Open(damaged, testOptions())
 	if err != nil || s.Stats().Damaged != 0 {
 		t.Fatalf("%v: the hint files were not used", err)
 	}
 	s.Close()
-	m.checkRecovery(t, "from hint files", fs.Killed(), keys)
+	m.checkRecovery(t, "from hint files", fs.AfterKill(), keys)
 	list, err := store.Check(fs)
 	if err != nil || list[0].Hint != store.HintGood || list[0].Damaged != 0 || list[0].Puts == 0 {
 		t.Errorf("%+v, %v", list, err)
@@ -54,19 +54,19 @@
 	}
 	size := len(fs.Content(hints[0]))
 	for at := range size {
-		flipped := fs.Killed()
-		flipped.Flip(hints[0], int64(at), uint(at%8))
+		flipped := fs.AfterKill()
+		flipped.FlipBit(hints[0], int64(at), uint(at%8))
 		m.checkRecovery(t, fmt.Sprint("hint file damaged at ", at), flipped, keys)
-		cut := fs.Killed()
-		cut.Cut(hints[0], int64(at))
+		cut := fs.AfterKill()
+		cut.Truncate(hints[0], int64(at))
 		m.checkRecovery(t, fmt.Sprint("hint file cut at ", at), cut, keys)
 	}
 	for name, replaceHint := range map[string]func(f *faultfs.FS){
-		"of another segment": func(f *faultfs.FS) { f.Put(hints[0], fs.Content(hints[1])) },
-		"empty":              func(f *faultfs.FS) { f.Put(hints[0], nil) },
-		"of no segment":      func(f *faultfs.FS) { f.Put("00000000000000ff.hint", fs.Content(hints[0])) },
+		"of another segment": func(f *faultfs.FS) { f.SetContent(hints[0], fs.Content(hints[1])) },
+		"empty":              func(f *faultfs.FS) { f.SetContent(hints[0], nil) },
+		"of no segment":      func(f *faultfs.FS) { f.SetContent("00000000000000ff.hint", fs.Content(hints[0])) },
 	} {
-		replaced := fs.Killed()
+		replaced := fs.AfterKill()
 		replaceHint(replaced)
 		m.checkRecovery(t, "hint file "+name, replaced, keys)
 		if left, _ := replaced.List(); strings.Contains(strings.Join(left, " "), "ff.hint") {
@@ -160,17 +160,17 @@
 	m, keys := newModel(), []string{"a", "b", "c"}
 	for i := range 30 {
 		if i == 20 {
-			fs.Set(func(f *faultfs.FS) { f.FailSyncs = 1 })
+			fs.Update(func(f *faultfs.FS) { f.FailSyncs = 1 })
 		}
 		key, value := keys[i%3], fmt.Append(nil, i)
 		m.record(key, value, s.Put(key, value, epoch.Add(time.Hour)))
 	}
-	m.checkRecovery(t, "killed", fs.Killed(), keys)
+	m.checkRecovery(t, "killed", fs.AfterKill(), keys)
 	testutil.Until(t, "the syncs", func() bool {
 		stats := s.Stats()
 		return stats.Unsynced == 0 && stats.Failures > 0
 	})
-	m.checkRecovery(t, "power lost after the sync", fs.PowerLost(rand.New(rand.NewPCG(1, 1))), keys)
+	m.checkRecovery(t, "power lost after the sync", fs.AfterPowerLoss(rand.New(rand.NewPCG(1, 1))), keys)
 	if stats := s.Stats(); stats.Lost != 0 {
 		t.Errorf("%+v", stats)
 	}
@@ -205,7 +205,7 @@
 	if _, ok, err := s.Get("k"); !ok || err != nil {
 		t.Errorf("an older delete took effect after a newer put, later (%v)", err)
 	}
-	fs.Set(func(f *faultfs.FS) { f.SyncTime = 50 * time.Millisecond })
+	fs.Update(func(f *faultfs.FS) { f.SyncTime = 50 * time.Millisecond })
 	const tooMany = 20_000
 	accepted := 0
 	for accepted < tooMany && s.DeleteLater("x") {
@@ -233,7 +233,7 @@
 	m, keys := newModel(), []string{"a", "b", "c"}
 	for _, key := range keys {
 		if key == "b" {
-			fs.Set(func(f *faultfs.FS) { f.FailWrites = 1 })
+			fs.Update(func(f *faultfs.FS) { f.FailWrites = 1 })
 		}
 		m.record(key, []byte(key), s.Put(key, []byte(key), epoch.Add(time.Hour)))
 	}
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	for seed := range uint64(20) {
-		powerLost := fs.PowerLost(rand.New(rand.NewPCG(seed, 1)))
+		powerLost := fs.AfterPowerLoss(rand.New(rand.NewPCG(seed, 1)))
 		m.checkRecovery(t, fmt.Sprint("power lost after Close, seed ", seed), powerLost, keys)
 	}
 }
@@ -257,7 +257,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	fs.Set(func(f *faultfs.FS) { f.Space = 1000 })
+	fs.Update(func(f *faultfs.FS) { f.Capacity = 1000 })
 	for range 20 {
 		if s.Put("k", make([]byte, 5000), epoch.Add(time.Hour)) == nil {
 			t.Fatal("a full disk takes more")
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -17,9 +17,9 @@
 
 // Classes are those of the rig's clients.
 var Classes = []emulator.TrafficClass{
-	{Name: "look", Effect: "safe", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
-	{Name: "book", Effect: "unsafe", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
-	{Name: "pay", Effect: "keyed", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
+	{Name: "look", Effect: "safe", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
+	{Name: "book", Effect: "unsafe", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
+	{Name: "pay", Effect: "keyed", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
 }
 
 const (
@@ -89,7 +89,7 @@
 		}
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
 		r.Answers.Refused.Add(1)
-		if _, ran := r.Servers.Ledger.Executions(id); ran > 0 && class.Effect == "unsafe" {
+		if _, ran := r.Servers.Rules.Executions(id); ran > 0 && class.Effect == "unsafe" {
 			r.fault("%s was refused after it ran", id)
 		}
 	default:
--- a/internal/testcluster/hollow/hollow.go
+++ b/internal/testcluster/hollow/hollow.go
@@ -143,12 +143,12 @@
 }
 
 // Upstream is an entry of the list, from 0; life is how often it was replaced.
-func (f *Fleet) Upstream(i int, health string, life int) emulator.Host {
+func (f *Fleet) Upstream(i int, health string, life int) emulator.Endpoint {
 	p := PlaceOf(i+1, f.cfg.Regions, f.cfg.Zones, f.cfg.Rack)
-	h := emulator.Host{Host: fmt.Sprintf("s%02d-%04d", i%f.cfg.Services+1, i+1), Dial: fmt.Sprintf("10.%d.%d.%d:8080", life%200, i/250+1, i%250+1),
-		Site: fmt.Sprint("z", p.Zone), Class: fmt.Sprint("s", i%f.cfg.Services+1), Block: p.Rack, Health: health}
+	h := emulator.Endpoint{Name: fmt.Sprintf("s%02d-%04d", i%f.cfg.Services+1, i+1), Address: fmt.Sprintf("10.%d.%d.%d:8080", life%200, i/250+1, i%250+1),
+		Zone: fmt.Sprint("z", p.Zone), Kind: fmt.Sprint("s", i%f.cfg.Services+1), Cell: p.Rack, Health: health}
 	if life > 0 {
-		h.BornMS = float64(time.Now().UnixMilli())
+		h.StartedAtMS = float64(time.Now().UnixMilli())
 	}
 	return h
 }
--- a/internal/testcluster/hollow/hollow_test.go
+++ b/internal/testcluster/hollow/hollow_test.go
@@ -36,7 +36,7 @@
 func agree(t *testing.T, f *Fleet, what string, in func(Place) bool) {
 	t.Helper()
 	begun, last := time.Now(), ""
-	for ; time.Since(begun) < testutil.Patience; time.Sleep(10 * time.Millisecond) {
+	for ; time.Since(begun) < testutil.WaitTimeout; time.Sleep(10 * time.Millisecond) {
 		if last = f.Disagreement(in); last == "" {
 			t.Logf("%s: %v", what, time.Since(begun).Round(time.Millisecond))
 			return
@@ -113,7 +113,7 @@
 // ends agree: what a member's streams and datagrams bring is what others sent, and what discovery sent was read.
 func TestStandingFleet(t *testing.T) {
 	f := open(t, Config{Members: 8, Fleet: fast, Recovery: "ask = 1\nfan = 2"})
-	if err := f.StartKnown(t.Context(), testutil.Patience); err != nil {
+	if err := f.StartKnown(t.Context(), testutil.WaitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	agree(t, f, "all know all", all)
@@ -175,7 +175,7 @@
 		n, _ := resp.Body.Read(text)
 		return string(text[:n]), nil
 	}
-	if text, err := ask(testutil.Patience); text != "sidecar-0003" {
+	if text, err := ask(testutil.WaitTimeout); text != "sidecar-0003" {
 		t.Errorf("%q, %v", text, err)
 	}
 	if err := f.Links.Play("cut z1 z3"); err != nil {
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	begun := time.Now()
-	if text, err := ask(testutil.Patience); text != "sidecar-0003" || time.Since(begun) < 60*time.Millisecond {
+	if text, err := ask(testutil.WaitTimeout); text != "sidecar-0003" || time.Since(begun) < 60*time.Millisecond {
 		t.Errorf("over a slow link: %q, %v after %v", text, err, time.Since(begun))
 	}
 	f.Close()
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -100,12 +100,12 @@
 			r.Close()
 		}
 	}()
-	traffic := &emulator.Traffic{Head: emulator.Head{Classes: Classes}}
+	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: Classes}}
 	var nodes []emulator.NodeConfig
 	for i := range c.Servers {
 		nodes = append(nodes, emulator.NodeConfig{Name: fmt.Sprint("n", i+1), Zone: string(rune('a' + i%2)), Kind: "m", Speed: 8, Seed: uint64(i + 1)})
 	}
-	if r.Servers, err = emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), Slack: 2 * time.Second}); err != nil {
+	if r.Servers, err = emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects(), DrainSlack: 2 * time.Second}); err != nil {
 		return nil, err
 	}
 	r.members = []*process{nil}
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := emulator.Platform(traffic, p.listen, at, fmt.Sprintf("%016x", r.cfg.Seed*1000+uint64(p.n)))
+	text, err := emulator.PlatformConfig(traffic, p.listen, at, fmt.Sprintf("%016x", r.cfg.Seed*1000+uint64(p.n)))
 	if err != nil {
 		return err
 	}
@@ -252,7 +252,7 @@
 			list = append(list, err.Error())
 		}
 	}
-	return append(list, r.Servers.Ledger.Broken()...)
+	return append(list, r.Servers.Rules.Violations()...)
 }
 
 // SetProgram sets the command that runs the members or origins of a group from their next start on, and that founds these
--- a/internal/testutil/values.go
+++ b/internal/testutil/values.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// Values are the exported fields of a value at any depth, in their order and without their names, a line each: a golden file of them
+// FieldValues are the exported fields of a value at any depth, in their order and without their names, a line each: a golden file of them
 // holds what a format's keys are read into, and outlives that a field is renamed.
-func Values(v any) string {
+func FieldValues(v any) string {
 	var out strings.Builder
 	walkFields(reflect.ValueOf(v), "", func(_ string, leaf reflect.Value) { fmt.Fprintf(&out, "%v\n", leaf) })
 	return out.String()
 }
 
-// Unset names the exported fields of a value, at any depth, that have none.
-func Unset(v any) (list []string) {
+// UnsetFields names the exported fields of a value, at any depth, that have none.
+func UnsetFields(v any) (list []string) {
 	walkFields(reflect.ValueOf(v), "", func(path string, leaf reflect.Value) {
 		if leaf.IsZero() {
 			list = append(list, path)
--- a/internal/transport/grpc/disconnect_test.go
+++ b/internal/transport/grpc/disconnect_test.go
@@ -40,14 +40,14 @@
 	}, rawh2.MaxStreams(1), rawh2.OnReset(func(*rawh2.Stream) { b.resets <- true }))
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-	b.firstOutcome = run(tr.Attempt("s", newCall(t.Context()), testutil.Patience))
+	b.firstOutcome = run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout))
 	b.first = testutil.Receive(t, first, "the first attempt")
 
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	second := newCall(ctx)
 	b.cancelSecond, second.Disconnected = cancel, b.disconnected.Load
-	x := tr.Attempt("s", second, testutil.Patience)
+	x := tr.Attempt("s", second, testutil.WaitTimeout)
 	b.secondOutcome = run(x)
 	awaitOpened(t, x)
 	return b
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -76,9 +76,9 @@
 	}, rawh2.MaxStreams(1))
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-	firstOutcome := run(tr.Attempt("s", newCall(t.Context()), testutil.Patience))
+	firstOutcome := run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout))
 	testutil.Until(t, "the first attempt", func() bool { return first.Load() != nil })
-	second := tr.Attempt("s", newCall(t.Context()), testutil.Patience)
+	second := tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)
 	secondOutcome := run(second)
 	awaitOpened(t, second)
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now())
@@ -120,7 +120,7 @@
 			disconnected.Store(false)
 			call := newCall(t.Context())
 			call.Disconnected = disconnected.Load
-			x := tr.Attempt("s", call, testutil.Patience)
+			x := tr.Attempt("s", call, testutil.WaitTimeout)
 			interrupt(tr, x, addr)
 			if o := testutil.Receive(t, run(x), "the outcome"); o.Result != balancer.NotSent {
 				t.Errorf("result %d (%v)", o.Result, o.Err)
@@ -139,7 +139,7 @@
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now().Add(-time.Second))
-	o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.Patience)), "the outcome")
+	o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 	if o.Result != balancer.NotSent || received.Load() != 0 {
 		t.Errorf("result %d (%v), %d written", o.Result, o.Err, received.Load())
 	}
@@ -159,7 +159,7 @@
 		t.Error("an attempt to an unknown endpoint")
 	}
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-	outcome := run(tr.Attempt("s", newCall(t.Context()), testutil.Patience))
+	outcome := run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout))
 	s := testutil.Receive(t, streams, "the attempt")
 	e := tr.endpoints["s"]
 	tr.Update(true, nil, time.Now())
@@ -178,7 +178,7 @@
 
 	// The endpoint is listed again: a new connection is made. CloseIdle closes one that has nothing in flight.
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-	outcome = run(tr.Attempt("s", newCall(t.Context()), testutil.Patience))
+	outcome = run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout))
 	testutil.Receive(t, streams, "the next attempt").OK(nil)
 	testutil.Receive(t, outcome, "the outcome")
 	tr.CloseIdle("s")
@@ -199,7 +199,7 @@
 	tr := newTransport(t, time.Second)
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 	for i := range 3 {
-		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.Patience)), "the outcome")
+		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 		if o.Result != balancer.ConnectFailed || o.Elapsed > 4*time.Second {
 			t.Errorf("attempt %d: result %d (%v) after %v", i, o.Result, o.Err, o.Elapsed)
 		}
@@ -207,12 +207,12 @@
 	if l, err = net.Listen("tcp", addr); err != nil {
 		t.Skip("another process has the address by now")
 	}
-	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewLedger())
-	srv := grpcnode.New(n, map[string]emulator.Effect{"c": emulator.Safe})
+	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewRuleChecker())
+	srv := grpcnode.New(n, map[string]emulator.Effect{"c": emulator.Idempotent})
 	go func() { _ = srv.Serve(l) }() // returns when Stop is called
 	defer srv.Stop()
 	ctx := metadata.AppendToOutgoingContext(t.Context(), "x-request-id", "1", "x-class", "c")
-	o := testutil.Receive(t, run(tr.Attempt("s", newCall(ctx), testutil.Patience)), "the outcome")
+	o := testutil.Receive(t, run(tr.Attempt("s", newCall(ctx), testutil.WaitTimeout)), "the outcome")
 	if o.Result != balancer.OK {
 		t.Errorf("with a listener: result %d (%v)", o.Result, o.Err)
 	}
@@ -220,7 +220,7 @@
 
 // A probe asks grpc.health.v1, and returns the requests in flight that the endpoint reports.
 func TestProbeReturnsTheLoadReport(t *testing.T) {
-	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewLedger())
+	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewRuleChecker())
 	n.Pause(time.Hour)
 	defer n.Die()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -233,10 +233,10 @@
 	for range 3 {
 		go n.Do(t.Context(), emulator.Job{ID: "x", Work: time.Hour})
 	}
-	testutil.Until(t, "the jobs", func() bool { return n.Held() == 3 })
+	testutil.Until(t, "the jobs", func() bool { return n.InFlight() == 3 })
 	tr := newTransport(t, time.Second)
 	tr.Update(true, endpointList(l.Addr().String(), balancer.Active), time.Now())
-	o := testutil.Receive(t, run(tr.Probe("s", testutil.Patience)), "the probe")
+	o := testutil.Receive(t, run(tr.Probe("s", testutil.WaitTimeout)), "the probe")
 	if o.Result != balancer.OK || o.Load != (balancer.LoadReport{Reported: true, InFlight: 3}) {
 		t.Errorf("%+v", o)
 	}
@@ -252,7 +252,7 @@
 		})
 		tr := newTransport(t, time.Second)
 		tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-		o := testutil.Receive(t, run(tr.Probe("s", testutil.Patience)), "the probe")
+		o := testutil.Receive(t, run(tr.Probe("s", testutil.WaitTimeout)), "the probe")
 		if o.Result != want || o.Load.Reported {
 			t.Errorf("status %s: %+v", status, o)
 		}
@@ -334,7 +334,7 @@
 		})
 		tr := newTransport(t, time.Second)
 		tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.Patience)), "the outcome")
+		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 		if o.Result != balancer.Reset || o.Final {
 			t.Errorf("%s: result %d, final %v (%v)", name, o.Result, o.Final, o.Err)
 		}
--- a/internal/transport/http1/crossing_test.go
+++ b/internal/transport/http1/crossing_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			var bytes atomic.Int32
 			accepted := make(chan bool, 1)
-			addr := testutil.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 				accepted <- true
 				if _, err := r.ReadByte(); err == nil {
 					bytes.Add(1)
@@ -75,7 +75,7 @@
 			}
 			var disconnected atomic.Bool
 			call := &engine.Call{Disconnected: disconnected.Load, Payload: newPayload()}
-			x := p.Attempt("s", call, testutil.Patience).(*exchange)
+			x := p.Attempt("s", call, testutil.WaitTimeout).(*exchange)
 			done := make(chan engine.Outcome, 1)
 			go func() { done <- run(x) }()
 			testutil.Receive(t, dialling, "the dial")
@@ -107,16 +107,16 @@
 // A client disconnects while its attempt waits for a connection slot: the slot goes to the next one that waits.
 func TestLateConnectionSlotIsPassedOn(t *testing.T) {
 	received := make(chan net.Conn, 3)
-	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
 			received <- conn
 		}
 	})
 	p := testPool()
-	p.maxConns, p.dialer.Timeout = 1, testutil.Patience
+	p.maxConns, p.dialer.Timeout = 1, testutil.WaitTimeout
 	u := knownUpstream(t, p, addr)
 	first := make(chan engine.Outcome, 1)
-	go func() { first <- run(p.newExchange(u, testutil.Patience, testRequest("POST"))) }()
+	go func() { first <- run(p.newExchange(u, testutil.WaitTimeout, testRequest("POST"))) }()
 	conn := testutil.Receive(t, received, "the first request")
 	untilWaiters := func(n int) {
 		t.Helper()
@@ -130,7 +130,7 @@
 	outcomes := make(chan engine.Outcome, 2)
 	attempt := func(c *engine.Call) {
 		c.Payload = newPayload()
-		x := p.Attempt("s", c, testutil.Patience)
+		x := p.Attempt("s", c, testutil.WaitTimeout)
 		go func() { outcomes <- x.Run(nil) }()
 	}
 	attempt(&engine.Call{Disconnected: disconnected.Load})
@@ -138,10 +138,10 @@
 	attempt(new(engine.Call))
 	untilWaiters(2)
 	disconnected.Store(true)
-	write(conn, testutil.OKAnswer)
+	write(conn, testutil.OKResponse)
 	wantResult(t, testutil.Receive(t, first, "the first outcome"), balancer.OK)
 	wantResult(t, testutil.Receive(t, outcomes, "the outcome of the disconnected one"), balancer.NotSent)
-	write(testutil.Receive(t, received, "the other's request"), testutil.OKAnswer)
+	write(testutil.Receive(t, received, "the other's request"), testutil.OKResponse)
 	wantResult(t, testutil.Receive(t, outcomes, "the other's outcome"), balancer.OK)
 	if len(received) > 0 {
 		t.Error("the request of the disconnected client was sent")
@@ -154,23 +154,23 @@
 func TestUnsolicitedResponseIsNotUsed(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	conns := make(chan net.Conn, 10)
-	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for i := 0; testutil.ReadRequest(r) != nil; i++ {
 			if n == 1 && i > 0 {
 				// This answers the first request here, late; it would be taken for the response to this one.
 				write(conn, second)
 			} else {
-				write(conn, testutil.OKAnswer)
+				write(conn, testutil.OKResponse)
 			}
 			conns <- conn
 		}
 	})
 	p := testPool()
-	p.settleTime = testutil.Patience
+	p.settleTime = testutil.WaitTimeout
 	u := knownUpstream(t, p, addr)
 	request := func() net.Conn {
 		t.Helper()
-		o := run(p.newExchange(u, testutil.Patience, testRequest("GET")))
+		o := run(p.newExchange(u, testutil.WaitTimeout, testRequest("GET")))
 		wantResult(t, o, balancer.OK)
 		if got := string(o.Answer.(*httpmsg.Response).Body); got != "ok" {
 			t.Errorf("a request got %q", got)
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -75,7 +75,7 @@
 
 // waitUntilNotIdle waits until something arrives on an idle connection, or its end.
 func waitUntilNotIdle(c *conn) {
-	for end := time.Now().Add(testutil.Patience); c.peek() == netpeek.Idle && time.Now().Before(end); {
+	for end := time.Now().Add(testutil.WaitTimeout); c.peek() == netpeek.Idle && time.Now().Before(end); {
 		runtime.Gosched()
 	}
 }
@@ -95,9 +95,9 @@
 		reply string // to the complete request; then the connection ends
 		want  balancer.Result
 	}{
-		"served":           {testutil.OKAnswer, balancer.OK},
+		"served":           {testutil.OKResponse, balancer.OK},
 		"served, chunked":  {chunked + "2\r\nok\r\n0\r\n\r\n", balancer.OK},
-		"after an interim": {"HTTP/1.1 103 Early Hints\r\n\r\n" + testutil.OKAnswer, balancer.OK},
+		"after an interim": {"HTTP/1.1 103 Early Hints\r\n\r\n" + testutil.OKResponse, balancer.OK},
 		"error":            {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
 		"queue full": {
 			"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -138,20 +138,20 @@
 		"length and chunks": {lengthAndChunks, balancer.ServerError},
 		"without length":    {"HTTP/1.1 200 OK\r\n\r\nok", balancer.ServerError},
 		"another protocol": {
-			"HTTP/1.1 101 Switching\r\nContent-Length: 0\r\n\r\n" + testutil.OKAnswer,
+			"HTTP/1.1 101 Switching\r\nContent-Length: 0\r\n\r\n" + testutil.OKResponse,
 			balancer.ServerError,
 		},
 		"closed in a 503": {"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 5\r\n\r\n", balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				if testutil.ReadRequest(r) != nil {
 					write(conn, c.reply)
 				}
 				conn.Close()
 			})
 			p := testPool()
-			o := run(p.newExchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
+			o := run(p.newExchange(knownUpstream(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 			wantResult(t, o, c.want)
 			if o.Result == balancer.OK && bodyOf(o) != "ok" {
 				t.Errorf("body %q", bodyOf(o))
@@ -170,20 +170,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan bool)
-			addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				testutil.ReadRequest(r)
 				write(conn, reply)
 				_, _ = r.ReadByte() // waits for the end of the connection
 				close(closed)
 			})
 			p := testPool()
-			o := run(p.newExchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
+			o := run(p.newExchange(knownUpstream(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 			wantResult(t, o, balancer.ServerError)
 			if name == "huge" && !errors.Is(o.Err, errResponseTooLong) {
 				t.Errorf("the body was read: %v", o.Err)
 			}
 			testutil.Receive(t, closed, "the connection's end")
-			if o.Elapsed > testutil.Patience/2 {
+			if o.Elapsed > testutil.WaitTimeout/2 {
 				t.Errorf("it took %v", o.Elapsed)
 			}
 		})
@@ -193,7 +193,7 @@
 // A response that is long, and comes in pieces, is not taken for a malformed one.
 func TestLongResponse(t *testing.T) {
 	long := strings.Repeat("x", minMaxResponseBytes/2)
-	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		testutil.ReadRequest(r)
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
 		// The pauses together are longer than one may be.
@@ -204,7 +204,7 @@
 		}
 	})
 	p := testPool()
-	o := run(p.newExchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST")))
+	o := run(p.newExchange(knownUpstream(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 	wantResult(t, o, balancer.OK)
 	if bodyOf(o) != long {
 		t.Errorf("%d bytes arrived", len(bodyOf(o)))
@@ -217,23 +217,23 @@
 	for name, later := range map[string]bool{"with the response": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			conns := make(chan net.Conn, 2)
-			addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
 					if conns <- conn; n == 0 && !later {
-						write(conn, testutil.OKAnswer+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
+						write(conn, testutil.OKResponse+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
 					} else {
-						write(conn, testutil.OKAnswer)
+						write(conn, testutil.OKResponse)
 					}
 				}
 			})
 			p := testPool()
 			u := knownUpstream(t, p, addr)
-			wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+			wantResult(t, run(p.newExchange(u, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 			if first := testutil.Receive(t, conns, "the first request"); later {
 				write(first, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
 				waitUntilNotIdle(u.idle[0])
 			}
-			o := run(p.newExchange(u, testutil.Patience, testRequest("POST")))
+			o := run(p.newExchange(u, testutil.WaitTimeout, testRequest("POST")))
 			wantResult(t, o, balancer.OK)
 			if bodyOf(o) != "ok" {
 				t.Errorf("body %q", bodyOf(o))
@@ -245,24 +245,24 @@
 // A connection that was opened to a former process of an upstream is neither retained nor used.
 func TestConnectionToAFormerProcessIsNotReused(t *testing.T) {
 	received, release := make(chan int, 2), make(chan bool)
-	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
 			received <- n
 			<-release
-			write(conn, testutil.OKAnswer)
+			write(conn, testutil.OKResponse)
 		}
 	})
 	p := testPool()
 	u := knownUpstream(t, p, addr)
 	done := make(chan engine.Outcome, 1)
-	go func() { done <- run(p.newExchange(u, testutil.Patience, testRequest("POST"))) }()
+	go func() { done <- run(p.newExchange(u, testutil.WaitTimeout, testRequest("POST"))) }()
 	testutil.Receive(t, received, "the first request")
 	restarted := activeEndpoints(addr)
 	restarted[0].StartedAtMS = 5
 	p.Update(false, restarted, time.Now())
 	close(release)
 	wantResult(t, testutil.Receive(t, done, "the outcome"), balancer.OK)
-	wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+	wantResult(t, run(p.newExchange(u, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 	if n := testutil.Receive(t, received, "the second request"); n != 1 {
 		t.Error("the second request went to the former process")
 	}
@@ -276,7 +276,7 @@
 	l.Close()
 	p := testPool()
 	u := knownUpstream(t, p, l.Addr().String())
-	wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.ConnectFailed)
+	wantResult(t, run(p.newExchange(u, testutil.WaitTimeout, testRequest("POST"))), balancer.ConnectFailed)
 	if p.openConns != 0 {
 		t.Errorf("%d connections counted as open", p.openConns)
 	}
@@ -290,11 +290,11 @@
 		want    balancer.Result
 	}{
 		"timed out": {time.Second, balancer.Timeout},
-		"cancelled": {testutil.Patience, balancer.Cancelled},
+		"cancelled": {testutil.WaitTimeout, balancer.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			received, closed := make(chan bool, 1), make(chan bool, 1)
-			addr := testutil.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 				testutil.ReadRequest(r)
 				received <- true
 				_, _ = r.ReadByte() // waits for the end of the connection
@@ -322,22 +322,22 @@
 // nobody decided on.
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	var copies atomic.Int32
-	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for n := 0; testutil.ReadRequest(r) != nil; n++ {
 			copies.Add(1)
 			if n > 0 {
 				conn.Close()
 				return
 			}
-			write(conn, testutil.OKAnswer)
+			write(conn, testutil.OKResponse)
 		}
 	})
 	p := testPool()
 	u := knownUpstream(t, p, addr)
 	for _, method := range []string{"GET", "POST"} {
 		before := copies.Load()
-		wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest(method))), balancer.OK)
-		wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest(method))), balancer.Reset)
+		wantResult(t, run(p.newExchange(u, testutil.WaitTimeout, testRequest(method))), balancer.OK)
+		wantResult(t, run(p.newExchange(u, testutil.WaitTimeout, testRequest(method))), balancer.Reset)
 		if got := copies.Load() - before; got != 2 {
 			t.Errorf("%s: %d copies were received, want 2", method, got)
 		}
@@ -348,21 +348,21 @@
 // not idempotent could not be sent again.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
-			write(conn, testutil.OKAnswer)
+			write(conn, testutil.OKResponse)
 			conns <- conn
 		}
 	})
 	p := testPool()
 	u := knownUpstream(t, p, addr)
-	wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+	wantResult(t, run(p.newExchange(u, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 	testutil.Receive(t, conns, "the first request").Close()
 	if len(u.idle) != 1 {
 		t.Fatalf("%d idle connections, want 1", len(u.idle))
 	}
 	waitUntilNotIdle(u.idle[0])
-	wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("POST"))), balancer.OK)
+	wantResult(t, run(p.newExchange(u, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 	if p.openConns != 1 {
 		t.Errorf("%d connections counted as open, want 1", p.openConns)
 	}
@@ -372,10 +372,10 @@
 // what is written to one that it is about to close is lost.
 func TestIdleConnectionsAreReusedAndExpire(t *testing.T) {
 	numbers := make(chan int, 3)
-	addr := testutil.Raw(t, func(n int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
 			numbers <- n
-			write(conn, testutil.OKAnswer)
+			write(conn, testutil.OKResponse)
 		}
 	})
 	p := testPool()
@@ -384,7 +384,7 @@
 		if i == 2 {
 			u.idle[0].idleSince = time.Now().Add(-p.maxIdle)
 		}
-		wantResult(t, run(p.newExchange(u, testutil.Patience, testRequest("GET"))), balancer.OK)
+		wantResult(t, run(p.newExchange(u, testutil.WaitTimeout, testRequest("GET"))), balancer.OK)
 		if got := testutil.Receive(t, numbers, "a request"); got != want {
 			t.Errorf("request %d arrived on connection %d, want %d", i, got, want)
 		}
@@ -415,13 +415,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var copies atomic.Int32
-			addr := testutil.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+			addr := testutil.ServeRaw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 				if _, err := r.ReadByte(); err == nil {
 					copies.Add(1)
 				}
 			})
 			p := testPool()
-			x := p.newExchange(knownUpstream(t, p, addr), testutil.Patience, testRequest("POST"))
+			x := p.newExchange(knownUpstream(t, p, addr), testutil.WaitTimeout, testRequest("POST"))
 			c.before(p, x, addr)
 			wantResult(t, run(x), c.want)
 			if copies.Load() != 0 {
@@ -435,14 +435,14 @@
 // This prevents running out of descriptors.
 func TestConnectionLimit(t *testing.T) {
 	received := make(chan bool, 1)
-	addr := testutil.Raw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
 			received <- true
 		}
 	})
-	answering := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	answering := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for testutil.ReadRequest(r) != nil {
-			write(conn, testutil.OKAnswer)
+			write(conn, testutil.OKResponse)
 		}
 	})
 	p := testPool()
@@ -451,17 +451,17 @@
 	p.onConnLimit = func() { limitHits.Add(1) }
 	endpoints := append(activeEndpoints(addr), engine.Endpoint{ID: "other", Addr: answering})
 	p.Update(true, endpoints, time.Now())
-	wantResult(t, run(p.newExchange(p.find("other"), testutil.Patience, testRequest("GET"))), balancer.OK)
-	first := p.newExchange(p.find("s"), testutil.Patience, testRequest("GET"))
+	wantResult(t, run(p.newExchange(p.find("other"), testutil.WaitTimeout, testRequest("GET"))), balancer.OK)
+	first := p.newExchange(p.find("s"), testutil.WaitTimeout, testRequest("GET"))
 	done := make(chan engine.Outcome, 1)
 	go func() { done <- run(first) }()
 	testutil.Receive(t, received, "the request that takes the idle connection's slot")
-	wantResult(t, run(p.newExchange(p.find("s"), testutil.Patience, testRequest("GET"))), balancer.NotSent)
+	wantResult(t, run(p.newExchange(p.find("s"), testutil.WaitTimeout, testRequest("GET"))), balancer.NotSent)
 	// An exchange beyond the limit waits for a while: a burst must not use up all attempts of a request in a moment.
 	second := make(chan engine.Outcome, 1)
-	p.dialer.Timeout = testutil.Patience
-	go func() { second <- run(p.newExchange(p.find("other"), testutil.Patience, testRequest("GET"))) }()
-	for start, waits := time.Now(), false; !waits && time.Since(start) < testutil.Patience; runtime.Gosched() {
+	p.dialer.Timeout = testutil.WaitTimeout
+	go func() { second <- run(p.newExchange(p.find("other"), testutil.WaitTimeout, testRequest("GET"))) }()
+	for start, waits := time.Now(), false; !waits && time.Since(start) < testutil.WaitTimeout; runtime.Gosched() {
 		p.mu.Lock()
 		waits = len(p.waiters) > 0
 		p.mu.Unlock()
@@ -501,7 +501,7 @@
 
 // A probe requests the load report and returns it.
 func TestProbeReturnsTheLoadReport(t *testing.T) {
-	addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for req := testutil.ReadRequest(r); req != nil; req = testutil.ReadRequest(r) {
 			if req.URL.Path == "/metrics/load" && req.Method == "GET" {
 				write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nqueue=4")
@@ -512,7 +512,7 @@
 	})
 	p := testPool()
 	knownUpstream(t, p, addr)
-	o := p.Probe("s", testutil.Patience).Run(nil)
+	o := p.Probe("s", testutil.WaitTimeout).Run(nil)
 	wantResult(t, o, balancer.OK)
 	if got := o.Load; got != (balancer.LoadReport{Reported: true, InFlight: 4}) {
 		t.Errorf("load report %+v", got)
@@ -531,7 +531,7 @@
 		{"200 OK", nil, balancer.OK},
 		{"503 Full\r\nX-Not-Run: 1", errors.New("half"), balancer.Overloaded},
 	} {
-		addr := testutil.Raw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			if testutil.ReadRequest(r) != nil {
 				write(conn, "HTTP/1.1 "+c.status+"\r\nContent-Length: 2\r\n\r\nok")
 			}
@@ -551,7 +551,7 @@
 			Header: http.Header{},
 			Check:  check,
 		}}
-		o := p.Attempt("s", call, testutil.Patience).Run(nil)
+		o := p.Attempt("s", call, testutil.WaitTimeout).Run(nil)
 		wantResult(t, o, c.want)
 		unused := o.Answer == nil && o.Result.MayHaveRun()
 		if o.Final != (c.want == balancer.OK) || c.want == balancer.ServerError && !unused {
--- a/rpc/grpcbalancer/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -105,7 +105,7 @@
 // A rejection has one of two codes, and says after what time to retry; other errors are none.
 func TestRejection(t *testing.T) {
 	t.Run("no connection", func(t *testing.T) {
-		cfg := testConfig(Static(Endpoint{Addr: testutil.NoAddr}))
+		cfg := testConfig(Static(Endpoint{Addr: testutil.UnusedAddr}))
 		cfg.Settings.MaxAttempts = 1
 		p := start(t, cfg)
 		_, err := invoke(t.Context(), p, book, "seat")
@@ -122,7 +122,7 @@
 		}
 	})
 	t.Run("after Close", func(t *testing.T) {
-		p := start(t, testConfig(Static(Endpoint{Addr: testutil.NoAddr})))
+		p := start(t, testConfig(Static(Endpoint{Addr: testutil.UnusedAddr})))
 		_ = p.Close() // always nil
 		_, err := invoke(t.Context(), p, book, "seat")
 		if _, ok := Rejected(err); !ok || status.Code(err) != codes.ResourceExhausted {
@@ -148,7 +148,7 @@
 	p := start(t, cfg)
 	startedAt := time.Now()
 	_, err := invoke(t.Context(), p, book, "seat")
-	if status.Code(err) != codes.DeadlineExceeded || time.Since(startedAt) > testutil.Patience/2 {
+	if status.Code(err) != codes.DeadlineExceeded || time.Since(startedAt) > testutil.WaitTimeout/2 {
 		t.Errorf("without a deadline: %v after %v", err, time.Since(startedAt))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -63,7 +63,7 @@
 // client.
 type startClient func(
 	t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int,
-) (do emulator.Do, closeClient func())
+) (do emulator.RequestFunc, closeClient func())
 
 // candidate is a way to reach a fleet.
 type candidate struct {
@@ -89,7 +89,7 @@
 	{"pick_first", "pick_first", grpcnode.New, startPolicy(pickFirstConfig)},
 }
 
-func startDaemon(t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int) (emulator.Do, func()) {
+func startDaemon(t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int) (emulator.RequestFunc, func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	addr, ended, err := demo.StartDaemon(
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	do, closeIdle := emulator.HTTPClient(addr, f.Ledger)
+	do, closeIdle := emulator.HTTPClient(addr, f.Rules)
 	return do, func() {
 		closeIdle()
 		stop()
@@ -108,7 +108,7 @@
 	}
 }
 
-func startPlugin(t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int) (emulator.Do, func()) {
+func startPlugin(t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int) (emulator.RequestFunc, func()) {
 	t.Helper()
 	p, err := New(Config{
 		Settings:    bookingSettings(traffic),
@@ -124,16 +124,16 @@
 
 // unaryClient carries out recorded requests as unary calls. It reports to the fleet's ledger a response of another
 // call, and a rejection of a call that ran and may not run again.
-func unaryClient(conn grpc.ClientConnInterface, f *emulator.Fleet) emulator.Do {
-	return func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Kind {
+func unaryClient(conn grpc.ClientConnInterface, f *emulator.Fleet) emulator.RequestFunc {
+	return func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
 		id := fmt.Sprintf("%08x", n)
 		text, err := invoke(outgoing(ctx, id, c, r), conn, grpcnode.Do, id)
 		kind := kindOf(err)
-		switch _, ran := f.Ledger.Executions(id); {
+		switch _, ran := f.Rules.Executions(id); {
 		case err == nil && !strings.HasPrefix(text, id):
-			f.Ledger.Break("call %s was served with %q", id, text)
-		case kind == emulator.Refused && ran > 0 && c.Effect == "unsafe":
-			f.Ledger.Break("%s %s was refused after it ran", c.Name, id)
+			f.Rules.ReportViolation("call %s was served with %q", id, text)
+		case kind == emulator.Rejected && ran > 0 && c.Effect == "unsafe":
+			f.Rules.ReportViolation("%s %s was refused after it ran", c.Name, id)
 		}
 		return kind
 	}
@@ -142,7 +142,7 @@
 // startPolicy returns the start of a client of one of grpc-go's own policies, which is notified of endpoints as soon as
 // the others are.
 func startPolicy(serviceConfig string) startClient {
-	return func(t *testing.T, f *emulator.Fleet, _ *emulator.Traffic, _ int) (emulator.Do, func()) {
+	return func(t *testing.T, f *emulator.Fleet, _ *emulator.Traffic, _ int) (emulator.RequestFunc, func()) {
 		t.Helper()
 		conn, err := grpc.NewClient("fleet:///", append(insecureDial(),
 			grpc.WithResolvers(watchResolver{f.Discovery.Addr()}),
@@ -152,8 +152,8 @@
 		}
 		conn.Connect()
 		client := unaryClient(conn, f)
-		do := func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Kind {
-			if kind := client(ctx, n, c, r); kind != emulator.Refused {
+		do := func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
+			if kind := client(ctx, n, c, r); kind != emulator.Rejected {
 				return kind
 			}
 			return emulator.Failed // an UNAVAILABLE of grpc-go promises nothing
@@ -220,10 +220,10 @@
 		t.Fatal(err)
 	}
 	f, err := emulator.NewFleet(emulator.FleetConfig{
-		Nodes:     emulator.MixedNodes(7),
-		Effects:   traffic.Effects(),
-		NewServer: c.newServer,
-		Slack:     options.slack,
+		Nodes:      emulator.MixedNodes(7),
+		Effects:    traffic.Effects(),
+		NewServer:  c.newServer,
+		DrainSlack: options.slack,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -240,8 +240,8 @@
 	time.Sleep(200 * time.Millisecond) // for hedges that are still running
 	stop()
 	playing.Wait()
-	total, _ := f.Ledger.Executions("")
-	return result{Report: report, wasted: total - report.Served, brokenRules: f.Ledger.Broken()}
+	total, _ := f.Rules.Executions("")
+	return result{Report: report, wasted: total - report.Served, brokenRules: f.Rules.Violations()}
 }
 
 func TestCompare(t *testing.T) {
@@ -268,8 +268,8 @@
 				name := candidates[i].name
 				r.simulated = simulate(t, candidates[i], traffic, scenario.script, seed)
 				all[i] = append(all[i], r)
-				if asked := len(traffic.Requests); r.Asked != asked {
-					t.Errorf("%s, %s: %d results for %d requests", scenario.name, name, r.Asked, asked)
+				if asked := len(traffic.Requests); r.Sent != asked {
+					t.Errorf("%s, %s: %d results for %d requests", scenario.name, name, r.Sent, asked)
 				}
 				if i < 2 && (len(r.brokenRules) > 0 || r.Unanswered > 0) {
 					t.Errorf("%s, %s, seed %d: %d unanswered, %v",
@@ -297,7 +297,7 @@
 		for i, x := range []time.Duration{r.P50, r.P99, r.P999} {
 			percentiles[i] += x / time.Duration(len(results))
 		}
-		unserved += float64(r.Asked-r.Served) / n
+		unserved += float64(r.Sent-r.Served) / n
 		wasted += float64(r.wasted) / n
 		broken += float64(len(r.brokenRules)) / n
 	}
@@ -317,8 +317,8 @@
 			t.Parallel()
 			options := runOptions{grace: 10 * time.Second, slack: 500 * time.Millisecond}
 			r := c.run(t, traffic, script, 5, options)
-			if r.Asked != len(traffic.Requests) || r.Served == 0 || r.Unanswered > 0 {
-				t.Errorf("%d results for %d requests: %v", r.Asked, len(traffic.Requests), r.Report)
+			if r.Sent != len(traffic.Requests) || r.Served == 0 || r.Unanswered > 0 {
+				t.Errorf("%d results for %d requests: %v", r.Sent, len(traffic.Requests), r.Report)
 			}
 			if len(r.brokenRules) > 0 {
 				t.Error(r.brokenRules)
--- a/rpc/grpcbalancer/disconnect_test.go
+++ b/rpc/grpcbalancer/disconnect_test.go
@@ -226,7 +226,7 @@
 			select {
 			case held = <-one.holding:
 			case held = <-other.holding:
-			case <-time.After(testutil.Patience):
+			case <-time.After(testutil.WaitTimeout):
 				t.Fatal("waited in vain for the first attempt")
 			}
 		},
--- a/rpc/grpcbalancer/endpoints_test.go
+++ b/rpc/grpcbalancer/endpoints_test.go
@@ -89,7 +89,7 @@
 		}
 	}()
 	r := emulator.Replay(t.Context(), traffic, 10*time.Second, unaryClient(p, f))
-	if broken := f.Ledger.Broken(); len(broken) > 0 || r.Served == 0 || f.Node("n2").Status().Served == 0 {
+	if broken := f.Rules.Violations(); len(broken) > 0 || r.Served == 0 || f.Node("n2").Status().Served == 0 {
 		t.Errorf("%v, %v", r, broken)
 	}
 }
--- a/rpc/grpcbalancer/example_test.go
+++ b/rpc/grpcbalancer/example_test.go
@@ -21,7 +21,7 @@
 func newFleet() *emulator.Fleet {
 	f, err := emulator.NewFleet(emulator.FleetConfig{
 		NewServer: grpcnode.New,
-		Effects:   map[string]emulator.Effect{"confirm": emulator.Unsafe},
+		Effects:   map[string]emulator.Effect{"confirm": emulator.NonIdempotent},
 		Nodes: []emulator.NodeConfig{
 			{Name: "n1", Zone: "a", Speed: 1},
 			{Name: "n2", Zone: "a", Speed: 1},
--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -180,7 +180,7 @@
 	}
 	cfg := testConfig(Static(list...))
 	for i := range cfg.Settings.Classes { // does not expire within the test
-		cfg.Settings.Classes[i].Deadline = 10 * testutil.Patience
+		cfg.Settings.Classes[i].Deadline = 10 * testutil.WaitTimeout
 	}
 	p := start(t, cfg)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -268,7 +268,7 @@
 
 // RecvMsg of a stream whose call was never started ends with its context.
 func TestStreamWithoutRequestEndsWithItsContext(t *testing.T) {
-	p := start(t, testConfig(Static(Endpoint{Addr: testutil.NoAddr})))
+	p := start(t, testConfig(Static(Endpoint{Addr: testutil.UnusedAddr})))
 	ctx, cancel := context.WithCancel(t.Context())
 	s, err := p.NewStream(ctx, &grpcnode.FollowDesc, follow)
 	if err != nil {
@@ -325,7 +325,7 @@
 	var afterClose atomic.Int32  // calls of the closed plug-in after Close
 	var otherServed atomic.Int32 // calls after Close that the other served
 	run := func(p *Plugin, name string) *emulator.Report {
-		do := func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Kind {
+		do := func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
 			if name == "one" && n == half {
 				_ = one.Close() // always nil
 				closed.Store(true)
@@ -335,7 +335,7 @@
 			kind := kindOf(err)
 			switch {
 			case wasClosed && name == "one":
-				if afterClose.Add(1); kind != emulator.Refused {
+				if afterClose.Add(1); kind != emulator.Rejected {
 					t.Errorf("a call after Close: %v", err)
 				}
 			case wasClosed && kind == emulator.Served:
@@ -350,13 +350,13 @@
 	second := run(other, "other")
 	first := testutil.Receive(t, reports, "the report of the closed one")
 	n := len(traffic.Requests)
-	if first.Asked != n || second.Asked != n || first.Unanswered+second.Unanswered > 0 || afterClose.Load() == 0 {
+	if first.Sent != n || second.Sent != n || first.Unanswered+second.Unanswered > 0 || afterClose.Load() == 0 {
 		t.Errorf("%v; the other: %v; %d calls after Close", first, second, afterClose.Load())
 	}
 	if otherServed.Load() == 0 {
 		t.Error("the other one served nothing after the first was closed")
 	}
-	if broken := f.Ledger.Broken(); len(broken) > 0 {
+	if broken := f.Rules.Violations(); len(broken) > 0 {
 		t.Error(broken)
 	}
 }
--- a/rpc/grpcbalancer/helpers_test.go
+++ b/rpc/grpcbalancer/helpers_test.go
@@ -38,11 +38,11 @@
 func testClass(name string, effect balancer.Effect) balancer.Class {
 	return balancer.Class{
 		Name:              name,
-		LatencyObjective:  testutil.Patience,
-		Deadline:          testutil.Patience,
+		LatencyObjective:  testutil.WaitTimeout,
+		Deadline:          testutil.WaitTimeout,
 		Effect:            effect,
 		LateWeight:        0.5,
-		IdempotencyWindow: testutil.Patience,
+		IdempotencyWindow: testutil.WaitTimeout,
 		Stream:            name == "follow",
 	}
 }
@@ -109,10 +109,10 @@
 	for _, c := range t.Classes {
 		list = append(list, balancer.Class{
 			Name:              c.Name,
-			LatencyObjective:  ms(c.AimMS),
+			LatencyObjective:  ms(c.ObjectiveMS),
 			Deadline:          ms(c.DeadlineMS),
-			Weight:            c.Worth,
-			LateWeight:        c.LateShare,
+			Weight:            c.Weight,
+			LateWeight:        c.LateWeight,
 			Effect:            bookingEffects[c.Effect],
 			IdempotencyScope:  balancer.ScopeZone,
 			IdempotencyWindow: 6 * time.Second,
@@ -146,10 +146,10 @@
 func newGRPCFleet(t testing.TB, nodes []emulator.NodeConfig, traffic *emulator.Traffic) *emulator.Fleet {
 	t.Helper()
 	f, err := emulator.NewFleet(emulator.FleetConfig{
-		Nodes:     nodes,
-		Effects:   traffic.Effects(),
-		NewServer: grpcnode.New,
-		Slack:     500 * time.Millisecond,
+		Nodes:      nodes,
+		Effects:    traffic.Effects(),
+		NewServer:  grpcnode.New,
+		DrainSlack: 500 * time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 // outgoing returns ctx with the metadata of a recorded request.
 func outgoing(ctx context.Context, id string, c emulator.TrafficClass, r emulator.Request) context.Context {
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
-	m := load.Message{ID: id, Class: c.Name, Effect: c.Effect, Work: us(r.WorkUS), Hint: us(r.HintUS)}
+	m := load.Message{ID: id, Class: c.Name, Effect: c.Effect, Work: us(r.WorkUS), Hint: us(r.ExpectedWorkUS)}
 	if c.Effect == "keyed" {
 		m.Key = "k" + id
 	}
@@ -169,12 +169,12 @@
 }
 
 // kindOf returns how a call ended for its client.
-func kindOf(err error) emulator.Kind {
+func kindOf(err error) emulator.Outcome {
 	if err == nil {
 		return emulator.Served
 	}
 	if _, ok := Rejected(err); ok {
-		return emulator.Refused
+		return emulator.Rejected
 	}
 	return emulator.Failed
 }
--- a/rpc/grpcbalancer/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -29,9 +29,9 @@
 
 // pauseTraffic returns the classes of the child's calls. A deadline falls into the pause.
 func pauseTraffic() *emulator.Traffic {
-	return &emulator.Traffic{Head: emulator.Head{Classes: []emulator.TrafficClass{
-		{Name: "look", Effect: "safe", AimMS: 120, DeadlineMS: 250, Worth: 1},
-		{Name: "book", Effect: "unsafe", AimMS: 120, DeadlineMS: 2000, Worth: 1, LateShare: 0.5},
+	return &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: []emulator.TrafficClass{
+		{Name: "look", Effect: "safe", ObjectiveMS: 120, DeadlineMS: 250, Weight: 1},
+		{Name: "book", Effect: "unsafe", ObjectiveMS: 120, DeadlineMS: 2000, Weight: 1, LateWeight: 0.5},
 	}}}
 }
 
@@ -146,7 +146,7 @@
 		// In the middle of a call: one that is queued at a node behind another.
 		testutil.Until(t, "a queued call", func() bool {
 			for _, n := range f.Status() {
-				if n.Held > 1 {
+				if n.InFlight > 1 {
 					return true
 				}
 			}
@@ -173,7 +173,7 @@
 			t.Errorf("call %s has %d results", id, results[id])
 		}
 	}
-	if broken := f.Ledger.Broken(); len(broken) > 0 {
+	if broken := f.Rules.Violations(); len(broken) > 0 {
 		t.Error(broken)
 	}
 	if stalls < pauses {
--- a/rpc/grpcbalancer/simulation_test.go
+++ b/rpc/grpcbalancer/simulation_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range faults {
-		fault := simulator.Fault{At: f.At, What: f.Verb, Node: f.Node, Times: f.Times, For: f.For}
+		fault := simulator.Fault{At: f.At, What: f.Verb, Node: f.Node, Times: f.Factor, For: f.Duration}
 		cfg.Faults = append(cfg.Faults, fault)
 	}
 	cfg.Network.Multiplexed = c.newServer != nil // gRPC
