--- /dev/null
+++ b/internal/testutil/capacitypage.go
@@ -0,0 +1,100 @@
+package testutil
+
+import (
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// CapacityBound is a row of the table of bounds in docs/CAPACITY.md.
+type CapacityBound struct {
+	Name   string
+	Figure float64
+	// Sources are a file and the name of a constant, or a package and the name of a test, without backquotes.
+	Sources []string
+}
+
+const (
+	// boundsTitle is the heading above the table of bounds.
+	boundsTitle = "## Bounds that tests hold"
+	// boundsCells is the number of parts of a row split at "|", with the empty ones at both ends.
+	boundsCells = 5
+)
+
+// RepositoryRoot returns the directory of the checkout: the closest parent of the working directory with a go.mod.
+func RepositoryRoot(t testing.TB) string {
+	t.Helper()
+	dir, err := os.Getwd()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for {
+		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
+			return dir
+		}
+		parent := filepath.Dir(dir)
+		if parent == dir {
+			t.Fatal("no go.mod in a parent directory of the test")
+		}
+		dir = parent
+	}
+}
+
+// CapacityBounds reads the table of bounds in docs/CAPACITY.md.
+func CapacityBounds(t testing.TB) (bounds []CapacityBound) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(RepositoryRoot(t), "docs", "CAPACITY.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, table, ok := strings.Cut(string(text), "\n"+boundsTitle+"\n")
+	if !ok {
+		t.Fatalf("docs/CAPACITY.md has no heading %q", boundsTitle)
+	}
+	table, _, _ = strings.Cut(table, "\n## ")
+	for line := range strings.Lines(table) {
+		cells := strings.Split(strings.TrimSpace(line), "|")
+		if !isBoundsRow(cells) {
+			continue
+		}
+		figure, err := strconv.ParseFloat(strings.ReplaceAll(strings.TrimSpace(cells[2]), ",", ""), 64)
+		if err != nil {
+			t.Fatalf("docs/CAPACITY.md: %v: %s", err, line)
+		}
+		bounds = append(bounds, CapacityBound{
+			Name:    strings.TrimSpace(cells[1]),
+			Figure:  figure,
+			Sources: strings.Fields(strings.ReplaceAll(cells[3], "`", "")),
+		})
+	}
+	return bounds
+}
+
+// isBoundsRow reports whether the cells are those of a row with a figure, not of the table's heading.
+func isBoundsRow(cells []string) bool {
+	if len(cells) != boundsCells {
+		return false
+	}
+	isRule := strings.HasPrefix(strings.TrimSpace(cells[1]), "---")
+	isHeading := strings.TrimSpace(cells[2]) == "figure"
+	return !isRule && !isHeading
+}
+
+// CheckCapacityBound fails the test if a measured value differs from the figure in docs/CAPACITY.md by more than
+// tolerance, a share of the figure. Then either the change that moved the value is wrong, or the page is outdated.
+func CheckCapacityBound(t testing.TB, name string, measured, tolerance float64) {
+	t.Helper()
+	for _, bound := range CapacityBounds(t) {
+		if bound.Name != name {
+			continue
+		}
+		margin := tolerance * bound.Figure
+		if measured < bound.Figure-margin || measured > bound.Figure+margin {
+			t.Errorf("%s: measured %.4g, docs/CAPACITY.md says %.4g", name, measured, bound.Figure)
+		}
+		return
+	}
+	t.Errorf("docs/CAPACITY.md has no row %q among its bounds", name)
+}
--- /dev/null
+++ b/internal/testutil/fieldvalues.go
@@ -0,0 +1,80 @@
+package testutil
+
+import (
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+)
+
+// FieldValues returns the values of the exported fields of v at any depth, in order of declaration, one a line and
+// without their names: a golden file of them shows what the keys of a format are decoded into, and stays valid when a
+// Go field is renamed.
+func FieldValues(v any) string {
+	var out strings.Builder
+	walkFields(reflect.ValueOf(v), "", func(_ string, leaf reflect.Value) { fmt.Fprintf(&out, "%v\n", leaf) })
+	return out.String()
+}
+
+// UnsetFields returns the paths of the exported fields of v, at any depth, that have their zero value.
+func UnsetFields(v any) (paths []string) {
+	walkFields(reflect.ValueOf(v), "", func(path string, leaf reflect.Value) {
+		if leaf.IsZero() {
+			paths = append(paths, path)
+		}
+	})
+	return paths
+}
+
+// walkFields calls leaf for each value that has no parts, which includes empty slices and maps and nil pointers.
+func walkFields(v reflect.Value, path string, leaf func(path string, v reflect.Value)) {
+	switch v.Kind() {
+	case reflect.Struct:
+		walkStruct(v, path, leaf)
+	case reflect.Slice:
+		walkSlice(v, path, leaf)
+	case reflect.Map:
+		walkMap(v, path, leaf)
+	case reflect.Pointer, reflect.Interface:
+		if v.IsNil() {
+			leaf(path, v)
+			return
+		}
+		walkFields(v.Elem(), path, leaf)
+	default:
+		leaf(path, v)
+	}
+}
+
+func walkStruct(v reflect.Value, path string, leaf func(path string, v reflect.Value)) {
+	for i := range v.NumField() {
+		if field := v.Type().Field(i); field.IsExported() {
+			walkFields(v.Field(i), path+"."+field.Name, leaf)
+		}
+	}
+}
+
+// walkSlice treats an empty slice as a nil one, as most encodings do.
+func walkSlice(v reflect.Value, path string, leaf func(path string, v reflect.Value)) {
+	if v.Len() == 0 {
+		leaf(path, reflect.Zero(v.Type()))
+	}
+	for i := range v.Len() {
+		walkFields(v.Index(i), fmt.Sprintf("%s[%d]", path, i), leaf)
+	}
+}
+
+// walkMap visits the values in order of their keys, and treats an empty map as a nil one.
+func walkMap(v reflect.Value, path string, leaf func(path string, v reflect.Value)) {
+	if v.Len() == 0 {
+		leaf(path, reflect.Zero(v.Type()))
+	}
+	keys := map[string]reflect.Value{}
+	for _, key := range v.MapKeys() {
+		keys[key.String()] = key
+	}
+	for _, name := range slices.Sorted(maps.Keys(keys)) {
+		walkFields(v.MapIndex(keys[name]), fmt.Sprintf("%s[%s]", path, name), leaf)
+	}
+}
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// UpdateGolden is the environment variable that makes Golden write its file in place of comparing with it. It is for a
-// format that is meant to change, and never set in CI.
+// UpdateGolden is the environment variable that makes Golden write its file instead of comparing with it. It is for a
+// format that changes on purpose, and is never set in CI.
 const UpdateGolden = "HAZELWING_UPDATE_GOLDEN"
 
-// Golden compares what was encoded, byte by byte, with the file of that name in the testdata directory of the package.
+// Golden compares encoded bytes with the file of that name in the testdata directory of the package under test.
 func Golden(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -33,69 +33,71 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("the format of %s has changed:\n%s\nwant\n%s", path, got, want)
+		t.Errorf("format of %s has changed:\n%s\nwant\n%s", path, got, want)
 	}
 }
 
-// GoldenBinary is Golden for bytes that are no text: the file holds them as a hexadecimal dump (encoding/hex.Dump).
+// GoldenBinary is Golden for bytes that are not text: the file contains their hexadecimal dump (encoding/hex.Dump).
 func GoldenBinary(t testing.TB, name string, got []byte) {
 	t.Helper()
 	Golden(t, name, []byte(hex.Dump(got)))
 }
 
-// Filled fails where an exported field of v, or of what it holds, has its zero value, or where it has a slice, map or
-// pointer that holds nothing: a golden file of such a value would not show the field's form. Fields that are never encoded,
-// with the name "-" in a tag, are passed over.
+// Filled fails the test for each exported field of v, at any depth, that has its zero value or is an empty slice or
+// map: a golden file of such a value would not show the field's encoding. Fields that are never encoded, which have the
+// name "-" in a tag, are skipped. Of a slice, only the first element is visited.
 func Filled(t testing.TB, v any) {
 	t.Helper()
-	walk(reflect.ValueOf(v), reflect.TypeOf(v).String(), func(path string, field reflect.Value) {
-		if field.IsZero() || (field.Kind() == reflect.Slice || field.Kind() == reflect.Map) && field.Len() == 0 {
-			t.Errorf("%s is not filled in", path)
+	walkEncoded(reflect.ValueOf(v), reflect.TypeOf(v).String(), func(path string, field reflect.Value) {
+		isCollection := field.Kind() == reflect.Slice || field.Kind() == reflect.Map
+		if field.IsZero() || isCollection && field.Len() == 0 {
+			t.Errorf("%s is not set", path)
 		}
 	})
 }
 
-// walk calls visit for each exported field.
-func walk(v reflect.Value, path string, visit func(path string, field reflect.Value)) {
+// walkEncoded calls visit for each exported field that an encoder writes, before it descends into the field.
+func walkEncoded(v reflect.Value, path string, visit func(path string, field reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if !v.IsNil() {
-			walk(v.Elem(), path, visit)
+			walkEncoded(v.Elem(), path, visit)
 		}
 	case reflect.Slice, reflect.Array:
 		if v.Len() > 0 {
-			walk(v.Index(0), path+"[0]", visit)
+			walkEncoded(v.Index(0), path+"[0]", visit)
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			walk(v.MapIndex(key), path+"["+key.String()+"]", visit)
+			walkEncoded(v.MapIndex(key), path+"["+key.String()+"]", visit)
 		}
 	case reflect.Struct:
 		if v.Type() == reflect.TypeFor[time.Time]() {
 			return
 		}
 		for i := range v.NumField() {
-			if field := v.Type().Field(i); field.IsExported() && !leftOut(field) {
+			if field := v.Type().Field(i); field.IsExported() && !isOmitted(field) {
 				visit(path+"."+field.Name, v.Field(i))
-				walk(v.Field(i), path+"."+field.Name, visit)
+				walkEncoded(v.Field(i), path+"."+field.Name, visit)
 			}
 		}
 	}
 }
 
-// leftOut says whether an encoder passes over a field.
-func leftOut(field reflect.StructField) bool {
+// isOmitted reports whether an encoder skips a field.
+func isOmitted(field reflect.StructField) bool {
 	return field.Tag.Get("json") == "-" || field.Tag.Get("toml") == "-"
 }
 
-// ExplicitNames fails where a type that is encoded, or one that it is made of, has an exported field whose name in the
-// encoding is that of the Go field, since no tag of the given key says it: a rename would change the format. Embedded
-// structs have no name of their own, and types that encode themselves as text are not looked into.
+// ExplicitNames fails the test for each exported field of the type of v, at any depth, that has no name in a struct tag
+// with the given key: its encoded name would be that of the Go field, so that a rename would change the format.
+// Embedded structs have no name of their own, and types that encode themselves as text are not visited.
 func ExplicitNames(t testing.TB, key string, v any) {
 	t.Helper()
 	explicitNames(t, key, reflect.TypeOf(v), map[reflect.Type]bool{})
 }
 
+// explicitNames checks one type and those that it is made of, each once.
 func explicitNames(t testing.TB, key string, kind reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
 	if seen[kind] {
@@ -123,7 +125,7 @@
 	}
 }
 
-// encodesItself says whether a type has a method that writes or reads it as text.
+// encodesItself reports whether a type has a method that encodes or decodes it as text or JSON.
 func encodesItself(kind reflect.Type) bool {
 	for _, method := range []string{"MarshalText", "UnmarshalText", "MarshalJSON", "UnmarshalJSON"} {
 		if _, ok := reflect.PointerTo(kind).MethodByName(method); ok {
