--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -231,7 +231,7 @@
 	testutil.Until(t, "all have the list from it, by way of the fleet", func() bool {
 		for _, n := range r.all() {
 			var l relay.SourceState
-			if r.Ask(n, "recovery", &l) != nil || !l.Server.Live || l.Server.Version != r.Servers.Discovery.Seq() || l.Group != r.Servers.Discovery.Addr() {
+			if r.Ask(n, "recovery", &l) != nil || !l.Server.Live || l.Server.Version != r.Servers.Discovery.Version() || l.Group != r.Servers.Discovery.Addr() {
 				return false
 			}
 		}
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -189,10 +189,10 @@
 // the group that can.
 func (r *mixedRig) checkListCrosses(server string, from, to []int) {
 	r.t.Helper()
-	before := r.Servers.Discovery.Seq()
+	before := r.Servers.Discovery.Version()
 	r.play("server " + server + " drain")
 	r.list.current(fmt.Sprintf("server list from %v to %v", from, to), r.all())
-	if after := r.Servers.Discovery.Seq(); after <= before {
+	if after := r.Servers.Discovery.Version(); after <= before {
 		r.t.Fatalf("discovery is still at version %d", after)
 	}
 	r.play("wait out " + server + " 10s")
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -31,7 +31,7 @@
 		if s.Source == "discovery" {
 			asking = append(asking, n)
 		}
-		current = current && s.Server.Live && s.Server.Version == r.Servers.Discovery.Seq()
+		current = current && s.Server.Live && s.Server.Version == r.Servers.Discovery.Version()
 	}
 	return text, asking, current
 }
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -236,7 +236,7 @@
 	settings := platform["settings"].(map[string]any)
 	settings["Balancers"] = balancers
 	settings["Limits"].(map[string]any)["SecondCopies"] = copies
-	platform["known"] = map[string]any{"seq": discovery.Seq(), "whole": true, "hosts": hosts}
+	platform["known"] = map[string]any{"seq": discovery.Version(), "whole": true, "hosts": hosts}
 	if text, err = json.Marshal(platform); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"encoding/json"
 	"net"
 	"net/http"
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Endpoint is an entry of discovery's list, in the platform's form.
+// Endpoint is an entry of the endpoint list, in the platform's form.
 type Endpoint struct {
 	Name         string  `json:"host"`
 	Address      string  `json:"dial"`
@@ -18,124 +19,144 @@
 	Cell         int     `json:"block"`
 	Health       string  `json:"health"` // SERVING, DRAINING, DELETED
 	TrafficShare float64 `json:"share"`
-	StartedAtMS  float64 `json:"born_ms"`
+	StartedAtMS  float64 `json:"born_ms"` // Unix time in milliseconds; 0: unknown
 }
 
+// listing is a response of discovery, or one line of the response to a watch.
 type listing struct {
-	Seq   int64      `json:"seq"`
-	Whole bool       `json:"whole"`
-	Hosts []Endpoint `json:"hosts"`
+	Version   int64      `json:"seq"`
+	Complete  bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Discovery is the platform's, on loopback: the whole list, or a watch on its changes.
+const (
+	// keepAliveInterval is how often a watch sends an empty line while nothing changes.
+	keepAliveInterval = 500 * time.Millisecond
+	discoveryPath     = "/discovery/hosts"
+	healthDeleted     = "DELETED"
+	healthServing     = "SERVING"
+	healthDraining    = "DRAINING"
+)
+
+// Discovery is the platform's discovery service on loopback. It returns the complete endpoint list, or a watch that
+// sends its changes. Its methods may be called from any goroutine.
 type Discovery struct {
-	l   net.Listener
-	srv *http.Server
-
-	mu      sync.Mutex
-	seq     int64
-	hosts   map[string]Endpoint
-	log     []listing // changes, in order
-	changed chan struct{}
-
-	call, patience time.Duration // what a call takes of it, and what one may wait; 0: nothing, for ever
-	busy           time.Time     // until then it works through calls, in turn
-	calls, turned  int
+	listener net.Listener
+	server   *http.Server
+
+	mu        sync.Mutex
+	version   int64
+	endpoints map[string]Endpoint
+	changes   []listing     // entry i has the version i+1
+	changed   chan struct{} // closed and replaced at each change
+
+	callTime      time.Duration // that each call occupies the service; 0: none
+	maxWait       time.Duration // calls that would wait longer are rejected
+	busyUntil     time.Time     // when the admitted calls will have been processed
+	calls         int
+	rejectedCalls int
 }
 
-// Limit makes it a service of fixed capacity: a call takes so long, calls are worked through in turn, and one whose answer
-// would take longer than patience is turned away with 503.
-func (d *Discovery) Limit(call, patience time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.call, d.patience = call, patience
+// NewDiscovery starts a service with an empty list.
+func NewDiscovery() (*Discovery, error) {
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	d := &Discovery{listener: listener, endpoints: map[string]Endpoint{}, changed: make(chan struct{})}
+	d.server = &http.Server{Handler: d, ReadHeaderTimeout: headerTimeout}
+	go func() { _ = d.server.Serve(listener) }() // returns http.ErrServerClosed after Close
+	return d, nil
 }
 
-// Calls says how many calls came, and how many of them were turned away.
-func (d *Discovery) Calls() (all, turned int) {
+// Addr returns the address on which the service listens.
+func (d *Discovery) Addr() string { return d.listener.Addr().String() }
+
+// Close ends the service and all watches.
+func (d *Discovery) Close() { _ = d.server.Close() }
+
+// Limit gives the service a fixed capacity: each call occupies it for callTime, calls are processed one after the
+// other, and a call that would wait longer than maxWait is rejected with status 503.
+func (d *Discovery) Limit(callTime, maxWait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls, d.turned
+	d.callTime, d.maxWait = callTime, maxWait
 }
 
-// turn takes a call in; false: it is turned away.
-func (d *Discovery) turn() (wait time.Duration, ok bool) {
+// Calls returns the number of calls, and how many of them were rejected.
+func (d *Discovery) Calls() (total, rejected int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls++
-	if d.call == 0 {
-		return 0, true
-	}
-	ready := time.Now()
-	if d.busy.After(ready) {
-		ready = d.busy
-	}
-	ready = ready.Add(d.call)
-	if wait = time.Until(ready); wait > d.patience {
-		d.turned++
-		return 0, false
-	}
-	d.busy = ready
-	return wait, true
+	return d.calls, d.rejectedCalls
 }
 
-// keepAlive is how often an empty line comes while nothing changes.
-const keepAlive = 500 * time.Millisecond
-
-// NewDiscovery starts one.
-func NewDiscovery() (*Discovery, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	d := &Discovery{l: l, hosts: map[string]Endpoint{}, changed: make(chan struct{})}
-	d.srv = &http.Server{Handler: d, ReadHeaderTimeout: 10 * time.Second}
-	go d.srv.Serve(l)
-	return d, nil
+// Version returns the version of the list.
+func (d *Discovery) Version() int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.version
 }
 
-// Addr is where it listens.
-func (d *Discovery) Addr() string { return d.l.Addr().String() }
-
-// Close ends it, and all watches.
-func (d *Discovery) Close() { d.srv.Close() }
-
-// Set changes an entry, and tells all watches.
-func (d *Discovery) Set(h Endpoint) {
+// Set changes an entry of the list and notifies all watches. An endpoint whose health is DELETED is removed.
+func (d *Discovery) Set(endpoint Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seq++
-	h.TrafficShare = 1
-	if h.Health == "DELETED" {
-		delete(d.hosts, h.Name)
+	d.version++
+	endpoint.TrafficShare = 1
+	if endpoint.Health == healthDeleted {
+		delete(d.endpoints, endpoint.Name)
 	} else {
-		d.hosts[h.Name] = h
+		d.endpoints[endpoint.Name] = endpoint
 	}
-	d.log = append(d.log, listing{Seq: d.seq, Hosts: []Endpoint{h}})
+	d.changes = append(d.changes, listing{Version: d.version, Endpoints: []Endpoint{endpoint}})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// after returns what a watch that has seq is to be told, and what is closed at the next change.
-func (d *Discovery) after(seq int64) ([]listing, <-chan struct{}) {
+// admit returns how long a call waits for its response, or false for a call that is rejected.
+func (d *Discovery) admit() (wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if seq > 0 && seq <= d.seq {
-		return d.log[seq:], d.changed // entry i of the log has the version i+1
+	d.calls++
+	if d.callTime == 0 {
+		return 0, true
+	}
+	ready := time.Now()
+	if d.busyUntil.After(ready) {
+		ready = d.busyUntil
 	}
-	whole := listing{Seq: d.seq, Whole: true, Hosts: []Endpoint{}}
-	for _, h := range d.hosts {
-		whole.Hosts = append(whole.Hosts, h)
+	ready = ready.Add(d.callTime)
+	if wait = time.Until(ready); wait > d.maxWait {
+		d.rejectedCalls++
+		return 0, false
 	}
-	return []listing{whole}, d.changed
+	d.busyUntil = ready
+	return wait, true
 }
 
+// updatesAfter returns what a watch at a version has to send, and a channel that is closed at the next change. A watch
+// without a valid version gets the complete list.
+func (d *Discovery) updatesAfter(version int64) ([]listing, <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if version > 0 && version <= d.version {
+		return d.changes[version:], d.changed
+	}
+	complete := listing{Version: d.version, Complete: true, Endpoints: []Endpoint{}}
+	for _, endpoint := range d.endpoints {
+		complete.Endpoints = append(complete.Endpoints, endpoint)
+	}
+	return []listing{complete}, d.changed
+}
+
+// ServeHTTP returns the complete list. With the parameter watch, it sends changes from the version in the parameter
+// from on, until the client disconnects.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/discovery/hosts" {
+	if r.URL.Path != discoveryPath {
 		http.NotFound(w, r)
 		return
 	}
-	wait, ok := d.turn()
+	wait, ok := d.admit()
 	if !ok {
 		http.Error(w, "too many calls", http.StatusServiceUnavailable)
 		return
@@ -145,37 +166,36 @@
 	case <-r.Context().Done():
 		return
 	}
-	out := json.NewEncoder(w)
 	if r.URL.Query().Get("watch") == "" {
-		list, _ := d.after(0)
-		out.Encode(list[0])
+		updates, _ := d.updatesAfter(0)
+		_ = json.NewEncoder(w).Encode(updates[0]) // fails once the client has disconnected
 		return
 	}
-	seq, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	tick := time.NewTicker(keepAlive)
-	defer tick.Stop()
+	// A version that cannot be parsed is 0, for which the watch begins with the complete list.
+	version, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
+	d.serveWatch(w, r, version)
+}
+
+// serveWatch sends changes until the client disconnects, which is also when its writes begin to fail.
+func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request, version int64) {
+	encoder := json.NewEncoder(w)
+	ticker := time.NewTicker(keepAliveInterval)
+	defer ticker.Stop()
 	for {
-		news, changed := d.after(seq)
-		for _, l := range news {
-			out.Encode(l)
-			seq = l.Seq
+		updates, changed := d.updatesAfter(version)
+		for _, update := range updates {
+			_ = encoder.Encode(update)
+			version = update.Version
 		}
-		if len(news) == 0 {
-			w.Write([]byte("\n"))
+		if len(updates) == 0 {
+			_, _ = w.Write([]byte("\n"))
 		}
 		w.(http.Flusher).Flush()
 		select {
 		case <-changed:
-		case <-tick.C:
+		case <-ticker.C:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
-
-// Seq is the version of the list.
-func (d *Discovery) Seq() int64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.seq
-}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -8,56 +8,86 @@
 	"time"
 )
 
-// FleetConfig is what a fleet is made of.
+// FleetConfig describes a fleet.
 type FleetConfig struct {
 	Nodes   []NodeConfig
-	Effects map[string]Effect
-	// NewServer puts a node on sockets; nil: HTTP.
+	Effects map[string]Effect // of the request classes, by name
+	// NewServer returns the server of a node; nil: NewHTTP.
 	NewServer func(n *Node, effects map[string]Effect) Server
-	// DrainSlack is added to the nodes' DrainGrace; 0: 50 ms. Tests that have to give one verdict on a busy machine, too, take
-	// more.
+	// DrainSlack is added to the nodes' DrainGrace; 0: 50 ms. Tests whose verdict must not depend on the load of the
+	// machine take more.
 	DrainSlack time.Duration
-	// DiscoveryDelay is how long discovery takes to learn that a process died or started; 0: 1 s.
+	// DiscoveryDelay is how long discovery takes to notice that a process died or started; 0: 1 s.
 	DiscoveryDelay time.Duration
 }
 
-// Fleet is nodes, and the discovery that lists them.
+const (
+	// defaultDiscoveryDelay is the value of FleetConfig.DiscoveryDelay where that is 0.
+	defaultDiscoveryDelay = time.Second
+	// drainCheckInterval is how often a draining node is checked for jobs in flight.
+	drainCheckInterval = 20 * time.Millisecond
+)
+
+// Fleet is a set of nodes and the discovery service that lists them. Its methods may be called from any goroutine.
 type Fleet struct {
-	cfg       FleetConfig
+	config    FleetConfig
 	Discovery *Discovery
 	Rules     *RuleChecker
 
-	mu    sync.Mutex
-	nodes map[string]*running
-	order []string
-	all   sync.WaitGroup
-	once  sync.Once
-	quit  chan struct{}
+	order     []string // names of the nodes, as configured
+	tasks     sync.WaitGroup
+	closeOnce sync.Once
+	closed    chan struct{}
+
+	mu        sync.Mutex
+	processes map[string]*process // the latest of each name
 }
 
-// running is a node's process.
-type running struct {
+// process is a node's process.
+type process struct {
 	*Node
 	addr   string
 	server Server
 }
 
-// MixedNodes are n like those of a booking site halfway through replacing its systems, in zones a to d.
-func MixedNodes(n int) []NodeConfig {
-	kinds := []struct {
-		kind  string
-		speed float64
-	}{{"new-fast", 1.6}, {"old-slow", 0.6}, {"new-fast", 1.45}, {"standard", 1.0}, {"old-slow", 0.55}, {"new-fast", 1.7}, {"old-slow", 0.65}}
-	var list []NodeConfig
-	for i := range n {
-		k := kinds[i%len(kinds)]
-		list = append(list, NodeConfig{Name: fmt.Sprintf("n%d", i+1), Zone: string(rune('a' + i%4)), Kind: k.kind, Speed: k.speed,
-			Seed: uint64(i + 1), InitialCapacity: 0.3, WarmUp: 4 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second, DrainGrace: 250 * time.Millisecond})
+// machineKinds are the machines of a booking site in the middle of a replacement of its systems.
+var machineKinds = []struct {
+	kind  string
+	speed float64
+}{
+	{"new-fast", 1.6},
+	{"old-slow", 0.6},
+	{"new-fast", 1.45},
+	{"standard", 1.0},
+	{"old-slow", 0.55},
+	{"new-fast", 1.7},
+	{"old-slow", 0.65},
+}
+
+// MixedNodes returns count nodes like those of a booking site in the middle of a replacement of its systems, in zones a
+// to d.
+func MixedNodes(count int) []NodeConfig {
+	const zones = 4
+	var nodes []NodeConfig
+	for i := range count {
+		machine := machineKinds[i%len(machineKinds)]
+		nodes = append(nodes, NodeConfig{
+			Name:             fmt.Sprintf("n%d", i+1),
+			Zone:             string(rune('a' + i%zones)),
+			Kind:             machine.kind,
+			Speed:            machine.speed,
+			Seed:             uint64(i + 1),
+			InitialCapacity:  0.3,
+			WarmUp:           4 * time.Second,
+			OverloadMultiple: 3,
+			OverloadWindow:   2 * time.Second,
+			DrainGrace:       250 * time.Millisecond,
+		})
 	}
-	return list
+	return nodes
 }
 
-// Capacity is the work that nodes do in a second, in seconds at speed 1.
+// Capacity returns the work that nodes do in a second, in seconds at speed 1.
 func Capacity(nodes []NodeConfig) (sum float64) {
 	for _, n := range nodes {
 		sum += n.Speed
@@ -66,163 +96,184 @@
 }
 
 // NewFleet starts a fleet whose nodes are warm and listed.
-func NewFleet(c FleetConfig) (*Fleet, error) {
-	if c.NewServer == nil {
-		c.NewServer = func(n *Node, effects map[string]Effect) Server { return NewHTTP(n, effects) }
+func NewFleet(config FleetConfig) (*Fleet, error) {
+	if config.NewServer == nil {
+		config.NewServer = func(n *Node, effects map[string]Effect) Server { return NewHTTP(n, effects) }
 	}
-	if c.DiscoveryDelay == 0 {
-		c.DiscoveryDelay = time.Second
+	if config.DiscoveryDelay == 0 {
+		config.DiscoveryDelay = defaultDiscoveryDelay
 	}
-	d, err := NewDiscovery()
+	discovery, err := NewDiscovery()
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{cfg: c, Discovery: d, Rules: NewRuleChecker(), nodes: map[string]*running{}, quit: make(chan struct{})}
-	if c.DrainSlack > 0 {
-		f.Rules.DrainSlack = c.DrainSlack
+	f := &Fleet{
+		config:    config,
+		Discovery: discovery,
+		Rules:     NewRuleChecker(),
+		closed:    make(chan struct{}),
+		processes: map[string]*process{},
 	}
-	for _, n := range c.Nodes {
-		r, err := f.start(n, time.Time{})
+	if config.DrainSlack > 0 {
+		f.Rules.DrainSlack = config.DrainSlack
+	}
+	for _, n := range config.Nodes {
+		p, err := f.start(n, time.Time{})
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
 		f.order = append(f.order, n.Name)
-		f.tell(r, "SERVING")
+		f.announce(p, healthServing)
 	}
 	return f, nil
 }
 
-// start starts a process on an address of its own.
-func (f *Fleet) start(c NodeConfig, born time.Time) (*running, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(LoopbackHost(), "0"))
+// start starts a process on an address of its own. startedAt is zero for a node that is warm.
+func (f *Fleet) start(config NodeConfig, startedAt time.Time) (*process, error) {
+	address := net.JoinHostPort(LoopbackHost(), "0")
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	n := NewNode(c, born, f.Rules)
-	r := &running{Node: n, addr: l.Addr().String(), server: f.cfg.NewServer(n, f.cfg.Effects)}
+	n := NewNode(config, startedAt, f.Rules)
+	p := &process{Node: n, addr: listener.Addr().String(), server: f.config.NewServer(n, f.config.Effects)}
 	f.mu.Lock()
-	f.nodes[c.Name] = r
+	f.processes[config.Name] = p
 	f.mu.Unlock()
-	f.all.Go(func() { r.server.Serve(l) })
-	f.all.Go(func() { // a process that dies resets its connections
-		select {
-		case <-n.Dead():
-			r.server.Stop()
-			f.after(f.cfg.DiscoveryDelay, func() {
-				if f.find(c.Name) == r { // else another process has its name by now
-					f.tell(r, "DELETED")
-				}
-			})
-		case <-f.quit:
-			r.server.Stop()
-		}
-		if n.Status().State == pushedOver {
-			f.Rules.ReportViolation("%s was pushed over while cold", n.Name)
-		}
-	})
-	return r, nil
+	f.tasks.Go(func() { _ = p.server.Serve(listener) }) // returns an error after Stop
+	f.tasks.Go(func() { f.supervise(p) })
+	return p, nil
+}
+
+// supervise stops the server of a process that dies, which resets its connections, and has discovery notice it.
+func (f *Fleet) supervise(p *process) {
+	select {
+	case <-p.Dead():
+		p.server.Stop()
+		f.after(f.config.DiscoveryDelay, func() {
+			if f.find(p.Name) == p { // otherwise the node was restarted in the meantime
+				f.announce(p, healthDeleted)
+			}
+		})
+	case <-f.closed:
+		p.server.Stop()
+	}
+	if p.Status().State == stateOverloaded {
+		f.Rules.ReportViolation("%s was pushed over while cold", p.Name)
+	}
 }
 
-func (f *Fleet) tell(r *running, health string) {
-	h := Endpoint{Name: r.Name, Address: r.addr, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, Health: health}
-	if !r.born.IsZero() {
-		h.StartedAtMS = float64(r.born.UnixMilli())
+// announce updates the entry of a process in discovery.
+func (f *Fleet) announce(p *process, health string) {
+	endpoint := Endpoint{
+		Name:    p.Name,
+		Address: p.addr,
+		Zone:    p.Zone,
+		Kind:    p.Kind,
+		Cell:    p.Cell,
+		Health:  health,
+	}
+	if !p.startedAt.IsZero() {
+		endpoint.StartedAtMS = float64(p.startedAt.UnixMilli())
 	}
-	f.Discovery.Set(h)
+	f.Discovery.Set(endpoint)
 }
 
-// after does something later, unless the fleet is closed by then.
-func (f *Fleet) after(d time.Duration, do func()) {
-	f.all.Go(func() {
+// after calls do after a delay, unless the fleet is closed by then.
+func (f *Fleet) after(delay time.Duration, do func()) {
+	f.tasks.Go(func() {
 		select {
-		case <-time.After(d):
+		case <-time.After(delay):
 			do()
-		case <-f.quit:
+		case <-f.closed:
 		}
 	})
 }
 
-func (f *Fleet) find(name string) *running {
+// find returns the latest process of a name, or nil.
+func (f *Fleet) find(name string) *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.nodes[name]
+	return f.processes[name]
 }
 
-// Node returns the process that runs under a name; nil: none ever did.
+// Node returns the latest process of a name, or nil if there was none.
 func (f *Fleet) Node(name string) *Node {
-	if r := f.find(name); r != nil {
-		return r.Node
+	if p := f.find(name); p != nil {
+		return p.Node
 	}
 	return nil
 }
 
-// Play plays a fault script, and returns when it is through or ctx ends.
+// Play injects the faults of a script at their times. It returns after the last one, or when ctx ends.
 func (f *Fleet) Play(ctx context.Context, script []Fault) error {
-	for _, x := range script {
-		if f.find(x.Node) == nil {
-			return fmt.Errorf("fault script: no node %q", x.Node)
+	for _, fault := range script {
+		if f.find(fault.Node) == nil {
+			return fmt.Errorf("fault script: no node %q", fault.Node)
 		}
 	}
-	begun := time.Now()
-	for _, x := range script {
+	start := time.Now()
+	for _, fault := range script {
 		select {
-		case <-time.After(time.Until(begun.Add(x.At))):
+		case <-time.After(time.Until(start.Add(fault.At))):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := f.Fault(x); err != nil {
+		//nolint:contextcheck // listening on loopback does not block, and a restarted process outlives the script
+		if err := f.Fault(fault); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Fault makes one happen now.
-func (f *Fleet) Fault(x Fault) error {
-	r := f.find(x.Node)
-	switch x.Verb {
+// Fault injects a fault now, whatever its time. The node must exist.
+func (f *Fleet) Fault(fault Fault) error {
+	p := f.find(fault.Node)
+	switch fault.Verb {
 	case "slow":
-		r.Slow(x.Factor)
-		f.after(x.Duration, func() { r.Slow(1) })
+		p.Slow(fault.Factor)
+		f.after(fault.Duration, func() { p.Slow(1) })
 	case "reset":
-		r.BreakConnections(x.Factor)
-		f.after(x.Duration, func() { r.BreakConnections(0) })
+		p.BreakConnections(fault.Factor)
+		f.after(fault.Duration, func() { p.BreakConnections(0) })
 	case "pause":
-		r.Pause(x.Duration)
+		p.Pause(fault.Duration)
 	case "drain":
-		// It is told, and the node knows when: what comes a grace later breaks a rule.
-		f.tell(r, "DRAINING")
-		r.Drain()
-		f.all.Go(func() { f.leave(r) })
+		// The node's DrainGrace counts from when discovery lists it as draining.
+		f.announce(p, healthDraining)
+		p.Drain()
+		f.tasks.Go(func() { f.stopWhenDrained(p) })
 	case "crash":
-		r.Die()
+		p.Die()
 	case "restart":
-		r.Die()
-		n, err := f.start(r.NodeConfig, time.Now())
+		p.Die()
+		restarted, err := f.start(p.NodeConfig, time.Now())
 		if err != nil {
 			return err
 		}
-		f.after(f.cfg.DiscoveryDelay, func() { f.tell(n, "SERVING") })
+		f.after(f.config.DiscoveryDelay, func() { f.announce(restarted, healthServing) })
 	}
 	return nil
 }
 
-// leave ends a node that drains once it has nothing left to do, and discovery's news is old.
-func (f *Fleet) leave(r *running) {
-	for begun := time.Now(); time.Since(begun) < f.cfg.DiscoveryDelay || r.InFlight() > 0; {
+// stopWhenDrained ends a process that drains once it has no job in flight and discovery has listed it as draining for
+// DiscoveryDelay.
+func (f *Fleet) stopWhenDrained(p *process) {
+	for start := time.Now(); time.Since(start) < f.config.DiscoveryDelay || p.InFlight() > 0; {
 		select {
-		case <-time.After(20 * time.Millisecond):
-		case <-r.Dead():
+		case <-time.After(drainCheckInterval):
+		case <-p.Dead():
 			return
-		case <-f.quit:
+		case <-f.closed:
 			return
 		}
 	}
-	r.Die()
+	p.Die()
 }
 
-// Status is what all nodes are doing, in their order.
+// Status returns the state of all nodes, in the order of the configuration.
 func (f *Fleet) Status() (list []Status) {
 	for _, name := range f.order {
 		list = append(list, f.Node(name).Status())
@@ -230,18 +281,18 @@
 	return list
 }
 
-// Close ends all processes and the discovery, and waits for them. It may be called again.
+// Close ends all processes and discovery, and waits for them. It may be called more than once.
 func (f *Fleet) Close() {
-	f.once.Do(f.close)
+	f.closeOnce.Do(f.close)
 }
 
 func (f *Fleet) close() {
-	close(f.quit)
+	close(f.closed)
 	f.mu.Lock()
-	for _, r := range f.nodes {
-		r.Die()
+	for _, p := range f.processes {
+		p.Die()
 	}
 	f.mu.Unlock()
-	f.all.Wait()
+	f.tasks.Wait()
 	f.Discovery.Close()
 }
--- a/internal/emulator/format_test.go
+++ b/internal/emulator/format_test.go
@@ -8,11 +8,22 @@
 	"hazelwing/internal/testutil"
 )
 
-// What the stand-in of discovery answers.
-func TestStandInListingFormatIsStable(t *testing.T) {
-	list := listing{Seq: 7, Whole: true, Hosts: []Endpoint{{
-		Name: "upstream-1", Address: "10.0.0.4:8080", Zone: "a", Kind: "m", Cell: 2, Health: "SERVING", TrafficShare: 0.5, StartedAtMS: 1700000000000.5,
-	}}}
+// The response of the emulated discovery service.
+func TestDiscoveryListingFormatIsStable(t *testing.T) {
+	list := listing{
+		Version:  7,
+		Complete: true,
+		Endpoints: []Endpoint{{
+			Name:         "upstream-1",
+			Address:      "10.0.0.4:8080",
+			Zone:         "a",
+			Kind:         "m",
+			Cell:         2,
+			Health:       "SERVING",
+			TrafficShare: 0.5,
+			StartedAtMS:  1700000000000.5,
+		}},
+	}
 	testutil.Filled(t, list)
 	testutil.ExplicitNames(t, "json", list)
 	text, err := json.MarshalIndent(list, "", "  ")
@@ -26,10 +37,17 @@
 	}
 }
 
-// The configuration that the stand-in of the platform gives.
-func TestStandInPlatformFormatIsStable(t *testing.T) {
+// The configuration that the emulated platform gives to a daemon.
+func TestPlatformConfigFormatIsStable(t *testing.T) {
 	traffic := new(Traffic)
-	traffic.Classes = []TrafficClass{{Name: "look", Effect: "safe", ObjectiveMS: 1.5, DeadlineMS: 2.5, Weight: 3.5, LateWeight: 0.5}}
+	traffic.Classes = []TrafficClass{{
+		Name:        "look",
+		Effect:      "safe",
+		ObjectiveMS: 1.5,
+		DeadlineMS:  2.5,
+		Weight:      3.5,
+		LateWeight:  0.5,
+	}}
 	text, err := PlatformConfig(traffic, "127.0.0.1:1", "127.0.0.1:2", "00000000000000ff")
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/emulator/generate.go
@@ -0,0 +1,67 @@
+package emulator
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+)
+
+// BookingClasses are like those of a booking site, ten times as fast.
+var BookingClasses = []TrafficClass{
+	{Name: "seat-search", Effect: "safe", ObjectiveMS: 80, DeadlineMS: 400, Weight: 3, LateWeight: 0.3},
+	{Name: "coach-map", Effect: "safe", ObjectiveMS: 60, DeadlineMS: 400, Weight: 3, LateWeight: 0.3},
+	{Name: "confirm-booking", Effect: "unsafe", ObjectiveMS: 120, DeadlineMS: 600, Weight: 10, LateWeight: 0.5},
+	{Name: "payment-record", Effect: "keyed", ObjectiveMS: 250, DeadlineMS: 600, Weight: 8, LateWeight: 0.3},
+}
+
+const (
+	// trafficStream is the random stream of generated traffic.
+	trafficStream = 0x7261696c
+	// workSigma is the standard deviation of the logarithm of a request's work.
+	workSigma = 0.5
+	// hintSigma is that of the ratio of the expected work to the work.
+	hintSigma = 0.2
+	// generatedKeys is the number of different affinity keys.
+	generatedKeys = 500
+)
+
+// bookingMix is the cumulative share of the requests and the mean work in microseconds, in the order of BookingClasses.
+var bookingMix = []struct {
+	cumulativeShare float64
+	meanWorkUS      float64
+}{
+	{0.40, 10500},
+	{0.70, 11500},
+	{0.91, 18000},
+	{1, 19000},
+}
+
+// Generate draws traffic of BookingClasses: requests arrive as a Poisson process with the given average rate a second,
+// and their work has a lognormal distribution. The same seed gives the same traffic.
+func Generate(seed uint64, rate float64, length time.Duration) *Traffic {
+	rng := rand.New(rand.NewPCG(seed, trafficStream))
+	traffic := &Traffic{TrafficHeader: TrafficHeader{Classes: BookingClasses}}
+	for at := rng.ExpFloat64() / rate; at < length.Seconds(); at += rng.ExpFloat64() / rate {
+		traffic.Requests = append(traffic.Requests, generateRequest(rng, at))
+	}
+	return traffic
+}
+
+// generateRequest draws a request that is sent at a time in seconds.
+func generateRequest(rng *rand.Rand, at float64) Request {
+	x, class := rng.Float64(), 0
+	for x > bookingMix[class].cumulativeShare {
+		class++
+	}
+	work := bookingMix[class].meanWorkUS * math.Exp(workSigma*rng.NormFloat64()-workSigma*workSigma/2)
+	key := rng.IntN(generatedKeys)
+	expectedWork := work * math.Exp(hintSigma*rng.NormFloat64())
+	return Request{
+		AtMS:           math.Round(at*1e6) / 1e3,
+		Class:          BookingClasses[class].Name,
+		AffinityKey:    fmt.Sprintf("u%d", key),
+		WorkUS:         math.Round(work),
+		ExpectedWorkUS: math.Round(expectedWork),
+	}
+}
--- /dev/null
+++ b/internal/emulator/httpclient.go
@@ -0,0 +1,105 @@
+package emulator
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"hazelwing/internal/load"
+)
+
+// responseTimeout is how long after a request's deadline its response is still awaited. This distinguishes a late
+// response from one that never comes.
+const responseTimeout = 10 * time.Second
+
+// HTTPClient returns a function that sends recorded requests to the daemon at addr as the platform's protocol
+// specifies. A request that is served with the response of another is a violation of the rules. The caller calls
+// closeIdle when all requests have ended.
+func HTTPClient(addr string, rules *RuleChecker) (do RequestFunc, closeIdle func()) {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxOpen, DisableCompression: true}
+	c := &httpClient{
+		baseURL: "http://" + addr,
+		client:  &http.Client{Transport: transport},
+		rules:   rules,
+	}
+	return c.do, transport.CloseIdleConnections
+}
+
+// httpClient is an application beside a daemon.
+type httpClient struct {
+	baseURL string
+	client  *http.Client
+	rules   *RuleChecker
+}
+
+// do is a RequestFunc.
+func (c *httpClient) do(ctx context.Context, number int, class TrafficClass, r Request) Outcome {
+	deadline, _ := ctx.Deadline()
+	responseCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline.Add(responseTimeout))
+	defer cancel()
+	id := fmt.Sprintf("%08x", number)
+	req, err := c.newRequest(responseCtx, id, time.Until(deadline), class, r)
+	if err != nil {
+		return Failed
+	}
+	resp, err := c.client.Do(req)
+	if err != nil {
+		return Unanswered
+	}
+	defer func() { _ = resp.Body.Close() }()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return Failed
+	}
+	return c.outcome(resp.StatusCode, string(body), id, class)
+}
+
+// newRequest returns the HTTP request of a recorded one.
+func (c *httpClient) newRequest(
+	ctx context.Context, id string, timeout time.Duration, class TrafficClass, r Request,
+) (*http.Request, error) {
+	message := load.Message{
+		ID:       id,
+		Class:    class.Name,
+		Effect:   class.Effect,
+		Patience: timeout,
+		Work:     microseconds(r.WorkUS),
+		Hint:     microseconds(r.ExpectedWorkUS),
+	}
+	if class.Effect == "keyed" {
+		message.Key = "k" + id
+	}
+	req, err := message.Request(ctx, c.baseURL)
+	if err != nil {
+		return nil, err
+	}
+	if r.AffinityKey != "" {
+		req.AddCookie(&http.Cookie{Name: "user", Value: r.AffinityKey})
+	}
+	return req, nil
+}
+
+// outcome classifies a response, and reports one that violates the rules.
+func (c *httpClient) outcome(status int, body, id string, class TrafficClass) Outcome {
+	switch status {
+	case http.StatusOK:
+		if !strings.HasPrefix(body, id) {
+			c.rules.ReportViolation("request %s was served with %q", id, body)
+		}
+		return Served
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		if _, executions := c.rules.Executions(id); executions > 0 && class.Effect == "unsafe" {
+			c.rules.ReportViolation("%s %s was refused after it ran", class.Name, id)
+		}
+		return Rejected
+	}
+	return Failed
+}
+
+// microseconds returns a number of microseconds as a duration.
+func microseconds(us float64) time.Duration {
+	return time.Duration(us * float64(time.Microsecond))
+}
--- /dev/null
+++ b/internal/emulator/httpserver.go
@@ -0,0 +1,91 @@
+package emulator
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Server serves a node on a listener, in some protocol. Stop ends it as the death of a process does: open connections
+// are reset.
+type Server interface {
+	Serve(listener net.Listener) error
+	Stop()
+}
+
+// Names of the headers, or gRPC metadata, that emulated servers read.
+const (
+	RequestIDHeader      = "x-request-id"
+	IdempotencyKeyHeader = "idempotency-key"
+	ClassHeader          = "x-class"
+	ExtrasHeader         = "x-extras" // contains work=MICROSECONDS
+)
+
+// maxWorkUS bounds the work of a request, in microseconds.
+const maxWorkUS = 1e9
+
+// WorkFromExtras returns the work that a request states in its extras header, or 0 if there is none that can be used.
+func WorkFromExtras(extras string) time.Duration {
+	for field := range strings.SplitSeq(extras, ",") {
+		text, ok := strings.CutPrefix(field, "work=")
+		if !ok {
+			continue
+		}
+		if us, err := strconv.ParseFloat(text, 64); err == nil && us >= 0 && us < maxWorkUS {
+			return microseconds(us)
+		}
+	}
+	return 0
+}
+
+// HTTP serves a node as the platform's protocol specifies: HTTP/1.1, with the load report at /metrics/load.
+type HTTP struct {
+	*ResettingServer
+	node    *Node
+	effects map[string]Effect
+}
+
+// NewHTTP returns a server of the node; effects are those of the request classes, by name.
+func NewHTTP(node *Node, effects map[string]Effect) *HTTP {
+	h := &HTTP{node: node, effects: effects}
+	h.ResettingServer = NewResettingServer(h)
+	return h
+}
+
+// ServeHTTP executes a request on the node, or returns its load report.
+func (h *HTTP) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == "/metrics/load" {
+		_, _ = fmt.Fprintf(w, "queue=%d", h.node.InFlight()) // fails once the client has disconnected
+		return
+	}
+	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	id := r.Header.Get(RequestIDHeader)
+	effect, known := h.effects[class]
+	if id == "" || !known {
+		http.Error(w, "no such request", http.StatusNotFound)
+		return
+	}
+	if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		return
+	}
+	job := Job{
+		ID:             id,
+		Class:          class,
+		Effect:         effect,
+		IdempotencyKey: r.Header.Get(IdempotencyKeyHeader),
+		Work:           WorkFromExtras(r.Header.Get(ExtrasHeader)),
+	}
+	switch h.node.Do(r.Context(), job) {
+	case Done:
+		_, _ = fmt.Fprintf(w, "%s by %s", id, h.node.Name) // fails once the client has disconnected
+	case QueueFull, Draining:
+		w.Header().Set("X-Not-Run", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case NodeDied, ClientDisconnected, ConnectionBroken:
+		panic(http.ErrAbortHandler) // resets the connection
+	}
+}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -1,10 +1,3 @@
-// Package emulator holds the stand-ins that the project's tests, measurements and demonstration run against: booking
-// nodes with one core each, a discovery, faults by script, recorded traffic and clients that replay it. They are
-// written from the public descriptions of what they stand for, and use nothing of the program that they test.
-//
-// A Fleet puts them together and keeps the count of what the rules are about: executions by request, what was sent to
-// a node after its drain was told, and what was sent to a cold one. Everything is on loopback, in real time, and
-// seeded: what chance decides is the same in each run, what the machine's scheduler decides is not.
 package emulator
 
 import (
@@ -18,7 +11,8 @@
 // Effect says what a second execution of a request would do.
 type Effect int
 
-// The three effects.
+// Idempotent requests may be executed any number of times, Keyed ones as well if they carry the same idempotency key,
+// and NonIdempotent ones at most once.
 const (
 	Idempotent Effect = iota
 	Keyed
@@ -27,106 +21,110 @@
 
 // Job is a request as it reaches a node.
 type Job struct {
-	ID             string // of the request; all attempts of one call carry the same
+	ID             string // of the request; all attempts of one call have the same
 	Class          string
 	Effect         Effect
-	IdempotencyKey string // of a keyed one
+	IdempotencyKey string // of a keyed request
 	Work           time.Duration
 }
 
-// Reply says what a node made of a job.
+// Reply is the result of a job.
 type Reply int
 
-// The replies.
+// The replies. A job that ended with QueueFull or Draining was not executed.
 const (
 	Done               Reply = iota
-	QueueFull                // turned away unseen: the waiting room is full
-	Draining                 // turned away unseen: the node drains
-	NodeDied                 // the node died: no answer goes out
-	ClientDisconnected       // the client has left
-	ConnectionBroken         // it ran, and its connection breaks before the answer
+	QueueFull                // rejected: too many jobs are waiting
+	Draining                 // rejected: the node drains
+	NodeDied                 // the node died, and sends no response
+	ClientDisconnected       // the work was abandoned
+	ConnectionBroken         // executed, but the connection breaks before the response
 )
 
-// NodeConfig is a node's machine.
+// NodeConfig describes a node's machine.
 type NodeConfig struct {
 	Name, Zone, Kind string
 	Cell             int
 	Speed            float64       // of its core; a job takes Work / Speed
-	Queue            int           // jobs that may wait; 0: 64
-	InitialCapacity  float64       // share of its speed that it starts with, where Warm is set
-	WarmUp           time.Duration // until it has all of it
-	OverloadMultiple float64       // times its present speed that pushes a cold one over, in FallTime; 0: nothing does
+	Queue            int           // maximum number of jobs that wait or run; 0: 64
+	InitialCapacity  float64       // share of Speed right after the start, if WarmUp is set
+	WarmUp           time.Duration // after the start, until the node has its full speed
+	// OverloadMultiple is how many times the work that a warming node can do in OverloadWindow kills it; 0: none does.
+	OverloadMultiple float64
 	OverloadWindow   time.Duration
-	DrainGrace       time.Duration // after its drain was told; what comes later breaks a rule
-	Seed             uint64        // of what chance decides
+	DrainGrace       time.Duration // after its drain; a job that arrives later violates a rule
+	Seed             uint64        // of its random decisions
 }
 
-// Node is one booking node: a queue and one core, which works on one job at a time. Its methods may be called from any
+const (
+	// defaultQueue is the value of NodeConfig.Queue where that is 0.
+	defaultQueue = 64
+	// nodeStream is the random stream of a node's decisions.
+	nodeStream = 0x6e6f6465
+	// workInterval is how often a running job checks the state of its node and of its client.
+	workInterval = 2 * time.Millisecond
+	// minWorkInterval bounds that interval from below, near the end of a job.
+	minWorkInterval = 50 * time.Microsecond
+)
+
+// Node is a server with a queue and one core, which executes one job at a time. Its methods may be called from any
 // goroutine.
 type Node struct {
 	NodeConfig
-	ledger *RuleChecker
-	born   time.Time // of its process; zero: long ago
-	since  time.Time // when this object was made
-
-	mu      sync.Mutex
-	slow    float64   // its core is so many times slower
-	paused  time.Time // it stands still until then
-	breaks  float64   // share of the jobs that end as Broken
-	rng     *rand.Rand
-	told    time.Time     // when its drain was told; zero: it does not drain
-	fallen  bool          // pushed over while cold
-	dead    chan struct{} // closed when it dies
-	waiting int           // jobs that wait or run
-	served  int
-	got     []arrival // while cold
-	core    chan struct{}
+	rules     *RuleChecker
+	startedAt time.Time     // of its process; zero: long ago
+	createdAt time.Time     // of this object
+	core      chan struct{} // holds a token while the core is idle
+	dead      chan struct{} // closed when the node dies, with mu locked
+
+	mu             sync.Mutex
+	slowFactor     float64   // how many times slower the core is
+	pausedUntil    time.Time // the core does no work until then
+	resetShare     float64   // of the jobs, those that end with ConnectionBroken
+	rng            *rand.Rand
+	drainingSince  time.Time // zero: it does not drain
+	overloaded     bool      // it died of overload while warming up
+	inFlight       int       // jobs that wait or run
+	served         int
+	recentArrivals []arrival // while warming up, those of the last OverloadWindow
 }
 
+// arrival is a job that reached a node that was warming up.
 type arrival struct {
 	at   time.Time
 	work time.Duration
 }
 
-// NewNode starts a node; born is when its process started, zero for long ago. ledger is the fleet's.
-func NewNode(c NodeConfig, born time.Time, ledger *RuleChecker) *Node {
-	if c.Queue == 0 {
-		c.Queue = 64
+// NewNode starts a node. startedAt is when its process started, zero for a node that is warm.
+func NewNode(config NodeConfig, startedAt time.Time, rules *RuleChecker) *Node {
+	if config.Queue == 0 {
+		config.Queue = defaultQueue
+	}
+	n := &Node{
+		NodeConfig: config,
+		rules:      rules,
+		startedAt:  startedAt,
+		createdAt:  time.Now(),
+		core:       make(chan struct{}, 1),
+		dead:       make(chan struct{}),
+		slowFactor: 1,
+		rng:        rand.New(rand.NewPCG(config.Seed, nodeStream)),
 	}
-	n := &Node{NodeConfig: c, ledger: ledger, born: born, since: time.Now(), slow: 1,
-		rng: rand.New(rand.NewPCG(c.Seed, 0x6e6f6465)), dead: make(chan struct{}), core: make(chan struct{}, 1)}
 	n.core <- struct{}{}
 	return n
 }
 
-// step is how often a job looks at what has become of its node and its client.
-const step = 2 * time.Millisecond
-
-// RequestFunc takes a job and returns when it is done, or will not be.
-func (n *Node) Do(ctx context.Context, j Job) Reply {
-	now := time.Now()
-	n.mu.Lock()
-	n.ledger.arrived(n, now, n.told)
-	switch {
-	case n.isDead():
-		n.mu.Unlock()
-		return NodeDied
-	case !n.told.IsZero():
-		n.mu.Unlock()
-		return Draining
-	case n.waiting >= n.Queue:
-		n.mu.Unlock()
-		return QueueFull
+// Do executes a job, and returns when it is done or will not be.
+func (n *Node) Do(ctx context.Context, job Job) Reply {
+	if reply, admitted := n.admit(job); !admitted {
+		return reply
 	}
-	n.waiting++
-	n.chill(now, j.Work)
-	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
-		n.waiting--
+		n.inFlight--
 		n.mu.Unlock()
 	}()
-	select { // runtime hands the core on in order of waiting
+	select { // waiting jobs get the core in order of arrival, as the runtime serves receivers
 	case <-n.core:
 	case <-ctx.Done():
 		return ClientDisconnected
@@ -134,80 +132,112 @@
 		return NodeDied
 	}
 	defer func() { n.core <- struct{}{} }()
-	if !n.ledger.begin(j, n.Zone, time.Now()) {
-		return Done // the first one's answer, again
+	if !n.rules.beginExecution(job, n.Zone, time.Now()) {
+		return Done // a repeat gets the response of the first execution
+	}
+	return n.work(ctx, job.Work)
+}
+
+// admit counts a job as in flight, or returns why it is not accepted.
+func (n *Node) admit(job Job) (Reply, bool) {
+	now := time.Now()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.rules.arrived(n, now, n.drainingSince)
+	switch {
+	case n.isDead():
+		return NodeDied, false
+	case !n.drainingSince.IsZero():
+		return Draining, false
+	case n.inFlight >= n.Queue:
+		return QueueFull, false
 	}
-	return n.work(ctx, j.Work)
+	n.inFlight++
+	n.checkOverload(now, job.Work)
+	return Done, true
 }
 
-// work spends d of the core's time at speed 1.
-func (n *Node) work(ctx context.Context, d time.Duration) Reply {
-	timer := time.NewTimer(step)
+// work spends core time, given at speed 1. It stops when the client disconnects or the node dies.
+func (n *Node) work(ctx context.Context, amount time.Duration) Reply {
+	timer := time.NewTimer(workInterval)
 	defer timer.Stop()
-	left := d.Seconds()
+	remaining := amount.Seconds()
 	for last := time.Now(); ; {
 		n.mu.Lock()
-		speed := n.speed(last)
+		speed := n.currentSpeed(last)
 		n.mu.Unlock()
-		wait := step
-		if speed > 0 {
-			wait = min(step, max(time.Duration(left/speed*float64(time.Second)), 50*time.Microsecond))
-		}
-		timer.Reset(wait)
+		timer.Reset(workWait(remaining, speed))
 		select {
 		case <-ctx.Done():
-			return ClientDisconnected // work stops when its request is cancelled
+			return ClientDisconnected
 		case <-n.dead:
 			return NodeDied
 		case <-timer.C:
 		}
 		now := time.Now()
-		if left -= now.Sub(last).Seconds() * speed; left <= 0 {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			if n.breaks > 0 && n.rng.Float64() < n.breaks {
-				return ConnectionBroken
-			}
-			n.served++
-			return Done
+		remaining -= now.Sub(last).Seconds() * speed
+		if remaining <= 0 {
+			return n.finish()
 		}
 		last = now
 	}
 }
 
-// speed is what the core does at a time. The lock is held.
-func (n *Node) speed(now time.Time) float64 {
-	if now.Before(n.paused) {
+// workWait returns how long to wait before the next check, for a job with remaining seconds of work.
+func workWait(remaining, speed float64) time.Duration {
+	if speed <= 0 {
+		return workInterval
+	}
+	untilDone := time.Duration(remaining / speed * float64(time.Second))
+	return min(workInterval, max(untilDone, minWorkInterval))
+}
+
+// finish ends a job that was executed.
+func (n *Node) finish() Reply {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.resetShare > 0 && n.rng.Float64() < n.resetShare {
+		return ConnectionBroken
+	}
+	n.served++
+	return Done
+}
+
+// currentSpeed returns the speed of the core. n.mu must be locked.
+func (n *Node) currentSpeed(now time.Time) float64 {
+	if now.Before(n.pausedUntil) {
 		return 0
 	}
-	return n.Speed / n.slow * n.warmth(now)
+	return n.Speed / n.slowFactor * n.capacityShare(now)
 }
 
-// warmth is the share of its speed that a node has that started a while ago.
-func (n *Node) warmth(now time.Time) float64 {
-	if n.born.IsZero() || n.WarmUp == 0 {
+// capacityShare returns the share of its full speed that the node has at a time: it grows linearly during warm-up.
+func (n *Node) capacityShare(now time.Time) float64 {
+	if n.startedAt.IsZero() || n.WarmUp == 0 {
 		return 1
 	}
-	return min(1, n.InitialCapacity+(1-n.InitialCapacity)*now.Sub(n.born).Seconds()/n.WarmUp.Seconds())
+	progress := now.Sub(n.startedAt).Seconds() / n.WarmUp.Seconds()
+	return min(1, n.InitialCapacity+(1-n.InitialCapacity)*progress)
 }
 
-// chill counts what is sent to a cold node, and pushes it over where that is too much. The lock is held.
-func (n *Node) chill(now time.Time, work time.Duration) {
-	w := n.warmth(now)
-	if w >= 1 || n.OverloadMultiple == 0 {
-		n.got = nil
+// checkOverload counts the work sent to a node that is warming up, and kills the node if it is too much. n.mu must be
+// locked.
+func (n *Node) checkOverload(now time.Time, work time.Duration) {
+	share := n.capacityShare(now)
+	if share >= 1 || n.OverloadMultiple == 0 {
+		n.recentArrivals = nil
 		return
 	}
-	n.got = append(n.got, arrival{now, work})
-	for len(n.got) > 0 && now.Sub(n.got[0].at) > n.OverloadWindow {
-		n.got = n.got[1:]
+	n.recentArrivals = append(n.recentArrivals, arrival{now, work})
+	for len(n.recentArrivals) > 0 && now.Sub(n.recentArrivals[0].at) > n.OverloadWindow {
+		n.recentArrivals = n.recentArrivals[1:]
 	}
 	var sum time.Duration
-	for _, a := range n.got {
+	for _, a := range n.recentArrivals {
 		sum += a.work
 	}
-	if sum.Seconds() > n.OverloadMultiple*n.Speed*w*n.OverloadWindow.Seconds() {
-		n.fallen = true
+	if sum.Seconds() > n.OverloadMultiple*n.Speed*share*n.OverloadWindow.Seconds() {
+		n.overloaded = true
 		n.die()
 	}
 }
@@ -221,96 +251,113 @@
 	}
 }
 
+// die ends the process, once. n.mu must be locked.
 func (n *Node) die() {
 	if !n.isDead() {
 		close(n.dead)
 	}
 }
 
-// Slow makes the core so many times slower.
-func (n *Node) Slow(times float64) {
+// Slow makes the core slower by a factor of at least 1.
+func (n *Node) Slow(factor float64) {
 	n.mu.Lock()
-	n.slow = math.Max(times, 1)
+	n.slowFactor = math.Max(factor, 1)
 	n.mu.Unlock()
 }
 
-// BreakConnections makes a share of the jobs end with a connection that breaks after they ran.
+// BreakConnections makes a share of the jobs end with a connection that breaks after their execution.
 func (n *Node) BreakConnections(share float64) {
 	n.mu.Lock()
-	n.breaks = share
+	n.resetShare = share
 	n.mu.Unlock()
 }
 
-// Pause makes the core stand still for a while.
+// Pause stops the core for a while.
 func (n *Node) Pause(d time.Duration) {
 	n.mu.Lock()
-	n.paused = time.Now().Add(d)
+	n.pausedUntil = time.Now().Add(d)
 	n.mu.Unlock()
 }
 
-// Drain makes it turn new jobs away; what comes more than its grace after now breaks a rule.
+// Drain makes the node reject new jobs. A job that arrives more than DrainGrace from now violates a rule.
 func (n *Node) Drain() {
 	n.mu.Lock()
-	if n.told.IsZero() {
-		n.told = time.Now()
+	if n.drainingSince.IsZero() {
+		n.drainingSince = time.Now()
 	}
 	n.mu.Unlock()
 }
 
-// Die ends the process: what it holds is lost.
+// Die ends the process. Jobs in flight end with NodeDied.
 func (n *Node) Die() {
 	n.mu.Lock()
 	n.die()
 	n.mu.Unlock()
 }
 
-// Dead is closed when the process has ended.
+// Dead returns a channel that is closed when the process has ended.
 func (n *Node) Dead() <-chan struct{} { return n.dead }
 
-// InFlight is how many jobs wait or run.
+// InFlight returns the number of jobs that wait or run.
 func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.waiting
+	return n.inFlight
 }
 
-const pushedOver = "pushed over"
+// stateOverloaded is the state of a node that died of overload while warming up, as the operators' pages name it.
+const stateOverloaded = "pushed over"
 
-// Status is what a node is doing.
+// Status is a node's state at one moment.
 type Status struct {
 	Name, Zone, State string
 	InFlight, Served  int
-	CapacityShare     float64
+	CapacityShare     float64 // of the node's full speed
 }
 
-// Status returns it.
+// Status returns the state of the node.
 func (n *Node) Status() Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	s := Status{Name: n.Name, Zone: n.Zone, State: "serving", InFlight: n.waiting, Served: n.served, CapacityShare: n.warmth(now)}
+	share := n.capacityShare(now)
+	return Status{
+		Name:          n.Name,
+		Zone:          n.Zone,
+		State:         n.state(now, share),
+		InFlight:      n.inFlight,
+		Served:        n.served,
+		CapacityShare: share,
+	}
+}
+
+// state names the state of the node, as the operators' pages do. n.mu must be locked.
+func (n *Node) state(now time.Time, capacityShare float64) string {
 	switch {
-	case n.fallen:
-		s.State = pushedOver
+	case n.overloaded:
+		return stateOverloaded
 	case n.isDead():
-		s.State = "dead"
-	case !n.told.IsZero():
-		s.State = "draining"
-	case now.Before(n.paused):
-		s.State = "paused"
-	case n.slow > 1:
-		s.State = "slow"
-	case n.breaks > 0:
-		s.State = "resetting"
-	case s.CapacityShare < 1:
-		s.State = "cold"
+		return "dead"
+	case !n.drainingSince.IsZero():
+		return "draining"
+	case now.Before(n.pausedUntil):
+		return "paused"
+	case n.slowFactor > 1:
+		return "slow"
+	case n.resetShare > 0:
+		return "resetting"
+	case capacityShare < 1:
+		return "cold"
 	}
-	return s
+	return "serving"
 }
 
-// Rate is how many jobs it has served a second, over its life.
+// minRateSeconds bounds the time over which Rate averages from below.
+const minRateSeconds = 0.1
+
+// Rate returns the number of jobs served a second since the node was created.
 func (n *Node) Rate() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return float64(n.served) / max(time.Since(n.since).Seconds(), 0.1)
+	return float64(n.served) / max(time.Since(n.createdAt).Seconds(), minRateSeconds)
 }
--- a/internal/emulator/replay.go
+++ b/internal/emulator/replay.go
@@ -10,93 +10,107 @@
 	"hazelwing/internal/load"
 )
 
-// Outcome says how a request ended for its client.
+// Outcome is how a request ended for its client.
 type Outcome int
 
-// The kinds.
+// The outcomes.
 const (
 	Served Outcome = iota
 	Rejected
 	Failed
-	Unanswered // no final answer in the client's time
+	Unanswered // no final response before the client's deadline
 )
 
-// Grace is how long after the client's time a final answer still counts as one on sockets.
+// Grace is how long after the client's deadline a final response still counts, for delays of sockets.
 const Grace = 70 * time.Millisecond
 
-// RequestFunc carries out one request as a client; n tells it from all others. The context's deadline is the end of the client's
-// patience.
-type RequestFunc func(ctx context.Context, n int, c TrafficClass, r Request) Outcome
+// RequestFunc carries out one request as a client; number identifies it. The context's deadline is that of the client.
+type RequestFunc func(ctx context.Context, number int, class TrafficClass, r Request) Outcome
 
-// Report is what became of recorded traffic.
+// Report is the result of a replay.
 type Report struct {
 	Sent, Served, WithinObjective, Rejected, Failed, Unanswered int
 
-	Service        float64       // worth answered in time, or late at a share, over the worth asked for
-	P50, P99, P999 time.Duration // of all requests, whatever their end
+	Service        float64       // weight served, a late response at LateWeight, over the weight of all requests
+	P50, P99, P999 time.Duration // latency of all requests, whatever their outcome
 
-	ServedP50, ServedP99 time.Duration // of those that were served
+	ServedP50, ServedP99 time.Duration // latency of the requests that were served
 
 	grace time.Duration
-	mu    sync.Mutex
-	worth float64
-	won   float64
-	took  *load.Histogram
 
-	served *load.Histogram
+	mu            sync.Mutex
+	totalWeight   float64
+	servedWeight  float64
+	latency       *load.Histogram
+	servedLatency *load.Histogram
 }
 
-// maxOpen bounds the requests that a replay has open; those beyond are not sent, and count as unanswered.
+// maxOpen bounds the number of requests that a replay has open. Those beyond are not sent, and count as unanswered.
 const maxOpen = 4096
 
-// Replay plays traffic at its own pace, whatever the answers do, and returns when all have come. An answer that comes
-// later than grace after its client's time is none. Worth counts by unit of work, as booking sites do.
-func Replay(ctx context.Context, t *Traffic, grace time.Duration, do RequestFunc) *Report {
-	r := &Report{grace: grace, took: load.NewHistogram(), served: load.NewHistogram()}
+// Replay sends recorded traffic at its own pace, regardless of the responses, and returns when all requests have ended.
+// A response that arrives more than grace after the client's deadline does not count. The weight of a request is that
+// of its class times its work, as booking sites account for it.
+func Replay(ctx context.Context, traffic *Traffic, grace time.Duration, do RequestFunc) *Report {
+	r := &Report{grace: grace, latency: load.NewHistogram(), servedLatency: load.NewHistogram()}
 	classes := map[string]TrafficClass{}
-	for _, c := range t.Classes {
-		classes[c.Name] = c
+	for _, class := range traffic.Classes {
+		classes[class.Name] = class
 	}
-	next := func(n int) (time.Duration, bool) {
-		if n >= len(t.Requests) {
+	next := func(number int) (time.Duration, bool) {
+		if number >= len(traffic.Requests) {
 			return 0, false
 		}
-		return t.Requests[n].At(), true
+		return traffic.Requests[number].At(), true
 	}
-	load.Pace(ctx, next, maxOpen, func(n int, intended time.Time) {
-		q := t.Requests[n]
-		r.one(ctx, n, classes[q.Class], q, intended, do)
-	}, func(n int, intended time.Time) {
-		q := t.Requests[n]
-		r.one(ctx, n, classes[q.Class], q, intended, func(context.Context, int, TrafficClass, Request) Outcome { return Unanswered })
-	})
-	return r.close()
+	send := func(number int, intended time.Time) {
+		request := traffic.Requests[number]
+		r.send(ctx, number, classes[request.Class], request, intended, do)
+	}
+	omit := func(number int, intended time.Time) {
+		request := traffic.Requests[number]
+		r.send(ctx, number, classes[request.Class], request, intended, unanswered)
+	}
+	load.Pace(ctx, next, maxOpen, send, omit)
+	return r.finish()
 }
 
-func (r *Report) one(ctx context.Context, n int, c TrafficClass, q Request, came time.Time, do RequestFunc) {
-	patience := time.Duration(c.DeadlineMS * float64(time.Millisecond))
-	ctx, cancel := context.WithDeadline(ctx, came.Add(patience))
+// unanswered is the RequestFunc of requests that are not sent.
+func unanswered(context.Context, int, TrafficClass, Request) Outcome { return Unanswered }
+
+// send carries out one request and counts its outcome. Latency counts from the intended time of the request, also where
+// it was sent late.
+func (r *Report) send(
+	ctx context.Context, number int, class TrafficClass, request Request, intended time.Time, do RequestFunc,
+) {
+	timeout := time.Duration(class.DeadlineMS * float64(time.Millisecond))
+	ctx, cancel := context.WithDeadline(ctx, intended.Add(timeout))
 	defer cancel()
-	kind := do(ctx, n, c, q)
-	took := time.Since(came)
-	if took > patience+r.grace {
-		kind = Unanswered
+	outcome := do(ctx, number, class, request)
+	latency := time.Since(intended)
+	if latency > timeout+r.grace {
+		outcome = Unanswered
 	}
-	worth := c.Weight * q.WorkUS
+	r.count(class, request, outcome, latency, timeout)
+}
+
+// count adds the outcome of one request.
+func (r *Report) count(class TrafficClass, request Request, outcome Outcome, latency, timeout time.Duration) {
+	weight := class.Weight * request.WorkUS
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Sent++
-	r.worth += worth
-	r.took.Add(took)
-	switch kind {
+	r.totalWeight += weight
+	r.latency.Add(latency)
+	switch outcome {
 	case Served:
 		r.Served++
-		r.served.Add(took)
-		if took.Seconds()*1000 <= c.ObjectiveMS {
+		r.servedLatency.Add(latency)
+		if latency.Seconds()*1000 <= class.ObjectiveMS {
 			r.WithinObjective++
-			r.won += worth
-		} else if took <= patience {
-			r.won += worth * c.LateWeight
+			r.servedWeight += weight
+		} else if latency <= timeout {
+			r.servedWeight += weight * class.LateWeight
 		}
 	case Rejected:
 		r.Rejected++
@@ -107,18 +121,23 @@
 	}
 }
 
-// close works the figures out.
-func (r *Report) close() *Report {
+// finish computes the figures that depend on all requests.
+func (r *Report) finish() *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Service = r.won / cmp.Or(r.worth, 1)
-	r.ServedP50, r.ServedP99 = r.served.At(0.5), r.served.At(0.99)
-	r.P50, r.P99, r.P999 = r.took.At(0.5), r.took.At(0.99), r.took.At(0.999)
+	r.Service = r.servedWeight / cmp.Or(r.totalWeight, 1)
+	r.ServedP50, r.ServedP99 = r.servedLatency.At(0.5), r.servedLatency.At(0.99)
+	r.P50, r.P99, r.P999 = r.latency.At(0.5), r.latency.At(0.99), r.latency.At(0.999)
 	return r
 }
 
+// reportPrecision is that of the latencies in a printed report.
+const reportPrecision = 100 * time.Microsecond
+
+// String returns the report as the demonstration prints it.
 func (r *Report) String() string {
-	return fmt.Sprintf("service %.4f, %d asked: %d served (%d in time), %d refused, %d failed, %d unanswered; p50 %v, p99 %v, p99.9 %v",
-		r.Service, r.Sent, r.Served, r.WithinObjective, r.Rejected, r.Failed, r.Unanswered,
-		r.P50.Round(100*time.Microsecond), r.P99.Round(100*time.Microsecond), r.P999.Round(100*time.Microsecond))
+	counts := fmt.Sprintf("%d asked: %d served (%d in time), %d refused, %d failed, %d unanswered",
+		r.Sent, r.Served, r.WithinObjective, r.Rejected, r.Failed, r.Unanswered)
+	return fmt.Sprintf("service %.4f, %s; p50 %v, p99 %v, p99.9 %v", r.Service, counts,
+		r.P50.Round(reportPrecision), r.P99.Round(reportPrecision), r.P999.Round(reportPrecision))
 }
--- /dev/null
+++ b/internal/emulator/rulechecker.go
@@ -0,0 +1,131 @@
+package emulator
+
+import (
+	"fmt"
+	"sync"
+	"time"
+)
+
+// RuleChecker counts, for a fleet, the executions of requests and what reaches its nodes, and records each violation
+// of the rules: a second execution of a request that is not idempotent or of one idempotency key, and a job that is
+// sent to a node after the grace of its drain. Its methods may be called from any goroutine.
+type RuleChecker struct {
+	IdempotencyWindow time.Duration // for which the nodes of a zone discard repeats of a key
+	DrainSlack        time.Duration // added to a node's DrainGrace, for delays of sockets and of the scheduler
+
+	mu            sync.Mutex
+	executions    map[string]int                  // by request ID
+	keyStartedAt  map[string]map[string]time.Time // by zone and idempotency key
+	keyExecutions map[string]int                  // by idempotency key
+	total         int                             // executions of all requests
+	arrivals      int
+	violations    []string
+}
+
+const (
+	defaultIdempotencyWindow = 6 * time.Second
+	defaultDrainSlack        = 50 * time.Millisecond
+	// maxViolations bounds the list of violations; further ones are not recorded.
+	maxViolations = 100
+)
+
+// NewRuleChecker returns a RuleChecker that has seen nothing.
+func NewRuleChecker() *RuleChecker {
+	return &RuleChecker{
+		IdempotencyWindow: defaultIdempotencyWindow,
+		DrainSlack:        defaultDrainSlack,
+		executions:        map[string]int{},
+		keyStartedAt:      map[string]map[string]time.Time{},
+		keyExecutions:     map[string]int{},
+	}
+}
+
+// beginExecution counts an execution that begins. It returns false for the repeat of a key that the nodes of the zone
+// remember, which is not executed. Both happen under one lock, since two nodes of a zone may begin at the same moment.
+func (r *RuleChecker) beginExecution(job Job, zone string, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	startedAt, known := r.keyStartedAt[zone][job.IdempotencyKey]
+	if job.Effect == Keyed && known && now.Sub(startedAt) < r.IdempotencyWindow {
+		return false
+	}
+	r.total++
+	r.executions[job.ID]++
+	if job.Effect != Idempotent && job.IdempotencyKey != "" {
+		r.keyExecutions[job.IdempotencyKey]++
+	}
+	r.checkExecutions(job)
+	if job.Effect == Keyed {
+		if r.keyStartedAt[zone] == nil {
+			r.keyStartedAt[zone] = map[string]time.Time{}
+		}
+		r.keyStartedAt[zone][job.IdempotencyKey] = now
+	}
+	return true
+}
+
+// checkExecutions records a violation if the execution that begins is one too many. r.mu must be locked.
+func (r *RuleChecker) checkExecutions(job Job) {
+	executions, keyExecutions := r.executions[job.ID], r.keyExecutions[job.IdempotencyKey]
+	switch {
+	case job.Effect == NonIdempotent && executions > 1:
+		r.addViolation("%s %s ran %d times", job.Class, job.ID, executions)
+	case keyExecutions > 1 && job.Effect != Idempotent:
+		r.addViolation("%s with key %s ran %d times", job.Class, job.IdempotencyKey, keyExecutions)
+	}
+}
+
+// arrived counts a job that reaches a node; drainingSince is zero for a node that does not drain.
+func (r *RuleChecker) arrived(node *Node, now, drainingSince time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.arrivals++
+	if drainingSince.IsZero() || node.DrainGrace <= 0 {
+		return
+	}
+	if delay := now.Sub(drainingSince); delay > node.DrainGrace+r.DrainSlack {
+		r.addViolation("%s was sent to %v after its drain was told", node.Name, delay.Round(time.Millisecond))
+	}
+}
+
+// addViolation records a violation. r.mu must be locked.
+func (r *RuleChecker) addViolation(format string, args ...any) {
+	if len(r.violations) < maxViolations {
+		r.violations = append(r.violations, fmt.Sprintf(format, args...))
+	}
+}
+
+// ReportViolation records a violation that was detected elsewhere.
+func (r *RuleChecker) ReportViolation(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.addViolation(format, args...)
+}
+
+// Violations returns the violations so far, up to 100.
+func (r *RuleChecker) Violations() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]string(nil), r.violations...)
+}
+
+// Executions returns the number of executions that began in total, and of the request with the given ID.
+func (r *RuleChecker) Executions(id string) (total, ofID int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.total, r.executions[id]
+}
+
+// KeyExecutions returns the number of executions that began with an idempotency key.
+func (r *RuleChecker) KeyExecutions(key string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.keyExecutions[key]
+}
+
+// Arrivals returns the number of jobs that reached a node, whatever their result.
+func (r *RuleChecker) Arrivals() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.arrivals
+}
--- a/internal/testcluster/hollow/hollow.go
+++ b/internal/testcluster/hollow/hollow.go
@@ -264,7 +264,7 @@
 		}
 		if err := until(ctx, wait, func() string {
 			for _, m := range now {
-				if m.Seq() != f.Discovery.Seq() {
+				if m.Seq() != f.Discovery.Version() {
 					return m.Name + " has no list"
 				}
 			}
@@ -325,7 +325,7 @@
 
 // Behind is how many running members of an area do not hold discovery's latest list.
 func (f *Fleet) Behind(in func(Place) bool) (n int) {
-	seq := f.Discovery.Seq()
+	seq := f.Discovery.Version()
 	for _, m := range f.Members {
 		if m.Runs() && in(m.Place) && m.Seq() != seq {
 			n++
