--- a/internal/emulator/dnsserver/dnsserver.go
+++ b/internal/emulator/dnsserver/dnsserver.go
@@ -1,8 +1,9 @@
-// Package dnsserver is a stand-in DNS server on loopback, over UDP and TCP, that answers as a test says and misbehaves on
-// purpose.
+// Package dnsserver is an emulated DNS server on loopback, over UDP and TCP, which responds as a test specifies and so
+// can misbehave on purpose.
 package dnsserver
 
 import (
+	"context"
 	"encoding/binary"
 	"io"
 	"net"
@@ -11,121 +12,152 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// ReplyFunc makes messages of a question, whole ones; over UDP each is a datagram of its own, over TCP the first is sent. None:
-// silence.
-type ReplyFunc func(q dnsmessage.Message, tcp bool) [][]byte
+// maxDatagramBytes is the size of the buffer for queries over UDP.
+const maxDatagramBytes = 64 << 10
 
-// Server is one.
+// ReplyFunc returns the packed messages that respond to a query; with none, the server does not respond. Over UDP each
+// is sent in a datagram of its own, over TCP only the first is sent. The goroutines of the server call it.
+type ReplyFunc func(query dnsmessage.Message, tcp bool) [][]byte
+
+// Server is an emulated DNS server. Its methods may be called from any goroutine.
 type Server struct {
-	Addr string
+	Addr string // the same for UDP and TCP
 
 	udp   net.PacketConn
 	tcp   net.Listener
-	parts sync.WaitGroup
+	tasks sync.WaitGroup
 
-	mu    sync.Mutex
-	reply ReplyFunc
-	asked int
+	mu      sync.Mutex
+	reply   ReplyFunc
+	queries int
 }
 
-// New starts one that answers with reply.
+// New starts a server that responds with reply.
 func New(reply ReplyFunc) (*Server, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	ctx := context.Background()
+	tcp, err := config.Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	u, err := net.ListenPacket("udp", l.Addr().String())
+	udp, err := config.ListenPacket(ctx, "udp", tcp.Addr().String())
 	if err != nil {
-		l.Close()
+		_ = tcp.Close()
 		return nil, err
 	}
-	s := &Server{Addr: l.Addr().String(), udp: u, tcp: l, reply: reply}
-	s.parts.Go(s.serveUDP)
-	s.parts.Go(s.serveTCP)
+	s := &Server{Addr: tcp.Addr().String(), udp: udp, tcp: tcp, reply: reply}
+	s.tasks.Go(s.serveUDP)
+	s.tasks.Go(s.serveTCP)
 	return s, nil
 }
 
-// SetReply changes what it answers with.
+// SetReply replaces the function that responds to queries.
 func (s *Server) SetReply(reply ReplyFunc) {
 	s.mu.Lock()
 	s.reply = reply
 	s.mu.Unlock()
 }
 
-// Queries is how many questions it was asked.
+// Queries returns the number of valid queries so far.
 func (s *Server) Queries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.queries
 }
 
-// Close ends it.
+// Close ends the server and waits for its goroutines.
 func (s *Server) Close() {
-	s.udp.Close()
-	s.tcp.Close()
-	s.parts.Wait()
+	_ = s.udp.Close()
+	_ = s.tcp.Close()
+	s.tasks.Wait()
 }
 
-func (s *Server) answer(text []byte, tcp bool) [][]byte {
-	var q dnsmessage.Message
-	if q.Unpack(text) != nil || len(q.Questions) != 1 {
+// respond returns the responses to a packed query; a query that is not valid gets none.
+func (s *Server) respond(packed []byte, tcp bool) [][]byte {
+	var query dnsmessage.Message
+	if query.Unpack(packed) != nil || len(query.Questions) != 1 {
 		return nil
 	}
 	s.mu.Lock()
-	s.asked++
+	s.queries++
 	reply := s.reply
 	s.mu.Unlock()
-	return reply(q, tcp)
+	return reply(query, tcp)
 }
 
 func (s *Server) serveUDP() {
-	buf := make([]byte, 64<<10)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := s.udp.ReadFrom(buf)
+		n, from, err := s.udp.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		for _, text := range s.answer(buf[:n], false) {
-			s.udp.WriteTo(text, from)
+		for _, response := range s.respond(buffer[:n], false) {
+			_, _ = s.udp.WriteTo(response, from) // a lost datagram is for the client to notice
 		}
 	}
 }
 
+// serveTCP serves one connection after the other, with one query each.
 func (s *Server) serveTCP() {
 	for {
-		c, err := s.tcp.Accept()
+		conn, err := s.tcp.Accept()
 		if err != nil {
 			return
 		}
-		var size [2]byte
-		if _, err := io.ReadFull(c, size[:]); err == nil {
-			text := make([]byte, binary.BigEndian.Uint16(size[:]))
-			if _, err := io.ReadFull(c, text); err == nil {
-				if outs := s.answer(text, true); len(outs) > 0 {
-					c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(outs[0]))), outs[0]...))
-				}
-			}
-		}
-		c.Close()
+		s.serveConn(conn)
+		_ = conn.Close()
 	}
 }
 
-// Message is an answer to q with these records; an SRV, A, AAAA, CNAME or SOA is told by its body.
-func Message(q dnsmessage.Message, code dnsmessage.RCode, answers, authorities, additionals []dnsmessage.Resource) dnsmessage.Message {
-	return dnsmessage.Message{Header: dnsmessage.Header{ID: q.ID, Response: true, RCode: code}, Questions: q.Questions, Answers: answers, Authorities: authorities,
-		Additionals: additionals}
+// serveConn responds to one query. Messages over TCP are preceded by their length in two bytes (RFC 1035, 4.2.2).
+func (s *Server) serveConn(conn net.Conn) {
+	var size [2]byte
+	if _, err := io.ReadFull(conn, size[:]); err != nil {
+		return
+	}
+	query := make([]byte, binary.BigEndian.Uint16(size[:]))
+	if _, err := io.ReadFull(conn, query); err != nil {
+		return
+	}
+	responses := s.respond(query, true)
+	if len(responses) == 0 {
+		return
+	}
+	first := responses[0]
+	_, _ = conn.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(first))), first...))
 }
 
-// Record is one of class IN.
+// Message returns a response to a query.
+func Message(
+	query dnsmessage.Message, code dnsmessage.RCode, answers, authorities, additionals []dnsmessage.Resource,
+) dnsmessage.Message {
+	return dnsmessage.Message{
+		Header:      dnsmessage.Header{ID: query.ID, Response: true, RCode: code},
+		Questions:   query.Questions,
+		Answers:     answers,
+		Authorities: authorities,
+		Additionals: additionals,
+	}
+}
+
+// Record returns a resource record of class IN. Its type is that of its body; ttl is in seconds.
 func Record(name string, ttl uint32, body dnsmessage.ResourceBody) dnsmessage.Resource {
-	return dnsmessage.Resource{Header: dnsmessage.ResourceHeader{Name: dnsmessage.MustNewName(name), Class: dnsmessage.ClassINET, TTL: ttl}, Body: body}
+	return dnsmessage.Resource{
+		Header: dnsmessage.ResourceHeader{
+			Name:  dnsmessage.MustNewName(name),
+			Class: dnsmessage.ClassINET,
+			TTL:   ttl,
+		},
+		Body: body,
+	}
 }
 
-// Pack is a message's text; one that cannot be packed is a fault of the test's.
-func Pack(m dnsmessage.Message) []byte {
-	text, err := m.Pack()
+// Pack returns the wire form of a message. It panics on a message that cannot be packed, which is an error of the test.
+func Pack(message dnsmessage.Message) []byte {
+	packed, err := message.Pack()
 	if err != nil {
 		panic(err)
 	}
-	return text
+	return packed
 }
--- a/internal/emulator/faultfs/faultfs.go
+++ b/internal/emulator/faultfs/faultfs.go
@@ -1,6 +1,6 @@
-// Package faultfs is a file system in memory that fails as disks do: a crash at any byte and between any two steps, lost
-// writes and directory changes that were not synced, torn sectors, a full disk, errors of writes and of syncs, bits that
-// flip. What chance decides is seeded.
+// Package faultfs is a file system in memory that fails as disks do: a crash at any byte and between any two
+// operations, loss of writes and directory changes that were not synced, torn sectors, a full disk, failing writes and
+// syncs, and flipped bits. Random decisions are seeded.
 package faultfs
 
 import (
@@ -16,48 +16,51 @@
 	"hazelwing/internal/store"
 )
 
-// ErrCrashed is what every call returns after the crash.
+// ErrCrashed is returned by every call after the crash.
 var ErrCrashed = errors.New("faultfs: the machine has stopped")
 
-// sector is what a disk writes whole, or not at all.
-const sector = 512
+// sectorBytes is the size of a sector, which a disk writes completely or not at all.
+const sectorBytes = 512
 
-// FS is one directory.
+// FS is one directory of an emulated disk. Its methods may be called from any goroutine; the exported fields are set
+// before its first use, or by Update.
 type FS struct {
-	mu      sync.Mutex
-	files   map[string]*inode // as programs see it
-	durable map[string]*inode // names as of the last SyncDir
+	mu      sync.Mutex        // guards all fields
+	files   map[string]*inode // as programs see them
+	durable map[string]*inode // as of the last SyncDir
 	locked  bool
 	crashed bool
-	used    int64
+	used    int64 // bytes
 
-	// CrashAfter is how many steps are left until the crash, where a byte written is one, and each other call; -1: none.
-	// Steps counts them.
+	// CrashAfter is the number of steps until the crash; -1: none. A byte written is a step, and so is each other call
+	// that changes the disk.
 	CrashAfter int64
-	Steps      int64
-	// Capacity is how many bytes fit on the disk; -1: any.
+	// Steps is the number of steps so far.
+	Steps int64
+	// Capacity is the size of the disk in bytes; -1: unlimited.
 	Capacity int64
-	// FailSyncs, FailWrites and FailRemoves make so many of the next ones fail with EIO.
+	// FailSyncs, FailWrites and FailRemoves are how many of the next calls fail with EIO.
 	FailSyncs, FailWrites, FailRemoves int
 	// SyncTime is how long a Sync takes.
 	SyncTime time.Duration
 }
 
-// inode is a file's content.
+// inode is the content of a file.
 type inode struct {
 	data   []byte // as programs see it
-	synced []byte // as it is on the disk for sure
-	lost   []span // written before a sync that failed: never to be durable
+	synced []byte // what is certain to be on the disk
+	lost   []span // written before a sync that failed, and never durable
 }
 
+// span is a range of a file: from is its first byte, to the first one after it.
 type span struct{ from, to int }
 
-// New is an empty one.
+// New returns an empty directory on a disk that does not fail.
 func New() *FS {
 	return &FS{files: map[string]*inode{}, durable: map[string]*inode{}, CrashAfter: -1, Capacity: -1}
 }
 
-// step takes n steps, or as many as are left until the crash. The lock is held.
+// step takes n steps, or as many as remain until the crash, and returns their number. f.mu must be locked.
 func (f *FS) step(n int64) (int64, error) {
 	if f.crashed {
 		return 0, ErrCrashed
@@ -72,7 +75,7 @@
 	return n, nil
 }
 
-// Create makes a file.
+// Create creates a file.
 func (f *FS) Create(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,7 +89,7 @@
 	return &file{f, f.files[name]}, nil
 }
 
-// Open opens one.
+// Open opens a file that exists.
 func (f *FS) Open(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,27 +102,27 @@
 	return &file{f, f.files[name]}, nil
 }
 
-// Remove removes a name.
+// Remove removes a file from the directory.
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, err := f.step(1); err != nil {
 		return err
 	}
-	i := f.files[name]
-	if i == nil {
+	node := f.files[name]
+	if node == nil {
 		return syscall.ENOENT
 	}
 	if f.FailRemoves > 0 {
 		f.FailRemoves--
 		return syscall.EIO
 	}
-	f.used -= int64(len(i.data))
+	f.used -= int64(len(node.data))
 	delete(f.files, name)
 	return nil
 }
 
-// List lists the names.
+// List returns the names of the files in order.
 func (f *FS) List() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,7 +132,7 @@
 	return slices.Sorted(maps.Keys(f.files)), nil
 }
 
-// SyncDir makes the names durable.
+// SyncDir makes the creation and removal of files durable.
 func (f *FS) SyncDir() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// Lock keeps a second one out.
+// Lock returns store.ErrLocked until the closer of an earlier call is closed.
 func (f *FS) Lock(string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,111 +154,121 @@
 	return unlocker{f}, nil
 }
 
-type unlocker struct{ f *FS }
+// unlocker releases the lock of a directory.
+type unlocker struct{ fs *FS }
 
 func (u unlocker) Close() error {
-	u.f.mu.Lock()
-	u.f.locked = false
-	u.f.mu.Unlock()
+	u.fs.mu.Lock()
+	u.fs.locked = false
+	u.fs.mu.Unlock()
 	return nil
 }
 
+// file is an open file.
 type file struct {
-	f *FS
-	i *inode
+	fs    *FS
+	inode *inode
 }
 
-func (h *file) ReadAt(b []byte, at int64) (int, error) {
-	h.f.mu.Lock()
-	defer h.f.mu.Unlock()
-	if at > int64(len(h.i.data)) {
+// ReadAt is io.ReaderAt's.
+func (f *file) ReadAt(b []byte, offset int64) (int, error) {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	if offset > int64(len(f.inode.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, h.i.data[at:])
+	n := copy(b, f.inode.data[offset:])
 	if n < len(b) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-func (h *file) Write(b []byte) (int, error) {
-	f := h.f
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.FailWrites > 0 {
-		f.FailWrites--
+// Write appends to the file. A write that fails with EIO has written half of b, one that fails with ENOSPC as much as
+// fits on the disk, and one during the crash what came before it.
+func (f *file) Write(b []byte) (int, error) {
+	fs := f.fs
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	if fs.FailWrites > 0 {
+		fs.FailWrites--
 		half := len(b) / 2
-		h.i.data = append(h.i.data, b[:half]...)
-		f.used += int64(half)
+		f.inode.data = append(f.inode.data, b[:half]...)
+		fs.used += int64(half)
 		return half, syscall.EIO
 	}
-	var full error
-	if f.Capacity >= 0 && int64(len(b)) > f.Capacity-f.used {
-		b, full = b[:max(0, f.Capacity-f.used)], syscall.ENOSPC
+	var errFull error
+	if fs.Capacity >= 0 && int64(len(b)) > fs.Capacity-fs.used {
+		b = b[:max(0, fs.Capacity-fs.used)]
+		errFull = syscall.ENOSPC
 	}
-	n, err := f.step(int64(len(b)))
-	h.i.data = append(h.i.data, b[:n]...)
-	f.used += n
-	return int(n), errors.Join(err, full)
+	n, err := fs.step(int64(len(b)))
+	f.inode.data = append(f.inode.data, b[:n]...)
+	fs.used += n
+	return int(n), errors.Join(err, errFull)
 }
 
-func (h *file) Sync() error {
-	h.f.mu.Lock()
-	wait := h.f.SyncTime
-	h.f.mu.Unlock()
+// Sync makes the content durable, but for what was written before a sync that failed.
+func (f *file) Sync() error {
+	f.fs.mu.Lock()
+	wait := f.fs.SyncTime
+	f.fs.mu.Unlock()
 	time.Sleep(wait)
-	h.f.mu.Lock()
-	defer h.f.mu.Unlock()
-	if _, err := h.f.step(1); err != nil {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	if _, err := f.fs.step(1); err != nil {
 		return err
 	}
-	if h.f.FailSyncs > 0 {
-		h.f.FailSyncs--
-		// The kernel takes the pages for clean: a later sync says that all is well, and writes none of them.
-		h.i.lost = append(h.i.lost, span{min(len(h.i.synced), len(h.i.data)), len(h.i.data)})
+	if f.fs.FailSyncs > 0 {
+		f.fs.FailSyncs--
+		// The kernel marks the pages as clean: a later sync succeeds without writing them.
+		f.inode.lost = append(f.inode.lost, span{min(len(f.inode.synced), len(f.inode.data)), len(f.inode.data)})
 		return syscall.EIO
 	}
-	h.i.synced = slices.Clone(h.i.data)
-	for _, s := range h.i.lost {
-		for at := s.from; at < min(s.to, len(h.i.synced)); at++ {
-			h.i.synced[at] = 0
+	f.inode.synced = slices.Clone(f.inode.data)
+	for _, lost := range f.inode.lost {
+		for i := lost.from; i < min(lost.to, len(f.inode.synced)); i++ {
+			f.inode.synced[i] = 0
 		}
 	}
 	return nil
 }
 
-func (h *file) Truncate(size int64) error {
-	h.f.mu.Lock()
-	defer h.f.mu.Unlock()
-	if _, err := h.f.step(1); err != nil {
+// Truncate shortens the file.
+func (f *file) Truncate(size int64) error {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	if _, err := f.fs.step(1); err != nil {
 		return err
 	}
-	h.f.used -= int64(len(h.i.data)) - size
-	h.i.data = h.i.data[:size:size]
+	f.fs.used -= int64(len(f.inode.data)) - size
+	f.inode.data = f.inode.data[:size:size]
 	return nil
 }
 
-func (h *file) Size() (int64, error) {
-	h.f.mu.Lock()
-	defer h.f.mu.Unlock()
-	return int64(len(h.i.data)), nil
+// Size returns the length of the file.
+func (f *file) Size() (int64, error) {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	return int64(len(f.inode.data)), nil
 }
 
-func (h *file) Close() error { return nil }
+// Close does nothing: open files need no resources.
+func (f *file) Close() error { return nil }
 
-// AfterKill is what a new process finds when the old one was killed: all that it had written.
+// AfterKill returns the directory that a new process finds after the old one was killed: all that it had written.
 func (f *FS) AfterKill() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	after := New()
-	for name, i := range f.files {
-		after.put(name, slices.Clone(i.data))
+	for name, node := range f.files {
+		after.put(name, slices.Clone(node.data))
 	}
 	return after
 }
 
-// AfterPowerLoss is what is on the disk when the power was lost: of what was not synced any part, in any order of sectors and
-// names, and the last sector torn.
+// AfterPowerLoss returns the directory that is on the disk after a loss of power: any part of what was not synced, in
+// any order of sectors and names, where the last sector may be torn.
 func (f *FS) AfterPowerLoss(rng *rand.Rand) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -263,79 +276,79 @@
 	names := maps.Clone(f.files)
 	maps.Copy(names, f.durable)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		seen, kept := f.files[name], f.durable[name]
-		i := names[name]
-		if seen != kept { // made, removed or replaced since
+		current, durable := f.files[name], f.durable[name]
+		node := names[name]
+		if current != durable { // created, removed or replaced since the last SyncDir
 			if rng.IntN(2) == 0 {
-				i = seen
+				node = current
 			} else {
-				i = kept
+				node = durable
 			}
 		}
-		if i != nil {
-			after.put(name, i.survive(rng))
+		if node != nil {
+			after.put(name, node.afterPowerLoss(rng))
 		}
 	}
 	return after
 }
 
-// survive is what a file holds after the power was lost.
-func (i *inode) survive(rng *rand.Rand) []byte {
-	if len(i.data) <= len(i.synced) { // nothing new, but perhaps cut
+// afterPowerLoss returns the content of a file after a loss of power.
+func (i *inode) afterPowerLoss(rng *rand.Rand) []byte {
+	if len(i.data) <= len(i.synced) { // nothing was added, but the file may have been truncated
 		if rng.IntN(2) == 0 {
 			return slices.Clone(i.synced)
 		}
-		return append(slices.Clone(i.synced[:len(i.data)]), make([]byte, 0)...)
+		return slices.Clone(i.synced[:len(i.data)])
 	}
-	out := slices.Clone(i.synced)
+	content := slices.Clone(i.synced)
 	size := len(i.synced) + rng.IntN(len(i.data)-len(i.synced)+1)
-	for at := len(out); at < size; {
-		end := min((at/sector+1)*sector, size)
+	for offset := len(content); offset < size; {
+		end := min((offset/sectorBytes+1)*sectorBytes, size)
 		if rng.IntN(3) > 0 {
-			out = append(out, i.data[at:end]...)
+			content = append(content, i.data[offset:end]...)
 		} else {
-			out = append(out, make([]byte, end-at)...)
+			content = append(content, make([]byte, end-offset)...)
 		}
-		at = end
+		offset = end
 	}
-	return out
+	return content
 }
 
-// put gives a file a content that is durable.
+// put sets the durable content of a file. f.mu must be locked, unless f is new.
 func (f *FS) put(name string, data []byte) {
-	i := &inode{data: data, synced: slices.Clone(data)}
-	f.files[name], f.durable[name] = i, i
+	node := &inode{data: data, synced: slices.Clone(data)}
+	f.files[name], f.durable[name] = node, node
 	f.used += int64(len(data))
 }
 
 // FlipBit flips one bit of a file.
-func (f *FS) FlipBit(name string, at int64, bit uint) {
+func (f *FS) FlipBit(name string, offset int64, bit uint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.files[name].data[at] ^= 1 << bit
+	f.files[name].data[offset] ^= 1 << bit
 }
 
-// Truncate cuts a file.
+// Truncate shortens a file, durably.
 func (f *FS) Truncate(name string, size int64) { f.SetContent(name, f.Content(name)[:size]) }
 
-// SetContent gives a file a content that is durable.
+// SetContent sets the durable content of a file, which need not exist.
 func (f *FS) SetContent(name string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if i := f.files[name]; i != nil {
-		f.used -= int64(len(i.data))
+	if node := f.files[name]; node != nil {
+		f.used -= int64(len(node.data))
 	}
 	f.put(name, data)
 }
 
-// Update changes fields while the file system is in use.
+// Update changes exported fields while the file system is in use.
 func (f *FS) Update(change func(f *FS)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-// Content is a copy of a file's.
+// Content returns a copy of the content of a file, as programs see it.
 func (f *FS) Content(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
