--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -37,7 +37,7 @@
 	url   string
 }
 
-func startGraphQLSidecar(t *testing.T, nodes []emulator.NodeConfig, m gqlnode.Mischief) *graphQLSidecar {
+func startGraphQLSidecar(t *testing.T, nodes []emulator.NodeConfig, m gqlnode.FaultShares) *graphQLSidecar {
 	t.Helper()
 	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: gqlnode.Classes}}
 	fleet, err := emulator.NewFleet(emulator.FleetConfig{
@@ -59,7 +59,7 @@
 	if err := os.WriteFile(schema, []byte(gqlnode.SDL), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	file := strings.NewReplacer("LISTEN", "127.0.0.1:0", "SCHEMA", schema).Replace(gqlnode.Operator)
+	file := strings.NewReplacer("LISTEN", "127.0.0.1:0", "SCHEMA", schema).Replace(gqlnode.OperatorConfig)
 	op, err := operator.Parse([]byte(file))
 	if err != nil {
 		t.Fatal(err)
@@ -128,14 +128,14 @@
 //
 //	go test ./internal/daemon -run NoMutationTwice -gql.operations 200000 -timeout 60m
 func TestGraphQLNoMutationTwice(t *testing.T) {
-	g := startGraphQLSidecar(t, nodeConfigs(6), gqlnode.Mischief{
-		Before: 0.01,
-		After:  0.01,
-		Cut:    0.01,
-		Half:   0.01,
-		Alias:  0.01,
-		Null:   0.005,
-		Noise:  0.01,
+	g := startGraphQLSidecar(t, nodeConfigs(6), gqlnode.FaultShares{
+		ResetBefore: 0.01,
+		ResetAfter:  0.01,
+		Truncate:    0.01,
+		OmitFields:  0.01,
+		WrongAlias:  0.01,
+		NullData:    0.005,
+		Garbage:     0.01,
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -163,7 +163,7 @@
 		clients.Go(func() {
 			for n := range next {
 				rng := rand.New(rand.NewPCG(*gqlSeed, uint64(n)+100))
-				body, tokens := gqlnode.Operation(rng, n)
+				body, tokens := gqlnode.RandomRequest(rng, n)
 				started := time.Now()
 				const patience = 8 * time.Second
 				status, out := g.ask(t, body, patience)
@@ -178,7 +178,7 @@
 					}
 				}
 				for i, r := range responses {
-					list, err := gqlnode.Claims(r, tokens[i])
+					list, err := gqlnode.ReadClaims(r, tokens[i])
 					if err != nil {
 						t.Errorf("operation %d, %s: %v: %s", n, body, err, r)
 					}
@@ -198,19 +198,19 @@
 	stop()
 	chaos.Wait()
 	g.fleet.Close() // whatever still ran has returned
-	says := map[gqlnode.Says]int{}
+	says := map[gqlnode.Execution]int{}
 	for _, c := range all {
-		says[c.Says]++
+		says[c.Execution]++
 		ran := g.fleet.Rules.KeyExecutions(c.Token)
-		if c.Denied(ran) {
-			t.Errorf("%s: the answer says %q, and it ran %d times", c.Token, c.Says, ran)
+		if c.Contradicts(ran) {
+			t.Errorf("%s: the answer says %q, and it ran %d times", c.Token, c.Execution, ran)
 		}
 	}
 	for _, broken := range g.fleet.Rules.Violations() {
 		t.Error(broken)
 	}
 	t.Logf("%d operations, %d mutations: %v; statuses %v", *gqlOperations, len(all), says, statuses)
-	if says[gqlnode.Ran] < len(all)/4 || says[gqlnode.Open] == 0 || says[gqlnode.Never] == 0 {
+	if says[gqlnode.Executed] < len(all)/4 || says[gqlnode.Unknown] == 0 || says[gqlnode.NotExecuted] == 0 {
 		t.Errorf("the run showed too little: %v", says)
 	}
 }
@@ -230,7 +230,7 @@
 		asked           atomic.Int64
 	}
 	play := func(split bool) *figures {
-		g := startGraphQLSidecar(t, nodeConfigs(12), gqlnode.Mischief{})
+		g := startGraphQLSidecar(t, nodeConfigs(12), gqlnode.FaultShares{})
 		_ = g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Factor: 20, Duration: time.Hour})
 		g.fleet.Node("n2").Die()
 		f := &figures{query: load.NewHistogram(), mutation: load.NewHistogram()}
@@ -307,7 +307,7 @@
 		return path
 	}
 	schema := write("booking.graphql", gqlnode.SDL)
-	good := strings.NewReplacer("LISTEN", "127.0.0.1:0", "SCHEMA", schema).Replace(gqlnode.Operator)
+	good := strings.NewReplacer("LISTEN", "127.0.0.1:0", "SCHEMA", schema).Replace(gqlnode.OperatorConfig)
 	badTrusted := write("t.json", `{"home":"{nothing}"}`)
 	for name, c := range map[string]struct{ old, new, want string }{
 		"good": {"x", "x", ""},
--- a/internal/demo/gqldemo/gqldemo.go
+++ b/internal/demo/gqldemo/gqldemo.go
@@ -44,7 +44,7 @@
 type tally struct {
 	mu                               sync.Mutex
 	requests, late, refused, queries int
-	says                             map[gqlnode.Says]int
+	says                             map[gqlnode.Execution]int
 	claims                           []gqlnode.Claim
 	faults                           []string
 }
@@ -64,7 +64,7 @@
 	}
 	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: gqlnode.Classes}}
 	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: emulator.MixedNodes(7), Effects: traffic.Effects(),
-		NewServer: gqlnode.New(gqlnode.Mischief{After: 0.005, Cut: 0.005, Half: 0.005, Noise: 0.005}), DrainSlack: o.Grace})
+		NewServer: gqlnode.New(gqlnode.FaultShares{ResetAfter: 0.005, Truncate: 0.005, OmitFields: 0.005, Garbage: 0.005}), DrainSlack: o.Grace})
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 	}
 	var parts sync.WaitGroup
 	parts.Go(func() { trouble(ctx, o.Seed, fleet) })
-	t := &tally{says: map[gqlnode.Says]int{}}
+	t := &tally{says: map[gqlnode.Execution]int{}}
 	parts.Go(func() { load.Every(ctx, time.Second, func() { fmt.Fprintln(out, t) }) })
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: mostOpen}}
 	load.Pace(ctx, func(n int) (time.Duration, bool) {
@@ -115,7 +115,7 @@
 	if err := os.WriteFile(schema, []byte(gqlnode.SDL), 0o600); err != nil {
 		return "", nil, err
 	}
-	op, err := operator.Parse([]byte(strings.NewReplacer("LISTEN", addr, "SCHEMA", schema).Replace(gqlnode.Operator)))
+	op, err := operator.Parse([]byte(strings.NewReplacer("LISTEN", addr, "SCHEMA", schema).Replace(gqlnode.OperatorConfig)))
 	if err != nil {
 		return "", nil, err
 	}
@@ -141,7 +141,7 @@
 
 // one sends a request and reads what its answer says.
 func (t *tally) one(client *http.Client, url string, o Options, n int) {
-	body, tokens := gqlnode.Operation(rand.New(rand.NewPCG(o.Seed, uint64(n))), n)
+	body, tokens := gqlnode.RandomRequest(rand.New(rand.NewPCG(o.Seed, uint64(n))), n)
 	begun := time.Now()
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -178,7 +178,7 @@
 	}
 	t.mu.Unlock()
 	for i, r := range responses {
-		list, err := gqlnode.Claims(r, tokens[i])
+		list, err := gqlnode.ReadClaims(r, tokens[i])
 		if err != nil {
 			t.fault("request %d: %v", n, err)
 		}
@@ -187,7 +187,7 @@
 			t.queries++
 		}
 		for _, c := range list {
-			t.says[c.Says]++
+			t.says[c.Execution]++
 		}
 		t.claims = append(t.claims, list...)
 		t.mu.Unlock()
@@ -198,7 +198,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return fmt.Sprintf("%5d requests, %d refused, %d late; %d queries; mutations: %d ran, %d never ran, %d without a promise", t.requests, t.refused, t.late,
-		t.queries, t.says[gqlnode.Ran], t.says[gqlnode.Never], t.says[gqlnode.Open])
+		t.queries, t.says[gqlnode.Executed], t.says[gqlnode.NotExecuted], t.says[gqlnode.Unknown])
 }
 
 // verdict holds every answer against the nodes' counters.
@@ -209,8 +209,8 @@
 		broken = append(broken, fmt.Sprintf("%d answers came after their client's time", t.late))
 	}
 	for _, c := range t.claims {
-		if ran := ledger.KeyExecutions(c.Token); c.Denied(ran) {
-			broken = append(broken, fmt.Sprintf("%s: the answer says %q, and it ran %d times", c.Token, c.Says, ran))
+		if ran := ledger.KeyExecutions(c.Token); c.Contradicts(ran) {
+			broken = append(broken, fmt.Sprintf("%s: the answer says %q, and it ran %d times", c.Token, c.Execution, ran))
 		}
 	}
 	for _, b := range broken {
--- a/internal/emulator/gqlnode/gqlnode.go
+++ b/internal/emulator/gqlnode/gqlnode.go
@@ -31,18 +31,18 @@
 const Path = "/graphql"
 
 // Mischief are shares of the answers that a node spoils, after the request ran unless said otherwise.
-type Mischief struct {
-	Before float64 // the connection breaks before anything ran
-	After  float64 // the connection breaks before the answer
-	Cut    float64 // half of the JSON is written, and the connection breaks
-	Half   float64 // whole JSON, with half of the fields
-	Alias  float64 // another part's alias
-	Null   float64 // data is null, with an error
-	Noise  float64 // no GraphQL
+type FaultShares struct {
+	ResetBefore float64 // the connection breaks before anything ran
+	ResetAfter  float64 // the connection breaks before the answer
+	Truncate    float64 // half of the JSON is written, and the connection breaks
+	OmitFields  float64 // whole JSON, with half of the fields
+	WrongAlias  float64 // another part's alias
+	NullData    float64 // data is null, with an error
+	Garbage     float64 // no GraphQL
 }
 
 // New makes servers of nodes that spoil some of their answers.
-func New(m Mischief) func(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
+func New(m FaultShares) func(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 	schema := gqlparser.MustLoadSchema(&ast.Source{Name: "booking.graphql", Input: SDL})
 	return func(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 		s := &server{node: n, effects: effects, schema: schema, mischief: m, rng: rand.New(rand.NewPCG(n.Seed, 0x67716c))}
@@ -56,7 +56,7 @@
 	node     *emulator.Node
 	effects  map[string]emulator.Effect
 	schema   *ast.Schema
-	mischief Mischief
+	mischief FaultShares
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -83,7 +83,7 @@
 		return
 	}
 	x := s.draw()
-	if x.is(s.mischief.Before) {
+	if x.is(s.mischief.ResetBefore) {
 		panic(http.ErrAbortHandler)
 	}
 	if len(body) == 0 || body[0] != '[' {
@@ -186,14 +186,14 @@
 func (s *server) spoil(w http.ResponseWriter, x *drawn, op *ast.OperationDefinition, out []byte) {
 	m := s.mischief
 	switch {
-	case x.is(m.After):
+	case x.is(m.ResetAfter):
 		panic(http.ErrAbortHandler)
-	case x.is(m.Cut):
+	case x.is(m.Truncate):
 		w.Header().Set("Content-Length", fmt.Sprint(len(out)))
 		w.Write(out[:len(out)/2])
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
-	case x.is(m.Half):
+	case x.is(m.OmitFields):
 		var whole struct {
 			Data map[string]json.RawMessage `json:"Data"`
 		}
@@ -205,13 +205,13 @@
 			}
 		}
 		out, _ = json.Marshal(map[string]any{"data": whole.Data})
-	case x.is(m.Alias):
+	case x.is(m.WrongAlias):
 		if f, ok := op.SelectionSet[0].(*ast.Field); ok {
 			out = bytes.Replace(out, []byte(`"`+f.Alias+`":`), []byte(`"zz_`+f.Alias+`":`), 1)
 		}
-	case x.is(m.Null):
+	case x.is(m.NullData):
 		out = []byte(`{"data":null,"errors":[{"message":"on purpose"}]}`)
-	case x.is(m.Noise):
+	case x.is(m.Garbage):
 		out = []byte(strings.Repeat("\x00\x9f{", 40))
 	}
 	w.Write(out)
--- a/internal/emulator/gqlnode/traffic.go
+++ b/internal/emulator/gqlnode/traffic.go
@@ -18,7 +18,7 @@
 }
 
 // Operator is an operator's table for them; LISTEN and SCHEMA stand for an address and a file.
-const Operator = `[graphql]
+const OperatorConfig = `[graphql]
 listen = "LISTEN"
 schema = "SCHEMA"
 deadline = "8s"
@@ -43,38 +43,38 @@
 `
 
 // Says is what a response says of a mutation.
-type Says string
+type Execution string
 
 // The ways.
 const (
-	Ran   Says = "ran"
-	Never Says = "never"
-	Open  Says = "open" // nothing is promised
+	Executed    Execution = "ran"
+	NotExecuted Execution = "never"
+	Unknown     Execution = "open" // nothing is promised
 )
 
 // Claim is what a response says of the mutation with a token.
 type Claim struct {
-	Token string
-	Says  Says
+	Token     string
+	Execution Execution
 }
 
 // Denied says whether the nodes' count of executions denies it, or is more than any mutation may have.
-func (c Claim) Denied(ran int) bool {
-	return ran > 1 || c.Says == Ran && ran != 1 || c.Says == Never && ran != 0
+func (c Claim) Contradicts(ran int) bool {
+	return ran > 1 || c.Execution == Executed && ran != 1 || c.Execution == NotExecuted && ran != 0
 }
 
 // Search is a seat search and a coach map, as one query.
-func Search(train string) map[string]any {
+func SearchQuery(train string) map[string]any {
 	return map[string]any{"query": `query Q($t: ID!) { seats(train: $t, work: 500) { id coach { number } } c: coach(id: "c", work: 500) { ...C } items { __typename } } fragment C on Coach { id seats { id } }`,
 		"variables": map[string]any{"t": train}}
 }
 
 // Operation draws a request: a query, some mutations, or a batch of both. tokens are, for each operation of it, those of
 // its mutations m0, m1 and so on.
-func Operation(rng *rand.Rand, n int) (body []byte, tokens [][]string) {
+func RandomRequest(rng *rand.Rand, n int) (body []byte, tokens [][]string) {
 	one := func(k int) (map[string]any, []string) {
 		if rng.IntN(3) == 0 {
-			return Search(fmt.Sprint("T", n)), nil
+			return SearchQuery(fmt.Sprint("T", n)), nil
 		}
 		var fields, mine []string
 		for i := range 1 + rng.IntN(3) {
@@ -109,7 +109,7 @@
 }
 
 // Claims reads what a response says of each mutation of one operation. An error says that it is no response.
-func Claims(body json.RawMessage, tokens []string) (list []Claim, err error) {
+func ReadClaims(body json.RawMessage, tokens []string) (list []Claim, err error) {
 	var r struct {
 		Data   map[string]json.RawMessage `json:"Data"`
 		Errors []struct {
@@ -130,23 +130,23 @@
 		alias := fmt.Sprint("m", i)
 		c := Claim{Token: token}
 		if v, ok := r.Data[alias]; ok && string(v) != "null" {
-			c.Says = Ran
+			c.Execution = Executed
 		}
 		for _, e := range r.Errors {
 			if len(e.Path) == 0 || e.Path[0] != alias {
 				continue
 			}
-			says := map[string]Says{"REFUSED": Never, "NOT_STARTED": Never, "MAY_HAVE_RUN": Open, "EXECUTED": Ran}[e.Extensions.Code]
-			if says == "" || c.Says != "" {
-				return nil, fmt.Errorf("%s: %q after %q", alias, says, c.Says)
+			says := map[string]Execution{"REFUSED": NotExecuted, "NOT_STARTED": NotExecuted, "MAY_HAVE_RUN": Unknown, "EXECUTED": Executed}[e.Extensions.Code]
+			if says == "" || c.Execution != "" {
+				return nil, fmt.Errorf("%s: %q after %q", alias, says, c.Execution)
 			}
-			c.Says = says
+			c.Execution = says
 		}
-		if c.Says == "" {
+		if c.Execution == "" {
 			if len(r.Errors) == 0 {
 				return nil, fmt.Errorf("%s: nothing is said of it: %s", alias, body)
 			}
-			c.Says = Open // a node answered data: null of its own will
+			c.Execution = Unknown // a node answered data: null of its own will
 		}
 		list = append(list, c)
 	}
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -24,13 +24,13 @@
 
 // Names of the service.
 const (
-	Service = "booking.v1.Booking"
-	Do      = "/" + Service + "/Do"
-	Follow  = "/" + Service + "/Follow"
+	Service      = "booking.v1.Booking"
+	DoMethod     = "/" + Service + "/Do"
+	FollowMethod = "/" + Service + "/Follow"
 )
 
 // NotRun is the trailer that turns a call away unseen.
-const NotRun = "x-not-run"
+const NotRunTrailer = "x-not-run"
 
 // FollowDesc describes the stream.
 var FollowDesc = grpc.StreamDesc{StreamName: "Follow", ServerStreams: true}
@@ -137,7 +137,7 @@
 	j.Effect = effect
 	switch s.node.Do(ctx, j) {
 	case emulator.QueueFull, emulator.Draining:
-		grpc.SetTrailer(ctx, metadata.Pairs(NotRun, "1"))
+		grpc.SetTrailer(ctx, metadata.Pairs(NotRunTrailer, "1"))
 		return status.Error(codes.Unavailable, "turned away")
 	case emulator.NodeDied:
 		<-ctx.Done() // the connection is about to be reset: no answer goes out
@@ -162,7 +162,7 @@
 		}
 		return wrapperspb.String(in.Value + " by " + s.node.Name), nil
 	}
-	return interceptor(ctx, in, &grpc.UnaryServerInfo{Server: s, FullMethod: Do}, run) // ORCA's, and ours
+	return interceptor(ctx, in, &grpc.UnaryServerInfo{Server: s, FullMethod: DoMethod}, run) // ORCA's, and ours
 }
 
 func (s *server) follow(_ any, stream grpc.ServerStream) error {
--- a/internal/emulator/rawh2/rawh2.go
+++ b/internal/emulator/rawh2/rawh2.go
@@ -1,10 +1,10 @@
-// Package rawh2 is a gRPC server written frame by frame, for what a well-behaved one never does: it refuses streams,
-// says GOAWAY below a stream that is open, reads nothing, or breaks when it has read all (RFC 9113; gRPC over HTTP/2).
+// Package rawh2 is a gRPC server written frame by frame, for what a well-behaved server never does: it refuses streams,
+// sends GOAWAY below an open stream, does not read, or closes the connection after it has read a complete request
+// (RFC 9113; gRPC over HTTP/2).
 package rawh2
 
 import (
-	"bytes"
-	"encoding/binary"
+	"context"
 	"io"
 	"net"
 	"sync"
@@ -14,46 +14,49 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Server accepts connections until Close. Serve is called for each stream once its headers are here, in the goroutine
-// of its connection, and again for each message (DATA frame) of it.
+// headerTableBytes is the size of the table for header compression (RFC 7541, 4.2).
+const headerTableBytes = 4096
+
+// Server accepts connections until Close. It calls the function given to New for each stream once its headers have been
+// read, and again for each DATA frame of it, in the goroutine of the connection.
 type Server struct {
-	l     net.Listener
-	serve func(s *Stream)
-	limit uint32
-	reset func(s *Stream)
+	listener   net.Listener
+	serve      func(s *Stream)
+	maxStreams uint32
+	onReset    func(s *Stream)
+	tasks      sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
-	all   sync.WaitGroup
 }
 
 // Option changes a server.
 type Option func(*Server)
 
-// MaxStreams is what the server allows at a time on a connection.
-func MaxStreams(n uint32) Option { return func(s *Server) { s.limit = n } }
+// MaxStreams sets the maximum number of concurrent streams that the server announces; 0: none is announced.
+func MaxStreams(n uint32) Option { return func(s *Server) { s.maxStreams = n } }
 
-// OnReset is called when a client resets a stream, in the goroutine of its connection.
-func OnReset(do func(s *Stream)) Option { return func(s *Server) { s.reset = do } }
+// OnReset sets a function that is called when a client resets a stream, in the goroutine of the connection.
+func OnReset(do func(s *Stream)) Option { return func(s *Server) { s.onReset = do } }
 
-// New starts one on loopback.
-func New(serve func(*Stream), opts ...Option) (*Server, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// New starts a server on loopback.
+func New(serve func(*Stream), options ...Option) (*Server, error) {
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{l: l, serve: serve, conns: map[net.Conn]bool{}}
-	for _, o := range opts {
-		o(s)
+	s := &Server{listener: listener, serve: serve, conns: map[net.Conn]bool{}}
+	for _, option := range options {
+		option(s)
 	}
-	s.all.Go(s.accept)
+	s.tasks.Go(s.accept)
 	return s, nil
 }
 
-// Start starts one until the test ends, and returns where it listens.
-func Start(t testing.TB, serve func(*Stream), opts ...Option) string {
+// Start starts a server that runs until the test ends, and returns its address.
+func Start(t testing.TB, serve func(*Stream), options ...Option) string {
 	t.Helper()
-	s, err := New(serve, opts...)
+	s, err := New(serve, options...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,162 +64,104 @@
 	return s.Addr()
 }
 
-// Addr is where it listens.
-func (s *Server) Addr() string { return s.l.Addr().String() }
+// Addr returns the address on which the server listens.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it, and all connections.
+// Close ends the server and all connections, and waits for their goroutines.
 func (s *Server) Close() {
-	s.l.Close()
+	_ = s.listener.Close()
 	s.mu.Lock()
-	for c := range s.conns {
-		c.Close()
+	for conn := range s.conns {
+		_ = conn.Close()
 	}
 	s.mu.Unlock()
-	s.all.Wait()
+	s.tasks.Wait()
 }
 
 func (s *Server) accept() {
 	for {
-		c, err := s.l.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		s.conns[c] = true
+		s.conns[conn] = true
 		s.mu.Unlock()
-		s.all.Go(func() { s.conn(c) })
+		s.tasks.Go(func() { s.serveConn(conn) })
 	}
 }
 
-func (s *Server) conn(c net.Conn) {
-	defer c.Close()
+// serveConn reads the frames of a connection until it ends.
+func (s *Server) serveConn(netConn net.Conn) {
+	defer func() { _ = netConn.Close() }()
 	preface := make([]byte, len(http2.ClientPreface))
-	if _, err := io.ReadFull(c, preface); err != nil {
+	if _, err := io.ReadFull(netConn, preface); err != nil {
 		return
 	}
-	w := &writer{Framer: http2.NewFramer(c, c), c: c}
-	f := w.Framer // reads are this goroutine's alone
-	f.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	c := newConn(netConn)
 	var settings []http2.Setting
-	if s.limit > 0 {
-		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: s.limit})
+	if s.maxStreams > 0 {
+		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: s.maxStreams})
 	}
-	w.write(func() { f.WriteSettings(settings...) })
+	c.write(func(f *http2.Framer) error { return f.WriteSettings(settings...) })
 	streams := map[uint32]*Stream{}
 	for {
-		frame, err := f.ReadFrame()
+		frame, err := c.framer.ReadFrame()
 		if err != nil {
 			return
 		}
-		switch v := frame.(type) {
-		case *http2.SettingsFrame:
-			if !v.IsAck() {
-				w.write(func() { f.WriteSettingsAck() })
-			}
-		case *http2.PingFrame:
-			if !v.IsAck() {
-				w.write(func() { f.WritePing(true, v.Data) })
-			}
-		case *http2.MetaHeadersFrame:
-			st := &Stream{ID: v.StreamID, w: w, Path: v.PseudoValue("path")}
-			for _, h := range v.RegularFields() {
-				if h.Name == "x-request-id" {
-					st.RequestID = h.Value
-				}
-			}
-			streams[st.ID] = st
-			s.serve(st)
-		case *http2.RSTStreamFrame:
-			if st := streams[v.StreamID]; st != nil && s.reset != nil {
-				s.reset(st)
-			}
-		case *http2.DataFrame:
-			if st := streams[v.StreamID]; st != nil {
-				st.Data = append(st.Data, v.Data()...)
-				st.Whole = v.StreamEnded()
-				s.serve(st)
-			}
-		}
+		s.handleFrame(c, streams, frame)
 	}
 }
 
-// Stream is one of a client's.
-type Stream struct {
-	ID        uint32
-	Path      string
-	RequestID string
-	Data      []byte // of its DATA frames so far
-	Whole     bool   // its last one has come
-
-	w *writer
-}
-
-// writer lets any goroutine write frames: the connection's own answers pings while tests answer streams.
-type writer struct {
-	*http2.Framer
-	c  net.Conn
-	mu sync.Mutex
-}
-
-func (w *writer) write(do func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	do()
-}
-
-// Refuse resets the stream with REFUSED_STREAM: none of it was processed.
-func (s *Stream) Refuse() { s.reset(http2.ErrCodeRefusedStream) }
-
-// Reset resets it with INTERNAL_ERROR: that says nothing.
-func (s *Stream) Reset() { s.reset(http2.ErrCodeInternal) }
-
-func (s *Stream) reset(code http2.ErrCode) { s.w.write(func() { s.w.WriteRSTStream(s.ID, code) }) }
-
-// GoAway says that no stream from this one on was or will be processed, and closes the connection.
-func (s *Stream) GoAway() {
-	s.w.write(func() { s.w.WriteGoAway(s.ID-1, http2.ErrCodeNo, nil) })
-	s.w.c.Close()
-}
-
-// Break ends the connection without a word.
-func (s *Stream) Break() { s.w.c.Close() }
-
-// Header begins the answer.
-func (s *Stream) Header() {
-	s.headers(false, ":status", "200", "content-type", "application/grpc")
+// handleFrame responds to a frame of the connection, or passes it to its stream.
+func (s *Server) handleFrame(c *conn, streams map[uint32]*Stream, frame http2.Frame) {
+	switch frame := frame.(type) {
+	case *http2.SettingsFrame:
+		if !frame.IsAck() {
+			c.write((*http2.Framer).WriteSettingsAck)
+		}
+	case *http2.PingFrame:
+		if !frame.IsAck() {
+			c.write(func(f *http2.Framer) error { return f.WritePing(true, frame.Data) })
+		}
+	case *http2.MetaHeadersFrame:
+		stream := newStream(c, frame)
+		streams[stream.ID] = stream
+		s.serve(stream)
+	case *http2.RSTStreamFrame:
+		if stream := streams[frame.StreamID]; stream != nil && s.onReset != nil {
+			s.onReset(stream)
+		}
+	case *http2.DataFrame:
+		if stream := streams[frame.StreamID]; stream != nil {
+			stream.Data = append(stream.Data, frame.Data()...)
+			stream.Complete = frame.StreamEnded()
+			s.serve(stream)
+		}
+	}
 }
 
-// Message sends a message.
-func (s *Stream) Message(data []byte) {
-	head := make([]byte, 5, 5+len(data))
-	binary.BigEndian.PutUint32(head[1:], uint32(len(data)))
-	s.w.write(func() { s.w.WriteData(s.ID, false, append(head, data...)) })
-}
+// conn is a connection. Its goroutine alone reads frames; any goroutine may write them, since the connection's own
+// acknowledges pings while tests write to streams.
+type conn struct {
+	netConn net.Conn
+	framer  *http2.Framer
 
-// End sends the trailers; more are pairs of names and values.
-func (s *Stream) End(status string, more ...string) {
-	s.headers(true, append([]string{"grpc-status", status}, more...)...)
+	writeMu sync.Mutex // guards writes to framer
 }
 
-// Only answers with trailers alone.
-func (s *Stream) Only(status string, more ...string) {
-	s.headers(true, append([]string{":status", "200", "content-type", "application/grpc", "grpc-status", status}, more...)...)
+func newConn(netConn net.Conn) *conn {
+	framer := http2.NewFramer(netConn, netConn)
+	framer.ReadMetaHeaders = hpack.NewDecoder(headerTableBytes, nil)
+	return &conn{netConn: netConn, framer: framer}
 }
 
-// OK answers whole.
-func (s *Stream) OK(data []byte) {
-	s.Header()
-	s.Message(data)
-	s.End("0")
+// write writes a frame. A write fails once the connection has ended, which its reads notice as well.
+func (c *conn) write(do func(f *http2.Framer) error) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_ = do(c.framer)
 }
 
-func (s *Stream) headers(end bool, pairs ...string) {
-	var block bytes.Buffer
-	enc := hpack.NewEncoder(&block)
-	for i := 0; i < len(pairs); i += 2 {
-		enc.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]})
-	}
-	s.w.write(func() {
-		s.w.WriteHeaders(http2.HeadersFrameParam{StreamID: s.ID, BlockFragment: block.Bytes(), EndHeaders: true, EndStream: end})
-	})
-}
+func (c *conn) close() { _ = c.netConn.Close() }
--- /dev/null
+++ b/internal/emulator/rawh2/stream.go
@@ -0,0 +1,100 @@
+package rawh2
+
+import (
+	"bytes"
+	"encoding/binary"
+
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+)
+
+// messageHeaderBytes is the size of what precedes a gRPC message: a compression flag and the length in four bytes.
+const messageHeaderBytes = 5
+
+// Stream is a stream that a client opened. The goroutine of the connection sets its fields; the methods may be called
+// from any goroutine.
+type Stream struct {
+	ID        uint32
+	Path      string
+	RequestID string
+	Data      []byte // of the DATA frames so far
+	Complete  bool   // the last DATA frame has been read
+
+	conn *conn
+}
+
+func newStream(c *conn, headers *http2.MetaHeadersFrame) *Stream {
+	s := &Stream{ID: headers.StreamID, Path: headers.PseudoValue("path"), conn: c}
+	for _, field := range headers.RegularFields() {
+		if field.Name == "x-request-id" {
+			s.RequestID = field.Value
+		}
+	}
+	return s
+}
+
+// Refuse resets the stream with REFUSED_STREAM: the request was not processed.
+func (s *Stream) Refuse() { s.reset(http2.ErrCodeRefusedStream) }
+
+// Reset resets the stream with INTERNAL_ERROR: the request may have been processed.
+func (s *Stream) Reset() { s.reset(http2.ErrCodeInternal) }
+
+func (s *Stream) reset(code http2.ErrCode) {
+	s.conn.write(func(f *http2.Framer) error { return f.WriteRSTStream(s.ID, code) })
+}
+
+// GoAway sends a GOAWAY that says that this stream and later ones were not and will not be processed, and closes the
+// connection.
+func (s *Stream) GoAway() {
+	s.conn.write(func(f *http2.Framer) error { return f.WriteGoAway(s.ID-1, http2.ErrCodeNo, nil) })
+	s.conn.close()
+}
+
+// Break closes the connection without a frame.
+func (s *Stream) Break() { s.conn.close() }
+
+// Header sends the headers of a response.
+func (s *Stream) Header() {
+	s.writeHeaders(false, ":status", "200", "content-type", "application/grpc")
+}
+
+// Message sends a message of a response.
+func (s *Stream) Message(data []byte) {
+	header := make([]byte, messageHeaderBytes, messageHeaderBytes+len(data))
+	binary.BigEndian.PutUint32(header[1:], uint32(len(data)))
+	s.conn.write(func(f *http2.Framer) error { return f.WriteData(s.ID, false, append(header, data...)) })
+}
+
+// End sends the trailers of a response; pairs are further names and values.
+func (s *Stream) End(status string, pairs ...string) {
+	s.writeHeaders(true, append([]string{"grpc-status", status}, pairs...)...)
+}
+
+// TrailersOnly sends a response that consists of trailers; pairs are further names and values.
+func (s *Stream) TrailersOnly(status string, pairs ...string) {
+	fields := []string{":status", "200", "content-type", "application/grpc", "grpc-status", status}
+	s.writeHeaders(true, append(fields, pairs...)...)
+}
+
+// OK sends a complete response with one message.
+func (s *Stream) OK(data []byte) {
+	s.Header()
+	s.Message(data)
+	s.End("0")
+}
+
+// writeHeaders sends pairs of names and values in one HEADERS frame.
+func (s *Stream) writeHeaders(endStream bool, pairs ...string) {
+	var block bytes.Buffer
+	encoder := hpack.NewEncoder(&block)
+	for i := 0; i < len(pairs); i += 2 {
+		_ = encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}) // a bytes.Buffer takes all
+	}
+	headers := http2.HeadersFrameParam{
+		StreamID:      s.ID,
+		BlockFragment: block.Bytes(),
+		EndHeaders:    true,
+		EndStream:     endStream,
+	}
+	s.conn.write(func(f *http2.Framer) error { return f.WriteHeaders(headers) })
+}
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -228,7 +228,7 @@
 // BenchmarkPlan is what a seat search costs, and a batch of 15 such and 5 bookings: parse and validate (but where its
 // document is kept), plan, read the parts' answers, and merge.
 func BenchmarkPlan(b *testing.B) {
-	search, _ := gqlnode.Search("T1")["query"].(string)
+	search, _ := gqlnode.SearchQuery("T1")["query"].(string)
 	const book = `mutation ($t: String) { m0: confirmBooking(seat: "s", token: $t) { id } }`
 	answers := map[string][]byte{"seats": []byte(`{"data":{"seats":[{"id":"a","coach":{"number":1}},{"id":"b","coach":{"number":2}},{"id":"c","coach":{"number":3}}]}}`),
 		"c": []byte(`{"data":{"c":{"id":"c","seats":[{"id":"1"},{"id":"2"}]}}}`), "items": []byte(`{"data":{"items":[{"__typename":"Seat"},{"__typename":"Coach"}]}}`),
--- a/internal/transport/grpc/disconnect_test.go
+++ b/internal/transport/grpc/disconnect_test.go
@@ -30,11 +30,11 @@
 	first := make(chan *rawh2.Stream, 1)
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
 		switch {
-		case !s.Whole && len(s.Data) == 0:
+		case !s.Complete && len(s.Data) == 0:
 			b.streamsOpened.Add(1)
-		case s.Whole && b.messages.Add(1) == 1:
+		case s.Complete && b.messages.Add(1) == 1:
 			first <- s
-		case s.Whole:
+		case s.Complete:
 			s.OK(nil)
 		}
 	}, rawh2.MaxStreams(1), rawh2.OnReset(func(*rawh2.Stream) { b.resets <- true }))
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -42,7 +42,7 @@
 }
 
 func newCall(ctx context.Context) *engine.Call {
-	request := &Request{Context: ctx, Method: grpcnode.Do, Codec: "proto", Message: []byte("\n\x01x")}
+	request := &Request{Context: ctx, Method: grpcnode.DoMethod, Codec: "proto", Message: []byte("\n\x01x")}
 	return &engine.Call{ID: "1", Payload: request}
 }
 
@@ -70,7 +70,7 @@
 	var first atomic.Pointer[rawh2.Stream]
 	var received atomic.Int32
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
-		if s.Whole && received.Add(1) == 1 {
+		if s.Complete && received.Add(1) == 1 {
 			first.Store(s)
 		}
 	}, rawh2.MaxStreams(1))
@@ -150,7 +150,7 @@
 func TestConnectionsFollowTheEndpointList(t *testing.T) {
 	streams := make(chan *rawh2.Stream, 1)
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
-		if s.Whole {
+		if s.Complete {
 			streams <- s
 		}
 	})
@@ -246,8 +246,8 @@
 func TestProbeThatIsNotAnswered(t *testing.T) {
 	for status, want := range map[string]balancer.Result{"12": balancer.NotSent, "14": balancer.ServerError} {
 		addr := rawh2.Start(t, func(s *rawh2.Stream) {
-			if s.Whole {
-				s.Only(status)
+			if s.Complete {
+				s.TrailersOnly(status)
 			}
 		})
 		tr := newTransport(t, time.Second)
@@ -328,7 +328,7 @@
 		},
 	} {
 		addr := rawh2.Start(t, func(s *rawh2.Stream) {
-			if s.Whole {
+			if s.Complete {
 				end(s)
 			}
 		})
--- a/rpc/grpcbalancer/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -26,7 +26,7 @@
 func TestCallOptionsAreThoseOfTheFinalAttempt(t *testing.T) {
 	endpoints, _ := startTwo(t, func(s *rawh2.Stream, before int32) {
 		if before == 0 {
-			s.Only("14", "x-not-run", "1", "who", "first")
+			s.TrailersOnly("14", "x-not-run", "1", "who", "first")
 			return
 		}
 		s.Header()
@@ -92,7 +92,7 @@
 		codes.Unimplemented,
 	} {
 		endpoints, received := startTwo(t, func(s *rawh2.Stream, _ int32) {
-			s.Only(strconv.Itoa(int(code)), "grpc-message", "as it is")
+			s.TrailersOnly(strconv.Itoa(int(code)), "grpc-message", "as it is")
 		})
 		p := start(t, testConfig(endpoints))
 		_, err := invoke(t.Context(), p, look, "seat")
@@ -268,7 +268,7 @@
 	}
 	l.Close()
 	up := rawh2.Start(t, func(s *rawh2.Stream) {
-		if s.Whole {
+		if s.Complete {
 			s.OK(okMessage)
 		}
 	})
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -127,7 +127,7 @@
 func unaryClient(conn grpc.ClientConnInterface, f *emulator.Fleet) emulator.RequestFunc {
 	return func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
 		id := fmt.Sprintf("%08x", n)
-		text, err := invoke(outgoing(ctx, id, c, r), conn, grpcnode.Do, id)
+		text, err := invoke(outgoing(ctx, id, c, r), conn, grpcnode.DoMethod, id)
 		kind := kindOf(err)
 		switch _, ran := f.Rules.Executions(id); {
 		case err == nil && !strings.HasPrefix(text, id):
--- a/rpc/grpcbalancer/disconnect_test.go
+++ b/rpc/grpcbalancer/disconnect_test.go
@@ -51,9 +51,9 @@
 	s.addr = rawh2.Start(t, func(stream *rawh2.Stream) {
 		s.record(stream)
 		switch {
-		case stream.Whole && stream.RequestID == s.holdID:
+		case stream.Complete && stream.RequestID == s.holdID:
 			s.holding <- stream
-		case stream.Whole:
+		case stream.Complete:
 			stream.OK(okMessage)
 		}
 	}, opts...)
@@ -230,7 +230,7 @@
 				t.Fatal("waited in vain for the first attempt")
 			}
 		},
-		endWait: func() { held.Only("14", "x-not-run", "1") },
+		endWait: func() { held.TrailersOnly("14", "x-not-run", "1") },
 	}
 }
 
--- a/rpc/grpcbalancer/endpoints_test.go
+++ b/rpc/grpcbalancer/endpoints_test.go
@@ -20,7 +20,7 @@
 func TestResolverUpdatesTheEndpointList(t *testing.T) {
 	startNode := func(name string) string {
 		return rawh2.Start(t, func(s *rawh2.Stream) {
-			if s.Whole {
+			if s.Complete {
 				s.OK(append([]byte{'\n', byte(len(name))}, name...))
 			}
 		})
--- a/rpc/grpcbalancer/example_test.go
+++ b/rpc/grpcbalancer/example_test.go
@@ -66,7 +66,7 @@
 
 	ctx := metadata.AppendToOutgoingContext(context.Background(), "x-request-id", "r1", "x-class", "confirm")
 	var reply wrapperspb.StringValue
-	if err := p.Invoke(ctx, grpcnode.Do, wrapperspb.String("seat 12"), &reply); err != nil {
+	if err := p.Invoke(ctx, grpcnode.DoMethod, wrapperspb.String("seat 12"), &reply); err != nil {
 		if retryAfter, ok := grpcbalancer.Rejected(err); ok {
 			fmt.Println("rejected; retry after", retryAfter)
 		}
@@ -93,7 +93,7 @@
 
 	ctx := metadata.AppendToOutgoingContext(context.Background(), "x-request-id", "r1", "x-class", "confirm")
 	var reply wrapperspb.StringValue
-	err = conn.Invoke(ctx, grpcnode.Do, wrapperspb.String("seat 12"), &reply)
+	err = conn.Invoke(ctx, grpcnode.DoMethod, wrapperspb.String("seat 12"), &reply)
 	fmt.Println(err)
 	// Output: <nil>
 }
--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -40,7 +40,7 @@
 	var list []Endpoint
 	for range 2 {
 		list = append(list, Endpoint{Zone: "a", Addr: rawh2.Start(t, func(s *rawh2.Stream) {
-			if s.Whole {
+			if s.Complete {
 				serve(s, received.Add(1)-1)
 			}
 		})})
@@ -63,13 +63,13 @@
 	}{
 		"refused stream":          {(*rawh2.Stream).Refuse, true},
 		"goaway below it":         {(*rawh2.Stream).GoAway, true},
-		"not-run trailer":         {func(s *rawh2.Stream) { s.Only("14", "x-not-run", "1") }, true},
+		"not-run trailer":         {func(s *rawh2.Stream) { s.TrailersOnly("14", "x-not-run", "1") }, true},
 		"breaks before the reply": {(*rawh2.Stream).Break, false},
 		"reset":                   {(*rawh2.Stream).Reset, false},
-		"unavailable":             {func(s *rawh2.Stream) { s.Only("14") }, false},
-		"resource exhausted":      {func(s *rawh2.Stream) { s.Only("8") }, false},
-		"not-run trailer of 0":    {func(s *rawh2.Stream) { s.Only("14", "x-not-run", "0") }, false},
-		"internal":                {func(s *rawh2.Stream) { s.Only("13") }, false},
+		"unavailable":             {func(s *rawh2.Stream) { s.TrailersOnly("14") }, false},
+		"resource exhausted":      {func(s *rawh2.Stream) { s.TrailersOnly("8") }, false},
+		"not-run trailer of 0":    {func(s *rawh2.Stream) { s.TrailersOnly("14", "x-not-run", "0") }, false},
+		"internal":                {func(s *rawh2.Stream) { s.TrailersOnly("13") }, false},
 		"breaks in the reply":     {func(s *rawh2.Stream) { s.Header(); s.Break() }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 	var list []Endpoint
 	for i := range 3 {
 		list = append(list, Endpoint{Zone: "a", Addr: rawh2.Start(t, func(s *rawh2.Stream) {
-			if s.Whole {
+			if s.Complete {
 				mu.Lock()
 				attempts[fmt.Sprint(i)]++
 				mu.Unlock()
@@ -222,7 +222,7 @@
 		"breaks before a message":    {func(s *rawh2.Stream) { s.Header(); s.Break() }, 2, []string{"ok", "ok"}, true},
 		"is refused":                 {(*rawh2.Stream).Refuse, 2, []string{"ok", "ok"}, true},
 		"ends without a message":     {func(s *rawh2.Stream) { s.Header(); s.End("0") }, 1, nil, true},
-		"not found":                  {func(s *rawh2.Stream) { s.Only("5") }, 1, nil, false},
+		"not found":                  {func(s *rawh2.Stream) { s.TrailersOnly("5") }, 1, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoints, received := startTwo(t, func(s *rawh2.Stream, before int32) {
@@ -252,7 +252,7 @@
 func TestUndecodableMessageEndsTheStream(t *testing.T) {
 	resets := make(chan bool, 10)
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
-		if s.Whole {
+		if s.Complete {
 			s.Header()
 			s.Message(okMessage)
 			s.Message([]byte{0xff}) // no message of any kind
@@ -331,7 +331,7 @@
 				closed.Store(true)
 			}
 			wasClosed := closed.Load()
-			_, err := invoke(outgoing(ctx, fmt.Sprint(name, n), c, r), p, grpcnode.Do, "x")
+			_, err := invoke(outgoing(ctx, fmt.Sprint(name, n), c, r), p, grpcnode.DoMethod, "x")
 			kind := kindOf(err)
 			switch {
 			case wasClosed && name == "one":
--- a/rpc/grpcbalancer/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -78,7 +78,7 @@
 				out.printf("asked %s", id)
 				callCtx, cancel := context.WithTimeout(ctx, time.Duration(c.DeadlineMS)*time.Millisecond)
 				request := emulator.Request{WorkUS: float64(workOfCall.Microseconds())}
-				_, err := invoke(outgoing(callCtx, id, c, request), p, grpcnode.Do, "x")
+				_, err := invoke(outgoing(callCtx, id, c, request), p, grpcnode.DoMethod, "x")
 				cancel()
 				out.printf("ended %s %v", id, err)
 			}
