--- /dev/null
+++ b/internal/emulator/gqlnode/faults.go
@@ -0,0 +1,80 @@
+package gqlnode
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strings"
+
+	"github.com/vektah/gqlparser/v2/ast"
+)
+
+// FaultShares are shares of the requests that a node responds to with a fault, after their execution unless said
+// otherwise. Their sum is at most 1.
+type FaultShares struct {
+	ResetBefore float64 // the connection is reset before the execution
+	ResetAfter  float64 // the connection is reset before the response
+	Truncate    float64 // the connection is reset after half of the response
+	OmitFields  float64 // the JSON is complete but lacks half of the fields
+	WrongAlias  float64 // the first field has an alias that the request does not have
+	NullData    float64 // data is null, with an error
+	Garbage     float64 // the response is not JSON
+}
+
+// faultDraw is a random number in [0, 1) from which the shares of faults are taken one after the other.
+type faultDraw struct{ x float64 }
+
+// isIn reports whether the number is in the next interval, which has the width of share.
+func (d *faultDraw) isIn(share float64) bool {
+	d.x -= share
+	return d.x < 0 && d.x >= -share && share > 0
+}
+
+func (s *server) drawFault() *faultDraw {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return &faultDraw{s.rng.Float64()}
+}
+
+// writeResponse writes a response, or the fault that was drawn. Writes fail once the client has disconnected.
+func (s *server) writeResponse(w http.ResponseWriter, draw *faultDraw, op *ast.OperationDefinition, response []byte) {
+	shares := s.faults
+	switch {
+	case draw.isIn(shares.ResetAfter):
+		panic(http.ErrAbortHandler)
+	case draw.isIn(shares.Truncate):
+		w.Header().Set("Content-Length", fmt.Sprint(len(response)))
+		_, _ = w.Write(response[:len(response)/2])
+		w.(http.Flusher).Flush()
+		panic(http.ErrAbortHandler)
+	case draw.isIn(shares.OmitFields):
+		response = omitFields(response)
+	case draw.isIn(shares.WrongAlias):
+		if field, ok := op.SelectionSet[0].(*ast.Field); ok {
+			key, wrongKey := `"`+field.Alias+`":`, `"zz_`+field.Alias+`":`
+			response = bytes.Replace(response, []byte(key), []byte(wrongKey), 1)
+		}
+	case draw.isIn(shares.NullData):
+		response = []byte(`{"data":null,"errors":[{"message":"on purpose"}]}`)
+	case draw.isIn(shares.Garbage):
+		response = []byte(strings.Repeat("\x00\x9f{", 40))
+	}
+	_, _ = w.Write(response)
+}
+
+// omitFields returns a response without half of its root fields, and without its errors.
+func omitFields(response []byte) []byte {
+	var complete struct {
+		Data map[string]json.RawMessage `json:"Data"`
+	}
+	_ = json.Unmarshal(response, &complete) // the node has encoded it
+	remaining := len(complete.Data) / 2
+	for key := range complete.Data {
+		if len(complete.Data) > remaining {
+			delete(complete.Data, key)
+		}
+	}
+	partial, _ := json.Marshal(map[string]any{"data": complete.Data}) // cannot fail, as above
+	return partial
+}
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -1,4 +1,4 @@
-// Package grpcnode puts the stand-in nodes on gRPC. The service takes and gives well-known messages only
+// Package grpcnode serves emulated nodes over gRPC. The service uses well-known messages only
 // (google.protobuf.StringValue), so that it needs no generated code: /booking.v1.Booking/Do is unary, and
 // /booking.v1.Booking/Follow streams as many messages as its request has letters.
 package grpcnode
@@ -22,128 +22,159 @@
 	"hazelwing/internal/emulator"
 )
 
-// Names of the service.
+// Names of the service and its methods.
 const (
 	Service      = "booking.v1.Booking"
 	DoMethod     = "/" + Service + "/Do"
 	FollowMethod = "/" + Service + "/Follow"
 )
 
-// NotRun is the trailer that turns a call away unseen.
+// NotRunTrailer is the name of the trailer of a call that was rejected before its execution.
 const NotRunTrailer = "x-not-run"
 
-// FollowDesc describes the stream.
+const (
+	// utilizedJobs is the number of jobs in flight that counts as full utilization.
+	utilizedJobs = 4
+	// minUtilization and minQPS keep the weight that clients compute from both finite and positive.
+	minUtilization = 0.01
+	minQPS         = 1
+)
+
+// FollowDesc describes the streaming method.
 var FollowDesc = grpc.StreamDesc{StreamName: "Follow", ServerStreams: true}
 
-// server is a node's.
+// server serves a node.
 type server struct {
 	node    *emulator.Node
 	effects map[string]emulator.Effect
-	srv     *grpc.Server
+	grpc    *grpc.Server
 
 	mu    sync.Mutex
-	conns []net.Conn
+	conns []net.Conn // all accepted so far
 }
 
-// New makes the server of a node. It serves grpc.health.v1 too, and tells by ORCA what the node holds ("queue").
+// New returns the server of a node; effects are those of the request classes, by name. It serves grpc.health.v1 as
+// well, and reports the jobs in flight by ORCA (named metric "queue").
 func New(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 	s := &server{node: n, effects: effects}
-	s.srv = grpc.NewServer(orca.CallMetricsServerOption(nil), grpc.ChainUnaryInterceptor(s.probe))
-	s.srv.RegisterService(&grpc.ServiceDesc{ServiceName: Service, HandlerType: (*any)(nil),
-		Methods: []grpc.MethodDesc{{MethodName: "Do", Handler: s.do}},
-		Streams: []grpc.StreamDesc{{StreamName: "Follow", ServerStreams: true, Handler: s.follow}}}, s)
-	healthpb.RegisterHealthServer(s.srv, health.NewServer())
+	s.grpc = grpc.NewServer(orca.CallMetricsServerOption(nil), grpc.ChainUnaryInterceptor(s.reportLoadOfCall))
+	s.grpc.RegisterService(&grpc.ServiceDesc{
+		ServiceName: Service,
+		HandlerType: (*any)(nil),
+		Methods:     []grpc.MethodDesc{{MethodName: "Do", Handler: s.do}},
+		Streams:     []grpc.StreamDesc{{StreamName: "Follow", ServerStreams: true, Handler: s.follow}},
+	}, s)
+	healthpb.RegisterHealthServer(s.grpc, health.NewServer())
 	return s
 }
 
-// keeping is a listener that remembers its connections: the death of a process resets them.
-type keeping struct {
+// trackingListener records the connections of a server, for Stop to reset them.
+type trackingListener struct {
 	net.Listener
-	s *server
+	server *server
 }
 
-func (k keeping) Accept() (net.Conn, error) {
-	c, err := k.Listener.Accept()
+// Accept is net.Listener's.
+func (l trackingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err == nil {
-		k.s.mu.Lock()
-		k.s.conns = append(k.s.conns, c)
-		k.s.mu.Unlock()
+		l.server.mu.Lock()
+		l.server.conns = append(l.server.conns, conn)
+		l.server.mu.Unlock()
 	}
-	return c, err
+	return conn, err
 }
 
-func (s *server) Serve(l net.Listener) error { return s.srv.Serve(keeping{l, s}) }
+// Serve is emulator.Server's.
+func (s *server) Serve(listener net.Listener) error {
+	return s.grpc.Serve(trackingListener{listener, s})
+}
 
+// Stop is emulator.Server's: it resets all connections.
 func (s *server) Stop() {
 	s.mu.Lock()
-	for _, c := range s.conns {
-		if tcp, ok := c.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
-			tcp.Close()
-		}
+	for _, conn := range s.conns {
+		resetConn(conn)
 	}
 	s.mu.Unlock()
-	s.srv.Stop()
+	s.grpc.Stop()
 }
 
-// cut resets the connection that a call came on, with all that is on it.
-func (s *server) cut(ctx context.Context) {
-	p, ok := peer.FromContext(ctx)
+// resetConn resets a TCP connection. Both calls fail on one that is closed already.
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
+		_ = tcp.Close()
+	}
+}
+
+// resetConnOf resets the connection of a call, with all other calls on it.
+func (s *server) resetConnOf(ctx context.Context) {
+	client, ok := peer.FromContext(ctx)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.conns {
-		if tcp, is := c.(*net.TCPConn); is && c.RemoteAddr().String() == p.Addr.String() {
-			tcp.SetLinger(0)
-			tcp.Close()
+	for _, conn := range s.conns {
+		if conn.RemoteAddr().String() == client.Addr.String() {
+			resetConn(conn)
 		}
 	}
 }
 
-// probe tells the load with the answers of grpc.health.v1 too.
-func (s *server) probe(ctx context.Context, req any, info *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
-	defer s.report(ctx)
+// reportLoadOfCall is an interceptor that adds the load report to every response, those of grpc.health.v1 included.
+func (s *server) reportLoadOfCall(
+	ctx context.Context, req any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler,
+) (any, error) {
+	defer s.reportLoad(ctx)
 	return handler(ctx, req)
 }
 
-func (s *server) report(ctx context.Context) {
-	if r := orca.CallMetricsRecorderFromContext(ctx); r != nil {
-		held := float64(s.node.InFlight())
-		r.SetNamedMetric("queue", held)
-		// What weighted_round_robin reads: requests a second over utilisation.
-		r.SetApplicationUtilization(min(1, max(0.01, held/4)))
-		r.SetQPS(max(1, s.node.Rate()))
+// reportLoad adds the load report to the response of a call. weighted_round_robin reads queries per second and
+// utilization of it.
+func (s *server) reportLoad(ctx context.Context) {
+	recorder := orca.CallMetricsRecorderFromContext(ctx)
+	if recorder == nil {
+		return
 	}
+	inFlight := float64(s.node.InFlight())
+	recorder.SetNamedMetric("queue", inFlight)
+	recorder.SetApplicationUtilization(min(1, max(minUtilization, inFlight/utilizedJobs)))
+	recorder.SetQPS(max(minQPS, s.node.Rate()))
 }
 
-func first(md metadata.MD, name string) string {
-	if v := md.Get(name); len(v) > 0 {
-		return v[0]
+// firstValue returns the first value of a name in metadata, or "".
+func firstValue(md metadata.MD, name string) string {
+	if values := md.Get(name); len(values) > 0 {
+		return values[0]
 	}
 	return ""
 }
 
-// job runs one on the node, and says why it was not done.
-func (s *server) job(ctx context.Context) error {
+// execute executes the job of a call on the node. It returns the status of a call whose job was not done.
+func (s *server) execute(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
-	j := emulator.Job{ID: first(md, emulator.RequestIDHeader), Class: first(md, emulator.ClassHeader), IdempotencyKey: first(md, emulator.IdempotencyKeyHeader),
-		Work: emulator.WorkFromExtras(first(md, emulator.ExtrasHeader))}
-	effect, known := s.effects[j.Class]
-	if j.ID == "" || !known {
+	job := emulator.Job{
+		ID:             firstValue(md, emulator.RequestIDHeader),
+		Class:          firstValue(md, emulator.ClassHeader),
+		IdempotencyKey: firstValue(md, emulator.IdempotencyKeyHeader),
+		Work:           emulator.WorkFromExtras(firstValue(md, emulator.ExtrasHeader)),
+	}
+	effect, known := s.effects[job.Class]
+	if job.ID == "" || !known {
 		return status.Error(codes.InvalidArgument, "no such request")
 	}
-	j.Effect = effect
-	switch s.node.Do(ctx, j) {
+	job.Effect = effect
+	switch s.node.Do(ctx, job) {
 	case emulator.QueueFull, emulator.Draining:
-		grpc.SetTrailer(ctx, metadata.Pairs(NotRunTrailer, "1"))
+		_ = grpc.SetTrailer(ctx, metadata.Pairs(NotRunTrailer, "1")) // ctx is that of a call
 		return status.Error(codes.Unavailable, "turned away")
 	case emulator.NodeDied:
-		<-ctx.Done() // the connection is about to be reset: no answer goes out
+		<-ctx.Done() // Stop is about to reset the connection, and no response may precede it
 		return status.Error(codes.Unavailable, "dying")
 	case emulator.ConnectionBroken:
-		s.cut(ctx)
+		s.resetConnOf(ctx)
 		return status.Error(codes.Unavailable, "the connection breaks")
 	case emulator.ClientDisconnected:
 		return status.FromContextError(ctx.Err()).Err()
@@ -151,27 +182,31 @@
 	return nil
 }
 
-func (s *server) do(_ any, ctx context.Context, dec func(any) error, interceptor grpc.UnaryServerInterceptor) (any, error) {
+// do handles the unary method. grpc calls it with the interceptors of the server chained: ORCA's and reportLoadOfCall.
+func (s *server) do(
+	_ any, ctx context.Context, decode func(any) error, interceptor grpc.UnaryServerInterceptor,
+) (any, error) {
 	in := new(wrapperspb.StringValue)
-	if err := dec(in); err != nil {
+	if err := decode(in); err != nil {
 		return nil, err
 	}
-	run := func(ctx context.Context, _ any) (any, error) {
-		if err := s.job(ctx); err != nil {
+	handler := func(ctx context.Context, _ any) (any, error) {
+		if err := s.execute(ctx); err != nil {
 			return nil, err
 		}
 		return wrapperspb.String(in.Value + " by " + s.node.Name), nil
 	}
-	return interceptor(ctx, in, &grpc.UnaryServerInfo{Server: s, FullMethod: DoMethod}, run) // ORCA's, and ours
+	return interceptor(ctx, in, &grpc.UnaryServerInfo{Server: s, FullMethod: DoMethod}, handler)
 }
 
+// follow handles the streaming method: each message is a job of its own.
 func (s *server) follow(_ any, stream grpc.ServerStream) error {
 	in := new(wrapperspb.StringValue)
 	if err := stream.RecvMsg(in); err != nil {
 		return err
 	}
 	for letter := range strings.SplitSeq(in.Value, "") {
-		if err := s.job(stream.Context()); err != nil {
+		if err := s.execute(stream.Context()); err != nil {
 			return err
 		}
 		if err := stream.SendMsg(wrapperspb.String(letter)); err != nil {
