--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -93,15 +93,15 @@
 }
 
 func calibrateReal(t *testing.T, keys, recovery string) (c calibrated) {
-	r, err := testcluster.New(testcluster.Config{Members: *calibrateMembers, Seed: 1, Dir: t.TempDir(), Program: []string{os.Args[0]}, Env: []string{testRun + "=1"}, Fleet: keys,
-		Operator: "[recovery]\n" + recovery, Quiet: true})
+	r, err := testcluster.New(testcluster.Config{Members: *calibrateMembers, Seed: 1, Dir: t.TempDir(), Program: []string{os.Args[0]}, Env: []string{testRun + "=1"}, FleetOptions: keys,
+		OperatorOptions: "[recovery]\n" + recovery, WithoutClients: true})
 	if err != nil {
 		t.Error(err)
 		return c
 	}
 	defer r.Close()
 	if err := r.Play(t.Context(), "start all\nsettle 1s 60s"); err != nil {
-		t.Errorf("%v\n%s", err, r.Story())
+		t.Errorf("%v\n%s", err, r.Timeline())
 		return c
 	}
 	rest()
@@ -112,7 +112,7 @@
 			c.bytesOut, c.messagesOut = c.bytesOut+float64(out.Bytes), c.messagesOut+float64(out.Messages)
 			c.bytesIn, c.messagesIn = c.bytesIn+float64(in.Bytes), c.messagesIn+float64(in.Messages)
 			var s gossip.Status
-			if err := r.Ask(i, "fleet", &s); err != nil {
+			if err := r.ReadAdmin(i, "fleet", &s); err != nil {
 				t.Error(err)
 			}
 			c.stirred += stirred(s)
@@ -125,7 +125,7 @@
 	time.Sleep(*calibrateFor)
 	c = rates(old, look(), time.Since(begun), n)
 	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // else it was not quiet
-		t.Errorf("%v\n%s", err, r.Story())
+		t.Errorf("%v\n%s", err, r.Timeline())
 	}
 	return c
 }
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -25,15 +25,15 @@
 
 // configRig is a rig with origins.
 type configRig struct {
-	*testcluster.Rig
+	*testcluster.Cluster
 	t                *testing.T
 	members, origins int
 	pushes           int
 }
 
 func newConfigRig(t *testing.T, members, origins int) *configRig {
-	c := testcluster.Config{Origins: origins, Operator: "[recovery]\nask = 2\nfan = 4\n", Config: "ask = 3\nfan = 4\nwait = \"1s\"\n"}
-	r := &configRig{t: t, members: members, origins: origins, Rig: newFleetRig(t, members, 7, c)}
+	c := testcluster.Config{Origins: origins, OperatorOptions: "[recovery]\nask = 2\nfan = 4\n", ConfigOptions: "ask = 3\nfan = 4\nwait = \"1s\"\n"}
+	r := &configRig{t: t, members: members, origins: origins, Cluster: newFleetRig(t, members, 7, c)}
 	r.play("start origins\nstart all\nsettle 500ms 60s")
 	return r
 }
@@ -47,7 +47,7 @@
 
 func (r *configRig) fail(err error) {
 	r.t.Helper()
-	lines := strings.Split(r.Story(), "\n")
+	lines := strings.Split(r.Timeline(), "\n")
 	r.t.Fatalf("%v\n%s", err, strings.Join(lines[max(0, len(lines)-400):], "\n"))
 }
 
@@ -76,7 +76,7 @@
 // push pushes to an origin by the command.
 func (r *configRig) push(k int, file string, args ...string) (p pushed, err error) {
 	r.t.Helper()
-	out, err := execute(append([]string{"config", "push", file, "--fleet", "rig", "--origin", r.Origin(k), "--json"}, args...)...)
+	out, err := execute(append([]string{"config", "push", file, "--fleet", "rig", "--origin", r.OriginAddr(k), "--json"}, args...)...)
 	if json.Unmarshal([]byte(out), &p) != nil && err == nil {
 		r.t.Fatalf("no JSON: %s", out)
 	}
@@ -148,7 +148,7 @@
 }
 
 func (r *configRig) state(n int) (s transport.MemberState) {
-	r.Ask(n, "config", &s)
+	r.ReadAdmin(n, "config", &s)
 	return s
 }
 
@@ -167,7 +167,7 @@
 func (r *configRig) leader() (k int) {
 	testutil.Until(r.t, "an origin leads", func() bool {
 		for k = 1; k <= r.origins; k++ {
-			if s, err := transport.NewClient("rig", r.Origin(k)).Status(r.t.Context()); err == nil && s.Role == origin.RoleLeader {
+			if s, err := transport.NewClient("rig", r.OriginAddr(k)).Status(r.t.Context()); err == nil && s.Role == origin.RoleLeader {
 				return true
 			}
 		}
@@ -178,11 +178,11 @@
 
 func (r *configRig) end() {
 	r.t.Helper()
-	for _, f := range r.Faults() {
+	for _, f := range r.Violations() {
 		r.t.Error(f)
 	}
-	a := &r.Answers
-	r.t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load())
+	a := &r.Outcomes
+	r.t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Rejected.Load(), a.Failed.Load(), a.Broken.Load())
 	if a.Served.Load() == 0 {
 		r.t.Error("nothing was served")
 	}
@@ -231,7 +231,7 @@
 	testutil.Until(t, "all have the list from it, by way of the fleet", func() bool {
 		for _, n := range r.all() {
 			var l relay.SourceState
-			if r.Ask(n, "recovery", &l) != nil || !l.Server.Live || l.Server.Version != r.Servers.Discovery.Version() || l.Group != r.Servers.Discovery.Addr() {
+			if r.ReadAdmin(n, "recovery", &l) != nil || !l.Server.Live || l.Server.Version != r.Servers.Discovery.Version() || l.Group != r.Servers.Discovery.Addr() {
 				return false
 			}
 		}
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -26,7 +26,7 @@
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
 	r := newConfigRig(t, 3, 1)
-	ask := []string{"--fleet", "rig", "--origin", r.Origin(1)}
+	ask := []string{"--fleet", "rig", "--origin", r.OriginAddr(1)}
 	run := func(args ...string) (string, error) {
 		return execute(append(append([]string{"config"}, args...), ask...)...)
 	}
@@ -52,11 +52,11 @@
 		}
 	}
 	// Past the command's own check.
-	a, err := transport.NewClient("rig", r.Origin(1)).Push(t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
+	a, err := transport.NewClient("rig", r.OriginAddr(1)).Push(t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
 	if err != nil || a.Outcome != origin.OutcomeRejected || !strings.Contains(a.Error, "2:1: limits.max_attempts") {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if _, err := transport.NewClient("other", r.Origin(1)).Push(t.Context(), "four", 1, text); err == nil || !strings.Contains(err.Error(), "another fleet's") {
+	if _, err := transport.NewClient("other", r.OriginAddr(1)).Push(t.Context(), "four", 1, text); err == nil || !strings.Contains(err.Error(), "another fleet's") {
 		t.Errorf("another fleet's push: %v", err)
 	}
 	if out, err := run("show"); err != nil || out != "# 1.1\n"+string(text) {
@@ -118,12 +118,12 @@
 	var all sync.WaitGroup
 	closed := func(at, text string) { all.Go(func() { r.closed(at, text) }) }
 	head := "Host: x\r\nX-Config-Fleet: %s\r\nX-Config-For: z\r\n"
-	for _, at := range []string{member, r.Origin(1)} {
+	for _, at := range []string{member, r.OriginAddr(1)} {
 		closed(at, "GET /config/watch?epoch=0&version=0 HTTP/1.1\r\n"+fmt.Sprintf(head, "others")+"\r\n")
 		closed(at, fmt.Sprintf("POST /config/report HTTP/1.1\r\n"+head+"Content-Length: 9999999\r\n\r\n", "rig")+strings.Repeat("x", 100<<10))
 		closed(at, fmt.Sprintf("POST /config/report HTTP/1.1\r\n"+head+"Content-Length: 5\r\n\r\n{\"me", "rig"))
 	}
-	closed(r.Origin(1), fmt.Sprintf("POST /config/push?after=1&id=x HTTP/1.1\r\n"+head+"Content-Length: 300000\r\n\r\n", "rig")+strings.Repeat("#", 300000))
+	closed(r.OriginAddr(1), fmt.Sprintf("POST /config/push?after=1&id=x HTTP/1.1\r\n"+head+"Content-Length: 300000\r\n\r\n", "rig")+strings.Repeat("#", 300000))
 	all.Wait()
 	// One that follows and does not read, and one that opens and says nothing.
 	for range 3 {
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -54,7 +54,7 @@
 	accepted := make([]int, 4)
 	for i := range accepted {
 		all.Go(func() {
-			c := transport.NewClient("rig", r.Origin(1+i))
+			c := transport.NewClient("rig", r.OriginAddr(1+i))
 			for j := 0; time.Since(begun) < 10*time.Second; j++ {
 				seen, err := c.Show(t.Context(), false)
 				if err != nil {
@@ -114,14 +114,14 @@
 		s, at = r.pushed(1, r.file(""))
 	}
 	testutil.Until(t, "the origin has what its store is to lose", func() bool {
-		st, err := transport.NewClient("rig", r.Origin(5)).Status(t.Context())
+		st, err := transport.NewClient("rig", r.OriginAddr(5)).Status(t.Context())
 		return err == nil && st.Revision == s
 	})
 	r.play("kill o5")
 	restore(5, yesterday)
 	r.play("start o5")
 	testutil.Until(t, "the origin says that its store was rolled back", func() bool {
-		st, err := transport.NewClient("rig", r.Origin(5)).Status(t.Context())
+		st, err := transport.NewClient("rig", r.OriginAddr(5)).Status(t.Context())
 		return err == nil && st.Role == origin.RoleRolledBack
 	})
 	s, at = r.pushed(1, r.file(""))
@@ -143,7 +143,7 @@
 	r.play("start origins")
 	testutil.Until(t, "an origin hears that members hold a later one", func() bool {
 		for k := range r.origins {
-			if st, err := transport.NewClient("rig", r.Origin(k+1)).Status(t.Context()); err == nil && st.Ahead.Compare(s) == 0 {
+			if st, err := transport.NewClient("rig", r.OriginAddr(k+1)).Status(t.Context()); err == nil && st.Ahead.Compare(s) == 0 {
 				return true
 			}
 		}
@@ -160,7 +160,7 @@
 		}
 	}
 	r.play("kill origins")
-	if err := r.Found(2, "origins"); err != nil {
+	if err := r.BootstrapOrigins(2, "origins"); err != nil {
 		t.Fatal(err)
 	}
 	r.play("start origins")
@@ -186,8 +186,8 @@
 	var view, list, config []float64
 	for _, n := range r.all() {
 		a, b := read(n), before[n]
-		view = append(view, float64(a.out.View+a.in.View-b.out.View-b.in.View)/secs)
-		list = append(list, float64(a.out.List+a.in.List-b.out.List-b.in.List)/secs)
+		view = append(view, float64(a.out.Membership+a.in.Membership-b.out.Membership-b.in.Membership)/secs)
+		list = append(list, float64(a.out.EndpointList+a.in.EndpointList-b.out.EndpointList-b.in.EndpointList)/secs)
 		config = append(config, float64(a.out.Config+a.in.Config-b.out.Config-b.in.Config)/secs)
 	}
 	mean := func(x []float64) (sum float64) {
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -28,12 +28,12 @@
 const fastFleet = "probe = \"250ms\"\ntimeout = \"120ms\"\ngossip = \"40ms\"\nsync = \"2s\"\nretry = \"500ms\"\nforget = \"6s\"\nkeep_words = \"8s\"\n"
 
 // newFleetRig makes one of this test's own program.
-func newFleetRig(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Rig {
+func newFleetRig(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Cluster {
 	t.Helper()
 	c.Members, c.Seed, c.Dir = members, seed, t.TempDir()
 	c.Program, c.Env = []string{os.Args[0]}, []string{testRun + "=1"}
-	if c.Fleet == "" {
-		c.Fleet = fastFleet
+	if c.FleetOptions == "" {
+		c.FleetOptions = fastFleet
 	}
 	r, err := testcluster.New(c)
 	if err != nil {
@@ -44,20 +44,20 @@
 }
 
 // playFleet plays a script; a failure shows the script, the seed and all logs by time.
-func playFleet(t *testing.T, r *testcluster.Rig, script string) {
+func playFleet(t *testing.T, r *testcluster.Cluster, script string) {
 	t.Helper()
 	if err := r.Play(t.Context(), script); err != nil {
-		story := r.Story()
+		story := r.Timeline()
 		if lines := strings.Split(story, "\n"); len(lines) > 400 {
 			story = strings.Join(append(append(lines[:100:100], "..."), lines[len(lines)-300:]...), "\n")
 		}
 		t.Fatalf("%v\n%s", err, story)
 	}
-	for _, w := range r.Took {
-		t.Logf("%-40s %v", w.Step, w.Took)
+	for _, w := range r.Waits {
+		t.Logf("%-40s %v", w.Step, w.Duration)
 	}
-	a := &r.Answers
-	t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load())
+	a := &r.Outcomes
+	t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Rejected.Load(), a.Failed.Load(), a.Broken.Load())
 	if a.Served.Load() == 0 {
 		t.Error("nothing was served")
 	}
@@ -91,11 +91,11 @@
 func TestFleetCommand(t *testing.T) {
 	r := newFleetRig(t, 3, 1, testcluster.Config{})
 	playFleet(t, r, "start all\nsettle 1s 30s")
-	out, err := execute("fleet", "--admin", r.Admin(1))
+	out, err := execute("fleet", "--admin", r.AdminAddr(1))
 	if err != nil || !strings.Contains(out, "m01 (itself)") || !strings.Contains(out, "3 live of 3 known, reckons with 3") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	out, err = execute("fleet", "--json", "--admin", r.Admin(2))
+	out, err = execute("fleet", "--json", "--admin", r.AdminAddr(2))
 	var s gossip.Status
 	if other := json.Unmarshal([]byte(out), &s); err != nil || other != nil || s.Name != "m02" || len(s.Members) != 3 || s.Members[0].State != cluster.Alive {
 		t.Errorf("%v, %v\n%s", err, other, out)
@@ -103,17 +103,17 @@
 	if err := r.Play(t.Context(), "kill 3\nwait state 3 dead 30s 1-2"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = execute("fleet", "--admin", r.Admin(1)); err == nil || err.(exitStatus).status != unsettled {
+	if _, err = execute("fleet", "--admin", r.AdminAddr(1)); err == nil || err.(exitStatus).status != unsettled {
 		t.Errorf("with a dead member: %v", err)
 	}
-	if _, err := execute("fleet", "--admin", r.Admin(3)); err == nil {
+	if _, err := execute("fleet", "--admin", r.AdminAddr(3)); err == nil {
 		t.Error("one that does not run was asked")
 	}
 	if _, err := execute("fleet", "--operator", ""); err == nil || !strings.Contains(err.Error(), "--admin or --operator") {
 		t.Errorf("without an address: %v", err)
 	}
 	var bounds []struct{ Bound string }
-	if err := r.Ask(1, "bounds", &bounds); err != nil || !slices.ContainsFunc(bounds, func(b struct{ Bound string }) bool { return b.Bound == "members of the fleet" }) {
+	if err := r.ReadAdmin(1, "bounds", &bounds); err != nil || !slices.ContainsFunc(bounds, func(b struct{ Bound string }) bool { return b.Bound == "members of the fleet" }) {
 		t.Errorf("%v, %+v", err, bounds)
 	}
 }
@@ -131,13 +131,13 @@
 	half := *fleetSize / 2
 	all := map[string][]time.Duration{}
 	play := func(script string, names ...string) {
-		r.Took = nil
+		r.Waits = nil
 		if err := r.Play(t.Context(), script); err != nil {
-			t.Fatalf("%v\n%s", err, r.Story())
+			t.Fatalf("%v\n%s", err, r.Timeline())
 		}
-		for i, w := range r.Took {
+		for i, w := range r.Waits {
 			if i < len(names) && names[i] != "" {
-				all[names[i]] = append(all[names[i]], w.Took)
+				all[names[i]] = append(all[names[i]], w.Duration)
 			}
 		}
 	}
@@ -155,9 +155,9 @@
 		list := slices.Sorted(slices.Values(all[name]))
 		t.Logf("| %s | %d | %.2f | %.2f | %.2f |", name, len(list), list[len(list)/2].Seconds(), list[len(list)*99/100].Seconds(), list[len(list)-1].Seconds())
 	}
-	for _, f := range r.Faults() {
+	for _, f := range r.Violations() {
 		t.Error(f)
 	}
-	a := &r.Answers
-	t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load())
+	a := &r.Outcomes
+	t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Rejected.Load(), a.Failed.Load(), a.Broken.Load())
 }
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -70,22 +70,22 @@
 func newMixedRig(t *testing.T) *mixedRig {
 	t.Helper()
 	config := testcluster.Config{
-		Origins:  mixedOrigins,
-		Fleet:    strings.Replace(fastFleet, "forget = \"6s\"\n", longMemory, 1),
-		Operator: "[recovery]\nask = 2\nfan = 4\n",
-		Config:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
+		Origins:         mixedOrigins,
+		FleetOptions:    strings.Replace(fastFleet, "forget = \"6s\"\n", longMemory, 1),
+		OperatorOptions: "[recovery]\nask = 2\nfan = 4\n",
+		ConfigOptions:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
 	}
 	cluster := newFleetRig(t, mixedMembers, 7, config)
 	r := &mixedRig{
-		configRig: &configRig{Rig: cluster, t: t, members: mixedMembers, origins: mixedOrigins},
-		list:      &listRig{Rig: cluster, t: t, members: mixedMembers},
+		configRig: &configRig{Cluster: cluster, t: t, members: mixedMembers, origins: mixedOrigins},
+		list:      &listRig{Cluster: cluster, t: t, members: mixedMembers},
 		newer:     []string{os.Args[0]},
 	}
 	r.setProgram(olderGroup, *olderProgram)
 	r.setProgram(fmt.Sprintf("o%d", olderOrigin), *olderProgram)
 	// The harness has founded all origins by the newer program. A higher epoch lets each found its store by
 	// its own program.
-	if err := r.Found(originEpoch, "origins"); err != nil {
+	if err := r.BootstrapOrigins(originEpoch, "origins"); err != nil {
 		t.Fatal(err)
 	}
 	r.play("discovery " + newerGroup + " cut")
@@ -108,7 +108,7 @@
 
 // originStatus is what an origin says of itself.
 func (r *mixedRig) originStatus(number int) (origin.Status, error) {
-	return transport.NewClient("rig", r.Origin(number)).Status(r.t.Context())
+	return transport.NewClient("rig", r.OriginAddr(number)).Status(r.t.Context())
 }
 
 // checkGossip holds the views of both versions to what runs, before, during and after the loss of a member
@@ -154,7 +154,7 @@
 	r.t.Helper()
 	for _, n := range r.all() {
 		var view gossip.Status
-		if err := r.Ask(n, "fleet", &view); err != nil {
+		if err := r.ReadAdmin(n, "fleet", &view); err != nil {
 			r.t.Errorf("member %d: %v", n, err)
 			continue
 		}
@@ -199,7 +199,7 @@
 	crossings := 0
 	for _, n := range to {
 		var s relay.SourceState
-		if err := r.Ask(n, "recovery", &s); err != nil {
+		if err := r.ReadAdmin(n, "recovery", &s); err != nil {
 			r.t.Fatal(err)
 		}
 		if s.Source == "discovery" {
@@ -243,7 +243,7 @@
 	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, *olderProgram, "config", "push", r.file(""),
-		"--fleet", "rig", "--origin", r.Origin(number),
+		"--fleet", "rig", "--origin", r.OriginAddr(number),
 		"--after", fmt.Sprint(latest.Version), "--wait", "0", "--json")
 	output, err := command.Output()
 	var answer pushed
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -14,7 +14,7 @@
 
 // listRig is a rig whose members have the list by way of the fleet.
 type listRig struct {
-	*testcluster.Rig
+	*testcluster.Cluster
 	t       *testing.T
 	members int
 }
@@ -24,7 +24,7 @@
 	current = true
 	for _, n := range group {
 		var s relay.SourceState
-		if err := r.Ask(n, "recovery", &s); err != nil {
+		if err := r.ReadAdmin(n, "recovery", &s); err != nil {
 			return nil, nil, false
 		}
 		text = append(text, fmt.Sprintf("%d from %s at %d, %v", n, s.Source, s.Server.Version, s.Server.Live))
@@ -43,7 +43,7 @@
 	var text []string
 	for ok := false; !ok; time.Sleep(20 * time.Millisecond) {
 		if text, asking, ok = r.sources(group); time.Since(begun) > 2*testutil.WaitTimeout {
-			r.t.Fatalf("%s: not current: %s\n%s", what, strings.Join(text, "; "), r.Story())
+			r.t.Fatalf("%s: not current: %s\n%s", what, strings.Join(text, "; "), r.Timeline())
 		}
 	}
 	calls, _ := r.Servers.Discovery.Calls()
@@ -54,7 +54,7 @@
 func (r *listRig) play(script string) {
 	r.t.Helper()
 	if err := r.Play(r.t.Context(), script); err != nil {
-		r.t.Fatalf("%v\n%s", err, r.Story())
+		r.t.Fatalf("%v\n%s", err, r.Timeline())
 	}
 }
 
@@ -66,7 +66,7 @@
 // cannot reach discovery, others do; and each change reaches all. Nobody serves from an older list than another had.
 func TestListByWayOfTheFleet(t *testing.T) {
 	const members, ask = 12, 2
-	r := &listRig{t: t, members: members, Rig: newFleetRig(t, members, 3, testcluster.Config{Operator: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n", Servers: 6})}
+	r := &listRig{t: t, members: members, Cluster: newFleetRig(t, members, 3, testcluster.Config{OperatorOptions: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n", Servers: 6})}
 	var all []int
 	for n := 1; n <= members; n++ {
 		all = append(all, n)
@@ -105,9 +105,9 @@
 	if after-before >= members {
 		t.Errorf("%d calls when all %d restart at once, %d are meant", after-before, members, ask)
 	}
-	if list := r.Faults(); len(list) > 0 {
+	if list := r.Violations(); len(list) > 0 {
 		t.Error(list)
 	}
-	a := &r.Answers
-	t.Logf("served %d, refused %d, failed %d, broken off %d; %v ask", a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load(), asking)
+	a := &r.Outcomes
+	t.Logf("served %d, refused %d, failed %d, broken off %d; %v ask", a.Served.Load(), a.Rejected.Load(), a.Failed.Load(), a.Broken.Load(), asking)
 }
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -29,10 +29,10 @@
 )
 
 // Answers are how requests ended, over all clients.
-type Answers struct{ Served, Refused, Failed, Broken atomic.Int64 }
+type Outcomes struct{ Served, Rejected, Failed, Broken atomic.Int64 }
 
 // client is one beside each sidecar: it asks one request after the other, never again, and holds the sidecar to the first rule.
-func (r *Rig) client(ctx context.Context, p *process) {
+func (r *Cluster) client(ctx context.Context, p *process) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+p.n)))
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
@@ -56,7 +56,7 @@
 	}
 }
 
-func (r *Rig) ask(client *http.Client, p *process, life int64, class emulator.TrafficClass, id string) {
+func (r *Cluster) ask(client *http.Client, p *process, life int64, class emulator.TrafficClass, id string) {
 	m := load.Message{ID: id, Class: class.Name, Effect: class.Effect, Patience: clientPatience, Work: clientWork}
 	if class.Effect == "keyed" {
 		m.Key = "k" + id
@@ -77,23 +77,23 @@
 	}
 	switch {
 	case err != nil:
-		r.Answers.Broken.Add(1)
+		r.Outcomes.Broken.Add(1)
 		// One that is killed, ended or stopped meanwhile owes nothing.
 		if p.life.Load() == life && p.freezes.Load() == frozen && !p.stopped.Load() {
 			r.fault("%s had no answer from a sidecar that runs: %v", id, err)
 		}
 	case resp.StatusCode == http.StatusOK:
-		r.Answers.Served.Add(1)
+		r.Outcomes.Served.Add(1)
 		if !strings.HasPrefix(string(text), id) {
 			r.fault("%s was served with %q", id, text)
 		}
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		r.Answers.Refused.Add(1)
+		r.Outcomes.Rejected.Add(1)
 		if _, ran := r.Servers.Rules.Executions(id); ran > 0 && class.Effect == "unsafe" {
 			r.fault("%s was refused after it ran", id)
 		}
 	default:
-		r.Answers.Failed.Add(1)
+		r.Outcomes.Failed.Add(1)
 	}
 }
 
@@ -105,7 +105,7 @@
 
 const mostFaults = 50
 
-func (r *Rig) fault(format string, args ...any) {
+func (r *Cluster) fault(format string, args ...any) {
 	r.faults.mu.Lock()
 	defer r.faults.mu.Unlock()
 	if len(r.faults.list) < mostFaults {
--- a/internal/testcluster/links.go
+++ b/internal/testcluster/links.go
@@ -13,14 +13,14 @@
 )
 
 // Weather is what a link does to datagrams. Streams are only cut and delayed: the kernel makes up for the rest.
-type Weather struct {
-	Cut     bool
-	Loss    float64
-	Double  float64
-	Late    float64 // of datagrams that come LateBy later, behind others
-	LateBy  time.Duration
-	Delay   time.Duration
-	Corrupt float64 // of datagrams in which a byte is changed
+type Conditions struct {
+	Cut          bool
+	Loss         float64
+	Duplicate    float64
+	Reorder      float64 // of datagrams that come LateBy later, behind others
+	ReorderDelay time.Duration
+	Delay        time.Duration
+	Corrupt      float64 // of datagrams in which a byte is changed
 }
 
 // discovery is the number under which members see it.
@@ -42,7 +42,7 @@
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	weather Weather
+	weather Conditions
 	changed chan struct{} // closed when weather changes
 	done    chan struct{}
 	conns   map[net.Conn]bool
@@ -77,7 +77,7 @@
 }
 
 // Traffic is what a member has sent and received over its links, with other members and discovery, also what they lost.
-func (r *Rig) Traffic(n int) (out, in Traffic) {
+func (r *Cluster) Traffic(n int) (out, in Traffic) {
 	for ends, l := range r.links {
 		switch n {
 		case ends[0]:
@@ -127,7 +127,7 @@
 	return l, nil
 }
 
-func (l *link) set(w Weather) {
+func (l *link) set(w Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.weather = w
@@ -135,7 +135,7 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *link) change(f func(*Weather)) {
+func (l *link) change(f func(*Conditions)) {
 	l.mu.Lock()
 	w := l.weather
 	l.mu.Unlock()
@@ -143,7 +143,7 @@
 	l.set(w)
 }
 
-func (l *link) now() (Weather, <-chan struct{}) {
+func (l *link) now() (Conditions, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.weather, l.changed
@@ -173,13 +173,13 @@
 			continue
 		}
 		copies := 1
-		if l.chance(w.Double) {
+		if l.chance(w.Duplicate) {
 			copies = 2
 		}
 		for range copies {
 			wait := w.Delay
-			if l.chance(w.Late) {
-				wait += w.LateBy
+			if l.chance(w.Reorder) {
+				wait += w.ReorderDelay
 			}
 			text := append([]byte(nil), buf[:n]...)
 			if l.chance(w.Corrupt) {
--- a/internal/testcluster/origins.go
+++ b/internal/testcluster/origins.go
@@ -20,7 +20,7 @@
 )
 
 // process is a member, or an origin, by its number.
-func (r *Rig) process(n int) *process {
+func (r *Cluster) process(n int) *process {
 	if n > originBase {
 		return r.origins[n-originBase]
 	}
@@ -28,7 +28,7 @@
 }
 
 // processes are all there are.
-func (r *Rig) processes() (list []*process) {
+func (r *Cluster) processes() (list []*process) {
 	for _, p := range append(r.members[:len(r.members):len(r.members)], r.origins...) {
 		if p != nil {
 			list = append(list, p)
@@ -38,7 +38,7 @@
 }
 
 // makeOrigins founds the origins, and makes the links to them.
-func (r *Rig) makeOrigins() (err error) {
+func (r *Cluster) makeOrigins() (err error) {
 	if r.cfg.Origins == 0 {
 		return nil
 	}
@@ -74,11 +74,11 @@
 			r.links[[2]int{from.n, to.n}] = l
 		}
 	}
-	return r.Found(1, "origins")
+	return r.BootstrapOrigins(1, "origins")
 }
 
 // Found founds origins of a group in an epoch.
-func (r *Rig) Found(epoch int, group string) error {
+func (r *Cluster) BootstrapOrigins(epoch int, group string) error {
 	list, err := r.group(group)
 	if err != nil {
 		return err
@@ -107,21 +107,21 @@
 }
 
 // seenOrigin is where a process reaches an origin: by a link of its own.
-func (r *Rig) seenOrigin(p, to *process) string {
+func (r *Cluster) seenOrigin(p, to *process) string {
 	return netip.AddrPortFrom(seenAddr(p.n, to.n), to.port).String()
 }
 
 // Origin is the address of an origin, past all links.
-func (r *Rig) Origin(k int) string { return r.origins[k].listen }
+func (r *Cluster) OriginAddr(k int) string { return r.origins[k].listen }
 
 // OriginDir is the directory of an origin's store.
-func (r *Rig) OriginDir(k int) string { return filepath.Join(r.origins[k].dir, "store") }
+func (r *Cluster) OriginDir(k int) string { return filepath.Join(r.origins[k].dir, "store") }
 
 // ConfigDir is the directory of a member's last known configuration.
-func (r *Rig) ConfigDir(n int) string { return filepath.Join(r.members[n].dir, "config") }
+func (r *Cluster) ConfigDir(n int) string { return filepath.Join(r.members[n].dir, "config") }
 
 // distribution is [config] of a member's operator's file.
-func (r *Rig) distribution(p *process) string {
+func (r *Cluster) distribution(p *process) string {
 	if r.cfg.Origins == 0 {
 		return ""
 	}
@@ -130,11 +130,11 @@
 		addrs = append(addrs, r.seenOrigin(p, to))
 	}
 	list, _ := json.Marshal(addrs)
-	return fmt.Sprintf("[config]\norigins = %s\ndir = %q\n%s\n", list, r.ConfigDir(p.n), r.cfg.Config)
+	return fmt.Sprintf("[config]\norigins = %s\ndir = %q\n%s\n", list, r.ConfigDir(p.n), r.cfg.ConfigOptions)
 }
 
 // answers says whether a process has come up: a member once it takes requests, too.
-func (r *Rig) answers(n int) bool {
+func (r *Cluster) answers(n int) bool {
 	if n > originBase {
 		q, _ := http.NewRequest(http.MethodGet, "http://"+r.process(n).listen+"/config/alive", nil)
 		q.Header.Set("X-Config-Fleet", "rig")
@@ -145,7 +145,7 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusResetContent
 	}
-	if r.Ask(n, "fleet", new(gossip.Status)) != nil {
+	if r.ReadAdmin(n, "fleet", new(gossip.Status)) != nil {
 		return false
 	}
 	if r.cfg.Origins == 0 {
@@ -160,17 +160,17 @@
 }
 
 // Bytes are what crossed links, by what it was for.
-type Bytes struct{ View, List, Config int64 }
+type Bytes struct{ Membership, EndpointList, Config int64 }
 
 // Bytes are what a member has sent and received so far, over all links.
-func (r *Rig) Bytes(n int) (sent, received Bytes) {
+func (r *Cluster) Bytes(n int) (sent, received Bytes) {
 	add := func(b *Bytes, l *link, back bool) {
 		from := &l.sent
 		if back {
 			from = &l.back
 		}
-		b.View += from[viewBytes].read().Bytes
-		b.List += from[listBytes].read().Bytes
+		b.Membership += from[viewBytes].read().Bytes
+		b.EndpointList += from[listBytes].read().Bytes
 		b.Config += from[configBytes].read().Bytes
 	}
 	for at, l := range r.links {
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -29,7 +29,7 @@
 )
 
 // Most is how many members a rig may have.
-const Most = 30
+const MaxMembers = 30
 
 // Config is a rig's.
 type Config struct {
@@ -40,42 +40,42 @@
 	Seed    uint64
 	Servers int // stand-in servers; 0: 4
 	// Operator is added to each member's operator's file, below [fleet] and [admin]; DIR in it is the member's directory.
-	Operator string
+	OperatorOptions string
 	// Fleet are more keys of [fleet].
-	Fleet string
-	Told  int  // Balancers of the platform's file; 0: Members
-	Quiet bool // without clients
+	FleetOptions    string
+	PlatformMembers int  // Balancers of the platform's file; 0: Members
+	WithoutClients  bool // without clients
 	// Origins are processes that hold the configuration; 0: none. The operator's files get [config] then, with more keys of it.
-	Origins int
-	Config  string
+	Origins       int
+	ConfigOptions string
 }
 
 // Rig is one that runs.
-type Rig struct {
-	cfg     Config
-	Servers *emulator.Fleet
-	Answers Answers
-	members []*process // from 1
-	origins []*process // from 1, where there are any
-	links   map[[2]int]*link
-	seeds   []string
-	faults  faults
-	begun   time.Time
-	script  string
-	stop    context.CancelFunc
-	all     sync.WaitGroup
-	once    sync.Once
-	admin   *http.Client
-	freezer sync.WaitGroup
-	notes   []note
+type Cluster struct {
+	cfg      Config
+	Servers  *emulator.Fleet
+	Outcomes Outcomes
+	members  []*process // from 1
+	origins  []*process // from 1, where there are any
+	links    map[[2]int]*link
+	seeds    []string
+	faults   faults
+	begun    time.Time
+	script   string
+	stop     context.CancelFunc
+	all      sync.WaitGroup
+	once     sync.Once
+	admin    *http.Client
+	freezer  sync.WaitGroup
+	notes    []note
 	// Took is how long each wait of the script took, in its order.
-	Took []Waited
+	Waits []Wait
 }
 
 // Waited is one wait of a script.
-type Waited struct {
-	Step string
-	Took time.Duration
+type Wait struct {
+	Step     string
+	Duration time.Duration
 }
 
 type note struct {
@@ -84,17 +84,17 @@
 }
 
 // New makes a rig in which no member runs yet. Close it.
-func New(c Config) (r *Rig, err error) {
-	if c.Members < 1 || c.Members > Most {
-		return nil, fmt.Errorf("rig: %d members, 1 to %d can be", c.Members, Most)
+func New(c Config) (r *Cluster, err error) {
+	if c.Members < 1 || c.Members > MaxMembers {
+		return nil, fmt.Errorf("rig: %d members, 1 to %d can be", c.Members, MaxMembers)
 	}
 	if c.Servers == 0 {
 		c.Servers = 4
 	}
-	if c.Told == 0 {
-		c.Told = c.Members
+	if c.PlatformMembers == 0 {
+		c.PlatformMembers = c.Members
 	}
-	r = &Rig{cfg: c, begun: time.Now(), admin: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	r = &Cluster{cfg: c, begun: time.Now(), admin: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -134,17 +134,19 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	for _, p := range r.members[1:] {
-		if !c.Quiet {
+		if !c.WithoutClients {
 			r.all.Go(func() { r.client(ctx, p) })
 		}
 	}
 	return r, nil
 }
 
-func (r *Rig) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", realAddr(n), r.members[n].port) }
+func (r *Cluster) fleetAddr(n int) string {
+	return fmt.Sprintf("%s:%d", realAddr(n), r.members[n].port)
+}
 
 // prepare writes a member's files.
-func (r *Rig) prepare(p *process, traffic *emulator.Traffic) error {
+func (r *Cluster) prepare(p *process, traffic *emulator.Traffic) error {
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
 	}
@@ -175,7 +177,7 @@
 		return err
 	}
 	platform["name"] = p.name
-	platform["settings"].(map[string]any)["Balancers"] = r.cfg.Told
+	platform["settings"].(map[string]any)["Balancers"] = r.cfg.PlatformMembers
 	if text, err = json.Marshal(platform); err != nil {
 		return err
 	}
@@ -188,7 +190,7 @@
 }
 
 // toDiscovery is a link of the member's own to discovery.
-func (r *Rig) toDiscovery(p *process) (string, error) {
+func (r *Cluster) toDiscovery(p *process) (string, error) {
 	to, err := netip.ParseAddrPort(r.Servers.Discovery.Addr())
 	if err != nil {
 		return "", err
@@ -206,21 +208,21 @@
 }
 
 // configure writes a member's operator's file, with the seeds of now.
-func (r *Rig) configure(p *process) error {
+func (r *Cluster) configure(p *process) error {
 	if p.n > originBase {
 		return nil
 	}
 	seeds, _ := json.Marshal(r.seeds)
 	text := fmt.Sprintf("[admin]\nlisten = %q\n[fleet]\nname = %q\nlisten = %q\nseeds = %s\nnetworks = [\"127.0.0.0/8\"]\ntranslate = [{from = %q, to = %q}]\n%s\n%s\n",
-		p.admin, "rig", r.fleetAddr(p.n), seeds, realPrefix(), seenPrefix(p.n), r.cfg.Fleet, strings.ReplaceAll(r.cfg.Operator, "DIR", p.dir)) + r.distribution(p)
+		p.admin, "rig", r.fleetAddr(p.n), seeds, realPrefix(), seenPrefix(p.n), r.cfg.FleetOptions, strings.ReplaceAll(r.cfg.OperatorOptions, "DIR", p.dir)) + r.distribution(p)
 	_, err := p.write("operator.toml", text)
 	return err
 }
 
 // Close ends all processes and waits for all that the rig started. It may be called again.
-func (r *Rig) Close() { r.once.Do(r.close) }
+func (r *Cluster) Close() { r.once.Do(r.close) }
 
-func (r *Rig) close() {
+func (r *Cluster) close() {
 	if r.stop != nil {
 		r.stop()
 	}
@@ -243,7 +245,7 @@
 }
 
 // Faults are the rules that were broken and what else was seen wrong, up to now.
-func (r *Rig) Faults() (list []string) {
+func (r *Cluster) Violations() (list []string) {
 	r.faults.mu.Lock()
 	list = slices.Clone(r.faults.list)
 	r.faults.mu.Unlock()
@@ -257,7 +259,7 @@
 
 // SetProgram sets the command that runs the members or origins of a group from their next start on, and that founds these
 // origins. It lets processes of several versions of the program share one fleet.
-func (r *Rig) SetProgram(group string, program ...string) error {
+func (r *Cluster) SetProgram(group string, program ...string) error {
 	list, err := r.group(group)
 	if err != nil {
 		return err
@@ -269,7 +271,7 @@
 }
 
 // Ask reads a part of a member's admin endpoint.
-func (r *Rig) Ask(n int, part string, v any) error {
+func (r *Cluster) ReadAdmin(n int, part string, v any) error {
 	resp, err := r.admin.Get("http://" + r.members[n].admin + "/" + part)
 	if err != nil {
 		return err
@@ -282,7 +284,7 @@
 }
 
 // PID is the process of a member; 0: it does not run.
-func (r *Rig) PID(n int) int {
+func (r *Cluster) PID(n int) int {
 	if p := r.members[n]; p.running() {
 		return p.cmd.Process.Pid
 	}
@@ -290,10 +292,10 @@
 }
 
 // Admin is the address of a member's admin endpoint.
-func (r *Rig) Admin(n int) string { return r.members[n].admin }
+func (r *Cluster) AdminAddr(n int) string { return r.members[n].admin }
 
 // views asks all members of a group that run and are not frozen, side by side.
-func (r *Rig) views(group []int) map[int]gossip.Status {
+func (r *Cluster) views(group []int) map[int]gossip.Status {
 	out := map[int]gossip.Status{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -301,7 +303,7 @@
 		if p := r.members[n]; p.running() && !p.frozen {
 			all.Go(func() {
 				var s gossip.Status
-				if r.Ask(n, "fleet", &s) != nil {
+				if r.ReadAdmin(n, "fleet", &s) != nil {
 					s = gossip.Status{}
 				}
 				mu.Lock()
@@ -315,7 +317,7 @@
 }
 
 // Story is what a failing run shows: script, seed, and all logs as one, by time.
-func (r *Rig) Story() string {
+func (r *Cluster) Timeline() string {
 	type line struct {
 		at   time.Time
 		text string
@@ -347,10 +349,10 @@
 }
 
 // Log is what a member or an origin has written so far.
-func (r *Rig) Log(n int) string {
+func (r *Cluster) Log(n int) string {
 	text, _ := os.ReadFile(filepath.Join(r.process(n).dir, "log"))
 	return string(text)
 }
 
 // FleetAddr is the address of a member's fleet, past all links.
-func (r *Rig) FleetAddr(n int) string { return r.fleetAddr(n) }
+func (r *Cluster) FleetAddr(n int) string { return r.fleetAddr(n) }
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -23,7 +23,7 @@
 )
 
 // Play carries a script out, a step a line, and stops at the first that fails. docs/operators/rig.md has the words.
-func (r *Rig) Play(ctx context.Context, script string) error {
+func (r *Cluster) Play(ctx context.Context, script string) error {
 	r.script = script
 	for line := range strings.Lines(script) {
 		line, _, _ = strings.Cut(line, "#")
@@ -35,14 +35,14 @@
 		if err := r.step(ctx, words); err != nil {
 			return fmt.Errorf("%s: %w", strings.Join(words, " "), err)
 		}
-		if list := r.Faults(); len(list) > 0 {
+		if list := r.Violations(); len(list) > 0 {
 			return fmt.Errorf("after %s: %s", strings.Join(words, " "), strings.Join(list, "; "))
 		}
 	}
 	return nil
 }
 
-func (r *Rig) step(ctx context.Context, words []string) error {
+func (r *Cluster) step(ctx context.Context, words []string) error {
 	arg := func(i int) string {
 		if i < len(words) {
 			return words[i]
@@ -58,7 +58,7 @@
 		return r.settles(ctx, arg(1), arg(2), arg(3))
 	case "heal":
 		for _, l := range r.links {
-			l.set(Weather{})
+			l.set(Conditions{})
 		}
 		return nil
 	case "net":
@@ -73,7 +73,7 @@
 			return err
 		}
 		for _, n := range group {
-			r.links[[2]int{n, discovery}].change(func(w *Weather) { w.Cut = arg(2) == "cut" })
+			r.links[[2]int{n, discovery}].change(func(w *Conditions) { w.Cut = arg(2) == "cut" })
 		}
 		return nil
 	case "server":
@@ -131,7 +131,7 @@
 }
 
 // group reads "1-4,7"; "all" and "" are all members. "o1-3" are origins, and "origins" all of them.
-func (r *Rig) group(text string) (list []int, err error) {
+func (r *Cluster) group(text string) (list []int, err error) {
 	if text == "" {
 		text = "all"
 	}
@@ -164,7 +164,7 @@
 }
 
 // reseed sets the seeds of who starts from now on: members, or an address that nobody has.
-func (r *Rig) reseed(text string) error {
+func (r *Cluster) reseed(text string) error {
 	r.seeds = nil
 	for part := range strings.SplitSeq(text, ",") {
 		if strings.Contains(part, ":") {
@@ -183,7 +183,7 @@
 }
 
 // start starts members side by side, and waits until each answers.
-func (r *Rig) start(ctx context.Context, group []int) error {
+func (r *Cluster) start(ctx context.Context, group []int) error {
 	for _, n := range group {
 		p := r.process(n)
 		if err := errors.Join(r.configure(p), p.start()); err != nil {
@@ -216,7 +216,7 @@
 	}
 }
 
-func (r *Rig) freeze(p *process, stop bool) error {
+func (r *Cluster) freeze(p *process, stop bool) error {
 	s := syscall.SIGCONT
 	if stop {
 		s = syscall.SIGSTOP
@@ -228,7 +228,7 @@
 }
 
 // starve lets members run a share of the time, in turns of 50 ms.
-func (r *Rig) starve(ctx context.Context, group []int, share, length string) error {
+func (r *Cluster) starve(ctx context.Context, group []int, share, length string) error {
 	part, err := strconv.ParseFloat(share, 64)
 	d, other := time.ParseDuration(length)
 	if err != nil || other != nil || part <= 0 || part >= 1 {
@@ -253,7 +253,7 @@
 }
 
 // between calls f with the links of a direction.
-func (r *Rig) between(from, to string, both bool, f func(*link)) error {
+func (r *Cluster) between(from, to string, both bool, f func(*link)) error {
 	a, err := r.group(from)
 	if err != nil {
 		return err
@@ -275,11 +275,11 @@
 	return nil
 }
 
-func (r *Rig) cut(verb, from, to string) error {
-	return r.between(from, to, verb != "cut>", func(l *link) { l.change(func(w *Weather) { w.Cut = verb != "join" }) })
+func (r *Cluster) cut(verb, from, to string) error {
+	return r.between(from, to, verb != "cut>", func(l *link) { l.change(func(w *Conditions) { w.Cut = verb != "join" }) })
 }
 
-func (r *Rig) flap(ctx context.Context, from, to, every, times string) error {
+func (r *Cluster) flap(ctx context.Context, from, to, every, times string) error {
 	d, err := time.ParseDuration(every)
 	n, other := strconv.Atoi(times)
 	if err != nil || other != nil {
@@ -301,8 +301,8 @@
 }
 
 // weather sets all links: loss=0.3 double=0.1 late=0.1 lateby=1s delay=5ms corrupt=0.01.
-func (r *Rig) weather(words []string) error {
-	var w Weather
+func (r *Cluster) weather(words []string) error {
+	var w Conditions
 	for _, word := range words {
 		key, value, _ := strings.Cut(word, "=")
 		d, _ := time.ParseDuration(value)
@@ -311,13 +311,13 @@
 		case "loss":
 			w.Loss = part
 		case "double":
-			w.Double = part
+			w.Duplicate = part
 		case "late":
-			w.Late = part
+			w.Reorder = part
 		case "corrupt":
 			w.Corrupt = part
 		case "lateby":
-			w.LateBy = d
+			w.ReorderDelay = d
 		case "delay":
 			w.Delay = d
 		default:
@@ -325,14 +325,14 @@
 		}
 	}
 	for _, l := range r.links {
-		l.change(func(old *Weather) { w.Cut = old.Cut; *old = w })
+		l.change(func(old *Conditions) { w.Cut = old.Cut; *old = w })
 	}
 	return nil
 }
 
 // wait agree WITHIN [GROUP]: all live views of the group are equal and true. wait state GROUP STATE WITHIN [SEERS]: the seers
 // hold the group for that. wait count N WITHIN [GROUP]. wait out SERVER WITHIN [GROUP]: the list has it no more.
-func (r *Rig) wait(ctx context.Context, words []string) error {
+func (r *Cluster) wait(ctx context.Context, words []string) error {
 	arg := func(i int) string {
 		if i < len(words) {
 			return words[i]
@@ -380,13 +380,13 @@
 	if !until(ctx, d, func() bool { text = differ(r.views(group)); return text == "" }) {
 		return fmt.Errorf("not within %v: %s", d, text)
 	}
-	r.Took = append(r.Took, Waited{strings.Join(words, " "), time.Since(begun)})
+	r.Waits = append(r.Waits, Wait{strings.Join(words, " "), time.Since(begun)})
 	return nil
 }
 
 // settles waits until all views of the group have been equal and true for a length without a break. Guards against a moment of
 // agreement by luck: a probe that began before a fault ended may still accuse.
-func (r *Rig) settles(ctx context.Context, length, within, seers string) error {
+func (r *Cluster) settles(ctx context.Context, length, within, seers string) error {
 	d, err := time.ParseDuration(length)
 	most, other := time.ParseDuration(within)
 	if err != nil || other != nil {
@@ -406,12 +406,12 @@
 	}) {
 		return fmt.Errorf("not within %v: last %s", most, text)
 	}
-	r.Took = append(r.Took, Waited{"settle " + length + " " + seers, time.Since(begun) - d})
+	r.Waits = append(r.Waits, Wait{"settle " + length + " " + seers, time.Since(begun) - d})
 	return nil
 }
 
 // disagreement is the first difference of the views from each other, or from what runs; empty: none.
-func (r *Rig) disagreement(views map[int]gossip.Status) string {
+func (r *Cluster) disagreement(views map[int]gossip.Status) string {
 	lives := map[string]cluster.Incarnation{}
 	for n, v := range views {
 		if v.Name == "" {
@@ -443,7 +443,7 @@
 	return ""
 }
 
-func (r *Rig) statesDiffer(views map[int]gossip.Status, of []int, states []string) string {
+func (r *Cluster) statesDiffer(views map[int]gossip.Status, of []int, states []string) string {
 	for n, v := range views {
 		for _, x := range of {
 			if x == n {
@@ -464,13 +464,13 @@
 }
 
 // listed is the first of the views' members that has a server in its list.
-func (r *Rig) listed(views map[int]gossip.Status, server string) string {
+func (r *Cluster) listed(views map[int]gossip.Status, server string) string {
 	for n := range views {
 		var list []struct {
 			ID string
 			In bool
 		}
-		if err := r.Ask(n, "members", &list); err != nil {
+		if err := r.ReadAdmin(n, "members", &list); err != nil {
 			return err.Error()
 		}
 		for _, x := range list {
