--- /dev/null
+++ b/internal/testcluster/admin.go
@@ -0,0 +1,98 @@
+package testcluster
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"sync"
+
+	"hazelwing/internal/cluster/gossip"
+)
+
+// maxAdminBytes bounds a response of an admin endpoint.
+const maxAdminBytes = 16 << 20
+
+// ReadAdmin decodes the JSON of a path of a member's admin endpoint into v.
+func (c *Cluster) ReadAdmin(n int, path string, v any) error {
+	return c.readAdmin(context.Background(), n, path, v)
+}
+
+// readAdmin is ReadAdmin for callers with a context. Its end does not interrupt the request, which has a timeout.
+func (c *Cluster) readAdmin(ctx context.Context, n int, path string, v any) error {
+	resp, err := c.get(ctx, "http://"+c.members[n].admin+"/"+path, nil)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusOK {
+		return errors.New(resp.Status)
+	}
+	return json.NewDecoder(io.LimitReader(resp.Body, maxAdminBytes)).Decode(v)
+}
+
+func (c *Cluster) get(ctx context.Context, url string, header http.Header) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	for name, values := range header {
+		req.Header[name] = values
+	}
+	return c.admin.Do(req)
+}
+
+// views asks all members of a group that run and are not frozen for their view, concurrently. The view of one that does
+// not respond is empty.
+func (c *Cluster) views(ctx context.Context, group []int) map[int]gossip.Status {
+	views := map[int]gossip.Status{}
+	var mu sync.Mutex
+	var requests sync.WaitGroup
+	for _, n := range group {
+		p := c.members[n]
+		if !p.running() || p.frozen {
+			continue
+		}
+		requests.Go(func() {
+			var view gossip.Status
+			if c.readAdmin(ctx, n, "fleet", &view) != nil {
+				view = gossip.Status{}
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			views[n] = view
+		})
+	}
+	requests.Wait()
+	return views
+}
+
+// responds reports whether a process has come up. A member has once it accepts requests as well.
+func (c *Cluster) responds(ctx context.Context, n int) bool {
+	if n > originBase {
+		return c.originResponds(ctx, n)
+	}
+	if c.readAdmin(ctx, n, "fleet", new(gossip.Status)) != nil {
+		return false
+	}
+	if c.config.Origins == 0 {
+		return true
+	}
+	resp, err := c.get(ctx, "http://"+c.process(n).listen+"/", nil)
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close()
+	return true
+}
+
+func (c *Cluster) originResponds(ctx context.Context, n int) bool {
+	url := "http://" + c.process(n).listen + "/config/alive"
+	resp, err := c.get(ctx, url, http.Header{"X-Config-Fleet": {fleetName}})
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusResetContent
+}
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -7,7 +7,6 @@
 	"math/rand/v2"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -15,7 +14,7 @@
 	"hazelwing/internal/load"
 )
 
-// Classes are those of the rig's clients.
+// Classes are the request classes of the clients.
 var Classes = []emulator.TrafficClass{
 	{Name: "look", Effect: "safe", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
 	{Name: "book", Effect: "unsafe", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
@@ -23,92 +22,105 @@
 }
 
 const (
-	clientPatience = 3 * time.Second
-	clientSlack    = 3 * time.Second // a busy machine's, beyond the client's time
-	clientWork     = 3 * time.Millisecond
+	clientTimeout = 3 * time.Second
+	clientSlack   = 3 * time.Second // after clientTimeout, for a busy machine
+	clientWork    = 3 * time.Millisecond
+	// clientStreamBase is added to a member's number in the random stream of its client.
+	clientStreamBase = 1000
+	// A client pauses for minClientPause and up to clientPauseRange milliseconds more between two requests.
+	minClientPause   = 10
+	clientPauseRange = 40
 )
 
-// Answers are how requests ended, over all clients.
+// Outcomes counts how requests ended, over all clients.
 type Outcomes struct{ Served, Rejected, Failed, Broken atomic.Int64 }
 
-// client is one beside each sidecar: it asks one request after the other, never again, and holds the sidecar to the first rule.
-func (r *Cluster) client(ctx context.Context, p *process) {
-	rng := rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+p.n)))
+// runClient is the client beside a member. It sends one request after the other, without retries, and checks that the
+// member responds to each.
+func (c *Cluster) runClient(ctx context.Context, p *process) {
+	rng := rand.New(rand.NewPCG(c.config.Seed, uint64(clientStreamBase+p.number)))
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	last := int64(0)
+	lastLife := int64(0)
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Duration(10+rng.IntN(40)) * time.Millisecond):
+		case <-time.After(time.Duration(minClientPause+rng.IntN(clientPauseRange)) * time.Millisecond):
 		}
 		life := p.life.Load()
-		if life%2 == 0 || !p.up.Load() {
+		if life%2 == 0 || !p.responded.Load() {
 			continue
 		}
-		if life != last {
+		if life != lastLife {
 			transport.CloseIdleConnections()
-			last = life
+			lastLife = life
 		}
-		r.ask(client, p, life, Classes[rng.IntN(len(Classes))], fmt.Sprintf("%s-%d", p.name, i))
+		class := Classes[rng.IntN(len(Classes))]
+		c.sendRequest(ctx, client, p, life, class, fmt.Sprintf("%s-%d", p.name, i))
 	}
 }
 
-func (r *Cluster) ask(client *http.Client, p *process, life int64, class emulator.TrafficClass, id string) {
-	m := load.Message{ID: id, Class: class.Name, Effect: class.Effect, Patience: clientPatience, Work: clientWork}
+// sendRequest sends one request and counts its outcome. The end of ctx does not interrupt it.
+func (c *Cluster) sendRequest(
+	ctx context.Context, client *http.Client, p *process, life int64, class emulator.TrafficClass, id string,
+) {
+	message := load.Message{
+		ID:       id,
+		Class:    class.Name,
+		Effect:   class.Effect,
+		Patience: clientTimeout,
+		Work:     clientWork,
+	}
 	if class.Effect == "keyed" {
-		m.Key = "k" + id
+		message.Key = "k" + id
 	}
-	frozen := p.freezes.Load()
-	ctx, end := context.WithTimeout(context.Background(), clientPatience+clientSlack)
-	defer end()
-	req, err := m.Request(ctx, "http://"+p.listen)
+	freezes := p.freezes.Load()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), clientTimeout+clientSlack)
+	defer cancel()
+	req, err := message.Request(ctx, "http://"+p.listen)
 	if err != nil {
-		r.fault("%s: %v", id, err)
+		c.violations.add("%s: %v", id, err)
 		return
 	}
-	resp, err := client.Do(req)
-	var text []byte
-	if err == nil {
-		text, err = io.ReadAll(resp.Body)
-		resp.Body.Close()
-	}
-	switch {
-	case err != nil:
-		r.Outcomes.Broken.Add(1)
-		// One that is killed, ended or stopped meanwhile owes nothing.
-		if p.life.Load() == life && p.freezes.Load() == frozen && !p.stopped.Load() {
-			r.fault("%s had no answer from a sidecar that runs: %v", id, err)
-		}
-	case resp.StatusCode == http.StatusOK:
-		r.Outcomes.Served.Add(1)
-		if !strings.HasPrefix(string(text), id) {
-			r.fault("%s was served with %q", id, text)
-		}
-	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		r.Outcomes.Rejected.Add(1)
-		if _, ran := r.Servers.Rules.Executions(id); ran > 0 && class.Effect == "unsafe" {
-			r.fault("%s was refused after it ran", id)
+	status, body, err := roundTrip(client, req)
+	if err != nil {
+		c.Outcomes.Broken.Add(1)
+		// A process that was killed, terminated or frozen in the meantime need not respond.
+		if p.life.Load() == life && p.freezes.Load() == freezes && !p.stopped.Load() {
+			c.violations.add("%s had no answer from a sidecar that runs: %v", id, err)
 		}
-	default:
-		r.Outcomes.Failed.Add(1)
+		return
 	}
+	c.countResponse(status, body, class, id)
 }
 
-// faults are what was seen wrong.
-type faults struct {
-	mu   sync.Mutex
-	list []string
+// roundTrip sends a request and reads the complete response.
+func roundTrip(client *http.Client, req *http.Request) (status int, body string, err error) {
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, "", err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	text, err := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(text), err
 }
 
-const mostFaults = 50
-
-func (r *Cluster) fault(format string, args ...any) {
-	r.faults.mu.Lock()
-	defer r.faults.mu.Unlock()
-	if len(r.faults.list) < mostFaults {
-		r.faults.list = append(r.faults.list, fmt.Sprintf(format, args...))
+// countResponse counts a response, and reports one that violates the rules.
+func (c *Cluster) countResponse(status int, body string, class emulator.TrafficClass, id string) {
+	switch status {
+	case http.StatusOK:
+		c.Outcomes.Served.Add(1)
+		if !strings.HasPrefix(body, id) {
+			c.violations.add("%s was served with %q", id, body)
+		}
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		c.Outcomes.Rejected.Add(1)
+		if _, executions := c.Servers.Rules.Executions(id); executions > 0 && class.Effect == "unsafe" {
+			c.violations.add("%s was refused after it ran", id)
+		}
+	default:
+		c.Outcomes.Failed.Add(1)
 	}
 }
--- /dev/null
+++ b/internal/testcluster/cluster_test.go
@@ -0,0 +1,26 @@
+package testcluster
+
+import (
+	"net/netip"
+	"testing"
+)
+
+// No two listeners of a cluster share an address: a port that is free for one could be that of another, whose start
+// would fail.
+func TestListenersHaveAddressesOfTheirOwn(t *testing.T) {
+	c, err := New(Config{Members: 3, Dir: t.TempDir()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	seen := map[netip.Addr]string{}
+	for n := 1; n <= 3; n++ {
+		for _, address := range []string{c.members[n].listen, c.members[n].admin, c.FleetAddr(n)} {
+			host := netip.MustParseAddrPort(address).Addr()
+			if seen[host] != "" {
+				t.Errorf("%s and %s share an address", address, seen[host])
+			}
+			seen[host] = address
+		}
+	}
+}
--- /dev/null
+++ b/internal/testcluster/link.go
@@ -0,0 +1,325 @@
+package testcluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// Conditions are what a link does to datagrams, as shares of them. Streams are only cut and delayed: the kernel hides
+// the rest.
+type Conditions struct {
+	Cut          bool
+	Loss         float64
+	Duplicate    float64
+	Reorder      float64 // delivered ReorderDelay later, after others
+	ReorderDelay time.Duration
+	Delay        time.Duration
+	Corrupt      float64 // have one byte changed
+}
+
+const (
+	// discoveryNumber is the number of discovery in links.
+	discoveryNumber  = 250
+	maxDatagramBytes = 64 << 10
+	streamBuffer     = 32 << 10
+	dialTimeout      = time.Second
+)
+
+// Members listen on 127.77.0.N. What member I sends to member J goes to 127.(100+I).0.J, where the link of that
+// direction listens. So each direction of each pair has a link of its own, without privileges.
+
+func memberAddr(n int) netip.Addr { return netip.AddrFrom4([4]byte{127, 77, 0, byte(n)}) }
+
+func linkAddr(from, to int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, byte(100 + from), 0, byte(to)})
+}
+func linkPrefix(from int) netip.Prefix { return netip.PrefixFrom(linkAddr(from, 0), 24) }
+func memberPrefix() netip.Prefix       { return netip.PrefixFrom(memberAddr(0), 24) }
+
+// linkKey are the numbers of a link's sender and receiver.
+type linkKey struct{ from, to int }
+
+// link forwards what one process sends to another.
+type link struct {
+	target   netip.AddrPort
+	udp      *net.UDPConn
+	listener net.Listener
+	tasks    sync.WaitGroup
+
+	sent, returned purposeCounters // from the sender; to it, on its streams
+
+	mu         sync.Mutex
+	rng        *rand.Rand
+	conditions Conditions
+	changed    chan struct{} // closed and replaced when conditions changes
+	closed     chan struct{}
+	conns      map[net.Conn]bool
+}
+
+// newLink creates a link that listens where the sender sees the receiver, and forwards to target.
+func newLink(key linkKey, port uint16, target netip.AddrPort, seed uint64) (*link, error) {
+	l := &link{
+		target:  target,
+		rng:     rand.New(rand.NewPCG(seed, uint64(key.from)<<16|uint64(key.to))),
+		changed: make(chan struct{}),
+		closed:  make(chan struct{}),
+		conns:   map[net.Conn]bool{},
+	}
+	address := netip.AddrPortFrom(linkAddr(key.from, key.to), port)
+	var err error
+	if l.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(address)); err != nil {
+		return nil, err
+	}
+	l.listener, err = new(net.ListenConfig).Listen(context.Background(), "tcp", address.String())
+	if err != nil {
+		_ = l.udp.Close()
+		return nil, err
+	}
+	l.tasks.Go(l.forwardDatagrams)
+	l.tasks.Go(l.acceptStreams)
+	return l, nil
+}
+
+// newLinks creates the links between members 1 to count; ports are the members'.
+func newLinks(count int, ports []uint16, seed uint64) (map[linkKey]*link, error) {
+	links := map[linkKey]*link{}
+	for from := 1; from <= count; from++ {
+		for to := 1; to <= count; to++ {
+			if from == to {
+				continue
+			}
+			key := linkKey{from, to}
+			l, err := newLink(key, ports[to], netip.AddrPortFrom(memberAddr(to), ports[to]), seed)
+			if err != nil {
+				for _, l := range links {
+					l.close()
+				}
+				return nil, fmt.Errorf("link from %d to %d: %w", from, to, err)
+			}
+			links[key] = l
+		}
+	}
+	return links, nil
+}
+
+func (l *link) setConditions(conditions Conditions) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conditions = conditions
+	close(l.changed)
+	l.changed = make(chan struct{})
+}
+
+// changeConditions is called by one goroutine at a time, that of the script.
+func (l *link) changeConditions(change func(*Conditions)) {
+	conditions, _ := l.currentConditions()
+	change(&conditions)
+	l.setConditions(conditions)
+}
+
+// currentConditions returns the conditions, and a channel that is closed when they change.
+func (l *link) currentConditions() (Conditions, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.conditions, l.changed
+}
+
+// happens draws whether something with a probability happens. It draws nothing for probability 0.
+func (l *link) happens(probability float64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return probability > 0 && l.rng.Float64() < probability
+}
+
+func (l *link) isClosed() bool {
+	select {
+	case <-l.closed:
+		return true
+	default:
+		return false
+	}
+}
+
+// forwardDatagrams forwards datagrams until the link is closed.
+func (l *link) forwardDatagrams() {
+	buffer := make([]byte, maxDatagramBytes)
+	for {
+		n, _, err := l.udp.ReadFromUDPAddrPort(buffer)
+		if err != nil {
+			if l.isClosed() {
+				return
+			}
+			continue
+		}
+		l.sent[membershipPurpose].add(n)
+		l.forwardDatagram(buffer[:n])
+	}
+}
+
+// forwardDatagram forwards copies of one datagram, as the conditions permit.
+func (l *link) forwardDatagram(datagram []byte) {
+	conditions, _ := l.currentConditions()
+	if conditions.Cut || l.happens(conditions.Loss) {
+		return
+	}
+	copies := 1
+	if l.happens(conditions.Duplicate) {
+		copies = 2
+	}
+	for range copies {
+		delay := conditions.Delay
+		if l.happens(conditions.Reorder) {
+			delay += conditions.ReorderDelay
+		}
+		datagram := append([]byte(nil), datagram...)
+		if l.happens(conditions.Corrupt) {
+			l.corrupt(datagram)
+		}
+		if delay == 0 {
+			l.writeDatagram(datagram)
+			continue
+		}
+		time.AfterFunc(delay, func() { l.writeDatagram(datagram) })
+	}
+}
+
+// corrupt changes one byte of a datagram.
+func (l *link) corrupt(datagram []byte) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	datagram[l.rng.IntN(len(datagram))] ^= byte(1 + l.rng.IntN(255))
+}
+
+// writeDatagram sends a datagram to the receiver. It may be lost, as datagrams are, if nothing listens there or the
+// link has been closed.
+func (l *link) writeDatagram(datagram []byte) {
+	_, _ = l.udp.WriteToUDPAddrPort(datagram, l.target)
+}
+
+func (l *link) acceptStreams() {
+	for {
+		conn, err := l.listener.Accept()
+		if err != nil {
+			return
+		}
+		l.track(conn)
+		l.tasks.Go(func() { l.forwardStream(conn) })
+	}
+}
+
+// track records a connection for close, or closes it if the link is closed.
+func (l *link) track(conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.isClosed() {
+		_ = conn.Close()
+		return
+	}
+	l.conns[conn] = true
+}
+
+func (l *link) release(conn net.Conn) {
+	_ = conn.Close()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.conns, conn)
+}
+
+// waitUntilOpen waits until the link is not cut, and for its delay. It returns false if the link is closed.
+func (l *link) waitUntilOpen() bool {
+	for {
+		conditions, changed := l.currentConditions()
+		if !conditions.Cut {
+			select {
+			case <-time.After(conditions.Delay):
+				return true
+			case <-l.closed:
+				return false
+			}
+		}
+		select {
+		case <-changed:
+		case <-l.closed:
+			return false
+		}
+	}
+}
+
+// forwardStream forwards what both ends of a stream write, as the conditions permit.
+func (l *link) forwardStream(sender net.Conn) {
+	defer l.release(sender)
+	if !l.waitUntilOpen() {
+		return
+	}
+	dialer := net.Dialer{Timeout: dialTimeout}
+	receiver, err := dialer.DialContext(context.Background(), "tcp", l.target.String())
+	if err != nil {
+		return
+	}
+	l.track(receiver)
+	defer l.release(receiver)
+	var purpose atomic.Int32
+	returned := make(chan struct{})
+	go func() {
+		defer close(returned)
+		l.copyStream(receiver, sender, func(data []byte) { l.returned[purpose.Load()].add(len(data)) })
+	}()
+	isFirst := true
+	l.copyStream(sender, receiver, func(data []byte) {
+		if isFirst {
+			isFirst = false
+			purpose.Store(purposeOf(data))
+		}
+		l.sent[purpose.Load()].add(len(data))
+	})
+	<-returned
+}
+
+// copyStream copies one direction of a stream and calls count with what it reads. At the end of from it closes the
+// write side of to; an error closes both connections.
+func (l *link) copyStream(from, to net.Conn, count func([]byte)) {
+	buffer := make([]byte, streamBuffer)
+	for {
+		n, err := from.Read(buffer)
+		if n > 0 {
+			count(buffer[:n])
+			if !l.waitUntilOpen() {
+				break
+			}
+			if _, err := to.Write(buffer[:n]); err != nil {
+				break
+			}
+		}
+		if err == nil {
+			continue
+		}
+		if tcp, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
+			_ = tcp.CloseWrite() // fails if to has ended as well
+			return
+		}
+		break
+	}
+	_ = from.Close()
+	_ = to.Close()
+}
+
+// close ends the link and its streams, and waits for their goroutines.
+func (l *link) close() {
+	l.mu.Lock()
+	close(l.closed)
+	for conn := range l.conns {
+		_ = conn.Close()
+	}
+	l.mu.Unlock()
+	_ = l.udp.Close()
+	_ = l.listener.Close()
+	l.tasks.Wait()
+}
--- /dev/null
+++ b/internal/testcluster/linktraffic.go
@@ -0,0 +1,100 @@
+package testcluster
+
+import (
+	"bytes"
+	"sync/atomic"
+)
+
+// Traffic is what crossed links. Messages are datagrams and single reads of streams.
+type Traffic struct{ Bytes, Messages int64 }
+
+func (t *Traffic) add(o Traffic) {
+	t.Bytes += o.Bytes
+	t.Messages += o.Messages
+}
+
+// trafficCounter is a Traffic to which several goroutines add.
+type trafficCounter struct{ bytes, messages atomic.Int64 }
+
+func (c *trafficCounter) add(bytes int) {
+	c.bytes.Add(int64(bytes))
+	c.messages.Add(1)
+}
+
+func (c *trafficCounter) read() Traffic { return Traffic{c.bytes.Load(), c.messages.Load()} }
+
+// The purposes of traffic. That of a stream is the purpose of its first request.
+const (
+	membershipPurpose = iota
+	endpointListPurpose
+	configPurpose
+	purposes
+)
+
+// purposeCounters are counters by purpose.
+type purposeCounters [purposes]trafficCounter
+
+func (p *purposeCounters) total() (sum Traffic) {
+	for i := range p {
+		sum.add(p[i].read())
+	}
+	return sum
+}
+
+// purposeOf returns the purpose of a stream that begins with head.
+func purposeOf(head []byte) int32 {
+	for _, request := range []struct {
+		prefix  string
+		purpose int32
+	}{
+		{"GET /discovery", endpointListPurpose},
+		{"GET /config", configPurpose},
+		{"POST /config", configPurpose},
+		{"POST /origin", configPurpose},
+	} {
+		if bytes.HasPrefix(head, []byte(request.prefix)) {
+			return request.purpose
+		}
+	}
+	return membershipPurpose
+}
+
+// Traffic returns what a member has sent and received over its links, to and from other members and discovery,
+// including what the links dropped.
+func (c *Cluster) Traffic(n int) (sent, received Traffic) {
+	for key, l := range c.links {
+		switch n {
+		case key.from:
+			sent.add(l.sent.total())
+			received.add(l.returned.total())
+		case key.to:
+			sent.add(l.returned.total())
+			received.add(l.sent.total())
+		}
+	}
+	return sent, received
+}
+
+// Bytes is the number of bytes that crossed links, by purpose.
+type Bytes struct{ Membership, EndpointList, Config int64 }
+
+func (b *Bytes) add(counters *purposeCounters) {
+	b.Membership += counters[membershipPurpose].read().Bytes
+	b.EndpointList += counters[endpointListPurpose].read().Bytes
+	b.Config += counters[configPurpose].read().Bytes
+}
+
+// Bytes returns what a member has sent and received so far, over all links.
+func (c *Cluster) Bytes(n int) (sent, received Bytes) {
+	for key, l := range c.links {
+		switch n {
+		case key.from:
+			sent.add(&l.sent)
+			received.add(&l.returned)
+		case key.to:
+			received.add(&l.sent)
+			sent.add(&l.returned)
+		}
+	}
+	return sent, received
+}
--- /dev/null
+++ b/internal/testcluster/memberfiles.go
@@ -0,0 +1,117 @@
+package testcluster
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"hazelwing/internal/emulator"
+)
+
+// writeMemberFiles creates a member's directory, chooses its addresses and writes its files.
+func (c *Cluster) writeMemberFiles(p *process, traffic *emulator.Traffic) error {
+	if err := p.openLog(); err != nil {
+		return err
+	}
+	if err := p.chooseAddresses(); err != nil {
+		return err
+	}
+	discovery, err := c.linkToDiscovery(p)
+	if err != nil {
+		return err
+	}
+	text, err := c.platformConfig(p, traffic, discovery)
+	if err != nil {
+		return err
+	}
+	path, err := p.writeFile("platform.json", string(text))
+	if err != nil {
+		return err
+	}
+	p.env = append(os.Environ(), c.config.Env...)
+	p.env = append(p.env,
+		"RELAY_CONFIG="+path,
+		"HAZELWING_OPERATOR="+filepath.Join(p.dir, operatorFileName),
+		"GOMAXPROCS=1")
+	return c.writeOperatorFile(p)
+}
+
+// chooseAddresses sets the member's address for requests and that of its admin endpoint: ports that are free now and
+// are used when it starts. Each is on a host of its own, where nothing else listens: on a shared one, a port that is
+// free for one of them may be that which was found for another.
+func (p *process) chooseAddresses() error {
+	for i, address := range []*string{&p.listen, &p.admin} {
+		host := netip.AddrFrom4([4]byte{127, byte(78 + i), 0, byte(p.number)})
+		listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", host.String()+":0")
+		if err != nil {
+			return err
+		}
+		defer func() { _ = listener.Close() }()
+		*address = listener.Addr().String()
+	}
+	return nil
+}
+
+// platformConfig returns the configuration that the platform gives to a member.
+func (c *Cluster) platformConfig(p *process, traffic *emulator.Traffic, discovery string) ([]byte, error) {
+	seed := fmt.Sprintf("%016x", c.config.Seed*1000+uint64(p.number))
+	text, err := emulator.PlatformConfig(traffic, p.listen, discovery, seed)
+	if err != nil {
+		return nil, err
+	}
+	var platform map[string]any
+	if err := json.Unmarshal(text, &platform); err != nil {
+		return nil, err
+	}
+	platform["name"] = p.name
+	platform["settings"].(map[string]any)["Balancers"] = c.config.PlatformMembers
+	return json.Marshal(platform)
+}
+
+// linkToDiscovery creates the link of a member to discovery, and returns its address.
+func (c *Cluster) linkToDiscovery(p *process) (string, error) {
+	target, err := netip.ParseAddrPort(c.Servers.Discovery.Addr())
+	if err != nil {
+		return "", err
+	}
+	host := linkAddr(p.number, discoveryNumber)
+	port, err := freePort(host.String())
+	if err != nil {
+		return "", err
+	}
+	key := linkKey{p.number, discoveryNumber}
+	l, err := newLink(key, port, target, c.config.Seed)
+	if err != nil {
+		return "", err
+	}
+	c.links[key] = l
+	return netip.AddrPortFrom(host, port).String(), nil
+}
+
+// operatorFileName is the name of a member's operator's file in its directory.
+const operatorFileName = "operator.toml"
+
+// writeOperatorFile writes a member's operator's file, with the current seeds. Origins have none.
+func (c *Cluster) writeOperatorFile(p *process) error {
+	if p.number > originBase {
+		return nil
+	}
+	seeds, err := json.Marshal(c.seeds)
+	if err != nil {
+		return err
+	}
+	var text strings.Builder
+	fmt.Fprintf(&text, "[admin]\nlisten = %q\n", p.admin)
+	fmt.Fprintf(&text, "[fleet]\nname = %q\nlisten = %q\nseeds = %s\n", fleetName, c.FleetAddr(p.number), seeds)
+	fmt.Fprintf(&text, "networks = [\"127.0.0.0/8\"]\ntranslate = [{from = %q, to = %q}]\n",
+		memberPrefix(), linkPrefix(p.number))
+	options := strings.ReplaceAll(c.config.OperatorOptions, "DIR", p.dir)
+	fmt.Fprintf(&text, "%s\n%s\n%s", c.config.FleetOptions, options, c.configSection(p))
+	_, err = p.writeFile(operatorFileName, text.String())
+	return err
+}
--- a/internal/testcluster/origins.go
+++ b/internal/testcluster/origins.go
@@ -3,185 +3,146 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net/http"
 	"net/netip"
 	"os"
 	"path/filepath"
 	"strings"
-
-	"hazelwing/internal/cluster/gossip"
 )
 
-// Origins are processes like the members, each at an address of its own and behind links of its own, so that a script cuts, kills and
-// freezes them by the same words.
+// Origins are processes like the members, each on an address of its own and behind links of its own, so that the same
+// steps of scripts cut, kill and freeze them.
 const (
-	originBase  = 100 // origin 1 is number 101
-	mostOrigins = 7
+	originBase = 100 // origin 1 has the number 101
+	maxOrigins = 7
 )
 
-// process is a member, or an origin, by its number.
-func (r *Cluster) process(n int) *process {
-	if n > originBase {
-		return r.origins[n-originBase]
-	}
-	return r.members[n]
-}
+// fleetName is the name of the cluster in all files.
+const fleetName = "rig"
 
-// processes are all there are.
-func (r *Cluster) processes() (list []*process) {
-	for _, p := range append(r.members[:len(r.members):len(r.members)], r.origins...) {
-		if p != nil {
-			list = append(list, p)
-		}
-	}
-	return list
-}
+// originFileName is the name of an origin's file in its directory.
+const originFileName = "origin.toml"
 
-// makeOrigins founds the origins, and makes the links to them.
-func (r *Cluster) makeOrigins() (err error) {
-	if r.cfg.Origins == 0 {
+// createOrigins creates the origins and the links to them, and bootstraps them.
+func (c *Cluster) createOrigins() error {
+	if c.config.Origins == 0 {
 		return nil
 	}
-	if r.cfg.Origins > mostOrigins {
-		return fmt.Errorf("rig: %d origins, at most %d can be", r.cfg.Origins, mostOrigins)
+	if c.config.Origins > maxOrigins {
+		return fmt.Errorf("test cluster: %d origins, at most %d are possible", c.config.Origins, maxOrigins)
 	}
-	r.origins = []*process{nil}
-	for k := 1; k <= r.cfg.Origins; k++ {
-		p := &process{n: originBase + k, name: fmt.Sprint("o", k), dir: filepath.Join(r.cfg.Dir, fmt.Sprint("o", k)),
-			env: append(append(os.Environ(), r.cfg.Env...), "GOMAXPROCS=1")}
-		p.program, p.arguments = r.cfg.Program, []string{"origin", "run", "--file", filepath.Join(p.dir, "origin.toml")}
-		if p.port, err = freePort(realAddr(p.n).String()); err != nil {
-			return err
-		}
-		if err = os.MkdirAll(p.dir, 0o755); err != nil {
-			return err
-		}
-		if p.log, err = os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o600); err != nil {
+	c.origins = []*process{nil}
+	for k := 1; k <= c.config.Origins; k++ {
+		p, err := c.newOrigin(k)
+		if err != nil {
 			return err
 		}
-		p.listen = netip.AddrPortFrom(realAddr(p.n), p.port).String()
-		r.origins = append(r.origins, p)
+		c.origins = append(c.origins, p)
+	}
+	if err := c.linkOrigins(); err != nil {
+		return err
 	}
-	for _, from := range r.processes() {
-		for _, to := range r.origins[1:] {
+	return c.BootstrapOrigins(1, "origins")
+}
+
+func (c *Cluster) newOrigin(k int) (p *process, err error) {
+	name := fmt.Sprint("o", k)
+	dir := filepath.Join(c.config.Dir, name)
+	p = &process{
+		number:    originBase + k,
+		name:      name,
+		dir:       dir,
+		env:       append(append(os.Environ(), c.config.Env...), "GOMAXPROCS=1"),
+		program:   c.config.Program,
+		arguments: []string{"origin", "run", "--file", filepath.Join(dir, originFileName)},
+	}
+	if p.port, err = freePort(memberAddr(p.number).String()); err != nil {
+		return nil, err
+	}
+	if err := p.openLog(); err != nil {
+		return nil, err
+	}
+	p.listen = netip.AddrPortFrom(memberAddr(p.number), p.port).String()
+	return p, nil
+}
+
+// linkOrigins creates the links from all processes to the origins.
+func (c *Cluster) linkOrigins() error {
+	for _, from := range c.processes() {
+		for _, to := range c.origins[1:] {
 			if from == to {
 				continue
 			}
-			l, err := newLink(from.n, to.n, to.port, netip.AddrPortFrom(realAddr(to.n), to.port), r.cfg.Seed)
+			key := linkKey{from.number, to.number}
+			target := netip.AddrPortFrom(memberAddr(to.number), to.port)
+			l, err := newLink(key, to.port, target, c.config.Seed)
 			if err != nil {
 				return err
 			}
-			r.links[[2]int{from.n, to.n}] = l
+			c.links[key] = l
 		}
 	}
-	return r.BootstrapOrigins(1, "origins")
+	return nil
 }
 
-// Found founds origins of a group in an epoch.
-func (r *Cluster) BootstrapOrigins(epoch int, group string) error {
-	list, err := r.group(group)
+// BootstrapOrigins bootstraps the origins of a group in an epoch.
+func (c *Cluster) BootstrapOrigins(epoch int, group string) error {
+	numbers, err := c.group(group)
 	if err != nil {
 		return err
 	}
-	for _, n := range list {
-		p := r.process(n)
-		var peers []string
-		for _, to := range r.origins[1:] {
-			addr := to.listen
-			if to != p {
-				addr = r.seenOrigin(p, to)
-			}
-			peers = append(peers, fmt.Sprintf("{name = %q, addr = %q}", to.name, addr))
-		}
-		text := fmt.Sprintf("name = %q\nlisten = %q\ndir = %q\nfleet = \"rig\"\nepoch = %d\npeers = [%s]\nnetworks = [\"127.0.0.0/8\"]\n",
-			p.name, p.listen, filepath.Join(p.dir, "store"), epoch, strings.Join(peers, ", "))
-		path, err := p.write("origin.toml", text)
+	for _, n := range numbers {
+		p := c.process(n)
+		path, err := p.writeFile(originFileName, c.originFile(p, epoch))
 		if err != nil {
 			return err
 		}
-		if out, err := p.command("origin", "found", "--file", path).CombinedOutput(); err != nil {
-			return fmt.Errorf("%s: %w: %s", p.name, err, out)
+		if output, err := p.newCommand("origin", "found", "--file", path).CombinedOutput(); err != nil {
+			return fmt.Errorf("%s: %w: %s", p.name, err, output)
 		}
 	}
 	return nil
 }
 
-// seenOrigin is where a process reaches an origin: by a link of its own.
-func (r *Cluster) seenOrigin(p, to *process) string {
-	return netip.AddrPortFrom(seenAddr(p.n, to.n), to.port).String()
+// originFile returns the text of an origin's file.
+func (c *Cluster) originFile(p *process, epoch int) string {
+	var peers []string
+	for _, to := range c.origins[1:] {
+		addr := to.listen
+		if to != p {
+			addr = originLinkAddr(p, to)
+		}
+		peers = append(peers, fmt.Sprintf("{name = %q, addr = %q}", to.name, addr))
+	}
+	var text strings.Builder
+	fmt.Fprintf(&text, "name = %q\nlisten = %q\ndir = %q\n", p.name, p.listen, filepath.Join(p.dir, "store"))
+	fmt.Fprintf(&text, "fleet = %q\nepoch = %d\npeers = [%s]\n", fleetName, epoch, strings.Join(peers, ", "))
+	text.WriteString("networks = [\"127.0.0.0/8\"]\n")
+	return text.String()
 }
 
-// Origin is the address of an origin, past all links.
-func (r *Cluster) OriginAddr(k int) string { return r.origins[k].listen }
+// originLinkAddr returns the address at which a process reaches an origin: that of a link of its own.
+func originLinkAddr(from, to *process) string {
+	return netip.AddrPortFrom(linkAddr(from.number, to.number), to.port).String()
+}
 
-// OriginDir is the directory of an origin's store.
-func (r *Cluster) OriginDir(k int) string { return filepath.Join(r.origins[k].dir, "store") }
+// OriginAddr returns the address of an origin, not behind a link.
+func (c *Cluster) OriginAddr(k int) string { return c.origins[k].listen }
 
-// ConfigDir is the directory of a member's last known configuration.
-func (r *Cluster) ConfigDir(n int) string { return filepath.Join(r.members[n].dir, "config") }
+// OriginDir returns the directory of an origin's store.
+func (c *Cluster) OriginDir(k int) string { return filepath.Join(c.origins[k].dir, "store") }
 
-// distribution is [config] of a member's operator's file.
-func (r *Cluster) distribution(p *process) string {
-	if r.cfg.Origins == 0 {
+// ConfigDir returns the directory of a member's last known configuration.
+func (c *Cluster) ConfigDir(n int) string { return filepath.Join(c.members[n].dir, "config") }
+
+// configSection returns [config] of a member's operator's file.
+func (c *Cluster) configSection(p *process) string {
+	if c.config.Origins == 0 {
 		return ""
 	}
 	var addrs []string
-	for _, to := range r.origins[1:] {
-		addrs = append(addrs, r.seenOrigin(p, to))
-	}
-	list, _ := json.Marshal(addrs)
-	return fmt.Sprintf("[config]\norigins = %s\ndir = %q\n%s\n", list, r.ConfigDir(p.n), r.cfg.ConfigOptions)
-}
-
-// answers says whether a process has come up: a member once it takes requests, too.
-func (r *Cluster) answers(n int) bool {
-	if n > originBase {
-		q, _ := http.NewRequest(http.MethodGet, "http://"+r.process(n).listen+"/config/alive", nil)
-		q.Header.Set("X-Config-Fleet", "rig")
-		resp, err := r.admin.Do(q)
-		if err != nil {
-			return false
-		}
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusResetContent
-	}
-	if r.ReadAdmin(n, "fleet", new(gossip.Status)) != nil {
-		return false
-	}
-	if r.cfg.Origins == 0 {
-		return true
-	}
-	resp, err := r.admin.Get("http://" + r.process(n).listen + "/")
-	if err != nil {
-		return false
-	}
-	resp.Body.Close()
-	return true
-}
-
-// Bytes are what crossed links, by what it was for.
-type Bytes struct{ Membership, EndpointList, Config int64 }
-
-// Bytes are what a member has sent and received so far, over all links.
-func (r *Cluster) Bytes(n int) (sent, received Bytes) {
-	add := func(b *Bytes, l *link, back bool) {
-		from := &l.sent
-		if back {
-			from = &l.back
-		}
-		b.Membership += from[viewBytes].read().Bytes
-		b.EndpointList += from[listBytes].read().Bytes
-		b.Config += from[configBytes].read().Bytes
-	}
-	for at, l := range r.links {
-		switch n {
-		case at[0]:
-			add(&sent, l, false)
-			add(&received, l, true)
-		case at[1]:
-			add(&received, l, false)
-			add(&sent, l, true)
-		}
+	for _, to := range c.origins[1:] {
+		addrs = append(addrs, originLinkAddr(p, to))
 	}
-	return sent, received
+	list, _ := json.Marshal(addrs) // strings can be encoded
+	return fmt.Sprintf("[config]\norigins = %s\ndir = %q\n%s\n", list, c.ConfigDir(p.number), c.config.ConfigOptions)
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -1,6 +1,7 @@
 package testcluster
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -13,99 +14,103 @@
 	"time"
 )
 
-// process is one place for a process of the program.
+// process is a member or an origin: a place for one process of the program at a time. The goroutine that plays scripts
+// owns it; clients read the atomic fields.
 type process struct {
-	n             int
+	number        int
 	name          string
 	listen, admin string // addresses
-	port          uint16 // of the fleet
+	port          uint16 // of gossip, or an origin's
 	dir           string
 	env           []string
 	program       []string // the command that runs it
-	arguments     []string // beside the command's own
+	arguments     []string // after those of program
 	log           *os.File
-	cmd           *exec.Cmd
-	ended         chan error
-	life          atomic.Int64 // odd while it runs and is not being ended; grows
+	command       *exec.Cmd // nil: it does not run
+	exited        chan error
 	frozen        bool
-	up            atomic.Bool  // it has answered since its start
-	stopped       atomic.Bool  // it is frozen now
-	freezes       atomic.Int64 // times it was frozen or thawed
+
+	life      atomic.Int64 // odd while it runs and is not being ended; grows
+	responded atomic.Bool  // since its start
+	stopped   atomic.Bool  // by SIGSTOP, now
+	freezes   atomic.Int64 // number of SIGSTOP and SIGCONT sent
 }
 
-func (p *process) running() bool { return p.cmd != nil }
+func (p *process) running() bool { return p.command != nil }
 
-// command is the process's program with arguments and its environment, not started.
-func (p *process) command(arguments ...string) *exec.Cmd {
-	c := exec.Command(p.program[0], slices.Concat(p.program[1:], arguments)...)
-	c.Env = p.env
-	return c
+// newCommand returns a command of the process's program with its environment, not started.
+func (p *process) newCommand(arguments ...string) *exec.Cmd {
+	all := slices.Concat(p.program[1:], arguments)
+	command := exec.CommandContext(context.Background(), p.program[0], all...)
+	command.Env = p.env
+	return command
 }
 
-// start starts it and returns at once.
+// start starts the process and returns at once.
 func (p *process) start() error {
-	if p.cmd != nil {
+	if p.running() {
 		return fmt.Errorf("%s runs already", p.name)
 	}
-	c := p.command(p.arguments...)
-	c.Stdout, c.Stderr = p.log, p.log
-	if err := c.Start(); err != nil {
+	command := p.newCommand(p.arguments...)
+	command.Stdout, command.Stderr = p.log, p.log
+	if err := command.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.frozen, p.ended = c, false, make(chan error, 1)
-	p.up.Store(false)
+	exited := make(chan error, 1)
+	p.command, p.frozen, p.exited = command, false, exited
+	p.responded.Store(false)
 	p.stopped.Store(false)
-	go func(ended chan error) { ended <- c.Wait() }(p.ended)
+	go func() { exited <- command.Wait() }()
 	if p.life.Load()%2 == 0 {
 		p.life.Add(1)
 	}
 	return nil
 }
 
-func (p *process) signal(s syscall.Signal) error {
-	if p.cmd == nil {
+func (p *process) signal(signal syscall.Signal) error {
+	if !p.running() {
 		return fmt.Errorf("%s does not run", p.name)
 	}
-	return p.cmd.Process.Signal(s)
+	return p.command.Process.Signal(signal)
 }
 
-// kill ends it at once.
+// kill ends the process by SIGKILL, if it runs.
 func (p *process) kill() {
-	if p.cmd == nil {
+	if !p.running() {
 		return
 	}
 	p.life.Add(1)
-	p.cmd.Process.Kill()
-	<-p.ended
-	p.cmd = nil
+	_ = p.command.Process.Kill() // fails if the process has exited
+	<-p.exited                   //nolint:errcheck // the error is that it was killed
+	p.command = nil
 }
 
-// term asks it to end, and waits until it has.
-func (p *process) term(within time.Duration) error {
+// terminate ends the process by SIGTERM, and waits until it has exited with status 0.
+func (p *process) terminate(timeout time.Duration) error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	p.life.Add(1)
 	select {
-	case err := <-p.ended:
-		p.cmd = nil
+	case err := <-p.exited:
+		p.command = nil
 		if err != nil {
 			return fmt.Errorf("%s ended with %w", p.name, err)
 		}
 		return nil
-	case <-time.After(within):
-		return fmt.Errorf("%s did not end in %v", p.name, within)
+	case <-time.After(timeout):
+		return fmt.Errorf("%s did not end in %v", p.name, timeout)
 	}
 }
 
-// crashed says whether it ended by itself.
-func (p *process) crashed() error {
-	if p.cmd == nil {
+// checkExit returns an error if the process has exited by itself since the last check.
+func (p *process) checkExit() error {
+	if !p.running() {
 		return nil
 	}
 	select {
-	case err := <-p.ended:
-		p.cmd = nil
+	case err := <-p.exited:
+		p.command = nil
 		p.life.Add(1)
 		return errors.Join(fmt.Errorf("%s ended by itself", p.name), err)
 	default:
@@ -113,25 +118,44 @@
 	}
 }
 
-// freePort is one that is free for datagrams and streams at an address.
-func freePort(ip string) (uint16, error) {
-	for range 50 {
-		l, err := net.Listen("tcp", ip+":0")
+// openLog creates the process's directory and opens its log.
+func (p *process) openLog() error {
+	if err := os.MkdirAll(p.dir, 0o755); err != nil {
+		return err
+	}
+	file, err := os.OpenFile(filepath.Join(p.dir, logName), os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o600)
+	p.log = file
+	return err
+}
+
+// logName is the name of the file with the output of a process.
+const logName = "log"
+
+// writeFile writes a file of the process's directory, and returns its path.
+func (p *process) writeFile(name, text string) (string, error) {
+	path := filepath.Join(p.dir, name)
+	return path, os.WriteFile(path, []byte(text), 0o600)
+}
+
+// portAttempts bounds the search for a port that is free for both protocols.
+const portAttempts = 50
+
+// freePort returns a port that is free for UDP and TCP on a host.
+func freePort(host string) (uint16, error) {
+	var config net.ListenConfig
+	ctx := context.Background()
+	for range portAttempts {
+		tcp, err := config.Listen(ctx, "tcp", host+":0")
 		if err != nil {
 			return 0, err
 		}
-		port := l.Addr().(*net.TCPAddr).Port
-		u, err := net.ListenPacket("udp", fmt.Sprintf("%s:%d", ip, port))
-		l.Close()
+		port := tcp.Addr().(*net.TCPAddr).Port
+		udp, err := config.ListenPacket(ctx, "udp", fmt.Sprintf("%s:%d", host, port))
+		_ = tcp.Close()
 		if err == nil {
-			u.Close()
+			_ = udp.Close()
 			return uint16(port), nil
 		}
 	}
 	return 0, errors.New("no port is free for datagrams and streams")
 }
-
-func (p *process) write(name, text string) (string, error) {
-	path := filepath.Join(p.dir, name)
-	return path, os.WriteFile(path, []byte(text), 0o600)
-}
--- /dev/null
+++ b/internal/testcluster/timeline.go
@@ -0,0 +1,58 @@
+package testcluster
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+)
+
+// note is a step of the script and when it began.
+type note struct {
+	at   time.Time
+	text string
+}
+
+// Timeline returns what a failed run shows: the seed, the script, and all logs merged by time.
+func (c *Cluster) Timeline() string {
+	var lines []note
+	for _, n := range c.notes {
+		lines = append(lines, note{n.at, "---- " + n.text})
+	}
+	for _, p := range c.processes() {
+		lines = append(lines, c.logLines(p)...)
+	}
+	slices.SortStableFunc(lines, func(a, b note) int { return a.at.Compare(b.at) })
+	var text strings.Builder
+	fmt.Fprintf(&text, "seed %d, script:\n%s\ntime line:\n", c.config.Seed, c.script)
+	for _, line := range lines {
+		fmt.Fprintf(&text, "%8.3f %s\n", line.at.Sub(c.startedAt).Seconds(), line.text)
+	}
+	return text.String()
+}
+
+// logLines returns the lines of a process's log. A line without a time has that of the line before.
+func (c *Cluster) logLines(p *process) (lines []note) {
+	last := c.startedAt
+	for line := range strings.Lines(p.logText()) {
+		if rest, ok := strings.CutPrefix(line, "time="); ok {
+			text, _, _ := strings.Cut(rest, " ")
+			if at, err := time.Parse(time.RFC3339, text); err == nil {
+				last = at
+			}
+		}
+		lines = append(lines, note{last, p.name + " " + strings.TrimSpace(line)})
+	}
+	return lines
+}
+
+// logText returns the process's log, or what can be read of it.
+func (p *process) logText() string {
+	text, _ := os.ReadFile(filepath.Join(p.dir, logName))
+	return string(text)
+}
+
+// Log returns what a member or an origin has logged so far.
+func (c *Cluster) Log(n int) string { return c.process(n).logText() }
