--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -54,7 +54,7 @@
 	group := flightGroup{flights: map[string]*flight{}}
 	canceled, cancel := context.WithCancel(t.Context())
 	release := make(chan struct{})
-	expiresAt := time.Now().Add(testutil.Patience)
+	expiresAt := time.Now().Add(testutil.WaitTimeout)
 	first, isShared := group.join("k", expiresAt, connected, func(context.Context, func() bool) (plan.Outcome, bool) {
 		<-release
 		return plan.Outcome{Reason: "first"}, false
@@ -132,7 +132,7 @@
 // disconnected does not receive their result, but starts again.
 func TestJoiningAbandonedFlight(t *testing.T) {
 	group := flightGroup{flights: map[string]*flight{}}
-	expiresAt := time.Now().Add(testutil.Patience)
+	expiresAt := time.Now().Add(testutil.WaitTimeout)
 	disconnected := func() bool { return true }
 	looked := make(chan bool)
 	release := make(chan bool)
--- a/internal/transport/grpc/disconnect_test.go
+++ b/internal/transport/grpc/disconnect_test.go
@@ -30,24 +30,24 @@
 	first := make(chan *rawh2.Stream, 1)
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
 		switch {
-		case !s.Whole && len(s.Data) == 0:
+		case !s.Complete && len(s.Data) == 0:
 			b.streamsOpened.Add(1)
-		case s.Whole && b.messages.Add(1) == 1:
+		case s.Complete && b.messages.Add(1) == 1:
 			first <- s
-		case s.Whole:
+		case s.Complete:
 			s.OK(nil)
 		}
 	}, rawh2.MaxStreams(1), rawh2.OnReset(func(*rawh2.Stream) { b.resets <- true }))
 	tr := newTransport(t, 100*time.Millisecond)
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-	b.firstOutcome = run(tr.Attempt("s", newCall(t.Context()), testutil.Patience))
+	b.firstOutcome = run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout))
 	b.first = testutil.Receive(t, first, "the first attempt")
 
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	second := newCall(ctx)
 	b.cancelSecond, second.Disconnected = cancel, b.disconnected.Load
-	x := tr.Attempt("s", second, testutil.Patience)
+	x := tr.Attempt("s", second, testutil.WaitTimeout)
 	b.secondOutcome = run(x)
 	awaitOpened(t, x)
 	return b
