--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -18,12 +18,8 @@
 
 // handleCall passes a new call to the Balancer, unless its result is clear without it.
 func (e *Engine) handleCall(c *Call) {
-	if e.stopping {
-		c.result <- Result{Kind: Rejected, Err: errClosed}
-		return
-	}
 	if r, ok := e.immediateResult(c); ok {
-		c.answered = true // also stops its client's disconnection from ending another call with its ID
+		c.answered = true // also stops its client's disconnection from ending it again, or another call with its ID
 		c.result <- r
 		return
 	}
@@ -38,6 +34,8 @@
 // immediateResult returns the result of a call that gets one without the Balancer; ok is false if it does not.
 func (e *Engine) immediateResult(c *Call) (r Result, ok bool) {
 	switch {
+	case e.stopping:
+		return Result{Kind: Rejected, Err: errClosed}, true
 	case e.calls[c.ID] != nil:
 		return Result{Kind: Duplicate}, true
 	case e.maxCalls > 0 && len(e.calls) >= e.maxCalls:
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -427,3 +427,29 @@
 		}
 	}
 }
+
+// A call that comes while the engine stops is rejected once, also if its client disconnects right after: a second result
+// would block the engine for good.
+func TestRejectedWhileStoppingThenDisconnected(t *testing.T) {
+	f := newFake()
+	e, err := New(Config{Settings: testSettings(), Transport: f, Source: f})
+	if err != nil {
+		t.Fatal(err)
+	}
+	e.stopping = true
+	c := &Call{ID: "late", Class: "c", ctx: t.Context(), result: make(chan Result, 1), streamAttempt: noAttempt}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		e.handleCall(c)
+		e.handleDisconnect(c)
+	}()
+	select {
+	case <-done:
+	case <-time.After(testutil.WaitTimeout):
+		t.Fatal("the engine is blocked by a second result")
+	}
+	if r := <-c.result; r.Kind != Rejected {
+		t.Errorf("the result is %+v, want a rejection", r)
+	}
+}
