--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pool := http1.New(http1.Config{ConnectTimeout: set.ConnectTimeout, UpstreamIdleTimeout: cfg.Settings.ConnIdle(),
+	pool := http1.New(http1.Config{ConnectTimeout: set.ConnectTimeout, UpstreamIdleTimeout: cfg.Settings.IdleConnTimeout(),
 		DrainGrace: cfg.Settings.DrainGrace(), MaxConns: limits.MaxUpstreamConns(), MaxResponseBytes: limits.MaxResponseBytes(),
 		OnConnLimit: bounds.Add("connections to upstreams", limits.MaxUpstreamConns())})
 	known, odd := cfg.InitialEndpoints.ToEndpoints()
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -76,7 +76,7 @@
 				served := 0
 				for n := range 3 {
 					method, body := "POST", "x"
-					if k.Semantics == "retryable" {
+					if k.Effect == "retryable" {
 						method, body = "GET", ""
 					}
 					req, err := http.NewRequest(method, r.url+"/"+url.PathEscape(k.Name)+"/x", strings.NewReader(body))
@@ -88,7 +88,7 @@
 					}
 					req.Header = http.Header{"X-Request-Id": {fmt.Sprint(i, "-", n)}, "X-Class": {k.Name}, "X-Deadline-Ms": {fmt.Sprint(int(k.DeadlineMs))},
 						"X-Tenant": {"ünder & sons"}}
-					if k.Semantics == "dedup" {
+					if k.Effect == "dedup" {
 						req.Header.Set("Idempotency-Key", fmt.Sprintf("k%d-%d", i, n))
 					}
 					resp, got := r.do(t, req)
--- /dev/null
+++ b/internal/wire/messages.go
@@ -0,0 +1,139 @@
+package wire
+
+import (
+	"encoding/json"
+	"math"
+	"time"
+)
+
+// batch is one line of the input: events that occur at the same time.
+type batch struct {
+	TimeMs float64           `json:"TsMs"`
+	Events []json.RawMessage `json:"in"`
+}
+
+// reply is one line of the output: the actions that a batch led to.
+type reply struct {
+	Actions []action `json:"outbox"`
+}
+
+// The verbs of events.
+const (
+	verbEndpointTable      = "Inventory"
+	verbStart              = "PowerOn"
+	verbStop               = "Teardown"
+	verbEndpointUpdate     = "Topology"
+	verbRequest            = "Order"
+	verbFirstByte          = "FirstByte"
+	verbOutcome            = "Returned"
+	verbClientDisconnected = "Hangup"
+	verbTimerFired         = "Wakeup"
+	verbProbeResult        = "ProbeDone"
+	verbPeerMessage        = "Heard"
+)
+
+// event holds the fields of all verbs that are read here; which of them an event has depends on its verb.
+type event struct {
+	Verb           string             `json:"verb"`
+	Instance       int                `json:"I"`
+	Seed           json.Number        `json:"Prng"`
+	Env            *Env               `json:"Env"`
+	Table          int                `json:"Table"`
+	Endpoints      []entry            `json:"MembersList"`
+	Scope          string             `json:"Scope"`
+	ID             string             `json:"Id"`
+	Class          string             `json:"Type"`
+	Tenant         any                `json:"Billing"` // a string, or anything else where the request has no tenant
+	AffinityKey    string             `json:"Item"`
+	ExpiresAtMs    float64            `json:"ExpiresMs"`
+	ExpectedWorkMs float64            `json:"PredictedMs"`
+	Flags          int                `json:"Bits"`
+	Attempt        int                `json:"Hop"`
+	Upstream       string             `json:"Upstream"`
+	Result         int                `json:"Result"`
+	ElapsedMs      float64            `json:"ElapsedMs"`
+	Finished       bool               `json:"Finished"`
+	Load           map[string]float64 `json:"Load"`
+	From           int                `json:"By"`
+	Message        string             `json:"Contents"`
+}
+
+// flagExpectedWork is the bit of event.Flags that says that ExpectedWorkMs is valid.
+const flagExpectedWork = 1
+
+// The scopes of verbEndpointUpdate.
+const (
+	scopeDelta        = "INCREMENTAL"
+	scopeCompleteList = "FULL"
+	scopeCachedList   = "SAVED"
+	scopeWatchFailed  = "FAILED"
+)
+
+// entry is an entry of an endpoint table.
+type entry struct {
+	Zone        string  `json:"RackZone"`
+	Cell        int     `json:"Cell"`
+	State       string  `json:"StageState"`
+	Kind        string  `json:"Machine"`
+	ID          string  `json:"Upstream"`
+	StartedAtMs float64 `json:"CameUpMs"`
+}
+
+// The states of an endpoint; it is active in any other.
+const (
+	stateDraining = "leaving"
+	stateRemoved  = "left"
+)
+
+// The results of attempts and probes; any other is an error response.
+const (
+	resultOK            = 200
+	resultTimeout       = 408
+	resultNotSent       = 409
+	resultOverloaded    = 429
+	resultCancelled     = 444
+	resultReset         = 520
+	resultConnectFailed = 521
+)
+
+// The verbs of actions.
+const (
+	verbSend      = "Try"
+	verbCancel    = "Retract"
+	verbReject    = "Refuse"
+	verbFail      = "Error"
+	verbSetTimer  = "Defer"
+	verbSubscribe = "Watch"
+	verbProbe     = "Touch"
+	verbCloseIdle = "LetGo"
+	verbLog       = "Emit"
+	verbPanic     = "BailOut"
+)
+
+// timerCookie identifies the one timer of an instance.
+const timerCookie = "w"
+
+// action holds the fields of all actions; which of them an action has depends on its verb.
+type action struct {
+	Verb         string  `json:"verb"`
+	Instance     int     `json:"I"`
+	ID           string  `json:"Id,omitempty"`
+	Upstream     string  `json:"Upstream,omitempty"`
+	TimeoutMs    float64 `json:"LimitMs,omitempty"`
+	Attempt      *int    `json:"Hop,omitempty"` // a pointer, since attempt 0 is written too
+	RetryAfterMs float64 `json:"RetryInMs,omitempty"`
+	AtMs         float64 `json:"MomentMs,omitempty"`
+	Cookie       string  `json:"Cookie,omitempty"`
+	Enable       bool    `json:"Enable,omitempty"`
+	Text         string  `json:"ReasonText,omitempty"`
+}
+
+// Duration converts milliseconds, rounded to whole microseconds, the unit in which the simulator counts time.
+func Duration(ms float64) time.Duration {
+	return time.Duration(math.Round(ms*1000)) * time.Microsecond
+}
+
+// milliseconds is the inverse of Duration. Fractions of a microsecond are dropped.
+func milliseconds(d time.Duration) float64 {
+	return float64(d/time.Microsecond) / 1000
+}
