--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -82,8 +82,12 @@
 	for _, x := range []struct {
 		what         string
 		real, hollow float64
-	}{{"bytes sent", realOnes.bytesOut, hollowOnes.bytesOut}, {"bytes received", realOnes.bytesIn, hollowOnes.bytesIn},
-		{"messages sent", realOnes.messagesOut, hollowOnes.messagesOut}, {"messages received", realOnes.messagesIn, hollowOnes.messagesIn}} {
+	}{
+		{"bytes sent", realOnes.bytesOut, hollowOnes.bytesOut},
+		{"bytes received", realOnes.bytesIn, hollowOnes.bytesIn},
+		{"messages sent", realOnes.messagesOut, hollowOnes.messagesOut},
+		{"messages received", realOnes.messagesIn, hollowOnes.messagesIn},
+	} {
 		if off := x.hollow/x.real - 1; !(math.Abs(off) <= 0.1) {
 			t.Errorf("%s: a hollow one %.2f a second, a real one %.2f: %+.1f %%", x.what, x.hollow, x.real, 100*off)
 		} else {
@@ -93,8 +97,10 @@
 }
 
 func calibrateReal(t *testing.T, keys, recovery string) (c calibrated) {
-	r, err := testcluster.New(testcluster.Config{Members: *calibrateMembers, Seed: 1, Dir: t.TempDir(), Program: []string{os.Args[0]}, Env: []string{testRun + "=1"}, Fleet: keys,
-		Operator: "[recovery]\n" + recovery, Quiet: true})
+	r, err := testcluster.New(testcluster.Config{
+		Members: *calibrateMembers, Seed: 1, Dir: t.TempDir(), Program: []string{os.Args[0]}, Env: []string{testRun + "=1"}, Fleet: keys,
+		Operator: "[recovery]\n" + recovery, Quiet: true,
+	})
 	if err != nil {
 		t.Error(err)
 		return c
@@ -180,8 +186,10 @@
 
 func rates(old, now calibrated, d time.Duration, n int) calibrated {
 	k := d.Seconds() * float64(n)
-	return calibrated{stirred: now.stirred - old.stirred, bytesOut: (now.bytesOut - old.bytesOut) / k, bytesIn: (now.bytesIn - old.bytesIn) / k, messagesOut: (now.messagesOut - old.messagesOut) / k,
-		messagesIn: (now.messagesIn - old.messagesIn) / k, processor: (now.processor - old.processor) / k, resident: now.resident / float64(n)}
+	return calibrated{
+		stirred: now.stirred - old.stirred, bytesOut: (now.bytesOut - old.bytesOut) / k, bytesIn: (now.bytesIn - old.bytesIn) / k, messagesOut: (now.messagesOut - old.messagesOut) / k,
+		messagesIn: (now.messagesIn - old.messagesIn) / k, processor: (now.processor - old.processor) / k, resident: now.resident / float64(n),
+	}
 }
 
 func stirred(s gossip.Status) int { return s.Core.Suspicions + s.Core.Refutations + s.Core.Stalls }
--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -99,8 +99,10 @@
 				return value(y)
 			}
 		case *ast.SelectorExpr:
-			unit, ok := map[string]time.Duration{"Microsecond": time.Microsecond, "Millisecond": time.Millisecond, "Second": time.Second, "Minute": time.Minute,
-				"Hour": time.Hour}[e.Sel.Name]
+			unit, ok := map[string]time.Duration{
+				"Microsecond": time.Microsecond, "Millisecond": time.Millisecond, "Second": time.Second, "Minute": time.Minute,
+				"Hour": time.Hour,
+			}[e.Sel.Name]
 			if ok {
 				return unit.Seconds(), nil
 			}
--- a/cmd/hazelwing/check.go
+++ b/cmd/hazelwing/check.go
@@ -1,36 +1,39 @@
 package main
 
 import (
-	"fmt"
-
 	"github.com/spf13/cobra"
 
 	"hazelwing/internal/daemon"
 	"hazelwing/internal/operator"
 )
 
-func checkCommand() *cobra.Command {
+func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Check an operator's file, and name each line that cannot be used",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var first error
+			var latest error // printed by main; those before it are printed here
 			for _, path := range args {
-				op, err := operator.Load(path)
+				err := checkOperatorFile(path)
 				if err == nil {
-					err = daemon.Check(op)
-				}
-				if err != nil {
-					if first != nil {
-						fmt.Fprintln(cmd.ErrOrStderr(), first)
-					}
-					first = err
+					printf(cmd.OutOrStdout(), "%s: good\n", path)
 					continue
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: good\n", path)
+				if latest != nil {
+					printLine(cmd.ErrOrStderr(), latest)
+				}
+				latest = err
 			}
-			return first
+			return latest
 		},
 	}
 }
+
+func checkOperatorFile(path string) error {
+	config, err := operator.Load(path)
+	if err != nil {
+		return err
+	}
+	return daemon.Check(config)
+}
--- a/cmd/hazelwing/command_test.go
+++ b/cmd/hazelwing/command_test.go
@@ -9,7 +9,7 @@
 )
 
 func execute(args ...string) (string, error) {
-	c := root()
+	c := newRootCommand()
 	var out bytes.Buffer
 	c.SetOut(&out)
 	c.SetArgs(args)
@@ -62,8 +62,14 @@
 	if _, err := execute("traffic", "--check", path); err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), "line ") {
 		t.Errorf("%v", err)
 	}
-	for _, args := range [][]string{{"demo", "--rate", "0"}, {"demo", "--nodes", "0"}, {"demo", "--length", "1h"}, {"demo", "--traffic", path},
-		{"demo", "--script", path}, {"traffic", path + "2", "--rate", "-1"}} {
+	for _, args := range [][]string{
+		{"demo", "--rate", "0"},
+		{"demo", "--nodes", "0"},
+		{"demo", "--length", "1h"},
+		{"demo", "--traffic", path},
+		{"demo", "--script", path},
+		{"traffic", path + "2", "--rate", "-1"},
+	} {
 		if _, err := execute(args...); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want one line", args, err)
 		}
--- /dev/null
+++ b/cmd/hazelwing/commands_small.go
@@ -0,0 +1,25 @@
+//go:build small
+
+package main
+
+import (
+	"errors"
+
+	"github.com/spf13/cobra"
+
+	"hazelwing/internal/load"
+)
+
+// hasGRPC says that this build cannot load gRPC targets.
+const hasGRPC = false
+
+// optionalCommands returns the commands that only the full build has: none.
+func optionalCommands() []*cobra.Command { return nil }
+
+// optionalDemos returns the demonstrations that only the full build has: none.
+func optionalDemos() []*cobra.Command { return nil }
+
+// newGRPCTarget is never called, since hasGRPC is false.
+func newGRPCTarget(string, []byte) (load.Target, func() error, error) {
+	return nil, nil, errors.ErrUnsupported
+}
--- /dev/null
+++ b/cmd/hazelwing/config_check.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"hazelwing/internal/controlplane"
+)
+
+func newConfigCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check FILE...",
+		Short: "Check snapshots, and name each line that cannot be used",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			var errs []error
+			for _, path := range args {
+				if _, err := readSnapshot(path); err != nil {
+					errs = append(errs, err)
+					continue
+				}
+				printf(cmd.OutOrStdout(), "%s: good\n", path)
+			}
+			return errors.Join(errs...)
+		},
+	}
+}
+
+// readSnapshot reads a file and validates it. The error names the file with each fault.
+func readSnapshot(path string) ([]byte, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Size() > controlplane.MaxSnapshotSize {
+		return nil, fmt.Errorf("%s:1:1: %d bytes are more than %d", path, info.Size(), controlplane.MaxSnapshotSize)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := controlplane.ParseSnapshot(text); err != nil {
+		return nil, errors.New(path + ":" + strings.ReplaceAll(err.Error(), "\n", "\n"+path+":"))
+	}
+	return text, nil
+}
--- /dev/null
+++ b/cmd/hazelwing/config_status.go
@@ -0,0 +1,69 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"hazelwing/internal/controlplane/origin"
+)
+
+func newConfigStatusCommand() *cobra.Command {
+	var options originOptions
+	c := &cobra.Command{
+		Use:   "status",
+		Short: "Show which snapshot is in force where, and who lacks the latest and why",
+		Long: `Show what an origin knows: its part, the latest snapshot, how many sidecars act on which one, ` +
+			`and who lacks the latest and why.
+
+The status is 0 where all that can be reached act on the latest, 2 where some lack it or the origin cannot ` +
+			`take changes, ` +
+			`and 1 where it
+cannot be asked.`,
+		Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			client, err := options.newClient()
+			if err != nil {
+				return err
+			}
+			status, err := callOrigin(cmd.Context(), client.Status)
+			if err != nil {
+				return fmt.Errorf("config: %w", err)
+			}
+			if err := printOriginStatus(cmd.OutOrStdout(), &status, options.asJSON); err != nil {
+				return err
+			}
+			return checkOriginStatus(&status)
+		},
+	}
+	options.addFlags(c)
+	return c
+}
+
+func printOriginStatus(out io.Writer, status *origin.Status, asJSON bool) error {
+	if asJSON {
+		return printJSON(out, status)
+	}
+	printf(out, "%s: %s, epoch %d, the latest is %v\n", status.Self, status.Role, status.Epoch, status.Revision)
+	return printReport(out, &status.Report)
+}
+
+// checkOriginStatus returns an exitError if the origin cannot accept changes, or if the latest snapshot is not in
+// force.
+func checkOriginStatus(status *origin.Status) error {
+	var err error
+	switch {
+	case status.Role != origin.RoleLeader && status.Role != origin.RoleFollower:
+		err = fmt.Errorf("config: %s takes no changes: %s", status.Self, status.Role)
+	case status.Ahead.Compare(status.Revision) > 0:
+		err = fmt.Errorf("config: sidecars act on %v, which is later than what the origins have: found a higher epoch",
+			status.Ahead)
+	case status.Report.Members > 0 && !isInForce(&status.Report, status.Revision):
+		err = errors.New("config: the latest is not in force everywhere")
+	default:
+		return nil
+	}
+	return exitError{err: err, status: statusLaggards}
+}
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -74,7 +74,7 @@
 }
 
 // push pushes to an origin by the command.
-func (r *configRig) push(k int, file string, args ...string) (p pushed, err error) {
+func (r *configRig) push(k int, file string, args ...string) (p pushResult, err error) {
 	r.t.Helper()
 	out, err := execute(append([]string{"config", "push", file, "--fleet", "rig", "--origin", r.Origin(k), "--json"}, args...)...)
 	if json.Unmarshal([]byte(out), &p) != nil && err == nil {
@@ -83,8 +83,8 @@
 	return p, err
 }
 
-// pushed pushes until it is accepted, by the same ID, as an operator would whose origin has no leader for a moment.
-func (r *configRig) pushed(k int, file string) (controlplane.Revision, time.Time) {
+// pushUntilAccepted pushes until it is accepted, by the same ID, as an operator would whose origin has no leader for a moment.
+func (r *configRig) pushUntilAccepted(k int, file string) (controlplane.Revision, time.Time) {
 	r.t.Helper()
 	begun := time.Now()
 	for id := fmt.Sprintf("push-%d", r.pushes); ; {
@@ -205,12 +205,12 @@
 	r := newConfigRig(t, members, origins)
 	half := members / 2
 
-	s, at := r.pushed(1, r.file(""))
+	s, at := r.pushUntilAccepted(1, r.file(""))
 	r.inForce("the first change, pushed as the origins start", s, at, r.all(), 0)
 
 	// Two at once under one version: one is accepted, the other has a conflict by name.
 	files := []string{r.file("# a"), r.file("# b")}
-	answers := make([]pushed, 2)
+	answers := make([]pushResult, 2)
 	var both sync.WaitGroup
 	for i := range files {
 		both.Go(func() { answers[i], _ = r.push(1+i, files[i], "--wait", "0", "--after", fmt.Sprint(s.Version)) })
@@ -226,7 +226,7 @@
 
 	// Discovery is moved for all: few ask the new one, and the others go on having the list from them.
 	before, _ := r.Servers.Discovery.Calls()
-	s, at = r.pushed(2, r.file(fmt.Sprintf("[discovery]\naddr = %q", r.Servers.Discovery.Addr())))
+	s, at = r.pushUntilAccepted(2, r.file(fmt.Sprintf("[discovery]\naddr = %q", r.Servers.Discovery.Addr())))
 	r.inForce("discovery is moved", s, at, r.all(), soon)
 	testutil.Until(t, "all have the list from it, by way of the fleet", func() bool {
 		for _, n := range r.all() {
@@ -246,7 +246,7 @@
 	// One after the other without waiting.
 	at = time.Now()
 	for i := range 10 {
-		s, _ = r.pushed(1+i%origins, r.file(""))
+		s, _ = r.pushUntilAccepted(1+i%origins, r.file(""))
 	}
 	r.inForce("the last of ten in a row", s, at, r.all(), soon)
 
@@ -254,7 +254,7 @@
 	leader := r.leader()
 	file := r.file("")
 	done := make(chan bool)
-	go func() { s, at = r.pushed(1+leader%origins, file); close(done) }()
+	go func() { s, at = r.pushUntilAccepted(1+leader%origins, file); close(done) }()
 	r.play(fmt.Sprintf("kill o%d", leader))
 	<-done
 	r.inForce("the origin that leads is killed in mid-push", s, at, r.all(), soon)
@@ -264,7 +264,7 @@
 	still := r.followed()
 	r.play(fmt.Sprintf("freeze %d", still))
 	others := slices.DeleteFunc(r.all(), func(n int) bool { return n == still })
-	s, at = r.pushed(1, r.file(""))
+	s, at = r.pushUntilAccepted(1, r.file(""))
 	r.inForce("a member that is followed stands still", s, at, others, soon)
 	at = time.Now()
 	r.play(fmt.Sprintf("thaw %d", still))
@@ -273,7 +273,7 @@
 	// Half of the fleet is restarted during a push.
 	file = r.file("")
 	done = make(chan bool)
-	go func() { s, at = r.pushed(2, file); close(done) }()
+	go func() { s, at = r.pushUntilAccepted(2, file); close(done) }()
 	r.play(fmt.Sprintf("restart 1-%d", half))
 	<-done
 	r.inForce("half of the fleet restarts: the others", s, at, numbered(half+1, members), soon)
@@ -289,7 +289,7 @@
 	if p, err := r.push(1, r.file(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
 		t.Errorf("a side without a majority has accepted a change: %+v", p)
 	}
-	s, at = r.pushed(2, r.file(""))
+	s, at = r.pushUntilAccepted(2, r.file(""))
 	r.inForce("regions are cut: the side with a majority", s, at, numbered(half+1, members), soon)
 	if got := r.times(s, numbered(1, half)); len(got) > 0 {
 		t.Errorf("the other side has it: %v", got)
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -33,7 +33,7 @@
 	good := r.file("")
 	text, _ := os.ReadFile(good)
 
-	r.pushed(1, good) // by an ID of its own; then again under it
+	r.pushUntilAccepted(1, good) // by an ID of its own; then again under it
 	out, err := run("push", good, "--wait", "15s", "--id", fmt.Sprintf("push-%d", r.pushes), "--after", "0")
 	if err != nil || !strings.Contains(out, "accepted: 1.1, id push-1, after version 0") || !strings.Contains(out, "in force at 3 sidecars") {
 		t.Fatalf("%v\n%s", err, out)
@@ -81,7 +81,7 @@
 	file := r.file("")
 	r.play("freeze 3")
 	out, err = run("push", file, "--wait", "1s")
-	if status(err) != lacking || !strings.Contains(err.Error(), "accepted as 1.2, and not in force everywhere within 1s: 1 lack it") || !strings.Contains(out, "m03") {
+	if status(err) != statusLaggards || !strings.Contains(err.Error(), "accepted as 1.2, and not in force everywhere within 1s: 1 lack it") || !strings.Contains(out, "m03") {
 		t.Errorf("%v\n%s", err, out)
 	}
 	r.play("thaw 3")
@@ -102,13 +102,10 @@
 
 // status is the exit status of an error.
 func status(err error) int {
-	if s, ok := errors.AsType[exitStatus](err); ok {
-		return s.status
+	if err == nil {
+		return 0
 	}
-	if err != nil {
-		return 1
-	}
-	return 0
+	return exitStatus(err)
 }
 
 // hostile sends a member and an origin what they have to stand: each closes that connection alone.
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -28,10 +28,10 @@
 		lost            []int
 	}{{"a rack", "1-4", "5-30,origins", numbered(1, 4)}, {"a zone with an origin", "8-15,o1", "1-7,16-30,o2-5", numbered(8, 15)}} {
 		r.play("cut " + x.cut + " " + x.rest)
-		s, at = r.pushed(3, r.file(""))
+		s, at = r.pushUntilAccepted(3, r.file(""))
 		r.inForce(x.what+" is cut off: the others, at once", s, at, without(x.lost), soon)
 		time.Sleep(8 * time.Second) // until views have buried it
-		s, at = r.pushed(3, r.file(""))
+		s, at = r.pushUntilAccepted(3, r.file(""))
 		r.inForce(x.what+" is cut off: the others, 8 s later", s, at, without(x.lost), soon)
 		at = time.Now()
 		r.play("heal")
@@ -42,7 +42,7 @@
 	// A day's replacements, one after the other, each with a change meanwhile.
 	for n := 1; n <= r.members; n += 5 {
 		file, done := r.file(""), make(chan bool)
-		go func() { s, at = r.pushed(1+n%r.origins, file); close(done) }()
+		go func() { s, at = r.pushUntilAccepted(1+n%r.origins, file); close(done) }()
 		r.play(fmt.Sprintf("restart %d 50ms", n))
 		<-done
 		r.inForce(fmt.Sprintf("m%02d is replaced meanwhile: the others", n), s, at, without([]int{n}), soon)
@@ -69,7 +69,7 @@
 	}
 	all.Wait()
 	t.Logf("a flood of pushes for 10 s: %v accepted", accepted)
-	s, at = r.pushed(2, r.file(""))
+	s, at = r.pushUntilAccepted(2, r.file(""))
 	r.inForce("after a flood", s, at, r.all(), soon)
 
 	// As large as a snapshot may be, and what packs badly.
@@ -77,18 +77,18 @@
 	for i := 0; b.Len() < controlplane.MaxSnapshotSize-200; i++ {
 		fmt.Fprintf(b, "# %x\n", controlplane.HashText(fmt.Append(nil, i)))
 	}
-	s, at = r.pushed(2, r.file(b.String()[:controlplane.MaxSnapshotSize-200]))
+	s, at = r.pushUntilAccepted(2, r.file(b.String()[:controlplane.MaxSnapshotSize-200]))
 	r.inForce("a snapshot of 256 KiB", s, at, r.all(), soon)
-	s, _ = r.pushed(2, r.file(""))
+	s, _ = r.pushUntilAccepted(2, r.file(""))
 
 	r.cost("quiet", 30*time.Second, func() {})
 	r.cost("a change each 5 s, ten times 1,700 a day", 30*time.Second, func() {
 		for range 6 {
-			s, at = r.pushed(2, r.file(""))
+			s, at = r.pushUntilAccepted(2, r.file(""))
 			time.Sleep(5 * time.Second)
 		}
 	})
-	s, at = r.pushed(2, r.file(""))
+	s, at = r.pushUntilAccepted(2, r.file(""))
 	r.inForce("after it", s, at, r.all(), soon)
 
 	// One store is rolled back to yesterday's.
@@ -111,7 +111,7 @@
 	yesterday := save(5)
 	r.play("start o5")
 	for range 3 {
-		s, at = r.pushed(1, r.file(""))
+		s, at = r.pushUntilAccepted(1, r.file(""))
 	}
 	testutil.Until(t, "the origin has what its store is to lose", func() bool {
 		st, err := transport.NewClient("rig", r.Origin(5)).Status(t.Context())
@@ -124,7 +124,7 @@
 		st, err := transport.NewClient("rig", r.Origin(5)).Status(t.Context())
 		return err == nil && st.Role == origin.RoleRolledBack
 	})
-	s, at = r.pushed(1, r.file(""))
+	s, at = r.pushUntilAccepted(1, r.file(""))
 	r.inForce("with an origin whose store was rolled back", s, at, r.all(), soon)
 
 	// All are rolled back: only the members know. Nothing older comes back, and pushes stop by name until a higher epoch is founded.
@@ -132,7 +132,7 @@
 	saved := []string{save(1), save(2), save(3), save(4)}
 	r.play("start o1-4")
 	for range 3 {
-		s, at = r.pushed(2, r.file(""))
+		s, at = r.pushUntilAccepted(2, r.file(""))
 	}
 	r.inForce("before all origins are rolled back", s, at, r.all(), soon)
 	r.play("kill origins")
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	r.play("start origins")
-	s, at = r.pushed(2, r.file(""))
+	s, at = r.pushUntilAccepted(2, r.file(""))
 	if s.Epoch != 2 {
 		t.Errorf("%v", s)
 	}
--- /dev/null
+++ b/cmd/hazelwing/exiterror.go
@@ -0,0 +1,26 @@
+package main
+
+import "errors"
+
+// statusFailure is the exit status of an error that has no status of its own.
+const statusFailure = 1
+
+// exitError is an error with an exit status of its own.
+type exitError struct {
+	err    error
+	status int
+}
+
+// Error returns the text of the error without the status.
+func (e exitError) Error() string { return e.err.Error() }
+
+// Unwrap returns the error without the status.
+func (e exitError) Unwrap() error { return e.err }
+
+// exitStatus returns the exit status for an error of a command.
+func exitStatus(err error) int {
+	if exit, ok := errors.AsType[exitError](err); ok {
+		return exit.status
+	}
+	return statusFailure
+}
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -11,7 +11,6 @@
 	"net/netip"
 	"os"
 	"os/signal"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -22,135 +21,165 @@
 )
 
 const (
-	fleetAskTime  = 3 * time.Second
-	fleetReadMost = 64 << 20
-	unsettled     = 2 // status: somebody is suspect or dead, or the sidecar has not joined yet
+	fleetRequestTimeout = 3 * time.Second
+	maxFleetStatusBytes = 64 << 20
+
+	// statusUnsettled is the exit status if a member is suspect or dead, or the sidecar has not joined yet.
+	statusUnsettled = 2
 )
 
-func fleetCommand() *cobra.Command {
-	var file, at string
-	var asJSON, watch bool
-	var every time.Duration
+type fleetOptions struct {
+	operatorFile string
+	adminAddr    string
+	asJSON       bool
+	watch        bool
+	interval     time.Duration // with watch
+}
+
+func newFleetCommand() *cobra.Command {
+	var options fleetOptions
 	c := &cobra.Command{
 		Use:   "fleet",
 		Short: "Show the view that a running sidecar has of the others",
-		Long: `Show the view that a running sidecar has of the others: name, life, state, since when, told by whom, and its own health.
+		Long: `Show the view that a running sidecar has of the others: name, life, state, since when, told by whom, ` +
+			`and its own health.
 It is asked at its admin endpoint: --admin, or admin.listen of the operator's file (--operator, or HAZELWING_OPERATOR).
 
-The status is 0 where all are alive or have left, 2 where somebody is suspect or dead or the sidecar has not joined yet, and 1
+The status is 0 where all are alive or have left, 2 where somebody is suspect or dead or the sidecar has ` +
+			`not joined yet, ` +
+			`and 1
 where it cannot be asked.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if at == "" {
-				if file == "" {
-					return errors.New("fleet: --admin or --operator is wanted")
-				}
-				op, err := operator.Load(file)
-				if err != nil {
-					return err
-				}
-				if op.Admin == nil {
-					return fmt.Errorf("%s: there is no [admin] to ask", file)
-				}
-				at = op.Admin.Listen
-			}
-			if _, err := netip.ParseAddrPort(at); err != nil {
-				return fmt.Errorf("fleet: --admin: %q is no address such as \"127.0.0.1:9180\"", at)
+			addr, err := options.address()
+			if err != nil {
+				return err
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
 			defer stop()
-			for {
-				s, err := askFleet(ctx, at)
-				if err != nil {
-					return err
-				}
-				if err := showFleet(cmd.OutOrStdout(), s, asJSON); err != nil {
-					return err
-				}
-				if !watch {
-					return verdict(s)
-				}
-				select {
-				case <-ctx.Done():
-					return nil
-				case <-time.After(every):
-				}
-			}
+			return options.run(ctx, cmd.OutOrStdout(), addr)
 		},
 	}
-	c.Flags().StringVar(&file, "operator", os.Getenv(operatorVariable), "the operator's file")
-	c.Flags().StringVar(&at, "admin", "", "the admin endpoint's address")
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	c.Flags().BoolVar(&watch, "watch", false, "again and again")
-	c.Flags().DurationVar(&every, "every", time.Second, "with --watch: how often")
+	flags := c.Flags()
+	flags.StringVar(&options.operatorFile, "operator", os.Getenv(operatorVariable), "the operator's file")
+	flags.StringVar(&options.adminAddr, "admin", "", "the admin endpoint's address")
+	flags.BoolVar(&options.asJSON, "json", false, "as JSON")
+	flags.BoolVar(&options.watch, "watch", false, "again and again")
+	flags.DurationVar(&options.interval, "every", time.Second, "with --watch: how often")
 	return c
 }
 
-// askFleet asks a running sidecar.
-func askFleet(ctx context.Context, at string) (s gossip.Status, err error) {
-	ctx, end := context.WithTimeout(ctx, fleetAskTime)
-	defer end()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/fleet", nil)
+// address returns the address of the admin endpoint.
+func (o *fleetOptions) address() (string, error) {
+	addr := o.adminAddr
+	if addr == "" {
+		if o.operatorFile == "" {
+			return "", errors.New("fleet: --admin or --operator is wanted")
+		}
+		config, err := operator.Load(o.operatorFile)
+		if err != nil {
+			return "", err
+		}
+		if config.Admin == nil {
+			return "", fmt.Errorf("%s: there is no [admin] to ask", o.operatorFile)
+		}
+		addr = config.Admin.Listen
+	}
+	if _, err := netip.ParseAddrPort(addr); err != nil {
+		return "", fmt.Errorf("fleet: --admin: %q is no address such as \"127.0.0.1:9180\"", addr)
+	}
+	return addr, nil
+}
+
+// run prints the status of the cluster once, or with watch until ctx is done.
+func (o *fleetOptions) run(ctx context.Context, out io.Writer, addr string) error {
+	for {
+		status, err := fetchFleetStatus(ctx, addr)
+		if err != nil {
+			return err
+		}
+		if err := printFleetStatus(out, status, o.asJSON); err != nil {
+			return err
+		}
+		if !o.watch {
+			return checkFleetStatus(status)
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(o.interval):
+		}
+	}
+}
+
+// fetchFleetStatus returns the view that the sidecar with this admin endpoint has of the cluster.
+func fetchFleetStatus(ctx context.Context, addr string) (gossip.Status, error) {
+	var status gossip.Status
+	ctx, cancel := context.WithTimeout(ctx, fleetRequestTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/fleet", nil)
 	if err != nil {
-		return s, err
+		return status, err
 	}
-	resp, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return s, fmt.Errorf("fleet: %w", err)
+		return status, fmt.Errorf("fleet: %w", err)
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("fleet: %s answers %s: its operator's file has no [fleet], perhaps", at, resp.Status)
+	defer closeReader(response.Body)
+	if response.StatusCode != http.StatusOK {
+		return status, fmt.Errorf("fleet: %s answers %s: its operator's file has no [fleet], perhaps",
+			addr, response.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, fleetReadMost)).Decode(&s); err != nil {
-		return s, fmt.Errorf("fleet: %s: %w", at, err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxFleetStatusBytes)).Decode(&status); err != nil {
+		return status, fmt.Errorf("fleet: %s: %w", addr, err)
 	}
-	if s.Name == "" {
-		return s, fmt.Errorf("fleet: %s: the sidecar is too busy to say", at)
+	if status.Name == "" {
+		return status, fmt.Errorf("fleet: %s: the sidecar is too busy to say", addr)
 	}
-	return s, nil
+	return status, nil
 }
 
-func showFleet(w io.Writer, s gossip.Status, asJSON bool) error {
+func printFleetStatus(out io.Writer, status gossip.Status, asJSON bool) error {
 	if asJSON {
-		e := json.NewEncoder(w)
-		e.SetIndent("", "  ")
-		return e.Encode(s)
-	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "NAME\tADDRESS\tLIFE\tSTATE\tFOR\tBY")
-	for _, m := range s.Members {
-		name := m.Name
-		if m.Self {
+		return printJSON(out, status)
+	}
+	table := newTable(out)
+	printLine(table, "NAME\tADDRESS\tLIFE\tSTATE\tFOR\tBY")
+	for _, member := range status.Members {
+		name := member.Name
+		if member.Self {
 			name += " (itself)"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d.%d\t%s\t%s\t%s\n", name, m.Addr, m.Generation, m.Refutations, m.State, m.StateAge, cmp.Or(m.ReportedBy, "-"))
+		printf(table, "%s\t%s\t%d.%d\t%s\t%s\t%s\n", name, member.Addr, member.Generation, member.Refutations,
+			member.State, member.StateAge, cmp.Or(member.ReportedBy, "-"))
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	c := s.Core
+	core := status.Core
 	joining := ""
-	if c.Joining {
+	if core.Joining {
 		joining = ", nobody was heard yet"
 	}
-	_, err := fmt.Fprintf(w, "%s of %s: %d live of %d known, reckons with %d, own slowness %d, %d words%s\n", s.Name, s.ClusterName, c.LiveMembers, c.KnownMembers, c.EstimatedSize, c.HealthScore, c.Notices, joining)
+	_, err := fmt.Fprintf(out, "%s of %s: %d live of %d known, reckons with %d, own slowness %d, %d words%s\n",
+		status.Name, status.ClusterName, core.LiveMembers, core.KnownMembers, core.EstimatedSize, core.HealthScore,
+		core.Notices, joining)
 	return err
 }
 
-// verdict is an error with a status where the view is not settled.
-func verdict(s gossip.Status) error {
-	if s.Core.Joining {
-		return exitStatus{errors.New("fleet: it has not joined yet"), unsettled}
-	}
-	n := 0
-	for _, m := range s.Members {
-		if m.State == cluster.Suspect || m.State == cluster.Dead {
-			n++
+// checkFleetStatus returns an exitError if the sidecar has not joined the cluster, or if a member is suspect or dead.
+func checkFleetStatus(status gossip.Status) error {
+	if status.Core.Joining {
+		return exitError{errors.New("fleet: it has not joined yet"), statusUnsettled}
+	}
+	unhealthy := 0
+	for _, member := range status.Members {
+		if member.State == cluster.Suspect || member.State == cluster.Dead {
+			unhealthy++
 		}
 	}
-	if n > 0 {
-		return exitStatus{fmt.Errorf("fleet: %d suspect or dead", n), unsettled}
+	if unhealthy > 0 {
+		return exitError{fmt.Errorf("fleet: %d suspect or dead", unhealthy), statusUnsettled}
 	}
 	return nil
 }
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -103,7 +103,7 @@
 	if err := r.Play(t.Context(), "kill 3\nwait state 3 dead 30s 1-2"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = execute("fleet", "--admin", r.Admin(1)); err == nil || err.(exitStatus).status != unsettled {
+	if _, err = execute("fleet", "--admin", r.Admin(1)); err == nil || exitStatus(err) != statusUnsettled {
 		t.Errorf("with a dead member: %v", err)
 	}
 	if _, err := execute("fleet", "--admin", r.Admin(3)); err == nil {
--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -41,11 +40,7 @@
 
 // failure is an error as the golden files have it, with the process's status.
 func failure(err error) string {
-	status := 1
-	if s, ok := errors.AsType[exitStatus](err); ok {
-		status = s.status
-	}
-	return fmt.Sprintf("\nstatus %d: %v\n", status, err)
+	return fmt.Sprintf("\nstatus %d: %v\n", exitStatus(err), err)
 }
 
 // What config status and config show print of an origin's answers, as JSON and as text.
@@ -85,7 +80,7 @@
 // What config push prints as JSON.
 func TestPushOutputFormatIsStable(t *testing.T) {
 	stamp := controlplane.Revision{Epoch: 3, Version: 17, Hash: "h"}
-	push := pushed{
+	push := pushResult{
 		Result: origin.Result{ID: "push-1", Outcome: origin.OutcomeAccepted, Revision: stamp, Error: "why"}, After: 16, Took: "10ms", Within: "20ms",
 		Report: &controlplane.Report{
 			Members: 5, Latest: stamp, Active: []controlplane.RevisionCount{{Revision: stamp, Count: 3}}, OtherRevisions: 1,
@@ -95,13 +90,13 @@
 	testutil.Filled(t, push)
 	testutil.ExplicitNames(t, "json", push)
 	var out bytes.Buffer
-	for _, v := range []pushed{push, {}} {
-		if err := print(&out, v); err != nil {
+	for _, v := range []pushResult{push, {}} {
+		if err := printJSON(&out, v); err != nil {
 			t.Fatal(err)
 		}
 	}
 	testutil.Golden(t, "format/config-push.json", out.Bytes())
-	var read pushed
+	var read pushResult
 	if err := json.NewDecoder(&out).Decode(&read); err != nil || !reflect.DeepEqual(read, push) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, push)
 	}
@@ -119,7 +114,7 @@
 	testutil.Filled(t, report)
 	testutil.ExplicitNames(t, "json", report)
 	var out bytes.Buffer
-	if err := reportLoad(&out, []load.Report{report}, true); err != nil {
+	if err := printLoadReports(&out, []load.Report{report}, true); err != nil {
 		out.WriteString(failure(err))
 	}
 	testutil.Golden(t, "format/load-report.json", out.Bytes())
@@ -160,7 +155,7 @@
 		testutil.ExplicitNames(t, "json", v)
 		var out bytes.Buffer
 		for _, one := range []any{v, reflect.Zero(reflect.TypeOf(v)).Interface()} {
-			if err := print(&out, one); err != nil {
+			if err := printJSON(&out, one); err != nil {
 				t.Fatal(err)
 			}
 		}
--- /dev/null
+++ b/cmd/hazelwing/lab_capacity.go
@@ -0,0 +1,134 @@
+//go:build !small
+
+package main
+
+import (
+	"context"
+	"errors"
+	"io"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"runtime/debug"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"hazelwing/internal/simulation/capacity"
+)
+
+const (
+	// capacityMemoryLimit is the heap size in bytes from which the collector works harder. This prevents hundreds of
+	// queues from filling the memory while the process is short of processor time.
+	capacityMemoryLimit = 6 << 30
+
+	// capacityGCPercent is the daemon's value, not the lab's, since memory is measured.
+	capacityGCPercent = 100
+
+	resultsFileMode = 0o644
+)
+
+// capacityRun plays capacity experiments and collects their results.
+type capacityRun struct {
+	out      io.Writer
+	progress io.Writer
+	outPath  string // of the results; empty: they are only shown
+	sizes    []int  // in place of the experiments' sizes, if any
+	results  []capacity.Result
+}
+
+func newLabCapacityCommand() *cobra.Command {
+	var run capacityRun
+	c := &cobra.Command{
+		Use: "capacity FILE...",
+		Short: "Measure what control costs each role in fleets of growing size, on real sockets; " +
+			"status 1 where a claim does not hold",
+		Long: `Play experiments with sidecars without traffic, hundreds in this process, ` +
+			`and write what was measured as JSON, a row a figure.
+Counts do not depend on the machine; times and processor time do: it should do nothing else meanwhile.`,
+		Args: cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if os.Getenv("GOGC") == "" {
+				debug.SetGCPercent(capacityGCPercent)
+			}
+			debug.SetMemoryLimit(capacityMemoryLimit)
+			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
+			defer stop()
+			run.out, run.progress = cmd.OutOrStdout(), cmd.ErrOrStderr()
+			var failedClaims []error
+			for _, path := range args {
+				err := run.play(ctx, path)
+				if err != nil && !errors.Is(err, errClaim) {
+					return err
+				}
+				failedClaims = append(failedClaims, err)
+			}
+			return errors.Join(failedClaims...)
+		},
+	}
+	c.Flags().StringVar(&run.outPath, "out", "",
+		"file for the results, in which those of other experiments and sizes stay; none: they are shown alone")
+	c.Flags().IntSliceVar(&run.sizes, "sizes", nil, "members, in place of the files' sizes")
+	return c
+}
+
+// play plays the experiment of a file. An error that wraps errClaim says that a claim does not hold.
+func (r *capacityRun) play(ctx context.Context, path string) error {
+	e, err := capacity.ReadExperiment(path)
+	if err != nil {
+		return err
+	}
+	if len(r.sizes) > 0 {
+		e.Sizes = r.sizes
+	}
+	printf(r.out, "%s: %s\n", path, e.Question)
+	first := len(r.results)
+	for _, size := range e.Sizes {
+		if err := r.playSize(ctx, e, size); err != nil {
+			return err
+		}
+	}
+	if err := capacity.Show(r.out, r.results[first:]); err != nil {
+		return err
+	}
+	if err := e.Judge(r.results[first:]); err != nil {
+		return errors.Join(errClaim, err)
+	}
+	return nil
+}
+
+// playSize plays an experiment at one size. What was measured until an error is written too.
+func (r *capacityRun) playSize(ctx context.Context, e *capacity.Experiment, size int) error {
+	results, playErr := e.Play(ctx, size, func(format string, args ...any) {
+		printf(r.progress, format+"\n", args...)
+	})
+	r.results = append(r.results, results...)
+	if r.outPath != "" {
+		if err := saveResults(r.outPath, r.results); err != nil {
+			return err
+		}
+	}
+	return playErr
+}
+
+// saveResults writes results to a file, in place of those in it that are of the same experiment and size.
+func saveResults(path string, results []capacity.Result) error {
+	saved, err := capacity.Read(path)
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
+		return err
+	}
+	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
+	if err != nil {
+		return err
+	}
+	defer func() { _ = os.Remove(file.Name()) }() // fails once the file has been renamed
+	err = errors.Join(
+		capacity.Write(file, capacity.Replace(saved, results)),
+		file.Chmod(resultsFileMode),
+		file.Close(),
+	)
+	if err != nil {
+		return err
+	}
+	return os.Rename(file.Name(), path)
+}
--- /dev/null
+++ b/cmd/hazelwing/lab_hunt.go
@@ -0,0 +1,109 @@
+//go:build !small
+
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"syscall"
+
+	"github.com/spf13/cobra"
+	"golang.org/x/term"
+
+	"hazelwing/internal/simulation/baseline"
+	"hazelwing/internal/simulation/experiment"
+	"hazelwing/internal/simulation/worstcase"
+)
+
+const maxHuntTries = 1_000_000
+
+type huntOptions struct {
+	worstcase.Options
+	outPath string // of the experiment that is written
+}
+
+func newLabHuntCommand() *cobra.Command {
+	var options huntOptions
+	c := &cobra.Command{
+		Use:   "hunt FILE",
+		Short: "Search for the day on which hazelwing loses most against a rival, or breaks a rule",
+		Long: `Draw loads and fault scripts over an experiment's world, keep the day on which the ` +
+			`contestant loses most against the
+rival or breaks a rule, shrink it to the least script that still does it, and write it as an experiment. The same file,
+seed and number of tries find the same day.`,
+		Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if options.Tries < 1 || options.Tries > maxHuntTries {
+				return fmt.Errorf("--tries is from 1 to %d", maxHuntTries)
+			}
+			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
+			defer stop()
+			return options.run(ctx, cmd.OutOrStdout(), cmd.ErrOrStderr(), args[0])
+		},
+	}
+	flags := c.Flags()
+	flags.StringVar(&options.Contestant, "contestant", baseline.Own, "who is hunted")
+	flags.StringVar(&options.Rival, "against", "p2c", "the rival")
+	flags.IntVar(&options.Tries, "tries", 200, "days that are drawn")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the drawing")
+	flags.IntVar(&options.Cores, "cores", 0, "days played at a time; 0: one a core")
+	flags.StringVar(&options.outPath, "out", "found/day.toml", "the experiment to write; it must not be there")
+	return c
+}
+
+// run searches for the worst case of the experiment in a file and writes it as an experiment.
+func (o *huntOptions) run(ctx context.Context, out, progressOut io.Writer, path string) error {
+	e, err := experiment.Load(path)
+	if err != nil {
+		return err
+	}
+	day, err := o.hunt(ctx, progressOut, e)
+	if err != nil {
+		return err
+	}
+	text, err := worstcase.Experiment(e, o.Options, day, filepath.Dir(o.outPath))
+	if err != nil {
+		return err
+	}
+	if err := writeNewFile(o.outPath, text); err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(out, "%s: %s loses %.3f against %s, %d rules broken, load %.2f, %d faults\n",
+		o.outPath, o.Contestant, day.Loss, o.Rival, day.Breaks, day.Load, len(day.Faults))
+	return err
+}
+
+// hunt searches for the worst case and shows its progress on a terminal.
+func (o *huntOptions) hunt(
+	ctx context.Context, progressOut io.Writer, e *experiment.Experiment,
+) (worstcase.Day, error) {
+	isTerminal := term.IsTerminal(int(os.Stderr.Fd()))
+	o.Progress = func(done, total int, worst float64) {
+		if isTerminal {
+			printf(progressOut, "\r%d of %d days, the worst loses %.3f   ", done, total, worst)
+		}
+	}
+	day, err := worstcase.Hunt(ctx, e, o.Options)
+	if isTerminal {
+		printLine(progressOut)
+	}
+	return day, err
+}
+
+// writeNewFile writes a file in a directory that is made where it is missing. It fails where the file exists.
+func writeNewFile(path string, text []byte) error {
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		return err
+	}
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	if err != nil {
+		return err
+	}
+	_, err = file.Write(text)
+	return errors.Join(err, file.Close())
+}
--- /dev/null
+++ b/cmd/hazelwing/lab_run.go
@@ -0,0 +1,124 @@
+//go:build !small
+
+package main
+
+import (
+	"context"
+	"io"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+	"golang.org/x/term"
+
+	"hazelwing/internal/simulation/experiment"
+)
+
+// progressBarWidth is in characters.
+const progressBarWidth = 30
+
+type labRunOptions struct {
+	dir   string // of the runs
+	cores int    // simulations that run at the same time; 0: one a core
+}
+
+func newLabRunCommand() *cobra.Command {
+	var options labRunOptions
+	c := &cobra.Command{
+		Use:   "run FILE...",
+		Short: "Play experiments; status 1 where a claim does not hold",
+		Long: `Play experiments on all cores and judge their claims. A run is kept in a file, ` +
+			`a line for each contestant, point and seed;
+one that was ended goes on where it was. The same experiment and program give the same bytes.`,
+		Args: cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
+			defer stop()
+			allHold := true
+			for _, path := range args {
+				holds, err := options.play(ctx, cmd.OutOrStdout(), cmd.ErrOrStderr(), path)
+				if err != nil {
+					return err
+				}
+				allHold = allHold && holds
+			}
+			if !allHold {
+				return errClaim
+			}
+			return nil
+		},
+	}
+	c.Flags().StringVar(&options.dir, "out", labDir, "directory for the runs")
+	c.Flags().IntVar(&options.cores, "cores", 0, "worlds played at a time; 0: one a core")
+	return c
+}
+
+// play plays the experiment of a file, prints its claims and its table, and reports whether the claims hold.
+func (o *labRunOptions) play(ctx context.Context, out, progressOut io.Writer, path string) (bool, error) {
+	e, err := experiment.Load(path)
+	if err != nil {
+		return false, err
+	}
+	runPath := filepath.Join(o.dir, e.Name+"-"+e.Hash+".jsonl")
+	progress := newLabProgress(progressOut, e.Name)
+	runs, err := e.Play(ctx, runPath, o.cores, progress.update)
+	progress.end()
+	if err != nil {
+		return false, err
+	}
+	header, _, err := experiment.ReadRun(runPath)
+	if err != nil {
+		return false, err
+	}
+	printf(out, "%s: %s\n%s\n", e.Name, e.Question, runPath)
+	verdicts, err := experiment.Judge(header, runs)
+	if err != nil {
+		return false, err
+	}
+	holds := printClaims(out, verdicts)
+	_ = printRunTable(out, header, runs) // the status says whether the claims hold, also where the output is not read
+	printLine(out)
+	return holds, nil
+}
+
+// labProgress shows a bar on a terminal while an experiment is played, and nothing elsewhere.
+type labProgress struct {
+	out        io.Writer
+	name       string
+	isTerminal bool
+	startedAt  time.Time
+	initial    int // what was done before, by an interrupted run; -1: not known yet
+}
+
+func newLabProgress(out io.Writer, name string) *labProgress {
+	return &labProgress{
+		out:        out,
+		name:       name,
+		isTerminal: term.IsTerminal(int(os.Stderr.Fd())),
+		startedAt:  time.Now(),
+		initial:    -1,
+	}
+}
+
+func (p *labProgress) update(done, total int) {
+	if p.initial < 0 {
+		p.initial = done
+	}
+	if !p.isTerminal {
+		return
+	}
+	full := progressBarWidth * done / total
+	bar := strings.Repeat("#", full) + strings.Repeat(".", progressBarWidth-full)
+	remaining := experiment.Left(p.startedAt, p.initial, done, total).Round(time.Second)
+	printf(p.out, "\r%s [%s] %d of %d, %v left   ", p.name, bar, done, total, remaining)
+}
+
+func (p *labProgress) end() {
+	if p.isTerminal {
+		printLine(p.out)
+	}
+}
--- a/cmd/hazelwing/lab_test.go
+++ b/cmd/hazelwing/lab_test.go
@@ -55,8 +55,13 @@
 	if _, err := execute("lab", "hunt", good, "--contestant", "random", "--tries", "1", "--out", found); err == nil || !strings.Contains(err.Error(), found) {
 		t.Errorf("what was found is written over: %v", err)
 	}
-	for _, args := range [][]string{{"check", write("odd.toml", labText+"[[clam]]\n")}, {"run", filepath.Join(dir, "absent.toml")}, {"show", good}, {"list", runs},
-		{"hunt", good, "--tries", "0"}} {
+	for _, args := range [][]string{
+		{"check", write("odd.toml", labText+"[[clam]]\n")},
+		{"run", filepath.Join(dir, "absent.toml")},
+		{"show", good},
+		{"list", runs},
+		{"hunt", good, "--tries", "0"},
+	} {
 		if _, err := execute(append([]string{"lab"}, args...)...); err == nil {
 			t.Errorf("%q: no error", args)
 		}
--- a/cmd/hazelwing/leave_test.go
+++ b/cmd/hazelwing/leave_test.go
@@ -80,8 +80,13 @@
 			}
 		}
 	})
-	ways := []*leaving{{name: "FIN"}, {name: "reset", rst: true}, {name: "FIN behind more", more: 100}, {name: "FIN behind far more", more: 512 << 10},
-		{name: "reset behind far more", more: 512 << 10, rst: true}}
+	ways := []*leaving{
+		{name: "FIN"},
+		{name: "reset", rst: true},
+		{name: "FIN behind more", more: 100},
+		{name: "FIN behind far more", more: 512 << 10},
+		{name: "reset behind far more", more: 512 << 10, rst: true},
+	}
 	rng := rand.New(rand.NewPCG(*leaveSeed, 1))
 	type departure struct {
 		at  time.Time
--- a/cmd/hazelwing/load.go
+++ b/cmd/hazelwing/load.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net/url"
@@ -11,184 +10,181 @@
 	"strings"
 	"sync"
 	"syscall"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"hazelwing/internal/emulator"
 	"hazelwing/internal/load"
 )
 
-func loadCommand() *cobra.Command {
-	var seed uint64
-	var rate float64
-	var length time.Duration
-	var ramp, traffic, message string
-	var asJSON bool
-	shot := load.Shot{}
+// loadProgressInterval is the time between two lines of progress on a terminal.
+const loadProgressInterval = time.Second
+
+type loadOptions struct {
+	loadPlanOptions
+	messageFile string // the encoded request of gRPC targets
+	asJSON      bool
+}
+
+func newLoadCommand() *cobra.Command {
+	var options loadOptions
 	c := &cobra.Command{
 		Use:   "load URL...",
 		Short: "Load one or more HTTP or gRPC targets, all with the same requests at the same time",
-		Long: `Send requests as the platform's applications do, open loop: each has a time at which it is to be sent, whatever the
+		Long: `Send requests as the platform's applications do, open loop: each has a time at which it is ` +
+			`to be sent, whatever the
 answers before it did, and its latency counts from then. A target is http://HOST:PORT, or
 grpc://HOST:PORT/SERVICE/METHOD. With several targets all get the same requests at the same times.
 Where the machine was too slow to keep its times, the figures say so, and the status is 1.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			plan, err := planOf(seed, rate, ramp, length, traffic, shot)
-			if err != nil {
-				return err
-			}
-			var targets []load.Target
-			for _, a := range args {
-				t, closed, err := loadTarget(a, message)
-				if err != nil {
-					return err
-				}
-				defer closed()
-				targets = append(targets, t)
-			}
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			v := &loadView{out: cmd.ErrOrStderr(), ends: make([]map[load.Kind]int, len(targets))}
-			if term.IsTerminal(int(os.Stderr.Fd())) {
-				live, enough := context.WithCancel(ctx)
-				defer enough()
-				go load.Every(live, time.Second, v.print)
-			}
-			return reportLoad(cmd.OutOrStdout(), load.Run(ctx, plan, targets, v.note), asJSON)
+			return options.run(cmd.Context(), cmd.OutOrStdout(), cmd.ErrOrStderr(), args)
 		},
 	}
-	f := c.Flags()
-	f.Uint64Var(&seed, "seed", 1, "seed of the times")
-	f.Float64Var(&rate, "rate", 100, "requests a second, on average")
-	f.StringVar(&ramp, "ramp", "", "in place of --rate: points such as \"0s:100,10s:400,20s:100\"")
-	f.DurationVar(&length, "length", 10*time.Second, "how long")
-	f.StringVar(&traffic, "traffic", "", "recorded traffic to play in place of all these")
-	f.StringVar(&shot.Class, "class", "seat-search", "the requests' class")
-	f.StringVar(&shot.Effect, "effect", "safe", "safe, keyed or unsafe")
-	f.DurationVar(&shot.Deadline, "deadline", 2*time.Second, "how long an answer is waited for")
-	f.DurationVar(&shot.Work, "work", 0, "work told to stand-in nodes, and as the hint")
-	f.StringVar(&message, "message", "", "file with the encoded request of gRPC targets; none: a google.protobuf.StringValue")
-	f.BoolVar(&asJSON, "json", false, "print JSON")
+	flags := c.Flags()
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of the times")
+	flags.Float64Var(&options.rate, "rate", 100, "requests a second, on average")
+	flags.StringVar(&options.ramp, "ramp", "", "in place of --rate: points such as \"0s:100,10s:400,20s:100\"")
+	flags.DurationVar(&options.length, "length", 10*time.Second, "how long")
+	flags.StringVar(&options.trafficFile, "traffic", "", "recorded traffic to play in place of all these")
+	flags.StringVar(&options.shot.Class, "class", "seat-search", "the requests' class")
+	flags.StringVar(&options.shot.Effect, "effect", "safe", "safe, keyed or unsafe")
+	flags.DurationVar(&options.shot.Deadline, "deadline", 2*time.Second, "how long an answer is waited for")
+	flags.DurationVar(&options.shot.Work, "work", 0, "work told to stand-in nodes, and as the hint")
+	flags.StringVar(&options.messageFile, "message", "",
+		"file with the encoded request of gRPC targets; none: a google.protobuf.StringValue")
+	flags.BoolVar(&options.asJSON, "json", false, "print JSON")
 	return c
 }
 
-// grpcTarget makes a target of a gRPC method; nil where the build leaves gRPC out.
-var grpcTarget func(address string, body []byte) (load.Target, func() error, error)
+func (o *loadOptions) run(ctx context.Context, out, progressOut io.Writer, addresses []string) error {
+	plan, err := o.plan()
+	if err != nil {
+		return err
+	}
+	var targets []load.Target
+	for _, address := range addresses {
+		target, closeTarget, err := newLoadTarget(address, o.messageFile)
+		if err != nil {
+			return err
+		}
+		defer func() { _ = closeTarget() }() // its requests have ended
+		targets = append(targets, target)
+	}
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	progress := &loadProgress{
+		out:    progressOut,
+		counts: make([]map[load.Kind]int, len(targets)),
+	}
+	if term.IsTerminal(int(os.Stderr.Fd())) {
+		stopProgress := progress.start(ctx)
+		defer stopProgress()
+	}
+	return printLoadReports(out, load.Run(ctx, plan, targets, progress.count), o.asJSON)
+}
 
-// loadTarget makes a target of its address, and says how it is let go.
-func loadTarget(address, message string) (load.Target, func() error, error) {
+// newLoadTarget returns the target with an address, and a function that closes it.
+func newLoadTarget(address, messageFile string) (load.Target, func() error, error) {
 	u, err := url.Parse(address)
 	if err == nil && u.Scheme == "grpc" {
-		if grpcTarget == nil {
-			return nil, nil, fmt.Errorf("%s: this build (tag small) has no gRPC", address)
-		}
-		var body []byte
-		if message != "" {
-			if body, err = os.ReadFile(message); err != nil {
-				return nil, nil, err
-			}
-		}
-		return grpcTarget(address, body)
+		return newGRPCLoadTarget(address, messageFile)
 	}
 	if err != nil || u.Scheme != "http" || u.Host == "" || strings.Trim(u.Path, "/") != "" {
-		return nil, nil, fmt.Errorf("%q is no target such as http://127.0.0.1:8081 or grpc://127.0.0.1:8081/booking.v1.Booking/Do", address)
+		return nil, nil, fmt.Errorf("%q is no target such as http://127.0.0.1:8081 or "+
+			"grpc://127.0.0.1:8081/booking.v1.Booking/Do", address)
+	}
+	target := load.NewHTTP(address)
+	closeTarget := func() error {
+		target.Close()
+		return nil
 	}
-	t := load.NewHTTP(address)
-	return t, func() error { t.Close(); return nil }, nil
+	return target, closeTarget, nil
 }
 
-// planOf makes the plan that the flags say.
-func planOf(seed uint64, rate float64, ramp string, length time.Duration, traffic string, shot load.Shot) (load.Plan, error) {
-	if traffic != "" {
-		t, err := emulator.LoadTraffic(traffic)
-		if err != nil {
-			return nil, err
-		}
-		var plan load.Plan
-		for _, q := range t.Requests {
-			for _, c := range t.Classes {
-				if c.Name == q.Class {
-					plan = append(plan, load.Shot{At: q.At(), Class: c.Name, Effect: c.Effect, Deadline: time.Duration(c.DeadlineMS * float64(time.Millisecond)),
-						Work: time.Duration(q.WorkUS * float64(time.Microsecond))})
-				}
-			}
-		}
-		return plan, nil
-	}
-	if shot.Effect != "safe" && shot.Effect != "keyed" && shot.Effect != "unsafe" {
-		return nil, fmt.Errorf("--effect %q is not safe, keyed or unsafe", shot.Effect)
-	}
-	if shot.Deadline <= 0 || shot.Class == "" {
-		return nil, fmt.Errorf("--deadline is above 0, and --class is not empty")
-	}
-	curve := []load.Point{{Rate: rate}}
-	if ramp != "" {
-		curve = nil
-		for text := range strings.SplitSeq(ramp, ",") {
-			var p load.Point
-			at, r, ok := strings.Cut(text, ":")
-			d, err := time.ParseDuration(at)
-			if _, e := fmt.Sscan(r, &p.Rate); !ok || err != nil || e != nil {
-				return nil, fmt.Errorf("--ramp: %q is no point such as 10s:400", text)
-			}
-			p.At = d
-			curve = append(curve, p)
+func newGRPCLoadTarget(address, messageFile string) (load.Target, func() error, error) {
+	if !hasGRPC {
+		return nil, nil, fmt.Errorf("%s: this build (tag small) has no gRPC", address)
+	}
+	var body []byte
+	if messageFile != "" {
+		var err error
+		if body, err = os.ReadFile(messageFile); err != nil {
+			return nil, nil, err
 		}
 	}
-	return load.Poisson(seed, curve, length, shot)
+	return newGRPCTarget(address, body)
 }
 
-func reportLoad(out io.Writer, list []load.Report, asJSON bool) error {
+// printLoadReports prints the reports. It returns an error if the requests were sent too late for the figures to be
+// valid.
+func printLoadReports(out io.Writer, reports []load.Report, asJSON bool) error {
 	if asJSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		if err := e.Encode(list); err != nil {
-			return err
-		}
-	} else {
-		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "TARGET\tSERVED\tREFUSED\tFAILED\tBROKEN\tLATE\tUNSENT\tP50 MS\tP90\tP99\tP99.9\tMAX\tSENT LATE BY, P99 MS")
-		for _, r := range list {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\n", r.Target, r.Kinds["served"], r.Kinds["refused"], r.Kinds["failed"],
-				r.Kinds["broken"], r.Kinds["late"], r.Kinds["unsent"], r.P50, r.P90, r.P99, r.P999, r.Max, r.LateP99)
-		}
-		if err := w.Flush(); err != nil {
+		if err := printJSON(out, reports); err != nil {
 			return err
 		}
+	} else if err := printLoadTable(out, reports); err != nil {
+		return err
 	}
-	for _, r := range list {
+	for _, r := range reports {
 		if r.Slow {
-			return fmt.Errorf("one in a hundred requests was sent %.1f ms late: this machine was too slow, and the figures mean nothing", r.LateP99)
+			return fmt.Errorf("one in a hundred requests was sent %.1f ms late: "+
+				"this machine was too slow, and the figures mean nothing", r.LateP99)
 		}
 	}
 	return nil
 }
 
-// loadView shows how it goes, a line a second.
-type loadView struct {
-	out  io.Writer
-	mu   sync.Mutex
-	ends []map[load.Kind]int
+func printLoadTable(out io.Writer, reports []load.Report) error {
+	table := newTable(out)
+	printLine(table, "TARGET\tSERVED\tREFUSED\tFAILED\tBROKEN\tLATE\tUNSENT\t"+
+		"P50 MS\tP90\tP99\tP99.9\tMAX\tSENT LATE BY, P99 MS")
+	for _, r := range reports {
+		printf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t", r.Target,
+			r.Kinds["served"], r.Kinds["refused"], r.Kinds["failed"],
+			r.Kinds["broken"], r.Kinds["late"], r.Kinds["unsent"])
+		printf(table, "%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\n", r.P50, r.P90, r.P99, r.P999, r.Max, r.LateP99)
+	}
+	return table.Flush()
+}
+
+// loadProgress counts the requests that have ended, and prints the counts.
+type loadProgress struct {
+	out io.Writer
+
+	mu     sync.Mutex // guards counts
+	counts []map[load.Kind]int
+}
+
+// start prints the counts at intervals, in a goroutine. The function that it returns ends the goroutine and waits for
+// it.
+func (p *loadProgress) start(ctx context.Context) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	var wait sync.WaitGroup
+	wait.Go(func() { load.Every(ctx, loadProgressInterval, p.print) })
+	return func() {
+		cancel()
+		wait.Wait()
+	}
 }
 
-func (v *loadView) note(target int, k load.Kind, _ time.Duration) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.ends[target] == nil {
-		v.ends[target] = map[load.Kind]int{}
+// count counts the end of a request. load.Run calls it from the goroutines of the requests.
+func (p *loadProgress) count(target int, kind load.Kind, _ time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.counts[target] == nil {
+		p.counts[target] = map[load.Kind]int{}
 	}
-	v.ends[target][k]++
+	p.counts[target][kind]++
 }
 
-func (v *loadView) print() {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for i, ends := range v.ends {
-		fmt.Fprintf(v.out, "%d: %d served, %d refused, %d failed, %d broken, %d late, %d unsent\n", i+1, ends[load.Served], ends[load.Refused],
-			ends[load.Failed], ends[load.Broken], ends[load.Late], ends[load.Unsent])
+func (p *loadProgress) print() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i, counts := range p.counts {
+		printf(p.out, "%d: %d served, %d refused, %d failed, %d broken, %d late, %d unsent\n", i+1,
+			counts[load.Served], counts[load.Refused], counts[load.Failed],
+			counts[load.Broken], counts[load.Late], counts[load.Unsent])
 	}
 }
--- /dev/null
+++ b/cmd/hazelwing/load_plan.go
@@ -0,0 +1,84 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"hazelwing/internal/emulator"
+	"hazelwing/internal/load"
+)
+
+// loadPlanOptions say which requests are sent when.
+type loadPlanOptions struct {
+	seed        uint64
+	rate        float64 // requests a second
+	ramp        string  // in place of rate; see parseRamp
+	length      time.Duration
+	trafficFile string // in place of all others
+	shot        load.Shot
+}
+
+// plan returns the plan for the options.
+func (o *loadPlanOptions) plan() (load.Plan, error) {
+	if o.trafficFile != "" {
+		traffic, err := emulator.LoadTraffic(o.trafficFile)
+		if err != nil {
+			return nil, err
+		}
+		return recordedPlan(traffic), nil
+	}
+	switch o.shot.Effect {
+	case "safe", "keyed", "unsafe":
+	default:
+		return nil, fmt.Errorf("--effect %q is not safe, keyed or unsafe", o.shot.Effect)
+	}
+	if o.shot.Deadline <= 0 || o.shot.Class == "" {
+		return nil, errors.New("--deadline is above 0, and --class is not empty")
+	}
+	curve := []load.Point{{Rate: o.rate}}
+	if o.ramp != "" {
+		var err error
+		if curve, err = parseRamp(o.ramp); err != nil {
+			return nil, err
+		}
+	}
+	return load.Poisson(o.seed, curve, o.length, o.shot)
+}
+
+// recordedPlan returns the requests of recorded traffic.
+func recordedPlan(traffic *emulator.Traffic) load.Plan {
+	var plan load.Plan
+	for _, request := range traffic.Requests {
+		for _, class := range traffic.Classes {
+			if class.Name != request.Class {
+				continue
+			}
+			plan = append(plan, load.Shot{
+				At:       request.At(),
+				Class:    class.Name,
+				Effect:   class.Effect,
+				Deadline: time.Duration(class.DeadlineMS * float64(time.Millisecond)),
+				Work:     time.Duration(request.WorkUS * float64(time.Microsecond)),
+			})
+		}
+	}
+	return plan
+}
+
+// parseRamp parses points such as "0s:100,10s:400": a time and the rate at it, in requests a second.
+func parseRamp(text string) ([]load.Point, error) {
+	var curve []load.Point
+	for pointText := range strings.SplitSeq(text, ",") {
+		atText, rateText, hasRate := strings.Cut(pointText, ":")
+		at, atErr := time.ParseDuration(atText)
+		point := load.Point{At: at}
+		_, rateErr := fmt.Sscan(rateText, &point.Rate)
+		if !hasRate || atErr != nil || rateErr != nil {
+			return nil, fmt.Errorf("--ramp: %q is no point such as 10s:400", pointText)
+		}
+		curve = append(curve, point)
+	}
+	return curve, nil
+}
--- a/cmd/hazelwing/main_test.go
+++ b/cmd/hazelwing/main_test.go
@@ -12,7 +12,7 @@
 
 func TestBadConfigurationIsAnError(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", t.TempDir()+"/absent.json")
-	if err := run(""); err == nil || !strings.Contains(err.Error(), "absent.json") || strings.Contains(err.Error(), "\n") {
+	if err := runDaemon(""); err == nil || !strings.Contains(err.Error(), "absent.json") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("error %v, want one line that names the file", err)
 	}
 }
@@ -26,7 +26,7 @@
 	}
 	t.Setenv("RELAY_CONFIG", path)
 	ended := make(chan error, 1)
-	go func() { ended <- run("") }()
+	go func() { ended <- runDaemon("") }()
 	file, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once run has opened it, too
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -219,14 +219,14 @@
 func (r *mixedRig) checkConfiguration() (stamp controlplane.Revision) {
 	r.t.Helper()
 	for k := 1; k <= r.origins; k++ {
-		stamp, _ = r.pushed(k, r.file(""))
+		stamp, _ = r.pushUntilAccepted(k, r.file(""))
 		r.waitInForce(fmt.Sprintf("pushed to origin %d", k), stamp)
 	}
 	stamp = r.pushByOlderCommand(mixedOrigins, stamp)
 	r.waitInForce("pushed by the older command to a newer origin", stamp)
 	for _, unreachable := range []string{olderGroup, newerGroup} {
 		r.play("cut " + unreachable + " origins")
-		stamp, _ = r.pushed(mixedOrigins, r.file(""))
+		stamp, _ = r.pushUntilAccepted(mixedOrigins, r.file(""))
 		r.waitInForce("members "+unreachable+" reach no origin", stamp)
 		r.play("heal")
 	}
@@ -246,7 +246,7 @@
 		"--fleet", "rig", "--origin", r.Origin(number),
 		"--after", fmt.Sprint(latest.Version), "--wait", "0", "--json")
 	output, err := command.Output()
-	var answer pushed
+	var answer pushResult
 	if err = errors.Join(err, json.Unmarshal(output, &answer)); err != nil || answer.Outcome != origin.OutcomeAccepted {
 		r.fail(fmt.Errorf("the older command's push: %v, %s", err, output))
 	}
@@ -259,11 +259,11 @@
 	r.t.Helper()
 	leader := r.elect(older)
 	for k := 1; k <= r.origins; k++ {
-		stamp, _ = r.pushed(k, r.file(""))
+		stamp, _ = r.pushUntilAccepted(k, r.file(""))
 	}
 	r.waitInForce(fmt.Sprintf("origin %d leads", leader), stamp)
 	r.play(fmt.Sprintf("kill o%d", leader))
-	stamp, _ = r.pushed(1+leader%r.origins, r.file(""))
+	stamp, _ = r.pushUntilAccepted(1+leader%r.origins, r.file(""))
 	r.waitInForce(fmt.Sprintf("origin %d, which led, is killed", leader), stamp)
 	r.play(fmt.Sprintf("start o%d", leader))
 	r.waitOrigins(stamp)
@@ -377,7 +377,7 @@
 	}
 
 	r.play("start 2-6\nstart o2-3\nsettle 500ms 30s")
-	stamp, _ = r.pushed(olderOrigin, r.file(""))
+	stamp, _ = r.pushUntilAccepted(olderOrigin, r.file(""))
 	r.waitInForce("a member and the older origin were upgraded", stamp)
 	r.waitOrigins(stamp)
 	r.checkNothingRejected()
--- a/cmd/hazelwing/origin.go
+++ b/cmd/hazelwing/origin.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"math/rand/v2"
 	"os"
@@ -19,77 +20,111 @@
 	"hazelwing/internal/store"
 )
 
-func originCommand() *cobra.Command {
+func newOriginCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "origin",
 		Short: "Be one of the machines that hold a fleet's configuration",
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
+		RunE:  printHelp,
 	}
+	bootstrap := newOriginSubcommand(bootstrapOrigin)
+	bootstrap.Use = "found"
+	bootstrap.Short = "Found an origin: make its store, empty, for the file's fleet, epoch and peers"
+	bootstrap.Long = `Found an origin, once on each of the machines set aside, with the same fleet, epoch ` +
+		`and peers in each file. ` +
+		`A store of a lower epoch is
+replaced; one of the same epoch or a higher one is left as it is, and the status is 1.`
+	run := newOriginSubcommand(func(_ io.Writer, config *operator.Origin) error { return runOrigin(config) })
+	run.Use = "run"
+	run.Short = "Run an origin that was founded"
+	run.Long = `Run an origin until SIGTERM or SIGINT. It ends with status 1 and one line where it cannot start, ` +
+		`or where something that others were to
+rely on could not be made durable.`
+	c.AddCommand(bootstrap, run)
+	return c
+}
+
+// newOriginSubcommand returns a command that loads an origin's file and passes it to action.
+func newOriginSubcommand(action func(out io.Writer, config *operator.Origin) error) *cobra.Command {
 	var file string
-	add := func(use, short, long string, do func(cmd *cobra.Command, o *operator.Origin) error) {
-		sub := &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.NoArgs,
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				if file == "" {
-					return errors.New("origin: --file is wanted")
-				}
-				o, err := operator.LoadOrigin(file)
-				if err != nil {
-					return err
-				}
-				return do(cmd, o)
-			}}
-		sub.Flags().StringVar(&file, "file", os.Getenv("HAZELWING_ORIGIN_FILE"), "the origin's file (or HAZELWING_ORIGIN_FILE)")
-		c.AddCommand(sub)
-	}
-	add("found", "Found an origin: make its store, empty, for the file's fleet, epoch and peers",
-		`Found an origin, once on each of the machines set aside, with the same fleet, epoch and peers in each file. A store of a lower epoch is
-replaced; one of the same epoch or a higher one is left as it is, and the status is 1.`,
-		func(cmd *cobra.Command, o *operator.Origin) error {
-			st, err := openOriginStore(o)
+	c := &cobra.Command{
+		Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if file == "" {
+				return errors.New("origin: --file is wanted")
+			}
+			config, err := operator.LoadOrigin(file)
 			if err != nil {
 				return err
 			}
-			err = origin.Bootstrap(st, origin.BootstrapConfig{Cluster: o.Cluster, Epoch: uint64(o.Epoch), Origins: o.OriginNames})
-			if err = errors.Join(err, st.Close()); err != nil {
-				return fmt.Errorf("origin: %s: %w", o.Dir, err)
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is founded: fleet %s, epoch %d, %d origins\n", o.Name, o.Cluster, o.Epoch, len(o.OriginNames))
-			return nil
-		})
-	add("run", "Run an origin that was founded",
-		`Run an origin until SIGTERM or SIGINT. It ends with status 1 and one line where it cannot start, or where something that others were to
-rely on could not be made durable.`,
-		func(_ *cobra.Command, o *operator.Origin) error { return runOrigin(o) })
+			return action(cmd.OutOrStdout(), config)
+		},
+	}
+	c.Flags().StringVar(&file, "file", os.Getenv("HAZELWING_ORIGIN_FILE"),
+		"the origin's file (or HAZELWING_ORIGIN_FILE)")
 	return c
 }
 
-func openOriginStore(o *operator.Origin) (*store.Store, error) {
-	fs, err := store.Dir(o.Dir)
+func bootstrapConfig(config *operator.Origin) origin.BootstrapConfig {
+	return origin.BootstrapConfig{
+		Cluster: config.Cluster,
+		Epoch:   uint64(config.Epoch),
+		Origins: config.OriginNames,
+	}
+}
+
+func bootstrapOrigin(out io.Writer, config *operator.Origin) error {
+	st, err := openOriginStore(config)
+	if err != nil {
+		return err
+	}
+	err = errors.Join(origin.Bootstrap(st, bootstrapConfig(config)), st.Close())
+	if err != nil {
+		return fmt.Errorf("origin: %s: %w", config.Dir, err)
+	}
+	printf(out, "%s is founded: fleet %s, epoch %d, %d origins\n",
+		config.Name, config.Cluster, config.Epoch, len(config.OriginNames))
+	return nil
+}
+
+func openOriginStore(config *operator.Origin) (*store.Store, error) {
+	fs, err := store.Dir(config.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("origin: dir: %w", err)
 	}
 	st, err := store.Open(fs, store.Options{})
 	if err != nil {
-		return nil, fmt.Errorf("origin: %s: %w", o.Dir, err)
+		return nil, fmt.Errorf("origin: %s: %w", config.Dir, err)
 	}
 	return st, nil
 }
 
-func runOrigin(o *operator.Origin) (err error) {
+func runOrigin(config *operator.Origin) (err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	st, err := openOriginStore(o)
+	st, err := openOriginStore(config)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, st.Close()) }()
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	node, err := transport.NewOrigin(transport.OriginConfig{Store: st, ListenAddr: o.Listen, PeerAddrs: o.OriginAddrs, AllowedNetworks: o.AllowedNetworks, Log: log,
-		Node: origin.Config{BootstrapConfig: origin.BootstrapConfig{Cluster: o.Cluster, Epoch: uint64(o.Epoch), Origins: o.OriginNames}, Self: o.Name, Seed: rand.Uint64(), TickInterval: time.Duration(o.TickInterval)}})
+	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	node, err := transport.NewOrigin(transport.OriginConfig{
+		Store:           st,
+		ListenAddr:      config.Listen,
+		PeerAddrs:       config.OriginAddrs,
+		AllowedNetworks: config.AllowedNetworks,
+		Log:             logger,
+		Node: origin.Config{
+			BootstrapConfig: bootstrapConfig(config),
+			Self:            config.Name,
+			Seed:            rand.Uint64(),
+			TickInterval:    time.Duration(config.TickInterval),
+		},
+	})
 	if err != nil {
 		return fmt.Errorf("origin: %w", err)
 	}
-	log.Info("origin: listening", "name", o.Name, "at", node.Addr(), "fleet", o.Cluster, "epoch", o.Epoch)
+	logger.Info("listening", "component", "origin",
+		"name", config.Name, "addr", node.Addr(), "cluster", config.Cluster, "epoch", config.Epoch)
 	return node.Run(ctx)
 }
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if grpcTarget == nil { // a build with the tag "small" has no GraphQL
+	if !hasGRPC { // a build with the tag "small" has no GraphQL
 		text, _, _ = bytes.Cut(text, []byte("# GraphQL over HTTP"))
 	}
 	var on []string
@@ -107,8 +107,10 @@
 		on = append(on, line)
 	}
 	dir := t.TempDir()
-	for name, text := range map[string]string{"booking.graphql": "type Query { seats(train: ID!): Int }\ninput I { token: String }\ntype Mutation { confirmBooking(input: I): Int }",
-		"seeds": "10.0.0.6:7946 # the second\n", "documents.json": `{"home": "{ seats(train: 1) }"}`} {
+	for name, text := range map[string]string{
+		"booking.graphql": "type Query { seats(train: ID!): Int }\ninput I { token: String }\ntype Mutation { confirmBooking(input: I): Int }",
+		"seeds":           "10.0.0.6:7946 # the second\n", "documents.json": `{"home": "{ seats(train: 1) }"}`,
+	} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
