--- a/cmd/hazelwing/alone_test.go
+++ b/cmd/hazelwing/alone_test.go
@@ -12,14 +12,15 @@
 	"hazelwing/internal/testutil"
 )
 
-// startAlone makes a command, whose program is this test's, the daemon with this text as its configuration, and waits until it
-// listens at the address that is returned. Its log goes to log; nil: nowhere. It ends with the test.
+// startAlone starts a command, which runs the test's own program, as a daemon with this configuration, and waits
+// until it listens at the address that is returned. Its log is written to log, unless that is nil. It is killed at
+// the end of the test.
 func startAlone(t *testing.T, cmd *exec.Cmd, text string, log io.Writer) (addr string) {
 	t.Helper()
 	return startAt(t, cmd, text, "", log)
 }
 
-// startAt starts it at an address; empty: any.
+// startAt is startAlone for a given address; empty: any.
 func startAt(t *testing.T, cmd *exec.Cmd, text, addr string, log io.Writer) string {
 	t.Helper()
 	if addr == "" {
@@ -34,13 +35,14 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd.Env, cmd.Stderr = append(os.Environ(), testRun+"=1", "RELAY_CONFIG="+config, "RELAY_LISTEN="+addr), log
+	cmd.Env = append(os.Environ(), testRun+"=1", "RELAY_CONFIG="+config, "RELAY_LISTEN="+addr)
+	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
+		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Wait()         // the status of a killed process
 	})
 	testutil.Until(t, "the daemon", func() bool {
 		c, err := net.Dial("tcp", addr)
--- a/cmd/hazelwing/build_test.go
+++ b/cmd/hazelwing/build_test.go
@@ -15,7 +15,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// deployKey is a value of the deploy file.
+// deployKey returns a value of the deploy file.
 func deployKey(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -29,17 +29,26 @@
 	return m[1]
 }
 
-// The program is replaced whole: whoever starts it while it is built anew gets the old one or the new one. Guards against a
-// start that is refused (status 126 or 127) since the compiler removes the old file and copies the new one into its place.
-// A stand-in for the compiler stops half way.
+// The program is replaced atomically: a start while it is being built runs the old one or the new one. This prevents
+// starts that fail (status 126 or 127) since the compiler removes the old file and copies the new one into its place.
+// A fake compiler stops half way.
 func TestBuildReplacesWhole(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("the platform's programs are Linux's")
 	}
 	dir := t.TempDir()
-	compiler := "#!/bin/sh\nwhile [ \"$1\" != -o ]; do shift; done\nrm -f $2/hazelwing\nprintf ne > $2/hazelwing\n: > half\nuntil [ -e go-on ]; do sleep 0.01; done\nprintf w >> $2/hazelwing\n"
+	const compiler = `#!/bin/sh
+while [ "$1" != -o ]; do shift; done
+rm -f $2/hazelwing
+printf ne > $2/hazelwing
+: > half
+until [ -e go-on ]; do sleep 0.01; done
+printf w >> $2/hazelwing
+`
 	for name, text := range map[string]string{"bin/hazelwing": "old", "tools/go": compiler} {
-		if err := errors.Join(os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o755), os.WriteFile(filepath.Join(dir, name), []byte(text), 0o755)); err != nil {
+		path := filepath.Join(dir, name)
+		err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o755), os.WriteFile(path, []byte(text), 0o755))
+		if err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -50,19 +59,23 @@
 		}
 		return string(text)
 	}
-	c := exec.Command("/bin/sh", "-c", deployKey(t, "build"))
-	c.Dir, c.Env = dir, append(os.Environ(), "PATH="+filepath.Join(dir, "tools")+":"+os.Getenv("PATH"))
-	if err := c.Start(); err != nil {
+	build := exec.CommandContext(t.Context(), "/bin/sh", "-c", deployKey(t, "build"))
+	build.Dir = dir
+	build.Env = append(os.Environ(), "PATH="+filepath.Join(dir, "tools")+":"+os.Getenv("PATH"))
+	if err := build.Start(); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "the compiler is half way", func() bool { _, err := os.Stat(filepath.Join(dir, "half")); return err == nil })
+	testutil.Until(t, "the compiler is half way", func() bool {
+		_, err := os.Stat(filepath.Join(dir, "half"))
+		return err == nil
+	})
 	if p := program(); p != "old" {
 		t.Errorf("while it is built the program is %q, want the old one", p)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "go-on"), nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Wait(); err != nil || program() != "new" {
+	if err := build.Wait(); err != nil || program() != "new" {
 		t.Errorf("%v: the program is %q, want the new one", err, program())
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "bin/*")); len(left) != 1 {
@@ -70,8 +83,9 @@
 	}
 }
 
-// What the deploy file's build makes is one dynamically linked program, and run starts nothing else. It links in nothing that
-// starts programs: the platform refuses that on large fleets. Without a C compiler the build says that it is missing.
+// The build line of the deploy file makes one dynamically linked program, and the run line starts nothing else. The
+// program has no code that starts others, which the platform rejects on large fleets. Without a C compiler the build
+// says so.
 func TestDeploymentBuild(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("the platform's programs are Linux's")
@@ -83,8 +97,9 @@
 	dir := t.TempDir()
 	build := strings.ReplaceAll(key("build"), "bin", dir)
 	sh := func(env ...string) (string, error) {
-		c := exec.Command("/bin/sh", "-c", build)
-		c.Dir, c.Env = "../..", append(os.Environ(), env...)
+		c := exec.CommandContext(t.Context(), "/bin/sh", "-c", build)
+		c.Dir = "../.."
+		c.Env = append(os.Environ(), env...)
 		out, err := c.CombinedOutput()
 		return string(out), err
 	}
@@ -105,11 +120,14 @@
 		t.Fatal("no symbols", err)
 	}
 	for _, s := range symbols {
-		if strings.HasPrefix(s.Name, "os/exec.") || strings.HasPrefix(s.Name, "os.StartProcess") || strings.HasPrefix(s.Name, "net.ListenUnix") {
-			t.Errorf("the program can start others, or listens on Unix sockets: %s", s.Name)
+		for _, prefix := range []string{"os/exec.", "os.StartProcess", "net.ListenUnix"} {
+			if strings.HasPrefix(s.Name, prefix) {
+				t.Errorf("the program can start others, or listens on Unix sockets: %s", s.Name)
+			}
 		}
 	}
-	if out, err := sh("CC=a-compiler-that-is-not-there"); err == nil || !strings.Contains(out, "a-compiler-that-is-not-there") {
+	const missing = "a-compiler-that-is-not-there"
+	if out, err := sh("CC=" + missing); err == nil || !strings.Contains(out, missing) {
 		t.Errorf("without a compiler: %v\n%s", err, out)
 	}
 }
--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -17,8 +17,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each row of the page of capacity's table of bounds is a constant of the code with that value, or is counted by a test that is there
-// and holds its count to the row (fixture.HoldToPage). So a change that moves one fails until the page is brought in line.
+// Each row of the capacity page's table of bounds is the value of a constant of the code, or is counted by a test
+// that exists and compares its count with the row (testutil.HoldToPage). So a change of a bound fails until the page
+// is updated.
 func TestCapacityPageBounds(t *testing.T) {
 	root := testutil.Root(t)
 	rows := testutil.PageRows(t)
@@ -46,7 +47,7 @@
 	}
 }
 
-// holds says whether a package has that test, and holds something to the row.
+// holds reports whether a package has the test of a row, and a call that compares a count with the row.
 func holds(t *testing.T, dir string, r testutil.PageRow) bool {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	if err != nil {
@@ -57,78 +58,113 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if regexp.MustCompile(`(?m)^func `+r.By[1]+`\(`).Match(text) && strings.Contains(string(text), fmt.Sprintf("HoldToPage(t, %q", r.Name)) {
+		isDeclared := regexp.MustCompile(`(?m)^func ` + r.By[1] + `\(`).Match(text)
+		if isDeclared && strings.Contains(string(text), fmt.Sprintf("HoldToPage(t, %q", r.Name)) {
 			return true
 		}
 	}
 	return false
 }
 
-// constant is the value of a constant that a file declares; of a time it is the seconds.
+// constant returns the value of a constant that a file declares, in seconds if it is a duration.
 func constant(path, name string) (float64, error) {
-	f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return 0, err
 	}
-	declared := map[string]ast.Expr{}
-	for _, d := range f.Decls {
-		if g, ok := d.(*ast.GenDecl); ok && g.Tok == token.CONST {
-			for _, s := range g.Specs {
-				v := s.(*ast.ValueSpec)
-				for i, n := range v.Names {
-					if i < len(v.Values) {
-						declared[n.Name] = v.Values[i]
-					}
-				}
-			}
-		}
-	}
-	x, ok := declared[name]
+	constants := constantsOf(file)
+	expr, ok := constants[name]
 	if !ok {
 		return 0, fmt.Errorf("%s declares no constant %s", path, name)
 	}
-	var value func(e ast.Expr) (float64, error)
-	value = func(e ast.Expr) (float64, error) {
-		switch e := e.(type) {
-		case *ast.BasicLit:
-			return strconv.ParseFloat(strings.ReplaceAll(e.Value, "_", ""), 64)
-		case *ast.ParenExpr:
-			return value(e.X)
-		case *ast.Ident:
-			if y, ok := declared[e.Name]; ok {
-				return value(y)
-			}
-		case *ast.SelectorExpr:
-			unit, ok := map[string]time.Duration{
-				"Microsecond": time.Microsecond, "Millisecond": time.Millisecond, "Second": time.Second, "Minute": time.Minute,
-				"Hour": time.Hour,
-			}[e.Sel.Name]
-			if ok {
-				return unit.Seconds(), nil
-			}
-		case *ast.BinaryExpr:
-			a, err := value(e.X)
-			if err != nil {
-				return 0, err
-			}
-			b, err := value(e.Y)
-			if err != nil {
-				return 0, err
-			}
-			switch e.Op {
-			case token.ADD:
-				return a + b, nil
-			case token.SUB:
-				return a - b, nil
-			case token.MUL:
-				return a * b, nil
-			case token.QUO:
-				return a / b, nil
-			case token.SHL:
-				return math.Ldexp(a, int(b)), nil
+	value, err := constants.evaluate(expr)
+	if err != nil {
+		return 0, fmt.Errorf("%s: %w", path, err)
+	}
+	return value, nil
+}
+
+// constantExprs are the expressions of constants by name.
+type constantExprs map[string]ast.Expr
+
+// constantsOf returns the constants that a file declares with an expression.
+func constantsOf(file *ast.File) constantExprs {
+	constants := constantExprs{}
+	for _, decl := range file.Decls {
+		group, ok := decl.(*ast.GenDecl)
+		if !ok || group.Tok != token.CONST {
+			continue
+		}
+		for _, spec := range group.Specs {
+			valueSpec := spec.(*ast.ValueSpec)
+			for i, ident := range valueSpec.Names {
+				if i < len(valueSpec.Values) {
+					constants[ident.Name] = valueSpec.Values[i]
+				}
 			}
 		}
-		return 0, fmt.Errorf("%s: %s is no number that can be read here", path, name)
 	}
-	return value(x)
+	return constants
+}
+
+// evaluate returns the value of an expression, in seconds if it is a duration.
+func (c constantExprs) evaluate(expr ast.Expr) (float64, error) {
+	switch e := expr.(type) {
+	case *ast.BasicLit:
+		return strconv.ParseFloat(strings.ReplaceAll(e.Value, "_", ""), 64)
+	case *ast.ParenExpr:
+		return c.evaluate(e.X)
+	case *ast.Ident:
+		if value, ok := c[e.Name]; ok {
+			return c.evaluate(value)
+		}
+	case *ast.SelectorExpr:
+		if unit, ok := timeUnit(e.Sel.Name); ok {
+			return unit.Seconds(), nil
+		}
+	case *ast.BinaryExpr:
+		return c.evaluateBinary(e)
+	}
+	return 0, fmt.Errorf("expression %T is no number that can be read here", expr)
+}
+
+func (c constantExprs) evaluateBinary(e *ast.BinaryExpr) (float64, error) {
+	left, err := c.evaluate(e.X)
+	if err != nil {
+		return 0, err
+	}
+	right, err := c.evaluate(e.Y)
+	if err != nil {
+		return 0, err
+	}
+	switch e.Op {
+	case token.ADD:
+		return left + right, nil
+	case token.SUB:
+		return left - right, nil
+	case token.MUL:
+		return left * right, nil
+	case token.QUO:
+		return left / right, nil
+	case token.SHL:
+		return math.Ldexp(left, int(right)), nil
+	}
+	return 0, fmt.Errorf("operator %s is not supported", e.Op)
+}
+
+// timeUnit returns the constant of package time with a name.
+func timeUnit(name string) (time.Duration, bool) {
+	switch name {
+	case "Microsecond":
+		return time.Microsecond, true
+	case "Millisecond":
+		return time.Millisecond, true
+	case "Second":
+		return time.Second, true
+	case "Minute":
+		return time.Minute, true
+	case "Hour":
+		return time.Hour, true
+	}
+	return 0, false
 }
--- a/cmd/hazelwing/ci_test.go
+++ b/cmd/hazelwing/ci_test.go
@@ -9,15 +9,22 @@
 	"testing"
 )
 
-// What .ci/run makes of KNOWN-RED.txt, on a small module: it passes over just the listed tests and prints them, and fails with a
-// list that is longer than three lines, a line that has no cause, or a test that does not exist. Without the file nothing is
-// passed over.
+// .ci/run with KNOWN-RED.txt, on a small module: it ignores failures of just the listed tests and prints them, and
+// fails if the list has more than three lines, a line without a cause, or a test that does not exist. Without the
+// file it ignores nothing.
 func TestKnownRed(t *testing.T) {
 	script, err := os.ReadFile("../../.ci/run")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const red = "package %s\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) { t.Fatal(\"it is red\") }\n\nfunc TestRedToo(t *testing.T) {}\n"
+	const red = `package %s
+
+import "testing"
+
+func TestRed(t *testing.T) { t.Fatal("it is red") }
+
+func TestRedToo(t *testing.T) {}
+`
 	module := map[string]string{
 		"go.mod":               "module small\n\ngo 1.26\n",
 		"README.md":            "    go test ./...\n",
@@ -31,19 +38,32 @@
 	const line = "a TestRed, the pool forgets, under load, 43\n"
 	otherRed := strings.Replace(red, "%s", "b", 1)
 	for _, c := range []struct {
-		name, list string
+		name       string
+		list       string
 		other      string // in place of b's tests
 		green      bool
-		says       string
+		wantOutput string
 	}{
 		{"no file", "", "", false, "it is red"},
 		{"listed", line, "", true, "    " + line},
 		{"a second red test", line, otherRed, false, "FAIL\tsmall/b"},
 		{"both listed", line + "b TestRed, the same, 43\n", otherRed, true, "ok  \tsmall/b"},
-		{"a listed test by the beginning of its name", "a TestRe, the pool forgets, 43\n", "", false, "KNOWN-RED.txt:1: there is no TestRe in ./a"},
-		{"no such package", "c TestRed, the pool forgets, 43\n", "", false, "KNOWN-RED.txt:1: ./c cannot be listed"},
-		{"no cause", "a TestRed, , 43\n", "", false, "KNOWN-RED.txt:1: \"PACKAGE TestName, cause, issue\" is wanted: a TestRed, , 43"},
-		{"no issue", "a TestRed, the pool forgets\n", "", false, "KNOWN-RED.txt:1: \"PACKAGE TestName, cause, issue\" is wanted"},
+		{
+			"a listed test by the beginning of its name", "a TestRe, the pool forgets, 43\n", "", false,
+			"KNOWN-RED.txt:1: there is no TestRe in ./a",
+		},
+		{
+			"no such package", "c TestRed, the pool forgets, 43\n", "", false,
+			"KNOWN-RED.txt:1: ./c cannot be listed",
+		},
+		{
+			"no cause", "a TestRed, , 43\n", "", false,
+			"KNOWN-RED.txt:1: \"PACKAGE TestName, cause, issue\" is wanted: a TestRed, , 43",
+		},
+		{
+			"no issue", "a TestRed, the pool forgets\n", "", false,
+			"KNOWN-RED.txt:1: \"PACKAGE TestName, cause, issue\" is wanted",
+		},
 		{"an empty line", "\n" + line, "", false, "KNOWN-RED.txt:1:"},
 		{"four lines", line + line + line + line, "", false, "KNOWN-RED.txt:4: three lines at most"},
 		{"a pattern for a test", "a Test.*, the pool forgets, 43\n", "", false, "KNOWN-RED.txt:1:"},
@@ -52,10 +72,7 @@
 			t.Parallel()
 			dir := t.TempDir()
 			write := func(name, text string, mode os.FileMode) {
-				path := filepath.Join(dir, name)
-				if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o755), os.WriteFile(path, []byte(text), mode)); err != nil {
-					t.Fatal(err)
-				}
+				writeFile(t, filepath.Join(dir, name), text, mode)
 			}
 			for name, text := range module {
 				write(name, text, 0o644)
@@ -67,17 +84,29 @@
 			if c.list != "" {
 				write("KNOWN-RED.txt", c.list, 0o644)
 			}
-			run := exec.Command("bash", ".ci/run")
+			run := exec.CommandContext(t.Context(), "bash", ".ci/run")
 			run.Dir = dir
 			out, err := run.CombinedOutput()
-			if (err == nil) != c.green || !strings.Contains(string(out), c.says) {
-				t.Errorf("green is %v, want %v, with %q in\n%s", err == nil, c.green, c.says, out)
+			if (err == nil) != c.green || !strings.Contains(string(out), c.wantOutput) {
+				t.Errorf("green is %v, want %v, with %q in\n%s", err == nil, c.green, c.wantOutput, out)
 			}
 		})
 	}
 }
 
-// .ci/run asks the linter about the whole module, and fails when it complains.
+// writeFile writes a file and makes its directory.
+func writeFile(t *testing.T, path, text string, mode os.FileMode) {
+	t.Helper()
+	err := errors.Join(
+		os.MkdirAll(filepath.Dir(path), 0o755),
+		os.WriteFile(path, []byte(text), mode),
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// .ci/run runs the linter on the whole module, and fails if the linter does.
 func TestLinterRuns(t *testing.T) {
 	script, err := os.ReadFile("../../.ci/run")
 	if err != nil {
@@ -113,10 +142,7 @@
 				"linter/golangci-lint/main.go": strings.Replace(linter, "STATUS", test.status, 1),
 				".ci/run":                      string(script),
 			} {
-				path := filepath.Join(dir, name)
-				if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o755), os.WriteFile(path, []byte(text), 0o600)); err != nil {
-					t.Fatal(err)
-				}
+				writeFile(t, filepath.Join(dir, name), text, 0o600)
 			}
 			run := exec.CommandContext(t.Context(), "bash", ".ci/run")
 			run.Dir = dir
--- a/cmd/hazelwing/command_test.go
+++ b/cmd/hazelwing/command_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// execute runs a command of this program in this process and returns what it writes to standard output.
 func execute(args ...string) (string, error) {
 	c := newRootCommand()
 	var out bytes.Buffer
@@ -39,8 +40,7 @@
 	}
 }
 
-// Generated traffic is the same again, is not written over what is there, and a file that cannot be used is named with
-// its line.
+// Generated traffic does not overwrite a file, and the error for a file that cannot be used names it and the line.
 func TestTrafficCommand(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t.jsonl")
 	if _, err := execute("traffic", path, "--length", "1s"); err != nil {
@@ -51,7 +51,7 @@
 	}
 	before, _ := os.ReadFile(path)
 	if _, err := execute("traffic", path, "--length", "2s"); err == nil {
-		t.Error("a file was written over")
+		t.Error("a file was overwritten")
 	}
 	if after, _ := os.ReadFile(path); !bytes.Equal(before, after) {
 		t.Error("the file has changed")
@@ -59,7 +59,8 @@
 	if err := os.WriteFile(path, append(before, "half"...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := execute("traffic", "--check", path); err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), "line ") {
+	_, err := execute("traffic", "--check", path)
+	if err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), "line ") {
 		t.Errorf("%v", err)
 	}
 	for _, args := range [][]string{
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -23,16 +23,22 @@
 
 var configLong = flag.Bool("config.long", false, "TestConfigFaults: 30 members and 5 origins, and every fault")
 
-// configRig is a rig with origins.
+// configRig is a test cluster with origins.
 type configRig struct {
 	*testcluster.Rig
-	t                *testing.T
-	members, origins int
-	pushes           int
+	t       *testing.T
+	members int
+	origins int
+	pushes  int // snapshots that were written by file
 }
 
 func newConfigRig(t *testing.T, members, origins int) *configRig {
-	c := testcluster.Config{Origins: origins, Operator: "[recovery]\nask = 2\nfan = 4\n", Config: "ask = 3\nfan = 4\nwait = \"1s\"\n"}
+	t.Helper()
+	c := testcluster.Config{
+		Origins:  origins,
+		Operator: "[recovery]\nask = 2\nfan = 4\n",
+		Config:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
+	}
 	r := &configRig{t: t, members: members, origins: origins, Rig: newFleetRig(t, members, 7, c)}
 	r.play("start origins\nstart all\nsettle 500ms 60s")
 	return r
@@ -48,10 +54,10 @@
 func (r *configRig) fail(err error) {
 	r.t.Helper()
 	lines := strings.Split(r.Story(), "\n")
-	r.t.Fatalf("%v\n%s", err, strings.Join(lines[max(0, len(lines)-400):], "\n"))
+	r.t.Fatalf("%v\n%s", err, strings.Join(lines[max(0, len(lines)-maxStoryLines):], "\n"))
 }
 
-// numbered are the numbers from one to another.
+// numbered returns the numbers from one to another.
 func numbered(from, to int) (list []int) {
 	for n := from; n <= to; n++ {
 		list = append(list, n)
@@ -61,7 +67,7 @@
 
 func (r *configRig) all() []int { return numbered(1, r.members) }
 
-// file writes a snapshot of its own content.
+// file writes a snapshot with unique content and returns its path.
 func (r *configRig) file(more string) string {
 	r.t.Helper()
 	r.pushes++
@@ -73,101 +79,116 @@
 	return path
 }
 
-// push pushes to an origin by the command.
-func (r *configRig) push(k int, file string, args ...string) (p pushResult, err error) {
+// push runs the command that pushes to an origin.
+func (r *configRig) push(k int, file string, args ...string) (result pushResult, err error) {
 	r.t.Helper()
-	out, err := execute(append([]string{"config", "push", file, "--fleet", "rig", "--origin", r.Origin(k), "--json"}, args...)...)
-	if json.Unmarshal([]byte(out), &p) != nil && err == nil {
+	command := []string{"config", "push", file, "--fleet", "rig", "--origin", r.Origin(k), "--json"}
+	out, err := execute(append(command, args...)...)
+	if json.Unmarshal([]byte(out), &result) != nil && err == nil {
 		r.t.Fatalf("no JSON: %s", out)
 	}
-	return p, err
+	return result, err
 }
 
-// pushUntilAccepted pushes until it is accepted, by the same ID, as an operator would whose origin has no leader for a moment.
+// pushUntilAccepted repeats a push under its ID until it is accepted, as an operator would while the origins elect a
+// leader. It returns the revision, and when the first push was started.
 func (r *configRig) pushUntilAccepted(k int, file string) (controlplane.Revision, time.Time) {
 	r.t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	for id := fmt.Sprintf("push-%d", r.pushes); ; {
-		p, err := r.push(k, file, "--wait", "0", "--id", id)
-		if p.Outcome == origin.OutcomeAccepted {
-			return p.Revision, begun
+		result, err := r.push(k, file, "--wait", "0", "--id", id)
+		if result.Outcome == origin.OutcomeAccepted {
+			return result.Revision, startedAt
 		}
-		if time.Since(begun) > 2*testutil.Patience {
-			r.fail(fmt.Errorf("not accepted: %+v, %v", p, err))
+		if time.Since(startedAt) > 2*testutil.Patience {
+			r.fail(fmt.Errorf("not accepted: %+v, %w", result, err))
 		}
 	}
 }
 
-// times are when a group's members put a stamp in force, or a later one, as their logs say.
-func (r *configRig) times(s controlplane.Revision, group []int) map[int]time.Time {
-	out := map[int]time.Time{}
+// appliedAt returns when members of a group applied a revision or a later one, by their logs.
+func (r *configRig) appliedAt(revision controlplane.Revision, group []int) map[int]time.Time {
+	r.t.Helper()
+	const message = `msg="configuration applied" component=controlplane revision=`
+	times := map[int]time.Time{}
 	for _, n := range group {
-		for l := range strings.Lines(r.Log(n)) {
-			_, rest, ok := strings.Cut(l, `msg="configuration applied" component=controlplane revision=`)
-			var got controlplane.Revision
-			if !ok {
+		for line := range strings.Lines(r.Log(n)) {
+			_, rest, found := strings.Cut(line, message)
+			if !found {
 				continue
 			}
-			if fmt.Sscanf(strings.TrimSpace(rest), "%d.%d", &got.Epoch, &got.Version); got.Compare(s) < 0 {
+			var applied controlplane.Revision
+			_, err := fmt.Sscanf(strings.TrimSpace(rest), "%d.%d", &applied.Epoch, &applied.Version)
+			if err != nil || applied.Compare(revision) < 0 { // an error: the line is not whole yet
 				continue
 			}
-			at, err := time.Parse(time.RFC3339, strings.TrimPrefix(l[:strings.IndexByte(l, ' ')], "time="))
+			at, err := time.Parse(time.RFC3339, strings.TrimPrefix(line[:strings.IndexByte(line, ' ')], "time="))
 			if err != nil {
 				r.t.Fatal(err)
 			}
-			out[n] = at
+			times[n] = at
 			break
 		}
 	}
-	return out
+	return times
 }
 
-// inForce waits until all of a group act on a stamp or a later one, and logs how long after an instant 50, 99 and 100 in 100 did. all
-// is the most it may take in the long form; 0: as long as the patience lasts, for who was away.
-func (r *configRig) inForce(what string, s controlplane.Revision, since time.Time, group []int, all time.Duration) {
+// inForce waits until all members of a group have applied a revision or a later one, and logs the times since an
+// instant by which 50, 99 and 100 in 100 have. In the long form these may not exceed maxTime; 0: no such limit, for
+// members that were unreachable.
+func (r *configRig) inForce(
+	what string, revision controlplane.Revision, since time.Time, group []int, maxTime time.Duration,
+) {
 	r.t.Helper()
-	var at map[int]time.Time
-	begun := time.Now()
+	var appliedAt map[int]time.Time
+	startedAt := time.Now()
 	testutil.Until(r.t, what+": in force", func() bool {
-		at = r.times(s, group)
-		return len(at) == len(group) || time.Since(begun) > testutil.Patience-time.Second
+		appliedAt = r.appliedAt(revision, group)
+		return len(appliedAt) == len(group) || time.Since(startedAt) > testutil.Patience-time.Second
 	})
-	if len(at) < len(group) {
-		r.fail(fmt.Errorf("%s: %v in force at %d of %d", what, s, len(at), len(group)))
+	if len(appliedAt) < len(group) {
+		r.fail(fmt.Errorf("%s: %v in force at %d of %d", what, revision, len(appliedAt), len(group)))
 	}
-	var took []time.Duration
-	for _, x := range slices.SortedFunc(maps.Values(at), time.Time.Compare) {
-		took = append(took, max(0, x.Sub(since)))
+	var times []time.Duration
+	for _, at := range slices.SortedFunc(maps.Values(appliedAt), time.Time.Compare) {
+		times = append(times, max(0, at.Sub(since)))
 	}
-	of := func(share float64) float64 { return took[min(len(took)-1, int(share*float64(len(took))))].Seconds() }
-	r.t.Logf("| %-52s | %2d | %.3f | %.3f | %.3f |", what, len(took), of(0.5), of(0.99), took[len(took)-1].Seconds())
-	// The short form waits for events alone: a disk or a processor that is busy with something else is no fault of the fleet's.
-	if worst := took[len(took)-1]; *configLong && all > 0 && worst > all {
-		r.fail(fmt.Errorf("%s: in force after %v, %v is meant", what, worst, all))
+	n := len(times)
+	quantile := func(q float64) float64 { return times[min(n-1, int(q*float64(n)))].Seconds() }
+	longest := times[n-1]
+	r.t.Logf("| %-52s | %2d | %.3f | %.3f | %.3f |", what, n, quantile(0.5), quantile(0.99), longest.Seconds())
+	// The short form only waits for the event: a busy disk or processor is no fault of the cluster.
+	if *configLong && maxTime > 0 && longest > maxTime {
+		r.fail(fmt.Errorf("%s: in force after %v, want %v", what, longest, maxTime))
 	}
 }
 
-func (r *configRig) state(n int) (s transport.MemberState) {
-	r.Ask(n, "config", &s)
-	return s
+// state returns the state of a member; it is zero if the member does not respond.
+func (r *configRig) state(n int) (state transport.MemberState) {
+	_ = r.Ask(n, "config", &state) // callers check or poll the state
+	return state
 }
 
-// followed is the member that most follow, beside some.
-func (r *configRig) followed(besides ...int) (most int) {
-	best := -1
+// mostFollowed returns the member with the most subscribers, except the excluded ones.
+func (r *configRig) mostFollowed(excluded ...int) (member int) {
+	maxSubscribers := -1
 	for _, n := range r.all() {
-		if s := r.state(n); s.Server.Subscribers > best && !slices.Contains(besides, n) {
-			most, best = n, s.Server.Subscribers
+		state := r.state(n)
+		if state.Server.Subscribers > maxSubscribers && !slices.Contains(excluded, n) {
+			member = n
+			maxSubscribers = state.Server.Subscribers
 		}
 	}
-	return most
+	return member
 }
 
-// leader is the origin that leads now.
+// leader waits until an origin is the leader, and returns its number.
 func (r *configRig) leader() (k int) {
+	r.t.Helper()
 	testutil.Until(r.t, "an origin leads", func() bool {
 		for k = 1; k <= r.origins; k++ {
-			if s, err := transport.NewClient("rig", r.Origin(k)).Status(r.t.Context()); err == nil && s.Role == origin.RoleLeader {
+			status, err := transport.NewClient("rig", r.Origin(k)).Status(r.t.Context())
+			if err == nil && status.Role == origin.RoleLeader {
 				return true
 			}
 		}
@@ -176,24 +197,37 @@
 	return k
 }
 
+// end checks that no rule was broken, and that requests were served.
 func (r *configRig) end() {
 	r.t.Helper()
 	for _, f := range r.Faults() {
 		r.t.Error(f)
 	}
-	a := &r.Answers
-	r.t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load())
-	if a.Served.Load() == 0 {
+	logAnswers(r.t, r.Rig)
+	if r.Answers.Served.Load() == 0 {
 		r.t.Error("nothing was served")
 	}
 }
 
-// soon is for all that can be reached.
+// allHaveDiscoverysList reports whether all members have the current endpoint list of the current discovery service.
+func (r *configRig) allHaveDiscoverysList() bool {
+	discovery := r.Servers.Discovery
+	for _, n := range r.all() {
+		var source relay.SourceState
+		if r.Ask(n, "recovery", &source) != nil || !source.Server.Live ||
+			source.Server.Version != discovery.Seq() || source.Group != discovery.Addr() {
+			return false
+		}
+	}
+	return true
+}
+
+// soon is the limit of inForce for members that can be reached.
 const soon = 4 * time.Second
 
-// Changes are in force everywhere that can be reached through each fault, in the long form within 4 s, whoever had no path has them once it
-// is back, in the long form within 4 s of that, no change that was accepted is lost, no older one comes back, and meanwhile each request has one answer and no rule breaks.
-// The long form is
+// During each fault, changes get in force at all members that can be reached, and at the others once these can be
+// reached again; in the long form within 4 s of either. No accepted change is lost and no older one returns.
+// Meanwhile each request gets one response and no rule is broken. The long form is
 //
 //	go test ./cmd/hazelwing -run ConfigFaults -config.long -timeout 1h -v
 func TestConfigFaults(t *testing.T) {
@@ -228,15 +262,7 @@
 	before, _ := r.Servers.Discovery.Calls()
 	s, at = r.pushUntilAccepted(2, r.file(fmt.Sprintf("[discovery]\naddr = %q", r.Servers.Discovery.Addr())))
 	r.inForce("discovery is moved", s, at, r.all(), soon)
-	testutil.Until(t, "all have the list from it, by way of the fleet", func() bool {
-		for _, n := range r.all() {
-			var l relay.SourceState
-			if r.Ask(n, "recovery", &l) != nil || !l.Server.Live || l.Server.Version != r.Servers.Discovery.Seq() || l.Group != r.Servers.Discovery.Addr() {
-				return false
-			}
-		}
-		return true
-	})
+	testutil.Until(t, "all have the list from it, by way of the fleet", r.allHaveDiscoverysList)
 	if after, _ := r.Servers.Discovery.Calls(); after-before >= members {
 		t.Errorf("%d calls of discovery when %d sidecars are moved", after-before, members)
 	} else {
@@ -261,7 +287,7 @@
 	r.play(fmt.Sprintf("start o%d", leader))
 
 	// A member that others follow stands still.
-	still := r.followed()
+	still := r.mostFollowed()
 	r.play(fmt.Sprintf("freeze %d", still))
 	others := slices.DeleteFunc(r.all(), func(n int) bool { return n == still })
 	s, at = r.pushUntilAccepted(1, r.file(""))
@@ -291,7 +317,7 @@
 	}
 	s, at = r.pushUntilAccepted(2, r.file(""))
 	r.inForce("regions are cut: the side with a majority", s, at, numbered(half+1, members), soon)
-	if got := r.times(s, numbered(1, half)); len(got) > 0 {
+	if got := r.appliedAt(s, numbered(1, half)); len(got) > 0 {
 		t.Errorf("the other side has it: %v", got)
 	}
 	at = time.Now()
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"os"
@@ -20,45 +21,38 @@
 	"hazelwing/internal/testutil"
 )
 
-// The commands push, show and tell by status what became of it; what cannot be used is refused by file, line and key, and nothing has
-// changed; a push again under its ID is safe. Members stand what broken and hostile peers send them. A member that goes says by its
-// restart what it acts on.
+// The commands push and show, and their exit status tells the outcome. An invalid snapshot is rejected with file,
+// line and key, and changes nothing; a push is idempotent under its ID. Members survive what broken and hostile peers
+// send them. A member that restarts without any origin acts on its cached snapshot and says so.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
 	r := newConfigRig(t, 3, 1)
-	ask := []string{"--fleet", "rig", "--origin", r.Origin(1)}
+	originFlags := []string{"--fleet", "rig", "--origin", r.Origin(1)}
 	run := func(args ...string) (string, error) {
-		return execute(append(append([]string{"config"}, args...), ask...)...)
+		return execute(append(append([]string{"config"}, args...), originFlags...)...)
 	}
 	good := r.file("")
-	text, _ := os.ReadFile(good)
+	text, err := os.ReadFile(good)
+	if err != nil {
+		t.Fatal(err)
+	}
 
-	r.pushUntilAccepted(1, good) // by an ID of its own; then again under it
+	r.pushUntilAccepted(1, good) // with an ID of its own; then again with the same one
 	out, err := run("push", good, "--wait", "15s", "--id", fmt.Sprintf("push-%d", r.pushes), "--after", "0")
-	if err != nil || !strings.Contains(out, "accepted: 1.1, id push-1, after version 0") || !strings.Contains(out, "in force at 3 sidecars") {
+	if err != nil ||
+		!strings.Contains(out, "accepted: 1.1, id push-1, after version 0") ||
+		!strings.Contains(out, "in force at 3 sidecars") {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	if out, err := run("push", good, "--after", "0", "--id", "push-1", "--wait", "0"); err != nil || !strings.Contains(out, "accepted: 1.1") {
-		t.Errorf("again under its ID: %v\n%s", err, out)
+	out, err = run("push", good, "--after", "0", "--id", "push-1", "--wait", "0")
+	if err != nil || !strings.Contains(out, "accepted: 1.1") {
+		t.Errorf("again with its ID: %v\n%s", err, out)
 	}
-	if out, err := run("push", good, "--after", "0", "--id", "two"); err == nil || status(err) != 1 || !strings.Contains(err.Error(), "another change came first: the latest is 1.1") {
+	out, err = run("push", good, "--after", "0", "--id", "two")
+	if status(err) != statusFailure || !strings.Contains(err.Error(), "another change came first: the latest is 1.1") {
 		t.Errorf("after an older version: %v\n%s", err, out)
 	}
-	bad := filepath.Join(t.TempDir(), "bad.toml")
-	os.WriteFile(bad, []byte("[limits]\nmax_attempts = 99\n[class.look]\nworth = 0.0\n"), 0o600)
-	for _, args := range [][]string{{"config", "check", bad}, append([]string{"config", "push", bad}, ask...)} {
-		if _, err := execute(args...); err == nil || status(err) != 1 || !strings.Contains(err.Error(), bad+":2:1: limits.max_attempts: 99") || !strings.Contains(err.Error(), bad+":4:1: class.look.worth") {
-			t.Errorf("%q: %v", args, err)
-		}
-	}
-	// Past the command's own check.
-	a, err := transport.NewClient("rig", r.Origin(1)).Push(t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
-	if err != nil || a.Outcome != origin.OutcomeRejected || !strings.Contains(a.Error, "2:1: limits.max_attempts") {
-		t.Errorf("%+v, %v", a, err)
-	}
-	if _, err := transport.NewClient("other", r.Origin(1)).Push(t.Context(), "four", 1, text); err == nil || !strings.Contains(err.Error(), "another fleet's") {
-		t.Errorf("another fleet's push: %v", err)
-	}
+	r.testInvalidPushes(text, originFlags)
 	if out, err := run("show"); err != nil || out != "# 1.1\n"+string(text) {
 		t.Errorf("%v\n%s", err, out)
 	}
@@ -67,21 +61,25 @@
 		out, err := run("status", "--json")
 		return json.Unmarshal([]byte(out), &s) == nil && err == nil && s.Report.Members == 3
 	})
-	if s.Role != origin.RoleLeader || s.Revision.Version != 1 || len(s.Report.Active) != 1 || s.Report.Active[0].Count != 3 {
+	if s.Role != origin.RoleLeader || s.Revision.Version != 1 ||
+		len(s.Report.Active) != 1 || s.Report.Active[0].Count != 3 {
 		t.Errorf("%+v", s)
 	}
-	if _, err := execute("config", "status"); err == nil || !strings.Contains(err.Error(), "--origin and --fleet are wanted") {
+	_, err = execute("config", "status")
+	if err == nil || !strings.Contains(err.Error(), "--origin and --fleet are wanted") {
 		t.Errorf("without an address: %v", err)
 	}
-	if _, err := execute("config", "status", "--fleet", "rig", "--origin", "127.0.0.1:9"); err == nil || status(err) != 1 {
-		t.Errorf("an origin that is not there: %v", err)
+	_, err = execute("config", "status", "--fleet", "rig", "--origin", "127.0.0.1:9")
+	if status(err) != statusFailure {
+		t.Errorf("an origin that cannot be reached: %v", err)
 	}
 
 	r.hostile()
 	file := r.file("")
 	r.play("freeze 3")
 	out, err = run("push", file, "--wait", "1s")
-	if status(err) != statusLaggards || !strings.Contains(err.Error(), "accepted as 1.2, and not in force everywhere within 1s: 1 lack it") || !strings.Contains(out, "m03") {
+	const want = "accepted as 1.2, and not in force everywhere within 1s: 1 lack it"
+	if status(err) != statusLaggards || !strings.Contains(err.Error(), want) || !strings.Contains(out, "m03") {
 		t.Errorf("%v\n%s", err, out)
 	}
 	r.play("thaw 3")
@@ -89,18 +87,48 @@
 	// Without any origin.
 	r.play("kill o1")
 	r.inForce("before the origin went", controlplane.Revision{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
-	testutil.Until(t, "it is kept", func() bool { s := r.state(2); return s.Active.Version == 2 })
+	testutil.Until(t, "the snapshot is cached", func() bool { return r.state(2).Active.Version == 2 })
 	r.play("kill all\nstart all")
 	if s := r.state(2); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active.Version != 2 {
-		t.Errorf("it takes requests and does not say that it acts on its last known one: %+v", s)
+		t.Errorf("ready, or the cached snapshot is not reported: %+v", s)
 	}
 	if !strings.Contains(r.Log(2), "acting on the last known one, 1.2, confirmed") {
-		t.Error("the log does not say it")
+		t.Error("the log has no line about the cached snapshot")
 	}
 	r.end()
 }
 
-// status is the exit status of an error.
+// testInvalidPushes checks that the command, the origin and a foreign cluster's name reject a push.
+func (r *configRig) testInvalidPushes(validText []byte, originFlags []string) {
+	r.t.Helper()
+	bad := filepath.Join(r.t.TempDir(), "bad.toml")
+	badText := []byte("[limits]\nmax_attempts = 99\n[class.look]\nworth = 0.0\n")
+	if err := os.WriteFile(bad, badText, 0o600); err != nil {
+		r.t.Fatal(err)
+	}
+	for _, args := range [][]string{{"config", "check", bad}, append([]string{"config", "push", bad}, originFlags...)} {
+		_, err := execute(args...)
+		if status(err) != statusFailure ||
+			!strings.Contains(err.Error(), bad+":2:1: limits.max_attempts: 99") ||
+			!strings.Contains(err.Error(), bad+":4:1: class.look.worth") {
+			r.t.Errorf("%q: %v", args, err)
+		}
+	}
+	// Without the command's own validation.
+	client := transport.NewClient("rig", r.Origin(1))
+	result, err := client.Push(r.t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
+	if err != nil || result.Outcome != origin.OutcomeRejected ||
+		!strings.Contains(result.Error, "2:1: limits.max_attempts") {
+		r.t.Errorf("%+v, %v", result, err)
+	}
+	foreignClient := transport.NewClient("other", r.Origin(1))
+	_, err = foreignClient.Push(r.t.Context(), "four", 1, validText)
+	if err == nil || !strings.Contains(err.Error(), "another fleet's") {
+		r.t.Errorf("another fleet's push: %v", err)
+	}
+}
+
+// status returns the exit status for an error; nil: 0.
 func status(err error) int {
 	if err == nil {
 		return 0
@@ -108,21 +136,25 @@
 	return exitStatus(err)
 }
 
-// hostile sends a member and an origin what they have to stand: each closes that connection alone.
+// hostile sends a member and an origin invalid requests. They close just the connection of each.
 func (r *configRig) hostile() {
 	r.t.Helper()
 	member := fmt.Sprint(r.FleetAddr(1))
 	var all sync.WaitGroup
-	closed := func(at, text string) { all.Go(func() { r.closed(at, text) }) }
-	head := "Host: x\r\nX-Config-Fleet: %s\r\nX-Config-For: z\r\n"
-	for _, at := range []string{member, r.Origin(1)} {
-		closed(at, "GET /config/watch?epoch=0&version=0 HTTP/1.1\r\n"+fmt.Sprintf(head, "others")+"\r\n")
-		closed(at, fmt.Sprintf("POST /config/report HTTP/1.1\r\n"+head+"Content-Length: 9999999\r\n\r\n", "rig")+strings.Repeat("x", 100<<10))
-		closed(at, fmt.Sprintf("POST /config/report HTTP/1.1\r\n"+head+"Content-Length: 5\r\n\r\n{\"me", "rig"))
-	}
-	closed(r.Origin(1), fmt.Sprintf("POST /config/push?after=1&id=x HTTP/1.1\r\n"+head+"Content-Length: 300000\r\n\r\n", "rig")+strings.Repeat("#", 300000))
+	send := func(addr, requestLine, cluster, rest string) {
+		const header = " HTTP/1.1\r\nHost: x\r\nX-Config-Fleet: %s\r\nX-Config-For: z\r\n"
+		text := requestLine + fmt.Sprintf(header, cluster) + rest
+		all.Go(func() { r.waitClosed(addr, text) })
+	}
+	for _, addr := range []string{member, r.Origin(1)} {
+		send(addr, "GET /config/watch?epoch=0&version=0", "others", "\r\n")
+		send(addr, "POST /config/report", "rig", "Content-Length: 9999999\r\n\r\n"+strings.Repeat("x", 100<<10))
+		send(addr, "POST /config/report", "rig", "Content-Length: 5\r\n\r\n{\"me")
+	}
+	send(r.Origin(1), "POST /config/push?after=1&id=x", "rig",
+		"Content-Length: 300000\r\n\r\n"+strings.Repeat("#", 300000))
 	all.Wait()
-	// One that follows and does not read, and one that opens and says nothing.
+	// Connections that send nothing, and a subscriber that does not read.
 	for range 3 {
 		c, err := net.Dial("tcp", member)
 		if err != nil {
@@ -130,35 +162,42 @@
 		}
 		r.t.Cleanup(func() { c.Close() })
 	}
-	ctx, end := context.WithTimeout(r.t.Context(), testutil.Patience)
-	defer end()
-	q, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+member+"/config/watch?epoch=0&version=0", nil)
-	q.Header.Set("X-Config-Fleet", "rig")
-	q.Header.Set("X-Config-For", "slow")
-	resp, err := http.DefaultClient.Do(q)
-	if err != nil || resp.StatusCode != http.StatusOK {
-		r.t.Fatalf("%v, %v", err, resp)
+	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.Patience)
+	defer cancel()
+	watchURL := "http://" + member + "/config/watch?epoch=0&version=0"
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL, nil)
+	if err != nil {
+		r.t.Fatal(err)
 	}
-	resp.Body.Close()
+	request.Header.Set("X-Config-Fleet", "rig")
+	request.Header.Set("X-Config-For", "slow")
+	response, err := http.DefaultClient.Do(request)
+	if err != nil || response.StatusCode != http.StatusOK {
+		r.t.Fatalf("%v, %v", err, response)
+	}
+	response.Body.Close()
 	if s := r.state(1); s.Server.OtherCluster == 0 || s.Active.Version != 1 {
 		r.t.Errorf("%+v", s)
 	}
 }
 
-// closed sends a text and waits until the connection is closed.
-func (r *configRig) closed(at, text string) {
-	c, err := net.Dial("tcp", at)
+// waitClosed sends a text and waits until the peer closes the connection.
+func (r *configRig) waitClosed(addr, text string) {
+	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		r.t.Error(err)
 		return
 	}
 	defer c.Close()
-	fmt.Fprint(c, text)
-	c.SetReadDeadline(time.Now().Add(testutil.Patience))
-	for b := make([]byte, 1<<10); ; {
-		if _, err := c.Read(b); err != nil {
-			if e, ok := errors.AsType[net.Error](err); ok && e.Timeout() {
-				r.t.Errorf("%.60q is still heard", text)
+	if err := c.SetReadDeadline(time.Now().Add(testutil.Patience)); err != nil {
+		r.t.Error(err)
+		return
+	}
+	_, _ = io.WriteString(c, text) // fails where the peer closes the connection first
+	for buffer := make([]byte, 1<<10); ; {
+		if _, err := c.Read(buffer); err != nil {
+			if netErr, ok := errors.AsType[net.Error](err); ok && netErr.Timeout() {
+				r.t.Errorf("the connection with %.60q is still open", text)
 			}
 			return
 		}
--- a/cmd/hazelwing/cost_test.go
+++ b/cmd/hazelwing/cost_test.go
@@ -11,8 +11,8 @@
 
 var costFigures = flag.Bool("cost.figures", false, "TestProcessorTime: measure what a request costs the daemon")
 
-// What a request costs the daemon of a processor's time, user and system, as a process of its own beside six stand-in
-// nodes. The lab's hosts take their costs from it:
+// The processor time, user and system, that a request costs the daemon, which runs as a process of its own beside six
+// emulated nodes. The costs of the lab's hosts are taken from it:
 //
 //	go test ./cmd/hazelwing -run ProcessorTime -cost.figures -v
 func TestProcessorTime(t *testing.T) {
@@ -21,9 +21,15 @@
 	}
 	r := newDaemonRig(t, "")
 	const length = 8 * time.Second
-	spent := func(rate float64) (time.Duration, load.Report) {
+	shot := load.Shot{
+		Class:    "look",
+		Effect:   "safe",
+		Deadline: testutil.Patience,
+		Work:     time.Millisecond,
+	}
+	measure := func(rate float64) (time.Duration, load.Report) {
 		r.start()
-		plan, err := load.Poisson(1, []load.Point{{Rate: max(rate, 1)}}, length, load.Shot{Class: "look", Effect: "safe", Deadline: testutil.Patience, Work: time.Millisecond})
+		plan, err := load.Poisson(1, []load.Point{{Rate: max(rate, 1)}}, length, shot)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -34,16 +40,17 @@
 		r.kill()
 		return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime(), report
 	}
-	idle, _ := spent(1)
+	idle, _ := measure(1)
 	for _, rate := range []float64{100, 300, 1000, 2000} {
-		took, report := spent(rate)
-		n := 0
-		for _, k := range report.Kinds {
-			n += k
+		processorTime, report := measure(rate)
+		requests := 0
+		for _, count := range report.Kinds {
+			requests += count
 		}
-		t.Logf("%.0f a second: %v of a core's time a request, %.2f of a core; p50 %.1f ms, p99 %.1f ms; %v", rate, ((took - idle) / time.Duration(n)).Round(time.Microsecond),
-			took.Seconds()/length.Seconds(), report.P50, report.P99, report.Kinds)
-		if report.Kinds["served"] < n*9/10 {
+		perRequest := ((processorTime - idle) / time.Duration(requests)).Round(time.Microsecond)
+		t.Logf("%.0f a second: %v of a core's time a request, %.2f of a core; p50 %.1f ms, p99 %.1f ms; %v",
+			rate, perRequest, processorTime.Seconds()/length.Seconds(), report.P50, report.P99, report.Kinds)
+		if report.Kinds["served"] < requests*9/10 {
 			t.Errorf("%.0f a second: %v", rate, report.Kinds)
 		}
 	}
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -18,20 +18,33 @@
 	"hazelwing/internal/testcluster"
 )
 
+// maxStoryLines is the number of lines of logs that a failure prints: the first hundred and the last ones.
+const maxStoryLines = 400
+
 var (
 	fleetRounds = flag.Int("fleet.rounds", 1, "how often TestFleet plays each script, with another seed each time")
 	fleetSize   = flag.Int("fleet.members", 9, "processes of TestFleet, 9 to 20")
 	fleetSeed   = flag.Uint64("fleet.seed", 1, "the first seed of TestFleet")
 )
 
-// fastFleet are times that let a script of many faults pass within seconds.
-const fastFleet = "probe = \"250ms\"\ntimeout = \"120ms\"\ngossip = \"40ms\"\nsync = \"2s\"\nretry = \"500ms\"\nforget = \"6s\"\nkeep_words = \"8s\"\n"
+// fastFleet has intervals with which a script of many faults passes within seconds.
+const fastFleet = `probe = "250ms"
+timeout = "120ms"
+gossip = "40ms"
+sync = "2s"
+retry = "500ms"
+forget = "6s"
+keep_words = "8s"
+`
 
-// newFleetRig makes one of this test's own program.
+// newFleetRig returns a test cluster whose processes run this test's own program.
 func newFleetRig(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Rig {
 	t.Helper()
-	c.Members, c.Seed, c.Dir = members, seed, t.TempDir()
-	c.Program, c.Env = []string{os.Args[0]}, []string{testRun + "=1"}
+	c.Members = members
+	c.Seed = seed
+	c.Dir = t.TempDir()
+	c.Program = []string{os.Args[0]}
+	c.Env = []string{testRun + "=1"}
 	if c.Fleet == "" {
 		c.Fleet = fastFleet
 	}
@@ -43,28 +56,35 @@
 	return r
 }
 
-// playFleet plays a script; a failure shows the script, the seed and all logs by time.
+// playFleet plays a script. A failure prints the script, the seed and all logs, ordered by time.
 func playFleet(t *testing.T, r *testcluster.Rig, script string) {
 	t.Helper()
 	if err := r.Play(t.Context(), script); err != nil {
 		story := r.Story()
-		if lines := strings.Split(story, "\n"); len(lines) > 400 {
-			story = strings.Join(append(append(lines[:100:100], "..."), lines[len(lines)-300:]...), "\n")
+		if lines := strings.Split(story, "\n"); len(lines) > maxStoryLines {
+			story = strings.Join(append(append(lines[:100:100], "..."), lines[len(lines)-maxStoryLines+100:]...), "\n")
 		}
 		t.Fatalf("%v\n%s", err, story)
 	}
 	for _, w := range r.Took {
 		t.Logf("%-40s %v", w.Step, w.Took)
 	}
-	a := &r.Answers
-	t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load())
-	if a.Served.Load() == 0 {
+	logAnswers(t, r)
+	if r.Answers.Served.Load() == 0 {
 		t.Error("nothing was served")
 	}
 }
 
-// Many processes of the program keep one view of each other, whatever happens between them, and meanwhile each request has one
-// answer and no rule breaks. The scripts are testdata/fleet; the long form is
+// logAnswers logs how the requests to a test cluster ended.
+func logAnswers(t *testing.T, r *testcluster.Rig) {
+	t.Helper()
+	a := &r.Answers
+	t.Logf("served %d, refused %d, failed %d, broken off %d",
+		a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load())
+}
+
+// Many processes of the program agree on one view of each other, whatever happens between them. Meanwhile each
+// request gets one response and no rule is broken. The scripts are in testdata/fleet; the long form is
 //
 //	go test ./cmd/hazelwing -run Fleet -fleet.rounds 10 -fleet.members 20 -timeout 2h -v
 func TestFleet(t *testing.T) {
@@ -87,18 +107,22 @@
 	}
 }
 
-// The command shows the view of a running sidecar, and says by its status whether all is well.
+// The command shows the view of a running sidecar, and its exit status tells whether all members are alive.
 func TestFleetCommand(t *testing.T) {
 	r := newFleetRig(t, 3, 1, testcluster.Config{})
 	playFleet(t, r, "start all\nsettle 1s 30s")
 	out, err := execute("fleet", "--admin", r.Admin(1))
-	if err != nil || !strings.Contains(out, "m01 (itself)") || !strings.Contains(out, "3 live of 3 known, reckons with 3") {
+	if err != nil ||
+		!strings.Contains(out, "m01 (itself)") ||
+		!strings.Contains(out, "3 live of 3 known, reckons with 3") {
 		t.Errorf("%v\n%s", err, out)
 	}
 	out, err = execute("fleet", "--json", "--admin", r.Admin(2))
-	var s gossip.Status
-	if other := json.Unmarshal([]byte(out), &s); err != nil || other != nil || s.Name != "m02" || len(s.Members) != 3 || s.Members[0].State != cluster.Alive {
-		t.Errorf("%v, %v\n%s", err, other, out)
+	var status gossip.Status
+	decodeErr := json.Unmarshal([]byte(out), &status)
+	if err != nil || decodeErr != nil || status.Name != "m02" ||
+		len(status.Members) != 3 || status.Members[0].State != cluster.Alive {
+		t.Errorf("%v, %v\n%s", err, decodeErr, out)
 	}
 	if err := r.Play(t.Context(), "kill 3\nwait state 3 dead 30s 1-2"); err != nil {
 		t.Fatal(err)
@@ -107,20 +131,25 @@
 		t.Errorf("with a dead member: %v", err)
 	}
 	if _, err := execute("fleet", "--admin", r.Admin(3)); err == nil {
-		t.Error("one that does not run was asked")
+		t.Error("no error for a sidecar that does not run")
 	}
-	if _, err := execute("fleet", "--operator", ""); err == nil || !strings.Contains(err.Error(), "--admin or --operator") {
+	_, err = execute("fleet", "--operator", "")
+	if err == nil || !strings.Contains(err.Error(), "--admin or --operator") {
 		t.Errorf("without an address: %v", err)
 	}
-	var bounds []struct{ Bound string }
-	if err := r.Ask(1, "bounds", &bounds); err != nil || !slices.ContainsFunc(bounds, func(b struct{ Bound string }) bool { return b.Bound == "members of the fleet" }) {
-		t.Errorf("%v, %+v", err, bounds)
+	type limit struct {
+		Name string `json:"bound"`
+	}
+	var limits []limit
+	err = r.Ask(1, "bounds", &limits)
+	if err != nil || !slices.Contains(limits, limit{Name: "members of the fleet"}) {
+		t.Errorf("%v, %+v", err, limits)
 	}
 }
 
 var fleetTimes = flag.Int("fleet.times", 0, "TestFleetTimes: how many runs of each fault; 0: it is skipped")
 
-// How long detection, spreading and healing take among real processes:
+// The times of failure detection, dissemination and recovery among real processes:
 //
 //	go test ./cmd/hazelwing -run FleetTimes -fleet.times 100 -timeout 2h -v
 func TestFleetTimes(t *testing.T) {
@@ -129,7 +158,7 @@
 	}
 	r := newFleetRig(t, *fleetSize, *fleetSeed, testcluster.Config{})
 	half := *fleetSize / 2
-	all := map[string][]time.Duration{}
+	times := map[string][]time.Duration{}
 	play := func(script string, names ...string) {
 		r.Took = nil
 		if err := r.Play(t.Context(), script); err != nil {
@@ -137,7 +166,7 @@
 		}
 		for i, w := range r.Took {
 			if i < len(names) && names[i] != "" {
-				all[names[i]] = append(all[names[i]], w.Took)
+				times[names[i]] = append(times[names[i]], w.Took)
 			}
 		}
 	}
@@ -145,19 +174,25 @@
 	rng := rand.New(rand.NewPCG(*fleetSeed, 5))
 	for range *fleetTimes {
 		n := 1 + rng.IntN(*fleetSize)
-		play(fmt.Sprintf("kill %d\nwait state %d dead|unknown 60s\nstart %d\nwait agree 60s", n, n, n), "a death is known to all", "a new life is known to all")
+		play(fmt.Sprintf("kill %d\nwait state %d dead|unknown 60s\nstart %d\nwait agree 60s", n, n, n),
+			"a death is known to all", "a new life is known to all")
 		play(fmt.Sprintf("restart %d 0ms\nwait agree 60s", n), "a restart at once is known to all")
-		play(fmt.Sprintf("term %d\nwait state %d left|unknown 60s\nstart %d\nwait agree 60s", n, n, n), "a leaving is known to all", "")
-		play(fmt.Sprintf("freeze %d\nwait state %d suspect|dead 60s\nthaw %d\nwait agree 60s", n, n, n), "one that stands still is suspected by all", "one that stood still is back for all")
-		play(fmt.Sprintf("cut 1-%d %d-%d\nwait agree 60s 1-%d\nwait agree 60s %d-%d\nheal\nwait agree 60s", half, half+1, *fleetSize, half, half+1, *fleetSize), "", "", "halves are one again")
-	}
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		list := slices.Sorted(slices.Values(all[name]))
-		t.Logf("| %s | %d | %.2f | %.2f | %.2f |", name, len(list), list[len(list)/2].Seconds(), list[len(list)*99/100].Seconds(), list[len(list)-1].Seconds())
+		play(fmt.Sprintf("term %d\nwait state %d left|unknown 60s\nstart %d\nwait agree 60s", n, n, n),
+			"a leaving is known to all", "")
+		play(fmt.Sprintf("freeze %d\nwait state %d suspect|dead 60s\nthaw %d\nwait agree 60s", n, n, n),
+			"one that stands still is suspected by all", "one that stood still is back for all")
+		play(fmt.Sprintf("cut 1-%d %d-%d\nwait agree 60s 1-%d\nwait agree 60s %d-%d\nheal\nwait agree 60s",
+			half, half+1, *fleetSize, half, half+1, *fleetSize),
+			"", "", "halves are one again")
+	}
+	for _, name := range slices.Sorted(maps.Keys(times)) {
+		sorted := slices.Sorted(slices.Values(times[name]))
+		n := len(sorted)
+		t.Logf("| %s | %d | %.2f | %.2f | %.2f |", name, n,
+			sorted[n/2].Seconds(), sorted[n*99/100].Seconds(), sorted[n-1].Seconds())
 	}
 	for _, f := range r.Faults() {
 		t.Error(f)
 	}
-	a := &r.Answers
-	t.Logf("served %d, refused %d, failed %d, broken off %d", a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load())
+	logAnswers(t, r)
 }
--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -20,16 +20,17 @@
 	"hazelwing/internal/testutil"
 )
 
-// printed plays a command against a server that answers each path with a file of testdata/format, and gives its output and status.
-func printed(t *testing.T, answers map[string]string, args ...string) (string, error) {
+// executeWithServer runs a command against a server that answers each method and path with a file of testdata/format.
+// ADDRESS in the arguments is the server's address.
+func executeWithServer(t *testing.T, answers map[string]string, args ...string) (string, error) {
 	t.Helper()
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		text, err := os.ReadFile("testdata/format/" + answers[q.Method+" "+q.URL.Path])
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		text, err := os.ReadFile("testdata/format/" + answers[r.Method+" "+r.URL.Path])
 		if err != nil {
-			t.Errorf("%s %s: %v", q.Method, q.URL, err)
+			t.Errorf("%s %s: %v", r.Method, r.URL, err)
 		}
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(text)
+		_, _ = w.Write(text) // the command reports a response that it cannot read
 	}))
 	defer server.Close()
 	for i, arg := range args {
@@ -38,8 +39,8 @@
 	return execute(args...)
 }
 
-// failure is an error as the golden files have it, with the process's status.
-func failure(err error) string {
+// failureText returns an error, with the exit status, as it is in the golden files.
+func failureText(err error) string {
 	return fmt.Sprintf("\nstatus %d: %v\n", exitStatus(err), err)
 }
 
@@ -55,23 +56,23 @@
 		{"config-show.json", []string{"config", "show", "--json"}},
 		{"config-show.txt", []string{"config", "show"}},
 	} {
-		out, err := printed(t, answers, append(c.args, "--origin", "ADDRESS", "--fleet", "booking")...)
-		text := out
+		out, err := executeWithServer(t, answers, append(c.args, "--origin", "ADDRESS", "--fleet", "booking")...)
 		if err != nil {
-			text += failure(err)
+			out += failureText(err)
 		}
-		testutil.Golden(t, "format/"+c.file, []byte(text))
+		testutil.Golden(t, "format/"+c.file, []byte(out))
 	}
 }
 
 // What hazelwing fleet prints of a sidecar's answer, as JSON and as text.
 func TestFleetCommandOutputIsStable(t *testing.T) {
 	for file, args := range map[string][]string{
-		"fleet.json": {"fleet", "--json", "--admin", "ADDRESS"}, "fleet.txt": {"fleet", "--admin", "ADDRESS"},
+		"fleet.json": {"fleet", "--json", "--admin", "ADDRESS"},
+		"fleet.txt":  {"fleet", "--admin", "ADDRESS"},
 	} {
-		out, err := printed(t, map[string]string{"GET /fleet": "admin-fleet.json"}, args...)
+		out, err := executeWithServer(t, map[string]string{"GET /fleet": "admin-fleet.json"}, args...)
 		if err != nil {
-			out += failure(err)
+			out += failureText(err)
 		}
 		testutil.Golden(t, "format/"+file, []byte(out))
 	}
@@ -79,12 +80,26 @@
 
 // What config push prints as JSON.
 func TestPushOutputFormatIsStable(t *testing.T) {
-	stamp := controlplane.Revision{Epoch: 3, Version: 17, Hash: "h"}
+	revision := controlplane.Revision{Epoch: 3, Version: 17, Hash: "h"}
+	laggard := controlplane.Laggard{
+		Name:        "m1",
+		Active:      revision,
+		Reason:      controlplane.ReasonBehind,
+		Error:       "why",
+		Descendants: 2,
+	}
 	push := pushResult{
-		Result: origin.Result{ID: "push-1", Outcome: origin.OutcomeAccepted, Revision: stamp, Error: "why"}, After: 16, Took: "10ms", Within: "20ms",
+		Result: origin.Result{ID: "push-1", Outcome: origin.OutcomeAccepted, Revision: revision, Error: "why"},
+		After:  16,
+		Took:   "10ms",
+		Within: "20ms",
 		Report: &controlplane.Report{
-			Members: 5, Latest: stamp, Active: []controlplane.RevisionCount{{Revision: stamp, Count: 3}}, OtherRevisions: 1,
-			Laggards: []controlplane.Laggard{{Name: "m1", Active: stamp, Reason: controlplane.ReasonBehind, Error: "why", Descendants: 2}}, UnnamedLaggards: 4,
+			Members:         5,
+			Latest:          revision,
+			Active:          []controlplane.RevisionCount{{Revision: revision, Count: 3}},
+			OtherRevisions:  1,
+			Laggards:        []controlplane.Laggard{laggard},
+			UnnamedLaggards: 4,
 		},
 	}
 	testutil.Filled(t, push)
@@ -105,8 +120,16 @@
 // What hazelwing load prints as JSON, and the names of kinds in it.
 func TestLoadReportFormatIsStable(t *testing.T) {
 	report := load.Report{
-		Target: "http://127.0.0.1:8080", Kinds: map[string]int{}, P50: 1.5, P90: 2.5, P99: 3.5, P999: 4.5, Max: 5.5, LateP50: 0.5, LateP99: 0.75,
-		Slow: true,
+		Target:  "http://127.0.0.1:8080",
+		Kinds:   map[string]int{},
+		P50:     1.5,
+		P90:     2.5,
+		P99:     3.5,
+		P999:    4.5,
+		Max:     5.5,
+		LateP50: 0.5,
+		LateP99: 0.75,
+		Slow:    true,
 	}
 	for kind := load.Served; kind <= load.Unsent; kind++ {
 		report.Kinds[kind.String()] = int(kind) + 1
@@ -115,7 +138,7 @@
 	testutil.ExplicitNames(t, "json", report)
 	var out bytes.Buffer
 	if err := printLoadReports(&out, []load.Report{report}, true); err != nil {
-		out.WriteString(failure(err))
+		out.WriteString(failureText(err))
 	}
 	testutil.Golden(t, "format/load-report.json", out.Bytes())
 }
@@ -124,14 +147,37 @@
 func TestStoreOutputFormatIsStable(t *testing.T) {
 	at := time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC)
 	stats := store.Stats{
-		Entries: 1, Segments: 2, Bytes: 3, Live: 4, Damaged: 5, Unsynced: 6, Syncs: 7, Failures: 8, Compactions: 9, Dropped: 10, Lost: 11,
+		Entries:     1,
+		Segments:    2,
+		Bytes:       3,
+		Live:        4,
+		Damaged:     5,
+		Unsynced:    6,
+		Syncs:       7,
+		Failures:    8,
+		Compactions: 9,
+		Dropped:     10,
+		Lost:        11,
 	}
 	for name, v := range map[string]any{
 		"store-inspect": middleware.RecordInfo{
-			Fingerprint: "0123", Class: "pay", Effect: "keyed", State: "open", IntendedAt: at, ExpiresAt: at.Add(time.Minute), Locations: "a/0",
+			Fingerprint: "0123",
+			Class:       "pay",
+			Effect:      "keyed",
+			State:       "open",
+			IntendedAt:  at,
+			ExpiresAt:   at.Add(time.Minute),
+			Locations:   "a/0",
 		},
 		"store-verify": store.SegmentReport{
-			Name: "00000001.log", Bytes: 1, Puts: 2, Deletes: 3, Damaged: 4, Tail: 5, Hint: "good", Fault: "why",
+			Name:    "00000001.log",
+			Bytes:   1,
+			Puts:    2,
+			Deletes: 3,
+			Damaged: 4,
+			Tail:    5,
+			Hint:    "good",
+			Fault:   "why",
 		},
 		"store-compact": map[string]store.Stats{"before": stats, "after": stats},
 		"ledger-state": middleware.Status{
@@ -154,8 +200,8 @@
 		testutil.Filled(t, v)
 		testutil.ExplicitNames(t, "json", v)
 		var out bytes.Buffer
-		for _, one := range []any{v, reflect.Zero(reflect.TypeOf(v)).Interface()} {
-			if err := printJSON(&out, one); err != nil {
+		for _, value := range []any{v, reflect.Zero(reflect.TypeOf(v)).Interface()} {
+			if err := printJSON(&out, value); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/cmd/hazelwing/hup_test.go
+++ b/cmd/hazelwing/hup_test.go
@@ -13,8 +13,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// A SIGHUP that comes before the program listens for them ends nothing: the deploy file's run line has it ignored from the
-// shell on, and the configuration is read after that. One that comes later is taken.
+// A SIGHUP before the program handles it does not end the program: the run line of the deploy file ignores it from
+// the shell on, and the configuration is read after that. A later one reloads the configuration.
 func TestEarlyHangUp(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -24,17 +24,19 @@
 	if m == nil {
 		t.Fatal("the deploy file's run does not end in the program")
 	}
-	log := filepath.Join(t.TempDir(), "log")
-	out, err := os.Create(log)
+	logPath := filepath.Join(t.TempDir(), "log")
+	log, err := os.Create(logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer out.Close()
-	cmd := exec.Command("/bin/sh", "-c", string(m[1])+`kill -HUP $$; exec "$0"`, os.Args[0])
-	startAlone(t, cmd, fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr), out)
-	cmd.Process.Signal(syscall.SIGHUP)
+	defer log.Close()
+	cmd := exec.CommandContext(t.Context(), "/bin/sh", "-c", string(m[1])+`kill -HUP $$; exec "$0"`, os.Args[0])
+	startAlone(t, cmd, fmt.Sprintf(testutil.Config, testutil.NoAddr, testutil.NoAddr), log)
+	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		t.Fatal(err)
+	}
 	testutil.Until(t, "the new configuration", func() bool {
-		text, err := os.ReadFile(log)
+		text, err := os.ReadFile(logPath)
 		return err == nil && strings.Contains(string(text), `msg="discovery address changed"`)
 	})
 }
--- a/cmd/hazelwing/labcallgraph_test.go
+++ b/cmd/hazelwing/lab_callgraph_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// A call graph is played; a claim that does not hold is the status, and a file that cannot be used is named.
+// A call graph is played; a claim that does not hold is an error, and the error for an invalid file names it.
 func TestLabCallgraph(t *testing.T) {
 	text := `question = "Does it run?"
 services = 3
@@ -36,7 +36,8 @@
 		}
 		return path
 	}
-	if out, err := execute("lab", "callgraph", write("good.toml", text)); err != nil || !strings.Contains(out, "Does it run?") || !strings.Contains(out, "fail") {
+	out, err := execute("lab", "callgraph", write("good.toml", text))
+	if err != nil || !strings.Contains(out, "Does it run?") || !strings.Contains(out, "fail") {
 		t.Errorf("%v\n%s", err, out)
 	}
 	bad := write("bad.toml", text+"[[claim]]\nmeasure = \"times\"\nmode = \"fail\"\nmost = 1.0\n")
--- a/cmd/hazelwing/labslopes_test.go
+++ b/cmd/hazelwing/lab_slopes_test.go
@@ -13,19 +13,37 @@
 	"hazelwing/internal/simulation/capacity"
 )
 
-// The slopes of a file of results: what the small sizes predict holds, what they do not is the status and is named, and a file
-// that cannot be read is named, too.
+// The slopes of a file of results: the error names the series that the small sizes do not predict, or the file that
+// cannot be read.
 func TestLabSlopes(t *testing.T) {
 	var rows []capacity.Result
 	for _, n := range []int{74, 148, 295, 590, 1180} {
-		of := func(figure string, v float64) {
-			rows = append(rows, capacity.Result{Experiment: "e", Size: n, Role: capacity.RolePlain, Phase: "quiet", Figure: figure, Unit: "B/s", Value: v, N: 3})
+		add := func(figure string, value float64) {
+			rows = append(rows, capacity.Result{
+				Experiment: "e",
+				Size:       n,
+				Role:       capacity.RolePlain,
+				Phase:      "quiet",
+				Figure:     figure,
+				Unit:       "B/s",
+				Value:      value,
+				N:          3,
+			})
 		}
-		of("bytes sent", 139)
-		of("view", 360*float64(n))
-		of("storm", max(1, float64(n-295)))
+		add("bytes sent", 139)
+		add("view", 360*float64(n))
+		add("storm", max(1, float64(n-295)))
 	}
-	rows = append(rows, capacity.Result{Experiment: "e", Size: 74, Role: capacity.RoleAsks, Phase: "day", Figure: "once", Unit: "s", Value: 1, N: 1})
+	rows = append(rows, capacity.Result{
+		Experiment: "e",
+		Size:       74,
+		Role:       capacity.RoleAsks,
+		Phase:      "day",
+		Figure:     "once",
+		Unit:       "s",
+		Value:      1,
+		N:          1,
+	})
 	path := filepath.Join(t.TempDir(), "results.json")
 	f, err := os.Create(path)
 	if err != nil {
@@ -35,7 +53,9 @@
 		t.Fatal(err)
 	}
 	out, err := execute("lab", "slopes", path)
-	if !errors.Is(err, errForecast) || !strings.Contains(fmt.Sprint(err), "e quiet sidecar storm") || strings.Contains(fmt.Sprint(err), "bytes sent") {
+	if !errors.Is(err, errForecast) ||
+		!strings.Contains(fmt.Sprint(err), "e quiet sidecar storm") ||
+		strings.Contains(fmt.Sprint(err), "bytes sent") {
 		t.Errorf("%v", err)
 	}
 	for _, want := range []string{"139", "360 n", "holds", "MISSES", "two at least"} {
@@ -43,7 +63,8 @@
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	if out, err := execute("lab", "slopes", path, "--figure", "view,bytes sent"); err != nil || strings.Contains(out, "storm") {
+	out, err = execute("lab", "slopes", path, "--figure", "view,bytes sent")
+	if err != nil || strings.Contains(out, "storm") {
 		t.Errorf("%v\n%s", err, out)
 	}
 	if out, err := execute("lab", "slopes", path, "--figure", "storm", "--within", "1000"); err != nil {
--- a/cmd/hazelwing/lab_test.go
+++ b/cmd/hazelwing/lab_test.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -11,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// An experiment is checked, listed, played, shown, reported and compared; a claim that does not hold is the status, and a
-// hunt does not write over what was found before.
+// An experiment is checked, listed, played, shown, reported and compared; a claim that does not hold is an error, and
+// a hunt does not overwrite what an earlier one found.
 func TestLabCommands(t *testing.T) {
 	dir := t.TempDir()
 	labText := testutil.Experiment("Does it run?", "p2c", "random", 5)
@@ -46,14 +47,16 @@
 		t.Error(err)
 	}
 	bad := write("bad.toml", labText+"[[claim]]\nsays = \"service of p2c >= 2\"\n")
-	if out, err := execute("lab", "run", "--out", runs, bad); err != errClaim || !strings.Contains(out, "FAILS") {
+	out, err := execute("lab", "run", "--out", runs, bad)
+	if !errors.Is(err, errClaim) || !strings.Contains(out, "FAILS") {
 		t.Errorf("%v\n%s", err, out)
 	}
 	found := filepath.Join(dir, "found", "day.toml")
 	want("loses", "lab", "hunt", good, "--contestant", "random", "--tries", "4", "--out", found)
 	want("2 contestants, 2 claims", "lab", "check", found)
-	if _, err := execute("lab", "hunt", good, "--contestant", "random", "--tries", "1", "--out", found); err == nil || !strings.Contains(err.Error(), found) {
-		t.Errorf("what was found is written over: %v", err)
+	_, err = execute("lab", "hunt", good, "--contestant", "random", "--tries", "1", "--out", found)
+	if err == nil || !strings.Contains(err.Error(), found) {
+		t.Errorf("what an earlier hunt found is overwritten: %v", err)
 	}
 	for _, args := range [][]string{
 		{"check", write("odd.toml", labText+"[[clam]]\n")},
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// unfinishedPackages are all that may stand in the list of packages that the linter passes over, linters.exclusions.paths in
-// .golangci.yml. The list only shrinks: a package leaves it by its line there, and leaves this table with the next landing at
-// the latest. Nothing is ever added here.
+// unfinishedPackages are all that may stand in the list of packages that the linter passes over,
+// linters.exclusions.paths in .golangci.yml. The list only shrinks: a package leaves it by its line there, and leaves
+// this table with the next landing at the latest. Nothing is ever added here.
 var unfinishedPackages = []string{
 	"balancer",
 	"cmd/hazelwing",
@@ -144,8 +144,8 @@
 	t.Logf("%d packages are unfinished", len(packages))
 }
 
-// Nothing but that list confines a rule to some packages of the product: the exclusion rules name tests and the cores' clock,
-// and nothing else.
+// Nothing but that list confines a rule to some packages of the product: the exclusion rules name tests and the
+// cores' clock, and nothing else.
 func TestNoRuleIsOffForAPackage(t *testing.T) {
 	config, err := os.ReadFile("../../.golangci.yml")
 	if err != nil {
@@ -158,7 +158,9 @@
 	rules, _, _ := strings.Cut(exclusions, "\n    paths:\n")
 	for line := range strings.Lines(rules) {
 		line = strings.TrimSpace(line)
-		if strings.HasPrefix(line, "- ") && line != `- path: _test\.go$` && !strings.HasPrefix(line, "- path-except: ^(balancer|internal/") {
+		isForTests := line == `- path: _test\.go$`
+		isForCores := strings.HasPrefix(line, "- path-except: ^(balancer|internal/")
+		if strings.HasPrefix(line, "- ") && !isForTests && !isForCores {
 			t.Errorf("a rule for other files than tests: %s", line)
 		}
 	}
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -168,7 +168,8 @@
 		}
 	}
 	for k := 1; k <= r.origins; k++ {
-		if s, err := r.originStatus(k); err != nil || s.ForeignMessages != 0 || s.CorruptMessages != 0 || len(s.RolledBack) != 0 {
+		s, err := r.originStatus(k)
+		if err != nil || s.ForeignMessages != 0 || s.CorruptMessages != 0 || len(s.RolledBack) != 0 {
 			r.t.Errorf("origin %d: %v, %+v", k, err, s)
 		}
 	}
@@ -191,7 +192,7 @@
 	r.t.Helper()
 	before := r.Servers.Discovery.Seq()
 	r.play("server " + server + " drain")
-	r.list.current(fmt.Sprintf("server list from %v to %v", from, to), r.all())
+	r.list.waitCurrent(fmt.Sprintf("server list from %v to %v", from, to), r.all())
 	if after := r.Servers.Discovery.Seq(); after <= before {
 		r.t.Fatalf("discovery is still at version %d", after)
 	}
@@ -247,8 +248,11 @@
 		"--after", fmt.Sprint(latest.Version), "--wait", "0", "--json")
 	output, err := command.Output()
 	var answer pushResult
-	if err = errors.Join(err, json.Unmarshal(output, &answer)); err != nil || answer.Outcome != origin.OutcomeAccepted {
-		r.fail(fmt.Errorf("the older command's push: %v, %s", err, output))
+	if err = errors.Join(err, json.Unmarshal(output, &answer)); err != nil {
+		r.fail(fmt.Errorf("the older command's push: %w, %s", err, output))
+	}
+	if answer.Outcome != origin.OutcomeAccepted {
+		r.fail(fmt.Errorf("the older command's push is not accepted: %s", output))
 	}
 	return answer.Revision
 }
@@ -301,7 +305,8 @@
 	inForce := time.Since(begun)
 	r.waitUntil(what, func() error { return r.reportsDiffer(stamp) })
 	reported := time.Since(begun)
-	r.t.Logf("%-50s %v in force after %.2f s, reported after %.2f s", what, stamp, inForce.Seconds(), reported.Seconds())
+	r.t.Logf("%-50s %v in force after %.2f s, reported after %.2f s",
+		what, stamp, inForce.Seconds(), reported.Seconds())
 }
 
 // reportsDiffer returns an error unless all origins that answer count all members as acting on a stamp.
@@ -329,8 +334,12 @@
 	r.t.Helper()
 	r.waitUntil("all origins have the latest change", func() error {
 		for k := 1; k <= r.origins; k++ {
-			if s, err := r.originStatus(k); err != nil || s.Revision != stamp {
-				return fmt.Errorf("origin %d: %v, stamp %v, not %v", k, err, s.Revision, stamp)
+			status, err := r.originStatus(k)
+			if err != nil {
+				return fmt.Errorf("origin %d: %w", k, err)
+			}
+			if status.Revision != stamp {
+				return fmt.Errorf("origin %d: stamp %v, not %v", k, status.Revision, stamp)
 			}
 		}
 		return nil
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -12,15 +12,16 @@
 	"hazelwing/internal/testutil"
 )
 
-// listRig is a rig whose members have the list by way of the fleet.
+// listRig is a test cluster whose members get the endpoint list from each other.
 type listRig struct {
 	*testcluster.Rig
 	t       *testing.T
 	members int
 }
 
-// sources are from whom the members of a group have their list, in words; and whether all have discovery's version, and live.
-func (r *listRig) sources(group []int) (text []string, asking []int, current bool) {
+// sources returns from whom each member of a group has its endpoint list, as text, which of them call discovery
+// themselves, and whether all have discovery's version from a source that works.
+func (r *listRig) sources(group []int) (text []string, callers []int, current bool) {
 	current = true
 	for _, n := range group {
 		var s relay.SourceState
@@ -29,26 +30,29 @@
 		}
 		text = append(text, fmt.Sprintf("%d from %s at %d, %v", n, s.Source, s.Server.Version, s.Server.Live))
 		if s.Source == "discovery" {
-			asking = append(asking, n)
+			callers = append(callers, n)
 		}
 		current = current && s.Server.Live && s.Server.Version == r.Servers.Discovery.Seq()
 	}
-	return text, asking, current
+	return text, callers, current
 }
 
-// current waits until all of a group have discovery's version from a source that works.
-func (r *listRig) current(what string, group []int) (asking []int, took time.Duration) {
+// waitCurrent waits until all members of a group have discovery's version from a source that works. It returns those
+// that call discovery themselves.
+func (r *listRig) waitCurrent(what string, group []int) (callers []int) {
 	r.t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	var text []string
-	for ok := false; !ok; time.Sleep(20 * time.Millisecond) {
-		if text, asking, ok = r.sources(group); time.Since(begun) > 2*testutil.Patience {
+	for current := false; !current; time.Sleep(20 * time.Millisecond) {
+		text, callers, current = r.sources(group)
+		if time.Since(startedAt) > 2*testutil.Patience {
 			r.t.Fatalf("%s: not current: %s\n%s", what, strings.Join(text, "; "), r.Story())
 		}
 	}
 	calls, _ := r.Servers.Discovery.Calls()
-	r.t.Logf("%-40s %6.2f s, %d calls so far, %d ask", what, time.Since(begun).Seconds(), calls, len(asking))
-	return asking, time.Since(begun)
+	r.t.Logf("%-40s %6.2f s, %d calls so far, %d members call",
+		what, time.Since(startedAt).Seconds(), calls, len(callers))
+	return callers
 }
 
 func (r *listRig) play(script string) {
@@ -58,56 +62,62 @@
 	}
 }
 
+// numbers returns a list of members as scripts have it.
 func numbers(list []int) string {
 	return strings.Trim(strings.ReplaceAll(fmt.Sprint(list), " ", ","), "[]")
 }
 
-// The list comes by way of the fleet: a few ask discovery, also when all start at once or restart; when those who ask are killed, or
-// cannot reach discovery, others do; and each change reaches all. Nobody serves from an older list than another had.
+// The endpoint list is relayed by the cluster: a few members call discovery, also when all start at once or restart.
+// When these are killed or cannot reach discovery, others do. Each change reaches all members.
 func TestListByWayOfTheFleet(t *testing.T) {
-	const members, ask = 12, 2
-	r := &listRig{t: t, members: members, Rig: newFleetRig(t, members, 3, testcluster.Config{Operator: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n", Servers: 6})}
+	const members, wantCallers = 12, 2
+	config := testcluster.Config{
+		Operator: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n",
+		Servers:  6,
+	}
+	r := &listRig{t: t, members: members, Rig: newFleetRig(t, members, 3, config)}
 	var all []int
 	for n := 1; n <= members; n++ {
 		all = append(all, n)
 	}
 	r.play("start all\nsettle 500ms 30s")
-	asking, _ := r.current("all started at once", all)
+	callers := r.waitCurrent("all started at once", all)
 	calls, _ := r.Servers.Discovery.Calls()
-	// On a machine that starts them over more than a second more than ask of them ask; without the fleet each does.
-	if len(asking) < ask || calls >= members {
-		t.Errorf("%d ask with %d calls, %d are meant to", len(asking), calls, ask)
+	// If starting them takes more than a second, more than wantCallers of them call; without the cluster each would.
+	if len(callers) < wantCallers || calls >= members {
+		t.Errorf("%d members made %d calls, want %d members", len(callers), calls, wantCallers)
 	}
 	r.play("server n1 drain")
-	r.current("a server drains", all)
+	r.waitCurrent("a server drains", all)
 
-	r.play("kill " + numbers(asking))
+	r.play("kill " + numbers(callers))
 	var left []int
 	for _, n := range all {
-		if !slices.Contains(asking, n) {
+		if !slices.Contains(callers, n) {
 			left = append(left, n)
 		}
 	}
-	r.current("those who ask were killed", left)
+	r.waitCurrent("those who ask were killed", left)
 	r.play("server n2 drain")
-	r.current("a server drains meanwhile", left)
-	r.play("start " + numbers(asking) + "\nsettle 500ms 30s")
-	asking, _ = r.current("they came back", all)
+	r.waitCurrent("a server drains meanwhile", left)
+	r.play("start " + numbers(callers) + "\nsettle 500ms 30s")
+	callers = r.waitCurrent("they came back", all)
 
-	r.play("discovery " + numbers(asking) + " cut\nserver n3 drain")
-	asking, _ = r.current("those who ask cannot reach discovery", all)
+	r.play("discovery " + numbers(callers) + " cut\nserver n3 drain")
+	r.waitCurrent("those who ask cannot reach discovery", all)
 	r.play("discovery all heal\nsettle 500ms 30s")
 
 	before, _ := r.Servers.Discovery.Calls()
 	r.play("restart all 100ms\nsettle 500ms 30s")
-	asking, _ = r.current("all were restarted at once", all)
+	callers = r.waitCurrent("all were restarted at once", all)
 	after, _ := r.Servers.Discovery.Calls()
 	if after-before >= members {
-		t.Errorf("%d calls when all %d restart at once, %d are meant", after-before, members, ask)
+		t.Errorf("%d calls when all %d restart at once, want %d", after-before, members, wantCallers)
 	}
 	if list := r.Faults(); len(list) > 0 {
 		t.Error(list)
 	}
 	a := &r.Answers
-	t.Logf("served %d, refused %d, failed %d, broken off %d; %v ask", a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load(), asking)
+	t.Logf("served %d, refused %d, failed %d, broken off %d; %v call",
+		a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load(), callers)
 }
--- a/cmd/hazelwing/start_test.go
+++ b/cmd/hazelwing/start_test.go
@@ -11,13 +11,14 @@
 	"testing"
 )
 
-// startThreads is how many threads a sidecar may have when it answers for the first time: the runtime's own (its monitor, one
-// that waits for the network, one that runs, one for signals) and two that system calls bring about.
-const startThreads = 6
+// maxStartThreads is the number of threads that a sidecar may have when it responds for the first time: the runtime's
+// own (its monitor, one that waits for the network, one that runs, one for signals) and two that are started for
+// system calls.
+const maxStartThreads = 6
 
-// A sidecar's start is cheap for a platform that starts three hundred of them, each on a part of a core: with run as the deploy
-// file has it, the runtime is on one core from its first instruction on. Guards against threads that spin for each other, and
-// against the stop of the world that going down to one core later takes.
+// The start of a sidecar is cheap for a platform that starts three hundred of them, each on a fraction of a core:
+// with the run line of the deploy file, the runtime uses one core from its first instruction on. This prevents
+// threads that spin for each other, and the stop of the world that reducing the number of cores later takes.
 func TestStartIsCheap(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("threads are read from /proc")
@@ -28,20 +29,20 @@
 	}
 	r := newDaemonRig(t, "")
 	r.env = append(r.env, set[1])
-	least := 1 << 20 // on a busy machine a system call may last long enough for the runtime to start one more
+	minThreads := 1 << 20 // on a busy machine a system call may last long enough for the runtime to start another
 	for range 5 {
 		r.start()
 		threads := processFigure(t, r.cmd, "Threads")
 		t.Logf("%d threads, %d switches of its own will", threads, processFigure(t, r.cmd, "voluntary_ctxt_switches"))
 		r.kill()
-		least = min(least, threads)
+		minThreads = min(minThreads, threads)
 	}
-	if least > startThreads {
-		t.Errorf("%d threads at the start at the least, at most %d are meant", least, startThreads)
+	if minThreads > maxStartThreads {
+		t.Errorf("%d threads or more at the start, want %d at most", minThreads, maxStartThreads)
 	}
 }
 
-// processFigure is a number of a process that the kernel keeps.
+// processFigure returns a number from the kernel's status of a process.
 func processFigure(t *testing.T, c *exec.Cmd, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
@@ -57,6 +58,6 @@
 			return n
 		}
 	}
-	t.Fatalf("the kernel tells no %s", name)
+	t.Fatalf("the kernel reports no %s", name)
 	return 0
 }
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -15,8 +15,7 @@
 	"hazelwing/internal/store"
 )
 
-// A directory is inspected, verified and compacted; one that the disk has changed, that is in use, or that is not there
-// is an error that names it.
+// A directory is inspected, verified and compacted. The error names a directory that is corrupt, in use or missing.
 func TestStoreCommand(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "ledger")
 	fs, err := store.Dir(dir)
@@ -30,8 +29,22 @@
 	now := time.Now()
 	at := func(d time.Duration) idempotency.Time { return idempotency.Time(now.Add(d).UnixMilli()) }
 	for key, r := range map[string]idempotency.Record{
-		"a": {Effect: balancer.NonIdempotent, Class: "confirm-booking", State: idempotency.StateOpen, IntendedAt: at(0), ExpiresAt: at(time.Hour), Locations: []idempotency.Location{{Zone: "upper-hill"}}},
-		"b": {Effect: balancer.Keyed, Class: "payment-record", State: idempotency.StateExecuted, IntendedAt: at(-time.Minute), ExpiresAt: at(time.Hour), Locations: []idempotency.Location{{Zone: "athi-river"}}},
+		"a": {
+			Effect:     balancer.NonIdempotent,
+			Class:      "confirm-booking",
+			State:      idempotency.StateOpen,
+			IntendedAt: at(0),
+			ExpiresAt:  at(time.Hour),
+			Locations:  []idempotency.Location{{Zone: "upper-hill"}},
+		},
+		"b": {
+			Effect:     balancer.Keyed,
+			Class:      "payment-record",
+			State:      idempotency.StateExecuted,
+			IntendedAt: at(-time.Minute),
+			ExpiresAt:  at(time.Hour),
+			Locations:  []idempotency.Location{{Zone: "athi-river"}},
+		},
 	} {
 		fp := idempotency.NewFingerprint(r.Class, "", key)
 		for range 3 {
@@ -44,13 +57,16 @@
 		t.Errorf("compacting one that is in use: %v", err)
 	}
 	out, err := execute("store", "inspect", dir)
-	if pay, book := strings.Index(out, "payment-record"), strings.Index(out, "confirm-booking"); err != nil || pay < 0 || book < pay || !strings.Contains(out, "2 remembered") {
+	payment, booking := strings.Index(out, "payment-record"), strings.Index(out, "confirm-booking")
+	if err != nil || payment < 0 || booking < payment || !strings.Contains(out, "2 remembered") {
 		t.Errorf("%v\n%s", err, out)
 	}
 	out, err = execute("store", "inspect", dir, "--json")
-	var list []middleware.RecordInfo
-	if e := json.Unmarshal([]byte(out), &list); err != nil || e != nil || len(list) != 2 || list[1].State != "open" || list[1].Locations != "upper-hill/0" {
-		t.Errorf("%v, %v\n%s", err, e, out)
+	var records []middleware.RecordInfo
+	decodeErr := json.Unmarshal([]byte(out), &records)
+	if err != nil || decodeErr != nil || len(records) != 2 ||
+		records[1].State != "open" || records[1].Locations != "upper-hill/0" {
+		t.Errorf("%v, %v\n%s", err, decodeErr, out)
 	}
 	s.Close()
 	if out, err := execute("store", "compact", dir); err != nil || !strings.Contains(out, "2 entries: 1 segments") {
@@ -58,8 +74,9 @@
 	}
 	var segments []store.SegmentReport
 	out, err = execute("store", "verify", "--json", dir)
-	if e := json.Unmarshal([]byte(out), &segments); err != nil || e != nil || len(segments) != 1 || segments[0].Puts != 2 {
-		t.Fatalf("%v, %v\n%s", err, e, out)
+	decodeErr = json.Unmarshal([]byte(out), &segments)
+	if err != nil || decodeErr != nil || len(segments) != 1 || segments[0].Puts != 2 {
+		t.Fatalf("%v, %v\n%s", err, decodeErr, out)
 	}
 	path := filepath.Join(dir, segments[0].Name)
 	b, err := os.ReadFile(path)
@@ -70,7 +87,8 @@
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := execute("store", "verify", dir); err == nil || !strings.Contains(err.Error(), dir) || !strings.Contains(out, segments[0].Name) {
+	out, err = execute("store", "verify", dir)
+	if err == nil || !strings.Contains(err.Error(), dir) || !strings.Contains(out, segments[0].Name) {
 		t.Errorf("the disk has changed a record: %v\n%s", err, out)
 	}
 	absent := filepath.Join(dir, "absent")
@@ -84,7 +102,7 @@
 	}
 }
 
-// The example is good as it stands, and with everything in it turned on.
+// The example is valid as it stands, and with every setting in it enabled.
 func TestCheckCommand(t *testing.T) {
 	const example = "../../deploy/hazelwing.toml"
 	text, err := os.ReadFile(example)
@@ -94,33 +112,38 @@
 	if !hasGRPC { // a build with the tag "small" has no GraphQL
 		text, _, _ = bytes.Cut(text, []byte("# GraphQL over HTTP"))
 	}
-	var on []string
+	var enabled []string // the lines of the example with all settings
 	for line := range strings.Lines(string(text)) {
-		if rest, ok := strings.CutPrefix(line, "# "); ok && (strings.HasPrefix(rest, "[") || strings.Contains(rest, " = ")) {
+		rest, isComment := strings.CutPrefix(line, "# ")
+		if isComment && (strings.HasPrefix(rest, "[") || strings.Contains(rest, " = ")) {
 			if strings.HasPrefix(rest, "sync_every") {
-				on = append(on, "durable = \"batch\"\n")
+				enabled = append(enabled, "durable = \"batch\"\n")
 			} else if strings.HasPrefix(rest, "durable") {
 				continue
 			}
 			line = rest
 		}
-		on = append(on, line)
+		enabled = append(enabled, line)
 	}
 	dir := t.TempDir()
 	for name, text := range map[string]string{
-		"booking.graphql": "type Query { seats(train: ID!): Int }\ninput I { token: String }\ntype Mutation { confirmBooking(input: I): Int }",
-		"seeds":           "10.0.0.6:7946 # the second\n", "documents.json": `{"home": "{ seats(train: 1) }"}`,
+		"booking.graphql": "type Query { seats(train: ID!): Int }\n" +
+			"input I { token: String }\n" +
+			"type Mutation { confirmBooking(input: I): Int }",
+		"seeds":          "10.0.0.6:7946 # the second\n",
+		"documents.json": `{"home": "{ seats(train: 1) }"}`,
 	} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	path := filepath.Join(dir, "on.toml")
-	if err := os.WriteFile(path, []byte(strings.ReplaceAll(strings.Join(on, ""), "/etc/hazelwing", dir)), 0o600); err != nil {
+	enabledText := strings.ReplaceAll(strings.Join(enabled, ""), "/etc/hazelwing", dir)
+	if err := os.WriteFile(path, []byte(enabledText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := execute("check", example, path); err != nil || strings.Count(out, ": good") != 2 {
-		t.Errorf("%v\n%s\n%s", err, out, strings.Join(on, ""))
+		t.Errorf("%v\n%s\n%s", err, out, strings.Join(enabled, ""))
 	}
 	if err := os.WriteFile(path, []byte("[ledger]\ndir = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
