--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -22,23 +22,33 @@
 )
 
 var (
-	calibrateFor     = flag.Duration("calibrate.for", 5*time.Second, "how long TestCalibration measures; above 30s the fleet has the daemon's own times, and both are measured one after the other")
+	calibrateFor = flag.Duration("calibrate.for", 5*time.Second,
+		"how long TestCalibration measures; above 30s the fleet has the daemon's own times, "+
+			"and both are measured one after the other")
 	calibrateMembers = flag.Int("calibrate.members", 6, "members of TestCalibration, at most 30")
 )
 
-// calibrated is what one kind of sidecar does in a quiet fleet, a second of a member.
-type calibrated struct {
-	bytesOut, bytesIn, messagesOut, messagesIn float64
-	processor                                  float64 // ms
-	stirred                                    int     // suspicions that began, were refuted, and times that one stood still, of all: the fleet was not quiet
-	resident, heap                             float64 // MB
+// isLongCalibration reports whether the long form of TestCalibration is run.
+func isLongCalibration() bool { return *calibrateFor > 30*time.Second }
+
+// memberCost is the cost of a sidecar of one kind in a quiet cluster, a second of a member.
+type memberCost struct {
+	bytesOut    float64
+	bytesIn     float64
+	messagesOut float64
+	messagesIn  float64
+	processor   float64 // ms
+	resident    float64 // MB
+	heap        float64 // MB
+	disturbed   int     // suspicions, refutations and stalls of all members; above 0: the cluster was not quiet
 }
 
-func (c calibrated) String() string {
-	text := fmt.Sprintf("%.1f bytes and %.3f messages a second sent, %.1f and %.3f received; processor %.3f ms/s; resident %.1f MB",
+func (c memberCost) String() string {
+	text := fmt.Sprintf("%.1f bytes and %.3f messages a second sent, %.1f and %.3f received; "+
+		"processor %.3f ms/s; resident %.1f MB",
 		c.bytesOut, c.messagesOut, c.bytesIn, c.messagesIn, c.processor, c.resident)
-	if c.stirred > 0 {
-		text += fmt.Sprintf("; not quiet: %d suspicions, refutations and stalls", c.stirred)
+	if c.disturbed > 0 {
+		text += fmt.Sprintf("; not quiet: %d suspicions, refutations and stalls", c.disturbed)
 	}
 	if c.heap > 0 {
 		text += fmt.Sprintf(", heap beyond the test's own %.2f MB", c.heap)
@@ -46,173 +56,210 @@
 	return text
 }
 
-// A hollow sidecar costs a quiet fleet what a real one does: bytes and messages within 10 %. The real ones' are counted by the links
-// between their processes, the hollow ones' by their sockets. Names, list and settings are the same, so the tree of the list is, too.
-// Processor time and memory are only stated: a hollow one shares its process. The long form is
+// A hollow sidecar costs a quiet cluster what a real one does: bytes and messages within 10 %. Those of real ones are
+// counted by the links between their processes, those of hollow ones by their sockets. Names, list and settings are
+// the same, so the relay tree of the list is the same, too. Processor time and memory are only logged: hollow
+// sidecars share a process. The long form is
 //
 //	go test ./cmd/hazelwing -run Calibration -calibrate.for 2m -calibrate.members 24 -timeout 20m -v
 func TestCalibration(t *testing.T) {
-	long := *calibrateFor > 30*time.Second
-	// Without comparisons of whole views, of which a short time has few: the rest comes at a fixed pace.
-	keys := "probe = \"250ms\"\ntimeout = \"240ms\"\nsync = \"10m\"\n"
-	if long { // the daemon's own pace; a late answer on a busy machine brings no more probes, as the fleet would not be quiet
-		keys = "timeout = \"900ms\"\n"
+	// Without push-pull, which is rare in a short time; all else has a fixed rate.
+	settings := "probe = \"250ms\"\ntimeout = \"240ms\"\nsync = \"10m\"\n"
+	if isLongCalibration() {
+		// The daemon's own intervals. A late response on a busy machine leads to no further probes, with which the
+		// cluster would not be quiet.
+		settings = "timeout = \"900ms\"\n"
 	}
 	const recovery = "ask = 2\nfan = 3\n"
-	var realOnes, hollowOnes calibrated
-	play := func(of *calibrated, f func(*testing.T, string, string) calibrated) func() {
-		return func() { *of = f(t, keys, recovery) }
-	}
-	a, b := play(&realOnes, calibrateReal), play(&hollowOnes, calibrateHollow)
-	if long { // processor time of this process is then one kind's alone
-		a()
-		b()
+	var realCost, hollowCost memberCost
+	measureReal := func() { realCost = calibrateReal(t, settings, recovery) }
+	measureHollow := func() { hollowCost = calibrateHollow(t, settings, recovery) }
+	if isLongCalibration() { // the processor time of this process is then that of one kind
+		measureReal()
+		measureHollow()
 	} else {
 		var both sync.WaitGroup
-		both.Go(a)
-		both.Go(b)
+		both.Go(measureReal)
+		both.Go(measureHollow)
 		both.Wait()
 	}
 	if t.Failed() {
 		return
 	}
-	t.Logf("real:   %v", realOnes)
-	t.Logf("hollow: %v", hollowOnes)
+	t.Logf("real:   %v", realCost)
+	t.Logf("hollow: %v", hollowCost)
 	t.Logf("reference loop: %v for a million steps", capacity.Reference())
-	for _, x := range []struct {
-		what         string
-		real, hollow float64
+	for _, figure := range []struct {
+		name   string
+		real   float64
+		hollow float64
 	}{
-		{"bytes sent", realOnes.bytesOut, hollowOnes.bytesOut},
-		{"bytes received", realOnes.bytesIn, hollowOnes.bytesIn},
-		{"messages sent", realOnes.messagesOut, hollowOnes.messagesOut},
-		{"messages received", realOnes.messagesIn, hollowOnes.messagesIn},
+		{"bytes sent", realCost.bytesOut, hollowCost.bytesOut},
+		{"bytes received", realCost.bytesIn, hollowCost.bytesIn},
+		{"messages sent", realCost.messagesOut, hollowCost.messagesOut},
+		{"messages received", realCost.messagesIn, hollowCost.messagesIn},
 	} {
-		if off := x.hollow/x.real - 1; !(math.Abs(off) <= 0.1) {
-			t.Errorf("%s: a hollow one %.2f a second, a real one %.2f: %+.1f %%", x.what, x.hollow, x.real, 100*off)
+		if off := figure.hollow/figure.real - 1; !(math.Abs(off) <= 0.1) {
+			t.Errorf("%s: a hollow one %.2f a second, a real one %.2f: %+.1f %%",
+				figure.name, figure.hollow, figure.real, 100*off)
 		} else {
-			t.Logf("%s: %+.1f %%", x.what, 100*off)
+			t.Logf("%s: %+.1f %%", figure.name, 100*off)
 		}
 	}
 }
 
-func calibrateReal(t *testing.T, keys, recovery string) (c calibrated) {
+// calibrateReal measures sidecars that are processes of their own.
+func calibrateReal(t *testing.T, settings, recovery string) (cost memberCost) {
 	r, err := testcluster.New(testcluster.Config{
-		Members: *calibrateMembers, Seed: 1, Dir: t.TempDir(), Program: []string{os.Args[0]}, Env: []string{testRun + "=1"}, Fleet: keys,
-		Operator: "[recovery]\n" + recovery, Quiet: true,
+		Members:  *calibrateMembers,
+		Seed:     1,
+		Dir:      t.TempDir(),
+		Program:  []string{os.Args[0]},
+		Env:      []string{testRun + "=1"},
+		Fleet:    settings,
+		Operator: "[recovery]\n" + recovery,
+		Quiet:    true,
 	})
 	if err != nil {
 		t.Error(err)
-		return c
+		return cost
 	}
 	defer r.Close()
 	if err := r.Play(t.Context(), "start all\nsettle 1s 60s"); err != nil {
 		t.Errorf("%v\n%s", err, r.Story())
-		return c
+		return cost
 	}
-	rest()
-	n := *calibrateMembers
-	look := func() (c calibrated) {
-		for i := 1; i <= n; i++ {
+	waitQuiet()
+	members := *calibrateMembers
+	read := func() (total memberCost) {
+		for i := 1; i <= members; i++ {
 			out, in := r.Traffic(i)
-			c.bytesOut, c.messagesOut = c.bytesOut+float64(out.Bytes), c.messagesOut+float64(out.Messages)
-			c.bytesIn, c.messagesIn = c.bytesIn+float64(in.Bytes), c.messagesIn+float64(in.Messages)
-			var s gossip.Status
-			if err := r.Ask(i, "fleet", &s); err != nil {
+			total.bytesOut += float64(out.Bytes)
+			total.messagesOut += float64(out.Messages)
+			total.bytesIn += float64(in.Bytes)
+			total.messagesIn += float64(in.Messages)
+			var status gossip.Status
+			if err := r.Ask(i, "fleet", &status); err != nil {
 				t.Error(err)
 			}
-			c.stirred += stirred(s)
-			cpu, rss := ofProcess(t, r.PID(i))
-			c.processor, c.resident = c.processor+cpu, c.resident+rss
+			total.disturbed += disturbances(status)
+			processor, resident := processUsage(t, r.PID(i))
+			total.processor += processor
+			total.resident += resident
 		}
-		return c
+		return total
 	}
-	begun, old := time.Now(), look()
+	startedAt, before := time.Now(), read()
 	time.Sleep(*calibrateFor)
-	c = rates(old, look(), time.Since(begun), n)
-	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // else it was not quiet
+	cost = costBetween(before, read(), time.Since(startedAt), members)
+	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // otherwise it was not quiet
 		t.Errorf("%v\n%s", err, r.Story())
 	}
-	return c
+	return cost
 }
 
-func calibrateHollow(t *testing.T, keys, recovery string) (c calibrated) {
-	n := *calibrateMembers
-	before := heapNow()
-	f, err := hollow.New(hollow.Config{Members: n, Upstreams: 4, Name: "rig", Member: "m%02d", Fleet: keys, Recovery: recovery})
+// calibrateHollow measures hollow sidecars, all in this process.
+func calibrateHollow(t *testing.T, settings, recovery string) (cost memberCost) {
+	members := *calibrateMembers
+	heapBefore := heapSize()
+	fleet, err := hollow.New(hollow.Config{
+		Members:   members,
+		Upstreams: 4,
+		Name:      "rig",
+		Member:    "m%02d",
+		Fleet:     settings,
+		Recovery:  recovery,
+	})
 	if err != nil {
 		t.Error(err)
-		return c
+		return cost
 	}
-	defer f.Close()
-	if err := f.Start(f.Members...); err != nil {
+	defer fleet.Close()
+	if err := fleet.Start(fleet.Members...); err != nil {
 		t.Error(err)
-		return c
+		return cost
 	}
 	everywhere := func(hollow.Place) bool { return true }
-	for begun := time.Now(); f.Disagreement(everywhere) != "" || f.Behind(everywhere) > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > testutil.Patience { // not fixture.Until: this may be another goroutine than the test's
-			t.Errorf("the hollow ones do not come together: %s", f.Disagreement(everywhere))
-			return c
+	startedAt := time.Now()
+	for fleet.Disagreement(everywhere) != "" || fleet.Behind(everywhere) > 0 {
+		if time.Since(startedAt) > testutil.Patience { // testutil.Until may only be called from the test's goroutine
+			t.Errorf("the hollow members do not agree: %s", fleet.Disagreement(everywhere))
+			return cost
 		}
+		time.Sleep(10 * time.Millisecond)
 	}
-	rest()
-	look := func() (c calibrated) {
-		for _, m := range f.Members {
-			c.stirred += stirred(m.View())
-			x := m.Counts()
-			c.bytesOut, c.messagesOut = c.bytesOut+float64(x.BytesOut), c.messagesOut+float64(x.MessagesOut)
-			c.bytesIn, c.messagesIn = c.bytesIn+float64(x.BytesIn), c.messagesIn+float64(x.MessagesIn)
+	waitQuiet()
+	read := func() (total memberCost) {
+		for _, member := range fleet.Members {
+			total.disturbed += disturbances(member.View())
+			counts := member.Counts()
+			total.bytesOut += float64(counts.BytesOut)
+			total.messagesOut += float64(counts.MessagesOut)
+			total.bytesIn += float64(counts.BytesIn)
+			total.messagesIn += float64(counts.MessagesIn)
 		}
-		cpu, rss := ofProcess(t, os.Getpid())
-		c.processor, c.resident = cpu, rss
-		return c
+		total.processor, total.resident = processUsage(t, os.Getpid())
+		return total
 	}
-	begun, old := time.Now(), look()
+	startedAt, before := time.Now(), read()
 	time.Sleep(*calibrateFor)
-	c = rates(old, look(), time.Since(begun), n)
-	c.heap = (heapNow() - before) / float64(n)
-	return c
+	cost = costBetween(before, read(), time.Since(startedAt), members)
+	cost.heap = (heapSize() - heapBefore) / float64(members)
+	return cost
 }
 
-// rest lets a fleet tell what is new, and who asked discovery for want of a peer go back: settle of internal/discovery/bootstrap, in the long form.
-func rest() {
-	if *calibrateFor > 30*time.Second {
+// waitQuiet waits until a cluster has disseminated what is new, and in the long form until members that called
+// discovery for lack of a peer follow one again, after the settle time of internal/discovery/bootstrap.
+func waitQuiet() {
+	if isLongCalibration() {
 		time.Sleep(40 * time.Second)
 		return
 	}
 	time.Sleep(time.Second)
 }
 
-func rates(old, now calibrated, d time.Duration, n int) calibrated {
-	k := d.Seconds() * float64(n)
-	return calibrated{
-		stirred: now.stirred - old.stirred, bytesOut: (now.bytesOut - old.bytesOut) / k, bytesIn: (now.bytesIn - old.bytesIn) / k, messagesOut: (now.messagesOut - old.messagesOut) / k,
-		messagesIn: (now.messagesIn - old.messagesIn) / k, processor: (now.processor - old.processor) / k, resident: now.resident / float64(n),
+// costBetween returns the cost of a member a second from the totals at two times.
+func costBetween(before, after memberCost, elapsed time.Duration, members int) memberCost {
+	memberSeconds := elapsed.Seconds() * float64(members)
+	return memberCost{
+		bytesOut:    (after.bytesOut - before.bytesOut) / memberSeconds,
+		bytesIn:     (after.bytesIn - before.bytesIn) / memberSeconds,
+		messagesOut: (after.messagesOut - before.messagesOut) / memberSeconds,
+		messagesIn:  (after.messagesIn - before.messagesIn) / memberSeconds,
+		processor:   (after.processor - before.processor) / memberSeconds,
+		resident:    after.resident / float64(members),
+		disturbed:   after.disturbed - before.disturbed,
 	}
 }
 
-func stirred(s gossip.Status) int { return s.Core.Suspicions + s.Core.Refutations + s.Core.Stalls }
+// disturbances returns the number of events that a quiet cluster does not have.
+func disturbances(status gossip.Status) int {
+	return status.Core.Suspicions + status.Core.Refutations + status.Core.Stalls
+}
 
-func heapNow() float64 {
+// heapSize returns the size of the live heap in MB.
+func heapSize() float64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc) / 1e6
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc) / 1e6
 }
 
-// ofProcess is the processor time of a process, in ms, and its resident memory in MB.
-func ofProcess(t *testing.T, pid int) (cpu, resident float64) {
+// processUsage returns the processor time of a process in ms, and its resident memory in MB.
+func processUsage(t *testing.T, pid int) (processor, resident float64) {
+	t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Error(err)
 		return 0, 0
 	}
 	_, after, _ := strings.Cut(string(stat), ") ")
-	words := strings.Fields(after)
+	fields := strings.Fields(after)
 	var user, system, pages float64
-	fmt.Sscan(words[11], &user)
-	fmt.Sscan(words[12], &system)
-	fmt.Sscan(words[21], &pages)
+	for i, value := range map[int]*float64{11: &user, 12: &system, 21: &pages} {
+		if _, err := fmt.Sscan(fields[i], value); err != nil {
+			t.Error(err)
+		}
+	}
 	return (user + system) * 10, pages * float64(syscall.Getpagesize()) / 1e6
 }
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -258,7 +258,7 @@
 	s.Version++
 	r.inForce("two at once under one version", s, at, r.all(), soon)
 
-	// Discovery is moved for all: few ask the new one, and the others go on having the list from them.
+	// The address of discovery changes for all: few call the new one, and relay the list to the others.
 	before, _ := r.Servers.Discovery.Calls()
 	s, at = r.pushUntilAccepted(2, r.file(fmt.Sprintf("[discovery]\naddr = %q", r.Servers.Discovery.Addr())))
 	r.inForce("discovery is moved", s, at, r.all(), soon)
@@ -286,7 +286,7 @@
 	r.inForce("the origin that leads is killed in mid-push", s, at, r.all(), soon)
 	r.play(fmt.Sprintf("start o%d", leader))
 
-	// A member that others follow stands still.
+	// A member with subscribers is stopped.
 	still := r.mostFollowed()
 	r.play(fmt.Sprintf("freeze %d", still))
 	others := slices.DeleteFunc(r.all(), func(n int) bool { return n == still })
@@ -325,7 +325,7 @@
 	r.inForce("healed: the other side", s, at, numbered(1, half), soon)
 
 	if *configLong {
-		r.more(s)
+		r.testLongFaults()
 	}
 	r.end()
 }
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -24,53 +24,54 @@
 	"hazelwing/internal/testutil"
 )
 
-// record is a log that may be read while it is written.
-type record struct {
+// logBuffer is a log that may be read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (r *record) Write(b []byte) (int, error) {
+func (r *logBuffer) Write(b []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.text.Write(b)
 }
 
-func (r *record) String() string {
+func (r *logBuffer) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.text.String()
 }
 
-// flood is idle clients: they connect, say nothing or half a line, are cut or cut by themselves, and come again at once.
+// flood runs idle clients until ctx is done: they connect, send nothing or half a line, are disconnected or
+// disconnect, and connect again at once. It returns the count of their connections.
 func flood(ctx context.Context, all *sync.WaitGroup, addr string, clients int) *atomic.Int64 {
-	came := new(atomic.Int64)
+	connections := new(atomic.Int64)
 	for i := range clients {
 		rng := rand.New(rand.NewPCG(uint64(i), 1))
 		all.Go(func() {
 			for ctx.Err() == nil {
 				c, err := net.Dial("tcp", addr)
-				if err != nil { // the daemon is restarted
+				if err != nil { // the daemon is being restarted
 					time.Sleep(10 * time.Millisecond)
 					continue
 				}
-				came.Add(1)
+				connections.Add(1)
 				if rng.IntN(4) == 0 {
-					io.WriteString(c, "GET /lo")
+					_, _ = io.WriteString(c, "GET /lo") // the daemon may have closed the connection
 				}
-				c.SetReadDeadline(time.Now().Add(time.Duration(50+rng.IntN(1500)) * time.Millisecond))
-				end := context.AfterFunc(ctx, func() { c.Close() })
-				c.Read(make([]byte, 1)) // until it is cut, or cuts by itself
-				end()
+				_ = c.SetReadDeadline(time.Now().Add(time.Duration(50+rng.IntN(1500)) * time.Millisecond))
+				stop := context.AfterFunc(ctx, func() { c.Close() })
+				_, _ = c.Read(make([]byte, 1)) // until the daemon closes the connection, or the deadline
+				stop()
 				c.Close()
 				time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 			}
 		})
 	}
-	return came
+	return connections
 }
 
-// descriptors are those that a process has open.
+// descriptors returns the number of descriptors that a process has open.
 func descriptors(pid int) int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -79,21 +80,30 @@
 	return len(list)
 }
 
-// A daemon whose descriptors the kernel limits, to what the platform tells it or to less: idle clients flood it, are cut and come
-// again; discovery is down; requests are in hand, and connections to the one upstream that is known do not come up. It is told to
-// end in the middle of that, and a new process takes its place. The new one answers /up; when discovery is back the list is had at
-// once, and the requests in hand get their upstream. No process comes to its limit: what is kept back is there.
+// A daemon whose descriptors the kernel limits to the platform's number or less: idle clients flood it, are
+// disconnected and connect again; discovery is down; requests are in flight, and connections to the one known
+// upstream are not established. It is terminated during that, and a new process takes its place. The new one responds
+// to /up; once discovery is back, the list is fetched at once, and the requests in flight get their upstream. No
+// process reaches its limit: the reserved descriptors suffice.
 func TestDescriptorsUnderFlood(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("descriptors are counted in /proc")
 	}
-	for name, c := range map[string]struct{ limit, told int }{"64": {64, 64}, "512": {512, 512}, "64, and the platform tells more": {64, 1024}} {
-		t.Run(name, func(t *testing.T) {
-			limit := c.limit
+	for _, test := range []struct {
+		name            string
+		limit           int // the kernel's
+		platformSockets int // the platform's
+	}{
+		{name: "64", limit: 64, platformSockets: 64},
+		{name: "512", limit: 512, platformSockets: 512},
+		{name: "64, and the platform tells more", limit: 64, platformSockets: 1024},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			limit := test.limit
 			t.Parallel() // it waits in real time
 			serving := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
-					io.WriteString(c, testutil.OKAnswer)
+					_, _ = io.WriteString(c, testutil.OKAnswer) // the daemon may have closed the connection
 				}
 			})
 			down, err := net.Listen("tcp", net.JoinHostPort(emulator.OwnHost(), "0"))
@@ -102,19 +112,27 @@
 			}
 			discovery := down.Addr().String()
 			down.Close()
-			text := strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, c.told)).Replace(fmt.Sprintf(testutil.Config, discovery, neverUp(t)))
-			log := new(record)
-			start := func(again string) (*exec.Cmd, string) {
-				cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec \"$0\"", limit), os.Args[0])
-				return cmd, startAt(t, cmd, text, again, log)
+			text := strings.ReplaceAll(fmt.Sprintf(testutil.Config, discovery, neverUp(t)),
+				`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, test.platformSockets))
+			log := new(logBuffer)
+			start := func(addr string) (*exec.Cmd, string) {
+				script := fmt.Sprintf("ulimit -n %d && exec \"$0\"", limit)
+				cmd := exec.CommandContext(t.Context(), "/bin/sh", "-c", script, os.Args[0])
+				return cmd, startAt(t, cmd, text, addr, log)
+			}
+			signal := func(cmd *exec.Cmd, s syscall.Signal) {
+				t.Helper()
+				if err := cmd.Process.Signal(s); err != nil {
+					t.Fatal(err)
+				}
 			}
 			first, addr := start("")
 			ctx, stop := context.WithCancel(t.Context())
 			var clients sync.WaitGroup
 			defer clients.Wait()
 			defer stop()
-			came := flood(ctx, &clients, addr, 2*limit)
-			most := make(chan int, 1)
+			connections := flood(ctx, &clients, addr, 2*limit)
+			maxDescriptors := make(chan int, 1)
 			watched := new(atomic.Int64)
 			watched.Store(int64(first.Process.Pid))
 			clients.Go(func() {
@@ -122,102 +140,125 @@
 				for ; ctx.Err() == nil; time.Sleep(2 * time.Millisecond) {
 					n = max(n, descriptors(int(watched.Load())))
 				}
-				most <- n
+				maxDescriptors <- n
 			})
-			up := func() time.Duration {
-				begun := time.Now()
-				client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-				testutil.Until(t, "the answer on /up", func() bool {
-					resp, err := client.Get("http://" + addr + "/up")
-					if err != nil {
-						return false
-					}
-					resp.Body.Close()
-					return resp.StatusCode == http.StatusOK
-				})
-				return time.Since(begun)
+			waitUp := func() time.Duration {
+				startedAt := time.Now()
+				testutil.Until(t, "the response to /up", func() bool { return isUp(t, addr) })
+				return time.Since(startedAt)
 			}
-			testutil.Until(t, "the flood", func() bool { return came.Load() > int64(3*limit) })
-			t.Logf("/up under the flood after %v", up().Round(time.Millisecond))
-			// The restart, in the middle of it.
-			begun := time.Now()
-			first.Process.Signal(syscall.SIGTERM)
+			testutil.Until(t, "the flood", func() bool { return connections.Load() > int64(3*limit) })
+			t.Logf("/up under the flood after %v", waitUp().Round(time.Millisecond))
+			// The restart, during the flood.
+			terminatedAt := time.Now()
+			signal(first, syscall.SIGTERM)
 			if err := first.Wait(); err != nil {
 				t.Errorf("the first daemon ended with %v", err)
 			}
-			ended := time.Since(begun)
+			shutdownTime := time.Since(terminatedAt)
 			second, _ := start(addr)
 			watched.Store(int64(second.Process.Pid))
-			t.Logf("SIGTERM to the end %v, /up of the next one %v later", ended.Round(time.Millisecond), up().Round(time.Millisecond))
-			// Requests come into hand.
-			requests := platform.Limits{Sockets: limit}.MaxClientConns() // and each dials
+			t.Logf("SIGTERM to the end %v, /up of the next one %v later",
+				shutdownTime.Round(time.Millisecond), waitUp().Round(time.Millisecond))
+			// Requests are sent, each of which dials.
+			requests := platform.Limits{Sockets: limit}.MaxClientConns()
 			statuses := make(chan int, requests)
 			for i := range requests {
 				clients.Go(func() {
+					// A request that is disconnected or rejected is retried.
 					status := 0
-					for try := 0; ctx.Err() == nil && (status == 0 || status == http.StatusServiceUnavailable); try++ { // cut or refused: it comes again
-						if try > 0 {
+					for n := 0; ctx.Err() == nil && (status == 0 || status == http.StatusServiceUnavailable); n++ {
+						if n > 0 {
 							time.Sleep(20 * time.Millisecond)
 						}
-						c, err := net.Dial("tcp", addr)
-						if err != nil {
-							continue
-						}
-						testutil.Request(t, "http://"+addr, "GET", "look", fmt.Sprint("r", i, "-", try), "").Write(c)
-						if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
-							status = resp.StatusCode
-						}
-						c.Close()
+						status = requestStatus(t, addr, fmt.Sprint("r", i, "-", n), status)
 					}
 					statuses <- status
 				})
 			}
-			time.Sleep(300 * time.Millisecond) // dials run out, and are made again
-			second.Process.Signal(syscall.SIGHUP)
+			time.Sleep(300 * time.Millisecond) // dials time out and are retried
+			signal(second, syscall.SIGHUP)
 			time.Sleep(200 * time.Millisecond)
-			back := time.Now()
-			had := make(chan time.Duration, 1)
+			discoveryUpAt := time.Now()
+			calledAfter := make(chan time.Duration, 1)
 			l, err := net.Listen("tcp", discovery)
 			if err != nil {
 				t.Fatal(err)
 			}
 			d := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				fmt.Fprintf(w, `{"seq":2,"whole":true,"hosts":[{"host":"new","dial":%q,"site":"a","class":"m","block":0,"health":"SERVING","share":1.0,"born_ms":0}]}`+"\n", serving)
+				const list = `{"seq":2,"whole":true,"hosts":[{"host":"new","dial":%q,"site":"a","class":"m",` +
+					`"block":0,"health":"SERVING","share":1.0,"born_ms":0}]}` + "\n"
+				_, _ = fmt.Fprintf(w, list, serving) // the daemon calls again
 				w.(http.Flusher).Flush()
 				select {
-				case had <- time.Since(back):
+				case calledAfter <- time.Since(discoveryUpAt):
 				default:
 				}
 				<-r.Context().Done()
 			})}
-			go d.Serve(l)
+			clients.Go(func() { _ = d.Serve(l) }) // until it is closed
 			defer d.Close()
-			t.Logf("the list was asked for %v after discovery's return", testutil.Receive(t, had, "the call").Round(time.Millisecond))
-			second.Process.Signal(syscall.SIGHUP) // the old watch stays until the new one has answered
+			t.Logf("the list was asked for %v after discovery's return",
+				testutil.Receive(t, calledAfter, "the call").Round(time.Millisecond))
+			signal(second, syscall.SIGHUP) // the old watch stays until the new one has answered
 			served := 0
 			for range requests {
 				if testutil.Receive(t, statuses, "a request's end") == http.StatusOK {
 					served++
 				}
 			}
-			t.Logf("%d of %d requests served, the last %v after discovery's return", served, requests, time.Since(back).Round(time.Millisecond))
+			t.Logf("%d of %d requests served, the last %v after discovery's return",
+				served, requests, time.Since(discoveryUpAt).Round(time.Millisecond))
 			if served < requests {
-				t.Errorf("%d of %d requests in hand were served", served, requests)
+				t.Errorf("%d of %d requests in flight were served", served, requests)
 			}
 			stop()
-			n := testutil.Receive(t, most, "the count")
-			t.Logf("%d connections of clients came; %d descriptors at most of %d", came.Load(), n, limit)
+			n := testutil.Receive(t, maxDescriptors, "the count")
+			t.Logf("%d connections of clients came; %d descriptors at most of %d", connections.Load(), n, limit)
 			if n >= limit {
 				t.Errorf("%d descriptors of %d were open", n, limit)
 			}
 			if strings.Contains(log.String(), "too many open files") {
-				t.Errorf("it came to its limit:\n%s", log)
+				t.Errorf("a daemon reached its limit:\n%s", log)
 			}
 		})
 	}
 }
 
-// neverUp is the address of a listener with which no connection comes up.
+// isUp reports whether a daemon responds to /up, on a new connection.
+func isUp(t *testing.T, addr string) bool {
+	t.Helper()
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/up", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return false
+	}
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
+
+// requestStatus sends a request on a new connection and returns the status of the response, or the former status if
+// there is none.
+func requestStatus(t *testing.T, addr, id string, former int) int {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return former
+	}
+	defer c.Close()
+	_ = testutil.Request(t, "http://"+addr, "GET", "look", id, "").Write(c) // no response follows if it fails
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return former
+	}
+	response.Body.Close()
+	return response.StatusCode
+}
+
+// neverUp returns the address of a listener with which no connection is established.
 func neverUp(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -236,7 +277,7 @@
 		t.Fatal(err)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
-	c, err := net.Dial("tcp", addr) // takes the one place of the backlog
+	c, err := net.Dial("tcp", addr) // occupies the one place of the backlog
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("\nstatus %d: %v\n", exitStatus(err), err)
 }
 
-// What config status and config show print of an origin's answers, as JSON and as text.
+// What config status and config show print for an origin's responses, as JSON and as text.
 func TestConfigCommandOutputIsStable(t *testing.T) {
 	answers := map[string]string{"GET /config/status": "origin-status.json", "GET /config/show": "origin-show.json"}
 	for _, c := range []struct {
@@ -64,7 +64,7 @@
 	}
 }
 
-// What hazelwing fleet prints of a sidecar's answer, as JSON and as text.
+// What hazelwing fleet prints for a sidecar's response, as JSON and as text.
 func TestFleetCommandOutputIsStable(t *testing.T) {
 	for file, args := range map[string][]string{
 		"fleet.json": {"fleet", "--json", "--admin", "ADDRESS"},
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -24,11 +24,12 @@
 
 var (
 	kills    = flag.Int("kills", 6, "how often TestKilled kills the daemon, for each durability")
-	killMode = flag.String("kill.durable", "", "TestKilled with this durability only: \"off\" shows what the disk is for")
+	killMode = flag.String("kill.durable", "",
+		"TestKilled with this durability only: \"off\" shows what the disk is for")
 	killSeed = flag.Uint64("kill.seed", 1, "seed of TestKilled")
 )
 
-// testRun makes this test's program the daemon.
+// testRun is the environment variable that makes this test's program the daemon.
 const testRun = "HAZELWING_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -53,32 +54,37 @@
 	{Name: "pay", Effect: "keyed", AimMS: 1000, DeadlineMS: 4000, Worth: 1, LateShare: 0.5},
 }
 
-// daemonRig is a daemon as a process of its own, beside stand-in nodes in this one.
+// daemonRig is a daemon as a process of its own, with emulated nodes in this one.
 type daemonRig struct {
-	t     *testing.T
-	fleet *emulator.Fleet
-	addr  string
-	env   []string
-	cmd   *exec.Cmd
-	log   *os.File
-	life  atomic.Int64 // odd while a daemon runs; another number for each
+	t          *testing.T
+	fleet      *emulator.Fleet
+	addr       string
+	env        []string
+	cmd        *exec.Cmd
+	log        *os.File
+	generation atomic.Int64 // of the daemon; odd while one runs
 }
 
-// applicant is a client: one request at a time, on connections of its own.
-type applicant struct {
-	client    *http.Client
-	transport *http.Transport
-	life      int64 // of the daemon that it has connections to
+// killClient is a client that sends one request at a time, on connections of its own.
+type killClient struct {
+	client     *http.Client
+	transport  *http.Transport
+	generation int64 // of the daemon that it has connections to
 }
 
-// newDaemonRig makes one that is not started yet; operator is the text of the operator's file, "" for none, with DIR for
+// newDaemonRig returns a daemon that is not started yet. The text of the operator's file, empty for none, has DIR for
 // an empty directory.
 func newDaemonRig(t *testing.T, operator string) *daemonRig {
 	t.Helper()
 	traffic := &emulator.Traffic{Head: emulator.Head{Classes: killClasses}}
 	var nodes []emulator.NodeConfig
 	for i := range 6 {
-		nodes = append(nodes, emulator.NodeConfig{Name: fmt.Sprint("n", i), Zone: string(rune('a' + i%3)), Kind: "m", Speed: 1})
+		nodes = append(nodes, emulator.NodeConfig{
+			Name:  fmt.Sprint("n", i),
+			Zone:  string(rune('a' + i%3)),
+			Kind:  "m",
+			Speed: 1,
+		})
 	}
 	fleet, err := emulator.NewFleet(emulator.FleetConfig{Nodes: nodes, Effects: traffic.Effects()})
 	if err != nil {
@@ -105,7 +111,8 @@
 	}
 	r.env = append(os.Environ(), testRun+"=1", "RELAY_CONFIG="+write("platform.json", string(text)))
 	if operator != "" {
-		r.env = append(r.env, operatorVariable+"="+write("operator.toml", strings.ReplaceAll(operator, "DIR", filepath.Join(dir, "ledger"))))
+		operatorText := strings.ReplaceAll(operator, "DIR", filepath.Join(dir, "ledger"))
+		r.env = append(r.env, operatorVariable+"="+write("operator.toml", operatorText))
 	}
 	if r.log, err = os.Create(filepath.Join(dir, "log")); err != nil {
 		t.Fatal(err)
@@ -119,8 +126,9 @@
 
 func (r *daemonRig) start() {
 	r.t.Helper()
-	r.cmd = exec.Command(os.Args[0])
-	r.cmd.Env, r.cmd.Stderr = r.env, r.log
+	r.cmd = exec.CommandContext(r.t.Context(), os.Args[0])
+	r.cmd.Env = r.env
+	r.cmd.Stderr = r.log
 	if err := r.cmd.Start(); err != nil {
 		r.t.Fatal(err)
 	}
@@ -131,52 +139,62 @@
 		}
 		return err == nil
 	})
-	r.life.Add(1)
+	r.generation.Add(1)
 }
 
 func (r *daemonRig) kill() {
 	if r.cmd != nil {
-		r.life.Add(1)
-		r.cmd.Process.Kill()
-		r.cmd.Wait()
+		r.generation.Add(1)
+		_ = r.cmd.Process.Kill() // it may have ended
+		_ = r.cmd.Wait()         // the status of a killed process
 		r.cmd = nil
 	}
 }
 
-// tried is what becomes of one try of a client's.
-type tried int
+// attemptOutcome is the outcome of one attempt of a client.
+type attemptOutcome int
 
 const (
-	served tried = iota
+	served attemptOutcome = iota
 	refused
 	failed
 	broken // the connection, with the daemon
+
+	attemptOutcomes // their number
 )
 
-// try sends one request under an id of its own. A daemon that runs all the while owes it an answer.
-func (r *daemonRig) try(c *applicant, class emulator.TrafficClass, key, id string) tried {
-	life := r.life.Load()
-	if life != c.life { // connections to another daemon are of no use
+// attempt sends one request with an ID of its own. A daemon that runs all the while must respond to it.
+func (r *daemonRig) attempt(c *killClient, class emulator.TrafficClass, key, id string) attemptOutcome {
+	generation := r.generation.Load()
+	if generation != c.generation { // connections to another daemon are of no use
 		c.transport.CloseIdleConnections()
-		c.life = life
+		c.generation = generation
+	}
+	message := load.Message{
+		ID:       id,
+		Class:    class.Name,
+		Effect:   class.Effect,
+		Patience: 3 * time.Second,
+		Work:     12 * time.Millisecond,
 	}
-	m := load.Message{ID: id, Class: class.Name, Effect: class.Effect, Patience: 3 * time.Second, Work: 12 * time.Millisecond}
 	if class.Effect != "safe" {
-		m.Key = key
+		message.Key = key
 	}
-	req, err := m.Request(r.t.Context(), "http://"+r.addr)
+	req, err := message.Request(r.t.Context(), "http://"+r.addr)
 	if err != nil {
 		r.t.Error(err)
 		return failed
 	}
-	end := r.exchange(c.client, req, class, key, id)
-	if end == broken && life%2 == 1 && r.life.Load() == life {
-		r.t.Errorf("%s had no answer from a daemon that runs", id)
+	outcome := r.exchange(c.client, req, class, key, id)
+	if outcome == broken && generation%2 == 1 && r.generation.Load() == generation {
+		r.t.Errorf("%s had no response from a daemon that runs", id)
 	}
-	return end
+	return outcome
 }
 
-func (r *daemonRig) exchange(client *http.Client, req *http.Request, class emulator.TrafficClass, key, id string) tried {
+func (r *daemonRig) exchange(
+	client *http.Client, req *http.Request, class emulator.TrafficClass, key, id string,
+) attemptOutcome {
 	resp, err := client.Do(req)
 	if err != nil {
 		return broken
@@ -203,8 +221,9 @@
 	return failed
 }
 
-// The daemon is killed at any moment and started again, while clients try on under new ids with the same key, whatever
-// they were told: nothing unsafe runs twice, and nothing keyed twice outside its group's window. The long form is
+// The daemon is killed at any moment and restarted, while clients retry with new IDs and the same key, whatever the
+// response: nothing that is not idempotent runs twice, and nothing keyed twice within its idempotency scope and
+// window. The long form is
 //
 //	go test ./cmd/hazelwing -run Killed -kills 200 -timeout 30m
 func TestKilled(t *testing.T) {
@@ -214,7 +233,7 @@
 		}
 		t.Run(durable, func(t *testing.T) {
 			t.Parallel()
-			killed(t, durable)
+			testKilled(t, durable)
 		})
 		if *killMode != "" {
 			break
@@ -222,47 +241,59 @@
 	}
 }
 
-func killed(t *testing.T, durable string) {
+// killCounts counts the attempts of TestKilled's clients by their outcome.
+type killCounts struct {
+	all       [attemptOutcomes]atomic.Int64
+	afterKill [attemptOutcomes]atomic.Int64 // those that are not safe, after a connection broke
+}
+
+// runKillClient sends requests until stop is closed, with up to four attempts for each.
+func (r *daemonRig) runKillClient(n int, stop <-chan struct{}, counts *killCounts) {
+	const attempts = 4
+	rng := rand.New(rand.NewPCG(*killSeed, uint64(n)))
+	transport := &http.Transport{DisableKeepAlives: rng.IntN(2) == 0}
+	defer transport.CloseIdleConnections()
+	client := &killClient{
+		client:    &http.Client{Transport: transport, Timeout: testutil.Patience},
+		transport: transport,
+	}
+	for i := 0; ; i++ {
+		class := killClasses[rng.IntN(len(killClasses))]
+		key := fmt.Sprintf("k%d-%d", n, i)
+		afterKill := false
+		for attempt := range attempts {
+			select {
+			case <-stop:
+				return
+			default:
+			}
+			outcome := r.attempt(client, class, key, fmt.Sprintf("%s-%d", key, attempt))
+			counts.all[outcome].Add(1)
+			if afterKill && class.Effect != "safe" {
+				counts.afterKill[outcome].Add(1)
+			}
+			if outcome == served {
+				break
+			}
+			afterKill = afterKill || outcome == broken
+			time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
+		}
+	}
+}
+
+func testKilled(t *testing.T, durable string) {
 	operator := fmt.Sprintf("[ledger]\ndurable = %q\nremember = \"1h\"\n", durable)
 	if durable != "off" {
 		operator += "dir = \"DIR\"\n"
 	}
 	r := newDaemonRig(t, operator)
 	r.start()
-	const clients, tries = 12, 4
+	const clients = 12
 	stop := make(chan struct{})
 	var all sync.WaitGroup
-	var ends [4]atomic.Int64
-	var later [4]atomic.Int64 // of tries after a connection broke
+	var counts killCounts
 	for n := range clients {
-		all.Go(func() {
-			rng := rand.New(rand.NewPCG(*killSeed, uint64(n)))
-			transport := &http.Transport{DisableKeepAlives: rng.IntN(2) == 0}
-			defer transport.CloseIdleConnections()
-			client := &applicant{client: &http.Client{Transport: transport, Timeout: testutil.Patience}, transport: transport}
-			for i := 0; ; i++ {
-				class := killClasses[rng.IntN(len(killClasses))]
-				key := fmt.Sprintf("k%d-%d", n, i)
-				again := false
-				for try := range tries {
-					select {
-					case <-stop:
-						return
-					default:
-					}
-					end := r.try(client, class, key, fmt.Sprintf("%s-%d", key, try))
-					ends[end].Add(1)
-					if again && class.Effect != "safe" {
-						later[end].Add(1)
-					}
-					if end == served {
-						break
-					}
-					again = again || end == broken
-					time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
-				}
-			}
-		})
+		all.Go(func() { r.runKillClient(n, stop, &counts) })
 	}
 	rng := rand.New(rand.NewPCG(*killSeed, 1000))
 	for range *kills {
@@ -276,8 +307,11 @@
 		t.Error("rule broken:", rule)
 	}
 	total, _ := r.fleet.Ledger.Executions("")
-	t.Logf("%s: %d kills, %d executions; tries served %d, refused %d, failed %d, broken off %d; after a kill served %d, refused %d, failed %d", durable, *kills,
-		total, ends[served].Load(), ends[refused].Load(), ends[failed].Load(), ends[broken].Load(), later[served].Load(), later[refused].Load(), later[failed].Load())
+	ends, later := &counts.all, &counts.afterKill
+	t.Logf("%s: %d kills, %d executions; tries served %d, refused %d, failed %d, broken off %d; "+
+		"after a kill served %d, refused %d, failed %d", durable, *kills, total,
+		ends[served].Load(), ends[refused].Load(), ends[failed].Load(), ends[broken].Load(),
+		later[served].Load(), later[refused].Load(), later[failed].Load())
 	if ends[served].Load() == 0 || later[failed].Load() == 0 {
 		t.Error("nothing was served, or no repeat came to a daemon that had been killed")
 	}
@@ -285,7 +319,7 @@
 
 var cost = flag.Duration("cost", 0, "TestCost: how long each run takes; 0: it is skipped")
 
-// TestCost measures what the ledger costs a request, for each durability, in turns:
+// TestCost measures the latency that the idempotency records add to a request, for each durability, in turns:
 //
 //	go test ./cmd/hazelwing -run Cost -v -cost 10s -timeout 30m
 func TestCost(t *testing.T) {
@@ -296,11 +330,13 @@
 		out := &emulator.Traffic{Head: emulator.Head{Classes: killClasses}}
 		rng := rand.New(rand.NewPCG(1, 1))
 		for at := 0.0; at < cost.Seconds(); at += rng.ExpFloat64() / rate {
-			out.Requests = append(out.Requests, emulator.Request{AtMS: at * 1000, Class: class, WorkUS: 2000, HintUS: 2000})
+			request := emulator.Request{AtMS: at * 1000, Class: class, WorkUS: 2000, HintUS: 2000}
+			out.Requests = append(out.Requests, request)
 		}
 		return out
 	}
-	fmt.Println("| round | ledger | unsafe p50 ms | p99 | p99.9 | safe p50 ms | p99 | p99.9 | served |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	fmt.Println("| round | ledger | unsafe p50 ms | p99 | p99.9 | safe p50 ms | p99 | p99.9 | served |")
+	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for round := range 3 {
 		for _, mode := range []string{"none", "off", "batch", "always"} {
 			operator := ""
@@ -327,8 +363,10 @@
 			idle()
 			r.kill()
 			ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
-			fmt.Printf("| %d | %s | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f | %d of %d |\n", round+1, mode, ms(unsafe.P50), ms(unsafe.P99), ms(unsafe.P999),
-				ms(safe.P50), ms(safe.P99), ms(safe.P999), unsafe.Served+safe.Served, unsafe.Asked+safe.Asked)
+			fmt.Printf("| %d | %s | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f | %d of %d |\n", round+1, mode,
+				ms(unsafe.P50), ms(unsafe.P99), ms(unsafe.P999),
+				ms(safe.P50), ms(safe.P99), ms(safe.P999),
+				unsafe.Served+safe.Served, unsafe.Asked+safe.Asked)
 		}
 	}
 }
--- a/cmd/hazelwing/leave_test.go
+++ b/cmd/hazelwing/leave_test.go
@@ -25,77 +25,93 @@
 	leaveSeed = flag.Uint64("leaves.seed", 1, "seed of TestLeavesUnderLoad")
 )
 
-// leaving is one way to leave, and what became of its clients' requests.
-type leaving struct {
-	name string
-	more int // bytes that it sends before
-	rst  bool
+// disconnection is one way to disconnect, and the outcomes of its clients' requests.
+type disconnection struct {
+	name       string
+	extraBytes int // sent before
+	reset      bool
 
-	left, waited, first, further int
-	worst                        time.Duration
-	late                         int
+	clients  int
+	waiting  int // clients whose request was not being forwarded at that time
+	first    int // first attempts afterwards
+	retries  int // further attempts afterwards
+	maxDelay time.Duration
+	late     int // attempts that were later than allowed
 }
 
-// TestLeavesUnderLoad measures what a daemon that has a small share of a core sends on for clients that have left: it runs for
-// 20 ms and stands still for 180 ms, over and over. Each client sends a request and leaves some time later by FIN or by reset,
-// some behind more bytes, or behind more than is read ahead and than the kernel takes. Upstreams turn half of what comes away
-// unseen, late, so that there are further attempts. Each that comes to their sockets is held against when its client had left; the
-// daemon may stand still between its last look at the client and the write, so that none may come later than one standstill. More
-// than two that come later than 0.1 s are a break of the operators' terms.
+// TestLeavesUnderLoad measures what a daemon with a small fraction of a core forwards for clients that have
+// disconnected: it is repeatedly run for 20 ms and stopped for 180 ms. Each client sends a request and disconnects
+// some time later by FIN or reset, some after further bytes, or after more than is read ahead and than the kernel
+// buffers. Upstreams reject half of the requests without processing them, late, so that there are retries. Each
+// attempt that upstreams receive is compared with when its client disconnected. The daemon may be stopped between its
+// last check of the client and the write, so that no attempt may be later than one stop. More than two that are later
+// than 0.1 s violate the operators' terms.
 func TestLeavesUnderLoad(t *testing.T) {
 	if *leaves == 0 {
 		t.Skip("a measurement: -leaves 2000")
 	}
-	const runs, stands, late, chance = 20 * time.Millisecond, 180 * time.Millisecond, 100 * time.Millisecond, 2
+	const (
+		runTime         = 20 * time.Millisecond
+		stopTime        = 180 * time.Millisecond
+		maxDelay        = 100 * time.Millisecond
+		maxLateAttempts = 2
+	)
 	var mu sync.Mutex
-	came := map[string][]time.Time{} // when the attempts of a request came
+	attemptsAt := map[string][]time.Time{} // of each request
 	var n atomic.Int64
 	upstream := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 			mu.Lock()
 			id := q.Header.Get("X-Request-Id")
-			came[id] = append(came[id], time.Now())
+			attemptsAt[id] = append(attemptsAt[id], time.Now())
 			mu.Unlock()
 			if n.Add(1)%2 == 0 {
 				time.Sleep(50 * time.Millisecond)
-				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+				_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
-			io.WriteString(c, testutil.OKAnswer)
+			_, _ = io.WriteString(c, testutil.OKAnswer) // the daemon may have closed the connection
 		}
 	})
-	cmd := exec.Command("/usr/bin/env", "GOMAXPROCS=1", os.Args[0])
+	cmd := exec.CommandContext(t.Context(), "/usr/bin/env", "GOMAXPROCS=1", os.Args[0])
 	addr := startAlone(t, cmd, fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream), nil)
-	end := make(chan bool)
-	var pulse sync.WaitGroup
-	pulse.Go(func() {
+	signal := func(s syscall.Signal) {
+		if err := cmd.Process.Signal(s); err != nil {
+			t.Error(err)
+		}
+	}
+	done := make(chan bool)
+	var stopping sync.WaitGroup
+	stopping.Go(func() {
 		for {
-			cmd.Process.Signal(syscall.SIGSTOP)
-			time.Sleep(stands)
-			cmd.Process.Signal(syscall.SIGCONT)
+			signal(syscall.SIGSTOP)
+			time.Sleep(stopTime)
+			signal(syscall.SIGCONT)
 			select {
-			case <-end:
+			case <-done:
 				return
-			case <-time.After(runs):
+			case <-time.After(runTime):
 			}
 		}
 	})
-	ways := []*leaving{
+	ways := []*disconnection{
 		{name: "FIN"},
-		{name: "reset", rst: true},
-		{name: "FIN behind more", more: 100},
-		{name: "FIN behind far more", more: 512 << 10},
-		{name: "reset behind far more", more: 512 << 10, rst: true},
+		{name: "reset", reset: true},
+		{name: "FIN behind more", extraBytes: 100},
+		{name: "FIN behind far more", extraBytes: 512 << 10},
+		{name: "reset behind far more", extraBytes: 512 << 10, reset: true},
 	}
 	rng := rand.New(rand.NewPCG(*leaveSeed, 1))
-	type departure struct {
+	type disconnectedClient struct {
 		at  time.Time
-		way *leaving
+		way *disconnection
 	}
-	left := map[string]departure{}
+	disconnected := map[string]disconnectedClient{} // by request ID
 	var clients sync.WaitGroup
 	for i := range *leaves {
-		id, wait, way := fmt.Sprint("r", i), time.Duration(rng.Int64N(int64(300*time.Millisecond))), ways[rng.IntN(len(ways))]
+		id := fmt.Sprint("r", i)
+		wait := time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
+		way := ways[rng.IntN(len(ways))]
 		method, class, body := "GET", "look", ""
 		if i%2 == 1 {
 			method, class, body = "POST", "book", "x"
@@ -106,59 +122,61 @@
 				return
 			}
 			defer c.Close()
-			testutil.Request(t, "http://"+addr, method, class, id, body).Write(c)
+			_ = testutil.Request(t, "http://"+addr, method, class, id, body).Write(c) // a lost request is not counted
 			time.Sleep(wait)
-			c.SetWriteDeadline(time.Now().Add(time.Second)) // its kernel may not take all of it
-			c.Write(bytes.Repeat([]byte{'x'}, way.more))
-			if way.rst {
-				c.(*net.TCPConn).SetLinger(0)
+			_ = c.SetWriteDeadline(time.Now().Add(time.Second))
+			_, _ = c.Write(bytes.Repeat([]byte{'x'}, way.extraBytes)) // the kernel may not buffer all of it
+			if way.reset {
+				_ = c.(*net.TCPConn).SetLinger(0)
 			}
 			c.Close()
 			mu.Lock()
-			left[id] = departure{time.Now(), way}
+			disconnected[id] = disconnectedClient{time.Now(), way}
 			mu.Unlock()
 		})
 		time.Sleep(4 * time.Millisecond)
 	}
 	clients.Wait()
-	time.Sleep(2 * time.Second) // what would still come
-	close(end)
-	pulse.Wait()
-	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid)); err == nil { // 13 and 14 are its own and the kernel's time, in 10 ms
-		f := strings.Fields(string(stat))
-		t.Logf("the daemon took %s0 ms of processor time and %s0 ms of the kernel's", f[13], f[14])
+	time.Sleep(2 * time.Second) // for attempts that are still to be started
+	close(done)
+	stopping.Wait()
+	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid)); err == nil {
+		fields := strings.Fields(string(stat)) // 13 and 14: user and system time, in units of 10 ms
+		t.Logf("the daemon took %s0 ms of processor time and %s0 ms of the kernel's", fields[13], fields[14])
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	lateOnes := 0
-	for id, x := range left {
-		way, attempts := x.way, came[id]
-		way.left++
-		if len(attempts) == 0 || attempts[len(attempts)-1].After(x.at) {
-			way.waited++ // its client left before it was sent on, or while it was to be sent again
+	lateAttempts := 0
+	for id, client := range disconnected {
+		way, attempts := client.way, attemptsAt[id]
+		way.clients++
+		if len(attempts) == 0 || attempts[len(attempts)-1].After(client.at) {
+			way.waiting++ // before the first attempt or a retry
 		}
 		for i, at := range attempts {
-			d := at.Sub(x.at)
+			delay := at.Sub(client.at)
 			switch {
-			case d <= 0:
+			case delay <= 0:
 				continue
 			case i == 0:
 				way.first++
 			default:
-				way.further++
+				way.retries++
 			}
-			way.worst = max(way.worst, d)
-			if d > late {
+			way.maxDelay = max(way.maxDelay, delay)
+			if delay > maxDelay {
 				way.late++
-				lateOnes++
+				lateAttempts++
 			}
 		}
 	}
-	for _, w := range ways {
-		t.Logf("%-22s %4d left, %4d of them while their request waited: sent on afterwards %d first and %d further attempts, %v later at worst, %d of them later than %v",
-			w.name, w.left, w.waited, w.first, w.further, w.worst.Round(100*time.Microsecond), w.late, late)
+	for _, way := range ways {
+		t.Logf("%-22s %4d left, %4d of them while their request waited: sent on afterwards %d first and "+
+			"%d further attempts, %v later at worst, %d of them later than %v",
+			way.name, way.clients, way.waiting, way.first, way.retries,
+			way.maxDelay.Round(100*time.Microsecond), way.late, maxDelay)
 	}
-	if lateOnes > chance {
-		t.Errorf("%d attempts were begun more than %v after their clients had left", lateOnes, late)
+	if lateAttempts > maxLateAttempts {
+		t.Errorf("%d attempts were started more than %v after their clients disconnected", lateAttempts, maxDelay)
 	}
 }
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -105,7 +105,7 @@
 	return packages, nil
 }
 
-// checkUnfinished says what is wrong with a list of unfinished packages of the checkout at root.
+// checkUnfinished returns an error if a list of unfinished packages of the checkout at root is not valid.
 func checkUnfinished(root string, packages, allowed []string) error {
 	if !slices.IsSorted(packages) {
 		return fmt.Errorf("the list is not sorted")
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -41,16 +41,16 @@
 	longMemory = "forget = \"2m\"\n"
 )
 
-// mixedRig is a fleet of members and origins of which some run the older program and some the newer one.
+// mixedRig is a cluster of members and origins of which some run the older program and some the newer one.
 type mixedRig struct {
 	*configRig
 	list  *listRig
 	newer []string // the command of the newer program
 }
 
-// TestMixedVersions runs an older program, given by its path, and this one in one fleet: their gossip, the
-// server list by way of the fleet, the pushed configuration, the election of origins, and the stored state
-// of a process that is upgraded. Without a path nothing is started.
+// TestMixedVersions runs an older program, given by its path, and this one in one cluster: their gossip, the
+// relayed endpoint list, the pushed configuration, the election of origins, and the stored state of a process
+// that is upgraded. Without a path nothing is started.
 //
 //	go test ./cmd/hazelwing -run TestMixedVersions -older PATH -v
 func TestMixedVersions(t *testing.T) {
@@ -61,8 +61,8 @@
 	r := newMixedRig(t)
 	r.checkGossip()
 	r.checkServerList()
-	stamp := r.checkConfiguration()
-	r.checkUpgrade(stamp)
+	revision := r.checkConfiguration()
+	r.checkUpgrade(revision)
 	r.end()
 }
 
@@ -106,12 +106,12 @@
 // newerMembers are the numbers of newerGroup.
 func newerMembers() []int { return numbered(4, 6) }
 
-// originStatus is what an origin says of itself.
+// originStatus returns the status of an origin.
 func (r *mixedRig) originStatus(number int) (origin.Status, error) {
 	return transport.NewClient("rig", r.Origin(number)).Status(r.t.Context())
 }
 
-// checkGossip holds the views of both versions to what runs, before, during and after the loss of a member
+// checkGossip compares the views of both versions with what runs, before, during and after the loss of a member
 // of each version.
 func (r *mixedRig) checkGossip() {
 	r.t.Helper()
@@ -128,7 +128,7 @@
 	r.t.Log("gossip: each version sees all members, and the death and the return of a member of each version")
 }
 
-// checkExecutable verifies that a member runs the program it is meant to run.
+// checkExecutable verifies that a member runs the program of its version.
 func (r *mixedRig) checkExecutable(n int) {
 	r.t.Helper()
 	path := r.newer[0]
@@ -216,26 +216,26 @@
 }
 
 // checkConfiguration pushes changes through every origin and by both versions' command, across the versions
-// of the members, and under a leader of each version, which is then killed. It returns the latest stamp.
-func (r *mixedRig) checkConfiguration() (stamp controlplane.Revision) {
+// of the members, and under a leader of each version, which is then killed. It returns the latest revision.
+func (r *mixedRig) checkConfiguration() (revision controlplane.Revision) {
 	r.t.Helper()
 	for k := 1; k <= r.origins; k++ {
-		stamp, _ = r.pushUntilAccepted(k, r.file(""))
-		r.waitInForce(fmt.Sprintf("pushed to origin %d", k), stamp)
+		revision, _ = r.pushUntilAccepted(k, r.file(""))
+		r.waitInForce(fmt.Sprintf("pushed to origin %d", k), revision)
 	}
-	stamp = r.pushByOlderCommand(mixedOrigins, stamp)
-	r.waitInForce("pushed by the older command to a newer origin", stamp)
+	revision = r.pushByOlderCommand(mixedOrigins, revision)
+	r.waitInForce("pushed by the older command to a newer origin", revision)
 	for _, unreachable := range []string{olderGroup, newerGroup} {
 		r.play("cut " + unreachable + " origins")
-		stamp, _ = r.pushUntilAccepted(mixedOrigins, r.file(""))
-		r.waitInForce("members "+unreachable+" reach no origin", stamp)
+		revision, _ = r.pushUntilAccepted(mixedOrigins, r.file(""))
+		r.waitInForce("members "+unreachable+" reach no origin", revision)
 		r.play("heal")
 	}
 	for _, older := range []bool{true, false} {
-		stamp = r.checkLeader(older)
+		revision = r.checkLeader(older)
 	}
 	r.checkNothingRejected()
-	return stamp
+	return revision
 }
 
 // pushByOlderCommand pushes a change by the older program's command line.
@@ -258,20 +258,20 @@
 }
 
 // checkLeader makes an origin of a version the leader, pushes through it, kills it and pushes again. It
-// returns the latest stamp.
-func (r *mixedRig) checkLeader(older bool) (stamp controlplane.Revision) {
+// returns the latest revision.
+func (r *mixedRig) checkLeader(older bool) (revision controlplane.Revision) {
 	r.t.Helper()
 	leader := r.elect(older)
 	for k := 1; k <= r.origins; k++ {
-		stamp, _ = r.pushUntilAccepted(k, r.file(""))
+		revision, _ = r.pushUntilAccepted(k, r.file(""))
 	}
-	r.waitInForce(fmt.Sprintf("origin %d leads", leader), stamp)
+	r.waitInForce(fmt.Sprintf("origin %d leads", leader), revision)
 	r.play(fmt.Sprintf("kill o%d", leader))
-	stamp, _ = r.pushUntilAccepted(1+leader%r.origins, r.file(""))
-	r.waitInForce(fmt.Sprintf("origin %d, which led, is killed", leader), stamp)
+	revision, _ = r.pushUntilAccepted(1+leader%r.origins, r.file(""))
+	r.waitInForce(fmt.Sprintf("origin %d, which led, is killed", leader), revision)
 	r.play(fmt.Sprintf("start o%d", leader))
-	r.waitOrigins(stamp)
-	return stamp
+	r.waitOrigins(revision)
+	return revision
 }
 
 // elect kills and restarts leaders until one of the wanted version leads.
@@ -289,48 +289,48 @@
 	return 0
 }
 
-// waitInForce waits until all members act on a stamp, and until each running origin's report says so. It
+// waitInForce waits until all members act on a revision, and until the report of each running origin agrees. It
 // reads the admin endpoints and not the logs, whose messages may differ between the versions.
-func (r *mixedRig) waitInForce(what string, stamp controlplane.Revision) {
+func (r *mixedRig) waitInForce(what string, revision controlplane.Revision) {
 	r.t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	r.waitUntil(what, func() error {
 		for _, n := range r.all() {
-			if s := r.state(n); s.Active != stamp {
-				return fmt.Errorf("member %d acts on %v, not on %v", n, s.Active, stamp)
+			if s := r.state(n); s.Active != revision {
+				return fmt.Errorf("member %d acts on %v, not on %v", n, s.Active, revision)
 			}
 		}
 		return nil
 	})
-	inForce := time.Since(begun)
-	r.waitUntil(what, func() error { return r.reportsDiffer(stamp) })
-	reported := time.Since(begun)
+	inForce := time.Since(startedAt)
+	r.waitUntil(what, func() error { return r.reportsDiffer(revision) })
+	reported := time.Since(startedAt)
 	r.t.Logf("%-50s %v in force after %.2f s, reported after %.2f s",
-		what, stamp, inForce.Seconds(), reported.Seconds())
+		what, revision, inForce.Seconds(), reported.Seconds())
 }
 
-// reportsDiffer returns an error unless all origins that answer count all members as acting on a stamp.
-func (r *mixedRig) reportsDiffer(stamp controlplane.Revision) error {
-	expected := controlplane.RevisionCount{Revision: stamp, Count: r.members}
-	answers := 0
+// reportsDiffer returns an error unless all origins that respond count all members as acting on a revision.
+func (r *mixedRig) reportsDiffer(revision controlplane.Revision) error {
+	expected := controlplane.RevisionCount{Revision: revision, Count: r.members}
+	responses := 0
 	for k := 1; k <= r.origins; k++ {
 		s, err := r.originStatus(k)
 		if err != nil {
 			continue // it was killed
 		}
-		answers++
+		responses++
 		if s.Report.Members != r.members || len(s.Report.Active) != 1 || s.Report.Active[0] != expected {
 			return fmt.Errorf("origin %d reports %+v, not %+v", k, s.Report, expected)
 		}
 	}
-	if answers <= r.origins/2 {
-		return fmt.Errorf("%d of %d origins answer", answers, r.origins)
+	if responses <= r.origins/2 {
+		return fmt.Errorf("%d of %d origins respond", responses, r.origins)
 	}
 	return nil
 }
 
-// waitOrigins waits until every origin has a stamp.
-func (r *mixedRig) waitOrigins(stamp controlplane.Revision) {
+// waitOrigins waits until every origin has a revision.
+func (r *mixedRig) waitOrigins(revision controlplane.Revision) {
 	r.t.Helper()
 	r.waitUntil("all origins have the latest change", func() error {
 		for k := 1; k <= r.origins; k++ {
@@ -338,8 +338,8 @@
 			if err != nil {
 				return fmt.Errorf("origin %d: %w", k, err)
 			}
-			if status.Revision != stamp {
-				return fmt.Errorf("origin %d: stamp %v, not %v", k, status.Revision, stamp)
+			if status.Revision != revision {
+				return fmt.Errorf("origin %d: revision %v, not %v", k, status.Revision, revision)
 			}
 		}
 		return nil
@@ -362,40 +362,40 @@
 	}
 }
 
-// checkUpgrade restarts an older member and the older origin by the newer program, each with nobody else to
-// ask: they take up what the older program has stored. Then the whole fleet goes on.
-func (r *mixedRig) checkUpgrade(stamp controlplane.Revision) {
+// checkUpgrade restarts an older member and the older origin by the newer program, each without
+// others to call: they continue with the state that the older program stored. Then the whole cluster is started.
+func (r *mixedRig) checkUpgrade(revision controlplane.Revision) {
 	r.t.Helper()
 	const upgraded = 1
 	for _, n := range r.all() {
-		r.waitStored(n, stamp)
+		r.waitStored(n, revision)
 	}
 	r.play("kill origins\nkill all")
 
 	r.setProgram(fmt.Sprint(upgraded), r.newer...)
 	r.play(fmt.Sprintf("start %d", upgraded))
-	if s := r.state(upgraded); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active != stamp {
-		r.t.Errorf("upgraded member does not act on the stored %v: %+v", stamp, s)
+	if s := r.state(upgraded); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active != revision {
+		r.t.Errorf("upgraded member does not act on the stored %v: %+v", revision, s)
 	}
 
 	r.setProgram(fmt.Sprintf("o%d", olderOrigin), r.newer...)
 	r.play(fmt.Sprintf("start o%d", olderOrigin))
 	s, err := r.originStatus(olderOrigin)
-	if err != nil || s.Epoch != originEpoch || s.Revision != stamp || s.Role == origin.RoleRolledBack {
-		r.t.Errorf("upgraded origin does not have the stored %v: %v, %+v", stamp, err, s)
+	if err != nil || s.Epoch != originEpoch || s.Revision != revision || s.Role == origin.RoleRolledBack {
+		r.t.Errorf("upgraded origin does not have the stored %v: %v, %+v", revision, err, s)
 	}
 
 	r.play("start 2-6\nstart o2-3\nsettle 500ms 30s")
-	stamp, _ = r.pushUntilAccepted(olderOrigin, r.file(""))
-	r.waitInForce("a member and the older origin were upgraded", stamp)
-	r.waitOrigins(stamp)
+	revision, _ = r.pushUntilAccepted(olderOrigin, r.file(""))
+	r.waitInForce("a member and the older origin were upgraded", revision)
+	r.waitOrigins(revision)
 	r.checkNothingRejected()
 }
 
-// waitStored waits until a member's directory holds a stamp as its last known one.
-func (r *mixedRig) waitStored(n int, stamp controlplane.Revision) {
+// waitStored waits until a member's directory holds a revision as its last known one.
+func (r *mixedRig) waitStored(n int, revision controlplane.Revision) {
 	r.t.Helper()
-	r.waitUntil(fmt.Sprintf("member %d stores %v", n, stamp), func() error {
+	r.waitUntil(fmt.Sprintf("member %d stores %v", n, revision), func() error {
 		text, err := os.ReadFile(filepath.Join(r.ConfigDir(n), "last-known.json"))
 		if err != nil {
 			return err
@@ -404,7 +404,7 @@
 		if err := json.Unmarshal(text, &stored); err != nil {
 			return err
 		}
-		if stored.Frame.Revision != stamp {
+		if stored.Frame.Revision != revision {
 			return fmt.Errorf("stored is %v", stored.Frame.Revision)
 		}
 		return nil
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -25,116 +25,127 @@
 	shareOthers  = flag.String("share.balancers", "590,1", "TestShare: sidecars that the settings tell")
 	shareCopies  = flag.Bool("share.copies", false, "TestShare: the settings allow second copies")
 	shareRounds  = flag.Int("share.rounds", 1, "TestShare: how often each run is made, in turns")
-	shareProfile = flag.String("share.profile", "", "TestShare: directory for the sidecar's processor profiles; they cost some of what they measure")
+	shareProfile = flag.String("share.profile", "",
+		"TestShare: directory for the sidecar's processor profiles; they cost some of what they measure")
 )
 
-// inTurns sends requests through the sidecar and straight to a server, in turns, so that both meet the same machine.
-type inTurns struct {
-	targets []load.Target
+// route is a way to a server.
+type route int
+
+const (
+	viaSidecar    route = iota
+	direct              // on a connection that stays open
+	directNewConn       // on a new connection
+	forwarded           // through a process that only forwards bytes
+
+	routes // their number
+)
+
+// roundRobinTarget sends requests by each route in turn, so that all are under the same conditions.
+type roundRobinTarget struct {
+	targets [routes]load.Target
 	next    atomic.Int64
-	mu      sync.Mutex
-	served  []timing
+
+	mu     sync.Mutex // guards served
+	served []timing
 }
 
-// timing is a served request: when it was due, which way it went, and what it took from then.
+// timing is a served request.
 type timing struct {
-	due  time.Time
-	way  int
-	took time.Duration
+	due      time.Time // when it was to be sent
+	route    route
+	duration time.Duration // from then
 }
 
-func (x *inTurns) Name() string { return "in turns" }
+func (r *roundRobinTarget) Name() string { return "in turns" }
 
-func (x *inTurns) Send(ctx context.Context, id string, s load.Shot) load.Kind {
-	i := int(x.next.Add(1)-1) % len(x.targets)
-	due, _ := ctx.Deadline()
-	k := x.targets[i].Send(ctx, id, s)
-	if due = due.Add(-s.Deadline); k == load.Served {
-		took := time.Since(due)
-		x.mu.Lock()
-		x.served = append(x.served, timing{due, i, took})
-		x.mu.Unlock()
+func (r *roundRobinTarget) Send(ctx context.Context, id string, s load.Shot) load.Kind {
+	by := route((r.next.Add(1) - 1) % int64(routes))
+	deadline, _ := ctx.Deadline()
+	kind := r.targets[by].Send(ctx, id, s)
+	if kind == load.Served {
+		due := deadline.Add(-s.Deadline)
+		duration := time.Since(due)
+		r.mu.Lock()
+		r.served = append(r.served, timing{due, by, duration})
+		r.mu.Unlock()
 	}
-	return k
+	return kind
 }
 
-// undisturbed keeps the requests of those windows of a tenth of a second in which none of the other ways' calls took more than half as
-// long again as its way's median: the sidecar's own requests have no say in that. Guards against figures that are the busy machine's.
-func undisturbed(list []timing) (kept []timing) {
+// undisturbed returns the requests of those windows of a tenth of a second in which no call of the other routes took
+// more than 1.5 times the median of its route. The sidecar's own requests are not considered. This excludes figures
+// of a busy machine.
+func undisturbed(timings []timing) (selected []timing) {
 	const window = 100 * time.Millisecond
-	at := quantiles(list)
-	slow := map[time.Time]bool{}
-	for _, q := range list {
-		if q.way != viaSidecar && ms(q.took) > 1.5*at(q.way, 0.5) {
-			slow[q.due.Truncate(window)] = true
+	quantile := quantiles(timings)
+	disturbed := map[time.Time]bool{}
+	for _, t := range timings {
+		if t.route != viaSidecar && ms(t.duration) > 1.5*quantile(t.route, 0.5) {
+			disturbed[t.due.Truncate(window)] = true
 		}
 	}
-	for _, q := range list {
-		if !slow[q.due.Truncate(window)] {
-			kept = append(kept, q)
+	for _, t := range timings {
+		if !disturbed[t.due.Truncate(window)] {
+			selected = append(selected, t)
 		}
 	}
-	return kept
+	return selected
 }
 
-// quantiles are what a way's requests took, in milliseconds; 0 where there were none.
-func quantiles(list []timing) func(way int, q float64) float64 {
-	var took [ways][]time.Duration
-	for _, q := range list {
-		took[q.way] = append(took[q.way], q.took)
+// quantiles returns a function for the quantiles of a route's durations, in milliseconds; 0 where there are no
+// requests.
+func quantiles(timings []timing) func(by route, q float64) float64 {
+	var durations [routes][]time.Duration
+	for _, t := range timings {
+		durations[t.route] = append(durations[t.route], t.duration)
 	}
-	for _, t := range took {
-		slices.Sort(t)
+	for _, d := range durations {
+		slices.Sort(d)
 	}
-	return func(way int, q float64) float64 {
-		if t := took[way]; len(t) > 0 {
-			return ms(t[int(q*float64(len(t)-1))])
+	return func(by route, q float64) float64 {
+		d := durations[by]
+		if len(d) == 0 {
+			return 0
 		}
-		return 0
+		return ms(d[int(q*float64(len(d)-1))])
 	}
 }
 
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-func count(list []timing, way int) (n int) {
-	for _, q := range list {
-		if q.way == way {
+func countRoute(timings []timing, by route) (n int) {
+	for _, t := range timings {
+		if t.route == by {
 			n++
 		}
 	}
 	return n
 }
 
-// added is what one way takes longer than direct calls on kept connections, at four quantiles.
-func added(list []timing, way int) string {
-	at := quantiles(list)
-	var out []string
+// addedLatency returns how much longer a route takes than direct calls on open connections, at four quantiles.
+func addedLatency(timings []timing, by route) string {
+	quantile := quantiles(timings)
+	var columns []string
 	for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
-		out = append(out, fmt.Sprintf("%.2f", at(way, q)-at(direct, q)))
+		columns = append(columns, fmt.Sprintf("%.2f", quantile(by, q)-quantile(direct, q)))
 	}
-	return strings.Join(out, " | ")
+	return strings.Join(columns, " | ")
 }
 
-// fresh is a target that is reached on a new connection each time.
-type fresh struct{ addr string }
+// newConnTarget is a target that is called on a new connection each time.
+type newConnTarget struct{ addr string }
 
-func (f fresh) Name() string { return f.addr }
+func (n newConnTarget) Name() string { return n.addr }
 
-func (f fresh) Send(ctx context.Context, id string, s load.Shot) load.Kind {
-	h := load.NewHTTP("http://" + f.addr)
+func (n newConnTarget) Send(ctx context.Context, id string, s load.Shot) load.Kind {
+	h := load.NewHTTP("http://" + n.addr)
 	defer h.Close()
 	return h.Send(ctx, id, s)
 }
 
-const (
-	viaSidecar = iota
-	direct     // on a kept connection
-	directNew  // on a new one
-	forwarded  // through a process that only passes bytes on
-	ways
-)
-
-// What a sidecar adds to a call, beside direct calls in turns with it in one run, what it opens, and what it costs:
+// The latency that a sidecar adds to a call, compared with direct calls in turns with it, its connections and its
+// resource usage:
 //
 //	go test ./cmd/hazelwing -run 'TestShare$' -share.length 30s -timeout 1h -v
 func TestShare(t *testing.T) {
@@ -142,74 +153,93 @@
 		t.Skip("-share.length is not set")
 	}
 	const added = "p50 | p90 | p99 | p99.9"
-	t.Log("| load average | servers | sidecars told | requests a second | added ms " + added + " | in undisturbed windows " + added + " | requests in them | passing bytes on adds there " + added + " | a new connection adds there " + added +
-		" | direct p50 | p99 | attempts a request | opened a request | servers used | user us a request | system us | waited for a core us | waits a request | passing bytes on costs us a request | waited for a core us | waits | idle % of a core | resident MB |")
-	numbers := func(list string) (out []int) {
-		for text := range strings.SplitSeq(list, ",") {
-			n, err := strconv.Atoi(text)
-			if err != nil {
-				t.Fatal(err)
-			}
-			out = append(out, n)
-		}
-		return out
-	}
+	t.Log("| load average | servers | sidecars told | requests a second | added ms " + added +
+		" | in undisturbed windows " + added + " | requests in them | passing bytes on adds there " + added +
+		" | a new connection adds there " + added + " | direct p50 | p99 | attempts a request | opened a request" +
+		" | servers used | user us a request | system us | waited for a core us | waits a request" +
+		" | passing bytes on costs us a request | waited for a core us | waits | idle % of a core | resident MB |")
 	for round := range *shareRounds {
-		for _, n := range numbers(*shareServers) {
-			for _, rate := range numbers(*shareRates) {
-				for _, balancers := range numbers(*shareOthers) {
-					t.Run(fmt.Sprintf("%d/%d servers/%d a second/%d sidecars", round, n, rate, balancers), func(t *testing.T) {
-						share(t, n, rate, balancers)
-					})
+		for _, n := range parseNumbers(t, *shareServers) {
+			for _, rate := range parseNumbers(t, *shareRates) {
+				for _, balancers := range parseNumbers(t, *shareOthers) {
+					name := fmt.Sprintf("%d/%d servers/%d a second/%d sidecars", round, n, rate, balancers)
+					t.Run(name, func(t *testing.T) { testShare(t, n, rate, balancers) })
 				}
 			}
 		}
 	}
 }
 
-func share(t *testing.T, n, rate, balancers int) {
+// parseNumbers parses numbers that are separated by commas.
+func parseNumbers(t *testing.T, list string) (numbers []int) {
+	t.Helper()
+	for text := range strings.SplitSeq(list, ",") {
+		n, err := strconv.Atoi(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		numbers = append(numbers, n)
+	}
+	return numbers
+}
+
+// sharePlan returns requests for all routes, with the given rate for each.
+func sharePlan(t *testing.T, rate int, length time.Duration, seed uint64) load.Plan {
+	t.Helper()
+	shot := load.Shot{Class: "look", Effect: "safe", Deadline: 4 * time.Second}
+	plan, err := load.Poisson(seed, []load.Point{{Rate: float64(int(routes) * rate)}}, length, shot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return plan
+}
+
+// shareUsage is what the processes of a measurement have used since their starts.
+type shareUsage struct {
+	sidecar   resourceUsage
+	forwarder resourceUsage
+	servers   serverCounts
+}
+
+func testShare(t *testing.T, n, rate, balancers int) {
 	profile := ""
 	if *shareProfile != "" {
 		profile = filepath.Join(*shareProfile, fmt.Sprintf("share-%d-%d-%d.pprof", n, rate, balancers))
 	}
 	s := startServers(t, n, 2*time.Millisecond)
-	r := startSidecar(t, s, balancers, *shareCopies, profile)
-	f := startHelper(t, 1, testForward+"="+s.addrs[0], "GOMAXPROCS=1")
-	plan := func(length time.Duration, seed uint64) load.Plan {
-		p, err := load.Poisson(seed, []load.Point{{Rate: float64(ways * rate)}}, length, load.Shot{Class: "look", Effect: "safe", Deadline: 4 * time.Second})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return p
-	}
-	run := func(p load.Plan) (*inTurns, load.Report) {
-		via := func(addr string) load.Target {
+	sidecar := startSidecar(t, s, balancers, *shareCopies, profile)
+	forwarder := startHelper(t, 1, testForward+"="+s.addrs[0], "GOMAXPROCS=1")
+	run := func(plan load.Plan) ([]timing, load.Report) {
+		newTarget := func(addr string) load.Target {
 			h := load.NewHTTP("http://" + addr)
 			t.Cleanup(h.Close)
 			return h
 		}
-		x := &inTurns{targets: []load.Target{viaSidecar: via(r.addr), direct: via(s.addrs[0]), directNew: fresh{s.addrs[n-1]}, forwarded: via(f.addrs[0])}}
-		return x, load.Run(t.Context(), p, []load.Target{x}, func(int, load.Kind, time.Duration) {})[0]
+		target := &roundRobinTarget{targets: [routes]load.Target{
+			viaSidecar:    newTarget(sidecar.addr),
+			direct:        newTarget(s.addrs[0]),
+			directNewConn: newConnTarget{s.addrs[n-1]},
+			forwarded:     newTarget(forwarder.addrs[0]),
+		}}
+		reports := load.Run(t.Context(), plan, []load.Target{target}, func(int, load.Kind, time.Duration) {})
+		return target.served, reports[0]
+	}
+	usage := func() shareUsage {
+		return shareUsage{usageOf(t, sidecar.cmd), usageOf(t, forwarder.cmd), s.counts()}
 	}
-	run(plan(3*time.Second, 2)) // connections, estimates and the heap as they are after a while
-	const rest = 2 * time.Second
-	still := spentBy(t, r.cmd)
-	time.Sleep(rest)
-	before, passed, seen := spentBy(t, r.cmd), spentBy(t, f.cmd), s.counts()
-	x, report := run(plan(*shareLength, 1))
-	after, passedOn, now := spentBy(t, r.cmd), spentBy(t, f.cmd), s.counts()
-	r.stop()
-	at, quiet := quantiles(x.served), undisturbed(x.served)
-	served := float64(count(x.served, viaSidecar))
-	others := int64(len(x.served)) - int64(served)
-	per := func(d time.Duration) float64 { return float64(d.Microseconds()) / served }
-	idle := (before.user + before.system - still.user - still.system).Seconds() / rest.Seconds()
-	t.Logf("| %s | %d | %d | %d | %s | %s | %d | %s | %s | %.2f | %.2f | %.3f | %.3f | %d | %.0f | %.0f | %.0f | %.1f | %.0f | %.0f | %.1f | %.1f | %.0f |", loadAverage(t), n, balancers, rate,
-		added(x.served, viaSidecar), added(quiet, viaSidecar), count(quiet, viaSidecar), added(quiet, forwarded), added(quiet, directNew), at(direct, 0.5), at(direct, 0.99),
-		float64(now.Requests-seen.Requests-others)/served, float64(now.Conns-seen.Conns-int64(count(x.served, directNew)))/served, now.Servers,
-		per(after.user-before.user), per(after.system-before.system), per(after.queued-before.queued), float64(after.switches-before.switches)/served,
-		per(passedOn.user+passedOn.system-passed.user-passed.system), per(passedOn.queued-passed.queued), float64(passedOn.switches-passed.switches)/served, 100*idle,
-		float64(after.resident)/(1<<20))
+	run(sharePlan(t, rate, 3*time.Second, 2)) // until connections, estimates and the heap are as they stay
+	const idleTime = 2 * time.Second
+	idleBefore := usageOf(t, sidecar.cmd)
+	time.Sleep(idleTime)
+	before := usage()
+	timings, report := run(sharePlan(t, rate, *shareLength, 1))
+	after := usage()
+	sidecar.stop()
+	served := float64(countRoute(timings, viaSidecar))
+	idleUsed := before.sidecar.user + before.sidecar.system - idleBefore.user - idleBefore.system
+	t.Logf("| %s | %d | %d | %d | %s | %s | %.1f | %.0f |", loadAverage(t), n, balancers, rate,
+		latencyColumns(timings), usageColumns(timings, before, after),
+		100*idleUsed.Seconds()/idleTime.Seconds(), float64(after.sidecar.resident)/(1<<20))
 	if report.Slow {
 		t.Logf("one in a hundred requests was sent %.1f ms late", report.LateP99)
 	}
@@ -218,7 +248,47 @@
 	}
 }
 
+// latencyColumns returns the columns of TestShare's table from the added latency to the latency of direct calls.
+func latencyColumns(timings []timing) string {
+	quantile, quiet := quantiles(timings), undisturbed(timings)
+	return fmt.Sprintf("%s | %s | %d | %s | %s | %.2f | %.2f",
+		addedLatency(timings, viaSidecar), addedLatency(quiet, viaSidecar), countRoute(quiet, viaSidecar),
+		addedLatency(quiet, forwarded), addedLatency(quiet, directNewConn),
+		quantile(direct, 0.5), quantile(direct, 0.99))
+}
+
+// usageColumns returns the columns of TestShare's table from the attempts of a request to the forwarder's context
+// switches.
+func usageColumns(timings []timing, before, after shareUsage) string {
+	served := float64(countRoute(timings, viaSidecar))
+	otherRequests := int64(len(timings)) - int64(served)
+	otherConns := int64(countRoute(timings, directNewConn))
+	perRequest := func(d time.Duration) float64 { return float64(d.Microseconds()) / served }
+	attempts := float64(after.servers.Requests-before.servers.Requests-otherRequests) / served
+	conns := float64(after.servers.Conns-before.servers.Conns-otherConns) / served
+	sidecar := usageBetween(before.sidecar, after.sidecar)
+	forwarder := usageBetween(before.forwarder, after.forwarder)
+	return fmt.Sprintf("%.3f | %.3f | %d | %.0f | %.0f | %.0f | %.1f | %.0f | %.0f | %.1f",
+		attempts, conns, after.servers.Servers,
+		perRequest(sidecar.user), perRequest(sidecar.system), perRequest(sidecar.queued),
+		float64(sidecar.switches)/served,
+		perRequest(forwarder.user+forwarder.system), perRequest(forwarder.queued),
+		float64(forwarder.switches)/served)
+}
+
+func usageBetween(before, after resourceUsage) resourceUsage {
+	return resourceUsage{
+		user:     after.user - before.user,
+		system:   after.system - before.system,
+		queued:   after.queued - before.queued,
+		switches: after.switches - before.switches,
+		resident: after.resident,
+	}
+}
+
+// loadAverage returns the machine's load average of the last minute.
 func loadAverage(t *testing.T) string {
+	t.Helper()
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		t.Fatal(err)
@@ -227,32 +297,44 @@
 	return one
 }
 
-// What a quiet sidecar of many opens: a connection to each of the ten servers of its subset, and keeps it. Of few it draws from all
-// servers. Twenty requests are no more than twenty a second, however slow or fast the machine is, and ten servers are what that rate
-// asks for. The page of capacity rests on these counts.
+// The connections of a quiet sidecar: one of many sidecars opens a connection to each of the ten servers of its
+// subset and keeps it. One of few draws from all servers. Twenty requests are no more than twenty a second, however
+// slow or fast the machine is, and a subset of ten is what that rate leads to. The capacity page relies on these
+// counts.
 func TestShareCounts(t *testing.T) {
 	const n, requests = 60, 20
 	s := startServers(t, n, 0)
-	for _, c := range []struct{ balancers, least, most int }{{590, 1, 10}, {1, 11, requests}} {
-		r := startSidecar(t, s, c.balancers, false, "")
+	for _, test := range []struct {
+		balancers int
+		minConns  int
+		maxConns  int
+	}{
+		{balancers: 590, minConns: 1, maxConns: 10},
+		{balancers: 1, minConns: 11, maxConns: requests},
+	} {
+		r := startSidecar(t, s, test.balancers, false, "")
 		target := load.NewHTTP("http://" + r.addr)
 		before := s.counts()
 		for i := range requests {
 			ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
-			if k := target.Send(ctx, fmt.Sprint(c.balancers, "-", i), load.Shot{Class: "look", Effect: "safe"}); k != load.Served {
+			id := fmt.Sprint(test.balancers, "-", i)
+			kind := target.Send(ctx, id, load.Shot{Class: "look", Effect: "safe"})
+			cancel()
+			if kind != load.Served {
 				text, _ := os.ReadFile(r.log)
-				t.Fatalf("request %d was %v\n%s", i, k, text)
+				t.Fatalf("request %d was %v\n%s", i, kind, text)
 			}
-			cancel()
 		}
 		after := s.counts()
 		target.Close()
 		r.stop()
-		testutil.HoldToPage(t, "attempts a request where all goes well", float64(after.Requests-before.Requests)/requests, 0)
+		attempts := float64(after.Requests-before.Requests) / requests
+		testutil.HoldToPage(t, "attempts a request where all goes well", attempts, 0)
 		opened := int(after.Conns - before.Conns)
-		t.Logf("%d sidecars: %d connections for %d requests", c.balancers, opened, requests)
-		if opened < c.least || opened > c.most {
-			t.Errorf("%d sidecars: %d connections for %d requests, %d to %d are meant", c.balancers, opened, requests, c.least, c.most)
+		t.Logf("%d sidecars: %d connections for %d requests", test.balancers, opened, requests)
+		if opened < test.minConns || opened > test.maxConns {
+			t.Errorf("%d sidecars: %d connections for %d requests, want %d to %d",
+				test.balancers, opened, requests, test.minConns, test.maxConns)
 		}
 	}
 }
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -23,14 +24,15 @@
 	"hazelwing/internal/testutil"
 )
 
+// Environment variables of this test's program as a process of its own.
 const (
-	testServers = "HAZELWING_TEST_SERVERS" // makes this test's program so many plain servers; their answers take testWork
-	testWork    = "HAZELWING_TEST_WORK"
-	testProfile = "HAZELWING_TEST_PROFILE" // where the daemon's processor profile goes
-	testForward = "HAZELWING_TEST_FORWARD" // makes this test's program pass bytes on to this address, and do nothing else
+	testServers = "HAZELWING_TEST_SERVERS" // runs this number of plain servers
+	testWork    = "HAZELWING_TEST_WORK"    // the time that their responses take
+	testProfile = "HAZELWING_TEST_PROFILE" // the file for the daemon's processor profile
+	testForward = "HAZELWING_TEST_FORWARD" // only forwards bytes to this address
 )
 
-// daemonMain is main, with a profile of its processor time where one is asked for.
+// daemonMain is main, with a processor profile if testProfile names a file.
 func daemonMain() {
 	path := os.Getenv(testProfile)
 	if path == "" {
@@ -50,26 +52,27 @@
 	f.Close()
 }
 
-// serverCounts is what plain servers have seen.
+// serverCounts are the counts of plain servers.
 type serverCounts struct {
-	Conns    int64 // opened
+	Conns    int64 // accepted
 	Requests int64
-	Servers  int64 // that had one
+	Servers  int64 // that received a request
 }
 
-// serversMain is plain servers, each on an address of its own, that answer each request after a time, on kept connections.
-// It tells where they are, a line each, and then what they have seen for each line on standard input; it ends with that.
+// serversMain runs plain servers, each on an address of its own, that respond to each request after a time and keep
+// connections open. It prints their addresses, a line each, and then their counts for each line on standard input. It
+// ends with that.
 func serversMain() {
 	n, err := strconv.Atoi(os.Getenv(testServers))
-	work, bad := time.ParseDuration(os.Getenv(testWork))
-	if err = errors.Join(err, bad); err != nil {
+	work, workErr := time.ParseDuration(os.Getenv(testWork))
+	if err = errors.Join(err, workErr); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	var conns, requests, used atomic.Int64
 	pid := os.Getpid()
 	for i := range n {
-		// A network of its own for each process: nobody takes the ports that another let go.
+		// A network of its own for each process, so that no process reuses the ports of another.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid%64, i/250+8*(pid/64%30), 1+i%250))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -104,12 +107,15 @@
 		}()
 	}
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
-		json.NewEncoder(os.Stdout).Encode(serverCounts{conns.Load(), requests.Load(), used.Load()})
+		counts := serverCounts{conns.Load(), requests.Load(), used.Load()}
+		if err := json.NewEncoder(os.Stdout).Encode(counts); err != nil {
+			os.Exit(1)
+		}
 	}
 }
 
-// forwardMain passes what comes on each connection on to an address, on a connection kept beside it: what any process of this
-// language costs that stands between. It tells where it listens, and ends with standard input.
+// forwardMain forwards the bytes of each connection to an address, on a connection for each: the cost of any Go
+// process in between. It prints its address, and ends with standard input.
 func forwardMain() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,24 +137,28 @@
 				}
 				defer out.Close()
 				go func() {
-					// Through buffers, as a proxy does, and not within the kernel.
-					io.Copy(struct{ io.Writer }{in}, struct{ io.Reader }{out})
+					copyBuffered(in, out)
 					in.Close()
 				}()
-				io.Copy(struct{ io.Writer }{out}, struct{ io.Reader }{in})
+				copyBuffered(out, in)
 			}()
 		}
 	}()
-	io.Copy(io.Discard, os.Stdin)
+	_, _ = io.Copy(io.Discard, os.Stdin) // until its end
+}
+
+// copyBuffered copies through a buffer, as a proxy does, and not within the kernel. An error ends the connection.
+func copyBuffered(to io.Writer, from io.Reader) {
+	_, _ = io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
 
 // servers are plain servers in a process of their own.
 type servers struct {
-	t     *testing.T
-	cmd   *exec.Cmd
-	addrs []string
-	ask   io.Writer
-	hear  *bufio.Reader
+	t      *testing.T
+	cmd    *exec.Cmd
+	addrs  []string
+	stdin  io.Writer
+	stdout *bufio.Reader
 }
 
 func startServers(t *testing.T, n int, work time.Duration) *servers {
@@ -156,17 +166,17 @@
 	return startHelper(t, n, fmt.Sprintf("%s=%d", testServers, n), fmt.Sprintf("%s=%v", testWork, work))
 }
 
-// startHelper starts this test's program as something else that tells n addresses.
+// startHelper starts this test's program as another one, which prints n addresses.
 func startHelper(t *testing.T, n int, env ...string) *servers {
 	t.Helper()
-	cmd := exec.Command(os.Args[0])
+	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), env...)
 	cmd.Stderr = os.Stderr
-	ask, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,12 +184,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		ask.Close()
-		cmd.Wait()
+		stdin.Close()
+		_ = cmd.Wait() // its status says nothing about the test
 	})
-	s := &servers{t: t, cmd: cmd, ask: ask, hear: bufio.NewReader(out)}
+	s := &servers{t: t, cmd: cmd, stdin: stdin, stdout: bufio.NewReader(stdout)}
 	for range n {
-		line, err := s.hear.ReadString('\n')
+		line, err := s.stdout.ReadString('\n')
 		if err != nil {
 			t.Fatal("the servers have ended: ", err)
 		}
@@ -190,15 +200,18 @@
 
 func (s *servers) counts() (c serverCounts) {
 	s.t.Helper()
-	io.WriteString(s.ask, "\n")
-	line, err := s.hear.ReadBytes('\n')
+	if _, err := io.WriteString(s.stdin, "\n"); err != nil {
+		s.t.Fatal(err)
+	}
+	line, err := s.stdout.ReadBytes('\n')
 	if err := errors.Join(err, json.Unmarshal(line, &c)); err != nil {
 		s.t.Fatal(err)
 	}
 	return c
 }
 
-// shareRig is a sidecar as a process of its own, on one core, that was told of all servers and how many sidecars there are.
+// shareRig is a sidecar as a process of its own, on one core, with the list of all servers and the number of sidecars
+// in its configuration.
 type shareRig struct {
 	t    *testing.T
 	addr string
@@ -206,7 +219,32 @@
 	log  string
 }
 
-func startSidecar(t *testing.T, s *servers, balancers int, copies bool, profile string) *shareRig {
+// sharePlatformConfig returns the platform's configuration of a sidecar that listens at addr.
+func sharePlatformConfig(
+	t *testing.T, addr string, discovery *emulator.Discovery, hosts []emulator.Host, balancers int, hedging bool,
+) []byte {
+	t.Helper()
+	traffic := &emulator.Traffic{Head: emulator.Head{Classes: killClasses}}
+	text, err := emulator.Platform(traffic, addr, discovery.Addr(), "7")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var platform map[string]any
+	if err := json.Unmarshal(text, &platform); err != nil {
+		t.Fatal(err)
+	}
+	settings := platform["settings"].(map[string]any)
+	settings["Balancers"] = balancers
+	settings["Limits"].(map[string]any)["SecondCopies"] = hedging
+	platform["known"] = map[string]any{"seq": discovery.Seq(), "whole": true, "hosts": hosts}
+	if text, err = json.Marshal(platform); err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// startSidecar starts a sidecar of a number of sidecars. It writes a processor profile to a file; empty: none.
+func startSidecar(t *testing.T, s *servers, balancers int, hedging bool, profile string) *shareRig {
 	t.Helper()
 	discovery, err := emulator.NewDiscovery()
 	if err != nil {
@@ -225,21 +263,7 @@
 	}
 	r := &shareRig{t: t, addr: l.Addr().String()}
 	l.Close()
-	text, err := emulator.Platform(&emulator.Traffic{Head: emulator.Head{Classes: killClasses}}, r.addr, discovery.Addr(), "7")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var platform map[string]any
-	if err := json.Unmarshal(text, &platform); err != nil {
-		t.Fatal(err)
-	}
-	settings := platform["settings"].(map[string]any)
-	settings["Balancers"] = balancers
-	settings["Limits"].(map[string]any)["SecondCopies"] = copies
-	platform["known"] = map[string]any{"seq": discovery.Seq(), "whole": true, "hosts": hosts}
-	if text, err = json.Marshal(platform); err != nil {
-		t.Fatal(err)
-	}
+	text := sharePlatformConfig(t, r.addr, discovery, hosts, balancers, hedging)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "platform.json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -251,7 +275,7 @@
 		t.Fatal(err)
 	}
 	defer out.Close()
-	r.cmd = exec.Command(os.Args[0])
+	r.cmd = exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0]) // stop ends it
 	r.cmd.Env = append(os.Environ(), testRun+"=1", "RELAY_CONFIG="+path, "GOMAXPROCS=1", testProfile+"="+profile)
 	r.cmd.Stderr = out
 	if err := r.cmd.Start(); err != nil {
@@ -268,26 +292,28 @@
 	return r
 }
 
-// stop ends the sidecar as its platform does.
+// stop ends the sidecar as the platform does.
 func (r *shareRig) stop() {
 	if r.cmd != nil {
-		r.cmd.Process.Signal(syscall.SIGTERM)
-		r.cmd.Wait()
+		_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+		_ = r.cmd.Wait()                          // its status is no part of the measurement
 		r.cmd = nil
 	}
 }
 
-// spent is what a process has used by now.
-type spent struct {
-	user, system time.Duration // of a processor
-	queued       time.Duration // ready, but another had the core: the machine's share, not the process's
-	switches     int           // times it waited for something
-	resident     int           // bytes
+// resourceUsage is what a process has used since its start.
+type resourceUsage struct {
+	user     time.Duration // processor time
+	system   time.Duration // processor time of the kernel
+	queued   time.Duration // runnable, but another process had the core
+	switches int           // voluntary context switches
+	resident int           // bytes
 }
 
-const clockTick = 10 * time.Millisecond // what the kernel counts a process's time in
+// clockTick is the unit in which the kernel counts the processor time of a process.
+const clockTick = 10 * time.Millisecond
 
-func spentBy(t *testing.T, cmd *exec.Cmd) (s spent) {
+func usageOf(t *testing.T, cmd *exec.Cmd) (usage resourceUsage) {
 	t.Helper()
 	read := func(name string) string {
 		text, err := os.ReadFile(name)
@@ -299,9 +325,10 @@
 	dir := fmt.Sprintf("/proc/%d", cmd.Process.Pid)
 	_, rest, _ := strings.Cut(read(dir+"/stat"), ") ")
 	fields := strings.Fields(rest)
-	u, _ := strconv.Atoi(fields[11])
-	y, _ := strconv.Atoi(fields[12])
-	s.user, s.system = time.Duration(u)*clockTick, time.Duration(y)*clockTick
+	userTicks, _ := strconv.Atoi(fields[11])
+	systemTicks, _ := strconv.Atoi(fields[12])
+	usage.user = time.Duration(userTicks) * clockTick
+	usage.system = time.Duration(systemTicks) * clockTick
 	tasks, err := filepath.Glob(dir + "/task/*")
 	if err != nil {
 		t.Fatal(err)
@@ -309,16 +336,16 @@
 	for _, task := range tasks {
 		if f := strings.Fields(read(task + "/schedstat")); len(f) == 3 {
 			ns, _ := strconv.ParseInt(f[1], 10, 64)
-			s.queued += time.Duration(ns)
+			usage.queued += time.Duration(ns)
 		}
 		for line := range strings.Lines(read(task + "/status")) {
 			if text, ok := strings.CutPrefix(line, "voluntary_ctxt_switches:"); ok {
 				n, _ := strconv.Atoi(strings.TrimSpace(text))
-				s.switches += n
+				usage.switches += n
 			}
 		}
 	}
 	pages, _ := strconv.Atoi(strings.Fields(read(dir + "/statm"))[1])
-	s.resident = pages * os.Getpagesize()
-	return s
+	usage.resident = pages * os.Getpagesize()
+	return usage
 }
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -17,17 +17,35 @@
 	"hazelwing/internal/testutil"
 )
 
-// sent is a request of TestTermWhileUpstreamsHang's clients, by its time after SIGTERM.
-type sent struct {
-	at, after time.Duration // when it was written, and how long until its end
-	again     bool          // its connection was closed as it was written, and it came again on a new one
-	status    int           // 0: no answer
-	err       error
+// sentRequest is a request of TestTermWhileUpstreamsHang's clients.
+type sentRequest struct {
+	at       time.Duration // when it was written, after SIGTERM
+	duration time.Duration // until its end
+	retried  bool          // its connection was closed as it was written, and it was sent again on a new one
+	status   int           // 0: no response
+	err      error
 }
 
-// At SIGTERM all upstreams hang. Clients go on sending on every connection that stays open, each to its end, and on new ones
-// for 0.4 s, until SIGKILL at its earliest: the longest deadline and 0.7 s after SIGTERM. Each request has an answer by then,
-// whenever it came; one that crosses the close of its connection finds a new one.
+// hangResponse is what TestTermWhileUpstreamsHang uses of a response.
+type hangResponse struct {
+	status int
+	close  bool // the daemon closes the connection
+}
+
+// readHangResponse reads a whole response.
+func readHangResponse(c net.Conn) (hangResponse, error) {
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return hangResponse{}, err
+	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body) // the status is what counts
+	return hangResponse{status: response.StatusCode, close: response.Close}, nil
+}
+
+// At SIGTERM all upstreams hang. Clients go on sending on every connection until it is closed, and on new ones for
+// 0.4 s, until the earliest SIGKILL: the longest deadline and 0.7 s after SIGTERM. Each request has a response by
+// then, whenever it was sent; one that crosses the close of its connection is sent on a new one.
 func TestTermWhileUpstreamsHang(t *testing.T) {
 	for _, longest := range []time.Duration{400 * time.Millisecond, 3 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
@@ -42,74 +60,78 @@
 					silent := hang
 					mu.Unlock()
 					if !silent {
-						io.WriteString(c, testutil.OKAnswer)
+						_, _ = io.WriteString(c, testutil.OKAnswer) // the client notices the failure
 					}
 				}
 			})
-			text := strings.ReplaceAll(fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream), `"DeadlineMs":20000`, fmt.Sprintf(`"DeadlineMs":%d`, longest.Milliseconds()))
-			cmd := exec.Command(os.Args[0])
+			text := strings.ReplaceAll(fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream),
+				`"DeadlineMs":20000`, fmt.Sprintf(`"DeadlineMs":%d`, longest.Milliseconds()))
+			cmd := exec.CommandContext(t.Context(), os.Args[0])
 			addr := startAlone(t, cmd, text, nil)
-			ask := func(c net.Conn, id string, at time.Duration) (*http.Response, error) {
-				c.SetDeadline(time.Now().Add(testutil.Patience))
-				req := testutil.Request(t, "http://"+addr, "GET", "look", id, "")
-				req.Header.Set("X-Deadline-Ms", fmt.Sprint(longest.Milliseconds()))
-				if err := req.Write(c); err != nil {
-					return nil, err
+			send := func(c net.Conn, id string) (hangResponse, error) {
+				if err := c.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
+					return hangResponse{}, err
 				}
-				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-				if err == nil {
-					io.Copy(io.Discard, resp.Body)
+				request := testutil.Request(t, "http://"+addr, "GET", "look", id, "")
+				request.Header.Set("X-Deadline-Ms", fmt.Sprint(longest.Milliseconds()))
+				if err := request.Write(c); err != nil {
+					return hangResponse{}, err
 				}
-				return resp, err
+				return readHangResponse(c)
 			}
-			kept := make([]net.Conn, clients)
-			for i := range kept {
+			conns := make([]net.Conn, clients)
+			for i := range conns {
 				var err error
-				if kept[i], err = net.Dial("tcp", addr); err != nil {
+				if conns[i], err = net.Dial("tcp", addr); err != nil {
 					t.Fatal(err)
 				}
-				if resp, err := ask(kept[i], fmt.Sprint("before", i), 0); err != nil || resp.StatusCode != 200 {
-					t.Fatalf("before: %v %v", resp, err)
+				response, err := send(conns[i], fmt.Sprint("before", i))
+				if err != nil || response.status != http.StatusOK {
+					t.Fatalf("before: %v %v", response, err)
 				}
 			}
 			mu.Lock()
 			hang = true
 			mu.Unlock()
 			var all sync.WaitGroup
-			var list []sent
-			cmd.Process.Signal(syscall.SIGTERM)
+			var requests []sentRequest
+			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+				t.Fatal(err)
+			}
 			term := time.Now()
-			for i := range kept {
+			for i := range conns {
 				all.Go(func() {
-					c, fresh := kept[i], false
-					// Some send at once, others when half of the time that new connections come is over, or when it is.
+					c, fresh := conns[i], false
+					// Some send at once, others during the time in which new connections are opened, or at its end.
 					next := time.Duration(i%6) * newcomers / 5
 					for n := 0; ; n++ {
 						time.Sleep(time.Until(term.Add(next)))
-						s := sent{at: time.Since(term)}
-						resp, err := ask(c, fmt.Sprint(i, "-", n), s.at)
+						request := sentRequest{at: time.Since(term)}
+						response, err := send(c, fmt.Sprint(i, "-", n))
 						if err != nil && !fresh && time.Since(term) < newcomers { // its close crossed the request
 							c.Close()
 							if c, err = net.Dial("tcp", addr); err == nil {
-								s.again = true
-								resp, err = ask(c, fmt.Sprint(i, "-", n), s.at)
+								request.retried = true
+								response, err = send(c, fmt.Sprint(i, "-", n))
 							}
 						}
-						crossed := err != nil && !fresh
-						if s.after, s.err = time.Since(term)-s.at, err; err == nil {
-							s.status = resp.StatusCode
-						}
-						if !crossed { // it is a request that the daemon did not take
+						crossed := err != nil && !fresh // the daemon did not accept the request
+						request.duration = time.Since(term) - request.at
+						request.status = response.status
+						request.err = err
+						if !crossed {
 							mu.Lock()
-							list = append(list, s)
+							requests = append(requests, request)
 							mu.Unlock()
 						}
 						next = time.Since(term)
-						if crossed || err != nil || resp.Close && next > newcomers {
-							c.Close()
+						if crossed || err != nil || response.close && next > newcomers {
+							if c != nil {
+								c.Close()
+							}
 							return
 						}
-						if fresh = resp.Close; fresh {
+						if fresh = response.close; fresh {
 							c.Close()
 							if c, err = net.Dial("tcp", addr); err != nil {
 								return
@@ -118,7 +140,7 @@
 					}
 				})
 			}
-			// And who connects in time and sends late, as long as the connection stays.
+			// Clients that connect in time and send late, while the connection is open.
 			for _, at := range []time.Duration{600, 700, 1000, 1600} {
 				if at*time.Millisecond >= kill {
 					break
@@ -127,40 +149,50 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				io.WriteString(c, "GE") // it has begun
+				if _, err := io.WriteString(c, "GE"); err != nil { // the request has started
+					t.Fatal(err)
+				}
 				all.Go(func() {
 					defer c.Close()
 					time.Sleep(time.Until(term.Add(at * time.Millisecond)))
-					s := sent{at: time.Since(term)}
-					c.SetDeadline(time.Now().Add(testutil.Patience))
-					if _, s.err = fmt.Fprintf(c, "T /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: late%d\r\nX-Class: look\r\nX-Deadline-Ms: %d\r\n\r\n", at, longest.Milliseconds()); s.err != nil {
+					request := sentRequest{at: time.Since(term)}
+					if err := c.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
+						t.Error(err)
+					}
+					_, err := fmt.Fprintf(c, "T /look/x HTTP/1.1\r\nHost: h\r\n"+
+						"X-Request-Id: late%d\r\nX-Class: look\r\nX-Deadline-Ms: %d\r\n\r\n",
+						at, longest.Milliseconds())
+					if err != nil {
 						return
 					}
-					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-					if s.after, s.err = time.Since(term)-s.at, err; err == nil {
-						s.status = resp.StatusCode
-					} else if at > 1250 { // a header takes so long at most: it was closed before
+					response, err := readHangResponse(c)
+					if err != nil && at > 1250 { // longer than a header may take: it was closed before
 						return
 					}
+					request.duration = time.Since(term) - request.at
+					request.status = response.status
+					request.err = err
 					mu.Lock()
-					list = append(list, s)
+					requests = append(requests, request)
 					mu.Unlock()
 				})
 			}
 			all.Wait()
-			again := 0
-			for _, s := range list {
-				if s.again {
-					again++
+			retried := 0
+			for _, request := range requests {
+				if request.retried {
+					retried++
 				}
-				if s.status == 0 || s.at+s.after > kill {
-					t.Errorf("a request %v after SIGTERM: status %d, %v, %v later; SIGKILL comes %v after", s.at.Round(time.Millisecond), s.status, s.err, s.after.Round(time.Millisecond), kill)
+				if request.status == 0 || request.at+request.duration > kill {
+					t.Errorf("a request %v after SIGTERM: status %d, %v, %v later; SIGKILL comes %v after",
+						request.at.Round(time.Millisecond), request.status, request.err,
+						request.duration.Round(time.Millisecond), kill)
 				}
 			}
-			if len(list) < clients/3 {
-				t.Errorf("%d requests only", len(list))
+			if len(requests) < clients/3 {
+				t.Errorf("%d requests only", len(requests))
 			}
-			t.Logf("%d requests, %d of them came again on a new connection", len(list), again)
+			t.Logf("%d requests, %d of them were sent again on a new connection", len(requests), retried)
 			if err := cmd.Wait(); err != nil {
 				t.Errorf("the daemon ended with %v", err)
 			}
