--- a/cmd/hazelwing/loggingpage_test.go
+++ b/cmd/hazelwing/loggingpage_test.go
@@ -14,7 +14,8 @@
 
 const loggingPage = moduleRoot + "/docs/operators/logging.md"
 
-// loggingPackages are the packages whose log lines an operator sees: those of the daemon, of an origin and of the plug-in.
+// loggingPackages are the packages whose log lines an operator sees: those of the daemon, of an origin and of the
+// plug-in.
 var loggingPackages = []string{
 	"balancer",
 	"cmd/hazelwing",
