--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -77,7 +77,7 @@
 	drains          map[string]drain   // by ID, for staleListPeriod
 	listLost        bool               // the source of a pushed list has not answered
 	sourceReachable bool               // at the last call
-	watchBackoff    backoff.Scheduler       // of a pushed list
+	watchBackoff    backoff.Scheduler  // of a pushed list
 }
 
 // New returns an Engine, or an error that names the setting that cannot be used. Nothing happens before Run.
