--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -111,14 +111,14 @@
 // calibrateReal measures sidecars that are processes of their own.
 func calibrateReal(t *testing.T, settings, recovery string) (cost memberCost) {
 	r, err := testcluster.New(testcluster.Config{
-		Members:  *calibrateMembers,
-		Seed:     1,
-		Dir:      t.TempDir(),
-		Program:  []string{os.Args[0]},
-		Env:      []string{testRun + "=1"},
-		Fleet:    settings,
-		Operator: "[recovery]\n" + recovery,
-		Quiet:    true,
+		Members:         *calibrateMembers,
+		Seed:            1,
+		Dir:             t.TempDir(),
+		Program:         []string{os.Args[0]},
+		Env:             []string{testRun + "=1"},
+		FleetOptions:    settings,
+		OperatorOptions: "[recovery]\n" + recovery,
+		WithoutClients:  true,
 	})
 	if err != nil {
 		t.Error(err)
@@ -126,7 +126,7 @@
 	}
 	defer r.Close()
 	if err := r.Play(t.Context(), "start all\nsettle 1s 60s"); err != nil {
-		t.Errorf("%v\n%s", err, r.Story())
+		t.Errorf("%v\n%s", err, r.Timeline())
 		return cost
 	}
 	waitQuiet()
@@ -139,7 +139,7 @@
 			total.bytesIn += float64(in.Bytes)
 			total.messagesIn += float64(in.Messages)
 			var status gossip.Status
-			if err := r.Ask(i, "fleet", &status); err != nil {
+			if err := r.ReadAdmin(i, "fleet", &status); err != nil {
 				t.Error(err)
 			}
 			total.disturbed += disturbances(status)
@@ -153,7 +153,7 @@
 	time.Sleep(*calibrateFor)
 	cost = costBetween(before, read(), time.Since(startedAt), members)
 	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // otherwise it was not quiet
-		t.Errorf("%v\n%s", err, r.Story())
+		t.Errorf("%v\n%s", err, r.Timeline())
 	}
 	return cost
 }
@@ -182,7 +182,7 @@
 	everywhere := func(hollow.Place) bool { return true }
 	startedAt := time.Now()
 	for fleet.Disagreement(everywhere) != "" || fleet.Behind(everywhere) > 0 {
-		if time.Since(startedAt) > testutil.Patience { // testutil.Until may only be called from the test's goroutine
+		if time.Since(startedAt) > testutil.WaitTimeout { // testutil.Until may only be called from the test's goroutine
 			t.Errorf("the hollow members do not agree: %s", fleet.Disagreement(everywhere))
 			return cost
 		}
--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -18,37 +18,37 @@
 )
 
 // Each row of the capacity page's table of bounds is the value of a constant of the code, or is counted by a test
-// that exists and compares its count with the row (testutil.HoldToPage). So a change of a bound fails until the page
+// that exists and compares its count with the row (testutil.CheckCapacityBound). So a change of a bound fails until the page
 // is updated.
 func TestCapacityPageBounds(t *testing.T) {
-	root := testutil.Root(t)
-	rows := testutil.PageRows(t)
+	root := testutil.RepositoryRoot(t)
+	rows := testutil.CapacityBounds(t)
 	if len(rows) < 10 {
 		t.Fatalf("%d rows", len(rows))
 	}
 	for _, r := range rows {
-		if len(r.By) != 2 {
-			t.Errorf("%s: it is from %q, want a file or package and a name", r.Name, r.By)
+		if len(r.Sources) != 2 {
+			t.Errorf("%s: it is from %q, want a file or package and a name", r.Name, r.Sources)
 			continue
 		}
-		path := filepath.Join(root, r.By[0])
-		if strings.HasPrefix(r.By[1], "Test") {
+		path := filepath.Join(root, r.Sources[0])
+		if strings.HasPrefix(r.Sources[1], "Test") {
 			if !holds(t, path, r) {
-				t.Errorf("%s: no %s of %s holds it", r.Name, r.By[1], r.By[0])
+				t.Errorf("%s: no %s of %s holds it", r.Name, r.Sources[1], r.Sources[0])
 			}
 			continue
 		}
-		got, err := constant(path, r.By[1])
+		got, err := constant(path, r.Sources[1])
 		if err != nil {
 			t.Errorf("%s: %v", r.Name, err)
 		} else if math.Abs(got-r.Figure) > 1e-9*math.Abs(r.Figure) {
-			t.Errorf("%s: %s has %v, docs/CAPACITY.md says %v", r.Name, r.By[1], got, r.Figure)
+			t.Errorf("%s: %s has %v, docs/CAPACITY.md says %v", r.Name, r.Sources[1], got, r.Figure)
 		}
 	}
 }
 
 // holds reports whether a package has the test of a row, and a call that compares a count with the row.
-func holds(t *testing.T, dir string, r testutil.PageRow) bool {
+func holds(t *testing.T, dir string, r testutil.CapacityBound) bool {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +58,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		isDeclared := regexp.MustCompile(`(?m)^func ` + r.By[1] + `\(`).Match(text)
-		if isDeclared && strings.Contains(string(text), fmt.Sprintf("HoldToPage(t, %q", r.Name)) {
+		isDeclared := regexp.MustCompile(`(?m)^func ` + r.Sources[1] + `\(`).Match(text)
+		if isDeclared && strings.Contains(string(text), fmt.Sprintf("CheckCapacityBound(t, %q", r.Name)) {
 			return true
 		}
 	}
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -25,7 +25,7 @@
 
 // configRig is a test cluster with origins.
 type configRig struct {
-	*testcluster.Rig
+	*testcluster.Cluster
 	t       *testing.T
 	members int
 	origins int
@@ -35,11 +35,11 @@
 func newConfigRig(t *testing.T, members, origins int) *configRig {
 	t.Helper()
 	c := testcluster.Config{
-		Origins:  origins,
-		Operator: "[recovery]\nask = 2\nfan = 4\n",
-		Config:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
+		Origins:         origins,
+		OperatorOptions: "[recovery]\nask = 2\nfan = 4\n",
+		ConfigOptions:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
 	}
-	r := &configRig{t: t, members: members, origins: origins, Rig: newFleetRig(t, members, 7, c)}
+	r := &configRig{t: t, members: members, origins: origins, Cluster: newFleetRig(t, members, 7, c)}
 	r.play("start origins\nstart all\nsettle 500ms 60s")
 	return r
 }
@@ -53,7 +53,7 @@
 
 func (r *configRig) fail(err error) {
 	r.t.Helper()
-	lines := strings.Split(r.Story(), "\n")
+	lines := strings.Split(r.Timeline(), "\n")
 	r.t.Fatalf("%v\n%s", err, strings.Join(lines[max(0, len(lines)-maxStoryLines):], "\n"))
 }
 
@@ -82,7 +82,7 @@
 // push runs the command that pushes to an origin.
 func (r *configRig) push(k int, file string, args ...string) (result pushResult, err error) {
 	r.t.Helper()
-	command := []string{"config", "push", file, "--fleet", "rig", "--origin", r.Origin(k), "--json"}
+	command := []string{"config", "push", file, "--fleet", "rig", "--origin", r.OriginAddr(k), "--json"}
 	out, err := execute(append(command, args...)...)
 	if json.Unmarshal([]byte(out), &result) != nil && err == nil {
 		r.t.Fatalf("no JSON: %s", out)
@@ -100,7 +100,7 @@
 		if result.Outcome == origin.OutcomeAccepted {
 			return result.Revision, startedAt
 		}
-		if time.Since(startedAt) > 2*testutil.Patience {
+		if time.Since(startedAt) > 2*testutil.WaitTimeout {
 			r.fail(fmt.Errorf("not accepted: %+v, %w", result, err))
 		}
 	}
@@ -144,7 +144,7 @@
 	startedAt := time.Now()
 	testutil.Until(r.t, what+": in force", func() bool {
 		appliedAt = r.appliedAt(revision, group)
-		return len(appliedAt) == len(group) || time.Since(startedAt) > testutil.Patience-time.Second
+		return len(appliedAt) == len(group) || time.Since(startedAt) > testutil.WaitTimeout-time.Second
 	})
 	if len(appliedAt) < len(group) {
 		r.fail(fmt.Errorf("%s: %v in force at %d of %d", what, revision, len(appliedAt), len(group)))
@@ -165,7 +165,7 @@
 
 // state returns the state of a member; it is zero if the member does not respond.
 func (r *configRig) state(n int) (state transport.MemberState) {
-	_ = r.Ask(n, "config", &state) // callers check or poll the state
+	_ = r.ReadAdmin(n, "config", &state) // callers check or poll the state
 	return state
 }
 
@@ -187,7 +187,7 @@
 	r.t.Helper()
 	testutil.Until(r.t, "an origin leads", func() bool {
 		for k = 1; k <= r.origins; k++ {
-			status, err := transport.NewClient("rig", r.Origin(k)).Status(r.t.Context())
+			status, err := transport.NewClient("rig", r.OriginAddr(k)).Status(r.t.Context())
 			if err == nil && status.Role == origin.RoleLeader {
 				return true
 			}
@@ -200,11 +200,11 @@
 // end checks that no rule was broken, and that requests were served.
 func (r *configRig) end() {
 	r.t.Helper()
-	for _, f := range r.Faults() {
+	for _, f := range r.Violations() {
 		r.t.Error(f)
 	}
-	logAnswers(r.t, r.Rig)
-	if r.Answers.Served.Load() == 0 {
+	logAnswers(r.t, r.Cluster)
+	if r.Outcomes.Served.Load() == 0 {
 		r.t.Error("nothing was served")
 	}
 }
@@ -214,8 +214,8 @@
 	discovery := r.Servers.Discovery
 	for _, n := range r.all() {
 		var source relay.SourceState
-		if r.Ask(n, "recovery", &source) != nil || !source.Server.Live ||
-			source.Server.Version != discovery.Seq() || source.Group != discovery.Addr() {
+		if r.ReadAdmin(n, "recovery", &source) != nil || !source.Server.Live ||
+			source.Server.Version != discovery.Version() || source.Group != discovery.Addr() {
 			return false
 		}
 	}
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -27,7 +27,7 @@
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
 	r := newConfigRig(t, 3, 1)
-	originFlags := []string{"--fleet", "rig", "--origin", r.Origin(1)}
+	originFlags := []string{"--fleet", "rig", "--origin", r.OriginAddr(1)}
 	run := func(args ...string) (string, error) {
 		return execute(append(append([]string{"config"}, args...), originFlags...)...)
 	}
@@ -115,13 +115,13 @@
 		}
 	}
 	// Without the command's own validation.
-	client := transport.NewClient("rig", r.Origin(1))
+	client := transport.NewClient("rig", r.OriginAddr(1))
 	result, err := client.Push(r.t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
 	if err != nil || result.Outcome != origin.OutcomeRejected ||
 		!strings.Contains(result.Error, "2:1: limits.max_attempts") {
 		r.t.Errorf("%+v, %v", result, err)
 	}
-	foreignClient := transport.NewClient("other", r.Origin(1))
+	foreignClient := transport.NewClient("other", r.OriginAddr(1))
 	_, err = foreignClient.Push(r.t.Context(), "four", 1, validText)
 	if err == nil || !strings.Contains(err.Error(), "another fleet's") {
 		r.t.Errorf("another fleet's push: %v", err)
@@ -146,12 +146,12 @@
 		text := requestLine + fmt.Sprintf(header, cluster) + rest
 		all.Go(func() { r.waitClosed(addr, text) })
 	}
-	for _, addr := range []string{member, r.Origin(1)} {
+	for _, addr := range []string{member, r.OriginAddr(1)} {
 		send(addr, "GET /config/watch?epoch=0&version=0", "others", "\r\n")
 		send(addr, "POST /config/report", "rig", "Content-Length: 9999999\r\n\r\n"+strings.Repeat("x", 100<<10))
 		send(addr, "POST /config/report", "rig", "Content-Length: 5\r\n\r\n{\"me")
 	}
-	send(r.Origin(1), "POST /config/push?after=1&id=x", "rig",
+	send(r.OriginAddr(1), "POST /config/push?after=1&id=x", "rig",
 		"Content-Length: 300000\r\n\r\n"+strings.Repeat("#", 300000))
 	all.Wait()
 	// Connections that send nothing, and a subscriber that does not read.
@@ -162,7 +162,7 @@
 		}
 		r.t.Cleanup(func() { c.Close() })
 	}
-	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	watchURL := "http://" + member + "/config/watch?epoch=0&version=0"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL, nil)
@@ -189,7 +189,7 @@
 		return
 	}
 	defer c.Close()
-	if err := c.SetReadDeadline(time.Now().Add(testutil.Patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testutil.WaitTimeout)); err != nil {
 		r.t.Error(err)
 		return
 	}
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -82,7 +82,7 @@
 	accepted := make([]int, 4)
 	for i := range accepted {
 		all.Go(func() {
-			client := transport.NewClient("rig", r.Origin(1+i))
+			client := transport.NewClient("rig", r.OriginAddr(1+i))
 			for j := 0; time.Since(startedAt) < duration; j++ {
 				latest, err := client.Show(r.t.Context(), false)
 				if err != nil {
@@ -153,7 +153,7 @@
 // testRolledBackOrigin restores an older store of one origin. It returns the directory of that store.
 func (r *configRig) testRolledBackOrigin() (backup string) {
 	r.t.Helper()
-	client := transport.NewClient("rig", r.Origin(5))
+	client := transport.NewClient("rig", r.OriginAddr(5))
 	var s controlplane.Revision
 	r.play("kill o5")
 	backup = r.backUp(5)
@@ -208,7 +208,7 @@
 		}
 	}
 	r.play("kill origins")
-	if err := r.Found(2, "origins"); err != nil {
+	if err := r.BootstrapOrigins(2, "origins"); err != nil {
 		r.t.Fatal(err)
 	}
 	r.play("start origins")
@@ -222,7 +222,7 @@
 // isAnyOriginBehind reports whether an origin knows that members have a revision that the origins lack.
 func (r *configRig) isAnyOriginBehind(revision controlplane.Revision) bool {
 	for k := range r.origins {
-		status, err := transport.NewClient("rig", r.Origin(k+1)).Status(r.t.Context())
+		status, err := transport.NewClient("rig", r.OriginAddr(k+1)).Status(r.t.Context())
 		if err == nil && status.Ahead.Compare(revision) == 0 {
 			return true
 		}
@@ -250,8 +250,8 @@
 	var view, list, config []float64
 	for _, n := range r.all() {
 		a, b := read(n), before[n]
-		view = append(view, float64(a.out.View+a.in.View-b.out.View-b.in.View)/seconds)
-		list = append(list, float64(a.out.List+a.in.List-b.out.List-b.in.List)/seconds)
+		view = append(view, float64(a.out.Membership+a.in.Membership-b.out.Membership-b.in.Membership)/seconds)
+		list = append(list, float64(a.out.EndpointList+a.in.EndpointList-b.out.EndpointList-b.in.EndpointList)/seconds)
 		config = append(config, float64(a.out.Config+a.in.Config-b.out.Config-b.in.Config)/seconds)
 	}
 	r.t.Logf("| %s | bytes a second a member, sent and received, mean (most): "+
--- a/cmd/hazelwing/cost_test.go
+++ b/cmd/hazelwing/cost_test.go
@@ -24,7 +24,7 @@
 	shot := load.Shot{
 		Class:    "look",
 		Effect:   "safe",
-		Deadline: testutil.Patience,
+		Deadline: testutil.WaitTimeout,
 		Work:     time.Millisecond,
 	}
 	measure := func(rate float64) (time.Duration, load.Report) {
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -101,18 +101,18 @@
 		t.Run(test.name, func(t *testing.T) {
 			limit := test.limit
 			t.Parallel() // it waits in real time
-			serving := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			serving := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
-					_, _ = io.WriteString(c, testutil.OKAnswer) // the daemon may have closed the connection
+					_, _ = io.WriteString(c, testutil.OKResponse) // the daemon may have closed the connection
 				}
 			})
-			down, err := net.Listen("tcp", net.JoinHostPort(emulator.OwnHost(), "0"))
+			down, err := net.Listen("tcp", net.JoinHostPort(emulator.LoopbackHost(), "0"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			discovery := down.Addr().String()
 			down.Close()
-			text := strings.ReplaceAll(fmt.Sprintf(testutil.Config, discovery, neverUp(t)),
+			text := strings.ReplaceAll(fmt.Sprintf(testutil.PlatformConfig, discovery, neverUp(t)),
 				`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, test.platformSockets))
 			log := new(logBuffer)
 			start := func(addr string) (*exec.Cmd, string) {
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -38,15 +38,15 @@
 `
 
 // newFleetRig returns a test cluster whose processes run this test's own program.
-func newFleetRig(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Rig {
+func newFleetRig(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Cluster {
 	t.Helper()
 	c.Members = members
 	c.Seed = seed
 	c.Dir = t.TempDir()
 	c.Program = []string{os.Args[0]}
 	c.Env = []string{testRun + "=1"}
-	if c.Fleet == "" {
-		c.Fleet = fastFleet
+	if c.FleetOptions == "" {
+		c.FleetOptions = fastFleet
 	}
 	r, err := testcluster.New(c)
 	if err != nil {
@@ -57,30 +57,30 @@
 }
 
 // playFleet plays a script. A failure prints the script, the seed and all logs, ordered by time.
-func playFleet(t *testing.T, r *testcluster.Rig, script string) {
+func playFleet(t *testing.T, r *testcluster.Cluster, script string) {
 	t.Helper()
 	if err := r.Play(t.Context(), script); err != nil {
-		story := r.Story()
+		story := r.Timeline()
 		if lines := strings.Split(story, "\n"); len(lines) > maxStoryLines {
 			story = strings.Join(append(append(lines[:100:100], "..."), lines[len(lines)-maxStoryLines+100:]...), "\n")
 		}
 		t.Fatalf("%v\n%s", err, story)
 	}
-	for _, w := range r.Took {
-		t.Logf("%-40s %v", w.Step, w.Took)
+	for _, w := range r.Waits {
+		t.Logf("%-40s %v", w.Step, w.Duration)
 	}
 	logAnswers(t, r)
-	if r.Answers.Served.Load() == 0 {
+	if r.Outcomes.Served.Load() == 0 {
 		t.Error("nothing was served")
 	}
 }
 
 // logAnswers logs how the requests to a test cluster ended.
-func logAnswers(t *testing.T, r *testcluster.Rig) {
+func logAnswers(t *testing.T, r *testcluster.Cluster) {
 	t.Helper()
-	a := &r.Answers
+	a := &r.Outcomes
 	t.Logf("served %d, refused %d, failed %d, broken off %d",
-		a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load())
+		a.Served.Load(), a.Rejected.Load(), a.Failed.Load(), a.Broken.Load())
 }
 
 // Many processes of the program agree on one view of each other, whatever happens between them. Meanwhile each
@@ -111,13 +111,13 @@
 func TestFleetCommand(t *testing.T) {
 	r := newFleetRig(t, 3, 1, testcluster.Config{})
 	playFleet(t, r, "start all\nsettle 1s 30s")
-	out, err := execute("fleet", "--admin", r.Admin(1))
+	out, err := execute("fleet", "--admin", r.AdminAddr(1))
 	if err != nil ||
 		!strings.Contains(out, "m01 (itself)") ||
 		!strings.Contains(out, "3 live of 3 known, reckons with 3") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	out, err = execute("fleet", "--json", "--admin", r.Admin(2))
+	out, err = execute("fleet", "--json", "--admin", r.AdminAddr(2))
 	var status gossip.Status
 	decodeErr := json.Unmarshal([]byte(out), &status)
 	if err != nil || decodeErr != nil || status.Name != "m02" ||
@@ -127,10 +127,10 @@
 	if err := r.Play(t.Context(), "kill 3\nwait state 3 dead 30s 1-2"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = execute("fleet", "--admin", r.Admin(1)); err == nil || exitStatus(err) != statusUnsettled {
+	if _, err = execute("fleet", "--admin", r.AdminAddr(1)); err == nil || exitStatus(err) != statusUnsettled {
 		t.Errorf("with a dead member: %v", err)
 	}
-	if _, err := execute("fleet", "--admin", r.Admin(3)); err == nil {
+	if _, err := execute("fleet", "--admin", r.AdminAddr(3)); err == nil {
 		t.Error("no error for a sidecar that does not run")
 	}
 	_, err = execute("fleet", "--operator", "")
@@ -141,7 +141,7 @@
 		Name string `json:"bound"`
 	}
 	var limits []limit
-	err = r.Ask(1, "bounds", &limits)
+	err = r.ReadAdmin(1, "bounds", &limits)
 	if err != nil || !slices.Contains(limits, limit{Name: "members of the fleet"}) {
 		t.Errorf("%v, %+v", err, limits)
 	}
@@ -160,13 +160,13 @@
 	half := *fleetSize / 2
 	times := map[string][]time.Duration{}
 	play := func(script string, names ...string) {
-		r.Took = nil
+		r.Waits = nil
 		if err := r.Play(t.Context(), script); err != nil {
-			t.Fatalf("%v\n%s", err, r.Story())
+			t.Fatalf("%v\n%s", err, r.Timeline())
 		}
-		for i, w := range r.Took {
+		for i, w := range r.Waits {
 			if i < len(names) && names[i] != "" {
-				times[names[i]] = append(times[names[i]], w.Took)
+				times[names[i]] = append(times[names[i]], w.Duration)
 			}
 		}
 	}
@@ -191,7 +191,7 @@
 		t.Logf("| %s | %d | %.2f | %.2f | %.2f |", name, n,
 			sorted[n/2].Seconds(), sorted[n*99/100].Seconds(), sorted[n-1].Seconds())
 	}
-	for _, f := range r.Faults() {
+	for _, f := range r.Violations() {
 		t.Error(f)
 	}
 	logAnswers(t, r)
--- a/cmd/hazelwing/leave_test.go
+++ b/cmd/hazelwing/leave_test.go
@@ -59,7 +59,7 @@
 	var mu sync.Mutex
 	attemptsAt := map[string][]time.Time{} // of each request
 	var n atomic.Int64
-	upstream := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	upstream := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 			mu.Lock()
 			id := q.Header.Get("X-Request-Id")
@@ -70,11 +70,11 @@
 				_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
-			_, _ = io.WriteString(c, testutil.OKAnswer) // the daemon may have closed the connection
+			_, _ = io.WriteString(c, testutil.OKResponse) // the daemon may have closed the connection
 		}
 	})
 	cmd := exec.CommandContext(t.Context(), "/usr/bin/env", "GOMAXPROCS=1", os.Args[0])
-	addr := startAlone(t, cmd, fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream), nil)
+	addr := startAlone(t, cmd, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream), nil)
 	signal := func(s syscall.Signal) {
 		if err := cmd.Process.Signal(s); err != nil {
 			t.Error(err)
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -35,7 +35,7 @@
 	olderOrigin   = 1
 	originEpoch   = 2
 	maxElections  = 16
-	mixedPatience = 2 * testutil.Patience
+	mixedPatience = 2 * testutil.WaitTimeout
 	// longMemory keeps the dead in the members' views for longer than any wait of this test, so that a wait
 	// for "dead" cannot miss it.
 	longMemory = "forget = \"2m\"\n"
@@ -70,22 +70,22 @@
 func newMixedRig(t *testing.T) *mixedRig {
 	t.Helper()
 	config := testcluster.Config{
-		Origins:  mixedOrigins,
-		Fleet:    strings.Replace(fastFleet, "forget = \"6s\"\n", longMemory, 1),
-		Operator: "[recovery]\nask = 2\nfan = 4\n",
-		Config:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
+		Origins:         mixedOrigins,
+		FleetOptions:    strings.Replace(fastFleet, "forget = \"6s\"\n", longMemory, 1),
+		OperatorOptions: "[recovery]\nask = 2\nfan = 4\n",
+		ConfigOptions:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
 	}
 	cluster := newFleetRig(t, mixedMembers, 7, config)
 	r := &mixedRig{
-		configRig: &configRig{Rig: cluster, t: t, members: mixedMembers, origins: mixedOrigins},
-		list:      &listRig{Rig: cluster, t: t, members: mixedMembers},
+		configRig: &configRig{Cluster: cluster, t: t, members: mixedMembers, origins: mixedOrigins},
+		list:      &listRig{Cluster: cluster, t: t, members: mixedMembers},
 		newer:     []string{os.Args[0]},
 	}
 	r.setProgram(olderGroup, *olderProgram)
 	r.setProgram(fmt.Sprintf("o%d", olderOrigin), *olderProgram)
 	// The harness has founded all origins by the newer program. A higher epoch lets each found its store by
 	// its own program.
-	if err := r.Found(originEpoch, "origins"); err != nil {
+	if err := r.BootstrapOrigins(originEpoch, "origins"); err != nil {
 		t.Fatal(err)
 	}
 	r.play("discovery " + newerGroup + " cut")
@@ -108,7 +108,7 @@
 
 // originStatus returns the status of an origin.
 func (r *mixedRig) originStatus(number int) (origin.Status, error) {
-	return transport.NewClient("rig", r.Origin(number)).Status(r.t.Context())
+	return transport.NewClient("rig", r.OriginAddr(number)).Status(r.t.Context())
 }
 
 // checkGossip compares the views of both versions with what runs, before, during and after the loss of a member
@@ -154,7 +154,7 @@
 	r.t.Helper()
 	for _, n := range r.all() {
 		var view gossip.Status
-		if err := r.Ask(n, "fleet", &view); err != nil {
+		if err := r.ReadAdmin(n, "fleet", &view); err != nil {
 			r.t.Errorf("member %d: %v", n, err)
 			continue
 		}
@@ -190,17 +190,17 @@
 // the group that can.
 func (r *mixedRig) checkListCrosses(server string, from, to []int) {
 	r.t.Helper()
-	before := r.Servers.Discovery.Seq()
+	before := r.Servers.Discovery.Version()
 	r.play("server " + server + " drain")
 	r.list.waitCurrent(fmt.Sprintf("server list from %v to %v", from, to), r.all())
-	if after := r.Servers.Discovery.Seq(); after <= before {
+	if after := r.Servers.Discovery.Version(); after <= before {
 		r.t.Fatalf("discovery is still at version %d", after)
 	}
 	r.play("wait out " + server + " 10s")
 	crossings := 0
 	for _, n := range to {
 		var s relay.SourceState
-		if err := r.Ask(n, "recovery", &s); err != nil {
+		if err := r.ReadAdmin(n, "recovery", &s); err != nil {
 			r.t.Fatal(err)
 		}
 		if s.Source == "discovery" {
@@ -241,10 +241,10 @@
 // pushByOlderCommand pushes a change by the older program's command line.
 func (r *mixedRig) pushByOlderCommand(number int, latest controlplane.Revision) controlplane.Revision {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, *olderProgram, "config", "push", r.file(""),
-		"--fleet", "rig", "--origin", r.Origin(number),
+		"--fleet", "rig", "--origin", r.OriginAddr(number),
 		"--after", fmt.Sprint(latest.Version), "--wait", "0", "--json")
 	output, err := command.Output()
 	var answer pushResult
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -14,7 +14,7 @@
 
 // listRig is a test cluster whose members get the endpoint list from each other.
 type listRig struct {
-	*testcluster.Rig
+	*testcluster.Cluster
 	t       *testing.T
 	members int
 }
@@ -25,14 +25,14 @@
 	current = true
 	for _, n := range group {
 		var s relay.SourceState
-		if err := r.Ask(n, "recovery", &s); err != nil {
+		if err := r.ReadAdmin(n, "recovery", &s); err != nil {
 			return nil, nil, false
 		}
 		text = append(text, fmt.Sprintf("%d from %s at %d, %v", n, s.Source, s.Server.Version, s.Server.Live))
 		if s.Source == "discovery" {
 			callers = append(callers, n)
 		}
-		current = current && s.Server.Live && s.Server.Version == r.Servers.Discovery.Seq()
+		current = current && s.Server.Live && s.Server.Version == r.Servers.Discovery.Version()
 	}
 	return text, callers, current
 }
@@ -45,8 +45,8 @@
 	var text []string
 	for current := false; !current; time.Sleep(20 * time.Millisecond) {
 		text, callers, current = r.sources(group)
-		if time.Since(startedAt) > 2*testutil.Patience {
-			r.t.Fatalf("%s: not current: %s\n%s", what, strings.Join(text, "; "), r.Story())
+		if time.Since(startedAt) > 2*testutil.WaitTimeout {
+			r.t.Fatalf("%s: not current: %s\n%s", what, strings.Join(text, "; "), r.Timeline())
 		}
 	}
 	calls, _ := r.Servers.Discovery.Calls()
@@ -58,7 +58,7 @@
 func (r *listRig) play(script string) {
 	r.t.Helper()
 	if err := r.Play(r.t.Context(), script); err != nil {
-		r.t.Fatalf("%v\n%s", err, r.Story())
+		r.t.Fatalf("%v\n%s", err, r.Timeline())
 	}
 }
 
@@ -72,10 +72,10 @@
 func TestListByWayOfTheFleet(t *testing.T) {
 	const members, wantCallers = 12, 2
 	config := testcluster.Config{
-		Operator: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n",
-		Servers:  6,
+		OperatorOptions: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n",
+		Servers:         6,
 	}
-	r := &listRig{t: t, members: members, Rig: newFleetRig(t, members, 3, config)}
+	r := &listRig{t: t, members: members, Cluster: newFleetRig(t, members, 3, config)}
 	var all []int
 	for n := 1; n <= members; n++ {
 		all = append(all, n)
@@ -114,10 +114,10 @@
 	if after-before >= members {
 		t.Errorf("%d calls when all %d restart at once, want %d", after-before, members, wantCallers)
 	}
-	if list := r.Faults(); len(list) > 0 {
+	if list := r.Violations(); len(list) > 0 {
 		t.Error(list)
 	}
-	a := &r.Answers
+	a := &r.Outcomes
 	t.Logf("served %d, refused %d, failed %d, broken off %d; %v call",
-		a.Served.Load(), a.Refused.Load(), a.Failed.Load(), a.Broken.Load(), callers)
+		a.Served.Load(), a.Rejected.Load(), a.Failed.Load(), a.Broken.Load(), callers)
 }
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -316,7 +316,7 @@
 		target := load.NewHTTP("http://" + r.addr)
 		before := s.counts()
 		for i := range requests {
-			ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 			id := fmt.Sprint(test.balancers, "-", i)
 			kind := target.Send(ctx, id, load.Shot{Class: "look", Effect: "safe"})
 			cancel()
@@ -329,7 +329,7 @@
 		target.Close()
 		r.stop()
 		attempts := float64(after.Requests-before.Requests) / requests
-		testutil.HoldToPage(t, "attempts a request where all goes well", attempts, 0)
+		testutil.CheckCapacityBound(t, "attempts a request where all goes well", attempts, 0)
 		opened := int(after.Conns - before.Conns)
 		t.Logf("%d sidecars: %d connections for %d requests", test.balancers, opened, requests)
 		if opened < test.minConns || opened > test.maxConns {
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -98,7 +98,7 @@
 						requests.Add(1)
 						first.Do(func() { used.Add(1) })
 						time.Sleep(work)
-						if _, err := io.WriteString(c, testutil.OKAnswer); err != nil {
+						if _, err := io.WriteString(c, testutil.OKResponse); err != nil {
 							return
 						}
 					}
@@ -221,11 +221,11 @@
 
 // sharePlatformConfig returns the platform's configuration of a sidecar that listens at addr.
 func sharePlatformConfig(
-	t *testing.T, addr string, discovery *emulator.Discovery, hosts []emulator.Host, balancers int, hedging bool,
+	t *testing.T, addr string, discovery *emulator.Discovery, hosts []emulator.Endpoint, balancers int, hedging bool,
 ) []byte {
 	t.Helper()
-	traffic := &emulator.Traffic{Head: emulator.Head{Classes: killClasses}}
-	text, err := emulator.Platform(traffic, addr, discovery.Addr(), "7")
+	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}
+	text, err := emulator.PlatformConfig(traffic, addr, discovery.Addr(), "7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,7 +236,7 @@
 	settings := platform["settings"].(map[string]any)
 	settings["Balancers"] = balancers
 	settings["Limits"].(map[string]any)["SecondCopies"] = hedging
-	platform["known"] = map[string]any{"seq": discovery.Seq(), "whole": true, "hosts": hosts}
+	platform["known"] = map[string]any{"seq": discovery.Version(), "whole": true, "hosts": hosts}
 	if text, err = json.Marshal(platform); err != nil {
 		t.Fatal(err)
 	}
@@ -251,9 +251,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	var hosts []emulator.Host
+	var hosts []emulator.Endpoint
 	for i, a := range s.addrs {
-		h := emulator.Host{Host: fmt.Sprint("s", i), Dial: a, Site: "a", Class: "m", Health: "SERVING", Share: 1}
+		h := emulator.Endpoint{Name: fmt.Sprint("s", i), Address: a, Zone: "a", Kind: "m", Health: "SERVING", TrafficShare: 1}
 		discovery.Set(h)
 		hosts = append(hosts, h)
 	}
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -54,22 +54,22 @@
 			kill := longest + 700*time.Millisecond
 			var mu sync.Mutex
 			hang := false
-			upstream := testutil.Raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			upstream := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
 					mu.Lock()
 					silent := hang
 					mu.Unlock()
 					if !silent {
-						_, _ = io.WriteString(c, testutil.OKAnswer) // the client notices the failure
+						_, _ = io.WriteString(c, testutil.OKResponse) // the client notices the failure
 					}
 				}
 			})
-			text := strings.ReplaceAll(fmt.Sprintf(testutil.Config, testutil.NoAddr, upstream),
+			text := strings.ReplaceAll(fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream),
 				`"DeadlineMs":20000`, fmt.Sprintf(`"DeadlineMs":%d`, longest.Milliseconds()))
 			cmd := exec.CommandContext(t.Context(), os.Args[0])
 			addr := startAlone(t, cmd, text, nil)
 			send := func(c net.Conn, id string) (hangResponse, error) {
-				if err := c.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
+				if err := c.SetDeadline(time.Now().Add(testutil.WaitTimeout)); err != nil {
 					return hangResponse{}, err
 				}
 				request := testutil.Request(t, "http://"+addr, "GET", "look", id, "")
@@ -156,7 +156,7 @@
 					defer c.Close()
 					time.Sleep(time.Until(term.Add(at * time.Millisecond)))
 					request := sentRequest{at: time.Since(term)}
-					if err := c.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
+					if err := c.SetDeadline(time.Now().Add(testutil.WaitTimeout)); err != nil {
 						t.Error(err)
 					}
 					_, err := fmt.Fprintf(c, "T /look/x HTTP/1.1\r\nHost: h\r\n"+
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -366,7 +366,7 @@
 // BenchmarkPlan measures a seat search, and a batch of 15 searches and 5 bookings: parsing and validation (unless the
 // document is cached), planning, parsing of the parts' responses, and merging.
 func BenchmarkPlan(b *testing.B) {
-	search, _ := gqlnode.Search("T1")["query"].(string)
+	search, _ := gqlnode.SearchQuery("T1")["query"].(string)
 	const book = `mutation ($t: String) { m0: confirmBooking(seat: "s", token: $t) { id } }`
 	for _, operations := range []int{1, 20} {
 		for _, cached := range []bool{true, false} {
--- a/rpc/grpcbalancer/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -26,7 +26,7 @@
 func TestCallOptionsAreThoseOfTheFinalAttempt(t *testing.T) {
 	endpoints, _ := startTwo(t, func(s *rawh2.Stream, before int32) {
 		if before == 0 {
-			s.Only("14", "x-not-run", "1", "who", "first")
+			s.TrailersOnly("14", "x-not-run", "1", "who", "first")
 			return
 		}
 		s.Header()
@@ -92,7 +92,7 @@
 		codes.Unimplemented,
 	} {
 		endpoints, received := startTwo(t, func(s *rawh2.Stream, _ int32) {
-			s.Only(strconv.Itoa(int(code)), "grpc-message", "as it is")
+			s.TrailersOnly(strconv.Itoa(int(code)), "grpc-message", "as it is")
 		})
 		p := start(t, testConfig(endpoints))
 		_, err := invoke(t.Context(), p, look, "seat")
@@ -105,7 +105,7 @@
 // A rejection has one of two codes, and says after what time to retry; other errors are none.
 func TestRejection(t *testing.T) {
 	t.Run("no connection", func(t *testing.T) {
-		cfg := testConfig(Static(Endpoint{Addr: testutil.NoAddr}))
+		cfg := testConfig(Static(Endpoint{Addr: testutil.UnusedAddr}))
 		cfg.Settings.MaxAttempts = 1
 		p := start(t, cfg)
 		_, err := invoke(t.Context(), p, book, "seat")
@@ -122,7 +122,7 @@
 		}
 	})
 	t.Run("after Close", func(t *testing.T) {
-		p := start(t, testConfig(Static(Endpoint{Addr: testutil.NoAddr})))
+		p := start(t, testConfig(Static(Endpoint{Addr: testutil.UnusedAddr})))
 		_ = p.Close() // always nil
 		_, err := invoke(t.Context(), p, book, "seat")
 		if _, ok := Rejected(err); !ok || status.Code(err) != codes.ResourceExhausted {
@@ -148,7 +148,7 @@
 	p := start(t, cfg)
 	startedAt := time.Now()
 	_, err := invoke(t.Context(), p, book, "seat")
-	if status.Code(err) != codes.DeadlineExceeded || time.Since(startedAt) > testutil.Patience/2 {
+	if status.Code(err) != codes.DeadlineExceeded || time.Since(startedAt) > testutil.WaitTimeout/2 {
 		t.Errorf("without a deadline: %v after %v", err, time.Since(startedAt))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
@@ -268,7 +268,7 @@
 	}
 	l.Close()
 	up := rawh2.Start(t, func(s *rawh2.Stream) {
-		if s.Whole {
+		if s.Complete {
 			s.OK(okMessage)
 		}
 	})
