--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -85,7 +85,7 @@
 	maxConns := b.resources.MaxUpstreamConns()
 	b.pool = http1.New(http1.Config{
 		ConnectTimeout:      b.settings.ConnectTimeout,
-		UpstreamIdleTimeout: b.cfg.Settings.ConnIdle(),
+		UpstreamIdleTimeout: b.cfg.Settings.IdleConnTimeout(),
 		DrainGrace:          b.cfg.Settings.DrainGrace(),
 		MaxConns:            maxConns,
 		MaxResponseBytes:    b.resources.MaxResponseBytes(),
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -200,7 +200,7 @@
 			r, stop := run(t, cfg, new(operator.Config))
 			defer stop()
 			for i, c := range cfg.Settings.Classes {
-				checkClassIsServed(t, r, settingsClass{i, c.Name, c.Semantics, c.DeadlineMs})
+				checkClassIsServed(t, r, settingsClass{i, c.Name, c.Effect, c.DeadlineMs})
 			}
 			resp, _ := r.do(t, r.request(t, "GET", "no-such-class", "z", ""))
 			if resp.StatusCode != http.StatusNotFound {
