--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -18,8 +18,8 @@
 )
 
 // Each row of the capacity page's table of bounds is the value of a constant of the code, or is counted by a test
-// that exists and compares its count with the row (testutil.CheckCapacityBound). So a change of a bound fails until the page
-// is updated.
+// that exists and compares its count with the row (testutil.CheckCapacityBound). So a change of a bound fails until the
+// page is updated.
 func TestCapacityPageBounds(t *testing.T) {
 	root := testutil.RepositoryRoot(t)
 	rows := testutil.CapacityBounds(t)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -72,6 +72,6 @@
 	stopClosing := context.AfterFunc(ctx, func() { _ = server.Close() }) // open requests are abandoned
 	defer stopClosing()
 	if err := server.Serve(netutil.LimitListener(l, MaxConns)); !errors.Is(err, http.ErrServerClosed) {
-		log.Error("admin endpoint stopped", "component", "admin", "err", err)
+		log.Error("admin endpoint stopped", "component", "admin", "error", err)
 	}
 }
--- a/internal/cluster/gossip/eventloop.go
+++ b/internal/cluster/gossip/eventloop.go
@@ -121,7 +121,7 @@
 		return
 	}
 	n.decodeErrorLogged[kind] = now
-	n.log.Warn("cannot decode message", "peer", peer, "err", err)
+	n.log.Warn("cannot decode message", "peer", peer, "error", err)
 }
 
 // receive passes a message to the core.
--- a/internal/discovery/relay/sourcewatch.go
+++ b/internal/discovery/relay/sourcewatch.go
@@ -71,7 +71,7 @@
 		if result.err == nil {
 			continue
 		}
-		w.source.log.Info("endpoint list source lost", "source", upstreamName(selected), "err", result.err)
+		w.source.log.Info("endpoint list source lost", "source", upstreamName(selected), "error", result.err)
 		w.source.reportFailure(selected)
 		if selected.Discovery { // the balancer decides when to call the discovery service again
 			w.deliver(engine.EndpointUpdate{
--- a/internal/discovery/watch/event.go
+++ b/internal/discovery/watch/event.go
@@ -108,7 +108,7 @@
 	}
 	endpoints, err := event.ToEndpoints()
 	if err != nil {
-		c.log.Warn("endpoint with unknown health counts as draining", "err", err)
+		c.log.Warn("endpoint with unknown health counts as draining", "error", err)
 	}
 	update.Endpoints = endpoints
 	return update, nil
--- a/internal/discovery/watch/session.go
+++ b/internal/discovery/watch/session.go
@@ -133,7 +133,7 @@
 	if result.err == nil {
 		return s.tracker.applyList(result.update), nil
 	}
-	s.client.log.Warn("request for the complete endpoint list failed", "err", causeOf(ctx, result.err))
+	s.client.log.Warn("request for the complete endpoint list failed", "error", causeOf(ctx, result.err))
 	if s.tracker.listRequestFailed(time.Since(s.start)) {
 		return nil, nil
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -82,7 +82,7 @@
 }
 
 // New creates a cluster in which no member runs yet. The caller closes it.
-func New(config Config) (c *Cluster, err error) {
+func New(config Config) (_ *Cluster, err error) {
 	if config.Members < 1 || config.Members > MaxMembers {
 		return nil, fmt.Errorf("test cluster: %d members, 1 to %d are possible", config.Members, MaxMembers)
 	}
@@ -92,7 +92,7 @@
 	if config.PlatformMembers == 0 {
 		config.PlatformMembers = config.Members
 	}
-	c = &Cluster{
+	c := &Cluster{
 		config:    config,
 		startedAt: time.Now(),
 		admin: &http.Client{
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -1,6 +1,7 @@
 package testcluster
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -9,6 +10,7 @@
 	"os/exec"
 	"path/filepath"
 	"slices"
+	"strings"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -74,6 +76,46 @@
 	return p.command.Process.Signal(signal)
 }
 
+const (
+	stopTimeout      = 5 * time.Second
+	stopPollInterval = time.Millisecond
+)
+
+// awaitStopped waits until a SIGSTOP has taken effect in all threads of the process. Without it a busy machine lets a
+// process that counts as frozen act on what comes right after the signal.
+func (p *process) awaitStopped() error {
+	for deadline := time.Now().Add(stopTimeout); time.Now().Before(deadline); time.Sleep(stopPollInterval) {
+		stopped, err := p.isStopped()
+		if stopped || err != nil {
+			return err
+		}
+	}
+	return fmt.Errorf("%s did not stop in %v", p.name, stopTimeout)
+}
+
+// isStopped reports whether all threads of the process are in the state T of proc(5).
+func (p *process) isStopped() (bool, error) {
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.command.Process.Pid))
+	if err != nil {
+		return false, err
+	}
+	for _, thread := range threads {
+		stat, err := os.ReadFile(thread)
+		if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ESRCH) {
+			continue // the thread has exited
+		}
+		if err != nil {
+			return false, err
+		}
+		// The state follows the name of the program, which is in parentheses and may contain some itself.
+		_, state, _ := strings.Cut(string(stat[bytes.LastIndexByte(stat, ')'):]), " ")
+		if !strings.HasPrefix(state, "T") {
+			return false, nil
+		}
+	}
+	return true, nil
+}
+
 // kill ends the process by SIGKILL, if it runs.
 func (p *process) kill() {
 	if !p.running() {
--- a/internal/testcluster/processsteps.go
+++ b/internal/testcluster/processsteps.go
@@ -104,9 +104,17 @@
 
 // freeze stops the processes of a group, and continues them after a pause unless that is "".
 func (c *Cluster) freeze(group []int, pauseText string) error {
-	if err := c.setFrozen(group, true); err != nil || pauseText == "" {
+	if err := c.setFrozen(group, true); err != nil {
 		return err
 	}
+	for _, n := range group {
+		if err := c.process(n).awaitStopped(); err != nil {
+			return err
+		}
+	}
+	if pauseText == "" {
+		return nil
+	}
 	pause, err := time.ParseDuration(pauseText)
 	if err != nil {
 		return err
