--- a/cmd/hazelwing/architecture_test.go
+++ b/cmd/hazelwing/architecture_test.go
@@ -4,6 +4,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io/fs"
 	"os"
 	"path"
 	"path/filepath"
@@ -136,3 +137,47 @@
 	}
 	return ""
 }
+
+// testName is the name of a test, a fuzz test or a benchmark.
+var testName = regexp.MustCompile(`^(?:Test|Fuzz|Benchmark)[A-Z]\w*$`)
+
+// Tests that pages name exist.
+func TestPagesNameExistingTests(t *testing.T) {
+	declared := map[string]bool{}
+	walkFiles(t, moduleRoot, "_test.go", func(name string) {
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, declaration := range file.Decls {
+			if function, ok := declaration.(*ast.FuncDecl); ok {
+				declared[function.Name.Name] = true
+			}
+		}
+	})
+	walkFiles(t, moduleRoot+"/docs", ".md", func(name string) {
+		page, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, span := range codeSpan.FindAllStringSubmatch(string(page), -1) {
+			if testName.MatchString(span[1]) && !declared[span[1]] {
+				t.Errorf("%s names %s, which does not exist", name, span[1])
+			}
+		}
+	})
+}
+
+// walkFiles calls visit for each file below a folder whose name ends in suffix.
+func walkFiles(t *testing.T, root, suffix string, visit func(name string)) {
+	t.Helper()
+	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+		if err == nil && !entry.IsDir() && strings.HasSuffix(name, suffix) {
+			visit(name)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
--- a/cmd/hazelwing/lab_callgraph.go
+++ b/cmd/hazelwing/lab_callgraph.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"runtime"
 
 	"github.com/spf13/cobra"
 
@@ -14,26 +13,9 @@
 )
 
 func newLabCallgraphCommand() *cobra.Command {
-	var cores int
-	c := &cobra.Command{
-		Use: "callgraph FILE...",
-		Short: "Play services that call each other many deep, in simulated time, while a leaf fails or is slow; " +
-			"status 1 where a claim does not hold",
-		Args: cobra.MinimumNArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			var failedClaims []error
-			for _, path := range args {
-				err := playCallgraphExperiment(cmd.OutOrStdout(), path, cores)
-				if err != nil && !errors.Is(err, errClaim) {
-					return err
-				}
-				failedClaims = append(failedClaims, err)
-			}
-			return errors.Join(failedClaims...)
-		},
-	}
-	c.Flags().IntVar(&cores, "cores", runtime.NumCPU(), "points that are played at a time")
-	return c
+	const short = "Play services that call each other many deep, in simulated time, while a leaf fails or is slow; " +
+		"status 1 where a claim does not hold"
+	return newExperimentsCommand("callgraph FILE...", short, playCallgraphExperiment)
 }
 
 // playCallgraphExperiment plays the experiment of a file. An error that wraps errClaim says that a claim does not hold.
--- /dev/null
+++ b/cmd/hazelwing/lab_experiments.go
@@ -0,0 +1,39 @@
+//go:build !small
+
+package main
+
+import (
+	"errors"
+	"io"
+	"runtime"
+
+	"github.com/spf13/cobra"
+)
+
+// playExperiment plays the experiment of a file on a number of cores. An error that wraps errClaim says that a claim
+// does not hold.
+type playExperiment func(out io.Writer, path string, cores int) error
+
+// newExperimentsCommand returns a command that plays the experiments of files, one after another. It goes on after an
+// experiment with a claim that does not hold, and ends at any other error.
+func newExperimentsCommand(use, short string, play playExperiment) *cobra.Command {
+	var cores int
+	c := &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			var failedClaims []error
+			for _, path := range args {
+				err := play(cmd.OutOrStdout(), path, cores)
+				if err != nil && !errors.Is(err, errClaim) {
+					return err
+				}
+				failedClaims = append(failedClaims, err)
+			}
+			return errors.Join(failedClaims...)
+		},
+	}
+	c.Flags().IntVar(&cores, "cores", runtime.NumCPU(), "points that are played at a time")
+	return c
+}
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestSharedPartEndsWithTheLastToLeave checks that a part that several clients share continues while one of them is
+// TestCoalescedPartEndsWithLastClient checks that a part that several clients share continues while one of them is
 // connected, and no longer.
-func TestSharedPartEndsWithTheLastToLeave(t *testing.T) {
+func TestCoalescedPartEndsWithLastClient(t *testing.T) {
 	calls := make(chan *engine.Call, 10)
 	aborted := make(chan *engine.Call, 10)
 	front := startFront(t, contextDoer(func(ctx context.Context, c *engine.Call) engine.Result {
