--- a/internal/simulation/simtime/queue.go
+++ b/internal/simulation/simtime/queue.go
@@ -1,122 +1,85 @@
-// Package simtime is what simulated time is made of: a queue of what is to happen.
+// Package simtime provides the event queue of a discrete-event simulation: a timing wheel over simulated time.
 package simtime
 
 import "time"
 
-// Queue holds what is to happen, earliest first; of the same instant, in the order of asking.
+// Queue holds scheduled events ordered by time; events of the same time are in the order in which they were pushed.
 //
-// Most of what waits is what may be needed and mostly is not: the ends of clients' patience and of attempts' time-outs,
-// seconds ahead. In one heap they make each push and pop go through all levels of a list that no cache holds. So only
-// what comes next is in a heap (near); what comes within the wheel's turn lies unsorted in the slot of its time, and is
-// put in order when its time comes; what is further ahead waits in a heap of its own (far). Beside one heap of all:
-// BenchmarkQueue. The zero value is empty; it is for one goroutine.
+// Most pending events are timeouts of clients and attempts: they lie seconds ahead and mostly have no effect. In a
+// single heap they would make each push and pop traverse all levels of a list that exceeds the CPU's caches. Therefore
+// only the next events are in a heap (current). Events within one turn of the wheel are unsorted in the slot of their
+// time, and are sorted when that time comes. Events further ahead are in a heap of their own (overflow). BenchmarkQueue
+// compares the queue to a single heap.
+//
+// The zero value is an empty queue. A Queue is not safe for concurrent use.
 type Queue struct {
-	near  events // all that is before the end of the slot at
-	slots [wheel][]event
-	far   events // all that is a turn or more ahead of the slot at
-	at    int64  // the slot that near holds, counted from the beginning
-	ahead int    // how many are in the slots
-	seq   uint64
+	current     eventHeap // the events before the end of slot currentSlot
+	slots       [wheelSlots][]event
+	overflow    eventHeap // the events one turn of the wheel or more ahead of currentSlot
+	currentSlot int64     // the slot that current holds, counted from time 0
+	slotted     int       // the number of events in slots
+	lastSeq     uint64    // the sequence number of the event pushed last
 }
 
 const (
-	slotTime = 4 * time.Millisecond
-	wheel    = 1024
+	// slotDuration is the simulated time that one slot of the wheel covers.
+	slotDuration = 4 * time.Millisecond
+	// wheelSlots is the number of slots in one turn of the wheel.
+	wheelSlots = 1024
 )
 
-type event struct {
-	at  time.Duration
-	seq uint64
-	do  func()
-}
-
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+// Len returns the number of pending events.
+func (q *Queue) Len() int { return len(q.current) + q.slotted + len(q.overflow) }
 
-func (e *event) slot() int64 { return int64(e.at / slotTime) }
-
-// Len is how much is in it.
-func (q *Queue) Len() int { return len(q.near) + q.ahead + len(q.far) }
+// Push schedules action for the simulated time at, which must not be before the time of the event popped last.
+func (q *Queue) Push(at time.Duration, action func()) {
+	q.lastSeq++
+	q.insert(event{at: at, seq: q.lastSeq, action: action})
+}
 
-// Push has something done at a time, which is not before the last that was popped.
-func (q *Queue) Push(at time.Duration, do func()) {
-	q.seq++
-	q.place(event{at, q.seq, do})
+// Pop removes the next event and returns its time and its action. It panics if the queue is empty.
+func (q *Queue) Pop() (at time.Duration, action func()) {
+	e := q.popEvent()
+	return e.at, e.action
 }
 
-func (q *Queue) place(e event) {
-	switch s := e.slot(); {
-	case s <= q.at:
-		q.near.push(e)
-	case s-q.at < wheel:
-		q.slots[s%wheel] = append(q.slots[s%wheel], e)
-		q.ahead++
+// insert puts an event into the part of the queue that its time belongs to.
+func (q *Queue) insert(e event) {
+	slot := e.slot()
+	switch {
+	case slot <= q.currentSlot:
+		q.current.push(e)
+	case slot-q.currentSlot < wheelSlots:
+		q.slots[slot%wheelSlots] = append(q.slots[slot%wheelSlots], e)
+		q.slotted++
 	default:
-		q.far.push(e)
+		q.overflow.push(e)
 	}
 }
 
-// Pop takes what is next, and when it is to be done; there has to be something.
-func (q *Queue) Pop() (at time.Duration, do func()) {
-	e := q.pop()
-	return e.at, e.do
-}
-
-func (q *Queue) pop() event {
-	for len(q.near) == 0 {
-		if q.at++; q.ahead == 0 {
-			q.at = q.far[0].slot()
-		}
-		for len(q.far) > 0 && q.far[0].slot()-q.at < wheel {
-			q.place(q.far.pop())
-		}
-		slot := &q.slots[q.at%wheel]
-		q.ahead -= len(*slot)
-		for _, e := range *slot {
-			q.near.push(e)
-		}
-		clear(*slot)
-		*slot = (*slot)[:0]
+// popEvent removes and returns the next event.
+func (q *Queue) popEvent() event {
+	for len(q.current) == 0 {
+		q.advance()
 	}
-	return q.near.pop()
+	return q.current.pop()
 }
 
-// events are a heap, wider than two: they are pushed and popped about as often.
-type events []event
-
-const fan = 4
-
-func (h *events) push(e event) {
-	list := append(*h, e)
-	*h = list
-	for i := len(list) - 1; i > 0; {
-		up := (i - 1) / fan
-		if !list[i].before(&list[up]) {
-			break
-		}
-		list[i], list[up] = list[up], list[i]
-		i = up
+// advance turns the wheel to the next slot, or to the first slot of the overflow if the wheel is empty, and moves the
+// events of that slot into the current heap.
+func (q *Queue) advance() {
+	q.currentSlot++
+	if q.slotted == 0 {
+		q.currentSlot = q.overflow[0].slot()
 	}
-}
-
-func (h *events) pop() event {
-	list := *h
-	first := list[0]
-	last := len(list) - 1
-	list[0] = list[last]
-	list[last] = event{}
-	list = list[:last]
-	*h = list
-	for i := 0; ; {
-		least := i
-		for c := fan*i + 1; c <= fan*i+fan && c < last; c++ {
-			if list[c].before(&list[least]) {
-				least = c
-			}
-		}
-		if least == i {
-			return first
-		}
-		list[i], list[least] = list[least], list[i]
-		i = least
+	for len(q.overflow) > 0 && q.overflow[0].slot()-q.currentSlot < wheelSlots {
+		q.insert(q.overflow.pop())
+	}
+	slot := &q.slots[q.currentSlot%wheelSlots]
+	q.slotted -= len(*slot)
+	for _, e := range *slot {
+		q.current.push(e)
 	}
+	clear(*slot) // releases the actions, while the slot keeps its capacity
+	*slot = (*slot)[:0]
 }
--- a/internal/simulation/simtime/queue_test.go
+++ b/internal/simulation/simtime/queue_test.go
@@ -8,71 +8,86 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is pushed and popped, the wheel gives the same events in the same order as one heap of all.
-func TestQueueIsOneHeap(t *testing.T) {
+// Any sequence of pushes and pops gives the same events in the same order as a single heap.
+func TestQueueMatchesSingleHeap(t *testing.T) {
+	distances := []time.Duration{
+		0,
+		1,
+		time.Millisecond,
+		slotDuration,
+		3 * slotDuration,
+		wheelSlots * slotDuration,
+		wheelSlots*slotDuration - 1,
+		5 * wheelSlots * slotDuration,
+		time.Hour,
+	}
 	rapid.Check(t, func(t *rapid.T) {
-		var q Queue
-		var plain events
+		var queue Queue
+		var heap eventHeap
 		now := time.Duration(0)
 		for i := range rapid.IntRange(1, 400).Draw(t, "steps") {
-			if q.Len() != len(plain) {
-				t.Fatalf("%d waiting, want %d", q.Len(), len(plain))
+			if queue.Len() != len(heap) {
+				t.Fatalf("%d events pending, want %d", queue.Len(), len(heap))
 			}
-			if len(plain) > 0 && rapid.IntRange(0, 2).Draw(t, "pop") == 0 {
-				got, want := q.pop(), plain.pop()
+			if len(heap) > 0 && rapid.IntRange(0, 2).Draw(t, "pop") == 0 {
+				got, want := queue.popEvent(), heap.pop()
 				if got.at != want.at || got.seq != want.seq {
-					t.Fatalf("step %d: %v %d, want %v %d", i, got.at, got.seq, want.at, want.seq)
+					t.Fatalf("step %d: popped event %d at %v, want %d at %v", i, got.seq, got.at, want.seq, want.at)
 				}
 				now = got.at
 				continue
 			}
-			ahead := rapid.SampledFrom([]time.Duration{0, 1, time.Millisecond, slotTime, 3 * slotTime, wheel * slotTime, wheel*slotTime - 1, 5 * wheel * slotTime, time.Hour}).Draw(t, "ahead")
-			at := now + ahead + time.Duration(rapid.IntRange(0, 3).Draw(t, "more"))*slotTime
-			q.Push(at, nil)
-			plain.push(event{at: at, seq: q.seq})
+			distance := rapid.SampledFrom(distances).Draw(t, "distance")
+			extraSlots := rapid.IntRange(0, 3).Draw(t, "extra slots")
+			at := now + distance + time.Duration(extraSlots)*slotDuration
+			queue.Push(at, nil)
+			heap.push(event{at: at, seq: queue.lastSeq})
 		}
 	})
 }
 
-// BenchmarkQueue pushes and pops as a world does: five short events, and one that is seconds ahead, for each request.
+// BenchmarkQueue pushes and pops as a simulation does: for each request five events that are near and one that is
+// seconds ahead.
 func BenchmarkQueue(b *testing.B) {
-	type pusher interface {
-		Push(at time.Duration, do func())
-		Pop() (at time.Duration, do func())
+	type pushPopper interface {
+		Push(at time.Duration, action func())
+		Pop() (at time.Duration, action func())
 	}
-	for name, q := range map[string]pusher{"wheel": new(Queue), "one heap": new(oneHeap)} {
+	for name, queue := range map[string]pushPopper{"wheel": new(Queue), "one heap": new(singleHeap)} {
 		b.Run(name, func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
 			now := time.Duration(0)
-			step := func() {
-				q.Push(now+3*time.Second+time.Duration(rng.IntN(int(time.Second))), nil)
+			simulateRequest := func() {
+				queue.Push(now+3*time.Second+time.Duration(rng.IntN(int(time.Second))), nil)
 				for range 5 {
-					q.Push(now+time.Duration(rng.IntN(int(20*time.Millisecond))), nil)
+					queue.Push(now+time.Duration(rng.IntN(int(20*time.Millisecond))), nil)
 				}
 				for range 6 {
-					now, _ = q.Pop()
+					now, _ = queue.Pop()
 				}
 			}
-			for range 4000 { // what lies ahead
-				q.Push(time.Duration(rng.IntN(int(4*time.Second))), nil)
+			for range 4000 { // timeouts that are pending at the start
+				queue.Push(time.Duration(rng.IntN(int(4*time.Second))), nil)
 			}
 			for b.Loop() {
-				step()
+				simulateRequest()
 			}
 		})
 	}
 }
 
-type oneHeap struct {
-	events
-	seq uint64
+// singleHeap is a queue without a wheel.
+type singleHeap struct {
+	events  eventHeap
+	lastSeq uint64
 }
 
-func (h *oneHeap) Push(at time.Duration, do func()) {
-	h.seq++
-	h.events.push(event{at, h.seq, do})
+func (h *singleHeap) Push(at time.Duration, action func()) {
+	h.lastSeq++
+	h.events.push(event{at: at, seq: h.lastSeq, action: action})
 }
-func (h *oneHeap) Pop() (time.Duration, func()) {
+
+func (h *singleHeap) Pop() (at time.Duration, action func()) {
 	e := h.events.pop()
-	return e.at, e.do
+	return e.at, e.action
 }
