--- a/cmd/hazelwing/lab_slopes.go
+++ b/cmd/hazelwing/lab_slopes.go
@@ -125,7 +125,7 @@
 // printForecast prints the columns of the fit to the smaller sizes and of its predictions. It reports whether all of
 // these are within the tolerance.
 func (o *slopesOptions) printForecast(out io.Writer, points []slope.Point) bool {
-	fit, forecasts, err := slope.Hold(points, o.maxFittedSize)
+	fit, forecasts, err := slope.Extrapolate(points, o.maxFittedSize)
 	if err != nil {
 		printf(out, "-\t-\t%v\t\t", err)
 		return true
@@ -134,7 +134,7 @@
 	var predicted, misses []string
 	for _, f := range forecasts {
 		predicted = append(predicted, fmt.Sprintf("%d: %.4g (%.4g)", f.Size, f.Predicted, f.Measured))
-		if off := f.Off(); math.Abs(off) > o.tolerance {
+		if off := f.RelativeError(); math.Abs(off) > o.tolerance {
 			misses = append(misses, fmt.Sprintf("%+.0f %%", 100*off))
 		}
 	}
@@ -162,7 +162,7 @@
 // residualText returns a fit's largest residual, and whether it is larger than noise explains.
 func residualText(fit slope.Fit) string {
 	text := fmt.Sprintf("%.1f %%", 100*fit.Residual)
-	if fit.Loose {
+	if fit.ExceedsNoise {
 		text += ", no such model"
 	}
 	return text
--- /dev/null
+++ b/internal/simulation/slope/forecast.go
@@ -0,0 +1,54 @@
+package slope
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Forecast compares the prediction that a fit to smaller sizes makes for a larger size to what was measured there.
+type Forecast struct {
+	Size                int // number of members
+	Measured, Predicted float64
+}
+
+// RelativeError returns the signed error of the prediction, relative to the measured value. If that is 0, it returns 0
+// for an exact prediction and +Inf for any other.
+func (f Forecast) RelativeError() float64 {
+	if f.Measured == 0 {
+		if f.Predicted == 0 {
+			return 0
+		}
+		return math.Inf(1)
+	}
+	return (f.Predicted - f.Measured) / f.Measured
+}
+
+// Extrapolate fits a model to the points of sizes up to maxFittedSize and predicts the larger sizes, each of which is
+// compared to the mean of its points. The forecasts are ordered by size. It returns New's errors.
+func Extrapolate(points []Point, maxFittedSize int) (Fit, []Forecast, error) {
+	var fitted []Point
+	sum, count := map[int]float64{}, map[int]float64{}
+	for _, p := range points {
+		if p.Size <= maxFittedSize {
+			fitted = append(fitted, p)
+			continue
+		}
+		sum[p.Size] += p.Value
+		count[p.Size]++
+	}
+	fit, err := New(fitted)
+	if err != nil {
+		return Fit{}, nil, err
+	}
+	var forecasts []Forecast
+	for size := range sum {
+		forecasts = append(forecasts, Forecast{
+			Size:      size,
+			Measured:  sum[size] / count[size],
+			Predicted: fit.At(size),
+		})
+	}
+	slices.SortFunc(forecasts, func(a, b Forecast) int { return cmp.Compare(a.Size, b.Size) })
+	return fit, forecasts, nil
+}
--- a/internal/simulation/slope/slope.go
+++ b/internal/simulation/slope/slope.go
@@ -1,205 +1,203 @@
-// Package slope says how a figure grows with the number of members: a constant, a part that grows with log n and one that
-// grows with n, none of them below 0, fitted by least squares. It takes numbers and gives numbers, without I/O.
+// Package slope describes how a figure grows with the number of members: as the sum of a constant, a part that grows
+// with log n and a part that grows with n. None of them is negative; they are fitted by least squares. The package
+// computes on numbers and does no I/O.
 //
-// The fit is of relative errors, since the figures go over an order of magnitude and their noise goes with them: each point
-// weighs by one over its value. Of the models the simplest is taken whose largest relative residual the noise allows.
+// The fit minimizes relative errors, since the figures span an order of magnitude and their noise is proportional to
+// them: each point is weighted by the inverse of its value. Of the models whose largest relative residual is within the
+// noise, the one with the fewest parts is taken.
 package slope
 
 import (
+	"errors"
 	"fmt"
 	"math"
-	"slices"
+	"math/bits"
 	"strings"
 
 	"gonum.org/v1/gonum/mat"
 )
 
-// Point is a figure that was measured with so many members.
+// Point is a figure measured with a number of members.
 type Point struct {
-	Size  int
-	Value float64
+	Size  int     // number of members, at least 1
+	Value float64 // the figure in any unit, finite and not negative
 }
 
-// Model is Const + Log x log2 n + Linear x n.
+// Model is the function Const + Log x log2 n + Linear x n of the number of members n.
 type Model struct{ Const, Log, Linear float64 }
 
-// At is what the model says of n members.
+// At returns the model's value for n members.
 func (m Model) At(n int) float64 {
 	return m.Const + m.Log*math.Log2(float64(n)) + m.Linear*float64(n)
 }
 
-// String is the model as a formula, such as "12.1 + 0.35 n".
+// String returns the model as a formula, such as "12.1 + 0.35 n".
 func (m Model) String() string {
-	var parts []string
-	for _, p := range []struct {
+	var summands []string
+	for _, s := range []struct {
 		factor float64
-		of     string
-	}{{m.Const, ""}, {m.Log, " log2 n"}, {m.Linear, " n"}} {
-		if p.factor != 0 {
-			parts = append(parts, fmt.Sprintf("%.3g%s", p.factor, p.of))
+		suffix string
+	}{
+		{m.Const, ""},
+		{m.Log, " log2 n"},
+		{m.Linear, " n"},
+	} {
+		if s.factor != 0 {
+			summands = append(summands, fmt.Sprintf("%.3g%s", s.factor, s.suffix))
 		}
 	}
-	if parts == nil {
+	if summands == nil {
 		return "0"
 	}
-	return strings.Join(parts, " + ")
+	return strings.Join(summands, " + ")
 }
 
-// Fit is a model of points.
+// Fit is a model fitted to points.
 type Fit struct {
 	Model
-	Residual float64 // the largest, relative to what was measured
-	Loose    bool    // it is more than the noise allows: no model of these parts fits
-	Sizes    int     // different ones that it rests on
+	Residual     float64 // the largest residual, relative to the measured value
+	ExceedsNoise bool    // Residual is larger than the noise explains: no model of these parts fits
+	Sizes        int     // the number of different sizes that the fit is based on
 }
 
-// Tolerance is the relative residual that is taken for noise where no size was measured more than once. Measured again,
-// twice the largest distance of a point from the mean of its size counts where that is more.
+// Tolerance is the relative residual that is attributed to noise. Where a size was measured more than once, twice the
+// largest relative deviation of a point from the mean of its size is used instead if it is larger.
 const Tolerance = 0.05
 
-// parts are what a figure may grow with.
-var parts = [3]func(n float64) float64{func(float64) float64 { return 1 }, math.Log2, func(n float64) float64 { return n }}
+// maxWeightRatio is the largest ratio of a point's weight to that of the point with the largest value.
+const maxWeightRatio = 100
 
-// New fits points. An error says that they are too few (two sizes at least), or that one of them is none.
+// basis has the functions of the number of members that a model combines, in the order of Model's fields.
+var basis = [3]func(n float64) float64{
+	func(float64) float64 { return 1 },
+	math.Log2,
+	func(n float64) float64 { return n },
+}
+
+// errNoSolution is returned by solve if there is no model of the chosen parts with factors that are not negative.
+var errNoSolution = errors.New("no model with factors of 0 and more")
+
+// New fits a model to points. It returns an error if the points have fewer than two sizes, or if one of them is
+// invalid.
 func New(points []Point) (Fit, error) {
-	sizes := map[int][]float64{}
+	valuesBySize := map[int][]float64{}
 	for _, p := range points {
 		if p.Size < 1 || !(p.Value >= 0) || math.IsInf(p.Value, 0) {
 			return Fit{}, fmt.Errorf("%v with %d members is no figure that can be fitted", p.Value, p.Size)
 		}
-		sizes[p.Size] = append(sizes[p.Size], p.Value)
+		valuesBySize[p.Size] = append(valuesBySize[p.Size], p.Value)
 	}
-	if len(sizes) < 2 {
-		return Fit{}, fmt.Errorf("%d size: two at least are wanted", len(sizes))
+	if len(valuesBySize) < 2 {
+		return Fit{}, fmt.Errorf("%d size: two at least are wanted", len(valuesBySize))
 	}
-	allowed := noise(sizes)
-	weights := weigh(points)
+	allowed := noise(valuesBySize)
+	weights := inverseWeights(points)
 	best := Fit{Residual: math.Inf(1)}
-	// A model with as many parts as there are sizes goes through all of them and says nothing.
-	for terms := 1; terms <= min(len(parts), len(sizes)-1); terms++ {
-		for set := 1; set < 1<<len(parts); set++ {
-			var chosen []int
-			for i := range parts {
-				if set>>i&1 == 1 {
-					chosen = append(chosen, i)
-				}
-			}
-			if len(chosen) != terms {
-				continue
-			}
-			m, ok := solve(points, weights, chosen)
-			if r := residual(m, points, weights); ok && r < best.Residual {
-				best = Fit{Model: m, Residual: r}
-			}
-		}
+	// A model with as many parts as there are sizes would pass through all points whatever they are.
+	for parts := 1; parts <= min(len(basis), len(valuesBySize)-1); parts++ {
+		best = bestFit(best, points, weights, parts)
 		if best.Residual <= allowed {
 			break
 		}
 	}
-	best.Loose, best.Sizes = best.Residual > allowed, len(sizes)
+	best.ExceedsNoise = best.Residual > allowed
+	best.Sizes = len(valuesBySize)
 	return best, nil
 }
 
-// noise is the relative residual that the points' own scatter allows.
-func noise(sizes map[int][]float64) float64 {
-	out := Tolerance
-	for _, values := range sizes {
+// bestFit returns the fit with the smallest residual among best and all models with the given number of parts.
+func bestFit(best Fit, points []Point, weights []float64, parts int) Fit {
+	for set := uint(1); set < 1<<len(basis); set++ {
+		if bits.OnesCount(set) != parts {
+			continue
+		}
+		m, err := solve(points, weights, basisIndexes(set))
+		if err != nil {
+			continue
+		}
+		if r := maxResidual(m, points, weights); r < best.Residual {
+			best = Fit{Model: m, Residual: r}
+		}
+	}
+	return best
+}
+
+// basisIndexes returns the positions of the bits that are set.
+func basisIndexes(set uint) []int {
+	var indexes []int
+	for i := range basis {
+		if set>>i&1 == 1 {
+			indexes = append(indexes, i)
+		}
+	}
+	return indexes
+}
+
+// noise returns the relative residual that the points' own scatter explains, at least Tolerance.
+func noise(valuesBySize map[int][]float64) float64 {
+	allowed := Tolerance
+	for _, values := range valuesBySize {
 		mean := 0.0
 		for _, v := range values {
 			mean += v / float64(len(values))
 		}
+		if mean <= 0 {
+			continue
+		}
 		for _, v := range values {
-			if mean > 0 {
-				out = max(out, 2*math.Abs(v-mean)/mean)
-			}
+			allowed = max(allowed, 2*math.Abs(v-mean)/mean)
 		}
 	}
-	return out
+	return allowed
 }
 
-// weigh gives each point one over its value. One at nothing, or next to it, weighs as a hundredth of the largest would:
-// guards against one division by nothing that decides alone.
-func weigh(points []Point) []float64 {
-	most := 0.0
+// inverseWeights returns the inverse of each point's value. The weights of values of 0 or close to it are limited by
+// maxWeightRatio. This prevents a division by 0, and that a single such point determines the fit.
+func inverseWeights(points []Point) []float64 {
+	largest := 0.0
 	for _, p := range points {
-		most = max(most, p.Value)
+		largest = max(largest, p.Value)
 	}
-	out := make([]float64, len(points))
+	weights := make([]float64, len(points))
 	for i, p := range points {
-		if out[i] = 1; most > 0 {
-			out[i] = 1 / max(p.Value, most/100)
+		weights[i] = 1
+		if largest > 0 {
+			weights[i] = 1 / max(p.Value, largest/maxWeightRatio)
 		}
 	}
-	return out
+	return weights
 }
 
-// solve is the least squares over the chosen parts; false: a factor of them is below 0, and the best that is not has fewer
-// parts.
-func solve(points []Point, weights []float64, chosen []int) (Model, bool) {
+// solve returns the weighted least-squares solution over the chosen functions of basis. It returns errNoSolution if a
+// factor is negative, since the best model without negative factors then has fewer parts, or if the system of equations
+// is singular or nearly so.
+func solve(points []Point, weights []float64, chosen []int) (Model, error) {
 	a, y := mat.NewDense(len(points), len(chosen), nil), mat.NewVecDense(len(points), nil)
 	for i, p := range points {
 		for j, c := range chosen {
-			a.Set(i, j, weights[i]*parts[c](float64(p.Size)))
+			a.Set(i, j, weights[i]*basis[c](float64(p.Size)))
 		}
 		y.SetVec(i, weights[i]*p.Value)
 	}
 	var x mat.VecDense
 	if err := x.SolveVec(a, y); err != nil {
-		return Model{}, false
+		return Model{}, fmt.Errorf("%w: %w", errNoSolution, err)
 	}
-	var factor [len(parts)]float64
+	var factors [len(basis)]float64
 	for j, c := range chosen {
-		if factor[c] = x.AtVec(j); factor[c] < 0 {
-			return Model{}, false
+		factors[c] = x.AtVec(j)
+		if factors[c] < 0 {
+			return Model{}, errNoSolution
 		}
 	}
-	return Model{factor[0], factor[1], factor[2]}, true
+	return Model{Const: factors[0], Log: factors[1], Linear: factors[2]}, nil
 }
 
-func residual(m Model, points []Point, weights []float64) (most float64) {
+// maxResidual returns the largest weighted distance of a point from the model.
+func maxResidual(m Model, points []Point, weights []float64) float64 {
+	largest := 0.0
 	for i, p := range points {
-		most = max(most, math.Abs(m.At(p.Size)-p.Value)*weights[i])
-	}
-	return most
-}
-
-// Forecast is what a fit of the smaller sizes says of a larger one, beside what was measured there.
-type Forecast struct {
-	Size                int
-	Measured, Predicted float64
-}
-
-// Off is how far the prediction is from what was measured, relative to that; where nothing was measured, Inf or 0.
-func (f Forecast) Off() float64 {
-	if f.Measured == 0 {
-		if f.Predicted == 0 {
-			return 0
-		}
-		return math.Inf(1)
-	}
-	return (f.Predicted - f.Measured) / f.Measured
-}
-
-// Hold fits the points of sizes up to upTo, and predicts the larger ones, each by the mean of its points, in order.
-func Hold(points []Point, upTo int) (Fit, []Forecast, error) {
-	var small []Point
-	sum, count := map[int]float64{}, map[int]float64{}
-	for _, p := range points {
-		if p.Size <= upTo {
-			small = append(small, p)
-			continue
-		}
-		sum[p.Size] += p.Value
-		count[p.Size]++
-	}
-	fit, err := New(small)
-	if err != nil {
-		return Fit{}, nil, err
-	}
-	var list []Forecast
-	for size := range sum {
-		list = append(list, Forecast{size, sum[size] / count[size], fit.At(size)})
+		largest = max(largest, math.Abs(m.At(p.Size)-p.Value)*weights[i])
 	}
-	slices.SortFunc(list, func(a, b Forecast) int { return a.Size - b.Size })
-	return fit, list, nil
+	return largest
 }
