--- /dev/null
+++ b/balancer/faults_test.go
@@ -0,0 +1,283 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// respondExcept returns the response of healthy endpoints, except that u0 responds as given.
+func respondExcept(result Result, latency time.Duration) respondFunc {
+	return func(endpoint string) (Result, time.Duration) {
+		if endpoint == "u0" {
+			return result, latency
+		}
+		return OK, 20 * ms
+	}
+}
+
+// A crashed endpoint refuses connections at once and so looks fast; it must not attract picks. It returns after single
+// trials.
+func TestCrashedEndpointAttractsNoPicks(t *testing.T) {
+	w := newWorkload(t, testSettings(), respondExcept(ConnectFailed, 0))
+	w.addEndpoints(5)
+	w.run(10*time.Second, 100)
+	if w.attempts["u0"] > 10 {
+		t.Errorf("%d attempts on the crashed endpoint", w.attempts["u0"])
+	}
+	if w.answers[Reject]+w.answers[Fail] > 0 {
+		t.Errorf("requests lost with four healthy endpoints: %v", w.answers)
+	}
+	w.respond = respondOK
+	w.run(10*time.Second, 100)
+	if w.attempts["u0"] < 50 {
+		t.Errorf("only %d attempts after its return", w.attempts["u0"])
+	}
+	if !w.logged("endpoint ejected endpoint=u0 ") || !w.logged("endpoint returned after ejection endpoint=u0 ") {
+		t.Errorf("ejection or return not logged: %q", w.logLines)
+	}
+}
+
+// An endpoint that hangs does not respond: it is recognized by the age of its outstanding attempts and ejected for its
+// silence.
+func TestHungEndpointIsAvoided(t *testing.T) {
+	for _, hedging := range []bool{true, false} {
+		s := testSettings()
+		s.Hedging = hedging
+		w := newWorkload(t, s, respondExcept(OK, -1))
+		w.addEndpoints(5)
+		w.run(10*time.Second, 100)
+		if w.attempts["u0"] > 60 || w.succeeded < 950 {
+			t.Errorf("hedging %v: %d attempts on the hung endpoint, %d of %d succeeded",
+				hedging, w.attempts["u0"], w.succeeded, w.requests)
+		}
+	}
+}
+
+// For a pause that is shorter than any health check, hedges save the requests that wait there.
+func TestPauseIsCoveredByHedges(t *testing.T) {
+	var w *workload
+	w = newWorkload(t, testSettings(), func(endpoint string) (Result, time.Duration) {
+		if phase := w.now % (2 * time.Second); endpoint == "u0" && phase < 300*ms {
+			return OK, 300*ms - phase + 20*ms
+		}
+		return OK, 20 * ms
+	})
+	w.addEndpoints(4)
+	w.run(20*time.Second, 100)
+	if float64(w.succeeded) < 0.99*float64(w.requests-5) {
+		t.Errorf("%d of %d succeeded", w.succeeded, w.requests)
+	}
+}
+
+// A slow endpoint gets fewer requests.
+func TestSlowEndpointGetsFewerRequests(t *testing.T) {
+	w := newWorkload(t, testSettings(), respondExcept(OK, 120*ms))
+	w.addEndpoints(4)
+	w.run(10*time.Second, 100)
+	if w.attempts["u0"] > w.attempts["u1"]/2 {
+		t.Errorf("slow %d, others %d", w.attempts["u0"], w.attempts["u1"])
+	}
+}
+
+// An expensive request does not make its endpoint look slow: samples are normalized by the expected work.
+func TestExpensiveRequestIsNoSlowEndpoint(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.addEndpoints(1)
+	request := func(id string, expectedWork time.Duration) {
+		h.handle(Request{ID: id, Class: "c", ExpiresAt: h.now + time.Second, ExpectedWork: expectedWork})
+	}
+	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
+		id := fmt.Sprint(i)
+		request(id, 20*ms)
+		h.reportOutcome(id, 0, OK, 20*ms)
+		h.now += 10 * ms
+	}
+	before := h.b.endpoints[0].latency.value
+	request("big", 120*ms)
+	h.now += 10 * ms
+	h.reportOutcome("big", 0, OK, 120*ms)
+	if after := h.b.endpoints[0].latency.value; after > 1.5*before {
+		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
+	}
+}
+
+// Some running endpoints lose one connection in ten. This prevents that they are ejected for it. A process that died
+// breaks all its connections and refuses new ones.
+func TestTwoBrokenConnectionsDoNotEject(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.addEndpoints(1)
+	breakConnection := func(id string) {
+		h.request(id, "c", time.Second)
+		h.reportOutcome(id, 0, Reset, 10*ms)
+	}
+	ep := h.b.endpointsByID["u0"]
+	breakConnection("1")
+	breakConnection("2")
+	if ep.ejectedUntil > h.now {
+		t.Error("ejected for two broken connections")
+	}
+	breakConnection("3")
+	if ep.ejectedUntil <= h.now {
+		t.Error("not ejected after three broken connections with no answer between them")
+	}
+}
+
+// A crash during a deploy: half of the endpoints are warming up and one is down. Those that are warming up get no more
+// than they can serve.
+func TestCrashDuringDeploy(t *testing.T) {
+	w := newWorkload(t, testSettings(), respondOK)
+	w.addEndpoints(8)
+	w.run(10*time.Second, 200)
+	for i := range 4 {
+		w.updateEndpoints(Delta, Endpoint{ID: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
+	}
+	w.respond = respondExcept(ConnectFailed, 0)
+	clear(w.attempts)
+	succeeded, requests := w.succeeded, w.requests
+	w.run(2*time.Second, 200)
+	if got := w.succeeded - succeeded; float64(got) < 0.95*float64(w.requests-requests) {
+		t.Errorf("%d of %d succeeded", got, w.requests-requests)
+	}
+	for i := 4; i < 8; i++ {
+		// The overload rule allows 3 times 0.2 to 0.36 of the capacity; 25 a second each is the mean load.
+		if got := w.attempts[fmt.Sprint("u", i)]; got > 40 {
+			t.Errorf("u%d, warming up: %d attempts in 2 s", i, got)
+		}
+	}
+}
+
+// A zone is cut off and the endpoint watch has failed: requests stay in the home zone, the other zone gets trials only,
+// and it is used again afterwards.
+func TestZoneCutOffWhileWatchFailed(t *testing.T) {
+	s := testSettings()
+	s.MustSubscribe = true
+	cutOff := false
+	w := newWorkload(t, s, func(endpoint string) (Result, time.Duration) {
+		if cutOff && endpoint > "u3" {
+			return ConnectFailed, 200 * ms
+		}
+		return OK, 20 * ms
+	})
+	attemptsInOtherZone := func() int {
+		return w.attempts["u4"] + w.attempts["u5"] + w.attempts["u6"] + w.attempts["u7"]
+	}
+	var list []Endpoint
+	for i := range 8 {
+		list = append(list, Endpoint{ID: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
+	}
+	w.updateEndpoints(CachedList, list...)
+	w.updateEndpoints(Delta)
+	w.run(5*time.Second, 100)
+	cutOff = true
+	w.handle(EndpointUpdate{Kind: WatchFailed})
+	w.run(3*time.Second, 100)
+	succeeded, requests := w.succeeded, w.requests
+	clear(w.attempts)
+	w.run(10*time.Second, 100)
+	if got := w.succeeded - succeeded; float64(got) < 0.97*float64(w.requests-requests) {
+		t.Errorf("%d of %d succeeded while the zone was cut off", got, w.requests-requests)
+	}
+	if n := attemptsInOtherZone(); n > 60 {
+		t.Errorf("%d attempts on the zone that was cut off", n)
+	}
+	cutOff = false
+	w.run(10*time.Second, 100)
+	clear(w.attempts)
+	w.run(5*time.Second, 100)
+	if n := attemptsInOtherZone(); n < 100 {
+		t.Errorf("%d attempts on the zone after it was reachable again", n)
+	}
+}
+
+// A high price of crossing zones keeps requests in the home zone while it serves them, and not when it cannot.
+func TestHomeZoneIsPreferred(t *testing.T) {
+	s := testSettings()
+	s.PriceCrossZone = 0.2
+	slow := false
+	w := newWorkload(t, s, func(endpoint string) (Result, time.Duration) {
+		if slow && endpoint < "u2" {
+			return OK, 190 * ms
+		}
+		return OK, 20 * ms
+	})
+	w.updateEndpoints(CompleteList,
+		Endpoint{ID: "u0", Zone: "a"},
+		Endpoint{ID: "u1", Zone: "a"},
+		Endpoint{ID: "u2", Zone: "b"},
+		Endpoint{ID: "u3", Zone: "b"},
+	)
+	w.run(5*time.Second, 50)
+	if n := w.attempts["u2"] + w.attempts["u3"]; n > 25 {
+		t.Errorf("%d of %d crossed zones while the home zone was healthy", n, w.requests)
+	}
+	slow = true
+	clear(w.attempts)
+	w.run(5*time.Second, 50)
+	if n := w.attempts["u2"] + w.attempts["u3"]; n < 60 {
+		t.Errorf("%d of 250 crossed zones while the home zone was slow", n)
+	}
+}
+
+// Each of few sidecars sees in its own outstanding attempts that the home zone is overloaded; of many none does. There
+// the home zone could be several times as slow as others, which costs the fleet more than crossing zones does, and all
+// sidecars rejected what other zones had capacity for.
+func TestOverloadedHomeZoneIsLeftInALargeFleet(t *testing.T) {
+	for _, c := range []struct {
+		sidecars           int
+		minCross, maxCross int // attempts for 200 requests that cross zones
+	}{
+		{4, 0, 20},
+		{80, 100, 300},
+	} {
+		s := testSettings()
+		s.PriceCrossZone, s.Balancers = 0.12, c.sidecars
+		w := newWorkload(t, s, func(endpoint string) (Result, time.Duration) {
+			if endpoint < "u5" {
+				return OK, 85 * ms // overloaded by all other sidecars
+			}
+			return OK, 25 * ms
+		})
+		var list []Endpoint
+		for i := range 10 {
+			list = append(list, Endpoint{ID: fmt.Sprint("u", i), Zone: string(rune('a' + i/5))})
+		}
+		w.updateEndpoints(CompleteList, list...)
+		w.run(5*time.Second, 20)
+		clear(w.attempts)
+		w.run(10*time.Second, 20)
+		crossed := 0
+		for endpoint, n := range w.attempts {
+			if endpoint >= "u5" {
+				crossed += n
+			}
+		}
+		if crossed < c.minCross || crossed > c.maxCross {
+			t.Errorf("%d sidecars: %d of 200 crossed zones, want %d to %d",
+				c.sidecars, crossed, c.minCross, c.maxCross)
+		}
+	}
+}
+
+// An endpoint that answers errors at once attracts no picks beside queues that last longer than the penalty.
+func TestImmediateErrorsAttractNoPicks(t *testing.T) {
+	failing := true
+	s := testSettings()
+	s.Classes[0].LatencyObjective = 400 * ms
+	w := newWorkload(t, s, func(endpoint string) (Result, time.Duration) {
+		if endpoint == "u0" && failing {
+			return ServerError, time.Millisecond
+		}
+		return OK, 150 * ms // ten or more outstanding at each: a load far above the penalty
+	})
+	w.addEndpoints(4)
+	w.run(10*time.Second, 250)
+	if w.attempts["u0"] > 40 {
+		t.Errorf("%d attempts on an endpoint that only answers errors", w.attempts["u0"])
+	}
+	failing = false
+	w.run(10*time.Second, 250)
+	if w.attempts["u0"] < 200 || !w.logged("endpoint returned after ejection endpoint=u0 ") {
+		t.Errorf("has not returned: %d attempts, log %q", w.attempts["u0"], w.logLines)
+	}
+}
--- /dev/null
+++ b/balancer/idempotency_test.go
@@ -0,0 +1,250 @@
+package balancer
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+func keyedSettings(scope IdempotencyScope) Settings {
+	s := testSettings()
+	s.Hedging = false
+	s.Classes = []Class{{
+		Name:              "k",
+		LatencyObjective:  400 * ms,
+		Deadline:          1500 * ms,
+		Effect:            Keyed,
+		IdempotencyScope:  scope,
+		IdempotencyWindow: time.Second,
+	}}
+	return s
+}
+
+func nonIdempotentSettings() Settings {
+	s := testSettings()
+	s.Classes = []Class{{
+		Name:             "x",
+		LatencyObjective: 400 * ms,
+		Deadline:         1500 * ms,
+		Effect:           NonIdempotent,
+		LateWeight:       0.5,
+	}}
+	return s
+}
+
+func TestNonIdempotentIsRetriedOnlyIfNotExecuted(t *testing.T) {
+	for result, wantRetry := range map[Result]bool{
+		Overloaded:    true,
+		ConnectFailed: true,
+		NotSent:       true,
+		ServerError:   false,
+		Timeout:       false,
+		Reset:         false,
+		Cancelled:     false,
+	} {
+		h := newHarness(t, nonIdempotentSettings())
+		h.addEndpoints(3)
+		h.wantSend(h.request("1", "x", time.Second))
+		actions := h.reportOutcome("1", 0, result, 10*ms)
+		if wantRetry {
+			h.wantSend(actions)
+		} else {
+			h.wantAnswer(actions, Fail)
+		}
+	}
+}
+
+func TestNonIdempotentIsNotHedged(t *testing.T) {
+	h := newHarness(t, nonIdempotentSettings())
+	h.addEndpoints(3)
+	h.wantSend(h.request("1", "x", time.Second))
+	if sends := actionsOfKind(h.advance(900*ms), Send); len(sends) > 0 {
+		t.Fatalf("hedge of a request that is not idempotent: %+v", sends)
+	}
+}
+
+func TestNonIdempotentIsRejectedIfNotExecuted(t *testing.T) {
+	s := nonIdempotentSettings()
+	s.MaxAttempts = 1
+	h := newHarness(t, s)
+	h.addEndpoints(3)
+	h.wantSend(h.request("1", "x", time.Second))
+	h.wantAnswer(h.reportOutcome("1", 0, ConnectFailed, ms), Reject)
+}
+
+// Once it may have been executed, a keyed request stays in its idempotency scope; before that it may go anywhere.
+func TestKeyedStaysInItsScope(t *testing.T) {
+	list := []Endpoint{
+		{ID: "p", Zone: "a", Cell: 0},
+		{ID: "q", Zone: "a", Cell: 1},
+		{ID: "r", Zone: "b", Cell: 2},
+		{ID: "s", Zone: "b", Cell: 2},
+		{ID: "t", Zone: "a", Cell: 0},
+		{ID: "u", Zone: "b", Cell: 3},
+	}
+	byID := map[string]Endpoint{}
+	for _, endpoint := range list {
+		byID[endpoint.ID] = endpoint
+	}
+	for scope, sameScope := range map[IdempotencyScope]func(a, b Endpoint) bool{
+		ScopeAll:  func(_, _ Endpoint) bool { return true },
+		ScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
+		ScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
+	} {
+		for n := range 40 {
+			h := newHarness(t, keyedSettings(scope))
+			for range n + 1 { // other random numbers each time
+				h.b.rng.Uint64()
+			}
+			h.updateEndpoints(CompleteList, list...)
+			first := byID[h.wantSend(h.request("1", "k", time.Second))]
+			for _, a := range actionsOfKind(h.reportOutcome("1", 0, ServerError, 10*ms), Send) {
+				if !sameScope(first, byID[a.Endpoint]) {
+					t.Fatalf("scope %d: %+v then %+v", scope, first, byID[a.Endpoint])
+				}
+			}
+		}
+	}
+}
+
+// The idempotency window starts when the attempt that may have been executed is sent; no attempt follows after it.
+func TestKeyedWindow(t *testing.T) {
+	s := keyedSettings(ScopeAll)
+	s.Classes[0].IdempotencyWindow = 100 * ms
+	s.Classes[0].LatencyObjective = time.Second
+	h := newHarness(t, s)
+	h.addEndpoints(3)
+	h.wantSend(h.request("1", "k", time.Second))
+	h.now += 95 * ms
+	h.wantAnswer(h.reportOutcome("1", 0, Reset, 95*ms), Reject)
+}
+
+func TestKeyedRejection(t *testing.T) {
+	for scope, want := range map[IdempotencyScope]ActionKind{ScopeAll: Reject, ScopeZone: Fail, ScopeCell: Fail} {
+		s := keyedSettings(scope)
+		s.MaxAttempts = 1
+		h := newHarness(t, s)
+		h.addEndpoints(3)
+		h.wantSend(h.request("1", "k", time.Second))
+		// A cancelled attempt may have been executed.
+		h.wantAnswer(h.reportOutcome("1", 0, Cancelled, 10*ms), want)
+	}
+}
+
+func TestNeverTwoAttemptsInFlightWithoutHedging(t *testing.T) {
+	h := newHarness(t, keyedSettings(ScopeZone))
+	h.addEndpoints(4)
+	h.wantSend(h.request("1", "k", time.Second))
+	cancelled := false
+	for range 80 {
+		actions := h.advance(5 * ms)
+		if len(actionsOfKind(actions, Send)) > 0 {
+			t.Fatal("second attempt beside the first")
+		}
+		cancelled = cancelled || len(actionsOfKind(actions, Cancel)) > 0
+	}
+	if !cancelled {
+		t.Fatal("the unanswered attempt was never cancelled")
+	}
+}
+
+// What a prior request with the same effect may have done limits this one as its own attempts would: to its idempotency
+// scope and window, and it is never rejected.
+func TestPriorAttempts(t *testing.T) {
+	const now = time.Minute // the harness's start time
+	for name, c := range map[string]struct {
+		effect    Effect
+		scope     IdempotencyScope
+		prior     []PriorAttempt
+		endpoints string // that may get an attempt
+		answer    ActionKind
+	}{
+		"none": {
+			effect:    Keyed,
+			scope:     ScopeZone,
+			endpoints: "abc",
+			answer:    Reject,
+		},
+		"its zone": {
+			effect:    Keyed,
+			scope:     ScopeZone,
+			prior:     []PriorAttempt{{Zone: "b", SentAt: now}},
+			endpoints: "b",
+			answer:    Fail,
+		},
+		"its cell": {
+			effect:    Keyed,
+			scope:     ScopeCell,
+			prior:     []PriorAttempt{{Cell: 2, SentAt: now}},
+			endpoints: "c",
+			answer:    Fail,
+		},
+		"all": {
+			effect:    Keyed,
+			scope:     ScopeAll,
+			prior:     []PriorAttempt{{Zone: "b", SentAt: now}},
+			endpoints: "abc",
+			answer:    Reject,
+		},
+		"two zones": {
+			effect:    Keyed,
+			scope:     ScopeZone,
+			prior:     []PriorAttempt{{Zone: "a", SentAt: now}, {Zone: "b", SentAt: now}},
+			endpoints: "",
+			answer:    Fail,
+		},
+		"window has passed": {
+			effect:    Keyed,
+			scope:     ScopeZone,
+			prior:     []PriorAttempt{{Zone: "b", SentAt: now - time.Second}},
+			endpoints: "",
+			answer:    Fail,
+		},
+		"a removed zone": {
+			effect:    Keyed,
+			scope:     ScopeZone,
+			prior:     []PriorAttempt{{Zone: "z", SentAt: now}},
+			endpoints: "",
+			answer:    Fail,
+		},
+		"not idempotent": {
+			effect:    NonIdempotent,
+			scope:     ScopeAll,
+			prior:     []PriorAttempt{{Zone: "b", SentAt: now}},
+			endpoints: "",
+			answer:    Fail,
+		},
+		"idempotent": {
+			effect:    Idempotent,
+			scope:     ScopeAll,
+			prior:     []PriorAttempt{{Zone: "b", SentAt: 0}},
+			endpoints: "abc",
+			answer:    Reject,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := keyedSettings(c.scope)
+			s.Classes[0].Effect = c.effect
+			h := newHarness(t, s)
+			h.updateEndpoints(CompleteList,
+				Endpoint{ID: "a", Zone: "a", Cell: 0},
+				Endpoint{ID: "b", Zone: "b", Cell: 1},
+				Endpoint{ID: "c", Zone: "c", Cell: 2},
+			)
+			actions := h.handle(Request{ID: "1", Class: "k", ExpiresAt: h.now + 500*ms, PriorAttempts: c.prior})
+			for n := 0; len(finalAnswers(actions)) == 0 && n < 1000; n++ {
+				sends := actionsOfKind(actions, Send)
+				for _, a := range sends {
+					if !strings.Contains(c.endpoints, a.Endpoint) {
+						t.Errorf("sent to %s", a.Endpoint)
+					}
+					actions = h.reportOutcome("1", len(h.b.requests["1"].attempts)-1, Overloaded, ms)
+				}
+				if len(sends) == 0 {
+					actions = h.advance(5 * ms)
+				}
+			}
+			h.wantAnswer(actions, c.answer)
+		})
+	}
+}
--- a/balancer/names_test.go
+++ b/balancer/names_test.go
@@ -8,68 +8,105 @@
 	"time"
 )
 
-// Renaming zones, kinds, classes and tenants changes no action: they are compared for equality only.
-func TestNamesChangeNothing(t *testing.T) {
-	play := func(seed uint64, name func(string) string) (all []Action) {
-		g := rand.New(rand.NewPCG(seed, 3))
-		s := randomSettings(g)
-		s.Zone = name(s.Zone)
-		for i := range s.Classes {
-			s.Classes[i].Name = name(s.Classes[i].Name)
-		}
-		var tenants []Tenant
-		for _, x := range s.Tenants {
-			tenants = append(tenants, Tenant{name(x.Name), x.Fraction})
+// renamedRun handles random events, with the names of zones, kinds, classes and tenants mapped by rename.
+type renamedRun struct {
+	b       *Balancer
+	random  *rand.Rand
+	rename  func(string) string
+	now     time.Duration
+	actions []Action // all that were returned
+}
+
+// handle passes e to the balancer and, for three of four probes and attempts, a random result of each.
+func (r *renamedRun) handle(e Event) {
+	actions := r.b.Handle(r.now, e, nil)
+	r.actions = append(r.actions, actions...)
+	for _, a := range actions {
+		if a.Kind != Probe || r.random.IntN(4) == 0 {
+			continue
 		}
-		s.Tenants = tenants
-		b, err := New(s, seed)
-		if err != nil {
-			t.Fatal(err)
+		load := LoadReport{Reported: true, InFlight: float64(r.random.IntN(5))}
+		result := ProbeResult{Endpoint: a.Endpoint, Elapsed: ms, Load: load}
+		actions = append(actions, r.b.Handle(r.now, result, nil)...)
+	}
+	r.actions = append(r.actions, actions...)
+	for _, a := range actions {
+		if a.Kind != Send || r.random.IntN(4) == 0 {
+			continue
 		}
-		now := time.Hour
-		deal := func(e Event) {
-			acts := b.Handle(now, e, nil)
-			all = append(all, acts...)
-			for _, a := range acts {
-				if a.Kind == Probe && g.IntN(4) > 0 {
-					acts = append(acts, b.Handle(now, ProbeResult{Endpoint: a.Endpoint, Elapsed: ms,
-						Load: LoadReport{Reported: true, InFlight: float64(g.IntN(5))}}, nil)...)
-				}
-			}
-			all = append(all, acts...)
-			for _, a := range acts {
-				if a.Kind == Send && g.IntN(4) > 0 {
-					r := Outcome{ID: a.ID, Attempt: g.IntN(2), Result: Result(g.IntN(8)), Elapsed: time.Duration(g.IntN(90)) * ms}
-					r.Finished = r.Result == OK
-					all = append(all, b.Handle(now, r, nil)...)
-				}
-			}
+		outcome := Outcome{
+			ID:      a.ID,
+			Attempt: r.random.IntN(2),
+			Result:  Result(r.random.IntN(8)),
+			Elapsed: time.Duration(r.random.IntN(90)) * ms,
 		}
-		for i := range 300 {
-			now += s.Tick + time.Duration(g.IntN(20))*ms
-			if i%60 == 0 {
-				var list []Endpoint
-				for j := range 12 {
-					list = append(list, Endpoint{ID: fmt.Sprint("u", j), Zone: name([]string{"a", "b"}[g.IntN(2)]),
-						Kind: name([]string{"m", "n"}[g.IntN(2)]), Cell: j % 3, StartedAt: time.Duration(g.IntN(2)) * (now - 2*time.Second)})
-				}
-				deal(EndpointUpdate{Kind: CompleteList, Endpoints: list})
-			}
-			c := s.Classes[g.IntN(len(s.Classes))]
-			deal(Request{ID: fmt.Sprint(i), Class: c.Name, Tenant: name([]string{"t", "v"}[g.IntN(2)]),
-				AffinityKey: []string{"", "k"}[g.IntN(2)], ExpiresAt: now + c.Deadline})
-			deal(TimerFired{})
+		outcome.Finished = outcome.Result == OK
+		r.actions = append(r.actions, r.b.Handle(r.now, outcome, nil)...)
+	}
+}
+
+// updateEndpoints sends a complete list of twelve endpoints of random zones and kinds.
+func (r *renamedRun) updateEndpoints() {
+	var list []Endpoint
+	for i := range 12 {
+		list = append(list, Endpoint{
+			ID:        fmt.Sprint("u", i),
+			Zone:      r.rename([]string{"a", "b"}[r.random.IntN(2)]),
+			Kind:      r.rename([]string{"m", "n"}[r.random.IntN(2)]),
+			Cell:      i % 3,
+			StartedAt: time.Duration(r.random.IntN(2)) * (r.now - 2*time.Second),
+		})
+	}
+	r.handle(EndpointUpdate{Kind: CompleteList, Endpoints: list})
+}
+
+// actionsUnderNames returns the actions of a run of 300 random requests.
+func actionsUnderNames(t *testing.T, seed uint64, rename func(string) string) []Action {
+	t.Helper()
+	random := rand.New(rand.NewPCG(seed, 3))
+	s := randomSettings(random)
+	s.Zone = rename(s.Zone)
+	for i := range s.Classes {
+		s.Classes[i].Name = rename(s.Classes[i].Name)
+	}
+	var tenants []Tenant
+	for _, tenant := range s.Tenants {
+		tenants = append(tenants, Tenant{rename(tenant.Name), tenant.Fraction})
+	}
+	s.Tenants = tenants
+	b, err := New(s, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	run := &renamedRun{b: b, random: random, rename: rename, now: time.Hour}
+	for i := range 300 {
+		run.now += s.Tick + time.Duration(random.IntN(20))*ms
+		if i%60 == 0 {
+			run.updateEndpoints()
 		}
-		return all
+		class := s.Classes[random.IntN(len(s.Classes))]
+		run.handle(Request{
+			ID:          fmt.Sprint(i),
+			Class:       class.Name,
+			Tenant:      rename([]string{"t", "v"}[random.IntN(2)]),
+			AffinityKey: []string{"", "k"}[random.IntN(2)],
+			ExpiresAt:   run.now + class.Deadline,
+		})
+		run.handle(TimerFired{})
 	}
+	return run.actions
+}
+
+// Renaming zones, kinds, classes and tenants changes no action: they are compared for equality only.
+func TestNamesChangeNothing(t *testing.T) {
 	names := map[string]string{"a": "b", "b": "a", "m": "zz", "n": "", "t": "v", "v": "t"}
 	for seed := range uint64(30) {
-		plain := play(seed, func(s string) string { return s })
-		renamed := play(seed, func(s string) string {
-			if x, ok := names[s]; ok {
-				return x
+		plain := actionsUnderNames(t, seed, func(name string) string { return name })
+		renamed := actionsUnderNames(t, seed, func(name string) string {
+			if other, ok := names[name]; ok {
+				return other
 			}
-			return "class-" + s
+			return "class-" + name
 		})
 		if !reflect.DeepEqual(plain, renamed) {
 			t.Fatalf("seed %d: other actions under other names", seed)
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -13,183 +13,198 @@
 	return s
 }
 
-// Own pending counts tell nothing where each of many sidecars sends an upstream little: the drawn pair is asked what
-// it holds, and the request waits for that.
-func TestPairIsAskedWhatItHolds(t *testing.T) {
+// reportLoad reports a probe of the endpoint that took 1 ms and returned a number of requests in flight.
+func (h *harness) reportLoad(endpoint string, inFlight float64) []Action {
+	load := LoadReport{Reported: true, InFlight: inFlight}
+	return h.handle(ProbeResult{Endpoint: endpoint, Elapsed: ms, Load: load})
+}
+
+// Where each of many sidecars sends an endpoint little, a sidecar's own outstanding attempts say nothing about its
+// load: both endpoints of the pair are probed for theirs, and the request waits for the results.
+func TestPairIsProbedForItsLoad(t *testing.T) {
 	for i := range 20 {
-		r := newRig(t, probeSettings())
-		r.fleet(6)
-		p := kinds(r.request(fmt.Sprint("q", i), "c", time.Second), Probe)
-		if len(p) != 2 || p[0].Endpoint == p[1].Endpoint {
-			t.Fatalf("want two upstreams asked, got %+v", p)
+		h := newHarness(t, probeSettings())
+		h.addEndpoints(6)
+		probes := actionsOfKind(h.request(fmt.Sprint("q", i), "c", time.Second), Probe)
+		if len(probes) != 2 || probes[0].Endpoint == probes[1].Endpoint {
+			t.Fatalf("want two endpoints probed, got %+v", probes)
 		}
-		r.now += ms
-		r.wantNothing(r.do(ProbeResult{Endpoint: p[0].Endpoint, Elapsed: ms, Load: LoadReport{Reported: true, InFlight: 3}}))
-		got := r.wantSend(r.do(ProbeResult{Endpoint: p[1].Endpoint, Elapsed: ms, Load: LoadReport{Reported: true, InFlight: 2}}))
-		if got != p[1].Endpoint {
-			t.Errorf("sent to %s, which holds more", got)
+		h.now += ms
+		h.wantNoAttemptOrAnswer(h.reportLoad(probes[0].Endpoint, 3))
+		got := h.wantSend(h.reportLoad(probes[1].Endpoint, 2))
+		if got != probes[1].Endpoint {
+			t.Errorf("sent to %s, which has more in flight", got)
 		}
 	}
 }
 
-// A paused or vanished upstream keeps silent: after a short wait the one that answered gets the request, and where
-// both keep silent the plain design decides.
-func TestSilentProbesHoldNothingUp(t *testing.T) {
+// An endpoint that is paused or gone does not answer a probe: after a short wait the one that answered gets the
+// request, and where neither does the request is sent without load reports.
+func TestUnansweredProbesDoNotDelayRequests(t *testing.T) {
 	for _, answers := range []int{0, 1} {
-		r := newRig(t, probeSettings())
-		r.fleet(6)
-		p := kinds(r.request("q", "c", time.Second), Probe)
-		for _, x := range p[:answers] {
-			r.wantNothing(r.do(ProbeResult{Endpoint: x.Endpoint, Elapsed: ms, Load: LoadReport{Reported: true, InFlight: 9}}))
+		h := newHarness(t, probeSettings())
+		h.addEndpoints(6)
+		probes := actionsOfKind(h.request("q", "c", time.Second), Probe)
+		for _, probe := range probes[:answers] {
+			h.wantNoAttemptOrAnswer(h.reportLoad(probe.Endpoint, 9))
 		}
-		got := r.wantSend(r.pass(50 * ms))
-		if answers == 1 && got != p[0].Endpoint {
+		got := h.wantSend(h.advance(50 * ms))
+		if answers == 1 && got != probes[0].Endpoint {
 			t.Errorf("sent to %s, not to the one that answered", got)
 		}
 	}
 }
 
-// Nonsensical, failed and foreign probe results leave the plain design.
-func TestProbeResultsThatTellNothing(t *testing.T) {
-	for name, e := range map[string]ProbeResult{
+// Probe results that are invalid, failed or not asked for are ignored, and the request is sent without them.
+func TestInvalidProbeResultsAreIgnored(t *testing.T) {
+	for name, result := range map[string]ProbeResult{
 		"not a number": {Load: LoadReport{Reported: true, InFlight: math.NaN()}},
 		"negative":     {Load: LoadReport{Reported: true, InFlight: -1}},
 		"infinite":     {Load: LoadReport{Reported: true, InFlight: math.Inf(1)}},
 		"no report":    {},
 		"failed":       {Result: ConnectFailed, Load: LoadReport{Reported: true}},
 	} {
-		r := newRig(t, probeSettings())
-		r.fleet(2)
-		r.do(ProbeResult{Endpoint: "nobody"})
-		r.do(ProbeResult{Endpoint: "u0", Load: LoadReport{Reported: true, InFlight: 5}}) // never asked
-		p := kinds(r.request("q", "c", time.Second), Probe)
-		var acts []Action
-		for _, x := range p {
-			e.Endpoint, e.Elapsed = x.Endpoint, ms
-			acts = append(acts, r.do(e)...)
+		h := newHarness(t, probeSettings())
+		h.addEndpoints(2)
+		h.handle(ProbeResult{Endpoint: "nobody"})
+		h.handle(ProbeResult{Endpoint: "u0", Load: LoadReport{Reported: true, InFlight: 5}}) // never probed
+		probes := actionsOfKind(h.request("q", "c", time.Second), Probe)
+		var actions []Action
+		for _, probe := range probes {
+			result.Endpoint, result.Elapsed = probe.Endpoint, ms
+			actions = append(actions, h.handle(result)...)
 		}
-		r.wantSend(acts)
-		for _, ep := range r.b.endpoints {
+		h.wantSend(actions)
+		for _, ep := range h.b.endpoints {
 			if ep.reportedAt != 0 {
-				t.Errorf("%s: %s counts as told", name, ep.id)
+				t.Errorf("%s: %s counts as reported", name, ep.id)
 			}
 		}
 	}
 }
 
-// Probes are sent only where they are allowed, tell what is held, cost little and answer fast.
-func TestWhenPairsAreNotAsked(t *testing.T) {
+// Pairs are probed only where probes are allowed, report load, cost little and are answered fast.
+func TestPairsAreNotAlwaysProbed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"not allowed": func(s *Settings) { s.Probes = false },
 		"no report":   func(s *Settings) { s.ProbesReportLoad = false },
-		"dear":        func(s *Settings) { s.PriceProbe = 0.01 },
+		"expensive":   func(s *Settings) { s.PriceProbe = 0.01 },
 	} {
 		s := probeSettings()
 		change(&s)
-		r := newRig(t, s)
-		r.fleet(6)
-		if p := kinds(r.request("q", "c", time.Second), Probe); len(p) > 0 {
-			t.Errorf("%s: asked %+v", name, p)
+		h := newHarness(t, s)
+		h.addEndpoints(6)
+		if probes := actionsOfKind(h.request("q", "c", time.Second), Probe); len(probes) > 0 {
+			t.Errorf("%s: probed %+v", name, probes)
 		}
 	}
 	s := probeSettings()
-	s.PriceProbe, s.Balancers = 0.01, 1000 // a thousand sidecars see so little that it is worth it
-	many := newRig(t, s)
-	many.fleet(6)
-	if p := kinds(many.request("q", "c", time.Second), Probe); len(p) != 2 {
-		t.Errorf("among many sidecars: asked %+v", p)
+	s.PriceProbe, s.Balancers = 0.01, 1000 // each of a thousand sidecars sees so little that probes pay off
+	h := newHarness(t, s)
+	h.addEndpoints(6)
+	if probes := actionsOfKind(h.request("q", "c", time.Second), Probe); len(probes) != 2 {
+		t.Errorf("among many sidecars: probed %+v", probes)
 	}
-	r := newRig(t, probeSettings())
-	r.fleet(6)
-	asked := 0
+	h = newHarness(t, probeSettings())
+	h.addEndpoints(6)
+	total := 0
 	for i := range 200 { // probes that take as long as requests
-		p := kinds(r.request(fmt.Sprint(i), "c", time.Second), Probe)
-		asked += len(p)
-		for _, x := range p {
-			r.do(ProbeResult{Endpoint: x.Endpoint, Elapsed: 100 * ms, Load: LoadReport{Reported: true}})
+		probes := actionsOfKind(h.request(fmt.Sprint(i), "c", time.Second), Probe)
+		total += len(probes)
+		for _, probe := range probes {
+			load := LoadReport{Reported: true}
+			h.handle(ProbeResult{Endpoint: probe.Endpoint, Elapsed: 100 * ms, Load: load})
 		}
 	}
-	if asked > 100 {
-		t.Errorf("%d probes for 200 requests although they are slow", asked)
+	if total > 100 {
+		t.Errorf("%d probes for 200 requests although they are slow", total)
 	}
 }
 
-// What is told counts what all sidecars sent, an own count does not: upstreams that did not tell are taken to hold the
-// mean of those that did, or any pair that told would lose to one across the zones that was not asked.
-func TestUntoldUpstreamsHoldTheMean(t *testing.T) {
+// A reported load counts what all sidecars sent, a sidecar's own count does not. Endpoints without a report are
+// therefore taken to have the mean of those with one; otherwise any pair that was probed would lose to one of another
+// zone that was not.
+func TestEndpointsWithoutReportHaveTheMeanLoad(t *testing.T) {
 	s := probeSettings()
 	s.PriceCrossZone = 0.1
-	r := newRig(t, s)
-	r.list(CompleteList, Endpoint{ID: "n1", Zone: "a"}, Endpoint{ID: "n2", Zone: "a"},
-		Endpoint{ID: "f1", Zone: "b"}, Endpoint{ID: "f2", Zone: "b"})
+	h := newHarness(t, s)
+	h.updateEndpoints(CompleteList,
+		Endpoint{ID: "n1", Zone: "a"},
+		Endpoint{ID: "n2", Zone: "a"},
+		Endpoint{ID: "f1", Zone: "b"},
+		Endpoint{ID: "f2", Zone: "b"},
+	)
 	for i := range 100 {
-		var acts []Action
-		for _, x := range kinds(r.request(fmt.Sprint(i), "c", time.Second), Probe) {
-			if x.Endpoint[0] != 'n' {
-				t.Fatal("asked across zones")
+		var actions []Action
+		for _, probe := range actionsOfKind(h.request(fmt.Sprint(i), "c", time.Second), Probe) {
+			if probe.Endpoint[0] != 'n' {
+				t.Fatal("probed across zones")
 			}
-			acts = append(acts, r.do(ProbeResult{Endpoint: x.Endpoint, Elapsed: ms, Load: LoadReport{Reported: true, InFlight: 4}})...)
+			actions = append(actions, h.reportLoad(probe.Endpoint, 4)...)
 		}
-		if u := r.wantSend(acts); i > 80 && u[0] != 'n' {
-			t.Fatalf("request %d crossed to %s", i, u)
+		if endpoint := h.wantSend(actions); i > 80 && endpoint[0] != 'n' {
+			t.Fatalf("request %d was sent across zones to %s", i, endpoint)
 		}
-		r.now += 20 * ms
-		r.result(fmt.Sprint(i), 0, OK, 20*ms)
+		h.now += 20 * ms
+		h.reportOutcome(fmt.Sprint(i), 0, OK, 20*ms)
 	}
 }
 
-// Overload seen through probes: what the pair holds tells that an attempt would end late, where a count of two
-// requests in hand is chance. Further pairs are asked, then the request is refused unsent; a short queue is used.
-func TestCrowdedPairIsNotSentTo(t *testing.T) {
-	r := newRig(t, probeSettings())
-	r.fleet(8)
-	told := func(id string, held float64) (probes int, acts []Action) {
-		next := r.request(id, "c", time.Second)
-		for {
-			p := kinds(next, Probe)
-			if len(p) == 0 {
-				return probes, next
-			}
-			probes, next = probes+len(p), nil
-			for _, x := range p {
-				next = append(next, r.do(ProbeResult{Endpoint: x.Endpoint, Elapsed: ms,
-					Load: LoadReport{Reported: true, InFlight: held}})...)
-			}
+// requestWithLoad sends a request and answers all its probes with the same number of requests in flight. It returns the
+// number of probes and the actions after the last of them.
+func (h *harness) requestWithLoad(id string, inFlight float64) (probes int, actions []Action) {
+	actions = h.request(id, "c", time.Second)
+	for {
+		pair := actionsOfKind(actions, Probe)
+		if len(pair) == 0 {
+			return probes, actions
+		}
+		probes += len(pair)
+		actions = nil
+		for _, probe := range pair {
+			actions = append(actions, h.reportLoad(probe.Endpoint, inFlight)...)
 		}
 	}
-	for i := range 40 { // 20 ms for each one held
+}
+
+// Overload as probes show it: the pair's load says that an attempt would miss its objective, where a count of two
+// requests in flight is chance. Further pairs are probed, then the request is rejected unsent; a short queue is used.
+func TestOverloadedPairGetsNoRequest(t *testing.T) {
+	h := newHarness(t, probeSettings())
+	h.addEndpoints(8)
+	for i := range 40 { // 20 ms for each request in flight
 		id := fmt.Sprint("a", i)
-		_, acts := told(id, 1)
-		r.wantSend(acts)
-		r.now += 40 * ms
-		r.result(id, 0, OK, 40*ms)
+		_, actions := h.requestWithLoad(id, 1)
+		h.wantSend(actions)
+		h.now += 40 * ms
+		h.reportOutcome(id, 0, OK, 40*ms)
 	}
-	probes, acts := told("full", 30) // 600 ms, wanted within 200 ms
-	r.wantFinal(acts, Reject)
+	probes, actions := h.requestWithLoad("full", 30) // 600 ms, with an objective of 200 ms
+	h.wantAnswer(actions, Reject)
 	if probes != 2*maxProbedPairs {
-		t.Errorf("%d probes before the refusal, want four pairs", probes)
+		t.Errorf("%d probes before the rejection, want four pairs", probes)
 	}
-	_, acts = told("fits", 4)
-	r.wantSend(acts)
+	_, actions = h.requestWithLoad("fits", 4)
+	h.wantSend(actions)
 }
 
-// A pair that was asked before an upstream of it restarted and drained must not bring it back: what is known under the
-// old start is void, also to requests that wait for the other one's answer. (Found by the property test.)
-func TestAskedPairFollowsTheList(t *testing.T) {
-	r := newRig(t, probeSettings())
-	r.list(CompleteList, Endpoint{ID: "u0", Zone: "a"}, Endpoint{ID: "u1", Zone: "a"})
+// A pair that was probed before one of its endpoints restarted and drained must not bring that endpoint back: what was
+// learned under the former start time is void, also for requests that wait for the other endpoint's probe.
+func TestProbedPairFollowsTheEndpointList(t *testing.T) {
+	h := newHarness(t, probeSettings())
+	h.updateEndpoints(CompleteList, Endpoint{ID: "u0", Zone: "a"}, Endpoint{ID: "u1", Zone: "a"})
 	for i := range 10 {
 		id := fmt.Sprint(i)
-		r.request(id, "c", time.Second)
-		r.do(ProbeResult{Endpoint: "u0", Elapsed: ms, Load: LoadReport{Reported: true}})
-		r.list(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: r.now + time.Duration(i)})
-		r.list(Delta, Endpoint{ID: "u0", State: Draining})
-		for _, a := range kinds(r.pass(100*ms), Send) {
+		h.request(id, "c", time.Second)
+		h.reportLoad("u0", 0)
+		h.updateEndpoints(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: h.now + time.Duration(i)})
+		h.updateEndpoints(Delta, Endpoint{ID: "u0", State: Draining})
+		for _, a := range actionsOfKind(h.advance(100*ms), Send) {
 			if a.Endpoint != "u1" {
-				t.Fatalf("sent to %s, which drains", a.Endpoint)
+				t.Fatalf("sent to %s, which is draining", a.Endpoint)
 			}
 		}
-		r.result(id, 0, OK, 20*ms)
-		r.list(Delta, Endpoint{ID: "u0", Zone: "a"})
+		h.reportOutcome(id, 0, OK, 20*ms)
+		h.updateEndpoints(Delta, Endpoint{ID: "u0", Zone: "a"})
 	}
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -9,107 +9,159 @@
 	"time"
 )
 
-// The four rules, checked on the stream of actions under random legal events. This knows nothing of the module.
+// checkedAttempt is an attempt as the rule checker saw it.
+type checkedAttempt struct {
+	zone       string
+	cell       int
+	sentAt     time.Duration
+	timeoutAt  time.Duration
+	inFlight   bool
+	mayHaveRun bool // it may have been executed
+}
+
+// checkedRequest is a request as the rule checker saw it.
+type checkedRequest struct {
+	class     Class
+	expiresAt time.Duration
+	attempts  []*checkedAttempt
+	finished  bool // it was answered, or its success or its client's disconnection was reported
+}
 
-type sent struct {
-	upstream, zone string
-	cell           int
-	at, limit      time.Duration
-	out, mayRun    bool
+// anyMayHaveRun reports whether an attempt of the request may have been executed.
+func (q *checkedRequest) anyMayHaveRun() bool {
+	return slices.ContainsFunc(q.attempts, func(a *checkedAttempt) bool { return a.mayHaveRun })
 }
 
-type owed struct {
-	class    Class
-	expires  time.Duration
-	attempts []*sent
-	answers  int
-	ended    bool // an end was reported or given
-	gone     bool
+// anyInFlight reports whether an attempt of the request is in flight.
+func (q *checkedRequest) anyInFlight() bool {
+	return slices.ContainsFunc(q.attempts, func(a *checkedAttempt) bool { return a.inFlight })
 }
 
-type referee struct {
-	t      *testing.T
-	s      Settings
-	now    time.Duration
-	reqs   map[string]*owed
-	order  []string
-	active map[string]Endpoint
-	timers []time.Duration
-	probes []string // out; their answers come late, in any order, or never
+// ruleChecker checks the four rules (deadlines, repeats, draining endpoints, limits on attempts) on a balancer's
+// actions under random legal events. It uses nothing of the balancer's implementation.
+type ruleChecker struct {
+	t        *testing.T
+	settings Settings
+	now      time.Duration
+	requests map[string]*checkedRequest
+	order    []string // IDs of requests that are not finished, in order of arrival
+	active   map[string]Endpoint
+	timers   []time.Duration
+	probes   []string // in flight; their results arrive late, in any order, or never
 }
 
-func (f *referee) action(a Action) {
-	f.t.Helper()
-	q := f.reqs[a.ID]
+func newRuleChecker(t *testing.T, s Settings) *ruleChecker {
+	return &ruleChecker{
+		t:        t,
+		settings: s,
+		now:      time.Hour,
+		requests: map[string]*checkedRequest{},
+		active:   map[string]Endpoint{},
+	}
+}
+
+// checkAction fails the test if the action breaks a rule.
+func (c *ruleChecker) checkAction(a Action) {
+	c.t.Helper()
+	q := c.requests[a.ID]
 	if q == nil && a.Kind <= Fail {
-		f.t.Fatalf("action for unknown request: %+v", a)
+		c.t.Fatalf("action for unknown request: %+v", a)
 	}
 	switch a.Kind {
 	case Send:
-		f.send(a, q)
+		c.checkSend(a, q)
 	case Cancel:
-		if !f.s.Cancellation {
-			f.t.Fatal("cancel is not allowed")
-		}
-		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
-			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
-		}
+		c.checkCancel(a, q)
 	case Reject, Fail:
-		if a.Kind == Reject && !(q.class.Effect == Idempotent || q.class.Effect == Keyed && q.class.IdempotencyScope == ScopeAll) &&
-			slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.mayRun }) {
-			f.t.Fatalf("refused %s, which may have run", a.ID)
-		}
-		if q.ended {
-			f.t.Fatalf("second answer to %s", a.ID)
-		}
-		q.answers, q.ended = q.answers+1, true
+		c.checkAnswer(a, q)
 	case SetTimer:
-		f.timers = append(f.timers, a.At)
+		c.timers = append(c.timers, a.At)
 	case Probe:
-		if !f.s.Probes {
-			f.t.Fatal("probes are not allowed")
-		}
-		if _, listed := f.active[a.Endpoint]; !listed {
-			f.t.Fatalf("probe of %s, which drains or is gone", a.Endpoint)
-		}
-		f.probes = append(f.probes, a.Endpoint)
+		c.checkProbe(a)
+	}
+}
+
+func (c *ruleChecker) checkCancel(a Action, q *checkedRequest) {
+	c.t.Helper()
+	if !c.settings.Cancellation {
+		c.t.Fatal("cancel is not allowed")
+	}
+	if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
+		c.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
+	}
+}
+
+func (c *ruleChecker) checkAnswer(a Action, q *checkedRequest) {
+	c.t.Helper()
+	repeatable := q.class.Effect == Idempotent || q.class.Effect == Keyed && q.class.IdempotencyScope == ScopeAll
+	if a.Kind == Reject && !repeatable && q.anyMayHaveRun() {
+		c.t.Fatalf("rejected %s, which may have run", a.ID)
+	}
+	if q.finished {
+		c.t.Fatalf("second answer to %s", a.ID)
+	}
+	q.finished = true
+}
+
+func (c *ruleChecker) checkProbe(a Action) {
+	c.t.Helper()
+	if !c.settings.Probes {
+		c.t.Fatal("probes are not allowed")
 	}
+	if _, listed := c.active[a.Endpoint]; !listed {
+		c.t.Fatalf("probe of %s, which is draining or removed", a.Endpoint)
+	}
+	c.probes = append(c.probes, a.Endpoint)
 }
 
-func (f *referee) send(a Action, q *owed) {
-	f.t.Helper()
-	m, listed := f.active[a.Endpoint]
+func (c *ruleChecker) checkSend(a Action, q *checkedRequest) {
+	c.t.Helper()
+	endpoint, listed := c.active[a.Endpoint]
 	switch {
-	case q.ended:
-		f.t.Fatalf("%s: attempt after its end", a.ID)
-	case f.now >= q.expires:
-		f.t.Fatalf("%s: attempt after its time", a.ID)
+	case q.finished:
+		c.t.Fatalf("%s: attempt after the request was finished", a.ID)
+	case c.now >= q.expiresAt:
+		c.t.Fatalf("%s: attempt after the deadline", a.ID)
 	case !listed:
-		f.t.Fatalf("%s: attempt to %s, which drains or is gone", a.ID, a.Endpoint)
-	case len(q.attempts) >= f.s.MaxAttempts:
-		f.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, f.s.MaxAttempts)
+		c.t.Fatalf("%s: attempt on %s, which is draining or removed", a.ID, a.Endpoint)
+	case len(q.attempts) >= c.settings.MaxAttempts:
+		c.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, c.settings.MaxAttempts)
 	}
-	for _, x := range q.attempts {
-		if x.out && !f.s.Hedging {
-			f.t.Fatalf("%s: two attempts out", a.ID)
-		}
-		if !x.mayRun {
-			continue
-		}
-		c := q.class
-		if c.Effect == NonIdempotent {
-			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
-		}
-		if c.Effect == Keyed && (f.now-x.at > c.IdempotencyWindow || c.IdempotencyScope == ScopeZone && x.zone != m.Zone ||
-			c.IdempotencyScope == ScopeCell && x.cell != m.Cell) {
-			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
-		}
+	for _, prior := range q.attempts {
+		c.checkRepeat(a, q.class, prior, endpoint)
 	}
-	limit := q.expires
+	timeoutAt := q.expiresAt
 	if a.Timeout != 0 {
-		limit = min(limit, f.now+a.Timeout)
+		timeoutAt = min(timeoutAt, c.now+a.Timeout)
+	}
+	q.attempts = append(q.attempts, &checkedAttempt{
+		zone:       endpoint.Zone,
+		cell:       endpoint.Cell,
+		sentAt:     c.now,
+		timeoutAt:  timeoutAt,
+		inFlight:   true,
+		mayHaveRun: true,
+	})
+}
+
+// checkRepeat checks an attempt on endpoint against a prior attempt of the same request.
+func (c *ruleChecker) checkRepeat(a Action, class Class, prior *checkedAttempt, endpoint Endpoint) {
+	c.t.Helper()
+	if prior.inFlight && !c.settings.Hedging {
+		c.t.Fatalf("%s: two attempts in flight", a.ID)
+	}
+	if !prior.mayHaveRun {
+		return
+	}
+	if class.Effect == NonIdempotent {
+		c.t.Fatalf("%s: not idempotent, and sent again", a.ID)
+	}
+	outsideWindow := c.now-prior.sentAt > class.IdempotencyWindow
+	outsideZone := class.IdempotencyScope == ScopeZone && prior.zone != endpoint.Zone
+	outsideCell := class.IdempotencyScope == ScopeCell && prior.cell != endpoint.Cell
+	if class.Effect == Keyed && (outsideWindow || outsideZone || outsideCell) {
+		c.t.Fatalf("%s: keyed, and sent outside its idempotency scope or window", a.ID)
 	}
-	q.attempts = append(q.attempts, &sent{a.Endpoint, m.Zone, m.Cell, f.now, limit, true, true})
 }
 
 func randomSettings(g *rand.Rand) Settings {
@@ -125,12 +177,21 @@
 	s.PriceOpenConnection, s.PriceHandshake = float64(g.IntN(2)), float64(g.IntN(2))
 	s.Tenants = []Tenant{{Name: "t", Fraction: 0.5}, {Name: "v", Fraction: 0.5}}[:g.IntN(3)]
 	s.Classes = nil
-	for e := Idempotent; e <= NonIdempotent; e++ {
-		for group := ScopeAll; group <= ScopeCell; group++ {
-			aim := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: aim, Deadline: aim * 2, Effect: e,
-				IdempotencyScope: group, IdempotencyWindow: time.Duration(20+g.IntN(800)) * ms, LateWeight: float64(g.IntN(2)) / 2,
-				Weight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
+	for effect := Idempotent; effect <= NonIdempotent; effect++ {
+		for scope := ScopeAll; scope <= ScopeCell; scope++ {
+			objective := time.Duration(50+g.IntN(400)) * ms
+			s.Classes = append(s.Classes, Class{
+				Name:              fmt.Sprint(effect, scope),
+				LatencyObjective:  objective,
+				Deadline:          objective * 2,
+				Effect:            effect,
+				IdempotencyScope:  scope,
+				IdempotencyWindow: time.Duration(20+g.IntN(800)) * ms,
+				LateWeight:        float64(g.IntN(2)) / 2,
+				Weight:            float64(1 + g.IntN(9)),
+				ObjectiveStretch:  float64(g.IntN(2)),
+				Stream:            g.IntN(4) == 0,
+			})
 		}
 	}
 	return s
@@ -144,160 +205,189 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Endpoint{}}
-		deal := func(e Event) {
-			for _, a := range b.Handle(f.now, e, nil) {
-				f.action(a)
+		c := newRuleChecker(t, s)
+		handle := func(e Event) {
+			for _, a := range b.Handle(c.now, e, nil) {
+				c.checkAction(a)
 			}
 		}
-		run(f, g, deal, 1200)
+		c.run(g, handle, 1200)
 		if n := len(b.requests); n != 0 {
-			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
+			t.Fatalf("seed %d: %d requests retained after all have finished", seed, n)
 		}
 	}
 }
 
-// run plays ticks with random events, then lets all that is open end.
-func run(f *referee, g *rand.Rand, deal func(Event), ticks int) {
-	deal(EndpointUpdate{Kind: CachedList})
+// run sends random events for a number of ticks and then continues until all open requests have finished.
+func (c *ruleChecker) run(g *rand.Rand, handle func(Event), ticks int) {
+	handle(EndpointUpdate{Kind: CachedList})
 	for i := range ticks + 1000 {
-		f.now += f.s.Tick + time.Duration(g.IntN(2000))*time.Microsecond
+		c.now += c.settings.Tick + time.Duration(g.IntN(2000))*time.Microsecond
 		if i < ticks {
-			f.randomList(g, deal)
+			c.randomEndpointUpdate(g, handle)
 			for range g.IntN(4) {
-				f.randomRequest(g, deal, i)
+				c.randomRequest(g, handle, i)
 			}
-			f.noise(g, deal)
+			c.randomProbeResults(g, handle)
+			c.randomUnexpectedEvent(g, handle)
 		}
-		f.timersDue(deal)
-		f.outcomes(g, deal)
+		c.fireTimers(handle)
+		c.randomOutcomes(g, handle)
 	}
-	for id, q := range f.reqs {
-		if !q.ended {
-			f.t.Fatalf("%s never answered", id)
+	for id, q := range c.requests {
+		if !q.finished {
+			c.t.Fatalf("%s never answered", id)
 		}
 	}
 }
 
-func (f *referee) randomList(g *rand.Rand, deal func(Event)) {
+func (c *ruleChecker) randomEndpointUpdate(g *rand.Rand, handle func(Event)) {
 	if g.IntN(20) > 0 {
 		return
 	}
 	if g.IntN(6) == 0 {
-		deal(EndpointUpdate{Kind: WatchFailed})
+		handle(EndpointUpdate{Kind: WatchFailed})
 		return
 	}
-	var entries []Endpoint
+	var endpoints []Endpoint
 	kind := Delta
 	if g.IntN(5) == 0 {
 		kind = CompleteList
-		clear(f.active)
+		clear(c.active)
 	}
 	for range g.IntN(8) {
 		n := g.IntN(10)
-		m := Endpoint{ID: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(g.IntN(3))}
+		endpoint := Endpoint{
+			ID:    fmt.Sprint("u", n),
+			Zone:  []string{"a", "b"}[n%2],
+			Cell:  n % 4,
+			State: EndpointState(g.IntN(3)),
+		}
 		if g.IntN(2) == 0 {
-			m.State = Active
+			endpoint.State = Active
 		}
 		if g.IntN(3) == 0 {
-			m.Kind, m.StartedAt = fmt.Sprint("m", g.IntN(3)), f.now-time.Duration(g.IntN(12000))*ms
+			endpoint.Kind = fmt.Sprint("m", g.IntN(3))
+			endpoint.StartedAt = c.now - time.Duration(g.IntN(12000))*ms
 		}
-		delete(f.active, m.ID)
-		if m.State == Active {
-			f.active[m.ID] = m
+		delete(c.active, endpoint.ID)
+		if endpoint.State == Active {
+			c.active[endpoint.ID] = endpoint
 		}
-		entries = append(entries, m)
+		endpoints = append(endpoints, endpoint)
 	}
-	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
+	handle(EndpointUpdate{Kind: kind, Endpoints: endpoints})
 }
 
-func (f *referee) randomRequest(g *rand.Rand, deal func(Event), i int) {
-	c := f.s.Classes[g.IntN(len(f.s.Classes))]
-	id := fmt.Sprint(i, "-", g.Uint32())
-	q := &owed{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
-	f.reqs[id], f.order = q, append(f.order, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], ExpiresAt: q.expires,
-		AffinityKey: []string{"", "k", "l", id}[g.IntN(4)], ExpectedWork: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
-	if g.IntN(50) == 0 && !q.ended {
-		q.ended, q.gone = true, true
-		deal(ClientDisconnected{ID: id})
+func (c *ruleChecker) randomRequest(g *rand.Rand, handle func(Event), tick int) {
+	class := c.settings.Classes[g.IntN(len(c.settings.Classes))]
+	id := fmt.Sprint(tick, "-", g.Uint32())
+	q := &checkedRequest{class: class, expiresAt: c.now + time.Duration(1+g.IntN(int(class.Deadline/ms)))*ms}
+	c.requests[id] = q
+	c.order = append(c.order, id)
+	handle(Request{
+		ID:           id,
+		Class:        class.Name,
+		Tenant:       []string{"t", "v", "?"}[g.IntN(3)],
+		ExpiresAt:    q.expiresAt,
+		AffinityKey:  []string{"", "k", "l", id}[g.IntN(4)],
+		ExpectedWork: time.Duration(g.IntN(3)*g.IntN(100)) * ms,
+	})
+	if g.IntN(50) == 0 && !q.finished {
+		q.finished = true
+		handle(ClientDisconnected{ID: id})
 	}
 }
 
-// noise is what must change nothing: strangers, repeats, stale timers, messages.
-func (f *referee) noise(g *rand.Rand, deal func(Event)) {
+// randomProbeResults reports results of probes in flight, some of them failed or with loads that cannot be true.
+func (c *ruleChecker) randomProbeResults(g *rand.Rand, handle func(Event)) {
+	loads := []float64{0, 3, 90, -1, math.NaN(), math.Inf(1)}
 	for range g.IntN(4) {
-		if n := len(f.probes); n > 0 {
-			i := g.IntN(n)
-			e := ProbeResult{Endpoint: f.probes[i], Elapsed: time.Duration(g.IntN(20)) * ms}
-			e.Load = LoadReport{Reported: g.IntN(4) > 0, InFlight: []float64{0, 3, 90, -1, math.NaN(), math.Inf(1)}[g.IntN(6)]}
-			if g.IntN(5) == 0 {
-				e.Result = Result(g.IntN(8))
-			}
-			f.probes = slices.Delete(f.probes, i, i+1)
-			deal(e)
+		n := len(c.probes)
+		if n == 0 {
+			continue
+		}
+		i := g.IntN(n)
+		e := ProbeResult{Endpoint: c.probes[i], Elapsed: time.Duration(g.IntN(20)) * ms}
+		e.Load = LoadReport{Reported: g.IntN(4) > 0, InFlight: loads[g.IntN(6)]}
+		if g.IntN(5) == 0 {
+			e.Result = Result(g.IntN(8))
 		}
+		c.probes = slices.Delete(c.probes, i, i+1)
+		handle(e)
 	}
+}
+
+// randomUnexpectedEvent sends events that must change nothing: of unknown requests and attempts, spurious timers,
+// probe results that were not asked for, and messages.
+func (c *ruleChecker) randomUnexpectedEvent(g *rand.Rand, handle func(Event)) {
 	switch g.IntN(12) {
 	case 0:
-		deal(Outcome{ID: "nobody", Result: OK, Finished: true})
+		handle(Outcome{ID: "nobody", Result: OK, Finished: true})
 	case 1:
-		if n := len(f.order); n > 0 {
-			id := f.order[g.IntN(n)]
-			deal(Outcome{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Finished: true})
+		if n := len(c.order); n > 0 {
+			id := c.order[g.IntN(n)]
+			unsent := len(c.requests[id].attempts) + g.IntN(3)
+			handle(Outcome{ID: id, Attempt: unsent, Result: OK, Finished: true})
 		}
 	case 2:
-		deal(TimerFired{})
+		handle(TimerFired{})
 	case 3:
-		deal(ClientDisconnected{ID: "nobody"})
-		deal(FirstByte{ID: "nobody"})
-		deal(ProbeResult{Endpoint: "u0"})
-		deal(PeerMessage{Message: "hi"})
+		handle(ClientDisconnected{ID: "nobody"})
+		handle(FirstByte{ID: "nobody"})
+		handle(ProbeResult{Endpoint: "u0"})
+		handle(PeerMessage{Message: "hi"})
 	}
 }
 
-func (f *referee) timersDue(deal func(Event)) {
+func (c *ruleChecker) fireTimers(handle func(Event)) {
 	due := 0
-	f.timers = slices.DeleteFunc(f.timers, func(at time.Duration) bool {
-		if at <= f.now {
+	c.timers = slices.DeleteFunc(c.timers, func(at time.Duration) bool {
+		if at <= c.now {
 			due++
 		}
-		return at <= f.now
+		return at <= c.now
 	})
 	for range due {
-		deal(TimerFired{})
+		handle(TimerFired{})
 	}
 }
 
-func (f *referee) outcomes(g *rand.Rand, deal func(Event)) {
-	for _, id := range f.order {
-		q := f.reqs[id]
+func (c *ruleChecker) randomOutcomes(g *rand.Rand, handle func(Event)) {
+	for _, id := range c.order {
+		q := c.requests[id]
 		for n := 0; n < len(q.attempts); n++ {
-			x := q.attempts[n]
-			if !x.out || f.now < x.limit && g.IntN(12) > 0 {
-				continue
-			}
-			res := Result(g.IntN(int(NotSent) + 1))
-			if f.now >= x.limit {
-				res = Timeout
-			}
-			x.out = false
-			x.mayRun = res != Overloaded && res != ConnectFailed && res != NotSent
-			if res == OK {
-				q.ended = true
-			}
-			e := Outcome{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.at, Finished: q.ended}
-			deal(e)
-			if g.IntN(10) == 0 {
-				deal(e) // the same again
-			}
+			c.randomOutcome(g, handle, id, n)
 		}
-		if !q.ended && f.now > q.expires+20*ms {
-			f.t.Fatalf("%s: no answer %v after its time", id, f.now-q.expires)
+		if !q.finished && c.now > q.expiresAt+20*ms {
+			c.t.Fatalf("%s: no answer %v after the deadline", id, c.now-q.expiresAt)
 		}
 	}
-	f.order = slices.DeleteFunc(f.order, func(id string) bool {
-		q := f.reqs[id]
-		return q.ended && !slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.out })
+	c.order = slices.DeleteFunc(c.order, func(id string) bool {
+		q := c.requests[id]
+		return q.finished && !q.anyInFlight()
 	})
 }
+
+// randomOutcome reports the outcome of an attempt at its timeout, at random before; one in ten is reported twice.
+func (c *ruleChecker) randomOutcome(g *rand.Rand, handle func(Event), id string, n int) {
+	q := c.requests[id]
+	a := q.attempts[n]
+	if !a.inFlight || c.now < a.timeoutAt && g.IntN(12) > 0 {
+		return
+	}
+	result := Result(g.IntN(int(NotSent) + 1))
+	if c.now >= a.timeoutAt {
+		result = Timeout
+	}
+	a.inFlight = false
+	a.mayHaveRun = result != Overloaded && result != ConnectFailed && result != NotSent
+	if result == OK {
+		q.finished = true
+	}
+	e := Outcome{ID: id, Attempt: n, Result: result, Elapsed: c.now - a.sentAt, Finished: q.finished}
+	handle(e)
+	if g.IntN(10) == 0 {
+		handle(e)
+	}
+}
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The four rules hold, by the settings of each moment, while settings are revised under requests in hand; what a class promises
-// stays as it was, whatever the revision says of it.
-func TestRulesUnderRevisions(t *testing.T) {
+// The four rules hold, by the settings at each moment, while the settings are changed with requests in flight. The
+// guarantees of a class stay as they were, whatever the new settings say of them.
+func TestRulesUnderReconfiguration(t *testing.T) {
 	for seed := range uint64(100) {
 		g := rand.New(rand.NewPCG(seed, 13))
 		s := randomSettings(g)
@@ -17,46 +17,62 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Endpoint{}}
-		run(f, g, func(e Event) {
+		c := newRuleChecker(t, s)
+		c.run(g, func(e Event) {
 			if g.IntN(20) == 0 {
-				next := randomSettings(g) // with other groups, windows, cold rules and deadlines, which must not be taken
+				// Other idempotency scopes and windows, warm-up settings and deadlines, which must not be applied.
+				next := randomSettings(g)
 				next.Balancers = s.Balancers
 				if err := b.Reconfigure(next); err != nil {
 					t.Fatal(err)
 				}
-				f.s.MaxAttempts, f.s.Hedging = next.MaxAttempts, next.Hedging
+				c.settings.MaxAttempts = next.MaxAttempts
+				c.settings.Hedging = next.Hedging
 			}
-			for _, a := range b.Handle(f.now, e, nil) {
-				f.action(a)
+			for _, a := range b.Handle(c.now, e, nil) {
+				c.checkAction(a)
 			}
 		}, 400)
 		if n := len(b.requests); n != 0 {
-			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
+			t.Fatalf("seed %d: %d requests retained after all have finished", seed, n)
 		}
 	}
 }
 
-// A revision that cannot be used changes nothing, and none writes into the caller's settings.
-func TestReviseIsAllOrNothing(t *testing.T) {
+// Settings that are not valid change nothing, and Reconfigure never writes into its caller's settings.
+func TestReconfigureIsAllOrNothing(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{"t", 0.5}}
-	r := newRig(t, s)
+	h := newHarness(t, s)
 	next := s
 	next.MaxAttempts, next.PriceProbe = 1, math.NaN()
-	if err := r.b.Reconfigure(next); err == nil || r.b.settings.MaxAttempts != 4 {
-		t.Errorf("%v, %d attempts", err, r.b.settings.MaxAttempts)
+	if err := h.b.Reconfigure(next); err == nil || h.b.settings.MaxAttempts != 4 {
+		t.Errorf("%v, %d attempts", err, h.b.settings.MaxAttempts)
 	}
-	next.PriceProbe, next.Tenants = 0, []Tenant{{"t", 0.25}, {"u", 0.25}}
-	next.Classes = []Class{{Name: "c", LatencyObjective: time.Second, Deadline: 9 * time.Second, Effect: NonIdempotent, Weight: 7, LateWeight: 0.5}}
-	if err := r.b.Reconfigure(next); err != nil {
+	next.PriceProbe = 0
+	next.Tenants = []Tenant{{"t", 0.25}, {"u", 0.25}}
+	next.Classes = []Class{{
+		Name:             "c",
+		LatencyObjective: time.Second,
+		Deadline:         9 * time.Second,
+		Effect:           NonIdempotent,
+		Weight:           7,
+		LateWeight:       0.5,
+	}}
+	if err := h.b.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	c := r.b.classes["c"]
-	if c.Weight != 7 || c.LateWeight != 0.5 || c.Effect != Idempotent || c.Deadline != time.Second || c.LatencyObjective != 200*ms || r.b.settings.MaxAttempts != 1 {
-		t.Errorf("%+v", c)
+	c := h.b.classes["c"]
+	if c.Weight != 7 || c.LateWeight != 0.5 {
+		t.Errorf("weights not applied: %+v", c)
 	}
-	if r.b.settings.Tenants[0].Fraction != 0.25 || len(r.b.settings.Tenants) != 1 || s.Tenants[0].Fraction != 0.5 {
-		t.Errorf("tenants %+v, the caller's %+v", r.b.settings.Tenants, s.Tenants)
+	if c.Effect != Idempotent || c.Deadline != time.Second || c.LatencyObjective != 200*ms {
+		t.Errorf("guarantees changed: %+v", c)
+	}
+	if h.b.settings.MaxAttempts != 1 {
+		t.Errorf("%d attempts", h.b.settings.MaxAttempts)
+	}
+	if h.b.settings.Tenants[0].Fraction != 0.25 || len(h.b.settings.Tenants) != 1 || s.Tenants[0].Fraction != 0.5 {
+		t.Errorf("tenants %+v, the caller's %+v", h.b.settings.Tenants, s.Tenants)
 	}
 }
--- /dev/null
+++ b/balancer/retry_test.go
@@ -0,0 +1,106 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Retries and hedges have a budget relative to first attempts.
+func TestRetryBudget(t *testing.T) {
+	w := newWorkload(t, testSettings(), func(string) (Result, time.Duration) { return ServerError, 5 * ms })
+	w.addEndpoints(8)
+	w.run(20*time.Second, 100)
+	total := w.totalAttempts()
+	if limit := float64(w.requests)*(1+retryRatio) + retryBurst; float64(total) > limit {
+		t.Errorf("%d attempts for %d requests", total, w.requests)
+	}
+}
+
+// Failed connections are retried outside the budget, and do not use up what hedges need later.
+func TestFailedConnectionsDoNotOverdrawTheBudget(t *testing.T) {
+	w := newWorkload(t, testSettings(), func(string) (Result, time.Duration) { return ConnectFailed, 0 })
+	w.addEndpoints(4)
+	w.run(5*time.Second, 100)
+	if w.b.retryTokens < 0 {
+		t.Errorf("budget %v", w.b.retryTokens)
+	}
+}
+
+// Rejected requests earn no retries: the budget is relative to first attempts.
+func TestRejectedRequestsEarnNoRetries(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.addEndpoints(4)
+	h.b.retryTokens = 0
+	for i := range 10 {
+		h.wantSend(h.request(fmt.Sprint(i), "c", time.Second))
+	}
+	if h.b.retryTokens != 10*retryRatio {
+		t.Errorf("budget %.2f after ten first attempts", h.b.retryTokens)
+	}
+	h.now += 150 * ms // without an answer: all further requests are rejected
+	for i := range 100 {
+		h.wantAnswer(h.request(fmt.Sprint("late", i), "c", time.Second), Reject)
+	}
+	if h.b.retryTokens != 10*retryRatio {
+		t.Errorf("budget %.2f after a hundred rejections", h.b.retryTokens)
+	}
+}
+
+// Hedging stops before first attempts are rejected: near the limit, hedges add load where endpoints are overloaded.
+func TestNoHedgesNearTheLimit(t *testing.T) {
+	for _, c := range []struct {
+		inFlight   int
+		wantHedges bool
+	}{ // the limit is 26: 0.65 of the objective of 200 ms at 200 answers a second
+		{15, true},
+		{24, false},
+	} {
+		h := newHarness(t, testSettings())
+		h.addEndpoints(4)
+		for range 400 {
+			h.now += 5 * ms
+			h.b.servedRate.add(1, h.now)
+		}
+		h.b.lateLatency.value = 0.08
+		h.wantSend(h.request("r", "c", time.Second))
+		h.trackInFlight(c.inFlight)
+		hedges := 0
+		for range 24 {
+			h.b.servedRate.add(1, h.now)
+			hedges += len(actionsOfKind(h.advance(5*ms), Send))
+		}
+		if hedges > 0 != c.wantHedges {
+			t.Errorf("%d hedges with %d in flight, pressure %.2f", hedges, c.inFlight, h.b.pressure())
+		}
+	}
+}
+
+// Idle connections of many sidecars fill the connection tables of all endpoints: where an open connection costs more
+// than a handshake, it is closed after the last attempt on it.
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	for _, c := range []struct {
+		balancers       int
+		open, handshake float64
+		want            int
+	}{
+		{1000, 0.08, 0.08, 1},
+		{50, 0.08, 0.08, 0},
+		{1000, 0, 0.08, 0},
+		{1000, 0, 0, 0},
+		{2, 0.01, 0, 1},
+	} {
+		s := testSettings()
+		s.Balancers, s.PriceOpenConnection, s.PriceHandshake = c.balancers, c.open, c.handshake
+		h := newHarness(t, s)
+		h.addEndpoints(1)
+		h.request("a", "c", time.Second)
+		h.request("b", "c", time.Second)
+		if n := len(actionsOfKind(h.reportOutcome("a", 0, OK, 20*ms), CloseIdle)); n != 0 {
+			t.Errorf("%+v: closed with an attempt outstanding", c)
+		}
+		if n := len(actionsOfKind(h.reportOutcome("b", 0, OK, 20*ms), CloseIdle)); n != c.want {
+			t.Errorf("%+v: closed %d times, want %d", c, n, c.want)
+		}
+	}
+}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,100 +7,98 @@
 	"time"
 )
 
-// met plays n requests, gap apart, and counts what each upstream got.
-func met(r *rig, name string, n int, gap time.Duration) map[string]int {
-	got := map[string]int{}
+// attemptsPerEndpoint sends n requests, interval apart and answered after 20 ms, and counts each endpoint's attempts.
+func (h *harness) attemptsPerEndpoint(idPrefix string, n int, interval time.Duration) map[string]int {
+	attempts := map[string]int{}
 	for i := range n {
-		id := fmt.Sprint(name, i)
-		for _, a := range kinds(r.request(id, "c", time.Second), Send) {
-			got[a.Endpoint]++
+		id := fmt.Sprint(idPrefix, i)
+		for _, a := range actionsOfKind(h.request(id, "c", time.Second), Send) {
+			attempts[a.Endpoint]++
 		}
-		r.now += min(gap, 20*ms)
-		r.result(id, 0, OK, 20*ms)
-		r.now += gap - min(gap, 20*ms)
+		h.now += min(interval, 20*ms)
+		h.reportOutcome(id, 0, OK, 20*ms)
+		h.now += interval - min(interval, 20*ms)
 	}
-	return got
+	return attempts
 }
 
-// At two requests a second over a long list no upstream is heard of twice before its estimate is stale: a quiet sidecar
-// draws from a few, a busy one from all; other sidecars have other few; what leaves or is ejected is made up for.
+// At two requests a second over a long list no endpoint answers twice before its estimate is stale: a sidecar with few
+// requests draws from a few endpoints, one with many from all. Other sidecars draw from others, and endpoints that are
+// removed or ejected are replaced.
 func TestQuietSidecarDrawsFromASubset(t *testing.T) {
-	all := map[string]int{}
+	subsets := map[string]int{} // how many subsets hold the endpoint
 	s := testSettings()
 	s.Balancers = 60
 	for seed := range uint64(60) {
-		b, err := New(s, seed)
-		if err != nil {
-			t.Fatal(err)
+		h := newSeededHarness(t, s, seed)
+		h.addEndpoints(30)
+		attempts := h.attemptsPerEndpoint("q", 60, 500*ms)
+		if len(attempts) > 12 {
+			t.Fatalf("a quiet sidecar used %d of 30", len(attempts))
 		}
-		r := &rig{t: t, b: b, now: time.Minute}
-		r.fleet(30)
-		got := met(r, "q", 60, 500*ms)
-		if len(got) > 12 {
-			t.Fatalf("a quiet sidecar met %d of 30", len(got))
-		}
-		for u := range got {
-			all[u]++
+		for endpoint := range attempts {
+			subsets[endpoint]++
 		}
 		if seed > 0 {
 			continue
 		}
-		// At 20 a second it would hear each of all too seldom for its estimates, which decay in a second, too.
-		if n := len(met(r, "m", 200, 50*ms)); n > 14 {
-			t.Errorf("at 20 requests a second it met %d of 30", n)
+		// At 20 a second, too, answers of each of all endpoints would be too rare for estimates that decay in a second.
+		if n := len(h.attemptsPerEndpoint("m", 200, 50*ms)); n > 14 {
+			t.Errorf("at 20 requests a second it used %d of 30", n)
 		}
-		for u := range got { // every one of them dies
-			r.b.endpointsByID[u].ejectedUntil = math.MaxInt64
+		for endpoint := range attempts { // all of the subset fail
+			h.b.endpointsByID[endpoint].ejectedUntil = math.MaxInt64
 		}
-		if n := len(met(r, "d", 60, 500*ms)); n < 4 {
-			t.Errorf("%d upstreams in place of those ejected", n)
+		if n := len(h.attemptsPerEndpoint("d", 60, 500*ms)); n < 4 {
+			t.Errorf("%d endpoints in place of those ejected", n)
 		}
-		for _, ep := range r.b.endpoints {
+		for _, ep := range h.b.endpoints {
 			ep.ejectedUntil = 0
 		}
-		if n := len(met(r, "b", 3000, 10*ms)); n < 28 {
-			t.Errorf("a busy sidecar met %d of 30", n)
+		if n := len(h.attemptsPerEndpoint("b", 3000, 10*ms)); n < 28 {
+			t.Errorf("a busy sidecar used %d of 30", n)
 		}
 	}
-	for u, n := range all {
+	for endpoint, n := range subsets {
 		if n < 3 || n > 40 { // about 15 of 60
-			t.Errorf("%s is in %d of 60 subsets", u, n)
+			t.Errorf("%s is in %d of 60 subsets", endpoint, n)
 		}
 	}
-	if len(all) != 30 {
-		t.Errorf("together they met %d of 30", len(all))
+	if len(subsets) != 30 {
+		t.Errorf("together they used %d of 30", len(subsets))
 	}
 }
 
-// Cheap probes tell anew each time; a subset would only load upstreams less evenly (album-zagreb rough-2).
+// Cheap probes return the current load each time; a subset would only load endpoints less evenly.
 func TestNoSubsetWhereProbesAreCheap(t *testing.T) {
-	r := newRig(t, probeSettings())
-	r.fleet(30)
-	got := map[string]int{}
+	h := newHarness(t, probeSettings())
+	h.addEndpoints(30)
+	probes := map[string]int{}
 	for i := range 200 {
-		for _, p := range kinds(r.request(fmt.Sprint(i), "c", time.Second), Probe) {
-			got[p.Endpoint]++
+		for _, probe := range actionsOfKind(h.request(fmt.Sprint(i), "c", time.Second), Probe) {
+			probes[probe.Endpoint]++
 		}
-		r.now += 500 * ms
-		r.do(TimerFired{})
-		r.do(ClientDisconnected{ID: fmt.Sprint(i)})
+		h.now += 500 * ms
+		h.handle(TimerFired{})
+		h.handle(ClientDisconnected{ID: fmt.Sprint(i)})
 	}
-	if len(got) < 25 {
-		t.Errorf("asked %d of 30", len(got))
+	if len(probes) < 25 {
+		t.Errorf("probed %d of 30", len(probes))
 	}
 }
 
-// The subsets of few sidecars would load upstreams unevenly (nairobi-booking): they draw from all.
+// The subsets of few sidecars would load endpoints unevenly: few sidecars draw from all.
 func TestNoSubsetAmongFewSidecars(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.fleet(30)
-	if got := met(r, "q", 200, 500*ms); len(got) < 25 {
-		t.Errorf("met %d of 30", len(got))
+	h := newHarness(t, testSettings())
+	h.addEndpoints(30)
+	if attempts := h.attemptsPerEndpoint("q", 200, 500*ms); len(attempts) < 25 {
+		t.Errorf("used %d of 30", len(attempts))
 	}
 }
 
-// zonedFleet has upstreams of two zones, of which small are in zone b.
-func zonedFleet(t *testing.T, sidecars, n, small int, seed uint64) *Balancer {
+// newTwoZoneBalancer returns a balancer with endpoints in two zones, inZoneB of them in zone b and the others in zone
+// a. Its own zone is a for an even seed and b for an odd one.
+func newTwoZoneBalancer(t *testing.T, sidecars, endpoints, inZoneB int, seed uint64) *Balancer {
 	t.Helper()
 	s := testSettings()
 	s.Balancers, s.Zone, s.PriceCrossZone = sidecars, "a", 0.2
@@ -112,55 +110,60 @@
 		t.Fatal(err)
 	}
 	var list []Endpoint
-	for i := range n {
-		m := Endpoint{ID: fmt.Sprint("u", i), Zone: "a", Kind: "k"}
-		if i < small {
-			m.Zone = "b"
+	for i := range endpoints {
+		endpoint := Endpoint{ID: fmt.Sprint("u", i), Zone: "a", Kind: "k"}
+		if i < inZoneB {
+			endpoint.Zone = "b"
 		}
-		list = append(list, m)
+		list = append(list, endpoint)
 	}
 	b.Handle(time.Minute, EndpointUpdate{Kind: CompleteList, Endpoints: list}, nil)
 	return b
 }
 
-// Where crossings cost and hardly weigh in the pick, most of a subset is from home. Guards against two or three upstreams of
-// home in a subset of ten, of which the better is often worse than any of the others. In a fleet of 80 a crossing still weighs,
-// and half of the subset leaves room to go elsewhere.
-func TestMostOfASubsetIsFromHome(t *testing.T) {
-	for _, c := range []struct{ sidecars, n, small, least, most int }{
-		{300, 60, 12, 8, 9}, {300, 60, 2, 2, 2}, {300, 60, 0, 0, 0}, {300, 13, 12, 9, 10}, {80, 600, 150, 5, 7},
-		{20, 600, 150, 0, 5}, // what chance gives
+// Where crossing zones has a price but hardly counts in the pick, most of a subset is from the home zone. This prevents
+// subsets of ten with two or three endpoints of the home zone, of which the better is often worse than any of the
+// others. Among 80 sidecars the price still counts, and half of the subset leaves room to go elsewhere.
+func TestMostOfASubsetIsFromTheHomeZone(t *testing.T) {
+	for _, c := range []struct{ sidecars, endpoints, atHome, minHome, maxHome int }{
+		{300, 60, 12, 8, 9},
+		{300, 60, 2, 2, 2},
+		{300, 60, 0, 0, 0},
+		{300, 13, 12, 9, 10},
+		{80, 600, 150, 5, 7},
+		{20, 600, 150, 0, 5}, // as by chance
 	} {
-		b := zonedFleet(t, c.sidecars, c.n, c.small, 1)
-		home, far := 0, 0
+		b := newTwoZoneBalancer(t, c.sidecars, c.endpoints, c.atHome, 1)
+		home, others := 0, 0
 		for _, ep := range b.endpoints {
-			if ep.inSubset && ep.zone == "b" {
+			switch {
+			case ep.inSubset && ep.zone == "b":
 				home++
-			} else if ep.inSubset {
-				far++
+			case ep.inSubset:
+				others++
 			}
 		}
-		if home < c.least || home > c.most || home+far != 10 {
-			t.Errorf("%d sidecars, %d upstreams, %d of them at home: %d and %d in the subset, want %d to %d", c.sidecars, c.n, c.small, home, far, c.least, c.most)
+		if home < c.minHome || home > c.maxHome || home+others != 10 {
+			t.Errorf("%+v: %d of the home zone and %d others in the subset", c, home, others)
 		}
 	}
 }
 
-// What all sidecars together may send to a cold upstream stays what it is by the mean, also where zones are of different
-// sizes: their subsets hold the few of a small zone far more often.
-func TestColdSharesOfUnevenZones(t *testing.T) {
-	const sidecars, upstreams, small = 400, 60, 6
-	sum := map[string]float64{}
+// What all sidecars together may send to an endpoint that is warming up stays what the mean load allows, also where
+// zones are of different sizes: far more subsets hold an endpoint of a small zone.
+func TestWarmUpSharesOfUnevenZones(t *testing.T) {
+	const sidecars, endpoints, inZoneB = 400, 60, 6
+	shares := map[string]float64{}
 	for seed := range uint64(sidecars) {
-		b := zonedFleet(t, 300, upstreams, small, seed)
+		b := newTwoZoneBalancer(t, 300, endpoints, inZoneB, seed)
 		for _, ep := range b.endpoints {
-			sum[ep.zone] += b.warmUpShare(ep) / sidecars
+			shares[ep.zone] += b.warmUpShare(ep) / sidecars
 		}
 	}
-	for zone, n := range map[string]int{"a": upstreams - small, "b": small} {
-		// A zone may have homeSkew times the mean traffic: then what is 0.8 here is one.
-		if got := sum[zone] / float64(n) * upstreams; got < 0.7 || got > 1 {
-			t.Errorf("zone %s of %d upstreams: together %.2f of a mean load each", zone, n, got)
+	for zone, n := range map[string]int{"a": endpoints - inZoneB, "b": inZoneB} {
+		// A zone may have homeZoneSkew times the mean traffic: then a share of 0.8 here is one.
+		if got := shares[zone] / float64(n) * endpoints; got < 0.7 || got > 1 {
+			t.Errorf("zone %s of %d endpoints: together %.2f of a mean load each", zone, n, got)
 		}
 	}
 }
