--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -5,17 +5,20 @@
 	"time"
 )
 
-// An upstream that came up shortly before the sidecar is cold all the same: its time must not be taken for long ago.
-func TestClock(t *testing.T) {
+// An endpoint that started shortly before the sidecar is still warming up: its start time must not count as long ago.
+func TestClockConversions(t *testing.T) {
 	c := newClock()
-	up := float64(time.Now().Add(-3 * time.Second).UnixMilli())
-	if age := c.now() - c.fromUnixMS(up); age < 2*time.Second || age > time.Minute {
-		t.Errorf("an upstream 3 s old is %v old", age)
+	startedAtMS := float64(time.Now().Add(-3 * time.Second).UnixMilli())
+	if age := c.now() - c.fromUnixMS(startedAtMS); age < 2*time.Second || age > time.Minute {
+		t.Errorf("the age of an endpoint started 3 s ago is %v", age)
 	}
-	if c.fromUnixMS(up) != c.fromUnixMS(up) || c.fromUnixMS(0) != 0 || c.fromUnixMS(float64(c.base.UnixMilli()-1)) != 0 {
-		t.Error("long ago is not 0")
+	first := c.fromUnixMS(startedAtMS)
+	second := c.fromUnixMS(startedAtMS)
+	beforeBase := c.fromUnixMS(float64(c.base.UnixMilli() - 1))
+	if first != second || c.fromUnixMS(0) != 0 || beforeBase != 0 {
+		t.Error("a time before the clock's base is not 0, or a conversion is not repeatable")
 	}
-	if at := c.now(); c.at(c.timeAt(at)) != at {
-		t.Error("the clock does not map back")
+	if now := c.now(); c.at(c.timeAt(now)) != now {
+		t.Error("at does not invert timeAt")
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -93,7 +93,7 @@
 	e := &Engine{
 		clock:              newClock(),
 		transport:          cfg.Transport,
-		log:                log,
+		log:                log.With("component", "engine"),
 		listIsPushed:       !cfg.Settings.MustSubscribe,
 		maxCalls:           cfg.MaxCalls,
 		cancelOnDisconnect: cfg.CancelOnDisconnect,
--- /dev/null
+++ b/internal/engine/races_test.go
@@ -0,0 +1,234 @@
+package engine
+
+import (
+	"context"
+	"fmt"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"hazelwing/balancer"
+	"hazelwing/internal/testutil"
+)
+
+// These tests cover races between two events of the engine; docs/design/crossings.md has the table.
+
+// A client that Disconnected reports as gone gets no retry, even if Do's context has not ended yet.
+func TestNoRetryAfterClientDisconnected(t *testing.T) {
+	f := newFakeNetwork()
+	e := newEngine(t, f, testSettings(), 3)
+	runEngine(t, e)
+	var disconnected atomic.Bool
+	c := newTestCall("1", "look")
+	c.Disconnected = disconnected.Load
+	results := startCall(t.Context(), e, c)
+	attempt := testutil.Receive(t, f.attempts, "the attempt")
+	mayStart := attempt.call.MayStart()
+	if !mayStart() {
+		t.Error("an attempt for a connected client may not start")
+	}
+	disconnected.Store(true)
+	if mayStart() {
+		t.Error("an attempt for a disconnected client may start")
+	}
+	attempt.outcome <- Outcome{Result: balancer.Overloaded}
+	if r := testutil.Receive(t, results, "the result"); r.Kind != Disconnected || len(f.attempts) > 0 {
+		t.Errorf("result %+v, and %d more attempts", r, len(f.attempts))
+	}
+}
+
+// Do's context has ended, but the event that says so is still queued behind others: neither a new call nor a retry is
+// sent.
+func TestDisconnectQueuedBehindOtherEvents(t *testing.T) {
+	f := newFakeNetwork()
+	e := newSteppedEngine(t, f, testSettings(), 3)
+	ctx, disconnect := context.WithCancel(t.Context())
+	first := newTestCall("1", "look")
+	second := newTestCall("2", "look")
+	first.ctx = ctx
+	second.ctx = ctx
+	e.handleCall(first)
+	attempt := testutil.Receive(t, f.attempts, "the attempt")
+	disconnect()
+	attemptEnded{first, 0, Outcome{Result: balancer.Overloaded}}.handle(e) // before callDisconnected{first}
+	e.handleCall(second)
+	if len(f.attempts) > 0 {
+		t.Error("an attempt was sent for a disconnected client")
+	}
+	for _, c := range []*Call{first, second} {
+		if r := testutil.Receive(t, c.result, "the result"); r.Kind != Disconnected {
+			t.Errorf("call %s: result %+v", c.ID, r)
+		}
+		callDisconnected{c}.handle(e) // comes later, and changes nothing
+	}
+	if len(e.calls) > 0 || len(first.result)+len(second.result) > 0 {
+		t.Errorf("%d calls in flight, or more than one result", len(e.calls))
+	}
+	attempt.outcome <- Outcome{}
+}
+
+// A retry of a call with an idempotency key may start only within the idempotency window, in which the endpoints that
+// saw the first attempt drop its repeat. The window counts up to the first byte, however long the dial or the wait for
+// a connection takes.
+func TestRetryNotStartedAfterIdempotencyWindow(t *testing.T) {
+	const window = 200 * time.Millisecond
+	settings := testSettings()
+	settings.Classes = append(settings.Classes, balancer.Class{
+		Name:              "pay",
+		LatencyObjective:  testutil.WaitTimeout,
+		Deadline:          testutil.WaitTimeout,
+		Effect:            balancer.Keyed,
+		IdempotencyScope:  balancer.ScopeAll,
+		IdempotencyWindow: window,
+	})
+	f := newFakeNetwork()
+	e := newSteppedEngine(t, f, settings, 3)
+	c := newTestCall("1", "pay")
+	startedAt := time.Now()
+	e.handleCall(c)
+	firstMayStart := testutil.Receive(t, f.attempts, "the attempt").call.MayStart()
+	attemptEnded{c, 0, Outcome{Result: balancer.Reset}}.handle(e) // it may have run
+	retryMayStart := testutil.Receive(t, f.attempts, "the retry").call.MayStart()
+	allowed := retryMayStart()
+	askedAfter := time.Since(startedAt)
+	if !allowed && askedAfter < window/2 {
+		t.Error("the retry may not start within the window")
+	}
+	time.Sleep(time.Until(startedAt.Add(window)))
+	if retryMayStart() {
+		t.Error("the retry may start after the window")
+	}
+	if !firstMayStart() {
+		t.Error("the first attempt, which has no prior attempt, is limited to the window")
+	}
+}
+
+// Where lists are pushed, calls wait for the agent's first update: what the agent has counts as known from the start
+// on.
+func TestFirstUpdateOfPushedListPrecedesCalls(t *testing.T) {
+	f := newFakeNetwork()
+	settings := testSettings()
+	settings.MustSubscribe = false
+	e := newEngine(t, f, settings, 2)
+	const calls = 12
+	for i := range calls { // queued before anything else happens
+		e.events <- callArrived{newTestCall(fmt.Sprint(i), "look")}
+	}
+	runEngine(t, e)
+	w := testutil.Receive(t, f.watches, "the watch")
+	w.notify(EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: drainingEndpoint()})
+	for range calls {
+		attempt := testutil.Receive(t, f.attempts, "the attempt")
+		if attempt.endpoint != "m1" {
+			t.Errorf("sent to %s, which is draining", attempt.endpoint)
+		}
+		attempt.outcome <- Outcome{Result: balancer.OK, Final: true}
+	}
+}
+
+// An agent that sends no update delays calls by firstUpdateTimeout only.
+func TestCallsProceedWithoutFirstUpdate(t *testing.T) {
+	f := newFakeNetwork()
+	settings := testSettings()
+	settings.MustSubscribe = false
+	e := newEngine(t, f, settings, 2)
+	runEngine(t, e)
+	results := startCall(t.Context(), e, newTestCall("1", "look"))
+	testutil.Receive(t, f.attempts, "the attempt").outcome <- Outcome{Result: balancer.OK, Final: true}
+	if r := testutil.Receive(t, results, "the result"); r.Kind != Served {
+		t.Errorf("result %+v", r)
+	}
+}
+
+// A drain that a watch reported just before another watch replaced it is applied, but only to the process that it was
+// reported of.
+func TestDrainFromReplacedWatch(t *testing.T) {
+	for name, c := range map[string]struct {
+		startedAtMS  float64
+		wantDraining bool
+	}{
+		"the same process":   {0, true},
+		"an earlier process": {-1, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFakeNetwork()
+			next := newFakeNetwork()
+			e := newSteppedEngine(t, f, testSettings(), 2)
+			replaced := testutil.Receive(t, f.watches, "the first watch")
+			draining := drainingEndpoint()
+			draining[0].StartedAtMS = c.startedAtMS
+			// This update is still queued when the source changes.
+			replaced.notify(EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: draining})
+			sourceChanged{next}.handle(e)
+			update := EndpointUpdate{Kind: balancer.Delta, Version: 3}
+			testutil.Receive(t, next.watches, "the new watch").notify(update)
+			e.handleUpdate(watchUpdate{watch: e.watch, EndpointUpdate: update}) // the new source has answered
+			for len(e.updates) > 0 {
+				e.step(nil)
+			}
+			if got := f.endpoints["m0"].State != balancer.Active; got != c.wantDraining {
+				t.Errorf("draining: %v, want %v", got, c.wantDraining)
+			}
+		})
+	}
+}
+
+// When the engine stops, a call with attempts that may have run before a restart is not Rejected.
+func TestShutdownFailsCallWithPriorAttempts(t *testing.T) {
+	f := newFakeNetwork()
+	e := newSteppedEngine(t, f, testSettings(), 0) // without endpoints the call waits
+	c := newTestCall("1", "look")
+	c.PriorAttempts = []PriorAttempt{{Zone: "a", SentAt: time.Now()}}
+	e.handleCall(c)
+	e.shutDown()
+	if r := testutil.Receive(t, c.result, "the result"); r.Kind != Failed {
+		t.Errorf("result %+v, want a failure", r)
+	}
+}
+
+// After a change of source a list of a lower version may be stale: a process that was reported as draining stays
+// draining, another process of that endpoint is used, and the complete list is asked for again once the new source has
+// had time to learn of the drain.
+func TestStaleListAfterSourceChange(t *testing.T) {
+	for name, c := range map[string]struct {
+		version      int64 // of the new source's list
+		startedAtMS  float64
+		wantDraining bool
+	}{
+		"older list":      {5, 0, true},
+		"newer list":      {9, 0, false},
+		"another process": {5, 1, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFakeNetwork()
+			next := newFakeNetwork()
+			e := newSteppedEngine(t, f, testSettings(), 2)
+			first := testutil.Receive(t, f.watches, "the first watch")
+			first.notify(EndpointUpdate{Kind: balancer.Delta, Version: 8, Endpoints: drainingEndpoint()})
+			e.step(nil)
+			sourceChanged{next}.handle(e)
+			list := testEndpoints(2)
+			list[0].StartedAtMS = c.startedAtMS
+			second := testutil.Receive(t, next.watches, "the new watch")
+			second.notify(EndpointUpdate{Kind: balancer.CompleteList, Version: c.version, Endpoints: list})
+			e.step(nil)
+			if got := f.endpoints["m0"].State != balancer.Active; got != c.wantDraining {
+				t.Fatalf("draining: %v, want %v", got, c.wantDraining)
+			}
+			if !c.wantDraining {
+				return
+			}
+			relistDue{e.watch}.handle(e)
+			e.sourceChangedAt = e.sourceChangedAt.Add(-staleListPeriod)
+			w := testutil.Receive(t, next.watches, "the watch for the complete list")
+			if w.version != UnknownVersion {
+				t.Errorf("the watch starts from version %d", w.version)
+			}
+			w.notify(EndpointUpdate{Kind: balancer.CompleteList, Version: 6, Endpoints: testEndpoints(2)})
+			e.step(nil)
+			if f.endpoints["m0"].State != balancer.Active {
+				t.Error("the endpoint is not active again after staleListPeriod")
+			}
+		})
+	}
+}
