--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
+	"strings"
 	"testing"
 	"time"
 
@@ -207,3 +209,22 @@
 		t.Errorf("the result is %+v, want a rejection", r)
 	}
 }
+
+// Log lines, those of the Balancer included, name the engine as their component and are unchanged otherwise.
+func TestLogLinesHaveComponent(t *testing.T) {
+	var log strings.Builder
+	f := newFakeNetwork()
+	e, err := New(Config{
+		Settings:  testSettings(),
+		Transport: f,
+		Source:    f,
+		Log:       slog.New(slog.NewTextHandler(&log, nil)),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	e.logAction(&balancer.Action{Text: "message", Attributes: []balancer.Attribute{{Key: "endpoint", Value: "m0"}}})
+	if line := log.String(); !strings.HasSuffix(line, " level=INFO msg=message component=engine endpoint=m0\n") {
+		t.Errorf("the line is %q", line)
+	}
+}
