--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -112,7 +112,7 @@
 	newlyReached := u.Reachable && !e.sourceReachable
 	e.sourceReachable = u.Reachable
 	if !e.listLost {
-		e.log.Warn("endpoint list watch failed", "err", u.Err)
+		e.log.Warn("endpoint list watch failed", "error", u.Err)
 	}
 	if !e.listIsPushed {
 		e.decide(balancer.EndpointUpdate{Kind: balancer.WatchFailed, NewlyReached: newlyReached})
