--- a/cmd/hazelwing/cost_test.go
+++ b/cmd/hazelwing/cost_test.go
@@ -21,7 +21,7 @@
 	}
 	r := newDaemonRig(t, "")
 	const length = 8 * time.Second
-	shot := load.Shot{
+	shot := load.ScheduledRequest{
 		Class:    "look",
 		Effect:   "safe",
 		Deadline: testutil.WaitTimeout,
@@ -35,7 +35,7 @@
 		}
 		target := load.NewHTTP("http://" + r.addr)
 		defer target.Close()
-		report := load.Run(t.Context(), plan, []load.Target{target}, func(int, load.Kind, time.Duration) {})[0]
+		report := load.Run(t.Context(), plan, []load.Target{target}, func(int, load.Outcome, time.Duration) {})[0]
 		cmd := r.cmd
 		r.kill()
 		return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime(), report
@@ -44,14 +44,14 @@
 	for _, rate := range []float64{100, 300, 1000, 2000} {
 		processorTime, report := measure(rate)
 		requests := 0
-		for _, count := range report.Kinds {
+		for _, count := range report.Outcomes {
 			requests += count
 		}
 		perRequest := ((processorTime - idle) / time.Duration(requests)).Round(time.Microsecond)
 		t.Logf("%.0f a second: %v of a core's time a request, %.2f of a core; p50 %.1f ms, p99 %.1f ms; %v",
-			rate, perRequest, processorTime.Seconds()/length.Seconds(), report.P50, report.P99, report.Kinds)
-		if report.Kinds["served"] < requests*9/10 {
-			t.Errorf("%.0f a second: %v", rate, report.Kinds)
+			rate, perRequest, processorTime.Seconds()/length.Seconds(), report.P50, report.P99, report.Outcomes)
+		if report.Outcomes["served"] < requests*9/10 {
+			t.Errorf("%.0f a second: %v", rate, report.Outcomes)
 		}
 	}
 }
--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -120,19 +120,19 @@
 // What hazelwing load prints as JSON, and the names of kinds in it.
 func TestLoadReportFormatIsStable(t *testing.T) {
 	report := load.Report{
-		Target:  "http://127.0.0.1:8080",
-		Kinds:   map[string]int{},
-		P50:     1.5,
-		P90:     2.5,
-		P99:     3.5,
-		P999:    4.5,
-		Max:     5.5,
-		LateP50: 0.5,
-		LateP99: 0.75,
-		Slow:    true,
+		Target:       "http://127.0.0.1:8080",
+		Outcomes:     map[string]int{},
+		P50:          1.5,
+		P90:          2.5,
+		P99:          3.5,
+		P999:         4.5,
+		Max:          5.5,
+		SendDelayP50: 0.5,
+		SendDelayP99: 0.75,
+		Slow:         true,
 	}
 	for kind := load.Served; kind <= load.Unsent; kind++ {
-		report.Kinds[kind.String()] = int(kind) + 1
+		report.Outcomes[kind.String()] = int(kind) + 1
 	}
 	testutil.Filled(t, report)
 	testutil.ExplicitNames(t, "json", report)
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -171,11 +171,11 @@
 		c.generation = generation
 	}
 	message := load.Message{
-		ID:       id,
-		Class:    class.Name,
-		Effect:   class.Effect,
-		Patience: 3 * time.Second,
-		Work:     12 * time.Millisecond,
+		ID:      id,
+		Class:   class.Name,
+		Effect:  class.Effect,
+		Timeout: 3 * time.Second,
+		Work:    12 * time.Millisecond,
 	}
 	if class.Effect != "safe" {
 		message.Key = key
--- a/cmd/hazelwing/load.go
+++ b/cmd/hazelwing/load.go
@@ -76,7 +76,7 @@
 	defer stop()
 	progress := &loadProgress{
 		out:    progressOut,
-		counts: make([]map[load.Kind]int, len(targets)),
+		counts: make([]map[load.Outcome]int, len(targets)),
 	}
 	if term.IsTerminal(int(os.Stderr.Fd())) {
 		stopProgress := progress.start(ctx)
@@ -130,7 +130,7 @@
 	for _, r := range reports {
 		if r.Slow {
 			return fmt.Errorf("one in a hundred requests was sent %.1f ms late: "+
-				"this machine was too slow, and the figures mean nothing", r.LateP99)
+				"this machine was too slow, and the figures mean nothing", r.SendDelayP99)
 		}
 	}
 	return nil
@@ -142,9 +142,9 @@
 		"P50 MS\tP90\tP99\tP99.9\tMAX\tSENT LATE BY, P99 MS")
 	for _, r := range reports {
 		printf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t", r.Target,
-			r.Kinds["served"], r.Kinds["refused"], r.Kinds["failed"],
-			r.Kinds["broken"], r.Kinds["late"], r.Kinds["unsent"])
-		printf(table, "%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\n", r.P50, r.P90, r.P99, r.P999, r.Max, r.LateP99)
+			r.Outcomes["served"], r.Outcomes["refused"], r.Outcomes["failed"],
+			r.Outcomes["broken"], r.Outcomes["late"], r.Outcomes["unsent"])
+		printf(table, "%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\n", r.P50, r.P90, r.P99, r.P999, r.Max, r.SendDelayP99)
 	}
 	return table.Flush()
 }
@@ -154,7 +154,7 @@
 	out io.Writer
 
 	mu     sync.Mutex // guards counts
-	counts []map[load.Kind]int
+	counts []map[load.Outcome]int
 }
 
 // start prints the counts at intervals, in a goroutine. The function that it returns ends the goroutine and waits for
@@ -170,11 +170,11 @@
 }
 
 // count counts the end of a request. load.Run calls it from the goroutines of the requests.
-func (p *loadProgress) count(target int, kind load.Kind, _ time.Duration) {
+func (p *loadProgress) count(target int, kind load.Outcome, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.counts[target] == nil {
-		p.counts[target] = map[load.Kind]int{}
+		p.counts[target] = map[load.Outcome]int{}
 	}
 	p.counts[target][kind]++
 }
@@ -184,7 +184,7 @@
 	defer p.mu.Unlock()
 	for i, counts := range p.counts {
 		printf(p.out, "%d: %d served, %d refused, %d failed, %d broken, %d late, %d unsent\n", i+1,
-			counts[load.Served], counts[load.Refused], counts[load.Failed],
-			counts[load.Broken], counts[load.Late], counts[load.Unsent])
+			counts[load.Served], counts[load.Rejected], counts[load.Failed],
+			counts[load.Broken], counts[load.TimedOut], counts[load.Unsent])
 	}
 }
--- a/cmd/hazelwing/load_plan.go
+++ b/cmd/hazelwing/load_plan.go
@@ -17,7 +17,7 @@
 	ramp        string  // in place of rate; see parseRamp
 	length      time.Duration
 	trafficFile string // in place of all others
-	shot        load.Shot
+	shot        load.ScheduledRequest
 }
 
 // plan returns the plan for the options.
@@ -55,7 +55,7 @@
 			if class.Name != request.Class {
 				continue
 			}
-			plan = append(plan, load.Shot{
+			plan = append(plan, load.ScheduledRequest{
 				At:       request.At(),
 				Class:    class.Name,
 				Effect:   class.Effect,
--- a/cmd/hazelwing/load_test.go
+++ b/cmd/hazelwing/load_test.go
@@ -21,8 +21,8 @@
 	}
 	var reports []load.Report
 	if err := json.Unmarshal([]byte(out), &reports); err != nil || len(reports) != 2 ||
-		reports[0].Kinds["served"] == 0 ||
-		reports[0].Kinds["served"] != reports[1].Kinds["served"] {
+		reports[0].Outcomes["served"] == 0 ||
+		reports[0].Outcomes["served"] != reports[1].Outcomes["served"] {
 		t.Errorf("%v\n%s", err, out)
 	}
 	for _, args := range [][]string{
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -59,7 +59,7 @@
 
 func (r *roundRobinTarget) Name() string { return "in turns" }
 
-func (r *roundRobinTarget) Send(ctx context.Context, id string, s load.Shot) load.Kind {
+func (r *roundRobinTarget) Send(ctx context.Context, id string, s load.ScheduledRequest) load.Outcome {
 	by := route((r.next.Add(1) - 1) % int64(routes))
 	deadline, _ := ctx.Deadline()
 	kind := r.targets[by].Send(ctx, id, s)
@@ -138,7 +138,7 @@
 
 func (n newConnTarget) Name() string { return n.addr }
 
-func (n newConnTarget) Send(ctx context.Context, id string, s load.Shot) load.Kind {
+func (n newConnTarget) Send(ctx context.Context, id string, s load.ScheduledRequest) load.Outcome {
 	h := load.NewHTTP("http://" + n.addr)
 	defer h.Close()
 	return h.Send(ctx, id, s)
@@ -186,7 +186,7 @@
 // sharePlan returns requests for all routes, with the given rate for each.
 func sharePlan(t *testing.T, rate int, length time.Duration, seed uint64) load.Plan {
 	t.Helper()
-	shot := load.Shot{Class: "look", Effect: "safe", Deadline: 4 * time.Second}
+	shot := load.ScheduledRequest{Class: "look", Effect: "safe", Deadline: 4 * time.Second}
 	plan, err := load.Poisson(seed, []load.Point{{Rate: float64(int(routes) * rate)}}, length, shot)
 	if err != nil {
 		t.Fatal(err)
@@ -221,7 +221,7 @@
 			directNewConn: newConnTarget{s.addrs[n-1]},
 			forwarded:     newTarget(forwarder.addrs[0]),
 		}}
-		reports := load.Run(t.Context(), plan, []load.Target{target}, func(int, load.Kind, time.Duration) {})
+		reports := load.Run(t.Context(), plan, []load.Target{target}, func(int, load.Outcome, time.Duration) {})
 		return target.served, reports[0]
 	}
 	usage := func() shareUsage {
@@ -241,10 +241,10 @@
 		latencyColumns(timings), usageColumns(timings, before, after),
 		100*idleUsed.Seconds()/idleTime.Seconds(), float64(after.sidecar.resident)/(1<<20))
 	if report.Slow {
-		t.Logf("one in a hundred requests was sent %.1f ms late", report.LateP99)
+		t.Logf("one in a hundred requests was sent %.1f ms late", report.SendDelayP99)
 	}
 	if served < 0.95*float64(rate)*shareLength.Seconds() {
-		t.Errorf("%.0f served of %.0f: %v", served, float64(rate)*shareLength.Seconds(), report.Kinds)
+		t.Errorf("%.0f served of %.0f: %v", served, float64(rate)*shareLength.Seconds(), report.Outcomes)
 	}
 }
 
@@ -318,7 +318,7 @@
 		for i := range requests {
 			ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 			id := fmt.Sprint(test.balancers, "-", i)
-			kind := target.Send(ctx, id, load.Shot{Class: "look", Effect: "safe"})
+			kind := target.Send(ctx, id, load.ScheduledRequest{Class: "look", Effect: "safe"})
 			cancel()
 			if kind != load.Served {
 				text, _ := os.ReadFile(r.log)
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -234,7 +234,7 @@
 		_ = g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Factor: 20, Duration: time.Hour})
 		g.fleet.Node("n2").Die()
 		f := &figures{query: load.NewHistogram(), mutation: load.NewHistogram()}
-		plan, err := load.Poisson(1, []load.Point{{Rate: rate}}, length, load.Shot{})
+		plan, err := load.Poisson(1, []load.Point{{Rate: rate}}, length, load.ScheduledRequest{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -291,8 +291,10 @@
 		n := float64(f.asked.Load())
 		t.Logf("split %v: queries answered %.4f, within %v %.4f, p50 %v, p99 %v; "+
 			"mutations answered %.4f, within %v %.4f, p50 %v, p99 %v", split,
-			float64(f.query.Count())/n, aim, float64(f.inTime[0].Load())/n, f.query.At(0.5), f.query.At(0.99),
-			float64(f.mutation.Count())/n, aim, float64(f.inTime[1].Load())/n, f.mutation.At(0.5), f.mutation.At(0.99))
+			float64(f.query.Count())/n, aim, float64(f.inTime[0].Load())/n,
+			f.query.Quantile(0.5), f.query.Quantile(0.99),
+			float64(f.mutation.Count())/n, aim, float64(f.inTime[1].Load())/n,
+			f.mutation.Quantile(0.5), f.mutation.Quantile(0.99))
 	}
 }
 
--- a/internal/demo/gqldemo/gqldemo.go
+++ b/internal/demo/gqldemo/gqldemo.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	plan, err := load.Poisson(o.Seed, []load.Point{{Rate: o.Rate}}, o.Length, load.Shot{})
+	plan, err := load.Poisson(o.Seed, []load.Point{{Rate: o.Rate}}, o.Length, load.ScheduledRequest{})
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/httpclient.go
+++ b/internal/emulator/httpclient.go
@@ -62,12 +62,12 @@
 	ctx context.Context, id string, timeout time.Duration, class TrafficClass, r Request,
 ) (*http.Request, error) {
 	message := load.Message{
-		ID:       id,
-		Class:    class.Name,
-		Effect:   class.Effect,
-		Patience: timeout,
-		Work:     microseconds(r.WorkUS),
-		Hint:     microseconds(r.ExpectedWorkUS),
+		ID:           id,
+		Class:        class.Name,
+		Effect:       class.Effect,
+		Timeout:      timeout,
+		Work:         microseconds(r.WorkUS),
+		ExpectedWork: microseconds(r.ExpectedWorkUS),
 	}
 	if class.Effect == "keyed" {
 		message.Key = "k" + id
--- a/internal/emulator/replay.go
+++ b/internal/emulator/replay.go
@@ -126,8 +126,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Service = r.servedWeight / cmp.Or(r.totalWeight, 1)
-	r.ServedP50, r.ServedP99 = r.servedLatency.At(0.5), r.servedLatency.At(0.99)
-	r.P50, r.P99, r.P999 = r.latency.At(0.5), r.latency.At(0.99), r.latency.At(0.999)
+	r.ServedP50, r.ServedP99 = r.servedLatency.Quantile(0.5), r.servedLatency.Quantile(0.99)
+	r.P50, r.P99, r.P999 = r.latency.Quantile(0.5), r.latency.Quantile(0.99), r.latency.Quantile(0.999)
 	return r
 }
 
--- a/internal/load/grpcload/grpcload.go
+++ b/internal/load/grpcload/grpcload.go
@@ -37,7 +37,7 @@
 	us := func(d time.Duration) string {
 		return strconv.FormatFloat(float64(d)/float64(time.Microsecond), 'f', -1, 64)
 	}
-	md := metadata.Pairs(ID, m.ID, Class, m.Class, Hint, us(m.Hint), Extra, "work="+us(m.Work))
+	md := metadata.Pairs(ID, m.ID, Class, m.Class, Hint, us(m.ExpectedWork), Extra, "work="+us(m.Work))
 	if m.Key != "" {
 		md.Set(Key, m.Key)
 	}
@@ -80,8 +80,8 @@
 func (t *Target) Close() error { return t.close() }
 
 // Send makes one call.
-func (t *Target) Send(ctx context.Context, id string, s load.Shot) load.Kind {
-	m := load.Message{ID: id, Class: s.Class, Effect: s.Effect, Work: s.Work, Hint: s.Work}
+func (t *Target) Send(ctx context.Context, id string, s load.ScheduledRequest) load.Outcome {
+	m := load.Message{ID: id, Class: s.Class, Effect: s.Effect, Work: s.Work, ExpectedWork: s.Work}
 	if s.Effect == "keyed" {
 		m.Key = "k" + id
 	}
@@ -99,16 +99,16 @@
 }
 
 // kindOf says what a status means to a client: a refusal is one that says so, or names when to come back.
-func kindOf(ctx context.Context, err error, trailer metadata.MD) load.Kind {
+func kindOf(ctx context.Context, err error, trailer metadata.MD) load.Outcome {
 	st := status.Convert(err)
 	turnedAway := len(trailer.Get(notRun)) > 0 || len(st.Details()) > 0
 	switch code := st.Code(); {
 	case code == codes.OK:
 		return load.Served
 	case ctx.Err() != nil || code == codes.DeadlineExceeded:
-		return load.Late
+		return load.TimedOut
 	case code == codes.ResourceExhausted, code == codes.Unavailable && turnedAway:
-		return load.Refused
+		return load.Rejected
 	case code == codes.Unavailable:
 		return load.Broken
 	}
--- a/internal/load/grpcload/grpcload_test.go
+++ b/internal/load/grpcload/grpcload_test.go
@@ -55,22 +55,22 @@
 	for _, c := range []struct {
 		err     error
 		trailer string
-		want    load.Kind
+		want    load.Outcome
 	}{
-		{nil, "", load.Served}, {status.Error(codes.Internal, "x"), "", load.Failed}, {status.Error(codes.ResourceExhausted, "full"), "", load.Refused},
-		{status.Error(codes.Unavailable, "full"), notRun, load.Refused}, {status.Error(codes.Unavailable, "x"), "", load.Broken},
-		{status.Error(codes.Canceled, ""), "", load.Late},
+		{nil, "", load.Served}, {status.Error(codes.Internal, "x"), "", load.Failed}, {status.Error(codes.ResourceExhausted, "full"), "", load.Rejected},
+		{status.Error(codes.Unavailable, "full"), notRun, load.Rejected}, {status.Error(codes.Unavailable, "x"), "", load.Broken},
+		{status.Error(codes.Canceled, ""), "", load.TimedOut},
 	} {
 		answer, trailer = c.err, nil
 		if c.trailer != "" {
 			trailer = metadata.Pairs(c.trailer, "1")
 		}
 		patience := testutil.WaitTimeout
-		if c.want == load.Late {
+		if c.want == load.TimedOut {
 			patience = 50 * time.Millisecond
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), patience)
-		got := target.Send(ctx, "r1", load.Shot{Class: "pay", Effect: "keyed", Work: 1500 * time.Microsecond})
+		got := target.Send(ctx, "r1", load.ScheduledRequest{Class: "pay", Effect: "keyed", Work: 1500 * time.Microsecond})
 		cancel()
 		s := testutil.Receive(t, calls, "the call")
 		if got != c.want || s.body != "r1" || s.md.Get(Key)[0] != "kr1" || s.md.Get(Class)[0] != "pay" || s.md.Get(Extra)[0] != "work=1500" || s.md.Get(ID)[0] != "r1" {
@@ -89,7 +89,7 @@
 	defer none.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 	defer cancel()
-	if got := none.Send(ctx, "r", load.Shot{}); got != load.Broken {
+	if got := none.Send(ctx, "r", load.ScheduledRequest{}); got != load.Broken {
 		t.Errorf("no server: %v", got)
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,162 +15,174 @@
 	"hazelwing/internal/testutil"
 )
 
-var measure = flag.Bool("load.figures", false, "TestFigures: compare with the closed form, on a quiet machine")
-
-func shots(n int, every, deadline time.Duration) (plan Plan) {
+// newPlan returns a plan of n requests at a constant interval, whose effects alternate.
+func newPlan(n int, interval, deadline time.Duration) Plan {
+	effects := []string{"safe", "keyed", "unsafe"}
+	var plan Plan
 	for i := range n {
-		plan = append(plan, Shot{At: time.Duration(i) * every, Class: "look", Effect: []string{"safe", "keyed", "unsafe"}[i%3], Deadline: deadline})
+		plan = append(plan, ScheduledRequest{
+			At:       time.Duration(i) * interval,
+			Class:    "look",
+			Effect:   effects[i%len(effects)],
+			Deadline: deadline,
+		})
 	}
 	return plan
 }
 
-func quiet(int, Kind, time.Duration) {}
+var measure = flag.Bool("load.figures", false, "TestFigures: compare with the closed form, on a quiet machine")
+
+func ignoreOutcome(int, Outcome, time.Duration) {}
 
-// Requests come as the platform's applications send them, and each end has its kind.
-func TestKinds(t *testing.T) {
+// Requests arrive as the platform's applications send them, and each result has its outcome.
+func TestOutcomes(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]int{}
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		seen[r.Method+" key "+fmt.Sprint(r.Header.Get("Idempotency-Key") != "")]++
 		switch n := len(seen) + seen["n"]; n % 5 {
 		case 0:
-			w.WriteHeader(503)
+			w.WriteHeader(http.StatusServiceUnavailable)
 		case 1:
-			w.WriteHeader(500)
+			w.WriteHeader(http.StatusInternalServerError)
 		}
 		seen["n"]++
-		io.WriteString(w, "x")
+		_, _ = io.WriteString(w, "x")
 	}))
-	defer s.Close()
-	target := NewHTTP(s.URL)
+	defer server.Close()
+	target := NewHTTP(server.URL)
 	defer target.Close()
-	r := Run(t.Context(), shots(60, time.Millisecond, testutil.WaitTimeout), []Target{target}, quiet)[0]
+	plan := newPlan(60, time.Millisecond, testutil.WaitTimeout)
+	r := Run(t.Context(), plan, []Target{target}, ignoreOutcome)[0]
 	if seen["GET key false"] != 20 || seen["POST key true"] != 20 || seen["POST key false"] != 20 {
-		t.Errorf("%v", seen)
+		t.Errorf("requests by method and key: %v; want 20 each", seen)
 	}
-	if r.Kinds["served"] < 30 || r.Kinds["refused"] < 5 || r.Kinds["failed"] < 5 || r.Kinds["served"]+r.Kinds["refused"]+r.Kinds["failed"] != 60 || r.P50 <= 0 || r.Max < r.P99 {
-		t.Errorf("%+v", r)
+	served, rejected, failed := r.Outcomes["served"], r.Outcomes["refused"], r.Outcomes["failed"]
+	if served < 30 || rejected < 5 || failed < 5 || served+rejected+failed != 60 || r.P50 <= 0 || r.Max < r.P99 {
+		t.Errorf("report: %+v", r)
 	}
 }
 
-// Targets that accept and never answer, stop reading, reset everything or are not there: every request of the schedule
-// has an end all the same.
-func TestBadTargets(t *testing.T) {
-	accept := func(do func(net.Conn)) string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { l.Close() })
-		go func() {
-			for {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				t.Cleanup(func() { c.Close() })
-				go do(c)
-			}
-		}()
-		return "http://" + l.Addr().String()
+// startListener passes each accepted connection to handle, in a goroutine of its own, and returns the URL. The
+// connections stay open until the test ends.
+func startListener(t *testing.T, handle func(net.Conn)) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	targets := map[string]string{
-		"late":   accept(func(c net.Conn) { io.Copy(io.Discard, c) }),
-		"late ":  accept(func(net.Conn) {}),
-		"broken": accept(func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }),
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { _ = conn.Close() })
+			go handle(conn)
+		}
+	}()
+	return "http://" + listener.Addr().String()
+}
+
+// Every request of the plan has an outcome even if the target accepts and never answers, stops reading, resets every
+// connection or does not exist.
+func TestBadTargets(t *testing.T) {
+	neverAnswer := func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }
+	reset := func(conn net.Conn) {
+		_ = conn.(*net.TCPConn).SetLinger(0)
+		_ = conn.Close()
 	}
-	targets["broken "] = "http://" + testutil.UnusedAddr
-	for want, url := range targets {
-		target := NewHTTP(url)
-		r := Run(t.Context(), shots(100, 2*time.Millisecond, 300*time.Millisecond), []Target{target}, quiet)[0]
+	for _, test := range []struct {
+		name        string
+		url         string
+		minTimedOut int
+		minBroken   int
+	}{
+		{name: "never answers", url: startListener(t, neverAnswer), minTimedOut: 100},
+		{name: "never reads", url: startListener(t, func(net.Conn) {}), minTimedOut: 100},
+		{name: "resets", url: startListener(t, reset), minBroken: 90},
+		{name: "does not exist", url: "http://" + testutil.UnusedAddr, minBroken: 90},
+	} {
+		target := NewHTTP(test.url)
+		plan := newPlan(100, 2*time.Millisecond, 300*time.Millisecond)
+		r := Run(t.Context(), plan, []Target{target}, ignoreOutcome)[0]
 		target.Close()
-		if got := r.Kinds["late"] + r.Kinds["broken"]; got != 100 || want[:4] == "late" && r.Kinds["late"] != 100 || want[:4] == "brok" && r.Kinds["broken"] < 90 {
-			t.Errorf("%s: %+v", want, r)
+		timedOut, broken := r.Outcomes["late"], r.Outcomes["broken"]
+		if timedOut+broken != 100 || timedOut < test.minTimedOut || broken < test.minBroken {
+			t.Errorf("%s: %+v", test.name, r)
 		}
 	}
 }
 
-// stuck is a target that answers nothing before it is let go.
-type stuck struct{ release chan struct{} }
+// blockedTarget is a target that does not answer until it is released.
+type blockedTarget struct{ release chan struct{} }
 
-func (stuck) Name() string { return "stuck" }
-func (s stuck) Send(context.Context, string, Shot) Kind {
-	<-s.release
+func (blockedTarget) Name() string { return "blocked" }
+
+func (b blockedTarget) Send(context.Context, string, ScheduledRequest) Outcome {
+	<-b.release
 	return Served
 }
 
-// The schedule goes on while nothing comes back: what is beyond the bound is counted, not waited for.
+// The schedule continues while nothing is answered: requests beyond the limit are counted, and not waited for.
 func TestUnsent(t *testing.T) {
-	s := stuck{make(chan struct{})}
-	const beyond = 100
-	r := Run(t.Context(), shots(maxOpen+beyond, 0, testutil.WaitTimeout), []Target{s}, func(_ int, k Kind, _ time.Duration) {
-		if k == Unsent {
+	target := blockedTarget{make(chan struct{})}
+	const excess = 100
+	plan := newPlan(maxOpen+excess, 0, testutil.WaitTimeout)
+	r := Run(t.Context(), plan, []Target{target}, func(_ int, o Outcome, _ time.Duration) {
+		if o == Unsent {
 			select {
-			case <-s.release:
+			case <-target.release:
 			default:
-				close(s.release) // the first of those beyond: had the schedule waited, there would be none
+				close(target.release) // at the first one beyond the limit: if the schedule waited, there would be none
 			}
 		}
 	})[0]
-	if r.Kinds["unsent"] < 1 || r.Kinds["unsent"]+r.Kinds["served"] != maxOpen+beyond {
-		t.Errorf("%+v", r)
+	if r.Outcomes["unsent"] < 1 || r.Outcomes["unsent"]+r.Outcomes["served"] != maxOpen+excess {
+		t.Errorf("report: %+v", r)
 	}
 }
 
-// A plan follows its curve, and is the same for the same seed.
-func TestPoisson(t *testing.T) {
-	plan, err := Poisson(1, []Point{{0, 100}, {10 * time.Second, 300}}, 20*time.Second, Shot{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	again, _ := Poisson(1, []Point{{0, 100}, {10 * time.Second, 300}}, 20*time.Second, Shot{})
-	first, second := 0, 0
-	for i, s := range plan {
-		if again[i] != s || i > 0 && s.At < plan[i-1].At {
-			t.Fatalf("request %d", i)
-		}
-		if s.At < 10*time.Second {
-			first++
-		} else {
-			second++
-		}
-	}
-	if first < 1850 || first > 2150 || second < 2800 || second > 3200 { // 2,000 and 3,000, within three deviations and a bit
-		t.Errorf("%d and %d", first, second)
-	}
-	for _, curve := range [][]Point{nil, {{0, 0}}, {{0, -1}}, {{time.Second, 1}, {0, 1}}} {
-		if _, err := Poisson(1, curve, time.Second, Shot{}); err == nil {
-			t.Errorf("%v was taken", curve)
-		}
-	}
-}
+// A stalled interval at the start of every stallPeriod.
+const (
+	stallPeriod   = 10 * time.Second
+	stallDuration = time.Second
+)
 
-// A server that stands still for one second every ten: of the requests that come evenly, a tenth meets it, and waits evenly
-// up to a second. So p95 is 0.5 s and p99 0.9 s. And the times of sending at 1,000 and 10,000 a second:
+// A server stalls for one second in every ten. A tenth of evenly spaced requests meets the stall, and their waits are
+// spread evenly up to one second, so p95 is 0.5 s and p99 is 0.9 s. The test also logs the send delays at 1,000 and
+// 10,000 requests a second:
 //
 //	go test ./internal/load -run Figures -load.figures -v
 func TestFigures(t *testing.T) {
 	if !*measure {
 		t.Skip("-load.figures is not set")
 	}
-	begun := time.Now()
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if at := time.Since(begun) % (10 * time.Second); at < time.Second {
-			time.Sleep(time.Second - at)
+	start := time.Now()
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		if at := time.Since(start) % stallPeriod; at < stallDuration {
+			time.Sleep(stallDuration - at)
 		}
 	}))
-	defer s.Close()
-	target := NewHTTP(s.URL)
+	defer server.Close()
+	target := NewHTTP(server.URL)
 	defer target.Close()
-	r := Run(t.Context(), shots(20_000, time.Millisecond, testutil.WaitTimeout), []Target{target}, quiet)[0]
-	t.Logf("stands still for one second every ten, 1,000 a second: p90 %.1f ms, p99 %.1f ms, max %.1f ms; sent late by p50 %.3f, p99 %.3f ms", r.P90, r.P99, r.Max, r.LateP50, r.LateP99)
+	plan := newPlan(20_000, time.Millisecond, testutil.WaitTimeout)
+	r := Run(t.Context(), plan, []Target{target}, ignoreOutcome)[0]
+	t.Logf("stalled for one second in every ten, 1,000 a second: p90 %.1f ms, p99 %.1f ms, max %.1f ms; "+
+		"send delay p50 %.3f, p99 %.3f ms", r.P90, r.P99, r.Max, r.SendDelayP50, r.SendDelayP99)
 	if r.P99 < 850 || r.P99 > 950 || r.P90 > 50 {
 		t.Errorf("p90 %.1f ms, p99 %.1f ms; want below 50, and 900", r.P90, r.P99)
 	}
-	plan := shots(50_000, 100*time.Microsecond, testutil.WaitTimeout)
-	p := Pace(t.Context(), func(n int) (time.Duration, bool) { return time.Duration(n) * 100 * time.Microsecond, n < len(plan) }, maxOpen,
-		func(int, time.Time) {}, func(int, time.Time) {})
-	t.Logf("10,000 a second: sent late by p50 %v, p99 %v, p99.9 %v", p.Late.At(0.5), p.Late.At(0.99), p.Late.At(0.999))
+	const requests = 50_000
+	next := func(n int) (time.Duration, bool) {
+		return time.Duration(n) * 100 * time.Microsecond, n < requests
+	}
+	ignore := func(int, time.Time) {}
+	delay := Pace(t.Context(), next, maxOpen, ignore, ignore).SendDelay
+	t.Logf("10,000 a second: send delay p50 %v, p99 %v, p99.9 %v",
+		delay.Quantile(0.5), delay.Quantile(0.99), delay.Quantile(0.999))
 }
--- a/internal/load/pace.go
+++ b/internal/load/pace.go
@@ -1,10 +1,10 @@
-// Package load makes load on real sockets: open loop, with intended times of sending. A request's latency counts from when
-// it should have been sent, whatever the answers before it did, so that a server that stands still is charged with all
-// that waited (coordinated omission: Tene, "How NOT to Measure Latency", 2015).
+// Package load generates load on real sockets. It is an open-loop generator: each request has an intended send time,
+// and its latency counts from that time, whatever happened to earlier requests. A stalled server is therefore charged
+// with every request that waited (coordinated omission: Tene, "How NOT to Measure Latency", 2015).
 //
-// The pacer keeps its schedule against targets that stop reading, never answer or reset everything: what it cannot send,
-// since too much is open, it counts and leaves out. It also measures itself: where its own sending was late, the machine
-// was too slow for the figures to mean anything, and they say so.
+// The pacer keeps its schedule against targets that stop reading, never answer or reset every connection: requests
+// beyond the limit of open ones are counted and omitted. It also measures itself: if its own sending was delayed, the
+// machine was too slow for the figures to be meaningful, and the report states it.
 package load
 
 import (
@@ -12,114 +12,97 @@
 	"sync"
 	"syscall"
 	"time"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// The runtime's timers fire up to a millisecond late. The last part of the wait for a send time therefore sleeps in the
+// kernel, whose timers are late by some tens of microseconds, and the very last part spins.
 const (
-	longest = int64(10 * time.Minute / time.Microsecond)
-	figures = 3
-	// The runtime's timers are late by up to a millisecond: so near its time a request is waited for in the kernel, whose
-	// are late by some tens of microseconds, and in the end without sleeping.
 	sleepBelow = 1500 * time.Microsecond
 	spinBelow  = 80 * time.Microsecond
 )
 
-// Histogram is one of times, in microseconds, up to ten minutes. It may be used from any goroutine.
-type Histogram struct {
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
-}
-
-// NewHistogram returns an empty one.
-func NewHistogram() *Histogram { return &Histogram{h: hdrhistogram.New(1, longest, figures)} }
-
-// Add counts a time.
-func (h *Histogram) Add(d time.Duration) {
-	h.mu.Lock()
-	h.h.RecordValue(min(max(d.Microseconds(), 1), longest))
-	h.mu.Unlock()
-}
-
-// At is a quantile, from 0 to 1; 0 where nothing was counted.
-func (h *Histogram) At(q float64) time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return time.Duration(h.h.ValueAtQuantile(100*q)) * time.Microsecond
-}
-
-// Count is how many were counted.
-func (h *Histogram) Count() int64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.h.TotalCount()
-}
-
-// Every calls do again and again, so long after each other, until ctx ends.
-func Every(ctx context.Context, pause time.Duration, do func()) {
-	tick := time.NewTicker(pause)
-	defer tick.Stop()
+// Every calls do at each tick of the interval until ctx is done.
+func Every(ctx context.Context, interval time.Duration, do func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			do()
 		}
 	}
 }
 
-// Paced is how a schedule went.
-type Paced struct {
-	Sent, Unsent int        // Unsent: too many were open
-	Late         *Histogram // how much later than intended each was sent
+// PaceResult is the result of a paced schedule.
+type PaceResult struct {
+	Sent      int
+	Unsent    int        // omitted since too many were open
+	SendDelay *Histogram // from the intended to the actual send time
 }
 
-// Pace calls send for each time of a schedule, in a goroutine of its own, and returns when all have returned, or have
-// after ctx has ended. next gives the n-th time, from the begin on, in order; false: there is none. No more than most
-// are open at a time: unsent is called for those beyond, from Pace's goroutine.
-func Pace(ctx context.Context, next func(n int) (at time.Duration, ok bool), most int, send func(n int, intended time.Time), unsent func(n int, intended time.Time)) Paced {
-	p := Paced{Late: NewHistogram()}
-	begun := time.Now()
-	places := make(chan struct{}, most)
-	var all sync.WaitGroup
-	defer all.Wait()
+// Pace calls send for each time of a schedule, each in a goroutine of its own, and returns once all calls have
+// returned. It stops early when ctx is done. next returns the n-th time relative to the start, in ascending order, or
+// false at the end of the schedule. At most limit calls are open at a time: for those beyond, Pace calls unsent from
+// its own goroutine.
+func Pace(
+	ctx context.Context,
+	next func(n int) (at time.Duration, ok bool),
+	limit int,
+	send func(n int, intended time.Time),
+	unsent func(n int, intended time.Time),
+) PaceResult {
+	result := PaceResult{SendDelay: NewHistogram()}
+	start := time.Now()
+	slots := make(chan struct{}, limit)
+	var calls sync.WaitGroup
+	defer calls.Wait()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for n := 0; ; n++ {
 		at, ok := next(n)
 		if !ok {
-			return p
+			return result
 		}
-		intended := begun.Add(at)
-		if d := time.Until(intended); d > sleepBelow {
-			timer.Reset(d - sleepBelow)
-			select {
-			case <-timer.C:
-			case <-ctx.Done():
-				return p
-			}
-		} else if ctx.Err() != nil {
-			return p
-		}
-		if d := time.Until(intended); d > spinBelow {
-			left := syscall.NsecToTimespec(int64(d - spinBelow))
-			syscall.Nanosleep(&left, nil) // one that a signal cuts short is made up for below
-		}
-		for time.Until(intended) > 0 {
+		intended := start.Add(at)
+		if !waitUntil(ctx, timer, intended) {
+			return result
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			p.Unsent++
+			result.Unsent++
 			unsent(n, intended)
 			continue
 		}
-		p.Sent++
-		p.Late.Add(time.Since(intended))
-		all.Go(func() {
-			defer func() { <-places }()
+		result.Sent++
+		result.SendDelay.Add(time.Since(intended))
+		calls.Go(func() {
+			defer func() { <-slots }()
 			send(n, intended)
 		})
 	}
 }
+
+// waitUntil waits for a time and reports whether it was reached before ctx was done.
+func waitUntil(ctx context.Context, timer *time.Timer, intended time.Time) bool {
+	if d := time.Until(intended); d > sleepBelow {
+		timer.Reset(d - sleepBelow)
+		select {
+		case <-timer.C:
+		case <-ctx.Done():
+			return false
+		}
+	} else if ctx.Err() != nil {
+		return false
+	}
+	if d := time.Until(intended); d > spinBelow {
+		remaining := syscall.NsecToTimespec(int64(d - spinBelow))
+		// A sleep that a signal interrupts is completed by the loop below.
+		_ = syscall.Nanosleep(&remaining, nil)
+	}
+	for time.Until(intended) > 0 {
+	}
+	return true
+}
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -67,11 +67,11 @@
 	ctx context.Context, client *http.Client, p *process, life int64, class emulator.TrafficClass, id string,
 ) {
 	message := load.Message{
-		ID:       id,
-		Class:    class.Name,
-		Effect:   class.Effect,
-		Patience: clientTimeout,
-		Work:     clientWork,
+		ID:      id,
+		Class:   class.Name,
+		Effect:  class.Effect,
+		Timeout: clientTimeout,
+		Work:    clientWork,
 	}
 	if class.Effect == "keyed" {
 		message.Key = "k" + id
--- a/rpc/grpcbalancer/helpers_test.go
+++ b/rpc/grpcbalancer/helpers_test.go
@@ -161,7 +161,7 @@
 // outgoing returns ctx with the metadata of a recorded request.
 func outgoing(ctx context.Context, id string, c emulator.TrafficClass, r emulator.Request) context.Context {
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
-	m := load.Message{ID: id, Class: c.Name, Effect: c.Effect, Work: us(r.WorkUS), Hint: us(r.ExpectedWorkUS)}
+	m := load.Message{ID: id, Class: c.Name, Effect: c.Effect, Work: us(r.WorkUS), ExpectedWork: us(r.ExpectedWorkUS)}
 	if c.Effect == "keyed" {
 		m.Key = "k" + id
 	}
