--- a/internal/daemon/component_test.go
+++ b/internal/daemon/component_test.go
@@ -15,7 +15,8 @@
 // then the cluster's sockets.
 func TestComponentsAreInOrder(t *testing.T) {
 	op := clusterConfig(t, fmt.Sprintf("[config]\norigins = [%q]\ndir = %q\n"+
-		"[recovery]\n[ledger]\ndurable = \"off\"\n[admin]\nlisten = \"127.0.0.1:0\"\n", testutil.UnusedAddr, t.TempDir()))
+		"[recovery]\n[ledger]\ndurable = \"off\"\n[admin]\nlisten = \"127.0.0.1:0\"\n",
+		testutil.UnusedAddr, t.TempDir()))
 	s, err := build(t.Context(), config(t, testutil.UnusedAddr, testutil.UnusedAddr), op, discardLog)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/deploy_test.go
+++ b/internal/daemon/deploy_test.go
@@ -72,7 +72,8 @@
 		send(w, "ok")
 	}))
 	t.Cleanup(s.Close)
-	return s, emulator.Endpoint{Name: name, Address: s.Listener.Addr().String(), Zone: "a", Kind: "m", Health: "SERVING"}
+	addr := s.Listener.Addr().String()
+	return s, emulator.Endpoint{Name: name, Address: addr, Zone: "a", Kind: "m", Health: "SERVING"}
 }
 
 // startRollout starts the nodes before the deploy.
--- a/internal/daemon/disconnect_test.go
+++ b/internal/daemon/disconnect_test.go
@@ -216,7 +216,8 @@
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
 		l := listenWithoutBacklog(t)
 		fillBacklog(t, l)
-		r := startSidecar(t, testutil.UnusedAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
+		r := startSidecar(t, testutil.UnusedAddr, l.Addr().String(),
+			`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
 		c := r.sendRequest(t, method, class)
 		waitForDial(t, l.Addr())
 		disconnect(c)
--- a/internal/daemon/drainnotice_test.go
+++ b/internal/daemon/drainnotice_test.go
@@ -321,6 +321,7 @@
 		case <-ticker.C:
 		}
 		clients.Go(func() {
+			//nolint:contextcheck // the request has the test's context
 			req := d.r.request(t, "GET", "look", fmt.Sprintf("%d-%d", number, i), "")
 			resp, err := d.r.client.Do(req.WithContext(ctx))
 			if err == nil {
--- a/internal/daemon/graphql_disconnect_test.go
+++ b/internal/daemon/graphql_disconnect_test.go
@@ -32,7 +32,8 @@
 				t.Fatal(err)
 			}
 			l := listenWithoutBacklog(t) // one connection is accepted, one more is established
-			cfg := config(t, testutil.UnusedAddr, l.Addr().String(), `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
+			cfg := config(t, testutil.UnusedAddr, l.Addr().String(),
+				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
 			r, stop := run(t, cfg, op)
 			defer stop()
 			x := r.additionalFronts[0]
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -144,11 +144,13 @@
 		rng := rand.New(rand.NewPCG(*gqlSeed, 1))
 		for ctx.Err() == nil {
 			node := fmt.Sprint("n", rng.IntN(6))
+			//nolint:contextcheck // nodes outlive the test's calls
 			_ = g.fleet.Fault(emulator.Fault{Verb: "crash", Node: node})
 			select {
 			case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 			case <-ctx.Done():
 			}
+			//nolint:contextcheck // nodes outlive the test's calls
 			if err := g.fleet.Fault(emulator.Fault{Verb: "restart", Node: node}); err != nil {
 				t.Error(err)
 			}
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -138,7 +138,8 @@
 // text returns the deployment's configuration, with one upstream.
 func (d *deployment) text(t *testing.T, upstream string) string {
 	t.Helper()
-	text := strings.NewReplacer(d.change...).Replace(fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream))
+	original := fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream)
+	text := strings.NewReplacer(d.change...).Replace(original)
 	if len(d.classes) > 0 {
 		before, rest, _ := strings.Cut(text, `"Classes":[`)
 		_, after, _ := strings.Cut(rest, `"DedupWindowMs":5000}]`)
--- a/internal/daemon/sidecar_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -43,7 +43,8 @@
 // config returns testutil.PlatformConfig; change has pairs of old and new text of it.
 func config(t *testing.T, discovery, upstream string, change ...string) *platform.Config {
 	t.Helper()
-	return parseConfig(t, strings.NewReplacer(change...).Replace(fmt.Sprintf(testutil.PlatformConfig, discovery, upstream)))
+	original := fmt.Sprintf(testutil.PlatformConfig, discovery, upstream)
+	return parseConfig(t, strings.NewReplacer(change...).Replace(original))
 }
 
 // startSidecar runs a sidecar until the test ends; change is that of config.
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -28,7 +28,8 @@
 		`"health":"SERVING","share":1.0,"born_ms":0}`, name, dial)
 }
 
-// knownEndpoints returns the change of testutil.PlatformConfig that replaces its one upstream, with address NoAddr, by these.
+// knownEndpoints returns the change of testutil.PlatformConfig that replaces its one upstream, with address
+// testutil.UnusedAddr, by these.
 func knownEndpoints(entries []string) []string {
 	return []string{endpointEntry("s", testutil.UnusedAddr), strings.Join(entries, ",")}
 }
@@ -128,7 +129,8 @@
 		nodes[i].Address = node.Listener.Addr().String()
 		d.Set(nodes[i])
 	}
-	r := startSidecar(t, d.Addr(), testutil.UnusedAddr, knownEndpoints([]string{endpointEntry("n0", nodes[0].Address)})...)
+	cached := knownEndpoints([]string{endpointEntry("n0", nodes[0].Address)})
+	r := startSidecar(t, d.Addr(), testutil.UnusedAddr, cached...)
 	stop := make(chan bool)
 	var clients sync.WaitGroup
 	defer clients.Wait()
