--- a/internal/load/grpcload/grpcload.go
+++ b/internal/load/grpcload/grpcload.go
@@ -1,5 +1,5 @@
-// Package grpcload makes load on gRPC servers, and on whatever calls them in this process: unary calls with the platform's
-// metadata, paced and counted by package load.
+// Package grpcload generates load on gRPC servers, directly or through a client in this process: unary calls with the
+// platform's metadata, paced and counted by package load.
 package grpcload
 
 import (
@@ -21,68 +21,91 @@
 	"hazelwing/internal/load"
 )
 
-// Names of the metadata, as the plug-in and the stand-in nodes read them.
+// Metadata keys, as the plug-in and the emulated nodes read them.
 const (
-	ID    = "x-request-id"
-	Class = "x-class"
-	Hint  = "x-cost-hint"
-	Extra = "x-extras"
-	Key   = "idempotency-key"
-
-	notRun = "x-not-run" // a trailer: the call was turned away unseen
+	RequestIDKey    = "x-request-id"
+	ClassKey        = "x-class"
+	ExpectedWorkKey = "x-cost-hint"
+	ExtrasKey       = "x-extras"
+	IdempotencyKey  = "idempotency-key"
+
+	// notExecutedKey is the key of a trailer: the call was rejected before it was executed.
+	notExecutedKey = "x-not-run"
 )
 
-// Metadata is what a message tells beside its body.
+// Metadata returns the metadata of a message.
 func Metadata(m load.Message) metadata.MD {
-	us := func(d time.Duration) string {
-		return strconv.FormatFloat(float64(d)/float64(time.Microsecond), 'f', -1, 64)
-	}
-	md := metadata.Pairs(ID, m.ID, Class, m.Class, Hint, us(m.ExpectedWork), Extra, "work="+us(m.Work))
+	md := metadata.Pairs(
+		RequestIDKey, m.ID,
+		ClassKey, m.Class,
+		ExpectedWorkKey, microseconds(m.ExpectedWork),
+		ExtrasKey, "work="+microseconds(m.Work),
+	)
 	if m.Key != "" {
-		md.Set(Key, m.Key)
+		md.Set(IdempotencyKey, m.Key)
 	}
 	return md
 }
 
-// Target is a method that is called. Its own fields do not change; Send may be called from many goroutines.
+func microseconds(d time.Duration) string {
+	return strconv.FormatFloat(float64(d)/float64(time.Microsecond), 'f', -1, 64)
+}
+
+// Target calls a method. Its fields do not change after its creation; Send is safe for concurrent use.
 type Target struct {
-	name, method string
-	cc           grpc.ClientConnInterface
-	body         []byte // nil: a google.protobuf.StringValue of the request's id
-	close        func() error
+	name   string
+	method string
+	conn   grpc.ClientConnInterface
+	body   []byte // nil: a google.protobuf.StringValue of the request's ID
+	close  func() error
 }
 
-// New calls a method through any connection, such as the plug-in. body is the request's encoded message; nil: a
-// google.protobuf.StringValue with the request's id.
-func New(name string, cc grpc.ClientConnInterface, method string, body []byte) *Target {
-	return &Target{name: name, method: method, cc: cc, body: body, close: func() error { return nil }}
+// New returns a target that calls a method through any connection, such as the plug-in's. body is the request's encoded
+// message; nil stands for a google.protobuf.StringValue of the request's ID. Close does not close the connection.
+func New(name string, conn grpc.ClientConnInterface, method string, body []byte) *Target {
+	return &Target{
+		name:   name,
+		method: method,
+		conn:   conn,
+		body:   body,
+		close:  func() error { return nil },
+	}
 }
 
-// Dial makes a target of "grpc://HOST:PORT/PACKAGE.SERVICE/METHOD", in clear text. It connects with the first call.
-func Dial(text string, body []byte) (*Target, error) {
-	u, err := url.Parse(text)
-	if err != nil || u.Scheme != "grpc" || u.Host == "" || strings.Count(u.Path, "/") != 2 || strings.HasSuffix(u.Path, "/") || u.RawQuery != "" {
-		return nil, fmt.Errorf("%q is no target such as grpc://127.0.0.1:8081/booking.v1.Booking/Do", text)
+// Dial returns a target for "grpc://HOST:PORT/PACKAGE.SERVICE/METHOD", in clear text. It connects at the first call.
+func Dial(address string, body []byte) (*Target, error) {
+	u, err := url.Parse(address)
+	if err != nil || !isMethodURL(u) {
+		return nil, fmt.Errorf("%q is no target such as grpc://127.0.0.1:8081/booking.v1.Booking/Do", address)
 	}
-	cc, err := grpc.NewClient("passthrough:///"+u.Host, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry())
+	conn, err := grpc.NewClient(
+		"passthrough:///"+u.Host,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDisableRetry(),
+	)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", text, err)
+		return nil, fmt.Errorf("%s: %w", address, err)
 	}
-	t := New(text, cc, u.Path, body)
-	t.close = cc.Close
+	t := New(address, conn, u.Path, body)
+	t.close = conn.Close
 	return t, nil
 }
 
-// Name is its address, or what it was given.
+func isMethodURL(u *url.URL) bool {
+	isMethod := strings.Count(u.Path, "/") == 2 && !strings.HasSuffix(u.Path, "/")
+	return u.Scheme == "grpc" && u.Host != "" && isMethod && u.RawQuery == ""
+}
+
+// Name returns the address, or the name given to New.
 func (t *Target) Name() string { return t.name }
 
-// Close lets a dialled connection go.
+// Close closes the connection that Dial created.
 func (t *Target) Close() error { return t.close() }
 
 // Send makes one call.
-func (t *Target) Send(ctx context.Context, id string, s load.ScheduledRequest) load.Outcome {
-	m := load.Message{ID: id, Class: s.Class, Effect: s.Effect, Work: s.Work, ExpectedWork: s.Work}
-	if s.Effect == "keyed" {
+func (t *Target) Send(ctx context.Context, id string, r load.ScheduledRequest) load.Outcome {
+	m := load.Message{ID: id, Class: r.Class, Effect: r.Effect, Work: r.Work, ExpectedWork: r.Work}
+	if r.Effect == "keyed" {
 		m.Key = "k" + id
 	}
 	body := t.body
@@ -92,22 +115,24 @@
 			return load.Failed
 		}
 	}
-	var answer []byte
+	var response []byte
 	var trailer metadata.MD
-	err := t.cc.Invoke(metadata.NewOutgoingContext(ctx, Metadata(m)), t.method, body, &answer, grpc.ForceCodec(raw{}), grpc.Trailer(&trailer))
-	return kindOf(ctx, err, trailer)
+	callCtx := metadata.NewOutgoingContext(ctx, Metadata(m))
+	err := t.conn.Invoke(callCtx, t.method, body, &response, grpc.ForceCodec(rawCodec{}), grpc.Trailer(&trailer))
+	return outcomeOf(ctx, err, trailer)
 }
 
-// kindOf says what a status means to a client: a refusal is one that says so, or names when to come back.
-func kindOf(ctx context.Context, err error, trailer metadata.MD) load.Outcome {
+// outcomeOf returns the outcome of a call. An unavailable server has rejected the call if the trailer marks it as not
+// executed, or if the status has details (when to retry); otherwise the connection broke.
+func outcomeOf(ctx context.Context, err error, trailer metadata.MD) load.Outcome {
 	st := status.Convert(err)
-	turnedAway := len(trailer.Get(notRun)) > 0 || len(st.Details()) > 0
+	rejected := len(trailer.Get(notExecutedKey)) > 0 || len(st.Details()) > 0
 	switch code := st.Code(); {
 	case code == codes.OK:
 		return load.Served
 	case ctx.Err() != nil || code == codes.DeadlineExceeded:
 		return load.TimedOut
-	case code == codes.ResourceExhausted, code == codes.Unavailable && turnedAway:
+	case code == codes.ResourceExhausted, code == codes.Unavailable && rejected:
 		return load.Rejected
 	case code == codes.Unavailable:
 		return load.Broken
@@ -115,12 +140,12 @@
 	return load.Failed
 }
 
-// raw passes encoded messages through.
-type raw struct{}
+// rawCodec passes encoded messages through.
+type rawCodec struct{}
 
-func (raw) Name() string { return "proto" }
+func (rawCodec) Name() string { return "proto" }
 
-func (raw) Marshal(v any) ([]byte, error) {
+func (rawCodec) Marshal(v any) ([]byte, error) {
 	b, ok := v.([]byte)
 	if !ok {
 		return nil, fmt.Errorf("grpcload: %T is no encoded message", v)
@@ -128,7 +153,7 @@
 	return b, nil
 }
 
-func (raw) Unmarshal(data []byte, v any) error {
+func (rawCodec) Unmarshal(data []byte, v any) error {
 	p, ok := v.(*[]byte)
 	if !ok {
 		return fmt.Errorf("grpcload: %T takes no encoded message", v)
--- a/internal/load/grpcload/grpcload_test.go
+++ b/internal/load/grpcload/grpcload_test.go
@@ -16,16 +16,16 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each way that a call can end has its kind, and the metadata and the body arrive.
-func TestKinds(t *testing.T) {
+// Each result of a call has its outcome, and the metadata and the body arrive.
+func TestOutcomes(t *testing.T) {
 	type seen struct {
 		md   metadata.MD
 		body string
 	}
 	calls := make(chan seen, 1)
-	var answer error
+	var result error // the status that the server returns
 	var trailer metadata.MD
-	srv := grpc.NewServer(grpc.UnknownServiceHandler(func(_ any, s grpc.ServerStream) error {
+	server := grpc.NewServer(grpc.UnknownServiceHandler(func(_ any, s grpc.ServerStream) error {
 		var in wrapperspb.StringValue
 		if err := s.RecvMsg(&in); err != nil {
 			return err
@@ -33,11 +33,11 @@
 		md, _ := metadata.FromIncomingContext(s.Context())
 		calls <- seen{md, in.Value}
 		s.SetTrailer(trailer)
-		if answer != nil {
-			if status.Code(answer) == codes.Canceled {
+		if result != nil {
+			if status.Code(result) == codes.Canceled {
 				<-s.Context().Done()
 			}
-			return answer
+			return result
 		}
 		return s.SendMsg(wrapperspb.String("x"))
 	}))
@@ -45,51 +45,68 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go srv.Serve(l)
-	defer srv.Stop()
+	go func() { _ = server.Serve(l) }()
+	defer server.Stop()
 	target, err := Dial("grpc://"+l.Addr().String()+"/a.B/C", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer target.Close()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		err     error
 		trailer string
 		want    load.Outcome
 	}{
-		{nil, "", load.Served}, {status.Error(codes.Internal, "x"), "", load.Failed}, {status.Error(codes.ResourceExhausted, "full"), "", load.Rejected},
-		{status.Error(codes.Unavailable, "full"), notRun, load.Rejected}, {status.Error(codes.Unavailable, "x"), "", load.Broken},
+		{nil, "", load.Served},
+		{status.Error(codes.Internal, "x"), "", load.Failed},
+		{status.Error(codes.ResourceExhausted, "full"), "", load.Rejected},
+		{status.Error(codes.Unavailable, "full"), notExecutedKey, load.Rejected},
+		{status.Error(codes.Unavailable, "x"), "", load.Broken},
 		{status.Error(codes.Canceled, ""), "", load.TimedOut},
 	} {
-		answer, trailer = c.err, nil
-		if c.trailer != "" {
-			trailer = metadata.Pairs(c.trailer, "1")
+		result, trailer = test.err, nil
+		if test.trailer != "" {
+			trailer = metadata.Pairs(test.trailer, "1")
 		}
-		patience := testutil.WaitTimeout
-		if c.want == load.TimedOut {
-			patience = 50 * time.Millisecond
+		timeout := testutil.WaitTimeout
+		if test.want == load.TimedOut {
+			timeout = 50 * time.Millisecond
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
-		got := target.Send(ctx, "r1", load.ScheduledRequest{Class: "pay", Effect: "keyed", Work: 1500 * time.Microsecond})
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
+		request := load.ScheduledRequest{Class: "pay", Effect: "keyed", Work: 1500 * time.Microsecond}
+		got := target.Send(ctx, "r1", request)
 		cancel()
-		s := testutil.Receive(t, calls, "the call")
-		if got != c.want || s.body != "r1" || s.md.Get(Key)[0] != "kr1" || s.md.Get(Class)[0] != "pay" || s.md.Get(Extra)[0] != "work=1500" || s.md.Get(ID)[0] != "r1" {
-			t.Errorf("%v: %v, want %v; %v", c.err, got, c.want, s)
+		call := testutil.Receive(t, calls, "the call")
+		if got != test.want || call.body != "r1" {
+			t.Errorf("%v: outcome %v, want %v; body %q", test.err, got, test.want, call.body)
+		}
+		for key, want := range map[string]string{
+			IdempotencyKey: "kr1",
+			ClassKey:       "pay",
+			ExtrasKey:      "work=1500",
+			RequestIDKey:   "r1",
+		} {
+			if got := call.md.Get(key)[0]; got != want {
+				t.Errorf("%v: %s is %q, want %q", test.err, key, got, want)
+			}
 		}
 	}
-	for _, bad := range []string{"", "grpc://x", "grpc://x/Method", "grpc://x/S/", "http://x/S/M", "grpc:///S/M", "grpc://x/S/M?q"} {
+	for _, bad := range []string{
+		"", "grpc://x", "grpc://x/Method", "grpc://x/S/",
+		"http://x/S/M", "grpc:///S/M", "grpc://x/S/M?q",
+	} {
 		if _, err := Dial(bad, nil); err == nil {
-			t.Errorf("taken: %q", bad)
+			t.Errorf("accepted: %q", bad)
 		}
 	}
-	none, err := Dial("grpc://"+testutil.UnusedAddr+"/a.B/C", []byte{1})
+	unreachable, err := Dial("grpc://"+testutil.UnusedAddr+"/a.B/C", []byte{1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer none.Close()
+	defer unreachable.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 	defer cancel()
-	if got := none.Send(ctx, "r", load.ScheduledRequest{}); got != load.Broken {
+	if got := unreachable.Send(ctx, "r", load.ScheduledRequest{}); got != load.Broken {
 		t.Errorf("no server: %v", got)
 	}
 }
