--- a/internal/cluster/gossip/format_test.go
+++ b/internal/cluster/gossip/format_test.go
@@ -215,11 +215,8 @@
 	status := formatStatus()
 	testutil.Filled(t, status)
 	testutil.ExplicitNames(t, "json", status)
-	text, err := json.MarshalIndent(status, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "state.json", append(text, '\n'))
+	text := testutil.IndentedJSON(t, status)
+	testutil.Golden(t, "state.json", text)
 	var decoded Status
 	if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(decoded, status) {
 		t.Errorf("Unmarshal: %v:\n%+v, want\n%+v", err, decoded, status)
@@ -227,7 +224,8 @@
 
 	// Optional fields are omitted.
 	status.Members[0].ReportedBy, status.Members[0].Self = "", false
-	if text, err = json.Marshal(status.Members); err != nil {
+	text, err := json.Marshal(status.Members)
+	if err != nil {
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "members-without-optional-fields.json", append(text, '\n'))
--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -67,11 +67,8 @@
 		t.Run(name, func(t *testing.T) {
 			testutil.Filled(t, v)
 			testutil.ExplicitNames(t, "json", v)
-			text, err := json.MarshalIndent(v, "", "  ")
-			if err != nil {
-				t.Fatal(err)
-			}
-			testutil.Golden(t, "format/"+name+".json", append(text, '\n'))
+			text := testutil.IndentedJSON(t, v)
+			testutil.Golden(t, "format/"+name+".json", text)
 			empty, err := json.Marshal(reflect.New(reflect.TypeOf(v)).Interface())
 			if err != nil {
 				t.Fatal(err)
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -234,13 +234,10 @@
 			name + ".json":       v,
 			name + "-empty.json": reflect.Zero(reflect.TypeOf(v)).Interface(),
 		} {
-			text, err := json.MarshalIndent(value, "", "  ")
-			if err != nil {
-				t.Fatal(err)
-			}
-			testutil.Golden(t, file, append(text, '\n'))
+			text := testutil.IndentedJSON(t, value)
+			testutil.Golden(t, file, text)
 			read := reflect.New(reflect.TypeOf(v))
-			err = json.Unmarshal(text, read.Interface())
+			err := json.Unmarshal(text, read.Interface())
 			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
 				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), value)
 			}
--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -45,24 +45,15 @@
 	}
 }
 
-func indented(t *testing.T, v any) []byte {
-	t.Helper()
-	text, err := json.MarshalIndent(v, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return append(text, '\n')
-}
-
 // goldenValue compares the JSON of a value whose fields are all set, and of its zero value, with the golden files.
 func goldenValue(t *testing.T, name string, v any) {
 	t.Helper()
 	testutil.Filled(t, v)
 	testutil.ExplicitNames(t, "json", v)
-	testutil.Golden(t, name+".json", indented(t, v))
-	testutil.Golden(t, name+"-empty.json", indented(t, reflect.Zero(reflect.TypeOf(v)).Interface()))
+	testutil.Golden(t, name+".json", testutil.IndentedJSON(t, v))
+	testutil.Golden(t, name+"-empty.json", testutil.IndentedJSON(t, reflect.Zero(reflect.TypeOf(v)).Interface()))
 	read := reflect.New(reflect.TypeOf(v))
-	if err := json.Unmarshal(indented(t, v), read.Interface()); err != nil {
+	if err := json.Unmarshal(testutil.IndentedJSON(t, v), read.Interface()); err != nil {
 		t.Errorf("%s: %v", name, err)
 	}
 }
--- a/internal/discovery/mergedsource/format_test.go
+++ b/internal/discovery/mergedsource/format_test.go
@@ -34,11 +34,8 @@
 	}, {}}
 	testutil.Filled(t, list[0])
 	testutil.ExplicitNames(t, "json", list)
-	text, err := json.MarshalIndent(list, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "list.json", append(text, '\n'))
+	text := testutil.IndentedJSON(t, list)
+	testutil.Golden(t, "list.json", text)
 	var read []discovery.EndpointStatus
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
--- a/internal/discovery/relay/format_test.go
+++ b/internal/discovery/relay/format_test.go
@@ -97,11 +97,8 @@
 	}
 	testutil.Filled(t, state)
 	testutil.ExplicitNames(t, "json", state)
-	text, err := json.MarshalIndent([]SourceState{state, {}}, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "state.json", append(text, '\n'))
+	text := testutil.IndentedJSON(t, []SourceState{state, {}})
+	testutil.Golden(t, "state.json", text)
 }
 
 // An event of the discovery service's watch, which relays pass on in the same form, and which is a part of the
@@ -120,11 +117,8 @@
 	event := watch.Event{Version: 7, Complete: true, Endpoints: []watch.Endpoint{endpoint, {}}}
 	testutil.Filled(t, event)
 	testutil.ExplicitNames(t, "json", event)
-	text, err := json.MarshalIndent(event, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "listing.json", append(text, '\n'))
+	text := testutil.IndentedJSON(t, event)
+	testutil.Golden(t, "listing.json", text)
 	var read watch.Event
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, event) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, event)
--- a/internal/emulator/format_test.go
+++ b/internal/emulator/format_test.go
@@ -26,11 +26,8 @@
 	}
 	testutil.Filled(t, list)
 	testutil.ExplicitNames(t, "json", list)
-	text, err := json.MarshalIndent(list, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "listing.json", append(text, '\n'))
+	text := testutil.IndentedJSON(t, list)
+	testutil.Golden(t, "listing.json", text)
 	var read listing
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
--- a/internal/front/graphqlfront/format_test.go
+++ b/internal/front/graphqlfront/format_test.go
@@ -22,11 +22,8 @@
 	}
 	testutil.Filled(t, state)
 	testutil.ExplicitNames(t, "json", state)
-	text, err := json.MarshalIndent(state, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "state.json", append(text, '\n'))
+	text := testutil.IndentedJSON(t, state)
+	testutil.Golden(t, "state.json", text)
 }
 
 // TestGraphQLParametersFormatIsStable holds the names of a request's parameters.
@@ -39,9 +36,6 @@
 	}
 	testutil.Filled(t, p)
 	testutil.ExplicitNames(t, "json", p)
-	decoded, err := json.MarshalIndent(p, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "parameters.json", append(decoded, '\n'))
+	decoded := testutil.IndentedJSON(t, p)
+	testutil.Golden(t, "parameters.json", decoded)
 }
--- a/internal/limits/format_test.go
+++ b/internal/limits/format_test.go
@@ -23,11 +23,8 @@
 	testutil.Filled(t, state)
 	testutil.ExplicitNames(t, "json", state)
 	list := []State{state, NewMeter("connections of clients", 7).State()}
-	text, err := json.MarshalIndent(list, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "state.json", append(text, '\n'))
+	text := testutil.IndentedJSON(t, list)
+	testutil.Golden(t, "state.json", text)
 	var read []State
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
 		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
--- a/internal/platform/format_test.go
+++ b/internal/platform/format_test.go
@@ -25,11 +25,8 @@
 	}
 	testutil.Filled(t, config)
 	testutil.ExplicitNames(t, "json", config)
-	decoded, err := json.MarshalIndent(config, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "configuration-decoded.json", append(decoded, '\n'))
+	decoded := testutil.IndentedJSON(t, config)
+	testutil.Golden(t, "configuration-decoded.json", decoded)
 }
 
 // The error of a value of the wrong type names the field in the same form as before.
--- a/internal/simulation/experiment/format_test.go
+++ b/internal/simulation/experiment/format_test.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"encoding/json"
 	"os"
 	"testing"
 
@@ -37,11 +36,8 @@
 	}
 	testutil.Filled(t, difference)
 	testutil.ExplicitNames(t, "json", difference)
-	text, err := json.MarshalIndent([]Difference{difference, {}}, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	testutil.Golden(t, "comparison.json", append(text, '\n'))
+	text := testutil.IndentedJSON(t, []Difference{difference, {}})
+	testutil.Golden(t, "comparison.json", text)
 }
 
 // Verdicts, headers and runs have their names in tags; their files are held where runs are.
--- a/internal/testutil/fieldvalues.go
+++ b/internal/testutil/fieldvalues.go
@@ -3,9 +3,12 @@
 import (
 	"fmt"
 	"maps"
+	"os"
+	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
+	"testing"
 )
 
 // FieldValues returns the values of the exported fields of v at any depth, in order of declaration, one a line and
@@ -78,3 +81,25 @@
 		walkFields(v.MapIndex(keys[name]), fmt.Sprintf("%s[%s]", path, name), leaf)
 	}
 }
+
+// CheckStoredKeys checks that each key of a format has kept its name: dir has the file every-key.toml, which sets all
+// keys, and every-key.values, the values of the fields that an earlier version decoded it into. decode decodes the text
+// of such a file.
+func CheckStoredKeys(t testing.TB, dir string, decode func(text []byte) any) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(dir, "every-key.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join(dir, "every-key.values"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	v := decode(text)
+	for _, path := range UnsetFields(v) {
+		t.Errorf("no key has set %s", path)
+	}
+	if got := FieldValues(v); got != string(want) {
+		t.Errorf("it is read as\n%s, want\n%s", got, want)
+	}
+}
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"encoding/json"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -43,6 +44,16 @@
 	Golden(t, name, []byte(hex.Dump(got)))
 }
 
+// IndentedJSON returns the JSON of v in the form of the golden files: indented, with a newline at the end.
+func IndentedJSON(t testing.TB, v any) []byte {
+	t.Helper()
+	text, err := json.MarshalIndent(v, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
 // Filled fails the test for each exported field of v, at any depth, that has its zero value or is an empty slice or
 // map: a golden file of such a value would not show the field's encoding. Fields that are never encoded, which have the
 // name "-" in a tag, are skipped. Of a slice, only the first element is visited.
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -12,16 +12,6 @@
 	"hazelwing/internal/testutil"
 )
 
-// indentedJSON returns a value's JSON as it is in the golden files.
-func indentedJSON(t *testing.T, v any) []byte {
-	t.Helper()
-	text, err := json.MarshalIndent(v, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return append(text, '\n')
-}
-
 // decodeStrictly decodes a file of testdata into v. It fails if the file has a key that v lacks, or if a field of v
 // is empty afterwards.
 func decodeStrictly(t *testing.T, path string, v any) {
@@ -43,17 +33,17 @@
 func TestWireInputFormatIsStable(t *testing.T) {
 	var batch batch
 	decodeStrictly(t, "testdata/input-batch.json", &batch)
-	testutil.Golden(t, "input-batch-decoded.json", indentedJSON(t, batch))
+	testutil.Golden(t, "input-batch-decoded.json", testutil.IndentedJSON(t, batch))
 	var e event
 	decodeStrictly(t, "testdata/input-event.json", &e)
-	testutil.Golden(t, "input-event-decoded.json", indentedJSON(t, e))
+	testutil.Golden(t, "input-event-decoded.json", testutil.IndentedJSON(t, e))
 }
 
 // Each start-up parameter is read under the simulator's name, and becomes the setting that it stands for.
 func TestWireParametersFormatIsStable(t *testing.T) {
 	var env Env
 	decodeStrictly(t, "testdata/input-env.json", &env)
-	testutil.Golden(t, "input-env-decoded.json", indentedJSON(t, env))
+	testutil.Golden(t, "input-env-decoded.json", testutil.IndentedJSON(t, env))
 	settings := env.Settings()
 	if len(settings.Classes) != 1 || len(settings.Tenants) != 1 {
 		t.Fatalf("want one class and one tenant: %+v", settings)
