--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -65,8 +65,8 @@
 	return listener
 }
 
-// Attach makes h, which serves l, report to the connections: a request's context has the one that it came on.
-func (l *Listener) Attach(h *http.Server) {
+// attach makes h, which serves l, report to the connections: a request's context has the one that it came on.
+func (l *Listener) attach(h *http.Server) {
 	h.ConnContext = NewContext
 	h.ConnState = func(c net.Conn, state http.ConnState) {
 		if state == http.StateIdle {
@@ -190,17 +190,14 @@
 	}
 }
 
-// AcceptDone tells that Accept will not be called again.
-func (l *Listener) AcceptDone() {
+// acceptDone tells that Accept will not be called again.
+func (l *Listener) acceptDone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 	l.closeIfDrained()
 }
 
-// Drained returns a channel that is closed once there are no connections, after AcceptDone.
-func (l *Listener) Drained() <-chan struct{} { return l.drained }
-
 // release makes room for another connection. The lock is held.
 func (l *Listener) release() {
 	l.openConns--
--- a/internal/front/graphqlfront/serve.go
+++ b/internal/front/graphqlfront/serve.go
@@ -30,42 +30,13 @@
 		ErrorLog:          slog.NewLogLogger(s.config.Log.Handler(), slog.LevelDebug),
 	}
 	listener := clientconn.New(l, s.config.MaxConns, s.config.OnConnLimit)
-	listener.Attach(server)
-	var serveErr error
-	served := make(chan struct{})
-	go func() {
-		defer close(served)
-		serveErr = server.Serve(listener)
-	}()
-	select {
-	case <-served:
-		return serveErr
-	case <-ctx.Done():
+	serving := listener.Serve(server)
+	if err := serving.Wait(ctx); err != nil {
+		return err
 	}
-	return s.stop(l, listener, server, served)
-}
-
-// stop closes the listener, waits until all requests are answered, and closes the server. The channel served has a
-// value when the server's Serve has returned.
-func (s *Server) stop(
-	l net.Listener, listener *clientconn.Listener, server *http.Server, served <-chan struct{},
-) error {
 	s.stopping.Store(true)
-	// This is not server.Shutdown: from then on net/http drops each request that it has just read, and closes its
-	// connection without a response.
 	listener.CloseIdle()
-	if err := l.Close(); err != nil {
-		return err
-	}
-	<-served // it returns since the listener is closed
-	listener.AcceptDone()
-	timer := time.NewTimer(s.config.Deadline + headerTimeout + bodyTimeout + writeAllowance)
-	defer timer.Stop()
-	select {
-	case <-listener.Drained():
-	case <-timer.C: // a client does not read its response
-	}
-	return server.Close()
+	return serving.Drain(time.Now().Add(s.config.Deadline + headerTimeout + bodyTimeout + writeAllowance))
 }
 
 // reply is the HTTP response to a request. Its zero value means that the client has disconnected.
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -46,44 +46,22 @@
 		BaseContext:       func(net.Listener) context.Context { return s.requestContext },
 	}
 	defer s.cancelRequests()
-	listener.Attach(server)
-	var serveErr error
-	served := make(chan struct{})
-	go func() {
-		defer close(served)
-		serveErr = server.Serve(listener)
-	}()
-	select {
-	case <-served:
-		return serveErr
-	case <-ctx.Done():
+	serving := listener.Serve(server)
+	if err := serving.Wait(ctx); err != nil {
+		return err
 	}
-	return s.stop(listener, server, served)
+	return s.stop(listener, serving)
 }
 
 // stop closes the listener once no more connections are to be expected, waits until all requests are answered, and
-// closes the server. The channel served is closed when the server's Serve has returned.
-func (s *Server) stop(listener *clientconn.Listener, server *http.Server, served <-chan struct{}) error {
+// closes the server.
+func (s *Server) stop(listener *clientconn.Listener, serving *clientconn.Serving) error {
 	s.stopping.Store(true)
 	defer time.AfterFunc(s.stopTimeout, s.cancelRequests).Stop()
-	stoppedAt := time.Now()
+	drainDeadline := time.Now().Add(s.stopTimeout + headerTimeout + bodyTimeout + writeAllowance)
 	listener.CloseIdle()
 	s.waitForQuietListener(listener)
-	// This is not server.Shutdown: from then on net/http drops each request that it has just read, and closes its
-	// connection without a response.
-	if err := listener.Close(); err != nil {
-		return err
-	}
-	<-served // it returns since the listener is closed
-	listener.AcceptDone()
-	timeLeft := s.stopTimeout - time.Since(stoppedAt) + headerTimeout + bodyTimeout + writeAllowance
-	timer := time.NewTimer(timeLeft)
-	defer timer.Stop()
-	select {
-	case <-listener.Drained():
-	case <-timer.C: // a client does not read its response
-	}
-	return server.Close()
+	return serving.Drain(drainDeadline)
 }
 
 // waitForQuietListener returns when no more connections are to be expected. This prevents the listener from being
