--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -2,22 +2,22 @@
 
 import "errors"
 
-// Why a call was rejected without the Balancer.
+// Errors for calls that are rejected without the Balancer.
 var (
 	errClosed       = errors.New("closed")
 	errTooManyCalls = errors.New("too many calls in hand")
 )
 
-// immediateResult decides which calls get their result without the Balancer; ok is false for all others. Its inputs are
-// the calls in flight, Config.MaxCalls and the call's context:
+// immediateResult decides which calls get their result without the Balancer; ok is false for all others. The decision
+// depends on whether the engine is stopping, the calls in flight, Config.MaxCalls and the call's context:
 //
-//   - At shutdown a new call is rejected. This prevents an attempt that nobody could wait for.
-//   - An ID that is in flight is a Duplicate. This prevents two clients from ending each other's calls.
-//   - Calls beyond Config.MaxCalls are rejected. This prevents memory from growing with what a front admits.
-//   - A client that disconnected while its call was queued is told so.
+//   - During shutdown, a new call is rejected. This prevents an attempt that shutDown would not wait for.
+//   - A call whose ID is already in flight is a Duplicate. This prevents two clients from ending each other's calls.
+//   - Calls beyond Config.MaxCalls are rejected. This prevents unbounded memory use if a front admits too many calls.
+//   - A call whose client disconnected while the call was queued gets a Disconnected result.
 //
-// Guard: prevents an attempt for a client whose disconnect is still queued behind its call. It shows as an attempt that
-// begins after the client has left. It holds because the call's context is asked, and not the queue.
+// Guard: prevents an attempt for a client whose disconnect event is still queued behind its call: the attempt would
+// start after the client has disconnected. This holds because the call's context is checked directly.
 func (e *Engine) immediateResult(c *Call) (r Result, ok bool) {
 	switch {
 	case e.stopping:
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -6,21 +6,22 @@
 	"hazelwing/balancer"
 )
 
-// probeTimeout is how long a probe may take. With a higher value an endpoint that hangs is noticed later; with a lower
-// one an endpoint that is slow to answer under load counts as silent.
+// probeTimeout is the maximum duration of a probe. A higher value detects an endpoint that hangs later; a lower value
+// treats an endpoint that is slow under load as unresponsive.
 const probeTimeout = 400 * time.Millisecond
 
-// noAttempt is no attempt's number.
+// noAttempt is used in place of an attempt's number if there is no attempt.
 const noAttempt = -1
 
 // attempt is one attempt of a Call.
 type attempt struct {
 	exchange       Exchange
 	sentAt         time.Time
-	streamAccepted chan bool // Run's answer to a stream that has started; has room for it
+	streamAccepted chan bool // receives Run's decision about a stream that has started; buffered
 }
 
-// streamStarted is the event of an attempt whose stream has started. Its goroutine waits for streamAccepted.
+// streamStarted is the event that the stream of an attempt has started. The attempt's goroutine waits for
+// streamAccepted.
 type streamStarted struct {
 	call    *Call
 	attempt int
@@ -29,7 +30,7 @@
 
 func (v streamStarted) handle(e *Engine) { e.handleStreamStart(v) }
 
-// attemptEnded is the event of an attempt's outcome.
+// attemptEnded is the event that an attempt has ended, with its outcome.
 type attemptEnded struct {
 	call    *Call
 	attempt int
@@ -38,7 +39,7 @@
 
 func (v attemptEnded) handle(e *Engine) { e.handleAttemptEnd(v) }
 
-// probeEnded is the event of a probe's outcome.
+// probeEnded is the event that a probe has ended, with its outcome.
 type probeEnded struct {
 	endpoint string
 	sentAt   time.Time
@@ -47,18 +48,21 @@
 
 func (v probeEnded) handle(e *Engine) { e.handleProbeEnd(v) }
 
-// send starts an attempt in a goroutine of its own, which ends with the event attemptEnded. shutDown waits for it.
+// send starts an attempt in its own goroutine, which queues the event attemptEnded when it ends. shutDown waits for
+// this event.
 func (e *Engine) send(a *balancer.Action) {
 	c := e.calls[a.ID]
-	var x Exchange
-	if c != nil {
-		if a.NotAfter > 0 { // MayStart holds the attempt to it
-			c.notAfter = e.clock.timeAt(a.NotAfter)
-		}
-		x = e.transport.Attempt(a.Endpoint, c, a.Timeout)
+	if c == nil { // a bug: the Balancer sends attempts only for calls in flight
+		e.log.Error("attempt not sent: no call with this ID is in flight", "request", a.ID, "endpoint", a.Endpoint)
+		return
+	}
+	if a.NotAfter > 0 { // checked by MayStart
+		c.notAfter = e.clock.toTime(a.NotAfter)
 	}
-	if x == nil { // the transport and the Balancer have the same list: this is a bug
-		e.log.Error("attempt for an unknown request or endpoint", "request", a.ID, "endpoint", a.Endpoint)
+	x := e.transport.Attempt(a.Endpoint, c, a.Timeout)
+	if x == nil { // a bug: the transport and the Balancer have the same endpoint list
+		e.log.Error("attempt not sent: the transport does not know the endpoint",
+			"request", a.ID, "endpoint", a.Endpoint)
 		return
 	}
 	number := len(c.attempts)
@@ -73,14 +77,14 @@
 	go func() { e.events <- attemptEnded{c, number, x.Run(begin)} }()
 }
 
-// cancelAttempt carries out a Cancel action.
+// cancelAttempt performs a Cancel action.
 func (e *Engine) cancelAttempt(a *balancer.Action) {
 	if c := e.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) {
 		c.attempts[a.Attempt].exchange.Cancel()
 	}
 }
 
-// handleStreamStart makes an attempt's stream the call's result, unless the call has one.
+// handleStreamStart delivers an attempt's stream as the result of its call, unless the call already has a result.
 func (e *Engine) handleStreamStart(v streamStarted) {
 	c := v.call
 	accepted := !c.answered
@@ -92,9 +96,10 @@
 	c.attempts[v.attempt].streamAccepted <- accepted
 }
 
-// handleAttemptEnd decides what an attempt's outcome means for its call: an answer that is Final is the call's result,
-// whatever it says of the endpoint; any other is kept for the result of a call that fails, and the Balancer decides
-// whether to retry. For the client a time-out is one also where a stall of this process caused it.
+// handleAttemptEnd decides how an attempt's outcome affects its call. A final answer becomes the result, even if the
+// outcome counts as a failure of the endpoint. Any other answer is kept for the result in case the call fails, and the
+// Balancer decides whether to retry. The client sees a time-out as a time-out even if a stall of this process caused
+// it.
 func (e *Engine) handleAttemptEnd(v attemptEnded) {
 	c := v.call
 	c.outstanding--
@@ -120,15 +125,15 @@
 
 // endIfDisconnected ends a call whose client has disconnected, before the Balancer decides whether to retry it.
 //
-// Guard: prevents a retry for a client whose disconnect still waits behind other events. It shows as an attempt that
-// starts after the client has left. It holds because it asks the connection itself, in the event of the failure.
+// Guard: prevents a retry for a client whose disconnect event is still queued: an attempt would start after the client
+// has disconnected. This holds because handling the failure checks the client's connection directly.
 func (e *Engine) endIfDisconnected(c *Call) {
 	if !c.answered && c.hasDisconnected() {
 		e.handleDisconnect(c)
 	}
 }
 
-// recordFailure keeps what the call's result will say of its last attempt.
+// recordFailure stores the error and answer of an attempt for the result of its call.
 func (c *Call) recordFailure(o *Outcome, timedOut bool) {
 	c.timedOut = c.timedOut || timedOut
 	if o.Err != nil {
@@ -139,7 +144,8 @@
 	}
 }
 
-// probe starts a probe in a goroutine of its own, which ends with the event probeEnded. shutDown waits for it.
+// probe starts a probe in its own goroutine, which queues the event probeEnded when it ends. shutDown waits for this
+// event.
 func (e *Engine) probe(endpoint string) {
 	x := e.transport.Probe(endpoint, probeTimeout)
 	if x == nil {
@@ -151,7 +157,7 @@
 	go func() { e.events <- probeEnded{endpoint, sentAt, x.Run(refuseStream)} }()
 }
 
-// handleProbeEnd passes a probe's outcome on to the Balancer.
+// handleProbeEnd passes a probe's outcome to the Balancer.
 func (e *Engine) handleProbeEnd(v probeEnded) {
 	e.exchangesInFlight--
 	e.stalls.correctOutcome(&v.Outcome, v.sentAt, time.Now())
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Call is one request of an application. A front fills in the exported fields and does not touch them once it has
-// handed the Call to Do.
+// Call is one request of an application. A front fills in the exported fields and does not modify them after it has
+// passed the Call to Do.
 type Call struct {
 	ID          string // unique among the calls in flight
 	Class       string // one of the classes of the settings
 	Tenant      string
-	AffinityKey string // what the call is about; may be absent
-	// IdempotencyKey is the same in all calls for one effect, whatever their ID: the client's key. It may be absent.
+	AffinityKey string // object that the call concerns; optional
+	// IdempotencyKey is the client's key. All calls for one effect have the same key, even if their IDs differ.
+	// Optional.
 	IdempotencyKey string
-	// PriorAttempts are attempts of other calls with this idempotency key that may have run; see balancer.Request.
+	// PriorAttempts lists attempts of other calls with this idempotency key that may have run; see balancer.Request.
 	PriorAttempts []PriorAttempt
-	// ExpectedWork is the endpoint's work that the client expects of the call; 0: unknown.
+	// ExpectedWork is the work that the client expects the call to cause at the endpoint; 0 if unknown.
 	ExpectedWork time.Duration
-	// ExpiresAt is when the client stops waiting. The Result comes before it by twice the Tick of the settings.
+	// ExpiresAt is when the client stops waiting. The engine delivers the Result earlier than that by twice
+	// Settings.Tick.
 	ExpiresAt time.Time
-	// Payload is for the transport alone. Several attempts may read it at the same time: nobody changes it.
+	// Payload is used by the transport only. Several attempts may read it concurrently, so it must not be modified.
 	Payload any
-	// Disconnected reports whether the client has disconnected, possibly sooner than Do's context does; nil: only the
-	// context tells. It is called from any goroutine and must not block.
+	// Disconnected reports whether the client has disconnected. It may detect this before Do's context ends. If it is
+	// nil, only the context is checked. It must be safe for concurrent use and must not block.
 	Disconnected func() bool
 
-	ctx      context.Context //nolint:containedctx // Do's: MayStart's goroutines ask it for as long as the call lasts.
-	result   chan Result     // has room for the one result
-	notAfter time.Time       // no further attempt may start from then on; zero: at any time
+	ctx      context.Context //nolint:containedctx // Do's context; the functions that MayStart returns check it while the call lasts.
+	result   chan Result     // buffered for the one result
+	notAfter time.Time       // no further attempt may start after this time; zero: no limit
 
-	// The fields below are those of Run's goroutine.
+	// Only Run's goroutine uses the fields below.
 	attempts      []*attempt
 	outstanding   int // attempts without an outcome
 	answered      bool
 	timedOut      bool
-	streamAttempt int // the number of the attempt whose stream is the client's, or noAttempt
+	streamAttempt int // number of the attempt whose stream the client receives, or noAttempt
 	lastErr       error
 	lastAnswer    any
 }
@@ -47,13 +49,15 @@
 	SentAt time.Time
 }
 
-// MayStart decides whether an attempt that is ready to be written may still start: before the time of the Balancer's
-// Action.NotAfter, where it set one, and while the client is connected. A transport calls MayStart in Attempt, from
-// Run's goroutine, and the function that it returns from the attempt's goroutine, right before the first byte.
+// MayStart returns a function that decides whether an attempt that is ready to be written may still start. The attempt
+// may start while the client is connected and, if the Balancer set Action.NotAfter, only before that time. A transport
+// calls MayStart in Attempt, from Run's goroutine, and calls the returned function from the attempt's goroutine,
+// immediately before it writes the first byte.
 //
-// Guard: prevents attempts that waited for a dial, a connection or a disk from running for a client that has left, or
-// a second time, behind the window in which endpoints recognize the repeat. That shows at the endpoint as work that
-// nobody awaits, or as the same effect twice. It holds because nothing blocks between this look and the write.
+// Guard: prevents an attempt that waited for a dial, a connection or a disk from being written after its client has
+// disconnected, or after the window in which endpoints recognize a repeated request. The endpoint would do work that no
+// client waits for, or would apply the same effect twice. This holds because nothing blocks between the check and the
+// write.
 func (c *Call) MayStart() func() bool {
 	notAfter := c.notAfter
 	return func() bool {
@@ -62,45 +66,46 @@
 	}
 }
 
-// hasDisconnected reports whether the client has disconnected, as far as is known now. Any goroutine may call it.
+// hasDisconnected reports whether the client is known to have disconnected. It is safe for concurrent use.
 func (c *Call) hasDisconnected() bool {
 	return c.contextEnded() || c.Disconnected != nil && c.Disconnected()
 }
 
-// contextEnded reports whether Do's context has ended. Any goroutine may call it.
+// contextEnded reports whether Do's context has ended. It is safe for concurrent use.
 func (c *Call) contextEnded() bool { return c.ctx != nil && c.ctx.Err() != nil }
 
-// disconnectedResult is the result of a call whose client has disconnected, for a Do that has not noticed yet.
+// disconnectedResult returns the result for a call whose client has disconnected. Do may not have noticed the
+// disconnect yet.
 func (c *Call) disconnectedResult() Result {
 	return Result{Kind: Disconnected, Err: context.Cause(c.ctx)}
 }
 
-// cancelAttempts cancels all attempts of a call.
+// cancelAttempts cancels all attempts of the call.
 func (c *Call) cancelAttempts() {
 	for _, a := range c.attempts {
 		a.exchange.Cancel()
 	}
 }
 
-// ResultKind says what a Result is.
+// ResultKind is the kind of a Result.
 type ResultKind int
 
 // The kinds of results.
 const (
-	Served       ResultKind = iota // Answer is what the transport returned
-	Streaming                      // Answer is a stream that has begun; the client sees how it ends
-	Rejected                       // a retry is harmless
-	Failed                         // no promise
-	Duplicate                      // another call with this ID is in flight; nothing was done for this one
+	Served       ResultKind = iota // Answer holds the answer that the transport returned
+	Streaming                      // Answer holds a stream that has begun; the client sees how it ends
+	Rejected                       // it is safe to retry
+	Failed                         // attempts may have run; it may be unsafe to retry
+	Duplicate                      // another call with this ID is in flight; this call was not processed
 	Disconnected                   // the client's context ended first
 )
 
 // Result is the outcome of a Call.
 type Result struct {
 	Kind       ResultKind
-	Answer     any           // Served, Streaming; Failed: the last answer that an attempt brought, or nil
-	RetryAfter time.Duration // Rejected: when to retry; 0: no advice
-	TimedOut   bool          // Failed: an attempt ran out of time, or is still outstanding
-	Attempts   int           // that were started
-	Err        error         // Rejected, Failed: why the last attempt failed, if known; Disconnected: the context's
+	Answer     any           // Served, Streaming: the answer; Failed: the last answer of an attempt, or nil
+	RetryAfter time.Duration // Rejected: when to retry; 0: not specified
+	TimedOut   bool          // Failed: an attempt timed out or is still outstanding
+	Attempts   int           // number of attempts started
+	Err        error         // Rejected, Failed: cause of the last failure, if known; Disconnected: cause of the context's end
 }
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -6,20 +6,20 @@
 	"hazelwing/balancer"
 )
 
-// callArrived is the event of a call that Do has taken.
+// callArrived is the event that Do has accepted a call.
 type callArrived struct{ call *Call }
 
 func (v callArrived) handle(e *Engine) { e.handleCall(v.call) }
 
-// callDisconnected is the event of a call whose context has ended.
+// callDisconnected is the event that a call's context has ended.
 type callDisconnected struct{ call *Call }
 
 func (v callDisconnected) handle(e *Engine) { e.handleDisconnect(v.call) }
 
-// handleCall passes a new call to the Balancer, unless its result is clear without it.
+// handleCall passes a new call to the Balancer, unless immediateResult determines its result.
 func (e *Engine) handleCall(c *Call) {
 	if r, ok := e.immediateResult(c); ok {
-		c.answered = true // also stops its client's disconnection from ending it again, or another call with its ID
+		c.answered = true // so that neither a disconnect of this client nor another call with this ID ends it again
 		c.result <- r
 		return
 	}
@@ -31,29 +31,29 @@
 	e.decide(e.balancerRequest(c))
 }
 
-// balancerRequest returns a call in the Balancer's terms and on its clock.
+// balancerRequest converts a call to a balancer.Request, with times on the Balancer's clock.
 func (e *Engine) balancerRequest(c *Call) balancer.Request {
 	r := balancer.Request{
 		ID:           c.ID,
 		Class:        c.Class,
 		Tenant:       c.Tenant,
 		AffinityKey:  c.AffinityKey,
-		ExpiresAt:    e.clock.at(c.ExpiresAt),
+		ExpiresAt:    e.clock.fromTime(c.ExpiresAt),
 		ExpectedWork: c.ExpectedWork,
 	}
 	for _, p := range c.PriorAttempts {
-		prior := balancer.PriorAttempt{Zone: p.Zone, Cell: p.Cell, SentAt: e.clock.at(p.SentAt)}
+		prior := balancer.PriorAttempt{Zone: p.Zone, Cell: p.Cell, SentAt: e.clock.fromTime(p.SentAt)}
 		r.PriorAttempts = append(r.PriorAttempts, prior)
 	}
 	return r
 }
 
-// handleDisconnect ends a call whose client has disconnected. Its attempts that have not been written never will be;
-// the others are cancelled only with Config.CancelOnDisconnect, because otherwise their outcomes still say something of
-// their endpoints.
+// handleDisconnect ends a call whose client has disconnected. Attempts that have not been written are cancelled.
+// Written attempts are cancelled only if Config.CancelOnDisconnect is set, because their outcomes still provide
+// information about their endpoints.
 func (e *Engine) handleDisconnect(c *Call) {
 	if c.answered {
-		if c.streamAttempt != noAttempt { // the client disconnected while its stream started
+		if c.streamAttempt != noAttempt { // the client disconnected while its stream was starting
 			c.attempts[c.streamAttempt].exchange.Cancel()
 		}
 		return
@@ -67,7 +67,7 @@
 	e.release(c)
 }
 
-// reject gives a call the result of a Reject action.
+// reject answers a call as a Reject action requires.
 func (e *Engine) reject(a *balancer.Action) {
 	c := e.calls[a.ID]
 	if c == nil {
@@ -77,7 +77,7 @@
 	e.release(c)
 }
 
-// fail gives a call the result of a Fail action. It counts as timed out where an attempt ran out of time or is still
+// fail answers a call as a Fail action requires. The result is marked as timed out if an attempt timed out or is still
 // outstanding.
 func (e *Engine) fail(a *balancer.Action) {
 	c := e.calls[a.ID]
@@ -93,11 +93,11 @@
 	e.release(c)
 }
 
-// reply gives a call its result, unless it has one or its client has disconnected. All results of calls that the
-// Balancer has seen come from here, but Disconnected.
+// reply delivers a call's result, unless the call has one already or its client has disconnected. Every result of a
+// call that the Balancer has seen is delivered here, except Disconnected.
 //
-// Guard: prevents two results for one call where its answer, its deadline and its client's disconnect fall together. A
-// front would answer twice, or block this goroutine. It holds because only this goroutine reads and sets answered.
+// Guard: prevents two results for one call whose answer, deadline and client disconnect coincide. The front would
+// answer twice, or this goroutine would block. This holds because only this goroutine reads and sets answered.
 func (e *Engine) reply(c *Call, r Result) {
 	if c.answered {
 		return
@@ -107,7 +107,7 @@
 	c.result <- r
 }
 
-// closeCall marks a call as answered: its attempts that have not been written yet never will be.
+// closeCall marks a call as answered and cancels its attempts that have not been written yet.
 func (e *Engine) closeCall(c *Call) {
 	c.answered = true
 	for _, a := range c.attempts {
@@ -115,7 +115,7 @@
 	}
 }
 
-// release drops a call that is answered and has no attempt outstanding.
+// release removes a call that has been answered and has no outstanding attempts.
 func (e *Engine) release(c *Call) {
 	if !c.answered || c.outstanding > 0 || e.calls[c.ID] != c {
 		return
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// clockHeadStart is how long before the engine's start the Balancer's clock begins: an endpoint that started shortly
-// before the engine is still warming up, and needs a start time on that clock.
-const clockHeadStart = time.Hour
+// clockBaseOffset is how long before the engine's start the Balancer's clock begins. An endpoint that started shortly
+// before the engine is still warming up, so its start time must be representable on this clock.
+const clockBaseOffset = time.Hour
 
-// clock is the Balancer's clock: monotonic, except for times from outside, which are wall times.
+// clock is the Balancer's clock. It is monotonic, except for conversions of external times, which are wall-clock times.
 type clock struct{ base time.Time }
 
-func newClock() clock { return clock{time.Now().Add(-clockHeadStart)} }
+func newClock() clock { return clock{time.Now().Add(-clockBaseOffset)} }
 
 func (c clock) now() time.Duration { return time.Since(c.base) }
 
-func (c clock) at(t time.Time) time.Duration { return t.Sub(c.base) }
+func (c clock) fromTime(t time.Time) time.Duration { return t.Sub(c.base) }
 
-func (c clock) timeAt(d time.Duration) time.Time { return c.base.Add(d) }
+func (c clock) toTime(d time.Duration) time.Time { return c.base.Add(d) }
 
-// fromUnixMS converts Unix milliseconds; 0 or a time before the clock's begin is long ago: 0.
+// fromUnixMS converts Unix milliseconds. It returns 0, which means long ago, for 0 and for times before the clock's
+// base.
 func (c clock) fromUnixMS(ms float64) time.Duration {
 	return max(0, time.Duration(ms-float64(c.base.UnixMilli()))*time.Millisecond)
 }
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -5,20 +5,24 @@
 	"time"
 )
 
-// An endpoint that started shortly before the sidecar is still warming up: its start time must not count as long ago.
+// An endpoint that started shortly before the sidecar is still warming up, so its start time must not be converted to
+// 0, which means long ago.
 func TestClockConversions(t *testing.T) {
 	c := newClock()
 	startedAtMS := float64(time.Now().Add(-3 * time.Second).UnixMilli())
 	if age := c.now() - c.fromUnixMS(startedAtMS); age < 2*time.Second || age > time.Minute {
-		t.Errorf("the age of an endpoint started 3 s ago is %v", age)
+		t.Errorf("an endpoint that started 3 s ago has age %v, want 2 s to 1 min", age)
 	}
 	first := c.fromUnixMS(startedAtMS)
 	second := c.fromUnixMS(startedAtMS)
 	beforeBase := c.fromUnixMS(float64(c.base.UnixMilli() - 1))
-	if first != second || c.fromUnixMS(0) != 0 || beforeBase != 0 {
-		t.Error("a time before the clock's base is not 0, or a conversion is not repeatable")
+	if first != second {
+		t.Errorf("fromUnixMS(%v) returned %v, then %v", startedAtMS, first, second)
 	}
-	if now := c.now(); c.at(c.timeAt(now)) != now {
-		t.Error("at does not invert timeAt")
+	if unixZero := c.fromUnixMS(0); unixZero != 0 || beforeBase != 0 {
+		t.Errorf("Unix time 0 is %v, and 1 ms before the clock's base is %v, want 0 for both", unixZero, beforeBase)
+	}
+	if now := c.now(); c.fromTime(c.toTime(now)) != now {
+		t.Error("fromTime does not invert toTime")
 	}
 }
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,33 +1,34 @@
-// Package engine runs one balancer.Balancer: it owns the Balancer's clock, its timer, the calls in flight and their
-// attempts, and knows no network.
+// Package engine runs one balancer.Balancer. The engine owns the Balancer's clock and timer, the calls in flight and
+// their attempts. It does no network I/O itself.
 //
-// Three kinds of components meet in it, each behind a type or an interface of the engine:
+// The engine connects three kinds of components, each through a type or an interface of this package:
 //
-//   - a front hands it a Call through Do and gets exactly one Result;
+//   - a front passes a Call to Do and receives exactly one Result;
 //   - a Transport prepares attempts and probes, each of which the engine runs as an Exchange;
-//   - a Source tells it of the endpoints.
+//   - a Source delivers the endpoint list and its changes.
 //
-// The engine handles events in one goroutine, that of Run, which never waits for a
-// socket: whatever happens is queued as an event, and the Balancer's actions are carried out in order, each exchange
-// in a goroutine of its own. The engine makes these promises to all fronts:
+// A single goroutine, the one that calls Run, handles all events and never waits for a socket. Everything that happens
+// is queued as an event. The engine carries out the Balancer's actions in order and runs each exchange in its own
+// goroutine. The engine guarantees to every front:
 //
-//   - Each Call gets one Result, whatever becomes of its attempts, its client or the engine.
-//   - Once a Call has its Result, no attempt of it that has not begun to write ever will.
-//   - Updates of the endpoint list are handled before all other events that wait.
-//   - A process that was stalled does not take its endpoints for silent ones.
+//   - Each Call gets exactly one Result, even if its attempts fail, its client disconnects or the engine stops.
+//   - Once a Call has its Result, none of its attempts that have not begun to write will begin.
+//   - Updates of the endpoint list are handled before all other queued events.
+//   - After a stall of this process, its endpoints are not treated as unresponsive.
 //
-// The Balancer decides which endpoint an attempt goes to, whether to retry and what to reject. The engine decides only
-// the following, each in one place:
+// The Balancer decides which endpoint receives an attempt, whether to retry, and which calls to reject. The engine
+// makes only the following decisions, each in one place:
 //
 //   - immediateResult (admission.go): which calls get their result without the Balancer
 //   - Call.MayStart (call.go): whether an attempt that is ready to be written may still start
 //   - awaitFirstUpdate (startup.go): how long the first calls wait for a pushed endpoint list
-//   - handleWatchFailed (watch.go): when a pushed list is watched again
-//   - keepDrains, applyFromPrevious and applyFromReplaced (sourcechange.go): which part of an update is
-//     applied while a source or a watch is replaced
-//   - stalls (stall.go): what an outcome says of its endpoint, and when timers fire, after this process did not run
-//   - answerAllCalls (shutdown.go): which result calls get that are in flight at the end
+//   - handleWatchFailed (watch.go): when the engine reopens a failed watch of a pushed list
+//   - keepDrains, applyFromPrevious and applyFromReplaced (sourcechange.go): which part of an update is applied while a
+//     source or a watch is being replaced
+//   - stalls (stall.go): how an outcome is attributed to its endpoint, and when timers fire, after a stall of this
+//     process
+//   - answerAllCalls (shutdown.go): which results the calls in flight get at shutdown
 //
-// A program makes an Engine with New, calls Run in a goroutine, and ends it through Run's context. Engines share
-// nothing.
+// A program creates an Engine with New, calls Run in a goroutine, and stops the engine by cancelling Run's context.
+// Engines share no state.
 package engine
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -6,7 +6,7 @@
 	"hazelwing/balancer"
 )
 
-// applyUpdate passes an update on to the transport and the Balancer.
+// applyUpdate passes an update to the transport and the Balancer.
 func (e *Engine) applyUpdate(u EndpointUpdate) {
 	complete := u.Kind == balancer.CompleteList || u.Kind == balancer.CachedList
 	e.transport.Update(complete, u.Endpoints, time.Now())
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -12,12 +12,13 @@
 	"hazelwing/internal/backoff"
 )
 
-// queueLength is the room for events, and for updates of the endpoint list, in each of the two queues. Whoever finds no
-// room waits. A higher value costs memory, and lets calls wait in the queue that would otherwise wait in their front.
+// queueLength is the capacity of each of the two queues: one for events, one for updates of the endpoint list. A sender
+// blocks while its queue is full. A higher value uses more memory and lets calls wait in this queue instead of in their
+// front.
 const queueLength = 1024
 
-// watchBackoffStream is the stream of the random generator for the pauses between watches. Another stream than those of
-// the Balancer keeps its draws from depending on how often a watch fails.
+// watchBackoffStream selects the random number stream for the delays between watches. It differs from the Balancer's
+// streams, so that the number of failed watches does not affect the Balancer's random choices.
 const watchBackoffStream = 0x6167656e74
 
 // Config is the configuration of an Engine.
@@ -25,59 +26,63 @@
 	Settings  balancer.Settings
 	Seed      uint64
 	Transport Transport
-	Source    Source // watched from the start, or once the Balancer subscribes if the settings say MustSubscribe
-	// CachedList is the list as last known. It may be out of date, or empty: then the complete list is asked for.
+	// Source delivers the endpoint list. It is watched from the start, or, if Settings.MustSubscribe is set, from the
+	// Balancer's first Subscribe action on.
+	Source Source
+	// CachedList is the last known endpoint list. It may be out of date. If it is empty, the engine requests the
+	// complete list.
 	CachedList EndpointUpdate
 	Log        *slog.Logger
-	// MaxCalls is the maximum of calls in flight, attempts that outlive their call included; calls beyond it are
-	// rejected. A higher value costs memory where endpoints are slow. 0: the front limits them.
+	// MaxCalls limits the calls in flight, including calls that have their result but still have attempts outstanding.
+	// Calls beyond the limit are rejected. A higher value uses more memory while endpoints are slow. 0 means no limit
+	// in the engine; the front limits the calls.
 	MaxCalls int
-	// CancelOnDisconnect cancels the attempts of a call whose client has disconnected. Otherwise they run on, and the
-	// Balancer learns how they end.
+	// CancelOnDisconnect cancels the attempts of a call when its client disconnects. If it is false, the attempts
+	// continue and the Balancer receives their outcomes.
 	CancelOnDisconnect bool
 }
 
-// Engine runs one Balancer. Its exported methods may be called from any goroutine, Run once.
+// Engine runs one Balancer. Its exported methods are safe for concurrent use; Run may be called only once.
 type Engine struct {
 	clock              clock
 	transport          Transport
 	log                *slog.Logger
-	listIsPushed       bool // the list comes without a Subscribe action
+	listIsPushed       bool // the list is watched without a Subscribe action
 	maxCalls           int
 	cancelOnDisconnect bool
 
 	events  chan event
-	updates chan watchUpdate // handled before all events
+	updates chan watchUpdate // takes precedence over events
 	closed  chan struct{}    // closed when Run has returned
 
-	pendingBalancers atomic.Int64 // by SetBalancers, not yet passed to the Balancer; 0: none
+	pendingBalancers atomic.Int64 // number set by SetBalancers and not yet passed to the Balancer; 0: none
 
-	// The fields below are those of Run's goroutine.
+	// Only Run's goroutine uses the fields below.
 
 	balancer          *balancer.Balancer
 	actions           []balancer.Action
 	calls             map[string]*Call
-	exchangesInFlight int // that have not ended
+	exchangesInFlight int // exchanges that have not ended
 	timer             *time.Timer
-	timerAt           time.Time    // when the timer fires; zero: it is not set
-	heartbeat         *time.Ticker // runs while calls are in flight
+	timerAt           time.Time    // when the timer fires; zero if it is not set
+	heartbeat         *time.Ticker // runs while there are calls in flight
 	stalls            stalls
-	stopping          bool // the Balancer is no longer asked
+	stopping          bool // the engine is shutting down and no longer calls the Balancer
 	cachedList        EndpointUpdate
 
 	source          Source
 	sourceChangedAt time.Time
 	watch           *watch
-	previousWatch   *watch             // that of the source before, until the present source has answered
-	version         int64              // of the list
-	activeProcesses map[string]float64 // the active endpoints, by ID, with their StartedAtMS
-	drains          map[string]drain   // by ID, for staleListPeriod
-	pushedListLost  bool               // the source of a pushed list has not answered
-	sourceReachable bool               // at the last call
-	watchBackoff    backoff.Scheduler  // of a pushed list
+	previousWatch   *watch             // watch of the previous source; open until the current source has answered
+	version         int64              // of the endpoint list
+	activeProcesses map[string]float64 // StartedAtMS of each active endpoint, by endpoint ID
+	drains          map[string]drain   // by endpoint ID; entries expire after staleListPeriod
+	pushedListLost  bool               // the watch of a pushed list has failed, and no update has arrived since
+	sourceReachable bool               // result of the latest call to the source
+	watchBackoff    backoff.Scheduler  // for watches of a pushed list
 }
 
-// New returns an Engine, or an error that names the setting that cannot be used. Nothing happens before Run.
+// New returns an Engine, or an error that names the invalid setting. The engine does nothing before Run is called.
 func New(cfg Config) (*Engine, error) {
 	b, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -116,15 +121,15 @@
 	return e, nil
 }
 
-// newStoppedTimer returns a timer that does not fire before it is reset.
+// newStoppedTimer returns a timer that does not fire until it is reset.
 func newStoppedTimer() *time.Timer {
 	timer := time.NewTimer(math.MaxInt64)
 	timer.Stop()
 	return timer
 }
 
-// Do carries out a call and returns its one result. It blocks until there is one, and no longer than ctx: then the
-// result is Disconnected, and the client gets no answer of the call's attempts.
+// Do runs a call and returns its result. It blocks until the result is known or ctx ends. If ctx ends first, the result
+// is Disconnected and the client receives no answer from the call's attempts.
 func (e *Engine) Do(ctx context.Context, c *Call) Result {
 	c.ctx = ctx
 	c.result = make(chan Result, 1)
@@ -144,17 +149,18 @@
 	case r := <-c.result:
 		return r
 	default:
-		return Result{Kind: Rejected, Err: errClosed} // Run ended before it saw the call
+		return Result{Kind: Rejected, Err: errClosed} // Run ended before it handled the call
 	}
 }
 
-// SetSource makes the endpoint list come from s from now on. It does not wait for the new source to answer.
+// SetSource switches the endpoint list to s. It does not wait for the new source to answer.
 func (e *Engine) SetSource(s Source) { e.post(sourceChanged{s}) }
 
-// SetBalancers replaces the number of sidecars in the settings, from the next event on. It does not wait.
+// SetBalancers changes the number of sidecars in the settings. The change takes effect before the next event is
+// handled; SetBalancers does not wait for it.
 func (e *Engine) SetBalancers(n int) { e.pendingBalancers.Store(int64(n)) }
 
-// post queues an event for Run and reports whether it could: it cannot once Run has returned.
+// post queues an event for Run. It returns false if Run has returned.
 func (e *Engine) post(v event) bool {
 	select {
 	case <-e.closed:
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,7 +13,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// A call's result is what its one attempt brought.
+// A call gets the answer of its only attempt as its result.
 func TestServed(t *testing.T) {
 	f := newFakeNetwork()
 	e := newEngine(t, f, testSettings(), 2)
@@ -22,11 +22,11 @@
 	attempt := testutil.Receive(t, f.attempts, "the attempt")
 	attempt.outcome <- Outcome{Result: balancer.OK, Final: true, Answer: "seat"}
 	if r := testutil.Receive(t, results, "the result"); r.Kind != Served || r.Answer != "seat" || r.Attempts != 1 {
-		t.Errorf("result %+v", r)
+		t.Errorf("result %+v, want Served with answer %q after 1 attempt", r, "seat")
 	}
 }
 
-// A call that is not idempotent is retried if its attempt did not run, and fails if it may have run.
+// A call that is not idempotent is retried if its attempt did not run, and fails if the attempt may have run.
 func TestNonIdempotentRetriedOnlyIfNotRun(t *testing.T) {
 	for result, wantRetry := range map[balancer.Result]bool{
 		balancer.Reset:         false,
@@ -37,7 +37,7 @@
 		balancer.NotSent:       true,
 	} {
 		if result.MayHaveRun() == wantRetry {
-			t.Errorf("result %d may have run: %v", result, result.MayHaveRun())
+			t.Errorf("result %d: MayHaveRun is %v, want %v", result, result.MayHaveRun(), !wantRetry)
 		}
 		f := newFakeNetwork()
 		e := newEngine(t, f, testSettings(), 3)
@@ -52,19 +52,20 @@
 			wantTimedOut := result == balancer.Timeout
 			if r.Kind != Failed || !isCause || r.Answer != "error answer" ||
 				len(f.attempts) > 0 || r.TimedOut != wantTimedOut {
-				t.Errorf("result %d: %+v", result, r)
+				t.Errorf("result %d: got %+v and %d more attempts, want Failed, TimedOut %v and no retry",
+					result, r, len(f.attempts), wantTimedOut)
 			}
 			continue
 		}
 		testutil.Receive(t, f.attempts, "the retry").outcome <- Outcome{Result: balancer.OK, Final: true}
 		if r := testutil.Receive(t, results, "the result"); r.Kind != Served || r.Attempts != 2 {
-			t.Errorf("result %d: %+v", result, r)
+			t.Errorf("result %d: got %+v, want Served after 2 attempts", result, r)
 		}
 	}
 }
 
-// A client disconnects while its attempt is on its way. It gets no answer, and an attempt that is written later would
-// run for nobody: what has not yet been written of its call never must be.
+// A client disconnects while its attempt is outstanding. The client receives no answer, so an attempt that is written
+// later would do useless work. Attempts of the call that have not been written must be cancelled.
 func TestClientDisconnects(t *testing.T) {
 	f := newFakeNetwork()
 	e := newEngine(t, f, testSettings(), 2)
@@ -74,14 +75,14 @@
 	attempt := testutil.Receive(t, f.attempts, "the attempt")
 	disconnect()
 	if r := testutil.Receive(t, results, "the result"); r.Kind != Disconnected || !errors.Is(r.Err, context.Canceled) {
-		t.Errorf("result %+v", r)
+		t.Errorf("result %+v, want Disconnected with context.Canceled", r)
 	}
 	testutil.Receive(t, attempt.cancelledUnsent, "the call of CancelUnsent")
 	attempt.outcome <- Outcome{Result: balancer.Reset}
 }
 
-// A client uses the ID of another's call in flight, and disconnects. Looked up by its ID, the other's call would end
-// with it: only its own may.
+// A client sends a call with the ID of another client's call in flight, and disconnects. If the engine identified the
+// disconnected call by its ID, it would end the other client's call. Only the duplicate may end.
 func TestDuplicateDisconnects(t *testing.T) {
 	e := newSteppedEngine(t, newFakeNetwork(), testSettings(), 1)
 	first := newTestCall("1", "look")
@@ -90,19 +91,19 @@
 	e.handleCall(second)
 	callDisconnected{second}.handle(e)
 	if e.calls["1"] != first || first.answered {
-		t.Error("the first call was ended")
+		t.Error("the disconnect of the duplicate ended the first call")
 	}
 	if r := testutil.Receive(t, second.result, "the second call's result"); r.Kind != Duplicate {
-		t.Errorf("the second call's result is %+v", r)
+		t.Errorf("the second call's result is %+v, want Duplicate", r)
 	}
 	attemptEnded{first, 0, Outcome{Result: balancer.NotSent}}.handle(e)
 	if len(first.attempts) != 2 {
-		t.Error("the first call is not retried: the Balancer has dropped it")
+		t.Error("the first call was not retried after its attempt failed")
 	}
 }
 
-// A front admits more calls than MaxCalls. Taken all, they would let memory grow without end while endpoints are slow:
-// the one beyond the limit must be rejected.
+// A front admits more calls than MaxCalls. Memory use would grow without limit while endpoints are slow. Calls beyond
+// the limit must be rejected.
 func TestMaxCalls(t *testing.T) {
 	e := newSteppedEngine(t, newFakeNetwork(), testSettings(), 1)
 	for i := range 100 {
@@ -112,11 +113,12 @@
 	e.handleCall(c)
 	r := testutil.Receive(t, c.result, "the result")
 	if r.Kind != Rejected || !errors.Is(r.Err, errTooManyCalls) || len(e.calls) != 100 {
-		t.Errorf("result %+v with %d calls in flight", r, len(e.calls))
+		t.Errorf("result %+v with %d calls in flight, want errTooManyCalls and 100 calls", r, len(e.calls))
 	}
 }
 
-// Of two attempts whose streams begin only one is the client's, and a stream that has begun is never retried.
+// If the streams of two attempts of a call begin, only one is delivered to the client. A stream that has begun is never
+// retried.
 func TestStreamHasOneAttempt(t *testing.T) {
 	f := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 3)
@@ -124,29 +126,30 @@
 	e.handleCall(c)
 	first := testutil.Receive(t, f.attempts, "the attempt")
 	e.send(&balancer.Action{ID: "1", Endpoint: "m1", Timeout: testutil.WaitTimeout})
-	hedge := testutil.Receive(t, f.attempts, "the hedge")
+	hedge := testutil.Receive(t, f.attempts, "the hedged request")
 	hedge.begin <- "stream"
-	testutil.Until(t, "the hedge's stream to begin", func() bool { return len(e.events) == 1 })
+	testutil.Until(t, "the hedged request's stream to begin", func() bool { return len(e.events) == 1 })
 	first.begin <- "other"
 	testutil.Until(t, "the first attempt's stream to begin", func() bool { return len(e.events) == 2 })
 	(<-e.events).handle(e)
 	r := testutil.Receive(t, c.result, "the result")
 	if r.Kind != Streaming || r.Answer != "stream" || !<-hedge.accepted {
-		t.Errorf("result %+v", r)
+		t.Errorf("result %+v, want Streaming with the hedged request's stream, accepted", r)
 	}
 	(<-e.events).handle(e)
 	if <-first.accepted {
-		t.Error("two streams are the client's")
+		t.Error("a second stream was accepted for the client")
 	}
 	(<-e.events).handle(e) // the Balancer cancels the other attempt
 	hedge.outcome <- Outcome{Result: balancer.Reset}
 	(<-e.events).handle(e)
 	if len(e.calls) != 0 || len(f.attempts) > 0 {
-		t.Errorf("%d calls in flight, %d more attempts", len(e.calls), len(f.attempts))
+		t.Errorf("%d calls in flight, %d more attempts, want none", len(e.calls), len(f.attempts))
 	}
 }
 
-// A client disconnects as its stream begins. The stream would run on for nobody: its attempt must be cancelled.
+// A client disconnects as its stream begins. The stream would continue with no client to receive it. The attempt must
+// be cancelled.
 func TestDisconnectAsStreamBegins(t *testing.T) {
 	f := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 1)
@@ -158,12 +161,12 @@
 	callDisconnected{c}.handle(e)
 	(<-e.events).handle(e)
 	if len(e.calls) != 0 {
-		t.Error("the stream runs on")
+		t.Errorf("%d calls in flight after the disconnect, want none", len(e.calls))
 	}
 }
 
-// The engine stops with calls in flight. Each of them must get its result, or its front would wait for good, and Run
-// must return only when all exchanges have returned, or they would use a transport that is closed.
+// The engine stops with calls in flight. Each of them must get its result, or its front would wait forever. Run must
+// not return before all exchanges have returned, or they would use a closed transport.
 func TestShutdown(t *testing.T) {
 	f := newFakeNetwork()
 	e := newEngine(t, f, testSettings(), 2)
@@ -173,23 +176,23 @@
 	attempt.mayReturn = make(chan bool)
 	stop()
 	if r := testutil.Receive(t, results, "the result"); r.Kind != Failed || !errors.Is(r.Err, errClosed) {
-		t.Errorf("the result of a call that may run is %+v", r)
+		t.Errorf("a call with an attempt has result %+v, want Failed with errClosed", r)
 	}
 	select {
 	case <-e.closed:
-		t.Error("Run has returned before an attempt has")
+		t.Error("Run returned while an attempt was still running")
 	case <-time.After(20 * time.Millisecond):
 	}
 	close(attempt.mayReturn)
 	testutil.Receive(t, e.closed, "Run to return")
 	if r := e.Do(t.Context(), newTestCall("2", "book")); r.Kind != Rejected {
-		t.Errorf("the result of a call after the end is %+v", r)
+		t.Errorf("a call after the end of Run has result %+v, want Rejected", r)
 	}
-	e.SetSource(f) // does not block, as Do does not
+	e.SetSource(f) // must not block after the end of Run, like Do
 }
 
-// A call comes while the engine stops, is rejected, and its client disconnects right after. A second result would block
-// the engine for good: there must be one.
+// A call arrives while the engine stops. It is rejected, and its client disconnects immediately afterwards. A second
+// result would block the engine forever. The call must get one result only.
 func TestRejectedWhileStoppingThenDisconnected(t *testing.T) {
 	f := newFakeNetwork()
 	e, err := New(Config{Settings: testSettings(), Transport: f, Source: f})
@@ -207,14 +210,15 @@
 	select {
 	case <-handled:
 	case <-time.After(testutil.WaitTimeout):
-		t.Fatal("the engine is blocked by a second result")
+		t.Fatal("the engine did not handle the call and its disconnect: a second result may block it")
 	}
 	if r := <-c.result; r.Kind != Rejected {
-		t.Errorf("the result is %+v, want a rejection", r)
+		t.Errorf("the result is %+v, want Rejected", r)
 	}
 }
 
-// Log lines, those of the Balancer included, name the engine as their component and are unchanged otherwise.
+// All log lines, including those of the Balancer, contain the component name "engine". Their message, level and other
+// attributes stay the same.
 func TestLogLinesHaveComponent(t *testing.T) {
 	var log strings.Builder
 	f := newFakeNetwork()
@@ -228,7 +232,8 @@
 		t.Fatal(err)
 	}
 	e.logAction(&balancer.Action{Text: "message", Attributes: []balancer.Attribute{{Key: "endpoint", Value: "m0"}}})
-	if line := log.String(); !strings.HasSuffix(line, " level=INFO msg=message component=engine endpoint=m0\n") {
-		t.Errorf("the line is %q", line)
+	const wantSuffix = " level=INFO msg=message component=engine endpoint=m0\n"
+	if line := log.String(); !strings.HasSuffix(line, wantSuffix) {
+		t.Errorf("log line %q, want suffix %q", line, wantSuffix)
 	}
 }
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -8,15 +8,15 @@
 	"hazelwing/balancer"
 )
 
-// event is something that Run's goroutine handles: the types callArrived, callDisconnected, streamStarted,
-// attemptEnded, probeEnded, sourceChanged, relistDue and reconfigured. Updates of the endpoint list have a queue of
-// their own.
+// event is an event that Run's goroutine handles: callArrived, callDisconnected, streamStarted, attemptEnded,
+// probeEnded, sourceChanged, relistDue or reconfigured. Updates of the endpoint list have a separate queue.
 type event interface {
 	handle(e *Engine)
 }
 
-// Run handles events until ctx ends. Then it gives every call in flight its result, Rejected if no attempt of it was
-// started and Failed otherwise, and returns when every exchange has ended.
+// Run handles events until ctx ends. It then answers every call in flight and returns when every exchange has ended. A
+// call is answered with Rejected if neither it nor an earlier call for the same effect started an attempt, and with
+// Failed otherwise.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.closed)
 	defer e.heartbeat.Stop()
@@ -30,16 +30,16 @@
 	e.shutDown()
 }
 
-// step handles one event and reports whether to go on; it does not once done is closed.
+// step handles one event. It returns false once done is closed.
 //
-// Guard: prevents two results for a call whose deadline, time-out and answer come at the same instant: its front would
-// answer twice, or an attempt go out for a call that has its result. It holds because one goroutine takes all events in
-// turn, and each sees what those before it have changed.
+// Guard: prevents two results for a call whose deadline, time-out and answer coincide: its front would answer twice, or
+// an attempt would be sent for a call that already has its result. This holds because one goroutine handles all events
+// in sequence, and each event sees the changes made by the events before it.
 func (e *Engine) step(done <-chan struct{}) bool {
 	if e.pendingBalancers.Load() > 0 {
 		e.balancer.SetBalancers(int(e.pendingBalancers.Swap(0)))
 	}
-	// Updates of the endpoint list go first: they must not wait behind a burst of calls.
+	// Updates of the endpoint list take precedence, so that they do not wait behind a burst of calls.
 	select {
 	case u := <-e.updates:
 		e.checkStall()
@@ -65,15 +65,15 @@
 	return true
 }
 
-// checkStall notices that the process was stalled, before an event is handled that the stall may have caused.
+// checkStall detects a stall of the process before an event is handled that the stall may have caused.
 func (e *Engine) checkStall() {
 	if d := e.stalls.detect(time.Now(), len(e.calls) > 0); d > 0 {
 		e.log.Warn("process was stalled", "duration", d.Round(time.Millisecond))
 	}
 }
 
-// handleTimer passes the timer on to the Balancer, postStallTimerDelay after a stall at the soonest: until then the
-// answers that came during the stall are handled.
+// handleTimer passes the timer event to the Balancer. For postStallTimerDelay after a stall it delays the event, so
+// that answers that arrived during the stall are handled first.
 func (e *Engine) handleTimer() {
 	e.timerAt = time.Time{}
 	if until := e.stalls.timersDelayedUntil; time.Now().Before(until) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// decide passes an event to the Balancer and carries out its actions in order.
+// decide passes an event to the Balancer and performs the resulting actions in order.
 func (e *Engine) decide(v balancer.Event) {
 	if e.stopping {
 		return
@@ -101,11 +101,11 @@
 	}
 }
 
-// carryOut carries out one action of the Balancer. It starts no watch where one is open.
+// carryOut performs one action of the Balancer. It ignores a Subscribe action while a watch is open.
 //
-// Guard: prevents a watch that a change of the source has opened, while the Balancer waited to subscribe again, from
-// being cut off before it answers: a drain would be known later than it has to be. It holds because a watch that has
-// failed is nil by then.
+// Guard: prevents a Subscribe action after a backoff from replacing a watch that a change of the source has opened and
+// that has not answered yet: drains would be learned later than necessary. This holds because e.watch is nil after a
+// watch has failed.
 func (e *Engine) carryOut(a *balancer.Action) {
 	switch a.Kind {
 	case balancer.Send:
@@ -117,7 +117,7 @@
 	case balancer.Fail:
 		e.fail(a)
 	case balancer.SetTimer:
-		e.setTimer(e.clock.timeAt(a.At))
+		e.setTimer(e.clock.toTime(a.At))
 	case balancer.Subscribe:
 		if e.watch == nil {
 			e.startWatch(0)
--- a/internal/engine/reconfigure.go
+++ b/internal/engine/reconfigure.go
@@ -2,16 +2,16 @@
 
 import "hazelwing/balancer"
 
-// Reconfiguration is what may change while calls are in flight.
+// Reconfiguration holds the parts of the configuration that can change while calls are in flight.
 type Reconfiguration struct {
-	Settings  balancer.Settings // see balancer.Reconfigure for those that apply
-	Balancers int               // number of sidecars; 0: as before
-	Source    Source            // as by SetSource; nil: as before
+	Settings  balancer.Settings // see balancer.Reconfigure for the settings that it applies
+	Balancers int               // number of sidecars; 0: unchanged
+	Source    Source            // new source, as for SetSource; nil: unchanged
 }
 
-// Reconfigure applies a reconfiguration, all of it between two events: every decision before it was made by the old
-// settings, and every one after it by the new. It blocks until that has happened, and returns the Balancer's error;
-// then nothing has changed.
+// Reconfigure applies a reconfiguration as a whole between two events: all earlier decisions use the old settings, all
+// later ones the new settings. It blocks until the change has been applied or rejected. If the Balancer rejects the
+// settings, Reconfigure returns its error and nothing changes.
 func (e *Engine) Reconfigure(r Reconfiguration) error {
 	done := make(chan error, 1)
 	if !e.post(reconfigured{r, done}) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// reconfigured is the event of Reconfigure, which waits for an answer on done.
+// reconfigured is the event of a Reconfigure call, which waits for the result on done.
 type reconfigured struct {
 	Reconfiguration
 	done chan<- error
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -1,6 +1,7 @@
 package engine
 
-// shutDown answers all calls in flight and waits for every exchange. The Balancer is no longer asked.
+// shutDown answers all calls in flight and waits for every exchange to end. From then on, the engine does not call the
+// Balancer.
 func (e *Engine) shutDown() {
 	e.stopping = true
 	e.watch.close()
@@ -15,13 +16,14 @@
 	}
 }
 
-// answerAllCalls decides the result of the calls in flight at the end: Rejected, which promises that a retry is
-// harmless, only where no attempt was started, neither by this call nor by an earlier one for the same effect; Failed,
-// which promises nothing, otherwise.
+// answerAllCalls decides the results of the calls in flight at shutdown. A call is Rejected, which promises that a
+// retry is safe, only if no attempt was started by this call or by an earlier one for the same effect. Otherwise it is
+// Failed, which promises nothing.
 //
-// Guard: prevents a client that trusts a rejection from bringing about its effect twice, after attempts of an earlier
-// call with its key. With a ledger it holds because PriorAttempts names all attempts that the ledger knows and that may
-// have run. Without one PriorAttempts is empty: a rejection then says only that this call never ran.
+// Guard: prevents a client that retries after a rejection from causing its effect twice, if an earlier call with the
+// same key has made attempts. With a ledger, this holds because PriorAttempts lists all attempts that the ledger knows
+// and that may have run. Without a ledger, PriorAttempts is empty, and a rejection means only that this call did not
+// run.
 func (e *Engine) answerAllCalls() {
 	for _, c := range e.calls {
 		result := Result{Kind: Failed, Answer: c.lastAnswer, Err: errClosed}
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -7,44 +7,46 @@
 	"hazelwing/balancer"
 )
 
-// Endpoint is an entry of the endpoint list.
+// Endpoint is an entry in the endpoint list.
 type Endpoint struct {
-	ID    string // the same at every engine, and after a restart
-	Addr  string // where it listens
+	ID    string // the same for every engine and after a restart
+	Addr  string // network address of the endpoint
 	Zone  string
-	Kind  string // of machine
+	Kind  string // machine type
 	Cell  int
 	State balancer.EndpointState
-	// StartedAtMS is when its process started, in Unix milliseconds; 0: long ago. Another time means another process.
+	// StartedAtMS is when the endpoint's process started, in Unix milliseconds; 0 means long ago. A different value
+	// identifies a different process.
 	StartedAtMS float64
 }
 
-// NoVersion is the version where no list is known. Any version from 0 on may be that of a list: a source that starts
-// to count with its first list gives that version 0.
+// NoVersion is the version if no list is known. It is negative because 0 is a valid version: a source may number its
+// first list 0.
 const NoVersion = -1
 
-// UnknownVersion is the version where a list is known, but its version means nothing to the source: it is another
-// source's, or an update after it was lost. Updates from the source apply at once; the complete list may follow when
-// it is cheap.
+// UnknownVersion is the version if a list is known but the source cannot interpret its version, because the list came
+// from another source or an update was lost. Updates from the source are applied at once. The source may deliver the
+// complete list later, when this causes little load.
 const UnknownVersion = -2
 
-// EndpointUpdate is what a Source delivers.
+// EndpointUpdate is an update delivered by a Source.
 type EndpointUpdate struct {
 	Kind balancer.UpdateKind
-	// Version is the list's version, from which a later Watch goes on. With NoVersion or UnknownVersion it starts
-	// from the complete list.
+	// Version is the version of the list, from which a later Watch continues. After NoVersion or UnknownVersion, a
+	// Watch requests the complete list.
 	Version   int64
 	Endpoints []Endpoint
-	Err       error // of kind WatchFailed
-	Reachable bool  // of kind WatchFailed: the source could be reached, as far as is known
+	Err       error // cause of a WatchFailed update
+	Reachable bool  // WatchFailed only: whether the source is believed to be reachable
 }
 
-// Source is where the endpoint list comes from.
+// Source provides the endpoint list.
 type Source interface {
-	// Watch starts to follow the list from version on, once delay has passed, and returns at once. From NoVersion on
-	// its first update, unless that is of kind WatchFailed, is of kind CompleteList. It calls notify from goroutines
-	// of its own, one call at a time. An update of kind WatchFailed is its last, and none comes after stop has
-	// returned, except one that is under way. stop does not block, and may be called again. The engine calls Watch
-	// and stop from Run's goroutine, and has two watches open at most, each of another source.
+	// Watch starts to follow the changes of the list after version, once delay has passed. It returns at once. If
+	// version is NoVersion, the first update is of kind CompleteList or WatchFailed. Watch calls notify from its own
+	// goroutines, one call at a time. An update of kind WatchFailed is the last one. After stop has returned, notify is
+	// not called again, except for a call that is already in progress. stop does not block and may be called more than
+	// once. The engine calls Watch and stop from Run's goroutine only, and has at most two watches open, each of a
+	// different source.
 	Watch(version int64, delay time.Duration, notify func(EndpointUpdate)) (stop context.CancelFunc)
 }
--- a/internal/engine/sourcechange.go
+++ b/internal/engine/sourcechange.go
@@ -8,16 +8,16 @@
 	"hazelwing/internal/backoff"
 )
 
-// staleListPeriod is how long after a change of the source a list of a lower version than that of a drain is not
-// applied to the drain's endpoint. It is the time after which a change of the list counts as known everywhere. With a
-// higher value a process that a source wrongly listed as draining stays unused for longer; with a lower one a source
-// that lags behind brings requests back to an endpoint that drains.
+// staleListPeriod is how long after a change of the source an endpoint's drain overrides a list of a lower version.
+// After this time, a change of the list is assumed to be known everywhere. With a higher value, a process that a source
+// wrongly listed as draining stays unused for longer; with a lower value, a source with an outdated list may cause
+// requests to be sent to a draining endpoint again.
 const staleListPeriod = backoff.NotificationDeadline
 
-// drain is the update that an endpoint's process is draining or removed.
+// drain records that an endpoint's process is draining or has been removed.
 type drain struct {
 	startedAtMS float64 // of the process
-	version     int64   // of the list that said so
+	version     int64   // of the list that contained the drain
 	notifiedAt  time.Time
 }
 
@@ -26,7 +26,8 @@
 
 func (v sourceChanged) handle(e *Engine) { e.changeSource(v.source) }
 
-// relistDue is the event that a source whose list was out of date when watch brought it has had time to catch up.
+// relistDue is the event that the complete list must be requested again: the current source delivered an outdated list
+// through watch, and has since had time to catch up.
 type relistDue struct{ watch *watch }
 
 func (v relistDue) handle(e *Engine) {
@@ -36,13 +37,14 @@
 	}
 }
 
-// changeSource opens a watch of another source at once: its versions may be others, and the Balancer's backoff after
-// failures belongs to the old source. Calls go on by the known list, and the old watch stays open until the new one
-// has answered, because only it tells of drains meanwhile. There are two watches at most.
+// changeSource opens a watch of another source at once. The versions of the new source may be unrelated to those of the
+// old one, and the Balancer's backoff after failures applies only to the old source. Meanwhile, calls use the known
+// list. The old watch stays open until the new one has answered, because until then only the old watch reports drains.
+// At most two watches are open.
 //
-// Guard: prevents requests to endpoints that drain while the new source is out of reach, or rejects engines that all
-// changed to it at once. They would end as failures at processes that have stopped. It holds because drains are applied
-// from both watches, and the list's other changes from the new one alone.
+// Guard: prevents requests to draining endpoints while the new source is unreachable, or while it rejects engines that
+// all switched to it at once. These requests would fail when the processes stop. This holds because drains are applied
+// from both watches, and all other changes only from the new one.
 func (e *Engine) changeSource(s Source) {
 	if e.stopping {
 		return
@@ -61,12 +63,13 @@
 	e.startWatch(0)
 }
 
-// applyFromPrevious decides what is applied of the previous source until the present one has answered: only which
-// endpoints drain or are removed. An endpoint that its complete list no longer has is removed.
+// applyFromPrevious decides which part of an update from the previous source is applied until the current source has
+// answered: only endpoints that are draining or removed. An active endpoint that is missing from its complete list is
+// treated as removed.
 //
-// Guard: prevents requests to an endpoint that is gone from the previous source's list, while the present one is out of
-// reach: they would end as refused connections. It holds because what is missing there is removed, and nothing is
-// added.
+// Guard: prevents requests to an endpoint that the previous source no longer lists, while the current source is
+// unreachable: the connections would be refused. This holds because endpoints missing from the previous source's list
+// are removed, and none are added.
 func (e *Engine) applyFromPrevious(u EndpointUpdate) {
 	if u.Kind == balancer.WatchFailed {
 		e.previousWatch = nil
@@ -87,11 +90,12 @@
 	e.applyDrains(u.Version, drained)
 }
 
-// applyFromReplaced decides what is applied of an update that was under way as its watch was closed: only the drains
-// and removals of processes that are active.
+// applyFromReplaced decides which part of an update is applied that was in progress when its watch was closed: only
+// drains and removals of active processes.
 //
-// Guard: prevents the loss of a drain that was notified in that moment, which the next watch may not repeat: requests
-// would go on to an endpoint that stops. It holds because a process that drains never becomes active again.
+// Guard: prevents the loss of a drain that was delivered while its watch was being closed. The next watch may not
+// repeat the drain, and requests would continue to go to an endpoint that stops. Applying the drain is safe because a
+// draining process never becomes active again.
 func (e *Engine) applyFromReplaced(u EndpointUpdate) {
 	drained := slices.DeleteFunc(slices.Clone(u.Endpoints), func(ep Endpoint) bool {
 		startedAtMS, active := e.activeProcesses[ep.ID]
@@ -100,20 +104,20 @@
 	e.applyDrains(u.Version, drained)
 }
 
-// applyDrains applies updates of endpoints that drain or are removed, whatever becomes of their watch.
+// applyDrains applies updates of endpoints that are draining or removed, whether or not their watch is still open.
 func (e *Engine) applyDrains(version int64, endpoints []Endpoint) {
 	if len(endpoints) > 0 {
 		e.applyUpdate(EndpointUpdate{Kind: balancer.OutOfBand, Version: version, Endpoints: endpoints})
 	}
 }
 
-// keepDrains decides which drains survive an update of a new source: until staleListPeriod after the change of the
-// source, an endpoint whose drain is known keeps draining where the update shows the same process as active, by a list
-// of a lower version than the one that said so. It reports whether it found one: then the complete list has to be asked
-// for again at the end of that time.
+// keepDrains decides which drains override an update of a new source. For staleListPeriod after a change of the source,
+// an endpoint that is known to be draining keeps that state if the update lists the same process as active and has a
+// lower version than the list that contained the drain. keepDrains modifies u accordingly and reports whether it found
+// such an endpoint; the complete list must then be requested again at the end of staleListPeriod.
 //
-// Guard: prevents requests to an endpoint that drains, after a change to a source whose list is older. They would end
-// as failures when it stops. It holds because the new source has learned of the drain by the end of staleListPeriod.
+// Guard: prevents requests to a draining endpoint after a change to a source whose list is older: they would fail when
+// the endpoint stops. This holds because the new source learns of the drain before the end of staleListPeriod.
 func (e *Engine) keepDrains(u EndpointUpdate) (found bool) {
 	now := time.Now()
 	for id, d := range e.drains {
--- a/internal/engine/stall.go
+++ b/internal/engine/stall.go
@@ -6,46 +6,47 @@
 	"hazelwing/balancer"
 )
 
-// A host may stop all threads of a process for a while: a debugger, a suspended laptop, a machine that has no free
-// core. To the process it looks as if every endpoint had fallen silent at the same moment, and afterwards all its
-// timers fire at once. None of that says anything about an endpoint: without these rules a stalled process would eject
-// healthy endpoints, and hedge or give up attempts whose answers lie ready on its sockets.
+// The operating system may suspend all threads of a process for a while, for example under a debugger, on a suspended
+// laptop, or on a machine without a free core. To the process, it appears as if all endpoints had stopped responding at
+// the same moment, and afterwards all its timers fire at once. None of this is evidence about an endpoint. Without the
+// rules in this file, a stalled process would eject healthy endpoints, and would hedge or abandon attempts whose
+// answers are already in its socket buffers.
 
 const (
-	// heartbeatInterval is how often a process with calls in flight shows itself that it runs. A higher value wakes it
-	// less often, and finds the start of a stall less exactly.
+	// heartbeatInterval is the interval at which a process with calls in flight records that it is running. A higher
+	// value wakes the process less often and determines the start of a stall less precisely.
 	heartbeatInterval = 50 * time.Millisecond
-	// minStall is how late a heartbeat must come to count as a stall. A busy machine delays any process by less. With a
-	// higher value more of this process's own delays are blamed on endpoints; with a lower one an endpoint's silence is
-	// excused by delays that had no effect on it.
+	// minStall is the minimum delay of a heartbeat that counts as a stall. It exceeds the scheduling delays of a busy
+	// machine. With a higher value, more delays of this process are attributed to endpoints; with a lower value, slow
+	// endpoints are excused by delays that did not affect them.
 	minStall = 100 * time.Millisecond
-	// postStallTimerDelay is how long the Balancer's timers wait after a stall, so that answers that lie ready on the
-	// sockets are handled first: their attempts would be hedged or given up otherwise. A higher value makes deadlines
-	// and hedges later after each stall.
+	// postStallTimerDelay is how long the Balancer's timers are delayed after a stall, so that answers already in the
+	// socket buffers are handled first. Their attempts would otherwise be hedged or abandoned. A higher value delays
+	// deadlines and hedged requests more after each stall.
 	postStallTimerDelay = 10 * time.Millisecond
-	// maxStalls is how many stalls are remembered: an attempt is unlikely to outlast more. A higher value costs time in
-	// each outcome.
+	// maxStalls is the number of stalls that are remembered; an attempt is unlikely to span more. A higher value makes
+	// the handling of each outcome slower.
 	maxStalls = 16
 )
 
-// stall is a time in which the process did not run.
+// stall is an interval in which the process did not run.
 type stall struct {
 	from time.Time
 	to   time.Time
 }
 
-// stalls detects stalls by heartbeats that come late. It does not read the clock itself.
+// stalls detects stalls from late heartbeats. Its methods receive the current time as an argument.
 type stalls struct {
 	lastRunAt          time.Time // when the process was last known to run
-	recent             []stall   // the latest is the last
-	timersDelayedUntil time.Time // timers wait until then
+	recent             []stall   // oldest first
+	timersDelayedUntil time.Time // timers do not fire before this time
 }
 
-// start begins a time with heartbeats.
+// start begins a period with heartbeats.
 func (s *stalls) start(now time.Time) { s.lastRunAt = now }
 
-// detect is called whenever the process does something, heartbeats included; heartbeats says whether there are any. It
-// returns how long the process has just been stalled, or 0.
+// detect must be called whenever the process handles an event or a heartbeat. heartbeats reports whether the heartbeat
+// ticker is running. detect returns the duration of a stall that has just ended, or 0.
 func (s *stalls) detect(now time.Time, heartbeats bool) time.Duration {
 	from := s.lastRunAt.Add(heartbeatInterval)
 	late := now.Sub(from)
@@ -61,7 +62,7 @@
 	return late
 }
 
-// durationBetween returns how long the process was stalled between two times.
+// durationBetween returns the total duration of the stalls between from and to.
 func (s *stalls) durationBetween(from, to time.Time) (sum time.Duration) {
 	for _, x := range s.recent {
 		start, end := x.from, x.to
@@ -76,12 +77,14 @@
 	return sum
 }
 
-// correctOutcome decides what an outcome says of its endpoint where this process was stalled between sentAt and now.
-// The stall's time is not the endpoint's. An attempt that this process ended says nothing of the endpoint, but may have
-// run. A connection that did not come up might have done so in time: it counts as not tried.
+// correctOutcome decides how an outcome is attributed to its endpoint if this process was stalled between sentAt and
+// now. The duration of the stall is subtracted from the elapsed time. A time-out or cancellation by this process
+// provides no information about the endpoint, but the attempt may have run. A connection that failed might have been
+// established without the stall, so the attempt counts as not sent.
 //
-// Guard: prevents a stalled process from ejecting endpoints that were healthy: the Balancer would take the stall for
-// their silence, and after two such attempts send them nothing. It holds because every outcome passes here first.
+// Guard: prevents a stalled process from ejecting healthy endpoints: the Balancer would mistake the stall for
+// unresponsive endpoints, and would stop sending to an endpoint after two such attempts. This holds because every
+// outcome is corrected here before the Balancer receives it.
 func (s *stalls) correctOutcome(o *Outcome, sentAt, now time.Time) {
 	stalled := s.durationBetween(sentAt, now)
 	if stalled == 0 {
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -10,20 +10,20 @@
 
 const ms = time.Millisecond
 
-// This process is stalled while attempts are outstanding. Taken as they are, their outcomes would blame the endpoints,
-// and eject healthy ones; corrected without need, they would excuse silent ones. Only those that the stall caused may
-// change.
+// This process is stalled while attempts are outstanding. Uncorrected, their outcomes would cause healthy endpoints to
+// be ejected; corrected without need, they would excuse unresponsive endpoints. Only outcomes that the stall affected
+// may change.
 func TestStallCorrectsOutcomes(t *testing.T) {
 	at := time.Now().Add
 	var s stalls
 	s.start(at(0))
 	for _, now := range []time.Duration{50 * ms, 100 * ms, 180 * ms} { // heartbeats, one of them a little late
 		if got := s.detect(at(now), true); got != 0 {
-			t.Errorf("heartbeat at %v: a stall of %v", now, got)
+			t.Errorf("heartbeat at %v: detected a stall of %v, want none", now, got)
 		}
 	}
 	if got := s.detect(at(630*ms), true); got != 400*ms {
-		t.Errorf("a stall of %v, want 400ms", got)
+		t.Errorf("detected a stall of %v, want 400ms", got)
 	}
 	for _, c := range []struct {
 		name        string
@@ -50,18 +50,18 @@
 		}
 	}
 	if s.detect(at(5000*ms), false) != 0 {
-		t.Error("a time without calls in flight counts as a stall")
+		t.Error("a stall was detected although no heartbeats were running")
 	}
 	for i := range 3 * maxStalls {
 		s.detect(at(time.Duration(6+i)*time.Second), true)
 	}
 	if len(s.recent) != maxStalls {
-		t.Errorf("%d stalls are remembered", len(s.recent))
+		t.Errorf("%d stalls are remembered, want %d", len(s.recent), maxStalls)
 	}
 }
 
-// A stall ends, with answers ready on the sockets and timers that are due. With the timers first, a call would be
-// hedged, or fail at its deadline, although its answer has arrived: the outcomes must be handled before them.
+// A stall ends while answers are ready on the sockets and timers are due. If the timers were handled first, a call
+// would be hedged, or would fail at its deadline, although its answer has arrived. The outcomes must be handled first.
 func TestOutcomesHandledBeforeTimersAfterStall(t *testing.T) {
 	f := newFakeNetwork()
 	settings := testSettings()
@@ -71,18 +71,18 @@
 	c := newTestCall("1", "look")
 	e.handleCall(c)
 	attempt := testutil.Receive(t, f.attempts, "the attempt")
-	testutil.Until(t, "the timer that starts a hedge", func() bool {
+	testutil.Until(t, "the timer that starts a hedged request", func() bool {
 		return len(e.timer.C) > 0 || time.Now().After(e.timerAt)
 	})
-	e.stalls.lastRunAt = time.Now().Add(-400 * ms) // as if the process had not run since
+	e.stalls.lastRunAt = time.Now().Add(-400 * ms) // simulates a stall of the process
 	attempt.outcome <- Outcome{Result: balancer.OK, Final: true, Elapsed: 10 * ms}
 	testutil.Until(t, "the outcome", func() bool { return len(e.events) > 0 })
 	e.checkStall()
-	e.stalls.timersDelayedUntil = time.Now().Add(testutil.WaitTimeout) // however slow this machine is
+	e.stalls.timersDelayedUntil = time.Now().Add(testutil.WaitTimeout) // independent of the speed of this machine
 	for len(c.result) == 0 {
 		e.step(nil)
 	}
 	if len(f.attempts) > 0 {
-		t.Error("a hedge was sent although the answer had arrived")
+		t.Error("a hedged request was sent although the answer had arrived")
 	}
 }
--- a/internal/engine/startup.go
+++ b/internal/engine/startup.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// firstUpdateTimeout is how long calls wait for the first update of a pushed list. The source of such a list is an
-// agent on this machine, which answers at once where it works. With a higher value the first calls after a start wait
-// longer behind an agent that is silent; with a lower one a slow agent's first update comes after calls that were sent
-// by the cached list.
+// firstUpdateTimeout limits how long calls wait for the first update of a pushed list. The source of a pushed list is
+// an agent on this machine, which normally answers at once. With a higher value, the first calls after a start wait
+// longer if the agent does not answer; with a lower value, more of them may be sent according to the cached list before
+// a slow agent's first update arrives.
 const firstUpdateTimeout = 250 * time.Millisecond
 
-// publishCachedList applies the cached list before any watch is opened. Otherwise it would be lost: a watch goes on
-// from its version and brings only what has changed since.
+// publishCachedList applies the cached list before any watch is opened. A watch continues from the version of the
+// cached list and delivers only later changes, so the endpoints of the cached list would otherwise never be applied.
 func (e *Engine) publishCachedList() {
 	e.handleUpdate(watchUpdate{EndpointUpdate: e.cachedList})
 	e.cachedList.Endpoints = nil
@@ -18,11 +18,11 @@
 	}
 }
 
-// awaitFirstUpdate decides how long calls wait at the start: where the list is pushed, for its first update, but no
-// longer than firstUpdateTimeout. After that the cached list has to do.
+// awaitFirstUpdate decides how long calls wait at startup if the list is pushed: until its first update arrives, but no
+// longer than firstUpdateTimeout. After that, calls use the cached list.
 //
-// Guard: prevents the first calls from going to endpoints that have drained since the cached list was made: they would
-// end as failures at processes that stop. It holds because no call is handled before this returns.
+// Guard: prevents the first calls from going to endpoints that started draining after the cached list was saved: they
+// would fail when the processes stop. This holds because no call is handled before awaitFirstUpdate returns.
 func (e *Engine) awaitFirstUpdate(done <-chan struct{}) {
 	timeout := time.NewTimer(firstUpdateTimeout)
 	defer timeout.Stop()
--- a/internal/engine/watch.go
+++ b/internal/engine/watch.go
@@ -1,17 +1,18 @@
 package engine
 
-// Which part of an update is applied depends on its kind and on the watch that brought it (handleUpdate):
+// Which part of an update is applied depends on its kind and on the watch that delivered it (handleUpdate):
 //
-//	brought by        list or delta                                  WatchFailed
+//	delivered by      list or delta                                  WatchFailed
 //	---------------   --------------------------------------------   ------------------------------------
-//	current watch     all of it, but for drains that keepDrains      the list stays, and is watched again
-//	                  retains                                        (handleWatchFailed)
-//	previous source   only endpoints that drain or are removed, or   the list stays, and that watch is
-//	                  that its complete list lacks                   not used again
-//	replaced watch    only drains and removals of active processes   nothing
-//	no watch          OutOfBand: all of it                           -
+//	current watch     everything, except that drains retained by     the list is kept and watched again
+//	                  keepDrains stay in effect                      (handleWatchFailed)
+//	previous source   only endpoints that are draining, removed or   the list is kept; the watch is not
+//	                  missing from its complete list                 reopened
+//	replaced watch    only drains and removals of active processes   ignored
+//	any watch         OutOfBand: everything                          -
 //
-// The cached list comes without a watch, and counts as brought by the current one while there is none.
+// The cached list is not delivered by a watch. It is handled like an update of the current watch, because no watch is
+// open at that time.
 
 import (
 	"context"
@@ -20,23 +21,23 @@
 	"hazelwing/balancer"
 )
 
-// watch is one open call of a source's Watch.
+// watch is an open watch, that is, a call of Source.Watch that has not been stopped.
 type watch struct{ stop context.CancelFunc }
 
-// close stops a watch. It may be nil.
+// close stops the watch. w may be nil.
 func (w *watch) close() {
 	if w != nil {
 		w.stop()
 	}
 }
 
-// watchUpdate is an update with the watch that brought it; nil for the cached list.
+// watchUpdate is an update and the watch that delivered it; the watch is nil for the cached list.
 type watchUpdate struct {
 	watch *watch
 	EndpointUpdate
 }
 
-// startWatch replaces the open watch by a new one, which begins after delay.
+// startWatch closes the open watch, if any, and opens a new one that begins after delay.
 func (e *Engine) startWatch(delay time.Duration) {
 	e.watch.close()
 	w := new(watch)
@@ -49,11 +50,12 @@
 	})
 }
 
-// handleUpdate handles an update by the watch that brought it.
+// handleUpdate handles an update depending on its kind and the watch that delivered it.
 func (e *Engine) handleUpdate(u watchUpdate) {
 	switch {
 	case u.Kind == balancer.OutOfBand:
-		// It did not come by the watch, and applies also while that has failed: its sender will not repeat it.
+		// The update did not result from the watch, so it applies even if the watch has failed. Its sender will not
+		// repeat it.
 		e.applyUpdate(u.EndpointUpdate)
 	case u.watch != nil && u.watch == e.previousWatch:
 		e.applyFromPrevious(u.EndpointUpdate)
@@ -68,9 +70,9 @@
 	}
 }
 
-// handleWatchFailed decides when the list is watched again after a watch has failed: where it is pushed, after the
-// pause of watchBackoff (backoff.AgentConfig), which restarts once a source that was out of reach answers; otherwise
-// when the Balancer says Subscribe. Calls go on by the known list meanwhile.
+// handleWatchFailed decides when the list is watched again after a watch has failed. A pushed list is watched again
+// after a delay from watchBackoff (backoff.AgentConfig); the backoff restarts when the source becomes reachable again.
+// Any other list is watched again at the Balancer's next Subscribe action. Meanwhile, calls use the known list.
 func (e *Engine) handleWatchFailed(u EndpointUpdate) {
 	e.watch = nil
 	newlyReached := u.Reachable && !e.sourceReachable
@@ -86,7 +88,7 @@
 	e.startWatch(e.watchBackoff.CallFailed(e.clock.now(), newlyReached) - e.clock.now())
 }
 
-// handleCurrentUpdate applies an update of the open watch, or the cached list.
+// handleCurrentUpdate applies the cached list or an update of the current watch.
 func (e *Engine) handleCurrentUpdate(u watchUpdate) {
 	e.pushedListLost = false
 	e.sourceReachable = true
