--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -28,7 +28,7 @@
 	// nil, only the context is checked. It must be safe for concurrent use and must not block.
 	Disconnected func() bool
 
-	ctx      context.Context //nolint:containedctx // Do's context; the functions that MayStart returns check it while the call lasts.
+	ctx      context.Context //nolint:containedctx // Do's context; MayStart's result checks it during the call.
 	result   chan Result     // buffered for the one result
 	notAfter time.Time       // no further attempt may start after this time; zero: no limit
 
@@ -107,5 +107,5 @@
 	RetryAfter time.Duration // Rejected: when to retry; 0: not specified
 	TimedOut   bool          // Failed: an attempt timed out or is still outstanding
 	Attempts   int           // number of attempts started
-	Err        error         // Rejected, Failed: cause of the last failure, if known; Disconnected: cause of the context's end
+	Err        error         // Rejected, Failed: the last error, if known; Disconnected: the context's cause
 }
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -7,14 +7,14 @@
 	"hazelwing/internal/testutil"
 )
 
-// A watch has been replaced and still delivers updates. Applied, its failure would be taken for that of the new watch:
-// they must be ignored.
+// A replaced watch still delivers updates. If they were applied, its failure would be mistaken for a failure of the new
+// watch. They must be ignored.
 func TestUpdatesOfReplacedWatchAreIgnored(t *testing.T) {
 	f := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 1)
 	replaced := testutil.Receive(t, f.watches, "the first watch")
 	if replaced.version != 7 {
-		t.Errorf("the watch starts from version %d", replaced.version)
+		t.Errorf("the watch starts from version %d, want 7", replaced.version)
 	}
 	e.startWatch(0)
 	testutil.Receive(t, f.watches, "the second watch")
@@ -29,8 +29,8 @@
 	}
 }
 
-// A pushed list is watched without a Subscribe action. The cached list is applied first: the watch brings only what has
-// changed since, and a sidecar without endpoints rejects every call.
+// The cached list must be applied before the first watch, whether the list is pushed or watched after a Subscribe
+// action. A watch delivers only later changes, and a sidecar without endpoints rejects every call.
 func TestCachedListIsApplied(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		f := newFakeNetwork()
@@ -42,18 +42,18 @@
 		e.step(nil)
 		e.handleCall(newTestCall("1", "look"))
 		if w.version != 7 || len(f.endpoints) != 2 || len(f.attempts) != 1 {
-			t.Errorf("pushed %v: %d endpoints, %d attempts, watch from version %d",
+			t.Errorf("pushed %v: %d endpoints, %d attempts, watch from version %d; want 2, 1 and 7",
 				pushed, len(f.endpoints), len(f.attempts), w.version)
 		}
 		e = newEngine(t, f, settings, 0)
 		if e.cachedList.Version != NoVersion {
-			t.Errorf("pushed %v: without endpoints it watches from version %d", pushed, e.cachedList.Version)
+			t.Errorf("pushed %v: an empty cached list has version %d, want NoVersion", pushed, e.cachedList.Version)
 		}
 	}
 }
 
-// The previous source has failed, so that the Balancer waits, and then the source changes. The wait would delay a
-// source that has not failed, and drains with it: the new one must be watched at once.
+// The source changes while the Balancer is in backoff after failures of the previous source. The backoff would delay
+// the new source, which has not failed, and with it the delivery of drains. The new source must be watched at once.
 func TestSourceChangeDuringBackoff(t *testing.T) {
 	f := newFakeNetwork()
 	next := newFakeNetwork()
@@ -64,24 +64,24 @@
 	}
 	sourceChanged{next}.handle(e)
 	if w := testutil.Receive(t, next.watches, "the new watch"); w.version != UnknownVersion {
-		t.Errorf("the watch starts from version %d, which is the previous source's", w.version)
+		t.Errorf("the watch starts from version %d, want UnknownVersion", w.version)
 	}
 }
 
-// The source changes, and the new one rejects everyone for a while. Drains that only the previous one reports would be
-// missed, and requests go to endpoints that stop. Until the new source has answered, updates of the previous one must
-// still be applied, but only to endpoints that drain or are removed.
+// The source changes, and the new source rejects all watches for a while. Drains that only the previous source reports
+// would be missed, and requests would go to endpoints that stop. Until the new source has answered, updates of the
+// previous source must still be applied, but only for endpoints that are draining or removed.
 func TestPreviousSourceUsedUntilNewOneAnswers(t *testing.T) {
 	f := newFakeNetwork()
 	next := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 3)
 	previous := testutil.Receive(t, f.watches, "the first watch")
 	sourceChanged{next}.handle(e)
-	sourceChanged{next}.handle(e) // again, before it has answered
+	sourceChanged{next}.handle(e) // a second change before the new source has answered
 	testutil.Receive(t, next.watches, "the new watch")
 	w := testutil.Receive(t, next.watches, "the newer watch")
 
-	// m0 drains, m1 stays, and m2 is missing from the complete list.
+	// m0 is draining, m1 stays active, and m2 is missing from the complete list.
 	draining := drainingEndpoint()
 	previous.notify(EndpointUpdate{
 		Kind:      balancer.CompleteList,
@@ -95,15 +95,16 @@
 		f.endpoints["m2"].State == balancer.Active ||
 		f.endpoints["new"].ID != "" ||
 		e.version != UnknownVersion {
-		t.Errorf("endpoints %v, version %d, the previous watch: %v", f.endpoints, e.version, previous.contextErr())
+		t.Errorf("endpoints %v, version %d, context error of the previous watch: %v; "+
+			"want only m1 active, UnknownVersion and no error", f.endpoints, e.version, previous.contextErr())
 	}
 	attempt := testutil.Receive(t, f.attempts, "the attempt")
 	if attempt.endpoint != "m1" {
-		t.Errorf("sent to %s", attempt.endpoint)
+		t.Errorf("attempt sent to %s, want m1", attempt.endpoint)
 	}
 	attempt.outcome <- Outcome{Result: balancer.OK, Final: true}
 
-	// Updates of the previous source do not show that the list is watched again: the Balancer goes on subscribing.
+	// Updates of the previous source do not end the Balancer's attempts to subscribe.
 	w.notify(EndpointUpdate{Kind: balancer.WatchFailed, Version: UnknownVersion})
 	e.step(nil)
 	previous.notify(EndpointUpdate{Kind: balancer.Delta, Version: 9, Endpoints: draining})
@@ -115,7 +116,8 @@
 	w.notify(EndpointUpdate{Kind: balancer.Delta, Version: 3})
 	e.step(nil)
 	if previous.contextErr() == nil || e.version != 3 {
-		t.Errorf("after the new source's answer: version %d, the previous watch: %v", e.version, previous.contextErr())
+		t.Errorf("after the new source's answer: version %d, context error of the previous watch: %v; "+
+			"want version 3 and an error", e.version, previous.contextErr())
 	}
 	updateCount := f.updateCount
 	previous.notify(EndpointUpdate{Kind: balancer.Delta, Version: 9, Endpoints: testEndpoints(1)})
@@ -125,8 +127,9 @@
 	}
 }
 
-// A watch fails, and then an update comes that its source got in another way. Its sender will not repeat it, so it must
-// be applied; taken for an answer of the source, it would end the search for one.
+// After a watch has failed, its source delivers an update that it received in another way. The sender will not repeat
+// the update, so it must be applied. It must not count as an answer of the source, or the Balancer would stop trying to
+// subscribe.
 func TestOutOfBandUpdateAfterWatchFailed(t *testing.T) {
 	f := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 1)
@@ -136,17 +139,17 @@
 	w.notify(EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: []Endpoint{{ID: "out-of-band", Zone: "a"}}})
 	e.step(nil)
 	if f.endpoints["out-of-band"].ID == "" || e.version != 7 {
-		t.Errorf("endpoints %v, version %d", f.endpoints, e.version)
+		t.Errorf("endpoints %v, version %d, want the endpoint out-of-band and version 7", f.endpoints, e.version)
 	}
-	for len(f.watches) == 0 { // the Balancer subscribes again all the same
+	for len(f.watches) == 0 { // the Balancer still subscribes again
 		e.step(nil)
 	}
 }
 
-// A drain is queued behind a burst of calls. Handled in order, it would come after calls that are sent to the endpoint,
-// some of them too late: it must be handled before everything else.
+// A drain is queued behind a burst of calls. If the events were handled in order, calls would be sent to the draining
+// endpoint before the drain is applied, possibly after the end of its grace period. The drain must be handled first.
 func TestEndpointUpdatesPrecedeCalls(t *testing.T) {
-	for range 10 { // without the order, each round passes by chance half of the time
+	for range 10 { // without the precedence, each iteration still passes with probability 1/2
 		f := newFakeNetwork()
 		e := newSteppedEngine(t, f, testSettings(), 1)
 		e.events <- callArrived{newTestCall("1", "look")}
@@ -155,7 +158,7 @@
 		e.step(nil)
 		e.step(nil)
 		if len(f.attempts) > 0 {
-			t.Fatal("a call was handled before the drain")
+			t.Fatal("a call was sent to the draining endpoint")
 		}
 	}
 }
--- a/internal/engine/fakes_test.go
+++ b/internal/engine/fakes_test.go
@@ -24,17 +24,17 @@
 	endpoint        string
 	call            *Call
 	begin           chan any     // makes Run begin a stream
-	accepted        chan bool    // what begin returned
+	accepted        chan bool    // result of begin
 	outcome         chan Outcome // makes Run return
 	cancelled       chan bool
 	cancelledUnsent chan bool
-	mayReturn       chan bool // Run waits for it after Cancel; nil: it does not wait
+	mayReturn       chan bool // if not nil, Run waits for it after Cancel
 }
 
 type fakeWatch struct {
 	version    int64
 	notify     func(EndpointUpdate)
-	contextErr func() error // not nil once the watch is closed
+	contextErr func() error // returns an error once the watch is closed
 }
 
 func newFakeNetwork() *fakeNetwork {
@@ -116,7 +116,7 @@
 	}
 }
 
-// testEndpoints returns n active endpoints, "m0" and so on.
+// testEndpoints returns n active endpoints with the IDs m0, m1 and so on.
 func testEndpoints(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
@@ -125,14 +125,14 @@
 	return list
 }
 
-// drainingEndpoint returns the first of testEndpoints, draining.
+// drainingEndpoint returns the endpoint m0 of testEndpoints, in the state Draining.
 func drainingEndpoint() []Endpoint {
 	list := testEndpoints(1)
 	list[0].State = balancer.Draining
 	return list
 }
 
-// newEngine returns an engine that does nothing until the test calls Run.
+// newEngine returns an engine that is not running yet.
 func newEngine(t *testing.T, f *fakeNetwork, settings balancer.Settings, endpoints int) *Engine {
 	t.Helper()
 	e, err := New(Config{
@@ -149,11 +149,11 @@
 	return e
 }
 
-// newSteppedEngine returns an engine whose events are handled by the test, in place of Run.
+// newSteppedEngine returns an engine whose events the test handles instead of Run.
 func newSteppedEngine(t *testing.T, f *fakeNetwork, settings balancer.Settings, endpoints int) *Engine {
 	t.Helper()
 	e := newEngine(t, f, settings, endpoints)
-	e.publishCachedList() // the Balancer subscribes to changes of it
+	e.publishCachedList() // the Balancer subscribes to later changes
 	return e
 }
 
@@ -179,7 +179,7 @@
 	}
 }
 
-// startCall calls Do in a goroutine of its own and returns the channel of its result.
+// startCall calls Do in its own goroutine and returns a channel that receives the result.
 func startCall(ctx context.Context, e *Engine, c *Call) chan Result {
 	results := make(chan Result, 1)
 	go func() { results <- e.Do(ctx, c) }()
--- a/internal/engine/races_test.go
+++ b/internal/engine/races_test.go
@@ -11,10 +11,10 @@
 	"hazelwing/internal/testutil"
 )
 
-// These tests cover races between two events of the engine; docs/design/crossings.md has the table.
+// These tests cover races between two events of the engine; docs/design/crossings.md lists them.
 
-// An attempt fails, and its client has left, though Do's context has not ended yet. A retry would run for nobody: the
-// client's connection is asked before the Balancer decides, and there must be none.
+// An attempt fails after its client has disconnected, but before Do's context has ended. A retry would do useless work.
+// The engine must check the client's connection before the Balancer decides, and must not retry.
 func TestNoRetryAfterClientDisconnected(t *testing.T) {
 	f := newFakeNetwork()
 	e := newEngine(t, f, testSettings(), 3)
@@ -34,12 +34,12 @@
 	}
 	attempt.outcome <- Outcome{Result: balancer.Overloaded}
 	if r := testutil.Receive(t, results, "the result"); r.Kind != Disconnected || len(f.attempts) > 0 {
-		t.Errorf("result %+v, and %d more attempts", r, len(f.attempts))
+		t.Errorf("result %+v and %d more attempts, want Disconnected and none", r, len(f.attempts))
 	}
 }
 
-// Do's context has ended, but the event that says so is still queued behind others. Handled in order, these would send
-// an attempt for nobody: neither a new call nor a retry may be sent.
+// Do's context has ended, but the event for it is queued behind others. Handling those first would send an attempt for
+// a client that has disconnected. Neither a new call nor a retry may be sent.
 func TestDisconnectQueuedBehindOtherEvents(t *testing.T) {
 	f := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 3)
@@ -58,19 +58,21 @@
 	}
 	for _, c := range []*Call{first, second} {
 		if r := testutil.Receive(t, c.result, "the result"); r.Kind != Disconnected {
-			t.Errorf("call %s: result %+v", c.ID, r)
+			t.Errorf("call %s: result %+v, want Disconnected", c.ID, r)
 		}
-		callDisconnected{c}.handle(e) // comes later, and changes nothing
+		callDisconnected{c}.handle(e) // arrives later and has no effect
 	}
 	if len(e.calls) > 0 || len(first.result)+len(second.result) > 0 {
-		t.Errorf("%d calls in flight, or more than one result", len(e.calls))
+		t.Errorf("%d calls in flight and %d further results, want none",
+			len(e.calls), len(first.result)+len(second.result))
 	}
 	attempt.outcome <- Outcome{}
 }
 
-// A retry of a call with an idempotency key is decided within the idempotency window, and its dial or its wait for a
-// connection takes until after it. The endpoints that saw the first attempt no longer drop its repeat then, and the
-// effect would come about twice: the window counts up to the first byte, and nothing may be written.
+// The Balancer retries a call with an idempotency key within the idempotency window, but the retry waits for a dial or
+// a connection until the window has passed. The endpoints that received the first attempt would no longer recognize the
+// repeat, and the effect would be applied twice. The window applies up to the first byte, so the retry must not be
+// written.
 func TestRetryNotStartedAfterIdempotencyWindow(t *testing.T) {
 	const window = 200 * time.Millisecond
 	settings := testSettings()
@@ -100,12 +102,13 @@
 		t.Error("the retry may start after the window")
 	}
 	if !firstMayStart() {
-		t.Error("the first attempt, which has no prior attempt, is limited to the window")
+		t.Error("the first attempt may not start after the window, although no attempt preceded it")
 	}
 }
 
-// Where lists are pushed, a call comes before the agent's first update. Sent by the cached list it could go to an
-// endpoint that has drained since, which counts as known from the start on: it must wait for that update.
+// A call arrives before the first update of a pushed list. If it were sent according to the cached list, it could go to
+// an endpoint that has started draining since. Such a drain counts as notified from the start on, so the call must wait
+// for the first update.
 func TestFirstUpdateOfPushedListPrecedesCalls(t *testing.T) {
 	f := newFakeNetwork()
 	settings := testSettings()
@@ -121,14 +124,14 @@
 	for range calls {
 		attempt := testutil.Receive(t, f.attempts, "the attempt")
 		if attempt.endpoint != "m1" {
-			t.Errorf("sent to %s, which is draining", attempt.endpoint)
+			t.Errorf("attempt sent to %s, want m1; m0 is draining", attempt.endpoint)
 		}
 		attempt.outcome <- Outcome{Result: balancer.OK, Final: true}
 	}
 }
 
-// An agent sends no update. Calls that went on waiting for it would all fail, though the cached list may be right: they
-// must be delayed by firstUpdateTimeout only.
+// The agent that pushes the list sends no update. Calls that kept waiting for it would all fail, although the cached
+// list may be correct. Calls may be delayed by firstUpdateTimeout only.
 func TestCallsProceedWithoutFirstUpdate(t *testing.T) {
 	f := newFakeNetwork()
 	settings := testSettings()
@@ -138,12 +141,13 @@
 	results := startCall(t.Context(), e, newTestCall("1", "look"))
 	testutil.Receive(t, f.attempts, "the attempt").outcome <- Outcome{Result: balancer.OK, Final: true}
 	if r := testutil.Receive(t, results, "the result"); r.Kind != Served {
-		t.Errorf("result %+v", r)
+		t.Errorf("result %+v, want Served", r)
 	}
 }
 
-// A watch reports a drain just before another watch replaces it. Dropped, the drain might not be reported again, and
-// requests would go on to an endpoint that stops: it must be applied, but only to the process that it was reported of.
+// A watch delivers a drain just before another watch replaces it. If the drain were dropped, it might not be delivered
+// again, and requests would continue to go to an endpoint that stops. The drain must be applied, but only to the
+// process that it refers to.
 func TestDrainFromReplacedWatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		startedAtMS  float64
@@ -175,8 +179,8 @@
 	}
 }
 
-// The engine stops while a call is in flight of which attempts may have run before a restart. Rejected, its client
-// would take a repeat for harmless, and the effect could come about twice: it must fail.
+// The engine stops while a call is in flight whose effect may have been attempted before a restart. If the call were
+// rejected, its client would consider a retry safe, and the effect could be applied twice. The call must fail.
 func TestShutdownFailsCallWithPriorAttempts(t *testing.T) {
 	f := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 0) // without endpoints the call waits
@@ -185,13 +189,14 @@
 	e.handleCall(c)
 	e.shutDown()
 	if r := testutil.Receive(t, c.result, "the result"); r.Kind != Failed {
-		t.Errorf("result %+v, want a failure", r)
+		t.Errorf("result %+v, want Failed", r)
 	}
 }
 
-// The source changes, and the new one's list is of a lower version and has a process as active that drains. Believed,
-// it would bring requests back to a process that stops. That process must stay draining, another process of that
-// endpoint be used, and the complete list be asked for again once the new source has had time to learn of the drain.
+// The source changes, and the new source's list has a lower version and shows a draining process as active. Accepting
+// it would send requests to a process that stops. That process must stay draining, but a different process of the
+// endpoint must be used. The complete list must be requested again once the new source has had time to learn of the
+// drain.
 func TestStaleListAfterSourceChange(t *testing.T) {
 	for name, c := range map[string]struct {
 		version      int64 // of the new source's list
@@ -225,12 +230,12 @@
 			e.sourceChangedAt = e.sourceChangedAt.Add(-staleListPeriod)
 			w := testutil.Receive(t, next.watches, "the watch for the complete list")
 			if w.version != UnknownVersion {
-				t.Errorf("the watch starts from version %d", w.version)
+				t.Errorf("the watch starts from version %d, want UnknownVersion", w.version)
 			}
 			w.notify(EndpointUpdate{Kind: balancer.CompleteList, Version: 6, Endpoints: testEndpoints(2)})
 			e.step(nil)
 			if f.endpoints["m0"].State != balancer.Active {
-				t.Error("the endpoint is not active again after staleListPeriod")
+				t.Error("m0 is still draining after staleListPeriod and a list that shows it as active")
 			}
 		})
 	}
