--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,13 +1,13 @@
-// Package backoff schedules the calls of the discovery service: after a failure, beside a call that hangs, and for the
-// complete endpoint list beside a watch. It performs no I/O and does not read the clock. The scripts under testdata
-// are its tests; docs/design/crossings.md derives the constants.
+// Package backoff schedules calls to the discovery service: calls after a failure, hedged calls, and calls for the
+// complete endpoint list while a watch is open. It performs no I/O and does not read the clock. The scripts under
+// testdata are its tests; docs/design/crossings.md derives the constants.
 //
-// Two requirements pull in opposite directions. An endpoint counts as notified of a change [NotificationDeadline]
-// after the service had that change and could be reached, whatever became of the calls in between: one of several
-// calls has to succeed within that time. But all sidecars of a cluster call at once when the service fails or falls
-// silent for all of them at once. Calls are therefore spaced from start to start: a call that is rejected late is
-// followed soon, one that is rejected immediately is not, and no sidecar starts more than three in any second. Once
-// the deadline has passed, calls are as rare as the rate allowed to all sidecars together requires.
+// Two requirements conflict. First, an endpoint counts as notified of a change [NotificationDeadline] after the service
+// had that change and was reachable, even if some calls fail in between; one of several calls must therefore succeed
+// within that time. Second, when the service fails or stops responding, all sidecars of a cluster call it again at the
+// same time. Calls are therefore spaced by the time between their starts: a call that is rejected late is followed
+// soon, a call that is rejected immediately is not, and no sidecar starts more than three calls in any second. Once the
+// deadline has passed, calls are spaced so that all sidecars together do not exceed their maximum rate.
 package backoff
 
 import (
@@ -16,26 +16,30 @@
 )
 
 const (
-	// maxDoublings is how often the slow interval is doubled at most. This prevents an overflow of the shift; any value
-	// that reaches MaxInterval from SlowInterval has the same effect.
+	// maxDoublings is the maximum number of times that the slow interval is doubled. This prevents an overflow of the
+	// shift. The exact value has no effect as long as MaxInterval is reached from SlowInterval.
 	maxDoublings = 10
-	// neverStarted is the start of the latest call before there was one: long enough ago that it delays nothing.
+	// neverStarted is the start time of the latest call before there has been a call. It is early enough not to delay
+	// the first call.
 	neverStarted = -time.Hour
 )
 
-// Random parts of the times, so that the sidecars do not call together.
+// Randomization of the delays and intervals, so that the sidecars do not call at the same time.
 const (
-	// minRetryDelayDivisor gives the shortest delay after a failure, as a part of RetryDelay, which is the longest one.
-	// A higher value spreads the calls over a longer time, and lets the earliest ones start sooner.
+	// minRetryDelayDivisor determines the minimum delay after a failure: RetryDelay, which is the maximum delay,
+	// divided by this value. A higher value spreads the calls over a longer time and lets the earliest ones start
+	// sooner.
 	minRetryDelayDivisor = 4
-	// An interval is multiplied by a random factor of 1 - 1/intervalJitterDivisor to 1 + 1/intervalJitterDivisor. A
-	// higher value keeps intervals closer to their mean, and the calls of the sidecars closer together.
+	// intervalJitterDivisor determines the jitter of intervals: an interval is multiplied by a random factor between 1
+	// - 1/intervalJitterDivisor and 1 + 1/intervalJitterDivisor. A higher value keeps intervals closer to their mean,
+	// and so spreads the calls of the sidecars less.
 	intervalJitterDivisor = 4
-	// listDelayJitterDivisor is the same for ListDelay.
+	// listDelayJitterDivisor determines the jitter of ListDelay in the same way as intervalJitterDivisor that of
+	// intervals.
 	listDelayJitterDivisor = 2
 )
 
-// Scheduler schedules the calls of one source. Times are read from any clock of the caller that does not run
+// Scheduler schedules the calls to one source. The caller passes in all times, from any clock that does not run
 // backwards. A Scheduler is not safe for concurrent use.
 type Scheduler struct {
 	Config
@@ -43,10 +47,10 @@
 	failing       bool          // a call has failed, and none has succeeded since
 	failingSince  time.Duration // valid if failing
 	lastCallStart time.Duration
-	lateFailures  int // failures after NotificationDeadline
+	lateFailures  int // failures since NotificationDeadline passed
 }
 
-// NewScheduler returns a Scheduler that has made no call.
+// NewScheduler returns a Scheduler for a source that has not been called yet.
 func NewScheduler(config Config, rng *rand.Rand) Scheduler {
 	return Scheduler{Config: config, rng: rng, lastCallStart: neverStarted}
 }
@@ -60,20 +64,21 @@
 // Failing reports whether a call, or the watch that it opened, has failed and no call has succeeded since.
 func (s *Scheduler) Failing() bool { return s.failing }
 
-// CallFailed records that a call, or the watch that it opened, has failed at now. It returns the time at which the
-// next call is to start.
+// CallFailed records that a call, or the watch that it opened, failed at now. It returns the time at which the next
+// call must start.
 //
-// It decides how soon a failed call is repeated, from the time since the first failure, the start of the failed call,
-// and the number of failures after NotificationDeadline. While the deadline can be met, calls start FastInterval
-// apart; afterwards SlowInterval, doubled with each failure up to MaxInterval. In no case does a call start within
-// RetryDelay/4 of the failure.
+// It decides how soon a failed call is repeated, based on the time since the first failure, the start of the failed
+// call, and the number of failures after NotificationDeadline. Until NotificationDeadline has passed since the first
+// failure, calls start FastInterval apart. Afterwards they start SlowInterval apart, doubled with each failure up to
+// MaxInterval. A call never starts within RetryDelay/4 of the failure.
 //
-// newlyReached says that the source could not be reached before. NotificationDeadline then starts again, because what
-// the source has learned in the meantime counts as notified from now on.
+// newlyReached reports that the source has become reachable again. NotificationDeadline then starts again, because
+// changes that the source learned of in the meantime count as notified only from now on.
 //
-// Guard: prevents a service that rejects all sidecars at once from being called in a loop, and one that is back from
-// being called at the slow interval of a long outage: draining endpoints would be used for seconds past the deadline.
-// It holds because the next call is spaced from the failure and the failed call's start, and newlyReached restarts it.
+// Guard: prevents a service that rejects all sidecars at once from being called in a loop, and a service that has
+// recovered from being called only at the slow interval of a long outage: draining endpoints would be used for seconds
+// past the deadline. This holds because the next call is spaced from both the failure and the start of the failed call,
+// and newlyReached resets the backoff.
 func (s *Scheduler) CallFailed(now time.Duration, newlyReached bool) time.Duration {
 	if !s.failing || newlyReached {
 		s.failing, s.failingSince, s.lateFailures = true, now, 0
@@ -83,7 +88,7 @@
 	return max(afterFailure, afterStart)
 }
 
-// nextInterval returns the mean time from the start of the call that has failed at now to the start of the next one.
+// nextInterval returns the mean time between the start of the call that failed at now and the start of the next call.
 func (s *Scheduler) nextInterval(now time.Duration) time.Duration {
 	if now-s.failingSince < NotificationDeadline {
 		return s.FastInterval
@@ -93,30 +98,30 @@
 	return interval
 }
 
-// randomRetryDelay returns a random delay from a failure to the next call.
+// randomRetryDelay returns a random delay between a failure and the next call.
 func (s *Scheduler) randomRetryDelay() time.Duration {
 	shortest := s.RetryDelay / minRetryDelayDivisor
 	return shortest + s.randomPart((minRetryDelayDivisor-1)*s.RetryDelay/minRetryDelayDivisor)
 }
 
-// randomInterval returns a random time around mean.
+// randomInterval returns a random duration around mean.
 func (s *Scheduler) randomInterval(mean time.Duration) time.Duration {
 	shortest := (intervalJitterDivisor - 1) * mean / intervalJitterDivisor
 	return shortest + s.randomPart(2*mean/intervalJitterDivisor)
 }
 
-// DelayFirstCall records that the complete list is missing from now on, beside a watch. It returns the time at which
-// the first call for it is to start: ListDelay from now, times a random factor.
+// DelayFirstCall records that the complete list is missing from now on, while a watch is open. It returns the time at
+// which the first call for the list must start: now plus ListDelay multiplied by a random factor.
 //
-// Guard: prevents sidecars that are migrated at once from overloading a service with a list and a watch of each: it
-// would reject watches too, and draining endpoints would go unnoticed. It holds because the watch is open, and delivers
-// the changes meanwhile.
+// Guard: prevents sidecars that are migrated at the same time from overloading a service with one list call and one
+// watch each: the service would also reject watches, and drains would go unnoticed. The delay is safe because the open
+// watch delivers changes in the meantime.
 func (s *Scheduler) DelayFirstCall(now time.Duration) time.Duration {
 	s.failing, s.failingSince = true, now
 	return now + ListDelay/listDelayJitterDivisor + s.randomPart(2*ListDelay/listDelayJitterDivisor)
 }
 
-// randomPart returns a random duration below limit.
+// randomPart returns a random duration between 0 and limit.
 func (s *Scheduler) randomPart(limit time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(limit))
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// schedulerScript plays one script against many schedulers that differ in their random seeds.
+// schedulerScript runs a test script against many schedulers with different random seeds.
 type schedulerScript struct {
 	schedulers []Scheduler
 }
 
-// reset replaces the schedulers by new ones.
+// reset replaces the schedulers with new ones.
 func (s *schedulerScript) reset(config Config) {
 	const seeds = 4000
 	s.schedulers = nil
@@ -23,7 +23,7 @@
 	}
 }
 
-// nextCalls applies an event to all schedulers and formats the range of the times at which their next calls start.
+// nextCalls applies an event to all schedulers and formats the earliest and the latest start of their next calls.
 func (s *schedulerScript) nextCalls(event func(*Scheduler) time.Duration) string {
 	earliest, latest := time.Duration(1<<62), time.Duration(0)
 	for i := range s.schedulers {
@@ -42,7 +42,7 @@
 	d.MaybeScanArgs(t, "at", &text)
 	now, err := time.ParseDuration(text)
 	if text != "" && err != nil {
-		d.Fatalf(t, "at: %v", err)
+		d.Fatalf(t, "argument at=%s of %s is not a duration: %v", text, d.Cmd, err)
 	}
 	switch d.Cmd {
 	case "service":
@@ -72,8 +72,8 @@
 	return ""
 }
 
-// The scripts give the times at which calls start and how they end, and hold the range of the times at which the next
-// call starts: over many seeds, rounded to 10 ms.
+// The scripts specify when calls start and how they end. The expected output is the range of the start times of the
+// next call over many seeds, rounded to 10 ms.
 func TestSchedulerScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var script schedulerScript
@@ -81,8 +81,8 @@
 	})
 }
 
-// A service that rejects all calls, immediately or late, receives few calls of one sidecar in any second, and in the
-// long run no more than that sidecar's part of the rate of all.
+// A service that rejects all calls, immediately or late, must receive at most three calls of one sidecar in any second.
+// In the long term, it must receive no more than one call per SlowInterval.
 func TestCallRateOfRejectedSidecar(t *testing.T) {
 	for _, sidecars := range []int{1, 300, 590} {
 		for _, callTime := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
@@ -112,6 +112,7 @@
 	interval := time.Hour / time.Duration(len(starts))
 	minInterval := min(ServiceConfig(sidecars).SlowInterval, 2*time.Second) * 97 / 100
 	if maxInSecond > 3 || interval < minInterval {
-		t.Errorf("%d calls in one second, one in %v on average", maxInSecond, interval)
+		t.Errorf("%d calls in one second and an average interval of %v, want at most 3 and at least %v",
+			maxInSecond, interval, minInterval)
 	}
 }
--- a/internal/backoff/config.go
+++ b/internal/backoff/config.go
@@ -3,47 +3,50 @@
 import "time"
 
 const (
-	// NotificationDeadline is when a change counts as notified, from the time at which the discovery service had the
-	// change and could be reached. A higher value keeps calls at the fast interval for longer.
+	// NotificationDeadline is the time after which a change counts as notified, measured from when the discovery
+	// service had the change and was reachable. A higher value keeps calls at the fast interval for longer.
 	NotificationDeadline = 6 * time.Second
-	// SilenceTimeout is when a watch counts as broken, and when a call that has returned nothing is abandoned. The
-	// service sends an empty line every 2 s. This prevents waiting for a service that is cut off and sends nothing,
-	// which TCP does not notice. A higher value tolerates a slower service, and notices a broken watch later.
+	// SilenceTimeout is how long a watch or a call may deliver nothing before the watch counts as broken or the call is
+	// abandoned. The service sends an empty line every 2 s. This prevents waiting for a service that is cut off, which
+	// TCP does not detect while nothing is sent. A higher value tolerates a slower service and detects a broken watch
+	// later.
 	SilenceTimeout = 2500 * time.Millisecond
-	// HedgeDelay is when a call that has returned nothing is hedged by another one. This prevents a hanging call from
-	// using up the time: if it were abandoned first, there would be none left for a second failure. It is above the
-	// time that a call may be queued by the service (1 s on the platform). A higher value makes fewer calls to a slow
-	// service, and answers later where one call hangs.
+	// HedgeDelay is how long a call may deliver nothing before a hedged call is started. This prevents a hanging call
+	// from using up the available time: if the call were abandoned before another one was started, no time would be
+	// left for a second failure. HedgeDelay is longer than the time for which the service may queue a call (1 s on the
+	// platform). A higher value starts fewer calls to a slow service, and delays the answer if a call hangs.
 	HedgeDelay = SilenceTimeout / 2
-	// MaxAttempts limits the calls of one hedged request; two of them are in flight at a time. A higher value tolerates
-	// more calls that hang in a row, and calls a service that hangs more often.
+	// MaxAttempts limits the calls of one hedged request; at most two of them are in flight at a time. A higher value
+	// tolerates more consecutive calls that hang, and calls a service that hangs more often.
 	MaxAttempts = 3
 )
 
-// Spacing of calls of the discovery service; see Config.
+// Spacing of calls to the discovery service; see Config.
 const (
-	// retryDelay is the RetryDelay of a shared service. A higher value spreads the calls of the sidecars over a longer
-	// time, and takes more of NotificationDeadline for each failure.
+	// retryDelay is the RetryDelay for a shared service. A higher value spreads the calls of the sidecars over a longer
+	// time, and uses up more of NotificationDeadline with each failure.
 	retryDelay = 250 * time.Millisecond
-	// fastInterval makes at most three calls of a sidecar in any second. A higher value puts less load on a service
-	// that rejects all, and leaves fewer calls before NotificationDeadline.
+	// fastInterval is the FastInterval for a shared service. With this value, a sidecar starts at most three calls in
+	// any second. A higher value puts less load on a service that rejects all calls, and allows fewer calls before
+	// NotificationDeadline.
 	fastInterval = 600 * time.Millisecond
-	// minSlowInterval is that of a small cluster: its calls do not become rarer.
+	// minSlowInterval is the minimum SlowInterval, which small clusters use. It equals fastInterval, so their calls do
+	// not become less frequent after NotificationDeadline.
 	minSlowInterval = fastInterval
-	// maxSlowInterval limits how long a service that recovers is not called. A higher value protects the service of a
-	// large cluster, whose sidecars learn later of its recovery.
+	// maxSlowInterval is the maximum SlowInterval. It limits how long a service that has recovered is not called. With
+	// a higher value, the service of a large cluster receives less load, and its sidecars detect its recovery later.
 	maxSlowInterval = 2 * time.Second
-	// maxClusterRate is how many calls a second all sidecars together may make in the long run to a service that
-	// rejects them. A cluster in which each sidecar would then call less than once in maxSlowInterval makes more. A
-	// higher value finds the service recovered sooner, and puts more load on it.
+	// maxClusterRate limits the long-term rate, in calls per second, at which all sidecars together call a service that
+	// rejects them. A large cluster exceeds this rate, because no sidecar waits longer than maxSlowInterval. A higher
+	// value detects the recovery of the service sooner, and puts more load on it.
 	maxClusterRate = 150
 )
 
-// agentRetryDelay is the RetryDelay for an agent on this machine. A higher value makes fewer calls, and notices the
-// agent's recovery later.
+// agentRetryDelay is the RetryDelay for an agent on this machine. A higher value results in fewer calls, and detects
+// the agent's recovery later.
 const agentRetryDelay = 100 * time.Millisecond
 
-// Spacing of calls for the complete list beside a watch, which delivers the changes in any case; see Config. Higher
+// Spacing of calls for the complete list while a watch is open, which delivers changes in any case; see Config. Higher
 // values put less load on a service that rejects these calls, and leave the list incomplete for longer.
 const (
 	listFastInterval = 750 * time.Millisecond
@@ -51,29 +54,31 @@
 	listMaxInterval  = 24 * time.Second
 )
 
-// ListDelay is the mean delay of the first call for the complete list beside a watch; see Scheduler.DelayFirstCall. A
-// higher value spreads these calls over a longer time, and leaves the list incomplete for longer.
+// ListDelay is the mean delay of the first call for the complete list while a watch is open; see
+// Scheduler.DelayFirstCall. A higher value spreads these calls over a longer time, and leaves the list incomplete for
+// longer.
 const ListDelay = 2 * time.Second
 
-// Config is the spacing of calls. All times are randomized, so that sidecars do not stay synchronized.
+// Config specifies the spacing of calls. All durations are randomized, so that the calls of different sidecars do not
+// become synchronized.
 type Config struct {
-	// RetryDelay limits the random delay from a failure to the next call, which is at least RetryDelay/4. The delay is
-	// longer if the interval between the starts of the calls requires it.
+	// RetryDelay is the maximum random delay between a failure and the next call; the minimum is RetryDelay/4. The
+	// delay is longer if the interval between the starts of the calls requires it.
 	RetryDelay time.Duration
-	// FastInterval is the time from the start of a call to the start of the next one while NotificationDeadline can
-	// still be met, multiplied by a random factor between 0.75 and 1.25.
+	// FastInterval is the mean time between the starts of consecutive calls until NotificationDeadline has passed since
+	// the first failure. It is multiplied by a random factor between 0.75 and 1.25.
 	FastInterval time.Duration
-	// SlowInterval is the same time once the deadline has passed. It doubles with each failure.
+	// SlowInterval replaces FastInterval once NotificationDeadline has passed. It doubles with each further failure.
 	SlowInterval time.Duration
-	// MaxInterval limits the growth of SlowInterval.
+	// MaxInterval limits SlowInterval as it doubles.
 	MaxInterval time.Duration
 }
 
-// ServiceConfig returns the spacing for calls of a discovery service that is shared by the given number of sidecars.
+// ServiceConfig returns the spacing of calls to a discovery service that is shared by the given number of sidecars.
 //
-// It decides how often a service that rejects all sidecars is called in the long run: by all of them together
-// maxClusterRate times a second, by each between once in minSlowInterval and once in maxSlowInterval. This prevents a
-// large cluster from keeping a service overloaded that rejects it.
+// It decides how often a service that rejects all sidecars is called in the long term: maxClusterRate times per second
+// by all sidecars together, but by each sidecar at most once per minSlowInterval and at least once per maxSlowInterval.
+// This prevents a large cluster from keeping a service overloaded that rejects it.
 func ServiceConfig(sidecars int) Config {
 	interval := time.Duration(sidecars) * time.Second / maxClusterRate
 	interval = min(max(interval, minSlowInterval), maxSlowInterval)
@@ -85,12 +90,12 @@
 	}
 }
 
-// AgentConfig returns the spacing for calls of a discovery agent on this machine, which cost nothing. What the agent
-// learns when the discovery service recovers counts as notified at once, so the delay stays below the shortest grace
-// period of a draining endpoint.
+// AgentConfig returns the spacing of calls to a discovery agent on this machine, which are cheap. Changes that the
+// agent learns of when the discovery service recovers count as notified at once. The delay must therefore be shorter
+// than the shortest grace period of a draining endpoint.
 func AgentConfig() Config { return Config{RetryDelay: agentRetryDelay} }
 
-// ListConfig returns the spacing for calls for the complete list, beside a watch, of a discovery service that is
+// ListConfig returns the spacing of calls for the complete list, while a watch is open, to a discovery service that is
 // shared by all sidecars.
 func ListConfig() Config {
 	return Config{
--- a/internal/limits/format_test.go
+++ b/internal/limits/format_test.go
@@ -9,7 +9,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// GET /bounds answers with a list of these.
+// GET /bounds returns a list of State values. Their JSON format must not change.
 func TestStateFormatIsStable(t *testing.T) {
 	at := time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC)
 	state := State{
@@ -27,6 +27,6 @@
 	testutil.Golden(t, "state.json", text)
 	var read []State
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
+		t.Errorf("decoded again: error %v, got\n%+v, want\n%+v", err, read, list)
 	}
 }
--- a/internal/limits/meter.go
+++ b/internal/limits/meter.go
@@ -1,15 +1,18 @@
-// Package limits counts how often each of a process's stated limits is reached, and decides when that is worth a line
-// in the log. A Meter does so without I/O and without a clock; a Set adds a logger and the time.
+// Package limits counts how often each configured limit of a process is reached, and decides when to log this. A Meter
+// counts for one limit without I/O and without reading the clock; a Set adds a logger and the current time to several
+// Meters.
 package limits
 
 import "time"
 
 const (
-	// reportInterval is how often a limit that goes on being reached is reported. This prevents a full table from
-	// flooding the log at the rate of requests. A higher value makes fewer lines, and each of them later.
+	// reportInterval is the minimum time between two reports of a limit within an episode. This prevents a full table
+	// from producing a log line for every request. A higher value produces fewer log lines and reports further
+	// occurrences later.
 	reportInterval = 10 * time.Second
-	// episodeGap is how long a limit is not reached before the next time begins a new episode, whose first time is
-	// reported at once. A higher value joins more bursts into one episode.
+	// episodeGap is the minimum time without the limit being reached after which the next occurrence starts a new
+	// episode. The first occurrence of an episode is reported at once. A higher value merges more bursts into one
+	// episode.
 	episodeGap = 30 * time.Second
 )
 
@@ -18,48 +21,48 @@
 	name  string
 	limit int
 
-	total       int
-	episodes    int
-	startedAt   time.Time // of the latest episode
-	reachedAt   time.Time // the last time
-	inEpisode   int       // times reached in the latest episode
-	reportedAt  time.Time // in the latest episode; zero: not yet
-	sinceReport int       // times reached since then
+	total            int
+	episodes         int
+	startedAt        time.Time // start of the latest episode
+	reachedAt        time.Time // latest time at which the limit was reached
+	episodeCount     int       // times reached in the latest episode
+	reportedAt       time.Time // latest report in the latest episode; zero: none
+	countSinceReport int       // times reached since the latest report
 }
 
-// State is the state of a Meter, for the admin endpoint.
+// State is the state of a Meter. The admin endpoint returns it.
 type State struct {
 	Name      string    `json:"bound"`
 	Limit     int       `json:"limit"`
-	Total     int       `json:"total"`    // times it was reached
-	Episodes  int       `json:"episodes"` // with at least half a minute between them
-	StartedAt time.Time `json:"since"`    // of the latest episode; zero: never reached
-	ReachedAt time.Time `json:"last"`     // the last time; zero: never reached
+	Total     int       `json:"total"`    // times the limit was reached
+	Episodes  int       `json:"episodes"` // periods of reaching the limit, separated by more than episodeGap
+	StartedAt time.Time `json:"since"`    // start of the latest episode; zero: never reached
+	ReachedAt time.Time `json:"last"`     // latest time at which the limit was reached; zero: never
 }
 
-// Report is what to log of a limit that was reached.
+// Report is the content of a log line about a limit that was reached.
 type Report struct {
 	Name     string
 	Limit    int
-	Count    int           // times reached since the last report of the episode, 1 for the first report
-	Duration time.Duration // since the start of the episode, in whole seconds
+	Count    int           // times reached since the previous report of the episode; 1 for the first report
+	Duration time.Duration // since the start of the episode, rounded to whole seconds
 }
 
-// NewMeter returns the meter of a limit.
+// NewMeter returns a Meter for the limit with the given name and value.
 func NewMeter(name string, limit int) *Meter { return &Meter{name: name, limit: limit} }
 
-// Reached counts that the limit was reached at now. It returns a report if one is due.
+// Reached records that the limit was reached at now. If a report is due, Reached returns it with isDue set.
 func (m *Meter) Reached(now time.Time) (report Report, isDue bool) {
-	if m.inEpisode == 0 || now.Sub(m.reachedAt) > episodeGap {
+	if m.episodeCount == 0 || now.Sub(m.reachedAt) > episodeGap {
 		m.episodes++
 		m.startedAt = now
-		m.inEpisode = 0
-		m.sinceReport = 0
+		m.episodeCount = 0
+		m.countSinceReport = 0
 		m.reportedAt = time.Time{}
 	}
 	m.total++
-	m.inEpisode++
-	m.sinceReport++
+	m.episodeCount++
+	m.countSinceReport++
 	m.reachedAt = now
 	if !m.reportedAt.IsZero() && now.Sub(m.reportedAt) < reportInterval {
 		return Report{}, false
@@ -67,15 +70,15 @@
 	report = Report{
 		Name:     m.name,
 		Limit:    m.limit,
-		Count:    m.sinceReport,
+		Count:    m.countSinceReport,
 		Duration: now.Sub(m.startedAt).Round(time.Second),
 	}
 	m.reportedAt = now
-	m.sinceReport = 0
+	m.countSinceReport = 0
 	return report, true
 }
 
-// State returns the present state.
+// State returns the current state.
 func (m *Meter) State() State {
 	return State{
 		Name:      m.name,
--- a/internal/limits/meter_test.go
+++ b/internal/limits/meter_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The first time is reported, then every ten seconds with the number of times since, and a new episode after half a
-// minute without.
+// The first occurrence of an episode is reported at once, later ones every 10 s with the number of occurrences since
+// the previous report. An occurrence after more than 30 s without one starts a new episode.
 func TestMeterReports(t *testing.T) {
 	m := NewMeter("upstream connections", 4)
 	due := func(count int, duration time.Duration) *Report {
@@ -19,7 +19,7 @@
 	start := time.Unix(100, 0)
 	for _, c := range []struct {
 		at   time.Duration
-		want *Report // nil: none is due
+		want *Report // nil if no report is due
 	}{
 		{0, due(1, 0)},
 		{time.Second, nil},
@@ -31,16 +31,16 @@
 	} {
 		got, isDue := m.Reached(start.Add(c.at))
 		if isDue != (c.want != nil) || isDue && got != *c.want {
-			t.Errorf("at %v: %+v, %v, want %+v", c.at, got, isDue, c.want)
+			t.Errorf("at %v: report %+v, due %v, want %+v", c.at, got, isDue, c.want)
 		}
 	}
 	s := m.State()
 	if s.Total != 7 || s.Episodes != 2 || s.StartedAt != start.Add(71*time.Second) || s.ReachedAt != s.StartedAt {
-		t.Errorf("%+v", s)
+		t.Errorf("state %+v, want Total 7, Episodes 2, and StartedAt and ReachedAt at 71 s", s)
 	}
 }
 
-// However many goroutines reach a limit, all times are counted and one line is logged.
+// If many goroutines reach a limit concurrently, every occurrence is counted and only one line is logged.
 func TestSetCountsAll(t *testing.T) {
 	var log bytes.Buffer
 	s := NewSet(slog.New(slog.NewTextHandler(&log, nil)))
@@ -53,10 +53,10 @@
 	all.Wait()
 	states := s.State()
 	if len(states) != 2 || states[0].Total != 0 || states[1].Total != 50 || states[1].Limit != 9 {
-		t.Errorf("%+v", states)
+		t.Errorf("states %+v, want totals 0 and 50, and limit 9 for the second", states)
 	}
 	const line = `msg="limit reached" component=limits limit_name=calls limit=9 count=1 duration=0s`
 	if n := strings.Count(log.String(), line); n != 1 || strings.Count(log.String(), "\n") != 1 {
-		t.Errorf("%d lines:\n%s", n, log.String())
+		t.Errorf("the log contains the expected line %d times, want once and no other line:\n%s", n, log.String())
 	}
 }
--- a/internal/limits/set.go
+++ b/internal/limits/set.go
@@ -19,8 +19,8 @@
 	return &Set{logger: logger.With("component", "limits")}
 }
 
-// Add adds a meter, and returns the function to call whenever its limit is reached. The function may be called from any
-// goroutine: it holds a lock while it counts, and logs without it.
+// Add adds a meter and returns a function that must be called whenever the limit is reached. The function is safe for
+// concurrent use. It holds the lock of the Set while it counts, but not while it logs.
 func (s *Set) Add(name string, limit int) (reached func()) {
 	m := NewMeter(name, limit)
 	s.mu.Lock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// State returns the state of all meters, in the order in which they were added.
+// State returns the states of all meters, in the order in which they were added.
 func (s *Set) State() []State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
