--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter runs the decisions of package balancer on the simulator's wire, from standard input to standard
-// output. If a line of the input cannot be handled, it exits with status 1 and one line on standard error that names
-// the input line.
+// Command simadapter connects package balancer to the simulator: it reads events in the simulator's wire protocol from
+// standard input and writes the balancer's actions to standard output. If an input line cannot be handled, it prints
+// one line that names the input line on standard error and exits with status 1.
 package main
 
 import (
@@ -13,10 +13,10 @@
 
 func main() { os.Exit(run(os.Stdin, os.Stdout, os.Stderr)) }
 
-// run answers stdin on stdout until stdin ends and returns the exit status.
+// run serves stdin on stdout until stdin ends, and returns the exit status.
 func run(stdin io.Reader, stdout, stderr io.Writer) int {
 	if err := wire.Serve(stdin, stdout); err != nil {
-		_, _ = fmt.Fprintln(stderr, "simadapter:", err) // the exit status reports the failure in any case
+		_, _ = fmt.Fprintln(stderr, "simadapter:", err) // the exit status reports the failure even if this write fails
 		return 1
 	}
 	return 0
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// Malformed input ends the adapter with status 1 and one line that names the input line. Well-formed input ends it with
-// status 0, also with verbs and fields that are not known.
+// For malformed input, the adapter exits with status 1 and prints one line that names the input line. For well-formed
+// input, it exits with status 0, even if verbs and fields are unknown.
 func TestExitStatus(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		input      string
-		wantStderr string // a part of it; empty: it stays empty, and the status is 0
+		wantStderr string // expected part; empty: no output, and status 0
 	}{
 		{
 			name:  "unknown verb and fields",
@@ -29,17 +29,17 @@
 		{
 			name:       "start without parameters",
 			input:      `{"TsMs":1,"in":[{"verb":"PowerOn","I":0}]}` + "\n",
-			wantStderr: "event 0 (PowerOn): no Env",
+			wantStderr: "event 0 (PowerOn): field Env is missing",
 		},
 		{
 			name:       "instance that was not started",
 			input:      `{"TsMs":1,"in":[{"verb":"Hangup","I":0,"Id":"aa"}]}` + "\n",
-			wantStderr: "event 0 (Hangup): instance 0 was never started",
+			wantStderr: "event 0 (Hangup): instance 0 is not running",
 		},
 		{
 			name:       "field of the wrong type",
 			input:      `{"TsMs":1,"in":[{"verb":"Order","I":0,"Id":"aa","Load":1}]}`,
-			wantStderr: "event 0",
+			wantStderr: "cannot decode event 0",
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -48,7 +48,8 @@
 			if (status != 0) != (test.wantStderr != "") ||
 				!strings.Contains(stderr.String(), test.wantStderr) ||
 				strings.Count(stderr.String(), "\n") != status {
-				t.Errorf("%s: status %d, %q; want %q", test.input, status, stderr.String(), test.wantStderr)
+				t.Errorf("%s: status %d, stderr %q; want status 1 and one line that contains %q "+
+					"(if empty: status 0 and no output)", test.input, status, stderr.String(), test.wantStderr)
 			}
 		})
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,5 +1,5 @@
-// Package platform reads the configuration that the platform gives a sidecar: a JSON
-// file and environment variables.
+// Package platform reads the configuration that the platform provides to a sidecar: a JSON file and environment
+// variables.
 package platform
 
 import (
@@ -28,38 +28,37 @@
 	Name             string      `json:"Name"`
 	Listen           string      `json:"Listen"`
 	Discovery        string      `json:"Discovery"` // address of the discovery service
-	Seed             hexSeed     `json:"Seed"`      // of random choices
+	Seed             hexSeed     `json:"Seed"`      // seed for random choices
 	Limits           Limits      `json:"Limits"`
-	InitialEndpoints watch.Event `json:"Known"` // endpoint list to start with
+	InitialEndpoints watch.Event `json:"Known"` // endpoint list to use at startup
 	Settings         *wire.Env   `json:"Settings"`
 }
 
-// hexSeed is a seed for random numbers that is written in hexadecimal digits.
+// hexSeed is a random seed that is written as hexadecimal digits.
 type hexSeed uint64
 
-// UnmarshalJSON reads a JSON string of hexadecimal digits.
+// UnmarshalJSON decodes a JSON string of hexadecimal digits.
 func (s *hexSeed) UnmarshalJSON(text []byte) error {
 	var digits string
 	if err := json.Unmarshal(text, &digits); err != nil {
-		return fmt.Errorf("seed: %w", err)
+		return fmt.Errorf("seed is not a string: %w", err)
 	}
 	n, err := strconv.ParseUint(digits, 16, 64)
 	if err != nil {
-		return fmt.Errorf("seed: %w", err)
+		return fmt.Errorf("seed is not a hexadecimal number of at most 64 bits: %w", err)
 	}
 	*s = hexSeed(n)
 	return nil
 }
 
-// Why there is no configuration to start or to go on with.
+// Errors for a missing configuration file or missing settings.
 var (
 	errNoConfigFile = errors.New(envConfigFile + " is not set")
-	errNoSettings   = errors.New("configuration: no settings")
+	errNoSettings   = errors.New("configuration: settings are missing")
 )
 
-// Load reads the file that RELAY_CONFIG names. The other variables, if set, take
-// precedence over the file. It reports an error if the file cannot be read or the
-// configuration is invalid.
+// Load reads the file that RELAY_CONFIG names. The other environment variables, if set, take precedence over the file.
+// Load returns an error if the file cannot be read or the configuration is invalid.
 func Load(getenv func(string) string) (*Config, error) {
 	c, err := readFile(getenv)
 	if err != nil {
@@ -71,8 +70,8 @@
 	return c, c.validate()
 }
 
-// Reload reads the file again after it was replaced. Unlike in Load the file takes
-// precedence over the variables, which date from the start of the process.
+// Reload reads the file again after it was replaced. Unlike in Load, the file takes precedence over the environment
+// variables, which keep their values from the start of the process.
 func Reload(getenv func(string) string) (*Config, error) {
 	c, err := readFile(getenv)
 	if err != nil {
@@ -99,8 +98,8 @@
 	return c, nil
 }
 
-// validate reports missing settings and malformed addresses. The settings themselves
-// are validated by balancer.New.
+// validate returns an error if the settings are missing or an address is malformed. balancer.New validates the settings
+// themselves.
 func (c *Config) validate() error {
 	if c.Settings == nil {
 		return errNoSettings
@@ -110,7 +109,8 @@
 		{"discovery", c.Discovery},
 	} {
 		if _, _, err := net.SplitHostPort(address.value); err != nil {
-			return fmt.Errorf("configuration: %s: %w", address.key, err)
+			return fmt.Errorf("configuration: %s address %q is not of the form host:port: %w",
+				address.key, address.value, err)
 		}
 	}
 	return nil
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -11,12 +11,13 @@
 	"hazelwing/internal/testutil"
 )
 
-// validConfig returns a configuration file that is valid.
+// validConfig returns the text of a valid configuration file.
 func validConfig() string {
 	return fmt.Sprintf(testutil.PlatformConfig, "127.0.0.1:2", "127.0.0.1:3")
 }
 
-// load loads a configuration file with the given text. env are variables beside RELAY_CONFIG.
+// load writes a configuration file with the given text and loads it. env holds environment variables in addition to
+// RELAY_CONFIG.
 func load(t *testing.T, text string, env map[string]string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -31,7 +32,8 @@
 	})
 }
 
-// The platform's file and variables are taken over, and the connections leave descriptors for everything else.
+// Load uses the values of the platform's file and environment variables. The limits on connections leave file
+// descriptors for other purposes.
 func TestLoad(t *testing.T) {
 	cfg, err := load(t, validConfig(), map[string]string{envListen: "127.0.0.1:4"})
 	if err != nil {
@@ -40,15 +42,15 @@
 	if cfg.Seed != 255 || cfg.Listen != "127.0.0.1:4" || cfg.Discovery != "127.0.0.1:2" ||
 		len(cfg.InitialEndpoints.Endpoints) != 1 || cfg.InitialEndpoints.Endpoints[0].Addr != "127.0.0.1:3" ||
 		cfg.Limits.Sockets != 1024 || len(cfg.Settings.Classes) != 3 {
-		t.Errorf("Load: %+v", cfg)
+		t.Errorf("Load returned %+v, which differs from the file and the environment", cfg)
 	}
 	if l := cfg.Limits; l.MaxClientConns()+l.MaxEndpointConns() >= l.Sockets {
-		t.Errorf("%d connections of clients and %d to upstreams use all of %d descriptors",
+		t.Errorf("%d client connections and %d upstream connections leave none of %d descriptors for other purposes",
 			l.MaxClientConns(), l.MaxEndpointConns(), l.Sockets)
 	}
 }
 
-// The error of an invalid configuration names what is wrong, in one line.
+// The error for an invalid configuration names the invalid part in a single line.
 func TestInvalidConfig(t *testing.T) {
 	for _, test := range []struct{ name, old, replacement, want string }{
 		{"not JSON", "{", "<", "invalid"},
@@ -67,18 +69,18 @@
 				_, err = balancer.New(cfg.Settings.Settings(), 1)
 			}
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, want one line with %q", err, test.want)
+				t.Errorf("error %v, want a single line that contains %q", err, test.want)
 			}
 		})
 	}
 	_, err := Load(func(string) string { return "" })
 	if err == nil || !strings.Contains(err.Error(), envConfigFile) {
-		t.Errorf("Load without variables: error %v, want one with %q", err, envConfigFile)
+		t.Errorf("Load without environment variables: error %v, want one that contains %q", err, envConfigFile)
 	}
 }
 
-// The number of sidecars is optional. If it is missing or 0, the balancer assumes one
-// sidecar, and everything that is for large clusters only is off.
+// The number of sidecars is optional. If it is missing or 0, the balancer assumes one sidecar, and features for large
+// clusters are disabled.
 func TestNumberOfSidecarsIsOptional(t *testing.T) {
 	for _, test := range []struct{ name, setting string }{
 		{"missing", ""},
@@ -99,7 +101,7 @@
 	}
 }
 
-// At the start the variable takes precedence over the file, after a reload the file over
+// At startup, an environment variable takes precedence over the file; after a reload, the file takes precedence over
 // the variable.
 func TestPrecedenceOfVariables(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -117,13 +119,13 @@
 		{"Reload", Reload, "127.0.0.1:2"},
 	} {
 		if cfg, err := test.load(getenv); err != nil || cfg.Discovery != test.want {
-			t.Errorf("%s: %+v, %v, want discovery at %s", test.name, cfg, err, test.want)
+			t.Errorf("%s: configuration %+v, error %v, want discovery address %s", test.name, cfg, err, test.want)
 		}
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Reload(getenv); err == nil {
-		t.Error("Reload accepts a truncated file")
+		t.Error("Reload accepted a truncated file")
 	}
 }
--- a/internal/platform/format_test.go
+++ b/internal/platform/format_test.go
@@ -10,8 +10,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each key of the platform's configuration is read under the name that the platform
-// writes, and the names under which the type is encoded are stable.
+// Each key of the platform's configuration file is decoded. The field names in the encoded form of Config must not
+// change.
 func TestPlatformConfigurationFormatIsStable(t *testing.T) {
 	text, err := os.ReadFile("testdata/configuration.json")
 	if err != nil {
@@ -29,7 +29,7 @@
 	testutil.Golden(t, "configuration-decoded.json", decoded)
 }
 
-// The error of a value of the wrong type names the field in the same form as before.
+// The error for a value of the wrong type must keep its form, which contains the field's name.
 func TestPlatformConfigurationErrorNamesTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"listen":1}`:                     ".Listen of type string",
@@ -38,12 +38,12 @@
 		`{"known":{"hosts":[{"host":1}]}}`: "Known.hosts.host of type string",
 	} {
 		if _, err := load(t, text, nil); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", text, err, want)
+			t.Errorf("%s: error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
 
-// The names of the variables that the platform sets are stable.
+// The names of the environment variables that the platform sets must not change.
 func TestPlatformVariableNamesAreStable(t *testing.T) {
 	var names []string
 	_, err := Load(func(name string) string {
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -10,51 +10,47 @@
 )
 
 const (
-	// runtimeMemoryShare is the part of the memory limit that the Go runtime may use
-	// before it collects garbage more often. The rest is for the kernel's socket buffers
-	// and the program itself. A higher value costs less processor time, and comes closer
-	// to being ended by the kernel for lack of memory.
+	// runtimeMemoryShare is the share of the memory limit that the Go runtime may use before it collects garbage more
+	// often. The rest is for the kernel's socket buffers and the program itself. A higher value uses less processor
+	// time and increases the risk that the kernel ends the process for lack of memory.
 	runtimeMemoryShare = 0.7
 
-	// responseMemoryShare is the part of the memory limit that the body of one response
-	// may take. With a higher value fewer responses are too long, and a few long ones
-	// may use up the memory.
+	// responseMemoryShare is the maximum size of the body of one response, as a share of the memory limit. With a
+	// higher value, fewer responses are too long, but a few long responses may use up the memory.
 	responseMemoryShare = 1.0 / 64
 
 	bytesPerMB = 1 << 20
 
-	// defaultDescriptors is the number of file descriptors if the platform gives no
-	// limit: the usual soft limit of a process.
+	// defaultDescriptors is the number of file descriptors if the platform specifies no limit. It is the usual soft
+	// limit of a process.
 	defaultDescriptors = 1024
 
-	// ownDescriptors are never used for connections of clients or to endpoints. Of these
-	// 3 are standard input, output and error, 2 the runtime's poller, 2 the files in
-	// which the runtime reads the CPU limit, 1 the listener, 1 a connection that was
-	// accepted and is about to be closed for lack of room, 4 the watch and the poll of
-	// discovery, each twice while they move to another address, and 1 the configuration
-	// while it is read. 2 are spare.
+	// ownDescriptors is the number of file descriptors that are never used for connections of clients or to endpoints:
+	// 3 for standard input, output and error, 2 for the runtime's poller, 2 for the files from which the runtime reads
+	// the CPU limit, 1 for the listener, 1 for an accepted connection that is about to be closed because the limit is
+	// reached, 4 for the watch and the poll of discovery, each of which is open twice while it moves to another
+	// address, 1 for the configuration file while it is read, and 2 spare.
 	ownDescriptors = 16
 
-	// minClientConns is the minimum number of connections of clients that have to
-	// remain when descriptors are reserved.
+	// minClientConns is the minimum number of client connections that must remain available when descriptors are
+	// reserved.
 	minClientConns = 8
 
-	// descriptorsPerRequest is how many descriptors a request needs: one for its
-	// client's connection and one for that to an endpoint.
+	// descriptorsPerRequest is the number of descriptors that a request uses: one for the client's connection and one
+	// for the connection to an endpoint.
 	descriptorsPerRequest = 2
 )
 
-// Limits are the resource limits of the sidecar's machine. A value of 0 means that the
-// platform gives no limit.
+// Limits are the resource limits of the sidecar's machine. A value of 0 means that the platform specifies no limit.
 type Limits struct {
 	Cores    float64 `json:"Cores"`
 	MemoryMB float64 `json:"memory_mb"` // MiB
 	Sockets  int     `json:"Sockets"`   // file descriptors
 
-	reserved int // file descriptors, by ReserveDescriptors
+	reserved int // file descriptors reserved by ReserveDescriptors
 }
 
-// Apply sets the limits on cores and memory for the Go runtime.
+// Apply configures the Go runtime for the limits on cores and memory.
 func (l Limits) Apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
@@ -64,32 +60,31 @@
 	}
 }
 
-// MaxResponseBytes returns the maximum size of the body of a response; 0 if there is
-// no limit on memory. Most responses are far smaller.
+// MaxResponseBytes returns the maximum size of a response body in bytes, or 0 if there is no limit on memory. Most
+// responses are far smaller.
 func (l Limits) MaxResponseBytes() int64 {
 	return int64(l.MemoryMB * responseMemoryShare * bytesPerMB)
 }
 
-// descriptorError says that too few file descriptors remain for clients and endpoints.
+// descriptorError reports that too few file descriptors remain for clients and endpoints.
 type descriptorError struct {
-	Available int // that the process may open
-	Reserved  int // for what the operator's file asks for
+	Available int // descriptors that the process may open
+	Reserved  int // descriptors reserved for features that the operator's file enables
 }
 
 func (e *descriptorError) Error() string {
-	return fmt.Sprintf("limits.sockets: of %d descriptors %d are kept for discovery, log and runtime "+
-		"and %d for what the operator's file asks for: %d connections of clients "+
-		"and as many to upstreams have to be left",
-		e.Available, ownDescriptors, e.Reserved, minClientConns)
+	return fmt.Sprintf("limits.sockets: of %d available file descriptors, %d are reserved for discovery, logging and "+
+		"the runtime and %d for features of the operator's file; at least %d must remain for connections of clients "+
+		"and %d for connections to upstreams",
+		e.Available, ownDescriptors, e.Reserved, minClientConns, minClientConns)
 }
 
-// ReserveDescriptors returns limits with n more file descriptors reserved, for what an
-// operator's file asks for. It reports a descriptorError if n is positive and fewer than
-// minClientConns connections of clients remain.
+// ReserveDescriptors returns limits with n more file descriptors reserved for features that the operator's file
+// enables. It returns a descriptorError if n is positive and fewer than minClientConns client connections remain.
 //
-// Guard: prevents parts of the operator's file from taking descriptors that clients or
-// endpoints count on, which shows as EMFILE under load. It holds because what is
-// reserved is taken off both of their limits before anything is opened.
+// Guard: prevents features of the operator's file from using descriptors that connections of clients or endpoints need,
+// which would cause EMFILE errors under load. This holds because reserved descriptors are subtracted from the limits of
+// both before any of them is opened.
 func (l Limits) ReserveDescriptors(n int) (Limits, error) {
 	l.reserved += n
 	if n > 0 && l.MaxClientConns() < minClientConns {
@@ -98,26 +93,24 @@
 	return l, nil
 }
 
-// MaxClientConns returns the maximum number of connections of clients, at least 1.
-// Clients and endpoints share the descriptors equally, because a request needs one of
-// each.
+// MaxClientConns returns the maximum number of client connections, which is at least 1. Connections of clients and to
+// endpoints share the descriptors equally, because a request uses one of each.
 //
-// Guard: prevents a flood of idle clients from taking the descriptors that discovery,
-// the readiness check and endpoints need: it would show as a sidecar that accepts and
-// serves nothing. It holds because the limits of all parts add up to the descriptors.
+// Guard: prevents many idle clients from using up the descriptors that discovery, the readiness check and connections
+// to endpoints need: the sidecar would accept connections and serve no requests. This holds because the limits of all
+// parts together do not exceed the number of descriptors.
 func (l Limits) MaxClientConns() int {
 	return max(1, (l.descriptors()-ownDescriptors-l.reserved)/descriptorsPerRequest)
 }
 
-// MaxEndpointConns returns the maximum number of connections to endpoints, including
-// those that are being established.
+// MaxEndpointConns returns the maximum number of connections to endpoints, including those being established.
 func (l Limits) MaxEndpointConns() int { return l.MaxClientConns() }
 
-// descriptors returns the number of file descriptors that the process may open: the
-// platform's limit, or that of the kernel if it is lower.
+// descriptors returns the number of file descriptors that the process may open: the platform's limit, or the kernel's
+// limit if it is lower.
 //
-// Guard: prevents limits that the kernel does not allow, which show as EMFILE at each
-// accept once as many connections are open. It holds because the kernel is asked.
+// Guard: prevents limits that exceed the kernel's limit: once that many connections are open, every accept would fail
+// with EMFILE. This holds because the kernel's limit is queried.
 func (l Limits) descriptors() int {
 	n := cmp.Or(l.Sockets, defaultDescriptors)
 	var kernel syscall.Rlimit
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// Descriptors for what an operator's file asks for are taken from those of clients and
-// endpoints, and not from the process's own. If too few remain the start fails.
+// Descriptors reserved for the operator's file reduce the connections of clients and endpoints, but not the process's
+// own descriptors. If too few remain, an error is returned.
 func TestReserveDescriptors(t *testing.T) {
 	l, err := Limits{Sockets: 512}.ReserveDescriptors(100)
 	if err != nil || l.MaxClientConns()+l.MaxEndpointConns()+100+ownDescriptors != 512 {
-		t.Errorf("100 of 512: %d and %d connections, %v", l.MaxClientConns(), l.MaxEndpointConns(), err)
+		t.Errorf("100 of 512 reserved: %d client and %d endpoint connections, want a total of %d; error %v, want none",
+			l.MaxClientConns(), l.MaxEndpointConns(), 512-100-ownDescriptors, err)
 	}
-	// Any number may remain if nothing is reserved.
+	// If nothing is reserved, any number of connections is accepted.
 	if l, err := (Limits{Sockets: 20}).ReserveDescriptors(0); err != nil || l.MaxClientConns() != 2 {
-		t.Errorf("0 of 20: %d connections, want 2; %v", l.MaxClientConns(), err)
+		t.Errorf("0 of 20 reserved: %d client connections, want 2; error %v, want none", l.MaxClientConns(), err)
 	}
 	_, err = Limits{Sockets: 64}.ReserveDescriptors(40)
 	if err == nil || !strings.Contains(err.Error(), "limits.sockets") {
-		t.Errorf("40 of 64: error %v, want one with limits.sockets", err)
+		t.Errorf("40 of 64 reserved: error %v, want one that contains limits.sockets", err)
 	}
 }
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// decodeStrictly decodes a file of testdata into v. It fails if the file has a key that v lacks, or if a field of v
-// is empty afterwards.
+// decodeStrictly decodes a file of testdata into v. The test fails if the file contains a key that is unknown to v, or
+// if a field of v is empty after decoding.
 func decodeStrictly(t *testing.T, path string, v any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -29,7 +29,7 @@
 	testutil.ExplicitNames(t, "json", v)
 }
 
-// Each field of a batch and of the events in it is read under the simulator's name.
+// Each field of a batch and of its events is decoded from the simulator's field name.
 func TestWireInputFormatIsStable(t *testing.T) {
 	var batch batch
 	decodeStrictly(t, "testdata/input-batch.json", &batch)
@@ -39,14 +39,15 @@
 	testutil.Golden(t, "input-event-decoded.json", testutil.IndentedJSON(t, e))
 }
 
-// Each start-up parameter is read under the simulator's name, and becomes the setting that it stands for.
+// Each start-up parameter is decoded from the simulator's field name and converted to the corresponding setting.
 func TestWireParametersFormatIsStable(t *testing.T) {
 	var env Env
 	decodeStrictly(t, "testdata/input-env.json", &env)
 	testutil.Golden(t, "input-env-decoded.json", testutil.IndentedJSON(t, env))
 	settings := env.Settings()
 	if len(settings.Classes) != 1 || len(settings.Tenants) != 1 {
-		t.Fatalf("want one class and one tenant: %+v", settings)
+		t.Fatalf("settings have %d classes and %d tenants, want 1 of each: %+v",
+			len(settings.Classes), len(settings.Tenants), settings)
 	}
 	for _, check := range []struct {
 		name      string
@@ -73,7 +74,7 @@
 	}
 }
 
-// Each verb of the simulator becomes an event of the balancer.
+// Each verb of the simulator is translated to its balancer event.
 func TestWireVerbsAreStable(t *testing.T) {
 	h := &host{tables: map[int][]balancer.Endpoint{2: {{ID: "s1"}}}}
 	for verb, want := range map[string]balancer.Event{
@@ -132,7 +133,7 @@
 	}
 }
 
-// Each action of the balancer has its form on the wire, with all fields set and with none.
+// Each balancer action has a stable encoding in the wire protocol, with all fields set and with none set.
 func TestWireActionFormatIsStable(t *testing.T) {
 	var lines bytes.Buffer
 	out := json.NewEncoder(&lines)
@@ -189,7 +190,7 @@
 	testutil.Golden(t, "actions.jsonl", lines.Bytes())
 }
 
-// The replies to the smoke transcript, byte by byte.
+// The replies to the smoke transcript must be identical byte for byte.
 func TestWireRepliesAreStable(t *testing.T) {
 	in, err := os.ReadFile("testdata/smoke.jsonl")
 	if err != nil {
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// batch is one line of the input: events that occur at the same time.
+// batch is one input line: events that occur at the same time.
 type batch struct {
 	TimeMs float64           `json:"TsMs"`
 	Events []json.RawMessage `json:"in"`
 }
 
-// reply is one line of the output: the actions that a batch led to.
+// reply is one output line: the actions that result from a batch.
 type reply struct {
 	Actions []action `json:"outbox"`
 }
@@ -32,7 +32,7 @@
 	verbPeerMessage        = "Heard"
 )
 
-// event holds the fields of all verbs that are read here; which of them an event has depends on its verb.
+// event holds the fields of all supported verbs. The verb determines which fields are set.
 type event struct {
 	Verb           string             `json:"verb"`
 	Instance       int                `json:"I"`
@@ -43,7 +43,7 @@
 	Scope          string             `json:"Scope"`
 	ID             string             `json:"Id"`
 	Class          string             `json:"Type"`
-	Tenant         any                `json:"Billing"` // a string, or anything else where the request has no tenant
+	Tenant         any                `json:"Billing"` // a string; any other type means that the request has no tenant
 	AffinityKey    string             `json:"Item"`
 	ExpiresAtMs    float64            `json:"ExpiresMs"`
 	ExpectedWorkMs float64            `json:"PredictedMs"`
@@ -58,7 +58,7 @@
 	Message        string             `json:"Contents"`
 }
 
-// flagExpectedWork is the bit of event.Flags that says that ExpectedWorkMs is valid.
+// flagExpectedWork is the bit of event.Flags that indicates that ExpectedWorkMs is valid.
 const flagExpectedWork = 1
 
 // The scopes of verbEndpointUpdate.
@@ -79,13 +79,13 @@
 	StartedAtMs float64 `json:"CameUpMs"`
 }
 
-// The states of an endpoint; it is active in any other.
+// The states of an endpoint. Any other value means that the endpoint is active.
 const (
 	stateDraining = "leaving"
 	stateRemoved  = "left"
 )
 
-// The results of attempts and probes; any other is an error response.
+// The result codes of attempts and probes. Any other value is an error response.
 const (
 	resultOK            = 200
 	resultTimeout       = 408
@@ -110,17 +110,17 @@
 	verbPanic     = "BailOut"
 )
 
-// timerCookie identifies the one timer of an instance.
+// timerCookie identifies the timer of an instance. Each instance has only one.
 const timerCookie = "w"
 
-// action holds the fields of all actions; which of them an action has depends on its verb.
+// action holds the fields of all actions. The verb determines which fields are set.
 type action struct {
 	Verb         string  `json:"verb"`
 	Instance     int     `json:"I"`
 	ID           string  `json:"Id,omitempty"`
 	Upstream     string  `json:"Upstream,omitempty"`
 	TimeoutMs    float64 `json:"LimitMs,omitempty"`
-	Attempt      *int    `json:"Hop,omitempty"` // a pointer, because attempt 0 is written too
+	Attempt      *int    `json:"Hop,omitempty"` // a pointer, so that attempt 0 is not omitted
 	RetryAfterMs float64 `json:"RetryInMs,omitempty"`
 	AtMs         float64 `json:"MomentMs,omitempty"`
 	Cookie       string  `json:"Cookie,omitempty"`
@@ -128,15 +128,16 @@
 	Text         string  `json:"ReasonText,omitempty"`
 }
 
-// microsecondsPerMillisecond converts between the unit of the wire and that in which the simulator counts time.
+// microsecondsPerMillisecond relates the protocol's unit of time to the simulator's internal unit.
 const microsecondsPerMillisecond = 1000
 
-// Duration converts milliseconds, rounded to whole microseconds, the unit in which the simulator counts time.
+// Duration converts milliseconds to a time.Duration. It rounds to whole microseconds, the simulator's internal unit of
+// time.
 func Duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*microsecondsPerMillisecond)) * time.Microsecond
 }
 
-// milliseconds is the inverse of Duration. Fractions of a microsecond are dropped.
+// milliseconds converts a time.Duration to milliseconds. Fractions of a microsecond are dropped.
 func milliseconds(d time.Duration) float64 {
 	return float64(d/time.Microsecond) / microsecondsPerMillisecond
 }
--- a/internal/wire/parameters.go
+++ b/internal/wire/parameters.go
@@ -7,8 +7,8 @@
 	"hazelwing/balancer"
 )
 
-// Env holds the start-up parameters that are used, by the simulator's adapter and by the daemon. Fields that the
-// platform sends beside these are ignored. Times are in milliseconds.
+// Env holds the start-up parameters that the simulator's adapter and the daemon use. Other fields that the platform
+// sends are ignored. Times are in milliseconds.
 type Env struct {
 	Balancers int `json:"Balancers"`
 	Classes   []struct {
@@ -64,7 +64,7 @@
 	Zone     string  `json:"Zone"`
 }
 
-// The values of parameters that are matched here.
+// Parameter values with a special meaning in this package.
 const (
 	discoveryOnRequest = "ask"
 	weightByWork       = "work"
@@ -72,16 +72,16 @@
 	loadReportsInProbes    = "probe"
 	loadReportsInResponses = "answers"
 
-	// Values of a load report that count the requests in flight at an endpoint.
+	// Keys of a load report that hold the number of requests in flight at an endpoint.
 	reportInFlight   = "concurrent"
 	reportQueueDepth = "depth"
 )
 
-// unknownValue stands for an effect or idempotency scope that is not known. balancer.New rejects it and names the
+// unknownValue represents an unknown effect or idempotency scope. balancer.New rejects it with an error that names the
 // field.
 const unknownValue = -1
 
-// Settings returns the balancer's settings for these parameters. balancer.New validates them.
+// Settings converts the parameters to the balancer's settings. balancer.New validates them.
 func (e *Env) Settings() balancer.Settings {
 	return balancer.Settings{
 		Balancers:           e.Balancers,
@@ -139,7 +139,8 @@
 	return tenants
 }
 
-// probesReportLoad reports whether the response to a probe says how many requests an endpoint has in flight.
+// probesReportLoad reports whether the response to a probe contains the number of requests that the endpoint has in
+// flight.
 func (e *Env) probesReportLoad() bool {
 	switch e.LoadReports.Via {
 	case loadReportsInProbes, loadReportsInResponses:
@@ -152,7 +153,7 @@
 // IdleConnTimeout returns how long an upstream keeps an idle connection open.
 func (e *Env) IdleConnTimeout() time.Duration { return Duration(e.Limits.IdleTimeoutMs) }
 
-// DrainGrace returns for how long requests may still be sent to an upstream that has announced that it is draining.
+// DrainGrace returns how long requests may still be sent to an upstream after it has announced that it is draining.
 func (e *Env) DrainGrace() time.Duration { return Duration(e.Rules.DrainGraceMs) }
 
 func effect(name string) balancer.Effect {
--- a/internal/wire/serve.go
+++ b/internal/wire/serve.go
@@ -1,8 +1,8 @@
-// Package wire translates between the simulator's wire and package balancer. It makes no decisions.
+// Package wire translates between the simulator's wire protocol and package balancer. It makes no decisions.
 //
-// The wire is JSON, one object a line. Each line of the input is a batch of events, and is answered by one line with
-// the actions that follow from it. A process runs many instances of the balancer; events and actions carry an
-// instance's number. Verbs and fields that are not known are ignored.
+// The protocol is JSON with one object per line. Each input line is a batch of events. The reply to it is one output
+// line with the resulting actions. A process runs many instances of the balancer; events and actions carry the number
+// of their instance. Unknown verbs and fields are ignored.
 package wire
 
 import (
@@ -16,28 +16,28 @@
 	"hazelwing/balancer"
 )
 
-// bufferSize is the size in bytes of the buffers for input and output.
+// bufferSize is the size in bytes of the input buffer and of the output buffer.
 const bufferSize = 1 << 20
 
-var errNoEnv = errors.New("no Env")
+var errNoEnv = errors.New("field Env is missing")
 
-// unknownInstanceError says that an event is for an instance that does not run.
+// unknownInstanceError reports an event for an instance that is not running.
 type unknownInstanceError struct{ number int }
 
 func (e *unknownInstanceError) Error() string {
-	return fmt.Sprintf("instance %d was never started", e.number)
+	return fmt.Sprintf("instance %d is not running", e.number)
 }
 
-// host runs the instances of a process. Endpoint tables are numbered, and the instances share them; so they must not be
-// modified.
+// host runs the instances of a process. Endpoint tables are identified by numbers and shared by the instances, so they
+// must not be modified.
 type host struct {
 	instances map[int]*balancer.Balancer
 	tables    map[int][]balancer.Endpoint
-	actions   []balancer.Action // reused for each event
+	actions   []balancer.Action // buffer reused for each event
 }
 
-// Serve answers the batches of in on out until in ends. An error starts with the number of the line that could not be
-// handled.
+// Serve reads batches from in and writes their replies to out until in ends. An error message starts with the number of
+// the input line that caused it.
 func Serve(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -59,8 +59,8 @@
 	}
 }
 
-// readLine returns the next line. It returns io.EOF only where nothing is left: the last line need not end with a
-// newline.
+// readLine returns the next line. The last line need not end with a newline. readLine returns io.EOF only if there is
+// no more input.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	text, err := r.ReadBytes('\n')
 	if errors.Is(err, io.EOF) && len(text) > 0 {
@@ -69,7 +69,7 @@
 	return text, err
 }
 
-// serveBatch handles the batch on a line of the input and writes the reply.
+// serveBatch handles the batch on one input line and writes the reply.
 func (h *host) serveBatch(line []byte, w *bufio.Writer) error {
 	actions, err := h.handleBatch(line)
 	if err != nil {
@@ -84,18 +84,19 @@
 	return nil
 }
 
-// handleBatch returns the actions that the batch on a line of the input leads to; the slice is never nil.
+// handleBatch returns the actions that result from the batch on one input line. The returned slice is never nil unless
+// there is an error.
 func (h *host) handleBatch(line []byte) ([]action, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
-		return nil, fmt.Errorf("not a batch: %w", err)
+		return nil, fmt.Errorf("cannot decode batch: %w", err)
 	}
 	actions := []action{}
 	now := Duration(b.TimeMs)
 	for i, raw := range b.Events {
 		var e event
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return nil, fmt.Errorf("event %d: %w", i, err)
+			return nil, fmt.Errorf("cannot decode event %d: %w", i, err)
 		}
 		var err error
 		if actions, err = h.handleEvent(now, &e, actions); err != nil {
@@ -105,7 +106,7 @@
 	return actions, nil
 }
 
-// handleEvent appends the actions that an event leads to.
+// handleEvent handles one event and appends the resulting actions to actions.
 func (h *host) handleEvent(now time.Duration, e *event, actions []action) ([]action, error) {
 	switch e.Verb {
 	case verbEndpointTable:
@@ -131,7 +132,7 @@
 	return h.decide(b, now, e.Instance, translated, actions), nil
 }
 
-// start creates an instance, in place of an earlier one of the same number.
+// start creates an instance. It replaces an existing instance with the same number.
 func (h *host) start(e *event) error {
 	if e.Env == nil {
 		return errNoEnv
@@ -152,8 +153,8 @@
 	return b, nil
 }
 
-// decide appends the actions of an instance on an event. A panic of the balancer becomes an action that carries its
-// text, after the actions of earlier events.
+// decide passes an event to an instance and appends the resulting actions to actions. If the balancer panics, decide
+// appends an action that contains the panic's text instead, after the actions of earlier events.
 func (h *host) decide(
 	b *balancer.Balancer, now time.Duration, instance int, e balancer.Event, actions []action,
 ) (result []action) {
--- a/internal/wire/serve_test.go
+++ b/internal/wire/serve_test.go
@@ -11,7 +11,7 @@
 	"hazelwing/balancer"
 )
 
-// serve returns the lines with which an input is answered.
+// serve returns the output lines for the given input, and the error of Serve.
 func serve(t *testing.T, in string) ([]string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -19,7 +19,7 @@
 	return strings.Split(strings.TrimRight(out.String(), "\n"), "\n"), err
 }
 
-// The replies to a short transcript: a list with a draining endpoint, a request, and one of an unknown class.
+// The short transcript contains a list with a draining endpoint, a request, and a request of an unknown class.
 func TestTranscript(t *testing.T) {
 	in, err := os.ReadFile("testdata/smoke.jsonl")
 	if err != nil {
@@ -29,7 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// s2 is draining, so s1 is the only choice; the unknown class is rejected; the rest leads to nothing but timers.
+	// s2 is draining, so the request is sent to s1. The request of an unknown class is rejected. The other events
+	// result only in timers.
 	want := []string{
 		`{"outbox":[]}`,
 		`{"outbox":[]}`,
@@ -39,18 +40,18 @@
 		`{"outbox":[]}`,
 	}
 	if len(got) != len(want) {
-		t.Fatalf("%d replies, want %d", len(got), len(want))
+		t.Fatalf("got %d replies, want %d", len(got), len(want))
 	}
 	for i := range want {
 		if !strings.Contains(got[i], want[i]) {
-			t.Errorf("reply %d: %s\nwant %s", i, got[i], want[i])
+			t.Errorf("reply %d: got %s\nwant a line that contains %s", i, got[i], want[i])
 		}
 	}
 }
 
-// The input has a line that cannot be handled. Whoever plays a long transcript could not find it. The error names its
-// line, and the event where there is one.
-func TestBadInputNamesItsLine(t *testing.T) {
+// The input contains a line that cannot be handled. In a long transcript, the line could not be found without its
+// number. The error must contain the line number and, if applicable, the event number.
+func TestErrorNamesInputLine(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		input string
@@ -59,22 +60,22 @@
 		{
 			name:  "not JSON",
 			input: `{"TsMs":1,"in":[]}` + "\nnonsense\n",
-			want:  "line 2: not a batch",
+			want:  "line 2: cannot decode batch",
 		},
 		{
 			name:  "event for an unknown instance",
 			input: `{"TsMs":1,"in":[{"verb":"Wakeup","I":4}]}` + "\n",
-			want:  "line 1: event 0 (Wakeup): instance 4 was never started",
+			want:  "line 1: event 0 (Wakeup): instance 4 is not running",
 		},
 		{
 			name:  "stop of an unknown instance",
 			input: `{"TsMs":1,"in":[{"verb":"Teardown","I":4}]}` + "\n",
-			want:  "instance 4 was never started",
+			want:  "instance 4 is not running",
 		},
 		{
 			name:  "start without parameters",
 			input: `{"TsMs":1,"in":[{"verb":"PowerOn","I":0}]}` + "\n",
-			want:  "no Env",
+			want:  "field Env is missing",
 		},
 		{
 			name:  "start without classes",
@@ -84,7 +85,7 @@
 		{
 			name:  "field of the wrong type",
 			input: `{"TsMs":1,"in":[{"verb":"Order","I":"x"}]}` + "\n",
-			want:  "line 1: event 0",
+			want:  "line 1: cannot decode event 0",
 		},
 		{
 			name: "unknown effect",
@@ -95,26 +96,26 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := serve(t, test.input); err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%s: error %v, want %q", test.input, err, test.want)
+				t.Errorf("%s: error %v, want an error that contains %q", test.input, err, test.want)
 			}
 		})
 	}
 	if _, err := serve(t, `{"TsMs":1,"in":[]}`); err != nil {
-		t.Errorf("last line without a newline: %v", err)
+		t.Errorf("last line without a newline: error %v, want none", err)
 	}
 }
 
-// The balancer panics. The process would end, and with it the other instances. The panic becomes a BailOut with its
-// text, after the actions of earlier events.
+// The balancer panics. Unhandled, the panic would end the process and all other instances with it. It must become a
+// BailOut action with the panic's text, after the actions of earlier events.
 func TestPanicBecomesBailOut(t *testing.T) {
 	h := &host{}
 	got := h.decide(nil, 0, 3, balancer.TimerFired{}, []action{{Verb: "Emit"}})
 	if len(got) != 2 || got[1].Verb != "BailOut" || got[1].Instance != 3 || got[1].Text == "" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got actions %+v, want Emit, then BailOut of instance 3 with a text", got)
 	}
 }
 
-// Each kind of action has its verb.
+// Each kind of action has its own verb in the wire protocol.
 func TestEveryActionHasAWireForm(t *testing.T) {
 	for kind, want := range map[balancer.ActionKind]string{
 		balancer.Send:      "Try",
@@ -128,12 +129,12 @@
 		balancer.Log:       "Emit",
 	} {
 		if got := encode(1, &balancer.Action{Kind: kind}).Verb; got != want {
-			t.Errorf("kind %d: %s, want %s", kind, got, want)
+			t.Errorf("action kind %d: verb %s, want %s", kind, got, want)
 		}
 	}
 }
 
-// Each event of the wire becomes the balancer's event, with and without its optional fields.
+// Each event of the wire protocol is translated to its balancer event, with and without optional fields.
 func TestTranslate(t *testing.T) {
 	h := &host{tables: map[int][]balancer.Endpoint{3: {{ID: "s"}}}}
 	for _, test := range []struct {
@@ -222,6 +223,6 @@
 	translated := h.translate(&event{Verb: "Topology", Scope: "FULL", Table: 3})
 	update, ok := translated.(balancer.EndpointUpdate)
 	if !ok || update.Kind != balancer.CompleteList || len(update.Endpoints) != 1 {
-		t.Errorf("complete list: %+v", translated)
+		t.Errorf("complete list: got %+v, want a CompleteList update with 1 endpoint", translated)
 	}
 }
--- a/internal/wire/translate.go
+++ b/internal/wire/translate.go
@@ -7,7 +7,7 @@
 	"hazelwing/balancer"
 )
 
-// translate returns the balancer's event for an event of the wire, or nil where its verb or scope is not known.
+// translate converts an event of the wire protocol to a balancer event. It returns nil if the verb or scope is unknown.
 func (h *host) translate(e *event) balancer.Event {
 	switch e.Verb {
 	case verbEndpointUpdate:
@@ -69,8 +69,8 @@
 	return r
 }
 
-// result returns the result for a code of the wire. The endpoint may have processed a request with an unknown code,
-// so that one counts as an error response.
+// result converts a result code of the wire protocol. An unknown code counts as an error response, because the endpoint
+// may have processed the request.
 func result(code int) balancer.Result {
 	switch code {
 	case resultOK:
@@ -125,17 +125,18 @@
 	return balancer.Active
 }
 
-// seedFrom returns the balancer's seed for any integer of the wire, signed or not. It is 0 where there is none.
+// seedFrom converts a seed of the wire protocol, which may be a signed or unsigned integer. It returns 0 if there is no
+// valid seed.
 func seedFrom(number json.Number) uint64 {
 	var seed uint64
 	if _, err := fmt.Sscan(number.String(), &seed); err == nil {
 		return seed
 	}
-	signed, _ := number.Int64() // the nearest integer that can be represented, or 0
+	signed, _ := number.Int64() // the nearest representable integer, or 0
 	return uint64(signed)
 }
 
-// encode returns an action of an instance as it is on the wire.
+// encode converts an action of an instance to the wire protocol.
 func encode(instance int, a *balancer.Action) action {
 	switch a.Kind {
 	case balancer.Send:
@@ -163,7 +164,7 @@
 	panic(fmt.Sprintf("no wire form for action kind %d", a.Kind))
 }
 
-// logLine returns the text of a log action, followed by its attributes.
+// logLine formats the text of a Log action, followed by its attributes.
 func logLine(a *balancer.Action) string {
 	line := a.Text
 	for _, attribute := range a.Attributes {
