--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -12,7 +12,7 @@
 	for _, test := range []struct {
 		name       string
 		input      string
-		wantStderr string // expected part; empty: no output, and status 0
+		wantStderr string // text that stderr must contain; if empty, stderr is empty and the status is 0
 	}{
 		{
 			name:  "unknown verb and fields",
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -7,7 +7,7 @@
 // within that time. Second, when the service fails or stops responding, all sidecars of a cluster call it again at the
 // same time. Calls are therefore spaced by the time between their starts: a call that is rejected late is followed
 // soon, a call that is rejected immediately is not, and no sidecar starts more than three calls in any second. Once the
-// deadline has passed, calls are spaced so that all sidecars together do not exceed their maximum rate.
+// deadline has passed, their spacing is determined by the maximum rate of all sidecars together.
 package backoff
 
 import (
@@ -30,12 +30,11 @@
 	// divided by this value. A higher value spreads the calls over a longer time and lets the earliest ones start
 	// sooner.
 	minRetryDelayDivisor = 4
-	// intervalJitterDivisor determines the jitter of intervals: an interval is multiplied by a random factor between 1
-	// - 1/intervalJitterDivisor and 1 + 1/intervalJitterDivisor. A higher value keeps intervals closer to their mean,
-	// and so spreads the calls of the sidecars less.
+	// intervalJitterDivisor determines the jitter of intervals: an interval is multiplied by a random factor that
+	// differs from 1 by at most 1/intervalJitterDivisor. A higher value keeps intervals closer to their mean, and so
+	// spreads the calls of the sidecars less.
 	intervalJitterDivisor = 4
-	// listDelayJitterDivisor determines the jitter of ListDelay in the same way as intervalJitterDivisor that of
-	// intervals.
+	// listDelayJitterDivisor determines the jitter of ListDelay, as intervalJitterDivisor does for intervals.
 	listDelayJitterDivisor = 2
 )
 
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -82,7 +82,7 @@
 }
 
 // A service that rejects all calls, immediately or late, must receive at most three calls of one sidecar in any second.
-// In the long term, it must receive no more than one call per SlowInterval.
+// In the long term, the sidecar must not call more often than once per SlowInterval, with a tolerance of 3%.
 func TestCallRateOfRejectedSidecar(t *testing.T) {
 	for _, sidecars := range []int{1, 300, 590} {
 		for _, callTime := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
--- a/internal/backoff/config.go
+++ b/internal/backoff/config.go
@@ -6,15 +6,15 @@
 	// NotificationDeadline is the time after which a change counts as notified, measured from when the discovery
 	// service had the change and was reachable. A higher value keeps calls at the fast interval for longer.
 	NotificationDeadline = 6 * time.Second
-	// SilenceTimeout is how long a watch or a call may deliver nothing before the watch counts as broken or the call is
-	// abandoned. The service sends an empty line every 2 s. This prevents waiting for a service that is cut off, which
-	// TCP does not detect while nothing is sent. A higher value tolerates a slower service and detects a broken watch
-	// later.
+	// SilenceTimeout is the maximum time without data on a watch or a call. After this time, a watch counts as broken,
+	// and a call that has returned nothing is abandoned. The service sends an empty line every 2 s. This prevents
+	// waiting for a service that is cut off, which TCP does not detect while nothing is sent. A higher value tolerates
+	// a slower service and detects a broken watch later.
 	SilenceTimeout = 2500 * time.Millisecond
-	// HedgeDelay is how long a call may deliver nothing before a hedged call is started. This prevents a hanging call
-	// from using up the available time: if the call were abandoned before another one was started, no time would be
-	// left for a second failure. HedgeDelay is longer than the time for which the service may queue a call (1 s on the
-	// platform). A higher value starts fewer calls to a slow service, and delays the answer if a call hangs.
+	// HedgeDelay is the time after which a call that has returned nothing is hedged by another call. This prevents a
+	// hanging call from using up the available time: if the call were abandoned before another one was started, no time
+	// would be left for a second failure. HedgeDelay is longer than the time for which the service may queue a call (1
+	// s on the platform). A higher value starts fewer calls to a slow service, and delays the answer if a call hangs.
 	HedgeDelay = SilenceTimeout / 2
 	// MaxAttempts limits the calls of one hedged request; at most two of them are in flight at a time. A higher value
 	// tolerates more consecutive calls that hang, and calls a service that hangs more often.
@@ -78,7 +78,7 @@
 //
 // It decides how often a service that rejects all sidecars is called in the long term: maxClusterRate times per second
 // by all sidecars together, but by each sidecar at most once per minSlowInterval and at least once per maxSlowInterval.
-// This prevents a large cluster from keeping a service overloaded that rejects it.
+// This prevents a large cluster from continuing to overload a service that rejects its calls.
 func ServiceConfig(sidecars int) Config {
 	interval := time.Duration(sidecars) * time.Second / maxClusterRate
 	interval = min(max(interval, minSlowInterval), maxSlowInterval)
@@ -90,9 +90,9 @@
 	}
 }
 
-// AgentConfig returns the spacing of calls to a discovery agent on this machine, which are cheap. Changes that the
-// agent learns of when the discovery service recovers count as notified at once. The delay must therefore be shorter
-// than the shortest grace period of a draining endpoint.
+// AgentConfig returns the spacing of calls to a discovery agent on this machine. Such calls are cheap. Changes that the
+// agent learns of when the discovery service recovers count as notified at once, so the delay must be shorter than the
+// shortest grace period of a draining endpoint.
 func AgentConfig() Config { return Config{RetryDelay: agentRetryDelay} }
 
 // ListConfig returns the spacing of calls for the complete list, while a watch is open, to a discovery service that is
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -19,7 +19,7 @@
 // handleCall passes a new call to the Balancer, unless immediateResult determines its result.
 func (e *Engine) handleCall(c *Call) {
 	if r, ok := e.immediateResult(c); ok {
-		c.answered = true // so that neither a disconnect of this client nor another call with this ID ends it again
+		c.answered = true // prevents a second result after the client's disconnect
 		c.result <- r
 		return
 	}
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clockBaseOffset is how long before the engine's start the Balancer's clock begins. An endpoint that started shortly
-// before the engine is still warming up, so its start time must be representable on this clock.
+// clockBaseOffset is the time between the base of the Balancer's clock and the start of the engine. An endpoint that
+// started shortly before the engine is still warming up, so the clock must be able to represent its start time.
 const clockBaseOffset = time.Hour
 
 // clock is the Balancer's clock. It is monotonic, except for conversions of external times, which are wall-clock times.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -70,16 +70,16 @@
 	stopping          bool // the engine is shutting down and no longer calls the Balancer
 	cachedList        EndpointUpdate
 
-	source          Source
-	sourceChangedAt time.Time
-	watch           *watch
-	previousWatch   *watch             // watch of the previous source; open until the current source has answered
-	version         int64              // of the endpoint list
-	activeProcesses map[string]float64 // StartedAtMS of each active endpoint, by endpoint ID
-	drains          map[string]drain   // by endpoint ID; entries expire after staleListPeriod
-	pushedListLost  bool               // the watch of a pushed list has failed, and no update has arrived since
-	sourceReachable bool               // result of the latest call to the source
-	watchBackoff    backoff.Scheduler  // for watches of a pushed list
+	source            Source
+	sourceChangedAt   time.Time
+	watch             *watch
+	previousWatch     *watch             // watch of the previous source; open until the current source has answered
+	version           int64              // of the endpoint list
+	activeProcesses   map[string]float64 // StartedAtMS of each active endpoint, by endpoint ID
+	drains            map[string]drain   // by endpoint ID; entries expire after staleListPeriod
+	pushedWatchFailed bool               // the watch of a pushed list has failed, and no update has arrived since
+	sourceReachable   bool               // whether the source was reachable at its latest update or failure
+	watchBackoff      backoff.Scheduler  // for watches of a pushed list
 }
 
 // New returns an Engine, or an error that names the invalid setting. The engine does nothing before Run is called.
@@ -153,7 +153,7 @@
 	}
 }
 
-// SetSource switches the endpoint list to s. It does not wait for the new source to answer.
+// SetSource makes s the source of the endpoint list. It does not wait for s to answer.
 func (e *Engine) SetSource(s Source) { e.post(sourceChanged{s}) }
 
 // SetBalancers changes the number of sidecars in the settings. The change takes effect before the next event is
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A client disconnects while its attempt is outstanding. The client receives no answer, so an attempt that is written
-// later would do useless work. Attempts of the call that have not been written must be cancelled.
+// A client disconnects while its attempt is outstanding. The client receives no answer, so the endpoint would process
+// an attempt that is written later for no one. Attempts of the call that have not been written must be cancelled.
 func TestClientDisconnects(t *testing.T) {
 	f := newFakeNetwork()
 	e := newEngine(t, f, testSettings(), 2)
@@ -134,7 +134,7 @@
 	(<-e.events).handle(e)
 	r := testutil.Receive(t, c.result, "the result")
 	if r.Kind != Streaming || r.Answer != "stream" || !<-hedge.accepted {
-		t.Errorf("result %+v, want Streaming with the hedged request's stream, accepted", r)
+		t.Errorf("result %+v, want Streaming with the accepted stream of the hedged request", r)
 	}
 	(<-e.events).handle(e)
 	if <-first.accepted {
--- a/internal/engine/races_test.go
+++ b/internal/engine/races_test.go
@@ -90,7 +90,7 @@
 	startedAt := time.Now()
 	e.handleCall(c)
 	firstMayStart := testutil.Receive(t, f.attempts, "the attempt").call.MayStart()
-	attemptEnded{c, 0, Outcome{Result: balancer.Reset}}.handle(e) // it may have run
+	attemptEnded{c, 0, Outcome{Result: balancer.Reset}}.handle(e) // the first attempt may have run
 	retryMayStart := testutil.Receive(t, f.attempts, "the retry").call.MayStart()
 	allowed := retryMayStart()
 	askedAfter := time.Since(startedAt)
@@ -107,8 +107,8 @@
 }
 
 // A call arrives before the first update of a pushed list. If it were sent according to the cached list, it could go to
-// an endpoint that has started draining since. Such a drain counts as notified from the start on, so the call must wait
-// for the first update.
+// an endpoint that has started draining since. The sidecar counts as notified of such a drain from its start on, so the
+// call must wait for the first update.
 func TestFirstUpdateOfPushedListPrecedesCalls(t *testing.T) {
 	f := newFakeNetwork()
 	settings := testSettings()
@@ -199,7 +199,7 @@
 // drain.
 func TestStaleListAfterSourceChange(t *testing.T) {
 	for name, c := range map[string]struct {
-		version      int64 // of the new source's list
+		version      int64 // version of the new source's list
 		startedAtMS  float64
 		wantDraining bool
 	}{
--- a/internal/engine/sourcechange.go
+++ b/internal/engine/sourcechange.go
@@ -16,8 +16,8 @@
 
 // drain records that an endpoint's process is draining or has been removed.
 type drain struct {
-	startedAtMS float64 // of the process
-	version     int64   // of the list that contained the drain
+	startedAtMS float64 // start time of the process
+	version     int64   // version of the list that contained the drain
 	notifiedAt  time.Time
 }
 
@@ -55,7 +55,7 @@
 	}
 	e.source = s
 	e.sourceChangedAt = time.Now()
-	e.pushedListLost = false
+	e.pushedWatchFailed = false
 	e.sourceReachable = false
 	if e.version != NoVersion {
 		e.version = UnknownVersion
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -17,7 +17,7 @@
 	at := time.Now().Add
 	var s stalls
 	s.start(at(0))
-	for _, now := range []time.Duration{50 * ms, 100 * ms, 180 * ms} { // heartbeats, one of them a little late
+	for _, now := range []time.Duration{50 * ms, 100 * ms, 180 * ms} { // heartbeats; the last one is slightly late
 		if got := s.detect(at(now), true); got != 0 {
 			t.Errorf("heartbeat at %v: detected a stall of %v, want none", now, got)
 		}
--- a/internal/engine/watch.go
+++ b/internal/engine/watch.go
@@ -77,20 +77,20 @@
 	e.watch = nil
 	newlyReached := u.Reachable && !e.sourceReachable
 	e.sourceReachable = u.Reachable
-	if !e.pushedListLost {
+	if !e.pushedWatchFailed {
 		e.log.Warn("endpoint list watch failed", "error", u.Err)
 	}
 	if !e.listIsPushed {
 		e.decide(balancer.EndpointUpdate{Kind: balancer.WatchFailed, NewlyReached: newlyReached})
 		return
 	}
-	e.pushedListLost = true
+	e.pushedWatchFailed = true
 	e.startWatch(e.watchBackoff.CallFailed(e.clock.now(), newlyReached) - e.clock.now())
 }
 
 // handleCurrentUpdate applies the cached list or an update of the current watch.
 func (e *Engine) handleCurrentUpdate(u watchUpdate) {
-	e.pushedListLost = false
+	e.pushedWatchFailed = false
 	e.sourceReachable = true
 	if u.watch != nil {
 		e.previousWatch.close()
