--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// clockBaseOffset is the time between the base of the Balancer's clock and the start of the engine. An endpoint that
+// clockHeadStart is the time between the base of the Balancer's clock and the start of the engine. An endpoint that
 // started shortly before the engine is still warming up, so the clock must be able to represent its start time.
-const clockBaseOffset = time.Hour
+const clockHeadStart = time.Hour
 
 // clock is the Balancer's clock. It is monotonic, except for conversions of external times, which are wall-clock times.
 type clock struct{ base time.Time }
 
-func newClock() clock { return clock{time.Now().Add(-clockBaseOffset)} }
+func newClock() clock { return clock{time.Now().Add(-clockHeadStart)} }
 
 func (c clock) now() time.Duration { return time.Since(c.base) }
 
