--- a/internal/cluster/action.go
+++ b/internal/cluster/action.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// Action is something that a Core asks its caller to do.
+// Action is an instruction of a Core to its caller.
 type Action struct {
 	Kind ActionKind
-	// SendMessage: Message goes to To, in a datagram or, if Stream is set, in a stream of its own.
+	// To, Message and Stream are set for SendMessage. Message is to be sent to To in a
+	// datagram or, if Stream is set, in a stream of its own.
 	To         Address
 	Message    *Message
 	Stream     bool
-	Transition *Transition    // MemberChanged
-	Notice     EndpointNotice // NoticeReceived, NoticeExpired
-	// EstimatedSize is the new estimate of the number of members, at least 1: SizeChanged.
+	Transition *Transition    // set for MemberChanged
+	Notice     EndpointNotice // set for NoticeReceived and NoticeExpired
+	// EstimatedSize is the new estimate of the number of members, at least 1. It is set
+	// for SizeChanged.
 	EstimatedSize int
 }
 
@@ -21,9 +23,9 @@
 // The kinds of actions.
 const (
 	SendMessage    ActionKind = iota
-	MemberChanged             // a member's state changed; for the log
+	MemberChanged             // a member's state changed; to be logged
 	NoticeReceived            // another member reported an endpoint as draining or removed
-	NoticeExpired             // such a report is older than Config.NoticeTTL and no longer holds
+	NoticeExpired             // the notice about an endpoint is older than Config.NoticeTTL and no longer valid
 	SizeChanged               // the estimated number of members changed
 )
 
@@ -32,13 +34,13 @@
 	Name string
 	Incarnation
 	From, To State
-	Reason   string // in plain words, for the log; one of the constants, or with details
+	Reason   string // for the log; one of the Reason constants, or a text that names a member or a duration
 }
 
-// Reasons of transitions. Others name a member or a duration.
+// Constant reasons of transitions.
 const (
 	ReasonJoined       = "joined"
-	ReasonRestarted    = "restarted" // another process under the same name
+	ReasonRestarted    = "restarted" // a newer process has the same name
 	ReasonProbeFailed  = "probe timed out"
 	ReasonRefuted      = "refuted"
 	ReasonLeft         = "left"
@@ -47,13 +49,14 @@
 	ReasonNameConflict = "another process uses this name"
 )
 
-// reportedBy is the reason of a state that another member reported.
+// reportedBy returns the reason of a transition to a state that another member reported.
 func reportedBy(member string) string { return "reported by " + member }
 
-// reportedDeadBy is the reason of a suspicion of a member that is alive here.
+// reportedDeadBy returns the reason for suspecting a peer that another member reported
+// dead while it was alive in this member's view.
 func reportedDeadBy(member string) string { return "reported dead by " + member }
 
-// notRefutedWithin is the reason for declaring a member dead.
+// notRefutedWithin returns the reason for declaring a member dead whose suspicion lasted for d.
 func notRefutedWithin(d time.Duration) string {
 	return "not refuted within " + d.Round(time.Millisecond).String()
 }
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newCoreWithPeers returns a Core that knows n peers and has nothing left to gossip.
+// newCoreWithPeers returns a Core that knows n peers and has no queued broadcasts.
 func newCoreWithPeers(t testing.TB, n int) *Core {
 	t.Helper()
 	c, err := New(Config{
@@ -37,7 +37,8 @@
 	return c
 }
 
-// BenchmarkCore measures a received probe, and a second of a member's own protocol.
+// BenchmarkCore measures the handling of a received ping, and one second of a member's
+// periodic work.
 //
 //	go test ./internal/cluster -run '^$' -bench . -benchmem
 func BenchmarkCore(b *testing.B) {
@@ -60,7 +61,8 @@
 	}
 }
 
-// acknowledgeProbe delivers the acknowledgement of the probe in progress, if there is one.
+// acknowledgeProbe passes an acknowledgement of the probe in progress to the core, if there
+// is such a probe.
 func acknowledgeProbe(c *Core) {
 	if !c.probe.active {
 		return
@@ -75,10 +77,10 @@
 	})
 }
 
-// maxBytesPerMember is the limit of the memory that a known member takes.
+// maxBytesPerMember limits the memory that a Core uses for each known member, in bytes.
 const maxBytesPerMember = 600
 
-// TestMemoryByMembers tests that memory grows by at most maxBytesPerMember for each member.
+// The memory of a Core grows by at most maxBytesPerMember for each known member.
 func TestMemoryByMembers(t *testing.T) {
 	for _, n := range []int{1000, 5000} {
 		before := heapBytes()
@@ -92,7 +94,7 @@
 	}
 }
 
-// heapBytes returns the bytes of live heap objects.
+// heapBytes returns the size of the live heap objects, in bytes.
 func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/cluster/broadcast.go
+++ b/internal/cluster/broadcast.go
@@ -3,18 +3,18 @@
 import "slices"
 
 const (
-	// pushPullBacklog is how many queued broadcasts are more than datagrams are meant for.
-	// Above it, views are also compared once in pushPullBacklogRounds gossip intervals.
-	// This prevents the views from differing for minutes after a partition of a large
-	// cluster has healed. A higher number of either compares views less often, and lets
-	// them differ for longer.
+	// If more than pushPullBacklog broadcasts are queued, gossip also compares views
+	// (push-pull) once in pushPullBacklogRounds gossip intervals, because datagrams alone
+	// would take too long to send them. This prevents the views from differing for minutes
+	// after a partition of a large cluster has healed. With a higher value of either
+	// constant, views are compared less often and differ for longer.
 	pushPullBacklog       = 2 * maxEntries
 	pushPullBacklogRounds = 3
 )
 
-// broadcast names what is gossiped: the entry of a member or the notice about an
-// endpoint. Its content is looked up when a message is made, so that no outdated state
-// is sent.
+// broadcast identifies an item to be gossiped: the entry of a member or the notice about
+// an endpoint. Exactly one field is set. The content is looked up when the message is
+// built, so that no outdated state is sent.
 type broadcast struct {
 	member   string
 	endpoint string
@@ -23,23 +23,24 @@
 func memberBroadcast(name string) broadcast       { return broadcast{member: name} }
 func endpointBroadcast(endpoint string) broadcast { return broadcast{endpoint: endpoint} }
 
-// broadcastQueue has the broadcasts that are still to be sent, those sent least often
-// first. Each broadcast is in it once; adding it again starts anew.
+// broadcastQueue is the queue of broadcasts. Those with the fewest transmissions come
+// first. A broadcast that is added again replaces the queued one, and its transmissions
+// are counted from 0 again.
 type broadcastQueue struct {
-	levels     [][]queuedBroadcast // by the number of transmissions so far
-	serials    map[broadcast]uint64
+	levels     [][]queuedBroadcast  // indexed by the number of transmissions so far
+	serials    map[broadcast]uint64 // serial of the valid element for each broadcast
 	lastSerial uint64
 }
 
 type queuedBroadcast struct {
 	broadcast
-	serial uint64 // if it differs from that in serials, the broadcast was added again
+	serial uint64 // the element is outdated if this differs from the serial in broadcastQueue.serials
 }
 
-// transmission is a broadcast that was put into a message.
+// transmission is a broadcast that was appended to a message.
 type transmission struct {
 	queuedBroadcast
-	level int
+	level int // number of its transmissions before this one
 }
 
 func (q *broadcastQueue) len() int { return len(q.serials) }
@@ -60,8 +61,9 @@
 	q.levels[level] = append(q.levels[level], b)
 }
 
-// take calls visit with each broadcast in turn until it returns false for more. Those
-// that visit has taken are removed after maxTransmissions.
+// take calls visit with each broadcast in turn until visit returns false for more. If
+// visit returns true for taken, this counts as a transmission of the broadcast, which is
+// removed from the queue after maxTransmissions.
 func (q *broadcastQueue) take(maxTransmissions int, visit func(broadcast) (taken, more bool)) {
 	var taken []transmission
 	more := true
@@ -76,11 +78,12 @@
 		q.push(t.level+1, t.queuedBroadcast)
 	}
 	if len(q.serials) == 0 {
-		q.levels = nil // it may still have broadcasts that were added again
+		q.levels = nil // drops outdated elements that may be left
 	}
 }
 
-// takeLevel does take for one level. It appends what visit has taken to taken.
+// takeLevel calls visit with the broadcasts of one level, and returns taken with those
+// appended that visit has taken.
 func (q *broadcastQueue) takeLevel(
 	level int, taken []transmission, visit func(broadcast) (taken, more bool),
 ) (_ []transmission, more bool) {
@@ -106,7 +109,7 @@
 	return taken, more
 }
 
-// piggyback appends queued broadcasts to a message, as far as there is room in a datagram.
+// piggyback appends queued broadcasts to a message until the datagram is full.
 func (c *Core) piggyback(msg *Message) {
 	if c.broadcasts.len() == 0 {
 		return
@@ -130,7 +133,8 @@
 }
 
 // appendNotice appends the notice about an endpoint and subtracts its size from room. It
-// returns false if there is not enough room. A notice that has expired needs none.
+// returns false if there is not enough room. If the notice has expired, appendNotice
+// returns true without appending anything.
 func (c *Core) appendNotice(msg *Message, room *int, endpoint string) bool {
 	n := c.notices[endpoint]
 	if n == nil {
@@ -145,13 +149,13 @@
 }
 
 // appendEntry appends the entry of a member and subtracts its size from room. It returns
-// false if there is not enough room. An entry that the message has already, or of a
-// member that was removed, needs none.
+// false if there is not enough room. If the message already has an entry of the member,
+// or the member was removed, appendEntry returns true without appending anything.
 func (c *Core) appendEntry(msg *Message, room *int, name string) bool {
 	if slices.ContainsFunc(msg.Entries, func(e Entry) bool { return e.Name == name }) {
 		return true
 	}
-	e := c.self // also in the header, but only entries are passed on by others
+	e := c.self // The header has it too, but other members pass on only the entries.
 	if name != c.self.Name {
 		p := c.peers[name]
 		if p == nil {
@@ -167,17 +171,17 @@
 	return true
 }
 
-// encodedEntryBytes is an upper bound of an entry's encoded size.
+// encodedEntryBytes returns an upper bound of an entry's encoded size.
 func encodedEntryBytes(e *Entry) int { return entryBytes + len(e.Name) + len(e.ReportedBy) }
 
-// gossip sends queued broadcasts to random members. They may be suspect, because they can
-// refute.
+// gossip sends queued broadcasts to random live members. Suspects are included, so that
+// they can refute the suspicion.
 func (c *Core) gossip() {
 	if c.broadcasts.len() == 0 {
 		return
 	}
-	if c.broadcasts.len() > pushPullBacklog && c.now >= c.backlogAfter {
-		c.backlogAfter = c.now + pushPullBacklogRounds*c.cfg.GossipInterval
+	if c.broadcasts.len() > pushPullBacklog && c.now >= c.nextBacklogPushPull {
+		c.nextBacklogPushPull = c.now + pushPullBacklogRounds*c.cfg.GossipInterval
 		c.pushPullWithRandomPeer()
 	}
 	for _, p := range c.randomLivePeers(c.cfg.GossipFanout, nil) {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Defaults of Config. Its fields say what higher values trade.
+// Defaults of Config. The comments of its fields describe the effects of higher values.
 const (
 	defaultProbeInterval    = time.Second
 	defaultDeadMemberTTL    = time.Hour
@@ -19,68 +19,72 @@
 	defaultMaxDatagramBytes = 1200
 )
 
-// Defaults of Config that follow from the probe interval.
+// Defaults of Config that are relative to ProbeInterval.
 const (
-	defaultProbeTimeoutPercent = 30 // ProbeTimeout, of ProbeInterval
-	defaultGossipsPerProbe     = 5  // GossipInterval, as a part of ProbeInterval
+	defaultProbeTimeoutPercent = 30 // ProbeTimeout, in percent of ProbeInterval
+	defaultGossipsPerProbe     = 5  // number of GossipIntervals in a ProbeInterval
 	defaultPushPullProbes      = 30 // PushPullInterval, in probe intervals
 	defaultReconnectProbes     = 5  // ReconnectInterval, in probe intervals
 	percent                    = 100
 )
 
-// Config configures a Core. New replaces zero values of intervals, counts and
-// multipliers by their defaults, which are given behind each field.
+// Config configures a Core. New replaces intervals, counts and multipliers that are not
+// positive by their defaults, which the comments of the fields give.
 type Config struct {
-	ClusterName   string // messages of other clusters are ignored
-	Name          string // of this member, the same after a restart
-	AdvertiseAddr Address
-	ProcessID     uint64 // random; distinguishes this process from others under its name
-	Seeds         []Address
-	RandomSeed    uint64 // of random choices
+	ClusterName   string    // name of the cluster; messages of other clusters are ignored
+	Name          string    // name of this member, the same after a restart
+	AdvertiseAddr Address   // address at which other members reach this one
+	ProcessID     uint64    // random ID that distinguishes this process from others with the same name
+	Seeds         []Address // members to join through; only the first maxSeeds are used
+	RandomSeed    uint64    // seed of the random number generator
 
-	// ProbeInterval is the time between probes of one peer each; 1 s. A higher value sends fewer messages, and detects
-	// failures later.
+	// ProbeInterval is the time between two probes, each of one peer. Default: 1 s. A higher value sends fewer
+	// messages, and detects failures later.
 	ProbeInterval time.Duration
-	// ProbeTimeout is that of a direct probe, less than ProbeInterval; 0.3 ProbeInterval. A higher value tolerates
-	// slower networks, and leaves less time for indirect probes.
+	// ProbeTimeout is the timeout of a direct probe, less than ProbeInterval. Default: 0.3 ProbeInterval. A higher
+	// value tolerates slower networks, and leaves less time for indirect probes.
 	ProbeTimeout time.Duration
-	// IndirectChecks is how many members are asked for an indirect probe when a direct one fails; 3. A higher value
-	// tolerates more loss, and sends more messages for each failed probe.
+	// IndirectChecks is the number of members that are asked for an indirect probe after a direct probe has failed.
+	// Default: 3. A higher value tolerates more message loss, and sends more messages for each failed probe.
 	IndirectChecks int
-	// SuspicionMult sets the timeout of a fully confirmed suspicion,
-	// SuspicionMult x max(1, log10 n) x ProbeInterval; 4. A higher value leaves a suspect more time to refute, and
-	// declares members dead later.
+	// SuspicionMult is the multiplier in the timeout of a fully confirmed suspicion,
+	// SuspicionMult x max(1, log10 n) x ProbeInterval, where n is the number of live members. Default: 4. A higher
+	// value gives a suspect more time to refute, and declares members dead later.
 	SuspicionMult float64
-	// GossipInterval is the time between gossip messages to GossipFanout members; 0.2 ProbeInterval. A higher value
-	// sends fewer messages, and spreads updates later.
+	// GossipInterval is the time between gossip rounds. Default: 0.2 ProbeInterval. A higher value sends fewer
+	// messages, and spreads updates more slowly.
 	GossipInterval time.Duration
-	// GossipFanout is how many members a gossip message goes to; 3. A higher value spreads updates sooner, and sends
-	// more messages.
+	// GossipFanout is the number of members that receive a message in each gossip round. Default: 3. A higher value
+	// spreads updates faster, and sends more messages.
 	GossipFanout int
-	// RetransmitMult sets how often each member sends an update,
-	// RetransmitMult x ceil(log10(n+1)) times; 4. A higher value tolerates more loss, and sends more bytes.
+	// RetransmitMult is the multiplier in the number of times that each member sends an update,
+	// RetransmitMult x ceil(log10(n+1)), where n is the number of live members. Default: 4. A higher value tolerates
+	// more message loss, and sends more bytes.
 	RetransmitMult int
-	// PushPullInterval is the time between comparisons of views with one member each; 30 ProbeInterval. A higher value
-	// sends fewer messages, and repairs differences later that gossip has left.
+	// PushPullInterval is the time between two comparisons of views, each with one member. Default: 30 ProbeInterval.
+	// A higher value sends fewer messages, and later repairs differences that gossip has left.
 	PushPullInterval time.Duration
-	// ReconnectInterval is the time between probes of a dead member; 5 ProbeInterval. A higher value sends fewer
-	// messages to members that are gone, and merges the halves of a partitioned cluster later.
+	// ReconnectInterval is the time between attempts to reach dead members. Default: 5 ProbeInterval. A higher value
+	// sends fewer messages to members that no longer exist, and merges the halves of a partitioned cluster later.
 	ReconnectInterval time.Duration
-	// DeadMemberTTL is how long dead members and those that left are remembered; 1 h. A higher value takes more memory,
-	// and finds members again after longer partitions.
+	// DeadMemberTTL is the time for which members that died or left stay in the table. Default: 1 h. A higher value
+	// takes more memory, and reconnects to members after longer partitions.
 	DeadMemberTTL time.Duration
-	// NoticeTTL is how long endpoint notices are valid; 30 s. A higher value tolerates a slower discovery service, and
-	// keeps out an endpoint for longer because of a notice that is wrong.
+	// NoticeTTL is the time for which endpoint notices are valid. Default: 30 s. A higher value tolerates a slower
+	// discovery service, and extends the time for which a wrong notice excludes an endpoint.
 	NoticeTTL time.Duration
-	// MaxMembers limits the table of members; 10,000. A higher value takes more memory if a peer is faulty.
-	MaxMembers       int
-	MaxDatagramBytes int  // 1,200, which networks deliver in one piece
-	DisableLifeguard bool // SWIM without Lifeguard's extensions, for comparison
-	// AllowAddress reports whether an address may be that of a member; nil allows all.
+	// MaxMembers limits the number of members in the table, including this one. Default: 10,000. A higher value takes
+	// more memory if a faulty peer invents members.
+	MaxMembers int
+	// MaxDatagramBytes limits the size of a datagram. Default: 1,200, which networks deliver without fragmentation.
+	MaxDatagramBytes int
+	// DisableLifeguard disables Lifeguard's extensions to SWIM, for comparison.
+	DisableLifeguard bool
+	// AllowAddress reports whether a member may have an address. If it is nil, all addresses are allowed.
 	AllowAddress func(Address) bool
 }
 
-// setDefaults fills in the fields that are zero and truncates the list of seeds.
+// setDefaults sets the fields that have a default and are not positive, and truncates the list of seeds.
 func (c *Config) setDefaults() {
 	setDefault(&c.ProbeInterval, defaultProbeInterval)
 	setDefault(&c.ProbeTimeout, c.ProbeInterval*defaultProbeTimeoutPercent/percent)
@@ -98,24 +102,27 @@
 	c.Seeds = c.Seeds[:min(len(c.Seeds), maxSeeds)]
 }
 
-// setDefault replaces a value that is not positive.
+// setDefault replaces *value by byDefault if it is not positive.
 func setDefault[T time.Duration | int | float64](value *T, byDefault T) {
 	if *value <= 0 {
 		*value = byDefault
 	}
 }
 
-// validate reports what a Core cannot run with.
+// validate returns an error if a Core cannot run with the configuration.
 func (c *Config) validate() error {
 	switch {
-	case c.Name == "" || len(c.Name) > MaxNameLength:
-		return fmt.Errorf("fleet: a name of 1 to %d bytes is wanted", MaxNameLength)
+	case c.Name == "":
+		return fmt.Errorf("member name is empty, want 1 to %d bytes", MaxNameLength)
+	case len(c.Name) > MaxNameLength:
+		return fmt.Errorf("member name %q has %d bytes, want 1 to %d", c.Name, len(c.Name), MaxNameLength)
 	case len(c.ClusterName) > MaxClusterNameLength:
-		return fmt.Errorf("fleet: a fleet's name has at most %d bytes", MaxClusterNameLength)
+		return fmt.Errorf("cluster name %q has %d bytes, want at most %d",
+			c.ClusterName, len(c.ClusterName), MaxClusterNameLength)
 	case !c.AdvertiseAddr.IsValid():
-		return errors.New("fleet: an address of its own is wanted")
+		return errors.New("advertised address is missing, want an IP address and a port")
 	case c.ProbeTimeout >= c.ProbeInterval:
-		return fmt.Errorf("fleet: the time-out of a probe, %v, is not below the interval, %v",
+		return fmt.Errorf("probe timeout %v is not less than the probe interval of %v",
 			c.ProbeTimeout, c.ProbeInterval)
 	}
 	return nil
--- a/internal/cluster/digest.go
+++ b/internal/cluster/digest.go
@@ -6,18 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// numBuckets is the number of buckets that names are divided into. A bucket mask has one
-// bit for each, so it cannot be higher.
+// numBuckets is the number of buckets into which names are divided by hash. It cannot be
+// higher than 64, because a bucket mask has one bit for each bucket.
 const numBuckets = 64
 
-// Digest of a view has, for each bucket of names, the XOR of the hashes of the live
-// members in it. Equal views cost a datagram each way to compare; of those that differ,
-// only the buckets that do are exchanged. The dead do not count, because each member
-// removes them at a time of its own.
+// Digest summarizes a view: for each bucket of names it has the XOR of the hashes of the
+// live members in that bucket. A comparison of equal views takes one datagram in each
+// direction. If two views differ, only the buckets that differ are exchanged. Dead members
+// are not included, because members remove them from their tables at different times.
 type Digest [numBuckets]uint64
 
-// toggleInDigest adds a live peer to the digest, or removes it again. It does nothing
-// for one that is dead or has left.
+// toggleInDigest adds a live peer to the digest, or removes it if it was added before. It
+// does nothing for a peer that is dead or has left.
 func (c *Core) toggleInDigest(p *peer) {
 	if p.State < Dead {
 		c.digest[bucketOf(p.Name)] ^= hashOf(p.Name, p.Incarnation)
@@ -33,8 +33,8 @@
 	return digest[:]
 }
 
-// differingBuckets returns the mask of the buckets in which a digest of another member
-// differs from this one's.
+// differingBuckets returns the mask of the buckets in which the digest of another member
+// differs from the digest of this member.
 func (c *Core) differingBuckets(digest []uint64) (mask uint64) {
 	for i, hash := range c.digestWithSelf() {
 		if hash != digest[i] {
--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Receive handles a message of another member.
+// Receive handles a message from another member.
 func (c *Core) Receive(now time.Duration, msg *Message) []Action {
 	c.beginEvent(now)
 	c.receive(msg)
 	return c.endEvent()
 }
 
-// Tick does what is due. It is to be called at the time that NextTick returns.
+// Tick does the periodic work that is due. It should be called at the time that NextTick
+// returns.
 func (c *Core) Tick(now time.Duration) []Action {
 	c.beginEvent(now)
 	return c.endEvent()
 }
 
-// Announce gossips that an endpoint is draining or was removed, as this member learned
-// from discovery. It sets the notice's ReportedBy and Age.
+// Announce gossips a notice about an endpoint that is draining or was removed, as this
+// member learned from discovery. It sets the notice's ReportedBy and Age.
 func (c *Core) Announce(now time.Duration, n EndpointNotice) []Action {
 	c.beginEvent(now)
 	n.ReportedBy = c.self.Name
@@ -25,15 +26,15 @@
 	return c.endEvent()
 }
 
-// SetConfiguredSize replaces the number of members that New was given.
+// SetConfiguredSize replaces the configured number of members that was passed to New.
 func (c *Core) SetConfiguredSize(now time.Duration, configuredSize int) []Action {
 	c.beginEvent(now)
 	c.size.setConfigured(configuredSize)
 	return c.endEvent()
 }
 
-// GossipNow sends a gossip message to a few members at once. It is for when the
-// revision of the configuration, which every message carries, has changed.
+// GossipNow immediately sends a gossip message to GossipFanout members. It is called after
+// the revision of the configuration, which every message carries, has changed.
 func (c *Core) GossipNow(now time.Duration) []Action {
 	c.beginEvent(now)
 	if !c.leaving {
@@ -42,13 +43,13 @@
 	return c.endEvent()
 }
 
-// leaveFanoutMult is how many members are told that this one leaves, as a multiple of
-// GossipFanout: nobody repeats the message to them. A higher value tolerates more loss, and
-// sends more messages.
+// leaveFanoutMult is the number of members that are informed when this one leaves, as a
+// multiple of GossipFanout. The message is sent only once, so it goes to more members than
+// other gossip. A higher value tolerates more message loss, and sends more messages.
 const leaveFanoutMult = 2
 
-// Leave announces that this member leaves the cluster. It tells a few members, which
-// gossip it to the others.
+// Leave announces to a few members that this one leaves the cluster. They gossip it to the
+// others.
 func (c *Core) Leave(now time.Duration) []Action {
 	c.beginEvent(now)
 	if !c.leaving {
@@ -59,14 +60,15 @@
 	return c.endEvent()
 }
 
-// gossipTo sends a gossip message to up to n random members, also if nothing is queued.
+// gossipTo sends a gossip message to up to n random live members, even if no broadcast is
+// queued.
 func (c *Core) gossipTo(n int) {
 	for _, p := range c.randomLivePeers(n, nil) {
 		c.send(p.Addr, &Message{Kind: Gossip})
 	}
 }
 
-// NextTick returns when Tick is to be called next.
+// NextTick returns the time at which Tick should be called next.
 func (c *Core) NextTick() time.Duration {
 	next := min(c.due.gossip, c.due.probe, c.due.pushPull, c.due.reconnect, c.due.sweep)
 	if !c.joined {
@@ -84,8 +86,8 @@
 	return next
 }
 
-// beginEvent sets the time and detects that the process was stalled: it is later than
-// NextTick by more than a probe may take.
+// beginEvent sets the time. If it is later than NextTick by more than ProbeTimeout, the
+// process was stalled, and beginEvent calls compensateStall.
 func (c *Core) beginEvent(now time.Duration) {
 	now = max(now, c.now)
 	if delay := now - c.NextTick(); delay > c.cfg.ProbeTimeout && !c.cfg.DisableLifeguard {
@@ -97,9 +99,10 @@
 }
 
 // compensateStall discards the probe in progress and extends all suspicions by the time
-// that this process was stalled: the silence was its own. This prevents a process that
-// wakes from a SIGSTOP, or did not get a processor, from suspecting peers that it did
-// not listen to; it would show as many members declared dead by one at the same moment.
+// that this process was stalled, because it could not receive answers in that time. This
+// prevents a process that resumes after a SIGSTOP, or did not get a processor, from
+// suspecting healthy peers. The symptom would be many members declared dead by one member
+// at the same moment.
 func (c *Core) compensateStall(delay time.Duration) {
 	c.stats.Stalls++
 	c.stats.LastStallNS = int64(delay)
@@ -110,7 +113,7 @@
 	c.due.probe = c.now + delay + time.Duration(c.random.Int64N(int64(c.cfg.ProbeInterval)))
 }
 
-// endEvent does what is due and returns the actions of the event.
+// endEvent does the work that is due and returns the actions of the event.
 func (c *Core) endEvent() []Action {
 	c.runDue()
 	if size, changed := c.size.update(c); changed {
@@ -148,8 +151,8 @@
 	}
 }
 
-// send sends msg in a datagram, with the header and, in the kinds that carry them,
-// queued broadcasts.
+// send sends msg in a datagram. It sets the header and, for the kinds that carry queued
+// broadcasts, appends these.
 func (c *Core) send(to Address, msg *Message) {
 	c.setHeader(msg)
 	switch msg.Kind {
@@ -159,7 +162,7 @@
 	c.actions = append(c.actions, Action{Kind: SendMessage, To: to, Message: msg})
 }
 
-// sendStream sends msg, with the header, in a stream of its own.
+// sendStream sets the header of msg and sends it in a stream of its own.
 func (c *Core) sendStream(to Address, msg *Message) {
 	c.setHeader(msg)
 	c.actions = append(c.actions, Action{Kind: SendMessage, To: to, Message: msg, Stream: true})
@@ -170,7 +173,8 @@
 	msg.From = c.self
 }
 
-// reportTransition emits a MemberChanged action for a peer that has its new state.
+// reportTransition emits a MemberChanged action for a change from a former state to the
+// peer's current state.
 func (c *Core) reportTransition(p *peer, from State, reason string) {
 	c.actions = append(c.actions, Action{Kind: MemberChanged, Transition: &Transition{
 		Name:        p.Name,
--- a/internal/cluster/merge.go
+++ b/internal/cluster/merge.go
@@ -5,9 +5,9 @@
 // mergeEntry merges an entry into the view. direct is set for the sender's own entry in
 // a message's header.
 //
-// It decides which update about a name holds: that of the newer process, and of updates
-// about one process those that updatePeer accepts. This prevents an old update that
-// arrives late from bringing back a member that has left.
+// An entry about a newer process replaces the known one, an entry about an older process
+// is ignored, and for entries about the same process updatePeer decides. This prevents an
+// old update that arrives late from reviving a member that has left.
 func (c *Core) mergeEntry(e Entry, direct bool) {
 	if !c.isValidEntry(&e) {
 		c.stats.Rejected++
@@ -27,7 +27,9 @@
 	case p.SameProcess(e.Incarnation):
 		c.updatePeer(p, e)
 	case e.Compare(p.Incarnation) < 0:
-		return // of an earlier process, or of one that contradictions makes take the next generation
+		// The entry is about an older process, or about a new one with a lower ID. The latter takes the next
+		// generation when it receives the known entry (see contradictions).
+		return
 	default:
 		c.replaceProcess(p, e)
 	}
@@ -36,9 +38,10 @@
 	}
 }
 
-// addPeer adds a member that was not known. A dead one is neither reported nor gossiped;
-// it is probed from time to time and counts for the estimated size. addPeer returns nil
-// if there is no room, or the member died or left longer ago than DeadMemberTTL.
+// addPeer adds an unknown member to the table. A dead member is neither reported nor
+// gossiped, but it is probed by reconnect and counts for the estimated size. addPeer
+// returns nil if the table is full, or if the member died or left more than DeadMemberTTL
+// ago.
 func (c *Core) addPeer(e Entry, direct bool) *peer {
 	if e.State >= Dead && e.Age >= c.cfg.DeadMemberTTL {
 		return nil
@@ -69,13 +72,13 @@
 	return p
 }
 
-// replaceProcess handles a newer process under a peer's name. Nothing that was known
-// about the former one holds for it.
+// replaceProcess replaces a peer's process by a newer one with the same name. All state
+// of the former process is discarded.
 func (c *Core) replaceProcess(p *peer, e Entry) {
 	formerState := p.State
 	c.toggleInDigest(p)
 	c.cancelSuspicion(p)
-	c.size.discountDead(p)
+	c.size.uncountDead(p)
 	p.Entry = e
 	p.Age = 0
 	p.ReportedBy = ""
@@ -104,7 +107,7 @@
 // updatePeer merges an entry about the same process.
 func (c *Core) updatePeer(p *peer, e Entry) {
 	if p.State == Left {
-		return // final
+		return // Left is the final state of a process.
 	}
 	switch e.State {
 	case Alive:
@@ -114,12 +117,13 @@
 	case Dead:
 		c.updateDead(p, e)
 	case Left:
-		c.size.discountDead(p)
+		c.size.uncountDead(p)
 		c.setState(p, stateChange{state: Left, refutations: e.Refutations, age: e.Age, reason: ReasonLeft})
 	}
 }
 
-// updateAlive handles a refutation.
+// updateAlive merges an entry that reports the peer alive. A higher refutation counter
+// refutes a suspicion or a death.
 func (c *Core) updateAlive(p *peer, e Entry) {
 	if e.Refutations <= p.Refutations {
 		return
@@ -132,11 +136,11 @@
 	}
 }
 
-// updateSuspect handles a suspicion of another member.
+// updateSuspect merges an entry that reports the peer suspect.
 func (c *Core) updateSuspect(p *peer, e Entry) {
 	switch {
 	case e.Refutations < p.Refutations || p.State == Dead && e.Refutations == p.Refutations:
-		// It is outdated.
+		// The entry is outdated.
 	case p.State == Suspect && e.Refutations == p.Refutations:
 		c.confirm(p, e.ReportedBy)
 	default:
@@ -145,14 +149,14 @@
 	}
 }
 
-// updateDead handles that another member declared the peer dead. A peer that is alive
-// here is only suspected: it was partitioned from one of the two, and may refute it. This
-// prevents a member that is cut off from the rest, and declares all others dead, from
-// having them removed everywhere once it is back.
+// updateDead merges an entry that reports the peer dead. A peer that is alive in this
+// member's view is only suspected: a partition may separate it from one of the two
+// members, and it may refute the suspicion. This prevents a member that was cut off and
+// declared all others dead from having them removed from all views once it reconnects.
 func (c *Core) updateDead(p *peer, e Entry) {
 	switch {
 	case e.Refutations < p.Refutations || p.State == Dead:
-		// It is outdated, or known.
+		// The entry is outdated, or the death is known already.
 	case p.State == Suspect:
 		c.setState(p, stateChange{
 			state:       Dead,
@@ -166,7 +170,7 @@
 	}
 }
 
-// suspectInIncarnation starts a suspicion of a peer with the refutation counter of e.
+// suspectInIncarnation sets a peer's refutation counter to that of e and starts a suspicion.
 func (c *Core) suspectInIncarnation(p *peer, e Entry, reason string) {
 	c.toggleInDigest(p)
 	p.Refutations = e.Refutations
@@ -174,16 +178,16 @@
 	c.toggleInDigest(p)
 }
 
-// stateChange is a new state of the same process.
+// stateChange describes a change of a peer's state without a change of its process.
 type stateChange struct {
 	state       State
 	refutations uint64
-	age         time.Duration // Dead, Left: how long ago it died or left
+	age         time.Duration // time since the peer died or left; set for Dead and Left
 	reportedBy  string
 	reason      string
 }
 
-// setState changes a peer's state, and reports and gossips that.
+// setState changes a peer's state, and reports and gossips the change.
 func (c *Core) setState(p *peer, change stateChange) {
 	formerState := p.State
 	c.toggleInDigest(p)
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Address is where a member listens for datagrams and streams.
+// Address is the address at which a member listens for datagrams and streams.
 type Address = netip.AddrPort
 
-// Entry is the state of one member as it travels in a message.
+// Entry is the state of one member in a message.
 type Entry struct {
 	Name string
 	Addr Address
 	Incarnation
 	State      State
-	ReportedBy string        // Suspect, Dead: the member that reported the state
-	Age        time.Duration // Dead, Left: how long ago it died or left, as far as the sender knows
+	ReportedBy string        // member that reported the state; set for Suspect and Dead
+	Age        time.Duration // time since the member died or left, as far as the sender knows; set for Dead and Left
 }
 
-// EndpointNotice is the gossiped update that an endpoint is draining or was removed
-// from the endpoint list, as one member learned from discovery.
+// EndpointNotice is a gossiped update about an endpoint that is draining or was removed
+// from the endpoint list. One member learned of it from discovery.
 type EndpointNotice struct {
 	Endpoint   string
-	Removed    bool          // otherwise it is draining
-	StartedMS  float64       // start of the endpoint's process, Unix milliseconds; 0 if not known
-	ReportedBy string        // the member that learned it from discovery
-	Age        time.Duration // since it was reported
+	Removed    bool          // whether the endpoint was removed; otherwise it is draining
+	StartedMS  float64       // start time of the endpoint's process in Unix milliseconds; 0 if unknown
+	ReportedBy string        // member that learned of the change from discovery
+	Age        time.Duration // time since the member reported the change
 }
 
-// supersedes reports whether n replaces old, a notice about the same endpoint: it is
-// about a later process, or says that the endpoint was removed and not just draining.
+// supersedes reports whether n replaces old, a notice about the same endpoint. It does
+// if it is about a later process of the endpoint, or if both are about the same process
+// and n reports it as removed while old reports it as draining.
 func (n *EndpointNotice) supersedes(old *EndpointNotice) bool {
 	if n.StartedMS != old.StartedMS {
 		return n.StartedMS > old.StartedMS
@@ -37,37 +38,38 @@
 	return n.Removed && !old.Removed
 }
 
-// Kind is the kind of a message. Its numbers are part of the wire format.
+// Kind is the kind of a message. The values are part of the wire format.
 type Kind uint8
 
-// The kinds of messages, with the fields of Message that each one uses beside the header.
+// The kinds of messages, with the fields of Message that each kind uses in addition to the header.
 const (
 	Ping             Kind = iota // Seq, Target: probe of Target
-	Ack                          // Seq, Target: Target answers
-	Nack                         // Seq, Target: the sender is alive, but Target did not answer it in time
+	Ack                          // Seq, Target: acknowledgement of a probe of Target
+	Nack                         // Seq, Target: answer to a PingReq whose Target did not answer in time
 	PingReq                      // Seq, Target, TargetAddr: request for an indirect probe
 	Gossip                       // Entries, Notices
-	PushPullRequest              // Digest, Join: request for what differs from the digest
+	PushPullRequest              // Digest, Join: request for the entries of the buckets that differ from Digest
 	PushPullResponse             // BucketMask, Entries, Notices: the sender's entries of the buckets that differ
 	PushPullFinal                // Entries, Notices: the requester's entries of those buckets
 	numKinds
 )
 
-// Message is what members send each other. Ping, Ack, PingReq and Gossip also carry
-// Entries and Notices that wait to be gossiped.
+// Message is a message between members. Messages of the kinds Ping, Ack, PingReq and
+// Gossip also carry Entries and Notices from the queue of broadcasts.
 type Message struct {
 	Kind        Kind
 	ClusterName string
 	From        Entry // the sender itself: Alive, or Left if it is leaving
 	Seq         uint64
-	Target      string // in a Ping, empty for whichever member listens there
+	Target      string // name of the probed member; in a Ping, empty to probe any member at the address
 	TargetAddr  Address
 	Entries     []Entry
 	Notices     []EndpointNotice
 	Digest      []uint64
-	BucketMask  uint64 // one bit for each bucket
-	Join        bool
+	BucketMask  uint64 // one bit for each bucket of a digest
+	Join        bool   // whether all entries are requested, because the sender joins the cluster
 	// ConfigEpoch and ConfigVersion are the revision of the configuration that the
-	// sender applies; 0 if it does not take a distributed one. Core ignores them.
+	// sender applies; both are 0 if it does not use a distributed configuration. Core
+	// ignores them.
 	ConfigEpoch, ConfigVersion uint64
 }
--- a/internal/cluster/notices.go
+++ b/internal/cluster/notices.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// notice is an endpoint notice that is valid.
+// notice is a valid endpoint notice, with the time at which it was first reported.
 type notice struct {
 	EndpointNotice
 	reportedAt time.Duration
 }
 
-// currentNotice returns the notice to be sent, with its age.
+// currentNotice returns a notice for a message, with its current age.
 func (c *Core) currentNotice(n *notice) EndpointNotice {
 	current := n.EndpointNotice
 	current.Age = c.now - n.reportedAt
 	return current
 }
 
-// mergeNotice accepts an endpoint notice if it supersedes the known one. A notice is
-// valid for NoticeTTL from when it was first reported, is passed on to the caller once,
-// and is gossiped.
+// mergeNotice accepts an endpoint notice if none about the endpoint is known or it
+// supersedes the known one. An accepted notice is valid until NoticeTTL after it was
+// first reported. It is reported to the caller once and gossiped.
 //
-// It decides which notices count, from their age and the start of the endpoint's process:
-// a later process wins, and removed wins over draining. This prevents a notice about a
-// process that was replaced from keeping out the new one.
+// A notice about a later process of the endpoint takes precedence, and for the same
+// process removal takes precedence over draining. This prevents a notice about a process
+// that was replaced from excluding the new process.
 func (c *Core) mergeNotice(n EndpointNotice) {
 	if n.Endpoint == "" || len(n.Endpoint) > MaxNameLength || n.Age < 0 || n.Age >= c.cfg.NoticeTTL {
 		c.stats.Rejected++
@@ -46,8 +46,8 @@
 	}
 }
 
-// removeExpiredNotices removes notices older than NoticeTTL. This bounds the effect of a
-// notice that is wrong, or about a process that has been replaced.
+// removeExpiredNotices removes notices older than NoticeTTL. This limits the duration of
+// the effect of a notice that is wrong, or about a process that has been replaced.
 func (c *Core) removeExpiredNotices() {
 	var expired []string
 	for endpoint, n := range c.notices {
@@ -64,7 +64,7 @@
 	}
 }
 
-// currentNotices returns all valid notices by endpoint.
+// currentNotices returns all valid notices, sorted by endpoint.
 func (c *Core) currentNotices() (list []EndpointNotice) {
 	for _, n := range c.notices {
 		list = append(list, c.currentNotice(n))
--- a/internal/cluster/peer.go
+++ b/internal/cluster/peer.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// notLive is the liveIndex of a peer that is dead or has left.
+// notLive is the value of peer.liveIndex for a peer that is dead or has left.
 const notLive = -1
 
 // peer is another member.
 type peer struct {
 	Entry
-	since       time.Duration // start of State
-	departedAt  time.Duration // Dead, Left: when it died or left, as far as is known
-	heardFrom   bool          // a message of its own has arrived
-	suspicion   *suspicion    // nil if it is not suspected
+	since       time.Duration // time at which the peer entered its state
+	departedAt  time.Duration // time at which the peer died or left, as far as known; set for Dead and Left
+	heardFrom   bool          // whether a message of the peer's current process has arrived
+	suspicion   *suspicion    // nil if the peer is not suspected
 	liveIndex   int           // index in Core.livePeers, or notLive
-	countedDead bool          // dead, and still part of the estimated size
+	countedDead bool          // whether the peer is dead and still counts for the estimated size
 }
 
 func comparePeerNames(a, b *peer) int { return cmp.Compare(a.Name, b.Name) }
 
-// entryOf returns the entry to be sent about a peer.
+// entryOf returns the entry about a peer for a message, with its current age.
 func (c *Core) entryOf(p *peer) Entry {
 	e := p.Entry
 	if e.State >= Dead {
@@ -30,9 +30,10 @@
 	return e
 }
 
-// addLive adds a peer to the live ones, and to the current round of probes at a random place.
+// addLive adds a peer to livePeers, and inserts it at a random place into the rest of the
+// current round of probes.
 func (c *Core) addLive(p *peer) {
-	c.size.discountDead(p)
+	c.size.uncountDead(p)
 	if p.liveIndex != notLive {
 		return
 	}
@@ -44,7 +45,8 @@
 	c.probeOrder[at] = p
 }
 
-// removeLive removes a peer from the live ones. It stays in the round of probes, which skips it.
+// removeLive removes a peer from livePeers. The peer stays in probeOrder, and
+// nextProbeTarget skips it.
 func (c *Core) removeLive(p *peer) {
 	if p.liveIndex == notLive {
 		return
@@ -56,9 +58,10 @@
 	p.liveIndex = notLive
 }
 
-// removePeer removes a peer from the table. The address of a dead one is still probed.
+// removePeer removes a peer from the table. The address of a dead peer is remembered, and
+// reconnect still probes it.
 func (c *Core) removePeer(p *peer) {
-	c.size.discountDead(p)
+	c.size.uncountDead(p)
 	c.toggleInDigest(p)
 	c.cancelSuspicion(p)
 	c.removeLive(p)
@@ -68,12 +71,13 @@
 	}
 }
 
-// evictPeer removes a peer from the full table: the one that has been dead for longest. For a member that speaks
-// for itself (direct) it otherwise removes one that never did. This prevents a broken
-// peer from filling the table with names, so that nobody can join. It reports whether
-// there is room for another one.
+// evictPeer makes room in the full table for another member, and reports whether it
+// succeeded. It removes the peer that died or left first. If there is no such peer, and
+// the new member has sent a message itself (direct), it removes a peer that has not sent
+// any. This prevents a faulty peer from filling the table with invented names, so that no
+// other member can join.
 func (c *Core) evictPeer(direct bool) bool {
-	victim := c.longestDead()
+	victim := c.earliestDeparted()
 	if victim == nil && direct {
 		victim = c.firstNeverHeardFrom()
 	}
@@ -85,8 +89,8 @@
 	return true
 }
 
-// longestDead returns the peer that died or left first, or nil.
-func (c *Core) longestDead() (oldest *peer) {
+// earliestDeparted returns the peer that died or left first, or nil if all peers are live.
+func (c *Core) earliestDeparted() (oldest *peer) {
 	for _, p := range c.peers {
 		if p.State >= Dead && (oldest == nil || p.departedBefore(oldest)) {
 			oldest = p
@@ -95,12 +99,14 @@
 	return oldest
 }
 
-// departedBefore orders peers that died or left by time, then by name.
+// departedBefore reports whether p died or left before other. Peers with equal times are
+// ordered by name.
 func (p *peer) departedBefore(other *peer) bool {
 	return p.departedAt < other.departedAt || p.departedAt == other.departedAt && p.Name < other.Name
 }
 
-// firstNeverHeardFrom returns the first peer by name of which no message has arrived, or nil.
+// firstNeverHeardFrom returns, of the peers that have sent no message, the first one by
+// name, or nil if there is none.
 func (c *Core) firstNeverHeardFrom() (first *peer) {
 	for _, p := range c.peers {
 		if !p.heardFrom && (first == nil || p.Name < first.Name) {
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// probe is the probe of one peer that is in progress, or was the latest.
+// probe is the probe in progress or, if active is false, the latest one.
 type probe struct {
 	active         bool
 	seq            uint64
 	target         *peer
-	incarnation    Incarnation   // of the target when the probe started
-	directDeadline time.Duration // for an answer to the direct probe; 0 once it has passed
-	deadline       time.Duration // for any answer
-	helpers        int           // members asked for an indirect probe
-	nacks          int           // of them
+	incarnation    Incarnation   // incarnation of the target at the start of the probe
+	directDeadline time.Duration // deadline of the direct probe; 0 after it has passed
+	deadline       time.Duration // deadline of the direct and indirect probes
+	helpers        int           // number of members asked for an indirect probe
+	nacks          int           // number of nacks received from helpers
 }
 
 func (p *probe) nextDeadline() time.Duration {
@@ -40,8 +40,8 @@
 	}
 }
 
-// nextProbeTarget returns the next peer of the round, or nil if no peer is alive. Each
-// round has a new order.
+// nextProbeTarget returns the next live peer of the current round of probes, or nil if no
+// peer is live. Each round has a new random order.
 func (c *Core) nextProbeTarget() *peer {
 	for range 2 {
 		for c.probeIndex < len(c.probeOrder) {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// startProbe sends a direct probe. A suspect learns of the suspicion from the probe, and
-// can refute it with its acknowledgement (Lifeguard's buddy system).
+// startProbe sends a direct probe. The probe of a suspect carries the suspicion, so that
+// the suspect can refute it in its acknowledgement (Lifeguard's buddy system).
 func (c *Core) startProbe(target *peer) {
 	c.lastSeq++
 	c.probe = probe{
@@ -79,7 +79,8 @@
 	c.send(target.Addr, msg)
 }
 
-// requestIndirectProbes asks other members to probe the target that did not answer in time.
+// requestIndirectProbes asks other members to probe the target, which did not answer the
+// direct probe in time.
 func (c *Core) requestIndirectProbes() {
 	target := c.probe.target
 	helpers := c.randomLivePeers(c.cfg.IndirectChecks, func(p *peer) bool {
@@ -96,12 +97,12 @@
 	}
 }
 
-// failProbe ends a probe without an acknowledgement.
+// failProbe ends a probe that was not acknowledged.
 //
-// It decides when a member is suspected: if its acknowledgement has come neither directly
-// nor by a helper within ProbeInterval, times the health score plus 1, and no newer
-// incarnation of it is known. Helpers that did not even send a nack are evidence that
-// this member itself has a problem.
+// The target is suspected if no acknowledgement has arrived, either directly or through a
+// helper, within ProbeInterval times 1 + the health score, and if no newer incarnation of
+// the target is known. Helpers that did not send a nack either are evidence that this
+// member itself is slow or cut off, so they raise the health score.
 func (c *Core) failProbe() {
 	failed := c.probe
 	c.probe.active = false
@@ -125,7 +126,8 @@
 	}
 }
 
-// receiveAck completes the probe in progress, or a relayed one.
+// receiveAck completes the probe in progress, or relays the acknowledgement of a relayed
+// probe.
 func (c *Core) receiveAck(msg *Message) {
 	if p := &c.probe; p.active && msg.Seq == p.seq {
 		if msg.Target == p.target.Name {
--- a/internal/cluster/pushpull.go
+++ b/internal/cluster/pushpull.go
@@ -10,23 +10,25 @@
 const allBuckets = ^uint64(0)
 
 const (
-	// pushPullRate is how many push-pull requests are answered per second. A higher value
-	// lets more members join at once, and sends more views at once.
+	// pushPullRate limits the push-pull requests that are answered with entries, per
+	// second. With a higher value, more members can join at once, and this member sends
+	// more views at once.
 	pushPullRate = 50.0
 
-	// A member that reaches nobody asks seeds again after minJoinBackoff, and then after
-	// joinBackoffFactor times as long each time up to maxJoinBackoff. Higher values send
-	// fewer messages to seeds that are not up yet, and join later.
+	// A member that has not reached another one asks seeds again after minJoinBackoff. The
+	// time between attempts is multiplied by joinBackoffFactor each time, up to
+	// maxJoinBackoff. With higher values, a member sends fewer messages to seeds that are
+	// not up yet, and joins later.
 	minJoinBackoff    = 200 * time.Millisecond
 	maxJoinBackoff    = 5 * time.Second
 	joinBackoffFactor = 2
-	// maxJoinSeeds is how many seeds are asked at a time. A higher value joins sooner if
-	// most seeds are down, and receives more views.
+	// maxJoinSeeds is the number of seeds that are asked at a time. With a higher value, a
+	// member joins sooner if most seeds are down, and receives more views otherwise.
 	maxJoinSeeds = 3
 )
 
-// join asks random seeds for their whole views. It is repeated with backoff until
-// another member has been heard from.
+// join asks random seeds for their whole views. It is repeated with backoff until a
+// message of another member has arrived.
 func (c *Core) join() {
 	c.due.join = c.now + c.jitter(c.joinBackoff)
 	c.joinBackoff = min(joinBackoffFactor*c.joinBackoff, maxJoinBackoff)
@@ -41,9 +43,9 @@
 	}
 }
 
-// requestPushPull starts a push-pull. If join is set, the whole view is asked for.
+// requestPushPull starts a push-pull. If join is set, it requests the whole view.
 func (c *Core) requestPushPull(to Address, join bool) {
-	c.pushPullAfter = c.now + c.cfg.ProbeInterval
+	c.nextReconnectPushPull = c.now + c.cfg.ProbeInterval
 	c.send(to, &Message{Kind: PushPullRequest, Digest: slices.Clone(c.digestWithSelf()), Join: join})
 }
 
@@ -54,19 +56,19 @@
 	}
 }
 
-// pushPullAfterReconnect compares views with a member that was declared dead here: there
-// may be a whole partition behind it.
+// pushPullAfterReconnect compares views with a peer that this member considered dead and
+// that is alive again. The peer may belong to a partition with more members.
 func (c *Core) pushPullAfterReconnect(p *peer) {
-	if c.now >= c.pushPullAfter {
+	if c.now >= c.nextReconnectPushPull {
 		c.requestPushPull(p.Addr, false)
 	}
 }
 
 // receivePushPullRequest answers with the entries of the buckets that differ.
 //
-// It decides how many requests are answered with entries: at most pushPullRate a second.
-// Equal views are confirmed without a limit. This prevents many members that join at
-// once, or ask again and again, from taking up the member that they ask: its own probes
+// At most pushPullRate requests per second are answered with entries. The confirmation of
+// equal views is not limited. The limit prevents many members that join at once, or that
+// repeat their requests, from overloading this member: its own probes and its answers
 // would be late, and it would be suspected.
 func (c *Core) receivePushPullRequest(msg *Message) {
 	if len(msg.Digest) != numBuckets {
@@ -94,8 +96,8 @@
 	})
 }
 
-// receivePushPullResponse sends this member's entries of the buckets that differ. Those
-// of the response have been merged already.
+// receivePushPullResponse sends this member's entries of the buckets that differ. The
+// entries of the response have been merged already.
 func (c *Core) receivePushPullResponse(msg *Message) {
 	if msg.BucketMask == 0 {
 		return
@@ -107,8 +109,8 @@
 	})
 }
 
-// entriesInBuckets returns the entries of the peers in some buckets by name, including
-// the dead.
+// entriesInBuckets returns the entries of the peers in the buckets of mask, sorted by
+// name. They include those of dead peers.
 func (c *Core) entriesInBuckets(mask uint64) (entries []Entry) {
 	for _, p := range c.peers {
 		if mask&(1<<bucketOf(p.Name)) != 0 {
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -1,7 +1,7 @@
 package cluster
 
-// receive handles a message: first its sender, then its entries and notices, then
-// what its kind asks for.
+// receive handles a message. It merges the sender's entry, then the other entries and the
+// notices, and then responds according to the kind of the message.
 func (c *Core) receive(msg *Message) {
 	from := msg.From
 	switch {
@@ -9,12 +9,12 @@
 		c.stats.ForeignMessages++
 		return
 	case from.Name == c.self.Name && from.SameProcess(c.self.Incarnation):
-		return // its own message: one of the seeds is its own address
+		return // The member sent the message to itself, because its own address is among the seeds.
 	case !c.isValidMessage(msg):
 		c.stats.Rejected++
 		return
 	}
-	if from.Name != c.self.Name { // otherwise it is another process under this member's name
+	if from.Name != c.self.Name { // If the names are equal, the sender is another process with this member's name.
 		c.joined = true
 	}
 	from.ReportedBy = ""
@@ -39,7 +39,7 @@
 		(c.cfg.AllowAddress == nil || c.cfg.AllowAddress(e.Addr))
 }
 
-// mergeEntries merges the entries of a message, up to the limit of its kind.
+// mergeEntries merges the entries of a message, up to the limit for its kind.
 func (c *Core) mergeEntries(msg *Message) {
 	for i := range msg.Entries {
 		if i >= maxEntries && msg.Kind == Gossip || i >= c.cfg.MaxMembers {
@@ -50,7 +50,7 @@
 	}
 }
 
-// mergeNotices merges the first maxNotices notices that are not this member's own.
+// mergeNotices merges those of the first maxNotices notices that other members reported.
 func (c *Core) mergeNotices(notices []EndpointNotice) {
 	for i := range notices {
 		if i >= maxNotices {
@@ -62,7 +62,7 @@
 	}
 }
 
-// respond does what the kind of a message asks for. from is its sender.
+// respond handles a message according to its kind. from is the entry of its sender.
 func (c *Core) respond(msg *Message, from *Entry) {
 	p := c.peers[from.Name]
 	switch msg.Kind {
@@ -80,7 +80,7 @@
 	case PingReq:
 		c.relayProbe(msg)
 	case Gossip:
-		// The sender may not know that it is suspected, and nobody else may tell it.
+		// The sender may not know that it is suspected, and may not learn it from another member.
 		if entries := c.contradictions(p, from); entries != nil {
 			c.send(from.Addr, &Message{Kind: Gossip, Entries: entries})
 		}
@@ -91,10 +91,10 @@
 	}
 }
 
-// contradictions returns the entry that is known under a sender's name if it contradicts
-// the sender's own, so that the sender can refute it or take the next generation. This
-// prevents a member that was declared dead from staying so although it answers. p is the
-// peer of that name, or nil.
+// contradictions returns the known entry with the sender's name if it contradicts the
+// sender's own entry, so that the sender can refute it or take the next generation. This
+// prevents a member that was declared dead from staying dead although it answers. p is
+// the peer with that name, or nil.
 func (c *Core) contradictions(p *peer, from *Entry) []Entry {
 	if from.Name == c.self.Name {
 		return []Entry{c.self}
--- a/internal/cluster/reconnect.go
+++ b/internal/cluster/reconnect.go
@@ -3,18 +3,18 @@
 import "slices"
 
 const (
-	// maxRemovedAddresses limits the addresses of removed members that are still probed.
-	// A higher value finds more of a half that was cut off for longer than DeadMemberTTL,
-	// and takes more memory.
+	// maxRemovedAddresses limits the remembered addresses of removed members, which are
+	// still probed. With a higher value, more members are found again after a partition
+	// that lasted longer than DeadMemberTTL, and more memory is used.
 	maxRemovedAddresses = 256
-	// reconnectAttempts is how often each dead address is probed per ReconnectInterval, by
-	// all members together. A higher value merges the halves of a partitioned cluster
-	// sooner, and sends more messages to members that are gone.
+	// reconnectAttempts is the number of times per ReconnectInterval that all members
+	// together probe each dead address. A higher value merges the halves of a partitioned
+	// cluster sooner, and sends more messages to members that no longer exist.
 	reconnectAttempts = 3
 )
 
-// rememberAddress remembers the address of a removed dead member, so that it is still
-// probed. If there are too many, the oldest is dropped.
+// rememberAddress remembers the address of a removed dead member, so that reconnect still
+// probes it. If there are maxRemovedAddresses already, the oldest one is dropped.
 func (c *Core) rememberAddress(addr Address) {
 	if slices.Contains(c.removedAddresses, addr) {
 		return
@@ -25,14 +25,17 @@
 	c.removedAddresses = append(c.removedAddresses, addr)
 }
 
-// reconnect probes one random address of a dead member, of a removed one, or of a seed
-// that no live member has. All members together probe each address reconnectAttempts
-// times per ReconnectInterval, so that the cost of a dead member does not grow with the
-// cluster; a few members that see many dead ones probe one address each time.
+// reconnect probes one random dead address: that of a dead member, or that of a removed
+// member or a seed if no live member has this address.
 //
-// It decides which dead members are probed, from the numbers of live members and of dead
-// addresses. This prevents two halves that have declared each other dead from staying
-// apart after the network has healed: nobody would send to the other half.
+// Whether a probe is sent is random, with a probability that depends on the numbers of
+// live members and of dead addresses. All members together probe each dead address
+// reconnectAttempts times per ReconnectInterval, so that the cost of a dead member does
+// not grow with the cluster. If there are few live members and many dead addresses, each
+// call probes one address.
+//
+// This prevents two halves of a cluster that have declared each other dead from staying
+// separate after the network has healed, because no member would send to the other half.
 func (c *Core) reconnect() {
 	dead, addresses := c.reconnectCandidates()
 	candidates := len(dead) + len(addresses)
@@ -51,11 +54,11 @@
 	c.send(dead[i].Addr, ping)
 }
 
-// reconnectCandidates returns the dead peers by name, and the addresses of removed
-// members and seeds that no live member has. It also drops the other addresses of
-// removed members.
+// reconnectCandidates returns the dead peers sorted by name, and those addresses of
+// removed members and seeds that no live member has. It also forgets the addresses of
+// removed members that a live member has.
 func (c *Core) reconnectCandidates() (dead []*peer, addresses []Address) {
-	isUnused := map[Address]bool{} // of addresses of removed members, and seeds
+	isUnused := map[Address]bool{} // for each address of a removed member or seed: whether no live member has it
 	for _, addr := range append(slices.Clone(c.removedAddresses), c.cfg.Seeds...) {
 		isUnused[addr] = addr != c.self.Addr
 	}
@@ -86,8 +89,8 @@
 			expired = append(expired, p)
 		}
 	}
-	// Sorted, so that the same random seed always leads to the same history, including
-	// the order of the remembered addresses.
+	// The peers are sorted so that a simulation with the same random seed always takes the
+	// same course, including the order of the remembered addresses.
 	slices.SortFunc(expired, comparePeerNames)
 	for _, p := range expired {
 		c.reportTransition(p, p.State, ReasonExpired)
--- a/internal/cluster/relay.go
+++ b/internal/cluster/relay.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// maxRelayedProbes is how many indirect probes run at a time; further requests are not
-	// answered. A higher value serves more requests at once, and takes more memory.
+	// maxRelayedProbes limits the indirect probes that this member runs at a time for
+	// others; further requests are not answered. A higher value serves more requests at
+	// once, and takes more memory.
 	maxRelayedProbes = 256
-	// relayedProbePercent is the deadline of an indirect probe, of Config.ProbeTimeout. It
-	// is below 100, so that a nack arrives before the requester's own deadline. A higher
-	// value tolerates slower targets, and lets more nacks arrive too late.
+	// relayedProbePercent is the timeout of a relayed probe, in percent of
+	// Config.ProbeTimeout. It is below 100, so that a nack arrives before the deadline of
+	// the requester. A higher value tolerates slower targets, and more nacks arrive too
+	// late.
 	relayedProbePercent = 80
 )
 
-// relayedProbe is an indirect probe that another member asked for.
+// relayedProbe is an indirect probe that this member runs on behalf of another one.
 type relayedProbe struct {
-	seq          uint64 // of this member's ping
-	requesterSeq uint64
+	seq          uint64 // sequence number of this member's ping
+	requesterSeq uint64 // sequence number of the requester's probe
 	requester    Address
 	target       string
-	deadline     time.Duration // then a nack is sent
+	deadline     time.Duration // time at which a nack is sent
 }
 
 // relayProbe probes a target on behalf of the sender of a PingReq.
@@ -45,7 +47,7 @@
 	return addr.IsValid() && (c.cfg.AllowAddress == nil || c.cfg.AllowAddress(addr))
 }
 
-// relayAck passes the acknowledgement of a relayed probe to the member that asked for it.
+// relayAck sends the acknowledgement of a relayed probe to the member that requested it.
 func (c *Core) relayAck(msg *Message) {
 	for i, r := range c.relayedProbes {
 		if r.seq != msg.Seq {
--- a/internal/cluster/script_test.go
+++ b/internal/cluster/script_test.go
@@ -12,20 +12,24 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts runs the scripts in testdata. Each directive is an event, followed by the
-// actions that it must return:
+// TestScripts runs the scripts in testdata. Each directive is followed by its expected
+// output: the actions of an event, or the requested view or statistics.
 //
-//	new [seeds=(b,c)] [size=N] [KEY=VALUE]   a Core for member a, process 100, that probes each second
-//	tick DURATION                            advances the time, calling Tick whenever it is due
-//	stall DURATION                           calls Tick once, that much too late
+//	new [seeds=(b,c)] [size=N] [KEY=VALUE]   creates the Core of member a, process 100, with a probe interval of 1 s
+//	tick DURATION                            advances the time and calls Tick whenever it is due
+//	stall DURATION                           calls Tick once, by DURATION later than it is due
 //	recv KIND from=b [process=N] [generation=N] [refutations=N] [left] [seq=N] [target=x] [at=x] [buckets=all]
 //	     [join] [cluster=x]
-//	     with a line for each entry: "c suspect 1.200.0 by=d age=5s",
-//	     and for each notice: "notice s1 removed started=5 by=d age=1s"
-//	announce ENDPOINT [removed] [started=N]    leave    view    stats
+//	                                         receives a message; "at" is the member at the target's address.
+//	     Its input has a line for each entry: "c suspect 1.200.0 by=d age=5s",
+//	     and a line for each notice: "notice s1 removed started=5 by=d age=1s"
+//	announce ENDPOINT [removed] [started=N]  announces a notice about an endpoint
+//	leave                                    announces that the member leaves
+//	view                                     prints the known members
+//	stats                                    prints the statistics
 //
-// Incarnations are written as generation, process ID and refutations. A message is
-// written as its kind, destination, target and content.
+// An incarnation is written as GENERATION.PROCESS.REFUTATIONS. A message is written as its
+// kind, destination, sender's incarnation ("as"), target and content.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := new(scriptRunner)
@@ -72,11 +76,11 @@
 	case "stats":
 		return formatStats(s.core.Stats())
 	}
-	t.Fatalf("unknown directive %s", d.Cmd)
+	t.Fatalf("unknown directive %q, want new, tick, stall, recv, announce, leave, view or stats", d.Cmd)
 	return ""
 }
 
-// newCore replaces the Core by a new one that starts at 0.
+// newCore replaces the Core by a new one that starts at time 0.
 func (s *scriptRunner) newCore(d *datadriven.TestData) string {
 	cfg := Config{
 		ClusterName:       "f",
@@ -114,7 +118,7 @@
 	var actions []Action
 	for ticks := 0; s.core.NextTick() <= end; ticks++ {
 		if ticks > 100_000 {
-			t.Fatal("NextTick does not advance")
+			t.Fatalf("NextTick returns %v after %d ticks, want a time after %v", s.core.NextTick(), ticks, end)
 		}
 		s.now = max(s.now, s.core.NextTick())
 		actions = append(actions, s.core.Tick(s.now)...)
@@ -168,7 +172,7 @@
 func (s *scriptRunner) parseMessage(d *datadriven.TestData) *Message {
 	kind := slices.Index(kindNames[:], d.CmdArgs[0].Key)
 	if kind < 0 {
-		s.syntaxError = "unknown kind " + d.CmdArgs[0].Key
+		s.syntaxError = fmt.Sprintf("unknown message kind %q, want one of %q", d.CmdArgs[0].Key, kindNames)
 		return &Message{}
 	}
 	from := argument(d, "from", "b")
@@ -206,8 +210,8 @@
 	return msg
 }
 
-// parseSeq parses a number, "probe" for that of the probe in progress, or "relay" for
-// that of the first relayed one.
+// parseSeq parses a sequence number. "probe" stands for the number of the probe in
+// progress, and "relay" for the number of the first relayed probe.
 func (s *scriptRunner) parseSeq(text string) uint64 {
 	switch text {
 	case "probe":
@@ -274,8 +278,8 @@
 }
 
 func formatStats(s Stats) string {
-	return fmt.Sprintf("health %d, live %d, size %d, queue %d, notices %d, forgotten %d, refutations %d, stalls %d, "+
-		"conflicts %d, foreign %d, rejected %d\n",
+	return fmt.Sprintf("health %d, live %d, size %d, queue %d, notices %d, removed addresses %d, "+
+		"refutations %d, stalls %d, conflicts %d, foreign %d, rejected %d\n",
 		s.HealthScore, s.LiveMembers, s.EstimatedSize, s.QueuedBroadcasts, s.Notices, s.RemovedAddresses,
 		s.Refutations, s.Stalls, s.NameConflicts, s.ForeignMessages, s.Rejected)
 }
--- a/internal/cluster/self.go
+++ b/internal/cluster/self.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// After maxNameConflicts raises of the generation in nameConflictWindow a member waits
-	// for nameConflictPause before it takes the next one. Higher values of the window and
-	// the pause send fewer updates while two processes use one name; a higher number tolerates
-	// more restarts under one name.
+	// A member that has raised its generation maxNameConflicts times in nameConflictWindow
+	// waits for nameConflictPause before it raises it again. Higher values of the window
+	// and the pause send fewer updates while two processes use the same name. A higher
+	// maxNameConflicts tolerates more restarts under one name.
 	nameConflictWindow = time.Minute
 	maxNameConflicts   = 3
 	nameConflictPause  = 30 * time.Second
 )
 
-// mergeOwnEntry handles an entry about this member: it refutes it if it is wrong, and
-// takes the next generation if another process has had this name.
+// mergeOwnEntry handles an entry about this member. Depending on the state and the
+// incarnation of the entry, it refutes a wrong entry, or takes the next generation if
+// another process has had this name.
 //
-// It decides that from the state and the incarnation of the entry. This prevents a member
-// that lives from being declared dead because of one lost probe: the refutation has a
-// higher counter than the suspicion, so it wins everywhere.
+// The refutation has a higher counter than the suspicion, so every member accepts it.
+// This prevents a live member from being declared dead because of one lost probe.
 func (c *Core) mergeOwnEntry(e Entry) {
 	if !e.SameProcess(c.self.Incarnation) {
 		if e.Compare(c.self.Incarnation) > 0 {
@@ -27,7 +27,7 @@
 	}
 	switch {
 	case c.leaving || e.State == Alive:
-		// Another process sent it for this one: no later update may be below it.
+		// Another process claimed to be this one. The counter of later updates must not be lower.
 		c.self.Refutations = max(c.self.Refutations, e.Refutations)
 	case e.State == Left:
 		c.raiseGeneration(e.Incarnation)
@@ -39,11 +39,12 @@
 	}
 }
 
-// raiseGeneration takes the generation after that of another process under this name.
+// raiseGeneration sets this member's generation to one more than that of another process
+// with the same name.
 //
-// It decides how often, from the times of the latest raises. This prevents two processes
-// that run under one name at the same time from outbidding each other forever: each raise
-// is gossiped to the whole cluster.
+// The rate of such raises is limited (maxNameConflicts), because each raise is gossiped to
+// the whole cluster. This prevents two processes that run under one name at the same time
+// from exceeding each other's generation again and again without limit.
 func (c *Core) raiseGeneration(other Incarnation) {
 	if other.Generation >= MaxCounter {
 		c.stats.Rejected++
--- a/internal/cluster/size.go
+++ b/internal/cluster/size.go
@@ -3,43 +3,45 @@
 import "time"
 
 const (
-	// sizeHoldTime is how long a dead member counts for the estimated size at least, and
-	// the time in which a configured size that is too high falls by half. A higher value
-	// tolerates longer failures of many members, and follows a cluster that has become smaller
-	// later.
+	// sizeHoldTime is the minimum time for which a dead member counts for the estimated
+	// size. It is also the time in which a configured size that is too high falls by half.
+	// With a higher value, the estimate tolerates longer failures of many members, and
+	// falls later after the cluster has become smaller.
 	sizeHoldTime = time.Minute
-	// sizeDecayInterval divides sizeHoldTime into eight steps, so that the configured size
-	// falls evenly; each multiplies it by sizeDecayFactor, the eighth root of a half.
+	// sizeDecayInterval is an eighth of sizeHoldTime, so that the configured size falls in
+	// small steps. Each step multiplies it by sizeDecayFactor, the eighth root of a half.
 	sizeDecayInterval = sizeHoldTime / 8
 	sizeDecayFactor   = 0.917
-	// minLiveFraction is the fraction of the counted members that has to be live for the
-	// dead ones to stop counting. A higher value keeps the estimate through the loss of a
-	// smaller part, and follows a cluster that has really lost so many not at all until
-	// they are removed from the table.
+	// minLiveFraction is the fraction of the counted members above which the live ones
+	// have to be for dead members to stop counting. With a higher value, the loss of a
+	// smaller part of the members already keeps the estimate from falling. If the cluster
+	// has really lost these members, the estimate does not fall until they are removed
+	// from the table.
 	minLiveFraction = 2.0 / 3
 )
 
-// sizeEstimator estimates the number of members. From how many endpoints each member
-// draws, the weight of another zone, and when probes pay off depend on it. Two halves of
-// a partitioned cluster that each counted only a half would load endpoints as a small
-// cluster does, so the estimate rises at once and falls late:
+// sizeEstimator estimates the number of members. The balancer derives from it the size of
+// each member's subset of endpoints, the weight of other zones, and whether probes are
+// worth their cost. If the members of each half of a partitioned cluster counted only
+// their own half, they would load endpoints like members of a small cluster. Therefore the
+// estimate rises at once and falls late:
 //
-//   - until another member has been heard from, it is the configured size;
-//   - members that are alive or suspect count; those that left of their own accord do
-//     not, as soon as that is known;
-//   - dead members count for sizeHoldTime, and longer as long as no more than
-//     minLiveFraction of all that count are live: then it may be this member that is cut
-//     off. Once removed from the table they do not count in any case.
+//   - Until a message of another member has arrived, the estimate is the configured size.
+//   - Members that are alive or suspect count. Members that announced that they leave stop
+//     counting as soon as that is known.
+//   - Dead members count for sizeHoldTime. They continue to count while at most
+//     minLiveFraction of the counted members are live, because then this member may be the
+//     one that is cut off. Members that were removed from the table never count.
 //
-// Where the view and the configured size disagree, the view is right once it has
-// settled: a configured size that is lower has no effect, and one that is higher falls
-// by half in each sizeHoldTime.
+// A configured size below the number of counted members has no effect. A configured size
+// above it falls by half in each sizeHoldTime, because the view becomes more reliable than
+// the settings with time.
 type sizeEstimator struct {
 	estimate    int
-	configured  float64 // the configured size, as far as it has not decayed
-	started     bool    // decayedAt is set
-	decayedAt   time.Duration
-	countedDead int // dead members that count
+	configured  float64       // the configured size after its decay so far
+	started     bool          // whether decayedAt is set
+	decayedAt   time.Duration // time of the latest decay step
+	countedDead int           // number of dead members that count
 }
 
 func newSizeEstimator(configuredSize int) sizeEstimator {
@@ -50,7 +52,7 @@
 // setConfigured replaces the configured size.
 func (s *sizeEstimator) setConfigured(size int) { s.configured = float64(max(size, 1)) }
 
-// countDead makes a dead member count on. It does nothing for one that has left.
+// countDead counts a member that has died. It does nothing for one that has left.
 func (s *sizeEstimator) countDead(p *peer) {
 	if p.State == Dead && !p.countedDead {
 		p.countedDead = true
@@ -58,8 +60,8 @@
 	}
 }
 
-// discountDead ends that a peer counts as a dead member.
-func (s *sizeEstimator) discountDead(p *peer) {
+// uncountDead stops counting a peer as a dead member.
+func (s *sizeEstimator) uncountDead(p *peer) {
 	if p.countedDead {
 		p.countedDead = false
 		s.countedDead--
@@ -85,8 +87,9 @@
 	return s.estimate, s.estimate != former
 }
 
-// decay lowers the configured size and drops those who have been dead for sizeHoldTime,
-// provided that enough members are live.
+// decay lowers the configured size and stops counting members that have been dead for
+// sizeHoldTime. It does nothing unless more than minLiveFraction of the counted members
+// are live.
 func (s *sizeEstimator) decay(c *Core) {
 	live := float64(c.NumLive())
 	if live <= minLiveFraction*float64(c.NumLive()+s.countedDead) {
@@ -95,7 +98,7 @@
 	s.configured *= sizeDecayFactor
 	for _, p := range c.peers {
 		if p.countedDead && c.now-p.departedAt >= sizeHoldTime {
-			s.discountDead(p)
+			s.uncountDead(p)
 		}
 	}
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -8,12 +8,12 @@
 // State is the state of a member.
 type State uint8
 
-// The states. Within one incarnation a later one takes precedence.
+// The states of a member. Within one incarnation, a state takes precedence over those listed before it.
 const (
 	Alive   State = iota
-	Suspect       // failed a probe, and may still refute the suspicion
+	Suspect       // did not answer a probe, and may still refute the suspicion
 	Dead          // did not refute the suspicion in time
-	Left          // announced that it leaves; final for its process
+	Left          // announced that it leaves; the final state of a process
 	// Unknown is the state of a name before the first update about it.
 	Unknown State = 255
 )
@@ -29,8 +29,8 @@
 // MarshalText returns the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText sets s to the state with the given name. It reports an error for
-// any text but the names of Alive, Suspect, Dead and Left.
+// UnmarshalText sets s to the state with the given name. It returns an error unless
+// text is the name of Alive, Suspect, Dead or Left.
 func (s *State) UnmarshalText(text []byte) error {
 	for known := Alive; known <= Left; known++ {
 		if known.String() == string(text) {
@@ -38,18 +38,18 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is no state of a member", text)
+	return fmt.Errorf("unknown member state %q, want alive, suspect, dead or left", text)
 }
 
 // Incarnation orders the updates about one name: by generation, then by process,
 // then by refutation counter.
 type Incarnation struct {
-	Generation  uint64 `json:"life"` // of the name, from 1
-	ProcessID   uint64 `json:"run"`  // random, of the process
-	Refutations uint64 `json:"inc"`  // grows whenever the process refutes an update about itself
+	Generation  uint64 `json:"life"` // starts at 1 and is raised by each new process with the same name
+	ProcessID   uint64 `json:"run"`  // random ID of the process
+	Refutations uint64 `json:"inc"`  // counter, raised whenever the process refutes an update about itself
 }
 
-// SameProcess reports whether both incarnations are of one process in one generation.
+// SameProcess reports whether both incarnations belong to the same process and generation.
 func (i Incarnation) SameProcess(other Incarnation) bool {
 	return i.Generation == other.Generation && i.ProcessID == other.ProcessID
 }
--- a/internal/cluster/stats.go
+++ b/internal/cluster/stats.go
@@ -12,35 +12,37 @@
 	Addr Address `json:"addr"`
 	Incarnation
 	State      State         `json:"state"`
-	Since      time.Duration `json:"since_ns"` // start of State, on the clock of the times passed to Core
+	Since      time.Duration `json:"since_ns"` // time at which the member entered its state, on the Core's clock
 	ReportedBy string        `json:"by,omitempty"`
 	Self       bool          `json:"self,omitempty"`
 }
 
-// Stats describes a Core. Counters count from its start; the other numbers are current.
+// Stats has statistics of a Core. Counters count since its start; the other numbers are
+// current values.
 type Stats struct {
-	// Joining is set as long as no other member was heard from and there are seeds.
+	// Joining is set while no message of another member has arrived and there are seeds.
 	Joining bool `json:"joining"`
-	// HealthScore is Lifeguard's local health multiplier less one: 0 is healthy, 8 the
-	// worst. Probe intervals and timeouts are multiplied by 1 + HealthScore.
+	// HealthScore is Lifeguard's local health multiplier minus one. 0 is healthy, and 8
+	// (maxHealthScore) is the worst. Probe intervals and timeouts are multiplied by
+	// 1 + HealthScore.
 	HealthScore      int `json:"health"`
 	KnownMembers     int `json:"known"`
 	LiveMembers      int `json:"live"`      // alive or suspect, including this member
 	EstimatedSize    int `json:"count"`     // the estimated number of members; see sizeEstimator
-	QueuedBroadcasts int `json:"queue"`     // updates that wait to be gossiped
+	QueuedBroadcasts int `json:"queue"`     // updates waiting to be gossiped
 	Notices          int `json:"words"`     // endpoint notices that are valid
 	RemovedAddresses int `json:"forgotten"` // addresses of removed members that are still probed
 	// Counters:
-	Refutations        int   `json:"refuted"`   // wrong updates about this member that it refuted
-	Stalls             int   `json:"stalls"`    // times that this process was stalled
-	NameConflicts      int   `json:"conflicts"` // times that another process claimed this member's name
-	ForeignMessages    int   `json:"foreign"`   // messages of other clusters
-	Rejected           int   `json:"refused"`   // entries and messages that are invalid or exceed a limit
-	Suspicions         int   `json:"accused"`   // suspicions that this member started
-	DeclaredDead       int   `json:"buried"`    // members that this member declared dead
-	TableFull          int   `json:"full"`      // members that did not fit into the table
-	PushPullsThrottled int   `json:"unasked"`   // push-pull requests not answered because of their rate
-	LastStallNS        int64 `json:"last_stall_ns"`
+	Refutations        int   `json:"refuted"`       // updates about this member that it refuted
+	Stalls             int   `json:"stalls"`        // number of times that this process was stalled
+	NameConflicts      int   `json:"conflicts"`     // conflicts with another process that uses this member's name
+	ForeignMessages    int   `json:"foreign"`       // messages of other clusters
+	Rejected           int   `json:"refused"`       // entries and messages that are invalid or exceed a limit
+	Suspicions         int   `json:"accused"`       // suspicions that this member started
+	DeclaredDead       int   `json:"buried"`        // members that this member declared dead
+	TableFull          int   `json:"full"`          // updates about new members rejected because of a full table
+	PushPullsThrottled int   `json:"unasked"`       // push-pull requests not answered because of the rate limit
+	LastStallNS        int64 `json:"last_stall_ns"` // duration of the latest stall, in nanoseconds
 }
 
 // Stats returns the counters and the current numbers.
@@ -57,7 +59,7 @@
 	return s
 }
 
-// Members returns all known members by name, including this one and the dead.
+// Members returns all known members sorted by name, including this member and dead ones.
 func (c *Core) Members() []Member {
 	list := []Member{{
 		Name:        c.self.Name,
@@ -92,8 +94,9 @@
 	return c.NumLive(), Digest(c.digestWithSelf())
 }
 
-// Joining reports whether no other member has been heard from yet.
+// Joining reports whether no message of another member has arrived yet.
 func (c *Core) Joining() bool { return !c.joined }
 
-// TableFull returns how many members did not fit into the table.
+// TableFull returns the number of updates about new members that were rejected because the
+// table was full.
 func (c *Core) TableFull() int { return c.stats.TableFull }
--- a/internal/cluster/suspicion.go
+++ b/internal/cluster/suspicion.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// suspicionMaxTimeoutMult is the timeout of a suspicion that nobody confirms, as a
-	// multiple of that of a fully confirmed one (memberlist's SuspicionMaxTimeoutMult). A
-	// higher value gives a suspect more time if only one member cannot reach it, and
-	// declares a member dead later whose failure few others notice.
+	// suspicionMaxTimeoutMult is the timeout of an unconfirmed suspicion as a multiple of
+	// the timeout of a fully confirmed one (memberlist's SuspicionMaxTimeoutMult). A
+	// higher value gives a suspect more time if only one member cannot reach it. It also
+	// delays the detection of a failure that few other members notice.
 	suspicionMaxTimeoutMult = 6
-	// maxConfirmations is how many confirmations shorten a suspicion. A higher value needs
-	// more members that agree before a member is declared dead soon.
+	// maxConfirmations is the number of confirmations that shorten a suspicion. With a
+	// higher value, more members have to agree to reach the shortest timeout.
 	maxConfirmations = 3
-	// nonConfirming is how many live members cannot confirm a suspicion: this one, which
-	// started it, and the suspect.
+	// nonConfirming is the number of live members that cannot confirm a suspicion: the
+	// member that started it, and the suspect.
 	nonConfirming = 2
 )
 
-// suspicion is that of one peer, until the peer refutes it or it times out.
+// suspicion is the suspicion of one peer. It lasts until the peer refutes it or it times out.
 type suspicion struct {
-	target     *peer // nil once it is canceled
+	target     *peer // suspected peer; nil after the suspicion was canceled
 	startedAt  time.Duration
 	timeoutAt  time.Duration
-	minTimeout time.Duration // with maxConfirmations confirmations
-	maxTimeout time.Duration // without any
-	accusers   []string      // the first and those who confirmed it, at most maxConfirmations+1
+	minTimeout time.Duration // timeout with maxConfirmations confirmations
+	maxTimeout time.Duration // timeout without confirmations
+	reporters  []string      // members that reported the peer suspect, at most maxConfirmations+1
 	heapIndex  int
 }
 
@@ -49,11 +49,11 @@
 
 // newSuspicion returns a suspicion that starts now.
 //
-// It decides how long a suspect may refute, from the number of live members and the
-// settings: SuspicionMult probe intervals if maxConfirmations others agree, and
-// suspicionMaxTimeoutMult times as long if nobody does. Both grow with the logarithm of
-// the number of members, as the time does in which updates spread. In a cluster that is
-// too small for so many confirmations, the shorter time holds.
+// The timeout depends on the number of live members and on the settings. It is
+// SuspicionMult probe intervals if maxConfirmations other members confirm the suspicion,
+// and suspicionMaxTimeoutMult times as long if none does. Both grow with the logarithm of
+// the number of members, because the time in which updates spread grows likewise. In a
+// cluster with too few members for maxConfirmations, the shorter timeout applies.
 func (c *Core) newSuspicion(p *peer, accuser string) *suspicion {
 	scale := max(1, math.Log10(float64(c.NumLive())))
 	minTimeout := time.Duration(c.cfg.SuspicionMult * scale * float64(c.cfg.ProbeInterval))
@@ -62,7 +62,7 @@
 		startedAt:  c.now,
 		minTimeout: minTimeout,
 		maxTimeout: suspicionMaxTimeoutMult * minTimeout,
-		accusers:   []string{accuser},
+		reporters:  []string{accuser},
 	}
 	tooFewToConfirm := c.NumLive()-nonConfirming < maxConfirmations
 	if c.cfg.DisableLifeguard || tooFewToConfirm {
@@ -72,32 +72,33 @@
 	return s
 }
 
-// timeout falls from maxTimeout to minTimeout with the logarithm of the number of
-// accusers, as in Lifeguard: the first confirmation shortens it most.
+// timeout returns the timeout for the current number of reporters. It falls from
+// maxTimeout to minTimeout with the logarithm of that number, as in Lifeguard: the first
+// confirmation shortens it most.
 func (s *suspicion) timeout() time.Duration {
-	fraction := math.Log(float64(len(s.accusers))) / math.Log(maxConfirmations+1)
+	fraction := math.Log(float64(len(s.reporters))) / math.Log(maxConfirmations+1)
 	return max(s.minTimeout, s.maxTimeout-time.Duration(fraction*float64(s.maxTimeout-s.minTimeout)))
 }
 
-// confirm adds an accuser to the suspicion of a peer. It is gossiped again, so that the
-// suspicions of the other members shorten as well.
+// confirm adds a reporter to the suspicion of a peer, and gossips the suspicion again, so
+// that it becomes shorter at the other members as well.
 func (c *Core) confirm(p *peer, accuser string) {
 	s := p.suspicion
 	if s == nil || c.cfg.DisableLifeguard {
 		return
 	}
-	if len(s.accusers) > maxConfirmations || slices.Contains(s.accusers, accuser) {
+	if len(s.reporters) > maxConfirmations || slices.Contains(s.reporters, accuser) {
 		return
 	}
-	s.accusers = append(s.accusers, accuser)
+	s.reporters = append(s.reporters, accuser)
 	p.ReportedBy = accuser
 	s.timeoutAt = max(c.now, s.startedAt+s.timeout())
 	heap.Fix(&c.suspicions, s.heapIndex)
 	c.broadcasts.add(memberBroadcast(p.Name))
 }
 
-// cancelSuspicion ends a suspicion, if there is one, before it times out. It stays in
-// the heap until it comes first.
+// cancelSuspicion cancels the suspicion of a peer, if there is one. The canceled suspicion
+// stays in the heap until it reaches index 0.
 func (c *Core) cancelSuspicion(p *peer) {
 	if p.suspicion != nil {
 		p.suspicion.target = nil
@@ -105,15 +106,15 @@
 	}
 }
 
-// expireSuspicions declares the peers dead whose suspicions have timed out. It is the only
-// place where this member does so by itself; see updateDead for what others declare.
+// expireSuspicions declares the peers dead whose suspicions have timed out. No other
+// function declares a peer dead without a report of another member (see updateDead).
 func (c *Core) expireSuspicions() {
 	for s := c.suspicions.popExpired(c.now); s != nil; s = c.suspicions.popExpired(c.now) {
 		c.declareDead(s)
 	}
 }
 
-// declareDead ends a suspicion that was not refuted.
+// declareDead declares the peer of a suspicion dead that was not refuted in time.
 func (c *Core) declareDead(s *suspicion) {
 	p := s.target
 	c.cancelSuspicion(p)
@@ -126,8 +127,8 @@
 	})
 }
 
-// suspicionHeap has the suspicion that times out first at index 0. It implements
-// heap.Interface. Canceled suspicions are dropped when they come first.
+// suspicionHeap is a heap of suspicions, with the one that times out first at index 0. It
+// implements heap.Interface. Canceled suspicions are dropped when they reach index 0.
 type suspicionHeap []*suspicion
 
 func (h suspicionHeap) Len() int           { return len(h) }
@@ -161,7 +162,8 @@
 	}
 }
 
-// nextTimeout returns when the first suspicion times out, and false if there is none.
+// nextTimeout returns the time at which the first suspicion times out, and false if there
+// is none.
 func (h *suspicionHeap) nextTimeout() (at time.Duration, ok bool) {
 	h.dropCanceled()
 	if len(*h) == 0 {
@@ -170,7 +172,8 @@
 	return (*h)[0].timeoutAt, true
 }
 
-// popExpired removes and returns a suspicion that has timed out by now, or nil.
+// popExpired removes and returns a suspicion that has timed out by now, or returns nil if
+// there is none.
 func (h *suspicionHeap) popExpired(now time.Duration) *suspicion {
 	h.dropCanceled()
 	if len(*h) == 0 || (*h)[0].timeoutAt > now {
@@ -179,7 +182,7 @@
 	return heap.Pop(h).(*suspicion)
 }
 
-// postpone extends all suspicions.
+// postpone shifts the start and the timeout of all suspicions.
 func (h *suspicionHeap) postpone(by time.Duration) {
 	for _, s := range *h {
 		s.startedAt += by
