--- a/internal/cluster/gossip/codec.go
+++ b/internal/cluster/gossip/codec.go
@@ -13,9 +13,10 @@
 	"hazelwing/internal/cluster"
 )
 
-// A frame has a header of magic, the version and a checksum of the body (XXH64,
-// big-endian), and the body: a wireMessage in CBOR (RFC 8949), with structs as arrays.
-// The checksum detects accidental damage. It does not authenticate the sender.
+// A frame is a header followed by a body. The header has magic, the protocol version and a
+// checksum of the body (XXH64, big-endian). The body is a wireMessage in CBOR (RFC 8949),
+// with structs as arrays. The checksum detects accidental damage. It does not authenticate
+// the sender.
 const (
 	magic            = "HZF"
 	protocolVersion  = 1
@@ -23,14 +24,14 @@
 	checksumOffset   = versionOffset + 1
 	frameHeaderBytes = checksumOffset + 8
 
-	// maxFrameEntries is the maximum number of entries, and of elements of any other
-	// array, of a frame in a datagram or stream.
+	// maxFrameEntries is the maximum number of elements in an array of a frame, such as
+	// the entries.
 	maxFrameEntries  = 100_000
 	maxFrameMapPairs = 16
 	maxFrameNesting  = 8
 
-	// maxWireAgeMS limits the age of an entry or notice in a frame, in milliseconds. It
-	// prevents an overflow of time.Duration by the number of a faulty peer.
+	// maxWireAgeMS limits the age of an entry or notice in a received frame, in
+	// milliseconds. It prevents an age from a faulty peer from overflowing time.Duration.
 	maxWireAgeMS = 1 << 40
 )
 
@@ -40,12 +41,12 @@
 	ErrUnsupportedVersion = errors.New("unsupported protocol version")
 )
 
-// wireEntry is a cluster.Entry in a frame. In this and the other wire types the order
-// of the fields is part of the format, and their names are not.
+// wireEntry is a cluster.Entry in a frame. In wireEntry, wireNotice and wireMessage, the
+// order of the fields is part of the format, and their names are not.
 type wireEntry struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
-	Addr        []byte // as of netip.AddrPort.MarshalBinary
+	Addr        []byte // in the format of netip.AddrPort.MarshalBinary
 	Generation  uint64
 	ProcessID   uint64
 	Refutations uint64
@@ -75,14 +76,14 @@
 	TargetAddr  []byte
 	Entries     []wireEntry
 	Notices     []wireNotice
-	// Digest has the epoch and version of the configuration in a message that carries a
-	// configuration revision. See carriesRevision.
+	// Digest is the digest of the view or, in kinds of messages for which carriesRevision
+	// returns true, the epoch and version of the configuration.
 	Digest     []uint64
 	BucketMask uint64
 	Join       bool
 }
 
-// The modes are immutable and safe for concurrent use.
+// encodeMode and decodeMode are immutable and safe for concurrent use.
 var (
 	encodeMode = mustEncodeMode()
 	decodeMode = mustDecodeMode()
@@ -112,24 +113,24 @@
 }
 
 // carriesRevision reports whether messages of a kind carry the revision of the
-// configuration. They have no digest, and the revision travels in its place.
+// configuration. These messages have no digest, and the revision is encoded in its field.
 func carriesRevision(k cluster.Kind) bool { return k <= cluster.Gossip }
 
-// toMilliseconds returns a duration in whole milliseconds, and 0 for a negative one.
+// toMilliseconds returns a duration in whole milliseconds, or 0 if it is negative.
 func toMilliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
-// ageFromWire returns an age that was received in milliseconds, limited to maxWireAgeMS.
+// ageFromWire returns a received age, given in milliseconds, limited to maxWireAgeMS.
 func ageFromWire(ms uint64) time.Duration {
 	return time.Duration(min(ms, maxWireAgeMS)) * time.Millisecond
 }
 
 func addrToWire(addr netip.AddrPort) []byte {
-	b, _ := addr.MarshalBinary() // never fails
+	b, _ := addr.MarshalBinary() // The error is always nil.
 	return b
 }
 
-// addrFromWire returns the zero address if b cannot be decoded. The core rejects
-// entries with that address.
+// addrFromWire decodes an address. It returns the zero address if b cannot be decoded. The
+// core rejects entries with the zero address.
 func addrFromWire(b []byte) netip.AddrPort {
 	var addr netip.AddrPort
 	if len(b) > 0 && addr.UnmarshalBinary(b) != nil {
@@ -252,15 +253,19 @@
 // Decode returns the message of a frame. Its errors wrap ErrCorrupt or
 // ErrUnsupportedVersion. It does not retain frame.
 func Decode(frame []byte) (*cluster.Message, error) {
-	if len(frame) < frameHeaderBytes || string(frame[:versionOffset]) != magic {
-		return nil, fmt.Errorf("%w: no header", ErrCorrupt)
+	if len(frame) < frameHeaderBytes {
+		return nil, fmt.Errorf("%w: %d bytes, want at least the %d of the header",
+			ErrCorrupt, len(frame), frameHeaderBytes)
+	}
+	if m := frame[:versionOffset]; string(m) != magic {
+		return nil, fmt.Errorf("%w: starts with %q, want %q", ErrCorrupt, m, magic)
 	}
 	if v := frame[versionOffset]; v != protocolVersion {
 		return nil, fmt.Errorf("%w: %d, want %d", ErrUnsupportedVersion, v, protocolVersion)
 	}
 	body := frame[frameHeaderBytes:]
-	if binary.BigEndian.Uint64(frame[checksumOffset:]) != xxhash.Sum64(body) {
-		return nil, fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
+	if got, want := binary.BigEndian.Uint64(frame[checksumOffset:]), xxhash.Sum64(body); got != want {
+		return nil, fmt.Errorf("%w: checksum %016x, want %016x", ErrCorrupt, got, want)
 	}
 	var w wireMessage
 	if err := decodeMode.Unmarshal(body, &w); err != nil {
--- a/internal/cluster/gossip/codec_test.go
+++ b/internal/cluster/gossip/codec_test.go
@@ -64,7 +64,7 @@
 			BucketMask: rapid.Uint64().Draw(t, "buckets"),
 			Join:       rapid.Bool().Draw(t, "join"),
 		}
-		if carriesRevision(m.Kind) { // in place of a digest
+		if carriesRevision(m.Kind) { // Such a message has a revision in place of a digest.
 			m.Digest = nil
 			m.ConfigEpoch = rapid.Uint64().Draw(t, "epoch")
 			if m.ConfigEpoch > 0 {
@@ -75,8 +75,8 @@
 	})
 }
 
-// A frame decodes to the message that was encoded. A frame that is truncated or has
-// one changed byte is rejected.
+// Decode returns the message that was encoded, and rejects a frame that is truncated or
+// has one changed byte.
 func TestFrameRoundTripAndDamage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := anyMessage().Draw(t, "message")
@@ -86,15 +86,16 @@
 		}
 		got, err := Decode(frame)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Fatalf("Decode: %v:\n%+v, want\n%+v", err, got, m)
+			t.Fatalf("Decode returned error %v and message\n%+v, want\n%+v", err, got, m)
 		}
 		i := rapid.IntRange(0, len(frame)-1).Draw(t, "byte")
 		if _, err := Decode(frame[:i]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("Decode of the first %d bytes: %v, want %v", i, err, ErrCorrupt)
+			t.Fatalf("Decode of the first %d bytes returned error %v, want %v", i, err, ErrCorrupt)
 		}
 		frame[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		if _, err := Decode(frame); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnsupportedVersion) {
-			t.Fatalf("Decode with byte %d changed: %v, want %v or %v", i, err, ErrCorrupt, ErrUnsupportedVersion)
+			t.Fatalf("Decode with byte %d changed returned error %v, want %v or %v",
+				i, err, ErrCorrupt, ErrUnsupportedVersion)
 		}
 	})
 }
@@ -110,23 +111,23 @@
 	f.Add(frame)
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		if m, err := Decode(frame); (m == nil) == (err == nil) {
-			t.Fatalf("Decode: %v, %v", m, err)
+			t.Fatalf("Decode returned message %+v and error %v, want exactly one of them", m, err)
 		}
 	})
 }
 
-// longName returns a name of the maximum length that ends with a number.
+// longName returns a name of the maximum length that ends with n.
 func longName(fill string, n int) string {
 	return fmt.Sprintf("%s%0*d", strings.Repeat(fill, cluster.MaxNameLength-8), 8, n)
 }
 
-// longAddr returns an IPv6 address that contains a number, with the longest port.
+// longAddr returns an IPv6 address that ends with n, with the highest port.
 func longAddr(n int) netip.AddrPort {
 	addr := netip.AddrFrom16([16]byte{0x20, 1, 13: byte(n >> 16), byte(n >> 8), byte(n)})
 	return netip.AddrPortFrom(addr, 65535)
 }
 
-// largeIncarnation has the longest encoding that a member accepts.
+// largeIncarnation returns an incarnation with the longest encoding that a member accepts.
 func largeIncarnation() cluster.Incarnation {
 	return cluster.Incarnation{
 		Generation:  cluster.MaxCounter - 5,
@@ -166,7 +167,7 @@
 	return m
 }
 
-// Every datagram is within the limit, also with the longest names, addresses and numbers.
+// No datagram exceeds maxDatagramBytes, even with the longest names, addresses and numbers.
 func TestDatagramsFit(t *testing.T) {
 	core, err := cluster.New(cluster.Config{
 		ClusterName:   strings.Repeat("f", cluster.MaxClusterNameLength),
@@ -186,8 +187,12 @@
 			}
 			a.Message.ConfigEpoch, a.Message.ConfigVersion = 1<<64-1, 1<<64-1
 			frame, err := Encode(a.Message)
-			if err != nil || len(frame) > maxDatagramBytes {
-				t.Fatalf("kind %d: %d bytes, %v", a.Message.Kind, len(frame), err)
+			if err != nil {
+				t.Fatalf("Encode of a message of kind %d: %v", a.Message.Kind, err)
+			}
+			if len(frame) > maxDatagramBytes {
+				t.Fatalf("a datagram of kind %d has %d bytes, want at most %d",
+					a.Message.Kind, len(frame), maxDatagramBytes)
 			}
 			kinds[a.Message.Kind]++
 			largest = max(largest, len(frame))
--- a/internal/cluster/gossip/datagram.go
+++ b/internal/cluster/gossip/datagram.go
@@ -8,8 +8,9 @@
 	"hazelwing/internal/cluster"
 )
 
-// send encodes a message and sends it in a datagram, or queues it for a stream if the
-// action asks for that or the frame is too long for a datagram. It does not block.
+// send encodes a message and sends it in a datagram. It queues the frame for a stream
+// instead if the action requires a stream or the frame is too long for a datagram. It does
+// not block.
 func (n *Node) send(a cluster.Action) {
 	if own := n.revision.Load(); own != nil {
 		a.Message.ConfigEpoch, a.Message.ConfigVersion = own.epoch, own.version
@@ -40,7 +41,8 @@
 	n.counters.bytesOut.Add(int64(len(frame)))
 }
 
-// readDatagrams queues the messages of datagrams for the core until the socket is closed.
+// readDatagrams reads datagrams and queues their messages for the core until the socket is
+// closed.
 func (n *Node) readDatagrams() {
 	buf := make([]byte, datagramReadBytes)
 	for {
@@ -49,7 +51,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error for a datagram that was sent
+			continue // for example, an ICMP error in response to a datagram that was sent
 		}
 		if !n.isAllowed(from.Addr()) {
 			continue
@@ -63,7 +65,8 @@
 	}
 }
 
-// isAllowed reports whether a peer is in the allowed networks, and counts it if not.
+// isAllowed reports whether a peer's address is in the allowed networks, and increments a
+// counter if it is not.
 func (n *Node) isAllowed(peer netip.Addr) bool {
 	if n.cfg.AllowedPeers.Contains(peer.Unmap()) {
 		return true
@@ -72,8 +75,8 @@
 	return false
 }
 
-// receiveFrame decodes a frame and queues its message, or the error, for the core. It
-// does not retain frame.
+// receiveFrame decodes a frame and queues the message or the decoding error for the core.
+// It does not retain frame.
 func (n *Node) receiveFrame(frame []byte, peer netip.Addr) {
 	n.counters.bytesIn.Add(int64(len(frame)))
 	message, err := Decode(frame)
--- a/internal/cluster/gossip/doc.go
+++ b/internal/cluster/gossip/doc.go
@@ -1,20 +1,21 @@
-// Package gossip runs a [cluster.Core] over the network. It exchanges datagrams
-// between members, opens a stream where a whole view is exchanged, and supplies the
-// clock.
+// Package gossip runs a [cluster.Core] over the network. It exchanges datagrams with
+// other members, opens streams for messages that are too long for a datagram, and
+// supplies the clock.
 //
 // # Goroutines
 //
 // Run owns the core. One goroutine reads datagrams, one accepts streams, each
 // accepted stream is read by a goroutine of its own, and a fixed number of goroutines
-// dial outgoing streams. Run starts all of them and waits for them. They hand frames
-// to Run through a queue of QueueCapacity, and a frame that finds the queue full is
-// dropped. Run never waits for any of them: datagrams are written without waiting,
-// and frames that the dialing goroutines have no room for are dropped, as a network
-// may drop them.
+// dial outgoing streams. Run starts all of these goroutines and waits for them. They
+// pass received messages to Run through a queue of QueueCapacity. If the queue is full,
+// the message is dropped. Run never blocks on the other goroutines: it writes datagrams
+// without blocking, and drops frames if the queue for outgoing streams is full. The
+// protocol tolerates this, because a network may lose messages as well.
 //
 // # Limits
 //
-// A datagram has at most maxDatagramBytes, a stream at most maxStreamBytes and
-// streamTimeout (limits.go). What comes from outside of the allowed networks is
-// counted and dropped before it is read.
+// A datagram has at most maxDatagramBytes bytes. A frame in a stream has at most
+// maxStreamBytes bytes, and a stream lasts for at most streamTimeout (limits.go).
+// Datagrams and streams from outside of the allowed networks are counted and dropped
+// before they are decoded.
 package gossip
--- a/internal/cluster/gossip/eventloop.go
+++ b/internal/cluster/gossip/eventloop.go
@@ -10,18 +10,20 @@
 	"hazelwing/internal/cluster"
 )
 
-// event is one item of the queue before the core. Exactly one of its fields is set,
-// and peer beside decodeErr.
+// event is one element of the queue for the core. One of message, decodeErr,
+// statusRequest, notice and gossipNow is set. peer is the sender of a message or of a
+// frame with a decoding error.
 type event struct {
 	message       *cluster.Message
 	decodeErr     error
 	peer          netip.Addr
-	statusRequest chan<- Status // has room for the answer
+	statusRequest chan<- Status // buffered, so that the answer does not block
 	notice        *cluster.EndpointNotice
 	gossipNow     bool
 }
 
-// decodeErrorKind tells apart the errors of frames whose log lines are limited separately.
+// decodeErrorKind is a kind of decoding error. The rate of log lines is limited for each
+// kind separately.
 type decodeErrorKind int
 
 const (
@@ -29,10 +31,10 @@
 	unsupportedVersion
 )
 
-// Run takes part in the cluster until ctx is done. It then announces that this member
-// leaves, closes the sockets, waits for all goroutines and returns.
+// Run runs the node until ctx is done. It then announces that this member leaves, closes
+// the sockets, waits for all goroutines and returns.
 func (n *Node) Run(ctx context.Context) {
-	// The goroutines go on after ctx is done, until the announcement has been sent.
+	// After ctx is done, the goroutines continue until the announcement has been sent.
 	workerCtx, stopWorkers := context.WithCancel(context.WithoutCancel(ctx))
 	var workers sync.WaitGroup
 	workers.Go(n.readDatagrams)
@@ -52,8 +54,8 @@
 	workers.Wait()
 }
 
-// processEvents passes events and the time to the core until the announcement that
-// follows stop has had its time.
+// processEvents passes events to the core and calls its Tick when it is due. After stop is
+// closed, it announces that this member leaves, and returns leaveDuration later.
 func (n *Node) processEvents(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -79,7 +81,7 @@
 	}
 }
 
-// now returns the time on the core's clock.
+// now returns the time since the node was created, which is the core's clock.
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
 // enqueue queues an event for Run without blocking, and drops it if the queue is full.
@@ -109,8 +111,8 @@
 	}
 }
 
-// logDecodeError logs that a frame cannot be decoded, at most once in peerLogInterval
-// for each kind of error.
+// logDecodeError logs a decoding error, at most once per peerLogInterval for each kind of
+// error.
 func (n *Node) logDecodeError(peer netip.Addr, err error) {
 	kind := corruptFrame
 	if errors.Is(err, ErrUnsupportedVersion) {
@@ -124,7 +126,8 @@
 	n.log.Warn("cannot decode message", "peer", peer, "error", err)
 }
 
-// receive passes a message to the core.
+// receive passes a message to the core, and calls the callbacks that its revision or a
+// full table require.
 func (n *Node) receive(m *cluster.Message) {
 	n.reportConfigRevision(m)
 	tableFull := n.core.TableFull()
@@ -134,7 +137,7 @@
 	}
 }
 
-// perform carries out the actions that the core asks for.
+// perform carries out the actions that an event of the core returned.
 func (n *Node) perform(actions []cluster.Action) {
 	for _, a := range actions {
 		switch a.Kind {
--- a/internal/cluster/gossip/format_test.go
+++ b/internal/cluster/gossip/format_test.go
@@ -15,35 +15,35 @@
 	"hazelwing/internal/testutil"
 )
 
-func formatEntry(name string, state cluster.State) cluster.Entry {
+func sampleEntry(name string, state cluster.State) cluster.Entry {
 	return cluster.Entry{
 		Name:        name,
 		Addr:        netip.MustParseAddrPort("10.0.0.4:7946"),
-		Incarnation: formatIncarnation(),
+		Incarnation: sampleIncarnation(),
 		State:       state,
 		ReportedBy:  "accuser",
 		Age:         1500 * time.Millisecond,
 	}
 }
 
-func formatIncarnation() cluster.Incarnation {
+func sampleIncarnation() cluster.Incarnation {
 	return cluster.Incarnation{Generation: 2, ProcessID: 1<<63 + 5, Refutations: 300}
 }
 
-// formatMessage sets every field that a message of this kind may carry.
-func formatMessage(kind cluster.Kind) *cluster.Message {
+// sampleMessage returns a message that has every field set that its kind may carry.
+func sampleMessage(kind cluster.Kind) *cluster.Message {
 	m := &cluster.Message{
 		Kind:        kind,
 		ClusterName: "booking",
-		From:        formatEntry("sender", cluster.Alive),
+		From:        sampleEntry("sender", cluster.Alive),
 		Seq:         70000,
 		Target:      "target",
 		TargetAddr:  netip.MustParseAddrPort("[2001:db8::1]:7946"),
 		Entries: []cluster.Entry{
-			formatEntry("a", cluster.Alive),
-			formatEntry("b", cluster.Suspect),
-			formatEntry("c", cluster.Dead),
-			formatEntry("d", cluster.Left),
+			sampleEntry("a", cluster.Alive),
+			sampleEntry("b", cluster.Suspect),
+			sampleEntry("c", cluster.Dead),
+			sampleEntry("d", cluster.Left),
 		},
 		Notices: []cluster.EndpointNotice{
 			{
@@ -66,7 +66,8 @@
 	return m
 }
 
-// A frame of each kind has the bytes that other members read, and decodes to the message.
+// Encode produces the frames in testdata for each kind of message, as other members expect
+// them, and Decode returns the encoded message.
 func TestGossipFrameFormatIsStable(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -84,9 +85,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if uint8(test.kind) != test.value {
-				t.Errorf("kind %d, want %d", test.kind, test.value)
+				t.Errorf("message kind has the value %d, want %d", test.kind, test.value)
 			}
-			message := formatMessage(test.kind)
+			message := sampleMessage(test.kind)
 			frame, err := Encode(message)
 			if err != nil {
 				t.Fatal(err)
@@ -94,13 +95,14 @@
 			testutil.GoldenBinary(t, "frame-"+test.name+".hex", frame)
 			decoded, err := Decode(frame)
 			if err != nil || !reflect.DeepEqual(decoded, message) {
-				t.Errorf("Decode: %v:\n%+v, want\n%+v", err, decoded, message)
+				t.Errorf("Decode returned error %v and message\n%+v, want\n%+v", err, decoded, message)
 			}
 		})
 	}
 }
 
-// A frame of a member that takes no configuration carries neither revision nor digest.
+// A frame of a member without a distributed configuration has neither a revision nor a
+// digest.
 func TestGossipFrameFormatWithoutRevisionIsStable(t *testing.T) {
 	message := &cluster.Message{
 		Kind:        cluster.Ping,
@@ -118,11 +120,11 @@
 	}
 	testutil.GoldenBinary(t, "frame-without-revision.hex", frame)
 	if decoded, err := Decode(frame); err != nil || !reflect.DeepEqual(decoded, message) {
-		t.Errorf("Decode: %v:\n%+v, want\n%+v", err, decoded, message)
+		t.Errorf("Decode returned error %v and message\n%+v, want\n%+v", err, decoded, message)
 	}
 }
 
-// States have these numbers in frames, and these names in JSON.
+// The numbers of member states in frames and their names in JSON do not change.
 func TestMemberStateNumbersAndNamesAreStable(t *testing.T) {
 	for _, test := range []struct {
 		state cluster.State
@@ -138,26 +140,27 @@
 		t.Run(test.name, func(t *testing.T) {
 			text, err := test.state.MarshalText()
 			if err != nil || string(text) != test.name {
-				t.Errorf("MarshalText: %q, %v, want %q", text, err, test.name)
+				t.Errorf("MarshalText returned %q and error %v, want %q", text, err, test.name)
 			}
 			if uint8(test.state) != test.value || test.state.String() != test.name {
-				t.Errorf("%d %q, want %d %q", test.state, test.state, test.value, test.name)
+				t.Errorf("state has number %d and name %q, want %d and %q",
+					test.state, test.state, test.value, test.name)
 			}
 			var decoded cluster.State
 			err = decoded.UnmarshalText([]byte(test.name))
 			if test.state != cluster.Unknown && (err != nil || decoded != test.state) {
-				t.Errorf("UnmarshalText: %v, %v", decoded, err)
+				t.Errorf("UnmarshalText(%q) returned error %v and state %v", test.name, err, decoded)
 			}
 		})
 	}
 	var decoded cluster.State
 	if decoded.UnmarshalText([]byte("unknown")) == nil {
-		t.Error("UnmarshalText accepts unknown")
+		t.Error(`UnmarshalText("unknown") returned no error`)
 	}
 }
 
-// formatStatus has no field that is zero.
-func formatStatus() Status {
+// sampleStatus returns a Status without zero fields.
+func sampleStatus() Status {
 	return Status{
 		Name:        "m1",
 		ClusterName: "booking",
@@ -165,7 +168,7 @@
 			Member: cluster.Member{
 				Name:        "m2",
 				Addr:        netip.MustParseAddrPort("10.0.0.4:7946"),
-				Incarnation: formatIncarnation(),
+				Incarnation: sampleIncarnation(),
 				State:       cluster.Suspect,
 				Since:       1500 * time.Millisecond,
 				ReportedBy:  "accuser",
@@ -210,16 +213,17 @@
 	}
 }
 
-// The status is what GET /fleet answers and what operators' programs read.
+// The JSON format of Status does not change, because GET /fleet returns it and operators'
+// programs read it.
 func TestFleetStateFormatIsStable(t *testing.T) {
-	status := formatStatus()
+	status := sampleStatus()
 	testutil.Filled(t, status)
 	testutil.ExplicitNames(t, "json", status)
 	text := testutil.IndentedJSON(t, status)
 	testutil.Golden(t, "state.json", text)
 	var decoded Status
 	if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(decoded, status) {
-		t.Errorf("Unmarshal: %v:\n%+v, want\n%+v", err, decoded, status)
+		t.Errorf("Unmarshal returned error %v and status\n%+v, want\n%+v", err, decoded, status)
 	}
 
 	// Optional fields are omitted.
@@ -231,8 +235,8 @@
 	testutil.Golden(t, "members-without-optional-fields.json", append(text, '\n'))
 }
 
-// acceptOnce returns a listener and a channel that receives all bytes of its first
-// connection, or nil if there is none.
+// acceptOnce returns a listener and a channel that receives all bytes of the listener's
+// first connection, or nil if Accept fails.
 func acceptOnce(t *testing.T) (net.Listener, <-chan []byte) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -248,15 +252,15 @@
 			return
 		}
 		defer conn.Close()
-		stream, _ := io.ReadAll(conn) // the caller compares what was read
+		stream, _ := io.ReadAll(conn) // The caller compares the bytes, so an error is noticed.
 		received <- stream
 	}()
 	return listener, received
 }
 
-// A stream has the frame's length in four bytes, and the frame.
+// A stream consists of the frame's length in four bytes and the frame.
 func TestGossipStreamFormatIsStable(t *testing.T) {
-	message := formatMessage(cluster.PushPullResponse)
+	message := sampleMessage(cluster.PushPullResponse)
 	frame, err := Encode(message)
 	if err != nil {
 		t.Fatal(err)
@@ -273,16 +277,16 @@
 	receiver := &Node{events: make(chan event, 1)}
 	writeConn, readConn := net.Pipe()
 	go func() {
-		_, _ = io.Copy(writeConn, bytes.NewReader(stream)) // the message is missing if this fails
+		_, _ = io.Copy(writeConn, bytes.NewReader(stream)) // If this fails, the message is missing.
 		writeConn.Close()
 	}()
 	receiver.readStream(t.Context(), readConn, to.Addr())
 	select {
 	case got := <-receiver.events:
 		if got.decodeErr != nil || !reflect.DeepEqual(got.message, message) {
-			t.Errorf("%v:\n%+v, want\n%+v", got.decodeErr, got.message, message)
+			t.Errorf("readStream queued error %v and message\n%+v, want\n%+v", got.decodeErr, got.message, message)
 		}
 	default:
-		t.Error("the stream has no message")
+		t.Error("readStream queued no message")
 	}
 }
--- a/internal/cluster/gossip/http.go
+++ b/internal/cluster/gossip/http.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// httpServer serves HTTP on connections that were accepted by the listener of the
-// streams. It is itself the net.Listener from which its http.Server accepts them.
+// httpServer serves HTTP on connections that the stream listener has accepted. It
+// implements net.Listener, and its http.Server accepts these connections from it.
 type httpServer struct {
 	server    *http.Server
 	conns     chan net.Conn
@@ -15,7 +15,7 @@
 	closeOnce sync.Once
 
 	mu   sync.Mutex
-	open int // connections that were offered and are not closed
+	open int // number of connections that were offered and are not closed
 }
 
 func newHTTPServer(handler http.Handler) *httpServer {
@@ -33,17 +33,17 @@
 
 // serve serves requests until close is called.
 func (s *httpServer) serve() {
-	_ = s.server.Serve(s) // always returns an error: that the listener is closed
+	_ = s.server.Serve(s) // Serve always returns an error, which says that the listener is closed.
 }
 
 // close stops serving and closes all connections.
 func (s *httpServer) close() {
-	_ = s.Close()        // always nil
-	_ = s.server.Close() // the connections are abandoned, whatever closing them reports
+	_ = s.Close()        // The error is always nil.
+	_ = s.server.Close() // No request in progress is completed, so an error has no consequence.
 }
 
-// offer hands a connection over to the server. It reports false, and leaves the
-// connection to the caller, if there are too many or the server is closed.
+// offer hands a connection over to the server. If MaxHTTPConns connections are open or the
+// server is closed, it returns false, and the caller has to close the connection.
 func (s *httpServer) offer(c *peekedConn) bool {
 	s.mu.Lock()
 	if s.open >= MaxHTTPConns {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Accept returns the next connection that was offered, for http.Server.
+// Accept returns the next connection that was offered. The http.Server calls it.
 func (s *httpServer) Accept() (net.Conn, error) {
 	select {
 	case c := <-s.conns:
@@ -76,23 +76,23 @@
 	}
 }
 
-// Close ends Accept. It always returns nil.
+// Close makes Accept return net.ErrClosed. It always returns nil.
 func (s *httpServer) Close() error {
 	s.closeOnce.Do(func() { close(s.closed) })
 	return nil
 }
 
-// Addr returns an empty address, because the connections come from another listener.
+// Addr returns an empty address, because the stream listener accepts the connections.
 func (s *httpServer) Addr() net.Addr { return &net.TCPAddr{} }
 
 // peekedConn is a connection whose first bytes have been read. Read returns them first.
 type peekedConn struct {
 	net.Conn
-	head    []byte // read from Conn and not yet returned
-	onClose func() // called by Close; may be called several times
+	head    []byte // bytes read from Conn and not yet returned by Read
+	onClose func() // called by each call of Close; may be nil
 }
 
-// Read reads from the bytes read before, and then from the connection.
+// Read returns the bytes in head first, and then reads from the connection.
 func (c *peekedConn) Read(b []byte) (int, error) {
 	if len(c.head) > 0 {
 		n := copy(b, c.head)
@@ -102,7 +102,7 @@
 	return c.Conn.Read(b)
 }
 
-// Close closes the connection and releases its place at the server.
+// Close closes the connection and calls onClose, which decrements httpServer.open.
 func (c *peekedConn) Close() error {
 	if c.onClose != nil {
 		c.onClose()
--- a/internal/cluster/gossip/node.go
+++ b/internal/cluster/gossip/node.go
@@ -23,23 +23,24 @@
 	streams   net.Listener
 	events    chan event
 	outbound  chan outboundFrame
-	http      *httpServer // nil if Config.Handler is
+	http      *httpServer // nil if Config.Handler is nil
 
 	revision       atomic.Pointer[configRevision] // nil until SetConfigRevision is called
-	configuredSize atomic.Int64                   // not yet passed to the core; 0 if there is none
+	configuredSize atomic.Int64                   // size to be passed to the core; 0 if there is none
 	counters       counters
 
-	// Only the goroutine of Run uses these.
+	// The following fields are used only by the goroutine of Run.
 	core              *cluster.Core
 	reportedView      viewFingerprint
-	decodeErrorLogged map[decodeErrorKind]time.Time // time of the latest log line of each kind
+	decodeErrorLogged map[decodeErrorKind]time.Time // time of the latest log line about each kind
 }
 
 // configRevision is the revision of the configuration that a member applies.
 type configRevision struct{ epoch, version uint64 }
 
-// New returns a Node that listens at cfg.Listen. It sends nothing before Run. It
-// reports an error if the configuration is invalid or the address cannot be used.
+// New returns a Node that listens at cfg.Listen. The node sends nothing before Run is
+// called. New returns an error if the configuration is invalid or the address cannot be
+// used.
 func New(cfg Config) (*Node, error) {
 	addr, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
@@ -72,8 +73,8 @@
 	return n, nil
 }
 
-// listen opens the sockets for streams and datagrams, at the same port also where the
-// system chooses it.
+// listen opens the sockets for streams and datagrams. They have the same port, even if the
+// system chooses the port.
 func (n *Node) listen(addr netip.AddrPort) error {
 	var err error
 	if n.streams, err = new(net.ListenConfig).Listen(context.Background(), "tcp", n.cfg.Listen); err != nil {
@@ -82,39 +83,40 @@
 	port := n.streams.Addr().(*net.TCPAddr).Port
 	addr = netip.AddrPortFrom(addr.Addr(), uint16(port))
 	if n.datagrams, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr)); err != nil {
-		_ = n.streams.Close() // the error of the datagrams' socket is the one to report
+		_ = n.streams.Close() // The error of ListenUDP is returned instead.
 		return err
 	}
-	// Without the larger buffer more datagrams are lost under load, which the protocol tolerates.
+	// An error is ignored: with a smaller buffer more datagrams are lost under load, which the protocol tolerates.
 	_ = n.datagrams.SetReadBuffer(datagramBufferBytes)
 	return nil
 }
 
-// ProcessID returns the random ID that distinguishes this process from others under
-// its name. Other members know it as Incarnation.ProcessID.
+// ProcessID returns the random ID that distinguishes this process from others with the
+// same name. Other members receive it as Incarnation.ProcessID.
 func (n *Node) ProcessID() uint64 { return n.cfg.Core.ProcessID }
 
-// Close closes the sockets of a Node. It is for one that Run is not called on.
+// Close closes the sockets of a Node. Callers need it only if they do not call Run, which
+// closes the sockets itself.
 func (n *Node) Close() {
-	_ = n.datagrams.Close() // nothing is buffered that could be lost
+	_ = n.datagrams.Close() // No data is buffered that an error could lose.
 	_ = n.streams.Close()
 }
 
-// Announce gossips a notice that this process learned from discovery. It does not
-// block: if the queue is full, the notice is dropped, and the other members learn of
-// the change from their own discovery.
+// Announce gossips a notice about a change that this process learned from discovery. It
+// does not block. If the queue is full, the notice is dropped, and the other members learn
+// of the change from discovery themselves.
 func (n *Node) Announce(notice cluster.EndpointNotice) {
 	n.enqueue(event{notice: &notice})
 }
 
-// SetConfigRevision sets the revision of the configuration that this member applies.
-// All messages carry it from now on. Some members are sent one at once, so that a
-// member whose own connection to the configuration service is broken learns of a
-// change within moments.
+// SetConfigRevision sets the revision of the configuration that this member applies. All
+// later messages carry it. A gossip message is sent to some members immediately, so that a
+// member whose connection to the configuration service is broken soon learns of a change.
 func (n *Node) SetConfigRevision(epoch, version uint64) {
 	n.revision.Store(&configRevision{epoch, version})
 	n.enqueue(event{gossipNow: true})
 }
 
-// SetConfiguredSize replaces Config.ConfiguredSize from the next event on.
+// SetConfiguredSize replaces Config.ConfiguredSize. The core uses the new value after its
+// next event.
 func (n *Node) SetConfiguredSize(members int) { n.configuredSize.Store(int64(members)) }
--- a/internal/cluster/gossip/node_test.go
+++ b/internal/cluster/gossip/node_test.go
@@ -20,7 +20,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// TestMain also checks that no test leaves a goroutine behind.
+// TestMain checks that no goroutine of a test is left after all tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func ipSet(t *testing.T, prefixes ...string) *netipx.IPSet {
@@ -47,11 +47,11 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// testNode is a running node that records its callbacks.
+// testNode is a running node that records the arguments of its callbacks.
 type testNode struct {
 	*Node
 	addr netip.AddrPort
-	stop func() // stops the node and waits for it
+	stop func() // stops the node and waits until Run has returned
 
 	mu      sync.Mutex
 	notices []cluster.EndpointNotice
@@ -76,7 +76,8 @@
 	return n.size
 }
 
-// receivedOnly reports whether the node has received one notice, equal to want but for its age.
+// receivedOnly reports whether the node has received exactly one notice, with the Endpoint,
+// Removed and ReportedBy of want.
 func (n *testNode) receivedOnly(want cluster.EndpointNotice) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,7 +85,7 @@
 		n.notices[0].Removed == want.Removed && n.notices[0].ReportedBy == want.ReportedBy
 }
 
-// startNode starts a node; configure, which may be nil, changes its configuration.
+// startNode starts a node. If configure is not nil, it may change the configuration before.
 func startNode(t *testing.T, name string, configure func(*Config), seeds ...netip.AddrPort) *testNode {
 	t.Helper()
 	n := &testNode{addr: freeAddr(t)}
@@ -114,7 +115,7 @@
 	if n.Node, err = New(cfg); err != nil {
 		t.Fatal(err)
 	}
-	// The node is stopped by a cleanup, which t.Context would come before.
+	// t.Context would be canceled before the cleanups run, and one of them stops the node.
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -137,8 +138,8 @@
 	return states
 }
 
-// untilMembers waits until each of the nodes knows as many members.
-func untilMembers(t *testing.T, members int, nodes ...*testNode) {
+// waitForMembers waits until each node knows the given number of members, including itself.
+func waitForMembers(t *testing.T, members int, nodes ...*testNode) {
 	t.Helper()
 	testutil.Until(t, fmt.Sprintf("each node knows %d members", members), func() bool {
 		for _, n := range nodes {
@@ -150,14 +151,14 @@
 	})
 }
 
-// Members find each other over sockets, gossip notices, agree on the size of the
-// cluster, and announce when they leave. Members of another cluster stay apart.
+// Members that communicate over sockets join, gossip notices, estimate the same cluster
+// size, and announce that they leave. A member of another cluster does not join them.
 func TestMembersJoinGossipAndLeave(t *testing.T) {
 	a := startNode(t, "a", nil)
 	b := startNode(t, "b", nil, a.addr)
 	c := startNode(t, "c", nil, b.addr)
 	other := startNode(t, "x", func(cfg *Config) { cfg.Core.ClusterName = "g" }, a.addr)
-	untilMembers(t, 3, a, b, c)
+	waitForMembers(t, 3, a, b, c)
 	b.Announce(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 5})
 	want := cluster.EndpointNotice{Endpoint: "s1", Removed: true, ReportedBy: "b"}
 	testutil.Until(t, "all others receive the notice and estimate a size of 3", func() bool {
@@ -173,16 +174,17 @@
 		return a.memberStates()["b"] == cluster.Left && c.memberStates()["b"] == cluster.Left
 	})
 	if s := other.Status(); len(s.Members) != 1 || s.Core.ForeignMessages > 0 && s.Members[0].Name != "x" {
-		t.Errorf("status of the member of another cluster: %+v", s)
+		t.Errorf("the member x of another cluster has the status %+v, want x as the only member", s)
 	}
 	if s := a.Status(); s.Core.ForeignMessages == 0 {
-		t.Errorf("messages of another cluster are not counted: %+v", s.Core)
+		t.Errorf("messages of another cluster are not counted in the statistics %+v", s.Core)
 	}
 }
 
-// The revision of the configuration travels in datagrams, to members that have one and
-// to those that have none. It is reported if it differs from the member's own, and only
-// from members of the same cluster. A configured size that changes is used.
+// Datagrams carry the revision of the sender's configuration. A member reports a received
+// revision that differs from its own, but not one from a member of another cluster. Members
+// with and without a revision join the same cluster. A change of the configured size takes
+// effect.
 func TestConfigRevisionIsGossiped(t *testing.T) {
 	type revision struct {
 		name           string
@@ -202,7 +204,7 @@
 	b.SetConfiguredSize(40)
 	c := startNode(t, "c", nil, a.addr)
 	c.SetConfigRevision(3, 7)
-	untilMembers(t, 3, a, b, c)
+	waitForMembers(t, 3, a, b, c)
 	testutil.Until(t, "b uses the configured size", func() bool { return b.lastSize() == 40 })
 
 	foreign, err := Encode(&cluster.Message{
@@ -226,7 +228,7 @@
 	})
 	c.SetConfigRevision(4, 1)
 	if got := testutil.Receive(t, received, "the revision"); got != (revision{"c", 4, 1}) {
-		t.Errorf("received %+v", got)
+		t.Errorf("received the revision %+v, want %+v", got, revision{"c", 4, 1})
 	}
 }
 
@@ -247,7 +249,8 @@
 	}
 }
 
-// sendRawStream sends a stream that announces size bytes and waits until the node closes it.
+// sendRawStream opens a stream, sends size as the frame length followed by frame, and waits
+// until the node closes the stream.
 func sendRawStream(t *testing.T, fromIP string, to netip.AddrPort, size uint32, frame []byte) {
 	t.Helper()
 	conn, err := net.DialTCP("tcp", &net.TCPAddr{IP: net.ParseIP(fromIP)}, net.TCPAddrFromAddrPort(to))
@@ -255,19 +258,21 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	// The node may close the stream before all of it is written.
+	// Errors are ignored, because the node may close the stream before all bytes are written.
 	_, _ = conn.Write(append(binary.BigEndian.AppendUint32(nil, size), frame...))
 	_ = conn.CloseWrite()
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// Member z is the sender of the messages of TestMisbehavingPeersAreBounded.
+// Addresses of the sender in TestMisbehavingPeersAreBounded: one in the allowed networks, and
+// one outside of them.
 const (
 	allowedIP    = "127.0.0.2"
 	disallowedIP = "127.0.0.9"
 )
 
-func messageOfZ(kind cluster.Kind) *cluster.Message {
+// messageFromZ returns a message with the sender z at allowedIP.
+func messageFromZ(kind cluster.Kind) *cluster.Message {
 	return &cluster.Message{
 		Kind:        kind,
 		ClusterName: "f",
@@ -279,10 +284,11 @@
 	}
 }
 
-// tooManyEntries returns a frame with 50,000 members that are told apart by part.
-func tooManyEntries(t *testing.T, part int) []byte {
+// frameOfManyEntries returns a frame with 50,000 members. Their names contain part, so that
+// frames with different parts have different members.
+func frameOfManyEntries(t *testing.T, part int) []byte {
 	t.Helper()
-	m := messageOfZ(cluster.PushPullFinal)
+	m := messageFromZ(cluster.PushPullFinal)
 	for i := range 50_000 {
 		m.Entries = append(m.Entries, cluster.Entry{
 			Name:        fmt.Sprint("n", part, "-", i),
@@ -297,13 +303,13 @@
 	return frame
 }
 
-// A faulty or hostile peer sends corrupt frames, other versions, wrong lengths, too many
-// members and floods. The node could run out of memory or connections, fill its log, or
-// stop. It has to cost no more than the documented limits, peers outside of the allowed
-// networks have to be ignored, and the node has to keep working.
+// A faulty or hostile peer sends corrupt frames, frames of another protocol version, wrong
+// lengths, too many members, and a flood of messages. This could make the node run out of
+// memory or connections, fill its log, or stop. The node has to enforce its limits, ignore
+// peers outside of the allowed networks, and continue to work.
 func TestMisbehavingPeersAreBounded(t *testing.T) {
 	a := startNode(t, "a", func(cfg *Config) { cfg.AllowedPeers = ipSet(t, "127.0.0.1/32", allowedIP+"/32") })
-	valid, err := Encode(messageOfZ(cluster.Ping))
+	valid, err := Encode(messageFromZ(cluster.Ping))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -326,10 +332,10 @@
 	sendRawStream(t, allowedIP, a.addr, 1<<31, []byte("x"))
 	sendRawStream(t, allowedIP, a.addr, maxStreamBytes, []byte("less than announced"))
 	for part := range 3 {
-		frame := tooManyEntries(t, part)
+		frame := frameOfManyEntries(t, part)
 		sendRawStream(t, allowedIP, a.addr, uint32(len(frame)), frame)
 	}
-	for range 3000 { // a flood, which must not be answered by more than was sent
+	for range 3000 { // a flood of messages, to which the node must not send more messages than it receives
 		writeDatagram(t, peer, valid)
 	}
 	testutil.Until(t, "everything is counted, and the node still answers", func() bool {
@@ -338,10 +344,10 @@
 			s.Network.VersionMismatches >= 1 && s.Core.Rejected > 100_000
 	})
 	if s := a.Status(); s.Core.KnownMembers > 1000 || len(s.Members) > 1000 {
-		t.Errorf("%d members, want at most 1,000", s.Core.KnownMembers)
+		t.Errorf("%d known members and %d in the status, want at most 1,000 each", s.Core.KnownMembers, len(s.Members))
 	}
 	b := startNode(t, "b", nil, a.addr)
-	testutil.Until(t, "a new member has a place", func() bool {
+	testutil.Until(t, "the node knows a new member", func() bool {
 		_, ok := a.memberStates()["b"]
 		return ok
 	})
@@ -350,7 +356,8 @@
 	})
 }
 
-// Addresses are translated one by one, by the first prefix that contains them.
+// An address is translated by the first translation whose From prefix contains it, and is
+// unchanged if there is none.
 func TestTranslate(t *testing.T) {
 	n := &Node{cfg: Config{Translations: []AddressTranslation{
 		{From: netip.MustParsePrefix("10.1.0.0/16"), To: netip.MustParsePrefix("172.20.0.0/16")},
--- a/internal/cluster/gossip/observe.go
+++ b/internal/cluster/gossip/observe.go
@@ -2,8 +2,8 @@
 
 import "hazelwing/internal/cluster"
 
-// viewFingerprint identifies the view that Config.OnMembersChanged was called with.
-// Its zero value is that of no call.
+// viewFingerprint identifies the view with which Config.OnMembersChanged was last called.
+// The zero value means that it has not been called.
 type viewFingerprint struct {
 	reported bool
 	joined   bool
@@ -11,9 +11,8 @@
 	digest   cluster.Digest
 }
 
-// reportMembers calls Config.OnMembersChanged if the live members have changed. Run
-// calls it after each event. While nothing changes it costs a comparison of
-// fingerprints.
+// reportMembers calls Config.OnMembersChanged if the live members have changed. Run calls
+// it after each event. If nothing has changed, it only compares two fingerprints.
 func (n *Node) reportMembers() {
 	if n.cfg.OnMembersChanged == nil {
 		return
@@ -35,8 +34,8 @@
 	n.cfg.OnMembersChanged(others, joined)
 }
 
-// reportConfigRevision calls Config.OnConfigRevision if a member of this cluster
-// applies another revision of the configuration than this one.
+// reportConfigRevision calls Config.OnConfigRevision if the sender of a message belongs to
+// this cluster and applies another revision of the configuration than this member.
 func (n *Node) reportConfigRevision(m *cluster.Message) {
 	if n.cfg.OnConfigRevision == nil || m.ConfigEpoch == 0 {
 		return
--- a/internal/cluster/gossip/status.go
+++ b/internal/cluster/gossip/status.go
@@ -19,27 +19,27 @@
 // MemberStatus is the state of one member.
 type MemberStatus struct {
 	cluster.Member
-	StateAge string `json:"for"` // time since it entered its state, as of time.Duration.String
+	StateAge string `json:"for"` // time since the member entered its state, in the format of time.Duration
 }
 
 // NetworkStats counts messages and bytes since the start of the process.
 type NetworkStats struct {
-	DisallowedPeers   int64 `json:"outside"`   // datagrams and streams from outside of the allowed networks; dropped
-	Corrupt           int64 `json:"corrupt"`   // frames that cannot be decoded; dropped
-	VersionMismatches int64 `json:"version"`   // frames of another version; dropped
-	QueueFull         int64 `json:"full"`      // events, and streams beyond the limit; dropped
+	DisallowedPeers   int64 `json:"outside"`   // dropped datagrams and streams from outside of the allowed networks
+	Corrupt           int64 `json:"corrupt"`   // dropped frames that were too long, truncated or not decodable
+	VersionMismatches int64 `json:"version"`   // dropped frames of another protocol version
+	QueueFull         int64 `json:"full"`      // events dropped due to a full queue, streams due to maxInboundStreams
 	Unsent            int64 `json:"unsent"`    // frames that could not be sent
-	DatagramsOut      int64 `json:"datagrams"` // sent
-	StreamsOut        int64 `json:"streams"`   // sent
+	DatagramsOut      int64 `json:"datagrams"` // datagrams sent
+	StreamsOut        int64 `json:"streams"`   // streams sent
 	BytesOut          int64 `json:"bytes_out"`
 	BytesIn           int64 `json:"bytes_in"`
 
 	DatagramsIn    int64 `json:"datagrams_in"`
-	StreamBytesOut int64 `json:"stream_bytes_out"` // part of BytesOut; the rest went in datagrams
-	StreamBytesIn  int64 `json:"stream_bytes_in"`  // part of BytesIn
+	StreamBytesOut int64 `json:"stream_bytes_out"` // those of BytesOut sent in streams; the rest was sent in datagrams
+	StreamBytesIn  int64 `json:"stream_bytes_in"`  // those of BytesIn received in streams
 }
 
-// counters are what NetworkStats reports. Any goroutine may add to them.
+// counters are the counters of NetworkStats. Any goroutine may add to them.
 type counters struct {
 	disallowedPeers   atomic.Int64
 	corrupt           atomic.Int64
@@ -55,8 +55,8 @@
 	streamBytesIn     atomic.Int64
 }
 
-// Status returns the current status, from the goroutine of Run. It returns the zero
-// Status if Run does not answer within statusTimeout or is not running.
+// Status requests the current status from the goroutine of Run and returns it. It returns
+// the zero Status if Run does not answer within statusTimeout or is not running.
 func (n *Node) Status() Status {
 	answer := make(chan Status, 1)
 	timeout := time.After(statusTimeout)
--- a/internal/cluster/gossip/stream.go
+++ b/internal/cluster/gossip/stream.go
@@ -11,18 +11,19 @@
 	"time"
 )
 
-// A stream carries one frame after its length in frameLengthBytes, big-endian. The
-// first bytes of an HTTP request are no valid length, which tells the two apart.
+// frameLengthBytes is the size of the big-endian length that precedes the frame in a
+// stream. A stream carries one frame. The first bytes of an HTTP request are not a valid
+// length, which distinguishes HTTP requests from streams.
 const frameLengthBytes = 4
 
-// outboundFrame is a frame that waits for a stream.
+// outboundFrame is a frame to be sent in a stream.
 type outboundFrame struct {
 	to    netip.AddrPort
 	frame []byte
 }
 
-// queueStream queues a frame for the goroutines that dial streams, and drops it if
-// they have no room.
+// queueStream queues a frame for the goroutines that dial streams, and drops it if the
+// queue is full.
 func (n *Node) queueStream(f outboundFrame) {
 	select {
 	case n.outbound <- f:
@@ -61,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // the frame is written, or its error reported
+	defer func() { _ = conn.Close() }() // The error of Write is returned instead.
 	stopClosing := closeWhenDone(ctx, conn)
 	defer stopClosing()
 	stream := binary.BigEndian.AppendUint32(nil, uint32(len(f.frame)))
@@ -69,14 +70,14 @@
 	return err
 }
 
-// closeWhenDone closes a connection when ctx is done, which ends blocked reads and
-// writes, unless the returned function is called before.
+// closeWhenDone arranges for a connection to be closed when ctx is done, so that blocked
+// reads and writes return. The returned function cancels this.
 func closeWhenDone(ctx context.Context, conn net.Conn) (stop func() bool) {
-	return context.AfterFunc(ctx, func() { _ = conn.Close() }) // the read or write reports it
+	return context.AfterFunc(ctx, func() { _ = conn.Close() }) // The blocked read or write returns an error.
 }
 
-// acceptStreams reads streams, at most maxInboundStreams at a time, until the listener
-// is closed. It waits for the goroutines that read them.
+// acceptStreams accepts streams until the listener is closed, and starts a goroutine to
+// read each of them, at most maxInboundStreams at a time. It waits for these goroutines.
 func (n *Node) acceptStreams(ctx context.Context) {
 	slots := make(chan struct{}, maxInboundStreams)
 	var readers sync.WaitGroup
@@ -86,7 +87,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // no file descriptors are left
+		if err != nil { // for example, if no file descriptors are left
 			select {
 			case <-time.After(acceptRetryDelay):
 			case <-ctx.Done():
@@ -95,14 +96,14 @@
 		}
 		from, _ := netip.ParseAddrPort(conn.RemoteAddr().String())
 		if !n.isAllowed(from.Addr()) {
-			_ = conn.Close() // nothing was read or written
+			_ = conn.Close() // No data is lost, because none was read or written.
 			continue
 		}
 		select {
 		case slots <- struct{}{}:
 		default:
 			n.counters.queueFull.Add(1)
-			_ = conn.Close() // nothing was read or written
+			_ = conn.Close() // No data is lost, because none was read or written.
 			continue
 		}
 		readers.Go(func() {
@@ -112,24 +113,24 @@
 	}
 }
 
-// readStream reads one frame and closes the connection, or hands the connection over
-// to the HTTP server if its first bytes are those of a request.
+// readStream reads one frame and closes the connection. If the first bytes are those of an
+// HTTP request, it hands the connection over to the HTTP server instead.
 func (n *Node) readStream(ctx context.Context, conn net.Conn, peer netip.Addr) {
 	handedOver := false
 	stopClosing := closeWhenDone(ctx, conn)
 	defer func() {
 		stopClosing()
 		if !handedOver {
-			_ = conn.Close() // the peer waits for no answer
+			_ = conn.Close() // The peer does not expect an answer.
 		}
 	}()
-	_ = conn.SetDeadline(time.Now().Add(streamTimeout)) // fails on a closed connection only, as the read will
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout)) // It fails only if conn is closed, and then the read fails too.
 	var head [frameLengthBytes]byte
 	if _, err := io.ReadFull(conn, head[:]); err != nil {
 		return
 	}
 	if n.http != nil && isHTTPRequest(head) {
-		_ = conn.SetDeadline(time.Time{}) // fails on a closed connection only, as the next read will
+		_ = conn.SetDeadline(time.Time{}) // It fails only if conn is closed, and then the next read fails too.
 		handedOver = n.http.offer(&peekedConn{Conn: conn, head: head[:]})
 		return
 	}
@@ -138,7 +139,7 @@
 		n.counters.corrupt.Add(1)
 		return
 	}
-	// The buffer grows as bytes arrive, because a peer may announce more than it sends.
+	// The buffer grows as bytes arrive, because a peer may announce more bytes than it sends.
 	frame, err := io.ReadAll(io.LimitReader(conn, int64(size)))
 	if err != nil || len(frame) != int(size) {
 		n.counters.corrupt.Add(1)
@@ -148,8 +149,8 @@
 	n.receiveFrame(frame, peer)
 }
 
-// isHTTPRequest reports whether a stream starts with a method that Config.Handler
-// serves. As a length these bytes are above maxStreamBytes.
+// isHTTPRequest reports whether head is the start of an HTTP method that Config.Handler
+// serves. Such bytes are not a valid length: as a number they exceed maxStreamBytes.
 func isHTTPRequest(head [frameLengthBytes]byte) bool {
 	method := string(head[:])
 	return method == "GET " || method == "POST"
--- a/internal/cluster/gossip/translation.go
+++ b/internal/cluster/gossip/translation.go
@@ -2,9 +2,9 @@
 
 import "net/netip"
 
-// AddressTranslation maps the addresses of a prefix, one by one, to those of another
-// prefix of the same length under which they are reached from here. It is for
-// clusters across networks that translate addresses.
+// AddressTranslation maps each address of the prefix From to the address at which this
+// process reaches it: the address in To with the same host bits. Both prefixes have the
+// same length. It is used for clusters that span networks with address translation.
 type AddressTranslation struct{ From, To netip.Prefix }
 
 const bitsPerByte = 8
@@ -20,7 +20,8 @@
 	return translated
 }
 
-// translate returns the address under which a peer's address is reached from here.
+// translate returns the address at which this process reaches a peer's advertised address.
+// The first translation that contains the address is used.
 func (n *Node) translate(addr netip.AddrPort) netip.AddrPort {
 	for _, t := range n.cfg.Translations {
 		if t.From.Contains(addr.Addr()) {
