--- a/internal/cluster/node/config.go
+++ b/internal/cluster/node/config.go
@@ -12,23 +12,23 @@
 
 // Config configures a Node.
 type Config struct {
-	Name           string // of this member, the same after a restart
-	RandomSeed     uint64 // of random choices
+	Name           string // name of this member, the same after a restart
+	RandomSeed     uint64 // seed of the random number generators
 	ConfiguredSize int    // number of members according to the settings
 
-	// OnTableFull and OnQueueFull are those of gossip.Config.
+	// OnTableFull and OnQueueFull are passed to gossip.Config.
 	OnTableFull, OnQueueFull func()
-	// OnMembersChanged is that of gossip.Config. It is called after the source of the
-	// endpoint list has been informed. It may be nil.
+	// OnMembersChanged is called like gossip.Config.OnMembersChanged, after
+	// Node.EndpointSource has received the members. It may be nil.
 	OnMembersChanged func(others []cluster.Member, joined bool)
-	// OnConfigRevision is that of gossip.Config; nil if the configuration is read at the
-	// start only.
+	// OnConfigRevision is passed to gossip.Config. It is nil if the configuration is read
+	// only at the start of the process.
 	OnConfigRevision func(from cluster.Entry, epoch, version uint64)
 
-	// Handler answers the HTTP requests of peers at the cluster's address that are not
-	// about the endpoint list; nil if there are none. See gossip.Config.
+	// Handler answers HTTP requests of peers to the cluster's address, except those for
+	// the endpoint list. It is nil if there are no other requests. See gossip.Config.
 	Handler http.Handler
-	// Network is between this member and its peers; nil in the daemon. See gossip.Network.
+	// Network intercepts the traffic of this member; nil in the daemon. See gossip.Network.
 	Network gossip.Network
 	Log     *slog.Logger
 }
@@ -54,8 +54,8 @@
 	}
 }
 
-// gossipConfig returns the configuration of the gossip, without the callbacks of the
-// Node and the handler.
+// gossipConfig returns the configuration of the gossip.Node without its Handler and the
+// callbacks that are methods of Node.
 func (c *Config) gossipConfig(op *operator.Cluster) gossip.Config {
 	g := gossip.Config{
 		Core:             c.coreConfig(op),
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -14,18 +14,18 @@
 	"hazelwing/internal/operator"
 )
 
-// followersPerFanOut is how many followers a member serves, as a multiple of the fan-out of the tree. This leaves room
-// for followers whose parent has failed, and for views that differ. A higher value lets more of them find a place, and
-// puts more load on the members that remain.
+// followersPerFanOut limits the followers that a member serves, as a multiple of the fan-out of the tree. The value
+// leaves room for followers whose parent has failed, and for members with different views. A higher value lets more of
+// them find a new parent, and puts more load on the members that remain.
 const followersPerFanOut = 2
 
-// endpointListPath is the path at which peers follow the endpoint list. Requests for
-// other paths go to Config.Handler.
+// endpointListPath is the path under which peers request the endpoint list. Requests for
+// other paths are handled by Config.Handler.
 const endpointListPath = "/discovery/hosts"
 
-// Node is this process as a member of the cluster, with what the membership is used
-// for: the endpoint list relayed by peers, the estimated number of members, and the
-// notices of peers about endpoints.
+// Node is a member of the cluster that runs in this process. It provides the endpoint list
+// relayed by peers, the estimated number of members, and the notices of peers about
+// endpoints.
 type Node struct {
 	Gossip         *gossip.Node
 	EndpointSource *relay.Source // nil if the endpoint list comes from discovery alone
@@ -39,8 +39,8 @@
 }
 
 // NewEndpointSource returns a source of the endpoint list that follows discovery or a
-// peer. cachedList is the list that the process holds already. No request is sent
-// before Watch.
+// peer. cachedList is the list that the process already has. No request is sent before
+// Watch is called.
 func NewEndpointSource(
 	c Config, op *operator.Bootstrap, discovery engine.Source, cachedList engine.EndpointUpdate,
 ) *relay.Source {
@@ -68,8 +68,8 @@
 }
 
 // Open returns a Node that listens at the cluster's address. endpoints is nil if the
-// endpoint list comes from discovery alone. Nothing is sent before Gossip.Run. It
-// reports an error if the address cannot be used.
+// endpoint list comes from discovery alone. Nothing is sent before Gossip.Run is called.
+// Open returns an error if the configuration is invalid or the address cannot be used.
 func Open(c Config, op *operator.Cluster, endpoints *relay.Source) (*Node, error) {
 	n := &Node{
 		EndpointSource:   endpoints,
@@ -94,8 +94,8 @@
 	return n, nil
 }
 
-// route returns a handler that passes requests for the endpoint list to one handler
-// and all others to another, which may be nil.
+// route returns a handler that passes requests for the endpoint list to endpointList and
+// all others to others. If others is nil, endpointList handles all requests.
 func route(endpointList, others http.Handler) http.Handler {
 	if others == nil {
 		return endpointList
@@ -109,8 +109,9 @@
 	})
 }
 
-// membersChanged passes on the members that may be followed. The goroutine of
-// Gossip.Run calls it.
+// membersChanged passes the live members to the source of the endpoint list, which may
+// follow them, and to the callback of the configuration. The goroutine of Gossip.Run calls
+// it.
 func (n *Node) membersChanged(others []cluster.Member, joined bool) {
 	if n.EndpointSource != nil {
 		members := make([]bootstrap.Member, 0, len(others))
--- a/internal/cluster/node/notices.go
+++ b/internal/cluster/node/notices.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// noticeSourceName is the name of the gossiped notices among the sources of endpoints.
+	// noticeSourceName is the name of the source of endpoints that gossiped notices form.
 	noticeSourceName = "fleet"
-	// noticeSourceRank is the last of the ranks: attributes are taken from any other source first.
+	// noticeSourceRank is the lowest precedence, so that the attributes of any other source take precedence.
 	noticeSourceRank = 9
 
-	// maxQueuedNotices is the number of notices that may wait for the merger. Those
-	// beyond are dropped, and discovery reports the change later. A higher value
-	// tolerates longer bursts, and takes more memory.
+	// maxQueuedNotices limits the queue of notices for the merged source. Further notices
+	// are dropped, and discovery reports the changes later. A higher value tolerates
+	// longer bursts, and takes more memory.
 	maxQueuedNotices = 256
 )
 
-// receivedNotice is a notice of another member. It is active until it expires.
+// receivedNotice is a notice of another member. active is false if the notice has expired.
 type receivedNotice struct {
 	cluster.EndpointNotice
 	active bool
 }
 
-// ReceiveNotice queues a notice of another member for the merger. It does not block.
-// The goroutine of Gossip.Run calls it.
+// ReceiveNotice queues a notice of another member for the merged source, and drops it if
+// the queue is full. It does not block. The goroutine of Gossip.Run calls it.
 func (n *Node) ReceiveNotice(notice cluster.EndpointNotice, active bool) {
 	select {
 	case n.notices <- receivedNotice{notice, active}:
@@ -50,9 +50,10 @@
 	})
 }
 
-// MergeConfig returns the configuration of a source that merges the list of discovery
-// with the notices of other members. Further sources may be added to it. n is nil if
-// there are no other members, op if the operator's file has no table of members.
+// MergeConfig returns the configuration of a source that merges the endpoint list of
+// discovery with the notices of other members. The caller may add further sources to it. n
+// is nil if the process does not belong to a cluster. op is nil if the operator's file has
+// no table [members].
 func MergeConfig(
 	op *operator.Discovery, n *Node, platform engine.Source, cachedList []engine.Endpoint, log *slog.Logger,
 ) mergedsource.Config {
@@ -76,9 +77,10 @@
 	return c
 }
 
-// noticeSource returns the source of the notices. It may remove endpoints, within the
-// merger's limit on removals, and adds none. This prevents a faulty peer from emptying
-// the list, or from directing requests to addresses of its choice.
+// noticeSource returns the source of endpoints that the notices form. It may remove
+// endpoints within the merged source's limit on removals, and cannot add any. This
+// prevents a faulty peer from emptying the list, or from directing requests to addresses
+// of its choice.
 func (n *Node) noticeSource() mergedsource.AdditionalSource {
 	return mergedsource.AdditionalSource{
 		SourceConfig: discovery.SourceConfig{
@@ -102,8 +104,8 @@
 	}
 }
 
-// endpointFromNotice returns the endpoint in the state that a notice implies: active
-// again if the notice has expired.
+// endpointFromNotice returns the endpoint of a notice with the state that the notice
+// implies. If the notice has expired, the endpoint is active again.
 func endpointFromNotice(notice *receivedNotice) discovery.Endpoint {
 	e := discovery.Endpoint{ID: notice.Endpoint, StartedAtMS: notice.StartedMS, State: balancer.Draining}
 	if notice.Removed {
--- a/internal/cluster/node/size.go
+++ b/internal/cluster/node/size.go
@@ -1,7 +1,7 @@
 package node
 
-// SizeChanged passes on the estimated number of members. The goroutine of Gossip.Run
-// calls it.
+// SizeChanged stores the estimated number of members and passes it to the function that
+// OnSizeChanged has set. The goroutine of Gossip.Run calls it.
 func (n *Node) SizeChanged(size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -23,8 +23,8 @@
 	}
 }
 
-// HasSizeListener reports whether OnSizeChanged was called, so that the estimate
-// replaces the configured number of members.
+// HasSizeListener reports whether OnSizeChanged was called. If it was, the estimate is
+// used instead of the configured number of members.
 func (n *Node) HasSizeListener() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
