--- a/internal/cluster/action.go
+++ b/internal/cluster/action.go
@@ -52,8 +52,8 @@
 // reportedBy returns the reason of a transition to a state that another member reported.
 func reportedBy(member string) string { return "reported by " + member }
 
-// reportedDeadBy returns the reason for suspecting a peer that another member reported
-// dead while it was alive in this member's view.
+// reportedDeadBy returns the reason for suspecting a peer because another member reported
+// it dead, although this member considered it alive.
 func reportedDeadBy(member string) string { return "reported dead by " + member }
 
 // notRefutedWithin returns the reason for declaring a member dead whose suspicion lasted for d.
--- a/internal/cluster/broadcast.go
+++ b/internal/cluster/broadcast.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// takeLevel calls visit with the broadcasts of one level, and returns taken with those
-// appended that visit has taken.
+// takeLevel does the work of take for one level. It appends the broadcasts for which visit
+// returned true for taken to the argument taken, and returns the result.
 func (q *broadcastQueue) takeLevel(
 	level int, taken []transmission, visit func(broadcast) (taken, more bool),
 ) (_ []transmission, more bool) {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -62,7 +62,7 @@
 	// more message loss, and sends more bytes.
 	RetransmitMult int
 	// PushPullInterval is the time between two comparisons of views, each with one member. Default: 30 ProbeInterval.
-	// A higher value sends fewer messages, and later repairs differences that gossip has left.
+	// A higher value sends fewer messages, and takes longer to repair differences that gossip has left.
 	PushPullInterval time.Duration
 	// ReconnectInterval is the time between attempts to reach dead members. Default: 5 ProbeInterval. A higher value
 	// sends fewer messages to members that no longer exist, and merges the halves of a partitioned cluster later.
@@ -102,10 +102,10 @@
 	c.Seeds = c.Seeds[:min(len(c.Seeds), maxSeeds)]
 }
 
-// setDefault replaces *value by byDefault if it is not positive.
-func setDefault[T time.Duration | int | float64](value *T, byDefault T) {
+// setDefault replaces *value by defaultValue if it is not positive.
+func setDefault[T time.Duration | int | float64](value *T, defaultValue T) {
 	if *value <= 0 {
-		*value = byDefault
+		*value = defaultValue
 	}
 }
 
--- a/internal/cluster/core.go
+++ b/internal/cluster/core.go
@@ -42,7 +42,7 @@
 	nextReconnectPushPull time.Duration   // earliest time of a push-pull with a dead member that is alive again
 	nextBacklogPushPull   time.Duration   // earliest time of a push-pull because of a backlog
 	pushPullTokens        float64         // number of push-pull requests that may be answered now
-	tokensUpdatedAt       time.Duration   // time as of which pushPullTokens is computed
+	tokensUpdatedAt       time.Duration   // time at which pushPullTokens was last updated
 	nameConflicts         []time.Duration // times at which the generation was raised, oldest first
 	stats                 Stats
 }
--- a/internal/cluster/digest.go
+++ b/internal/cluster/digest.go
@@ -52,7 +52,7 @@
 	binary.LittleEndian.PutUint64(encoded[8:], i.ProcessID)
 	binary.LittleEndian.PutUint64(encoded[16:], i.Refutations)
 	d := xxhash.New()
-	_, _ = d.WriteString(name) // a Digest's writes never fail
+	_, _ = d.WriteString(name) // Writes to an xxhash.Digest never return an error.
 	_, _ = d.Write(encoded[:])
 	return d.Sum64()
 }
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -17,9 +17,9 @@
 // and if none of them reaches it either, it is suspected. A suspicion is gossiped.
 // The suspect refutes it with a higher refutation counter; otherwise it is declared
 // dead when the suspicion times out. The timeout becomes shorter with each member
-// that confirms the suspicion. Updates are piggybacked on probes and acknowledgements and sent in
-// gossip messages of their own, a number of times that grows with the logarithm of
-// the cluster's size. Members periodically compare their views by digest and exchange
+// that confirms the suspicion. Updates are piggybacked on probes and acknowledgements
+// and sent in gossip messages of their own. Each member sends an update a number of times
+// that grows with the logarithm of the cluster's size. Members periodically compare their views by digest and exchange
 // only the entries that differ (push-pull). Dead members are probed for as long as the
 // process runs, so that two halves that have declared each other dead merge again.
 //
--- a/internal/cluster/gossip/codec.go
+++ b/internal/cluster/gossip/codec.go
@@ -92,7 +92,7 @@
 func mustEncodeMode() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the options are constant
+		panic(err) // EncMode fails only if the options are invalid, and these are constant.
 	}
 	return mode
 }
@@ -107,7 +107,7 @@
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constant
+		panic(err) // DecMode fails only if the options are invalid, and these are constant.
 	}
 	return mode
 }
@@ -254,8 +254,7 @@
 // ErrUnsupportedVersion. It does not retain frame.
 func Decode(frame []byte) (*cluster.Message, error) {
 	if len(frame) < frameHeaderBytes {
-		return nil, fmt.Errorf("%w: %d bytes, want at least the %d of the header",
-			ErrCorrupt, len(frame), frameHeaderBytes)
+		return nil, fmt.Errorf("%w: length of %d bytes, want at least %d", ErrCorrupt, len(frame), frameHeaderBytes)
 	}
 	if m := frame[:versionOffset]; string(m) != magic {
 		return nil, fmt.Errorf("%w: starts with %q, want %q", ErrCorrupt, m, magic)
@@ -265,7 +264,7 @@
 	}
 	body := frame[frameHeaderBytes:]
 	if got, want := binary.BigEndian.Uint64(frame[checksumOffset:]), xxhash.Sum64(body); got != want {
-		return nil, fmt.Errorf("%w: checksum %016x, want %016x", ErrCorrupt, got, want)
+		return nil, fmt.Errorf("%w: checksum in the header is %016x, want %016x", ErrCorrupt, got, want)
 	}
 	var w wireMessage
 	if err := decodeMode.Unmarshal(body, &w); err != nil {
--- a/internal/cluster/gossip/node_test.go
+++ b/internal/cluster/gossip/node_test.go
@@ -36,7 +36,8 @@
 	return s
 }
 
-// freeAddr returns an address that is free for datagrams and streams.
+// freeAddr returns a loopback address with a free TCP port. The nodes of the tests use it for
+// datagrams and streams.
 func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +86,7 @@
 		n.notices[0].Removed == want.Removed && n.notices[0].ReportedBy == want.ReportedBy
 }
 
-// startNode starts a node. If configure is not nil, it may change the configuration before.
+// startNode starts a node. configure, if it is not nil, changes the configuration first.
 func startNode(t *testing.T, name string, configure func(*Config), seeds ...netip.AddrPort) *testNode {
 	t.Helper()
 	n := &testNode{addr: freeAddr(t)}
@@ -177,7 +178,7 @@
 		t.Errorf("the member x of another cluster has the status %+v, want x as the only member", s)
 	}
 	if s := a.Status(); s.Core.ForeignMessages == 0 {
-		t.Errorf("messages of another cluster are not counted in the statistics %+v", s.Core)
+		t.Errorf("ForeignMessages is 0 after messages of another cluster, want more; statistics: %+v", s.Core)
 	}
 }
 
@@ -200,7 +201,7 @@
 		}
 	})
 	a.SetConfigRevision(3, 7)
-	b := startNode(t, "b", nil, a.addr) // has no revision
+	b := startNode(t, "b", nil, a.addr) // a member without a revision
 	b.SetConfiguredSize(40)
 	c := startNode(t, "c", nil, a.addr)
 	c.SetConfigRevision(3, 7)
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -59,7 +59,7 @@
 type Message struct {
 	Kind        Kind
 	ClusterName string
-	From        Entry // the sender itself: Alive, or Left if it is leaving
+	From        Entry // entry of the sender, in the state Alive, or Left if it leaves the cluster
 	Seq         uint64
 	Target      string // name of the probed member; in a Ping, empty to probe any member at the address
 	TargetAddr  Address
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -21,8 +21,9 @@
 	return p.deadline
 }
 
-// runProbe ends the probe in progress when its deadline has passed, and starts the next
-// one when it is due.
+// runProbe requests indirect probes when the deadline of the direct probe has passed, ends
+// the probe in progress when its own deadline has passed, and starts the next probe when it
+// is due.
 func (c *Core) runProbe() {
 	if p := &c.probe; p.active && p.directDeadline > 0 && c.now >= p.directDeadline {
 		p.directDeadline = 0
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -14,7 +14,7 @@
 		c.stats.Rejected++
 		return
 	}
-	if from.Name != c.self.Name { // If the names are equal, the sender is another process with this member's name.
+	if from.Name != c.self.Name { // A process with this member's name is not another member.
 		c.joined = true
 	}
 	from.ReportedBy = ""
--- a/internal/cluster/script_test.go
+++ b/internal/cluster/script_test.go
@@ -19,10 +19,9 @@
 //	tick DURATION                            advances the time and calls Tick whenever it is due
 //	stall DURATION                           calls Tick once, by DURATION later than it is due
 //	recv KIND from=b [process=N] [generation=N] [refutations=N] [left] [seq=N] [target=x] [at=x] [buckets=all]
-//	     [join] [cluster=x]
-//	                                         receives a message; "at" is the member at the target's address.
-//	     Its input has a line for each entry: "c suspect 1.200.0 by=d age=5s",
-//	     and a line for each notice: "notice s1 removed started=5 by=d age=1s"
+//	     [join] [cluster=x]                  receives a message; "at" names the member at the target's address
+//	     The input of recv has a line for each entry, such as "c suspect 1.200.0 by=d age=5s",
+//	     and a line for each notice, such as "notice s1 removed started=5 by=d age=1s".
 //	announce ENDPOINT [removed] [started=N]  announces a notice about an endpoint
 //	leave                                    announces that the member leaves
 //	view                                     prints the known members
@@ -133,8 +132,8 @@
 }
 
 // argument returns the value of a directive's argument, "yes" if it has none, and
-// byDefault if the argument is missing.
-func argument(d *datadriven.TestData, key, byDefault string) string {
+// defaultValue if the argument is missing.
+func argument(d *datadriven.TestData, key, defaultValue string) string {
 	for _, arg := range d.CmdArgs {
 		if arg.Key != key {
 			continue
@@ -144,7 +143,7 @@
 		}
 		return arg.Vals[0]
 	}
-	return byDefault
+	return defaultValue
 }
 
 func (s *scriptRunner) number(text string) uint64 {
--- a/internal/cluster/stats.go
+++ b/internal/cluster/stats.go
@@ -32,7 +32,7 @@
 	QueuedBroadcasts int `json:"queue"`     // updates waiting to be gossiped
 	Notices          int `json:"words"`     // endpoint notices that are valid
 	RemovedAddresses int `json:"forgotten"` // addresses of removed members that are still probed
-	// Counters:
+	// The following fields are counters, except LastStallNS.
 	Refutations        int   `json:"refuted"`       // updates about this member that it refuted
 	Stalls             int   `json:"stalls"`        // number of times that this process was stalled
 	NameConflicts      int   `json:"conflicts"`     // conflicts with another process that uses this member's name
--- a/internal/cluster/suspicion.go
+++ b/internal/cluster/suspicion.go
@@ -140,14 +140,14 @@
 	h[j].heapIndex = j
 }
 
-// Push appends x, a *suspicion. It is for package heap.
+// Push appends x, a *suspicion. Only package heap calls it.
 func (h *suspicionHeap) Push(x any) {
 	s := x.(*suspicion)
 	s.heapIndex = len(*h)
 	*h = append(*h, s)
 }
 
-// Pop removes the last element. It is for package heap.
+// Pop removes and returns the last element. Only package heap calls it.
 func (h *suspicionHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
