--- a/internal/cluster/self.go
+++ b/internal/cluster/self.go
@@ -13,8 +13,9 @@
 )
 
 // mergeOwnEntry handles an entry about this member. Depending on the state and the
-// incarnation of the entry, it refutes a wrong entry, or takes the next generation if
-// another process has had this name.
+// incarnation of the entry, it refutes a wrong entry, or takes the next generation. The
+// latter is needed if another process has had this name, or if the entry reports this
+// process as left, which is a final state.
 //
 // The refutation has a higher counter than the suspicion, so every member accepts it.
 // This prevents a live member from being declared dead because of one lost probe.
--- a/internal/cluster/suspicion.go
+++ b/internal/cluster/suspicion.go
@@ -33,15 +33,15 @@
 }
 
 // suspect starts a suspicion of a peer, and reports and gossips it.
-func (c *Core) suspect(p *peer, accuser, reason string) {
+func (c *Core) suspect(p *peer, reporter, reason string) {
 	formerState := p.State
 	p.State = Suspect
-	p.ReportedBy = accuser
+	p.ReportedBy = reporter
 	if formerState != Suspect {
 		p.since = c.now
 	}
 	c.addLive(p)
-	p.suspicion = c.newSuspicion(p, accuser)
+	p.suspicion = c.newSuspicion(p, reporter)
 	heap.Push(&c.suspicions, p.suspicion)
 	c.reportTransition(p, formerState, reason)
 	c.broadcasts.add(memberBroadcast(p.Name))
@@ -54,7 +54,7 @@
 // and suspicionMaxTimeoutMult times as long if none does. Both grow with the logarithm of
 // the number of members, because the time in which updates spread grows likewise. In a
 // cluster with too few members for maxConfirmations, the shorter timeout applies.
-func (c *Core) newSuspicion(p *peer, accuser string) *suspicion {
+func (c *Core) newSuspicion(p *peer, reporter string) *suspicion {
 	scale := max(1, math.Log10(float64(c.NumLive())))
 	minTimeout := time.Duration(c.cfg.SuspicionMult * scale * float64(c.cfg.ProbeInterval))
 	s := &suspicion{
@@ -62,7 +62,7 @@
 		startedAt:  c.now,
 		minTimeout: minTimeout,
 		maxTimeout: suspicionMaxTimeoutMult * minTimeout,
-		reporters:  []string{accuser},
+		reporters:  []string{reporter},
 	}
 	tooFewToConfirm := c.NumLive()-nonConfirming < maxConfirmations
 	if c.cfg.DisableLifeguard || tooFewToConfirm {
@@ -82,16 +82,16 @@
 
 // confirm adds a reporter to the suspicion of a peer, and gossips the suspicion again, so
 // that it becomes shorter at the other members as well.
-func (c *Core) confirm(p *peer, accuser string) {
+func (c *Core) confirm(p *peer, reporter string) {
 	s := p.suspicion
 	if s == nil || c.cfg.DisableLifeguard {
 		return
 	}
-	if len(s.reporters) > maxConfirmations || slices.Contains(s.reporters, accuser) {
+	if len(s.reporters) > maxConfirmations || slices.Contains(s.reporters, reporter) {
 		return
 	}
-	s.reporters = append(s.reporters, accuser)
-	p.ReportedBy = accuser
+	s.reporters = append(s.reporters, reporter)
+	p.ReportedBy = reporter
 	s.timeoutAt = max(c.now, s.startedAt+s.timeout())
 	heap.Fix(&c.suspicions, s.heapIndex)
 	c.broadcasts.add(memberBroadcast(p.Name))
@@ -114,7 +114,7 @@
 	}
 }
 
-// declareDead declares the peer of a suspicion dead that was not refuted in time.
+// declareDead declares a suspected peer dead after it has not refuted the suspicion in time.
 func (c *Core) declareDead(s *suspicion) {
 	p := s.target
 	c.cancelSuspicion(p)
