--- a/internal/idempotency/clock.go
+++ b/internal/idempotency/clock.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Time is a point on the timeline of the records, in milliseconds. The timeline continues over restarts of the program
-// and never goes back: while the machine is up it follows the machine's boot clock, whatever happens to wall time, and
-// after a restart of the machine it continues at wall time, if that is later.
+// Time is a point on the timeline of the records, in milliseconds. The timeline continues across restarts of the
+// program and never goes back. While the machine is up, the timeline follows the boot clock and ignores changes of wall
+// time. After a restart of the machine it continues at wall time, or where it was if wall time is earlier.
 type Time int64
 
 // Reading holds the values of the machine's clocks at one moment.
 type Reading struct {
 	BootID string        // identifies the machine's boot
-	Uptime time.Duration // since that boot, including sleep
+	Uptime time.Duration // time since that boot, including sleep
 	Wall   time.Time
 }
 
-// ClockState is the stored state of a Clock: the point at which its timeline was started or continued.
+// ClockState is the stored state of a Clock: the point at which its timeline started in the current boot.
 type ClockState struct {
 	BootID     string
 	Uptime     time.Duration
 	Time       Time
-	BootNumber uint32 // counts the boots of the machine that the timeline has seen, from 1
+	BootNumber uint32 // number of the boot on this timeline, from 1; 0 in the zero value
 }
 
-// Clock is the timeline of one run of the program.
+// Clock converts readings of the boot clock to the timeline of the records, during one run of the program.
 type Clock struct{ ClockState }
 
-// ResumeClock decides where a timeline continues: on the boot clock within one boot of the machine, and otherwise at
-// the latest of wall time, the stored state and latest, as another boot. This prevents wall time that is set back from
-// extending an idempotency window. stored is the state that the last run of the program stored, zero if there is none;
-// latest is the latest Time that any record mentions. The caller stores the state of the returned Clock if it differs
-// from stored.
+// ResumeClock decides where the timeline continues after a start of the program. Within the same boot of the machine it
+// continues on the boot clock. In another boot it continues at the latest of wall time, the stored state and latest,
+// with the next boot number. This prevents wall time that is set back from extending an idempotency window. stored is
+// the state that the last run of the program stored, zero if there is none; latest is the latest Time in any record.
+// The caller stores the state of the returned Clock if it differs from stored.
 func ResumeClock(stored ClockState, latest Time, reading Reading) Clock {
 	if stored.BootNumber > 0 && stored.BootID == reading.BootID && reading.Uptime >= stored.Uptime {
 		return Clock{stored}
@@ -50,21 +50,22 @@
 	}
 }
 
-// Instant is a point on the timeline together with the boot of the machine in which it was read.
+// Instant is a point on the timeline together with the number of the machine's boot in which it was read.
 type Instant struct {
 	Time       Time
 	BootNumber uint32
 }
 
-// unmeasured is the duration between instants of different boots. It is longer than any retention: a shorter one would
-// permit repeats of keyed requests after a restart of the machine.
-const unmeasured = 100 * 365 * 24 * time.Hour
+// unknownElapsed is the assumed duration between instants of different boots, which no clock has measured. It is longer
+// than any retention: a shorter one would permit keyed requests to be sent again after a restart of the machine,
+// although their idempotency window may have passed.
+const unknownElapsed = 100 * 365 * 24 * time.Hour
 
-// MaxElapsedSince returns an upper bound of the time that has passed since an earlier instant. Between instants of
-// different boots nothing has measured the time, and the bound is longer than any retention.
+// MaxElapsedSince returns an upper bound of the time that has passed since an earlier instant. For instants of
+// different boots it returns unknownElapsed.
 func (i Instant) MaxElapsedSince(earlier Time, bootNumber uint32) time.Duration {
 	if bootNumber != i.BootNumber {
-		return unmeasured
+		return unknownElapsed
 	}
 	return time.Duration(i.Time-earlier+1) * time.Millisecond // both were truncated to whole milliseconds
 }
--- a/internal/idempotency/decisions.go
+++ b/internal/idempotency/decisions.go
@@ -11,8 +11,8 @@
 
 // The decisions on a request.
 const (
-	Admit       RequestDecision = iota // it proceeds, bound to where earlier attempts may have run
-	FailRequest                        // its effect may have been brought about and nothing may be sent: it fails
+	Admit       RequestDecision = iota // the request proceeds, bound to where earlier attempts may have run
+	FailRequest                        // the request fails: its operation may have run, and nothing may be sent
 )
 
 // AttemptDecision is the answer of BeginAttempt.
@@ -20,27 +20,31 @@
 
 // The decisions on an attempt.
 const (
-	// Send: it may be sent.
+	// Send means that the attempt may be sent.
 	Send AttemptDecision = iota
-	// WriteRecord: it may be sent once the returned record is durable. The caller calls RecordWritten.
+	// WriteRecord means that the attempt may be sent once the returned record is durable. The caller has to write the
+	// record and call RecordWritten.
 	WriteRecord
-	// AwaitWrite: it may be sent once the fingerprint's write in flight is durable: see IsDurable.
+	// AwaitWrite means that the record of the fingerprint is being written. Once that write has ended, the attempt may
+	// be sent if IsDurable returns true.
 	AwaitWrite
-	// Forbid: it must not be sent.
+	// Forbid means that the attempt must not be sent.
 	Forbid
-	// TableFull: it would need an entry beyond Config.MaxEntries.
+	// TableFull means that the attempt needs a new entry and that there are Config.MaxEntries already.
 	TableFull
 )
 
 // AdmitRequest decides on a request of a class that is not idempotent, by the class's effect, its idempotency window,
-// and what may have run with the same fingerprint:
+// and the attempts with the same fingerprint that may have run:
 //
-//   - Where the class has no keys, it fails if another request is in flight or may have run.
-//   - Where it has, it fails unless the window of each attempt that may have run has certainly not passed yet.
+//   - If the class is NonIdempotent, the request fails if another request with the fingerprint is in flight or may have
+//     run.
+//   - If the class is Keyed, the request fails unless the idempotency window of each attempt that may have run has
+//     certainly not passed yet.
 //
-// This prevents a client's retry under a new request ID from bringing about its effect twice. If it returns Admit, the
-// caller calls EndRequest once; the locations are where attempts of other requests with the same fingerprint may have
-// run.
+// This prevents a client's retry under a new request ID from executing its operation twice. If the decision is Admit,
+// the caller calls EndRequest once. The returned locations are those at which attempts of other requests with the same
+// fingerprint may have run.
 func (t *Tracker) AdmitRequest(now Instant, fp Fingerprint, class string) (RequestDecision, []Location) {
 	t.expire(now)
 	c := t.classes[class]
@@ -62,16 +66,17 @@
 	return Admit, earlier
 }
 
-// BeginAttempt decides whether an attempt may be sent to an endpoint in the given zone and cell, by what may have run
-// since its request was admitted: it must be within the window and inside the scope of all of that, there must be room
-// for its entry, and its record must be durable first. This prevents an attempt that waited, or that another request
-// with the same fingerprint overtook, from having the effect a second time, also after a restart.
+// BeginAttempt decides whether an attempt may be sent to an endpoint in the given zone and cell. It considers all
+// attempts with the fingerprint that may have run, including those that were sent after the request was admitted. The
+// attempt must be within their idempotency window and inside their scope, there must be room for its entry, and its
+// record must be durable first. This prevents an attempt that waited, or that another request with the same fingerprint
+// overtook, from executing the operation a second time, also after a restart.
 //
-// Unless it returns Forbid or TableFull, the caller calls EndAttempt once; if it returns WriteRecord, the caller first
-// calls RecordWritten, when the returned record is durable or could not be written.
+// Unless the decision is Forbid or TableFull, the caller calls EndAttempt once. If it is WriteRecord, the caller calls
+// RecordWritten before that, when the returned record is durable or could not be written.
 func (t *Tracker) BeginAttempt(now Instant, fp Fingerprint, zone string, cell int) (AttemptDecision, *Attempt, Record) {
 	e := t.entries[fp]
-	if e == nil { // the request proceeded, and has had its final answer since
+	if e == nil { // the request was admitted, and has had its final answer since
 		return Forbid, nil, Record{}
 	}
 	class := t.classes[e.class]
@@ -101,9 +106,9 @@
 	return WriteRecord, attempt, e.record()
 }
 
-// withinWindow decides whether a repeat is in time: the idempotency window of the class has certainly not passed since
-// any attempt that may have run, so that the endpoints that saw it still drop its repeat. A class without keys has no
-// window: for it nothing may have run.
+// withinWindow decides whether another attempt is in time: the idempotency window of the class has certainly not passed
+// since any attempt that may have run, so that the endpoints that received it still recognize a duplicate. A
+// NonIdempotent class has no window: for it, the result is true only if no attempt may have run.
 func (e *entry) withinWindow(now Instant, class balancer.Class) bool {
 	return !slices.ContainsFunc(e.locations, func(l *location) bool {
 		elapsed := now.MaxElapsedSince(l.SentAt, l.BootNumber)
@@ -111,8 +116,9 @@
 	})
 }
 
-// hasLocationOutside decides whether a zone and cell are closed to a repeat: an attempt may have run outside their
-// idempotency scope, where the endpoints do not know of it. For a class without keys any other attempt is outside.
+// hasLocationOutside decides whether a zone and cell are forbidden to another attempt, because an earlier one may have
+// run outside their idempotency scope: the endpoints there would not recognize the duplicate. For a NonIdempotent class
+// every earlier attempt counts as outside.
 func (e *entry) hasLocationOutside(class balancer.Class, zone string, cell int) bool {
 	return slices.ContainsFunc(e.locations, func(l *location) bool {
 		switch {
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,12 +1,13 @@
-// Package idempotency decides which requests may be sent without bringing about their effect twice. It tracks, by
-// fingerprint, which requests may already have run, where, and since when, so that neither a client's retry under a new
-// request ID nor a restart of the program repeats an effect.
+// Package idempotency decides which requests may be sent without executing an operation twice. It tracks, by
+// fingerprint, which requests may already have run, where, and since when. This way neither a client's retry under a
+// new request ID nor a restart of the program executes an operation a second time.
 //
 // The package does no I/O and reads no clock. Package middleware stores its records in a write-ahead log and places it
-// between a front, the engine and a transport. The order of calls for a request that is not idempotent:
+// between a front, the engine and a transport. The intent of an attempt is the decision to send it; its record is
+// stored before the attempt is sent. The order of calls for a request that is not idempotent:
 //
-//	AdmitRequest    when the request arrives: it proceeds, bound to where earlier attempts may have run, or it fails
-//	BeginAttempt    before each attempt: whether it may be sent, and which record has to be durable first
+//	AdmitRequest    when the request arrives: admits it, bound to where earlier attempts may have run, or fails it
+//	BeginAttempt    before each attempt: decides whether it may be sent, and which record has to be durable first
 //	RecordWritten   when that record is durable, or could not be written
 //	EndAttempt      when the attempt has ended, or was abandoned before it was sent
 //	EndRequest      when the request has its final answer
@@ -15,10 +16,10 @@
 //
 //   - A request that is not idempotent is sent only while no attempt with its fingerprint may have run, in this run of
 //     the program or, as far as the log preserves it, in an earlier one. Until Config.Retention has passed since that
-//     attempt, a repeat fails.
+//     attempt, further requests with the fingerprint fail.
 //   - A request with an idempotency key is sent only to the scope in which earlier attempts with its fingerprint may
-//     have run, and only while the idempotency window of the first of them has certainly not passed. After that a
-//     repeat fails, until Config.Retention has passed.
-//   - A duration that cannot be measured, because the machine was restarted in between, counts as too long where it
-//     permits a repeat, and as no longer than the clocks say where it forbids one.
+//     have run, and only while the idempotency window of the first of them has certainly not passed. After that,
+//     further requests with the fingerprint fail until Config.Retention has passed.
+//   - A duration that cannot be measured, because the machine was restarted in between, is handled conservatively: an
+//     idempotency window counts as passed, and a retention period ends no earlier than the records' timeline says.
 package idempotency
--- a/internal/idempotency/encoding.go
+++ b/internal/idempotency/encoding.go
@@ -15,8 +15,8 @@
 //	locations: count (1), each: sent at (8) | boot number (4) | cell (4) | zone: length (1), text
 const formatVersion = 1
 
-// Limits of the encoding, whose lengths and counts take one byte. A record has one location as a rule; further ones are
-// in the same idempotency scope by the balancer's choice.
+// Limits of the encoding, whose lengths and counts take one byte. A record usually has one location. Further locations
+// are in the same idempotency scope, because the balancer keeps later attempts inside it.
 const (
 	maxTextBytes = 255
 	maxLocations = 255
@@ -31,6 +31,8 @@
 // ErrFormat is returned for stored data that is not in a format that this version of the program reads.
 var ErrFormat = errors.New("idempotency: stored data has an unknown format")
 
+var errTruncated = fmt.Errorf("%w: data is truncated", ErrFormat)
+
 // Append appends the encoding of the record to b. Class and zone names are truncated to 255 bytes.
 func (r *Record) Append(b []byte) []byte {
 	b = append(b, formatVersion, byte(r.Effect), byte(r.State))
@@ -75,10 +77,16 @@
 			Zone:       d.text(),
 		})
 	}
-	hasEffect := r.Effect == balancer.Keyed || r.Effect == balancer.NonIdempotent
-	hasState := r.State >= StateOpen && r.State <= StateExecuted
-	if d.truncated || len(d.rest) > 0 || !hasEffect || !hasState {
-		return Record{}, ErrFormat
+	if err := d.end(); err != nil {
+		return Record{}, err
+	}
+	if r.Effect != balancer.Keyed && r.Effect != balancer.NonIdempotent {
+		return Record{}, fmt.Errorf("%w: record has effect %d, want %d or %d",
+			ErrFormat, r.Effect, balancer.Keyed, balancer.NonIdempotent)
+	}
+	if r.State < StateOpen || r.State > StateExecuted {
+		return Record{}, fmt.Errorf("%w: record has state %d, want %d to %d",
+			ErrFormat, r.State, StateOpen, StateExecuted)
 	}
 	return r, nil
 }
@@ -105,16 +113,16 @@
 		BootNumber: d.uint32(),
 	}
 	if d.truncated {
-		return ClockState{}, ErrFormat
+		return ClockState{}, errTruncated
 	}
 	s.BootID = string(d.rest)
 	return s, nil
 }
 
-// decoder reads an encoding from its start. After a read beyond the end it is truncated and returns zeros.
+// decoder reads an encoding from its start.
 type decoder struct {
-	rest      []byte
-	truncated bool
+	rest      []byte // bytes that have not been read
+	truncated bool   // set by a read beyond the end; this read and all later ones return zeros
 }
 
 func (d *decoder) take(n int) []byte {
@@ -128,8 +136,23 @@
 }
 
 func (d *decoder) version() error {
-	if v := d.byte(); d.truncated || v != formatVersion {
-		return fmt.Errorf("%w: version %d", ErrFormat, v)
+	v := d.byte()
+	if d.truncated {
+		return errTruncated
+	}
+	if v != formatVersion {
+		return fmt.Errorf("%w: version %d, want %d", ErrFormat, v, formatVersion)
+	}
+	return nil
+}
+
+// end returns an error unless all bytes, and none beyond them, have been read.
+func (d *decoder) end() error {
+	if d.truncated {
+		return errTruncated
+	}
+	if len(d.rest) > 0 {
+		return fmt.Errorf("%w: %d bytes follow the last field", ErrFormat, len(d.rest))
 	}
 	return nil
 }
--- a/internal/idempotency/encoding_test.go
+++ b/internal/idempotency/encoding_test.go
@@ -11,10 +11,10 @@
 	"hazelwing/balancer"
 )
 
-// storedEncodings are the encodings that 593ba64 wrote of storedRecords and storedClocks, a line each: name,
-// hexadecimal digits.
+// storedEncodings holds the encodings of storedRecords, storedClocks and a fingerprint that the program of commit
+// 593ba64 wrote. Each line has a name and the encoding in hexadecimal digits.
 //
-//nolint:lll // one line an encoding
+//nolint:lll // each encoding takes one line
 const storedEncodings = `unsafe-open 01020101a35635a2010000c2ca5f35a201000004626f6f6b0103a35635a201000001000000000000000161
 keyed-unknown 01010204000000000000000500000000000000037061790206000000000000000403020107000000067a6f6e652d32f8ffffffffffffff09000000ffffffff00
 keyed-ran 010103f6ffffffffffffff00000000000000100000
@@ -68,30 +68,32 @@
 	{"time-of-nothing", ClockState{}},
 }
 
-// Records, clocks and fingerprints are encoded as in 593ba64, and decoded as what they were.
+// Records, clock states and fingerprints have the same encodings as at commit 593ba64, and decoding restores the
+// original values. A change of the encoding would make stored records of earlier versions unreadable.
 func TestEncodingsAreStable(t *testing.T) {
 	var out strings.Builder
 	for _, r := range storedRecords {
 		data := r.Append(nil)
 		fmt.Fprintln(&out, r.name, hex.EncodeToString(data))
 		if decoded, err := ParseRecord(data); err != nil || !reflect.DeepEqual(decoded, r.Record) {
-			t.Errorf("%s is read as %+v, %v", r.name, decoded, err)
+			t.Errorf("record %s is decoded as %+v, error %v, want %+v", r.name, decoded, err, r.Record)
 		}
 	}
 	for _, s := range storedClocks {
 		data := s.Append(nil)
 		fmt.Fprintln(&out, s.name, hex.EncodeToString(data))
 		if decoded, err := ParseClockState(data); err != nil || decoded != s.ClockState {
-			t.Errorf("%s is read as %+v, %v", s.name, decoded, err)
+			t.Errorf("clock state %s is decoded as %+v, error %v, want %+v", s.name, decoded, err, s.ClockState)
 		}
 	}
 	fmt.Fprintln(&out, "fingerprint", NewFingerprint("book", "tenant", "key"))
 	if got := out.String(); got != storedEncodings {
-		t.Errorf("they are\n%s, want\n%s", got, storedEncodings)
+		t.Errorf("encodings are\n%s, want\n%s", got, storedEncodings)
 	}
 }
 
-// A record is decoded as what was encoded, and no encoding that is cut or longer is decoded.
+// Decoding an encoded record restores the original, and an encoding that is truncated or has trailing bytes is
+// rejected.
 func TestRecordEncoding(t *testing.T) {
 	want := Record{
 		Effect:     balancer.Keyed,
@@ -106,17 +108,17 @@
 	}
 	data := want.Append(nil)
 	if got, err := ParseRecord(data); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded as %+v, %v", got, err)
+		t.Errorf("record is decoded as %+v, error %v, want %+v", got, err, want)
 	}
 	for n := range data {
 		if _, err := ParseRecord(data[:n]); err == nil {
-			t.Errorf("cut at byte %d of %d, it is decoded", n, len(data))
+			t.Errorf("a record truncated to %d of %d bytes is decoded, want an error", n, len(data))
 		}
 	}
 	if _, err := ParseRecord(append(data, 0)); err == nil {
-		t.Error("a record with a further byte is decoded")
+		t.Error("a record with a trailing byte is decoded, want an error")
 	}
 	if NewFingerprint("a", "bc", "d") == NewFingerprint("ab", "c", "d") {
-		t.Error("two requests have the same fingerprint")
+		t.Error("the classes and identities \"a\", \"bc\" and \"ab\", \"c\" have the same fingerprint")
 	}
 }
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -6,7 +6,7 @@
 	"hazelwing/balancer"
 )
 
-// entry is what a Tracker holds of a fingerprint. record returns what is stored of it.
+// entry is the state that a Tracker keeps for a fingerprint. Its method record returns the part that is stored.
 type entry struct {
 	fingerprint    Fingerprint
 	effect         balancer.Effect
@@ -15,25 +15,25 @@
 	intendedAt     Time // intent of the first attempt; 0 before it
 	expiresAt      Time
 	locations      []*location
-	requests       int  // in flight
-	attempts       int  // begun and not ended
-	writeInFlight  bool // its record is being written
-	writeAttempted bool // its record was written, or may have been
+	requests       int  // number of requests in flight
+	attempts       int  // number of attempts that have begun and not ended
+	writeInFlight  bool // the record is being written
+	writeAttempted bool // the record was written, or may have been
 	isReleased     bool // no longer needed, but in Tracker.byExpiry until expire or release removes it there
-	isRestored     bool // from an earlier run of the program
+	isRestored     bool // restored from an earlier run of the program
 }
 
-// location is a Location with the number of attempts that may have run there.
+// location is a Location with the state that is not stored.
 type location struct {
 	Location
-	possibleRuns int
-	isDurable    bool // a durable record mentions it
+	possibleRuns int  // number of attempts that may have run there
+	isDurable    bool // a durable record contains the location
 }
 
-// addPossibleRun counts an attempt, at the last location that there is or else at a new one. The attempt's own zone and
-// cell are not needed where there is a location: BeginAttempt allows an attempt only inside the idempotency scope of
-// all locations, so the zone or cell that the scope compares is the same. The location's SentAt is the earlier one,
-// from which the idempotency window ends sooner.
+// addPossibleRun counts an attempt at the entry's last location, or at a new one if the entry has none. An existing
+// location represents the attempt's own zone and cell as well: BeginAttempt allows an attempt only inside the
+// idempotency scope of all locations, so the zone or cell that the scope compares is the same. The location keeps the
+// SentAt of its first attempt, from which the idempotency window ends sooner.
 func (e *entry) addPossibleRun(now Instant, zone string, cell int) *location {
 	var l *location
 	if len(e.locations) > 0 {
@@ -46,7 +46,7 @@
 	return l
 }
 
-// removePossibleRun takes back an attempt that never ran, and the location with its last one.
+// removePossibleRun undoes addPossibleRun for an attempt that never ran. It removes the location with its last attempt.
 func (e *entry) removePossibleRun(l *location) {
 	l.possibleRuns--
 	if l.possibleRuns == 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// record returns the entry's record as it is to be stored.
+// record returns the record to store for the entry.
 func (e *entry) record() Record {
 	r := Record{
 		Effect:     e.effect,
--- a/internal/idempotency/fingerprint.go
+++ b/internal/idempotency/fingerprint.go
@@ -6,9 +6,9 @@
 	"encoding/hex"
 )
 
-// Fingerprint identifies an effect: it is the same for all requests of one class and tenant with the same idempotency
-// key, or with the same request ID where the client sent no key. It is a prefix of a SHA-256 hash, so that no client
-// can construct a collision with another client's request.
+// Fingerprint identifies an operation that must run only once. It is the same for all requests of one class and tenant
+// with the same idempotency key, or with the same request ID if the client sent no key. It is a prefix of a SHA-256
+// hash, so that no client can construct a collision with another client's request.
 type Fingerprint [16]byte
 
 // NewFingerprint returns the fingerprint of a class, a tenant, and an idempotency key or request ID. Each is hashed
--- a/internal/idempotency/harness_test.go
+++ b/internal/idempotency/harness_test.go
@@ -31,8 +31,8 @@
 	},
 }
 
-// machine is a machine whose clocks the test moves, with a disk that holds the records, and a program on it that is
-// started again and again.
+// machine simulates a machine whose clocks the test sets, and the program on it, which can be restarted. disk holds the
+// stored records.
 type machine struct {
 	tracker    *Tracker
 	clock      Clock
@@ -53,7 +53,7 @@
 	}
 }
 
-// start starts the program, which restores the records of the disk.
+// start starts the program, which restores the records from the disk.
 func (m *machine) start(t *testing.T) {
 	t.Helper()
 	m.tracker = New(Config{Classes: testClasses, Retention: time.Minute, MaxEntries: m.maxEntries})
@@ -62,14 +62,14 @@
 	for fp, data := range m.disk {
 		record, err := ParseRecord(data)
 		if err != nil {
-			t.Fatalf("record of %v: %v", fp, err)
+			t.Fatalf("decoding the record of %v: %v", fp, err)
 		}
 		records[fp] = record
 		latest = max(latest, record.Latest())
 	}
 	stored, err := ParseClockState(m.clock.Append(nil))
 	if err != nil || stored != m.clock.ClockState {
-		t.Fatalf("clock state is read as %+v, %v, want %+v", stored, err, m.clock.ClockState)
+		t.Fatalf("clock state is decoded as %+v, error %v, want %+v", stored, err, m.clock.ClockState)
 	}
 	m.clock = ResumeClock(stored, latest, m.reading)
 	for fp, record := range records {
@@ -79,22 +79,22 @@
 
 func (m *machine) now() Instant { return m.clock.At(m.reading.Uptime) }
 
-// pass lets time pass on both clocks.
-func (m *machine) pass(d time.Duration) {
+// advance moves both clocks forward.
+func (m *machine) advance(d time.Duration) {
 	m.reading.Uptime += d
 	m.reading.Wall = m.reading.Wall.Add(d)
 }
 
-// reboot restarts the machine, without starting the program.
+// reboot restarts the machine. It does not start the program.
 func (m *machine) reboot() {
 	m.reading.BootID += "x"
 	m.reading.Uptime = time.Second
 }
 
-// write puts a record on the disk.
+// write stores a record on the disk.
 func (m *machine) write(fp Fingerprint, record *Record) { m.disk[fp] = record.Append(nil) }
 
-// end ends an attempt and carries out the update that follows from it.
+// end ends an attempt and applies the resulting update to the disk.
 func (m *machine) end(a *Attempt, mayHaveRun, wasAnswered bool) Update {
 	update := m.tracker.EndAttempt(a, mayHaveRun, wasAnswered)
 	switch update.Kind {
--- a/internal/idempotency/random_test.go
+++ b/internal/idempotency/random_test.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// Kinds of random events, as the lower four bits of a byte. The upper four are their argument.
+// Kinds of random events, encoded in the lower four bits of a byte. The upper four bits are the event's argument.
 const (
-	eventAdmit         = 0  // to 2
-	eventAttempt       = 3  // to 6
-	eventAnswer        = 7  // the attempt is answered
-	eventNoAnswer      = 8  // it ends, and may have run
-	eventNotRun        = 9  // it ends, and never ran
-	eventEndRequest    = 10 //
-	eventPass          = 11 // or 12
-	eventWallGoesBack  = 13 // forwards it could expire entries early, and no clock would tell
+	eventAdmit         = 0 // 0 to 2
+	eventAttempt       = 3 // 3 to 6
+	eventAnswer        = 7 // an attempt is answered
+	eventNoAnswer      = 8 // an attempt ends without an answer, and may have run
+	eventNotRun        = 9 // an attempt ends, and is proved not to have run
+	eventEndRequest    = 10
+	eventAdvance       = 11 // 11 and 12: time passes
+	eventWallBack      = 13 // never forwards: entries could expire early without any clock showing it
 	eventRestart       = 14
 	eventRebootMachine = 15
 )
 
-var randomEffects = []struct{ name, class string }{
+// randomOperations are the operations that the random requests execute.
+var randomOperations = []struct{ name, class string }{
 	{"b0", "book"},
 	{"b1", "book"},
 	{"p0", "pay"},
@@ -31,9 +32,9 @@
 
 // sentAttempt is an attempt that was sent.
 type sentAttempt struct {
-	at       time.Duration // in true time
+	at       time.Duration // value of randomRun.trueTime
 	zone     string
-	neverRan bool
+	neverRan bool // proved not to have run
 }
 
 // openAttempt is an attempt that has not ended.
@@ -42,18 +43,18 @@
 	sent    *sentAttempt // nil if it was not sent
 }
 
-// randomRun plays random events and checks what is sent against the guarantees of the package.
+// randomRun applies random events and checks the attempts that are sent against the guarantees of the package.
 type randomRun struct {
 	*machine
 	t        *testing.T
-	event    int
-	trueTime time.Duration // passes whatever the clocks say
-	sent     map[string][]*sentAttempt
-	requests map[string]int
+	event    int                       // index of the current event
+	trueTime time.Duration             // elapsed time, independent of the simulated clocks
+	sent     map[string][]*sentAttempt // by operation
+	requests map[string]int            // number of requests in flight, by operation
 	open     []*openAttempt
 }
 
-// checkRandomEvents plays the events that data encodes, a byte each.
+// checkRandomEvents applies the events that data encodes, one in each byte.
 func checkRandomEvents(t *testing.T, data []byte) {
 	r := &randomRun{
 		machine:  newMachine(8),
@@ -64,34 +65,38 @@
 	r.start(t)
 	for i, b := range data {
 		r.event = i
-		r.play(int(b&15), int(b>>4))
-		r.forgetExpired()
-		if s := r.tracker.Stats(); s.Entries > r.maxEntries+len(randomEffects) || s.Open+s.RestoredOpen > s.Entries {
-			t.Fatalf("event %d: %+v", i, s)
+		r.apply(int(b&15), int(b>>4))
+		r.removeExpired()
+		s := r.tracker.Stats()
+		if maxEntries := r.maxEntries + len(randomOperations); s.Entries > maxEntries {
+			t.Fatalf("event %d: %d entries, want at most %d", i, s.Entries, maxEntries)
+		}
+		if s.Open+s.RestoredOpen > s.Entries {
+			t.Fatalf("event %d: more open intents than entries: %+v", i, s)
 		}
 	}
 }
 
-func (r *randomRun) play(event, arg int) {
-	effect := randomEffects[arg%4]
-	fp := NewFingerprint(effect.class, "", effect.name)
+func (r *randomRun) apply(event, arg int) {
+	operation := randomOperations[arg%4]
+	fp := NewFingerprint(operation.class, "", operation.name)
 	switch {
 	case event < eventAttempt:
-		if v, _ := r.tracker.AdmitRequest(r.now(), fp, effect.class); v == Admit {
-			r.requests[effect.name]++
+		if decision, _ := r.tracker.AdmitRequest(r.now(), fp, operation.class); decision == Admit {
+			r.requests[operation.name]++
 		}
-	case event < eventAnswer && r.requests[effect.name] > 0:
+	case event < eventAnswer && r.requests[operation.name] > 0:
 		r.beginAttempt(fp, arg)
 	case event <= eventNotRun && len(r.open) > 0:
 		r.endAttempt(event, arg)
-	case event == eventEndRequest && r.requests[effect.name] > 0:
-		r.requests[effect.name]--
+	case event == eventEndRequest && r.requests[operation.name] > 0:
+		r.requests[operation.name]--
 		r.tracker.EndRequest(fp)
-	case event == eventPass, event == eventPass+1:
+	case event == eventAdvance, event == eventAdvance+1:
 		d := time.Duration(arg+1) * 700 * time.Millisecond
 		r.trueTime += d
-		r.pass(d)
-	case event == eventWallGoesBack:
+		r.advance(d)
+	case event == eventWallBack:
 		r.reading.Wall = r.reading.Wall.Add(-time.Minute)
 	case event >= eventRestart:
 		if event == eventRebootMachine {
@@ -102,9 +107,9 @@
 	}
 }
 
-// beginAttempt begins an attempt. Its record is durable at once, or not at all.
+// beginAttempt begins an attempt. The write of its record succeeds or fails at once.
 func (r *randomRun) beginAttempt(fp Fingerprint, arg int) {
-	effect := randomEffects[arg%4]
+	operation := randomOperations[arg%4]
 	zone := string(rune('a' + arg/4%2))
 	decision, a, record := r.tracker.BeginAttempt(r.now(), fp, zone, 0)
 	if a == nil {
@@ -123,11 +128,11 @@
 		return
 	}
 	o.sent = &sentAttempt{at: r.trueTime, zone: zone}
-	r.checkSent(effect.name, effect.class, zone)
-	r.sent[effect.name] = append(r.sent[effect.name], o.sent)
+	r.checkSent(operation.name, operation.class, zone)
+	r.sent[operation.name] = append(r.sent[operation.name], o.sent)
 }
 
-// checkSent checks an attempt that is being sent against the earlier ones of the same effect.
+// checkSent checks an attempt that is being sent against the earlier attempts of the same operation.
 func (r *randomRun) checkSent(name, class, zone string) {
 	for _, earlier := range r.sent[name] {
 		if earlier.neverRan {
@@ -135,10 +140,11 @@
 		}
 		elapsed := r.trueTime - earlier.at
 		if class == "book" {
-			r.t.Fatalf("event %d: %s is sent again, after %v", r.event, name, elapsed)
+			r.t.Fatalf("event %d: %s, which is not idempotent, is sent again after %v", r.event, name, elapsed)
 		}
 		if earlier.zone != zone || elapsed >= 6*time.Second {
-			r.t.Fatalf("event %d: %s is sent to zone %s %v after zone %s", r.event, name, zone, elapsed, earlier.zone)
+			r.t.Fatalf("event %d: %s is sent to zone %s, %v after an attempt in zone %s; want the same zone within 6s",
+				r.event, name, zone, elapsed, earlier.zone)
 		}
 	}
 }
@@ -154,8 +160,8 @@
 	r.end(o.attempt, !neverRan, event == eventAnswer)
 }
 
-// forgetExpired removes what is not remembered any longer and may be sent again.
-func (r *randomRun) forgetExpired() {
+// removeExpired removes the sent attempts whose retention has passed, so that their operations may be sent again.
+func (r *randomRun) removeExpired() {
 	for name, list := range r.sent {
 		if len(list) > 0 && r.trueTime-list[0].at > time.Minute {
 			r.sent[name] = nil
@@ -163,7 +169,7 @@
 	}
 }
 
-// Seeded random events go through the check of FuzzTracker.
+// Runs the check of FuzzTracker with seeded random events.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(20_000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -175,9 +181,9 @@
 	}
 }
 
-// Whatever events come in whatever order, with restarts of the program and of the machine and wall time that jumps: no
-// request that is not idempotent is sent twice unless the first attempt was proved not to have run, and no keyed one
-// outside its zone and window.
+// Checks the guarantees of the package for any order of events, which include restarts of the program and the machine
+// and wall time that is set back: no request that is not idempotent is sent twice unless the first attempt is proved
+// not to have run, and no keyed request is sent again outside the zone and window of its first attempt.
 func FuzzTracker(f *testing.F) {
 	f.Add([]byte("\x00\x01\x02\x03\x10\x21\x32\x43\x54\x65\x76\x87"))
 	f.Add([]byte("\x05\x15\x25\x35\x45\x55\x65\x75\x85\x95\xa5\xb5\xc5"))
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -2,25 +2,25 @@
 
 import "hazelwing/balancer"
 
-// State tells how far the attempts with a fingerprint have come.
+// State is the progress of the attempts with a fingerprint.
 type State byte
 
 // The states of a record. Their numbers are stored.
 const (
 	StateOpen     State = 1 // an attempt is in flight, or was when the program ended
-	StateUnknown  State = 2 // all attempts have ended, and one may have run
-	StateExecuted State = 3 // an attempt was answered
+	StateUnknown  State = 2 // all attempts have ended, and at least one may have run
+	StateExecuted State = 3 // at least one attempt was answered
 )
 
-// Location is where attempts may have run.
+// Location is a zone and cell in which attempts may have run.
 type Location struct {
 	Zone       string
 	Cell       int
 	SentAt     Time   // intent of the first attempt there
-	BootNumber uint32 // boot of the machine in which SentAt was read
+	BootNumber uint32 // number of the machine's boot in which SentAt was read
 }
 
-// Record is what is stored for a fingerprint.
+// Record is the stored state of a fingerprint.
 type Record struct {
 	Effect     balancer.Effect
 	Class      string
@@ -30,7 +30,7 @@
 	Locations  []Location
 }
 
-// Latest returns the latest point in time at which the record says that an attempt was intended.
+// Latest returns the latest time of an intent in the record.
 func (r *Record) Latest() Time {
 	latest := r.IntendedAt
 	for _, location := range r.Locations {
--- a/internal/idempotency/retention.go
+++ b/internal/idempotency/retention.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// release removes an entry that nothing needs any more.
+// release removes an entry without attempts in flight or possible runs. An entry of requests that are still in flight
+// is replaced by a new one.
 func (t *Tracker) release(e *entry) {
 	if len(e.locations) > 0 || e.attempts > 0 {
 		return
 	}
-	if e.intendedAt != 0 { // a later attempt of a request in flight starts from a new entry
+	if e.intendedAt != 0 { // a later attempt of a request in flight has to start from a new entry
 		e.isReleased = true
 		t.releasedCount++
 		if t.releasedCount > len(t.byExpiry)/2 {
@@ -27,8 +28,8 @@
 	}
 }
 
-// expire decides which entries are forgotten: those whose retention has passed. An entry that is in flight for longer
-// than that stays until it ends, with those behind it.
+// expire removes the entries whose retention has passed. An entry with requests or attempts in flight stays until they
+// have ended, even if its retention has passed, and so do the entries after it in byExpiry.
 func (t *Tracker) expire(now Instant) {
 	count := 0
 	for _, e := range t.byExpiry {
--- a/internal/idempotency/tracker.go
+++ b/internal/idempotency/tracker.go
@@ -11,12 +11,13 @@
 // Config configures a Tracker.
 type Config struct {
 	Classes []balancer.Class
-	// Retention is how long it is remembered that an attempt may have run, from the intent of the first attempt on. It
-	// has to be longer than any request can be in flight, and than the idempotency window of any class. A higher value
-	// costs memory and disk, and fails repeats for longer; with a lower one a repeat may run a second time.
+	// Retention is how long the Tracker remembers that an attempt may have run, counted from the intent of the first
+	// attempt. It has to be longer than any request can be in flight, and longer than the idempotency window of any
+	// class. A higher value costs memory and disk, and makes duplicates fail for longer; with a lower one a duplicate
+	// may run a second time.
 	Retention time.Duration
-	// MaxEntries bounds the fingerprints that are remembered. Beyond it BeginAttempt returns TableFull. A higher value
-	// costs memory; with a lower one requests are rejected at a lower rate of them.
+	// MaxEntries limits the number of fingerprints that are remembered. When it is reached, BeginAttempt returns
+	// TableFull. A higher value costs memory; with a lower one, requests are rejected at a lower request rate.
 	MaxEntries int
 }
 
@@ -26,15 +27,16 @@
 	classes map[string]balancer.Class
 	entries map[Fingerprint]*entry
 
-	// byExpiry holds the entries with an intent, in order of ExpiresAt, and released ones among them.
+	// byExpiry holds the entries with an intent, in order of expiresAt. It includes released entries that have not been
+	// removed yet.
 	byExpiry      []*entry
-	releasedCount int
+	releasedCount int // number of released entries in byExpiry
 
 	// open holds the entries with attempts in flight, and those that an earlier run of the program left open.
 	open map[Fingerprint]*entry
 }
 
-// Attempt is an attempt that BeginAttempt accepted. It belongs to the Tracker.
+// Attempt is an attempt that BeginAttempt accepted. Only the Tracker reads or changes its fields.
 type Attempt struct {
 	entry    *entry
 	location *location
@@ -55,8 +57,8 @@
 	return t
 }
 
-// Restore adds a record of an earlier run of the program. Records are restored in any order, before any other call. A
-// record that has expired, has no location, or is a second one of its fingerprint is ignored.
+// Restore adds a record of an earlier run of the program. Records may be restored in any order, before any other method
+// is called. Restore ignores a record that has expired or has no location, and a second record of a fingerprint.
 func (t *Tracker) Restore(now Instant, fp Fingerprint, record Record) {
 	if record.ExpiresAt <= now.Time || t.entries[fp] != nil || len(record.Locations) == 0 {
 		return
@@ -84,17 +86,17 @@
 	t.byExpiry = slices.Insert(t.byExpiry, index, e)
 }
 
-// RecordWritten reports that the record of an attempt is durable, or could not be written. Attempts that await the same
-// write may be sent if IsDurable says so.
+// RecordWritten tells the Tracker that the record of an attempt is durable, or could not be written. For attempts that
+// waited for the same write, IsDurable returns the result.
 func (t *Tracker) RecordWritten(a *Attempt, isDurable bool) {
 	a.entry.writeInFlight = false
 	a.location.isDurable = isDurable
 }
 
-// IsDurable reports whether a durable record covers an attempt.
+// IsDurable reports whether a durable record contains the location of an attempt.
 func (t *Tracker) IsDurable(a *Attempt) bool { return a.location.isDurable }
 
-// Update is a change of a fingerprint's stored record that nobody has to wait for.
+// Update is a change of a fingerprint's stored record for which no attempt has to wait.
 type Update struct {
 	Kind   UpdateKind
 	Record Record // the new record, if Kind is PutRecord
@@ -107,11 +109,12 @@
 const (
 	NoUpdate     UpdateKind = iota // the stored record stays
 	PutRecord                      // the stored record is replaced
-	DeleteRecord                   // the stored record is deleted: nothing has run
+	DeleteRecord                   // the stored record is deleted, because no attempt has run
 )
 
-// EndAttempt reports the end of an attempt. mayHaveRun is false if it is proved that the attempt never ran, wasAnswered
-// is true if it was answered. Of an attempt whose record is being written it is called after RecordWritten.
+// EndAttempt tells the Tracker that an attempt has ended, and returns the update of the stored record. mayHaveRun is
+// false if the attempt is proved not to have run; wasAnswered is true if it was answered. If the attempt's record is
+// being written, the caller calls RecordWritten first.
 func (t *Tracker) EndAttempt(a *Attempt, mayHaveRun, wasAnswered bool) Update {
 	if a.ended {
 		return Update{}
@@ -131,7 +134,7 @@
 	delete(t.open, e.fingerprint)
 	if len(e.locations) == 0 {
 		t.release(e)
-		if e.writeAttempted { // also if the write was not confirmed: the record may be stored
+		if e.writeAttempted { // also after a failed write, since the record may be stored nevertheless
 			return Update{Kind: DeleteRecord}
 		}
 		return Update{}
@@ -142,7 +145,7 @@
 	return Update{Kind: PutRecord, Record: e.record()}
 }
 
-// EndRequest reports that a request that proceeded has its final answer. It returns whether any attempt with its
+// EndRequest tells the Tracker that an admitted request has its final answer. It reports whether any attempt with its
 // fingerprint may have run.
 func (t *Tracker) EndRequest(fp Fingerprint) (mayHaveRun bool) {
 	e := t.entries[fp]
@@ -157,14 +160,14 @@
 
 // Stats describes the state of a Tracker.
 type Stats struct {
-	Entries      int // fingerprints remembered
-	Open         int // intents of this run of the program without an outcome
-	RestoredOpen int // intents that an earlier run of the program left without an outcome
-	// OldestOpen is when the oldest of the open intents of either kind was made, 0 if there is none.
+	Entries      int // number of fingerprints remembered
+	Open         int // number of intents of this run of the program without an outcome
+	RestoredOpen int // number of intents that an earlier run of the program left without an outcome
+	// OldestOpen is the time of the oldest intent counted in Open or RestoredOpen, 0 if there is none.
 	OldestOpen Time
 }
 
-// Stats returns the current statistics. It takes time in proportion to the number of open entries.
+// Stats returns the current statistics. Its cost is proportional to the number of open entries.
 func (t *Tracker) Stats() Stats {
 	s := Stats{Entries: len(t.entries)}
 	for _, e := range t.open {
--- a/internal/idempotency/tracker_test.go
+++ b/internal/idempotency/tracker_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// The names of decisions, updates and states in the scripts.
+// Names of decisions, updates and states in the scripts.
 var (
 	requestDecisionNames = map[RequestDecision]string{Admit: "proceed", FailRequest: "fail"}
 	attemptDecisionNames = map[AttemptDecision]string{
@@ -24,21 +24,21 @@
 	stateNames  = map[State]string{StateOpen: "open", StateUnknown: "unknown", StateExecuted: "executed"}
 )
 
-// scriptRun is a machine whose events a script gives.
+// scriptRun is a machine together with the requests and attempts that a script has named.
 type scriptRun struct {
 	*machine
 	attempts     map[string]*Attempt
 	fingerprints map[string]Fingerprint
 }
 
-// scriptLine is a line of a script: an event and its arguments.
+// scriptLine is a line of a script: the name of an event followed by its arguments.
 type scriptLine struct {
 	t      *testing.T
 	data   *datadriven.TestData
 	fields []string
 }
 
-// arg returns an argument, "" if there is none.
+// arg returns field i of the line, "" if there is none. Field 0 is the name of the event.
 func (l *scriptLine) arg(i int) string {
 	if i < len(l.fields) {
 		return l.fields[i]
@@ -54,7 +54,7 @@
 	return d
 }
 
-// number returns an argument as a number, 0 if there is none.
+// number returns field i of the line as a number, 0 if there is none.
 func (l *scriptLine) number(i int) int {
 	if l.arg(i) == "" {
 		return 0
@@ -72,8 +72,8 @@
 	r.machine.start(t)
 }
 
-// play plays a script and returns what was decided, a line for each event that decides something.
-func (r *scriptRun) play(t *testing.T, d *datadriven.TestData) string {
+// execute executes a script. It returns a line of output for each event that has a result.
+func (r *scriptRun) execute(t *testing.T, d *datadriven.TestData) string {
 	t.Helper()
 	events := map[string]func(*scriptLine) string{
 		"admit":       r.admitRequest,
@@ -82,7 +82,7 @@
 		"durable":     func(l *scriptLine) string { return fmt.Sprintln(r.tracker.IsDurable(r.attempts[l.fields[1]])) },
 		"end":         r.endAttempt,
 		"end-request": r.endRequest,
-		"pass":        r.passTime,
+		"advance":     r.advanceClocks,
 		"wall":        r.moveWall,
 		"restart":     r.restart,
 		"stats":       r.stats,
@@ -92,22 +92,22 @@
 		line := &scriptLine{t: t, data: d, fields: strings.Fields(text)}
 		event, ok := events[line.fields[0]]
 		if !ok {
-			d.Fatalf(t, "no such event: %s", text)
+			d.Fatalf(t, "unknown event %q", line.fields[0])
 		}
 		out.WriteString(event(line))
 	}
 	return out.String()
 }
 
-// admitRequest is "admit REQUEST CLASS".
+// admitRequest executes "admit REQUEST CLASS".
 func (r *scriptRun) admitRequest(l *scriptLine) string {
 	name, class := l.fields[1], l.fields[2]
 	r.fingerprints[name] = NewFingerprint(class, "", name)
-	verdict, earlier := r.tracker.AdmitRequest(r.now(), r.fingerprints[name], class)
-	return fmt.Sprintf("%s%s\n", requestDecisionNames[verdict], formatLocations(earlier))
+	decision, earlier := r.tracker.AdmitRequest(r.now(), r.fingerprints[name], class)
+	return fmt.Sprintf("%s%s\n", requestDecisionNames[decision], formatLocations(earlier))
 }
 
-// beginAttempt is "begin REQUEST ATTEMPT ZONE [CELL]".
+// beginAttempt executes "begin REQUEST ATTEMPT ZONE [CELL]".
 func (r *scriptRun) beginAttempt(l *scriptLine) string {
 	fp := r.fingerprints[l.arg(1)]
 	decision, a, record := r.tracker.BeginAttempt(r.now(), fp, l.fields[3], l.number(4))
@@ -120,10 +120,10 @@
 	return fmt.Sprintf("%s %s%s\n", attemptDecisionNames[decision], stateNames[record.State], locations)
 }
 
-// recordWritten is "written ATTEMPT [no]".
+// recordWritten executes "written ATTEMPT [failed]".
 func (r *scriptRun) recordWritten(l *scriptLine) string {
 	a := r.attempts[l.fields[1]]
-	failed := l.arg(2) == "no"
+	failed := l.arg(2) == "failed"
 	r.tracker.RecordWritten(a, !failed)
 	if failed {
 		delete(r.disk, a.entry.fingerprint)
@@ -131,33 +131,33 @@
 	return fmt.Sprintf("durable %v\n", r.tracker.IsDurable(a))
 }
 
-// endAttempt is "end ATTEMPT answered|maybe|never".
+// endAttempt executes "end ATTEMPT answered|unanswered|not-run".
 func (r *scriptRun) endAttempt(l *scriptLine) string {
-	update := r.end(r.attempts[l.fields[1]], l.fields[2] != "never", l.fields[2] == "answered")
+	update := r.end(r.attempts[l.fields[1]], l.fields[2] != "not-run", l.fields[2] == "answered")
 	if update.Kind == PutRecord {
 		return fmt.Sprintf("%s %s\n", updateNames[update.Kind], stateNames[update.Record.State])
 	}
 	return fmt.Sprintln(updateNames[update.Kind])
 }
 
-// endRequest is "end-request REQUEST".
+// endRequest executes "end-request REQUEST".
 func (r *scriptRun) endRequest(l *scriptLine) string {
 	return fmt.Sprintf("may have run: %v\n", r.tracker.EndRequest(r.fingerprints[l.arg(1)]))
 }
 
-// passTime is "pass DURATION".
-func (r *scriptRun) passTime(l *scriptLine) string {
-	r.pass(l.duration(1))
+// advanceClocks executes "advance DURATION", which moves the boot clock and wall time.
+func (r *scriptRun) advanceClocks(l *scriptLine) string {
+	r.advance(l.duration(1))
 	return ""
 }
 
-// moveWall is "wall DURATION": wall time jumps.
+// moveWall executes "wall DURATION", which moves wall time only.
 func (r *scriptRun) moveWall(l *scriptLine) string {
 	r.reading.Wall = r.reading.Wall.Add(l.duration(1))
 	return ""
 }
 
-// restart is "restart [machine]".
+// restart executes "restart [machine]".
 func (r *scriptRun) restart(l *scriptLine) string {
 	if l.arg(1) == "machine" {
 		r.reboot()
@@ -184,13 +184,13 @@
 	return out.String()
 }
 
-// The scripts in testdata give events, and below them what is decided.
+// Executes the scripts in testdata, which list events and the results expected of them.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var r *scriptRun
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd != "new" {
-				return r.play(t, d)
+				return r.execute(t, d)
 			}
 			r = &scriptRun{machine: newMachine(100), fingerprints: map[string]Fingerprint{}}
 			d.MaybeScanArgs(t, "max_entries", &r.maxEntries)
