--- a/internal/idempotency/middleware/clocks.go
+++ b/internal/idempotency/middleware/clocks.go
@@ -7,8 +7,8 @@
 	"hazelwing/internal/idempotency"
 )
 
-// processClocks returns clocks for a machine without a clock that continues over restarts of the program: the process
-// counts as a boot of the machine.
+// processClocks returns a function that reads the clocks of this process. It is for machines whose boot clock or boot
+// ID cannot be read: each process counts as a boot of the machine.
 func processClocks() func() idempotency.Reading {
 	start := time.Now()
 	bootID := fmt.Sprint("process ", start.UnixNano())
--- a/internal/idempotency/middleware/clocks_linux.go
+++ b/internal/idempotency/middleware/clocks_linux.go
@@ -10,12 +10,11 @@
 	"hazelwing/internal/idempotency"
 )
 
-// MachineClocks returns a function that reads the clocks of the machine. The boot clock continues over restarts of the
-// program and through sleep, and cannot be set (clock_gettime(2), proc_sys_kernel(5)). On a machine without a boot ID
-// each process counts as a boot.
+// MachineClocks returns a function that reads the clocks of the machine. The boot clock continues across restarts of
+// the program and during sleep, and cannot be set (clock_gettime(2), proc_sys_kernel(5)). If the boot clock or the boot
+// ID cannot be read, the clocks of the process are used, and each process counts as a boot of the machine.
 func MachineClocks() func() idempotency.Reading {
 	processReading := processClocks()
-	// Without a boot ID the clocks of the process are used.
 	bootIDFile, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	bootID := strings.TrimSpace(string(bootIDFile))
 	return func() idempotency.Reading {
--- a/internal/idempotency/middleware/doer.go
+++ b/internal/idempotency/middleware/doer.go
@@ -10,12 +10,12 @@
 	"hazelwing/internal/idempotency"
 )
 
-// Doer carries out calls, as the engine does.
+// Doer executes calls. The engine implements it.
 type Doer interface {
 	Do(ctx context.Context, c *engine.Call) engine.Result
 }
 
-// Doer returns a Doer that checks calls before it passes them on to next.
+// Doer returns a Doer that checks calls before it passes them to next.
 func (d *Deduplicator) Doer(next Doer) Doer { return doer{deduplicator: d, next: next} }
 
 type doer struct {
@@ -23,9 +23,10 @@
 	next         Doer
 }
 
-// Do fails a call whose effect may have been brought about already, rejects one whose intent could not be made durable,
-// and passes any other on. A rejection of a call that was passed on becomes a failure where another attempt with its
-// fingerprint may have run, unless all endpoints drop its repeats: it would say that the effect was not brought about.
+// Do fails a call whose operation may already have run, rejects a call whose intent could not be made durable, and
+// passes any other call to the next Doer. If the next Doer rejects the call although an attempt with its fingerprint
+// may have run, Do returns a failure instead, because a rejection would say that the operation has not run. The
+// rejection stays if the idempotency scope is all endpoints, since each of them recognizes the duplicate of a retry.
 func (r doer) Do(ctx context.Context, c *engine.Call) engine.Result {
 	d := r.deduplicator
 	if d.effects[c.Class] == balancer.Idempotent {
@@ -45,8 +46,8 @@
 	return result
 }
 
-// admit decides whether a call is passed on, and tells the call of earlier attempts for the same effect. It returns the
-// call's result if it is not passed on.
+// admit decides whether a call is passed on. If so, it adds the earlier attempts with the same fingerprint to
+// c.PriorAttempts and returns true; otherwise it returns the call's result and false.
 func (d *Deduplicator) admit(fp idempotency.Fingerprint, c *engine.Call) (engine.Result, bool) {
 	now := d.now()
 	d.mu.Lock()
@@ -56,7 +57,7 @@
 		d.counters.failed++
 		return engine.Result{Kind: engine.Failed, Err: ErrMayHaveRun}, false
 	}
-	// This prevents attempts that would each find out for themselves that the disk fails.
+	// This prevents each call from waiting for a disk that is known to fail.
 	if len(locations) == 0 && d.rejectsWrites() {
 		d.tracker.EndRequest(fp)
 		d.counters.rejected++
--- a/internal/idempotency/middleware/harness_test.go
+++ b/internal/idempotency/middleware/harness_test.go
@@ -38,7 +38,7 @@
 	},
 }
 
-// testEndpoints are one in each of four zones.
+// testEndpoints has one endpoint in each of four zones.
 var testEndpoints = []engine.Endpoint{
 	{ID: "a", Zone: "a"},
 	{ID: "b", Zone: "b"},
@@ -46,13 +46,13 @@
 	{ID: "d", Zone: "d"},
 }
 
-// maxAttempts is the number of attempts that the settings of a test program allow for a request.
+// maxAttempts is the maximum number of attempts of a request.
 const maxAttempts = 3
 
-// fakeTransport hands attempts to the test, which ends them. It is a source of endpoints that never sends an update.
+// fakeTransport passes attempts to the test, which determines their outcomes. As an endpoint source it sends no update.
 type fakeTransport struct{ sent chan *sentAttempt }
 
-// sentAttempt is an attempt that was sent.
+// sentAttempt is an attempt that the engine sent.
 type sentAttempt struct {
 	endpoint string
 	call     *engine.Call
@@ -60,7 +60,7 @@
 	cancel   chan bool
 }
 
-// answer ends an attempt with an answer.
+// answer ends the attempt with a successful answer.
 func (a *sentAttempt) answer() {
 	a.outcome <- engine.Outcome{Result: balancer.OK, Final: true, Answer: a.endpoint}
 }
@@ -101,7 +101,7 @@
 func (e *fakeExchange) Cancel()       { e.cancel <- true }
 func (e *fakeExchange) CancelUnsent() {}
 
-// machine has the clocks of a machine that runs on over restarts of the program.
+// machine simulates the clocks of a machine, which continue across restarts of the program.
 type machine struct {
 	mu      sync.Mutex
 	reading idempotency.Reading
@@ -117,27 +117,27 @@
 	return m.reading
 }
 
-// pass moves the boot clock and wall time.
-func (m *machine) pass(uptime, wall time.Duration) {
+// advance moves the boot clock and wall time by the given durations.
+func (m *machine) advance(uptime, wall time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reading.Uptime += uptime
 	m.reading.Wall = m.reading.Wall.Add(wall)
 }
 
-// program is a run of the program: a Doer, the engine and a fake transport, with the middleware between them.
+// program is one run of the program: an engine and a fake transport, with the middleware around the engine.
 type program struct {
 	t            *testing.T
 	deduplicator *Deduplicator
 	transport    *fakeTransport
 	doer         Doer
-	requests     int // sent so far
+	requests     int // number of requests sent so far
 	stop         func()
 	log          *strings.Builder
 }
 
-// startProgram starts the program on a machine and a disk, and stops it at the end of the test at the latest. change
-// changes its configuration.
+// startProgram starts the program on a machine with a disk. The program is stopped by p.stop, or at the end of the
+// test. change, if not nil, changes the configuration.
 func startProgram(t *testing.T, m *machine, fs store.FS, change func(*Config)) *program {
 	t.Helper()
 	p := &program{
@@ -202,7 +202,8 @@
 	})
 }
 
-// send sends a request of a class with an ID of its own; key is its idempotency key.
+// send sends a request of a class with a new request ID and the given idempotency key, and returns a channel with its
+// result.
 func (p *program) send(class, key string) chan engine.Result {
 	p.requests++
 	done := make(chan engine.Result, 1)
@@ -216,8 +217,8 @@
 	return done
 }
 
-// sendDisconnecting sends a request of class "book" with the key "k", whose client disconnects when disconnect is
-// called.
+// sendDisconnecting sends a request of class "book" with the idempotency key "k". Calling disconnect disconnects its
+// client.
 func (p *program) sendDisconnecting() (done chan engine.Result, disconnect func()) {
 	ctx, disconnect := context.WithCancel(p.t.Context())
 	done = make(chan engine.Result, 1)
@@ -236,12 +237,12 @@
 	p.t.Helper()
 	got := testutil.Receive(p.t, done, what)
 	if got.Kind != kind {
-		p.t.Errorf("%s: %+v, want kind %d", what, got, kind)
+		p.t.Errorf("%s: got result %+v, want kind %d", what, got, kind)
 	}
 	return got
 }
 
-// nextAttempt waits for an attempt to be sent.
+// nextAttempt waits until an attempt is sent, and returns it.
 func (p *program) nextAttempt() *sentAttempt {
 	p.t.Helper()
 	return testutil.Receive(p.t, p.transport.sent, "an attempt")
--- a/internal/idempotency/middleware/inspect.go
+++ b/internal/idempotency/middleware/inspect.go
@@ -17,10 +17,10 @@
 	Fingerprint string    `json:"fingerprint"`
 	Class       string    `json:"class"`
 	Effect      string    `json:"effect"`
-	State       string    `json:"state"` // open: no outcome was stored; unknown: it may have run; ran: it was answered
+	State       string    `json:"state"` // "open" (no outcome stored), "unknown" (may have run) or "ran" (answered)
 	IntendedAt  time.Time `json:"intended"`
 	ExpiresAt   time.Time `json:"expires"`
-	Locations   string    `json:"where"` // zone/cell of the attempts, separated by spaces
+	Locations   string    `json:"where"` // locations of the attempts as ZONE/CELL, separated by spaces
 }
 
 var (
@@ -35,12 +35,12 @@
 	}
 )
 
-// Inspect reads the records of a write-ahead log, oldest first, and changes nothing: the daemon may run meanwhile.
-// Times are of the records' own timeline, which is wall time unless that was set back.
+// Inspect returns the records of a write-ahead log, oldest first. It changes nothing, so the daemon may be running. The
+// times are on the records' timeline, which equals wall time unless wall time was set back.
 func Inspect(fs store.FS) ([]RecordInfo, error) {
 	list := []RecordInfo{}
 	err := store.Read(fs, func(key string, value []byte, _ time.Time) {
-		if fp, record, ok := parseEntry(key, value); ok { // otherwise it is the clock's state
+		if fp, record, ok := parseEntry(key, value); ok { // the clock's state is not a record
 			list = append(list, newRecordInfo(fp, &record))
 		}
 	})
@@ -66,11 +66,13 @@
 	}
 }
 
-// CompactionClock returns a clock for compacting a write-ahead log while no daemon runs. It stands at the earliest time
-// that the records' timeline may have reached, so that no record is dropped that a daemon would still remember.
+// CompactionClock returns a clock for compacting a write-ahead log while no daemon runs. It always returns the earliest
+// time that the records' timeline may have reached, so that compaction drops no record that a daemon would still
+// remember.
 func CompactionClock(fs store.FS) func() time.Time {
 	var latest time.Time
-	// A directory that cannot be read leaves the clock at zero, at which nothing has expired; opening it says why.
+	// If the directory cannot be read, the clock returns the zero time, at which no record has expired. The caller gets
+	// the error when it opens the store.
 	_ = store.Read(fs, func(key string, value []byte, _ time.Time) {
 		if _, record, ok := parseEntry(key, value); ok {
 			if t := wallTime(record.Latest()); t.After(latest) {
--- a/internal/idempotency/middleware/middleware.go
+++ b/internal/idempotency/middleware/middleware.go
@@ -1,8 +1,8 @@
 // Package middleware places idempotency records between a front, the engine and a transport, and stores them in a
-// write-ahead log. As a Doer before the engine it fails requests whose effect may have been brought about already; as a
-// Transport behind the engine it holds back each attempt of a request that is not idempotent until its intent is
-// durable. Idempotent requests pass unchanged, and the engine's loop never waits for the disk: an attempt waits in a
-// goroutine of its own, within its own timeout.
+// write-ahead log. As a Doer before the engine it fails requests whose operation may already have run. As a Transport
+// behind the engine it delays each attempt of a request that is not idempotent until its intent is durable, that is,
+// until the record of the decision to send it is stored. Idempotent requests pass unchanged. The engine's loop never
+// waits for the disk: an attempt waits in a goroutine of its own, within its own timeout.
 package middleware
 
 import (
@@ -16,23 +16,23 @@
 	"hazelwing/internal/store"
 )
 
-// Durability is the condition under which an attempt may be sent.
+// Durability is how durable the intent of an attempt has to be before the attempt may be sent.
 type Durability string
 
 // The durabilities.
 const (
-	DurabilityAlways Durability = "always" // its intent is synced: it survives a loss of power
-	DurabilityBatch  Durability = "batch"  // its intent is written, and synced soon: it survives the end of the process
-	DurabilityOff    Durability = "off"    // its intent is in memory: it does not survive
+	DurabilityAlways Durability = "always" // the intent is synced to disk: it survives a power loss
+	DurabilityBatch  Durability = "batch"  // the intent is written and synced later: it survives the end of the process
+	DurabilityOff    Durability = "off"    // the intent is in memory only: it is lost when the process ends
 )
 
-// FailurePolicy says what happens to attempts while intents cannot be made durable.
+// FailurePolicy controls how attempts are handled while intents cannot be made durable.
 type FailurePolicy string
 
 // The failure policies.
 const (
-	RejectOnFailure   FailurePolicy = "refuse"   // none is sent, and their requests are rejected
-	ContinueOnFailure FailurePolicy = "continue" // they are sent, and only this process remembers them
+	RejectOnFailure   FailurePolicy = "refuse"   // attempts are not sent, and their requests are rejected
+	ContinueOnFailure FailurePolicy = "continue" // attempts are sent, and remembered at most until the process ends
 )
 
 // Config configures a Deduplicator.
@@ -42,26 +42,28 @@
 	OnFailure  FailurePolicy
 	Retention  time.Duration // see idempotency.Config
 	MaxEntries int           // see idempotency.Config
-	// RetryAfter is the Retry-After of requests that are rejected while intents cannot be made durable; 0: none.
+	// RetryAfter is the Retry-After of requests that are rejected while intents cannot be made durable; 0 sends none.
 	RetryAfter time.Duration
-	FS         store.FS      // nil with DurabilityOff
-	Store      store.Options // SyncEvery counts with DurabilityBatch only; Now and Logger are set by Open
+	FS         store.FS      // directory of the write-ahead log; nil with DurabilityOff
+	Store      store.Options // SyncEvery is used with DurabilityBatch only; Open sets Now and Logger
 	// Clocks reads the clocks of the machine: see MachineClocks.
 	Clocks func() idempotency.Reading
-	Logger *slog.Logger // nil: nothing is logged
+	Logger *slog.Logger // nil disables logging
 }
 
-// ErrMayHaveRun is the error of a request that failed because another one may have brought about its effect.
-var ErrMayHaveRun = errors.New("a request for the same effect may have run, or is in hand")
+// ErrMayHaveRun is the error of a request that failed because an attempt with the same fingerprint may have run, or
+// because, for a NonIdempotent class, another request with the fingerprint is in flight.
+var ErrMayHaveRun = errors.New("an earlier request with the same fingerprint may have run or is in flight")
 
 var (
-	errNotDurable = errors.New("its intent could not be made durable")
-	errTableFull  = errors.New("the ledger holds as many intents as it may")
-	errForbidden  = errors.New("an earlier attempt may have run elsewhere")
-	errAbandoned  = errors.New("it was given up before its intent was durable")
+	errNotDurable   = errors.New("intent of the attempt could not be made durable")
+	errTableFull    = errors.New("number of remembered idempotency records has reached max_entries")
+	errForbidden    = errors.New("earlier attempt may have run outside the idempotency scope or window of this attempt")
+	errAbandoned    = errors.New("attempt was cancelled before its intent was durable")
+	errWriteTimeout = errors.New("attempt timed out before its intent was durable")
 )
 
-// Deduplicator prevents requests from bringing about their effect twice. It is safe for concurrent use.
+// Deduplicator prevents requests from executing their operation twice. It is safe for concurrent use.
 type Deduplicator struct {
 	config  Config
 	logger  *slog.Logger
@@ -75,15 +77,15 @@
 	tracker  *idempotency.Tracker
 	failure  writeFailure
 	counters counters
-	waits    waitTimes
+	waits    waitTimes                                 // durations of the latest writes
 	writes   map[idempotency.Fingerprint]chan struct{} // writes in flight; each channel is closed when its write ends
 }
 
-// counters are those of Status.
+// counters holds the counters of Status.
 type counters struct{ failed, rejected, notDurable, unrecordedOutcomes uint64 }
 
-// Open opens the write-ahead log and restores its records. Close the Deduplicator after the engine has ended. The error
-// is store.ErrLocked if another process has the directory open.
+// Open opens the write-ahead log and restores its records. The caller closes the Deduplicator after the engine has
+// ended. The error is store.ErrLocked if another process has the directory open.
 func Open(config Config) (*Deduplicator, error) {
 	logger := config.Logger
 	if logger == nil {
@@ -124,5 +126,5 @@
 	return d.store.Close()
 }
 
-// now returns the present instant of the records' timeline.
+// now returns the current instant on the records' timeline.
 func (d *Deduplicator) now() idempotency.Instant { return d.clock.At(d.config.Clocks().Uptime) }
--- a/internal/idempotency/middleware/middleware_test.go
+++ b/internal/idempotency/middleware/middleware_test.go
@@ -16,9 +16,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// A client retries with the same key and a new request ID, while the old attempt is in flight, after it, and after a
-// restart in which wall time goes back by a minute: the effect is never brought about again, and no answer says that it
-// could be.
+// Guards against executing an operation twice when a client retries with the same key and a new request ID: while the
+// first attempt is in flight, after it, and after a restart of the program with wall time set back by a minute. The
+// retry has to fail, not to be rejected: a rejection would tell the client that the operation has not run.
 func TestRepeatWithNewRequestID(t *testing.T) {
 	for _, d := range []Durability{DurabilityAlways, DurabilityBatch} {
 		fs, m := faultfs.New(), newMachine()
@@ -26,39 +26,39 @@
 		p := startProgram(t, m, fs, setDurability)
 		first := p.send("book", "k")
 		a := p.nextAttempt()
-		p.wantResult(p.send("book", "k"), engine.Failed, "a repeat while the first is in flight")
+		p.wantResult(p.send("book", "k"), engine.Failed, "a duplicate while the first request is in flight")
 		a.outcome <- engine.Outcome{Result: balancer.Reset}
-		p.wantResult(first, engine.Failed, "the first")
-		p.wantResult(p.send("book", "k"), engine.Failed, "a repeat after it")
+		p.wantResult(first, engine.Failed, "the first request")
+		p.wantResult(p.send("book", "k"), engine.Failed, "a duplicate after the first request")
 		open := p.send("book", "other")
 		p.nextAttempt()
 		killed := fs.AfterKill()
 		p.stop()
-		p.wantResult(open, engine.Failed, "the request in flight at the end of the program")
+		p.wantResult(open, engine.Failed, "the request in flight when the program stopped")
 
-		m.pass(time.Second, -time.Minute)
+		m.advance(time.Second, -time.Minute)
 		p = startProgram(t, m, killed, setDurability)
 		if s := p.deduplicator.Status(); s.RestoredOpen != 1 || s.Remembered != 2 {
-			t.Errorf("%s: %+v", d, s)
+			t.Errorf("durability %s: status %+v after the restart, want 2 records, 1 of them open", d, s)
 		}
 		for _, key := range []string{"k", "other"} {
-			got := p.wantResult(p.send("book", key), engine.Failed, "a repeat after the restart")
+			got := p.wantResult(p.send("book", key), engine.Failed, "a duplicate after the restart")
 			if !errors.Is(got.Err, ErrMayHaveRun) {
-				t.Errorf("%v", got.Err)
+				t.Errorf("durability %s, key %q: error %v, want %v", d, key, got.Err, ErrMayHaveRun)
 			}
 		}
 		last := p.send("book", "new")
 		p.nextAttempt().answer()
 		p.wantResult(last, engine.Served, "a request with a new key")
 		if len(p.transport.sent) > 0 {
-			t.Errorf("%s: a request was sent again", d)
+			t.Errorf("durability %s: a request was sent again", d)
 		}
 	}
 }
 
-// The outcome of a keyed request is unknown, and the program restarts. In another zone, or after its window, no
-// endpoint would know of the first attempt, and its effect would come about twice: the request must go to the same zone
-// while the window lasts, and fail after it, also if wall time has gone back.
+// Guards against executing a keyed request twice when its outcome is unknown and the program restarts. Endpoints in
+// another zone do not know of the first attempt, and after the window no endpoint does. The request has to be sent to
+// the same zone while the window lasts, and to fail after it, also if wall time was set back.
 func TestKeyedRequestStaysInItsZone(t *testing.T) {
 	fs, m := faultfs.New(), newMachine()
 	p := startProgram(t, m, fs, nil)
@@ -66,32 +66,33 @@
 	zone := p.nextAttempt().endpoint
 	killed := fs.AfterKill()
 	p.stop()
-	p.wantResult(first, engine.Failed, "the request in flight at the end of the program")
-	for range 10 { // a random choice would find another zone
-		m.pass(100*time.Millisecond, -time.Minute)
+	p.wantResult(first, engine.Failed, "the request in flight when the program stopped")
+	for range 10 { // several, since a wrong implementation could choose the right zone at random
+		m.advance(100*time.Millisecond, -time.Minute)
 		p = startProgram(t, m, killed, nil)
 		again := p.send("pay", "k")
 		for range maxAttempts {
 			a := p.nextAttempt()
 			if a.endpoint != zone {
-				t.Fatalf("sent to zone %s, after %s", a.endpoint, zone)
+				t.Fatalf("attempt was sent to zone %s, want zone %s, in which the first attempt may have run",
+					a.endpoint, zone)
 			}
 			a.outcome <- engine.Outcome{Result: balancer.Overloaded}
 		}
-		p.wantResult(again, engine.Failed, "rejected there: the first may have run, so the repeat is not rejected")
+		p.wantResult(again, engine.Failed, "a duplicate that is rejected although the first attempt may have run")
 		killed = fs.AfterKill()
 		p.stop()
 	}
-	m.pass(6*time.Second, -time.Minute)
+	m.advance(6*time.Second, -time.Minute)
 	p = startProgram(t, m, killed, nil)
-	p.wantResult(p.send("pay", "k"), engine.Failed, "a repeat after the window")
+	p.wantResult(p.send("pay", "k"), engine.Failed, "a duplicate after the window")
 	if len(p.transport.sent) > 0 {
-		t.Error("sent after the window")
+		t.Error("a duplicate was sent after the window")
 	}
 }
 
-// A sync takes two seconds: idempotent requests and the engine's loop do not wait for it, and a request that is not
-// idempotent is sent only after it.
+// Guards against a slow disk that blocks the engine. While a sync takes two seconds, idempotent requests and the
+// engine's loop must not wait for it, and a request that is not idempotent must be sent only after it.
 func TestSlowSync(t *testing.T) {
 	fs := faultfs.New()
 	p := startProgram(t, newMachine(), fs, nil)
@@ -103,57 +104,59 @@
 		done := p.send("look", "")
 		a := p.nextAttempt()
 		if a.call.Class != "look" {
-			t.Fatalf("sent %v after the request, %d idempotent requests before it", time.Since(start), i)
+			t.Fatalf("request with an intent that is not durable was sent after %v, after %d idempotent requests",
+				time.Since(start), i)
 		}
 		a.answer()
 		p.wantResult(done, engine.Served, "an idempotent request")
 	}
 	if len(booking) > 0 {
-		t.Fatal("answered without a durable intent")
+		t.Fatal("request was answered before its intent was durable")
 	}
 	fs.Update(func(f *faultfs.FS) { f.SyncTime = 0 })
 	if a := p.nextAttempt(); time.Since(start) < 2*time.Second {
-		t.Errorf("sent after %v", time.Since(start))
+		t.Errorf("request was sent after %v, want at least 2s", time.Since(start))
 	} else {
 		a.answer()
 	}
 	p.wantResult(booking, engine.Served, "the request that waited")
 	if s := p.deduplicator.Status(); s.WaitP99 < 2000 {
-		t.Errorf("%+v", s)
+		t.Errorf("99th percentile of the wait is %v ms, want at least 2000 ms", s.WaitP99)
 	}
 }
 
-// The client disconnects while the intent is being written. Sent after that, the attempt would run for nobody, and a
-// record that stays would fail the client's retry for nothing: nothing must be sent, then or later, nor remembered.
+// Guards against an attempt that is sent although its client disconnected while the intent was being written, and
+// against a record of it that stays and makes the client's retry fail needlessly. No attempt must be sent, and the
+// record must be removed.
 func TestDisconnectDuringWrite(t *testing.T) {
 	fs := faultfs.New()
 	p := startProgram(t, newMachine(), fs, nil)
 	fs.Update(func(f *faultfs.FS) { f.SyncTime = 200 * time.Millisecond })
 	done, disconnect := p.sendDisconnecting()
-	testutil.Until(t, "its intent", func() bool { return p.deduplicator.Status().Open == 1 })
+	testutil.Until(t, "the intent of the request", func() bool { return p.deduplicator.Status().Open == 1 })
 	disconnect()
 	p.wantResult(done, engine.Disconnected, "the request")
-	testutil.Until(t, "its end", func() bool {
+	testutil.Until(t, "the removal of the request's entry", func() bool {
 		s := p.deduplicator.Status()
 		return s.Open == 0 && s.Remembered == 0
 	})
 	if len(p.transport.sent) > 0 {
-		t.Error("it was sent")
+		t.Error("the request was sent after its client had disconnected")
 	}
 	fs.Update(func(f *faultfs.FS) { f.SyncTime = 0 })
 	again := p.send("book", "k")
 	p.nextAttempt().answer()
-	p.wantResult(again, engine.Served, "a repeat")
+	p.wantResult(again, engine.Served, "the client's retry")
 	p.stop()
 	p = startProgram(t, newMachine(), fs.AfterKill(), nil)
 	if s := p.deduplicator.Status(); s.Remembered != 1 || s.RestoredOpen != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("status %+v after a restart, want 1 record, which is not open", s)
 	}
 }
 
-// The client disconnects while the intent waits for the sync of another one, so that its record cannot be taken back
-// any more. Deleted before it is written, it would stay open for the whole retention and fail the client's retry: it
-// must be deleted after that.
+// Guards against a record that stays open for the whole retention and makes the client's retry fail. The client
+// disconnects while its intent waits for the sync of another intent, when the write of its record can no longer be
+// cancelled. The record has to be deleted after that write, not before it.
 func TestDisconnectDuringOtherSync(t *testing.T) {
 	fs := faultfs.New()
 	p := startProgram(t, newMachine(), fs, nil)
@@ -163,19 +166,19 @@
 	done, disconnect := p.sendDisconnecting()
 	testutil.Until(t, "the second intent", func() bool { return p.deduplicator.Status().Open == 2 })
 	disconnect()
-	p.wantResult(done, engine.Disconnected, "the second")
+	p.wantResult(done, engine.Disconnected, "the second request")
 	p.nextAttempt().answer()
-	p.wantResult(first, engine.Served, "the first")
-	testutil.Until(t, "the end of both", func() bool { return p.deduplicator.Status().Open == 0 })
+	p.wantResult(first, engine.Served, "the first request")
+	testutil.Until(t, "the end of both attempts", func() bool { return p.deduplicator.Status().Open == 0 })
 	p.stop()
 	if list, err := Inspect(fs); err != nil || len(list) != 1 || list[0].State != "ran" {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("stored records are %+v, error %v, want 1 record with state \"ran\" and no error", list, err)
 	}
 }
 
-// The disk fills up, or fails: depending on the policy, requests that are not idempotent are rejected and nothing is
-// sent, or they are sent and the status says so. Idempotent ones are served, and once the disk works again everything
-// is as before.
+// Guards against wrong behaviour while the disk is full or fails. Depending on the policy, requests that are not
+// idempotent have to be rejected without being sent, or to be sent and counted in the status. Idempotent requests have
+// to be served, and intents have to be durable again once the disk works.
 func TestWriteFailure(t *testing.T) {
 	for name, fail := range map[string]func(fs *faultfs.FS, fails bool){
 		"full": func(fs *faultfs.FS, fails bool) {
@@ -202,13 +205,14 @@
 					counted = s.Rejected >= 20
 				}
 				if s.WriteFailure == "" || !counted || s.Store.Failures == 0 || s.Store.Segments > 2 {
-					t.Errorf("%+v, %+v", s, s.Store)
+					t.Errorf("status %+v, store %+v; want a write failure, 20 rejected or not durable requests, "+
+						"failures of the store and at most 2 segments", s, s.Store)
 				}
 				fail(fs, false)
 				testutil.Until(t, "a durable intent", p.tryDurableWrite)
 				for _, message := range []string{"cannot be made durable", "durable again"} {
 					if !strings.Contains(p.log.String(), message) {
-						t.Errorf("the log lacks %q:\n%s", message, p.log)
+						t.Errorf("the log does not contain %q:\n%s", message, p.log)
 					}
 				}
 			})
@@ -216,39 +220,39 @@
 	}
 }
 
-// sendDuringFailure sends a request while the disk fails, and checks that it is treated according to the policy.
+// sendDuringFailure sends request i while the disk fails, and checks that it is handled according to the policy.
 func (p *program) sendDuringFailure(policy FailurePolicy, i int) {
 	p.t.Helper()
 	key := fmt.Sprint("k", i)
 	done := p.send("book", key)
 	if policy == ContinueOnFailure {
 		p.nextAttempt().answer()
-		p.wantResult(done, engine.Served, "a request that continues")
-		p.wantResult(p.send("book", key), engine.Failed, "its repeat, known to this process")
+		p.wantResult(done, engine.Served, "a request that is sent without a durable intent")
+		p.wantResult(p.send("book", key), engine.Failed, "a duplicate, which the same process recognizes")
 		return
 	}
 	got := p.wantResult(done, engine.Rejected, "a request without a durable intent")
 	if i > 0 && got.RetryAfter != time.Second {
-		p.t.Errorf("%+v: Retry-After %v", got.Err, got.RetryAfter)
+		p.t.Errorf("rejection with error %v has Retry-After %v, want 1s", got.Err, got.RetryAfter)
 	}
 }
 
-// tryDurableWrite sends a request, and reports whether intents are durable again.
+// tryDurableWrite sends a request and then reports whether intents are durable again.
 func (p *program) tryDurableWrite() bool {
 	done := p.send("book", fmt.Sprint("later", time.Now().UnixNano()))
 	select {
 	case a := <-p.transport.sent:
 		a.answer()
 		<-done
-	case <-done: // still rejected
+	case <-done: // requests are still rejected
 		time.Sleep(50 * time.Millisecond)
 	}
 	return p.deduplicator.Status().WriteFailure == ""
 }
 
-// There are more intents than may be remembered. Without a limit the table would grow without end; a request that was
-// sent and silently forgotten could run twice. Further requests must be rejected, or, where the operator says so, sent
-// with a status that shows it.
+// Guards against a table of intents that grows without limit, and against requests beyond the limit that are sent
+// without being remembered and may then run twice unnoticed. Requests beyond MaxEntries have to be rejected, or, with
+// ContinueOnFailure, to be sent while the status shows a failure.
 func TestMaxEntries(t *testing.T) {
 	for _, policy := range []FailurePolicy{RejectOnFailure, ContinueOnFailure} {
 		p := startProgram(t, newMachine(), faultfs.New(), func(c *Config) { c.MaxEntries, c.OnFailure = 2, policy })
@@ -262,13 +266,13 @@
 			}
 		}
 		if s := p.deduplicator.Status(); s.Remembered != 2 || s.WriteFailure == "" {
-			t.Errorf("%+v", s)
+			t.Errorf("policy %s: status %+v, want 2 records and a write failure", policy, s)
 		}
 	}
 }
 
-// A request that was proved never to have run may be retried, by the balancer and by the client, and leaves nothing on
-// the disk.
+// A request that is proved not to have run may be retried by the balancer and by the client. Its record has to be
+// deleted from the disk.
 func TestRequestThatNeverRan(t *testing.T) {
 	fs, m := faultfs.New(), newMachine()
 	p := startProgram(t, m, fs, nil)
@@ -282,36 +286,36 @@
 	p.stop()
 	p = startProgram(t, m, fs, nil)
 	if s := p.deduplicator.Status(); s.Remembered != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("status %+v after a restart, want no record", s)
 	}
 	list, err := Inspect(fs)
 	if err != nil || len(list) != 0 {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("stored records are %+v, error %v, want none and no error", list, err)
 	}
 }
 
-// Without a write-ahead log a repeat within one run of the program could still bring about its effect twice: it must
-// not.
+// Guards against duplicates that run twice when there is no write-ahead log: within one run of the program they have to
+// fail nevertheless.
 func TestDurabilityOff(t *testing.T) {
 	p := startProgram(t, newMachine(), nil, func(c *Config) { c.Durability, c.FS = DurabilityOff, nil })
 	first := p.send("book", "k")
 	a := p.nextAttempt()
-	p.wantResult(p.send("book", "k"), engine.Failed, "a repeat while the first is in flight")
+	p.wantResult(p.send("book", "k"), engine.Failed, "a duplicate while the first request is in flight")
 	a.answer()
-	p.wantResult(first, engine.Served, "the first")
-	p.wantResult(p.send("book", "k"), engine.Failed, "a repeat after it")
+	p.wantResult(first, engine.Served, "the first request")
+	p.wantResult(p.send("book", "k"), engine.Failed, "a duplicate after the first request")
 	if s := p.deduplicator.Status(); s.Store != nil || s.Failed != 2 || s.Remembered != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("status %+v, want no store, 2 failed requests and 1 record", s)
 	}
 }
 
-// An exchange is abandoned before it asks for its intent. It must not be sent, also if nothing has to be written: it
-// would run after its call's result.
+// Guards against an attempt that is sent after its call has a result, because its exchange was abandoned before it
+// registered its intent. It must not be sent, also if no record has to be written.
 func TestExchangeAbandonedBeforeItStarts(t *testing.T) {
 	p := startProgram(t, newMachine(), nil, func(c *Config) { c.Durability, c.FS = DurabilityOff, nil })
 	c := &engine.Call{ID: "1", Class: "book"}
 	if _, ok := p.deduplicator.admit(fingerprint(c), c); !ok {
-		t.Fatal("not admitted")
+		t.Fatal("the first call was not admitted")
 	}
 	x := &exchange{
 		deduplicator: p.deduplicator,
@@ -321,22 +325,23 @@
 	}
 	x.abandon()
 	if _, err := x.awaitIntent(); !errors.Is(err, errAbandoned) || p.deduplicator.Status().Open != 0 {
-		t.Errorf("%v, %+v", err, p.deduplicator.Status())
+		t.Errorf("error %v, status %+v; want the error %v and no open intent",
+			err, p.deduplicator.Status(), errAbandoned)
 	}
 }
 
-// A second process is started with the same directory. Two that write one log would lose each other's records, so that
-// an effect could be brought about twice: the second must not open it.
+// Guards against two processes that write to the same log and lose each other's records, so that operations could run
+// twice. The second process must not be able to open the directory.
 func TestLocked(t *testing.T) {
 	fs, m := faultfs.New(), newMachine()
 	startProgram(t, m, fs, nil)
 	config := Config{Classes: testClasses, Durability: DurabilityAlways, FS: fs, Clocks: m.clocks}
 	if _, err := Open(config); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("%v", err)
+		t.Errorf("opening the log a second time returns the error %v, want %v", err, store.ErrLocked)
 	}
 }
 
-// BenchmarkRemembered measures the memory of a remembered request, in the tracker and in the store's index:
+// BenchmarkRemembered measures the memory per remembered request, in the tracker and in the store's index:
 //
 //	go test ./internal/idempotency/middleware -run xxx -bench Remembered -benchtime 100000x
 func BenchmarkRemembered(b *testing.B) {
@@ -373,7 +378,7 @@
 	b.ReportMetric(float64(heapBytes()-before)/float64(b.N), "B/remembered")
 }
 
-// rememberRequest lets a request with an answer pass through a Deduplicator.
+// rememberRequest passes a request that is answered through a Deduplicator.
 func rememberRequest(d *Deduplicator, id string) error {
 	c := &engine.Call{ID: id, Class: "book"}
 	fp := fingerprint(c)
--- a/internal/idempotency/middleware/status.go
+++ b/internal/idempotency/middleware/status.go
@@ -10,18 +10,18 @@
 // Status describes a Deduplicator for operators.
 type Status struct {
 	Durability   Durability    `json:"durability"`
-	WriteFailure string        `json:"trouble,omitempty"` // why intents cannot be made durable at present
+	WriteFailure string        `json:"trouble,omitempty"` // reason why intents cannot currently be made durable
 	OnFailure    FailurePolicy `json:"on_failure"`
 
-	Remembered        int     `json:"remembered"` // fingerprints
-	Open              int     `json:"open"`       // intents of this process without an outcome
-	RestoredOpen      int     `json:"left_open"`  // intents that an earlier process left without an outcome
-	OldestOpenSeconds float64 `json:"oldest_open_s"`
+	Remembered        int     `json:"remembered"`    // number of fingerprints
+	Open              int     `json:"open"`          // number of intents of this process without an outcome
+	RestoredOpen      int     `json:"left_open"`     // number of intents without an outcome of earlier processes
+	OldestOpenSeconds float64 `json:"oldest_open_s"` // age of the oldest intent counted in Open or RestoredOpen
 
-	Failed     uint64 `json:"failed"`    // requests whose effect may have been brought about already
+	Failed     uint64 `json:"failed"`    // requests that failed because their operation may already have run
 	Rejected   uint64 `json:"refused"`   // requests and attempts whose intent could not be made durable
 	NotDurable uint64 `json:"undurable"` // attempts that were sent without a durable intent, with ContinueOnFailure
-	// UnrecordedOutcomes counts the outcomes that could not be stored: their records stay open on the disk.
+	// UnrecordedOutcomes is the number of outcomes that could not be stored. Their records on disk stay as they were.
 	UnrecordedOutcomes uint64 `json:"unclosed"`
 
 	// Quantiles of the latest writes that attempts waited for, in milliseconds.
@@ -31,7 +31,7 @@
 	Store *store.Stats `json:"store,omitempty"` // nil with DurabilityOff
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (d *Deduplicator) Status() Status {
 	now := d.now()
 	d.mu.Lock()
@@ -71,10 +71,10 @@
 	waitTimesInRing = 1024
 )
 
-// waitTimes holds the latest wait times, in a ring.
+// waitTimes holds the latest wait times in a ring buffer.
 type waitTimes struct {
 	ring  [waitTimesInRing]time.Duration
-	count int // added so far
+	count int // number of wait times added so far
 }
 
 func (w *waitTimes) add(d time.Duration) {
@@ -82,7 +82,8 @@
 	w.count++
 }
 
-// quantiles returns the median and the 99th percentile in milliseconds, 0 if there is none. It sorts the ring.
+// quantiles returns the median and the 99th percentile in milliseconds, 0 if there are no wait times. It sorts the ring
+// in place, so it is called on a copy.
 func (w *waitTimes) quantiles() (p50, p99 float64) {
 	sorted := w.ring[:min(w.count, len(w.ring))]
 	if len(sorted) == 0 {
--- a/internal/idempotency/middleware/stored_test.go
+++ b/internal/idempotency/middleware/stored_test.go
@@ -15,10 +15,11 @@
 	"hazelwing/internal/testutil"
 )
 
-// storedDir is a write-ahead log that the program of 593ba64 left when it was killed: see its README.
+// storedDir is the directory of a write-ahead log as the program of commit 593ba64 left it after a kill. Its README
+// describes the content.
 const storedDir = "testdata/version-593ba64"
 
-// storedMachine is the machine on which storedDir was written, at the time of the last intent.
+// storedMachine returns the machine on which storedDir was written, at the time of the last intent.
 func storedMachine() *machine {
 	return &machine{reading: idempotency.Reading{
 		BootID: "boot-of-593ba64",
@@ -27,13 +28,13 @@
 	}}
 }
 
-// copyStoredLog returns a copy of storedDir.
+// copyStoredLog copies storedDir to a temporary directory and returns that directory.
 func copyStoredLog(t *testing.T) store.FS {
 	t.Helper()
 	path := t.TempDir()
 	segments, err := filepath.Glob(filepath.Join(storedDir, "*.log"))
 	if err != nil || len(segments) == 0 {
-		t.Fatalf("%d segments, %v", len(segments), err)
+		t.Fatalf("found %d segments in %s, error %v, want at least 1 and no error", len(segments), storedDir, err)
 	}
 	for _, name := range segments {
 		data, err := os.ReadFile(name)
@@ -51,7 +52,8 @@
 	return fs
 }
 
-// storedRecords returns the records of storedDir, without their locations: the zone of the keyed one was drawn.
+// storedRecords returns the records in storedDir without their locations. The zone of the keyed record is unspecified,
+// because it was chosen at random.
 func storedRecords() []RecordInfo {
 	start := time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
 	record := func(class, effect, key, state string, after time.Duration) RecordInfo {
@@ -72,16 +74,17 @@
 	}
 }
 
-// wantRecords compares the records of a log but for their locations, and returns the zone of the last one.
+// wantRecords compares the records of a log with want, which has no locations. It checks that each record has one
+// location, and returns the zone of the last record.
 func wantRecords(t *testing.T, fs store.FS, want []RecordInfo) (zone string) {
 	t.Helper()
 	got, err := Inspect(fs)
 	if err != nil || len(got) != len(want) {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("Inspect returns %+v, error %v, want %d records and no error", got, err, len(want))
 	}
 	for i, r := range got {
 		if zone = r.Locations; len(zone) != 3 || zone[1:] != "/0" {
-			t.Errorf("%s: locations %q", r.Fingerprint, zone)
+			t.Errorf("record %s: locations %q, want one of the form ZONE/0", r.Fingerprint, zone)
 		}
 		r.Locations, r.IntendedAt, r.ExpiresAt = "", r.IntendedAt.UTC(), r.ExpiresAt.UTC()
 		if r != want[i] {
@@ -91,12 +94,12 @@
 	return zone[:1]
 }
 
-// wantRepeatsFail checks that repeats of class "book" fail and that nothing is sent.
-func wantRepeatsFail(t *testing.T, p *program, keys []string) {
+// wantDuplicatesFail checks that requests of class "book" with the given keys fail and that no attempt is sent.
+func wantDuplicatesFail(t *testing.T, p *program, keys []string) {
 	t.Helper()
 	for _, key := range keys {
 		if got := p.wantResult(p.send("book", key), engine.Failed, key); !errors.Is(got.Err, ErrMayHaveRun) {
-			t.Errorf("%s: %v", key, got.Err)
+			t.Errorf("request with key %q fails with the error %v, want %v", key, got.Err, ErrMayHaveRun)
 		}
 	}
 	if len(p.transport.sent) > 0 {
@@ -104,79 +107,82 @@
 	}
 }
 
-// The new version honours the records that 593ba64 left open, unknown or answered: nothing that is not idempotent is
-// sent again, and a keyed request goes on in its zone while its window lasts. After a further restart the records of
-// the new version are there beside them, and all of them expire in time.
+// Guards against executing an operation twice after an upgrade from the version of commit 593ba64, whose records are
+// open, unknown or answered. A request that is not idempotent must not be sent again, and a keyed request must stay in
+// its zone while its window lasts. After a further restart the new version has to restore its own records as well, and
+// all records have to expire after the retention.
 func TestStoredRecordsOfPreviousVersion(t *testing.T) {
 	fs, m := copyStoredLog(t), storedMachine()
 	segments, err := store.Check(fs)
 	if err != nil || len(segments) != 1 {
-		t.Fatalf("%+v, %v", segments, err)
+		t.Fatalf("Check returns %+v, error %v, want 1 segment and no error", segments, err)
 	}
 	if s := segments[0]; s.Damaged != 0 || s.Tail != 0 || s.Fault != "" {
-		t.Fatalf("%+v", s)
+		t.Fatalf("stored segment is damaged: %+v", s)
 	}
 	zone := wantRecords(t, fs, storedRecords())
 
-	m.pass(time.Second, -time.Minute) // wall time goes back, in the same boot of the machine
+	m.advance(time.Second, -time.Minute) // wall time is set back, in the same boot of the machine
 	p := startProgram(t, m, fs, nil)
 	s := p.deduplicator.Status()
 	if s.Remembered != 4 || s.RestoredOpen != 2 || s.Open != 0 || s.OldestOpenSeconds != 2 {
-		t.Errorf("restored: %+v", s)
+		t.Errorf("after the first start: status %+v, want 4 records, 2 of them open, the oldest for 2 s", s)
 	}
 	keys := []string{"answered", "reset", "open"}
-	wantRepeatsFail(t, p, keys)
+	wantDuplicatesFail(t, p, keys)
 	keyed := p.send("pay", "open")
-	for range maxAttempts { // a random choice would find another zone
+	for range maxAttempts { // several, since a wrong implementation could choose the right zone at random
 		a := p.nextAttempt()
 		if a.endpoint != zone {
-			t.Errorf("sent to zone %s, after %s", a.endpoint, zone)
+			t.Errorf("attempt was sent to zone %s, want zone %s, in which the first attempt may have run",
+				a.endpoint, zone)
 		}
 		a.outcome <- engine.Outcome{Result: balancer.Overloaded}
 	}
-	p.wantResult(keyed, engine.Failed, "rejected there: the first may have run, so the repeat is not rejected")
+	p.wantResult(keyed, engine.Failed, "a keyed request that is rejected although an earlier attempt may have run")
 
 	done := p.send("book", "new")
 	p.nextAttempt().answer()
 	p.wantResult(done, engine.Served, "a request with a new key")
 	p.stop()
 	want := storedRecords()
-	want[3].State = "unknown" // its repeat ended
+	want[3].State = "unknown" // since the further attempts have ended
 	last := want[0]
 	last.Fingerprint = idempotency.NewFingerprint("book", "", "new").String()
 	last.IntendedAt, last.ExpiresAt = last.IntendedAt.Add(3*time.Second), last.ExpiresAt.Add(3*time.Second)
 	wantRecords(t, fs, append(slices.Clone(want), last))
 
-	m.pass(5*time.Second, time.Hour) // six seconds after the first intent: the window has passed
+	m.advance(5*time.Second, time.Hour) // six seconds after the first intent of "pay": its window has passed
 	p = startProgram(t, m, fs, nil)
 	if s := p.deduplicator.Status(); s.Remembered != 5 || s.RestoredOpen != 1 {
-		t.Errorf("restored again: %+v", s)
+		t.Errorf("after the second start: status %+v, want 5 records, 1 of them open", s)
 	}
 	keys = append(keys, "new")
-	wantRepeatsFail(t, p, keys)
+	wantDuplicatesFail(t, p, keys)
 	p.wantResult(p.send("pay", "open"), engine.Failed, "a keyed request after its window")
 	if len(p.transport.sent) > 0 {
 		t.Error("a keyed request was sent after its window")
 	}
 	p.stop()
 
-	m.pass(10*time.Minute, 0)
+	m.advance(10*time.Minute, 0)
 	p = startProgram(t, m, fs, nil)
 	for _, key := range keys {
 		done := p.send("book", key)
 		p.nextAttempt().answer()
-		p.wantResult(done, engine.Served, "after the retention: "+key)
+		p.wantResult(done, engine.Served, "a request after the retention, with key "+key)
 	}
 }
 
-// The machine is restarted, so that nothing has measured how much time has passed since 593ba64 sent a keyed request.
-// Its window may be over, and a repeat run a second time: it must not be sent again.
+// Guards against executing a keyed request twice when the machine is restarted during an upgrade from the version of
+// commit 593ba64. The time since the first attempt is unknown then, and the window may have passed, so the request must
+// not be sent again.
 func TestStoredRecordsOfPreviousVersionAfterReboot(t *testing.T) {
 	fs, m := copyStoredLog(t), storedMachine()
 	m.reading.BootID, m.reading.Uptime = "another", time.Minute
 	p := startProgram(t, m, fs, nil)
 	if s := p.deduplicator.Status(); s.Remembered != 4 || s.RestoredOpen != 2 {
-		t.Errorf("restored: %+v", s)
+		t.Errorf("after the start: status %+v, want 4 records, 2 of them open", s)
 	}
 	p.wantResult(p.send("pay", "open"), engine.Failed, "a keyed request")
 	p.wantResult(p.send("book", "open"), engine.Failed, "a request that is not idempotent")
--- a/internal/idempotency/middleware/transport.go
+++ b/internal/idempotency/middleware/transport.go
@@ -9,8 +9,8 @@
 	"hazelwing/internal/idempotency"
 )
 
-// Transport returns a transport whose attempts of calls that are not idempotent wait for their intent to be durable
-// before next carries them out.
+// Transport returns a transport that sends attempts through next. Attempts of calls that are not idempotent wait until
+// their intent is durable.
 func (d *Deduplicator) Transport(next engine.Transport) engine.Transport {
 	return &transport{Transport: next, deduplicator: d, endpoints: map[string]engine.Endpoint{}}
 }
@@ -19,7 +19,7 @@
 type transport struct {
 	engine.Transport
 	deduplicator *Deduplicator
-	endpoints    map[string]engine.Endpoint // the endpoint list, by ID
+	endpoints    map[string]engine.Endpoint // current endpoints, by ID
 }
 
 // Update implements engine.Transport.
@@ -55,7 +55,7 @@
 	}
 }
 
-// exchange is an attempt that waits for its intent to be durable.
+// exchange wraps an attempt that has to wait until its intent is durable.
 type exchange struct {
 	engine.Exchange
 	deduplicator *Deduplicator
@@ -66,12 +66,12 @@
 
 	mu        sync.Mutex
 	started   bool          // the wrapped exchange may run
-	abandoned chan struct{} // closed if the wrapped exchange will never run
+	abandoned chan struct{} // closed when the wrapped exchange must no longer be started
 }
 
-// Run waits for the intent to be durable and then runs the wrapped exchange. An attempt that was not sent has the
-// result NotSent: it never ran, and says nothing about its endpoint. The time of the wait is not counted as the
-// endpoint's.
+// Run waits until the intent is durable and then runs the wrapped exchange. The outcome of an attempt that was not sent
+// has the result NotSent, which means that the attempt never ran and which says nothing about the health of its
+// endpoint. Outcome.Elapsed does not include the time of the wait.
 func (x *exchange) Run(begin func(any) bool) engine.Outcome {
 	waitStart := time.Now()
 	attempt, err := x.awaitIntent()
@@ -88,19 +88,19 @@
 	return outcome
 }
 
-// Cancel implements engine.Exchange. It also ends an exchange that waits for its intent.
+// Cancel implements engine.Exchange. It also ends the wait for the intent.
 func (x *exchange) Cancel() {
 	x.abandon()
 	x.Exchange.Cancel()
 }
 
-// CancelUnsent implements engine.Exchange.
+// CancelUnsent implements engine.Exchange. It also ends the wait for the intent.
 func (x *exchange) CancelUnsent() {
 	x.abandon()
 	x.Exchange.CancelUnsent()
 }
 
-// abandon prevents the wrapped exchange from running, unless it has been started.
+// abandon prevents the wrapped exchange from being started. It has no effect if that has happened already.
 func (x *exchange) abandon() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -114,11 +114,12 @@
 	}
 }
 
-// start decides whether the wrapped exchange may run: it has not been abandoned. After that abandon has no effect.
+// start decides whether the wrapped exchange may run, which is the case unless it has been abandoned. After start has
+// returned true, abandon has no effect.
 //
-// Guard: prevents an attempt from being sent whose record was durable only after its call's result or its client's
-// disconnect: it would run for nobody, and its record be deleted as one that never ran. It holds because abandon and
-// start take the same lock.
+// Guard: prevents an attempt from being sent whose record became durable only after its call had a result or its client
+// had disconnected. Nobody would receive its response, and its record would be deleted as that of an attempt that never
+// ran. It holds because abandon and start take the same lock.
 func (x *exchange) start() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -131,9 +132,9 @@
 	}
 }
 
-// awaitIntent decides whether an attempt may be sent, once its intent is durable or cannot be: it returns then, with
-// the reason if it must not be. If it returns neither an attempt nor an error, the attempt may be sent and nothing
-// remembers it.
+// awaitIntent registers the intent of an attempt, waits until it is durable or has failed to become so, and decides
+// whether the attempt may be sent. The error is the reason why it must not be sent. If both the attempt and the error
+// are nil, the attempt may be sent and is not remembered.
 func (x *exchange) awaitIntent() (*idempotency.Attempt, error) {
 	d := x.deduplicator
 	attempt, written, err := d.beginAttempt(x.fingerprint, x.zone, x.cell)
@@ -154,8 +155,8 @@
 	return attempt, nil
 }
 
-// awaitWrite waits until a write has ended, for as long as the attempt has time and is not abandoned. There is nothing
-// to wait for if written is nil.
+// awaitWrite waits until a write has ended, which closes written. It returns an error if the attempt reaches its
+// deadline or is abandoned before that. If written is nil, it returns at once.
 func (x *exchange) awaitWrite(written <-chan struct{}) error {
 	if written == nil {
 		return nil
@@ -166,7 +167,7 @@
 	case <-written:
 		return nil
 	case <-timer.C:
-		return errAbandoned
+		return errWriteTimeout
 	case <-x.abandoned:
 		return errAbandoned
 	}
--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -10,34 +10,37 @@
 	"hazelwing/internal/store"
 )
 
-// The write-ahead log of the records. Nobody who waits for a write holds the lock, and a write that nobody waits for
-// any more goes on: what it has written is taken back when it has ended.
+// This file contains the write-ahead log of the records. No goroutine holds Deduplicator.mu while it waits for a write.
+// A write continues after its attempt was abandoned; once it has ended, its record is deleted again.
 
 const (
 	// clockKey is the key of the clock's state in the store. All other keys are fingerprints, which are longer.
 	clockKey = "clock"
-	// clockRetention is how long the clock's state is stored: longer than any record.
+	// clockRetention is how long the clock's state is stored. It is longer than any record is stored.
 	clockRetention = 100 * 365 * 24 * time.Hour
-	// retryWriteAfter is the pause after a failed write in which no other is tried. A higher value rejects requests for
-	// longer after the disk works again; a lower one makes more attempts wait for a disk that fails.
+	// retryWriteAfter is how long no further write is tried after a failed one, with RejectOnFailure. With a higher
+	// value requests are rejected for longer after the disk works again; with a lower one more attempts wait for a disk
+	// that fails.
 	retryWriteAfter = time.Second
-	// storeSlack is added to the times at which records expire in the store, so that the tracker's clock decides. A
-	// higher value costs disk; with a lower one a difference of the clocks could drop a record that is still needed.
+	// storeSlack is added to the expiry times of records in the store, so that a record expires by the tracker's clock
+	// before the store drops it. A higher value costs disk space; with a lower one a difference between the clocks
+	// could drop a record that is still needed.
 	storeSlack = time.Minute
 )
 
-// writeFailure describes the failure of the latest write. Deduplicator.mu protects it.
+// writeFailure describes the current series of failed writes. Deduplicator.mu protects it.
 type writeFailure struct {
-	err     error     // nil: the latest write succeeded
-	since   time.Time // first failure
-	retryAt time.Time // no further write before
+	err     error     // error of the latest write; nil if it succeeded
+	since   time.Time // time of the first failure of the series
+	retryAt time.Time // time until which RejectOnFailure tries no further write
 }
 
 // openLog opens the store and restores its records.
 func (d *Deduplicator) openLog(logger *slog.Logger) error {
 	options := d.config.Store
 	options.Logger = logger
-	// Until restore has resumed the clock nothing has expired: only the stored records say what time it is.
+	// Until restore has resumed the clock, the zero clock lets no record expire: the current time on the records'
+	// timeline is only known from the stored records.
 	options.Now = func() time.Time { return wallTime(d.now().Time) }
 	if d.config.Durability == DurabilityAlways {
 		options.SyncEvery = 0
@@ -79,7 +82,7 @@
 	return nil
 }
 
-// readLog reads the records and the clock's state. It logs what it cannot decode, and leaves it out.
+// readLog reads the records and the clock's state. It skips and logs entries that it cannot decode.
 func (d *Deduplicator) readLog() (map[idempotency.Fingerprint]idempotency.Record, idempotency.ClockState, error) {
 	records := map[idempotency.Fingerprint]idempotency.Record{}
 	var clock idempotency.ClockState
@@ -105,9 +108,8 @@
 	return records, clock, err
 }
 
-// parseEntry decodes an entry of the store that is a record.
-func parseEntry(key string, value []byte) (idempotency.Fingerprint, idempotency.Record, bool) {
-	var fp idempotency.Fingerprint
+// parseEntry decodes an entry of the store as a record. ok is false if the entry is not one.
+func parseEntry(key string, value []byte) (fp idempotency.Fingerprint, record idempotency.Record, ok bool) {
 	if len(key) != len(fp) {
 		return fp, idempotency.Record{}, false
 	}
@@ -116,16 +118,18 @@
 	return fp, record, err == nil
 }
 
-// wallTime returns a point of the records' timeline in the store's terms.
+// wallTime converts a point on the records' timeline to a time.Time, as the store uses it.
 func wallTime(t idempotency.Time) time.Time { return time.UnixMilli(int64(t)) }
 
 // storeExpiry returns when a record that expires at t expires in the store.
 func storeExpiry(t idempotency.Time) time.Time { return wallTime(t).Add(storeSlack) }
 
-// beginAttempt registers the intent of an attempt, and starts to write its record if it has to be written. Where the
-// table is full it decides by Config.OnFailure: the attempt is rejected, or sent and not remembered. The channel is
-// closed when the write that the attempt has to wait for ends; it is nil if there is none. Without an attempt the
-// error says why it must not be sent; without an error either, it may be sent and nothing remembers it.
+// beginAttempt registers the intent of an attempt, and starts to write its record if necessary. If the table is full,
+// Config.OnFailure decides whether the attempt is rejected, or sent without being remembered.
+//
+// The channel is closed when the write for which the attempt has to wait has ended; it is nil if there is none. If the
+// returned attempt is nil, the error is the reason why the attempt must not be sent; if the error is nil as well, the
+// attempt may be sent and is not remembered.
 func (d *Deduplicator) beginAttempt(
 	fp idempotency.Fingerprint, zone string, cell int,
 ) (*idempotency.Attempt, <-chan struct{}, error) {
@@ -157,8 +161,8 @@
 	return attempt, nil, nil
 }
 
-// startWrite starts to write the record of an attempt. It returns a channel that is closed when the write has ended,
-// nil if nothing is written. The caller holds the lock.
+// startWrite starts to write the record of an attempt. It returns a channel that is closed when the write has ended, or
+// nil if there is no store. The caller holds the lock.
 func (d *Deduplicator) startWrite(
 	fp idempotency.Fingerprint, attempt *idempotency.Attempt, record idempotency.Record,
 ) <-chan struct{} {
@@ -186,8 +190,8 @@
 	return written
 }
 
-// checkDurable decides whether an attempt whose write has ended may be sent: if its record is durable, or, with
-// ContinueOnFailure, also if it is not.
+// checkDurable decides whether an attempt whose write has ended may be sent. With RejectOnFailure it returns an error
+// if the attempt's record is not durable; with ContinueOnFailure it always returns nil.
 func (d *Deduplicator) checkDurable(attempt *idempotency.Attempt) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,8 +206,8 @@
 	return errNotDurable
 }
 
-// abandonAttempt ends an attempt that was not sent, once its write has ended: before that, the store could delete the
-// record before it is put.
+// abandonAttempt ends an attempt that was not sent, once its write has ended. Before that, the store could execute the
+// delete of the record before the put, and the record would stay.
 func (d *Deduplicator) abandonAttempt(
 	fp idempotency.Fingerprint, attempt *idempotency.Attempt, written <-chan struct{},
 ) {
@@ -217,8 +221,8 @@
 	})
 }
 
-// endAttempt ends an attempt in the tracker and queues the update of the stored record that follows, in one step, so
-// that the next intent with the same fingerprint is written after it.
+// endAttempt ends an attempt in the tracker and queues the resulting update of the stored record. It holds the lock
+// during both, so that the next intent with the same fingerprint is written after the update.
 func (d *Deduplicator) endAttempt(
 	fp idempotency.Fingerprint, attempt *idempotency.Attempt, mayHaveRun, wasAnswered bool,
 ) {
@@ -235,19 +239,19 @@
 	case idempotency.DeleteRecord:
 		ok = d.store.DeleteLater(string(fp[:]))
 	}
-	if !ok { // the stored record stays open, which forbids more than it has to
+	if !ok { // the stored record stays as it was, so that after a restart more duplicates fail than necessary
 		d.counters.unrecordedOutcomes++
 	}
 }
 
-// rejectsWrites decides whether attempts are rejected before a write is tried: with RejectOnFailure, for
-// retryWriteAfter from a failed write on. This prevents each attempt from waiting for a disk that fails. The caller
+// rejectsWrites decides whether attempts are rejected without trying a write, which is the case with RejectOnFailure
+// for retryWriteAfter after a failed write. This prevents each attempt from waiting for a disk that fails. The caller
 // holds the lock.
 func (d *Deduplicator) rejectsWrites() bool {
 	return d.failure.err != nil && d.config.OnFailure == RejectOnFailure && time.Now().Before(d.failure.retryAt)
 }
 
-// writeFailed notes that a write failed. The caller holds the lock.
+// writeFailed records that a write failed, and logs the first failure of a series. The caller holds the lock.
 func (d *Deduplicator) writeFailed(err error) {
 	if d.failure.err == nil {
 		d.failure.since = time.Now()
@@ -258,7 +262,7 @@
 	d.failure.retryAt = time.Now().Add(retryWriteAfter)
 }
 
-// writeSucceeded notes that a write succeeded. The caller holds the lock.
+// writeSucceeded records that a write succeeded, and logs the end of a series of failures. The caller holds the lock.
 func (d *Deduplicator) writeSucceeded() {
 	if d.failure.err == nil {
 		return
