--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The writer's access to the active segment.
+// This file contains the writer's access to the active segment.
 
 // appendBatch writes a batch to the active segment, syncs it if sync is set, and then adds it to the index.
 func (s *Store) appendBatch(batch []op, sync bool) error {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// encodeBatch encodes a batch to the buffer, and returns where its records will lie.
+// encodeBatch encodes a batch to the buffer, and returns the locations of its records after the write.
 func (s *Store) encodeBatch(batch []op) []location {
 	var locations []location
 	s.buffer = s.buffer[:0]
@@ -63,33 +63,34 @@
 	}
 }
 
-// abandonActive seals the active segment after a failure. What lies behind the confirmed bytes may or may not be on the
-// disk, and a later sync would not tell. This prevents an entry from being confirmed that a loss of power then loses.
+// abandonActive seals the active segment after a failed write or sync. It is unknown whether the bytes after the
+// confirmed ones are on the disk, and a later successful sync would not show it. This prevents an entry from being
+// confirmed and then lost by a power loss.
 func (s *Store) abandonActive() {
 	g := s.active
-	_ = g.file.Truncate(g.size) // if it fails, recovery finds what is not a record
+	_ = g.file.Truncate(g.size) // if this fails, recovery skips the bytes that are not a valid record
 	s.sealActive()
 	if g.size > headerSize {
 		return
 	}
-	// This prevents a new segment for each attempt while the disk fails. A segment that cannot be removed is compacted
-	// like any other.
+	// Removing the segment prevents each attempt from leaving a segment without records while the disk fails. A segment
+	// that cannot be removed is compacted like any other.
 	if s.fs.Remove(segmentName(g.number)) == nil {
 		s.mu.Lock()
 		delete(s.segments, g.number)
 		s.mu.Unlock()
-		_ = g.file.Close() // nothing in it counts
+		_ = g.file.Close() // the segment has no confirmed records
 	}
 }
 
-// ensureActive makes sure that there is an active segment with room.
+// ensureActive creates an active segment if there is none, or if the current one is full.
 func (s *Store) ensureActive() error {
 	if s.active != nil && !s.isActiveFull() {
 		return nil
 	}
 	s.sealActive()
 	number := s.nextSegment
-	s.nextSegment++ // also after a failure: what is left of the segment is not written to
+	s.nextSegment++ // also if creating the segment fails, since a part of its file may exist
 	g, err := s.createSegment(number)
 	if err != nil {
 		return err
@@ -104,8 +105,8 @@
 // isActiveFull reports whether the next batch goes to a new segment.
 func (s *Store) isActiveFull() bool { return s.active != nil && s.active.size >= s.options.SegmentSize }
 
-// createSegment creates a segment whose header and name are durable. It removes what is left after a failure, if
-// possible.
+// createSegment creates a segment and makes its header and file name durable. After a failure it tries to remove the
+// file.
 func (s *Store) createSegment(number uint64) (*segment, error) {
 	f, err := s.fs.Create(segmentName(number))
 	if err != nil {
@@ -117,7 +118,7 @@
 		}
 	}
 	if err != nil {
-		// Recovery removes a segment without records.
+		// If removing the file fails, recovery does it, since the segment has no records.
 		_ = f.Close()
 		_ = s.fs.Remove(segmentName(number))
 		return nil, err
@@ -146,9 +147,9 @@
 	return err
 }
 
-// syncConfirmed makes durable what was confirmed with SyncEvery. After a failure none of it counts as durable in its
-// segment: it is written again, to a new one. Nothing is lost while the process lives, because what could not be
-// written is tried again.
+// syncConfirmed syncs the ops that were confirmed with SyncEvery. After a failed sync none of them counts as durable,
+// and all are written again to a new segment. If that fails as well, they stay in unsynced and are tried again later,
+// so that no entry is lost while the process runs.
 func (s *Store) syncConfirmed() {
 	if len(s.unsynced) == 0 {
 		return
@@ -178,8 +179,8 @@
 	s.counters.lost = 0
 }
 
-// latestPerKey returns the last op of each key, in order. After a crash while ops are written again, an older one that
-// reached the disk would have a higher sequence number than the newer one that had been written before.
+// latestPerKey returns the last op of each key, in order. Older ops must not be written again: if a crash then left
+// only an older op of a key on the disk, it would have a higher sequence number than the newer op from the first write.
 func latestPerKey(ops []op) []op {
 	seen := map[string]bool{}
 	var latest []op
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// SegmentReport is what Check reports of a segment.
+// SegmentReport is the result of Check for a segment.
 type SegmentReport struct {
 	Name    string `json:"name"`
 	Bytes   int64  `json:"bytes"`
 	Puts    int    `json:"puts"`
 	Deletes int    `json:"deletes"`
-	Damaged int64  `json:"damaged"` // bytes between records that are not records: the disk has changed them
-	Tail    int64  `json:"tail"`    // bytes after the last record: mostly the end of a write that a crash cut
+	Damaged int64  `json:"damaged"` // bytes before the end of the last record that are not part of a record
+	Tail    int64  `json:"tail"`    // bytes after the last record, usually from a write that a crash interrupted
 	Hint    string `json:"hint"`    // HintGood, HintMissing or HintDamaged
 	Fault   string `json:"fault,omitempty"`
 }
@@ -27,8 +27,8 @@
 	HintDamaged = "spoilt"
 )
 
-// Check reads all segments of a directory, record by record, and changes nothing. It takes no lock: a store that is
-// open may change meanwhile. An error means that the directory could not be read.
+// Check reads all records of all segments of a directory, and changes nothing. It does not take the lock, so another
+// process may change the store meanwhile. An error means that the directory or a segment could not be read.
 func Check(fs FS) ([]SegmentReport, error) {
 	list := []SegmentReport{}
 	err := eachSegment(fs, func(name string, number uint64, content []byte) {
@@ -37,8 +37,8 @@
 	return list, err
 }
 
-// Read calls visit with every entry of a directory, including expired ones, and changes nothing. It takes no lock: a
-// store that is open may change meanwhile. What it cannot read it leaves out.
+// Read calls visit with every entry of a directory, including expired ones, and changes nothing. It does not take the
+// lock, so another process may change the store meanwhile. Read skips records that are damaged.
 func Read(fs FS, visit func(key string, value []byte, expiresAt time.Time)) error {
 	latest := map[string]record{}
 	err := eachSegment(fs, func(_ string, number uint64, content []byte) {
@@ -72,18 +72,18 @@
 			continue
 		}
 		content, err := readFile(fs, name)
-		if errors.Is(err, os.ErrNotExist) { // a compaction has removed it
+		if errors.Is(err, os.ErrNotExist) { // another process has removed the segment since List
 			continue
 		}
 		if err != nil {
-			return fmt.Errorf("store: %s: %w", name, err)
+			return fmt.Errorf("store: reading %s: %w", name, err)
 		}
 		visit(name, number, content)
 	}
 	return nil
 }
 
-// checkedRecord is what a segment and its hint file both say of a record.
+// checkedRecord holds the properties of a record that are both in its segment and in the hint file.
 type checkedRecord struct {
 	kind         recordKind
 	sequence     uint64
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -5,11 +5,12 @@
 	"fmt"
 )
 
-// copyBufferSize is how much Compact writes at a time, in bytes.
+// copyBufferSize is the size at which Compact writes its buffer to the file, in bytes.
 const copyBufferSize = 256 << 10
 
-// Compact reclaims the space of entries that have expired, were deleted or were replaced. Reads and writes go on
-// meanwhile. After an error the store is as it was, but for a file that the next compaction takes up.
+// Compact reclaims the space of entries that have expired, were deleted or were replaced. Reads and writes continue
+// meanwhile. After an error the entries are unchanged, but files that could not be removed may remain; the next removal
+// of segments tries to remove them again.
 func (s *Store) Compact() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -33,7 +34,8 @@
 	return errors.Join(err, s.removeFiles(sealed...))
 }
 
-// replaceSegments puts a compacted segment in the place of the old ones. moved has the locations of its entries.
+// replaceSegments replaces old segments by a compacted one in the index. moved holds the locations of the entries in
+// the compacted segment.
 func (s *Store) replaceSegments(old []*segment, compacted *segment, moved map[string]location) {
 	now := s.options.Now().UnixMilli()
 	s.mu.Lock()
@@ -50,7 +52,7 @@
 	for _, g := range old {
 		isOld[g.number] = true
 	}
-	for key, l := range s.index { // what was not copied has expired, or cannot be read
+	for key, l := range s.index { // entries that were not copied have expired or cannot be read
 		if isOld[l.segment] {
 			if l.expiresAt > now {
 				s.damaged += int64(l.size)
@@ -72,12 +74,13 @@
 type copier struct {
 	*Store
 	output *segment
-	buffer []byte
-	moved  map[string]location
-	now    int64 // Unix ms
+	buffer []byte              // encoded records that have not been written yet
+	moved  map[string]location // locations of the copies, by key
+	now    int64               // Unix ms
 }
 
-// copyLive copies the records of sealed segments that count to a new segment, and syncs it.
+// copyLive copies the live records of sealed segments to a new segment, and syncs it. It returns the new segment and
+// the locations of the copies.
 func (s *Store) copyLive(output uint64, sealed []*segment) (*segment, map[string]location, error) {
 	g, err := s.createSegment(output)
 	if err != nil {
@@ -96,30 +99,30 @@
 		err = g.file.Sync()
 	}
 	if err != nil {
-		// The copies do no harm before the next compaction. After it they would, because it removes deletes of their
-		// keys.
-		_ = g.file.Close() // nothing in it counts
+		// The copies have to be removed before the next compaction. It removes deletes of their keys, after which a
+		// restart would restore the copies.
+		_ = g.file.Close() // the segment is not used
 		return nil, nil, errors.Join(err, s.removeFiles(g))
 	}
 	return g, c.moved, nil
 }
 
-// copySegment copies the records of a segment that count.
+// copySegment copies the live records of a segment.
 func (c *copier) copySegment(source *segment) error {
 	b, err := readAll(source.file)
 	if err != nil {
-		return fmt.Errorf("store: %s: %w", segmentName(source.number), err)
+		return fmt.Errorf("store: reading %s: %w", segmentName(source.number), err)
 	}
 	scan(b[:min(int64(len(b)), source.size)], source.number, func(r record, _, _ int64) {
-		if err == nil && c.counts(&r, source.number) {
+		if err == nil && c.isLive(&r, source.number) {
 			err = c.copyRecord(&r)
 		}
 	})
 	return err
 }
 
-// counts reports whether a record of a segment is the one that its entry has.
-func (c *copier) counts(r *record, segment uint64) bool {
+// isLive reports whether a record of a segment is the current one of its key in the index, and has not expired.
+func (c *copier) isLive(r *record, segment uint64) bool {
 	c.mu.RLock()
 	l := c.index[r.key]
 	c.mu.RUnlock()
--- a/internal/store/dir.go
+++ b/internal/store/dir.go
@@ -9,13 +9,13 @@
 	"syscall"
 )
 
-// Modes of the directory and its files: nobody else reads what they hold.
+// Modes of the directory and its files. Other users have no access.
 const (
 	dirMode  = 0o700
 	fileMode = 0o600
 )
 
-// Dir returns a directory of the operating system, which it creates if necessary.
+// Dir returns an FS for a directory of the operating system. It creates the directory if necessary.
 func Dir(path string) (FS, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, err
@@ -62,11 +62,11 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close() // nothing was written
+		_ = f.Close() // nothing was written to the file
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, ErrLocked
 		}
-		return nil, fmt.Errorf("store: %s: %w", d.path(name), err)
+		return nil, fmt.Errorf("store: locking %s: %w", d.path(name), err)
 	}
 	return f, nil
 }
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -5,10 +5,10 @@
 	"io"
 )
 
-// FS is a directory of a file system. The store calls its methods from any goroutine, and from one at a time for each
-// file.
+// FS is a directory of a file system. The store calls its methods from several goroutines, but those for the same file
+// from only one at a time.
 type FS interface {
-	// Create creates a file, which must not exist, for appending.
+	// Create creates a file for reading and appending. It fails if the file exists.
 	Create(name string) (File, error)
 	// Open opens a file for reading and for Truncate.
 	Open(name string) (File, error)
@@ -17,19 +17,19 @@
 	List() ([]string, error)
 	// SyncDir makes the effects of Create and Remove durable; before that a crash may undo any of them.
 	SyncDir() error
-	// Lock excludes other processes until the returned lock is closed. It returns ErrLocked if another one has the
-	// lock.
+	// Lock takes a lock that excludes other processes until the returned closer is closed. It returns ErrLocked if
+	// another process has the lock.
 	Lock(name string) (io.Closer, error)
 }
 
 // File is a file of an FS.
 type File interface {
 	io.ReaderAt
-	// Write appends. After an error any part of b may be in the file.
+	// Write appends b to the file. After an error any part of b may have been written.
 	Write(b []byte) (int, error)
-	// Sync makes what was written durable. After an error nothing that was written since the last successful Sync is
-	// known to be durable, whatever a later Sync returns (fsync(2); Rebello et al., "Can applications recover from
-	// fsync failures?", ATC 2020).
+	// Sync makes the bytes durable that have been written. After an error the bytes written since the last successful
+	// Sync are not known to be durable, whatever a later Sync returns (fsync(2); Rebello et al., "Can applications
+	// recover from fsync failures?", ATC 2020).
 	Sync() error
 	Truncate(size int64) error
 	Size() (int64, error)
@@ -37,7 +37,7 @@
 }
 
 // ErrLocked is returned by Open if another process has the store open.
-var ErrLocked = errors.New("store: another process has it open")
+var ErrLocked = errors.New("store: directory is locked by another process")
 
 // readFile reads a whole file of a directory.
 func readFile(fs FS, name string) ([]byte, error) {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	return readAll(f)
 }
 
--- a/internal/store/hint.go
+++ b/internal/store/hint.go
@@ -5,33 +5,33 @@
 	"hash/crc32"
 )
 
-// A hint file lists what its segment holds, without the values: a start reads it in place of the segment. It is written
-// after the segment was sealed, and used only if it is complete: one that is missing or damaged costs time and nothing
-// else.
+// A hint file lists the records of its segment without their values. Open reads it instead of the segment. It is
+// written after the segment has been sealed, and is used only if it is complete. If it is missing or damaged, opening
+// the store takes longer, but nothing is lost.
 
 const (
 	hintMagic      = "hzwhnt\x00\x01"
 	hintSuffix     = ".hint"
 	hintHeaderSize = 28 // magic, number, end, count
-	hintEntrySize  = 27 // without the key
+	hintEntrySize  = 27 // size of an entry without its key
 	hintFooterSize = 4  // checksum
-	// maxHintedSize is the size beyond which a segment has no hint file: offsets have 32 bits.
+	// maxHintedSize is the maximum size of a segment with a hint file, in which offsets have 32 bits.
 	maxHintedSize = 1<<32 - 1
 )
 
-// visitHint receives an entry of a hint file: a record without its value, where it lies, and its size there.
+// visitHint receives an entry of a hint file: a record without its value, and its offset and size in the segment.
 type visitHint func(r *record, offset, size int64)
 
 func hintName(number uint64) string { return fileName(number, hintSuffix) }
 
-// encodeHint returns the hint file of a segment whose content, up to its end, is b, or nil if it is too large for one.
+// encodeHint returns the hint file of a segment with the content b, or nil if the segment is too large for one.
 func encodeHint(number uint64, b []byte) []byte {
 	if int64(len(b)) > maxHintedSize {
 		return nil
 	}
 	h := binary.LittleEndian.AppendUint64([]byte(hintMagic), number)
 	h = binary.LittleEndian.AppendUint64(h, uint64(len(b)))
-	h = append(h, 0, 0, 0, 0) // the count, below
+	h = append(h, 0, 0, 0, 0) // number of entries, which is set at the end
 	count := uint32(0)
 	scan(b, number, func(r record, offset, _ int64) {
 		h = appendHintEntry(h, &r, offset)
@@ -41,7 +41,7 @@
 	return binary.LittleEndian.AppendUint32(h, crc32.Checksum(h, castagnoli))
 }
 
-// appendHintEntry appends the entry of a record.
+// appendHintEntry appends the entry of a record to a hint file.
 func appendHintEntry(h []byte, r *record, offset int64) []byte {
 	h = append(h, byte(r.kind))
 	h = binary.LittleEndian.AppendUint64(h, r.sequence)
@@ -52,8 +52,8 @@
 	return append(h, r.key...)
 }
 
-// decodeHint calls visit with each entry of a hint file, and returns the end of its segment. ok is false if it is not
-// the complete hint file of that segment. The checksum is verified first, so that no entry of a damaged file is
+// decodeHint calls visit with each entry of the hint file h, and returns the end of its segment. ok is false if h is
+// not the complete hint file of segment number. The checksum is verified first, so that no entry of a damaged file is
 // visited.
 func decodeHint(h []byte, number uint64, visit visitHint) (end int64, ok bool) {
 	footer := len(h) - hintFooterSize
@@ -86,11 +86,11 @@
 	return hintedEnd(h), len(rest) == 0
 }
 
-// hintedEnd returns the end of the segment that a hint file names.
+// hintedEnd returns the end of the segment that is stored in the hint file h.
 func hintedEnd(h []byte) int64 { return int64(binary.LittleEndian.Uint64(h[16:])) }
 
-// loadHint visits the entries of a segment's hint file. ok is false if it cannot be used: it is not complete, or the
-// segment is shorter than it says.
+// loadHint calls visit with each entry of a segment's hint file, and returns the end of the segment. ok is false if the
+// file cannot be used because it is incomplete or because the segment is shorter than the end that it states.
 func (s *Store) loadHint(g *segment, visit visitHint) (end int64, ok bool) {
 	h, err := readFile(s.fs, hintName(g.number))
 	if err != nil {
@@ -103,7 +103,7 @@
 	return decodeHint(h, g.number, visit)
 }
 
-// writeHint writes the hint file of a sealed segment. It is not synced: an incomplete one is not used.
+// writeHint writes the hint file of a sealed segment. It does not sync the file, since an incomplete one is not used.
 func (s *Store) writeHint(g *segment) error {
 	b, err := readAll(g.file)
 	if err != nil {
@@ -118,9 +118,9 @@
 		return err
 	}
 	_, err = f.Write(h)
-	_ = f.Close() // the checksum tells whether the file is complete
+	_ = f.Close() // not necessary to check: the checksum shows whether the file is complete
 	if err != nil {
-		_ = s.fs.Remove(hintName(g.number)) // an incomplete one is not used
+		_ = s.fs.Remove(hintName(g.number)) // an incomplete file that stays is not used
 	}
 	return err
 }
--- a/internal/store/maintain.go
+++ b/internal/store/maintain.go
@@ -9,21 +9,23 @@
 	"time"
 )
 
-// What the store does by itself: it writes hint files, and reclaims the space of entries that have expired, were
-// deleted or were replaced.
+// This file contains the maintenance of the store: it writes hint files, and reclaims the space of entries that have
+// expired, were deleted or were replaced.
 
 const (
-	// Segments are compacted when at least this many segments' worth of bytes, and this share of all, does not count.
-	// Higher values write fewer copies, and take more disk.
+	// Segments are compacted when the bytes that are not part of live records amount to at least minWasteSegments times
+	// Options.SegmentSize, and to at least the share minWasteShare of all bytes. With higher values fewer copies are
+	// written, but the store takes more disk space.
 	minWasteSegments = 2
 	minWasteShare    = 0.5
-	// They are also compacted when the store is fuller than this share of Options.MaxBytes, each time that it has grown
-	// by that step. Higher values compact later and less often, and come closer to rejecting entries as ErrFull.
+	// Segments are also compacted when their size exceeds the share fullShare of Options.MaxBytes, and has grown by
+	// more than the share fullStep of it since the last compaction. With higher values compactions come later and less
+	// often, but the store is more likely to reject entries with ErrFull.
 	fullShare = 0.75
 	fullStep  = 0.0625
 )
 
-// runMaintainer calls Maintain whenever there may be something to do, until the store is closed.
+// runMaintainer calls Maintain whenever it is requested and every Options.MaintainEvery, until the store is closed.
 func (s *Store) runMaintainer() {
 	defer close(s.maintainerDone)
 	ticker := time.NewTicker(s.options.MaintainEvery)
@@ -41,7 +43,7 @@
 	}
 }
 
-// requestMaintenance tells the maintainer that there may be something to do. It does not block.
+// requestMaintenance makes the maintainer call Maintain. It does not block.
 func (s *Store) requestMaintenance() {
 	select {
 	case s.maintenanceRequests <- struct{}{}:
@@ -49,8 +51,8 @@
 	}
 }
 
-// Maintain drops the oldest segments while no record in them counts, compacts the rest if enough of it does not count,
-// and writes the hint files that are missing. It may be called at any time; reads and writes go on meanwhile.
+// Maintain drops the oldest segments as long as they contain no live record, compacts the others if that reclaims
+// enough space, and writes missing hint files. It may be called at any time; reads and writes continue meanwhile.
 func (s *Store) Maintain() error {
 	err := s.dropSegments()
 	if err == nil && s.shouldCompact() {
@@ -73,8 +75,8 @@
 	return list
 }
 
-// writeHints writes the hint files that are missing. Each is tried once: a segment without one only takes longer to
-// load.
+// writeHints writes missing hint files. It tries each file only once, since a segment without one merely takes longer
+// to load.
 func (s *Store) writeHints() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -91,8 +93,8 @@
 	return err
 }
 
-// dropSegments removes the oldest sealed segments while no record in them counts. It stops at the first one that is
-// needed: a delete in a later one still is while a put of its key may lie in an older one.
+// dropSegments removes the oldest sealed segments as long as they contain no live record. It stops at the first segment
+// that does: a delete in a later segment has to stay as long as a put of its key may be in an earlier one.
 func (s *Store) dropSegments() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -100,7 +102,7 @@
 		if !s.drop(g) {
 			return nil
 		}
-		_ = g.file.Close() // nothing in it counts
+		_ = g.file.Close() // the segment has no live record
 		if err := s.removeFiles(g); err != nil {
 			return err
 		}
@@ -108,7 +110,8 @@
 	return nil
 }
 
-// drop takes a segment and its expired entries out of the index. It returns false if the segment is needed.
+// drop removes a segment and its expired entries from the index. It returns false, and does nothing, if the segment may
+// contain a live record.
 func (s *Store) drop(g *segment) bool {
 	now := s.options.Now().UnixMilli()
 	s.mu.Lock()
@@ -128,17 +131,18 @@
 	return true
 }
 
-// removeFiles removes the files of segments in order, each durably before the next and all before those of a later
-// call: no put outlives its delete. What it could not remove it tries again the next time. The caller holds compactMu.
+// removeFiles removes the files of segments in the given order, and after those of earlier calls. Each removal is made
+// durable before the next, so that a put never stays on the disk longer than the delete of its key. Files that could
+// not be removed stay in pendingRemovals, and the next call tries again. The caller holds compactMu.
 func (s *Store) removeFiles(list ...*segment) error {
 	s.pendingRemovals = append(s.pendingRemovals, list...)
 	for len(s.pendingRemovals) > 0 {
 		g := s.pendingRemovals[0]
 		if g.hintTried {
-			_ = s.fs.Remove(hintName(g.number)) // one that stays is removed at the next start
+			_ = s.fs.Remove(hintName(g.number)) // if this fails, recovery removes the file at the next start
 		}
 		if err := s.fs.Remove(segmentName(g.number)); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return fmt.Errorf("store: %s: %w", segmentName(g.number), err)
+			return fmt.Errorf("store: removing %s: %w", segmentName(g.number), err)
 		}
 		if err := s.fs.SyncDir(); err != nil {
 			return err
@@ -148,8 +152,8 @@
 	return nil
 }
 
-// shouldCompact reports whether a compaction would reclaim enough. It decides that from the bytes of all segments,
-// those that do not count, and the size after the last compaction.
+// shouldCompact decides whether a compaction would reclaim enough space, from the size of all segments, the bytes in
+// them that are not part of live records, and the size after the last compaction.
 func (s *Store) shouldCompact() bool {
 	s.compactMu.Lock()
 	lastSize := s.sizeAfterCompaction
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -18,8 +18,8 @@
 	return r.value, err == nil, err
 }
 
-// Each calls visit with every entry that has not expired, in no order, until it returns false. An entry that the disk
-// has changed is left out and logged.
+// Each calls visit with every entry that has not expired, in no particular order, until visit returns false. It skips
+// and logs entries that are damaged on disk.
 func (s *Store) Each(visit func(key string, value []byte, expiresAt time.Time) bool) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -29,7 +29,7 @@
 			continue
 		}
 		r, err := s.read(l)
-		if errors.Is(err, errChanged) {
+		if errors.Is(err, errDamaged) {
 			s.logger.Error("damaged entry skipped", "error", err)
 			continue
 		}
@@ -47,11 +47,11 @@
 func (s *Store) read(l location) (record, error) {
 	b := make([]byte, l.size)
 	if n, err := s.segments[l.segment].file.ReadAt(b, l.offset); n < len(b) {
-		return record{}, fmt.Errorf("store: %s: %w", segmentName(l.segment), err)
+		return record{}, fmt.Errorf("store: reading %s: %w", segmentName(l.segment), err)
 	}
 	r, ok := decodeRecord(b, l.segment, l.offset)
 	if !ok {
-		return record{}, fmt.Errorf("store: %s: the record at %d: %w", segmentName(l.segment), l.offset, errChanged)
+		return record{}, fmt.Errorf("store: %s at offset %d: %w", segmentName(l.segment), l.offset, errDamaged)
 	}
 	return r, nil
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -7,14 +7,14 @@
 
 // Limits of an entry.
 const (
-	MaxKey   = 1 << 10  // bytes of a key
-	MaxValue = 64 << 10 // bytes of a value
+	MaxKey   = 1 << 10  // maximum size of a key, in bytes
+	MaxValue = 64 << 10 // maximum size of a value, in bytes
 )
 
 // Sizes of a record, in bytes.
 const (
 	frameSize   = 8  // length and checksum
-	minBodySize = 19 // a body without key and value
+	minBodySize = 19 // size of a body without key and value
 	maxBodySize = minBodySize + MaxKey + MaxValue
 )
 
@@ -26,7 +26,7 @@
 	kindDelete recordKind = 2
 )
 
-// record is a record of the log.
+// record is a decoded record of the log.
 type record struct {
 	kind      recordKind
 	sequence  uint64
@@ -38,11 +38,11 @@
 // size returns the number of bytes of the encoded record.
 func (r *record) size() int64 { return int64(frameSize + minBodySize + len(r.key) + len(r.value)) }
 
-// appendTo appends the encoded record to b, whose end is at an offset of a segment.
+// appendTo appends the encoded record to b. The record is for the given offset of a segment, which its checksum covers.
 func (r *record) appendTo(b []byte, segment uint64, offset int64) []byte {
 	start := len(b)
 	b = binary.LittleEndian.AppendUint32(b, uint32(r.size()-frameSize))
-	b = append(b, 0, 0, 0, 0) // the checksum, below
+	b = append(b, 0, 0, 0, 0) // checksum, which is set at the end
 	b = append(b, byte(r.kind))
 	b = binary.LittleEndian.AppendUint64(b, r.sequence)
 	b = binary.LittleEndian.AppendUint64(b, uint64(r.expiresAt))
@@ -54,8 +54,8 @@
 	return b
 }
 
-// decodeRecord decodes the record at the start of b, which is at an offset of a segment. ok is false if there is none.
-// The value is a part of b.
+// decodeRecord decodes the record at the start of b, which was read from the given offset of a segment. ok is false if
+// there is no valid record. The value shares the memory of b.
 func decodeRecord(b []byte, segment uint64, offset int64) (r record, ok bool) {
 	if len(b) < frameSize+minBodySize {
 		return record{}, false
@@ -85,8 +85,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum returns the checksum of a record at an offset of a segment. frame is the encoded record, whose checksum
-// field is not covered.
+// checksum returns the checksum of a record at an offset of a segment. frame is the encoded record; its checksum field
+// is not covered.
 func checksum(segment uint64, offset int64, frame []byte) uint32 {
 	var prefix [20]byte
 	binary.LittleEndian.PutUint64(prefix[:], segment)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// recovery is the state of reading a directory.
+// recovery is the state while a directory is read.
 type recovery struct {
 	*Store
-	hints   map[uint64]bool   // numbers of the hint files
+	hints   map[uint64]bool   // numbers of the hint files whose segment has not been loaded
 	deletes map[string]uint64 // sequence number of the latest delete of each key
 }
 
-// recover reads what the directory holds: hint files where they can be used, and segments otherwise. It removes
-// segments without a record, which a crash left and in which nothing was confirmed, and hint files without a segment.
+// recover reads the directory: for each segment its hint file if it can be used, and the segment itself otherwise. It
+// removes segments without a record, which a crash left and which have no confirmed records, and hint files without a
+// segment.
 func (s *Store) recover() error {
 	names, err := s.fs.List()
 	if err != nil {
@@ -26,9 +27,9 @@
 	if err := r.loadSegments(names); err != nil {
 		return err
 	}
-	for number := range r.hints { // those of segments were taken out
+	for number := range r.hints { // loadSegments has removed those whose segment exists
 		if err := s.fs.Remove(hintName(number)); err != nil {
-			return fmt.Errorf("store: %s: %w", hintName(number), err)
+			return fmt.Errorf("store: removing %s: %w", hintName(number), err)
 		}
 	}
 	for key, sequence := range r.deletes {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// findHints lists the hint files. A number is not used again while a file has it.
+// findHints adds the hint files to r.hints. The number of a hint file is not used for a new segment.
 func (r *recovery) findHints(names []string) {
 	for _, name := range names {
 		if number := fileNumber(name, hintSuffix); number > 0 {
@@ -71,8 +72,7 @@
 	return nil
 }
 
-// loadSegment reads a segment, or its hint file in its place. It returns nil if the segment held no record and was
-// removed.
+// loadSegment reads a segment, or its hint file instead. It returns nil if the segment had no record and was removed.
 func (r *recovery) loadSegment(number uint64) (*segment, error) {
 	f, err := r.fs.Open(segmentName(number))
 	if err != nil {
@@ -86,7 +86,7 @@
 			return g, nil
 		}
 		g.hintTried = false
-		if err := r.fs.Remove(hintName(number)); err != nil { // it is written again
+		if err := r.fs.Remove(hintName(number)); err != nil { // Maintain writes it again
 			return nil, errors.Join(err, f.Close())
 		}
 	}
@@ -95,7 +95,7 @@
 		return nil, errors.Join(err, f.Close())
 	}
 	if v := headerVersion(b); v > 0 && v != formatVersion {
-		_ = f.Close() // it was only read
+		_ = f.Close() // the file was only read
 		return nil, &versionError{v}
 	}
 	records := 0
@@ -111,7 +111,7 @@
 	return g, nil
 }
 
-// addRecord adds a record to the index, or to the deletes.
+// addRecord adds a put to the index, unless a newer one of its key is there, or a delete to r.deletes.
 func (r *recovery) addRecord(segment uint64, rec *record, offset, size int64) {
 	r.nextSequence = max(r.nextSequence, rec.sequence+1)
 	if rec.kind == kindDelete {
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -15,37 +15,36 @@
 	headerSize    = 24
 )
 
-// versionError says that a segment has a format that this program does not know.
+// versionError is the error for a segment with an unknown version of the format.
 type versionError struct{ version byte }
 
 func (e *versionError) Error() string {
 	return fmt.Sprintf("format %d, this program knows %d", e.version, formatVersion)
 }
 
-// segment is a file of the log. Store.mu protects its fields, but for number and file, which do not change, and
+// segment is a file of the log. Store.mu protects its fields, except for number and file, which do not change, and
 // hintTried, which Store.compactMu protects.
 type segment struct {
 	number uint64
 	file   File
 	size   int64 // confirmed bytes
-	sealed bool  // nothing more is written to it
-	// hintTried is set if its hint file exists, or could not be written and is not tried again.
+	sealed bool  // no more records are written to the segment
+	// hintTried is set if the hint file exists, or if writing it has failed, which is not tried again.
 	hintTried bool
 
-	// Of the entries whose record lies in it:
-	entries    int
-	live       int64 // bytes
-	lastExpiry int64 // latest that any had, Unix ms
+	entries    int   // number of index entries whose record is in the segment
+	live       int64 // total size of their records, in bytes
+	lastExpiry int64 // latest expiry of these entries, including entries that have been removed, Unix ms
 }
 
-// addEntry counts an entry whose record lies in the segment.
+// addEntry adds an entry whose record is in the segment to the totals.
 func (g *segment) addEntry(l location) {
 	g.entries++
 	g.live += int64(l.size)
 	g.lastExpiry = max(g.lastExpiry, l.expiresAt)
 }
 
-// removeEntry takes back addEntry. The latest expiry stays.
+// removeEntry undoes addEntry, except for lastExpiry, which stays.
 func (g *segment) removeEntry(l location) {
 	g.entries--
 	g.live -= int64(l.size)
@@ -58,7 +57,7 @@
 	return append(b, 0, 0, 0, 0)
 }
 
-// headerVersion returns the version of the format that a segment's header names, 0 if the header is not complete.
+// headerVersion returns the version of the format in a segment's header, 0 if the header is incomplete or damaged.
 func headerVersion(b []byte) byte {
 	magicSize := len(segmentMagic) - 1 // without the version
 	if len(b) < headerSize || string(b[:magicSize]) != segmentMagic[:magicSize] {
@@ -74,7 +73,7 @@
 
 func segmentName(number uint64) string { return fileName(number, segmentSuffix) }
 
-// fileNumber returns the number in the name of a file, 0 if the name does not have the suffix.
+// fileNumber returns the number in the name of a file, 0 if the name does not consist of a number and the suffix.
 func fileNumber(name, suffix string) uint64 {
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) != 16 {
@@ -87,9 +86,10 @@
 	return number
 }
 
-// scan calls visit with each record of a segment; b is the whole file. Where bytes are not a record it looks for the
-// next one: the bytes in between were changed by the disk, or are the end of a write that a crash cut. It returns where
-// the last record ends, and how many bytes before that are not part of a record.
+// scan calls visit with each record of a segment; b is the content of its file. If it finds bytes that are not a valid
+// record, it searches for the next record: the bytes in between were damaged on disk, or belong to a write that a crash
+// interrupted. It returns the end of the last record, and the number of bytes before that end that are not part of a
+// record.
 func scan(b []byte, number uint64, visit func(r record, offset, size int64)) (end, damaged int64) {
 	end = min(headerSize, int64(len(b)))
 	for offset := end; offset < int64(len(b)); {
--- a/internal/store/stats.go
+++ b/internal/store/stats.go
@@ -5,24 +5,24 @@
 	Entries  int   `json:"entries"` // including expired ones whose space has not been reclaimed yet
 	Segments int   `json:"segments"`
 	Bytes    int64 `json:"bytes"`    // of all segments
-	Live     int64 `json:"live"`     // bytes of records that count
-	Damaged  int64 `json:"damaged"`  // bytes that the disk has changed
-	Unsynced int   `json:"unsynced"` // entries that were confirmed with Options.SyncEvery and not synced yet
+	Live     int64 `json:"live"`     // bytes of the records of all entries
+	Damaged  int64 `json:"damaged"`  // bytes that are damaged on disk
+	Unsynced int   `json:"unsynced"` // changes that were confirmed with Options.SyncEvery and have not been synced
 
-	// Since the store was opened:
+	// Counts since the store was opened:
 	Syncs       uint64 `json:"syncs"`
 	Failures    uint64 `json:"failures"` // batches that could not be written or synced
 	Compactions uint64 `json:"compactions"`
-	Dropped     uint64 `json:"dropped"` // segments removed whole, because no record in them counted
-	// Lost is the number of entries that were confirmed with Options.SyncEvery, whose sync failed, and that could not
-	// be written again yet.
+	Dropped     uint64 `json:"dropped"` // segments that were removed without a compaction, as they had no live record
+	// Lost is the current number of changes that were confirmed with Options.SyncEvery, could not be synced, and could
+	// not be written again either. The store keeps trying to write them.
 	Lost uint64 `json:"lost"`
 }
 
-// counters are those of Stats.
+// counters holds the counters of Stats.
 type counters struct{ syncs, failures, compactions, dropped, lost uint64 }
 
-// Stats returns the present statistics. It takes time in proportion to the number of segments, not of entries.
+// Stats returns the current statistics. Its cost is proportional to the number of segments, not of entries.
 func (s *Store) Stats() Stats {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -50,7 +50,7 @@
 	s.counters.failures++
 }
 
-// totalSize returns the bytes of all segments.
+// totalSize returns the size of all segments in bytes.
 func (s *Store) totalSize() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -2,28 +2,29 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"log/slog"
 	"sync"
 	"time"
 )
 
-// Options configure a Store. Zero values stand for the defaults.
+// Options configures a Store. A zero value selects the default.
 type Options struct {
-	SegmentSize int64 // a segment is sealed at this size, in bytes; 4 MiB
-	// MaxBytes limits the size of all segments; 256 MiB. Beyond it Put fails with ErrFull, Delete does not. While
-	// Compact runs, a copy of what counts comes on top.
+	SegmentSize int64 // size at which a segment is sealed, in bytes; 4 MiB by default
+	// MaxBytes limits the size of all segments, in bytes; 256 MiB by default. If an entry would exceed it, Put fails
+	// with ErrFull; Delete is not limited. While Compact runs, the copies of the live records are not counted.
 	MaxBytes int64
-	// SyncEvery above 0 confirms an entry once the operating system has it, and syncs it at most so much later: entries
-	// survive the end of the process, but a loss of power may take the last ones. With 0 each batch is synced before it
-	// is confirmed.
+	// SyncEvery, if above 0, is the longest time between the confirmation of an entry and its sync. Entries are
+	// confirmed once they have been passed to the operating system: they survive the end of the process, but a power
+	// loss may lose the latest ones. With 0 each batch is synced before it is confirmed.
 	SyncEvery time.Duration
-	// Manual leaves it to the caller to call Maintain. Otherwise a goroutine does, whenever a segment is sealed or the
-	// store is full, and every MaintainEvery.
+	// Manual disables maintenance in the background; the caller calls Maintain. Otherwise a goroutine calls it whenever
+	// a segment is sealed or the store is full, and every MaintainEvery.
 	Manual        bool
-	MaintainEvery time.Duration    // 10 s
-	Now           func() time.Time // wall time
-	Logger        *slog.Logger     // for what happens in the background; nil: nothing is logged
+	MaintainEvery time.Duration    // 10 s by default
+	Now           func() time.Time // current time, by which entries expire; time.Now by default
+	Logger        *slog.Logger     // nil disables logging
 }
 
 const (
@@ -31,31 +32,33 @@
 	defaultMaxBytes      = 256 << 20
 	defaultMaintainEvery = 10 * time.Second
 
-	// maxBatch limits what one sync makes durable, and maxWaitingOps what waits for the next. Higher values write more
-	// entries a second, and let the first of a batch wait longer.
+	// maxBatch limits the number of ops in a batch for which a caller waits, and maxWaitingOps the number of ops that
+	// wait for the next batch. With higher values more entries are written per second, but the first op of a batch
+	// waits longer.
 	maxBatch      = 1024
 	maxWaitingOps = 1024
-	// maxDeferredOps limits what PutLater and DeleteLater have left to be written, and maxDeferral for how long. Higher
-	// values write fewer batches, and lose more in a crash.
+	// maxDeferredOps limits the number of ops of PutLater and DeleteLater that wait to be written, and maxDeferral how
+	// long they wait. With higher values fewer batches are written, but a crash loses more ops.
 	maxDeferredOps = 4096
 	maxDeferral    = 100 * time.Millisecond
-	// maxUnsyncedOps limits what was confirmed with SyncEvery and waits to be synced. A higher value tolerates a slower
-	// disk, and loses more with the power.
+	// maxUnsyncedOps limits the number of ops that were confirmed with SyncEvery and have not been synced. A higher
+	// value tolerates a slower disk, but a power loss loses more ops.
 	maxUnsyncedOps = 4096
 )
 
-// Errors beside those of the file system.
+// Errors of the store, besides those of the file system.
 var (
 	ErrClosed = errors.New("store: closed")
-	ErrFull   = errors.New("store: as large as it may be")
-	ErrSize   = errors.New("store: the key is empty, or key or value are too long")
+	ErrFull   = errors.New("store: adding the entry would exceed the size limit")
+	ErrSize   = errors.New("store: invalid size of a key or value")
 
-	errUnsynced = errors.New("store: too much could not be synced")
-	errChanged  = errors.New("it has changed on disk")
+	errTooManyUnsynced = errors.New("store: too many confirmed entries have not been synced")
+	errUnsynced        = errors.New("store: confirmed entries could not be synced")
+	errDamaged         = errors.New("record is damaged on disk")
 )
 
-// Store is safe for concurrent use. One goroutine writes records, and another one maintains the store unless
-// Options.Manual is set; Close waits for both.
+// Store is a persistent key-value store, which is safe for concurrent use. One goroutine writes records, and another
+// one maintains the store unless Options.Manual is set. Close waits for both.
 type Store struct {
 	fs      FS
 	options Options
@@ -63,32 +66,33 @@
 	lock    io.Closer
 
 	ops                 chan op
-	deferredOps         chan op       // of PutLater and DeleteLater
-	maintenanceRequests chan struct{} // holds a token when there may be something to maintain
+	deferredOps         chan op       // ops of PutLater and DeleteLater
+	maintenanceRequests chan struct{} // holds a token when maintenance may be necessary
 	closed              chan struct{} // closed by Close
 	writerDone          chan struct{} // closed when the writer has ended
 	maintainerDone      chan struct{} // closed when the maintainer has ended
 
 	compactMu           sync.Mutex // held while segments are compacted, dropped or removed
 	sizeAfterCompaction int64      // bytes of all segments after the last compaction
-	pendingRemovals     []*segment // to be removed, in this order and before any other
+	pendingRemovals     []*segment // segments whose files have to be removed, in this order and before any other
 
 	mu       sync.RWMutex
-	index    map[string]location
-	segments map[uint64]*segment
-	damaged  int64 // bytes
+	index    map[string]location // locations of the entries, by key
+	segments map[uint64]*segment // by number
+	damaged  int64               // bytes that are damaged on disk
 	counters counters
 
-	// Used by the writer's goroutine only, but for unsynced, which it changes with mu held.
-	active       *segment // nil: the next batch creates one
+	// The following fields are used by the writer's goroutine only. It changes unsynced with mu held, since Stats reads
+	// it.
+	active       *segment // segment to which batches are written; nil if the next batch has to create one
 	nextSegment  uint64
 	nextSequence uint64
-	buffer       []byte
-	unsynced     []op // confirmed with SyncEvery and not synced yet, in order
-	mustRewrite  bool // some of unsynced lie in a sealed segment: syncing the active one does not make them durable
+	buffer       []byte // encoded records of the current batch
+	unsynced     []op   // ops that were confirmed with SyncEvery and have not been synced, in order
+	mustRewrite  bool   // some of unsynced are in a sealed segment, which a sync of the active one does not cover
 }
 
-// location is where the record of an entry lies.
+// location describes the record of an entry and its place in the segments.
 type location struct {
 	sequence  uint64
 	expiresAt int64 // Unix ms
@@ -102,7 +106,7 @@
 	record
 	// rotate receives the sealed segments and the number of the segment to which the caller may compact them.
 	rotate func(output uint64, sealed []*segment)
-	done   chan error // nil: nobody waits
+	done   chan error // receives the result of the op; nil if no caller waits for it
 }
 
 // finish reports the result of an op to the caller that waits for it.
@@ -112,7 +116,8 @@
 	}
 }
 
-// Open opens the store in a directory, and creates it if there is none. It reads all segments, or their hint files.
+// Open opens the store in a directory. An empty directory is an empty store. Open reads all segments, or their hint
+// files instead. It returns ErrLocked if another process has the store open.
 func Open(fs FS, options Options) (*Store, error) {
 	setDefaults(&options)
 	lock, err := fs.Lock("lock")
@@ -139,7 +144,7 @@
 		nextSequence: 1,
 	}
 	if err := s.recover(); err != nil {
-		_ = s.release() // nothing was written that counts; recover's error says what failed
+		_ = s.release() // no entry has been written, and the error of recover is returned
 		return nil, err
 	}
 	go s.runWriter()
@@ -169,44 +174,54 @@
 	}
 }
 
-// Put stores an entry, in place of what its key had. It returns when the entry is confirmed, or the reason why it may
-// not be stored: ErrSize, ErrFull, ErrClosed or an error of the file system.
+// Put stores an entry and replaces an earlier one with the same key. It waits until the entry is confirmed. The error
+// is ErrSize, ErrFull, ErrClosed or an error of the file system. After an error the entry may be stored nevertheless,
+// unless the error is ErrSize or ErrFull.
 func (s *Store) Put(key string, value []byte, expiresAt time.Time) error {
-	if !isValidSize(key, value) {
-		return ErrSize
+	if err := checkSize(key, value); err != nil {
+		return err
 	}
 	return s.submit(op{record: newPut(key, value, expiresAt)})
 }
 
-// Delete deletes an entry. It returns when its absence is confirmed.
+// Delete deletes an entry. It waits until the deletion is confirmed.
 func (s *Store) Delete(key string) error {
-	if !isValidSize(key, nil) {
-		return ErrSize
+	if err := checkSize(key, nil); err != nil {
+		return err
 	}
 	return s.submit(op{record: record{kind: kindDelete, key: key}})
 }
 
-// PutLater puts an entry with the next batch, within 100 ms, and does not block: it is never confirmed. Of one key,
-// PutLater and DeleteLater take effect before any change that is requested after them. It returns false if nothing is
-// done because too many changes wait, the size is not valid, or the store is closed.
+// PutLater puts an entry with the next batch, within 100 ms. It does not block, and the entry is not confirmed. For
+// each key, changes by PutLater and DeleteLater take effect before any change that is requested after them. PutLater
+// returns false, and does nothing, if too many changes are waiting, the size is not valid, or the store is closed.
 func (s *Store) PutLater(key string, value []byte, expiresAt time.Time) bool {
-	return isValidSize(key, value) && s.enqueue(op{record: newPut(key, value, expiresAt)})
+	return checkSize(key, value) == nil && s.enqueue(op{record: newPut(key, value, expiresAt)})
 }
 
-// DeleteLater deletes an entry in the manner of PutLater.
+// DeleteLater deletes an entry with the next batch. It behaves like PutLater otherwise.
 func (s *Store) DeleteLater(key string) bool {
-	return isValidSize(key, nil) && s.enqueue(op{record: record{kind: kindDelete, key: key}})
+	return checkSize(key, nil) == nil && s.enqueue(op{record: record{kind: kindDelete, key: key}})
 }
 
-func isValidSize(key string, value []byte) bool {
-	return key != "" && len(key) <= MaxKey && len(value) <= MaxValue
+// checkSize returns an error that wraps ErrSize unless the sizes of a key and value are valid.
+func checkSize(key string, value []byte) error {
+	switch {
+	case key == "":
+		return fmt.Errorf("%w: key is empty", ErrSize)
+	case len(key) > MaxKey:
+		return fmt.Errorf("%w: key has %d bytes, want at most %d", ErrSize, len(key), MaxKey)
+	case len(value) > MaxValue:
+		return fmt.Errorf("%w: value has %d bytes, want at most %d", ErrSize, len(value), MaxValue)
+	}
+	return nil
 }
 
 func newPut(key string, value []byte, expiresAt time.Time) record {
 	return record{kind: kindPut, key: key, value: value, expiresAt: expiresAt.UnixMilli()}
 }
 
-// submit hands an op to the writer and waits for its result.
+// submit passes an op to the writer and waits for its result.
 func (s *Store) submit(o op) error {
 	o.done = make(chan error, 1)
 	if s.isClosed() {
@@ -230,7 +245,8 @@
 	}
 }
 
-// enqueue leaves an op to the writer, unless too many wait.
+// enqueue passes a deferred op to the writer without waiting. It returns false if the store is closed or too many
+// deferred ops are waiting.
 func (s *Store) enqueue(o op) bool {
 	if s.isClosed() {
 		return false
@@ -252,7 +268,7 @@
 	}
 }
 
-// Close waits for the changes that were requested and closes the store.
+// Close waits until the requested changes have been executed, and closes the store.
 func (s *Store) Close() error {
 	s.compactMu.Lock()
 	if s.isClosed() {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The writer: one goroutine that makes batches durable, each with one write and one sync.
+// This file contains the writer, a goroutine that makes batches of ops durable, each with one write and one sync.
 
-// runWriter writes batches until the store is closed and nothing waits any more.
+// runWriter writes batches until the store is closed and no op is waiting.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
 	syncTimer := newStoppedTimer()
@@ -23,7 +23,7 @@
 			batch = s.awaitBatch(first, deferralTimer)
 		case <-syncTimer.C:
 			s.syncConfirmed()
-			if len(s.unsynced) > 0 { // it failed, and so did writing them again
+			if len(s.unsynced) > 0 { // syncing them failed, and so did writing them again
 				syncTimer.Reset(s.options.SyncEvery)
 			}
 			continue
@@ -48,8 +48,8 @@
 	return timer
 }
 
-// awaitBatch makes a batch of a deferred op. Others may come within its deferral: if a caller waits for one of them,
-// the deferred ops join its batch.
+// awaitBatch returns a batch that starts with a deferred op. It waits for up to maxDeferral for further ops. If it
+// receives an op for which a caller waits, it returns a batch with all deferred ops and that op without waiting longer.
 func (s *Store) awaitBatch(first op, timer *time.Timer) []op {
 	batch := []op{first}
 	timer.Reset(maxDeferral)
@@ -64,7 +64,7 @@
 	}
 }
 
-// remaining makes a batch of what was requested before the store was closed. It is empty if there is nothing.
+// remaining returns a batch of ops that were requested before the store was closed, nil if there are none.
 func (s *Store) remaining() []op {
 	select {
 	case o := <-s.ops:
@@ -76,8 +76,9 @@
 	}
 }
 
-// gather makes a batch of deferred ops, the first op that a caller waits for, and all others that wait, up to a
-// rotation. Of one key, the deferred ops were requested earlier.
+// gather returns a batch of the deferred ops, the first op for which a caller waits, and the other ops that wait in the
+// queue, up to maxBatch or to a rotation. The deferred ops come first, because for each key they were requested
+// earlier.
 func (s *Store) gather(deferred []op, first op) []op {
 	batch := append(s.appendDeferred(deferred), first)
 	for n := 1; n < maxBatch && batch[len(batch)-1].rotate == nil; n++ {
@@ -91,7 +92,7 @@
 	return batch
 }
 
-// appendDeferred appends all deferred ops that wait.
+// appendDeferred appends all waiting deferred ops to a batch.
 func (s *Store) appendDeferred(batch []op) []op {
 	for {
 		select {
@@ -103,7 +104,7 @@
 	}
 }
 
-// execute carries out a batch. Only its last op may be a rotation.
+// execute executes a batch. Only its last op may be a rotation.
 func (s *Store) execute(batch []op) {
 	last := batch[len(batch)-1]
 	if last.rotate == nil {
@@ -114,8 +115,8 @@
 	s.rotate(last)
 }
 
-// commit makes a batch durable and reports the result of each op. What does not fit into the store is rejected first;
-// the rest succeeds or fails as a whole.
+// commit makes a batch durable and reports the result of each op. Ops that would exceed the size limit of the store are
+// rejected first; the others succeed or fail together.
 func (s *Store) commit(batch []op) {
 	batch = s.rejectOversize(batch)
 	if len(batch) == 0 {
@@ -124,7 +125,7 @@
 	if len(s.unsynced) > 0 && (s.isActiveFull() || len(s.unsynced) >= maxUnsyncedOps) {
 		s.syncConfirmed()
 	}
-	err := errUnsynced
+	err := errTooManyUnsynced
 	if len(s.unsynced) < maxUnsyncedOps {
 		err = s.appendBatch(batch, s.options.SyncEvery == 0)
 	}
@@ -138,7 +139,7 @@
 	}
 }
 
-// rejectOversize removes from a batch what does not fit into the store.
+// rejectOversize rejects the puts of a batch that would exceed the size limit of the store, and returns the other ops.
 func (s *Store) rejectOversize(batch []op) []op {
 	size := s.totalSize()
 	return slices.DeleteFunc(batch, func(o op) bool {
@@ -152,8 +153,8 @@
 	})
 }
 
-// rotate seals the active segment, and passes the sealed segments to the op together with the number of the segment to
-// which it may compact them: the next active one has a higher number.
+// rotate seals the active segment. It passes to the op the sealed segments and a number for the segment to which they
+// may be compacted, which is lower than that of the next active segment.
 func (s *Store) rotate(o op) {
 	s.syncConfirmed()
 	if len(s.unsynced) > 0 {
