--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -14,39 +14,43 @@
 	"hazelwing/internal/store"
 )
 
-// A soak plays more: go test ./internal/store -run Schedules -store.schedules 100000
-var schedules = flag.Int("store.schedules", 2000, "seeded fault schedules to play")
+// schedules is the number of schedules of TestFaultSchedules. For a long run:
+//
+//	go test ./internal/store -run Schedules -store.schedules 100000
+var schedules = flag.Int("store.schedules", 2000, "number of seeded fault schedules to run")
 
-// The process is killed or loses power at every byte that it writes and between any two steps, and the store is opened
-// again. A confirmed entry could be lost, or one appear that nobody put. All that was confirmed is there, nothing else
-// is but what was in doubt, and the store goes on.
+// Guards against losing a confirmed entry, or returning one that was never put, after a crash. The process is killed or
+// the power is lost after every byte that is written and between any two steps of the file system, and the store is
+// opened again. It has to hold all confirmed entries, may hold those whose result was uncertain and no others, and has
+// to stay usable.
 func TestCrashAtEveryStep(t *testing.T) {
 	const seed, calls = 12, 70
 	fs := faultfs.New()
-	_, _, stats := playHistory(fs, rand.New(rand.NewPCG(seed, 0)), calls)
+	_, _, stats := makeRandomCalls(fs, rand.New(rand.NewPCG(seed, 0)), calls)
 	steps := fs.Steps
 	names, _ := fs.List()
 	hasHint := strings.Contains(strings.Join(names, " "), ".hint")
 	if stats.Segments < 2 || steps < 3000 || stats.Compactions < 2 || stats.Dropped < 2 || !hasHint {
-		t.Fatalf("%d steps, %+v, %v: the history does not rotate, compact, drop and write hint files",
+		t.Fatalf("the history does not rotate, compact and drop segments and write hint files: %d steps, %+v, files %v",
 			steps, stats, names)
 	}
 	for cut := range steps {
 		fs := faultfs.New()
 		fs.CrashAfter = cut
-		m, keys, _ := playHistory(fs, rand.New(rand.NewPCG(seed, 0)), calls)
+		m, keys, _ := makeRandomCalls(fs, rand.New(rand.NewPCG(seed, 0)), calls)
 		m.checkRecovery(t, fmt.Sprintf("killed after step %d", cut), fs.AfterKill(), keys)
 		powerLost := fs.AfterPowerLoss(rand.New(rand.NewPCG(uint64(cut), 1)))
 		m.checkRecovery(t, fmt.Sprintf("power lost after step %d", cut), powerLost, keys)
 	}
 }
 
-// The disk flips a bit of one of the last two records. The rest could be lost with it, or an entry appear that nobody
-// put. For each bit, the records around it stay, and no such entry appears.
+// Guards against a damaged record that makes other records unreadable or is read as an entry that was never put. The
+// test flips each bit of the last two records in turn. The other records have to stay, and the damaged one must not be
+// found.
 func TestFlippedBits(t *testing.T) {
 	fs, s := openStore(t)
 	keys := []string{"a", "b", "c", "d"}
-	ends := []int64{} // of the records
+	ends := []int64{} // offsets of the ends of the records
 	for _, key := range keys {
 		if err := s.Put(key, []byte("value of "+key), epoch.Add(time.Hour)); err != nil {
 			t.Fatal(err)
@@ -72,19 +76,22 @@
 				got, ok, err := s.Get(key)
 				isIntact := ok && string(got) == "value of "+key
 				if err != nil || key != damagedKey && !isIntact || key == damagedKey && ok {
-					t.Fatalf("bit %d of byte %d: %s holds %q, %v, %v", bit, at, key, got, ok, err)
+					t.Fatalf("bit %d of byte %d of key %q flipped: Get(%q) returns %q, %v, error %v",
+						bit, at, damagedKey, key, got, ok, err)
 				}
 			}
 			if stats := s.Stats(); damagedKey == "c" && stats.Damaged != ends[2]-ends[1] {
-				t.Fatalf("bit %d of byte %d: %d bytes are reported as damaged", bit, at, stats.Damaged)
+				t.Fatalf("bit %d of byte %d flipped: %d bytes are reported as damaged, want %d",
+					bit, at, stats.Damaged, ends[2]-ends[1])
 			}
 			s.Close()
 		}
 	}
 }
 
-// A value holds the bytes of a record, as of a copied store, and the disk damages the record around it. Recovery, which
-// looks for the next record, could take the value for one. It must not become one.
+// Guards against a value that is read as a record. The value contains the bytes of a record of another store, and the
+// record around it is damaged on disk, so that recovery searches the value for the next record. It must not accept the
+// record inside the value.
 func TestRecordInsideValue(t *testing.T) {
 	other := faultfs.New()
 	s, err := store.Open(other, testOptions())
@@ -92,18 +99,18 @@
 		t.Fatal(err)
 	}
 	const headerSize = 24
-	if err := s.Put("ghost", []byte("boo"), epoch.Add(time.Hour)); err != nil {
+	if err := s.Put("inner", []byte("foreign"), epoch.Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	names, _ := other.List()
-	ghost := other.Content(names[0])[headerSize:]
+	innerRecord := other.Content(names[0])[headerSize:]
 	fs := faultfs.New()
 	s, err = store.Open(fs, testOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Put("a", ghost, epoch.Add(time.Hour)); err != nil {
+	if err := s.Put("a", innerRecord, epoch.Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -113,14 +120,15 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if value, ok, err := s.Get("ghost"); ok || err != nil {
-		t.Errorf("%q, %v, %v", value, ok, err)
+	if value, ok, err := s.Get("inner"); ok || err != nil {
+		t.Errorf("Get(\"inner\") returns %q, %v, error %v, want no entry and no error", value, ok, err)
 	}
 }
 
-// Syncs, writes and removals fail and the disk fills up in random order, with kills and losses of power between. A
-// combination that nobody thought of could lose an entry. Seeded schedules run against the model. Every fourth
-// confirms before it syncs, and is only killed: a loss of power may lose what was confirmed in that way.
+// Guards against combinations of faults that lose an entry. Syncs, writes and removals fail and the disk fills up in
+// random order, with kills and power losses in between, and the store is compared with the model. Every fourth schedule
+// uses SyncEvery and only kills the process, because a power loss may lose entries that were confirmed before their
+// sync.
 func TestFaultSchedules(t *testing.T) {
 	for seed := range uint64(*schedules) {
 		options := testOptions()
@@ -143,7 +151,7 @@
 			fs.Update(func(f *faultfs.FS) { f.CrashAfter = f.Steps + steps })
 			for i := range 60 {
 				injectFault(fs, rng)
-				playCall(s, fs, rng, m, keys, fmt.Sprintf("%d/%d:", run, i))
+				makeRandomCall(s, fs, rng, m, keys, fmt.Sprintf("%d/%d:", run, i))
 			}
 			s.Close()
 			if rng.IntN(2) == 0 || options.SyncEvery > 0 {
@@ -155,7 +163,8 @@
 	}
 }
 
-// injectFault makes some of the next writes or syncs fail, or changes the space on the disk, in one of three cases.
+// injectFault does one of the following with a probability of a third: it makes some of the next syncs or writes fail,
+// limits the space on the disk, or removes that limit.
 func injectFault(fs *faultfs.FS, rng *rand.Rand) {
 	switch rng.IntN(12) {
 	case 0:
@@ -172,8 +181,8 @@
 	}
 }
 
-// playCall plays a random call; prefix makes its value unique.
-func playCall(s *store.Store, fs *faultfs.FS, rng *rand.Rand, m *model, keys []string, prefix string) {
+// makeRandomCall makes a random call to the store. A value that it puts begins with prefix, which makes it unique.
+func makeRandomCall(s *store.Store, fs *faultfs.FS, rng *rand.Rand, m *model, keys []string, prefix string) {
 	key := keys[rng.IntN(len(keys))]
 	switch rng.IntN(8) {
 	case 0, 1:
@@ -181,9 +190,9 @@
 	case 2:
 		n := rng.IntN(2) * rng.IntN(3)
 		fs.Update(func(f *faultfs.FS) { f.FailRemoves = n })
-		_ = s.Maintain() // one that fails changes nothing that counts
+		_ = s.Maintain() // must not change any entry, also if it fails
 		if rng.IntN(2) == 0 {
-			_ = s.Compact() // likewise
+			_ = s.Compact() // must not change any entry, also if it fails
 		}
 	default:
 		value := append([]byte(prefix), bytes.Repeat([]byte{'v'}, rng.IntN(80))...)
@@ -191,8 +200,8 @@
 	}
 }
 
-// The disk is full, for the log and for a compaction. Entries could be lost by the attempt, or the store stay unusable.
-// Existing entries stay, and once there is room the store goes on.
+// Guards against a full disk that makes a put or a compaction lose entries, or leaves the store unusable. Existing
+// entries have to stay, and the store has to be usable once there is space again.
 func TestDiskFull(t *testing.T) {
 	fs, s := openStore(t)
 	defer s.Close()
@@ -208,22 +217,23 @@
 	}
 	fs.Capacity = s.Stats().Bytes + 10
 	if put("b", "2") == nil || s.Compact() == nil {
-		t.Fatal("a full disk takes more")
+		t.Fatal("a put or a compaction succeeds on a full disk")
 	}
 	if err := m.check(s, keys); err != nil {
 		t.Fatal(err)
 	}
 	fs.Capacity = -1
 	if err := errors.Join(put("b", "3"), s.Compact(), put("a", "4")); err != nil {
-		t.Fatalf("with room again: %v", err)
+		t.Fatalf("using the store after the disk has space again: %v", err)
 	}
 	if err := m.check(s, keys); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A sync fails. The next one may succeed without the bytes of the first being on the disk, and an entry confirmed by it
-// would be lost with the power. A failed sync confirms nothing, and neither does the next one for the same bytes.
+// Guards against an entry that is confirmed and then lost by a power loss, because the sync after a failed one succeeds
+// although the bytes of the first are not on the disk. A failed sync must not confirm an entry, and neither may a later
+// sync of the same bytes.
 func TestFailedSync(t *testing.T) {
 	fs, s := openStore(t)
 	hour := epoch.Add(time.Hour)
@@ -232,7 +242,7 @@
 	}
 	fs.FailSyncs = 1
 	if s.Put("b", []byte("2"), hour) == nil {
-		t.Fatal("a failed sync confirms an entry")
+		t.Fatal("an entry is confirmed although its sync failed")
 	}
 	if err := s.Put("c", []byte("3"), hour); err != nil {
 		t.Fatal(err)
@@ -245,7 +255,7 @@
 	defer recovered.Close()
 	for _, key := range []string{"a", "c"} {
 		if _, ok, _ := recovered.Get(key); !ok {
-			t.Errorf("%s was confirmed and is lost", key)
+			t.Errorf("entry %q was confirmed and is lost", key)
 		}
 	}
 }
--- a/internal/store/maintain_test.go
+++ b/internal/store/maintain_test.go
@@ -13,11 +13,12 @@
 	"hazelwing/internal/testutil"
 )
 
-// Hint files are cut, damaged, of another segment or of a longer one. A start from one could lose entries. A start from
-// good ones finds the same as one from the segments, and the others are not used.
+// Guards against losing entries because a hint file that is truncated, damaged or belongs to another segment is used.
+// Opening the store with valid hint files has to restore the same entries as with the segments, and invalid ones must
+// not be used.
 func TestHints(t *testing.T) {
 	fs := faultfs.New()
-	m, keys, _ := playHistory(fs, rand.New(rand.NewPCG(9, 0)), 200)
+	m, keys, _ := makeRandomCalls(fs, rand.New(rand.NewPCG(9, 0)), 200)
 	s, err := store.Open(fs, testOptions())
 	if err != nil {
 		t.Fatal(err)
@@ -34,23 +35,27 @@
 		}
 	}
 	if len(hints) < 2 {
-		t.Fatalf("%v: want two segments with a hint file", names)
+		t.Fatalf("the directory has the files %v, want at least two hint files", names)
 	}
 	damaged := fs.AfterKill()
-	damaged.FlipBit(segments[0], 40, 0) // found only by reading the segment
+	damaged.FlipBit(segments[0], 40, 0) // detected only if the segment itself is read
 	s, err = store.Open(damaged, testOptions())
-	if err != nil || s.Stats().Damaged != 0 {
-		t.Fatalf("%v: the hint files were not used", err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if stats := s.Stats(); stats.Damaged != 0 {
+		t.Fatalf("Open reports %d damaged bytes, want 0 since the hint files should be used", stats.Damaged)
 	}
 	s.Close()
-	m.checkRecovery(t, "from hint files", fs.AfterKill(), keys)
+	m.checkRecovery(t, "opened with hint files", fs.AfterKill(), keys)
 	list, err := store.Check(fs)
 	if err != nil || list[0].Hint != store.HintGood || list[0].Damaged != 0 || list[0].Puts == 0 {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("Check returns %+v, error %v, want a first segment with puts, a good hint file and no damage",
+			list, err)
 	}
 	list, err = store.Check(damaged)
 	if err != nil || list[0].Hint != store.HintDamaged || list[0].Damaged == 0 {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("Check returns %+v, error %v, want a damaged first segment with a damaged hint file", list, err)
 	}
 	size := len(fs.Content(hints[0]))
 	for at := range size {
@@ -59,7 +64,7 @@
 		m.checkRecovery(t, fmt.Sprint("hint file damaged at ", at), flipped, keys)
 		cut := fs.AfterKill()
 		cut.Truncate(hints[0], int64(at))
-		m.checkRecovery(t, fmt.Sprint("hint file cut at ", at), cut, keys)
+		m.checkRecovery(t, fmt.Sprint("hint file truncated at ", at), cut, keys)
 	}
 	for name, replaceHint := range map[string]func(f *faultfs.FS){
 		"of another segment": func(f *faultfs.FS) { f.SetContent(hints[0], fs.Content(hints[1])) },
@@ -70,13 +75,13 @@
 		replaceHint(replaced)
 		m.checkRecovery(t, "hint file "+name, replaced, keys)
 		if left, _ := replaced.List(); strings.Contains(strings.Join(left, " "), "ff.hint") {
-			t.Errorf("hint file %s: it stays: %v", name, left)
+			t.Errorf("hint file %s: the files %v include it, want it to be removed", name, left)
 		}
 	}
 }
 
-// The space of short-lived entries is reclaimed: their segments are dropped whole, one long-lived entry among them
-// causes compactions, and the size of the store stays bounded.
+// Guards against a store that grows without limit. The segments of short-lived entries have to be dropped without a
+// compaction. If they also contain a long-lived entry, they have to be compacted.
 func TestSpaceOfExpiredEntries(t *testing.T) {
 	for name, hasLongLived := range map[string]bool{"short-lived only": false, "one long-lived": true} {
 		fs, now := faultfs.New(), epoch
@@ -111,10 +116,10 @@
 		dropped, compacted := stats.Dropped > 0, stats.Compactions > 0
 		isReclaimed := dropped != hasLongLived && compacted == hasLongLived
 		if maxBytes > 24<<10 || stats.Entries > 300 || !isReclaimed {
-			t.Errorf("%s: at most %d bytes, %+v", name, maxBytes, stats)
+			t.Errorf("%s: maximum size is %d bytes, want at most %d; statistics %+v", name, maxBytes, 24<<10, stats)
 		}
 		if _, ok, err := s.Get("long"); ok != hasLongLived || err != nil {
-			t.Errorf("%s: %v, %v", name, ok, err)
+			t.Errorf("%s: Get(\"long\") finds %v, error %v, want %v and no error", name, ok, err, hasLongLived)
 		}
 		s.Close()
 	}
@@ -142,13 +147,12 @@
 		return puts >= 500
 	})
 	if stats := s.Stats(); stats.Dropped == 0 {
-		t.Errorf("%+v", stats)
+		t.Errorf("statistics %+v, want dropped segments", stats)
 	}
 }
 
-// With SyncEvery entries are confirmed before they are synced, and then a sync fails. They could be taken for durable
-// and be lost with the power. What a failed sync covered is written again to a new segment, so that neither a kill nor
-// a loss of power after it loses anything.
+// Guards against losing entries that were confirmed with SyncEvery and whose sync then fails. They have to be written
+// again to a new segment, so that after that neither a kill nor a power loss loses them.
 func TestSyncEvery(t *testing.T) {
 	fs := faultfs.New()
 	options := testOptions()
@@ -173,11 +177,12 @@
 	})
 	m.checkRecovery(t, "power lost after the sync", fs.AfterPowerLoss(rand.New(rand.NewPCG(1, 1))), keys)
 	if stats := s.Stats(); stats.Lost != 0 {
-		t.Errorf("%+v", stats)
+		t.Errorf("%d entries are reported as lost, want 0", stats.Lost)
 	}
 }
 
-// Deferred changes are written soon, before what is requested after them, and their number is bounded.
+// Deferred changes have to be written soon and before later changes of the same key, and their number has to be
+// limited.
 func TestDeferredChanges(t *testing.T) {
 	fs := faultfs.New()
 	s, err := store.Open(fs, store.Options{})
@@ -193,7 +198,7 @@
 			t.Fatal(err)
 		}
 		if _, ok, err := s.Get("k"); !ok || err != nil {
-			t.Fatalf("%d: an older delete took effect after a newer put (%v)", i, err)
+			t.Fatalf("round %d: Get finds %v, error %v: an older delete took effect after a newer put", i, ok, err)
 		}
 	}
 	if !s.PutLater("later", nil, hour) {
@@ -204,7 +209,8 @@
 		return ok
 	})
 	if _, ok, err := s.Get("k"); !ok || err != nil {
-		t.Errorf("an older delete took effect after a newer put, later (%v)", err)
+		t.Errorf("after the deferred put: Get finds %v, error %v: an older delete took effect after a newer put",
+			ok, err)
 	}
 	fs.Update(func(f *faultfs.FS) { f.SyncTime = 50 * time.Millisecond })
 	const tooMany = 20_000
@@ -213,7 +219,7 @@
 		accepted++
 	}
 	if accepted == tooMany {
-		t.Error("the number of deferred changes is not bounded")
+		t.Errorf("%d deferred changes were accepted, want a limit", accepted)
 	}
 	s.Close()
 	if s.DeleteLater("x") {
@@ -221,8 +227,8 @@
 	}
 }
 
-// A failed write seals a segment in which an entry waits to be synced. A sync of the next segment does not cover that
-// entry, which would be lost with the power after Close. Close leaves nothing unsynced.
+// Guards against an entry that is lost by a power loss after Close. A failed write seals a segment with an entry that
+// has not been synced, and a sync of the next segment does not cover that entry. Close has to make it durable.
 func TestCloseSyncsSealedSegment(t *testing.T) {
 	fs := faultfs.New()
 	options := testOptions()
@@ -239,7 +245,7 @@
 		m.record(key, []byte(key), s.Put(key, []byte(key), epoch.Add(time.Hour)))
 	}
 	if m.confirmed["a"] == nil || m.confirmed["b"] != nil || m.confirmed["c"] == nil {
-		t.Fatalf("%q", m.confirmed)
+		t.Fatalf("confirmed entries are %q, want those of a and c", m.confirmed)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -250,18 +256,18 @@
 	}
 }
 
-// A disk has room for the headers of many segments and for no record. Each failed attempt could leave a file behind,
-// until there is no room at all. Failed attempts leave none.
+// Guards against failed puts that fill the disk with segments without records. The disk has space for the headers of
+// many segments but not for a record, and failed puts must not leave files behind.
 func TestFailedAttemptsLeaveNoSegments(t *testing.T) {
 	fs, s := openStore(t)
 	defer s.Close()
 	fs.Update(func(f *faultfs.FS) { f.Capacity = 1000 })
 	for range 20 {
 		if s.Put("k", make([]byte, 5000), epoch.Add(time.Hour)) == nil {
-			t.Fatal("a full disk takes more")
+			t.Fatal("a put succeeds on a full disk")
 		}
 	}
 	if names, _ := fs.List(); len(names) > 1 || s.Stats().Segments > 1 {
-		t.Errorf("%v, %+v", names, s.Stats())
+		t.Errorf("the directory has the files %v, statistics %+v, want at most 1 file and 1 segment", names, s.Stats())
 	}
 }
--- a/internal/store/measure/engines_test.go
+++ b/internal/store/measure/engines_test.go
@@ -14,11 +14,11 @@
 	"hazelwing/internal/store"
 )
 
-// engine is a store that is measured.
+// engine is a storage engine that is measured.
 type engine interface {
-	put(key string, value []byte) error // durable
-	remove(key string) error            // of an expired entry; need not be durable
-	load(n int) error                   // n entries, durable at the end
+	put(key string, value []byte) error // puts an entry, durably
+	remove(key string) error            // removes an expired entry, not necessarily durably
+	load(n int) error                   // puts n entries, which are durable when it returns
 	close() error
 }
 
@@ -33,28 +33,29 @@
 	{"pebble", openPebble},
 }
 
-// selectedEngines returns the engines that the flag -engine selects.
+// selectedEngines returns the engines that the flag -engine selects, all by default.
 func selectedEngines() []namedEngine {
 	var list []namedEngine
 	for _, e := range engines {
-		if *only == "" || *only == e.name {
+		if *engineName == "" || *engineName == e.name {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// loadBatch is how many entries bbolt and pebble load in one transaction or batch.
+// loadBatch is the number of entries that bbolt and pebble load in one transaction or batch.
 const loadBatch = 10_000
 
-// entryKey and entryValue make entries like idempotency records: a fingerprint, and some 50 bytes about it.
+// entryKey and entryValue return entries of about the size of idempotency records: a fingerprint as the key, and a
+// value of about 50 bytes.
 func entryKey(i int) string { return fmt.Sprintf("book/%08x%08x", uint32(i)*2654435761, i) }
 
 func entryValue(i int) []byte {
 	return binary.LittleEndian.AppendUint64(make([]byte, 40, 48), uint64(i))
 }
 
-// entrySize is the number of bytes of a key and a value.
+// entrySize returns the size of a key and a value in bytes.
 func entrySize() int { return len(entryKey(0)) + len(entryValue(0)) }
 
 type storeEngine struct{ *store.Store }
@@ -69,7 +70,7 @@
 }
 
 func (e storeEngine) put(key string, value []byte) error {
-	return e.Put(key, value, time.Now().Add(*lives))
+	return e.Put(key, value, time.Now().Add(*entryLifetime))
 }
 
 func (e storeEngine) load(n int) error {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-func (e storeEngine) remove(string) error { return nil } // its entries expire by themselves
+func (e storeEngine) remove(string) error { return nil } // entries of the store expire by themselves
 func (e storeEngine) close() error        { return e.Close() }
 
 var boltBucket = []byte("b")
@@ -144,7 +145,7 @@
 	return pebbleEngine{db}, err
 }
 
-// discardLogger is a logger for pebble.
+// discardLogger is a logger for pebble that discards all messages except fatal ones.
 type discardLogger struct{}
 
 func (discardLogger) Infof(string, ...any)  {}
--- a/internal/store/measure/measure_test.go
+++ b/internal/store/measure/measure_test.go
@@ -1,6 +1,6 @@
-// Package measure compares the store with bbolt and pebble on the work of idempotency records: small entries, each
-// durable before a caller is answered, that live for seconds. It is a module of its own, so that neither is a
-// dependency of hazelwing:
+// Package measure compares the store with bbolt and pebble on the workload of idempotency records: small entries that
+// live for seconds, each of which is durable before its put returns. It is a module of its own, so that bbolt and
+// pebble are not dependencies of hazelwing:
 //
 //	cd internal/store/measure && go test -v -timeout 30m
 //	for e in store bbolt pebble; do go test -v -run Churn -engine $e; done
@@ -17,12 +17,13 @@
 )
 
 var (
-	length = flag.Duration("length", 2*time.Second, "of each run of appends")
-	only   = flag.String("engine", "", "measure only this one: the process's memory is that of one engine then")
-	lives  = flag.Duration("lives", time.Hour, "how long an entry lives; the run of churn takes 10 s")
-	churn  = flag.Duration("churn", 40*time.Second, "length of the run of churn")
-	rate   = flag.Int("rate", 5000, "entries a second of the run of churn")
-	live   = flag.Int("live", 1_000_000, "entries of the start-up run")
+	appendDuration = flag.Duration("length", 2*time.Second, "duration of each run of TestAppends")
+	engineName     = flag.String("engine", "", "engine to measure, so that the memory of the process is that of this "+
+		"engine alone: store, bbolt or pebble (default all)")
+	entryLifetime = flag.Duration("lives", time.Hour, "lifetime of an entry; TestChurn always uses 10s")
+	churnDuration = flag.Duration("churn", 40*time.Second, "duration of a run of TestChurn")
+	churnRate     = flag.Int("rate", 5000, "number of entries that TestChurn puts per second")
+	liveEntries   = flag.Int("live", 1_000_000, "number of entries that TestStart loads")
 )
 
 // latencies collects durations from many goroutines.
@@ -44,7 +45,7 @@
 	return l.list[n/2].Seconds() * 1000, l.list[n*99/100].Seconds() * 1000
 }
 
-// TestAppends measures durable appends of 1, 16 and 256 writers.
+// TestAppends measures durable appends with 1, 16 and 256 concurrent writers.
 func TestAppends(t *testing.T) {
 	fmt.Println("| engine | writers | durable appends a second | p50 ms | p99 ms" +
 		" | bytes given to the system for each byte kept |\n| --- | --- | --- | --- | --- | --- |")
@@ -60,7 +61,7 @@
 			p50, p99 := took.quantiles()
 			count := len(took.list)
 			fmt.Printf("| %s | %d | %.0f | %.2f | %.2f | %.1f |\n",
-				e.name, writers, float64(count)/length.Seconds(), p50, p99, float64(written)/float64(count*entrySize()))
+				e.name, writers, float64(count)/appendDuration.Seconds(), p50, p99, float64(written)/float64(count*entrySize()))
 			if err := db.close(); err != nil {
 				t.Error(err)
 			}
@@ -68,13 +69,14 @@
 	}
 }
 
-// appendEntries lets writers put entries for the length of a run, and returns how long each put took.
+// appendEntries puts entries with the given number of writers for appendDuration, and returns the latencies of the
+// puts.
 func appendEntries(t *testing.T, db engine, writers int) *latencies {
 	t.Helper()
 	var took latencies
 	var next atomic.Int64
 	var all sync.WaitGroup
-	end := time.Now().Add(*length)
+	end := time.Now().Add(*appendDuration)
 	for range writers {
 		all.Go(func() {
 			var own []time.Duration
@@ -94,7 +96,7 @@
 	return &took
 }
 
-// TestStart measures how long a start with many live entries takes, and their memory.
+// TestStart measures how long it takes to open an engine with many live entries, and the memory that it uses then.
 func TestStart(t *testing.T) {
 	fmt.Println("| engine | live entries | start s | memory for each entry, bytes | disk MB |" +
 		"\n| --- | --- | --- | --- | --- |")
@@ -104,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := db.load(*live); err != nil {
+		if err := db.load(*liveEntries); err != nil {
 			t.Fatal(err)
 		}
 		if err := db.close(); err != nil {
@@ -115,18 +117,18 @@
 			t.Fatal(err)
 		}
 		took := time.Since(start)
-		fmt.Printf("| %s | %d | %.2f | %.0f | %.0f |\n", e.name, *live, took.Seconds(),
-			float64(heapBytes()-heapBefore)/float64(*live), float64(diskBytes(t, dir))/1e6)
+		fmt.Printf("| %s | %d | %.2f | %.0f | %.0f |\n", e.name, *liveEntries, took.Seconds(),
+			float64(heapBytes()-heapBefore)/float64(*liveEntries), float64(diskBytes(t, dir))/1e6)
 		if err := db.close(); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// TestChurn measures a steady rate of entries that live for ten seconds, from 64 writers.
+// TestChurn measures puts at a constant rate by 64 writers, whose entries live for ten seconds.
 func TestChurn(t *testing.T) {
-	defer func(old time.Duration) { *lives = old }(*lives)
-	*lives = 10 * time.Second
+	defer func(old time.Duration) { *entryLifetime = old }(*entryLifetime)
+	*entryLifetime = 10 * time.Second
 	fmt.Println("| engine | entries a second | p50 ms | p99 ms | most on disk, MB | disk at the end, MB" +
 		" | heap at the end, MB | process at most, MB | bytes given to the system for each byte kept" +
 		" | processor time, s |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -153,7 +155,7 @@
 	}
 }
 
-// churnEntries lets writers put and remove entries at the rate of the flags. It returns how long each put took, and the
+// churnEntries puts and removes entries at churnRate for churnDuration. It returns the latencies of the puts and the
 // maximum size of the directory.
 func churnEntries(t *testing.T, db engine, dir string, start time.Time) (took *latencies, maxDisk int64) {
 	t.Helper()
@@ -180,14 +182,15 @@
 	}
 }
 
-// churnWriter is one of the writers. It returns how long each put took, nil after an error.
+// churnWriter puts and removes the share of the entries that belongs to one of several writers. It returns the
+// latencies of the puts, nil after an error.
 func churnWriter(t *testing.T, db engine, writer, writers int, start time.Time) []time.Duration {
 	t.Helper()
 	var took []time.Duration
-	interval := time.Second * time.Duration(writers) / time.Duration(*rate)
+	interval := time.Second * time.Duration(writers) / time.Duration(*churnRate)
 	for i := 0; ; i++ {
 		due := start.Add(time.Duration(i) * interval)
-		if due.Sub(start) > *churn {
+		if due.Sub(start) > *churnDuration {
 			return took
 		}
 		time.Sleep(time.Until(due))
@@ -197,7 +200,7 @@
 			return nil
 		}
 		took = append(took, time.Since(putStart))
-		if old := i - int(*lives/interval); old >= 0 {
+		if old := i - int(*entryLifetime/interval); old >= 0 {
 			if err := db.remove(entryKey(old*writers + writer)); err != nil {
 				t.Error(err)
 			}
--- a/internal/store/measure/process_test.go
+++ b/internal/store/measure/process_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// What this process and its directories use.
+// This file measures the resources that the process and its directories use.
 
-// diskBytes returns the size of the files of a directory.
+// diskBytes returns the total size of the files in a directory.
 func diskBytes(t *testing.T, dir string) int64 {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -28,7 +28,8 @@
 	return sum
 }
 
-// writtenBytes returns what this process has written to file systems so far, 0 if the system does not report it.
+// writtenBytes returns the number of bytes that this process has passed to write system calls so far, 0 if the system
+// does not report it.
 func writtenBytes() int64 {
 	b, _ := os.ReadFile("/proc/self/io")
 	for line := range strings.Lines(string(b)) {
@@ -40,8 +41,8 @@
 	return 0
 }
 
-// heapBytes returns the size of the heap after a collection. It does not contain what an engine has outside of it:
-// pebble's caches, bbolt's map.
+// heapBytes returns the size of the heap after a garbage collection. It does not include memory outside the heap, such
+// as the caches of pebble and the memory map of bbolt.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -49,7 +50,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// peakMegabytes returns the maximum resident memory of this process.
+// peakMegabytes returns the maximum resident memory of this process in MB.
 func peakMegabytes() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -58,7 +59,7 @@
 	return float64(usage.Maxrss) * 1024 / 1e6
 }
 
-// processorTime returns the processor time of this process so far.
+// processorTime returns the user and system processor time of this process so far.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -16,7 +16,7 @@
 
 var epoch = time.UnixMilli(1_800_000_000_000)
 
-// testOptions make small segments, no maintenance in the background, and a clock that stands still.
+// testOptions returns options for small segments, no maintenance in the background, and a clock that is fixed at epoch.
 func testOptions() store.Options {
 	return store.Options{SegmentSize: 600, Manual: true, Now: func() time.Time { return epoch }}
 }
@@ -32,27 +32,26 @@
 	return fs, s
 }
 
-// model is what a store may hold: for each key the value that was confirmed, and those in doubt, whose call returned an
-// error. nil is absence.
+// model holds the values that a store may have, by key. A nil value means that the store has no entry.
 type model struct {
-	confirmed map[string][]byte
-	doubtful  map[string][][]byte
+	confirmed map[string][]byte   // value of the last call that returned no error
+	uncertain map[string][][]byte // values of later calls that returned an error
 }
 
 func newModel() *model { return &model{map[string][]byte{}, map[string][][]byte{}} }
 
-// record notes the result of a call.
+// record records the result of a call that sets the value of a key.
 func (m *model) record(key string, value []byte, err error) {
 	if err != nil {
-		m.doubtful[key] = append(m.doubtful[key], value)
+		m.uncertain[key] = append(m.uncertain[key], value)
 		return
 	}
 	m.confirmed[key] = value
-	// What was in doubt lies before it in the log and cannot count any more.
-	delete(m.doubtful, key)
+	// Records of earlier calls that returned an error have lower sequence numbers, and no longer apply.
+	delete(m.uncertain, key)
 }
 
-// check compares a store with the model; keys are all that were ever used.
+// check compares a store with the model; keys holds all keys that were ever used.
 func (m *model) check(s *store.Store, keys []string) error {
 	listed := map[string][]byte{}
 	if err := s.Each(func(key string, value []byte, _ time.Time) bool {
@@ -70,22 +69,23 @@
 			got = nil
 		}
 		if other, isListed := listed[key]; isListed != ok || !bytes.Equal(other, got) {
-			return fmt.Errorf("%s: Get returns %q, Each %q", key, got, other)
+			return fmt.Errorf("entry %s: Get returns %q, but Each %q", key, got, other)
 		}
 		delete(listed, key)
-		allowed := append(slices.Clone(m.doubtful[key]), m.confirmed[key])
+		allowed := append(slices.Clone(m.uncertain[key]), m.confirmed[key])
 		if !slices.ContainsFunc(allowed, func(v []byte) bool { return (v == nil) == !ok && bytes.Equal(v, got) }) {
-			return fmt.Errorf("%s: holds %q, confirmed was %q, in doubt are %q",
-				key, got, m.confirmed[key], m.doubtful[key])
+			return fmt.Errorf("entry %s: value is %q, want the confirmed value %q or one of the uncertain values %q",
+				key, got, m.confirmed[key], m.uncertain[key])
 		}
 	}
 	for key := range listed {
-		return fmt.Errorf("%s was never put", key)
+		return fmt.Errorf("entry %s is present although it was never put", key)
 	}
 	return nil
 }
 
-// checkRecovery opens what is left after a crash, compares it with the model, and goes on with it.
+// checkRecovery opens the store that a crash left, compares it with the model, and checks that it is usable. Failures
+// begin with what.
 func (m *model) checkRecovery(t *testing.T, what string, fs *faultfs.FS, keys []string) {
 	t.Helper()
 	s, err := store.Open(fs, testOptions())
@@ -97,12 +97,12 @@
 		t.Fatalf("%s: %v", what, err)
 	}
 	if err := errors.Join(s.Put("later", []byte("x"), epoch.Add(time.Hour)), s.Compact()); err != nil {
-		t.Fatalf("%s: it does not go on: %v", what, err)
+		t.Fatalf("%s: using the store after recovery: %v", what, err)
 	}
-	after := &model{maps.Clone(m.confirmed), m.doubtful}
+	after := &model{maps.Clone(m.confirmed), m.uncertain}
 	after.confirmed["later"] = []byte("x")
 	if err := after.check(s, append(slices.Clone(keys), "later")); err != nil {
-		t.Fatalf("%s, after it went on: %v", what, err)
+		t.Fatalf("%s, after a further put and a compaction: %v", what, err)
 	}
 }
 
@@ -115,8 +115,10 @@
 	return keys
 }
 
-// playHistory plays random calls that rotate segments, replace, delete and compact, until the file system stops.
-func playHistory(fs *faultfs.FS, rng *rand.Rand, calls int) (m *model, keys []string, stats store.Stats) {
+// makeRandomCalls opens a store and makes random calls to it, which fill several segments, replace and delete entries,
+// and maintain and compact the store. The file system may stop working at any time. It returns the model of the store,
+// all keys, and the statistics after the last call.
+func makeRandomCalls(fs *faultfs.FS, rng *rand.Rand, calls int) (m *model, keys []string, stats store.Stats) {
 	m = newModel()
 	keys = numberedKeys(9)
 	s, err := store.Open(fs, testOptions())
@@ -134,9 +136,9 @@
 		case x < 16:
 			m.record(key, nil, s.Delete(key))
 		case x < 19:
-			_ = s.Maintain() // one that fails changes nothing that counts
+			_ = s.Maintain() // must not change any entry, also if it fails
 		default:
-			_ = s.Compact() // one that fails changes nothing that counts
+			_ = s.Compact() // must not change any entry, also if it fails
 		}
 		stats = s.Stats()
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,7 +15,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// openDir opens a store in a directory of the disk, and closes it at the end of the test at the latest.
+// openDir opens a store in a directory of the operating system. The store is closed at the end of the test if the test
+// has not closed it before.
 func openDir(t testing.TB, path string, options store.Options) *store.Store {
 	t.Helper()
 	fs, err := store.Dir(path)
@@ -30,7 +31,8 @@
 	return s
 }
 
-// On a real disk: entries are there after a restart, expired ones are not, and a second process is excluded.
+// Checks on a real disk that entries are found after a restart, that expired ones are not, and that a second process
+// cannot open the store.
 func TestRestart(t *testing.T) {
 	path := t.TempDir()
 	now := epoch
@@ -46,7 +48,7 @@
 	}
 	fs, _ := store.Dir(path)
 	if _, err := store.Open(fs, options); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("opening the store a second time returns the error %v, want %v", err, store.ErrLocked)
 	}
 	s.Close()
 	s = openDir(t, path, options)
@@ -56,31 +58,32 @@
 			value, ok, err := s.Get(fmt.Sprint("k", i))
 			want := i != 7 && i+200 > first
 			if err != nil || ok != want || ok && string(value) != fmt.Sprint(i+200) {
-				t.Errorf("%s: k%d is %q, %v, %v", when, i, value, ok, err)
+				t.Errorf("%s: Get(\"k%d\") returns %q, %v, error %v, want an entry: %v", when, i, value, ok, err, want)
 			}
 		}
 	}
 	check("after a restart", 0)
 	before := s.Stats()
 	now = now.Add(250 * time.Second)
-	check("later", 250)
+	check("after 250 s", 250)
 	if err := s.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	check("compacted", 250)
+	check("after a compaction", 250)
 	if after := s.Stats(); after.Bytes >= before.Bytes/4 || after.Entries != 49 {
-		t.Errorf("compacted from %+v to %+v", before, after)
+		t.Errorf("the compaction changed %+v to %+v, want 49 entries and less than a quarter of the bytes",
+			before, after)
 	}
 	s.Close()
 	s = openDir(t, path, options)
-	check("compacted and restarted", 250)
-	now = epoch // the clock goes back: what was removed stays removed, the rest lives longer
+	check("after a compaction and a restart", 250)
+	now = epoch // when the clock is set back, the remaining entries must only live longer
 	if _, ok, _ := s.Get("k60"); !ok {
-		t.Error("an entry expired early")
+		t.Error("entry k60 is not found after the clock was set back")
 	}
 }
 
-// Writers, readers and compactions run at the same time. Writers that wait at the same time share a sync.
+// Writers, readers and compactions run concurrently. Concurrent writers have to share syncs.
 func TestConcurrent(t *testing.T) {
 	fs := faultfs.New()
 	fs.SyncTime = time.Millisecond
@@ -113,7 +116,7 @@
 					t.Error(err)
 				}
 				if got, ok, err := s.Get(key); !ok || err != nil || string(got) != value {
-					t.Errorf("%s: %q, %v, %v", key, got, ok, err)
+					t.Errorf("Get(%q) returns %q, %v, error %v, want %q", key, got, ok, err, value)
 				}
 			}
 		})
@@ -122,12 +125,13 @@
 	close(stop)
 	compactor.Wait()
 	if stats := s.Stats(); stats.Entries != writers*5 || stats.Syncs > writers*each/2 {
-		t.Errorf("%+v: %d writers should share syncs", stats, writers)
+		t.Errorf("statistics %+v, want %d entries and at most %d syncs, since %d writers should share them",
+			stats, writers*5, writers*each/2, writers)
 	}
 }
 
-// Entries are too large, or the store is full. It could grow without end, or stay unusable. Entries beyond the limits
-// are rejected, and a full store goes on after a compaction.
+// Guards against a store that grows without limit, or that stays unusable once it is full. Entries beyond the limits
+// have to be rejected, and after a compaction a full store has to accept entries again.
 func TestLimits(t *testing.T) {
 	s, err := store.Open(faultfs.New(), store.Options{
 		SegmentSize: 1 << 10,
@@ -140,13 +144,13 @@
 	}
 	hour := epoch.Add(time.Hour)
 	for name, err := range map[string]error{
-		"no key":     s.Put("", nil, hour),
-		"long key":   s.Put(strings.Repeat("k", store.MaxKey+1), nil, hour),
-		"long value": s.Put("k", make([]byte, store.MaxValue+1), hour),
-		"no delete":  s.Delete(""),
+		"put with an empty key":      s.Put("", nil, hour),
+		"put with a long key":        s.Put(strings.Repeat("k", store.MaxKey+1), nil, hour),
+		"put with a long value":      s.Put("k", make([]byte, store.MaxValue+1), hour),
+		"deletion with an empty key": s.Delete(""),
 	} {
 		if !errors.Is(err, store.ErrSize) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want %v", name, err, store.ErrSize)
 		}
 	}
 	isFull := false
@@ -154,19 +158,20 @@
 		isFull = errors.Is(s.Put("k", make([]byte, 300), hour), store.ErrFull)
 	}
 	if stats := s.Stats(); !isFull || stats.Bytes > 4<<10 {
-		t.Errorf("full: %v, %+v", isFull, stats)
+		t.Errorf("a put was rejected with ErrFull: %v, want true; statistics %+v, want at most %d bytes",
+			isFull, stats, 4<<10)
 	}
 	if err := errors.Join(s.Delete("k"), s.Compact(), s.Put("k", make([]byte, 300), hour)); err != nil {
-		t.Errorf("after a compaction: %v", err)
+		t.Errorf("delete, compaction and put in a full store: %v", err)
 	}
 	s.Close()
 	if err := s.Put("k", nil, hour); !errors.Is(err, store.ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("put after Close returns the error %v, want %v", err, store.ErrClosed)
 	}
 }
 
-// The disk damages a segment's header. All records behind it could be lost. The segment is read: the header says
-// nothing then, and the records count.
+// Guards against a damaged segment header that makes all records of the segment unreadable. The damaged header has to
+// be ignored, and the records have to be read.
 func TestDamagedHeader(t *testing.T) {
 	path := t.TempDir()
 	s := openDir(t, path, store.Options{})
@@ -186,12 +191,12 @@
 	}
 	again := openDir(t, path, store.Options{})
 	if _, ok, err := again.Get("k"); !ok || err != nil {
-		t.Errorf("%v, %v", ok, err)
+		t.Errorf("Get finds %v, error %v, want true and no error", ok, err)
 	}
 }
 
-// A sync takes long. Readers could stand still with the writers, and requests with them. Writers wait for it, readers
-// do not.
+// Guards against a slow sync that blocks readers, and with them requests. Writers have to wait for the sync, readers
+// must not.
 func TestSlowSync(t *testing.T) {
 	fs := faultfs.New()
 	s, err := store.Open(fs, store.Options{})
@@ -210,12 +215,13 @@
 	reads := 0
 	for len(done) == 0 {
 		if _, ok, err := s.Get("a"); !ok || err != nil {
-			t.Fatal(ok, err)
+			t.Fatalf("Get finds %v, error %v, want true and no error", ok, err)
 		}
 		reads++
 	}
 	err = testutil.Receive(t, done, "the put")
 	if err != nil || time.Since(start) < 300*time.Millisecond || reads < 100 {
-		t.Errorf("%v after %v, %d reads meanwhile", err, time.Since(start), reads)
+		t.Errorf("put returned error %v after %v, with %d reads meanwhile, want no error, at least 300ms and 100 reads",
+			err, time.Since(start), reads)
 	}
 }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -14,19 +14,19 @@
 	"hazelwing/internal/store"
 )
 
-// storedDir is a directory that the program of 593ba64 wrote: see its README.
+// storedDir is the directory of a store that the program of commit 593ba64 wrote. Its README describes the content.
 const storedDir = "testdata/version-593ba64"
 
 // storedAt is the wall time at which storedDir was written.
 var storedAt = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
 
-// storedOptions make small segments, whose hint files are written only when Maintain is called.
+// storedOptions returns options for small segments, whose hint files are written only when Maintain is called.
 func storedOptions(now *time.Time) store.Options {
 	return store.Options{SegmentSize: 256, Manual: true, Now: func() time.Time { return *now }}
 }
 
-// writeStored makes the changes that storedDir was written by. It waits for each change, so that the bytes are always
-// the same.
+// writeStored makes the changes to a store that produced storedDir. It waits for each change, so that it always writes
+// the same bytes.
 func writeStored(t *testing.T, path string) {
 	t.Helper()
 	now := storedAt
@@ -58,7 +58,7 @@
 	expiresAt time.Time
 }
 
-// storedEntries returns what storedDir holds ten seconds after it was written.
+// storedEntries returns the entries of storedDir that have not expired ten seconds after it was written.
 func storedEntries() map[string]storedEntry {
 	want := map[string]storedEntry{}
 	for i := range 12 {
@@ -73,7 +73,7 @@
 	return want
 }
 
-// wantEntries compares all entries of a store, by Each and by Get.
+// wantEntries compares the entries that Each and Get return with the expected ones.
 func wantEntries(t *testing.T, s *store.Store, want map[string]storedEntry) {
 	t.Helper()
 	got := map[string]storedEntry{}
@@ -84,19 +84,19 @@
 		t.Fatal(err)
 	}
 	if !maps.Equal(got, want) {
-		t.Errorf("it holds\n%#v, want\n%#v", got, want)
+		t.Errorf("the store has the entries\n%#v, want\n%#v", got, want)
 	}
 	for key, entry := range want {
 		if value, ok, err := s.Get(key); err != nil || !ok || string(value) != entry.value {
-			t.Errorf("%q is %q, %v, %v, want %q", key, value, ok, err, entry.value)
+			t.Errorf("Get(%q) returns %q, %v, error %v, want %q", key, value, ok, err, entry.value)
 		}
 	}
 	if stats := s.Stats(); stats.Damaged != 0 {
-		t.Errorf("%d bytes damaged", stats.Damaged)
+		t.Errorf("%d bytes are reported as damaged, want 0", stats.Damaged)
 	}
 }
 
-// readFiles returns the content of the segments and hint files of a directory, by name.
+// readFiles returns the contents of the segments and hint files of a directory, by file name.
 func readFiles(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	list, err := os.ReadDir(path)
@@ -114,7 +114,7 @@
 	return out
 }
 
-// copyStored returns a copy of storedDir.
+// copyStored copies storedDir to a temporary directory and returns its path.
 func copyStored(t *testing.T) string {
 	t.Helper()
 	path := t.TempDir()
@@ -126,22 +126,24 @@
 	return path
 }
 
-// The same changes write the same segments and hint files as in 593ba64, byte by byte.
+// Guards against an unintended change of the format: the same changes have to write the same segments and hint files as
+// at commit 593ba64, byte by byte.
 func TestSegmentsAndHintsAreStable(t *testing.T) {
 	path := t.TempDir()
 	writeStored(t, path)
 	got, want := readFiles(t, path), readFiles(t, storedDir)
 	if names := slices.Sorted(maps.Keys(want)); len(names) != 6 || !slices.Equal(slices.Sorted(maps.Keys(got)), names) {
-		t.Errorf("files %q, want %q", slices.Sorted(maps.Keys(got)), names)
+		t.Errorf("the store wrote the files %q, want %q", slices.Sorted(maps.Keys(got)), names)
 	}
 	for name, text := range want {
 		if !bytes.Equal(got[name], text) {
-			t.Errorf("%s is\n%x, want\n%x", name, got[name], text)
+			t.Errorf("file %s has the content\n%x, want\n%x", name, got[name], text)
 		}
 	}
 }
 
-// A directory that 593ba64 wrote is read, with its hint files and without, changed, compacted, and read again.
+// Guards against losing the entries of a store that the version of commit 593ba64 wrote. The store is opened, with and
+// without its hint files, changed, compacted, and opened again.
 func TestDirectoryOfPreviousVersion(t *testing.T) {
 	for _, hasHints := range []bool{true, false} {
 		t.Run(fmt.Sprint("hints ", hasHints), func(t *testing.T) {
@@ -152,15 +154,15 @@
 			}
 			list, err := store.Check(fs)
 			if err != nil || len(list) != 4 {
-				t.Fatalf("%d segments, %v", len(list), err)
+				t.Fatalf("Check returns %d segments, error %v, want 4 and no error", len(list), err)
 			}
 			for i, g := range list {
 				wantHint := store.HintGood
 				if i >= 2 {
-					wantHint = store.HintMissing // it was written to after the hint files
+					wantHint = store.HintMissing // written after Maintain was called
 				}
 				if g.Damaged != 0 || g.Tail != 0 || g.Fault != "" || g.Hint != wantHint {
-					t.Errorf("%+v, want hint %s", g, wantHint)
+					t.Errorf("segment report %+v, want no damage and the hint file state %q", g, wantHint)
 				}
 			}
 			if !hasHints {
