--- a/internal/idempotency/clock_test.go
+++ b/internal/idempotency/clock_test.go
@@ -26,7 +26,7 @@
 	now := nextBoot.At(time.Second)
 	elapsed = now.MaxElapsedSince(later.Time, later.BootNumber)
 	if now.Time != later.Time || elapsed != unknownElapsed || nextBoot.BootNumber != 2 {
-		t.Errorf("in the next boot: clock %+v at %d, %v elapsed, want boot number 2 at %d, %v elapsed",
-			nextBoot, now.Time, elapsed, later.Time, unknownElapsed)
+		t.Errorf("in the next boot: boot number %d, time %d, %v elapsed, want boot number 2, time %d, %v elapsed",
+			nextBoot.BootNumber, now.Time, elapsed, later.Time, unknownElapsed)
 	}
 }
--- a/internal/idempotency/decisions.go
+++ b/internal/idempotency/decisions.go
@@ -6,16 +6,16 @@
 	"hazelwing/balancer"
 )
 
-// RequestDecision is the answer of AdmitRequest.
+// RequestDecision is the decision of AdmitRequest on a request.
 type RequestDecision int
 
 // The decisions on a request.
 const (
-	Admit       RequestDecision = iota // the request proceeds, bound to where earlier attempts may have run
+	Admit       RequestDecision = iota // the request proceeds, bound to the scope of earlier attempts
 	FailRequest                        // the request fails: its operation may have run, and nothing may be sent
 )
 
-// AttemptDecision is the answer of BeginAttempt.
+// AttemptDecision is the decision of BeginAttempt on an attempt.
 type AttemptDecision int
 
 // The decisions on an attempt.
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -6,7 +6,7 @@
 // between a front, the engine and a transport. The intent of an attempt is the decision to send it; its record is
 // stored before the attempt is sent. The order of calls for a request that is not idempotent:
 //
-//	AdmitRequest    when the request arrives: admits it, bound to where earlier attempts may have run, or fails it
+//	AdmitRequest    when the request arrives: admits it, bound to the scope of earlier attempts, or fails it
 //	BeginAttempt    before each attempt: decides whether it may be sent, and which record has to be durable first
 //	RecordWritten   when that record is durable, or could not be written
 //	EndAttempt      when the attempt has ended, or was abandoned before it was sent
--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -59,7 +59,7 @@
 func (d *Deduplicator) restore() error {
 	records, stored, err := d.readLog()
 	if err != nil {
-		return fmt.Errorf("ledger: %w", err)
+		return fmt.Errorf("ledger: reading the stored records: %w", err)
 	}
 	var latest idempotency.Time
 	for _, record := range records {
@@ -69,7 +69,7 @@
 	if d.clock.ClockState != stored {
 		expires := wallTime(d.clock.Time).Add(clockRetention)
 		if err := d.store.Put(clockKey, d.clock.Append(nil), expires); err != nil {
-			return fmt.Errorf("ledger: %w", err)
+			return fmt.Errorf("ledger: storing the clock state: %w", err)
 		}
 	}
 	now := d.now()
--- a/internal/idempotency/random_test.go
+++ b/internal/idempotency/random_test.go
@@ -22,7 +22,7 @@
 	eventRebootMachine = 15
 )
 
-// randomOperations are the operations that the random requests execute.
+// randomOperations lists the operations that random requests execute. Each has one fingerprint.
 var randomOperations = []struct{ name, class string }{
 	{"b0", "book"},
 	{"b1", "book"},
--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -102,7 +102,8 @@
 	return nil
 }
 
-// isActiveFull reports whether the next batch goes to a new segment.
+// isActiveFull reports whether the active segment has reached Options.SegmentSize, so that the next batch has to be
+// written to a new segment.
 func (s *Store) isActiveFull() bool { return s.active != nil && s.active.size >= s.options.SegmentSize }
 
 // createSegment creates a segment and makes its header and file name durable. After a failure it tries to remove the
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -142,10 +142,10 @@
 		for run := range 3 {
 			s, err := store.Open(fs, options)
 			if err != nil {
-				t.Fatalf("seed %d, run %d: %v", seed, run, err)
+				t.Fatalf("seed %d, run %d: opening the store: %v", seed, run, err)
 			}
 			if err := m.check(s, keys); err != nil {
-				t.Fatalf("seed %d, run %d: %v", seed, run, err)
+				t.Fatalf("seed %d, run %d: the store differs from the model: %v", seed, run, err)
 			}
 			steps := rng.Int64N(4000)
 			fs.Update(func(f *faultfs.FS) { f.CrashAfter = f.Steps + steps })
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -32,7 +32,7 @@
 // crc is CRC-32C (Castagnoli). The crc of a record covers the number of its segment (8), its offset in the segment (8),
 // n (4) and the body, so that a copy of a record at another place is not valid. Of the records of a key, the one with
 // the highest sequence number applies. Compact copies records with their sequence numbers. The end of a segment is the
-// end of its last valid record; bytes behind it are ignored.
+// end of its last valid record; bytes after it are ignored.
 //
 // A hint file lists the keys of its segment, so that the store can be opened without reading the values. It is written
 // after its segment has been sealed, and never synced. A hint file that is incomplete, belongs to another segment, or
--- a/internal/store/maintain_test.go
+++ b/internal/store/maintain_test.go
@@ -152,7 +152,7 @@
 }
 
 // Guards against losing entries that were confirmed with SyncEvery and whose sync then fails. They have to be written
-// again to a new segment, so that after that neither a kill nor a power loss loses them.
+// again to a new segment, so that neither a kill nor a later power loss loses them.
 func TestSyncEvery(t *testing.T) {
 	fs := faultfs.New()
 	options := testOptions()
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -90,11 +90,11 @@
 	t.Helper()
 	s, err := store.Open(fs, testOptions())
 	if err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: opening the store: %v", what, err)
 	}
 	defer s.Close()
 	if err := m.check(s, keys); err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: the store differs from the model: %v", what, err)
 	}
 	if err := errors.Join(s.Put("later", []byte("x"), epoch.Add(time.Hour)), s.Compact()); err != nil {
 		t.Fatalf("%s: using the store after recovery: %v", what, err)
@@ -102,7 +102,7 @@
 	after := &model{maps.Clone(m.confirmed), m.uncertain}
 	after.confirmed["later"] = []byte("x")
 	if err := after.check(s, append(slices.Clone(keys), "later")); err != nil {
-		t.Fatalf("%s, after a further put and a compaction: %v", what, err)
+		t.Fatalf("%s: the store differs from the model after a further put and a compaction: %v", what, err)
 	}
 }
 
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -62,7 +62,7 @@
 		r.nextSegment = max(r.nextSegment, number+1)
 		g, err := r.loadSegment(number)
 		if err != nil {
-			return fmt.Errorf("store: %s: %w", name, err)
+			return fmt.Errorf("store: loading %s: %w", name, err)
 		}
 		delete(r.hints, number)
 		if g != nil {
