--- a/internal/discovery/config.go
+++ b/internal/discovery/config.go
@@ -12,72 +12,72 @@
 // SourceConfig describes a source of endpoints.
 type SourceConfig struct {
 	Name string // unique among the sources
-	// Rank decides whose description of zone, kind and level of an endpoint is used: that of the source of the
-	// lowest rank that lists the endpoint.
+	// Rank is the precedence of the source. The zone, kind and other attributes of an endpoint are taken from the
+	// source with the lowest Rank that lists it.
 	Rank int
-	// AbsenceMeansRemoved says what it means that a complete list lacks an endpoint that the source listed
-	// before: if true, the endpoint is removed; if false, the source makes no statement about it any more,
-	// because its list may be partial (as a DNS answer may be).
+	// AbsenceMeansRemoved controls how the Merger treats an endpoint that the source listed before and that a complete
+	// list of the source lacks. If true, the source counts as having removed the endpoint. If false, the source
+	// merely stops listing it, because its list may be partial, as a DNS answer may be.
 	AbsenceMeansRemoved bool
-	// Indirect marks a source that only passes on what others were notified of. It lists no endpoints, an
-	// Active endpoint of it withdraws its earlier report, and all removals that it causes are subject to
-	// Config.MaxRemovalShare, the explicitly reported ones too.
+	// Indirect marks a source that only relays removals that other members have been notified of. It does not list
+	// endpoints: an Active endpoint in its update withdraws an earlier removal. Config.MaxRemovalShare limits all
+	// removals that it causes, including those that it reports explicitly.
 	Indirect bool
 	// StaleTTL is how long the source's last list may add endpoints after the source has failed. A higher value
-	// tolerates longer outages of the source, and adds endpoints that may be gone.
+	// tolerates longer outages of the source, but may add endpoints that no longer exist.
 	StaleTTL time.Duration
 }
 
 // Config configures a Merger.
 type Config struct {
 	Sources []SourceConfig
-	// MaxEndpoints limits the endpoints of a source's list, and its tombstones. A higher value allows for larger
-	// lists, and takes more memory if a source is faulty.
+	// MaxEndpoints limits the endpoints and the tombstones of each source. A higher value allows larger lists, but
+	// lets a faulty source use more memory.
 	MaxEndpoints int
-	// AdditionInterval is the shortest time between two additions to the list. A higher value changes the list less
-	// often where endpoints come one by one, and uses new ones later.
+	// AdditionInterval is the minimum time between two additions to the list. A higher value changes the list less
+	// often if endpoints are reported one by one, but delays the use of new endpoints.
 	AdditionInterval time.Duration
-	// TombstoneTTL is how long a removal is remembered after any source has last listed the endpoint. A higher value
-	// keeps out endpoints that a slow source still lists for longer, and takes more memory.
+	// TombstoneTTL is how long a removal is remembered after any source last listed the endpoint. A higher value also
+	// excludes endpoints that a slow source lists again after a long time, but uses more memory.
 	TombstoneTTL time.Duration
 	// MaxRemovalShare is the share of the list, above 0 and at most 1, that may be removed within RemovalWindow
-	// because one source no longer lists the endpoints. Whatever the share, such removals leave one endpoint in
-	// the list. A higher value follows a source sooner, and loses more of the list to one that is faulty.
+	// because one source has stopped listing the endpoints. Such removals never remove the last endpoint. A higher
+	// value applies the removals of a source sooner, but lets a faulty source remove more of the list.
 	MaxRemovalShare float64
-	// RemovalWindow is the time for which MaxRemovalShare holds. A higher value keeps endpoints for longer that are
-	// really gone, and leaves more time to notice a faulty source.
+	// RemovalWindow is the period to which MaxRemovalShare applies. A higher value leaves more time to notice a faulty
+	// source, but keeps endpoints in the list for longer that no longer exist.
 	RemovalWindow time.Duration
 }
 
-// validate returns an error that wraps ErrInvalidConfig and names the setting.
+// validate returns an error that wraps ErrInvalidConfig and names the first invalid setting.
 func (c *Config) validate() error {
 	switch {
 	case len(c.Sources) == 0:
-		return fmt.Errorf("%w: no sources", ErrInvalidConfig)
+		return fmt.Errorf("%w: Sources is empty, want at least one source", ErrInvalidConfig)
 	case c.MaxEndpoints < 1:
-		return fmt.Errorf("%w: limit of %d endpoints is below 1", ErrInvalidConfig, c.MaxEndpoints)
+		return fmt.Errorf("%w: MaxEndpoints is %d, want at least 1", ErrInvalidConfig, c.MaxEndpoints)
 	case c.AdditionInterval < 0:
-		return fmt.Errorf("%w: addition interval %v is negative", ErrInvalidConfig, c.AdditionInterval)
+		return fmt.Errorf("%w: AdditionInterval is %v, want at least 0", ErrInvalidConfig, c.AdditionInterval)
 	case c.TombstoneTTL <= 0:
-		return fmt.Errorf("%w: tombstone lifetime %v is not positive", ErrInvalidConfig, c.TombstoneTTL)
+		return fmt.Errorf("%w: TombstoneTTL is %v, want more than 0", ErrInvalidConfig, c.TombstoneTTL)
 	case !(c.MaxRemovalShare > 0 && c.MaxRemovalShare <= 1): // rejects NaN too
-		return fmt.Errorf("%w: %v is not a share above 0 and up to 1", ErrInvalidConfig, c.MaxRemovalShare)
+		return fmt.Errorf("%w: MaxRemovalShare is %v, want above 0 and at most 1", ErrInvalidConfig, c.MaxRemovalShare)
 	case c.RemovalWindow <= 0:
-		return fmt.Errorf("%w: removal window %v is not positive", ErrInvalidConfig, c.RemovalWindow)
+		return fmt.Errorf("%w: RemovalWindow is %v, want more than 0", ErrInvalidConfig, c.RemovalWindow)
 	}
 	return c.validateSources()
 }
 
 func (c *Config) validateSources() error {
 	names := map[string]bool{}
-	for _, s := range c.Sources {
+	for i, s := range c.Sources {
 		switch {
 		case s.Name == "":
-			return fmt.Errorf("%w: a source has no name", ErrInvalidConfig)
+			return fmt.Errorf("%w: the name of source %d is empty", ErrInvalidConfig, i)
 		case names[s.Name]:
-			return fmt.Errorf("%w: two sources are named %q", ErrInvalidConfig, s.Name)
+			return fmt.Errorf("%w: two sources have the name %q", ErrInvalidConfig, s.Name)
 		case s.StaleTTL < 0:
-			return fmt.Errorf("%w: source %q: stale lifetime %v is negative", ErrInvalidConfig, s.Name, s.StaleTTL)
+			return fmt.Errorf("%w: source %q: StaleTTL is %v, want at least 0", ErrInvalidConfig, s.Name, s.StaleTTL)
 		}
 		names[s.Name] = true
 	}
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -8,25 +8,25 @@
 
 // Endpoint is an endpoint as a source describes it.
 type Endpoint struct {
-	// ID is the endpoint's name. It is empty where the source knows addresses only, and never empty in a Change.
+	// ID is the endpoint's name. It is empty if the source knows only the address. It is never empty in a Change.
 	ID    string                 `json:"ID"`
 	Addr  string                 `json:"Addr"`
 	Zone  string                 `json:"Zone"`
 	Kind  string                 `json:"Kind"`
 	Cell  int                    `json:"Cell"`
 	State balancer.EndpointState `json:"State"`
-	// StartedAtMS is when the endpoint's process started, in Unix milliseconds; 0 means unknown, or long ago.
+	// StartedAtMS is when the endpoint's process started, in Unix milliseconds; 0 means unknown or long ago.
 	StartedAtMS float64 `json:"BornMS"`
 	// Priority is the failover level; lower levels are used first.
 	Priority int `json:"Priority"`
-	// TrafficShare is the endpoint's share of the traffic of its level; 0 means unknown.
+	// TrafficShare is the endpoint's weight relative to the other endpoints with the same Priority; 0 means unknown.
 	TrafficShare float64 `json:"Share"`
 }
 
-// addrKeyPrefix starts the key and the ID of an endpoint that is known by its address only.
+// addrKeyPrefix is the prefix of the key and the ID of an endpoint of which only the address is known.
 const addrKeyPrefix = "addr "
 
-// key identifies an endpoint within the list of one source.
+// key returns the key of an endpoint in the list of one source.
 func (e *Endpoint) key() string {
 	if e.ID != "" {
 		return e.ID
@@ -34,35 +34,35 @@
 	return addrKeyPrefix + e.Addr
 }
 
-// Update is a message of a source.
+// Update is a list of endpoints that a source reports.
 type Update struct {
 	Source string // the name of the source
-	// Seq increases from update to update of a source. An update whose Seq is not higher than the last one is
-	// an old copy.
+	// Seq is the sequence number of the update. It increases with each update of a source. An update whose Seq is not
+	// higher than that of the previous one is a delayed copy, and is ignored.
 	Seq int64
-	// Complete means that Endpoints is the source's whole list; otherwise it has the changes since the update
-	// before.
+	// Complete means that Endpoints is the source's complete list. If it is false, Endpoints contains the changes since
+	// the previous update.
 	Complete  bool
 	Endpoints []Endpoint
 }
 
-// Change is a change of the merged list: an addition or a new description where Endpoint.State is
-// balancer.Active, otherwise a removal.
+// Change is a change of the merged list. If Endpoint.State is balancer.Active, the endpoint was added or its attributes
+// have changed; otherwise it was removed.
 type Change struct {
 	Endpoint Endpoint
 	Reason   string
 }
 
-// EndpointStatus describes an endpoint of the merged list, or one that is left out of it.
+// EndpointStatus describes an endpoint of the merged list, or one that a source lists but that is excluded from it.
 type EndpointStatus struct {
 	Endpoint
-	Listed  bool          `json:"In"`
-	Reason  string        `json:"Why"`
-	Sources []string      `json:"Sources"` // the names of the sources that list it, by rank
-	Since   time.Duration `json:"Since"`   // when it was added to the list
+	Listed  bool          `json:"In"`      // the endpoint is in the merged list
+	Reason  string        `json:"Why"`     // why the endpoint is in the merged list or excluded from it
+	Sources []string      `json:"Sources"` // names of the sources that list the endpoint, lowest rank first
+	Since   time.Duration `json:"Since"`   // when the endpoint was added to the merged list; 0 if excluded
 }
 
-// Reasons of changes and states. They are part of the output of GET /members and of the log.
+// Values of Change.Reason and EndpointStatus.Reason. They appear in the response to GET /members and in the log.
 const (
 	reasonListed      = "listed"
 	reasonDescription = "it is described anew"
--- a/internal/discovery/merger.go
+++ b/internal/discovery/merger.go
@@ -1,19 +1,22 @@
 // Package discovery merges the endpoint lists of several sources into one. It does no I/O and reads no clock:
-// its caller passes each update with the time of its arrival, and gets back the changes of the merged list.
-// docs/design/membership.md has the rules as a table.
+// the caller passes each update with the time of its arrival, and receives the changes of the merged list.
+// docs/design/membership.md contains a table of the rules.
 //
-// In short, a removal wins. An endpoint that a source reports as draining or removed is left out until the same
-// source lists it again, or until any source reports a newer start of it; a late copy of an old list never
-// brings it back. A source that has failed keeps its last list for a while, and after that only loses the right
-// to add endpoints. The removal of an endpoint that a source merely no longer lists may be deferred, so that
-// one source alone can neither empty the list nor remove more than a share of it within a time window. Removals
-// are returned at once, additions at most once in Config.AdditionInterval.
+// Removals take precedence over additions. An endpoint that a source reports as draining or removed stays out of the
+// merged list until the same source lists it again, or until any source reports a newer start of it. A delayed copy
+// of an old list therefore cannot restore the endpoint. The endpoints of a source that has failed stay in the merged
+// list. After SourceConfig.StaleTTL such a source may no longer add endpoints.
+//
+// The removal of an endpoint that a source has stopped listing, without reporting its removal, may be deferred. This
+// way a single source can neither empty the list nor remove more than Config.MaxRemovalShare of it within
+// Config.RemovalWindow. Removals are returned at once, additions at most once per Config.AdditionInterval.
 //
 // # Limits
 //
-// The list of a source holds at most Config.MaxEndpoints endpoints; those beyond it are dropped and counted. A
-// tombstone is kept for Config.TombstoneTTL after its endpoint was last listed by any source, and each source
-// has at most Config.MaxEndpoints of them. A Merger is not safe for concurrent use.
+// The list of a source holds at most Config.MaxEndpoints endpoints. Endpoints of an update beyond this number are
+// dropped and counted. A tombstone (the record of a removal) is kept for Config.TombstoneTTL after any source last
+// listed its endpoint, and each source has at most Config.MaxEndpoints tombstones. A Merger is not safe for concurrent
+// use.
 package discovery
 
 import (
@@ -24,26 +27,26 @@
 )
 
 // Merger merges the updates of its sources into one endpoint list. Times are durations since an origin that the
-// caller chooses, and must not decrease from call to call.
+// caller chooses. They must not decrease from one call to the next.
 type Merger struct {
 	cfg     Config
-	sources map[string]*source // by name
-	byRank  []*source
+	sources map[string]*source         // by name
+	byRank  []*source                  // lowest rank first
 	listed  map[string]*listedEndpoint // the merged list, by ID
 
 	lastAdditionAt time.Duration
 	hasAdded       bool // lastAdditionAt is valid
-	dropped        int
+	dropped        int  // endpoints of updates beyond Config.MaxEndpoints
 }
 
 // listedEndpoint is an endpoint of the merged list.
 type listedEndpoint struct {
 	Endpoint
-	reason string
-	since  time.Duration
+	reason string        // why the endpoint is in the list
+	since  time.Duration // when the endpoint was added to the list
 }
 
-// New returns a Merger with an empty list. The error wraps ErrInvalidConfig.
+// New returns a Merger with an empty list. Its errors wrap ErrInvalidConfig.
 func New(cfg Config) (*Merger, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -58,9 +61,9 @@
 	return m, nil
 }
 
-// Apply processes an update of a source. An update of an unknown source, or one whose sequence number is not
-// higher than that of the source's last one, is ignored. Apply returns the changes of the list, and when Tick
-// is to be called next; 0 means that no call is needed before the next event.
+// Apply processes an update of a source. It ignores an update of an unknown source, and an update whose sequence
+// number is not higher than that of the source's previous update. It returns the changes of the merged list and the
+// time at which the caller must call Tick; 0 means that no call is needed before the next event.
 func (m *Merger) Apply(now time.Duration, update Update) (changes []Change, nextTick time.Duration) {
 	s := m.sources[update.Source]
 	if s == nil || s.hasUpdate && update.Seq <= s.seq {
@@ -79,8 +82,8 @@
 	return m.reconcile(now)
 }
 
-// SourceFailed notes that the named source has failed. The source counts as failed until its next update. The
-// results are those of Apply.
+// SourceFailed records that the named source has failed. The source counts as failed until its next update.
+// SourceFailed returns the same results as Apply.
 func (m *Merger) SourceFailed(now time.Duration, name string) (changes []Change, nextTick time.Duration) {
 	if s := m.sources[name]; s != nil && !s.hasFailed() {
 		s.failedAt = now
@@ -88,13 +91,14 @@
 	return m.reconcile(now)
 }
 
-// Tick is to be called at the time that the last event returned. The results are those of Apply.
+// Tick makes the changes that depend on the time alone. The caller calls it at the time that the previous call of
+// Apply, SourceFailed or Tick returned. Tick returns the same results as Apply.
 func (m *Merger) Tick(now time.Duration) (changes []Change, nextTick time.Duration) {
 	return m.reconcile(now)
 }
 
-// Status returns the endpoints of the merged list, followed by those that a source lists and that are left out
-// of it, each part sorted by ID.
+// Status returns the endpoints of the merged list, followed by the endpoints that a source lists but that are excluded
+// from the merged list. Each of the two parts is sorted by ID.
 func (m *Merger) Status(now time.Duration) []EndpointStatus {
 	var list []EndpointStatus
 	target := m.target(now)
@@ -121,5 +125,5 @@
 	return list
 }
 
-// Dropped returns how many endpoints of updates were left out because the update had more than Config.MaxEndpoints.
+// Dropped returns how many endpoints were ignored because their updates had more than Config.MaxEndpoints.
 func (m *Merger) Dropped() int { return m.dropped }
--- a/internal/discovery/merger_test.go
+++ b/internal/discovery/merger_test.go
@@ -9,9 +9,9 @@
 	"hazelwing/balancer"
 )
 
-// A source sends more endpoints than the list may hold, or names that never come again. Memory would grow without end.
-// An invalid configuration is rejected, and neither the list nor the tombstones exceed their limits.
-func TestBounds(t *testing.T) {
+// An invalid configuration is rejected. A source that sends more endpoints than allowed, or removes ever new ones, must
+// not make the memory grow: neither the list nor the tombstones exceed their limits.
+func TestConfigAndLimits(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"no sources":        func(c *Config) { c.Sources = nil },
 		"no removal share":  func(c *Config) { c.MaxRemovalShare = 0 },
@@ -24,26 +24,27 @@
 		cfg := testConfig()
 		change(&cfg)
 		if _, err := New(cfg); !errors.Is(err, ErrInvalidConfig) {
-			t.Errorf("%s: error %v, want %v", name, err, ErrInvalidConfig)
+			t.Errorf("%s: New returned the error %v, want %v", name, err, ErrInvalidConfig)
 		}
 	}
 	merger, err := New(testConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var flood []Endpoint
+	var endpoints []Endpoint
 	for i := range 10_000 {
-		flood = append(flood, Endpoint{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("x", i)})
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("x", i)})
 	}
-	merger.Apply(0, Update{Source: "dns", Seq: 1, Complete: true, Endpoints: flood})
-	for i := range flood {
-		flood[i].State = balancer.Removed
+	merger.Apply(0, Update{Source: "dns", Seq: 1, Complete: true, Endpoints: endpoints})
+	for i := range endpoints {
+		endpoints[i].State = balancer.Removed
 	}
-	for i := 0; i < len(flood); i += 100 {
-		merger.Apply(time.Second, Update{Source: "watch", Seq: int64(i + 1), Endpoints: flood[i : i+100]})
+	for i := 0; i < len(endpoints); i += 100 {
+		merger.Apply(time.Second, Update{Source: "watch", Seq: int64(i + 1), Endpoints: endpoints[i : i+100]})
 	}
 	tombstones := len(merger.sources["watch"].tombstones)
 	if len(merger.listed) > 100 || merger.Dropped() != 9900 || tombstones > 100 {
-		t.Errorf("%d listed, %d dropped, %d tombstones", len(merger.listed), merger.Dropped(), tombstones)
+		t.Errorf("%d endpoints listed, %d dropped, %d tombstones; want at most 100, exactly 9900, at most 100",
+			len(merger.listed), merger.Dropped(), tombstones)
 	}
 }
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"strings"
 	"testing"
 	"time"
 
@@ -14,24 +15,25 @@
 	modelIDs     = []string{"a", "b", "c", "d", "e"}
 )
 
-// model drives a Merger by random updates, and follows what its list has to be.
+// model passes random updates to a Merger, and tracks the list and the removals that result from them.
 type model struct {
 	merger *Merger
 	now    time.Duration
 
-	list      map[string]Endpoint // the merged list, as put together from the changes
-	removals  map[string]Endpoint // explicit removals that have not been withdrawn, by source/ID
-	seq       map[string]int64    // of the last update, by source
+	list      map[string]Endpoint // merged list according to the changes that the Merger has returned, by ID
+	removals  map[string]Endpoint // explicit removals that have not been withdrawn, by SOURCE/ID
+	seq       map[string]int64    // sequence number of the last update, by source
 	updates   map[string][]Update // all updates so far, by source
-	startedAt map[string]float64  // the newest start that any source has reported, by ID
-	explicit  map[string]bool     // the IDs that were ever explicitly removed
+	startedAt map[string]float64  // latest start that any source has reported, by ID
+	explicit  map[string]bool     // IDs that any source has explicitly removed
 }
 
-// Two sources contradict each other, fail, and repeat old updates. A removed endpoint could come back, or the list
-// become empty. After random histories of two sources that list, remove, no longer list, fail and repeat old updates,
-// an endpoint that a source has explicitly removed is not in the list until that source lists it again or a newer
-// start is reported; the list does not become empty unless an endpoint was explicitly removed; and once both sources
-// agree, the list is what they list within the addition interval and some removal windows.
+// Two sources list and remove endpoints, stop listing them, fail, and repeat old updates, all at random. This must
+// neither restore a removed endpoint nor empty the list. The test checks that:
+//   - an endpoint that a source has explicitly removed is not in the list until that source lists it again, or a newer
+//     start of it is reported;
+//   - the list does not become empty unless an endpoint was explicitly removed;
+//   - once both sources list the same endpoints, so does the merged list after some removal windows.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		merger, err := New(testConfig())
@@ -53,13 +55,13 @@
 			m.step(t)
 			m.checkRemovals(t)
 			if numBefore > 0 && len(m.list) == 0 && len(m.explicit) == 0 {
-				t.Fatalf("%v: the list is empty, and no endpoint was explicitly removed", m.now)
+				t.Fatalf("the list has become empty at %v although no endpoint was explicitly removed", m.now)
 			}
-			if len(merger.sources["watch"].tombstones) > testConfig().MaxEndpoints {
-				t.Fatalf("%d tombstones", len(merger.sources["watch"].tombstones))
+			if n := len(merger.sources["watch"].tombstones); n > testConfig().MaxEndpoints {
+				t.Fatalf("%d tombstones of the source watch, want at most %d", n, testConfig().MaxEndpoints)
 			}
 			if len(merger.listed) != len(m.list) {
-				t.Fatalf("the changes make a list of %d, the merger has %d", len(m.list), len(merger.listed))
+				t.Fatalf("%d endpoints in the merger's list, want %d as its changes say", len(merger.listed), len(m.list))
 			}
 		}
 		m.checkAgreement(t)
@@ -74,7 +76,7 @@
 		m.record(m.merger.SourceFailed(m.now, source))
 	case 1:
 		m.record(m.merger.Tick(m.now))
-	case 2: // a late copy
+	case 2: // a delayed copy of an earlier update
 		if old := m.updates[source]; len(old) > 0 {
 			m.record(m.merger.Apply(m.now, old[rapid.IntRange(0, len(old)-1).Draw(t, "old")]))
 		}
@@ -105,13 +107,13 @@
 			e.StartedAtMS, e.State = m.startedAt[id], balancer.Active
 		}
 		update.Endpoints = append(update.Endpoints, e)
-		m.noteRemoval(source, e)
+		m.recordRemoval(source, e)
 	}
 	return update
 }
 
-// noteRemoval keeps account of the explicit removals when a source sends an endpoint.
-func (m *model) noteRemoval(source string, e Endpoint) {
+// recordRemoval updates the explicit removals after a source has reported an endpoint.
+func (m *model) recordRemoval(source string, e Endpoint) {
 	if e.State != balancer.Active {
 		m.explicit[e.ID] = true
 		m.removals[source+"/"+e.ID] = e
@@ -125,7 +127,7 @@
 	}
 }
 
-// record brings the model's list up to date.
+// record applies the changes of the merged list to the model's list.
 func (m *model) record(changes []Change, _ time.Duration) {
 	for _, c := range changes {
 		if c.Endpoint.State == balancer.Active {
@@ -136,17 +138,18 @@
 	}
 }
 
-// checkRemovals fails if the list has an endpoint whose explicit removal holds.
+// checkRemovals fails the test if the list contains an endpoint whose explicit removal has not been withdrawn.
 func (m *model) checkRemovals(t *rapid.T) {
 	for key, removed := range m.removals {
+		source, _, _ := strings.Cut(key, "/")
 		if e, ok := m.list[removed.ID]; ok && e.StartedAtMS <= removed.StartedAtMS {
-			t.Fatalf("%v: %s was removed by %s, and is listed", m.now, removed.ID, key)
+			t.Fatalf("endpoint %s is listed at %v although %s has removed it", removed.ID, m.now, source)
 		}
 	}
 }
 
-// checkAgreement lets both sources list the same three endpoints, newly started, and fails if the list is not
-// these three.
+// checkAgreement makes both sources list the same three endpoints, newly started, and fails the test unless the list
+// then has three endpoints.
 func (m *model) checkAgreement(t *rapid.T) {
 	var agreed []Endpoint
 	for _, id := range modelIDs[:3] {
@@ -156,11 +159,11 @@
 		m.seq[source]++
 		m.record(m.merger.Apply(m.now, Update{Source: source, Seq: m.seq[source], Complete: true, Endpoints: agreed}))
 	}
-	for range 10 { // each window removes a share
+	for range 10 { // in each removal window only a share of the list may be removed
 		m.now += testConfig().RemovalWindow
 		m.record(m.merger.Tick(m.now))
 	}
 	if len(m.list) != 3 {
-		t.Fatalf("both sources list three endpoints, and the list has %v", m.list)
+		t.Fatalf("the list is %v, want the three endpoints that both sources list", m.list)
 	}
 }
--- a/internal/discovery/reconcile.go
+++ b/internal/discovery/reconcile.go
@@ -10,14 +10,14 @@
 	"hazelwing/balancer"
 )
 
-// targetList is what the sources together list at a given time.
+// targetList is the merged list that follows from the lists of all sources at a given time.
 type targetList struct {
-	endpoints map[string]Endpoint // what should be in the merged list, by ID
-	sources   map[string][]string // the names of the sources that list each of endpoints, by rank
-	excluded  map[string]string   // the reason why an endpoint that a source lists should not be in the list, by ID
+	endpoints map[string]Endpoint // endpoints that should be in the merged list, by ID
+	sources   map[string][]string // names of the sources that list an endpoint, lowest rank first, by endpoint ID
+	excluded  map[string]string   // reasons why listed endpoints should not be in the merged list, by endpoint ID
 }
 
-// target computes what should be in the merged list, regardless of the limits on additions and removals.
+// target returns the merged list that should result, regardless of the limits on additions and removals.
 func (m *Merger) target(now time.Duration) targetList {
 	target := targetList{
 		endpoints: map[string]Endpoint{},
@@ -28,7 +28,7 @@
 	for _, s := range m.byRank {
 		for _, key := range slices.Sorted(maps.Keys(s.endpoints)) {
 			e := s.endpoints[key]
-			if e.ID == "" { // a source that knows the address only means whichever endpoint has it
+			if e.ID == "" { // the source knows the address only: use the ID that another source lists for it
 				e.ID = cmp.Or(ids[e.Addr], addrKeyPrefix+e.Addr)
 			}
 			m.addToTarget(now, &target, s, e)
@@ -40,8 +40,8 @@
 	return target
 }
 
-// idsByAddr returns the IDs of the endpoints that any source names, by address. The source of the lowest rank
-// decides.
+// idsByAddr returns the IDs of the endpoints that any source lists, by address. If sources list different IDs for an
+// address, the ID of the source with the lowest rank is used.
 func (m *Merger) idsByAddr() map[string]string {
 	ids := map[string]string{}
 	for _, s := range m.byRank {
@@ -54,8 +54,9 @@
 	return ids
 }
 
-// addToTarget adds an endpoint that a source lists, or notes why it is excluded. The first source by rank decides on
-// the endpoint's attributes, the latest start on its address.
+// addToTarget adds an endpoint that a source lists to the target, or records why it is excluded. If several sources
+// list the endpoint, its attributes are those of the source with the lowest rank, and its address is that of its latest
+// start.
 func (m *Merger) addToTarget(now time.Duration, target *targetList, s *source, e Endpoint) {
 	if reason := m.removalReason(now, &e); reason != "" {
 		target.excluded[e.ID] = reason
@@ -72,18 +73,18 @@
 	switch {
 	case !exists:
 		target.endpoints[e.ID] = e
-	case e.StartedAtMS > old.StartedAtMS: // a newer start is a newer process, whichever source reports it
+	case e.StartedAtMS > old.StartedAtMS: // a later start means a newer process, whichever source reports it
 		old.StartedAtMS, old.Addr = e.StartedAtMS, e.Addr
 		target.endpoints[e.ID] = old
 	}
 }
 
-// removalReason says which source keeps an endpoint out of the list; empty means that none does. It notes in
-// the tombstones that the endpoint is still listed.
+// removalReason returns why a tombstone excludes an endpoint from the merged list; empty if no tombstone covers it. It
+// also updates tombstone.lastListedAt of each tombstone that covers the endpoint.
 //
-// It decides that a removal wins: one tombstone of any source outweighs all sources that list the endpoint. This
-// prevents a late copy of an old list from bringing back an endpoint that drains or is gone, which would receive
-// requests and fail them. It holds because only the same source or a newer start takes a tombstone back.
+// A tombstone of any source takes precedence over all sources that list the endpoint. This prevents a delayed copy of
+// an old list from restoring an endpoint that is draining or gone, to which requests would be sent and fail. It holds
+// because only the source that removed an endpoint can withdraw the tombstone, and only a newer start is not covered.
 func (m *Merger) removalReason(now time.Duration, e *Endpoint) string {
 	reason := ""
 	for _, s := range m.byRank {
@@ -102,25 +103,25 @@
 	return reason
 }
 
-// reconciliation is the state of one run of reconcile.
+// reconciliation is the state of one call of Merger.reconcile.
 type reconciliation struct {
 	now    time.Duration
 	target targetList
-	// restarted has the IDs of endpoints that are replaced by a newer process. Their additions are not delayed,
-	// because the place of the old process would stay empty meanwhile.
+	// restarted has the IDs of endpoints that are replaced by a newer process. Adding them is not delayed, because the
+	// endpoint would be missing from the list in the meantime.
 	restarted map[string]bool
 	changes   []Change
-	nextTick  time.Duration // 0: none needed
+	nextTick  time.Duration // when Tick must be called; 0 means that no call is needed
 }
 
-// tickAt asks for a call of Tick at the given time, if that is in the future.
+// tickAt requests a call of Tick at the given time or earlier. It ignores times that are not in the future.
 func (r *reconciliation) tickAt(at time.Duration) {
 	if at > r.now && (r.nextTick == 0 || at < r.nextTick) {
 		r.nextTick = at
 	}
 }
 
-// reconcile brings the merged list as near to its target as the limits allow. Removals come first.
+// reconcile changes the merged list towards its target, as far as the limits allow. It applies removals first.
 func (m *Merger) reconcile(now time.Duration) (changes []Change, nextTick time.Duration) {
 	r := &reconciliation{now: now, target: m.target(now), restarted: map[string]bool{}}
 	m.updateListed(r)
@@ -136,7 +137,7 @@
 	return r.changes, r.nextTick
 }
 
-// updateListed removes endpoints from the list, or replaces their descriptions, as the target says.
+// updateListed removes the endpoints that the target lacks from the list, and updates the attributes of the others.
 func (m *Merger) updateListed(r *reconciliation) {
 	for _, id := range slices.Sorted(maps.Keys(m.listed)) {
 		current := m.listed[id]
@@ -144,7 +145,7 @@
 		switch {
 		case !ok:
 			m.removeOrDefer(r, current)
-		case e.StartedAtMS > current.StartedAtMS: // another process: the old one leaves the list
+		case e.StartedAtMS > current.StartedAtMS: // a newer process: the old one is removed, and addMissing adds the new
 			r.restarted[id] = true
 			m.remove(r, current, reasonRestarted)
 		default:
@@ -157,7 +158,7 @@
 	}
 }
 
-// removeOrDefer removes an endpoint, or notes why it stays for now.
+// removeOrDefer removes an endpoint from the list, or records why its removal is deferred.
 func (m *Merger) removeOrDefer(r *reconciliation, current *listedEndpoint) {
 	if reason, retryAt := m.deferRemoval(r.now, &current.Endpoint); reason != "" {
 		current.reason = reason
@@ -167,18 +168,19 @@
 	m.remove(r, current, r.target.excluded[current.ID])
 }
 
-// remove removes an endpoint. An empty reason stands for what the tombstones say.
+// remove removes an endpoint from the list. If reason is empty, the reason is that of the endpoint's tombstones.
 func (m *Merger) remove(r *reconciliation, current *listedEndpoint, reason string) {
 	removed := current.Endpoint
 	removed.State = m.removedState(&current.Endpoint)
-	// Called also where a reason is given, because it notes in the tombstones that the endpoint was listed until now.
+	// removalReason is called even if a reason is given, because it records in the tombstones that the endpoint was
+	// listed until now.
 	tombstoneReason := m.removalReason(r.now, &current.Endpoint)
 	r.changes = append(r.changes, Change{removed, cmp.Or(reason, tombstoneReason, reasonUnlisted)})
 	delete(m.listed, current.ID)
 }
 
-// removedState returns the state that the removal of an endpoint is reported with: draining if a source says so
-// and none says that it is removed.
+// removedState returns the state with which the removal of an endpoint is reported: draining if a source reports the
+// endpoint as draining and none reports it as removed, otherwise removed.
 func (m *Merger) removedState(e *Endpoint) balancer.EndpointState {
 	state := balancer.Removed
 	for _, s := range m.byRank {
@@ -195,12 +197,13 @@
 	return state
 }
 
-// deferRemoval decides whether the removal of an endpoint has to wait, and until when; an empty reason means
-// that it does not. Its inputs are the tombstones of the endpoint, the number of listed endpoints and the source's
-// latest removals. This limits what the list loses because one source no longer lists endpoints: that source
-// may remove its share within the window, and the last endpoint stays. A removal that a source reported
-// explicitly is never deferred, unless the source is indirect. That of an endpoint without any tombstone, which
-// all sources have stopped listing, is deferred only for the last endpoint.
+// deferRemoval returns why the removal of an endpoint is deferred, and when to try it again. An empty reason means that
+// the endpoint may be removed now; a retryAt of 0 means that waiting does not make the removal possible.
+//
+// This limits how many endpoints the list loses because one source stops listing them: the source may remove
+// Config.MaxRemovalShare of the list within Config.RemovalWindow, and the last endpoint stays. A removal that a source
+// reported explicitly is not deferred, unless the source is indirect. An endpoint without a tombstone, which all sources
+// have stopped listing, is removed unless it is the last one.
 func (m *Merger) deferRemoval(now time.Duration, e *Endpoint) (reason string, retryAt time.Duration) {
 	s, confirmed := m.removingSource(e)
 	switch {
@@ -222,8 +225,9 @@
 	return fmt.Sprintf(reasonWindowFormat, s.Name), retryAt
 }
 
-// removingSource returns the source of the highest rank that has a tombstone of an endpoint; nil if there is
-// none. The removal is confirmed if a source that is not indirect has reported it explicitly.
+// removingSource returns a source that has a tombstone for an endpoint; nil if there is none. confirmed reports whether
+// the source has reported the removal explicitly and is not indirect. If no source has, removingSource returns the one
+// with the highest rank.
 func (m *Merger) removingSource(e *Endpoint) (removing *source, confirmed bool) {
 	for _, s := range m.byRank {
 		for _, t := range s.tombstones {
@@ -239,11 +243,11 @@
 	return removing, false
 }
 
-// addMissing adds the endpoints that the list lacks, at most once in Config.AdditionInterval.
+// addMissing adds the endpoints of the target that the list lacks, at most once per Config.AdditionInterval.
 //
-// It decides when new endpoints are used, from the time since the latest addition. This prevents a source that reports
-// endpoints one by one from changing the choice of endpoints with each of them. A newer process of a listed endpoint is
-// added at once, because its place would stay empty.
+// The interval prevents a source that reports endpoints one by one from changing the balancer's choice of endpoints with
+// each of them. The newer process of an endpoint that has restarted is added at once, because the endpoint would be
+// missing from the list in the meantime.
 func (m *Merger) addMissing(r *reconciliation) {
 	var missing []string
 	for _, id := range slices.Sorted(maps.Keys(r.target.endpoints)) {
--- a/internal/discovery/script_test.go
+++ b/internal/discovery/script_test.go
@@ -28,11 +28,15 @@
 	}
 }
 
-// The scripts are updates and failures of sources, each with the changes of the list and the time of the next tick.
+// The scripts under testdata pass updates and failures of sources to a Merger. The expected output of a command is the
+// changes of the list and the time of the next tick. The commands are:
 //
-//	new                                   two sources, watch and dns; see testConfig
-//	update at=T from=NAME seq=N [delta]   input: ID ADDR [draining|removed] [started=MS], a line each; "-" for no ID
-//	fail at=T from=NAME | tick at=T | status at=T
+//	new                                   creates a Merger with the two sources of testConfig, watch and dns
+//	update at=T from=NAME seq=N [delta]   input: one endpoint per line, ID ADDR [draining|removed] [started=MS];
+//	                                      an ID of "-" stands for an endpoint without ID
+//	fail at=T from=NAME                   the source has failed
+//	tick at=T                             calls Tick
+//	status at=T                           prints the status of all endpoints
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var merger *Merger
@@ -49,7 +53,7 @@
 	})
 }
 
-// runCommand runs a command of a script other than new, and returns its output.
+// runCommand runs any command of a script but new, and returns its output.
 func runCommand(t *testing.T, merger *Merger, d *datadriven.TestData) string {
 	t.Helper()
 	var at, source string
@@ -96,7 +100,7 @@
 			if state := slices.Index(stateNames, word); state >= 0 {
 				e.State = balancer.EndpointState(state)
 			} else if _, err := fmt.Sscanf(word, "started=%f", &e.StartedAtMS); err != nil {
-				t.Fatal(line)
+				t.Fatalf("invalid word %q in the line %q: %v", word, line, err)
 			}
 		}
 		list = append(list, e)
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -9,26 +9,26 @@
 	"hazelwing/balancer"
 )
 
-// notFailed is the failedAt of a source that has not failed.
+// notFailed is the value of source.failedAt unless the source has failed since its last update.
 const notFailed time.Duration = -1
 
-// source is the state of one source.
+// source is the state that a Merger keeps for one source.
 type source struct {
 	SourceConfig
-	seq        int64
-	hasUpdate  bool // seq is valid
-	failedAt   time.Duration
-	endpoints  map[string]Endpoint  // its list, by key
-	tombstones map[string]tombstone // the removals that it caused, by key
-	// removedAt has the times, within Config.RemovalWindow, of the removals that are subject to
-	// Config.MaxRemovalShare.
+	seq        int64 // sequence number of the last update; valid if hasUpdate
+	hasUpdate  bool
+	failedAt   time.Duration        // time of the failure, or notFailed
+	endpoints  map[string]Endpoint  // the source's list, by endpoint key
+	tombstones map[string]tombstone // endpoints that the source has removed, by endpoint key
+	// removedAt holds the times of the removals within Config.RemovalWindow that count towards
+	// Config.MaxRemovalShare, oldest first.
 	removedAt []time.Duration
 }
 
-// tombstone remembers that a source has removed an endpoint.
+// tombstone records that a source has removed an endpoint.
 type tombstone struct {
 	Endpoint
-	explicit     bool          // reported by the source, as opposed to no longer listed
+	explicit     bool          // the source reported the removal; if false, it stopped listing the endpoint
 	lastListedAt time.Duration // when any source last listed the endpoint
 }
 
@@ -41,7 +41,8 @@
 	}
 }
 
-// apply takes over the endpoints of an update, and returns their keys. The list grows to maxEndpoints at most.
+// apply applies the endpoints of an update to the source's list and returns their keys. New endpoints are ignored
+// while the list holds maxEndpoints.
 func (s *source) apply(now time.Duration, endpoints []Endpoint, maxEndpoints int) (received map[string]bool) {
 	received = map[string]bool{}
 	for _, e := range endpoints {
@@ -64,7 +65,8 @@
 	return received
 }
 
-// removeAbsent processes the endpoints of the list that a complete update did not have.
+// removeAbsent deletes the endpoints that a complete update does not contain from the source's list. Each of them gets
+// a tombstone if SourceConfig.AbsenceMeansRemoved is set.
 func (s *source) removeAbsent(now time.Duration, received map[string]bool) {
 	for _, key := range slices.Sorted(maps.Keys(s.endpoints)) {
 		switch {
@@ -77,8 +79,8 @@
 	}
 }
 
-// remove takes an endpoint out of the source's list and leaves a tombstone. An explicit tombstone is not
-// replaced by one that is not.
+// remove deletes an endpoint from the source's list and adds a tombstone for it. It does nothing if the endpoint has an
+// explicit tombstone already and this removal is not explicit.
 func (s *source) remove(now time.Duration, key string, e Endpoint, explicit bool) {
 	if old, ok := s.endpoints[key]; ok {
 		e.Addr = cmp.Or(e.Addr, old.Addr)
@@ -97,19 +99,19 @@
 // hasFailed reports whether the source has failed since its last update.
 func (s *source) hasFailed() bool { return s.failedAt != notFailed }
 
-// mayAdd reports whether the source's list may still add endpoints that are not in the merged list.
+// mayAdd reports whether the source's list may add endpoints that are not in the merged list.
 //
-// It decides that from the time since the source failed, which StaleTTL limits. This prevents a list that nobody keeps
-// up to date from adding endpoints that are gone. Endpoints in the merged list stay all the same: a source that has
-// failed says nothing about them.
+// A source that works may add endpoints, and one that has failed may do so until StaleTTL has passed. This prevents an
+// outdated list from adding endpoints that no longer exist. Endpoints that are in the merged list already stay there,
+// because the failure of a source is no evidence that they are gone.
 func (s *source) mayAdd(now time.Duration) bool { return !s.hasFailed() || now-s.failedAt < s.StaleTTL }
 
-// mayRemoveOne reports whether the source may remove one more of numListed endpoints. If not, retryAt is when the next
-// removal may become possible; 0 means that time alone does not make it possible.
+// mayRemoveOne reports whether the source may remove one more of numListed endpoints. If it may not, retryAt is when the
+// next removal may become possible; 0 means that waiting does not make it possible.
 //
-// It decides that from the removals of the source within Config.RemovalWindow: together with the next one, they may be
-// at most Config.MaxRemovalShare of the listed endpoints and themselves. This prevents a source that answers with a
-// part of its list from taking out most endpoints at once: the rest would be overloaded.
+// The removals of the source within Config.RemovalWindow, including the next one, must not exceed
+// Config.MaxRemovalShare of the endpoints that were listed before them. This prevents a source that reports only a part
+// of its list from removing most endpoints at once, which would overload the remaining ones.
 func (s *source) mayRemoveOne(now time.Duration, numListed int, cfg *Config) (ok bool, retryAt time.Duration) {
 	s.removedAt = slices.DeleteFunc(s.removedAt, func(at time.Duration) bool { return now-at >= cfg.RemovalWindow })
 	numRemoved := len(s.removedAt)
@@ -122,8 +124,8 @@
 	return false, s.removedAt[0] + cfg.RemovalWindow
 }
 
-// expireTombstones drops the tombstones whose endpoints have not been listed for ttl, then those that were
-// listed longest ago until maxTombstones are left.
+// expireTombstones deletes the tombstones whose endpoints no source has listed for ttl. While more than maxTombstones
+// remain, it deletes the one whose endpoint was last listed the longest ago.
 func (s *source) expireTombstones(now, ttl time.Duration, maxTombstones int) {
 	for key, t := range s.tombstones {
 		if now-t.lastListedAt >= ttl {
@@ -141,8 +143,8 @@
 	}
 }
 
-// covers reports whether the tombstone keeps an endpoint out of the list: the endpoint has the same ID or the same
-// address, and has not started later. A later start is another process, which nobody has removed.
+// covers reports whether the tombstone keeps an endpoint out of the merged list: the endpoint has the same ID or the
+// same address, and has not started later. An endpoint with a later start is a new process, which was not removed.
 func (t *tombstone) covers(e *Endpoint) bool {
 	if e.StartedAtMS > t.StartedAtMS && e.StartedAtMS > 0 {
 		return false
