--- a/internal/discovery/mergedsource/endpoints.go
+++ b/internal/discovery/mergedsource/endpoints.go
@@ -10,9 +10,9 @@
 	"hazelwing/internal/engine"
 )
 
-// applyPlatformUpdate passes an update of the platform's discovery to the merger. The endpoints that a complete
-// list lacks are passed as removed, as the platform's protocol defines: if they were merely absent, the merger
-// might defer their removal.
+// applyPlatformUpdate passes an update of the platform's discovery service to the merger. The endpoints that a complete
+// list lacks are passed as explicitly removed, as the platform's protocol defines. If they were only absent from the
+// update, the merger could defer their removal.
 func (s *Source) applyPlatformUpdate(
 	now time.Duration,
 	received engine.EndpointUpdate,
@@ -45,7 +45,7 @@
 }
 
 // reportDepartures calls Config.OnDeparture for the endpoints that the platform reports as draining or removed.
-// Endpoints that a complete list merely lacks are not reported, because the list may be an older one.
+// It ignores endpoints that are only absent from a complete list, because the list may be outdated.
 func (s *Source) reportDepartures(update engine.EndpointUpdate) {
 	if s.cfg.OnDeparture == nil {
 		return
@@ -57,26 +57,27 @@
 	}
 }
 
-// notifyOutOfBand notifies the engine of changes that an update of the platform's discovery did not cause. The
-// engine does not take them as a sign that the watch of the platform works.
+// notifyOutOfBand notifies the engine of changes that were not caused by an update of the platform's discovery service.
+// The engine does not count them as evidence that the watch of the platform works.
 func (s *Source) notifyOutOfBand(changes []discovery.Change) {
 	if endpoints := s.engineEndpoints(changes); len(endpoints) > 0 {
 		s.notify(engine.EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: endpoints})
 	}
 }
 
-// notify passes an update to the caller of the current Watch, unless that has been stopped.
+// notify passes an update to the caller of the current Watch, unless the caller has stopped that watch.
 func (s *Source) notify(update engine.EndpointUpdate) {
 	if s.current.ctx.Err() == nil {
 		s.current.notify(update)
 	}
 }
 
-// engineEndpoints logs changes of the list and returns them as the engine's endpoints.
+// engineEndpoints logs changes of the merged list and returns them as endpoints of the engine.
 //
-// It decides when an endpoint counts as started if no source says so: now, if only an additional source lists it,
-// and did not list it in its first update. This prevents a cold endpoint from being taken for a warm one, and
-// overloaded by all sidecars: a name service does not say when a process started, and may be the first to list it.
+// An endpoint without a start time counts as started now if the platform does not list it and no additional source
+// listed its address in the first update. This prevents an endpoint that has just started from being treated as warm
+// and overloaded by all sidecars: a name service does not report start times, and may be the first source to list a
+// new endpoint.
 func (s *Source) engineEndpoints(changes []discovery.Change) []engine.Endpoint {
 	var list []engine.Endpoint
 	for _, change := range changes {
--- a/internal/discovery/mergedsource/format_test.go
+++ b/internal/discovery/mergedsource/format_test.go
@@ -11,8 +11,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// GET /members is a list of these, as Source.Status returns it. The golden file is here and not in package
-// discovery, since the script test there plays every file under its testdata.
+// The response to GET /members is a list of discovery.EndpointStatus, as Source.Status returns it. The golden file is in
+// this package and not in package discovery, because the script test of that package runs every file in its testdata.
 func TestMemberListFormatIsStable(t *testing.T) {
 	endpoint := discovery.Endpoint{
 		ID:           "upstream-1",
@@ -38,11 +38,11 @@
 	testutil.Golden(t, "list.json", text)
 	var read []discovery.EndpointStatus
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
+		t.Errorf("the golden file was decoded with the error %v as\n%+v, want\n%+v", err, read, list)
 	}
 }
 
-// The states are numbers in GET /members.
+// Endpoint states are encoded as numbers in the response to GET /members.
 func TestMemberListStateNumbersAreStable(t *testing.T) {
 	numbers := map[balancer.EndpointState]string{
 		balancer.Active:   "0",
@@ -51,7 +51,7 @@
 	}
 	for state, want := range numbers {
 		if text, err := json.Marshal(state); err != nil || string(text) != want {
-			t.Errorf("%s, %v, want %s", text, err, want)
+			t.Errorf("state %d is encoded as %s with the error %v, want %s", state, text, err, want)
 		}
 	}
 }
--- a/internal/discovery/mergedsource/run.go
+++ b/internal/discovery/mergedsource/run.go
@@ -11,7 +11,7 @@
 )
 
 // Run runs all sources, and notifies the caller of the latest Watch of changes, until ctx ends. The additional
-// sources start with the first Watch, because nobody could be notified before.
+// sources start with the first call of Watch, because there is no caller to notify before.
 func (s *Source) Run(ctx context.Context) {
 	s.startedAt = time.Now()
 	s.log = s.cfg.Log.With("component", "discovery")
@@ -56,7 +56,7 @@
 	}
 }
 
-// now returns the merger's time.
+// now returns the time since the start of Run, which is the clock of the merger.
 func (s *Source) now() time.Duration { return time.Since(s.startedAt) }
 
 // post queues an event for Run.
@@ -67,7 +67,7 @@
 	}
 }
 
-// startPlatformWatch replaces the watch of the platform's discovery by the one last requested.
+// startPlatformWatch stops the present watch of the platform's discovery service, and starts the one last requested.
 func (s *Source) startPlatformWatch(ctx context.Context) {
 	s.mu.Lock()
 	request := s.request
@@ -93,22 +93,22 @@
 	additional.Run(ctx, update, failed)
 }
 
-// event is what other goroutines pass to Run.
+// event is a message from another goroutine to Run.
 type event interface {
-	// handle processes the event in Run's goroutine. It returns when the merger's Tick is to be called next; 0
-	// leaves that as it is.
+	// handle processes the event in Run's goroutine. It returns when the merger's Tick must be called next; 0 leaves
+	// the planned time unchanged.
 	handle(s *Source) (nextTick time.Duration)
 }
 
-// platformEvent is an update of the platform's discovery.
+// platformEvent is an update of the platform's discovery service.
 type platformEvent struct {
-	request *watchRequest // whose watch it belongs to
+	request *watchRequest // request for the watch that delivered the update
 	update  engine.EndpointUpdate
 }
 
 func (e platformEvent) handle(s *Source) time.Duration {
 	if e.request != s.current {
-		return 0 // of a watch that has been replaced: the present one goes on from a version before it
+		return 0 // the update is of a replaced watch; the present watch started from an earlier version
 	}
 	if e.update.Kind == balancer.WatchFailed {
 		changes, nextTick := s.merger.SourceFailed(s.now(), PlatformSourceName)
@@ -142,7 +142,7 @@
 	return nextTick
 }
 
-// failureEvent says that an additional source has failed.
+// failureEvent reports that an additional source has failed.
 type failureEvent struct {
 	source string
 	err    error
@@ -155,7 +155,7 @@
 	return nextTick
 }
 
-// statusRequest asks for the state of the list. Its channel has room for the reply.
+// statusRequest requests the state of the list. Its channel is buffered, so that Run does not block on the reply.
 type statusRequest struct {
 	reply chan<- []discovery.EndpointStatus
 }
--- a/internal/discovery/mergedsource/source.go
+++ b/internal/discovery/mergedsource/source.go
@@ -1,12 +1,11 @@
-// Package mergedsource puts the merge of several endpoint lists (internal/discovery) in front of the engine:
-// one engine.Source made of the platform's discovery and of additional sources. The rules for what holds when
-// they disagree are those of the merge; this package has the goroutine that runs it.
+// Package mergedsource implements an engine.Source that merges the endpoint lists of the platform's discovery service
+// and of additional sources. A discovery.Merger resolves conflicts between them; this package runs it in a goroutine.
 //
 // # Goroutines
 //
-// Run is the only goroutine that uses the merger, and the only one that calls the engine. Watch and the
-// function that it returns leave a request for Run and return at once. The goroutines of the sources pass their
-// events through a queue of eventQueueLength, and wait while it is full.
+// Only the goroutine of Run uses the merger and notifies the engine. Watch and the function that it returns pass a
+// request to Run and return at once. The goroutines of the sources send their events through a queue of
+// eventQueueLength events, and block while it is full.
 package mergedsource
 
 import (
@@ -21,34 +20,37 @@
 	"hazelwing/internal/engine"
 )
 
-// PlatformSourceName is the name of the platform's discovery among the sources.
+// PlatformSourceName is the name of the source that is the platform's discovery service.
 const PlatformSourceName = "list"
 
 const (
-	// eventQueueLength is how many events of the sources may wait for Run. A higher value tolerates longer bursts
-	// without making the sources wait, and takes more memory.
+	// eventQueueLength limits the events of the sources that are queued for Run. A higher value allows longer bursts
+	// before the sources block, but uses more memory.
 	eventQueueLength = 64
-	statusTimeout    = time.Second // limits Source.Status
+	// statusTimeout limits how long Source.Status waits for Run.
+	statusTimeout = time.Second
 )
 
-// errReservedName says that an additional source has the name of the platform's discovery.
-var errReservedName = fmt.Errorf("merged source: %q is the name of the platform's discovery", PlatformSourceName)
+// errReservedName is returned if an additional source has the name PlatformSourceName.
+var errReservedName = fmt.Errorf("merged source: the name %q of an additional source is reserved for the platform's discovery service",
+	PlatformSourceName)
 
-// AdditionalSource is a source of endpoints besides the platform's discovery.
+// AdditionalSource is a source of endpoints other than the platform's discovery service.
 type AdditionalSource struct {
 	discovery.SourceConfig
-	// Run is called once, in a goroutine of its own, and returns soon after ctx ends. It calls update with each
-	// update and failed when its last one is too old to rely on, one call at a time; both may block.
+	// Run runs the source. It is called once, in a goroutine of its own, and returns soon after ctx ends. Run calls
+	// update with each update, and failed once its last update is too old to be used. It makes one call at a time;
+	// both functions may block.
 	Run func(ctx context.Context, update func(discovery.Update), failed func(error))
 }
 
 // Config configures a Source.
 type Config struct {
-	Platform   engine.Source // the platform's discovery
+	Platform   engine.Source // the platform's discovery service
 	Additional []AdditionalSource
-	CachedList []engine.Endpoint // the list that the engine has started with
+	CachedList []engine.Endpoint // the list with which the engine has started
 
-	// The limits of the merge; see discovery.Config.
+	// These fields are passed to the merger; see discovery.Config.
 	MaxEndpoints     int
 	AdditionInterval time.Duration
 	TombstoneTTL     time.Duration
@@ -58,7 +60,8 @@
 	// OnDeparture is called with each endpoint that the platform reports as draining or removed, from Run's
 	// goroutine. It may be nil.
 	OnDeparture func(engine.Endpoint)
-	// Now is the clock for the start of endpoints that only an additional source lists; nil means time.Now.
+	// Now returns the time that is set as the start of an endpoint that only an additional source lists. If it is
+	// nil, time.Now is used.
 	Now func() time.Time
 	Log *slog.Logger
 }
@@ -67,36 +70,36 @@
 type Source struct {
 	cfg            Config
 	events         chan event
-	watchRequested chan struct{} // has an element while request is new
+	watchRequested chan struct{} // contains an element while Run has not seen the latest request
 
 	mu       sync.Mutex
-	request  *watchRequest // the latest
-	platform engine.Source // for the next watch
+	request  *watchRequest // request of the latest call of Watch
+	platform engine.Source // source of the next watch
 
-	// Used by Run only.
+	// The following fields are used only by Run.
 	log               *slog.Logger
 	merger            *discovery.Merger
-	startedAt         time.Time // the origin of the merger's times
-	current           *watchRequest
-	stopPlatformWatch context.CancelFunc
-	platformSeq       int64           // the sequence number of the platform's last update to the merger
-	platformIDs       map[string]bool // the endpoints that the platform lists
-	hasReported       map[string]bool // the additional sources that have sent an update
-	initialAddrs      map[string]bool // addresses in their first updates, MaxEndpoints of each at most
+	startedAt         time.Time          // origin of the merger's times
+	current           *watchRequest      // request for the present watch of the platform
+	stopPlatformWatch context.CancelFunc // stops the present watch of the platform
+	platformSeq       int64              // sequence number of the platform's last update
+	platformIDs       map[string]bool    // IDs of the endpoints that the platform lists
+	hasReported       map[string]bool    // names of the additional sources that have sent an update
+	initialAddrs      map[string]bool    // addresses in the first updates of the additional sources, MaxEndpoints of each
 }
 
-// watchRequest is a call of Watch.
+// watchRequest holds the arguments of a call of Watch, and its context.
 type watchRequest struct {
 	version int64
 	delay   time.Duration
 	notify  func(engine.EndpointUpdate)
 	source  engine.Source
 
-	//nolint:containedctx // the lifetime of the watch that the request asks for; Run reads it after Watch has returned
+	//nolint:containedctx // limits the lifetime of the requested watch; Run uses it after Watch has returned
 	ctx context.Context
 }
 
-// New returns a Source. It contacts no source before Run and Watch are called.
+// New returns a Source. It makes no network calls; the sources start once Run and Watch have been called.
 func New(cfg Config) (*Source, error) {
 	sources := []discovery.SourceConfig{{
 		Name:                PlatformSourceName,
@@ -134,13 +137,13 @@
 		hasReported:    map[string]bool{},
 		initialAddrs:   map[string]bool{},
 	}
-	// The changes are dropped: the engine has this list already.
+	// The changes are not passed to the engine, because it has this list already.
 	s.applyPlatformUpdate(0, engine.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: cfg.CachedList})
 	return s, nil
 }
 
-// Watch implements engine.Source: it watches the platform's discovery, and passes on what the other sources
-// report too.
+// Watch implements engine.Source. It watches the platform's discovery service, and notifies the caller of the changes
+// that this and the additional sources cause in the merged list.
 func (s *Source) Watch(version int64, delay time.Duration, notify func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	s.mu.Lock()
@@ -148,20 +151,22 @@
 	s.mu.Unlock()
 	select {
 	case s.watchRequested <- struct{}{}:
-	default: // Run has not read the last note yet, and will find the latest request
+	default: // Run has not read the previous signal yet, and will read the latest request with it
 	}
 	return stop
 }
 
-// SetPlatform replaces the platform's discovery, from the next Watch on. It may be called from any goroutine.
+// SetPlatform replaces the platform's discovery service from the next call of Watch on. It may be called from any
+// goroutine.
 func (s *Source) SetPlatform(platform engine.Source) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.platform = platform
 }
 
-// Status returns the state of each endpoint that is in the list or that a source lists. It may be called from
-// any goroutine, and returns nil if Run does not answer within statusTimeout.
+// Status returns the status of each endpoint that is in the merged list or that a source lists; see
+// discovery.Merger.Status. It returns nil if Run does not answer within statusTimeout. It may be called from any
+// goroutine.
 func (s *Source) Status() []discovery.EndpointStatus {
 	reply := make(chan []discovery.EndpointStatus, 1)
 	timeout := time.After(statusTimeout)
--- a/internal/discovery/mergedsource/source_test.go
+++ b/internal/discovery/mergedsource/source_test.go
@@ -16,7 +16,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// fakePlatform is a platform's discovery whose updates the test sends.
+// fakePlatform is a discovery service of the platform whose updates the test sends.
 type fakePlatform struct{ watches chan *fakeWatch }
 
 // fakeWatch is a call of fakePlatform.Watch.
@@ -34,7 +34,7 @@
 	return func() { watch.stopped.Store(true) }
 }
 
-// harness is a running Source with one additional source, and the updates that it sends.
+// harness runs a Source with a fake platform and one additional source, and collects the updates that it sends.
 type harness struct {
 	*Source
 	t        *testing.T
@@ -44,15 +44,16 @@
 	updates  chan engine.EndpointUpdate
 }
 
-// srvEvent is an update of the additional source, or its failure where err is set.
+// srvEvent is an update of the additional source, or its failure if err is set.
 type srvEvent struct {
 	update discovery.Update
 	err    error
 }
 
+// nowMS is the present time according to Config.Now, in Unix milliseconds.
 const nowMS = 1_700_000_000_000
 
-// start runs a Source that has these endpoints cached, and watches it.
+// start runs a Source whose cached list has the given endpoints, and watches it.
 func start(t *testing.T, additionInterval time.Duration, cached ...string) *harness {
 	t.Helper()
 	h := &harness{
@@ -89,7 +90,7 @@
 	return h
 }
 
-// runSRV is the additional source.
+// runSRV runs the additional source, which passes on the events that the test sends to h.srv.
 func (h *harness) runSRV(ctx context.Context, update func(discovery.Update), failed func(error)) {
 	for seq := int64(1); ; seq++ {
 		select {
@@ -106,7 +107,8 @@
 	}
 }
 
-// endpoints reads "a" as an endpoint a at x:a, and "-a" as one that is draining.
+// endpoints returns one endpoint for each name: "a" is the active endpoint a with the address x:a, "-a" is the same
+// endpoint draining.
 func endpoints(names ...string) []engine.Endpoint {
 	var list []engine.Endpoint
 	for _, name := range names {
@@ -120,8 +122,8 @@
 	return list
 }
 
-// addrs sends an update of the additional source, which lists the addresses of these endpoints.
-func (h *harness) addrs(names ...string) {
+// sendAddrs sends an update of the additional source that lists the addresses of the named endpoints.
+func (h *harness) sendAddrs(names ...string) {
 	update := discovery.Update{Complete: true}
 	for _, name := range names {
 		update.Endpoints = append(update.Endpoints, discovery.Endpoint{Addr: "x:" + name})
@@ -129,13 +131,14 @@
 	h.srv <- srvEvent{update: update}
 }
 
-// platformUpdate sends an update of the platform's discovery.
-func (h *harness) platformUpdate(kind balancer.UpdateKind, version int64, names ...string) {
+// sendPlatformUpdate sends an update of the platform's discovery service.
+func (h *harness) sendPlatformUpdate(kind balancer.UpdateKind, version int64, names ...string) {
 	h.watch.notify(engine.EndpointUpdate{Kind: kind, Version: version, Endpoints: endpoints(names...)})
 }
 
-// want receives an update, and compares it with "kind version: endpoints".
-func (h *harness) want(text string) engine.EndpointUpdate {
+// wantUpdate receives an update, and fails the test unless it is the one described by text, "KIND VERSION: ID ...". An ID
+// after a minus sign is that of an endpoint that is draining or removed.
+func (h *harness) wantUpdate(text string) engine.EndpointUpdate {
 	h.t.Helper()
 	update := testutil.Receive(h.t, h.updates, "update: "+text)
 	kinds := map[balancer.UpdateKind]string{
@@ -152,102 +155,104 @@
 		got += sign + e.ID
 	}
 	if got != text {
-		h.t.Fatalf("update %q, want %q", got, text)
+		h.t.Fatalf("received the update %q, want %q", got, text)
 	}
 	return update
 }
 
-// The platform reports an endpoint as draining while the name service still lists it. It would go on to receive
-// requests, or come back with the next answer. It is removed at once, and does not come back.
+// The platform reports an endpoint as draining while the name service still lists it. The endpoint must be removed at
+// once, and later answers of the name service must not restore it: it would receive requests.
 func TestRemovalWins(t *testing.T) {
 	h := start(t, 0, "a", "b", "c")
-	h.platformUpdate(balancer.Delta, 8)
-	h.want("delta 8:")
-	h.addrs("a", "b", "c")
-	h.platformUpdate(balancer.Delta, 9, "-b")
-	h.want("delta 9: -b")
-	h.addrs("b", "a", "c")
-	h.addrs("a", "b", "c", "d")
-	h.want("out-of-band 0: addr x:d")
+	h.sendPlatformUpdate(balancer.Delta, 8)
+	h.wantUpdate("delta 8:")
+	h.sendAddrs("a", "b", "c")
+	h.sendPlatformUpdate(balancer.Delta, 9, "-b")
+	h.wantUpdate("delta 9: -b")
+	h.sendAddrs("b", "a", "c")
+	h.sendAddrs("a", "b", "c", "d")
+	h.wantUpdate("out-of-band 0: addr x:d")
 }
 
-// A complete list of the platform lacks most of the cached endpoints. Requests would go to processes that are gone if
-// their removal were deferred. All of them are removed at once, unlike those that a name service no longer lists.
+// A complete list of the platform lacks most of the cached endpoints. All of them must be removed at once, unlike
+// endpoints that a name service stops listing: if the removal were deferred, requests would go to processes that no
+// longer exist.
 func TestCompleteListOfPlatform(t *testing.T) {
 	h := start(t, 0, "a", "b", "c", "d")
-	h.platformUpdate(balancer.CompleteList, 12, "d", "e")
-	h.want("delta 12: -a -b -c e")
-	h.platformUpdate(balancer.CompleteList, 13)
-	h.want("delta 13: -d -e")
+	h.sendPlatformUpdate(balancer.CompleteList, 12, "d", "e")
+	h.wantUpdate("delta 12: -a -b -c e")
+	h.sendPlatformUpdate(balancer.CompleteList, 13)
+	h.wantUpdate("delta 13: -d -e")
 }
 
-// An endpoint that only the name service lists, and not in its first update, may just have started. Taken for a warm
-// one, it would be overloaded. It counts as started now.
+// An endpoint that only the name service lists, and did not list in its first update, may have just started. It must
+// count as started now: if it were treated as warm, it would be overloaded.
 func TestNewAddressCountsAsStartedNow(t *testing.T) {
 	h := start(t, 0)
-	h.addrs("a")
-	if update := h.want("out-of-band 0: addr x:a"); update.Endpoints[0].StartedAtMS != 0 {
-		t.Errorf("an address of the first update has the start %v", update.Endpoints[0].StartedAtMS)
+	h.sendAddrs("a")
+	if update := h.wantUpdate("out-of-band 0: addr x:a"); update.Endpoints[0].StartedAtMS != 0 {
+		t.Errorf("an endpoint of the first update has the start time %v, want 0", update.Endpoints[0].StartedAtMS)
 	}
-	h.addrs("a", "b")
-	if update := h.want("out-of-band 0: addr x:b"); update.Endpoints[0].StartedAtMS != nowMS {
-		t.Errorf("a new address has the start %v", update.Endpoints[0].StartedAtMS)
+	h.sendAddrs("a", "b")
+	if update := h.wantUpdate("out-of-band 0: addr x:b"); update.Endpoints[0].StartedAtMS != nowMS {
+		t.Errorf("a new endpoint has the start time %v, want %d", update.Endpoints[0].StartedAtMS, nowMS)
 	}
-	h.platformUpdate(balancer.CompleteList, 3, "b") // from now on the endpoint goes by its ID
-	if update := h.want("delta 3: -addr x:b b"); update.Endpoints[1].StartedAtMS != 0 {
-		t.Errorf("what the platform lists has the start %v", update.Endpoints[1].StartedAtMS)
+	h.sendPlatformUpdate(balancer.CompleteList, 3, "b") // replaces the ID that was made from the address
+	if update := h.wantUpdate("delta 3: -addr x:b b"); update.Endpoints[1].StartedAtMS != 0 {
+		t.Errorf("an endpoint of the platform has the start time %v, want 0", update.Endpoints[1].StartedAtMS)
 	}
 }
 
-// The watch of the platform fails. The engine would not subscribe again if it were not told, and changes of the other
-// source could be lost meanwhile. The engine is notified, and watches again from the version that it had; the other
-// source goes on, also while nobody watches.
+// The watch of the platform fails. The engine must be notified of the failure, or it would not watch again, and must
+// receive the changes of the additional source in the meantime. A new watch uses the platform that was set last and
+// starts from the version that the engine requests. After a watch is stopped, no update is delivered, and the additional
+// source keeps running.
 func TestPlatformFails(t *testing.T) {
 	h := start(t, 0, "a")
-	h.platformUpdate(balancer.Delta, 8)
-	h.want("delta 8:")
+	h.sendPlatformUpdate(balancer.Delta, 8)
+	h.wantUpdate("delta 8:")
 	h.watch.notify(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: 8, Err: errors.New("503")})
-	h.want("failed 8:")
-	h.addrs("a", "b")
-	h.want("out-of-band 0: addr x:b")
+	h.wantUpdate("failed 8:")
+	h.sendAddrs("a", "b")
+	h.wantUpdate("out-of-band 0: addr x:b")
 	h.srv <- srvEvent{err: errors.New("time-out")}
 	other := newFakePlatform()
 	h.SetPlatform(other)
 	stop := h.Watch(engine.UnknownVersion, 0, func(update engine.EndpointUpdate) { h.updates <- update })
 	h.watch = testutil.Receive(t, other.watches, "the watch of the new platform")
 	if h.watch.version != engine.UnknownVersion {
-		t.Errorf("it continues from version %d", h.watch.version)
+		t.Errorf("the new watch starts from version %d, want %d", h.watch.version, engine.UnknownVersion)
 	}
-	h.platformUpdate(balancer.Delta, 2, "-a")
-	h.want("delta 2: -a")
+	h.sendPlatformUpdate(balancer.Delta, 2, "-a")
+	h.wantUpdate("delta 2: -a")
 	stop()
 	testutil.Until(t, "the end of the watch", h.watch.stopped.Load)
-	h.platformUpdate(balancer.Delta, 3, "f")
-	h.addrs("g")
+	h.sendPlatformUpdate(balancer.Delta, 3, "f")
+	h.sendAddrs("g")
 	select {
 	case update := <-h.updates:
-		t.Errorf("update %+v after the watch was stopped", update)
+		t.Errorf("received the update %+v after the watch was stopped", update)
 	case <-time.After(10 * time.Millisecond):
 	}
 }
 
-// Additions are passed on at most once in the addition interval, removals at once.
+// The engine is notified of additions at most once per addition interval, and of removals at once.
 func TestAdditionInterval(t *testing.T) {
 	h := start(t, time.Hour, "a", "b")
-	h.addrs("a", "c")
-	h.platformUpdate(balancer.Delta, 8, "-b")
-	h.want("delta 8: -b")
+	h.sendAddrs("a", "c")
+	h.sendPlatformUpdate(balancer.Delta, 8, "-b")
+	h.wantUpdate("delta 8: -b")
 	select {
 	case update := <-h.updates:
-		t.Errorf("an addition within the interval: %+v", update)
+		t.Errorf("received an addition within the addition interval: %+v", update)
 	case <-time.After(10 * time.Millisecond):
 	}
 	h = start(t, 20*time.Millisecond, "a")
-	h.addrs("a", "c")
-	h.want("out-of-band 0: addr x:c") // without another event, once the interval has passed
+	h.sendAddrs("a", "c")
+	h.wantUpdate("out-of-band 0: addr x:c") // arrives after the interval without another event
 }
 
-// An invalid configuration is an error that names the fault.
+// New rejects an invalid configuration with an error that names the invalid setting.
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	valid := Config{MaxEndpoints: 1, TombstoneTTL: 1, MaxRemovalShare: 1, RemovalWindow: 1}
 	reservedName := valid
@@ -255,14 +260,14 @@
 	noShare := valid
 	noShare.MaxRemovalShare = 0
 	for want, cfg := range map[string]Config{
-		`"list" is the name of the platform's discovery`: reservedName,
-		"a share above 0": noShare,
+		`the name "list" of an additional source is reserved`: reservedName,
+		"MaxRemovalShare is 0, want above 0 and at most 1":    noShare,
 	} {
 		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("New returned the error %v, want one with %q", err, want)
 		}
 	}
 	if _, err := New(valid); err != nil {
-		t.Error(err)
+		t.Errorf("New rejected a valid configuration: %v", err)
 	}
 }
