--- a/internal/discovery/mergedsource/format_test.go
+++ b/internal/discovery/mergedsource/format_test.go
@@ -11,8 +11,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// The response to GET /members is a list of discovery.EndpointStatus, as Source.Status returns it. The golden file is in
-// this package and not in package discovery, because the script test of that package runs every file in its testdata.
+// The response to GET /members is a list of discovery.EndpointStatus, as Source.Status returns it. The golden file is
+// in this package and not in package discovery, because the script test of that package runs every file in its
+// testdata.
 func TestMemberListFormatIsStable(t *testing.T) {
 	endpoint := discovery.Endpoint{
 		ID:           "upstream-1",
--- a/internal/discovery/mergedsource/source.go
+++ b/internal/discovery/mergedsource/source.go
@@ -32,7 +32,8 @@
 )
 
 // errReservedName is returned if an additional source has the name PlatformSourceName.
-var errReservedName = fmt.Errorf("merged source: the name %q of an additional source is reserved for the platform's discovery service",
+var errReservedName = fmt.Errorf(
+	"merged source: the name %q of an additional source is reserved for the platform's discovery service",
 	PlatformSourceName)
 
 // AdditionalSource is a source of endpoints other than the platform's discovery service.
@@ -85,7 +86,7 @@
 	platformSeq       int64              // sequence number of the platform's last update
 	platformIDs       map[string]bool    // IDs of the endpoints that the platform lists
 	hasReported       map[string]bool    // names of the additional sources that have sent an update
-	initialAddrs      map[string]bool    // addresses in the first updates of the additional sources, MaxEndpoints of each
+	initialAddrs      map[string]bool    // addresses in the first updates of the additional sources
 }
 
 // watchRequest holds the arguments of a call of Watch, and its context.
--- a/internal/discovery/mergedsource/source_test.go
+++ b/internal/discovery/mergedsource/source_test.go
@@ -136,8 +136,8 @@
 	h.watch.notify(engine.EndpointUpdate{Kind: kind, Version: version, Endpoints: endpoints(names...)})
 }
 
-// wantUpdate receives an update, and fails the test unless it is the one described by text, "KIND VERSION: ID ...". An ID
-// after a minus sign is that of an endpoint that is draining or removed.
+// wantUpdate receives an update, and fails the test unless it is the one described by text, "KIND VERSION: ID ...". An
+// ID after a minus sign is that of an endpoint that is draining or removed.
 func (h *harness) wantUpdate(text string) engine.EndpointUpdate {
 	h.t.Helper()
 	update := testutil.Receive(h.t, h.updates, "update: "+text)
@@ -205,8 +205,8 @@
 
 // The watch of the platform fails. The engine must be notified of the failure, or it would not watch again, and must
 // receive the changes of the additional source in the meantime. A new watch uses the platform that was set last and
-// starts from the version that the engine requests. After a watch is stopped, no update is delivered, and the additional
-// source keeps running.
+// starts from the version that the engine requests. After a watch is stopped, no update is delivered, and the
+// additional source keeps running.
 func TestPlatformFails(t *testing.T) {
 	h := start(t, 0, "a")
 	h.sendPlatformUpdate(balancer.Delta, 8)
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -61,7 +61,7 @@
 				t.Fatalf("%d tombstones of the source watch, want at most %d", n, testConfig().MaxEndpoints)
 			}
 			if len(merger.listed) != len(m.list) {
-				t.Fatalf("%d endpoints in the merger's list, want %d as its changes say", len(merger.listed), len(m.list))
+				t.Fatalf("the merger lists %d endpoints, want %d after its changes", len(merger.listed), len(m.list))
 			}
 		}
 		m.checkAgreement(t)
--- a/internal/discovery/reconcile.go
+++ b/internal/discovery/reconcile.go
@@ -145,7 +145,7 @@
 		switch {
 		case !ok:
 			m.removeOrDefer(r, current)
-		case e.StartedAtMS > current.StartedAtMS: // a newer process: the old one is removed, and addMissing adds the new
+		case e.StartedAtMS > current.StartedAtMS: // a newer process, which addMissing adds
 			r.restarted[id] = true
 			m.remove(r, current, reasonRestarted)
 		default:
@@ -202,8 +202,8 @@
 //
 // This limits how many endpoints the list loses because one source stops listing them: the source may remove
 // Config.MaxRemovalShare of the list within Config.RemovalWindow, and the last endpoint stays. A removal that a source
-// reported explicitly is not deferred, unless the source is indirect. An endpoint without a tombstone, which all sources
-// have stopped listing, is removed unless it is the last one.
+// reported explicitly is not deferred, unless the source is indirect. An endpoint without a tombstone, which all
+// sources have stopped listing, is removed unless it is the last one.
 func (m *Merger) deferRemoval(now time.Duration, e *Endpoint) (reason string, retryAt time.Duration) {
 	s, confirmed := m.removingSource(e)
 	switch {
@@ -245,9 +245,9 @@
 
 // addMissing adds the endpoints of the target that the list lacks, at most once per Config.AdditionInterval.
 //
-// The interval prevents a source that reports endpoints one by one from changing the balancer's choice of endpoints with
-// each of them. The newer process of an endpoint that has restarted is added at once, because the endpoint would be
-// missing from the list in the meantime.
+// The interval prevents a source that reports endpoints one by one from changing the balancer's choice of endpoints
+// with each of them. The newer process of an endpoint that has restarted is added at once, because the endpoint would
+// be missing from the list in the meantime.
 func (m *Merger) addMissing(r *reconciliation) {
 	var missing []string
 	for _, id := range slices.Sorted(maps.Keys(r.target.endpoints)) {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -106,8 +106,8 @@
 // because the failure of a source is no evidence that they are gone.
 func (s *source) mayAdd(now time.Duration) bool { return !s.hasFailed() || now-s.failedAt < s.StaleTTL }
 
-// mayRemoveOne reports whether the source may remove one more of numListed endpoints. If it may not, retryAt is when the
-// next removal may become possible; 0 means that waiting does not make it possible.
+// mayRemoveOne reports whether the source may remove one more of numListed endpoints. If it may not, retryAt is when
+// the next removal may become possible; 0 means that waiting does not make it possible.
 //
 // The removals of the source within Config.RemovalWindow, including the next one, must not exceed
 // Config.MaxRemovalShare of the endpoints that were listed before them. This prevents a source that reports only a part
