--- a/internal/discovery/bootstrap/exclusion.go
+++ b/internal/discovery/bootstrap/exclusion.go
@@ -3,34 +3,33 @@
 import "time"
 
 const (
-	// minExclusion is how long a source that failed once is not selected. A higher value leaves a source that was only
-	// restarted for longer, and repeats fewer calls that fail.
+	// minExclusion is how long a source is not selected after its first failure. A higher value makes fewer calls that
+	// fail, but returns later to a source that has only restarted.
 	minExclusion = 2 * time.Second
-	// maxExclusion limits the exclusion, which doubles with each failure. A higher value makes fewer calls to sources
-	// that are gone, and returns later to one that recovered.
+	// maxExclusion limits the time of an exclusion, which doubles with each failure. A higher value makes fewer calls
+	// to sources that no longer exist, but returns later to a source that has recovered.
 	maxExclusion = time.Minute
-	// minExclusionFactor is the lowest value of the random factor by which an exclusion is multiplied; the highest is 1
-	// more. This prevents the followers of a source that failed from returning to it at the same time. A higher value
-	// leaves the source for longer.
+	// minExclusionFactor is the minimum of the random factor by which the time of an exclusion is multiplied; the
+	// maximum is higher by 1. The factor prevents the followers of a failed source from returning to it at the same
+	// time. A higher value makes exclusions longer.
 	minExclusionFactor = 0.5
-	// maxDoublings limits the growth of the exclusion. This prevents an overflow of the shift.
+	// maxDoublings limits how often the time of an exclusion is doubled. It prevents the shift from overflowing.
 	maxDoublings = 10
-	// maxExclusions limits the sources that are remembered as failed. A higher value takes more memory, and remembers
-	// all failures of a larger cluster.
+	// maxExclusions limits the number of sources in an exclusionList. A higher value covers a larger cluster in which
+	// all sources fail, but uses more memory.
 	maxExclusions = 256
 )
 
-// exclusionList has the sources that failed, by name. It decides how long a source is not selected after a failure,
-// from the number of its failures in a row. This prevents a member from calling a source that does not work again and
-// again while another one works.
+// exclusionList holds the sources that have failed. The more often a source has failed in a row, the longer it is not
+// selected. This prevents a member from repeatedly calling a source that does not work while another one works.
 type exclusionList struct {
-	sources map[string]exclusion
+	sources map[string]exclusion // by name
 }
 
-// exclusion is the state of a source that failed.
+// exclusion is the state of a source that has failed.
 type exclusion struct {
-	failures int // since the source last worked
-	until    time.Duration
+	failures int           // number of failures since the source last worked
+	until    time.Duration // end of the exclusion
 }
 
 func newExclusionList() *exclusionList {
@@ -57,7 +56,7 @@
 	}
 }
 
-// remove ends the exclusion of a source that works, and forgets its failures.
+// remove ends the exclusion of a source and resets the number of its failures.
 func (l *exclusionList) remove(name string) { delete(l.sources, name) }
 
 func (l *exclusionList) removeExpired(now time.Duration) {
--- a/internal/discovery/bootstrap/fallback.go
+++ b/internal/discovery/bootstrap/fallback.go
@@ -3,19 +3,21 @@
 import "time"
 
 const (
-	// maxJoinDelay limits how long a starting member waits for the membership view. A higher value makes fewer calls of
-	// the discovery service while a cluster starts, and starts each member later.
+	// maxJoinDelay limits how long a member waits for the membership view after its start. A higher value causes fewer
+	// calls to the discovery service while a cluster starts, but delays the start of each member.
 	maxJoinDelay = time.Second
-	// viewStableTime is how long the view has to remain unchanged before it is used. A higher value tolerates a
-	// membership protocol that is slower, and starts each member later.
+	// viewStableTime is how long the membership view must remain unchanged before it is used. A higher value tolerates
+	// a slower membership protocol, but delays the start of each member.
 	viewStableTime = 600 * time.Millisecond
 )
 
-// joinDelay returns how long this member still waits for the membership view after its start; 0 or less: it does not.
+// joinDelay returns how long this member must still wait for its membership view after the start; 0 or less means that
+// the view can be used.
 //
-// It decides when the view is used, from the time since the start, the time since the view changed, and whether another
-// member was reached. This prevents a cluster that starts at once from calling the discovery service as a whole: the
-// first view of each member contains one or two others, which would make it one of the roots.
+// The view can be used maxJoinDelay after the start or, if another member has been reached, once the view has not
+// changed for viewStableTime, whichever is earlier. A member that is configured as the only sidecar does not wait. The
+// wait prevents all members of a cluster that starts at once from calling the discovery service: the first view of each
+// member contains only one or two others, which would make the member a root.
 func (s *Selector) joinDelay(now time.Duration) time.Duration {
 	if !s.joined && s.cfg.ConfiguredSize <= 1 {
 		return 0
@@ -27,15 +29,14 @@
 	return delay
 }
 
-// fallback selects the discovery service for lack of a peer, at a time that is drawn once.
+// fallback selects the discovery service for a member without a usable peer, after a random delay that is drawn once.
 //
-// It decides when a member without a peer calls the discovery service, from the number of members that may do so and
-// MaxCallRate: if all of size members do, they make MaxCallRate calls a second. This prevents a cluster whose members
-// do not reach each other from overloading the service.
+// The delay is such that size members together make Config.MaxCallRate calls per second. This prevents a cluster whose
+// members cannot reach each other from overloading the discovery service.
 func (s *Selector) fallback(now time.Duration, size int) Selection {
 	if s.fallbackAt == 0 {
 		seconds := s.rng.Float64() * float64(size) / s.cfg.MaxCallRate
-		s.fallbackAt = now + time.Duration(seconds*float64(time.Second)) + 1 // 0 means that it is not drawn yet
+		s.fallbackAt = now + time.Duration(seconds*float64(time.Second)) + 1 // not 0, which means not drawn
 	}
 	if delay := s.fallbackAt - now; delay > 0 {
 		return Selection{Delay: delay}
--- a/internal/discovery/bootstrap/selector.go
+++ b/internal/discovery/bootstrap/selector.go
@@ -1,13 +1,15 @@
-// Package bootstrap chooses, without I/O, the upstream source of a sidecar's endpoint list while its cluster starts or
-// recovers: the discovery service or another sidecar. It keeps calls of the discovery service from growing with the
-// cluster. docs/design/recovery.md compares the alternatives.
+// Package bootstrap selects, without I/O, the upstream source of a sidecar's endpoint list while its cluster starts or
+// recovers: the discovery service or another sidecar. It prevents the number of calls to the discovery service from
+// growing with the cluster. docs/design/recovery.md compares the alternatives.
 //
-// All members have one order, by the hash of their names. The first [Config.Roots] of them call the discovery service;
-// each other member follows an earlier one, FanOut of them the same one, so the list travels down a tree. A member
-// with nobody to follow calls the discovery service after all, at a random time that is the later the larger the
-// cluster is: all members together make at most MaxCallRate such calls a second. The order and the membership view
-// alone decide, so no agreement is needed, and members that follow only earlier ones cannot form a cycle. While
-// membership views differ, the path that accompanies each list prevents cycles (internal/discovery/relay).
+// All members are ordered by the hashes of their names. The first [Config.Roots] members call the discovery service.
+// Each other member follows an earlier member, and [Config.FanOut] members follow the same one, so that the list is
+// relayed down a tree. A member without a usable peer calls the discovery service itself after a random delay, which
+// grows with the cluster: all such members together make about [Config.MaxCallRate] calls per second.
+//
+// Each member derives its place in the tree from its own membership view, so the members need not agree on anything.
+// Members that follow only earlier ones cannot form a cycle. While membership views differ, the path that accompanies
+// each list prevents cycles (internal/discovery/relay).
 package bootstrap
 
 import (
@@ -17,13 +19,13 @@
 )
 
 const (
-	// defaultMaxCallRate is used where Config.MaxCallRate is not set, in calls a second.
+	// defaultMaxCallRate is the default of Config.MaxCallRate, in calls per second.
 	defaultMaxCallRate = 10
-	// randomStream tells the random numbers of a Selector from others of the same seed.
+	// randomStream selects the random sequence of a Selector, so that it differs from other sequences of the same seed.
 	randomStream = 11
 )
 
-// Member is another sidecar, as in the membership view of the cluster.
+// Member is a sidecar in the membership view of the cluster.
 type Member struct {
 	Name string
 	Addr netip.AddrPort
@@ -31,28 +33,32 @@
 
 // Config is the configuration of a Selector.
 type Config struct {
-	Self string // name of this member
-	// Roots is how many members call the discovery service; usually 3. A higher value tolerates the failure of more of
-	// them, and makes more calls.
+	Self string // name of the member that the Selector works for
+	// Roots is the number of members that call the discovery service; usually 3. A higher value tolerates the failure
+	// of more roots, but makes more calls.
 	Roots int
-	// FanOut is how many members follow the same one; usually 16. A higher value makes the tree lower, so that changes
-	// arrive sooner, and each member serves more followers.
+	// FanOut is the number of members that follow the same member; usually 16. A higher value makes the tree flatter,
+	// so that changes arrive sooner, but each member serves more followers.
 	FanOut int
-	// MaxCallRate is how many calls a second of the discovery service all members with nobody to follow make; default
-	// 10. A higher value ends a start without peers sooner, and puts more load on the service.
-	MaxCallRate    float64
-	ConfiguredSize int // configured number of sidecars, for a start without known members
+	// MaxCallRate is how many calls per second all members without a usable peer together make to the discovery
+	// service. The default is 10. A higher value shortens a start without peers, but puts more load on the service.
+	MaxCallRate float64
+	// ConfiguredSize is the number of sidecars according to the configuration. It replaces the size of the membership
+	// view until another member is reached.
+	ConfiguredSize int
 	RandomSeed     uint64
 }
 
-// Selection is the source that a Selector has selected.
+// Selection is the source that a Selector has selected, or a delay before the next selection.
 type Selection struct {
-	Delay     time.Duration // above 0: no source yet; select again after it, or when the membership view changes
-	Discovery bool          // the discovery service; otherwise Peer
-	Peer      Member
+	// Delay is how long to wait before calling Select again, unless the membership view changes earlier. If it is above
+	// 0, no source is selected.
+	Delay     time.Duration
+	Discovery bool   // the discovery service is selected
+	Peer      Member // selected member, if neither Delay nor Discovery is set
 }
 
-// discoveryName is the name of the discovery service among the sources. No member has an empty name.
+// discoveryName is the name of the discovery service in the exclusionList. No member has an empty name.
 const discoveryName = ""
 
 // sourceName returns the name of the selected source.
@@ -63,25 +69,27 @@
 	return s.Peer.Name
 }
 
-// Selector selects the source of one sidecar. All times are read from one clock of the caller that does not run
-// backwards. A Selector is not safe for concurrent use.
+// Selector selects the source of one sidecar. All times are readings of one monotonic clock of the caller. A Selector
+// is not safe for concurrent use.
 type Selector struct {
 	cfg       Config
 	rng       *rand.Rand
 	startedAt time.Duration
 
-	order         []Member // all members by the hash of their names, including this one
-	rank          int      // index of this member in order
-	joined        bool     // another member was reached
-	viewChangedAt time.Duration
+	order         []Member      // all members including this one, ordered by the hashes of their names
+	rank          int           // index of this member in order
+	joined        bool          // this member has reached another member at least once
+	viewChangedAt time.Duration // time of the last UpdateMembers
 	exclusions    *exclusionList
 
-	fallbackAt   time.Duration // when to call the discovery service for lack of a peer; 0: not drawn yet
+	// fallbackAt is when to call the discovery service because there is no usable peer; 0 if no time has been drawn.
+	fallbackAt   time.Duration
 	working      bool          // the selected source delivers the list
 	workingSince time.Duration // valid if working
 }
 
-// New returns a Selector of a member that starts at now.
+// New returns a Selector for a member that starts at now. Settings that are not positive are replaced by their minimum
+// or default.
 func New(c Config, now time.Duration) *Selector {
 	c.Roots = max(c.Roots, 1)
 	c.FanOut = max(c.FanOut, 1)
@@ -99,11 +107,12 @@
 	return s
 }
 
-// Select returns the source to have the list from now.
+// Select returns the source from which to obtain the list.
 //
-// It decides whom this sidecar calls, from the membership view, the sources that failed a short time ago, and the time
-// since its start: a root calls the discovery service, any other member follows a peer. While no other member is
-// reached, and once no peer works, it calls the discovery service after a random delay; see fallback.
+// A root selects the discovery service, and any other member selects a peer. If no other member has been reached, or if
+// no peer is usable, Select returns the discovery service after a random delay; see fallback. It passes over sources
+// that failed a short time ago (exclusionList), and selects no source while the membership view is settling
+// (joinDelay).
 func (s *Selector) Select(now time.Duration) Selection {
 	s.working = false
 	if delay := s.joinDelay(now); delay > 0 {
@@ -115,7 +124,7 @@
 	if s.isRoot() && !s.exclusions.contains(now, discoveryName) {
 		return Selection{Discovery: true}
 	}
-	if s.fallbackAt == 0 || now < s.fallbackAt { // a drawn time stays, whichever peers are tried in between
+	if s.fallbackAt == 0 || now < s.fallbackAt { // a drawn time stays valid while further peers are tried
 		if peer, ok := s.selectPeer(now); ok {
 			return Selection{Peer: peer}
 		}
@@ -132,7 +141,7 @@
 	s.exclusions.remove(selected.sourceName())
 }
 
-// ReportFailure records that the selected source does not deliver the list, or does not any longer.
+// ReportFailure records that the selected source does not deliver the list, or has stopped delivering it.
 func (s *Selector) ReportFailure(now time.Duration, selected Selection) {
 	s.working = false
 	if selected.Discovery {
--- a/internal/discovery/bootstrap/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -10,7 +10,6 @@
 	"pgregory.net/rapid"
 )
 
-// testMembers returns n members.
 func testMembers(n int) []Member {
 	var list []Member
 	for i := range n {
@@ -31,7 +30,8 @@
 	return list
 }
 
-// treeDepth returns the number of steps from a member to a root.
+// treeDepth returns the number of steps from a member to a root. parents holds the parent of each member that follows
+// another one.
 func treeDepth(t *testing.T, parents map[string]string, name string) int {
 	t.Helper()
 	const maxDepth = 10
@@ -39,14 +39,14 @@
 	for at := name; parents[at] != ""; depth++ {
 		at = parents[at]
 		if depth > maxDepth {
-			t.Fatalf("%s follows itself in a cycle", name)
+			t.Fatalf("the path from %s to a root has more than %d steps", name, maxDepth)
 		}
 	}
 	return depth
 }
 
-// However large the cluster is, Roots members call the discovery service, no member is followed by more than FanOut,
-// and all others reach a root in few steps.
+// Whatever the size of the cluster, exactly Roots members call the discovery service, no member has more than FanOut
+// followers, and no member is more than four steps away from a root.
 func TestSelectionsFormATree(t *testing.T) {
 	const roots, fanOut = 3, 16
 	for _, size := range []int{1, 2, 3, 4, 20, 300, 2000} {
@@ -58,7 +58,7 @@
 				s.UpdateMembers(0, without(members, m.Name), true)
 				switch selected := s.Select(maxJoinDelay); {
 				case selected.Delay > 0:
-					t.Fatalf("%s waits", m.Name)
+					t.Fatalf("%s selects no source for %v, want one after maxJoinDelay", m.Name, selected.Delay)
 				case selected.Discovery:
 					callers++
 				default:
@@ -72,21 +72,23 @@
 			}
 			for name, n := range followers {
 				if n > fanOut {
-					t.Errorf("%d follow %s", n, name)
+					t.Errorf("%s has %d followers, want at most %d", name, n, fanOut)
 				}
 			}
 			if callers != min(size, roots) || depth > 4 {
-				t.Errorf("%d call the discovery service, %d steps", callers, depth)
+				t.Errorf("%d members call the discovery service, want %d; the tree has %d steps, want at most 4",
+					callers, min(size, roots), depth)
 			}
-			t.Logf("%d call the discovery service, %d steps at most", callers, depth)
+			t.Logf("%d members call the discovery service, at most %d steps to a root", callers, depth)
 		})
 	}
 }
 
-// Peers and the discovery service fail at random. A member could follow itself, return to a failed source at once, or
-// wait forever without a list. Whatever fails, a selection is a source or a delay that ends, no member follows itself
-// or a source that just failed, a member that never succeeds calls the discovery service in the end, and the memory of
-// failures is bounded.
+// All peers and the discovery service fail while the membership view changes at random. The test checks that:
+//   - a selection is a source or a delay of limited length;
+//   - no member follows itself or a peer that has just failed;
+//   - the member calls the discovery service at some point;
+//   - the number of excluded sources is limited.
 func TestSelectionsUnderAnyFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 60).Draw(t, "size")
@@ -111,31 +113,31 @@
 			selected := s.Select(now)
 			if selected.Delay > 0 {
 				if selected.Delay > maxDelay {
-					t.Fatalf("it waits for %v", selected.Delay)
+					t.Fatalf("the selector returned a delay of %v, want at most %v", selected.Delay, maxDelay)
 				}
 				now += selected.Delay
 				continue
 			}
 			if !selected.Discovery && selected.Peer.Name == self {
-				t.Fatal("it follows itself")
+				t.Fatal("the selector returned the member itself as its peer")
 			}
 			if !selected.Discovery && s.exclusions.contains(now, selected.Peer.Name) {
-				t.Fatalf("it follows %s, which failed", selected.Peer.Name)
+				t.Fatalf("the selector returned the peer %s, which is excluded after a failure", selected.Peer.Name)
 			}
 			discoveryCalled = discoveryCalled || selected.Discovery
 			s.ReportFailure(now, selected)
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 		}
 		if !discoveryCalled {
-			t.Fatal("the discovery service was never called")
+			t.Fatal("the selector never returned the discovery service")
 		}
-		if len(s.exclusions.sources) > maxExclusions {
-			t.Fatal("the exclusions are not bounded")
+		if n := len(s.exclusions.sources); n > maxExclusions {
+			t.Fatalf("%d sources are excluded, want at most %d", n, maxExclusions)
 		}
 	})
 }
 
-// firstDiscoveryCall returns when a selector whose every peer fails calls the discovery service.
+// firstDiscoveryCall returns when the selector first returns the discovery service if all peers fail.
 func firstDiscoveryCall(s *Selector) time.Duration {
 	for now := time.Duration(0); ; {
 		selected := s.Select(now)
@@ -150,8 +152,9 @@
 	}
 }
 
-// A cluster of 5,000 members starts and no member reaches another, or every peer fails. Calls of all members at once
-// would overload the discovery service, so that none has a list. They have to call it about MaxCallRate times a second.
+// A cluster of 5,000 members starts, and either no member reaches another, or all peers fail. If all members called the
+// discovery service at once, they would overload it and none would obtain a list. Together they must make about
+// MaxCallRate calls per second.
 func TestCallRateWithoutPeers(t *testing.T) {
 	const size, rate = 5000, 50
 	members := testMembers(size)
@@ -167,26 +170,27 @@
 				RandomSeed:     uint64(i),
 			}, 0)
 			if joined {
-				// As UpdateMembers would set them, without sorting 5,000 times.
+				// Set directly, because UpdateMembers would sort the members 5,000 times.
 				s.joined, s.order, s.rank = true, members, 1000+i%1000
 			}
 			callsInSecond[int(firstDiscoveryCall(s).Seconds())]++
 		}
 		maxCalls := 0
 		for second, calls := range callsInSecond {
-			if second > 0 { // roots call at once
+			if second > 0 { // the roots call within the first second
 				maxCalls = max(maxCalls, calls)
 			}
 		}
-		t.Logf("joined %v: %d calls in a second at most, %d s", joined, maxCalls, len(callsInSecond))
+		t.Logf("joined=%v: at most %d calls per second, during %d s", joined, maxCalls, len(callsInSecond))
 		if maxCalls > 2*rate {
-			t.Errorf("joined %v: %d calls in one second, want about %d", joined, maxCalls, rate)
+			t.Errorf("joined=%v: %d calls in one second, want about %d and at most %d", joined, maxCalls, rate, 2*rate)
 		}
 	}
 }
 
-// Roles change late: a member that calls the discovery service for lack of a peer returns to a peer after
-// minSourceTime, and a member that becomes a root starts to call the discovery service.
+// A member switches from a working source to a better one only after minSourceTime. A member that calls the discovery
+// service because its peers failed switches to a peer, and a member that becomes a root switches to the discovery
+// service.
 func TestShouldSwitch(t *testing.T) {
 	members := testMembers(10)
 	newSelector := func(self string) *Selector {
@@ -200,32 +204,35 @@
 	}
 	s := newSelector(order[5])
 	if selected := s.Select(0); selected.Delay != viewStableTime {
-		t.Fatalf("at the start: %+v", selected)
+		t.Fatalf("selection at the start: %+v, want a delay of %v", selected, viewStableTime)
 	}
 	now := maxJoinDelay
 	if selected := s.Select(now); selected.Peer.Name != order[1] {
-		t.Fatalf("%+v in %s: want %s", selected, strings.Join(order, " "), order[1])
+		t.Fatalf("selected %+v, want the parent %s; the order is %s", selected, order[1], strings.Join(order, " "))
 	}
-	for range 3 { // the parent and two more fail: the discovery service, soon
+	for range 3 { // the parent and two other peers fail, so that the discovery service is selected after a short delay
 		s.ReportFailure(now, s.Select(now))
 	}
 	selected := s.Select(now)
 	if selected.Delay == 0 || selected.Delay > 20*time.Millisecond {
-		t.Fatalf("%+v", selected)
+		t.Fatalf("selected %+v after three failures, want a delay of at most 20 ms", selected)
 	}
 	now += selected.Delay
 	selected = s.Select(now)
 	if !selected.Discovery {
-		t.Fatalf("%+v", selected)
+		t.Fatalf("selected %+v after the delay, want the discovery service", selected)
 	}
 	s.ReportSuccess(now, selected)
-	if s.ShouldSwitch(now+minSourceTime/2, selected) || !s.ShouldSwitch(now+minSourceTime, selected) {
-		t.Error("it does not return to a peer after minSourceTime, or does so before")
+	if s.ShouldSwitch(now+minSourceTime/2, selected) {
+		t.Error("ShouldSwitch returned true before minSourceTime has passed")
+	}
+	if !s.ShouldSwitch(now+minSourceTime, selected) {
+		t.Error("ShouldSwitch returned false after minSourceTime, want a switch to a peer")
 	}
 	peer := Selection{Peer: Member{Name: order[1]}}
 	s.ReportSuccess(now, peer)
 	s.UpdateMembers(now, nil, true)
 	if !s.ShouldSwitch(now+2*minSourceTime, peer) {
-		t.Error("alone, it does not start to call the discovery service")
+		t.Error("ShouldSwitch returned false for the only member, want a switch to the discovery service")
 	}
 }
--- a/internal/discovery/bootstrap/switch.go
+++ b/internal/discovery/bootstrap/switch.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// minSourceTime is how long a working source is used even if it is not the best one. This prevents a cluster from
-// switching its sources with every change of its membership view. A higher value switches less often, and leaves the
-// load on the discovery service above that of the roots for longer.
+// minSourceTime is the minimum time for which a working source is used, even if there is a better one. This prevents
+// members from switching their sources with every change of the membership view. A higher value switches less often,
+// but members that are not roots call the discovery service for longer.
 const minSourceTime = 15 * time.Second
 
-// ShouldSwitch reports whether to leave a working source for a better one.
-//
-// It decides that from the role of this member in the tree, the membership view, and the time for which the source has
-// worked: a member that calls the discovery service for lack of a peer leaves it once it can follow one, a root that
-// follows a peer returns to the discovery service, and a peer that is no member any more is left. None switches before
-// minSourceTime has passed.
+// ShouldSwitch reports whether to replace a working source by a better one. It returns false until the source has
+// worked for minSourceTime and this member has reached another one. After that it returns true in these cases:
+//   - this member is a root, follows a peer, and the discovery service did not fail a short time ago;
+//   - this member is not a root, calls the discovery service, and can follow a peer;
+//   - this member is not a root, and the peer that it follows is no longer in the membership view.
 func (s *Selector) ShouldSwitch(now time.Duration, selected Selection) bool {
 	if !s.working || now-s.workingSince < minSourceTime || !s.joined {
 		return false
--- a/internal/discovery/bootstrap/tree.go
+++ b/internal/discovery/bootstrap/tree.go
@@ -8,12 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxFailedPeers is how many of the peers that may be followed have failed a short time ago when the discovery service
-// is called after all. A higher value makes fewer such calls, and leaves a member without a list for longer.
+// maxFailedPeers is the number of excluded peers from which on a member calls the discovery service instead of trying
+// further peers. A higher value makes fewer such calls, but leaves a member without a list for longer.
 const maxFailedPeers = 3
 
-// UpdateMembers takes the membership view: the live members except this one. joined says that another member was ever
-// reached.
+// UpdateMembers sets the membership view. others are the live members without this one; joined reports whether this
+// member has ever reached another one.
 func (s *Selector) UpdateMembers(now time.Duration, others []Member, joined bool) {
 	s.joined, s.viewChangedAt = joined, now
 	type hashedMember struct {
@@ -37,19 +37,20 @@
 	}
 }
 
-// Rank returns the index of this member in the order, from 0. Below Roots it calls the discovery service.
+// Rank returns the index of this member in the order of the members, from 0. Members with a rank below Config.Roots are
+// roots.
 func (s *Selector) Rank() int { return s.rank }
 
-// isRoot reports whether this member is to call the discovery service.
+// isRoot reports whether this member is one of those that call the discovery service.
 func (s *Selector) isRoot() bool { return s.rank < s.cfg.Roots }
 
-// selectPeer returns the member to follow; false if the discovery service is to be called instead.
+// selectPeer returns the member to follow; false if the discovery service must be called instead.
 //
-// It decides which peer relays the list, from the order of the members and the peers that failed a short time ago: the
-// parent in the tree, otherwise a random earlier member, or any member for a root that cannot reach the discovery
-// service. The members behind one that fails so spread over all earlier ones, and do not overload the next.
+// It selects the parent in the tree. If the parent failed a short time ago, it selects a random earlier member, so that
+// the followers of a failed member spread over all earlier members and do not overload a single one. A root, which only
+// follows a peer if it cannot reach the discovery service, selects any member at random.
 func (s *Selector) selectPeer(now time.Duration) (Member, bool) {
-	candidates := s.order // the path that accompanies a list prevents two members from following each other
+	candidates := s.order // the path that accompanies a list prevents members from following each other
 	if !s.isRoot() {
 		parent := s.order[(s.rank-s.cfg.Roots)/s.cfg.FanOut]
 		if !s.exclusions.contains(now, parent.Name) {
