--- a/internal/discovery/dns/answer.go
+++ b/internal/discovery/dns/answer.go
@@ -1,12 +1,12 @@
-// Package dns resolves SRV names to targets with addresses: a small resolver over UDP and TCP that uses the
-// message codec of golang.org/x/net. Messages are interpreted without I/O (parse.go), and so is decided when a
-// name is looked up again (refresher.go); resolver.go and exchange.go talk to the servers.
+// Package dns resolves SRV names to targets with addresses. It contains a small resolver over UDP and TCP that uses the
+// message codec of golang.org/x/net. Answers are parsed without I/O (parse.go), and a [Refresher] decides without I/O
+// when a name is looked up again (refresher.go). resolver.go and exchange.go communicate with the servers.
 //
 // # Limits
 //
-// A name is followed through MaxAliases aliases at most. Of an answer, Limits.MaxTargets targets and
-// Limits.MaxAddrs addresses of each are used. A message over TCP has at most 64 KiB. A lookup ends with its
-// context, and queries each server Resolver.Attempts times at most.
+// A lookup follows at most MaxAliases aliases of a name. At most Limits.MaxTargets targets of an answer are used, and
+// at most Limits.MaxAddrs addresses of each. A message over TCP has at most 64 KiB. A lookup ends with its context, and
+// sends each question to each server at most Resolver.Attempts times.
 package dns
 
 import (
@@ -18,13 +18,14 @@
 	"time"
 )
 
-// Limits restrict what is taken from answers.
+// Limits restricts the records of answers that are used.
 type Limits struct {
-	MinTTL, MaxTTL time.Duration // lifetimes below and above are replaced by these
-	MaxTargets     int
-	MaxAddrs       int // of a target
-	// Zone is the domain that targets must belong to; empty allows any. This prevents an answer from directing
-	// requests to hosts that are not the zone's.
+	// MinTTL and MaxTTL limit the TTL of an answer. A TTL outside this range is replaced by the nearer limit.
+	MinTTL, MaxTTL time.Duration
+	MaxTargets     int // limits the targets of an answer
+	MaxAddrs       int // limits the addresses of a target
+	// Zone is the domain to which targets must belong; empty allows any domain. This prevents an answer from directing
+	// requests to hosts outside the zone.
 	Zone string
 	// RejectLocal rejects loopback, unspecified, multicast and link-local unicast addresses.
 	RejectLocal bool
@@ -42,14 +43,14 @@
 	return !l.RejectLocal || !isLocal
 }
 
-// inZone reports whether a name is that of a zone, or belongs to it.
+// inZone reports whether a name is that of the zone or of a domain below it.
 func inZone(name, zone string) bool {
 	zone = strings.ToLower(strings.TrimSuffix(zone, ".")) + "."
 	return name == zone || strings.HasSuffix(name, "."+zone)
 }
 
-// MaxAliases is the longest chain of aliases (CNAME records) that is followed. This prevents a cycle of them from being
-// followed without end. A higher value tolerates longer chains, each of which may cost a query.
+// MaxAliases limits the number of aliases (CNAME records) in a chain that is followed. This prevents a cycle of aliases
+// from being followed forever. A higher value allows longer chains, of which each alias may require a query.
 const MaxAliases = 8
 
 // Target is a host that offers a service.
@@ -57,19 +58,19 @@
 	Host             string
 	Port             uint16
 	Priority, Weight uint16       // as in RFC 2782
-	Addrs            []netip.Addr // empty: they were not in the answer
+	Addrs            []netip.Addr // empty if the answer did not contain them
 }
 
-// Answer is what a message says about a name.
+// Answer is the result of a query for the records of a name.
 type Answer struct {
 	Targets  []Target
-	TTL      time.Duration
-	NotFound bool   // the name, or the record type, does not exist; TTL says for how long
-	Alias    string // the name is an alias of this one, about which the message says nothing
-	Dropped  int    // targets and addresses that exceed Limits, or are invalid
+	TTL      time.Duration // how long the answer is valid
+	NotFound bool          // the name does not exist, or has no records of the requested type
+	Alias    string        // name of which the requested one is an alias, if the message has no records of it
+	Dropped  int           // number of targets and addresses that were invalid or exceeded Limits
 }
 
-// addAddr adds an address to one of the answer's targets, and reports whether the target has it now.
+// addAddr adds an address to a target of the answer, and reports whether the limits allow the address.
 func (a *Answer) addAddr(t *Target, addr netip.Addr, limits *Limits) bool {
 	if !limits.allowsAddr(addr) || len(t.Addrs) >= limits.MaxAddrs {
 		a.Dropped++
@@ -81,10 +82,10 @@
 	return true
 }
 
-// Why a message is no answer.
+// Reasons for which a message is rejected as the answer to a query.
 var (
-	errOtherQuestion = errors.New("answer to another question")
+	errMismatch      = errors.New("message does not answer the query")
 	errTruncated     = errors.New("answer is truncated")
-	errServerFailure = errors.New("server cannot answer")
-	errAliasChain    = fmt.Errorf("more than %d aliases, or a cycle of them", MaxAliases)
+	errServerFailure = errors.New("server returned an error")
+	errAliasChain    = fmt.Errorf("chain of more than %d aliases", MaxAliases)
 )
--- a/internal/discovery/dns/exchange.go
+++ b/internal/discovery/dns/exchange.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	maxUDPSize = 1232     // in bytes, offered by EDNS(0); see DNS flag day 2020
-	maxTCPSize = 64 << 10 // in bytes
+	maxUDPSize = 1232     // maximum size of an answer over UDP, in bytes, offered by EDNS(0); see DNS flag day 2020
+	maxTCPSize = 64 << 10 // maximum size of an answer over TCP, in bytes
 )
 
-// query is a question with the ID that its answer must have.
+// query is a question, together with the ID that its answer must have.
 type query struct {
 	id       uint16
 	question dnsmessage.Question
-	text     []byte // the packed message
+	packed   []byte // the encoded message
 }
 
 // newQuery returns a query with a random ID.
@@ -39,14 +39,14 @@
 		Questions:   []dnsmessage.Question{question},
 		Additionals: []dnsmessage.Resource{edns},
 	}
-	text, err := message.Pack()
+	packed, err := message.Pack()
 	if err != nil {
 		return nil, err
 	}
-	return &query{id: id, question: question, text: text}, nil
+	return &query{id: id, question: question, packed: packed}, nil
 }
 
-// dial connects to a server, from a port of its own. The connection has the deadline of ctx.
+// dial opens a new connection to a server, from a new local port. The deadline of ctx applies to the connection.
 func dial(ctx context.Context, network, server string) (net.Conn, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, network, server)
 	if err != nil {
@@ -59,47 +59,47 @@
 	return conn, nil
 }
 
-// exchangeUDP sends a query and waits for its answer. Messages that answer another question or cannot be parsed
-// are skipped: they may be forged, and the server's own answer may still come. The connected socket receives
-// from the server's address only.
+// exchangeUDP sends a query over UDP and waits for its answer. It skips messages that do not answer the query or cannot
+// be parsed, because they may be forged, and the server's answer may still arrive. The socket is connected, and
+// therefore receives messages from the server's address only.
 func (r *Resolver) exchangeUDP(ctx context.Context, server string, q *query) (Answer, error) {
 	conn, err := dial(ctx, "udp", server)
 	if err != nil {
 		return Answer{}, err
 	}
-	defer func() { _ = conn.Close() }() // nothing is left to be sent
-	if _, err := conn.Write(q.text); err != nil {
+	defer func() { _ = conn.Close() }() // an error is irrelevant, since all data has been sent
+	if _, err := conn.Write(q.packed); err != nil {
 		return Answer{}, err
 	}
 	buffer := make([]byte, maxTCPSize)
-	var skipped error // why the last message was skipped
+	var skipErr error // reason for which the last message was skipped
 	for {
 		n, err := conn.Read(buffer)
 		if err != nil {
-			return Answer{}, errors.Join(err, skipped)
+			return Answer{}, errors.Join(err, skipErr)
 		}
 		answer, err := parse(buffer[:n], q.id, q.question, &r.Limits)
 		if err == nil || isFinal(err) {
 			return answer, err
 		}
-		skipped = err
+		skipErr = err
 	}
 }
 
-// isFinal reports whether a parse error comes with a server's own answer.
+// isFinal reports whether a parse error means that the message is the server's answer, so that no other is awaited.
 func isFinal(err error) bool {
 	return errors.Is(err, errTruncated) || errors.Is(err, errServerFailure) || errors.Is(err, errAliasChain)
 }
 
-// exchangeTCP sends a query and reads its answer, each after its length in two bytes.
+// exchangeTCP sends a query over TCP and reads its answer. A length of two bytes precedes each of them.
 func (r *Resolver) exchangeTCP(ctx context.Context, server string, q *query) (Answer, error) {
 	conn, err := dial(ctx, "tcp", server)
 	if err != nil {
 		return Answer{}, err
 	}
-	defer func() { _ = conn.Close() }() // nothing is left to be sent
-	frame := binary.BigEndian.AppendUint16(nil, uint16(len(q.text)))
-	frame = append(frame, q.text...)
+	defer func() { _ = conn.Close() }() // an error is irrelevant, since all data has been sent
+	frame := binary.BigEndian.AppendUint16(nil, uint16(len(q.packed)))
+	frame = append(frame, q.packed...)
 	if _, err := conn.Write(frame); err != nil {
 		return Answer{}, err
 	}
@@ -107,9 +107,9 @@
 	if _, err := io.ReadFull(conn, size[:]); err != nil {
 		return Answer{}, err
 	}
-	text := make([]byte, binary.BigEndian.Uint16(size[:]))
-	if _, err := io.ReadFull(conn, text); err != nil {
+	packed := make([]byte, binary.BigEndian.Uint16(size[:]))
+	if _, err := io.ReadFull(conn, packed); err != nil {
 		return Answer{}, err
 	}
-	return parse(text, q.id, q.question, &r.Limits)
+	return parse(packed, q.id, q.question, &r.Limits)
 }
--- a/internal/discovery/dns/messages_test.go
+++ b/internal/discovery/dns/messages_test.go
@@ -11,13 +11,14 @@
 	"hazelwing/internal/emulator/dnsserver"
 )
 
+// service is the name that the tests look up.
 const service = "_http._tcp.booking.example.org."
 
 var testLimits = Limits{MinTTL: 5 * time.Second, MaxTTL: time.Hour, MaxTargets: 4, MaxAddrs: 2}
 
 type records = []dnsmessage.Resource
 
-// srv is a record of service.
+// srv returns an SRV record of service.
 func srv(ttl uint32, port, priority, weight uint16, target string) dnsmessage.Resource {
 	record := srvOf(service, ttl, port, target)
 	body := record.Body.(*dnsmessage.SRVResource)
@@ -25,7 +26,7 @@
 	return record
 }
 
-// srvOf is an SRV record of another name.
+// srvOf returns an SRV record of any name.
 func srvOf(name string, ttl uint32, port uint16, target string) dnsmessage.Resource {
 	return dnsserver.Record(name, ttl, &dnsmessage.SRVResource{Target: dnsmessage.MustNewName(target), Port: port})
 }
@@ -38,7 +39,7 @@
 	return dnsserver.Record(name, ttl, &dnsmessage.CNAMEResource{CNAME: dnsmessage.MustNewName(target)})
 }
 
-// cnameChain is a chain of aliases that starts with service.
+// cnameChain returns a chain of aliases that starts with service.
 func cnameChain(length int) records {
 	var list records
 	name := service
@@ -68,7 +69,7 @@
 	return b.String()
 }
 
-// addrPorts returns a target's addresses with its port.
+// addrPorts returns the addresses of a target, each with the target's port.
 func addrPorts(target Target) []netip.AddrPort {
 	var list []netip.AddrPort
 	for _, addr := range target.Addrs {
--- a/internal/discovery/dns/parse.go
+++ b/internal/discovery/dns/parse.go
@@ -9,43 +9,47 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// maxSeconds is the longest valid TTL of a record; see RFC 2181, section 8.
-const maxSeconds = 1<<31 - 1
+// maxTTLSeconds is the maximum TTL of a record; see RFC 2181, section 8.
+const maxTTLSeconds = 1<<31 - 1
 
-// parse interprets a message as the answer to the query with the given ID. The error is errTruncated if the
-// server has more to say over TCP.
-func parse(text []byte, id uint16, question dnsmessage.Question, limits *Limits) (Answer, error) {
+// parse decodes a message that must be the answer to the query with the given ID. It returns errTruncated if the query
+// must be repeated over TCP for the complete answer.
+func parse(packed []byte, id uint16, question dnsmessage.Question, limits *Limits) (Answer, error) {
 	var message dnsmessage.Message
-	if err := message.Unpack(text); err != nil {
+	if err := message.Unpack(packed); err != nil {
 		return Answer{}, err
 	}
 	if err := checkHeader(&message, id, question); err != nil {
 		return Answer{}, err
 	}
 	r := answerReader{message: &message, limits: limits, ttl: limits.MaxTTL}
-	asked := strings.ToLower(question.Name.String())
-	name, err := r.followAliases(asked)
+	queryName := strings.ToLower(question.Name.String())
+	name, err := r.followAliases(queryName)
 	if err != nil {
 		return Answer{}, err
 	}
 	r.readAnswers(name)
 	if len(r.answer.Targets) == 0 && r.answer.Dropped == 0 {
-		r.readEmptyAnswer(asked, name)
+		r.readEmptyAnswer(queryName, name)
 	}
 	r.readAdditionals()
 	r.answer.TTL = min(max(r.ttl, limits.MinTTL), limits.MaxTTL)
 	return r.answer, nil
 }
 
-// checkHeader returns an error unless the message answers the question. A name that does not exist is an answer.
+// checkHeader returns an error unless the message answers the query. The response code for a name that does not exist
+// is not an error.
 func checkHeader(message *dnsmessage.Message, id uint16, question dnsmessage.Question) error {
-	if message.ID != id || !message.Response {
-		return errOtherQuestion
-	}
-	if len(message.Questions) != 1 || !sameQuestion(message.Questions[0], question) {
-		return errOtherQuestion
-	}
-	if message.Truncated {
+	switch {
+	case message.ID != id:
+		return fmt.Errorf("%w: it has the ID %d, want %d", errMismatch, message.ID, id)
+	case !message.Response:
+		return fmt.Errorf("%w: it is not a response", errMismatch)
+	case len(message.Questions) != 1:
+		return fmt.Errorf("%w: it has %d questions, want 1", errMismatch, len(message.Questions))
+	case !sameQuestion(message.Questions[0], question):
+		return fmt.Errorf("%w: its question is %v, want %v", errMismatch, message.Questions[0], question)
+	case message.Truncated:
 		return errTruncated
 	}
 	if message.RCode != dnsmessage.RCodeSuccess && message.RCode != dnsmessage.RCodeNameError {
@@ -58,17 +62,18 @@
 	return a.Type == b.Type && a.Class == b.Class && strings.EqualFold(a.Name.String(), b.Name.String())
 }
 
-// answerReader puts an answer together from a message.
+// answerReader builds an Answer from a message.
 type answerReader struct {
 	message *dnsmessage.Message
 	limits  *Limits
 	answer  Answer
-	ttl     time.Duration // the shortest of the records used so far
+	ttl     time.Duration // shortest TTL of the records used so far
 }
 
-// limitTTL takes the lifetime of a record into account. One with its highest bit set is 0; see RFC 2181, section 8.
+// limitTTL limits the TTL of the answer to that of a record. A TTL with the highest bit set counts as 0; see RFC 2181,
+// section 8.
 func (r *answerReader) limitTTL(seconds uint32) {
-	if seconds > maxSeconds {
+	if seconds > maxTTLSeconds {
 		seconds = 0
 	}
 	r.ttl = min(r.ttl, time.Duration(seconds)*time.Second)
@@ -76,19 +81,19 @@
 
 // followAliases returns the name at the end of the chain of aliases that starts with name.
 func (r *answerReader) followAliases(name string) (string, error) {
-	for hops := 0; ; hops++ {
+	for numAliases := 0; ; numAliases++ {
 		next := r.aliasOf(name)
 		if next == "" {
 			return name, nil
 		}
-		if hops == MaxAliases {
+		if numAliases == MaxAliases {
 			return "", errAliasChain
 		}
 		name = next
 	}
 }
 
-// aliasOf returns the name that the given one is an alias of; empty if it is none.
+// aliasOf returns the name of which the given name is an alias; empty if the name is not an alias.
 func (r *answerReader) aliasOf(name string) string {
 	next := ""
 	for _, record := range r.message.Answers {
@@ -101,7 +106,8 @@
 	return next
 }
 
-// readAnswers reads the records of name: targets, or the addresses of one target.
+// readAnswers reads the records of name. SRV records are targets; A and AAAA records are the addresses of one target
+// whose host is name.
 func (r *answerReader) readAnswers(name string) {
 	for _, record := range r.message.Answers {
 		if !isRecordOf(&record, name) {
@@ -122,8 +128,8 @@
 	}
 }
 
-// addTarget adds a target, unless it exceeds the limits. The host "." means that the service is decidedly not
-// available at this domain; see RFC 2782.
+// addTarget adds a target, unless it is invalid or exceeds the limits. The host "." means that the service is not
+// available in the domain; see RFC 2782.
 func (r *answerReader) addTarget(body *dnsmessage.SRVResource) {
 	host := strings.ToLower(body.Target.String())
 	if host == "." {
@@ -141,11 +147,11 @@
 	})
 }
 
-// readEmptyAnswer reads an answer that has no records of name: asked is an alias whose target has to be looked
-// up, or there are no such records.
-func (r *answerReader) readEmptyAnswer(asked, name string) {
+// readEmptyAnswer handles an answer without records of name, to which the aliases of queryName lead. Either name must
+// be looked up by another query, or no such records exist.
+func (r *answerReader) readEmptyAnswer(queryName, name string) {
 	found := r.message.RCode == dnsmessage.RCodeSuccess
-	if name != asked && found && len(r.message.Authorities) == 0 {
+	if name != queryName && found && len(r.message.Authorities) == 0 {
 		r.answer.Alias = name
 		return
 	}
@@ -153,18 +159,18 @@
 	r.ttl = negativeTTL(r.message.Authorities, r.limits)
 }
 
-// negativeTTL returns how long a name that does not exist is taken not to: the minimum of the SOA record's
-// lifetime and its MINIMUM field; see RFC 2308.
+// negativeTTL returns how long the answer that a name does not exist is valid: the minimum of the SOA record's TTL and
+// its MINIMUM field; see RFC 2308. Without a SOA record it is Limits.MinTTL.
 func negativeTTL(authorities []dnsmessage.Resource, limits *Limits) time.Duration {
 	for _, record := range authorities {
 		if soa, ok := record.Body.(*dnsmessage.SOAResource); ok {
-			return time.Duration(min(record.Header.TTL, soa.MinTTL, maxSeconds)) * time.Second
+			return time.Duration(min(record.Header.TTL, soa.MinTTL, maxTTLSeconds)) * time.Second
 		}
 	}
 	return limits.MinTTL
 }
 
-// readAdditionals reads the addresses of targets that the server has added to its answer.
+// readAdditionals reads the addresses of targets from the additional section of the message.
 func (r *answerReader) readAdditionals() {
 	for _, record := range r.message.Additionals {
 		addr, ok := addrOf(record.Body)
@@ -183,7 +189,7 @@
 	}
 }
 
-// isRecordOf reports whether a record is one of name in the Internet class.
+// isRecordOf reports whether a record belongs to name and to the Internet class.
 func isRecordOf(record *dnsmessage.Resource, name string) bool {
 	return record.Header.Class == dnsmessage.ClassINET && strings.EqualFold(record.Header.Name.String(), name)
 }
--- a/internal/discovery/dns/parse_test.go
+++ b/internal/discovery/dns/parse_test.go
@@ -9,8 +9,8 @@
 	"hazelwing/internal/emulator/dnsserver"
 )
 
-// Messages are forged, truncated or too long. One could be taken for an answer, or fill the memory. Answers are read
-// within the limits, and messages that are no answers are errors.
+// Messages that are forged, truncated or do not answer the query must be rejected. Of other messages, only records
+// within the limits are used: a message must not be able to exhaust the memory.
 func TestParse(t *testing.T) {
 	soa := dnsserver.Record("example.org.", 60, &dnsmessage.SOAResource{
 		NS:     dnsmessage.MustNewName("ns."),
@@ -35,7 +35,7 @@
 		changeLimits func(*Limits)
 		want         string // an answer, or part of an error
 	}{
-		"two, by level": {
+		"two priorities": {
 			answers: records{srv(300, 80, 1, 10, "n1.example.org."), srv(200, 81, 2, 0, "N2.example.org.")},
 			additionals: records{
 				aRecord("n1.example.org.", 100, 1),
@@ -160,23 +160,23 @@
 		},
 		"another ID": {
 			changeHeader: func(m *dnsmessage.Message) { m.ID++ },
-			want:         errOtherQuestion.Error(),
+			want:         errMismatch.Error() + ": it has the ID 8, want 7",
 		},
 		"a query": {
 			changeHeader: func(m *dnsmessage.Message) { m.Response = false },
-			want:         errOtherQuestion.Error(),
+			want:         errMismatch.Error() + ": it is not a response",
 		},
 		"another question": {
 			changeHeader: func(m *dnsmessage.Message) { m.Questions[0].Name = dnsmessage.MustNewName("other.") },
-			want:         errOtherQuestion.Error(),
+			want:         errMismatch.Error() + ": its question is ",
 		},
 		"another type": {
 			changeHeader: func(m *dnsmessage.Message) { m.Questions[0].Type = dnsmessage.TypeA },
-			want:         errOtherQuestion.Error(),
+			want:         errMismatch.Error() + ": its question is ",
 		},
 		"no question": {
 			changeHeader: func(m *dnsmessage.Message) { m.Questions = nil },
-			want:         errOtherQuestion.Error(),
+			want:         errMismatch.Error() + ": it has 0 questions, want 1",
 		},
 	} {
 		limits := testLimits
@@ -191,16 +191,16 @@
 		got, err := parse(dnsserver.Pack(message), 7, question, &limits)
 		text := formatAnswer(got)
 		if err == nil && text != c.want || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %s, %v; want %s", name, text, err, c.want)
+			t.Errorf("%s: parse returned %q and the error %v, want %q", name, text, err, c.want)
 		}
 	}
-	cyclic := []byte{0, 7, 0x80, 0, 0, 1, 0, 1, 0, 0, 0, 0, 0xc0, 12, 0, 33, 0, 1} // a name that points to itself
+	cyclic := []byte{0, 7, 0x80, 0, 0, 1, 0, 1, 0, 0, 0, 0, 0xc0, 12, 0, 33, 0, 1} // its name is a pointer to itself
 	if _, err := parse(cyclic, 7, question, &testLimits); err == nil {
-		t.Error("a name that points to itself was accepted")
+		t.Error("a message with a compressed name that points to itself was accepted")
 	}
 }
 
-// Whatever a message holds, it is read within its limits or is an error.
+// Whatever bytes a message contains, parse returns an error or an answer within the limits. To run the fuzzer:
 //
 //	go test ./internal/discovery/dns -run xxx -fuzz Parse -fuzztime 2m
 func FuzzParse(f *testing.F) {
@@ -218,7 +218,7 @@
 			return
 		}
 		if len(got.Targets) > testLimits.MaxTargets || got.TTL < testLimits.MinTTL || got.TTL > testLimits.MaxTTL {
-			t.Errorf("%+v", got)
+			t.Errorf("the answer %+v exceeds the limits %+v", got, testLimits)
 		}
 	})
 }
--- a/internal/discovery/dns/refresher.go
+++ b/internal/discovery/dns/refresher.go
@@ -16,45 +16,48 @@
 
 // RefresherConfig configures a Refresher. Zero values have defaults.
 type RefresherConfig struct {
-	SourceName string // the name of the source in its updates
-	// StaleTTL is how long an answer is used beyond its lifetime while lookups fail (RFC 8767); the default is
-	// a day. After that the source counts as failed.
+	SourceName string // name of the source in its updates
+	// StaleTTL is how long an answer is used after the end of its TTL while lookups fail (RFC 8767). After that the
+	// source counts as failed. The default is a day.
 	StaleTTL time.Duration
-	// MinRetry and MaxRetry are the first and the longest wait after a failure; it doubles with each further
-	// one. The defaults are 1 s and 30 s.
+	// MinRetry and MaxRetry are the minimum and the maximum time to wait before a lookup is repeated after a failure.
+	// The time doubles with each failure in a row. The defaults are 1 s and 30 s.
 	MinRetry, MaxRetry time.Duration
-	// InitialJitter is the time within which the first lookup happens, at random; 0 means at once. This
-	// prevents instances that start together from querying the same few servers at the same moment.
+	// InitialJitter is the maximum of the random time before the first lookup; 0 means no wait. This prevents instances
+	// that start together from querying the same few servers at the same time.
 	InitialJitter time.Duration
 }
 
 const (
-	// defaultStaleTTL tolerates longer outages of the name servers if it is higher, and uses addresses that may be
-	// wrong.
+	// defaultStaleTTL is the default of RefresherConfig.StaleTTL. A higher value tolerates longer outages of the name
+	// servers, but uses addresses for longer that may be wrong.
 	defaultStaleTTL = 24 * time.Hour
-	// Higher values of these make fewer lookups while they fail, and have a new answer later.
+	// defaultMinRetry and defaultMaxRetry are the defaults of RefresherConfig.MinRetry and MaxRetry. Higher values make
+	// fewer lookups while the name servers fail, but obtain a new answer later.
 	defaultMinRetry = time.Second
 	defaultMaxRetry = 30 * time.Second
 
-	// A name is looked up again after refreshShare of its answer's lifetime, plus up to refreshJitter of it, at
-	// random: before the answer expires, and not by all instances together though they were given the same one. A
-	// higher share makes fewer lookups, and leaves less time for one that fails before the answer expires.
+	// refreshShare is the share of an answer's TTL after which the name is looked up again. A random part of at most
+	// refreshJitter of the TTL is added, so that instances with the same answer do not look up the name together. The
+	// sum is below 1, so that the lookup starts before the answer expires. A higher share makes fewer lookups, but
+	// leaves less time to repeat a failed lookup before the answer expires.
 	refreshShare  = 0.75
 	refreshJitter = 0.2
 
-	// minRetryFactor is the lowest value of the random factor by which a retry wait is multiplied; the highest is 1
-	// more. This prevents instances whose lookups failed together from repeating them together. A higher value makes
-	// fewer lookups.
+	// minRetryFactor is the minimum of the random factor by which the time before a retry is multiplied; the maximum is
+	// higher by 1. The factor prevents instances whose lookups failed together from repeating them together. A higher
+	// value makes fewer lookups.
 	minRetryFactor = 0.5
-	// maxRetryDoublings keeps the doubled wait from overflowing; MaxRetry limits it long before.
+	// maxRetryDoublings limits how often the time before a retry is doubled, so that the shift cannot overflow. The
+	// time reaches RefresherConfig.MaxRetry long before.
 	maxRetryDoublings = 20
 
-	// randomStream tells the random numbers of a Refresher from others of the same seed.
+	// randomStream selects the random sequence of a Refresher, so that it differs from other sequences of the same
+	// seed.
 	randomStream = 0xd45
 )
 
-// errNoSourceName says that RefresherConfig.SourceName is empty.
-var errNoSourceName = errors.New("dns: a refresher needs the name of its source")
+var errNoSourceName = errors.New("dns: SourceName is empty")
 
 // withDefaults returns the configuration with defaults for zero values.
 func (c RefresherConfig) withDefaults() RefresherConfig {
@@ -64,49 +67,49 @@
 	return c
 }
 
-// validate returns an error that names the setting.
+// validate returns an error that names the first invalid setting.
 func (c *RefresherConfig) validate() error {
 	switch {
 	case c.SourceName == "":
 		return errNoSourceName
 	case c.StaleTTL < 0:
-		return fmt.Errorf("dns: stale lifetime %v is negative", c.StaleTTL)
+		return fmt.Errorf("dns: StaleTTL is %v, want at least 0", c.StaleTTL)
 	case c.MinRetry < 0:
-		return fmt.Errorf("dns: first retry wait %v is negative", c.MinRetry)
+		return fmt.Errorf("dns: MinRetry is %v, want at least 0", c.MinRetry)
 	case c.MaxRetry < c.MinRetry:
-		return fmt.Errorf("dns: longest retry wait %v is below the first, %v", c.MaxRetry, c.MinRetry)
+		return fmt.Errorf("dns: MaxRetry is %v, want at least MinRetry, which is %v", c.MaxRetry, c.MinRetry)
 	case c.InitialJitter < 0:
-		return fmt.Errorf("dns: initial jitter %v is negative", c.InitialJitter)
+		return fmt.Errorf("dns: InitialJitter is %v, want at least 0", c.InitialJitter)
 	}
 	return nil
 }
 
-// Refresher decides when a name is looked up again, and how long its last answer is used while lookups fail. It
-// does no I/O and reads no clock. Times are durations since an origin that the caller chooses. A Refresher is
-// not safe for concurrent use.
+// Refresher decides when a name is looked up again, and how long the last answer is used while lookups fail. It does no
+// I/O and reads no clock. Times are durations since an origin that the caller chooses. A Refresher is not safe for
+// concurrent use.
 type Refresher struct {
 	cfg RefresherConfig
 	rng *rand.Rand
 
-	seq       int64 // of the last update
-	failures  int   // in a row
-	hasAnswer bool
-	expiresAt time.Duration // when the lifetime of the last answer ends
-	failed    bool          // the last answer has been given up, and Decision.Failed returned
+	seq       int64         // sequence number of the last update
+	failures  int           // number of failed lookups since the last answer
+	hasAnswer bool          // there has been an answer
+	expiresAt time.Duration // when the TTL of the last answer ends
+	failed    bool          // Decision.Failed has been returned since the last answer
 
-	endpoints []discovery.Endpoint // of the last update
+	endpoints []discovery.Endpoint // endpoints of the last update
 	dropped   int                  // Answer.Dropped of the last answer
 }
 
-// Decision is what to do after an event.
+// Decision is the reaction of a Refresher to the start or to the result of a lookup.
 type Decision struct {
-	Update     *discovery.Update // to be passed on; nil if nothing has changed
-	Failed     bool              // the source has failed: its last update is too old to rely on
+	Update     *discovery.Update // update to send to the merger; nil if the endpoints have not changed
+	Failed     bool              // the source has failed: its last update is too old to be used
 	NextLookup time.Duration     // when to look the name up next
 	Log        LogEntry          // empty if there is nothing to log
 }
 
-// LogEntry is a line for the log.
+// LogEntry is a message for the log with its attributes.
 type LogEntry struct {
 	Message string
 	Attrs   []slog.Attr
@@ -121,14 +124,15 @@
 	return &Refresher{cfg: cfg, rng: rand.New(rand.NewPCG(seed, randomStream))}, nil
 }
 
-// Start returns when to look the name up first.
+// Start returns a Decision with the time of the first lookup.
 func (r *Refresher) Start(now time.Duration) Decision {
 	return Decision{NextLookup: now + time.Duration(r.rng.Float64()*float64(r.cfg.InitialJitter))}
 }
 
-// HandleAnswer processes an answer. It decides when the name is looked up next, from the answer's lifetime: before it
-// ends. One that says that the name does not exist has no targets: the source then
-// makes no statement about any endpoint, which alone removes none (discovery.SourceConfig.AbsenceMeansRemoved).
+// HandleAnswer processes an answer. The next lookup starts before the TTL of the answer ends.
+//
+// If the name does not exist, the update has no endpoints. Such an update does not remove endpoints that other sources
+// list, because discovery.SourceConfig.AbsenceMeansRemoved is not set for this source.
 func (r *Refresher) HandleAnswer(now time.Duration, answer Answer) Decision {
 	lifetime := float64(max(answer.TTL, r.cfg.MinRetry))
 	decision := Decision{
@@ -155,41 +159,40 @@
 	return decision
 }
 
-// logAnswer returns what is worth logging about an answer: that lookups work again, or that more or fewer
-// targets are rejected than before.
+// logAnswer returns a log entry if lookups failed before this answer, or if the number of rejected targets and
+// addresses has changed and is not 0.
 func (r *Refresher) logAnswer(answer *Answer) LogEntry {
 	switch {
 	case r.failures > 0:
-		return LogEntry{"name lookup works again", []slog.Attr{slog.Int("failures", r.failures)}}
+		return LogEntry{"name lookup succeeded after failures", []slog.Attr{slog.Int("failures", r.failures)}}
 	case answer.Dropped > 0 && answer.Dropped != r.dropped:
 		return LogEntry{"targets or addresses of the answer rejected", []slog.Attr{slog.Int("count", answer.Dropped)}}
 	}
 	return LogEntry{}
 }
 
-// HandleFailure processes a lookup without an answer.
+// HandleFailure processes a failed lookup. The time before the lookup is repeated doubles with each failure in a row.
 //
-// It decides how long the last answer is used, and when the lookup is repeated, from the end of the answer's lifetime
-// and the failures in a row: StaleTTL beyond its lifetime, after a wait that doubles. This prevents an outage of the
-// name servers from taking endpoints out that still serve.
+// The last answer remains in use until RefresherConfig.StaleTTL after the end of its TTL; then the source has failed.
+// This prevents an outage of the name servers from removing endpoints that still work.
 func (r *Refresher) HandleFailure(now time.Duration, err error) Decision {
 	wait := min(r.cfg.MinRetry<<min(r.failures, maxRetryDoublings), r.cfg.MaxRetry)
 	r.failures++
 	decision := Decision{NextLookup: now + time.Duration(float64(wait)*(minRetryFactor+r.rng.Float64()))}
 	switch {
-	case r.failed: // already returned
+	case r.failed: // the failure has been returned and logged already
 	case !r.hasAnswer || now >= r.expiresAt+r.cfg.StaleTTL:
 		r.failed = true
 		decision.Failed = true
-		decision.Log = LogEntry{"name lookup failed, no answer to use", []slog.Attr{slog.Any("error", err)}}
+		decision.Log = LogEntry{"name lookup failed, no usable answer", []slog.Attr{slog.Any("error", err)}}
 	case r.failures == 1:
 		decision.Log = LogEntry{"name lookup failed, using the last answer", []slog.Attr{slog.Any("error", err)}}
 	}
 	return decision
 }
 
-// endpointsOf returns an answer's targets as endpoints that are known by address only, sorted by address
-// whatever the server's order. The weight of a target is divided among its addresses.
+// endpointsOf returns the targets of an answer as endpoints without an ID, sorted by address so that the order of the
+// server does not matter. The weight of a target is divided equally among its addresses.
 func endpointsOf(answer *Answer) []discovery.Endpoint {
 	list := []discovery.Endpoint{}
 	for _, target := range answer.Targets {
@@ -205,6 +208,6 @@
 	slices.SortFunc(list, func(a, b discovery.Endpoint) int {
 		return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Priority, b.Priority))
 	})
-	// The same address twice is one endpoint, of the level that is used first.
+	// If an address occurs more than once, only the endpoint with the lowest Priority value is kept.
 	return slices.CompactFunc(list, func(a, b discovery.Endpoint) bool { return a.Addr == b.Addr })
 }
--- a/internal/discovery/dns/refresher_test.go
+++ b/internal/discovery/dns/refresher_test.go
@@ -11,12 +11,13 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// The scripts are answers and failures, each with the decision: the update, the log entry and the time of the
-// next lookup.
+// The scripts under testdata pass answers and failures of lookups to a Refresher. The expected output of a command is
+// the decision: the update, the failure, the log entry and the time until the next lookup. The commands are:
 //
-//	new [stale=D] [min_retry=D] [max_retry=D] [jitter=D]
-//	answer at=T [ttl=D] [not_found] [dropped=N]   input: ADDR[+ADDR...]:PORT PRIORITY WEIGHT, a line for each target
-//	fail at=T
+//	new [stale=D] [min_retry=D] [max_retry=D] [jitter=D]   creates a Refresher
+//	answer at=T [ttl=D] [not_found] [dropped=N]            input: one target per line,
+//	                                                       ADDR[+ADDR...]:PORT PRIORITY WEIGHT
+//	fail at=T                                              the lookup has failed
 func TestRefresh(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var refresher *Refresher
@@ -47,7 +48,7 @@
 	})
 }
 
-// durationArg returns an argument of a command; 0 if the command does not have it.
+// durationArg returns an argument of a command as a duration; 0 if the command does not have the argument.
 func durationArg(t *testing.T, d *datadriven.TestData, key string) time.Duration {
 	t.Helper()
 	var text string
@@ -73,7 +74,7 @@
 	return answer
 }
 
-// parseTarget reads "address:port priority weight"; several addresses are joined by +.
+// parseTarget parses a target of the form "ADDR[+ADDR...]:PORT PRIORITY WEIGHT".
 func parseTarget(t *testing.T, line string) Target {
 	t.Helper()
 	var hostPort string
--- a/internal/discovery/dns/resolver.go
+++ b/internal/discovery/dns/resolver.go
@@ -10,8 +10,9 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// Between two rounds of attempts a Resolver waits for Timeout/pauseDivisor times a random factor, minPauseFactor up to
-// 1 more, so that instances that failed together do not retry together. A higher divisor repeats sooner.
+// Before it queries all servers again, a Resolver waits for Resolver.Timeout/pauseDivisor times a random factor, so
+// that instances that failed together do not retry together. The factor is between minPauseFactor and minPauseFactor+1.
+// A higher divisor makes the wait shorter.
 const (
 	pauseDivisor   = 4
 	minPauseFactor = 0.5
@@ -19,14 +20,14 @@
 
 // Resolver looks services up. It keeps no state between lookups, and is safe for concurrent use.
 type Resolver struct {
-	Servers  []string      // addresses with ports, queried in turn from a random one on
-	Attempts int           // of each server
-	Timeout  time.Duration // of an attempt
+	Servers  []string      // addresses with ports; they are queried in this order, starting with a random one
+	Attempts int           // limits how often each server is asked one question
+	Timeout  time.Duration // limits the time of one attempt, including a repetition over TCP
 	Limits   Limits
 }
 
-// LookupSRV looks up the targets of a service, and their addresses where the answer does not have them. An
-// error joins the errors of all servers.
+// LookupSRV looks up the targets of a service, and the addresses of those targets that the answer contains without
+// addresses. If no server answers, the error joins the errors of all servers.
 func (r *Resolver) LookupSRV(ctx context.Context, name string) (Answer, error) {
 	answer, err := r.lookup(ctx, name, dnsmessage.TypeSRV)
 	if err != nil || answer.NotFound {
@@ -40,8 +41,8 @@
 	return answer, nil
 }
 
-// lookupAddrs looks up the addresses of a target that has none: IPv4 addresses, or IPv6 addresses if there are
-// none.
+// lookupAddrs looks up the addresses of a target that has none. It looks up IPv6 addresses only if there are no IPv4
+// addresses.
 func (r *Resolver) lookupAddrs(ctx context.Context, answer *Answer, target *Target) error {
 	for _, recordType := range []dnsmessage.Type{dnsmessage.TypeA, dnsmessage.TypeAAAA} {
 		if len(target.Addrs) > 0 {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// lookup looks up records of one type, and follows aliases across answers.
+// lookup looks up the records of a name of one type. It follows aliases, which may require several queries.
 func (r *Resolver) lookup(ctx context.Context, name string, recordType dnsmessage.Type) (Answer, error) {
 	ttl := r.Limits.MaxTTL
 	for range MaxAliases + 1 {
@@ -102,7 +103,7 @@
 	return Answer{}, errors.Join(failures...)
 }
 
-// pause waits between two rounds of attempts.
+// pause waits before all servers are queried again, or until ctx ends.
 func (r *Resolver) pause(ctx context.Context) {
 	select {
 	case <-time.After(time.Duration((minPauseFactor + rand.Float64()) * float64(r.Timeout) / pauseDivisor)):
@@ -110,7 +111,7 @@
 	}
 }
 
-// queryServer queries one server, over UDP and then over TCP if the answer is truncated.
+// queryServer queries one server over UDP, and over TCP if the answer over UDP is truncated.
 func (r *Resolver) queryServer(ctx context.Context, server string, question dnsmessage.Question) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
--- a/internal/discovery/dns/resolver_test.go
+++ b/internal/discovery/dns/resolver_test.go
@@ -24,7 +24,7 @@
 	return server
 }
 
-// goodReply has one target, and its address where the query is for that.
+// goodReply answers a query for the service with one target, and a query for the target with its address.
 func goodReply(query dnsmessage.Message, _ bool) [][]byte {
 	switch query.Questions[0].Type {
 	case dnsmessage.TypeSRV:
@@ -37,17 +37,18 @@
 
 func silentReply(dnsmessage.Message, bool) [][]byte { return nil }
 
-// reply is one message that answers a query.
+// reply returns a reply of one message.
 func reply(query dnsmessage.Message, code dnsmessage.RCode, answers records) [][]byte {
 	return [][]byte{dnsserver.Pack(dnsserver.Message(query, code, answers, nil, nil))}
 }
 
-// codeReply is a reply without records.
+// codeReply returns a reply function whose replies have a response code and no records.
 func codeReply(code dnsmessage.RCode) dnsserver.ReplyFunc {
 	return func(query dnsmessage.Message, _ bool) [][]byte { return reply(query, code, nil) }
 }
 
-// forgedReply is a changed message with a wrong target, followed by noise and then by the good reply.
+// forgedReply returns a reply function that sends a message with a wrong target, modified by change, then bytes that
+// are not a message, an empty message and the good reply.
 func forgedReply(change func(*dnsmessage.Message)) dnsserver.ReplyFunc {
 	return func(query dnsmessage.Message, tcp bool) [][]byte {
 		m := dnsserver.Message(query, 0, records{srv(60, 99, 1, 1, "evil.")}, nil, nil)
@@ -57,7 +58,7 @@
 	}
 }
 
-// longReply has 200 records, which only a message over TCP holds.
+// longReply replies with 200 records over TCP, and with a truncated message over UDP.
 func longReply(query dnsmessage.Message, tcp bool) [][]byte {
 	if query.Questions[0].Type != dnsmessage.TypeSRV {
 		return goodReply(query, tcp)
@@ -73,7 +74,7 @@
 	return [][]byte{dnsserver.Pack(m)}
 }
 
-// aliasReply says that service is an alias, and has a target for the alias when it is queried for that.
+// aliasReply replies to a query for the service that it is an alias, and to a query for the aliased name with a target.
 func aliasReply(query dnsmessage.Message, tcp bool) [][]byte {
 	question := query.Questions[0]
 	if question.Name.String() == service {
@@ -87,8 +88,8 @@
 	return goodReply(query, tcp)
 }
 
-// Name servers are silent, fail, forge, truncate or split their answers. The lookup could take a forged answer, or
-// give up while another server has a good one. The good answer is found if there is one.
+// Name servers do not respond, return errors, send forged or truncated messages, or answer with an alias. A lookup must
+// neither accept a forged answer nor fail while one of the servers returns a good answer.
 func TestResolver(t *testing.T) {
 	const good = "1/1 n1.example.org. [10.0.0.1:80]; ttl 30s"
 	failing := codeReply(dnsmessage.RCodeServerFailure)
@@ -96,10 +97,10 @@
 	wrongQuestion := forgedReply(func(m *dnsmessage.Message) { m.Questions[0].Name = dnsmessage.MustNewName("x.") })
 	alwaysTruncated := forgedReply(func(m *dnsmessage.Message) { m.Truncated = true })
 	for name, c := range map[string]struct {
-		replies    []dnsserver.ReplyFunc // of a server each
-		timeout    time.Duration         // 0: testutil.WaitTimeout
-		want       string                // an answer, or part of an error
-		minQueries int                   // to all servers together
+		replies    []dnsserver.ReplyFunc // one for each server
+		timeout    time.Duration         // timeout of a query; 0 means testutil.WaitTimeout
+		want       string                // answer, or part of the error
+		minQueries int                   // minimum number of queries to all servers together
 	}{
 		"good": {
 			replies:    []dnsserver.ReplyFunc{goodReply},
@@ -108,7 +109,7 @@
 		},
 		"one is silent": {
 			replies:    []dnsserver.ReplyFunc{silentReply, goodReply},
-			timeout:    2 * time.Second, // also that of the good one
+			timeout:    2 * time.Second, // applies to the good server, too
 			want:       good,
 			minQueries: 2,
 		},
@@ -149,7 +150,7 @@
 		},
 		"all fail": {
 			replies:    []dnsserver.ReplyFunc{failing, failing},
-			timeout:    time.Second, // which also sets the pause between attempts
+			timeout:    time.Second, // also determines the pause between attempts
 			want:       errServerFailure.Error(),
 			minQueries: 4,
 		},
@@ -161,7 +162,7 @@
 		},
 		"always truncated": {
 			replies:    []dnsserver.ReplyFunc{alwaysTruncated},
-			timeout:    time.Second, // which also sets the pause between attempts
+			timeout:    time.Second, // also determines the pause between attempts
 			want:       "truncated",
 			minQueries: 4,
 		},
@@ -181,14 +182,14 @@
 			got, err := resolver.LookupSRV(t.Context(), service)
 			text := formatAnswer(got)
 			if err == nil && text != c.want || err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%s, %v; want %s", text, err, c.want)
+				t.Errorf("LookupSRV returned %q and the error %v, want %q", text, err, c.want)
 			}
 			queries := 0
 			for _, server := range servers {
 				queries += server.Queries()
 			}
 			if queries < c.minQueries {
-				t.Errorf("%d queries, want %d at least", queries, c.minQueries)
+				t.Errorf("the servers received %d queries, want at least %d", queries, c.minQueries)
 			}
 		})
 	}
@@ -201,6 +202,6 @@
 		Limits:   testLimits,
 	}
 	if _, err := resolver.LookupSRV(ctx, service); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("LookupSRV with a canceled context returned the error %v, want %v", err, context.Canceled)
 	}
 }
--- a/internal/discovery/dns/source.go
+++ b/internal/discovery/dns/source.go
@@ -8,11 +8,11 @@
 	"hazelwing/internal/discovery"
 )
 
-// LookupFunc finds the targets of a service, as Resolver.LookupSRV does. A Source calls it from its goroutine,
-// one call at a time. It returns soon after ctx ends.
+// LookupFunc looks up the targets of a service, as Resolver.LookupSRV does. A Source makes one call at a time, from the
+// goroutine of Source.Run. The function must return soon after ctx ends.
 type LookupFunc func(ctx context.Context, name string) (Answer, error)
 
-// Source watches one SRV name.
+// Source is an endpoint source that looks up one SRV name periodically.
 type Source struct {
 	Name      string
 	Lookup    LookupFunc
@@ -20,8 +20,9 @@
 	Log       *slog.Logger
 }
 
-// Run watches the name until ctx ends. It calls update with each new update, and failed once when the last one
-// is too old to rely on, both from its own goroutine, one call at a time. Neither should block for long.
+// Run looks up the name periodically until ctx ends. It calls update with each new list of endpoints, and failed once
+// when the last list has become too old to be used. It makes one call at a time, from its own goroutine. Neither
+// function should block for long.
 func (s *Source) Run(ctx context.Context, update func(discovery.Update), failed func(err error)) {
 	log := s.Log.With("component", "dns", "name", s.Name)
 	startedAt := time.Now()
--- a/internal/discovery/dns/source_test.go
+++ b/internal/discovery/dns/source_test.go
@@ -12,20 +12,20 @@
 	"hazelwing/internal/testutil"
 )
 
-// lookupResult is what a lookup returns.
+// lookupResult is the result of a lookup.
 type lookupResult struct {
 	answer Answer
 	err    error
 }
 
-// addrResult is an answer with one target that has this address.
+// addrResult returns an answer with one target that has the given address.
 func addrResult(addr string) lookupResult {
 	target := Target{Port: 80, Addrs: []netip.Addr{netip.MustParseAddr(addr)}}
 	return lookupResult{answer: Answer{TTL: time.Millisecond, Targets: []Target{target}}}
 }
 
-// Lookups fail for a while. The list could be taken out by the failure, or reported as failed again and again. A source
-// sends each update once, reports once that it has failed, goes on looking up, and ends with its context.
+// Lookups fail repeatedly and then succeed again. A source must send an update only if the endpoints have changed,
+// report an outage once and without an update, continue its lookups, and return when its context ends.
 func TestSource(t *testing.T) {
 	first, second := addrResult("10.0.0.1"), addrResult("10.0.0.2")
 	failure := lookupResult{err: errors.New("time-out")}
@@ -66,12 +66,12 @@
 	}
 	for _, want := range []string{"10.0.0.1:80", "time-out", "10.0.0.2:80"} {
 		if got := testutil.Receive(t, events, want); got != want {
-			t.Errorf("event %s, want %s", got, want)
+			t.Errorf("received the event %q, want %q", got, want)
 		}
 	}
 	stop()
 	testutil.Receive(t, done, "the end of Run")
 	if len(events) > 0 {
-		t.Errorf("unexpected event %s", <-events)
+		t.Errorf("received the event %q, want none", <-events)
 	}
 }
