--- a/internal/discovery/relay/changelog.go
+++ b/internal/discovery/relay/changelog.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxEvents limits the changes that are retained for followers. A follower that is further behind receives the
-	// complete list. A higher value takes more memory, and sends fewer complete lists.
+	// maxEvents limits the changes that a ChangeLog retains for followers. A follower that lacks more changes receives
+	// the complete list. A higher value sends fewer complete lists, but uses more memory.
 	maxEvents = 1024
-	// maxPathLength limits the peers between the discovery service and a member. A higher value tolerates a larger
-	// tree, and lets a list arrive later: each peer adds its own delay.
+	// maxPathLength limits the members that relay the list between the discovery service and a member. A higher value
+	// allows a larger tree, but changes may arrive later, because each member adds its own delay.
 	maxPathLength = 8
 )
 
-// Why a follower is rejected. Responses contain these texts.
+// Reasons for which a follower is rejected. These texts are sent to the follower.
 var (
 	errNoLiveList       = errors.New("no list from a source that works")
 	errFollowerAhead    = errors.New("a later version is held than this one has")
@@ -29,27 +29,28 @@
 	errTooManyFollowers = errors.New("enough follow this one")
 )
 
-// ChangeLog is an endpoint list with its latest changes. It performs no I/O, and is not safe for concurrent use.
+// ChangeLog holds an endpoint list and its latest changes. It performs no I/O, and is not safe for concurrent use.
 type ChangeLog struct {
-	version     int64
-	complete    bool // the log has a complete list
-	live        bool // the source of the list works
-	endpoints   map[string]engine.Endpoint
-	events      []watch.Event // oldest first
-	baseVersion int64         // the version before the first of events
-	path        []string      // the members that relay the list, nearest first; empty: it is from the discovery service
+	version     int64                      // version of the list
+	complete    bool                       // the log has received a complete list
+	live        bool                       // the source of the list works
+	endpoints   map[string]engine.Endpoint // endpoints that are active or draining, by ID
+	events      []watch.Event              // retained changes, oldest first
+	baseVersion int64                      // version of the list before the first of events
+	// path holds the names of the members that relay the list, nearest first. It is empty if the source is the
+	// discovery service.
+	path []string
 }
 
-// SourceStarted records that a source works from now on, and the path of its list.
+// SourceStarted records that a source works, and the path of its list.
 func (l *ChangeLog) SourceStarted(path []string) { l.live, l.path = true, path }
 
-// SourceLost records that the source does not work any more. The list stays, but is not relayed.
+// SourceLost records that the source no longer works. The log keeps its list, but rejects followers until the next call
+// of SourceStarted.
 func (l *ChangeLog) SourceLost() { l.live = false }
 
-// Apply takes an update of the source.
-//
-// It decides which updates change the list: a complete list replaces it, whatever its version; a delta counts only if
-// there is a complete list, and its version is not lower.
+// Apply applies an update of the source. A complete list replaces the present list, whatever its version. A delta is
+// ignored if there is no complete list yet, or if its version is lower than that of the list.
 func (l *ChangeLog) Apply(update engine.EndpointUpdate) {
 	switch update.Kind {
 	case balancer.CompleteList:
@@ -75,7 +76,7 @@
 	}
 }
 
-// appendEvent retains a delta for followers.
+// appendEvent adds a delta to the retained changes.
 func (l *ChangeLog) appendEvent(update engine.EndpointUpdate) {
 	l.events = append(l.events, watch.Event{
 		Version:   update.Version,
@@ -88,11 +89,13 @@
 	l.version = update.Version
 }
 
-// CheckFollower returns why a member that has the list of a version must not follow; nil: it may.
+// CheckFollower returns nil if a member whose list has the given version may follow this one, otherwise an error with
+// the reason.
 //
-// It decides whom this member relays its list to, from whether its own source works, the two versions and the path of
-// the list. This prevents a member that is cut off from relaying an old list: its followers would use endpoints that
-// were removed since. It also prevents members from following each other in a circle, which no change ever enters.
+// The source of this member must work, and its list must not be older than that of the follower. This prevents a member
+// that is cut off from relaying an old list, whose endpoints may have been removed in the meantime. The follower must
+// not be in the path of the list, which must have less than maxPathLength members. This prevents members from following
+// each other in a cycle, which no change from the discovery service would reach.
 func (l *ChangeLog) CheckFollower(version int64, follower string) error {
 	switch {
 	case !l.complete || !l.live:
@@ -107,8 +110,8 @@
 	return nil
 }
 
-// EventsSince returns the events for a follower that has the list of a version: the changes since, or the complete
-// list if not all of them are retained.
+// EventsSince returns the events for a follower whose list has the given version: the changes since that version or, if
+// not all of them are retained, the complete list.
 func (l *ChangeLog) EventsSince(version int64) []watch.Event {
 	if version == l.version {
 		return nil
--- a/internal/discovery/relay/changelog_test.go
+++ b/internal/discovery/relay/changelog_test.go
@@ -15,7 +15,7 @@
 	return engine.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state}
 }
 
-// completeList is an update with the complete list, of active endpoints.
+// completeList returns an update with a complete list of active endpoints.
 func completeList(version int64, ids ...string) engine.EndpointUpdate {
 	update := engine.EndpointUpdate{Kind: balancer.CompleteList, Version: version}
 	for _, id := range ids {
@@ -24,7 +24,7 @@
 	return update
 }
 
-// delta is an update that changes one endpoint.
+// delta returns an update that changes one endpoint.
 func delta(version int64, id string, state balancer.EndpointState) engine.EndpointUpdate {
 	return engine.EndpointUpdate{
 		Kind:      balancer.Delta,
@@ -33,7 +33,7 @@
 	}
 }
 
-// formatEvents writes events as "7 whole x=SERVING; 8 y=DELETED".
+// formatEvents formats events like "7 whole x=SERVING; 8 y=DELETED", where "whole" marks a complete list.
 func formatEvents(events []watch.Event) string {
 	var out []string
 	for _, event := range events {
@@ -49,7 +49,7 @@
 	return strings.Join(out, "; ")
 }
 
-// newTestLog is a log of version 7, which changed since version 5, and whose list is relayed by a and c.
+// newTestLog returns a log with a complete list of version 5, the changes of versions 6 and 7, and the path a, c.
 func newTestLog() *ChangeLog {
 	log := new(ChangeLog)
 	log.Apply(completeList(5, "x", "y"))
@@ -59,10 +59,10 @@
 	return log
 }
 
-// A follower receives the changes since its version, or the complete list if not all of them are retained.
+// A follower receives the changes since its version, or the complete list if not all of these changes are retained.
 func TestEventsSince(t *testing.T) {
 	log := newTestLog()
-	log.Apply(engine.EndpointUpdate{ // not of the log's versions, and ignored
+	log.Apply(engine.EndpointUpdate{ // has no version, and is ignored
 		Kind:      balancer.OutOfBand,
 		Endpoints: []engine.Endpoint{endpoint("z", balancer.Removed)},
 	})
@@ -74,22 +74,23 @@
 		7: "",
 	} {
 		if got := formatEvents(log.EventsSince(version)); got != want {
-			t.Errorf("from %d: %q, want %q", version, got, want)
+			t.Errorf("the events since version %d are %q, want %q", version, got, want)
 		}
 	}
 }
 
-// A member has lost its source, a follower has a later version, or the list came from the follower. An old list would
-// be relayed, or go in a circle. Such followers are rejected, and all of them while the source does not work.
+// A member must not relay an old list, or relay the list in a cycle. It therefore rejects followers that have a later
+// version or are in the path of the list, followers too far from the discovery service, and all followers while its
+// source does not work.
 func TestCheckFollower(t *testing.T) {
 	var empty ChangeLog
 	if err := empty.CheckFollower(0, "b"); err == nil {
-		t.Error("it serves without a list")
+		t.Error("a log without a list accepted a follower")
 	}
-	empty.Apply(delta(3, "x", balancer.Active)) // without a list a delta has no meaning
+	empty.Apply(delta(3, "x", balancer.Active)) // ignored, because there is no complete list
 	empty.Apply(completeList(5, "x", "y"))
 	if err := empty.CheckFollower(0, "b"); err == nil {
-		t.Error("it serves without a working source")
+		t.Error("a log without a working source accepted a follower")
 	}
 	log := newTestLog()
 	for _, c := range []struct {
@@ -103,29 +104,30 @@
 		{"in the path", 0, "c", errFollowerInPath},
 	} {
 		if err := log.CheckFollower(c.version, c.follower); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: CheckFollower returned the error %v, want %v", c.name, err, c.want)
 		}
 	}
 	log.SourceStarted(make([]string, maxPathLength))
 	if log.CheckFollower(0, "b") == nil {
-		t.Error("it serves far from the discovery service")
+		t.Errorf("a log with a path of %d members accepted a follower", maxPathLength)
 	}
 	log.SourceLost()
 	if log.CheckFollower(7, "b") == nil {
-		t.Error("it serves after its source was lost")
+		t.Error("a log whose source was lost accepted a follower")
 	}
 }
 
-// Changes come without end while no follower reads them. Memory would fill. The retained changes are bounded; a
-// follower that is further behind receives the complete list.
-func TestRetainedEventsAreBounded(t *testing.T) {
+// The number of retained changes is limited, so that changes which no follower reads do not exhaust the memory. A
+// follower that lacks more changes receives the complete list.
+func TestRetainedEventsAreLimited(t *testing.T) {
 	log := newTestLog()
 	for i := range int64(3000) {
 		log.Apply(delta(8+i, "x", balancer.Active))
 	}
-	far := formatEvents(log.EventsSince(100))
-	if len(log.events) != maxEvents || !strings.HasPrefix(far, "3007 whole") ||
+	sinceOldVersion := formatEvents(log.EventsSince(100))
+	if len(log.events) != maxEvents || !strings.HasPrefix(sinceOldVersion, "3007 whole") ||
 		len(log.EventsSince(log.baseVersion)) != maxEvents {
-		t.Errorf("%d events retained; %.40s", len(log.events), far)
+		t.Errorf("%d events are retained, want %d; the events since version 100 are %.40q, want the complete list",
+			len(log.events), maxEvents, sinceOldVersion)
 	}
 }
--- a/internal/discovery/relay/format_test.go
+++ b/internal/discovery/relay/format_test.go
@@ -15,7 +15,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// formatUpdate is a complete list with endpoints of the given states, whose fields are all set.
+// formatUpdate returns a complete list with one endpoint for each state. All fields of the endpoints are set.
 func formatUpdate(version int64, states ...balancer.EndpointState) engine.EndpointUpdate {
 	update := engine.EndpointUpdate{Kind: balancer.CompleteList, Version: version}
 	for i, state := range states {
@@ -32,8 +32,8 @@
 	return update
 }
 
-// This is the response of a relay to a follower: its headers, the complete list as a line, then empty lines and
-// changes. The headers of the request are those that present members send.
+// The response of a relay to a follower has stable headers, followed by lines that contain the complete list, the
+// changes or nothing. The request has the headers that this version of the sidecar sends.
 func TestRelayLineFormatIsStable(t *testing.T) {
 	relay := NewServer("m1", 4)
 	relay.resetGroup("10.0.0.9:8500")
@@ -55,7 +55,8 @@
 	defer response.Body.Close()
 	if path := response.Header.Get("X-List-Path"); response.StatusCode != http.StatusOK || path != "m1,m2,m3" ||
 		response.Header.Get("Content-Type") != "application/json" {
-		t.Fatalf("%s, %v", response.Status, response.Header)
+		t.Fatalf("the response has the status %s and the headers %v, want status 200, the path m1,m2,m3 and JSON",
+			response.Status, response.Header)
 	}
 	lines := bufio.NewReader(response.Body)
 	nextEvent := func() []byte {
@@ -65,7 +66,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(line) > 1 { // an empty line keeps the watch alive
+			if len(line) > 1 { // an empty line only shows that the watch is alive
 				return line
 			}
 		}
@@ -78,15 +79,15 @@
 	testutil.Golden(t, "watch.jsonl", got)
 }
 
-// The names of the headers are those that older members send and read.
+// The names of the headers must not change, because older members send and read them.
 func TestRelayHeaderNamesAreStable(t *testing.T) {
 	got := []string{pathHeader, followerHeader, groupHeader}
 	if want := []string{"X-List-Path", "X-List-For", "X-List-Discovery"}; !reflect.DeepEqual(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("the headers are %q, want %q", got, want)
 	}
 }
 
-// This is the response to GET /recovery.
+// The response to GET /recovery is a JSON encoding of SourceState.
 func TestRecoveryStateFormatIsStable(t *testing.T) {
 	state := SourceState{
 		Source:  "m2",
@@ -101,8 +102,8 @@
 	testutil.Golden(t, "state.json", text)
 }
 
-// An event of the discovery service's watch, which relays pass on in the same form, and which is a part of the
-// platform's configuration. The test stands here because the script test of package watch plays every file under its
+// A watch.Event is an event of the discovery service's watch. Relays send it in the same form, and it is part of the
+// platform's configuration. The test is in this package because the script test of package watch runs every file in its
 // testdata.
 func TestEventFormatIsStable(t *testing.T) {
 	endpoint := watch.Endpoint{
@@ -121,6 +122,6 @@
 	testutil.Golden(t, "listing.json", text)
 	var read watch.Event
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, event) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, event)
+		t.Errorf("the golden file was decoded with the error %v as\n%+v, want\n%+v", err, read, event)
 	}
 }
--- a/internal/discovery/relay/server.go
+++ b/internal/discovery/relay/server.go
@@ -15,29 +15,32 @@
 )
 
 const (
-	// watchPath is the path of the discovery service's watch.
+	// watchPath is the URL path of the discovery service's watch.
 	watchPath = "/discovery/hosts"
 
-	// pathHeader of a response names the members that relay the list, nearest first.
+	// pathHeader is the header of a response that names the members that relay the list, nearest first.
 	pathHeader = "X-List-Path"
-	// followerHeader of a request names the member that wants to follow.
+	// followerHeader is the header of a request that names the follower.
 	followerHeader = "X-List-For"
-	// groupHeader of a request names the discovery service of the follower's versions, if it is not the initial one.
+	// groupHeader is the header of a request that names the follower's discovery service, from which its versions come.
+	// It is absent if this is the initial discovery service.
 	groupHeader = "X-List-Discovery"
 
-	// keepAliveInterval is the time between empty lines while nothing changes. It is below the silence timeout of a
-	// watch. A higher value sends fewer bytes, and leaves less time before a follower takes this member for cut off.
+	// keepAliveInterval is the time between empty lines while the list does not change. It must be below the silence
+	// timeout of a watch. A higher value sends fewer bytes, but shorter network delays make followers abandon this
+	// member.
 	keepAliveInterval = time.Second
-	// writeTimeout is how long a follower may take to receive a list or a change. This prevents a follower that does
-	// not read from holding a place and a goroutine forever. A higher value tolerates slower followers.
+	// writeTimeout limits the time to write a list or its changes to a follower. This prevents a follower that does not
+	// read from occupying one of the maxFollowers places and a goroutine forever. A higher value tolerates slower
+	// followers.
 	writeTimeout = 3 * time.Second
-	// maxListWait limits how long a follower waits for this member to have a list. This is for a cluster that starts
-	// at once: otherwise each member would reject those behind it, and all of them would call the discovery service. A
-	// higher value makes fewer such calls, and lets a follower of a member without a list start later.
+	// maxListWait limits how long a follower waits until this member has a list. If all members of a cluster start at
+	// once, each would otherwise reject its followers, and all of these would call the discovery service. A higher
+	// value makes fewer such calls, but delays the start of a follower whose peer obtains no list.
 	maxListWait = time.Second
 )
 
-// errDisconnected is why a follower is neither admitted nor rejected.
+// errDisconnected is returned for a follower that has disconnected before it was admitted or rejected.
 var errDisconnected = errors.New("the follower has disconnected")
 
 // Server relays a ChangeLog to followers over HTTP. It is safe for concurrent use.
@@ -48,13 +51,13 @@
 	mu        sync.Mutex
 	log       ChangeLog
 	changed   chan struct{} // closed at each change
-	epoch     int           // incremented when the source is lost: followers of an earlier epoch are disconnected
-	group     string        // the discovery service of the log's versions; empty: the initial one
-	followers int
-	rejected  int
+	epoch     int           // incremented when the source is lost, which disconnects the followers of earlier epochs
+	group     string        // discovery service from which the log's versions come; empty for the initial one
+	followers int           // number of followers at present
+	rejected  int           // number of followers rejected since the start
 }
 
-// NewServer returns the server of the member self.
+// NewServer returns the Server of the member self, which serves at most maxFollowers followers at a time.
 func NewServer(self string, maxFollowers int) *Server {
 	return &Server{self: self, maxFollowers: maxFollowers, changed: make(chan struct{})}
 }
@@ -73,7 +76,7 @@
 	s.change(func(l *ChangeLog) { l.SourceStarted(path) })
 }
 
-// sourceLost records that the source does not work any more, and disconnects all followers.
+// sourceLost records that the source no longer works, and disconnects all followers.
 func (s *Server) sourceLost() {
 	s.change(func(l *ChangeLog) {
 		l.SourceLost()
@@ -81,7 +84,8 @@
 	})
 }
 
-// resetGroup starts with an empty log of another discovery service's versions, and disconnects all followers.
+// resetGroup replaces the log by an empty one for the versions of another discovery service, and disconnects all
+// followers.
 func (s *Server) resetGroup(group string) {
 	s.change(func(l *ChangeLog) {
 		*l = ChangeLog{}
@@ -90,7 +94,7 @@
 	})
 }
 
-// apply takes an update of the source.
+// apply applies an update of the source.
 func (s *Server) apply(update engine.EndpointUpdate) {
 	s.change(func(l *ChangeLog) { l.Apply(update) })
 }
@@ -98,10 +102,10 @@
 // ServerState is the state of a Server for the admin endpoint.
 type ServerState struct {
 	Version   int64    `json:"version"`
-	Live      bool     `json:"live"`      // the list is relayed
-	Path      []string `json:"path"`      // the members that relay it to this one, nearest first; none: discovery
-	Followers int      `json:"following"` // now
-	Rejected  int      `json:"turned"`    // followers, since the start
+	Live      bool     `json:"live"`      // the list is complete and its source works, so that it is relayed
+	Path      []string `json:"path"`      // members that relay the list to this one, nearest first; empty for discovery
+	Followers int      `json:"following"` // number of followers at present
+	Rejected  int      `json:"turned"`    // number of followers rejected since the start
 }
 
 // State returns the present state.
@@ -119,18 +123,18 @@
 
 // watchRequest is a request to follow this member.
 type watchRequest struct {
-	version  int64 // of the follower's list
-	follower string
-	group    string
+	version  int64  // version of the follower's list
+	follower string // name of the follower
+	group    string // discovery service of the follower's versions; empty for the initial one
 }
 
-// isWatch reports whether a request is for a watch.
+// isWatch reports whether an HTTP request is for a watch.
 func isWatch(r *http.Request) bool {
 	return r.Method == http.MethodGet && r.URL.Path == watchPath && r.URL.Query().Get("watch") != ""
 }
 
-// ServeHTTP serves the discovery service's watch from the list of this member. A follower that cannot be served
-// receives status 503, and tries another source.
+// ServeHTTP serves the list of this member to a follower in the form of the discovery service's watch. A follower that
+// is rejected receives status 503, and then tries another source.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !isWatch(r) {
 		http.NotFound(w, r)
@@ -160,9 +164,11 @@
 	s.stream(r.Context(), w, version, epoch)
 }
 
-// admit waits until there is a list to serve, and counts the follower. It returns the epoch of the list and its path,
-// or why the follower is rejected. The caller of an admitted follower calls removeFollower. It decides when a follower
-// is answered: at once if there is a list or no place, otherwise when there is a list, after maxListWait at most.
+// admit admits a follower, or returns an error with the reason for which it is rejected. For an admitted follower it
+// returns the epoch and the path of the list, and the caller must call removeFollower at the end.
+//
+// While there is no list to relay, admit waits for one for at most maxListWait. It does not wait if the server has
+// maxFollowers already.
 func (s *Server) admit(ctx context.Context, r watchRequest) (epoch int, path []string, err error) {
 	expired := time.After(maxListWait)
 	s.mu.Lock()
@@ -184,7 +190,8 @@
 	return s.epoch, append([]string{s.self}, s.log.path...), nil
 }
 
-// waitForChange waits until changed or expired. It reports whether it was changed, or that ctx is done.
+// waitForChange waits until one of its channels is ready. It returns true after a change and false after the time has
+// expired. If ctx is done, it returns errDisconnected.
 func waitForChange(ctx context.Context, changed <-chan struct{}, expired <-chan time.Time) (bool, error) {
 	select {
 	case <-changed:
@@ -196,16 +203,16 @@
 	}
 }
 
-// awaitsList reports whether a follower of a group has to wait until there is a list to serve. s.mu is locked.
+// awaitsList reports whether a follower of a group must wait for a list. The caller holds s.mu.
 func (s *Server) awaitsList(group string) bool {
 	return (!s.log.live || s.group != group) && s.followers < s.maxFollowers
 }
 
-// checkFollower returns why a follower is rejected; nil: it is not. s.mu is locked.
+// checkFollower returns nil if a follower may be admitted, otherwise an error with the reason. The caller holds s.mu.
 //
-// It decides that from the discovery service whose versions the follower has, its version and path
-// (ChangeLog.CheckFollower), and the places that are left. Versions of different discovery services cannot be compared:
-// a follower of another one could take an old list for a new one.
+// The follower must use the same discovery service, because versions of different discovery services cannot be
+// compared: it could mistake an old list for a new one. ChangeLog.CheckFollower must accept it, and the server must
+// have fewer than maxFollowers.
 func (s *Server) checkFollower(r watchRequest) error {
 	if s.group != r.group {
 		return errOtherDiscovery
@@ -225,15 +232,15 @@
 	s.followers--
 }
 
-// eventsSince returns the events for a follower that has the list of a version, and a channel that is closed at the
-// next change; false if the follower is of an earlier epoch.
+// eventsSince returns the events for a follower whose list has the given version, and a channel that is closed at the
+// next change. ok is false if the epoch in which the follower was admitted has ended.
 func (s *Server) eventsSince(version int64, epoch int) (events []watch.Event, changed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.EventsSince(version), s.changed, s.epoch == epoch
 }
 
-// stream writes the events after a version until the source is lost, a write fails or the follower disconnects.
+// stream writes the events after a version until the epoch ends, a write fails or the follower disconnects.
 func (s *Server) stream(ctx context.Context, w http.ResponseWriter, version int64, epoch int) {
 	encoder, controller := json.NewEncoder(w), http.NewResponseController(w)
 	keepAlive := time.NewTicker(keepAliveInterval)
@@ -243,7 +250,7 @@
 		if !ok {
 			return
 		}
-		_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // if it is not supported, writes may take longer
+		_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // not every writer supports it
 		for _, event := range events {
 			if encoder.Encode(event) != nil {
 				return
@@ -251,7 +258,7 @@
 			version = event.Version
 		}
 		if len(events) == 0 {
-			_, _ = w.Write([]byte("\n")) // Flush returns the error
+			_, _ = w.Write([]byte("\n")) // Flush returns the error of this write
 		}
 		if controller.Flush() != nil {
 			return
--- a/internal/discovery/relay/source.go
+++ b/internal/discovery/relay/source.go
@@ -1,11 +1,10 @@
-// Package relay passes the endpoint list of a sidecar on to other sidecars, in the form of the discovery service: a
-// follower goes on from the version that it has, here, at another peer or at the discovery service itself. [ChangeLog]
-// decides, without I/O, what a follower receives; [Server] serves it over HTTP, and [Source] is the endpoint source
-// that has its list from the upstream that internal/discovery/bootstrap selects.
+// Package relay relays the endpoint list of a sidecar to other sidecars, its followers, in the form of the discovery
+// service's watch. A follower can continue from its present version with any peer or with the discovery service.
+// [ChangeLog] decides, without I/O, which events a follower receives, and [Server] sends them over HTTP. [Source] is
+// the endpoint source of a sidecar; it obtains the list from the upstream that internal/discovery/bootstrap selects.
 //
-// A server relays nothing that its own member would not act on: when its source is lost, all followers are
-// disconnected at once, and it rejects a follower with a later version than its own. So an endpoint that was removed
-// does not return by way of a peer that was cut off.
+// A server disconnects all followers as soon as the source of its own list is lost, and rejects followers that have a
+// later version. A peer that was cut off therefore cannot restore an endpoint that was removed.
 package relay
 
 import (
@@ -23,18 +22,17 @@
 // Config is the configuration of a Source.
 type Config struct {
 	Selector  bootstrap.Config
-	Discovery engine.Source
-	// NewPeer returns the watch of another member. header is added to its requests, and checkHeader returns an error
-	// if the member must not be followed, judging by the headers of its response.
-	NewPeer func(addr string, header http.Header, checkHeader func(http.Header) error) engine.Source
-	// CachedList is the list that the engine starts with.
-	CachedList   engine.EndpointUpdate
-	MaxFollowers int
+	Discovery engine.Source // the initial discovery service
+	// NewPeer returns a source that watches the member at addr. The source adds header to its requests, and does not
+	// follow the member if checkHeader returns an error for the headers of a response.
+	NewPeer      func(addr string, header http.Header, checkHeader func(http.Header) error) engine.Source
+	CachedList   engine.EndpointUpdate // the list with which the engine starts
+	MaxFollowers int                   // limits the followers of this sidecar
 	Log          *slog.Logger
 }
 
-// Source is an engine.Source that has the list from the discovery service or from another sidecar, as its
-// bootstrap.Selector decides, and relays it. It is safe for concurrent use.
+// Source is an engine.Source that obtains the list from the discovery service or from another sidecar, as its
+// bootstrap.Selector selects, and relays the list. It is safe for concurrent use.
 type Source struct {
 	cfg       Config
 	log       *slog.Logger
@@ -45,15 +43,15 @@
 	selector       *bootstrap.Selector
 	discovery      engine.Source
 	membersChanged chan struct{} // closed when the membership view changes
-	latestWatch    int           // number of the last call of Watch, which alone is relayed
-	independent    bool          // the discovery service is another one than the peers': versions cannot be compared
-	group          string        // only peers with this discovery service are followed; empty: the initial one
-	maxVersion     int64         // highest version that discovery has delivered, directly or by way of any peer
-	upstreamName   string        // the present or last upstream
-	upstreamCount  int           // changes of the upstream
+	latestWatch    int           // number of the latest call of Watch; only the updates of this one are relayed
+	independent    bool          // discovery is not that of the peers, so that versions cannot be compared
+	group          string        // discovery service of the members to follow and to serve; empty for the initial one
+	maxVersion     int64         // highest version that was delivered, whether by discovery or by a peer
+	upstreamName   string        // name of the present or last upstream
+	upstreamCount  int           // number of upstreams so far that have delivered an update
 }
 
-// NewSource returns a Source. Nothing is requested before Watch.
+// NewSource returns a Source. It makes no calls before Watch.
 func NewSource(c Config) *Source {
 	s := &Source{
 		cfg:            c,
@@ -65,7 +63,7 @@
 		membersChanged: make(chan struct{}),
 		maxVersion:     engine.NoVersion,
 	}
-	// The first update may be a delta to the cached list, which is not relayed before a source works.
+	// The first update may be a delta relative to the cached list. The list is not relayed before a source works.
 	if len(c.CachedList.Endpoints) > 0 {
 		s.server.apply(engine.EndpointUpdate{
 			Kind:      balancer.CompleteList,
@@ -76,11 +74,11 @@
 	return s
 }
 
-// Server returns the server that other members follow.
+// Server returns the server that relays the list to other members.
 func (s *Source) Server() *Server { return s.server }
 
-// UpdateMembers takes the membership view: the live members except this one. joined says that another member was ever
-// reached. It does not block.
+// UpdateMembers sets the membership view. others are the live members without this one; joined reports whether this
+// member has ever reached another one. UpdateMembers does not block.
 func (s *Source) UpdateMembers(others []bootstrap.Member, joined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +87,8 @@
 	s.membersChanged = make(chan struct{})
 }
 
-// SetDiscovery replaces the discovery service for this sidecar alone. From then on it calls that service itself, and
-// relays nothing: its versions are not those of the other members.
+// SetDiscovery replaces the discovery service of this sidecar only. From then on the sidecar always calls that service
+// itself and relays no list, because the versions of the service cannot be compared with those of the other members.
 func (s *Source) SetDiscovery(discovery engine.Source) {
 	s.mu.Lock()
 	s.discovery, s.independent = discovery, true
@@ -98,8 +96,9 @@
 	s.server.sourceLost()
 }
 
-// SetGroupDiscovery replaces the discovery service for a group of members, as a configuration snapshot names it to all
-// of them: they go on following each other, and members of other groups are neither followed nor served.
+// SetGroupDiscovery replaces the discovery service of this sidecar and of all members that receive the same
+// configuration snapshot. These members form a group: they continue to follow each other, and neither follow nor serve
+// members of other groups.
 func (s *Source) SetGroupDiscovery(discovery engine.Source, group string) {
 	s.mu.Lock()
 	s.discovery, s.independent = discovery, false
@@ -111,8 +110,8 @@
 // now returns the time since the start, which is the clock of the selector.
 func (s *Source) now() time.Duration { return time.Since(s.startedAt) }
 
-// Watch implements [engine.Source]: it follows the list, from one upstream after another while they fail. Its last
-// update is the failure of the discovery service itself.
+// Watch implements [engine.Source]. It follows one upstream after another. When a peer fails, it selects another
+// upstream; when the discovery service fails, it delivers an update of kind WatchFailed and ends.
 func (s *Source) Watch(
 	version int64, delay time.Duration, deliver func(engine.EndpointUpdate),
 ) context.CancelFunc {
@@ -125,7 +124,7 @@
 	return stop
 }
 
-// selectUpstream returns the selected upstream, the present discovery service, and a channel that is closed when the
+// selectUpstream returns the upstream to follow, the present discovery service, and a channel that is closed when the
 // membership view changes.
 func (s *Source) selectUpstream() (bootstrap.Selection, engine.Source, <-chan struct{}) {
 	s.mu.Lock()
@@ -136,14 +135,14 @@
 	return s.selector.Select(s.now()), s.discovery, s.membersChanged
 }
 
-// shouldSwitch reports whether to leave the selected upstream for a better one.
+// shouldSwitch reports whether to replace the selected upstream by a better one.
 func (s *Source) shouldSwitch(selected bootstrap.Selection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.independent && s.selector.ShouldSwitch(s.now(), selected)
 }
 
-// reportFailure tells the selector that the selected upstream has failed.
+// reportFailure reports to the selector that the selected upstream has failed.
 func (s *Source) reportFailure(selected bootstrap.Selection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,11 +151,11 @@
 
 // SourceState is the state of a Source for the admin endpoint.
 type SourceState struct {
-	Source  string      `json:"source"`  // the present or last upstream: a member, or "discovery"
-	Rank    int         `json:"rank"`    // in the order of the cluster; the first ones call the discovery service
-	Changes int         `json:"changes"` // of Source
+	Source  string      `json:"source"`  // name of the present or last upstream: that of a member, or "discovery"
+	Rank    int         `json:"rank"`    // see bootstrap.Selector.Rank
+	Changes int         `json:"changes"` // number of upstreams so far that have delivered an update
 	Server  ServerState `json:"relay"`
-	Group   string      `json:"group,omitempty"` // the discovery service that a configuration snapshot has named
+	Group   string      `json:"group,omitempty"` // discovery service set by a configuration snapshot
 }
 
 // State returns the present state.
--- a/internal/discovery/relay/source_test.go
+++ b/internal/discovery/relay/source_test.go
@@ -20,11 +20,11 @@
 	"hazelwing/internal/testutil"
 )
 
-// fakeSource is an endpoint source whose updates the test delivers.
+// fakeSource is an endpoint source that delivers the updates of the test.
 type fakeSource struct {
 	mu       sync.Mutex
-	delivers []func(engine.EndpointUpdate) // of each watch
-	versions []int64                       // from which each watch started
+	delivers []func(engine.EndpointUpdate) // callback of each watch
+	versions []int64                       // start version of each watch
 }
 
 func (f *fakeSource) Watch(version int64, _ time.Duration, deliver func(engine.EndpointUpdate)) context.CancelFunc {
@@ -48,7 +48,7 @@
 	latest(update)
 }
 
-// updateRecorder records what a source delivers.
+// updateRecorder records the updates that a source delivers.
 type updateRecorder struct {
 	mu      sync.Mutex
 	updates []engine.EndpointUpdate
@@ -101,68 +101,68 @@
 			return watch.NewPeerClient(addr, header, check, log)
 		},
 	})
-	// The test needs that of these names the first one in the order is the member that is followed.
+	// The test requires that "head" precedes "other" in the order of the members.
 	s.UpdateMembers([]bootstrap.Member{{Name: "head", Addr: netip.MustParseAddrPort(addr)}}, true)
 	if s.selector.Rank() != 1 {
-		t.Fatal("the names of the test are in another order")
+		t.Fatalf("the member \"other\" has the rank %d, want 1", s.selector.Rank())
 	}
 	return s
 }
 
-// One member follows another until the other loses its source. It could then hold on to a list that nobody keeps up to
-// date, or take an older one. It has to receive the complete list, the changes and nothing older than it has, and to
-// call the discovery service itself after the loss.
+// One member follows another until the other one loses its source. The follower must receive the complete list and the
+// changes, call the discovery service itself after the loss, and never accept a list that is older than its own.
 func TestSourceFollowsAPeer(t *testing.T) {
 	var rootDiscovery, followerDiscovery fakeSource
 	var rootUpdates, followerUpdates updateRecorder
 	root, server := newRoot(t, &rootDiscovery)
 	stopRoot := root.Watch(engine.NoVersion, 0, rootUpdates.record)
 	defer stopRoot()
-	testutil.Until(t, "the root calls", func() bool { return rootDiscovery.watches() == 1 })
+	testutil.Until(t, "the root calls the discovery service", func() bool { return rootDiscovery.watches() == 1 })
 	follower := newFollower(t, &followerDiscovery, server.Listener.Addr().String())
 	defer follower.Watch(engine.NoVersion, 0, followerUpdates.record)()
 	rootDiscovery.deliver(completeList(5, "x", "y"))
-	testutil.Until(t, "the peer, which waited for it, relayed the complete list", func() bool {
+	testutil.Until(t, "the follower received the complete list for which the peer had waited", func() bool {
 		return followerUpdates.has(balancer.CompleteList, 5)
 	})
 	rootDiscovery.deliver(delta(6, "x", balancer.Draining))
-	testutil.Until(t, "the peer relayed a change", func() bool { return followerUpdates.has(balancer.Delta, 6) })
+	testutil.Until(t, "the follower received a change", func() bool { return followerUpdates.has(balancer.Delta, 6) })
 	if s := follower.State(); s.Source != "head" || strings.Join(s.Server.Path, " ") != "head" ||
 		!s.Server.Live || root.State().Server.Followers != 1 {
-		t.Errorf("%+v, %+v", s, root.State())
+		t.Errorf("the follower is in state %+v, want a live list from head; the root is in state %+v, want one follower",
+			s, root.State())
 	}
 	if followerDiscovery.watches() != 0 {
-		t.Error("the follower called the discovery service, too")
+		t.Error("the follower called the discovery service although its peer works")
 	}
-	// The peer's source is lost: its followers are disconnected at once, and call the discovery service from the
-	// version that they have.
+	// The root loses its source. It disconnects its followers at once, and they call the discovery service from their
+	// present version.
 	rootDiscovery.deliver(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: 6, Err: errors.New("lost")})
 	testutil.Until(t, "the follower calls the discovery service", func() bool {
 		return followerDiscovery.watches() == 1
 	})
 	if followerDiscovery.versions[0] != 6 {
-		t.Errorf("from version %d, want 6", followerDiscovery.versions[0])
+		t.Errorf("the follower watches the discovery service from version %d, want 6", followerDiscovery.versions[0])
 	}
 	followerDiscovery.deliver(delta(9, "y", balancer.Removed))
-	testutil.Until(t, "the discovery service's change arrived", func() bool {
+	testutil.Until(t, "the follower received a change from the discovery service", func() bool {
 		return followerUpdates.has(balancer.Delta, 9)
 	})
-	// The peer works again, with an older list: it rejects a follower with a later version.
+	// The root works again, with an older list. It must reject a follower with a later version.
 	stopRoot()
 	defer root.Watch(engine.NoVersion, 0, rootUpdates.record)()
-	testutil.Until(t, "the root calls again", func() bool { return rootDiscovery.watches() == 2 })
+	testutil.Until(t, "the root calls the discovery service again", func() bool { return rootDiscovery.watches() == 2 })
 	rootDiscovery.deliver(completeList(7, "x", "y"))
-	testutil.Until(t, "the root is live", func() bool { return root.State().Server.Live })
+	testutil.Until(t, "the root relays its list", func() bool { return root.State().Server.Live })
 	if status := watchStatus(t, server.URL, 9); status != http.StatusServiceUnavailable {
-		t.Errorf("a follower with a later version receives status %d", status)
+		t.Errorf("a follower with a later version received status %d, want 503", status)
 	}
 	if followerUpdates.has(balancer.CompleteList, 7) {
-		t.Error("an older list was delivered")
+		t.Error("the follower delivered an older list")
 	}
 	testIndependentDiscovery(t, follower, &followerUpdates)
 }
 
-// watchStatus returns the status of the response to a watch from version.
+// watchStatus returns the status code of the response to a watch from the given version.
 func watchStatus(t *testing.T, serverURL string, version int64) int {
 	t.Helper()
 	url := fmt.Sprintf("%s/discovery/hosts?watch=1&from=%d", serverURL, version)
@@ -178,8 +178,8 @@
 	return resp.StatusCode
 }
 
-// testIndependentDiscovery replaces the discovery service of one member alone. Its versions mean nothing to the
-// others: the member calls that service itself, and serves nobody.
+// testIndependentDiscovery replaces the discovery service of one member only. The member must call that service itself,
+// and must not relay its list, whose versions cannot be compared with those of other members.
 func testIndependentDiscovery(t *testing.T, s *Source, updates *updateRecorder) {
 	t.Helper()
 	var discovery fakeSource
@@ -188,15 +188,17 @@
 	defer stop()
 	testutil.Until(t, "the other discovery service is called", func() bool { return discovery.watches() == 1 })
 	discovery.deliver(completeList(1, "z"))
-	testutil.Until(t, "its list arrived", func() bool { return updates.has(balancer.CompleteList, 1) })
+	testutil.Until(t, "the list of the other discovery service arrived", func() bool {
+		return updates.has(balancer.CompleteList, 1)
+	})
 	if s.State().Server.Live {
-		t.Error("it relays the list of another discovery service")
+		t.Error("the member relays the list of another discovery service")
 	}
 }
 
-// A peer responds with an older complete list although it should reject the follower, or with one that the follower
-// itself or too many members relay. The list would restore removed endpoints, or go in a circle that no change enters.
-// The peer has to be left, and the discovery service called.
+// A peer that should reject the follower responds with a complete list that is older, that was relayed by the follower
+// itself, or that was relayed by too many members. Such a list could restore removed endpoints, or be relayed in a
+// cycle that no change reaches. The follower must leave the peer and call the discovery service.
 func TestMisbehavingPeer(t *testing.T) {
 	respond := func(path, event string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -217,11 +219,11 @@
 			s.maxVersion = 20
 			var recorder updateRecorder
 			defer s.Watch(engine.NoVersion, 0, recorder.record)()
-			testutil.Until(t, "the discovery service is called after all", func() bool {
+			testutil.Until(t, "the discovery service is called", func() bool {
 				return discovery.watches() == 1
 			})
 			if len(recorder.updates) > 0 {
-				t.Errorf("delivered %+v", recorder.updates)
+				t.Errorf("the follower delivered %+v, want no updates", recorder.updates)
 			}
 		})
 	}
--- a/internal/discovery/relay/sourcewatch.go
+++ b/internal/discovery/relay/sourcewatch.go
@@ -14,41 +14,43 @@
 	"hazelwing/internal/engine"
 )
 
-// switchCheckInterval is how often a working upstream is compared with a better one. A higher value leaves a worse one
-// later; bootstrap.Selector.ShouldSwitch decides whether it is left.
+// switchCheckInterval is the time between two calls of bootstrap.Selector.ShouldSwitch while an upstream works. A
+// higher value delays the switch to a better upstream.
 const switchCheckInterval = 5 * time.Second
 
 var (
-	// errOutdatedList is why a peer is left whose complete list is older than what was delivered.
-	errOutdatedList = errors.New("the complete list is older than what was delivered")
-	// errUnusablePath is why a peer is not followed: its list is relayed by this member, or by too many others.
-	errUnusablePath = errors.New("the path of the list contains this member or is too long")
+	// errOutdatedList is the reason for leaving a peer whose complete list is older than one that was delivered.
+	errOutdatedList = errors.New("the complete list is older than the one delivered before")
+	// errPathHasSelf is the reason for not following a peer whose list this member relays itself.
+	errPathHasSelf = errors.New("the path of the list contains this member")
+	// errPathOverLimit is the reason for not following a peer whose list too many members relay.
+	errPathOverLimit = errors.New("the path of the list is too long")
 )
 
-// sourceWatch is one call of Source.Watch. One goroutine runs it.
+// sourceWatch is the watch of one call of Source.Watch. It runs in one goroutine.
 type sourceWatch struct {
 	source  *Source
-	number  int
-	group   string // of the source when the watch started
+	number  int    // number of the call of Source.Watch
+	group   string // Source.group when the watch started
 	deliver func(engine.EndpointUpdate)
 }
 
-// upstream is a source that is followed.
+// upstream is the source that a sourceWatch follows.
 type upstream struct {
 	engine.Source
-	path []string // of a peer's list; it is set before the peer's first update, and empty for the discovery service
+	path []string // path of a peer's list, set before its first update; empty for the discovery service
 }
 
-// followResult is why an upstream is not followed any more.
+// followResult is the result of following an upstream until it failed or was replaced.
 type followResult struct {
-	version   int64 // to go on from
+	version   int64 // version from which to continue
 	reachable bool  // the upstream was reached
-	err       error // nil: there is a better upstream
+	err       error // reason for the failure; nil if the upstream was left for a better one
 }
 
-// run follows one upstream after another until the discovery service fails. It decides when the failure of an upstream
-// is the balancer's concern: that of a peer is not, because the selector knows others; that of the discovery service
-// is, because the balancer schedules the calls of the service.
+// run follows one upstream after another until the discovery service fails or ctx ends. It does not report the failure
+// of a peer to the balancer, because the selector selects another upstream. It reports the failure of the discovery
+// service, because the balancer schedules the calls to that service.
 func (w *sourceWatch) run(ctx context.Context, version int64, delay time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -96,7 +98,7 @@
 	return selected.Peer.Name
 }
 
-// newUpstream returns the selected upstream.
+// newUpstream returns the upstream for a selection.
 func (w *sourceWatch) newUpstream(selected bootstrap.Selection, discovery engine.Source) *upstream {
 	if selected.Discovery {
 		return &upstream{Source: discovery}
@@ -109,15 +111,19 @@
 	u := &upstream{}
 	u.Source = w.source.cfg.NewPeer(selected.Peer.Addr.String(), header, func(h http.Header) error {
 		u.path = strings.Split(h.Get(pathHeader), ",")
-		if slices.Contains(u.path, self) || len(u.path) > maxPathLength {
-			return fmt.Errorf("%w: %s", errUnusablePath, strings.Join(u.path, ", "))
+		switch {
+		case slices.Contains(u.path, self):
+			return fmt.Errorf("%w: %s", errPathHasSelf, strings.Join(u.path, ", "))
+		case len(u.path) > maxPathLength:
+			return fmt.Errorf("%w: %d members, want at most %d: %s",
+				errPathOverLimit, len(u.path), maxPathLength, strings.Join(u.path, ", "))
 		}
 		return nil
 	})
 	return u
 }
 
-// follow has the list from one upstream until it fails, or there is a better one.
+// follow follows one upstream until it fails, there is a better one, or ctx ends.
 func (w *sourceWatch) follow(
 	ctx context.Context, selected bootstrap.Selection, discovery engine.Source, version int64,
 ) followResult {
@@ -157,9 +163,10 @@
 	}
 }
 
-// outdated reports whether an update of a peer is a complete list that is older than what was delivered. This prevents
-// a peer that does not reject this member, although its list is older, from restoring endpoints that were removed
-// since: requests would go to processes that are gone. It holds because maxVersion never falls within a group.
+// outdated reports whether an update of a peer is a complete list that is older than one that was delivered. This check
+// prevents a peer that does not reject this member, although its list is older, from restoring endpoints that were
+// removed in the meantime: requests would go to processes that no longer exist. It is reliable because the maximum
+// version never decreases within a group.
 func (w *sourceWatch) outdated(selected bootstrap.Selection, update *engine.EndpointUpdate) bool {
 	if selected.Discovery || update.Kind != balancer.CompleteList {
 		return false
@@ -167,8 +174,8 @@
 	return update.Version < w.maxVersion()
 }
 
-// maxVersion returns the highest version that was delivered. A watch that started in another group than the present
-// one has nothing to compare with.
+// maxVersion returns the highest version that was delivered, or engine.NoVersion if the group has changed since the
+// watch started, because versions of different groups cannot be compared.
 func (w *sourceWatch) maxVersion() int64 {
 	s := w.source
 	s.mu.Lock()
@@ -179,7 +186,7 @@
 	return s.maxVersion
 }
 
-// apply records an update of the upstream, relays it and delivers it.
+// apply records an update of the upstream, relays it to followers and delivers it.
 func (w *sourceWatch) apply(
 	selected bootstrap.Selection, from *upstream, update engine.EndpointUpdate, first bool,
 ) {
@@ -193,7 +200,8 @@
 	w.deliver(update)
 }
 
-// recordSuccess records that the selected upstream has delivered a version; first says that it is its first update.
+// recordSuccess records that the selected upstream has delivered a version. first reports whether this is the
+// upstream's first update in this watch.
 func (w *sourceWatch) recordSuccess(selected bootstrap.Selection, version int64, first bool) {
 	s := w.source
 	s.mu.Lock()
@@ -209,7 +217,7 @@
 	}
 }
 
-// relay changes what the server relays, if this is the latest watch and the discovery service is that of the peers.
+// relay applies a change to the server, if this is the latest watch and the discovery service is that of the peers.
 func (w *sourceWatch) relay(change func(*Server)) {
 	s := w.source
 	s.mu.Lock()
