--- a/internal/discovery/relay/source_test.go
+++ b/internal/discovery/relay/source_test.go
@@ -128,7 +128,7 @@
 	testutil.Until(t, "the follower received a change", func() bool { return followerUpdates.has(balancer.Delta, 6) })
 	if s := follower.State(); s.Source != "head" || strings.Join(s.Server.Path, " ") != "head" ||
 		!s.Server.Live || root.State().Server.Followers != 1 {
-		t.Errorf("the follower is in state %+v, want a live list from head; the root is in state %+v, want one follower",
+		t.Errorf("the follower has the state %+v, want a live list from head; the root has %+v, want one follower",
 			s, root.State())
 	}
 	if followerDiscovery.watches() != 0 {
