--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -1,8 +1,8 @@
-// Package watch is the endpoint source for the platform's discovery service: a long-lived HTTP call that delivers the
-// changes of the endpoint list as JSON objects, one a line.
+// Package watch is the endpoint source for the platform's discovery service. A watch is a long-lived HTTP call whose
+// response contains the changes of the endpoint list as a sequence of JSON objects.
 //
-// [Client] opens the calls. A watch session follows one call; its list tracker decides, without I/O, what is delivered
-// to the engine and when the complete list is requested beside the watch.
+// [Client] makes the calls. A session runs one watch. Its listTracker decides, without I/O, which updates are delivered
+// to the engine, and when the complete list is requested in a call of its own.
 package watch
 
 import (
@@ -22,29 +22,29 @@
 	"hazelwing/internal/engine"
 )
 
-// maxEventBytes limits an event of a watch, and a complete list. This prevents a service that sends an endless object
-// from filling the memory. A higher value allows for larger lists.
+// maxEventBytes limits the size of an event of a watch and of a complete list. This prevents a service that sends an
+// endless object from exhausting the memory. A higher value allows larger lists.
 const maxEventBytes = 4 << 20
 
-// Client calls a discovery service, or another sidecar that relays its list. Each of its connections serves one call,
+// Client calls a discovery service, or another sidecar that relays its list. It uses each connection for one call only,
 // so that the HTTP client never resends a request by itself.
 type Client struct {
 	addr   string
-	shared bool // one service for all sidecars, which calls put load on; otherwise an agent on this machine
+	shared bool // all sidecars share the service, so that calls are limited; if false, it is an agent on this machine
 	log    *slog.Logger
 
 	client    *http.Client
 	transport *http.Transport // of client
 
-	// silenceTimeout is how long nothing may arrive until a watch counts as broken, or a call is abandoned.
+	// silenceTimeout limits the time without an event or an empty line in a watch, and the time of any other call.
 	silenceTimeout time.Duration
 	hedge          hedgePolicy
-	header         http.Header // additional headers of each call; may be nil
-	checkHeader    func(http.Header) error
+	header         http.Header             // additional headers of each call; may be nil
+	checkHeader    func(http.Header) error // rejects a response by its headers; may be nil
 }
 
-// NewClient returns a client of the discovery service at addr. shared says that it is one service for all sidecars,
-// and not an agent on this machine. Nothing is called before Watch.
+// NewClient returns a client of the discovery service at addr. shared reports whether all sidecars share the service;
+// if not, it is an agent on this machine. The client makes no calls before Watch.
 func NewClient(addr string, shared bool, log *slog.Logger) *Client {
 	transport := &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: backoff.SilenceTimeout}).DialContext,
@@ -63,8 +63,8 @@
 }
 
 // NewPeerClient returns a client of another sidecar that relays the discovery service's list
-// (internal/discovery/relay). header is added to each call. checkHeader returns an error if the sidecar must not be
-// followed, judging by the headers of its response. Calls are not hedged, because there are other peers.
+// (internal/discovery/relay). header is added to each call. The sidecar is not followed if checkHeader returns an error
+// for the headers of a response. Calls are not hedged, because other peers can be called instead.
 func NewPeerClient(
 	addr string, header http.Header, checkHeader func(http.Header) error, log *slog.Logger,
 ) *Client {
@@ -77,8 +77,8 @@
 // DialFunc opens a connection, like [net.Dialer.DialContext].
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// WithDialer makes the client open all connections by dial; nil stands for the network itself, as in the daemon.
-// Emulators use it to cut and slow down links. It must be called before Watch, and returns c.
+// WithDialer makes the client open all connections with dial, and returns the client. If dial is nil, the client keeps
+// its own dialer. Emulators use WithDialer to interrupt and delay connections. It must be called before Watch.
 func (c *Client) WithDialer(dial DialFunc) *Client {
 	if dial == nil {
 		return c
@@ -86,15 +86,15 @@
 	c.transport.DialContext = func(
 		ctx context.Context, network, addr string,
 	) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, backoff.SilenceTimeout) // the same as the network's own
+		ctx, cancel := context.WithTimeout(ctx, backoff.SilenceTimeout) // same timeout as the client's own dialer
 		defer cancel()
 		return dial(ctx, network, addr)
 	}
 	return c
 }
 
-// Watch implements [engine.Source]: it follows the changes after version, or the complete list from engine.NoVersion
-// on. Unless it is stopped first, its last update is of kind WatchFailed.
+// Watch implements [engine.Source]. It delivers the changes after version; from engine.NoVersion, it delivers the
+// complete list first. Unless the watch is stopped, its last update is of kind WatchFailed.
 func (c *Client) Watch(
 	version int64, delay time.Duration, deliver func(engine.EndpointUpdate),
 ) context.CancelFunc {
@@ -114,20 +114,20 @@
 	return stop
 }
 
-// stream is a watch that has delivered its first event.
+// stream is the response to a watch call, of which the first event has been read.
 type stream struct {
 	body    io.Closer
 	objects *objectReader
 	first   streamEvent
 }
 
-// streamEvent is an event of a watch, or the reason why there are no more of them.
+// streamEvent is an event of a watch, an empty line, or the error that ended the watch.
 type streamEvent struct {
-	update *engine.EndpointUpdate // nil: an empty line, which shows that the watch is alive
-	err    error                  // wraps errMalformedEvent if what the watch delivered is lost
+	update *engine.EndpointUpdate // nil for an empty line, which shows that the watch is alive
+	err    error                  // wraps errMalformedEvent if data of the watch could not be read
 }
 
-// openStream opens a watch and reads its first event. eventsLost says that the call has delivered something that could
+// openStream opens a watch and reads its first event. eventsLost reports whether the call has delivered data that could
 // not be read.
 func (c *Client) openStream(ctx context.Context, version int64) (s *stream, eventsLost bool, err error) {
 	resp, err := c.get(ctx, "?watch=1&from="+strconv.FormatInt(max(version, 0), 10))
@@ -144,7 +144,7 @@
 	return &stream{body: resp.Body, objects: objects, first: first}, false, nil
 }
 
-// nextEvent reads the next event.
+// nextEvent reads the next event or empty line.
 func (c *Client) nextEvent(objects *objectReader) streamEvent {
 	text, err := objects.next()
 	if text == nil || err != nil {
@@ -157,7 +157,8 @@
 	return streamEvent{update: &update}
 }
 
-// readEvents sends the events of a watch, from the first on, until the watch fails or ctx is done.
+// readEvents sends the events of a watch, starting with the first one, until the watch fails or ctx is done. The last
+// event has the error.
 func (c *Client) readEvents(ctx context.Context, s *stream, events chan<- streamEvent) {
 	for event := s.first; ; event = c.nextEvent(s.objects) {
 		select {
@@ -170,7 +171,7 @@
 	}
 }
 
-// get calls for the list. The status of the response that it returns is 200; the caller closes its body.
+// get makes a GET request for the endpoint list. It returns only responses with status 200. The caller closes the body.
 func (c *Client) get(ctx context.Context, query string) (*http.Response, error) {
 	url := "http://" + c.addr + "/discovery/hosts" + query
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -195,11 +196,11 @@
 	return resp, nil
 }
 
-// fetchList calls for the complete list.
+// fetchList requests the complete list, with a hedged request.
 //
-// Guard: prevents a response that never ends from being awaited for as long as the watch beside it lives: the list
-// would stay incomplete, and not be requested again. It holds because each call is abandoned after silenceTimeout,
-// however its response goes on.
+// Guard: prevents a response that never ends from blocking the request for as long as the watch is open: the list would
+// remain incomplete, and would not be requested again. It holds because each call is abandoned after silenceTimeout,
+// whatever data it has received.
 func (c *Client) fetchList(ctx context.Context) (engine.EndpointUpdate, error) {
 	attempt, _, err := hedge(ctx, c.silenceTimeout, c.hedge, c.fetchListOnce)
 	if err != nil {
@@ -209,7 +210,7 @@
 	return attempt.value, nil
 }
 
-// fetchListOnce makes one call for the complete list.
+// fetchListOnce makes one request for the complete list.
 func (c *Client) fetchListOnce(ctx context.Context) (engine.EndpointUpdate, error) {
 	resp, err := c.get(ctx, "")
 	if err != nil {
@@ -227,5 +228,5 @@
 	return update, err
 }
 
-// closeBody closes the body of a response. The error is of no use: the connection is not used again.
+// closeBody closes the body of a response. It ignores the error, because the connection is not used again.
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
--- a/internal/discovery/watch/errors.go
+++ b/internal/discovery/watch/errors.go
@@ -8,31 +8,35 @@
 )
 
 var (
-	// errNoData is why a call was abandoned.
+	// errNoData is the reason for abandoning a call that has received no data within its timeout.
 	errNoData = errors.New("no data received")
-	// errMalformedEvent is why bytes cannot be an event of a watch. The service would send the same bytes again.
+	// errMalformedEvent is returned for data that is not an event of a watch. The service would send the same data
+	// again.
 	errMalformedEvent = errors.New("malformed watch event")
-	// errWatchEnded is why a watch failed whose connection the service closed between two events.
+	// errWatchEnded is the reason for the failure of a watch that the service ended between two events.
 	errWatchEnded = errors.New("the service ended the watch")
-	// errNotComplete is why a response to a call for the complete list is not used.
+	// errNotComplete is returned for a response to a request for the complete list that is a delta.
 	errNotComplete = errors.New("the response is not marked as a complete list")
 )
 
-// statusError is why a call failed that the service answered, but not with the list.
+// statusError is returned for a response whose status is not 200.
 type statusError struct {
-	status string // of the response, such as "503 Service Unavailable"
+	status string // status of the response, such as "503 Service Unavailable"
 }
 
-func (e *statusError) Error() string { return "discovery answered " + e.status }
+func (e *statusError) Error() string {
+	return "server responded with status " + e.status + ", want 200"
+}
 
-// unknownHealthError says that an endpoint's health is none of the values of the discovery service.
+// unknownHealthError is returned for an endpoint whose health is none of the values that the discovery service defines.
 type unknownHealthError struct{ id, health string }
 
 func (e *unknownHealthError) Error() string {
-	return fmt.Sprintf("upstream %s: health %q is not known", e.id, e.health)
+	return fmt.Sprintf("endpoint %s: unknown health %q, want %s, %s or %s",
+		e.id, e.health, healthServing, healthDraining, healthDeleted)
 }
 
-// causeOf returns why an operation under ctx failed: the cause of the end of ctx if it has ended, otherwise err.
+// causeOf returns the reason for the failure of an operation with ctx: the cause of ctx if it is done, otherwise err.
 func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -40,9 +44,9 @@
 	return err
 }
 
-// reachedService reports whether a call that failed with err reached the service: it responded, or closed the
-// connection. A dial that failed and a call that nothing was received for did not reach it. Who is called again sooner
-// after an outage depends on it (backoff.Scheduler.CallFailed).
+// reachedService reports whether a call that failed with err reached the service, which responded or closed the
+// connection. It returns false if the dial failed or the call received no data. After an outage, a service that was
+// reached is called again sooner (backoff.Scheduler.CallFailed).
 func reachedService(err error) bool {
 	if errors.Is(err, errNoData) {
 		return false
--- a/internal/discovery/watch/event.go
+++ b/internal/discovery/watch/event.go
@@ -8,22 +8,22 @@
 	"hazelwing/internal/engine"
 )
 
-// Event is the complete endpoint list, or what changed in it, in the form of the discovery service.
+// Event is the complete endpoint list or a delta, in the form of the discovery service.
 type Event struct {
 	Version   int64      `json:"seq"`
-	Complete  bool       `json:"whole"` // otherwise it is a delta
+	Complete  bool       `json:"whole"` // the event is the complete list, not a delta
 	Endpoints []Endpoint `json:"hosts"`
 }
 
 // Endpoint is an entry of an Event.
 type Endpoint struct {
 	ID          string  `json:"host"`
-	Addr        string  `json:"dial"` // where it listens, as seen from this sidecar
+	Addr        string  `json:"dial"` // address at which this sidecar reaches the endpoint
 	Zone        string  `json:"site"`
 	Kind        string  `json:"class"`
 	Cell        int     `json:"block"`
 	Health      string  `json:"health"`
-	StartedAtMS float64 `json:"born_ms"` // Unix milliseconds
+	StartedAtMS float64 `json:"born_ms"` // start of the endpoint's process, in Unix milliseconds
 }
 
 // Values of Endpoint.Health.
@@ -33,8 +33,8 @@
 	healthDeleted  = "DELETED"
 )
 
-// ToEndpoints converts the entries to those of the engine. An entry of unknown health counts as draining; the error
-// names all such entries, and is nil if there are none.
+// ToEndpoints converts the entries to endpoints of the engine. An entry with unknown health is converted to a draining
+// endpoint. The error names all such entries, and is nil if there are none; the endpoints are valid in either case.
 func (e *Event) ToEndpoints() ([]engine.Endpoint, error) {
 	endpoints := make([]engine.Endpoint, len(e.Endpoints))
 	var unknown error
@@ -54,7 +54,7 @@
 	return endpoints, unknown
 }
 
-// EndpointsFromEngine converts entries of the engine to those of an Event. It returns nil for an empty list.
+// EndpointsFromEngine converts endpoints of the engine to entries of an Event. It returns nil for an empty list.
 func EndpointsFromEngine(list []engine.Endpoint) []Endpoint {
 	var endpoints []Endpoint
 	for _, endpoint := range list {
@@ -95,7 +95,7 @@
 	return balancer.Draining, &unknownHealthError{id: e.ID, health: e.Health}
 }
 
-// updateFromJSON decodes an Event as an update for the engine.
+// updateFromJSON decodes an Event from JSON and converts it to an update for the engine.
 func (c *Client) updateFromJSON(text []byte) (engine.EndpointUpdate, error) {
 	var event Event
 	if err := json.Unmarshal(text, &event); err != nil {
--- a/internal/discovery/watch/format_test.go
+++ b/internal/discovery/watch/format_test.go
@@ -6,7 +6,7 @@
 	"hazelwing/balancer"
 )
 
-// The values of the health field are those of the discovery service.
+// The values of the health field are defined by the discovery service.
 func TestHealthValuesAreStable(t *testing.T) {
 	for health, want := range map[string]balancer.EndpointState{
 		"SERVING":  balancer.Active,
@@ -14,7 +14,7 @@
 		"DELETED":  balancer.Removed,
 	} {
 		if state, err := (&Endpoint{Health: health}).state(); err != nil || state != want {
-			t.Errorf("%s is read as %v, %v; want %v", health, state, err, want)
+			t.Errorf("the health %s was decoded as state %v with the error %v, want %v", health, state, err, want)
 		}
 	}
 }
--- a/internal/discovery/watch/hedge.go
+++ b/internal/discovery/watch/hedge.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// attempt is one call of a hedged request. The context of an attempt that has succeeded stays open, and timeout ends
-// it unless it is reset or stopped.
+// attempt is one call of a hedged request. The context of a successful attempt remains valid after hedge has returned;
+// timeout cancels it unless the timer is reset or stopped.
 type attempt[T any] struct {
 	value   T
 	cancel  context.CancelCauseFunc
 	timeout *time.Timer
 }
 
-// newAttempt returns an attempt and its context, which ends after timeout.
+// newAttempt returns an attempt and its context, which is canceled after timeout.
 func newAttempt[T any](ctx context.Context, timeout time.Duration) (*attempt[T], context.Context) {
 	a := new(attempt[T])
 	ctx, a.cancel = context.WithCancelCause(ctx)
@@ -24,26 +24,26 @@
 	return a, ctx
 }
 
-// end ends the context of the attempt.
+// end cancels the context of the attempt.
 func (a *attempt[T]) end() {
 	a.timeout.Stop()
 	a.cancel(context.Canceled)
 }
 
-// hedgePolicy is when hedge makes another call; see backoff.HedgeDelay and backoff.MaxAttempts.
+// hedgePolicy controls when hedge makes another call; see backoff.HedgeDelay and backoff.MaxAttempts.
 type hedgePolicy struct {
-	delay       time.Duration // from the start of a call without a result to that of the next one
-	maxAttempts int           // calls of one hedged request
+	delay       time.Duration // time between the starts of two calls of a request that has no result yet
+	maxAttempts int           // limits the calls of one request
 }
 
-// hedge makes a call, and another one beside it each time that policy.delay has passed without a result, up to
-// policy.maxAttempts calls. Each is abandoned after timeout, of which delay is half, so that at most two are in flight
-// at a time. It returns the first attempt that succeeds with its context, and ends the others. Once none is in flight
-// any more, it returns the error of the last.
+// hedge makes a hedged request: one call, and another one each time that policy.delay has passed without a result, up
+// to policy.maxAttempts calls. Each call is abandoned after timeout. Callers set policy.delay to half of timeout, so
+// that at most two calls are in flight at a time. hedge returns the first attempt that succeeds, with its context, and
+// ends the others. If all calls in flight have failed, it returns the last error.
 //
-// Guard: prevents a call that hangs from using up the time in which a change has to be noticed
-// (backoff.NotificationDeadline): endpoints that drain meanwhile would be used on. It holds because the other call
-// needs no answer of the first one, on a connection of its own.
+// Guard: prevents a call that hangs from delaying a change beyond backoff.NotificationDeadline: requests would still be
+// sent to draining endpoints. It holds because the next call has its own connection, and does not wait for the result
+// of the first call.
 func hedge[T any](
 	ctx context.Context, timeout time.Duration, policy hedgePolicy, call func(context.Context) (T, error),
 ) (*attempt[T], context.Context, error) {
@@ -52,7 +52,7 @@
 		value   T
 		err     error
 	}
-	results := make(chan result, policy.maxAttempts) // the goroutine of an attempt never blocks
+	results := make(chan result, policy.maxAttempts) // buffered, so that the goroutine of an attempt never blocks
 	inFlight := map[*attempt[T]]context.Context{}
 	defer func() {
 		for a := range inFlight {
--- a/internal/discovery/watch/listtracker.go
+++ b/internal/discovery/watch/listtracker.go
@@ -11,34 +11,37 @@
 	"hazelwing/internal/engine"
 )
 
-// maxPendingChanges limits the entries that are remembered until the complete list has arrived. With more than that, a
-// failed call for the list ends the watch, and the next watch starts from the complete list. A higher value takes more
-// memory, and keeps the watch through more changes.
+// maxPendingChanges limits the endpoints that are remembered until the complete list has arrived. If there are more, a
+// failed request for the list ends the watch, and the next watch starts from the complete list. A higher value
+// continues the watch despite more changes, but uses more memory.
 const maxPendingChanges = 100_000
 
-// listTracker decides what to deliver of a watch's events, and when to request the complete list beside the watch. It
-// performs no I/O; the scripts under testdata are its tests. It is called by the goroutine of one watch.
+// listTracker decides which updates of a watch to deliver, and when to request the complete list. It performs no I/O;
+// the scripts under testdata test it. Only the goroutine of one watch uses it.
 type listTracker struct {
-	hasList  bool // the engine has a list, possibly of another discovery service
-	canDelay bool // it has, and calls put load on the service: the request for the complete list may be delayed
-	requests backoff.Scheduler
+	hasList bool // the engine has a list, possibly from another discovery service
+	// canDelay allows a delay of the request for the complete list. It is set if the engine has a list and all sidecars
+	// share the discovery service.
+	canDelay bool
+	requests backoff.Scheduler // schedules the requests for the complete list
 
-	version        int64 // of the latest event
-	established    bool  // the first event has arrived
-	listMissing    bool
-	listInFlight   bool
-	nextRequest    time.Duration            // valid if listMissing and not listInFlight
-	pendingChanges map[string]pendingChange // delivered by the watch while the list was missing, by endpoint ID
+	version        int64                    // version of the latest event
+	established    bool                     // the first event or empty line has arrived
+	listMissing    bool                     // the complete list has not arrived, and is needed
+	listInFlight   bool                     // a request for the complete list is in flight
+	nextRequest    time.Duration            // time of the next request; valid if listMissing and not listInFlight
+	pendingChanges map[string]pendingChange // changes that arrived while the list was missing, by endpoint ID
 }
 
-// pendingChange is an endpoint as an event of the given version described it.
+// pendingChange is an endpoint in an event, with the version of the event.
 type pendingChange struct {
 	version  int64
 	endpoint engine.Endpoint
 }
 
-// newListTracker returns the tracker of a watch from version on. shared says that the discovery service is one for all
-// sidecars, and not an agent on this machine. Times count from any one moment.
+// newListTracker returns the tracker of a watch that starts from version. shared reports whether all sidecars share the
+// discovery service; if not, it is an agent on this machine. Times are durations since an origin that the caller
+// chooses.
 func newListTracker(version int64, shared bool, rng *rand.Rand) *listTracker {
 	hasList := version != engine.NoVersion
 	return &listTracker{
@@ -51,20 +54,20 @@
 	}
 }
 
-// applyEvent takes an event of the watch, nil for an empty line, and returns what to deliver.
+// applyEvent processes an event of the watch, or an empty line if update is nil. It returns the updates to deliver.
 //
-// It decides which events reach the engine, from their versions and from whether the complete list is missing. Events
-// are delivered at once, also while the list is missing: an endpoint may be draining. Only a delta that the latest list
-// included already, and changes before the engine has any list, are not.
+// Events are delivered at once even while the complete list is missing, because they may report draining endpoints.
+// There are two exceptions: a delta whose version is not higher than that of the list, and any event before the engine
+// has a list.
 func (t *listTracker) applyEvent(now time.Duration, update *engine.EndpointUpdate) []engine.EndpointUpdate {
 	first := !t.established
 	switch {
-	case update == nil && !first: // nothing has changed
+	case update == nil && !first: // the list has not changed
 		return nil
-	case update == nil: // nothing has changed, and the call is answered
+	case update == nil: // the list has not changed; the empty update shows that the service has responded
 		update = &engine.EndpointUpdate{Kind: balancer.Delta, Version: t.version}
 	case !first && update.Kind == balancer.Delta && update.Version <= t.version:
-		return nil // the complete list included it; it could restore endpoints that were removed since
+		return nil // the list includes this delta already; an old delta could restore endpoints that were removed
 	}
 	t.established = true
 	if update.Kind == balancer.CompleteList {
@@ -80,15 +83,15 @@
 		}
 	}
 	t.version = update.Version
-	if t.listMissing && !t.hasList { // these few would be taken for the complete list, and receive all load
+	if t.listMissing && !t.hasList { // without a list, all requests would go to the endpoints of this delta
 		return nil
 	}
 	return []engine.EndpointUpdate{*update}
 }
 
-// scheduleListRequest plans the request for the complete list when the first event arrives. This is for a discovery
-// service that takes version 0 for a version like any other: its first event contains what changed since, which is of
-// little use without the list of that version.
+// scheduleListRequest schedules the request for the complete list when the first event arrives. The request is
+// necessary for a discovery service that treats version 0 as an ordinary version: its first event contains only the
+// changes since that version, which are of little use without the list.
 func (t *listTracker) scheduleListRequest(now time.Duration) {
 	t.nextRequest = now
 	if t.canDelay {
@@ -96,31 +99,33 @@
 	}
 }
 
-// nextListRequest returns when the complete list is to be requested; false if it is not.
+// nextListRequest returns when to request the complete list. It returns false if no request is necessary.
 func (t *listTracker) nextListRequest() (time.Duration, bool) {
 	return t.nextRequest, t.established && t.listMissing && !t.listInFlight
 }
 
-// listRequested records that the complete list is requested.
+// listRequested records that the complete list is being requested.
 func (t *listTracker) listRequested(now time.Duration) {
 	t.listInFlight = true
 	t.requests.CallStarted(now)
 }
 
-// listRequestFailed records that this request failed, and reports whether the watch goes on. It does not if there is
-// no list to serve from in the meantime: then the balancer, which knows how long it has been without one, decides when
-// to try again. Otherwise the request is repeated when backoff.ListConfig says.
+// listRequestFailed records that the request for the complete list has failed, and reports whether the watch continues.
+// If it continues, the request is repeated as backoff.ListConfig specifies. The watch ends if the request cannot be
+// delayed, for example because the engine has no list. The balancer then decides when to watch again, because it knows
+// how long the engine has had no list. The watch also ends if more than maxPendingChanges are remembered.
 func (t *listTracker) listRequestFailed(now time.Duration) bool {
 	t.listInFlight = false
 	t.nextRequest = t.requests.CallFailed(now, false)
 	return t.canDelay && len(t.pendingChanges) <= maxPendingChanges
 }
 
-// applyList takes the complete list, and returns what to deliver. What the watch delivered of later versions takes
-// precedence: the list may be older, and would restore endpoints that were removed since.
+// applyList processes the complete list, and returns the updates to deliver. Changes of the watch with a version above
+// that of the list take precedence: the list may be older than the changes, and could restore endpoints that were
+// removed.
 func (t *listTracker) applyList(list engine.EndpointUpdate) []engine.EndpointUpdate {
 	t.listInFlight = false
-	if !t.listMissing { // the watch itself delivered one
+	if !t.listMissing { // the watch has delivered a complete list in the meantime
 		return nil
 	}
 	t.listMissing = false
@@ -143,13 +148,13 @@
 	return []engine.EndpointUpdate{list}
 }
 
-// resumeVersion returns the version from which the next watch goes on. eventsLost says that something this watch
-// delivered is not known; the next one then starts from the complete list, while the present list, if any, stays in
-// use.
+// resumeVersion returns the version from which the next watch starts. eventsLost reports whether this watch has
+// delivered data that could not be read. In this case the next watch starts from the complete list, and the engine
+// keeps its present list, if any, until then.
 //
-// Guard: prevents an event that could not be read, or was cut off, from being skipped: the service counts it as
+// Guard: prevents an event that could not be read, or was incomplete, from being skipped: the service counts it as
 // delivered, and a draining endpoint in it would be used until its next change. It holds because the next watch does
-// not go on from the version of this one.
+// not start from the version of this one.
 func (t *listTracker) resumeVersion(eventsLost bool) int64 {
 	switch {
 	case t.listMissing && !t.hasList:
--- a/internal/discovery/watch/listtracker_test.go
+++ b/internal/discovery/watch/listtracker_test.go
@@ -13,7 +13,7 @@
 	"hazelwing/internal/engine"
 )
 
-// trackerScript plays one script against a tracker.
+// trackerScript runs one script against a listTracker.
 type trackerScript struct {
 	tracker *listTracker
 }
@@ -59,8 +59,8 @@
 	return out.String()
 }
 
-// parseUpdate reads the update of a command: its version and kind are arguments, its endpoints the input. An endpoint
-// "-x" is x, draining.
+// parseUpdate parses the update of a command. Its version and kind are arguments, and its endpoints are the input. "x"
+// is an active endpoint, "-x" a draining one.
 func parseUpdate(t *testing.T, d *datadriven.TestData) engine.EndpointUpdate {
 	t.Helper()
 	update := engine.EndpointUpdate{Kind: balancer.Delta}
@@ -78,7 +78,7 @@
 	return update
 }
 
-// parseStartVersion reads the version from which a watch starts.
+// parseStartVersion parses the version from which a watch starts.
 func parseStartVersion(t *testing.T, d *datadriven.TestData) int64 {
 	t.Helper()
 	var from string
@@ -112,8 +112,15 @@
 	}
 }
 
-// The scripts give the events of a watch and the results of its calls for the complete list, and hold what is
-// delivered and when the list is requested.
+// The scripts under testdata contain the events of a watch and the results of its requests for the complete list. The
+// expected output of a command is the updates to deliver and the time of the next request. The commands are:
+//
+//	new from=VERSION [agent]               creates a tracker; VERSION may be no-version or unknown-version
+//	event at=T version=N [complete]        an event of the watch; input: endpoints, "-x" for a draining one
+//	empty at=T                             an empty line of the watch
+//	request [at=T] | failed at=T           the complete list is requested, or the request has failed
+//	list version=N                         the complete list has arrived; input: endpoints
+//	end [events-lost]                      the watch has ended
 func TestListTrackerScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var script trackerScript
@@ -121,8 +128,8 @@
 	})
 }
 
-// Changes that are remembered for a list that never arrives are bounded.
-func TestPendingChangesAreBounded(t *testing.T) {
+// The number of changes that are remembered for a complete list that never arrives is limited.
+func TestPendingChangesAreLimited(t *testing.T) {
 	tracker := newListTracker(engine.UnknownVersion, true, rand.New(rand.NewPCG(1, 2)))
 	update := engine.EndpointUpdate{Kind: balancer.Delta}
 	for i := range maxPendingChanges + 1 {
@@ -131,9 +138,10 @@
 	tracker.applyEvent(0, &update)
 	tracker.listRequested(0)
 	if tracker.listRequestFailed(0) {
-		t.Errorf("the watch goes on with %d pending changes", len(tracker.pendingChanges))
+		t.Errorf("the watch continues with %d pending changes, want at most %d",
+			len(tracker.pendingChanges), maxPendingChanges)
 	}
-	if tracker.resumeVersion(true) != engine.UnknownVersion {
-		t.Error("the next watch does not start from the complete list")
+	if got := tracker.resumeVersion(true); got != engine.UnknownVersion {
+		t.Errorf("the next watch starts from version %d, want %d", got, engine.UnknownVersion)
 	}
 }
--- a/internal/discovery/watch/misbehaving_test.go
+++ b/internal/discovery/watch/misbehaving_test.go
@@ -21,7 +21,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// listedEndpoints is a transport that sends nothing and knows the endpoints that it could send to.
+// listedEndpoints is a transport that sends no requests, and records the endpoints that are listed.
 type listedEndpoints struct {
 	noTransport
 	mu     sync.Mutex
@@ -44,7 +44,7 @@
 	return fmt.Sprint(slices.Sorted(maps.Keys(l.listed)))
 }
 
-// logBuffer is a log that can be read while it is written.
+// logBuffer collects log output. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -62,9 +62,8 @@
 	return l.text.String()
 }
 
-// A discovery service delivers the list and a draining endpoint, and then misbehaves. The sidecar goes on with what it
-// knows, the draining endpoint stays draining, the log says why the list is lost, and the service is called again
-// until it recovers.
+// A discovery service delivers the list and a draining endpoint, and then misbehaves. The sidecar must keep its list
+// without the draining endpoint, log the reason for the failure, and call the service again until it recovers.
 func TestMisbehavingDiscovery(t *testing.T) {
 	reject := func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter) { panic(http.ErrAbortHandler) }
@@ -72,9 +71,9 @@
 		return func(w http.ResponseWriter) { send(w, text) }
 	}
 	for name, c := range map[string]struct {
-		onWatch func(http.ResponseWriter) // on the open watch, which ends after it; nil: nothing
-		then    func(http.ResponseWriter) // the responses to the next two calls
-		log     string                    // what the log has to contain
+		onWatch func(http.ResponseWriter) // called for the open watch before it ends; may be nil
+		then    func(http.ResponseWriter) // responds to the next two calls
+		log     string                    // text that the log must contain
 	}{
 		"rejects": {
 			nil, reject, "503 Service Unavailable",
@@ -87,10 +86,10 @@
 		},
 		"an event over the limit": {
 			sends(`{"seq":7,"x":"` + strings.Repeat("x", maxEventBytes+1)), reject,
-			"malformed watch event: it is longer than",
+			"malformed watch event: the object is longer than",
 		},
 		"no object at all": {
-			sends("xyz"), reject, "malformed watch event: 'x' is not the beginning of an object",
+			sends("xyz"), reject, "malformed watch event: found 'x', want the '{' of an object",
 		},
 		"an event that cannot be decoded": {
 			sends("{\"seq\":7,\"whole\":true,\"hosts\":7}\n"), reject, "malformed watch event",
@@ -103,14 +102,14 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // its waits are in real time
+			t.Parallel() // the test waits in real time
 			testMisbehavior(t, &misbehavingService{onWatch: c.onWatch, then: c.then}, c.log)
 		})
 	}
 }
 
-// misbehavingService is a discovery service that misbehaves once its first watch has delivered two events, for two
-// calls, and works from the fourth call on.
+// misbehavingService is a discovery service whose first watch delivers two events and then misbehaves. It also
+// misbehaves in the next two calls, and works from the fourth call on.
 type misbehavingService struct {
 	onWatch, then func(http.ResponseWriter)
 
@@ -136,7 +135,7 @@
 	}
 }
 
-// testMisbehavior runs an engine beside the service until the service has recovered.
+// testMisbehavior runs an engine that watches the service until the service has recovered.
 func testMisbehavior(t *testing.T, service *misbehavingService, wantLog string) {
 	t.Helper()
 	server := httptest.NewServer(service)
@@ -164,22 +163,22 @@
 	defer stop()
 	running.Go(func() { e.Run(ctx) })
 	testutil.Until(t, "the second call", func() bool { return service.calls.Load() > 1 })
-	for !service.recovered.Load() { // all the while: what was known, without the draining endpoint
+	for !service.recovered.Load() { // until then, the list is the known one without the draining endpoint
 		if got := endpoints.String(); service.calls.Load() < 4 && got != "[a c]" {
-			t.Fatalf("%s are listed while discovery misbehaves", got)
+			t.Fatalf("the endpoints %s are listed while the discovery service misbehaves, want [a c]", got)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	testutil.Until(t, "the list", func() bool { return endpoints.String() == "[a c d]" })
+	testutil.Until(t, "the list of the recovered service", func() bool { return endpoints.String() == "[a c d]" })
 	if text := log.String(); !strings.Contains(text, wantLog) {
 		t.Errorf("the log does not contain %q:\n%s", wantLog, text)
 	}
 	if calls := service.calls.Load(); calls > 5 {
-		t.Errorf("%d calls", calls)
+		t.Errorf("the service received %d calls, want at most 5", calls)
 	}
 }
 
-// sendNotHTTP responds with something other than HTTP.
+// sendNotHTTP sends a response that is not HTTP.
 func sendNotHTTP(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/discovery/watch/objectreader.go
+++ b/internal/discovery/watch/objectreader.go
@@ -8,21 +8,21 @@
 	"sync/atomic"
 )
 
-// objectReader splits the bytes of a watch into JSON objects, wherever they begin and end: an object may stand on a
-// line of its own or be indented over many, arrive in pieces, or together with others. This prevents a service that
-// indents its lists from ending each watch at its first line, so that no change is noticed while the log has a failed
-// watch each time. It holds because braces are counted outside strings, and lines do not matter within an object.
-// Except for partial, it is used by one goroutine at a time.
+// objectReader splits the body of a watch into JSON objects. An object may occupy one line or several, and may arrive
+// in parts or together with other objects. It finds the end of an object by counting braces and brackets outside
+// strings; line ends within an object do not matter. If it read one object per line, a watch of a service that indents
+// its lists would fail at the first line, and no change would arrive. Except for partial, it is used by one goroutine
+// at a time.
 type objectReader struct {
 	partial atomic.Bool // an object has begun and is not complete; may be read by any goroutine
 
 	reader *bufio.Reader
-	object []byte // the object that has begun, at most maxEventBytes
+	object []byte // part of the present object that has arrived
 
-	depth         int // of braces and brackets
-	inString      bool
-	escaped       bool // after a backslash in a string
-	lineHasObject bool // an object began or ended on this line
+	depth         int  // nesting depth of braces and brackets in the present object
+	inString      bool // the next byte belongs to a string
+	escaped       bool // the previous byte is a backslash in a string
+	lineHasObject bool // an object began or ended on the present line
 }
 
 func newObjectReader(body io.Reader) *objectReader {
@@ -32,9 +32,9 @@
 // next returns the text of the next object, which is valid until the next call, or nil for an empty line between two
 // objects.
 //
-// Guard: prevents a change from being held back until the next line, which may take until the next empty line:
-// draining endpoints would be used meanwhile. It holds because an object's end is found by its braces, and it is
-// returned as soon as the last one has arrived.
+// Guard: prevents a change from being delayed until the next line arrives, which may be the next empty line: draining
+// endpoints would be used in the meantime. It holds because an object is returned as soon as its last brace has
+// arrived.
 func (o *objectReader) next() ([]byte, error) {
 	o.object = o.object[:0]
 	for {
@@ -42,7 +42,7 @@
 		if err != nil {
 			return nil, o.readError(err)
 		}
-		piece, _ := o.reader.Peek(o.reader.Buffered()) // these bytes are there, so it cannot fail
+		piece, _ := o.reader.Peek(o.reader.Buffered()) // cannot fail, because these bytes are buffered
 		emptyLine, err := o.consume(piece)
 		switch {
 		case err != nil:
@@ -55,18 +55,20 @@
 	}
 }
 
-// readError returns why no object could be read: err, unless it is the end of the body.
+// readError returns the error for a failed read. It replaces io.EOF by errMalformedEvent within an object, and by
+// errWatchEnded elsewhere.
 func (o *objectReader) readError(err error) error {
 	switch {
 	case !errors.Is(err, io.EOF):
 		return err
 	case o.depth > 0:
-		return fmt.Errorf("%w: it ends in the middle", errMalformedEvent)
+		return fmt.Errorf("%w: the response ended after %d bytes of an object", errMalformedEvent, len(o.object))
 	}
 	return errWatchEnded
 }
 
-// consume takes the bytes of piece up to the end of an object or of an empty line, and discards them from the reader.
+// consume processes the bytes of piece up to the end of an object or of an empty line, and discards them from the
+// reader. emptyLine reports whether they end an empty line.
 func (o *objectReader) consume(piece []byte) (emptyLine bool, err error) {
 	n, emptyLine, err := o.skipBetween(piece)
 	if err == nil && !emptyLine {
@@ -74,15 +76,16 @@
 		o.object = append(o.object, piece[n:n+length]...)
 		n += length
 		if len(o.object) > maxEventBytes {
-			err = fmt.Errorf("%w: it is longer than %d bytes", errMalformedEvent, maxEventBytes)
+			err = fmt.Errorf("%w: the object is longer than %d bytes", errMalformedEvent, maxEventBytes)
 		}
 	}
-	_, _ = o.reader.Discard(n) // these bytes are there, so it cannot fail
+	_, _ = o.reader.Discard(n) // cannot fail, because these bytes are buffered
 	o.partial.Store(o.depth > 0)
 	return emptyLine, err
 }
 
-// skipBetween returns how many bytes stand between two objects; emptyLine says that they end an empty line.
+// skipBetween returns the number of bytes at the start of piece that lie between two objects. emptyLine reports whether
+// they end an empty line.
 func (o *objectReader) skipBetween(piece []byte) (n int, emptyLine bool, err error) {
 	if o.depth > 0 {
 		return 0, false, nil
@@ -99,13 +102,13 @@
 			o.lineHasObject = true
 			return n, false, nil
 		default:
-			return n, false, fmt.Errorf("%w: %q is not the beginning of an object", errMalformedEvent, c)
+			return n, false, fmt.Errorf("%w: found %q, want the '{' of an object", errMalformedEvent, c)
 		}
 	}
 	return len(piece), false, nil
 }
 
-// objectLength returns how many bytes of piece belong to the object that has begun, or that begins with piece.
+// objectLength returns the number of bytes of piece that belong to the present object, which may begin with piece.
 func (o *objectReader) objectLength(piece []byte) int {
 	for n, c := range piece {
 		o.scan(c)
@@ -116,7 +119,7 @@
 	return len(piece)
 }
 
-// scan tracks where an object ends. It does not check the syntax of the object.
+// scan updates the state for one byte of an object. It does not check the syntax of the object.
 func (o *objectReader) scan(c byte) {
 	switch {
 	case o.escaped:
--- a/internal/discovery/watch/session.go
+++ b/internal/discovery/watch/session.go
@@ -12,25 +12,25 @@
 	"hazelwing/internal/engine"
 )
 
-// session is one watch: a call that stays open, and the calls for the complete list beside it. One goroutine runs it.
+// session runs one watch in one goroutine: a call that stays open, and the separate requests for the complete list.
 type session struct {
 	client  *Client
 	start   time.Time
-	tracker *listTracker // its times count from start
+	tracker *listTracker // its times are durations since start
 	deliver func(engine.EndpointUpdate)
 
-	// The attempts to open the watch set these from their own goroutines.
-	reached    atomic.Bool // the service was reached, even if the call failed
-	eventsLost atomic.Bool // the watch delivered something that could not be read
+	// The goroutines of the attempts to open the watch set the following fields.
+	reached    atomic.Bool // a failed attempt has reached the service
+	eventsLost atomic.Bool // the watch has delivered data that could not be read
 }
 
-// listResult is the result of a call for the complete list.
+// listResult is the result of a request for the complete list.
 type listResult struct {
 	update engine.EndpointUpdate
 	err    error
 }
 
-// watch opens a call that stays open and delivers its events. It returns why the watch ended, as an update of kind
+// watch opens a watch and delivers its updates. When the watch ends, it returns the reason in an update of kind
 // WatchFailed.
 func (c *Client) watch(
 	ctx context.Context, version int64, deliver func(engine.EndpointUpdate),
@@ -58,7 +58,7 @@
 		return err
 	}
 	defer attempt.end()
-	defer func() { _ = attempt.value.body.Close() }() // the connection is not used again
+	defer func() { _ = attempt.value.body.Close() }() // an error is irrelevant, since the connection is not used again
 	return s.follow(attemptCtx, attempt)
 }
 
@@ -74,11 +74,11 @@
 	return opened, err
 }
 
-// follow delivers what the watch and the calls for the complete list return, and returns why the watch failed. The
-// goroutines that it starts end with ctx, which its caller ends.
+// follow delivers the updates of the watch and of the requests for the complete list until the watch fails, and returns
+// the error. The goroutines that it starts end when the caller cancels ctx.
 func (s *session) follow(ctx context.Context, watch *attempt[*stream]) error {
 	events := make(chan streamEvent)
-	lists := make(chan listResult, 1) // the goroutine of a call never blocks
+	lists := make(chan listResult, 1) // buffered, so that the goroutine of a request never blocks
 	go s.client.readEvents(ctx, watch.value, events)
 	for {
 		updates, err := s.next(ctx, watch, events, lists)
@@ -91,13 +91,12 @@
 	}
 }
 
-// next waits for one event of the session, and returns the updates to deliver because of it.
+// next waits for one event of the session, and returns the updates to deliver. The watch fails if neither an event nor
+// an empty line arrives within silenceTimeout.
 //
-// It decides when a watch counts as broken: silenceTimeout after its last event or empty line.
-//
-// Guard: prevents a service that hangs, or sends bytes that complete no event, from being taken for one that has no
-// changes: draining endpoints would be used on. It holds because only an event or an empty line resets the timeout, and
-// the context that it ends also ends a read in progress.
+// Guard: prevents a service that hangs, or sends bytes that complete no event, from being mistaken for a service
+// without changes: draining endpoints would still be used. It holds because only an event or an empty line resets the
+// timeout, and because the timeout cancels ctx, which also aborts a read in progress.
 func (s *session) next(
 	ctx context.Context, watch *attempt[*stream], events <-chan streamEvent, lists chan listResult,
 ) ([]engine.EndpointUpdate, error) {
@@ -124,7 +123,7 @@
 	}
 }
 
-// listTimer returns a channel that fires when the complete list is to be requested, or nil if it is not.
+// listTimer returns a channel that is ready when the complete list must be requested; nil if no request is necessary.
 func (s *session) listTimer() <-chan time.Time {
 	due, ok := s.tracker.nextListRequest()
 	if !ok {
@@ -133,8 +132,8 @@
 	return time.After(time.Until(s.start.Add(due)))
 }
 
-// applyListResult takes the result of a call for the complete list. It returns an error if the watch is to be
-// abandoned.
+// applyListResult processes the result of a request for the complete list. It returns the updates to deliver, or an
+// error if the watch must be abandoned.
 func (s *session) applyListResult(ctx context.Context, result listResult) ([]engine.EndpointUpdate, error) {
 	if result.err == nil {
 		return s.tracker.applyList(result.update), nil
@@ -144,5 +143,5 @@
 		return nil, nil
 	}
 	s.eventsLost.Store(true)
-	return nil, causeOf(ctx, fmt.Errorf("complete list: %w", result.err))
+	return nil, causeOf(ctx, fmt.Errorf("requesting the complete endpoint list: %w", result.err))
 }
--- a/internal/discovery/watch/startup_test.go
+++ b/internal/discovery/watch/startup_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"flag"
+	"fmt"
 	"log/slog"
 	"slices"
 	"sort"
@@ -17,7 +18,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// noTransport is a transport that sends nothing.
+// noTransport is a transport that sends no requests.
 type noTransport struct{}
 
 func (noTransport) Attempt(string, *engine.Call, time.Duration) engine.Exchange { return nil }
@@ -27,10 +28,10 @@
 // listRecorder is a transport that records when the complete list of the discovery service arrives.
 type listRecorder struct {
 	noTransport
-	cachedSeen bool         // the cached list, which comes first, has arrived
-	arrivedAt  atomic.Int64 // Unix nanoseconds
-	arrived    atomic.Bool
-	endpoints  atomic.Int64
+	cachedSeen bool         // the cached list has arrived, which is always the first one
+	arrivedAt  atomic.Int64 // time at which the list arrived, in Unix nanoseconds
+	arrived    atomic.Bool  // the list has arrived
+	endpoints  atomic.Int64 // number of endpoints in the list
 }
 
 func (l *listRecorder) Update(complete bool, endpoints []engine.Endpoint, _ time.Time) {
@@ -43,9 +44,10 @@
 }
 
 var (
-	sidecars = flag.Int("sidecars", 40, "number of sidecars that TestAllSidecarsStartAtOnce starts")
-	perCall  = flag.Duration("percall", 25*time.Millisecond, "service time of a call at the discovery service")
-	patience = flag.Duration("patience", 250*time.Millisecond, "how long a call may be queued there")
+	sidecars     = flag.Int("sidecars", 40, "number of sidecars that TestAllSidecarsStartAtOnce starts")
+	serviceTime  = flag.Duration("percall", 25*time.Millisecond, "service time of a call at the discovery service")
+	maxQueueTime = flag.Duration("patience", 250*time.Millisecond,
+		"time for which the discovery service queues a call before it rejects the call")
 )
 
 // startSidecars runs an engine for each recorder until the test ends.
@@ -78,12 +80,12 @@
 	}
 }
 
-// callRate tracks the most calls that a discovery service received in a second.
+// callRate tracks the maximum number of calls per second that a discovery service receives.
 type callRate struct {
 	service     *emulator.Discovery
 	secondStart time.Time
-	callsBefore int
-	max         int
+	callsBefore int // number of calls before secondStart
+	max         int // maximum number of calls in a second
 }
 
 func (c *callRate) sample() {
@@ -96,9 +98,9 @@
 	c.callsBefore, c.secondStart = calls, now
 }
 
-// Forty sidecars start at once, beside a discovery service that handles 40 calls a second and rejects those that would
-// be queued for more than a quarter of a second. All have its list in the end, and none calls more often than its
-// backoff allows: 0.45 s at least from start to start, or less once if the first call was rejected late.
+// Forty sidecars start at once. Their discovery service handles 40 calls per second, and rejects calls that it would
+// have to queue for more than 250 ms. All sidecars must receive the list, and none may call more often than its backoff
+// allows: there are at least 0.45 s between the starts of two calls, except once if the first call was rejected late.
 func TestAllSidecarsStartAtOnce(t *testing.T) {
 	service, err := emulator.NewDiscovery()
 	if err != nil {
@@ -108,7 +110,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		service.Set(emulator.Endpoint{Name: name, Address: "127.0.0.1:1", Health: "SERVING"})
 	}
-	service.Limit(*perCall, *patience)
+	service.Limit(*serviceTime, *maxQueueTime)
 	startedAt := time.Now()
 	recorders := make([]*listRecorder, *sidecars)
 	startSidecars(t, service.Addr(), recorders)
@@ -116,12 +118,12 @@
 	var delays []time.Duration
 	rate := &callRate{service: service, secondStart: startedAt}
 	for i, recorder := range recorders {
-		testutil.Until(t, "the list at each sidecar", func() bool {
+		testutil.Until(t, fmt.Sprintf("the list at sidecar %d", i), func() bool {
 			rate.sample()
 			return recorder.arrived.Load()
 		})
 		if n := recorder.endpoints.Load(); n != 3 {
-			t.Errorf("sidecar %d has %d endpoints", i, n)
+			t.Errorf("sidecar %d has %d endpoints, want 3", i, n)
 		}
 		delays = append(delays, time.Duration(recorder.arrivedAt.Load()-startedAt.UnixNano()))
 	}
@@ -129,13 +131,13 @@
 	calls, rejected := service.Calls()
 	last := delays[len(delays)-1]
 	late := len(delays) - sort.Search(len(delays), func(i int) bool { return delays[i] > 6*time.Second })
-	t.Logf("%d calls, %d in a second at most, %d rejected; the list after p50 %v, p90 %v, at most %v; %d after 6 s",
+	t.Logf("%d calls, at most %d per second, %d rejected; time to the list: p50 %v, p90 %v, maximum %v, %d above 6 s",
 		calls, max(rate.max, calls-rate.callsBefore), rejected, delays[len(delays)/2].Round(time.Millisecond),
 		delays[len(delays)*9/10].Round(time.Millisecond), last.Round(time.Millisecond), late)
 	if rejected == 0 {
-		t.Error("no call was rejected: this tests nothing")
+		t.Error("the service rejected no call, so its limits were not tested")
 	}
 	if maxCalls := *sidecars * (2 + int(last/(450*time.Millisecond))); calls > maxCalls {
-		t.Errorf("%d calls in %v, %d at most", calls, last, maxCalls)
+		t.Errorf("the service received %d calls in %v, want at most %d", calls, last, maxCalls)
 	}
 }
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -23,10 +23,10 @@
 	"hazelwing/internal/testutil"
 )
 
-// startVersion is the version from which startWatch starts.
+// startVersion is the version from which startWatch starts a watch.
 const startVersion = 41
 
-// startWatch starts a watch on a discovery service that responds with serve, and returns its updates.
+// startWatch starts a watch from startVersion of a discovery service whose handler is serve, and returns its updates.
 func startWatch(
 	t *testing.T, silenceTimeout time.Duration, serve http.HandlerFunc,
 ) <-chan engine.EndpointUpdate {
@@ -34,6 +34,7 @@
 	return startWatchFrom(t, startVersion, silenceTimeout, serve)
 }
 
+// startWatchFrom does the same as startWatch from any version.
 func startWatchFrom(
 	t *testing.T, version int64, silenceTimeout time.Duration, serve http.HandlerFunc,
 ) <-chan engine.EndpointUpdate {
@@ -47,13 +48,13 @@
 	return updates
 }
 
-// send writes text as a part of a response, and flushes it. The client may be disconnected: the error is ignored.
+// send writes text as part of a response and flushes it. It ignores errors, because the client may have disconnected.
 func send(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	w.(http.Flusher).Flush()
 }
 
-// sendUntilDisconnected sends text again and again.
+// sendUntilDisconnected sends text repeatedly, with a pause of interval, until the client disconnects.
 func sendUntilDisconnected(w http.ResponseWriter, r *http.Request, text string, interval time.Duration) {
 	for r.Context().Err() == nil {
 		send(w, text)
@@ -61,17 +62,18 @@
 	}
 }
 
-// hang waits until the client is disconnected.
+// hang waits until the client disconnects.
 func hang(r *http.Request) { <-r.Context().Done() }
 
-// isListRequest reports whether the call is for the complete list, and not for a watch.
+// isListRequest reports whether the request is for the complete list and not for a watch.
 func isListRequest(r *http.Request) bool { return r.URL.RawQuery == "" }
 
+// completeList43 is an event with the complete list of version 43.
 const completeList43 = `{"seq":43,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1",` +
 	`"site":"a","class":"m","block":3,"health":"SERVING","share":1.0,"born_ms":0}]}`
 
-// A watch delivers what the service sends, in its order: that it is answered, the complete list, a change, and why it
-// ended. Its call names the version to start from.
+// A watch delivers in this order: an empty update when the service responds, the complete list, a change, and the
+// failure when the connection ends. The request contains the version from which the watch starts.
 func TestWatch(t *testing.T) {
 	delta44 := strings.ReplaceAll(completeList43, `43,"whole":true`, `44,"whole":false`)
 	calls := make(chan string, 1)
@@ -80,26 +82,26 @@
 		_, _ = io.WriteString(w, "\n\n"+completeList43+"\n\n"+delta44+"\n")
 	})
 	if got := testutil.Receive(t, calls, "the call"); got != "/discovery/hosts?watch=1&from=41" {
-		t.Errorf("called %s", got)
+		t.Errorf("requested %s, want /discovery/hosts?watch=1&from=41", got)
 	}
 	for i, want := range []struct {
 		kind      balancer.UpdateKind
 		version   int64
 		endpoints int
 	}{
-		{balancer.Delta, startVersion, 0}, // the call is answered, and nothing has changed
+		{balancer.Delta, startVersion, 0}, // the service has responded, and the list has not changed
 		{balancer.CompleteList, 43, 1},
 		{balancer.Delta, 44, 1},
-		{balancer.WatchFailed, 44, 0}, // its connection ended
+		{balancer.WatchFailed, 44, 0}, // the connection has ended
 	} {
 		got := testutil.Receive(t, updates, "an update")
 		if got.Kind != want.kind || got.Version != want.version || len(got.Endpoints) != want.endpoints {
-			t.Fatalf("update %d: %+v, want %+v", i, got, want)
+			t.Fatalf("update %d is %+v, want %+v", i, got, want)
 		}
 	}
 }
 
-// eventJSON is an event of the discovery service, with endpoints such as "a" or, for one that is removed, "-b".
+// eventJSON returns an event of the discovery service. An endpoint "a" is active, an endpoint "-b" is removed.
 func eventJSON(version int, complete bool, endpoints ...string) string {
 	var hosts []string
 	for _, endpoint := range endpoints {
@@ -112,8 +114,8 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, strings.Join(hosts, ","))
 }
 
-// A watch from NoVersion delivers the complete list first, whatever the lowest version of the service, and nothing
-// older after it.
+// A watch from NoVersion delivers the complete list first, whether or not the service treats version 0 as an ordinary
+// version, and delivers nothing older after it.
 func TestCompleteListIsDeliveredFirst(t *testing.T) {
 	delta0 := eventJSON(0, false)
 	delta1 := eventJSON(1, false, "b")
@@ -121,18 +123,18 @@
 	for name, c := range map[string]struct {
 		watch []string
 		list  string
-		want  string // the last version and the endpoints that are listed then, or a failure
-		calls int
+		want  string // last version and the endpoints listed then, or a failure and the version to resume from
+		calls int    // number of requests
 	}{
-		"0 is no version":     {[]string{eventJSON(3, true, "a"), eventJSON(4, false, "b")}, "", "4 [a b]", 1},
+		"0 means no version":  {[]string{eventJSON(3, true, "a"), eventJSON(4, false, "b")}, "", "4 [a b]", 1},
 		"0 is a version":      {[]string{delta0, delta1}, list0, "1 [a b]", 2},
 		"nothing has changed": {[]string{"", delta1}, list0, "1 [a b]", 2},
 		"the list is newer": {
 			[]string{delta1, eventJSON(2, false, "-b"), eventJSON(3, false, "c")},
 			eventJSON(2, true, "a"), "3 [a c]", 2,
 		},
-		"the response is a delta":    {[]string{delta0}, eventJSON(0, false, "a"), "failed -1", 2},
-		"the response is unreadable": {[]string{delta0}, "{", "failed -1", 2},
+		"the response is a delta":  {[]string{delta0}, eventJSON(0, false, "a"), "failed -1", 2},
+		"the response is not JSON": {[]string{delta0}, "{", "failed -1", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := make(chan string, 10)
@@ -147,26 +149,26 @@
 					hang(r)
 				})
 			listed, got := map[string]bool{}, ""
-			for first := true; got != c.want; first = false { // events may be delivered before the list or after it
-				update := testutil.Receive(t, updates, "an update that leads to "+c.want+", after "+got)
+			for first := true; got != c.want; first = false { // events may arrive before or after the list
+				update := testutil.Receive(t, updates, fmt.Sprintf("an update that leads to %q, after %q", c.want, got))
 				if update.Kind == balancer.WatchFailed {
 					got = fmt.Sprint("failed ", update.Version)
 					continue
 				}
 				if first && update.Kind != balancer.CompleteList {
-					t.Errorf("delivered %+v before the complete list", update)
+					t.Errorf("the watch delivered %+v before the complete list", update)
 				}
 				apply(listed, update)
 				got = fmt.Sprint(update.Version, " ", slices.Sorted(maps.Keys(listed)))
 			}
 			if len(calls) != c.calls {
-				t.Errorf("%d calls, want %d", len(calls), c.calls)
+				t.Errorf("the service received %d calls, want %d", len(calls), c.calls)
 			}
 		})
 	}
 }
 
-// apply applies an update to the listed endpoints, as the engine does.
+// apply applies an update to the set of listed endpoints, as the engine does.
 func apply(listed map[string]bool, update engine.EndpointUpdate) {
 	if update.Kind == balancer.CompleteList {
 		clear(listed)
@@ -179,9 +181,9 @@
 	}
 }
 
-// A discovery service to which the watch is migrated delivers changes at once, even while it rejects calls for the
-// complete list, and such a rejection does not end the watch. This prevents a migrated sidecar from withholding the
-// draining endpoints that it was notified of.
+// When a watch is migrated to another discovery service, its first changes must be delivered at once, even if the
+// service rejects requests for the complete list. Otherwise the sidecar would send requests to endpoints that were
+// reported as draining. Such a rejection must not end the watch.
 func TestMigratedWatchDeliversAtOnce(t *testing.T) {
 	for name, shared := range map[string]bool{"shared service": true, "local agent": false} {
 		t.Run(name, func(t *testing.T) {
@@ -200,14 +202,14 @@
 			defer client.Watch(engine.UnknownVersion, 0, deliver)()
 			update := testutil.Receive(t, updates, "the change")
 			if update.Kind != balancer.Delta || update.Version != 5 || len(update.Endpoints) != 2 {
-				t.Fatalf("delivered %+v", update)
+				t.Fatalf("the watch delivered %+v, want a delta of version 5 with 2 endpoints", update)
 			}
 		})
 	}
 }
 
-// The service rejects the call, resets the connection or falls silent. The watch cannot go on, and the balancer would
-// use an old list forever if it were not told. The update has to be the failure, with its reason.
+// The service rejects the call, resets the connection or stops sending. The watch must deliver the failure with its
+// reason, because the balancer would otherwise use an old list forever.
 func TestWatchFails(t *testing.T) {
 	for name, c := range map[string]struct {
 		silenceTimeout time.Duration
@@ -224,7 +226,7 @@
 			func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			"",
 		},
-		// This is a discovery service that is cut off: the connection stays open and no data arrives.
+		// The network to the discovery service is interrupted: the connection stays open and no data arrives.
 		"silent from the start": {
 			50 * time.Millisecond,
 			func(_ http.ResponseWriter, r *http.Request) { hang(r) },
@@ -244,14 +246,14 @@
 			update := testutil.Receive(t, startWatch(t, c.silenceTimeout, c.serve), "the failure")
 			if update.Kind != balancer.WatchFailed || update.Err == nil ||
 				!strings.Contains(update.Err.Error(), c.want) {
-				t.Errorf("%+v, want a failure with %q", update, c.want)
+				t.Errorf("the watch delivered %+v, want a failure with %q in its error", update, c.want)
 			}
 		})
 	}
 }
 
-// The service sends an event that cannot be read, and counts it as delivered. A draining endpoint in it would be used
-// on if the next watch started behind it. The next watch has to start from the complete list.
+// The service sends an event that cannot be decoded, and counts it as delivered. The next watch must start from the
+// complete list: if it started after this event, a draining endpoint in it would still be used.
 func TestUnreadableEvent(t *testing.T) {
 	updates := startWatch(t, testutil.WaitTimeout, func(w http.ResponseWriter, r *http.Request) {
 		send(w, completeList43+"\n{\"seq\":44,}\n")
@@ -260,12 +262,12 @@
 	testutil.Receive(t, updates, "the list")
 	update := testutil.Receive(t, updates, "the failure")
 	if update.Kind != balancer.WatchFailed || update.Version != engine.UnknownVersion {
-		t.Errorf("%+v, want a failure that resumes from the complete list", update)
+		t.Errorf("the watch delivered %+v, want a failure that resumes from the complete list", update)
 	}
 }
 
-// Nothing listens at the service's address. The watch has to fail, as one that did not reach the service: the balancer
-// would otherwise not notice that the service is back, and keep the long intervals of an outage.
+// No process listens at the service's address. The watch must fail with an update that is not marked as reachable:
+// otherwise the balancer could not notice that the service is back, and would keep the long intervals of an outage.
 func TestServiceIsDown(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -277,12 +279,13 @@
 	defer client.Watch(1, 0, func(update engine.EndpointUpdate) { updates <- update })()
 	update := testutil.Receive(t, updates, "the failure")
 	if update.Kind != balancer.WatchFailed || update.Reachable {
-		t.Errorf("%+v", update)
+		t.Errorf("the watch delivered %+v, want a failure that is not marked as reachable", update)
 	}
 }
 
-// Events and complete lists may be indented: over many lines, in pieces, several at once, with braces in strings. An
-// empty line is a sign of life between two objects, and none within one.
+// Events and complete lists may be indented. They may span several lines, arrive in parts or several at once, and
+// contain braces in strings. An empty line between two objects shows that the watch is alive; within an object it does
+// not.
 func TestIndentedEvents(t *testing.T) {
 	indent := func(text string) string {
 		t.Helper()
@@ -296,11 +299,11 @@
 	second := eventJSON(2, false, "b")
 	braces := strings.ReplaceAll(eventJSON(3, false, "c"), `"127.0.0.1:1"`, `"}{\"]:1"`)
 	for name, pieces := range map[string][]string{
-		"a line each":     {first + "\n", second + "\n", braces + "\n"},
-		"indented":        {indent(first) + "\n", indent(second) + "\n", indent(braces) + "\n"},
-		"in one piece":    {indent(first) + second + "\r\n\r\n" + indent(braces)},
-		"byte by byte":    strings.Split(indent(first)+"\n\n\n"+indent(second)+indent(braces), ""),
-		"no line end yet": {first, second, braces},
+		"one per line": {first + "\n", second + "\n", braces + "\n"},
+		"indented":     {indent(first) + "\n", indent(second) + "\n", indent(braces) + "\n"},
+		"in one piece": {indent(first) + second + "\r\n\r\n" + indent(braces)},
+		"byte by byte": strings.Split(indent(first)+"\n\n\n"+indent(second)+indent(braces), ""),
+		"no line ends": {first, second, braces},
 	} {
 		t.Run(name, func(t *testing.T) {
 			updates := startWatchFrom(t, engine.NoVersion, testutil.WaitTimeout,
@@ -314,27 +317,27 @@
 			for version := int64(0); version < 3; {
 				update := testutil.Receive(t, updates, "the update")
 				if update.Kind == balancer.WatchFailed {
-					t.Fatalf("failed: %v", update.Err)
+					t.Fatalf("the watch failed: %v", update.Err)
 				}
 				apply(listed, update)
 				version = update.Version
 			}
 			if got := fmt.Sprint(slices.Sorted(maps.Keys(listed))); got != "[a b c]" {
-				t.Errorf("listed: %s", got)
+				t.Errorf("the endpoints %s are listed, want [a b c]", got)
 			}
 		})
 	}
 }
 
-// A service hangs without closing its connection: in the headers, before, after or within an event, or while it sends
-// bytes that complete none. The watch would look alive, and no change would be noticed any more. It has to be abandoned
-// in time wherever that happens, and what it may have delivered in part has to be requested again.
+// A service hangs without closing its connection, or sends bytes that complete no event. In any phase of the watch, the
+// watch must be abandoned after silenceTimeout, because no change would arrive any more. Data that may have been
+// delivered in part must be requested again.
 func TestSilenceAnywhere(t *testing.T) {
 	const interval = 5 * time.Millisecond
 	for name, c := range map[string]struct {
 		serve http.HandlerFunc
-		start int64 // 0: startVersion
-		want  int64 // the version to resume from
+		start int64 // version from which the watch starts; 0 means startVersion
+		want  int64 // version from which the next watch starts
 	}{
 		"before the headers": {
 			serve: func(_ http.ResponseWriter, r *http.Request) { hang(r) },
@@ -388,7 +391,7 @@
 				update := testutil.Receive(t, updates, "the failure")
 				if update.Kind == balancer.WatchFailed {
 					if update.Version != c.want {
-						t.Errorf("it resumes from %d, want %d", update.Version, c.want)
+						t.Errorf("the next watch starts from version %d, want %d", update.Version, c.want)
 					}
 					return
 				}
@@ -397,7 +400,7 @@
 	}
 }
 
-// serveDeltaAndNoList delivers a change and never the complete list.
+// serveDeltaAndNoList sends a delta to a watch, and never responds to a request for the complete list.
 func serveDeltaAndNoList(w http.ResponseWriter, r *http.Request) {
 	if !isListRequest(r) {
 		_, _ = io.WriteString(w, eventJSON(44, false, "b")+"\n")
@@ -406,8 +409,9 @@
 	hang(r)
 }
 
-// The watch goes on, but a call for the complete list beside it never ends. The list would stay incomplete for as long
-// as the watch lives. The call has to be hedged and then abandoned, and the watch with it if there is no list.
+// The watch works, but the responses to requests for the complete list never end. The request must be hedged and then
+// abandoned, and so must the watch if the engine has no list: otherwise the list would remain incomplete for as long as
+// the watch is open.
 func TestCompleteListNeverEnds(t *testing.T) {
 	var calls atomic.Int32
 	updates := startWatchFrom(t, engine.NoVersion, 200*time.Millisecond,
@@ -423,6 +427,6 @@
 		})
 	update := testutil.Receive(t, updates, "the failure")
 	if update.Kind != balancer.WatchFailed || calls.Load() != backoff.MaxAttempts {
-		t.Errorf("%+v after %d calls", update, calls.Load())
+		t.Errorf("delivered %+v after %d calls, want a failure after %d", update, calls.Load(), backoff.MaxAttempts)
 	}
 }
