--- a/internal/discovery/bootstrap/selector.go
+++ b/internal/discovery/bootstrap/selector.go
@@ -79,7 +79,7 @@
 	order         []Member      // all members including this one, ordered by the hashes of their names
 	rank          int           // index of this member in order
 	joined        bool          // this member has reached another member at least once
-	viewChangedAt time.Duration // time of the last UpdateMembers
+	viewChangedAt time.Duration // time of the last call of UpdateMembers
 	exclusions    *exclusionList
 
 	// fallbackAt is when to call the discovery service because there is no usable peer; 0 if no time has been drawn.
--- a/internal/discovery/bootstrap/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -181,7 +181,7 @@
 				maxCalls = max(maxCalls, calls)
 			}
 		}
-		t.Logf("joined=%v: at most %d calls per second, during %d s", joined, maxCalls, len(callsInSecond))
+		t.Logf("joined=%v: at most %d calls per second, all calls within %d s", joined, maxCalls, len(callsInSecond))
 		if maxCalls > 2*rate {
 			t.Errorf("joined=%v: %d calls in one second, want about %d and at most %d", joined, maxCalls, rate, 2*rate)
 		}
--- a/internal/discovery/dns/answer.go
+++ b/internal/discovery/dns/answer.go
@@ -66,8 +66,10 @@
 	Targets  []Target
 	TTL      time.Duration // how long the answer is valid
 	NotFound bool          // the name does not exist, or has no records of the requested type
-	Alias    string        // name of which the requested one is an alias, if the message has no records of it
-	Dropped  int           // number of targets and addresses that were invalid or exceeded Limits
+	// Alias is set if the requested name is an alias of another name, and the message has no records of that name. It
+	// is the other name, which must be looked up by another query.
+	Alias   string
+	Dropped int // number of targets and addresses that were invalid or exceeded Limits
 }
 
 // addAddr adds an address to a target of the answer, and reports whether the limits allow the address.
--- a/internal/discovery/dns/refresher.go
+++ b/internal/discovery/dns/refresher.go
@@ -164,7 +164,7 @@
 func (r *Refresher) logAnswer(answer *Answer) LogEntry {
 	switch {
 	case r.failures > 0:
-		return LogEntry{"name lookup succeeded after failures", []slog.Attr{slog.Int("failures", r.failures)}}
+		return LogEntry{"name lookup works again", []slog.Attr{slog.Int("failures", r.failures)}}
 	case answer.Dropped > 0 && answer.Dropped != r.dropped:
 		return LogEntry{"targets or addresses of the answer rejected", []slog.Attr{slog.Int("count", answer.Dropped)}}
 	}
@@ -184,7 +184,7 @@
 	case !r.hasAnswer || now >= r.expiresAt+r.cfg.StaleTTL:
 		r.failed = true
 		decision.Failed = true
-		decision.Log = LogEntry{"name lookup failed, no usable answer", []slog.Attr{slog.Any("error", err)}}
+		decision.Log = LogEntry{"name lookup failed, no answer to use", []slog.Attr{slog.Any("error", err)}}
 	case r.failures == 1:
 		decision.Log = LogEntry{"name lookup failed, using the last answer", []slog.Attr{slog.Any("error", err)}}
 	}
--- a/internal/discovery/dns/resolver_test.go
+++ b/internal/discovery/dns/resolver_test.go
@@ -47,8 +47,8 @@
 	return func(query dnsmessage.Message, _ bool) [][]byte { return reply(query, code, nil) }
 }
 
-// forgedReply returns a reply function that sends a message with a wrong target, modified by change, then bytes that
-// are not a message, an empty message and the good reply.
+// forgedReply returns a reply function that sends a forged message, bytes that are not a message, an empty message and
+// then the good reply. The forged message has a wrong target, and is modified by change.
 func forgedReply(change func(*dnsmessage.Message)) dnsserver.ReplyFunc {
 	return func(query dnsmessage.Message, tcp bool) [][]byte {
 		m := dnsserver.Message(query, 0, records{srv(60, 99, 1, 1, "evil.")}, nil, nil)
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -56,10 +56,12 @@
 // EndpointStatus describes an endpoint of the merged list, or one that a source lists but that is excluded from it.
 type EndpointStatus struct {
 	Endpoint
-	Listed  bool          `json:"In"`      // the endpoint is in the merged list
-	Reason  string        `json:"Why"`     // why the endpoint is in the merged list or excluded from it
-	Sources []string      `json:"Sources"` // names of the sources that list the endpoint, lowest rank first
-	Since   time.Duration `json:"Since"`   // when the endpoint was added to the merged list; 0 if excluded
+	Listed bool   `json:"In"`  // the endpoint is in the merged list
+	Reason string `json:"Why"` // why the endpoint is in the merged list or excluded from it
+	// Sources holds the names of the sources that list the endpoint, lowest rank first. It is empty if the endpoint is
+	// excluded.
+	Sources []string      `json:"Sources"`
+	Since   time.Duration `json:"Since"` // when the endpoint was added to the merged list; 0 if excluded
 }
 
 // Values of Change.Reason and EndpointStatus.Reason. They appear in the response to GET /members and in the log.
@@ -73,7 +75,8 @@
 	reasonShareFormat  = "held: %s may not take out so large a share"
 	reasonWindowFormat = "held: %s has taken out its share"
 
-	reasonSourceFailed    = " has failed, and may not add" // after the source's name
-	reasonReportedRemoved = " says that it has left"       // after the source's name
-	reasonNotListed       = " no longer lists it"          // after the source's name
+	// These are appended to the name of a source.
+	reasonSourceFailed    = " has failed, and may not add"
+	reasonReportedRemoved = " says that it has left"
+	reasonNotListed       = " no longer lists it"
 )
--- a/internal/discovery/reconcile.go
+++ b/internal/discovery/reconcile.go
@@ -10,10 +10,10 @@
 	"hazelwing/balancer"
 )
 
-// targetList is the merged list that follows from the lists of all sources at a given time.
+// targetList is the merged list that the sources require at a given time, without the limits on changes.
 type targetList struct {
 	endpoints map[string]Endpoint // endpoints that should be in the merged list, by ID
-	sources   map[string][]string // names of the sources that list an endpoint, lowest rank first, by endpoint ID
+	sources   map[string][]string // names of the sources of each endpoint in endpoints, lowest rank first, by ID
 	excluded  map[string]string   // reasons why listed endpoints should not be in the merged list, by endpoint ID
 }
 
@@ -145,7 +145,7 @@
 		switch {
 		case !ok:
 			m.removeOrDefer(r, current)
-		case e.StartedAtMS > current.StartedAtMS: // a newer process, which addMissing adds
+		case e.StartedAtMS > current.StartedAtMS: // addMissing adds the newer process
 			r.restarted[id] = true
 			m.remove(r, current, reasonRestarted)
 		default:
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -34,7 +34,7 @@
 	log    *slog.Logger
 
 	client    *http.Client
-	transport *http.Transport // of client
+	transport *http.Transport // transport of client
 
 	// silenceTimeout limits the time without an event or an empty line in a watch, and the time of any other call.
 	silenceTimeout time.Duration
--- a/internal/discovery/watch/hedge.go
+++ b/internal/discovery/watch/hedge.go
@@ -32,7 +32,7 @@
 
 // hedgePolicy controls when hedge makes another call; see backoff.HedgeDelay and backoff.MaxAttempts.
 type hedgePolicy struct {
-	delay       time.Duration // time between the starts of two calls of a request that has no result yet
+	delay       time.Duration // how long to wait for a result before starting the next call
 	maxAttempts int           // limits the calls of one request
 }
 
--- a/internal/discovery/watch/listtracker_test.go
+++ b/internal/discovery/watch/listtracker_test.go
@@ -129,7 +129,7 @@
 }
 
 // The number of changes that are remembered for a complete list that never arrives is limited.
-func TestPendingChangesAreLimited(t *testing.T) {
+func TestPendingChangesAreBounded(t *testing.T) {
 	tracker := newListTracker(engine.UnknownVersion, true, rand.New(rand.NewPCG(1, 2)))
 	update := engine.EndpointUpdate{Kind: balancer.Delta}
 	for i := range maxPendingChanges + 1 {
