--- a/internal/discovery/bootstrap/fallback.go
+++ b/internal/discovery/bootstrap/fallback.go
@@ -36,7 +36,8 @@
 func (s *Selector) fallback(now time.Duration, size int) Selection {
 	if s.fallbackAt == 0 {
 		seconds := s.rng.Float64() * float64(size) / s.cfg.MaxCallRate
-		s.fallbackAt = now + time.Duration(seconds*float64(time.Second)) + 1 // not 0, which means not drawn
+		// 1 is added because 0 means that no time has been drawn.
+		s.fallbackAt = now + time.Duration(seconds*float64(time.Second)) + 1
 	}
 	if delay := s.fallbackAt - now; delay > 0 {
 		return Selection{Delay: delay}
--- a/internal/discovery/merger.go
+++ b/internal/discovery/merger.go
@@ -91,8 +91,8 @@
 	return m.reconcile(now)
 }
 
-// Tick makes the changes that depend on the time alone. The caller calls it at the time that the previous call of
-// Apply, SourceFailed or Tick returned. Tick returns the same results as Apply.
+// Tick makes the changes that depend on the time alone. The caller must call it at the time that the last call
+// of Apply, SourceFailed or Tick returned. Tick returns the same results as Apply.
 func (m *Merger) Tick(now time.Duration) (changes []Change, nextTick time.Duration) {
 	return m.reconcile(now)
 }
--- a/internal/discovery/watch/errors.go
+++ b/internal/discovery/watch/errors.go
@@ -45,8 +45,8 @@
 }
 
 // reachedService reports whether a call that failed with err reached the service, which responded or closed the
-// connection. It returns false if the dial failed or the call received no data. After an outage, a service that was
-// reached is called again sooner (backoff.Scheduler.CallFailed).
+// connection. It returns false if the dial failed or the call received no data. A service that is reached again after
+// an outage is called at the fast interval again (backoff.Scheduler.CallFailed).
 func reachedService(err error) bool {
 	if errors.Is(err, errNoData) {
 		return false
