--- a/balancer/affinity.go
+++ b/balancer/affinity.go
@@ -26,7 +26,7 @@
 	}
 	r.keyHash = hash(key)
 	share := keySpread * b.keyFrequencies.add(key, keyFrequencyMemory)
-	r.keyEndpoints = minKeyEndpoints + int(share*float64(len(b.endpoints)))
+	r.keyEndpointCount = minKeyEndpoints + int(share*float64(len(b.endpoints)))
 }
 
 // withAffinity narrows candidates to the endpoints of the request's key, if it has one: the first in an
@@ -38,6 +38,6 @@
 		return c
 	}
 	isCandidate := func(ep *endpoint) bool { return b.isCandidate(&c, ep) }
-	ofKey := topByHash(b.endpoints, r.keyEndpoints, isCandidate, r.keyHash)
-	return candidates{request: r, byKey: true, ofKey: ofKey}
+	ofKey := topByHash(b.endpoints, r.keyEndpointCount, isCandidate, r.keyHash)
+	return candidates{request: r, keyOnly: true, keyEndpoints: ofKey}
 }
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -41,7 +41,7 @@
 	r.objectiveAt = b.now + min(objective, class.Deadline)
 	firstArrivedAt := class.firstAttemptAt(b.now, r.expiresAt, b.settings.Tick)
 	fullWeightUntil := r.objectiveAt + firstArrivedAt - b.now
-	r.lateRepeat = fullWeightUntil <= b.now
+	r.lateClientRetry = fullWeightUntil <= b.now
 	r.deadline = r.expiresAt - b.settings.deadlineMargin()
 	if class.LateWeight == 0 {
 		r.deadline = min(r.deadline, fullWeightUntil-noWeightMarginTicks*b.settings.Tick)
--- a/balancer/deadline_test.go
+++ b/balancer/deadline_test.go
@@ -56,7 +56,7 @@
 // the client's tries, which tells when the first arrived. A repeat that is early enough must be served. First
 // tries settle which remaining time is usual. A client with a shorter timeout than most looks the same: unless
 // a request that arrived at that time was not served, this is its first try.
-func TestStaleRepeatIsRejected(t *testing.T) {
+func TestStaleClientRetryIsRejected(t *testing.T) {
 	h := newHarness(t, testSettings()) // objective 200 ms, deadline 1 s
 	h.addEndpoints(3)
 	for i := range 20 { // first tries have 600 ms
@@ -133,9 +133,9 @@
 		h := newHarness(t, s)
 		h.b.now = h.now
 		r := h.b.newRequest(Request{ID: "1", Class: "c", ExpiresAt: h.now + 500*ms}, h.b.classes["c"])
-		if r.objectiveAt != h.now+200*ms || r.deadline != h.now+want || r.lateRepeat {
+		if r.objectiveAt != h.now+200*ms || r.deadline != h.now+want || r.lateClientRetry {
 			t.Errorf("late weight %v: objective after %v, deadline after %v, late repeat %v",
-				lateWeight, r.objectiveAt-h.now, r.deadline-h.now, r.lateRepeat)
+				lateWeight, r.objectiveAt-h.now, r.deadline-h.now, r.lateClientRetry)
 		}
 	}
 }
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -32,10 +32,10 @@
 	// silenceObjectives is the time, in mean latency objectives, after which an endpoint that fails and does not
 	// answer is silent. Higher: fewer slow endpoints are ejected, and hung ones get more requests.
 	silenceObjectives = 3.0
-	// refusalsPerConnectTimeout divides the connect timeout into the time within which a refusal comes: an
+	// refusalTimeDivisor divides the connect timeout into the time within which a refusal comes: an
 	// attempt that takes longer to fail with ConnectFailed was lost on the way. Higher: fewer failed connections
 	// eject.
-	refusalsPerConnectTimeout = 2
+	refusalTimeDivisor = 2
 )
 
 // health is what the results of attempts say of an endpoint.
@@ -55,11 +55,11 @@
 // isOnTrial reports whether the endpoint has not answered since it was ejected.
 func (h *health) isOnTrial() bool { return h.ejections > 0 }
 
-// answered takes an answer that shows the endpoint healthy, or able to tell that it is not.
-func (h *health) answered(now time.Duration) { *h = health{answeredAt: now} }
+// recordAnswer takes an answer that shows the endpoint healthy, or able to tell that it is not.
+func (h *health) recordAnswer(now time.Duration) { *h = health{answeredAt: now} }
 
-// failed counts an attempt, sent at sentAt, that got no answer.
-func (h *health) failed(sentAt time.Duration) {
+// recordFailure counts an attempt, sent at sentAt, that got no answer.
+func (h *health) recordFailure(sentAt time.Duration) {
 	h.failures++
 	if h.failures == 1 {
 		h.silentSince = sentAt
@@ -99,7 +99,7 @@
 			b.startWarmUp(ep, b.now) // perhaps a new process, which the list shows seconds later
 		}
 	}
-	ep.health.answered(b.now)
+	ep.health.recordAnswer(b.now)
 }
 
 func (b *Balancer) recordErrorAnswer(ep *endpoint) {
@@ -113,11 +113,11 @@
 
 // recordFailure counts an attempt that got no answer.
 func (b *Balancer) recordFailure(a *attempt, result Result, elapsed time.Duration) {
-	if b.isNoFailure(a, result, elapsed) {
+	if b.isInconclusive(a, result, elapsed) {
 		return
 	}
 	h := &a.endpoint.health
-	h.failed(a.sentAt)
+	h.recordFailure(a.sentAt)
 	if h.isEjected(b.now) {
 		return
 	}
@@ -134,14 +134,14 @@
 	switch {
 	case result == Reset && h.failures >= ejectionThreshold:
 		return true
-	case result == ConnectFailed && elapsed < b.settings.ConnectTimeout/refusalsPerConnectTimeout:
+	case result == ConnectFailed && elapsed < b.settings.ConnectTimeout/refusalTimeDivisor:
 		return true
 	}
 	silentFor := (b.now - h.silentSince).Seconds()
 	return h.failures >= minSilentFailures && silentFor > silenceObjectives*b.meanObjective
 }
 
-// isNoFailure reports whether an attempt that ended without an answer says nothing against its endpoint's
+// isInconclusive reports whether an attempt that ended without an answer says nothing against its endpoint's
 // health:
 //
 //   - The endpoint has answered another attempt since this one was sent: it is slow, not silent.
@@ -150,7 +150,7 @@
 //     (handleOverdueAttempt). The endpoint may only have a long queue.
 //
 // Any other that timed out, or that was overdue when it was cancelled, is a failure.
-func (b *Balancer) isNoFailure(a *attempt, result Result, elapsed time.Duration) bool {
+func (b *Balancer) isInconclusive(a *attempt, result Result, elapsed time.Duration) bool {
 	switch result {
 	case Timeout:
 		return a.answeredSince()
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -53,7 +53,7 @@
 
 // An endpoint does not answer. A single attempt without an answer happens by chance; several over a short time may
 // be a pause. It is silent, and ejected, with the second failure after three mean objectives without an answer.
-func TestSilenceIsAboutTime(t *testing.T) {
+func TestSilenceNeedsTwoFailuresAndThreeObjectives(t *testing.T) {
 	for _, c := range []struct {
 		failures  int
 		silentFor time.Duration
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -85,7 +85,7 @@
 
 // An endpoint restarts. What was learned of the former process, its latency and its ejection, would be held
 // against the new one, or hide that it is cold. All of it must be void, and the new process must warm up.
-func TestRestartIsANewProcess(t *testing.T) {
+func TestRestartResetsEndpointState(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
 	h.b.endpointsByID["u0"].latency = peakEWMA{5, h.now}
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -147,7 +147,7 @@
 
 // At two requests a second most endpoints have no recent answer: the mean latency of their kind is the best estimate.
 // The kind's name does not matter, and a failure of one endpoint is no sign of the others.
-func TestEstimateWithoutRecentAnswerIsThatOfTheKind(t *testing.T) {
+func TestEstimateWithoutRecentAnswerIsTheKindMean(t *testing.T) {
 	for _, kinds := range [][2]string{{"x", "y"}, {"y", "x"}} {
 		h := newHarness(t, testSettings())
 		var list []Endpoint
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -83,7 +83,7 @@
 }
 
 // An expensive request does not make its endpoint look slow: samples are normalized by the expected work.
-func TestExpensiveRequestIsNoSlowEndpoint(t *testing.T) {
+func TestExpensiveRequestDoesNotMakeEndpointLookSlow(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(1)
 	request := func(id string, expectedWork time.Duration) {
--- a/balancer/firstattempt.go
+++ b/balancer/firstattempt.go
@@ -52,7 +52,7 @@
 	if !c.timeLeft.isKnown() || first >= now {
 		return now
 	}
-	if c.unservedArrivals.near(first, max(tolerance, minArrivalTolerance)) {
+	if c.unservedArrivals.hasNear(first, max(tolerance, minArrivalTolerance)) {
 		return first
 	}
 	return now
--- a/balancer/firstattempt_test.go
+++ b/balancer/firstattempt_test.go
@@ -8,7 +8,7 @@
 // A client gives each of its attempts up after 400 ms and the request after 1,000 ms. Its second attempt looks like a
 // first one. The third has less than the usual time left, and is a repeat of a request that nobody served; without such
 // a request, and before the usual time is known, it is a first attempt with little patience.
-func TestFirstAttemptOfARepeat(t *testing.T) {
+func TestFirstAttemptOfClientRetry(t *testing.T) {
 	const first = 10 * time.Second
 	for _, c := range []struct {
 		name           string
--- a/balancer/frequencies.go
+++ b/balancer/frequencies.go
@@ -4,10 +4,10 @@
 	// minFrequency is the count below which a name is forgotten. Higher: less memory, and rare names are
 	// forgotten sooner.
 	minFrequency = 0.5
-	// memoryPerPrior divides the memory of frequencies into the number of names that are taken to have come
+	// priorDivisor divides the memory of frequencies into the number of names that are taken to have come
 	// before the first: shares are low while few have come. Higher: shares are more exact early, and chance
 	// counts more.
-	memoryPerPrior = 8
+	priorDivisor = 8
 )
 
 // frequencies counts how often each of many names comes. Counts are halved from time to time.
@@ -27,7 +27,7 @@
 	}
 	f.counts[name]++
 	f.total++
-	return f.counts[name] / (f.total + memory/memoryPerPrior)
+	return f.counts[name] / (f.total + memory/priorDivisor)
 }
 
 // halve halves all counts, and forgets names whose count becomes less than minFrequency.
--- a/balancer/names_test.go
+++ b/balancer/names_test.go
@@ -98,7 +98,7 @@
 }
 
 // Renaming zones, kinds, classes and tenants changes no action: they are compared for equality only.
-func TestNamesChangeNothing(t *testing.T) {
+func TestActionsDoNotDependOnNames(t *testing.T) {
 	names := map[string]string{"a": "b", "b": "a", "m": "zz", "n": "", "t": "v", "v": "t"}
 	for seed := range uint64(30) {
 		plain := actionsUnderNames(t, seed, func(name string) string { return name })
--- a/balancer/pairadmission.go
+++ b/balancer/pairadmission.go
@@ -28,7 +28,7 @@
 const (
 	pairAdmits   pairVerdict = iota // the attempt may be sent; also where no pair was probed
 	pairReplaced                    // another pair is being probed, and will decide
-	pairGivesUp                     // the request is to be given up
+	pairRejects                     // the request is to be given up
 )
 
 // admitToPair decides on an attempt after the pair for it was probed. An overloaded pair is replaced by
@@ -40,10 +40,10 @@
 		if r.pairsProbed < maxProbedPairs && b.startProbes(r) {
 			return pairReplaced
 		}
-		return pairGivesUp
+		return pairRejects
 	case pairUnknown:
 		if r.admission == undecided && len(r.attempts) == 0 {
-			return pairGivesUp
+			return pairRejects
 		}
 	}
 	return pairAdmits
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -23,29 +23,29 @@
 type relaxation int
 
 const (
-	strict           relaxation = iota
-	outsideSubset               // any endpoint, not just those of the subset
-	triedBefore                 // also those that the request has tried
-	ejectedEndpoints            // also ejected ones: better a doubtful endpoint than none
+	strict             relaxation = iota
+	allowOutsideSubset            // any endpoint, not just those of the subset
+	allowTried                    // also those that the request has tried
+	allowEjected                  // also ejected ones: better a doubtful endpoint than none
 )
 
 // candidates are the endpoints among which one is chosen for a request.
 type candidates struct {
-	request *request
-	relaxed relaxation
-	zones   zoneChoice
-	byKey   bool        // only ofKey
-	ofKey   []*endpoint // the endpoints of the request's key that meet all other conditions; there may be none
-	except  *endpoint   // that was drawn before; nil: none
+	request      *request
+	relaxed      relaxation
+	zones        zoneFilter
+	keyOnly      bool        // only ofKey
+	keyEndpoints []*endpoint // the endpoints of the request's key that meet all other conditions; there may be none
+	exclude      *endpoint   // that was drawn before; nil: none
 }
 
 // pick returns the endpoint for r's next attempt, or nil. The ordinary case is the one of two random eligible
 // endpoints of the subset, which r has not tried, that has the lower load (power of two choices). Where there
 // is none, the conditions are relaxed one by one; ejected endpoints are used only with nothing outstanding.
 func (b *Balancer) pick(r *request) *endpoint {
-	last := triedBefore
+	last := allowTried
 	if r.outstanding == 0 {
-		last = ejectedEndpoints
+		last = allowEjected
 	}
 	for relaxed := strict; relaxed <= last; relaxed++ {
 		if ep := b.pickByZone(r, relaxed); ep != nil {
@@ -58,10 +58,10 @@
 // isCandidate reports whether ep is one of the candidates.
 func (b *Balancer) isCandidate(c *candidates, ep *endpoint) bool {
 	switch {
-	case ep == c.except:
+	case ep == c.exclude:
 		return false
-	case c.byKey:
-		return slices.Contains(c.ofKey, ep)
+	case c.keyOnly:
+		return slices.Contains(c.keyEndpoints, ep)
 	}
 	return b.isInZones(c.zones, ep) && b.isEligible(c.request, ep, c.relaxed)
 }
@@ -69,13 +69,13 @@
 // isEligible reports whether ep meets all conditions that are not relaxed. Health is one of them
 // (isHealthyFor).
 func (b *Balancer) isEligible(r *request, ep *endpoint, relaxed relaxation) bool {
-	if relaxed < outsideSubset && !ep.inSubset && r.keyHash == 0 {
+	if relaxed < allowOutsideSubset && !ep.inSubset && r.keyHash == 0 {
 		return false
 	}
-	if relaxed < ejectedEndpoints && !b.isHealthyFor(ep, r) {
+	if relaxed < allowEjected && !b.isHealthyFor(ep, r) {
 		return false
 	}
-	if relaxed < triedBefore && r.hasTried(ep) {
+	if relaxed < allowTried && r.hasTried(ep) {
 		return false
 	}
 	return b.mayAttempt(r, ep)
@@ -88,7 +88,7 @@
 	if one == nil {
 		return nil
 	}
-	c.except = one
+	c.exclude = one
 	return b.lowerLoad(one, b.draw(&c))
 }
 
@@ -100,9 +100,9 @@
 	return other
 }
 
-// pickOfPair returns the one with the lower load of the pair that was probed for the request, or nil. One
+// pickFromPair returns the one with the lower load of the pair that was probed for the request, or nil. One
 // of it that did not report counts as the higher.
-func (b *Balancer) pickOfPair(c candidates) *endpoint {
+func (b *Balancer) pickFromPair(c candidates) *endpoint {
 	var one, two *endpoint
 	for _, ep := range c.request.pair.endpoints {
 		if ep != nil && b.isCandidate(&c, ep) && c.request.pair.hasReport(ep) {
--- a/balancer/pressure_test.go
+++ b/balancer/pressure_test.go
@@ -64,7 +64,7 @@
 // A quiet sidecar has two requests in flight that take long, by chance. Measured by these two alone it would
 // shed the next ones though endpoints are idle. While the mean in flight is low they must count as no overload;
 // a queue still must.
-func TestFewInFlightAreNoOverload(t *testing.T) {
+func TestFewRequestsInFlightAreNotAnOverload(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
 	for i := range 120 { // ten a second, one after the other
@@ -95,7 +95,7 @@
 // Pressure is the requests in flight over those that can be served within the wait limit: with 100 answers a second and
 // an objective of 200 ms that is 100 × 0.2 × 0.65 = 13 requests. There is none with a single request, and none with
 // fewer than a sidecar's part of the endpoints.
-func TestPressureIsLittlesLaw(t *testing.T) {
+func TestPressureFollowsLittlesLaw(t *testing.T) {
 	for _, c := range []struct {
 		inFlight            int
 		endpointsPerSidecar float64
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -27,9 +27,9 @@
 	// maxProbeLatencies is the latency of probes, in mean latencies of a request, above which they are
 	// slow. Higher: more requests wait longer for them.
 	maxProbeLatencies = 0.25
-	// slowProbeOneIn: where probes are slow, one request in this many still probes. Higher: fewer requests
+	// slowProbeInterval: where probes are slow, one request in this many still probes. Higher: fewer requests
 	// wait, and probes that are fast again are noticed later.
-	slowProbeOneIn = 32
+	slowProbeInterval = 32
 	// probeProbability is the quantile of probe latency by which the wait for probes is measured;
 	// probeWaitLatencies times it, and probeWaitTicks, are waited. Higher: fewer probes are in vain, and
 	// lost ones delay requests longer.
@@ -112,7 +112,7 @@
 	if !b.probesBeforePick() || r.outstanding > 0 {
 		return false
 	}
-	if b.probes.isSlow(b.latency.meanNormalized) && b.rng.IntN(slowProbeOneIn) > 0 {
+	if b.probes.isSlow(b.latency.meanNormalized) && b.rng.IntN(slowProbeInterval) > 0 {
 		return false
 	}
 	if !b.drawPair(r) {
@@ -151,8 +151,8 @@
 	if b.crossZoneCost() != 0 {
 		c.zones = homeZone
 	}
-	c.except = b.draw(&c)
-	one, two := c.except, b.draw(&c)
+	c.exclude = b.draw(&c)
+	one, two := c.exclude, b.draw(&c)
 	if two == nil {
 		return false
 	}
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -86,7 +86,7 @@
 }
 
 // Pairs are probed only where probes are allowed, report load, cost little and are answered fast.
-func TestPairsAreNotAlwaysProbed(t *testing.T) {
+func TestConditionsForProbingPairs(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"not allowed": func(s *Settings) { s.Probes = false },
 		"no report":   func(s *Settings) { s.ProbesReportLoad = false },
@@ -243,7 +243,7 @@
 
 // Two probes may cost 2 % of service. Up to half of that they are cheap, and used by any sidecar; above, only where
 // sidecars are many.
-func TestProbesAreUsedByTheirPrice(t *testing.T) {
+func TestProbeUseDependsOnPrice(t *testing.T) {
 	for _, c := range []struct {
 		price     float64
 		balancers int
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -44,7 +44,7 @@
 	settings Settings
 	now      time.Duration
 	requests map[string]*checkedRequest
-	order    []string // IDs of requests that are not finished, in order of arrival
+	openIDs  []string // IDs of requests that are not finished, in order of arrival
 	active   map[string]Endpoint
 	timers   []time.Duration
 	probes   []string // in flight; their results arrive late, in any order, or never
@@ -287,7 +287,7 @@
 	id := fmt.Sprint(tick, "-", g.Uint32())
 	q := &checkedRequest{class: class, expiresAt: c.now + time.Duration(1+g.IntN(int(class.Deadline/ms)))*ms}
 	c.requests[id] = q
-	c.order = append(c.order, id)
+	c.openIDs = append(c.openIDs, id)
 	handle(Request{
 		ID:           id,
 		Class:        class.Name,
@@ -328,8 +328,8 @@
 	case 0:
 		handle(Outcome{ID: "nobody", Result: OK, Finished: true})
 	case 1:
-		if n := len(c.order); n > 0 {
-			id := c.order[g.IntN(n)]
+		if n := len(c.openIDs); n > 0 {
+			id := c.openIDs[g.IntN(n)]
 			unsent := len(c.requests[id].attempts) + g.IntN(3)
 			handle(Outcome{ID: id, Attempt: unsent, Result: OK, Finished: true})
 		}
@@ -357,7 +357,7 @@
 }
 
 func (c *ruleChecker) randomOutcomes(g *rand.Rand, handle func(Event)) {
-	for _, id := range c.order {
+	for _, id := range c.openIDs {
 		q := c.requests[id]
 		for n := 0; n < len(q.attempts); n++ {
 			c.randomOutcome(g, handle, id, n)
@@ -366,7 +366,7 @@
 			c.t.Fatalf("%s: no answer %v after the deadline", id, c.now-q.expiresAt)
 		}
 	}
-	c.order = slices.DeleteFunc(c.order, func(id string) bool {
+	c.openIDs = slices.DeleteFunc(c.openIDs, func(id string) bool {
 		q := c.requests[id]
 		return q.finished && !q.anyInFlight()
 	})
--- a/balancer/recent.go
+++ b/balancer/recent.go
@@ -19,8 +19,8 @@
 	a.count++
 }
 
-// near reports whether one of them arrived within tolerance of at.
-func (a *recentArrivals) near(at, tolerance time.Duration) bool {
+// hasNear reports whether one of them arrived within tolerance of at.
+func (a *recentArrivals) hasNear(at, tolerance time.Duration) bool {
 	for _, t := range a.times[:min(a.count, maxArrivals)] {
 		if (t - at).Abs() <= tolerance {
 			return true
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -63,24 +63,24 @@
 
 // request is a request that has no final answer, or attempts outstanding.
 type request struct {
-	id            string
-	class         *classState
-	tenantIndex   int // -1: not a known tenant
-	arrivedAt     time.Duration
-	expiresAt     time.Duration // when the client stops waiting (deadline.go)
-	objectiveAt   time.Duration
-	deadline      time.Duration // when the request is given up
-	relativeWork  float64       // expected work, relative to the mean request
-	priorAttempts []PriorAttempt
-	attempts      []*attempt
-	outstanding   int
-	lateRepeat    bool // a client's repeat after the objective of its first attempt
-	done          bool
-	streaming     bool          // its answer has begun
-	overdueAt     time.Duration // when its latest attempt is overdue
+	id              string
+	class           *classState
+	tenantIndex     int // -1: not a known tenant
+	arrivedAt       time.Duration
+	expiresAt       time.Duration // when the client stops waiting (deadline.go)
+	objectiveAt     time.Duration
+	deadline        time.Duration // when the request is given up
+	relativeWork    float64       // expected work, relative to the mean request
+	priorAttempts   []PriorAttempt
+	attempts        []*attempt
+	outstanding     int
+	lateClientRetry bool // a client's repeat after the objective of its first attempt
+	done            bool
+	streaming       bool          // its answer has begun
+	overdueAt       time.Duration // when its latest attempt is overdue
 
-	keyHash      uint64 // of its affinity key; 0: it has none, or endpoints do not cache by key
-	keyEndpoints int    // number of endpoints that its key has
+	keyHash          uint64 // of its affinity key; 0: it has none, or endpoints do not cache by key
+	keyEndpointCount int    // number of endpoints that its key has
 
 	rank        float64 // of its weight among recent requests, 0 to 1
 	admission   admissionVerdict
@@ -148,7 +148,7 @@
 		return
 	}
 	switch b.admitToPair(r) {
-	case pairGivesUp:
+	case pairRejects:
 		b.giveUp(r)
 		return
 	case pairReplaced:
@@ -162,7 +162,7 @@
 		b.giveUp(r)
 		return
 	}
-	b.logWarmUpLimiting()
+	b.logWarmUpDelay()
 	b.schedule(b.now+eligiblePollTicks*b.settings.Tick, timerAdvance, r)
 }
 
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -189,8 +189,8 @@
 	return max(n, s.longest/maxListShrinkage)
 }
 
-// logWarmUpLimiting logs that slow start may delay a request, once until the next endpoint has warmed up.
-func (b *Balancer) logWarmUpLimiting() {
+// logWarmUpDelay logs that slow start may delay a request, once until the next endpoint has warmed up.
+func (b *Balancer) logWarmUpDelay() {
 	if warmingUp := b.warmingUpCount(); warmingUp > 0 && !b.slowStart.delayLogged {
 		b.slowStart.delayLogged = true
 		b.log("requests wait for endpoints that are warming up",
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -203,7 +203,7 @@
 // An endpoint returns from ejection, as after a pause. Taken for a restart, it would be idle for the whole
 // warm-up while the others are overloaded. It must get one trial and then its share: only the endpoint list
 // tells of a restart.
-func TestReturnFromEjectionIsNoWarmUp(t *testing.T) {
+func TestReturnFromEjectionStartsNoWarmUp(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
 	ep := h.b.endpoints[0]
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -25,7 +25,7 @@
 	if !b.settings.WeightByWork {
 		weight /= r.relativeWork
 	}
-	if r.lateRepeat {
+	if r.lateClientRetry {
 		weight *= r.class.LateWeight
 	}
 	if r.tenantIndex >= 0 && b.isBeyondQuota(r.tenantIndex) {
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -20,17 +20,17 @@
 	minCrossZoneLatencies = 0.25
 )
 
-// zoneChoice is the zones that candidates are in.
-type zoneChoice int
+// zoneFilter is the zones that candidates are in.
+type zoneFilter int
 
 const (
-	anyZone zoneChoice = iota
+	anyZone zoneFilter = iota
 	homeZone
 	otherZones
 )
 
 // isInZones reports whether ep is in the zones of a choice.
-func (b *Balancer) isInZones(zones zoneChoice, ep *endpoint) bool {
+func (b *Balancer) isInZones(zones zoneFilter, ep *endpoint) bool {
 	switch zones {
 	case homeZone:
 		return ep.zone == b.settings.Zone
@@ -59,7 +59,7 @@
 // pickForRequest picks from the pair that was probed for the request, from the endpoints of its key, or
 // from all candidates.
 func (b *Balancer) pickForRequest(c candidates) *endpoint {
-	if ep := b.pickOfPair(c); ep != nil {
+	if ep := b.pickFromPair(c); ep != nil {
 		return ep
 	}
 	return b.powerOfTwoChoices(b.withAffinity(c))
