--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,17 +1,18 @@
 package balancer
 
-// Admission control: which requests are shed on arrival, that is rejected unsent, so that the others are
-// served in time.
+// Admission control decides which requests are shed on arrival, that is, rejected without an attempt, so
+// that the remaining ones are served in time.
 //
-// A request is shed while the pressure is above what its weight allows, or while too many requests end late
-// for one of its rank. Where probes are cheap it is then only undecided, and the load that a pair of
-// endpoints reports decides (pairadmission.go).
+// A request is shed while the pressure is above the level that its rank allows, or while so many requests
+// end late that requests of its rank are no longer admitted. Where probes are cheap, such a request is not
+// shed at once but marked undecided; the load that a pair of probed endpoints reports then decides
+// (pairadmission.go).
 //
-// Inputs: the request's weight among recent ones (rank, 0 to 1; weight.go), the pressure (pressure.go) and
-// the admitted share (share of requests; admissionlimits.go).
+// Inputs: the rank of the request's weight among recent ones (0 to 1; weight.go), the pressure
+// (pressure.go) and the admitted share (share of requests; admissionlimits.go).
 //
-// Why: beyond capacity, requests that all wait end late together, and late work crowds out work in time.
-// The lowest weights go first.
+// Why: beyond capacity, requests that all wait all end late, and late work displaces work that could still
+// be in time. Requests of the lowest weight are shed first.
 
 import (
 	"math"
@@ -19,35 +20,36 @@
 )
 
 const (
-	// fullPressure is the pressure at which the requests in flight take all of their wait limit.
+	// fullPressure is the pressure at which the requests in flight use up their wait limit.
 	fullPressure = 1.0
-	// rankAllowance is the pressure beyond fullPressure at which the request of the highest rank is still
-	// admitted. Higher: the weights matter more, and more is in flight.
+	// rankAllowance is the additional pressure above fullPressure up to which the request of the highest
+	// rank is admitted. A higher value gives weights more influence and allows more requests in flight.
 	rankAllowance = 0.5
 )
 
-// admissionVerdict is what admission control says of a request on its arrival.
+// admissionVerdict is the decision of admission control about an arriving request.
 type admissionVerdict int
 
 const (
 	admitted  admissionVerdict = iota
-	undecided                  // to be shed, unless the pair that is probed for it reports capacity
+	undecided                  // shed unless the pair that is probed for the request reports capacity
 	shed
 )
 
-// admissionControl sheds requests of the lowest rank by the pressure, and after late requests in a row.
+// admissionControl sheds requests of the lowest rank, according to the pressure and to consecutive late
+// requests.
 type admissionControl struct {
 	meter   pressureMeter
 	limits  admissionLimits
 	weights recentRanks
-	shedAt  time.Duration // when a request was last shed on arrival, or undecided; 0: not recently
+	shedAt  time.Duration // when a request was last shed or undecided on arrival; 0 if shedding has stopped
 }
 
 func newAdmissionControl() admissionControl {
 	return admissionControl{meter: newPressureMeter(), limits: newAdmissionLimits()}
 }
 
-// admit decides on a request that arrives.
+// admit decides whether an arriving request is admitted.
 func (b *Balancer) admit(r *request) admissionVerdict {
 	r.rank = b.admission.weights.rankAndAdd(b.weightOf(r), b.rng.Float64())
 	ok := b.admission.allows(r.rank, b.pressure())
@@ -61,14 +63,14 @@
 	return shed
 }
 
-// allows reports whether a request of this rank is admitted at this pressure and with the present limits.
+// allows reports whether a request of this rank is admitted at this pressure and with the current limits.
 func (a *admissionControl) allows(rank, pressure float64) bool {
 	return pressure <= fullPressure+rankAllowance*rank && rank >= 1-a.limits.admittedShare
 }
 
-// logShedding logs the beginning and the end of a time in which requests are not admitted on arrival. A
-// request that is undecided counts, though its pair may still admit it. One that admitToPair sheds does not:
-// it appears in no log line.
+// logShedding logs when requests start and stop being refused admission on arrival. An undecided request
+// counts as refused, even though its pair may still admit it. Requests that admitToPair sheds do not count
+// and appear in no log line.
 func (b *Balancer) logShedding(ok bool) {
 	a := &b.admission
 	if !ok && a.shedAt == 0 {
--- a/balancer/admissionlimits.go
+++ b/balancer/admissionlimits.go
@@ -1,60 +1,65 @@
 package balancer
 
-// Admission limits: how much admission control admits, learned from whether requests end before their
-// objectives. There are two feedback loops. Each request that misses its objective lowers the admitted share;
-// if an overloaded endpoint was the reason, it also lowers the wait limit. Each that meets it raises both.
+// Admission limits determine how much admission control admits. They adapt to whether requests end before
+// their objectives, in two feedback loops. Each request that misses its objective lowers the admitted
+// share; if an overloaded endpoint caused the miss, it also lowers the wait limit. Each request that meets
+// its objective raises both.
 //
 // Inputs: when a request ended and its objective (times of Handle's clock), the pressure, and whether the
-// endpoint of its latest attempt has answered since.
+// endpoint of its latest attempt has answered since that attempt was sent.
 //
-// Why: endpoints that slow down when overloaded do so long before latencies come near objectives that are
-// many times the work: the wait limit follows them. Pressure does not see the congestion that many quiet
-// sidecars sustain by the one or two requests that each has in flight: the admitted share ends it.
+// Why: endpoints that slow down under overload do so long before latencies approach objectives that are
+// many times the work of a request, so the wait limit adapts to them. Pressure does not detect congestion
+// that many quiet sidecars sustain with one or two requests in flight each; lowering the admitted share
+// ends it.
 
 const (
-	// maxWaitLimit is the share of their objective that requests in flight may wait. Higher: less is shed,
-	// and more ends late.
+	// maxWaitLimit is the largest share of their objective that requests in flight may wait. A higher value
+	// sheds fewer requests and lets more of them end late.
 	maxWaitLimit = 0.65
-	// minWaitLimit is what the wait limit falls to where endpoints are overloaded. Higher: as for maxWaitLimit.
+	// minWaitLimit is the lower bound of the wait limit, reached where endpoints are overloaded. A higher
+	// value has the same trade-off as a higher maxWaitLimit.
 	minWaitLimit = 0.33
-	// waitLimitStep is the relative decrease of the wait limit for a request that an overloaded endpoint
-	// made late. Higher: it follows a slowdown sooner, and chance more.
+	// waitLimitStep is the relative decrease of the wait limit for each request that an overloaded endpoint
+	// made late. A higher value follows a slowdown sooner, but also reacts more to chance.
 	waitLimitStep = 0.06
-	// allowedLateShare is the share of requests that may be late before the wait limit falls: the increase
-	// for one in time, in steps. Higher: less is shed, and more ends late.
+	// allowedLateShare is the share of requests that may be late before the wait limit falls. It is the
+	// increase for a request in time, as a fraction of waitLimitStep. A higher value sheds fewer requests
+	// and lets more of them end late.
 	allowedLateShare = 0.05
-	// admittedIncrease is the factor on the admitted share for a request in time, admittedDecrease that for
-	// a late one: they even out where four in ten are late. Both nearer to 1: steadier, and congestion ends
-	// later.
+	// admittedIncrease multiplies the admitted share for each request in time, and admittedDecrease for
+	// each late one. They balance when four in ten requests are late. Values closer to 1 make the share
+	// steadier, and congestion lasts longer.
 	admittedIncrease = 1.3
 	admittedDecrease = 0.7
-	// minAdmittedShare is the share of requests that is admitted at least. Higher: the end of congestion is
-	// noticed sooner, and more work feeds it.
+	// minAdmittedShare is the smallest share of requests that is admitted. A higher value detects the end
+	// of congestion sooner, but admits more work that sustains it.
 	minAdmittedShare = 0.1
-	// maxAdmittedShare bounds the admitted share; above 1, because a few late requests in a row are chance.
-	// Higher: it takes more of them in a row until requests are shed.
+	// maxAdmittedShare is the upper bound of the admitted share. It is above 1 because a few consecutive
+	// late requests happen by chance. With a higher value, it takes more consecutive late requests until
+	// requests are shed.
 	maxAdmittedShare = 2.5
 )
 
-// admissionLimits are the limits that late requests narrow. A request is in time that ends, answered or not,
-// earlier than the deadline margin before its objective; otherwise it is late.
+// admissionLimits are the limits that late requests lower. A request is in time if it ends, answered or
+// not, before its objective less the deadline margin; otherwise it is late.
 type admissionLimits struct {
 	wait          float64 // share of their objective that requests in flight may wait
-	admittedShare float64 // share of requests to admit, by rank; above 1: all
+	admittedShare float64 // share of requests to admit, highest ranks first; 1 or more admits all
 }
 
 func newAdmissionLimits() admissionLimits {
 	return admissionLimits{wait: maxWaitLimit, admittedShare: maxAdmittedShare}
 }
 
-// recordInTime widens the limits for a request that ended in time.
+// recordInTime raises the limits after a request that ended in time.
 func (l *admissionLimits) recordInTime() {
 	l.admittedShare = min(maxAdmittedShare, l.admittedShare*admittedIncrease)
 	l.wait = min(maxWaitLimit, l.wait*(1+waitLimitStep*allowedLateShare))
 }
 
-// recordLate narrows the limits for a request that ended late, the wait limit only where an overloaded
-// endpoint made it late.
+// recordLate lowers the admitted share after a request that ended late, and also the wait limit if an
+// overloaded endpoint made it late.
 func (l *admissionLimits) recordLate(overloaded bool) {
 	l.admittedShare = max(minAdmittedShare, l.admittedShare*admittedDecrease)
 	if overloaded {
@@ -62,9 +67,10 @@
 	}
 }
 
-// adaptLimits widens the limits for a request that ended in time, and narrows them for one that ended late:
-// the admitted share for any, the wait limit only under pressure and where the endpoint has answered since
-// the latest attempt. One that has not is paused or hung, not overloaded.
+// adaptLimits raises the limits after a request that ended in time, and lowers them after one that ended
+// late. It lowers the admitted share in any case, but the wait limit only under pressure and if the
+// endpoint has answered since it was sent the latest attempt: an endpoint that has not answered is paused
+// or hung, not overloaded.
 func (b *Balancer) adaptLimits(r *request) {
 	if len(r.attempts) == 0 {
 		return
--- a/balancer/affinity.go
+++ b/balancer/affinity.go
@@ -1,25 +1,27 @@
 package balancer
 
-// Affinity: which endpoints serve the requests of one key, where endpoints cache by key.
+// Affinity determines which endpoints serve the requests with the same affinity key, where endpoints cache
+// by key.
 //
-// Inputs: the key, its share of recent requests that have one (0 to 1), and the number of endpoints.
+// Inputs: the key, its share of the recent requests that have a key (0 to 1), and the number of endpoints.
 //
-// Why: an endpoint that served a key lately needs less work for it; a key with much traffic would overload
-// few.
+// Why: an endpoint that recently served a key needs less work for it, but a key with much traffic would
+// overload a small number of endpoints.
 
 const (
-	// minKeyEndpoints is the number of endpoints that each key has: two, so that the lower load decides.
-	// Higher: loads are more even, and caches hit less.
+	// minKeyEndpoints is the minimum number of endpoints for each key. It is two, so that the one with the
+	// lower load can be chosen. A higher value balances loads better and causes more cache misses.
 	minKeyEndpoints = 2
-	// keySpread is a key's share of endpoints beyond those, in shares of requests that have the key.
-	// Higher: as for minKeyEndpoints, for keys with much traffic.
+	// keySpread determines how many endpoints a key gets in addition to minKeyEndpoints: their share of all
+	// endpoints is keySpread times the key's share of requests. A higher value has the same trade-off as a
+	// higher minKeyEndpoints, for keys with much traffic.
 	keySpread = 2.0
-	// keyFrequencyMemory is the number of requests over which those shares are counted. Higher: steadier,
-	// and a key that becomes hot spreads later.
+	// keyFrequencyMemory is the number of recent requests from which the shares of keys are computed. A
+	// higher value makes shares steadier, and a key that becomes hot spreads to more endpoints later.
 	keyFrequencyMemory = 200.0
 )
 
-// setAffinity sets the number of endpoints that r's key has.
+// setAffinity sets the hash of r's affinity key and the number of endpoints that serve the key.
 func (b *Balancer) setAffinity(r *request, key string) {
 	if !b.settings.KeyAffinity || key == "" {
 		return
@@ -29,15 +31,15 @@
 	r.keyEndpointCount = minKeyEndpoints + int(share*float64(len(b.endpoints)))
 }
 
-// withAffinity narrows candidates to the endpoints of the request's key, if it has one: the first in an
-// order that the key gives, the same at every sidecar (rendezvous hashing). It saves work that another
-// endpoint has cached. Among them the lower load still decides.
+// withAffinity restricts the candidates to the endpoints of the request's key, if it has one. They are
+// chosen by rendezvous hashing of the key, so that all sidecars choose the same ones and requests reach
+// endpoints that have the result cached. Among them, the endpoint with the lower load is still preferred.
 func (b *Balancer) withAffinity(c candidates) candidates {
 	r := c.request
 	if r.keyHash == 0 {
 		return c
 	}
 	isCandidate := func(ep *endpoint) bool { return b.isCandidate(&c, ep) }
-	ofKey := topByHash(b.endpoints, r.keyEndpointCount, isCandidate, r.keyHash)
-	return candidates{request: r, keyOnly: true, keyEndpoints: ofKey}
+	keyEndpoints := topByHash(b.endpoints, r.keyEndpointCount, isCandidate, r.keyHash)
+	return candidates{request: r, keyOnly: true, keyEndpoints: keyEndpoints}
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,8 +1,8 @@
 package balancer
 
-// The state on which decisions are made, and the dispatch of events to the rules. Each rule has a file and,
-// where it keeps state of its own, a type there. Times are those of Handle's clock, unless they are
-// durations by their name.
+// This file holds the state on which decisions are based and dispatches events to the rules. Each rule has
+// its own file and, where it keeps state, its own type there. Fields and parameters of type time.Duration
+// are times of Handle's clock, unless their names denote durations.
 
 import (
 	"math/rand/v2"
@@ -11,41 +11,41 @@
 	"hazelwing/internal/backoff"
 )
 
-// The streams of the random generators that a Balancer has.
+// Stream numbers of the random generators of a Balancer.
 const (
 	decisionStream = 0x9e3779b97f4a7c15
 	backoffStream  = 0x61736b
 )
 
-// Balancer is the decisions of one sidecar. It is not safe for concurrent use.
+// Balancer makes the load-balancing decisions of one sidecar. It is not safe for concurrent use.
 type Balancer struct {
 	settings      Settings
 	rng           *rand.Rand
 	now           time.Duration
-	actions       []Action // that answer the current event
+	actions       []Action // actions in response to the current event
 	timers        timerHeap
-	timerAt       time.Duration // the earliest requested timer; 0: none
-	meanObjective float64       // seconds, over classes
+	timerAt       time.Duration // time of the earliest requested timer; 0 if none is set
+	meanObjective float64       // mean latency objective over all classes, in seconds
 
 	classes       map[string]*classState
 	requests      map[string]*request
 	endpointsByID map[string]*endpoint
-	endpoints     []*endpoint // in order of first appearance: the only order that picks depend on
+	endpoints     []*endpoint // in order of first appearance; picks depend on no other order
 
 	subscription   subscription
 	latency        latencyEstimates
 	load           loadEstimates
-	offeredRate    rate // arriving work that was not shed, in mean requests
+	offeredRate    rate // rate of arriving work that was not shed, in mean requests
 	admission      admissionControl
-	tenantRates    []rate      // arriving requests by tenant
-	keyFrequencies frequencies // of affinity keys
+	tenantRates    []rate      // rate of arriving requests by tenant
+	keyFrequencies frequencies // how often each affinity key is requested
 	retries        retryBudget
 	probes         probing
 	slowStart      slowStart
 	subset         subset
 }
 
-// New returns the decisions of one sidecar, or an error that names the setting that cannot be used.
+// New returns a Balancer for one sidecar, or an error that names the invalid setting.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -70,14 +70,14 @@
 	}
 	b.latency = newLatencyEstimates(b.meanObjective)
 	b.subset = newSubset(b.rng.Uint64())
-	// A generator of its own: picks must not depend on how often the subscription was retried.
+	// The backoff has its own generator, so that picks do not depend on the number of subscription retries.
 	backoffRNG := rand.New(rand.NewPCG(seed, backoffStream))
 	b.subscription.backoff = backoff.NewScheduler(backoff.ServiceConfig(s.Balancers), backoffRNG)
 	return b, nil
 }
 
-// Handle takes the event e, which happened at now, and appends the actions that answer it to actions. A now
-// before that of an earlier call counts as that one.
+// Handle processes the event e, which happened at now, appends the resulting actions to actions and returns
+// the extended slice. If now is before the time of an earlier call, that time is used.
 func (b *Balancer) Handle(now time.Duration, e Event, actions []Action) []Action {
 	b.now = max(now, b.now)
 	b.actions = actions
--- a/balancer/connections.go
+++ b/balancer/connections.go
@@ -1,20 +1,21 @@
 package balancer
 
-// Idle connections: whether the connections to an endpoint are closed after the last attempt on it.
+// This rule determines whether the idle connections to an endpoint are closed after its last outstanding
+// attempt has ended.
 //
-// Inputs: the endpoint's outstanding attempts (number), the number of sidecars, and the prices of open
-// connections and of handshakes (share of service).
+// Inputs: the number of the endpoint's outstanding attempts, the number of sidecars, and the prices of open
+// connections and of handshakes (shares of service).
 //
-// Why: connections that wait for the next request fill the connection tables of all endpoints where
-// sidecars are many.
+// Why: with many sidecars, connections that wait for the next request fill the connection tables of all
+// endpoints.
 
-// pricedConnections is the number of open connections for each endpoint that PriceOpenConnection is the
-// price of.
+// pricedConnections is the number of open connections for each endpoint to which PriceOpenConnection
+// applies.
 const pricedConnections = 100
 
-// closeIdle closes the idle connections to ep where open connections are expensive. It prevents tables full
-// of idle connections: where pricedConnections handshakes a sidecar are cheaper, one idle connection of
-// each sidecar costs more than a new one in each round of the list.
+// closeIdle closes the idle connections to ep if open connections are so expensive that one idle connection
+// of each sidecar to each endpoint costs more than a handshake for each request. It prevents connection
+// tables from filling up with idle connections.
 func (b *Balancer) closeIdle(ep *endpoint) {
 	openPrice := b.settings.PriceOpenConnection * float64(b.settings.Balancers)
 	if len(ep.outstanding) == 0 && openPrice > pricedConnections*b.settings.PriceHandshake {
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -1,40 +1,43 @@
 package balancer
 
-// Deadlines: until when an answer to a request has its full weight, when the request is given up, and whether
-// it is a client's repeat that comes too late to have its full weight.
+// Deadlines determine until when an answer to a request has its full weight, when the sidecar gives the
+// request up, and whether the request is a client retry that arrives too late to have its full weight.
 //
-// A request has three clocks:
+// A request has three time limits:
 //
-//   - its objective (objectiveAt): an answer until then has its full weight, a later one LateWeight of it;
-//   - its deadline (deadline): when the sidecar gives it up and answers itself;
-//   - its expiry (expiresAt): when the client stops waiting. The deadline is before it by a margin for the
-//     delivery, and also before the objective where a late answer has no weight.
+//   - Objective (objectiveAt): an answer up to this time has its full weight; a later one has LateWeight of
+//     it.
+//   - Deadline (deadline): at this time the sidecar gives the request up and answers it itself.
+//   - Expiry (expiresAt): at this time the client stops waiting. The deadline precedes it by a margin for
+//     the delivery of the answer, and also precedes the objective if a late answer has no weight.
 //
-// Inputs: the class's latency objective, objective stretch, deadline and late weight; the expected work; the
-// client's deadline; the tick; and when the client's first attempt arrived (firstattempt.go). All are
-// durations, or times of Handle's clock.
+// Inputs: the class's latency objective, objective stretch, deadline and late weight; the expected work;
+// the client's deadline; the tick; and the arrival time of the client's first attempt (firstattempt.go).
+// All are durations or times of Handle's clock.
 //
-// Why: the last answer must reach the client before it stops waiting. Work on an answer without weight takes
-// capacity from requests that have some; that includes a client's repeat whose first attempt is older than
-// the objective.
+// Why: the final answer must reach the client before it stops waiting. Work on an answer without weight
+// uses capacity that requests with weight need. This includes the answer to a client retry whose first
+// attempt is older than the objective.
 
 import "time"
 
-// Times in ticks are multiples of Settings.Tick, the time after which the sidecar may act at the latest.
+// Times in ticks are multiples of Settings.Tick, which is the longest delay before the sidecar can act.
 const (
-	// deadlineMarginTicks is kept before each time that others hold to: the client's deadline, the
-	// objective, the end of an idempotency window. It covers the delivery when the next events are handled
-	// a tick late. Higher: fewer answers and attempts come too late, and all have less time.
+	// deadlineMarginTicks is the margin, in ticks, before each time limit that others enforce: the client's
+	// deadline, the objective, and the end of an idempotency window. It covers the delivery if the next
+	// events are handled a tick late. With a higher value, fewer answers and attempts are too late, but all
+	// have less time.
 	deadlineMarginTicks = 2
-	// noWeightMarginTicks is kept before the time from which an answer has no weight. Higher: fewer requests
-	// are served for nothing, and more are given up that would just have been in time.
+	// noWeightMarginTicks is the margin, in ticks, before the time from which an answer has no weight. With
+	// a higher value, fewer requests are served in vain, but more are given up that would just have been in
+	// time.
 	noWeightMarginTicks = 1
 )
 
-// deadlineMargin is the time that is kept before each deadline, for the delivery.
+// deadlineMargin returns the margin that is kept before each time limit for the delivery.
 func (s *Settings) deadlineMargin() time.Duration { return deadlineMarginTicks * s.Tick }
 
-// setDeadlines sets r's objective and its deadline, and whether it is a late repeat.
+// setDeadlines sets r's objective and deadline, and whether r is a late client retry.
 func (b *Balancer) setDeadlines(r *request, expectedWork time.Duration) {
 	class := r.class
 	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(expectedWork))
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -1,64 +1,70 @@
 package balancer
 
-// Ejection: whether an endpoint is healthy enough to be chosen, and for how long it is not.
+// Ejection determines whether an endpoint is healthy enough to be picked, and for how long an unhealthy one
+// is excluded.
 //
-// Inputs: the results of attempts and the time that they took (durations), the connect timeout, the mean
-// latency objective (s), the overdue latency (s, estimate.go), and when the endpoint last answered.
+// Inputs: the results of attempts and their elapsed times (durations), the connect timeout, the mean
+// latency objective (s), the overdue latency (s, estimate.go), and the time of the endpoint's last answer.
 //
-// Why: crashed endpoints refuse at once and failing ones answer errors at once, so that they look fast and
-// would draw all requests; hung ones keep each request to its deadline.
+// Why: a crashed endpoint refuses connections at once, and a failing one returns errors at once, so that
+// both look fast and would attract all requests. A hung endpoint holds each request until its deadline.
 
 import "time"
 
 const (
-	// minEjection is the time of the first ejection; it doubles with each failed trial, up to maxEjection.
-	// Higher: fewer requests are lost to trials, and endpoints that recover return later.
+	// minEjection is the duration of the first ejection. The duration doubles with each failed trial, up to
+	// maxEjection. With higher values, fewer requests are lost to trials, but endpoints that recover return
+	// later.
 	minEjection = time.Second
 	maxEjection = 8 * time.Second
-	// maxEjectionDoublings bounds the doublings, before maxEjection does, so that the duration cannot overflow.
+	// maxEjectionDoublings limits the number of doublings, so that the duration cannot overflow before
+	// maxEjection limits it.
 	maxEjectionDoublings = 10
-	// minEjectionJitter and ejectionJitterSpan are the range of a random factor on the time of an ejection, from
-	// minEjectionJitter to both together. A wider range: sidecars return to an endpoint at more different times.
+	// The duration of an ejection is multiplied by a random factor between minEjectionJitter and
+	// minEjectionJitter + ejectionJitterSpan. With a wider range, the times at which sidecars return to an
+	// endpoint are more spread out.
 	minEjectionJitter  = 0.75
 	ejectionJitterSpan = 0.5
-	// ejectionThreshold is the number of error answers or broken connections in a row that eject: two
-	// happen by chance, because connections may break though the process lives, and healthy endpoints that
-	// are ejected together leave all load to the others. Higher: fewer healthy endpoints are ejected, and
-	// failing ones get more requests.
+	// ejectionThreshold is the number of consecutive error answers or broken connections that causes an
+	// ejection. Two happen by chance, because connections may break although the process is running, and if
+	// several healthy endpoints were ejected together, the others would get all of the load. With a higher
+	// value, fewer healthy endpoints are ejected, but failing ones get more requests.
 	ejectionThreshold = 3
-	// minSilentFailures is the number of failures in a row from which an endpoint that does not answer may be
-	// silent: one happens by chance. Higher: as for silenceObjectives.
+	// minSilentFailures is the number of consecutive failures from which an endpoint that does not answer
+	// may count as silent. One failure happens by chance. A higher value has the same trade-off as a higher
+	// silenceObjectives.
 	minSilentFailures = 2
-	// silenceObjectives is the time, in mean latency objectives, after which an endpoint that fails and does not
-	// answer is silent. Higher: fewer slow endpoints are ejected, and hung ones get more requests.
+	// silenceObjectives is the time, in mean latency objectives, after which an endpoint that fails and
+	// does not answer counts as silent. With a higher value, fewer slow endpoints are ejected, but hung
+	// ones get more requests.
 	silenceObjectives = 3.0
-	// refusalTimeDivisor divides the connect timeout into the time within which a refusal comes: an
-	// attempt that takes longer to fail with ConnectFailed was lost on the way. Higher: fewer failed connections
-	// eject.
+	// The connect timeout divided by refusalTimeDivisor is the time within which a connection is refused:
+	// an attempt that takes longer to end with ConnectFailed was lost in the network. With a higher value,
+	// fewer failed connections cause an ejection.
 	refusalTimeDivisor = 2
 )
 
-// health is what the results of attempts say of an endpoint.
+// health is the health of an endpoint according to the results of attempts.
 type health struct {
-	answeredAt   time.Duration // when it last answered
-	failures     int           // failed attempts since then
-	silentSince  time.Duration // when the first of them was sent
-	errorAnswers int           // in a row
-	ejections    int           // in a row, without an answer between them
+	answeredAt   time.Duration // when the endpoint last answered
+	failures     int           // failed attempts since answeredAt
+	silentSince  time.Duration // when the first of these failed attempts was sent
+	errorAnswers int           // consecutive error answers
+	ejections    int           // consecutive ejections without a successful answer between them
 	ejectedUntil time.Duration
-	unreachable  bool // ejected because it was silent, refused or broke connections, not for its error answers
+	unreachable  bool // ejected for silence or refused or broken connections, not for error answers
 }
 
-// isEjected reports whether the endpoint gets nothing for now.
+// isEjected reports whether the endpoint is ejected at now.
 func (h *health) isEjected(now time.Duration) bool { return now < h.ejectedUntil }
 
-// isOnTrial reports whether the endpoint has not answered since it was ejected.
+// isOnTrial reports whether the endpoint has not answered successfully since it was ejected.
 func (h *health) isOnTrial() bool { return h.ejections > 0 }
 
-// recordAnswer takes an answer that shows the endpoint healthy, or able to tell that it is not.
+// recordAnswer records an answer, which shows that the endpoint is healthy or is able to reject requests.
 func (h *health) recordAnswer(now time.Duration) { *h = health{answeredAt: now} }
 
-// recordFailure counts an attempt, sent at sentAt, that got no answer.
+// recordFailure counts an attempt, sent at sentAt, that ended without an answer.
 func (h *health) recordFailure(sentAt time.Duration) {
 	h.failures++
 	if h.failures == 1 {
@@ -66,9 +72,10 @@
 	}
 }
 
-// isHealthyFor reports whether ep is healthy enough to be sent r. After an ejection it gets one trial at a
-// time, and none that is NonIdempotent: a failed trial could not be retried. Only an attempt that is answered
-// without an error ends the trials (recordAnswer); an answered probe does not.
+// isHealthyFor reports whether ep is healthy enough to be sent r. After an ejection, an endpoint gets one
+// trial at a time, and no NonIdempotent request, because a failed trial could not be retried. The trials
+// end only with an attempt that is answered without an error (recordAnswer); an answered probe does not end
+// them.
 func (b *Balancer) isHealthyFor(ep *endpoint, r *request) bool {
 	if ep.health.isEjected(b.now) {
 		return false
@@ -76,10 +83,10 @@
 	return !ep.health.isOnTrial() || len(ep.outstanding) == 0 && r.class.Effect != NonIdempotent
 }
 
-// updateHealth ejects an endpoint that refuses connections, breaks several in a row, answers with errors only
-// or is silent: crashed endpoints, whose immediate refusals look fast, hung ones, and failing ones. An error
-// answer counts as a long latency (penaltyObjectives), but where all other endpoints have queues that take
-// longer, the failing one still looks fast.
+// updateHealth ejects an endpoint that refuses a connection, breaks several in a row, answers only with
+// errors, or is silent. This covers crashed endpoints, whose immediate refusals look fast, hung ones, and
+// failing ones. An error answer already counts as a long latency (penaltyObjectives), but if the queues of
+// all other endpoints take longer than that, the failing endpoint still looks fast.
 func (b *Balancer) updateHealth(a *attempt, result Result, elapsed time.Duration) {
 	switch result {
 	case OK, Overloaded:
@@ -96,7 +103,7 @@
 		b.log("endpoint returned after ejection",
 			Attribute{"endpoint", ep.id}, Attribute{"ejections", ep.health.ejections})
 		if ep.health.unreachable && !ep.warmUp.active && b.settings.WarmUp > 0 {
-			b.startWarmUp(ep, b.now) // perhaps a new process, which the list shows seconds later
+			b.startWarmUp(ep, b.now) // may be a new process that the list shows only seconds later
 		}
 	}
 	ep.health.recordAnswer(b.now)
@@ -111,7 +118,7 @@
 	}
 }
 
-// recordFailure counts an attempt that got no answer.
+// recordFailure counts an attempt that ended without an answer, and ejects the endpoint if needed.
 func (b *Balancer) recordFailure(a *attempt, result Result, elapsed time.Duration) {
 	if b.isInconclusive(a, result, elapsed) {
 		return
@@ -127,9 +134,9 @@
 	}
 }
 
-// isUnreachable reports whether an endpoint, whose latest attempt failed with result, breaks connections in a
-// row, refuses them or is silent. An early ConnectFailed counts as a refusal; it may also be a connection
-// that broke while the request was being written.
+// isUnreachable reports whether an endpoint, whose latest attempt ended with result, breaks consecutive
+// connections, refuses connections or is silent. A ConnectFailed that comes early counts as a refusal,
+// although it may also be a connection that broke while the request was being written.
 func (b *Balancer) isUnreachable(h *health, result Result, elapsed time.Duration) bool {
 	switch {
 	case result == Reset && h.failures >= ejectionThreshold:
@@ -141,15 +148,16 @@
 	return h.failures >= minSilentFailures && silentFor > silenceObjectives*b.meanObjective
 }
 
-// isInconclusive reports whether an attempt that ended without an answer says nothing against its endpoint's
+// isInconclusive reports whether an attempt that ended without an answer says nothing about its endpoint's
 // health:
 //
 //   - The endpoint has answered another attempt since this one was sent: it is slow, not silent.
-//   - It was cancelled before it was overdue: the client left, or another attempt was faster.
-//   - It was cancelled where hedging is off, at any age: the request was given up, or is sent elsewhere
-//     (handleOverdueAttempt). The endpoint may only have a long queue.
+//   - The attempt was cancelled before it was overdue: the client disconnected, or another attempt was
+//     faster.
+//   - The attempt was cancelled, at any age, while hedging is off: the request was given up or is sent
+//     elsewhere (handleOverdueAttempt). The endpoint may only have a long queue.
 //
-// Any other that timed out, or that was overdue when it was cancelled, is a failure.
+// Any other attempt that timed out, or that was overdue when it was cancelled, is a failure.
 func (b *Balancer) isInconclusive(a *attempt, result Result, elapsed time.Duration) bool {
 	switch result {
 	case Timeout:
@@ -161,9 +169,9 @@
 	return false
 }
 
-// eject keeps ep from being chosen for a while that doubles with each failed trial, with jitter so that
-// sidecars do not return to it together. Only the first ejection of a series is logged: those for failed
-// trials are not, until the endpoint has answered.
+// eject excludes ep from being picked. The duration doubles with each failed trial and has jitter, so that
+// sidecars do not return to the endpoint at the same time. Only the first of consecutive ejections is
+// logged; those after failed trials are not, until the endpoint has answered.
 func (b *Balancer) eject(ep *endpoint) {
 	h := &ep.health
 	d := min(minEjection<<min(h.ejections, maxEjectionDoublings), maxEjection)
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,49 +1,49 @@
 package balancer
 
-// The endpoint list: which endpoints exist and may be sent new attempts.
+// This rule maintains the endpoint list: which endpoints exist and may be sent new attempts.
 //
-// Inputs: endpoint updates, with each endpoint's state and the time of its latest start (of Handle's
+// Inputs: endpoint updates, with the state of each endpoint and the time of its latest start (of Handle's
 // clock).
 //
-// Why: an endpoint that is draining or removed gets nothing new, from the update on; a restarted process is
-// a new endpoint of which nothing is known.
+// Why: a draining or removed endpoint gets no new attempts from the update on. A restarted process is a new
+// endpoint of which nothing is known.
 
 import (
 	"slices"
 	"time"
 )
 
-// endpoint is an endpoint that is listed, or to which requests still refer.
+// endpoint is an endpoint that is listed, or that requests still refer to.
 type endpoint struct {
 	id        string
 	zone      string
 	cell      int
-	hash      uint64 // of id
-	listed    bool   // active in the endpoint list
+	hash      uint64 // hash of id
+	listed    bool   // listed as active
 	inSubset  bool
 	startedAt time.Duration
 
 	kindMean    *float64   // mean normalized latency of its kind in its zone, in seconds
-	latency     peakEWMA   // normalized
+	latency     peakEWMA   // normalized latency
 	outstanding []*attempt // oldest first
 
-	inFlight       float64       // requests in flight that it reported last, and those sent to it since
-	reportedAt     time.Duration // 0: never
-	reportFailedAt time.Duration // when a probe last brought no report
-	probeSentAt    time.Duration // of the outstanding probe; 0: there is none
+	inFlight       float64       // reported requests in flight plus those sent since the report
+	reportedAt     time.Duration // when a load report was last received; 0 if never
+	reportFailedAt time.Duration // when a probe last ended without a load report
+	probeSentAt    time.Duration // when the outstanding probe was sent; 0 if there is none
 
 	health health
 	warmUp warmUp
 }
 
-// handleEndpointUpdate applies an update of the endpoint list, and subscribes where that is needed.
+// handleEndpointUpdate applies an update of the endpoint list, and subscribes if needed.
 func (b *Balancer) handleEndpointUpdate(e EndpointUpdate) {
-	b.recentListSize() // remember the size until now
+	b.recentListSize() // records the size before the update
 	if e.Kind == WatchFailed {
 		b.handleWatchFailed(e)
 		return
 	}
-	// Also when it did not subscribe: the sidecar may have its own subscription.
+	// The subscription is also confirmed if the Balancer did not ask for it: the sidecar may have its own.
 	if e.Kind != OutOfBand && (b.subscription.pending || e.Kind != CachedList) {
 		b.confirmSubscription()
 	}
@@ -85,8 +85,8 @@
 	ep.cell = entry.Cell
 }
 
-// addEndpoint adds an entry in place of previous, the former process of that ID, or at the end of the list
-// if previous is nil. What was learned of the former process is void.
+// addEndpoint adds an endpoint for entry. It replaces previous, the former process with that ID, or is
+// appended to the list if previous is nil. Nothing that was learned about the former process is kept.
 func (b *Balancer) addEndpoint(entry Endpoint, previous *endpoint) *endpoint {
 	ep := &endpoint{
 		id:        entry.ID,
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -1,58 +1,64 @@
 package balancer
 
-// Estimates: what the outcomes of attempts teach about latencies and work.
+// Estimates of latencies and work are learned from the outcomes of attempts.
 //
 // Inputs: the result and elapsed time (s) of each attempt, the expected work of its request (relative to
-// the mean request) and the load that its endpoint had reported (requests in flight). Latencies are in
-// seconds; normalized ones are divided by the relative expected work.
+// the mean request), and the load that its endpoint had reported (requests in flight). Latencies are in
+// seconds; normalized latencies are divided by the relative expected work.
 //
 // Why: decisions compare endpoints by the time that they take for the same work. An error, or an attempt
-// that was cut short, must not make an endpoint look fast, and a costly request must not make it look slow.
+// that was ended early, must not make an endpoint look fast, and a costly request must not make one look
+// slow.
 
 import "time"
 
-// "Objectives" in a name means multiples of the mean latency objective over all classes.
+// Constants whose names contain "Objectives" are multiples of the mean latency objective over all classes.
 const (
-	// decayObjectives is the time in which an endpoint's estimate decays: long enough to get answers from
-	// all. Higher: steadier, and a change of an endpoint is noticed later.
+	// decayObjectives is the time in which an endpoint's latency estimate decays. It is long enough to get
+	// answers from all endpoints. A higher value makes estimates steadier, and a change of an endpoint is
+	// noticed later.
 	decayObjectives = 4.0
-	// penaltyObjectives is the latency that an error answer counts as at least: as bad as a missed
-	// objective. Higher: endpoints with errors get fewer requests.
+	// penaltyObjectives is the minimum latency that an error answer counts as: it is as bad as a missed
+	// objective. With a higher value, endpoints that return errors get fewer requests.
 	penaltyObjectives = 1.0
-	// objectivePerLatency is the objective over the mean latency, until latency is measured.
+	// objectivePerLatency is the assumed ratio of the objective to the mean latency until latency has been
+	// measured.
 	objectivePerLatency = 4.0
-	// initialOverdueObjectives is the latency from which an attempt is overdue, until latency is measured.
+	// initialOverdueObjectives is the latency from which an attempt is overdue until latency has been
+	// measured.
 	initialOverdueObjectives = 0.5
-	// meanWeight is the weight of a new sample in plain means: about the last 50 count. Higher: they follow
-	// a change sooner and are noisier.
+	// meanWeight is the weight of a new sample in exponentially weighted means: roughly the last 50 samples
+	// count. A higher value makes the means follow a change sooner and makes them noisier.
 	meanWeight = 0.02
-	// kindWeight is the same for one kind of endpoint, which is sampled less often.
+	// kindWeight is the weight of a new sample in the means of a kind of endpoint, which gets fewer
+	// samples.
 	kindWeight = 0.05
-	// medianProbability is the quantile that is the usual latency, overdueProbability the one beyond which
-	// an attempt is overdue. Higher, of the latter: fewer attempts count as overdue, and those that hang are
-	// noticed later.
+	// medianProbability is the quantile of normalized latency that counts as the usual latency.
+	// overdueProbability is the quantile beyond which an attempt is overdue; with a higher value, fewer
+	// attempts count as overdue, but hung attempts are noticed later.
 	medianProbability  = 0.5
 	overdueProbability = 0.8
-	// minRelativeWork and maxRelativeWork bound the expected work of a request, in mean requests. A wider range:
-	// costly requests count more, also where the expectation is wrong.
+	// minRelativeWork and maxRelativeWork limit the expected work of a request, in mean requests. With a
+	// wider range, costly requests count for more, even if the expectation is wrong.
 	minRelativeWork = 0.25
 	maxRelativeWork = 8.0
-	// offeredRateMemory is the time over which rates of arriving work are averaged. Higher: steadier, and a
-	// change of the load is followed later.
+	// offeredRateMemory is the time over which rates of arriving work are averaged. A higher value makes
+	// the rates steadier, and they follow a change of the load later.
 	offeredRateMemory = 20 * time.Second
 )
 
-// latencyEstimates is what the sidecar has learned of latencies, over all endpoints.
+// latencyEstimates holds the sidecar's latency estimates over all endpoints.
 type latencyEstimates struct {
-	mean             float64             // seconds
+	mean             float64             // mean latency, in seconds
 	meanNormalized   float64             // mean normalized latency
 	kindMeans        map[string]*float64 // mean normalized latency by kind and zone
-	meanExpectedWork float64             // seconds; 0: no request had one
-	median           quantile            // of normalized latency
-	overdue          quantile            // of normalized latency: beyond it an attempt is overdue
+	meanExpectedWork float64             // mean expected work, in seconds; 0 if no request had one
+	median           quantile            // median of normalized latency
+	overdue          quantile            // normalized latency beyond which an attempt is overdue
 }
 
-// newLatencyEstimates returns the estimates before any outcome, from the mean latency objective in seconds.
+// newLatencyEstimates returns the estimates before any outcome, derived from the mean latency objective in
+// seconds.
 func newLatencyEstimates(meanObjective float64) latencyEstimates {
 	mean := meanObjective / objectivePerLatency
 	return latencyEstimates{
@@ -64,9 +70,9 @@
 	}
 }
 
-// kindMeanOf returns the mean normalized latency in seconds that endpoints of one kind in one zone share; a
-// new one starts from the mean of all. Zones have their own means: those of an overloaded home zone would
-// claim that other zones, from which no answer came, are no better.
+// kindMeanOf returns the mean normalized latency, in seconds, of the endpoints of one kind in one zone. A
+// new mean starts from that of all endpoints. Each zone has its own means: with a common one, the high
+// latencies of an overloaded home zone would also be assumed for other zones that have not answered yet.
 func (l *latencyEstimates) kindMeanOf(kind, zone string) *float64 {
 	name := kind + "\x00" + zone
 	if l.kindMeans[name] == nil {
@@ -76,8 +82,8 @@
 	return l.kindMeans[name]
 }
 
-// relativeWork is the expected work of a request, relative to the mean request: from its own expectation if
-// it has one, otherwise from its class.
+// relativeWork returns the expected work of a request, relative to the mean request. It is based on
+// expectedWork if that is known, and otherwise on the mean latency of the class.
 func (l *latencyEstimates) relativeWork(class *classState, expectedWork time.Duration) float64 {
 	relative := class.meanSeconds / l.mean
 	if expectedWork > 0 {
@@ -90,16 +96,16 @@
 	return min(max(relative, minRelativeWork), maxRelativeWork)
 }
 
-// decayTime is the time in which an endpoint's estimate decays.
+// decayTime returns the time in which an endpoint's latency estimate decays.
 func (b *Balancer) decayTime() time.Duration { return seconds(decayObjectives * b.meanObjective) }
 
-// usualLatency is the median latency of attempts with the expected work of r.
+// usualLatency returns the median latency of attempts with the expected work of r.
 func (b *Balancer) usualLatency(r *request) time.Duration {
 	return seconds(b.latency.median.value * r.relativeWork)
 }
 
-// observeOutcome updates the estimates with an attempt's outcome. Samples are normalized by the expected
-// work of the request, so that one costly request does not make its endpoint look slow.
+// observeOutcome updates the estimates with the outcome of an attempt. Samples are normalized by the
+// expected work of the request, so that a costly request does not make its endpoint look slow.
 func (b *Balancer) observeOutcome(a *attempt, result Result, elapsed time.Duration) {
 	sample := elapsed.Seconds()
 	normalized := sample / a.request.relativeWork
@@ -132,8 +138,8 @@
 	}
 }
 
-// observeCutShort observes an attempt that would have taken at least this long: it counts where it is above
-// the estimate.
+// observeCutShort records an attempt that ended without an answer after the time sample. It would have
+// taken at least that long, so the sample only counts if it is above the estimate.
 func (b *Balancer) observeCutShort(a *attempt, sample, normalized float64) {
 	if a.reportedInFlight != unreported {
 		inFlight := a.reportedInFlight + a.request.relativeWork
--- a/balancer/frequencies.go
+++ b/balancer/frequencies.go
@@ -1,23 +1,24 @@
 package balancer
 
 const (
-	// minFrequency is the count below which a name is forgotten. Higher: less memory, and rare names are
-	// forgotten sooner.
+	// minFrequency is the count below which a name is forgotten. A higher value uses less memory, and rare
+	// names are forgotten sooner.
 	minFrequency = 0.5
-	// priorDivisor divides the memory of frequencies into the number of names that are taken to have come
-	// before the first: shares are low while few have come. Higher: shares are more exact early, and chance
-	// counts more.
+	// The memory of frequencies divided by priorDivisor is a count that is added to the total, so that
+	// shares are low while few names have been counted. With a higher value, early shares are closer to the
+	// observed ones, but depend more on chance.
 	priorDivisor = 8
 )
 
-// frequencies counts how often each of many names comes. Counts are halved from time to time.
+// frequencies counts how often each name occurs. All counts are halved whenever their total reaches the
+// memory.
 type frequencies struct {
 	counts map[string]float64
 	total  float64
 }
 
-// add counts a name and returns its share of the last names, about as many as memory; low while few have
-// come.
+// add counts a name and returns its share of the names that were added recently, which are about as many as
+// memory. The share is low while few names have been added.
 func (f *frequencies) add(name string, memory float64) float64 {
 	if f.counts == nil {
 		f.counts = map[string]float64{}
@@ -30,7 +31,7 @@
 	return f.counts[name] / (f.total + memory/priorDivisor)
 }
 
-// halve halves all counts, and forgets names whose count becomes less than minFrequency.
+// halve halves all counts, and deletes the names whose count falls below minFrequency.
 func (f *frequencies) halve() {
 	f.total = 0
 	for name, count := range f.counts {
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -1,36 +1,40 @@
 package balancer
 
-// Hedging: when an attempt is overdue, and whether another one is then sent beside it or in its place.
+// Hedging determines when an attempt is overdue, and whether another attempt is then sent in addition to it
+// or in its place.
 //
 // Inputs: the overdue and the usual latency (s, estimate.go), the request's expected work (relative to the
 // mean request), its outstanding attempts and its deadline, the retry budget (tokens), the pressure
-// (pressure.go), and whether the endpoint has answered since; the settings Hedging and Cancellation.
+// (pressure.go), whether the endpoint has answered since the attempt was sent, and the settings Hedging and
+// Cancellation.
 //
-// Why: an endpoint that pauses or hangs keeps its requests to their deadlines unless they are sent
-// elsewhere in time.
+// Why: an endpoint that pauses or hangs holds its requests until their deadlines unless they are sent to
+// other endpoints in time.
 
 import "time"
 
-// maxHedgePressure is the pressure above which nothing is hedged or moved: first attempts need the
-// capacity. Higher: more requests escape slow endpoints, and more load is added near the limit.
+// maxHedgePressure is the pressure above which no attempt is hedged or replaced, because first attempts
+// need the capacity. With a higher value, more requests get away from slow endpoints, but more load is
+// added near the limit.
 const maxHedgePressure = 0.7
 
-// overdueAfter is how long the latest attempt may be outstanding before it is overdue. Where no hedge may run
-// beside it, to end it costs its place in the queue: it then gets all the time that leaves enough for
-// another attempt.
+// overdueAfter returns how long the latest attempt may be outstanding before it is overdue. If hedging is
+// off, the attempt has to be cancelled first and loses its place in the endpoint's queue; it therefore gets
+// as much time as still leaves enough for another attempt.
 func (b *Balancer) overdueAfter(r *request) time.Duration {
-	doubled := float64(int(1) << max(r.outstanding-1, 0)) // with each hedge
-	d := seconds(b.latency.overdue.value * r.relativeWork * doubled)
+	factor := float64(int(1) << max(r.outstanding-1, 0)) // doubles with each hedge
+	d := seconds(b.latency.overdue.value * r.relativeWork * factor)
 	if !b.settings.Hedging {
 		d = max(d, r.deadline-b.now-b.usualLatency(r))
 	}
 	return d
 }
 
-// handleOverdueAttempt answers an overdue attempt by a hedge beside it or, where hedging is off, by another
-// attempt in its place if the endpoint has not answered since. This helps against pauses and hung endpoints.
-// It dies out in overload: the budget is relative to first attempts, overdueness to what is usual, and
-// pressure stops it.
+// handleOverdueAttempt sends a hedge in addition to an overdue attempt. If hedging is off, it cancels the
+// attempt instead, to be followed by another one, provided that the endpoint has not answered since the
+// attempt was sent. This helps if endpoints pause or hang. It stops by itself in overload: the retry budget
+// is relative to first attempts, an attempt is overdue relative to the usual latency, and high pressure
+// prevents it.
 func (b *Balancer) handleOverdueAttempt(r *request) {
 	if r.outstanding == 0 || b.now < r.overdueAt || b.retries.isSpent() || b.pressure() > maxHedgePressure {
 		return
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -1,21 +1,22 @@
 package balancer
 
-// Idempotency: whether another attempt could do a request's effect a second time, and whether a rejection
-// may tell the client that a repeat is harmless.
+// Idempotency determines whether another attempt could have a request's effect a second time, and whether a
+// rejection may tell the client that a retry is harmless.
 //
-// Inputs: the class's effect, idempotency scope and window (duration); for each attempt, also of earlier
-// requests with the same effect, whether it may have run, where (zone, cell) and when it was sent; the
-// tick.
+// Inputs: the class's effect, idempotency scope and window (duration); for each attempt, including those of
+// earlier requests with the same effect, whether it may have run, where (zone, cell) and when it was sent;
+// the tick.
 //
-// Why: no effect happens twice. Endpoints drop the repeats of a keyed request only within its scope and
-// window, and nobody drops those of a request that is not idempotent.
+// Why: no effect may happen twice. Endpoints deduplicate a keyed request only within its scope and window,
+// and nothing deduplicates a request that is not idempotent.
 
 import (
 	"slices"
 	"time"
 )
 
-// leavesScope reports whether an attempt may have run where ep does not share the memory of repeats.
+// leavesScope reports whether sending r to ep would leave the idempotency scope of an attempt that may have
+// run.
 func (r *request) leavesScope(ep *endpoint) bool {
 	for _, a := range r.attempts {
 		if a.mayHaveRun && r.class.outsideScope(a.zone, a.cell, ep) {
@@ -30,7 +31,8 @@
 	return false
 }
 
-// outsideScope reports whether ep is outside the idempotency scope of an attempt that went to zone and cell.
+// outsideScope reports whether ep is outside the idempotency scope of an attempt that was sent to an
+// endpoint in zone and cell.
 func (c *classState) outsideScope(zone string, cell int, ep *endpoint) bool {
 	if c.Effect != Keyed {
 		return false
@@ -40,10 +42,12 @@
 	return outsideZone || outsideCell
 }
 
-// retryForbidden reports whether an attempt may have run after which no other may follow any more.
+// retryForbidden reports whether no further attempt may follow, because one may have run that cannot be
+// safely repeated, or can no longer be.
 //
-// Guard: prevents a second effect where a connection breaks after the request was written, which shows as a
-// reset that proves nothing. It holds because mayAttempt asks it before each attempt.
+// Guard: prevents a second effect if a connection breaks after the request was written. That is reported as
+// a reset, which does not prove that the request did not run. It holds because mayAttempt calls
+// retryForbidden before each attempt.
 func (b *Balancer) retryForbidden(r *request) bool {
 	first, ok := r.firstPossibleRun()
 	if !ok {
@@ -52,7 +56,7 @@
 	return r.class.Effect == NonIdempotent || r.class.Effect == Keyed && b.now > b.idempotencyExpiry(r, first)
 }
 
-// firstPossibleRun is when the first attempt was sent that may have run; ok is false if there is none.
+// firstPossibleRun returns when the first attempt that may have run was sent; ok is false if there is none.
 func (r *request) firstPossibleRun() (at time.Duration, ok bool) {
 	for _, a := range r.attempts {
 		if a.mayHaveRun && (!ok || a.sentAt < at) {
@@ -67,13 +71,13 @@
 	return at, ok
 }
 
-// idempotencyExpiry is when the endpoints that saw a keyed request first no longer drop its repeats, less
-// the time that a repeat takes to reach them.
+// idempotencyExpiry returns the time from which r must not be sent again: the end of the idempotency window
+// that began at first, less the time that another attempt takes to reach an endpoint.
 func (b *Balancer) idempotencyExpiry(r *request, first time.Duration) time.Duration {
 	return first + r.class.IdempotencyWindow - b.settings.deadlineMargin()
 }
 
-// mayReject reports whether r may be rejected: a rejection tells the client that repeating is harmless.
+// mayReject reports whether r may be rejected. A rejection tells the client that a retry is harmless.
 func (r *request) mayReject() bool {
 	if r.class.Effect == Idempotent || r.class.Effect == Keyed && r.class.IdempotencyScope == ScopeAll {
 		return true
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -1,39 +1,40 @@
 package balancer
 
-// The load of an endpoint: how long a request would probably take there, by which two endpoints are
-// compared.
+// The load of an endpoint is an estimate of the time that a request would take there. Two endpoints are
+// compared by their loads.
 //
 // Inputs: the endpoint's latency estimate and the mean of its kind (s), the age (s) and number of the
-// sidecar's outstanding attempts there, and the requests in flight that the endpoint has reported, itself
-// or to a probe.
+// sidecar's outstanding attempts there, and the requests in flight that the endpoint has reported, with an
+// answer or to a probe.
 //
-// Why: neither latency nor outstanding attempts alone show a load that other sidecars cause; together they
-// do, and a recent report is better than both.
+// Why: neither latency nor the number of outstanding attempts alone shows a load that other sidecars cause.
+// The combination does, and a recent load report is better than both.
 
 import "math"
 
 const (
-	// secondsPerRequestWeight is the weight of a new sample of the time for each request in flight. Higher:
-	// it follows a slowdown sooner and is noisier.
+	// secondsPerRequestWeight is the weight of a new sample of the latency per request in flight. A higher
+	// value follows a slowdown sooner and is noisier.
 	secondsPerRequestWeight = 0.1
-	// maxPlausibleInFlight bounds the loads that can be true: any above is a fault of the endpoint. The
-	// transports have limits of their own on what they pass on.
+	// maxPlausibleInFlight is the limit above which a reported load is considered an error of the endpoint.
+	// The transports have their own limits on the reports that they pass on.
 	maxPlausibleInFlight = math.MaxInt32
 )
 
-// loadEstimates is what load reports have taught, over all endpoints.
+// loadEstimates holds estimates from load reports, over all endpoints.
 type loadEstimates struct {
-	secondsPerRequest runningMean // latency for each request in flight at an endpoint, by its report
-	meanInFlight      float64     // mean reported requests in flight
+	secondsPerRequest runningMean // latency divided by the reported requests in flight of the endpoint
+	meanInFlight      float64     // mean of reported requests in flight
 }
 
 func newLoadEstimates() loadEstimates {
 	return loadEstimates{secondsPerRequest: runningMean{weight: secondsPerRequestWeight}}
 }
 
-// loadOf is latency × (outstanding + 1), with two exceptions: an idle estimate decays towards the mean of
-// its kind rather than to nothing, because idleness is not speed, and an outstanding attempt takes at least
-// its age.
+// loadOf returns latency × (outstanding attempts + 1), with two exceptions. The estimate of an idle
+// endpoint decays towards the mean of its kind, not to zero, because an idle endpoint is not necessarily
+// fast. The latency is at least the age of the oldest outstanding attempt, divided by the expected work of
+// its request.
 func (b *Balancer) loadOf(ep *endpoint) float64 {
 	ownWeight := ep.latency.decayFactor(b.now, b.decayTime())
 	latency := ep.latency.value*ownWeight + *ep.kindMean*(1-ownWeight)
@@ -45,7 +46,7 @@
 	if ep.reportedAt > 0 && b.now-ep.reportedAt < seconds(b.latency.meanNormalized) {
 		inFlight = max(inFlight, ep.inFlight)
 	} else {
-		inFlight = max(inFlight, b.load.meanInFlight) // comparable with endpoints that have reported
+		inFlight = max(inFlight, b.load.meanInFlight) // comparable to endpoints that have reported
 	}
 	return latency * (inFlight + 1)
 }
@@ -57,7 +58,7 @@
 	moveTowards(&b.load.meanInFlight, inFlight, meanWeight)
 }
 
-// isUsable reports whether a load report came and can be true.
+// isUsable reports whether a load report was received and is plausible.
 func (l LoadReport) isUsable() bool {
 	return l.Reported && l.InFlight >= 0 && l.InFlight < maxPlausibleInFlight
 }
--- a/balancer/mean.go
+++ b/balancer/mean.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// moveTowards moves an exponentially weighted moving mean towards a sample, which gets the given weight.
+// moveTowards adds a sample with the given weight to an exponentially weighted moving average.
 func moveTowards(mean *float64, sample, weight float64) {
 	*mean += weight * (sample - *mean)
 }
 
-// runningMean is an exponentially weighted moving mean that starts at its first sample.
+// runningMean is an exponentially weighted moving average that starts at its first sample.
 type runningMean struct {
-	weight float64 // of a new sample
+	weight float64 // weight of a new sample
 	value  float64
 }
 
@@ -23,8 +23,8 @@
 	moveTowards(&m.value, sample, m.weight)
 }
 
-// peakEWMA is an exponentially weighted moving average, in seconds, that jumps to a peak at once (as that of
-// Twitter's Finagle does).
+// peakEWMA is an exponentially weighted moving average, in seconds, that a higher sample replaces
+// immediately, as in Twitter's Finagle.
 type peakEWMA struct {
 	value     float64
 	updatedAt time.Duration
@@ -34,7 +34,8 @@
 	return math.Exp(-float64(now-e.updatedAt) / float64(decay))
 }
 
-// add replaces the average by a sample that is above its value decayed to now, and blends in any other.
+// add replaces the average with the sample if the sample is higher than the average decayed to now.
+// Otherwise it averages the two, weighted by the decay. A sample from before the last update is ignored.
 func (e *peakEWMA) add(sample float64, now, decay time.Duration) {
 	if now < e.updatedAt {
 		return
--- a/balancer/pairadmission.go
+++ b/balancer/pairadmission.go
@@ -1,38 +1,41 @@
 package balancer
 
-// Admission to a probed pair: whether the load that a pair of endpoints has reported leaves room for a
-// request. It corrects the verdict on arrival both ways: a request that was undecided is sent if the pair has
-// capacity, and one that was admitted is shed if the pair is overloaded and no better one is found.
+// Admission to a probed pair determines whether the load that a pair of endpoints has reported leaves
+// capacity for a request. It corrects the decision on arrival in both directions: an undecided request is
+// sent if the pair has capacity, and an admitted one is given up if the pair is overloaded and no better
+// pair is found.
 //
-// Inputs: the pair's reported requests in flight and the seconds for each of them (load.go), the time left to
-// the objective (s), the request's rank (0 to 1) and expected work (relative to the mean request), and the
-// verdict on arrival (admission.go).
+// Inputs: the requests in flight that the pair has reported and the latency for each of them (s, load.go),
+// the time left to the objective (s), the request's rank (0 to 1) and expected work (relative to the mean
+// request), and the decision on arrival (admission.go).
 //
-// Why: pressure is a coarse measure, which with two requests in flight is mostly chance; a request that is
-// sent to an overloaded pair ends late.
+// Why: pressure is a coarse measure, which with two requests in flight depends mostly on chance, and a
+// request that is sent to an overloaded pair ends late.
 
 import "math"
 
 const (
-	// maxProbedPairs is the number of pairs to probe before a request is shed for their load. Higher: fewer
-	// are shed by chance, and they wait longer.
+	// maxProbedPairs is the number of pairs that are probed before a request is given up for their load.
+	// With a higher value, fewer requests are given up by chance, but they wait longer.
 	maxProbedPairs = 4
-	// minOverloadTolerance is the share of its time that the request of the lowest rank may take at the
-	// pair; that of the highest may take all. Higher: less is shed, and more ends late.
+	// minOverloadTolerance is the share of the time left to its objective that a request of the lowest rank
+	// may take at the pair; a request of the highest rank may take all of it. With a higher value, fewer
+	// requests are shed and more end late.
 	minOverloadTolerance = 0.6
 )
 
-// pairVerdict is what the load of a probed pair says of a request's next attempt.
+// pairVerdict is the decision about a request's next attempt according to the load of a probed pair.
 type pairVerdict int
 
 const (
-	pairAdmits   pairVerdict = iota // the attempt may be sent; also where no pair was probed
-	pairReplaced                    // another pair is being probed, and will decide
+	pairAdmits   pairVerdict = iota // the attempt may be sent; also if no pair was probed
+	pairReplaced                    // another pair is being probed, and its load will decide
 	pairRejects                     // the request is to be given up
 )
 
-// admitToPair decides on an attempt after the pair for it was probed. An overloaded pair is replaced by
-// another one, up to maxProbedPairs in all and as long as one can be probed, before the request is shed.
+// admitToPair decides about an attempt after its pair was probed. An overloaded pair is replaced with
+// another one, as long as one can be probed and up to maxProbedPairs in total, before the request is given
+// up.
 func (b *Balancer) admitToPair(r *request) pairVerdict {
 	switch b.pairCapacity(r) {
 	case pairOverloaded:
@@ -49,17 +52,18 @@
 	return pairAdmits
 }
 
-// pairCapacity is what a pair's load reports say of its capacity for a request.
+// pairCapacity is the capacity of a probed pair for a request according to its load reports.
 type pairCapacity int
 
 const (
-	pairUnknown     pairCapacity = iota // it has not reported, or its reports come too late to be relied on
-	pairHasCapacity                     // for the request to be served in time
+	pairUnknown     pairCapacity = iota // there is no report, or reports come too late to be reliable
+	pairHasCapacity                     // the request can be served in time
 	pairOverloaded
 )
 
-// pairCapacity tells whether the lower load that one of the pair has reported is too much for r to be served
-// in time, the sooner the lower r's rank is. It applies where probes are cheap: expensive ones report late.
+// pairCapacity returns whether r can be served in time at the endpoint of the pair that reported the lower
+// load. The lower r's rank is, the sooner the pair counts as overloaded. The result is pairUnknown if
+// probes are expensive, because expensive probes report too late.
 func (b *Balancer) pairCapacity(r *request) pairCapacity {
 	lowest := r.pair.minInFlight()
 	if math.IsInf(lowest, 1) || !b.probesAreCheap() {
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -1,47 +1,49 @@
 package balancer
 
-// The choice of an endpoint: which one a request's next attempt is sent to.
+// This rule picks the endpoint that a request's next attempt is sent to.
 //
 // Inputs: the endpoints that may be sent the attempt (retry.go), their health (ejection.go), the subset
-// (subset.go), the zones' preference (zone.go), the endpoints of the request's key (affinity.go), the pair
-// that was probed for it (probe.go), and the loads of endpoints (load.go).
+// (subset.go), the preferred zones (zone.go), the endpoints of the request's affinity key (affinity.go),
+// the pair that was probed for the request (probe.go), and the loads of endpoints (load.go).
 //
-// Why: the better of two at random keeps loads equal, though each sidecar sees only its own traffic;
-// always the best one would send all sidecars to the same endpoint.
+// Why: picking the better of two random endpoints balances loads although each sidecar sees only its own
+// traffic. If all sidecars always picked the best endpoint, they would all pick the same one.
 
 import "slices"
 
 const (
-	// maxDraws is the number of random draws before the whole list is searched, and drawsPerEndpoint bounds
-	// it for short lists. Higher: fewer searches of long lists, and more draws for nothing where few
-	// endpoints are eligible.
+	// maxDraws is the number of random draws before the whole list is searched, and drawsPerEndpoint limits
+	// it for short lists. With higher values, long lists are searched less often, but more draws are wasted
+	// if few endpoints are eligible.
 	maxDraws         = 8
 	drawsPerEndpoint = 2
 )
 
-// relaxation is which conditions on an endpoint are given up when none meets them all.
+// relaxation determines which conditions on an endpoint are dropped when no endpoint meets all of them.
+// Each value also drops the conditions of the values before it.
 type relaxation int
 
 const (
 	strict             relaxation = iota
-	allowOutsideSubset            // any endpoint, not just those of the subset
-	allowTried                    // also those that the request has tried
-	allowEjected                  // also ejected ones: better a doubtful endpoint than none
+	allowOutsideSubset            // also includes endpoints outside the subset
+	allowTried                    // also includes endpoints that the request has tried
+	allowEjected                  // also includes ejected endpoints, which are better than none
 )
 
-// candidates are the endpoints among which one is chosen for a request.
+// candidates describes the endpoints from which one is picked for a request.
 type candidates struct {
 	request      *request
 	relaxed      relaxation
 	zones        zoneFilter
-	keyOnly      bool        // only ofKey
-	keyEndpoints []*endpoint // the endpoints of the request's key that meet all other conditions; there may be none
-	exclude      *endpoint   // that was drawn before; nil: none
+	keyOnly      bool        // whether only keyEndpoints are candidates
+	keyEndpoints []*endpoint // endpoints of the key that meet all other conditions
+	exclude      *endpoint   // endpoint that was drawn before; nil if none
 }
 
-// pick returns the endpoint for r's next attempt, or nil. The ordinary case is the one of two random eligible
-// endpoints of the subset, which r has not tried, that has the lower load (power of two choices). Where there
-// is none, the conditions are relaxed one by one; ejected endpoints are used only with nothing outstanding.
+// pick returns the endpoint for r's next attempt, or nil. In the ordinary case, it draws two random
+// eligible endpoints of the subset that r has not tried, and returns the one with the lower load (power of
+// two choices). If there is none, the conditions are dropped one by one. Ejected endpoints are used only if
+// r has no outstanding attempt.
 func (b *Balancer) pick(r *request) *endpoint {
 	last := allowTried
 	if r.outstanding == 0 {
@@ -66,7 +68,7 @@
 	return b.isInZones(c.zones, ep) && b.isEligible(c.request, ep, c.relaxed)
 }
 
-// isEligible reports whether ep meets all conditions that are not relaxed. Health is one of them
+// isEligible reports whether ep meets all conditions that relaxed does not drop. Health is one of them
 // (isHealthyFor).
 func (b *Balancer) isEligible(r *request, ep *endpoint, relaxed relaxation) bool {
 	if relaxed < allowOutsideSubset && !ep.inSubset && r.keyHash == 0 {
@@ -81,42 +83,42 @@
 	return b.mayAttempt(r, ep)
 }
 
-// powerOfTwoChoices returns the one with the lower load of two distinct random candidates, or nil
-// (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing").
+// powerOfTwoChoices draws two distinct random candidates and returns the one with the lower load, or nil if
+// there is no candidate (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing").
 func (b *Balancer) powerOfTwoChoices(c candidates) *endpoint {
-	one := b.draw(&c)
-	if one == nil {
+	first := b.draw(&c)
+	if first == nil {
 		return nil
 	}
-	c.exclude = one
-	return b.lowerLoad(one, b.draw(&c))
+	c.exclude = first
+	return b.lowerLoad(first, b.draw(&c))
 }
 
-// lowerLoad returns the one of two endpoints with the lower load, and one if there is no other.
-func (b *Balancer) lowerLoad(one, other *endpoint) *endpoint {
-	if other == nil || b.loadOf(one) <= b.loadOf(other) {
-		return one
+// lowerLoad returns the endpoint with the lower load; second may be nil.
+func (b *Balancer) lowerLoad(first, second *endpoint) *endpoint {
+	if second == nil || b.loadOf(first) <= b.loadOf(second) {
+		return first
 	}
-	return other
+	return second
 }
 
-// pickFromPair returns the one with the lower load of the pair that was probed for the request, or nil. One
-// of it that did not report counts as the higher.
+// pickFromPair returns the endpoint with the lower load from the pair that was probed for the request, or
+// nil if neither can be picked. Only candidates that reported their load are considered.
 func (b *Balancer) pickFromPair(c candidates) *endpoint {
-	var one, two *endpoint
+	var first, second *endpoint
 	for _, ep := range c.request.pair.endpoints {
 		if ep != nil && b.isCandidate(&c, ep) && c.request.pair.hasReport(ep) {
-			one, two = ep, one
+			first, second = ep, first
 		}
 	}
-	if one == nil {
+	if first == nil {
 		return nil
 	}
-	return b.lowerLoad(one, two)
+	return b.lowerLoad(first, second)
 }
 
-// draw returns a random candidate, or nil. It draws a few times from the list, which is cheap, and only
-// then searches all of it.
+// draw returns a random candidate, or nil if there is none. It first makes a few random draws from the
+// list, which is cheap, and searches the whole list only if these find no candidate.
 func (b *Balancer) draw(c *candidates) *endpoint {
 	for range min(maxDraws, drawsPerEndpoint*len(b.endpoints)) {
 		if ep := b.endpoints[b.rng.IntN(len(b.endpoints))]; b.isCandidate(c, ep) {
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Probes: whether two endpoints are probed for their load before one of them is chosen, and how long a
-// request waits for the answers.
+// This rule determines whether two endpoints are probed for their load before one of them is picked, and
+// how long a request waits for the results.
 //
 // Inputs: the price of a probe (share of service), the number of sidecars, the latency of probes and the
-// mean normalized latency (s), and the tick; the settings Probes and ProbesReportLoad.
+// mean normalized latency (s), the tick, and the settings Probes and ProbesReportLoad.
 //
-// Why: where each of many sidecars sends an endpoint little, its own outstanding attempts show nothing of
-// the endpoint's load. A probe does, at a price and at the cost of a wait.
+// Why: if there are many sidecars and each sends an endpoint few requests, its own outstanding attempts do
+// not show the load of the endpoint. A probe does, but it has a price and the request has to wait.
 
 import (
 	"math"
@@ -16,23 +16,24 @@
 )
 
 const (
-	// probesPerPair is the number of probes before one choice.
+	// probesPerPair is the number of probes before one pick.
 	probesPerPair = 2
-	// maxPairProbePrice is the share of service that probing a pair may cost. Higher: probes are used more
-	// often, and cost more than they bring.
+	// maxPairProbePrice is the maximum price of probing a pair, as a share of service. With a higher value,
+	// probes are used more often, but cost more than they gain.
 	maxPairProbePrice = 0.02
-	// cheapPairProbePrice is the price of a pair up to which probes are cheap: then they also serve
-	// admission control, and any sidecar uses them. Higher: as for maxPairProbePrice.
+	// cheapPairProbePrice is the price of probing a pair up to which probes are cheap. Cheap probes are
+	// used by any sidecar, and also for admission control. A higher value has the same trade-off as a
+	// higher maxPairProbePrice.
 	cheapPairProbePrice = 0.01
-	// maxProbeLatencies is the latency of probes, in mean latencies of a request, above which they are
-	// slow. Higher: more requests wait longer for them.
+	// maxProbeLatencies is the latency of probes, as a multiple of the mean latency of requests, above
+	// which probes are slow. With a higher value, more requests wait longer for probes.
 	maxProbeLatencies = 0.25
-	// slowProbeInterval: where probes are slow, one request in this many still probes. Higher: fewer requests
-	// wait, and probes that are fast again are noticed later.
+	// If probes are slow, one request in slowProbeInterval still probes. With a higher value, fewer
+	// requests wait, but it takes longer to notice that probes are fast again.
 	slowProbeInterval = 32
-	// probeProbability is the quantile of probe latency by which the wait for probes is measured;
-	// probeWaitLatencies times it, and probeWaitTicks, are waited. Higher: fewer probes are in vain, and
-	// lost ones delay requests longer.
+	// probeProbability is the quantile of probe latency from which the wait for probes is computed. The
+	// wait is probeWaitLatencies times that latency plus probeWaitTicks ticks. With higher values, fewer
+	// probe results come too late, but lost probes delay requests longer.
 	probeProbability   = 0.75
 	probeWaitLatencies = 4
 	probeWaitTicks     = 2
@@ -40,28 +41,28 @@
 
 // probing is the state of probes at all endpoints.
 type probing struct {
-	latency  quantile   // of probes, in seconds
-	awaiting []*request // that wait for a probe's answer
+	latency  quantile   // latency of probes, in seconds
+	awaiting []*request // requests that wait for a probe result
 }
 
-// newProbing returns the state before any probe was answered.
+// newProbing returns the state before the first probe result.
 func newProbing(tick time.Duration) probing {
 	return probing{latency: quantile{probeProbability, tick.Seconds()}}
 }
 
-// wait is how long a probe's answer is waited for.
+// wait returns how long a request waits for the results of its probes.
 func (p *probing) wait(tick time.Duration) time.Duration {
 	return probeWaitTicks*tick + seconds(probeWaitLatencies*p.latency.value)
 }
 
-// isSlow reports whether probes take too long beside the mean latency of a request, in seconds.
+// isSlow reports whether probes take too long relative to the mean latency of a request, in seconds.
 func (p *probing) isSlow(meanLatency float64) bool {
 	return p.latency.value > maxProbeLatencies*meanLatency
 }
 
-// probedPair is the two endpoints that were drawn and probed for a request's next attempt.
+// probedPair holds the two endpoints that were drawn and probed for a request's next attempt.
 type probedPair struct {
-	endpoints [2]*endpoint // nil: none were drawn
+	endpoints [2]*endpoint // nil if no pair was drawn
 	drawnAt   time.Duration
 }
 
@@ -69,17 +70,19 @@
 
 func (p *probedPair) contains(ep *endpoint) bool { return slices.Contains(p.endpoints[:], ep) }
 
-// hasReport reports whether ep, one of the pair, has reported its load since the pair was drawn.
+// hasReport reports whether ep, which belongs to the pair, has reported its load since the pair was drawn.
 func (p *probedPair) hasReport(ep *endpoint) bool { return ep.reportedAt >= p.drawnAt }
 
-// awaitsReport reports whether one of the pair has neither reported nor failed to since it was drawn.
+// awaitsReport reports whether the probe of an endpoint of the pair has neither returned a load report nor
+// failed since the pair was drawn.
 func (p *probedPair) awaitsReport() bool {
 	return slices.ContainsFunc(p.endpoints[:], func(ep *endpoint) bool {
 		return ep != nil && max(ep.reportedAt, ep.reportFailedAt) < p.drawnAt
 	})
 }
 
-// minInFlight is the lower number of requests in flight that one of the pair has reported, or infinity.
+// minInFlight returns the lowest number of requests in flight that the pair has reported, or infinity if
+// there is no report.
 func (p *probedPair) minInFlight() float64 {
 	lowest := math.Inf(1)
 	for _, ep := range p.endpoints {
@@ -90,24 +93,25 @@
 	return lowest
 }
 
-// pairProbePrice is the price of the probes before one choice.
+// pairProbePrice returns the price of the probes before one pick.
 func (b *Balancer) pairProbePrice() float64 { return probesPerPair * b.settings.PriceProbe }
 
-// probesAreCheap reports whether probes may be used freely; others only serve the choice of an endpoint.
+// probesAreCheap reports whether probes are cheap enough for any sidecar and for admission control.
+// Expensive probes are used only to pick an endpoint.
 func (b *Balancer) probesAreCheap() bool { return b.pairProbePrice() <= cheapPairProbePrice }
 
-// probesBeforePick reports whether endpoints are probed before one is chosen. Dearer probes pay off only
-// among many sidecars.
+// probesBeforePick reports whether endpoints are probed before one is picked. Probes that are not cheap are
+// worth their price only if there are many sidecars.
 func (b *Balancer) probesBeforePick() bool {
-	tooDear := b.pairProbePrice() > maxPairProbePrice ||
+	tooExpensive := b.pairProbePrice() > maxPairProbePrice ||
 		!b.probesAreCheap() && b.settings.Balancers < smallFleet
-	return b.settings.Probes && b.settings.ProbesReportLoad && !tooDear
+	return b.settings.Probes && b.settings.ProbesReportLoad && !tooExpensive
 }
 
-// startProbes draws the pair for r's next attempt and probes both; it reports whether it did. Probes help
-// where a sidecar's own outstanding attempts show nothing: of many sidecars each sends an endpoint little.
-// They are used where they report an endpoint's load, cost little (the more sidecars there are, the less one
-// sees by itself) and are answered fast.
+// startProbes draws the pair for r's next attempt, probes both endpoints, and reports whether it did so.
+// Probes help if each of many sidecars sends an endpoint few requests, so that a sidecar's own outstanding
+// attempts do not show the load. They are used if they report an endpoint's load, are fast, and are cheap;
+// with many sidecars they may be more expensive, because each sidecar sees less of the load itself.
 func (b *Balancer) startProbes(r *request) bool {
 	if !b.probesBeforePick() || r.outstanding > 0 {
 		return false
@@ -127,8 +131,7 @@
 	return true
 }
 
-// awaitsProbes reports whether r waits for the answers of the pair that was drawn for it earlier. It changes
-// nothing.
+// awaitsProbes reports whether r waits for results of probes of its pair. It changes no state.
 func (b *Balancer) awaitsProbes(r *request) bool {
 	if !b.probesBeforePick() || r.outstanding > 0 || !r.pair.isDrawn() {
 		return false
@@ -145,24 +148,25 @@
 	b.emit(Action{Kind: Probe, Endpoint: ep.id})
 }
 
-// drawPair draws the pair to probe for r; it reports whether there are two.
+// drawPair draws a pair of endpoints to probe for r, and reports whether two were available.
 func (b *Balancer) drawPair(r *request) bool {
 	c := candidates{request: r}
 	if b.crossZoneCost() != 0 {
 		c.zones = homeZone
 	}
 	c.exclude = b.draw(&c)
-	one, two := c.exclude, b.draw(&c)
-	if two == nil {
+	first, second := c.exclude, b.draw(&c)
+	if second == nil {
 		return false
 	}
-	r.pair = probedPair{endpoints: [2]*endpoint{one, two}, drawnAt: b.now}
+	r.pair = probedPair{endpoints: [2]*endpoint{first, second}, drawnAt: b.now}
 	r.pairsProbed++
 	return true
 }
 
-// handleProbeResult records a probe's answer, and calls advance for the requests that wait for one of this
-// endpoint. It does not end an ejection: that a process answers probes does not show that it serves requests.
+// handleProbeResult records the result of a probe, and calls advance for the requests that wait for a probe
+// of this endpoint. A probe does not end an ejection: a process that answers probes does not necessarily
+// serve requests.
 func (b *Balancer) handleProbeResult(e ProbeResult) {
 	ep := b.endpointsByID[e.Endpoint]
 	if ep == nil || ep.probeSentAt == 0 {
@@ -175,8 +179,9 @@
 	} else {
 		ep.reportFailedAt = b.now
 	}
-	// advance may draw a further pair for a request, and append it to the list that is being filtered.
-	// That is lost, and harmless: the request stays in the list by the entry that is looked at.
+	// advance may draw another pair for a request and append the request to the list that is being
+	// filtered. The appended entry is lost, which is harmless: the request stays in the list through its
+	// current entry.
 	b.probes.awaiting = slices.DeleteFunc(b.probes.awaiting, func(r *request) bool {
 		if !r.done && r.pair.isDrawn() && r.pair.contains(ep) {
 			b.advance(r)
--- a/balancer/quantile.go
+++ b/balancer/quantile.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// quantileStep is the step of learned quantiles in their logarithm. Higher: they follow a change sooner and
-// are noisier.
+// quantileStep is the step size of estimated quantiles, on a logarithmic scale. A higher value follows a
+// change sooner and is noisier.
 const quantileStep = 0.1
 
-// quantile follows the quantile of the added values with the given probability, by steps in their logarithm.
+// quantile estimates the quantile with the given probability of the values that are added. Each value moves
+// the estimate by a step on a logarithmic scale.
 type quantile struct {
 	probability float64
 	value       float64
--- a/balancer/rate.go
+++ b/balancer/rate.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// minAgeDivisor divides the memory of a rate into its least age: a younger rate counts as that old. Higher: a
-// rate follows its first events more closely, and the first one alone counts as a higher rate.
+// The memory of a rate divided by minAgeDivisor is its minimum age: a younger rate is computed as if it had
+// that age. With a higher value, a rate follows its first events more closely, and the first event alone
+// counts as a higher rate.
 const minAgeDivisor = 20
 
-// rate is an exponentially weighted moving rate.
+// rate is an exponentially weighted moving rate of events.
 type rate struct {
 	memory    time.Duration
 	sum       float64
@@ -32,14 +33,14 @@
 	return r.sum * math.Exp(-float64(now-r.updatedAt)/float64(r.memory))
 }
 
-// perSecond is the rate at now, without the bias to low values that a young rate would have.
+// perSecond returns the rate per second at now, corrected for the bias towards low values of a young rate.
 func (r *rate) perSecond(now time.Duration) float64 {
 	age := max(now-r.startedAt, r.memory/minAgeDivisor)
 	sum := r.decayedSum(now)
 	return sum / (r.memory.Seconds() * (1 - math.Exp(-float64(age)/float64(r.memory))))
 }
 
-// shareOf is the share of the rate with the given index in the sum of all.
+// shareOf returns the share that the rate with the given index has in the sum of all rates.
 func shareOf(rates []rate, index int, now time.Duration) float64 {
 	total := 0.0
 	for i := range rates {
--- a/balancer/recent.go
+++ b/balancer/recent.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Sizes of the memories of recent values, in values. Higher: more memory, and older values count longer.
+// Numbers of recent values that are kept. Higher values use more memory, and older values count for longer.
 const (
-	maxArrivals    = 256 // a second of a class at a busy sidecar that serves none of its requests
-	maxRankSamples = 64  // values among which a new one is ranked
+	maxArrivals    = 256 // arrivals of a class within a second at a busy sidecar that serves none of them
+	maxRankSamples = 64  // values among which a new value is ranked
 )
 
-// recentArrivals is the times at which the last maxArrivals of some requests arrived.
+// recentArrivals holds the arrival times of the last maxArrivals requests that were added.
 type recentArrivals struct {
 	times [maxArrivals]time.Duration
 	count int
@@ -19,7 +19,7 @@
 	a.count++
 }
 
-// hasNear reports whether one of them arrived within tolerance of at.
+// hasNear reports whether one of the requests arrived within tolerance of at.
 func (a *recentArrivals) hasNear(at, tolerance time.Duration) bool {
 	for _, t := range a.times[:min(a.count, maxArrivals)] {
 		if (t - at).Abs() <= tolerance {
@@ -29,14 +29,15 @@
 	return false
 }
 
-// recentRanks ranks a value among recent ones.
+// recentRanks ranks a value among recent values.
 type recentRanks struct {
 	samples [maxRankSamples]float64
 	count   int
 }
 
-// rankAndAdd returns the share of recent values below v, 0 to 1, and adds v to them. Of equal values the
-// given part, 0 to 1, counts as below: a random part keeps equal values apart.
+// rankAndAdd returns the share of recent values below v, 0 to 1, and adds v to the recent values. The share
+// equalPart, 0 to 1, of the values that equal v counts as below it; a random equalPart gives equal values
+// different ranks.
 func (r *recentRanks) rankAndAdd(v, equalPart float64) float64 {
 	lower, equal := 0.0, 0.0
 	n := min(r.count, maxRankSamples)
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Reconfigure replaces, from the next decision on, the settings that each decision reads anew and that are no part of
-// what a request in flight was promised: the maximum of attempts, hedging, prices, the weight and late weight of
-// classes, and the tenants' fractions. All other settings stay as New had them: effect, idempotency scope and window,
-// deadline and objective of a class, the rules of slow start, and what the sidecar can do. Classes and tenants that
-// New did not know are ignored. It is all or nothing: an error names the setting that cannot be used, and then
-// nothing has changed. The caller is Handle's.
+// Reconfigure replaces those settings that each decision reads anew and that requests in flight do not rely on:
+// MaxAttempts, Hedging, the prices, the Weight and LateWeight of classes, and the Fraction of tenants. The new values
+// apply from the next decision on. All other settings keep the values that New was given: effect, idempotency scope
+// and window, deadline and objective of a class, the settings of slow start, and the capabilities of the sidecar.
+// Classes and tenants that New was not given are ignored. If a setting is invalid, Reconfigure returns an error that
+// names it and changes nothing. It must be called from the goroutine that calls Handle.
 func (b *Balancer) Reconfigure(s Settings) error {
 	if err := s.validate(); err != nil {
 		return err
@@ -24,7 +24,7 @@
 			class.LateWeight = c.LateWeight
 		}
 	}
-	b.settings.Tenants = slices.Clone(b.settings.Tenants) // New's caller has the former slice
+	b.settings.Tenants = slices.Clone(b.settings.Tenants) // the caller of New still owns the former slice
 	for i := range b.settings.Tenants {
 		tenant := &b.settings.Tenants[i]
 		for _, t := range s.Tenants {
--- a/balancer/rendezvous.go
+++ b/balancer/rendezvous.go
@@ -24,8 +24,8 @@
 	return x ^ x>>31
 }
 
-// topByHash returns the n endpoints of those that are ok with the highest hashes of seed and ID (rendezvous
-// hashing).
+// topByHash returns the n endpoints with the highest hashes of seed and ID among those for which ok returns
+// true (rendezvous hashing).
 func topByHash(list []*endpoint, n int, ok func(*endpoint) bool, seed uint64) []*endpoint {
 	top := make([]*endpoint, 0, n+1)
 	for _, ep := range list {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,71 +1,74 @@
 package balancer
 
-// The path of a request: from its arrival over its attempts to its one final answer. This file decides what
-// happens next to a request; whether and where is decided by the rules that it calls.
+// This file implements the life of a request, from its arrival over its attempts to its one final answer.
+// It decides when a request advances; the rules that it calls decide whether an attempt is made and where
+// it is sent.
 //
-// Inputs: the events of the request and of its attempts, its deadline and the usual latency (times of
-// Handle's clock and durations), and the verdicts of the rules.
+// Inputs: the events of the request and its attempts, its deadline and the usual latency (times of Handle's
+// clock and durations), and the decisions of the rules.
 //
-// Why: each request gets exactly one final answer in its client's time, from an endpoint or from giveUp.
+// Why: each request gets exactly one final answer before its client stops waiting, either from an endpoint
+// or from giveUp.
 //
-// A request is in one of these states, and each ends with one of the events that are named:
+// A request is in one of these states. Each state ends with one of the named events:
 //
-//   - probing: a pair was drawn for the next attempt (probe.go). A ProbeResult, or timerAdvance at the end of
-//     the wait, calls advance.
-//   - without an endpoint: no endpoint may be sent the next attempt, for example because all of them warm up.
-//     timerAdvance calls advance after eligiblePollTicks.
-//   - attempted: attempts are outstanding. The Outcome of the last one calls advance, unless it is the final
-//     answer or the retry budget is spent; timerOverdue may send a hedge beside it or cancel it.
-//   - streaming: a FirstByte has come. There are no more attempts, and the deadline no longer holds; the
-//     Outcome or ClientDisconnected ends it.
-//   - done: it has its final answer. It is kept until its outstanding attempts have had their Outcomes.
+//   - Probing: a pair was drawn for the next attempt (probe.go). A ProbeResult, or timerAdvance at the end
+//     of the wait, calls advance.
+//   - Waiting for an endpoint: no endpoint may be sent the next attempt, for example because all endpoints
+//     are warming up. timerAdvance calls advance after eligiblePollTicks.
+//   - Attempted: attempts are outstanding. The Outcome of the last one calls advance, unless it is the
+//     final answer or the retry budget is spent. timerOverdue may send a hedge or cancel the attempt.
+//   - Streaming: a FirstByte was received. No more attempts are made, and the deadline no longer applies.
+//     The Outcome or ClientDisconnected ends the request.
+//   - Done: the request has its final answer. It is kept until its outstanding attempts have had their
+//     Outcomes.
 //
-// In each of the first three, timerDeadline gives the request up, and ClientDisconnected ends it.
+// In each of the first three states, timerDeadline gives the request up, and ClientDisconnected ends it.
 
 import (
 	"slices"
 	"time"
 )
 
-// eligiblePollTicks is how long, in ticks, a request waits that no endpoint may be sent before it looks
-// again. Higher: less work for waiting requests, and they are sent later.
+// eligiblePollTicks is the interval, in ticks, at which a request that no endpoint may be sent tries again.
+// A higher value means less work for waiting requests, but they are sent later.
 const eligiblePollTicks = 2
 
-// unreported stands for a load that no report brought.
+// unreported is the value of attempt.reportedInFlight if there was no load report.
 const unreported = -1
 
-// noAttempt is no attempt's number.
+// noAttempt is a number that no attempt has.
 const noAttempt = -1
 
-// classState is a class of requests and what was learned of it.
+// classState is a class of requests and its learned state.
 type classState struct {
 	Class
-	meanSeconds      float64        // mean latency
-	timeLeft         usualTimeLeft  // on arrival
-	unservedArrivals recentArrivals // of requests that got no answer from an endpoint
+	meanSeconds      float64        // mean latency, in seconds
+	timeLeft         usualTimeLeft  // usual time from arrival to the deadline
+	unservedArrivals recentArrivals // requests that got no answer from an endpoint
 }
 
-// attempt is one sending of a request to an endpoint.
+// attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	request          *request
 	number           int
 	endpoint         *endpoint
-	zone             string // of the endpoint when the attempt was sent
+	zone             string // zone of the endpoint when the attempt was sent
 	cell             int
 	sentAt           time.Duration
 	outstanding      bool
-	reportedInFlight float64 // what the endpoint had reported to the probe before, or unreported
-	mayHaveRun       bool    // not known not to have run
+	reportedInFlight float64 // load reported by the preceding probe, or unreported
+	mayHaveRun       bool    // false only if it is certain that the request did not run
 }
 
 // answeredSince reports whether the attempt's endpoint has answered any attempt since this one was sent.
 func (a *attempt) answeredSince() bool { return a.sentAt < a.endpoint.health.answeredAt }
 
-// request is a request that has no final answer, or attempts outstanding.
+// request is a request that has no final answer yet or has outstanding attempts.
 type request struct {
 	id              string
 	class           *classState
-	tenantIndex     int // -1: not a known tenant
+	tenantIndex     int // -1 if the tenant is unknown
 	arrivedAt       time.Duration
 	expiresAt       time.Duration // when the client stops waiting (deadline.go)
 	objectiveAt     time.Duration
@@ -74,17 +77,17 @@
 	priorAttempts   []PriorAttempt
 	attempts        []*attempt
 	outstanding     int
-	lateClientRetry bool // a client's repeat after the objective of its first attempt
+	lateClientRetry bool // a client retry after the objective of the client's first attempt
 	done            bool
-	streaming       bool          // its answer has begun
-	overdueAt       time.Duration // when its latest attempt is overdue
+	streaming       bool          // a streamed answer has started
+	overdueAt       time.Duration // when the latest attempt is overdue
 
-	keyHash          uint64 // of its affinity key; 0: it has none, or endpoints do not cache by key
-	keyEndpointCount int    // number of endpoints that its key has
+	keyHash          uint64 // hash of the affinity key; 0 if it has none or endpoints do not cache by key
+	keyEndpointCount int    // number of endpoints that serve the key
 
-	rank        float64 // of its weight among recent requests, 0 to 1
+	rank        float64 // rank of its weight among recent requests, 0 to 1
 	admission   admissionVerdict
-	pair        probedPair // for the next attempt
+	pair        probedPair // pair probed for the next attempt
 	pairsProbed int
 }
 
@@ -100,7 +103,7 @@
 		return
 	}
 	class := b.classes[e.Class]
-	if class == nil { // nothing has run and nothing is known of the request
+	if class == nil { // nothing has run, so the rejection is safe
 		b.emit(Action{Kind: Reject, ID: e.ID})
 		return
 	}
@@ -117,7 +120,7 @@
 		return
 	}
 	b.refreshSubset()
-	b.offeredRate.add(r.relativeWork, b.now) // without rejected requests, whose repeats would count again
+	b.offeredRate.add(r.relativeWork, b.now) // excludes rejected requests, whose retries would count again
 	b.advance(r)
 }
 
@@ -136,9 +139,10 @@
 	return r
 }
 
-// advance decides on the next attempt of a request that has none outstanding: it waits for probes, is given
-// up, is sent, or waits until an endpoint may be sent it. Each wait ends with another call: from
-// handleProbeResult or from timerAdvance. The first call is handleRequest's, later ones are handleOutcome's.
+// advance decides about the next attempt of a request that has none outstanding: the request waits for
+// probes, is given up, is sent, or waits until an endpoint may be sent it. Each wait ends with another
+// call, from handleProbeResult or for timerAdvance. handleRequest makes the first call, and handleOutcome
+// calls advance after an attempt has ended.
 func (b *Balancer) advance(r *request) {
 	if len(r.attempts) > 0 && b.now+b.usualLatency(r) > r.deadline {
 		b.giveUp(r)
@@ -166,7 +170,7 @@
 	b.schedule(b.now+eligiblePollTicks*b.settings.Tick, timerAdvance, r)
 }
 
-// send starts the next attempt. mayAttempt has allowed it, through pick.
+// send starts the next attempt. The caller must have checked mayAttempt, as pick does.
 func (b *Balancer) send(r *request, ep *endpoint) {
 	var notAfter time.Duration
 	if first, ok := r.firstPossibleRun(); ok && r.class.Effect == Keyed {
@@ -201,7 +205,7 @@
 	}
 }
 
-// handleFirstByte takes a streamed answer for the final one.
+// handleFirstByte treats the start of a streamed answer as the final answer.
 func (b *Balancer) handleFirstByte(e FirstByte) {
 	r := b.requests[e.ID]
 	if r == nil || r.streaming {
@@ -212,7 +216,7 @@
 	b.cancelOthers(r, e.Attempt)
 }
 
-// handleOutcome learns from an attempt's outcome, and ends the request or moves it on.
+// handleOutcome records an attempt's outcome, and ends the request or advances it.
 func (b *Balancer) handleOutcome(e Outcome) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].outstanding {
@@ -227,7 +231,7 @@
 	switch {
 	case r.done:
 		b.release(r)
-	case r.outstanding > 0 || r.streaming: // a hedge is outstanding, or the client ends the stream
+	case r.outstanding > 0 || r.streaming: // another attempt is outstanding, or the client will end the stream
 	case e.Result != ConnectFailed && b.retries.isSpent():
 		b.giveUp(r)
 	default:
@@ -249,7 +253,7 @@
 	b.updateHealth(a, e.Result, e.Elapsed)
 }
 
-// giveUp ends a request without an answer from an endpoint.
+// giveUp ends a request with a final answer that comes from the sidecar, not from an endpoint.
 func (b *Balancer) giveUp(r *request) {
 	if r.done {
 		return
@@ -267,7 +271,7 @@
 	b.finish(r, false)
 }
 
-// cancelOthers cancels the outstanding attempts but for the one with number except.
+// cancelOthers cancels all outstanding attempts except the one with number except.
 func (b *Balancer) cancelOthers(r *request, except int) {
 	for _, a := range r.attempts {
 		if a.outstanding && a.number != except && b.settings.Cancellation {
@@ -276,7 +280,7 @@
 	}
 }
 
-// finish ends a request, served by an endpoint or not.
+// finish marks a request as done; served reports whether an endpoint served it.
 func (b *Balancer) finish(r *request, served bool) {
 	if r.done {
 		return
@@ -291,7 +295,7 @@
 	b.release(r)
 }
 
-// release drops a request that is done and has no outcome to come.
+// release deletes a request that is done and expects no further outcomes.
 func (b *Balancer) release(r *request) {
 	if r.done && r.outstanding == 0 {
 		delete(b.requests, r.id)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,26 +1,26 @@
 package balancer
 
-// Attempts and retries: whether a request may be sent to an endpoint at all, and how many attempts beyond
+// This rule determines whether a request may be sent to an endpoint at all, and how many attempts beyond
 // the first ones the sidecar makes.
 //
-// Inputs: the request's state and its attempts (number, outstanding or not), the endpoint's place in the
-// list, the idempotency rules (idempotency.go), the budget of slow start (slowstart.go), MaxAttempts and
-// Hedging; the rate of offered work (mean requests a second).
+// Inputs: the request's state and its attempts (number, outstanding or not), whether the endpoint is
+// listed, the idempotency rules (idempotency.go), the budget of slow start (slowstart.go), the settings
+// MaxAttempts and Hedging, and the rate of offered work (mean requests per second).
 //
-// Why: the gate keeps the promises that an attempt could break (no effect twice, nothing new to a draining
-// endpoint, no cold endpoint overloaded). The budget prevents retries that multiply the load of endpoints
-// that already fail.
+// Why: mayAttempt enforces the guarantees that an attempt could break (no second effect, no new attempts on
+// draining endpoints, no overload of cold endpoints). The retry budget prevents retries from multiplying
+// the load of endpoints that already fail.
 
 const (
-	// retryRatio is the retries and hedges per first attempt, over time. Higher: more requests survive
-	// failures, and more load falls on endpoints that fail.
+	// retryRatio is the number of retries and hedges per first attempt, averaged over time. With a higher
+	// value, more requests survive failures, but failing endpoints get more load.
 	retryRatio = 0.25
-	// retryBurst is how many may be made at once, at least, so that a quiet sidecar can retry at all.
-	// Higher: as for retryRatio.
+	// retryBurst is the minimum number of retries and hedges that may be made at once, so that a quiet
+	// sidecar can retry at all. A higher value has the same trade-off as a higher retryRatio.
 	retryBurst = 10.0
 )
 
-// mayAttempt is the gate that every attempt passes.
+// mayAttempt reports whether an attempt of r may be sent to ep. Every attempt has to pass this check.
 func (b *Balancer) mayAttempt(r *request, ep *endpoint) bool {
 	if r.done || r.streaming || b.now >= r.expiresAt || !ep.listed {
 		return false
@@ -37,28 +37,28 @@
 	return b.warmUpAllows(ep)
 }
 
-// retryBudget is a token bucket: first attempts earn tokens, and any other attempt costs one.
+// retryBudget is a token bucket: first attempts earn tokens, and every other attempt costs one.
 type retryBudget struct {
 	tokens float64
 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: retryBurst} }
 
-// isSpent reports whether there is no token left for another attempt.
+// isSpent reports whether no token is left for another attempt.
 func (t *retryBudget) isSpent() bool { return t.tokens < 1 }
 
-// earn adds the tokens of one first attempt, where offered is the rate of offered work in mean requests a
+// earn adds the tokens that a first attempt earns. offered is the rate of offered work in mean requests per
 // second.
 func (t *retryBudget) earn(offered float64) {
 	burst := max(retryBurst, retryRatio*offered)
 	t.tokens = min(t.tokens+retryRatio, burst)
 }
 
-// spend takes the token of one attempt. Retries of refused connections cost nothing and are not held to the
-// budget, which therefore does not go below 0.
+// spend removes the token for one attempt. Retries after ConnectFailed are not limited by the budget, so
+// the number of tokens is kept from falling below 0.
 func (t *retryBudget) spend() { t.tokens = max(t.tokens-1, 0) }
 
-// updateRetryBudget earns retry tokens for a first attempt, and spends one for any other.
+// updateRetryBudget adds tokens for a first attempt, and spends one for any other attempt.
 func (b *Balancer) updateRetryBudget(a *attempt) {
 	if a.number > 0 {
 		b.retries.spend()
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -10,18 +11,18 @@
 	"hazelwing/internal/backoff"
 )
 
-// defaultTick is the Tick of settings that name none. Higher: sidecars may handle events in larger batches, and all
-// margins before deadlines are longer.
+// defaultTick is the default of Settings.Tick. With a higher value, sidecars may handle events in larger batches, and
+// all margins before deadlines are longer.
 const defaultTick = time.Millisecond
 
-// validate fills in the defaults of absent settings and returns an error that names the first one that cannot be
-// used. The names in errors are those that operators know, from before the fields had their present names.
+// validate sets the defaults of absent settings and returns an error for the first invalid one. Errors use the names
+// under which operators know the settings, which are older than the current names of some fields.
 func (s *Settings) validate() error {
 	if err := s.validateValues(); err != nil {
 		return err
 	}
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("setting Classes: none given")
+		return errors.New("setting Classes: no class given; at least one is required")
 	}
 	s.Balancers = max(s.Balancers, 1)
 	s.MaxAttempts = max(s.MaxAttempts, 1)
@@ -45,7 +46,7 @@
 		{"FallTime", s.OverloadDuration},
 	} {
 		if setting.value < 0 {
-			return fmt.Errorf("setting %s: negative", setting.name)
+			return fmt.Errorf("setting %s: %v is negative; it must be 0 or more", setting.name, setting.value)
 		}
 	}
 	for _, setting := range []struct {
@@ -62,13 +63,32 @@
 		{"ColdFrom", s.InitialCapacity},
 		{"FallMultiple", s.OverloadMultiple},
 	} {
-		if !(setting.value >= 0) || math.IsInf(setting.value, 0) {
-			return fmt.Errorf("setting %s: %v is not usable", setting.name, setting.value)
+		if err := checkFinite(setting.value); err != nil {
+			return fmt.Errorf("setting %s: %w", setting.name, err)
 		}
 	}
 	return nil
 }
 
+// checkFinite returns an error unless v is a finite number of at least 0.
+func checkFinite(v float64) error {
+	if math.IsInf(v, 1) {
+		return errors.New("value is infinite; it must be a finite number")
+	}
+	return checkNotNegative(v)
+}
+
+// checkNotNegative returns an error unless v is at least 0. Infinity is accepted.
+func checkNotNegative(v float64) error {
+	switch {
+	case math.IsNaN(v):
+		return errors.New("value is NaN; it must be a number")
+	case v < 0:
+		return fmt.Errorf("%v is negative; it must be 0 or more", v)
+	}
+	return nil
+}
+
 func (s *Settings) validateClasses() error {
 	s.Classes = slices.Clone(s.Classes)
 	names := map[string]bool{}
@@ -76,48 +96,58 @@
 		c := &s.Classes[i]
 		c.LatencyObjective = cmp.Or(c.LatencyObjective, c.Deadline)
 		c.Weight = cmp.Or(c.Weight, 1)
-		if c.Name == "" || names[c.Name] {
-			return fmt.Errorf("setting Classes: Name %q empty or repeated", c.Name)
+		if c.Name == "" {
+			return fmt.Errorf("setting Classes: class %d: Name is empty", i+1)
+		}
+		if names[c.Name] {
+			return fmt.Errorf("setting Classes: Name %q is repeated; names must be unique", c.Name)
 		}
 		names[c.Name] = true
-		if field := c.invalidField(); field != "" {
-			return fmt.Errorf("setting Classes: %s: %s is not usable", c.Name, field)
+		if err := c.validate(); err != nil {
+			return fmt.Errorf("setting Classes: %s: %w", c.Name, err)
 		}
 	}
 	return nil
 }
 
-// invalidField names the first field that cannot be used, or returns "". Negated comparisons exclude NaN.
-func (c *Class) invalidField() string {
+// validate returns an error for the first invalid field, under the name that operators know.
+func (c *Class) validate() error {
 	switch {
 	case c.LatencyObjective <= 0:
-		return "Aim"
+		return fmt.Errorf("field Aim: %v is not positive", c.LatencyObjective)
 	case c.Deadline <= 0:
-		return "Deadline"
+		return fmt.Errorf("field Deadline: %v is not positive", c.Deadline)
 	case c.Effect < Idempotent || c.Effect > NonIdempotent:
-		return "Effect"
+		return fmt.Errorf("field Effect: unknown value %d; it must be 0 to 2", c.Effect)
 	case c.IdempotencyScope < ScopeAll || c.IdempotencyScope > ScopeCell:
-		return "Group"
-	case !(c.Weight >= 0):
-		return "Worth"
-	case !(c.LateWeight >= 0):
-		return "LateShare"
-	case !(c.ObjectiveStretch >= 0):
-		return "AimStretch"
-	case c.IdempotencyWindow < 0:
-		return "Window"
+		return fmt.Errorf("field Group: unknown value %d; it must be 0 to 2", c.IdempotencyScope)
 	}
-	return ""
+	for _, field := range []struct {
+		name  string
+		value float64
+	}{
+		{"Worth", c.Weight},
+		{"LateShare", c.LateWeight},
+		{"AimStretch", c.ObjectiveStretch},
+	} {
+		if err := checkNotNegative(field.value); err != nil {
+			return fmt.Errorf("field %s: %w", field.name, err)
+		}
+	}
+	if c.IdempotencyWindow < 0 {
+		return fmt.Errorf("field Window: %v is negative; it must be 0 or more", c.IdempotencyWindow)
+	}
+	return nil
 }
 
 func (s *Settings) validateTenants() error {
 	names := map[string]bool{}
 	for _, t := range s.Tenants {
-		if !(t.Fraction >= 0) || math.IsInf(t.Fraction, 0) {
-			return fmt.Errorf("setting Tenants: %s: Fraction %v is not usable", t.Name, t.Fraction)
+		if err := checkFinite(t.Fraction); err != nil {
+			return fmt.Errorf("setting Tenants: %s: field Fraction: %w", t.Name, err)
 		}
 		if names[t.Name] {
-			return fmt.Errorf("setting Tenants: Name %q repeated", t.Name)
+			return fmt.Errorf("setting Tenants: Name %q is repeated; names must be unique", t.Name)
 		}
 		names[t.Name] = true
 	}
@@ -125,8 +155,8 @@
 }
 
 // SetBalancers replaces the number of sidecars in the settings, from the next decision on. Subsets, the cost of
-// cross-zone attempts, the use of probes and the backoff of subscriptions follow it. Below 1 counts as 1. The caller is
-// Handle's.
+// cross-zone attempts, the use of probes and the backoff of subscriptions depend on it. A number below 1 counts as 1.
+// It must be called from the goroutine that calls Handle.
 func (b *Balancer) SetBalancers(n int) {
 	b.settings.Balancers = max(n, 1)
 	b.subscription.backoff.Config = backoff.ServiceConfig(b.settings.Balancers)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,50 +1,55 @@
 package balancer
 
-// Slow start: how much work an endpoint that has just started is sent.
+// Slow start determines how much work an endpoint that has just started is sent.
 //
-// Inputs: the times since its start (durations), the settings InitialCapacity (share), WarmUp,
-// OverloadMultiple and OverloadDuration, the rate of offered work (mean requests a second), the mean
+// Inputs: the time since the endpoint's start (duration), the settings InitialCapacity (share), WarmUp,
+// OverloadMultiple and OverloadDuration, the rate of offered work (mean requests per second), the mean
 // latency of its kind (s), the recent number of endpoints, and the subset.
 //
-// Why: a cold endpoint that all sidecars together send the load of a warm one is overloaded and fails
-// again. Each sidecar keeps to its own part, because nobody tells it what the others send.
+// Why: if all sidecars together send a cold endpoint the load of a warm one, it is overloaded and fails
+// again. Each sidecar limits itself to its own share of the load, because it does not know what the others
+// send.
 
 import "time"
 
 const (
-	// warmUpSafety is the share to use of the load that would overload an endpoint. Higher: endpoints warm
-	// up under more load, and are overloaded sooner.
+	// warmUpSafety is the share of the load that would overload an endpoint which may be used. With a
+	// higher value, endpoints get more load while they warm up, but are overloaded sooner.
 	warmUpSafety = 0.85
-	// maxWarmUpKindRatio is the maximum factor for kinds faster than the mean; slower ones get less.
-	// Higher: as for warmUpSafety, for fast kinds.
+	// maxWarmUpKindRatio limits the factor by which kinds that are faster than the mean get more load;
+	// slower kinds get less. A higher value has the same trade-off as a higher warmUpSafety, for fast
+	// kinds.
 	maxWarmUpKindRatio = 1.5
-	// burstsPerOverload is how many bursts, of all the tokens that an endpoint may have saved, fill
-	// OverloadDuration. Higher: smaller bursts, and more requests wait for a token.
+	// burstsPerOverload determines the size of a burst, that is, of all tokens that an endpoint can
+	// accumulate: OverloadDuration covers this many bursts. With a higher value, bursts are smaller, but
+	// more requests wait for a token.
 	burstsPerOverload = 10
-	// minWarmUpBurst is the number of tokens that may be saved at least: those of one request.
+	// minWarmUpBurst is the minimum size of a burst in tokens: that of one request.
 	minWarmUpBurst = 1
-	// subsetWarmUpShare is the share of an endpoint's mean load that the sidecars with it in their subset send.
-	// Higher: the others send it less, and spill over to it later.
+	// subsetWarmUpShare is the share of an endpoint's mean load that is sent by the sidecars that have it
+	// in their subset. With a higher value, the other sidecars send it less, and use it later if their
+	// subsets are exhausted.
 	subsetWarmUpShare = 0.8
-	// homeZoneSkew is the load of the busiest zone over the mean, which nobody reports. Higher: budgets in
-	// the home zone are smaller.
+	// homeZoneSkew is the assumed ratio of the load of the busiest zone to the mean load of a zone, which
+	// is not reported. With a higher value, budgets in the home zone are smaller.
 	homeZoneSkew = 1.3
-	// listSizeMemory is how long a longer endpoint list is remembered. Higher: after a failure of most
-	// endpoints the first that return keep a small budget for longer.
+	// listSizeMemory is how long the size of a longer endpoint list is remembered. With a higher value, the
+	// first endpoints that return after a failure of most endpoints have a small budget for longer.
 	listSizeMemory = 60 * time.Second
-	// maxListShrinkage is the factor by which a remembered list is taken to be shorter than it was: a rolling
-	// deployment leaves more than half in place. Higher: the first endpoints that return get more.
+	// maxListShrinkage divides the remembered list size: the list is assumed not to have shrunk by more
+	// than this factor, because a rolling deployment leaves more than half of the endpoints in place. With
+	// a higher value, the first endpoints that return get more load.
 	maxListShrinkage = 2
 )
 
-// slowStart is the state of slow start over all endpoints.
+// slowStart is the state of slow start that concerns all endpoints.
 type slowStart struct {
 	listSize    listSize
-	delayLogged bool // it has delayed a request, and no endpoint has warmed up since
+	delayLogged bool // a delay was logged, and no endpoint has warmed up since
 }
 
-// warmUp is the slow start of one endpoint: a token bucket in mean requests, which is refilled as its
-// capacity grows.
+// warmUp is the slow start of one endpoint. It has a token bucket in mean requests, whose refill rate grows
+// with the endpoint's capacity.
 type warmUp struct {
 	active   bool
 	from     time.Duration
@@ -52,7 +57,7 @@
 	tokensAt time.Duration // when they were last refilled
 }
 
-// end ends the warm-up if its time is over by now, and reports whether it did.
+// end ends the warm-up if its period is over at now, and reports whether it did so.
 func (w *warmUp) end(now, period time.Duration) bool {
 	if !w.active || now-w.from < period {
 		return false
@@ -61,7 +66,7 @@
 	return true
 }
 
-// capacityShare is the minimum share of its capacity that the endpoint has by now.
+// capacityShare returns the share of its full capacity that the endpoint has at least at now.
 func (w *warmUp) capacityShare(now time.Duration, initial float64, period time.Duration) float64 {
 	if !w.active {
 		return 1
@@ -70,29 +75,31 @@
 	return min(1, initial+(1-initial)*progress)
 }
 
-// refill adds the tokens that have come since the last call, up to burst.
+// refill adds the tokens that have accrued since the last call, up to burst.
 func (w *warmUp) refill(now time.Duration, perSecond, burst float64) {
 	w.tokens = min(burst, w.tokens+perSecond*(now-w.tokensAt).Seconds())
 	w.tokensAt = now
 }
 
-// hasToken reports whether one more request may be sent.
+// hasToken reports whether there is a token for another request.
 func (w *warmUp) hasToken() bool { return w.tokens >= 1 }
 
-// spend takes the tokens of a request of this expected work.
+// spend removes the tokens for a request with this expected work.
 func (w *warmUp) spend(relativeWork float64) { w.tokens -= relativeWork }
 
-// startWarmUp begins an endpoint's slow start, counted from the time from.
+// startWarmUp starts ep's slow start, which is counted from the time from.
 func (b *Balancer) startWarmUp(ep *endpoint, from time.Duration) {
-	// A random part of the first token: all sidecars learn of ep together, and one request each is a burst.
+	// The bucket starts with a random part of a token: all sidecars learn of ep at the same time, and one
+	// immediate request from each of them would be a burst.
 	ep.warmUp = warmUp{active: true, from: from, tokens: b.rng.Float64(), tokensAt: b.now}
-	// With a part of its capacity ep takes that much longer. A start at the mean of its kind would make it look
-	// as fast as a warm endpoint, and idle besides: it would be preferred until it has answered.
+	// With only part of its capacity, ep takes longer in proportion. If the estimate started at the mean of
+	// its kind, ep would seem as fast as a warm endpoint, and idle as well, so it would be preferred until
+	// it has answered.
 	ep.latency = peakEWMA{*ep.kindMean / b.capacityShare(ep), b.now}
 }
 
-// capacityShare ends ep's slow start if its time is over, and returns the minimum share of its capacity
-// that ep has by now.
+// capacityShare returns the share of its full capacity that ep has at least at present. It first ends ep's
+// slow start if the warm-up period is over.
 func (b *Balancer) capacityShare(ep *endpoint) float64 {
 	if ep.warmUp.end(b.now, b.settings.WarmUp) {
 		b.slowStart.delayLogged = false
@@ -100,8 +107,9 @@
 	return ep.warmUp.capacityShare(b.now, b.settings.InitialCapacity, b.settings.WarmUp)
 }
 
-// warmUpAllows holds an endpoint that is warming up to a part of the load that would overload it. It prevents
-// that the sidecars, each of which sees only its own load, together overload an endpoint that is cold.
+// warmUpAllows reports whether the budget of slow start allows another request to ep. An endpoint that is
+// warming up gets only a share of the load that would overload it. Otherwise the sidecars, each of which
+// sees only its own load, could together overload a cold endpoint.
 func (b *Balancer) warmUpAllows(ep *endpoint) bool {
 	capacity := b.capacityShare(ep)
 	if !ep.warmUp.active {
@@ -113,22 +121,22 @@
 	return ep.warmUp.hasToken()
 }
 
-// warmUpRate is this sidecar's budget for ep, in mean requests a second, while ep has the given share of its
-// capacity:
+// warmUpRate returns this sidecar's budget for ep, in mean requests per second, while ep has the given
+// share of its capacity:
 //
 //	rate = capacity × warmUpSafety × OverloadMultiple × kindRatio × offeredRate × shareOfOwnLoad
 //
-// where offeredRate is in mean requests a second and all other factors have no unit. Warm endpoints are
-// loaded below their capacity. A sidecar does its part when it sends ep no more than OverloadMultiple of the
-// mean load that it sends each endpoint, as far as ep is warm and its kind is as fast as the mean. Without an
-// OverloadMultiple, that and the two factors beside it are left out.
+// offeredRate is in mean requests per second; all other factors have no unit. Warm endpoints are loaded
+// below their capacity. So it is safe if each sidecar sends ep at most OverloadMultiple times the mean load
+// that it sends each endpoint, in proportion to ep's capacity and to the speed of its kind. If
+// OverloadMultiple is not set, it is left out, and so are warmUpSafety and kindRatio.
 //
-// For example, 10 sidecars send 40 mean requests a second each to 50 endpoints: 8 for each endpoint. A
-// subset has 20 of the 50, so that 4 sidecars have ep in theirs. An endpoint that has just started has 0.3 of
-// its capacity, and 3 times that would overload it. With 0.3 × 0.85 × 3 × 1 = 0.765, each of the 4 sends at
-// most 0.765 × 40 × 0.8/50/0.4 = 1.22 a second and each of the other 6 at most 0.765 × 40 × 0.2/50 = 0.12:
-// together 5.6, less than the 0.3 × 3 × 8 = 7.2 that would overload an endpoint whose capacity is the mean
-// load.
+// For example, 10 sidecars send 40 mean requests per second each to 50 endpoints, which is 8 per endpoint.
+// A subset has 20 of the 50 endpoints, so that 4 sidecars have ep in theirs. An endpoint that has just
+// started has 0.3 of its capacity, and 3 times that would overload it. The product of the first four
+// factors is 0.3 × 0.85 × 3 × 1 = 0.765. Each of the 4 sidecars sends at most 0.765 × 40 × 0.8/50/0.4 =
+// 1.22 per second, and each of the other 6 at most 0.765 × 40 × 0.2/50 = 0.12. Together this is 5.6, which
+// is less than the 0.3 × 3 × 8 = 7.2 that would overload an endpoint whose capacity is the mean load.
 func (b *Balancer) warmUpRate(ep *endpoint, capacity float64) float64 {
 	share := capacity
 	if b.settings.OverloadMultiple > 0 {
@@ -138,10 +146,10 @@
 	return share * b.offeredRate.perSecond(b.now) * b.shareOfOwnLoad(ep)
 }
 
-// shareOfOwnLoad is the part of its own load that this sidecar counts as its part of ep's mean load. Where
-// pairs are drawn from subsets, ep gets most from the few sidecars that have it in their subset, and the
-// others leave it little: together they stay at one mean load. Equal budgets would be left unused by most
-// sidecars, and endpoints that return would stand idle.
+// shareOfOwnLoad returns the share of this sidecar's load that is its contribution to ep's mean load. If
+// pairs are drawn from subsets, most of ep's load comes from the few sidecars that have ep in their subset,
+// and the others contribute little; together they send one mean load. With equal budgets, most sidecars
+// would not use theirs, and endpoints that return would be idle.
 func (b *Balancer) shareOfOwnLoad(ep *endpoint) float64 {
 	endpointCount := float64(b.recentListSize())
 	switch {
@@ -153,10 +161,10 @@
 	return (1 - subsetWarmUpShare) / endpointCount
 }
 
-// shareOfSidecars is the share of sidecars that have ep in their subset, if all are like this one and spread
-// evenly over the zones, but for homeZoneSkew. Where most of a subset is from the home zone, the few
-// endpoints of a small zone are in more subsets and those of a busy zone in busier ones: one budget for all
-// would be wrong.
+// shareOfSidecars returns the estimated share of sidecars that have ep in their subset. It assumes that all
+// sidecars are like this one and spread evenly over the zones, except for homeZoneSkew. If most of a subset
+// is from the home zone, an endpoint of a small zone is in more subsets than one of a large zone, and the
+// sidecars of a busy zone send more. A common budget for all endpoints would therefore be wrong.
 func (s *subset) shareOfSidecars(ep *endpoint, endpoints int) float64 {
 	all, zones := float64(endpoints), float64(len(s.zoneSizes))
 	if s.homeSize == 0 || zones <= 1 {
@@ -167,21 +175,21 @@
 	return homeZoneSkew*fromHome/zones + (1-1/zones)*others/(all-all/zones)
 }
 
-// recentListSize is the number of endpoints over which the load was spread recently.
+// recentListSize returns the number of endpoints over which the load was recently spread.
 func (b *Balancer) recentListSize() int {
 	return b.slowStart.listSize.observe(len(b.endpoints), b.now)
 }
 
-// listSize remembers the longest endpoint list of the last listSizeMemory. It prevents the first few
-// endpoints that return after all have failed from being taken for all endpoints: their mean load would
-// be that of all, and they are warming up. A rolling deployment, which leaves more than half in
-// place, does not matter.
+// listSize remembers the longest endpoint list of the last listSizeMemory. After all endpoints have failed,
+// the first few that return must not be taken for all endpoints: their mean load would then be the whole
+// load, although they are warming up. A rolling deployment has no effect, because it leaves more than half
+// of the endpoints in place.
 type listSize struct {
 	longest   int
 	longestAt time.Duration
 }
 
-// observe takes the present length of the list into account and returns the length that counts.
+// observe records the current length of the list and returns the length that budgets are based on.
 func (s *listSize) observe(n int, now time.Duration) int {
 	if n >= s.longest || now-s.longestAt > listSizeMemory {
 		s.longest, s.longestAt = n, now
@@ -189,7 +197,8 @@
 	return max(n, s.longest/maxListShrinkage)
 }
 
-// logWarmUpDelay logs that slow start may delay a request, once until the next endpoint has warmed up.
+// logWarmUpDelay logs that slow start may delay a request. It does so once, until an endpoint has warmed
+// up.
 func (b *Balancer) logWarmUpDelay() {
 	if warmingUp := b.warmingUpCount(); warmingUp > 0 && !b.slowStart.delayLogged {
 		b.slowStart.delayLogged = true
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -1,23 +1,24 @@
 package balancer
 
-// The subscription to the endpoint list: when the sidecar is asked to subscribe.
+// This rule determines when the sidecar is asked to subscribe to the endpoint list.
 //
-// Inputs: the kinds of endpoint updates, MustSubscribe, and the pauses of backoff (durations), which depend
-// on the number of sidecars.
+// Inputs: the kinds of endpoint updates, the setting MustSubscribe, and the pauses of the backoff
+// (durations), which depend on the number of sidecars.
 //
-// Why: a sidecar without a subscription works with a list that grows old; one that subscribes at once again
-// after each failure, together with all others, keeps a discovery service down that has just come back.
+// Why: the endpoint list of a sidecar without a subscription becomes outdated. But if all sidecars
+// subscribed again immediately after each failure, they would overload a discovery service that has just
+// come back.
 
 import "hazelwing/internal/backoff"
 
 // subscription is the state of the subscription to the endpoint list.
 type subscription struct {
-	confirmed bool // the list follows it
-	pending   bool // asked for, and neither confirmed nor failed
+	confirmed bool // the subscription is active
+	pending   bool // requested, and neither confirmed nor failed yet
 	backoff   backoff.Scheduler
 }
 
-// isLost reports whether there is neither a subscription nor an attempt at one.
+// isLost reports whether there is neither a subscription nor a pending request for one.
 func (s *subscription) isLost() bool { return !s.pending && !s.confirmed }
 
 func (b *Balancer) handleWatchFailed(e EndpointUpdate) {
@@ -38,7 +39,7 @@
 	s.backoff.CallSucceeded()
 }
 
-// subscribeIfNeeded asks for the endpoint list unless that was done.
+// subscribeIfNeeded requests a subscription unless one is active or pending.
 func (b *Balancer) subscribeIfNeeded() {
 	if !b.subscription.isLost() {
 		return
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -1,12 +1,13 @@
 package balancer
 
-// Subsets: from which endpoints a sidecar draws its pairs.
+// Subsetting determines the endpoints from which a sidecar draws its pairs.
 //
-// Inputs: the rate of offered work (mean requests a second), the number of sidecars, the cost and the weight
-// of cross-zone attempts (zone.go), whether probes are cheap (probe.go), and the endpoints' zones and health.
+// Inputs: the rate of offered work (mean requests per second), the number of sidecars, the cost and the
+// weight of cross-zone attempts (zone.go), whether probes are cheap (probe.go), and the endpoints' zones
+// and health.
 //
-// Why: over a long list the answers of each endpoint would be so rare that its estimate is always out of
-// date.
+// Why: with a long list, each endpoint would answer so rarely that its latency estimate would always be out
+// of date.
 
 import (
 	"math"
@@ -14,46 +15,49 @@
 )
 
 const (
-	// minSubsetSize is the number of endpoints from which a quiet sidecar draws its pairs. Higher:
-	// endpoints are loaded more evenly, and their estimates are older.
+	// minSubsetSize is the minimum size of a subset, which a sidecar with few requests uses. With a higher
+	// value, endpoints are loaded more evenly, but their estimates are older.
 	minSubsetSize = 10.0
-	// subsetPeriod is the time in which each endpoint of a subset is to get a request: a subset has as many
-	// endpoints as requests arrive in this time. Higher: as for minSubsetSize.
+	// subsetPeriod is the time in which each endpoint of a subset should get one request: a subset has as
+	// many endpoints as requests arrive in this time. A higher value has the same trade-off as a higher
+	// minSubsetSize.
 	subsetPeriod = time.Second / 2
-	// maxSubsetAge is the age from which a subset is chosen anew with the next request. Higher: less work,
-	// and the subset follows ejections and the load later.
+	// maxSubsetAge is the age from which the next request causes a subset to be chosen again. A higher
+	// value means less work, but the subset follows ejections and load changes later.
 	maxSubsetAge = subsetPeriod / 4
-	// homeSubsetShare is the share of a subset that is from the home zone, where cross-zone attempts cost but
-	// hardly weigh in the choice. Higher: fewer of them, and fewer endpoints to leave an overloaded zone for.
+	// homeSubsetShare is the share of a subset that is taken from the home zone if cross-zone attempts have
+	// a price but this price hardly affects picks. With a higher value, there are fewer cross-zone
+	// attempts, but also fewer alternatives to an overloaded zone.
 	homeSubsetShare = 0.85
-	// smallFleet is the number of sidecars below which each sees a fair part of an endpoint's load itself:
-	// they use neither subsets nor expensive probes. Higher: larger fleets draw from long lists, with fewer
-	// probes.
+	// smallFleet is the number of sidecars below which each of them sees a substantial part of an
+	// endpoint's load itself. Such fleets use neither subsets nor expensive probes. With a higher value,
+	// larger fleets draw from the whole list and use fewer probes.
 	smallFleet = 10
 )
 
-// subset is the choice of the endpoints from which pairs are drawn; endpoint.inSubset marks them.
+// subset describes the endpoints from which pairs are drawn. The endpoints themselves are marked by
+// endpoint.inSubset.
 type subset struct {
-	seed      uint64 // of the order, which differs from sidecar to sidecar
+	seed      uint64 // seed of the random order, which differs between sidecars
 	size      int
-	homeSize  int            // endpoints that were taken for being in the home zone
-	zoneSizes map[string]int // endpoints by zone, where homeSize counts
+	homeSize  int            // endpoints that were chosen because they are in the home zone
+	zoneSizes map[string]int // number of endpoints by zone; used if homeSize is above 0
 	chosenAt  time.Duration
 }
 
 func newSubset(seed uint64) subset { return subset{seed: seed, zoneSizes: map[string]int{}} }
 
-// refreshSubset chooses the subset anew if it is too old.
+// refreshSubset chooses the subset again if it is older than maxSubsetAge.
 func (b *Balancer) refreshSubset() {
 	if b.now-b.subset.chosenAt > maxSubsetAge {
 		b.chooseSubset()
 	}
 }
 
-// chooseSubset settles the subset from which pairs are drawn: the first of an order that is random for this
-// sidecar, as many as get a request each in subsetPeriod, ejected ones not counted. Without it the
-// estimates of a long list would always be out of date. Requests with a key, and those that find no
-// eligible endpoint in the subset, draw from all.
+// chooseSubset chooses the subset from which pairs are drawn: the first endpoints in an order that is
+// random for each sidecar, as many as get one request each in subsetPeriod. Ejected endpoints are skipped.
+// Without subsets, the estimates of a long list would always be out of date. Requests with an affinity key,
+// and those that find no eligible endpoint in the subset, use all endpoints.
 func (b *Balancer) chooseSubset() {
 	s := &b.subset
 	s.chosenAt = b.now
@@ -75,25 +79,28 @@
 	})
 }
 
-// drawsFromAll reports whether pairs are drawn from all endpoints: where sidecars are few, because their
-// subsets would load endpoints unevenly, and where probes are cheap, because they bring current figures.
+// drawsFromAll reports whether pairs are drawn from all endpoints. They are if there are few sidecars,
+// whose subsets would load endpoints unevenly, or if probes are cheap, because these return the current
+// load.
 func (b *Balancer) drawsFromAll() bool {
 	return b.probesBeforePick() && b.probesAreCheap() || b.settings.Balancers < smallFleet
 }
 
-// homeSubsetSize is the part of a subset that is taken from the home zone first where cross-zone attempts
-// cost, the larger the less the cost weighs in the choice: a subset of all zones has two or three endpoints
-// there, the better of which is often worse than the better of the others. Where the choice itself stays
-// home, a subset of few others would leave it nowhere to go.
+// homeSubsetSize returns how many endpoints of a subset are chosen from the home zone first, if cross-zone
+// attempts have a price. The less this price affects picks in a fleet of this size, the more endpoints are
+// chosen. A subset drawn from all zones has only two or three endpoints in the home zone, and the better of
+// these is often worse than the better of the others. Where picks themselves prefer the home zone, a subset
+// with few endpoints of other zones would leave no alternative.
 //
-// It is 0 up to crossZoneBalancers sidecars, where the cost has its full weight. The subset is then drawn
-// from all zones alike, and an attempt goes to another zone if no endpoint of its home zone in the subset is
-// eligible, though healthy ones outside the subset may be: pick gives up the subset only after the zone.
+// The result is 0 for up to crossZoneBalancers sidecars, where the price has its full weight. The subset is
+// then drawn from all zones alike. An attempt goes to another zone if no endpoint of the home zone in the
+// subset is eligible, although there may be healthy ones outside the subset: pick looks at other zones
+// before it looks outside the subset.
 func (b *Balancer) homeSubsetSize(size int) int {
 	return int(math.Round(homeSubsetShare * (1 - b.crossZoneWeight()) * float64(size)))
 }
 
-// takeAll puts all endpoints into the subset.
+// takeAll adds all endpoints to the subset.
 func (s *subset) takeAll(endpoints []*endpoint) {
 	for _, ep := range endpoints {
 		ep.inSubset = true
@@ -101,7 +108,7 @@
 	s.size = len(endpoints)
 }
 
-// clear takes all endpoints out of the subset.
+// clear removes all endpoints from the subset.
 func (s *subset) clear(endpoints []*endpoint) {
 	for _, ep := range endpoints {
 		ep.inSubset = false
@@ -116,7 +123,7 @@
 	}
 }
 
-// add adds the first n endpoints that are ok.
+// add adds the first n endpoints for which ok returns true, in the order of the subset's seed.
 func (s *subset) add(endpoints []*endpoint, n int, ok func(*endpoint) bool) {
 	for _, ep := range topByHash(endpoints, n, ok, s.seed) {
 		ep.inSubset = true
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Timers: a heap of requests to look at again, behind the one timer that the sidecar keeps for a Balancer.
+// The timers of requests and of the subscription are kept in a heap. The sidecar provides a single timer,
+// which is set for the earliest of them.
 
 type timerKind int
 
 const (
 	timerDeadline  timerKind = iota // the request's deadline
 	timerOverdue                    // its latest attempt is overdue
-	timerAdvance                    // it has waited for a probe or an eligible endpoint
-	timerSubscribe                  // subscribe again
+	timerAdvance                    // the request has waited for a probe or an eligible endpoint
+	timerSubscribe                  // the backoff before the next subscription is over
 )
 
 type timer struct {
 	at       time.Duration
-	sequence int // timers of the same time run in the order in which they were scheduled
+	sequence int // timers with the same time run in the order in which they were scheduled
 	kind     timerKind
 	request  *request // nil for timerSubscribe
 }
@@ -26,7 +27,7 @@
 // timerHeap implements heap.Interface; the earliest timer is the first.
 type timerHeap struct {
 	entries  []timer
-	sequence int // of the timer that was scheduled last
+	sequence int // sequence number of the timer that was scheduled last
 }
 
 func (h *timerHeap) Len() int { return len(h.entries) }
@@ -50,7 +51,7 @@
 	return last
 }
 
-// isDue reports whether the earliest timer's time has come.
+// isDue reports whether the earliest timer is due.
 func (h *timerHeap) isDue(now time.Duration) bool {
 	return len(h.entries) > 0 && h.entries[0].at <= now
 }
@@ -63,12 +64,14 @@
 	heap.Push(&b.timers, timer{at, b.timers.sequence, kind, r})
 }
 
-// armTimer requests a timer at the time of the earliest one, unless one is set for no later than that.
+// armTimer requests a timer at the time of the earliest entry, unless one is already set for that time or
+// earlier.
 func (b *Balancer) armTimer() {
 	if len(b.timers.entries) == 0 {
 		return
 	}
-	// The sidecar's timers may count in microseconds: one that fires a moment too early would find nothing due.
+	// The time is rounded up because the sidecar's timers may have a resolution of microseconds: a timer
+	// that fires slightly too early would find no entry due.
 	at := (b.timers.entries[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
 	if b.timerAt == 0 || at < b.timerAt {
 		b.timerAt = max(at, 1)
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -1,15 +1,15 @@
 package balancer
 
-// Weights: what a request counts for when requests have to be shed.
+// The weight of a request determines which requests are shed first.
 //
-// Inputs: the class's weight and late weight, whether the request is a late repeat (deadline.go), its
+// Inputs: the class's weight and late weight, whether the request is a late client retry (deadline.go), its
 // expected work relative to the mean request, and the tenant's share of recent requests and its quota
 // (shares, 0 to 1). The weight has no unit; admission control ranks it among recent ones.
 //
-// Why: work is shed where it costs most for what it earns, and a tenant that sends more than its quota does
-// not push out the others.
+// Why: those requests are shed that cost most relative to their value, and a tenant that exceeds its quota
+// does not displace the others.
 
-// newTenantRates returns the rates of arriving requests of n tenants.
+// newTenantRates returns one rate of arriving requests for each of n tenants.
 func newTenantRates(n int) []rate {
 	rates := make([]rate, n)
 	for i := range rates {
@@ -18,8 +18,8 @@
 	return rates
 }
 
-// weightOf is a request's weight for each unit of work. A part of the requests that a tenant sends beyond
-// its quota, chosen at random, has OverQuotaWeight.
+// weightOf returns the weight of a request per unit of work. If a tenant exceeds its quota, randomly chosen
+// requests that make up the excess have their weight multiplied by OverQuotaWeight.
 func (b *Balancer) weightOf(r *request) float64 {
 	weight := r.class.Weight
 	if !b.settings.WeightByWork {
@@ -34,8 +34,8 @@
 	return weight
 }
 
-// isBeyondQuota counts a request of a tenant and reports whether it is taken to be beyond the tenant's
-// quota. Of a tenant that sends u times its quota, one in u requests at random is within it.
+// isBeyondQuota counts a request of a tenant and reports whether it is treated as beyond the tenant's
+// quota. If a tenant sends u times its quota, a random share of 1/u of its requests is within the quota.
 func (b *Balancer) isBeyondQuota(tenantIndex int) bool {
 	b.tenantRates[tenantIndex].add(1, b.now)
 	used := shareOf(b.tenantRates, tenantIndex, b.now)
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -1,26 +1,29 @@
 package balancer
 
-// Zones: whether an attempt stays in the home zone or is a cross-zone one.
+// This rule determines whether an attempt stays in the home zone or goes to another zone.
 //
 // Inputs: the price of cross-zone attempts (share of service), the mean latency objective (s), the mean
-// normalized latency (s), the number of sidecars, the loads of the better endpoints at home and elsewhere (s
-// × requests, load.go) and the mean reported requests in flight.
+// normalized latency (s), the number of sidecars, the loads of the better endpoints in the home zone and
+// elsewhere (s × requests, load.go), and the mean of the reported requests in flight.
 //
-// Why: cross-zone attempts cost, and an overloaded home zone costs more.
+// Why: cross-zone attempts have a price, but an overloaded home zone costs more.
 
 const (
-	// crossZoneObjectives is the latency, in mean latency objectives, that a cross-zone attempt of price 1
-	// counts as. Higher: fewer of them, and an overloaded home zone is left later.
+	// crossZoneObjectives is the latency, in mean latency objectives, that a cross-zone attempt at a price
+	// of 1 is equivalent to. With a higher value, there are fewer cross-zone attempts, but an overloaded
+	// home zone is left later.
 	crossZoneObjectives = 3.5
-	// crossZoneBalancers is the number of sidecars above which a cross-zone attempt counts less, in proportion.
-	// Higher: as for crossZoneObjectives, in large fleets.
+	// crossZoneBalancers is the number of sidecars above which the price of cross-zone attempts is weighted
+	// in inverse proportion to their number. A higher value has the same trade-off as a higher
+	// crossZoneObjectives, for large fleets.
 	crossZoneBalancers = 32.0
-	// minCrossZoneLatencies is the latency, in mean latencies of a request, below which a cross-zone attempt
-	// does not count. Higher: zones matter less often.
+	// minCrossZoneLatencies is the equivalent latency, as a multiple of the mean latency of requests, below
+	// which the price of a cross-zone attempt is ignored. With a higher value, the home zone is preferred
+	// less often.
 	minCrossZoneLatencies = 0.25
 )
 
-// zoneFilter is the zones that candidates are in.
+// zoneFilter restricts candidates to certain zones.
 type zoneFilter int
 
 const (
@@ -29,7 +32,7 @@
 	otherZones
 )
 
-// isInZones reports whether ep is in the zones of a choice.
+// isInZones reports whether ep is in the zones that the filter allows.
 func (b *Balancer) isInZones(zones zoneFilter, ep *endpoint) bool {
 	switch zones {
 	case homeZone:
@@ -40,9 +43,9 @@
 	return true
 }
 
-// pickByZone stays in the home zone while it serves about as well as the other zones, to avoid paying for
-// cross-zone attempts. It does so where one counts as more than minCrossZoneLatencies; otherwise all zones
-// are one. A request's pair and its key's endpoints are those of the home zone.
+// pickByZone picks an endpoint of the home zone as long as it is about as good as those of other zones, to
+// avoid the price of cross-zone attempts. If crossZoneCost is 0, zones are not distinguished. The probed
+// pair and the endpoints of the affinity key are considered only in the home zone.
 func (b *Balancer) pickByZone(r *request, relaxed relaxation) *endpoint {
 	cost := b.crossZoneCost()
 	if cost == 0 {
@@ -56,8 +59,8 @@
 	return home
 }
 
-// pickForRequest picks from the pair that was probed for the request, from the endpoints of its key, or
-// from all candidates.
+// pickForRequest picks from the pair that was probed for the request, from the endpoints of its affinity
+// key, or from all candidates.
 func (b *Balancer) pickForRequest(c candidates) *endpoint {
 	if ep := b.pickFromPair(c); ep != nil {
 		return ep
@@ -65,10 +68,11 @@
 	return b.powerOfTwoChoices(b.withAffinity(c))
 }
 
-// crossZoneCost is the price of a cross-zone attempt as latency in seconds, or 0 where that matters little.
-// It is compared with latency × (outstanding + 1). Of few sidecars each sees an overloaded zone in its own
-// outstanding attempts; of many none does, and only latency shows it. The weight prevents a large fleet from
-// rejecting requests at home, each sidecar by its own few requests in flight, while other zones are idle.
+// crossZoneCost returns the price of a cross-zone attempt as a latency in seconds, or 0 if it is
+// negligible. It is compared with loads, which are latency × (outstanding + 1). In a small fleet, each
+// sidecar notices an overloaded zone by its own outstanding attempts; in a large fleet, only latency shows
+// the overload. The weight prevents the sidecars of a large fleet from rejecting requests for the home
+// zone, each because of its own few requests in flight, while other zones are idle.
 func (b *Balancer) crossZoneCost() float64 {
 	cost := b.settings.PriceCrossZone * crossZoneObjectives * b.meanObjective
 	if cost < minCrossZoneLatencies*b.latency.meanNormalized {
@@ -77,7 +81,8 @@
 	return cost * b.crossZoneWeight()
 }
 
-// crossZoneWeight is the weight of the price in a fleet of this size, relative to a small fleet.
+// crossZoneWeight returns the weight of the cross-zone price in a fleet of this size, relative to a small
+// fleet.
 func (b *Balancer) crossZoneWeight() float64 {
 	return min(1, crossZoneBalancers/float64(b.settings.Balancers))
 }
