--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Everything takes longer than its objective, as a sidecar sees an overload, with a slow endpoint beside the
-// others. Requests that are all accepted would all end late. They must be rejected early instead, and load
-// shedding must stop with its cause.
+// All endpoints respond slower than the objective, as in an overload, and one endpoint is slower than the others. If
+// all requests were admitted, all of them would end late. Most must be rejected early, and load shedding must stop
+// after the overload.
 func TestOverloadIsShedEarlyAndStops(t *testing.T) {
 	latency := 20 * ms
 	w := newWorkload(t, testSettings(), func(endpoint string) (Result, time.Duration) {
@@ -20,28 +20,28 @@
 	w.addEndpoints(4)
 	w.run(5*time.Second, 200)
 	if w.answers[Reject] > 10 {
-		t.Errorf("%d rejected without overload", w.answers[Reject])
+		t.Errorf("%d requests rejected without overload, want at most 10", w.answers[Reject])
 	}
 	latency = 250 * ms
 	w.run(2*time.Second, 200)
 	attempts, requests := w.totalAttempts(), w.requests
 	w.run(3*time.Second, 200)
 	if got := w.totalAttempts() - attempts; got > (w.requests-requests)*3/10 {
-		t.Errorf("%d attempts for %d requests that cannot be served", got, w.requests-requests)
+		t.Errorf("%d attempts for %d requests during the overload, want at most 3 of 10", got, w.requests-requests)
 	}
 	latency = 20 * ms
 	w.run(3*time.Second, 200)
 	succeeded, requests := w.succeeded, w.requests
 	w.run(3*time.Second, 200)
 	if got := w.succeeded - succeeded; float64(got) < 0.95*float64(w.requests-requests) {
-		t.Errorf("%d of %d succeeded after the overload", got, w.requests-requests)
+		t.Errorf("%d of %d requests succeeded after the overload, want 95%%", got, w.requests-requests)
 	}
 	if !w.logged("load shedding started") || !w.logged("load shedding stopped") {
-		t.Errorf("log %q", w.logLines)
+		t.Errorf("start or end of load shedding not logged: %q", w.logLines)
 	}
 }
 
-// Under pressure requests of the lowest weight are rejected first.
+// Under pressure, requests of the lowest weight are rejected first.
 func TestLowestWeightIsRejectedFirst(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{
@@ -51,7 +51,7 @@
 	h := newHarness(t, s)
 	h.addEndpoints(4)
 	rejected := map[string]int{}
-	// Requests are answered in order, each 155 ms after its arrival: a little more than they may wait.
+	// Requests are answered in order of arrival, each after 155 ms, slightly longer than the wait limit allows.
 	var open []string
 	for i := range 600 {
 		id, class := fmt.Sprint(i), []string{"c", "valuable"}[i%2]
@@ -69,11 +69,11 @@
 		h.now += 5 * ms
 	}
 	if rejected["c"] < 10 || rejected["valuable"] > rejected["c"]/2 {
-		t.Errorf("rejected %v", rejected)
+		t.Errorf("rejected by class: %v; want at least 10 of c, and at most half as many of valuable", rejected)
 	}
 }
 
-// A part of the requests that a tenant sends beyond its quota has the lower weight.
+// Some of the requests that a tenant sends beyond its quota have a lower weight.
 func TestRequestsBeyondTheQuotaHaveALowerWeight(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "big", Fraction: 0.5}, {Name: "small", Fraction: 0.5}}
@@ -82,19 +82,19 @@
 	lowered := map[int]int{} // by tenant
 	for i := range 1000 {
 		h.b.now += ms
-		tenant := min(i%10/9, 1) // nine of ten are the first's
+		tenant := min(i%10/9, 1) // nine of ten requests are from the first tenant
 		q := &request{class: h.b.classes["c"], relativeWork: 1, tenantIndex: tenant}
 		if h.b.weightOf(q) < 1 {
 			lowered[tenant]++
 		}
 	}
 	if lowered[1] != 0 || lowered[0] < 300 || lowered[0] > 500 { // (0.9-0.5)/0.9 of 900
-		t.Errorf("requests of lower weight: %v", lowered)
+		t.Errorf("requests of lower weight by tenant: %v; want 300 to 500 for 0 and none for 1", lowered)
 	}
 }
 
-// The highest rank is admitted at a pressure that is half as high again as that for the lowest, and after late requests
-// only the highest ranks are admitted.
+// The highest rank is admitted up to 1.5 times the pressure that the lowest rank is admitted at. With a lower
+// admitted share, only the highest ranks are admitted.
 func TestAdmissionByRank(t *testing.T) {
 	for _, c := range []struct {
 		rank, pressure, admittedShare float64
@@ -113,7 +113,7 @@
 		a := newAdmissionControl()
 		a.limits.admittedShare = c.admittedShare
 		if got := a.allows(c.rank, c.pressure); got != c.want {
-			t.Errorf("%+v: admitted %v", c, got)
+			t.Errorf("%+v: admitted %v, want %v", c, got, c.want)
 		}
 	}
 }
--- a/balancer/admissionlimits.go
+++ b/balancer/admissionlimits.go
@@ -23,9 +23,9 @@
 	// waitLimitStep is the relative decrease of the wait limit for each request that an overloaded endpoint
 	// made late. A higher value follows a slowdown sooner, but also reacts more to chance.
 	waitLimitStep = 0.06
-	// allowedLateShare is the share of requests that may be late before the wait limit falls. It is the
-	// increase for a request in time, as a fraction of waitLimitStep. A higher value sheds fewer requests
-	// and lets more of them end late.
+	// allowedLateShare is the share of late requests that leaves the wait limit unchanged: a request in
+	// time raises the limit by allowedLateShare times as much as a late one lowers it. A higher value sheds
+	// fewer requests and lets more of them end late.
 	allowedLateShare = 0.05
 	// admittedIncrease multiplies the admitted share for each request in time, and admittedDecrease for
 	// each late one. They balance when four in ten requests are late. Values closer to 1 make the share
--- a/balancer/admissionlimits_test.go
+++ b/balancer/admissionlimits_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Endpoints slow down because they are overloaded, and go on answering. With the wait limit as it was, half of all
-// answers would be late. Late answers must lower it, down to its minimum, and answers in time raise it again.
-// Endpoints that hang are not overloaded, and must not lower it.
+// Endpoints slow down under overload but still answer. With an unchanged wait limit, half of all answers would be
+// late. Late answers must lower the limit down to its minimum, and answers in time must raise it again. Endpoints
+// that hang are not overloaded and must not lower it.
 func TestWaitLimitIsLoweredWhereEndpointsAreOverloaded(t *testing.T) {
 	n, overloaded := 0, true
 	s := testSettings()
@@ -22,15 +22,15 @@
 	w.addEndpoints(4)
 	w.run(5*time.Second, 400)
 	if w.b.admission.limits.wait > minWaitLimit*1.2 {
-		t.Errorf("limit %.2f with half of all answers late", w.b.admission.limits.wait)
+		t.Errorf("wait limit %.2f with half of all answers late, want about the minimum", w.b.admission.limits.wait)
 	}
 	overloaded = false
 	w.run(10*time.Second, 100)
 	if w.b.admission.limits.wait < maxWaitLimit {
-		t.Errorf("limit %.2f long after the overload", w.b.admission.limits.wait)
+		t.Errorf("wait limit %.2f long after the overload, want the maximum", w.b.admission.limits.wait)
 	}
 
-	// Requests that wait at hung endpoints do not lower it.
+	// Requests that wait for hung endpoints do not lower the limit.
 	w = newWorkload(t, s, func(endpoint string) (Result, time.Duration) {
 		if endpoint < "u2" {
 			return OK, -1
@@ -40,14 +40,14 @@
 	w.addEndpoints(4)
 	w.run(2*time.Second, 400)
 	if w.answers[Reject] == 0 || w.b.admission.limits.wait < maxWaitLimit*0.9 {
-		t.Errorf("%d rejected; limit %.2f with endpoints hung, not overloaded",
+		t.Errorf("hung endpoints: %d requests rejected, want some; wait limit %.2f, want about the maximum",
 			w.answers[Reject], w.b.admission.limits.wait)
 	}
 }
 
-// Endpoints are congested, and each of many sidecars always has its one or two requests in flight, too few for
-// pressure: together they would keep the congestion up for ever. After consecutive missed objectives a sidecar
-// must admit a smaller share, and all again once requests are served.
+// Endpoints are congested, and each of many sidecars always has one or two requests in flight, too few to cause
+// pressure. Together they would sustain the congestion for ever. After consecutive missed objectives, a sidecar must
+// admit a smaller share of requests, and must admit all again once they are served.
 func TestMissedObjectivesLowerTheAdmittedShare(t *testing.T) {
 	congested := true
 	w := newWorkload(t, testSettings(), func(string) (Result, time.Duration) {
@@ -61,38 +61,38 @@
 	attempts := w.totalAttempts()
 	w.run(20*time.Second, 2)
 	if n := w.totalAttempts() - attempts; n > 25 {
-		t.Errorf("%d attempts for 40 requests under congestion", n)
+		t.Errorf("%d attempts for 40 requests under congestion, want at most 25", n)
 	}
 	congested = false
 	w.run(40*time.Second, 2)
 	succeeded := w.succeeded
 	w.run(10*time.Second, 2)
 	if n := w.succeeded - succeeded; n < 19 {
-		t.Errorf("%d of 20 succeeded after the congestion", n)
+		t.Errorf("%d of 20 requests succeeded after the congestion, want at least 19", n)
 	}
 }
 
-// Requests are late without end, or in time without end. Limits that went on falling or rising would shed everything,
-// or take forever to shed at all. They stay within their bounds, and the wait limit does not fall for requests that no
-// overloaded endpoint made late.
+// All requests are late, or all are in time, for a long time. Limits without bounds would then shed everything, or
+// need very long to shed anything. The limits must stay within their bounds, and requests that are late for another
+// reason than an overloaded endpoint must not lower the wait limit.
 func TestLimitsStayInTheirBounds(t *testing.T) {
 	l := newAdmissionLimits()
 	for range 1000 {
 		l.recordLate(false)
 	}
 	if l.admittedShare != minAdmittedShare || l.wait != maxWaitLimit {
-		t.Errorf("late, not overloaded: share %v, limit %v", l.admittedShare, l.wait)
+		t.Errorf("late, endpoint not overloaded: admitted share %v, wait limit %v", l.admittedShare, l.wait)
 	}
 	for range 1000 {
 		l.recordLate(true)
 	}
 	if l.admittedShare != minAdmittedShare || l.wait != minWaitLimit {
-		t.Errorf("late and overloaded: share %v, limit %v", l.admittedShare, l.wait)
+		t.Errorf("late, endpoint overloaded: admitted share %v, wait limit %v", l.admittedShare, l.wait)
 	}
 	for range 1000 {
 		l.recordInTime()
 	}
 	if l.admittedShare != maxAdmittedShare || l.wait != maxWaitLimit {
-		t.Errorf("in time: share %v, limit %v", l.admittedShare, l.wait)
+		t.Errorf("in time: admitted share %v, wait limit %v", l.admittedShare, l.wait)
 	}
 }
--- a/balancer/affinity_test.go
+++ b/balancer/affinity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// attemptsWithKey returns the attempts per endpoint of n requests with the same affinity key at one sidecar. Before
-// each of them come others requests with keys of their own.
+// attemptsWithKey sends n requests with the same affinity key through one sidecar and returns the number of attempts
+// by endpoint. Before each of them, it sends others requests with unique keys.
 func attemptsWithKey(t *testing.T, keyAffinity bool, seed uint64, n int, others int) map[string]int {
 	t.Helper()
 	s := testSettings()
@@ -32,8 +32,8 @@
 	return attempts
 }
 
-// Requests with the same key that spread over all endpoints find none that has it cached: every sidecar sends a key to
-// the same pair.
+// If requests with the same key were spread over all endpoints, few would find their result cached. Every sidecar
+// must send a key to the same pair of endpoints.
 func TestKeyIsSentToTheSamePair(t *testing.T) {
 	attempts := map[string]int{}
 	for seed := range uint64(5) {
@@ -41,19 +41,19 @@
 			attempts[endpoint] += n
 		}
 	}
-	if len(attempts) > 3 { // a share of one in sixty widens the pair by one at most
-		t.Errorf("a key was sent to %d endpoints: %v", len(attempts), attempts)
+	if len(attempts) > 3 { // a share of 1/61 adds at most one endpoint to the pair
+		t.Errorf("a key was sent to %d endpoints, want at most 3: %v", len(attempts), attempts)
 	}
 	if attempts := attemptsWithKey(t, false, 1, 60, 0); len(attempts) < 10 {
-		t.Errorf("without key affinity: %d endpoints", len(attempts))
+		t.Errorf("without key affinity, a key was sent to %d endpoints, want at least 10", len(attempts))
 	}
 }
 
-// One key makes up half of the traffic. Its pair of endpoints would be overloaded. It must be sent to a wider
-// set, as its share of the traffic grows.
+// One key accounts for half of the traffic and would overload a pair of endpoints. The number of endpoints that serve
+// a key must grow with its share of the traffic.
 func TestHotKeyIsSpread(t *testing.T) {
 	attempts := attemptsWithKey(t, true, 1, 400, 1) // every other request
 	if len(attempts) < 12 {
-		t.Errorf("half of the traffic went to %d of 20 endpoints", len(attempts))
+		t.Errorf("half of the traffic went to %d of 20 endpoints, want at least 12", len(attempts))
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -9,7 +9,8 @@
 
 const benchmarkStart = 60 * 1000 * ms
 
-// benchmarkRequests measures requests that each arrive gap after the last answer and are answered gap after that.
+// benchmarkRequests measures requests one after the other. Each arrives gap after the previous answer and is answered
+// gap after its arrival.
 func benchmarkRequests(b *testing.B, bal *Balancer, now, gap time.Duration) {
 	b.Helper()
 	var actions []Action
@@ -19,7 +20,7 @@
 		now += gap
 		actions = bal.Handle(now, Request{ID: id, Class: "c", ExpiresAt: now + 1000*ms}, actions[:0])
 		if n := len(actionsOfKind(actions, Send)); n != 1 {
-			b.Fatalf("%d attempts for request %d", n, i)
+			b.Fatalf("%d attempts for request %d, want 1", n, i)
 		}
 		now += gap
 		actions = bal.Handle(now, Outcome{ID: id, Result: OK, Elapsed: gap, Finished: true}, actions[:0])
@@ -49,7 +50,8 @@
 	}
 }
 
-// newZonedBalancer returns a balancer of a large fleet and its endpoint list, of four zones with a price for crossing.
+// newZonedBalancer returns a balancer of a large fleet, and its endpoint list with four zones. Cross-zone attempts
+// have a price.
 func newZonedBalancer(b *testing.B, endpoints int) (*Balancer, []Endpoint) {
 	b.Helper()
 	s := testSettings()
@@ -74,7 +76,7 @@
 	for _, endpoints := range []int{60, 300, 1000} {
 		b.Run(fmt.Sprintf("request/%d", endpoints), func(b *testing.B) {
 			bal, _ := newZonedBalancer(b, endpoints)
-			benchmarkRequests(b, bal, benchmarkStart, 20*ms) // few requests, as at most sidecars
+			benchmarkRequests(b, bal, benchmarkStart, 20*ms) // few requests, as most sidecars have
 		})
 		b.Run(fmt.Sprintf("change/%d", endpoints), func(b *testing.B) {
 			bal, list := newZonedBalancer(b, endpoints)
--- a/balancer/deadline_test.go
+++ b/balancer/deadline_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A client waits for much less than the deadline of its class, and nobody answers. By the class's deadline the
-// answer would come too late. The deadline of the request counts.
+// The deadline of a request is much earlier than that of its class, and no endpoint answers. An answer at the class's
+// deadline would be too late; the deadline of the request must be met.
 func TestAnswersBeforeTheDeadlineOfTheRequest(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWeight = 0.5
@@ -19,19 +19,18 @@
 		actions = h.advance(5 * ms)
 	}
 	if len(finalAnswers(actions)) != 1 || h.now > deadline {
-		t.Fatalf("no answer by the request's deadline: %+v", actions)
+		t.Fatalf("want one final answer by the request's deadline, got %+v", actions)
 	}
 }
 
-// A request arrives while there is no endpoint. It would wait beyond its client's deadline. It must wait at
-// first, and be rejected before the deadline.
+// A request arrives while there is no endpoint. It must wait at first, but be rejected before its client's deadline.
 func TestWaitingRequestIsRejectedInTime(t *testing.T) {
 	h := newHarness(t, testSettings())
-	h.wantNoAttemptOrAnswer(h.request("1", "c", 100*ms)) // no endpoint: it waits
+	h.wantNoAttemptOrAnswer(h.request("1", "c", 100*ms)) // waits, since there is no endpoint
 	h.wantAnswer(h.advance(95*ms), Reject)
 }
 
-// A request waits since there is no endpoint. It is sent soon after one is listed.
+// A request that waits because there is no endpoint is sent soon after one is listed.
 func TestWaitingRequestIsSentWhenAnEndpointIsAdded(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.wantNoAttemptOrAnswer(h.request("1", "c", 150*ms))
@@ -39,9 +38,8 @@
 	h.wantSend(h.advance(20 * ms))
 }
 
-// An attempt times out just at the client's deadline. Nothing else would happen to the request, and its client
-// would get no answer. The timeout itself must be answered; without a late weight the answer may come at the
-// objective already.
+// An attempt times out exactly at the client's deadline. If nothing else happened, the client would get no answer.
+// The sidecar must answer at the timeout. Without a late weight, the answer could already come at the objective.
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
 	h := newHarness(t, nonIdempotentSettings())
 	h.addEndpoints(2)
@@ -51,53 +49,53 @@
 	h.wantNoAttemptOrAnswer(h.advance(time.Second))
 }
 
-// A client repeats a request whose latency objective has passed. An answer would be worth nothing, and work for
-// it would delay others. The repeat must be rejected at once: its remaining time was cut by the deadline of all
-// the client's tries, which tells when the first arrived. A repeat that is early enough must be served. First
-// tries settle which remaining time is usual. A client with a shorter timeout than most looks the same: unless
-// a request that arrived at that time was not served, this is its first try.
+// A client retries a request after its latency objective. An answer would be worth nothing, and working on it would
+// delay other requests, so the retry must be rejected at once. It is recognized by a shorter remaining time than that
+// of first attempts, which the deadline of all of the client's attempts limits: that deadline shows when the first
+// attempt arrived. A retry that is early enough must be served. So must a first attempt with an unusually short
+// timeout, which is distinguished from a retry because no unserved request arrived one Deadline before its expiry.
 func TestStaleClientRetryIsRejected(t *testing.T) {
 	h := newHarness(t, testSettings()) // objective 200 ms, deadline 1 s
 	h.addEndpoints(3)
-	for i := range 20 { // first tries have 600 ms
+	for i := range 20 { // first attempts have 600 ms
 		id := time.Duration(i).String()
 		h.wantSend(h.request(id, "c", 600*ms))
 		h.reportOutcome(id, 0, OK, 10*ms)
 		h.advance(10 * ms)
 	}
-	// Sends a request whose client disconnects and returns the deadline of the client's further tries.
+	// notServed sends a request whose client disconnects, and returns the deadline of all of the client's attempts.
 	notServed := func(id string) time.Duration {
 		h.wantSend(h.request(id, "c", 600*ms))
 		h.handle(ClientDisconnected{ID: id})
 		return h.now + time.Second
 	}
-	h.wantSend(h.request("impatient", "c", 50*ms))
+	h.wantSend(h.request("short timeout", "c", 50*ms))
 	h.advance(100 * ms)
 	deadline := notServed("first")
 	h.advance(450 * ms)
 	h.wantAnswer(h.request("stale", "c", deadline-h.now), Reject)
 	h.wantAnswer(h.request("delayed by the network", "c", deadline-h.now+4*ms), Reject)
-	h.wantSend(h.request("impatient too", "c", deadline-h.now-70*ms))
+	h.wantSend(h.request("short timeout again", "c", deadline-h.now-70*ms))
 	h.advance(20 * ms)
 	h.wantSend(h.request("served", "c", 600*ms))
 	h.reportOutcome("served", 0, OK, 10*ms)
 	deadline = h.now + time.Second
 	h.advance(450 * ms)
-	h.wantSend(h.request("of a patient client", "c", deadline-h.now)) // a served request is not repeated
+	h.wantSend(h.request("long timeout", "c", deadline-h.now)) // no retry, since the first request was served
 	h.advance(200 * ms)
 	deadline = notServed("second")
 	h.advance(100 * ms)
-	// The first arrived 100 ms ago, so the repeat is answered when the objective of the first ends.
+	// The first attempt arrived 100 ms ago, so the retry is answered when the objective of the first attempt ends.
 	h.wantSend(h.request("early", "c", deadline-h.now))
 	if answers := finalAnswers(h.advance(105 * ms)); len(answers) != 1 {
-		t.Errorf("still open after its objective: %+v", answers)
+		t.Errorf("want one final answer to the retry by the objective of the first attempt, got %+v", answers)
 	}
 	h.wantSend(h.request("last", "c", 601*ms))
 }
 
-// Some clients wait for less time than most. One odd timeout must not be taken for the usual one, and a change of all
-// clients must be followed. The usual time left is known after eleven requests with it, and replaced once others have
-// outvoted it.
+// Some clients have a shorter timeout than most. A single unusual timeout must not count as the usual one, but a
+// change of all clients must be followed. The usual time left is known once it has more than ten votes, and is
+// replaced when other values have outvoted it.
 func TestUsualTimeLeftIsThatOfTheMajority(t *testing.T) {
 	var u usualTimeLeft
 	observe := func(n int, timeLeft time.Duration) {
@@ -105,27 +103,27 @@
 			u.observe(timeLeft, 10*ms)
 		}
 	}
-	observe(11, 600*ms) // the first one only replaces the unknown
+	observe(11, 600*ms) // the first one only sets the value and is no vote
 	if u.isKnown() {
-		t.Error("known after ten votes")
+		t.Error("usual time left counts as known after ten votes, want eleven")
 	}
 	observe(1, 605*ms) // within the tolerance
 	if !u.isKnown() || u.value != 600*ms {
-		t.Errorf("%+v after eleven votes", u)
+		t.Errorf("after eleven votes: %+v, want 600 ms and known", u)
 	}
 	observe(100, 600*ms)
 	observe(5, 50*ms)
 	if !u.isKnown() || u.value != 600*ms {
-		t.Errorf("%+v after five odd ones", u)
+		t.Errorf("after five unusual values: %+v, want 600 ms and known", u)
 	}
 	observe(16, 300*ms)
 	if u.isKnown() || u.value != 300*ms {
-		t.Errorf("%+v after all have changed", u)
+		t.Errorf("after a change of all clients: %+v, want 300 ms and not yet known", u)
 	}
 }
 
-// An answer has its full weight up to the objective, and without a late weight a request is given up a tick before it.
-// With one it is given up two ticks before the client's deadline.
+// An answer has its full weight up to the objective. Without a late weight, a request is given up one tick before the
+// objective; with one, two ticks before the client's deadline.
 func TestDeadlinesOfARequest(t *testing.T) {
 	for lateWeight, want := range map[float64]time.Duration{0: 195 * ms, 0.5: 490 * ms} {
 		s := testSettings() // objective 200 ms, tick 5 ms
@@ -134,7 +132,7 @@
 		h.b.now = h.now
 		r := h.b.newRequest(Request{ID: "1", Class: "c", ExpiresAt: h.now + 500*ms}, h.b.classes["c"])
 		if r.objectiveAt != h.now+200*ms || r.deadline != h.now+want || r.lateClientRetry {
-			t.Errorf("late weight %v: objective after %v, deadline after %v, late repeat %v",
+			t.Errorf("late weight %v: objective after %v, deadline after %v, late client retry %v",
 				lateWeight, r.objectiveAt-h.now, r.deadline-h.now, r.lateClientRetry)
 		}
 	}
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -7,8 +7,8 @@
 	"hazelwing/internal/backoff"
 )
 
-// One endpoint drains and another one is removed. Requests that are sent there would be lost when the processes
-// end. All must go to the one that is left, and wait where none is.
+// One endpoint drains and another one is removed. Requests sent to them would be lost when the processes end. All
+// requests must go to the remaining endpoint, and must wait if there is none.
 func TestDrainingAndRemovedEndpointsGetNoRequests(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(3)
@@ -16,7 +16,7 @@
 	for i := range 30 {
 		id := string(rune('A' + i))
 		if endpoint := h.wantSend(h.request(id, "c", time.Second)); endpoint != "u2" {
-			t.Fatalf("sent to %s", endpoint)
+			t.Fatalf("sent to %s, want u2, the only active endpoint", endpoint)
 		}
 		h.reportOutcome(id, 0, OK, 10*ms)
 		h.now += 10 * ms
@@ -25,14 +25,14 @@
 	h.wantNoAttemptOrAnswer(h.request("z", "c", time.Second))
 }
 
-// interval is a range of times between the starts of two subscribe calls.
+// interval is a range of times between the starts of two consecutive subscribe calls.
 type interval struct{ min, max time.Duration }
 
-// The endpoint watch fails, and calls to subscribe again fail, too. Sidecars that call at once and together
-// would keep the service down; a single call could leave the list old for ever. Calls that fail at once must
-// start about 0.6 s after one another while the list that they return can arrive within the notification
-// deadline; later as rarely as all sidecars together may call, or as often as before where those are few. A
-// call that fails after a while must be followed sooner.
+// The endpoint watch fails, and so do the calls to subscribe again. If all sidecars called again at once, they would
+// keep the service down; if they did not retry, their lists would stay outdated. Calls that fail at once must start
+// about 0.6 s apart as long as the list that they return can arrive within the notification deadline. After that,
+// they must be as rare as the fleet's total call rate requires, but not more frequent than before. After a call that
+// takes a while to fail, the pause must be shorter.
 func TestSubscribesAgainWithBackoff(t *testing.T) {
 	for _, c := range []struct {
 		sidecars     int
@@ -47,7 +47,7 @@
 		s.MustSubscribe, s.Balancers = true, c.sidecars
 		h := newHarness(t, s)
 		if n := len(actionsOfKind(h.updateEndpoints(CachedList, Endpoint{ID: "u0"}), Subscribe)); n != 1 {
-			t.Fatalf("%d calls at the start", n)
+			t.Fatalf("%d subscribe calls at the start, want 1", n)
 		}
 		var firstFailure time.Duration
 		for calledAt := h.now; h.now < firstFailure+20*time.Second; {
@@ -59,7 +59,7 @@
 			failedFor := h.now - firstFailure
 			for len(actionsOfKind(h.advance(5*ms), Subscribe)) == 0 {
 				if h.now-calledAt > 20*time.Second {
-					t.Fatal("never subscribed again")
+					t.Fatal("no subscribe call within 20 s of the previous one")
 				}
 			}
 			want := c.first
@@ -67,24 +67,24 @@
 				want = c.later
 			}
 			if got := h.now - calledAt; got < want.min || got > want.max {
-				t.Errorf("%d sidecars, calls fail after %v, watch failed for %v: %v between two calls",
-					c.sidecars, c.failsAfter, failedFor, got)
+				t.Errorf("%d sidecars, calls fail after %v, watch failed for %v: %v between two calls, want %v to %v",
+					c.sidecars, c.failsAfter, failedFor, got, want.min, want.max)
 			}
 			calledAt = h.now
 		}
 		h.updateEndpoints(Delta)
 		if n := len(actionsOfKind(h.advance(20*time.Second), Subscribe)); n != 0 {
-			t.Errorf("%d calls while subscribed", n)
+			t.Errorf("%d subscribe calls while subscribed, want none", n)
 		}
 		h.handle(EndpointUpdate{Kind: WatchFailed}) // the subscription broke
 		if n := len(actionsOfKind(h.advance(2*time.Second), Subscribe)); n != 1 {
-			t.Errorf("%d calls after the subscription broke", n)
+			t.Errorf("%d subscribe calls in the 2 s after the subscription broke, want 1", n)
 		}
 	}
 }
 
-// An endpoint restarts. What was learned of the former process, its latency and its ejection, would be held
-// against the new one, or hide that it is cold. All of it must be void, and the new process must warm up.
+// An endpoint restarts. The latency and ejection of the former process must not be applied to the new one, which must
+// warm up.
 func TestRestartResetsEndpointState(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -8,7 +8,7 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// The decay is 1 s: the weight of the former estimate is 1/2 after 693.147... ms.
+// The decay time is 1 s, so the weight of the former estimate is 1/2 after 693.147... ms.
 func TestPeakEWMA(t *testing.T) {
 	const decay = time.Second
 	half := time.Duration(math.Round(math.Ln2 * 1e9))
@@ -21,12 +21,12 @@
 		wantNow time.Duration
 	}{
 		{"above the estimate: replaces it", peakEWMA{0.1, 0}, 0.3, half, 0.3, half},
-		{"above its projection only: replaces it", peakEWMA{0.1, 0}, 0.06, half, 0.06, half},
-		{"below the projection: blended in", peakEWMA{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
-		{"at the projection: stays there", peakEWMA{0.1, 0}, 0.05, half, 0.05, half},
-		{"same time, lower: no weight", peakEWMA{0.1, half}, 0.02, half, 0.1, half},
-		{"same time, higher: a peak all the same", peakEWMA{0.1, half}, 0.2, half, 0.2, half},
-		{"earlier than the last: dropped", peakEWMA{0.1, half}, 0.9, half - 1, 0.1, half},
+		{"above the decayed estimate only: replaces it", peakEWMA{0.1, 0}, 0.06, half, 0.06, half},
+		{"below the decayed estimate: averaged", peakEWMA{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
+		{"equal to the decayed estimate: becomes the estimate", peakEWMA{0.1, 0}, 0.05, half, 0.05, half},
+		{"same time, lower: has no weight", peakEWMA{0.1, half}, 0.02, half, 0.1, half},
+		{"same time, higher: replaces it", peakEWMA{0.1, half}, 0.2, half, 0.2, half},
+		{"earlier than the last sample: ignored", peakEWMA{0.1, half}, 0.9, half - 1, 0.1, half},
 	} {
 		c.e.add(c.sample, c.now, decay)
 		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.updatedAt != c.wantNow {
@@ -35,8 +35,8 @@
 	}
 }
 
-// A success adds its latency to the estimate, an error answer at least the penalty, and any other outcome the elapsed
-// time.
+// The sample is the latency for a success, at least the penalty for an error answer, and the elapsed time for any
+// other result.
 func TestObserveOutcome(t *testing.T) {
 	for _, c := range []struct {
 		result  Result
@@ -65,13 +65,13 @@
 	}
 }
 
-// The initial estimate of an endpoint is the mean latency at the time when it is first listed.
+// The initial estimate of an endpoint is the mean latency when the endpoint is first listed.
 func TestInitialEstimate(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.b.latency.meanNormalized = 0.033
 	h.addEndpoints(1)
 	if got := h.b.endpoints[0].latency; got.value != 0.033 || got.updatedAt != h.now {
-		t.Errorf("initial estimate %+v", got)
+		t.Errorf("initial estimate %+v, want 0.033 at %v", got, h.now)
 	}
 }
 
@@ -83,38 +83,39 @@
 	ep.latency = peakEWMA{0.04, h.now}
 	h.b.now = h.now
 	if got := h.b.loadOf(ep); !almostEqual(got, 0.04) {
-		t.Errorf("idle: %v", got)
+		t.Errorf("idle: load %v, want 0.04", got)
 	}
 	h.b.send(&request{id: "x", class: h.b.classes["c"], relativeWork: 1, expiresAt: h.now + time.Second}, ep)
 	if got := h.b.loadOf(ep); !almostEqual(got, 0.08) {
-		t.Errorf("one outstanding: %v", got)
+		t.Errorf("one attempt outstanding: load %v, want 0.08", got)
 	}
-	// The age of an outstanding attempt is a lower bound of the latency.
+	// The latency is at least the age of an outstanding attempt.
 	h.b.now += 100 * ms
 	if got := h.b.loadOf(ep); !almostEqual(got, 0.2) {
-		t.Errorf("one outstanding for 100 ms: %v", got)
+		t.Errorf("one attempt outstanding for 100 ms: load %v, want 0.2", got)
 	}
 }
 
-// The estimate of an idle endpoint decays towards the mean of all, not towards zero: idle is not fast.
+// The estimate of an idle endpoint decays towards the mean of all endpoints, not towards zero, because an idle
+// endpoint is not necessarily fast.
 func TestIdleEstimateDecaysToMean(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
 	h.b.endpoints[0].latency = peakEWMA{0.5, h.now}
 	h.b.now = h.now + time.Hour
 	if got := h.b.loadOf(h.b.endpoints[0]); !almostEqual(got, h.b.latency.meanNormalized) {
-		t.Errorf("idle for an hour: %v, want the mean %v", got, h.b.latency.meanNormalized)
+		t.Errorf("idle for an hour: load %v, want the mean %v", got, h.b.latency.meanNormalized)
 	}
 }
 
-// Of two eligible endpoints the one with the lower load is picked, every time.
+// Of two eligible endpoints, the one with the lower load is always picked.
 func TestPickTakesLowerOfTwo(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
 	h.b.endpoints[0].latency = peakEWMA{0.02, h.now}
 	h.b.endpoints[1].latency = peakEWMA{0.05, h.now}
 	h.b.now = h.now
-	// Loads in ms: 20/50, 40/50, 60/50, 60/100, 80/100. A sixth pick would be a tie of 100/100.
+	// Loads in ms before each pick: 20/50, 40/50, 60/50, 60/100, 80/100. Before a sixth pick they would be equal.
 	for i, want := range []string{"u0", "u0", "u1", "u0", "u0"} {
 		got := h.wantSend(h.request(string(rune('a'+i)), "c", time.Second))
 		if got != want {
@@ -123,8 +124,8 @@
 	}
 }
 
-// Both of the pair are drawn at random: over many picks each endpoint is compared, and the one with the highest load
-// never wins.
+// Both endpoints of a pair are drawn at random: over many picks, each endpoint is compared with the others, and the
+// one with the highest load is never picked.
 func TestPairIsRandomAndDistinct(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(4)
@@ -137,7 +138,7 @@
 	for range 6000 {
 		picks[h.b.powerOfTwoChoices(candidates{request: r}).id]++
 	}
-	// Of the six pairs, u0 wins three, u1 two, u2 one, u3 none.
+	// There are six pairs: u0 has the lowest load in three of them, u1 in two, u2 in one, u3 in none.
 	for id, want := range map[string]int{"u0": 3000, "u1": 2000, "u2": 1000, "u3": 0} {
 		if d := picks[id] - want; d < -200 || d > 200 {
 			t.Errorf("%s picked %d times of 6000, want about %d", id, picks[id], want)
@@ -145,8 +146,9 @@
 	}
 }
 
-// At two requests a second most endpoints have no recent answer: the mean latency of their kind is the best estimate.
-// The kind's name does not matter, and a failure of one endpoint is no sign of the others.
+// At two requests per second, most endpoints have no recent answer, and the mean latency of their kind is the best
+// estimate. The names of kinds must not matter, and a new endpoint must start from the mean of its kind. The failure of
+// one endpoint is no evidence about the others of its kind.
 func TestEstimateWithoutRecentAnswerIsTheKindMean(t *testing.T) {
 	for _, kinds := range [][2]string{{"x", "y"}, {"y", "x"}} {
 		h := newHarness(t, testSettings())
@@ -171,7 +173,8 @@
 		slow := h.b.loadOf(h.b.endpointsByID["b"])
 		added := h.b.loadOf(h.b.endpointsByID["new"])
 		if fast > 0.04 || slow < 0.05 || !almostEqual(added, slow) {
-			t.Errorf("fast %v, slow %v, new of the slow kind %v", fast, slow, added)
+			t.Errorf("load of the fast kind %v, want at most 0.04; of the slow kind %v, want at least 0.05; "+
+				"of a new endpoint of the slow kind %v, want that of its kind", fast, slow, added)
 		}
 	}
 }
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// respondExcept returns the response of healthy endpoints, except that u0 responds as given.
+// respondExcept returns a respondFunc for healthy endpoints and u0, which responds with the given result and latency.
 func respondExcept(result Result, latency time.Duration) respondFunc {
 	return func(endpoint string) (Result, time.Duration) {
 		if endpoint == "u0" {
@@ -16,30 +16,30 @@
 	}
 }
 
-// An endpoint crashes and refuses connections at once, so that it looks fast. It would attract picks and lose
-// each of them. It must get single trials only, and its share again once it serves.
+// An endpoint crashes and refuses connections at once, so that it looks fast. It would attract picks, and each of
+// them would fail. It must get only single trials, and its share of requests again once it serves.
 func TestCrashedEndpointAttractsNoPicks(t *testing.T) {
 	w := newWorkload(t, testSettings(), respondExcept(ConnectFailed, 0))
 	w.addEndpoints(5)
 	w.run(10*time.Second, 100)
 	if w.attempts["u0"] > 10 {
-		t.Errorf("%d attempts on the crashed endpoint", w.attempts["u0"])
+		t.Errorf("%d attempts on the crashed endpoint, want at most 10", w.attempts["u0"])
 	}
 	if w.answers[Reject]+w.answers[Fail] > 0 {
-		t.Errorf("requests lost with four healthy endpoints: %v", w.answers)
+		t.Errorf("requests not served although four endpoints are healthy, by kind of answer: %v", w.answers)
 	}
 	w.respond = respondOK
 	w.run(10*time.Second, 100)
 	if w.attempts["u0"] < 50 {
-		t.Errorf("only %d attempts after its return", w.attempts["u0"])
+		t.Errorf("%d attempts on the recovered endpoint, want at least 50", w.attempts["u0"])
 	}
 	if !w.logged("endpoint ejected endpoint=u0 ") || !w.logged("endpoint returned after ejection endpoint=u0 ") {
 		t.Errorf("ejection or return not logged: %q", w.logLines)
 	}
 }
 
-// An endpoint hangs: it accepts requests and never responds. Requests would wait there to their deadlines. It
-// must be recognized by the age of its outstanding attempts and ejected for its silence.
+// An endpoint hangs: it accepts requests and never responds, so that requests would wait there until their deadlines.
+// It must be avoided because of the age of its outstanding attempts, and ejected because it is silent.
 func TestHungEndpointIsAvoided(t *testing.T) {
 	for _, hedging := range []bool{true, false} {
 		s := testSettings()
@@ -48,14 +48,14 @@
 		w.addEndpoints(5)
 		w.run(10*time.Second, 100)
 		if w.attempts["u0"] > 60 || w.succeeded < 950 {
-			t.Errorf("hedging %v: %d attempts on the hung endpoint, %d of %d succeeded",
+			t.Errorf("hedging %v: %d attempts on the hung endpoint, want at most 60; %d of %d succeeded, want 950",
 				hedging, w.attempts["u0"], w.succeeded, w.requests)
 		}
 	}
 }
 
-// An endpoint pauses again and again, each time for less than any health check notices. The requests that wait
-// there would be late. Hedges must save them.
+// An endpoint pauses repeatedly, each time too briefly for a health check to notice. The requests that wait there
+// would be late. Hedges must prevent this.
 func TestPauseIsCoveredByHedges(t *testing.T) {
 	var w *workload
 	w = newWorkload(t, testSettings(), func(endpoint string) (Result, time.Duration) {
@@ -67,29 +67,30 @@
 	w.addEndpoints(4)
 	w.run(20*time.Second, 100)
 	if float64(w.succeeded) < 0.99*float64(w.requests-5) {
-		t.Errorf("%d of %d succeeded", w.succeeded, w.requests)
+		t.Errorf("%d of %d requests succeeded, want 99%%", w.succeeded, w.requests)
 	}
 }
 
-// An endpoint takes six times as long as the others. An equal share of requests would be late there. It must
-// get far fewer.
+// An endpoint takes six times as long as the others. If it got an equal share of requests, these would be late. It
+// must get at most half as many.
 func TestSlowEndpointGetsFewerRequests(t *testing.T) {
 	w := newWorkload(t, testSettings(), respondExcept(OK, 120*ms))
 	w.addEndpoints(4)
 	w.run(10*time.Second, 100)
 	if w.attempts["u0"] > w.attempts["u1"]/2 {
-		t.Errorf("slow %d, others %d", w.attempts["u0"], w.attempts["u1"])
+		t.Errorf("%d attempts on the slow endpoint, want at most half of the %d on another",
+			w.attempts["u0"], w.attempts["u1"])
 	}
 }
 
-// An expensive request does not make its endpoint look slow: samples are normalized by the expected work.
+// An expensive request must not make its endpoint look slow: samples are normalized by the expected work.
 func TestExpensiveRequestDoesNotMakeEndpointLookSlow(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(1)
 	request := func(id string, expectedWork time.Duration) {
 		h.handle(Request{ID: id, Class: "c", ExpiresAt: h.now + time.Second, ExpectedWork: expectedWork})
 	}
-	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
+	for i := range 200 { // each with 20 ms of expected work and answered in 20 ms
 		id := fmt.Sprint(i)
 		request(id, 20*ms)
 		h.reportOutcome(id, 0, OK, 20*ms)
@@ -100,13 +101,13 @@
 	h.now += 10 * ms
 	h.reportOutcome("big", 0, OK, 120*ms)
 	if after := h.b.endpoints[0].latency.value; after > 1.5*before {
-		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
+		t.Errorf("estimate rose from %v to %v after a request with six times the work and latency", before, after)
 	}
 }
 
-// Running endpoints lose a connection now and then, two in a row by chance. Ejection for that would take
-// healthy endpoints out together. Two must not eject. A process that died breaks all its connections, and a
-// third one in a row must.
+// Running endpoints occasionally lose a connection, and two in a row by chance. If they were ejected for that,
+// healthy endpoints would be excluded at the same time. A process that has died breaks all of its connections. Two
+// consecutive broken connections must not cause an ejection, but a third one must.
 func TestTwoBrokenConnectionsDoNotEject(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(1)
@@ -118,16 +119,16 @@
 	breakConnection("1")
 	breakConnection("2")
 	if ep.health.ejectedUntil > h.now {
-		t.Error("ejected for two broken connections")
+		t.Error("ejected after two consecutive broken connections")
 	}
 	breakConnection("3")
 	if ep.health.ejectedUntil <= h.now {
-		t.Error("not ejected after three broken connections with no answer between them")
+		t.Error("not ejected after three consecutive broken connections")
 	}
 }
 
-// During a deploy half of the endpoints are warming up when one of the others crashes. Its share of the load
-// would overload those that are cold. They must get no more than they can serve, and the requests must still be
+// During a deployment, half of the endpoints are warming up when one of the others crashes. Its share of the load
+// would overload the cold endpoints. They must get no more than they can serve, and the requests must still be
 // served.
 func TestCrashDuringDeploy(t *testing.T) {
 	w := newWorkload(t, testSettings(), respondOK)
@@ -141,19 +142,20 @@
 	succeeded, requests := w.succeeded, w.requests
 	w.run(2*time.Second, 200)
 	if got := w.succeeded - succeeded; float64(got) < 0.95*float64(w.requests-requests) {
-		t.Errorf("%d of %d succeeded", got, w.requests-requests)
+		t.Errorf("%d of %d requests succeeded, want 95%%", got, w.requests-requests)
 	}
 	for i := 4; i < 8; i++ {
-		// The overload rule allows 3 times 0.2 to 0.36 of the capacity; 25 a second each is the mean load.
+		// An endpoint is overloaded by 3 times its current capacity, which is 0.2 to 0.36 of the full one. The mean
+		// load is 25 requests per second and endpoint.
 		if got := w.attempts[fmt.Sprint("u", i)]; got > 40 {
-			t.Errorf("u%d, warming up: %d attempts in 2 s", i, got)
+			t.Errorf("u%d, which is warming up, got %d attempts in 2 s, want at most 40", i, got)
 		}
 	}
 }
 
-// A zone is cut off and the endpoint watch has failed, so that the list still shows the zone. Each request to
-// it would wait for its connect timeout. Requests must stay in the home zone, the other zone must get trials
-// only, and it must be used again afterwards.
+// A zone is cut off and the endpoint watch has failed, so that the zone is still listed. Each request to it would
+// wait for its connect timeout. Requests must stay in the home zone, and the other zone must get only trials until it
+// is reachable again.
 func TestZoneCutOffWhileWatchFailed(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
@@ -181,21 +183,22 @@
 	clear(w.attempts)
 	w.run(10*time.Second, 100)
 	if got := w.succeeded - succeeded; float64(got) < 0.97*float64(w.requests-requests) {
-		t.Errorf("%d of %d succeeded while the zone was cut off", got, w.requests-requests)
+		t.Errorf("%d of %d requests succeeded while the zone was cut off, want 97%%", got, w.requests-requests)
 	}
 	if n := attemptsInOtherZone(); n > 60 {
-		t.Errorf("%d attempts on the zone that was cut off", n)
+		t.Errorf("%d attempts on the zone that was cut off, want at most 60", n)
 	}
 	cutOff = false
 	w.run(10*time.Second, 100)
 	clear(w.attempts)
 	w.run(5*time.Second, 100)
 	if n := attemptsInOtherZone(); n < 100 {
-		t.Errorf("%d attempts on the zone after it was reachable again", n)
+		t.Errorf("%d attempts on the zone after it was reachable again, want at least 100", n)
 	}
 }
 
-// A high price of crossing zones keeps requests in the home zone while it serves them, and not when it cannot.
+// With a high cross-zone price, requests must stay in the home zone as long as it serves them, and go to other zones
+// when it cannot.
 func TestHomeZoneIsPreferred(t *testing.T) {
 	s := testSettings()
 	s.PriceCrossZone = 0.2
@@ -214,23 +217,23 @@
 	)
 	w.run(5*time.Second, 50)
 	if n := w.attempts["u2"] + w.attempts["u3"]; n > 25 {
-		t.Errorf("%d of %d crossed zones while the home zone was healthy", n, w.requests)
+		t.Errorf("%d cross-zone attempts for %d requests with a healthy home zone, want at most 25", n, w.requests)
 	}
 	slow = true
 	clear(w.attempts)
 	w.run(5*time.Second, 50)
 	if n := w.attempts["u2"] + w.attempts["u3"]; n < 60 {
-		t.Errorf("%d of 250 crossed zones while the home zone was slow", n)
+		t.Errorf("%d cross-zone attempts for 250 requests with a slow home zone, want at least 60", n)
 	}
 }
 
-// The home zone is overloaded by all sidecars together. Each of few sees it in its own outstanding attempts; of
-// many none does, and all would wait at home, or reject, what other zones have capacity for. In a large fleet
-// latency alone must make them leave the home zone.
+// All sidecars together overload the home zone. In a small fleet, each sidecar notices it by its own outstanding
+// attempts. In a large fleet no sidecar does, and requests would wait or be rejected at home although other zones
+// have capacity. There, latency alone must make sidecars leave the home zone.
 func TestOverloadedHomeZoneIsLeftInALargeFleet(t *testing.T) {
 	for _, c := range []struct {
 		sidecars           int
-		minCross, maxCross int // attempts for 200 requests that cross zones
+		minCross, maxCross int // cross-zone attempts for 200 requests
 	}{
 		{4, 0, 20},
 		{80, 100, 300},
@@ -258,14 +261,15 @@
 			}
 		}
 		if crossed < c.minCross || crossed > c.maxCross {
-			t.Errorf("%d sidecars: %d of 200 crossed zones, want %d to %d",
+			t.Errorf("%d sidecars: %d cross-zone attempts for 200 requests, want %d to %d",
 				c.sidecars, crossed, c.minCross, c.maxCross)
 		}
 	}
 }
 
-// An endpoint answers errors at once, beside queues that last longer than the penalty for an error. It would
-// look like the fastest and turn most requests into errors. It must be ejected, and return once it serves.
+// An endpoint returns errors at once, while the queues of the others take longer than the penalty for an error. It
+// would look like the fastest and turn most requests into errors. It must be ejected, and return once it serves
+// requests.
 func TestImmediateErrorsAttractNoPicks(t *testing.T) {
 	failing := true
 	s := testSettings()
@@ -274,16 +278,17 @@
 		if endpoint == "u0" && failing {
 			return ServerError, time.Millisecond
 		}
-		return OK, 150 * ms // ten or more outstanding at each: a load far above the penalty
+		return OK, 150 * ms // each has ten or more outstanding: a load far above the penalty
 	})
 	w.addEndpoints(4)
 	w.run(10*time.Second, 250)
 	if w.attempts["u0"] > 40 {
-		t.Errorf("%d attempts on an endpoint that only answers errors", w.attempts["u0"])
+		t.Errorf("%d attempts on an endpoint that only returns errors, want at most 40", w.attempts["u0"])
 	}
 	failing = false
 	w.run(10*time.Second, 250)
 	if w.attempts["u0"] < 200 || !w.logged("endpoint returned after ejection endpoint=u0 ") {
-		t.Errorf("has not returned: %d attempts, log %q", w.attempts["u0"], w.logLines)
+		t.Errorf("endpoint not used or its return not logged after recovery: %d attempts, want 200; log %q",
+			w.attempts["u0"], w.logLines)
 	}
 }
--- a/balancer/firstattempt_test.go
+++ b/balancer/firstattempt_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// A client gives each of its attempts up after 400 ms and the request after 1,000 ms. Its second attempt looks like a
-// first one. The third has less than the usual time left, and is a repeat of a request that nobody served; without such
-// a request, and before the usual time is known, it is a first attempt with little patience.
+// A client gives up each of its attempts after 400 ms and the request after 1,000 ms. Its second attempt is not
+// distinguishable from a first one. The third has less than the usual time left and is a retry of a request that was
+// not served. Without such an unserved request, and before the usual time left is known, it counts as a first attempt
+// with a short timeout.
 func TestFirstAttemptOfClientRetry(t *testing.T) {
 	const first = 10 * time.Second
 	for _, c := range []struct {
 		name           string
-		usual          int // requests before with the usual time left
+		usual          int // number of earlier requests with the usual time left
 		unserved       bool
 		now, expiresAt time.Duration
 		want           time.Duration
@@ -20,7 +21,7 @@
 		{"second attempt", maxTimeLeftVotes, true, first + 400*ms, first + 800*ms, first + 400*ms},
 		{"third attempt", maxTimeLeftVotes, true, first + 800*ms, first + 1000*ms, first},
 		{"first attempt was served", maxTimeLeftVotes, false, first + 800*ms, first + 1000*ms, first + 800*ms},
-		{"usual time not known", minTimeLeftVotes, true, first + 800*ms, first + 1000*ms, first + 800*ms},
+		{"usual time left not known", minTimeLeftVotes, true, first + 800*ms, first + 1000*ms, first + 800*ms},
 	} {
 		class := &classState{Class: Class{Deadline: 1000 * ms}}
 		class.timeLeft.value = 400 * ms
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// harness passes events to a Balancer and keeps the time that the Balancer sees.
+// harness passes events to a Balancer and keeps its clock.
 type harness struct {
 	t        *testing.T
 	b        *Balancer
@@ -16,7 +16,7 @@
 	logLines []string
 }
 
-// testSettings allow hedging and cancellation and have one class of idempotent requests.
+// testSettings returns settings with hedging, cancellation and one class of idempotent requests.
 func testSettings() Settings {
 	return Settings{
 		Balancers:        2,
@@ -50,7 +50,7 @@
 	return &harness{t: t, b: b, now: time.Minute}
 }
 
-// handle passes one event to the balancer, records what it logs and returns its actions.
+// handle passes an event to the balancer, records its log lines and returns its actions.
 func (h *harness) handle(e Event) []Action {
 	actions := h.b.Handle(h.now, e, nil)
 	for _, a := range actions {
@@ -66,7 +66,7 @@
 	return actions
 }
 
-// advance moves the time forward by d, with a TimerFired event at each tick.
+// advance moves the clock forward by d, with a TimerFired event at each tick.
 func (h *harness) advance(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now += h.b.settings.Tick
@@ -79,7 +79,7 @@
 	return h.handle(EndpointUpdate{Kind: kind, Endpoints: endpoints})
 }
 
-// addEndpoints sends a complete list of n endpoints of zone a: u0, u1, and so on.
+// addEndpoints sends a complete list of n endpoints in zone a: u0, u1, and so on.
 func (h *harness) addEndpoints(n int) {
 	var list []Endpoint
 	for i := range n {
@@ -111,7 +111,7 @@
 	return append(actionsOfKind(actions, Reject), actionsOfKind(actions, Fail)...)
 }
 
-// wantSend fails the test unless actions hold exactly one attempt, and returns the attempt's endpoint.
+// wantSend fails the test unless actions contain exactly one attempt, and returns the attempt's endpoint.
 func (h *harness) wantSend(actions []Action) string {
 	h.t.Helper()
 	sends := actionsOfKind(actions, Send)
@@ -121,7 +121,7 @@
 	return sends[0].Endpoint
 }
 
-// wantAnswer fails the test unless actions hold exactly one final answer, of the given kind, and no attempt.
+// wantAnswer fails the test unless actions contain exactly one final answer, of the given kind, and no attempt.
 func (h *harness) wantAnswer(actions []Action, kind ActionKind) {
 	h.t.Helper()
 	answers := finalAnswers(actions)
@@ -130,7 +130,7 @@
 	}
 }
 
-// wantNoAttemptOrAnswer fails the test if actions hold an attempt or a final answer.
+// wantNoAttemptOrAnswer fails the test if actions contain an attempt or a final answer.
 func (h *harness) wantNoAttemptOrAnswer(actions []Action) {
 	h.t.Helper()
 	if len(finalAnswers(actions)) > 0 || len(actionsOfKind(actions, Send)) > 0 {
--- a/balancer/idempotency_test.go
+++ b/balancer/idempotency_test.go
@@ -32,8 +32,9 @@
 	return s
 }
 
-// An attempt at a request that is not idempotent fails. A retry after it ran would do its effect twice. It must
-// be retried after a result that proves that it did not run, and fail after any other.
+// An attempt of a request that is not idempotent fails. A retry after an attempt that ran would have the effect
+// twice. The request must be retried only after a result which proves that it did not run, and must fail after any
+// other.
 func TestNonIdempotentIsRetriedOnlyIfNotExecuted(t *testing.T) {
 	for result, wantRetry := range map[Result]bool{
 		Overloaded:    true,
@@ -56,19 +57,19 @@
 	}
 }
 
-// An attempt at a request that is not idempotent takes long. A hedge beside it would do its effect twice. There
-// must be none.
+// An attempt of a request that is not idempotent takes long. A hedge would have the effect twice, so there must be
+// none.
 func TestNonIdempotentIsNotHedged(t *testing.T) {
 	h := newHarness(t, nonIdempotentSettings())
 	h.addEndpoints(3)
 	h.wantSend(h.request("1", "x", time.Second))
 	if sends := actionsOfKind(h.advance(900*ms), Send); len(sends) > 0 {
-		t.Fatalf("hedge of a request that is not idempotent: %+v", sends)
+		t.Fatalf("request that is not idempotent was hedged: %+v", sends)
 	}
 }
 
-// The only attempt at a request that is not idempotent did not run. A failure would leave the client in doubt.
-// It must be rejected, which tells that a repeat is harmless.
+// The only attempt of a request that is not idempotent did not run. With Fail, the client would not know this. The
+// request must be rejected, which tells the client that a retry is harmless.
 func TestNonIdempotentIsRejectedIfNotExecuted(t *testing.T) {
 	s := nonIdempotentSettings()
 	s.MaxAttempts = 1
@@ -78,9 +79,8 @@
 	h.wantAnswer(h.reportOutcome("1", 0, ConnectFailed, ms), Reject)
 }
 
-// An attempt at a keyed request fails after it may have run. Endpoints outside the idempotency scope do not
-// know the key and would do its effect again. Every retry must stay in the scope; before that the request may
-// go anywhere.
+// An attempt of a keyed request fails and may have run. Endpoints outside the idempotency scope do not know the key
+// and would run the request again. Every retry must stay in the scope; the first attempt may go to any endpoint.
 func TestKeyedStaysInItsScope(t *testing.T) {
 	list := []Endpoint{
 		{ID: "p", Zone: "a", Cell: 0},
@@ -101,23 +101,23 @@
 	} {
 		for n := range 40 {
 			h := newHarness(t, keyedSettings(scope))
-			for range n + 1 { // other random numbers each time
+			for range n + 1 { // picks a different first endpoint in each iteration
 				h.b.rng.Uint64()
 			}
 			h.updateEndpoints(CompleteList, list...)
 			first := byID[h.wantSend(h.request("1", "k", time.Second))]
 			for _, a := range actionsOfKind(h.reportOutcome("1", 0, ServerError, 10*ms), Send) {
 				if !sameScope(first, byID[a.Endpoint]) {
-					t.Fatalf("scope %d: %+v then %+v", scope, first, byID[a.Endpoint])
+					t.Fatalf("scope %d: first attempt on %+v, retry on %+v", scope, first, byID[a.Endpoint])
 				}
 			}
 		}
 	}
 }
 
-// An attempt at a keyed request fails shortly before its idempotency window ends. A retry would arrive when the
-// endpoints have forgotten the key, and do its effect again. The window starts when the attempt that may have
-// run is sent, and no attempt may follow after it.
+// An attempt of a keyed request fails shortly before its idempotency window ends. A retry would arrive after the
+// endpoints have dropped the record, and would run the request again. The window starts when the first attempt that
+// may have run is sent. No attempt may be sent after its end.
 func TestKeyedWindow(t *testing.T) {
 	s := keyedSettings(ScopeAll)
 	s.Classes[0].IdempotencyWindow = 100 * ms
@@ -129,8 +129,8 @@
 	h.wantAnswer(h.reportOutcome("1", 0, Reset, 95*ms), Reject)
 }
 
-// The only attempt at a keyed request may have run. A rejection tells the client that a repeat is harmless,
-// also at an endpoint outside the scope. It is given only if all endpoints share the memory of keys.
+// The only attempt of a keyed request may have run. A rejection tells the client that a retry is harmless, even at an
+// endpoint outside the scope. The request may be rejected only if all endpoints share the memory of keys.
 func TestKeyedRejection(t *testing.T) {
 	for scope, want := range map[IdempotencyScope]ActionKind{ScopeAll: Reject, ScopeZone: Fail, ScopeCell: Fail} {
 		s := keyedSettings(scope)
@@ -138,13 +138,13 @@
 		h := newHarness(t, s)
 		h.addEndpoints(3)
 		h.wantSend(h.request("1", "k", time.Second))
-		// A cancelled attempt may have been executed.
+		// A cancelled attempt may have run.
 		h.wantAnswer(h.reportOutcome("1", 0, Cancelled, 10*ms), want)
 	}
 }
 
-// An attempt at a keyed request gets no answer, and attempts may not run beside each other. A second one beside
-// the first would break that. The first must be cancelled, and none sent until it has ended.
+// An attempt of a keyed request gets no answer, and hedging is off, so that no two attempts may be outstanding. The
+// first one must be cancelled, and another one sent only after it has ended.
 func TestNeverTwoAttemptsInFlightWithoutHedging(t *testing.T) {
 	h := newHarness(t, keyedSettings(ScopeZone))
 	h.addEndpoints(4)
@@ -153,25 +153,25 @@
 	for range 80 {
 		actions := h.advance(5 * ms)
 		if len(actionsOfKind(actions, Send)) > 0 {
-			t.Fatal("second attempt beside the first")
+			t.Fatal("second attempt sent while the first one was outstanding")
 		}
 		cancelled = cancelled || len(actionsOfKind(actions, Cancel)) > 0
 	}
 	if !cancelled {
-		t.Fatal("the unanswered attempt was never cancelled")
+		t.Fatal("unanswered attempt was not cancelled within 400 ms")
 	}
 }
 
-// An earlier request with the same effect may have run. This one, sent elsewhere or later, would do the effect
-// again, and a rejection would be a false promise. The earlier attempts must limit it as its own would: to its
-// idempotency scope and window, and without rejection where its own would forbid one.
+// An earlier request with the same effect may have run. If this request were sent outside the scope or the window of
+// the earlier attempts, the effect would happen again, and a rejection would be wrong. The earlier attempts must
+// restrict the request like its own attempts do.
 func TestPriorAttempts(t *testing.T) {
 	const now = time.Minute // the harness's start time
 	for name, c := range map[string]struct {
 		effect    Effect
 		scope     IdempotencyScope
 		prior     []PriorAttempt
-		endpoints string // that may get an attempt
+		endpoints string // IDs of endpoints that may get an attempt
 		answer    ActionKind
 	}{
 		"none": {
@@ -251,7 +251,7 @@
 				sends := actionsOfKind(actions, Send)
 				for _, a := range sends {
 					if !strings.Contains(c.endpoints, a.Endpoint) {
-						t.Errorf("sent to %s", a.Endpoint)
+						t.Errorf("sent to %s, want one of %q", a.Endpoint, c.endpoints)
 					}
 					actions = h.reportOutcome("1", len(h.b.requests["1"].attempts)-1, Overloaded, ms)
 				}
--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A load report that comes with an outcome sets an endpoint's requests in flight as that of a probe does. A report that
-// cannot be true is ignored.
+// A load report in an outcome sets an endpoint's requests in flight, like one in a probe result. Implausible reports
+// are ignored.
 func TestLoadReportOfOutcome(t *testing.T) {
 	for _, c := range []struct {
 		load LoadReport
@@ -25,14 +25,15 @@
 		ep := h.b.endpointsByID["u0"]
 		reported := ep.reportedAt > 0
 		if reported != (c.want > 0) || reported && ep.inFlight != c.want {
-			t.Errorf("%+v: in flight %v, reported %v", c.load, ep.inFlight, reported)
+			t.Errorf("%+v: in flight %v, reported %v; want %v in flight, or no report if 0",
+				c.load, ep.inFlight, reported, c.want)
 		}
 	}
 }
 
-// Streams are open for a minute and longer. Counted as requests in flight they would be an overload, and all
-// other requests would be rejected beside them. Streams that have started must not count as pressure, however
-// long they last.
+// Streams are open for a minute and longer. If they counted as requests in flight, they would seem to be an overload,
+// and all other requests would be rejected. Streams that have started must not contribute to pressure, however long
+// they last.
 func TestStreamsDoNotCountAsPressure(t *testing.T) {
 	s := testSettings()
 	s.Classes = append(s.Classes, Class{
@@ -52,17 +53,19 @@
 	}
 	h.advance(60 * 1000 * ms)
 	if h.b.admission.meter.inFlight.count != 0 || h.b.pressure() != 0 {
-		t.Errorf("%d in flight, pressure %v", h.b.admission.meter.inFlight.count, h.b.pressure())
+		t.Errorf("open streams: %d requests in flight, pressure %v; want 0 for both",
+			h.b.admission.meter.inFlight.count, h.b.pressure())
 	}
 	for i := range 50 {
 		h.handle(Outcome{ID: fmt.Sprint("s", i), Result: OK, Elapsed: 5 * ms, Finished: true})
 	}
 	if h.b.admission.meter.inFlight.count != 0 || len(h.b.requests) != 0 {
-		t.Errorf("%d in flight, %d retained", h.b.admission.meter.inFlight.count, len(h.b.requests))
+		t.Errorf("after the streams: %d requests in flight, %d retained; want 0 for both",
+			h.b.admission.meter.inFlight.count, len(h.b.requests))
 	}
 }
 
-// Of two endpoints with the same latency the one that reported the lower load with its last answer is picked.
+// Of two endpoints with the same latency, the one that reported the lower load with its last answer is picked.
 func TestLoadReportDecidesThePick(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
@@ -80,6 +83,6 @@
 		}
 	}
 	if attempts["u0"]*2 > attempts["u1"] {
-		t.Errorf("%v: too many attempts on the endpoint with five in flight", attempts)
+		t.Errorf("attempts %v: u0, which reported five in flight, got more than half as many as u1", attempts)
 	}
 }
--- a/balancer/names_test.go
+++ b/balancer/names_test.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// renamedRun handles random events, with the names of zones, kinds, classes and tenants mapped by rename.
+// renamedRun passes random events to a balancer, with the names of zones, kinds, classes and tenants mapped by
+// rename.
 type renamedRun struct {
 	b       *Balancer
 	random  *rand.Rand
 	rename  func(string) string
 	now     time.Duration
-	actions []Action // all that were returned
+	actions []Action // all returned actions
 }
 
-// handle passes e to the balancer and, for three of four probes and attempts, a random result of each.
+// handle passes e to the balancer, and then a random result for three of four of the resulting probes and attempts.
 func (r *renamedRun) handle(e Event) {
 	actions := r.b.Handle(r.now, e, nil)
 	r.actions = append(r.actions, actions...)
@@ -45,7 +46,7 @@
 	}
 }
 
-// updateEndpoints sends a complete list of twelve endpoints of random zones and kinds.
+// updateEndpoints sends a complete list of twelve endpoints with random zones and kinds.
 func (r *renamedRun) updateEndpoints() {
 	var list []Endpoint
 	for i := range 12 {
@@ -60,7 +61,7 @@
 	r.handle(EndpointUpdate{Kind: CompleteList, Endpoints: list})
 }
 
-// actionsUnderNames returns the actions of a run of 300 random requests.
+// actionsUnderNames returns the actions of a run with 300 random requests and with names mapped by rename.
 func actionsUnderNames(t *testing.T, seed uint64, rename func(string) string) []Action {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3))
@@ -97,7 +98,8 @@
 	return run.actions
 }
 
-// Renaming zones, kinds, classes and tenants changes no action: they are compared for equality only.
+// Renaming zones, kinds, classes and tenants must not change any action, because names are only compared for
+// equality.
 func TestActionsDoNotDependOnNames(t *testing.T) {
 	names := map[string]string{"a": "b", "b": "a", "m": "zz", "n": "", "t": "v", "v": "t"}
 	for seed := range uint64(30) {
@@ -109,10 +111,10 @@
 			return "class-" + name
 		})
 		if !reflect.DeepEqual(plain, renamed) {
-			t.Fatalf("seed %d: other actions under other names", seed)
+			t.Fatalf("seed %d: actions differ after renaming", seed)
 		}
 		if len(plain) < 100 {
-			t.Fatalf("seed %d: only %d actions", seed, len(plain))
+			t.Fatalf("seed %d: %d actions, want at least 100", seed, len(plain))
 		}
 	}
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -12,14 +12,15 @@
 	"unicode/utf8"
 )
 
-// mechanismFiles are the files of the package that decide nothing by themselves: the interface, settings, timers,
-// statistics and hashing that the rules use. Each other file holds a rule.
+// mechanismFiles are the files of the package that make no decisions: the interface, settings, timers, statistics and
+// hashing that the rules use. Each other file holds a rule.
 var mechanismFiles = []string{
 	"api.go", "doc.go", "frequencies.go", "mean.go", "quantile.go", "rate.go", "recent.go", "reconfigure.go",
 	"rendezvous.go", "settings.go", "timers.go",
 }
 
-// policyFiles returns the files that the deploy file names as those that hold the decisions, with paths from the root.
+// policyFiles returns the files that the deploy file names under the key policy, with paths relative to the
+// repository root.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -28,21 +29,21 @@
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \[(.*?)\]`).FindSubmatch(deploy)
 	if policy == nil {
-		t.Fatal("no policy in the deploy file")
+		t.Fatal("deploy/balancer.toml has no key policy with a list on one line")
 	}
 	var files []string
 	for _, file := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(policy[1], -1) {
 		files = append(files, string(file[1]))
 	}
 	if len(files) == 0 {
-		t.Fatal("policy names no file")
+		t.Fatal("policy in deploy/balancer.toml names no file")
 	}
 	return files
 }
 
-// The operators read the decisions in the files that the deploy file names. A rule that moves to a new file would be
-// missed there, and a name that stays behind would be that of no file: the list names exactly the package's files that
-// decide.
+// Operators read the decisions in the files that the deploy file names. It would not name a rule that was moved to a
+// new file, and it could name a file that no longer exists. The list must name exactly the package's files that make
+// decisions.
 func TestPolicyNamesEachDecisionFile(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -57,17 +58,17 @@
 	got := policyFiles(t)
 	slices.Sort(got)
 	if !slices.Equal(got, want) {
-		t.Errorf("policy names\n%q\nand the decisions are in\n%q", got, want)
+		t.Errorf("policy in deploy/balancer.toml names\n%q\nwant the files that make decisions:\n%q", got, want)
 	}
 	for _, file := range mechanismFiles {
 		if _, err := os.Stat(file); err != nil {
-			t.Errorf("no decision in %s: %v", file, err)
+			t.Errorf("mechanismFiles names %s: %v", file, err)
 		}
 	}
 }
 
-// Who reads a decision for the first time starts at the top of its file: each decision file begins, before its imports,
-// with a comment on what it decides. No line is longer than the operators' limit.
+// A reader of a decision starts at the top of its file. Each decision file must begin, before its imports, with a
+// comment on what it decides, and no line may be longer than the operators' limit.
 func TestDecisionFilesAreReadable(t *testing.T) {
 	const maxColumns = 110 // set by the operators
 	for _, name := range policyFiles(t) {
@@ -84,7 +85,7 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if n := utf8.RuneCountInString(line); n > maxColumns {
-				t.Errorf("%s:%d: %d characters", name, i+1, n)
+				t.Errorf("%s:%d: line has %d characters, want at most %d", name, i+1, n, maxColumns)
 			}
 		}
 	}
--- a/balancer/pressure_test.go
+++ b/balancer/pressure_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// The sums over requests in flight are exact, also after a long run.
+// The sums over requests in flight must stay exact over a long run.
 func TestInFlightSumsDoNotDrift(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.now = 400 * 24 * time.Hour
 	h.addEndpoints(4)
-	h.request("stays", "c", time.Second)
+	h.request("unanswered", "c", time.Second)
 	for i := range 20000 {
 		id := fmt.Sprint(i)
 		h.request(id, "c", time.Second)
@@ -19,12 +19,13 @@
 	}
 	f := h.b.admission.meter.inFlight
 	if f.count != 1 || f.arrivalSum != h.now || f.inverseObjectives < 4.999 || f.inverseObjectives > 5.001 {
-		t.Errorf("in flight %d, %v, %v", f.count, f.arrivalSum, f.inverseObjectives)
+		t.Errorf("one in flight since %v: count %d, sum of arrivals %v, sum of 1/objective %v, want 1, %v, 5",
+			h.now, f.count, f.arrivalSum, f.inverseObjectives, h.now)
 	}
 }
 
-// Pressure rises with the age of the requests in flight, without a step: a burst after an idle time is admitted, and a
-// load beyond capacity is not admitted until its requests are old.
+// Pressure rises gradually with the age of the requests in flight: a burst after an idle time is admitted, and a load
+// beyond capacity is admitted only as long as its requests are new.
 func TestPressureRisesWithAge(t *testing.T) {
 	for _, c := range []struct {
 		inFlight, answered int
@@ -49,25 +50,26 @@
 		h.now += c.age
 		h.handle(TimerFired{})
 		if p := h.b.pressure(); p > 1 != c.wantOverload {
-			t.Errorf("%d in flight for %v, %d answered: pressure %.2f", c.inFlight, c.age, c.answered, p)
+			t.Errorf("%d in flight for %v, %d answered: pressure %.2f, want above 1: %v",
+				c.inFlight, c.age, c.answered, p, c.wantOverload)
 		}
 	}
 }
 
-// trackInFlight adds n requests that arrive now, with an objective of 200 ms.
+// trackInFlight adds n requests to those in flight. They arrive now and have an objective of 200 ms.
 func (h *harness) trackInFlight(n int) {
 	for range n {
 		h.b.admission.meter.inFlight.add(&request{arrivedAt: h.now, objectiveAt: h.now + 200*ms}, h.now)
 	}
 }
 
-// A quiet sidecar has two requests in flight that take long, by chance. Measured by these two alone it would
-// shed the next ones though endpoints are idle. While the mean in flight is low they must count as no overload;
-// a queue still must.
+// A quiet sidecar happens to have two requests in flight that take long. If only these two were considered, it would
+// shed the next requests although endpoints are idle. As long as the mean number in flight is low, they must not
+// count as an overload; a queue must.
 func TestFewRequestsInFlightAreNotAnOverload(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
-	for i := range 120 { // ten a second, one after the other
+	for i := range 120 { // ten per second, one after the other
 		id := fmt.Sprint(i)
 		h.request(id, "c", time.Second)
 		h.now += 60 * ms
@@ -80,7 +82,7 @@
 	h.now += 100 * ms
 	h.handle(TimerFired{})
 	if p := h.b.pressure(); p > 1 {
-		t.Errorf("two in flight for half of their objective: pressure %.2f", p)
+		t.Errorf("two requests in flight for half of their objective: pressure %.2f, want at most 1", p)
 	}
 	for i := range 12 { // a queue is an overload
 		h.request(fmt.Sprint("q", i), "c", time.Second)
@@ -88,13 +90,13 @@
 	h.now += 100 * ms
 	h.handle(TimerFired{})
 	if p := h.b.pressure(); p <= 1 {
-		t.Errorf("a queue: pressure %.2f", p)
+		t.Errorf("fourteen requests in flight: pressure %.2f, want above 1", p)
 	}
 }
 
-// Pressure is the requests in flight over those that can be served within the wait limit: with 100 answers a second and
-// an objective of 200 ms that is 100 × 0.2 × 0.65 = 13 requests. There is none with a single request, and none with
-// fewer than a sidecar's part of the endpoints.
+// Pressure is the number of requests in flight divided by the number that can be served within the wait limit. With
+// 100 answers per second and an objective of 200 ms, the latter is 100 × 0.2 × 0.65 = 13. There is no pressure with a
+// single request, or with fewer requests than there are endpoints per sidecar.
 func TestPressureFollowsLittlesLaw(t *testing.T) {
 	for _, c := range []struct {
 		inFlight            int
@@ -114,7 +116,7 @@
 			inFlight = append(inFlight, newRequest())
 			m.inFlight.add(inFlight[len(inFlight)-1], now)
 		}
-		for i := range 6000 { // a minute, in which the oldest is answered and another one arrives every 10 ms
+		for i := range 6000 { // for a minute, the oldest request is answered and another one arrives every 10 ms
 			now += 10 * ms
 			oldest := i % c.inFlight
 			m.recordAnswer(now)
@@ -123,7 +125,7 @@
 			m.inFlight.add(inFlight[oldest], now)
 		}
 		if got := m.measure(now, maxWaitLimit, c.endpointsPerSidecar); got < 0.98*c.want || got > 1.02*c.want {
-			t.Errorf("%+v: pressure %.3f", c, got)
+			t.Errorf("%+v: pressure %.3f, want %.3f ± 2%%", c, got, c.want)
 		}
 	}
 }
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -13,34 +13,33 @@
 	return s
 }
 
-// reportLoad reports a probe of the endpoint that took 1 ms and returned a number of requests in flight.
+// reportLoad reports a probe result of the endpoint after 1 ms, with a number of requests in flight.
 func (h *harness) reportLoad(endpoint string, inFlight float64) []Action {
 	load := LoadReport{Reported: true, InFlight: inFlight}
 	return h.handle(ProbeResult{Endpoint: endpoint, Elapsed: ms, Load: load})
 }
 
-// Where each of many sidecars sends an endpoint little, a sidecar's own outstanding attempts say nothing about its
-// load: both endpoints of the pair are probed for theirs, and the request waits for the results.
+// If each of many sidecars sends an endpoint few requests, a sidecar's own outstanding attempts do not show its load.
+// Both endpoints of the pair must be probed for their load, and the request must wait for the results.
 func TestPairIsProbedForItsLoad(t *testing.T) {
 	for i := range 20 {
 		h := newHarness(t, probeSettings())
 		h.addEndpoints(6)
 		probes := actionsOfKind(h.request(fmt.Sprint("q", i), "c", time.Second), Probe)
 		if len(probes) != 2 || probes[0].Endpoint == probes[1].Endpoint {
-			t.Fatalf("want two endpoints probed, got %+v", probes)
+			t.Fatalf("want probes of two different endpoints, got %+v", probes)
 		}
 		h.now += ms
 		h.wantNoAttemptOrAnswer(h.reportLoad(probes[0].Endpoint, 3))
 		got := h.wantSend(h.reportLoad(probes[1].Endpoint, 2))
 		if got != probes[1].Endpoint {
-			t.Errorf("sent to %s, which has more in flight", got)
+			t.Errorf("sent to %s, which has more requests in flight than %s", got, probes[1].Endpoint)
 		}
 	}
 }
 
-// An endpoint that is paused or gone does not answer a probe. The request would wait for it. After a short wait
-// the endpoint that answered must get the request, and where neither does the request must be sent without load
-// reports.
+// An endpoint that is paused or has crashed does not answer a probe. The request must not wait long for it: after a
+// short wait, it must be sent to the endpoint that answered or, if neither did, be sent without load reports.
 func TestUnansweredProbesDoNotDelayRequests(t *testing.T) {
 	for _, answers := range []int{0, 1} {
 		h := newHarness(t, probeSettings())
@@ -51,13 +50,13 @@
 		}
 		got := h.wantSend(h.advance(50 * ms))
 		if answers == 1 && got != probes[0].Endpoint {
-			t.Errorf("sent to %s, not to the one that answered", got)
+			t.Errorf("sent to %s, want %s, which answered its probe", got, probes[0].Endpoint)
 		}
 	}
 }
 
-// Probe results come that are invalid, failed or not asked for. Taken for a load they would draw all requests
-// to an endpoint, or keep them away. They must be ignored, and the request must be sent without them.
+// Some probe results are invalid, failed or unsolicited. If they counted as loads, they would draw all requests to an
+// endpoint or keep them away from it. They must be ignored, and the request must be sent without them.
 func TestInvalidProbeResultsAreIgnored(t *testing.T) {
 	for name, result := range map[string]ProbeResult{
 		"not a number": {Load: LoadReport{Reported: true, InFlight: math.NaN()}},
@@ -79,13 +78,13 @@
 		h.wantSend(actions)
 		for _, ep := range h.b.endpoints {
 			if ep.reportedAt != 0 {
-				t.Errorf("%s: %s counts as reported", name, ep.id)
+				t.Errorf("%s: probe result of %s was recorded as a load report", name, ep.id)
 			}
 		}
 	}
 }
 
-// Pairs are probed only where probes are allowed, report load, cost little and are answered fast.
+// Pairs are probed only if probes are allowed, report the load, are cheap enough and are fast.
 func TestConditionsForProbingPairs(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"not allowed": func(s *Settings) { s.Probes = false },
@@ -97,15 +96,15 @@
 		h := newHarness(t, s)
 		h.addEndpoints(6)
 		if probes := actionsOfKind(h.request("q", "c", time.Second), Probe); len(probes) > 0 {
-			t.Errorf("%s: probed %+v", name, probes)
+			t.Errorf("%s: want no probes, got %+v", name, probes)
 		}
 	}
 	s := probeSettings()
-	s.PriceProbe, s.Balancers = 0.01, 1000 // each of a thousand sidecars sees so little that probes pay off
+	s.PriceProbe, s.Balancers = 0.01, 1000 // with 1000 sidecars, probes are worth this price
 	h := newHarness(t, s)
 	h.addEndpoints(6)
 	if probes := actionsOfKind(h.request("q", "c", time.Second), Probe); len(probes) != 2 {
-		t.Errorf("among many sidecars: probed %+v", probes)
+		t.Errorf("expensive probes, 1000 sidecars: want two probes, got %+v", probes)
 	}
 	h = newHarness(t, probeSettings())
 	h.addEndpoints(6)
@@ -119,13 +118,13 @@
 		}
 	}
 	if total > 100 {
-		t.Errorf("%d probes for 200 requests although they are slow", total)
+		t.Errorf("%d slow probes for 200 requests, want at most 100", total)
 	}
 }
 
-// A reported load counts what all sidecars sent, a sidecar's own count does not. Endpoints without a report are
-// therefore taken to have the mean of those with one; otherwise any pair that was probed would lose to one of another
-// zone that was not.
+// A reported load includes the requests of all sidecars; a sidecar's own outstanding attempts do not. Endpoints
+// without a report are therefore assumed to have the mean of the reported loads. Otherwise any probed pair would seem
+// more loaded than endpoints of another zone that were not probed.
 func TestEndpointsWithoutReportHaveTheMeanLoad(t *testing.T) {
 	s := probeSettings()
 	s.PriceCrossZone = 0.1
@@ -140,20 +139,20 @@
 		var actions []Action
 		for _, probe := range actionsOfKind(h.request(fmt.Sprint(i), "c", time.Second), Probe) {
 			if probe.Endpoint[0] != 'n' {
-				t.Fatal("probed across zones")
+				t.Fatalf("probed %s, which is not in the home zone", probe.Endpoint)
 			}
 			actions = append(actions, h.reportLoad(probe.Endpoint, 4)...)
 		}
 		if endpoint := h.wantSend(actions); i > 80 && endpoint[0] != 'n' {
-			t.Fatalf("request %d was sent across zones to %s", i, endpoint)
+			t.Fatalf("request %d was sent to %s, which is not in the home zone", i, endpoint)
 		}
 		h.now += 20 * ms
 		h.reportOutcome(fmt.Sprint(i), 0, OK, 20*ms)
 	}
 }
 
-// requestWithLoad sends a request and answers all its probes with the same number of requests in flight. It returns the
-// number of probes and the actions after the last of them.
+// requestWithLoad sends a request and answers all of its probes with the same number of requests in flight. It
+// returns the number of probes and the actions after the last one.
 func (h *harness) requestWithLoad(id string, inFlight float64) (probes int, actions []Action) {
 	actions = h.request(id, "c", time.Second)
 	for {
@@ -169,13 +168,14 @@
 	}
 }
 
-// Probes show that both endpoints of a pair have so much to do that an attempt would miss its objective, where
-// a count of two requests in flight is chance. Work that ends late would crowd out work in time. Further pairs
-// must be probed and then the request rejected unsent; a short queue must be used.
+// Probes show that both endpoints of a pair have so many requests in flight that an attempt would miss its objective.
+// The sidecar's own count of two requests in flight depends on chance. Work that ends late would displace work in
+// time, so further pairs must be probed and then the request rejected without an attempt. A pair with a short queue
+// must be used.
 func TestOverloadedPairGetsNoRequest(t *testing.T) {
 	h := newHarness(t, probeSettings())
 	h.addEndpoints(8)
-	for i := range 40 { // 20 ms for each request in flight
+	for i := range 40 { // results in an estimate of 20 ms per request in flight
 		id := fmt.Sprint("a", i)
 		_, actions := h.requestWithLoad(id, 1)
 		h.wantSend(actions)
@@ -185,15 +185,15 @@
 	probes, actions := h.requestWithLoad("full", 30) // 600 ms, with an objective of 200 ms
 	h.wantAnswer(actions, Reject)
 	if probes != 2*maxProbedPairs {
-		t.Errorf("%d probes before the rejection, want four pairs", probes)
+		t.Errorf("%d probes before the rejection, want %d for %d pairs", probes, 2*maxProbedPairs, maxProbedPairs)
 	}
 	_, actions = h.requestWithLoad("fits", 4)
 	h.wantSend(actions)
 }
 
-// One endpoint of a probed pair restarts and drains while the request waits for the other one's probe. The pair
-// would bring the draining endpoint back. What was learned under the former start time must be void, and the
-// request must go to the other one.
+// One endpoint of a probed pair restarts and drains while the request waits for the probe of the other one. Through
+// the pair, the draining endpoint could be picked again. The state learned under the former start time must be
+// dropped, and the request must go to the other endpoint.
 func TestProbedPairFollowsTheEndpointList(t *testing.T) {
 	h := newHarness(t, probeSettings())
 	h.updateEndpoints(CompleteList, Endpoint{ID: "u0", Zone: "a"}, Endpoint{ID: "u1", Zone: "a"})
@@ -213,36 +213,38 @@
 	}
 }
 
-// A pair has reported with what its endpoints reported since it was drawn. An older report does not count, and an
-// endpoint that failed to report is no longer waited for.
+// Only reports since a pair was drawn count, and an endpoint that failed to report is not waited for.
 func TestProbedPairCountsReportsSinceItWasDrawn(t *testing.T) {
 	const drawnAt = time.Minute
 	one := &endpoint{reportedAt: drawnAt - ms, inFlight: 1}
 	two := &endpoint{}
 	p := probedPair{endpoints: [2]*endpoint{one, two}, drawnAt: drawnAt}
 	if !p.awaitsReport() || !math.IsInf(p.minInFlight(), 1) {
-		t.Errorf("an old report counts: waits %v, in flight %v", p.awaitsReport(), p.minInFlight())
+		t.Errorf("report from before the draw: waits %v, want true; in flight %v, want +Inf",
+			p.awaitsReport(), p.minInFlight())
 	}
 	two.reportedAt, two.inFlight = drawnAt, 7
 	if !p.awaitsReport() || p.minInFlight() != 7 {
-		t.Errorf("one report: waits %v, in flight %v", p.awaitsReport(), p.minInFlight())
+		t.Errorf("one report: waits %v, want true; in flight %v, want 7", p.awaitsReport(), p.minInFlight())
 	}
 	one.reportFailedAt = drawnAt + ms
 	if p.awaitsReport() || p.minInFlight() != 7 {
-		t.Errorf("one report and one failure: waits %v, in flight %v", p.awaitsReport(), p.minInFlight())
+		t.Errorf("one report and one failure: waits %v, want false; in flight %v, want 7",
+			p.awaitsReport(), p.minInFlight())
 	}
 	one.reportedAt, one.inFlight = drawnAt+2*ms, 3
 	if p.awaitsReport() || p.minInFlight() != 3 {
-		t.Errorf("two reports: waits %v, in flight %v", p.awaitsReport(), p.minInFlight())
+		t.Errorf("two reports: waits %v, want false; in flight %v, want 3", p.awaitsReport(), p.minInFlight())
 	}
 	none := probedPair{}
 	if none.isDrawn() || none.awaitsReport() || !math.IsInf(none.minInFlight(), 1) {
-		t.Error("a pair that was not drawn counts as one")
+		t.Errorf("empty pair: drawn %v, waits %v, want false; in flight %v, want +Inf",
+			none.isDrawn(), none.awaitsReport(), none.minInFlight())
 	}
 }
 
-// Two probes may cost 2 % of service. Up to half of that they are cheap, and used by any sidecar; above, only where
-// sidecars are many.
+// Two probes may cost 2 % of service. Up to half of that price they are cheap and used by any sidecar; above it, they
+// are used only if there are many sidecars.
 func TestProbeUseDependsOnPrice(t *testing.T) {
 	for _, c := range []struct {
 		price     float64
@@ -261,20 +263,21 @@
 		s.PriceProbe, s.Balancers = c.price, c.balancers
 		b := newHarness(t, s).b
 		if cheap, used := b.probesAreCheap(), b.probesBeforePick(); cheap != c.wantCheap || used != c.wantUsed {
-			t.Errorf("%+v: cheap %v, used %v", c, cheap, used)
+			t.Errorf("%+v: cheap %v, used %v, want %v and %v", c, cheap, used, c.wantCheap, c.wantUsed)
 		}
 	}
 }
 
-// A probe that is lost delays its request by four times the usual latency of probes and two ticks, and probes are slow
-// when they take a quarter of a request's latency.
+// A lost probe delays its request by four times the usual latency of probes plus two ticks. Probes are slow if they
+// take more than a quarter of a request's latency.
 func TestProbeWait(t *testing.T) {
 	p := newProbing(5 * ms)
 	p.latency.value = 0.003
 	if got := p.wait(5 * ms); got != 22*ms {
-		t.Errorf("waits %v", got)
+		t.Errorf("wait for probes %v, want 22 ms", got)
 	}
 	if p.isSlow(0.0121) || !p.isSlow(0.0119) {
-		t.Errorf("slow beside 12.1 ms %v, beside 11.9 ms %v", p.isSlow(0.0121), p.isSlow(0.0119))
+		t.Errorf("3 ms slow with a request latency of 12.1 ms: %v, want false; with 11.9 ms: %v, want true",
+			p.isSlow(0.0121), p.isSlow(0.0119))
 	}
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// checkedAttempt is an attempt as the rule checker saw it.
+// checkedAttempt is the rule checker's record of an attempt.
 type checkedAttempt struct {
 	zone       string
 	cell       int
 	sentAt     time.Duration
 	timeoutAt  time.Duration
 	inFlight   bool
-	mayHaveRun bool // it may have been executed
+	mayHaveRun bool // the attempt may have run
 }
 
-// checkedRequest is a request as the rule checker saw it.
+// checkedRequest is the rule checker's record of a request.
 type checkedRequest struct {
 	class     Class
 	expiresAt time.Duration
 	attempts  []*checkedAttempt
-	finished  bool // it was answered, or its success or its client's disconnection was reported
+	finished  bool // it was answered, or a success or the client's disconnection was reported
 }
 
-// anyMayHaveRun reports whether an attempt of the request may have been executed.
+// anyMayHaveRun reports whether an attempt of the request may have run.
 func (q *checkedRequest) anyMayHaveRun() bool {
 	return slices.ContainsFunc(q.attempts, func(a *checkedAttempt) bool { return a.mayHaveRun })
 }
@@ -37,17 +37,17 @@
 	return slices.ContainsFunc(q.attempts, func(a *checkedAttempt) bool { return a.inFlight })
 }
 
-// ruleChecker checks the four rules (deadlines, repeats, draining endpoints, limits on attempts) on a balancer's
-// actions under random legal events. It uses nothing of the balancer's implementation.
+// ruleChecker checks four rules on a balancer's actions under random legal events: deadlines, retries, draining
+// endpoints, and limits on attempts. It does not use the balancer's implementation.
 type ruleChecker struct {
 	t        *testing.T
 	settings Settings
 	now      time.Duration
 	requests map[string]*checkedRequest
-	openIDs  []string // IDs of requests that are not finished, in order of arrival
+	openIDs  []string // IDs of requests that are unfinished or have attempts in flight, in order of arrival
 	active   map[string]Endpoint
 	timers   []time.Duration
-	probes   []string // in flight; their results arrive late, in any order, or never
+	probes   []string // endpoints of probes in flight; results arrive late, in any order, or never
 }
 
 func newRuleChecker(t *testing.T, s Settings) *ruleChecker {
@@ -60,12 +60,12 @@
 	}
 }
 
-// checkAction fails the test if the action breaks a rule.
+// checkAction fails the test if a breaks a rule.
 func (c *ruleChecker) checkAction(a Action) {
 	c.t.Helper()
 	q := c.requests[a.ID]
 	if q == nil && a.Kind <= Fail {
-		c.t.Fatalf("action for unknown request: %+v", a)
+		c.t.Fatalf("action for an unknown request: %+v", a)
 	}
 	switch a.Kind {
 	case Send:
@@ -84,21 +84,21 @@
 func (c *ruleChecker) checkCancel(a Action, q *checkedRequest) {
 	c.t.Helper()
 	if !c.settings.Cancellation {
-		c.t.Fatal("cancel is not allowed")
+		c.t.Fatalf("%s: attempt cancelled although Cancellation is off", a.ID)
 	}
 	if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
-		c.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
+		c.t.Fatalf("%s: cancelled attempt %d, which was never sent; %d were", a.ID, a.Attempt, len(q.attempts))
 	}
 }
 
 func (c *ruleChecker) checkAnswer(a Action, q *checkedRequest) {
 	c.t.Helper()
-	repeatable := q.class.Effect == Idempotent || q.class.Effect == Keyed && q.class.IdempotencyScope == ScopeAll
-	if a.Kind == Reject && !repeatable && q.anyMayHaveRun() {
-		c.t.Fatalf("rejected %s, which may have run", a.ID)
+	retryable := q.class.Effect == Idempotent || q.class.Effect == Keyed && q.class.IdempotencyScope == ScopeAll
+	if a.Kind == Reject && !retryable && q.anyMayHaveRun() {
+		c.t.Fatalf("%s: rejected although it may have run and a retry is not safe", a.ID)
 	}
 	if q.finished {
-		c.t.Fatalf("second answer to %s", a.ID)
+		c.t.Fatalf("%s: second final answer", a.ID)
 	}
 	q.finished = true
 }
@@ -106,10 +106,10 @@
 func (c *ruleChecker) checkProbe(a Action) {
 	c.t.Helper()
 	if !c.settings.Probes {
-		c.t.Fatal("probes are not allowed")
+		c.t.Fatalf("%s was probed although Probes is off", a.Endpoint)
 	}
 	if _, listed := c.active[a.Endpoint]; !listed {
-		c.t.Fatalf("probe of %s, which is draining or removed", a.Endpoint)
+		c.t.Fatalf("%s was probed although it is draining or removed", a.Endpoint)
 	}
 	c.probes = append(c.probes, a.Endpoint)
 }
@@ -125,7 +125,7 @@
 	case !listed:
 		c.t.Fatalf("%s: attempt on %s, which is draining or removed", a.ID, a.Endpoint)
 	case len(q.attempts) >= c.settings.MaxAttempts:
-		c.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, c.settings.MaxAttempts)
+		c.t.Fatalf("%s: attempt %d, but MaxAttempts is %d", a.ID, len(q.attempts)+1, c.settings.MaxAttempts)
 	}
 	for _, prior := range q.attempts {
 		c.checkRepeat(a, q.class, prior, endpoint)
@@ -144,23 +144,24 @@
 	})
 }
 
-// checkRepeat checks an attempt on endpoint against a prior attempt of the same request.
+// checkRepeat checks an attempt on endpoint against an earlier attempt of the same request.
 func (c *ruleChecker) checkRepeat(a Action, class Class, prior *checkedAttempt, endpoint Endpoint) {
 	c.t.Helper()
 	if prior.inFlight && !c.settings.Hedging {
-		c.t.Fatalf("%s: two attempts in flight", a.ID)
+		c.t.Fatalf("%s: two attempts in flight although Hedging is off", a.ID)
 	}
 	if !prior.mayHaveRun {
 		return
 	}
 	if class.Effect == NonIdempotent {
-		c.t.Fatalf("%s: not idempotent, and sent again", a.ID)
+		c.t.Fatalf("%s: not idempotent, but sent again after an attempt that may have run", a.ID)
 	}
 	outsideWindow := c.now-prior.sentAt > class.IdempotencyWindow
 	outsideZone := class.IdempotencyScope == ScopeZone && prior.zone != endpoint.Zone
 	outsideCell := class.IdempotencyScope == ScopeCell && prior.cell != endpoint.Cell
 	if class.Effect == Keyed && (outsideWindow || outsideZone || outsideCell) {
-		c.t.Fatalf("%s: keyed, and sent outside its idempotency scope or window", a.ID)
+		c.t.Fatalf("%s: keyed, but sent outside its window (%v), zone (%v) or cell (%v)",
+			a.ID, outsideWindow, outsideZone, outsideCell)
 	}
 }
 
@@ -197,9 +198,9 @@
 	return s
 }
 
-// Random legal events, in 150 random settings, with attempts that fail in each way and probes that are answered
-// late or never. No order of events may break the rules of deadlines, repeats, draining endpoints and limits on
-// attempts, or leave a request behind.
+// Random legal events in 150 random settings, with attempts that fail in each possible way and probes that are
+// answered late or never. No order of events may break the rules of deadlines, retries, draining endpoints and limits
+// on attempts, or leave a request that never finishes.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
 		g := rand.New(rand.NewPCG(seed, 7))
@@ -221,7 +222,7 @@
 	}
 }
 
-// run sends random events for a number of ticks and then continues until all open requests have finished.
+// run sends random events for a number of ticks, and then continues until all unfinished requests have finished.
 func (c *ruleChecker) run(g *rand.Rand, handle func(Event), ticks int) {
 	handle(EndpointUpdate{Kind: CachedList})
 	for i := range ticks + 1000 {
@@ -239,7 +240,7 @@
 	}
 	for id, q := range c.requests {
 		if !q.finished {
-			c.t.Fatalf("%s never answered", id)
+			c.t.Fatalf("%s: never finished", id)
 		}
 	}
 }
@@ -302,7 +303,7 @@
 	}
 }
 
-// randomProbeResults reports results of probes in flight, some of them failed or with loads that cannot be true.
+// randomProbeResults reports results of probes in flight, some of them failed or with implausible loads.
 func (c *ruleChecker) randomProbeResults(g *rand.Rand, handle func(Event)) {
 	loads := []float64{0, 3, 90, -1, math.NaN(), math.Inf(1)}
 	for range g.IntN(4) {
@@ -321,8 +322,8 @@
 	}
 }
 
-// randomUnexpectedEvent sends events that must change nothing: of unknown requests and attempts, spurious timers,
-// probe results that were not asked for, and messages.
+// randomUnexpectedEvent sends events that must not change anything: events of unknown requests and attempts, spurious
+// timers, unsolicited probe results, and messages.
 func (c *ruleChecker) randomUnexpectedEvent(g *rand.Rand, handle func(Event)) {
 	switch g.IntN(12) {
 	case 0:
@@ -372,7 +373,8 @@
 	})
 }
 
-// randomOutcome reports the outcome of an attempt at its timeout, at random before; one in ten is reported twice.
+// randomOutcome reports the outcome of an attempt, at its timeout or randomly before. One in ten outcomes is reported
+// twice.
 func (c *ruleChecker) randomOutcome(g *rand.Rand, handle func(Event), id string, n int) {
 	q := c.requests[id]
 	a := q.attempts[n]
--- a/balancer/quantile.go
+++ b/balancer/quantile.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// quantileStep is the step size of estimated quantiles, on a logarithmic scale. A higher value follows a
-// change sooner and is noisier.
+// quantileStep is the step size by which the logarithm of an estimated quantile moves. A higher value
+// follows a change sooner and is noisier.
 const quantileStep = 0.1
 
-// quantile estimates the quantile with the given probability of the values that are added. Each value moves
-// the estimate by a step on a logarithmic scale.
+// quantile estimates the quantile, for the given probability, of a series of values. Each added value moves
+// the estimate up or down by a small factor.
 type quantile struct {
 	probability float64
 	value       float64
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Settings change with requests in flight. A changed guarantee would break what a request in flight was
-// promised. The four rules must hold, by the settings at each moment, and the guarantees of a class must stay
-// as they were, whatever the new settings say of them.
+// Settings change while requests are in flight. A changed guarantee would break what these requests rely on. The four
+// rules must hold under the current settings, and the guarantees of a class must not change, whatever the new
+// settings contain.
 func TestRulesUnderReconfiguration(t *testing.T) {
 	for seed := range uint64(100) {
 		g := rand.New(rand.NewPCG(seed, 13))
@@ -21,7 +21,8 @@
 		c := newRuleChecker(t, s)
 		c.run(g, func(e Event) {
 			if g.IntN(20) == 0 {
-				// Other idempotency scopes and windows, warm-up settings and deadlines, which must not be applied.
+				// next has other idempotency scopes and windows, warm-up settings and deadlines, which must not be
+				// applied.
 				next := randomSettings(g)
 				next.Balancers = s.Balancers
 				if err := b.Reconfigure(next); err != nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// Settings that are not valid change nothing, and Reconfigure never writes into its caller's settings.
+// Invalid settings must not change anything, and Reconfigure must not modify its caller's settings.
 func TestReconfigureIsAllOrNothing(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{"t", 0.5}}
@@ -48,7 +49,7 @@
 	next := s
 	next.MaxAttempts, next.PriceProbe = 1, math.NaN()
 	if err := h.b.Reconfigure(next); err == nil || h.b.settings.MaxAttempts != 4 {
-		t.Errorf("%v, %d attempts", err, h.b.settings.MaxAttempts)
+		t.Errorf("invalid settings: error %v, want one; MaxAttempts %d, want 4", err, h.b.settings.MaxAttempts)
 	}
 	next.PriceProbe = 0
 	next.Tenants = []Tenant{{"t", 0.25}, {"u", 0.25}}
@@ -65,15 +66,16 @@
 	}
 	c := h.b.classes["c"]
 	if c.Weight != 7 || c.LateWeight != 0.5 {
-		t.Errorf("weights not applied: %+v", c)
+		t.Errorf("weights not applied: %+v, want Weight 7 and LateWeight 0.5", c)
 	}
 	if c.Effect != Idempotent || c.Deadline != time.Second || c.LatencyObjective != 200*ms {
-		t.Errorf("guarantees changed: %+v", c)
+		t.Errorf("effect, deadline or objective of the class changed: %+v", c)
 	}
 	if h.b.settings.MaxAttempts != 1 {
-		t.Errorf("%d attempts", h.b.settings.MaxAttempts)
+		t.Errorf("MaxAttempts %d, want 1", h.b.settings.MaxAttempts)
 	}
 	if h.b.settings.Tenants[0].Fraction != 0.25 || len(h.b.settings.Tenants) != 1 || s.Tenants[0].Fraction != 0.5 {
-		t.Errorf("tenants %+v, the caller's %+v", h.b.settings.Tenants, s.Tenants)
+		t.Errorf("tenants %+v, want one with fraction 0.25; tenants of New's caller %+v, want fraction 0.5",
+			h.b.settings.Tenants, s.Tenants)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// All endpoints answer errors. Each request with all its attempts would multiply the load of endpoints that
-// already fail. Retries and hedges must stay within their budget relative to first attempts.
+// All endpoints return errors. If each request made all of its attempts, the load of endpoints that already fail
+// would multiply. Retries and hedges must stay within their budget, which is relative to first attempts.
 func TestRetryBudget(t *testing.T) {
 	w := newWorkload(t, testSettings(), func(string) (Result, time.Duration) { return ServerError, 5 * ms })
 	w.addEndpoints(8)
 	w.run(20*time.Second, 100)
 	total := w.totalAttempts()
-	if limit := float64(w.requests)*(1+retryRatio) + retryBurst; float64(total) > limit {
-		t.Errorf("%d attempts for %d requests", total, w.requests)
+	limit := float64(w.requests)*(1+retryRatio) + retryBurst
+	if float64(total) > limit {
+		t.Errorf("%d attempts for %d requests, want at most %.0f", total, w.requests, limit)
 	}
 }
 
-// All endpoints refuse connections. Retries of those are outside the budget, and if they used it up, no hedge
-// would follow for a long time. The budget must not go below zero.
+// All endpoints refuse connections. Retries after refusals are not limited by the budget. If they could make it
+// negative, there would be no hedge for a long time. The budget must not go below zero.
 func TestFailedConnectionsDoNotOverdrawTheBudget(t *testing.T) {
 	w := newWorkload(t, testSettings(), func(string) (Result, time.Duration) { return ConnectFailed, 0 })
 	w.addEndpoints(4)
 	w.run(5*time.Second, 100)
 	if w.b.retries.tokens < 0 {
-		t.Errorf("budget %v", w.b.retries.tokens)
+		t.Errorf("retry budget %v tokens, want at least 0", w.b.retries.tokens)
 	}
 }
 
-// Rejected requests earn no retries: the budget is relative to first attempts.
+// Rejected requests must not earn retries: the budget is relative to first attempts.
 func TestRejectedRequestsEarnNoRetries(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(4)
@@ -38,19 +39,19 @@
 		h.wantSend(h.request(fmt.Sprint(i), "c", time.Second))
 	}
 	if h.b.retries.tokens != 10*retryRatio {
-		t.Errorf("budget %.2f after ten first attempts", h.b.retries.tokens)
+		t.Errorf("retry budget %.2f tokens after ten first attempts, want %.2f", h.b.retries.tokens, 10*retryRatio)
 	}
-	h.now += 150 * ms // without an answer: all further requests are rejected
+	h.now += 150 * ms // no answers in this time, so that all further requests are rejected
 	for i := range 100 {
 		h.wantAnswer(h.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
 	if h.b.retries.tokens != 10*retryRatio {
-		t.Errorf("budget %.2f after a hundred rejections", h.b.retries.tokens)
+		t.Errorf("retry budget %.2f tokens after a hundred rejections, want %.2f", h.b.retries.tokens, 10*retryRatio)
 	}
 }
 
-// Endpoints are nearly overloaded, so that attempts are late. Hedges would add the load that overloads them.
-// Hedging must stop before first attempts are rejected.
+// Endpoints are nearly overloaded, so that attempts are late. Hedges would add the load that overloads them. Hedging
+// must stop before first attempts are rejected.
 func TestNoHedgesNearTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		inFlight   int
@@ -74,14 +75,15 @@
 			hedges += len(actionsOfKind(h.advance(5*ms), Send))
 		}
 		if hedges > 0 != c.wantHedges {
-			t.Errorf("%d hedges with %d in flight, pressure %.2f", hedges, c.inFlight, h.b.pressure())
+			t.Errorf("%d hedges with %d requests in flight, pressure %.2f; want hedges: %v",
+				hedges, c.inFlight, h.b.pressure(), c.wantHedges)
 		}
 	}
 }
 
-// Each of many sidecars keeps an idle connection to each endpoint. They would fill the connection tables of all
-// endpoints. Where an open connection costs more than a handshake, it must be closed after the last attempt on
-// it, and kept elsewhere.
+// Each of many sidecars keeps an idle connection to each endpoint, which would fill the connection tables of all
+// endpoints. If an open connection costs more than a handshake, it must be closed after its last attempt, and
+// otherwise be kept.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	for _, c := range []struct {
 		balancers       int
@@ -101,35 +103,35 @@
 		h.request("a", "c", time.Second)
 		h.request("b", "c", time.Second)
 		if n := len(actionsOfKind(h.reportOutcome("a", 0, OK, 20*ms), CloseIdle)); n != 0 {
-			t.Errorf("%+v: closed with an attempt outstanding", c)
+			t.Errorf("%+v: idle connections closed %d times with an attempt outstanding, want none", c, n)
 		}
 		if n := len(actionsOfKind(h.reportOutcome("b", 0, OK, 20*ms), CloseIdle)); n != c.want {
-			t.Errorf("%+v: closed %d times, want %d", c, n, c.want)
+			t.Errorf("%+v: idle connections closed %d times, want %d", c, n, c.want)
 		}
 	}
 }
 
-// The budget keeps no more tokens than its burst, which grows with the offered work, and never goes below zero.
+// The budget holds no more tokens than its burst, which grows with the offered work, and never goes below zero.
 func TestRetryTokens(t *testing.T) {
 	budget := newRetryBudget()
 	budget.earn(0)
 	if budget.tokens != retryBurst {
-		t.Errorf("a quiet sidecar has %v tokens", budget.tokens)
+		t.Errorf("a quiet sidecar has %v tokens, want %v", budget.tokens, retryBurst)
 	}
 	for range 1000 {
 		budget.earn(100)
 	}
-	if budget.tokens != 25 { // a quarter of 100 a second
-		t.Errorf("at 100 requests a second: %v tokens", budget.tokens)
+	if budget.tokens != 25 { // a quarter of 100 per second
+		t.Errorf("%v tokens at 100 requests per second, want 25", budget.tokens)
 	}
 	for range 25 {
 		if budget.isSpent() {
-			t.Fatal("spent before its last token")
+			t.Fatalf("budget counts as spent with %v tokens left", budget.tokens)
 		}
 		budget.spend()
 	}
 	budget.spend()
 	if !budget.isSpent() || budget.tokens != 0 {
-		t.Errorf("%v tokens after all were spent", budget.tokens)
+		t.Errorf("spent %v, %v tokens after all were spent; want true and 0", budget.isSpent(), budget.tokens)
 	}
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -54,7 +54,7 @@
 	active   bool
 	from     time.Duration
 	tokens   float64
-	tokensAt time.Duration // when they were last refilled
+	tokensAt time.Duration // when tokens were last refilled
 }
 
 // end ends the warm-up if its period is over at now, and reports whether it did so.
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// attemptsPerEndpoint sends n requests, interval apart and answered after 20 ms, and counts each endpoint's attempts.
+// attemptsPerEndpoint sends n requests, interval apart and each answered after 20 ms or less, and returns the number
+// of attempts by endpoint.
 func (h *harness) attemptsPerEndpoint(idPrefix string, n int, interval time.Duration) map[string]int {
 	attempts := map[string]int{}
 	for i := range n {
@@ -22,11 +23,11 @@
 	return attempts
 }
 
-// At two requests a second over a long list no endpoint answers twice before its estimate is stale: a sidecar with few
-// requests draws from a few endpoints, one with many from all. Other sidecars draw from others, and endpoints that are
-// removed or ejected are replaced.
+// At two requests per second over a long list, no endpoint would answer twice before its estimate is out of date. A
+// sidecar with few requests must draw from a few endpoints, and one with many requests from all. Different sidecars
+// must draw from different endpoints, and removed or ejected endpoints must be replaced.
 func TestQuietSidecarDrawsFromASubset(t *testing.T) {
-	subsets := map[string]int{} // how many subsets hold the endpoint
+	subsets := map[string]int{} // number of subsets that contain the endpoint
 	s := testSettings()
 	s.Balancers = 60
 	for seed := range uint64(60) {
@@ -34,7 +35,7 @@
 		h.addEndpoints(30)
 		attempts := h.attemptsPerEndpoint("q", 60, 500*ms)
 		if len(attempts) > 12 {
-			t.Fatalf("a quiet sidecar used %d of 30", len(attempts))
+			t.Fatalf("a sidecar with 2 requests per second used %d of 30 endpoints, want at most 12", len(attempts))
 		}
 		for endpoint := range attempts {
 			subsets[endpoint]++
@@ -42,34 +43,35 @@
 		if seed > 0 {
 			continue
 		}
-		// At 20 a second, too, answers of each of all endpoints would be too rare for estimates that decay in a second.
+		// At 20 requests per second over all endpoints, each of them would still answer too rarely for estimates that
+		// decay in a second.
 		if n := len(h.attemptsPerEndpoint("m", 200, 50*ms)); n > 14 {
-			t.Errorf("at 20 requests a second it used %d of 30", n)
+			t.Errorf("a sidecar with 20 requests per second used %d of 30 endpoints, want at most 14", n)
 		}
-		for endpoint := range attempts { // all of the subset fail
+		for endpoint := range attempts { // all endpoints of the subset are ejected
 			h.b.endpointsByID[endpoint].health.ejectedUntil = math.MaxInt64
 		}
 		if n := len(h.attemptsPerEndpoint("d", 60, 500*ms)); n < 4 {
-			t.Errorf("%d endpoints in place of those ejected", n)
+			t.Errorf("%d endpoints used after all of the subset were ejected, want at least 4", n)
 		}
 		for _, ep := range h.b.endpoints {
 			ep.health.ejectedUntil = 0
 		}
 		if n := len(h.attemptsPerEndpoint("b", 3000, 10*ms)); n < 28 {
-			t.Errorf("a busy sidecar used %d of 30", n)
+			t.Errorf("a sidecar with 100 requests per second used %d of 30 endpoints, want at least 28", n)
 		}
 	}
 	for endpoint, n := range subsets {
 		if n < 3 || n > 40 { // about 15 of 60
-			t.Errorf("%s is in %d of 60 subsets", endpoint, n)
+			t.Errorf("%s is in %d of 60 subsets, want 3 to 40", endpoint, n)
 		}
 	}
 	if len(subsets) != 30 {
-		t.Errorf("together they used %d of 30", len(subsets))
+		t.Errorf("60 sidecars together used %d of 30 endpoints, want all", len(subsets))
 	}
 }
 
-// Cheap probes return the current load each time; a subset would only load endpoints less evenly.
+// Cheap probes return the current load each time. A subset would only distribute the load less evenly.
 func TestNoSubsetWhereProbesAreCheap(t *testing.T) {
 	h := newHarness(t, probeSettings())
 	h.addEndpoints(30)
@@ -83,21 +85,21 @@
 		h.handle(ClientDisconnected{ID: fmt.Sprint(i)})
 	}
 	if len(probes) < 25 {
-		t.Errorf("probed %d of 30", len(probes))
+		t.Errorf("probed %d of 30 endpoints, want at least 25", len(probes))
 	}
 }
 
-// The subsets of few sidecars would load endpoints unevenly: few sidecars draw from all.
+// In a small fleet, subsets would load endpoints unevenly, so pairs must be drawn from all endpoints.
 func TestNoSubsetAmongFewSidecars(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(30)
 	if attempts := h.attemptsPerEndpoint("q", 200, 500*ms); len(attempts) < 25 {
-		t.Errorf("used %d of 30", len(attempts))
+		t.Errorf("used %d of 30 endpoints, want at least 25", len(attempts))
 	}
 }
 
-// newTwoZoneBalancer returns a balancer with endpoints in two zones, inZoneB of them in zone b and the others in zone
-// a. Its own zone is a for an even seed and b for an odd one.
+// newTwoZoneBalancer returns a balancer with endpoints in two zones: inZoneB of them in zone b and the others in zone
+// a. The balancer is in zone a for an even seed and in zone b for an odd one.
 func newTwoZoneBalancer(t *testing.T, sidecars, endpoints, inZoneB int, seed uint64) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -121,9 +123,10 @@
 	return b
 }
 
-// Where crossing zones has a price but hardly counts in the pick, most of a subset is from the home zone. This prevents
-// subsets of ten with two or three endpoints of the home zone, of which the better is often worse than any of the
-// others. Among 80 sidecars the price still counts, and half of the subset leaves room to go elsewhere.
+// If cross-zone attempts have a price but this price hardly affects picks, most of a subset must be from the home
+// zone. Otherwise a subset of ten has two or three endpoints of the home zone, and the better of these is often worse
+// than any of the others. Among 80 sidecars, the price still affects picks, and half of the subset is left for other
+// zones.
 func TestMostOfASubsetIsFromTheHomeZone(t *testing.T) {
 	for _, c := range []struct{ sidecars, endpoints, atHome, minHome, maxHome int }{
 		{300, 60, 12, 8, 9},
@@ -131,7 +134,7 @@
 		{300, 60, 0, 0, 0},
 		{300, 13, 12, 9, 10},
 		{80, 600, 150, 5, 7},
-		{20, 600, 150, 0, 5}, // as by chance
+		{20, 600, 150, 0, 5}, // chosen regardless of zones
 	} {
 		b := newTwoZoneBalancer(t, c.sidecars, c.endpoints, c.atHome, 1)
 		home, others := 0, 0
@@ -144,13 +147,13 @@
 			}
 		}
 		if home < c.minHome || home > c.maxHome || home+others != 10 {
-			t.Errorf("%+v: %d of the home zone and %d others in the subset", c, home, others)
+			t.Errorf("%+v: subset has %d endpoints of the home zone and %d others, want 10 in total", c, home, others)
 		}
 	}
 }
 
-// What all sidecars together may send to an endpoint that is warming up stays what the mean load allows, also where
-// zones are of different sizes: far more subsets hold an endpoint of a small zone.
+// All sidecars together must not send an endpoint that is warming up more than the mean load allows, even if zones
+// have different sizes and an endpoint of a small zone is in far more subsets.
 func TestWarmUpSharesOfUnevenZones(t *testing.T) {
 	const sidecars, endpoints, inZoneB = 400, 60, 6
 	shares := map[string]float64{}
@@ -161,14 +164,16 @@
 		}
 	}
 	for zone, n := range map[string]int{"a": endpoints - inZoneB, "b": inZoneB} {
-		// A zone may have homeZoneSkew times the mean traffic: then a share of 0.8 here is one.
+		// Budgets are divided by homeZoneSkew, because a zone may have that multiple of the mean traffic. A share of
+		// about 0.8 here becomes 1 in such a zone.
 		if got := shares[zone] / float64(n) * endpoints; got < 0.7 || got > 1 {
-			t.Errorf("zone %s of %d endpoints: together %.2f of a mean load each", zone, n, got)
+			t.Errorf("zone %s, %d endpoints: sidecars together send each %.2f of a mean load, want 0.7 to 1",
+				zone, n, got)
 		}
 	}
 }
 
-// A subset that grows with the load keeps the endpoints that it has: otherwise each change of the load would close
+// A subset that grows with the load must keep its endpoints. Otherwise each change of the load would close
 // connections and make estimates useless.
 func TestGrowingSubsetKeepsItsEndpoints(t *testing.T) {
 	var endpoints []*endpoint
@@ -187,16 +192,17 @@
 	s.clear(endpoints)
 	s.add(endpoints, 20, all)
 	if len(before) != 10 || s.size != 20 {
-		t.Fatalf("%d and %d endpoints", len(before), s.size)
+		t.Fatalf("subsets have %d and %d endpoints, want 10 and 20", len(before), s.size)
 	}
 	for _, ep := range before {
 		if !ep.inSubset {
-			t.Error("an endpoint of the smaller subset is not in the larger one")
+			t.Errorf("the endpoint with hash %016x is in the smaller subset but not in the larger one", ep.hash)
 		}
 	}
 }
 
-// The share of sidecars that have an endpoint in their subset is what its slow start budget is divided by.
+// The budget of slow start for an endpoint is divided by the share of sidecars that have the endpoint in their
+// subset.
 func TestShareOfSidecarsWithAnEndpoint(t *testing.T) {
 	zones := map[string]int{"a": 54, "b": 6}
 	for _, c := range []struct {
@@ -204,10 +210,10 @@
 		zone   string
 		want   float64
 	}{
-		{subset{size: 10}, "a", 10.0 / 60}, // cross-zone attempts cost nothing
+		{subset{size: 10}, "a", 10.0 / 60}, // cross-zone attempts have no price
 		{subset{size: 10, homeSize: 8, zoneSizes: map[string]int{"a": 60}}, "a", 10.0 / 60},
-		// Half of the sidecars, and 1.3 times that, are in zone a and have 8 of its 54 endpoints; the other half draws
-		// 2 of the 30 endpoints that are elsewhere if zones are alike.
+		// Half of the sidecars, times 1.3 for the skew, are in zone a and have 8 of its 54 endpoints. The other half
+		// draws 2 endpoints of the 30 that would be in the other zone if zones were equal.
 		{subset{size: 10, homeSize: 8, zoneSizes: zones}, "a", homeZoneSkew*8.0/54/2 + 0.5*2/30},
 		{subset{size: 10, homeSize: 8, zoneSizes: zones}, "b", homeZoneSkew/2 + 0.5*2/30},
 	} {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -12,7 +12,7 @@
 
 const (
 	timerDeadline  timerKind = iota // the request's deadline
-	timerOverdue                    // its latest attempt is overdue
+	timerOverdue                    // the request's latest attempt is overdue
 	timerAdvance                    // the request has waited for a probe or an eligible endpoint
 	timerSubscribe                  // the backoff before the next subscription is over
 )
--- a/balancer/validation_test.go
+++ b/balancer/validation_test.go
@@ -8,8 +8,7 @@
 	"time"
 )
 
-// A setting that cannot be used is reported by the name that operators know it by, and absent settings have
-// defaults.
+// An invalid setting is reported by the name that operators know, and absent settings have defaults.
 func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Classes":        func(s *Settings) { s.Classes = nil },
@@ -43,15 +42,15 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v", want, err)
+			t.Errorf("error %v, want one that contains %q", err, want)
 		}
 	}
 	if _, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}}, 1); err != nil {
-		t.Errorf("absent settings have defaults: %v", err)
+		t.Errorf("settings with one class and otherwise absent values: %v", err)
 	}
 }
 
-// With no setting but a class, a request is sent and answered.
+// With only a class set, a request is sent and its outcome is accepted.
 func TestDefaultSettings(t *testing.T) {
 	h := newHarness(t, Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}})
 	h.addEndpoints(1)
@@ -60,9 +59,8 @@
 	h.wantNoAttemptOrAnswer(h.advance(2 * time.Second))
 }
 
-// Events come that do not fit: of unknown classes, requests and attempts, twice, after the answer, with a clock
-// that steps back. A second answer or attempt, or a request without an answer, would break the rules. Such
-// events must change nothing.
+// Unexpected events arrive: with unknown classes, requests and attempts, repeated, after the answer, and with a clock
+// that steps back. They must not cause a second answer or attempt, or leave a request without an answer.
 func TestUnexpectedEventsAreHarmless(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.updateEndpoints(CompleteList) // empty list
@@ -75,19 +73,19 @@
 	h.wantNoAttemptOrAnswer(h.reportOutcome("1", 0, OK, 10*ms))    // the outcome
 	h.wantNoAttemptOrAnswer(h.reportOutcome("1", 0, Reset, 10*ms)) // a second outcome
 	h.wantNoAttemptOrAnswer(h.handle(ClientDisconnected{ID: "1"})) // after the answer
-	h.now -= time.Second                                           // a clock that steps back counts as stopped
+	h.now -= time.Second                                           // a clock that steps back is treated as stopped
 	expiresAt := h.now + 3*time.Second
-	h.wantSend(h.handle(Request{ID: "2", Class: "c", Tenant: "stranger", ExpiresAt: expiresAt}))
+	h.wantSend(h.handle(Request{ID: "2", Class: "c", Tenant: "no such tenant", ExpiresAt: expiresAt}))
 	h.wantNoAttemptOrAnswer(h.handle(ClientDisconnected{ID: "2"}))
 	h.wantNoAttemptOrAnswer(h.reportOutcome("2", 0, OK, 10*ms))
 	actions := h.request("3", "c", -time.Second) // its deadline has passed
 	actions = append(actions, h.advance(time.Second+20*ms)...)
 	if len(finalAnswers(actions)) != 1 || len(actionsOfKind(actions, Send)) != 0 {
-		t.Errorf("request after its deadline: %+v", actions)
+		t.Errorf("request after its deadline: want one final answer and no attempt, got %+v", actions)
 	}
 }
 
-// Requests that are finished and endpoints that are removed are deleted.
+// Finished requests and removed endpoints are deleted.
 func TestFinishedRequestsAndRemovedEndpointsAreDeleted(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(3)
@@ -101,12 +99,12 @@
 	h.advance(2 * time.Second)
 	b := h.b
 	if len(b.requests) != 0 || len(b.endpointsByID) != 1 || len(b.endpoints) != 1 || b.timers.Len() != 0 {
-		t.Errorf("retained: %d requests, %d endpoints, %d listed, %d timers",
+		t.Errorf("%d requests, %d endpoints, %d listed endpoints, %d timers; want 0, 1, 1, 0",
 			len(b.requests), len(b.endpointsByID), len(b.endpoints), b.timers.Len())
 	}
 }
 
-// The same events and seed give the same actions.
+// The same events and seed must result in the same actions.
 func TestDeterministic(t *testing.T) {
 	run := func() (all []Action) {
 		h := newHarness(t, testSettings())
@@ -123,11 +121,11 @@
 	}
 	first, second := run(), run()
 	if len(first) != len(second) {
-		t.Fatalf("%d and %d actions", len(first), len(second))
+		t.Fatalf("two identical runs returned %d and %d actions", len(first), len(second))
 	}
 	for i := range first {
 		if !reflect.DeepEqual(first[i], second[i]) {
-			t.Fatalf("action %d: %+v and %+v", i, first[i], second[i])
+			t.Fatalf("two identical runs differ in action %d: %+v and %+v", i, first[i], second[i])
 		}
 	}
 }
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Nearly all endpoints restart at once and are cold. The load of warm ones would overload them. Each must get
-// at most the part of the mean load that it is warm for, whatever else happens: first attempts, retries,
-// ejected endpoints.
+// Nearly all endpoints restart at once and are cold. The load of warm endpoints would overload them. Each must get at
+// most the share of the mean load that its current capacity allows, for all kinds of attempts: first attempts,
+// retries, and trials of ejected endpoints.
 func TestWarmUpBudget(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(10)
 	attempts := map[string]int{}
 	n := 0
 	runSecond := func() {
-		for range 200 { // 200 requests a second, answered at once
+		for range 200 { // 200 requests per second, answered at once
 			n++
 			id := string(rune('a'+n%26)) + time.Duration(n).String()
 			for _, a := range actionsOfKind(h.request(id, "c", time.Second), Send) {
@@ -36,22 +36,24 @@
 	runSecond()
 	for i := range 9 {
 		endpoint := "u" + string(rune('0'+i))
-		// 20 a second is the mean, 0.2 to 0.28 of its capacity is available: three times that overloads it.
+		// The mean load is 20 requests per second, and 0.2 to 0.28 of the capacity is available: three times that
+		// overloads the endpoint.
 		if attempts[endpoint] > 14 || attempts[endpoint] == 0 {
-			t.Errorf("%d requests to %s in the first second of its warm-up", attempts[endpoint], endpoint)
+			t.Errorf("%d requests to %s in the first second of its warm-up, want 1 to 14", attempts[endpoint], endpoint)
 		}
 	}
 }
 
-// warmUpFleet is many sidecars that send requests to the same endpoints, of which some restart together.
+// warmUpFleet simulates many sidecars that send requests to the same endpoints, some of which restart at the same
+// time.
 type warmUpFleet struct {
 	sidecars  []*Balancer
 	now       time.Duration
 	restarted []Endpoint
-	attempts  map[string][]time.Duration // when they were sent, by endpoint
+	attempts  map[string][]time.Duration // times at which attempts were sent, by endpoint
 }
 
-// endpointSpeed is the speed of an endpoint of a warmUpFleet, as a multiple of the mean.
+// endpointSpeed returns the speed of an endpoint of a warmUpFleet, as a multiple of the mean.
 func endpointSpeed(endpoint string) float64 {
 	if endpoint < "u20" {
 		return 0.5
@@ -69,7 +71,7 @@
 	for i := range endpoints {
 		list = append(list, endpoint(i, 0))
 	}
-	for i := range restarted { // half of them slow ones
+	for i := range restarted { // half of them are slow
 		f.restarted = append(f.restarted, endpoint(17+i, f.now+10*time.Second))
 	}
 	for i := range s.Balancers {
@@ -80,7 +82,8 @@
 	return f
 }
 
-// run sends 20 requests a second at each sidecar until the time until; the restart is at the 200th request.
+// run sends 20 requests per second through each sidecar until the given time. The endpoints restart at the 200th
+// request.
 func (f *warmUpFleet) run(until time.Duration) {
 	const restartAt = 200
 	for n := 0; f.now < until; n++ {
@@ -94,7 +97,7 @@
 	}
 }
 
-// request sends a request at one sidecar and answers its attempts.
+// request sends a request through one sidecar and answers its attempts.
 func (f *warmUpFleet) request(b *Balancer, id string, afterRestart bool) {
 	actions := b.Handle(f.now, Request{ID: id, Class: "c", ExpiresAt: f.now + time.Second}, nil)
 	for _, a := range actionsOfKind(actions, Send) {
@@ -108,7 +111,7 @@
 	}
 }
 
-// attemptsIn returns the attempts on an endpoint in the 2 s that begin from after its start.
+// attemptsIn returns the number of attempts on an endpoint in the 2 s that begin at from after the endpoint's start.
 func (f *warmUpFleet) attemptsIn(endpoint Endpoint, from time.Duration) (n int) {
 	for _, at := range f.attempts[endpoint.ID] {
 		if age := at - endpoint.StartedAt; age >= from && age < from+2*time.Second {
@@ -118,16 +121,16 @@
 	return n
 }
 
-// All sidecars of a large fleet learn at once of endpoints that are warming up. Together they would overload
-// them, or, each with a budget that most leave unused, keep them idle. In any 2 s they must stay below what
-// overloads an endpoint, also if it is half as fast as the mean, and use its capacity.
+// Several endpoints restart, and all sidecars of a large fleet learn of this at once. Together they could overload
+// these endpoints or, if most sidecars do not use their budgets, leave them idle. In any 2 s, each endpoint must get
+// less than the load that overloads it, even if it is half as fast as the mean, and its capacity must be used.
 func TestWarmUpInALargeFleet(t *testing.T) {
 	const sidecars, endpoints, restarted = 80, 60, 6
 	s := testSettings()
 	s.Balancers, s.InitialCapacity = sidecars, 0.3
 	f := newWarmUpFleet(s, endpoints, restarted)
 	f.run(time.Minute + 18*time.Second)
-	const meanLoad = 20.0 * sidecars / endpoints // two thirds of the fleet's capacity
+	const meanLoad = 20.0 * sidecars / endpoints // two thirds of the endpoints' capacity
 	for _, endpoint := range f.restarted {
 		speed := endpointSpeed(endpoint.ID)
 		capacity := 1.5 * meanLoad * speed
@@ -135,17 +138,17 @@
 			warm := 0.3 + 0.7*float64(from)/float64(s.WarmUp)
 			got := f.attemptsIn(endpoint, from)
 			if limit := 3 * capacity * warm * 2; float64(got) > limit {
-				t.Errorf("%s after %v: %d in 2 s, overloaded by %.0f", endpoint.ID, from, got, limit)
+				t.Errorf("%s after %v: %d attempts in 2 s, want at most %.0f", endpoint.ID, from, got, limit)
 			}
 			if want := 0.7 * meanLoad * warm * 2; speed > 1 && float64(got) < want {
-				t.Errorf("%s after %v: %d in 2 s, it could have had %.0f", endpoint.ID, from, got, want)
+				t.Errorf("%s after %v: %d attempts in 2 s, want at least %.0f", endpoint.ID, from, got, want)
 			}
 		}
 	}
 }
 
-// All endpoints are removed and one returns, cold. Taken for the whole fleet, it would get all of the load. It
-// must get no more than its part of the load of the fleet as it was.
+// All endpoints are removed and one returns, cold. If it were taken for the whole fleet, it would get all of the
+// load. It must get no more than its share of the load before the removal.
 func TestWarmUpBudgetOfTheFirstEndpointToReturn(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(10)
@@ -169,14 +172,15 @@
 	h.updateEndpoints(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: h.now})
 	attempts = 0
 	runSecond()
-	// Twice what TestWarmUpBudget allows: half of the endpoints may have been removed for good.
+	// The limit is about twice that of TestWarmUpBudget, because half of the endpoints may have been removed
+	// permanently.
 	if attempts == 0 || attempts > 16 {
-		t.Errorf("%d requests to the first endpoint in the first second of its warm-up", attempts)
+		t.Errorf("%d requests to the first endpoint in the first second of its warm-up, want 1 to 16", attempts)
 	}
 }
 
-// All endpoints are warming up. Requests that find no warm endpoint would overload the cold ones. They must
-// wait or be rejected: the limit is not bypassed.
+// All endpoints are warming up. Requests that find no warm endpoint must not overload the cold ones: they must wait
+// or be rejected, without bypassing the limit.
 func TestAllEndpointsWarmingUp(t *testing.T) {
 	h := newHarness(t, testSettings())
 	var list []Endpoint
@@ -194,15 +198,15 @@
 		}
 		answers += len(finalAnswers(actions))
 	}
-	// 200 a second over 4 endpoints at 0.2 to 0.4 of their share: about 60 a second may be sent.
+	// With 200 requests per second over 4 endpoints at 0.2 to 0.4 of their capacity, about 60 per second may be sent.
 	if attempts > 160 || attempts < 40 || answers == 0 {
-		t.Errorf("%d sent, %d answered unsent", attempts, answers)
+		t.Errorf("%d requests sent, want 40 to 160; %d rejected or failed, want some", attempts, answers)
 	}
 }
 
-// An endpoint returns from ejection, as after a pause. Taken for a restart, it would be idle for the whole
-// warm-up while the others are overloaded. It must get one trial and then its share: only the endpoint list
-// tells of a restart.
+// An endpoint returns from an ejection, for example after a pause. If this were treated as a restart, it would get
+// little load for the whole warm-up while the others are overloaded. It must get one trial and then its full share,
+// because only the endpoint list reports a restart.
 func TestReturnFromEjectionStartsNoWarmUp(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
@@ -214,34 +218,34 @@
 		attempts[h.wantSend(h.request(string(rune('a'+i)), "c", time.Second))]++
 	}
 	if attempts["u0"] != 1 {
-		t.Errorf("%d trials at once, want 1", attempts["u0"])
+		t.Errorf("%d concurrent trials, want 1", attempts["u0"])
 	}
 	for i := range 5 {
 		h.reportOutcome(string(rune('a'+i)), 0, OK, 20*ms)
 	}
 	if ep.warmUp.active || ep.health.ejections != 0 {
-		t.Errorf("after its return: %+v", ep)
+		t.Errorf("endpoint is warming up or still on trial after its return: %+v", ep)
 	}
 }
 
-// An endpoint that was unreachable answers again. It may be a new process, of which the list tells seconds
-// later, and the load of a warm one would overload it. It must warm up. One that only answered errors has been
-// running all the time, and must not.
+// An endpoint that was unreachable answers again. It may be a new process that the list shows only seconds later, and
+// the load of a warm endpoint would overload it, so it must warm up. An endpoint that only returned errors has been
+// running all the time and must not warm up.
 func TestUnreachableEndpointWarmsUpOnItsReturn(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		result     Result
 		wantWarmUp bool
 	}{
-		{"it refused connections", ConnectFailed, true},
-		{"it answered errors", ServerError, false},
+		{"endpoint refused connections", ConnectFailed, true},
+		{"endpoint returned errors", ServerError, false},
 	} {
 		w := newWorkload(t, testSettings(), respondExcept(c.result, ms))
 		w.addEndpoints(5)
 		w.run(5*time.Second, 100)
 		w.respond = respondOK
 		returned := func() bool { return w.logged("endpoint returned after ejection endpoint=u0 ") }
-		for range 100 { // until a trial succeeded
+		for range 100 { // until a trial has succeeded
 			w.run(100*ms, 100)
 			if returned() {
 				break
@@ -249,55 +253,55 @@
 		}
 		ep := w.b.endpointsByID["u0"]
 		if ep.warmUp.active != c.wantWarmUp || !returned() {
-			t.Errorf("%s: warming up %v", c.name, ep.warmUp.active)
+			t.Errorf("%s: warming up %v, want %v; return logged %v", c.name, ep.warmUp.active, c.wantWarmUp, returned())
 		}
 		w.run(w.b.settings.WarmUp, 100)
 		if ep := w.b.endpointsByID["u0"]; w.b.capacityShare(ep) < 1 {
-			t.Errorf("%s: still warming up after the warm-up", c.name)
+			t.Errorf("%s: less than full capacity after the warm-up period", c.name)
 		}
 	}
 }
 
-// The capacity that is counted on grows evenly from the initial one until the warm-up is over, and is all of it then.
+// The assumed capacity grows linearly from the initial one to the full one at the end of the warm-up.
 func TestCapacityGrowsWithTheWarmUp(t *testing.T) {
 	const from, period = time.Minute, 10 * time.Second
 	w := warmUp{active: true, from: from}
 	for age, want := range map[time.Duration]float64{0: 0.2, 5 * time.Second: 0.6, 10*time.Second - 1: 1} {
 		if got := w.capacityShare(from+age, 0.2, period); got < want-1e-6 || got > want+1e-6 {
-			t.Errorf("after %v: %v, want %v", age, got, want)
+			t.Errorf("capacity share after %v: %v, want %v", age, got, want)
 		}
 	}
 	if w.end(from+period-1, period) || !w.active {
-		t.Error("ended before its time")
+		t.Error("warm-up ended before its period was over")
 	}
 	if !w.end(from+period, period) || w.active || w.end(from+period, period) {
-		t.Error("not ended once, when its time was over")
+		t.Error("warm-up did not end exactly once when its period was over")
 	}
 	if got := w.capacityShare(from, 0.2, period); got != 1 {
-		t.Errorf("warm: %v", got)
+		t.Errorf("capacity share after the warm-up: %v, want 1", got)
 	}
 }
 
-// An endpoint that was idle for a while has saved tokens. All of them at once would be a burst that overloads it: no
-// more than the burst are kept.
+// An endpoint that was idle for a while has accumulated tokens. If they were not limited, they could be spent in a
+// burst that overloads the endpoint.
 func TestWarmUpTokensAreBounded(t *testing.T) {
 	w := warmUp{tokensAt: time.Minute}
 	w.refill(time.Minute+500*ms, 3, 2)
 	if w.tokens != 1.5 || !w.hasToken() {
-		t.Errorf("%v tokens after half a second at three a second", w.tokens)
+		t.Errorf("%v tokens after half a second at three per second, want 1.5", w.tokens)
 	}
 	w.refill(time.Minute+time.Hour, 3, 2)
 	if w.tokens != 2 {
-		t.Errorf("%v tokens after an hour, the burst is two", w.tokens)
+		t.Errorf("%v tokens after an hour, want the burst of 2", w.tokens)
 	}
 	w.spend(1.5)
 	if w.tokens != 0.5 || w.hasToken() {
-		t.Errorf("%v tokens after a costly request", w.tokens)
+		t.Errorf("%v tokens after a request with 1.5 mean requests of work, want 0.5 and no token available", w.tokens)
 	}
 }
 
-// All endpoints are gone and return one by one. Counted by themselves, the first would get the load of all. Half of the
-// longest list counts for a minute.
+// All endpoints are removed and return one by one. If only the listed endpoints counted, the first would get the
+// whole load. Half of the size of the longest list must count for a minute.
 func TestListSizeRemembersTheLongest(t *testing.T) {
 	var s listSize
 	for _, c := range []struct {
@@ -311,14 +315,14 @@
 		{listSizeMemory + 1, 1, 1},
 	} {
 		if got := s.observe(c.n, time.Hour+c.at); got != c.want {
-			t.Errorf("%d endpoints after %v: %d, want %d", c.n, c.at, got, c.want)
+			t.Errorf("%d endpoints after %v: list size %d, want %d", c.n, c.at, got, c.want)
 		}
 	}
 }
 
-// The worked example of warmUpRate: ten sidecars with 40 mean requests a second each and 50 endpoints, of which a
-// subset has 20. With a budget that is not divided among the sidecars they would overload a cold endpoint together.
-// They must stay below three times the capacity that it has.
+// This is the example in the comment of warmUpRate: ten sidecars with 40 mean requests per second each and 50
+// endpoints, of which a subset has 20. If the budget were not divided among the sidecars, they would together
+// overload a cold endpoint. They must stay below three times its current capacity.
 func TestWarmUpRateOfAllSidecars(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.InitialCapacity, s.OverloadMultiple = 10, 0.3, 3
@@ -335,9 +339,9 @@
 	ep.inSubset = false
 	outside := h.b.warmUpRate(ep, s.InitialCapacity)
 	if inSubset < 1.22 || inSubset > 1.23 || outside < 0.12 || outside > 0.13 {
-		t.Errorf("budgets %.3f in the subset, %.3f outside", inSubset, outside)
+		t.Errorf("budgets %.3f in the subset, want about 1.22; %.3f outside, want about 0.12", inSubset, outside)
 	}
 	if total := 4*inSubset + 6*outside; total < 5.6 || total > 5.65 {
-		t.Errorf("all sidecars together: %.3f a second", total)
+		t.Errorf("budgets of all sidecars together: %.3f per second, want about 5.6", total)
 	}
 }
--- a/balancer/workload_test.go
+++ b/balancer/workload_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// respondFunc returns the result of an attempt on an endpoint and the time until it; a negative time means that the
-// endpoint never responds.
+// respondFunc returns the result of an attempt on an endpoint and the time until it arrives. A negative time means
+// that the endpoint never responds.
 type respondFunc func(endpoint string) (Result, time.Duration)
 
-// workload runs requests at a constant rate against endpoints whose responses are scripted. It does not model a server.
+// workload sends requests at a constant rate to endpoints with scripted responses. It does not model a server.
 type workload struct {
 	*harness
 	respond   respondFunc
 	inFlight  []scriptedAttempt
 	attempts  map[string]int     // by endpoint
-	answers   map[ActionKind]int // rejections and failures
+	answers   map[ActionKind]int // rejections and failures, by kind
 	succeeded int
 	requests  int
 }
 
-// scriptedAttempt is an attempt in flight, with its result and the time at which that is reported.
+// scriptedAttempt is an attempt in flight, with its result and the time at which the result is reported.
 type scriptedAttempt struct {
 	action     Action
 	attempt    int
@@ -81,7 +81,7 @@
 	}
 }
 
-// run runs the workload for d with requestsPerSecond, spread evenly.
+// run sends requestsPerSecond, evenly spaced, for the duration d.
 func (w *workload) run(d time.Duration, requestsPerSecond int) {
 	attemptsOf := map[string]int{}
 	class := w.b.settings.Classes[0]
@@ -103,7 +103,8 @@
 	}
 }
 
-// reportFinished reports the outcomes that are due. Attempts that this causes are appended and examined, too.
+// reportFinished reports the outcomes that are due. Attempts that result from these are appended to inFlight and
+// examined as well.
 func (w *workload) reportFinished(attemptsOf map[string]int) {
 	for i := 0; i < len(w.inFlight); i++ {
 		finished := w.inFlight[i]
@@ -137,5 +138,5 @@
 	return total
 }
 
-// respondOK is the response of a healthy endpoint.
+// respondOK returns the response of a healthy endpoint.
 func respondOK(string) (Result, time.Duration) { return OK, 20 * ms }
