--- a/balancer/admissionlimits_test.go
+++ b/balancer/admissionlimits_test.go
@@ -81,18 +81,20 @@
 		l.recordLate(false)
 	}
 	if l.admittedShare != minAdmittedShare || l.wait != maxWaitLimit {
-		t.Errorf("late, endpoint not overloaded: admitted share %v, wait limit %v", l.admittedShare, l.wait)
+		t.Errorf("late, endpoint not overloaded: admitted share %v, wait limit %v, want the minimum and the maximum",
+			l.admittedShare, l.wait)
 	}
 	for range 1000 {
 		l.recordLate(true)
 	}
 	if l.admittedShare != minAdmittedShare || l.wait != minWaitLimit {
-		t.Errorf("late, endpoint overloaded: admitted share %v, wait limit %v", l.admittedShare, l.wait)
+		t.Errorf("late, endpoint overloaded: admitted share %v, wait limit %v, want the minimum of both",
+			l.admittedShare, l.wait)
 	}
 	for range 1000 {
 		l.recordInTime()
 	}
 	if l.admittedShare != maxAdmittedShare || l.wait != maxWaitLimit {
-		t.Errorf("in time: admitted share %v, wait limit %v", l.admittedShare, l.wait)
+		t.Errorf("in time: admitted share %v, wait limit %v, want the maximum of both", l.admittedShare, l.wait)
 	}
 }
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// observeCutShort records an attempt that ended without an answer after the time sample. It would have
-// taken at least that long, so the sample only counts if it is above the estimate.
+// observeCutShort records an attempt that ended without an answer. Its elapsed time is a lower bound of the
+// latency, so it counts only where it is above the estimate.
 func (b *Balancer) observeCutShort(a *attempt, sample, normalized float64) {
 	if a.reportedInFlight != unreported {
 		inFlight := a.reportedInFlight + a.request.relativeWork
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -36,7 +36,7 @@
 	relaxed      relaxation
 	zones        zoneFilter
 	keyOnly      bool        // whether only keyEndpoints are candidates
-	keyEndpoints []*endpoint // endpoints of the key that meet all other conditions
+	keyEndpoints []*endpoint // endpoints of the key that meet all other conditions; may be empty
 	exclude      *endpoint   // endpoint that was drawn before; nil if none
 }
 
--- a/balancer/pressure.go
+++ b/balancer/pressure.go
@@ -80,10 +80,10 @@
 	meanAge := m.inFlight.ageSum(now).Seconds() / n
 	meanAgeInObjectives := meanAge * m.inFlight.inverseObjectives / n
 	ageFactor := min(1, meanAgeInObjectives/fullPressureAge)
-	presentWeight := n / (n + smallInFlight) // weight of current values against the longer means
-	neededRate := presentWeight*m.inFlight.inverseObjectives +
-		(1-presentWeight)*m.inFlight.inverseObjectivesMean.perSecond(now)
-	servedRate := presentWeight*m.served.perSecond(now) + (1-presentWeight)*m.slowServed.perSecond(now)
+	currentWeight := n / (n + smallInFlight) // weight of current values against the longer means
+	neededRate := currentWeight*m.inFlight.inverseObjectives +
+		(1-currentWeight)*m.inFlight.inverseObjectivesMean.perSecond(now)
+	servedRate := currentWeight*m.served.perSecond(now) + (1-currentWeight)*m.slowServed.perSecond(now)
 	return ageFactor * min(maxPressure, neededRate/(waitLimit*max(servedRate, minServedRate)))
 }
 
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -87,7 +87,7 @@
 		c.t.Fatalf("%s: attempt cancelled although Cancellation is off", a.ID)
 	}
 	if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
-		c.t.Fatalf("%s: cancelled attempt %d, which was never sent; %d were", a.ID, a.Attempt, len(q.attempts))
+		c.t.Fatalf("%s: cancelled attempt %d, want a number below %d", a.ID, a.Attempt, len(q.attempts))
 	}
 }
 
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -114,9 +114,9 @@
 func (c *Class) validate() error {
 	switch {
 	case c.LatencyObjective <= 0:
-		return fmt.Errorf("field Aim: %v is not positive", c.LatencyObjective)
+		return fmt.Errorf("field Aim: %v is not positive; it must be above 0", c.LatencyObjective)
 	case c.Deadline <= 0:
-		return fmt.Errorf("field Deadline: %v is not positive", c.Deadline)
+		return fmt.Errorf("field Deadline: %v is not positive; it must be above 0", c.Deadline)
 	case c.Effect < Idempotent || c.Effect > NonIdempotent:
 		return fmt.Errorf("field Effect: unknown value %d; it must be 0 to 2", c.Effect)
 	case c.IdempotencyScope < ScopeAll || c.IdempotencyScope > ScopeCell:
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -16,9 +16,9 @@
 	// warmUpSafety is the share of the load that would overload an endpoint which may be used. With a
 	// higher value, endpoints get more load while they warm up, but are overloaded sooner.
 	warmUpSafety = 0.85
-	// maxWarmUpKindRatio limits the factor by which kinds that are faster than the mean get more load;
-	// slower kinds get less. A higher value has the same trade-off as a higher warmUpSafety, for fast
-	// kinds.
+	// maxWarmUpKindRatio limits the load of endpoints whose kind is faster than the mean. Their budget is
+	// higher in proportion to the speed of their kind, up to this factor; that of slower kinds is lower,
+	// without a limit. A higher value has the same trade-off as a higher warmUpSafety, for fast kinds.
 	maxWarmUpKindRatio = 1.5
 	// burstsPerOverload determines the size of a burst, that is, of all tokens that an endpoint can
 	// accumulate: OverloadDuration covers this many bursts. With a higher value, bursts are smaller, but
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -152,8 +152,9 @@
 	}
 }
 
-// All sidecars together must not send an endpoint that is warming up more than the mean load allows, even if zones
-// have different sizes and an endpoint of a small zone is in far more subsets.
+// For an endpoint that is warming up, the budgets of all sidecars together must not exceed what the mean load allows.
+// This must also hold if zones have different sizes, although an endpoint of a small zone is then in far more
+// subsets.
 func TestWarmUpSharesOfUnevenZones(t *testing.T) {
 	const sidecars, endpoints, inZoneB = 400, 60, 6
 	shares := map[string]float64{}
