--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -11,8 +11,8 @@
 // Inputs: the rank of the request's weight among recent ones (0 to 1; weight.go), the pressure
 // (pressure.go) and the admitted share (share of requests; admissionlimits.go).
 //
-// Why: beyond capacity, requests that all wait all end late, and late work displaces work that could still
-// be in time. Requests of the lowest weight are shed first.
+// Why: if all requests wait while the load exceeds the capacity, all of them end late, and late work
+// displaces work that could still be in time. Requests of the lowest weight are shed first.
 
 import (
 	"math"
--- a/balancer/firstattempt.go
+++ b/balancer/firstattempt.go
@@ -8,8 +8,8 @@
 // durations or times of Handle's clock.
 //
 // Why: a client retry that arrives after the objective of its first attempt is worth less, or nothing
-// (deadline.go). If such retries were not recognized, they would use capacity that requests need that can
-// still be served in time.
+// (deadline.go). If such retries were not recognized, they would use capacity that is needed for requests
+// that can still be served in time.
 //
 // For example, clients of a class with a Deadline of 1,000 ms give up each of their attempts after 400 ms:
 //
@@ -24,7 +24,7 @@
 import "time"
 
 const (
-	// arrivalToleranceTicks is the maximum difference, in multiples of Settings.Tick, of two times that
+	// arrivalToleranceTicks is the maximum difference, in multiples of Settings.Tick, at which two times
 	// count as equal. With a higher value, client retries are recognized over slower networks, but more
 	// first attempts are mistaken for retries.
 	arrivalToleranceTicks = 2
@@ -40,11 +40,12 @@
 	minTimeLeftVotes = maxTimeLeftVotes / 2
 )
 
-// firstAttemptAt returns when the client's first attempt at a request arrived that arrives now. It returns
-// now unless the request is recognized as a client retry by its expiry. Most requests of a class have the
-// usual time left. Any other request may have been limited by the deadline of all of the client's attempts,
-// one Deadline after the first. It counts as a retry only if a request that nobody served arrived at that
-// time: requests of clients with a shorter timeout than usual look the same and must not be rejected.
+// firstAttemptAt returns the arrival time of the client's first attempt at a request that arrives now. It
+// returns now unless the request is recognized as a client retry by its expiry. Most requests of a class
+// have the usual time left. Any other request may have been limited by the deadline of all of the client's
+// attempts, one Deadline after the first. It counts as a retry only if a request that nobody served arrived
+// at that time: requests of clients with a shorter timeout than usual look the same and must not be
+// rejected.
 func (c *classState) firstAttemptAt(now, expiresAt, tick time.Duration) time.Duration {
 	tolerance := arrivalToleranceTicks * tick
 	if c.timeLeft.observe(expiresAt-now, tolerance) {
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -42,8 +42,8 @@
 	return outsideZone || outsideCell
 }
 
-// retryForbidden reports whether no further attempt may follow, because one may have run that cannot be
-// safely repeated, or can no longer be.
+// retryForbidden reports whether no further attempt may follow, because an attempt may have run and the
+// request is not idempotent, or it is keyed and its idempotency window is over.
 //
 // Guard: prevents a second effect if a connection breaks after the request was written. That is reported as
 // a reset, which does not prove that the request did not run. It holds because mayAttempt calls
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -12,9 +12,9 @@
 import "slices"
 
 const (
-	// maxDraws is the number of random draws before the whole list is searched, and drawsPerEndpoint limits
-	// it for short lists. With higher values, long lists are searched less often, but more draws are wasted
-	// if few endpoints are eligible.
+	// maxDraws is the number of random draws before the whole list is searched. For short lists, the number
+	// is limited to drawsPerEndpoint for each endpoint. With higher values, long lists are searched less
+	// often, but more draws are wasted if few endpoints are eligible.
 	maxDraws         = 8
 	drawsPerEndpoint = 2
 )
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -30,8 +30,8 @@
 	"time"
 )
 
-// eligiblePollTicks is the interval, in ticks, at which a request that no endpoint may be sent tries again.
-// A higher value means less work for waiting requests, but they are sent later.
+// eligiblePollTicks is the interval, in ticks, at which a request without an eligible endpoint looks for
+// one again. A higher value means less work for waiting requests, but they are sent later.
 const eligiblePollTicks = 2
 
 // unreported is the value of attempt.reportedInFlight if there was no load report.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -15,8 +15,8 @@
 	// retryRatio is the number of retries and hedges per first attempt, averaged over time. With a higher
 	// value, more requests survive failures, but failing endpoints get more load.
 	retryRatio = 0.25
-	// retryBurst is the minimum number of retries and hedges that may be made at once, so that a quiet
-	// sidecar can retry at all. A higher value has the same trade-off as a higher retryRatio.
+	// retryBurst is the minimum capacity of the retry budget, in retries and hedges. It allows a quiet
+	// sidecar to retry at all. A higher value has the same trade-off as a higher retryRatio.
 	retryBurst = 10.0
 )
 
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -13,16 +13,16 @@
 import "time"
 
 const (
-	// warmUpSafety is the share of the load that would overload an endpoint which may be used. With a
-	// higher value, endpoints get more load while they warm up, but are overloaded sooner.
+	// warmUpSafety is the share of the overloading load that an endpoint is sent at most while it warms up.
+	// With a higher value, endpoints get more load during that time, but are overloaded sooner.
 	warmUpSafety = 0.85
 	// maxWarmUpKindRatio limits the load of endpoints whose kind is faster than the mean. Their budget is
 	// higher in proportion to the speed of their kind, up to this factor; that of slower kinds is lower,
 	// without a limit. A higher value has the same trade-off as a higher warmUpSafety, for fast kinds.
 	maxWarmUpKindRatio = 1.5
-	// burstsPerOverload determines the size of a burst, that is, of all tokens that an endpoint can
-	// accumulate: OverloadDuration covers this many bursts. With a higher value, bursts are smaller, but
-	// more requests wait for a token.
+	// burstsPerOverload determines the size of a burst, which is the number of tokens that an endpoint can
+	// accumulate: the tokens of OverloadDuration make up this many bursts. With a higher value, bursts are
+	// smaller, but more requests wait for a token.
 	burstsPerOverload = 10
 	// minWarmUpBurst is the minimum size of a burst in tokens: that of one request.
 	minWarmUpBurst = 1
@@ -30,8 +30,9 @@
 	// in their subset. With a higher value, the other sidecars send it less, and use it later if their
 	// subsets are exhausted.
 	subsetWarmUpShare = 0.8
-	// homeZoneSkew is the assumed ratio of the load of the busiest zone to the mean load of a zone, which
-	// is not reported. With a higher value, budgets in the home zone are smaller.
+	// homeZoneSkew is the ratio of the load of the busiest zone to the mean load of a zone. It is assumed,
+	// because the loads of zones are not reported. With a higher value, budgets in the home zone are
+	// smaller.
 	homeZoneSkew = 1.3
 	// listSizeMemory is how long the size of a longer endpoint list is remembered. With a higher value, the
 	// first endpoints that return after a failure of most endpoints have a small budget for longer.
@@ -66,7 +67,7 @@
 	return true
 }
 
-// capacityShare returns the share of its full capacity that the endpoint has at least at now.
+// capacityShare returns the minimum share of its full capacity that the endpoint has at now.
 func (w *warmUp) capacityShare(now time.Duration, initial float64, period time.Duration) float64 {
 	if !w.active {
 		return 1
@@ -98,7 +99,7 @@
 	ep.latency = peakEWMA{*ep.kindMean / b.capacityShare(ep), b.now}
 }
 
-// capacityShare returns the share of its full capacity that ep has at least at present. It first ends ep's
+// capacityShare returns the minimum share of its full capacity that ep has at present. It first ends ep's
 // slow start if the warm-up period is over.
 func (b *Balancer) capacityShare(ep *endpoint) float64 {
 	if ep.warmUp.end(b.now, b.settings.WarmUp) {
