--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -19,8 +19,8 @@
 const maxHedgePressure = 0.7
 
 // overdueAfter returns how long the latest attempt may be outstanding before it is overdue. If hedging is
-// off, the attempt has to be cancelled first and loses its place in the endpoint's queue; it therefore gets
-// as much time as still leaves enough for another attempt.
+// off, the attempt has to be cancelled before another one is sent, and loses its place in the endpoint's
+// queue. It is then not overdue until the time left is just enough for another attempt.
 func (b *Balancer) overdueAfter(r *request) time.Duration {
 	factor := float64(int(1) << max(r.outstanding-1, 0)) // doubles with each hedge
 	d := seconds(b.latency.overdue.value * r.relativeWork * factor)
--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -25,8 +25,8 @@
 		ep := h.b.endpointsByID["u0"]
 		reported := ep.reportedAt > 0
 		if reported != (c.want > 0) || reported && ep.inFlight != c.want {
-			t.Errorf("%+v: in flight %v, reported %v; want %v in flight, or no report if 0",
-				c.load, ep.inFlight, reported, c.want)
+			t.Errorf("%+v: reported %v, want %v; in flight %v, want %v if reported",
+				c.load, reported, c.want > 0, ep.inFlight, c.want)
 		}
 	}
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -24,7 +24,7 @@
 	class     Class
 	expiresAt time.Duration
 	attempts  []*checkedAttempt
-	finished  bool // it was answered, or a success or the client's disconnection was reported
+	finished  bool // it was answered, it succeeded, or its client disconnected
 }
 
 // anyMayHaveRun reports whether an attempt of the request may have run.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -16,9 +16,9 @@
 	// warmUpSafety is the share of the overloading load that an endpoint is sent at most while it warms up.
 	// With a higher value, endpoints get more load during that time, but are overloaded sooner.
 	warmUpSafety = 0.85
-	// maxWarmUpKindRatio limits the load of endpoints whose kind is faster than the mean. Their budget is
-	// higher in proportion to the speed of their kind, up to this factor; that of slower kinds is lower,
-	// without a limit. A higher value has the same trade-off as a higher warmUpSafety, for fast kinds.
+	// maxWarmUpKindRatio is the maximum of kindRatio, the factor by which the budget of an endpoint follows
+	// the speed of its kind relative to the mean. Slower kinds have a factor below 1. A higher value has
+	// the same trade-off as a higher warmUpSafety, for fast kinds.
 	maxWarmUpKindRatio = 1.5
 	// burstsPerOverload determines the size of a burst, which is the number of tokens that an endpoint can
 	// accumulate: the tokens of OverloadDuration make up this many bursts. With a higher value, bursts are
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -219,7 +219,7 @@
 		{subset{size: 10, homeSize: 8, zoneSizes: zones}, "b", homeZoneSkew/2 + 0.5*2/30},
 	} {
 		if got := c.subset.shareOfSidecars(&endpoint{zone: c.zone}, 60); !almostEqual(got, c.want) {
-			t.Errorf("%+v, zone %s: %v, want %v", c.subset, c.zone, got, c.want)
+			t.Errorf("%+v, zone %s: share of sidecars %v, want %v", c.subset, c.zone, got, c.want)
 		}
 	}
 }
