--- a/balancer/quantile.go
+++ b/balancer/quantile.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// quantileStep is the step of learned quantiles in their logarithm. Higher: they follow a change sooner and
-// are noisier.
+// quantileStep is the step size by which the logarithm of an estimated quantile moves. A higher value
+// follows a change sooner and is noisier.
 const quantileStep = 0.1
 
-// quantile follows the quantile of the added values with the given probability, by steps in their logarithm.
+// quantile estimates the quantile, for the given probability, of a series of values. Each added value moves
+// the estimate up or down by a small factor.
 type quantile struct {
 	probability float64
 	value       float64
