--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// goldenValue compares the JSON of a value whose fields are all set, and of its zero value, with the golden files.
-func goldenValue(t *testing.T, name string, v any) {
+// checkGolden compares the JSON of a value whose fields are all set, and of its zero value, with the golden files.
+func checkGolden(t *testing.T, name string, v any) {
 	t.Helper()
 	testutil.Filled(t, v)
 	testutil.ExplicitNames(t, "json", v)
@@ -61,18 +61,18 @@
 // The format of a line of a subscription, of the response to show, and of a member's state.
 func TestSubscriptionAndStateFormatIsStable(t *testing.T) {
 	revision, frame := formatRevision(17), formatFrame(17)
-	goldenValue(t, "line", line{
+	checkGolden(t, "line", line{
 		Path:     []string{"m1", "o1"},
 		Revision: &revision,
-		Idle:     true,
+		NonParticipating:     true,
 		Frame:    &frame,
 		Packed:   []byte{1, 2},
 	})
-	goldenValue(t, "shown", ShowResponse{
+	checkGolden(t, "shown", ShowResponse{
 		Result: origin.Result{ID: "id", Outcome: origin.OutcomeCurrent, Revision: revision, Error: "why"},
 		Frame:  frame,
 	})
-	goldenValue(t, "member-state", MemberState{
+	checkGolden(t, "member-state", MemberState{
 		FollowerStats: controlplane.FollowerStats{
 			Published:      revision,
 			Active:         formatRevision(16),
@@ -108,7 +108,7 @@
 
 // The lines of a watch: the path and the revision of the upstream, a snapshot, and the path again when it changes.
 func TestSubscriptionLineFormatIsStable(t *testing.T) {
-	source := newSource(t, "m1", nil)
+	source := newFakeUpstream(t, "m1", nil)
 	source.setUpstream([]string{"o1"})
 	source.publish(formatFrame(17))
 	url := "http://" + source.addr + "/config/watch?epoch=0&version=0&hash="
@@ -187,8 +187,8 @@
 	_ = writeText(w, r.response)
 }
 
-// record starts a server and returns its address.
-func record(t *testing.T, status int, response string) (*recorder, string) {
+// startRecorder starts a server and returns its address.
+func startRecorder(t *testing.T, status int, response string) (*recorder, string) {
 	t.Helper()
 	r := &recorder{status: status, response: response}
 	server := httptest.NewServer(r)
@@ -200,7 +200,7 @@
 func TestMemberRequestFormatIsStable(t *testing.T) {
 	c := &peerClient{cluster: "f", self: "m1", client: newHTTPClient(nil, responseTimeout)}
 	defer c.client.CloseIdleConnections()
-	r, addr := record(t, http.StatusOK,
+	r, addr := startRecorder(t, http.StatusOK,
 		`{"frame":{"fleet":"f","stamp":{"epoch":3,"version":17,"hash":"h"},"text":"IyB0ZXh0Cg=="}}`)
 	watch, err := c.subscribe(t.Context(), []target{{addr: addr}}, formatRevision(17))
 	if err != nil {
@@ -220,7 +220,7 @@
 
 // The requests of the operator's commands to an origin.
 func TestOperatorRequestFormatIsStable(t *testing.T) {
-	r, addr := record(t, http.StatusOK,
+	r, addr := startRecorder(t, http.StatusOK,
 		`{"answer":{"id":"id","outcome":"current","stamp":{"epoch":3,"version":17,"hash":"h"}}}`)
 	c := NewClient("f", addr)
 	defer c.peer.client.CloseIdleConnections()
--- a/internal/controlplane/transport/helpers_test.go
+++ b/internal/controlplane/transport/helpers_test.go
@@ -27,8 +27,8 @@
 // unreachableOrigin is an address at which nothing listens.
 const unreachableOrigin = "127.0.0.1:9"
 
-// testSource is the subscription server of an origin, without the origin.
-type testSource struct {
+// fakeUpstream is the subscription server of an origin, without the origin.
+type fakeUpstream struct {
 	*subscriptionServer
 	addr       string
 	httpServer *httptest.Server
@@ -37,10 +37,10 @@
 	reports   map[string]controlplane.Report
 }
 
-// newSource starts a source. If handler is set, it serves everything but alivePath in the source's place.
-func newSource(t *testing.T, name string, handler http.Handler) *testSource {
+// newFakeUpstream starts a source. If handler is set, it serves everything but alivePath in the source's place.
+func newFakeUpstream(t *testing.T, name string, handler http.Handler) *fakeUpstream {
 	t.Helper()
-	s := &testSource{
+	s := &fakeUpstream{
 		subscriptionServer: newSubscriptionServer(testCluster, name, 10),
 		reports:            map[string]controlplane.Report{},
 	}
@@ -74,13 +74,13 @@
 }
 
 // fail closes the connections of the source, which rejects new subscribers from then on.
-func (s *testSource) fail() {
+func (s *fakeUpstream) fail() {
 	s.setUpstreamLost()
 	s.httpServer.CloseClientConnections()
 }
 
 // currentReports returns the reports of the present subscribers.
-func (s *testSource) currentReports() []controlplane.Report {
+func (s *fakeUpstream) currentReports() []controlplane.Report {
 	s.reportsMu.Lock()
 	defer s.reportsMu.Unlock()
 	return slices.Collect(maps.Values(s.reports))
@@ -137,11 +137,11 @@
 // startMember starts a member. An empty dir is that it stores no snapshot.
 func startMember(t *testing.T, name, dir string, origins ...string) *testMember {
 	t.Helper()
-	return startParsing(t, controlplane.ParseSnapshot, name, dir, origins...)
+	return startMemberWithParser(t, controlplane.ParseSnapshot, name, dir, origins...)
 }
 
-// startParsing starts a member that parses snapshots in its own way.
-func startParsing(
+// startMemberWithParser starts a member that parses snapshots in its own way.
+func startMemberWithParser(
 	t *testing.T, parse func([]byte) (*controlplane.Snapshot, error), name, dir string, origins ...string,
 ) *testMember {
 	t.Helper()
@@ -183,8 +183,8 @@
 	b.UpdateMembers([]bootstrap.Member{{Name: a.cfg.Follower.Self, Addr: a.addr}}, true)
 }
 
-// inOrder returns two origins in such an order that a member of this name begins with first.
-func inOrder(name, first, second string) []string {
+// orderOrigins returns two origins in such an order that a member of this name begins with first.
+func orderOrigins(name, first, second string) []string {
 	origins := []string{first, second}
 	if xxhash.Sum64String(name)%2 == 1 {
 		slices.Reverse(origins)
--- a/internal/controlplane/transport/hollow_long_test.go
+++ b/internal/controlplane/transport/hollow_long_test.go
@@ -19,8 +19,8 @@
 	replacedMembers = 63
 )
 
-// playLinks carries out a step of the emulated network.
-func (h *hollowTest) playLinks(step string) {
+// applyNetworkStep carries out a step of the emulated network.
+func (h *hollowTest) applyNetworkStep(step string) {
 	h.t.Helper()
 	if err := h.Links.Apply(step); err != nil {
 		h.t.Fatal(err)
@@ -32,7 +32,7 @@
 	h.t.Helper()
 	everywhere := func(hollow.Location) bool { return true }
 	startedAt := time.Now()
-	for h.Disagreement(everywhere) != "" && time.Since(startedAt) < longFormPatience {
+	for h.Disagreement(everywhere) != "" && time.Since(startedAt) < longFormTimeout {
 		time.Sleep(100 * time.Millisecond)
 	}
 	h.t.Logf("views complete after %.1f s: %q", time.Since(startedAt).Seconds(), h.Disagreement(everywhere))
@@ -41,7 +41,7 @@
 // runLongForm plays a day's faults, one after the other.
 func (h *hollowTest) runLongForm() {
 	h.awaitAgreement()
-	time.Sleep(*hollowQuiet / 2) // until the updates of the start have been sent
+	time.Sleep(*trafficPeriod / 2) // until the updates of the start have been sent
 	h.measureTraffic()
 	for k := range 2 {
 		h.killOriginDuringPush(k)
@@ -58,9 +58,9 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	h.t.Logf("%d members: heap %d MB, %d goroutines", len(h.Members), memory.HeapInuse>>20, runtime.NumGoroutine())
-	h.logTraffic("quiet", *hollowQuiet, func() {})
-	h.logTraffic("a change of 1 KB each 5 s (ten times 1,700 a day)", *hollowQuiet, func() {
-		for range int(*hollowQuiet / changeInterval) {
+	h.logTraffic("quiet", *trafficPeriod, func() {})
+	h.logTraffic("a change of 1 KB each 5 s (ten times 1,700 a day)", *trafficPeriod, func() {
+		for range int(*trafficPeriod / changeInterval) {
 			revision, pushedAt := h.push(0, 1)
 			h.awaitActive("one of them", revision, pushedAt, h.Members)
 			time.Sleep(max(0, changeInterval-time.Since(pushedAt)))
@@ -84,14 +84,14 @@
 // cutArea cuts an area off, pushes changes meanwhile and afterwards, and heals the cut.
 func (h *hollowTest) cutArea(what, name string) {
 	area := hollow.Area(name)
-	h.playLinks("cut " + name + " rest")
+	h.applyNetworkStep("cut " + name + " rest")
 	revision, pushedAt := h.push(0, 4)
 	h.awaitActive(what+" is cut off: the others, at once", revision, pushedAt, h.running(area))
 	time.Sleep(cutDuration)
 	revision, pushedAt = h.push(0, 4)
 	h.awaitActive(what+" is cut off: the others, 12 s later", revision, pushedAt, h.running(area))
 	healedAt := time.Now()
-	h.playLinks("heal")
+	h.applyNetworkStep("heal")
 	h.awaitActive(what+": those, after the healing", revision, healedAt, h.MembersIn(area))
 	revision, pushedAt = h.push(0, 1)
 	h.awaitActive(what+": a change right after it", revision, pushedAt, h.Members)
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -32,15 +32,15 @@
 var (
 	hollowMembers = flag.Int("config.hollow", 0,
 		"TestHollow: how many hollow members; 0: 20, and the short form")
-	hollowQuiet = flag.Duration("config.quiet", 20*time.Second,
+	trafficPeriod = flag.Duration("config.quiet", 20*time.Second,
 		"TestHollow's long form: how long bytes are counted for")
 )
 
 const (
 	hollowCluster = "hollow"
-	// longFormPatience is how long the long form waits: one process runs hundreds of members, on a machine that others
+	// longFormTimeout is how long the long form waits: one process runs hundreds of members, on a machine that others
 	// use.
-	longFormPatience = 2 * time.Minute
+	longFormTimeout = 2 * time.Minute
 	// maxLoggedMembers is how many members without a revision are logged with their state.
 	maxLoggedMembers = 8
 )
@@ -56,7 +56,7 @@
 	mu            sync.Mutex
 	active        map[string]activeRevision    // by member
 	configMembers map[string]*transport.Member // by member
-	bytes         map[string]*atomic.Int64     // of configuration, by address
+	configBytes         map[string]*atomic.Int64     // of configuration, by address
 }
 
 // activeRevision is the revision in force at a member, and since when.
@@ -79,7 +79,7 @@
 		t:             t,
 		active:        map[string]activeRevision{},
 		configMembers: map[string]*transport.Member{},
-		bytes:         map[string]*atomic.Int64{},
+		configBytes:         map[string]*atomic.Int64{},
 	}
 	var allowed netipx.IPSetBuilder
 	allowed.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
@@ -245,10 +245,10 @@
 	counter := func(addr string) *atomic.Int64 {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.bytes[addr] == nil {
-			h.bytes[addr] = new(atomic.Int64)
+		if h.configBytes[addr] == nil {
+			h.configBytes[addr] = new(atomic.Int64)
 		}
-		return h.bytes[addr]
+		return h.configBytes[addr]
 	}
 	own := counter(m.Addr.String())
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -315,10 +315,10 @@
 	return result.Revision, err == nil && result.Outcome == origin.OutcomeAccepted
 }
 
-// patience is how long the test waits for a change.
-func (h *hollowTest) patience() time.Duration {
+// changeTimeout is how long the test waits for a change.
+func (h *hollowTest) changeTimeout() time.Duration {
 	if *hollowMembers > 0 {
-		return longFormPatience
+		return longFormTimeout
 	}
 	return testutil.WaitTimeout
 }
@@ -329,7 +329,7 @@
 	what string, revision controlplane.Revision, since time.Time, members []*hollow.Member,
 ) []time.Duration {
 	h.t.Helper()
-	deadline := time.Now().Add(h.patience())
+	deadline := time.Now().Add(h.changeTimeout())
 	took, missing := h.activeAt(revision, since, members)
 	for len(missing) > 0 && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
@@ -404,7 +404,7 @@
 	for _, m := range h.Members {
 		counts := m.Counts()
 		h.mu.Lock()
-		config := h.bytes[m.Addr.String()]
+		config := h.configBytes[m.Addr.String()]
 		h.mu.Unlock()
 		traffic := memberTraffic{total: counts.BytesIn + counts.BytesOut, streams: counts.StreamIn + counts.StreamOut}
 		if config != nil {
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -58,7 +58,7 @@
 	core           *controlplane.Follower // used by Run's goroutine only
 	initialActions []controlplane.Action  // of the core
 	startedAt      time.Time
-	cacheAge       time.Time // when the cached snapshot was last confirmed before the start; zero if there was none
+	cacheConfirmedAt       time.Time // when the cached snapshot was last confirmed before the start; zero if there was none
 	server         *subscriptionServer
 	client         *peerClient
 	events         chan memberEvent
@@ -129,7 +129,7 @@
 		return fmt.Errorf("config.dir: %w", err)
 	}
 	var err error
-	m.cfg.Follower.Cached, m.cacheAge, err = loadCachedSnapshot(m.cfg.CacheDir)
+	m.cfg.Follower.Cached, m.cacheConfirmedAt, err = loadCachedSnapshot(m.cfg.CacheDir)
 	if err != nil {
 		m.cfg.Log.Error("cached configuration cannot be read", keyComponent, memberComponent, keyError, err)
 	}
--- a/internal/controlplane/transport/member_test.go
+++ b/internal/controlplane/transport/member_test.go
@@ -26,7 +26,7 @@
 // tree.
 func TestChangePropagatesAndIsReported(t *testing.T) {
 	t.Parallel()
-	origins := []*testSource{newSource(t, "o1", nil), newSource(t, "o2", nil)}
+	origins := []*fakeUpstream{newFakeUpstream(t, "o1", nil), newFakeUpstream(t, "o2", nil)}
 	publish := func(frame controlplane.Frame) {
 		for _, origin := range origins {
 			origin.publish(frame)
@@ -65,7 +65,7 @@
 // subscribers get the new snapshot all the same, and the origin learns who rejects it and why.
 func TestOlderVersionRelaysSnapshotsItRejects(t *testing.T) {
 	t.Parallel()
-	source := newSource(t, "o1", nil)
+	source := newFakeUpstream(t, "o1", nil)
 	source.publish(testFrame(1, "# one"))
 	parseWithoutPrice := func(text []byte) (*controlplane.Snapshot, error) {
 		if strings.Contains(string(text), "[price]") {
@@ -73,7 +73,7 @@
 		}
 		return controlplane.ParseSnapshot(text)
 	}
-	older := startParsing(t, parseWithoutPrice, "m1", "", source.addr)
+	older := startMemberWithParser(t, parseWithoutPrice, "m1", "", source.addr)
 	awaitVersion(t, "version 1 is in force at the older member", 1, older)
 	newer := startMember(t, "m2", "", source.addr)
 	introduce(older, newer)
@@ -101,12 +101,12 @@
 // an old configuration. They go to another origin that participates, and stay while there is none.
 func TestSubscriberLeavesIdleOrigin(t *testing.T) {
 	t.Parallel()
-	first, second := newSource(t, "idle", nil), newSource(t, "good", nil)
-	for _, source := range []*testSource{first, second} {
+	first, second := newFakeUpstream(t, "idle", nil), newFakeUpstream(t, "good", nil)
+	for _, source := range []*fakeUpstream{first, second} {
 		source.setParticipating(false)
 		source.publish(testFrame(1, "# one"))
 	}
-	m := startMember(t, "m", "", inOrder("m", first.addr, second.addr)...)
+	m := startMember(t, "m", "", orderOrigins("m", first.addr, second.addr)...)
 	testutil.Until(t, "the member subscribes to the first origin", func() bool {
 		return m.subscribesTo("idle") && m.activeVersion() == 1
 	})
@@ -147,7 +147,7 @@
 // that upstream. It closes that connection only, keeps what it has and subscribes to the next origin.
 func TestMalformedUpstreams(t *testing.T) {
 	t.Parallel()
-	good := newSource(t, "good", nil)
+	good := newFakeUpstream(t, "good", nil)
 	good.publish(testFrame(1, "# one"))
 	head := `{"path":["bad"],"holds":{"epoch":1,"version":9,"hash":""}}` + "\n"
 	write := func(text string) func(http.ResponseWriter) {
@@ -166,14 +166,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			requested := make(chan bool, 100)
-			bad := newSource(t, "bad", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			bad := newFakeUpstream(t, "bad", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				select {
 				case requested <- true:
 				default:
 				}
 				respond(w)
 			}))
-			m := startMember(t, "m", "", inOrder("m", bad.addr, good.addr)...)
+			m := startMember(t, "m", "", orderOrigins("m", bad.addr, good.addr)...)
 			testutil.Receive(t, requested, "a request to the malformed upstream")
 			awaitVersion(t, "the good origin's version is in force", 1, m)
 			m.stop()
@@ -185,15 +185,15 @@
 // miss each change. It leaves the upstream for another one.
 func TestStalledUpstream(t *testing.T) {
 	t.Parallel()
-	good := newSource(t, "good", nil)
+	good := newFakeUpstream(t, "good", nil)
 	requested := make(chan bool, 10)
-	stalled := newSource(t, "still", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	stalled := newFakeUpstream(t, "still", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requested <- true
 		_ = writeText(w, `{"path":["still"],"holds":{"epoch":1,"version":1,"hash":""}}`+"\n"+`{"frame":{"fleet":"f"`)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	m := startMember(t, "m", "", inOrder("m", stalled.addr, good.addr)...)
+	m := startMember(t, "m", "", orderOrigins("m", stalled.addr, good.addr)...)
 	testutil.Receive(t, requested, "a request to the upstream that stalls")
 	good.publish(testFrame(1, "# one"))
 	awaitVersion(t, "the good origin's version is in force", 1, m)
@@ -203,7 +203,7 @@
 // receive each change in time.
 func TestSlowSubscriberIsDisconnected(t *testing.T) {
 	t.Parallel()
-	source := newSource(t, "o", nil)
+	source := newFakeUpstream(t, "o", nil)
 	conn, err := net.Dial("tcp", source.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -243,7 +243,7 @@
 func TestRestartFromCachedSnapshot(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	source := newSource(t, "o", nil)
+	source := newFakeUpstream(t, "o", nil)
 	source.publish(testFrame(4, "# four"))
 	m := startMember(t, "m", dir, source.addr)
 	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "acting on 1.4" {
--- a/internal/controlplane/transport/memberstate.go
+++ b/internal/controlplane/transport/memberstate.go
@@ -62,8 +62,8 @@
 		state.Ready = true
 	default:
 	}
-	if stats.FromCache && !m.cacheAge.IsZero() {
-		state.CachedAge = time.Since(m.cacheAge).Round(time.Second).String()
+	if stats.FromCache && !m.cacheConfirmedAt.IsZero() {
+		state.CachedAge = time.Since(m.cacheConfirmedAt).Round(time.Second).String()
 	}
 	state.UnconfirmedFor = max(0, m.now()-stats.ConfirmedAt).Round(time.Millisecond).String()
 	return state
--- a/internal/controlplane/transport/operatorclient.go
+++ b/internal/controlplane/transport/operatorclient.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	defer discardBody(response)
+	defer closeBody(response)
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
 		return err
--- a/internal/controlplane/transport/peerclient.go
+++ b/internal/controlplane/transport/peerclient.go
@@ -92,15 +92,15 @@
 		return nil, err
 	}
 	if response.StatusCode != expectedStatus {
-		defer discardBody(response)
+		defer closeBody(response)
 		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody)) // the status is the error
 		return nil, &responseError{request.URL.Host, response.Status, string(bytes.TrimSpace(text))}
 	}
 	return response, nil
 }
 
-// discardBody closes the body of a response. The error says nothing about what was read.
-func discardBody(response *http.Response) { _ = response.Body.Close() }
+// closeBody closes the body of a response. The error says nothing about what was read.
+func closeBody(response *http.Response) { _ = response.Body.Close() }
 
 // fetchSnapshot returns the latest frame of a member or an origin.
 func (c *peerClient) fetchSnapshot(ctx context.Context, addr string) (controlplane.Frame, error) {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return controlplane.Frame{}, err
 	}
-	defer discardBody(response)
+	defer closeBody(response)
 	text, err := io.ReadAll(io.LimitReader(response.Body, MaxLineSize+1))
 	if err != nil {
 		return controlplane.Frame{}, err
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	discardBody(response)
+	closeBody(response)
 	return nil
 }
 
@@ -178,6 +178,6 @@
 	if err != nil {
 		return 0, err
 	}
-	discardBody(response)
+	closeBody(response)
 	return response.StatusCode, nil
 }
--- a/internal/controlplane/transport/protocol.go
+++ b/internal/controlplane/transport/protocol.go
@@ -61,8 +61,8 @@
 type line struct {
 	Path     []string               `json:"path,omitempty"` // of the upstream: its own name first, the origin last
 	Revision *controlplane.Revision `json:"holds,omitempty"`
-	// Idle is set beside Path by an origin that does not participate in the consensus and so learns of no changes.
-	Idle  bool                `json:"idle,omitempty"`
+	// NonParticipating is set beside Path by an origin that does not participate in the consensus and so learns of no changes.
+	NonParticipating  bool                `json:"idle,omitempty"`
 	Frame *controlplane.Frame `json:"frame,omitempty"`
 	// Packed is the frame's text compressed by gzip (RFC 1952), sent in place of Frame.Text.
 	Packed []byte `json:"packed,omitempty"`
--- a/internal/controlplane/transport/server.go
+++ b/internal/controlplane/transport/server.go
@@ -27,7 +27,7 @@
 	revision        controlplane.Revision
 	frame           []byte        // the published frame as a line; nil if there is none
 	path            []string      // of this process: its own name first, the origin last. It is replaced, never changed
-	idle            bool          // this is an origin that does not participate: its subscribers look for another one
+	nonParticipating            bool          // this is an origin that does not participate: its subscribers look for another one
 	upstreamHealthy bool          // this process has an upstream
 	changed         chan struct{} // closed and replaced at each change of the fields above
 	subscribers     map[string]int
@@ -79,17 +79,17 @@
 // setParticipating records whether this origin participates in the consensus.
 func (s *subscriptionServer) setParticipating(participating bool) {
 	s.mu.Lock()
-	unchanged := s.idle == !participating
+	unchanged := s.nonParticipating == !participating
 	s.mu.Unlock()
 	if !unchanged {
-		s.update(func() { s.idle = !participating })
+		s.update(func() { s.nonParticipating = !participating })
 	}
 }
 
 // serveAlive answers whether this origin participates in the consensus: 204 if it does, 205 if it does not.
 func (s *subscriptionServer) serveAlive(w http.ResponseWriter) {
 	s.mu.Lock()
-	idle := s.idle
+	idle := s.nonParticipating
 	s.mu.Unlock()
 	if idle {
 		w.WriteHeader(http.StatusResetContent)
--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -62,7 +62,7 @@
 	}
 	m.stop()
 
-	source := newSource(t, "o1", nil)
+	source := newFakeUpstream(t, "o1", nil)
 	source.publish(testFrame(1, "# first\n"))
 	m = startMember(t, "m", dir, source.addr)
 	testutil.Until(t, "the member subscribes to the origin, which has an older version", func() bool {
--- a/internal/controlplane/transport/subscribe.go
+++ b/internal/controlplane/transport/subscribe.go
@@ -37,7 +37,7 @@
 // close ends the watch.
 func (s *subscription) close() {
 	s.cancel()
-	discardBody(s.response)
+	closeBody(s.response)
 }
 
 // subscribeResult is the outcome for one target. The subscription has no response if err is set.
@@ -83,7 +83,7 @@
 			}
 		case result := <-race.results:
 			finished++
-			race.finish(result)
+			race.handleResult(result)
 			if result.err != nil && race.hasNext() && ctx.Err() == nil {
 				race.startNext(ctx)
 				stagger.Reset(subscribeStagger)
@@ -119,8 +119,8 @@
 	return r.client.do(request, http.StatusOK)
 }
 
-// finish takes in the result for a target: the first answer wins, and the other requests are cancelled.
-func (r *subscribeRace) finish(result subscribeResult) {
+// handleResult takes in the result for a target: the first answer wins, and the other requests are cancelled.
+func (r *subscribeRace) handleResult(result subscribeResult) {
 	switch {
 	case result.err != nil:
 		result.cancel()
@@ -140,7 +140,7 @@
 // read calls handle for each line until the watch ends, and returns why it did. It closes the watch. It decides when an
 // upstream counts as lost, from the time since its last line: after silenceTimeout.
 func (s *subscription) read(ctx context.Context, handle func(line) error) error {
-	defer discardBody(s.response)
+	defer closeBody(s.response)
 	defer s.cancel()
 	silence := time.AfterFunc(silenceTimeout, s.cancel)
 	defer silence.Stop()
--- a/internal/controlplane/transport/upstream.go
+++ b/internal/controlplane/transport/upstream.go
@@ -80,7 +80,7 @@
 	case <-viewChanged:
 	case <-time.After(min(delay, upstreamCheckInterval)):
 		if m.shouldFollowOrigin() {
-			m.tryNextOrigin(ctx, originIndex, true)
+			m.probeNextOrigin(ctx, originIndex, true)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 	selection   bootstrap.Selection
 	upstream    target      // its name is that of its last path
 	identified  bool        // the upstream has sent its path
-	idle        atomic.Bool // the upstream is an origin that does not participate
+	nonParticipating        atomic.Bool // the upstream is an origin that does not participate
 	originIndex int         // that was tried last; used by awaitBetterUpstream's goroutine until that has ended
 }
 
@@ -174,7 +174,7 @@
 	if err := validatePath(l.Path, m.cfg.Follower.Self); err != nil {
 		return err
 	}
-	s.idle.Store(l.Idle)
+	s.nonParticipating.Store(l.NonParticipating)
 	s.upstream.name = l.Path[0]
 	m.server.setUpstream(l.Path)
 	isFirst := !s.identified
@@ -222,12 +222,12 @@
 func (s *upstreamSession) hasBetterUpstream(ctx context.Context) bool {
 	m := s.member
 	if s.selection.Discovery {
-		return s.idle.Load() && m.tryNextOrigin(ctx, &s.originIndex, false)
+		return s.nonParticipating.Load() && m.probeNextOrigin(ctx, &s.originIndex, false)
 	}
 	m.mu.Lock()
 	isBetter := m.selector.ShouldSwitch(m.now(), s.selection)
 	m.mu.Unlock()
-	return isBetter || m.shouldFollowOrigin() && m.tryNextOrigin(ctx, &s.originIndex, false)
+	return isBetter || m.shouldFollowOrigin() && m.probeNextOrigin(ctx, &s.originIndex, false)
 }
 
 // shouldFollowOrigin reports whether this member is one of those that subscribe to an origin.
@@ -237,18 +237,18 @@
 	return m.selector.Rank() < m.cfg.Selector.Roots
 }
 
-// tryNextOrigin asks the next origin whether it participates, or with acceptIdle whether it answers at all, and tells
+// probeNextOrigin asks the next origin whether it participates, or with acceptIdle whether it answers at all, and tells
 // the selector if so. This prevents a member from staying with a peer, or without an upstream, when a cut has healed,
 // for as long as the selector avoids origins that were unreachable. Only members that are to subscribe to an origin
 // ask, each once in upstreamCheckInterval.
-func (m *Member) tryNextOrigin(ctx context.Context, originIndex *int, acceptIdle bool) bool {
+func (m *Member) probeNextOrigin(ctx context.Context, originIndex *int, acceptNonParticipating bool) bool {
 	*originIndex++
 	origin := m.cfg.Origins[*originIndex%len(m.cfg.Origins)]
 	status, err := m.client.probeOrigin(ctx, origin)
 	if err != nil {
 		return false
 	}
-	isAccepted := status == http.StatusNoContent || acceptIdle && status == http.StatusResetContent
+	isAccepted := status == http.StatusNoContent || acceptNonParticipating && status == http.StatusResetContent
 	if !isAccepted {
 		return false
 	}
--- a/internal/controlplane/transport/watch.go
+++ b/internal/controlplane/transport/watch.go
@@ -126,7 +126,7 @@
 // watchProgress is what a subscriber has received.
 type watchProgress struct {
 	path     []string
-	idle     bool
+	nonParticipating     bool
 	revision controlplane.Revision
 }
 
@@ -134,11 +134,11 @@
 // line. The channel is closed at the next change.
 func (s *subscriptionServer) nextLines(watch *watchProgress) (lines []byte, changed <-chan struct{}) {
 	s.mu.Lock()
-	path, idle, revision, frame, changed := s.path, s.idle, s.revision, s.frame, s.changed
+	path, idle, revision, frame, changed := s.path, s.nonParticipating, s.revision, s.frame, s.changed
 	s.mu.Unlock()
-	if !isSameSlice(watch.path, path) || watch.idle != idle {
-		watch.path, watch.idle = path, idle
-		lines, _ = json.Marshal(line{Path: path, Revision: &revision, Idle: idle}) // can always be encoded
+	if !isSameSlice(watch.path, path) || watch.nonParticipating != idle {
+		watch.path, watch.nonParticipating = path, idle
+		lines, _ = json.Marshal(line{Path: path, Revision: &revision, NonParticipating: idle}) // can always be encoded
 		lines = append(lines, '\n')
 	}
 	// A frame that conflicts with the subscriber's (the same version with another hash) is sent, too: the subscriber
