--- a/internal/controlplane/transport/allowedlistener.go
+++ b/internal/controlplane/transport/allowedlistener.go
@@ -7,7 +7,7 @@
 	"go4.org/netipx"
 )
 
-// allowedListener closes connections from other networks before anything is read.
+// allowedListener closes connections from networks that are not allowed before it reads any data from them.
 type allowedListener struct {
 	net.Listener
 	allowed *netipx.IPSet
@@ -20,7 +20,7 @@
 		if err != nil {
 			return nil, err
 		}
-		remote, _ := netip.ParseAddrPort(conn.RemoteAddr().String()) // the zero address is in no network
+		remote, _ := netip.ParseAddrPort(conn.RemoteAddr().String()) // after an error, no network contains the address
 		if l.allowed.Contains(remote.Addr().Unmap()) {
 			return conn, nil
 		}
--- a/internal/controlplane/transport/cachefile.go
+++ b/internal/controlplane/transport/cachefile.go
@@ -12,22 +12,27 @@
 )
 
 const (
-	// cacheFileName is the file of the last known snapshot in a member's directory. It is replaced as a whole. Its
-	// modification time is when an upstream last confirmed its content, by this machine's clock.
+	// cacheFileName is the name of the file with the last known snapshot in a member's directory. Each update replaces
+	// the whole file. Its modification time is the time, by this machine's clock, at which an upstream last confirmed
+	// the content.
 	cacheFileName = "last-known.json"
-	// maxCacheFileSize is in bytes.
+	// maxCacheFileSize limits the size in bytes of a cache file that is loaded.
 	maxCacheFileSize = 2 * MaxLineSize
 )
 
-// cacheFileSizeError says that a cache file is too large to be one.
-type cacheFileSizeError struct{ path string }
+// cacheFileSizeError reports a cache file that is larger than maxCacheFileSize.
+type cacheFileSizeError struct {
+	path string
+	size int64
+}
 
 func (e *cacheFileSizeError) Error() string {
-	return fmt.Sprintf("%s is larger than %d bytes", e.path, maxCacheFileSize)
+	return fmt.Sprintf("%s has %d bytes, want at most %d", e.path, e.size, maxCacheFileSize)
 }
 
-// loadCachedSnapshot reads the cache file in dir and when its content was last confirmed. It returns nil if there is
-// none. A file that cannot be read is an error, and nothing of it is used; the core verifies the text by its hash.
+// loadCachedSnapshot returns the content of the cache file in dir and the time at which it was last confirmed. The
+// snapshot is nil if there is no file. If the file cannot be read or decoded, loadCachedSnapshot returns an error and
+// no snapshot. The core verifies the text by its hash.
 func loadCachedSnapshot(dir string) (*controlplane.CachedSnapshot, time.Time, error) {
 	path := filepath.Join(dir, cacheFileName)
 	info, err := os.Stat(path)
@@ -38,7 +43,7 @@
 		return nil, time.Time{}, err
 	}
 	if info.Size() > maxCacheFileSize {
-		return nil, time.Time{}, &cacheFileSizeError{path}
+		return nil, time.Time{}, &cacheFileSizeError{path, info.Size()}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +51,7 @@
 	}
 	cached := new(controlplane.CachedSnapshot)
 	if err := json.Unmarshal(text, cached); err != nil {
-		return nil, time.Time{}, fmt.Errorf("%s: %w", path, err)
+		return nil, time.Time{}, fmt.Errorf("decode %s: %w", path, err)
 	}
 	return cached, info.ModTime(), nil
 }
@@ -62,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // after the rename there is no such file
+	defer func() { _ = os.Remove(file.Name()) }() // fails after the rename, when this file no longer exists
 	_, err = file.Write(text)
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
@@ -82,7 +87,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// touchCachedSnapshot records that an upstream confirms the content of the cache file now.
+// touchCachedSnapshot sets the modification time of the cache file to now, because an upstream confirms the content.
 func touchCachedSnapshot(dir string) {
 	now := time.Now()
 	_ = os.Chtimes(filepath.Join(dir, cacheFileName), now, now) // there may be no file yet
--- a/internal/controlplane/transport/cachewriter.go
+++ b/internal/controlplane/transport/cachewriter.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	// cacheTouchInterval is how often the cache file's modification time is renewed while there is an upstream. A
-	// higher value writes less, and lets a restarted member take the file for older than it is.
+	// cacheTouchInterval is the time between updates of the cache file's modification time while there is an upstream.
+	// A higher value writes less often, but a restarted member may overestimate the age of its snapshot by more.
 	cacheTouchInterval = 30 * time.Second
-	// cacheErrorInterval is the shortest time between two log lines on writes that fail. A higher value writes fewer.
+	// cacheErrorInterval is the minimum time between two log lines about failed writes. A higher value logs fewer of
+	// them.
 	cacheErrorInterval = 10 * time.Second
 )
 
-// saveSnapshots writes the latest snapshot to the cache file.
+// saveSnapshots writes each new snapshot to the cache file, or only the latest one if they arrive faster than they can
+// be written. It runs until ctx is done.
 func (m *Member) saveSnapshots(ctx context.Context) {
 	touch := time.NewTicker(cacheTouchInterval)
 	defer touch.Stop()
@@ -34,7 +36,7 @@
 			err := saveCachedSnapshot(m.cfg.CacheDir, cached)
 			if err != nil && time.Since(loggedAt) > cacheErrorInterval {
 				loggedAt = time.Now()
-				m.cfg.Log.Error("configuration cannot be cached, a restart would begin with an older one",
+				m.cfg.Log.Error("cannot write configuration cache; a restart would begin with an older snapshot",
 					keyComponent, memberComponent, keyError, err)
 			}
 		}
--- a/internal/controlplane/transport/latest.go
+++ b/internal/controlplane/transport/latest.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// latest passes values to a goroutine that is slower than they come: only the latest one is retained.
+// latest passes values to a goroutine that may be slower than the sender. It retains only the latest value.
 type latest[T any] struct {
-	wake chan struct{} // receives after each put; has room for one
+	wake chan struct{} // gets a value after each put; buffers one
 
 	mu    sync.Mutex
-	value *T // nil if it was taken
+	value *T // nil if there is none
 }
 
 func newLatest[T any]() latest[T] { return latest[T]{wake: make(chan struct{}, 1)} }
 
-// put replaces the value and wakes the receiver.
+// put replaces the value and wakes the receiving goroutine.
 func (l *latest[T]) put(value *T) {
 	l.mu.Lock()
 	l.value = value
@@ -32,7 +32,8 @@
 	return value
 }
 
-// putBack returns a value that could not be used, unless there is a later one. It does not wake the receiver.
+// putBack stores a value again that was taken and could not be used, unless there is a later one by now. It does not
+// wake the receiving goroutine.
 func (l *latest[T]) putBack(value *T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/transport/logging.go
+++ b/internal/controlplane/transport/logging.go
@@ -6,7 +6,7 @@
 	originComponent = "origin"
 )
 
-// Keys of the attributes of log lines.
+// Keys of log attributes.
 const (
 	keyComponent = "component"
 	keyCount     = "count"
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -16,73 +16,74 @@
 )
 
 const (
-	// memberQueueSize is how many events may wait for the event loop. A higher value tolerates longer bursts, and takes
-	// more memory.
+	// memberQueueSize limits the events that wait for the event loop. A higher value tolerates longer bursts, but
+	// takes more memory.
 	memberQueueSize = 256
-	// maxConcurrentFetches is how many snapshots are fetched from peers at a time. A higher value finds one sooner that
-	// has the snapshot, and receives it more often in vain.
+	// maxConcurrentFetches limits the concurrent fetches of snapshots from peers. A higher value finds a peer that has
+	// the snapshot sooner, but fetches the same snapshot several times more often.
 	maxConcurrentFetches = 2
-	// stateTimeout is how long State, and the state of an origin, waits for the event loop.
+	// stateTimeout limits how long State, and a request for an origin's state or snapshot, waits for the event loop.
 	stateTimeout = time.Second
-	// fallbackRate is how many members a second, of the whole cluster, subscribe to one origin because they have nobody
-	// else. This prevents a cluster whose members start at once, and have not heard of each other yet, from overloading
-	// the origins. A higher value starts such a cluster sooner.
+	// fallbackRate is the number of members of the whole cluster that subscribe to one origin per second because they
+	// have no other upstream. The limit keeps members that start at the same time, and do not know each other yet,
+	// from overloading the origins. A higher value lets such a cluster start sooner.
 	fallbackRate = 20.0
-	// cacheDirMode is the mode of the directory of the cache file.
 	cacheDirMode = 0o755
 )
 
-// errNoOrigins says that MemberConfig.Origins is empty.
-var errNoOrigins = errors.New("config: origins are wanted")
+// errNoOrigins reports that MemberConfig.Origins is empty.
+var errNoOrigins = errors.New("config.origins: the list is empty, want at least one HOST:PORT")
 
 // MemberConfig configures a Member.
 type MemberConfig struct {
-	Follower       controlplane.FollowerConfig // Cached is read from CacheDir
-	Origins        []string                    // addresses, HOST:PORT
-	Selector       bootstrap.Config            // who subscribes to an origin and who to another member
+	Follower       controlplane.FollowerConfig // NewMember sets Cached from the cache file
+	Origins        []string                    // addresses in the form HOST:PORT
+	Selector       bootstrap.Config            // selects an origin or another member as the upstream
 	MaxSubscribers int
-	CacheDir       string // of the cache file; empty: no snapshot is stored
-	// Apply puts a snapshot in force completely, or returns an error and changes nothing. It is called from a goroutine
-	// of its own, one call at a time, and may block.
+	CacheDir       string // directory of the cache file; empty: no snapshot is stored
+	// Apply activates a snapshot completely, or returns an error and changes nothing. It may block: all calls come one
+	// after the other from a goroutine that does nothing else.
 	Apply func(*controlplane.Snapshot) error
-	// OnRevision is called with the revision that this member passes on, at each change, from Run's goroutine. It
-	// must not block. It may be nil.
+	// OnRevision is called from Run's goroutine with each new revision that this member passes on to its subscribers.
+	// It must not block. It may be nil.
 	OnRevision func(controlplane.Revision)
 	Dial       DialFunc // nil: net.Dialer
 	Log        *slog.Logger
 }
 
-// Member is a sidecar's part in the distribution of configuration. Its methods may be called from any goroutine.
+// Member distributes configuration on behalf of one sidecar: it subscribes to an upstream, applies the snapshots that
+// it receives, and serves them to its own subscribers. Its methods may be called from any goroutine.
 type Member struct {
-	cfg            MemberConfig
-	core           *controlplane.Follower // used by Run's goroutine only
-	initialActions []controlplane.Action  // of the core
-	startedAt      time.Time
-	cacheConfirmedAt       time.Time // when the cached snapshot was last confirmed before the start; zero if there was none
-	server         *subscriptionServer
-	client         *peerClient
-	events         chan memberEvent
-	toApply        chan *controlplane.Snapshot
-	fetchSlots     chan struct{}
-	toSave         latest[controlplane.CachedSnapshot]
-	reports        latest[controlplane.Report]
-	// ready is closed by Run's goroutine once the revision that an upstream has announced is in force, or was rejected,
-	// or the upstream has announced that it has none.
+	cfg              MemberConfig
+	core             *controlplane.Follower // used by Run's goroutine only
+	initialActions   []controlplane.Action  // from the core's constructor, not executed yet
+	startedAt        time.Time
+	cacheConfirmedAt time.Time // when the cached snapshot was last confirmed before the start; zero if there was none
+	server           *subscriptionServer
+	client           *peerClient
+	events           chan memberEvent
+	toApply          chan *controlplane.Snapshot
+	fetchSlots       chan struct{}
+	toSave           latest[controlplane.CachedSnapshot]
+	reports          latest[controlplane.Report]
+	// ready is closed by Run's goroutine once an upstream has announced a revision that is now active or was rejected,
+	// or has announced that it has none.
 	ready         chan struct{}
 	stopped       chan struct{} // closed when Run takes no more events
 	bytesReceived atomic.Int64  // of snapshots from upstreams
 
 	subscribeFromMu sync.Mutex
-	subscribeFrom   controlplane.Revision // published by the core: the next subscription asks for later ones
+	subscribeFrom   controlplane.Revision // published by the core; the next subscription requests later ones
 
 	mu            sync.Mutex
 	selector      *bootstrap.Selector
-	viewChanged   chan struct{} // closed and replaced when the selector learns of other members
+	viewChanged   chan struct{} // closed and replaced when the selector's membership view is updated
 	upstream      *target       // nil if there is none
-	upstreamCount int           // since the start
+	upstreamCount int           // subscriptions since the start
 }
 
-// NewMember returns a Member. It makes no request before Run. A cache file that cannot be read is logged and not used.
+// NewMember returns a Member, which sends no requests before Run. If the cache file cannot be loaded, NewMember logs
+// the error and starts without a cached snapshot.
 func NewMember(c MemberConfig) (*Member, error) {
 	if len(c.Origins) == 0 {
 		return nil, errNoOrigins
@@ -120,7 +121,7 @@
 	return m, nil
 }
 
-// loadCache makes the directory of the cache file and reads the file into the core's configuration.
+// loadCache creates the directory of the cache file if necessary, and loads the file into the core's configuration.
 func (m *Member) loadCache() error {
 	if m.cfg.CacheDir == "" {
 		return nil
@@ -131,16 +132,17 @@
 	var err error
 	m.cfg.Follower.Cached, m.cacheConfirmedAt, err = loadCachedSnapshot(m.cfg.CacheDir)
 	if err != nil {
-		m.cfg.Log.Error("cached configuration cannot be read", keyComponent, memberComponent, keyError, err)
+		m.cfg.Log.Error("cannot load configuration cache; starting without it",
+			keyComponent, memberComponent, keyError, err)
 	}
 	return nil
 }
 
-// Handler serves the subscribers of this member.
+// Handler returns the handler for the requests of this member's subscribers and of its peers.
 func (m *Member) Handler() http.Handler { return m.server }
 
-// UpdateMembers tells the member which others are alive, and whether this one has joined the cluster. It does not
-// block.
+// UpdateMembers sets the membership view: the other live members, and whether this one has joined the cluster. It does
+// not block.
 func (m *Member) UpdateMembers(others []bootstrap.Member, joined bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -149,7 +151,7 @@
 	m.viewChanged = make(chan struct{})
 }
 
-// ReceivePeerRevision tells the member which revision another one announces. It does not block: if the queue is full,
+// ReceivePeerRevision passes on the revision that another member announces. It does not block: if the queue is full,
 // the announcement is dropped, and the peer's next datagram repeats it.
 func (m *Member) ReceivePeerRevision(name, addr string, epoch, version uint64) {
 	announced := controlplane.PeerRevision{
@@ -163,8 +165,9 @@
 	}
 }
 
-// WaitReady waits until the revision that an upstream has announced is in force or was rejected, ctx is done or timeout
-// has passed. It returns which configuration the process starts with, as text for the log.
+// WaitReady waits until an upstream has announced a revision that is now active or was rejected, or has announced that
+// it has none. It returns earlier if ctx is done or timeout has passed. The result describes, for the log, the
+// configuration with which the process starts.
 func (m *Member) WaitReady(ctx context.Context, timeout time.Duration) string {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -176,16 +179,16 @@
 	state, ok := m.State()
 	switch {
 	case !ok:
-		return "nobody has said which configuration holds"
+		return fmt.Sprintf("active revision unknown: the event loop has not answered within %v", stateTimeout)
 	case state.Ready:
-		return "acting on " + state.Active.String()
+		return "active revision: " + state.Active.String()
 	case state.Active.IsZero():
-		return fmt.Sprintf("no origin and no member has answered in %v, and nothing is known from before: "+
-			"the platform's settings hold", timeout)
+		return fmt.Sprintf("no configuration of an origin or a member became active within %v, "+
+			"and there is no usable cached snapshot: the platform's settings apply", timeout)
 	}
-	return fmt.Sprintf("no origin and no member has answered in %v: acting on the last known one, %v, confirmed %s ago",
-		timeout, state.Active, state.CachedAge)
+	return fmt.Sprintf("no configuration of an origin or a member became active within %v: "+
+		"acting on the last known one, %v, confirmed %s ago", timeout, state.Active, state.CachedAge)
 }
 
-// now is the core's time: since the member was made.
+// now returns the core's time: the time since NewMember.
 func (m *Member) now() time.Duration { return time.Since(m.startedAt) }
--- a/internal/controlplane/transport/member_test.go
+++ b/internal/controlplane/transport/member_test.go
@@ -21,9 +21,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// A change reaches a member through another one, is in force at both, and is reported to the origin as the sum of both.
-// Then the origin fails. Both members could stay without changes. The other origin is subscribed to, through the same
-// tree.
+// A change reaches one member through another, becomes active at both, and the origin receives one report that counts
+// both. When that origin fails, the member at the top of the tree has to subscribe to the other origin; otherwise no
+// further change would reach either member.
 func TestChangePropagatesAndIsReported(t *testing.T) {
 	t.Parallel()
 	origins := []*fakeUpstream{newFakeUpstream(t, "o1", nil), newFakeUpstream(t, "o2", nil)}
@@ -33,78 +33,81 @@
 		}
 	}
 	publish(testFrame(1, "# one"))
-	first := startMember(t, "m1", t.TempDir(), origins[0].addr, origins[1].addr) // the selector's order
-	awaitVersion(t, "version 1 is in force at the first member", 1, first)
+	// The hash of the member's name decides to which origin it subscribes.
+	first := startMember(t, "m1", t.TempDir(), origins[0].addr, origins[1].addr)
+	awaitVersion(t, "version 1 is active at the first member", 1, first)
 	second := startMember(t, "m2", t.TempDir(), origins[0].addr, origins[1].addr)
 	introduce(first, second)
-	awaitVersion(t, "version 1 is in force at both members", 1, second)
+	awaitVersion(t, "version 1 is active at both members", 1, second)
 	testutil.Until(t, "the origins have reports of both members", func() bool {
 		return reportedMembers(origins[0].currentReports())+reportedMembers(origins[1].currentReports()) == 2
 	})
+	// used is the origin that the top of the tree subscribes to.
 	used, other := origins[0], origins[1]
 	if reportedMembers(other.currentReports()) > 0 {
 		used, other = other, used
 	}
 	publish(testFrame(2, "# two"))
-	awaitVersion(t, "version 2 is in force at both members", 2, first, second)
-	testutil.Until(t, "the origin has a report that version 2 is in force at both", func() bool {
+	awaitVersion(t, "version 2 is active at both members", 2, first, second)
+	testutil.Until(t, "the origin has a report that version 2 is active at both members", func() bool {
 		return slices.ContainsFunc(used.currentReports(), func(r controlplane.Report) bool {
 			return len(r.Active) == 1 && r.Active[0].Revision.Version == 2 && r.Active[0].Count == 2
 		})
 	})
 	used.fail()
 	other.publish(testFrame(3, "# three"))
-	awaitVersion(t, "version 3, of the other origin, is in force at both members", 3, first, second)
+	awaitVersion(t, "version 3 of the other origin is active at both members", 3, first, second)
 	state, _ := first.State()
 	if !state.Ready || state.Active.Version != 3 || state.Upstream != other.self || state.FromCache {
-		t.Errorf("state is %+v, want version 3 of %s in force", state, other.self)
+		t.Errorf("state is %+v, want version 3 from %s active", state, other.self)
 	}
 }
 
-// A member of an older version rejects a key that it does not know and stays with the last valid snapshot. Its
-// subscribers get the new snapshot all the same, and the origin learns who rejects it and why.
+// A member of an older program version rejects a snapshot with an unknown key and keeps the last valid snapshot
+// active. Nevertheless it relays the new snapshot to its subscribers, and the origin receives its name and the reason
+// for the rejection.
 func TestOlderVersionRelaysSnapshotsItRejects(t *testing.T) {
 	t.Parallel()
-	source := newFakeUpstream(t, "o1", nil)
-	source.publish(testFrame(1, "# one"))
+	upstream := newFakeUpstream(t, "o1", nil)
+	upstream.publish(testFrame(1, "# one"))
 	parseWithoutPrice := func(text []byte) (*controlplane.Snapshot, error) {
 		if strings.Contains(string(text), "[price]") {
 			return nil, errors.New("1:2: no such key: price")
 		}
 		return controlplane.ParseSnapshot(text)
 	}
-	older := startMemberWithParser(t, parseWithoutPrice, "m1", "", source.addr)
-	awaitVersion(t, "version 1 is in force at the older member", 1, older)
-	newer := startMember(t, "m2", "", source.addr)
+	older := startMemberWithParser(t, parseWithoutPrice, "m1", "", upstream.addr)
+	awaitVersion(t, "version 1 is active at the older member", 1, older)
+	newer := startMember(t, "m2", "", upstream.addr)
 	introduce(older, newer)
 	testutil.Until(t, "one of the members subscribes to the other", func() bool {
 		return older.subscribesTo("m2") || newer.subscribesTo("m1")
 	})
-	source.publish(testFrame(2, "[price]\nprobe = 0.5\n"))
-	awaitVersion(t, "version 2 is in force at the newer member", 2, newer)
+	upstream.publish(testFrame(2, "[price]\nprobe = 0.5\n"))
+	awaitVersion(t, "version 2 is active at the newer member", 2, newer)
 	isRejection := func(l controlplane.Laggard) bool {
 		return l.Name == "m1" && l.Reason == controlplane.ReasonRejected &&
 			strings.Contains(l.Error, "no such key: price") && l.Active.Version == 1
 	}
-	testutil.Until(t, "the origin has a report of both members and of the rejection", func() bool {
-		reports := source.currentReports()
+	testutil.Until(t, "the origin has reports that count both members and name the rejection", func() bool {
+		reports := upstream.currentReports()
 		return reportedMembers(reports) == 2 && slices.ContainsFunc(reports, func(r controlplane.Report) bool {
 			return slices.ContainsFunc(r.Laggards, isRejection)
 		})
 	})
 	if version := older.activeVersion(); version != 1 {
-		t.Errorf("version %d is in force at the older member, want 1", version)
+		t.Errorf("version %d is active at the older member, want 1", version)
 	}
 }
 
-// An origin answers, but does not participate in the consensus, and learns of no changes. Its subscribers would act on
-// an old configuration. They go to another origin that participates, and stay while there is none.
-func TestSubscriberLeavesIdleOrigin(t *testing.T) {
+// An origin that does not participate in the consensus receives no changes, so its subscribers would keep an old
+// configuration. They have to switch to another origin that participates, and stay as long as there is none.
+func TestSubscriberLeavesNonParticipatingOrigin(t *testing.T) {
 	t.Parallel()
 	first, second := newFakeUpstream(t, "idle", nil), newFakeUpstream(t, "good", nil)
-	for _, source := range []*fakeUpstream{first, second} {
-		source.setParticipating(false)
-		source.publish(testFrame(1, "# one"))
+	for _, upstream := range []*fakeUpstream{first, second} {
+		upstream.setParticipating(false)
+		upstream.publish(testFrame(1, "# one"))
 	}
 	m := startMember(t, "m", "", orderOrigins("m", first.addr, second.addr)...)
 	testutil.Until(t, "the member subscribes to the first origin", func() bool {
@@ -117,23 +120,23 @@
 	})
 }
 
-// writeText writes part of a response. A member that has disconnected is what the tests wait for.
+// writeText writes part of a response. Callers may ignore the error: the member is expected to disconnect.
 func writeText(w io.Writer, text string) error {
 	_, err := io.WriteString(w, text)
 	return err
 }
 
-// writeTooLongFrame writes a frame whose text exceeds the limit once it is unpacked.
+// writeTooLongFrame writes a compressed frame whose text exceeds the limit when it is decompressed.
 func writeTooLongFrame(w io.Writer) {
 	packed := pack(testFrame(1, "# "+strings.Repeat("x", 2*controlplane.MaxSnapshotSize)))
 	packed.Path = []string{"bad"}
 	encoder := json.NewEncoder(w)
-	_ = encoder.Encode(packed) // the path, by which the member knows who it is
+	_ = encoder.Encode(packed) // the line with the path comes first
 	packed.Path = nil
 	_ = encoder.Encode(packed)
 }
 
-// writeCircularPath writes a path that contains the member, and keep-alives for as long as the member stays.
+// writeCircularPath writes a path that contains the member itself, and then keep-alives until the member disconnects.
 func writeCircularPath(w http.ResponseWriter) {
 	err := writeText(w, `{"path":["bad","m","o1"]}`+"\n")
 	for ; err == nil; time.Sleep(50 * time.Millisecond) {
@@ -143,8 +146,8 @@
 	}
 }
 
-// An upstream sends lines that are too long, cut, or of another cluster. The member could take them, end, or stay with
-// that upstream. It closes that connection only, keeps what it has and subscribes to the next origin.
+// An upstream sends lines that are too long, truncated, malformed or of another cluster. The member must not accept
+// such data, terminate, or stay with that upstream: it closes only that connection and subscribes to the next origin.
 func TestMalformedUpstreams(t *testing.T) {
 	t.Parallel()
 	good := newFakeUpstream(t, "good", nil)
@@ -174,15 +177,15 @@
 				respond(w)
 			}))
 			m := startMember(t, "m", "", orderOrigins("m", bad.addr, good.addr)...)
-			testutil.Receive(t, requested, "a request to the malformed upstream")
-			awaitVersion(t, "the good origin's version is in force", 1, m)
+			testutil.Receive(t, requested, "a request to the upstream that sends malformed data")
+			awaitVersion(t, "the version of the good origin is active", 1, m)
 			m.stop()
 		})
 	}
 }
 
-// An upstream stalls in the middle of a frame, and its connection stays open. The member would wait for the rest and
-// miss each change. It leaves the upstream for another one.
+// An upstream stalls in the middle of a frame while its connection stays open. A member that waited for the rest of
+// the frame would miss all further changes; it has to switch to another upstream.
 func TestStalledUpstream(t *testing.T) {
 	t.Parallel()
 	good := newFakeUpstream(t, "good", nil)
@@ -196,15 +199,15 @@
 	m := startMember(t, "m", "", orderOrigins("m", stalled.addr, good.addr)...)
 	testutil.Receive(t, requested, "a request to the upstream that stalls")
 	good.publish(testFrame(1, "# one"))
-	awaitVersion(t, "the good origin's version is in force", 1, m)
+	awaitVersion(t, "the version of the good origin is active", 1, m)
 }
 
-// A subscriber does not read. It could hold its place for ever, or delay the others. It is disconnected, and the others
-// receive each change in time.
+// A subscriber does not read the data that it is sent. It must neither count towards the limit of subscribers for ever
+// nor delay the others: it is disconnected, while another subscriber receives every change.
 func TestSlowSubscriberIsDisconnected(t *testing.T) {
 	t.Parallel()
-	source := newFakeUpstream(t, "o", nil)
-	conn, err := net.Dial("tcp", source.addr)
+	upstream := newFakeUpstream(t, "o", nil)
+	conn, err := net.Dial("tcp", upstream.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,34 +223,34 @@
 	if _, err := bufio.NewReaderSize(conn, 16).ReadByte(); err != nil {
 		t.Fatal(err)
 	}
-	m := startMember(t, "m", "", source.addr)
+	m := startMember(t, "m", "", upstream.addr)
 	random := make([]byte, controlplane.MaxSnapshotSize/2-10) // cannot be compressed
 	_, _ = rand.Read(random)                                  // never fails
 	text := "# " + hex.EncodeToString(random)
 	versions := uint64(0)
 	testutil.Until(t, "the slow subscriber is disconnected, and the other one has the latest version", func() bool {
-		if source.state().Subscribers == 2 || versions == 0 {
+		if upstream.state().Subscribers == 2 || versions == 0 {
 			versions++
-			source.publish(testFrame(versions, text))
+			upstream.publish(testFrame(versions, text))
 		}
-		return source.state().Subscribers == 1 && m.activeVersion() == versions
+		return upstream.state().Subscribers == 1 && m.activeVersion() == versions
 	})
 	if versions == 0 {
-		t.Error("nothing was published")
+		t.Error("no version was published")
 	}
 }
 
-// A member restarts while no origin answers. It could start without a configuration, or act on an old one without
-// anybody seeing that. It begins with its cached snapshot, and says so and how old that is until an origin confirms it.
-// A damaged cache file is not used.
+// A member that restarts while no origin is reachable activates its cached snapshot. Its state and its message for the
+// log show this and the age of the snapshot until an origin confirms it, so that operators notice an old
+// configuration. A damaged cache file is not used.
 func TestRestartFromCachedSnapshot(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	source := newFakeUpstream(t, "o", nil)
-	source.publish(testFrame(4, "# four"))
-	m := startMember(t, "m", dir, source.addr)
-	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "acting on 1.4" {
-		t.Error(text)
+	upstream := newFakeUpstream(t, "o", nil)
+	upstream.publish(testFrame(4, "# four"))
+	m := startMember(t, "m", dir, upstream.addr)
+	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "active revision: 1.4" {
+		t.Errorf("WaitReady returns %q, want revision 1.4", text)
 	}
 	path := filepath.Join(dir, cacheFileName)
 	testutil.Until(t, "the snapshot is stored", func() bool { _, err := os.Stat(path); return err == nil })
@@ -257,18 +260,18 @@
 		t.Fatal(err)
 	}
 	m = startMember(t, "m", dir, unreachableOrigin)
-	awaitVersion(t, "the cached snapshot is in force", 4, m)
+	awaitVersion(t, "the cached snapshot is active", 4, m)
 	text := m.WaitReady(t.Context(), 50*time.Millisecond)
 	if !strings.Contains(text, "the last known one, 1.4, confirmed 25h0m") {
-		t.Error(text)
+		t.Errorf("WaitReady returns %q, want the last known revision of 25 hours ago", text)
 	}
 	if s, _ := m.State(); !s.FromCache || s.Ready || !strings.HasPrefix(s.CachedAge, "25h0m") {
-		t.Errorf("state is %+v, want an unconfirmed snapshot of 25 hours ago", s)
+		t.Errorf("state is %+v, want an unconfirmed snapshot that is 25 hours old", s)
 	}
 	m.stop()
-	m = startMember(t, "m", dir, source.addr)
-	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "acting on 1.4" {
-		t.Error(text)
+	m = startMember(t, "m", dir, upstream.addr)
+	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "active revision: 1.4" {
+		t.Errorf("WaitReady returns %q, want revision 1.4", text)
 	}
 	m.stop()
 	stored, err := os.ReadFile(path)
@@ -278,7 +281,7 @@
 	}
 	m = startMember(t, "m", dir, unreachableOrigin)
 	text = m.WaitReady(t.Context(), 50*time.Millisecond)
-	if !strings.Contains(text, "nothing is known from before") {
-		t.Error(text)
+	if !strings.Contains(text, "there is no usable cached snapshot: the platform's settings apply") {
+		t.Errorf("WaitReady returns %q, want no usable cached snapshot", text)
 	}
 }
--- a/internal/controlplane/transport/memberloop.go
+++ b/internal/controlplane/transport/memberloop.go
@@ -11,24 +11,26 @@
 // memberEvent is an input of a member's event loop: coreEvent, stateRequest or upstreamAnnounced.
 type memberEvent interface{ memberEvent() }
 
-// coreEvent is handled by the core.
+// coreEvent carries an event for the core.
 type coreEvent struct{ event controlplane.Event }
 
-// stateRequest asks for the member's state.
+// stateRequest requests the member's state.
 type stateRequest struct{ response chan<- MemberState }
 
-// upstreamAnnounced is that an upstream answers, or has another path.
+// upstreamAnnounced reports that an upstream has sent its path and its revision: at the start of a subscription, or
+// because the path has changed.
 type upstreamAnnounced struct {
-	from     string
-	revision controlplane.Revision // that it has
-	isFirst  bool                  // in this subscription
+	from     string                // name of the upstream
+	revision controlplane.Revision // of the upstream
+	isFirst  bool                  // first announcement of this subscription
 }
 
 func (coreEvent) memberEvent()         {}
 func (stateRequest) memberEvent()      {}
 func (upstreamAnnounced) memberEvent() {}
 
-// post hands an event to the event loop. It waits for room in the queue; once Run has stopped the event is dropped.
+// post sends an event to the event loop. It blocks while the queue is full. Once Run has stopped, the event is
+// dropped.
 func (m *Member) post(event memberEvent) {
 	select {
 	case m.events <- event:
@@ -36,16 +38,16 @@
 	}
 }
 
-// memberLoop is the event loop of a member: the one goroutine that uses its core.
+// memberLoop is the event loop of a member. Only its goroutine uses the core.
 type memberLoop struct {
 	*Member
-	tasks     *sync.WaitGroup        // fetches
-	published controlplane.Revision  // as the callbacks know it
-	announced *controlplane.Revision // by an upstream, last; nil: by none yet
+	tasks     *sync.WaitGroup        // fetches are added to it; Run waits for all
+	published controlplane.Revision  // last one passed to OnRevision
+	announced *controlplane.Revision // last one that an upstream announced; nil if none has yet
 	isReady   bool
 }
 
-// Run takes part in the distribution until ctx is done. It returns when all goroutines that it started have ended.
+// Run distributes configuration until ctx is done. It returns when all goroutines that it started have ended.
 func (m *Member) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	tasks.Go(func() { m.applySnapshots(ctx) })
@@ -97,7 +99,7 @@
 	}
 }
 
-// updatePublished passes a change of the published revision on: to OnRevision, and to the next subscription.
+// updatePublished passes a changed published revision to OnRevision and to the next subscription.
 func (l *memberLoop) updatePublished(published controlplane.Revision) {
 	if published == l.published {
 		return
@@ -111,8 +113,9 @@
 	l.subscribeFromMu.Unlock()
 }
 
-// updateReady closes ready once the announced revision is in force or was rejected. It decides when a process that
-// starts takes its first requests: not before it acts on what the cluster acts on, if somebody has said what that is.
+// updateReady closes ready once the announced revision is active or was rejected. A process that starts waits for this
+// before it accepts requests, so that it does not serve them with other settings than the rest of the cluster. It
+// stops waiting after a timeout if no upstream announces a revision.
 func (l *memberLoop) updateReady(stats controlplane.FollowerStats) {
 	if l.isReady || l.announced == nil {
 		return
@@ -124,12 +127,12 @@
 	}
 }
 
-// execute carries out the actions of the core in order.
+// execute executes the actions of the core in order.
 func (l *memberLoop) execute(ctx context.Context, actions []controlplane.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case controlplane.Apply:
-			l.toApply <- action.Snapshot // the core waits for the result before the next one
+			l.toApply <- action.Snapshot // does not block: the core sends the next one after the result
 		case controlplane.Save:
 			if l.cfg.CacheDir != "" {
 				l.toSave.put(&action.Cached)
@@ -147,7 +150,8 @@
 	}
 }
 
-// startFetch fetches a snapshot from a peer, unless maxConcurrentFetches are under way. Run waits for the goroutine.
+// startFetch fetches a snapshot from a peer in a goroutine, for which Run waits. If maxConcurrentFetches are already
+// running, it does nothing.
 func (l *memberLoop) startFetch(ctx context.Context, fetch controlplane.Fetch) {
 	select {
 	case l.fetchSlots <- struct{}{}:
@@ -157,13 +161,13 @@
 	l.tasks.Go(func() {
 		defer func() { <-l.fetchSlots }()
 		frame, err := l.client.fetchSnapshot(ctx, fetch.Address)
-		if err == nil { // otherwise the core fetches again
+		if err == nil { // after an error, the core requests another fetch
 			l.post(coreEvent{controlplane.SnapshotReceived{From: fetch.Name, Frame: frame}})
 		}
 	})
 }
 
-// applySnapshots puts snapshots in force, one at a time.
+// applySnapshots applies the core's snapshots one at a time until ctx is done.
 func (m *Member) applySnapshots(ctx context.Context) {
 	for {
 		select {
--- a/internal/controlplane/transport/memberstate.go
+++ b/internal/controlplane/transport/memberstate.go
@@ -9,22 +9,22 @@
 // MemberState is the state of a Member, for operators.
 type MemberState struct {
 	controlplane.FollowerStats
-	Highest controlplane.Revision `json:"highest"` // ever accepted
+	Highest controlplane.Revision `json:"highest"` // highest revision ever accepted
 	Ready   bool                  `json:"ready"`
-	// CachedAge is how long ago the revision in force was last confirmed; set while it comes from the cache file and no
-	// upstream has confirmed it since the start.
+	// CachedAge is the time since the active revision was last confirmed. It is set only while that revision comes
+	// from the cache file and no upstream has confirmed it since the start.
 	CachedAge      string              `json:"last_known,omitempty"`
-	UnconfirmedFor string              `json:"not_confirmed_for"`  // since an upstream confirmed the revision in force
-	Upstream       string              `json:"upstream,omitempty"` // its name; empty if there is none
+	UnconfirmedFor string              `json:"not_confirmed_for"`  // since an upstream confirmed the active revision
+	Upstream       string              `json:"upstream,omitempty"` // name of the upstream; empty if there is none
 	UpstreamAddr   string              `json:"upstream_addr,omitempty"`
-	UpstreamCount  int                 `json:"upstreams"` // since the start
-	BytesReceived  int64               `json:"got"`       // of snapshots from upstreams
+	UpstreamCount  int                 `json:"upstreams"` // subscriptions since the start
+	BytesReceived  int64               `json:"got"`       // snapshot text from upstreams
 	Report         controlplane.Report `json:"report"`    // of this member and its descendants
 	Server         serverState         `json:"serves"`
 }
 
-// State returns the state of the member. It returns false if the event loop has not answered in stateTimeout, or has
-// stopped.
+// State returns the state of the member. It returns false if the event loop does not answer within stateTimeout, for
+// instance because it has stopped.
 func (m *Member) State() (MemberState, bool) {
 	response := make(chan MemberState, 1)
 	timeout := time.After(stateTimeout)
@@ -41,7 +41,7 @@
 	}
 }
 
-// state is called by the event loop, which owns the core.
+// state returns the state of the member. Only the event loop, which owns the core, may call it.
 func (m *Member) state() MemberState {
 	stats := m.core.Stats()
 	state := MemberState{
--- a/internal/controlplane/transport/operatorclient.go
+++ b/internal/controlplane/transport/operatorclient.go
@@ -15,39 +15,41 @@
 )
 
 const (
-	// maxResponseSize is how many bytes of an origin's response are read.
+	// maxResponseSize limits the number of bytes that are read of an origin's response.
 	maxResponseSize = MaxLineSize + 4*controlplane.MaxReportSize
-	// maxQuotedResponse is how many bytes of a response that is not JSON become part of the error.
+	// maxQuotedResponse limits the number of bytes of a response that is not valid JSON that are quoted in the error.
 	maxQuotedResponse = 300
-	// operatorName is the sender in the requests of the operator's commands.
+	// operatorName is the name of the sender in the requests of the operator's commands.
 	operatorName = "operator"
 )
 
-// unconfirmedError says that no majority has confirmed the revision of an origin.
+// unconfirmedError reports that no majority of the origins has confirmed the latest revision.
 type unconfirmedError struct {
 	addr   string
 	result origin.Result
 }
 
 func (e *unconfirmedError) Error() string {
-	return fmt.Sprintf("%s has not had it confirmed by a majority: %s %s", e.addr, e.result.Outcome, e.result.Error)
+	return fmt.Sprintf("origin %s: latest revision not confirmed by a majority of the origins (outcome %s): %s",
+		e.addr, e.result.Outcome, e.result.Error)
 }
 
-// Client calls one origin on behalf of the operator's commands. Its methods may be called from any goroutine; their
-// context limits how long they take.
+// Client sends the requests of the operator's commands to one origin. Its methods may be called from any goroutine.
+// The time that they take is limited only by their context.
 type Client struct {
 	addr string
 	peer peerClient
 }
 
-// NewClient returns a client of the origin at addr, HOST:PORT, of a cluster.
+// NewClient returns a client for the origin of the given cluster at addr, in the form HOST:PORT.
 func NewClient(cluster, addr string) *Client {
-	// An origin answers a push when a majority has stored it: the caller's context limits that.
+	// An origin responds to a push only once a majority has stored it, so no timeout is set for the headers here.
 	client := newHTTPClient(nil, noTimeout)
 	return &Client{addr: addr, peer: peerClient{cluster: cluster, self: operatorName, client: client}}
 }
 
-// call sends a request and decodes the JSON of the response into result. Errors of the origin are part of the result.
+// call sends a request and decodes the JSON of the response into result, whatever the status of the response is: the
+// result tells whether the origin accepted the request.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, result any) error {
 	request, err := c.peer.newRequest(ctx, method, c.addr, path, bytes.NewReader(body))
 	if err != nil {
@@ -62,15 +64,15 @@
 	if err != nil {
 		return err
 	}
-	if json.Unmarshal(text, result) != nil { // the origin rejects malformed requests in plain text
+	if json.Unmarshal(text, result) != nil { // for instance, the origin rejects a malformed request with plain text
 		quoted := bytes.TrimSpace(text[:min(len(text), maxQuotedResponse)])
 		return &responseError{host: c.addr, status: response.Status, body: string(quoted)}
 	}
 	return nil
 }
 
-// Push proposes a text as the successor of version after, under an ID of the caller's choice. Repeating a push under
-// the same ID is safe.
+// Push proposes a text as the successor of the version after, under an ID that the caller chooses. A push may safely
+// be repeated with the same ID.
 func (c *Client) Push(ctx context.Context, id string, after uint64, text []byte) (origin.Result, error) {
 	query := url.Values{"id": {id}, "after": {strconv.FormatUint(after, 10)}}
 	var result origin.Result
@@ -78,8 +80,8 @@
 	return result, err
 }
 
-// Show returns the latest snapshot as a majority of the origins confirms it, or, if local is set, as this origin has
-// it.
+// Show returns the latest snapshot, confirmed by a majority of the origins. If local is set, it returns the latest
+// snapshot that this origin has, without confirmation.
 func (c *Client) Show(ctx context.Context, local bool) (ShowResponse, error) {
 	path := showPath
 	if local {
--- a/internal/controlplane/transport/origin.go
+++ b/internal/controlplane/transport/origin.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// originQueueSize is how many events may wait for the event loop. A higher value tolerates longer bursts, and takes
-	// more memory.
+	// originQueueSize limits the events that wait for the event loop. A higher value tolerates longer bursts, but
+	// takes more memory.
 	originQueueSize = 1024
-	// maxOriginConns limits the connections of an origin; more wait to be accepted. A higher value serves more members
-	// at once, and takes more file descriptors.
+	// maxOriginConns limits the open connections of an origin; further ones wait to be accepted. It also limits the
+	// requests that wait for a result of the node. A higher value serves more members at once, but takes more file
+	// descriptors.
 	maxOriginConns = 512
-	// defaultOriginSubscribers limits the members that follow an origin. A higher value serves more of them while few
-	// origins are up, and sends more bytes at each change.
+	// defaultOriginSubscribers limits the subscribers of an origin. A higher value serves more of them while few
+	// origins are up, but sends more bytes at each change.
 	defaultOriginSubscribers = 256
 	defaultOriginTick        = 100 * time.Millisecond // see origin.Config.TickInterval
 
-	// Limits of the HTTP server of an origin. Higher values tolerate slower clients, and let a faulty one hold a
+	// Limits of an origin's HTTP server. Higher values tolerate slower clients, but a faulty one can occupy a
 	// connection for longer.
 	headerReadTimeout = 2 * time.Second
 	idleConnTimeout   = 5 * time.Second
@@ -40,28 +41,28 @@
 	Node       origin.Config
 	Store      *store.Store
 	ListenAddr string            // HOST:PORT
-	PeerAddrs  map[string]string // addresses of the other origins, by name
-	// AllowedNetworks are those of the cluster, the operators and the other origins. Connections from elsewhere are
-	// closed before anything is read.
+	PeerAddrs  map[string]string // addresses of the origins, by name; this origin's own is ignored
+	// AllowedNetworks are the networks of the cluster, the operators and the other origins. Connections from other
+	// networks are closed before any data is read from them.
 	AllowedNetworks *netipx.IPSet
 	MaxSubscribers  int      // 0: 256
 	Dial            DialFunc // to the other origins; nil: net.Dialer
 	Log             *slog.Logger
 }
 
-// Origin is one replica of the configuration service: it runs an origin.Node on a listener, a store and a clock.
-// Besides what members serve (see the package comment) it serves
+// Origin is one replica of the configuration service. It runs an origin.Node with a listener, a store and a clock. In
+// addition to the requests that members serve (see the package comment) it serves
 //
-//	POST /config/push?after=V&id=ID   the text of a change of version V
+//	POST /config/push?after=V&id=ID   the text of a change that is based on version V
 //	GET  /config/push?id=ID           the outcome of a push
-//	GET  /config/show                 the latest snapshot, confirmed by a majority; ?local=1: as this origin has it
+//	GET  /config/show                 the latest snapshot, confirmed by a majority; ?local=1: this origin's latest
 //	GET  /config/status               the state of this origin
 //	GET  /config/alive                204 if it participates in the consensus, 205 if it does not
-//	POST /origin/message              a message of another origin
+//	POST /origin/message              a message from another origin
 type Origin struct {
 	cfg            OriginConfig
 	node           *origin.Node    // used by Run's goroutine only
-	initialActions []origin.Action // of the node
+	initialActions []origin.Action // from the node's constructor, not executed yet
 	startedAt      time.Time
 	server         *subscriptionServer
 	client         *peerClient
@@ -71,11 +72,11 @@
 	outgoing       map[string]chan []byte // messages to the other origins, by name
 
 	mu        sync.Mutex
-	waiting   map[string]chan origin.Result // requests without a result, by ID
-	readCount uint64                        // makes the IDs of reads
+	waiting   map[string]chan origin.Result // result channels of pending requests, by ID
+	readCount uint64                        // number of reads so far, from which their IDs are made
 }
 
-// NewOrigin returns an Origin that listens. It sends nothing before Run.
+// NewOrigin returns an Origin that listens for connections. It serves and sends nothing before Run.
 func NewOrigin(c OriginConfig) (*Origin, error) {
 	state, err := origin.Load(c.Store)
 	if err != nil {
@@ -119,7 +120,7 @@
 	return o, nil
 }
 
-// listenAllowed listens for at most maxOriginConns connections at a time, from allowed networks.
+// listenAllowed returns a listener for connections from allowed networks, at most maxOriginConns at a time.
 func listenAllowed(addr string, allowed *netipx.IPSet) (net.Listener, error) {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -131,11 +132,11 @@
 // Addr returns the address of the listener.
 func (o *Origin) Addr() string { return o.listener.Addr().String() }
 
-// now is the node's time: since the origin was made.
+// now returns the node's time: the time since NewOrigin.
 func (o *Origin) now() time.Duration { return time.Since(o.startedAt) }
 
-// Run serves until ctx is done, or until something cannot be made durable: that is its error, and the process has to
-// end. It returns when all goroutines that it started have ended.
+// Run serves until ctx is done or a write to the store fails. In the latter case it returns the error, and the process
+// must exit. Run returns when all goroutines that it started have ended.
 func (o *Origin) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -150,11 +151,11 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(o.cfg.Log.Handler(), slog.LevelDebug),
 	}
-	tasks.Go(func() { _ = server.Serve(o.listener) }) // until Close below
+	tasks.Go(func() { _ = server.Serve(o.listener) }) // returns after server.Close
 	err := o.runNode(ctx)
 	close(o.stopped)
 	cancel()
-	_ = server.Close() // of the listener and all connections, none of which has unsent data that matters
+	_ = server.Close() // closes the listener and all connections; unsent data may be lost
 	tasks.Wait()
 	o.client.client.CloseIdleConnections()
 	return err
--- a/internal/controlplane/transport/originhttp.go
+++ b/internal/controlplane/transport/originhttp.go
@@ -18,15 +18,15 @@
 	showPath   = "/config/show"
 	statusPath = "/config/status"
 
-	// bodyReadTimeout is for the whole body of a push or a message. A higher value tolerates slower clients, and lets a
-	// faulty one hold a connection for longer.
+	// bodyReadTimeout limits the time to read the whole body of a request. A higher value tolerates slower clients,
+	// but a faulty one can occupy a connection for longer.
 	bodyReadTimeout = 5 * time.Second
-	// responseMargin is how long after the node's own timeout a response may be written. A higher value tolerates an
-	// event loop and a client that are slower.
+	// responseMargin is the time, in addition to the node's own request timeout, within which a response must be
+	// written. A higher value tolerates a slower event loop and slower clients.
 	responseMargin = 10 * time.Second
 )
 
-// outcomeStatus is the HTTP status of a result.
+// outcomeStatus maps the outcome of a result to the HTTP status of the response.
 var outcomeStatus = map[origin.Outcome]int{
 	origin.OutcomeAccepted: http.StatusOK,
 	origin.OutcomeCurrent:  http.StatusOK,
@@ -39,10 +39,10 @@
 // ShowResponse is the response to a request for the latest snapshot.
 type ShowResponse struct {
 	Result origin.Result      `json:"answer"`
-	Frame  controlplane.Frame `json:"frame"` // its text is empty if there is no snapshot
+	Frame  controlplane.Frame `json:"frame"` // Text is empty if there is no snapshot
 }
 
-// ServeHTTP serves members, operators and the other origins.
+// ServeHTTP serves the requests of members, operators and other origins.
 func (o *Origin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	control := http.NewResponseController(w)
 	if r.URL.Path != watchPath {
@@ -50,7 +50,7 @@
 		setWriteDeadline(control, o.cfg.Node.RequestTimeout+responseMargin)
 	}
 	if r.Header.Get(clusterHeader) != o.client.cluster {
-		o.server.ServeHTTP(w, r) // which counts and rejects it
+		o.server.ServeHTTP(w, r) // counts and rejects the request
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
@@ -72,8 +72,8 @@
 	}
 }
 
-// readBody reads a body of at most limit bytes. If that fails it responds with the error, closes the connection and
-// returns false.
+// readBody reads the body of a request, of at most limit bytes. If that fails, readBody responds with the error,
+// closes the connection and returns false.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
@@ -117,7 +117,7 @@
 	o.serveResult(w, r, id, origin.Propose{ID: id, BaseVersion: after, Text: text})
 }
 
-// serveResult has the node handle a push or a question, and responds with the result.
+// serveResult passes a push, or the query for the outcome of one, to the node and responds with the result.
 func (o *Origin) serveResult(w http.ResponseWriter, r *http.Request, id string, event origin.Event) {
 	result := o.request(r.Context(), id, event)
 	if result == nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// confirmLatest has a majority confirm the latest revision.
+// confirmLatest requests a majority of the origins to confirm the latest revision.
 func (o *Origin) confirmLatest(r *http.Request) origin.Result {
 	o.mu.Lock()
 	o.readCount++
@@ -173,7 +173,7 @@
 	}
 }
 
-// writeBusy responds that the event loop has not answered in stateTimeout.
+// writeBusy responds with an error for a request that the event loop has not answered within stateTimeout.
 func writeBusy(w http.ResponseWriter) {
 	http.Error(w, "too busy to say", http.StatusServiceUnavailable)
 }
@@ -186,5 +186,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(text, '\n')) // a client that disconnects asks again
+	_, _ = w.Write(append(text, '\n')) // a client that could not read the response requests it again
 }
--- a/internal/controlplane/transport/originloop.go
+++ b/internal/controlplane/transport/originloop.go
@@ -12,20 +12,21 @@
 // originInput is an input of an origin's event loop: nodeEvent, statusRequest or frameRequest.
 type originInput interface{ originInput() }
 
-// nodeEvent is handled by the node.
+// nodeEvent carries an event for the node.
 type nodeEvent struct{ event origin.Event }
 
-// statusRequest asks for the node's status.
+// statusRequest requests the node's status.
 type statusRequest struct{ response chan<- origin.Status }
 
-// frameRequest asks for the node's latest frame: nil if there is none.
+// frameRequest requests the node's latest frame. The response is nil if there is none.
 type frameRequest struct{ response chan<- *controlplane.Frame }
 
 func (nodeEvent) originInput()     {}
 func (statusRequest) originInput() {}
 func (frameRequest) originInput()  {}
 
-// post hands an input to the event loop. It waits for room in the queue; once Run has stopped the input is dropped.
+// post sends an input to the event loop. It blocks while the queue is full. Once Run has stopped, the input is
+// dropped.
 func (o *Origin) post(input originInput) {
 	select {
 	case o.inputs <- input:
@@ -33,7 +34,7 @@
 	}
 }
 
-// runNode is the event loop: the one goroutine that uses the node.
+// runNode is the event loop of an origin. Only its goroutine uses the node.
 func (o *Origin) runNode(ctx context.Context) error {
 	ticker := time.NewTicker(o.cfg.Node.TickInterval)
 	defer ticker.Stop()
@@ -58,7 +59,7 @@
 	}
 }
 
-// handle answers a request, or returns the actions of the node for an event.
+// handle responds to a request for data of the node, or passes an event to the node and returns the resulting actions.
 func (o *Origin) handle(input originInput) []origin.Action {
 	switch input := input.(type) {
 	case statusRequest:
@@ -75,14 +76,14 @@
 	return nil
 }
 
-// execute carries out the actions of the node in order. It stops at the first that cannot be made durable: no later one
-// may take place.
+// execute executes the actions of the node in order. It stops with an error when a write to the store fails, since the
+// actions after it must not take effect before the write is durable.
 func (o *Origin) execute(actions []origin.Action) error {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case origin.Persist:
 			if err := origin.Write(o.cfg.Store, action); err != nil {
-				return fmt.Errorf("origin: the store fails, and nothing is promised that it does not hold: %w", err)
+				return fmt.Errorf("origin: stopped because a write to the store failed: %w", err)
 			}
 		case origin.Send:
 			o.enqueue(action)
@@ -98,8 +99,9 @@
 	return nil
 }
 
-// request has the node handle an event and returns the result for this ID, which the node gives within a timeout of its
-// own. It returns nil if the origin stops, ctx is done, another request waits for this ID, or too many wait.
+// request passes an event to the node and returns its result for this ID. The node sends a result at the latest after
+// its own request timeout. request returns nil if the origin stops, ctx is done, another request is waiting for the
+// same ID, or too many requests are waiting.
 func (o *Origin) request(ctx context.Context, id string, event origin.Event) *origin.Result {
 	wait := make(chan origin.Result, 1)
 	o.mu.Lock()
@@ -116,12 +118,12 @@
 	case result := <-wait:
 		return &result
 	case <-o.stopped:
-	case <-ctx.Done(): // deliver drops the result
+	case <-ctx.Done(): // the result is dropped when it is delivered
 	}
 	return nil
 }
 
-// deliver hands a result to the request that waits for it.
+// deliver sends a result to the request that waits for it, if any.
 func (o *Origin) deliver(result origin.Result) {
 	o.mu.Lock()
 	wait := o.waiting[result.ID]
--- a/internal/controlplane/transport/originpeers.go
+++ b/internal/controlplane/transport/originpeers.go
@@ -8,13 +8,13 @@
 
 const (
 	messagePath = "/origin/message"
-	// originSendQueueSize is how many messages may wait for each other origin; the oldest is dropped then. A higher
-	// value tolerates longer bursts, and sends more that is out of date.
+	// originSendQueueSize limits the messages that wait to be sent to one other origin. When the queue is full, the
+	// oldest message is dropped. A higher value tolerates longer bursts, but sends more messages that are out of date.
 	originSendQueueSize = 64
 )
 
-// enqueue leaves a message to the goroutine that sends to its receiver. If the queue is full, the oldest message is
-// dropped: consensus tolerates lost messages, and later ones are worth more.
+// enqueue queues a message for the goroutine that sends to its receiver. If the queue is full, enqueue drops the
+// oldest message: the consensus protocol tolerates lost messages, and later ones are more useful.
 func (o *Origin) enqueue(message origin.Send) {
 	queue := o.outgoing[message.To]
 	if queue == nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// sendMessages sends the messages to one other origin, one after the other.
+// sendMessages sends messages to one other origin, one at a time, until ctx is done.
 func (o *Origin) sendMessages(ctx context.Context, name string, messages <-chan []byte) {
 	for {
 		select {
@@ -45,7 +45,7 @@
 	}
 }
 
-// sendMessage sends one message. A message that is lost is not repeated: consensus does that.
+// sendMessage sends one message, and ignores errors: the consensus protocol itself repeats what was lost.
 func (o *Origin) sendMessage(ctx context.Context, name string, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
--- a/internal/controlplane/transport/peerclient.go
+++ b/internal/controlplane/transport/peerclient.go
@@ -15,37 +15,38 @@
 )
 
 const (
-	// dialTimeout is how long a dial may take. A higher value tolerates slower networks, and passes by a host that is
-	// cut off later.
+	// dialTimeout limits a dial, and the whole request that probes an origin. A higher value tolerates slower
+	// networks, but takes longer to give up on a host that is cut off.
 	dialTimeout = 500 * time.Millisecond
-	// responseTimeout is how long the headers of a response may take. A higher value tolerates slower peers, and
-	// passes by one that hangs later.
+	// responseTimeout limits the wait for the headers of a response, and the whole request that fetches a snapshot,
+	// sends a report or sends a message to another origin. A higher value tolerates slower peers, but takes longer to
+	// give up on one that hangs.
 	responseTimeout = 2 * time.Second
-	noTimeout       = 0 // of a client whose callers limit the time
-	// maxErrorBody is how many bytes of an unexpected response become part of the error.
+	noTimeout       = 0 // for a client whose callers limit the time
+	// maxErrorBody limits the number of bytes of an unexpected response that are quoted in the error.
 	maxErrorBody = 200
 )
 
-// errNoFrame says that a line has no frame where one is expected.
+// errNoFrame reports that a line has no frame where one is expected.
 var errNoFrame = errors.New("line has no frame")
 
-// responseError is a response of another status, or in another form, than expected.
+// responseError reports a response with an unexpected status or a body of an unexpected form.
 type responseError struct {
 	host   string
 	status string // such as "503 Service Unavailable"
-	body   string // the first bytes
+	body   string // first bytes of the body
 }
 
 func (e *responseError) Error() string {
-	return fmt.Sprintf("%s answers %s: %s", e.host, e.status, e.body)
+	return fmt.Sprintf("%s responded with %s: %s", e.host, e.status, e.body)
 }
 
-// DialFunc opens a connection, as net.Dialer's DialContext does. Tests replace it to put an emulated network
-// between the processes.
+// DialFunc opens a connection, as net.Dialer's DialContext does. Tests replace it to connect the processes through an
+// emulated network.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// newHTTPClient returns a client that connects with dial, or with net.Dialer if dial is nil, and waits for the headers
-// of a response for headerTimeout. It keeps an idle connection for a second.
+// newHTTPClient returns a client that connects with dial, or with net.Dialer if dial is nil, and waits at most
+// headerTimeout for the headers of a response. It closes a connection that has been idle for one second.
 func newHTTPClient(dial DialFunc, headerTimeout time.Duration) *http.Client {
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
@@ -71,7 +72,7 @@
 	client  *http.Client
 }
 
-// newRequest returns a request with the headers that each receiver requires.
+// newRequest returns a request with the headers that every receiver requires.
 func (c *peerClient) newRequest(
 	ctx context.Context, method, addr, path string, body io.Reader,
 ) (*http.Request, error) {
@@ -84,8 +85,8 @@
 	return request, nil
 }
 
-// do sends a request and returns the response if it has the expected status, which the caller then closes.
-// Any other status is an error.
+// do sends a request and returns the response, which the caller must close. A status other than expectedStatus is an
+// error.
 func (c *peerClient) do(request *http.Request, expectedStatus int) (*http.Response, error) {
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -93,13 +94,13 @@
 	}
 	if response.StatusCode != expectedStatus {
 		defer closeBody(response)
-		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody)) // the status is the error
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody)) // the status is reported in any case
 		return nil, &responseError{request.URL.Host, response.Status, string(bytes.TrimSpace(text))}
 	}
 	return response, nil
 }
 
-// closeBody closes the body of a response. The error says nothing about what was read.
+// closeBody closes the body of a response. An error is ignored: it does not concern the data that was read.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
 // fetchSnapshot returns the latest frame of a member or an origin.
@@ -125,7 +126,7 @@
 	return parseFrame(text)
 }
 
-// parseFrame reads the frame of a line.
+// parseFrame decodes a line and returns its frame.
 func parseFrame(text []byte) (controlplane.Frame, error) {
 	var l line
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -151,7 +152,7 @@
 	return c.post(ctx, addr, reportPath, text)
 }
 
-// post sends a body that is answered by an empty response.
+// post sends a body in a POST request. The expected response is empty, with status 204.
 func (c *peerClient) post(ctx context.Context, addr, path string, body []byte) error {
 	request, err := c.newRequest(ctx, http.MethodPost, addr, path, bytes.NewReader(body))
 	if err != nil {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// probeOrigin asks an origin whether it participates in the consensus. It returns the status of the answer:
+// probeOrigin asks an origin whether it participates in the consensus. It returns the status of the response:
 // http.StatusNoContent if it does, http.StatusResetContent if it does not.
 func (c *peerClient) probeOrigin(ctx context.Context, addr string) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
--- a/internal/controlplane/transport/protocol.go
+++ b/internal/controlplane/transport/protocol.go
@@ -13,13 +13,13 @@
 	"hazelwing/internal/controlplane"
 )
 
-// Headers of each request.
+// Headers of every request.
 const (
-	clusterHeader = "X-Config-Fleet" // the cluster that both sides have to belong to
+	clusterHeader = "X-Config-Fleet" // the sender's cluster, which must be the receiver's too
 	senderHeader  = "X-Config-For"   // the name of the sender
 )
 
-// Paths that members and origins serve; alivePath is served by origins only.
+// Paths that members and origins serve. Only origins serve alivePath.
 const (
 	watchPath    = "/config/watch"
 	reportPath   = "/config/report"
@@ -28,50 +28,56 @@
 )
 
 const (
-	// keepAliveInterval is the time between empty lines while nothing changes. A higher value sends fewer bytes, and
-	// leaves fewer of them that may be late before silenceTimeout.
+	// keepAliveInterval is the time between empty lines while nothing changes. A higher value sends fewer bytes, but
+	// then fewer late lines are enough to reach silenceTimeout.
 	keepAliveInterval = 500 * time.Millisecond
-	// silenceTimeout is how long an upstream may send nothing before it is left. This prevents waiting for one that is
-	// cut off, which TCP does not notice. A higher value tolerates slower upstreams, and leaves one that hangs later.
+	// silenceTimeout is the time without data after which a subscriber leaves its upstream. It is needed because TCP
+	// does not notice that an idle peer is cut off. A higher value tolerates slower upstreams, but delays the switch
+	// from one that hangs.
 	silenceTimeout = 1500 * time.Millisecond
-	// writeTimeout is how long a subscriber may take to receive what there is. A higher value tolerates slower
-	// subscribers, and holds the place of one that does not read for longer.
+	// writeTimeout limits how long a subscriber may take to receive the lines that are due, and a client to receive a
+	// snapshot or to send a report. A higher value tolerates slower subscribers, but one that does not read counts
+	// towards the limit of subscribers for longer.
 	writeTimeout = 3 * time.Second
-	// upstreamWait is how long a subscriber waits for this process to have an upstream itself. It prevents
-	// rejections down the whole tree when all members of a cluster start at once. A higher value rejects fewer, and
-	// lets a subscriber of a process without an upstream look for another one later.
+	// upstreamWait limits how long a request for a subscription waits for this process to get an upstream itself. The
+	// wait prevents rejections at all levels of the tree when all members of a cluster start at once. A higher value
+	// rejects fewer subscribers, but a subscriber of a process that gets no upstream looks for another one later.
 	upstreamWait = time.Second
-	// maxIntermediates is how many members may stand between a member and the origin. A higher value tolerates larger
-	// trees, and lets a change arrive later: each member adds its own delay.
+	// maxIntermediates limits the number of members between a member and the origin. A higher value allows deeper
+	// trees, in which changes arrive later because each member adds its own delay.
 	maxIntermediates = 8
-	// MaxLineSize is the size in bytes of a frame as a line of JSON: its text in base64, and the rest.
+	// MaxLineSize limits the size in bytes of a frame that is encoded as a line of JSON: the text in base64, and 4 KiB
+	// for the other fields.
 	MaxLineSize = controlplane.MaxSnapshotSize*4/3 + 4<<10
 )
 
 var (
+	// errUnusablePath means that a path contains the subscriber itself, or has more than maxIntermediates members
+	// before the origin. The text is sent to rejected subscribers.
 	errUnusablePath   = errors.New("its configuration comes from here, or from far")
 	errLineTooLong    = fmt.Errorf("line exceeds %d bytes", MaxLineSize)
-	errTextTooLong    = fmt.Errorf("unpacked text exceeds %d bytes", controlplane.MaxSnapshotSize)
-	errSilent         = fmt.Errorf("no data from the upstream for %v", silenceTimeout)
+	errTextTooLong    = fmt.Errorf("decompressed snapshot text exceeds %d bytes", controlplane.MaxSnapshotSize)
+	errSilent         = fmt.Errorf("upstream sent no data for %v", silenceTimeout)
 	errUnidentified   = errors.New("upstream sent data before its path")
 	errBetterUpstream = errors.New("a better upstream is available")
 )
 
-// line is one line of a subscription. An empty one is a keep-alive.
+// line is one line of a subscription. An empty line is a keep-alive.
 type line struct {
-	Path     []string               `json:"path,omitempty"` // of the upstream: its own name first, the origin last
-	Revision *controlplane.Revision `json:"holds,omitempty"`
-	// NonParticipating is set beside Path by an origin that does not participate in the consensus and so learns of no changes.
-	NonParticipating  bool                `json:"idle,omitempty"`
-	Frame *controlplane.Frame `json:"frame,omitempty"`
+	Path     []string               `json:"path,omitempty"`  // names from the upstream to the origin
+	Revision *controlplane.Revision `json:"holds,omitempty"` // of the upstream; set beside Path
+	// NonParticipating is set beside Path by an origin that does not participate in the consensus and therefore
+	// receives no changes.
+	NonParticipating bool                `json:"idle,omitempty"`
+	Frame            *controlplane.Frame `json:"frame,omitempty"`
 	// Packed is the frame's text compressed by gzip (RFC 1952), sent in place of Frame.Text.
 	Packed []byte `json:"packed,omitempty"`
 }
 
-// pack makes a line of a frame. It compresses the text unless that makes it longer.
+// pack returns a line with the frame. It compresses the frame's text unless the result is no shorter.
 func pack(frame controlplane.Frame) line {
 	var packed bytes.Buffer
-	writer, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression) // fails for unknown levels only
+	writer, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression) // fails only for unknown levels
 	_, err := writer.Write(frame.Text)
 	err = errors.Join(err, writer.Close())
 	if err != nil || packed.Len() >= len(frame.Text) {
@@ -82,7 +88,8 @@
 	return line{Frame: &withoutText, Packed: packed.Bytes()}
 }
 
-// unpack restores the frame's text. It decompresses no more than a snapshot may have.
+// unpack restores the frame's text from Packed. It returns errTextTooLong if the text exceeds
+// controlplane.MaxSnapshotSize, and decompresses at most one byte more than that.
 func (l *line) unpack() error {
 	if l.Frame == nil || len(l.Packed) == 0 {
 		return nil
@@ -102,9 +109,10 @@
 	return nil
 }
 
-// validatePath returns an error if the member called self must not subscribe to an upstream with this path:
-// it would receive its own configuration, or be too far from the origin. This prevents members from following each
-// other in a circle, which no change ever enters; it would show as members that are behind while their upstreams work.
+// validatePath returns an error if the member called self must not subscribe to an upstream with this path, because
+// the path contains the member itself or has more than maxIntermediates members before the origin. Otherwise members
+// could subscribe to each other in a cycle, which no change would ever reach: their upstreams would look healthy, yet
+// the members would stay behind.
 func validatePath(path []string, self string) error {
 	if slices.Contains(path, self) || len(path) > maxIntermediates+1 {
 		return fmt.Errorf("%w: %s", errUnusablePath, strings.Join(path, ", "))
--- a/internal/controlplane/transport/reporter.go
+++ b/internal/controlplane/transport/reporter.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// sendReports sends the latest report to the upstream, and repeats that while it fails.
+// sendReports sends each new report to the upstream, and retries while that fails. It runs until ctx is done.
 func (m *Member) sendReports(ctx context.Context) {
 	for {
 		select {
@@ -14,8 +14,8 @@
 	}
 }
 
-// sendPendingReports sends reports until there is none left, or no upstream: the next upstream gets a new report when
-// it answers.
+// sendPendingReports sends reports until none is left or there is no upstream. Without an upstream the report is
+// dropped, since the next upstream is sent a new report once it has answered.
 func (m *Member) sendPendingReports(ctx context.Context) {
 	for ctx.Err() == nil {
 		report := m.reports.take()
--- a/internal/controlplane/transport/server.go
+++ b/internal/controlplane/transport/server.go
@@ -10,30 +10,31 @@
 	"hazelwing/internal/controlplane"
 )
 
-// subscriptionServer serves the snapshot that one process has to its subscribers. Its methods may be called from any
-// goroutine.
+// subscriptionServer serves the latest snapshot of one process, a member or an origin, to its subscribers. Its methods
+// may be called from any goroutine.
 type subscriptionServer struct {
 	cluster        string
 	self           string
 	maxSubscribers int
-	// isMember makes it reject subscribers that have a later revision than this process. Origins take them: they learn
-	// of that revision from their reports.
+	// isMember is set in a member, which rejects subscribers that have a later revision than it has itself. An origin
+	// accepts such subscribers, and learns of the later revision from their reports.
 	isMember bool
-	// onReport and onDisconnect are called from the goroutines of requests. They may wait for the core.
+	// onReport and onDisconnect are called from the goroutines of requests. They may block until the core has room for
+	// the event.
 	onReport     func(name string, report controlplane.Report)
 	onDisconnect func(name string)
 
-	mu              sync.Mutex
-	revision        controlplane.Revision
-	frame           []byte        // the published frame as a line; nil if there is none
-	path            []string      // of this process: its own name first, the origin last. It is replaced, never changed
-	nonParticipating            bool          // this is an origin that does not participate: its subscribers look for another one
-	upstreamHealthy bool          // this process has an upstream
-	changed         chan struct{} // closed and replaced at each change of the fields above
-	subscribers     map[string]int
-	rejected        int
-	otherCluster    int
-	bytesSent       int64
+	mu               sync.Mutex
+	revision         controlplane.Revision
+	frame            []byte         // the published frame as a line; nil if there is none
+	path             []string       // names from this process to the origin; replaced as a whole, never modified
+	nonParticipating bool           // an origin that does not participate; its subscribers look for another one
+	upstreamHealthy  bool           // whether this process has an upstream; always true for an origin
+	changed          chan struct{}  // closed and replaced at each change of the fields above
+	subscribers      map[string]int // open subscriptions, by the subscriber's name
+	rejected         int            // rejected subscribers
+	otherCluster     int            // requests for another cluster
+	bytesSent        int64          // to subscribers
 }
 
 func newSubscriptionServer(cluster, self string, maxSubscribers int) *subscriptionServer {
@@ -47,7 +48,7 @@
 	}
 }
 
-// update changes what subscribers are sent, and wakes them.
+// update calls change with the lock held, and wakes the goroutines that serve subscribers.
 func (s *subscriptionServer) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,22 +57,24 @@
 	s.changed = make(chan struct{})
 }
 
-// publish sends a frame to all subscribers, in place of any earlier one that they have not received yet.
+// publish makes frame the latest one, which is sent to all subscribers. Earlier frames that were not sent to a
+// subscriber yet are skipped.
 func (s *subscriptionServer) publish(frame controlplane.Frame) {
 	text, err := json.Marshal(pack(frame))
 	if err != nil {
-		return // strings and bytes can always be encoded
+		return // impossible: strings and bytes can always be encoded
 	}
 	text = append(text, '\n')
 	s.update(func() { s.revision, s.frame = frame.Revision, text })
 }
 
-// setUpstream records that this process has an upstream, and the path of that.
+// setUpstream records that this process has an upstream with the given path. An origin, which needs no upstream, sets
+// an empty path.
 func (s *subscriptionServer) setUpstream(path []string) {
 	s.update(func() { s.path, s.upstreamHealthy = append([]string{s.self}, path...), true })
 }
 
-// setUpstreamLost records that this process has no upstream any more. Its subscribers stay.
+// setUpstreamLost records that this process no longer has an upstream. Its subscriptions stay open.
 func (s *subscriptionServer) setUpstreamLost() {
 	s.update(func() { s.upstreamHealthy = false })
 }
@@ -86,7 +89,7 @@
 	}
 }
 
-// serveAlive answers whether this origin participates in the consensus: 204 if it does, 205 if it does not.
+// serveAlive responds with status 204 if this origin participates in the consensus, and with 205 if it does not.
 func (s *subscriptionServer) serveAlive(w http.ResponseWriter) {
 	s.mu.Lock()
 	idle := s.nonParticipating
@@ -98,7 +101,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// ServeHTTP serves the requests that members and origins have in common.
+// ServeHTTP serves the requests that members and origins both accept.
 func (s *subscriptionServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(clusterHeader) != s.cluster {
 		s.mu.Lock()
@@ -134,7 +137,7 @@
 		return
 	}
 	setWriteDeadline(http.NewResponseController(w), writeTimeout)
-	_, _ = w.Write(frame) // a client that disconnects asks again
+	_, _ = w.Write(frame) // a client that could not read the response requests it again
 }
 
 func (s *subscriptionServer) serveReport(w http.ResponseWriter, r *http.Request, sender string) {
@@ -160,24 +163,26 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// setReadDeadline and setWriteDeadline limit how long a client may take. They fail only for a connection that cannot be
-// used any more, and then so does what follows.
+// setReadDeadline limits the time until a client has sent its request. An error is ignored: it means that the
+// connection is no longer usable, and the next read fails, too.
 func setReadDeadline(control *http.ResponseController, timeout time.Duration) {
 	_ = control.SetReadDeadline(time.Now().Add(timeout))
 }
 
+// setWriteDeadline limits the time until a client has received the response. An error is ignored: it means that the
+// connection is no longer usable, and the next write fails, too.
 func setWriteDeadline(control *http.ResponseController, timeout time.Duration) {
 	_ = control.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// serverState is what operators see of a subscriptionServer.
+// serverState is the state of a subscriptionServer, for operators.
 type serverState struct {
-	Path            []string `json:"path"`      // of this process: its own name first, the origin last
-	UpstreamHealthy bool     `json:"live"`      // this process has an upstream
-	Subscribers     int      `json:"following"` // now
-	Rejected        int      `json:"turned"`    // subscribers, since the start
-	OtherCluster    int      `json:"foreign"`   // requests for another cluster, since the start
-	BytesSent       int64    `json:"sent"`      // to subscribers
+	Path            []string `json:"path"`      // names from this process to the origin
+	UpstreamHealthy bool     `json:"live"`      // whether this process has an upstream
+	Subscribers     int      `json:"following"` // current number
+	Rejected        int      `json:"turned"`    // subscribers rejected since the start
+	OtherCluster    int      `json:"foreign"`   // requests for another cluster since the start
+	BytesSent       int64    `json:"sent"`      // to subscribers, since the start
 }
 
 func (s *subscriptionServer) state() serverState {
--- a/internal/controlplane/transport/subscribe.go
+++ b/internal/controlplane/transport/subscribe.go
@@ -13,54 +13,55 @@
 	"hazelwing/internal/controlplane"
 )
 
-// subscribeStagger is how long subscribe waits for one target before it tries the next one beside it. It bounds
-// the time that origins cost which are cut off or stalled: each alone would take dialTimeout or responseTimeout. A
-// higher value makes fewer requests in vain, and passes by such an origin later.
+// subscribeStagger is how long subscribe waits for one target before it also requests the next one. It limits the
+// delay by an origin that is cut off or stalled, which would otherwise take dialTimeout or responseTimeout. A higher
+// value sends fewer unnecessary requests, but increases this delay.
 const subscribeStagger = 250 * time.Millisecond
 
-// initialLineBuffer is the size in bytes of the buffer of a watch's lines before there was a longer one.
+// initialLineBuffer is the initial size in bytes of the buffer for the lines of a subscription. The buffer grows as
+// needed, up to MaxLineSize.
 const initialLineBuffer = 1 << 10
 
-// target is an upstream that may be subscribed to.
+// target is a possible upstream.
 type target struct {
-	name string // empty for an origin: its path names it
+	name string // empty for an origin, whose name is known only from its path
 	addr string
 }
 
-// subscription is a watch that was answered.
+// subscription is an open subscription to a target that has accepted it.
 type subscription struct {
 	target
 	response *http.Response
 	cancel   context.CancelFunc
 }
 
-// close ends the watch.
+// close ends the subscription.
 func (s *subscription) close() {
 	s.cancel()
 	closeBody(s.response)
 }
 
-// subscribeResult is the outcome for one target. The subscription has no response if err is set.
+// subscribeResult is the outcome of the request to one target. If err is set, the subscription has no response.
 type subscribeResult struct {
 	*subscription
 	err error
 }
 
-// subscribeRace is one call of subscribe.
+// subscribeRace is the state of one call of subscribe.
 type subscribeRace struct {
 	client  *peerClient
-	path    string // with the query
+	path    string // of the request, with the query
 	targets []target
-	started int                  // targets, from the first
-	cancels []context.CancelFunc // of the started targets
-	results chan subscribeResult // has room for all
+	started int                  // number of targets requested so far
+	cancels []context.CancelFunc // of the requests to these targets
+	results chan subscribeResult // buffers the results of all targets
 	winner  *subscription
 	errs    []error
 }
 
-// subscribe requests a watch from all targets in their order, each one subscribeStagger after the one before it, or
-// at once when that one has failed. It returns the first subscription that is answered, after all other requests have
-// ended.
+// subscribe sends requests to the targets in order until one of them accepts. It sends the next request when an
+// earlier one has failed, or subscribeStagger after the previous one. It returns the first subscription that is
+// accepted, after all other requests have ended.
 func (c *peerClient) subscribe(
 	ctx context.Context, targets []target, from controlplane.Revision,
 ) (*subscription, error) {
@@ -96,10 +97,10 @@
 	return race.winner, nil
 }
 
-// hasNext reports whether another target is to be tried.
+// hasNext reports whether the next target may be requested.
 func (r *subscribeRace) hasNext() bool { return r.winner == nil && r.started < len(r.targets) }
 
-// startNext requests a watch from the next target. subscribe waits for the result.
+// startNext sends the request to the next target in a goroutine, for whose result subscribe waits.
 func (r *subscribeRace) startNext(ctx context.Context) {
 	next := r.targets[r.started]
 	r.started++
@@ -119,7 +120,8 @@
 	return r.client.do(request, http.StatusOK)
 }
 
-// handleResult takes in the result for a target: the first answer wins, and the other requests are cancelled.
+// handleResult records the result for a target. The first target that accepts is the winner, and all other requests
+// are cancelled.
 func (r *subscribeRace) handleResult(result subscribeResult) {
 	switch {
 	case result.err != nil:
@@ -137,8 +139,8 @@
 	}
 }
 
-// read calls handle for each line until the watch ends, and returns why it did. It closes the watch. It decides when an
-// upstream counts as lost, from the time since its last line: after silenceTimeout.
+// read calls handle for each line until the subscription ends. It then closes the subscription and returns the reason
+// for its end. The subscription ends with errSilent if the upstream sends no line for silenceTimeout.
 func (s *subscription) read(ctx context.Context, handle func(line) error) error {
 	defer closeBody(s.response)
 	defer s.cancel()
@@ -172,7 +174,7 @@
 	return io.ErrUnexpectedEOF
 }
 
-// parseLine reads a line of a watch. Of an empty one no field is set.
+// parseLine decodes a line of a subscription. An empty text gives a line without any field set.
 func parseLine(text []byte) (line, error) {
 	var l line
 	if len(text) > 0 {
@@ -181,7 +183,7 @@
 		}
 	}
 	if err := l.unpack(); err != nil {
-		return line{}, fmt.Errorf("unpack frame: %w", err)
+		return line{}, fmt.Errorf("decompress frame: %w", err)
 	}
 	return l, nil
 }
--- a/internal/controlplane/transport/upstream.go
+++ b/internal/controlplane/transport/upstream.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	// upstreamCheckInterval is how often a better upstream is looked for, and how often a member that is to subscribe
-	// to an origin, and has no origin, tries one. A higher value makes fewer requests, and returns to an origin later.
+	// upstreamCheckInterval is the time between searches for a better upstream, and between probes of the origins by a
+	// member that should subscribe to an origin but does not. A higher value sends fewer requests, but delays the
+	// return to an origin.
 	upstreamCheckInterval = time.Second
-	// reportRetryDelay is the pause after a report that was not taken. A higher value makes fewer requests to an
-	// upstream that rejects them, and shows later which members act on a change.
+	// reportRetryDelay is the pause after a report could not be sent. A higher value sends fewer requests to an
+	// upstream that rejects them, but operators see later which members have activated a change.
 	reportRetryDelay = 250 * time.Millisecond
 )
 
@@ -30,13 +31,15 @@
 	return m.upstream
 }
 
-// followUpstreams subscribes to one upstream after another, as the selector chooses them. It decides what follows a
-// lost upstream: after an origin that has answered the next origin at once, each of them once; otherwise the selector
-// is told of the failure, and chooses again.
+// followUpstreams subscribes to one upstream after another, as the selector chooses them, until ctx is done.
+//
+// When an origin that had accepted the subscription is lost, followUpstreams subscribes to the next origin at once,
+// trying each origin once. After any other failure, and when all origins have been tried, it reports the failure to
+// the selector, which chooses again.
 func (m *Member) followUpstreams(ctx context.Context) {
-	// Members begin with different origins, so that they are spread over all.
+	// The members start with different origins, so that their subscriptions are spread over all origins.
 	originIndex := int(xxhash.Sum64String(m.cfg.Follower.Self) % uint64(len(m.cfg.Origins)))
-	failedOrigins := 0 // in a row, that have answered
+	failedOrigins := 0 // origins in a row that accepted the subscription and were then lost
 	for ctx.Err() == nil {
 		m.mu.Lock()
 		selection, viewChanged := m.selector.Select(m.now()), m.viewChanged
@@ -60,7 +63,7 @@
 		}
 		originIndex++
 		if selection.Discovery && answered && failedOrigins < len(m.cfg.Origins) {
-			failedOrigins++ // the next origin is tried at once, each of them once
+			failedOrigins++
 			continue
 		}
 		failedOrigins = 0
@@ -70,8 +73,9 @@
 	}
 }
 
-// awaitSelection waits until the selector is to be asked again: after delay, or when the view changes. An origin is
-// tried meanwhile.
+// awaitSelection waits until the selector may be called again: after delay or upstreamCheckInterval, whichever is
+// shorter, or when the membership view changes. After the wait, a member that should subscribe to an origin probes the
+// next one, and tells the selector if it responds.
 func (m *Member) awaitSelection(
 	ctx context.Context, delay time.Duration, viewChanged <-chan struct{}, originIndex *int,
 ) {
@@ -85,7 +89,7 @@
 	}
 }
 
-// selectionName is the upstream in log lines.
+// selectionName returns the name of the selected upstream for log lines.
 func selectionName(selection bootstrap.Selection) string {
 	if selection.Discovery {
 		return "the origins"
@@ -93,7 +97,7 @@
 	return selection.Peer.Name
 }
 
-// targetsOf returns whom to subscribe to: a peer, or all origins in turn from one on.
+// targetsOf returns the targets for a selection: one peer, or all origins, starting with the one at originIndex.
 func (m *Member) targetsOf(selection bootstrap.Selection, originIndex int) []target {
 	if !selection.Discovery {
 		return []target{{name: selection.Peer.Name, addr: selection.Peer.Addr.String()}}
@@ -105,8 +109,9 @@
 	return targets
 }
 
-// followUpstream subscribes to one upstream until that fails or there is a better one, and returns whether it has
-// answered and why it ended. originIndex becomes the origin that was subscribed to or tried last.
+// followUpstream subscribes to one upstream until that fails or there is a better one. It returns whether the upstream
+// accepted the subscription, and the reason why the subscription failed or ended. It sets originIndex to the origin
+// that was subscribed to or probed last.
 func (m *Member) followUpstream(
 	ctx context.Context, selection bootstrap.Selection, originIndex *int,
 ) (answered bool, err error) {
@@ -141,14 +146,14 @@
 	return true, err
 }
 
-// upstreamSession is one subscription of a member.
+// upstreamSession is the state of one subscription of a member.
 type upstreamSession struct {
-	member      *Member
-	selection   bootstrap.Selection
-	upstream    target      // its name is that of its last path
-	identified  bool        // the upstream has sent its path
-	nonParticipating        atomic.Bool // the upstream is an origin that does not participate
-	originIndex int         // that was tried last; used by awaitBetterUpstream's goroutine until that has ended
+	member           *Member
+	selection        bootstrap.Selection
+	upstream         target      // with the name from its latest path
+	identified       bool        // whether the upstream has sent its path
+	nonParticipating atomic.Bool // whether the upstream is an origin that does not participate
+	originIndex      int         // origin probed last; used only by awaitBetterUpstream's goroutine while that runs
 }
 
 // receive handles a line of the subscription.
@@ -168,7 +173,8 @@
 	return nil
 }
 
-// receivePath handles the line by which the upstream says who it is, or that its own upstream has changed.
+// receivePath handles a line with the upstream's path: the first one of the subscription, or a later one after the
+// path has changed or an origin has started or stopped participating.
 func (s *upstreamSession) receivePath(l line) error {
 	m := s.member
 	if err := validatePath(l.Path, m.cfg.Follower.Self); err != nil {
@@ -193,7 +199,7 @@
 	return nil
 }
 
-// close records that there is no upstream any more.
+// close records that there is no longer an upstream.
 func (s *upstreamSession) close() {
 	m := s.member
 	m.mu.Lock()
@@ -205,11 +211,13 @@
 	}
 }
 
-// awaitBetterUpstream ends the subscription when there is a better upstream. It decides that once in
-// upstreamCheckInterval, from the role of this member, the selector and the answers of the origins. A subscription to
-// a peer ends when an origin answers that this member is to subscribe to, or when the selector prefers another
-// upstream. One to an origin that does not participate ends when another origin does: this prevents a whole cluster
-// from following the one origin that learns of no changes, because the others were away.
+// awaitBetterUpstream ends the subscription when there is a better upstream. It checks this every
+// upstreamCheckInterval.
+//
+// A subscription to a peer ends when the selector prefers another upstream, or when this member should subscribe to an
+// origin and one participates. A subscription to an origin that does not participate ends when another origin does.
+// Otherwise a whole cluster could stay with the one origin that was reachable while the others were down, and that
+// itself receives no changes.
 func (s *upstreamSession) awaitBetterUpstream(ctx context.Context, leave context.CancelCauseFunc) {
 	for sleep(ctx, upstreamCheckInterval) {
 		if s.hasBetterUpstream(ctx) {
@@ -230,17 +238,18 @@
 	return isBetter || m.shouldFollowOrigin() && m.probeNextOrigin(ctx, &s.originIndex, false)
 }
 
-// shouldFollowOrigin reports whether this member is one of those that subscribe to an origin.
+// shouldFollowOrigin reports whether this member is a root of the tree, which should subscribe to an origin.
 func (m *Member) shouldFollowOrigin() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selector.Rank() < m.cfg.Selector.Roots
 }
 
-// probeNextOrigin asks the next origin whether it participates, or with acceptIdle whether it answers at all, and tells
-// the selector if so. This prevents a member from staying with a peer, or without an upstream, when a cut has healed,
-// for as long as the selector avoids origins that were unreachable. Only members that are to subscribe to an origin
-// ask, each once in upstreamCheckInterval.
+// probeNextOrigin probes the next origin. It reports whether the origin participates or, with acceptNonParticipating,
+// whether it responds at all, and tells the selector if so. The selector avoids origins that were unreachable for some
+// time; without the probe, a member would stay with a peer, or without an upstream, for that time after the network
+// has recovered. Only members that should subscribe to an origin, or are subscribed to one that does not participate,
+// send probes, each at most once per upstreamCheckInterval.
 func (m *Member) probeNextOrigin(ctx context.Context, originIndex *int, acceptNonParticipating bool) bool {
 	*originIndex++
 	origin := m.cfg.Origins[*originIndex%len(m.cfg.Origins)]
--- a/internal/controlplane/transport/watch.go
+++ b/internal/controlplane/transport/watch.go
@@ -11,15 +11,18 @@
 	"hazelwing/internal/controlplane"
 )
 
-// Reasons to reject a subscriber, as it is answered. errPath is another one.
+// Reasons for rejecting a subscriber; errUnusablePath is another one. The texts are sent to the subscriber.
 var (
-	errNoUpstream         = errors.New("no configuration from a source that works")
+	// errNoUpstream means that this process has no upstream.
+	errNoUpstream = errors.New("no configuration from a source that works")
+	// errTooManySubscribers means that this process already has maxSubscribers.
 	errTooManySubscribers = errors.New("enough follow this one")
-	errSubscriberAhead    = errors.New("a later one is held than this one has")
+	// errSubscriberAhead means that the subscriber has a later revision than this member.
+	errSubscriberAhead = errors.New("a later one is held than this one has")
 )
 
-// admit adds a subscriber that has a revision, or returns why not. It waits for up to upstreamWait for this process to
-// have an upstream.
+// admit adds a subscriber, or returns the reason for rejecting it. has is the revision that the subscriber has. If
+// this process has no upstream, admit waits up to upstreamWait for one.
 func (s *subscriptionServer) admit(ctx context.Context, name string, has controlplane.Revision) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,8 +36,8 @@
 	return nil
 }
 
-// awaitUpstream waits while this process has no upstream and could take a subscriber. The caller holds s.mu, which is
-// unlocked meanwhile.
+// awaitUpstream waits until this process has an upstream or the maximum number of subscribers, at most until
+// upstreamWait has passed or ctx is done. The caller holds s.mu, which awaitUpstream unlocks while it waits.
 func (s *subscriptionServer) awaitUpstream(ctx context.Context) {
 	timeout := time.After(upstreamWait)
 	for !s.upstreamHealthy && len(s.subscribers) < s.maxSubscribers {
@@ -55,10 +58,12 @@
 	}
 }
 
-// checkSubscriber returns why a subscriber that has a revision cannot be admitted. The caller holds s.mu.
+// checkSubscriber returns the reason for rejecting a subscriber that has the revision has, or nil. The caller holds
+// s.mu.
 //
-// It decides that from the upstream of this process, the places that are left, the two revisions and the path. This
-// prevents a member that is behind, or cut off, from keeping others behind as well.
+// It rejects the subscriber if this process has no upstream, too many subscribers, an older revision than the
+// subscriber (members only) or an unusable path. Otherwise a member that is behind or cut off could keep its
+// subscribers behind as well.
 func (s *subscriptionServer) checkSubscriber(name string, has controlplane.Revision) error {
 	switch {
 	case !s.upstreamHealthy:
@@ -71,7 +76,8 @@
 	return validatePath(s.path, name)
 }
 
-// remove takes out a subscriber whose watch has ended. A name may have several watches for a moment.
+// remove removes a subscriber whose subscription has ended. A subscriber that reconnects may have several
+// subscriptions for a short time.
 func (s *subscriptionServer) remove(name string) {
 	s.mu.Lock()
 	last := s.subscribers[name] == 1
@@ -85,7 +91,8 @@
 	}
 }
 
-// serveWatch serves one subscriber until it disconnects, or does not read what there is within writeTimeout.
+// serveWatch serves one subscriber until it disconnects, or does not receive the lines that are due within
+// writeTimeout.
 func (s *subscriptionServer) serveWatch(w http.ResponseWriter, r *http.Request, subscriber string) {
 	has, err := parseRevision(r)
 	if err != nil {
@@ -123,15 +130,15 @@
 	}
 }
 
-// watchProgress is what a subscriber has received.
+// watchProgress is the latest state that a subscriber has been sent.
 type watchProgress struct {
-	path     []string
-	nonParticipating     bool
-	revision controlplane.Revision
+	path             []string
+	nonParticipating bool
+	revision         controlplane.Revision
 }
 
-// nextLines returns what is to be sent next, and records it as received: whatever the subscriber lacks, or an empty
-// line. The channel is closed at the next change.
+// nextLines returns the lines that the subscriber lacks, or an empty line if it lacks none, and records them in watch
+// as sent. The channel changed is closed at the next change.
 func (s *subscriptionServer) nextLines(watch *watchProgress) (lines []byte, changed <-chan struct{}) {
 	s.mu.Lock()
 	path, idle, revision, frame, changed := s.path, s.nonParticipating, s.revision, s.frame, s.changed
@@ -141,8 +148,8 @@
 		lines, _ = json.Marshal(line{Path: path, Revision: &revision, NonParticipating: idle}) // can always be encoded
 		lines = append(lines, '\n')
 	}
-	// A frame that conflicts with the subscriber's (the same version with another hash) is sent, too: the subscriber
-	// is to learn of the conflict.
+	// A frame that conflicts with the subscriber's (the same version with another hash) is sent as well, so that the
+	// subscriber detects the conflict.
 	order := revision.Compare(watch.revision)
 	conflicts := order == 0 && watch.revision.Hash != "" && watch.revision.Hash != revision.Hash
 	if frame != nil && (order > 0 || conflicts) {
@@ -155,7 +162,7 @@
 	return lines, changed
 }
 
-// parseRevision reads the revision that a subscriber has from the query of its request.
+// parseRevision parses the revision that a subscriber has from the query of its request.
 func parseRevision(r *http.Request) (controlplane.Revision, error) {
 	query := r.URL.Query()
 	revision := controlplane.Revision{Hash: query.Get("hash")}
@@ -169,7 +176,8 @@
 	return revision, nil
 }
 
-// isSameSlice reports whether a and b are one slice in memory. A path is replaced by a new slice even if that is equal.
+// isSameSlice reports whether a and b share their memory. It detects every replacement of a path, even by an equal
+// one.
 func isSameSlice(a, b []string) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
