--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -19,7 +19,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// formatRevision returns a revision of epoch 3.
+// formatRevision returns a revision of epoch 3 for the format tests.
 func formatRevision(version uint64) controlplane.Revision {
 	return controlplane.Revision{Epoch: 3, Version: version, Hash: controlplane.HashText([]byte("# text\n"))}
 }
@@ -45,7 +45,8 @@
 	}
 }
 
-// checkGolden compares the JSON of a value whose fields are all set, and of its zero value, with the golden files.
+// checkGolden compares the JSON of v, whose fields must all be set, and of v's zero value with the golden files. It
+// also checks that the JSON of v can be decoded.
 func checkGolden(t *testing.T, name string, v any) {
 	t.Helper()
 	testutil.Filled(t, v)
@@ -54,19 +55,20 @@
 	testutil.Golden(t, name+"-empty.json", testutil.IndentedJSON(t, reflect.Zero(reflect.TypeOf(v)).Interface()))
 	read := reflect.New(reflect.TypeOf(v))
 	if err := json.Unmarshal(testutil.IndentedJSON(t, v), read.Interface()); err != nil {
-		t.Errorf("%s: %v", name, err)
+		t.Errorf("decode %s: %v", name, err)
 	}
 }
 
-// The format of a line of a subscription, of the response to show, and of a member's state.
+// The JSON formats of a line of a subscription, of the response with the latest snapshot, and of a member's state are
+// stable.
 func TestSubscriptionAndStateFormatIsStable(t *testing.T) {
 	revision, frame := formatRevision(17), formatFrame(17)
 	checkGolden(t, "line", line{
-		Path:     []string{"m1", "o1"},
-		Revision: &revision,
-		NonParticipating:     true,
-		Frame:    &frame,
-		Packed:   []byte{1, 2},
+		Path:             []string{"m1", "o1"},
+		Revision:         &revision,
+		NonParticipating: true,
+		Frame:            &frame,
+		Packed:           []byte{1, 2},
 	})
 	checkGolden(t, "shown", ShowResponse{
 		Result: origin.Result{ID: "id", Outcome: origin.OutcomeCurrent, Revision: revision, Error: "why"},
@@ -106,12 +108,13 @@
 	testutil.ExplicitNames(t, "json", serverState{})
 }
 
-// The lines of a watch: the path and the revision of the upstream, a snapshot, and the path again when it changes.
+// A subscription starts with a line with the upstream's path and revision, followed by the snapshot. The path is sent
+// again when the origin stops participating, and each later snapshot when it is published.
 func TestSubscriptionLineFormatIsStable(t *testing.T) {
-	source := newFakeUpstream(t, "m1", nil)
-	source.setUpstream([]string{"o1"})
-	source.publish(formatFrame(17))
-	url := "http://" + source.addr + "/config/watch?epoch=0&version=0&hash="
+	upstream := newFakeUpstream(t, "m1", nil)
+	upstream.setUpstream([]string{"o1"})
+	upstream.publish(formatFrame(17))
+	url := "http://" + upstream.addr + "/config/watch?epoch=0&version=0&hash="
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -140,23 +143,23 @@
 		}
 	}
 	got := append(next(), next()...)
-	source.setParticipating(false)
+	upstream.setParticipating(false)
 	got = append(got, next()...)
-	source.publish(formatFrame(18))
+	upstream.publish(formatFrame(18))
 	got = append(got, next()...)
 	testutil.Golden(t, "watch.jsonl", got)
 }
 
-// A text that gzip makes shorter is packed, and the frame is without it. The compressed bytes depend on the version of
-// the library: they are not compared.
+// A text that gzip makes shorter is sent compressed, and the frame without its text. The compressed bytes are not
+// compared, since they depend on the version of the library.
 func TestPackedLineFormatIsStable(t *testing.T) {
 	text := bytes.Repeat([]byte("# the same again\n"), 100)
 	packed := pack(controlplane.Frame{Cluster: "f", Revision: formatRevision(17), Text: text})
 	if len(packed.Packed) == 0 || packed.Frame == nil || packed.Frame.Text != nil {
-		t.Fatalf("pack returns %+v, want a packed text", packed)
+		t.Fatalf("pack returns %+v, want a compressed text and a frame without text", packed)
 	}
 	if err := packed.unpack(); err != nil || !bytes.Equal(packed.Frame.Text, text) {
-		t.Errorf("unpacked text is %q, %v", packed.Frame.Text, err)
+		t.Errorf("decompressed text is %q, %v, want %q", packed.Frame.Text, err, text)
 	}
 	stored, err := os.ReadFile("testdata/packed-line.json")
 	if err != nil {
@@ -168,11 +171,12 @@
 	}
 	err = read.unpack()
 	if err != nil || !bytes.Equal(read.Frame.Text, text) || read.Frame.Revision != formatRevision(17) {
-		t.Errorf("frame is %+v, %v", read.Frame, err)
+		t.Errorf("frame in testdata is %+v, %v, want revision %v with text %q",
+			read.Frame, err, formatRevision(17), text)
 	}
 }
 
-// recorder records requests, and responds with a status and a body.
+// recorder is an HTTP handler that records requests and responds with a fixed status and body.
 type recorder struct {
 	lines    strings.Builder
 	status   int
@@ -180,14 +184,14 @@
 }
 
 func (r *recorder) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	body, _ := io.ReadAll(request.Body) // a truncated body differs from the golden file
+	body, _ := io.ReadAll(request.Body) // after an error, the body differs from the golden file
 	fmt.Fprintf(&r.lines, "%s %s\nX-Config-Fleet: %s\nX-Config-For: %s\n%s\n\n", request.Method, request.URL,
 		request.Header.Get("X-Config-Fleet"), request.Header.Get("X-Config-For"), body)
 	w.WriteHeader(r.status)
 	_ = writeText(w, r.response)
 }
 
-// startRecorder starts a server and returns its address.
+// startRecorder starts a server with a recorder and returns the recorder and the server's address.
 func startRecorder(t *testing.T, status int, response string) (*recorder, string) {
 	t.Helper()
 	r := &recorder{status: status, response: response}
@@ -196,7 +200,7 @@
 	return r, server.Listener.Addr().String()
 }
 
-// A member's requests to its upstream: method, path, headers, body.
+// Method, path, headers and body of a member's requests to other members and origins are stable.
 func TestMemberRequestFormatIsStable(t *testing.T) {
 	c := &peerClient{cluster: "f", self: "m1", client: newHTTPClient(nil, responseTimeout)}
 	defer c.client.CloseIdleConnections()
@@ -209,7 +213,7 @@
 	watch.close()
 	frame, err := c.fetchSnapshot(t.Context(), addr)
 	if err != nil || string(frame.Text) != "# text\n" || frame.Revision.Version != 17 {
-		t.Errorf("fetched frame is %+v, %v", frame, err)
+		t.Errorf("fetched frame is %+v, %v, want version 17 with text \"# text\\n\"", frame, err)
 	}
 	r.status, r.response = http.StatusNoContent, ""
 	if err := c.sendReport(t.Context(), addr, formatReport()); err != nil {
@@ -218,7 +222,7 @@
 	testutil.Golden(t, "member-requests.txt", []byte(r.lines.String()))
 }
 
-// The requests of the operator's commands to an origin.
+// Method, path, headers and body of the requests that the operator's commands send to an origin are stable.
 func TestOperatorRequestFormatIsStable(t *testing.T) {
 	r, addr := startRecorder(t, http.StatusOK,
 		`{"answer":{"id":"id","outcome":"current","stamp":{"epoch":3,"version":17,"hash":"h"}}}`)
@@ -232,7 +236,7 @@
 	}
 	_, err := c.Push(t.Context(), "push 1", 16, []byte("# text\n"))
 	check(err)
-	var outcome origin.Result // no command asks for it; an origin answers it
+	var outcome origin.Result // no command sends this query, but origins serve it
 	err = c.call(t.Context(), http.MethodGet, pushPath+"?id=push+1", nil, &outcome)
 	check(err)
 	_, err = c.Show(t.Context(), false)
@@ -244,7 +248,7 @@
 	testutil.Golden(t, "operator-requests.txt", []byte(r.lines.String()))
 }
 
-// Members and origins of older versions use these paths and headers.
+// The paths and headers are stable, because members and origins of older versions use them.
 func TestConfigurationPathNamesAreStable(t *testing.T) {
 	got := []string{
 		clusterHeader, senderHeader, watchPath, reportPath, snapshotPath, alivePath,
@@ -255,21 +259,21 @@
 		"/origin/message", "/config/push", "/config/show", "/config/status",
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("headers and paths are %q, want %q", got, want)
 	}
 }
 
-// The HTTP status of each outcome.
+// The HTTP status for each outcome is stable.
 func TestOutcomeStatusIsStable(t *testing.T) {
 	want := map[origin.Outcome]int{
 		"accepted": 200, "current": 200, "conflict": 409, "refused": 422, "missing": 404, "unknown": 504,
 	}
 	if !reflect.DeepEqual(outcomeStatus, want) {
-		t.Errorf("%v, want %v", outcomeStatus, want)
+		t.Errorf("status codes are %v, want %v", outcomeStatus, want)
 	}
 }
 
-// The cache file's name and bytes, and that it is read back.
+// The name and the bytes of the cache file are stable, and the file can be loaded again.
 func TestCacheFileFormatIsStable(t *testing.T) {
 	dir := t.TempDir()
 	cached := &controlplane.CachedSnapshot{Frame: formatFrame(17), Highest: formatRevision(18)}
@@ -287,6 +291,6 @@
 	testutil.Golden(t, "last-known.json", text)
 	read, _, err := loadCachedSnapshot("testdata")
 	if err != nil || !reflect.DeepEqual(read, cached) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, cached)
+		t.Errorf("loadCachedSnapshot returns\n%+v, %v, want\n%+v", read, err, cached)
 	}
 }
--- a/internal/controlplane/transport/helpers_test.go
+++ b/internal/controlplane/transport/helpers_test.go
@@ -19,7 +19,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// TestMain also checks that no test leaves a goroutine behind.
+// TestMain also checks that no goroutine is left after the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const testCluster = "f"
@@ -27,17 +27,19 @@
 // unreachableOrigin is an address at which nothing listens.
 const unreachableOrigin = "127.0.0.1:9"
 
-// fakeUpstream is the subscription server of an origin, without the origin.
+// fakeUpstream is a subscription server on a listener, without an origin or a member behind it. It records the reports
+// of its subscribers.
 type fakeUpstream struct {
 	*subscriptionServer
 	addr       string
 	httpServer *httptest.Server
 
 	reportsMu sync.Mutex
-	reports   map[string]controlplane.Report
+	reports   map[string]controlplane.Report // latest report of each present subscriber, by name
 }
 
-// newFakeUpstream starts a source. If handler is set, it serves everything but alivePath in the source's place.
+// newFakeUpstream starts a fakeUpstream. If handler is set, it serves all requests except those for alivePath, in
+// place of the subscription server.
 func newFakeUpstream(t *testing.T, name string, handler http.Handler) *fakeUpstream {
 	t.Helper()
 	s := &fakeUpstream{
@@ -73,20 +75,20 @@
 	return s
 }
 
-// fail closes the connections of the source, which rejects new subscribers from then on.
+// fail closes the connections of the fakeUpstream, and makes it reject new subscribers.
 func (s *fakeUpstream) fail() {
 	s.setUpstreamLost()
 	s.httpServer.CloseClientConnections()
 }
 
-// currentReports returns the reports of the present subscribers.
+// currentReports returns the latest reports of the present subscribers.
 func (s *fakeUpstream) currentReports() []controlplane.Report {
 	s.reportsMu.Lock()
 	defer s.reportsMu.Unlock()
 	return slices.Collect(maps.Values(s.reports))
 }
 
-// reportedMembers is how many members the reports count.
+// reportedMembers returns the number of members that the reports count in total.
 func reportedMembers(reports []controlplane.Report) int {
 	sum := 0
 	for _, report := range reports {
@@ -95,7 +97,7 @@
 	return sum
 }
 
-// testFrame returns a frame of epoch 1.
+// testFrame returns a frame with a revision of epoch 1.
 func testFrame(version uint64, text string) controlplane.Frame {
 	revision := controlplane.Revision{Epoch: 1, Version: version, Hash: controlplane.HashText([]byte(text))}
 	return controlplane.Frame{Cluster: testCluster, Revision: revision, Text: []byte(text)}
@@ -108,10 +110,10 @@
 	stop func()
 
 	appliedMu sync.Mutex
-	applied   []uint64 // versions
+	applied   []uint64 // versions, in the order in which they were applied
 }
 
-// activeVersion is the version that was put in force last; 0 if none was.
+// activeVersion returns the version that was applied last, or 0 if none was.
 func (m *testMember) activeVersion() uint64 {
 	m.appliedMu.Lock()
 	defer m.appliedMu.Unlock()
@@ -134,13 +136,13 @@
 	return state.Upstream == name
 }
 
-// startMember starts a member. An empty dir is that it stores no snapshot.
+// startMember starts a member. If dir is empty, the member stores no snapshot.
 func startMember(t *testing.T, name, dir string, origins ...string) *testMember {
 	t.Helper()
 	return startMemberWithParser(t, controlplane.ParseSnapshot, name, dir, origins...)
 }
 
-// startMemberWithParser starts a member that parses snapshots in its own way.
+// startMemberWithParser starts a member that parses snapshots with parse.
 func startMemberWithParser(
 	t *testing.T, parse func([]byte) (*controlplane.Snapshot, error), name, dir string, origins ...string,
 ) *testMember {
@@ -177,13 +179,14 @@
 	return m
 }
 
-// introduce tells two members of each other, as the cluster's membership does.
+// introduce adds two members to each other's membership view.
 func introduce(a, b *testMember) {
 	a.UpdateMembers([]bootstrap.Member{{Name: b.cfg.Follower.Self, Addr: b.addr}}, true)
 	b.UpdateMembers([]bootstrap.Member{{Name: a.cfg.Follower.Self, Addr: a.addr}}, true)
 }
 
-// orderOrigins returns two origins in such an order that a member of this name begins with first.
+// orderOrigins returns the addresses of two origins, ordered so that the member called name subscribes to first before
+// second.
 func orderOrigins(name, first, second string) []string {
 	origins := []string{first, second}
 	if xxhash.Sum64String(name)%2 == 1 {
@@ -192,7 +195,7 @@
 	return origins
 }
 
-// cachedVersion is the version in a member's cache file; 0 if there is none.
+// cachedVersion returns the version in the cache file in dir, or 0 if there is no readable file.
 func cachedVersion(t *testing.T, dir string) uint64 {
 	t.Helper()
 	cached, _, err := loadCachedSnapshot(dir)
@@ -202,7 +205,7 @@
 	return cached.Frame.Revision.Version
 }
 
-// awaitVersion waits until a version is in force at all members.
+// awaitVersion waits until a version is active at all of the given members. what describes this in case of a failure.
 func awaitVersion(t *testing.T, what string, version uint64, members ...*testMember) {
 	t.Helper()
 	testutil.Until(t, what, func() bool {
--- a/internal/controlplane/transport/hollow_long_test.go
+++ b/internal/controlplane/transport/hollow_long_test.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// changeInterval is the time between changes while traffic is measured: ten times as many as 1,700 a day.
+	// changeInterval is the time between changes while traffic is measured. It gives 17,280 changes a day, about ten
+	// times 1,700.
 	changeInterval = 5 * time.Second
-	// cutDuration is how long an area is cut off before the second change.
+	// cutDuration is the time that an area is cut off before the second change.
 	cutDuration = 12 * time.Second
-	// replacedMembers is how many members are replaced at once.
+	// replacedMembers is the number of members that are replaced at once.
 	replacedMembers = 63
 )
 
-// applyNetworkStep carries out a step of the emulated network.
+// applyNetworkStep changes the links of the emulated network as step describes.
 func (h *hollowTest) applyNetworkStep(step string) {
 	h.t.Helper()
 	if err := h.Links.Apply(step); err != nil {
@@ -27,7 +28,8 @@
 	}
 }
 
-// awaitAgreement waits until all members know each other, and logs how long that took.
+// awaitAgreement waits until all members have the same complete view, and logs how long that took. It does not fail
+// the test after longFormTimeout, but logs the remaining disagreement.
 func (h *hollowTest) awaitAgreement() {
 	h.t.Helper()
 	everywhere := func(hollow.Location) bool { return true }
@@ -35,13 +37,14 @@
 	for h.Disagreement(everywhere) != "" && time.Since(startedAt) < longFormTimeout {
 		time.Sleep(100 * time.Millisecond)
 	}
-	h.t.Logf("views complete after %.1f s: %q", time.Since(startedAt).Seconds(), h.Disagreement(everywhere))
+	h.t.Logf("waited %.1f s for complete views, remaining disagreement: %q",
+		time.Since(startedAt).Seconds(), h.Disagreement(everywhere))
 }
 
-// runLongForm plays a day's faults, one after the other.
+// runLongForm injects a day's faults, one after the other.
 func (h *hollowTest) runLongForm() {
 	h.awaitAgreement()
-	time.Sleep(*trafficPeriod / 2) // until the updates of the start have been sent
+	time.Sleep(*trafficPeriod / 2) // until the gossip about the starts has been sent
 	h.measureTraffic()
 	for k := range 2 {
 		h.killOriginDuringPush(k)
@@ -53,22 +56,22 @@
 	h.restartAll(h.replaceMembersDuringPush())
 }
 
-// measureTraffic logs the traffic at rest and with changes.
+// measureTraffic logs the memory use, and the traffic without and with changes.
 func (h *hollowTest) measureTraffic() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	h.t.Logf("%d members: heap %d MB, %d goroutines", len(h.Members), memory.HeapInuse>>20, runtime.NumGoroutine())
-	h.logTraffic("quiet", *trafficPeriod, func() {})
-	h.logTraffic("a change of 1 KB each 5 s (ten times 1,700 a day)", *trafficPeriod, func() {
+	h.logTraffic("no changes", *trafficPeriod, func() {})
+	h.logTraffic("1 KB change every 5 s (ten times 1,700 a day)", *trafficPeriod, func() {
 		for range int(*trafficPeriod / changeInterval) {
 			revision, pushedAt := h.push(0, 1)
-			h.awaitActive("one of them", revision, pushedAt, h.Members)
+			h.awaitActive("one change of 1 KB", revision, pushedAt, h.Members)
 			time.Sleep(max(0, changeInterval-time.Since(pushedAt)))
 		}
 	})
 }
 
-// killOriginDuringPush kills an origin while a change is pushed to others, and restarts it.
+// killOriginDuringPush stops an origin while a change is pushed to other origins, and restarts it afterwards.
 func (h *hollowTest) killOriginDuringPush(k int) {
 	killed := h.origins[k]
 	go func() {
@@ -76,25 +79,26 @@
 		killed.stop()
 	}()
 	revision, pushedAt := h.push((k+1)%5, (k+2)%5, 4)
-	h.awaitActive(fmt.Sprintf("origin %d killed in mid-push", k+1), revision, pushedAt, h.Members)
-	killed.stop() // waits for the goroutine's call
+	h.awaitActive(fmt.Sprintf("origin %d stopped during a push", k+1), revision, pushedAt, h.Members)
+	killed.stop() // waits until the goroutine has stopped it
 	killed.start(h.t)
 }
 
-// cutArea cuts an area off, pushes changes meanwhile and afterwards, and heals the cut.
+// cutArea cuts an area off from the rest, pushes two changes in the meantime, reconnects the area, and pushes another
+// change.
 func (h *hollowTest) cutArea(what, name string) {
 	area := hollow.Area(name)
 	h.applyNetworkStep("cut " + name + " rest")
 	revision, pushedAt := h.push(0, 4)
-	h.awaitActive(what+" is cut off: the others, at once", revision, pushedAt, h.running(area))
+	h.awaitActive(what+" is cut off: others, first change", revision, pushedAt, h.running(area))
 	time.Sleep(cutDuration)
 	revision, pushedAt = h.push(0, 4)
-	h.awaitActive(what+" is cut off: the others, 12 s later", revision, pushedAt, h.running(area))
+	h.awaitActive(what+" is cut off: others, 12 s later", revision, pushedAt, h.running(area))
 	healedAt := time.Now()
 	h.applyNetworkStep("heal")
-	h.awaitActive(what+": those, after the healing", revision, healedAt, h.MembersIn(area))
+	h.awaitActive(what+": its members, after reconnection", revision, healedAt, h.MembersIn(area))
 	revision, pushedAt = h.push(0, 1)
-	h.awaitActive(what+": a change right after it", revision, pushedAt, h.Members)
+	h.awaitActive(what+": change after reconnection", revision, pushedAt, h.Members)
 	h.awaitAgreement()
 }
 
@@ -109,16 +113,17 @@
 		done <- h.Start(replaced...)
 	}()
 	revision, pushedAt := h.push(0, 1)
-	h.awaitActive("63 are replaced in mid-push: the others", revision, pushedAt, h.Members[:half])
+	h.awaitActive("63 replaced during a push: half not replaced", revision, pushedAt, h.Members[:half])
 	if err := <-done; err != nil {
 		h.t.Fatal(err)
 	}
 	startedAt := time.Now()
-	h.awaitActive("63 are replaced in mid-push: they, after their start", revision, startedAt, replaced)
+	h.awaitActive("63 replaced during a push: since their start", revision, startedAt, replaced)
 	return revision
 }
 
-// restartAll restarts all members, without cached snapshots, waits for the latest revision, and pushes a change.
+// restartAll stops and starts all members, which have no cached snapshots, waits until the latest revision is active
+// at all of them, and pushes a change.
 func (h *hollowTest) restartAll(latest controlplane.Revision) {
 	stoppedAt := time.Now()
 	h.Kill(h.Members...)
@@ -127,12 +132,12 @@
 	if err := h.Start(h.Members...); err != nil {
 		h.t.Fatal(err)
 	}
-	h.t.Logf("all stopped in %.1f s, started in %.1f s", stopTime.Seconds(), time.Since(startedAt).Seconds())
-	h.awaitActive("all are restarted, nothing kept: since the first start", latest, startedAt, h.Members)
+	h.t.Logf("stopped all members in %.1f s, started in %.1f s", stopTime.Seconds(), time.Since(startedAt).Seconds())
+	h.awaitActive("restart of all, no cache: since first start", latest, startedAt, h.Members)
 	h.awaitAgreement()
 	revision, pushedAt := h.push(0, 1)
-	h.awaitActive("a change after it", revision, pushedAt, h.Members)
+	h.awaitActive("change after the restart", revision, pushedAt, h.Members)
 	if took := time.Since(pushedAt); took > testutil.WaitTimeout {
-		h.t.Errorf("a change after the restart took %v, want at most %v", took, testutil.WaitTimeout)
+		h.t.Errorf("change after the restart of all members took %v, want at most %v", took, testutil.WaitTimeout)
 	}
 }
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -31,21 +31,21 @@
 
 var (
 	hollowMembers = flag.Int("config.hollow", 0,
-		"TestHollow: how many hollow members; 0: 20, and the short form")
+		"number of hollow members in the long form of TestHollow; 0: the short form, with 20")
 	trafficPeriod = flag.Duration("config.quiet", 20*time.Second,
-		"TestHollow's long form: how long bytes are counted for")
+		"how long each traffic measurement in the long form of TestHollow takes, at least")
 )
 
 const (
 	hollowCluster = "hollow"
-	// longFormTimeout is how long the long form waits: one process runs hundreds of members, on a machine that others
-	// use.
+	// longFormTimeout limits each wait in the long form. It is longer than in the short form because one process runs
+	// hundreds of members, on a machine that is shared.
 	longFormTimeout = 2 * time.Minute
-	// maxLoggedMembers is how many members without a revision are logged with their state.
+	// maxLoggedMembers limits the number of members whose state is logged when a revision is not active in time.
 	maxLoggedMembers = 8
 )
 
-// hollowTest is a cluster of hollow members, each with a Member of this package, and of origins.
+// hollowTest is a cluster of hollow members, each of which runs a transport.Member, together with its origins.
 type hollowTest struct {
 	*hollow.Cluster
 	t           *testing.T
@@ -54,12 +54,12 @@
 	allowed     *netipx.IPSet
 
 	mu            sync.Mutex
-	active        map[string]activeRevision    // by member
-	configMembers map[string]*transport.Member // by member
-	configBytes         map[string]*atomic.Int64     // of configuration, by address
+	active        map[string]activeRevision    // by the member's name
+	configMembers map[string]*transport.Member // by the member's name
+	configBytes   map[string]*atomic.Int64     // of configuration, sent and received, by address
 }
 
-// activeRevision is the revision in force at a member, and since when.
+// activeRevision is the active revision of a member, and the time at which it became active.
 type activeRevision struct {
 	revision controlplane.Revision
 	since    time.Time
@@ -72,18 +72,18 @@
 	stop func()
 }
 
-// newHollowTest starts the origins. The members are not started yet.
+// newHollowTest returns a cluster whose origins run. The caller starts the members.
 func newHollowTest(t *testing.T, members, origins int) *hollowTest {
 	t.Helper()
 	h := &hollowTest{
 		t:             t,
 		active:        map[string]activeRevision{},
 		configMembers: map[string]*transport.Member{},
-		configBytes:         map[string]*atomic.Int64{},
+		configBytes:   map[string]*atomic.Int64{},
 	}
 	var allowed netipx.IPSetBuilder
 	allowed.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
-	h.allowed, _ = allowed.IPSet() // a valid prefix makes a valid set
+	h.allowed, _ = allowed.IPSet() // cannot fail for a valid prefix
 	rack := 10
 	if members < 100 {
 		rack = 2
@@ -104,7 +104,7 @@
 	return h
 }
 
-// startOrigins starts origins on the first machines of as many racks.
+// startOrigins starts count origins, each in a rack of its own. rack is the number of members in a rack.
 func (h *hollowTest) startOrigins(count, rack int) {
 	h.t.Helper()
 	bootstrapConfig := origin.BootstrapConfig{Cluster: hollowCluster, Epoch: 1}
@@ -172,7 +172,7 @@
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		_ = node.Run(ctx) // without it no change is accepted, which fails the test
+		_ = node.Run(ctx) // if the origins fail, no change is accepted, which fails the test
 		_ = st.Close()
 	}()
 	o.stop = sync.OnceFunc(func() {
@@ -181,7 +181,7 @@
 	})
 }
 
-// attach gives a hollow member its part in the distribution, as the daemon does, but without a cache file.
+// attach connects a hollow member to a transport.Member, as the daemon does, but without a cache file.
 func (h *hollowTest) attach(m *hollow.Member) hollow.Attachment {
 	var node atomic.Pointer[gossip.Node]
 	h.mu.Lock()
@@ -240,7 +240,8 @@
 	return list
 }
 
-// dial counts the bytes of configuration, at the member that connects and at the one that it connects to.
+// dial returns a DialFunc for a member. It counts the bytes of configuration both for the member and for the address
+// that the member connects to.
 func (h *hollowTest) dial(m *hollow.Member) transport.DialFunc {
 	counter := func(addr string) *atomic.Int64 {
 		h.mu.Lock()
@@ -264,7 +265,7 @@
 	}
 }
 
-// countingConn counts bytes at both ends of a connection.
+// countingConn adds the bytes that it reads and writes to the counters of both ends of the connection.
 type countingConn struct {
 	net.Conn
 	own, peer *atomic.Int64
@@ -287,7 +288,8 @@
 	return n, err
 }
 
-// push has a change accepted by any of some origins, and returns its revision and when the push began.
+// push pushes a change to the given origins in turn until one of them accepts it. It returns the revision of the
+// change and the start time of the push.
 func (h *hollowTest) push(origins ...int) (controlplane.Revision, time.Time) {
 	h.t.Helper()
 	startedAt := time.Now()
@@ -299,11 +301,12 @@
 			return revision, startedAt
 		}
 	}
-	h.t.Fatal("no origin has accepted a push")
+	h.t.Fatalf("no origin has accepted a push within %v", testutil.WaitTimeout)
 	return controlplane.Revision{}, startedAt
 }
 
-// pushOnce pushes a change of the latest version, and returns its revision if it is accepted within a second.
+// pushOnce pushes a text as the successor of the latest version. It returns the new revision, and whether an origin
+// has accepted it within a second.
 func pushOnce(ctx context.Context, client *transport.Client, id string, text []byte) (controlplane.Revision, bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -315,7 +318,7 @@
 	return result.Revision, err == nil && result.Outcome == origin.OutcomeAccepted
 }
 
-// changeTimeout is how long the test waits for a change.
+// changeTimeout returns how long the test waits for a revision to become active.
 func (h *hollowTest) changeTimeout() time.Duration {
 	if *hollowMembers > 0 {
 		return longFormTimeout
@@ -323,8 +326,9 @@
 	return testutil.WaitTimeout
 }
 
-// awaitActive waits until a revision, or a later one, is in force at all of some members. It returns and logs how long
-// after since that took, at 50, 99 and 100 in 100 members.
+// awaitActive waits until a revision, or a later one, is active at all given members. It returns the sorted delays
+// after since at which the members activated it, and logs their median, 99th percentile and maximum in a row labeled
+// what.
 func (h *hollowTest) awaitActive(
 	what string, revision controlplane.Revision, since time.Time, members []*hollow.Member,
 ) []time.Duration {
@@ -337,22 +341,22 @@
 	}
 	if len(missing) > 0 {
 		h.logStates(missing)
-		h.t.Fatalf("%s: %v is in force at %d of %d members; not at %.300s",
+		h.t.Fatalf("%s: revision %v is active at %d of %d members; not active at %.300s",
 			what, revision, len(took), len(members), strings.Join(missing, " "))
 	}
 	slices.Sort(took)
 	quantile := func(share float64) float64 {
 		return took[min(len(took)-1, int(share*float64(len(took))))].Seconds()
 	}
-	loadavg, _ := os.ReadFile("/proc/loadavg") // empty where there is none
+	loadavg, _ := os.ReadFile("/proc/loadavg") // empty if the file does not exist
 	load, _, _ := strings.Cut(string(loadavg), " ")
 	h.t.Logf("| %-46s | %4d | %.3f | %.3f | %.3f | load %s",
 		what, len(took), quantile(0.5), quantile(0.99), took[len(took)-1].Seconds(), load)
 	return took
 }
 
-// activeAt returns how long after since a revision came into force at members, and the names of those at which it has
-// not.
+// activeAt returns the delays after since at which members activated a revision or a later one, and the names of the
+// members that have not activated it.
 func (h *hollowTest) activeAt(
 	revision controlplane.Revision, since time.Time, members []*hollow.Member,
 ) (took []time.Duration, missing []string) {
@@ -369,22 +373,22 @@
 	return took, missing
 }
 
-// logStates logs the state of the first of some members, and of all origins.
+// logStates logs the state of the named members, but of at most maxLoggedMembers, and the status of all origins.
 func (h *hollowTest) logStates(names []string) {
 	for _, name := range names[:min(len(names), maxLoggedMembers)] {
 		h.mu.Lock()
 		member := h.configMembers[name]
 		h.mu.Unlock()
 		state, ok := member.State()
-		h.t.Logf("%s, %v: %+v", name, ok, state)
+		h.t.Logf("state of member %s (answered: %v): %+v", name, ok, state)
 	}
 	for _, addr := range h.originAddrs {
 		status, err := transport.NewClient(hollowCluster, addr).Status(h.t.Context())
-		h.t.Logf("%+v, %v", status, err)
+		h.t.Logf("status of origin at %s: %+v, error: %v", addr, status, err)
 	}
 }
 
-// running returns the members that run outside of some areas.
+// running returns the running members outside of the excluded areas.
 func (h *hollowTest) running(excluded ...hollow.Area) []*hollow.Member {
 	var list []*hollow.Member
 	for _, m := range h.Members {
@@ -396,7 +400,8 @@
 	return list
 }
 
-// memberTraffic is what a member has sent and received, in bytes.
+// memberTraffic is the number of bytes that a member has sent and received: in total, in streams, and for
+// configuration. The bytes for configuration are part of those in streams.
 type memberTraffic struct{ total, streams, config int64 }
 
 func (h *hollowTest) traffic() map[*hollow.Member]memberTraffic {
@@ -415,8 +420,9 @@
 	return all
 }
 
-// logTraffic logs how many bytes a second a member sends and receives while action runs, and for at least d: in all, in
-// datagrams (the view), for the endpoint list, and for configuration.
+// logTraffic logs how many bytes per second a member sends and receives while action runs, measured for at least d. It
+// logs the total, the datagrams of the membership view, the other streams, which carry the endpoint list and the
+// synchronization of views, and the configuration, in a row labeled what.
 func (h *hollowTest) logTraffic(what string, d time.Duration, action func()) {
 	before, startedAt := h.traffic(), time.Now()
 	action()
@@ -433,8 +439,8 @@
 		config = append(config, float64(configBytes)/seconds)
 		list = append(list, float64(streams-configBytes)/seconds)
 	}
-	h.t.Logf("| %-46s | bytes a second a member, sent and received, mean (max): all %.0f (%.0f), view %.0f (%.0f), "+
-		"list and views compared %.0f (%.0f), configuration %.0f (%.0f)", what,
+	h.t.Logf("| %-46s | bytes per second and member, sent and received, mean (max): total %.0f (%.0f), "+
+		"view %.0f (%.0f), endpoint list and view synchronization %.0f (%.0f), configuration %.0f (%.0f)", what,
 		mean(total), slices.Max(total), mean(view), slices.Max(view), mean(list), slices.Max(list),
 		mean(config), slices.Max(config))
 }
@@ -447,7 +453,8 @@
 	return sum
 }
 
-// Changes reach hollow members through the real transport and real origins. The long form, with faults and traffic:
+// Changes reach hollow members through the real transport and real origins. The long form also injects faults and
+// measures traffic:
 //
 //	go test ./internal/controlplane/transport -run Hollow -config.hollow 590 -timeout 1h -v
 func TestHollow(t *testing.T) {
@@ -459,7 +466,7 @@
 	h := newHollowTest(t, members, origins)
 	revision, _ := h.push(0, 1)
 	startedAt := time.Now()
-	for batch := range slices.Chunk(h.Members, 30) { // one process cannot start more of them at once
+	for batch := range slices.Chunk(h.Members, 30) { // starting more at once overloads the process
 		if err := h.Start(batch...); err != nil {
 			t.Fatal(err)
 		}
@@ -467,7 +474,7 @@
 			time.Sleep(700 * time.Millisecond)
 		}
 	}
-	h.awaitActive("all start, 30 at a time: after the first start", revision, startedAt, h.Members)
+	h.awaitActive("start, 30 members at a time: since the first", revision, startedAt, h.Members)
 	if *hollowMembers == 0 {
 		testutil.Until(t, "all members know each other", func() bool {
 			return h.Disagreement(func(hollow.Location) bool { return true }) == ""
@@ -476,7 +483,7 @@
 	revision, pushedAt := h.push(0, 1)
 	took := h.awaitActive("a change", revision, pushedAt, h.Members)
 	if slowest := took[len(took)-1]; slowest > 4*time.Second {
-		t.Errorf("change in force at all members after %v, want at most 4s", slowest)
+		t.Errorf("change became active at all members after %v, want at most 4s", slowest)
 	}
 	if *hollowMembers > 0 {
 		h.runLongForm()
--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -11,13 +11,13 @@
 	"hazelwing/internal/testutil"
 )
 
-// storedDir is a member's directory as the code of 593ba64 has written it: see its README.
+// storedDir is a member's directory that the code of commit 593ba64 wrote. Its README.md describes it.
 const storedDir = "testdata/version-593ba64"
 
-// storedText is the text of version 2, which the cache file in storedDir has.
+// storedText is the text of version 2, the snapshot in storedDir.
 const storedText = "# second\n[limits]\nmax_attempts = 2\n"
 
-// copyStoredDir returns a directory with the stored cache file.
+// copyStoredDir returns a new directory with a copy of the cache file in storedDir.
 func copyStoredDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -31,59 +31,60 @@
 	return dir
 }
 
-// checkCache checks the content of a member's cache file.
+// checkCache checks the content of the cache file in dir, and that it was confirmed within the last minute.
 func checkCache(t *testing.T, dir string, version, highest uint64, text string) {
 	t.Helper()
 	cached, confirmedAt, err := loadCachedSnapshot(dir)
 	if err != nil || cached == nil {
-		t.Fatalf("load: %v, %v", cached, err)
+		t.Fatalf("loadCachedSnapshot returns %v, %v, want a snapshot", cached, err)
 	}
 	want := testFrame(version, text)
 	got := cached.Frame
 	if got.Cluster != "f" || got.Revision != want.Revision || string(got.Text) != text {
-		t.Errorf("cached frame is %+v, %q, want %+v", got, got.Text, want)
+		t.Errorf("cached frame is %+v with text %q, want %+v", got, got.Text, want)
 	}
 	if cached.Highest.Epoch != 1 || cached.Highest.Version != highest || time.Since(confirmedAt) > time.Minute {
-		t.Errorf("highest revision is %v, confirmed at %v", cached.Highest, confirmedAt)
+		t.Errorf("highest revision is %v, confirmed at %v, want 1.%d, confirmed in the last minute",
+			cached.Highest, confirmedAt, highest)
 	}
 }
 
-// The snapshot that a member of 593ba64 has stored is in force in the new version while no origin answers. A snapshot
-// that is older than the highest revision of the other version is not put in force; a newer one is, and is stored in
-// its place.
+// The snapshot that a member of commit 593ba64 stored becomes active in this version while no origin is reachable. A
+// snapshot that is older than the stored highest revision does not become active; a newer one does, and replaces the
+// stored one.
 func TestCachedSnapshotOfPreviousVersion(t *testing.T) {
 	t.Parallel()
 	dir := copyStoredDir(t)
 	checkCache(t, dir, 2, 2, storedText)
 	m := startMember(t, "m", dir, unreachableOrigin)
-	awaitVersion(t, "the stored snapshot is in force", 2, m)
+	awaitVersion(t, "the stored snapshot is active", 2, m)
 	if s, _ := m.State(); s.Active != testFrame(2, storedText).Revision || !s.FromCache {
-		t.Errorf("state is %+v, want the stored snapshot in force", s)
+		t.Errorf("state is %+v, want the stored snapshot active", s)
 	}
 	m.stop()
 
-	source := newFakeUpstream(t, "o1", nil)
-	source.publish(testFrame(1, "# first\n"))
-	m = startMember(t, "m", dir, source.addr)
+	upstream := newFakeUpstream(t, "o1", nil)
+	upstream.publish(testFrame(1, "# first\n"))
+	m = startMember(t, "m", dir, upstream.addr)
 	testutil.Until(t, "the member subscribes to the origin, which has an older version", func() bool {
 		return m.subscribesTo("o1")
 	})
-	source.publish(testFrame(3, "# third\n"))
-	awaitVersion(t, "the newer version is in force", 3, m)
+	upstream.publish(testFrame(3, "# third\n"))
+	awaitVersion(t, "the newer version is active", 3, m)
 	testutil.Until(t, "the newer version is stored", func() bool { return cachedVersion(t, dir) == 3 })
 	m.stop()
 	if !slices.Equal(m.applied, []uint64{2, 3}) {
-		t.Errorf("versions %d were in force, want 2 and 3", m.applied)
+		t.Errorf("versions %d became active, want 2 and 3", m.applied)
 	}
 
 	checkCache(t, dir, 3, 3, "# third\n")
 	m = startMember(t, "m", dir, unreachableOrigin)
-	awaitVersion(t, "the newer version is in force after a restart", 3, m)
+	awaitVersion(t, "the newer version is active after a restart", 3, m)
 	m.stop()
 	checkCache(t, dir, 3, 3, "# third\n")
 }
 
-// The cache file of the same snapshot has the same bytes as in 593ba64.
+// For the same snapshot, this version writes the same cache file, byte for byte, as the code of commit 593ba64.
 func TestCacheFileBytesOfPreviousVersion(t *testing.T) {
 	dir := t.TempDir()
 	frame := testFrame(2, storedText)
