--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -127,7 +127,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Fatal(response.Status)
+		t.Fatalf("response has status %s, want 200 OK", response.Status)
 	}
 	reader := bufio.NewReader(response.Body)
 	next := func() []byte {
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -33,7 +33,7 @@
 	hollowMembers = flag.Int("config.hollow", 0,
 		"number of hollow members in the long form of TestHollow; 0: the short form, with 20")
 	trafficPeriod = flag.Duration("config.quiet", 20*time.Second,
-		"how long each traffic measurement in the long form of TestHollow takes, at least")
+		"minimum duration of each traffic measurement in the long form of TestHollow")
 )
 
 const (
@@ -56,7 +56,7 @@
 	mu            sync.Mutex
 	active        map[string]activeRevision    // by the member's name
 	configMembers map[string]*transport.Member // by the member's name
-	configBytes   map[string]*atomic.Int64     // of configuration, sent and received, by address
+	configBytes   map[string]*atomic.Int64     // bytes of configuration, by address
 }
 
 // activeRevision is the active revision of a member, and the time at which it became active.
@@ -341,7 +341,7 @@
 	}
 	if len(missing) > 0 {
 		h.logStates(missing)
-		h.t.Fatalf("%s: revision %v is active at %d of %d members; not active at %.300s",
+		h.t.Fatalf("%s: revision %v is active at %d of %d members; missing: %.300s",
 			what, revision, len(took), len(members), strings.Join(missing, " "))
 	}
 	slices.Sort(took)
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -20,7 +20,7 @@
 	// takes more memory.
 	memberQueueSize = 256
 	// maxConcurrentFetches limits the concurrent fetches of snapshots from peers. A higher value finds a peer that has
-	// the snapshot sooner, but fetches the same snapshot several times more often.
+	// the snapshot sooner, but receives more copies of the same snapshot.
 	maxConcurrentFetches = 2
 	// stateTimeout limits how long State, and a request for an origin's state or snapshot, waits for the event loop.
 	stateTimeout = time.Second
@@ -70,7 +70,7 @@
 	// or has announced that it has none.
 	ready         chan struct{}
 	stopped       chan struct{} // closed when Run takes no more events
-	bytesReceived atomic.Int64  // of snapshots from upstreams
+	bytesReceived atomic.Int64  // bytes of snapshot text from upstreams
 
 	subscribeFromMu sync.Mutex
 	subscribeFrom   controlplane.Revision // published by the core; the next subscription requests later ones
--- a/internal/controlplane/transport/memberloop.go
+++ b/internal/controlplane/transport/memberloop.go
@@ -41,7 +41,7 @@
 // memberLoop is the event loop of a member. Only its goroutine uses the core.
 type memberLoop struct {
 	*Member
-	tasks     *sync.WaitGroup        // fetches are added to it; Run waits for all
+	tasks     *sync.WaitGroup        // goroutines that Run waits for; fetches are added
 	published controlplane.Revision  // last one passed to OnRevision
 	announced *controlplane.Revision // last one that an upstream announced; nil if none has yet
 	isReady   bool
@@ -114,8 +114,8 @@
 }
 
 // updateReady closes ready once the announced revision is active or was rejected. A process that starts waits for this
-// before it accepts requests, so that it does not serve them with other settings than the rest of the cluster. It
-// stops waiting after a timeout if no upstream announces a revision.
+// before it accepts requests, so that it does not serve them with other settings than the rest of the cluster. The
+// process stops waiting after a timeout if no upstream announces a revision.
 func (l *memberLoop) updateReady(stats controlplane.FollowerStats) {
 	if l.isReady || l.announced == nil {
 		return
@@ -127,7 +127,7 @@
 	}
 }
 
-// execute executes the actions of the core in order.
+// execute performs the actions of the core in order.
 func (l *memberLoop) execute(ctx context.Context, actions []controlplane.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
--- a/internal/controlplane/transport/memberstate.go
+++ b/internal/controlplane/transport/memberstate.go
@@ -13,12 +13,14 @@
 	Ready   bool                  `json:"ready"`
 	// CachedAge is the time since the active revision was last confirmed. It is set only while that revision comes
 	// from the cache file and no upstream has confirmed it since the start.
-	CachedAge      string              `json:"last_known,omitempty"`
-	UnconfirmedFor string              `json:"not_confirmed_for"`  // since an upstream confirmed the active revision
+	CachedAge string `json:"last_known,omitempty"`
+	// UnconfirmedFor is the time since an upstream last confirmed the active revision or, if none has, since the
+	// start.
+	UnconfirmedFor string              `json:"not_confirmed_for"`
 	Upstream       string              `json:"upstream,omitempty"` // name of the upstream; empty if there is none
 	UpstreamAddr   string              `json:"upstream_addr,omitempty"`
 	UpstreamCount  int                 `json:"upstreams"` // subscriptions since the start
-	BytesReceived  int64               `json:"got"`       // snapshot text from upstreams
+	BytesReceived  int64               `json:"got"`       // bytes of snapshot text from upstreams
 	Report         controlplane.Report `json:"report"`    // of this member and its descendants
 	Server         serverState         `json:"serves"`
 }
--- a/internal/controlplane/transport/operatorclient.go
+++ b/internal/controlplane/transport/operatorclient.go
@@ -17,7 +17,7 @@
 const (
 	// maxResponseSize limits the number of bytes that are read of an origin's response.
 	maxResponseSize = MaxLineSize + 4*controlplane.MaxReportSize
-	// maxQuotedResponse limits the number of bytes of a response that is not valid JSON that are quoted in the error.
+	// maxQuotedResponse limits the number of bytes that are quoted in the error about a response that is not JSON.
 	maxQuotedResponse = 300
 	// operatorName is the name of the sender in the requests of the operator's commands.
 	operatorName = "operator"
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// Push proposes a text as the successor of the version after, under an ID that the caller chooses. A push may safely
-// be repeated with the same ID.
-func (c *Client) Push(ctx context.Context, id string, after uint64, text []byte) (origin.Result, error) {
-	query := url.Values{"id": {id}, "after": {strconv.FormatUint(after, 10)}}
+// Push proposes a text as the successor of the base version, under an ID that the caller chooses. It is safe to repeat
+// a push with the same ID.
+func (c *Client) Push(ctx context.Context, id string, baseVersion uint64, text []byte) (origin.Result, error) {
+	query := url.Values{"id": {id}, "after": {strconv.FormatUint(baseVersion, 10)}}
 	var result origin.Result
 	err := c.call(ctx, http.MethodPost, pushPath+"?"+query.Encode(), text, &result)
 	return result, err
--- a/internal/controlplane/transport/originhttp.go
+++ b/internal/controlplane/transport/originhttp.go
@@ -90,7 +90,7 @@
 
 func (o *Origin) serveMessage(w http.ResponseWriter, r *http.Request) {
 	sender := r.Header.Get(senderHeader)
-	if o.outgoing[sender] == nil {
+	if o.outgoing[sender] == nil { // the sender is not one of the other origins
 		http.Error(w, "no other origin of these", http.StatusForbidden)
 		return
 	}
@@ -105,7 +105,7 @@
 func (o *Origin) servePush(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	id := query.Get("id")
-	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
+	baseVersion, err := strconv.ParseUint(query.Get("after"), 10, 64)
 	if err != nil || id == "" || len(id) > origin.MaxIDLength {
 		http.Error(w, "after, a version, and id, 1 to 64 bytes, are wanted", http.StatusBadRequest)
 		return
@@ -114,7 +114,7 @@
 	if !ok {
 		return
 	}
-	o.serveResult(w, r, id, origin.Propose{ID: id, BaseVersion: after, Text: text})
+	o.serveResult(w, r, id, origin.Propose{ID: id, BaseVersion: baseVersion, Text: text})
 }
 
 // serveResult passes a push, or the query for the outcome of one, to the node and responds with the result.
--- a/internal/controlplane/transport/originloop.go
+++ b/internal/controlplane/transport/originloop.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// execute executes the actions of the node in order. It stops with an error when a write to the store fails, since the
+// execute performs the actions of the node in order. It stops with an error when a write to the store fails, since the
 // actions after it must not take effect before the write is durable.
 func (o *Origin) execute(actions []origin.Action) error {
 	for _, action := range actions {
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// request passes an event to the node and returns its result for this ID. The node sends a result at the latest after
-// its own request timeout. request returns nil if the origin stops, ctx is done, another request is waiting for the
-// same ID, or too many requests are waiting.
+// request passes an event to the node and returns the node's result for this ID, which the node sends within its own
+// request timeout. request returns nil if the origin stops, ctx is done, another request is waiting for the same ID,
+// or too many requests are waiting.
 func (o *Origin) request(ctx context.Context, id string, event origin.Event) *origin.Result {
 	wait := make(chan origin.Result, 1)
 	o.mu.Lock()
--- a/internal/controlplane/transport/server.go
+++ b/internal/controlplane/transport/server.go
@@ -34,7 +34,7 @@
 	subscribers      map[string]int // open subscriptions, by the subscriber's name
 	rejected         int            // rejected subscribers
 	otherCluster     int            // requests for another cluster
-	bytesSent        int64          // to subscribers
+	bytesSent        int64          // bytes sent to subscribers
 }
 
 func newSubscriptionServer(cluster, self string, maxSubscribers int) *subscriptionServer {
@@ -92,9 +92,9 @@
 // serveAlive responds with status 204 if this origin participates in the consensus, and with 205 if it does not.
 func (s *subscriptionServer) serveAlive(w http.ResponseWriter) {
 	s.mu.Lock()
-	idle := s.nonParticipating
+	nonParticipating := s.nonParticipating
 	s.mu.Unlock()
-	if idle {
+	if nonParticipating {
 		w.WriteHeader(http.StatusResetContent)
 		return
 	}
@@ -182,7 +182,7 @@
 	Subscribers     int      `json:"following"` // current number
 	Rejected        int      `json:"turned"`    // subscribers rejected since the start
 	OtherCluster    int      `json:"foreign"`   // requests for another cluster since the start
-	BytesSent       int64    `json:"sent"`      // to subscribers, since the start
+	BytesSent       int64    `json:"sent"`      // bytes sent to subscribers since the start
 }
 
 func (s *subscriptionServer) state() serverState {
--- a/internal/controlplane/transport/upstream.go
+++ b/internal/controlplane/transport/upstream.go
@@ -74,8 +74,8 @@
 }
 
 // awaitSelection waits until the selector may be called again: after delay or upstreamCheckInterval, whichever is
-// shorter, or when the membership view changes. After the wait, a member that should subscribe to an origin probes the
-// next one, and tells the selector if it responds.
+// shorter, or when the membership view changes. If the view has not changed, a member that should subscribe to an
+// origin then probes the next one, and tells the selector if it responds.
 func (m *Member) awaitSelection(
 	ctx context.Context, delay time.Duration, viewChanged <-chan struct{}, originIndex *int,
 ) {
@@ -153,7 +153,7 @@
 	upstream         target      // with the name from its latest path
 	identified       bool        // whether the upstream has sent its path
 	nonParticipating atomic.Bool // whether the upstream is an origin that does not participate
-	originIndex      int         // origin probed last; used only by awaitBetterUpstream's goroutine while that runs
+	originIndex      int         // of the last probed origin; owned by awaitBetterUpstream while that runs
 }
 
 // receive handles a line of the subscription.
@@ -246,10 +246,12 @@
 }
 
 // probeNextOrigin probes the next origin. It reports whether the origin participates or, with acceptNonParticipating,
-// whether it responds at all, and tells the selector if so. The selector avoids origins that were unreachable for some
-// time; without the probe, a member would stay with a peer, or without an upstream, for that time after the network
-// has recovered. Only members that should subscribe to an origin, or are subscribed to one that does not participate,
-// send probes, each at most once per upstreamCheckInterval.
+// whether it responds at all. If so, it also tells the selector.
+//
+// The selector avoids an origin for some time after it was unreachable. Without probes, a member would stay with a
+// peer, or without an upstream, until this time has passed, although the network has recovered. Probes are sent only
+// by members that should subscribe to an origin, or are subscribed to one that does not participate, and by each at
+// most once per upstreamCheckInterval.
 func (m *Member) probeNextOrigin(ctx context.Context, originIndex *int, acceptNonParticipating bool) bool {
 	*originIndex++
 	origin := m.cfg.Origins[*originIndex%len(m.cfg.Origins)]
--- a/internal/controlplane/transport/watch.go
+++ b/internal/controlplane/transport/watch.go
@@ -21,13 +21,13 @@
 	errSubscriberAhead = errors.New("a later one is held than this one has")
 )
 
-// admit adds a subscriber, or returns the reason for rejecting it. has is the revision that the subscriber has. If
-// this process has no upstream, admit waits up to upstreamWait for one.
-func (s *subscriptionServer) admit(ctx context.Context, name string, has controlplane.Revision) error {
+// admit adds a subscriber, or returns the reason for rejecting it. If this process has no upstream, admit waits up to
+// upstreamWait for one.
+func (s *subscriptionServer) admit(ctx context.Context, name string, subscriberRevision controlplane.Revision) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.awaitUpstream(ctx)
-	err := s.checkSubscriber(name, has)
+	err := s.checkSubscriber(name, subscriberRevision)
 	if err != nil {
 		s.rejected++
 		return err
@@ -58,19 +58,18 @@
 	}
 }
 
-// checkSubscriber returns the reason for rejecting a subscriber that has the revision has, or nil. The caller holds
-// s.mu.
+// checkSubscriber returns the reason for rejecting a subscriber, or nil to admit it. The caller holds s.mu.
 //
 // It rejects the subscriber if this process has no upstream, too many subscribers, an older revision than the
 // subscriber (members only) or an unusable path. Otherwise a member that is behind or cut off could keep its
 // subscribers behind as well.
-func (s *subscriptionServer) checkSubscriber(name string, has controlplane.Revision) error {
+func (s *subscriptionServer) checkSubscriber(name string, subscriberRevision controlplane.Revision) error {
 	switch {
 	case !s.upstreamHealthy:
 		return errNoUpstream
 	case len(s.subscribers) >= s.maxSubscribers && s.subscribers[name] == 0:
 		return errTooManySubscribers
-	case s.isMember && s.revision.Compare(has) < 0:
+	case s.isMember && s.revision.Compare(subscriberRevision) < 0:
 		return errSubscriberAhead
 	}
 	return validatePath(s.path, name)
@@ -94,12 +93,12 @@
 // serveWatch serves one subscriber until it disconnects, or does not receive the lines that are due within
 // writeTimeout.
 func (s *subscriptionServer) serveWatch(w http.ResponseWriter, r *http.Request, subscriber string) {
-	has, err := parseRevision(r)
+	subscriberRevision, err := parseRevision(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := s.admit(r.Context(), subscriber, has); err != nil {
+	if err := s.admit(r.Context(), subscriber, subscriberRevision); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -107,7 +106,7 @@
 	control := http.NewResponseController(w)
 	keepAlive := time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
-	watch := watchProgress{revision: has}
+	watch := watchProgress{revision: subscriberRevision}
 	for {
 		lines, changed := s.nextLines(&watch)
 		setWriteDeadline(control, writeTimeout)
@@ -141,11 +140,12 @@
 // as sent. The channel changed is closed at the next change.
 func (s *subscriptionServer) nextLines(watch *watchProgress) (lines []byte, changed <-chan struct{}) {
 	s.mu.Lock()
-	path, idle, revision, frame, changed := s.path, s.nonParticipating, s.revision, s.frame, s.changed
+	path, nonParticipating, revision, frame, changed := s.path, s.nonParticipating, s.revision, s.frame, s.changed
 	s.mu.Unlock()
-	if !isSameSlice(watch.path, path) || watch.nonParticipating != idle {
-		watch.path, watch.nonParticipating = path, idle
-		lines, _ = json.Marshal(line{Path: path, Revision: &revision, NonParticipating: idle}) // can always be encoded
+	if !isSameSlice(watch.path, path) || watch.nonParticipating != nonParticipating {
+		watch.path, watch.nonParticipating = path, nonParticipating
+		// The error is ignored because such a line can always be encoded.
+		lines, _ = json.Marshal(line{Path: path, Revision: &revision, NonParticipating: nonParticipating})
 		lines = append(lines, '\n')
 	}
 	// A frame that conflicts with the subscriber's (the same version with another hash) is sent as well, so that the
@@ -176,8 +176,8 @@
 	return revision, nil
 }
 
-// isSameSlice reports whether a and b share their memory. It detects every replacement of a path, even by an equal
-// one.
+// isSameSlice reports whether a and b have the same memory. Two paths of different calls of setUpstream do not, even
+// if they are equal.
 func isSameSlice(a, b []string) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
