--- a/internal/controlplane/transport/watch.go
+++ b/internal/controlplane/transport/watch.go
@@ -11,20 +11,23 @@
 	"hazelwing/internal/controlplane"
 )
 
-// Reasons to reject a subscriber, as it is answered. errPath is another one.
+// Reasons for rejecting a subscriber; errUnusablePath is another one. The texts are sent to the subscriber.
 var (
-	errNoUpstream         = errors.New("no configuration from a source that works")
+	// errNoUpstream means that this process has no upstream.
+	errNoUpstream = errors.New("no configuration from a source that works")
+	// errTooManySubscribers means that this process already has maxSubscribers.
 	errTooManySubscribers = errors.New("enough follow this one")
-	errSubscriberAhead    = errors.New("a later one is held than this one has")
+	// errSubscriberAhead means that the subscriber has a later revision than this member.
+	errSubscriberAhead = errors.New("a later one is held than this one has")
 )
 
-// admit adds a subscriber that has a revision, or returns why not. It waits for up to upstreamWait for this process to
-// have an upstream.
-func (s *subscriptionServer) admit(ctx context.Context, name string, has controlplane.Revision) error {
+// admit adds a subscriber, or returns the reason for rejecting it. If this process has no upstream, admit waits up to
+// upstreamWait for one.
+func (s *subscriptionServer) admit(ctx context.Context, name string, subscriberRevision controlplane.Revision) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.awaitUpstream(ctx)
-	err := s.checkSubscriber(name, has)
+	err := s.checkSubscriber(name, subscriberRevision)
 	if err != nil {
 		s.rejected++
 		return err
@@ -33,8 +36,8 @@
 	return nil
 }
 
-// awaitUpstream waits while this process has no upstream and could take a subscriber. The caller holds s.mu, which is
-// unlocked meanwhile.
+// awaitUpstream waits until this process has an upstream or the maximum number of subscribers, at most until
+// upstreamWait has passed or ctx is done. The caller holds s.mu, which awaitUpstream unlocks while it waits.
 func (s *subscriptionServer) awaitUpstream(ctx context.Context) {
 	timeout := time.After(upstreamWait)
 	for !s.upstreamHealthy && len(s.subscribers) < s.maxSubscribers {
@@ -55,23 +58,25 @@
 	}
 }
 
-// checkSubscriber returns why a subscriber that has a revision cannot be admitted. The caller holds s.mu.
+// checkSubscriber returns the reason for rejecting a subscriber, or nil to admit it. The caller holds s.mu.
 //
-// It decides that from the upstream of this process, the places that are left, the two revisions and the path. This
-// prevents a member that is behind, or cut off, from keeping others behind as well.
-func (s *subscriptionServer) checkSubscriber(name string, has controlplane.Revision) error {
+// It rejects the subscriber if this process has no upstream, too many subscribers, an older revision than the
+// subscriber (members only) or an unusable path. Otherwise a member that is behind or cut off could keep its
+// subscribers behind as well.
+func (s *subscriptionServer) checkSubscriber(name string, subscriberRevision controlplane.Revision) error {
 	switch {
 	case !s.upstreamHealthy:
 		return errNoUpstream
 	case len(s.subscribers) >= s.maxSubscribers && s.subscribers[name] == 0:
 		return errTooManySubscribers
-	case s.isMember && s.revision.Compare(has) < 0:
+	case s.isMember && s.revision.Compare(subscriberRevision) < 0:
 		return errSubscriberAhead
 	}
 	return validatePath(s.path, name)
 }
 
-// remove takes out a subscriber whose watch has ended. A name may have several watches for a moment.
+// remove removes a subscriber whose subscription has ended. A subscriber that reconnects may have several
+// subscriptions for a short time.
 func (s *subscriptionServer) remove(name string) {
 	s.mu.Lock()
 	last := s.subscribers[name] == 1
@@ -85,14 +90,15 @@
 	}
 }
 
-// serveWatch serves one subscriber until it disconnects, or does not read what there is within writeTimeout.
+// serveWatch serves one subscriber until it disconnects, or does not receive the lines that are due within
+// writeTimeout.
 func (s *subscriptionServer) serveWatch(w http.ResponseWriter, r *http.Request, subscriber string) {
-	has, err := parseRevision(r)
+	subscriberRevision, err := parseRevision(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := s.admit(r.Context(), subscriber, has); err != nil {
+	if err := s.admit(r.Context(), subscriber, subscriberRevision); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -100,7 +106,7 @@
 	control := http.NewResponseController(w)
 	keepAlive := time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
-	watch := watchProgress{revision: has}
+	watch := watchProgress{revision: subscriberRevision}
 	for {
 		lines, changed := s.nextLines(&watch)
 		setWriteDeadline(control, writeTimeout)
@@ -123,26 +129,27 @@
 	}
 }
 
-// watchProgress is what a subscriber has received.
+// watchProgress is the latest state that a subscriber has been sent.
 type watchProgress struct {
-	path     []string
-	idle     bool
-	revision controlplane.Revision
+	path             []string
+	nonParticipating bool
+	revision         controlplane.Revision
 }
 
-// nextLines returns what is to be sent next, and records it as received: whatever the subscriber lacks, or an empty
-// line. The channel is closed at the next change.
+// nextLines returns the lines that the subscriber lacks, or an empty line if it lacks none, and records them in watch
+// as sent. The channel changed is closed at the next change.
 func (s *subscriptionServer) nextLines(watch *watchProgress) (lines []byte, changed <-chan struct{}) {
 	s.mu.Lock()
-	path, idle, revision, frame, changed := s.path, s.idle, s.revision, s.frame, s.changed
+	path, nonParticipating, revision, frame, changed := s.path, s.nonParticipating, s.revision, s.frame, s.changed
 	s.mu.Unlock()
-	if !isSameSlice(watch.path, path) || watch.idle != idle {
-		watch.path, watch.idle = path, idle
-		lines, _ = json.Marshal(line{Path: path, Revision: &revision, Idle: idle}) // can always be encoded
+	if !isSameSlice(watch.path, path) || watch.nonParticipating != nonParticipating {
+		watch.path, watch.nonParticipating = path, nonParticipating
+		// The error is ignored because such a line can always be encoded.
+		lines, _ = json.Marshal(line{Path: path, Revision: &revision, NonParticipating: nonParticipating})
 		lines = append(lines, '\n')
 	}
-	// A frame that conflicts with the subscriber's (the same version with another hash) is sent, too: the subscriber
-	// is to learn of the conflict.
+	// A frame that conflicts with the subscriber's (the same version with another hash) is sent as well, so that the
+	// subscriber detects the conflict.
 	order := revision.Compare(watch.revision)
 	conflicts := order == 0 && watch.revision.Hash != "" && watch.revision.Hash != revision.Hash
 	if frame != nil && (order > 0 || conflicts) {
@@ -155,7 +162,7 @@
 	return lines, changed
 }
 
-// parseRevision reads the revision that a subscriber has from the query of its request.
+// parseRevision parses the revision that a subscriber has from the query of its request.
 func parseRevision(r *http.Request) (controlplane.Revision, error) {
 	query := r.URL.Query()
 	revision := controlplane.Revision{Hash: query.Get("hash")}
@@ -169,7 +176,8 @@
 	return revision, nil
 }
 
-// isSameSlice reports whether a and b are one slice in memory. A path is replaced by a new slice even if that is equal.
+// isSameSlice reports whether a and b have the same memory. Two paths of different calls of setUpstream do not, even
+// if they are equal.
 func isSameSlice(a, b []string) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
