--- a/internal/front/clientconn/conn.go
+++ b/internal/front/clientconn/conn.go
@@ -93,7 +93,7 @@
 	defer c.listener.mu.Unlock()
 	c.hasServed = true
 	if !c.closed && c.element == nil {
-		c.enqueue(&c.listener.served)
+		c.enqueue(&c.listener.awaitingNext)
 	}
 	if !c.closed && c.listener.stopping {
 		c.closeIfIdle()
--- a/internal/front/clientconn/eviction.go
+++ b/internal/front/clientconn/eviction.go
@@ -21,12 +21,12 @@
 // would get neither an answer nor a close. It holds because every connection without an open request is in a queue.
 func (l *Listener) evict() bool {
 	l.mu.Lock()
-	oldest := longestIdle(&l.unproven)
-	if oldest == nil && l.unproven.Len() > 0 {
-		oldest = l.unproven.Front().Value.(*Conn) // all have sent something, and may never send more
+	oldest := longestIdle(&l.awaitingFirst)
+	if oldest == nil && l.awaitingFirst.Len() > 0 {
+		oldest = l.awaitingFirst.Front().Value.(*Conn) // all have sent something, and may never send more
 	}
 	if oldest == nil {
-		oldest = longestIdle(&l.served)
+		oldest = longestIdle(&l.awaitingNext)
 	}
 	if oldest != nil {
 		oldest.markClosed()
@@ -52,7 +52,7 @@
 	checks := 0
 	for e := queue.Front(); e != nil && checks < maxEvictionChecks; e = e.Next() {
 		checks++
-		if c := e.Value.(*Conn); c.isQuiet() {
+		if c := e.Value.(*Conn); c.hasNoInput() {
 			return c
 		}
 	}
@@ -68,6 +68,6 @@
 	}
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	proven := c.listener.openConns - c.listener.unproven.Len()
+	proven := c.listener.openConns - c.listener.awaitingFirst.Len()
 	return float64(proven) > maxIdleShare*float64(c.listener.maxConns)
 }
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -41,11 +41,11 @@
 	mu        sync.Mutex
 	openConns int // a connection counts until its descriptor is free
 	// The idle connections, those that have been idle for longest first.
-	unproven list.List // connections that have not sent a valid request yet
-	served   list.List // connections that have
-	stopping bool
-	closed   bool
-	drained  chan struct{} // closed once there are no connections and no more can come
+	awaitingFirst list.List // connections that have not sent a valid request yet
+	awaitingNext  list.List // connections that have
+	stopping      bool
+	closed        bool
+	drained       chan struct{} // closed once there are no connections and no more can come
 }
 
 // New wraps a listener of the network tcp. It has at most maxConns connections open; onLimit is called, from the
@@ -127,7 +127,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.openConns++
-	c.enqueue(&l.unproven)
+	c.enqueue(&l.awaitingFirst)
 	return c
 }
 
--- a/internal/front/clientconn/listener_test.go
+++ b/internal/front/clientconn/listener_test.go
@@ -43,7 +43,7 @@
 			if _, err := io.WriteString(clients[0], "G"); err != nil {
 				t.Fatal(err)
 			}
-			testutil.Until(t, "the byte", func() bool { return !conns[0].isQuiet() })
+			testutil.Until(t, "the byte", func() bool { return !conns[0].hasNoInput() })
 			if read {
 				if _, err := conns[0].Read(make([]byte, 10)); err != nil {
 					t.Fatal(err)
--- a/internal/front/clientconn/stop.go
+++ b/internal/front/clientconn/stop.go
@@ -16,7 +16,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopping = true
-	for _, queue := range []*list.List{&l.served, &l.unproven} {
+	for _, queue := range []*list.List{&l.awaitingNext, &l.awaitingFirst} {
 		for e := queue.Front(); e != nil; {
 			c := e.Value.(*Conn)
 			e = e.Next()
@@ -31,14 +31,14 @@
 // under an ID that is in flight. It holds because the bytes are read and noted under the lock that isQuiet takes. The
 // listener's lock is held.
 func (c *Conn) closeIfIdle() {
-	if c.hasServed && c.isQuiet() && c.markClosed() {
+	if c.hasServed && c.hasNoInput() && c.markClosed() {
 		_ = c.closeSocket() // all responses have been written
 		c.listener.release()
 	}
 }
 
-// isQuiet reports whether nothing was received since the last response began.
-func (c *Conn) isQuiet() bool {
+// hasNoInput reports whether nothing was received since the last response began.
+func (c *Conn) hasNoInput() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	return !c.received && netpeek.Peek(c.TCPConn) != netpeek.Readable
--- a/internal/front/graphqlfront/coalesce.go
+++ b/internal/front/graphqlfront/coalesce.go
@@ -95,12 +95,12 @@
 		waiters:   map[*waiter]bool{w: true},
 	}
 	g.flights[key] = f
-	go g.fly(ctx, key, f, run) // its callers wait for it, or cancel it when the last of them leaves
+	go g.runFlight(ctx, key, f, run) // its callers wait for it, or cancel it when the last of them leaves
 	return &joinedFlight{f, w}, false
 }
 
-// fly executes a flight and removes it from the group.
-func (g *flightGroup) fly(ctx context.Context, key string, f *flight, run runFunc) {
+// runFlight executes a flight and removes it from the group.
+func (g *flightGroup) runFlight(ctx context.Context, key string, f *flight, run runFunc) {
 	defer f.cancel()
 	f.outcome, f.abandoned = run(ctx, f.isAbandoned)
 	g.mu.Lock()
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -95,7 +95,7 @@
 	write(t, second, shorter)
 	testutil.Until(t, "the second client to join", func() bool { return front.server.State().CoalescedParts == 1 })
 	closeConn(t, first)
-	testutil.Until(t, "the first client to leave", func() bool { return front.server.flights.waiting() == 1 })
+	testutil.Until(t, "the first client to leave", func() bool { return front.server.flights.waiterCount() == 1 })
 	if len(aborted) > 0 || call.Disconnected() {
 		t.Error("the call ended with the first client")
 	}
@@ -108,8 +108,8 @@
 	}
 }
 
-// waiting returns the number of callers that wait, over all flights.
-func (g *flightGroup) waiting() int {
+// waiterCount returns the number of callers that wait, over all flights.
+func (g *flightGroup) waiterCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
--- a/internal/front/graphqlfront/limits_test.go
+++ b/internal/front/graphqlfront/limits_test.go
@@ -42,8 +42,8 @@
 	return "[" + strings.Repeat(`{"query":"{a}"},`, n-1) + `{"query":"{a}"}]`
 }
 
-// bombs returns requests that ask for far more work than their length suggests.
-func bombs(tb testing.TB) map[string][]byte {
+// expensiveRequests returns requests that ask for far more work than their length suggests.
+func expensiveRequests(tb testing.TB) map[string][]byte {
 	tb.Helper()
 	request := func(document string) []byte {
 		body, err := json.Marshal(map[string]string{"query": document})
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestBombs checks that each bomb is an error within limits of time and memory, and that nothing of it is sent.
-func TestBombs(t *testing.T) {
+// TestExpensiveRequestsAreRejected checks that each bomb is an error within limits of time and memory, and that nothing of it is sent.
+func TestExpensiveRequestsAreRejected(t *testing.T) {
 	const (
 		maxDuration = 10 * time.Second // a second on a machine that is not busy
 		maxMemory   = 16 << 20         // beyond the request itself
@@ -87,7 +87,7 @@
 	)
 	d := &recordingDoer{}
 	s := newTestServer(t, d, nil)
-	for name, body := range bombs(t) {
+	for name, body := range expensiveRequests(t) {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -119,7 +119,7 @@
 //	go test ./internal/front/graphqlfront -run xxx -fuzz Request -fuzztime 5m
 func FuzzRequest(f *testing.F) {
 	const maxSeed = 4 << 10
-	for _, body := range bombs(f) {
+	for _, body := range expensiveRequests(f) {
 		if len(body) < maxSeed {
 			f.Add(body)
 		}
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -30,9 +30,9 @@
 	// minOpenAfterStop is how long the listener stays open at least. A higher value makes the shutdown longer; a lower
 	// one than the platform takes to send new connections elsewhere loses some of them.
 	minOpenAfterStop = 600 * time.Millisecond
-	// quietTime is how long no connection must have come before the listener is closed. A higher value makes the
+	// quietPeriod is how long no connection must have come before the listener is closed. A higher value makes the
 	// shutdown longer; with a lower one a connection may still come behind a pause.
-	quietTime = 200 * time.Millisecond
+	quietPeriod = 200 * time.Millisecond
 	// maxExtraOpen is how long after minOpenAfterStop the listener is closed though connections still come. A higher
 	// value makes the shutdown longer where clients connect all the time.
 	maxExtraOpen = time.Second
@@ -83,23 +83,23 @@
 	defer time.AfterFunc(s.stopTimeout, s.cancelRequests).Stop()
 	drainDeadline := time.Now().Add(timeouts.DrainTime(s.stopTimeout))
 	listener.CloseIdle()
-	s.waitForQuietListener(listener)
+	s.waitForQuietPeriod(listener)
 	return serving.Drain(drainDeadline)
 }
 
-// waitForQuietListener decides when the listener is closed after SIGTERM: once no connection has come for quietTime,
+// waitForQuietPeriod decides when the listener is closed after SIGTERM: once no connection has come for quietTime,
 // but not before minOpenAfterStop, nor more than maxExtraOpen later.
 //
 // Guard: prevents the listener from being closed with connections in its backlog: the kernel has accepted them, and
 // their clients would get a reset. It holds because the platform sends new connections elsewhere by then.
-func (s *Server) waitForQuietListener(l *clientconn.Listener) {
+func (s *Server) waitForQuietPeriod(l *clientconn.Listener) {
 	start := time.Now()
 	time.Sleep(s.minOpenTime)
 	for time.Since(start) < s.minOpenTime+maxExtraOpen {
 		quiet := time.Since(l.LastAccepted())
-		if quiet >= quietTime {
+		if quiet >= quietPeriod {
 			return
 		}
-		time.Sleep(quietTime - quiet)
+		time.Sleep(quietPeriod - quiet)
 	}
 }
--- a/internal/transport/grpc/connection.go
+++ b/internal/transport/grpc/connection.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/connectivity"
 )
 
-var errNotUp = errors.New("the connection did not come up")
+var errConnNotReady = errors.New("the connection did not come up")
 
 // connectBackoff is how grpc-go spaces its own attempts to connect. Attempts of calls do not wait for it: see conn.
 // Higher values leave an endpoint that is back without a connection for longer, where no call asks for one.
@@ -40,7 +40,7 @@
 		case connectivity.Idle:
 			conn.Connect()
 		case connectivity.TransientFailure, connectivity.Shutdown:
-			return nil, errNotUp
+			return nil, errConnNotReady
 		}
 		if !conn.WaitForStateChange(ctx, state) {
 			return nil, ctx.Err()
--- a/internal/transport/grpc/exchange.go
+++ b/internal/transport/grpc/exchange.go
@@ -63,9 +63,9 @@
 	startedAt time.Time
 	gate      *gate
 	//nolint:containedctx // the deadline counts from the attempt's creation, and Cancel may come before Run has begun
-	ctx          context.Context
-	cancel       context.CancelFunc
-	beginTimeout *time.Timer // ends a stream that has no message within its timeout; nil for others
+	ctx        context.Context
+	cancel     context.CancelFunc
+	beginTimer *time.Timer // ends a stream that has no message within its timeout; nil for others
 }
 
 // Attempt prepares an attempt of a call whose Payload is a *Request. It returns nil if the endpoint is not known, or
@@ -131,7 +131,7 @@
 	} else {
 		x.ctx, x.cancel = context.WithCancel(base)
 	}
-	x.beginTimeout = time.AfterFunc(timeout, func() {
+	x.beginTimer = time.AfterFunc(timeout, func() {
 		x.gate.timedOut.Store(true)
 		x.cancel()
 	})
@@ -148,8 +148,8 @@
 func (x *exchange) Run(begin func(any) bool) engine.Outcome {
 	defer x.transport.unregister(x)
 	defer x.cancel()
-	if x.beginTimeout != nil {
-		defer x.beginTimeout.Stop()
+	if x.beginTimer != nil {
+		defer x.beginTimer.Stop()
 	}
 	if x.request != nil {
 		// The engine calls CancelUnsent too when the client disconnects, but only once it gets to it.
--- a/internal/transport/grpc/stream.go
+++ b/internal/transport/grpc/stream.go
@@ -60,7 +60,7 @@
 
 // awaitEnd waits until the stream, which has begun, is finished or the application's context has ended.
 func (x *exchange) awaitEnd(s *Stream) engine.Outcome {
-	x.beginTimeout.Stop()
+	x.beginTimer.Stop()
 	release := context.AfterFunc(x.request.Context, x.cancel)
 	defer release()
 	var err error
--- a/internal/transport/http1/conn.go
+++ b/internal/transport/http1/conn.go
@@ -12,11 +12,11 @@
 // conn is a connection to an endpoint, with at most one request on it.
 type conn struct {
 	net.Conn
-	process     process           // the process that it was opened to
-	limited     *io.LimitedReader // limits the bytes of one response
-	reader      *bufio.Reader     // reads from limited
-	idleSince   time.Time         // zero: it has carried no request yet
-	releaseSlot func()            // frees its slot among the open connections; may be called again
+	process       process           // the process that it was opened to
+	limitedReader *io.LimitedReader // limits the bytes of one response
+	reader        *bufio.Reader     // reads from limited
+	idleSince     time.Time         // zero: it has carried no request yet
+	releaseSlot   func()            // frees its slot among the open connections; may be called again
 
 	responsePauseTimeout time.Duration // limit on a pause of a response that has begun
 	responsePauseTimer   *time.Timer   // nil unless a response is being read
@@ -40,8 +40,8 @@
 		releaseSlot:          sync.OnceFunc(releaseSlot),
 		responsePauseTimeout: p.dialer.Timeout,
 	}
-	c.limited = &io.LimitedReader{R: c}
-	c.reader = bufio.NewReader(c.limited)
+	c.limitedReader = &io.LimitedReader{R: c}
+	c.reader = bufio.NewReader(c.limitedReader)
 	return c, nil
 }
 
--- a/internal/transport/http1/exchange.go
+++ b/internal/transport/http1/exchange.go
@@ -174,7 +174,7 @@
 // having the same effect. It holds because an endpoint starts a request only when its last byte has come, and the
 // kernel tells how many bytes it took.
 func (x *exchange) transfer(c *conn, request []byte) (*http.Response, []byte, engine.Outcome) {
-	c.limited.N = maxResponseHeadBytes + x.pool.maxResponseBytes
+	c.limitedReader.N = maxResponseHeadBytes + x.pool.maxResponseBytes
 	if n, err := c.Write(request); err != nil {
 		if n < len(request) { // it never ran
 			return nil, nil, engine.Outcome{Result: x.unsentResult(err), Err: err}
@@ -183,7 +183,7 @@
 	}
 	resp, body, err := c.readResponse(x.pool.maxResponseBytes)
 	if err != nil {
-		if c.limited.N <= 0 {
+		if c.limitedReader.N <= 0 {
 			err = errResponseTooLong
 		}
 		return nil, nil, engine.Outcome{Result: x.brokenResult(err), Err: err}
@@ -212,7 +212,7 @@
 		case netpeek.Idle:
 			return c, request.Bytes(), nil
 		case netpeek.Readable:
-			x.pool.noteUnsolicitedData()
+			x.pool.recordUnsolicitedData()
 		}
 		_ = c.Close() // nothing was written to it
 	}
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -39,7 +39,7 @@
 	return list
 }
 
-func knownEndpoint(t *testing.T, p *Pool, addr string) *endpoint {
+func addEndpoint(t *testing.T, p *Pool, addr string) *endpoint {
 	t.Helper()
 	p.Update(true, activeEndpoints(addr), time.Now())
 	e := p.find("s")
@@ -151,7 +151,7 @@
 				conn.Close()
 			})
 			p := testPool()
-			o := run(p.newExchange(knownEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
+			o := run(p.newExchange(addEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 			wantResult(t, o, c.want)
 			if o.Result == balancer.OK && bodyOf(o) != "ok" {
 				t.Errorf("body %q", bodyOf(o))
@@ -178,7 +178,7 @@
 				close(closed)
 			})
 			p := testPool()
-			o := run(p.newExchange(knownEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
+			o := run(p.newExchange(addEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 			wantResult(t, o, balancer.ServerError)
 			if name == "huge" && !errors.Is(o.Err, errResponseTooLong) {
 				t.Errorf("the body was read: %v", o.Err)
@@ -205,7 +205,7 @@
 		}
 	})
 	p := testPool()
-	o := run(p.newExchange(knownEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
+	o := run(p.newExchange(addEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 	wantResult(t, o, balancer.OK)
 	if bodyOf(o) != long {
 		t.Errorf("%d bytes arrived", len(bodyOf(o)))
@@ -228,7 +228,7 @@
 				}
 			})
 			p := testPool()
-			e := knownEndpoint(t, p, addr)
+			e := addEndpoint(t, p, addr)
 			wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 			if first := testutil.Receive(t, conns, "the first request"); later {
 				write(first, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
@@ -255,7 +255,7 @@
 		}
 	})
 	p := testPool()
-	e := knownEndpoint(t, p, addr)
+	e := addEndpoint(t, p, addr)
 	done := make(chan engine.Outcome, 1)
 	go func() { done <- run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))) }()
 	testutil.Receive(t, received, "the first request")
@@ -279,7 +279,7 @@
 	}
 	l.Close()
 	p := testPool()
-	e := knownEndpoint(t, p, l.Addr().String())
+	e := addEndpoint(t, p, l.Addr().String())
 	wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.ConnectFailed)
 	if p.openConns != 0 {
 		t.Errorf("%d connections counted as open", p.openConns)
@@ -305,7 +305,7 @@
 				closed <- true
 			})
 			p := testPool()
-			x := p.newExchange(knownEndpoint(t, p, addr), c.timeout, testRequest("POST"))
+			x := p.newExchange(addEndpoint(t, p, addr), c.timeout, testRequest("POST"))
 			done := make(chan engine.Outcome, 1)
 			go func() { done <- run(x) }()
 			testutil.Receive(t, received, "the request")
@@ -337,7 +337,7 @@
 		}
 	})
 	p := testPool()
-	e := knownEndpoint(t, p, addr)
+	e := addEndpoint(t, p, addr)
 	for _, method := range []string{"GET", "POST"} {
 		before := copies.Load()
 		wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest(method))), balancer.OK)
@@ -359,7 +359,7 @@
 		}
 	})
 	p := testPool()
-	e := knownEndpoint(t, p, addr)
+	e := addEndpoint(t, p, addr)
 	wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 	testutil.Receive(t, conns, "the first request").Close()
 	if len(e.idle) != 1 {
@@ -383,7 +383,7 @@
 		}
 	})
 	p := testPool()
-	e := knownEndpoint(t, p, addr)
+	e := addEndpoint(t, p, addr)
 	for i, want := range []int{0, 0, 1} {
 		if i == 2 {
 			e.idle[0].idleSince = time.Now().Add(-p.maxIdle)
@@ -425,7 +425,7 @@
 				}
 			})
 			p := testPool()
-			x := p.newExchange(knownEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST"))
+			x := p.newExchange(addEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST"))
 			c.before(p, x, addr)
 			wantResult(t, run(x), c.want)
 			if copies.Load() != 0 {
@@ -517,7 +517,7 @@
 		}
 	})
 	p := testPool()
-	knownEndpoint(t, p, addr)
+	addEndpoint(t, p, addr)
 	o := p.Probe("s", testutil.WaitTimeout).Run(nil)
 	wantResult(t, o, balancer.OK)
 	if got := o.Load; got != (balancer.LoadReport{Reported: true, InFlight: 4}) {
--- a/internal/transport/http1/crossing_test.go
+++ b/internal/transport/http1/races_test.go
@@ -67,7 +67,7 @@
 				}
 			})
 			p := testPool()
-			knownEndpoint(t, p, addr)
+			addEndpoint(t, p, addr)
 			dialling, proceed := make(chan bool), make(chan bool)
 			p.dialer.Control = func(string, string, syscall.RawConn) error {
 				dialling <- true
@@ -116,7 +116,7 @@
 	})
 	p := testPool()
 	p.maxConns, p.dialer.Timeout = 1, testutil.WaitTimeout
-	e := knownEndpoint(t, p, addr)
+	e := addEndpoint(t, p, addr)
 	first := make(chan engine.Outcome, 1)
 	go func() { first <- run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))) }()
 	conn := testutil.Receive(t, received, "the first request")
@@ -169,7 +169,7 @@
 	})
 	p := testPool()
 	p.reuseDelay = testutil.WaitTimeout
-	e := knownEndpoint(t, p, addr)
+	e := addEndpoint(t, p, addr)
 	request := func() net.Conn {
 		t.Helper()
 		o := run(p.newExchange(e, testutil.WaitTimeout, testRequest("GET")))
--- a/internal/transport/http1/reuse.go
+++ b/internal/transport/http1/reuse.go
@@ -68,12 +68,12 @@
 	_ = c.Close() // the response has been read
 }
 
-// noteUnsolicitedData records that data came on an idle connection: a reuseDelayPeriod begins.
+// recordUnsolicitedData records that data came on an idle connection: a reuseDelayPeriod begins.
 //
 // Guard: prevents a second response, which comes after the next request's first byte, from being taken for that one's:
 // a client would get another's answer. It holds from the first such response on that is seen, for responses that come
 // within reuseDelay; nothing in a response ties it to its request.
-func (p *Pool) noteUnsolicitedData() {
+func (p *Pool) recordUnsolicitedData() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseDelayedUntil = time.Now().Add(reuseDelayPeriod)
