--- a/internal/httpmsg/httpmsg.go
+++ b/internal/httpmsg/httpmsg.go
@@ -1,5 +1,6 @@
-// Package httpmsg defines what the HTTP fronts and the HTTP transport share of a message: its parts, the names of the
-// platform's headers, and which headers belong to one connection (RFC 9110, section 7.6.1).
+// Package httpmsg defines the types and names that the HTTP fronts and the HTTP transport share: requests and
+// responses, the names of the platform's headers, and the set of headers that belong to a single connection (RFC 9110,
+// section 7.6.1).
 package httpmsg
 
 import (
@@ -13,27 +14,28 @@
 	RequestIDHeader      = "X-Request-Id"
 	ClassHeader          = "X-Class"
 	TenantHeader         = "X-Tenant"
-	DeadlineHeader       = "X-Deadline-Ms" // the time left, in milliseconds
-	CostHintHeader       = "X-Cost-Hint"   // the expected work, in microseconds
+	DeadlineHeader       = "X-Deadline-Ms" // time left until the deadline, in milliseconds
+	CostHintHeader       = "X-Cost-Hint"   // expected work, in microseconds
 	IdempotencyKeyHeader = "Idempotency-Key"
 	NotExecutedHeader    = "X-Not-Run" // "1": an endpoint rejected the request without running it
-	LoadHeader           = "X-Load"    // the load report in the response to a probe
+	LoadHeader           = "X-Load"    // load report in the response to a probe
 
 	AffinityCookie = "user"          // its value is the affinity key
-	LoadPath       = "/metrics/load" // the path of a probe
+	LoadPath       = "/metrics/load" // path of a probe
 )
 
-// MaxBodyBytes is the limit on the body of a request. A higher value costs memory for each request in flight and, with
-// what is read ahead, for each connection.
+// MaxBodyBytes limits the body of a request. A higher value takes more memory for each request in flight and, because
+// clients' data is read ahead, for each connection.
 const MaxBodyBytes = 64 << 10
 
-// Request is a request as it is forwarded to an endpoint. It is not changed once it was handed to the engine.
+// Request is a request as it is forwarded to an endpoint. It must not be modified after it was passed to the engine.
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// Check reports why a response with status 200 cannot be used, such as one to another request or half of one; nil
-	// accepts any. The transport calls it from the attempt's goroutine, and takes an error for one of the endpoint.
+	// Check returns an error if a response with status 200 is unusable, for example because it is truncated or belongs
+	// to another request. If Check is nil, all responses are accepted. The transport calls Check from the attempt's
+	// goroutine, and counts an error as a failure of the endpoint.
 	Check func(*Response) error
 }
 
@@ -42,11 +44,12 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Value is what the request's Check decoded from the body; nil: nothing.
+	// Value is the result of decoding the body in the request's Check; nil if there is none.
 	Value any
 }
 
-// hopByHopHeaders belong to one connection and are not forwarded, nor is Content-Length, which net/http writes anew.
+// hopByHopHeaders lists the headers that apply to a single connection and are not forwarded. It includes
+// Content-Length, which net/http sets for each message that it writes.
 var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -61,7 +64,7 @@
 	"Content-Length",
 }
 
-// EndToEndHeaders returns a copy of h without the headers that belong to one connection.
+// EndToEndHeaders returns a copy of h without the hop-by-hop headers, including those that the Connection header names.
 func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
@@ -75,9 +78,10 @@
 	return out
 }
 
-// IsRequestError decides whether a status means that the request is at fault: any of 400 to 499 but those that say that
-// an endpoint had no time or no room for it. No other endpoint would accept the request either, so the client gets the
-// response as it is. This prevents endpoints from being blamed for what one client sends.
+// IsRequestError reports whether a status means that the request itself is invalid. This is the case for all 4xx codes
+// except 408 and 429, by which an endpoint reports that it lacked the time or the capacity. Any other endpoint would
+// reject an invalid request too, so the client gets the response unchanged, and the endpoint is not blamed for the
+// client's mistake.
 func IsRequestError(status int) bool {
 	isClientError := status >= http.StatusBadRequest && status < http.StatusInternalServerError
 	return isClientError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
--- a/internal/netpeek/netpeek.go
+++ b/internal/netpeek/netpeek.go
@@ -1,4 +1,4 @@
-// Package netpeek reports what the peer of a TCP connection has sent, without reading it.
+// Package netpeek inspects TCP connections for unread data and for a close by the peer, without reading from them.
 package netpeek
 
 import (
@@ -9,18 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is the state of a connection as far as the kernel knows it.
+// State is the state of a connection as reported by the kernel.
 type State int
 
 // The states of a connection.
 const (
-	Idle     State = iota // open, with nothing to read
-	Readable              // there is something to read
-	Closed                // the peer has closed or reset it
+	Idle     State = iota // open, without unread data
+	Readable              // has unread data
+	Closed                // closed or reset by the peer
 )
 
-// Peek returns the state of a TCP connection. It does not block, also while another goroutine waits in Read. What is
-// not a TCP connection, or was closed on this side, is Closed.
+// Peek returns the state of a TCP connection. It does not block, even while another goroutine waits in Read. It returns
+// Closed for a connection that was closed on this side, and for one that is not a TCP connection.
 func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -31,7 +31,8 @@
 		return Closed
 	}
 	state := Closed
-	// Control, because raw.Read would wait for a goroutine that reads. It fails only where c was closed on this side.
+	// raw.Read would wait for a concurrent Read to finish; raw.Control does not. It fails only if c was closed on this
+	// side.
 	_ = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -45,12 +46,13 @@
 	return state
 }
 
-// PeerClosed reports whether the peer has closed or reset a TCP connection, also behind bytes that nobody has read
-// yet. A peer that has closed its sending half only looks the same. It does not block.
+// PeerClosed reports whether the peer has closed or reset a TCP connection, even if unread data precedes the close. It
+// also returns true if the peer has closed only its sending half, which cannot be distinguished from a full close. It
+// does not block.
 //
-// Guard: prevents a close behind unread bytes from going unnoticed, because a read or a peek returns these first: work
-// would go on for a peer that has left. It holds because the kernel's state of the connection is asked, which changes
-// with the close's arrival.
+// Guard: prevents a close that follows unread data from going unnoticed. A read or a peek would return the data first,
+// and work for the disconnected peer would continue. This holds because PeerClosed queries the TCP state in the kernel,
+// which changes as soon as the close arrives.
 func PeerClosed(c net.Conn) bool {
 	switch Peek(c) {
 	case Closed:
@@ -63,7 +65,7 @@
 		return true
 	}
 	closed := false
-	_ = raw.Control(func(fd uintptr) { // fails only where c was closed on this side
+	_ = raw.Control(func(fd uintptr) { // fails only if c was closed on this side
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		closed = err == nil && info.State != unix.BPF_TCP_ESTABLISHED && info.State != unix.BPF_TCP_SYN_RECV
 	})
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -7,7 +7,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// connect returns the two ends of a TCP connection on loopback, which are closed when the test ends.
+// connect returns the two ends of a TCP connection on loopback. They are closed when the test ends.
 func connect(t *testing.T) (local, peer *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	}
 }
 
-// Each state is recognized, also while a goroutine waits in Read, and nothing is consumed.
+// Peek must recognize each state, also while a goroutine waits in Read, and must not consume any data.
 func TestPeek(t *testing.T) {
 	local, peer := connect(t)
 	read := make(chan byte, 1)
@@ -43,54 +43,54 @@
 	go func() {
 		var b [1]byte
 		<-start
-		_, _ = local.Read(b[:]) // the byte shows whether it failed
+		_, _ = local.Read(b[:]) // if the read fails, the byte is not "x"
 		read <- b[0]
 	}()
-	if Peek(local) != Idle {
-		t.Error("not idle")
+	if state := Peek(local); state != Idle {
+		t.Errorf("state of a new connection: %d, want Idle", state)
 	}
 	write(t, peer, "xy")
-	testutil.Until(t, "what was written", func() bool { return Peek(local) == Readable })
+	testutil.Until(t, "the written data", func() bool { return Peek(local) == Readable })
 	close(start)
-	if b := testutil.Receive(t, read, "a byte"); b != 'x' || Peek(local) != Readable {
-		t.Errorf("%c was read", b)
+	if b := testutil.Receive(t, read, "the first byte"); b != 'x' || Peek(local) != Readable {
+		t.Errorf("read %q and state is %d; want 'x' and Readable", b, Peek(local))
 	}
 	var rest [1]byte
 	if _, err := local.Read(rest[:]); err != nil {
 		t.Fatal(err)
 	}
 	go func() { _, _ = local.Read(make([]byte, 1)) }() // waits until the peer closes
-	if Peek(local) != Idle {
-		t.Error("not idle while a goroutine waits in Read")
+	if state := Peek(local); state != Idle {
+		t.Errorf("state while a goroutine waits in Read: %d, want Idle", state)
 	}
 	peer.Close()
 	testutil.Until(t, "the close", func() bool { return Peek(local) == Closed })
 	pipe, _ := net.Pipe()
 	if Peek(pipe) != Closed {
-		t.Error("a connection without a descriptor is not closed")
+		t.Error("state of a net.Pipe, which has no file descriptor, is not Closed")
 	}
 }
 
-// A peer closes behind bytes that nobody has read. A read would return these first, and the close go unnoticed: it must
-// be noticed, and only where there is one.
+// A peer sends data and closes the connection before the data is read. A read returns the data first, so the close
+// would go unnoticed. PeerClosed must report it, and must not report a close that did not happen.
 func TestPeerClosed(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
 		action func(*net.TCPConn) error
 		closed bool
 	}{
-		"idle":            {"", func(*net.TCPConn) error { return nil }, false},
-		"readable":        {"x", func(*net.TCPConn) error { return nil }, false},
-		"FIN":             {"", (*net.TCPConn).Close, true},
-		"half-closed":     {"", (*net.TCPConn).CloseWrite, true},
-		"FIN behind text": {"xyz", (*net.TCPConn).Close, true},
-		"reset":           {"xyz", reset, true},
+		"idle":           {"", func(*net.TCPConn) error { return nil }, false},
+		"readable":       {"x", func(*net.TCPConn) error { return nil }, false},
+		"FIN":            {"", (*net.TCPConn).Close, true},
+		"half-closed":    {"", (*net.TCPConn).CloseWrite, true},
+		"FIN after data": {"xyz", (*net.TCPConn).Close, true},
+		"reset":          {"xyz", reset, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			local, peer := connect(t)
 			write(t, peer, c.text)
 			if c.text != "" {
-				testutil.Until(t, "the text", func() bool { return Peek(local) == Readable })
+				testutil.Until(t, "the data", func() bool { return Peek(local) == Readable })
 			}
 			if err := c.action(peer); err != nil {
 				t.Fatal(err)
@@ -98,7 +98,7 @@
 			if c.closed {
 				testutil.Until(t, "the close", func() bool { return PeerClosed(local) })
 			} else if PeerClosed(local) {
-				t.Error("closed")
+				t.Error("PeerClosed reports a close that did not happen")
 			}
 		})
 	}
