--- a/internal/front/clientconn/bytequeue.go
+++ b/internal/front/clientconn/bytequeue.go
@@ -2,27 +2,29 @@
 
 import "sync"
 
-// byteQueue is a FIFO queue of bytes, in chunks that are reused by other connections. This keeps clients that send much
-// and disconnect, again and again, from causing work: growing and clearing memory for it costs more than reading it.
+// byteQueue is a FIFO queue of bytes. It stores them in chunks that come from a pool, because allocating and clearing
+// memory costs more than reading the data: clients that repeatedly send a lot and disconnect would otherwise cause much
+// work.
 type byteQueue struct {
 	chunks []*chunk
-	start  int // of the bytes in the first chunk
-	end    int // of the bytes in the last chunk; what follows is free
+	start  int // offset of the first byte in the first chunk
+	end    int // offset of the free space in the last chunk
 }
 
 type chunk [chunkSize]byte
 
-// chunkPool is shared by all connections of the process.
+// chunkPool recycles the chunks of all connections of the process.
 var chunkPool = sync.Pool{New: func() any { return new(chunk) }}
 
-// size is the memory in use, in bytes.
+// size returns the memory in use, in bytes.
 func (q *byteQueue) size() int { return len(q.chunks) * chunkSize }
 
 func (q *byteQueue) isEmpty() bool {
 	return len(q.chunks) == 0 || len(q.chunks) == 1 && q.start == q.end
 }
 
-// free returns the space for the next bytes. Where it is empty, grow first; who writes to it adds to end.
+// free returns the free space in the last chunk; if it is empty, the caller has to call grow. A caller that writes n
+// bytes to the space must add n to end.
 func (q *byteQueue) free() []byte {
 	if len(q.chunks) == 0 {
 		return nil
@@ -59,7 +61,7 @@
 	return n
 }
 
-// release discards all bytes and gives their memory back.
+// release discards all bytes and returns the chunks to the pool.
 func (q *byteQueue) release() {
 	for _, c := range q.chunks {
 		chunkPool.Put(c)
--- a/internal/front/clientconn/conn.go
+++ b/internal/front/clientconn/conn.go
@@ -11,31 +11,32 @@
 	"hazelwing/internal/netpeek"
 )
 
-// Conn is a client's connection. While a request is open it reads ahead what the client sends.
+// Conn is a client's connection. While a request is open, it reads ahead: it stores data that the client sends after
+// the request, so that a disconnect after that data is noticed.
 //
-// The methods may be called from any goroutine. BeginRequest, BeginResponse, Disconnected and TooManyIdle do nothing
-// on a nil Conn.
+// The methods may be called from any goroutine. BeginRequest, BeginResponse, Disconnected and TooManyIdle may be called
+// on a nil Conn; they do nothing then, and the last two return false.
 type Conn struct {
 	*net.TCPConn
 	listener *Listener
 	raw      syscall.RawConn
 
-	// The listener's lock guards these.
-	element   *list.Element // in queue; nil while a request is open
-	queue     *list.List    // the idle queue that it is in
+	// The fields of this group are guarded by the listener's mutex.
+	element   *list.Element // position in queue; nil while a request is open
+	queue     *list.List    // idle queue that holds the connection
 	closed    bool
-	hasServed bool // a response of some kind was written on it
-
-	readMu      sync.Mutex // guards these; taken after the listener's lock
-	requestOpen bool       // a complete request has been received, and its response has not begun
-	received    bool       // something was received since the last response began
-	readAhead   byteQueue  // what was received while a request was open
-	borrowed    int        // bytes of the listener's pool that readAhead may use
-	paused      bool       // no more may be read ahead: nothing is read until the response begins
+	hasServed bool // at least one response was written
+
+	readMu      sync.Mutex // guards the fields of this group; acquired after the listener's mutex
+	requestOpen bool       // a valid request was received and its response has not begun
+	received    bool       // data was received since the last response began
+	readAhead   byteQueue  // data received while a request was open
+	borrowed    int        // bytes borrowed from the listener's pool for readAhead
+	paused      bool       // the read-ahead limit was reached: reading stops until the response begins
 }
 
-// BeginRequest marks the start of a valid request: until its response is written the connection is not closed, and it
-// is read ahead.
+// BeginRequest marks the start of a valid request. Until the response is written, the connection is not evicted, and
+// data that the client sends is read ahead.
 func (c *Conn) BeginRequest() {
 	if c == nil {
 		return
@@ -48,7 +49,7 @@
 	c.listener.mu.Unlock()
 }
 
-// BeginResponse marks the start of a response: what is read from then on belongs to the next request.
+// BeginResponse marks the start of a response. Data that is read from then on belongs to the next request.
 func (c *Conn) BeginResponse() {
 	if c == nil {
 		return
@@ -60,12 +61,13 @@
 	c.received = !c.readAhead.isEmpty()
 }
 
-// Disconnected decides whether the client has left: it has closed its connection, or its sending half, or reset it. It
-// asks the kernel, and does not block; what the client has sent before its close is read ahead first.
+// Disconnected reports whether the client has disconnected, that is, whether it has closed or reset its connection or
+// closed its sending half. It reads ahead unread data and then queries the kernel. It does not block.
 //
-// Guard: prevents work for nobody where this machine is slow: a close waits unread in the kernel for longer than a
-// client waits, and one behind more than the kernel's buffers hold arrives only once there is room. It shows as an
-// attempt that begins after its client has left. It holds, up to maxReadAhead, because this look reads ahead itself.
+// Guard: prevents work for a client that has already disconnected, when this machine is slow. A close may stay unread
+// in the kernel for longer than clients wait, and a close that follows more data than the kernel buffers does not
+// arrive until that data is read. The symptom is an attempt that starts after its client has disconnected. This holds
+// for up to maxReadAhead bytes of data, because Disconnected reads ahead itself.
 func (c *Conn) Disconnected() bool {
 	if c == nil {
 		return false
@@ -76,18 +78,20 @@
 	case netpeek.Idle:
 		return false
 	}
-	// Control, because raw.Read would wait for a goroutine that reads. It fails only where c was closed on this side.
+	// raw.Read would wait for a concurrent Read to finish; raw.Control does not. It fails only if c was closed on this
+	// side.
 	_ = c.raw.Control(func(fd uintptr) {
 		c.readMu.Lock()
 		defer c.readMu.Unlock()
 		if c.requestOpen {
-			_ = c.fillReadAhead(int(fd)) // PeerClosed sees an end or a reset
+			_ = c.fillReadAhead(int(fd)) // PeerClosed reports a close or a reset
 		}
 	})
 	return netpeek.PeerClosed(c.TCPConn)
 }
 
-// responseWritten marks the end of a response. It makes the connection idle; a listener that stops closes it.
+// responseWritten marks the end of a response. The connection becomes idle; if the listener is stopping, the connection
+// is closed unless its next request has begun to arrive.
 func (c *Conn) responseWritten() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -100,13 +104,13 @@
 	}
 }
 
-// enqueue puts the connection at the end of an idle queue. The listener's lock is held.
+// enqueue appends the connection to an idle queue. The caller holds the listener's mutex.
 func (c *Conn) enqueue(queue *list.List) {
 	c.queue = queue
 	c.element = queue.PushBack(c)
 }
 
-// dequeue takes the connection out of its idle queue, if it is in one. The listener's lock is held.
+// dequeue removes the connection from its idle queue, if it is in one. The caller holds the listener's mutex.
 func (c *Conn) dequeue() {
 	if c.element != nil {
 		c.queue.Remove(c.element)
@@ -114,8 +118,8 @@
 	}
 }
 
-// markClosed reports whether the caller is the first, who has to close the socket and release the connection. The
-// listener's lock is held.
+// markClosed marks the connection as closed, and reports whether this is the first call. Only the first caller closes
+// the socket and releases the connection. The caller holds the listener's mutex.
 func (c *Conn) markClosed() (first bool) {
 	first = !c.closed
 	c.closed = true
@@ -123,7 +127,7 @@
 	return first
 }
 
-// closeSocket closes the socket, and returns once the descriptor is free.
+// closeSocket closes the socket, and returns when the file descriptor is free.
 func (c *Conn) closeSocket() error {
 	err := c.TCPConn.Close()
 	c.readMu.Lock()
@@ -132,10 +136,11 @@
 	return err
 }
 
-// Close closes the connection, and makes room for another one once the descriptor is free.
+// Close closes the connection. It frees the connection's place under the limit after the file descriptor is free.
 //
-// Guard: prevents more descriptors than the limit: room that is made before the close lets another connection be
-// accepted beside this one, and accept fail with EMFILE. It holds because release comes after closeSocket.
+// Guard: prevents the use of more file descriptors than the limit allows. If the place were freed before the socket is
+// closed, another connection could be accepted in between, and accept could fail with EMFILE. This holds because
+// release is called after closeSocket.
 func (c *Conn) Close() error {
 	c.listener.mu.Lock()
 	first := c.markClosed()
@@ -152,12 +157,12 @@
 
 type contextKey struct{}
 
-// NewContext returns a context for the requests that come on c.
+// NewContext returns a context for the requests that are received on c.
 func NewContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, c)
 }
 
-// FromRequest returns the connection that a request came on; nil if that is not a Conn.
+// FromRequest returns the connection on which a request was received, or nil if it is not a Conn.
 func FromRequest(r *http.Request) *Conn {
 	c, _ := r.Context().Value(contextKey{}).(*Conn)
 	return c
--- a/internal/front/clientconn/conn_test.go
+++ b/internal/front/clientconn/conn_test.go
@@ -12,7 +12,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// openRequest returns a listener and both ends of a client's connection to it, on which a request is open.
+// openRequest returns a listener and both ends of a client connection that has an open request.
 func openRequest(t *testing.T) (l *Listener, client *net.TCPConn, server *Conn) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,26 +35,27 @@
 	return l, c.(*net.TCPConn), conn.(*Conn)
 }
 
-// A client sends far more than the kernel's buffers hold and leaves, while this process is too slow to read any of it.
-// The close does not even reach the kernel before there is room, so the client's request would run for nobody: the look
-// at the connection itself must make that room and notice the disconnect.
+// A client sends more data than the kernel buffers and disconnects, while this process is too slow to read it. The
+// close cannot arrive until some of the data is read, so work for the client would continue. Disconnected must read the
+// data itself and notice the disconnect.
 func TestDisconnectBehindUnreadBytesIsNoticed(t *testing.T) {
 	_, client, server := openRequest(t)
 	if server.Disconnected() {
-		t.Error("disconnected before the close")
+		t.Error("Disconnected returned true for a connected client")
 	}
 	if _, err := client.Write(make([]byte, 6*minReadAhead)); err != nil {
 		t.Fatal(err)
 	}
 	if server.Disconnected() {
-		t.Error("disconnected, after sending only")
+		t.Error("Disconnected returned true for a connected client that has sent data")
 	}
 	client.Close()
 	testutil.Until(t, "the disconnect", server.Disconnected)
 }
 
-// A client sends more ahead than the limits allow. Stored, it would take memory without end; discarded, its next
-// requests would be lost. Its connection must not be read further until the response begins.
+// A client sends more data than the read-ahead limit while its request is open. Storing all of it would take unlimited
+// memory, and discarding it would lose the client's next requests. The connection must not be read beyond the limit
+// until the response begins.
 func TestReadAheadIsBounded(t *testing.T) {
 	l, client, server := openRequest(t)
 	sent := make([]byte, 4*maxReadAhead)
@@ -64,44 +65,46 @@
 	written, mayClose := make(chan error, 1), make(chan struct{})
 	go func() {
 		_, err := client.Write(sent)
-		<-mayClose // else the kernel may hold all of it, and the close behind it is noticed as it should be
+		<-mayClose // otherwise the kernel may buffer all the data, and Disconnected rightly notices the close
 		written <- errors.Join(err, client.CloseWrite())
 	}()
 	var one [1]byte
 	n, err := server.Read(one[:]) // as net/http does while a request is open
 	if n != 1 || err != nil {
-		t.Fatalf("%d bytes, %v", n, err)
+		t.Fatalf("Read returned %d bytes and error %v, want 1 byte and no error", n, err)
 	}
 	for end := time.Now().Add(20 * time.Millisecond); time.Now().Before(end); {
 		if server.Disconnected() {
-			t.Fatal("disconnected, with bytes under way")
+			t.Fatal("Disconnected returned true for a client that is still sending")
 		}
 	}
 	size, pool := server.readAhead.size(), l.readAheadPool.Load()
 	if size > maxReadAhead || size < maxReadAhead/2 || pool != sharedReadAhead-int64(server.borrowed) {
-		t.Errorf("%d bytes were read ahead, and the pool has %d left", size, pool)
+		t.Errorf("read ahead %d bytes, want %d to %d; the pool has %d bytes left",
+			size, maxReadAhead/2, maxReadAhead, pool)
 	}
 	close(mayClose)
 	server.BeginResponse()
 	rest, err := io.ReadAll(server)
 	if err != nil || !bytes.Equal(append(one[:], rest...), sent) {
-		t.Errorf("%d bytes of %d were read, %v", 1+len(rest), len(sent), err)
+		t.Errorf("read %d of %d bytes, or other bytes than were sent; error %v", 1+len(rest), len(sent), err)
 	}
 	if err := testutil.Receive(t, written, "the client's close"); err != nil {
 		t.Error(err)
 	}
 	if l.readAheadPool.Load() != sharedReadAhead || !server.readAhead.isEmpty() {
-		t.Errorf("%d of %d were returned to the pool", l.readAheadPool.Load(), sharedReadAhead)
+		t.Errorf("the pool has %d bytes after all data was read, want %d", l.readAheadPool.Load(), sharedReadAhead)
 	}
 }
 
-// Some clients use up the pool that all connections share. Each other connection must still read ahead a request's
-// size, and one that is closed must return what it borrowed: otherwise disconnects would go unnoticed for good.
+// Some clients exhaust the read-ahead pool that all connections share. Every other connection must still be able to
+// read ahead the size of one request, and a connection that is closed must return the bytes that it borrowed. Otherwise
+// disconnects would go unnoticed from then on.
 func TestSharedReadAhead(t *testing.T) {
 	l, client, server := openRequest(t)
 	l.readAheadPool.Store(borrowStep)
 	go func() { _, _ = client.Write(make([]byte, maxReadAhead)) }() // ends with the connection
-	testutil.Until(t, "the limit", func() bool {
+	testutil.Until(t, "the read-ahead limit", func() bool {
 		server.Disconnected()
 		server.readMu.Lock()
 		defer server.readMu.Unlock()
@@ -109,10 +112,11 @@
 	})
 	size, pool := server.readAhead.size(), l.readAheadPool.Load()
 	if size <= minReadAhead || size > minReadAhead+borrowStep || pool != 0 {
-		t.Errorf("%d bytes were read ahead, the pool has %d left", size, pool)
+		t.Errorf("read ahead %d bytes, want more than %d and at most %d; the pool has %d bytes left, want 0",
+			size, minReadAhead, minReadAhead+borrowStep, pool)
 	}
 	server.Close()
 	if l.readAheadPool.Load() != borrowStep {
-		t.Errorf("%d were returned to the pool", l.readAheadPool.Load())
+		t.Errorf("the pool has %d bytes after the close, want %d", l.readAheadPool.Load(), borrowStep)
 	}
 }
--- a/internal/front/clientconn/eviction.go
+++ b/internal/front/clientconn/eviction.go
@@ -3,27 +3,33 @@
 import "container/list"
 
 const (
-	// maxIdleShare is the share of the limit that connections which have sent a valid request may reach before
-	// responses begin to close them. With a higher value fewer clients have to connect again; with a lower one more
-	// room is left for new clients.
+	// maxIdleShare limits the connections that have sent a valid request, as a share of the connection limit. Above it,
+	// each response closes its connection. With a higher value, fewer clients have to reconnect; with a lower one, more
+	// connections remain available to new clients.
 	maxIdleShare = 1.0 / 3
-	// maxEvictionChecks is how many idle connections are looked at to find one to close. A higher value costs a system
-	// call each for every new connection where the limit is reached; with a lower one new connections are closed though
-	// an idle one could make room.
+	// maxEvictionChecks limits how many idle connections are examined to find one to close. A higher value costs more
+	// system calls for each new connection while the connection limit is reached. With a lower value, a new connection
+	// may be closed although an idle one could have been closed instead.
 	maxEvictionChecks = 8
 )
 
-// evict decides which connection makes room for a new one, closes it, and reports whether there was one: the one that
-// has been idle longest among those that have not sent a valid request; then, of those, the oldest; then the one that
-// has been idle longest among those that have. Connections with a request open are never closed.
+// evict closes a connection to make room for a new one, and reports whether it found one. It chooses the first of
+// these:
 //
-// Guard: prevents clients that connect and send nothing, or send one request and stay, from keeping out new ones, which
-// would get neither an answer nor a close. It holds because every connection without an open request is in a queue.
+//   - the longest idle connection that has not sent a valid request, and has no received data
+//   - the oldest connection that has not sent a valid request
+//   - the longest idle connection that has sent a valid request, and has no received data
+//
+// A connection with an open request is never closed.
+//
+// Guard: prevents clients that connect and send nothing, or send one request and stay connected, from locking out new
+// clients, which would get neither an answer nor a close. This holds because every connection without an open request
+// is in one of the two idle queues.
 func (l *Listener) evict() bool {
 	l.mu.Lock()
 	oldest := longestIdle(&l.awaitingFirst)
 	if oldest == nil && l.awaitingFirst.Len() > 0 {
-		oldest = l.awaitingFirst.Front().Value.(*Conn) // all have sent something, and may never send more
+		oldest = l.awaitingFirst.Front().Value.(*Conn) // each has sent some data, but may never complete its request
 	}
 	if oldest == nil {
 		oldest = longestIdle(&l.awaitingNext)
@@ -35,19 +41,19 @@
 	if oldest == nil {
 		return false
 	}
-	_ = oldest.closeSocket() // it has no request open
+	_ = oldest.closeSocket() // no response is lost: the connection has no open request
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.release()
 	return true
 }
 
-// longestIdle returns the connection that has been idle for longest among the first ones of a queue, or nil. It skips
-// those that received something.
+// longestIdle returns the longest idle connection among the first maxEvictionChecks of a queue, or nil. It skips
+// connections that have received data. The caller holds the listener's mutex.
 //
-// Guard: prevents closing a connection whose next request was read already, or is about to be: its client would get a
-// reset in place of an answer, or a 400 for an ID that is still in flight. It holds because isQuiet asks both what was
-// read and what the kernel has. The lock is held.
+// Guard: prevents closing a connection whose next request was read already, or is about to be. Its client would get a
+// reset instead of an answer, or a 400 for an ID that is still in flight. This holds because hasNoInput checks both the
+// data that was read and the unread data in the kernel.
 func longestIdle(queue *list.List) *Conn {
 	checks := 0
 	for e := queue.Front(); e != nil && checks < maxEvictionChecks; e = e.Next() {
@@ -59,15 +65,15 @@
 	return nil
 }
 
-// TooManyIdle decides whether a response closes its connection: where more connections that have sent a valid request
-// are open than maxIdleShare of the limit. This prevents clients that send one request and stay from using up the
-// connections: others could open no more.
+// TooManyIdle reports whether a response should close its connection: it returns true if the connections that have sent
+// a valid request exceed maxIdleShare of the limit. This prevents clients that send one request and stay connected from
+// using up all connections.
 func (c *Conn) TooManyIdle() bool {
 	if c == nil {
 		return false
 	}
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	proven := c.listener.openConns - c.listener.awaitingFirst.Len()
-	return float64(proven) > maxIdleShare*float64(c.listener.maxConns)
+	withRequest := c.listener.openConns - c.listener.awaitingFirst.Len()
+	return float64(withRequest) > maxIdleShare*float64(c.listener.maxConns)
 }
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -1,21 +1,21 @@
-// Package clientconn manages the connections of a front's clients: which of them stay open, and when a client has
-// disconnected.
+// Package clientconn manages the connections of a front's clients. It decides which connections stay open, and detects
+// when clients disconnect.
 //
-// Every connection is accepted. Where there are more than the limit, the one that has been idle for longest, with no
-// request open, is closed. A listener that stopped accepting would leave new clients with neither a response nor a
-// close, because of clients that connect and send nothing, or send one request and stay.
+// Every connection is accepted. If the number of connections exceeds the limit, the one that has been idle for longest,
+// without an open request, is closed. If the listener stopped accepting instead, clients that connect and send nothing,
+// or send one request and stay connected, would leave new clients with neither a response nor a close.
 //
-// A Listener uses at most as many descriptors as its limit on connections, one more while a new connection is
+// A Listener uses at most this many file descriptors: its connection limit, one more while a new connection is
 // admitted, and its own.
 //
-// What the package decides has a place each:
+// The main decisions are made in these functions:
 //
-//   - Listener.evict and Conn.TooManyIdle (eviction.go): which connection makes room for a new one, and when responses
-//     begin to close theirs
-//   - Conn.fillReadAhead (readahead.go): how much is read ahead of a client whose request is open
-//   - Conn.Disconnected (conn.go): whether a client has left
-//   - Listener.CloseIdle and Conn.closeIfIdle (stop.go): which connections end at the stop
-//   - Serving.Drain (serving.go): when a server that stops is closed
+//   - Listener.evict and Conn.TooManyIdle (eviction.go): which connection is closed for a new one, and when responses
+//     close their connections
+//   - Conn.fillReadAhead (readahead.go): how much data is read ahead from a client with an open request
+//   - Conn.Disconnected (conn.go): whether a client has disconnected
+//   - Listener.CloseIdle and Conn.closeIfIdle (stop.go): which connections are closed when the listener stops
+//   - Serving.Drain (serving.go): when a stopping server is closed
 package clientconn
 
 import (
@@ -30,26 +30,26 @@
 	"time"
 )
 
-// Listener accepts clients' connections, as Conns.
+// Listener accepts clients' connections and returns them as Conns.
 type Listener struct {
 	*net.TCPListener
 	maxConns      int
-	onLimit       func()       // called for each connection that is accepted while maxConns are open
-	lastAccepted  atomic.Int64 // when a connection was last accepted, Unix nanoseconds
-	readAheadPool atomic.Int64 // bytes that connections may still borrow for what they read ahead
+	onLimit       func()       // called for each connection that is accepted while maxConns connections are open
+	lastAccepted  atomic.Int64 // time of the last accepted connection, in Unix nanoseconds
+	readAheadPool atomic.Int64 // bytes that connections may still borrow for read-ahead
 
 	mu        sync.Mutex
-	openConns int // a connection counts until its descriptor is free
-	// The idle connections, those that have been idle for longest first.
-	awaitingFirst list.List // connections that have not sent a valid request yet
-	awaitingNext  list.List // connections that have
+	openConns int // a connection counts until its file descriptor is free
+	// Queues of idle connections. The connection that has been idle for longest is first.
+	awaitingFirst list.List // have not sent a valid request yet
+	awaitingNext  list.List // have sent a valid request; idle since the last response
 	stopping      bool
 	closed        bool
-	drained       chan struct{} // closed once there are no connections and no more can come
+	drained       chan struct{} // closed when no connection is open and no more can be accepted
 }
 
-// New wraps a listener of the network tcp. It has at most maxConns connections open; onLimit is called, from the
-// goroutine that accepts, for each that is accepted while all of them are in use.
+// New wraps a TCP listener. At most maxConns connections are open at a time. onLimit is called, from the goroutine that
+// calls Accept, for each connection that is accepted while that many are open.
 func New(l net.Listener, maxConns int, onLimit func()) *Listener {
 	listener := &Listener{
 		TCPListener: l.(*net.TCPListener),
@@ -61,7 +61,8 @@
 	return listener
 }
 
-// attach makes h, which serves l, report to the connections: a request's context has the one that it came on.
+// attach configures h, which serves l, to pass each request its connection in the request's context, and to tell the
+// connection when a response was written.
 func (l *Listener) attach(h *http.Server) {
 	h.ConnContext = NewContext
 	h.ConnState = func(c net.Conn, state http.ConnState) {
@@ -71,17 +72,18 @@
 	}
 }
 
-// Accept returns the next connection that there is room for. It is called from one goroutine.
+// Accept returns the next connection, and evicts an idle one if the limit is reached. A new connection for which no
+// other one can be evicted is closed. Accept must be called from one goroutine.
 //
-// Guard: prevents new clients from waiting without end where this process has no descriptor left, though its limit on
-// connections says that it has: accept fails with EMFILE again and again. It holds as long as some connection is idle,
-// because that is closed for the new one.
+// Guard: prevents new clients from waiting indefinitely if the process has no file descriptor left although the
+// connection limit is not reached; accept would fail with EMFILE repeatedly. This holds as long as a connection is
+// idle, because that connection is closed to free a descriptor.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		tcp, err := l.AcceptTCP()
 		if err != nil {
-			// Where others have used up the descriptors, an idle connection makes room for the new one. Without one,
-			// net/http calls again by itself.
+			// The file descriptors are used up. If an idle connection can be closed, accept is called again at once;
+			// otherwise net/http calls Accept again after a delay.
 			if isOutOfDescriptors(err) && l.evict() {
 				continue
 			}
@@ -90,21 +92,21 @@
 		l.lastAccepted.Store(time.Now().UnixNano())
 		if l.isFull() {
 			l.onLimit()
-			runtime.Gosched() // earlier clients may have sent a valid request: that is read first
+			runtime.Gosched() // lets other goroutines read requests, whose connections are then not evicted
 		}
 		if c := l.admit(tcp); c != nil {
 			return c, nil
 		}
-		_ = tcp.Close() // all others have a request open
+		_ = tcp.Close() // all other connections have an open request
 	}
 }
 
-// isOutOfDescriptors reports whether the process or the machine has no descriptor left.
+// isOutOfDescriptors reports whether err means that the process or the machine has no file descriptor left.
 func isOutOfDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// LastAccepted returns when a connection was last accepted.
+// LastAccepted returns the time at which a connection was last accepted.
 func (l *Listener) LastAccepted() time.Time { return time.Unix(0, l.lastAccepted.Load()) }
 
 func (l *Listener) isFull() bool {
@@ -113,11 +115,11 @@
 	return l.openConns >= l.maxConns
 }
 
-// admit makes a Conn of a new connection, and evicts another one if there is no room. It returns nil if none can be
-// evicted.
+// admit returns a Conn for a new connection, and evicts another connection if the limit is reached. It returns nil if
+// none can be evicted.
 func (l *Listener) admit(tcp *net.TCPConn) *Conn {
 	raw, err := tcp.SyscallConn()
-	if err != nil { // it is closed
+	if err != nil { // tcp is closed
 		return nil
 	}
 	if l.isFull() && !l.evict() {
@@ -131,7 +133,7 @@
 	return c
 }
 
-// release makes room for another connection. The lock is held.
+// release removes a closed connection from the count of open connections. The caller holds l.mu.
 func (l *Listener) release() {
 	l.openConns--
 	l.closeIfDrained()
--- a/internal/front/clientconn/listener_test.go
+++ b/internal/front/clientconn/listener_test.go
@@ -8,8 +8,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// A listener is full, and a new client comes. Closing a connection on which a request has begun, read or not, would
-// lose that request, so none may be closed as long as others are idle.
+// A client connects while the listener is full. If the listener closed a connection on which a request has begun to
+// arrive, whether its first bytes were read or not, that request would be lost. It must close an idle connection
+// instead.
 func TestFullListenerKeepsConnectionsThatBeganARequest(t *testing.T) {
 	for name, read := range map[string]bool{"read": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
@@ -35,7 +36,7 @@
 			}
 			connect()
 			connect()
-			for _, c := range conns { // each has got one response
+			for _, c := range conns { // each connection has had one response
 				c.BeginRequest()
 				c.BeginResponse()
 				c.responseWritten()
@@ -43,7 +44,7 @@
 			if _, err := io.WriteString(clients[0], "G"); err != nil {
 				t.Fatal(err)
 			}
-			testutil.Until(t, "the byte", func() bool { return !conns[0].hasNoInput() })
+			testutil.Until(t, "the first byte of the request", func() bool { return !conns[0].hasNoInput() })
 			if read {
 				if _, err := conns[0].Read(make([]byte, 10)); err != nil {
 					t.Fatal(err)
@@ -51,7 +52,8 @@
 			}
 			connect()
 			if conns[0].closed || !conns[1].closed {
-				t.Errorf("closed: the one with a request %v, the idle one %v", conns[0].closed, conns[1].closed)
+				t.Errorf("connection with a request: closed %v, want false; idle connection: closed %v, want true",
+					conns[0].closed, conns[1].closed)
 			}
 		})
 	}
--- a/internal/front/clientconn/read.go
+++ b/internal/front/clientconn/read.go
@@ -8,15 +8,17 @@
 	"syscall"
 )
 
-// MaxHeaderBytes is the limit on the header of a request. A higher value costs memory for each connection, also for
-// what is read ahead.
+// MaxHeaderBytes limits the header of a request. A higher value takes more memory for each connection, also for
+// read-ahead.
 const MaxHeaderBytes = 32 << 10
 
-// Read returns what was read ahead, and then what the kernel has. While a request is open, it blocks and reads ahead.
+// Read returns the data that was read ahead, and then data from the socket. While a request is open, it blocks and
+// reads ahead instead of returning data.
 //
-// Guard: prevents a disconnect behind further bytes from going unnoticed: net/http's background read would return with
-// the first of them, and its work go on for a client that has left. It holds because Read takes the bytes itself, and
-// returns only at the end of what the client sends.
+// Guard: prevents a disconnect that follows further data from going unnoticed. The background read of net/http would
+// return with the first byte of that data, and work for a disconnected client would continue. This holds because Read
+// stores the data itself, and returns during a request only at the end of the stream, on an error, or when the
+// read-ahead limit is reached.
 func (c *Conn) Read(b []byte) (int, error) {
 	if n := c.readBuffered(b); n > 0 || len(b) == 0 {
 		return n, nil
@@ -42,12 +44,13 @@
 	}
 }
 
-// readSocket reads what the kernel has, ahead while a request is open, and fills b with what may be returned. The
-// error is nil if there is something; it is EAGAIN if there is nothing to return yet, and io.EOF at the end.
+// readSocket reads the available data from the socket, ahead while a request is open, and fills b with the data that
+// Read may return. The error is nil if there is such data, EAGAIN if there is none yet, and io.EOF at the end of the
+// stream.
 //
-// Guard: prevents closeIfIdle from closing a connection between a byte's arrival and the note of it: the client of a
-// request that has begun to arrive would get a reset. It holds because the lock is held until what was taken from the
-// kernel is noted.
+// Guard: prevents closeIfIdle from closing a connection after data was read from the socket and before it is recorded
+// in c.received: the client of a request that has begun to arrive would get a reset. This holds because readMu is held
+// until the data is recorded.
 func (c *Conn) readSocket(fd int, b []byte) (int, error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -68,7 +71,8 @@
 	return n, err
 }
 
-// readAvailable reads what the kernel has; at the end the error is io.EOF.
+// readAvailable reads the available data from the socket. The error is EAGAIN if there is none, and io.EOF at the end
+// of the stream.
 func readAvailable(fd int, b []byte) (int, error) {
 	for {
 		switch n, err := syscall.Read(fd, b); {
--- a/internal/front/clientconn/readahead.go
+++ b/internal/front/clientconn/readahead.go
@@ -6,33 +6,37 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// Limits on what a client may send ahead while its request is open, in bytes. Beyond them its connection is not read
-// until the response begins, and its disconnect behind them goes unnoticed.
+// Limits on the data that is read ahead from a client while its request is open, in bytes. Beyond them, the connection
+// is not read until the response begins, and a disconnect after that much data goes unnoticed.
 const (
-	// minReadAhead is for each connection: the size of one request.
+	// minReadAhead is available to each connection at any time: the maximum size of one request.
 	minReadAhead = MaxHeaderBytes + httpmsg.MaxBodyBytes
-	// maxReadAhead applies as long as there is something in the pool that all connections of a listener share.
+	// maxReadAhead is the limit for a connection while the pool that all connections of a listener share is not
+	// exhausted.
 	maxReadAhead = minReadAhead + maxBorrowSteps*borrowStep
-	// sharedReadAhead is what all connections of a listener together may read ahead beyond minReadAhead each. A higher
-	// value costs memory where many clients send much; with a lower one fewer of them are seen to disconnect.
+	// sharedReadAhead is the size of the pool from which the connections of a listener borrow for read-ahead beyond
+	// minReadAhead. A higher value takes more memory if many clients send a lot; with a lower one, fewer of their
+	// disconnects are noticed.
 	sharedReadAhead = 8 << 20
-	// borrowStep is how much of it a connection borrows at a time. A higher value leaves more of the pool unused.
+	// borrowStep is the amount that a connection borrows from the pool at a time. With a higher value, more of the
+	// borrowed bytes remain unused.
 	borrowStep = 64 << 10
-	// maxBorrowSteps is how often a connection may borrow. A higher value lets one client take more of the pool from
-	// the others; with a lower one a disconnect behind fewer bytes goes unnoticed.
+	// maxBorrowSteps limits how many times a connection may borrow. With a higher value, one client can take more of
+	// the pool from the others; with a lower one, a disconnect goes unnoticed after fewer bytes.
 	maxBorrowSteps = 14
-	// chunkSize is how much is read and allocated at a time. A higher value saves system calls, and costs memory for
-	// each connection that has read anything ahead.
+	// chunkSize is the amount that is read and allocated at a time. A higher value saves system calls, but takes more
+	// memory for each connection with read-ahead data.
 	chunkSize = 32 << 10
 )
 
-// fillReadAhead decides how much is read ahead of a client whose request is open: all that the kernel has, up to
-// minReadAhead for each connection and maxReadAhead while the listener's pool lasts. The error is EAGAIN when there is
-// no more, or no more may be read ahead. readMu is held.
+// fillReadAhead reads ahead all available data from a client with an open request, up to minReadAhead for each
+// connection, and up to maxReadAhead while the listener's pool has bytes to borrow. The error is EAGAIN if no more data
+// is available or the limit is reached. The caller holds readMu.
 //
-// Guard: prevents a close from going unnoticed behind bytes that nobody reads: net/http's background read ends with the
-// first byte, and a close behind more than the kernel's buffers hold does not even reach the kernel. It shows as work
-// for a client that has left. It holds up to maxReadAhead; beyond it nobody can know.
+// Guard: prevents a close that follows unread data from going unnoticed. The background read of net/http ends with the
+// first byte, and a close that follows more data than the kernel buffers does not arrive at all. The symptom is work
+// for a disconnected client. This holds for up to maxReadAhead bytes of data; beyond that, the close cannot be
+// detected.
 func (c *Conn) fillReadAhead(fd int) error {
 	for {
 		space := c.readAhead.free()
@@ -54,7 +58,8 @@
 	}
 }
 
-// reserveChunk reports whether another chunk may be read ahead, and pauses reading if not. readMu is held.
+// reserveChunk reports whether another chunk may be read ahead, and borrows for it if necessary. If the limit is
+// reached, it pauses reading. The caller holds readMu.
 func (c *Conn) reserveChunk() bool {
 	for c.readAhead.size()+chunkSize > minReadAhead+c.borrowed {
 		if minReadAhead+c.borrowed == maxReadAhead || !c.listener.borrow() {
@@ -66,21 +71,23 @@
 	return true
 }
 
-// releaseReadAhead discards what was read ahead, and returns what was borrowed. readMu is held.
+// releaseReadAhead discards the data that was read ahead, and returns the borrowed bytes to the pool. The caller holds
+// readMu.
 func (c *Conn) releaseReadAhead() {
 	c.readAhead.release()
 	c.listener.readAheadPool.Add(int64(c.borrowed))
 	c.borrowed = 0
 }
 
-// readBuffered moves to b what was read ahead, as takeBuffered does.
+// readBuffered acquires readMu and calls takeBuffered.
 func (c *Conn) readBuffered(b []byte) int {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	return c.takeBuffered(b)
 }
 
-// takeBuffered moves to b what was read ahead, unless a request is open and more may be read ahead. readMu is held.
+// takeBuffered moves read-ahead data to b and returns its length. It moves nothing while a request is open, unless
+// reading is paused. The caller holds readMu.
 func (c *Conn) takeBuffered(b []byte) int {
 	if c.requestOpen && !c.paused {
 		return 0
@@ -92,7 +99,7 @@
 	return n
 }
 
-// borrow takes borrowStep bytes from the pool, and reports whether they were there.
+// borrow takes borrowStep bytes from the pool, and reports whether they were available.
 func (l *Listener) borrow() bool {
 	if l.readAheadPool.Add(-borrowStep) < 0 {
 		l.readAheadPool.Add(borrowStep)
--- a/internal/front/clientconn/serving.go
+++ b/internal/front/clientconn/serving.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Timeouts are those of a server towards its clients.
+// Timeouts are the timeouts of a server for the reads from and the writes to its clients.
 type Timeouts struct {
-	Header time.Duration // for a request's header, from its connection or first byte
+	Header time.Duration // for a request's header, from the start of the connection or its first byte
 	Body   time.Duration // for a request's body
 	Idle   time.Duration // for the next request on a connection
-	Write  time.Duration // for a response, beyond its request's deadline
+	Write  time.Duration // for writing a response, after the request's deadline
 }
 
-// NewServer returns a server for requests with a deadline of at most maxDeadline. A client that does not read its
-// response is cut off. net/http's own messages go to log as debug messages.
+// NewServer returns a server for requests whose deadlines are at most maxDeadline. It closes the connection of a client
+// that does not read its response in time. Messages of net/http are logged at debug level.
 func (t Timeouts) NewServer(handler http.Handler, maxDeadline time.Duration, log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -28,22 +28,23 @@
 	}
 }
 
-// DrainTime returns how long a server's connections may last from its stop on, where every request has its result
-// within resultTimeout of having been read.
+// DrainTime returns the longest time that connections may stay open after a stop, if each request has its result within
+// resultTimeout after it was read.
 func (t Timeouts) DrainTime(resultTimeout time.Duration) time.Duration {
 	return resultTimeout + t.Header + t.Body + t.Write
 }
 
-// Serving is a server that serves the connections of a Listener. The front that started it waits for it, and then
-// drains it; both are called from one goroutine.
+// Serving is a running server for the connections of a Listener. The front that started it calls Wait, and then Drain,
+// from one goroutine.
 type Serving struct {
 	listener *Listener
 	server   *http.Server
-	err      error         // of server.Serve, once ended is closed
+	err      error         // result of server.Serve; valid when ended is closed
 	ended    chan struct{} // closed when server.Serve has returned
 }
 
-// Serve starts server, whose requests report to the connections that they come on, in a goroutine that Drain waits for.
+// Serve starts server in a goroutine, which Drain waits for. The server's requests can get their connection by
+// FromRequest.
 func (l *Listener) Serve(server *http.Server) *Serving {
 	l.attach(server)
 	s := &Serving{listener: l, server: server, ended: make(chan struct{})}
@@ -54,7 +55,7 @@
 	return s
 }
 
-// Wait returns when ctx ends, or when the server fails. Only in the latter case it returns an error.
+// Wait returns nil when ctx ends, or the server's error if the server fails before that.
 func (s *Serving) Wait(ctx context.Context) error {
 	select {
 	case <-s.ended:
@@ -64,17 +65,17 @@
 	}
 }
 
-// Drain closes the listener, waits until all connections have ended, until a deadline at most, and closes the server.
-// A client that does not read its response takes until the deadline.
+// Drain closes the listener, waits until all connections are closed or the deadline has passed, and closes the server.
+// A client that does not read its response can delay it until the deadline.
 //
-// Guard: prevents requests from being dropped that are read during the stop. With the server's Shutdown net/http would
-// drop each that it has just read, and close its connection without a response. It holds because the server goes on
-// until the last connection has ended.
+// Guard: prevents the loss of requests that are read during the stop. After a call of the server's Shutdown, net/http
+// would drop every request that it has just read, and close the connection without a response. This holds because the
+// server keeps running until the last connection is closed.
 func (s *Serving) Drain(deadline time.Time) error {
 	if err := s.listener.Close(); err != nil {
 		return err
 	}
-	<-s.ended // it returns because the listener is closed
+	<-s.ended // server.Serve returns because the listener is closed
 	s.listener.acceptDone()
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
--- a/internal/front/clientconn/stop.go
+++ b/internal/front/clientconn/stop.go
@@ -6,12 +6,12 @@
 	"hazelwing/internal/netpeek"
 )
 
-// CloseIdle decides which connections are closed at the beginning of the stop: those that wait between two requests,
-// and from then on each that would begin to, unless a request has begun to arrive on it.
+// CloseIdle begins the stop. It closes the connections that are idle after a response, unless their next request has
+// begun to arrive. From then on, each connection that becomes idle is closed in the same way.
 //
-// Guard: prevents the loss of a request that is written as its connection is closed: the platform's client retries it
-// once, on a new connection, which a closed listener would refuse. It holds because new connections are accepted for
-// minOpenAfterStop from now on.
+// Guard: prevents the loss of a request that is written while its connection is closed. The platform's client retries
+// such a request once, on a new connection, which a closed listener would refuse. This holds because new connections
+// are accepted for at least minOpenAfterStop after CloseIdle.
 func (l *Listener) CloseIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,26 +25,27 @@
 	}
 }
 
-// closeIfIdle closes a connection on which a response was written, unless something was received since.
+// closeIfIdle closes a connection on which a response was written, unless data was received since. The caller holds the
+// listener's mutex.
 //
 // Guard: prevents the loss of a request that arrives during the close: its client would get a reset, and might retry
-// under an ID that is in flight. It holds because the bytes are read and noted under the lock that isQuiet takes. The
-// listener's lock is held.
+// with an ID that is still in flight. This holds because data is read and recorded while readMu is held, which
+// hasNoInput acquires.
 func (c *Conn) closeIfIdle() {
 	if c.hasServed && c.hasNoInput() && c.markClosed() {
-		_ = c.closeSocket() // all responses have been written
+		_ = c.closeSocket() // all responses were written
 		c.listener.release()
 	}
 }
 
-// hasNoInput reports whether nothing was received since the last response began.
+// hasNoInput reports whether no data was received since the last response began.
 func (c *Conn) hasNoInput() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	return !c.received && netpeek.Peek(c.TCPConn) != netpeek.Readable
 }
 
-// acceptDone tells that Accept will not be called again.
+// acceptDone records that Accept will not be called again.
 func (l *Listener) acceptDone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,10 +53,11 @@
 	l.closeIfDrained()
 }
 
-// closeIfDrained closes the channel drained after the last connection, once no more can come.
+// closeIfDrained closes the channel drained if no connection is open and no more can be accepted. The caller holds
+// l.mu.
 //
-// Guard: prevents the program's end before the last answer is written, which its client would see as a reset. It holds
-// because a connection is released only when it is closed, which is after its answer. The lock is held.
+// Guard: prevents the process from exiting before the last answer is written, which its client would see as a reset.
+// This holds because a connection is released only when it is closed, which is after its answer was written.
 func (l *Listener) closeIfDrained() {
 	if l.closed && l.openConns == 0 {
 		close(l.drained)
