--- a/internal/front/httpfront/races_test.go
+++ b/internal/front/httpfront/races_test.go
@@ -18,10 +18,10 @@
 	"hazelwing/internal/testutil"
 )
 
-// Races between two events at a client's connection: docs/design/crossings.md has the table. Each test forces the bad
-// order by waiting for the one event before it lets the other happen.
+// These tests cover races between two events on a client's connection; docs/design/crossings.md lists them. Each test
+// forces the critical order: it waits for the first event before it triggers the second.
 
-// readAhead is what each client's connection may read ahead in any case: the size of a request.
+// readAhead is the number of bytes that each connection may always read ahead: the maximum size of a request.
 const readAhead = clientconn.MaxHeaderBytes + httpmsg.MaxBodyBytes
 
 // disconnects are the ways in which a client disconnects.
@@ -31,19 +31,19 @@
 		_ = c.SetLinger(0) // fails only on a closed connection
 		c.Close()
 	},
-	"FIN behind more": func(t *testing.T, c *net.TCPConn) {
+	"FIN after more data": func(t *testing.T, c *net.TCPConn) {
 		if _, err := io.WriteString(c, "GET /look/more HTTP/1.1\r\n"); err != nil {
 			t.Error(err)
 		}
 		c.Close()
 	},
-	"FIN behind much more": func(t *testing.T, c *net.TCPConn) {
+	"FIN after much more data": func(t *testing.T, c *net.TCPConn) {
 		if _, err := c.Write(make([]byte, readAhead/2)); err != nil {
 			t.Error(err)
 		}
 		c.Close()
 	},
-	"FIN behind far more than is read ahead at once": func(t *testing.T, c *net.TCPConn) {
+	"FIN after more data than is read ahead at once": func(t *testing.T, c *net.TCPConn) {
 		if _, err := c.Write(make([]byte, 6*readAhead)); err != nil {
 			t.Error(err)
 		}
@@ -51,8 +51,8 @@
 	},
 }
 
-// A client disconnects while its request is open, by FIN, by reset, or behind bytes that nobody reads. Unnoticed, its
-// request would be retried for nobody: the request's context must end.
+// A client disconnects while its request is open, by FIN or reset, or after unread data. If this goes unnoticed, the
+// request may be retried although no client waits for it. The request's context must end.
 func TestDisconnectIsNoticed(t *testing.T) {
 	for name, disconnect := range disconnects {
 		for _, class := range []string{"look", "book"} {
@@ -67,15 +67,15 @@
 				c := testutil.Receive(t, d.calls, "the call")
 				disconnect(t, conn)
 				if testutil.Receive(t, d.disconnected, "the disconnect") != c || !c.Disconnected() {
-					t.Error("the call does not report that its client disconnected")
+					t.Error("another call ended, or the call does not report that its client disconnected")
 				}
 			})
 		}
 	}
 }
 
-// A client sends further requests before the response to an earlier one. What is read ahead to notice its disconnect
-// must not swallow them: each must be served in turn.
+// A client sends further requests before the response to an earlier one. The front reads them ahead in order to notice
+// a disconnect. They must not be lost: each must be served in turn.
 func TestPipelinedRequestsAreServed(t *testing.T) {
 	d := startFakeEngine(t)
 	conn := d.dial(t)
@@ -94,13 +94,13 @@
 			t.Fatal(err)
 		}
 		if got.status != 200 || got.body != "ok" {
-			t.Errorf("response %d: %+v", i, got)
+			t.Errorf("response %d: %+v, want status 200 and body \"ok\"", i, got)
 		}
 	}
 }
 
-// A client that closes its sending half only can still read: it must not get a success, such as the empty 200 that
-// net/http sends where a handler writes nothing.
+// A client that closes only its sending half can still read. It must not get a success, such as the empty 200 that
+// net/http sends if a handler writes nothing.
 func TestHalfClosedClientGetsNoSuccess(t *testing.T) {
 	d := startFakeEngine(t)
 	conn := d.dial(t).(*net.TCPConn)
@@ -119,9 +119,10 @@
 	}
 }
 
-// The program stops while connections wait between two requests. Closed with the listener, a client whose request
-// crosses the close could not connect again, and its request would be lost. They must be closed at once, while new ones
-// are accepted, and those on which a request has begun to arrive must not be closed.
+// The program stops while connections are idle after a response. If they were closed together with the listener, a
+// client whose request is written during the close could not reconnect, and its request would be lost. Idle connections
+// must be closed immediately, while new ones are still accepted. Connections on which a request has begun to arrive
+// must stay open.
 func TestStopClosesIdleConnectionsAndAcceptsNewOnes(t *testing.T) {
 	received := make(chan bool, 10)
 	r := startFront(t, func(context.Context, *engine.Call) engine.Result {
@@ -133,37 +134,37 @@
 		reader := bufio.NewReader(conn)
 		send(t, conn, r.request(t, "GET", "look", id, ""))
 		if got, err := readReply(reader); err != nil || got.status != 200 {
-			t.Fatalf("%+v, %v", got, err)
+			t.Fatalf("response %+v, error %v; want status 200", got, err)
 		}
 		testutil.Receive(t, received, "the call")
 		return reader
 	}
 	idle, busy := r.dial(t), r.dial(t)
 	fromIdle, fromBusy := request(idle, "1"), request(busy, "2")
-	sendText(t, busy, "G") // its next request has begun to arrive: it is read, or about to be
+	sendText(t, busy, "G") // the next request begins to arrive
 	r.stop()
 	if _, err := fromIdle.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection: %v, want its end", err)
+		t.Errorf("read from the idle connection: error %v, want EOF", err)
 	}
 	request(r.dial(t), "3")
 	sendText(t, busy, "ET /look/x HTTP/1.1\r\nHost: h\r\n")
 	sendText(t, busy, "X-Request-Id: 4\r\nX-Class: look\r\nX-Deadline-Ms: 1000\r\n\r\n")
 	got, err := readReply(fromBusy)
 	if err != nil || got.status != 200 || !got.close {
-		t.Errorf("the one with a request: %+v, %v", got, err)
+		t.Errorf("connection with a request: response %+v, error %v; want status 200 and a close", got, err)
 	}
 }
 
-// The program stops while endpoints hang. Requests that SIGKILL finds open are reset, and their clients know nothing:
-// they must be answered before it may come, whatever their deadlines; those that arrive still later are rejected at
-// once.
+// The program stops while endpoints hang. Requests that are open at SIGKILL are reset, and their clients do not learn
+// the outcome. They must be answered before the earliest SIGKILL, whatever their deadlines, and requests that arrive
+// after that must be rejected immediately.
 func TestStopAnswersHangingRequests(t *testing.T) {
 	for name, deadline := range map[string]time.Duration{
 		"short deadlines": 300 * time.Millisecond,
 		"long deadlines":  time.Minute,
 	} {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // it waits in real time
+			t.Parallel() // this test waits in real time
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -171,7 +172,7 @@
 			calls := make(chan bool, 10)
 			s := New(doerFunc(func(ctx context.Context, _ *engine.Call) engine.Result {
 				calls <- true
-				<-ctx.Done() // its endpoint hangs
+				<-ctx.Done() // the endpoint hangs
 				return engine.Result{Kind: engine.Disconnected}
 			}), []balancer.Class{{Name: "look", Deadline: deadline}})
 			ctx, stop := context.WithCancel(t.Context())
@@ -181,20 +182,21 @@
 			first, second := r.dial(t), r.dial(t)
 			send(t, first, r.request(t, "GET", "look", "1", ""))
 			testutil.Receive(t, calls, "the call")
-			sendText(t, second, "GET") // keeps its connection open
+			sendText(t, second, "GET") // keeps the connection open
 			stop()
 			start := time.Now()
 			got, err := readReply(bufio.NewReader(first))
 			kill := killGrace + min(deadline, maxKillDelay)
 			if err != nil || got.status != http.StatusGatewayTimeout || time.Since(start) > kill {
-				t.Errorf("%+v, %v after %v, want 504 before %v", got, err, time.Since(start), kill)
+				t.Errorf("response %+v, error %v after %v; want 504 before %v", got, err, time.Since(start), kill)
 			}
-			if deadline < maxKillDelay { // otherwise the incomplete request is ended by its own timeout
+			if deadline < maxKillDelay { // otherwise headerTimeout ends the incomplete request first
 				sendText(t, second, " /look/x HTTP/1.1\r\nHost: h\r\n")
 				sendText(t, second, "X-Request-Id: 2\r\nX-Class: look\r\nX-Deadline-Ms: 300\r\n\r\n")
 				got, err := readReply(bufio.NewReader(second))
 				if err != nil || got.status != http.StatusServiceUnavailable || len(calls) > 0 {
-					t.Errorf("the later one: %+v, %v, %d calls", got, err, len(calls))
+					t.Errorf("later request: response %+v, error %v, %d calls; want 503 and 0 calls",
+						got, err, len(calls))
 				}
 			}
 			second.Close()
--- a/internal/front/httpfront/request.go
+++ b/internal/front/httpfront/request.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// maxIDBytes limits a request ID, an idempotency key and the like. A higher value costs memory for each request
-	// that is in flight or remembered.
+	// maxIDBytes limits the length of a request ID, an idempotency key, a class name and a deadline in the headers. A
+	// higher value takes more memory for each request that is in flight or remembered.
 	maxIDBytes = 256
-	// initialBodyBuffer limits the bytes that are allocated for a body before any of it has come. With a higher value a
-	// length that is announced and never comes costs more memory; with a lower one long bodies are copied as they grow.
+	// initialBodyBuffer limits the bytes that are allocated for a body before any of it has arrived. With a higher
+	// value, a body that is announced but never sent takes more memory; with a lower one, the buffers of long bodies
+	// are reallocated as they grow.
 	initialBodyBuffer = 4 << 10
 )
 
-// readCall makes a call of a request. For a malformed request the call is nil, and errorResponse says what is wrong.
-// The body is read to its end: only then does net/http notice that a client disconnects.
+// readCall returns the call for a request. For a malformed request, it returns a nil call and the response to send. It
+// reads the body to its end, because net/http detects a disconnect only after that.
 func (s *Server) readCall(
 	w http.ResponseWriter, r *http.Request, receivedAt time.Time,
 ) (call *engine.Call, errorResponse httpmsg.Response) {
@@ -49,7 +50,7 @@
 	return call, httpmsg.Response{}
 }
 
-// newCall makes a call of a valid request, and the message in it, which has no body yet.
+// newCall returns the call for a valid request, and the call's payload, whose body is not set yet.
 func (s *Server) newCall(r *http.Request, class string, expiresAt time.Time) (*engine.Call, *httpmsg.Request) {
 	message := &httpmsg.Request{
 		Method: r.Method,
@@ -69,7 +70,8 @@
 		call.AffinityKey = cookie.Value
 	}
 	if hint, err := strconv.ParseFloat(r.Header.Get(httpmsg.CostHintHeader), 64); err == nil && hint > 0 {
-		// The limit excludes hints that no request of any class can need: the balancer compares all others with it.
+		// A hint above the longest deadline cannot be true for any request. It is limited because the balancer compares
+		// the other hints with it.
 		hint = min(hint, float64(s.maxDeadline.Microseconds()))
 		call.ExpectedWork = time.Duration(hint * float64(time.Microsecond))
 	}
@@ -79,16 +81,16 @@
 // readBody reads the body to its end.
 func readBody(r *http.Request) ([]byte, error) {
 	var body bytes.Buffer
-	// No more memory is allocated at first, because what is announced may never come.
+	// The initial allocation is limited because the announced body may never arrive.
 	body.Grow(int(min(max(r.ContentLength, 0), initialBodyBuffer)) + bytes.MinRead)
 	_, err := body.ReadFrom(r.Body)
 	return body.Bytes(), err
 }
 
-// checkClass decides whether a request fits the class of its path: the class is known and the class header names it,
-// the request has an ID and the class's method, and it has an idempotency key if the class is keyed, and only then (or
-// if the class is not idempotent and AcceptIdempotencyKeys was called). Otherwise ok is false, and errorResponse says
-// what is wrong.
+// checkClass checks that the class in the path is known and matches the class header, that the request has an ID and
+// the method of the class, and that it has an idempotency key if, and only if, the class is keyed. (A non-idempotent
+// class may have a key if AcceptIdempotencyKeys was called.) If a check fails, ok is false and errorResponse is the
+// response to send.
 func (s *Server) checkClass(r *http.Request, class string) (errorResponse httpmsg.Response, ok bool) {
 	effect, known := s.effectByClass[class]
 	method := http.MethodPost
@@ -114,11 +116,11 @@
 	return httpmsg.Response{}, true
 }
 
-// checkFraming decides whether a request's end is certain and its headers can be read in one way only. Otherwise ok is
-// false, and errorResponse says what is wrong. This prevents requests hidden in the bodies of others (request
-// smuggling): where both Transfer-Encoding and Content-Length are present, net/http shows the former only, so no
-// chunked request is accepted. HTTP/1.0 is refused because it does not define Transfer-Encoding: a proxy that speaks it
-// may ignore the header and see another end of the request.
+// checkFraming checks that the end of a request is unambiguous and that its headers are valid. If not, ok is false and
+// errorResponse is the response to send. This prevents request smuggling, that is, requests hidden in the bodies of
+// others. If both Transfer-Encoding and Content-Length are present, net/http exposes only the former, so chunked
+// requests are not accepted at all. HTTP/1.0 is not accepted because it does not define Transfer-Encoding: a proxy that
+// uses it may ignore the header and find a different end of the request.
 func checkFraming(r *http.Request) (errorResponse httpmsg.Response, ok bool) {
 	switch {
 	case len(r.TransferEncoding) > 0:
@@ -148,8 +150,8 @@
 	return httpmsg.Response{}, true
 }
 
-// isValidValue reports whether a header's value is short and plain text. A class may have any text, because it has to
-// be one of the settings'.
+// isValidValue reports whether a header's value is short and consists of visible ASCII characters. The class may
+// contain other characters, because it is compared with the configured class names.
 func isValidValue(name, value string) bool {
 	if len(value) > maxIDBytes {
 		return false
--- a/internal/front/httpfront/response.go
+++ b/internal/front/httpfront/response.go
@@ -9,10 +9,11 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// responseFromResult decides which response a call's result stands for.
+// responseFromResult returns the response for the result of a call.
 //
-// Guard: prevents the empty 200 that net/http sends where a handler writes nothing: a client that has closed its
-// sending half only would take it for a success. It holds because a call of a client that has left gets a 504, too.
+// Guard: prevents the empty 200 that net/http sends if a handler writes nothing. A client that has closed only its
+// sending half would mistake it for a success. This holds because a call whose client has disconnected also gets a
+// response, a 504.
 func responseFromResult(r engine.Result) httpmsg.Response {
 	switch r.Kind {
 	case engine.Served:
@@ -29,7 +30,8 @@
 	return failedResponse(r.TimedOut)
 }
 
-// rejectedResponse says that a retry is harmless, and, if retryAfter is positive, when to send it.
+// rejectedResponse returns a response that tells the client that a retry is safe and, if retryAfter is positive, when
+// to retry.
 func rejectedResponse(retryAfter time.Duration) httpmsg.Response {
 	response := plainText(http.StatusServiceUnavailable, "refused: try again later")
 	if retryAfter > 0 {
@@ -38,7 +40,8 @@
 	return response
 }
 
-// failedResponse says nothing about a retry: neither of its codes is that of a rejection.
+// failedResponse returns a response that does not tell whether a retry is safe. Both of its status codes differ from
+// that of a rejection.
 func failedResponse(timedOut bool) httpmsg.Response {
 	if timedOut {
 		return plainText(http.StatusGatewayTimeout, "no answer in time")
@@ -46,7 +49,7 @@
 	return plainText(http.StatusBadGateway, "no upstream served this")
 }
 
-// plainText returns a response of the front's own.
+// plainText returns a text response that the front itself generates.
 func plainText(status int, text string) httpmsg.Response {
 	return httpmsg.Response{
 		Status: status,
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -9,13 +9,13 @@
 	"hazelwing/internal/front/clientconn"
 )
 
-// What clients may take. Higher values let clients that stop in the middle of a request keep their connection for
-// longer; with lower ones clients on slow links are cut off.
+// Time limits for clients. With higher values, clients that stop in the middle of a request keep their connections for
+// longer; with lower ones, clients on slow links are disconnected.
 const (
-	headerTimeout  = 1250 * time.Millisecond // for a request's header, from its connection or first byte
+	headerTimeout  = 1250 * time.Millisecond // for a request's header, from the connection's start or its first byte
 	bodyTimeout    = 1250 * time.Millisecond // for a request's body
 	idleTimeout    = 2250 * time.Millisecond // for the next request on a connection
-	writeAllowance = time.Second             // for a response, beyond its request's deadline
+	writeAllowance = time.Second             // for writing a response, after the request's deadline
 )
 
 var timeouts = clientconn.Timeouts{
@@ -25,40 +25,42 @@
 	Write:  writeAllowance,
 }
 
-// At a planned restart connections arrive for a while yet: see waitForQuietListener.
+// Limits of the wait for further connections at a planned restart (see waitForQuietPeriod).
 const (
-	// minOpenAfterStop is how long the listener stays open at least. A higher value makes the shutdown longer; a lower
-	// one than the platform takes to send new connections elsewhere loses some of them.
+	// minOpenAfterStop is the minimum time for which the listener stays open after the stop. A higher value makes the
+	// shutdown longer. If the value is lower than the time that the platform takes to route new connections elsewhere,
+	// some of these connections are lost.
 	minOpenAfterStop = 600 * time.Millisecond
-	// quietPeriod is how long no connection must have come before the listener is closed. A higher value makes the
-	// shutdown longer; with a lower one a connection may still come behind a pause.
+	// quietPeriod is the time without a new connection after which the listener is closed. A higher value makes the
+	// shutdown longer; with a lower one, a connection that arrives after a pause may be lost.
 	quietPeriod = 200 * time.Millisecond
-	// maxExtraOpen is how long after minOpenAfterStop the listener is closed though connections still come. A higher
-	// value makes the shutdown longer where clients connect all the time.
+	// maxExtraOpen is the time after minOpenAfterStop at which the listener is closed even if connections still arrive.
+	// A higher value makes the shutdown longer if clients connect continuously.
 	maxExtraOpen = time.Second
 )
 
-// SIGKILL comes no sooner than the longest deadline, or maxKillDelay if that is less, and killGrace after SIGTERM: see
-// stopTimeoutFor.
+// Terms of the earliest time of SIGKILL. It is sent no earlier after SIGTERM than killGrace plus the longest deadline,
+// of which at most maxKillDelay counts (see stopTimeoutFor).
 const (
-	// killGrace and maxKillDelay are the platform's; see its protocol page. With a higher value than its own, SIGKILL
-	// finds requests open.
+	// killGrace and maxKillDelay are defined by the platform's protocol page. If a value here is higher than the
+	// platform's, requests may still be open at SIGKILL.
 	killGrace    = 700 * time.Millisecond
 	maxKillDelay = 3 * time.Second
-	// stopMargin is how long before the earliest SIGKILL the last requests are answered. A higher value leaves
-	// endpoints that hang less time for their answer; with a lower one a slow machine may be killed before it has
-	// written all.
+	// stopMargin is the time between the answers to the last requests and the earliest SIGKILL. With a higher value,
+	// slow endpoints have less time to answer; with a lower one, a slow machine may be killed before it has written all
+	// answers.
 	stopMargin = 200 * time.Millisecond
 )
 
-// stopTimeoutFor decides when requests that are still open after SIGTERM are answered without a result: stopMargin
-// before the earliest SIGKILL, which the platform's protocol gives by the longest deadline of a class.
+// stopTimeoutFor returns the time after SIGTERM at which the requests that are still open are answered without a
+// result: stopMargin before the earliest SIGKILL, which the platform's protocol derives from the longest deadline of a
+// class.
 func stopTimeoutFor(maxDeadline time.Duration) time.Duration {
 	return killGrace + min(maxDeadline, maxKillDelay) - stopMargin
 }
 
 // Serve serves the connections to l until ctx ends, and then until all accepted requests are answered. At most maxConns
-// connections are open; beyond that, those that have been idle for longest are closed.
+// connections are open. If more clients connect, the connections that have been idle for longest are closed.
 func (s *Server) Serve(ctx context.Context, l net.Listener, maxConns int, log *slog.Logger) error {
 	listener := clientconn.New(l, maxConns, s.onConnLimit)
 	server := timeouts.NewServer(s, s.maxDeadline, log)
@@ -71,13 +73,13 @@
 	return s.stop(listener, serving)
 }
 
-// stop closes the listener once no more connections are to be expected, waits until all requests are answered, and
-// closes the server. Counted from the stop, all requests have their result within stopTimeout: killGrace (0.7 s) and
-// the longest deadline, of which maxKillDelay (3 s) count at most, less stopMargin (0.2 s). Connections may last for
-// headerTimeout, bodyTimeout and writeAllowance longer: see clientconn.Timeouts.DrainTime.
+// stop closes the listener when no more connections are expected, waits until all requests are answered, and closes the
+// server. All requests have their result within stopTimeout after the stop, which is killGrace (0.7 s) plus the longest
+// deadline, limited to maxKillDelay (3 s), minus stopMargin (0.2 s). Connections may stay open for headerTimeout,
+// bodyTimeout and writeAllowance longer (see clientconn.Timeouts.DrainTime).
 //
-// Guard: prevents requests whose endpoint hangs from being open at SIGKILL, which would reset their clients. It holds
-// because all that are open stopTimeout after the stop are cancelled and answered then: see stopTimeoutFor.
+// Guard: prevents requests to a hanging endpoint from still being open at SIGKILL, which would reset the clients'
+// connections. This holds because all requests that are open stopTimeout after the stop are cancelled and answered.
 func (s *Server) stop(listener *clientconn.Listener, serving *clientconn.Serving) error {
 	s.stopping.Store(true)
 	defer time.AfterFunc(s.stopTimeout, s.cancelRequests).Stop()
@@ -87,11 +89,12 @@
 	return serving.Drain(drainDeadline)
 }
 
-// waitForQuietPeriod decides when the listener is closed after SIGTERM: once no connection has come for quietTime,
-// but not before minOpenAfterStop, nor more than maxExtraOpen later.
+// waitForQuietPeriod returns when no connection has arrived for quietPeriod, but not before minOpenAfterStop, and at
+// most maxExtraOpen later.
 //
-// Guard: prevents the listener from being closed with connections in its backlog: the kernel has accepted them, and
-// their clients would get a reset. It holds because the platform sends new connections elsewhere by then.
+// Guard: prevents closing the listener while connections are in its backlog. The kernel has accepted these connections,
+// so their clients would get a reset. This holds because the platform routes new connections elsewhere by the time this
+// function returns.
 func (s *Server) waitForQuietPeriod(l *clientconn.Listener) {
 	start := time.Now()
 	time.Sleep(s.minOpenTime)
--- a/internal/front/httpfront/server.go
+++ b/internal/front/httpfront/server.go
@@ -1,5 +1,5 @@
-// Package httpfront serves the application beside a sidecar over HTTP/1.1, as the platform's protocol page describes.
-// Each request is read completely, handed to the engine, and answered once.
+// Package httpfront serves the application beside a sidecar over HTTP/1.1, as specified by the platform's protocol
+// page. It reads each request completely, passes it to the engine, and answers it once.
 package httpfront
 
 import (
@@ -18,29 +18,30 @@
 // readyPath is the path of the readiness check.
 const readyPath = "/up"
 
-// Doer carries out calls; the engine is one. ServeHTTP calls Do from the goroutine of the client's connection, which
-// waits for it: Do returns with the call's one result, or once ctx has ended because the client disconnected.
+// Doer executes calls; the engine implements it. ServeHTTP calls Do from the goroutine of the client's connection and
+// waits for it. Do returns the only result of the call, or returns when ctx has ended because the client disconnected.
 type Doer interface {
 	Do(ctx context.Context, c *engine.Call) engine.Result
 }
 
-// Server is the front.
+// Server is the HTTP front. It implements http.Handler.
 type Server struct {
 	engine        Doer
 	effectByClass map[string]balancer.Effect
-	maxDeadline   time.Duration // the longest deadline of a class; clients' deadlines are cut to it
-	acceptKeys    bool          // requests that are not idempotent may have an idempotency key
-	onConnLimit   func()        // called when a connection is accepted while all are in use
+	maxDeadline   time.Duration // longest deadline of all classes; limits the deadlines that clients set
+	acceptKeys    bool          // accept idempotency keys in non-idempotent requests
+	onConnLimit   func()        // called for each connection accepted at the connection limit
 
-	minOpenTime time.Duration // how long connections are accepted after the stop
-	stopTimeout time.Duration // from the stop until open requests are cancelled
+	minOpenTime time.Duration // minimum time for which connections are accepted after the stop
+	stopTimeout time.Duration // time from the stop until open requests are cancelled
 	stopping    atomic.Bool
-	// requestContext is the parent of all requests' contexts. It ends when open requests are cancelled.
+	// requestContext is the parent of the contexts of all requests. It ends when the open requests are cancelled at the
+	// stop.
 	requestContext context.Context //nolint:containedctx // net/http asks for it by a callback without parameters
 	cancelRequests context.CancelFunc
 }
 
-// New returns a front for calls of these classes.
+// New returns a Server that passes requests of the given classes to e.
 func New(e Doer, classes []balancer.Class) *Server {
 	s := &Server{
 		engine:        e,
@@ -57,19 +58,22 @@
 	return s
 }
 
-// AcceptIdempotencyKeys lets requests that are not idempotent have an Idempotency-Key, for an engine that recognizes
-// their duplicates by it. Call it before Serve. Without it such a request is malformed, as on the platform.
+// AcceptIdempotencyKeys lets clients set an Idempotency-Key in non-idempotent requests. The engine must recognize
+// duplicates by this key. By default, such a request is rejected as malformed, as the platform's protocol requires.
+// AcceptIdempotencyKeys must be called before Serve.
 func (s *Server) AcceptIdempotencyKeys() { s.acceptKeys = true }
 
-// OnConnLimit sets a function to call, from the goroutine that accepts connections, for each that is accepted while
-// all are in use: it or an idle one is closed. Call it before Serve.
+// OnConnLimit sets a function that is called for each connection that is accepted while the connection limit is
+// reached; in that case an idle connection or the new one is closed. The function is called from the goroutine that
+// accepts connections. OnConnLimit must be called before Serve.
 func (s *Server) OnConnLimit(f func()) { s.onConnLimit = f }
 
-// ServeHTTP handles one request. net/http calls it from the goroutine of the client's connection.
+// ServeHTTP answers one request. net/http calls it from the goroutine of the client's connection.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	receivedAt := time.Now()
 	client := clientconn.FromRequest(r)
-	// This limits the wait for a body that is announced and never comes: net/http reads on after the response.
+	// net/http reads the rest of the body after the response. The read deadline limits its wait for a body that was
+	// announced but never arrives.
 	if r.Body != http.NoBody {
 		_ = http.NewResponseController(w).SetReadDeadline(receivedAt.Add(bodyTimeout)) // fails on a closed connection
 	}
@@ -83,14 +87,15 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(response.Body)))
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body) // fails if the client has disconnected: nobody is left to tell
+	_, _ = w.Write(response.Body) // fails only if the client has disconnected
 }
 
-// respond returns the response to a request, and whether it is the last one on its connection. A request that was read
-// after its client disconnected, or after open requests were cancelled at the stop, is rejected at once.
+// respond returns the response to a request, and whether it is the last one on its connection. A request is rejected
+// immediately if its client has already disconnected, or if the open requests were cancelled at the stop.
 //
-// Guard: prevents a request that arrives shortly before SIGKILL from being forwarded without time for its answer: it
-// would be lost, and may have run. It holds because the context that open requests end with is looked at first.
+// Guard: prevents a request that arrives shortly before SIGKILL from being forwarded without time for its answer: the
+// answer would be lost although the request may have run. This holds because requestContext is checked before the
+// request is passed to the engine.
 func (s *Server) respond(
 	w http.ResponseWriter, r *http.Request, client *clientconn.Conn, receivedAt time.Time,
 ) (response httpmsg.Response, lastOnConn bool) {
@@ -99,12 +104,13 @@
 	}
 	call, errorResponse := s.readCall(w, r, receivedAt)
 	if call == nil {
-		// What follows on the connection may be the rest of a malformed request: it is never read as another one.
+		// The next bytes on the connection may be the rest of the malformed request. They must not be parsed as another
+		// request, so the connection is closed.
 		return errorResponse, true
 	}
 	client.BeginRequest()
 	if client.Disconnected() || s.requestContext.Err() != nil {
-		// Nothing was forwarded. A client that has closed its sending half only may read this.
+		// The request was not forwarded. A client that has closed only its sending half may still read the rejection.
 		return rejectedResponse(0), true
 	}
 	call.Disconnected = client.Disconnected
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -24,17 +24,17 @@
 	"hazelwing/internal/testutil"
 )
 
-// testClasses has a class of each effect.
+// testClasses contains one class of each effect.
 var testClasses = []balancer.Class{
 	{Name: "look", Deadline: testutil.WaitTimeout},
 	{Name: "book", Deadline: testutil.WaitTimeout, Effect: balancer.NonIdempotent},
 	{Name: "pay", Deadline: testutil.WaitTimeout, Effect: balancer.Keyed},
 }
 
-// testMinOpen is how long a front that stops accepts connections here: long enough for a slow machine.
+// testMinOpen replaces minOpenAfterStop in tests. It is longer, so that the tests pass on a slow machine.
 const testMinOpen = 3 * time.Second
 
-// doerFunc is an engine made of a function.
+// doerFunc is a function that implements Doer.
 type doerFunc func(ctx context.Context, c *engine.Call) engine.Result
 
 func (d doerFunc) Do(ctx context.Context, c *engine.Call) engine.Result { return d(ctx, c) }
@@ -48,12 +48,12 @@
 // serveOK answers every call at once.
 func serveOK(context.Context, *engine.Call) engine.Result { return servedResult("ok") }
 
-// testFront is a front on loopback, and a client.
+// testFront is a running front on loopback, and a client for it.
 type testFront struct {
 	url           string
-	connLimitHits atomic.Int32       // connections that were accepted while all were in use
-	stop          context.CancelFunc // has the effect of SIGTERM
-	served        chan error
+	connLimitHits atomic.Int32       // connections that were accepted at the connection limit
+	stop          context.CancelFunc // stops the front, as SIGTERM does
+	served        chan error         // receives the result of Serve
 	client        *http.Client
 }
 
@@ -81,8 +81,8 @@
 	return r
 }
 
-// startFrontWithSlowRequest starts a front and sends it a request that stays open until answer is called; its body is
-// received from slow then. All other requests are served at once.
+// startFrontWithSlowRequest starts a front and sends it a request that stays open until answer is called; slow then
+// receives the body of its response. All other requests are served immediately.
 func startFrontWithSlowRequest(t *testing.T, conns int) (r *testFront, slow <-chan string, answer func()) {
 	t.Helper()
 	received, release := make(chan bool, 1), make(chan bool)
@@ -107,7 +107,7 @@
 	return testutil.Request(t, r.url, method, class, id, body)
 }
 
-// dial opens a connection.
+// dial opens a connection to the front. It is closed when the test ends.
 func (r *testFront) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
@@ -125,7 +125,7 @@
 type reply struct {
 	status int
 	body   string
-	close  bool // the connection is closed after it
+	close  bool // the response has the header "Connection: close"
 }
 
 func (r *testFront) do(t *testing.T, req *http.Request) reply {
@@ -177,7 +177,7 @@
 	}
 }
 
-// sendText writes a part of a request, or a malformed one, to a connection.
+// sendText writes a partial or malformed request to a connection.
 func sendText(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -185,7 +185,8 @@
 	}
 }
 
-// fakeEngine is a front whose engine is the test: it receives the calls, and those whose client disconnected.
+// fakeEngine is a front together with a fake engine that the test controls. The front's calls are sent to calls, and
+// those whose client has disconnected to disconnected. The results of calls are received from results.
 type fakeEngine struct {
 	*testFront
 	calls, disconnected chan *engine.Call
@@ -211,8 +212,8 @@
 	return e
 }
 
-// A malformed request gets a response of the front's own, and is not forwarded. None of these is a rejection, which
-// would say that a retry helps.
+// A malformed request must get a response from the front itself, and must not be forwarded. The response must not be a
+// rejection, which would tell the client that a retry can succeed.
 func TestMalformedRequestsAreNotForwarded(t *testing.T) {
 	r := startFakeEngine(t)
 	overlong := strings.Repeat("x", 300)
@@ -228,7 +229,7 @@
 		"no id":            {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Request-Id") }, 400},
 		"no deadline":      {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Deadline-Ms") }, 400},
 		"negative":         {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "-4") }, 400},
-		"no number":        {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "soon") }, 400},
+		"not a number":     {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "soon") }, 400},
 		"book by GET":      {"GET", "book", "", nil, 405},
 		"look by POST":     {"POST", "look", "x", nil, 405},
 		"key missing":      {"POST", "pay", "x", func(q *http.Request) { q.Header.Del("Idempotency-Key") }, 400},
@@ -240,8 +241,8 @@
 		"two deadlines":    {"GET", "look", "", func(q *http.Request) { q.Header.Add("X-Deadline-Ms", "9") }, 400},
 		"overlong id":      {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", overlong) }, 400},
 		"binary id":        {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", "\xff") }, 400},
-		"POST to ready":    {"POST", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 405},
-		"ready":            {"GET", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 200},
+		"POST to /up":      {"POST", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 405},
+		"GET of /up":       {"GET", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			req := r.request(t, c.method, c.class, "1", c.body)
@@ -249,17 +250,17 @@
 				c.modify(req)
 			}
 			if got := r.do(t, req); got.status != c.want || got.body == "" {
-				t.Errorf("%d %q, want %d and a message", got.status, got.body, c.want)
+				t.Errorf("status %d, body %q; want status %d and a non-empty body", got.status, got.body, c.want)
 			}
 			if len(r.calls) > 0 {
-				t.Errorf("it was forwarded: %+v", <-r.calls)
+				t.Errorf("the request was forwarded: %+v", <-r.calls)
 			}
 		})
 	}
 }
 
-// A disconnect is noticed, which takes that the body was read to its end: nothing must be done for a client that has
-// disconnected.
+// net/http detects a disconnect only after the request's body was read to its end. The front must do so, because no
+// work may be done for a client that has disconnected.
 func TestDisconnectIsNoticedAfterTheBody(t *testing.T) {
 	r := startFakeEngine(t)
 	for _, method := range []string{"GET", "POST"} {
@@ -273,13 +274,14 @@
 		c := testutil.Receive(t, r.calls, "the request")
 		disconnect()
 		if testutil.Receive(t, r.disconnected, "the disconnect") != c {
-			t.Errorf("%s: another call was cancelled", method)
+			t.Errorf("%s: the context of another call ended", method)
 		}
 	}
 }
 
-// The request of a client that closed before it was read is rejected, and nothing is done for it. This prevents work
-// for nobody where requests wait unread for longer than their clients wait.
+// If a client disconnects before its request is read, the request must be rejected and not passed to the engine.
+// Otherwise, when requests wait unread for longer than their clients wait, all work is done for clients that have
+// disconnected.
 func TestDisconnectBeforeTheRequestWasRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -309,17 +311,17 @@
 		return w.Code
 	}
 	if code := request(); code != 200 || calls != 1 {
-		t.Errorf("connected: %d, %d calls", code, calls)
+		t.Errorf("connected client: status %d and %d calls, want 200 and 1", code, calls)
 	}
 	client.Close()
 	tcp := conn.(*clientconn.Conn).TCPConn
 	testutil.Until(t, "the close", func() bool { return netpeek.Peek(tcp) == netpeek.Closed })
 	if code := request(); code != 503 || calls != 1 {
-		t.Errorf("disconnected: %d, %d calls", code, calls)
+		t.Errorf("disconnected client: status %d and %d calls, want 503 and still 1", code, calls)
 	}
 }
 
-// A call has all that a request says.
+// The call for a request must contain all values that the request gives.
 func TestCallFromRequest(t *testing.T) {
 	r := startFakeEngine(t)
 	req := r.request(t, "POST", "pay", "77", "card")
@@ -333,28 +335,29 @@
 	if c.ID != "77" || c.Class != "pay" || c.Tenant != "acme" || c.AffinityKey != "u1" ||
 		c.ExpectedWork != 1500500*time.Nanosecond || c.ExpiresAt.Sub(before) < 15*time.Second ||
 		string(m.Body) != "card" || m.URI != "/pay/a%2Fb?q=1" {
-		t.Errorf("%+v", c)
+		t.Errorf("call %+v with payload %+v differs from the request", c, m)
 	}
 	r.results <- servedResult("done")
 }
 
-// A rejection has one of two codes and a failure neither: clients retry what was rejected.
+// Clients retry a request that was rejected, so a rejection and a failure must not share a status code, and only a
+// rejection may have Retry-After.
 func TestRejectionAndFailureResponses(t *testing.T) {
 	if a := rejectedResponse(1250 * time.Millisecond); a.Status != 503 || a.Header.Get("Retry-After") != "1.25" {
-		t.Errorf("rejection: %+v", a)
+		t.Errorf("rejection: %+v, want status 503 and Retry-After 1.25", a)
 	}
 	if a := rejectedResponse(0); a.Status != 503 || a.Header.Get("Retry-After") != "" {
-		t.Errorf("rejection without Retry-After: %+v", a)
+		t.Errorf("rejection without a time: %+v, want status 503 and no Retry-After", a)
 	}
 	for _, timedOut := range []bool{false, true} {
 		if a := failedResponse(timedOut); a.Status < 500 || a.Status == 503 || a.Header.Get("Retry-After") != "" {
-			t.Errorf("failure: %+v", a)
+			t.Errorf("failure: %+v, want a 5xx status other than 503 and no Retry-After", a)
 		}
 	}
 }
 
-// What follows a malformed request may be the rest of it. It is not read as another request, which no client would have
-// sent.
+// The bytes after a malformed request may be the rest of it. They must not be parsed as another request, which the
+// client did not send.
 func TestHiddenRequestIsNotRead(t *testing.T) {
 	hidden := "GET /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: look\r\nX-Deadline-Ms: 9000\r\n\r\n"
 	head := "X-Request-Id: 1\r\nX-Class: book\r\nX-Deadline-Ms: 9000\r\n"
@@ -368,7 +371,7 @@
 		"length and chunks": {lengthAndChunks + hidden, "411"},
 		"chunks in 1.0":     {chunksInHTTP10 + hidden, "505"},
 		"no class":          {noClass + hidden, "400"},
-		"ready with a body": {readyWithBody + hidden, "200"},
+		"/up with a body":   {readyWithBody + hidden, "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int32
@@ -381,17 +384,18 @@
 			text, err := io.ReadAll(conn)
 			responses := strings.Count(string(text), "HTTP/1.")
 			if err != nil || !strings.Contains(string(text), " "+c.want+" ") || responses != 1 {
-				t.Errorf("%q, %v", text, err)
+				t.Errorf("responses %q, error %v; want one response with status %s", text, err, c.want)
 			}
 			if n := calls.Load(); n > 0 {
-				t.Errorf("%d requests were served", n)
+				t.Errorf("%d requests were forwarded, want 0", n)
 			}
 		})
 	}
 }
 
-// A client stops in the middle of a request. Waited for, it would keep its connection for good: it must get a response
-// or a close within the time that the protocol page gives, and one whose body is far too long at once.
+// A client stops in the middle of a request. If the front waited for the rest, the client would keep its connection
+// indefinitely. It must get a response or a close within the time that the protocol page gives; a request whose body is
+// far too long must get it immediately.
 func TestIncompleteRequestsEndInTime(t *testing.T) {
 	r := startFront(t, serveOK, 100)
 	head := "POST /book HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nX-Class: book\r\nX-Deadline-Ms: 9000\r\n"
@@ -409,18 +413,18 @@
 			sendText(t, conn, text)
 			answer, err := io.ReadAll(conn)
 			if err != nil || len(answer) > 0 && !strings.HasPrefix(string(answer), "HTTP/1.1 4") {
-				t.Errorf("%q, %v", answer, err)
+				t.Errorf("answer %q, error %v; want a 4xx response or a close", answer, err)
 			}
 		})
 	}
 	if limit := 3 * time.Second; headerTimeout+bodyTimeout > limit-limit/8 {
-		t.Errorf("a head and a body may take %v", headerTimeout+bodyTimeout)
+		t.Errorf("headerTimeout plus bodyTimeout is %v, want at most %v", headerTimeout+bodyTimeout, limit-limit/8)
 	}
 }
 
-// Clients connect and send nothing, or send one request and stay, until the limit is reached. New clients would get
-// neither an answer nor a close: the idle ones must make room, those that never sent a request first, and none with a
-// request open.
+// Clients connect and send nothing, or send one request and stay connected, until the connection limit is reached. New
+// clients would get neither an answer nor a close. Idle connections must be closed for them, first those that have
+// never sent a request, and never one with an open request.
 func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
 	r, slow, answer := startFrontWithSlowRequest(t, 9)
 	request := func(conn net.Conn, id string) error {
@@ -445,41 +449,41 @@
 		t.Fatalf("a new client was not served: %v", err)
 	}
 	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the silent connection was not closed: %v", err)
+		t.Errorf("the connection without a request was not closed: read error %v, want EOF", err)
 	}
 	if err := request(served, "again"); err != nil {
-		t.Errorf("one that had sent a request was closed before the silent one: %v", err)
+		t.Errorf("a connection with a request was closed before those without one: %v", err)
 	}
 	for i := range 12 {
 		if err := request(r.dial(t), fmt.Sprint(i)); err != nil {
-			t.Errorf("new client %d: %v", i, err)
+			t.Errorf("new client %d was not served: %v", i, err)
 		}
 	}
 	if r.connLimitHits.Load() == 0 {
-		t.Error("the limit was not reported as reached")
+		t.Error("OnConnLimit was not called although the limit was reached")
 	}
 	answer()
 	if got := testutil.Receive(t, slow, "the slow response"); got != "ok" {
-		t.Errorf("the open request got %q", got)
+		t.Errorf("the open request got the body %q, want \"ok\"", got)
 	}
 }
 
-// Many clients send one request and keep their connection. Once these use up the limit, each new client costs another
-// its connection: responses must close theirs before that.
+// Many clients send one request and keep their connections. If these used up the limit, each new client would cost
+// another client its connection. Responses must close their connections before that.
 func TestResponsesCloseConnectionsWhenManyAreIdle(t *testing.T) {
-	r := startFront(t, serveOK, 9) // 3 are retained
+	r := startFront(t, serveOK, 9) // maxIdleShare of 9 connections is 3
 	for i := range 6 {
 		conn := r.dial(t)
 		send(t, conn, r.request(t, "GET", "look", fmt.Sprint(i), ""))
 		got, err := readReply(bufio.NewReader(conn))
 		if err != nil || got.status != 200 || got.close != (i >= 3) {
-			t.Errorf("client %d: %+v, %v", i, got, err)
+			t.Errorf("client %d: response %+v, error %v; want status 200 and close %v", i, got, err, i >= 3)
 		}
 	}
 }
 
-// At a planned restart the open requests are answered, and so are those that arrive while the platform still sends new
-// connections: what was accepted is never reset. Then the program ends.
+// At a planned restart, the front must answer the open requests and those that arrive while the platform still routes
+// new connections to it; no accepted connection may be reset. Then Serve must return.
 func TestStopLosesNoRequest(t *testing.T) {
 	r, slow, answer := startFrontWithSlowRequest(t, 100)
 	r.stop()
@@ -487,27 +491,27 @@
 		t.Helper()
 		resp, err := r.client.Do(r.request(t, "GET", "look", fmt.Sprint("late", n), ""))
 		if err != nil {
-			t.Fatalf("after the stop: %v", err)
+			t.Fatalf("request after the stop: %v", err)
 		}
 		got, err := readAll(resp)
 		if err != nil {
-			t.Errorf("after the stop: %v", err)
+			t.Errorf("response to a request after the stop: %v", err)
 		}
 		return got.close
 	}
 	start, n := time.Now(), 0
-	for ; !closesAfter(n); n++ { // until responses close the connections
+	for ; !closesAfter(n); n++ { // until a response has "Connection: close"
 	}
-	time.Sleep(testMinOpen/3 - time.Since(start)) // and a new connection after a pause
+	time.Sleep(testMinOpen/3 - time.Since(start)) // then a new connection after a pause
 	closesAfter(n + 1)
 	answer()
 	if got := testutil.Receive(t, slow, "the slow response"); got != "ok" {
-		t.Errorf("the open request got %q", got)
+		t.Errorf("the open request got the body %q, want \"ok\"", got)
 	}
 	if err := testutil.Receive(t, r.served, "the end of Serve"); err != nil {
 		t.Error(err)
 	}
 	if _, err := net.DialTimeout("tcp", strings.TrimPrefix(r.url, "http://"), testutil.WaitTimeout); err == nil {
-		t.Error("still listening")
+		t.Error("the listener accepts connections after Serve has returned")
 	}
 }
