--- a/internal/front/graphqlfront/benchmark_test.go
+++ b/internal/front/graphqlfront/benchmark_test.go
@@ -9,7 +9,7 @@
 	"hazelwing/internal/engine"
 )
 
-// serveFixed returns a response to a call of BenchmarkRequest without executing its document.
+// serveFixed returns a response to a call of BenchmarkRequest without executing the document.
 func serveFixed(b *testing.B, c *engine.Call) engine.Result {
 	b.Helper()
 	if c.Class == "u" {
@@ -41,8 +41,8 @@
 	return "[" + strings.Join(operations, ",") + "]"
 }
 
-// BenchmarkRequest measures a request without its calls: parsing, validation (unless the document is cached), planning,
-// parsing of the parts' responses, and merging.
+// BenchmarkRequest measures the processing of a request without its calls: parsing, validation (unless the document is
+// cached), planning, parsing of the parts' responses, and merging.
 func BenchmarkRequest(b *testing.B) {
 	for _, request := range []struct{ name, body string }{
 		{"one query", `{"query":"query Seats($x: Int) { a(x: $x) }","variables":{"x":3}}`},
--- a/internal/front/graphqlfront/coalesce.go
+++ b/internal/front/graphqlfront/coalesce.go
@@ -13,28 +13,30 @@
 )
 
 const (
-	// maxEarlierExpiry is how much sooner than a part the flight that it joins may expire. This prevents a part from
-	// taking over the shorter deadline of another client. A higher value coalesces more parts, of which more fail.
+	// maxEarlierExpiry limits how much earlier than a part the flight that it joins may expire. This prevents a part
+	// from being bound by the much shorter deadline of another client. With a higher value, more parts are coalesced,
+	// but more of them fail.
 	maxEarlierExpiry = 50 * time.Millisecond
-	// responseMargin is how long before its own expiry a part stops waiting for a flight: the client is yet to be
-	// answered. A higher value gives up parts that would have come in time; a lower one answers more clients too late.
+	// responseMargin is the time before its own expiry at which a part stops waiting for a flight, so that the client
+	// can be answered in time. With a higher value, parts are given up that would have been answered in time; with a
+	// lower one, more clients are answered too late.
 	responseMargin = 10 * time.Millisecond
 )
 
-// flightGroup executes identical parts of queries once. Unlike that of golang.org/x/sync/singleflight, a caller joins a
-// flight only if that does not expire much sooner than itself, and any caller may leave.
+// flightGroup executes identical parts of queries once. It differs from golang.org/x/sync/singleflight in that a caller
+// joins a flight only if the flight does not expire much earlier than the caller, and that every caller can leave.
 type flightGroup struct {
 	mu      sync.Mutex
 	flights map[string]*flight // by flightKey
 }
 
-// flight is a part that is executed for all callers that wait for it. Its context ends when all of them have left.
+// flight is the execution of a part for all callers that wait for it. Its context ends when all of them have left.
 type flight struct {
 	expiresAt time.Time
 	cancel    context.CancelFunc
 	done      chan struct{} // closed when outcome and abandoned are set
 	outcome   plan.Outcome
-	abandoned bool // it ended because all callers had disconnected
+	abandoned bool // ended because the clients of all callers had disconnected
 
 	mu      sync.Mutex
 	waiters map[*waiter]bool
@@ -42,21 +44,21 @@
 
 // waiter is a caller that waits for a flight.
 type waiter struct {
-	disconnected func() bool // looks whether its client has disconnected; called from any goroutine
+	disconnected func() bool // reports whether its client has disconnected; called from any goroutine
 }
 
-// joinedFlight is a flight together with a caller that has joined it.
+// joinedFlight is a flight together with one of the callers that have joined it.
 type joinedFlight struct {
 	*flight
 	waiter *waiter
 }
 
-// runFunc executes a part. Its context ends, and abandoned returns true, when all callers have left. aborted says
-// that it ended for that reason.
+// runFunc executes a part. ctx ends when all callers have left; abandoned reports whether the clients of all callers
+// have disconnected. aborted reports whether the execution ended for that reason.
 type runFunc func(ctx context.Context, abandoned func() bool) (outcome plan.Outcome, aborted bool)
 
-// flightKey returns a key that identical parts have in common: they have the same class, the same body and the same
-// headers, so that no client receives what was made for another one.
+// flightKey returns a key that is equal for identical parts, that is, for parts with the same class, body and headers.
+// Because it includes the headers, no client receives a result that was made for another client.
 func flightKey(part *plan.Part, header http.Header) string {
 	hash := sha256.New()
 	add := func(text string) { hash.Write(append([]byte(text), 0)) }
@@ -71,8 +73,8 @@
 	return string(hash.Sum(nil))
 }
 
-// join joins the flight with the given key, or starts one by run. It returns nil if there is a flight that expires too
-// soon. isShared says that the flight was there.
+// join joins the flight with the given key, or starts one with run. It returns nil if the flight with this key expires
+// too early. isShared reports whether the flight already existed.
 func (g *flightGroup) join(
 	key string, expiresAt time.Time, disconnected func() bool, run runFunc,
 ) (_ *joinedFlight, isShared bool) {
@@ -95,7 +97,7 @@
 		waiters:   map[*waiter]bool{w: true},
 	}
 	g.flights[key] = f
-	go g.runFlight(ctx, key, f, run) // its callers wait for it, or cancel it when the last of them leaves
+	go g.runFlight(ctx, key, f, run) // ends when its context is cancelled, at the latest when the last caller leaves
 	return &joinedFlight{f, w}, false
 }
 
@@ -111,7 +113,7 @@
 	close(f.done)
 }
 
-// add adds a waiter. It returns false if all others have left, and the flight is about to end.
+// add adds a waiter. It returns false if all other waiters have left, so that the flight is about to end.
 func (f *flight) add(w *waiter) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,7 +124,7 @@
 	return true
 }
 
-// remove removes a waiter, and cancels the flight after the last one.
+// remove removes a waiter. If it was the last one, the flight is cancelled.
 func (f *flight) remove(w *waiter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,10 +134,11 @@
 	}
 }
 
-// isAbandoned decides whether a flight goes on: it does not once the clients of all waiters have disconnected.
+// isAbandoned reports whether the clients of all waiters have disconnected. A flight must end then.
 //
-// Guard: prevents a part that several clients share from being sent for nobody, and from being ended for one of them
-// alone. It holds because the transport asks it right before the first byte, in place of the first client's own look.
+// Guard: prevents a part that several clients share from being sent after all of them have disconnected, and from being
+// ended when only one of them has. This holds because the transport calls isAbandoned, instead of checking the first
+// client alone, immediately before it writes the first byte.
 func (f *flight) isAbandoned() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,11 +150,11 @@
 	return true
 }
 
-// wait waits for the outcome, until shortly before expiresAt or until ctx ends, and leaves the flight. It returns
-// false if the flight ended because the callers before this one had disconnected: this one has to start again.
+// wait waits for the outcome until shortly before expiresAt or until ctx ends, and leaves the flight. It returns false
+// if the flight ended because the earlier callers had disconnected; the caller then has to start again.
 //
-// Guard: prevents a client that joins a flight as all others disconnect from getting their end: an error for a query
-// that nothing is wrong with. It holds because the flight itself notes why it ended.
+// Guard: prevents a client that joins a flight just as all others disconnect from receiving their result, which would
+// be an error for a valid query. This holds because the flight records why it ended.
 func (j *joinedFlight) wait(ctx context.Context, expiresAt time.Time) (_ plan.Outcome, ok bool) {
 	defer j.remove(j.waiter)
 	timer := time.NewTimer(time.Until(expiresAt.Add(-responseMargin)))
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -13,16 +13,16 @@
 	"hazelwing/internal/testutil"
 )
 
+// connected reports for a connected client that it has not disconnected.
 func connected() bool { return false }
 
-// returning returns a runFunc with an outcome that has the given reason.
+// returning returns a runFunc whose outcome has the given reason.
 func returning(reason string) runFunc {
 	return func(context.Context, func() bool) (plan.Outcome, bool) { return plan.Outcome{Reason: reason}, false }
 }
 
-// TestCoalescing checks that identical parts in flight have one execution if the operator allows it, but not those of
-// clients with other headers or a longer deadline; and that a client which disconnects does not take the result from
-// the others.
+// TestCoalescing checks that identical parts in flight are executed once if the configuration allows it, except for
+// clients with other headers or a longer deadline.
 func TestCoalescing(t *testing.T) {
 	release := make(chan struct{})
 	d := &recordingDoer{do: func(_ int, c *engine.Call) engine.Result {
@@ -36,7 +36,7 @@
 	start("X-Deadline-Ms: 30000", q)
 	testutil.Until(t, "the first call", func() bool { return d.count() == 1 })
 	for range 3 {
-		start("X-Deadline-Ms: 30000", q) // may find a flight that expires 0 to 50 ms sooner
+		start("X-Deadline-Ms: 30000", q) // may join a flight that expires at most 50 ms earlier
 	}
 	start("X-Deadline-Ms: 30000", "Authorization: another", q)
 	start("X-Deadline-Ms: 50000", q)
@@ -45,11 +45,11 @@
 	close(release)
 	running.Wait()
 	if n, coalesced := d.count(), s.State().CoalescedParts; n+int(coalesced) != 7 || n < 4 {
-		t.Errorf("%d calls, %d coalesced", n, coalesced)
+		t.Errorf("%d calls and %d coalesced parts, want a total of 7 and at least 4 calls", n, coalesced)
 	}
 }
 
-// TestFlight checks who may join a flight, and what those who wait for it receive.
+// TestFlight checks which callers may join a flight, and the outcome that each of them receives.
 func TestFlight(t *testing.T) {
 	group := flightGroup{flights: map[string]*flight{}}
 	canceled, cancel := context.WithCancel(t.Context())
@@ -64,34 +64,36 @@
 		t.Error("the second caller did not join the flight of the first")
 	}
 	if joined, _ := group.join("k", expiresAt.Add(2*maxEarlierExpiry), connected, nil); joined != nil {
-		t.Error("a caller with a longer deadline joined")
+		t.Error("a caller with a much longer deadline joined the flight")
 	}
 	cancel()
 	if outcome, _ := first.wait(canceled, expiresAt); outcome.Kind != plan.OutcomeUnknown {
-		t.Errorf("the caller that left received %+v", outcome)
+		t.Errorf("the caller whose context ended received %+v, want OutcomeUnknown", outcome)
 	}
 	if outcome, _ := first.wait(t.Context(), time.Now()); outcome.Kind != plan.OutcomeUnknown {
-		t.Errorf("the caller that has expired received %+v", outcome)
+		t.Errorf("the caller that has expired received %+v, want OutcomeUnknown", outcome)
 	}
 	close(release)
 	if outcome, ok := second.wait(t.Context(), expiresAt); outcome.Reason != "first" || !ok {
-		t.Errorf("the caller that stayed received %+v", outcome)
+		t.Errorf("the caller that stayed received %+v (ok %v), want the reason \"first\"", outcome, ok)
 	}
 	next, isShared := group.join("k", expiresAt, connected, returning("next"))
 	if outcome, _ := next.wait(t.Context(), expiresAt); isShared || outcome.Reason != "next" {
-		t.Error("a flight that has ended was joined")
+		t.Errorf("shared %v, outcome %+v; want a new flight after the first has ended", isShared, outcome)
 	}
 }
 
-// Several clients share a part, and disconnect one after the other. Ended with the first, it would fail the others; run
-// on after the last, it would be for nobody: it must go on while one of them is connected, and no longer.
+// Several clients share a part and disconnect one after the other. If the part ended with the first client, the others
+// would get an error; if it continued after the last one, work would be done for disconnected clients. The part must
+// continue as long as one client is connected, and no longer.
 func TestCoalescedPartEndsWithLastClient(t *testing.T) {
 	front, calls, aborted := startHangingFront(t)
 	first := front.dial(t)
 	second := front.dial(t)
 	write(t, first, post("{s}"))
 	call := testutil.Receive(t, calls, "the call")
-	shorter := strings.Replace(post("{s}"), "Host: h", "Host: h\r\nX-Deadline-Ms: 30000", 1) // so that it may join
+	// It expires earlier, so that it may join the flight.
+	shorter := strings.Replace(post("{s}"), "Host: h", "Host: h\r\nX-Deadline-Ms: 30000", 1)
 	write(t, second, shorter)
 	testutil.Until(t, "the second client to join", func() bool { return front.server.State().CoalescedParts == 1 })
 	closeConn(t, first)
@@ -101,14 +103,14 @@
 	}
 	closeConn(t, second)
 	if testutil.Receive(t, aborted, "the call's end") != call || !call.Disconnected() {
-		t.Error("the call does not say that all clients have disconnected")
+		t.Error("another call ended, or the call does not report that all clients have disconnected")
 	}
 	if len(calls) > 0 {
-		t.Error("another call was made for nobody")
+		t.Error("another call was made after all clients had disconnected")
 	}
 }
 
-// waiterCount returns the number of callers that wait, over all flights.
+// waiterCount returns the number of callers that wait for any flight.
 func (g *flightGroup) waiterCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,8 +123,8 @@
 	return n
 }
 
-// A caller joins a flight at the moment at which all others have disconnected. With their result it would get an error
-// for a query that nothing is wrong with: it must start again.
+// A caller joins a flight just as the clients of all others have disconnected. If it received their result, it would
+// get an error for a valid query. It must start again instead.
 func TestJoiningAbandonedFlight(t *testing.T) {
 	group := flightGroup{flights: map[string]*flight{}}
 	expiresAt := time.Now().Add(testutil.WaitTimeout)
@@ -140,16 +142,16 @@
 	joined, isShared := group.join("k", expiresAt, connected, nil)
 	close(release)
 	if _, ok := joined.wait(t.Context(), expiresAt); ok || !isShared {
-		t.Errorf("the abandoned flight's result was received: shared %v, an outcome %v", isShared, ok)
+		t.Errorf("shared %v, ok %v; want to join the abandoned flight and to get no outcome from it", isShared, ok)
 	}
 	next, isShared := group.join("k", expiresAt, connected, returning("next"))
 	outcome, ok := next.wait(t.Context(), expiresAt)
 	if isShared || !ok || !strings.Contains(outcome.Reason, "next") {
-		t.Errorf("outcome %+v", outcome)
+		t.Errorf("shared %v, ok %v, outcome %+v; want the outcome of a new flight", isShared, ok, outcome)
 	}
 }
 
-// TestPartsAreBounded checks that parts beyond the maximum in flight are rejected.
+// TestPartsAreBounded checks that parts are rejected if the maximum number of parts is in flight.
 func TestPartsAreBounded(t *testing.T) {
 	release := make(chan struct{})
 	d := &recordingDoer{do: func(_ int, c *engine.Call) engine.Result {
@@ -164,12 +166,12 @@
 	testutil.Until(t, "two parts in flight", func() bool { return s.State().PartsInFlight == 2 })
 	w := send(s, `{"query":"mutation{m n}"}`)
 	if w.Code != http.StatusServiceUnavailable || !strings.Contains(w.Body.String(), plan.CodeRefused) {
-		t.Errorf("%d %s", w.Code, w.Body)
+		t.Errorf("status %d, body %s; want status 503 and code %s", w.Code, w.Body, plan.CodeRefused)
 	}
 	close(release)
 	first := testutil.Receive(t, statuses, "the first response")
 	second := testutil.Receive(t, statuses, "the second response")
 	if first != http.StatusOK || second != http.StatusOK {
-		t.Error(first, second)
+		t.Errorf("the requests in flight got status %d and %d, want 200", first, second)
 	}
 }
--- a/internal/front/graphqlfront/disconnect_test.go
+++ b/internal/front/graphqlfront/disconnect_test.go
@@ -10,7 +10,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// disconnects are the ways in which a client disconnects. Writes may fail, since the front may close the connection.
+// disconnects are the ways in which a client disconnects. Write errors are ignored, because the front may already have
+// closed the connection.
 var disconnects = map[string]func(t *testing.T, conn *net.TCPConn){
 	"FIN": func(t *testing.T, conn *net.TCPConn) {
 		t.Helper()
@@ -35,8 +36,8 @@
 	},
 }
 
-// A client disconnects while parts of its request are in flight. One that waits for a connection would be sent for
-// nobody: each part must notice the disconnect.
+// A client disconnects while parts of its request are in flight. A part that waits for a connection would be sent
+// although no client waits for it. The call of each part must notice the disconnect.
 func TestDisconnectIsNoticedByEachPart(t *testing.T) {
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
@@ -45,22 +46,22 @@
 			write(t, conn, post("{a b s}"))
 			for range 3 {
 				if call := testutil.Receive(t, calls, "a call"); call.Disconnected() {
-					t.Error("the client counts as disconnected before it did")
+					t.Error("the call reports a disconnect while the client is connected")
 				}
 			}
 			disconnect(t, conn)
 			for range 3 {
 				if call := testutil.Receive(t, aborted, "a call's end"); !call.Disconnected() {
-					t.Error("the call does not say that its client has disconnected")
+					t.Error("the call does not report that its client has disconnected")
 				}
 			}
 		})
 	}
 }
 
-// A client disconnects during the first of two mutations. The event that reports it may be delayed behind others, and
-// the second would bring about an effect that nobody is told of: the connection itself is looked at, and no mutation
-// starts.
+// A client disconnects during the first of two mutations. The event that reports the disconnect may be queued behind
+// others, so the second mutation could start and have an effect that no client learns of. The front must check the
+// connection itself and not start the second mutation.
 func TestNoMutationAfterDisconnect(t *testing.T) {
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +69,7 @@
 			release := make(chan bool)
 			front := startFront(t, contextDoer(func(_ context.Context, c *engine.Call) engine.Result {
 				calls <- c
-				<-release // it is served although its client has disconnected
+				<-release // the call is served although its client has disconnected
 				return serveOnes(c)
 			}))
 			conn := front.dial(t)
--- a/internal/front/graphqlfront/documents.go
+++ b/internal/front/graphqlfront/documents.go
@@ -8,10 +8,10 @@
 	"hazelwing/internal/graphql/plan"
 )
 
-// documentIDPrefix may stand before a document ID that is a SHA-256 in hexadecimal.
+// documentIDPrefix is an optional prefix of a document ID that is a SHA-256 in hexadecimal.
 const documentIDPrefix = "sha256:"
 
-// document returns the document that an operation names by its text, its ID or its hash.
+// document returns the document that an operation specifies by its text, its ID or its hash.
 func (s *Server) document(p *params) (*plan.Document, []*plan.Error) {
 	id, err := requestedID(p)
 	if err != nil {
@@ -35,7 +35,8 @@
 	return nil, []*plan.Error{plan.NewError(code, message)}
 }
 
-// requestedID returns the ID or the hash of the document that an operation names, or an empty string if there is none.
+// requestedID returns the ID or the hash of the document that an operation specifies, or an empty string if it
+// specifies neither.
 func requestedID(p *params) (string, *plan.Error) {
 	persisted := p.Extensions.Persisted
 	if persisted == nil {
@@ -47,8 +48,8 @@
 	return strings.ToLower(persisted.Hash), nil
 }
 
-// documentByID returns a trusted document, or one that a client registered. An operation with the hash and the text
-// of a document registers it.
+// documentByID returns a trusted document, or one that a client registered. An operation that contains both the text
+// and the hash of a document registers it.
 func (s *Server) documentByID(id string, p *params) (*plan.Document, []*plan.Error) {
 	if document, ok := s.trusted[id]; ok && (p.Query == nil || hashOf(*p.Query) == id) {
 		return document, nil
@@ -59,7 +60,7 @@
 	if p.Query == nil {
 		text, ok := s.persisted.Get(id)
 		if !ok {
-			return noDocument(codeDocumentNotFound, "PersistedQueryNotFound") // the text that clients look for
+			return noDocument(codeDocumentNotFound, "PersistedQueryNotFound") // clients match this text
 		}
 		return s.parse(text)
 	}
@@ -78,7 +79,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// parse returns the document with the given text, from the cache if it is there.
+// parse returns the document with the given text. It parses the text unless the document is in the cache.
 func (s *Server) parse(text string) (*plan.Document, []*plan.Error) {
 	if document, ok := s.documents.Get(text); ok {
 		return document, nil
--- a/internal/front/graphqlfront/documents_test.go
+++ b/internal/front/graphqlfront/documents_test.go
@@ -14,8 +14,8 @@
 	return fmt.Sprintf(`{%s"extensions":{"persistedQuery":{"version":1,"sha256Hash":%q}}}`, text, hash)
 }
 
-// TestDocuments checks that persisted documents are registered by their own hash only, and that no documents but the
-// trusted ones are accepted if the operator says so.
+// TestDocuments checks that persisted documents are registered only with the correct hash, and that only trusted
+// documents are accepted if the configuration says so.
 func TestDocuments(t *testing.T) {
 	const text = "{a}"
 	hash := hashOf(text)
@@ -26,7 +26,7 @@
 		c.TrustedDocuments = map[string]string{hash: text, "home": "{b}"}
 	})
 	wrongVersion := strings.Replace(persistedRequest("", hash), `"version":1`, `"version":2`, 1)
-	for i, test := range []struct { // in this order: documents stay registered
+	for i, test := range []struct { // the order matters, because documents stay registered
 		server *Server
 		body   string
 		want   string
@@ -40,7 +40,7 @@
 		{open, persistedRequest("", hash), `{"data":{"a":1}}`},
 		{open, `{"documentId":"x"}`, "PERSISTED_QUERY_NOT_FOUND"},
 		{open, `{"documentId":"sha256:"}`, "BAD_REQUEST"},
-		{open, persistedRequest("", ""), "BAD_REQUEST"}, // found by fuzzing: a nil pointer was read
+		{open, persistedRequest("", ""), "BAD_REQUEST"}, // fuzzing found a nil pointer dereference here
 		{open, wrongVersion, "BAD_REQUEST"},
 		{restricted, `{"query":"{a}"}`, `{"data":{"a":1}}`},
 		{restricted, `{"documentId":"home"}`, `{"data":{"b":1}}`},
@@ -51,14 +51,14 @@
 		{restricted, persistedRequest("{a b}", hashOf("{a b}")), "PERSISTED_QUERY_NOT_FOUND"},
 	} {
 		if w := send(test.server, test.body); !strings.Contains(w.Body.String(), test.want) {
-			t.Errorf("%d, %s: %s, want %s", i, test.body, w.Body, test.want)
+			t.Errorf("test %d, request %s: response %s, want %s", i, test.body, w.Body, test.want)
 		}
 	}
-	for n := range 30 { // more than are cached
+	for n := range 30 { // more than MaxDocuments
 		send(open, fmt.Sprintf(`{"query":"{a%d:a}"}`, n))
 	}
 	if n := open.State().CachedDocuments; n > 10 {
-		t.Errorf("%d documents are cached", n)
+		t.Errorf("%d documents are cached, want at most 10", n)
 	}
 	_, err := New(Config{
 		Schema:           open.config.Schema,
@@ -67,6 +67,6 @@
 		TrustedDocuments: map[string]string{"x": "{c}"},
 	})
 	if err == nil || !strings.Contains(err.Error(), "trusted document x") {
-		t.Errorf("error %v", err)
+		t.Errorf("New returned error %v, want one that names trusted document x", err)
 	}
 }
--- a/internal/front/graphqlfront/execute.go
+++ b/internal/front/graphqlfront/execute.go
@@ -16,21 +16,21 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// execution is an HTTP request while it is executed.
+// execution is the state of an HTTP request while it is executed.
 type execution struct {
 	server    *Server
 	host      string
 	tenant    string
-	header    http.Header // of the requests to endpoints, apart from what each part sets
+	header    http.Header // headers of the requests to endpoints, except partHeaders
 	expiresAt time.Time
-	// clientDisconnected looks whether the client has disconnected, which may be known sooner than the end of the
-	// request's context.
+	// clientDisconnected reports whether the client has disconnected. It may detect this before the request's context
+	// ends.
 	clientDisconnected func() bool
 }
 
-// plannedOperation is the plan of an operation, or what is wrong with it.
+// plannedOperation is the plan of an operation, or the errors that prevent its execution.
 type plannedOperation struct {
-	plan *plan.Plan // nil: there are errors
+	plan *plan.Plan // nil if there are errors
 	errs []*plan.Error
 }
 
@@ -54,7 +54,7 @@
 	return newReply(mediaType, parsed.isBatch, operations, responses)
 }
 
-// partHeaders are the headers that each part sets for itself.
+// partHeaders are the headers that are set for each part separately.
 var partHeaders = []string{
 	"Accept",
 	"Accept-Encoding",
@@ -75,8 +75,8 @@
 	return forwarded
 }
 
-// planOperations plans the operations of a request. Two of a batch must not have the same effect: the second would be
-// taken for a repeat of the first.
+// planOperations plans the operations of a request. Two operations of a batch must not have the same effect, because
+// the second would be treated as a duplicate of the first.
 func (s *Server) planOperations(r *http.Request, parsed request) []plannedOperation {
 	requestKey := r.Header.Get(httpmsg.IdempotencyKeyHeader)
 	operations := make([]plannedOperation, len(parsed.operations))
@@ -102,7 +102,7 @@
 	return operations
 }
 
-// addEffects adds the effects of a plan's parts. It returns false at the first that is there already.
+// addEffects adds the effects of a plan's parts to effects. It returns false if one of them is already in effects.
 func addEffects(effects map[string]bool, p *plan.Plan) bool {
 	for _, part := range p.Parts {
 		if part.Effect == balancer.Idempotent || part.IdempotencyKey == "" {
@@ -117,7 +117,7 @@
 	return true
 }
 
-// planOperation plans one operation. Only a POST may have a mutation.
+// planOperation plans one operation. Mutations are allowed only in POST requests.
 func (s *Server) planOperation(method string, p *params, key string) (*plan.Plan, []*plan.Error) {
 	document, errs := s.document(p)
 	if len(errs) > 0 {
@@ -154,7 +154,7 @@
 	return responses
 }
 
-// runPlan executes the parts of a plan: one after the other, or concurrently.
+// runPlan executes the parts of a plan, serially for a mutation and concurrently for a query.
 func (x *execution) runPlan(ctx context.Context, p *plan.Plan) plan.Response {
 	if p.Serial {
 		return p.Merge(x.runSerially(ctx, p))
@@ -168,12 +168,12 @@
 	return p.Merge(outcomes)
 }
 
-// runSerially executes the parts of a mutation one after the other. It decides before each whether it may begin: the
-// one before it has ended well, there is time left, and the client is connected.
+// runSerially executes the parts of a mutation one after the other. A part starts only if the part before it ended
+// well, the request has not expired and the client is connected.
 //
-// Guard: prevents a mutation from being sent for a client that disconnected during the one before. It shows as an
-// effect that nobody was told of. It holds because the connection itself is looked at, and not the request's context
-// alone.
+// Guard: prevents a mutation from being sent for a client that disconnected during the mutation before it. The symptom
+// is an effect that no client learns of. This holds because the connection itself is checked, not only the request's
+// context.
 func (x *execution) runSerially(ctx context.Context, p *plan.Plan) []plan.Outcome {
 	outcomes := make([]plan.Outcome, len(p.Parts))
 	mayContinue := true
@@ -197,7 +197,7 @@
 	return ctx.Err() != nil || x.clientDisconnected()
 }
 
-// newReply returns the reply with the responses to all operations.
+// newReply returns the reply that contains the responses to all operations.
 func newReply(mediaType string, isBatch bool, operations []plannedOperation, responses []plan.Response) reply {
 	r := reply{status: http.StatusOK, mediaType: mediaType, body: responses[0].Body}
 	isRejected := true
@@ -207,7 +207,7 @@
 	}
 	switch {
 	case isRejected:
-		// Nothing ran, so that a retry is harmless: the status says so to everything between here and the client.
+		// No part ran, so a retry is safe. The status tells this to the client and to the proxies before it.
 		r.status = http.StatusServiceUnavailable
 	case !isBatch && operations[0].plan == nil:
 		r.status = errorStatus(mediaType, operations[0].errs[0])
@@ -221,8 +221,8 @@
 	return r
 }
 
-// errorStatus returns the status of a response to an operation that was not executed. In application/json it is 200 for
-// all that could be read as a GraphQL request.
+// errorStatus returns the status of the response to an operation that was not executed. For application/json it is 200
+// if the request could be read as a GraphQL request and its method was allowed.
 func errorStatus(mediaType string, err *plan.Error) int {
 	code := err.Code()
 	if code == codeMethodNotAllowed {
--- a/internal/front/graphqlfront/format_test.go
+++ b/internal/front/graphqlfront/format_test.go
@@ -7,7 +7,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// TestGraphQLStateFormatIsStable holds the format of GET /graphql of the admin endpoint.
+// TestGraphQLStateFormatIsStable checks that the format of GET /graphql of the admin endpoint has not changed.
 func TestGraphQLStateFormatIsStable(t *testing.T) {
 	state := State{
 		Requests:        1,
@@ -26,7 +26,7 @@
 	testutil.Golden(t, "state.json", text)
 }
 
-// TestGraphQLParametersFormatIsStable holds the names of a request's parameters.
+// TestGraphQLParametersFormatIsStable checks that the names of a request's parameters have not changed.
 func TestGraphQLParametersFormatIsStable(t *testing.T) {
 	text := `{"query":"{a}","documentId":"d","operationName":"o","variables":{"v":1},
 		"extensions":{"persistedQuery":{"version":1,"sha256Hash":"h"}}}`
--- a/internal/front/graphqlfront/front_test.go
+++ b/internal/front/graphqlfront/front_test.go
@@ -31,7 +31,7 @@
 	{Name: "u", Deadline: time.Minute, Effect: balancer.NonIdempotent},
 }
 
-// testMappings map the root fields of testSDL.
+// testMappings maps the root fields of testSDL to classes.
 var testMappings = map[string]plan.FieldMapping{
 	"Query.a":    {Class: "q"},
 	"Query.b":    {Class: "r"},
@@ -41,11 +41,11 @@
 	"Mutation.n": {Class: "u"},
 }
 
-// recordingDoer records calls and returns what a test says.
+// recordingDoer records its calls and returns the results that a test specifies.
 type recordingDoer struct {
 	mu    sync.Mutex
 	calls []*engine.Call
-	// do returns the result of the nth call, counted from 1. If it is nil, calls are served with serveOnes.
+	// do returns the result of the nth call, counted from 1. If do is nil, serveOnes returns the results.
 	do func(n int, c *engine.Call) engine.Result
 }
 
@@ -67,14 +67,14 @@
 	return len(d.calls)
 }
 
-// queryOf returns the document in a call.
+// queryOf returns the document of a call.
 func queryOf(c *engine.Call) (string, error) {
 	var body struct{ Query string }
 	err := json.Unmarshal(c.Payload.(*httpmsg.Request).Body, &body)
 	return body.Query, err
 }
 
-// serveOnes executes a call's document. Each field is 1.
+// serveOnes executes the document of a call. Each field has the value 1.
 func serveOnes(c *engine.Call) engine.Result {
 	text, err := queryOf(c)
 	if err != nil {
@@ -93,18 +93,18 @@
 	return servedWith(http.StatusOK, string(body))
 }
 
-// servedWith returns the result of a call that an endpoint answered.
+// servedWith returns the result of a call that an endpoint answered with the given response.
 func servedWith(status int, body string) engine.Result {
 	return engine.Result{Kind: engine.Served, Answer: &httpmsg.Response{Status: status, Body: []byte(body)}}
 }
 
-// ones is an object whose fields are 1.
+// ones is an object whose fields all have the value 1.
 type ones struct{}
 
 func (ones) Type() string                                { return "Query" }
 func (ones) Resolve(string, map[string]any) (any, error) { return 1, nil }
 
-// newTestServer returns a Server whose configuration is modified by modify, unless that is nil.
+// newTestServer returns a Server. Unless modify is nil, it modifies the configuration.
 func newTestServer(tb testing.TB, d Doer, modify func(*Config)) *Server {
 	tb.Helper()
 	schema, err := plan.New(plan.Config{
@@ -140,8 +140,8 @@
 	return s
 }
 
-// send sends a request whose parts are a method other than POST, a path, "?" with a URL's query, headers as "Name:
-// value", and a body.
+// send sends a request to s. By default it is a POST to /graphql with a JSON content type. Each part sets one of these:
+// another method, a path, "?" followed by the query of a URL, a header in the form "Name: value", or the body.
 func send(s *Server, parts ...string) *httptest.ResponseRecorder {
 	method := http.MethodPost
 	target := "/graphql"
@@ -170,5 +170,5 @@
 	return w
 }
 
-// urlQuery returns the query of a URL with a document.
+// urlQuery returns the query of a URL with a document, including the question mark.
 func urlQuery(text string) string { return "?query=" + url.QueryEscape(text) }
--- a/internal/front/graphqlfront/http_test.go
+++ b/internal/front/graphqlfront/http_test.go
@@ -22,15 +22,15 @@
 
 // httpTest is a request and its expected response.
 type httpTest struct {
-	request []string // for send
+	request []string // arguments of send
 	status  int
-	want    string // in the response's body; after "= ": all of it
+	want    string // part of the response's body; with the prefix "= ", all of it
 }
 
-// testQuery is a request that is served.
+// testQuery is the body of a valid request.
 const testQuery = `{"query":"{a b}"}`
 
-// servedRequests are requests that are executed, at least in part.
+// servedRequests returns requests that are executed, at least in part.
 func servedRequests() []httpTest {
 	const mixedBatch = `[{"query":"{a}"},{"query":"{c}"},{"query":"mutation{n}"}]`
 	const mixedBatchResponse = `[{"data":{"a":1}},` +
@@ -55,7 +55,7 @@
 	}
 }
 
-// malformedRequests are requests that cannot be read as GraphQL requests.
+// malformedRequests returns requests that cannot be read as GraphQL requests.
 func malformedRequests() []httpTest {
 	const wrongType = "json: cannot unmarshal number into Go struct field "
 	return []httpTest{
@@ -82,7 +82,7 @@
 		{[]string{"GET", urlQuery("{a}") + "&query=x"}, 400, "more than once"},
 		{[]string{"GET", urlQuery("{a}") + "&variables=x"}, 400, "variables"},
 
-		// Clients see Go's names in these: see params.
+		// Clients see names of Go types in these messages (see type params).
 		{[]string{`{"query":5}`}, 400, wrongType + "params.query of type string"},
 		{
 			[]string{`{"query":"{a}","extensions":{"persistedQuery":{"sha256Hash":1}}}`},
@@ -102,7 +102,7 @@
 	}
 }
 
-// invalidOperations are requests whose operations cannot be executed.
+// invalidOperations returns requests whose operations cannot be executed.
 func invalidOperations() []httpTest {
 	const sameKeyTwice = `[{"query":"mutation{m(k:\"1\")}"},{"query":"mutation{m(k:\"1\")}"}]`
 	return []httpTest{
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestHTTP checks what the specification says of methods, media types, parameters and statuses, and that nothing of a
-// rejected request is sent.
+// TestHTTP checks the requirements of the specification on methods, media types, parameters and statuses, and that no
+// call is made for an invalid request.
 func TestHTTP(t *testing.T) {
 	for _, test := range slices.Concat(servedRequests(), malformedRequests(), invalidOperations()) {
 		t.Run(strings.Join(test.request, " "), func(t *testing.T) {
@@ -127,7 +127,7 @@
 			body := w.Body.String()
 			want, isAll := strings.CutPrefix(test.want, "= ")
 			if w.Code != test.status || isAll && body != want || !strings.Contains(body, want) {
-				t.Errorf("%d %s, want %d %s", w.Code, body, test.status, test.want)
+				t.Errorf("status %d, body %s; want status %d, body %s", w.Code, body, test.status, test.want)
 			}
 			mediaType := graphqlMediaType
 			for _, part := range test.request {
@@ -136,16 +136,16 @@
 				}
 			}
 			if got := w.Header().Get("Content-Type"); got != mediaType+"; charset=utf-8" {
-				t.Errorf("content type %s", got)
+				t.Errorf("content type %q, want %q", got, mediaType+"; charset=utf-8")
 			}
 			if test.status >= 400 && len(d.calls) > 0 {
-				t.Errorf("%d calls were made", len(d.calls))
+				t.Errorf("%d calls were made, want 0", len(d.calls))
 			}
 		})
 	}
 }
 
-// TestNegotiate checks the choice of the media type by the Accept header.
+// TestNegotiate checks that the media type is chosen according to the Accept header.
 func TestNegotiate(t *testing.T) {
 	for accept, want := range map[string]string{
 		"*/*":                                   graphqlMediaType,
@@ -165,13 +165,13 @@
 		t.Run(accept, func(t *testing.T) {
 			got, ok := negotiate([]string{accept})
 			if got != want || ok != (want != "") {
-				t.Errorf("got %q, want %q", got, want)
+				t.Errorf("got media type %q (ok %v), want %q", got, ok, want)
 			}
 		})
 	}
 }
 
-// TestCalls checks what a call is made of: its class, key and deadline, and a request of its own.
+// TestCalls checks the calls that are made for a request: the class, the key, the deadline and the payload of each.
 func TestCalls(t *testing.T) {
 	d := &recordingDoer{}
 	sentAt := time.Now()
@@ -184,7 +184,7 @@
 		"X-Deadline-Ms: 30000",
 		`{"query":"mutation M {x:m(k:\"1\") n}","variables":{"unused":1}}`)
 	if w.Code != http.StatusOK || len(d.calls) != 2 {
-		t.Fatalf("%d %s, %d calls", w.Code, w.Body, len(d.calls))
+		t.Fatalf("status %d, body %s, %d calls; want status 200 and 2 calls", w.Code, w.Body, len(d.calls))
 	}
 	for i, want := range []struct{ key, body string }{
 		{"1", `{"query":"mutation M{\n\tx: m(k: \"1\")\n}\n","operationName":"M"}`},
@@ -193,10 +193,10 @@
 		call := d.calls[i]
 		r := call.Payload.(*httpmsg.Request)
 		if call.Class != "u" || call.IdempotencyKey != want.key || call.Tenant != "acme" {
-			t.Errorf("call %d: %+v", i, call)
+			t.Errorf("call %d is %+v, want class u, tenant acme and key %q", i, call, want.key)
 		}
 		if r.Method != http.MethodPost || r.URI != "/g" || string(r.Body) != want.body {
-			t.Errorf("call %d: %+v, %s", i, r, r.Body)
+			t.Errorf("call %d: payload %+v with body %s, want a POST to /g with body %s", i, r, r.Body, want.body)
 		}
 		for name, value := range map[string]string{
 			"Authorization":              "me",
@@ -211,18 +211,18 @@
 		}
 		timeLeft := call.ExpiresAt.Sub(sentAt)
 		if timeLeft < 29*time.Second || timeLeft > 31*time.Second+time.Since(sentAt) {
-			t.Errorf("call %d: it expires in %v", i, timeLeft)
+			t.Errorf("call %d expires in %v, want about 30 s", i, timeLeft)
 		}
 		if r.Check(&httpmsg.Response{Body: []byte(`{"data":{"other":1}}`)}) == nil {
-			t.Errorf("call %d: the response to another part was accepted", i)
+			t.Errorf("call %d: Check accepted the response to another part", i)
 		}
 	}
 	if d.calls[0].ID == d.calls[1].ID {
-		t.Error("two calls have one ID")
+		t.Errorf("both calls have the ID %s", d.calls[0].ID)
 	}
 }
 
-// TestResults checks what the results of calls mean for their fields and for the whole request.
+// TestResults checks the effect of the results of calls on the fields and on the whole response.
 func TestResults(t *testing.T) {
 	rejected := engine.Result{Kind: engine.Rejected, RetryAfter: 1500 * time.Millisecond}
 	failed := engine.Result{Kind: engine.Failed, TimedOut: true}
@@ -230,7 +230,7 @@
 	servedB := servedWith(200, `{"data":{"b":1}}`)
 	nodeError := servedWith(200, `{"errors":[{"message":"x"}]}`)
 	badStatus := servedWith(400, "what?")
-	noise := servedWith(200, "noise")
+	invalid := servedWith(200, "not JSON")
 	for _, test := range []struct {
 		name       string
 		query      string
@@ -244,14 +244,14 @@
 		{"failed", "mutation{m n}", []engine.Result{failed}, 200, "", "MAY_HAVE_RUN NOT_STARTED"},
 		{"node error", "mutation{m n}", []engine.Result{nodeError}, 200, "", "REJECTED NOT_STARTED"},
 		{"status 400", "mutation{m n}", []engine.Result{badStatus}, 200, "", "REJECTED NOT_STARTED"},
-		{"invalid response", "mutation{m n}", []engine.Result{noise}, 200, "", "MAY_HAVE_RUN NOT_STARTED"},
+		{"invalid response", "mutation{m n}", []engine.Result{invalid}, 200, "", "MAY_HAVE_RUN NOT_STARTED"},
 		{"query rejected", "{a}", []engine.Result{rejected}, 503, "1.5", "REFUSED"},
 		{"query failed", "{a}", []engine.Result{failed}, 200, "", "UNAVAILABLE"},
 		{"part of a query rejected", "{a b}", []engine.Result{rejected, servedB}, 200, "", "REFUSED"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := &recordingDoer{do: func(n int, call *engine.Call) engine.Result {
-				for i, class := range []string{"q", "r"} { // the parts of a query are concurrent
+				for i, class := range []string{"q", "r"} { // the parts of a query run concurrently, in any order
 					if call.Class == class {
 						n = i + 1
 					}
@@ -261,20 +261,21 @@
 			w := send(newTestServer(t, d, nil), fmt.Sprintf(`{"query":%q}`, test.query))
 			var got struct{ Errors []plan.Error }
 			if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
-				t.Errorf("%v: %s", err, w.Body)
+				t.Errorf("response %s is not JSON: %v", w.Body, err)
 			}
 			var codes []string
 			for _, e := range got.Errors {
 				codes = append(codes, e.Code())
 			}
 			if w.Code != test.status || strings.Join(codes, " ") != test.codes {
-				t.Errorf("%d, %v: %s", w.Code, codes, w.Body)
+				t.Errorf("status %d, codes %v, body %s; want status %d, codes %s",
+					w.Code, codes, w.Body, test.status, test.codes)
 			}
 			if retryAfter := w.Header().Get("Retry-After"); retryAfter != test.retryAfter {
-				t.Errorf("Retry-After %q", retryAfter)
+				t.Errorf("Retry-After %q, want %q", retryAfter, test.retryAfter)
 			}
 			if len(d.calls) != len(test.results) {
-				t.Errorf("%d calls", len(d.calls))
+				t.Errorf("%d calls, want %d", len(d.calls), len(test.results))
 			}
 		})
 	}
--- a/internal/front/graphqlfront/limits_test.go
+++ b/internal/front/graphqlfront/limits_test.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/graphql/plan"
 )
 
-// doublingFragments returns a document whose fragments each spread the next one twice.
+// doublingFragments returns a document with a chain of fragments, each of which spreads the next one twice.
 func doublingFragments() string {
 	var b strings.Builder
 	b.WriteString("{...f0}")
@@ -42,7 +42,7 @@
 	return "[" + strings.Repeat(`{"query":"{a}"},`, n-1) + `{"query":"{a}"}]`
 }
 
-// expensiveRequests returns requests that ask for far more work than their length suggests.
+// expensiveRequests returns requests whose naive execution would take far more work than their length suggests.
 func expensiveRequests(tb testing.TB) map[string][]byte {
 	tb.Helper()
 	request := func(document string) []byte {
@@ -56,33 +56,34 @@
 	variables := func(value string) []byte { return []byte(beforeVariable + value + "}}") }
 	longString := strings.Repeat("x", 60<<20)
 	return map[string][]byte{
-		"10 MB of nested braces":       request(strings.Repeat("{a", 5<<20)),
-		"nested braces":                request(strings.Repeat("{a", 15<<10)),
-		"nested lists":                 request("{a(x:" + strings.Repeat("[", 20000) + ")}"),
-		"a million aliases":            request(aliases(1_000_000)),
-		"aliases":                      request(aliases(1500)),
-		"fragments that double":        request(doublingFragments()),
-		"fragments in a circle":        request(cyclicFragments()),
-		"variables of 60 MB":           []byte(`{"query":"{a}","variables":{"x":"` + longString + `"}}`),
-		"nested variables":             variables(strings.Repeat("[", 30000) + strings.Repeat("]", 30000)),
-		"a batch of 100,000":           []byte(batchOf(100_000)),
-		"a batch of 1,000":             []byte(batchOf(1000)),
-		"invalid UTF-8":                []byte("{\"query\":\"{a} # \xc3\x28\"}"),
-		"a number out of range":        request("{a(x:99999999999999999999999)}"),
-		"a variable out of range":      variables("1e999"),
-		"many directives":              request("{a" + strings.Repeat(" @skip(if:false)", 4000) + "}"),
-		"many operations":              request(strings.Repeat("query q {a} ", 2000)),
-		"the same field over and over": request("{" + strings.Repeat("a ", 5000) + "}"),
-		"comments":                     request(strings.Repeat("#x\n", 20000) + "{c}"),
-		"a string without end":         request(`{a(x:"` + strings.Repeat("x", 60000)),
+		"10 MB of nested braces":    request(strings.Repeat("{a", 5<<20)),
+		"nested braces":             request(strings.Repeat("{a", 15<<10)),
+		"nested lists":              request("{a(x:" + strings.Repeat("[", 20000) + ")}"),
+		"a million aliases":         request(aliases(1_000_000)),
+		"aliases":                   request(aliases(1500)),
+		"doubling fragments":        request(doublingFragments()),
+		"cyclic fragments":          request(cyclicFragments()),
+		"variables of 60 MB":        []byte(`{"query":"{a}","variables":{"x":"` + longString + `"}}`),
+		"nested variables":          variables(strings.Repeat("[", 30000) + strings.Repeat("]", 30000)),
+		"a batch of 100,000":        []byte(batchOf(100_000)),
+		"a batch of 1,000":          []byte(batchOf(1000)),
+		"invalid UTF-8":             []byte("{\"query\":\"{a} # \xc3\x28\"}"),
+		"a number out of range":     request("{a(x:99999999999999999999999)}"),
+		"a variable out of range":   variables("1e999"),
+		"many directives":           request("{a" + strings.Repeat(" @skip(if:false)", 4000) + "}"),
+		"many operations":           request(strings.Repeat("query q {a} ", 2000)),
+		"the same field repeatedly": request("{" + strings.Repeat("a ", 5000) + "}"),
+		"comments":                  request(strings.Repeat("#x\n", 20000) + "{c}"),
+		"an unterminated string":    request(`{a(x:"` + strings.Repeat("x", 60000)),
 	}
 }
 
-// TestExpensiveRequestsAreRejected checks that each bomb is an error within limits of time and memory, and that nothing of it is sent.
+// TestExpensiveRequestsAreRejected checks that the response to each expensive request is an error, that the processing
+// stays within limits of time and memory, and that no call is made.
 func TestExpensiveRequestsAreRejected(t *testing.T) {
 	const (
-		maxDuration = 10 * time.Second // a second on a machine that is not busy
-		maxMemory   = 16 << 20         // beyond the request itself
+		maxDuration = 10 * time.Second // about 1 s on an idle machine; higher because the machine may be busy
+		maxMemory   = 16 << 20         // in addition to the request itself
 		maxResponse = 10_000
 	)
 	d := &recordingDoer{}
@@ -95,22 +96,24 @@
 		w := send(s, string(body))
 		took := time.Since(sentAt)
 		runtime.ReadMemStats(&after)
-		grew := int(after.TotalAlloc-before.TotalAlloc) - 2*len(body) // what the request itself takes here
+		grew := int(after.TotalAlloc-before.TotalAlloc) - 2*len(body) // without the memory of the request itself
 		var got struct{ Errors []plan.Error }
 		err := json.Unmarshal(w.Body.Bytes(), &got)
 		isError := err == nil && w.Code >= 400 && len(got.Errors) > 0 && got.Errors[0].Code() != ""
 		if !isError || w.Body.Len() > maxResponse {
-			t.Errorf("%s: %d %.300s", name, w.Code, w.Body)
+			t.Errorf("%s: status %d, body %.300s; want an error status and code, in at most %d bytes",
+				name, w.Code, w.Body, maxResponse)
 			continue
 		}
 		if took > maxDuration || grew > maxMemory {
-			t.Errorf("%s: %v, %d KiB", name, took, grew>>10)
+			t.Errorf("%s: took %v and %d KiB, want at most %v and %d KiB",
+				name, took, grew>>10, maxDuration, maxMemory>>10)
 		}
 		message := got.Errors[0].Message
 		t.Logf("%s: %d in %v, %d KiB: %s", name, w.Code, took.Round(time.Microsecond), max(grew, 0)>>10, message)
 	}
 	if len(d.calls) > 0 {
-		t.Errorf("%d calls were made", len(d.calls))
+		t.Errorf("%d calls were made, want 0", len(d.calls))
 	}
 }
 
@@ -142,7 +145,7 @@
 		r.Header.Set("Content-Type", "application/json")
 		s.ServeHTTP(w, r)
 		if w.Code < 200 || !json.Valid(w.Body.Bytes()) {
-			t.Errorf("%d %q", w.Code, w.Body)
+			t.Errorf("status %d, body %q; want a status of at least 200 and valid JSON", w.Code, w.Body)
 		}
 	})
 }
--- a/internal/front/graphqlfront/mediatype.go
+++ b/internal/front/graphqlfront/mediatype.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// The media types of the GraphQL over HTTP specification.
+// Media types of the GraphQL over HTTP specification.
 const (
 	jsonMediaType    = "application/json"
 	graphqlMediaType = "application/graphql-response+json"
 )
 
-// acceptedType is a media type that a client accepts and that this front can send.
+// acceptedType is a media type that the client accepts and this front can send.
 type acceptedType struct {
 	mediaType string
-	quality   float64 // the weight that the client gives it, above 0
-	isExact   bool    // it was named, and not matched by a wildcard
+	quality   float64 // weight that the client assigns; above 0
+	isExact   bool    // the client named the type instead of a wildcard
 }
 
-// isBetterThan reports whether a type is preferred to the best of those before it.
+// isBetterThan reports whether a is preferred to best, the best type of those before it.
 func (a acceptedType) isBetterThan(best acceptedType) bool {
 	if a.quality != best.quality {
 		return a.quality > best.quality
@@ -27,9 +27,9 @@
 	return a.isExact && (!best.isExact || a.mediaType == graphqlMediaType)
 }
 
-// negotiate chooses the media type of the response by the values of the Accept header. It returns false if the client
-// accepts neither. Without the header, and if the client prefers none, it is the one whose status tells whether
-// anything was executed.
+// negotiate chooses the media type of the response according to the Accept header. It returns false if the client
+// accepts neither type. Without the header, or if the client prefers neither, it chooses
+// application/graphql-response+json, whose status tells whether anything was executed.
 func negotiate(accept []string) (mediaType string, ok bool) {
 	if len(accept) == 0 {
 		return graphqlMediaType, true
@@ -46,8 +46,8 @@
 	return best.mediaType, best.mediaType != ""
 }
 
-// parseAccepted parses an element of an Accept header. It returns false if the element is malformed, or if this front
-// cannot send what it names.
+// parseAccepted parses an element of an Accept header. It returns false if the element is malformed or names a type
+// that this front cannot send.
 func parseAccepted(item string) (accepted acceptedType, ok bool) {
 	name, parameters, err := mime.ParseMediaType(strings.TrimSpace(item))
 	if err != nil {
--- a/internal/front/graphqlfront/params.go
+++ b/internal/front/graphqlfront/params.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// Why the parameters of a request cannot be used. Clients see the texts.
+// Errors of the parameters of a request. Clients see the texts.
 var (
 	errNoQuery       = errors.New("query is missing")
 	errNotUTF8       = errors.New("the request is not UTF-8")
@@ -21,8 +21,8 @@
 	errDeadline      = errors.New("X-Deadline-Ms is not a positive whole number")
 )
 
-// params are the parameters of one operation. Clients see the name of this type, and the definitions of the anonymous
-// ones in it, in the messages of package encoding/json about parameters of a wrong type.
+// params are the parameters of one operation. Error messages of package encoding/json about parameters of a wrong type
+// contain the name of this type and the definitions of its anonymous types, and clients see them.
 type params struct {
 	Query         *string                    `json:"query"`
 	DocumentID    string                     `json:"documentId"`
@@ -36,7 +36,7 @@
 	} `json:"extensions"`
 }
 
-// validate checks that a document is named in some way.
+// validate returns an error if no document is specified.
 func (p *params) validate() error {
 	if p.Query == nil && p.DocumentID == "" && p.Extensions.Persisted == nil {
 		return errNoQuery
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// paramsFromURL returns the parameters in a URL's query.
+// paramsFromURL returns the parameters in the query of a URL.
 func paramsFromURL(query url.Values) (params, error) {
 	var p params
 	for name, values := range query {
@@ -70,7 +70,8 @@
 	return p, p.validate()
 }
 
-// paramsFromBody returns the parameters in a request's body: of one operation, or of a batch of at most maxBatch.
+// paramsFromBody returns the parameters in the body of a request: those of one operation, or of a batch of at most
+// maxBatch operations.
 func paramsFromBody(body []byte, maxBatch int) (list []params, isBatch bool, err error) {
 	if !utf8.Valid(body) {
 		return nil, false, errNotUTF8
@@ -87,8 +88,8 @@
 	return []params{p}, false, p.validate()
 }
 
-// parseBatch parses a JSON array of parameters. It stops at the first element beyond maxBatch, so that a large batch
-// costs nothing.
+// parseBatch parses a JSON array of parameters. It stops at the first element after maxBatch elements, so that the rest
+// of a large batch costs no work.
 func parseBatch(body []byte, maxBatch int) ([]params, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if _, err := decoder.Token(); err != nil { // the opening bracket
--- a/internal/front/graphqlfront/part.go
+++ b/internal/front/graphqlfront/part.go
@@ -13,20 +13,21 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// noResponseInTime is the reason of a query's part without a response.
+// noResponseInTime is the reason that clients see for a part of a query without a response.
 const noResponseInTime = "no node answered this in time"
 
-// runQueryPart executes a part of a query, or takes the outcome of an identical one in flight.
+// runQueryPart executes a part of a query, or waits for the outcome of an identical one in flight if the part may be
+// coalesced.
 func (x *execution) runQueryPart(ctx context.Context, part *plan.Part) plan.Outcome {
 	for part.Coalesce && !x.isDisconnected(ctx) {
 		expiresAt := x.partExpiry(part)
 		run := func(ctx context.Context, abandoned func() bool) (plan.Outcome, bool) {
-			flightExecution := *x // the client that was first may disconnect: the others wait on
+			flightExecution := *x // the flight must not end when only the first client disconnects
 			flightExecution.clientDisconnected = abandoned
 			return flightExecution.runPart(ctx, part)
 		}
 		key := flightKey(part, x.header)
-		//nolint:contextcheck // a flight outlives the request that starts it
+		//nolint:contextcheck // a flight may outlive the request that starts it
 		joined, isShared := x.server.flights.join(key, expiresAt, x.clientDisconnected, run)
 		if joined == nil {
 			break
@@ -42,7 +43,7 @@
 	return outcome
 }
 
-// partExpiry returns when a part that is sent now expires.
+// partExpiry returns the time at which a part expires if it is sent now.
 func (x *execution) partExpiry(part *plan.Part) time.Time {
 	if part.Deadline > 0 {
 		if expiresAt := time.Now().Add(part.Deadline); expiresAt.Before(x.expiresAt) {
@@ -52,7 +53,7 @@
 	return x.expiresAt
 }
 
-// runPart executes a part by one call. disconnected says that the call ended because its client disconnected.
+// runPart executes a part as one call. disconnected reports whether the call ended because its client had disconnected.
 func (x *execution) runPart(ctx context.Context, part *plan.Part) (outcome plan.Outcome, disconnected bool) {
 	s := x.server
 	select {
@@ -95,7 +96,7 @@
 			Host:   x.host,
 			Header: header,
 			Body:   part.Body,
-			// The transport calls this for each response with status 200, so that the balancer sees an invalid one as a
+			// The transport calls Check for each response with status 200, so that an invalid response counts as a
 			// fault of the endpoint.
 			Check: func(response *httpmsg.Response) error {
 				parsed, err := part.ParseResponse(response.Body)
@@ -106,7 +107,7 @@
 	}
 }
 
-// outcomeOf returns what a call's result means for its part.
+// outcomeOf returns the outcome of a part whose call had the given result.
 func (s *Server) outcomeOf(part *plan.Part, result engine.Result) plan.Outcome {
 	switch result.Kind {
 	case engine.Served:
@@ -130,12 +131,12 @@
 	return plan.Outcome{Kind: plan.OutcomeUnknown, Reason: "no answer: it may have run"}
 }
 
-// outcomeOfResponse returns what an endpoint's response means for its part. It returns false if the response is
-// invalid.
+// outcomeOfResponse returns the outcome of a part for which an endpoint sent the given response. It returns false if
+// the response is invalid.
 func outcomeOfResponse(part *plan.Part, response *httpmsg.Response) (plan.Outcome, bool) {
 	parsed, isChecked := response.Value.(*plan.EndpointResponse)
 	var err error
-	if !isChecked { // its status is not 200
+	if !isChecked { // Check is not called unless the status is 200
 		parsed, err = part.ParseResponse(response.Body)
 	}
 	switch {
@@ -143,7 +144,7 @@
 		return plan.Outcome{Kind: plan.OutcomeExecuted, Response: parsed}, true
 	case err == nil:
 		return plan.Outcome{Kind: plan.OutcomeEndpointRejected, Response: parsed}, true
-	case response.Status != http.StatusOK: // it rejects the request by other means than GraphQL
+	case response.Status != http.StatusOK: // rejected by the status instead of by a GraphQL error
 		message := fmt.Sprintf("a node turned it down with status %d", response.Status)
 		return plan.Outcome{Kind: plan.OutcomeEndpointRejected, Response: part.RejectedResponse(message)}, true
 	}
--- a/internal/front/graphqlfront/request.go
+++ b/internal/front/graphqlfront/request.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// Values of extensions.code for requests that cannot be used, beside those of package plan.
+// Values of extensions.code in error responses to unusable requests. Package plan defines further ones.
 const (
 	codeBadRequest        = "BAD_REQUEST"
 	codeDocumentNotFound  = "PERSISTED_QUERY_NOT_FOUND"
@@ -23,29 +23,29 @@
 	codeMethodNotAllowed  = "METHOD_NOT_ALLOWED"
 )
 
-// maxDeadlineMS limits a client's deadline, in milliseconds, before it is converted: this prevents overflow.
-// Config.Deadline is the limit that counts.
+// maxDeadlineMS limits a client's deadline, in milliseconds, before it is converted to a time.Duration, so that the
+// conversion does not overflow. The effective limit is Config.Deadline.
 const maxDeadlineMS = 1 << 40
 
-// request is an HTTP request that was read.
+// request is a parsed HTTP request.
 type request struct {
 	operations []params
 	isBatch    bool
 	expiresAt  time.Time
 }
 
-// requestError says why an HTTP request cannot be read as a GraphQL request.
+// requestError describes why an HTTP request cannot be read as a GraphQL request.
 type requestError struct {
 	status  int
 	message string
-	allow   string // the methods that are allowed, if that is what is wrong
+	allow   string // allowed methods, if the method is not allowed; otherwise empty
 }
 
 func badRequest(err error) *requestError {
 	return &requestError{status: http.StatusBadRequest, message: err.Error()}
 }
 
-// respond reads a request and executes it.
+// respond parses a request, executes it and returns the reply.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, receivedAt time.Time) reply {
 	mediaType, ok := negotiate(r.Header["Accept"])
 	if !ok {
@@ -70,7 +70,7 @@
 	}
 }
 
-// readRequest reads and checks an HTTP request.
+// readRequest reads and validates an HTTP request.
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, receivedAt time.Time) (request, *requestError) {
 	var parsed request
 	if r.URL.Path != s.config.Path {
@@ -115,7 +115,7 @@
 		return nil, false, err
 	}
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(receivedAt.Add(bodyTimeout)) // fails on a closed connection: so does the read
+	_ = controller.SetReadDeadline(receivedAt.Add(bodyTimeout)) // fails on a closed connection, as the read does then
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.config.MaxBody))
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -124,14 +124,14 @@
 	case err != nil:
 		return nil, false, badRequest(errBodyTruncated)
 	}
-	_ = controller.SetReadDeadline(time.Time{}) // fails on a closed connection: so does the write
+	_ = controller.SetReadDeadline(time.Time{}) // fails on a closed connection, as the write does then
 	if operations, isBatch, err = paramsFromBody(body, s.config.MaxBatch); err != nil {
 		return nil, false, badRequest(err)
 	}
 	return operations, isBatch, nil
 }
 
-// checkPostHeader checks what can be known of a POST before its body is read.
+// checkPostHeader checks the header of a POST request before its body is read.
 func (s *Server) checkPostHeader(r *http.Request) *requestError {
 	if !isUTF8JSON(r.Header.Get("Content-Type")) {
 		const message = "the request is " + jsonMediaType + " in UTF-8"
@@ -161,7 +161,8 @@
 	return &requestError{status: http.StatusRequestEntityTooLarge, message: message}
 }
 
-// expiry returns when a request expires, by the client's deadline or the front's.
+// expiry returns the time at which a request expires. The deadline is the client's, limited to Config.Deadline, or
+// Config.Deadline if the client sets none.
 func (s *Server) expiry(header http.Header, receivedAt time.Time) (time.Time, *requestError) {
 	text := header.Get(httpmsg.DeadlineHeader)
 	if text == "" {
--- a/internal/front/graphqlfront/serve.go
+++ b/internal/front/graphqlfront/serve.go
@@ -10,13 +10,13 @@
 	"hazelwing/internal/front/clientconn"
 )
 
-// What clients may take. Higher values let clients that stop in the middle of a request keep their connection for
-// longer; with lower ones clients on slow links are cut off.
+// Time limits for clients. With higher values, clients that stop in the middle of a request keep their connections for
+// longer; with lower ones, clients on slow links are disconnected.
 const (
-	headerTimeout  = 2 * time.Second  // for a request's header, from its connection or first byte
+	headerTimeout  = 2 * time.Second  // for a request's header, from the start of the connection or its first byte
 	bodyTimeout    = 5 * time.Second  // for a request's body
 	idleTimeout    = 30 * time.Second // for the next request on a connection
-	writeAllowance = time.Second      // for a response, beyond its request's deadline
+	writeAllowance = time.Second      // for writing a response, after the request's deadline
 )
 
 var timeouts = clientconn.Timeouts{
@@ -39,20 +39,21 @@
 	return serving.Drain(time.Now().Add(timeouts.DrainTime(s.config.Deadline)))
 }
 
-// reply is the HTTP response to a request. Its zero value means that the client has disconnected.
+// reply is the HTTP response to a request. The zero value means that the client has disconnected.
 type reply struct {
 	status     int
 	mediaType  string
 	body       []byte
-	allow      string        // the methods that are allowed, if that is what is wrong
-	retryAfter time.Duration // for status 503; 0: unknown
-	closeConn  bool          // what follows on the connection may be the rest of a request that was rejected
+	allow      string        // allowed methods, if the method is not allowed; otherwise empty
+	retryAfter time.Duration // for status 503; 0 if unknown
+	closeConn  bool          // close the connection, because its next bytes may be the rest of a rejected request
 }
 
 // ServeHTTP answers one request. net/http calls it from the goroutine of the client's connection.
 //
-// Guard: prevents the empty 200 that net/http sends where a handler writes nothing: a client that has closed its
-// sending half only would take it for a success. It holds because the connection is aborted where there is no response.
+// Guard: prevents the empty 200 that net/http sends if a handler writes nothing. A client that has closed only its
+// sending half would mistake it for a success. This holds because ServeHTTP aborts the connection if there is no
+// response.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	receivedAt := time.Now()
 	s.requests.Add(1)
@@ -79,6 +80,6 @@
 	}
 	w.WriteHeader(response.status)
 	if r.Method != http.MethodHead {
-		_, _ = w.Write(response.body) // fails if the client has disconnected: nobody is left to tell
+		_, _ = w.Write(response.body) // fails only if the client has disconnected
 	}
 }
--- a/internal/front/graphqlfront/serve_test.go
+++ b/internal/front/graphqlfront/serve_test.go
@@ -19,10 +19,10 @@
 	server *Server
 	addr   string
 	stop   context.CancelFunc
-	served chan error // has a value when Serve has returned
+	served chan error // receives the result of Serve
 }
 
-// startFront starts a front. It runs until its stop is called or the test ends.
+// startFront starts a front. It runs until stop is called or the test ends.
 func startFront(t *testing.T, d Doer) *runningFront {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -40,8 +40,8 @@
 	return front
 }
 
-// startHangingFront starts a front whose calls have no result before their clients disconnect. Each call is sent to
-// calls when it begins, and to aborted when it ends.
+// startHangingFront starts a front whose calls get no result before their clients disconnect. Each call is sent to
+// calls when it begins, and to aborted when its context ends.
 func startHangingFront(t *testing.T) (front *runningFront, calls, aborted chan *engine.Call) {
 	t.Helper()
 	calls = make(chan *engine.Call, 10)
@@ -62,11 +62,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the test may already have closed it
 	return conn.(*net.TCPConn)
 }
 
-// write writes a text to a connection.
+// write writes text to a connection.
 func write(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -81,20 +81,20 @@
 	}
 }
 
-// post returns an HTTP request with a document.
+// post returns an HTTP request with the given document.
 func post(document string) string {
 	const header = "POST /graphql HTTP/1.1\r\nHost: h\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
 	body := fmt.Sprintf(`{"query":%q}`, document)
 	return fmt.Sprintf(header, len(body), body)
 }
 
-// contextDoer is a function as a Doer.
+// contextDoer is a function that implements Doer.
 type contextDoer func(ctx context.Context, c *engine.Call) engine.Result
 
 func (d contextDoer) Do(ctx context.Context, c *engine.Call) engine.Result { return d(ctx, c) }
 
-// A client closes its sending half only, and can still read. Where a handler writes nothing net/http sends an empty
-// 200, which the client would take for a success: it must receive none.
+// A client closes only its sending half and can still read. It must not get a success, such as the empty 200 that
+// net/http sends if a handler writes nothing.
 func TestHalfClosedClientGetsNoSuccess(t *testing.T) {
 	calls := make(chan bool, 1)
 	front := startFront(t, contextDoer(func(ctx context.Context, _ *engine.Call) engine.Result {
@@ -110,16 +110,16 @@
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return // the connection ended without a response
+		return // the connection was closed without a response
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode < 500 {
-		t.Errorf("it received %s", response.Status)
+		t.Errorf("the client received status %s, want a 5xx status or a close", response.Status)
 	}
 }
 
-// A request arrives after the stop, on a connection that was accepted before it. After Shutdown net/http would drop it
-// and close the connection: it must be answered.
+// A request arrives after the stop, on a connection that was accepted before it. If the front called Shutdown, net/http
+// would drop the request and close the connection. The request must be answered.
 func TestRequestAfterStopIsAnswered(t *testing.T) {
 	calls := make(chan bool, 2)
 	release := make(chan bool)
@@ -138,7 +138,7 @@
 	testutil.Until(t, "the listener to close", func() bool {
 		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", front.addr)
 		if err == nil {
-			_ = conn.Close() // the listener is still open: try again
+			_ = conn.Close() // the listener is still open; Until tries again
 		}
 		return err != nil
 	})
@@ -151,9 +151,9 @@
 			continue
 		}
 		if response.StatusCode != http.StatusOK || !response.Close {
-			t.Errorf("the %s request: %s, close %v", name, response.Status, response.Close)
+			t.Errorf("the %s request: status %s, close %v; want 200 and a close", name, response.Status, response.Close)
 		}
-		_, _ = io.Copy(io.Discard, response.Body) // what matters is the status
+		_, _ = io.Copy(io.Discard, response.Body) // only the status matters
 		_ = response.Body.Close()
 	}
 	if err := testutil.Receive(t, front.served, "the end of Serve"); err != nil {
--- a/internal/front/graphqlfront/server.go
+++ b/internal/front/graphqlfront/server.go
@@ -1,13 +1,14 @@
-// Package graphqlfront serves GraphQL over HTTP (the GraphQL over HTTP specification, September 2025) on the engine.
-// Each request is read completely and split into parts by package plan; each part is executed as a call of its own
-// class, and the results are merged into one response.
+// Package graphqlfront serves GraphQL over HTTP (the GraphQL over HTTP specification, September 2025) and executes
+// requests with the engine. It reads each request completely and splits it into parts with package plan. Each part is
+// executed as a call of its own class, and the results are merged into one response.
 //
 // # Limits
 //
-// At most Config.MaxConns connections are open; beyond that, those that have been idle for longest are closed. Each has
-// one request of at most MaxBody bytes and its parts. At most MaxParts parts are in flight over all requests; further
-// ones are rejected. At most MaxDocuments validated documents are cached, each of at most plan.Limits.MaxBytes, and as
-// many documents that clients register by their hash.
+// At most Config.MaxConns connections are open; if more clients connect, the connections that have been idle for
+// longest are closed. A connection has at most one request at a time, of at most MaxBody bytes, and the parts of this
+// request. At most MaxParts parts of all requests together are in flight; further parts are rejected. The cache holds
+// at most MaxDocuments validated documents, each of at most plan.Limits.MaxBytes, and the same number of documents that
+// clients have registered by their hash.
 package graphqlfront
 
 import (
@@ -24,8 +25,8 @@
 	"hazelwing/internal/graphql/plan"
 )
 
-// Doer executes calls; the engine is one. Do is called from goroutines of the requests. It returns with the call's one
-// result, or once ctx has ended because the client disconnected.
+// Doer executes calls; the engine implements it. The goroutines of the requests call Do. It returns the only result of
+// the call, or returns when ctx has ended because the client disconnected.
 type Doer interface {
 	Do(ctx context.Context, c *engine.Call) engine.Result
 }
@@ -34,33 +35,33 @@
 type Config struct {
 	Schema       *plan.Schema
 	Doer         Doer
-	Path         string // where clients send their requests
-	EndpointPath string // where endpoints receive the parts
+	Path         string // URL path of the requests of clients
+	EndpointPath string // URL path at which endpoints receive the parts
 	MaxConns     int
-	// OnConnLimit is called, from the goroutine that accepts connections, for each that is accepted while MaxConns are
-	// open. It may be nil.
+	// OnConnLimit is called, from the goroutine that accepts connections, for each connection that is accepted while
+	// MaxConns connections are open. It may be nil.
 	OnConnLimit func()
-	// Deadline is the deadline of requests without one of their own, and the maximum of those that have one.
+	// Deadline is the default deadline of requests, and the maximum of the deadlines that clients set.
 	Deadline     time.Duration
-	MaxBody      int64 // of a request, in bytes
-	MaxBatch     int   // operations in one request
-	MaxParts     int   // in flight
-	MaxDocuments int   // that are cached
+	MaxBody      int64 // limit on the body of a request, in bytes
+	MaxBatch     int   // limit on the operations in one request
+	MaxParts     int   // limit on the parts in flight
+	MaxDocuments int   // limit on the cached documents
 	// PersistedQueries lets clients register documents by their SHA-256 (automatic persisted queries).
 	PersistedQueries bool
-	// TrustedDocuments are documents by their ID, such as their SHA-256 in hexadecimal.
+	// TrustedDocuments maps IDs, for example SHA-256 hashes in hexadecimal, to the texts of documents.
 	TrustedDocuments map[string]string
-	TrustedOnly      bool // no other documents are accepted
+	TrustedOnly      bool // accept no documents except TrustedDocuments
 	Log              *slog.Logger
 }
 
-// Server is the front. It is safe for concurrent use.
+// Server is the GraphQL front. It implements http.Handler and is safe for concurrent use.
 type Server struct {
 	config          Config
 	documents       *lru.Cache[string, *plan.Document] // validated documents by their text
 	persisted       *lru.Cache[string, string]         // registered texts by their hash
 	trusted         map[string]*plan.Document          // by ID
-	partSlots       chan struct{}                      // one element for each part in flight
+	partSlots       chan struct{}                      // has one element for each part in flight
 	flights         flightGroup
 	requestIDPrefix string
 	lastRequestID   atomic.Uint64
@@ -74,21 +75,22 @@
 	coalescedParts  atomic.Uint64
 }
 
-// State is what the admin endpoint shows of a Server. All but PartsInFlight and CachedDocuments are counted from its
-// start.
+// State is the state of a Server, as shown by the admin endpoint. Except PartsInFlight and CachedDocuments, the fields
+// are counters since the start.
 type State struct {
-	Requests        uint64 `json:"requests"`     // HTTP requests
-	Operations      uint64 `json:"operations"`   // operations that were planned
-	Parts           uint64 `json:"parts"`        // parts that were executed
-	RejectedParts   uint64 `json:"refused"`      // parts that were rejected
+	Requests        uint64 `json:"requests"`     // HTTP requests received
+	Operations      uint64 `json:"operations"`   // operations planned
+	Parts           uint64 `json:"parts"`        // parts executed
+	RejectedParts   uint64 `json:"refused"`      // parts rejected
 	UnknownParts    uint64 `json:"may_have_run"` // parts that failed and may have run
-	InvalidRequests uint64 `json:"rejected"`     // HTTP requests of which nothing was sent
-	CoalescedParts  uint64 `json:"shared"`       // parts that took the result of an identical one
+	InvalidRequests uint64 `json:"rejected"`     // HTTP requests rejected as invalid, of which nothing was sent
+	CoalescedParts  uint64 `json:"shared"`       // parts that used the result of an identical part
 	PartsInFlight   int    `json:"in_hand"`
 	CachedDocuments int    `json:"documents"`
 }
 
-// New returns a Server. Its error says which trusted document is not valid for the schema.
+// New returns a Server. It returns an error if a trusted document is not valid for the schema, or if a limit in the
+// configuration is invalid.
 func New(config Config) (*Server, error) {
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
