--- a/internal/transport/http1/conn.go
+++ b/internal/transport/http1/conn.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// conn is a connection to an endpoint, with at most one request on it.
+// conn is a connection to an endpoint. It carries at most one request at a time.
 type conn struct {
 	net.Conn
-	process       process           // the process that it was opened to
+	process       process           // process that the connection was opened to
 	limitedReader *io.LimitedReader // limits the bytes of one response
 	reader        *bufio.Reader     // reads from limited
-	idleSince     time.Time         // zero: it has carried no request yet
-	releaseSlot   func()            // frees its slot among the open connections; may be called again
+	idleSince     time.Time         // zero before the first request
+	releaseSlot   func()            // frees the connection's slot; further calls have no effect
 
-	responsePauseTimeout time.Duration // limit on a pause of a response that has begun
-	responsePauseTimer   *time.Timer   // nil unless a response is being read
+	responsePauseTimeout time.Duration // longest pause within a response
+	responsePauseTimer   *time.Timer   // expires at the longest pause; nil unless a response is being read
 }
 
-// dial opens a connection to a process, for which a slot was acquired.
+// dial opens a connection to a process. The caller has acquired a slot for it; if dialling fails, dial releases the
+// slot.
 func (p *Pool) dial(ctx context.Context, to process) (*conn, error) {
 	releaseSlot := func() {
 		p.mu.Lock()
@@ -45,7 +46,7 @@
 	return c, nil
 }
 
-// Read reads from the connection and restarts the stall timer, if there is one, when bytes have come.
+// Read reads from the connection. If it receives data while a response is being read, it restarts responsePauseTimer.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 && c.responsePauseTimer != nil {
@@ -54,10 +55,11 @@
 	return n, err
 }
 
-// Close closes the connection, and frees its slot once the descriptor is free.
+// Close closes the connection. It frees the connection's slot after the file descriptor is free.
 //
-// Guard: prevents more descriptors than the limit: a slot that is freed before the close lets another connection be
-// dialled beside this one, and a dial fail with EMFILE. It holds because the slot is released after the close.
+// Guard: prevents the use of more file descriptors than the limit allows. If the slot were released before the close,
+// another connection could be opened in between, and its dial could fail with EMFILE. This holds because the slot is
+// released after the close.
 func (c *conn) Close() error {
 	defer c.releaseSlot()
 	return c.Conn.Close()
--- a/internal/transport/http1/exchange.go
+++ b/internal/transport/http1/exchange.go
@@ -14,29 +14,29 @@
 	"hazelwing/internal/netpeek"
 )
 
-// errUnwritableRequest says that a request cannot be written as HTTP/1.1.
-var errUnwritableRequest = errors.New("the request cannot be written")
+// errUnwritableRequest means that a request could not be encoded as HTTP/1.1.
+var errUnwritableRequest = errors.New("request cannot be encoded as HTTP/1.1")
 
-// exchange is one request to an endpoint and its response: an attempt or a probe. It implements engine.Exchange.
+// exchange is one request to an endpoint and its response, for an attempt or a probe. It implements engine.Exchange.
 type exchange struct {
 	pool      *Pool
 	endpoint  *endpoint
-	startedAt time.Time // when the engine asked for it
-	// ctx ends with the exchange's timeout or with Cancel, which the engine may call before Run.
-	ctx           context.Context //nolint:containedctx // one exchange is one operation, cancelled from outside of Run
+	startedAt time.Time // when the engine created the exchange
+	// ctx ends at the exchange's timeout or when the engine calls Cancel, which may happen before Run.
+	ctx           context.Context //nolint:containedctx // an exchange is one operation; Cancel ends it from outside
 	cancel        context.CancelFunc
 	buildRequest  func(timeLeft time.Duration) *http.Request
-	mayStart      func() bool                   // reports whether it may still start
-	checkResponse func(*httpmsg.Response) error // checks a response with status 200; nil accepts any
-	isProbe       bool                          // the response is a load report
+	mayStart      func() bool                   // reports whether the attempt may still start
+	checkResponse func(*httpmsg.Response) error // checks a response with status 200; nil accepts all
+	isProbe       bool                          // the exchange is a probe: its response has a load report
 
 	mu           sync.Mutex
-	writeStarted bool // its first byte may have been written
-	forbidden    bool // nothing may be written any more
+	writeStarted bool // the first byte of the request may have been written
+	forbidden    bool // the request must not be written any more
 }
 
-// Attempt prepares an attempt of a call whose Payload is a *httpmsg.Request. It returns nil for an unknown endpoint, or
-// another Payload.
+// Attempt prepares an attempt of a call whose Payload is a *httpmsg.Request. It returns nil if the endpoint is unknown
+// or the Payload has another type.
 func (p *Pool) Attempt(id string, c *engine.Call, timeout time.Duration) engine.Exchange {
 	e := p.find(id)
 	if e == nil {
@@ -52,7 +52,7 @@
 	return x
 }
 
-// Probe prepares a probe, which asks for the load report. It returns nil for an unknown endpoint.
+// Probe prepares a probe, which requests the load report. It returns nil if the endpoint is unknown.
 func (p *Pool) Probe(id string, timeout time.Duration) engine.Exchange {
 	e := p.find(id)
 	if e == nil {
@@ -78,7 +78,7 @@
 // Cancel ends the exchange. It does not block.
 func (x *exchange) Cancel() { x.cancel() }
 
-// CancelUnsent ends an exchange that has not started to write, so that claimWrite fails from then on.
+// CancelUnsent ends an exchange that has not started to write. From then on, claimWrite returns false.
 func (x *exchange) CancelUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -88,13 +88,14 @@
 	}
 }
 
-// claimWrite decides whether the request may be written to c. It may not if the exchange was cancelled, if the endpoint
-// is known to drain or another process has taken its place, or if mayStart says no.
+// claimWrite reports whether the request may be written to c, and if so records that the write starts. It returns false
+// if the exchange was cancelled, if the endpoint is known to drain or was replaced by another process, or if mayStart
+// returns false.
 //
-// Guard: prevents a dial that completes late from carrying a request for a client that has left, after the call's
-// result, or to an endpoint that stops. It shows as work that nobody awaits, or as a reset. It holds because
-// CancelUnsent takes the same lock, and because the client is looked at last: nothing blocks between that and the
-// write.
+// Guard: prevents a dial that completes late from carrying a request whose client has disconnected, whose call already
+// has its result, or whose endpoint is stopping. The symptom is work that no client waits for, or a reset. This holds
+// because CancelUnsent acquires the same mutex, and because the client's connection is checked last: nothing blocks
+// between that check and the write.
 func (x *exchange) claimWrite(c *conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -105,19 +106,21 @@
 	return true
 }
 
-// maySend reports whether a request may still be written to a connection to process to of e: while e is that process
-// and is active. The drain grace allows no write: see Config.DrainGrace.
+// maySend reports whether a request may still be written to a connection to the given process of e. It returns true
+// while e is active and still that process. The drain grace does not extend this (see Config.DrainGrace).
 //
-// Guard: prevents a dial that completes late, at a process that was slow when the drain came, from carrying a request
-// to an endpoint that stops: it would be reset. It holds because nothing of the grace, which counts from when discovery
-// wrote the drain, is used once the drain is known.
+// Guard: prevents a dial that completes late, because the process was slow when its drain began, from carrying a
+// request to a stopping endpoint: the request would be reset. This holds because no request is written once the drain
+// is known. The drain grace is not used for this, because it counts from the time at which discovery recorded the
+// drain.
 func (p *Pool) maySend(e *endpoint, to process) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return e.process == to && e.removedAt.IsZero()
 }
 
-// Run carries the exchange out. It returns by the exchange's timeout; no response is a stream.
+// Run performs the exchange, and returns no later than its timeout. It never calls its argument, because no response is
+// a stream.
 func (x *exchange) Run(func(any) bool) engine.Outcome {
 	defer x.cancel()
 	outcome := x.roundTrip()
@@ -125,13 +128,14 @@
 	return outcome
 }
 
-// roundTrip writes the request once and reads its response. Before it returns, the connection is closed or back in the
-// pool.
+// roundTrip writes the request once and reads its response. Before it returns, the connection was closed or returned to
+// the pool.
 //
-// Guard: prevents an attempt that is over for the Balancer from still running at its endpoint beside the next one,
-// which would be the same effect twice. It holds because the deferred close comes before the outcome is returned.
+// Guard: prevents an attempt that has ended for the Balancer from still running at its endpoint while the next attempt
+// runs there or elsewhere, which could apply the same effect twice. This holds because the deferred close happens
+// before the outcome is returned.
 func (x *exchange) roundTrip() engine.Outcome {
-	if !x.mayStart() { // a dial for it would be for nothing
+	if !x.mayStart() { // so that no connection is opened in vain
 		return engine.Outcome{Result: x.unsentResult(nil)}
 	}
 	c, request, err := x.prepare()
@@ -141,22 +145,22 @@
 	returned := false // to the pool
 	defer func() {
 		if !returned {
-			_ = c.Close() // the exchange has its outcome by now
+			_ = c.Close() // the exchange already has its outcome
 		}
 	}()
-	// The end of the context, by timeout or by cancel, ends all reading and writing.
+	// When the context ends, by the timeout or by Cancel, the deadline ends all reads and writes.
 	stop := context.AfterFunc(x.ctx, func() {
 		_ = c.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection
 	})
 	defer stop()
 	if !x.claimWrite(c) {
-		if stop() { // nothing was written: others may use it
+		if stop() { // nothing was written, so the connection can be reused
 			returned = true
 			x.pool.put(x.endpoint, c)
 		}
 		return engine.Outcome{Result: x.unsentResult(x.ctx.Err()), Err: x.ctx.Err()}
 	}
-	resp, body, failure := x.transfer(c, request) //nolint:bodyclose // it was read; c is closed where it was not
+	resp, body, failure := x.transfer(c, request) //nolint:bodyclose // the body was read, or c is closed
 	if resp == nil {
 		return failure
 	}
@@ -167,16 +171,16 @@
 	return x.outcomeFromResponse(resp, body)
 }
 
-// transfer writes the request to c and reads the response. The response is nil where there is none that can be used;
-// the outcome then says why.
+// transfer writes the request to c and reads the response. If there is no usable response, it returns nil and the
+// outcome.
 //
-// Guard: prevents a request that was reset during its last byte from counting as never run, and a second one from
-// having the same effect. It holds because an endpoint starts a request only when its last byte has come, and the
-// kernel tells how many bytes it took.
+// Guard: prevents a request whose connection was reset during its last byte from counting as not run: a retry could
+// apply the same effect twice. This holds because an endpoint starts a request only when its last byte has arrived, and
+// because the kernel reports how many bytes it accepted.
 func (x *exchange) transfer(c *conn, request []byte) (*http.Response, []byte, engine.Outcome) {
 	c.limitedReader.N = maxResponseHeadBytes + x.pool.maxResponseBytes
 	if n, err := c.Write(request); err != nil {
-		if n < len(request) { // it never ran
+		if n < len(request) { // the request never ran
 			return nil, nil, engine.Outcome{Result: x.unsentResult(err), Err: err}
 		}
 		return nil, nil, engine.Outcome{Result: x.brokenResult(err), Err: err}
@@ -184,14 +188,15 @@
 	resp, body, err := c.readResponse(x.pool.maxResponseBytes)
 	if err != nil {
 		if c.limitedReader.N <= 0 {
-			err = errResponseTooLong
+			limit := maxResponseHeadBytes + x.pool.maxResponseBytes
+			err = fmt.Errorf("%w: head and body exceed %d bytes", errResponseTooLong, limit)
 		}
 		return nil, nil, engine.Outcome{Result: x.brokenResult(err), Err: err}
 	}
 	return resp, body, engine.Outcome{}
 }
 
-// prepare returns a connection and the request to write to it. An idle connection is checked last, right before the
+// prepare returns a connection and the encoded request. It checks an idle connection last, immediately before the
 // write.
 func (x *exchange) prepare() (*conn, []byte, error) {
 	for {
@@ -199,7 +204,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		deadline, _ := x.ctx.Deadline() // newExchange has set one
+		deadline, _ := x.ctx.Deadline() // newExchange has set it
 		var request bytes.Buffer
 		if err := x.buildRequest(time.Until(deadline)).Write(&request); err != nil {
 			_ = c.Close() // nothing was written to it
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -29,27 +29,29 @@
 	})
 }
 
-// activeEndpoints is a list of one endpoint "s" at addr.
+// activeEndpoints returns a list with one active endpoint, "s", at addr.
 func activeEndpoints(addr string) []engine.Endpoint {
 	return []engine.Endpoint{{ID: "s", Addr: addr, Zone: "a", Kind: "m"}}
 }
 
+// drainingEndpoints returns list with its first endpoint marked as draining.
 func drainingEndpoints(list []engine.Endpoint) []engine.Endpoint {
 	list[0].State = balancer.Draining
 	return list
 }
 
+// addEndpoint lists endpoint "s" at addr in the pool, and returns it.
 func addEndpoint(t *testing.T, p *Pool, addr string) *endpoint {
 	t.Helper()
 	p.Update(true, activeEndpoints(addr), time.Now())
 	e := p.find("s")
 	if e == nil {
-		t.Fatal("the endpoint is not known")
+		t.Fatal("the pool does not know the endpoint after the update")
 	}
 	return e
 }
 
-// testRequest builds requests as the front passes them to the transport.
+// testRequest returns a function that builds requests, from a request as the front passes it to the transport.
 func testRequest(method string) func(time.Duration) *http.Request {
 	r := &httpmsg.Request{
 		Method: method,
@@ -70,10 +72,11 @@
 	}
 }
 
-// write sends text on a connection whose other side may have closed it already: what the test expects shows that.
+// write sends text on a connection. It ignores errors, because the other side may have closed the connection; the
+// checks of the test detect that.
 func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// waitUntilNotIdle waits until something arrives on an idle connection, or its end.
+// waitUntilNotIdle waits until data or a close arrives on an idle connection.
 func waitUntilNotIdle(c *conn) {
 	for end := time.Now().Add(testutil.WaitTimeout); c.peek() == netpeek.Idle && time.Now().Before(end); {
 		runtime.Gosched()
@@ -82,8 +85,8 @@
 
 func bodyOf(o engine.Outcome) string { return string(o.Answer.(*httpmsg.Response).Body) }
 
-// The response decides whether a request may be sent again, so each one must have the right result. This prevents a
-// request that is not idempotent, and may have run, from looking as if it had not.
+// The response decides whether a request may be sent again, so each response must have the correct result. In
+// particular, a non-idempotent request that may have run must not count as not run.
 func TestOutcomes(t *testing.T) {
 	const (
 		chunked         = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -92,13 +95,13 @@
 	)
 	oversized := strings.Repeat("x", minResponseLimit+1)
 	for name, c := range map[string]struct {
-		reply string // to the complete request; then the connection ends
+		reply string // sent after the complete request; then the connection is closed
 		want  balancer.Result
 	}{
-		"served":           {testutil.OKResponse, balancer.OK},
-		"served, chunked":  {chunked + "2\r\nok\r\n0\r\n\r\n", balancer.OK},
-		"after an interim": {"HTTP/1.1 103 Early Hints\r\n\r\n" + testutil.OKResponse, balancer.OK},
-		"error":            {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		"served":          {testutil.OKResponse, balancer.OK},
+		"served, chunked": {chunked + "2\r\nok\r\n0\r\n\r\n", balancer.OK},
+		"after a 103":     {"HTTP/1.1 103 Early Hints\r\n\r\n" + testutil.OKResponse, balancer.OK},
+		"error":           {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
 		"queue full": {
 			"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 			balancer.Overloaded,
@@ -127,7 +130,7 @@
 			balancer.ServerError,
 		},
 		"oversized chunk":  {fmt.Sprintf(chunked+"%x\r\n%s", len(oversized), oversized), balancer.ServerError},
-		"noise":            {"\x9b\xdc3y\n\n", balancer.ServerError},
+		"random bytes":     {"\x9b\xdc3y\n\n", balancer.ServerError},
 		"malformed status": {"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok", balancer.ServerError},
 		"malformed header": {"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", balancer.ServerError},
 		"malformed chunk":  {chunked + "xyz\r\nok", balancer.ServerError},
@@ -154,50 +157,51 @@
 			o := run(p.newExchange(addEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 			wantResult(t, o, c.want)
 			if o.Result == balancer.OK && bodyOf(o) != "ok" {
-				t.Errorf("body %q", bodyOf(o))
+				t.Errorf("body %q, want \"ok\"", bodyOf(o))
 			}
 		})
 	}
 }
 
-// An endpoint sends a malformed response and keeps its connection open. The attempt must not wait for the rest, which
-// never comes: it would hold its request until the deadline, with no time left for a retry.
+// An endpoint sends a malformed response and keeps its connection open. The attempt must not wait for data that never
+// arrives: it would take all the time until the request's deadline, so that no time is left for a retry.
 func TestMalformedResponseEndsTheAttempt(t *testing.T) {
 	for name, reply := range map[string]string{
-		"huge":             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx",
+		"huge length":      "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx",
 		"head without end": "HTTP/1.1 200 OK\r\nX-More: ",
-		"short":            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
-		"after an interim": "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
+		"truncated body":   "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
+		"after a 103":      "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan bool)
 			addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				testutil.ReadRequest(r)
 				write(conn, reply)
-				_, _ = r.ReadByte() // waits for the end of the connection
+				_, _ = r.ReadByte() // waits for the close of the connection
 				close(closed)
 			})
 			p := testPool()
 			o := run(p.newExchange(addEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 			wantResult(t, o, balancer.ServerError)
-			if name == "huge" && !errors.Is(o.Err, errResponseTooLong) {
-				t.Errorf("the body was read: %v", o.Err)
+			if name == "huge length" && !errors.Is(o.Err, errResponseTooLong) {
+				t.Errorf("error %v, want errResponseTooLong before any of the body is read", o.Err)
 			}
-			testutil.Receive(t, closed, "the connection's end")
+			testutil.Receive(t, closed, "the close of the connection")
 			if o.Elapsed > testutil.WaitTimeout/2 {
-				t.Errorf("it took %v", o.Elapsed)
+				t.Errorf("the attempt took %v, want at most %v", o.Elapsed, testutil.WaitTimeout/2)
 			}
 		})
 	}
 }
 
-// A response that is long, and comes in pieces, is not taken for a malformed one.
+// A long response that arrives in pieces must not be treated as malformed, although the pauses between the pieces add
+// up to more than the limit on one pause.
 func TestLongResponse(t *testing.T) {
 	long := strings.Repeat("x", minResponseLimit/2)
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		testutil.ReadRequest(r)
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
-		// The pauses together are longer than one may be.
+		// Each pause is shorter than the limit; together they are longer.
 		for _, size := range []int{20, 30, 1000, len(text) - 1050} {
 			write(conn, text[:size])
 			text = text[size:]
@@ -208,12 +212,12 @@
 	o := run(p.newExchange(addEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 	wantResult(t, o, balancer.OK)
 	if bodyOf(o) != long {
-		t.Errorf("%d bytes arrived", len(bodyOf(o)))
+		t.Errorf("the body has %d bytes, or other bytes than were sent; want %d", len(bodyOf(o)), len(long))
 	}
 }
 
-// An endpoint sends more than its response, at once or later. The next request on that connection would be answered by
-// the rest: a client must not get what belongs to another, so the connection is not used again.
+// An endpoint sends additional data with its response or later. On a reused connection, this data would be read as the
+// answer to the next request, and a client would get another client's answer. The connection must not be reused.
 func TestConnectionWithExcessBytesIsNotReused(t *testing.T) {
 	for name, later := range map[string]bool{"with the response": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
@@ -237,14 +241,14 @@
 			o := run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST")))
 			wantResult(t, o, balancer.OK)
 			if bodyOf(o) != "ok" {
-				t.Errorf("body %q", bodyOf(o))
+				t.Errorf("body %q, want \"ok\"", bodyOf(o))
 			}
 		})
 	}
 }
 
-// Another process takes an endpoint's place while a connection to the former one is in use. That connection must be
-// neither retained nor used: what is written to a process that has ended is a reset.
+// Another process replaces an endpoint's process while a connection to the earlier process is in use. The connection
+// must not be retained or reused: a request that is written to a process that has ended is reset.
 func TestConnectionToAFormerProcessIsNotReused(t *testing.T) {
 	received, release := make(chan int, 2), make(chan bool)
 	addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
@@ -266,12 +270,13 @@
 	wantResult(t, testutil.Receive(t, done, "the outcome"), balancer.OK)
 	wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 	if n := testutil.Receive(t, received, "the second request"); n != 1 {
-		t.Error("the second request went to the former process")
+		t.Errorf("the second request arrived on connection %d, want 1, to the new process", n)
 	}
 }
 
-// An endpoint's port is closed. The attempt ends as a connection that failed, which proves that it never ran, and its
-// slot must be free again: otherwise each refused dial would leave one connection fewer for the others.
+// An endpoint refuses connections. The result of the attempt must be ConnectFailed, which proves that the request never
+// ran, and the connection slot must be free again. Otherwise each refused dial would reduce the number of usable
+// connections.
 func TestRefusedConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -282,12 +287,12 @@
 	e := addEndpoint(t, p, l.Addr().String())
 	wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.ConnectFailed)
 	if p.openConns != 0 {
-		t.Errorf("%d connections counted as open", p.openConns)
+		t.Errorf("%d connections are counted as open, want 0", p.openConns)
 	}
 }
 
-// A partitioned machine sends nothing. Attempts to it must end in time, and their connections must not be reused: a
-// response may still come there, and would be taken for that of another request.
+// A machine behind a network partition sends nothing. Attempts to it must end in time, and their connections must not
+// be reused: a response may still arrive, and would be mistaken for the answer to another request.
 func TestUnresponsiveEndpoint(t *testing.T) {
 	for name, c := range map[string]struct {
 		timeout time.Duration
@@ -301,7 +306,7 @@
 			addr := testutil.ServeRaw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 				testutil.ReadRequest(r)
 				received <- true
-				_, _ = r.ReadByte() // waits for the end of the connection
+				_, _ = r.ReadByte() // waits for the close of the connection
 				closed <- true
 			})
 			p := testPool()
@@ -315,15 +320,15 @@
 			o := testutil.Receive(t, done, "the outcome")
 			wantResult(t, o, c.want)
 			if c.want == balancer.Timeout && o.Elapsed < c.timeout {
-				t.Errorf("timed out after %v already", o.Elapsed)
+				t.Errorf("timed out after %v, want at least %v", o.Elapsed, c.timeout)
 			}
-			testutil.Receive(t, closed, "the connection's end")
+			testutil.Receive(t, closed, "the close of the connection")
 		})
 	}
 }
 
-// A request is not sent again when a reused connection breaks, as libraries do: the copy would have an effect that
-// nobody decided on.
+// Many HTTP libraries resend a request when a reused connection breaks. The transport must not do so: the copy could
+// have an effect that no component decided on.
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	var copies atomic.Int32
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -343,13 +348,13 @@
 		wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest(method))), balancer.OK)
 		wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest(method))), balancer.Reset)
 		if got := copies.Load() - before; got != 2 {
-			t.Errorf("%s: %d copies were received, want 2", method, got)
+			t.Errorf("%s: the endpoint received %d requests, want 2", method, got)
 		}
 	}
 }
 
-// No request is written to an idle connection that the endpoint has closed: it would count as reset, and one that is
-// not idempotent could not be sent again.
+// No request may be written to an idle connection that the endpoint has closed. It would count as reset, and a
+// non-idempotent request could not be sent again.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -368,12 +373,12 @@
 	waitUntilNotIdle(e.idle[0])
 	wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 	if p.openConns != 1 {
-		t.Errorf("%d connections counted as open, want 1", p.openConns)
+		t.Errorf("%d connections are counted as open, want 1", p.openConns)
 	}
 }
 
-// Idle connections are retained, since a new one costs the endpoint work, but not as long as the endpoint keeps them:
-// what is written to one that it is about to close is lost.
+// Idle connections must be reused, because a new connection costs the endpoint work. They must expire before the
+// endpoint closes them: a request that is written to a connection that is about to be closed is lost.
 func TestIdleConnectionsAreReusedAndExpire(t *testing.T) {
 	numbers := make(chan int, 3)
 	addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
@@ -394,16 +399,16 @@
 		}
 	}
 	if p.maxIdle >= 15*time.Second {
-		t.Errorf("idle connections are retained for %v, as long as endpoints keep them", p.maxIdle)
+		t.Errorf("idle connections are retained for %v, want less than the 15 s of the endpoint", p.maxIdle)
 	}
 	p.Update(false, drainingEndpoints(activeEndpoints(addr)), time.Now())
 	if len(e.idle) != 0 || p.openConns != 0 {
-		t.Errorf("%d idle and %d open connections to a draining endpoint", len(e.idle), p.openConns)
+		t.Errorf("a draining endpoint has %d idle and %d open connections, want 0", len(e.idle), p.openConns)
 	}
 }
 
-// After the call's result nothing is sent for it, and after an endpoint's drain grace nothing is sent to it, however
-// late a dial completes.
+// Nothing may be sent for a call after its result, nor to an endpoint after its drain grace, however late a dial
+// completes.
 func TestNothingIsWrittenAfterCancelOrRemoval(t *testing.T) {
 	for name, c := range map[string]struct {
 		before func(p *Pool, x *exchange, addr string)
@@ -429,14 +434,15 @@
 			c.before(p, x, addr)
 			wantResult(t, run(x), c.want)
 			if copies.Load() != 0 {
-				t.Error("bytes were written")
+				t.Error("the endpoint received data, want none")
 			}
 		})
 	}
 }
 
-// Idle connections make room for others, and beyond the limit nothing is dialled, which is not the endpoint's fault.
-// This prevents running out of descriptors.
+// When the connection limit is reached, idle connections to other endpoints must be closed for new ones. If there are
+// none, nothing may be dialled, and the result must not count against the endpoint. This prevents the process from
+// running out of file descriptors.
 func TestConnectionLimit(t *testing.T) {
 	received := make(chan bool, 1)
 	addr := testutil.ServeRaw(t, func(_ int, _ net.Conn, r *bufio.Reader) {
@@ -461,7 +467,8 @@
 	go func() { done <- run(first) }()
 	testutil.Receive(t, received, "the request that takes the idle connection's slot")
 	wantResult(t, run(p.newExchange(p.find("s"), testutil.WaitTimeout, testRequest("GET"))), balancer.NotSent)
-	// An exchange beyond the limit waits for a while: a burst must not use up all attempts of a request in a moment.
+	// An exchange beyond the limit waits for a while, so that a burst does not use up all attempts of a request in a
+	// moment.
 	second := make(chan engine.Outcome, 1)
 	p.dialer.Timeout = testutil.WaitTimeout
 	go func() { second <- run(p.newExchange(p.find("other"), testutil.WaitTimeout, testRequest("GET"))) }()
@@ -472,14 +479,14 @@
 	}
 	first.cancel()
 	wantResult(t, testutil.Receive(t, done, "the outcome"), balancer.Cancelled)
-	wantResult(t, testutil.Receive(t, second, "the outcome of the one that waited"), balancer.OK)
+	wantResult(t, testutil.Receive(t, second, "the outcome of the exchange that waited"), balancer.OK)
 	if n := limitHits.Load(); n != 2 {
-		t.Errorf("the limit was reported as reached %d times, want 2", n)
+		t.Errorf("OnConnLimit was called %d times, want 2", n)
 	}
 }
 
-// A load report has the larger of its two counts. One without a count, or with a corrupt one, must not count as a
-// report: an endpoint with no known load and one with none would look the same.
+// The load must be the larger one of the two counts in a report. A report without a count, or with a corrupt one, must
+// count as no report: otherwise an endpoint whose load is unknown would look like one without load.
 func TestLoadReport(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -497,15 +504,15 @@
 		{"", balancer.LoadReport{}},
 	} {
 		if got := loadReportFromResponse(&httpmsg.Response{Status: 200, Body: []byte(c.text)}); got != c.want {
-			t.Errorf("%q: %+v, want %+v", c.text, got, c.want)
+			t.Errorf("report %q: got %+v, want %+v", c.text, got, c.want)
 		}
 	}
 	if got := loadReportFromResponse(&httpmsg.Response{Status: 503, Body: []byte("queue=3")}); got.Reported {
-		t.Error("a failed probe has a load report")
+		t.Error("a probe with status 503 has a load report, want none")
 	}
 }
 
-// A probe requests the load report and returns it.
+// A probe must request the load report and return it.
 func TestProbeReturnsTheLoadReport(t *testing.T) {
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for req := testutil.ReadRequest(r); req != nil; req = testutil.ReadRequest(r) {
@@ -521,22 +528,22 @@
 	o := p.Probe("s", testutil.WaitTimeout).Run(nil)
 	wantResult(t, o, balancer.OK)
 	if got := o.Load; got != (balancer.LoadReport{Reported: true, InFlight: 4}) {
-		t.Errorf("load report %+v", got)
+		t.Errorf("load report %+v, want 4 requests in flight", got)
 	}
 }
 
-// A response comes whole, and the request's check rejects it, such as one to another request. It is an error of the
-// endpoint, which has run the request: counted as not run, the request could run twice. Only responses with status 200
-// are checked.
+// A complete response is rejected by the request's check, for example because it belongs to another request. This must
+// count as an error of the endpoint, which has run the request: if it counted as not run, the request could run twice.
+// Only responses with status 200 are checked.
 func TestResponseCheck(t *testing.T) {
 	for _, c := range []struct {
 		status string
 		err    error
 		want   balancer.Result
 	}{
-		{"200 OK", errors.New("half"), balancer.ServerError},
+		{"200 OK", errors.New("truncated"), balancer.ServerError},
 		{"200 OK", nil, balancer.OK},
-		{"503 Full\r\nX-Not-Run: 1", errors.New("half"), balancer.Overloaded},
+		{"503 Full\r\nX-Not-Run: 1", errors.New("truncated"), balancer.Overloaded},
 	} {
 		addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			if testutil.ReadRequest(r) != nil {
@@ -547,7 +554,7 @@
 		p.Update(true, activeEndpoints(addr), time.Now())
 		check := func(r *httpmsg.Response) error {
 			if string(r.Body) != "ok" {
-				t.Errorf("the check got %q", r.Body)
+				t.Errorf("the check received the body %q, want \"ok\"", r.Body)
 			}
 			return c.err
 		}
@@ -562,7 +569,7 @@
 		wantResult(t, o, c.want)
 		unused := o.Answer == nil && o.Result.MayHaveRun()
 		if o.Final != (c.want == balancer.OK) || c.want == balancer.ServerError && !unused {
-			t.Errorf("%s, %v: %+v", c.status, c.err, o)
+			t.Errorf("status %s, check error %v: unexpected outcome %+v", c.status, c.err, o)
 		}
 	}
 }
--- a/internal/transport/http1/outcome.go
+++ b/internal/transport/http1/outcome.go
@@ -14,13 +14,13 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// What proves that a request never ran (the platform's protocol page) is all in this file: unsentResult, for a request
-// that was not written completely, and resultFromResponse, for a response that says so. They may also return results
-// that prove nothing; balancer.Result.MayHaveRun tells them apart.
+// Only two functions, both in this file, decide that a request never ran, by the rules of the platform's protocol page:
+// unsentResult, for a request that was not written completely, and resultFromResponse, for a response that says so.
+// Some of the results that they return do not prove it; balancer.Result.MayHaveRun distinguishes these.
 
-// unsentResult decides the result of an exchange whose request was not written completely; err is nil where it was not
-// allowed to start. NotSent and ConnectFailed prove that the request never ran. A cancelled exchange is Cancelled,
-// which counts as may have run although this request did not; that errs on the safe side.
+// unsentResult returns the result of an exchange whose request was not written completely. err is nil if the exchange
+// was not allowed to start. NotSent and ConnectFailed prove that the request never ran. A cancelled exchange is
+// Cancelled, which counts as may have run although this request did not; this errs on the safe side.
 func (x *exchange) unsentResult(err error) balancer.Result {
 	switch {
 	case errors.Is(x.ctx.Err(), context.Canceled):
@@ -31,10 +31,10 @@
 	return balancer.ConnectFailed
 }
 
-// brokenResult decides the result of an exchange whose request was written and whose response is incomplete or
-// unusable: that of the context where that has ended, Reset where the connection ended, and ServerError otherwise. A
-// response that came and cannot be used is an error of a process that is alive. This prevents such a process from being
-// taken for dead: what corrupts its responses may do so with those of all endpoints.
+// brokenResult returns the result of an exchange whose request was written and whose response is incomplete or
+// unusable. It is Cancelled or Timeout if the context has ended, Reset if the connection has ended, and ServerError
+// otherwise. A response that arrived but is unusable comes from a live process. Counting it as ServerError prevents
+// such a process from being considered dead; a fault that corrupts its responses may affect all endpoints.
 func (x *exchange) brokenResult(err error) balancer.Result {
 	switch x.ctx.Err() {
 	case context.Canceled:
@@ -52,12 +52,12 @@
 	return balancer.ServerError
 }
 
-// outcomeFromResponse is the outcome of an exchange whose response was read completely.
+// outcomeFromResponse returns the outcome of an exchange whose response was read completely.
 func (x *exchange) outcomeFromResponse(resp *http.Response, body []byte) engine.Outcome {
 	response := &httpmsg.Response{Status: resp.StatusCode, Header: httpmsg.EndToEndHeaders(resp.Header), Body: body}
 	outcome := engine.Outcome{Result: resultFromResponse(resp), Answer: response}
 	if outcome.Result == balancer.OK && x.checkResponse != nil {
-		if err := x.checkResponse(response); err != nil { // the request has run, and its response is of no use
+		if err := x.checkResponse(response); err != nil { // the request has run, but its response is unusable
 			return engine.Outcome{Result: balancer.ServerError, Err: err}
 		}
 	}
@@ -68,11 +68,16 @@
 	return outcome
 }
 
-// resultFromResponse decides what a response's status and headers say: OK for 200; Overloaded, which proves that the
-// request never ran, only for a 503 or 504 with the header X-Not-Run; NotSent for a 4xx of httpmsg.IsRequestError: the
-// request was sent, but the endpoint refused it as invalid without running it, as any other endpoint would; otherwise
-// ServerError, after which it may have run. An endpoint's bare 503 does not tell: taken for a
-// rejection, it would let a request that is not idempotent run twice.
+// resultFromResponse returns the result that a response's status and headers stand for:
+//
+//   - OK for status 200
+//   - Overloaded for a 503 or 504 with the header X-Not-Run: 1, which proves that the request never ran
+//   - NotSent for a status of httpmsg.IsRequestError: the request was sent, but the endpoint rejected it as invalid
+//     without running it, as any other endpoint would
+//   - ServerError for any other status: the request may have run
+//
+// A 503 without the header does not prove that the request never ran. If it counted as a rejection, a non-idempotent
+// request could run twice.
 func resultFromResponse(resp *http.Response) balancer.Result {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -88,12 +93,13 @@
 	return balancer.ServerError
 }
 
-// maxReportedInFlight is the highest number of requests in an endpoint that a load report may say; one that says more
-// is corrupt. With a higher value a corrupt report may keep requests from a healthy endpoint.
+// maxReportedInFlight is the highest number of requests in flight that a load report may contain. A report with a
+// higher number is considered corrupt. With a higher limit, a corrupt report may keep requests away from a healthy
+// endpoint.
 const maxReportedInFlight = 10_000
 
-// loadReportFromResponse reads the number of requests in an endpoint from the response to a probe: the larger one of
-// "inflight" and "queue". Reported is false where there is neither.
+// loadReportFromResponse returns the load report in the response to a probe. The number of requests in flight is the
+// larger one of the values "inflight" and "queue". Reported is false if there is neither.
 func loadReportFromResponse(r *httpmsg.Response) balancer.LoadReport {
 	if r == nil || r.Status != http.StatusOK {
 		return balancer.LoadReport{}
@@ -109,7 +115,7 @@
 			continue
 		}
 		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || !(number >= 0 && number <= maxReportedInFlight) { // not a number included
+		if err != nil || !(number >= 0 && number <= maxReportedInFlight) { // false also for NaN
 			continue
 		}
 		report.Reported = true
--- a/internal/transport/http1/pool.go
+++ b/internal/transport/http1/pool.go
@@ -1,16 +1,17 @@
-// Package http1 carries out attempts and probes over HTTP/1.1, as the platform's protocol page describes.
+// Package http1 implements engine.Transport over HTTP/1.1, as specified by the platform's protocol page.
 //
-// It keeps its own connections. net/http's Transport sends a request again by itself when a reused connection breaks;
-// here each exchange writes its request once, to one connection.
+// The package manages its own connections, because the Transport of net/http resends a request by itself when a reused
+// connection breaks. Here, each exchange writes its request once, to one connection.
 //
-// What the package decides has a place each:
+// The main decisions are made in these functions:
 //
-//   - Pool.get and Pool.put (reuse.go): which connection a request is written to, and which ones are retained
-//   - Pool.acquireSlot (slots.go): who may open a connection where the limit is reached, and how long others wait
-//   - exchange.claimWrite (exchange.go): whether a request may still be written, once it has a connection
-//   - conn.readResponse (response.go): which responses can be used, and how long one that has begun may pause
+//   - Pool.get and Pool.put (reuse.go): which connection a request is written to, and which connections are retained
+//   - Pool.acquireSlot (slots.go): which exchange may open a connection when the limit is reached, and how long the
+//     others wait
+//   - exchange.claimWrite (exchange.go): whether a request may still be written once it has a connection
+//   - conn.readResponse (response.go): which responses are usable, and how long a response may pause
 //   - resultFromResponse, unsentResult, brokenResult (outcome.go): whether a request may have run
-//   - Pool.Update (pool.go): how long an endpoint that drains or is removed is remembered
+//   - Pool.Update (pool.go): how long a draining or removed endpoint is remembered
 package http1
 
 import (
@@ -25,7 +26,7 @@
 	"hazelwing/internal/engine"
 )
 
-// The defaults apply where the configuration gives no value.
+// Defaults of the fields of Config.
 const (
 	defaultEndpointIdleTimeout = 10 * time.Second
 	defaultConnectTimeout      = 250 * time.Millisecond
@@ -33,67 +34,67 @@
 	defaultMaxConns            = 500
 )
 
-// sweepInterval is how often idle connections are checked for their age. A higher value costs less, and closes them
-// later; get never returns one that is too old.
+// sweepInterval is the interval between two checks for expired idle connections. With a higher value the checks cost
+// less, but connections are closed later. Pool.get never returns an expired connection.
 const sweepInterval = time.Second
 
-// Pool is the transport of HTTP/1.1. It holds the idle connections to all endpoints. Its methods may be called from any
-// goroutine.
+// Pool is the transport over HTTP/1.1. It holds the idle connections to all endpoints. It is safe for concurrent use.
 type Pool struct {
 	dialer           net.Dialer
-	maxIdle          time.Duration // how long an idle connection is retained
-	reuseDelay       time.Duration // how long a connection is not reused after a response, until settleUntil
-	drainGrace       time.Duration // how long an endpoint is remembered after it drained or was removed
+	maxIdle          time.Duration // longest time for which an idle connection is retained
+	reuseDelay       time.Duration // shortest time from a response to the reuse of its connection
+	drainGrace       time.Duration // how long a draining or removed endpoint is remembered
 	maxConns         int           // limit on openConns
 	onConnLimit      func()        // called when an exchange has to wait for a connection slot
 	maxResponseBytes int64         // limit on the body of a response
 
 	mu                sync.Mutex
 	openConns         int
-	waiters           []chan struct{} // exchanges that wait for a connection slot, in order of arrival
+	waiters           []chan struct{} // one for each exchange that waits for a slot, in order of arrival
 	endpoints         map[string]*endpoint
-	reuseDelayedUntil time.Time // while endpoints are expected to send unsolicited data
+	reuseDelayedUntil time.Time // reuseDelay applies until this time
 }
 
-// endpoint is the address of an endpoint and the idle connections to it. The pool's lock guards it.
+// endpoint holds the current process of an endpoint and the idle connections to it. It is guarded by the pool's mutex.
 type endpoint struct {
 	id string
 	process
-	idle      []*conn   // the most recently used last
-	removedAt time.Time // when it was reported as draining or removed; zero while it is active
+	idle      []*conn   // in order of last use; the most recently used is last
+	removedAt time.Time // when the endpoint was reported as draining or removed; zero while it is active
 }
 
-// process identifies a process of an endpoint, as the endpoint list shows it. A connection belongs to one process.
+// process identifies a process of an endpoint by its entry in the endpoint list. A connection belongs to one process.
 //
-// Guard: prevents a connection to a former process from being used for one that has taken its name or its address: the
-// request would be reset. It holds because maySend and put compare the address and the start.
+// Guard: prevents a connection to an earlier process from being used for a process that has taken over its name or
+// address: the request would be reset. This holds because maySend and put compare the address and the start time.
 type process struct {
 	addr        string
 	startedAtMS float64
 }
 
-// Config configures a Pool. A field that is zero has the default given.
+// Config configures a Pool. The default of a field applies if the field is zero.
 type Config struct {
-	// ConnectTimeout limits how long it takes to establish a connection, how long an exchange waits for a connection
-	// slot, and how long a response that has begun may pause; 250 ms. With a higher value an endpoint that hangs takes
-	// more of a request's time; with a lower one an endpoint that is slow counts as failed.
+	// ConnectTimeout limits the time to establish a connection, the time for which an exchange waits for a connection
+	// slot, and each pause within a response. The default is 250 ms. With a higher value, a hanging endpoint takes more
+	// of a request's time; with a lower one, a slow endpoint counts as failed.
 	ConnectTimeout time.Duration
-	// EndpointIdleTimeout is how long endpoints keep idle connections open; 10 s. The pool retains them for 3/4 of it.
+	// EndpointIdleTimeout is the time for which endpoints keep idle connections open. The default is 10 s. The pool
+	// retains idle connections for 3/4 of it.
 	EndpointIdleTimeout time.Duration
-	// DrainGrace is for how long an endpoint that drains or was removed is remembered; 250 ms. It decides nothing else:
-	// no request is written to the endpoint meanwhile, so a higher value costs only the memory of its entry.
+	// DrainGrace is the time for which a draining or removed endpoint is remembered. The default is 250 ms. No request
+	// is written to the endpoint in this time, so a higher value only takes more memory.
 	DrainGrace time.Duration
-	// MaxConns limits the open connections; 500. A higher value costs descriptors; with a lower one exchanges wait for
-	// each other.
+	// MaxConns limits the number of open connections. The default is 500. A higher value takes more file descriptors;
+	// with a lower one, exchanges wait longer for a connection.
 	MaxConns int
-	// MaxResponseBytes limits the body of a response; 512 KiB, and never less. A higher value costs memory for each
-	// attempt.
+	// MaxResponseBytes limits the body of a response. The default, and the minimum, is 512 KiB. A higher value allows
+	// each attempt to take more memory.
 	MaxResponseBytes int64
-	// OnConnLimit is called, from any goroutine, when an exchange has to wait for a connection slot; may be nil.
+	// OnConnLimit is called, from any goroutine, when an exchange has to wait for a connection slot. It may be nil.
 	OnConnLimit func()
 }
 
-// New returns a Pool. Run Sweep to have idle connections closed.
+// New returns a Pool. The caller should run Sweep in a goroutine, so that idle connections are closed.
 func New(c Config) *Pool {
 	if c.ConnectTimeout <= 0 {
 		c.ConnectTimeout = defaultConnectTimeout
@@ -119,7 +120,7 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long, until ctx ends; then it closes all idle ones and returns.
+// Sweep closes connections that have been idle for too long. When ctx ends, it closes all idle connections and returns.
 func (p *Pool) Sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -142,23 +143,23 @@
 	}
 }
 
-// closeOldest closes the n idle connections of e that were used longest ago. The lock is held.
+// closeOldest closes the n least recently used idle connections of e. The caller holds p.mu.
 func (p *Pool) closeOldest(e *endpoint, n int) {
 	for _, c := range e.idle[:n] {
-		_ = c.Conn.Close() // an idle connection has nothing left to lose
+		_ = c.Conn.Close() // an idle connection carries no request
 		p.releaseSlot()
 	}
 	e.idle = slices.Delete(e.idle, 0, n)
 }
 
-// find returns the endpoint named id, or nil.
+// find returns the endpoint with the given ID, or nil.
 func (p *Pool) find(id string) *endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[id]
 }
 
-// CloseIdle closes the idle connections to the endpoint named id.
+// CloseIdle closes the idle connections to the endpoint with the given ID.
 func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,9 +168,9 @@
 	}
 }
 
-// Update applies an endpoint update that was notified at notifiedAt; complete tells that entries are the complete list.
-// An endpoint that drains or is removed is remembered for the drain grace, in which nothing new is written to it:
-// attempts may be under way to it.
+// Update applies an update of the endpoint list that arrived at notifiedAt. If complete is true, endpoints that are not
+// in entries are removed. A draining or removed endpoint is remembered for the drain grace, because attempts to it may
+// be in flight; no new request is written to it.
 func (p *Pool) Update(complete bool, entries []engine.Endpoint, notifiedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,7 +189,7 @@
 			p.endpoints[entry.ID] = e
 		}
 		current := process{entry.Addr, entry.StartedAtMS}
-		if e.process != current { // the idle connections belong to the former process
+		if e.process != current { // the idle connections belong to the earlier process
 			p.closeOldest(e, len(e.idle))
 			e.process = current
 		}
@@ -204,7 +205,8 @@
 	}
 }
 
-// markRemoved marks e as draining or removed since at. The lock is held.
+// markRemoved marks e as draining or removed since the given time, and closes its idle connections. The caller holds
+// p.mu.
 func (p *Pool) markRemoved(e *endpoint, at time.Time) {
 	if e.removedAt.IsZero() {
 		e.removedAt = at
--- a/internal/transport/http1/races_test.go
+++ b/internal/transport/http1/races_test.go
@@ -16,11 +16,12 @@
 	"hazelwing/internal/testutil"
 )
 
-// Races between two events at a connection to an endpoint: docs/design/crossings.md has the table.
+// These tests cover races between two events on a connection to an endpoint; docs/design/crossings.md lists them.
 
-// A client disconnects, or a drain is notified, while an attempt waits for a dial, and then the connection is
-// established. Written to, it would run for nobody, or be reset by an endpoint that stops: nothing must be written. The
-// connection is retained where others may use it, and no slot is lost.
+// While an attempt waits for a dial, its client disconnects, its call ends, or its endpoint drains, is removed or
+// restarts; then the connection is established. A request on it would run for a disconnected client, or be reset by a
+// stopping endpoint. Nothing may be written. The connection must be retained if other attempts can use it, and no slot
+// may be lost.
 func TestNothingIsWrittenAfterALateDial(t *testing.T) {
 	for name, c := range map[string]struct {
 		event func(p *Pool, x *exchange, disconnected *atomic.Bool, addr string)
@@ -87,26 +88,28 @@
 			open := p.openConns
 			p.mu.Unlock()
 			if bytes.Load() > 0 || open != c.open {
-				t.Errorf("%d requests were started, %d slots are in use, want 0 and %d", bytes.Load(), open, c.open)
+				t.Errorf("data arrived on %d connections, want 0; %d slots are in use, want %d",
+					bytes.Load(), open, c.open)
 			}
 		})
 	}
 }
 
-// newPayload is the request of a call.
+// newPayload returns the payload of a call.
 func newPayload() *httpmsg.Request {
 	return &httpmsg.Request{Method: "POST", URI: "/pay/x", Header: http.Header{}, Body: []byte("b")}
 }
 
-// restartedEndpoints is a list of endpoint "s" as another process.
+// restartedEndpoints returns a list with endpoint "s" as a new process at the same address.
 func restartedEndpoints(addr string) []engine.Endpoint {
 	list := activeEndpoints(addr)
 	list[0].StartedAtMS = 1
 	return list
 }
 
-// A client disconnects while its attempt waits for a connection slot, and the slot is granted in that moment. It must
-// go to the next one that waits: lost, it would leave the pool one connection short for good.
+// A client disconnects while its attempt waits for a connection slot, and the slot is granted at the same time. The
+// slot must be passed to the next waiting exchange; otherwise the pool would have one usable connection less from then
+// on.
 func TestLateConnectionSlotIsPassedOn(t *testing.T) {
 	received := make(chan net.Conn, 3)
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -122,7 +125,7 @@
 	conn := testutil.Receive(t, received, "the first request")
 	untilWaiters := func(n int) {
 		t.Helper()
-		testutil.Until(t, "the waiting exchanges", func() bool {
+		testutil.Until(t, "the expected number of waiting exchanges", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return len(p.waiters) == n
@@ -142,24 +145,25 @@
 	disconnected.Store(true)
 	write(conn, testutil.OKResponse)
 	wantResult(t, testutil.Receive(t, first, "the first outcome"), balancer.OK)
-	wantResult(t, testutil.Receive(t, outcomes, "the outcome of the disconnected one"), balancer.NotSent)
-	write(testutil.Receive(t, received, "the other's request"), testutil.OKResponse)
-	wantResult(t, testutil.Receive(t, outcomes, "the other's outcome"), balancer.OK)
+	wantResult(t, testutil.Receive(t, outcomes, "the outcome for the disconnected client"), balancer.NotSent)
+	write(testutil.Receive(t, received, "the request of the other client"), testutil.OKResponse)
+	wantResult(t, testutil.Receive(t, outcomes, "the outcome for the other client"), balancer.OK)
 	if len(received) > 0 {
 		t.Error("the request of the disconnected client was sent")
 	}
 }
 
-// An endpoint sends a second response some milliseconds after the first. On a connection that is in use again it would
-// be taken for that of the next request, and a client would get another's answer. The connection that it arrived on
-// must not be used again, and from then on none is reused for as long as such a response may still come.
+// An endpoint sends a second response some milliseconds after the first. On a reused connection it would be mistaken
+// for the answer to the next request, and a client would get another client's answer. The connection on which it
+// arrived must not be reused, and for reuseDelayPeriod after that, no connection may be reused before reuseDelay.
 func TestUnsolicitedResponseIsNotUsed(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	conns := make(chan net.Conn, 10)
 	addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for i := 0; testutil.ReadRequest(r) != nil; i++ {
 			if n == 1 && i > 0 {
-				// This answers the first request here, late; it would be taken for the response to this one.
+				// This is a late second response to the first request on this connection. If the connection were reused
+				// at once, the client would take it for the answer to this request.
 				write(conn, second)
 			} else {
 				write(conn, testutil.OKResponse)
@@ -175,24 +179,24 @@
 		o := run(p.newExchange(e, testutil.WaitTimeout, testRequest("GET")))
 		wantResult(t, o, balancer.OK)
 		if got := string(o.Answer.(*httpmsg.Response).Body); got != "ok" {
-			t.Errorf("a request got %q", got)
+			t.Errorf("a request got the body %q, want \"ok\"", got)
 		}
 		return testutil.Receive(t, conns, "the request")
 	}
 	first := request()
 	if request() != first {
-		t.Error("a second connection was opened without need")
+		t.Error("the idle connection was not reused before any unsolicited data arrived")
 	}
 	write(first, second)
-	testutil.Until(t, "the second answer", func() bool { return e.idle[0].peek() == netpeek.Readable })
+	testutil.Until(t, "the second response", func() bool { return e.idle[0].peek() == netpeek.Readable })
 	next := request()
 	if next == first {
-		t.Error("the connection with unsolicited data was used again")
+		t.Error("the connection with unsolicited data was reused")
 	}
 	if request() == next {
-		t.Error("a connection was reused at once where a second response may come")
+		t.Error("a connection was reused before reuseDelay although an endpoint has sent unsolicited data")
 	}
 	if len(e.idle) != 2 || p.openConns != 2 {
-		t.Errorf("%d idle connections and %d slots in use, want 2", len(e.idle), p.openConns)
+		t.Errorf("%d idle connections and %d slots in use, want 2 and 2", len(e.idle), p.openConns)
 	}
 }
--- a/internal/transport/http1/response.go
+++ b/internal/transport/http1/response.go
@@ -4,36 +4,39 @@
 	"bufio"
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"time"
 )
 
-// What is wrong with a response whose connection is intact.
+// Errors of responses that are unusable although their connection is intact.
 var (
-	errResponseTooLong  = errors.New("the answer is too long")
-	errNoResponseLength = errors.New("the answer's end cannot be told")
+	errResponseTooLong  = errors.New("response too long")
+	errNoResponseLength = errors.New("end of the response is ambiguous")
 )
 
 // Limits on a response, in bytes.
 const (
-	// maxResponseHeadBytes limits the head. A higher value lets a head without end take more memory and time.
+	// maxResponseHeadBytes limits the head. With a higher value, an endless head takes more memory and time.
 	maxResponseHeadBytes = 64 << 10
-	// minResponseLimit is the lowest limit on the body; it is higher where there is memory. With a higher value fewer
-	// responses are too long, and each attempt may take more memory.
+	// minResponseLimit is the lowest limit on the body; Config.MaxResponseBytes may raise it. With a higher value,
+	// fewer responses are rejected as too long, but each attempt may take more memory.
 	minResponseLimit = 512 << 10
-	// initialBodyBuffer limits what is allocated for the body before any of it has come. With a higher value a length
-	// that is announced and never comes costs more memory; with a lower one long bodies are copied as they grow.
+	// initialBodyBuffer limits the bytes that are allocated for a body before any of it has arrived. With a higher
+	// value, a body that is announced but never sent takes more memory; with a lower one, the buffers of long bodies
+	// are reallocated as they grow.
 	initialBodyBuffer = 64 << 10
 )
 
-// readResponse decides which responses can be used: complete ones whose end is certain, with a head of at most
-// maxResponseHeadBytes, a body of at most maxBytes, and no pause longer than ConnectTimeout once they have begun.
-// Interim responses are skipped.
+// readResponse reads a response. It returns an error unless the response is complete, has an unambiguous end, a head of
+// at most maxResponseHeadBytes and a body of at most maxBytes, and contains no pause longer than Config.ConnectTimeout.
+// It skips interim responses.
 //
-// Guard: prevents malformed responses whose connection stays open, such as heads without end and lengths that do not
-// fit, from holding the attempt until its deadline, memory, or the next request's answer. It holds because the pause
-// and the bytes are limited below net/http, and because a connection that is not read to its end is closed.
+// Guard: prevents malformed responses whose connection stays open, for example with an endless head or a wrong length,
+// from occupying the attempt until its deadline, from taking unlimited memory, and from being read as the answer to the
+// next request. This holds because pauses and sizes are limited below net/http, and because a connection is closed
+// unless the response was read to its end.
 func (c *conn) readResponse(maxBytes int64) (*http.Response, []byte, error) {
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
@@ -44,7 +47,7 @@
 		})
 		resp, body, err := c.readOneResponse(maxBytes)
 		if !c.responsePauseTimer.Stop() && err == nil {
-			resp.Close = true // the deadline may have been set, or be about to be
+			resp.Close = true // the read deadline was set or is about to be set, so the connection cannot be reused
 		}
 		c.responsePauseTimer = nil
 		if err != nil || resp.StatusCode >= http.StatusOK {
@@ -53,8 +56,8 @@
 	}
 }
 
-// readOneResponse reads one complete response; an interim one has no body. The body is not closed: that would read the
-// rest of one that is too long.
+// readOneResponse reads one complete response. An interim response has no body. The body is not closed, because Close
+// would read the rest of a body that is too long.
 func (c *conn) readOneResponse(maxBytes int64) (*http.Response, []byte, error) {
 	head, err := c.peekHead()
 	if err != nil {
@@ -65,29 +68,33 @@
 	switch {
 	case err != nil:
 		return nil, nil, err
-	case resp.StatusCode == http.StatusSwitchingProtocols,
-		resp.ContentLength < 0 && (hasLength || len(resp.TransferEncoding) == 0):
-		// This prevents truncated responses from passing: with neither a length nor chunks a broken connection looks
-		// like the end, and where there are both net/http hides the length.
-		return nil, nil, errNoResponseLength
-	case resp.ContentLength > maxBytes: // nothing of a body that cannot be used is read
-		return nil, nil, errResponseTooLong
+	case resp.StatusCode == http.StatusSwitchingProtocols:
+		return nil, nil, fmt.Errorf("%w: status 101 switches to another protocol", errNoResponseLength)
+	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
+		// A response with neither a length nor chunks ends with its connection, so a broken connection would look like
+		// the end of the response. This check prevents truncated responses from being accepted.
+		return nil, nil, fmt.Errorf("%w: neither Content-Length nor chunked encoding", errNoResponseLength)
+	case resp.ContentLength < 0 && hasLength: // net/http ignores the length if the response is chunked, too
+		return nil, nil, fmt.Errorf("%w: both Content-Length and chunked encoding", errNoResponseLength)
+	case resp.ContentLength > maxBytes: // the body is not read, because it is unusable
+		return nil, nil, fmt.Errorf("%w: Content-Length is %d, want at most %d",
+			errResponseTooLong, resp.ContentLength, maxBytes)
 	}
 	var body bytes.Buffer
 	body.Grow(int(min(max(resp.ContentLength, 0), initialBodyBuffer)) + bytes.MinRead)
 	_, err = body.ReadFrom(io.LimitReader(resp.Body, maxBytes+1))
 	if err == nil && int64(body.Len()) > maxBytes {
-		err = errResponseTooLong
+		err = fmt.Errorf("%w: body exceeds %d bytes", errResponseTooLong, maxBytes)
 	}
 	return resp, body.Bytes(), err
 }
 
-// peekHead returns the bytes of a response's head, or the first of them where it is longer than the buffer; the error
-// says why it is incomplete.
+// peekHead returns the head of a response without consuming it, or the beginning of the head if it is longer than the
+// buffer. It returns an error if the connection ends or fails before the end of the head.
 func (c *conn) peekHead() ([]byte, error) {
 	for n := 1; ; n = c.reader.Buffered() + 1 {
 		_, err := c.reader.Peek(n)
-		text, _ := c.reader.Peek(c.reader.Buffered()) // cannot fail: these bytes are buffered
+		text, _ := c.reader.Peek(c.reader.Buffered()) // never fails, because the bytes are buffered
 		for _, end := range []string{"\r\n\r\n", "\n\n"} {
 			if i := bytes.Index(text, []byte(end)); i >= 0 {
 				return text[:i], nil
--- a/internal/transport/http1/reuse.go
+++ b/internal/transport/http1/reuse.go
@@ -8,25 +8,28 @@
 	"hazelwing/internal/netpeek"
 )
 
-// idleShare is how long an idle connection is retained, as a share of the time after which the endpoint closes it. A
-// higher value saves connections; closer to 1 more requests cross the endpoint's close, and count as reset.
+// idleShare is the time for which an idle connection is retained, as a share of the time after which the endpoint
+// closes it. A higher value saves new connections; the closer it is to 1, the more requests are written just as the
+// endpoint closes the connection, and count as reset.
 const idleShare = 0.75
 
 const (
-	// reuseDelay is how long a connection is not reused after a response, during reuseDelayPeriod. This prevents a
-	// second response, which comes some milliseconds after the first, from being taken for that of the next request:
-	// nothing in it shows that it is not. A higher value takes more connections. It does not apply at other times,
-	// because these connections cost more than they save where all endpoints follow the protocol.
+	// reuseDelay is the minimum time between a response and the reuse of its connection, during reuseDelayPeriod. It
+	// prevents a second response, sent some milliseconds after the first, from being mistaken for the answer to the
+	// next request, because a response does not identify its request. With a higher value, more connections are needed.
+	// The delay does not apply at other times, because if all endpoints follow the protocol, the additional connections
+	// cost more than the delay saves.
 	reuseDelay = 30 * time.Millisecond
-	// reuseDelayPeriod is how long reuseDelay applies after an endpoint has sent unsolicited data. With a higher value
-	// more connections are opened after each; with a lower one more responses may be taken for others.
+	// reuseDelayPeriod is the time for which reuseDelay applies after an endpoint has sent unsolicited data. With a
+	// higher value, more connections are opened after each such event; with a lower one, more responses may be mistaken
+	// for answers to other requests.
 	reuseDelayPeriod = 10 * time.Second
 )
 
-// get decides which connection to e a request is written to: the idle one that was used last, unless it has been idle
-// for maxIdle, or for less than reuseDelay during reuseDelayPeriod; otherwise a new one. Where the limit is reached,
-// the connection of some endpoint that has been idle longest is closed for it: it can be opened again. The error is
-// errConnLimit where there is no slot.
+// get returns the connection to e that a request is written to: the most recently used idle connection, or a new one.
+// It ignores connections that have been idle for maxIdle or longer and, while reuses are delayed, for less than
+// reuseDelay. If the connection limit is reached, it closes the longest idle connection of some endpoint for the new
+// one. It returns errConnLimit if there is no slot.
 func (p *Pool) get(ctx context.Context, e *endpoint) (*conn, error) {
 	p.mu.Lock()
 	to := e.process
@@ -50,11 +53,13 @@
 	return p.dial(ctx, to)
 }
 
-// put decides whether a connection is retained whose response was read to its end. It is closed where unread bytes are
-// left on it, where e is no longer the process that it was opened to, or where others wait for its slot.
+// put returns a connection whose response was read to its end to the pool. It closes the connection instead if unread
+// bytes remain, if e is no longer the process that the connection was opened to, or if other exchanges wait for its
+// slot.
 //
-// Guard: prevents a request from going to a process that has been replaced, or from being answered by bytes of another
-// response. A client would get another's answer. It holds because get returns only what put has retained.
+// Guard: prevents a request from being sent to a process that was replaced, and from being answered by the bytes of
+// another response, so that a client would get another client's answer. This holds because get returns only new
+// connections and connections that put has retained.
 func (p *Pool) put(e *endpoint, c *conn) {
 	p.mu.Lock()
 	current := e.removedAt.IsZero() && p.endpoints[e.id] == e && c.process == e.process
@@ -65,21 +70,22 @@
 		return
 	}
 	p.mu.Unlock()
-	_ = c.Close() // the response has been read
+	_ = c.Close() // the response was read
 }
 
-// recordUnsolicitedData records that data came on an idle connection: a reuseDelayPeriod begins.
+// recordUnsolicitedData starts a reuseDelayPeriod after data has arrived on an idle connection.
 //
-// Guard: prevents a second response, which comes after the next request's first byte, from being taken for that one's:
-// a client would get another's answer. It holds from the first such response on that is seen, for responses that come
-// within reuseDelay; nothing in a response ties it to its request.
+// Guard: prevents a second response that arrives after the first byte of the next request from being mistaken for the
+// answer to that request: a client would get another client's answer. This holds after the first unsolicited response
+// was detected, for responses that arrive within reuseDelay. Other ones cannot be detected, because a response does not
+// identify its request.
 func (p *Pool) recordUnsolicitedData() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseDelayedUntil = time.Now().Add(reuseDelayPeriod)
 }
 
-// closeExpired closes the connections to e that have been idle for too long. The lock is held.
+// closeExpired closes the connections to e that have been idle for too long. The caller holds p.mu.
 func (p *Pool) closeExpired(e *endpoint, now time.Time) {
 	n := 0
 	for n < len(e.idle) && now.Sub(e.idle[n].idleSince) >= p.maxIdle {
@@ -88,12 +94,12 @@
 	p.closeOldest(e, n)
 }
 
-// peek returns the state of an idle connection: it can be used if the endpoint has neither sent anything on it nor
-// closed it.
+// peek returns the state of an idle connection. The connection can be used if it is netpeek.Idle, that is, if the
+// endpoint has neither sent data on it nor closed it.
 //
-// Guard: prevents a request from being written to a connection that the endpoint has closed, or its crash reset: it
-// would count as reset, and a request that is not idempotent would fail though it never ran. It holds, but for a close
-// that is under way, because prepare asks right before the write.
+// Guard: prevents a request from being written to a connection that the endpoint has closed or that was reset because
+// the endpoint crashed. Such a request would count as reset, and a non-idempotent one would fail although it never ran.
+// This holds, except for a close that is in transit, because prepare calls peek immediately before the write.
 func (c *conn) peek() netpeek.State {
 	if c.reader.Buffered() > 0 {
 		return netpeek.Readable
--- a/internal/transport/http1/slots.go
+++ b/internal/transport/http1/slots.go
@@ -3,18 +3,20 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"slices"
 )
 
-// errConnLimit says that the pool has as many connections open as it may.
-var errConnLimit = errors.New("too many connections open")
+// errConnLimit means that the limit on open connections is reached.
+var errConnLimit = errors.New("connection limit reached")
 
-// acquireSlot decides who may open a connection where maxConns are open: exchanges wait for a slot in order of arrival,
-// each no longer than ConnectTimeout, and then end as not sent. The wait prevents a burst from using up all attempts of
-// a request within a moment. The lock is held at the call, and released at the return.
+// acquireSlot acquires a slot for a new connection. If maxConns connections are open, exchanges wait for a slot in
+// order of arrival, each for at most ConnectTimeout, and then end as not sent. The wait prevents a burst from using up
+// all attempts of a request within a moment. The caller holds p.mu, and acquireSlot releases it.
 //
-// Guard: prevents a slot from being lost that is granted in the moment in which the wait for it ends: the pool could
-// open ever fewer connections. It holds because who gives up looks under the lock that grants are made under.
+// Guard: prevents the loss of a slot that is granted just as the wait for it ends: the number of usable connections
+// would shrink over time. This holds because an exchange that stops waiting checks for a grant while it holds the mutex
+// under which slots are granted.
 func (p *Pool) acquireSlot(ctx context.Context) error {
 	if p.openConns < p.maxConns {
 		p.openConns++
@@ -37,12 +39,12 @@
 	if i := slices.Index(p.waiters, granted); i >= 0 {
 		p.waiters = slices.Delete(p.waiters, i, i+1)
 	} else {
-		p.releaseSlot() // it was granted as the wait ended
+		p.releaseSlot() // a slot was granted just as the wait ended
 	}
-	return errConnLimit
+	return fmt.Errorf("%w: no connection slot became free; the limit is %d", errConnLimit, p.maxConns)
 }
 
-// releaseSlot frees a slot, or grants it to the exchange that has waited longest. The lock is held.
+// releaseSlot frees a slot, or grants it to the exchange that has waited longest. The caller holds p.mu.
 func (p *Pool) releaseSlot() {
 	if len(p.waiters) == 0 {
 		p.openConns--
