--- a/internal/transport/grpc/codec.go
+++ b/internal/transport/grpc/codec.go
@@ -6,22 +6,23 @@
 	"google.golang.org/grpc/mem"
 )
 
-// frame is an encoded message. The application's codec encodes the request and decodes the response once a call rather
-// than once an attempt: several attempts may be in flight at the same time, and the response of only one is the call's.
+// frame is an encoded message. The application's codec encodes the request and decodes the response once for each call
+// instead of once for each attempt, because several attempts may be in flight at the same time and only one response is
+// delivered.
 type frame struct{ data []byte }
 
-// frameCodec passes frames through unchanged, under the name of the codec that encoded them. It implements
+// frameCodec passes frames through unchanged, with the name of the codec that encoded them. It implements
 // encoding.CodecV2.
 type frameCodec struct {
 	name string
 	gate *gate
 }
 
-// Name returns the content-subtype of the call.
+// Name returns the content subtype of the call.
 func (c frameCodec) Name() string { return c.name }
 
-// Marshal returns the encoded request. grpc-go calls it once the stream is open, right before the message is written,
-// so that this is the last point at which the message can be withheld.
+// Marshal returns the encoded request. grpc-go calls it after the stream was opened, immediately before it writes the
+// message, so this is the last point at which the message can be withheld.
 func (c frameCodec) Marshal(v any) (mem.BufferSlice, error) {
 	f, ok := v.(*frame)
 	if !ok {
--- a/internal/transport/grpc/connection.go
+++ b/internal/transport/grpc/connection.go
@@ -10,10 +10,13 @@
 	"google.golang.org/grpc/connectivity"
 )
 
+// errConnNotReady means that grpc-go failed to connect to an endpoint, or that the connection was closed. Applications
+// see its text in the status of a failed call.
 var errConnNotReady = errors.New("the connection did not come up")
 
-// connectBackoff is how grpc-go spaces its own attempts to connect. Attempts of calls do not wait for it: see conn.
-// Higher values leave an endpoint that is back without a connection for longer, where no call asks for one.
+// connectBackoff spaces the connection attempts that grpc-go makes by itself. Attempts of calls do not wait for it,
+// because Transport.conn replaces a failed connection. With higher values, an endpoint that has recovered stays without
+// a connection for longer, unless a call requests one.
 var connectBackoff = backoff.Config{
 	BaseDelay:  time.Second,
 	Multiplier: 2,
@@ -21,10 +24,11 @@
 	MaxDelay:   8 * time.Second,
 }
 
-// connect returns the connection to e once it is up, and waits for that no longer than Config.ConnectTimeout.
+// connect returns the connection to e when it is ready. It waits for at most Config.ConnectTimeout.
 //
-// A call of grpc-go that waits by itself ends with a stale error when an earlier attempt to connect failed. The
-// balancer has decided on this attempt since, so it is given a connection attempt of its own.
+// A call that waits for the connection in grpc-go fails with the error of an earlier connection attempt, if there was
+// one. That error is stale, because the balancer decided on this attempt later. Therefore connect starts a connection
+// attempt of its own.
 func (t *Transport) connect(ctx context.Context, e *endpoint) (*grpc.ClientConn, error) {
 	conn, err := t.conn(e)
 	if err != nil {
@@ -48,9 +52,9 @@
 	}
 }
 
-// conn returns the connection to e, which may not be up, and makes one when there is none. A connection that failed is
-// replaced: it reports TransientFailure until it is up again, so that the outcome of a new attempt to connect could not
-// be told from that of the earlier one.
+// conn returns the connection to e, which may not be ready, and creates one if there is none. It replaces a failed
+// connection, because grpc-go reports TransientFailure until the connection is ready again: the outcome of a new
+// connection attempt could not be distinguished from that of the earlier one.
 func (t *Transport) conn(e *endpoint) (*grpc.ClientConn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +69,7 @@
 	return conn, err
 }
 
-// dialOptions returns the options of the configuration, followed by those of the transport, which take precedence.
+// dialOptions returns the configured options, followed by those of the transport, which take precedence.
 func (t *Transport) dialOptions() []grpc.DialOption {
 	return append(append([]grpc.DialOption(nil), t.cfg.DialOptions...),
 		grpc.WithDisableRetry(),
@@ -78,15 +82,16 @@
 	)
 }
 
-// disconnectIfUnused closes the connection to e if e has left and nothing is in flight to it. t.mu is held.
+// disconnectIfUnused closes the connection to e if e is draining, removed or replaced and has no exchange in flight.
+// The caller holds t.mu.
 func (t *Transport) disconnectIfUnused(e *endpoint) {
 	if !e.removedAt.IsZero() && len(e.inFlight) == 0 {
 		t.disconnect(e)
 	}
 }
 
-// disconnect closes the connection to e, if there is one, in a goroutine that Close waits for: the caller may not
-// block. t.mu is held.
+// disconnect closes the connection to e, if there is one, in a goroutine that Close waits for, because the caller must
+// not block. The caller holds t.mu.
 func (t *Transport) disconnect(e *endpoint) {
 	conn := e.conn
 	if conn == nil {
@@ -94,12 +99,12 @@
 	}
 	e.conn = nil
 	t.closing.Go(func() {
-		_ = conn.Close() // fails only if it is closed already
+		_ = conn.Close() // fails only if the connection is already closed
 	})
 }
 
-// CloseIdle closes the connection to an endpoint that has nothing in flight. The engine calls it from the goroutine of
-// its Run.
+// CloseIdle closes the connection to an endpoint if it has no exchange in flight. The engine calls it from the
+// goroutine of its Run.
 func (t *Transport) CloseIdle(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,7 +113,8 @@
 	}
 }
 
-// Close closes all connections and returns when they are closed. The engine's Run has to have returned before.
+// Close closes all connections, and returns when they are closed. It must be called after the engine's Run has
+// returned.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closed = true
--- a/internal/transport/grpc/disconnect_test.go
+++ b/internal/transport/grpc/disconnect_test.go
@@ -12,15 +12,16 @@
 	"hazelwing/internal/testutil"
 )
 
-// busyEndpoint is an endpoint with capacity for one stream, which is taken, and a second attempt that waits for it.
+// busyEndpoint is an endpoint with capacity for one stream, which the first attempt occupies. A second attempt waits
+// for capacity.
 type busyEndpoint struct {
 	first         *rawh2.Stream
 	firstOutcome  chan engine.Outcome
 	secondOutcome chan engine.Outcome
-	disconnected  atomic.Bool        // what Disconnected of the second call reports
+	disconnected  atomic.Bool        // result of Disconnected of the second call
 	cancelSecond  context.CancelFunc // ends the context of the second call
 	streamsOpened atomic.Int32
-	messages      atomic.Int32 // streams whose message has come
+	messages      atomic.Int32 // streams whose message was received
 	resets        chan bool
 }
 
@@ -54,32 +55,33 @@
 }
 
 // The context of a call ends while its stream waits in grpc-go for capacity, and the engine has not processed that yet.
-// When there is capacity the stream would be written, and its method run for nobody: the wait must end without the
-// engine, and nothing of the call be written.
+// As soon as there is capacity, the stream would be written and its method run although no client waits for it. The
+// wait must end without the engine, and nothing of the call may be written.
 func TestContextEndsWhileWaitingForStreamCapacity(t *testing.T) {
 	b := newBusyEndpoint(t)
 	b.cancelSecond()
-	if o := testutil.Receive(t, b.secondOutcome, "the second's outcome"); o.Result.MayHaveRun() {
-		t.Errorf("result %d (%v)", o.Result, o.Err)
+	if o := testutil.Receive(t, b.secondOutcome, "the outcome of the second attempt"); o.Result.MayHaveRun() {
+		t.Errorf("the second attempt has result %d (%v), which may have run", o.Result, o.Err)
 	}
 	b.first.OK(nil)
-	o := testutil.Receive(t, b.firstOutcome, "the first's outcome")
+	o := testutil.Receive(t, b.firstOutcome, "the outcome of the first attempt")
 	if o.Result != balancer.OK || b.streamsOpened.Load() != 1 {
-		t.Errorf("result %d, %d streams", o.Result, b.streamsOpened.Load())
+		t.Errorf("the first attempt has result %d and %d streams were opened, want OK and 1",
+			o.Result, b.streamsOpened.Load())
 	}
 }
 
-// Capacity becomes available in the instant in which the client disconnects, so that the stream is opened. With its
-// message the method would run for nobody: no message may follow.
+// Capacity becomes available just as the client disconnects, so that the stream is opened. If the message were written,
+// the method would run although no client waits for it. No message may follow.
 func TestNoMessageForADisconnectedClient(t *testing.T) {
 	b := newBusyEndpoint(t)
 	b.disconnected.Store(true)
 	b.first.OK(nil)
-	if o := testutil.Receive(t, b.secondOutcome, "the second's outcome"); o.Result != balancer.Cancelled {
-		t.Errorf("result %d (%v), which is evidence about the endpoint", o.Result, o.Err)
+	if o := testutil.Receive(t, b.secondOutcome, "the outcome of the second attempt"); o.Result != balancer.Cancelled {
+		t.Errorf("result %d (%v), want Cancelled, which is no evidence about the endpoint", o.Result, o.Err)
 	}
-	testutil.Receive(t, b.resets, "the stream's reset")
+	testutil.Receive(t, b.resets, "the reset of the stream")
 	if b.messages.Load() != 1 {
-		t.Error("its message was written")
+		t.Errorf("the endpoint received %d messages, want only that of the first attempt", b.messages.Load())
 	}
 }
--- a/internal/transport/grpc/exchange.go
+++ b/internal/transport/grpc/exchange.go
@@ -17,59 +17,60 @@
 )
 
 const (
-	// transportCallOptions is how many options callOptions adds to those of a request.
+	// transportCallOptions is the number of options that callOptions adds to those of a request.
 	transportCallOptions = 5
-	// retryBufferOverhead is what grpc-go's replay buffer has to have room for beside the message, in bytes.
+	// retryBufferOverhead is the space, in bytes, that grpc-go's replay buffer needs in addition to the message.
 	retryBufferOverhead = 1024
 )
 
-// Request is the Payload of an engine.Call. It must not be changed once it was handed to the engine.
+// Request is the Payload of an engine.Call. It must not be modified after it was passed to the engine.
 type Request struct {
-	// Context is the application's. Its values and outgoing metadata are the attempts' too, and a stream ends with it.
+	// Context is the application's context. Attempts inherit its values and outgoing metadata, and a stream ends when
+	// it ends.
 	//
-	//nolint:containedctx // the context of the request that the value stands for, as in net/http.Request
+	//nolint:containedctx // Request represents one request with its context, like net/http.Request
 	Context context.Context
-	// Method is the full name, "/package.Service/Method".
+	// Method is the full method name, "/package.Service/Method".
 	Method string
-	// Stream describes a server-streaming call; nil for a unary one.
+	// Stream describes a server-streaming call; nil for a unary call.
 	Stream *grpc.StreamDesc
 	// Message is the encoded request message.
 	Message []byte
 	// Codec is the name of the codec that encoded Message.
 	Codec string
-	// Credentials are the call's own; may be nil.
+	// Credentials are the credentials of the call; may be nil.
 	Credentials credentials.PerRPCCredentials
-	// CallOptions are further options of each attempt: none that writes through a pointer, and none about codecs,
-	// credentials or waiting.
+	// CallOptions are further options of each attempt. They must not include options that write through a pointer, nor
+	// options for codecs, credentials or waiting for readiness.
 	CallOptions []grpc.CallOption
 }
 
-// Response is what an attempt returned: all of a unary call, or the beginning of a stream.
+// Response is the response to an attempt: the complete response of a unary call, or the beginning of a stream.
 type Response struct {
-	Message []byte // the encoded response message, or the stream's first one; nil if there is none
-	Err     error  // a status error, or io.EOF for a stream that ended well without a message
+	Message []byte // encoded response message, or first message of the stream; nil if there is none
+	Err     error  // status error, or io.EOF for a stream that ended with status OK and without a message
 	Header  metadata.MD
 	Trailer metadata.MD
 	Peer    peer.Peer
-	Stream  *Stream // the rest of a stream of which Message is the first message; nil otherwise
+	Stream  *Stream // rest of the stream after Message; nil for a unary call or a stream without a message
 }
 
-// exchange is an attempt or a probe. It implements engine.Exchange: the engine calls Run in a goroutine of its own, and
-// Cancel and CancelUnsent from any other.
+// exchange is an attempt or a probe. It implements engine.Exchange: the engine calls Run in a separate goroutine, and
+// Cancel and CancelUnsent from any other goroutine.
 type exchange struct {
 	transport *Transport
 	endpoint  *endpoint
 	request   *Request // nil for a probe
 	startedAt time.Time
 	gate      *gate
-	//nolint:containedctx // the deadline counts from the attempt's creation, and Cancel may come before Run has begun
+	//nolint:containedctx // the deadline counts from the creation, and Cancel may be called before Run
 	ctx        context.Context
 	cancel     context.CancelFunc
-	beginTimer *time.Timer // ends a stream that has no message within its timeout; nil for others
+	beginTimer *time.Timer // ends a stream that has no message within its timeout; nil for unary calls and probes
 }
 
-// Attempt prepares an attempt of a call whose Payload is a *Request. It returns nil if the endpoint is not known, or
-// the Payload is another. The engine calls it from the goroutine of its Run.
+// Attempt prepares an attempt of a call whose Payload is a *Request. It returns nil if the endpoint is unknown or the
+// Payload has another type. The engine calls it from the goroutine of its Run.
 func (t *Transport) Attempt(id string, c *engine.Call, timeout time.Duration) engine.Exchange {
 	request, ok := c.Payload.(*Request)
 	if !ok {
@@ -85,8 +86,8 @@
 	return x
 }
 
-// Probe prepares a probe: Check of grpc.health.v1, whose trailer may have an ORCA report. It returns nil if the
-// endpoint is not known. The engine calls it from the goroutine of its Run.
+// Probe prepares a probe, which calls Check of grpc.health.v1 and reads the ORCA report in the trailer, if there is
+// one. It returns nil if the endpoint is unknown. The engine calls it from the goroutine of its Run.
 func (t *Transport) Probe(id string, timeout time.Duration) engine.Exchange {
 	x := t.newExchange(id, nil, timeout)
 	if x == nil {
@@ -95,8 +96,8 @@
 	return x
 }
 
-// newExchange returns an exchange with an endpoint that ends after timeout, or nil if the endpoint is not known. The
-// request is nil for a probe.
+// newExchange returns an exchange with the endpoint of the given ID that ends after timeout, or nil if the endpoint is
+// unknown. The request is nil for a probe.
 func (t *Transport) newExchange(id string, request *Request, timeout time.Duration) *exchange {
 	x := &exchange{transport: t, request: request, startedAt: time.Now()}
 	base := context.Background()
@@ -116,11 +117,13 @@
 	return x
 }
 
-// setContext derives x's context from base. The timeout of a unary call or a probe is its deadline, which the server is
-// told. That of a stream ends with its first message, so the deadline is the application's.
+// setContext derives the context of x from base. The timeout of a unary call or a probe becomes the deadline, which
+// grpc-go sends to the server. The timeout of a stream applies only until its first message, so its deadline is the
+// application's.
 //
-// Guard: prevents an attempt from outliving its time while it waits in grpc-go for capacity, where the engine cannot
-// see it: it would be written whenever there is some. It holds because grpc-go itself ends the call with this context.
+// Guard: prevents an attempt from outliving its timeout while it waits in grpc-go for stream capacity, which the engine
+// cannot observe: it would be written as soon as there is capacity. This holds because grpc-go ends the call with this
+// context.
 func (x *exchange) setContext(base context.Context, timeout time.Duration) {
 	if x.request == nil || x.request.Stream == nil {
 		x.ctx, x.cancel = context.WithDeadline(base, x.startedAt.Add(timeout))
@@ -140,11 +143,11 @@
 // Cancel ends the exchange.
 func (x *exchange) Cancel() { x.cancel() }
 
-// CancelUnsent ends the exchange unless its headers are on the connection, and refuses any further stream.
+// CancelUnsent ends the exchange unless its headers were already written, and refuses any further stream.
 func (x *exchange) CancelUnsent() { x.gate.close() }
 
-// Run carries out the exchange and returns its outcome. begin is called with the *Response of a stream that has begun,
-// and reports whether the stream is the call's.
+// Run performs the exchange and returns its outcome. For a stream, it calls begin with the *Response that holds the
+// first message; begin reports whether the stream is delivered to the client.
 func (x *exchange) Run(begin func(any) bool) engine.Outcome {
 	defer x.transport.unregister(x)
 	defer x.cancel()
@@ -152,7 +155,7 @@
 		defer x.beginTimer.Stop()
 	}
 	if x.request != nil {
-		// The engine calls CancelUnsent too when the client disconnects, but only once it gets to it.
+		// The engine also calls CancelUnsent when the client disconnects, but only when it processes that event.
 		release := context.AfterFunc(x.request.Context, x.gate.close)
 		defer release()
 	}
@@ -172,8 +175,8 @@
 	return outcome
 }
 
-// callOptions returns the options of the request, then those of the transport, then the given ones. Of options that
-// contradict each other the last one counts.
+// callOptions returns the options of the request, followed by those of the transport, followed by the given ones. If
+// options conflict, the last one takes effect.
 func (x *exchange) callOptions(more ...grpc.CallOption) []grpc.CallOption {
 	r := x.request
 	opts := make([]grpc.CallOption, 0, len(r.CallOptions)+len(more)+transportCallOptions)
@@ -189,7 +192,7 @@
 	return append(opts, more...)
 }
 
-// unary carries out a unary call.
+// unary performs a unary call.
 func (x *exchange) unary(conn *grpc.ClientConn) engine.Outcome {
 	response := new(Response)
 	var reply frame
@@ -199,8 +202,8 @@
 	return x.outcome(response)
 }
 
-// outcome returns the outcome of an attempt that has ended with response. The response is part of it when the server
-// sent it: a status that grpc-go made up is none.
+// outcome returns the outcome of an attempt that has ended with response. The outcome contains the response only if it
+// is final or the server sent a status; a status that grpc-go itself generated is not a response.
 func (x *exchange) outcome(response *Response) engine.Outcome {
 	err := ignoreEOF(response.Err)
 	outcome := engine.Outcome{Err: err, Load: x.transport.loadReport(response.Trailer)}
@@ -211,7 +214,7 @@
 	return outcome
 }
 
-// ignoreEOF returns err, or nil if it is io.EOF: the end of a stream that went well.
+// ignoreEOF returns nil if err is io.EOF, which means that a stream ended with status OK, and err otherwise.
 func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -219,7 +222,7 @@
 	return err
 }
 
-// probe asks the endpoint for its health and its load.
+// probe requests the health and the load report of the endpoint.
 func (x *exchange) probe(conn *grpc.ClientConn) engine.Outcome {
 	var trailer metadata.MD
 	request := &healthpb.HealthCheckRequest{Service: x.transport.cfg.HealthService}
--- a/internal/transport/grpc/gate.go
+++ b/internal/transport/grpc/gate.go
@@ -11,42 +11,45 @@
 	"google.golang.org/grpc/status"
 )
 
-// gate allows one stream of an exchange, and no other. It builds on two public interfaces of grpc-go: the call's
-// credentials are asked for their metadata before each stream that is opened, and the statistics handler is notified of
-// each stream.
+// gate allows exactly one stream of an exchange. It uses two public interfaces of grpc-go: the call's credentials,
+// which grpc-go asks for metadata before it opens each stream, and the statistics handler, which grpc-go notifies of
+// the events of each stream.
 //
-//   - grpc-go's transparent retry cannot be switched off (WithDisableRetry leaves it on): it opens another stream for
-//     the same call where it knows that the first one was not processed. stats.Begin reports that a stream is such a
-//     retry, and the credentials refuse it. An interceptor that retries by itself is refused too, but proves nothing.
-//   - A stream that was allowed may wait for capacity on the connection (SETTINGS_MAX_CONCURRENT_STREAMS). It is on the
-//     wire when its headers were counted (stats.OutHeader), not before. If its client has disconnected by then, the
-//     message does not follow: a server runs no method before it has the message.
+//   - The transparent retry of grpc-go cannot be disabled; WithDisableRetry leaves it enabled. It opens another stream
+//     for the same call if grpc-go knows that the first one was not processed. stats.Begin reports that a stream is
+//     such a retry, and the credentials refuse it. A retry by an interceptor is refused too, but it does not prove that
+//     the first stream was not processed.
+//   - A stream that was allowed may wait for capacity on the connection (SETTINGS_MAX_CONCURRENT_STREAMS). Its headers
+//     are written when stats.OutHeader is reported, not before. If the client has disconnected by then, the message is
+//     not written, and a server runs no method before it has received the message.
 //
-// It implements credentials.PerRPCCredentials. Its methods may be called from any goroutine.
+// gate implements credentials.PerRPCCredentials. Its methods may be called from any goroutine.
 type gate struct {
-	credentials     credentials.PerRPCCredentials // the call's own; may be nil
-	mayOpenStream   func() bool                   // asked right before the headers are written
-	mayWriteMessage func() bool                   // asked right before the message is written; nil: always
+	credentials     credentials.PerRPCCredentials // credentials of the call; may be nil
+	mayOpenStream   func() bool                   // called immediately before the headers are written
+	mayWriteMessage func() bool                   // called immediately before the message is written; may be nil
 	cancel          context.CancelFunc            // ends the call
 
 	mu     sync.Mutex
-	opened bool // the one stream was allowed
-	closed bool // no stream is allowed any more
-	denied bool // the one stream was refused
-
-	retried         atomic.Bool // grpc-go went on to a transparent retry: the one stream was not processed
-	headersSent     atomic.Bool // the headers are on the connection
-	timedOut        atomic.Bool // a stream had no message within its timeout
-	trailerReceived atomic.Bool // the server has ended the stream itself, with a status
+	opened bool // a stream was allowed
+	closed bool // no further stream is allowed
+	denied bool // a stream was refused before any was allowed
+
+	retried         atomic.Bool // grpc-go started a transparent retry: the stream was not processed
+	headersSent     atomic.Bool // the headers were written to the connection
+	timedOut        atomic.Bool // the stream had no message within its timeout
+	trailerReceived atomic.Bool // the server has ended the stream with a status
 }
 
+// errDenied means that a stream or a message was refused. Applications see its text in the status of a failed call.
 var errDenied = status.Error(codes.Unavailable, "hazelwing: this attempt may not be written")
 
-// GetRequestMetadata decides on a stream, and returns the metadata of the call's own credentials. grpc-go calls it in
-// the goroutine of the call before it opens a stream.
+// GetRequestMetadata returns the metadata of the call's credentials if a stream may be opened, and errDenied otherwise.
+// grpc-go calls it in the goroutine of the call before it opens a stream.
 //
-// Guard: prevents a stream for a client that disconnects while the call's own credentials are made, which may take
-// long: its method would run for nobody. It holds because the decision is made again after them.
+// Guard: prevents opening a stream for a client that disconnects while its credentials are obtained, which may take
+// long: the method would run although no client waits for it. This holds because allowStream is called again after the
+// credentials were obtained.
 func (g *gate) GetRequestMetadata(ctx context.Context, uri ...string) (map[string]string, error) {
 	if !g.allowStream(ctx, g.credentials == nil) {
 		return nil, errDenied
@@ -61,12 +64,13 @@
 	return data, err
 }
 
-// allowStream decides whether the one stream may be opened: none was before, neither the call's context nor the
-// exchange has ended, and mayOpenStream says so. If final, the stream counts as opened from now on.
+// allowStream reports whether the stream may be opened. It returns true if no stream was opened before, neither ctx nor
+// the exchange has ended, and mayOpenStream returns true. If final is true, an allowed stream counts as opened from
+// then on.
 //
-// Guard: prevents grpc-go's transparent retry, and streams that waited for an endpoint or a connection, from starting
-// an attempt that the Balancer has not decided on: the same effect twice, or work for nobody. It holds because grpc-go
-// asks for the credentials before each stream.
+// Guard: prevents a transparent retry by grpc-go, or a stream that waited for an endpoint or a connection, from
+// starting an attempt that the Balancer has not decided on. The same effect could be applied twice, or work could be
+// done for a disconnected client. This holds because grpc-go requests the credentials before it opens each stream.
 func (g *gate) allowStream(ctx context.Context, final bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,11 +80,11 @@
 	return ok
 }
 
-// allowMessage decides whether the message may be written on the stream that was opened, and ends the call if not.
+// allowMessage reports whether the message may be written on the opened stream, and ends the call if not.
 //
-// Guard: prevents a method from running for a client that disconnects while its stream waits for capacity. It holds,
-// also where the headers are written already, because a server runs no method before it has the message, and the codec
-// is asked for that right before it is written.
+// Guard: prevents a method from running for a client that disconnects while its stream waits for capacity, even if the
+// headers were already written. This holds because a server runs no method before it has received the message, and
+// because grpc-go requests the message from the codec immediately before it writes it.
 func (g *gate) allowMessage() bool {
 	if g.mayWriteMessage == nil || g.mayWriteMessage() {
 		return true
@@ -89,15 +93,15 @@
 	return false
 }
 
-// RequireTransportSecurity reports what the call's own credentials do.
+// RequireTransportSecurity reports whether the call's credentials require transport security.
 func (g *gate) RequireTransportSecurity() bool {
 	return g.credentials != nil && g.credentials.RequireTransportSecurity()
 }
 
-// close refuses any further stream, and ends the call unless its headers are on the connection.
+// close refuses any further stream, and ends the call unless its headers were already written.
 //
-// Guard: prevents a stream that waits for capacity from being opened after its client has disconnected, while the
-// engine, which says so too, is behind. It holds because the end of the client's context calls it directly.
+// Guard: prevents a stream that waits for capacity from being opened after its client has disconnected, if the engine
+// has not processed the disconnect yet. This holds because close is called directly when the client's context ends.
 func (g *gate) close() {
 	g.mu.Lock()
 	g.closed = true
@@ -110,11 +114,11 @@
 // gateKey is the context key of a call's gate.
 type gateKey struct{}
 
-// statsHandler notifies the gate of a call, which it finds in the call's context, of what grpc-go does with the call.
-// It has no state of its own. grpc-go calls it from the goroutine of the call and from those of the connection.
+// statsHandler notifies the gate of a call, which is a value of the call's context, of the events of its streams. It
+// has no state. grpc-go calls it from the goroutine of the call and from those of the connection.
 type statsHandler struct{}
 
-// HandleRPC notifies the gate of a transparent retry, of the headers written and of the trailer read.
+// HandleRPC notifies the gate of a transparent retry, of written headers and of a received trailer.
 func (statsHandler) HandleRPC(ctx context.Context, event stats.RPCStats) {
 	g, ok := ctx.Value(gateKey{}).(*gate)
 	if !ok {
@@ -124,7 +128,7 @@
 	case *stats.Begin:
 		if event.IsTransparentRetryAttempt {
 			g.retried.Store(true)
-			g.cancel() // this prevents a wait for another connection, on which the stream would be refused
+			g.cancel() // prevents the retry from waiting for a connection, since its stream is refused anyway
 		}
 	case *stats.OutHeader:
 		g.headersSent.Store(true)
@@ -133,10 +137,10 @@
 	}
 }
 
-// TagRPC returns ctx as it is.
+// TagRPC returns ctx unchanged.
 func (statsHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// TagConn returns ctx as it is.
+// TagConn returns ctx unchanged.
 func (statsHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
 // HandleConn does nothing.
--- a/internal/transport/grpc/loadreport.go
+++ b/internal/transport/grpc/loadreport.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// orcaTrailer has the load report of a call, an encoded xds.data.orca.v3.OrcaLoadReport (gRFC A51).
+	// orcaTrailer is the trailer with the load report of a call, an encoded xds.data.orca.v3.OrcaLoadReport (gRFC A51).
 	orcaTrailer = "endpoint-load-metrics-bin"
-	// maxReportedInFlight is the highest number of requests in an endpoint that a report may say; one that says more is
-	// corrupt. With a higher value a corrupt report may keep requests from a healthy endpoint.
+	// maxReportedInFlight is the highest number of requests in flight that a load report may contain. A report with a
+	// higher number is considered corrupt. With a higher limit, a corrupt report may keep requests away from a healthy
+	// endpoint.
 	maxReportedInFlight = 10_000
 )
 
-// loadReport returns the requests in flight that the ORCA report in a trailer gives. The report is empty when there is
-// none, or none that can be used.
+// loadReport returns the number of requests in flight from the ORCA report in a trailer. Reported is false if there is
+// no report or no valid number in it.
 func (t *Transport) loadReport(trailer metadata.MD) (load balancer.LoadReport) {
 	encoded := trailer.Get(orcaTrailer)
 	if len(encoded) != 1 || len(t.cfg.LoadMetrics) == 0 {
--- a/internal/transport/grpc/outcome.go
+++ b/internal/transport/grpc/outcome.go
@@ -11,24 +11,25 @@
 	"hazelwing/balancer"
 )
 
-// NotExecutedTrailer is the trailer by which a server reports, with the value "1", that it rejected a call before any
-// of it ran: the platform's X-Not-Run header, in gRPC's spelling.
+// NotExecutedTrailer is the trailer that a server sets to "1" if it rejected a call before running any of it. It
+// corresponds to the platform's X-Not-Run header.
 const NotExecutedTrailer = "x-not-run"
 
-// classify decides what the end of an attempt means for the endpoint, and whether its response is final: the client's
-// whatever the result. Its inputs are what the gate has seen on the connection, the status and the trailer. err is nil
-// or a status error.
+// classify returns the result of an attempt that has ended, and whether its response is final, that is, delivered to
+// the client regardless of the result. It decides by the events that the gate has recorded, the status and the trailer.
+// err is nil or a status error.
 //
-// These prove that an attempt never ran; anything else that is no answer may have run:
+// Each of the following proves that an attempt never ran. In all other cases without an answer, it may have run.
 //
-//   - its headers were not counted (stats.OutHeader): none of it is on the connection;
-//   - grpc-go went on to retry it transparently (stats.Begin), which it does only where the server did not process it:
-//     REFUSED_STREAM, or a GOAWAY whose last stream ID is below (RFC 9113, sections 6.8 and 8.7; gRFC A6, "transparent
-//     retries"). The status alone proves nothing: a connection that breaks afterwards gives UNAVAILABLE too;
-//   - the server reports it in NotExecutedTrailer.
+//   - Its headers were not counted (stats.OutHeader), so none of it was written to the connection.
+//   - grpc-go started a transparent retry (stats.Begin). It does so only if the server did not process the attempt:
+//     after REFUSED_STREAM, or after a GOAWAY whose last stream ID is lower (RFC 9113, sections 6.8 and 8.7; gRFC A6,
+//     "transparent retries"). The status alone proves nothing, because a connection that breaks later also results in
+//     UNAVAILABLE.
+//   - The server reports it in NotExecutedTrailer.
 //
-// In particular no status code proves it, RESOURCE_EXHAUSTED, UNAVAILABLE and UNIMPLEMENTED included: applications
-// use them too.
+// A status code never proves it, not even RESOURCE_EXHAUSTED, UNAVAILABLE or UNIMPLEMENTED, because applications return
+// these codes too.
 func classify(ctx context.Context, g *gate, err error, trailer metadata.MD) (result balancer.Result, final bool) {
 	if err == nil {
 		return balancer.OK, true
@@ -38,7 +39,7 @@
 		return balancer.Overloaded, false
 	case !g.headersSent.Load():
 		return unsentResult(ctx, g), false
-	case !g.trailerReceived.Load(): // the status is grpc-go's own: the server has not ended the stream
+	case !g.trailerReceived.Load(): // grpc-go generated the status: the server has not ended the stream
 		return unansweredResult(ctx, g), false
 	}
 	if v := trailer.Get(NotExecutedTrailer); len(v) == 1 && v[0] == "1" {
@@ -46,29 +47,29 @@
 	}
 	switch status.Code(err) {
 	case codes.NotFound, codes.AlreadyExists, codes.FailedPrecondition, codes.Aborted, codes.OutOfRange:
-		return balancer.OK, true // the application's answer
+		return balancer.OK, true // an answer of the application
 	case codes.InvalidArgument, codes.PermissionDenied, codes.Unauthenticated, codes.Unimplemented:
-		return balancer.NotSent, true // the call is at fault: no evidence of the endpoint's speed
+		return balancer.NotSent, true // the call itself is invalid: no evidence about the endpoint
 	case codes.DeadlineExceeded, codes.Canceled:
-		if ctx.Err() != nil { // the deadline or the cancellation was this side's
+		if ctx.Err() != nil { // this side's deadline passed, or this side cancelled
 			return unansweredResult(ctx, g), false
 		}
 	}
 	return balancer.ServerError, false
 }
 
-// unsentResult returns the result of an attempt of which nothing is on the connection.
+// unsentResult returns the result of an attempt of which nothing was written to the connection.
 func unsentResult(ctx context.Context, g *gate) balancer.Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cancelled := errors.Is(ctx.Err(), context.Canceled) && !g.timedOut.Load()
-	if g.denied || cancelled { // not the endpoint's fault
+	if g.denied || cancelled { // not caused by the endpoint
 		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
 }
 
-// unansweredResult returns the result of an attempt that is on the connection and got no answer.
+// unansweredResult returns the result of an attempt that was written to the connection and got no answer.
 func unansweredResult(ctx context.Context, g *gate) balancer.Result {
 	switch {
 	case ctx.Err() == nil:
--- a/internal/transport/grpc/stream.go
+++ b/internal/transport/grpc/stream.go
@@ -11,9 +11,9 @@
 	"hazelwing/internal/engine"
 )
 
-// stream carries out a server-streaming call. It hands the stream on through begin once its first message is here, and
-// returns when the stream has ended. The outcome's Elapsed is the time to the first message: the rest depends on how
-// fast the application reads.
+// stream performs a server-streaming call. When the first message has arrived, it delivers the stream by calling begin;
+// it returns when the stream has ended. The outcome's Elapsed is the time until the first message, because the
+// remaining time depends on how fast the application reads.
 func (x *exchange) stream(conn *grpc.ClientConn, begin func(any) bool) engine.Outcome {
 	response := new(Response)
 	s, err := x.open(conn, response)
@@ -23,7 +23,7 @@
 	}
 	elapsed := time.Since(x.startedAt)
 	if s != nil {
-		response.Header, _ = s.Header() // an error is the stream's, which err has already
+		response.Header, _ = s.Header() // a failure is already in err
 	}
 	if err != nil {
 		response.Err = err
@@ -44,21 +44,21 @@
 	return outcome
 }
 
-// open opens a stream and sends the request on it. The stream may be there beside an error.
+// open opens a stream and sends the request on it. It may return a stream together with an error.
 func (x *exchange) open(conn *grpc.ClientConn, response *Response) (grpc.ClientStream, error) {
 	opts := x.callOptions(grpc.Peer(&response.Peer))
 	s, err := conn.NewStream(x.ctx, x.request.Stream, x.request.Method, opts...)
 	if err != nil {
 		return s, err
 	}
-	// SendMsg returns io.EOF for any stream that has ended; RecvMsg returns how it did.
+	// SendMsg returns io.EOF for any stream that has ended. RecvMsg returns the status.
 	if err = s.SendMsg(&frame{x.request.Message}); ignoreEOF(err) == nil {
 		err = s.CloseSend()
 	}
 	return s, err
 }
 
-// awaitEnd waits until the stream, which has begun, is finished or the application's context has ended.
+// awaitEnd waits until a stream that has begun is finished, or until the application's context ends.
 func (x *exchange) awaitEnd(s *Stream) engine.Outcome {
 	x.beginTimer.Stop()
 	release := context.AfterFunc(x.request.Context, x.cancel)
@@ -73,20 +73,20 @@
 	outcome := engine.Outcome{Err: err}
 	outcome.Result, _ = classify(x.ctx, x.gate, err, nil)
 	if err != nil && x.ctx.Err() != nil {
-		// The application left: how long it stayed is no evidence of the endpoint's speed.
+		// The application cancelled the stream or its deadline passed. This is no evidence about the endpoint's speed.
 		outcome.Result = balancer.Cancelled
 	}
 	outcome.Load = x.transport.loadReport(s.trailer(err))
 	return outcome
 }
 
-// Stream is the rest of a stream that has begun. The application reads it from one goroutine of its own.
+// Stream is the rest of a stream after its first message. The application reads it from one goroutine.
 type Stream struct {
 	grpc.ClientStream
-	finished chan error // receives how the stream ended; holds one value
+	finished chan error // receives the error that ended the stream; has capacity 1
 }
 
-// Recv returns the next encoded message. An error finishes the stream: io.EOF where it ended well.
+// Recv returns the next encoded message. An error finishes the stream; it is io.EOF if the stream ended with status OK.
 func (s *Stream) Recv() ([]byte, error) {
 	var f frame
 	err := s.RecvMsg(&f)
@@ -96,7 +96,7 @@
 	return f.data, err
 }
 
-// Finish ends the stream with err, whether or not more messages would come. Only the first call has an effect.
+// Finish ends the stream with err, even if the server would send more messages. Only the first call has an effect.
 func (s *Stream) Finish(err error) {
 	select {
 	case s.finished <- err:
@@ -104,7 +104,8 @@
 	}
 }
 
-// trailer returns the trailer of a stream that ended with err. It may be read only of one that ended well.
+// trailer returns the trailer of a stream that ended with err. It returns nil if err is not nil, because the trailer
+// may be read only after the stream has ended with status OK.
 func (s *Stream) trailer(err error) metadata.MD {
 	if err != nil {
 		return nil
--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -1,15 +1,17 @@
 // Package grpc implements engine.Transport over gRPC, with google.golang.org/grpc. It opens one connection to each
-// endpoint; every stream on it is an attempt that the balancer decided on, or a probe.
+// endpoint. Every stream on a connection is either an attempt that the balancer decided on, or a probe.
 //
-// By itself, grpc-go resends a call that it knows was not processed (transparent retry). This package must not let it:
-// an attempt is one stream, and the gate of its call refuses a second one through public interfaces of grpc-go.
+// grpc-go resends a call by itself if it knows that the call was not processed (transparent retry). This package must
+// prevent that, because an attempt is exactly one stream. The gate of a call refuses a second stream through public
+// interfaces of grpc-go.
 //
-// What the package decides has a place each:
+// The main decisions are made in these functions:
 //
 //   - classify (outcome.go): which outcomes prove that an attempt never ran
-//   - gate.allowStream and gate.allowMessage (gate.go): what of an attempt may still be written
+//   - gate.allowStream and gate.allowMessage (gate.go): whether the stream and the message of an attempt may still be
+//     written
 //   - Transport.conn and Transport.connect (connection.go): which connection an attempt uses, and how long it waits
-//   - Transport.markRemoved and Transport.maySend (transport.go): until when an endpoint that drains is written to
+//   - Transport.markRemoved and Transport.maySend (transport.go): until when a draining endpoint may be written to
 package grpc
 
 import (
@@ -28,57 +30,60 @@
 	defaultDrainGrace     = 250 * time.Millisecond
 )
 
-// Config configures a Transport. Zero fields have the defaults given below.
+// Config configures a Transport. The default of a field applies if the field is zero.
 type Config struct {
-	// ConnectTimeout is how long an attempt waits for its connection to come up; 250 ms by default. With a higher value
-	// an endpoint that hangs takes more of a call's time; with a lower one an endpoint that is slow counts as failed.
+	// ConnectTimeout limits the time for which an attempt waits until its connection is ready. The default is 250 ms.
+	// With a higher value, a hanging endpoint takes more of a call's time; with a lower one, a slow endpoint counts as
+	// failed.
 	ConnectTimeout time.Duration
-	// DrainGrace is how long after the notification of its drain or removal an endpoint may still be written to;
-	// 250 ms by default. A higher value lets more calls reach an endpoint that stops; with a lower one more attempts
-	// that were decided on before the notification count as not sent.
+	// DrainGrace is the time for which an endpoint may still be written to after the notification of its drain or
+	// removal. The default is 250 ms. With a higher value, more calls reach a stopping endpoint; with a lower one, more
+	// attempts that were decided on before the notification count as not sent.
 	DrainGrace time.Duration
-	// DialOptions are for the connections to the endpoints, transport credentials among them.
+	// DialOptions are the options of the connections to the endpoints, including transport credentials.
 	DialOptions []grpc.DialOption
-	// LoadMetrics are the named metrics of an ORCA report that count an endpoint's requests in flight. The largest one
-	// is taken.
+	// LoadMetrics are the names of the metrics in an ORCA report that count an endpoint's requests in flight. The
+	// largest of their values is used.
 	LoadMetrics []string
-	// HealthService is the service that probes ask grpc.health.v1 about; the server as a whole when empty.
+	// HealthService is the service name in the health checks (grpc.health.v1) that probes send. If it is empty, they
+	// ask for the health of the whole server.
 	HealthService string
 }
 
-// Transport carries out attempts and probes by gRPC. It has at most one connection to each active endpoint, and one to
-// each endpoint that drains or was removed and has exchanges in flight.
+// Transport performs attempts and probes over gRPC. It has at most one connection to each active endpoint, and one to
+// each draining or removed endpoint that has exchanges in flight.
 type Transport struct {
 	cfg Config
 
 	mu        sync.Mutex
 	endpoints map[string]*endpoint // by ID
 	closed    bool
-	closing   sync.WaitGroup // connections that are being closed
+	closing   sync.WaitGroup // counts the connections that are being closed
 }
 
-// endpoint is one process of an endpoint, and the connection to it. The transport's mutex guards its variable fields.
+// endpoint is one process of an endpoint, and the connection to it. The transport's mutex guards the fields that
+// change.
 type endpoint struct {
 	id          string
 	addr        string
-	startedAtMS float64 // Unix milliseconds; a different value means a different process
+	startedAtMS float64 // start time in Unix milliseconds; a different value identifies a different process
 
-	removedAt time.Time // when its drain, removal or replacement was notified; zero while it is active
+	removedAt time.Time // when the drain, removal or replacement was notified; zero while the endpoint is active
 	conn      *grpc.ClientConn
 	inFlight  map[*exchange]struct{} // attempts and probes that have not ended
 }
 
-// New returns a Transport. It opens no connection before the first attempt or probe. The caller has to call Close.
+// New returns a Transport. It opens no connection before the first attempt or probe. The caller must call Close.
 func New(c Config) *Transport {
 	c.ConnectTimeout = cmp.Or(c.ConnectTimeout, defaultConnectTimeout)
 	c.DrainGrace = cmp.Or(c.DrainGrace, defaultDrainGrace)
 	return &Transport{cfg: c, endpoints: map[string]*endpoint{}}
 }
 
-// Update applies an update of the endpoint list, which the engine was notified of at notifiedAt. The connection to an
-// endpoint that drains or was removed stays open while it has exchanges in flight.
+// Update applies an update of the endpoint list that arrived at notifiedAt. If complete is true, endpoints that are not
+// in entries are removed. The connection to a draining or removed endpoint stays open while it has exchanges in flight.
 //
-// The engine calls it from the goroutine of its Run.
+// The engine calls Update from the goroutine of its Run.
 func (t *Transport) Update(complete bool, entries []engine.Endpoint, notifiedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,8 +106,8 @@
 	}
 }
 
-// activate makes the endpoint of an active entry usable. What is in flight to an earlier process of it stays with that
-// one. t.mu is held.
+// activate makes the endpoint of an active entry available. Exchanges in flight to an earlier process of the endpoint
+// stay with that process. The caller holds t.mu.
 func (t *Transport) activate(entry engine.Endpoint, notifiedAt time.Time) {
 	e := t.endpoints[entry.ID]
 	if e != nil && (e.addr != entry.Addr || e.startedAtMS != entry.StartedAtMS) {
@@ -121,9 +126,9 @@
 	e.removedAt = time.Time{}
 }
 
-// markRemoved marks e as draining, removed or replaced since notifiedAt, and arranges that what has not been written by
-// the end of its grace is cancelled. This prevents streams that wait in grpc-go for capacity on the connection from
-// being written whenever there is some. t.mu is held.
+// markRemoved marks e as draining, removed or replaced since notifiedAt. At the end of the drain grace, it cancels the
+// exchanges of e that have not been written. Otherwise, streams that wait in grpc-go for capacity on the connection
+// would be written as soon as there is some. The caller holds t.mu.
 func (t *Transport) markRemoved(e *endpoint, notifiedAt time.Time) {
 	if !e.removedAt.IsZero() {
 		return
@@ -139,16 +144,16 @@
 	}
 }
 
-// maySend decides whether a new stream may still be written to e's process: while it is active, and for the drain grace
-// after the notification that it is not.
+// maySend reports whether a new stream may be written to e's process. It returns true while e is active, and for the
+// drain grace after the notification that it is not.
 func (t *Transport) maySend(e *endpoint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return e.removedAt.IsZero() || time.Since(e.removedAt) < t.cfg.DrainGrace
 }
 
-// register sets x's endpoint and counts x as in flight to it. It reports whether the endpoint is known and the
-// transport open.
+// register sets the endpoint of x and adds x to the exchanges in flight to it. It returns false if the endpoint is
+// unknown or the transport is closed.
 func (t *Transport) register(id string, x *exchange) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +166,7 @@
 	return true
 }
 
-// unregister removes x, which has ended, from what is in flight.
+// unregister removes x, which has ended, from the exchanges in flight.
 func (t *Transport) unregister(x *exchange) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -22,7 +22,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// No test leaves a goroutine behind: an exchange that never ends would hold its stream.
+// TestMain fails if a test leaves a goroutine running, because an exchange that never ends would occupy its stream
+// indefinitely.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func newTransport(t *testing.T, grace time.Duration) *Transport {
@@ -42,6 +43,7 @@
 	return []engine.Endpoint{{ID: "s", Addr: addr, State: state}}
 }
 
+// newCall returns a call with a unary request.
 func newCall(ctx context.Context) *engine.Call {
 	request := &Request{Context: ctx, Method: grpcnode.DoMethod, Codec: "proto", Message: []byte("\n\x01x")}
 	return &engine.Call{ID: "1", Payload: request}
@@ -65,8 +67,9 @@
 	})
 }
 
-// A stream that waits for capacity on the connection has been handed to grpc-go, and would be written whenever there is
-// some. It must not be written after the endpoint's grace: it ends then, and never ran.
+// A stream that waits for capacity on the connection was already passed to grpc-go, which would write it as soon as
+// there is capacity. After the drain grace of the endpoint it must not be written; it must end at that time, as an
+// attempt that never ran.
 func TestDrainWhileWaitingForStreamCapacity(t *testing.T) {
 	var first atomic.Pointer[rawh2.Stream]
 	var received atomic.Int32
@@ -83,20 +86,21 @@
 	secondOutcome := run(second)
 	awaitOpened(t, second)
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now())
-	if o := testutil.Receive(t, secondOutcome, "the second's outcome"); o.Result.MayHaveRun() {
-		t.Errorf("result %d (%v)", o.Result, o.Err)
+	if o := testutil.Receive(t, secondOutcome, "the outcome of the second attempt"); o.Result.MayHaveRun() {
+		t.Errorf("the second attempt has result %d (%v), which may have run", o.Result, o.Err)
 	}
 	first.Load().OK(nil)
-	if testutil.Receive(t, firstOutcome, "the first's outcome").Result != balancer.OK {
-		t.Error("an attempt in flight before the drain was not served")
+	if testutil.Receive(t, firstOutcome, "the outcome of the first attempt").Result != balancer.OK {
+		t.Error("the attempt that was in flight before the drain was not served")
 	}
 	if received.Load() != 1 {
-		t.Errorf("%d attempts reached a draining endpoint", received.Load())
+		t.Errorf("the endpoint received %d attempts, want 1 from before the drain", received.Load())
 	}
 }
 
-// A connection comes up late: after the call's result, after the endpoint's grace, or to another process. An attempt
-// that is written then runs for nobody, or is reset: nothing may be written.
+// A connection becomes ready only after the call has its result, after the drain grace of the endpoint, or after
+// another process has replaced it. An attempt that is written then runs for a disconnected client or is reset, so
+// nothing may be written.
 func TestLateConnectionIsNotWrittenTo(t *testing.T) {
 	var disconnected atomic.Bool
 	for name, interrupt := range map[string]func(tr *Transport, x engine.Exchange, addr string){
@@ -124,17 +128,17 @@
 			x := tr.Attempt("s", call, testutil.WaitTimeout)
 			interrupt(tr, x, addr)
 			if o := testutil.Receive(t, run(x), "the outcome"); o.Result != balancer.NotSent {
-				t.Errorf("result %d (%v)", o.Result, o.Err)
+				t.Errorf("result %d (%v), want NotSent", o.Result, o.Err)
 			}
 			if received.Load() != 0 {
-				t.Error("something was written")
+				t.Errorf("the endpoint received %d events of streams, want 0", received.Load())
 			}
 		})
 	}
 }
 
-// An attempt is prepared after the notification of a drain, and is ready only after the grace. It would be reset by an
-// endpoint that stops: it must not be written.
+// An attempt is prepared after the notification of a drain, and starts only after the drain grace. A stopping endpoint
+// would reset it, so it must not be written.
 func TestAttemptAfterDrainIsNotWritten(t *testing.T) {
 	var received atomic.Int32
 	addr := rawh2.Start(t, func(*rawh2.Stream) { received.Add(1) })
@@ -143,12 +147,13 @@
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now().Add(-time.Second))
 	o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 	if o.Result != balancer.NotSent || received.Load() != 0 {
-		t.Errorf("result %d (%v), %d written", o.Result, o.Err, received.Load())
+		t.Errorf("result %d (%v) and %d events of streams at the endpoint, want NotSent and 0",
+			o.Result, o.Err, received.Load())
 	}
 }
 
-// Nothing is sent to an unknown endpoint, and the connection to a removed one is closed when what was in flight has
-// ended.
+// No attempt may be made to an unknown endpoint. The connection to a removed endpoint must be closed when its last
+// exchange has ended.
 func TestConnectionsFollowTheEndpointList(t *testing.T) {
 	streams := make(chan *rawh2.Stream, 1)
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
@@ -158,7 +163,7 @@
 	})
 	tr := newTransport(t, time.Hour)
 	if tr.Attempt("s", newCall(t.Context()), time.Second) != nil {
-		t.Error("an attempt to an unknown endpoint")
+		t.Error("Attempt returned an exchange with an unknown endpoint, want nil")
 	}
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 	outcome := run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout))
@@ -166,31 +171,31 @@
 	e := tr.endpoints["s"]
 	tr.Update(true, nil, time.Now())
 	if e.conn == nil {
-		t.Fatal("a connection with an attempt in flight was closed")
+		t.Fatal("the connection to a removed endpoint was closed while an attempt was in flight")
 	}
 	s.OK([]byte("\n\x01x"))
 	if o := testutil.Receive(t, outcome, "the outcome"); o.Result != balancer.OK {
-		t.Errorf("result %d (%v)", o.Result, o.Err)
+		t.Errorf("result %d (%v), want OK", o.Result, o.Err)
 	}
 	tr.mu.Lock()
 	if e.conn != nil {
-		t.Error("the connection to a removed endpoint stays open")
+		t.Error("the connection to a removed endpoint was not closed after its last attempt")
 	}
 	tr.mu.Unlock()
 
-	// The endpoint is listed again: a new connection is made. CloseIdle closes one that has nothing in flight.
+	// The endpoint is listed again, so a new connection is made. CloseIdle must close it when no exchange is in flight.
 	tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 	outcome = run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout))
 	testutil.Receive(t, streams, "the next attempt").OK(nil)
 	testutil.Receive(t, outcome, "the outcome")
 	tr.CloseIdle("s")
 	if tr.endpoints["s"].conn != nil {
-		t.Error("an idle connection was not closed")
+		t.Error("CloseIdle did not close an idle connection")
 	}
 }
 
-// An endpoint that refuses connections is known at once not to have run anything, also a second time: grpc-go would
-// wait for its own backoff.
+// An attempt to an endpoint that refuses connections must fail immediately as not run, also a second time: grpc-go by
+// itself would wait for its backoff.
 func TestRefusedConnectionFailsAtOnce(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,11 +208,12 @@
 	for i := range 3 {
 		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 		if o.Result != balancer.ConnectFailed || o.Elapsed > 4*time.Second {
-			t.Errorf("attempt %d: result %d (%v) after %v", i, o.Result, o.Err, o.Elapsed)
+			t.Errorf("attempt %d: result %d (%v) after %v, want ConnectFailed within 4 s",
+				i, o.Result, o.Err, o.Elapsed)
 		}
 	}
 	if l, err = net.Listen("tcp", addr); err != nil {
-		t.Skip("another process has the address by now")
+		t.Skipf("cannot listen on the address again, which another process may use: %v", err)
 	}
 	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewRuleChecker())
 	srv := grpcnode.New(n, map[string]emulator.Effect{"c": emulator.Idempotent})
@@ -216,11 +222,11 @@
 	ctx := metadata.AppendToOutgoingContext(t.Context(), "x-request-id", "1", "x-class", "c")
 	o := testutil.Receive(t, run(tr.Attempt("s", newCall(ctx), testutil.WaitTimeout)), "the outcome")
 	if o.Result != balancer.OK {
-		t.Errorf("with a listener: result %d (%v)", o.Result, o.Err)
+		t.Errorf("after the endpoint listens again: result %d (%v), want OK", o.Result, o.Err)
 	}
 }
 
-// A probe asks grpc.health.v1, and returns the requests in flight that the endpoint reports.
+// A probe must call grpc.health.v1 and return the number of requests in flight that the endpoint reports.
 func TestProbeReturnsTheLoadReport(t *testing.T) {
 	n := emulator.NewNode(emulator.NodeConfig{Name: "n", Speed: 1}, time.Time{}, emulator.NewRuleChecker())
 	n.Pause(time.Hour)
@@ -238,14 +244,15 @@
 	testutil.Until(t, "the jobs", func() bool { return n.InFlight() == 3 })
 	tr := newTransport(t, time.Second)
 	tr.Update(true, endpointList(l.Addr().String(), balancer.Active), time.Now())
-	o := testutil.Receive(t, run(tr.Probe("s", testutil.WaitTimeout)), "the probe")
+	o := testutil.Receive(t, run(tr.Probe("s", testutil.WaitTimeout)), "the outcome of the probe")
 	if o.Result != balancer.OK || o.Load != (balancer.LoadReport{Reported: true, InFlight: 3}) {
-		t.Errorf("%+v", o)
+		t.Errorf("outcome %+v, want result OK and 3 requests in flight", o)
 	}
 }
 
-// A server without grpc.health.v1 (UNIMPLEMENTED) gives no evidence; any other error counts against the endpoint.
-func TestProbeThatIsNotAnswered(t *testing.T) {
+// A probe of a server without grpc.health.v1, which answers UNIMPLEMENTED, gives no evidence about the endpoint. Any
+// other error must count against the endpoint.
+func TestFailedProbe(t *testing.T) {
 	for status, want := range map[string]balancer.Result{"12": balancer.NotSent, "14": balancer.ServerError} {
 		addr := rawh2.Start(t, func(s *rawh2.Stream) {
 			if s.Complete {
@@ -254,15 +261,15 @@
 		})
 		tr := newTransport(t, time.Second)
 		tr.Update(true, endpointList(addr, balancer.Active), time.Now())
-		o := testutil.Receive(t, run(tr.Probe("s", testutil.WaitTimeout)), "the probe")
+		o := testutil.Receive(t, run(tr.Probe("s", testutil.WaitTimeout)), "the outcome of the probe")
 		if o.Result != want || o.Load.Reported {
-			t.Errorf("status %s: %+v", status, o)
+			t.Errorf("status %s: outcome %+v, want result %d and no load report", status, o, want)
 		}
 	}
 }
 
-// A load report has the larger of its two counts. One without a count, or with a corrupt one, must not count as a
-// report: an endpoint with no known load and one with none would look the same.
+// The load must be the largest of the configured metrics. A report without these metrics, or with a corrupt value, must
+// count as no report: otherwise an endpoint whose load is unknown would look like one without load.
 func TestLoadReport(t *testing.T) {
 	tr := newTransport(t, time.Second)
 	report := func(metrics map[string]float64) string {
@@ -313,19 +320,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := tr.loadReport(metadata.MD{orcaTrailer: c.values}); got != c.want {
-				t.Errorf("%q: %+v, want %+v", c.values, got, c.want)
+				t.Errorf("trailer %q: got %+v, want %+v", c.values, got, c.want)
 			}
 		})
 	}
 }
 
-// The status of a stream that the server has not ended is grpc-go's own, and means that the connection failed: it is
-// not the server's response, and above all not a final one.
+// If the server has not ended a stream, grpc-go generates its status, which means that the connection failed. Such a
+// status must not count as the server's response, and in particular not as a final one.
 func TestLocallyGeneratedStatusIsNotAResponse(t *testing.T) {
 	for name, end := range map[string]func(*rawh2.Stream){
 		"broken": (*rawh2.Stream).Break,
 		"reset":  (*rawh2.Stream).Reset,
-		"a response that cannot be decoded": func(s *rawh2.Stream) {
+		"broken after an invalid message": func(s *rawh2.Stream) {
 			s.Header()
 			s.Message([]byte("\xff\xff"))
 			s.Break()
@@ -340,7 +347,7 @@
 		tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 		if o.Result != balancer.Reset || o.Final {
-			t.Errorf("%s: result %d, final %v (%v)", name, o.Result, o.Final, o.Err)
+			t.Errorf("%s: result %d, final %v (%v); want Reset and not final", name, o.Result, o.Final, o.Err)
 		}
 	}
 }
