--- a/internal/front/clientconn/conn_test.go
+++ b/internal/front/clientconn/conn_test.go
@@ -86,8 +86,11 @@
 	close(mayClose)
 	server.BeginResponse()
 	rest, err := io.ReadAll(server)
-	if err != nil || !bytes.Equal(append(one[:], rest...), sent) {
-		t.Errorf("read %d of %d bytes, or other bytes than were sent; error %v", 1+len(rest), len(sent), err)
+	if err != nil || 1+len(rest) != len(sent) {
+		t.Errorf("read %d bytes and error %v, want %d bytes and no error", 1+len(rest), err, len(sent))
+	}
+	if !bytes.Equal(append(one[:], rest...), sent) {
+		t.Error("the bytes that were read differ from the bytes that were sent")
 	}
 	if err := testutil.Receive(t, written, "the client's close"); err != nil {
 		t.Error(err)
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -41,8 +41,8 @@
 	mu        sync.Mutex
 	openConns int // a connection counts until its file descriptor is free
 	// Queues of idle connections. The connection that has been idle for longest is first.
-	awaitingFirst list.List // have not sent a valid request yet
-	awaitingNext  list.List // have sent a valid request; idle since the last response
+	awaitingFirst list.List // connections that have not sent a valid request yet
+	awaitingNext  list.List // connections that have sent a valid request and were answered
 	stopping      bool
 	closed        bool
 	drained       chan struct{} // closed when no connection is open and no more can be accepted
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -102,8 +102,11 @@
 		t.Error("the call ended with the first client")
 	}
 	closeConn(t, second)
-	if testutil.Receive(t, aborted, "the call's end") != call || !call.Disconnected() {
-		t.Error("another call ended, or the call does not report that all clients have disconnected")
+	if ended := testutil.Receive(t, aborted, "the call's end"); ended != call {
+		t.Errorf("the context of call %+v ended, want that of %+v", ended, call)
+	}
+	if !call.Disconnected() {
+		t.Error("the call does not report that all clients have disconnected")
 	}
 	if len(calls) > 0 {
 		t.Error("another call was made after all clients had disconnected")
--- a/internal/front/graphqlfront/execute.go
+++ b/internal/front/graphqlfront/execute.go
@@ -207,7 +207,7 @@
 	}
 	switch {
 	case isRejected:
-		// No part ran, so a retry is safe. The status tells this to the client and to the proxies before it.
+		// No part ran, so a retry is safe. The status also tells this to the proxies between this front and the client.
 		r.status = http.StatusServiceUnavailable
 	case !isBatch && operations[0].plan == nil:
 		r.status = errorStatus(mediaType, operations[0].errs[0])
--- a/internal/front/graphqlfront/limits_test.go
+++ b/internal/front/graphqlfront/limits_test.go
@@ -110,7 +110,7 @@
 				name, took, grew>>10, maxDuration, maxMemory>>10)
 		}
 		message := got.Errors[0].Message
-		t.Logf("%s: %d in %v, %d KiB: %s", name, w.Code, took.Round(time.Microsecond), max(grew, 0)>>10, message)
+		t.Logf("%s: status %d in %v, %d KiB: %s", name, w.Code, took.Round(time.Microsecond), max(grew, 0)>>10, message)
 	}
 	if len(d.calls) > 0 {
 		t.Errorf("%d calls were made, want 0", len(d.calls))
--- a/internal/front/httpfront/races_test.go
+++ b/internal/front/httpfront/races_test.go
@@ -66,8 +66,11 @@
 				send(t, conn, d.request(t, method, class, "1", body))
 				c := testutil.Receive(t, d.calls, "the call")
 				disconnect(t, conn)
-				if testutil.Receive(t, d.disconnected, "the disconnect") != c || !c.Disconnected() {
-					t.Error("another call ended, or the call does not report that its client disconnected")
+				if ended := testutil.Receive(t, d.disconnected, "the disconnect"); ended != c {
+					t.Errorf("the context of call %+v ended, want that of %+v", ended, c)
+				}
+				if !c.Disconnected() {
+					t.Error("the call does not report that its client disconnected")
 				}
 			})
 		}
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -39,8 +39,8 @@
 	maxExtraOpen = time.Second
 )
 
-// Terms of the earliest time of SIGKILL. It is sent no earlier after SIGTERM than killGrace plus the longest deadline,
-// of which at most maxKillDelay counts (see stopTimeoutFor).
+// SIGKILL is sent at the earliest killGrace plus the longest deadline after SIGTERM. At most maxKillDelay of the
+// deadline counts (see stopTimeoutFor).
 const (
 	// killGrace and maxKillDelay are defined by the platform's protocol page. If a value here is higher than the
 	// platform's, requests may still be open at SIGKILL.
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -90,8 +90,8 @@
 		t.Errorf("the second attempt has result %d (%v), which may have run", o.Result, o.Err)
 	}
 	first.Load().OK(nil)
-	if testutil.Receive(t, firstOutcome, "the outcome of the first attempt").Result != balancer.OK {
-		t.Error("the attempt that was in flight before the drain was not served")
+	if o := testutil.Receive(t, firstOutcome, "the outcome of the first attempt"); o.Result != balancer.OK {
+		t.Errorf("the attempt in flight before the drain has result %d (%v), want OK", o.Result, o.Err)
 	}
 	if received.Load() != 1 {
 		t.Errorf("the endpoint received %d attempts, want 1 from before the drain", received.Load())
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -211,8 +211,11 @@
 	p := testPool()
 	o := run(p.newExchange(addEndpoint(t, p, addr), testutil.WaitTimeout, testRequest("POST")))
 	wantResult(t, o, balancer.OK)
+	if len(bodyOf(o)) != len(long) {
+		t.Errorf("the body has %d bytes, want %d", len(bodyOf(o)), len(long))
+	}
 	if bodyOf(o) != long {
-		t.Errorf("the body has %d bytes, or other bytes than were sent; want %d", len(bodyOf(o)), len(long))
+		t.Error("the body differs from the bytes that were sent")
 	}
 }
 
