--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -61,8 +61,8 @@
 	closing   sync.WaitGroup // counts the connections that are being closed
 }
 
-// endpoint is one process of an endpoint, and the connection to it. The transport's mutex guards the fields that
-// change.
+// endpoint represents one process of a listed endpoint, and holds the connection to it. The transport's mutex guards
+// the fields that change.
 type endpoint struct {
 	id          string
 	addr        string
