--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -222,27 +222,27 @@
 		modify              func(*http.Request)
 		want                int
 	}{
-		"unknown path":     {"GET", "look", "", func(q *http.Request) { q.URL.Path = "/nothing" }, 404},
-		"unknown class":    {"GET", "other", "", nil, 404},
-		"other class":      {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Class", "book") }, 400},
-		"no class":         {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Class") }, 400},
-		"no id":            {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Request-Id") }, 400},
-		"no deadline":      {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Deadline-Ms") }, 400},
-		"negative":         {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "-4") }, 400},
-		"not a number":     {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "soon") }, 400},
-		"book by GET":      {"GET", "book", "", nil, 405},
-		"look by POST":     {"POST", "look", "x", nil, 405},
-		"key missing":      {"POST", "pay", "x", func(q *http.Request) { q.Header.Del("Idempotency-Key") }, 400},
-		"key not expected": {"POST", "book", "x", func(q *http.Request) { q.Header.Set("Idempotency-Key", "k") }, 400},
-		"oversized":        {"POST", "book", strings.Repeat("x", httpmsg.MaxBodyBytes+1), nil, 413},
-		"chunks":           {"POST", "book", "x", func(q *http.Request) { q.ContentLength = -1 }, 411},
-		"a GET with body":  {"GET", "look", "x", nil, 400},
-		"two ids":          {"GET", "look", "", func(q *http.Request) { q.Header.Add("X-Request-Id", "2") }, 400},
-		"two deadlines":    {"GET", "look", "", func(q *http.Request) { q.Header.Add("X-Deadline-Ms", "9") }, 400},
-		"overlong id":      {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", overlong) }, 400},
-		"binary id":        {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", "\xff") }, 400},
-		"POST to /up":      {"POST", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 405},
-		"GET of /up":       {"GET", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 200},
+		"unknown path":      {"GET", "look", "", func(q *http.Request) { q.URL.Path = "/nothing" }, 404},
+		"unknown class":     {"GET", "other", "", nil, 404},
+		"other class":       {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Class", "book") }, 400},
+		"no class":          {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Class") }, 400},
+		"no id":             {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Request-Id") }, 400},
+		"no deadline":       {"GET", "look", "", func(q *http.Request) { q.Header.Del("X-Deadline-Ms") }, 400},
+		"negative":          {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "-4") }, 400},
+		"not a number":      {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Deadline-Ms", "soon") }, 400},
+		"book by GET":       {"GET", "book", "", nil, 405},
+		"look by POST":      {"POST", "look", "x", nil, 405},
+		"key missing":       {"POST", "pay", "x", func(q *http.Request) { q.Header.Del("Idempotency-Key") }, 400},
+		"key not expected":  {"POST", "book", "x", func(q *http.Request) { q.Header.Set("Idempotency-Key", "k") }, 400},
+		"oversized":         {"POST", "book", strings.Repeat("x", httpmsg.MaxBodyBytes+1), nil, 413},
+		"chunks":            {"POST", "book", "x", func(q *http.Request) { q.ContentLength = -1 }, 411},
+		"a GET with body":   {"GET", "look", "x", nil, 400},
+		"two ids":           {"GET", "look", "", func(q *http.Request) { q.Header.Add("X-Request-Id", "2") }, 400},
+		"two deadlines":     {"GET", "look", "", func(q *http.Request) { q.Header.Add("X-Deadline-Ms", "9") }, 400},
+		"overlong id":       {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", overlong) }, 400},
+		"binary id":         {"GET", "look", "", func(q *http.Request) { q.Header.Set("X-Request-Id", "\xff") }, 400},
+		"readiness by POST": {"POST", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 405},
+		"readiness by GET":  {"GET", "look", "", func(q *http.Request) { q.URL.Path, q.URL.RawPath = "/up", "" }, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			req := r.request(t, c.method, c.class, "1", c.body)
@@ -368,10 +368,10 @@
 	noClass := "POST /book HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nContent-Length: 0\r\n\r\n"
 	readyWithBody := "GET /up HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	for name, c := range map[string]struct{ text, want string }{
-		"length and chunks": {lengthAndChunks + hidden, "411"},
-		"chunks in 1.0":     {chunksInHTTP10 + hidden, "505"},
-		"no class":          {noClass + hidden, "400"},
-		"/up with a body":   {readyWithBody + hidden, "200"},
+		"length and chunks":   {lengthAndChunks + hidden, "411"},
+		"chunks in 1.0":       {chunksInHTTP10 + hidden, "505"},
+		"no class":            {noClass + hidden, "400"},
+		"readiness with body": {readyWithBody + hidden, "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int32
