--- a/internal/controlplane/aggregator.go
+++ b/internal/controlplane/aggregator.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// maxSubscribers limits the subscribers whose reports one member or origin sums up, and those that it names as
-// disconnected. A higher value allows for larger clusters, and takes more memory if a peer is faulty.
+// maxSubscribers limits how many subscribers one member or origin aggregates, and how many it lists as disconnected. A
+// higher value allows larger clusters, but lets a faulty peer take more memory.
 const maxSubscribers = 1024
 
-// ReportAggregator sums up the reports of subscribers. The zero value is empty. It is not safe for concurrent use.
+// ReportAggregator combines the reports of subscribers into one. The zero value is empty. It is not safe for
+// concurrent use.
 type ReportAggregator struct {
 	subscribers  map[string]subscriberReport
 	disconnected map[string]disconnectedSubscriber
@@ -26,7 +27,8 @@
 	expiresAt time.Duration
 }
 
-// Add sets a subscriber's report, in place of its previous one. It returns false if there are too many subscribers.
+// Add sets a subscriber's report, replacing its previous one. It returns false, and drops the report of a new
+// subscriber, if there are maxSubscribers already.
 func (a *ReportAggregator) Add(now time.Duration, subscriber string, r Report) bool {
 	if a.subscribers == nil {
 		a.subscribers = map[string]subscriberReport{}
@@ -42,8 +44,8 @@
 	return true
 }
 
-// Disconnect removes a subscriber from the sum and names it as disconnected for the retention time. So a member that
-// follows another upstream from now on is not counted twice, and one that is gone can be found by its name.
+// Disconnect stops counting a subscriber and lists it as disconnected for the retention time. So a member that moves to
+// another upstream is not counted twice, and a member that is gone can be found by its name.
 func (a *ReportAggregator) Disconnect(now time.Duration, subscriber string, retention time.Duration) {
 	subscriber = printable(subscriber, MaxNameLength)
 	s, ok := a.subscribers[subscriber]
@@ -65,23 +67,23 @@
 	}
 }
 
-// Remove removes a subscriber from the sum without naming it as disconnected.
+// Remove stops counting a subscriber without listing it as disconnected.
 func (a *ReportAggregator) Remove(subscriber string) {
 	subscriber = printable(subscriber, MaxNameLength)
 	delete(a.subscribers, subscriber)
 	delete(a.disconnected, subscriber)
 }
 
-// MarkReachable says that a member was heard from by another way, so that it is not named as disconnected any more.
-// It returns true if it was.
+// MarkReachable removes a member from the disconnected ones, because another source shows that it is reachable. It
+// reports whether the member was listed as disconnected.
 func (a *ReportAggregator) MarkReachable(name string) bool {
 	before := len(a.disconnected)
 	delete(a.disconnected, printable(name, MaxNameLength))
 	return len(a.disconnected) != before
 }
 
-// Expire disconnects subscribers without a report for maxSilence, and removes disconnected ones whose retention has
-// passed. It reports whether the sum has changed, and when the next entry expires; 0 means that there is none.
+// Expire disconnects subscribers that sent no report for maxSilence, and removes disconnected ones whose retention time
+// has passed. It reports whether anything has changed, and returns when the next entry expires; 0 if there is none.
 func (a *ReportAggregator) Expire(now, maxSilence, retention time.Duration) (changed bool, next time.Duration) {
 	for name, s := range a.subscribers {
 		if now-s.receivedAt >= maxSilence {
@@ -102,7 +104,7 @@
 	return changed, next
 }
 
-// With returns an aggregator of the same subscribers and one more. It does not change a.
+// With returns a copy of a that has one more subscriber. a is unchanged.
 func (a *ReportAggregator) With(subscriber string, r Report) *ReportAggregator {
 	w := &ReportAggregator{
 		subscribers:  maps.Clone(a.subscribers),
@@ -112,17 +114,17 @@
 	return w
 }
 
-// LocalMember is the member that sums up, as an entry of its own report.
+// LocalMember describes the member that builds a report, for its own entry in that report.
 type LocalMember struct {
 	Name        string
-	Published   Revision // that it passes on
+	Published   Revision // revision that it passes on to its subscribers
 	Active      Revision
-	Err         error // why Published is not active; nil: it is not applied yet
-	GracePeriod bool  // laggards that are only behind are counted, and not named
+	Err         error // why Published cannot be activated; nil if it is active or not applied yet
+	GracePeriod bool  // laggards with ReasonBehind are counted but not named
 }
 
-// Aggregate sums up all subscribers and, unless it is nil, the local member. latest is the highest revision that the
-// caller knows.
+// Aggregate returns one report of all subscribers and, unless it is nil, the local member. latest is the highest
+// revision that the caller knows; a subscriber may know a higher one.
 func (a *ReportAggregator) Aggregate(latest Revision, local *LocalMember) Report {
 	names := slices.Sorted(maps.Keys(a.subscribers))
 	for _, name := range names {
@@ -192,8 +194,8 @@
 		b.report.UnnamedLaggards += r.UnnamedLaggards
 		return
 	}
-	// Neither the subscriber nor any member below it has received the latest snapshot, so that one entry stands for
-	// all.
+	// Neither the subscriber nor any member below it has received the latest snapshot, so one entry stands for all of
+	// them.
 	if r.Members > 0 {
 		b.addLaggard(Laggard{
 			Name:        name,
--- a/internal/controlplane/designpage_test.go
+++ b/internal/controlplane/designpage_test.go
@@ -10,8 +10,8 @@
 	"hazelwing/internal/controlplane/origin"
 )
 
-// The design note has each kind with the instant from which it holds, or why it cannot change, and the bounds as they
-// are.
+// The design page lists each key of settingRules with the time from which a change takes effect, or the reason why the
+// key cannot change, and it states the limits with their current values.
 func TestDesignPage(t *testing.T) {
 	data, err := os.ReadFile("../../docs/design/controlplane.md")
 	if err != nil {
@@ -31,11 +31,11 @@
 			row = fmt.Sprintf("| `%s` | cannot: %s |\n", k.Key, k.FixedReason)
 		}
 		if !strings.Contains(page, row) {
-			t.Errorf("the page has no row %s", row)
+			t.Errorf("the page lacks the row %s", row)
 		}
 	}
 	if rows != len(rules) {
-		t.Errorf("the page has %d rows of rules, and there are %d", rows, len(rules))
+		t.Errorf("the page has %d rows of rules, want %d", rows, len(rules))
 	}
 	for name, value := range map[string]int{
 		"MaxSnapshotSize":    controlplane.MaxSnapshotSize,
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -10,24 +10,25 @@
 	Frame Frame
 }
 
-// UpstreamConfirmed says that the upstream is connected and has no later snapshot than this member. It comes once a
-// second at most.
+// UpstreamConfirmed says that the upstream is connected and has no later snapshot than this member. The caller sends it
+// at most once a second.
 type UpstreamConfirmed struct{ From string }
 
 // UpstreamLost says that the connection to the upstream has ended. The active snapshot stays active.
 type UpstreamLost struct{ From string }
 
-// PeerRevision is the revision that another member has, as its gossip says. It is a hint and alone changes no snapshot.
+// PeerRevision is the revision that another member announces by gossip. It is only a hint: it may cause a Fetch, but
+// does not change the snapshot itself.
 type PeerRevision struct {
 	Name     string
 	Address  string
 	Revision Revision // without hash
 }
 
-// ApplyResult responds to an Apply. There is exactly one for each, in the same order.
+// ApplyResult is the result of an Apply. The caller sends exactly one for each Apply, in the same order.
 type ApplyResult struct {
 	Revision Revision
-	Err      error // nil: the snapshot is active; else the one before it still is, unchanged
+	Err      error // nil if the snapshot is active; otherwise the previous one stays active, unchanged
 }
 
 // ReportReceived is a subscriber's report; From is the subscriber's name.
@@ -39,7 +40,7 @@
 // SubscriberDisconnected says that a subscriber's connection has ended.
 type SubscriberDisconnected struct{ From string }
 
-// Tick says that time has passed. It is due at Follower.NextTick, and is harmless earlier.
+// Tick says that time has passed. The caller sends it at Follower.NextTick at the latest; an earlier Tick does no harm.
 type Tick struct{}
 
 func (SnapshotReceived) followerEvent()       {}
@@ -55,40 +56,42 @@
 // in order.
 type Action interface{ followerAction() }
 
-// Apply activates a snapshot. The caller responds with an ApplyResult, at once or later. At most one Apply is without
-// response.
+// Apply activates a snapshot. The caller responds with an ApplyResult, at once or later. There is no further Apply
+// until it does.
 type Apply struct{ Snapshot *Snapshot }
 
-// Save stores the snapshot to begin from at the next start, in place of the one stored before. It may be skipped
-// while the disk fails.
+// Save stores the snapshot from which the member begins at its next start, replacing the stored one. The caller may
+// skip it while the disk fails.
 type Save struct{ Cached CachedSnapshot }
 
-// Publish sets the frame that subscribers are to receive from now on, in place of any earlier one that is not sent
-// yet. It may be a frame that this member itself rejects, as an older program would: its subscribers must not miss it
-// for that.
+// Publish sets the frame that subscribers receive from now on, replacing any earlier frame that is not sent yet. It may
+// be a frame that this member itself cannot activate, for example because its program is older: its subscribers must
+// receive it nevertheless.
 type Publish struct{ Frame Frame }
 
-// Fetch requests the snapshot of a peer once. It comes back as SnapshotReceived; a failure needs no event.
+// Fetch requests the snapshot of a peer once. The caller passes on the response as SnapshotReceived; a failure needs no
+// event.
 type Fetch struct {
 	Name, Address string
-	Revision      Revision // that the peer is known to have, or an earlier one than it has
+	Revision      Revision // as the peer's gossip announced it; the peer may have a later one by now
 }
 
-// SendReport sends a report to the upstream, in place of any earlier one that is not sent yet.
+// SendReport sends a report to the upstream, replacing any earlier report that is not sent yet.
 type SendReport struct{ Report Report }
 
-// LogMessage is for the log. There is at most one of a kind in 10 s; Count has how many it stands for.
+// LogMessage is a message for the log. At most one of each kind is logged in 10 s; Count includes those that were held
+// back.
 type LogMessage struct {
 	Kind  LogKind
 	Text  string
-	Count int // messages of this kind since the last LogMessage of it, this one included
+	Count int // messages of this kind since the previous LogMessage of the kind, including this one
 }
 
 // Kinds of a Follower's LogMessage.
 const (
 	LogActivated LogKind = "in force" // a snapshot is active
 	LogRejected  LogKind = "refused"  // a snapshot cannot be activated
-	LogConflict  LogKind = "conflict" // a revision came with another content than before
+	LogConflict  LogKind = "conflict" // a known revision arrived with different content
 	LogStale     LogKind = "older"    // a frame is older than one that was accepted
 	LogCorrupt   LogKind = "broken"   // a frame, or the cached snapshot, is invalid
 	LogForeign   LogKind = "foreign"  // a frame belongs to another cluster
--- a/internal/controlplane/fetch.go
+++ b/internal/controlplane/fetch.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// maxFetchBackoff limits the time between two fetches that delivered nothing, in fetch delays. It bounds the
-	// fetches for a revision that no member has. A higher value makes fewer of them, and finds a revision later after
-	// many that failed.
+	// maxFetchBackoff limits the time between two unsuccessful fetches, as a multiple of FollowerConfig.FetchDelay.
+	// The backoff bounds the number of fetches for a revision that no member has. A higher value makes fewer of these,
+	// but finds a revision later after many failed fetches.
 	maxFetchBackoff = 16
-	// fetchBackoffFactor is the growth of that time from fetch to fetch. A higher value reaches the limit sooner.
+	// fetchBackoffFactor is the factor by which the time between fetches grows with each of them. A higher value
+	// reaches maxFetchBackoff sooner.
 	fetchBackoffFactor = 2
 )
 
-// fetchHint says that a peer has a later snapshot than this member, and when to fetch it.
+// fetchHint records that a peer has a later snapshot than this member, and when to fetch it.
 type fetchHint struct {
 	peer       PeerRevision
-	dueAt      time.Duration // of the fetch; 0: there is no hint
-	earliestAt time.Duration // no fetch before it
-	backoff    time.Duration // from the next fetch to the one after it
+	dueAt      time.Duration // time of the fetch; 0 if there is no hint
+	earliestAt time.Duration // no fetch starts before this time
+	backoff    time.Duration // minimum time from the next fetch to the one after it
 }
 
-// handlePeerRevision remembers the highest revision that a peer has.
+// handlePeerRevision records the highest revision that any peer announced by gossip, and schedules a fetch from that
+// peer.
 //
-// It decides when a snapshot is fetched from a peer, from the revision that the peer's gossip says, and the time since
-// the first such hint: FetchDelay after it, unless the upstream has delivered the snapshot by then. Later hints do not
-// postpone the fetch. This prevents a member whose upstream is cut off from keeping an old configuration, and a change
-// that arrives everywhere in time from being fetched by all members.
+// The fetch is due FetchDelay after the first hint, unless the upstream has delivered the snapshot by then. Later hints
+// do not postpone it. This prevents a member whose upstream is unreachable from keeping an old configuration, and all
+// members from fetching a change that their upstreams deliver in time.
 func (f *Follower) handlePeerRevision(now time.Duration, p PeerRevision) {
 	p.Revision.Hash = ""
 	order := p.Revision.Compare(f.published.Revision)
@@ -45,7 +46,7 @@
 	}
 }
 
-// fetchIfDue fetches what the upstream has not delivered in time from the peer that has it.
+// fetchIfDue fetches a snapshot from a peer if the upstream has not delivered it in time.
 func (f *Follower) fetchIfDue(now time.Duration, actions []Action) []Action {
 	h := &f.fetch
 	if h.dueAt == 0 || now < h.dueAt {
@@ -60,5 +61,5 @@
 	f.stats.Fetches++
 	actions = append(actions, Fetch{Name: h.peer.Name, Address: h.peer.Address, Revision: h.peer.Revision})
 	return f.logMessage(now, actions, LogFetch,
-		fmt.Sprintf("%v from %s: the upstream has not delivered it", h.peer.Revision, h.peer.Name))
+		fmt.Sprintf("fetching %v from %s: the upstream has not delivered it", h.peer.Revision, h.peer.Name))
 }
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -17,33 +17,33 @@
 	defaultDisconnectedRetention = time.Minute
 )
 
-// CachedSnapshot is what a member stores for its next start.
+// CachedSnapshot is the state that a member stores for its next start.
 type CachedSnapshot struct {
-	Frame   Frame    `json:"Frame"`   // that was active
-	Highest Revision `json:"Highest"` // highest that was ever accepted: older ones are rejected
+	Frame   Frame    `json:"Frame"`   // frame of the snapshot that was active
+	Highest Revision `json:"Highest"` // highest revision ever accepted; older frames are rejected
 }
 
-// FollowerConfig configures a Follower. Durations of 0 mean the defaults.
+// FollowerConfig configures a Follower. A duration of 0 means its default, which the field's comment gives.
 type FollowerConfig struct {
 	Cluster string
 	Self    string          // the member's name
-	Cached  *CachedSnapshot // from the previous run; nil: there is none
-	// FetchDelay is how long the upstream may take to deliver a revision that a peer is known to have; 300 ms. A higher
-	// value fetches less often while a change spreads, and has it later where the upstream is broken.
+	Cached  *CachedSnapshot // from the previous run; nil if there is none
+	// FetchDelay is how long the upstream may take to deliver a revision that a peer is known to have; default 300 ms.
+	// A higher value makes fewer fetches while a change spreads, but delays the change where the upstream is broken.
 	FetchDelay time.Duration
-	// MinReportInterval and MaxReportInterval limit the time between two reports to the upstream; 100 ms and 10 s.
-	// ReportDelay is how long a change waits for others that can go into the same report; 30 ms. Higher values send
-	// fewer reports, and show later which members act on a change.
+	// MinReportInterval and MaxReportInterval limit the time between two reports to the upstream; defaults 100 ms and
+	// 10 s. ReportDelay is how long a change waits for further changes to go into the same report; default 30 ms.
+	// Higher values send fewer reports, but show later on which members a change is active.
 	MinReportInterval, MaxReportInterval, ReportDelay time.Duration
-	// LaggardGracePeriod is how long after a new snapshot members that are behind are only counted, and not named; 1
-	// s. The majority needs less, and their names would make up the larger part of all reports. A higher value sends
-	// fewer bytes, and names the members later that really are behind.
+	// LaggardGracePeriod is how long after a new snapshot members that are behind are counted but not named; default
+	// 1 s. Most members need less time, and their names would make up most of the size of all reports. A higher value
+	// sends fewer bytes, but names later the members that stay behind.
 	LaggardGracePeriod time.Duration
-	// DisconnectedRetention is how long a disconnected subscriber is named as such; 60 s. It is not counted any more
-	// from the moment that it disconnects. A higher value leaves more time to find it, and names members for longer
-	// that were shut down.
+	// DisconnectedRetention is how long a disconnected subscriber is named as such; default 60 s. It is no longer
+	// counted from the moment that it disconnects. A higher value leaves more time to find it, but members that were
+	// shut down are named for longer.
 	DisconnectedRetention time.Duration
-	// Parse parses a snapshot's text; nil: ParseSnapshot. Tests of older programs set another one.
+	// Parse parses a snapshot's text; nil means ParseSnapshot. Tests set another function to act as an older program.
 	Parse func(text []byte) (*Snapshot, error)
 }
 
@@ -62,10 +62,10 @@
 
 // FollowerStats is a Follower's state, and its counters since the start.
 type FollowerStats struct {
-	Published      Revision      `json:"held"` // passed on to subscribers
+	Published      Revision      `json:"held"` // revision passed on to subscribers
 	Active         Revision      `json:"acts"`
-	Highest        Revision      `json:"-"`       // ever accepted
-	FromCache      bool          `json:"kept"`    // Active is of the previous run and not confirmed yet
+	Highest        Revision      `json:"-"`       // highest revision ever accepted
+	FromCache      bool          `json:"kept"`    // Active is from the previous run and not confirmed yet
 	ConfirmedAt    time.Duration `json:"-"`       // when an upstream last confirmed the snapshot, on the caller's clock
 	Rejected       int           `json:"refused"` // snapshots that cannot be activated
 	Stale          int           `json:"older"`   // frames older than one that was accepted
@@ -81,14 +81,14 @@
 type Follower struct {
 	cfg FollowerConfig
 
-	published   Frame         // passed on to subscribers
-	highest     Revision      // highest revision that was accepted
-	active      Frame         // the frame of the active snapshot
-	unconfirmed Revision      // from the previous run, until an upstream confirms or replaces it
-	confirmedAt time.Duration // when an upstream last did so
-	applying    *Snapshot     // of an Apply without response
-	queued      *Snapshot     // to apply after it: the latest only
-	rejection   error         // why published is not active; nil: it is, or will be
+	published   Frame         // frame passed on to subscribers
+	highest     Revision      // highest revision ever accepted
+	active      Frame         // frame of the active snapshot
+	unconfirmed Revision      // revision of the cached snapshot until an upstream confirms or replaces it; then zero
+	confirmedAt time.Duration // when an upstream last confirmed the published snapshot or sent a later one
+	applying    *Snapshot     // snapshot of the outstanding Apply; nil if there is none
+	queued      *Snapshot     // latest snapshot that waits for the outstanding Apply; nil if there is none
+	rejection   error         // why published cannot be activated; nil if it is active or not applied yet
 
 	fetch       fetchHint
 	subscribers ReportAggregator
@@ -156,10 +156,10 @@
 
 // handleSnapshot accepts a frame or logs why it is rejected.
 //
-// It decides which snapshots count, from the frame itself and the highest revision that was ever accepted, also by an
-// earlier run. It rejects, in this order: a frame of another cluster; a corrupt one; one that is older than any that
-// was accepted, as a relay or an origin sends that was disconnected or rolled back; and another content of a revision
-// that was accepted. This prevents a change that the operator has taken back from being in force again.
+// It compares the frame with the highest revision that was ever accepted, including by earlier runs. It rejects, in
+// this order: a frame of another cluster; a corrupt frame; a frame that is older than the highest accepted one, as a
+// relay or origin sends it after it was disconnected or rolled back; and different content of the accepted revision.
+// This prevents a change that the operator has reverted from taking effect again.
 func (f *Follower) handleSnapshot(now time.Duration, ev SnapshotReceived, actions []Action) []Action {
 	revision := ev.Frame.Revision
 	if err := ev.Frame.Validate(f.cfg.Cluster); err != nil {
@@ -169,11 +169,11 @@
 	case order < 0:
 		f.stats.Stale++
 		return f.logMessage(now, actions, LogStale,
-			fmt.Sprintf("from %s: %v is older than %v, which was accepted", ev.From, revision, f.highest))
+			fmt.Sprintf("from %s: %v is older than the accepted revision %v", ev.From, revision, f.highest))
 	case order == 0 && revision != f.highest:
 		f.stats.Conflicts++
 		return f.logMessage(now, actions, LogConflict,
-			fmt.Sprintf("from %s: %v has hash %.12s, and the accepted one has %.12s",
+			fmt.Sprintf("from %s: %v has hash %.12s, but the accepted content has hash %.12s",
 				ev.From, revision, revision.Hash, f.highest.Hash))
 	}
 	f.confirm(now)
@@ -196,8 +196,8 @@
 	return f.logMessage(now, actions, kind, fmt.Sprintf("from %s: %v", from, err))
 }
 
-// publish passes a frame on and applies its snapshot, at once or after the one that is being applied. A snapshot that
-// this program cannot parse is passed on all the same: subscribers with a newer program need it.
+// publish passes a frame on to subscribers and applies its snapshot, at once or after the one that is being applied. A
+// snapshot that this program cannot parse is passed on nevertheless: subscribers with a newer program need it.
 func (f *Follower) publish(now time.Duration, frame Frame, actions []Action) []Action {
 	f.published = frame
 	f.rejection = nil
@@ -230,7 +230,7 @@
 	return append(actions, f.save())
 }
 
-// handleApplyResult records the outcome of an Apply and applies the snapshot that is queued.
+// handleApplyResult records the result of an Apply and applies the queued snapshot, if there is one.
 func (f *Follower) handleApplyResult(now time.Duration, ev ApplyResult, actions []Action) []Action {
 	s := f.applying
 	if s == nil || s.Revision != ev.Revision {
@@ -274,7 +274,7 @@
 	return actions
 }
 
-// NextTick returns when a Tick is due at the latest.
+// NextTick returns the latest time at which the caller must send a Tick.
 func (f *Follower) NextTick() time.Duration {
 	at := f.nextReport()
 	if f.fetch.dueAt != 0 {
--- a/internal/controlplane/follower_test.go
+++ b/internal/controlplane/follower_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Two members' clocks are an hour apart. A member could take a new configuration for an old one, or report too often or
-// never. What a follower does must depend on the time between events alone, and nothing that is sent carries a time.
-func TestClocksApart(t *testing.T) {
+// The clocks of two members differ by an hour. A follower that depended on absolute times could take a new
+// configuration for an old one, or report too often or never. The actions must depend only on the time between events,
+// and no sent message contains a time.
+func TestFollowerIgnoresClockOffset(t *testing.T) {
 	first := validFrame(Revision{Epoch: 1, Version: 1}, "")
 	events := []Event{
 		SnapshotReceived{From: "b", Frame: first},
@@ -32,30 +33,30 @@
 		return out
 	}
 	if early, late := run(0), run(time.Hour); !reflect.DeepEqual(early, late) {
-		t.Errorf("at 0 s %q, an hour later %q", early, late)
+		t.Errorf("actions from 0 s on: %q, from 1 h on: %q, want equal ones", early, late)
 	}
 	for _, x := range []any{Frame{}, Report{}, CachedSnapshot{}, RevisionCount{}, Laggard{}, Revision{}} {
 		for f := range reflect.TypeOf(x).Fields() {
 			if name := f.Type.String(); strings.HasPrefix(name, "time.") {
-				t.Errorf("%T carries a time: %s", x, f.Name)
+				t.Errorf("%T has a field for a time: %s", x, f.Name)
 			}
 		}
 	}
 }
 
-// followerRun is one run of a follower, from a start to the next restart, and what it has done since.
+// followerRun runs a follower, restarts it, and records the state that its actions lead to.
 type followerRun struct {
 	t        *rapid.T
 	follower *Follower
 
-	cached    *CachedSnapshot     // stored, over restarts
-	active    Revision            // active, over restarts
-	hashes    map[Revision]string // by order: the first hash published in this run, or cached
+	cached    *CachedSnapshot     // snapshot of the last Save; kept over restarts
+	active    Revision            // active revision; after a restart that of the cached snapshot
+	hashes    map[Revision]string // by revision without hash: the hash that was cached, or published first in this run
 	applying  *Snapshot
 	published Revision
 }
 
-// start begins a run from what is cached.
+// start starts a follower from the cached snapshot.
 func (r *followerRun) start(now time.Duration) {
 	c := FollowerConfig{Cluster: "f", Self: "a", Cached: r.cached}
 	if rapid.IntRange(0, 2).Draw(r.t, "program") == 0 {
@@ -75,20 +76,21 @@
 	r.check(actions)
 }
 
-// check holds each action to what has happened before it.
+// check checks each action against the earlier ones.
 func (r *followerRun) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Apply:
 			if r.applying != nil {
-				r.t.Fatalf("%v is applied while %v is", a.Snapshot.Revision, r.applying.Revision)
+				r.t.Fatalf("%v is applied while %v is being applied", a.Snapshot.Revision, r.applying.Revision)
 			}
 			r.applying = a.Snapshot
 		case Publish:
 			r.checkPublish(a.Frame)
 		case Save:
 			if a.Cached.Frame.Revision != r.active || a.Cached.Highest.Compare(a.Cached.Frame.Revision) < 0 {
-				r.t.Fatalf("%v is saved, and %v is active", a.Cached.Frame.Revision, r.active)
+				r.t.Fatalf("saved %v with highest revision %v while %v is active", a.Cached.Frame.Revision,
+					a.Cached.Highest, r.active)
 			}
 			cached := a.Cached
 			r.cached = &cached
@@ -99,15 +101,19 @@
 func (r *followerRun) checkPublish(f Frame) {
 	revision := f.Revision
 	order := Revision{Epoch: revision.Epoch, Version: revision.Version}
-	conflict := r.hashes[order] != "" && r.hashes[order] != revision.Hash
-	if revision.Compare(r.published) <= 0 || conflict || revision.Hash != HashText(f.Text) {
-		r.t.Fatalf("%v (%.8s) is published after %v", revision, revision.Hash, r.published)
+	switch known := r.hashes[order]; {
+	case revision.Compare(r.published) <= 0:
+		r.t.Fatalf("%v is published after %v", revision, r.published)
+	case known != "" && known != revision.Hash:
+		r.t.Fatalf("%v is published with hash %.8s, and was published before with %.8s", revision, revision.Hash, known)
+	case revision.Hash != HashText(f.Text):
+		r.t.Fatalf("%v is published with hash %.8s, and its text has %.8s", revision, revision.Hash, HashText(f.Text))
 	}
 	r.published = revision
 	r.hashes[order] = revision.Hash
 }
 
-// drawEvent draws the next event; nil: there is none, since nothing is being applied.
+// drawEvent draws the next event; nil if it drew an ApplyResult while nothing is being applied.
 func (r *followerRun) drawEvent() Event {
 	contents := []string{"", "", "", "other", "\n[log]\nlevel = \"info\"", "\n[log]\nlevel = \"loud\""}
 	revision := Revision{
@@ -153,22 +159,23 @@
 	if after.Active.Compare(before.Active) < 0 ||
 		after.Highest.Compare(before.Highest) < 0 ||
 		after.Highest.Compare(after.Published) < 0 {
-		r.t.Fatalf("from %+v to %+v", before, after)
+		r.t.Fatalf("a revision went back, or the highest is below the published one: stats were %+v, now %+v",
+			before, after)
 	}
 	if r.follower.NextTick() < now {
-		r.t.Fatalf("a tick was due at %v, now %v", r.follower.NextTick(), now)
+		r.t.Fatalf("at %v the next tick is due at %v, which is in the past", now, r.follower.NextTick())
 	}
 }
 
-// Snapshots arrive late, twice, damaged and of other clusters, and the member restarts. A configuration that was taken
-// back could be in force again, or two members act on different texts of one revision. Whatever comes: what is active
-// and what is published never go back, no revision is published with a second content, there is one Apply at a time,
-// what is saved was active, and the next start accepts nothing older than before.
+// Snapshots arrive late, twice or damaged, and the member restarts. A reverted configuration could become active again,
+// or two members could act on different texts of one revision. In each random history the active and the published
+// revision never go back, no revision is published with two contents, only one Apply is outstanding, only active
+// snapshots are saved, and a restarted follower accepts nothing older than before.
 func TestFollowerHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &followerRun{t: t}
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 3).Draw(t, "lives") {
+		for range rapid.IntRange(1, 3).Draw(t, "runs") {
 			r.start(now)
 			for range rapid.IntRange(0, 30).Draw(t, "events") {
 				now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// What members, origins and operators send each other of a configuration, in JSON.
+// The JSON encoding of the messages between members, origins and operators stays the same.
 func TestConfigurationMessageFormatIsStable(t *testing.T) {
 	cached := CachedSnapshot{Frame: testFrame(), Highest: testRevision(18)}
 	stats := FollowerStats{
@@ -86,7 +86,7 @@
 	}
 }
 
-// A report travels between origins in CBOR, by the names that it has in JSON.
+// Origins send each other reports in CBOR, with the field names of the JSON encoding.
 func TestReportFormatInCBORIsStable(t *testing.T) {
 	for name, report := range map[string]Report{"report": testReport(), "report-empty": {}} {
 		data, err := cbor.Marshal(report)
@@ -101,7 +101,7 @@
 	}
 }
 
-// The reasons travel as these words.
+// Reasons are sent as these words.
 func TestReasonNamesAreStable(t *testing.T) {
 	for reason, want := range map[LaggardReason]string{
 		ReasonBehind:       "behind",
@@ -114,7 +114,7 @@
 	}
 }
 
-// Each key of a snapshot is read under its name.
+// Each key of a snapshot is decoded into the field of its name.
 func TestSnapshotFormatIsStable(t *testing.T) {
 	text := `[discovery]
 addr = "10.0.0.2:8500"
@@ -163,12 +163,12 @@
 		"tenant.one.fraction":   *got.Tenant["one"].Fraction == 0.25,
 	} {
 		if !equal {
-			t.Errorf("%s is read as another field", key)
+			t.Errorf("the field of %s does not have the value from the text", key)
 		}
 	}
 }
 
-// A revision as operators read it.
+// The text form of a revision, which operators see, stays the same.
 func TestRevisionTextIsStable(t *testing.T) {
 	for want, revision := range map[string]Revision{"none": {}, "3.17": testRevision(17)} {
 		if got := revision.String(); got != want {
--- a/internal/controlplane/logthrottle.go
+++ b/internal/controlplane/logthrottle.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// minLogInterval is the minimum time between two messages of one kind. A higher value writes fewer lines, and shows a
-// fault that has changed later.
+// minLogInterval is the minimum time between two messages of one kind. A higher value writes fewer lines, but shows
+// later that a recurring fault has a new cause.
 const minLogInterval = 10 * time.Second
 
 // LogKind is the kind of a LogMessage.
 type LogKind string
 
-// LogThrottle lets one message of each kind through in 10 s and counts the others, so that a fault that repeats does
-// not fill the log. The zero value is ready for use. Kinds are few and fixed. It is not safe for concurrent use.
+// LogThrottle lets one message of each kind through in 10 s and counts the others, so that a recurring fault does not
+// fill the log. There are few kinds, and they are fixed. The zero value is ready for use. It is not safe for concurrent
+// use.
 type LogThrottle struct {
 	kinds map[LogKind]*throttledKind
 }
@@ -22,10 +23,10 @@
 type throttledKind struct {
 	nextAt time.Duration // when the next message may pass
 	count  int           // messages since the last one that passed
-	text   string        // of the latest message
+	text   string        // text of the latest message
 }
 
-// Add records a message. It reports whether to log it now, and how many messages it stands for.
+// Add records a message. It reports whether to log it now, and returns how many messages it then stands for.
 func (t *LogThrottle) Add(now time.Duration, kind LogKind, text string) (count int, ok bool) {
 	if t.kinds == nil {
 		t.kinds = map[LogKind]*throttledKind{}
@@ -51,7 +52,8 @@
 	return count
 }
 
-// Flush calls emit for the messages that were held back and are due, in order of their kinds.
+// Flush calls emit for each kind of which messages were held back and are due, in the order of the kinds' names. text
+// is that of the latest message.
 func (t *LogThrottle) Flush(now time.Duration, emit func(kind LogKind, text string, count int)) {
 	for _, kind := range slices.Sorted(maps.Keys(t.kinds)) {
 		if k := t.kinds[kind]; k.count > 0 && now >= k.nextAt {
--- a/internal/controlplane/parse.go
+++ b/internal/controlplane/parse.go
@@ -12,22 +12,22 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// Limits of values. Higher values accept more, also by mistake of an operator.
+// Upper limits of values. Higher limits accept more values, including more mistakes of an operator.
 const (
 	maxSidecars = 100_000
 	maxAttempts = 16
 	maxPrice    = 1e6
 	maxWeight   = 1e6
-	maxNames    = 256 // of classes, and of tenants
-	maxErrors   = 20  // that are listed for one text
+	maxNames    = 256 // number of classes, and number of tenants
+	maxErrors   = 20  // number of errors that are listed for one text
 )
 
 // ErrSnapshotTooLarge says that a snapshot's text is longer than MaxSnapshotSize.
 var ErrSnapshotTooLarge = errors.New("the snapshot is too large")
 
-// ValidationError is a value that a snapshot must not have.
+// ValidationError says that a value in a snapshot is invalid.
 type ValidationError struct {
-	Line, Column int // of the key, from 1
+	Line, Column int // position of the key, from 1
 	Key          string
 	Reason       string
 }
@@ -37,24 +37,25 @@
 	return fmt.Sprintf("%d:%d: %s: %s", e.Line, e.Column, e.Key, e.Reason)
 }
 
-// sizeError is ErrSnapshotTooLarge with the size; its text is that of a fault at the first byte.
+// sizeError wraps ErrSnapshotTooLarge and gives the size. Its text has the position of the first byte, in the form of
+// the other errors of ParseSnapshot.
 type sizeError struct{ size int }
 
 func (e *sizeError) Error() string {
-	return fmt.Sprintf("1:1: %d bytes are more than %d", e.size, MaxSnapshotSize)
+	return fmt.Sprintf("1:1: the snapshot has %d bytes, want at most %d", e.size, MaxSnapshotSize)
 }
 func (e *sizeError) Unwrap() error { return ErrSnapshotTooLarge }
 
-// ParseSnapshot parses and validates a snapshot's text: size, syntax, keys, values and whether a key may change while
-// running. Each line of the error's text has the line and column of one fault; it joins errors of strictdecode and
-// ValidationErrors, or wraps ErrSnapshotTooLarge. Of the result's Revision only the hash is set. It may be called
-// from any goroutine and retains text.
+// ParseSnapshot parses a snapshot's text and validates its size, syntax, keys and values, and that all its keys may
+// change while running. The error joins errors of strictdecode and ValidationErrors, or wraps ErrSnapshotTooLarge; each
+// line of its text describes one fault, with line and column. Only the hash of the result's Revision is set. It may be
+// called from any goroutine, and the result retains text.
 func ParseSnapshot(text []byte) (*Snapshot, error) {
 	switch {
 	case len(text) > MaxSnapshotSize:
 		return nil, &sizeError{len(text)}
 	case len(text) == 0:
-		const reason = "nothing in it: a comment is enough for a snapshot that sets nothing"
+		const reason = "the snapshot is empty: a snapshot that sets nothing needs at least a comment"
 		return nil, &strictdecode.DecodeError{Line: 1, Column: 1, Reason: reason}
 	}
 	s := &Snapshot{Text: text, Revision: Revision{Hash: HashText(text)}}
@@ -76,7 +77,7 @@
 	return s, nil
 }
 
-// joinErrors joins the first errors and says how many more there are.
+// joinErrors joins the first maxErrors errors and says how many more there are.
 func joinErrors(errs []error) error {
 	if more := len(errs) - maxErrors; more > 0 {
 		errs = append(errs[:maxErrors:maxErrors], fmt.Errorf("and %d more", more))
@@ -101,14 +102,16 @@
 }
 
 func (v *validator) settings(s *Settings) {
-	if d := s.Discovery; d != nil && d.Addr != nil && !isAddress(*d.Addr) {
-		v.fail("discovery.addr", "%q is no address such as \"10.0.0.2:8500\"", *d.Addr)
+	if d := s.Discovery; d != nil && d.Addr != nil {
+		if problem := checkAddress(*d.Addr); problem != "" {
+			v.fail("discovery.addr", "%q %s, want HOST:PORT such as \"10.0.0.2:8500\"", *d.Addr, problem)
+		}
 	}
 	if f := s.Fleet; f != nil {
 		v.integer("fleet.sidecars", f.Sidecars, maxSidecars)
 	}
 	if l := s.Log; l != nil && l.Level != nil && !isLogLevel(*l.Level) {
-		v.fail("log.level", "%q is not \"debug\", \"info\", \"warn\" or \"error\"", *l.Level)
+		v.fail("log.level", "unknown level %q, want \"debug\", \"info\", \"warn\" or \"error\"", *l.Level)
 	}
 	if l := s.Limits; l != nil {
 		v.integer("limits.max_attempts", l.MaxAttempts, maxAttempts)
@@ -125,7 +128,7 @@
 
 func (v *validator) classes(classes map[string]Class) {
 	if len(classes) > maxNames {
-		v.fail("class", "%d classes, at most %d", len(classes), maxNames)
+		v.fail("class", "%d classes, want at most %d", len(classes), maxNames)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		v.aboveZero("class."+name+".worth", classes[name].Worth, maxWeight)
@@ -135,7 +138,7 @@
 
 func (v *validator) tenants(tenants map[string]Tenant) {
 	if len(tenants) > maxNames {
-		v.fail("tenant", "%d tenants, at most %d", len(tenants), maxNames)
+		v.fail("tenant", "%d tenants, want at most %d", len(tenants), maxNames)
 	}
 	for _, name := range slices.Sorted(maps.Keys(tenants)) {
 		v.fromZero("tenant."+name+".fraction", tenants[name].Fraction, 1)
@@ -145,36 +148,43 @@
 // integer checks that a value is from 1 to maxValue.
 func (v *validator) integer(key string, value *int64, maxValue int64) {
 	if value != nil && (*value < 1 || *value > maxValue) {
-		v.fail(key, "%d is not from 1 to %d", *value, maxValue)
+		v.fail(key, "%d is out of range, want 1 to %d", *value, maxValue)
 	}
 }
 
-// fromZero checks that a number is from 0 to maxValue; NaN is not.
+// fromZero checks that a number is from 0 to maxValue. It rejects NaN.
 func (v *validator) fromZero(key string, value *float64, maxValue float64) {
 	if value == nil || *value >= 0 && *value <= maxValue {
 		return
 	}
-	v.fail(key, "%v is not from 0 to %v", *value, maxValue)
+	v.fail(key, "%v is out of range, want 0 to %v", *value, maxValue)
 }
 
-// aboveZero checks that a number is above 0 and at most maxValue; NaN is not.
+// aboveZero checks that a number is above 0 and at most maxValue. It rejects NaN.
 func (v *validator) aboveZero(key string, value *float64, maxValue float64) {
 	if value == nil || *value > 0 && *value <= maxValue {
 		return
 	}
-	v.fail(key, "%v is not above 0 and up to %v", *value, maxValue)
+	v.fail(key, "%v is out of range, want above 0 and at most %v", *value, maxValue)
 }
 
 func isLogLevel(text string) bool {
 	return slices.Contains([]string{"debug", "info", "warn", "error"}, text)
 }
 
-// isAddress reports whether text is HOST:PORT, with a port other than 0.
-func isAddress(text string) bool {
+// checkAddress returns why text is not HOST:PORT with a port from 1 to 65535; it returns "" if it is.
+func checkAddress(text string) (problem string) {
 	host, port, err := net.SplitHostPort(text)
-	if err != nil || host == "" || strings.ContainsAny(host, " \t\r\n/") {
-		return false
+	switch {
+	case err != nil:
+		return "is not an address with a port"
+	case host == "":
+		return "has no host"
+	case strings.ContainsAny(host, " \t\r\n/"):
+		return "has a space or slash in the host"
+	}
+	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
+		return "has a port that is not from 1 to 65535"
 	}
-	n, err := strconv.ParseUint(port, 10, 16)
-	return err == nil && n > 0
+	return ""
 }
--- a/internal/controlplane/parse_test.go
+++ b/internal/controlplane/parse_test.go
@@ -8,7 +8,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// What is accepted, and the errors of what is not: "parse" reads the lines below it, "size N" a text of N bytes.
+// TestParse runs scripts that show which snapshots are accepted and with which errors others are rejected: "parse"
+// parses the lines below it, "size N" a text of N bytes.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/snapshot/parse", func(_ *testing.T, d *datadriven.TestData) string {
 		text := []byte(d.Input)
@@ -48,8 +49,8 @@
 	return bytes.Repeat([]byte("#"), n)
 }
 
-// The rules of keys and the keys that ParseSnapshot accepts are the same.
-func TestSettingRulesAreThoseOfParseSnapshot(t *testing.T) {
+// ParseSnapshot accepts exactly the keys that can change while running according to settingRules.
+func TestSettingRulesMatchParseSnapshot(t *testing.T) {
 	example := map[string]string{
 		"discovery.addr":        `"h:1"`,
 		"fleet.sidecars":        "1",
@@ -66,11 +67,12 @@
 	}
 	for _, k := range SettingRules() {
 		if (k.EffectiveFrom == "") == (k.FixedReason == "") {
-			t.Errorf("%s: either the instant from which it holds or why it cannot", k.Key)
+			t.Errorf("%s: EffectiveFrom is %q and FixedReason is %q, want exactly one of them", k.Key,
+				k.EffectiveFrom, k.FixedReason)
 		}
 		value, ok := example[k.Key]
 		if ok != (k.EffectiveFrom != "") {
-			t.Errorf("%s: no example", k.Key)
+			t.Errorf("%s: has an example value: %t, want %t", k.Key, ok, !ok)
 			continue
 		}
 		if !ok {
@@ -81,7 +83,7 @@
 		}
 		_, err := ParseSnapshot([]byte(k.Key + " = " + value))
 		if (err == nil) != ok {
-			t.Errorf("%s: %v", k.Key, err)
+			t.Errorf("%s: error %v, want accepted: %t", k.Key, err, ok)
 		}
 	}
 }
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -7,23 +7,23 @@
 
 // Limits of a Report. Higher values tell an operator more, and send more bytes from each member.
 const (
-	MaxRevisionCounts = 8   // revisions that are counted separately
-	MaxLaggards       = 64  // members that are named
-	MaxErrorLength    = 200 // bytes of a laggard's error
-	// MaxReportSize is the maximum size of a Report as JSON, in bytes. A longer one is not accepted.
+	MaxRevisionCounts = 8   // maximum number of revisions that are counted separately
+	MaxLaggards       = 64  // maximum number of members that are named
+	MaxErrorLength    = 200 // maximum length of a laggard's error, in bytes
+	// MaxReportSize is the maximum size of a Report as JSON, in bytes. A longer report is rejected.
 	MaxReportSize = 48 << 10
 
-	maxMembers = 1 << 20 // that a count in a received report can stand for
+	maxMembers = 1 << 20 // upper limit of each count in a received report
 )
 
-// Report sums up a member, or an origin, and all members that receive the snapshot through it.
+// Report describes a member or an origin together with all members that receive the snapshot through it.
 type Report struct {
-	Members         int             `json:"members"`           // members summed up, each counted once
-	Latest          Revision        `json:"latest"`            // highest that any of them has
+	Members         int             `json:"members"`           // number of members, each counted once
+	Latest          Revision        `json:"latest"`            // highest revision that any of them has
 	Active          []RevisionCount `json:"acting,omitempty"`  // members by active revision, highest first
-	OtherRevisions  int             `json:"others,omitempty"`  // members whose revision is not in Active
+	OtherRevisions  int             `json:"others,omitempty"`  // members whose active revision is not in Active
 	Laggards        []Laggard       `json:"lacking,omitempty"` // members on which Latest is not active
-	UnnamedLaggards int             `json:"more,omitempty"`    // further such members, not in Laggards
+	UnnamedLaggards int             `json:"more,omitempty"`    // further laggards, not in Laggards
 }
 
 // RevisionCount is the number of members on which a revision is active.
@@ -37,25 +37,26 @@
 
 // Reasons of a Laggard.
 const (
-	ReasonBehind       LaggardReason = "behind"  // it has not reported yet that it is active
-	ReasonDisconnected LaggardReason = "cut"     // its connection has ended, and no gossip of it came since
-	ReasonRejected     LaggardReason = "refused" // it cannot activate it; Error says why
+	ReasonBehind       LaggardReason = "behind"  // the member has not reported yet that the snapshot is active
+	ReasonDisconnected LaggardReason = "cut"     // the member's connection has ended, and gossip has not shown it since
+	ReasonRejected     LaggardReason = "refused" // the member cannot activate the snapshot; Error says why
 )
 
 // laggardReasonOrder is the order of reasons in a report. Members that reject a snapshot come first, because only an
 // operator can help them.
 var laggardReasonOrder = []LaggardReason{ReasonRejected, ReasonDisconnected, ReasonBehind}
 
-// rank is the place of a reason in laggardReasonOrder. An unknown one is the first, as that of another program.
+// rank returns the index of a reason in laggardReasonOrder. An unknown reason, as another version of the program may
+// send, comes first.
 func (r LaggardReason) rank() int { return max(slices.Index(laggardReasonOrder, r), 0) }
 
 // Laggard is a member on which the latest snapshot is not active.
 type Laggard struct {
 	Name        string        `json:"name"`
-	Active      Revision      `json:"acts"` // its active revision, as last reported
+	Active      Revision      `json:"acts"` // active revision, as last reported
 	Reason      LaggardReason `json:"why"`
 	Error       string        `json:"err,omitempty"`   // with ReasonRejected: the first MaxErrorLength bytes
-	Descendants int           `json:"below,omitempty"` // further members below it, not named, for the same reason
+	Descendants int           `json:"below,omitempty"` // unnamed members below it that lag for the same reason
 }
 
 // Equal reports whether two reports have the same content.
@@ -68,7 +69,7 @@
 		slices.Equal(r.Laggards, other.Laggards)
 }
 
-// ActiveOn returns the number of members on which a revision is active, as far as it is counted separately.
+// ActiveOn returns the number of members on which a revision is active; 0 if the revision is not in Active.
 func (r *Report) ActiveOn(revision Revision) int {
 	for _, c := range r.Active {
 		if c.Revision == revision {
@@ -89,7 +90,8 @@
 	return best.Revision
 }
 
-// truncate sorts a report and limits the lengths of its lists. What is left out is counted.
+// truncate sorts the lists of a report and limits their lengths. Entries that it leaves out are added to OtherRevisions
+// and UnnamedLaggards.
 func (r *Report) truncate() {
 	slices.SortFunc(r.Active, func(x, y RevisionCount) int {
 		return cmp.Or(
@@ -111,7 +113,7 @@
 	r.Laggards = r.Laggards[:min(len(r.Laggards), MaxLaggards)]
 }
 
-// sanitize brings a report that was received within all limits. It copies the lists, which belong to the sender.
+// sanitize enforces all limits on a received report. It copies the lists, which belong to the sender.
 func (r *Report) sanitize() {
 	r.Active = slices.Clone(r.Active)
 	r.Laggards = slices.Clone(r.Laggards)
@@ -139,5 +141,5 @@
 	}
 }
 
-// clampCount keeps a received count from 0 to maxMembers.
+// clampCount limits a received count to the range from 0 to maxMembers.
 func clampCount(n *int) { *n = min(max(*n, 0), maxMembers) }
--- a/internal/controlplane/report_test.go
+++ b/internal/controlplane/report_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// A tree of random members: at its root each is counted once, under its active revision, and the laggards add up to
-// the rest.
-func TestReportsCountEachOnce(t *testing.T) {
+// The report at the root of a random tree of members counts each member once, under its active revision, and the
+// laggards are all members on which the latest revision is not active.
+func TestReportCountsEachMemberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 120).Draw(t, "members")
 		latest := validFrame(Revision{Epoch: 1, Version: 20}, "").Revision
@@ -39,13 +39,14 @@
 			}
 		}
 		if root.Members != n || root.Latest != latest || root.ActiveOn(latest) != want[latest] {
-			t.Fatalf("%d members, %d on the latest, want %d, %d", root.Members, root.ActiveOn(latest), n, want[latest])
+			t.Fatalf("latest %v, %d members, %d of them on the latest, want %v, %d, %d", root.Latest, root.Members,
+				root.ActiveOn(latest), latest, n, want[latest])
 		}
 		sum := root.OtherRevisions
 		for _, c := range root.Active {
 			sum += c.Count
 			if c.Count > want[c.Revision] {
-				t.Fatalf("%d on %v, want at most %d", c.Count, c.Revision, want[c.Revision])
+				t.Fatalf("%d members on %v, want at most %d", c.Count, c.Revision, want[c.Revision])
 			}
 		}
 		laggards := root.UnnamedLaggards
@@ -53,7 +54,8 @@
 			laggards += 1 + l.Descendants
 		}
 		if sum != n || laggards != n-want[latest] {
-			t.Fatalf("%d of %d by revision; %d laggards, want %d", sum, n, laggards, n-want[latest])
+			t.Fatalf("the counts by revision add up to %d members, want %d; there are %d laggards, want %d",
+				sum, n, laggards, n-want[latest])
 		}
 	})
 }
@@ -79,21 +81,22 @@
 	return r
 }
 
-// Subscribers send reports with endless lists, long texts and wrong counts. Memory and messages would grow with them,
-// up to the origins. A report keeps its limits in bytes, whatever comes from below.
+// Subscribers send reports with very long lists, long texts and wrong counts. Without limits, memory and messages would
+// grow on all members up to the origins. The aggregated report stays within MaxReportSize.
 func TestReportIsBounded(t *testing.T) {
 	oversized := oversizedReport()
 	var aggregator ReportAggregator
 	for i := range maxSubscribers + 10 {
 		if aggregator.Add(0, fmt.Sprint(i), oversized) != (i < maxSubscribers) {
-			t.Fatalf("subscriber %d", i)
+			t.Fatalf("subscriber %d is accepted: %t, want %t", i, i >= maxSubscribers, i < maxSubscribers)
 		}
 	}
 	r := aggregator.Aggregate(Revision{}, nil)
 	text, err := json.Marshal(r)
 	if err != nil || len(text) > MaxReportSize ||
 		len(r.Laggards) != MaxLaggards || len(r.Active) != MaxRevisionCounts {
-		t.Errorf("%d bytes, %d laggards, %d revisions: %v", len(text), len(r.Laggards), len(r.Active), err)
+		t.Errorf("the report has %d bytes, %d laggards and %d revisions, want at most %d, and exactly %d and %d: %v",
+			len(text), len(r.Laggards), len(r.Active), MaxReportSize, MaxLaggards, MaxRevisionCounts, err)
 	}
 	t.Logf("the longest report has %d bytes", len(text))
 	for i := range maxSubscribers {
@@ -104,7 +107,8 @@
 		aggregator.Disconnect(0, fmt.Sprint("later", i), time.Minute)
 	}
 	if len(aggregator.disconnected) > maxSubscribers {
-		t.Errorf("%d are named as disconnected", len(aggregator.disconnected))
+		t.Errorf("%d subscribers are listed as disconnected, want at most %d", len(aggregator.disconnected),
+			maxSubscribers)
 	}
 }
 
--- a/internal/controlplane/reporting.go
+++ b/internal/controlplane/reporting.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// maxSilentIntervals is how long a connected subscriber may send no report, in maximum report intervals. It bounds
-// how long a subscriber that hangs is counted. A higher value tolerates more reports that are lost, and counts such a
-// subscriber for longer.
+// maxSilentIntervals limits how long a connected subscriber may send no report, as a multiple of
+// FollowerConfig.MaxReportInterval. After that it counts as disconnected. A higher value tolerates more lost reports,
+// but counts a subscriber that hangs for longer.
 const maxSilentIntervals = 3
 
 // reportSchedule decides when a Follower reports to its upstream.
 type reportSchedule struct {
 	changed      bool // the report may have changed since it was last sent
-	pending      bool // a change waits to be reported, since pendingSince
+	pending      bool // a change has waited to be reported since pendingSince
 	pendingSince time.Duration
-	expiresAt    time.Duration // when an entry of the subscribers' reports expires; 0: none does
-	gracePeriod  bool          // the snapshot is new: laggards that are behind are not named until graceEndsAt
+	expiresAt    time.Duration // when the next entry of Follower.subscribers expires; 0 if none does
+	gracePeriod  bool          // the snapshot is new: laggards with ReasonBehind are not named until graceEndsAt
 	graceEndsAt  time.Duration
-	sent         Report // last
+	sent         Report // report that was sent last
 	sentAt       time.Duration
 }
 
@@ -34,7 +34,8 @@
 	s.graceEndsAt = until
 }
 
-// expireSubscribers removes subscribers that are silent, and forgets disconnected ones.
+// expireSubscribers disconnects subscribers that have sent no report for too long, and removes disconnected ones whose
+// retention time has passed.
 func (f *Follower) expireSubscribers(now time.Duration) {
 	s := &f.reports
 	if s.expiresAt != 0 && now < s.expiresAt && !s.changed {
@@ -46,11 +47,11 @@
 	s.expiresAt = next
 }
 
-// reportIfDue sends a report if the maximum interval has passed, or if it has changed and is due.
+// reportIfDue sends a report if the maximum interval has passed, or if the report has changed and is due.
 //
-// It decides when the upstream learns what is active here, from the times of the last report and of the change. This
-// prevents a change that arrives at all members at once from making each of them, and all above them in the tree, send
-// a report for every subscriber.
+// A changed report is due after a delay, which depends on the times of the last report and of the change. This prevents
+// a new snapshot, which reaches all members at once, from making each member send one report upstream for each of its
+// subscribers.
 func (f *Follower) reportIfDue(now time.Duration, actions []Action) []Action {
 	s := &f.reports
 	if s.gracePeriod && now >= s.graceEndsAt {
@@ -75,12 +76,13 @@
 	return actions
 }
 
-// changeDue returns when a change is reported: after a delay, so that changes that follow it go into the same report.
+// changeDue returns when a change is reported. The delay lets further changes go into the same report.
 func (f *Follower) changeDue() time.Duration {
 	return max(f.reports.sentAt+f.cfg.MinReportInterval, f.reports.pendingSince+f.cfg.ReportDelay)
 }
 
-// nextReport returns when a report is due, or may change by time alone.
+// nextReport returns the next time at which a report is due, or may change because an entry or the grace period
+// expires.
 func (f *Follower) nextReport() time.Duration {
 	s := &f.reports
 	at := s.sentAt + f.cfg.MaxReportInterval
@@ -96,8 +98,8 @@
 	return at
 }
 
-// Report returns the report of this member and those below it. The caller sends it once when it starts to follow an
-// upstream; later ones are sent by SendReport.
+// Report returns the report of this member and those below it. The caller sends it once when it connects to an
+// upstream; later reports are sent by SendReport.
 func (f *Follower) Report() Report {
 	return f.subscribers.Aggregate(f.published.Revision, &LocalMember{
 		Name:        f.cfg.Self,
--- a/internal/controlplane/revision.go
+++ b/internal/controlplane/revision.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Limits of what is sent between members.
+// Limits of messages between members.
 const (
 	// MaxSnapshotSize is the maximum size of a snapshot's text, in bytes.
 	MaxSnapshotSize = 256 << 10
-	// MaxNameLength is the maximum length of a member's name in a Report, in bytes. A longer name is truncated.
+	// MaxNameLength is the maximum length of a member's name in a Report, in bytes. Longer names are truncated.
 	MaxNameLength = 128
 
 	maxHashLength = 2 * sha256.Size
@@ -23,7 +23,7 @@
 var (
 	// ErrForeignFrame says that a frame belongs to another cluster.
 	ErrForeignFrame = errors.New("frame belongs to another cluster")
-	// ErrCorruptFrame says that a frame's size, revision or hash is wrong.
+	// ErrCorruptFrame says that a frame's size, revision or hash is invalid.
 	ErrCorruptFrame = errors.New("invalid frame")
 )
 
@@ -31,7 +31,7 @@
 type Revision struct {
 	Epoch   uint64 `json:"epoch"`   // chosen by the operator when the origins are bootstrapped
 	Version uint64 `json:"version"` // number of changes that the origins accepted in the epoch, from 1
-	Hash    string `json:"hash"`    // hexadecimal SHA-256 of the text; empty in gossip, where only the order is known
+	Hash    string `json:"hash"`    // hexadecimal SHA-256 of the text; empty in gossip, which does not carry it
 }
 
 // Compare orders revisions by epoch, then by version. It returns -1, 0 or 1. Two revisions that compare equal and
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("%d.%d", r.Epoch, r.Version)
 }
 
-// sanitize limits the hash of a revision that was received.
+// sanitize enforces the limits on the hash of a received revision.
 func (r *Revision) sanitize() {
 	if len(r.Hash) > maxHashLength {
 		r.Hash = r.Hash[:maxHashLength]
@@ -71,13 +71,15 @@
 func (f *Frame) Validate(cluster string) error {
 	switch {
 	case f.Cluster != cluster:
-		return fmt.Errorf("%w: %q", ErrForeignFrame, printable(f.Cluster, MaxNameLength))
+		return fmt.Errorf("%w: %q, want %q", ErrForeignFrame, printable(f.Cluster, MaxNameLength), cluster)
 	case len(f.Text) == 0 || len(f.Text) > MaxSnapshotSize:
-		return fmt.Errorf("%w: %d bytes of text", ErrCorruptFrame, len(f.Text))
-	case f.Revision.Epoch == 0 || f.Revision.Version == 0:
-		return fmt.Errorf("%w: no revision", ErrCorruptFrame)
+		return fmt.Errorf("%w: text has %d bytes, want 1 to %d", ErrCorruptFrame, len(f.Text), MaxSnapshotSize)
+	case f.Revision.Epoch == 0:
+		return fmt.Errorf("%w: revision has epoch 0, want 1 or higher", ErrCorruptFrame)
+	case f.Revision.Version == 0:
+		return fmt.Errorf("%w: revision has version 0, want 1 or higher", ErrCorruptFrame)
 	case f.Revision.Hash != HashText(f.Text):
-		return fmt.Errorf("%w: its hash does not match its text", ErrCorruptFrame)
+		return fmt.Errorf("%w: hash does not match the text", ErrCorruptFrame)
 	}
 	return nil
 }
@@ -88,8 +90,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// printable truncates text to maxLength bytes and replaces what is not printable ASCII, or what encoding/json would
-// escape.
+// printable truncates text to maxLength bytes, replaces line feeds by semicolons, and replaces all other characters
+// that are not printable ASCII, or that encoding/json would escape, by question marks.
 func printable(text string, maxLength int) string {
 	if len(text) > maxLength {
 		text = text[:maxLength]
--- a/internal/controlplane/script_test.go
+++ b/internal/controlplane/script_test.go
@@ -18,20 +18,25 @@
 	now      time.Duration
 }
 
-// TestScripts holds the follower's behaviour as scripts: each directive is an event, and below it stand the actions
-// that must follow. The directives:
+// TestScripts runs scripts against a follower. Each directive is an event, followed by the expected actions. The
+// directives:
 //
-//	new [cached=1.2] [highest=1.3] [old] [delay=1s]    member a at 0 s; old: its program does not know [log]
+//	new [cached=1.2] [highest=1.3] [old] [delay=1s]
+//	                       starts member a at 0 s; cached and highest give its CachedSnapshot, delay the FetchDelay;
+//	                       with old its program does not know [log]
 //	offer 1.2 [from=b] [text=x] [fleet=x] [hash=x] [size=N] [log] [bad]
-//	                       a snapshot arrives; text=x is a comment that makes another content; log: one with [log];
-//	                       bad: one with an invalid value
-//	applied 1.2 [err=x]    the result of an apply
-//	confirmed    lost      of the upstream
+//	                       a snapshot arrives; text=x adds a comment, so that the content differs; log gives it a
+//	                       section [log], bad an invalid value, size a length in bytes
+//	applied 1.2 [err=x]    the result of an Apply
+//	confirmed              the upstream confirms the snapshot
+//	lost                   the connection to the upstream ends
 //	tick DURATION          time passes
-//	peer c 1.3             c's gossip says that it has 1.3
-//	reported b             with a line for each: "members 3", "latest 1.2", "active 1.2 3", "laggard c 1.1 cut",
-//	                       "more 5"
-//	disconnected b    report    stats
+//	peer c 1.3             c announces 1.3 by gossip
+//	reported b             a report from b, with lines "members 3", "latest 1.2", "active 1.2 3",
+//	                       "laggard c 1.1 cut" and "more 5"
+//	disconnected b         the connection of subscriber b ends
+//	report                 prints the follower's report
+//	stats                  prints the follower's counters
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/follower", func(t *testing.T, path string) {
 		s := &followerScript{t: t}
@@ -39,7 +44,7 @@
 	})
 }
 
-// argument returns the value of an argument, "yes" if it has none, or a default if it is absent.
+// argument returns the value of an argument, "yes" if it has no value, or defaultValue if it is absent.
 func argument(d *datadriven.TestData, key, defaultValue string) string {
 	for _, a := range d.CmdArgs {
 		if a.Key != key {
@@ -83,7 +88,7 @@
 	return Revision{Epoch: epoch, Version: version}
 }
 
-// validFrame returns a valid frame of a revision; another content makes another text.
+// validFrame returns a valid frame of a revision. Frames with different content have different texts.
 func validFrame(r Revision, content string) Frame {
 	text := []byte("# " + r.String() + " " + content + "\n")
 	r.Hash = HashText(text)
@@ -166,7 +171,7 @@
 	case "reported":
 		return ReportReceived{From: d.CmdArgs[0].Key, Report: s.report(d)}
 	}
-	s.t.Fatalf("unknown directive %s", d.Cmd)
+	s.t.Fatalf("unknown directive %q", d.Cmd)
 	return nil
 }
 
@@ -182,14 +187,14 @@
 	return result
 }
 
-// tick lets time pass, with a Tick whenever the follower asks for one.
+// tick advances the time by d and sends a Tick whenever one is due.
 func (s *followerScript) tick(d time.Duration) string {
 	const maxTicks = 10_000
 	end := s.now + d
 	var out []string
 	for n := 0; s.follower.NextTick() <= end; n++ {
 		if n > maxTicks {
-			s.t.Fatal("the follower asks for a tick again and again")
+			s.t.Fatalf("the follower needs more than %d ticks in %v", maxTicks, d)
 		}
 		s.now = max(s.now, s.follower.NextTick())
 		for _, line := range formatActions(s.follower.Handle(s.now, Tick{})) {
@@ -200,7 +205,7 @@
 	return joinLines(out)
 }
 
-// report parses the lines below a directive.
+// report parses a report from the lines below a directive.
 func (s *followerScript) report(d *datadriven.TestData) (r Report) {
 	s.t.Helper()
 	revision := func(text string) Revision {
@@ -228,7 +233,7 @@
 		case "more":
 			r.UnnamedLaggards = s.number(w[1])
 		default:
-			s.t.Fatalf("unknown line %s", line)
+			s.t.Fatalf("unknown line %q in a report", line)
 		}
 	}
 	return r
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -9,19 +9,18 @@
 	Settings Settings
 }
 
-// Settings are the values of a snapshot. A nil value leaves what was set at the process's start. settingRules lists
-// when a change of each takes effect.
+// Settings are the values of a snapshot. A nil value leaves the setting of the process's start unchanged. settingRules
+// lists when a change of each setting takes effect.
 //
-// The names of these types and fields appear in the decoder's errors, which operators see. They are kept for that
-// reason.
+// The names of these types and fields must not change, since they appear in errors of the decoder, which operators see.
 type Settings struct {
 	Discovery *Discovery        `toml:"discovery"`
 	Fleet     *Fleet            `toml:"fleet"`
 	Log       *Log              `toml:"log"`
 	Limits    *Limits           `toml:"limits"`
 	Price     *Price            `toml:"price"`
-	Class     map[string]Class  `toml:"class"`  // by name; a member without that class ignores it
-	Tenant    map[string]Tenant `toml:"tenant"` // by name; a member without that tenant ignores it
+	Class     map[string]Class  `toml:"class"`  // by name; a member ignores classes that it does not have
+	Tenant    map[string]Tenant `toml:"tenant"` // by name; a member ignores tenants that it does not have
 }
 
 // Discovery configures the source of the endpoint list.
@@ -31,7 +30,7 @@
 
 // Fleet describes the cluster.
 type Fleet struct {
-	Sidecars *int64 `toml:"sidecars"` // number of members, for one that starts and knows no other; 1 to 100,000
+	Sidecars *int64 `toml:"sidecars"` // number of members, for a member that starts and knows no other; 1 to 100,000
 }
 
 // Log configures the daemon's own log.
@@ -39,13 +38,13 @@
 	Level *string `toml:"level"` // "debug", "info", "warn", "error"
 }
 
-// Limits are limits that the balancer reads at each of its decisions. None raises what the platform allows.
+// Limits are limits that the balancer reads at each of its decisions. They can only lower those of the platform.
 type Limits struct {
 	MaxAttempts  *int64 `toml:"max_attempts"`  // attempts of one request; 1 to 16
 	SecondCopies *bool  `toml:"second_copies"` // false: requests are not hedged
 }
 
-// Price sets the prices of balancer.Settings, in points of service; 0 to 1,000,000.
+// Price sets the prices in balancer.Settings, in points of service. Each is from 0 to 1,000,000.
 type Price struct {
 	CrossZone *float64 `toml:"cross_zone"`
 	Open      *float64 `toml:"open"`
@@ -53,35 +52,36 @@
 	Probe     *float64 `toml:"probe"`
 }
 
-// Class holds what can change of a request class.
+// Class holds the settings of a request class that can change while running.
 type Class struct {
 	Worth     *float64 `toml:"worth"`      // priority weight of its requests; above 0
-	LateShare *float64 `toml:"late_share"` // fraction of the weight that a late response still earns; 0 to 1
+	LateShare *float64 `toml:"late_share"` // fraction of Worth that a late response still earns; 0 to 1
 }
 
-// Tenant holds what can change of a tenant.
+// Tenant holds the settings of a tenant that can change while running.
 type Tenant struct {
 	Fraction *float64 `toml:"fraction"` // quota: the fraction of the service that the tenant may use; 0 to 1
 }
 
-// SettingRule says from when on a change of a key takes effect, or why the key cannot be in a snapshot.
+// SettingRule says when a change of a key takes effect, or why a snapshot cannot contain the key. Exactly one of
+// EffectiveFrom and FixedReason is set.
 type SettingRule struct {
-	Key           string // NAME stands for any name
-	EffectiveFrom string // empty: the key cannot change while running
-	FixedReason   string // why the key cannot change; empty: it can
+	Key           string // dotted key, in which NAME stands for any name
+	EffectiveFrom string // when a change takes effect; empty if the key cannot change while running
+	FixedReason   string // why the key cannot change while running; empty if it can
 }
 
 // Texts that several rules share.
 const (
-	fixedByRequests = "a request in hand relies on it: it can change with a restart alone"
-	fixedAtStart    = "it is settled at the process's start"
+	fixedByRequests = "requests in flight rely on it; it can change only with a restart"
+	fixedAtStart    = "it is read only when the process starts"
 
 	effectiveNextPick      = "the next pick of an endpoint"
 	effectiveNextAdmission = "the next admission"
 )
 
-// settingRules is the table of docs/design/controlplane.md. A key without a rule is an error as well: an older
-// program must reject what it does not know.
+// settingRules is the table of docs/design/controlplane.md. A key without a rule is rejected too: an older program must
+// reject keys that it does not know.
 var settingRules = []SettingRule{
 	{
 		Key: "discovery.addr",
@@ -89,11 +89,11 @@
 			"calls in flight continue with the list that they have",
 	},
 	{Key: "fleet.sidecars", EffectiveFrom: "the next estimate of the cluster's size, within a second"},
-	{Key: "log.level", EffectiveFrom: "the next line"},
+	{Key: "log.level", EffectiveFrom: "the next log line"},
 	{
 		Key: "limits.max_attempts",
-		EffectiveFrom: "the next decision on any request, also on those in flight: " +
-			"none of their attempts is cancelled; " +
+		EffectiveFrom: "the next decision on any request, including those in flight, " +
+			"none of whose attempts is cancelled; " +
 			"never more than the platform allows",
 	},
 	{
@@ -115,10 +115,10 @@
 	{Key: "class.NAME.aim", FixedReason: fixedByRequests},
 	{Key: "class.NAME.stream", FixedReason: fixedByRequests},
 	{Key: "limits.connect_timeout", FixedReason: fixedAtStart},
-	{Key: "cold", FixedReason: "what a started server bears is counted from it: " + fixedByRequests},
-	{Key: "classes", FixedReason: "effect, group and window of repeats: " + fixedByRequests},
-	{Key: "ledger", FixedReason: "what may have run is remembered by it: " + fixedByRequests},
-	{Key: "graphql", FixedReason: "classes and keys of fields: " + fixedByRequests},
+	{Key: "cold", FixedReason: "the load that a newly started server may get depends on it, and " + fixedByRequests},
+	{Key: "classes", FixedReason: "it sets the effect, group and repeat window of classes, and " + fixedByRequests},
+	{Key: "ledger", FixedReason: "it records which calls may have been executed, and " + fixedByRequests},
+	{Key: "graphql", FixedReason: "it sets the classes and idempotency keys of fields, and " + fixedByRequests},
 	{Key: "tenants", FixedReason: fixedByRequests},
 	{Key: "members", FixedReason: fixedAtStart},
 	{Key: "admin", FixedReason: fixedAtStart},
@@ -128,7 +128,7 @@
 	{Key: "fleet", FixedReason: fixedAtStart},
 }
 
-// covers reports whether the rule is that of a key.
+// covers reports whether the rule applies to a key.
 func (r SettingRule) covers(key string) bool {
 	if prefix, suffix, hasName := strings.Cut(r.Key, "NAME"); hasName {
 		return strings.HasPrefix(key, prefix) && strings.HasSuffix(key, suffix)
@@ -136,7 +136,7 @@
 	return key == r.Key || strings.HasPrefix(key, r.Key+".")
 }
 
-// unknownKeyReason says why a key that Settings does not have is rejected.
+// unknownKeyReason returns why a key that has no field in Settings is rejected.
 func unknownKeyReason(key string) string {
 	for _, r := range settingRules {
 		if r.FixedReason != "" && r.covers(key) {
