--- a/internal/controlplane/origin/bench_test.go
+++ b/internal/controlplane/origin/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// An idle second of five origins: what all of them cost together.
+// Measures one second of five idle origins together.
 func BenchmarkIdleSecond(b *testing.B) {
 	w := newRunningSimulation(b, 5, 1)
 	b.ReportAllocs()
@@ -15,7 +15,7 @@
 	}
 }
 
-// A push of 8 KiB through five origins, without disks.
+// Measures a push of 8 KiB through five origins, without disks.
 func BenchmarkPush(b *testing.B) {
 	w := newRunningSimulation(b, 5, 1)
 	text := make([]byte, 8<<10)
@@ -33,7 +33,7 @@
 	}
 }
 
-// A start from a store that holds a log of 16 changes of 8 KiB.
+// Measures a start from a store that has a log of 15 changes of 8 KiB.
 func BenchmarkStart(b *testing.B) {
 	w := newRunningSimulation(b, 1, 1)
 	for v := range uint64(15) {
--- a/internal/controlplane/origin/config.go
+++ b/internal/controlplane/origin/config.go
@@ -12,14 +12,15 @@
 	"hazelwing/internal/controlplane"
 )
 
-// Limits of an origin. Higher values accept more, and take more memory, disk and messages.
+// Limits of an origin. Higher values accept more, but take more memory, disk space and messages.
 const (
-	MaxOrigins         = 7         // origins of a cluster
-	MaxPendingRequests = 64        // requests without response at one origin
-	MaxOutcomes        = 256       // changes whose outcome is remembered, by ID
-	MaxIDLength        = 64        // bytes of a change's ID
-	MaxMessageSize     = 640 << 10 // bytes of a message between origins; a longer one is rejected
-	// MaxUncommittedSize is how many bytes of changes may wait for a majority. Further changes are rejected.
+	MaxOrigins         = 7         // maximum number of origins of a cluster
+	MaxPendingRequests = 64        // maximum number of requests without result at one origin
+	MaxOutcomes        = 256       // number of latest changes whose outcome can be queried by ID
+	MaxIDLength        = 64        // maximum length of a change's ID, in bytes
+	MaxMessageSize     = 640 << 10 // maximum size of a message between origins, in bytes; longer ones are rejected
+	// MaxUncommittedSize is the maximum size of the changes that wait for a majority, in bytes. Further changes are
+	// rejected.
 	MaxUncommittedSize = 4 * controlplane.MaxSnapshotSize
 )
 
@@ -30,71 +31,97 @@
 	defaultStartupGracePeriod = 3 * time.Second
 )
 
-// BootstrapConfig is fixed when the origins are bootstrapped, and is the same for all of them. No origin joins or
-// leaves later: to change the set, bootstrap a higher epoch.
+// BootstrapConfig is the configuration with which all origins are bootstrapped. It does not change afterwards: no
+// origin joins or leaves. To change the set of origins, bootstrap a higher epoch.
 type BootstrapConfig struct {
 	Cluster string   `json:"fleet"`
-	Epoch   uint64   `json:"epoch"`   // from 1; higher after each forced new cluster
+	Epoch   uint64   `json:"epoch"`   // from 1; a higher one replaces the cluster's earlier origins
 	Origins []string `json:"origins"` // names, at most MaxOrigins
 }
 
-// Validate checks the configuration.
+// Validate checks the configuration. Its errors name the keys of the origin's settings.
 func (c *BootstrapConfig) Validate() error {
-	switch names := slices.Compact(slices.Sorted(slices.Values(c.Origins))); {
+	sorted := slices.Sorted(slices.Values(c.Origins))
+	switch names := slices.Compact(slices.Clone(sorted)); {
 	case c.Cluster == "":
-		return errors.New("fleet: no name")
+		return errors.New("fleet: the name is empty")
 	case c.Epoch == 0:
-		return errors.New("epoch: is counted from 1")
+		return errors.New("epoch: 0 is out of range, want 1 or higher")
 	case len(names) == 0 || len(names) > MaxOrigins:
-		return fmt.Errorf("peers: %d origins are not 1 to %d", len(names), MaxOrigins)
-	case len(names) != len(c.Origins):
-		return errors.New("peers: a name is there twice")
-	case slices.ContainsFunc(names, isInvalidName):
-		return fmt.Errorf("peers: a name is empty, longer than %d bytes or has spaces or slashes",
-			controlplane.MaxNameLength)
+		return fmt.Errorf("peers: %d origins, want 1 to %d", len(names), MaxOrigins)
+	case len(names) != len(sorted):
+		return fmt.Errorf("peers: the name %q is given twice", firstDuplicate(sorted))
+	}
+	for _, name := range sorted {
+		if err := validateName(name); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-func isInvalidName(name string) bool {
-	return name == "" || len(name) > controlplane.MaxNameLength || strings.ContainsAny(name, "/ \t\n")
+// firstDuplicate returns the first name that occurs more than once in a sorted list.
+func firstDuplicate(sorted []string) string {
+	for i, name := range sorted[1:] {
+		if name == sorted[i] {
+			return name
+		}
+	}
+	return ""
+}
+
+// validateName checks the name of an origin.
+func validateName(name string) error {
+	switch {
+	case name == "":
+		return errors.New("peers: the name of an origin is empty")
+	case len(name) > controlplane.MaxNameLength:
+		return fmt.Errorf("peers: the name %q has %d bytes, want at most %d",
+			name, len(name), controlplane.MaxNameLength)
+	case strings.ContainsAny(name, "/ \t\n"):
+		return fmt.Errorf("peers: the name %q contains white space or slashes", name)
+	}
+	return nil
 }
 
-// key identifies the cluster, epoch and set of origins in messages.
+// key returns a hash that identifies the cluster, epoch and set of origins in messages.
 func (c *BootstrapConfig) key() string {
 	names := slices.Sorted(slices.Values(c.Origins))
 	sum := sha256.Sum256([]byte(fmt.Sprintf("%q %d %q", c.Cluster, c.Epoch, names)))
 	return string(sum[:16])
 }
 
-// Config configures a Node. Durations of 0 mean the defaults.
+// Config configures a Node. A duration of 0 means its default, which the field's comment gives.
 type Config struct {
-	BootstrapConfig        // empty: that of the store; else the two must be equal
-	Self            string // one of Origins
-	Seed            uint64 // of the random election timeouts
-	// TickInterval is the unit of time: a leader sends heartbeats every 2 of it, and an election starts after 10 to 20
-	// without one; 100 ms. A higher value tolerates slower networks and disks, and elects a new leader later.
+	BootstrapConfig        // empty to take that of the store; otherwise it must be equal to that of the store
+	Self            string // this origin's name; one of Origins
+	Seed            uint64 // seed of the random election timeouts
+	// TickInterval is the unit of time: a leader sends heartbeats every 2 ticks, and an election starts after 10 to 20
+	// ticks without one; default 100 ms. A higher value tolerates slower networks and disks, but replaces a failed
+	// leader later.
 	TickInterval time.Duration
-	// RequestTimeout is how long a request may wait for its result; 4 s. Then the outcome is OutcomeUnknown. A higher
-	// value tolerates longer elections, and lets an operator wait longer for an answer.
+	// RequestTimeout is how long a request may wait for its result; default 4 s. Then the outcome is OutcomeUnknown, or
+	// OutcomeRejected for a change that was never proposed. A higher value tolerates longer elections, but an operator
+	// may wait longer for an answer.
 	RequestTimeout time.Duration
 	// StartupGracePeriod is how long after its start an origin accepts no change while no member has reported its
-	// revision; 3 s. Without it, origins that were all rolled back together, which only the members know, would accept
-	// changes under versions that members already have. A higher value leaves members more time to report, and accepts
-	// the first change of a cluster without members later.
+	// revision; default 3 s. If all origins were rolled back together, only the members know it. Without this time, the
+	// origins would accept changes under versions that members already have. A higher value leaves members more time to
+	// report, but accepts the first change later in a cluster without members.
 	StartupGracePeriod time.Duration
 }
 
-// bootstrapMismatchError says that a store was bootstrapped with another configuration than the settings have.
+// bootstrapMismatchError says that a store was bootstrapped with a different configuration than that of the settings.
 type bootstrapMismatchError struct{ stored, configured BootstrapConfig }
 
 func (e *bootstrapMismatchError) Error() string {
-	return fmt.Sprintf("the store was founded for fleet %q, epoch %d, origins %q; the settings say %q, %d, %q",
+	return fmt.Sprintf("the store was bootstrapped for fleet %q, epoch %d, origins %q; "+
+		"the settings have fleet %q, epoch %d, origins %q",
 		e.stored.Cluster, e.stored.Epoch, e.stored.Origins,
 		e.configured.Cluster, e.configured.Epoch, e.configured.Origins)
 }
 
-// complete returns the configuration with the store's bootstrap configuration and the defaults.
+// complete returns the configuration completed with the store's bootstrap configuration and the defaults.
 func (c Config) complete(stored BootstrapConfig) (Config, error) {
 	if len(c.Origins) == 0 && c.Cluster == "" && c.Epoch == 0 {
 		c.BootstrapConfig = stored
--- a/internal/controlplane/origin/election.go
+++ b/internal/controlplane/origin/election.go
@@ -10,38 +10,42 @@
 
 // Times in ticks of Config.TickInterval.
 const (
-	// heartbeatTicks is the time between two heartbeats of a leader. A higher value sends fewer messages, and leaves
-	// fewer of them that may be lost before electionTicks.
+	// heartbeatTicks is the time between two heartbeats of a leader. A higher value sends fewer messages, but fewer of
+	// them may be lost before the followers start an election.
 	heartbeatTicks = 2
-	// electionTicks is the shortest silence of a leader before an election; the longest is twice as long. A higher
-	// value tolerates more loss and delay, and leaves the origins without a leader for longer after one has failed.
+	// electionTicks is the minimum time without a message from the leader before an election; the maximum is twice as
+	// long. A higher value tolerates more loss and delay, but leaves the origins without a leader for longer after one
+	// has failed.
 	electionTicks = 10
 	// minElectionRetryTicks is the minimum time from one campaign to the next; electionTicks is the maximum. A higher
-	// value makes fewer campaigns that collide, and elects later after one that did.
+	// value makes colliding campaigns rarer, but elects a leader later after a collision.
 	minElectionRetryTicks = 2
-	// maxTicksAtOnce is how many ticks one Tick makes up for. This prevents an origin that was stopped from campaigning
-	// for all the time that it did not listen. A higher value lets it notice sooner that the leader is gone.
+	// maxTicksAtOnce limits how many missed ticks one Tick event makes up for. This prevents an origin that was stopped
+	// from campaigning for all the time in which it received no messages. A higher value lets such an origin notice
+	// sooner that the leader has failed.
 	maxTicksAtOnce = 2 * electionTicks
-	// keepaliveTicks is the time from the last message to an origin to a keepalive. A higher value sends fewer
-	// messages, and tells others later which writes and members this origin has.
+	// keepaliveTicks is the time after the last message to an origin until a keepalive is sent. A higher value sends
+	// fewer messages, but other origins learn this origin's write numbers later.
 	keepaliveTicks = 10
-	// startupTicks is how long a start waits for all others; then a majority is enough. A higher value hears more of
-	// those that may know of a lost write, and participates later while another origin is down.
+	// startupTicks is how long a starting origin waits for all others; after that a majority is enough. A higher value
+	// makes it more likely to hear from an origin that knows of a lost write, but delays the start while another origin
+	// is down.
 	startupTicks = 30
-	// maxLeaderlessTicks is how long changes wait for a leader. A higher value tolerates longer elections, and tells an
-	// operator later that there is no majority.
+	// maxLeaderlessTicks is how long this origin may be without a leader before it rejects changes. A higher value
+	// tolerates longer elections, but an operator learns later that there is no majority.
 	maxLeaderlessTicks = 2 * electionTicks
 	// retryTicks is the time from one attempt of a pending request to the next. A higher value sends fewer copies of a
-	// change, and completes it later after its leader has failed.
+	// change, but completes it later after a leader has failed.
 	retryTicks = 10
-	// minReportTicks is the time between two reports to the others, and maxReportTicks that between two equal ones.
-	// Higher values send fewer messages, and show later at other origins what members act on.
+	// minReportTicks is the minimum time between two reports to the other origins, and maxReportTicks the time after
+	// which an unchanged report is sent again. Higher values send fewer messages, but the other origins learn later
+	// which revisions are active on members.
 	minReportTicks = 3
 	maxReportTicks = 50
 )
 
-// resetElectionTimeout draws the time of silence after which this origin campaigns. It is random, so that two origins
-// do not campaign at the same time again and again.
+// resetElectionTimeout draws the time without a message from the leader after which this origin campaigns. It is
+// random, so that two origins do not repeatedly campaign at the same time.
 func (n *Node) resetElectionTimeout() {
 	n.leaderSilence = 0
 	n.electionTimeout = electionTicks + n.rng.IntN(electionTicks)
@@ -50,12 +54,12 @@
 // heardLeader records a message from the leader.
 func (n *Node) heardLeader() {
 	n.leaderSilence = 0
-	if n.electionTimeout < electionTicks { // this origin has campaigned itself
+	if n.electionTimeout < electionTicks { // shortened by this origin's own campaign
 		n.resetElectionTimeout()
 	}
 }
 
-// handleTick counts the ticks that have passed and executes what is due.
+// handleTick counts the ticks that have passed, and executes what is due by then.
 func (n *Node) handleTick(now time.Duration, actions []Action) []Action {
 	elapsed := int((now - n.tickedAt) / n.cfg.TickInterval)
 	n.tickedAt += time.Duration(elapsed) * n.cfg.TickInterval
@@ -82,9 +86,9 @@
 	}
 }
 
-// tickElection is raft's tick. A follower's election timer is this one and not raft's, whose random numbers cannot be
-// seeded. It decides when this origin campaigns, from the ticks since a message of the leader: after a random number of
-// them from electionTicks on, and after a campaign that failed sooner.
+// tickElection passes a tick to raft on a leader, and runs the election timer on other origins. It replaces raft's own
+// election timer, whose random numbers cannot be seeded. This origin campaigns after a random number of ticks, at least
+// electionTicks, without a message from the leader, and sooner again after a failed campaign.
 func (n *Node) tickElection() {
 	if n.raft.BasicStatus().RaftState == raft.StateLeader {
 		n.raft.Tick()
@@ -99,19 +103,20 @@
 		n.leaderlessTicks = 0
 	}
 	if n.leaderSilence >= electionTicks && hasLeader {
-		_ = n.raft.ForgetLeader() // the next campaign does not depend on it
+		_ = n.raft.ForgetLeader() // an error does not matter: the campaign does not depend on it
 	}
 	if n.leaderSilence >= n.electionTimeout {
-		// The next campaign is due soon: the others may have heard the leader a moment later, and still wait for it,
-		// or two origins may have campaigned at once. By PreVote, this does not disturb a leader that works.
+		// If this campaign fails, the next one is due soon: the others may have received a later message of the leader
+		// and still wait for it, or two origins may have campaigned at once. Because of PreVote, further campaigns do
+		// not disturb a working leader.
 		n.leaderSilence = 0
 		n.electionTimeout = minElectionRetryTicks + n.rng.IntN(electionTicks-minElectionRetryTicks)
-		_ = n.raft.Campaign() // a failed campaign is repeated
+		_ = n.raft.Campaign() // after an error the next campaign follows
 	}
 }
 
-// sendKeepalives sends a message to each origin that has got none for a while, with the report of this origin's
-// members if it has changed.
+// sendKeepalives sends a message to each origin to which none was sent for a while. If a report of this origin's
+// members is due, it sends the message to all origins, with the report.
 func (n *Node) sendKeepalives(actions []Action) []Action {
 	report := n.dueReport()
 	for i, name := range n.names {
@@ -124,8 +129,8 @@
 	return actions
 }
 
-// keepaliveDue reports whether an origin has got no message for a while. An origin that starts sends sooner, because it
-// waits for the responses.
+// keepaliveDue reports whether no message was sent to another origin for a while. A starting origin sends sooner,
+// because it waits for the responses.
 func (n *Node) keepaliveDue(peer int) bool {
 	isStarting := !n.participating && n.rollbackReason == ""
 	if isStarting && n.ticksSinceSend[peer] >= heartbeatTicks {
@@ -134,7 +139,7 @@
 	return n.ticksSinceSend[peer] >= keepaliveTicks
 }
 
-// dueReport returns the report to send to the other origins; nil: none is due.
+// dueReport returns the report to send to the other origins; nil if none is due.
 func (n *Node) dueReport() *controlplane.Report {
 	age := n.ticks - n.sentReportAt
 	if age < minReportTicks {
--- a/internal/controlplane/origin/envelope.go
+++ b/internal/controlplane/origin/envelope.go
@@ -15,15 +15,15 @@
 // checksumSize is the size of the checksum after an envelope, in bytes.
 const checksumSize = 4
 
-// envelope is a message between origins. A little-endian CRC-32C of its bytes follows it: raft takes a message that was
-// altered on its way, and whose fields contradict each other, for a bug of its own and panics.
+// envelope is a message between origins. It is followed by a little-endian CRC-32C of its bytes, because raft panics on
+// a message that was altered in transit so that its fields contradict each other.
 type envelope struct {
 	BootstrapKey []byte               `cbor:"1,keyasint"`           // origins of another bootstrap are rejected
 	From         uint64               `cbor:"2,keyasint"`           // the sender's ID
-	WriteNumbers []uint64             `cbor:"3,keyasint"`           // by ID: highest that the sender knows
+	WriteNumbers []uint64             `cbor:"3,keyasint"`           // highest known write numbers, by origin ID
 	RolledBack   bool                 `cbor:"4,keyasint,omitempty"` // the sender has withdrawn
-	Report       *controlplane.Report `cbor:"5,keyasint,omitempty"` // of the sender's members
-	Raft         []byte               `cbor:"6,keyasint,omitempty"` // raft's message; empty: none
+	Report       *controlplane.Report `cbor:"5,keyasint,omitempty"` // report of the sender's members
+	Raft         []byte               `cbor:"6,keyasint,omitempty"` // raft's message; empty if there is none
 }
 
 // castagnoli is the table of CRC-32C (RFC 3720).
@@ -31,11 +31,11 @@
 
 // Errors of decodeEnvelope.
 var (
-	errForeignMessage = errors.New("message of another bootstrap")
+	errForeignMessage = errors.New("message belongs to another bootstrap")
 	errCorruptMessage = errors.New("invalid message")
 )
 
-// decodeEnvelope decodes and checks a message; m is nil if there is no message of raft in it.
+// decodeEnvelope decodes and checks a message; m is nil if it contains no message of raft.
 func (n *Node) decodeEnvelope(data []byte) (e *envelope, m *raftpb.Message, err error) {
 	body, err := verifyChecksum(data)
 	if err != nil {
@@ -48,9 +48,13 @@
 	if string(e.BootstrapKey) != n.bootstrapKey {
 		return nil, nil, errForeignMessage
 	}
-	origins := len(n.cfg.Origins)
-	if e.From == 0 || e.From > uint64(origins) || e.From == n.id || len(e.WriteNumbers) != origins {
-		return nil, nil, fmt.Errorf("%w: from %d", errCorruptMessage, e.From)
+	switch origins := len(n.cfg.Origins); {
+	case e.From == 0 || e.From > uint64(origins):
+		return nil, nil, fmt.Errorf("%w: sender ID %d, want 1 to %d", errCorruptMessage, e.From, origins)
+	case e.From == n.id:
+		return nil, nil, fmt.Errorf("%w: sender ID %d is that of the receiver", errCorruptMessage, e.From)
+	case len(e.WriteNumbers) != origins:
+		return nil, nil, fmt.Errorf("%w: %d write numbers, want %d", errCorruptMessage, len(e.WriteNumbers), origins)
 	}
 	if len(e.Raft) == 0 {
 		return e, nil, nil
@@ -59,26 +63,33 @@
 	if err := proto.Unmarshal(e.Raft, m); err != nil {
 		return nil, nil, fmt.Errorf("%w: %w", errCorruptMessage, err)
 	}
-	if m.GetFrom() != e.From || m.GetTo() != n.id {
-		return nil, nil, fmt.Errorf("%w: from %d as %d to %d", errCorruptMessage, e.From, m.GetFrom(), m.GetTo())
+	if m.GetFrom() != e.From {
+		return nil, nil, fmt.Errorf("%w: raft message from %d in an envelope from %d",
+			errCorruptMessage, m.GetFrom(), e.From)
+	}
+	if m.GetTo() != n.id {
+		return nil, nil, fmt.Errorf("%w: raft message to %d, want %d", errCorruptMessage, m.GetTo(), n.id)
 	}
 	return e, m, nil
 }
 
-// verifyChecksum returns the bytes of an envelope without their checksum.
+// verifyChecksum checks the size and checksum of a message, and returns its bytes without the checksum.
 func verifyChecksum(data []byte) ([]byte, error) {
 	if len(data) > MaxMessageSize {
-		return nil, fmt.Errorf("%w: %d bytes", errCorruptMessage, len(data))
+		return nil, fmt.Errorf("%w: %d bytes, want at most %d", errCorruptMessage, len(data), MaxMessageSize)
+	}
+	if len(data) < checksumSize {
+		return nil, fmt.Errorf("%w: %d bytes, want at least %d", errCorruptMessage, len(data), checksumSize)
 	}
-	body := data[:max(len(data)-checksumSize, 0)]
-	if len(data) < checksumSize || crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[len(body):]) {
+	body := data[:len(data)-checksumSize]
+	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[len(body):]) {
 		return nil, fmt.Errorf("%w: checksum mismatch", errCorruptMessage)
 	}
 	return body, nil
 }
 
-// encodeEnvelope encodes a message with the latest write number of this origin, which it notes in n.writeNumbers for
-// that. m and report may be nil.
+// encodeEnvelope encodes a message with the write numbers that this origin knows, after it has set its own one in
+// n.writeNumbers. m and report may be nil.
 func (n *Node) encodeEnvelope(m *raftpb.Message, report *controlplane.Report) []byte {
 	n.writeNumbers[n.id-1] = n.writeNumber
 	e := envelope{
@@ -91,7 +102,7 @@
 	if m != nil {
 		var err error
 		if e.Raft, err = proto.Marshal(m); err != nil {
-			panic(err) // raft has made the message
+			panic(err) // unreachable: raft created the message
 		}
 	}
 	body := encode(e)
--- a/internal/controlplane/origin/events.go
+++ b/internal/controlplane/origin/events.go
@@ -6,26 +6,27 @@
 // Tick.
 type Event interface{ originEvent() }
 
-// Message is a message from another origin, as its Send has it. One that is corrupt, or of another bootstrap, is
-// counted and dropped.
+// Message is a message from another origin, with the Data of that origin's Send. A message that is corrupt, or from an
+// origin of another bootstrap, is counted and dropped.
 type Message struct {
 	From string
 	Data []byte
 }
 
-// Propose proposes a change: the text that is to follow version BaseVersion. The caller chooses ID, and may propose
-// the change again under the same ID when it got no result: it takes effect at most once. There is exactly one Result
-// for it.
+// Propose proposes a change: Text is the text of the version after BaseVersion. The caller chooses the ID, and may
+// propose the change again under the same ID if it got no result: the change takes effect at most once. Each Propose
+// has exactly one Result.
 type Propose struct {
 	ID          string
 	BaseVersion uint64
 	Text        []byte
 }
 
-// QueryOutcome asks for the outcome of the change with this ID. There is exactly one Result for it.
+// QueryOutcome requests the outcome of the change with this ID. Each QueryOutcome has exactly one Result.
 type QueryOutcome struct{ ID string }
 
-// ReadLatest asks for the latest revision, confirmed by a majority. There is exactly one Result for it.
+// ReadLatest requests the latest revision, confirmed by a majority. Each ReadLatest has exactly one Result, which has
+// the same ID.
 type ReadLatest struct{ ID string }
 
 // ReportReceived is the report of a member that receives the snapshot from this origin; From is the member's name.
@@ -37,7 +38,7 @@
 // SubscriberDisconnected says that a member's connection has ended.
 type SubscriberDisconnected struct{ From string }
 
-// Tick says that time has passed. It is due every Config.TickInterval.
+// Tick says that time has passed. The caller sends one every Config.TickInterval.
 type Tick struct{}
 
 func (Message) originEvent()                {}
@@ -54,7 +55,8 @@
 // Persist must be durable before the actions after it are executed. Write writes it to an internal/store.
 type Persist struct{ Records []Record }
 
-// Record is a write to the store. Records become durable in order: none without those before it.
+// Record is a write to the store: it sets the value of a key, or deletes the key. Records must become durable in order,
+// none without all earlier ones.
 type Record struct {
 	Key    string
 	Value  []byte
@@ -67,8 +69,8 @@
 	Data []byte
 }
 
-// Publish sets the frame that members are to receive from this origin from now on, in place of any earlier one that is
-// not sent yet.
+// Publish sets the frame that members receive from this origin from now on, replacing any earlier frame that is not
+// sent yet.
 type Publish struct{ Frame controlplane.Frame }
 
 // Outcome is the outcome of a Propose, QueryOutcome or ReadLatest.
@@ -76,34 +78,35 @@
 
 // Outcomes.
 const (
-	OutcomeAccepted Outcome = "accepted" // a majority has the change: it is not lost while one keeps its stores
+	OutcomeAccepted Outcome = "accepted" // a majority has the change; it is kept while a majority keeps its stores
 	OutcomeConflict Outcome = "conflict" // another change came first; Revision is the latest one
 	OutcomeRejected Outcome = "refused"  // this attempt has not taken effect and will not; Error says why
 	OutcomeUnknown  Outcome = "unknown"  // no majority responded in time: the change may still take effect; query by ID
-	OutcomeNotFound Outcome = "missing"  // of a QueryOutcome: a majority does not know the ID, or has forgotten it
-	OutcomeCurrent  Outcome = "current"  // of a ReadLatest
+	OutcomeNotFound Outcome = "missing"  // QueryOutcome only: the ID is not among the last MaxOutcomes changes
+	OutcomeCurrent  Outcome = "current"  // ReadLatest only: Revision is the latest one
 )
 
 // Result is the result of the Propose, QueryOutcome or ReadLatest with the same ID.
 type Result struct {
 	ID       string                `json:"id"`
 	Outcome  Outcome               `json:"outcome"`
-	Revision controlplane.Revision `json:"stamp"` // with OutcomeAccepted: the change's; else the latest
+	Revision controlplane.Revision `json:"stamp"` // with OutcomeAccepted that of the change, otherwise the latest
 	Error    string                `json:"err,omitempty"`
 }
 
-// LogMessage is for the log. There is at most one of a kind in 10 s; Count has how many it stands for.
+// LogMessage is a message for the log. At most one of each kind is logged in 10 s; Count includes those that were held
+// back.
 type LogMessage struct {
 	Kind  controlplane.LogKind
 	Text  string
 	Count int
 }
 
-// Kinds of a Node's LogMessage, beside the values of Role, which it logs when it takes a role.
+// Kinds of a Node's LogMessage. The values of Role are further kinds, which a Node logs when its role changes.
 const (
 	LogChange     controlplane.LogKind = "change"      // a change was accepted
 	LogRolledBack controlplane.LogKind = "rolled back" // the store has lost writes: the origin withdraws
-	LogForeign    controlplane.LogKind = "foreign"     // a message is of another bootstrap
+	LogForeign    controlplane.LogKind = "foreign"     // a message belongs to another bootstrap
 	LogCorrupt    controlplane.LogKind = "broken"      // a message or an entry of the log is invalid
 )
 
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -41,7 +41,7 @@
 	return BootstrapConfig{Cluster: "booking", Epoch: 3, Origins: []string{"o1", "o2", "o3"}}
 }
 
-// goldenRecords holds records of a store: keys and values, in order.
+// goldenRecords compares records of a store, in order, with a golden file.
 func goldenRecords(t *testing.T, name string, records []Record) {
 	t.Helper()
 	var text bytes.Buffer
@@ -55,7 +55,7 @@
 	testutil.Golden(t, name, text.Bytes())
 }
 
-// What is in entries of the log, in the store and in messages, as CBOR.
+// The CBOR encoding of entries of the log, records of the store and messages stays the same.
 func TestOriginEntryFormatIsStable(t *testing.T) {
 	hash := controlplane.HashText([]byte("# text\n"))
 	report := testReport()
@@ -99,40 +99,40 @@
 	}
 }
 
-// A message between origins: the envelope, raft's message and the checksum, with and without a report; another origin
-// opens it.
+// The encoding of a message between origins stays the same: the envelope, raft's message and the checksum, with and
+// without a report. Another origin can decode it.
 func TestOriginMessageFormatIsStable(t *testing.T) {
-	founding := testBootstrapConfig()
+	bootstrap := testBootstrapConfig()
 	sender := &Node{
-		cfg:            Config{BootstrapConfig: founding, Self: "o2"},
+		cfg:            Config{BootstrapConfig: bootstrap, Self: "o2"},
 		id:             2,
-		bootstrapKey:   founding.key(),
+		bootstrapKey:   bootstrap.key(),
 		writeNumber:    300,
 		writeNumbers:   []uint64{9, 0, 70000},
 		rollbackReason: "why",
 	}
-	receiver := &Node{cfg: Config{BootstrapConfig: founding, Self: "o1"}, id: 1, bootstrapKey: founding.key()}
+	receiver := &Node{cfg: Config{BootstrapConfig: bootstrap, Self: "o1"}, id: 1, bootstrapKey: bootstrap.key()}
 	kind, from, to := raftpb.MsgHeartbeat, uint64(2), uint64(1)
 	term, index, context := uint64(4), uint64(11), []byte("context")
 	message := &raftpb.Message{Type: &kind, From: &from, To: &to, Term: &term, Commit: &index, Context: context}
 	report := testReport()
-	for name, sealed := range map[string][]byte{
+	for name, data := range map[string][]byte{
 		"message":              sender.encodeEnvelope(message, &report),
 		"message-without-raft": sender.encodeEnvelope(nil, nil),
 	} {
-		testutil.GoldenBinary(t, name+".hex", sealed)
-		e, m, err := receiver.decodeEnvelope(sealed)
+		testutil.GoldenBinary(t, name+".hex", data)
+		e, m, err := receiver.decodeEnvelope(data)
 		if err != nil || e.From != 2 || !slices.Equal(e.WriteNumbers, []uint64{9, 300, 70000}) || !e.RolledBack {
-			t.Fatalf("%s: %v: %+v", name, err, e)
+			t.Fatalf("%s: decoded as %+v: %v", name, e, err)
 		}
 		if (m != nil) != (name == "message") || m != nil && (m.GetCommit() != 11 || m.GetTerm() != 4) {
 			t.Errorf("%s: raft's message is %v", name, m)
 		}
 	}
-	testutil.GoldenBinary(t, "founding-key.hex", []byte(founding.key()))
+	testutil.GoldenBinary(t, "founding-key.hex", []byte(bootstrap.key()))
 }
 
-// What a bootstrap writes, and where the parts of entries and snapshots stand.
+// The records that a bootstrap writes, and the keys of the parts of entries and snapshots, stay the same.
 func TestOriginBootstrapRecordsAreStable(t *testing.T) {
 	goldenRecords(t, "founded.txt", bootstrapRecords(testBootstrapConfig()))
 	if got, want := entryKey(0x1f, 3), "e/000000000000001f/0000000000000003"; got != want {
@@ -151,44 +151,44 @@
 		records[p.Key] = p.Value
 	}
 	if whole, ok := joinValue(records, "s/1"); len(parts) != 3 || !ok || !bytes.Equal(whole, long) {
-		t.Errorf("%d parts, whole: %t", len(parts), ok)
+		t.Errorf("%d parts, want 3, and joined to the original value: %t", len(parts), ok && bytes.Equal(whole, long))
 	}
 }
 
-// What one origin writes to its store from its bootstrap to an accepted push, and that another process goes on from
-// there.
+// The records that one origin writes to its store from its bootstrap to an accepted push stay the same, and another
+// process can start from them.
 func TestOriginStoreFormatIsStable(t *testing.T) {
-	founding := BootstrapConfig{Cluster: "booking", Epoch: 3, Origins: []string{"o1"}}
-	state, err := NewBootstrappedState(founding)
+	bootstrap := BootstrapConfig{Cluster: "booking", Epoch: 3, Origins: []string{"o1"}}
+	state, err := NewBootstrappedState(bootstrap)
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := Config{BootstrapConfig: founding, Self: "o1", Seed: 7}
+	config := Config{BootstrapConfig: bootstrap, Self: "o1", Seed: 7}
 	node, actions, err := NewNode(config, state, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var written []Record
-	var answers []Result
-	carryOut := func(list []Action) {
+	var results []Result
+	execute := func(list []Action) {
 		for _, a := range list {
 			switch a := a.(type) {
 			case Persist:
 				written = append(written, a.Records...)
 				state.Write(a)
 			case Result:
-				answers = append(answers, a)
+				results = append(results, a)
 			}
 		}
 	}
-	carryOut(actions)
+	execute(actions)
 	now := time.Duration(0)
 	for range 60 {
 		now += 100 * time.Millisecond
-		carryOut(node.Handle(now, Tick{}))
+		execute(node.Handle(now, Tick{}))
 	}
-	carryOut(node.Handle(now, Propose{ID: "push-1", BaseVersion: 0, Text: []byte("# text\n")}))
-	carryOut(node.Handle(now, Propose{ID: "push-2", BaseVersion: 0, Text: []byte("# other\n")}))
+	execute(node.Handle(now, Propose{ID: "push-1", BaseVersion: 0, Text: []byte("# text\n")}))
+	execute(node.Handle(now, Propose{ID: "push-2", BaseVersion: 0, Text: []byte("# other\n")}))
 	want := []Result{
 		{ID: "push-1", Outcome: OutcomeAccepted, Revision: testRevision(1)},
 		{
@@ -196,8 +196,8 @@
 			Error: "made after version 0, and 1 is the latest",
 		},
 	}
-	if !reflect.DeepEqual(answers, want) {
-		t.Fatalf("%+v, want %+v", answers, want)
+	if !reflect.DeepEqual(results, want) {
+		t.Fatalf("%+v, want %+v", results, want)
 	}
 	goldenRecords(t, "store.txt", written)
 
@@ -210,11 +210,11 @@
 	}
 	if frame, ok := again.Frame(); !ok || frame.Revision != testRevision(1) || string(frame.Text) != "# text\n" ||
 		frame.Cluster != "booking" {
-		t.Errorf("%t: %+v", ok, frame)
+		t.Errorf("after the restart the frame is %+v, present: %t", frame, ok)
 	}
 }
 
-// What config status and config push have as JSON.
+// The JSON output of the commands config status and config push stays the same.
 func TestOriginStatusFormatIsStable(t *testing.T) {
 	status := Status{
 		Self:       "o1",
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -14,35 +14,35 @@
 
 // attempt is one change that a history proposes.
 type attempt struct {
-	id   string
-	text []byte
-	base uint64 // version that it was made after, each time
-	lost bool   // its origin stopped, or it was proposed again: one result does not tell its outcome
+	id        string
+	text      []byte
+	base      uint64 // BaseVersion of each of its proposals
+	ambiguous bool   // its origin stopped, or it was proposed again: a single result does not tell its outcome
 }
 
-// history is a simulation with what was proposed and what may fail.
+// history is a simulation with a record of its proposals, backups and rollbacks.
 type history struct {
 	*simulation
 	t            *rapid.T
 	attempts     []*attempt
-	backups      map[int]map[string][]byte // of disks, by origin
+	backups      map[int]map[string][]byte // copies of disks, by origin
 	rolledBack   map[int]bool              // by origin
-	maxRollbacks int                       // origins that may be rolled back
+	maxRollbacks int                       // maximum number of origins that are rolled back
 }
 
-// Random histories: crashes between any two writes and sends, restarts, cuts, loss, late and doubled messages, stores
-// that are rolled back, pushes at once and again. In each of them:
+// Random histories have crashes between any two writes and sends, restarts, partitions, lost, late and duplicated
+// messages, stores that are rolled back, and concurrent and repeated pushes. In each of them:
 //
-//   - a version has one content for ever, whoever publishes it, and no origin publishes an older one after a later one
+//   - all origins publish a version with the same content, and no origin publishes an older version after a later one
 //     (simulation.checkPublish);
-//   - what was acknowledged is there at the end under its revision; what was rejected or in conflict never is;
+//   - at the end, an acknowledged change has its revision, and a change that was rejected or in conflict has none;
 //   - each proposal has one result, unless its origin stopped;
-//   - an origin whose store was rolled back has withdrawn, another one has not;
-//   - once nothing fails any more, all agree, and a change is accepted.
+//   - exactly the origins whose stores were rolled back have withdrawn;
+//   - once there are no more failures, all origins agree, and a change is accepted.
 //
-// A store is rolled back while the others run and reach it, and no more of them than the rest can do without: that is
-// what is promised. More histories: go test ./internal/controlplane/origin -run RandomHistories -rapid.checks=10000
-// -rapid.seed=N.
+// Stores are rolled back only while the other origins run and are reachable, and only so many that the others are still
+// a majority, since origins do not guarantee more. To run more histories: go test ./internal/controlplane/origin -run
+// RandomHistories -rapid.checks=10000 -rapid.seed=N.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5, 3, 1, 2, 4}).Draw(t, "origins")
@@ -79,9 +79,9 @@
 		h.proposeNew(i)
 		h.proposeNew(h.anyOrigin("other"))
 	case 6:
-		if len(h.attempts) > 0 { // again
+		if len(h.attempts) > 0 { // repeat a proposal
 			x := h.attempts[rapid.IntRange(0, len(h.attempts)-1).Draw(h.t, "again")]
-			x.lost = true
+			x.ambiguous = true
 			h.propose(i, x)
 		}
 	case 7:
@@ -130,7 +130,7 @@
 	h.handle(i, Propose{x.id, x.base, x.text})
 }
 
-// rollBackSafely rolls a store back within what the origins can detect.
+// rollBackSafely rolls a store back, unless the origins could not detect that.
 func (h *history) rollBackSafely(i int) {
 	disk := h.backups[i]
 	if disk == nil || !h.rolledBack[i] && len(h.rolledBack) >= h.maxRollbacks {
@@ -150,8 +150,8 @@
 		h.t.Fatalf("%v", err)
 	}
 	if lost := after.WriteNumber < before; lost != (p.node.rollbackReason != "") && !h.rolledBack[i] {
-		h.t.Fatalf("%s's store went from write %d to %d: rolled back %q\n%s", p.name, before, after.WriteNumber,
-			p.node.rollbackReason, h.describe())
+		h.t.Fatalf("the store of %s went from write number %d to %d, and its rollback reason is %q\n%s", p.name, before,
+			after.WriteNumber, p.node.rollbackReason, h.describe())
 	} else if lost {
 		h.rolledBack[i] = true
 	}
@@ -176,10 +176,11 @@
 			h.t.Fatalf("%s is down", p.name)
 		}
 		if (p.node.rollbackReason != "") != h.rolledBack[i] {
-			h.t.Fatalf("%s has withdrawn: %q", p.name, p.node.rollbackReason)
+			h.t.Fatalf("%s has rollback reason %q, and its store was rolled back: %t", p.name, p.node.rollbackReason,
+				h.rolledBack[i])
 		}
 	}
-	h.waitUntil(20*time.Second, "all agree and one leads", func() bool { return h.allAgree() && h.leader() >= 0 })
+	h.waitUntil(20*time.Second, "agreement and a leader", func() bool { return h.allAgree() && h.leader() >= 0 })
 	leader := h.leader()
 	version := h.proposeLast(leader)
 	h.checkPublished(version)
@@ -189,7 +190,7 @@
 	}
 	for _, p := range h.machines {
 		if p.completed != len(p.attempts) {
-			h.t.Fatalf("%s gave %d results for %d proposals", p.name, p.completed, len(p.attempts))
+			h.t.Fatalf("%s returned %d results for %d proposals", p.name, p.completed, len(p.attempts))
 		}
 	}
 	for _, x := range h.attempts {
@@ -203,7 +204,7 @@
 	version := state.Version
 	last := &attempt{id: "last", text: textOf("last")}
 	if a := h.push(leader, last.id, version, last.text); a.Outcome != OutcomeAccepted {
-		h.t.Fatalf("the last push: %s %s\n%s", a.Outcome, a.Error, h.describe())
+		h.t.Fatalf("the last push has outcome %q: %s\n%s", a.Outcome, a.Error, h.describe())
 	}
 	h.waitUntil(5*time.Second, "all agree on the last push", func() bool {
 		return h.allAgree() && state.Version == version+1
@@ -211,19 +212,19 @@
 	return version + 1
 }
 
-// checkPublished checks that each version was published.
+// checkPublished checks that exactly the versions up to the latest one were published.
 func (h *history) checkPublished(latest uint64) {
 	for v := uint64(1); v < latest; v++ {
 		if h.published[v] == "" {
-			h.t.Fatalf("version %d of %d was never published", v, latest-1)
+			h.t.Fatalf("version %d was never published, and the latest is %d", v, latest)
 		}
 	}
 	if len(h.published) != int(latest) {
-		h.t.Fatalf("%d versions were published, and %d is the last", len(h.published), latest)
+		h.t.Fatalf("%d versions were published, and the latest is %d", len(h.published), latest)
 	}
 }
 
-// checkOutcome checks the results of an attempt, which is a version, or 0 if it was not accepted.
+// checkOutcome checks the results of an attempt. version is the version that it became, or 0 if it was not accepted.
 func (h *history) checkOutcome(x *attempt, version uint64, leader int) {
 	hash := controlplane.HashText(x.text)
 	results := h.results[x.id]
@@ -233,18 +234,19 @@
 		isFinal := a.Outcome == OutcomeRejected || a.Outcome == OutcomeConflict
 		switch {
 		case a.Outcome == OutcomeAccepted && (version != a.Revision.Version || a.Revision.Hash != hash):
-			h.t.Fatalf("%s was acknowledged as %v, and is %d", x.id, a.Revision, version)
-		case isFinal && !x.lost && version > 0:
-			h.t.Fatalf("the result of %s is %s, and it is version %d", x.id, a.Outcome, version)
+			h.t.Fatalf("%s was acknowledged as %v with hash %.12s, and is version %d with hash %.12s", x.id, a.Revision,
+				a.Revision.Hash, version, hash)
+		case isFinal && !x.ambiguous && version > 0:
+			h.t.Fatalf("the result of %s is %q, and yet it is version %d", x.id, a.Outcome, version)
 		}
 	}
 	if isConflict && version > 0 {
-		h.t.Fatalf("%s was in conflict, and is version %d", x.id, version)
+		h.t.Fatalf("the result of %s is %q, and yet it is version %d", x.id, OutcomeConflict, version)
 	}
 	if version == 0 && len(results) == 0 {
 		return
 	}
 	if a := h.query(leader, x.id); a.Outcome == OutcomeAccepted != (version > 0) {
-		h.t.Fatalf("%s is version %d, and a query says %s", x.id, version, a.Outcome)
+		h.t.Fatalf("%s is version %d, and a query returns %q", x.id, version, a.Outcome)
 	}
 }
--- a/internal/controlplane/origin/messages.go
+++ b/internal/controlplane/origin/messages.go
@@ -18,7 +18,7 @@
 	}
 	from := n.names[e.From-1]
 	n.mergeEnvelope(now, e, from)
-	// After a rollback, this origin has forgotten votes and acknowledgements that still count elsewhere.
+	// The store was rolled back: this origin has lost votes and acknowledgements on which other origins still rely.
 	if known := e.WriteNumbers[n.id-1]; known > n.writeNumber {
 		return n.withdraw(now, actions, fmt.Sprintf(
 			"its store was rolled back: %s knows of write %d, and the store's last is %d", from, known, n.writeNumber))
@@ -45,7 +45,7 @@
 	return n.logMessage(now, actions, kind, fmt.Sprintf("from %s: %v", from, err))
 }
 
-// mergeEnvelope takes over what another origin knows.
+// mergeEnvelope records the write numbers, the withdrawal and the report of another origin.
 func (n *Node) mergeEnvelope(now time.Duration, e *envelope, from string) {
 	for i, number := range e.WriteNumbers {
 		if uint64(i+1) != n.id {
@@ -60,12 +60,12 @@
 	}
 }
 
-// tryParticipate starts to participate in consensus once all others were heard from, or, after startupTicks, a majority
-// together with itself.
+// tryParticipate starts to participate in consensus once this origin has heard from all others since its start, or,
+// after startupTicks, from enough of them to form a majority with itself.
 //
-// It decides that from the origins that were heard since the start. This prevents an origin whose store was rolled back
-// from voting or acknowledging again what it had already acknowledged: a change that was accepted could be lost. It
-// holds because whoever knows of its lost writes has said so by then.
+// This prevents an origin whose store was rolled back from voting twice in a term, or from acknowledging other entries
+// in place of those that it had acknowledged: an accepted change could be lost. By the time that the origin
+// participates, an origin that knows of its lost writes has told it.
 func (n *Node) tryParticipate() {
 	if n.participating || n.rollbackReason != "" || n.raft == nil {
 		return
@@ -87,8 +87,8 @@
 
 // stepRaft passes a message to raft.
 func (n *Node) stepRaft(now time.Duration, from string, m *raftpb.Message, actions []Action) []Action {
-	// Raft panics if the leader has committed what is not in this log.
-	last, _ := n.log.LastIndex() // of a MemoryStorage, which has no error
+	// Raft panics if the leader has committed an entry that is missing in this log.
+	last, _ := n.log.LastIndex() // a MemoryStorage returns no error here
 	if m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > last && m.GetTerm() >= n.root.Term {
 		return n.withdraw(now, actions, fmt.Sprintf(
 			"its store was rolled back: %s counts on entry %d, and the last one here is %d", from, m.GetCommit(), last))
@@ -111,7 +111,7 @@
 	return actions
 }
 
-// vote returns the origin that this one has voted for in the current term; 0: none.
+// vote returns the ID of the origin for which this one has voted in the current term; 0 if there is none.
 func (n *Node) vote() uint64 {
 	status := n.raft.BasicStatus()
 	return status.GetVote()
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -15,69 +15,70 @@
 )
 
 const (
-	// randomStream is the second half of the seed of Config.Seed's random numbers.
+	// randomStream is the second half of the seed of the random numbers; Config.Seed is the first half.
 	randomStream = 44
 
-	// Messages and bytes of raft that are on their way to one follower. Higher values catch up sooner with a follower
-	// that is behind, and take more memory while it does not answer.
+	// maxInflightMessages and maxInflightBytes limit raft's messages to one follower that are not acknowledged yet.
+	// Higher values bring a follower that is behind up to date sooner, but take more memory while it does not respond.
 	maxInflightMessages = 8
 	maxInflightBytes    = 4 * controlplane.MaxSnapshotSize
 
 	// maxMemberSilence is how long a member may send no report before it counts as disconnected. A higher value
-	// tolerates more lost reports, and counts a member that hangs for longer.
+	// tolerates more lost reports, but counts a member that hangs for longer.
 	maxMemberSilence = 30 * time.Second
-	// disconnectedRetention is how long a disconnected member is named. A higher value leaves more time to find it, and
-	// names members for longer that were shut down.
+	// disconnectedRetention is how long a disconnected member is named. A higher value leaves more time to find it, but
+	// members that were shut down are named for longer.
 	disconnectedRetention = time.Minute
-	// maxPeerReportAge is how long another origin's report counts. After it, its members may have moved to this origin,
-	// which would count them twice. A higher value tolerates longer partitions, and counts them twice for longer.
+	// maxPeerReportAge is how long the report of another origin is used. After this time, that origin's members may
+	// have moved to this origin, which would count them twice. A higher value tolerates longer partitions, but counts
+	// such members twice for longer.
 	maxPeerReportAge = 15 * time.Second
 )
 
 // Node is one origin.
 type Node struct {
 	cfg          Config
-	id           uint64   // in raft: 1 and the index in names
-	names        []string // of all origins, sorted
+	id           uint64   // ID in raft: the index in names, plus 1
+	names        []string // names of all origins, sorted
 	bootstrapKey string
 	rng          *rand.Rand
 
-	raft *raft.RawNode       // nil: the store is damaged
-	log  *raft.MemoryStorage // nil: the store is damaged
+	raft *raft.RawNode       // nil if the store is damaged so that nothing can be served
+	log  *raft.MemoryStorage // nil if raft is
 
-	// What the store has.
+	// State of the store.
 	root           rootRecord
-	writeNumber    uint64        // of the last Persist
-	writeNumbers   []uint64      // by origin: highest that is known
-	rollbackReason string        // why this origin has withdrawn; empty: it has not
-	storedEntries  []storedEntry // that the root references, oldest first
-	snapshotParts  int           // records of the snapshot that the root references
+	writeNumber    uint64        // write number of the last Persist
+	writeNumbers   []uint64      // highest known write number by origin
+	rollbackReason string        // why this origin has withdrawn; empty if it has not
+	storedEntries  []storedEntry // entries that the root references, oldest first
+	snapshotParts  int           // number of records of the snapshot that the root references
 
 	state        stateMachine
 	applied      uint64                // index of the last applied entry
-	appliedBytes uint64                // of entries since the last snapshot
-	published    controlplane.Revision // last
+	appliedBytes uint64                // size of the entries applied since the last snapshot
+	published    controlplane.Revision // revision that was published last
 
 	startedAt       time.Duration
 	tickedAt        time.Duration // time up to which ticks are counted
-	ticks           int           // since the start
-	participating   bool          // in consensus
-	heardFrom       []bool        // by origin
-	leaderSilence   int           // ticks since a message of the leader
+	ticks           int           // ticks since the start
+	participating   bool          // whether this origin participates in consensus
+	heardFrom       []bool        // by origin: whether a message came since the start
+	leaderSilence   int           // ticks since the last message from the leader, or since this origin's last campaign
 	leaderlessTicks int           // ticks without a known leader
-	electionTimeout int           // ticks of leaderSilence after which it campaigns
-	ticksSinceSend  []int         // by origin
-	rolledBackPeers []string      // origins that say that they have withdrawn
+	electionTimeout int           // value of leaderSilence at which this origin campaigns
+	ticksSinceSend  []int         // by origin: ticks since the last message to it
+	rolledBackPeers []string      // other origins that have announced their withdrawal
 
 	pending    []pendingRequest
-	readSerial uint64 // of the last read index request
+	readSerial uint64 // readID of the last read index request
 
-	memberReports controlplane.ReportAggregator // of members that receive the snapshot from this origin
-	peerReports   controlplane.ReportAggregator // of the other origins
-	sentReport    controlplane.Report           // last, to the other origins
-	sentReportAt  int                           // tick
+	memberReports controlplane.ReportAggregator // reports of members that receive the snapshot from this origin
+	peerReports   controlplane.ReportAggregator // reports of the other origins
+	sentReport    controlplane.Report           // report that was last sent to the other origins
+	sentReportAt  int                           // tick at which it was sent
 
-	role            Role // last logged
+	role            Role // role that was logged last
 	logThrottle     controlplane.LogThrottle
 	foreignMessages int
 	corruptMessages int
@@ -90,11 +91,11 @@
 }
 
 func (e *unknownOriginError) Error() string {
-	return fmt.Sprintf("%q is none of the origins that were founded: %q", e.self, e.origins)
+	return fmt.Sprintf("%q is not one of the bootstrapped origins %q", e.self, e.origins)
 }
 
 // NewNode returns a Node that starts at now from the state of its store, and the first actions. If
-// Config.BootstrapConfig is not empty it must be that of the store.
+// Config.BootstrapConfig is not empty, it must be equal to that of the store.
 func NewNode(c Config, s *State, now time.Duration) (*Node, []Action, error) {
 	c, err := c.complete(s.Bootstrap)
 	if err != nil {
@@ -123,7 +124,7 @@
 	}
 	var actions []Action
 	if n.raft != nil {
-		// A crash may have come between the root and its deletes.
+		// A crash may have prevented the deletes that follow the write of a root.
 		if deletes := s.unreferenced(&n.root, n.log); len(deletes) > 0 {
 			actions = append(actions, Persist{deletes})
 		}
@@ -135,8 +136,8 @@
 	return n, actions, nil
 }
 
-// restore sets the node's state from that of its store. If the store is damaged, the node withdraws; if nothing can be
-// served either, raft and log stay nil.
+// restore sets the node's state from that of its store. If the store is damaged, the node withdraws from consensus; if
+// not even a snapshot can be read, raft and log stay nil.
 func (n *Node) restore(s *State) error {
 	log, root, err := s.restore()
 	switch {
@@ -161,7 +162,7 @@
 		return err
 	}
 	if err := decode(snapshot.GetData(), &n.state); err != nil {
-		return fmt.Errorf("the snapshot in the store: %w", err)
+		return fmt.Errorf("decoding the snapshot in the store: %w", err)
 	}
 	n.applied = root.SnapshotIndex
 	n.restoreStoredEntries(s)
@@ -182,9 +183,9 @@
 	return err
 }
 
-// restoreStoredEntries sets the list of the entries that the store has.
+// restoreStoredEntries sets storedEntries from the restored log.
 func (n *Node) restoreStoredEntries(s *State) {
-	last, _ := n.log.LastIndex() // of a MemoryStorage, which has no error
+	last, _ := n.log.LastIndex() // a MemoryStorage returns no error here
 	for i := n.root.SnapshotIndex + 1; i <= last; i++ {
 		term, _ := n.log.Term(i) // the index is in the log
 		n.storedEntries = append(n.storedEntries, storedEntry{
@@ -218,14 +219,15 @@
 	return n.updateRole(now, actions)
 }
 
-// canStep reports whether raft may process messages, time and requests.
+// canStep reports whether raft may process messages, ticks and requests.
 func (n *Node) canStep() bool { return n.participating && n.rollbackReason == "" }
 
-// withdraw takes the origin out of consensus for good: only the bootstrap of a higher epoch brings it back.
+// withdraw takes the origin out of consensus for good: it participates again only after the bootstrap of a higher
+// epoch. The reason is made durable, so a restart does not change that.
 //
-// Its callers decide that from the write numbers that others know, the leader's committed index, and what the store
-// lacks. This prevents an origin whose store was rolled back from forming a majority that does not have what was
-// accepted; it would show as a change that is gone. It holds because the reason is made durable.
+// Callers withdraw the origin because of the write numbers that others know of it, or the leader's commit index. This
+// prevents an origin whose store was rolled back from forming a majority without the changes that it had acknowledged:
+// accepted changes would be lost.
 func (n *Node) withdraw(now time.Duration, actions []Action, reason string) []Action {
 	if n.rollbackReason != "" {
 		return actions
@@ -237,7 +239,8 @@
 	return n.logMessage(now, actions, LogRolledBack, reason)
 }
 
-// processReady executes what raft has ready: first what must be durable, then the messages, then the committed entries.
+// processReady executes the updates that raft has ready: first it persists entries and state, then it sends messages,
+// and then it applies committed entries.
 func (n *Node) processReady(now time.Duration, actions []Action) []Action {
 	for n.raft != nil && n.rollbackReason == "" && n.raft.HasReady() {
 		ready := n.raft.Ready()
@@ -261,18 +264,18 @@
 	return actions
 }
 
-// persistReady brings the log to raft's new entries, snapshot and hard state, and persists them.
+// persistReady adds raft's new entries, snapshot and hard state to the log, and persists them.
 func (n *Node) persistReady(ready *raft.Ready, actions []Action) []Action {
 	var snapshot *raftpb.Snapshot
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		snapshot = ready.Snapshot
-		_ = n.log.ApplySnapshot(snapshot) // the only error is that the log has a later one
+		_ = n.log.ApplySnapshot(snapshot) // the only possible error says that the log has a later snapshot
 	}
 	if err := n.log.Append(ready.Entries); err != nil {
-		panic(err) // raft's own entries do not fit its own log
+		panic(err) // a bug: raft's entries must fit its log
 	}
 	if state := ready.HardState; state != nil {
-		_ = n.log.SetHardState(state) // of a MemoryStorage, which has no error
+		_ = n.log.SetHardState(state) // a MemoryStorage returns no error here
 		n.root.Term = state.GetTerm()
 		n.root.Vote = state.GetVote()
 		n.root.Commit = state.GetCommit()
@@ -289,17 +292,17 @@
 	n.ticksSinceSend[peer] = 0
 	send := Send{To: n.names[peer], Data: n.encodeEnvelope(m, nil)}
 	if m.GetType() == raftpb.MsgSnap {
-		// A snapshot that is lost is sent again once the follower's responses show that it lacks it.
+		// If the snapshot is lost, raft sends it again once the follower's responses show that it is missing.
 		n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 	return send
 }
 
-// applySnapshot replaces the state machine by the leader's.
+// applySnapshot replaces the state machine by that of the leader's snapshot.
 func (n *Node) applySnapshot(snapshot *raftpb.Snapshot, actions []Action) []Action {
 	var state stateMachine
 	if err := decode(snapshot.GetData(), &state); err != nil {
-		panic(err) // the leader has encoded it
+		panic(err) // a bug: the leader encoded the snapshot
 	}
 	n.state = state
 	n.applied = snapshot.GetMetadata().GetIndex()
@@ -307,19 +310,19 @@
 	return n.publish(actions)
 }
 
-// applyCommitted applies an entry that a majority has.
+// applyCommitted applies an entry that a majority has committed.
 func (n *Node) applyCommitted(now time.Duration, e *raftpb.Entry, actions []Action) []Action {
 	n.applied = e.GetIndex()
 	n.appliedBytes += uint64(len(e.GetData()))
-	if len(e.GetData()) == 0 { // a new leader appends an empty entry
+	if len(e.GetData()) == 0 { // an empty entry, which each new leader appends
 		return actions
 	}
 	var change logEntry
 	if err := decode(e.GetData(), &change); err != nil {
-		// It is of a later program, or of none of ours. All origins skip it alike: one entry must not end each origin
-		// at each of its starts.
+		// The entry is from a later version of the program, or was not written by this program. All origins skip it:
+		// a single entry must not crash every origin at each of its starts.
 		n.corruptMessages++
-		return n.logMessage(now, actions, LogCorrupt, fmt.Sprintf("entry %d of the log: %v", n.applied, err))
+		return n.logMessage(now, actions, LogCorrupt, fmt.Sprintf("skipping entry %d of the log: %v", n.applied, err))
 	}
 	if _, changed := n.state.apply(&change); changed {
 		actions = n.publish(actions)
@@ -328,7 +331,7 @@
 	return actions
 }
 
-// publish publishes the latest snapshot unless it was published last.
+// publish publishes the latest snapshot, unless there is none or it was published already.
 func (n *Node) publish(actions []Action) []Action {
 	f, ok := n.Frame()
 	if !ok || f.Revision == n.published {
@@ -338,7 +341,7 @@
 	return append(actions, Publish{f})
 }
 
-// Frame returns the latest snapshot that this origin knows to be accepted; ok is false if there is none yet.
+// Frame returns the frame of the latest accepted snapshot that this origin has; ok is false if there is none yet.
 func (n *Node) Frame() (frame controlplane.Frame, ok bool) {
 	revision := n.revision()
 	frame = controlplane.Frame{Cluster: n.cfg.Cluster, Revision: revision, Text: n.state.Text}
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -17,11 +17,12 @@
 func checkResult(t *testing.T, what string, a Result, o Outcome, version uint64) {
 	t.Helper()
 	if a.Outcome != o || a.Revision.Version != version {
-		t.Fatalf("%s: %s %v %s, want %s %d", what, a.Outcome, a.Revision, a.Error, o, version)
+		t.Fatalf("%s: outcome %q, revision %v, error %q; want outcome %q, version %d",
+			what, a.Outcome, a.Revision, a.Error, o, version)
 	}
 }
 
-// Changes are pushed one after another, to any origin. Each is accepted, and published by all.
+// Changes are pushed one after another, to any origin. Each is accepted, and published by all origins.
 func TestPushes(t *testing.T) {
 	for n := 1; n <= MaxOrigins; n++ {
 		w := newRunningSimulation(t, n, uint64(n))
@@ -35,10 +36,11 @@
 		w.waitUntil(time.Second, "all agree", w.allAgree)
 		for _, p := range w.machines {
 			if f, ok := p.node.Frame(); !ok || string(f.Text) != "# p39\n" || f.Revision != p.published {
-				t.Errorf("%s holds %v %q", p.name, f.Revision, f.Text)
+				t.Errorf("%s has the frame %v %q, want %v with the text of the last push",
+					p.name, f.Revision, f.Text, p.published)
 			}
 			if len(p.disk) > 2*maxAppliedEntries+8 {
-				t.Errorf("%s has %d entries in its store", p.name, len(p.disk))
+				t.Errorf("%s has %d records in its store, want at most %d", p.name, len(p.disk), 2*maxAppliedEntries+8)
 			}
 		}
 		read := func(i int) Result {
@@ -50,15 +52,15 @@
 	}
 }
 
-// Two operators push at once after the same version. One change would undo the other without anybody noticing. The log
-// takes the first, and the other is in conflict, whichever origins receive them.
-func TestTwoPushesUnderOneVersion(t *testing.T) {
+// Two operators concurrently push changes with the same base version. If both were accepted, the second would silently
+// undo the first. The first one in the log is accepted, and the other is in conflict, whichever origins receive them.
+func TestConcurrentPushesConflict(t *testing.T) {
 	w := newRunningSimulation(t, 5, 1)
 	for v := range uint64(10) {
 		a, b := fmt.Sprint("a", v), fmt.Sprint("b", v)
 		w.handle(int(v)%5, Propose{a, v, textOf(a)})
 		w.handle(int(v*3+1)%5, Propose{b, v, textOf(b)})
-		w.waitUntil(4*time.Second, "two answers", func() bool { return len(w.results[a]) > 0 && len(w.results[b]) > 0 })
+		w.waitUntil(4*time.Second, "two results", func() bool { return len(w.results[a]) > 0 && len(w.results[b]) > 0 })
 		x, y := w.results[a][0], w.results[b][0]
 		if y.Outcome == OutcomeAccepted {
 			x, y = y, x
@@ -92,19 +94,21 @@
 		"other content": {Propose{"first", 1, textOf("x")}, "another text", OutcomeRejected},
 	} {
 		if a := w.push(1, c.p.ID, c.p.BaseVersion, c.p.Text); a.Outcome != c.what || !strings.Contains(a.Error, c.why) {
-			t.Errorf("%s: %s %s", what, a.Outcome, a.Error)
+			t.Errorf("%s: outcome %q, error %q; want outcome %q, error with %q",
+				what, a.Outcome, a.Error, c.what, c.why)
 		}
 	}
 	if a := w.push(1, "later", 7, textOf("later")); a.Outcome != OutcomeConflict {
-		t.Errorf("after a version that is not there: %s %s", a.Outcome, a.Error)
+		t.Errorf("a push with a base version that does not exist has outcome %q: %s", a.Outcome, a.Error)
 	}
-	if a := w.query(2, "nobody's"); a.Outcome != OutcomeNotFound {
-		t.Errorf("nobody's push: %s %s", a.Outcome, a.Error)
+	if a := w.query(2, "unknown"); a.Outcome != OutcomeNotFound {
+		t.Errorf("a query of an unknown ID has outcome %q: %s", a.Outcome, a.Error)
 	}
 }
 
-// A script pushes without end to every origin at once. Memory would fill with requests that wait, or a request would be
-// left without a result. Pending requests are limited, each has exactly one result, one is accepted under each version.
+// A script floods all origins with pushes at once. Pending requests could fill the memory, or a request could be left
+// without a result. The number of pending requests is limited, each request has exactly one result, and one push is
+// accepted for each version.
 func TestFloodOfPushes(t *testing.T) {
 	w := newRunningSimulation(t, 5, 1)
 	text := bytes.Repeat([]byte("# flood\n"), 1000)
@@ -117,7 +121,7 @@
 				sent++
 			}
 			if n := len(w.machines[i].node.pending); n > MaxPendingRequests {
-				t.Fatalf("%d wait", n)
+				t.Fatalf("%d requests are pending, want at most %d", n, MaxPendingRequests)
 			}
 		}
 		w.run(8 * time.Second)
@@ -125,18 +129,18 @@
 	count := map[Outcome]int{}
 	for id, list := range w.results {
 		if len(list) != 1 {
-			t.Fatalf("%s has %d answers", id, len(list))
+			t.Fatalf("%s has %d results, want 1", id, len(list))
 		}
 		count[list[0].Outcome]++
 	}
 	if len(w.results) != sent || count[OutcomeAccepted] != 3 {
-		t.Errorf("%d answers to %d pushes: %v", len(w.results), sent, count)
+		t.Errorf("%d pushes of %d have a result, want all of them, and 3 accepted: %v", len(w.results), sent, count)
 	}
 	t.Log(count)
 }
 
-// A snapshot at its size limit goes through the log from any origin, and to one that was down, as a snapshot of the
-// log; messages and store keep their limits (send checks the first).
+// Snapshots at the size limit are accepted from any origin. An origin that was down receives the latest one in a
+// snapshot of the log. Messages (checked by simulation.send) and stores stay within their limits.
 func TestSnapshotAtTheSizeLimit(t *testing.T) {
 	w := newRunningSimulation(t, 3, 1)
 	away := (w.leader() + 1) % 3
@@ -152,21 +156,21 @@
 		sum := 0
 		for _, v := range p.disk {
 			if len(v) > maxPartSize {
-				t.Errorf("%s stores %d bytes under one key", p.name, len(v))
+				t.Errorf("%s stores %d bytes under one key, want at most %d", p.name, len(v), maxPartSize)
 			}
 			sum += len(v)
 		}
 		if sum > 6*controlplane.MaxSnapshotSize {
-			t.Errorf("%s stores %d bytes", p.name, sum)
+			t.Errorf("%s stores %d bytes, want at most %d", p.name, sum, 6*controlplane.MaxSnapshotSize)
 		}
 		t.Log(p.name, "stores", sum, "bytes")
 	}
 }
 
-// An origin is killed in mid-push, after each of its writes and sends. The operator would not know whether the change
-// holds, and pushing again could make it twice. Another origin can be asked by ID for the outcome, the outcome stays
-// the same, and a repeated push under the ID is harmless.
-func TestKilledInMidPush(t *testing.T) {
+// An origin crashes during a push, after each of its first 20 writes and sends. The operator does not know whether the
+// change was accepted, and a second push could apply it twice. Another origin can be queried by ID, the outcome does
+// not change later, and a repeated push with the same ID does no harm.
+func TestCrashDuringPush(t *testing.T) {
 	outcomes := map[string]int{}
 	for _, leads := range []bool{true, false} {
 		for steps := range 20 {
@@ -185,13 +189,14 @@
 			b := w.query(other, "mid")
 			if b.Outcome != OutcomeAccepted && b.Outcome != OutcomeNotFound ||
 				a.Outcome == OutcomeAccepted && b.Outcome != OutcomeAccepted {
-				t.Fatalf("after %d steps: the push %q, then %q %s", steps, a.Outcome, b.Outcome, b.Error)
+				t.Fatalf("crash after %d steps: the push has outcome %q, and a later query %q: %s",
+					steps, a.Outcome, b.Outcome, b.Error)
 			}
-			outcomes[fmt.Sprintf("the push %q, then %q", a.Outcome, b.Outcome)]++
+			outcomes[fmt.Sprintf("push %q, query %q", a.Outcome, b.Outcome)]++
 			w.start(i)
 			w.run(5 * time.Second)
 			if c := w.query(i, "mid"); b.Outcome == OutcomeAccepted && c.Outcome != OutcomeAccepted {
-				t.Fatalf("after %d steps: %q, then %q", steps, b.Outcome, c.Outcome)
+				t.Fatalf("crash after %d steps: a query returns %q, and a later one %q", steps, b.Outcome, c.Outcome)
 			}
 			checkResult(t, "again", w.push(other, "mid", 1, textOf("mid")), OutcomeAccepted, 2)
 			w.waitUntil(5*time.Second, "all agree", w.allAgree)
@@ -199,13 +204,13 @@
 	}
 	t.Log(outcomes)
 	if len(outcomes) < 3 {
-		t.Errorf("the crashes met only %v", outcomes)
+		t.Errorf("the crashes led to %d different pairs of outcomes, want at least 3: %v", len(outcomes), outcomes)
 	}
 }
 
-// Two regions are partitioned for an hour, three origins on one side and two on the other. If both sides accepted
-// changes, one of them would be lost. Only the majority accepts changes, the other side serves what it has and says why
-// it rejects, and both agree soon after the partition has healed.
+// Two regions are partitioned for up to an hour, with three origins on one side and two on the other. If both sides
+// accepted changes, one of them would be lost. Only the majority accepts changes. The other side serves the snapshot
+// that it has and says why it rejects changes. Both agree soon after the partition has healed.
 func TestRegionsPartitionedForAnHour(t *testing.T) {
 	for k, small := range [][]int{{0, 1}, {2, 4}, {1, 3}} {
 		part := time.Minute
@@ -220,10 +225,10 @@
 			w.partition[i] = 1
 		}
 		big := slices.IndexFunc(w.partition, func(g int) bool { return g == 0 })
-		// At once, while the smaller side may still have a leader: a majority never gets it.
+		// The smaller side may still have a leader now, but this change never gets a majority.
 		if a := w.push(small[0], "at once", 1, textOf("at once")); a.Outcome != OutcomeUnknown &&
 			a.Outcome != OutcomeRejected {
-			t.Fatalf("at once in the smaller part (the leader was %d): %s", old, a.Outcome)
+			t.Fatalf("a push to the smaller part at once has outcome %q (the leader was %d)", a.Outcome, old)
 		}
 		w.waitUntil(6*time.Second, "a leader of the larger part",
 			func() bool { l := w.leader(); return l >= 0 && w.partition[l] == 0 })
@@ -232,13 +237,13 @@
 			w.run(part)
 			if a := w.push(small[1], fmt.Sprint("small", v), 1, textOf("small")); a.Outcome != OutcomeRejected ||
 				!strings.Contains(a.Error, "majority") {
-				t.Fatalf("in the smaller part: %s %s", a.Outcome, a.Error)
+				t.Fatalf("a push to the smaller part has outcome %q: %s", a.Outcome, a.Error)
 			}
-			if a := w.query(small[1], "nobody's"); a.Outcome != OutcomeUnknown {
-				t.Fatalf("a query in the smaller part: %s", a.Outcome)
+			if a := w.query(small[1], "unknown"); a.Outcome != OutcomeUnknown {
+				t.Fatalf("a query in the smaller part has outcome %q", a.Outcome)
 			}
 			if f, ok := w.machines[small[1]].node.Frame(); !ok || f.Revision.Version != 1 {
-				t.Fatalf("the smaller part serves %v", f.Revision)
+				t.Fatalf("the smaller part serves %v, want version 1", f.Revision)
 			}
 			id := fmt.Sprint("large", v)
 			checkResult(t, id, w.push(big, id, v, textOf(id)), OutcomeAccepted, v+1)
@@ -250,10 +255,10 @@
 		}
 		t.Log("all agree after", w.waitUntil(5*time.Second, "all agree", w.allAgree))
 		if got := w.machines[big].node.root.Term; got != terms {
-			t.Errorf("the return of the smaller part cost the larger one its leader: term %d, then %d", terms, got)
+			t.Errorf("the return of the smaller part led to an election: the term was %d, and is now %d", terms, got)
 		}
 		if a := w.query(small[0], "at once"); a.Outcome != OutcomeNotFound {
-			t.Errorf("what was pushed to the smaller part at once: %s", a.Outcome)
+			t.Errorf("a query of the push to the smaller part has outcome %q", a.Outcome)
 		}
 		for k := range v - 1 {
 			checkResult(t, "large", w.query(small[1], fmt.Sprint("large", k+1)), OutcomeAccepted, k+2)
@@ -269,9 +274,9 @@
 	w.start(i)
 }
 
-// One origin starts with yesterday's store, as from a backup. It has forgotten votes and changes that it acknowledged,
-// and could make a majority without them; raft panics at such a follower. The origin names the reason, never votes or
-// acknowledges again, not after a restart either, and the others continue.
+// One origin starts with an older copy of its store, as from a backup. The copy lacks votes and changes that the origin
+// acknowledged, so it could take part in a majority without them, and raft panics on such a follower. The origin says
+// why it withdraws, and never votes or acknowledges again, even after a restart. The others continue.
 func TestRolledBackStore(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		w := newRunningSimulation(t, 5, 3)
@@ -280,33 +285,33 @@
 		if !leads {
 			i = (i + 1) % 5
 		}
-		yesterday := maps.Clone(w.machines[i].disk)
+		backup := maps.Clone(w.machines[i].disk)
 		w.run(2 * time.Minute)
 		for v := uint64(1); v < 30; v++ {
 			checkResult(t, "more", w.push(int(v)%5, fmt.Sprint(v+1), v, textOf("x")), OutcomeAccepted, v+1)
 		}
-		w.rollBack(i, yesterday)
-		w.waitUntil(time.Second, "it says so",
+		w.rollBack(i, backup)
+		w.waitUntil(time.Second, "the origin withdraws",
 			func() bool { return w.machines[i].node.Status().Role == RoleRolledBack })
 		if !slices.ContainsFunc(w.machines[i].logged,
 			func(s string) bool { return strings.HasPrefix(s, "rolled back: its store was rolled back") }) {
-			t.Errorf("logged: %q", w.machines[i].logged)
+			t.Errorf("the log lacks the reason of the withdrawal: %q", w.machines[i].logged)
 		}
 		w.waitUntil(5*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 		w.run(3 * time.Second)
-		checkResult(t, "by others", w.push((i+1)%5, "31", 30, textOf("31")), OutcomeAccepted, 31)
+		checkResult(t, "a push to another origin", w.push((i+1)%5, "31", 30, textOf("31")), OutcomeAccepted, 31)
 		if a := w.push(i, "32", 31, textOf("32")); a.Outcome != OutcomeRejected ||
 			!strings.Contains(a.Error, "rolled back") {
-			t.Errorf("by itself: %s %s", a.Outcome, a.Error)
+			t.Errorf("a push to the withdrawn origin has outcome %q: %s", a.Outcome, a.Error)
 		}
 		w.stop(i)
 		w.start(i)
-		if s := w.machines[i].node.Status(); s.Role != RoleRolledBack { // before it has heard from any other
-			t.Errorf("after a restart it is %s", s.Role)
+		if s := w.machines[i].node.Status(); s.Role != RoleRolledBack { // without a message from another origin
+			t.Errorf("after a restart the role is %q, want %q", s.Role, RoleRolledBack)
 		}
 		w.run(10 * time.Second)
 		if s := w.machines[(i+1)%5].node.Status(); !slices.Contains(s.RolledBack, w.machines[i].name) {
-			t.Errorf("the others know of %q", s.RolledBack)
+			t.Errorf("the others list %q as rolled back, want %s among them", s.RolledBack, w.machines[i].name)
 		}
 	}
 }
@@ -320,15 +325,15 @@
 	}
 }
 
-// All origins start with yesterday's stores, which they cannot detect from each other. A change would get a version
-// that members already have with another text. The members' reports prevent it: no origin accepts a push while they
-// have a later revision, and none at all within the first seconds.
+// All origins start with older copies of their stores, which they cannot detect from each other's messages. A change
+// would get a version that members already have with a different text. The members' reports prevent that: no origin
+// accepts a push while members have a later revision, nor within its first seconds while no member has reported.
 func TestAllStoresRolledBack(t *testing.T) {
 	w := newRunningSimulation(t, 3, 3)
 	checkResult(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
-	var yesterday []map[string][]byte
+	var backup []map[string][]byte
 	for _, p := range w.machines {
-		yesterday = append(yesterday, maps.Clone(p.disk))
+		backup = append(backup, maps.Clone(p.disk))
 	}
 	for v := uint64(1); v < 5; v++ {
 		checkResult(t, "more", w.push(0, fmt.Sprint("x", v), v, textOf("x")), OutcomeAccepted, v+1)
@@ -339,44 +344,44 @@
 	}
 	w.run(time.Minute)
 	for i, p := range w.machines {
-		p.disk = yesterday[i]
+		p.disk = backup[i]
 		w.start(i)
 	}
 	w.waitUntil(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 	if a := w.push(w.leader(), "early", 1, textOf("early")); a.Outcome != OutcomeRejected ||
 		!strings.Contains(a.Error, "no member has told") {
-		t.Fatalf("at once: %s %s", a.Outcome, a.Error)
+		t.Fatalf("a push at once has outcome %q: %s", a.Outcome, a.Error)
 	}
 	w.handle(1, ReportReceived{"m1", reportOf200(later)})
 	w.run(time.Second)
 	for i, p := range w.machines {
 		if a := w.push(i, "new", 1, textOf("new")); a.Outcome != OutcomeRejected ||
 			!strings.Contains(a.Error, "members hold 1.5") || !strings.Contains(a.Error, "higher epoch") {
-			t.Errorf("%s: %s %s", p.name, a.Outcome, a.Error)
+			t.Errorf("a push to %s has outcome %q: %s", p.name, a.Outcome, a.Error)
 		}
 		if s := p.node.Status(); s.Ahead != later || s.Report.Members != 200 {
-			t.Errorf("%s: ahead %v, %d members", p.name, s.Ahead, s.Report.Members)
+			t.Errorf("%s knows revision %v of members as ahead, and %d members; want %v and 200", p.name, s.Ahead,
+				s.Report.Members, later)
 		}
 	}
-	// The same version with other content is as bad.
+	// The same version with different content prevents changes, too.
 	other := w.machines[0].node.Status().Revision
 	other.Hash = strings.Repeat("0", 64)
 	w.handle(1, ReportReceived{"m1", reportOf200(other)})
 	w.run(time.Second)
 	if a := w.push(1, "new2", 1, textOf("new")); a.Outcome != OutcomeRejected ||
 		!strings.Contains(a.Error, "(000000000000)") {
-		t.Errorf("members hold another content: %s %s", a.Outcome, a.Error)
+		t.Errorf("while members have different content, a push has outcome %q: %s", a.Outcome, a.Error)
 	}
-	// Members that have what the origins have prevent nothing (and none reports the later revisions any more).
+	// Members that have the origins' revision do not prevent changes, once no member reports later revisions.
 	clear(w.published)
 	w.handle(1, ReportReceived{"m1", controlplane.Report{Members: 200, Latest: w.machines[0].node.Status().Revision}})
 	w.run(time.Second)
-	checkResult(t, "at last", w.push(1, "new3", 1, textOf("new")), OutcomeAccepted, 2)
+	checkResult(t, "a push after the members' report", w.push(1, "new3", 1, textOf("new")), OutcomeAccepted, 2)
 }
 
-// Origins that were bootstrapped again, with a higher epoch, accept changes though the members still have a revision of
-// the previous epoch: that is their purpose. A revision of the new epoch itself that members have prevents changes as
-// usual.
+// Origins that were bootstrapped again with a higher epoch accept changes although members still have a revision of the
+// previous epoch, since this is the purpose of a new epoch. A later revision of the new epoch itself prevents changes.
 func TestForceNewCluster(t *testing.T) {
 	w := newRunningSimulation(t, 3, 3)
 	checkResult(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
@@ -401,18 +406,17 @@
 	report(2, 4)
 	if a := w.push(0, "behind", 0, textOf("behind")); a.Outcome != OutcomeRejected ||
 		!strings.Contains(a.Error, "members hold 2.4") {
-		t.Errorf("members hold a later one of this epoch: %s %s", a.Outcome, a.Error)
+		t.Errorf("while members have a later revision of this epoch, a push has outcome %q: %s", a.Outcome, a.Error)
 	}
 	report(1, 603)
 	if s := w.machines[0].node.Status(); !s.Ahead.IsZero() {
-		t.Errorf("ahead: %v", s.Ahead)
+		t.Errorf("revision %v of members counts as ahead, want none", s.Ahead)
 	}
-	checkResult(t, "anew", w.push(0, "anew", 0, textOf("anew")), OutcomeAccepted, 1)
+	checkResult(t, "a push in the new epoch", w.push(0, "anew", 0, textOf("anew")), OutcomeAccepted, 1)
 }
 
-// Two epochs are never mixed: an origin of the next epoch and those of this one reject each other's messages, as they
-// do those of another cluster or of another set.
-func TestTwoEpochsAreNotMixed(t *testing.T) {
+// Origins that were bootstrapped with different epochs, clusters or sets of origins reject each other's messages.
+func TestMessagesOfAnotherBootstrap(t *testing.T) {
 	for _, f := range []BootstrapConfig{{"f", 2, originNames(3)}, {"g", 1, originNames(3)}, {"f", 1, originNames(4)}} {
 		w := newRunningSimulation(t, 3, 3)
 		checkResult(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
@@ -424,18 +428,18 @@
 		w.run(10 * time.Second)
 		n := w.machines[i].node
 		if n.Status().Role != RoleStarting || !n.state.revision(1).IsZero() || n.foreignMessages == 0 {
-			t.Errorf("%v: %s, foreign %d", f, n.Status().Role, n.foreignMessages)
+			t.Errorf("%v: role %q, revision %v, %d foreign messages; want role %q, no revision, and foreign messages",
+				f, n.Status().Role, n.revision(), n.foreignMessages, RoleStarting)
 		}
 		checkResult(t, "2", w.push((i+1)%3, "2", 1, textOf("2")), OutcomeAccepted, 2)
 		if a := w.push(i, "3", 2, textOf("3")); a.Outcome != OutcomeRejected {
-			t.Errorf("%v: %s", f, a.Outcome)
+			t.Errorf("%v: a push to the starting origin has outcome %q, want %q", f, a.Outcome, OutcomeRejected)
 		}
 	}
 }
 
-// The network damages messages. Raft takes fields that contradict each other for a bug of its own, and panics: all
-// origins would end at once. A message that is truncated, is too long or has one bit changed is counted, and changes
-// nothing.
+// The network damages messages. Raft panics on fields that contradict each other, which could crash all origins at
+// once. A message that is truncated, is too long or has one bit changed is counted, and has no other effect.
 func TestCorruptMessages(t *testing.T) {
 	w := newRunningSimulation(t, 3, 3)
 	l := w.leader()
@@ -456,18 +460,19 @@
 	}
 	w.handle(i, Message{"o2", append(slices.Clone(good), make([]byte, MaxMessageSize)...)})
 	if n.corruptMessages != sent+1 || n.foreignMessages > 0 {
-		t.Errorf("%d broken, %d foreign, of %d", n.corruptMessages, n.foreignMessages, sent+1)
+		t.Errorf("%d messages count as corrupt and %d as foreign, want %d and 0",
+			n.corruptMessages, n.foreignMessages, sent+1)
 	}
 	w.handle(i, Message{"o2", good})
 	if n.corruptMessages != sent+1 {
-		t.Error("the good one counts as broken")
+		t.Error("the valid message counts as corrupt")
 	}
 	checkResult(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 }
 
-// The log has an entry that cannot be decoded, as of a later program. Each origin would end at it, and again at each of
-// its starts. All skip it alike, and none panics.
-func TestForeignEntry(t *testing.T) {
+// The log has an entry that cannot be decoded, for example from a later version of the program. It could crash every
+// origin at each of its starts. All origins skip it.
+func TestUndecodableEntry(t *testing.T) {
 	w := newRunningSimulation(t, 3, 3)
 	l := w.leader()
 	prop := w.forge((l+1)%3, l,
@@ -477,7 +482,7 @@
 	w.waitUntil(time.Second, "all agree", w.allAgree)
 	for i := range w.machines {
 		if w.machines[i].node.corruptMessages != 1 {
-			t.Errorf("%s counts %d", w.machines[i].name, w.machines[i].node.corruptMessages)
+			t.Errorf("%s counts %d corrupt messages, want 1", w.machines[i].name, w.machines[i].node.corruptMessages)
 		}
 		w.stop(i)
 		w.start(i)
@@ -486,24 +491,25 @@
 	checkResult(t, "2", w.push(0, "2", 1, textOf("2")), OutcomeAccepted, 2)
 }
 
-// The state machine applies a push once: one that was in conflict stays so, although its base version is the latest by
-// the time that it is repeated.
+// The state machine applies a push once: a push that was in conflict stays in conflict when it is repeated, even if its
+// base version is the latest version by then.
 func TestStateMachine(t *testing.T) {
 	m := new(stateMachine)
 	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 {
-		t.Fatal("a push after a version that is not there", e)
+		t.Fatalf("a push with a base version that does not exist has outcome %+v", e)
 	}
 	if e, fresh := m.apply(&logEntry{"first", 0, textOf("first")}); !fresh || e.Version != 1 {
-		t.Fatal("the first", e)
+		t.Fatalf("the first push has outcome %+v, want version 1", e)
 	}
 	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 || m.Version != 1 {
-		t.Fatal("it came second, and is taken when it comes again", e)
+		t.Fatalf("a repeated push that was in conflict has outcome %+v, and the version is %d, want 1", e, m.Version)
 	}
 	for i := range 2 * MaxOutcomes {
 		m.apply(&logEntry{fmt.Sprint(i), 0, textOf("x")})
 	}
 	if len(m.Outcomes) != MaxOutcomes || len(m.marshal()) > MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize {
-		t.Errorf("%d outcomes, %d bytes", len(m.Outcomes), len(m.marshal()))
+		t.Errorf("%d outcomes and %d bytes, want %d outcomes and at most %d bytes", len(m.Outcomes), len(m.marshal()),
+			MaxOutcomes, MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize)
 	}
 }
 
@@ -514,8 +520,8 @@
 	return Message{w.machines[from].name, w.machines[from].node.encodeEnvelope(m, nil)}
 }
 
-// A leader has committed entries that are missing here, and no write number shows it. Raft would panic. The origin
-// withdraws, and says why.
+// A leader has committed entries that this origin's log lacks, and no write number shows that. Raft would panic. The
+// origin withdraws, and says why.
 func TestLeaderAheadOfTheLog(t *testing.T) {
 	w := newRunningSimulation(t, 3, 1)
 	l := w.leader()
@@ -524,7 +530,8 @@
 	w.handle(i, w.forge(l, i, &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), Term: &term, Commit: &commit}))
 	if s := w.machines[i].node.Status(); s.Role != RoleRolledBack ||
 		!strings.Contains(w.machines[i].node.rollbackReason, "counts on entry 999") {
-		t.Errorf("%s %q", s.Role, w.machines[i].node.rollbackReason)
+		t.Errorf("the role is %q with rollback reason %q, want %q because of entry 999", s.Role,
+			w.machines[i].node.rollbackReason, RoleRolledBack)
 	}
 }
 
@@ -541,44 +548,46 @@
 	}
 	w.handle(i, w.forge(l, i, m))
 	if n.corruptMessages != 1 || n.root.LastIndex != index {
-		t.Errorf("%d broken, the last entry is %d", n.corruptMessages, n.root.LastIndex)
+		t.Errorf("%d messages count as corrupt, and the last entry is %d; want 1 and %d", n.corruptMessages,
+			n.root.LastIndex, index)
 	}
 }
 
-// A start waits for all others that respond before it participates: the one that knows what its store has lost may not
-// be among the first.
-func TestStartHearsTheOthers(t *testing.T) {
+// A starting origin waits for messages from all other origins before it participates, because the only one that knows
+// of writes that its store has lost may respond last.
+func TestStartWaitsForOtherOrigins(t *testing.T) {
 	w := newRunningSimulation(t, 5, 1)
 	i := 0
-	yesterday := maps.Clone(w.machines[i].disk)
+	backup := maps.Clone(w.machines[i].disk)
 	checkResult(t, "1", w.push(1, "1", 0, textOf("1")), OutcomeAccepted, 1)
 	w.run(2 * time.Second)
 	w.stop(i)
 	w.run(time.Second)
-	knows := 1 // in the other region: it answers last
+	knows := 1 // the origin that knows of the lost writes; it is in the other region, and responds last
 	for k, p := range w.machines {
 		if k != i && k != knows {
 			p.node.writeNumbers[i] = 1
 		}
 	}
 	lost := w.machines[knows].node.writeNumbers[i]
-	w.partition = []int{0, 1, 0, 0, 0} // and tells the others nothing meanwhile
-	w.machines[i].disk = yesterday
+	w.partition = []int{0, 1, 0, 0, 0} // so that it cannot tell the others meanwhile
+	w.machines[i].disk = backup
 	w.start(i)
 	w.run(2 * time.Second)
 	if s := w.machines[i].node.Status(); s.Role != RoleStarting {
-		t.Fatalf("after 2 s, one not heard: %s", s.Role)
+		t.Fatalf("2 s after the start, without a message from one origin, the role is %q, want %q",
+			s.Role, RoleStarting)
 	}
 	clear(w.partition)
 	w.run(time.Second)
 	if s := w.machines[i].node.Status(); s.Role != RoleRolledBack {
-		t.Fatalf("it was at write %d: %s", lost, s.Role)
+		t.Fatalf("the role is %q, want %q, since write %d is lost", s.Role, RoleRolledBack, lost)
 	}
 }
 
-// The leader fails while a push is on its way to it. The operator would wait in vain. The origin that has received the
-// push proposes it to the next leader.
-func TestPushOutlivesTheLeader(t *testing.T) {
+// The leader has just failed when an origin receives a push. The push would be lost on its way to the leader, and the
+// operator would wait in vain. The origin proposes it again to the next leader.
+func TestPushSurvivesLeaderFailure(t *testing.T) {
 	var slowest time.Duration
 	for seed := range uint64(20) {
 		w := newRunningSimulation(t, 5, seed)
@@ -588,15 +597,15 @@
 		checkResult(t, "1", w.push((l+1)%5, "1", 0, textOf("1")), OutcomeAccepted, 1)
 		slowest = max(slowest, w.now-at)
 	}
-	t.Log("the slowest", slowest)
+	t.Log("the slowest push took", slowest)
 	if slowest > 4*time.Second {
-		t.Errorf("the slowest took %v", slowest)
+		t.Errorf("the slowest push took %v, want at most 4 s", slowest)
 	}
 }
 
-// The leader falls silent. Pushes would be sent to it on and on, and wait for their timeout each. An origin that has
-// not heard its leader for a second follows none. A push waits for the next leader, and is rejected at once where
-// there has been none for long.
+// The leader fails. If the others still followed it, each push would be sent to it and wait for its timeout. An origin
+// that has received no message from its leader for a second follows none. A push waits for the next leader, but is
+// rejected at once if there has been no leader for long.
 func TestSilentLeaderIsForgotten(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newRunningSimulation(t, 5, seed)
@@ -608,10 +617,10 @@
 		}
 		for _, p := range w.machines {
 			if p.node != nil && p.node.Status().Leader == w.machines[l].name {
-				t.Errorf("seed %d: %s follows a leader that is gone", seed, p.name)
+				t.Errorf("seed %d: %s still follows the failed leader", seed, p.name)
 			}
 		}
-		checkResult(t, "while one is elected", w.push((l+1)%5, "x", 0, textOf("x")), OutcomeAccepted, 1)
+		checkResult(t, "a push during the election", w.push((l+1)%5, "x", 0, textOf("x")), OutcomeAccepted, 1)
 	}
 	w := newRunningSimulation(t, 3, 1)
 	l := w.leader()
@@ -621,15 +630,17 @@
 	at := w.now
 	if a := w.push((l+2)%3, "y", 0, textOf("y")); a.Outcome != OutcomeRejected || a.Error != ErrNotLeader.Error() ||
 		w.now-at < 3*time.Second {
-		t.Errorf("after %v: %s %s", w.now-at, a.Outcome, a.Error)
+		t.Errorf("a push without a leader has outcome %q after %v, want %q after at least 3 s: %s", a.Outcome, w.now-at,
+			OutcomeRejected, a.Error)
 	}
 	at = w.now
 	if a := w.push((l+2)%3, "z", 0, textOf("z")); a.Outcome != OutcomeRejected || w.now-at > 100*time.Millisecond {
-		t.Errorf("after %v: %s %s", w.now-at, a.Outcome, a.Error)
+		t.Errorf("a later push without a leader has outcome %q after %v, want %q within 100 ms: %s",
+			a.Outcome, w.now-at, OutcomeRejected, a.Error)
 	}
 }
 
-// The leader fails, alone or with another origin. The others could campaign against each other without end. They elect
+// The leader fails, alone or with another origin. The others could keep campaigning against each other. They must elect
 // a new leader soon, and keep it.
 func TestElections(t *testing.T) {
 	for lost := 1; lost <= 2; lost++ {
@@ -643,26 +654,27 @@
 			}
 			all = append(all, w.waitUntil(4*time.Second, "a leader", func() bool { return w.leader() >= 0 }))
 			name := w.machines[w.leader()].name
-			w.run(500 * time.Millisecond) // the last of them has heard it
+			w.run(500 * time.Millisecond) // until all have received a message from the new leader
 			for _, p := range w.machines {
 				if p.node != nil && p.node.Status().Role == RoleFollower && p.node.electionTimeout < electionTicks {
-					t.Errorf("seed %d: %s follows, and would seek to lead after %d ticks of silence", seed, p.name,
-						p.node.electionTimeout)
+					t.Errorf("seed %d: follower %s campaigns after %d ticks without a leader, want at least %d",
+						seed, p.name, p.node.electionTimeout, electionTicks)
 				}
 			}
 			for range 20 {
 				w.run(50 * time.Millisecond)
 				for _, p := range w.machines {
 					if p.node != nil && p.node.Status().Leader != name {
-						t.Fatalf("seed %d: %s does not follow the new leader, %s\n%s", seed, p.name, name, w.describe())
+						t.Fatalf("seed %d: %s does not follow the new leader %s\n%s", seed, p.name, name, w.describe())
 					}
 				}
 			}
 		}
 		slices.Sort(all)
-		t.Logf("%d lost: half within %v, 90 %% within %v, all within %v", lost, all[12], all[22], all[24])
+		t.Logf("%d origins failed: half of the elections took at most %v, 90 %% %v, all %v",
+			lost, all[12], all[22], all[24])
 		if all[12] > 1500*time.Millisecond || all[24] > 2*time.Second {
-			t.Errorf("half take more than %v, one %v", all[12], all[24])
+			t.Errorf("the median election took %v and the slowest %v, want at most 1.5 s and 2 s", all[12], all[24])
 		}
 	}
 }
--- a/internal/controlplane/origin/persist.go
+++ b/internal/controlplane/origin/persist.go
@@ -7,8 +7,8 @@
 	"hazelwing/internal/controlplane"
 )
 
-// The log is compacted to the latest snapshot when so many entries or bytes have been applied since it. Higher values
-// write fewer snapshots, and take more disk and a longer start.
+// The log is compacted to a new snapshot when this many entries or bytes have been applied since the previous one.
+// Higher values write fewer snapshots, but take more disk space and make a start slower.
 const (
 	maxAppliedEntries = 16
 	maxAppliedBytes   = 2 * controlplane.MaxSnapshotSize
@@ -17,10 +17,10 @@
 // storedEntry is an entry of the log in the store.
 type storedEntry struct {
 	index, term uint64
-	parts       int // records that it has
+	parts       int // number of records in which it is stored
 }
 
-// deletes returns the deletes of the entry's records.
+// deletes returns records that delete those of the entry.
 func (e storedEntry) deletes() []Record { return deleteParts(entryKey(e.index, e.term), e.parts) }
 
 func deleteParts(key string, parts int) (deletes []Record) {
@@ -30,8 +30,8 @@
 	return deletes
 }
 
-// persist returns the write of new entries and a new snapshot, which may be nil, with the root that references them,
-// and the deletes of what it does not reference any more.
+// persist returns a Persist that writes new entries, a new snapshot unless it is nil, and the root that references
+// them, and deletes the records that the root no longer references.
 func (n *Node) persist(entries []*raftpb.Entry, snapshot *raftpb.Snapshot) Persist {
 	var puts, deletes []Record
 	if snapshot != nil {
@@ -52,7 +52,8 @@
 	return Persist{append(puts, deletes...)}
 }
 
-// persistSnapshot returns the writes of a snapshot, and the deletes of the previous one and of the entries before it.
+// persistSnapshot returns records that write a snapshot, and records that delete the previous snapshot and the entries
+// up to the new one.
 func (n *Node) persistSnapshot(snapshot *raftpb.Snapshot) (puts, deletes []Record) {
 	index, term := snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetTerm()
 	puts = splitValue(snapshotKey(index), snapshot.GetData())
@@ -67,7 +68,7 @@
 	if logTerm, err := n.log.Term(index); err != nil || logTerm != term {
 		panic("origin: the log does not begin at its snapshot")
 	}
-	if last, _ := n.log.LastIndex(); last == index { // raft has dropped all entries after it, too
+	if last, _ := n.log.LastIndex(); last == index { // raft has dropped the entries after the snapshot, too
 		for _, e := range n.storedEntries {
 			deletes = append(deletes, e.deletes()...)
 		}
@@ -76,8 +77,8 @@
 	return puts, deletes
 }
 
-// truncateStored removes the stored entries that a new entry replaces. It returns the deletes of their records, without
-// those that the new entry overwrites.
+// truncateStored removes the stored entries that a new entry replaces. It returns records that delete theirs, except
+// for those that the new entry overwrites.
 func (n *Node) truncateStored(e *raftpb.Entry) (deletes []Record) {
 	for last := len(n.storedEntries) - 1; last >= 0 && n.storedEntries[last].index >= e.GetIndex(); last-- {
 		if old := n.storedEntries[last]; old.index != e.GetIndex() || old.term != e.GetTerm() {
@@ -88,7 +89,7 @@
 	return deletes
 }
 
-// updateRoot brings the root to the next write number and the stored entries.
+// updateRoot advances the root to the next write number, and makes it reference the stored entries.
 func (n *Node) updateRoot() {
 	n.writeNumber++
 	n.writeNumbers[n.id-1] = n.writeNumber
@@ -107,20 +108,21 @@
 func marshalEntry(e *raftpb.Entry) []byte {
 	data, err := proto.Marshal(e)
 	if err != nil {
-		panic(err) // raft has made the entry
+		panic(err) // unreachable: raft created the entry
 	}
 	return data
 }
 
-// compactLog replaces the applied entries by a snapshot of the state machine once they are many.
+// compactLog replaces the applied entries by a snapshot of the state machine once maxAppliedEntries or maxAppliedBytes
+// is reached.
 func (n *Node) compactLog(actions []Action) []Action {
-	first, _ := n.log.FirstIndex() // of a MemoryStorage, which has no error
+	first, _ := n.log.FirstIndex() // a MemoryStorage returns no error here
 	if n.applied < first || n.applied-first+1 < maxAppliedEntries && n.appliedBytes < maxAppliedBytes {
 		return actions
 	}
 	snapshot, err := n.log.CreateSnapshot(n.applied, voters(len(n.names)), n.state.marshal())
 	if err != nil {
-		panic(err) // the index was applied
+		panic(err) // unreachable: the index is in the log
 	}
 	if err := n.log.Compact(n.applied); err != nil {
 		panic(err)
--- a/internal/controlplane/origin/raftlogger.go
+++ b/internal/controlplane/origin/raftlogger.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// raftLogger drops what raft logs: LogMessage has what matters of it. Raft reports its fatal errors by it, which panic.
+// raftLogger discards raft's log messages, since LogMessage covers the relevant events. Raft also reports its fatal
+// errors through the logger; these panic.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)                      {}
--- a/internal/controlplane/origin/records.go
+++ b/internal/controlplane/origin/records.go
@@ -6,31 +6,32 @@
 	"slices"
 )
 
-// The store has these records: "founding", the bootstrap configuration; "root", which references everything else that
-// counts; "e/INDEX/TERM/PART", an entry of the log; and "s/INDEX/PART", a snapshot of the state machine. Entries and
-// snapshots are not changed once a root references them. A Persist writes entries and snapshot, then the root, then
-// deletes what no root references any more: a crash between any two of these leaves the previous root or the new one.
+// The store has these records: "founding", the bootstrap configuration; "root", which references the valid entries and
+// the valid snapshot; "e/INDEX/TERM/PART", a part of an entry of the log; and "s/INDEX/PART", a part of a snapshot of
+// the state machine. Entries and snapshots do not change once a root references them. A Persist first writes entries
+// and the snapshot, then the root, and then deletes the records that the root no longer references. So a crash between
+// any two writes leaves either the previous root or the new one, with all that it references.
 const (
 	bootstrapRecordKey = "founding"
 	rootRecordKey      = "root"
-	maxPartSize        = 60 << 10 // a record of the store has at most 64 KiB
+	maxPartSize        = 60 << 10 // bytes; a record of the store has at most 64 KiB
 )
 
-// rootRecord is the root of what is durable.
+// rootRecord references the valid records of the store, and has raft's hard state.
 type rootRecord struct {
-	WriteNumber    uint64    `cbor:"1,keyasint"` // of this Persist
-	WriteNumbers   []uint64  `cbor:"2,keyasint"` // by origin ID: highest that is known
+	WriteNumber    uint64    `cbor:"1,keyasint"` // write number of the Persist that wrote this root
+	WriteNumbers   []uint64  `cbor:"2,keyasint"` // highest known write number by origin ID
 	Term           uint64    `cbor:"3,keyasint"`
 	Vote           uint64    `cbor:"4,keyasint"`
 	Commit         uint64    `cbor:"5,keyasint"`
 	SnapshotIndex  uint64    `cbor:"6,keyasint"`
 	SnapshotTerm   uint64    `cbor:"7,keyasint"`
-	LastIndex      uint64    `cbor:"8,keyasint"` // of the last entry; SnapshotIndex: there is none
+	LastIndex      uint64    `cbor:"8,keyasint"` // index of the last entry; SnapshotIndex if there is none
 	TermRuns       []termRun `cbor:"9,keyasint"` // terms of the entries
 	RollbackReason string    `cbor:"10,keyasint,omitempty"`
 }
 
-// termRun says that the entries from Index on have a term, up to the next run.
+// termRun says that the entries from Index up to the next run have the term Term.
 type termRun struct {
 	_     struct{} `cbor:",toarray"`
 	Index uint64
@@ -55,10 +56,10 @@
 func entryKey(index, term uint64) string { return fmt.Sprintf("e/%016x/%016x", index, term) }
 func snapshotKey(index uint64) string    { return fmt.Sprintf("s/%016x", index) }
 
-// partKey returns the key of a part of a long value.
+// partKey returns the key of one part of a value that is stored in several records.
 func partKey(key string, part int) string { return fmt.Sprintf("%s/%x", key, part) }
 
-// splitValue splits a long value, with its length in front, into records.
+// splitValue splits a value, preceded by its length, into records of at most maxPartSize.
 func splitValue(key string, value []byte) (records []Record) {
 	value = append(binary.AppendUvarint(nil, uint64(len(value))), value...)
 	for part := 0; part == 0 || len(value) > 0; part++ {
@@ -69,7 +70,7 @@
 	return records
 }
 
-// joinValue joins the parts of a long value; ok is false if it is incomplete.
+// joinValue joins the parts of a value that splitValue has split; ok is false if parts are missing or damaged.
 func joinValue(records map[string][]byte, key string) (value []byte, ok bool) {
 	var all []byte
 	for i := 0; ; i++ {
@@ -88,7 +89,7 @@
 	}
 }
 
-// countParts returns the number of parts of a long value.
+// countParts returns the number of parts in which a value is stored.
 func countParts(records map[string][]byte, key string) (n int) {
 	for {
 		if _, ok := records[partKey(key, n)]; !ok {
@@ -98,7 +99,7 @@
 	}
 }
 
-// bootstrapRecords returns the records of an origin that was just bootstrapped.
+// bootstrapRecords returns the records that bootstrap an origin.
 func bootstrapRecords(c BootstrapConfig) []Record {
 	c.Origins = slices.Sorted(slices.Values(c.Origins))
 	root := rootRecord{
--- a/internal/controlplane/origin/requests.go
+++ b/internal/controlplane/origin/requests.go
@@ -24,10 +24,10 @@
 type pendingRequest struct {
 	kind       requestKind
 	id         string
-	entry      []byte // of a proposal: the entry for the log
-	readID     uint64 // of a query or read: the ID of its read index request
-	readIndex  uint64 // of a query or read: index to apply before its result; 0: raft has not responded
-	sentAtTick int    // of the last attempt
+	entry      []byte // proposals only: entry for the log
+	readID     uint64 // queries and reads only: ID of the read index request
+	readIndex  uint64 // queries and reads only: index to apply before the result; 0 if raft has not responded yet
+	sentAtTick int    // tick of the last attempt
 	proposed   bool   // raft has accepted the proposal, which may take effect from then on
 	deadline   time.Duration
 }
@@ -37,8 +37,8 @@
 	return Result{ID: id, Outcome: outcome, Revision: n.revision(), Error: reason}
 }
 
-// handlePropose checks a change and proposes it to raft. If no leader is known, the proposal waits for the one that
-// is being elected.
+// handlePropose checks a change and proposes it to raft. If no leader is known, the proposal waits until one is
+// elected.
 func (n *Node) handlePropose(now time.Duration, ev Propose, actions []Action) []Action {
 	if ev.ID == "" || len(ev.ID) > MaxIDLength {
 		reason := fmt.Sprintf("a push has an ID of 1 to %d bytes", MaxIDLength)
@@ -68,7 +68,7 @@
 	return actions
 }
 
-// checkProposal returns why a change cannot be proposed; the reason is empty if it can be.
+// checkProposal returns why a change cannot be proposed; the reason is empty if the change can be proposed.
 func (n *Node) checkProposal(now time.Duration, ev *Propose) (outcome Outcome, reason string) {
 	if _, err := controlplane.ParseSnapshot(ev.Text); err != nil {
 		return OutcomeRejected, err.Error()
@@ -90,8 +90,8 @@
 	return fmt.Sprintf("%d pushes and questions wait already", MaxPendingRequests)
 }
 
-// handleRead processes a QueryOutcome or a ReadLatest. Its result must wait until this origin has applied what a
-// majority has: raft confirms the index.
+// handleRead processes a QueryOutcome or a ReadLatest. The result must wait until this origin has applied all entries
+// that a majority has committed; raft's read index request returns the index of the last of them.
 func (n *Node) handleRead(now time.Duration, id string, kind requestKind, actions []Action) []Action {
 	if outcome, ok := n.state.find(id); ok && kind == requestQuery {
 		return append(actions, n.resultOf(outcome, outcome.Hash))
@@ -118,10 +118,11 @@
 	return actions
 }
 
-// readContextSize is the size of a read index request's context: this origin's ID and the read's, 8 bytes each.
+// readContextSize is the size of the context of a read index request, in bytes: this origin's ID and the request's, 8
+// bytes each.
 const readContextSize = 16
 
-// requestReadIndex asks raft for the index that a majority has.
+// requestReadIndex asks raft for the index that a majority has committed.
 func (n *Node) requestReadIndex(readID uint64) {
 	if n.raft.BasicStatus().Lead == raft.None {
 		return
@@ -145,8 +146,8 @@
 	}
 }
 
-// retryPending repeats requests without response: the leader that they were sent to may be gone. The state machine
-// applies a change once, however often it was proposed.
+// retryPending repeats requests without result, since the leader to which they were sent may have failed. The state
+// machine applies a change once, however often it is proposed.
 func (n *Node) retryPending() {
 	if !n.canStep() {
 		return
@@ -168,7 +169,7 @@
 	}
 }
 
-// completePending returns the results of pending requests that have one.
+// completePending appends the results of the pending requests that are complete, and removes these requests.
 func (n *Node) completePending(now time.Duration, actions []Action) []Action {
 	waiting := n.pending[:0]
 	for _, p := range n.pending {
@@ -183,7 +184,7 @@
 	return actions
 }
 
-// completeRequest returns the result of a pending request; ok is false if it has none yet.
+// completeRequest returns the result of a pending request; ok is false if the request is not complete yet.
 func (n *Node) completeRequest(now time.Duration, p *pendingRequest) (result Result, ok bool) {
 	outcome, known := n.state.find(p.id)
 	isExpired := now >= p.deadline || n.rollbackReason != ""
@@ -200,7 +201,7 @@
 	return Result{}, false
 }
 
-// completeRead returns the result of a read whose index is applied.
+// completeRead returns the result of a query or read whose index was applied.
 func (n *Node) completeRead(p *pendingRequest, outcome changeOutcome, known bool) Result {
 	switch {
 	case p.kind == requestRead:
@@ -211,7 +212,7 @@
 	return n.result(p.id, OutcomeNotFound, fmt.Sprintf("none of the last %d pushes has this ID", MaxOutcomes))
 }
 
-// resultOf returns the result of a proposal, whose text has the given hash, from the outcome of its ID.
+// resultOf returns the result of a proposal from the known outcome of its ID. hash is the hash of the proposal's text.
 func (n *Node) resultOf(o changeOutcome, hash string) Result {
 	switch {
 	case o.Hash != hash:
@@ -223,7 +224,7 @@
 	return Result{ID: o.ID, Outcome: OutcomeAccepted, Revision: revision}
 }
 
-// hashOfEntry returns the hash of the text in an entry of the log.
+// hashOfEntry returns the hash of the text in an entry of the log; it is empty if the entry cannot be decoded.
 func hashOfEntry(data []byte) string {
 	var change logEntry
 	if decode(data, &change) != nil {
--- a/internal/controlplane/origin/simulation_test.go
+++ b/internal/controlplane/origin/simulation_test.go
@@ -12,40 +12,41 @@
 	"hazelwing/internal/controlplane"
 )
 
-// simulation runs origins in simulated time, over a network that delays, loses, duplicates and partitions, on disks
-// that are rolled back, in processes that stop between any two writes. Equal seeds give equal runs.
+// simulation runs origins in simulated time. The network may delay, lose and duplicate messages and may be partitioned,
+// disks may be rolled back, and processes may crash between any two writes. Equal seeds give equal runs.
 type simulation struct {
-	epoch     uint64 // of the bootstrap
+	epoch     uint64 // epoch of the bootstrap
 	t         failer
 	rng       *rand.Rand
 	now       time.Duration
 	machines  []*machine
 	events    eventQueue
 	serial    int
-	partition []int // by machine: those with equal numbers reach each other
+	partition []int // by machine: machines with equal numbers reach each other
 	loss      float64
 	results   map[string][]Result // by ID, in order
-	published map[uint64]string   // hash by version: one content for ever
+	published map[uint64]string   // hash of each version that was published
 }
 
+// failer is the part of testing.T, testing.B and rapid.T that a simulation needs.
 type failer interface {
 	Helper()
 	Fatalf(string, ...any)
 }
 
-// machine is an origin's machine.
+// machine is a machine on which an origin runs.
 type machine struct {
 	name         string
-	node         *Node // nil: it is down
-	incarnation  int
+	node         *Node // nil if the machine is down
+	incarnation  int   // number of starts
 	disk         map[string][]byte
-	startedAt    time.Duration // of this incarnation's clock
-	clockOffset  time.Duration // at which that clock begins
-	stepsToCrash int           // actions and records until it stops; below 0: it does not
+	startedAt    time.Duration // simulated time at which this incarnation started
+	clockOffset  time.Duration // time that the node's clock shows then
+	stepsToCrash int           // number of actions and records until the machine stops; negative if it does not
 	published    controlplane.Revision
 	logged       []string
-	attempts     []*attempt // proposals of this incarnation
-	completed    int        // of them, with a result
+	attempts     []*attempt // proposals to this incarnation
+	completed    int        // number of attempts that have a result
 }
 
 type simEvent struct {
@@ -111,13 +112,13 @@
 	w.now = end
 }
 
-// waitUntil runs until ok, or fails after the limit. It returns how long that took.
+// waitUntil runs the simulation until ok returns true, and returns how long that took. The test fails after the limit.
 func (w *simulation) waitUntil(limit time.Duration, what string, ok func() bool) time.Duration {
 	w.t.Helper()
 	start := w.now
 	for !ok() {
 		if w.now-start >= limit {
-			w.t.Fatalf("not within %v: %s\n%s", limit, what, w.describe())
+			w.t.Fatalf("waited %v in vain for: %s\n%s", limit, what, w.describe())
 		}
 		w.run(10 * time.Millisecond)
 	}
@@ -131,13 +132,13 @@
 			continue
 		}
 		s := p.node.Status()
-		out += fmt.Sprintf("%s %s leader %s at %v, term %d, applied %d, rolled %q\n", p.name, s.Role, s.Leader,
-			s.Revision, p.node.root.Term, p.node.applied, p.node.rollbackReason)
+		out += fmt.Sprintf("%s: role %q, leader %q, revision %v, term %d, applied %d, rolled back %q\n",
+			p.name, s.Role, s.Leader, s.Revision, p.node.root.Term, p.node.applied, p.node.rollbackReason)
 	}
 	return out
 }
 
-// writeRecords writes to the disk of a machine until that is to crash.
+// writeRecords writes records to the disk of a machine until the machine is due to crash.
 func (w *simulation) writeRecords(p *machine, list []Record) {
 	for _, r := range list {
 		if p.stepsToCrash == 0 {
@@ -184,7 +185,7 @@
 	p := w.machines[i]
 	p.node = nil
 	for _, x := range p.attempts {
-		x.lost = true
+		x.ambiguous = true
 	}
 	p.attempts, p.completed = nil, 0
 }
@@ -195,7 +196,7 @@
 	}
 }
 
-// execute executes actions as a process does, and stops it where it is to crash.
+// execute executes the actions of an origin, and stops its machine when that is due to crash.
 func (w *simulation) execute(i int, actions []Action) {
 	w.t.Helper()
 	p := w.machines[i]
@@ -234,16 +235,20 @@
 	}
 }
 
-// checkPublish checks that a version has one content, and that a machine does not publish an older one after a later
-// one.
+// checkPublish checks that all machines publish a version with the same content, and that a machine does not publish an
+// older version after a later one.
 func (w *simulation) checkPublish(p *machine, f controlplane.Frame) {
 	w.t.Helper()
 	r := f.Revision
 	if old, ok := w.published[r.Version]; ok && old != r.Hash {
-		w.t.Fatalf("%v: %s publishes %v with another content than before\n%s", w.now, p.name, r, w.describe())
+		w.t.Fatalf("at %v %s publishes %v with hash %.12s, which was published before with hash %.12s\n%s",
+			w.now, p.name, r, r.Hash, old, w.describe())
 	}
-	if r.Hash != controlplane.HashText(f.Text) || r.Epoch != w.epoch {
-		w.t.Fatalf("%s publishes %v with a text that is not its own", p.name, r)
+	if hash := controlplane.HashText(f.Text); r.Hash != hash {
+		w.t.Fatalf("%s publishes %v with hash %.12s, and its text has hash %.12s", p.name, r, r.Hash, hash)
+	}
+	if r.Epoch != w.epoch {
+		w.t.Fatalf("%s publishes %v, want epoch %d", p.name, r, w.epoch)
 	}
 	if r.Compare(p.published) <= 0 {
 		w.t.Fatalf("%s publishes %v after %v", p.name, r, p.published)
@@ -254,7 +259,8 @@
 
 func (w *simulation) send(from int, a Send) {
 	if len(a.Data) > MaxMessageSize {
-		w.t.Fatalf("%s sends %d bytes", w.machines[from].name, len(a.Data))
+		w.t.Fatalf("%s sends a message of %d bytes, want at most %d",
+			w.machines[from].name, len(a.Data), MaxMessageSize)
 	}
 	for i, p := range w.machines {
 		if p.name != a.To {
@@ -266,7 +272,7 @@
 		}
 		for range copies {
 			delay := time.Millisecond
-			if from%2 != i%2 { // the other region
+			if from%2 != i%2 { // origins with even and odd indexes are in different regions
 				delay = 15 * time.Millisecond
 			}
 			delay += time.Duration(w.rng.Int64N(int64(delay)))
@@ -282,7 +288,7 @@
 	}
 }
 
-// leader returns the leader that a majority follows; -1: there is none.
+// leader returns the index of the leader that a majority follows; -1 if there is none.
 func (w *simulation) leader() int {
 	at, follow := -1, map[string]int{}
 	for _, p := range w.machines {
@@ -314,12 +320,12 @@
 
 func textOf(id string) []byte { return []byte("# " + id + "\n") }
 
-// push proposes a change to an origin and waits for the result.
+// push proposes a change to an origin and waits for the result, which is empty if the origin stops.
 func (w *simulation) push(i int, id string, after uint64, text []byte) Result {
 	w.t.Helper()
 	n := len(w.results[id])
 	w.handle(i, Propose{id, after, text})
-	w.waitUntil(5*time.Second, "an answer to "+id,
+	w.waitUntil(5*time.Second, "the result of push "+id,
 		func() bool { return len(w.results[id]) > n || w.machines[i].node == nil })
 	if len(w.results[id]) == n {
 		return Result{ID: id}
@@ -332,7 +338,7 @@
 	w.t.Helper()
 	n := len(w.results[id])
 	w.handle(i, QueryOutcome{id})
-	w.waitUntil(5*time.Second, "an answer to the question for "+id, func() bool { return len(w.results[id]) > n })
+	w.waitUntil(5*time.Second, "the result of the query of "+id, func() bool { return len(w.results[id]) > n })
 	return w.results[id][n]
 }
 
--- a/internal/controlplane/origin/state.go
+++ b/internal/controlplane/origin/state.go
@@ -22,21 +22,21 @@
 }
 
 // ErrNotBootstrapped says that a store has no bootstrap configuration.
-var ErrNotBootstrapped = errors.New("the store was never founded: hazelwing origin found")
+var ErrNotBootstrapped = errors.New("the store was never bootstrapped: run hazelwing origin found")
 
-// errDamagedStore says that the store lacks what its root references.
+// errDamagedStore says that the store has no valid root, or lacks records that the root references.
 var errDamagedStore = errors.New("its store lacks what it had made durable")
 
-// alreadyBootstrappedError says that a store is that of the same or a higher epoch, or of another cluster.
+// alreadyBootstrappedError says that a store was bootstrapped for the same or a higher epoch, or for another cluster.
 type alreadyBootstrappedError struct{ stored BootstrapConfig }
 
 func (e *alreadyBootstrappedError) Error() string {
-	return fmt.Sprintf("the store is that of fleet %q, epoch %d: found a higher epoch, or another directory",
+	return fmt.Sprintf("the store belongs to fleet %q, epoch %d: choose a higher epoch, or another directory",
 		e.stored.Cluster, e.stored.Epoch)
 }
 
-// Bootstrap writes the records of a new origin to a store. A store of a lower epoch of the same cluster is
-// overwritten; one of the same or a higher epoch, or of another cluster, is an error.
+// Bootstrap writes the records of a new origin to a store. It overwrites a store of a lower epoch of the same cluster.
+// If the store is of the same or a higher epoch, or of another cluster, it returns an error.
 func Bootstrap(st *store.Store, c BootstrapConfig) error {
 	if err := c.Validate(); err != nil {
 		return err
@@ -60,7 +60,7 @@
 	return Write(st, p)
 }
 
-// NewBootstrappedState returns the state of an origin that was just bootstrapped and has no store.
+// NewBootstrappedState returns the state of a newly bootstrapped origin, without a store.
 func NewBootstrappedState(c BootstrapConfig) (*State, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 
 // Write makes a Persist durable. It blocks. After an error the process must exit.
 func Write(st *store.Store, p Persist) error {
-	// The store's records have an expiry. An origin's never expire.
+	// Records of the store need an expiry time, but an origin's records must never expire.
 	noExpiry := time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, r := range p.Records {
 		var err error
@@ -91,7 +91,7 @@
 			err = st.Put(r.Key, r.Value, noExpiry)
 		}
 		if err != nil {
-			return fmt.Errorf("the origin's store: %w", err)
+			return fmt.Errorf("writing record %q to the origin's store: %w", r.Key, err)
 		}
 	}
 	return nil
@@ -124,7 +124,7 @@
 		return c, false, nil
 	}
 	if err := decode(data, &c); err != nil {
-		return c, false, fmt.Errorf("the store's founding cannot be read: %w", err)
+		return c, false, fmt.Errorf("decoding the bootstrap configuration in the store: %w", err)
 	}
 	return c, true, nil
 }
@@ -142,8 +142,8 @@
 	return c.Validate()
 }
 
-// restore returns raft's view of the log, and the root. If the error is errDamagedStore, log and root have what could
-// be read, for serving only, and are nil if that is nothing.
+// restore returns raft's log and the root. If the error is errDamagedStore, they contain only what could be read, from
+// which the origin may serve but not participate in consensus; each is nil if it could not be read.
 func (s *State) restore() (log *raft.MemoryStorage, root *rootRecord, err error) {
 	root = new(rootRecord)
 	data, ok := s.Records[rootRecordKey]
@@ -176,7 +176,7 @@
 }
 
 // restoreEntries appends the entries after the snapshot to the log, up to the first that is missing or damaged. It
-// returns the index of the last.
+// returns the index of the last entry in the log.
 func (s *State) restoreEntries(log *raft.MemoryStorage, root *rootRecord) (last uint64, err error) {
 	last = root.SnapshotIndex
 	for last < root.LastIndex {
@@ -205,7 +205,7 @@
 	return e, nil
 }
 
-// voters returns raft's configuration of n origins.
+// voters returns raft's configuration of a cluster of n origins.
 func voters(n int) *raftpb.ConfState {
 	c := new(raftpb.ConfState)
 	for i := range n {
@@ -214,7 +214,7 @@
 	return c
 }
 
-// unreferenced returns deletes of all records that the root does not reference. A crash may have left them.
+// unreferenced returns records that delete all those that the root does not reference. A crash may have left them.
 func (s *State) unreferenced(root *rootRecord, log *raft.MemoryStorage) (deletes []Record) {
 	referenced := map[string]bool{snapshotKey(root.SnapshotIndex): true}
 	for i := root.SnapshotIndex + 1; i <= root.LastIndex; i++ {
@@ -223,7 +223,7 @@
 		}
 	}
 	for key := range s.Records {
-		value := key[:max(strings.LastIndexByte(key, '/'), 0)] // without the part
+		value := key[:max(strings.LastIndexByte(key, '/'), 0)] // key without the part number
 		if value != "" && !referenced[value] {
 			deletes = append(deletes, Record{Key: key, Delete: true})
 		}
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"hazelwing/internal/controlplane"
 	"hazelwing/internal/emulator/faultfs"
 	"hazelwing/internal/store"
 )
@@ -23,11 +24,11 @@
 	return st
 }
 
-// An origin on the embedded store loses power after every so many bytes, and restarts from what is there. It could lose
-// what it acknowledged, or withdraw although it has lost nothing. What was acknowledged is there, and a store that lost
-// nothing is not taken for a rolled back one.
-func TestRestartFromTheStore(t *testing.T) {
-	acknowledged, lives := 0, 0
+// An origin on the embedded store loses power after a varying number of steps of the file system, and restarts from the
+// remaining files. It must not lose changes that it acknowledged, nor withdraw because it takes its store for a rolled
+// back one.
+func TestRestartAfterPowerLoss(t *testing.T) {
+	acknowledged, runs := 0, 0
 	for crash := int64(3000); crash < 60_000; crash += 1900 {
 		fs := faultfs.New()
 		st := openStore(t, fs)
@@ -36,12 +37,12 @@
 		}
 		if err := Bootstrap(st, BootstrapConfig{"f", 3, []string{"one"}}); err == nil ||
 			!strings.Contains(err.Error(), "higher epoch") {
-			t.Fatalf("bootstrapped twice: %v", err)
+			t.Fatalf("the second bootstrap with the same epoch returned %v, want an error about a higher epoch", err)
 		}
 		fs.CrashAfter = fs.Steps + crash
 		version, pushed := uint64(0), uint64(0)
-		for life := range 3 {
-			lives++
+		for run := range 3 {
+			runs++
 			s, err := Load(st)
 			if err != nil {
 				t.Fatal(err)
@@ -76,10 +77,10 @@
 				}
 			}
 			if n.rollbackReason != "" {
-				t.Fatalf("life %d: %s", life, n.rollbackReason)
+				t.Fatalf("run %d: the origin has withdrawn: %s", run, n.rollbackReason)
 			}
 			if n.state.Version < version {
-				t.Fatalf("life %d: %d was acknowledged, and it is at %d", life, version, n.state.Version)
+				t.Fatalf("run %d: the origin is at version %d, and had acknowledged %d", run, n.state.Version, version)
 			}
 			if !ok {
 				fs = fs.AfterPowerLoss(rand.New(rand.NewPCG(uint64(crash), 1)))
@@ -89,14 +90,14 @@
 			st = openStore(t, fs)
 		}
 	}
-	t.Log(lives, "lives", acknowledged, "acknowledged")
+	t.Logf("%d runs, %d pushes acknowledged", runs, acknowledged)
 	if acknowledged < 100 {
-		t.Errorf("only %d pushes were acknowledged", acknowledged)
+		t.Errorf("%d pushes were acknowledged, want at least 100", acknowledged)
 	}
 }
 
-// A disk loses any one entry of a store, or returns another in its place. The origin could vote twice or forget what it
-// acknowledged. It withdraws, unless it has lost nothing.
+// A disk loses, truncates or empties any one record of a store. The origin could vote twice, or lose changes that it
+// acknowledged. It must withdraw, go on serving the snapshot that it has, write nothing and accept no change.
 func TestDamagedStore(t *testing.T) {
 	w := newRunningSimulation(t, 1, 1)
 	for v := range uint64(20) {
@@ -119,28 +120,29 @@
 			case err != nil:
 				t.Errorf("%s %s: %v", key, what, err)
 			case got.rollbackReason == "":
-				t.Errorf("%s %s is not noticed", key, what)
+				t.Errorf("%s %s: the origin has not withdrawn", key, what)
 			case got.state.Version > state.state.Version:
-				t.Errorf("%s %s: at %d", key, what, got.state.Version)
+				t.Errorf("%s %s: the origin is at version %d, want at most %d", key, what, got.state.Version,
+					state.state.Version)
 			}
-			if err == nil { // it goes on serving what it has, and takes nothing
+			if err == nil { // the origin must neither write nor accept a change
 				for now := range 100 {
 					for _, a := range got.Handle(time.Duration(now)*100*time.Millisecond, Tick{}) {
 						if _, ok := a.(Persist); ok {
-							t.Errorf("%s %s: it writes", key, what)
+							t.Errorf("%s %s: the origin writes to its store", key, what)
 						}
 					}
 				}
 				if out := got.Handle(10*time.Second,
 					Propose{"x", got.state.Version, textOf("x")}); out[len(out)-1].(Result).Outcome != OutcomeRejected {
-					t.Errorf("%s %s: a push is answered %v", key, what, out)
+					t.Errorf("%s %s: a push leads to %v, want outcome %q", key, what, out, OutcomeRejected)
 				}
 			}
 		}
 	}
 }
 
-// nodeFromDisk returns a node that starts from a disk.
+// nodeFromDisk starts a node from a simulated disk.
 func nodeFromDisk(t *testing.T, disk map[string][]byte) (*Node, error) {
 	t.Helper()
 	s := &State{Records: disk}
@@ -151,7 +153,8 @@
 	return n, err
 }
 
-// Bootstraps and starts that are rejected.
+// Invalid bootstrap configurations, bootstraps over an existing store, and starts with settings that do not match the
+// store are rejected.
 func TestBootstrapIsChecked(t *testing.T) {
 	for _, c := range []struct {
 		f   BootstrapConfig
@@ -163,21 +166,23 @@
 		{BootstrapConfig{"f", 1, originNames(8)}, "8 origins"},
 		{BootstrapConfig{"f", 1, []string{"a", "a"}}, "twice"},
 		{BootstrapConfig{"f", 1, []string{"a/b"}}, "slashes"},
+		{BootstrapConfig{"f", 1, []string{"a", ""}}, "is empty"},
+		{BootstrapConfig{"f", 1, []string{strings.Repeat("a", controlplane.MaxNameLength+1)}}, "129 bytes"},
 	} {
 		if err := Bootstrap(openStore(t, faultfs.New()), c.f); err == nil || !strings.Contains(err.Error(), c.why) {
-			t.Errorf("%v: %v", c.f, err)
+			t.Errorf("Bootstrap with %v returned %v, want an error with %q", c.f, err, c.why)
 		}
 	}
 	st := openStore(t, faultfs.New())
-	if _, err := Load(st); err == nil || !strings.Contains(err.Error(), "never founded") {
-		t.Errorf("an empty store: %v", err)
+	if _, err := Load(st); err == nil || !strings.Contains(err.Error(), "never bootstrapped") {
+		t.Errorf("Load of an empty store returned %v, want ErrNotBootstrapped", err)
 	}
 	if err := Bootstrap(st, BootstrapConfig{"f", 4, originNames(3)}); err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range []BootstrapConfig{{"f", 3, originNames(3)}, {"f", 4, originNames(3)}, {"g", 5, originNames(3)}} {
 		if err := Bootstrap(st, f); err == nil {
-			t.Errorf("%v was bootstrapped over epoch 4 of f", f)
+			t.Errorf("Bootstrap with %v over epoch 4 of cluster f returned no error", f)
 		}
 	}
 	if err := Bootstrap(st, BootstrapConfig{"f", 5, originNames(5)}); err != nil {
@@ -185,17 +190,17 @@
 	}
 	s, err := Load(st)
 	if err != nil || s.Bootstrap.Epoch != 5 {
-		t.Fatal(s, err)
+		t.Fatalf("Load returned %+v and %v, want epoch 5", s, err)
 	}
 	if _, _, err := NewNode(Config{Self: "o9"}, s, 0); err == nil {
-		t.Error("o9 is one of five")
+		t.Error("NewNode accepted o9, which is none of the five origins")
 	}
 	if _, _, err := NewNode(Config{Self: "o1", BootstrapConfig: BootstrapConfig{"f", 6, originNames(5)}}, s,
 		0); err == nil {
-		t.Error("the settings are of another epoch")
+		t.Error("NewNode accepted settings of epoch 6 for a store of epoch 5")
 	}
 	if err := Write(st, Persist{[]Record{{Key: "x", Value: make([]byte, store.MaxValue+1)}}}); !errors.Is(err,
 		store.ErrSize) {
-		t.Error(err)
+		t.Errorf("Write of a value that is too long returned %v, want %v", err, store.ErrSize)
 	}
 }
--- a/internal/controlplane/origin/statemachine.go
+++ b/internal/controlplane/origin/statemachine.go
@@ -8,8 +8,8 @@
 	"hazelwing/internal/controlplane"
 )
 
-// stateMachine is the state that the entries of the log make: the latest snapshot, and the outcomes of the last
-// changes. It is the same at each origin that has applied the same entries.
+// stateMachine is the state that results from the entries of the log: the latest snapshot, and the outcomes of the last
+// changes. It is the same on all origins that have applied the same entries.
 type stateMachine struct {
 	Version  uint64          `cbor:"1,keyasint"`
 	Hash     string          `cbor:"2,keyasint"`
@@ -17,28 +17,27 @@
 	Outcomes []changeOutcome `cbor:"4,keyasint"` // oldest first, at most MaxOutcomes
 }
 
-// changeOutcome is the outcome of a change.
 type changeOutcome struct {
 	ID      string `cbor:"1,keyasint"`
-	Version uint64 `cbor:"2,keyasint"` // of the change; 0: it was in conflict with an earlier one
-	Hash    string `cbor:"3,keyasint"` // of its text
+	Version uint64 `cbor:"2,keyasint"` // version of the change; 0 if it was in conflict with an earlier one
+	Hash    string `cbor:"3,keyasint"` // hash of the change's text
 }
 
-// logEntry is an entry of the log: a change.
+// logEntry is the content of a log entry, which is a change.
 type logEntry struct {
 	ID          string `cbor:"1,keyasint"`
 	BaseVersion uint64 `cbor:"2,keyasint"`
 	Text        []byte `cbor:"3,keyasint"`
 }
 
-// apply applies an entry. It returns the outcome, and whether the snapshot has changed. An entry whose ID is known
-// has no effect: the client, or an origin on its behalf, may have sent it twice.
+// apply applies an entry. It returns the outcome, and whether the snapshot has changed. An entry whose ID was applied
+// before has no effect, since the client, or an origin on its behalf, may have sent the change twice.
 func (m *stateMachine) apply(c *logEntry) (outcome changeOutcome, changed bool) {
 	if outcome, ok := m.find(c.ID); ok {
 		return outcome, false
 	}
 	outcome = changeOutcome{ID: c.ID, Hash: controlplane.HashText(c.Text)}
-	if c.BaseVersion == m.Version { // of two changes of one version, the first in the log wins
+	if c.BaseVersion == m.Version { // of two changes with the same base version, the first in the log wins
 		m.Version++
 		m.Hash = outcome.Hash
 		m.Text = c.Text
@@ -51,7 +50,7 @@
 	return outcome, outcome.Version > 0
 }
 
-// find returns the outcome of the change with an ID.
+// find returns the outcome of the change with the given ID; ok is false if it is not among Outcomes.
 func (m *stateMachine) find(id string) (outcome changeOutcome, ok bool) {
 	i := slices.IndexFunc(m.Outcomes, func(o changeOutcome) bool { return o.ID == id })
 	if i < 0 {
@@ -71,7 +70,7 @@
 
 func decode(data []byte, v any) error { return cbor.Unmarshal(data, v) }
 
-// encode encodes one of the package's own types, all of which can be.
+// encode encodes a value of one of the package's own types, for which encoding cannot fail.
 func encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
--- a/internal/controlplane/origin/status.go
+++ b/internal/controlplane/origin/status.go
@@ -15,23 +15,23 @@
 
 // Roles.
 const (
-	RoleStarting   Role = "starting"    // it has not heard from enough of the others yet
-	RoleLeader     Role = "leads"       // a majority follows it
-	RoleFollower   Role = "follows"     // it follows another one
-	RoleNoLeader   Role = "no majority" // it knows no leader: it serves what it has and changes nothing
-	RoleRolledBack Role = "rolled back" // its store has lost writes: it has withdrawn from its epoch
+	RoleStarting   Role = "starting"    // the origin has not heard from enough of the others yet
+	RoleLeader     Role = "leads"       // a majority follows the origin
+	RoleFollower   Role = "follows"     // the origin follows another one
+	RoleNoLeader   Role = "no majority" // the origin knows no leader: it serves its snapshot and accepts no change
+	RoleRolledBack Role = "rolled back" // the origin's store has lost writes: it has withdrawn until a higher epoch
 )
 
-// Status is what an origin knows.
+// Status is the status of an origin, and of the cluster as this origin knows it.
 type Status struct {
 	Self            string                `json:"self"`
 	Epoch           uint64                `json:"epoch"`
 	Role            Role                  `json:"part"`
 	Leader          string                `json:"leader,omitempty"`
 	Revision        controlplane.Revision `json:"stamp"`
-	Ahead           controlplane.Revision `json:"ahead"`  // that members have: changes are rejected
+	Ahead           controlplane.Revision `json:"ahead"`  // revision of members that prevents changes; zero if none
 	RolledBack      []string              `json:"rolled"` // origins that have withdrawn
-	Report          controlplane.Report   `json:"report"` // of all members, as this origin and the others know them
+	Report          controlplane.Report   `json:"report"` // report of all members, of this origin and of the others
 	ForeignMessages int                   `json:"foreign"`
 	CorruptMessages int                   `json:"broken"`
 }
@@ -65,7 +65,7 @@
 // revision returns the revision of the state machine.
 func (n *Node) revision() controlplane.Revision { return n.state.revision(n.cfg.Epoch) }
 
-// clusterReport sums up all members, as this origin and the others know them.
+// clusterReport returns a report of all members, from the reports that this origin and the others have received.
 func (n *Node) clusterReport() controlplane.Report {
 	own := n.memberReports.Aggregate(n.revision(), nil)
 	return n.peerReports.With(n.names[n.id-1], own).Aggregate(n.revision(), nil)
@@ -87,15 +87,15 @@
 	return RoleNoLeader
 }
 
-// updateRole logs a change of the role.
+// updateRole records and logs a change of the role.
 func (n *Node) updateRole(now time.Duration, actions []Action) []Action {
 	role := n.currentRole()
 	if role == n.role {
 		return actions
 	}
 	n.role = role
-	if role == RoleRolledBack { // withdraw has logged it
+	if role == RoleRolledBack { // NewNode or withdraw has logged the reason
 		return actions
 	}
-	return n.logMessage(now, actions, controlplane.LogKind(role), fmt.Sprintf("at %v", n.revision()))
+	return n.logMessage(now, actions, controlplane.LogKind(role), fmt.Sprintf("at revision %v", n.revision()))
 }
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -13,7 +13,7 @@
 	"hazelwing/internal/store"
 )
 
-// storedDir holds the directories of three origins that the program of 593ba64 has written: see its README.
+// storedDir has the directories of three origins, written by the program of commit 593ba64. Its README describes them.
 const storedDir = "testdata/version-593ba64"
 
 const (
@@ -21,13 +21,13 @@
 	storedSecond = "# second\n[limits]\nmax_attempts = 2\n"
 )
 
-// copyStoredOrigin returns a copy of one's directory.
+// copyStoredOrigin returns a copy of the directory of one of these origins.
 func copyStoredOrigin(t *testing.T, name string) store.FS {
 	t.Helper()
 	path := t.TempDir()
 	logs, err := filepath.Glob(filepath.Join(storedDir, name, "*.log"))
 	if err != nil || len(logs) != 2 {
-		t.Fatalf("%d segments, %v", len(logs), err)
+		t.Fatalf("%s has %d segments, want 2: %v", name, len(logs), err)
 	}
 	for _, file := range logs {
 		text, err := os.ReadFile(file)
@@ -45,7 +45,7 @@
 	return fs
 }
 
-// writeDisk brings a store to the content of a simulated disk.
+// writeDisk makes the records of a store equal to those of a simulated disk.
 func writeDisk(t *testing.T, st *store.Store, disk map[string][]byte) {
 	t.Helper()
 	before, err := readState(st)
@@ -68,7 +68,8 @@
 	}
 }
 
-// simulationFromStores runs three origins on the content of their directories, each of which must be at a version.
+// simulationFromStores starts origins from the content of their directories, each of which must have the given version
+// and text.
 func simulationFromStores(t *testing.T, dirs []store.FS, version uint64, text string) *simulation {
 	t.Helper()
 	w := newSimulation(t, len(dirs), 7)
@@ -85,7 +86,8 @@
 		}
 		got := n.state.revision(3)
 		if n.rollbackReason != "" || got != want || string(n.state.Text) != text {
-			t.Errorf("%s is at %v, %q, rolled back %q, want %v", m.name, got, n.state.Text, n.rollbackReason, want)
+			t.Errorf("%s starts at %v with text %q, rolled back %q; want %v with text %q",
+				m.name, got, n.state.Text, n.rollbackReason, want, text)
 		}
 	}
 	for i := range dirs {
@@ -94,7 +96,7 @@
 	return w
 }
 
-// loadIntact loads the state from a directory, which must have no damage.
+// loadIntact loads the state from a directory, which must not be damaged.
 func loadIntact(t *testing.T, fs store.FS) *State {
 	t.Helper()
 	segments, err := store.Check(fs)
@@ -103,7 +105,7 @@
 	}
 	for _, g := range segments {
 		if g.Damaged != 0 || g.Tail != 0 || g.Fault != "" {
-			t.Errorf("%+v", g)
+			t.Errorf("a segment is damaged: %+v", g)
 		}
 	}
 	st := openStore(t, fs)
@@ -112,7 +114,7 @@
 		t.Fatal(err)
 	}
 	if c := s.Bootstrap; c.Cluster != "stored" || c.Epoch != 3 || !slices.Equal(c.Origins, originNames(3)) {
-		t.Errorf("bootstrapped %+v", c)
+		t.Errorf("the bootstrap configuration is %+v, want fleet stored, epoch 3, origins %q", c, originNames(3))
 	}
 	if err := st.Close(); err != nil {
 		t.Fatal(err)
@@ -120,9 +122,9 @@
 	return s
 }
 
-// The origins of 593ba64 continue in the new version: they have the changes and their outcomes, accept another change,
-// and have all of it after one more restart from their directories.
-func TestOriginsOfTheVersionBefore(t *testing.T) {
+// Origins that start from the stores of commit 593ba64 have its changes and their outcomes, and accept another change.
+// After one more restart from their directories they have all three changes.
+func TestOriginsLoadStoresOfEarlierVersion(t *testing.T) {
 	var dirs []store.FS
 	for _, name := range originNames(3) {
 		dirs = append(dirs, copyStoredOrigin(t, name))
@@ -134,17 +136,17 @@
 		w.run(4 * time.Second)
 		for _, p := range w.machines {
 			if p.node.rollbackReason != "" {
-				t.Errorf("%s takes its store for a rolled back one: %s", p.name, p.node.rollbackReason)
+				t.Errorf("%s has withdrawn, although its store was not rolled back: %s", p.name, p.node.rollbackReason)
 			}
 		}
 	}
 	ready()
-	checkResult(t, "what became of the first", w.query(0, "push-1"), OutcomeAccepted, 1)
-	checkResult(t, "what became of the second", w.query(1, "push-2"), OutcomeAccepted, 2)
-	checkResult(t, "what was never pushed", w.query(2, "push-3"), OutcomeNotFound, 2)
-	checkResult(t, "the second again", w.push(2, "push-2", 1, []byte(storedSecond)), OutcomeAccepted, 2)
-	checkResult(t, "a third", w.push(1, "push-3", 2, textOf("third")), OutcomeAccepted, 3)
-	w.waitUntil(4*time.Second, "all hold it",
+	checkResult(t, "query of push-1", w.query(0, "push-1"), OutcomeAccepted, 1)
+	checkResult(t, "query of push-2", w.query(1, "push-2"), OutcomeAccepted, 2)
+	checkResult(t, "query of an ID that was never pushed", w.query(2, "push-3"), OutcomeNotFound, 2)
+	checkResult(t, "push-2 again", w.push(2, "push-2", 1, []byte(storedSecond)), OutcomeAccepted, 2)
+	checkResult(t, "push-3", w.push(1, "push-3", 2, textOf("third")), OutcomeAccepted, 3)
+	w.waitUntil(4*time.Second, "all have push-3",
 		func() bool { return w.allAgree() && w.machines[0].node.state.Version == 3 })
 	w.run(4 * time.Second)
 
@@ -159,12 +161,12 @@
 	w = simulationFromStores(t, dirs, 3, string(textOf("third")))
 	ready()
 	for v, id := range []string{"push-1", "push-2", "push-3"} {
-		checkResult(t, "what became of "+id, w.query(v, id), OutcomeAccepted, uint64(v+1))
+		checkResult(t, "query of "+id, w.query(v, id), OutcomeAccepted, uint64(v+1))
 	}
 }
 
-// The entries of a directory are byte for byte those that the new version writes of the same values.
-func TestOriginsEntriesKeepTheirBytes(t *testing.T) {
+// The records in the stores of commit 593ba64 are byte for byte those that this version writes for the same values.
+func TestStoredRecordsAreReproduced(t *testing.T) {
 	for _, name := range originNames(3) {
 		st := openStore(t, copyStoredOrigin(t, name))
 		s, err := Load(st)
@@ -185,7 +187,8 @@
 		add(splitValue(snapshotKey(r.SnapshotIndex), new(stateMachine).marshal())...)
 		last, err := ms.LastIndex()
 		if err != nil || last != r.LastIndex || r.SnapshotIndex != 1 {
-			t.Fatal(last, r, err)
+			t.Fatalf("last index %d, root %+v: %v; want last index %d and a snapshot at index 1",
+				last, r, err, r.LastIndex)
 		}
 		m := new(stateMachine)
 		for i := r.SnapshotIndex + 1; i <= last; i++ {
@@ -205,10 +208,10 @@
 			add(splitValue(entryKey(i, e.GetTerm()), marshalEntry(e))...)
 		}
 		if m.Version != 2 || string(m.Text) != storedSecond {
-			t.Errorf("%s: the entries make %+v", name, m)
+			t.Errorf("%s: the entries result in the state %+v, want version 2 with text %q", name, m, storedSecond)
 		}
 		if !maps.EqualFunc(s.Records, want, bytes.Equal) {
-			t.Errorf("%s holds\n%q, want\n%q", name, s.Records, want)
+			t.Errorf("%s has the records\n%q, want\n%q", name, s.Records, want)
 		}
 	}
 }
--- a/internal/controlplane/origin/writable.go
+++ b/internal/controlplane/origin/writable.go
@@ -10,9 +10,9 @@
 	"hazelwing/internal/controlplane"
 )
 
-// Why no change can be proposed.
+// Errors of checkWritable.
 var (
-	// ErrNotLeader says that no leader is known that could accept a change.
+	// ErrNotLeader says that this origin knows no leader that could accept a change.
 	ErrNotLeader = errors.New("no majority of the origins is reachable: nothing changes, and the last snapshot stays")
 	// errStarting says that this origin does not participate in consensus yet.
 	errStarting = errors.New("this origin has just started, and has not heard enough of the others")
@@ -23,7 +23,7 @@
 
 func (e *withdrawnError) Error() string { return "this origin takes no part: " + e.reason }
 
-// membersAheadError says that members have a revision that this origin's cannot precede.
+// membersAheadError says that members have a revision that conflicts with this origin's latest one.
 type membersAheadError struct{ members, own controlplane.Revision }
 
 func (e *membersAheadError) Error() string {
@@ -39,10 +39,11 @@
 	return fmt.Sprintf("this origin has started within %v, and no member has told yet what it holds", e.gracePeriod)
 }
 
-// checkWritable returns why no change can be proposed now; nil: one can be.
+// checkWritable returns why no change can be proposed now; nil if a change can be proposed.
 //
-// It decides that from the role of this origin, the time without a leader, and what the members report. This prevents
-// changes under versions that members already have: they would reject them, and two texts would have one revision.
+// It checks the role of this origin, the time without a leader, and the revisions that members report. This prevents
+// changes under versions that members already have: two texts would have the same revision, and members would reject
+// the new one.
 func (n *Node) checkWritable(now time.Duration) error {
 	report := n.clusterReport()
 	switch {
@@ -63,9 +64,9 @@
 	return nil
 }
 
-// comparableRevision returns the revision to compare with those of the members: the latest, or, before the first
-// change of an epoch, one that is higher than all of the epochs before it. Otherwise what members have of those would
-// prevent the first change for good.
+// comparableRevision returns the revision to compare with those of the members: the latest revision, or, before the
+// first change of an epoch, one that is higher than all revisions of earlier epochs. Otherwise members that still have
+// a revision of an earlier epoch would prevent the first change forever.
 func (n *Node) comparableRevision() controlplane.Revision {
 	if n.state.Version == 0 {
 		return controlplane.Revision{Epoch: n.cfg.Epoch}
@@ -73,8 +74,8 @@
 	return n.revision()
 }
 
-// conflictingRevision returns a revision that members have and that own cannot precede: a later one, or one of the same
-// version with another content.
+// conflictingRevision returns a revision that members have and that conflicts with own: a later one, or the same
+// version with different content. ok is false if there is none.
 func conflictingRevision(
 	r *controlplane.Report, own controlplane.Revision,
 ) (revision controlplane.Revision, ok bool) {
