--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -80,7 +80,7 @@
 			read := reflect.New(reflect.TypeOf(v))
 			err = json.Unmarshal(text, read.Interface())
 			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), v) {
-				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), v)
+				t.Errorf("decoding returned error %v and\n%+v, want\n%+v", err, read.Elem(), v)
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 		testutil.GoldenBinary(t, "format/"+name+".cbor.hex", data)
 		var read Report
 		if err := cbor.Unmarshal(data, &read); err != nil || !reflect.DeepEqual(read, report) {
-			t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, report)
+			t.Errorf("decoding returned error %v and\n%+v, want\n%+v", err, read, report)
 		}
 	}
 }
--- a/internal/controlplane/logthrottle.go
+++ b/internal/controlplane/logthrottle.go
@@ -52,8 +52,8 @@
 	return count
 }
 
-// Flush calls emit for each kind of which messages were held back and are due, in the order of the kinds' names. text
-// is that of the latest message.
+// Flush calls emit for each kind that has held back messages and is due, with the text of the latest of them. The kinds
+// are sorted by name.
 func (t *LogThrottle) Flush(now time.Duration, emit func(kind LogKind, text string, count int)) {
 	for _, kind := range slices.Sorted(maps.Keys(t.kinds)) {
 		if k := t.kinds[kind]; k.count > 0 && now >= k.nextAt {
--- a/internal/controlplane/origin/bench_test.go
+++ b/internal/controlplane/origin/bench_test.go
@@ -27,7 +27,7 @@
 	for b.Loop() {
 		id := fmt.Sprint("p", v)
 		if a := w.push(0, id, v, append(text[:len(text):len(text)], id...)); a.Outcome != OutcomeAccepted {
-			b.Fatal(a)
+			b.Fatalf("push %s has outcome %q: %s", id, a.Outcome, a.Error)
 		}
 		v++
 	}
--- a/internal/controlplane/origin/envelope.go
+++ b/internal/controlplane/origin/envelope.go
@@ -88,8 +88,8 @@
 	return body, nil
 }
 
-// encodeEnvelope encodes a message with the write numbers that this origin knows, after it has set its own one in
-// n.writeNumbers. m and report may be nil.
+// encodeEnvelope updates this origin's own write number in n.writeNumbers, and encodes a message with these numbers. m
+// and report may be nil.
 func (n *Node) encodeEnvelope(m *raftpb.Message, report *controlplane.Report) []byte {
 	n.writeNumbers[n.id-1] = n.writeNumber
 	e := envelope{
--- a/internal/controlplane/origin/events.go
+++ b/internal/controlplane/origin/events.go
@@ -6,8 +6,8 @@
 // Tick.
 type Event interface{ originEvent() }
 
-// Message is a message from another origin, with the Data of that origin's Send. A message that is corrupt, or from an
-// origin of another bootstrap, is counted and dropped.
+// Message is a message from another origin, which that origin's Node returned as a Send. A message that is corrupt, or
+// from an origin of another bootstrap, is counted and dropped.
 type Message struct {
 	From string
 	Data []byte
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -92,7 +92,7 @@
 			testutil.GoldenBinary(t, name+".cbor.hex", data)
 			read := reflect.New(reflect.TypeOf(v))
 			if err := decode(data, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), v) {
-				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), v)
+				t.Errorf("decoding returned error %v and\n%+v, want\n%+v", err, read.Elem(), v)
 			}
 			testutil.GoldenBinary(t, name+"-empty.cbor.hex", encode(reflect.Zero(reflect.TypeOf(v)).Interface()))
 		})
@@ -126,7 +126,7 @@
 			t.Fatalf("%s: decoded as %+v: %v", name, e, err)
 		}
 		if (m != nil) != (name == "message") || m != nil && (m.GetCommit() != 11 || m.GetTerm() != 4) {
-			t.Errorf("%s: raft's message is %v", name, m)
+			t.Errorf("%s: raft's message is decoded as %v", name, m)
 		}
 	}
 	testutil.GoldenBinary(t, "founding-key.hex", []byte(bootstrap.key()))
@@ -151,7 +151,8 @@
 		records[p.Key] = p.Value
 	}
 	if whole, ok := joinValue(records, "s/1"); len(parts) != 3 || !ok || !bytes.Equal(whole, long) {
-		t.Errorf("%d parts, want 3, and joined to the original value: %t", len(parts), ok && bytes.Equal(whole, long))
+		t.Errorf("the value has %d parts, want 3; joining them returns the original value: %t",
+			len(parts), ok && bytes.Equal(whole, long))
 	}
 }
 
@@ -239,7 +240,7 @@
 			read := reflect.New(reflect.TypeOf(v))
 			err := json.Unmarshal(text, read.Interface())
 			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
-				t.Errorf("%v: read back as\n%+v, want\n%+v", err, read.Elem(), value)
+				t.Errorf("decoding returned error %v and\n%+v, want\n%+v", err, read.Elem(), value)
 			}
 		}
 	}
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -130,7 +130,7 @@
 	h.handle(i, Propose{x.id, x.base, x.text})
 }
 
-// rollBackSafely rolls a store back, unless the origins could not detect that.
+// rollBackSafely rolls a store back to a backup if the origins can detect that; otherwise it does nothing.
 func (h *history) rollBackSafely(i int) {
 	disk := h.backups[i]
 	if disk == nil || !h.rolledBack[i] && len(h.rolledBack) >= h.maxRollbacks {
@@ -147,7 +147,7 @@
 	h.run(4 * time.Second)
 	after := new(rootRecord)
 	if err := decode(disk[rootRecordKey], after); err != nil {
-		h.t.Fatalf("%v", err)
+		h.t.Fatalf("decoding the root in a backup of %s: %v", p.name, err)
 	}
 	if lost := after.WriteNumber < before; lost != (p.node.rollbackReason != "") && !h.rolledBack[i] {
 		h.t.Fatalf("the store of %s went from write number %d to %d, and its rollback reason is %q\n%s", p.name, before,
--- a/internal/controlplane/origin/messages.go
+++ b/internal/controlplane/origin/messages.go
@@ -64,8 +64,8 @@
 // after startupTicks, from enough of them to form a majority with itself.
 //
 // This prevents an origin whose store was rolled back from voting twice in a term, or from acknowledging other entries
-// in place of those that it had acknowledged: an accepted change could be lost. By the time that the origin
-// participates, an origin that knows of its lost writes has told it.
+// in place of those that it had acknowledged: an accepted change could be lost. Before the origin participates, another
+// origin that knows of its lost writes has sent it a higher write number than that of its store.
 func (n *Node) tryParticipate() {
 	if n.participating || n.rollbackReason != "" || n.raft == nil {
 		return
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -222,7 +222,7 @@
 // canStep reports whether raft may process messages, ticks and requests.
 func (n *Node) canStep() bool { return n.participating && n.rollbackReason == "" }
 
-// withdraw takes the origin out of consensus for good: it participates again only after the bootstrap of a higher
+// withdraw takes the origin out of consensus permanently: it participates again only after the bootstrap of a higher
 // epoch. The reason is made durable, so a restart does not change that.
 //
 // Callers withdraw the origin because of the write numbers that others know of it, or the leader's commit index. This
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -373,7 +373,7 @@
 		!strings.Contains(a.Error, "(000000000000)") {
 		t.Errorf("while members have different content, a push has outcome %q: %s", a.Outcome, a.Error)
 	}
-	// Members that have the origins' revision do not prevent changes, once no member reports later revisions.
+	// Once all members report the revision that the origins have, changes are accepted again.
 	clear(w.published)
 	w.handle(1, ReportReceived{"m1", controlplane.Report{Members: 200, Latest: w.machines[0].node.Status().Revision}})
 	w.run(time.Second)
@@ -563,7 +563,7 @@
 	w.run(2 * time.Second)
 	w.stop(i)
 	w.run(time.Second)
-	knows := 1 // the origin that knows of the lost writes; it is in the other region, and responds last
+	knows := 1 // the only origin that knows of the lost writes; it is in the other region and responds last
 	for k, p := range w.machines {
 		if k != i && k != knows {
 			p.node.writeNumbers[i] = 1
--- a/internal/controlplane/origin/simulation_test.go
+++ b/internal/controlplane/origin/simulation_test.go
@@ -118,7 +118,7 @@
 	start := w.now
 	for !ok() {
 		if w.now-start >= limit {
-			w.t.Fatalf("waited %v in vain for: %s\n%s", limit, what, w.describe())
+			w.t.Fatalf("timed out after %v waiting for: %s\n%s", limit, what, w.describe())
 		}
 		w.run(10 * time.Millisecond)
 	}
@@ -161,11 +161,11 @@
 	p.startedAt, p.published, p.stepsToCrash = w.now, controlplane.Revision{}, -1
 	s := &State{Records: maps.Clone(p.disk)}
 	if err := s.validate(); err != nil {
-		w.t.Fatalf("%s: %v", p.name, err)
+		w.t.Fatalf("%s: validating the store: %v", p.name, err)
 	}
 	n, out, err := NewNode(Config{Self: p.name, Seed: w.rng.Uint64()}, s, p.clockOffset)
 	if err != nil {
-		w.t.Fatalf("%s: %v", p.name, err)
+		w.t.Fatalf("%s: starting the node: %v", p.name, err)
 	}
 	p.node = n
 	w.execute(i, out)
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -52,7 +52,7 @@
 				t.Fatal(err)
 			}
 			ok := true
-			done := func(out []Action) {
+			execute := func(out []Action) {
 				for _, a := range out {
 					switch a := a.(type) {
 					case Persist:
@@ -67,13 +67,13 @@
 					}
 				}
 			}
-			done(out)
+			execute(out)
 			for now := time.Duration(0); ok && now < 10*time.Second; now += 100 * time.Millisecond {
-				done(n.Handle(now, Tick{}))
+				execute(n.Handle(now, Tick{}))
 				if ok && n.currentRole() == RoleLeader {
 					pushed++
 					id := fmt.Sprint("p", pushed)
-					done(n.Handle(now, Propose{id, n.state.Version, []byte(strings.Repeat("#", 700) + id)}))
+					execute(n.Handle(now, Propose{id, n.state.Version, []byte(strings.Repeat("#", 700) + id)}))
 				}
 			}
 			if n.rollbackReason != "" {
@@ -97,7 +97,8 @@
 }
 
 // A disk loses, truncates or empties any one record of a store. The origin could vote twice, or lose changes that it
-// acknowledged. It must withdraw, go on serving the snapshot that it has, write nothing and accept no change.
+// acknowledged. It must withdraw, write nothing and accept no change. Without a valid bootstrap configuration it must
+// not start.
 func TestDamagedStore(t *testing.T) {
 	w := newRunningSimulation(t, 1, 1)
 	for v := range uint64(20) {
@@ -118,7 +119,7 @@
 			switch {
 			case err != nil && key == bootstrapRecordKey:
 			case err != nil:
-				t.Errorf("%s %s: %v", key, what, err)
+				t.Errorf("%s %s: the origin cannot start: %v", key, what, err)
 			case got.rollbackReason == "":
 				t.Errorf("%s %s: the origin has not withdrawn", key, what)
 			case got.state.Version > state.state.Version:
--- a/internal/controlplane/report_test.go
+++ b/internal/controlplane/report_test.go
@@ -95,8 +95,8 @@
 	text, err := json.Marshal(r)
 	if err != nil || len(text) > MaxReportSize ||
 		len(r.Laggards) != MaxLaggards || len(r.Active) != MaxRevisionCounts {
-		t.Errorf("the report has %d bytes, %d laggards and %d revisions, want at most %d, and exactly %d and %d: %v",
-			len(text), len(r.Laggards), len(r.Active), MaxReportSize, MaxLaggards, MaxRevisionCounts, err)
+		t.Errorf("the report has %d bytes, want at most %d; it has %d laggards, want %d, and %d revisions, want %d: %v",
+			len(text), MaxReportSize, len(r.Laggards), MaxLaggards, len(r.Active), MaxRevisionCounts, err)
 	}
 	t.Logf("the longest report has %d bytes", len(text))
 	for i := range maxSubscribers {
--- a/internal/controlplane/reporting.go
+++ b/internal/controlplane/reporting.go
@@ -19,7 +19,7 @@
 	sentAt       time.Duration
 }
 
-// newReportSchedule returns a schedule whose first report is due as soon as ReportDelay allows.
+// newReportSchedule returns a schedule whose first report is due ReportDelay after now.
 func newReportSchedule(now, minInterval time.Duration) reportSchedule {
 	return reportSchedule{
 		changed:      true,
