--- a/internal/operator/bootstrap.go
+++ b/internal/operator/bootstrap.go
@@ -1,13 +1,14 @@
 package operator
 
-// Bootstrap is the table [recovery]: how this member gets the endpoint list while its cluster starts or comes back.
+// Bootstrap is the table [recovery]. It configures how this member gets the endpoint list while its cluster starts or
+// recovers.
 type Bootstrap struct {
-	// Roots is how many members call discovery themselves.
+	// Roots is the number of members that call discovery themselves.
 	Roots int64 `toml:"ask"`
-	// FanOut is how many members follow one.
+	// FanOut is the number of members that follow the same member.
 	FanOut int64 `toml:"fan"`
-	// MaxCallRate bounds the calls of discovery by members that find nobody to follow, in calls a second of the whole
-	// cluster.
+	// MaxCallRate limits the calls to discovery by members that find no member to follow, in calls per second of the
+	// whole cluster.
 	MaxCallRate float64 `toml:"rate"`
 }
 
@@ -16,19 +17,20 @@
 	minMaxCallRate     = 0.1
 	largestMaxCallRate = 10_000
 
-	maxFanOut = 32 // of the endpoint list and of the configuration
+	// Both limits apply to [recovery] and to [config].
+	maxFanOut = 32
 	maxRoots  = 100
 )
 
-// validate fills in the defaults and reports values that cannot be used.
+// validate fills in the defaults and reports invalid values.
 func (c *Bootstrap) validate(v validator) {
 	v.integer("recovery.ask", &c.Roots, 3, 1, maxRoots)
 	v.integer("recovery.fan", &c.FanOut, 16, 1, maxFanOut)
 	if c.MaxCallRate == 0 {
 		c.MaxCallRate = defaultMaxCallRate
 	}
-	// Written so that NaN is reported too.
+	// The condition is negated so that it also reports NaN.
 	if !(c.MaxCallRate >= minMaxCallRate && c.MaxCallRate <= largestMaxCallRate) {
-		v.errorf("recovery.rate", "%v is not from 0.1 to 10,000", c.MaxCallRate)
+		v.errorf("recovery.rate", "must be from 0.1 to 10,000, got %v", c.MaxCallRate)
 	}
 }
--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -11,11 +11,11 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// Cluster is the table [fleet]: the cluster of sidecars that this one joins.
+// Cluster is the table [fleet]. It configures the cluster of sidecars that this sidecar joins.
 type Cluster struct {
 	Name      string   `toml:"name"`
 	Listen    string   `toml:"listen"`
-	Advertise string   `toml:"advertise"` // empty: Listen
+	Advertise string   `toml:"advertise"` // the address of Listen if empty
 	Seeds     []string `toml:"seeds"`
 	SeedsFile string   `toml:"seeds_file"`
 	Networks  []string `toml:"networks"`
@@ -25,28 +25,28 @@
 	GossipInterval     strictdecode.Duration `toml:"gossip"`
 	PushPullInterval   strictdecode.Duration `toml:"sync"`
 	ReconnectInterval  strictdecode.Duration `toml:"retry"`      // between attempts to reach dead members
-	DeadMemberTTL      strictdecode.Duration `toml:"forget"`     // how long dead members are remembered
-	NoticeTTL          strictdecode.Duration `toml:"keep_words"` // how long gossiped endpoint updates hold
-	IndirectChecks     int64                 `toml:"indirect"`   // members that probe on behalf of another
+	DeadMemberTTL      strictdecode.Duration `toml:"forget"`     // how long records of dead members are kept
+	NoticeTTL          strictdecode.Duration `toml:"keep_words"` // how long gossiped endpoint updates are valid
+	IndirectChecks     int64                 `toml:"indirect"`   // number of members that probe on behalf of another
 	SuspicionMult      float64               `toml:"suspicion"`
 	MaxMembers         int64                 `toml:"most"`
-	DisableNotices     bool                  `toml:"no_words"` // gossiped endpoint updates are not used
-	DisableSizeUpdates bool                  `toml:"no_count"` // the cluster's size is not passed to the engine
+	DisableNotices     bool                  `toml:"no_words"` // ignores gossiped endpoint updates
+	DisableSizeUpdates bool                  `toml:"no_count"` // does not pass the cluster's size to the engine
 	Translations       []Translation         `toml:"translate"`
 
-	// What validate parses.
+	// validate sets these fields.
 	AdvertiseAddr   netip.AddrPort   `toml:"-"`
-	SeedAddrs       []netip.AddrPort `toml:"-"` // those of Seeds, then those of SeedsFile
+	SeedAddrs       []netip.AddrPort `toml:"-"` // addresses in Seeds, then addresses in SeedsFile
 	AllowedNetworks *netipx.IPSet    `toml:"-"`
 }
 
-// Translation says under which prefix the addresses of another prefix are reached from here. Both have one length, and
-// each address keeps its bits below it.
+// Translation maps the addresses of one network prefix to the prefix under which this sidecar reaches them. Both
+// prefixes have the same length, and each address keeps the bits after the prefix.
 type Translation struct {
 	From string `toml:"from"`
 	To   string `toml:"to"`
 
-	// What validate parses.
+	// validate sets these fields.
 	FromPrefix, ToPrefix netip.Prefix `toml:"-"`
 }
 
@@ -57,20 +57,22 @@
 	minSuspicionMult     = 1
 	maxSuspicionMult     = 100
 
-	// clusterExample is the address that error messages give as an example.
+	// clusterExample is the example address in error messages.
 	clusterExample = "10.0.0.4:7946"
 )
 
-// Summary is a text for the log: the cluster's name, this member's address, and the number of seeds.
+// Summary returns the cluster's name, this member's address and the number of seeds, as a text for the log.
 func (c *Cluster) Summary() string {
 	return fmt.Sprintf("%s at %s, %d seeds", c.Name, c.AdvertiseAddr, len(c.SeedAddrs))
 }
 
-// validate parses addresses, fills in the defaults and reports values that cannot be used.
+// validate parses addresses, fills in the defaults and reports invalid values.
 func (c *Cluster) validate(v validator) {
-	if c.Name == "" || len(c.Name) > cluster.MaxClusterNameLength {
-		v.errorf("fleet.name", "a name of 1 to %d bytes is wanted: sidecars of another fleet are not listened to",
-			cluster.MaxClusterNameLength)
+	switch {
+	case c.Name == "":
+		v.errorf("fleet.name", "must not be empty: a sidecar ignores sidecars whose fleet has another name")
+	case len(c.Name) > cluster.MaxClusterNameLength:
+		v.errorf("fleet.name", "must have at most %d bytes, got %d", cluster.MaxClusterNameLength, len(c.Name))
 	}
 	c.validateAddresses(v)
 	c.validateIntervals(v)
@@ -84,29 +86,32 @@
 	if c.Advertise == "" {
 		c.Advertise = c.Listen
 		if listen.IsValid() && listen.Addr().IsUnspecified() {
-			v.errorf("fleet.advertise", "is wanted where listen is every address, %s", c.Listen)
+			v.errorf("fleet.advertise", "must be set, because fleet.listen is the unspecified address, %s", c.Listen)
 		}
 	}
 	c.AdvertiseAddr = v.peerAddress("fleet.advertise", c.Advertise, clusterExample)
 	c.AllowedNetworks = v.networks("fleet.networks", c.Networks)
 	c.loadSeeds(v)
 	if c.isOutsideNetworks(c.AdvertiseAddr) {
-		v.errorf("fleet.advertise", "%s is in none of the networks: the others would not listen to it", c.AdvertiseAddr)
+		v.errorf("fleet.advertise", "%s is in none of fleet.networks, so other members would ignore it",
+			c.AdvertiseAddr)
 	}
 }
 
-// isOutsideNetworks reports whether an address was parsed and is in none of the networks, where these were parsed.
+// isOutsideNetworks reports whether an address is in none of the allowed networks. It returns false if the address or
+// the networks could not be parsed, because that error was reported already.
 func (c *Cluster) isOutsideNetworks(addr netip.AddrPort) bool {
 	return c.AllowedNetworks != nil && addr.IsValid() && !c.AllowedNetworks.Contains(addr.Addr())
 }
 
-// validateIntervals checks the times of the protocol. The defaults of most are multiples of the probe interval.
+// validateIntervals checks the intervals and timeouts of the protocol. Most defaults are multiples of the probe
+// interval.
 func (c *Cluster) validateIntervals(v validator) {
 	v.duration("fleet.probe", &c.ProbeInterval, time.Second, 50*time.Millisecond, time.Minute)
 	probe := time.Duration(c.ProbeInterval)
 	v.duration("fleet.timeout", &c.ProbeTimeout, probe*3/10, 5*time.Millisecond, time.Minute)
 	if c.ProbeTimeout >= c.ProbeInterval {
-		v.errorf("fleet.timeout", "%v is not below probe, %v", time.Duration(c.ProbeTimeout), probe)
+		v.errorf("fleet.timeout", "must be below fleet.probe (%v), got %v", probe, time.Duration(c.ProbeTimeout))
 	}
 	v.duration("fleet.gossip", &c.GossipInterval, probe/5, 5*time.Millisecond, time.Minute)
 	v.duration("fleet.sync", &c.PushPullInterval, 30*probe, 100*time.Millisecond, time.Hour)
@@ -115,39 +120,46 @@
 	v.duration("fleet.keep_words", &c.NoticeTTL, 30*time.Second, time.Second, time.Hour)
 }
 
-// validateLimits checks the numbers of the protocol.
+// validateLimits checks the counts and factors of the protocol.
 func (c *Cluster) validateLimits(v validator) {
 	v.integer("fleet.indirect", &c.IndirectChecks, 3, 1, 10)
 	v.integer("fleet.most", &c.MaxMembers, 10_000, 2, 100_000)
 	if c.SuspicionMult == 0 {
 		c.SuspicionMult = defaultSuspicionMult
 	}
-	// Written so that NaN is reported too.
+	// The condition is negated so that it also reports NaN.
 	if !(c.SuspicionMult >= minSuspicionMult && c.SuspicionMult <= maxSuspicionMult) {
-		v.errorf("fleet.suspicion", "%v is not from 1 to 100", c.SuspicionMult)
+		v.errorf("fleet.suspicion", "must be from 1 to 100, got %v", c.SuspicionMult)
 	}
 }
 
 // validateTranslations parses the prefixes of the translations.
 func (c *Cluster) validateTranslations(v validator) {
 	if len(c.Translations) > maxTranslations {
-		v.errorf("fleet.translate", "%d entries, at most %d", len(c.Translations), maxTranslations)
+		v.errorf("fleet.translate", "must have at most %d entries, got %d", maxTranslations, len(c.Translations))
 	}
 	for i := range c.Translations {
 		t := &c.Translations[i]
-		if !t.parse() {
-			v.errorf("fleet.translate",
-				"entry %d, %q to %q: two networks of one length are wanted, such as \"10.1.0.0/16\"", i+1, t.From, t.To)
+		if err := t.parse(); err != nil {
+			v.errorf("fleet.translate", "entry %d: %v", i+1, err)
 		}
 	}
 }
 
-// parse parses both prefixes, and reports whether they have one length and one family.
-func (t *Translation) parse() (ok bool) {
+// parse parses both prefixes. It returns an error if one is invalid, or if they differ in length or address family.
+func (t *Translation) parse() error {
 	var fromErr, toErr error
 	t.FromPrefix, fromErr = netip.ParsePrefix(t.From)
 	t.ToPrefix, toErr = netip.ParsePrefix(t.To)
-	return fromErr == nil && toErr == nil &&
-		t.FromPrefix.Bits() == t.ToPrefix.Bits() &&
-		t.FromPrefix.Addr().Is4() == t.ToPrefix.Addr().Is4()
+	switch {
+	case fromErr != nil:
+		return fmt.Errorf("from must be a network such as %q, got %q", networkExample, t.From)
+	case toErr != nil:
+		return fmt.Errorf("to must be a network such as %q, got %q", networkExample, t.To)
+	case t.FromPrefix.Addr().Is4() != t.ToPrefix.Addr().Is4():
+		return fmt.Errorf("from and to must both be IPv4 or both be IPv6 networks, got %q and %q", t.From, t.To)
+	case t.FromPrefix.Bits() != t.ToPrefix.Bits():
+		return fmt.Errorf("from and to must have the same prefix length, got %q and %q", t.From, t.To)
+	}
+	return nil
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -1,9 +1,10 @@
-// Package operator reads the operator's file: what is set beyond the platform's configuration. All of it is off where
-// there is no file. An unknown key, a value of another type and one that cannot be used are errors that name the file,
-// the line and the column; docs/operators/configuration.md describes each key. The file of an origin, a replica of the
-// configuration service, is read likewise.
+// Package operator reads the operator's file, which enables and configures features beyond the platform's
+// configuration. Without a file all of these features are off. An unknown key, a value of the wrong type and an invalid
+// value are errors that name the file, the line and the column. docs/operators/configuration.md describes each key. The
+// package also reads the file of an origin, a replica of the configuration service, in the same way.
 //
-// The keys of the files are words of the operators' pages. The fields have the terms of the code.
+// The keys in the files are the names that the operators' documentation uses; the Go fields have the names that the
+// code uses.
 package operator
 
 import (
@@ -15,7 +16,7 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// Config is what the operator's file says. What belongs to a nil table is off.
+// Config is the content of the operator's file. The feature that a table configures is off if the table is nil.
 type Config struct {
 	Idempotency  *Idempotency  `toml:"ledger"`
 	Admin        *Admin        `toml:"admin"`
@@ -29,19 +30,19 @@
 	positions strictdecode.Positions
 }
 
-// Admin is the table [admin]: the endpoint for operators.
+// Admin is the table [admin]. It configures the HTTP endpoint for operators.
 type Admin struct {
 	Listen string `toml:"listen"`
 }
 
-// Position returns the position of a key in the file, as "FILE:LINE:COLUMN". It is that of the key's table where the
-// file does not have the key.
+// Position returns the position of a key in the file, as "FILE:LINE:COLUMN". If the file does not have the key, it is
+// the position of the key's table.
 func (c *Config) Position(key string) string {
 	position := c.positions.Of(key)
 	return fmt.Sprintf("%s:%d:%d", c.path, position.Line, position.Column)
 }
 
-// Load reads and validates a file. What cannot be used in it is a *FileError.
+// Load reads and validates a file. If its content is invalid, the error is a *FileError.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return c, nil
 }
 
-// parse decodes and validates the text of a file. Values are validated only in a text that could be decoded whole.
+// parse decodes and validates the text of a file. It validates values only if the whole text could be decoded.
 func parse(text []byte) (*Config, []error) {
 	c := new(Config)
 	decodeErrors := strictdecode.Decode(text, c)
@@ -78,7 +79,7 @@
 	return c, stableErrors(decodeErrors)
 }
 
-// validate fills in the defaults and reports values that cannot be used.
+// validate fills in the defaults and reports invalid values.
 func (c *Config) validate(v validator) {
 	if c.Idempotency != nil {
 		c.Idempotency.validate(v)
@@ -95,13 +96,13 @@
 	if c.Bootstrap != nil {
 		c.Bootstrap.validate(v)
 		if c.Cluster == nil {
-			v.errorf("recovery", "needs [fleet]: the list is had from its members")
+			v.errorf("recovery", "requires [fleet]: the endpoint list comes from other members")
 		}
 	}
 	if c.ControlPlane != nil {
 		c.ControlPlane.validate(v)
 		if c.Cluster == nil {
-			v.errorf("config", "needs [fleet]: the configuration is had from its members")
+			v.errorf("config", "requires [fleet]: the configuration comes from other members")
 		}
 	}
 	if c.Admin != nil {
@@ -109,13 +110,13 @@
 	}
 }
 
-// validate reports an address that cannot be used. The endpoint has no authentication, so only loopback is accepted.
+// validate reports an invalid address. Only loopback addresses are valid, because the endpoint has no authentication.
 func (c *Admin) validate(v validator) {
 	addr, err := netip.ParseAddrPort(c.Listen)
 	switch {
 	case err != nil:
-		v.errorf("admin.listen", "%q is no address such as \"127.0.0.1:9180\"", c.Listen)
+		v.errorf("admin.listen", "must be an IP address and a port such as \"127.0.0.1:9180\", got %q", c.Listen)
 	case !addr.Addr().IsLoopback():
-		v.errorf("admin.listen", "%s is not on loopback: the endpoint asks nobody who they are", c.Listen)
+		v.errorf("admin.listen", "must be a loopback address, got %s: the endpoint has no authentication", c.Listen)
 	}
 }
--- a/internal/operator/controlplane.go
+++ b/internal/operator/controlplane.go
@@ -8,40 +8,42 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// ControlPlane is the table [config]: configuration that changes at runtime comes from the origins, by way of the other
-// members of the cluster.
+// ControlPlane is the table [config]. It enables configuration that changes at runtime, which comes from the origins
+// and is relayed by the other members of the cluster.
 type ControlPlane struct {
 	// Origins are the addresses of the replicas of the configuration service.
 	Origins []string `toml:"origins"`
-	// CacheDir has the last snapshot that was applied.
+	// CacheDir is the absolute path of the directory that holds the last applied snapshot.
 	CacheDir string `toml:"dir"`
-	// ReadyTimeout is how long the start waits for a snapshot.
+	// ReadyTimeout limits how long the start waits for a snapshot.
 	ReadyTimeout strictdecode.Duration `toml:"wait"`
-	// Roots is how many members follow an origin themselves.
+	// Roots is the number of members that follow an origin directly.
 	Roots int64 `toml:"ask"`
-	// FanOut is how many members follow one.
+	// FanOut is the number of members that follow the same member.
 	FanOut int64 `toml:"fan"`
 }
 
-// maxOrigins is the number of origins of which a quorum still answers in reasonable time; docs/design/controlplane.md.
+// maxOrigins is the largest number of origins of which a quorum still answers in reasonable time. See
+// docs/design/controlplane.md.
 const maxOrigins = 7
 
-// originExample is the address that error messages give as an example.
+// originExample is the example address in error messages.
 const originExample = "10.0.0.9:7950"
 
-// validate fills in the defaults and reports values that cannot be used.
+// validate fills in the defaults and reports invalid values.
 func (c *ControlPlane) validate(v validator) {
 	if len(c.Origins) == 0 || len(c.Origins) > maxOrigins {
-		v.errorf("config.origins", "%d origins, and 1 to %d are wanted", len(c.Origins), maxOrigins)
+		v.errorf("config.origins", "must list 1 to %d origins, got %d", maxOrigins, len(c.Origins))
 	}
 	for i, text := range c.Origins {
 		v.peerAddress("config.origins", text, originExample)
 		if slices.Contains(c.Origins[:i], text) {
-			v.errorf("config.origins", "%q is there twice", text)
+			v.errorf("config.origins", "%q is listed twice", text)
 		}
 	}
 	if !filepath.IsAbs(c.CacheDir) {
-		v.errorf("config.dir", "%q is no absolute path: what was in force last is kept there", c.CacheDir)
+		v.errorf("config.dir", "must be an absolute path, got %q: the directory holds the last applied snapshot",
+			c.CacheDir)
 	}
 	v.duration("config.wait", &c.ReadyTimeout, 3*time.Second, 100*time.Millisecond, 30*time.Second)
 	v.integer("config.ask", &c.Roots, 40, 1, maxRoots)
--- a/internal/operator/decodeerror.go
+++ b/internal/operator/decodeerror.go
@@ -8,10 +8,12 @@
 )
 
 // The TOML decoder writes Go identifiers into the text of an error: "cannot decode TOML integer into struct field
-// operator.Fleet.Probe of type strict.Duration". These texts are output of "hazelwing check" and "hazelwing run", and
-// their form stays while identifiers are renamed. The tables have the identifiers that the texts were introduced with.
+// operator.Fleet.Probe of type strict.Duration". These texts are output of "hazelwing check" and "hazelwing run", so
+// they must not change when an identifier is renamed. The tables in this file map renamed identifiers to the names that
+// the first version of the texts had.
 
-// fieldPattern matches the identifiers of such a text: the type of the struct, its field, and the field's type.
+// fieldPattern matches the identifiers in an error text of the decoder: the struct type, the field and the field's
+// type.
 var fieldPattern = regexp.MustCompile(`struct field operator\.(\w+)\.(\w+) of type (\S+)$`)
 
 // fieldNamesInErrors maps a renamed field to its name in error texts.
@@ -82,7 +84,7 @@
 	"Translation":  "Translate",
 }
 
-// fieldTypesInErrors replaces the types of fields, of this package and of others, by their names in error texts.
+// fieldTypesInErrors replaces renamed types of fields, in this package and in others, by their names in error texts.
 var fieldTypesInErrors = strings.NewReplacer(
 	"middleware.Durability", "guard.Durability",
 	"middleware.FailurePolicy", "guard.Trouble",
@@ -95,7 +97,7 @@
 	"operator.Translation", "operator.Translate",
 )
 
-// stableErrors returns the errors of a decoder with stable texts; nil: there are none.
+// stableErrors returns the decoder's errors with stable texts, or nil if there are no errors.
 func stableErrors(decodeErrors []*strictdecode.DecodeError) []error {
 	var errs []error
 	for _, err := range decodeErrors {
@@ -105,7 +107,7 @@
 	return errs
 }
 
-// stableErrorText replaces the identifiers in the text of a decoder's error.
+// stableErrorText replaces renamed identifiers in the text of a decoder's error by their names in error texts.
 func stableErrorText(text string) string {
 	match := fieldPattern.FindStringSubmatch(text)
 	if match == nil {
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// FileError reports all that cannot be used in a file.
+// FileError reports all errors of a file.
 type FileError struct {
-	// Path is the name of the file, as it was given.
+	// Path is the name of the file, as it was passed to Load or LoadOrigin.
 	Path string
-	// Errs are the errors in the order of the checks, at least one; each text begins with a line and a column.
+	// Errs has at least one error, in the order of the checks. Each text begins with a line and a column.
 	Errs []error
 }
 
@@ -22,7 +22,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the errors.
+// Unwrap makes each error available to errors.Is and errors.As.
 func (e *FileError) Unwrap() []error {
 	return e.Errs
 }
--- a/internal/operator/format_test.go
+++ b/internal/operator/format_test.go
@@ -13,9 +13,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// decodeWhole decodes a file of testdata into v. It fails where v has no field for a key, or where the file leaves a
-// field empty. What was decoded is compared, as TOML, with the golden file of another name.
-func decodeWhole(t *testing.T, path, decoded string, v any) {
+// checkDecoding decodes a file of testdata into v. It fails the test if v has no field for a key or if the file leaves
+// a field unset. It compares the decoded value, encoded as TOML again, with the golden file decoded.
+func checkDecoding(t *testing.T, path, decoded string, v any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -33,17 +33,17 @@
 	testutil.Golden(t, decoded, got)
 }
 
-// Each key of the operator's file is read under its name and with its form.
+// The names and types of the keys of the operator's file do not change.
 func TestOperatorFileFormatIsStable(t *testing.T) {
-	decodeWhole(t, "testdata/operator.toml", "operator-decoded.toml", new(Config))
+	checkDecoding(t, "testdata/operator.toml", "operator-decoded.toml", new(Config))
 }
 
-// Each key of an origin's file is read under its name and with its form.
+// The names and types of the keys of an origin's file do not change.
 func TestOriginFileFormatIsStable(t *testing.T) {
-	decodeWhole(t, "testdata/origin.toml", "origin-decoded.toml", new(Origin))
+	checkDecoding(t, "testdata/origin.toml", "origin-decoded.toml", new(Origin))
 }
 
-// Where a key is left out its default holds.
+// The defaults of keys that the file leaves out do not change.
 func TestOperatorFileDefaultsAreStable(t *testing.T) {
 	text, err := os.ReadFile("testdata/operator-least.toml")
 	if err != nil {
@@ -60,7 +60,7 @@
 	testutil.Golden(t, "operator-defaults.toml", got)
 }
 
-// The decoder's error texts, which have Go identifiers, do not follow renames.
+// The decoder's error texts contain Go identifiers, but must not change when an identifier is renamed.
 func TestDecodeErrorTextsAreStable(t *testing.T) {
 	file, err := os.ReadFile("testdata/operator.toml")
 	if err != nil {
--- a/internal/operator/graphql.go
+++ b/internal/operator/graphql.go
@@ -9,11 +9,11 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// GraphQL is the table [graphql]: a listener for GraphQL over HTTP.
+// GraphQL is the table [graphql]. It configures a front that accepts GraphQL over HTTP.
 type GraphQL struct {
 	Listen             string                  `toml:"listen"`
-	Path               string                  `toml:"path"`      // where clients send requests
-	NodePath           string                  `toml:"node_path"` // where endpoints get them
+	Path               string                  `toml:"path"`      // URL path of requests from clients
+	NodePath           string                  `toml:"node_path"` // URL path of requests to endpoints
 	SchemaFile         string                  `toml:"schema"`
 	Deadline           strictdecode.Duration   `toml:"deadline"`
 	MaxConnections     int64                   `toml:"connections"`
@@ -32,10 +32,10 @@
 	MaxRootFields      int64                   `toml:"max_roots"`
 	MaxFields          int64                   `toml:"max_fields"`
 	MaxCost            int64                   `toml:"max_cost"`
-	Fields             map[string]GraphQLField `toml:"field"` // root fields by a name such as "Query.seats"
+	Fields             map[string]GraphQLField `toml:"field"` // keys are root fields such as "Query.seats"
 }
 
-// GraphQLField says how requests for a root field are sent.
+// GraphQLField configures how requests for a root field are sent.
 type GraphQLField struct {
 	Class string `toml:"class"`
 	// KeyArgument names the argument that holds the affinity key of a query or the idempotency key of a mutation.
@@ -43,11 +43,11 @@
 	Cost         int64                 `toml:"cost"`
 	ExpectedWork strictdecode.Duration `toml:"work"`
 	Deadline     strictdecode.Duration `toml:"deadline"`
-	// Coalesce lets identical requests in flight have one execution.
+	// Coalesce merges identical requests in flight into one execution.
 	Coalesce bool `toml:"share"`
 }
 
-// Defaults and bounds of the sizes of GraphQL requests.
+// Defaults and limits of the paths and sizes of GraphQL requests.
 const (
 	defaultGraphQLPath = "/graphql"
 
@@ -59,7 +59,7 @@
 	minMaxDocument     Size = 64
 )
 
-// validate fills in the defaults and reports values that cannot be used. What takes the schema to tell is not checked.
+// validate fills in the defaults and reports invalid values. It makes no check that needs the schema.
 func (c *GraphQL) validate(v validator) {
 	v.address("graphql.listen", c.Listen, "127.0.0.1:8090")
 	c.validatePaths(v)
@@ -69,27 +69,33 @@
 	c.validateLimits(v)
 }
 
-// validatePaths checks the paths of URLs.
+// validatePaths checks the URL paths.
 func (c *GraphQL) validatePaths(v validator) {
 	c.Path = cmp.Or(c.Path, defaultGraphQLPath)
 	c.NodePath = cmp.Or(c.NodePath, defaultGraphQLPath)
 	for key, path := range map[string]string{"path": c.Path, "node_path": c.NodePath} {
-		if !strings.HasPrefix(path, "/") || strings.ContainsAny(path, "?# ") {
-			v.errorf("graphql."+key, "%q is no path such as \"/graphql\"", path)
+		switch {
+		case !strings.HasPrefix(path, "/"):
+			v.errorf("graphql."+key, "must begin with a slash, as in \"/graphql\", got %q", path)
+		case strings.ContainsAny(path, "?# "):
+			v.errorf("graphql."+key, "must not contain '?', '#' or a space, got %q", path)
 		}
 	}
 }
 
-// validateFiles checks the names of files; the files are not read.
+// validateFiles checks the paths of files. It does not read the files.
 func (c *GraphQL) validateFiles(v validator) {
 	if !filepath.IsAbs(c.SchemaFile) {
-		v.errorf("graphql.schema", "%q is no absolute path of a schema", c.SchemaFile)
+		v.errorf("graphql.schema", "must be the absolute path of a schema, got %q", c.SchemaFile)
 	}
 	if c.TrustedFile != "" && !filepath.IsAbs(c.TrustedFile) {
-		v.errorf("graphql.trusted", "%q is no absolute path", c.TrustedFile)
+		v.errorf("graphql.trusted", "must be an absolute path, got %q", c.TrustedFile)
 	}
-	if c.TrustedOnly && (c.TrustedFile == "" || c.PersistedQueries) {
-		v.errorf("graphql.only_trusted", "goes with trusted, and without persisted")
+	switch {
+	case c.TrustedOnly && c.TrustedFile == "":
+		v.errorf("graphql.only_trusted", "requires graphql.trusted")
+	case c.TrustedOnly && c.PersistedQueries:
+		v.errorf("graphql.only_trusted", "cannot be combined with graphql.persisted")
 	}
 }
 
@@ -98,10 +104,10 @@
 	c.MaxBody = cmp.Or(c.MaxBody, defaultMaxBody)
 	c.MaxDocument = cmp.Or(c.MaxDocument, defaultMaxDocument)
 	v.size("graphql.max_body", c.MaxBody, minMaxBody, largestMaxBody, "1KiB", "16MiB")
-	v.size("graphql.max_document", c.MaxDocument, minMaxDocument, c.MaxBody, "64B", "max_body")
+	v.size("graphql.max_document", c.MaxDocument, minMaxDocument, c.MaxBody, "64B", "graphql.max_body")
 }
 
-// validateLimits checks the numbers that bound requests and documents.
+// validateLimits checks the counts that limit requests and documents.
 func (c *GraphQL) validateLimits(v validator) {
 	v.integer("graphql.connections", &c.MaxConnections, 256, 1, 100_000)
 	v.integer("graphql.max_batch", &c.MaxBatch, 20, 1, 1000)
--- a/internal/operator/idempotency.go
+++ b/internal/operator/idempotency.go
@@ -8,7 +8,7 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// Idempotency is the table [ledger]: the idempotency records and their write-ahead log.
+// Idempotency is the table [ledger]. It configures the idempotency records and their write-ahead log.
 type Idempotency struct {
 	Dir         string                   `toml:"dir"`
 	Durability  middleware.Durability    `toml:"durable"`
@@ -20,7 +20,7 @@
 	MaxBytes    Size                     `toml:"max_size"`
 }
 
-// Defaults and bounds of the idempotency records.
+// Defaults and limits of the idempotency records.
 const (
 	defaultSyncEvery = 100 * time.Millisecond
 	minSyncEvery     = time.Millisecond
@@ -38,7 +38,7 @@
 	minSegmentSize     Size = 64 << 10
 	maxSegmentSize     Size = 256 << 20
 
-	// The write-ahead log has room for at least minSegments segments.
+	// minSegments is the smallest number of segments that the write-ahead log must have room for.
 	minSegments         Size = 8
 	defaultMaxBytes     Size = 256 << 20
 	largestMaxBytes     Size = 64 << 30
@@ -48,12 +48,12 @@
 	largestMaxBytesText      = "64GiB"
 )
 
-// validate fills in the defaults and reports values that cannot be used.
+// validate fills in the defaults and reports invalid values.
 func (c *Idempotency) validate(v validator) {
 	c.validateModes(v)
 	c.validateDir(v)
 	if c.SyncEvery != 0 && c.Durability != middleware.DurabilityBatch {
-		v.errorf("ledger.sync_every", "goes with durable = \"batch\"")
+		v.errorf("ledger.sync_every", "requires durable = \"batch\", got durable = %q", c.Durability)
 	}
 	if c.SegmentSize == 0 {
 		c.SegmentSize = defaultSegmentSize
@@ -70,30 +70,30 @@
 	v.size("ledger.max_size", c.MaxBytes, minMaxBytes, largestMaxBytes, minMaxBytesText, largestMaxBytesText)
 }
 
-// validateModes checks when records are durable, and what happens to requests while they cannot be made so.
+// validateModes checks the durability of records, and the policy for requests whose records cannot be made durable.
 func (c *Idempotency) validateModes(v validator) {
 	switch c.Durability {
 	case "":
 		c.Durability = middleware.DurabilityAlways
 	case middleware.DurabilityAlways, middleware.DurabilityBatch, middleware.DurabilityOff:
 	default:
-		v.errorf("ledger.durable", "%q is not \"always\", \"batch\" or \"off\"", c.Durability)
+		v.errorf("ledger.durable", "must be \"always\", \"batch\" or \"off\", got %q", c.Durability)
 	}
 	switch c.OnFailure {
 	case "":
 		c.OnFailure = middleware.RejectOnFailure
 	case middleware.RejectOnFailure, middleware.ContinueOnFailure:
 	default:
-		v.errorf("ledger.on_failure", "%q is not \"refuse\" or \"continue\"", c.OnFailure)
+		v.errorf("ledger.on_failure", "must be \"refuse\" or \"continue\", got %q", c.OnFailure)
 	}
 }
 
-// validateDir checks that there is a directory exactly where records are durable.
+// validateDir checks that a directory is set if records are durable, and not set otherwise.
 func (c *Idempotency) validateDir(v validator) {
 	switch {
 	case c.Durability == middleware.DurabilityOff && c.Dir != "":
-		v.errorf("ledger.dir", "is of no use where durable is \"off\"")
+		v.errorf("ledger.dir", "must not be set when durable = \"off\", got %q", c.Dir)
 	case c.Durability != middleware.DurabilityOff && !filepath.IsAbs(c.Dir):
-		v.errorf("ledger.dir", "%q is no absolute path", c.Dir)
+		v.errorf("ledger.dir", "must be an absolute path, got %q", c.Dir)
 	}
 }
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// Origin is the file of an origin, a replica of the configuration service.
+// Origin is the content of the file of an origin, a replica of the configuration service.
 type Origin struct {
 	Name         string                `toml:"name"`
 	Listen       string                `toml:"listen"`
@@ -25,19 +25,19 @@
 	Networks     []string              `toml:"networks"`
 	TickInterval strictdecode.Duration `toml:"tick"`
 
-	// What validate parses.
+	// validate sets these fields.
 	AllowedNetworks *netipx.IPSet     `toml:"-"`
-	OriginAddrs     map[string]string `toml:"-"` // of all origins, by name
-	OriginNames     []string          `toml:"-"` // sorted
+	OriginAddrs     map[string]string `toml:"-"` // addresses of all origins by name
+	OriginNames     []string          `toml:"-"` // names of all origins, sorted
 }
 
-// OriginPeer is one of the origins; an origin's file lists the origin itself too.
+// OriginPeer is one of the origins. The file of an origin also lists that origin itself.
 type OriginPeer struct {
 	Name string `toml:"name"`
 	Addr string `toml:"addr"`
 }
 
-// LoadOrigin reads and validates the file of an origin. What cannot be used in it is a *FileError.
+// LoadOrigin reads and validates the file of an origin. If its content is invalid, the error is a *FileError.
 func LoadOrigin(path string) (*Origin, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 		positions := strictdecode.FindPositions(text)
 		o.validate(validator{report: func(key, text string) {
 			err := positions.Errorf(key, "%s", text)
-			// A key that the file does not have has no position: its error is at the file's start.
+			// Errors about a key that the file does not have are reported at the start of the file.
 			err.Line = max(err.Line, 1)
 			err.Column = max(err.Column, 1)
 			decodeErrors = append(decodeErrors, err)
@@ -61,22 +61,27 @@
 	return o, nil
 }
 
-// validate parses addresses, fills in the defaults and reports values that cannot be used.
+// validate parses addresses, fills in the defaults and reports invalid values.
 func (o *Origin) validate(v validator) {
-	if o.Name == "" || len(o.Name) > controlplane.MaxNameLength {
-		v.errorf("name", "a name of 1 to %d bytes is wanted", controlplane.MaxNameLength)
+	switch {
+	case o.Name == "":
+		v.errorf("name", "must not be empty")
+	case len(o.Name) > controlplane.MaxNameLength:
+		v.errorf("name", "must have at most %d bytes, got %d", controlplane.MaxNameLength, len(o.Name))
 	}
 	v.address("listen", o.Listen, originExample)
 	if !filepath.IsAbs(o.Dir) {
-		v.errorf("dir", "%q is no absolute path", o.Dir)
+		v.errorf("dir", "must be an absolute path, got %q", o.Dir)
 	}
-	if o.Cluster == "" || len(o.Cluster) > cluster.MaxClusterNameLength {
-		v.errorf("fleet", "the fleet's name is wanted, 1 to %d bytes, as the sidecars have it",
-			cluster.MaxClusterNameLength)
+	switch {
+	case o.Cluster == "":
+		v.errorf("fleet", "must be the name of the sidecars' fleet, got an empty name")
+	case len(o.Cluster) > cluster.MaxClusterNameLength:
+		v.errorf("fleet", "must have at most %d bytes, got %d", cluster.MaxClusterNameLength, len(o.Cluster))
 	}
 	if o.Epoch < 1 {
-		v.errorf("epoch", "%d: 1 or more is wanted, the same for all origins, "+
-			"and a higher one each time they are founded anew", o.Epoch)
+		v.errorf("epoch", "must be at least 1, got %d: all origins have the same epoch, "+
+			"and a higher one each time they are founded again", o.Epoch)
 	}
 	o.validatePeers(v)
 	v.duration("tick", &o.TickInterval, 50*time.Millisecond, 10*time.Millisecond, time.Second)
@@ -86,21 +91,24 @@
 // validatePeers collects the names and addresses of all origins.
 func (o *Origin) validatePeers(v validator) {
 	if len(o.Peers) == 0 || len(o.Peers) > maxOrigins {
-		v.errorf("peers", "%d origins, and 1 to %d are wanted, this one among them", len(o.Peers), maxOrigins)
+		v.errorf("peers", "must list 1 to %d origins, this one included, got %d", maxOrigins, len(o.Peers))
 	}
 	o.OriginAddrs = map[string]string{}
 	for _, peer := range o.Peers {
-		if _, ok := parsePeerAddress(peer.Addr); !ok {
-			v.errorf("peers", "%q: %q is no address such as %q", peer.Name, peer.Addr, originExample)
+		if _, err := parsePeerAddress(peer.Addr, originExample); err != nil {
+			v.errorf("peers", "the address of %q %v", peer.Name, err)
 		}
-		if peer.Name == "" || o.OriginAddrs[peer.Name] != "" {
-			v.errorf("peers", "the name %q is empty, or there twice", peer.Name)
+		switch {
+		case peer.Name == "":
+			v.errorf("peers", "the origin at %q has an empty name", peer.Addr)
+		case o.OriginAddrs[peer.Name] != "":
+			v.errorf("peers", "the name %q is listed twice", peer.Name)
 		}
 		o.OriginAddrs[peer.Name] = peer.Addr
 		o.OriginNames = append(o.OriginNames, peer.Name)
 	}
 	if len(o.Peers) > 0 && !slices.Contains(o.OriginNames, o.Name) {
-		v.errorf("peers", "%q, this origin itself, is not among them", o.Name)
+		v.errorf("peers", "must list this origin itself, %q", o.Name)
 	}
 	slices.Sort(o.OriginNames)
 }
--- a/internal/operator/seeds.go
+++ b/internal/operator/seeds.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// maxSeeds limits the addresses of members through which a process joins the cluster; one that runs is enough.
+	// maxSeeds limits the number of seeds, the members through which a process joins the cluster. One running seed is
+	// enough to join.
 	maxSeeds = 64
-	// maxSeedsFileBytes limits the file that lists them, so that a wrong path is not read whole.
+	// maxSeedsFileBytes limits the size of the file that lists seeds. A larger file is probably a wrong path.
 	maxSeedsFileBytes = 64 << 10
 )
 
-// loadSeeds parses the seeds of the list, reads those of the file, and checks them.
+// loadSeeds parses the seeds in Seeds and in the file SeedsFile, and checks them.
 func (c *Cluster) loadSeeds(v validator) {
 	for _, text := range c.Seeds {
 		c.SeedAddrs = append(c.SeedAddrs, v.peerAddress("fleet.seeds", text, clusterExample))
@@ -22,24 +23,24 @@
 	if c.SeedsFile != "" {
 		text, ok := c.readSeedsFile(v)
 		if !ok {
-			return // how many seeds there are is not known
+			return // the number of seeds is not known
 		}
 		c.parseSeedsFile(v, text)
 	}
 	if len(c.SeedAddrs) == 0 || len(c.SeedAddrs) > maxSeeds {
-		v.errorf("fleet.seeds", "%d seeds, and 1 to %d are wanted", len(c.SeedAddrs), maxSeeds)
+		v.errorf("fleet.seeds", "there must be 1 to %d seeds, got %d", maxSeeds, len(c.SeedAddrs))
 	}
 	for _, addr := range c.SeedAddrs {
 		if c.isOutsideNetworks(addr) {
-			v.errorf("fleet.seeds", "%s is in none of the networks", addr)
+			v.errorf("fleet.seeds", "%s is in none of fleet.networks", addr)
 		}
 	}
 }
 
-// readSeedsFile returns the file's text; ok is false after it has reported an error.
+// readSeedsFile returns the text of the seeds file. It reports an error and returns false if it cannot read the file.
 func (c *Cluster) readSeedsFile(v validator) (text string, ok bool) {
 	if !filepath.IsAbs(c.SeedsFile) {
-		v.errorf("fleet.seeds_file", "%q is no absolute path", c.SeedsFile)
+		v.errorf("fleet.seeds_file", "must be an absolute path, got %q", c.SeedsFile)
 		return "", false
 	}
 	content, err := os.ReadFile(c.SeedsFile)
@@ -48,13 +49,14 @@
 		return "", false
 	}
 	if len(content) > maxSeedsFileBytes {
-		v.errorf("fleet.seeds_file", "%d bytes, at most %d", len(content), maxSeedsFileBytes)
+		v.errorf("fleet.seeds_file", "the file must have at most %d bytes, got %d", maxSeedsFileBytes, len(content))
 		return "", false
 	}
 	return string(content), true
 }
 
-// parseSeedsFile parses the file's text: an address a line, with comments from # to the end of a line.
+// parseSeedsFile parses the text of the seeds file, which has one address per line. A # begins a comment that extends
+// to the end of the line.
 func (c *Cluster) parseSeedsFile(v validator, text string) {
 	number := 0
 	for line := range strings.Lines(text) {
@@ -65,7 +67,8 @@
 			continue
 		}
 		if _, err := netip.ParseAddrPort(line); err != nil {
-			v.errorf("fleet.seeds_file", "%s:%d: %q is no address", c.SeedsFile, number, line)
+			v.errorf("fleet.seeds_file", "%s:%d: must be an IP address and a port such as %q, got %q",
+				c.SeedsFile, number, clusterExample, line)
 			continue
 		}
 		c.SeedAddrs = append(c.SeedAddrs, v.peerAddress("fleet.seeds_file", line, clusterExample))
--- a/internal/operator/validator.go
+++ b/internal/operator/validator.go
@@ -11,86 +11,96 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// validator reports the values of a decoded file that cannot be used, and fills in defaults. Validation goes on after
-// an error, so that one run names all of them, in the order of the checks.
+// validator reports invalid values in a decoded file and fills in defaults. Validation continues after an error, so
+// that one run reports all errors, in the order of the checks.
 type validator struct {
 	report func(key, text string)
 }
 
-// errorf reports why the value of a key cannot be used. The key has the names of its tables: "fleet.listen".
+// networkExample is the example network in error messages.
+const networkExample = "10.0.0.0/8"
+
+// errorf reports why the value of a key is invalid. The key includes the names of its tables, as in "fleet.listen".
 func (v validator) errorf(key, format string, args ...any) {
 	v.report(key, fmt.Sprintf(format, args...))
 }
 
-// duration sets the default of a duration that is zero, and reports one outside its bounds.
+// duration replaces a zero duration by the default, and reports a duration that is out of range.
 func (v validator) duration(key string, d *strictdecode.Duration, defaultValue, minValue, maxValue time.Duration) {
 	*d = cmp.Or(*d, strictdecode.Duration(defaultValue))
 	if value := time.Duration(*d); value < minValue || value > maxValue {
-		v.errorf(key, "%v is not from %v to %v", value, minValue, maxValue)
+		v.errorf(key, "must be from %v to %v, got %v", minValue, maxValue, value)
 	}
 }
 
-// integer sets the default of a number that is zero, and reports one outside its bounds.
+// integer replaces a zero by the default, and reports a number that is out of range.
 func (v validator) integer(key string, n *int64, defaultValue, minValue, maxValue int64) {
 	*n = cmp.Or(*n, defaultValue)
 	if *n < minValue || *n > maxValue {
-		v.errorf(key, "%d is not from %d to %d", *n, minValue, maxValue)
+		v.errorf(key, "must be from %d to %d, got %d", minValue, maxValue, *n)
 	}
 }
 
-// size reports a size that is outside its bounds; the texts of the bounds are those of the message.
+// size reports a size that is out of range. minText and maxText stand for the limits in the message.
 func (v validator) size(key string, size, minValue, maxValue Size, minText, maxText string) {
 	if size < minValue || size > maxValue {
-		v.errorf(key, "%v is not from %v to %v", size, minText, maxText)
+		v.errorf(key, "must be from %s to %s, got %dB", minText, maxText, size)
 	}
 }
 
-// address reports a text that is no address with a port; port 0 has the system choose one.
+// address parses an address to listen at, or of a server, and reports an invalid one. Port 0 is valid, and means a port
+// that the system chooses.
 func (v validator) address(key, text, example string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		v.errorf(key, "%q is no address such as %q", text, example)
+		v.errorf(key, "must be an IP address and a port such as %q, got %q", example, text)
 	}
 	return addr
 }
 
-// peerAddress reports a text that is no address with a port to connect to. An IPv4 address in IPv6 form becomes IPv4.
-// What is returned for a text that cannot be parsed is not valid.
+// peerAddress parses an address to connect to, and reports an invalid one. It converts an IPv4-mapped IPv6 address to
+// IPv4. The returned address is not valid if the text cannot be parsed.
 func (v validator) peerAddress(key, text, example string) netip.AddrPort {
-	addr, ok := parsePeerAddress(text)
-	if !ok {
-		v.errorf(key, "%q is no address such as %q", text, example)
+	addr, err := parsePeerAddress(text, example)
+	if err != nil {
+		v.errorf(key, "%v", err)
 	}
 	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 }
 
-// parsePeerAddress parses an address with a port to connect to.
-func parsePeerAddress(text string) (addr netip.AddrPort, ok bool) {
+// parsePeerAddress parses an address to connect to. Port 0 is an error, and the address is returned all the same.
+func parsePeerAddress(text, example string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
-	return addr, err == nil && addr.Port() != 0
+	switch {
+	case err != nil:
+		return addr, fmt.Errorf("must be an IP address and a port such as %q, got %q", example, text)
+	case addr.Port() == 0:
+		return addr, fmt.Errorf("must have a port other than 0, got %q", text)
+	}
+	return addr, nil
 }
 
-// networks parses the networks of peers. It returns nil after it has reported an error.
+// networks parses the networks of the peers. It returns nil if it reports an error.
 func (v validator) networks(key string, prefixes []string) *netipx.IPSet {
 	if len(prefixes) == 0 {
-		v.errorf(key, "the networks of the others are wanted, such as [\"10.0.0.0/8\"]: "+
-			"there is no sign-in, and nobody else is listened to")
+		v.errorf(key, "must list the networks of the peers, such as [%q]: peers are not authenticated, "+
+			"and only these networks are accepted", networkExample)
 		return nil
 	}
 	var builder netipx.IPSetBuilder
 	for _, text := range prefixes {
 		prefix, err := netip.ParsePrefix(text)
 		if err != nil {
-			v.errorf(key, "%q is no network such as \"10.0.0.0/8\"", text)
+			v.errorf(key, "must list networks such as %q, got %q", networkExample, text)
 			return nil
 		}
 		if prefix.Bits() == 0 {
-			v.errorf(key, "%s is everybody", text)
+			v.errorf(key, "%s contains every address, which would accept any peer", text)
 			return nil
 		}
 		builder.AddPrefix(prefix)
 	}
-	// The builder fails only for prefixes that are not valid, and these were parsed.
+	// IPSet returns an error only for invalid prefixes, and these were parsed successfully.
 	set, _ := builder.IPSet()
 	return set
 }
