--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the HTTP endpoint for operators, on loopback. It answers with the
-// status of the components of a running daemon, as JSON.
+// Package admin serves the HTTP endpoint for operators, on loopback. It returns the status
+// of the components of a running daemon as JSON.
 //
 //	GET /          the names of the sections
 //	GET /NAME      one section
@@ -21,7 +21,7 @@
 )
 
 // MaxConns is the maximum number of connections that are served at a time. Further
-// ones wait. A higher value takes descriptors from clients and upstreams.
+// connections wait. A higher value leaves fewer file descriptors for clients and upstreams.
 const MaxConns = 8
 
 const (
@@ -30,12 +30,12 @@
 	maxHeaderBytes = 8 << 10
 )
 
-// Sections are the functions that return the status of each component, by the name
-// under which it is requested. They are called for each request, from the goroutine of
+// Sections maps the name of each section to the function that returns its content, the
+// status of a component. The function is called for each request, from the goroutine of
 // the request, and must not block.
 type Sections map[string]func() any
 
-// ServeHTTP answers with one section, or with the names of all.
+// ServeHTTP responds with one section, or with the names of all sections.
 func (s Sections) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		http.Error(w, "GET only", http.StatusMethodNotAllowed)
@@ -69,7 +69,7 @@
 		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	stopClosing := context.AfterFunc(ctx, func() { _ = server.Close() }) // open requests are abandoned
+	stopClosing := context.AfterFunc(ctx, func() { _ = server.Close() }) // aborts open requests
 	defer stopClosing()
 	if err := server.Serve(netutil.LimitListener(l, MaxConns)); !errors.Is(err, http.ErrServerClosed) {
 		log.Error("admin endpoint stopped", "component", "admin", "error", err)
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -9,7 +9,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// An answer is indented JSON and a newline. Without a name it lists the names of the sections.
+// A response is indented JSON and a newline. Without a name in the path it lists the names of the sections.
 func TestAdminAnswerFormatIsStable(t *testing.T) {
 	server := httptest.NewServer(Sections{
 		"fleet":  func() any { return map[string]any{"name": "<m1>", "live": 2} },
--- a/internal/strictdecode/decode.go
+++ b/internal/strictdecode/decode.go
@@ -1,5 +1,5 @@
-// Package strictdecode decodes the project's own TOML files: unknown keys and values of another kind are errors with
-// line and column.
+// Package strictdecode decodes the project's TOML files. It reports unknown keys and values of the wrong type as errors
+// with their line and column.
 package strictdecode
 
 import (
@@ -11,18 +11,19 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// DecodeError is an error at a position of a text.
+// DecodeError is an error at a position in a TOML text.
 type DecodeError struct {
 	Line   int // from 1
 	Column int // from 1, in bytes
-	// Key is the dotted name of the key that the error is about, empty if it is not known.
+	// Key is the dotted name of the key with the error; empty if it is not known.
 	Key string
-	// Reason says what is wrong. If UnknownKey is set it names the key, otherwise it does not.
-	Reason     string
-	UnknownKey bool // there is no such key
+	// Reason describes the error. It contains the key if UnknownKey is set, and does not contain it otherwise.
+	Reason string
+	// UnknownKey reports whether the text has a key that the struct does not have.
+	UnknownKey bool
 }
 
-// Error returns "LINE:COLUMN: KEY: REASON", without the key if it is not known or if the reason names it.
+// Error returns "LINE:COLUMN: KEY: REASON", without the key if it is not known or if the reason contains it.
 func (e *DecodeError) Error() string {
 	if e.Key == "" || e.UnknownKey {
 		return fmt.Sprintf("%d:%d: %s", e.Line, e.Column, e.Reason)
@@ -30,8 +31,8 @@
 	return fmt.Sprintf("%d:%d: %s: %s", e.Line, e.Column, e.Key, e.Reason)
 }
 
-// Decode decodes a text into v, a pointer to a struct with toml tags. It returns an error for each unknown key, or else
-// one for the first value that cannot be decoded or the first fault of the syntax.
+// Decode decodes a TOML text into v, a pointer to a struct with toml tags. It returns one error for each unknown key,
+// or a single error for the first syntax error or the first value that cannot be decoded.
 func Decode(text []byte, v any) []*DecodeError {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 	var valueError *toml.DecodeError
--- a/internal/strictdecode/decode_test.go
+++ b/internal/strictdecode/decode_test.go
@@ -16,7 +16,7 @@
 	Count int `toml:"count"`
 }
 
-// Unknown keys, values of another kind and text that is not TOML are errors with their position.
+// Decode reports unknown keys, values of the wrong type and malformed TOML as errors with their position.
 func TestDecodeErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -29,12 +29,12 @@
 			text: "title = 1\n\n[table]\n  size = 2\n",
 			want: []string{"1:1: no such key: title", "4:3: no such key: table.size"},
 		},
-		"value of another kind": {
+		"value of the wrong type": {
 			text: "name = 5\n",
 			want: []string{"1:8: cannot decode TOML integer into struct field strictdecode.testFile.Name" +
 				" of type string"},
 		},
-		"text in place of a table": {
+		"string in place of a table": {
 			text: "table = \"x\"\n",
 			want: []string{"1:9: cannot decode TOML string into struct field strictdecode.testFile.Table" +
 				" of type strictdecode.testTable"},
@@ -59,7 +59,7 @@
 			}
 			valid := testFile{Name: "x", Wait: Duration(2 * time.Second), Table: testTable{Count: 3}}
 			if c.want == nil && file != valid {
-				t.Errorf("decoded as %+v", file)
+				t.Errorf("decoded value %+v, want %+v", file, valid)
 			}
 		})
 	}
--- a/internal/strictdecode/duration.go
+++ b/internal/strictdecode/duration.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Duration is a duration that is written as in Go: "100ms", "10m".
+// Duration is a time.Duration that is encoded in the notation of Go, such as "100ms" or "10m".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/internal/strictdecode/positions.go
+++ b/internal/strictdecode/positions.go
@@ -7,15 +7,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Positions maps the dotted name of each key and table of a text to where it begins.
+// Positions maps the dotted name of each key and table in a text to the position at which it begins.
 type Positions map[string]unstable.Position
 
-// FindPositions returns the positions of a text that Decode accepts.
+// FindPositions returns the positions of the keys and tables in a text that Decode accepts.
 func FindPositions(text []byte) Positions {
 	positions := Positions{}
 	var parser unstable.Parser
 	parser.Reset(text)
-	table := "" // the name of the present table and a dot
+	table := "" // name of the current table and a dot; empty before the first table
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		if expression.Kind != unstable.Table && expression.Kind != unstable.KeyValue {
@@ -32,7 +32,7 @@
 	return positions
 }
 
-// expressionName returns the dotted name of a table or key, and where it begins.
+// expressionName returns the dotted name of a table or key, and the position at which it begins.
 func expressionName(parser *unstable.Parser, expression *unstable.Node) (string, unstable.Position) {
 	var parts []string
 	var start unstable.Position
@@ -45,7 +45,7 @@
 	return strings.Join(parts, "."), start
 }
 
-// Of returns where a key begins, or its table if the key is not there.
+// Of returns the position of a key, or the position of its top-level table if the text does not have the key.
 func (p Positions) Of(key string) unstable.Position {
 	if position, ok := p[key]; ok {
 		return position
@@ -54,7 +54,8 @@
 	return p[table]
 }
 
-// Errorf returns an error about a key at its position. Line and column are 0 if neither the key nor its table is there.
+// Errorf returns an error about a key, at the position that Of returns. Line and column are 0 if the text has neither
+// the key nor its top-level table.
 func (p Positions) Errorf(key, format string, args ...any) *DecodeError {
 	position := p.Of(key)
 	return &DecodeError{
