--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -15,22 +15,23 @@
 	"hazelwing/internal/transport/http1"
 )
 
-// builder puts a sidecar together. Each step opens one part from the configuration and the parts of the steps before
-// it.
+// builder assembles a sidecar in steps. Each step opens one part, from the configuration and the parts that earlier
+// steps have opened.
 type builder struct {
 	*sidecar
 	platformConfig *platform.Config
 	operatorConfig *operator.Config
 	settings       balancer.Settings
 	resources      platform.Limits
-	level          *slog.LevelVar // of the log; nil: it does not change
+	level          *slog.LevelVar // level of the log; nil if it never changes
 
-	cachedList engine.EndpointUpdate // that this sidecar starts with
-	source     engine.Source         // of the endpoint list, as far as it has been put together
-	doer       httpfront.Doer        // what fronts hand requests to
+	cachedList engine.EndpointUpdate // endpoint list that the sidecar starts with
+	source     engine.Source         // source of the endpoint list; the steps wrap it in further sources
+	doer       httpfront.Doer        // executes the requests of the fronts
 }
 
-// build returns a sidecar of which everything that listens does so, and nothing runs. On an error all is closed again.
+// build returns a sidecar that is not running. All its listeners are open, except the platform's, which Run opens. On
+// an error build closes everything that it has opened.
 func build(
 	ctx context.Context, platformConfig *platform.Config, operatorConfig *operator.Config, log *slog.Logger,
 ) (_ *sidecar, err error) {
@@ -49,14 +50,14 @@
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
-			_ = b.close() // the first error is the one to report
+			_ = b.close() // only the first error is reported
 			return nil, err
 		}
 	}
 	return b.sidecar, nil
 }
 
-// newBuilder returns a builder of a sidecar that has nothing open.
+// newBuilder returns a builder whose sidecar has no open parts yet.
 func newBuilder(platformConfig *platform.Config, operatorConfig *operator.Config, log *slog.Logger) (*builder, error) {
 	b := &builder{
 		platformConfig: platformConfig,
@@ -84,7 +85,7 @@
 	return b, nil
 }
 
-// openTransport makes the pool of connections to endpoints.
+// openTransport creates the pool of connections to endpoints.
 func (b *builder) openTransport() {
 	maxConns := b.resources.MaxEndpointConns()
 	b.pool = http1.New(http1.Config{
@@ -97,7 +98,7 @@
 	})
 }
 
-// readCachedList takes the platform's list of endpoints over. An entry that cannot be used is logged and left out.
+// readCachedList reads the initial endpoint list from the platform's configuration. It logs and skips invalid entries.
 func (b *builder) readCachedList() {
 	endpoints, err := b.platformConfig.InitialEndpoints.ToEndpoints()
 	if err != nil {
@@ -106,7 +107,7 @@
 	b.cachedList = engine.EndpointUpdate{Version: b.platformConfig.InitialEndpoints.Version, Endpoints: endpoints}
 }
 
-// openAdmin listens for the admin endpoint.
+// openAdmin opens the listener of the admin endpoint.
 func (b *builder) openAdmin(ctx context.Context) error {
 	if b.operatorConfig.Admin == nil {
 		return nil
@@ -119,8 +120,8 @@
 	return nil
 }
 
-// openSource puts the source of the endpoint list together: discovery, by way of the cluster, merged with other
-// sources.
+// openSource assembles the source of the endpoint list. It is discovery, relayed by the cluster if [recovery] is set,
+// and merged with the other sources if there are any.
 func (b *builder) openSource(context.Context) error {
 	b.source = watch.NewClient(b.platformConfig.Discovery, b.sharedDiscovery, b.log)
 	if b.operatorConfig.Bootstrap != nil {
@@ -131,7 +132,7 @@
 		if err := b.openConfigMember(); err != nil {
 			return err
 		}
-		//nolint:contextcheck // the node listens at an address of this machine, which does not wait
+		//nolint:contextcheck // the node listens on a local address, which does not block
 		if err := b.openCluster(); err != nil {
 			return err
 		}
@@ -139,13 +140,13 @@
 	return b.mergeEndpoints()
 }
 
-// openEngine makes the engine, and has the cluster tell it how many sidecars there are.
+// openEngine creates the engine, and makes the cluster inform it of the number of sidecars.
 func (b *builder) openEngine(context.Context) error {
 	var transport engine.Transport = b.pool
 	if b.deduplicator != nil {
 		transport = b.deduplicator.Transport(b.pool)
 	}
-	requests, err := engine.New(engine.Config{
+	newEngine, err := engine.New(engine.Config{
 		Settings:   b.settings,
 		Seed:       uint64(b.platformConfig.Seed),
 		Transport:  transport,
@@ -156,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	b.engine = requests
+	b.engine = newEngine
 	if b.cluster != nil && !b.operatorConfig.Cluster.DisableSizeUpdates {
 		b.cluster.OnSizeChanged(b.engine.SetBalancers)
 	}
@@ -167,8 +168,8 @@
 	return nil
 }
 
-// openFronts makes the platform's front, and listens for the fronts beside it. The platform's listens only once the
-// sidecar is ready for requests.
+// openFronts creates the platform's front, and creates the additional fronts with their listeners. Run opens the
+// listener of the platform's front when the sidecar is ready for requests.
 func (b *builder) openFronts(ctx context.Context) error {
 	b.front = httpfront.New(b.doer, b.settings.Classes)
 	b.front.OnConnLimit(b.limits.Add("connections of clients", b.maxClientConns))
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -6,7 +6,7 @@
 	"hazelwing/internal/discovery/relay"
 )
 
-// openCluster listens at the cluster's address. Nothing is sent before the node runs.
+// openCluster opens the cluster's node, which listens on its address but sends nothing before it runs.
 func (b *builder) openCluster() error {
 	cfg := b.nodeConfig()
 	cfg.OnTableFull = b.limits.Add("members of the fleet", int(b.operatorConfig.Cluster.MaxMembers))
@@ -24,12 +24,12 @@
 	return nil
 }
 
-// newRelaySource returns a source that gets discovery's list by way of the cluster.
+// newRelaySource returns a source that gets discovery's endpoint list through the cluster.
 func (b *builder) newRelaySource() *relay.Source {
 	return node.NewEndpointSource(b.nodeConfig(), b.operatorConfig.Bootstrap, b.source, b.cachedList)
 }
 
-// nodeConfig returns what the cluster's node and its source of the endpoint list have in common.
+// nodeConfig returns the configuration that the cluster's node and its source of the endpoint list share.
 func (b *builder) nodeConfig() node.Config {
 	return node.Config{
 		Name:           b.platformConfig.Name,
--- a/internal/daemon/component.go
+++ b/internal/daemon/component.go
@@ -10,22 +10,23 @@
 	"hazelwing/internal/admin"
 )
 
-// component is a part of the sidecar, in the one form in which all parts are started, stopped and shown. A part that
-// has nothing to do at one of these points has nil there.
+// component is a part of the sidecar. All parts are started, stopped and shown by the admin endpoint in this form. A
+// function is nil if the part does not need it.
 type component struct {
-	// name is the component's name, by which the admin endpoint shows its state.
+	// name is the name of the component's section at the admin endpoint.
 	name string
-	// run does the component's work until ctx ends. It has a goroutine of its own.
+	// run does the component's work until ctx ends. It is called in its own goroutine.
 	run func(ctx context.Context)
-	// close releases what the component has open. It is called once, after run has returned, or without a call of run.
+	// close releases the component's resources. It is called once, after run has returned or if run was never called.
 	close func() error
-	// state returns what the admin endpoint shows. It may be called from any goroutine and must not block.
+	// state returns the component's section at the admin endpoint. It may be called from any goroutine and must not
+	// block.
 	state func() any
 }
 
-// components returns the sidecar's parts in the order in which they start. They stop together, because each only needs
-// the others until their contexts end, and are closed in reverse. Parts that the configuration leaves out are left
-// out here.
+// components returns the sidecar's components in the order in which they start. They stop at the same time, because
+// none needs another one after its context has ended, and are closed in reverse order. Components that the
+// configuration does not enable are not in the list.
 func (s *sidecar) components() []component {
 	var list []component
 	for _, front := range s.additionalFronts {
@@ -79,7 +80,8 @@
 	return list
 }
 
-// startAll starts the components in order. running is done when all have returned after ctx has ended.
+// startAll starts the components in order. running counts those that have not returned; they return after ctx has
+// ended.
 func startAll(ctx context.Context, components []component, running *sync.WaitGroup) {
 	for _, c := range components {
 		if c.run != nil {
@@ -88,7 +90,7 @@
 	}
 }
 
-// closeAll closes the components in reverse order, and returns what could not be closed.
+// closeAll closes the components in reverse order. It closes all of them, and returns their errors joined.
 func closeAll(components []component) error {
 	var errs []error
 	for _, c := range slices.Backward(components) {
@@ -99,8 +101,8 @@
 	return errors.Join(errs...)
 }
 
-// closeListener returns a function that closes a listener. One that was served is closed already, and a listener has
-// nothing that could be lost, so errors are discarded.
+// closeListener returns a function that closes a listener. It discards errors: a listener that was served is closed
+// already, and closing a listener cannot lose data.
 func closeListener(listener net.Listener) func() error {
 	return func() error {
 		_ = listener.Close()
@@ -108,7 +110,7 @@
 	}
 }
 
-// sections returns the states of the components for the admin endpoint.
+// sections returns the sections of the admin endpoint, one for each component that has a state.
 func (s *sidecar) sections() admin.Sections {
 	sections := admin.Sections{}
 	for _, c := range s.components() {
--- a/internal/daemon/configmember.go
+++ b/internal/daemon/configmember.go
@@ -14,35 +14,37 @@
 	"hazelwing/internal/engine"
 )
 
-// configMember applies the configuration that is distributed over the cluster to this sidecar.
+// configMember applies the configuration that is distributed through the cluster to this sidecar.
 type configMember struct {
 	member           *transport.Member
 	sidecar          *sidecar
-	platformSettings balancer.Settings // of what a snapshot does not set
+	platformSettings balancer.Settings // in effect for everything that a snapshot does not set
 	level            *slog.LevelVar
 	readyTimeout     time.Duration
 	log              *slog.Logger
 
-	initialDiscovery string // the platform's address of discovery at the start
+	initialDiscovery string // discovery's address in the platform's configuration at the start
 
-	// Of the snapshot that was applied last; guarded by the sidecar's reconfigureMu.
-	snapshotDiscovery string // the address of discovery that it sets; empty: none
-	clusterSize       int
+	// The sidecar's reconfigureMu guards these fields of the snapshot that was applied last.
+	snapshotDiscovery string // discovery's address; empty if the snapshot does not set it
+	clusterSize       int    // configured size of the cluster
 }
 
 const (
-	// fetchDelay is how long the upstream has to send a snapshot that another member is known to have, before it is
-	// fetched from that one: many times what a change takes through the whole tree. With a higher value members behind
-	// one that has stalled use old settings for longer; with a lower one they fetch what is on its way to them.
+	// fetchDelay is how long a member waits for its upstream to send a snapshot that another member has already, before
+	// it fetches the snapshot from that other member. The delay is many times longer than a change takes to pass
+	// through the whole tree. With a higher value, members behind a stalled upstream use old settings for longer. With
+	// a lower value, members fetch snapshots that are already on their way to them.
 	fetchDelay = 300 * time.Millisecond
-	// maxSubscribersPerFanOut is how many subscribers a member accepts, as a multiple of its fan-out: those by the
-	// present view of the cluster and as many by an earlier one. A higher value costs connections; with a lower one
-	// members are rejected while others come and go, and fall back to an origin.
+	// maxSubscribersPerFanOut limits the subscribers that a member accepts, as a multiple of its fan-out. The value 2
+	// allows for the subscribers according to the current view of the cluster, and for as many according to an earlier
+	// view. A higher value costs connections. With a lower value, members are rejected while the membership changes,
+	// and fall back to an origin.
 	maxSubscribersPerFanOut = 2
 )
 
-// openConfigMember makes the sidecar a member of the distribution of configuration, where the operator's file says so.
-// The sidecar has no engine yet; snapshots are applied only once the member runs, when it has one.
+// openConfigMember makes the sidecar receive and relay distributed configuration, if the operator's file has [config].
+// The sidecar has no engine at this point, but it has one when the member runs and applies snapshots.
 func (b *builder) openConfigMember() error {
 	controlPlane := b.operatorConfig.ControlPlane
 	if controlPlane == nil {
@@ -75,7 +77,7 @@
 			Roots:          int(controlPlane.Roots),
 			FanOut:         int(controlPlane.FanOut),
 			ConfiguredSize: b.settings.Balancers,
-			RandomSeed:     uint64(b.platformConfig.Seed) + 1, // that of the endpoint list's source is the seed itself
+			RandomSeed:     uint64(b.platformConfig.Seed) + 1, // differs from the seed of the endpoint list's source
 		},
 	})
 	if err != nil {
@@ -85,14 +87,14 @@
 	return nil
 }
 
-// apply decides what of a snapshot that was checked takes effect, and is the one place where it does: all of it, or on
-// an error nothing. Settings of the module, the number of sidecars and the source of the endpoint list change between
-// two events of the engine. What the snapshot does not set is as at the start. apply is called from the member's own
-// goroutine, one call at a time, and waits for the engine.
+// apply applies a validated snapshot: either all of it or, on an error, none of it. No other function applies
+// snapshots. The module's settings, the number of sidecars and the source of the endpoint list change between two
+// events of the engine. Settings that the snapshot leaves out return to their values at the start. apply is called from
+// the member's own goroutine, one call at a time, and waits for the engine.
 //
-// Discovery's address is set by the platform, with SIGHUP, and by snapshots; the latest change is the one that
-// counts. A snapshot with the address of the one before it is no change, so that a change of something else does not
-// undo what SIGHUP did.
+// Discovery's address is set by the platform's configuration, which SIGHUP reloads, and by snapshots. The latest change
+// is in effect. A snapshot with the same address as the previous snapshot does not change the address, so that a
+// snapshot that changes another setting does not undo a reload.
 func (m *configMember) apply(snapshot *controlplane.Snapshot) error {
 	s := m.sidecar
 	s.reconfigureMu.Lock()
@@ -108,7 +110,7 @@
 		clusterSize = int(*settings.Fleet.Sidecars)
 	}
 	change := engine.Reconfiguration{Settings: effectiveSettings(m.platformSettings, settings)}
-	// Where the cluster counts its members, it continues from the configured size and tells the engine itself.
+	// A cluster that counts its members starts from the configured size, and informs the engine of the size itself.
 	clusterCounts := s.cluster.HasSizeListener()
 	if !clusterCounts {
 		change.Balancers = clusterSize
@@ -126,25 +128,27 @@
 	return nil
 }
 
-// newSource decides whether a snapshot changes the source of the endpoint list, and returns the new one; nil: it does
-// not. It does where it sets another address than the snapshot before, and that address is not followed already. An
-// empty address stands for the platform's. The caller holds reconfigureMu and hands the source to the engine.
+// newSource returns the new source of the endpoint list if a snapshot changes it, and nil otherwise. The snapshot
+// changes the source if its address differs from the previous snapshot's and from the address that is currently
+// followed. An empty address stands for the platform's address. The caller holds reconfigureMu and passes the source to
+// the engine.
 func (m *configMember) newSource(discovery string, settings balancer.Settings) (engine.Source, error) {
 	addr := cmp.Or(discovery, m.sidecar.platformDiscovery)
 	if discovery == m.snapshotDiscovery || addr == m.sidecar.currentDiscovery {
 		return nil, nil
 	}
-	// The engine would reject settings that the module does not accept, but the list's sources would have moved by
-	// then.
+	// The engine also rejects settings that the module does not accept, but only after the sources of the list have
+	// moved to the new address.
 	if _, err := balancer.New(settings, 0); err != nil {
 		return nil, err
 	}
 	return m.sidecar.discoverySource(addr, m.discoveryGroup(discovery)), nil
 }
 
-// discoveryGroup names the members that follow the same discovery because a snapshot says so: by its address, or, where
-// the snapshot sets none any more, by the empty name of those at the start. It returns nil where SIGHUP has changed the
-// platform's address, because who follows that one is not known here.
+// discoveryGroup returns the name of the group of members that follow the same discovery because of a snapshot. The
+// name is the snapshot's address of discovery. It is empty, as for all members at the start, if the snapshot sets no
+// address. In this case discoveryGroup returns nil if SIGHUP has changed the platform's address, because this sidecar
+// does not know which members follow that address.
 func (m *configMember) discoveryGroup(discovery string) *string {
 	if discovery == "" && m.sidecar.platformDiscovery != m.initialDiscovery {
 		return nil
@@ -152,8 +156,8 @@
 	return &discovery
 }
 
-// setClusterSize informs the cluster of a configured size where it counts its members. It is informed of a change only,
-// because over time the configured size gives way to the counted one. The caller holds reconfigureMu.
+// setClusterSize passes a configured size to the cluster, if the cluster counts its members. It passes only changes,
+// because the cluster replaces the configured size by the counted size over time. The caller holds reconfigureMu.
 func (m *configMember) setClusterSize(size int, clusterCounts bool) {
 	if clusterCounts && size != m.clusterSize {
 		m.sidecar.cluster.Gossip.SetConfiguredSize(size)
@@ -161,8 +165,8 @@
 	m.clusterSize = size
 }
 
-// updateMembers informs the member of the others in the cluster, which it may follow. It is called from the cluster
-// node's goroutine.
+// updateMembers informs the member of the other members in the cluster, which it may follow. It is called from the
+// goroutine of the cluster's node.
 func (m *configMember) updateMembers(others []cluster.Member, joined bool) {
 	list := make([]bootstrap.Member, 0, len(others))
 	for _, other := range others {
@@ -171,8 +175,8 @@
 	m.member.UpdateMembers(list, joined)
 }
 
-// receivePeerRevision informs the member of the revision that a peer has. It is called from the cluster node's
-// goroutine.
+// receivePeerRevision informs the member of the revision that a peer has. It is called from the goroutine of the
+// cluster's node.
 func (m *configMember) receivePeerRevision(from cluster.Entry, epoch, version uint64) {
 	m.member.ReceivePeerRevision(from.Name, from.Addr.String(), epoch, version)
 }
@@ -182,27 +186,28 @@
 	m.sidecar.cluster.Gossip.SetConfigRevision(revision.Epoch, revision.Version)
 }
 
-// waitReady waits until the member has the latest configuration, at most readyTimeout, so that a sidecar that joins
-// does not serve with old settings without a log line that says so.
+// waitReady waits up to readyTimeout for the member to have the latest configuration. It logs the state, so that a
+// sidecar that starts to serve with old settings has a log line that shows it.
 func (m *configMember) waitReady(ctx context.Context) {
 	started := time.Now()
 	state := m.member.WaitReady(ctx, m.readyTimeout)
-	m.log.Info("configuration ready", "elapsed", time.Since(started).Round(time.Millisecond), "state", state)
+	m.log.Info("finished waiting for the latest configuration",
+		"elapsed", time.Since(started).Round(time.Millisecond), "state", state)
 }
 
-// configState is what the admin endpoint shows.
+// configState is the section of the admin endpoint for distributed configuration.
 type configState struct {
 	transport.MemberState
-	Discovery string `json:"discovery"` // the address that is followed
-	Level     string `json:"level"`     // of the log
+	Discovery string `json:"discovery"` // address of discovery that is followed
+	Level     string `json:"level"`     // level of the log
 }
 
-// stateUnavailable is what the admin endpoint shows where the state cannot be had now.
+// stateUnavailable is the section of the admin endpoint if the member is too busy to return its state.
 type stateUnavailable struct {
 	Error string `json:"error"`
 }
 
-// state returns the state for the admin endpoint.
+// state returns the section for the admin endpoint.
 func (m *configMember) state() any {
 	state, ok := m.member.State()
 	if !ok {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is the sidecar as one program. It puts the fronts, the engine, the transport and the sources of the
-// endpoint list together as the platform's configuration and the operator's file say.
+// Package daemon assembles and runs the sidecar. It connects the fronts, the engine, the transport and the sources of
+// the endpoint list according to the platform's configuration and the operator's file.
 package daemon
 
 import (
@@ -15,15 +15,16 @@
 	"hazelwing/internal/platform"
 )
 
-// Run serves until ctx ends, and then until every request that was accepted is answered. An empty operatorConfig stands
-// for no operator's file. For each signal in reload it calls load for the platform's configuration.
+// Run serves until ctx ends, and then until every accepted request is answered. Without an operator's file,
+// operatorConfig is an empty Config. For each signal in reload, Run calls load to read the platform's configuration.
 //
-// It decides the order of the start and the stop. The platform's listener opens last, once the sidecar can serve, with
-// the latest configuration where that is distributed. At the stop the fronts answer first; then the other parts end
-// together, and are closed in reverse order: see components.
+// Run determines the order in which parts start and stop. The platform's listener opens last, when the sidecar can
+// serve and, if configuration is distributed, has the latest configuration. On stop the fronts answer their requests
+// first. Then the other components end at the same time, and are closed in the reverse order of components.
 //
-// Guard: prevents a second SIGTERM, or a SIGHUP beside it, from ending the process before it has answered. It holds
-// because ctx stays ended after the first, and signals stay caught until the program's end.
+// Guard: prevents a second SIGTERM, or a SIGHUP at the same time, from ending the process before it has answered all
+// requests. It holds because ctx stays ended after the first signal, and because signals stay caught until the program
+// exits.
 func Run(
 	ctx context.Context, platformConfig *platform.Config, operatorConfig *operator.Config,
 	reload <-chan os.Signal, load func() (*platform.Config, error), log *slog.Logger,
@@ -40,14 +41,14 @@
 			return err
 		}
 	}
-	// The fronts need the components until they have answered, which is after ctx has ended.
+	// The fronts need the components until they have answered all requests, which takes longer than ctx lasts.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
 	startAll(work, s.components(), &running)
 	defer running.Wait()
 	defer stop()
 	if s.configMember != nil {
-		// Before this process accepts requests it has the latest configuration, or has logged which one it starts with.
+		// Before it accepts requests, the process has the latest configuration or has logged which one it starts with.
 		s.configMember.waitReady(ctx)
 		if listener, err = listen(ctx, platformConfig.Listen); err != nil {
 			return err
@@ -56,12 +57,14 @@
 	return s.serve(ctx, listener)
 }
 
-// listen listens on a TCP address, also after ctx has ended: the fronts then start and end in the usual order.
+// listen listens on a TCP address. It also does so after ctx has ended, so that the fronts start and stop in the usual
+// order.
 func listen(ctx context.Context, addr string) (net.Listener, error) {
 	return new(net.ListenConfig).Listen(context.WithoutCancel(ctx), "tcp", addr)
 }
 
-// serve runs all fronts until ctx ends or one of them fails, and returns when each has answered what it accepted.
+// serve runs all fronts until ctx ends or one of them fails. It returns when every front has answered the requests that
+// it accepted.
 func (s *sidecar) serve(ctx context.Context, listener net.Listener) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// listenerDescriptors is what a listener uses beside its connections: its own descriptor, and that of a connection
-	// that is looked at before there is room for it.
+	// listenerDescriptors is the number of descriptors that a listener uses in addition to its connections: its own
+	// descriptor, and one for a connection that it accepts before there is room for it.
 	listenerDescriptors = 2
-	// connsPerRoot is the number of connections that a sidecar has to each upstream of the endpoint list: a watch and a
-	// complete list.
+	// connsPerRoot is the number of connections that a sidecar has to each upstream of the endpoint list: one for the
+	// watch and one for a complete list.
 	connsPerRoot = 2
-	// connsPerNameServer is the number of queries that a name server has open: one by datagram and one by stream.
+	// connsPerNameServer is the number of sockets for queries to a name server: one for UDP and one for TCP.
 	connsPerNameServer = 2
-	// configConns is the number of connections that a member has open for the configuration: its watch, its report, two
-	// fetches, the search for a better upstream, and the file of the cached snapshot.
+	// configConns is the number of descriptors that a member uses for distributed configuration: its watch, its report,
+	// two fetches, the search for a better upstream, and the file of the cached snapshot.
 	configConns = 6
-	// ledgerFiles is the number of files that the idempotency records have open beside their segments: the directory,
-	// its lock, and what compaction reads and writes.
+	// ledgerFiles is the number of files that the store of idempotency records has open in addition to its segments:
+	// the directory, its lock, and the files that compaction reads and writes.
 	ledgerFiles = 4
 )
 
-// maxDescriptors decides how many descriptors are reserved for the parts that the operator's file asks for: as many as
-// each may have open at its own limit.
+// maxDescriptors returns the number of descriptors to reserve for the parts that the operator's file enables. It is the
+// sum of the parts' limits.
 //
-// Guard: prevents the start from succeeding with fewer descriptors than the parts may use together, after which clients
-// or discovery meet EMFILE under load. It holds because each part keeps to its own limit.
+// Guard: prevents a start with fewer descriptors than the parts may use together, after which connections of clients or
+// calls to discovery would fail with EMFILE under load. It holds because each part stays within its own limit.
 func maxDescriptors(operatorConfig *operator.Config) int {
 	count := 0
 	if operatorConfig.Admin != nil {
@@ -41,19 +41,19 @@
 		count += gossip.MaxDescriptors
 	}
 	if operatorConfig.Bootstrap != nil || operatorConfig.ControlPlane != nil {
-		count += gossip.MaxHTTPConns // of subscribers
+		count += gossip.MaxHTTPConns // connections of subscribers
 	}
 	if operatorConfig.Bootstrap != nil {
 		count += connsPerRoot * int(operatorConfig.Bootstrap.Roots)
 	}
 	if operatorConfig.ControlPlane != nil {
-		count += configConns + len(operatorConfig.ControlPlane.Origins) // all origins may be tried at a time
+		count += configConns + len(operatorConfig.ControlPlane.Origins) // may connect to all origins at once
 	}
 	if operatorConfig.Discovery != nil && operatorConfig.Discovery.SRV != nil {
 		count += connsPerNameServer * len(operatorConfig.Discovery.SRV.NameServers)
 	}
 	if records := operatorConfig.Idempotency; records != nil && records.Durability != middleware.DurabilityOff {
-		count += ledgerFiles + int(records.MaxBytes/max(records.SegmentSize, 1)) // its segments
+		count += ledgerFiles + int(records.MaxBytes/max(records.SegmentSize, 1)) // number of segments
 	}
 	return count
 }
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -14,16 +14,16 @@
 
 const (
 	srvSourceName = "srv"
-	// srvRank is the rank of SRV records among the additional sources: see discovery.SourceConfig.
+	// srvRank is the rank of SRV records among the additional sources. discovery.SourceConfig describes ranks.
 	srvRank = 1
-	// maxSRVAddrs limits the addresses of one target. A higher value lets one wrong record add more endpoints.
+	// maxSRVAddrs limits the addresses of one SRV target. A higher value lets one wrong record add more endpoints.
 	maxSRVAddrs = 16
 )
 
-// mergeEndpoints merges discovery's list with what the cluster gossips and with the sources of the operator's file,
-// where there are any.
+// mergeEndpoints merges discovery's list with the endpoint updates that the cluster gossips and with the sources of the
+// operator's file, if there are any.
 func (b *builder) mergeEndpoints() error {
-	// Without notices the cluster is no source of endpoints.
+	// The cluster is a source of endpoint updates unless the operator's file disables its notices.
 	var notices *node.Node
 	if b.operatorConfig.Cluster != nil && !b.operatorConfig.Cluster.DisableNotices {
 		notices = b.cluster
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// newSRVSource returns the source of the endpoints that SRV records name.
+// newSRVSource returns the source that reads endpoints from SRV records.
 func (b *builder) newSRVSource(table *operator.Discovery) (mergedsource.AdditionalSource, error) {
 	srv := table.SRV
 	refresher, err := dns.NewRefresher(dns.RefresherConfig{
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -12,18 +12,18 @@
 	"hazelwing/internal/operator"
 )
 
-// additionalFront is a front beside the platform's, with a listener of its own.
+// additionalFront is a front in addition to the platform's, with its own listener.
 type additionalFront struct {
-	name     string // by which the admin endpoint shows its state
-	addr     string // to listen at
+	name     string // name of its section at the admin endpoint, and of its table in the operator's file
+	addr     string // address to listen on
 	listener net.Listener
-	// serve serves until ctx ends, and then until every request that was accepted is answered.
+	// serve serves until ctx ends, and then until every accepted request is answered.
 	serve func(ctx context.Context, listener net.Listener) error
-	// state returns what the admin endpoint shows.
+	// state returns the front's section at the admin endpoint.
 	state func() any
 }
 
-// Fronts that a build may leave out; nil there.
+// These functions are nil in a build without GraphQL (build tag small).
 var (
 	newGraphQLFront func(
 		operatorConfig *operator.Config, settings balancer.Settings, doer httpfront.Doer, log *slog.Logger,
@@ -31,11 +31,12 @@
 	checkGraphQL func(operatorConfig *operator.Config) error
 )
 
-// errGraphQLNotBuilt reports a table [graphql] that this build cannot serve.
+// errGraphQLNotBuilt reports that the operator's file has the table [graphql] but the build has no GraphQL.
 var errGraphQLNotBuilt = errors.New("graphql: this build (tag small) has no GraphQL")
 
-// Check reports what of an operator's file cannot be used and takes other files to tell: the schema, the mapping of its
-// fields, and the trusted documents. Whether the platform has the classes of the mapping is not checked.
+// Check reports errors of an operator's file that can be found only with the files that it names: errors of the GraphQL
+// schema, of the mapping of the schema's fields, and of the trusted documents. It does not check whether the platform
+// has the classes of the mapping.
 func Check(operatorConfig *operator.Config) error {
 	if operatorConfig.GraphQL == nil {
 		return nil
@@ -46,7 +47,7 @@
 	return checkGraphQL(operatorConfig)
 }
 
-// openAdditionalFronts makes the fronts that the operator's file asks for. They listen.
+// openAdditionalFronts creates the fronts that the operator's file enables, and opens their listeners.
 func (b *builder) openAdditionalFronts(ctx context.Context) error {
 	if b.operatorConfig.GraphQL == nil {
 		return nil
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -18,11 +18,11 @@
 	"hazelwing/internal/operator"
 )
 
-// maxFileBytes is the size that the schema and the trusted documents may have each. A higher value lets a wrong path
-// use more memory at the start.
+// maxFileBytes limits the size of the schema file and of the file of trusted documents. With a higher value, a wrong
+// path can use more memory at the start.
 const maxFileBytes = 16 << 20
 
-// fileTooLargeError says that a file has more than maxFileBytes.
+// fileTooLargeError reports that a file is larger than maxFileBytes.
 type fileTooLargeError struct{ path string }
 
 func (e *fileTooLargeError) Error() string {
@@ -50,7 +50,8 @@
 	}
 }
 
-// newGraphQLServer makes the front of the operator's file. Without classes it only checks what does not need them.
+// newGraphQLServer creates the front that the operator's file describes. If classes is nil, it skips the checks that
+// need the classes.
 func newGraphQLServer(
 	operatorConfig *operator.Config, classes []balancer.Class, doer httpfront.Doer, log *slog.Logger,
 ) (*graphqlfront.Server, error) {
@@ -85,7 +86,7 @@
 	return server, nil
 }
 
-// loadSchema reads the schema and checks it with the mapping of its root fields.
+// loadSchema reads the schema, and checks it together with the mapping of its root fields.
 func loadSchema(operatorConfig *operator.Config, classes []balancer.Class) (*plan.Schema, error) {
 	cfg := operatorConfig.GraphQL
 	text, err := readLimitedFile(cfg.SchemaFile)
@@ -125,7 +126,7 @@
 	return schema, nil
 }
 
-// loadTrustedDocuments reads the trusted documents by their ids; without a file there are none.
+// loadTrustedDocuments reads the trusted documents and returns them by ID. The map is empty if no file is configured.
 func loadTrustedDocuments(operatorConfig *operator.Config) (map[string]string, error) {
 	documents := map[string]string{}
 	if operatorConfig.GraphQL.TrustedFile == "" {
@@ -153,11 +154,12 @@
 	return os.ReadFile(path)
 }
 
-// withPositions adds the position in the operator's file to each error of the mapping. Errors of the schema have a
-// position in the schema.
+// withPositions adds the position in the operator's file to each error of the field mapping. Errors of the schema
+// already have a position in the schema file.
 func withPositions(operatorConfig *operator.Config, err error) error {
 	errs := []error{err}
-	// Only an outermost error joins those of the mapping; a wrapped one is one error of the schema.
+	// plan.New joins the errors of the mapping in the outermost error. A joined error that is wrapped in another one is
+	// a single error of the schema.
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		errs = joined.Unwrap()
 	}
--- a/internal/daemon/idempotency.go
+++ b/internal/daemon/idempotency.go
@@ -11,7 +11,7 @@
 	"hazelwing/internal/store"
 )
 
-// openDeduplicator opens the idempotency records, where the operator's file has them.
+// openDeduplicator opens the idempotency records, if the operator's file enables them.
 func (b *builder) openDeduplicator(context.Context) error {
 	table := b.operatorConfig.Idempotency
 	if table == nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// retentionError says that idempotency records are retained for too short a time for a class.
+// retentionError reports that the retention of idempotency records is too short for a class.
 type retentionError struct {
 	Retention time.Duration
 	Class     string
@@ -59,13 +59,13 @@
 }
 
 func (e *retentionError) Error() string {
-	return fmt.Sprintf("ledger.remember: %v is too short for the class %s, which needs %v",
-		e.Retention, e.Class, e.Required)
+	return fmt.Sprintf("ledger.remember: must be at least %v for the class %s, got %v",
+		e.Required, e.Class, e.Retention)
 }
 
-// checkRetention reports, as a retentionError, a retention that is too short for a class whose requests are not
-// idempotent. A record is needed until the last attempt of its request has ended, which takes up to the deadline, and
-// then as long as a client may repeat it or endpoints recognize a repeat of it.
+// checkRetention returns a *retentionError if the retention is too short for a class of requests that are not
+// idempotent. A record is needed until the last attempt of its request has ended, which takes up to the deadline. After
+// that it is needed for as long as a client may repeat the request, or endpoints recognize a repetition of it.
 func checkRetention(table *operator.Idempotency, classes []balancer.Class) error {
 	retention := time.Duration(table.Retention)
 	for _, class := range classes {
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -104,7 +104,7 @@
 		{
 			name: "retention too short",
 			text: fmt.Sprintf("[ledger]\ndir = %q\nremember = \"30s\"", dir),
-			want: "ledger.remember: 30s is too short for the class book, which needs 40s",
+			want: "ledger.remember: must be at least 40s for the class book, got 30s",
 		},
 		{
 			name: "no directory",
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -9,15 +9,15 @@
 	"hazelwing/internal/platform"
 )
 
-// reloads is how new configurations of the platform arrive. Of these only discovery's address is applied: the rest is
-// read at the start only, or is set by snapshots of the cluster's configuration.
+// reloads provides new versions of the platform's configuration. Only discovery's address is applied from them. The
+// other settings are read only at the start, or are set by snapshots of the distributed configuration.
 type reloads struct {
 	signals <-chan os.Signal
 	load    func() (*platform.Config, error)
 }
 
 // runReloads loads the configuration for each signal, until ctx ends. It does not run in the engine's goroutine, which
-// does not wait for files. A configuration that cannot be used is logged and changes nothing.
+// must not wait for files. An invalid configuration is logged and changes nothing.
 func (s *sidecar) runReloads(ctx context.Context) {
 	for {
 		select {
@@ -35,7 +35,8 @@
 	}
 }
 
-// setPlatformDiscovery follows discovery at the platform's new address, whatever address a snapshot has set before.
+// setPlatformDiscovery follows discovery at the platform's new address, even if a snapshot has set another address
+// before.
 func (s *sidecar) setPlatformDiscovery(addr string) {
 	s.reconfigureMu.Lock()
 	defer s.reconfigureMu.Unlock()
@@ -43,9 +44,10 @@
 	s.engine.SetSource(s.discoverySource(addr, nil))
 }
 
-// discoverySource returns the source of the endpoint list with discovery at another address. group names the address
-// where all members of the cluster change to it, so that they go on relaying its list to each other; it is nil where
-// only this sidecar does. The caller holds reconfigureMu and hands the source to the engine.
+// discoverySource returns the source of the endpoint list with discovery at a new address. group is the name of the
+// group of members that follow this discovery, if all members of the cluster change to the address, so that they
+// continue to relay its list to each other. group is nil if only this sidecar changes. The caller holds reconfigureMu
+// and passes the source to the engine.
 func (s *sidecar) discoverySource(addr string, group *string) engine.Source {
 	s.log.Info("discovery address changed", "component", "daemon", "addr", addr)
 	s.currentDiscovery = addr
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -15,7 +15,7 @@
 	"hazelwing/internal/transport/http1"
 )
 
-// sidecar has the parts of a running daemon.
+// sidecar holds the parts of a running daemon.
 type sidecar struct {
 	maxClientConns   int
 	engine           *engine.Engine
@@ -24,26 +24,26 @@
 	front            *httpfront.Server
 	additionalFronts []*additionalFront
 
-	endpoints     *mergedsource.Source     // discovery merged with other sources; nil: there are none
-	relaySource   *relay.Source            // discovery's list by way of the cluster; nil: from discovery alone
-	cluster       *node.Node               // nil: this sidecar is in no cluster
-	configMember  *configMember            // nil: the configuration is read at the start only
-	deduplicator  *middleware.Deduplicator // nil: there are no idempotency records
-	adminListener net.Listener             // nil: there is no admin endpoint
+	endpoints     *mergedsource.Source     // merges discovery with other sources; nil if there are none
+	relaySource   *relay.Source            // relays discovery's list through the cluster; nil if there is no relay
+	cluster       *node.Node               // nil if the sidecar is not in a cluster
+	configMember  *configMember            // nil if the configuration is read only at the start
+	deduplicator  *middleware.Deduplicator // nil if there are no idempotency records
+	adminListener net.Listener             // nil if there is no admin endpoint
 	reloads       reloads                  // set by Run
 
-	sharedDiscovery bool         // discovery is one service for all sidecars, and not an agent on this machine
-	log             *slog.Logger // its level is that of the configuration, where there is a configMember
-	processLog      *slog.Logger // the log as it was given
+	sharedDiscovery bool         // discovery is one service for all sidecars, not an agent on this machine
+	log             *slog.Logger // has the level of the distributed configuration if there is a configMember
+	processLog      *slog.Logger // the logger that was passed to Run
 
-	// reconfigureMu is held while discovery's address or the engine's settings change. It guards the fields below and
-	// those of configMember that say so.
+	// reconfigureMu is held while discovery's address or the engine's settings change. It guards platformDiscovery,
+	// currentDiscovery, and the fields of configMember that say so.
 	reconfigureMu     sync.Mutex
-	platformDiscovery string // discovery's address according to the platform
-	currentDiscovery  string // the address that is followed
+	platformDiscovery string // discovery's address in the platform's configuration
+	currentDiscovery  string // discovery's address that is currently followed
 }
 
-// close releases what the components have open. All components have returned, or none was started.
+// close closes all components. It must be called after all components have returned, or if none was started.
 func (s *sidecar) close() error {
 	return closeAll(s.components())
 }
--- a/internal/daemon/snapshotsettings.go
+++ b/internal/daemon/snapshotsettings.go
@@ -9,8 +9,8 @@
 	"hazelwing/internal/controlplane"
 )
 
-// effectiveSettings returns the platform's settings with what a snapshot sets: limits never exceed the platform's, and
-// classes and tenants that this sidecar does not have are ignored.
+// effectiveSettings returns the platform's settings, overridden by the values that a snapshot sets. Limits never exceed
+// the platform's limits. Classes and tenants that this sidecar does not have are ignored.
 func effectiveSettings(platform balancer.Settings, snapshot *controlplane.Settings) balancer.Settings {
 	settings := platform
 	if limits := snapshot.Limits; limits != nil {
@@ -42,14 +42,14 @@
 	return settings
 }
 
-// setIfPresent sets a value that the snapshot has.
+// setIfPresent sets value to snapshotValue, unless snapshotValue is nil.
 func setIfPresent(value, snapshotValue *float64) {
 	if snapshotValue != nil {
 		*value = *snapshotValue
 	}
 }
 
-// logLevel returns the level of the log that a snapshot sets; info where it sets none.
+// logLevel returns the level of the log that a snapshot sets, or info if it sets none.
 func logLevel(snapshot *controlplane.Settings) (slog.Level, error) {
 	level := slog.LevelInfo
 	if snapshot.Log == nil || snapshot.Log.Level == nil {
@@ -61,7 +61,7 @@
 	return level, nil
 }
 
-// discoveryAddress returns the address of discovery that a snapshot sets; empty: it sets none.
+// discoveryAddress returns the address of discovery that a snapshot sets, or an empty string if it sets none.
 func discoveryAddress(snapshot *controlplane.Settings) string {
 	if snapshot.Discovery == nil || snapshot.Discovery.Addr == nil {
 		return ""
