--- a/internal/daemon/allocs_test.go
+++ b/internal/daemon/allocs_test.go
@@ -11,8 +11,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// The allocations of a request on open connections, in the front, the engine, the balancer and the transport, are
-// counted and not timed, so they are the same on any machine. Client and server allocate nothing.
+// The number of allocations for a request on open connections is limited, in the front, the engine, the balancer and
+// the transport together. It is a count and not a time, so it is the same on all machines. The client and the server of
+// the test allocate nothing.
 func TestAllocationsOfARequest(t *testing.T) {
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
 		answer, buf := []byte(testutil.OKResponse), make([]byte, 4096)
@@ -59,7 +60,7 @@
 		do()
 	}
 	lowest := 0.0
-	for range 3 { // the runtime allocates now and then, and the lowest count is without that
+	for range 3 { // the lowest count excludes occasional allocations of the runtime
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for range requests {
@@ -70,6 +71,6 @@
 			lowest = n
 		}
 	}
-	t.Logf("%.1f allocations a request", lowest)
+	t.Logf("%.1f allocations per request", lowest)
 	testutil.CheckCapacityBound(t, "allocations a request", lowest, 0.06)
 }
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -17,16 +17,17 @@
 	"hazelwing/internal/testutil"
 )
 
-// clusterConfig returns an operator's file with [fleet] on loopback, and more keys of that table or further tables.
+// clusterConfig returns an operator's file with [fleet] on loopback. more is TOML text that follows: further keys of
+// [fleet], or further tables.
 func clusterConfig(t *testing.T, more string) *operator.Config {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := l.Addr().String()
+	addr := l.Addr().String()
 	l.Close()
-	table := fmt.Sprintf("[fleet]\nname = \"f\"\nlisten = %q\nseeds = [%q]\nnetworks = [\"127.0.0.0/8\"]\n", at, at)
+	table := fmt.Sprintf("[fleet]\nname = \"f\"\nlisten = %q\nseeds = [%q]\nnetworks = [\"127.0.0.0/8\"]\n", addr, addr)
 	op, err := operator.Parse([]byte(table + more))
 	if err != nil {
 		t.Fatal(err)
@@ -34,40 +35,42 @@
 	return op
 }
 
-// Without [fleet] there is no part of a cluster: no source before the engine, no socket, no goroutine.
+// Without [fleet] a sidecar has no node of a cluster, no merged source of endpoints, no section at the admin endpoint
+// and no goroutines of a cluster.
 func TestWithoutCluster(t *testing.T) {
-	// Of the goroutines only new ones count; those of earlier tests may end meanwhile.
-	goroutines := func(op *operator.Config) error {
+	// newGoroutines returns an error if build leaves goroutines. Goroutines of earlier tests are ignored.
+	newGoroutines := func(op *operator.Config) error {
 		before := goleak.IgnoreCurrent()
 		s, err := build(t.Context(), config(t, testutil.UnusedAddr, testutil.UnusedAddr), op, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = s.close() }()
-		on := op.Cluster != nil
-		if (s.cluster != nil) != on || (s.endpoints != nil) != on || (s.sections()["fleet"] != nil) != on {
-			t.Errorf("fleet on: %v; the sidecar has %v, %v", on, s.cluster, s.endpoints)
+		want := op.Cluster != nil
+		if (s.cluster != nil) != want || (s.endpoints != nil) != want || (s.sections()["fleet"] != nil) != want {
+			t.Errorf("[fleet] is set: %v; got node %v, merged source %v, section %v",
+				want, s.cluster != nil, s.endpoints != nil, s.sections()["fleet"] != nil)
 		}
 		return goleak.Find(before)
 	}
-	if err := goroutines(new(operator.Config)); err != nil {
-		t.Errorf("before Run without [fleet]: %v", err)
+	if err := newGoroutines(new(operator.Config)); err != nil {
+		t.Errorf("goroutines before Run without [fleet]: %v", err)
 	}
-	_ = goroutines(clusterConfig(t, "")) // only that the parts are there
+	_ = newGoroutines(clusterConfig(t, "")) // checks only that the parts exist; goroutines are expected
 	cfg := config(t, testutil.UnusedAddr, testutil.UnusedAddr)
 	s, err := build(t.Context(), cfg, clusterConfig(t, "no_words = true\n"), discardLog)
 	if err != nil {
-		t.Fatalf("no_words: %v", err)
+		t.Fatalf("build with no_words = true: %v", err)
 	}
 	defer func() { _ = s.close() }()
 	if s.endpoints != nil {
-		t.Errorf("no_words: %v", s.endpoints)
+		t.Errorf("no_words = true: got the merged source %v, want none", s.endpoints)
 	}
 }
 
-// Other members gossip that endpoints drain. One that is wrong could take all of them, or add one that does not exist:
-// gossiped updates must remove endpoints within the share of the merge only, and never add one. An endpoint comes back
-// when the update has expired.
+// Other members gossip that endpoints drain. A faulty member could remove all endpoints, or add one that does not
+// exist. So gossiped updates remove at most the configured share of the endpoints, and never add one. An endpoint
+// returns to the list when its update has expired.
 func TestNoticesRemoveEndpoints(t *testing.T) {
 	op := clusterConfig(t, "")
 	b, err := newBuilder(config(t, testutil.UnusedAddr, testutil.UnusedAddr), op, discardLog)
@@ -77,8 +80,8 @@
 	if err := b.openCluster(); err != nil {
 		t.Fatal(err)
 	}
-	p := b.cluster
-	defer p.Gossip.Close()
+	member := b.cluster
+	defer member.Gossip.Close()
 	var known []engine.Endpoint
 	for i := range 10 {
 		known = append(known, engine.Endpoint{
@@ -99,7 +102,7 @@
 	defer func() { end(); <-ran }()
 	stop := s.Watch(engine.NoVersion, 0, func(engine.EndpointUpdate) {})
 	defer stop()
-	out := func() (list []string) {
+	removed := func() (list []string) {
 		for _, x := range s.Status() {
 			if !x.Listed {
 				list = append(list, x.ID)
@@ -107,49 +110,48 @@
 		}
 		return list
 	}
-	testutil.Until(t, "all are listed", func() bool { return len(s.Status()) == 10 && len(out()) == 0 })
-	p.ReceiveNotice(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 1000, ReportedBy: "b"}, true)
-	p.ReceiveNotice(cluster.EndpointNotice{Endpoint: "stranger", ReportedBy: "b"}, true)
-	testutil.Until(t, "the removal", func() bool { return strings.Join(out(), " ") == "s1" })
-	// A faulty member reports that all have left: the share of 0.3 is the limit.
-	reportAll := func(holds bool) {
+	testutil.Until(t, "all endpoints to be listed", func() bool { return len(s.Status()) == 10 && len(removed()) == 0 })
+	member.ReceiveNotice(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 1000, ReportedBy: "b"}, true)
+	member.ReceiveNotice(cluster.EndpointNotice{Endpoint: "unknown", ReportedBy: "b"}, true)
+	testutil.Until(t, "the removal of s1", func() bool { return strings.Join(removed(), " ") == "s1" })
+	// A faulty member reports that all endpoints have left. The share of 0.3 limits the removals to three.
+	reportAll := func(valid bool) {
 		for i := range 10 {
 			notice := cluster.EndpointNotice{
 				Endpoint:   fmt.Sprint("s", i),
 				Removed:    true,
 				StartedMS:  1000,
-				ReportedBy: "liar",
+				ReportedBy: "faulty",
 			}
-			p.ReceiveNotice(notice, holds)
+			member.ReceiveNotice(notice, valid)
 		}
 	}
 	reportAll(true)
-	testutil.Until(t, "removals up to the share", func() bool { return len(out()) == 3 })
+	testutil.Until(t, "removals up to the share", func() bool { return len(removed()) == 3 })
 	for _, x := range s.Status() {
-		if x.ID == "stranger" {
-			t.Errorf("an update added an endpoint: %+v", x)
+		if x.ID == "unknown" {
+			t.Errorf("a gossiped update added an endpoint: %+v", x)
 		}
 	}
 	reportAll(false)
-	testutil.Until(t, "the end of expired updates", func() bool { return len(out()) == 0 })
+	testutil.Until(t, "the return of all endpoints", func() bool { return len(removed()) == 0 })
 }
 
-// silentSource is a discovery that sends nothing.
+// silentSource is a source that never sends an update.
 type silentSource struct{}
 
 func (silentSource) Watch(int64, time.Duration, func(engine.EndpointUpdate)) context.CancelFunc {
 	return func() {}
 }
 
-// The number of sidecars reaches the module in place of the setting, also where it was known before there was an
-// engine.
+// The cluster reports its size to the engine, also a size that was known before the engine was created.
 func TestClusterSizeReachesTheEngine(t *testing.T) {
-	p := new(node.Node)
-	p.SizeChanged(7)
+	member := new(node.Node)
+	member.SizeChanged(7)
 	var got []int
-	p.OnSizeChanged(func(n int) { got = append(got, n) })
-	p.SizeChanged(9)
+	member.OnSizeChanged(func(n int) { got = append(got, n) })
+	member.SizeChanged(9)
 	if fmt.Sprint(got) != "[7 9]" {
-		t.Errorf("%v", got)
+		t.Errorf("sizes reported to the engine: got %v, want [7 9]", got)
 	}
 }
--- a/internal/daemon/component_test.go
+++ b/internal/daemon/component_test.go
@@ -11,8 +11,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// The parts start in this order, and are closed in reverse: the idempotency records first, then the admin endpoint,
-// then the cluster's sockets. In another order a part could write to one that is closed.
+// The components start in a fixed order, and are closed in the reverse order: first the idempotency records, then the
+// admin endpoint, then the sockets of the cluster. In another order a component could use one that is closed already.
 func TestComponentsAreInOrder(t *testing.T) {
 	op := clusterConfig(t, fmt.Sprintf("[config]\norigins = [%q]\ndir = %q\n"+
 		"[recovery]\n[ledger]\ndurable = \"off\"\n[admin]\nlisten = \"127.0.0.1:0\"\n",
@@ -32,7 +32,8 @@
 	}
 }
 
-// Components run until their context ends. They are closed in reverse order, and all of them also after an error.
+// Components run until their context ends. All of them are closed in reverse order, also after one has returned an
+// error.
 func TestComponentsAreClosedInReverse(t *testing.T) {
 	var closed []string
 	failure := errors.New("disk full")
@@ -46,16 +47,16 @@
 			},
 		}
 	}
-	parts := []component{part("first", nil), {name: "only shown"}, part("second", failure), part("third", nil)}
+	parts := []component{part("first", nil), {name: "without functions"}, part("second", failure), part("third", nil)}
 	ctx, stop := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	startAll(ctx, parts, &running)
 	stop()
 	running.Wait()
 	if err := closeAll(parts); !errors.Is(err, failure) {
-		t.Errorf("error is %v, want %v", err, failure)
+		t.Errorf("closeAll: got error %v, want %v", err, failure)
 	}
 	if got := strings.Join(closed, " "); got != "third second first" {
-		t.Errorf("closed in the order %s", got)
+		t.Errorf("closed in the order %s, want third second first", got)
 	}
 }
--- a/internal/daemon/configmember_test.go
+++ b/internal/daemon/configmember_test.go
@@ -15,7 +15,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// parseSnapshot returns a snapshot with a version.
+// parseSnapshot parses a snapshot and sets its revision to a version of epoch 1.
 func parseSnapshot(t *testing.T, version uint64, text string) *controlplane.Snapshot {
 	t.Helper()
 	s, err := controlplane.ParseSnapshot([]byte(text))
@@ -26,7 +26,7 @@
 	return s
 }
 
-// startWithControlPlane starts a sidecar with [config], of which neither the cluster's node nor the member runs.
+// startWithControlPlane starts a sidecar with [config]. Neither the cluster's node nor the configuration's member runs.
 func startWithControlPlane(t *testing.T, discovery string) *testSidecar {
 	t.Helper()
 	op := clusterConfig(t,
@@ -36,14 +36,15 @@
 	return r
 }
 
-// Of two changes of discovery's address the latest is used, whether by SIGHUP or by a snapshot. A snapshot that repeats
-// its address changes nothing, and one without an address goes back to the platform's.
+// The latest change of discovery's address is in effect, whether SIGHUP or a snapshot made it. A snapshot with the same
+// address as the previous one does not change the address. A snapshot without an address restores the platform's
+// address.
 func TestLatestDiscoveryAddressIsUsed(t *testing.T) {
 	first, firstCalls, _ := startSilentDiscovery(t)
 	second, secondCalls, _ := startSilentDiscovery(t)
 	third, thirdCalls, _ := startSilentDiscovery(t)
 	r := startWithControlPlane(t, first)
-	testutil.Receive(t, firstCalls, "the platform's discovery")
+	testutil.Receive(t, firstCalls, "a call to the platform's discovery")
 	signals, next := make(chan os.Signal), make(chan string, 1)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
@@ -58,61 +59,65 @@
 			t.Fatal(err)
 		}
 	}
-	say := func(addr string) string { return fmt.Sprintf("[discovery]\naddr = %q\n", addr) }
-	apply(1, say(second))
-	testutil.Receive(t, secondCalls, "the snapshot's discovery")
+	setAddr := func(addr string) string { return fmt.Sprintf("[discovery]\naddr = %q\n", addr) }
+	apply(1, setAddr(second))
+	testutil.Receive(t, secondCalls, "a call to the snapshot's discovery")
 	next <- third
 	signals <- os.Interrupt
-	testutil.Receive(t, thirdCalls, "SIGHUP's discovery")
-	apply(2, say(second)+"[limits]\nmax_attempts = 1\n")
+	testutil.Receive(t, thirdCalls, "a call to the discovery that SIGHUP has set")
+	apply(2, setAddr(second)+"[limits]\nmax_attempts = 1\n")
 	if r.currentDiscovery != third {
-		t.Errorf("a snapshot that repeats its address moved the list to %s", r.currentDiscovery)
+		t.Errorf("a snapshot with an unchanged address: discovery is at %s, want %s", r.currentDiscovery, third)
 	}
-	apply(3, say(first))
-	testutil.Receive(t, firstCalls, "the later snapshot's discovery")
-	apply(4, "# says nothing of it")
-	testutil.Receive(t, thirdCalls, "the platform's discovery of now")
+	apply(3, setAddr(first))
+	testutil.Receive(t, firstCalls, "a call to the later snapshot's discovery")
+	apply(4, "# no settings")
+	testutil.Receive(t, thirdCalls, "a call to the platform's current discovery")
 	if n := len(firstCalls) + len(secondCalls); n > 0 {
-		t.Errorf("%d calls beside", n)
+		t.Errorf("%d further calls to discoveries that are not in effect, want none", n)
 	}
 }
 
-// A snapshot is applied. Applied in part, it would leave the sidecar with settings that nobody has pushed: what it sets
-// must have taken effect when apply returns, what it does not set be as the platform has it, and a snapshot that the
-// module rejects change nothing.
+// A snapshot that is applied in part would leave the sidecar with settings that nobody has pushed. When apply returns,
+// all settings of the snapshot are in effect, and all others have the platform's values. A snapshot that the module
+// rejects changes nothing.
 func TestSnapshotIsAppliedCompletely(t *testing.T) {
 	addr, calls, _ := startSilentDiscovery(t)
 	other, otherCalls, _ := startSilentDiscovery(t)
 	r := startWithControlPlane(t, addr)
-	testutil.Receive(t, calls, "the platform's discovery")
+	testutil.Receive(t, calls, "a call to the platform's discovery")
 	first := parseSnapshot(t, 1, "[log]\nlevel = \"debug\"\n[limits]\nmax_attempts = 1\n[fleet]\nsidecars = 7\n")
 	if err := r.configMember.apply(first); err != nil {
 		t.Fatal(err)
 	}
 	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.configMember.clusterSize != 7 {
-		t.Error("the snapshot was not applied")
+		t.Errorf("the snapshot is not in effect: debug log %v, cluster size %d; want true, 7",
+			r.log.Enabled(t.Context(), slog.LevelDebug), r.configMember.clusterSize)
 	}
 	bad := parseSnapshot(t, 2, fmt.Sprintf("[log]\nlevel = \"error\"\n[discovery]\naddr = %q\n", other))
 	nan := math.NaN()
-	bad.Settings.Price = &controlplane.Price{Probe: &nan} // as if validation had missed it
+	// Validation rejects this value already, but the module has to reject it too.
+	bad.Settings.Price = &controlplane.Price{Probe: &nan}
 	if err := r.configMember.apply(bad); err == nil || !strings.Contains(err.Error(), "PriceProbe") {
-		t.Errorf("%v", err)
+		t.Errorf("apply: got error %v, want one that names PriceProbe", err)
 	}
 	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.currentDiscovery != addr ||
 		r.configMember.snapshotDiscovery != "" || len(otherCalls) > 0 {
-		t.Error("a part of the rejected snapshot was applied")
+		t.Errorf("a part of the rejected snapshot was applied: debug log %v, discovery at %s, its address %q, %d calls",
+			r.log.Enabled(t.Context(), slog.LevelDebug), r.currentDiscovery,
+			r.configMember.snapshotDiscovery, len(otherCalls))
 	}
-	if err := r.configMember.apply(parseSnapshot(t, 3, "# nothing")); err != nil {
+	if err := r.configMember.apply(parseSnapshot(t, 3, "# no settings")); err != nil {
 		t.Fatal(err)
 	}
 	if r.log.Enabled(t.Context(), slog.LevelDebug) || r.configMember.clusterSize != 1 {
-		t.Error("what the snapshot does not set is not as at the start")
+		t.Errorf("a snapshot without settings: debug log %v, cluster size %d; want the initial false and 1",
+			r.log.Enabled(t.Context(), slog.LevelDebug), r.configMember.clusterSize)
 	}
 }
 
-// A snapshot asks for more than the platform allows, and names classes that this sidecar does not have. Followed, it
-// would break the platform's limits: it must never allow what the platform does not, and its other classes and tenants
-// are ignored.
+// A snapshot sets limits above the platform's, and names classes and tenants that this sidecar does not have. It must
+// never allow more than the platform allows, and the unknown classes and tenants are ignored.
 func TestEffectiveSettingsStayWithinThePlatforms(t *testing.T) {
 	base := balancer.Settings{
 		MaxAttempts: 3,
@@ -127,17 +132,17 @@
 	class := balancer.Class{Name: "look", Weight: 4, LateWeight: 0.5, Effect: balancer.NonIdempotent}
 	if s.MaxAttempts != 3 || s.Hedging || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 ||
 		len(s.Classes) != 1 || len(s.Tenants) != 1 || s.Classes[0] != class || s.Tenants[0].Fraction != 0.25 {
-		t.Errorf("%+v", s)
+		t.Errorf("effective settings exceed the platform's or miss the snapshot's: %+v", s)
 	}
 	if base.Classes[0].Weight != 1 || base.Tenants[0].Fraction != 0.5 {
-		t.Errorf("the platform's were written to: %+v", base)
+		t.Errorf("the platform's settings were changed: %+v", base)
 	}
 	if s := effectiveSettings(base, &parseSnapshot(t, 1, "[limits]\nmax_attempts = 2\n").Settings); s.MaxAttempts != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("max_attempts of the snapshot: got %d, want 2", s.MaxAttempts)
 	}
 }
 
-// Without [config] there is no part of it.
+// Without [config] a sidecar has no configuration member and no section for it, and uses the logger that it was given.
 func TestWithoutControlPlane(t *testing.T) {
 	s, err := build(t.Context(), config(t, testutil.UnusedAddr, testutil.UnusedAddr), clusterConfig(t, ""), discardLog)
 	if err != nil {
@@ -145,6 +150,7 @@
 	}
 	defer func() { _ = s.close() }()
 	if s.configMember != nil || s.sections()["config"] != nil || s.log != discardLog {
-		t.Error("there is a part of [config]")
+		t.Errorf("without [config]: got member %v, section %v, another log %v; want none",
+			s.configMember != nil, s.sections()["config"] != nil, s.log != discardLog)
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -15,8 +15,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// What a client sends reaches the endpoint, and what that answers reaches the client, but for what belongs to one
-// connection: a header that is lost or added would break applications that the sidecar knows nothing of.
+// The sidecar forwards requests and responses unchanged, except for hop-by-hop headers. Other headers that it dropped
+// or added could break applications.
 func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -38,7 +38,7 @@
 		resp, body := r.do(t, req)
 		if resp.StatusCode != 200 || body != "seat" ||
 			resp.Header.Get("Content-Type") != "text/x-seat" || resp.Header.Get("Keep-Alive") != "" {
-			t.Errorf("%s: %s %q %v", c.class, resp.Status, body, resp.Header)
+			t.Errorf("class %s: the response has changed: %s %q %v", c.class, resp.Status, body, resp.Header)
 		}
 		q := testutil.Receive(t, seen, "the request")
 		got, _ := io.ReadAll(q.Body)
@@ -47,23 +47,24 @@
 			q.Header.Get("X-Request-Id") != id ||
 			q.Header.Get("Idempotency-Key") != req.Header.Get("Idempotency-Key") ||
 			q.Header.Get("X-Other") != "kept" || q.Header.Get("Te") != "" || left <= 0 || left > 15000 {
-			t.Errorf("%s: %s %s %q %v", c.class, q.Method, q.RequestURI, got, q.Header)
+			t.Errorf("class %s: the request has changed: %s %s %q %v", c.class, q.Method, q.RequestURI, got, q.Header)
 		}
 	}
 }
 
-// An endpoint's own 503 does not tell whether the request ran. This prevents forwarding it: the client would take it
-// for a rejection and repeat what must not run twice.
+// A 503 response of an endpoint does not say whether the request ran. The sidecar must not forward it for a request
+// that is not idempotent, because the client would take it for a rejection and repeat a request that must not run
+// twice.
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	for name, reply := range map[string]string{
 		"503":   "HTTP/1.1 503 Hm\r\nContent-Length: 0\r\n\r\n",
 		"reset": "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			copies := make(chan bool, 100)
+			attempts := make(chan bool, 100)
 			addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
-					copies <- true
+					attempts <- true
 					send(conn, reply)
 					if reply == "" {
 						conn.Close()
@@ -72,30 +73,30 @@
 			})
 			r := startSidecar(t, testutil.UnusedAddr, addr)
 			resp, _ := r.do(t, r.request(t, "POST", "book", "1", "x"))
-			if resp.StatusCode < 500 || resp.StatusCode == 503 || len(copies) != 1 {
-				t.Errorf("%s after %d copies", resp.Status, len(copies))
+			if resp.StatusCode < 500 || resp.StatusCode == 503 || len(attempts) != 1 {
+				t.Errorf("got %s after %d attempts, want a 5xx other than 503 after 1", resp.Status, len(attempts))
 			}
 		})
 	}
 }
 
-// A client sends a request that no endpoint accepts. Retried, it would be rejected by one after the other, each of
-// which would count as failing: it must be sent once, and its response be the client's.
+// An invalid request of a client must be sent only once, and the client must get the endpoint's response. If the
+// sidecar retried it, each endpoint would reject it and be counted as failing.
 func TestClientErrorIsNotRetried(t *testing.T) {
-	var copies atomic.Int32
+	var attempts atomic.Int32
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		copies.Add(1)
+		attempts.Add(1)
 		http.Error(w, "no such seat", http.StatusNotFound)
 	}))
 	defer upstream.Close()
 	r := startSidecar(t, testutil.UnusedAddr, upstream.Listener.Addr().String())
 	resp, body := r.do(t, r.request(t, "GET", "look", "1", ""))
-	if resp.StatusCode != 404 || body != "no such seat\n" || copies.Load() != 1 {
-		t.Errorf("%s %q after %d copies", resp.Status, body, copies.Load())
+	if resp.StatusCode != 404 || body != "no such seat\n" || attempts.Load() != 1 {
+		t.Errorf("got %s %q after %d attempts, want the endpoint's 404 after 1", resp.Status, body, attempts.Load())
 	}
 }
 
-// A request that was rejected before it ran may be retried, also where it must not run twice.
+// A request that was rejected before it ran is retried, even if it must not run twice.
 func TestRejectedRequestIsRetried(t *testing.T) {
 	addr := testutil.ServeRaw(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for i := 0; testutil.ReadRequest(r) != nil; i++ {
@@ -108,12 +109,12 @@
 	})
 	r := startSidecar(t, testutil.UnusedAddr, addr)
 	if resp, body := r.do(t, r.request(t, "POST", "book", "1", "x")); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("%s %q", resp.Status, body)
+		t.Errorf("got %s %q, want 200 with \"ok\"", resp.Status, body)
 	}
 }
 
-// A second request comes with the ID of one in flight. Mixed up, one of the two would have no response: the second must
-// be rejected at once.
+// A request with the ID of another request in flight must be rejected at once. If the sidecar mixed up the two
+// requests, one of them would get no response.
 func TestRequestIDInFlightIsRejected(t *testing.T) {
 	arrived, release := make(chan bool, 1), make(chan bool)
 	answer := sync.OnceFunc(func() { close(release) })
@@ -131,19 +132,18 @@
 			status <- resp.StatusCode
 		}
 	}()
-	testutil.Receive(t, arrived, "the first")
+	testutil.Receive(t, arrived, "the first request")
 	if resp, _ := r.do(t, r.request(t, "POST", "book", "1", "x")); resp.StatusCode != 400 {
-		t.Errorf("the second got %s", resp.Status)
+		t.Errorf("second request: got %s, want 400", resp.Status)
 	}
 	answer()
-	if got := testutil.Receive(t, status, "the first answer"); got != 200 {
-		t.Errorf("the first got %d", got)
+	if got := testutil.Receive(t, status, "the response to the first request"); got != 200 {
+		t.Errorf("first request: got %d, want 200", got)
 	}
 }
 
-// The list of discovery replaces the initial one, and then discovery is lost. Without a list the sidecar could serve
-// nobody: it must continue with the last one. A pushed list arrives without a call of the module, and its agent must be
-// called again after silence.
+// The list of discovery replaces the initial list. The first call to discovery fails, so the sidecar must call again,
+// also in the mode in which an agent pushes the list.
 func TestFollowsDiscovery(t *testing.T) {
 	for _, mode := range []string{"ask", "push"} {
 		t.Run(mode, func(t *testing.T) { followsDiscovery(t, mode) })
@@ -164,8 +164,8 @@
 	}))
 	defer discovery.Close()
 	r := startSidecar(t, discovery.Listener.Addr().String(), testutil.UnusedAddr, `"ask"`, strconv.Quote(mode))
-	// The initial address refuses connections until the list changes it: the sidecar rejects too, and a retry is
-	// harmless.
+	// The sidecar rejects requests until the list replaces the initial address, which refuses connections. The client
+	// repeats them.
 	started := time.Now()
 	for n := 0; ; n++ {
 		resp, body := r.do(t, r.request(t, "GET", "look", strconv.Itoa(n), ""))
@@ -173,7 +173,7 @@
 			break
 		}
 		if time.Since(started) > testutil.WaitTimeout {
-			t.Fatalf("%s %q", resp.Status, body)
+			t.Fatalf("got %s %q after %v, want 200 with \"new\"", resp.Status, body, testutil.WaitTimeout)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/daemon/deploy_test.go
+++ b/internal/daemon/deploy_test.go
@@ -21,15 +21,16 @@
 )
 
 var deploy = flag.Bool("deploy", false,
-	"measure service during a deploy that the endpoint list shows five seconds late (a minute)")
+	"run TestDeployWithALateList, which takes a minute: measures the share of requests served during a deploy")
 
-// Six nodes are replaced one after the other. A name service lists each at once, the endpoint list five seconds later.
-// This is measured with the list alone, with the name service alone and with both.
+// A deploy replaces six nodes one after the other. A name service lists each replacement at once, the endpoint list
+// five seconds later. The test measures the share of requests that is served with the list alone, with the name service
+// alone and with both.
 //
 //	go test ./internal/daemon -run DeployWithALateList -deploy -v
 func TestDeployWithALateList(t *testing.T) {
 	if !*deploy {
-		t.Skip("a measurement: -deploy")
+		t.Skip("a measurement that takes a minute; run it with -deploy")
 	}
 	service := map[string]float64{}
 	for _, c := range []struct {
@@ -37,35 +38,33 @@
 		list, srv bool
 	}{{"list alone", true, false}, {"name service alone", false, true}, {"both", true, true}} {
 		service[c.name] = serviceDuringDeploy(t, c.list, c.srv)
-		t.Logf("%-20s %.3f served", c.name, service[c.name])
+		t.Logf("%-20s %.3f of the requests served", c.name, service[c.name])
 	}
 	if service["both"] <= service["list alone"] {
-		t.Errorf("the name service is of no use: %v", service)
+		t.Errorf("the list with the name service must serve a larger share than the list alone, got %v", service)
 	}
 }
 
-// Of a deploy: the number of nodes, how long requests are sent, how late the endpoint list has a replacement, the time
-// between two replacements, and after which an old node exits.
 const (
-	deployNodes           = 6
-	deployLength          = 15 * time.Second
-	deployListDelay       = 5 * time.Second
-	deployGap             = 400 * time.Millisecond
-	deployExitDelay       = 1500 * time.Millisecond
-	deployWarmUp          = 3 * time.Second
-	deployRequestInterval = 10 * time.Millisecond // between two requests
+	deployNodes           = 6                       // number of nodes that are replaced
+	deployLength          = 15 * time.Second        // how long requests are sent
+	deployListDelay       = 5 * time.Second         // delay of the endpoint list after a replacement
+	deployGap             = 400 * time.Millisecond  // time between two replacements
+	deployExitDelay       = 1500 * time.Millisecond // time from a replacement until the old node exits
+	deployWarmUp          = 3 * time.Second         // time from the first request to the first replacement
+	deployRequestInterval = 10 * time.Millisecond   // time between two requests
 )
 
-// rollout is a set of nodes that a deploy replaces one by one, and where they are listed.
+// rollout is a set of nodes that a deploy replaces one by one, with the services that list them.
 type rollout struct {
 	discovery *emulator.Discovery
 	dns       *dnsserver.Server
 	servers   [deployNodes]*httptest.Server
 	hosts     [deployNodes]emulator.Endpoint
-	ports     [deployNodes]string // that are serving, as the name service lists them
+	ports     [deployNodes]string // ports that the name service lists; empty: none for this node
 }
 
-// startNode starts a node.
+// startNode starts a node that answers each request with "ok".
 func startNode(t *testing.T, name string) (*httptest.Server, emulator.Endpoint) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(5 * time.Millisecond)
@@ -76,7 +75,7 @@
 	return s, emulator.Endpoint{Name: name, Address: addr, Zone: "a", Kind: "m", Health: "SERVING"}
 }
 
-// startRollout starts the nodes before the deploy.
+// startRollout starts the nodes that the deploy will replace, and the services that list them.
 func startRollout(t *testing.T) *rollout {
 	t.Helper()
 	d, err := emulator.NewDiscovery()
@@ -98,7 +97,7 @@
 	return r
 }
 
-// listPort has the name service list another port for a node.
+// listPort makes the name service list a new port for node i.
 func (r *rollout) listPort(i int, addr string) {
 	_, r.ports[i], _ = net.SplitHostPort(addr)
 	var listed []string
@@ -110,7 +109,8 @@
 	r.dns.SetReply(srvReply(listed...))
 }
 
-// replaceAll replaces the nodes one by one. The name service lists each at once, the endpoint list late.
+// replaceAll replaces the nodes one by one. The name service lists each replacement at once, the endpoint list after
+// deployListDelay.
 func (r *rollout) replaceAll(t *testing.T) {
 	for i := range deployNodes {
 		s, h := startNode(t, fmt.Sprint("new", i))
@@ -125,7 +125,7 @@
 	}
 }
 
-// configuration returns the sidecar's configuration with the sources that it is to use.
+// configuration returns the sidecar's configuration, with the endpoint list, the name service or both as sources.
 func (r *rollout) configuration(t *testing.T, withList, withSRV bool) (*platform.Config, *operator.Config) {
 	t.Helper()
 	text := ""
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -16,12 +16,12 @@
 	connsPerRoot = 2
 	// connsPerNameServer is the number of sockets for queries to a name server: one for UDP and one for TCP.
 	connsPerNameServer = 2
-	// configConns is the number of descriptors that a member uses for distributed configuration: its watch, its report,
-	// two fetches, the search for a better upstream, and the file of the cached snapshot.
-	configConns = 6
-	// ledgerFiles is the number of files that the store of idempotency records has open in addition to its segments:
+	// configDescriptors is the number of descriptors that a member uses for distributed configuration: its watch, its
+	// report, two fetches, the search for a better upstream, and the file of the cached snapshot.
+	configDescriptors = 6
+	// storeFiles is the number of files that the store of idempotency records has open in addition to its segments:
 	// the directory, its lock, and the files that compaction reads and writes.
-	ledgerFiles = 4
+	storeFiles = 4
 )
 
 // maxDescriptors returns the number of descriptors to reserve for the parts that the operator's file enables. It is the
@@ -47,13 +47,13 @@
 		count += connsPerRoot * int(operatorConfig.Bootstrap.Roots)
 	}
 	if operatorConfig.ControlPlane != nil {
-		count += configConns + len(operatorConfig.ControlPlane.Origins) // may connect to all origins at once
+		count += configDescriptors + len(operatorConfig.ControlPlane.Origins) // may connect to all origins at once
 	}
 	if operatorConfig.Discovery != nil && operatorConfig.Discovery.SRV != nil {
 		count += connsPerNameServer * len(operatorConfig.Discovery.SRV.NameServers)
 	}
 	if records := operatorConfig.Idempotency; records != nil && records.Durability != middleware.DurabilityOff {
-		count += ledgerFiles + int(records.MaxBytes/max(records.SegmentSize, 1)) // number of segments
+		count += storeFiles + int(records.MaxBytes/max(records.SegmentSize, 1)) // number of segments
 	}
 	return count
 }
--- a/internal/daemon/disconnect_test.go
+++ b/internal/daemon/disconnect_test.go
@@ -20,18 +20,19 @@
 	"hazelwing/internal/testutil"
 )
 
-// Clients that disconnect while their request waits: docs/design/crossings.md. The requests that arrive afterwards are
-// counted at the endpoint's socket. The request of another client follows, so that none can still be in flight.
+// The tests in this file disconnect a client while its request waits, as docs/design/crossings.md describes. They
+// record the requests that arrive at the endpoint's socket. At the end another client sends a request, so that no
+// earlier request can still be in flight.
 
 // disconnects are the ways in which a client disconnects.
 var disconnects = map[string]func(c *net.TCPConn){
 	"FIN":   func(c *net.TCPConn) { c.Close() },
 	"reset": func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
-	"FIN behind more": func(c *net.TCPConn) {
+	"FIN after more data": func(c *net.TCPConn) {
 		send(c, "GET /look/more HTTP/1.1\r\n")
 		c.Close()
 	},
-	"FIN behind far more": func(c *net.TCPConn) { // more than is read ahead at once, and than the kernel buffers
+	"FIN after far more data": func(c *net.TCPConn) { // more than the read-ahead and the kernel buffer
 		_, _ = c.Write(make([]byte, 512<<10))
 		c.Close()
 	},
@@ -77,7 +78,7 @@
 func (r *testSidecar) checkOtherClientIsServed(t *testing.T) {
 	t.Helper()
 	if resp, _ := r.do(t, r.request(t, "GET", "look", "stays", "")); resp.StatusCode != http.StatusOK {
-		t.Errorf("the other client got %s", resp.Status)
+		t.Errorf("the other client got %s, want 200", resp.Status)
 	}
 }
 
@@ -88,14 +89,14 @@
 	for name, disconnect := range disconnects {
 		for _, a := range disconnectRequests {
 			t.Run(name+" "+a.class, func(t *testing.T) {
-				t.Parallel() // some wait for timers of the kernel
+				t.Parallel() // some wait for kernel timers
 				test(t, a.method, a.class, disconnect)
 			})
 		}
 	}
 }
 
-// waitForDisconnect waits until the kernel at the sidecar's side knows that the client has disconnected, which is when
+// waitForDisconnect waits until the kernel on the sidecar's side knows that the client has disconnected. From then on
 // the sidecar can know it.
 func waitForDisconnect(t *testing.T, client net.Conn) {
 	t.Helper()
@@ -104,22 +105,23 @@
 	})
 }
 
-// States of the kernel's connections.
+// States of connections in /proc/net/tcp.
 const (
 	stateEstablished = "01"
 	stateSynSent     = "02"
 )
 
-// kernelHasConn reports whether the kernel has a connection between two addresses in a state; from nil stands for any.
+// kernelHasConn reports whether the kernel has a connection between two addresses in the given state. If from is nil,
+// it matches any address.
 func kernelHasConn(t *testing.T, from, to net.Addr, state string) bool {
 	t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		t.Fatal(err)
 	}
-	hex := func(a net.Addr) string { // as in /proc/net/tcp
-		at := a.(*net.TCPAddr)
-		return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(at.IP.To4()), at.Port)
+	hex := func(a net.Addr) string { // the notation in /proc/net/tcp
+		addr := a.(*net.TCPAddr)
+		return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(addr.IP.To4()), addr.Port)
 	}
 	for line := range strings.Lines(string(table)) {
 		f := strings.Fields(line)
@@ -130,8 +132,8 @@
 	return false
 }
 
-// A request waits for an endpoint, its client disconnects, and then there is one. Sent now, the request would run for
-// nobody: no attempt may start.
+// A request waits because there is no endpoint. Its client disconnects, and then an endpoint is added. No attempt may
+// start, because no client waits for the response.
 func TestDisconnectBeforeThereIsAnEndpoint(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
 		var arrived arrivals
@@ -153,13 +155,13 @@
 		d.Set(emulator.Endpoint{Name: "s", Address: addr, Zone: "a", Kind: "m", Health: "SERVING"})
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "stays" {
-			t.Errorf("arrived: %s", got)
+			t.Errorf("requests that arrived: got %q, want \"stays\"", got)
 		}
 	})
 }
 
-// listenWithoutBacklog returns a listener with a backlog of one connection, the smallest that the kernel has.
-func listenWithoutBacklog(t *testing.T) *net.TCPListener {
+// listenWithMinimalBacklog returns a listener with a backlog of one connection, the smallest that the kernel supports.
+func listenWithMinimalBacklog(t *testing.T) *net.TCPListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -179,7 +181,7 @@
 	return l.(*net.TCPListener)
 }
 
-// fillBacklog fills the backlog: no connection is established before one is accepted.
+// fillBacklog fills the backlog of l, so that no further connection is established before one is accepted.
 func fillBacklog(t *testing.T, l net.Listener) {
 	t.Helper()
 	first, err := net.Dial("tcp", l.Addr().String())
@@ -189,7 +191,7 @@
 	t.Cleanup(func() { first.Close() })
 }
 
-// serve accepts connections from now on, and answers each request.
+// serve accepts connections in a goroutine, and answers each request.
 func (a *arrivals) serve(l net.Listener) {
 	go func() {
 		for {
@@ -205,18 +207,18 @@
 // answer answers each request of a connection.
 func (a *arrivals) answer(c net.Conn) {
 	defer c.Close()
-	from := bufio.NewReader(c)
-	for q := testutil.ReadRequest(from); q != nil; q = testutil.ReadRequest(from) {
+	reader := bufio.NewReader(c)
+	for q := testutil.ReadRequest(reader); q != nil; q = testutil.ReadRequest(reader) {
 		a.add(q.Header.Get("X-Request-Id"))
 		send(c, testutil.OKResponse)
 	}
 }
 
-// An endpoint's backlog is full, so that the connection to it is established only after the client has disconnected. A
-// request that is written then runs for nobody: nothing may be written.
+// The backlog of an endpoint is full, so that a connection to it is established only after the client has disconnected.
+// The request must not be written then, because no client waits for the response.
 func TestDisconnectWhileDialing(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
-		l := listenWithoutBacklog(t)
+		l := listenWithMinimalBacklog(t)
 		fillBacklog(t, l)
 		r := startSidecar(t, testutil.UnusedAddr, l.Addr().String(),
 			`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
@@ -228,35 +230,35 @@
 		arrived.serve(l)
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "stays" {
-			t.Errorf("arrived: %s", got)
+			t.Errorf("requests that arrived: got %q, want \"stays\"", got)
 		}
 	})
 }
 
-// waitForDial waits until the kernel tries to establish a connection to addr.
+// waitForDial waits until the kernel is establishing a connection to addr.
 func waitForDial(t *testing.T, addr net.Addr) {
 	t.Helper()
 	testutil.Until(t, "the dial", func() bool { return isDialing(t, addr) })
 }
 
-// isDialing reports whether the kernel tries to establish a connection to addr.
+// isDialing reports whether the kernel is establishing a connection to addr.
 func isDialing(t *testing.T, addr net.Addr) bool {
 	t.Helper()
 	return kernelHasConn(t, nil, addr, stateSynSent)
 }
 
-// The first attempt is rejected before it ran, after the client has disconnected. A retry would run for nobody: there
-// must be none.
+// An endpoint rejects the first attempt before it runs, after the client has disconnected. There must be no retry,
+// because no client waits for the response.
 func TestDisconnectBeforeRetry(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
 		var arrived arrivals
-		here, turn := make(chan bool), make(chan bool)
+		arrivedFirst, reject := make(chan bool), make(chan bool)
 		serve := func(_ int, c net.Conn, r *bufio.Reader) {
 			for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
 				id := q.Header.Get("X-Request-Id")
 				if arrived.add(id); id == "leaves" {
-					here <- true
-					<-turn
+					arrivedFirst <- true
+					<-reject
 					send(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				} else {
 					send(c, testutil.OKResponse)
@@ -267,25 +269,25 @@
 		entries := []string{endpointEntry("s0", one), endpointEntry("s1", other)}
 		r := startSidecar(t, testutil.UnusedAddr, testutil.UnusedAddr, knownEndpoints(entries)...)
 		c := r.sendRequest(t, method, class)
-		testutil.Receive(t, here, "the first attempt")
+		testutil.Receive(t, arrivedFirst, "the first attempt")
 		disconnect(c)
 		waitForDisconnect(t, c)
-		turn <- true
+		reject <- true
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "leaves stays" {
-			t.Errorf("arrived: %s", got)
+			t.Errorf("requests that arrived: got %q, want \"leaves stays\"", got)
 		}
 	})
 }
 
-// A retry was decided on, and its connection is established only after the client has disconnected. The decision was
-// right when it was made, and the retry would still run for nobody: nothing may be written.
+// The engine has decided to retry, and the connection for the retry is established only after the client has
+// disconnected. The retry must not be written, because no client waits for the response any more.
 func TestDisconnectWhileRetryIsDialing(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
 		var arrived arrivals
-		asked, turn, idle := make(chan int, 2), make(chan bool), make(chan bool, 2)
-		lists := []*net.TCPListener{listenWithoutBacklog(t), listenWithoutBacklog(t)}
-		for i, l := range lists {
+		attempted, reject, idle := make(chan int, 2), make(chan bool), make(chan bool, 2)
+		listeners := []*net.TCPListener{listenWithMinimalBacklog(t), listenWithMinimalBacklog(t)}
+		for i, l := range listeners {
 			go func() {
 				c, err := l.Accept()
 				if err != nil {
@@ -294,24 +296,24 @@
 				}
 				defer c.Close()
 				arrived.add(testutil.ReadRequest(bufio.NewReader(c)).Header.Get("X-Request-Id"))
-				asked <- i
-				<-turn
-				l.Close() // it gets no retry
+				attempted <- i
+				<-reject
+				l.Close() // prevents a retry at the same endpoint
 				send(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			}()
 		}
 		change := knownEndpoints([]string{
-			endpointEntry("s0", lists[0].Addr().String()),
-			endpointEntry("s1", lists[1].Addr().String()),
+			endpointEntry("s0", listeners[0].Addr().String()),
+			endpointEntry("s1", listeners[1].Addr().String()),
 		})
 		change = append(change, `"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
 		r := startSidecar(t, testutil.UnusedAddr, testutil.UnusedAddr, change...)
 		c := r.sendRequest(t, method, class)
-		other := lists[1-testutil.Receive(t, asked, "the first attempt")]
+		other := listeners[1-testutil.Receive(t, attempted, "the first attempt")]
 		_ = other.SetDeadline(time.Unix(1, 0))
-		testutil.Receive(t, idle, "the end of its accepting")
+		testutil.Receive(t, idle, "the end of Accept at the other listener")
 		fillBacklog(t, other)
-		turn <- true
+		reject <- true
 		waitForDial(t, other.Addr())
 		disconnect(c)
 		waitForDisconnect(t, c)
@@ -320,17 +322,18 @@
 		testutil.Until(t, "the end of the dial", func() bool { return !isDialing(t, other.Addr()) })
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "leaves stays" {
-			t.Errorf("arrived: %s", got)
+			t.Errorf("requests that arrived: got %q, want \"leaves stays\"", got)
 		}
 	})
 }
 
-// This process is slow, so that a client's request and its close wait in the kernel together. Read in order, the
-// request comes first and would run for nobody: the close must be noticed before anything is sent.
+// If the sidecar is slow, the request and the close of a client are both in the kernel's buffer before either is read.
+// The sidecar reads the request first. It must detect the close before it sends the request, because no client waits
+// for the response.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	for name, disconnect := range disconnects {
 		if strings.Contains(name, "far") {
-			continue // a close behind more than the kernel buffers cannot be known before that is read
+			continue // a close after more data than the kernel buffers cannot be detected before the data is read
 		}
 		t.Run(name, func(t *testing.T) {
 			var arrived arrivals
@@ -355,7 +358,7 @@
 				client:  &http.Client{Transport: &http.Transport{}, Timeout: testutil.WaitTimeout},
 			}
 			for _, a := range disconnectRequests {
-				c := r.sendRequest(t, a.method, a.class) // into the backlog: nothing of the sidecar runs yet
+				c := r.sendRequest(t, a.method, a.class) // stays in the backlog, because the sidecar is not running yet
 				disconnect(c)
 				waitForDisconnect(t, c)
 			}
@@ -365,7 +368,7 @@
 			parts.Go(func() { _ = s.front.Serve(ctx, l, 10, discardLog) })
 			r.checkOtherClientIsServed(t)
 			if got := arrived.String(); got != "stays" {
-				t.Errorf("arrived: %s", got)
+				t.Errorf("requests that arrived: got %q, want \"stays\"", got)
 			}
 			r.client.CloseIdleConnections()
 			end()
--- a/internal/daemon/drainnotice_test.go
+++ b/internal/daemon/drainnotice_test.go
@@ -21,22 +21,23 @@
 	"hazelwing/internal/testutil"
 )
 
-var noticeRuns = flag.Int("plays", 1, "how often TestDrainIsNoticedInTime runs each path")
+var noticeRuns = flag.Int("plays", 1, "number of times that TestDrainIsNoticedInTime runs each path")
 
 const (
-	// maxNoticeDelay is when a change counts as notified, from when discovery had it and could be reached; a rule is
-	// broken grace later.
+	// maxNoticeDelay is the time after which the sidecar must know a change. It is measured from the time at which
+	// discovery has the change and can be reached. A request to a draining server breaks a rule if it is sent more than
+	// grace after maxNoticeDelay.
 	maxNoticeDelay = 6 * time.Second
 	grace          = 250 * time.Millisecond
-	// slack is what a busy machine may add to a sum.
+	// slack is the delay that a busy machine may add to a worst case.
 	slack = 250 * time.Millisecond
 )
 
-// answer is what happens to one call of a discovery.
-type answer func(w http.ResponseWriter, r *http.Request)
+// callHandler handles one call to discovery.
+type callHandler func(w http.ResponseWriter, r *http.Request)
 
-// respond answers with text, and continues with next.
-func respond(text string, next answer) answer {
+// respond sends text, and then continues the call with next.
+func respond(text string, next callHandler) callHandler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		send(w, text)
 		w.(http.Flusher).Flush()
@@ -44,11 +45,11 @@
 	}
 }
 
-// hang leaves a call open and sends nothing more.
+// hang keeps a call open and sends nothing.
 func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 // rejectAfter rejects a call after d.
-func rejectAfter(d time.Duration) answer {
+func rejectAfter(d time.Duration) callHandler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(d):
@@ -58,9 +59,10 @@
 	}
 }
 
-func reset(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// resetConn resets the connection of a call.
+func resetConn(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// sendHeartbeats sends an empty line now and then.
+// sendHeartbeats sends an empty line every 400 ms until the call ends.
 func sendHeartbeats(w http.ResponseWriter, r *http.Request) {
 	for {
 		select {
@@ -73,110 +75,124 @@
 	}
 }
 
-// times returns an answer n times.
-func times(n int, a answer) []answer { return slices.Repeat([]answer{a}, n) }
+// repeat returns a list that has handler n times.
+func repeat(n int, handler callHandler) []callHandler {
+	return slices.Repeat([]callHandler{handler}, n)
+}
 
-// noticePath is a way in which the update of a drain arrives late: what happens to the calls after the watch was lost.
+// noticePath is a way in which the update about a drain arrives late, because calls to discovery fail after the watch
+// was lost.
 type noticePath struct {
 	name  string
-	calls []answer // one after another; the next one brings the update
-	// sum is the worst case from the drain, at which discovery has it and could be reached, to the beginning of the
-	// call that brings it, in the terms of docs/design/crossings.md.
-	sum time.Duration
-	// lost is how the watch ends, at the drain; nil: it falls silent.
-	lost answer
-	// down is how long discovery is out of reach from then on; the drain counts from its return.
-	down time.Duration
-	// moves: the list is moved to another discovery at once.
-	moves bool
-	// lists: the watch of the one that it is moved to works and does not report the drain; the calls are those for the
-	// complete list.
-	lists bool
-	// pushed: also run with an agent that pushes the list.
-	pushed bool
+	calls []callHandler // handlers of the failing calls, in order; the call after them returns the update
+	// worstCase is the longest time from the drain to the beginning of the call that returns the update. It is computed
+	// in the terms of docs/design/crossings.md. At the time of the drain, discovery has the update and can be reached.
+	worstCase time.Duration
+	// endWatch ends the watch at the time of the drain. If it is nil, the watch stays open and sends nothing more.
+	endWatch callHandler
+	// outage is how long discovery cannot be reached after the loss of the watch. The drain is measured from the end of
+	// the outage.
+	outage time.Duration
+	// moved makes the sidecar follow another discovery as soon as the watch is lost.
+	moved bool
+	// viaCompleteList makes the watch of the other discovery work without reporting the drain. In this case calls
+	// handles the calls for the complete list.
+	viaCompleteList bool
+	// alsoPushed runs the path a second time, with an agent that pushes the list.
+	alsoPushed bool
 }
 
 const ms = time.Millisecond
 
 var noticePaths = []noticePath{
-	{name: "answered", sum: 2750 * ms, pushed: true},
-	{name: "turned away after 2 s", calls: times(1, rejectAfter(2*time.Second)), sum: 4000 * ms, pushed: true},
-	{name: "turned away after 2 s, twice", calls: times(2, rejectAfter(2*time.Second)), sum: 5250 * ms},
-	{name: "turned away after 1 s, twice", calls: times(2, rejectAfter(time.Second)), sum: 5250 * ms, pushed: true},
-	{name: "turned away after 0.3 s, three times", calls: times(3, rejectAfter(300*ms)), sum: 5000 * ms},
-	{name: "turned away at once, four times", calls: times(4, rejectAfter(0)), sum: 5750 * ms, pushed: true},
-	{name: "hangs", calls: times(1, hang), sum: 4000 * ms, pushed: true},
-	{name: "hangs, twice", calls: times(2, hang), sum: 5250 * ms, pushed: true},
-	{name: "hangs, and is turned away beside that", calls: []answer{hang, rejectAfter(0)}, sum: 5500 * ms},
-	{name: "reset, four times", calls: times(4, reset), sum: 5750 * ms},
-	{name: "headers and no more", calls: times(1, respond("", hang)), sum: 4000 * ms, pushed: true},
-	{name: "half of an object and no more", calls: times(1, respond(`{"seq":6,"who`, hang)), sum: 4000 * ms},
-	{name: "one line and no more", calls: times(1, respond("\n", hang)), sum: 5500 * ms, pushed: true},
+	{name: "answered", worstCase: 2750 * ms, alsoPushed: true},
+	{name: "rejected after 2 s", calls: repeat(1, rejectAfter(2*time.Second)), worstCase: 4000 * ms, alsoPushed: true},
+	{name: "rejected after 2 s, twice", calls: repeat(2, rejectAfter(2*time.Second)), worstCase: 5250 * ms},
+	{
+		name:       "rejected after 1 s, twice",
+		calls:      repeat(2, rejectAfter(time.Second)),
+		worstCase:  5250 * ms,
+		alsoPushed: true,
+	},
+	{name: "rejected after 0.3 s, three times", calls: repeat(3, rejectAfter(300*ms)), worstCase: 5000 * ms},
+	{name: "rejected at once, four times", calls: repeat(4, rejectAfter(0)), worstCase: 5750 * ms, alsoPushed: true},
+	{name: "hangs", calls: repeat(1, hang), worstCase: 4000 * ms, alsoPushed: true},
+	{name: "hangs, twice", calls: repeat(2, hang), worstCase: 5250 * ms, alsoPushed: true},
+	{
+		name:      "hangs, and the next call is rejected at once",
+		calls:     []callHandler{hang, rejectAfter(0)},
+		worstCase: 5500 * ms,
+	},
+	{name: "reset, four times", calls: repeat(4, resetConn), worstCase: 5750 * ms},
+	{name: "only headers", calls: repeat(1, respond("", hang)), worstCase: 4000 * ms, alsoPushed: true},
+	{name: "only half of an object", calls: repeat(1, respond(`{"seq":6,"who`, hang)), worstCase: 4000 * ms},
+	{name: "only one line", calls: repeat(1, respond("\n", hang)), worstCase: 5500 * ms, alsoPushed: true},
 	{
-		name:  "refused, and then turned away after 1 s, twice",
-		down:  7 * time.Second,
-		calls: times(2, rejectAfter(time.Second)),
-		sum:   5000 * ms,
+		name:      "connection refused, then rejected after 1 s, twice",
+		outage:    7 * time.Second,
+		calls:     repeat(2, rejectAfter(time.Second)),
+		worstCase: 5000 * ms,
 	},
 	{
-		name:  "refused, and then turned away at once, four times",
-		down:  7 * time.Second,
-		calls: times(4, rejectAfter(0)),
-		sum:   5500 * ms,
+		name:      "connection refused, then rejected at once, four times",
+		outage:    7 * time.Second,
+		calls:     repeat(4, rejectAfter(0)),
+		worstCase: 5500 * ms,
 	},
 	{
-		name:  "moved, turned away after 1 s, three times",
-		moves: true,
-		lost:  reset,
-		calls: times(3, rejectAfter(time.Second)),
-		sum:   3750 * ms,
+		name:      "moved, rejected after 1 s, three times",
+		moved:     true,
+		endWatch:  resetConn,
+		calls:     repeat(3, rejectAfter(time.Second)),
+		worstCase: 3750 * ms,
 	},
-	{name: "moved, hangs, twice", moves: true, lost: reset, calls: times(2, hang), sum: 2500 * ms},
+	{name: "moved, hangs, twice", moved: true, endWatch: resetConn, calls: repeat(2, hang), worstCase: 2500 * ms},
 	{
-		name:  "moved while refused, turned away after 1 s, three times",
-		moves: true,
-		down:  7 * time.Second,
-		calls: times(3, rejectAfter(time.Second)),
-		sum:   3750 * ms,
+		name:      "moved during an outage, rejected after 1 s, three times",
+		moved:     true,
+		outage:    7 * time.Second,
+		calls:     repeat(3, rejectAfter(time.Second)),
+		worstCase: 3750 * ms,
 	},
 	{
-		name:  "the whole list is turned away at once, three times",
-		moves: true,
-		lists: true,
-		calls: times(3, rejectAfter(0)),
-		sum:   5812 * ms,
+		name:            "complete list rejected at once, three times",
+		moved:           true,
+		viaCompleteList: true,
+		calls:           repeat(3, rejectAfter(0)),
+		worstCase:       5812 * ms,
 	},
 	{
-		name:  "the whole list is turned away after 1 s, twice",
-		moves: true,
-		lists: true,
-		calls: times(2, rejectAfter(time.Second)),
-		sum:   5500 * ms,
+		name:            "complete list rejected after 1 s, twice",
+		moved:           true,
+		viaCompleteList: true,
+		calls:           repeat(2, rejectAfter(time.Second)),
+		worstCase:       5500 * ms,
 	},
-	{name: "the whole list hangs", moves: true, lists: true, calls: times(1, hang), sum: 4250 * ms},
+	{name: "complete list hangs", moved: true, viaCompleteList: true, calls: repeat(1, hang), worstCase: 4250 * ms},
 }
 
-// drainRun is a run of a path with a sidecar, two servers and a client of 20 requests a second, over sockets.
+// drainRun is a run of a path with a sidecar, two servers and a client that sends 20 requests a second, over real
+// sockets.
 type drainRun struct {
 	noticePath
 	mode   string
-	list   string // of both servers, with the first as it was before the drain
-	update string
+	list   string // complete list of both servers before the drain
+	update string // update that reports the drain of the first server
 
-	watchLost     chan struct{} // closed when the watch is to end
-	callsMade     atomic.Int32  // calls since then
-	drainSent     chan struct{} // closed when the drain was sent
+	watchLost     chan struct{} // closed to end the watch
+	callsMade     atomic.Int32  // calls since the loss of the watch
+	drainSent     chan struct{} // closed when the update has been sent
 	markDrainSent func()
-	last          [2]atomic.Int64 // when a server was last sent something, Unix nanoseconds
+	lastRequest   [2]atomic.Int64 // time of the last request to each server, Unix nanoseconds
 
 	r         *testSidecar
 	stop      func()
-	discovery *http.Server // that is followed at the start
+	discovery *http.Server // discovery that is followed at the start
 	addr      string
-	other     string // discovery's address that the list is moved to
+	otherAddr string // address of the other discovery, if moved is set
 }
 
-// startDrainRun starts discovery, two servers and a sidecar.
+// startDrainRun starts discovery, two servers and a sidecar. mode is the sidecar's mode of discovery: ask or push.
 func startDrainRun(t *testing.T, p noticePath, mode string) *drainRun {
 	d := &drainRun{noticePath: p, mode: mode, watchLost: make(chan struct{}), drainSent: make(chan struct{})}
 	d.markDrainSent = sync.OnceFunc(func() { close(d.drainSent) })
@@ -186,8 +202,9 @@
 	var dial [2]string
 	for i := range dial {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			d.last[i].Store(time.Now().UnixNano())
-			time.Sleep(time.Duration(1+20*i) * time.Millisecond) // so that the one that drains is preferred
+			d.lastRequest[i].Store(time.Now().UnixNano())
+			// The sidecar prefers the first server, which drains, because the second one is slower.
+			time.Sleep(time.Duration(1+20*i) * time.Millisecond)
 			send(w, "ok")
 		}))
 		t.Cleanup(node.Close)
@@ -203,7 +220,7 @@
 	d.addr = l.Addr().String()
 	d.serve(l)
 	t.Cleanup(func() { d.discovery.Close() })
-	if p.moves {
+	if p.moved {
 		d.serveOther(t, second)
 	}
 	cfg := config(t, d.addr, testutil.UnusedAddr, `"Balancers":1`, `"Balancers":300`, `"ask"`, strconv.Quote(mode))
@@ -213,12 +230,12 @@
 	return d
 }
 
-// serveOther starts the discovery that the list is moved to. Its complete list has the second server only, so the first
-// one is removed.
+// serveOther starts the discovery that the sidecar is moved to. Its complete list has only the second server, so that
+// the first one is removed.
 func (d *drainRun) serveOther(t *testing.T, second string) {
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
-		case !d.lists:
+		case !d.viaCompleteList:
 			d.answerAfterLoss(w, r, d.update)
 		case r.URL.RawQuery == "":
 			d.answerAfterLoss(w, r, `{"seq":6,"whole":true,"hosts":[`+second+"]}\n")
@@ -227,15 +244,15 @@
 		}
 	}))
 	t.Cleanup(other.Close)
-	d.other = other.Listener.Addr().String()
+	d.otherAddr = other.Listener.Addr().String()
 }
 
-// serve has discovery listen at l.
+// serve starts discovery on l.
 func (d *drainRun) serve(l net.Listener) {
 	d.discovery = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-d.watchLost:
-			if d.moves {
+			if d.moved {
 				rejectAfter(0)(w, r)
 			} else {
 				d.answerAfterLoss(w, r, d.update)
@@ -244,11 +261,11 @@
 		default:
 		}
 		respond(d.list, func(w http.ResponseWriter, r *http.Request) {
-			for { // so that a disconnect of the client is noticed, and the loss is at once
+			for { // sends heartbeats until the watch is lost or the client disconnects
 				select {
 				case <-d.watchLost:
-					if d.lost != nil {
-						d.lost(w, r)
+					if d.endWatch != nil {
+						d.endWatch(w, r)
 					}
 					respond("\n", hang)(w, r)
 					return
@@ -264,7 +281,7 @@
 	go func() { _ = d.discovery.Serve(l) }()
 }
 
-// answerAfterLoss answers a call after the watch was lost.
+// answerAfterLoss answers a call that is made after the loss of the watch.
 func (d *drainRun) answerAfterLoss(w http.ResponseWriter, r *http.Request, update string) {
 	if n := int(d.callsMade.Add(1)) - 1; n < len(d.calls) {
 		d.calls[n](w, r)
@@ -278,21 +295,21 @@
 	})(w, r)
 }
 
-// run drains the first server, and returns how long after that the last attempt at it began.
+// run drains the first server. It returns the time from the drain to the beginning of the last attempt at that server.
 func (d *drainRun) run(t *testing.T, number int) (time.Duration, error) {
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	defer stop()
 	clients.Go(func() { d.sendRequests(ctx, t, number, &clients) })
-	if err := d.waitUntilUsed(0, "the server at work"); err != nil {
+	if err := d.waitUntilUsed(0, "requests to the first server"); err != nil {
 		return 0, err
 	}
 	drainedAt, err := d.drain()
 	if err != nil {
 		return 0, err
 	}
-	err = waitUntil("the update", func() bool {
+	err = waitUntil("call that returns the update", func() bool {
 		select {
 		case <-d.drainSent:
 			return true
@@ -303,11 +320,12 @@
 	if err != nil {
 		return 0, err
 	}
-	// A drain that was not noticed shows: a server that is in use gets one request in two.
-	if err := d.waitUntilUsed(1, "the other server at work"); err != nil {
+	// Requests to the second server for some time would reveal a drain that was not noticed, because a server in use
+	// gets every second request.
+	if err := d.waitUntilUsed(1, "requests to the second server"); err != nil {
 		return 0, err
 	}
-	return time.Unix(0, d.last[0].Load()).Sub(drainedAt), nil
+	return time.Unix(0, d.lastRequest[0].Load()).Sub(drainedAt), nil
 }
 
 // sendRequests sends 20 requests a second until ctx ends.
@@ -332,16 +350,16 @@
 	}
 }
 
-// drain has the watch end, takes discovery out of reach and moves the list, as the path says. It returns when the drain
-// counts from.
+// drain ends the watch, makes discovery unreachable and moves the sidecar to the other discovery, as the path requires.
+// It returns the time from which the drain is measured.
 func (d *drainRun) drain() (time.Time, error) {
 	drainedAt := time.Now()
 	close(d.watchLost)
-	if d.down > 0 {
+	if d.outage > 0 {
 		d.discovery.Close()
-		time.Sleep(d.down)
+		time.Sleep(d.outage)
 	}
-	if d.down > 0 && !d.moves {
+	if d.outage > 0 && !d.moved {
 		l, err := net.Listen("tcp", d.addr)
 		if err != nil {
 			return drainedAt, err
@@ -349,37 +367,38 @@
 		drainedAt = time.Now()
 		d.serve(l)
 	}
-	if d.moves {
+	if d.moved {
 		drainedAt = time.Now()
-		d.r.engine.SetSource(watch.NewClient(d.other, d.mode == "ask", discardLog))
+		d.r.engine.SetSource(watch.NewClient(d.otherAddr, d.mode == "ask", discardLog))
 	}
 	return drainedAt, nil
 }
 
-// waitUntilUsed waits until a server was sent something later than half a second from now, for the first one, or from
-// its last request, for the other.
+// waitUntilUsed waits until a server gets a request more than half a second after a reference time. This is the current
+// time for the first server, and the time of the server's last request for the second one.
 func (d *drainRun) waitUntilUsed(server int, what string) error {
 	since := time.Now().UnixNano()
 	if server == 1 {
-		since = d.last[1].Load()
+		since = d.lastRequest[1].Load()
 	}
-	return waitUntil(what, func() bool { return d.last[server].Load() > since+int64(500*time.Millisecond) })
+	return waitUntil(what, func() bool { return d.lastRequest[server].Load() > since+int64(500*time.Millisecond) })
 }
 
-// waitUntil waits for a condition, in a goroutine that may not end the test.
+// waitUntil waits for a condition. Unlike testutil.Until it returns an error, because it runs in goroutines that must
+// not end the test.
 func waitUntil(what string, ok func() bool) error {
 	for deadline := time.Now().Add(testutil.WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("waited in vain for %s", what)
+			return fmt.Errorf("timeout after %v: no %s", testutil.WaitTimeout, what)
 		}
 	}
 	return nil
 }
 
-// A server drains in the instant in which the watch is lost, and the next calls to discovery fail, each in another
-// way. What is sent to that server ends with the first call that brings the update, which has to begin in time for the
-// 6 s after which it counts as notified, whatever failed meanwhile. Each bad order is produced every time. The runs
-// consist of waits, and run in parallel.
+// A server drains at the moment at which the watch is lost, and the next calls to discovery fail in different ways. The
+// sidecar sends requests to that server until a call returns the update. This call must begin early enough for the
+// sidecar to know of the drain within 6 s, whichever calls have failed. The paths are deterministic. They run in
+// parallel, because they mostly wait.
 func TestDrainIsNoticedInTime(t *testing.T) {
 	measured := map[string][]string{}
 	for range *noticeRuns {
@@ -388,13 +407,14 @@
 	for _, p := range noticePaths {
 		for _, mode := range []string{"ask", "push"} {
 			if m := measured[mode+": "+p.name]; m != nil {
-				t.Logf("%-4s %-56s sum %.2f: %s", mode, p.name, p.sum.Seconds(), strings.Join(m, " "))
+				t.Logf("%-4s %-56s worst case %.2f s, measured: %s",
+					mode, p.name, p.worstCase.Seconds(), strings.Join(m, " "))
 			}
 		}
 	}
 }
 
-// runAllPaths runs each path once, and adds what it measured, in seconds.
+// runAllPaths runs each path once, and adds the times until the last request to measured, in seconds.
 func runAllPaths(t *testing.T, measured map[string][]string) {
 	type result struct {
 		last time.Duration
@@ -403,7 +423,7 @@
 	var all []*drainRun
 	for _, p := range noticePaths {
 		all = append(all, startDrainRun(t, p, "ask"))
-		if p.pushed {
+		if p.alsoPushed {
 			all = append(all, startDrainRun(t, p, "push"))
 		}
 	}
@@ -422,11 +442,11 @@
 		last := results[i].last
 		measured[name] = append(measured[name], fmt.Sprintf("%.2f", last.Seconds()))
 		if last <= 0 {
-			t.Errorf("%s: nothing was sent to the server that drained: this tests nothing", name)
+			t.Errorf("%s: no request was sent to the server after it drained, so the path tests nothing", name)
 		}
-		if last > d.sum+slack || d.sum > maxNoticeDelay || last > maxNoticeDelay+grace {
-			t.Errorf("%s: sent to %v after it drained, %d calls; the sum is %v",
-				name, last.Round(10*time.Millisecond), d.callsMade.Load(), d.sum)
+		if last > d.worstCase+slack || d.worstCase > maxNoticeDelay || last > maxNoticeDelay+grace {
+			t.Errorf("%s: the last request was sent %v after the drain, with %d calls to discovery; worst case %v",
+				name, last.Round(10*time.Millisecond), d.callsMade.Load(), d.worstCase)
 		}
 		d.stop()
 	}
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -20,7 +20,8 @@
 
 const bookingService = "_booking._tcp.example.org."
 
-// srvReply returns the replies of a name service that lists ports of 127.0.0.1, for a tenth of a second.
+// srvReply returns the replies of a name service that lists ports of 127.0.0.1, with a TTL of 0, which the sidecar
+// raises to min_ttl.
 func srvReply(ports ...string) dnsserver.ReplyFunc {
 	return func(q dnsmessage.Message, _ bool) [][]byte {
 		var list []dnsmessage.Resource
@@ -42,9 +43,9 @@
 	}
 }
 
-// A name service stands beside discovery. An endpoint that only it lists gets requests. One that discovery lists as
-// draining would go on getting them as long as the name service lists it, and one that a silent name service no longer
-// confirms would get none: the former must get no new ones beyond the grace, and silence must remove nothing.
+// A name service is an additional source besides discovery. An endpoint that only the name service lists gets requests.
+// An endpoint that discovery reports as draining gets no new requests after the grace, although the name service still
+// lists it. If the name service stops answering, the endpoints that it listed stay.
 func TestSRVBesideDiscovery(t *testing.T) {
 	var seen [2]atomic.Int64
 	var ports [2]string
@@ -77,43 +78,47 @@
 	r, stop := run(t, config(t, d.Addr(), testutil.UnusedAddr), op)
 	defer stop()
 	n := 0
-	// A rejection is as good: a node that may just have started is warming up.
-	ask := func() bool {
+	// request sends a request and reports whether it was served. A rejection is also valid, because a new node is in
+	// slow start.
+	request := func() bool {
 		n++
 		resp, _ := r.do(t, r.request(t, "GET", "look", strconv.Itoa(n), ""))
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("request %d: %s", n, resp.Status)
+			t.Errorf("request %d: got %s, want 200 or 503", n, resp.Status)
 		}
 		return resp.StatusCode == http.StatusOK
 	}
-	ask()
+	request()
 	dns.SetReply(srvReply(ports[0], ports[1]))
-	testutil.Until(t, "a request to the node that only the name service names", func() bool {
-		ask()
+	testutil.Until(t, "a request to the node that only the name service lists", func() bool {
+		request()
 		return seen[1].Load() > 0
 	})
 
 	host.Health = "DRAINING"
 	drainedAt := time.Now()
 	d.Set(host)
-	for time.Since(drainedAt) < 600*time.Millisecond { // the grace, and the delay of a busy machine
-		ask()
+	for time.Since(drainedAt) < 600*time.Millisecond { // the grace, plus a delay for a busy machine
+		request()
 	}
 	before := seen[0].Load()
 	for range 50 {
-		ask()
+		request()
 	}
 	if after := seen[0].Load(); after > before {
-		t.Errorf("%d requests went to a node that drains", after-before)
+		t.Errorf("%d requests were sent to a draining node, want none", after-before)
 	}
 	for _, e := range r.endpoints.Status() {
 		drains := e.Addr == host.Address || e.ID == "addr "+host.Address
 		if e.Listed == drains || drains && e.Reason != "list says that it has left" {
-			t.Errorf("in the list: %+v", e)
+			t.Errorf("endpoint %+v: want only the node that does not drain in the list", e)
 		}
 	}
 	dns.SetReply(func(dnsmessage.Message, bool) [][]byte { return nil })
-	asked := dns.Queries()
-	testutil.Until(t, "lookups that nobody answers", func() bool { ask(); return dns.Queries() > asked+2 })
-	testutil.Until(t, "an answer of the node that is left", ask)
+	queries := dns.Queries()
+	testutil.Until(t, "queries that the name service does not answer", func() bool {
+		request()
+		return dns.Queries() > queries+2
+	})
+	testutil.Until(t, "a response of the remaining node", request)
 }
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -35,8 +35,8 @@
 	return keys
 }
 
-// GET /config is the member's state, in one object with what this sidecar follows. A test of package transport has the
-// golden file of the member's own part.
+// GET /config returns the member's state, with this sidecar's address of discovery and log level in the same object. A
+// test of package transport has the golden file of the member's state.
 func TestConfigurationStateFormatIsStable(t *testing.T) {
 	member, err := transport.NewMember(transport.MemberConfig{
 		Follower:       controlplane.FollowerConfig{Cluster: "f", Self: "m1"},
@@ -59,12 +59,12 @@
 		stop()
 		<-ended
 	}()
-	part := &configMember{
+	m := &configMember{
 		member:  member,
 		sidecar: &sidecar{currentDiscovery: "10.0.0.2:8500"},
 		level:   new(slog.LevelVar),
 	}
-	state := part.state()
+	state := m.state()
 	testutil.ExplicitNames(t, "json", state)
 	text, err := json.Marshal(state)
 	if err != nil {
@@ -73,10 +73,10 @@
 	want := strings.Fields("held acts kept refused older conflicts broken foreign fetches crowded highest ready " +
 		"not_confirmed_for upstreams got report serves discovery level")
 	if got := objectKeys(t, text); !reflect.DeepEqual(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("keys of GET /config: got %q, want %q", got, want)
 	}
-	var own struct{ Discovery, Level string }
-	if err := json.Unmarshal(text, &own); err != nil || own.Discovery != "10.0.0.2:8500" || own.Level != "INFO" {
-		t.Errorf("%v: %+v", err, own)
+	var local struct{ Discovery, Level string }
+	if err := json.Unmarshal(text, &local); err != nil || local.Discovery != "10.0.0.2:8500" || local.Level != "INFO" {
+		t.Errorf("got %+v, error %v; want discovery 10.0.0.2:8500 and level INFO", local, err)
 	}
 }
--- a/internal/daemon/graphql_disconnect_test.go
+++ b/internal/daemon/graphql_disconnect_test.go
@@ -13,32 +13,32 @@
 	"hazelwing/internal/testutil"
 )
 
-// A client of GraphQL disconnects when two parts of its request have a connection and two wait for theirs. Sent once
-// they have one, these would run for nobody: nothing may be written for them.
+// A GraphQL client disconnects when two parts of its request have a connection and two are still dialing. If the
+// dialing parts were sent later, they would run although no client waits for the result. So they must not be sent.
 func TestGraphQLDisconnectWhilePartsAreDialing(t *testing.T) {
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // it waits for timers of the kernel
+			t.Parallel() // waits for kernel timers
 			schema := filepath.Join(t.TempDir(), "s.graphql")
 			if err := os.WriteFile(schema, []byte("type Query { a: Int b: Int c: Int d: Int }"), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			text := fmt.Sprintf("[graphql]\nlisten = \"127.0.0.1:0\"\nschema = %q\n", schema)
-			for i, f := range []string{"a", "b", "c", "d"} { // different deadlines make them different parts
+			for i, f := range []string{"a", "b", "c", "d"} { // fields with different deadlines become different parts
 				text += fmt.Sprintf("[graphql.field.\"Query.%s\"]\nclass = \"look\"\ndeadline = \"%ds\"\n", f, 9-i)
 			}
 			op, err := operator.Parse([]byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := listenWithoutBacklog(t) // one connection is accepted, one more is established
+			l := listenWithMinimalBacklog(t) // one connection is accepted, one more is established
 			cfg := config(t, testutil.UnusedAddr, l.Addr().String(),
 				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":20000`)
 			r, stop := run(t, cfg, op)
 			defer stop()
-			x := r.additionalFronts[0]
-			go func() { _ = x.serve(t.Context(), x.listener) }()
-			conn, err := net.Dial("tcp", x.listener.Addr().String())
+			front := r.additionalFronts[0]
+			go func() { _ = front.serve(t.Context(), front.listener) }()
+			conn, err := net.Dial("tcp", front.listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -47,16 +47,16 @@
 			send(conn, fmt.Sprintf("POST /graphql HTTP/1.1\r\nHost: h\r\nContent-Type: application/json\r\n"+
 				"Content-Length: %d\r\n\r\n%s", len(body), body))
 			var parts atomic.Int32
-			serve := func(c net.Conn, came chan bool) {
+			serve := func(c net.Conn, arrived chan bool) {
 				defer c.Close()
-				from := bufio.NewReader(c)
-				for q := testutil.ReadRequest(from); q != nil; q = testutil.ReadRequest(from) {
+				reader := bufio.NewReader(c)
+				for q := testutil.ReadRequest(reader); q != nil; q = testutil.ReadRequest(reader) {
 					if q.Header.Get("X-Request-Id") == "stays" {
 						send(c, testutil.OKResponse)
 						continue
 					}
-					if parts.Add(1); came != nil {
-						came <- true
+					if parts.Add(1); arrived != nil {
+						arrived <- true
 					}
 				}
 			}
@@ -82,7 +82,7 @@
 			testutil.Until(t, "the end of the dials", func() bool { return !isDialing(t, l.Addr()) })
 			r.checkOtherClientIsServed(t)
 			if n := parts.Load(); n > 2 {
-				t.Errorf("%d parts were sent, 2 at most before the client left", n)
+				t.Errorf("%d parts were sent, want at most the 2 that had a connection when the client disconnected", n)
 			}
 		})
 	}
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -25,25 +25,25 @@
 )
 
 var (
-	gqlOperations = flag.Int("gql.operations", 2000, "operations of TestGraphQLNoMutationTwice")
-	gqlSeed       = flag.Uint64("gql.seed", 1, "its seed")
-	gqlFigures    = flag.Bool("gql.figures", false, "TestGraphQLGoodput: measure")
+	gqlOperations = flag.Int("gql.operations", 2000, "number of operations in TestGraphQLNoMutationTwice")
+	gqlSeed       = flag.Uint64("gql.seed", 1, "seed of TestGraphQLNoMutationTwice")
+	gqlFigures    = flag.Bool("gql.figures", false, "run TestGraphQLGoodput, a measurement that takes a minute")
 )
 
-// graphQLSidecar is a sidecar with GraphQL in front of emulated nodes.
+// graphQLSidecar is a sidecar with a GraphQL front and emulated nodes as endpoints.
 type graphQLSidecar struct {
 	*testSidecar
 	fleet *emulator.Fleet
 	url   string
 }
 
-func startGraphQLSidecar(t *testing.T, nodes []emulator.NodeConfig, m gqlnode.FaultShares) *graphQLSidecar {
+func startGraphQLSidecar(t *testing.T, nodes []emulator.NodeConfig, faults gqlnode.FaultShares) *graphQLSidecar {
 	t.Helper()
 	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: gqlnode.Classes}}
 	fleet, err := emulator.NewFleet(emulator.FleetConfig{
 		Nodes:          nodes,
 		Effects:        traffic.Effects(),
-		NewServer:      gqlnode.New(m),
+		NewServer:      gqlnode.New(faults),
 		DrainSlack:     500 * time.Millisecond,
 		DiscoveryDelay: 50 * time.Millisecond,
 	})
@@ -64,46 +64,46 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// These nodes start warm, and are killed all the time.
+	// The nodes need no warm-up, and a long slow start would keep restarted nodes out of use.
 	warm := strings.Replace(string(text), `"WarmUpMs":4000`, `"WarmUpMs":100`, 1)
 	r, stop := run(t, parseConfig(t, warm), op)
 	t.Cleanup(stop)
 	ctx, end := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	x := r.additionalFronts[0]
-	go func() { served <- x.serve(ctx, x.listener) }()
+	front := r.additionalFronts[0]
+	go func() { served <- front.serve(ctx, front.listener) }()
 	t.Cleanup(func() {
 		end()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
 	})
-	g := &graphQLSidecar{testSidecar: r, fleet: fleet, url: "http://" + x.listener.Addr().String() + "/graphql"}
+	g := &graphQLSidecar{testSidecar: r, fleet: fleet, url: "http://" + front.listener.Addr().String() + "/graphql"}
 	r.client.Transport.(*http.Transport).MaxIdleConnsPerHost = 64
-	testutil.Until(t, "the list", func() bool {
-		status, _ := g.ask(t, []byte(`{"query":"{seats(train:\"x\"){id}}"}`), testutil.WaitTimeout)
+	testutil.Until(t, "the endpoint list", func() bool {
+		status, _ := g.post(t, []byte(`{"query":"{seats(train:\"x\"){id}}"}`), testutil.WaitTimeout)
 		return status == 200
 	})
 	return g
 }
 
-// ask posts a request and returns its status and body.
-func (g *graphQLSidecar) ask(t testing.TB, body []byte, patience time.Duration) (int, []byte) {
+// post sends a POST request with a deadline, and returns the status and body of the response.
+func (g *graphQLSidecar) post(t testing.TB, body []byte, deadline time.Duration) (int, []byte) {
 	req, err := http.NewRequestWithContext(t.Context(), "POST", g.url, bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("X-Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
+	req.Header.Set("X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds()))
 	resp, err := g.client.Do(req)
 	if err != nil {
-		t.Errorf("no answer: %v", err)
+		t.Errorf("no response: %v", err)
 		return 0, nil
 	}
 	defer resp.Body.Close()
 	out, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Errorf("half an answer: %v", err)
+		t.Errorf("incomplete response: %v", err)
 	}
 	return resp.StatusCode, out
 }
@@ -123,8 +123,9 @@
 	return nodes
 }
 
-// While nodes are killed at seeded random points and corrupt their responses, no mutation runs more than once, each
-// client has one well-formed response in time, and no response contradicts the nodes' counters of mutations.
+// Nodes are killed and restarted at random times that depend on a seed, and corrupt some of their responses. No
+// mutation may run more than once, each client must get one well-formed response in time, and no response may
+// contradict the number of times that the nodes ran the mutation.
 //
 //	go test ./internal/daemon -run NoMutationTwice -gql.operations 200000 -timeout 60m
 func TestGraphQLNoMutationTwice(t *testing.T) {
@@ -144,20 +145,20 @@
 		rng := rand.New(rand.NewPCG(*gqlSeed, 1))
 		for ctx.Err() == nil {
 			node := fmt.Sprint("n", rng.IntN(6))
-			//nolint:contextcheck // nodes outlive the test's calls
+			//nolint:contextcheck // nodes live longer than the calls of the test
 			_ = g.fleet.Fault(emulator.Fault{Verb: "crash", Node: node})
 			select {
 			case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 			case <-ctx.Done():
 			}
-			//nolint:contextcheck // nodes outlive the test's calls
+			//nolint:contextcheck // nodes live longer than the calls of the test
 			if err := g.fleet.Fault(emulator.Fault{Verb: "restart", Node: node}); err != nil {
 				t.Error(err)
 			}
 		}
 	})
 	var mu sync.Mutex
-	var all []gqlnode.Claim
+	var claims []gqlnode.Claim
 	statuses := map[int]int{}
 	next := make(chan int)
 	var clients sync.WaitGroup
@@ -167,15 +168,16 @@
 				rng := rand.New(rand.NewPCG(*gqlSeed, uint64(n)+100))
 				body, tokens := gqlnode.RandomRequest(rng, n)
 				started := time.Now()
-				const patience = 8 * time.Second
-				status, out := g.ask(t, body, patience)
-				if took := time.Since(started); took > patience+2*time.Second {
-					t.Errorf("operation %d was answered after %v", n, took)
+				const deadline = 8 * time.Second
+				status, out := g.post(t, body, deadline)
+				if took := time.Since(started); took > deadline+2*time.Second {
+					t.Errorf("operation %d was answered after %v, want at most %v", n, took, deadline+2*time.Second)
 				}
 				responses := []json.RawMessage{out}
 				if body[0] == '[' {
 					if err := json.Unmarshal(out, &responses); err != nil || len(responses) != len(tokens) {
-						t.Errorf("operation %d: %d answers, %v", n, len(responses), err)
+						t.Errorf("operation %d: got %d responses, error %v; want %d",
+							n, len(responses), err, len(tokens))
 						continue
 					}
 				}
@@ -185,7 +187,7 @@
 						t.Errorf("operation %d, %s: %v: %s", n, body, err, r)
 					}
 					mu.Lock()
-					all = append(all, list...)
+					claims = append(claims, list...)
 					statuses[status]++
 					mu.Unlock()
 				}
@@ -199,43 +201,45 @@
 	clients.Wait()
 	stop()
 	chaos.Wait()
-	g.fleet.Close() // whatever still ran has returned
-	says := map[gqlnode.Execution]int{}
-	for _, c := range all {
-		says[c.Execution]++
+	g.fleet.Close() // waits for requests that are still running
+	counts := map[gqlnode.Execution]int{}
+	for _, c := range claims {
+		counts[c.Execution]++
 		ran := g.fleet.Rules.KeyExecutions(c.Token)
 		if c.Contradicts(ran) {
-			t.Errorf("%s: the answer says %q, and it ran %d times", c.Token, c.Execution, ran)
+			t.Errorf("mutation %s: the response says %q, but it ran %d times", c.Token, c.Execution, ran)
 		}
 	}
 	for _, broken := range g.fleet.Rules.Violations() {
 		t.Error(broken)
 	}
-	t.Logf("%d operations, %d mutations: %v; statuses %v", *gqlOperations, len(all), says, statuses)
-	if says[gqlnode.Executed] < len(all)/4 || says[gqlnode.Unknown] == 0 || says[gqlnode.NotExecuted] == 0 {
-		t.Errorf("the run showed too little: %v", says)
+	t.Logf("%d operations, %d mutations: %v; statuses %v", *gqlOperations, len(claims), counts, statuses)
+	if counts[gqlnode.Executed] < len(claims)/4 || counts[gqlnode.Unknown] == 0 || counts[gqlnode.NotExecuted] == 0 {
+		t.Errorf("executions in %d responses: got %v, want a quarter executed, and some unknown and not executed",
+			len(claims), counts)
 	}
 }
 
-// Twelve nodes, one of them twenty times slower and one that dies at the start, get the same requests, each a batch
-// of a seat search and a booking: in parts, and whole through the plain front as one class that is not idempotent.
+// Of twelve nodes, one is twenty times slower and one dies at the start. Each request is a batch of a seat search and a
+// booking. The test measures the same requests twice: split by the GraphQL front, and unsplit through the platform's
+// front, as one class that is not idempotent.
 //
 //	go test ./internal/daemon -run GraphQLGoodput -gql.figures -v
 func TestGraphQLGoodput(t *testing.T) {
 	if !*gqlFigures {
-		t.Skip("a measurement of a minute: -gql.figures")
+		t.Skip("a measurement that takes a minute; run it with -gql.figures")
 	}
-	const rate, length, aim, patience = 150.0, 20 * time.Second, 150 * time.Millisecond, 2 * time.Second
-	type figures struct {
+	const rate, length, objective, deadline = 150.0, 20 * time.Second, 150 * time.Millisecond, 2 * time.Second
+	type results struct {
 		query, mutation *load.Histogram
 		inTime          [2]atomic.Int64
-		asked           atomic.Int64
+		sent            atomic.Int64
 	}
-	play := func(split bool) *figures {
+	measure := func(split bool) *results {
 		g := startGraphQLSidecar(t, nodeConfigs(12), gqlnode.FaultShares{})
 		_ = g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Factor: 20, Duration: time.Hour})
 		g.fleet.Node("n2").Die()
-		f := &figures{query: load.NewHistogram(), mutation: load.NewHistogram()}
+		f := &results{query: load.NewHistogram(), mutation: load.NewHistogram()}
 		plan, err := load.Poisson(1, []load.Point{{Rate: rate}}, length, load.ScheduledRequest{})
 		if err != nil {
 			t.Fatal(err)
@@ -246,7 +250,7 @@
 			}
 			return plan[n].At, true
 		}, 4096, func(n int, intended time.Time) {
-			f.asked.Add(1)
+			f.sent.Add(1)
 			query := map[string]any{"query": `{seats(train:"x",work:15000){id} coach(id:"c",work:15000){number}}`}
 			mutation := map[string]any{
 				"query": fmt.Sprintf(`mutation{m0:confirmBooking(seat:"s",token:"g%d",work:15000){id}}`, n),
@@ -258,7 +262,7 @@
 			}
 			req, _ := http.NewRequestWithContext(t.Context(), "POST", url, bytes.NewReader(body))
 			req.Header.Set("Content-Type", "application/json")
-			req.Header.Set("X-Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
+			req.Header.Set("X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds()))
 			if class != "" {
 				req.Header.Set("X-Class", class)
 				req.Header.Set("X-Request-Id", fmt.Sprint("whole", n))
@@ -277,7 +281,7 @@
 			for i, key := range []string{"coach", "m0"} {
 				if v := out[i].Data[key]; len(v) > 0 && string(v) != "null" {
 					[]*load.Histogram{f.query, f.mutation}[i].Add(took)
-					if took <= aim {
+					if took <= objective {
 						f.inTime[i].Add(1)
 					}
 				}
@@ -289,18 +293,19 @@
 		return f
 	}
 	for _, split := range []bool{true, false} {
-		f := play(split)
-		n := float64(f.asked.Load())
+		f := measure(split)
+		n := float64(f.sent.Load())
 		t.Logf("split %v: queries answered %.4f, within %v %.4f, p50 %v, p99 %v; "+
 			"mutations answered %.4f, within %v %.4f, p50 %v, p99 %v", split,
-			float64(f.query.Count())/n, aim, float64(f.inTime[0].Load())/n,
+			float64(f.query.Count())/n, objective, float64(f.inTime[0].Load())/n,
 			f.query.Quantile(0.5), f.query.Quantile(0.99),
-			float64(f.mutation.Count())/n, aim, float64(f.inTime[1].Load())/n,
+			float64(f.mutation.Count())/n, objective, float64(f.inTime[1].Load())/n,
 			f.mutation.Quantile(0.5), f.mutation.Quantile(0.99))
 	}
 }
 
-// What only the schema shows to be wrong in the operator's file is found before anything runs, with its position.
+// Check finds errors of the operator's file that depend on the schema or the trusted documents, and reports their
+// position.
 func TestCheckGraphQL(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string { return testutil.WriteFile(t, dir, name, text) }
@@ -308,30 +313,30 @@
 	good := strings.NewReplacer("LISTEN", "127.0.0.1:0", "SCHEMA", schema).Replace(gqlnode.OperatorConfig)
 	badTrusted := write("t.json", `{"home":"{nothing}"}`)
 	for name, c := range map[string]struct{ old, new, want string }{
-		"good": {"x", "x", ""},
-		"no class": {
+		"valid": {"x", "x", ""},
+		"root field without a class": {
 			"[graphql.field.\"Query.coach\"]\nclass = \"map\"\n",
 			"",
 			schema + ":56:3: Query.coach has no class",
 		},
-		"no such field": {
+		"field that the schema does not have": {
 			"Query.coach",
 			"Query.coatch",
 			`op.toml:7:2: graphql.field."Query.coatch": the schema has no such root field`,
 		},
-		"no key": {
+		"key that is not an argument": {
 			"key = \"token\"",
 			"key = \"tokn\"",
 			`graphql.field."Mutation.confirmBooking": key: the field has no argument "tokn"`,
 		},
-		"no schema":  {schema, schema + "x", "op.toml:3:1: graphql.schema: "},
-		"no trusted": {"deadline", "trusted = \"/absent\"\ndeadline", "op.toml:4:1: graphql.trusted: "},
-		"trusted, no map": {
+		"missing schema":            {schema, schema + "x", "op.toml:3:1: graphql.schema: "},
+		"missing trusted documents": {"deadline", "trusted = \"/absent\"\ndeadline", "op.toml:4:1: graphql.trusted: "},
+		"trusted documents that are not JSON": {
 			"deadline",
 			"trusted = \"" + schema + "\"\ndeadline",
 			"op.toml:4:1: graphql.trusted: invalid character",
 		},
-		"trusted, bad": {
+		"invalid trusted document": {
 			"deadline",
 			"trusted = \"" + badTrusted + "\"\ndeadline",
 			"trusted document home: Cannot query field",
@@ -342,7 +347,7 @@
 			t.Fatal(err)
 		}
 		if err := Check(op); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", name, err, c.want)
+			t.Errorf("%s: got error %v, want %q", name, err, c.want)
 		}
 	}
 }
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// runWithOperatorFile runs a sidecar with an operator's file until stop.
+// runWithOperatorFile runs a sidecar with the given text of an operator's file until stop is called.
 func runWithOperatorFile(t *testing.T, upstream, text string) (r *testSidecar, stop func()) {
 	t.Helper()
 	op, err := operator.Parse([]byte(text))
@@ -24,18 +24,18 @@
 	return run(t, parseConfig(t, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream)), op)
 }
 
-// With idempotency records requests that are not idempotent may have a key, and a repeat of one that may have run fails
-// at once, also by the next daemon with the same directory.
+// With idempotency records, clients may send keys with requests that are not idempotent. A repetition of a request that
+// may have run fails at once, also at the next daemon that uses the same directory.
 func TestIdempotencyRecords(t *testing.T) {
-	copies := make(chan bool, 100)
+	attempts := make(chan bool, 100)
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		if testutil.ReadRequest(r) != nil {
-			copies <- true
-			conn.Close() // it may have run
+			attempts <- true
+			conn.Close() // the request may have run
 		}
 	})
 	text := fmt.Sprintf("[ledger]\ndir = %q\n[admin]\nlisten = \"127.0.0.1:0\"\n", t.TempDir())
-	try := func(r *testSidecar, id string) (int, string) {
+	sendBooking := func(r *testSidecar, id string) (int, string) {
 		req := r.request(t, "POST", "book", id, "x")
 		req.Header.Set("Idempotency-Key", "same")
 		resp, body := r.do(t, req)
@@ -43,26 +43,26 @@
 	}
 	r, stop := runWithOperatorFile(t, addr, text)
 	for i := range 3 {
-		if status, body := try(r, fmt.Sprint(i)); status != 502 {
-			t.Errorf("try %d: %d %s", i, status, body)
+		if status, body := sendBooking(r, fmt.Sprint(i)); status != 502 {
+			t.Errorf("request %d: got %d %s, want 502", i, status, body)
 		}
 	}
 	if r.adminListener == nil {
-		t.Error("no endpoint")
+		t.Error("there is no listener for the admin endpoint")
 	}
 	stop()
 	r, stop = runWithOperatorFile(t, addr, text)
 	defer stop()
-	if status, body := try(r, "later"); status != 502 {
-		t.Errorf("after a restart: %d %s", status, body)
+	if status, body := sendBooking(r, "later"); status != 502 {
+		t.Errorf("request after a restart: got %d %s, want 502", status, body)
 	}
-	if len(copies) != 1 {
-		t.Errorf("%d copies were sent", len(copies))
+	if len(attempts) != 1 {
+		t.Errorf("%d attempts reached the endpoint, want 1", len(attempts))
 	}
 	go func() {
 		_ = http.Serve(r.adminListener, r.sections())
 	}()
-	ask := func(method, path string) (int, string) {
+	query := func(method, path string) (int, string) {
 		url := "http://" + r.adminListener.Addr().String() + path
 		req, err := http.NewRequestWithContext(t.Context(), method, url, nil)
 		if err != nil {
@@ -71,32 +71,33 @@
 		resp, body := r.do(t, req)
 		return resp.StatusCode, body
 	}
-	get := func(path string) (int, string) { return ask("GET", path) }
+	get := func(path string) (int, string) { return query("GET", path) }
 	var state middleware.Status
 	status, body := get("/ledger")
 	err := json.Unmarshal([]byte(body), &state)
 	if status != 200 || err != nil || state.Remembered != 1 || state.Failed != 1 || state.Store.Segments == 0 {
-		t.Errorf("%d %v %s", status, err, body)
+		t.Errorf("GET /ledger: got %d, error %v, %s; want 200 with one failed record in a segment", status, err, body)
 	}
 	if _, body := get("/"); !strings.Contains(body, `"ledger"`) {
-		t.Error(body)
+		t.Errorf("GET /: got %s, want the section ledger", body)
 	}
-	// Of 1,024 descriptors 16 are reserved, 10 are the endpoint's, 4 + 64 the records', whose segments stay open.
+	// Of 1,024 descriptors, 16 are always reserved, 10 are for the admin endpoint, and 4 + 64 for the idempotency
+	// records, whose segments stay open. Half of the remaining 930 are for connections to upstreams.
 	_, body = get("/bounds")
 	if !strings.Contains(body, `"connections to upstreams"`) || !strings.Contains(body, `"limit": 465`) {
-		t.Error(body)
+		t.Errorf("GET /bounds: got %s, want the limit 465 for connections to upstreams", body)
 	}
 	if status, _ := get("/other"); status != 404 {
-		t.Error(status)
+		t.Errorf("GET /other: got %d, want 404", status)
 	}
-	if status, _ := ask("POST", "/ledger"); status != 405 {
-		t.Errorf("POST: %d", status)
+	if status, _ := query("POST", "/ledger"); status != 405 {
+		t.Errorf("POST /ledger: got %d, want 405", status)
 	}
 }
 
-// The idempotency records cannot be opened. A daemon that started all the same could bring about an effect twice, and
-// one that fails and leaves its directory locked could not be started again: the error must name the key, and all that
-// was open be released.
+// A daemon that cannot open its idempotency records must not start, because it could cause an effect twice. The error
+// must name the key. The failed start must release everything that it had opened, because a daemon that leaves its
+// directory locked cannot be started again.
 func TestIdempotencyRecordsCannotBeOpened(t *testing.T) {
 	dir := t.TempDir()
 	cfg := parseConfig(t, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, testutil.UnusedAddr))
@@ -125,17 +126,17 @@
 			}
 			_, err = build(t.Context(), cfg, op, discardLog)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%s: %v", test.text, err)
+				t.Errorf("%s: got error %v, want one with %q", test.text, err, test.want)
 			}
 		})
 	}
-	// The directory is not in use any more.
+	// The failed starts have released the directory.
 	r, stop := runWithOperatorFile(t, testutil.UnusedAddr, fmt.Sprintf("[ledger]\ndir = %q", dir))
 	defer stop()
 	op, _ := operator.Parse([]byte(fmt.Sprintf("[ledger]\ndir = %q", dir)))
 	_, err := build(t.Context(), cfg, op, discardLog)
 	if err == nil || !strings.Contains(err.Error(), "another process") || r.deduplicator == nil {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("a second daemon with the same directory: got error %v, want one about another process", err)
 	}
 }
 
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// startSilentDiscovery starts a discovery whose watches send nothing. calls has the query of each call, and ends that
-// of each watch that has ended.
+// startSilentDiscovery starts a discovery whose watches report no endpoints. calls receives the query of each call, and
+// ends the query of each watch that has ended.
 func startSilentDiscovery(t *testing.T) (addr string, calls, ends chan string) {
 	t.Helper()
 	calls, ends = make(chan string, 100), make(chan string, 100)
@@ -33,8 +33,9 @@
 	return server.Listener.Addr().String(), calls, ends
 }
 
-// The platform's file changes and SIGHUP comes. The watch must move at once, and from the first version, since another
-// service counts otherwise; a file that cannot be used must change nothing, or the sidecar would lose its list.
+// SIGHUP reloads a changed file of the platform. The watch moves to the new address at once. It starts from the first
+// version, because the versions of another discovery are unrelated. An invalid file changes nothing, so that the
+// sidecar keeps its list.
 func TestReload(t *testing.T) {
 	oldAddr, oldCalls, oldEnds := startSilentDiscovery(t)
 	newAddr, newCalls, _ := startSilentDiscovery(t)
@@ -49,17 +50,17 @@
 	}
 	go r.runReloads(ctx)
 	if q := testutil.Receive(t, oldCalls, "the first watch"); q != "watch=1&from=1" {
-		t.Errorf("asked %s", q)
+		t.Errorf("the first watch: got query %s, want watch=1&from=1", q)
 	}
-	next <- func() (*platform.Config, error) { return nil, errors.New("unusable") }
+	next <- func() (*platform.Config, error) { return nil, errors.New("invalid file") }
 	signals <- os.Interrupt
 	next <- func() (*platform.Config, error) { return &platform.Config{Discovery: newAddr}, nil }
 	signals <- os.Interrupt
 	if q := testutil.Receive(t, newCalls, "the new watch"); q != "watch=1&from=0" {
-		t.Errorf("asked %s", q)
+		t.Errorf("the new watch: got query %s, want watch=1&from=0", q)
 	}
-	testutil.Receive(t, oldEnds, "the old watch's end")
+	testutil.Receive(t, oldEnds, "the end of the old watch")
 	if len(oldCalls) > 0 {
-		t.Error("the old discovery was asked again")
+		t.Errorf("%d further calls to the old discovery, want none", len(oldCalls))
 	}
 }
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -16,14 +16,14 @@
 	"hazelwing/internal/testutil"
 )
 
-// deployment is a platform's configuration that another operator could have.
+// deployment is a platform's configuration with settings that an operator could choose.
 type deployment struct {
 	name    string
-	classes []string // of the settings, as JSON objects; empty: those of the common configuration
-	change  []string // pairs of old and new text of the configuration
+	classes []string // classes as JSON objects; the classes of testutil.PlatformConfig if empty
+	change  []string // pairs of old and new text in testutil.PlatformConfig
 }
 
-// class returns a class of the settings as a JSON object.
+// class returns the JSON object of a class.
 func class(
 	name string, objectiveMS, deadlineMS int, weight, lateShare any, semantics, scope string, windowMS int,
 ) string {
@@ -135,7 +135,7 @@
 	{name: "a long tick", change: []string{`"TickMs":5`, `"TickMs":50`}},
 }
 
-// text returns the deployment's configuration, with one upstream.
+// text returns the text of the deployment's configuration, with one upstream.
 func (d *deployment) text(t *testing.T, upstream string) string {
 	t.Helper()
 	original := fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream)
@@ -147,20 +147,20 @@
 	}
 	for i := 0; i+1 < len(d.change); i += 2 {
 		if !strings.Contains(text, d.change[i+1]) {
-			t.Fatalf("the settings do not have %s", d.change[i])
+			t.Fatalf("testutil.PlatformConfig does not contain %s", d.change[i])
 		}
 	}
 	return text
 }
 
-// settingsClass is a class of a deployment's settings.
+// settingsClass is a class in the settings of a deployment.
 type settingsClass struct {
-	position        int // in the settings
+	index           int // index in the settings
 	name, semantics string
 	deadlineMS      float64
 }
 
-// classRequest returns request n of a class.
+// classRequest returns the request with number n of a class.
 func (r *testSidecar) classRequest(t *testing.T, c settingsClass, n int) *http.Request {
 	t.Helper()
 	method, body := "POST", "x"
@@ -176,19 +176,19 @@
 		req.Body, req.ContentLength = nil, 0
 	}
 	req.Header = http.Header{
-		"X-Request-Id":  {fmt.Sprint(c.position, "-", n)},
+		"X-Request-Id":  {fmt.Sprint(c.index, "-", n)},
 		"X-Class":       {c.name},
 		"X-Deadline-Ms": {fmt.Sprint(int(c.deadlineMS))},
 		"X-Tenant":      {"ünder & sons"},
 	}
 	if c.semantics == "dedup" {
-		req.Header.Set("Idempotency-Key", fmt.Sprintf("k%d-%d", c.position, n))
+		req.Header.Set("Idempotency-Key", fmt.Sprintf("k%d-%d", c.index, n))
 	}
 	return req
 }
 
-// Under the settings of each deployment the sidecar starts, serves each of its classes, rejects an unknown class, and
-// drains.
+// With the settings of each deployment, the sidecar starts, serves requests of each class, rejects an unknown class and
+// stops.
 func TestSettingsOfOtherDeployments(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
@@ -205,13 +205,14 @@
 			}
 			resp, _ := r.do(t, r.request(t, "GET", "no-such-class", "z", ""))
 			if resp.StatusCode != http.StatusNotFound {
-				t.Errorf("an unknown class: %s", resp.Status)
+				t.Errorf("a request of an unknown class: got %s, want 404", resp.Status)
 			}
 		})
 	}
 }
 
-// checkClassIsServed sends a few requests of a class. Of those with a short deadline a slow machine may miss some.
+// checkClassIsServed sends three requests of a class. Requests with a deadline below one second may miss it on a slow
+// machine, but at least one request must be served.
 func checkClassIsServed(t *testing.T, r *testSidecar, c settingsClass) {
 	t.Helper()
 	served := 0
@@ -222,17 +223,17 @@
 			continue
 		}
 		if resp.StatusCode != http.StatusOK || got != "ok" {
-			t.Errorf("class %q: %s %q", c.name, resp.Status, got)
+			t.Errorf("class %q: got %s with body %q, want 200 with \"ok\"", c.name, resp.Status, got)
 			continue
 		}
 		served++
 	}
 	if served == 0 {
-		t.Errorf("class %q: none was served", c.name)
+		t.Errorf("class %q: none of the requests was served", c.name)
 	}
 }
 
-// What cannot be used is named in the error, and nothing starts.
+// Each invalid setting prevents the start, with an error that names the setting.
 func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string][]string{
 		"Effect": {`"retryable"`, `"perhaps"`},
@@ -261,7 +262,7 @@
 				_, err = build(t.Context(), cfg, new(operator.Config), discardLog)
 			}
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v, want an error that names %s", err, want)
+				t.Errorf("got error %v, want one that names %s", err, want)
 			}
 		})
 	}
--- a/internal/daemon/sidecar_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -20,13 +20,14 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// testSidecar is a sidecar on loopback.
+// testSidecar is a running sidecar on loopback, with a client for it.
 type testSidecar struct {
 	*sidecar
 	url    string
 	client *http.Client
 }
 
+// parseConfig loads a text of the platform's configuration.
 func parseConfig(t *testing.T, text string) *platform.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -40,14 +41,14 @@
 	return cfg
 }
 
-// config returns testutil.PlatformConfig; change has pairs of old and new text of it.
+// config returns the configuration of testutil.PlatformConfig with changes. change has pairs of old and new text.
 func config(t *testing.T, discovery, upstream string, change ...string) *platform.Config {
 	t.Helper()
 	original := fmt.Sprintf(testutil.PlatformConfig, discovery, upstream)
 	return parseConfig(t, strings.NewReplacer(change...).Replace(original))
 }
 
-// startSidecar runs a sidecar until the test ends; change is that of config.
+// startSidecar runs a sidecar until the test ends. change is passed to config.
 func startSidecar(t *testing.T, discovery, upstream string, change ...string) *testSidecar {
 	t.Helper()
 	r, stop := run(t, config(t, discovery, upstream, change...), new(operator.Config))
@@ -55,7 +56,7 @@
 	return r
 }
 
-// run runs a sidecar until stop.
+// run runs a sidecar until stop is called.
 func run(t *testing.T, cfg *platform.Config, op *operator.Config) (r *testSidecar, stop func()) {
 	t.Helper()
 	s, err := build(t.Context(), cfg, op, discardLog)
@@ -98,7 +99,7 @@
 	return testutil.Request(t, r.url, method, class, id, body)
 }
 
-// reply is the response to a request, without its body.
+// reply is a response without its body.
 type reply struct {
 	StatusCode int
 	Status     string
@@ -112,7 +113,7 @@
 	return reply{StatusCode: resp.StatusCode, Status: resp.Status, Header: resp.Header}, body
 }
 
-// send writes text. The other side may have closed the connection, which is a case of these tests and no failure.
+// send writes text. It ignores errors, because these tests also close connections on the other side.
 func send(w io.Writer, text string) {
 	_, _ = io.WriteString(w, text)
 }
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -22,21 +22,22 @@
 	"hazelwing/internal/testutil"
 )
 
-// endpointEntry returns an entry of a list in the configuration's form.
+// endpointEntry returns the JSON object of an endpoint in a list of the platform's configuration.
 func endpointEntry(name, dial string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,`+
 		`"health":"SERVING","share":1.0,"born_ms":0}`, name, dial)
 }
 
-// knownEndpoints returns the change of testutil.PlatformConfig that replaces its one upstream, with address
-// testutil.UnusedAddr, by these.
+// knownEndpoints returns the change of testutil.PlatformConfig, as for config, that replaces its one upstream by
+// entries. The upstream must have the address testutil.UnusedAddr.
 func knownEndpoints(entries []string) []string {
 	return []string{endpointEntry("s", testutil.UnusedAddr), strings.Join(entries, ",")}
 }
 
-// A sidecar restarts while discovery cannot be reached, with a cached list of which a quarter is dead or has other
-// processes at its addresses. A sidecar that waited for discovery would serve nobody: it must be ready and serve from
-// that list, where each wrong entry costs a few attempts, and no request that is not idempotent may run twice.
+// A sidecar restarts while discovery cannot be reached. A quarter of its cached list is wrong: nothing listens at the
+// address, or another process does. If the sidecar waited for discovery, it would serve no requests. It must be ready
+// and serve from the cached list, each wrong entry may cost only a few attempts, and no request that is not idempotent
+// may run twice.
 func TestStartWithStaleListServes(t *testing.T) {
 	const members, wrong, requests = 12, 3, 150
 	var mu sync.Mutex
@@ -49,7 +50,7 @@
 	}))
 	defer good.Close()
 	var otherRequests atomic.Int32
-	// Another process has the address, and does not serve HTTP.
+	// Another process listens at this address. It does not use HTTP.
 	other := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if testutil.ReadRequest(r) != nil {
 			otherRequests.Add(1)
@@ -70,7 +71,7 @@
 		t.Fatal(err)
 	}
 	if resp, _ := r.do(t, up); resp.StatusCode != http.StatusOK {
-		t.Fatalf("/up: %v", resp)
+		t.Fatalf("/up: got %v, want 200", resp)
 	}
 	served := 0
 	for i := range requests {
@@ -82,30 +83,30 @@
 		if resp.StatusCode == http.StatusOK {
 			served++
 		} else if class == "look" {
-			t.Errorf("request %d: %s", i, resp.Status)
+			t.Errorf("idempotent request %d: got %s, want 200", i, resp.Status)
 		}
 	}
-	// Only what was written completely to the other process may have run there, so that is all that may fail.
+	// Only requests that were written completely to the other process may have run there, so only these may fail.
 	if lost := requests - served; lost > int(otherRequests.Load()) {
-		t.Errorf("%d requests failed, %d were written to a stranger", lost, otherRequests.Load())
+		t.Errorf("%d requests failed, but only %d were written to the other process", lost, otherRequests.Load())
 	}
 	if n := otherRequests.Load(); n > 3+requests/25 {
-		t.Errorf("%d requests went to a stranger", n)
+		t.Errorf("%d requests were sent to the other process, want at most %d", n, 3+requests/25)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	for id, n := range ran {
 		if i, _ := strconv.Atoi(id); n > 1 && i%3 == 0 {
-			t.Errorf("unsafe request %s ran %d times", id, n)
+			t.Errorf("non-idempotent request %s ran %d times", id, n)
 		}
 	}
 }
 
-var drains = flag.Int("drains", 10, "how many drains TestDrainGrace announces")
+var drains = flag.Int("drains", 10, "number of drains in TestDrainGrace")
 
-// Discovery writes that a node drains, while requests are sent to it. One that it gets too late is reset: the last
-// first byte must be sent within the grace from then, and the delay of a busy machine. docs/design/large-fleets.md has
-// the spread over more drains.
+// Discovery reports that a node drains while requests are sent to it. The node resets requests that it gets too late.
+// So the first byte of the last request must be sent within the grace from the report, plus a delay for a busy machine.
+// docs/design/large-fleets.md has the distribution over more drains.
 func TestDrainGrace(t *testing.T) {
 	const grace, slack = 250 * time.Millisecond, 250 * time.Millisecond
 	d, err := emulator.NewDiscovery()
@@ -113,7 +114,7 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	var last [2]atomic.Int64 // when a node was last sent something, Unix nanoseconds
+	var last [2]atomic.Int64 // time of the last request to each node, Unix nanoseconds
 	host := func(i int, health string) emulator.Endpoint {
 		return emulator.Endpoint{Name: fmt.Sprint("n", i), Zone: "a", Kind: "m", Health: health}
 	}
@@ -156,8 +157,8 @@
 	var after []time.Duration
 	for range *drains {
 		began := time.Now().UnixNano()
-		testutil.Until(t, "a node at work", func() bool { return max(last[0].Load(), last[1].Load()) > began })
-		i := 0 // the one in use drains: the other may look slow for as long as its estimate lasts
+		testutil.Until(t, "a request to a node", func() bool { return max(last[0].Load(), last[1].Load()) > began })
+		i := 0 // index of the node in use, which drains; the other node may look slow until its estimate is updated
 		if last[1].Load() > last[0].Load() {
 			i = 1
 		}
@@ -165,25 +166,25 @@
 		h.Health = "DRAINING"
 		drainedAt := time.Now()
 		d.Set(h)
-		time.Sleep(grace + slack + 20*time.Millisecond) // requests that continue to be sent show
+		time.Sleep(grace + slack + 20*time.Millisecond) // reveals requests that are still sent to the node
 		after = append(after, max(0, time.Unix(0, last[i].Load()).Sub(drainedAt)))
 		d.Set(nodes[i])
 	}
 	slices.Sort(after)
-	t.Logf("%d drains: the last first byte came p50 %v, p99 %v, at worst %v after", len(after), after[len(after)/2],
+	t.Logf("%d drains: time to the last first byte: p50 %v, p99 %v, maximum %v", len(after), after[len(after)/2],
 		after[len(after)*99/100], after[len(after)-1])
 	if worst := after[len(after)-1]; worst > grace+slack {
-		t.Errorf("a node was sent something %v after its drain was told", worst)
+		t.Errorf("a node got a request %v after discovery had reported its drain, want at most %v", worst, grace+slack)
 	}
 }
 
-// The memory of a sidecar for each endpoint is bounded: the list, its estimates and the transport's entry, whatever the
-// length of the list.
+// The memory that a sidecar uses for each endpoint is limited, for lists of any length. It consists of the entry in the
+// list, the estimates and the transport's entry.
 func TestMemoryByEndpoints(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
-		runtime.GC() // what finalizers released
+		runtime.GC() // frees the memory that finalizers have released
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
@@ -195,11 +196,11 @@
 		cfg := config(t, testutil.UnusedAddr, testutil.UnusedAddr, knownEndpoints(list)...)
 		before := heap()
 		r, stop := run(t, cfg, new(operator.Config))
-		r.do(t, r.request(t, "GET", "look", "1", "")) // the list is complete once this is answered
+		r.do(t, r.request(t, "GET", "look", "1", "")) // after the response the sidecar has the complete list
 		each := float64(heap()-before) / float64(n)
-		t.Logf("%d members: %.1f KB, %.0f bytes each", n, float64(heap()-before)/1024, each)
+		t.Logf("%d endpoints: %.1f KB, %.0f bytes each", n, float64(heap()-before)/1024, each)
 		if n == 1000 && each > 4096 {
-			t.Errorf("%.0f bytes for each of %d members", each, n)
+			t.Errorf("%.0f bytes for each of %d endpoints, want at most 4096", each, n)
 		}
 		stop()
 	}
