--- a/internal/daemon/drainnotice_test.go
+++ b/internal/daemon/drainnotice_test.go
@@ -171,8 +171,8 @@
 	{name: "complete list hangs", moved: true, viaCompleteList: true, calls: repeat(1, hang), worstCase: 4250 * ms},
 }
 
-// drainRun is a run of a path with a sidecar, two servers and a client that sends 20 requests a second, over real
-// sockets.
+// drainRun is the state of one run of a noticePath. It has a sidecar, discovery, two servers, and a client that sends
+// 20 requests a second, connected by real sockets.
 type drainRun struct {
 	noticePath
 	mode   string
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -184,7 +184,7 @@
 				for i, r := range responses {
 					list, err := gqlnode.ReadClaims(r, tokens[i])
 					if err != nil {
-						t.Errorf("operation %d, %s: %v: %s", n, body, err, r)
+						t.Errorf("operation %d, request %s: invalid response %s: %v", n, body, r, err)
 					}
 					mu.Lock()
 					claims = append(claims, list...)
@@ -210,8 +210,8 @@
 			t.Errorf("mutation %s: the response says %q, but it ran %d times", c.Token, c.Execution, ran)
 		}
 	}
-	for _, broken := range g.fleet.Rules.Violations() {
-		t.Error(broken)
+	for _, violation := range g.fleet.Rules.Violations() {
+		t.Errorf("rule violated: %v", violation)
 	}
 	t.Logf("%d operations, %d mutations: %v; statuses %v", *gqlOperations, len(claims), counts, statuses)
 	if counts[gqlnode.Executed] < len(claims)/4 || counts[gqlnode.Unknown] == 0 || counts[gqlnode.NotExecuted] == 0 {
@@ -287,16 +287,16 @@
 				}
 			}
 		}, func(int, time.Time) {})
-		if broken := g.fleet.Rules.Violations(); len(broken) > 0 {
-			t.Error(broken)
+		if violations := g.fleet.Rules.Violations(); len(violations) > 0 {
+			t.Errorf("rules violated: %v", violations)
 		}
 		return f
 	}
 	for _, split := range []bool{true, false} {
 		f := measure(split)
 		n := float64(f.sent.Load())
-		t.Logf("split %v: queries answered %.4f, within %v %.4f, p50 %v, p99 %v; "+
-			"mutations answered %.4f, within %v %.4f, p50 %v, p99 %v", split,
+		t.Logf("split %v: share of queries answered %.4f, within %v %.4f, latency p50 %v, p99 %v; "+
+			"share of mutations answered %.4f, within %v %.4f, latency p50 %v, p99 %v", split,
 			float64(f.query.Count())/n, objective, float64(f.inTime[0].Load())/n,
 			f.query.Quantile(0.5), f.query.Quantile(0.99),
 			float64(f.mutation.Count())/n, objective, float64(f.inTime[1].Load())/n,
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -26,8 +26,8 @@
 	Bootstrap    *Bootstrap    `toml:"recovery"`
 	ControlPlane *ControlPlane `toml:"config"`
 
-	path      string
-	positions strictdecode.Positions
+	path      string                 // the file's path as passed to Load; empty after Parse
+	positions strictdecode.Positions // positions of the keys in the file
 }
 
 // Admin is the table [admin]. It configures the HTTP endpoint for operators.
--- a/internal/operator/decodeerror.go
+++ b/internal/operator/decodeerror.go
@@ -97,7 +97,8 @@
 	"operator.Translation", "operator.Translate",
 )
 
-// stableErrors returns the decoder's errors with stable texts, or nil if there are no errors.
+// stableErrors returns the decoder's errors, with renamed identifiers in their texts replaced by stableErrorText. It
+// returns nil if there are no errors.
 func stableErrors(decodeErrors []*strictdecode.DecodeError) []error {
 	var errs []error
 	for _, err := range decodeErrors {
--- a/internal/operator/format_test.go
+++ b/internal/operator/format_test.go
@@ -14,8 +14,8 @@
 )
 
 // checkDecoding decodes a file of testdata into v. It fails the test if v has no field for a key or if the file leaves
-// a field unset. It compares the decoded value, encoded as TOML again, with the golden file decoded.
-func checkDecoding(t *testing.T, path, decoded string, v any) {
+// a field unset. It encodes the decoded value as TOML again, and compares the text with a golden file.
+func checkDecoding(t *testing.T, path, golden string, v any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testutil.Golden(t, decoded, got)
+	testutil.Golden(t, golden, got)
 }
 
 // The names and types of the keys of the operator's file do not change.
