--- a/internal/graphql/exec/exec.go
+++ b/internal/graphql/exec/exec.go
@@ -1,5 +1,5 @@
-// Package exec executes validated GraphQL documents on objects that resolve their own fields. The daemon answers
-// introspection with it, and the emulated nodes execute a whole schema.
+// Package exec executes validated GraphQL documents on objects that resolve their own fields. The daemon uses it for
+// introspection, and the emulator's nodes use it for all operations.
 package exec
 
 import (
@@ -25,13 +25,14 @@
 	Resolve(field string, args map[string]any) (any, error)
 }
 
-// Error is an error of a field.
+// Error is the error of a field in a Result.
 type Error struct {
 	Message string `json:"message"`
 	Path    []any  `json:"path"`
 }
 
-// Result is the result of an operation. Data is null if a field is null that cannot be.
+// Result is the result of an operation. Data is null if a non-null field has no value and the null propagates to the
+// root.
 type Result struct {
 	Data   json.RawMessage `json:"data"`
 	Errors []Error         `json:"errors,omitempty"`
@@ -45,8 +46,8 @@
 	errors []Error
 }
 
-// Run executes an operation. Its variables are coerced. The fields of a mutation are resolved one after the other, up
-// to the first that makes the data null.
+// Run executes an operation. vars are the coerced variables. The root fields are resolved one after the other, as is
+// required for mutations, up to the first one that makes the data null.
 func Run(
 	schema *ast.Schema, query *ast.QueryDocument, op *ast.OperationDefinition, vars map[string]any, root Object,
 ) Result {
@@ -59,7 +60,7 @@
 }
 
 // ResolveMetaField returns the value of __typename, __schema or __type on the root type of an operation. selections are
-// all selections of it with one response key; vars are coerced.
+// all selections of the field with one response key, and vars are the coerced variables.
 func ResolveMetaField(
 	schema *ast.Schema,
 	query *ast.QueryDocument,
@@ -79,7 +80,7 @@
 	return value, nil
 }
 
-// executeSelectionSet executes a selection set on an object. It returns false if a field is null that cannot be.
+// executeSelectionSet executes a selection set on an object. It returns false if a non-null field has no value.
 func (x *execution) executeSelectionSet(set ast.SelectionSet, object Object, path []any) (json.RawMessage, bool) {
 	fields := &fieldCollector{
 		execution:      x,
@@ -105,8 +106,8 @@
 	return encoded.Bytes(), true
 }
 
-// appendPath returns a copy of a path with one more element, because the elements of a selection set share their
-// prefix.
+// appendPath returns a copy of a path with one more element. It copies the path because all fields of a selection set
+// extend the same prefix.
 func appendPath(path []any, element any) []any {
 	return append(path[:len(path):len(path)], element)
 }
@@ -170,7 +171,7 @@
 	return false
 }
 
-// isIncluded evaluates @skip and @include.
+// isIncluded evaluates @skip and @include, and reports whether a selection with these directives is included.
 func (x *execution) isIncluded(directives ast.DirectiveList) bool {
 	for _, name := range []string{skipDirective, includeDirective} {
 		directive := directives.ForName(name)
@@ -185,7 +186,7 @@
 	return true
 }
 
-// executeField resolves and completes a field. It returns false if the field is null and cannot be.
+// executeField resolves and completes a field. It returns false if the field is non-null and has no value.
 func (x *execution) executeField(selections []*ast.Field, object Object, path []any) (json.RawMessage, bool) {
 	field := selections[0]
 	if field.Name == typenameField {
@@ -201,8 +202,8 @@
 	return x.completeValue(definition.Type, selections, value, path)
 }
 
-// definitionOf returns the definition of a field in the object's own type, which may be stricter than the one in the
-// interface that the field is selected on.
+// definitionOf returns the definition of a field in the object's own type. An interface on which the field is selected
+// may define it as nullable where the object type defines it as non-null.
 func (x *execution) definitionOf(field *ast.Field, object Object) *ast.FieldDefinition {
 	objectType := x.schema.Types[object.Type()]
 	if objectType == nil || strings.HasPrefix(field.Name, "__") {
@@ -219,7 +220,7 @@
 }
 
 // completeValue encodes a value of the given type (section 6.4.3 of the GraphQL specification). It returns false if the
-// value is null and cannot be.
+// type is non-null and there is no value.
 func (x *execution) completeValue(
 	t *ast.Type, selections []*ast.Field, value any, path []any,
 ) (json.RawMessage, bool) {
@@ -250,7 +251,7 @@
 	return encoded, true
 }
 
-// completeList encodes a list. It returns false if an element is null and cannot be.
+// completeList encodes a list. It returns false if the type of its elements is non-null and an element has no value.
 func (x *execution) completeList(
 	elementType *ast.Type, selections []*ast.Field, values []any, path []any,
 ) (json.RawMessage, bool) {
--- a/internal/graphql/exec/introspection.go
+++ b/internal/graphql/exec/introspection.go
@@ -8,19 +8,19 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// The introspection schema (section 4.2 of the GraphQL specification) on a parsed schema. Each object is a function
-// from a field to its value.
+// This file implements introspection (section 4.2 of the GraphQL specification) for a parsed schema. Each object of the
+// introspection schema is a function that returns the value of a field.
 
 const (
 	schemaField           = "__schema"
 	deprecatedDirective   = "deprecated"
-	defaultReason         = "No longer supported" // of @deprecated, by the specification
+	defaultReason         = "No longer supported" // default of @deprecated's reason, by the specification
 	specifiedByDirective  = "specifiedBy"
 	oneOfDirective        = "oneOf"
 	includeDeprecatedFlag = "includeDeprecated"
 )
 
-// resolver returns the value of a field.
+// resolver is a function that returns the value of a field.
 type resolver func(field string, args map[string]any) any
 
 // introspectionObject is an object of an introspection type.
@@ -37,7 +37,7 @@
 	return o.resolve(field, args), nil
 }
 
-// metaRoot resolves __schema and __type on a root type.
+// metaRoot is a root object that resolves __schema and __type.
 type metaRoot struct {
 	schema   *ast.Schema
 	typeName string
@@ -78,7 +78,8 @@
 	}}
 }
 
-// mapList returns the result of convert for each element. It is never nil: an empty list is not null.
+// mapList returns the result of convert for each element. It never returns nil, so that an empty list is not encoded as
+// null.
 func mapList[T any](list []T, convert func(T) any) []any {
 	converted := []any{}
 	for _, element := range list {
@@ -127,14 +128,15 @@
 	return defaultReason, true
 }
 
-// isListed reports whether an element of the schema is listed: deprecated ones only if includeDeprecated is set.
+// isListed reports whether introspection lists an element of the schema. Deprecated elements are listed only if the
+// argument includeDeprecated is true.
 func isListed(args map[string]any, directives ast.DirectiveList) bool {
 	includeDeprecated, _ := args[includeDeprecatedFlag].(bool)
 	_, isDeprecated := deprecation(directives)
 	return includeDeprecated || !isDeprecated
 }
 
-// describedObject returns an object with a name, a description and perhaps a deprecation. rest resolves its other
+// describedObject returns an object that has a name, a description and deprecation fields. rest resolves its other
 // fields.
 func describedObject(typeName, name, description string, directives ast.DirectiveList, rest resolver) any {
 	return introspectionObject{typeName, func(field string, args map[string]any) any {
@@ -178,7 +180,7 @@
 	})
 }
 
-// typeReference returns a type with its list and non-null wrappers.
+// typeReference returns the introspection object of a type, wrapped in objects for its list and non-null modifiers.
 func (m metaRoot) typeReference(t *ast.Type) any {
 	switch {
 	case t.NonNull:
@@ -203,7 +205,7 @@
 	}}
 }
 
-// namedType returns a type without wrappers, or nil if there is none.
+// namedType returns the introspection object of a type definition, or nil if the definition is nil.
 func (m metaRoot) namedType(definition *ast.Definition) any {
 	if definition == nil {
 		return nil
--- a/internal/graphql/plan/collect.go
+++ b/internal/graphql/plan/collect.go
@@ -20,7 +20,7 @@
 	rootFields     []*rootField // in the order of their first selection
 	byResponseKey  map[string]*rootField
 	visitedSpreads map[string]bool
-	// dependsOnVariables is set when a directive's condition is a variable.
+	// dependsOnVariables is true if the condition of a @skip or @include is a variable.
 	dependsOnVariables bool
 }
 
--- a/internal/graphql/plan/doc.go
+++ b/internal/graphql/plan/doc.go
@@ -13,17 +13,19 @@
 //
 // # What a client may conclude from the error codes
 //
-// Each error that originates here, and not at an endpoint, has extensions.code. REFUSED and NOT_STARTED guarantee that
-// the field did not run and will not. MAY_HAVE_RUN guarantees nothing, and a retry may repeat the effect. UNAVAILABLE
-// belongs to a query, which has no effect. EXECUTED belongs to a mutation whose result is lost because the data is
-// null. REJECTED means that an endpoint executed nothing of the field. All other codes concern the whole request, of
-// which nothing was sent.
+// Each error that the balancer creates, as opposed to one from an endpoint, has extensions.code. REFUSED and
+// NOT_STARTED guarantee that the field did not run and will not run. MAY_HAVE_RUN guarantees nothing, and a retry may
+// repeat the effect. UNAVAILABLE is the code of a query field without a response; a query has no effect that a retry
+// could repeat. EXECUTED means that a mutation ran, but that its result is lost because the data is null. REJECTED
+// means that an endpoint executed nothing of the field. All other codes apply to the whole request, of which nothing
+// was sent.
 //
 // # Limits
 //
 // Limits are checked before any step whose cost grows faster than the length of the document: bytes and tokens before
-// parsing; depth, aliases and expanded fields before validation; root fields and cost before planning ends. They are
-// measured through fragments, each of which is visited once, so that fragments that double cost nothing.
+// parsing; depth, aliases and expanded fields before validation; root fields and cost before planning ends. Sizes
+// include expanded fragments, but each fragment is measured only once. A chain of fragments that each spread the next
+// one twice has an exponential size, but measuring it takes linear time.
 //
 // A Schema and a Document are safe for concurrent use. A Plan belongs to a single request.
 package plan
--- a/internal/graphql/plan/document.go
+++ b/internal/graphql/plan/document.go
@@ -23,7 +23,8 @@
 	layouts map[string]*layout
 }
 
-// ParseDocument parses a text, checks its limits and validates it. Its errors are request errors: nothing was executed.
+// ParseDocument parses a text, checks it against the limits and validates it. Its errors apply to the whole request, of
+// which nothing was executed.
 func (s *Schema) ParseDocument(text string) (*Document, []*Error) {
 	query, err := s.parseQuery(text)
 	if err != nil {
@@ -40,7 +41,7 @@
 	return &Document{schema: s, query: query, layouts: map[string]*layout{}}, nil
 }
 
-// parseQuery parses a text and checks all limits that apply before validation.
+// parseQuery parses a text and checks it against all limits that apply before validation.
 func (s *Schema) parseQuery(text string) (*ast.QueryDocument, *Error) {
 	if len(text) > s.limits.MaxBytes {
 		message := fmt.Sprintf("the document is longer than %d bytes", s.limits.MaxBytes)
--- a/internal/graphql/plan/errors.go
+++ b/internal/graphql/plan/errors.go
@@ -15,8 +15,8 @@
 	CodeUnavailable = "UNAVAILABLE"
 	// CodeRejected is the code of a field whose endpoint rejected the request before it executed anything.
 	CodeRejected = "REJECTED"
-	// CodeExecuted is the code of a mutation that ran and whose result is lost: another field that cannot be null is,
-	// and with it the whole data.
+	// CodeExecuted is the code of a mutation that ran and whose result is lost: another field, which is non-null but
+	// has no value, made the whole data null.
 	CodeExecuted = "EXECUTED"
 )
 
@@ -32,7 +32,8 @@
 	CodeDuplicateKey          = "KEY_TWICE"
 )
 
-// maxQuotedText limits, in bytes, what an error message quotes of a document.
+// maxQuotedText is the maximum length, in bytes, of a text in an error message that quotes a client's request: a name,
+// or a message of the parser, the validator or the JSON package.
 const maxQuotedText = 500
 
 // Error is an entry of a response's errors (section 7.1.2 of the GraphQL specification).
--- a/internal/graphql/plan/key.go
+++ b/internal/graphql/plan/key.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxKeyLength is the maximum length, in bytes, of a key that fronts and endpoints accept.
+// maxKeyLength is the maximum length, in bytes, of an idempotency or affinity key that fronts and endpoints accept.
 const maxKeyLength = 200
 
 // argumentKey returns the value at a path of argument and input field names, such as input.idempotencyKey, as a key. It
@@ -27,8 +27,8 @@
 	return headerSafeKey(fmt.Sprint(value))
 }
 
-// headerSafeKey returns a key that fits into an HTTP header: the text itself if it does, otherwise its SHA-256
-// checksum.
+// headerSafeKey returns a key that is valid in an HTTP header: the text itself if it is visible ASCII of at most
+// maxKeyLength bytes, otherwise its SHA-256 checksum.
 func headerSafeKey(text string) string {
 	if len(text) <= maxKeyLength && !strings.ContainsFunc(text, isNotVisibleASCII) {
 		return text
--- a/internal/graphql/plan/layout.go
+++ b/internal/graphql/plan/layout.go
@@ -6,28 +6,28 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// rootField is a root field of an operation: all selections with one response key.
+// rootField is a root field of an operation with all selections that have its response key.
 type rootField struct {
 	responseKey string
 	coordinate  string // the schema coordinate, such as Query.seats
 	selections  []*ast.Field
 	nonNull     bool
-	isMeta      bool // __typename, __schema or __type, which are resolved here
+	isMeta      bool // __typename, __schema or __type, which the balancer resolves itself
 }
 
-// layout is how an operation is split into parts, apart from the values of its variables.
+// layout is the division of an operation into parts, without the values of its variables.
 type layout struct {
 	rootFields []*rootField
 	parts      []*partTemplate
 	cost       int
 }
 
-// partTemplate is the document of a part and what it depends on.
+// partTemplate is a part without the values of its variables.
 type partTemplate struct {
 	rootFields []*rootField
 	class      string
-	text       string
-	variables  []string
+	text       string   // the document
+	variables  []string // the names of the variables that the document uses
 }
 
 // layoutOf returns the layout of an operation, from the cache if it does not depend on variables. vars are coerced.
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	for _, part := range l.parts {
-		d.printPart(op, part)
+		d.formatPart(op, part)
 	}
 	if !collector.dependsOnVariables {
 		d.mu.Lock()
@@ -84,7 +84,8 @@
 	return l, nil
 }
 
-// compatiblePart returns the part that a query's field may join, or nil if there is none.
+// compatiblePart returns the part that a query's field may join, or nil if there is none. All fields of a part have the
+// same class, deadline and coalescing.
 func (l *layout) compatiblePart(mapping FieldMapping, mappings map[string]FieldMapping) *partTemplate {
 	for _, part := range l.parts {
 		first := mappings[part.rootFields[0].coordinate]
--- a/internal/graphql/plan/limits.go
+++ b/internal/graphql/plan/limits.go
@@ -6,7 +6,7 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// Limits bound the work that a request may cause. All are above 0.
+// Limits bound the work that a single request may cause. Each must be greater than 0.
 type Limits struct {
 	MaxBytes      int // of a document
 	MaxTokens     int // of a document
@@ -17,8 +17,8 @@
 	MaxCost       int // of the root fields of an operation, in the unit of FieldMapping.Cost
 }
 
-// DefaultLimits are generous for what applications send. Higher values let one request cost more work and memory before
-// it is rejected.
+// DefaultLimits are well above the size of the documents that applications send. Higher values let a single request use
+// more processing time and memory before it is rejected.
 var DefaultLimits = Limits{
 	MaxBytes:      64 << 10,
 	MaxTokens:     8000,
@@ -29,7 +29,8 @@
 	MaxCost:       100,
 }
 
-// maxSum is where sums saturate, which prevents overflow by fragments that double.
+// maxSum is the value at which sums saturate. It prevents overflow, because a chain of fragments that each spread the
+// next one twice has an exponential size.
 const maxSum = 1 << 30
 
 func saturatingAdd(a, b int) int { return min(a+b, maxSum) }
@@ -49,12 +50,12 @@
 
 // sizer measures selection sets. It visits each fragment once, however often it is spread.
 type sizer struct {
-	query    *ast.QueryDocument
-	measured map[string]selectionSize
-	open     map[string]bool // fragments that are being measured
+	query      *ast.QueryDocument
+	measured   map[string]selectionSize
+	inProgress map[string]bool // fragments that are being measured
 }
 
-// selectionSet returns the size of a selection set. Its error says that a fragment spreads itself.
+// selectionSet returns the size of a selection set, or an error if a fragment spreads itself.
 func (z *sizer) selectionSet(set ast.SelectionSet) (selectionSize, *Error) {
 	var total selectionSize
 	for _, selection := range set {
@@ -96,7 +97,7 @@
 	if size, ok := z.measured[name]; ok {
 		return size, nil
 	}
-	if z.open[name] {
+	if z.inProgress[name] {
 		message := fmt.Sprintf("Cannot spread fragment %q within itself.", truncate(name))
 		return selectionSize{}, NewError(CodeValidationFailed, message)
 	}
@@ -104,17 +105,18 @@
 	if definition == nil {
 		return selectionSize{}, nil // validation reports it
 	}
-	z.open[name] = true
+	z.inProgress[name] = true
 	size, err := z.selectionSet(definition.SelectionSet)
-	z.open[name] = false
+	z.inProgress[name] = false
 	z.measured[name] = size
 	return size, err
 }
 
-// checkDocument checks a parsed document before it is validated, each of its operations by itself.
+// checkDocument checks each operation and fragment of a parsed document against the limits. It is called before the
+// document is validated.
 func (l *Limits) checkDocument(query *ast.QueryDocument) *Error {
-	z := &sizer{query: query, measured: map[string]selectionSize{}, open: map[string]bool{}}
-	for _, fragment := range query.Fragments { // unused ones too: validation visits them
+	z := &sizer{query: query, measured: map[string]selectionSize{}, inProgress: map[string]bool{}}
+	for _, fragment := range query.Fragments { // also those that no operation uses, because validation visits them
 		if err := l.checkSelectionSet(z, fragment.SelectionSet); err != nil {
 			return err
 		}
@@ -133,7 +135,7 @@
 		return err
 	}
 	for _, limit := range []struct {
-		what  string
+		name  string
 		size  int
 		limit int
 	}{
@@ -142,7 +144,7 @@
 		{"fields", size.fields, l.MaxFields},
 	} {
 		if limit.size > limit.limit {
-			message := fmt.Sprintf("the operation has more than %d %s", limit.limit, limit.what)
+			message := fmt.Sprintf("the operation has more than %d %s", limit.limit, limit.name)
 			return NewError(CodeLimitExceeded, message)
 		}
 	}
--- a/internal/graphql/plan/mapping.go
+++ b/internal/graphql/plan/mapping.go
@@ -11,19 +11,19 @@
 	"hazelwing/balancer"
 )
 
-// FieldMapping says how a root field is sent to endpoints.
+// FieldMapping configures how a root field is sent to endpoints.
 type FieldMapping struct {
 	Class string
-	// KeyArgument names the argument that holds the field's key, with dots into input objects: "input.idempotencyKey".
-	// It is the idempotency key of a mutation and the affinity key of a query. Empty: there is none.
+	// KeyArgument names the argument that holds the field's key, or a field of an input object: "input.idempotencyKey".
+	// The key is the idempotency key of a mutation and the affinity key of a query. Empty if there is none.
 	KeyArgument  string
-	Cost         int           // counted against Limits.MaxCost; 0: 1
-	ExpectedWork time.Duration // at an endpoint; 0: unknown
-	Deadline     time.Duration // shorter than that of the class; 0: none
-	Coalesce     bool          // identical parts in flight may share one execution; queries only
+	Cost         int           // counted against Limits.MaxCost; 0 counts as 1
+	ExpectedWork time.Duration // at an endpoint; 0 if unknown
+	Deadline     time.Duration // replaces the deadline of the class if it is shorter; 0 if there is none
+	Coalesce     bool          // whether identical parts in flight may share one execution; for queries only
 }
 
-// FieldMappingError is a fault in the mapping of a root field.
+// FieldMappingError is an error in the mapping of a root field.
 type FieldMappingError struct {
 	Field string // the schema coordinate, such as Query.seats
 	Err   error
@@ -43,13 +43,17 @@
 	case mapping.Class == "":
 		return errors.New("class is missing")
 	case s.classes != nil && !known:
-		return fmt.Errorf("class %q is none of the settings'", mapping.Class)
-	case mapping.Cost < 0 || mapping.ExpectedWork < 0 || mapping.Deadline < 0:
-		return errors.New("cost, work and deadline are not below 0")
+		return fmt.Errorf("class %q is not defined in the settings", mapping.Class)
+	case mapping.Cost < 0:
+		return fmt.Errorf("cost is %d, but must be at least 0", mapping.Cost)
+	case mapping.ExpectedWork < 0:
+		return fmt.Errorf("work is %v, but must be at least 0", mapping.ExpectedWork)
+	case mapping.Deadline < 0:
+		return fmt.Errorf("deadline is %v, but must be at least 0", mapping.Deadline)
 	case mapping.Coalesce && !isQuery:
-		return errors.New("share goes with queries")
+		return errors.New("share is true, but only fields of Query may be shared")
 	case known && isQuery && class.Effect != balancer.Idempotent:
-		return fmt.Errorf("class %q is not safe to repeat, and a query has no effect", mapping.Class)
+		return fmt.Errorf("class %q is not safe to repeat, but a field of Query needs a class that is", mapping.Class)
 	}
 	if mapping.KeyArgument == "" {
 		return nil
@@ -57,7 +61,7 @@
 	return s.checkKeyArgument(field, mapping.KeyArgument)
 }
 
-// checkKeyArgument checks that a path leads from an argument of the field to a scalar or an enum.
+// checkKeyArgument checks that a KeyArgument path leads from an argument of the field to a scalar or an enum.
 func (s *Schema) checkKeyArgument(field *ast.FieldDefinition, path string) error {
 	names := strings.Split(path, ".")
 	argument := field.Arguments.ForName(names[0])
@@ -67,8 +71,12 @@
 	current := argument.Type
 	for i, name := range names[1:] {
 		definition := s.ast.Types[current.Name()]
-		if definition.Kind != ast.InputObject || current.Elem != nil {
-			return fmt.Errorf("key: %q has no fields", strings.Join(names[:i+1], "."))
+		if current.Elem != nil {
+			return fmt.Errorf("key: %q is a list, want an input object", strings.Join(names[:i+1], "."))
+		}
+		if definition.Kind != ast.InputObject {
+			const format = "key: %q has type %s, want an input object"
+			return fmt.Errorf(format, strings.Join(names[:i+1], "."), definition.Name)
 		}
 		input := definition.Fields.ForName(name)
 		if input == nil {
@@ -76,9 +84,11 @@
 		}
 		current = input.Type
 	}
-	kind := s.ast.Types[current.Name()].Kind
-	if current.Elem != nil || kind != ast.Scalar && kind != ast.Enum {
-		return fmt.Errorf("key: %q is no scalar", path)
+	if current.Elem != nil {
+		return fmt.Errorf("key: %q is a list, want a scalar or an enum", path)
+	}
+	if kind := s.ast.Types[current.Name()].Kind; kind != ast.Scalar && kind != ast.Enum {
+		return fmt.Errorf("key: %q has type %s, want a scalar or an enum", path, current.Name())
 	}
 	return nil
 }
--- a/internal/graphql/plan/merge.go
+++ b/internal/graphql/plan/merge.go
@@ -9,14 +9,14 @@
 // Response is the response to the client.
 type Response struct {
 	Body []byte
-	// Rejected says that nothing of the operation ran because it was rejected.
+	// Rejected is true if no part of the operation ran, because each was rejected or not started.
 	Rejected bool
-	// RetryAfter is when the client of a rejected operation may retry; 0: unknown.
+	// RetryAfter is how long the client of a rejected operation should wait before it retries; 0 if unknown.
 	RetryAfter time.Duration
 }
 
 // Merge builds the response: data in the order of the operation, with nulls propagated as section 6.4.4 of the GraphQL
-// specification requires, and all errors. outcomes are those of all Parts, in the same order.
+// specification requires, and all errors. outcomes has one outcome for each of Parts, in the same order.
 func (p *Plan) Merge(outcomes []Outcome) Response {
 	response := Response{Rejected: len(outcomes) > 0}
 	var errs encodedErrors
@@ -33,13 +33,13 @@
 	return response
 }
 
-// addOutcome updates whether, and until when, the whole operation was rejected.
+// addOutcome updates Rejected and RetryAfter for the outcome of one part.
 func (r *Response) addOutcome(outcome Outcome) {
 	switch outcome.Kind {
 	case OutcomeRejected:
 		r.RetryAfter = max(r.RetryAfter, outcome.RetryAfter)
 	case OutcomeNotStarted:
-		// Nothing ran, which does not contradict a rejection.
+		// The part did not run, so that the operation may still be rejected as a whole.
 	case OutcomeExecuted, OutcomeEndpointRejected, OutcomeUnknown:
 		r.Rejected = false
 	}
@@ -91,11 +91,11 @@
 	case p.Serial:
 		return CodeMayHaveRun
 	}
-	return CodeUnavailable // a query has no effect
+	return CodeUnavailable // a query has no effect, so it does not matter whether it ran
 }
 
-// appendLostResults adds an error for each mutation that ran and whose result is lost because the data is null: the
-// client could not tell otherwise which of them ran.
+// appendLostResults adds an error for each mutation that ran and whose result is lost because the data is null. Without
+// these errors, the client could not tell which mutations ran.
 func (p *Plan) appendLostResults(errs *encodedErrors, outcomes []Outcome) {
 	if !p.Serial {
 		return
@@ -108,7 +108,8 @@
 	}
 }
 
-// mergeData builds the response's data. isNull is set if it is null because a field that cannot be null is.
+// mergeData builds the response's data. isNull reports that the whole data is null, because a non-null root field has
+// no value.
 func (p *Plan) mergeData(outcomes []Outcome) (data []byte, isNull bool) {
 	var merged bytes.Buffer
 	merged.WriteByte('{')
@@ -134,18 +135,18 @@
 
 // value returns the value of a root field, or nil if it has none.
 func (p *Plan) value(field *rootField, outcomes []Outcome) json.RawMessage {
-	if value, ok := p.local[field.responseKey]; ok {
+	if value, ok := p.metaValues[field.responseKey]; ok {
 		return value
 	}
-	response := outcomes[p.partOf[field.responseKey]].Response
+	response := outcomes[p.partIndex[field.responseKey]].Response
 	if response == nil {
 		return nil
 	}
 	return response.values[field.responseKey]
 }
 
-// extensionsOf returns the extensions of the only endpoint response. With several parts there is no rule to merge
-// theirs.
+// extensionsOf returns the extensions of the endpoint's response if there is a single part. The extensions of several
+// parts are dropped, because there is no rule for merging them.
 func extensionsOf(outcomes []Outcome) json.RawMessage {
 	if len(outcomes) != 1 || outcomes[0].Response == nil {
 		return nil
--- a/internal/graphql/plan/outcome.go
+++ b/internal/graphql/plan/outcome.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// OutcomeKind says how the request for a part ended.
+// OutcomeKind is how the request for a part ended.
 type OutcomeKind int
 
-// The kinds of outcomes.
+// Kinds of outcomes.
 const (
 	// OutcomeExecuted means that an endpoint responded and executed the part, whether or not its fields have errors.
 	OutcomeExecuted OutcomeKind = iota
@@ -22,13 +22,13 @@
 // Outcome is the result of the request for a part.
 type Outcome struct {
 	Kind       OutcomeKind
-	Response   *EndpointResponse // set for OutcomeExecuted and OutcomeNodeRejected
-	RetryAfter time.Duration     // for OutcomeRejected: when the client may retry; 0: unknown
-	Reason     string            // for the client, where there is no Response
+	Response   *EndpointResponse // set for OutcomeExecuted and OutcomeEndpointRejected
+	RetryAfter time.Duration     // for OutcomeRejected: how long to wait before a retry; 0 if unknown
+	Reason     string            // the error message for the client if there is no Response
 }
 
-// MayContinueAfter reports whether the part after one with the given outcome may be sent: only after a response that
-// states what was executed and that leaves the merged data intact.
+// MayContinueAfter reports whether the part after one with the given outcome may be sent. It may be sent only after a
+// response whose data is not null: it shows that the part was executed and did not make the merged data null.
 func (p *Plan) MayContinueAfter(outcome Outcome) bool {
 	return outcome.Kind == OutcomeExecuted && outcome.Response.values != nil
 }
--- a/internal/graphql/plan/part.go
+++ b/internal/graphql/plan/part.go
@@ -15,18 +15,18 @@
 type Part struct {
 	Class          string
 	Effect         balancer.Effect
-	IdempotencyKey string        // the same in all requests for one effect; empty: none
-	AffinityKey    string        // what a query is about; empty: nothing, or several things
-	ExpectedWork   time.Duration // 0: unknown
-	Deadline       time.Duration // from the time at which the part is sent; 0: none
-	Coalesce       bool          // identical parts in flight may share one execution
+	IdempotencyKey string        // of a mutation, the same in all attempts and retries; empty if there is none
+	AffinityKey    string        // of a query; empty if its root fields have none or different ones
+	ExpectedWork   time.Duration // 0 if unknown
+	Deadline       time.Duration // counted from when the part is sent; 0 if there is none
+	Coalesce       bool          // whether identical parts in flight may share one execution
 	ResponseKeys   []string      // of the root fields, in the operation's order
 	Body           []byte        // the request's body, application/json
 
-	nonNull bool // one of the fields cannot be null
+	nonNull bool // whether one of the root fields is non-null
 }
 
-// request is the body of a part.
+// request is the JSON body of the request for a part.
 type request struct {
 	Query         string                     `json:"query"`
 	OperationName string                     `json:"operationName,omitempty"`
@@ -35,11 +35,11 @@
 
 // partBuilder builds the parts of one operation with its variables.
 type partBuilder struct {
-	schema     *Schema
-	operation  *ast.OperationDefinition
-	vars       map[string]any             // coerced
-	variables  map[string]json.RawMessage // as the client sent them
-	requestKey string
+	schema       *Schema
+	operation    *ast.OperationDefinition
+	vars         map[string]any             // the coerced variables
+	rawVariables map[string]json.RawMessage // as the client sent them
+	requestKey   string
 }
 
 func (b *partBuilder) build(template *partTemplate) (*Part, *Error) {
@@ -92,7 +92,8 @@
 	return key
 }
 
-// setIdempotencyKey sets the key of a mutation: that of its argument, or else one derived from the request's.
+// setIdempotencyKey sets the idempotency key of a mutation: the value of its key argument, or else a key derived from
+// the request's key. It returns an error if the class is keyed and there is neither.
 func (b *partBuilder) setIdempotencyKey(part *Part, argument, coordinate string) *Error {
 	responseKey := part.ResponseKeys[0]
 	part.IdempotencyKey = argument
@@ -114,7 +115,7 @@
 		Variables:     map[string]json.RawMessage{},
 	}
 	for _, name := range template.variables {
-		if value, ok := b.variables[name]; ok {
+		if value, ok := b.rawVariables[name]; ok {
 			body.Variables[name] = value
 		}
 	}
--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -10,20 +10,22 @@
 	"hazelwing/internal/graphql/exec"
 )
 
-// Plan says how one operation with its variables is executed.
+// Plan is the execution plan of one operation with its variables.
 type Plan struct {
-	// Serial says that the parts are sent one after the other, each only if MayContinueAfter holds for its predecessor.
+	// Serial is true if the parts are sent one after the other, each only if MayContinueAfter returns true for the
+	// outcome of its predecessor.
 	Serial bool
 	Parts  []*Part
 
 	rootFields []*rootField
-	local      map[string]json.RawMessage // the values of meta fields, by response key
-	partOf     map[string]int             // the index of the part of each other root field, by response key
+	metaValues map[string]json.RawMessage // the values of meta fields, by response key
+	partIndex  map[string]int             // the index of the part of each other root field, by response key
 }
 
 // Plan plans an operation of the document. The operation's name may be empty if there is only one. requestKey is the
-// client's idempotency key for the whole request, or empty: mutations without a key argument of their own derive theirs
-// from it and their response key. An error is a request error, and nothing of the operation may be sent.
+// client's idempotency key for the whole request, or empty if there is none. The key of a mutation without a key
+// argument is derived from requestKey and its response key. An error applies to the whole request, and no part of the
+// operation may be sent.
 func (d *Document) Plan(
 	operationName string, variables map[string]json.RawMessage, requestKey string,
 ) (*Plan, *Error) {
@@ -45,18 +47,18 @@
 	p := &Plan{
 		Serial:     op.Operation == ast.Mutation,
 		rootFields: l.rootFields,
-		local:      map[string]json.RawMessage{},
-		partOf:     map[string]int{},
+		metaValues: map[string]json.RawMessage{},
+		partIndex:  map[string]int{},
 	}
 	if err := p.resolveMetaFields(d, op, vars); err != nil {
 		return nil, err
 	}
 	builder := &partBuilder{
-		schema:     d.schema,
-		operation:  op,
-		vars:       vars,
-		variables:  variables,
-		requestKey: requestKey,
+		schema:       d.schema,
+		operation:    op,
+		vars:         vars,
+		rawVariables: variables,
+		requestKey:   requestKey,
 	}
 	if err := p.addParts(l.parts, builder); err != nil {
 		return nil, err
@@ -74,13 +76,13 @@
 		if err != nil {
 			return NewError(CodeValidationFailed, err.Error())
 		}
-		p.local[field.responseKey] = value
+		p.metaValues[field.responseKey] = value
 	}
 	return nil
 }
 
-// addParts builds the parts from their templates. Two parts that have an effect must not have the same idempotency key
-// in one class: the second would be taken for a repeat of the first.
+// addParts builds the parts from their templates. Two parts of one class that is not idempotent must not have the same
+// idempotency key: the second part would be treated as a retry of the first.
 func (p *Plan) addParts(templates []*partTemplate, builder *partBuilder) *Error {
 	seen := map[string]bool{}
 	for i, template := range templates {
@@ -99,7 +101,7 @@
 		}
 		p.Parts = append(p.Parts, part)
 		for _, field := range template.rootFields {
-			p.partOf[field.responseKey] = i
+			p.partIndex[field.responseKey] = i
 		}
 	}
 	return nil
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// newTestSchema returns a Schema of testConfig, modified by modify unless that is nil.
+// newTestSchema returns a Schema of testConfig. If modify is not nil, it changes the configuration first.
 func newTestSchema(tb testing.TB, modify func(*Config)) *Schema {
 	tb.Helper()
 	config := testConfig()
@@ -69,7 +69,8 @@
 	return s
 }
 
-// TestScripts runs the scripts in testdata: documents with their plans, and outcomes of the parts with the response.
+// TestScripts runs the scripts in testdata. The command plan prints the plan of a document, and the command merge
+// prints the response for given outcomes of the parts of the latest plan.
 //
 //	plan [op=NAME] [key=KEY] [introspection]    input: the document, after an optional line "vars: JSON"
 //	merge                                       input: one line for each part, one of
@@ -86,7 +87,7 @@
 			case "merge":
 				return runMerge(p, d.Input)
 			}
-			return "no such command"
+			return fmt.Sprintf("unknown command %q, want plan or merge", d.Cmd)
 		})
 	})
 }
@@ -171,18 +172,18 @@
 // runMerge merges outcomes and describes the response.
 func runMerge(p *Plan, input string) string {
 	if p == nil {
-		return "there is no plan"
+		return "merge without a valid plan before it"
 	}
 	var outcomes []Outcome
 	if input != "" {
 		mayContinue := true
 		for i, line := range strings.Split(input, "\n") {
-			outcome, fault := parseOutcome(p.Parts[i], line)
-			if fault != "" {
-				return fault
+			outcome, problem := parseOutcome(p.Parts[i], line)
+			if problem != "" {
+				return problem
 			}
 			if outcome.Kind == OutcomeNotStarted && mayContinue {
-				return "it could have been started"
+				return fmt.Sprintf("part %d is not-started, but MayContinueAfter allowed it", i+1)
 			}
 			if p.Serial {
 				mayContinue = p.MayContinueAfter(outcome)
@@ -201,8 +202,9 @@
 	return text
 }
 
-// parseOutcome parses a line of a script. fault says what is wrong with it, or with the response in it.
-func parseOutcome(part *Part, line string) (outcome Outcome, fault string) {
+// parseOutcome parses a line of a script. problem describes an error in the line or in the response that it holds; it
+// is empty if there is none.
+func parseOutcome(part *Part, line string) (outcome Outcome, problem string) {
 	kind, argument, _ := strings.Cut(line, " ")
 	switch kind {
 	case "response":
@@ -231,10 +233,10 @@
 	case "not-started":
 		return Outcome{Kind: OutcomeNotStarted, Reason: "not started"}, ""
 	}
-	return outcome, "no such outcome: " + kind
+	return outcome, fmt.Sprintf("unknown outcome %q, want response, rejected, unknown or not-started", kind)
 }
 
-// TestConfigErrors checks that a schema and a mapping that do not fit are rejected, naming the place.
+// TestConfigErrors checks that New rejects an invalid schema or mapping, with an error that names the place.
 func TestConfigErrors(t *testing.T) {
 	setField := func(coordinate string, mapping FieldMapping) func(*Config) {
 		return func(c *Config) { c.Fields[coordinate] = mapping }
@@ -253,7 +255,7 @@
 		},
 		"unknown class": {
 			setField("Query.coach", FieldMapping{Class: "x"}),
-			"Query.coach: class \"x\" is none",
+			"Query.coach: class \"x\" is not defined",
 		},
 		"empty class": {
 			setField("Query.coach", FieldMapping{}),
@@ -265,11 +267,19 @@
 		},
 		"coalesced mutation": {
 			setField("Mutation.holdSeat", FieldMapping{Class: "book", Coalesce: true}),
-			"share goes with queries",
+			"share is true, but only fields of Query may be shared",
 		},
 		"negative cost": {
 			setField("Query.coach", FieldMapping{Class: "map", Cost: -1}),
-			"not below 0",
+			"Query.coach: cost is -1, but must be at least 0",
+		},
+		"negative work": {
+			setField("Query.coach", FieldMapping{Class: "map", ExpectedWork: -time.Second}),
+			"Query.coach: work is -1s, but must be at least 0",
+		},
+		"negative deadline": {
+			setField("Query.coach", FieldMapping{Class: "map", Deadline: -time.Second}),
+			"Query.coach: deadline is -1s, but must be at least 0",
 		},
 		"no argument": {
 			setField("Mutation.holdSeat", FieldMapping{Class: "book", KeyArgument: "tokn"}),
@@ -281,11 +291,11 @@
 		},
 		"no input object": {
 			setField("Mutation.holdSeat", FieldMapping{Class: "book", KeyArgument: "seat.x"}),
-			"\"seat\" has no fields",
+			"\"seat\" has type ID, want an input object",
 		},
-		"no scalar": {
+		"key is an input object": {
 			setField("Mutation.recordPayment", FieldMapping{Class: "pay", KeyArgument: "input"}),
-			"is no scalar",
+			"\"input\" has type PaymentInput, want a scalar or an enum",
 		},
 		"SDL": {
 			func(c *Config) { c.SDL = "type Query {\n  x: Nothing }" },
@@ -296,7 +306,7 @@
 				c.SDL = "type Query { x: Int }\ntype Subscription { y: Int }"
 				c.Fields = map[string]FieldMapping{"Query.x": {Class: "map"}}
 			},
-			"2:6: subscriptions are not carried",
+			"2:6: the schema has a subscription type, but subscriptions are not supported",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -309,8 +319,8 @@
 	}
 }
 
-// A cached document is planned again for another request. With the variables of the request before, a client would get
-// another's data, or bring about its effect: it must be planned with its own.
+// A document is planned for several requests with different variables. If a plan used the variables of an earlier
+// request, the client would receive another client's data, or repeat its mutation.
 func TestCachedLayoutUsesOwnVariables(t *testing.T) {
 	const text = `query ($b: Boolean!, $t: ID!) {
 		seats(train: $t) { id }
@@ -328,7 +338,7 @@
 		}
 		p, err := document.Plan("", variables, "")
 		if err != nil || len(p.Parts) != want || !strings.Contains(string(p.Parts[0].Body), `"variables":{"t":`+train) {
-			t.Errorf("%d: %d parts, want %d; %v", i, len(p.Parts), want, err)
+			t.Errorf("request %d: %d parts, want %d with train %s; error %v", i, len(p.Parts), want, train, err)
 		}
 	}
 }
@@ -342,7 +352,7 @@
 	"m0":    []byte(`{"data":{"m0":{"id":"s"}}}`),
 }
 
-// planAndMerge plans a document, parses the parts' responses and merges them.
+// planAndMerge plans a document, parses the responses to its parts and merges them.
 func planAndMerge(b *testing.B, document *Document, variables map[string]json.RawMessage) {
 	b.Helper()
 	p, err := document.Plan("", variables, "")
--- a/internal/graphql/plan/property_test.go
+++ b/internal/graphql/plan/property_test.go
@@ -16,8 +16,9 @@
 	"hazelwing/internal/graphql/exec"
 )
 
-// TestPlanEqualsDirectExecution checks that an operation that is split, executed in parts and merged gives what its
-// direct execution on one endpoint gives: for generated schemas, operations, variables, nulls and errors.
+// TestPlanEqualsDirectExecution checks that splitting an operation, executing its parts and merging the responses gives
+// the same response as executing the operation directly on one endpoint. It does so for generated schemas, operations,
+// variables, nulls and errors.
 func TestPlanEqualsDirectExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		generated := newGeneratedSchema(t)
@@ -57,11 +58,11 @@
 		if string(got.Data) != string(want.Data) {
 			t.Fatalf("data %s\nwant %s\n%s\n%s", got.Data, want.Data, text, generated.sdl)
 		}
-		// Direct execution of a query stops at the first null that makes the data null, the parts do not.
+		// Direct execution of a query stops at the first null that makes the data null, but all parts are executed.
 		mayHaveMore := !p.Serial && string(want.Data) == "null"
 		for e, n := range errorDifference(got, want) {
 			if n < 0 || n > 0 && !mayHaveMore {
-				t.Fatalf("error %s: %+d\n%s", e, n, text)
+				t.Fatalf("error %s: %+d times compared with direct execution\n%s", e, n, text)
 			}
 		}
 	})
@@ -73,8 +74,8 @@
 	Errors []Error
 }
 
-// errorDifference returns, by message and path, how many more errors got has than want, apart from those that exist
-// only in parts.
+// errorDifference returns, by message and path, how many more errors got has than want. It ignores errors with the
+// codes NOT_STARTED and EXECUTED, because only operations that are split into parts have them.
 func errorDifference(got mergedResponse, want exec.Result) map[string]int {
 	difference := map[string]int{}
 	for _, e := range got.Errors {
@@ -94,7 +95,7 @@
 	generated *generatedSchema
 }
 
-// executeParts executes the parts of a plan as a front does.
+// executeParts executes the parts of a plan in the same way as the GraphQL front.
 func (n *testNode) executeParts(t *rapid.T, p *Plan) []Outcome {
 	t.Helper()
 	var outcomes []Outcome
@@ -152,18 +153,18 @@
 
 // generatedSchema is a schema of a few object types whose fields are scalars, objects and lists, some of them non-null.
 type generatedSchema struct {
-	sdl      string
-	mappings map[string]FieldMapping
-	types    map[string][]generatedField
-	seed     uint32
-	names    int // how many names have been generated
+	sdl       string
+	mappings  map[string]FieldMapping
+	types     map[string][]generatedField
+	seed      uint32
+	nameCount int // how many names have been generated
 }
 
 type generatedField struct {
 	name        string
 	hasArgument bool
 	objectType  string // empty: Int
-	typeFormat  string // of the type, with a verb for its name
+	typeFormat  string // format of the type with a verb for its name, such as "[%s!]"
 }
 
 func newGeneratedSchema(t *rapid.T) *generatedSchema {
@@ -249,9 +250,9 @@
 			if rapid.Bool().Draw(t, "inline") {
 				fmt.Fprintf(&b, " ... on %s%s {%s}", typeName, condition, inner)
 			} else {
-				g.names++
-				fmt.Fprintf(&b, " ...F%d%s", g.names, condition)
-				fmt.Fprintf(fragments, " fragment F%d on %s {%s}", g.names, typeName, inner)
+				g.nameCount++
+				fmt.Fprintf(&b, " ...F%d%s", g.nameCount, condition)
+				fmt.Fprintf(fragments, " fragment F%d on %s {%s}", g.nameCount, typeName, inner)
 			}
 			continue
 		}
@@ -260,8 +261,8 @@
 			b.WriteString(" t: __typename")
 			continue
 		}
-		g.names++
-		fmt.Fprintf(&b, " n%d: %s", g.names, f.name)
+		g.nameCount++
+		fmt.Fprintf(&b, " n%d: %s", g.nameCount, f.name)
 		if f.hasArgument {
 			b.WriteString(rapid.SampledFrom(argumentLists).Draw(t, "args"))
 		}
@@ -273,8 +274,8 @@
 	return b.String()
 }
 
-// generatedObject resolves its fields by their path alone: the schema's seed decides which are null or fail, and how
-// long lists are.
+// generatedObject derives the values of its fields from their paths, their arguments and the schema's seed: whether a
+// field is null or fails, and how long a list is.
 type generatedObject struct {
 	schema   *generatedSchema
 	typeName string
--- a/internal/graphql/plan/response.go
+++ b/internal/graphql/plan/response.go
@@ -10,15 +10,14 @@
 
 // EndpointResponse is an endpoint's response to one part.
 type EndpointResponse struct {
-	values     map[string]json.RawMessage // by response key; nil: data is null or absent
-	executed   bool                       // data is present
+	values     map[string]json.RawMessage // by response key; nil if data is null or absent
+	executed   bool                       // whether data is present, even if it is null
 	errors     []nodeError
 	extensions json.RawMessage
 }
 
 // nodeError is an entry of the errors of an endpoint's response. Its locations are dropped: they refer to the part's
-// document, and not to the client's.
-// Texts of package encoding/json have the name of this type: it stays.
+// document, and not to the client's. The type must not be renamed, because errors of encoding/json contain its name.
 type nodeError struct {
 	Message    string            `json:"message"`
 	Path       []json.RawMessage `json:"path,omitempty"`
@@ -28,22 +27,23 @@
 // Executed reports whether the endpoint states that it executed the part.
 func (r *EndpointResponse) Executed() bool { return r.executed }
 
-// What is wrong with an endpoint's response that cannot be used. The balancer counts each as an error of the endpoint.
+// Errors of ParseResponse for an invalid response. The balancer counts each as an error of the endpoint.
 var (
-	errNoDataOrErrors   = errors.New("neither data nor errors")
-	errNullWithoutError = errors.New("data is null without an error")
-	errUnrequestedData  = errors.New("data has what was not asked for")
-	errNoJSONObject     = errors.New("no JSON object")
-	errTrailingData     = errors.New("something follows the object")
+	errNoDataOrErrors   = errors.New("the response has neither data nor errors")
+	errNullWithoutError = errors.New("data is null, but the response has no errors")
+	errUnrequestedData  = errors.New("data has a field that the part does not request")
+	errNotJSONObject    = errors.New("not a JSON object")
+	errTrailingData     = errors.New("unexpected text after the JSON object")
 )
 
-// RejectedResponse returns the response of an endpoint that rejected the part by other means than GraphQL.
+// RejectedResponse returns a response with one error that has the given message. It stands for the response of an
+// endpoint that rejected the part otherwise than by a GraphQL error, such as by its HTTP status.
 func (p *Part) RejectedResponse(message string) *EndpointResponse {
 	return &EndpointResponse{errors: []nodeError{{Message: message}}}
 }
 
-// ParseResponse parses an endpoint's response to the part. An error means that the body is not a response to it: it is
-// truncated or corrupt, or belongs to another part.
+// ParseResponse parses an endpoint's response to the part. An error means that the body is not a response to this part:
+// it is truncated or corrupt, or belongs to another part.
 func (p *Part) ParseResponse(body []byte) (*EndpointResponse, error) {
 	members, err := parseObject(body)
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 	for _, key := range p.ResponseKeys {
 		if _, ok := values[key]; !ok {
-			return nil, fmt.Errorf("data has no %q", key)
+			return nil, fmt.Errorf("data has no field %q, which the part requests", key)
 		}
 	}
 	if len(values) != len(p.ResponseKeys) {
@@ -113,17 +113,17 @@
 	}
 	var key string
 	if err := json.Unmarshal(path[0], &key); err != nil || !slices.Contains(p.ResponseKeys, key) {
-		return fmt.Errorf("errors: a path begins with %.50s, which was not asked for", path[0])
+		return fmt.Errorf("errors: a path begins with %.50s, which is not a response key of the part", path[0])
 	}
 	return nil
 }
 
-// parseObject parses a JSON object whose member names are unique and which nothing follows. encoding/json would accept
-// repeated names and keep the last value.
+// parseObject parses a text that consists of one JSON object. It rejects repeated member names, of which encoding/json
+// would keep the last value.
 func parseObject(text []byte) (map[string]json.RawMessage, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
-		return nil, errNoJSONObject
+		return nil, errNotJSONObject
 	}
 	members := map[string]json.RawMessage{}
 	for decoder.More() {
@@ -133,7 +133,7 @@
 		}
 		name, _ := token.(string) // Decoder guarantees that a member's name is a string
 		if _, ok := members[name]; ok {
-			return nil, fmt.Errorf("%.50q is there twice", name)
+			return nil, fmt.Errorf("the JSON object has more than one member %.50q", name)
 		}
 		var value json.RawMessage
 		if err := decoder.Decode(&value); err != nil {
--- a/internal/graphql/plan/schema.go
+++ b/internal/graphql/plan/schema.go
@@ -18,26 +18,26 @@
 
 // Config is the configuration of a Schema.
 type Config struct {
-	SchemaFile    string // the name of the file that SDL was read from, for errors
+	SchemaFile    string // the name of the file that SDL was read from, for error messages
 	SDL           string // the schema in the schema definition language
 	Fields        map[string]FieldMapping
-	Classes       []balancer.Class // nil: not known yet, and not checked
+	Classes       []balancer.Class // nil if not known yet; the classes of Fields are then not checked
 	Limits        Limits
-	Introspection bool // __schema and __type are resolved
+	Introspection bool // whether __schema and __type are resolved
 }
 
 // Schema parses and plans operations.
 type Schema struct {
 	ast           *ast.Schema
 	mappings      map[string]FieldMapping   // by schema coordinate, such as Query.seats
-	classes       map[string]balancer.Class // by name; nil: not known yet
+	classes       map[string]balancer.Class // by name; nil if not known yet
 	limits        Limits
 	introspection bool
 	rules         *rules.Rules
 }
 
-// New returns a Schema. Its error joins all faults. Those of the SDL, and of root fields without a mapping, begin with
-// the position in the SDL; those of the mapping are each a FieldMappingError.
+// New returns a Schema. Its error joins all problems of the configuration. Problems of the SDL, and root fields without
+// a mapping, are reported with the position in the SDL; each problem of a mapping is a FieldMappingError.
 func New(config Config) (*Schema, error) {
 	parsed, err := parseSDL(config)
 	if err != nil {
@@ -56,24 +56,24 @@
 			s.classes[class.Name] = class
 		}
 	}
-	var faults []error
+	var problems []error
 	for _, rootType := range []*ast.Definition{parsed.Query, parsed.Mutation} {
 		if rootType != nil {
-			faults = append(faults, s.mapRootFields(rootType, config)...)
+			problems = append(problems, s.mapRootFields(rootType, config)...)
 		}
 	}
 	for _, coordinate := range slices.Sorted(maps.Keys(config.Fields)) {
 		if _, ok := s.mappings[coordinate]; !ok {
 			err := errors.New("the schema has no such root field of Query or Mutation")
-			faults = append(faults, FieldMappingError{Field: coordinate, Err: err})
+			problems = append(problems, FieldMappingError{Field: coordinate, Err: err})
 		}
 	}
 	if parsed.Subscription != nil {
 		position := parsed.Subscription.Position
-		const format = "%s:%d:%d: subscriptions are not carried"
-		faults = append(faults, fmt.Errorf(format, config.SchemaFile, position.Line, position.Column))
+		const format = "%s:%d:%d: the schema has a subscription type, but subscriptions are not supported"
+		problems = append(problems, fmt.Errorf(format, config.SchemaFile, position.Line, position.Column))
 	}
-	return s, errors.Join(faults...)
+	return s, errors.Join(problems...)
 }
 
 // AST returns the parsed schema, which must not be changed.
@@ -93,7 +93,7 @@
 	return nil, fmt.Errorf("%s: %w", config.SchemaFile, err)
 }
 
-// validationRules returns the rules that documents are validated by. Without introspection, errors have no suggestions
+// validationRules returns the rules for validating documents. Without introspection, errors have no suggestions
 // such as "Did you mean ...", which would disclose the schema.
 func validationRules(introspection bool) *rules.Rules {
 	all := rules.NewDefaultRules()
@@ -112,9 +112,9 @@
 	return all
 }
 
-// mapRootFields takes over the mappings of a root type's fields and returns what is wrong with them.
+// mapRootFields stores the mappings of a root type's fields and returns the errors in them.
 func (s *Schema) mapRootFields(rootType *ast.Definition, config Config) []error {
-	var faults []error
+	var problems []error
 	for _, field := range rootType.Fields {
 		if strings.HasPrefix(field.Name, "__") {
 			continue
@@ -123,14 +123,15 @@
 		mapping, ok := config.Fields[coordinate]
 		if !ok {
 			at := field.Position
-			const format = "%s:%d:%d: %s has no class: no graphql.field.%q"
-			faults = append(faults, fmt.Errorf(format, config.SchemaFile, at.Line, at.Column, coordinate, coordinate))
+			const format = "%s:%d:%d: %s has no class: the settings have no table graphql.field.%q"
+			err := fmt.Errorf(format, config.SchemaFile, at.Line, at.Column, coordinate, coordinate)
+			problems = append(problems, err)
 			continue
 		}
 		s.mappings[coordinate] = mapping
 		if err := s.checkMapping(rootType, field, mapping); err != nil {
-			faults = append(faults, FieldMappingError{Field: coordinate, Err: err})
+			problems = append(problems, FieldMappingError{Field: coordinate, Err: err})
 		}
 	}
-	return faults
+	return problems
 }
--- a/internal/graphql/plan/subdocument.go
+++ b/internal/graphql/plan/subdocument.go
@@ -7,9 +7,9 @@
 	"github.com/vektah/gqlparser/v2/formatter"
 )
 
-// printPart sets the text and the variables of a part: an operation with its root fields, and the fragments and
-// variables that these use.
-func (d *Document) printPart(op *ast.OperationDefinition, part *partTemplate) {
+// formatPart sets the text of a part, which is an operation with the part's root fields and the fragments and variables
+// that these use, and the names of these variables.
+func (d *Document) formatPart(op *ast.OperationDefinition, part *partTemplate) {
 	used := &usage{query: d.query, variables: map[string]bool{}, fragments: map[string]bool{}}
 	subdocument := &ast.QueryDocument{}
 	operation := &ast.OperationDefinition{Operation: op.Operation, Name: op.Name, Directives: op.Directives}
--- a/internal/graphql/plan/variables.go
+++ b/internal/graphql/plan/variables.go
@@ -46,7 +46,8 @@
 	return vars, nil
 }
 
-// intsInRange checks the integers of a value that has the given type. The validator accepts integers of any size.
+// intsInRange reports whether all Int values in a value of the given type are 32-bit signed integers. The validator
+// accepts integers of any size.
 func (s *Schema) intsInRange(t *ast.Type, value any) bool {
 	switch value := value.(type) {
 	case json.Number:
