--- a/rpc/grpcbalancer/bench_test.go
+++ b/rpc/grpcbalancer/bench_test.go
@@ -13,8 +13,8 @@
 	"hazelwing/balancer"
 )
 
-// BenchmarkInvoke measures a call by plain grpc-go and by the plug-in, to a server in the same process that responds at
-// once.
+// BenchmarkInvoke measures a call through plain grpc-go and through the plug-in. The server is in the same process and
+// responds at once.
 //
 //	go test ./rpc/grpcbalancer -run '^$' -bench Invoke -benchmem -count 6
 func BenchmarkInvoke(b *testing.B) {
--- a/rpc/grpcbalancer/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -22,7 +22,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// Metadata and peer reach the application through its options, once, from the attempt that the response is of.
+// Call options for the header, the trailer and the peer are set from the attempt whose response is the call's result,
+// and OnFinish is called once.
 func TestCallOptionsAreSetByTheFinalAttempt(t *testing.T) {
 	endpoints, _ := startTwoServers(t, func(s *rawh2.Stream, before int32) {
 		if before == 0 {
@@ -44,7 +45,7 @@
 		text, err := invoke(t.Context(), conn, book, "seat", grpc.Header(&header), grpc.Trailer(&trailer),
 			grpc.Peer(&from), grpc.OnFinish(func(error) { finished++ }))
 		if err != nil || text != "ok" {
-			t.Fatalf("%s: %q, %v", name, text, err)
+			t.Fatalf("%s: response %q, error %v", name, text, err)
 		}
 		if header.Get("content-type") == nil || firstValue(trailer, "who", "") != "second" || from.Addr == nil ||
 			finished != 1 {
@@ -53,7 +54,8 @@
 	}
 }
 
-// newClientConn returns a connection whose calls go through p, and checks that its own interceptors run once a call.
+// newClientConn returns a connection whose calls go through p. At the end of the test, it checks that the connection's
+// own interceptor has run once, for the only call.
 func newClientConn(t *testing.T, p *Plugin) *grpc.ClientConn {
 	t.Helper()
 	var calls atomic.Int32
@@ -72,13 +74,13 @@
 	t.Cleanup(func() {
 		conn.Close()
 		if calls.Load() != 1 {
-			t.Errorf("the application's interceptor ran %d times", calls.Load())
+			t.Errorf("the application's interceptor ran %d times for one call", calls.Load())
 		}
 	})
 	return conn
 }
 
-// A status of the application on a server is the call's result, and the call is not retried.
+// A status with which the application on a server responds is the call's result, and the call is not retried.
 func TestApplicationStatusIsTheResult(t *testing.T) {
 	for _, code := range []codes.Code{
 		codes.NotFound,
@@ -97,12 +99,13 @@
 		p := start(t, testConfig(endpoints))
 		_, err := invoke(t.Context(), p, look, "seat")
 		if s := status.Convert(err); s.Code() != code || s.Message() != "as it is" || received.Load() != 1 {
-			t.Errorf("%v: %v after %d copies", code, err, received.Load())
+			t.Errorf("status %v: error %v after %d attempts, want this status after one", code, err, received.Load())
 		}
 	}
 }
 
-// A rejection has one of two codes, and says after what time to retry; other errors are none.
+// A rejection has the code UNAVAILABLE or RESOURCE_EXHAUSTED, and a RetryInfo if the settings allow it. Other errors
+// are not rejections.
 func TestRejection(t *testing.T) {
 	t.Run("no connection", func(t *testing.T) {
 		cfg := testConfig(Static(Endpoint{Addr: testutil.UnusedAddr}))
@@ -111,14 +114,14 @@
 		_, err := invoke(t.Context(), p, book, "seat")
 		retryAfter, ok := Rejected(err)
 		if !ok || retryAfter != 1500*time.Millisecond || status.Code(err) != codes.Unavailable {
-			t.Errorf("%v, retry after %v", err, retryAfter)
+			t.Errorf("error %v, retry after %v; want UNAVAILABLE, retry after 1.5s", err, retryAfter)
 		}
 		var info *errdetails.RetryInfo
 		for _, d := range status.Convert(err).Details() {
 			info, _ = d.(*errdetails.RetryInfo)
 		}
 		if info.GetRetryDelay().AsDuration() != 1500*time.Millisecond {
-			t.Errorf("RetryInfo %v", info)
+			t.Errorf("RetryInfo %v, want a delay of 1.5s", info)
 		}
 	})
 	t.Run("after Close", func(t *testing.T) {
@@ -126,20 +129,21 @@
 		_ = p.Close() // always nil
 		_, err := invoke(t.Context(), p, book, "seat")
 		if _, ok := Rejected(err); !ok || status.Code(err) != codes.ResourceExhausted {
-			t.Errorf("%v", err)
+			t.Errorf("error %v, want a rejection with RESOURCE_EXHAUSTED", err)
 		}
 	})
 	if _, ok := Rejected(errors.New("other")); ok {
-		t.Error("any error is a rejection")
+		t.Error("Rejected returns true for an error without a status")
 	}
 	if _, ok := Rejected(nil); ok {
-		t.Error("no error is a rejection")
+		t.Error("Rejected returns true for nil")
 	}
 }
 
-// A call ends with DEADLINE_EXCEEDED at the context's deadline, or at that of the class if the context has none.
+// A call ends with DEADLINE_EXCEEDED at the context's deadline, or at the deadline of its class if the context has no
+// deadline.
 func TestDeadlineOfContextOrClass(t *testing.T) {
-	endpoints, _ := startTwoServers(t, func(*rawh2.Stream, int32) {}) // they never respond
+	endpoints, _ := startTwoServers(t, func(*rawh2.Stream, int32) {}) // the servers never respond
 	cfg := testConfig(endpoints)
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective = 50 * time.Millisecond
@@ -149,20 +153,22 @@
 	startedAt := time.Now()
 	_, err := invoke(t.Context(), p, book, "seat")
 	if status.Code(err) != codes.DeadlineExceeded || time.Since(startedAt) > testutil.WaitTimeout/2 {
-		t.Errorf("without a deadline: %v after %v", err, time.Since(startedAt))
+		t.Errorf("context without a deadline: error %v after %v, want DEADLINE_EXCEEDED after 100ms",
+			err, time.Since(startedAt))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 	defer cancel()
 	if _, err := invoke(ctx, p, book, "seat"); status.Code(err) != codes.DeadlineExceeded {
-		t.Errorf("with one: %v", err)
+		t.Errorf("context with a deadline: error %v, want DEADLINE_EXCEEDED", err)
 	}
 	<-ctx.Done()
 	if _, err := invoke(ctx, p, book, "seat"); status.Code(err) != codes.DeadlineExceeded {
-		t.Errorf("after it: %v", err)
+		t.Errorf("context after its deadline: error %v, want DEADLINE_EXCEEDED", err)
 	}
 }
 
-// An invalid call ends with an error that names what is invalid, and is sent to no endpoint.
+// An invalid call is not sent, and its error names the invalid value. The error is not a rejection, because a retry
+// would fail in the same way.
 func TestInvalidCallsAreNotSent(t *testing.T) {
 	endpoints, received := startTwoServers(t, func(s *rawh2.Stream, _ int32) { s.OK(okMessage) })
 	p := start(t, testConfig(endpoints))
@@ -182,21 +188,21 @@
 	} {
 		ctx := metadata.AppendToOutgoingContext(t.Context(), c.md...)
 		if _, err := invoke(ctx, p, c.method, "seat", c.opts...); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		} else if _, rejected := Rejected(err); rejected {
-			t.Errorf("%s: %v is a rejection, after which a client retries", name, err)
+			t.Errorf("%s: error %v is a rejection, which clients retry", name, err)
 		}
 	}
 	_, err := p.NewStream(t.Context(), &grpc.StreamDesc{ClientStreams: true}, follow)
 	if status.Code(err) != codes.Unimplemented {
-		t.Errorf("a client-streaming call: %v", err)
+		t.Errorf("client-streaming call: error %v, want UNIMPLEMENTED", err)
 	}
 	if received.Load() != 0 {
-		t.Errorf("%d were sent", received.Load())
+		t.Errorf("%d invalid calls were sent", received.Load())
 	}
 }
 
-// All attempts of a call have the same request ID: the application's if it sets one.
+// All attempts of a call have the same request ID. It is the application's request ID if it sets one.
 func TestAttemptsHaveTheSameRequestID(t *testing.T) {
 	ids := make(chan string, 10)
 	endpoints, _ := startTwoServers(t, func(s *rawh2.Stream, before int32) {
@@ -218,12 +224,13 @@
 		}
 		a, b := <-ids, <-ids
 		if a == "" || a != b || own != "" && a != own {
-			t.Errorf("request IDs %q and %q, the application's is %q", a, b, own)
+			t.Errorf("the attempts have the request IDs %q and %q, the application set %q", a, b, own)
 		}
 	}
 }
 
-// The error for an invalid configuration names the field. Methods are found from the most specific name on.
+// The error for an invalid configuration names the field. The most specific entry of Config.Methods applies to a
+// method.
 func TestConfigIsValidated(t *testing.T) {
 	valid := func() Config { return testConfig(Static(Endpoint{Addr: "127.0.0.1:1"})) }
 	for want, change := range map[string]func(*Config){
@@ -255,13 +262,13 @@
 	p := start(t, c)
 	for method, want := range map[string]string{"/a.B/C": "book", "/a.B/D": "look", "/x.Y/Z": "pay"} {
 		if got := p.method(method).Class; got != want {
-			t.Errorf("%s is %s, want %s", method, got, want)
+			t.Errorf("method %s has class %s, want %s", method, got, want)
 		}
 	}
 }
 
-// The connection to an endpoint does not come up. Waited for until the deadline, the call would fail though another
-// endpoint could serve it: it must be retried there.
+// The connection to one of two endpoints cannot be established. If an attempt waited for the connection until the
+// deadline, the call would fail. It must be retried on the other endpoint.
 func TestUnreachableEndpointIsAvoided(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -279,7 +286,7 @@
 	)))
 	for range 5 {
 		if _, err := invoke(t.Context(), p, book, "seat"); err != nil {
-			t.Error(err)
+			t.Errorf("call with one reachable endpoint: %v", err)
 		}
 	}
 }
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"google.golang.org/grpc"
-	_ "google.golang.org/grpc/balancer/weightedroundrobin" // by its name, below
+	_ "google.golang.org/grpc/balancer/weightedroundrobin" // registers weighted_round_robin
 	"google.golang.org/grpc/resolver"
 
 	"hazelwing/balancer"
@@ -29,10 +29,10 @@
 
 // The flags of TestCompare.
 var (
-	compare      = flag.Bool("compare", false, "measure the daemon, the plug-in and grpc-go's policies side by side")
-	compareSeeds = flag.Int("compare.seeds", 3, "seeds of the traffic")
-	compareRate  = flag.Float64("compare.rate", 250, "requests a second")
-	compareTime  = flag.Duration("compare.length", 12*time.Second, "of the traffic")
+	compare      = flag.Bool("compare", false, "run TestCompare, a comparison of several minutes")
+	compareSeeds = flag.Int("compare.seeds", 3, "number of seeds; each generates other traffic")
+	compareRate  = flag.Float64("compare.rate", 250, "rate of the traffic in requests per second")
+	compareTime  = flag.Duration("compare.length", 12*time.Second, "duration of the traffic")
 )
 
 // scenarios are fault scripts for seven nodes.
@@ -46,6 +46,7 @@
 	{"crash", "3s crash n4\n6s restart n4\n7s crash n6"},
 }
 
+// pausesScript returns a script in which three nodes pause for 300 ms, every 1.5 s.
 func pausesScript() string {
 	var b strings.Builder
 	for at := 2 * time.Second; at < 10*time.Second; at += 1500 * time.Millisecond {
@@ -56,17 +57,16 @@
 	return b.String()
 }
 
-// startClient starts a client of a fleet. It returns a function that carries out a request and one that ends the
-// client.
+// startClient starts a client of a fleet. It returns a function that makes a request and one that closes the client.
 type startClient func(
 	t *testing.T, f *emulator.Fleet, traffic *emulator.Traffic, seed int,
 ) (do emulator.RequestFunc, closeClient func())
 
-// candidate is a way to reach a fleet.
+// candidate is a kind of client in the comparison.
 type candidate struct {
 	name      string
 	policy    string                                                           // its name in package baseline
-	newServer func(*emulator.Node, map[string]emulator.Effect) emulator.Server // nil: HTTP
+	newServer func(*emulator.Node, map[string]emulator.Effect) emulator.Server // nil for HTTP
 	start     startClient
 }
 
@@ -123,25 +123,25 @@
 	return unaryClient(p, f), func() { _ = p.Close() } // always nil
 }
 
-// unaryClient carries out recorded requests as unary calls. It reports to the fleet's ledger a response of another
-// call, and a rejection of a call that ran and may not run again.
+// unaryClient returns a function that makes unary calls for recorded requests. It reports two kinds of violations to
+// the fleet: the response of another call, and a rejection of a call that was executed and is not idempotent.
 func unaryClient(conn grpc.ClientConnInterface, f *emulator.Fleet) emulator.RequestFunc {
 	return func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
 		id := fmt.Sprintf("%08x", n)
 		text, err := invoke(outgoingContext(ctx, id, c, r), conn, grpcnode.DoMethod, id)
-		kind := outcomeOf(err)
-		switch _, ran := f.Rules.Executions(id); {
+		outcome := outcomeOf(err)
+		switch _, executions := f.Rules.Executions(id); {
 		case err == nil && !strings.HasPrefix(text, id):
-			f.Rules.ReportViolation("call %s was served with %q", id, text)
-		case kind == emulator.Rejected && ran > 0 && c.Effect == "unsafe":
-			f.Rules.ReportViolation("%s %s was refused after it ran", c.Name, id)
+			f.Rules.ReportViolation("call %s was served with the response %q of another call", id, text)
+		case outcome == emulator.Rejected && executions > 0 && c.Effect == "unsafe":
+			f.Rules.ReportViolation("call %s of class %s was rejected after it was executed", id, c.Name)
 		}
-		return kind
+		return outcome
 	}
 }
 
-// startPolicy returns the start of a client of one of grpc-go's own policies, which is notified of endpoints as soon as
-// the others are.
+// startPolicy returns a startClient for one of grpc-go's own policies. Its resolver watches the fleet's discovery
+// service, so that it is notified of endpoints at the same time as the other candidates.
 func startPolicy(serviceConfig string) startClient {
 	return func(t *testing.T, f *emulator.Fleet, _ *emulator.Traffic, _ int) (emulator.RequestFunc, func()) {
 		t.Helper()
@@ -154,16 +154,16 @@
 		conn.Connect()
 		client := unaryClient(conn, f)
 		do := func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
-			if kind := client(ctx, n, c, r); kind != emulator.Rejected {
-				return kind
+			if outcome := client(ctx, n, c, r); outcome != emulator.Rejected {
+				return outcome
 			}
-			return emulator.Failed // an UNAVAILABLE of grpc-go promises nothing
+			return emulator.Failed // after UNAVAILABLE from grpc-go, the call may have been executed
 		}
 		return do, func() { conn.Close() }
 	}
 }
 
-// watchResolver is a resolver.Builder whose resolvers give gRPC's own policies the endpoints of a watch.
+// watchResolver is a resolver.Builder. Its resolvers watch the discovery service and report the active endpoints.
 type watchResolver struct{ discoveryAddr string }
 
 func (r watchResolver) Scheme() string { return "fleet" }
@@ -188,29 +188,29 @@
 			state.Addresses = append(state.Addresses, resolver.Address{Addr: e.Addr})
 		}
 		slices.SortFunc(state.Addresses, func(a, b resolver.Address) int { return strings.Compare(a.Addr, b.Addr) })
-		_ = conn.UpdateState(state) // an error asks for another resolution, and the watch goes on anyway
+		_ = conn.UpdateState(state) // an error requests a new resolution, but the watch continues anyway
 	})
 	return watchStopper(stop), nil
 }
 
-// watchStopper is a resolver.Resolver that stops a watch when it is closed.
+// watchStopper is the resolver.Resolver of a watch. Close stops the watch.
 type watchStopper context.CancelFunc
 
 func (s watchStopper) ResolveNow(resolver.ResolveNowOptions) {}
 func (s watchStopper) Close()                                { s() }
 
-// result is that of one candidate in one scenario with one seed.
+// result is the result of one candidate in one scenario with one seed.
 type result struct {
 	*emulator.Report
 	wasted     int // executions beyond one for each request served
 	violations []string
-	simulated  *simulator.Result // the same in the simulator
+	simulated  *simulator.Result // result of the same run in the simulator
 }
 
 // runOptions are the limits of a run.
 type runOptions struct {
-	grace time.Duration // how long after its deadline a request may be answered
-	slack time.Duration // by how much a node's drain grace is extended; 0: the emulator's default
+	grace time.Duration // how long after its deadline a request may still be answered
+	slack time.Duration // extension of the nodes' drain grace; 0 for the emulator's default
 }
 
 // run runs a candidate through a scenario.
@@ -235,23 +235,23 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var playing sync.WaitGroup
 	playing.Go(func() {
-		_ = f.Play(ctx, faults) // fails when ctx ends before the script does
+		_ = f.Play(ctx, faults) // returns an error if ctx ends before the script
 	})
 	report := emulator.Replay(ctx, traffic, options.grace, do)
-	time.Sleep(200 * time.Millisecond) // for hedges that are still running
+	time.Sleep(200 * time.Millisecond) // waits for hedged requests that are still executed
 	stop()
 	playing.Wait()
 	total, _ := f.Rules.Executions("")
 	return result{Report: report, wasted: total - report.Served, violations: f.Rules.Violations()}
 }
 
-// The daemon, the plug-in and grpc-go's own policies are measured side by side: the same recorded traffic and faults, a
-// fleet for each.
+// TestCompare compares the daemon, the plug-in and grpc-go's own policies. They run at the same time with the same
+// recorded traffic and faults, each with a fleet of its own. It also compares the results with the simulator.
 //
 //	go test ./rpc/grpcbalancer -run TestCompare -v -timeout 30m -compare -compare.seeds 3
 func TestCompare(t *testing.T) {
 	if !*compare {
-		t.Skip("a measurement of minutes: -compare")
+		t.Skip("the comparison takes several minutes and runs only with the flag -compare")
 	}
 	var table bytes.Buffer
 	fmt.Fprintln(&table, "| day | who | service (mean, min to max) | p50 ms | p99 ms | p99.9 ms | unserved | wasted | "+
@@ -273,11 +273,11 @@
 				name := candidates[i].name
 				r.simulated = simulate(t, candidates[i], traffic, scenario.script, seed)
 				all[i] = append(all[i], r)
-				if asked := len(traffic.Requests); r.Sent != asked {
-					t.Errorf("%s, %s: %d results for %d requests", scenario.name, name, r.Sent, asked)
+				if requests := len(traffic.Requests); r.Sent != requests {
+					t.Errorf("%s, %s: %d results for %d requests", scenario.name, name, r.Sent, requests)
 				}
 				if i < 2 && (len(r.violations) > 0 || r.Unanswered > 0) {
-					t.Errorf("%s, %s, seed %d: %d unanswered, %v",
+					t.Errorf("%s, %s, seed %d: %d requests unanswered, violations %v",
 						scenario.name, name, seed, r.Unanswered, r.violations)
 				}
 			}
@@ -290,11 +290,11 @@
 	t.Log("\n" + table.String() + "\n" + simulation.String())
 }
 
-// writeRow writes the means over the results of a candidate in a scenario as a row of the table.
+// writeRow writes a row of the table with the means over all results of a candidate in a scenario.
 func writeRow(w *bytes.Buffer, scenario, candidate string, results []result) {
 	n := float64(len(results))
 	minService, maxService := 1.0, 0.0
-	var service, unserved, wasted, broken float64
+	var service, unserved, wasted, violations float64
 	var percentiles [3]time.Duration
 	for _, r := range results {
 		service += r.Service / n
@@ -304,15 +304,15 @@
 		}
 		unserved += float64(r.Sent-r.Served) / n
 		wasted += float64(r.wasted) / n
-		broken += float64(len(r.violations)) / n
+		violations += float64(len(r.violations)) / n
 	}
 	ms := func(i int) string { return fmt.Sprintf("%.1f", percentiles[i].Seconds()*1000) }
 	fmt.Fprintf(w, "| %s | %s | %.4f (%.4f to %.4f) | %s | %s | %s | %.1f | %.1f | %.1f |\n", scenario, candidate,
-		service, minService, maxService, ms(0), ms(1), ms(2), unserved, wasted, broken)
+		service, minService, maxService, ms(0), ms(1), ms(2), unserved, wasted, violations)
 }
 
-// The daemon and the plug-in break no rule, whatever happens to the nodes: a short form of the measurement, whose
-// result does not depend on how fast the machine is.
+// The daemon and the plug-in cause no violations while nodes slow down, drain, crash, pause, reset streams and restart.
+// This is a short form of TestCompare, whose verdict does not depend on the speed of the machine.
 func TestDaemonAndPluginHaveNoViolations(t *testing.T) {
 	traffic := emulator.Generate(5, 60, 3*time.Second)
 	const script = "300ms slow n1 8 1s\n500ms drain n3\n800ms crash n4\n1s pause n2 300ms\n" +
@@ -323,10 +323,11 @@
 			options := runOptions{grace: 10 * time.Second, slack: 500 * time.Millisecond}
 			r := c.run(t, traffic, script, 5, options)
 			if r.Sent != len(traffic.Requests) || r.Served == 0 || r.Unanswered > 0 {
-				t.Errorf("%d results for %d requests: %v", r.Sent, len(traffic.Requests), r.Report)
+				t.Errorf("%d results for %d requests, want all answered and some served: %v",
+					r.Sent, len(traffic.Requests), r.Report)
 			}
 			if len(r.violations) > 0 {
-				t.Error(r.violations)
+				t.Errorf("violations: %v", r.violations)
 			}
 		})
 	}
--- a/rpc/grpcbalancer/disconnect_test.go
+++ b/rpc/grpcbalancer/disconnect_test.go
@@ -22,24 +22,25 @@
 	"hazelwing/internal/testutil"
 )
 
-// disconnectAllowance is the time after a client's disconnect within which an attempt may still begin: the disconnect
-// and the capacity for its stream may cross (docs/design/crossings.md). A message may not follow even then.
+// disconnectAllowance is the time after a client's disconnect within which the stream of an attempt may still be
+// opened: the connection can get capacity for the stream at the same moment as the client disconnects
+// (docs/design/crossings.md). Even then, no message may be sent on the stream.
 const disconnectAllowance = 100 * time.Millisecond
 
 // streamRecord is a stream as a server received it.
 type streamRecord struct {
 	stream     *rawh2.Stream
 	requestID  string
-	openedAt   time.Time // when its headers came
-	hasMessage bool      // some of its message has come
+	openedAt   time.Time // when its headers were received
+	hasMessage bool      // whether a part of its message was received
 }
 
-// recordingServer records streams as their headers and messages come, and responds to all but those with one request
-// ID, which it hands to the test.
+// recordingServer is a server that records all streams. It responds to all complete requests except those with one
+// request ID, whose streams it passes to the test.
 type recordingServer struct {
 	addr    string
-	holdID  string
-	holding chan *rawh2.Stream
+	holdID  string             // request ID of the streams that are passed to the test
+	holding chan *rawh2.Stream // the streams that are passed to the test
 
 	mu      sync.Mutex
 	records []streamRecord
@@ -60,8 +61,8 @@
 	return s
 }
 
-// record records a stream's headers on its first call for the stream, and on the further ones, for each frame of its
-// message, that some of that has come.
+// record is called for the headers of a stream, and then for each frame of its message. The first call adds the stream;
+// further calls record that a part of the message was received.
 func (s *recordingServer) record(stream *rawh2.Stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +74,7 @@
 	s.records[i].hasMessage = true
 }
 
-// recordsOf returns the streams of a call.
+// recordsOf returns the recorded streams with a request ID.
 func (s *recordingServer) recordsOf(requestID string) (list []streamRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,8 @@
 	return list
 }
 
-// goroutinesIn returns the stacks of all goroutines that are in a function, given by a part of its name.
+// goroutinesIn returns the stacks of all goroutines that have a function on their stack. The name of the function may
+// lack its first part.
 func goroutinesIn(function string) (stacks []string) {
 	all := make([]byte, 4<<20)
 	all = all[:runtime.Stack(all, true)]
@@ -97,7 +99,8 @@
 	return stacks
 }
 
-// streamWaitsForCapacity reports whether grpc-go withholds a stream until its connection has capacity for it.
+// streamWaitsForCapacity reports whether a goroutine in grpc-go is blocked until its connection has capacity for a new
+// stream.
 func streamWaitsForCapacity() bool {
 	return slices.ContainsFunc(goroutinesIn("transport.(*http2Client).NewStream"), func(stack string) bool {
 		header, _, _ := strings.Cut(stack, "\n")
@@ -105,7 +108,8 @@
 	})
 }
 
-// blockingCredentials are a call's own credentials: they notify the test when they are asked, and wait for its release.
+// blockingCredentials are per-call credentials. GetRequestMetadata notifies the test on asked and returns when release
+// allows it.
 type blockingCredentials struct{ asked, release chan bool }
 
 func (c blockingCredentials) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
@@ -117,16 +121,18 @@
 
 var _ credentials.PerRPCCredentials = blockingCredentials{}
 
-// waitCase is something that a call waits for when its client disconnects.
+// waitCase is a case of TestCancelledCallIsNotSent: a condition that a call waits for while its client disconnects.
 type waitCase struct {
 	cfg            Config
 	servers        []*recordingServer
 	opts           []grpc.CallOption
-	prepare        func(p *Plugin) // is called before the call; may be nil
-	awaitBlocked   func(p *Plugin) // returns when the call waits
-	unblock        func()
-	attemptsBefore int  // attempts before the call's context ended
-	mayOpenStream  bool // the wait's end and the disconnect may cross: a stream without a message may open in the allowance
+	prepare        func(p *Plugin) // called before the call is made; may be nil
+	awaitBlocked   func(p *Plugin) // returns when the call is blocked
+	unblock        func()          // ends the wait, after the disconnect
+	attemptsBefore int             // number of attempts before the disconnect
+	// mayOpenStream is true if the wait may end at the same time as the client disconnects. A stream may then be opened
+	// within disconnectAllowance, but without a message.
+	mayOpenStream bool
 }
 
 var waitCases = map[string]func(t *testing.T) *waitCase{
@@ -134,7 +140,7 @@
 	"for a connection":                        waitForConnection,
 	"for its credentials":                     waitForCredentials,
 	"for stream capacity":                     waitForStreamCapacity,
-	"for stream capacity as it disconnects":   waitForCrossingStreamCapacity,
+	"for stream capacity, freed at once":      waitForCrossingStreamCapacity,
 	"for its check of the connection's limit": waitForStreamLimitCheck,
 	"for its retry":                           waitForRetry,
 }
@@ -145,11 +151,11 @@
 	return &waitCase{
 		cfg:     testConfig(Resolver("fleet:///booking", b)),
 		servers: []*recordingServer{s},
-		awaitBlocked: func(p *Plugin) { // a later call was accepted, and has ended at its deadline
+		awaitBlocked: func(p *Plugin) { // the call is blocked when a later call has ended at its deadline
 			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 			defer cancel()
 			if _, err := invoke(ctx, p, look, "later"); err == nil {
-				t.Error("a call was served without an endpoint")
+				t.Error("a call was served before the balancer had an endpoint")
 			}
 		},
 		unblock: func() { b.UpdateState(resolver.State{Addresses: []resolver.Address{{Addr: s.addr}}}) },
@@ -186,8 +192,8 @@
 	}
 }
 
-// waitForStreamCapacity: a call that waits for capacity on the connection is notified of its client's disconnect, and
-// begins nothing after the allowance.
+// waitForStreamCapacity returns the case of a call that waits for stream capacity on the connection, which becomes free
+// only after disconnectAllowance. No stream may be opened then.
 func waitForStreamCapacity(t *testing.T) *waitCase {
 	w, held := newCapacityWait(t)
 	w.unblock = func() {
@@ -197,14 +203,16 @@
 	return w
 }
 
+// waitForCrossingStreamCapacity returns the case of a call that waits for stream capacity, which becomes free at about
+// the same time as the client disconnects.
 func waitForCrossingStreamCapacity(t *testing.T) *waitCase {
 	w, held := newCapacityWait(t)
 	w.unblock, w.mayOpenStream = func() { held().OK(okMessage) }, true
 	return w
 }
 
-// waitForStreamLimitCheck: the client disconnects between the call's credentials and grpc-go's check for capacity, in
-// either order.
+// waitForStreamLimitCheck returns the case of a client that disconnects after grpc-go has asked for the call's
+// credentials. grpc-go checks for stream capacity before or after the disconnect.
 func waitForStreamLimitCheck(t *testing.T) *waitCase {
 	w, held := newCapacityWait(t)
 	c := blockingCredentials{make(chan bool, 1), make(chan bool)}
@@ -227,15 +235,15 @@
 			case held = <-one.holding:
 			case held = <-other.holding:
 			case <-time.After(testutil.WaitTimeout):
-				t.Fatal("waited in vain for the first attempt")
+				t.Fatalf("no server received the first attempt within %v", testutil.WaitTimeout)
 			}
 		},
 		unblock: func() { held.TrailersOnly("14", "x-not-run", "1") },
 	}
 }
 
-// newCapacityWait returns the wait for capacity on a connection but for its end: a response on the stream held, which
-// takes all capacity.
+// newCapacityWait returns a waitCase without unblock, for a call that waits for stream capacity on a connection. held
+// returns the stream that takes all the capacity; a response on it frees the capacity.
 func newCapacityWait(t *testing.T) (w *waitCase, held func() *rawh2.Stream) {
 	t.Helper()
 	s := startRecordingServer(t, "holds", rawh2.MaxStreams(1))
@@ -245,7 +253,7 @@
 		servers: []*recordingServer{s},
 		prepare: func(p *Plugin) {
 			go func() {
-				// How the call that takes the capacity ends is not part of the test.
+				// This call only takes the capacity; its result is not part of the test.
 				_, _ = invoke(withRequestID(t.Context(), "holds"), p, look, "x")
 			}()
 			stream = testutil.Receive(t, s.holding, "the call that takes the capacity")
@@ -259,9 +267,10 @@
 	return metadata.AppendToOutgoingContext(ctx, requestIDKey, id)
 }
 
-// A call is cancelled while it waits for an endpoint, a connection, its credentials, capacity or a retry. Sent after
-// that, it would run for nobody: its stream must not be opened. Only if there is capacity for the stream in the moment
-// of the cancellation may it be, within the allowance, and no message follows.
+// A call is cancelled while it waits for an endpoint, a connection, its credentials, stream capacity or a retry. If it
+// were sent after that, an endpoint would execute it for a client that has disconnected, so its stream must not be
+// opened. There is one exception: if the stream gets capacity in the moment of the cancellation, it may be opened
+// within disconnectAllowance, but no message may follow.
 func TestCancelledCallIsNotSent(t *testing.T) {
 	for name, newCase := range waitCases {
 		for kind, do := range map[string]func(ctx context.Context, p *Plugin, opts ...grpc.CallOption) error{
@@ -287,15 +296,15 @@
 				cancelledAt := time.Now()
 				cancel()
 				if err := testutil.Receive(t, done, "the result"); status.Code(err) != codes.Canceled {
-					t.Errorf("%v", err)
+					t.Errorf("error %v, want CANCELLED", err)
 				}
 				w.unblock()
-				testutil.Until(t, "its attempts to end", func() bool {
+				testutil.Until(t, "the attempts of the cancelled call to end", func() bool {
 					return len(goroutinesIn("grpc.(*exchange).Run")) == 0
 				})
-				// What was written before this call's stream has been received when this call is served.
+				// When this call is served, the server has received everything that was written before it.
 				if _, err := invoke(withRequestID(t.Context(), "connected"), p, look, "x"); err != nil {
-					t.Errorf("the call of a connected client: %v", err)
+					t.Errorf("call of a connected client: %v", err)
 				}
 				w.check(t, cancelledAt)
 			})
@@ -303,7 +312,7 @@
 	}
 }
 
-// check checks what the servers received of the call whose client disconnected.
+// check checks the streams and messages that the servers received for the call whose client disconnected.
 func (w *waitCase) check(t *testing.T, disconnectedAt time.Time) {
 	t.Helper()
 	opened, messages, crossed := 0, 0, 0
@@ -318,9 +327,10 @@
 		}
 	}
 	if opened-crossed != w.attemptsBefore {
-		t.Errorf("%d attempts were begun, %d of them after the disconnect", opened, opened-w.attemptsBefore)
+		t.Errorf("%d streams were opened, %d of them within the allowance after the disconnect; want %d before it",
+			opened, crossed, w.attemptsBefore)
 	}
 	if messages != w.attemptsBefore {
-		t.Errorf("%d messages were sent, %d of them after the disconnect", messages, messages-w.attemptsBefore)
+		t.Errorf("%d messages were sent, want %d, all before the disconnect", messages, w.attemptsBefore)
 	}
 }
--- a/rpc/grpcbalancer/endpoints_test.go
+++ b/rpc/grpcbalancer/endpoints_test.go
@@ -16,7 +16,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// The endpoint list is that of one of gRPC's resolvers, and follows its updates.
+// Calls go to the endpoints of a gRPC resolver, also after it updates them. An empty update or an error of the resolver
+// does not change the endpoint list.
 func TestResolverUpdatesTheEndpointList(t *testing.T) {
 	startNode := func(name string) string {
 		return rawh2.Start(t, func(s *rawh2.Stream) {
@@ -30,21 +31,22 @@
 	b.InitialState(resolver.State{Addresses: []resolver.Address{{Addr: one}}})
 	p := start(t, testConfig(Resolver("fleet:///booking", b)))
 	if text, err := invoke(t.Context(), p, book, "seat"); err != nil || text != "one" {
-		t.Fatalf("%q, %v", text, err)
+		t.Fatalf("response %q, error %v; want a response of the endpoint \"one\"", text, err)
 	}
 	b.UpdateState(resolver.State{Endpoints: []resolver.Endpoint{{Addresses: []resolver.Address{{Addr: other}}}}})
-	testutil.Until(t, "the other endpoint", func() bool {
+	testutil.Until(t, "a response of the updated endpoint", func() bool {
 		text, err := invoke(t.Context(), p, book, "seat")
 		return err == nil && text == "other"
 	})
-	b.UpdateState(resolver.State{}) // an empty list is an error: the endpoints stay
+	b.UpdateState(resolver.State{}) // an empty list is an error and does not replace the endpoints
 	b.CC().ReportError(errors.New("no answer"))
 	if text, err := invoke(t.Context(), p, book, "seat"); err != nil || text != "other" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("after an empty update and an error: response %q, error %v; want a response of the endpoint \"other\"",
+			text, err)
 	}
 }
 
-// A resolver's update has what the resolver knows of each endpoint.
+// An update from a resolver has the descriptions that the resolver adds by WithEndpoint.
 func TestResolverDescribesEndpoints(t *testing.T) {
 	startedAt := time.UnixMilli(1_700_000_000_000)
 	updates := make(chan engine.EndpointUpdate, 1)
@@ -67,12 +69,12 @@
 		{ID: "s", Addr: "127.0.0.1:2", Zone: "a", Kind: "m", Cell: 3, StartedAtMS: 1_700_000_000_000},
 	}
 	if update.Kind != balancer.CompleteList || !slices.Equal(update.Endpoints, want) {
-		t.Errorf("%+v", update)
+		t.Errorf("update %+v, want a complete list of %+v", update, want)
 	}
 }
 
-// A drain that discovery reports is observed: a request that reaches the node later breaks a rule, and the ledger
-// counts it.
+// Discovery reports that an endpoint drains while calls are made. The emulator records a request that arrives after the
+// drain grace as a violation.
 func TestNoRequestIsSentAfterDrain(t *testing.T) {
 	traffic := emulator.Generate(3, 150, 1500*time.Millisecond)
 	f := newGRPCFleet(t, emulator.MixedNodes(3), traffic)
@@ -89,7 +91,8 @@
 		}
 	}()
 	r := emulator.Replay(t.Context(), traffic, 10*time.Second, unaryClient(p, f))
-	if broken := f.Rules.Violations(); len(broken) > 0 || r.Served == 0 || f.Node("n2").Status().Served == 0 {
-		t.Errorf("%v, %v", r, broken)
+	violations := f.Rules.Violations()
+	if len(violations) > 0 || r.Served == 0 || f.Node("n2").Status().Served == 0 {
+		t.Errorf("violations %v, report %v; want none, and calls that were served, some of them by n2", violations, r)
 	}
 }
--- a/rpc/grpcbalancer/example_test.go
+++ b/rpc/grpcbalancer/example_test.go
@@ -17,7 +17,7 @@
 	"hazelwing/rpc/grpcbalancer"
 )
 
-// newFleet starts two booking nodes on loopback, in place of the reader's own.
+// newFleet starts two emulated nodes on loopback. In an application, these are its own gRPC servers.
 func newFleet() *emulator.Fleet {
 	f, err := emulator.NewFleet(emulator.FleetConfig{
 		NewServer: grpcnode.New,
@@ -54,7 +54,7 @@
 	}
 }
 
-// A Plugin is a grpc.ClientConnInterface: generated clients take it in place of a *grpc.ClientConn.
+// A Plugin implements grpc.ClientConnInterface, so that generated clients accept it in place of a *grpc.ClientConn.
 func ExampleNew() {
 	f := newFleet()
 	defer f.Close()
@@ -76,7 +76,8 @@
 	// Output: seat 12 by n
 }
 
-// Where a *grpc.ClientConn is wanted, with interceptors of the application's own, DialOptions make one.
+// Where a *grpc.ClientConn is needed, such as for the application's own interceptors, DialOptions make grpc.NewClient
+// return one that uses the Plugin.
 func ExamplePlugin_DialOptions() {
 	f := newFleet()
 	defer f.Close()
--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -24,7 +24,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// No test leaves a goroutine behind: a plug-in that is closed has ended all of its own.
+// TestMain checks that the tests leak no goroutine: Plugin.Close has to end all goroutines of a plug-in. It also runs
+// the child process of TestHostPausesDoNotEjectEndpoints.
 func TestMain(m *testing.M) {
 	if os.Getenv(childDiscoveryEnv) != "" {
 		runChild()
@@ -33,8 +34,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// startTwoServers starts two endpoints that behave alike. Each complete request is counted and passed to serve, with the
-// number of those that either has received before.
+// startTwoServers starts two endpoints. Each complete request to either of them is counted and passed to serve, with
+// the number of complete requests that both have received before.
 func startTwoServers(t *testing.T, serve func(s *rawh2.Stream, before int32)) (EndpointSource, *atomic.Int32) {
 	t.Helper()
 	received := new(atomic.Int32)
@@ -56,24 +57,23 @@
 	{"maxAttempts":5,"initialBackoff":"0.001s","maxBackoff":"0.001s","backoffMultiplier":1,
 	"retryableStatusCodes":["UNAVAILABLE"]}}]}`
 
-// An attempt of a call that is not idempotent ends in each of the ways that gRPC has. Retried after one that may have
-// run, its effect would come about twice: it is retried on another endpoint only where the outcome proves that it never
-// ran.
+// An attempt of a call that is not idempotent fails in each way that gRPC allows. A retry could execute the call twice.
+// The call must be retried on another endpoint only if the failure proves that the first attempt was not executed.
 func TestNonIdempotentCallIsRetriedOnlyIfItNeverRan(t *testing.T) {
 	for name, c := range map[string]struct {
 		first   func(s *rawh2.Stream)
 		retried bool
 	}{
-		"refused stream":          {(*rawh2.Stream).Refuse, true},
-		"goaway below it":         {(*rawh2.Stream).GoAway, true},
-		"not-run trailer":         {func(s *rawh2.Stream) { s.TrailersOnly("14", "x-not-run", "1") }, true},
-		"breaks before the reply": {(*rawh2.Stream).Break, false},
-		"reset":                   {(*rawh2.Stream).Reset, false},
-		"unavailable":             {func(s *rawh2.Stream) { s.TrailersOnly("14") }, false},
-		"resource exhausted":      {func(s *rawh2.Stream) { s.TrailersOnly("8") }, false},
-		"not-run trailer of 0":    {func(s *rawh2.Stream) { s.TrailersOnly("14", "x-not-run", "0") }, false},
-		"internal":                {func(s *rawh2.Stream) { s.TrailersOnly("13") }, false},
-		"breaks in the reply":     {func(s *rawh2.Stream) { s.Header(); s.Break() }, false},
+		"REFUSED_STREAM":                 {(*rawh2.Stream).Refuse, true},
+		"GOAWAY with a lower stream ID":  {(*rawh2.Stream).GoAway, true},
+		"trailer x-not-run 1":            {func(s *rawh2.Stream) { s.TrailersOnly("14", "x-not-run", "1") }, true},
+		"disconnect before the response": {(*rawh2.Stream).Break, false},
+		"stream reset":                   {(*rawh2.Stream).Reset, false},
+		"UNAVAILABLE":                    {func(s *rawh2.Stream) { s.TrailersOnly("14") }, false},
+		"RESOURCE_EXHAUSTED":             {func(s *rawh2.Stream) { s.TrailersOnly("8") }, false},
+		"trailer x-not-run 0":            {func(s *rawh2.Stream) { s.TrailersOnly("14", "x-not-run", "0") }, false},
+		"INTERNAL":                       {func(s *rawh2.Stream) { s.TrailersOnly("13") }, false},
+		"disconnect in the response":     {func(s *rawh2.Stream) { s.Header(); s.Break() }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoints, received := startTwoServers(t, func(s *rawh2.Stream, before int32) {
@@ -86,18 +86,18 @@
 			p := start(t, testConfig(endpoints))
 			text, err := invoke(t.Context(), p, book, "seat")
 			if c.retried && (err != nil || text != "ok" || received.Load() != 2) {
-				t.Errorf("%q, %v after %d attempts", text, err, received.Load())
+				t.Errorf("response %q, error %v after %d attempts; want \"ok\" after two", text, err, received.Load())
 			}
 			_, rejected := Rejected(err)
 			if !c.retried && (err == nil || rejected || received.Load() != 1) {
-				t.Errorf("%v after %d attempts", err, received.Load())
+				t.Errorf("error %v after %d attempts, want a failure after one", err, received.Load())
 			}
 		})
 	}
 }
 
-// A call whose streams are refused is retried by the balancer, and grpc-go's transparent retry is not among its
-// attempts: each endpoint receives one.
+// A call whose streams are refused is retried by the balancer, but not by grpc-go's transparent retry: each endpoint
+// receives one attempt.
 func TestTransparentRetryIsDisabled(t *testing.T) {
 	var mu sync.Mutex
 	attempts := map[string]int{}
@@ -113,7 +113,7 @@
 		})})
 	}
 	cfg := testConfig(Static(list...))
-	// None of these options has an effect.
+	// None of these options has an effect: the balancer alone decides on retries and waiting.
 	cfg.DialOptions = append(
 		cfg.DialOptions,
 		grpc.WithDefaultServiceConfig(retryServiceConfig),
@@ -122,22 +122,23 @@
 	p := start(t, cfg)
 	_, err := invoke(t.Context(), p, book, "seat", grpc.WaitForReady(true))
 	if _, ok := Rejected(err); !ok {
-		t.Errorf("%v, want a rejection: nothing ran", err)
+		t.Errorf("error %v, want a rejection, because no attempt was executed", err)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	for endpoint, n := range attempts {
 		if n != 1 {
-			t.Errorf("endpoint %s received %d attempts", endpoint, n)
+			t.Errorf("endpoint %s received %d attempts, want one", endpoint, n)
 		}
 	}
 	if len(attempts) != cfg.Settings.MaxAttempts {
-		t.Errorf("%d endpoints received attempts, %d are allowed", len(attempts), cfg.Settings.MaxAttempts)
+		t.Errorf("%d endpoints received attempts, want %d", len(attempts), cfg.Settings.MaxAttempts)
 	}
 }
 
-// An interceptor among Config.DialOptions that retries by itself opens a second stream too, but that proves nothing:
-// the call may have run. The retry must not be taken for a transparent one of grpc-go, and must not be sent.
+// An interceptor in Config.DialOptions retries a call that may have run. grpc-go's transparent retry also opens a
+// second stream, but only after an attempt that was not executed. The interceptor's retry must not be treated as
+// transparent, and must not be sent.
 func TestRetryOfInterceptorIsNotSent(t *testing.T) {
 	endpoints, received := startTwoServers(t, func(s *rawh2.Stream, before int32) {
 		if before == 0 {
@@ -165,13 +166,14 @@
 	p := start(t, cfg)
 	_, err := invoke(t.Context(), p, book, "seat")
 	if _, rejected := Rejected(err); err == nil || rejected || received.Load() != 1 || tries != 3 {
-		t.Errorf("%v after %d attempts and %d tries", err, received.Load(), tries)
+		t.Errorf("error %v after %d attempts and %d tries of the interceptor, want a failure after 1 and 3",
+			err, received.Load(), tries)
 	}
 }
 
-// A call is cancelled while its request is being written: more than HTTP/2's windows allow, to an endpoint that reads
-// nothing. An attempt that goes on would wait for good, and a retry run for nobody: the call must have its one result,
-// must not be retried, and the attempt must end.
+// A call is cancelled while its request is being written. The request is larger than the HTTP/2 flow-control windows,
+// and the endpoint does not read it, so that the attempt would wait forever. The call must end with CANCELLED, its
+// attempt must be reset, and it must not be retried.
 func TestCancelWhileWriting(t *testing.T) {
 	headers, resets := make(chan bool, 10), make(chan bool, 10)
 	var list []Endpoint
@@ -183,7 +185,7 @@
 		}, rawh2.OnReset(func(*rawh2.Stream) { resets <- true }))})
 	}
 	cfg := testConfig(Static(list...))
-	for i := range cfg.Settings.Classes { // does not expire within the test
+	for i := range cfg.Settings.Classes { // the deadline does not expire within the test
 		cfg.Settings.Classes[i].Deadline = 10 * testutil.WaitTimeout
 	}
 	p := start(t, cfg)
@@ -196,17 +198,17 @@
 	testutil.Receive(t, headers, "the attempt")
 	cancel()
 	if err := testutil.Receive(t, done, "the result"); status.Code(err) != codes.Canceled {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want CANCELLED", err)
 	}
-	testutil.Receive(t, resets, "the attempt's reset") // without it the server would go on
+	testutil.Receive(t, resets, "the attempt's reset") // without a reset, the server would continue the attempt
 	_ = p.Close()                                      // always nil
 	if len(headers) > 0 {
-		t.Error("it was retried")
+		t.Error("the cancelled call was retried")
 	}
 }
 
-// A stream breaks. Retried after a message was delivered, the application would get messages of two attempts: it must
-// not be, since the message cannot be taken back. One that breaks before is retried if its class allows that.
+// A stream breaks. After a message was delivered, a retry would give the application messages of two attempts, so that
+// the stream must not be retried. Before the first message, it is retried if its class allows that.
 func TestStreamIsRetriedOnlyBeforeItsFirstMessage(t *testing.T) {
 	sendOneThen := func(end func(*rawh2.Stream)) func(*rawh2.Stream) {
 		return func(s *rawh2.Stream) {
@@ -242,36 +244,37 @@
 			p := start(t, testConfig(endpoints))
 			got, err := readStream(t.Context(), p, "abc")
 			if fmt.Sprint(got) != fmt.Sprint(c.want) || (err == nil) != c.ok || received.Load() != c.attempts {
-				t.Errorf("%q, %v after %d attempts", got, err, received.Load())
+				t.Errorf("messages %q, error %v after %d attempts; want %q after %d",
+					got, err, received.Load(), c.want, c.attempts)
 			}
 			if _, rejected := Rejected(err); rejected {
-				t.Errorf("%v is a rejection, which promises that nothing was done", err)
+				t.Errorf("error %v is a rejection, but an attempt was executed", err)
 			}
 		})
 	}
 }
 
-// A message that cannot be decoded ends the stream on both sides: the server must not go on with a stream that nobody
-// reads.
+// A message that cannot be decoded ends the stream, which must also be reset: otherwise the server would continue to
+// send messages that nobody reads.
 func TestUndecodableMessageEndsTheStream(t *testing.T) {
 	resets := make(chan bool, 10)
 	addr := rawh2.Start(t, func(s *rawh2.Stream) {
 		if s.Complete {
 			s.Header()
 			s.Message(okMessage)
-			s.Message([]byte{0xff}) // no message of any kind
+			s.Message([]byte{0xff}) // cannot be decoded as any message
 		}
 	}, rawh2.OnReset(func(*rawh2.Stream) { resets <- true }))
 	p := start(t, testConfig(Static(Endpoint{Addr: addr, Zone: "a"})))
 	got, err := readStream(t.Context(), p, "abc")
 	if status.Code(err) != codes.Internal || len(got) != 1 {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("messages %q, error %v; want one message and INTERNAL", got, err)
 	}
 	testutil.Receive(t, resets, "the stream's reset")
 }
 
-// An application waits in RecvMsg for a stream whose call it never started. Nothing would end the wait: it must end
-// with the stream's context.
+// An application calls RecvMsg on a stream for which it has not called SendMsg and CloseSend. There will be no result,
+// so that RecvMsg must return when the stream's context ends.
 func TestStreamWithoutRequestEndsWithItsContext(t *testing.T) {
 	p := start(t, testConfig(Static(Endpoint{Addr: testutil.UnusedAddr})))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -281,11 +284,12 @@
 	}
 	cancel()
 	if err := s.RecvMsg(new(wrapperspb.StringValue)); status.Code(err) != codes.Canceled {
-		t.Error(err)
+		t.Errorf("error %v, want CANCELLED", err)
 	}
 }
 
-// readStream makes a server-streaming call with a string and returns the messages up to the stream's end.
+// readStream makes a server-streaming call with a string as the request and returns the messages up to the end of the
+// stream.
 func readStream(
 	ctx context.Context, conn grpc.ClientConnInterface, text string, opts ...grpc.CallOption,
 ) (got []string, err error) {
@@ -311,8 +315,9 @@
 	}
 }
 
-// Two plug-ins run in one process, and one is closed under load. Shared state would take the other down with it, or
-// leave calls without an end: each call of the closed one must have one result, and the other continue to serve.
+// Two plug-ins run in one process, and one of them is closed under load. If they shared state, Close could stop the
+// other one or leave calls without a result. Each call of the closed plug-in must have one result, and the other
+// plug-in must continue to serve calls.
 func TestCloseUnderLoadDoesNotAffectAnotherPlugin(t *testing.T) {
 	traffic := emulator.Generate(1, 100, time.Second)
 	f := newGRPCFleet(t, emulator.MixedNodes(4), traffic)
@@ -328,7 +333,7 @@
 	half := len(traffic.Requests) / 2
 	var closed atomic.Bool
 	var afterClose atomic.Int32  // calls of the closed plug-in after Close
-	var otherServed atomic.Int32 // calls after Close that the other served
+	var otherServed atomic.Int32 // calls that the other plug-in served after Close
 	run := func(p *Plugin, name string) *emulator.Report {
 		do := func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
 			if name == "one" && n == half {
@@ -337,31 +342,32 @@
 			}
 			wasClosed := closed.Load()
 			_, err := invoke(outgoingContext(ctx, fmt.Sprint(name, n), c, r), p, grpcnode.DoMethod, "x")
-			kind := outcomeOf(err)
+			outcome := outcomeOf(err)
 			switch {
 			case wasClosed && name == "one":
-				if afterClose.Add(1); kind != emulator.Rejected {
-					t.Errorf("a call after Close: %v", err)
+				if afterClose.Add(1); outcome != emulator.Rejected {
+					t.Errorf("call after Close: error %v, want a rejection", err)
 				}
-			case wasClosed && kind == emulator.Served:
+			case wasClosed && outcome == emulator.Served:
 				otherServed.Add(1)
 			}
-			return kind
+			return outcome
 		}
 		return emulator.Replay(t.Context(), traffic, 10*time.Second, do)
 	}
 	reports := make(chan *emulator.Report, 1)
 	go func() { reports <- run(one, "one") }()
 	second := run(other, "other")
-	first := testutil.Receive(t, reports, "the report of the closed one")
+	first := testutil.Receive(t, reports, "the report of the closed plug-in")
 	n := len(traffic.Requests)
 	if first.Sent != n || second.Sent != n || first.Unanswered+second.Unanswered > 0 || afterClose.Load() == 0 {
-		t.Errorf("%v; the other: %v; %d calls after Close", first, second, afterClose.Load())
+		t.Errorf("closed plug-in: %v; other plug-in: %v; want %d results each; %d calls after Close, want at least one",
+			first, second, n, afterClose.Load())
 	}
 	if otherServed.Load() == 0 {
-		t.Error("the other one served nothing after the first was closed")
+		t.Error("the other plug-in served no call after the first was closed")
 	}
-	if broken := f.Rules.Violations(); len(broken) > 0 {
-		t.Error(broken)
+	if violations := f.Rules.Violations(); len(violations) > 0 {
+		t.Errorf("violations: %v", violations)
 	}
 }
--- a/rpc/grpcbalancer/helpers_test.go
+++ b/rpc/grpcbalancer/helpers_test.go
@@ -19,22 +19,22 @@
 	"hazelwing/internal/testutil"
 )
 
-// Methods of a booking service: idempotent, not idempotent, with an idempotency key, and server-streaming.
+// Methods of a booking service.
 const (
-	look   = "/booking.v1.Booking/Look"
-	book   = "/booking.v1.Booking/Book"
-	pay    = "/booking.v1.Booking/Pay"
-	follow = "/booking.v1.Booking/Follow"
+	look   = "/booking.v1.Booking/Look"   // idempotent
+	book   = "/booking.v1.Booking/Book"   // not idempotent
+	pay    = "/booking.v1.Booking/Pay"    // requires an idempotency key
+	follow = "/booking.v1.Booking/Follow" // idempotent and server-streaming
 )
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// insecureDialOptions are the dial options of all tests.
+// insecureDialOptions returns the dial options of all tests.
 func insecureDialOptions() []grpc.DialOption {
 	return []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 }
 
-// testClass returns a class with limits that do not expire within a test.
+// testClass returns a class whose durations are longer than a test.
 func testClass(name string, effect balancer.Effect) balancer.Class {
 	return balancer.Class{
 		Name:              name,
@@ -88,7 +88,7 @@
 	return p
 }
 
-// invoke makes a unary call with a string and returns that of the response.
+// invoke makes a unary call with a string as the request and returns the string of the response.
 func invoke(
 	ctx context.Context, conn grpc.ClientConnInterface, method, text string, opts ...grpc.CallOption,
 ) (string, error) {
@@ -103,7 +103,7 @@
 	"unsafe": balancer.NonIdempotent,
 }
 
-// bookingClasses returns the settings' classes of recorded traffic.
+// bookingClasses returns the classes of recorded traffic, as classes of balancer.Settings.
 func bookingClasses(t *emulator.Traffic) (list []balancer.Class) {
 	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 	for _, c := range t.Classes {
@@ -121,7 +121,7 @@
 	return list
 }
 
-// bookingSettings returns the settings of the emulated fleet's clients.
+// bookingSettings returns the balancer's settings for a client of the emulated fleet.
 func bookingSettings(t *emulator.Traffic) balancer.Settings {
 	return balancer.Settings{
 		Balancers:        1,
@@ -142,7 +142,7 @@
 	}
 }
 
-// newGRPCFleet starts emulated nodes that are closed at the end of the test.
+// newGRPCFleet starts a fleet of emulated nodes. It is closed at the end of the test.
 func newGRPCFleet(t testing.TB, nodes []emulator.NodeConfig, traffic *emulator.Traffic) *emulator.Fleet {
 	t.Helper()
 	f, err := emulator.NewFleet(emulator.FleetConfig{
@@ -158,7 +158,7 @@
 	return f
 }
 
-// outgoingContext returns ctx with the metadata of a recorded request.
+// outgoingContext returns ctx with the outgoing metadata for a recorded request.
 func outgoingContext(ctx context.Context, id string, c emulator.TrafficClass, r emulator.Request) context.Context {
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	m := load.Message{ID: id, Class: c.Name, Effect: c.Effect, Work: us(r.WorkUS), ExpectedWork: us(r.ExpectedWorkUS)}
@@ -168,7 +168,7 @@
 	return metadata.NewOutgoingContext(ctx, grpcload.Metadata(m))
 }
 
-// outcomeOf returns how a call ended for its client.
+// outcomeOf returns the outcome of a call with the given error.
 func outcomeOf(err error) emulator.Outcome {
 	if err == nil {
 		return emulator.Served
--- a/rpc/grpcbalancer/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -18,7 +18,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// childDiscoveryEnv is the environment variable with the address of the discovery service that the child process uses.
+// childDiscoveryEnv is the environment variable that makes the test binary run as the child process. Its value is the
+// address of the discovery service that the child process uses.
 const childDiscoveryEnv = "HAZELGRPC_TEST_CHILD"
 
 const (
@@ -27,7 +28,7 @@
 	pauseDuration   = 400 * time.Millisecond
 )
 
-// pauseTraffic returns the classes of the child's calls. A deadline falls into the pause.
+// pauseTraffic returns the classes of the child's calls. The deadline of the class look is shorter than a pause.
 func pauseTraffic() *emulator.Traffic {
 	return &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: []emulator.TrafficClass{
 		{Name: "look", Effect: "safe", ObjectiveMS: 120, DeadlineMS: 250, Weight: 1},
@@ -35,7 +36,7 @@
 	}}}
 }
 
-// linePrinter prints lines from any number of goroutines.
+// linePrinter prints lines to standard output. It is safe for concurrent use.
 type linePrinter struct{ mu sync.Mutex }
 
 func (l *linePrinter) printf(format string, args ...any) {
@@ -50,8 +51,8 @@
 	return len(b), nil
 }
 
-// runChild is the child process: it makes calls until its standard input ends, and prints a line for the start and the
-// result of each and for each line of the log.
+// runChild is the main function of the child process. It makes calls until its standard input ends, and prints a line
+// for the start and the result of each call and for each line of the log.
 func runChild() {
 	traffic := pauseTraffic()
 	settings := bookingSettings(traffic)
@@ -84,15 +85,16 @@
 			}
 		})
 	}
-	_, _ = bufio.NewReader(os.Stdin).ReadString('\n') // its end is what is waited for
+	_, _ = bufio.NewReader(os.Stdin).ReadString('\n') // returns when standard input ends
 	stop()
 	callers.Wait()
 	_ = p.Close() // always nil
 	out.printf("closed")
 }
 
-// The host stops all threads for 400 ms in the middle of calls, several times: every call has one result, nothing runs
-// twice that must not, and no endpoint is ejected, since none of them is at fault.
+// The client's process is stopped for 400 ms in the middle of calls, several times, as by a pause of its host. Calls
+// then end late although the endpoints are not at fault: no endpoint may be ejected, every call must have one result,
+// and no call that must not be repeated may be executed twice.
 func TestHostPausesDoNotEjectEndpoints(t *testing.T) {
 	f := newGRPCFleet(t, []emulator.NodeConfig{
 		{Name: "n1", Zone: "a", Speed: 4},
@@ -113,7 +115,7 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = child.Process.Kill() }() // fails if it has ended
+	defer func() { _ = child.Process.Kill() }() // fails if the process has ended
 	lines := make(chan string, 100_000)
 	go func() {
 		defer close(lines)
@@ -132,18 +134,18 @@
 		case strings.Contains(line, "process was stalled"):
 			stalls++
 		case strings.Contains(line, "eject"), strings.HasPrefix(line, "error"):
-			t.Error(line)
+			t.Errorf("the child printed an error or an ejection: %s", line)
 		}
 	}
-	awaitResults := func(n int) { // n further ones
+	awaitResults := func(n int) { // waits for n more results
 		for want := len(results) + n; len(results) < want; {
-			record(testutil.Receive(t, lines, "a line of the child"))
+			record(testutil.Receive(t, lines, "a line of the child's output"))
 		}
 	}
 	awaitResults(10 * concurrentCalls)
 	const pauses = 4
 	for range pauses {
-		// In the middle of a call: one that is queued at a node behind another.
+		// The pause begins in the middle of calls: when one of them is queued at a node behind another.
 		testutil.Until(t, "a queued call", func() bool {
 			for _, n := range f.Status() {
 				if n.InFlight > 1 {
@@ -170,13 +172,13 @@
 	}
 	for _, id := range asked {
 		if results[id] != 1 {
-			t.Errorf("call %s has %d results", id, results[id])
+			t.Errorf("call %s has %d results, want one", id, results[id])
 		}
 	}
-	if broken := f.Rules.Violations(); len(broken) > 0 {
-		t.Error(broken)
+	if violations := f.Rules.Violations(); len(violations) > 0 {
+		t.Errorf("violations: %v", violations)
 	}
 	if stalls < pauses {
-		t.Errorf("%d of %d pauses were noticed", stalls, pauses)
+		t.Errorf("%d stalls were logged for %d pauses", stalls, pauses)
 	}
 }
--- a/rpc/grpcbalancer/simulation_test.go
+++ b/rpc/grpcbalancer/simulation_test.go
@@ -12,11 +12,12 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-// hopLatency is that of a loopback connection, and of the programs between client and node.
+// hopLatency is the simulated latency between a client and a node. It represents a loopback connection and the programs
+// between them.
 const hopLatency = 150 * time.Microsecond
 
-// simulate runs a candidate in the simulator: the emulated fleet's nodes, the same traffic and faults, in simulated
-// time. grpc-go's policies make one attempt, as they do on sockets.
+// simulate runs a candidate in the simulator, in simulated time, with the nodes of the emulated fleet and the same
+// traffic and faults. grpc-go's policies make one attempt per call, as they do on sockets.
 func simulate(t *testing.T, c candidate, traffic *emulator.Traffic, script string, seed int) *simulator.Result {
 	t.Helper()
 	cfg := simulatorConfig(traffic)
@@ -34,10 +35,10 @@
 		}
 		cfg.Faults = append(cfg.Faults, fault)
 	}
-	cfg.Network.Multiplexed = c.newServer != nil // gRPC
+	cfg.Network.Multiplexed = c.newServer != nil // newServer is nil for HTTP, and set for gRPC
 	if c.policy != baseline.Hazelwing {
 		cfg.Settings.MaxAttempts = 1
-		cfg.Settings.ProbesReportLoad = true // ORCA reports come with responses
+		cfg.Settings.ProbesReportLoad = true // represents ORCA load reports, which arrive with responses
 	}
 	policy, err := baseline.New(c.policy)
 	if err != nil {
@@ -102,25 +103,26 @@
 	return cfg
 }
 
-// minDifference is the difference of two services from which on they have an order.
+// minDifference is the difference in service that two candidates must exceed to be ranked against each other.
 const minDifference = 0.015
 
-// simulatorReport compares the results on sockets with those of the simulator.
+// simulatorReport compares the results on sockets with the results in the simulator.
 type simulatorReport struct {
 	rows         strings.Builder
-	orderChanges strings.Builder // candidates whose order differs
-	scenario     string          // that of the candidates
-	services     []candidateService
+	orderChanges strings.Builder    // pairs of candidates that rank differently on sockets and in the simulator
+	scenario     string             // the current scenario
+	services     []candidateService // of the candidates in the current scenario
 }
 
-// candidateService is the mean service of a candidate in a scenario.
+// candidateService is the mean service of a candidate in a scenario, on sockets and in the simulator.
 type candidateService struct {
 	name      string
 	sockets   float64
 	simulator float64
 }
 
-// add adds the results of a candidate in a scenario. Those of a scenario come one after the other.
+// add adds the results of a candidate in a scenario. All candidates of a scenario must be added before the next
+// scenario.
 func (s *simulatorReport) add(scenario, candidate string, results []result) {
 	if s.scenario != scenario {
 		s.compareOrder()
@@ -143,7 +145,7 @@
 		p50, simulatedP50, p99, simulatedP99, 100*(simulatedP99/p99-1))
 }
 
-// compareOrder compares the order of the candidates of a scenario on sockets with that in the simulator.
+// compareOrder compares the ranking of the current scenario's candidates on sockets with that in the simulator.
 func (s *simulatorReport) compareOrder() {
 	differ := func(x float64) bool { return max(x, -x) > minDifference }
 	for i, a := range s.services {
@@ -170,16 +172,17 @@
 		s.rows.String() + "\n" + swaps
 }
 
-// The simulator plays all of the recorded traffic for each candidate, and grpc-go's policies waste nothing. What
-// differs on sockets is measured by TestCompare.
+// The simulator replays all of the recorded traffic for each candidate, and grpc-go's policies repeat no request.
+// TestCompare measures the differences from runs on sockets.
 func TestSimulationReplaysAllTraffic(t *testing.T) {
 	const script = "500ms slow n1 8 1s\n1s crash n4\n2s restart n4\n1s reset n6 0.2 1s\n700ms drain n3"
 	traffic := emulator.Generate(3, 100, 3*time.Second)
 	for _, c := range candidates {
 		r := simulate(t, c, traffic, script, 3)
-		wastes := c.policy != baseline.Hazelwing && r.RepeatsPerRequest > 0
-		if r.Requests != len(traffic.Requests) || r.Service < 0.5 || wastes {
-			t.Errorf("%s: %d of %d requests, service %.3f, %.3f repeats for each",
+		repeats := c.policy != baseline.Hazelwing && r.RepeatsPerRequest > 0
+		if r.Requests != len(traffic.Requests) || r.Service < 0.5 || repeats {
+			t.Errorf("%s: %d of %d requests, service %.3f (want at least 0.5), %.3f repeats per request "+
+				"(want 0 for policies of grpc-go)",
 				c.name, r.Requests, len(traffic.Requests), r.Service, r.RepeatsPerRequest)
 		}
 	}
