--- a/internal/graphql/plan/collect.go
+++ b/internal/graphql/plan/collect.go
@@ -24,7 +24,7 @@
 	dependsOnVariables bool
 }
 
-// newRootCollector returns a collector for an operation. vars are coerced.
+// newRootCollector returns a collector for an operation. vars are the coerced variables.
 func newRootCollector(d *Document, op *ast.OperationDefinition, vars map[string]any) *rootCollector {
 	c := &rootCollector{
 		document:       d,
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// addField adds a selection to the root field of its response key.
+// addField adds a selection to the root field that has its response key.
 func (c *rootCollector) addField(f *ast.Field) *Error {
 	field := c.byResponseKey[f.Alias]
 	if field == nil {
@@ -103,7 +103,7 @@
 	return &unconditional
 }
 
-// isIncluded evaluates @skip and @include.
+// isIncluded evaluates @skip and @include, and reports whether a selection with these directives is included.
 func (c *rootCollector) isIncluded(directives ast.DirectiveList) bool {
 	for _, name := range []string{skipDirective, includeDirective} {
 		directive := directives.ForName(name)
--- a/internal/graphql/plan/layout.go
+++ b/internal/graphql/plan/layout.go
@@ -30,7 +30,8 @@
 	variables  []string // the names of the variables that the document uses
 }
 
-// layoutOf returns the layout of an operation, from the cache if it does not depend on variables. vars are coerced.
+// layoutOf returns the layout of an operation, from the cache if it does not depend on variables. vars are the coerced
+// variables.
 func (d *Document) layoutOf(op *ast.OperationDefinition, vars map[string]any) (*layout, *Error) {
 	d.mu.Lock()
 	cached := d.layouts[op.Name]
--- a/internal/graphql/plan/limits.go
+++ b/internal/graphql/plan/limits.go
@@ -8,17 +8,17 @@
 
 // Limits bound the work that a single request may cause. Each must be greater than 0.
 type Limits struct {
-	MaxBytes      int // of a document
-	MaxTokens     int // of a document
-	MaxDepth      int // of nested fields
-	MaxAliases    int // of an operation, with its fragments expanded
-	MaxRootFields int // of an operation
-	MaxFields     int // of an operation, with its fragments expanded
-	MaxCost       int // of the root fields of an operation, in the unit of FieldMapping.Cost
+	MaxBytes      int // maximum length of a document in bytes
+	MaxTokens     int // maximum number of tokens in a document
+	MaxDepth      int // maximum number of levels of nested fields
+	MaxAliases    int // maximum number of aliases in an operation with its fragments expanded
+	MaxRootFields int // maximum number of root fields in an operation
+	MaxFields     int // maximum number of fields in an operation with its fragments expanded
+	MaxCost       int // maximum sum of FieldMapping.Cost over the root fields of an operation
 }
 
-// DefaultLimits are well above the size of the documents that applications send. Higher values let a single request use
-// more processing time and memory before it is rejected.
+// DefaultLimits are generous for the documents that applications send. Higher values let a single request use more
+// processing time and memory before it is rejected.
 var DefaultLimits = Limits{
 	MaxBytes:      64 << 10,
 	MaxTokens:     8000,
@@ -103,7 +103,7 @@
 	}
 	definition := z.query.Fragments.ForName(name)
 	if definition == nil {
-		return selectionSize{}, nil // validation reports it
+		return selectionSize{}, nil // validation reports the undefined fragment
 	}
 	z.inProgress[name] = true
 	size, err := z.selectionSet(definition.SelectionSet)
--- a/internal/graphql/plan/mapping.go
+++ b/internal/graphql/plan/mapping.go
@@ -29,10 +29,10 @@
 	Err   error
 }
 
-// Error returns the field and what is wrong with its mapping.
+// Error returns the schema coordinate of the field and the error in its mapping.
 func (e FieldMappingError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the mapping.
+// Unwrap returns the error in the mapping, without the field.
 func (e FieldMappingError) Unwrap() error { return e.Err }
 
 // checkMapping checks the mapping of a root field against the schema and the classes, if these are known.
--- a/internal/graphql/plan/merge.go
+++ b/internal/graphql/plan/merge.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// mergeData builds the response's data. isNull reports that the whole data is null, because a non-null root field has
+// mergeData builds the response's data. isNull reports whether the whole data is null because a non-null root field has
 // no value.
 func (p *Plan) mergeData(outcomes []Outcome) (data []byte, isNull bool) {
 	var merged bytes.Buffer
--- a/internal/graphql/plan/outcome.go
+++ b/internal/graphql/plan/outcome.go
@@ -13,7 +13,7 @@
 	OutcomeEndpointRejected
 	// OutcomeRejected means that the request was rejected before any endpoint executed it.
 	OutcomeRejected
-	// OutcomeNotStarted means that nothing was sent.
+	// OutcomeNotStarted means that the request was not sent.
 	OutcomeNotStarted
 	// OutcomeUnknown means that the part may or may not have been executed.
 	OutcomeUnknown
--- a/internal/graphql/plan/part.go
+++ b/internal/graphql/plan/part.go
@@ -15,13 +15,13 @@
 type Part struct {
 	Class          string
 	Effect         balancer.Effect
-	IdempotencyKey string        // of a mutation, the same in all attempts and retries; empty if there is none
-	AffinityKey    string        // of a query; empty if its root fields have none or different ones
-	ExpectedWork   time.Duration // 0 if unknown
+	IdempotencyKey string        // key of a mutation, the same in all attempts and retries; empty if there is none
+	AffinityKey    string        // key of a query; empty if its fields have no key argument or different keys
+	ExpectedWork   time.Duration // sum over the root fields; 0 if unknown
 	Deadline       time.Duration // counted from when the part is sent; 0 if there is none
 	Coalesce       bool          // whether identical parts in flight may share one execution
-	ResponseKeys   []string      // of the root fields, in the operation's order
-	Body           []byte        // the request's body, application/json
+	ResponseKeys   []string      // response keys of the root fields, in the operation's order
+	Body           []byte        // body of the request, application/json
 
 	nonNull bool // whether one of the root fields is non-null
 }
--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -18,8 +18,8 @@
 	Parts  []*Part
 
 	rootFields []*rootField
-	metaValues map[string]json.RawMessage // the values of meta fields, by response key
-	partIndex  map[string]int             // the index of the part of each other root field, by response key
+	metaValues map[string]json.RawMessage // values of the meta fields, by response key
+	partIndex  map[string]int             // indexes in Parts of the other root fields, by response key
 }
 
 // Plan plans an operation of the document. The operation's name may be empty if there is only one. requestKey is the
@@ -66,7 +66,7 @@
 	return p, nil
 }
 
-// resolveMetaFields resolves __typename, __schema and __type.
+// resolveMetaFields resolves the meta fields __typename, __schema and __type.
 func (p *Plan) resolveMetaFields(d *Document, op *ast.OperationDefinition, vars map[string]any) *Error {
 	for _, field := range p.rootFields {
 		if !field.isMeta {
--- a/internal/graphql/plan/property_test.go
+++ b/internal/graphql/plan/property_test.go
@@ -43,7 +43,7 @@
 		text, variables := generated.drawOperation(t)
 		document, errs := s.ParseDocument(text)
 		if len(errs) > 0 {
-			t.Fatalf("%s\n%s\n%s", errs[0].Message, text, generated.sdl)
+			t.Fatalf("generated document is invalid: %s\ndocument %s\nschema %s", errs[0].Message, text, generated.sdl)
 		}
 		p, e := document.Plan("", variables, "k")
 		if e != nil {
@@ -56,13 +56,13 @@
 		}
 		want := node.execute(t, text, variables)
 		if string(got.Data) != string(want.Data) {
-			t.Fatalf("data %s\nwant %s\n%s\n%s", got.Data, want.Data, text, generated.sdl)
+			t.Fatalf("merged data %s\nwant %s\noperation %s\nschema %s", got.Data, want.Data, text, generated.sdl)
 		}
 		// Direct execution of a query stops at the first null that makes the data null, but all parts are executed.
 		mayHaveMore := !p.Serial && string(want.Data) == "null"
 		for e, n := range errorDifference(got, want) {
 			if n < 0 || n > 0 && !mayHaveMore {
-				t.Fatalf("error %s: %+d times compared with direct execution\n%s", e, n, text)
+				t.Fatalf("the number of errors %q differs by %+d from direct execution\noperation %s", e, n, text)
 			}
 		}
 	})
@@ -115,7 +115,7 @@
 		}
 		response, err := part.ParseResponse(body)
 		if err != nil {
-			t.Fatalf("%v\n%s\n%s", err, r.Query, body)
+			t.Fatalf("the node's response is invalid: %v\ndocument %s\nresponse %s", err, r.Query, body)
 		}
 		outcome := Outcome{Kind: OutcomeExecuted, Response: response}
 		mayContinue = p.MayContinueAfter(outcome)
@@ -129,7 +129,7 @@
 	t.Helper()
 	query, errs := gqlparser.LoadQueryWithRules(n.schema, text, nil)
 	if len(errs) > 0 {
-		t.Fatalf("%v\n%s", errs, text)
+		t.Fatalf("document is invalid: %v\ndocument %s", errs, text)
 	}
 	decoded := map[string]any{}
 	for name, encoded := range variables {
@@ -163,7 +163,7 @@
 type generatedField struct {
 	name        string
 	hasArgument bool
-	objectType  string // empty: Int
+	objectType  string // empty if the field's type is Int
 	typeFormat  string // format of the type with a verb for its name, such as "[%s!]"
 }
 
--- a/rpc/grpcbalancer/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -49,7 +49,8 @@
 		}
 		if header.Get("content-type") == nil || firstValue(trailer, "who", "") != "second" || from.Addr == nil ||
 			finished != 1 {
-			t.Errorf("%s: header %v, trailer %v, peer %v, finished %d times", name, header, trailer, from, finished)
+			t.Errorf("%s: header %v, trailer %v, peer %v, OnFinish called %d times; "+
+				"want a content-type, who=second, a peer address and one call", name, header, trailer, from, finished)
 		}
 	}
 }
@@ -126,7 +127,7 @@
 	})
 	t.Run("after Close", func(t *testing.T) {
 		p := start(t, testConfig(Static(Endpoint{Addr: testutil.UnusedAddr})))
-		_ = p.Close() // always nil
+		_ = p.Close() // the error is always nil
 		_, err := invoke(t.Context(), p, book, "seat")
 		if _, ok := Rejected(err); !ok || status.Code(err) != codes.ResourceExhausted {
 			t.Errorf("error %v, want a rejection with RESOURCE_EXHAUSTED", err)
@@ -251,10 +252,10 @@
 		change(&cfg)
 		p, err := New(cfg)
 		if err == nil {
-			_ = p.Close() // always nil
+			_ = p.Close() // the error is always nil
 		}
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "hazelgrpc: Config.") {
-			t.Errorf("error %v, want one with %q", err, want)
+			t.Errorf("error %v, want one with %q and the prefix \"hazelgrpc: Config.\"", err, want)
 		}
 	}
 	c := valid()
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return unaryClient(p, f), func() { _ = p.Close() } // always nil
+	return unaryClient(p, f), func() { _ = p.Close() } // the error is always nil
 }
 
 // unaryClient returns a function that makes unary calls for recorded requests. It reports two kinds of violations to
@@ -238,7 +238,7 @@
 		_ = f.Play(ctx, faults) // returns an error if ctx ends before the script
 	})
 	report := emulator.Replay(ctx, traffic, options.grace, do)
-	time.Sleep(200 * time.Millisecond) // waits for hedged requests that are still executed
+	time.Sleep(200 * time.Millisecond) // waits for hedged requests that are still in flight
 	stop()
 	playing.Wait()
 	total, _ := f.Rules.Executions("")
--- a/rpc/grpcbalancer/endpoints.go
+++ b/rpc/grpcbalancer/endpoints.go
@@ -30,7 +30,7 @@
 	StartedAt time.Time
 }
 
-// entry returns the engine's form of e.
+// entry converts e to an engine.Endpoint.
 func (e Endpoint) entry() engine.Endpoint {
 	entry := engine.Endpoint{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell}
 	if entry.ID == "" {
--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -201,7 +201,7 @@
 		t.Errorf("error %v, want CANCELLED", err)
 	}
 	testutil.Receive(t, resets, "the attempt's reset") // without a reset, the server would continue the attempt
-	_ = p.Close()                                      // always nil
+	_ = p.Close()                                      // the error is always nil
 	if len(headers) > 0 {
 		t.Error("the cancelled call was retried")
 	}
@@ -337,7 +337,7 @@
 	run := func(p *Plugin, name string) *emulator.Report {
 		do := func(ctx context.Context, n int, c emulator.TrafficClass, r emulator.Request) emulator.Outcome {
 			if name == "one" && n == half {
-				_ = one.Close() // always nil
+				_ = one.Close() // the error is always nil
 				closed.Store(true)
 			}
 			wasClosed := closed.Load()
--- a/rpc/grpcbalancer/helpers_test.go
+++ b/rpc/grpcbalancer/helpers_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = p.Close() }) // always nil
+	t.Cleanup(func() { _ = p.Close() }) // the error is always nil
 	return p
 }
 
--- a/rpc/grpcbalancer/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -88,7 +88,7 @@
 	_, _ = bufio.NewReader(os.Stdin).ReadString('\n') // returns when standard input ends
 	stop()
 	callers.Wait()
-	_ = p.Close() // always nil
+	_ = p.Close() // the error is always nil
 	out.printf("closed")
 }
 
--- a/rpc/grpcbalancer/simulation_test.go
+++ b/rpc/grpcbalancer/simulation_test.go
@@ -111,7 +111,7 @@
 	rows         strings.Builder
 	orderChanges strings.Builder    // pairs of candidates that rank differently on sockets and in the simulator
 	scenario     string             // the current scenario
-	services     []candidateService // of the candidates in the current scenario
+	services     []candidateService // services of the candidates in the current scenario
 }
 
 // candidateService is the mean service of a candidate in a scenario, on sockets and in the simulator.
--- a/rpc/grpcbalancer/stream.go
+++ b/rpc/grpcbalancer/stream.go
@@ -109,7 +109,7 @@
 	case <-s.resultReady:
 	case <-s.ctx.Done():
 		s.startOnce.Do(func() { s.setResult(nil, status.FromContextError(s.ctx.Err()).Err()) })
-		<-s.resultReady // the engine ends a call with its context
+		<-s.resultReady // the engine ends a call when its context ends
 	}
 }
 
