--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -19,7 +19,9 @@
 
 	rootFields []*rootField
 	metaValues map[string]json.RawMessage // values of the meta fields, by response key
-	partIndex  map[string]int             // indexes in Parts of the other root fields, by response key
+	// partIndex is the index in Parts of the part that has a root field, by the field's response key. Meta fields have
+	// none.
+	partIndex map[string]int
 }
 
 // Plan plans an operation of the document. The operation's name may be empty if there is only one. requestKey is the
--- a/internal/graphql/plan/response.go
+++ b/internal/graphql/plan/response.go
@@ -79,7 +79,7 @@
 func (p *Part) parseErrors(text []byte) ([]nodeError, error) {
 	var nodeErrors []nodeError
 	if err := json.Unmarshal(text, &nodeErrors); err != nil {
-		return nil, fmt.Errorf("errors: %w", err)
+		return nil, fmt.Errorf("errors of the response cannot be decoded: %w", err)
 	}
 	for _, e := range nodeErrors {
 		if err := p.checkErrorPath(e.Path); err != nil {
--- a/internal/graphql/plan/subdocument.go
+++ b/internal/graphql/plan/subdocument.go
@@ -7,8 +7,8 @@
 	"github.com/vektah/gqlparser/v2/formatter"
 )
 
-// formatPart sets the text of a part, which is an operation with the part's root fields and the fragments and variables
-// that these use, and the names of these variables.
+// formatPart sets the text of a part and the names of its variables. The text is an operation with the part's root
+// fields, and has only the fragments and variables that these use.
 func (d *Document) formatPart(op *ast.OperationDefinition, part *partTemplate) {
 	used := &usage{query: d.query, variables: map[string]bool{}, fragments: map[string]bool{}}
 	subdocument := &ast.QueryDocument{}
--- a/rpc/grpcbalancer/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -45,7 +45,7 @@
 		text, err := invoke(t.Context(), conn, book, "seat", grpc.Header(&header), grpc.Trailer(&trailer),
 			grpc.Peer(&from), grpc.OnFinish(func(error) { finished++ }))
 		if err != nil || text != "ok" {
-			t.Fatalf("%s: response %q, error %v", name, text, err)
+			t.Fatalf("%s: response %q, error %v; want the response \"ok\"", name, text, err)
 		}
 		if header.Get("content-type") == nil || firstValue(trailer, "who", "") != "second" || from.Addr == nil ||
 			finished != 1 {
