--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -312,7 +312,7 @@
 }
 
 // The daemon and the plug-in cause no violations while nodes slow down, drain, crash, pause, reset streams and restart.
-// This is a short form of TestCompare, whose verdict does not depend on the speed of the machine.
+// This is a short form of TestCompare. Its verdict does not depend on the speed of the machine.
 func TestDaemonAndPluginHaveNoViolations(t *testing.T) {
 	traffic := emulator.Generate(5, 60, 3*time.Second)
 	const script = "300ms slow n1 8 1s\n500ms drain n3\n800ms crash n4\n1s pause n2 300ms\n" +
--- a/rpc/grpcbalancer/helpers_test.go
+++ b/rpc/grpcbalancer/helpers_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// testConfig returns a configuration with one class for each of the methods above.
+// testConfig returns a configuration with one class for each method of the booking service.
 func testConfig(endpoints EndpointSource) Config {
 	return Config{
 		Endpoints:   endpoints,
