--- a/internal/graphql/plan/doc.go
+++ b/internal/graphql/plan/doc.go
@@ -1,6 +1,6 @@
 // Package plan splits GraphQL operations into requests to endpoints and merges the endpoints' responses, without I/O:
-// it decides which root fields are sent together, in which order, with which request class and idempotency key, and
-// what the client receives when all requests have ended.
+// it decides which root fields are sent together, in which order, and with which request class and idempotency key.
+// When all requests have ended, it builds the response to the client.
 //
 //	Schema ── ParseDocument(text) ─> Document ── Plan(name, variables, key) ─> Plan ── Parts ─> requests
 //	 (SDL, mapping, limits)                                                     └── Merge(outcomes) ─> response
@@ -11,7 +11,7 @@
 // section 6.2.2 of the GraphQL specification requires: a part is sent once the response to its predecessor states
 // what was executed and leaves the merged data intact.
 //
-// # What a client may conclude from the error codes
+// # Guarantees of the error codes
 //
 // Each error that the balancer creates, as opposed to one from an endpoint, has extensions.code. REFUSED and
 // NOT_STARTED guarantee that the field did not run and will not run. MAY_HAVE_RUN guarantees nothing, and a retry may
--- a/internal/graphql/plan/errors.go
+++ b/internal/graphql/plan/errors.go
@@ -7,7 +7,7 @@
 	"github.com/vektah/gqlparser/v2/gqlerror"
 )
 
-// Values of extensions.code for errors of single fields. The package comment says what each of them guarantees.
+// Values of extensions.code for errors of single fields. The package comment describes the guarantees of each code.
 const (
 	CodeRefused     = "REFUSED"
 	CodeNotStarted  = "NOT_STARTED"
