--- a/internal/graphql/plan/collect.go
+++ b/internal/graphql/plan/collect.go
@@ -20,11 +20,11 @@
 	rootFields     []*rootField // in the order of their first selection
 	byResponseKey  map[string]*rootField
 	visitedSpreads map[string]bool
-	// dependsOnVariables is set when a directive's condition is a variable.
+	// dependsOnVariables is true if the condition of a @skip or @include is a variable.
 	dependsOnVariables bool
 }
 
-// newRootCollector returns a collector for an operation. vars are coerced.
+// newRootCollector returns a collector for an operation. vars are the coerced variables.
 func newRootCollector(d *Document, op *ast.OperationDefinition, vars map[string]any) *rootCollector {
 	c := &rootCollector{
 		document:       d,
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// addField adds a selection to the root field of its response key.
+// addField adds a selection to the root field that has its response key.
 func (c *rootCollector) addField(f *ast.Field) *Error {
 	field := c.byResponseKey[f.Alias]
 	if field == nil {
@@ -103,7 +103,7 @@
 	return &unconditional
 }
 
-// isIncluded evaluates @skip and @include.
+// isIncluded evaluates @skip and @include, and reports whether a selection with these directives is included.
 func (c *rootCollector) isIncluded(directives ast.DirectiveList) bool {
 	for _, name := range []string{skipDirective, includeDirective} {
 		directive := directives.ForName(name)
--- a/internal/graphql/plan/variables.go
+++ b/internal/graphql/plan/variables.go
@@ -46,13 +46,14 @@
 	return vars, nil
 }
 
-// intsInRange checks the integers of a value that has the given type. The validator accepts integers of any size.
+// intsInRange reports whether all Int values in a value of the given type are 32-bit signed integers. The validator
+// accepts integers of any size.
 func (s *Schema) intsInRange(t *ast.Type, value any) bool {
 	switch value := value.(type) {
 	case json.Number:
-		return t.Name() != "Int" || isInt32(value)
+		return t.Name() != "Int" || isInt32(value) // also for a list type: a single value may stand for a list
 	case []any:
-		element := cmp.Or(t.Elem, t) // a single value may stand for a list of it
+		element := cmp.Or(t.Elem, t) // t.Elem is nil if the list is the value of a custom scalar
 		return !slices.ContainsFunc(value, func(item any) bool { return !s.intsInRange(element, item) })
 	case map[string]any:
 		definition := s.ast.Types[t.Name()]
--- a/rpc/grpcbalancer/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -18,16 +18,17 @@
 	"hazelwing/internal/testutil"
 )
 
-// childDiscovery is the environment variable with the address of the discovery service that the child process uses.
-const childDiscovery = "HAZELGRPC_TEST_CHILD"
+// childDiscoveryEnv is the environment variable that makes the test binary run as the child process. Its value is the
+// address of the discovery service that the child process uses.
+const childDiscoveryEnv = "HAZELGRPC_TEST_CHILD"
 
 const (
 	concurrentCalls = 8
-	workOfCall      = 40 * time.Millisecond
+	workPerCall     = 40 * time.Millisecond
 	pauseDuration   = 400 * time.Millisecond
 )
 
-// pauseTraffic returns the classes of the child's calls. A deadline falls into the pause.
+// pauseTraffic returns the classes of the child's calls. The deadline of the class look is shorter than a pause.
 func pauseTraffic() *emulator.Traffic {
 	return &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: []emulator.TrafficClass{
 		{Name: "look", Effect: "safe", ObjectiveMS: 120, DeadlineMS: 250, Weight: 1},
@@ -35,7 +36,7 @@
 	}}}
 }
 
-// linePrinter prints lines from any number of goroutines.
+// linePrinter prints lines to standard output. It is safe for concurrent use.
 type linePrinter struct{ mu sync.Mutex }
 
 func (l *linePrinter) printf(format string, args ...any) {
@@ -50,8 +51,8 @@
 	return len(b), nil
 }
 
-// runChild is the child process: it makes calls until its standard input ends, and prints a line for the start and the
-// result of each and for each line of the log.
+// runChild is the main function of the child process. It makes calls until its standard input ends, and prints a line
+// for the start and the result of each call and for each line of the log.
 func runChild() {
 	traffic := pauseTraffic()
 	settings := bookingSettings(traffic)
@@ -59,8 +60,8 @@
 	var out linePrinter
 	p, err := New(Config{
 		Settings:    settings,
-		Endpoints:   Watch(os.Getenv(childDiscovery)),
-		DialOptions: insecureDial(),
+		Endpoints:   Watch(os.Getenv(childDiscoveryEnv)),
+		DialOptions: insecureDialOptions(),
 		Seed:        1,
 		Log:         slog.New(slog.NewTextHandler(&out, nil)),
 	})
@@ -77,23 +78,24 @@
 				id := fmt.Sprintf("%d-%d", i, n)
 				out.printf("asked %s", id)
 				callCtx, cancel := context.WithTimeout(ctx, time.Duration(c.DeadlineMS)*time.Millisecond)
-				request := emulator.Request{WorkUS: float64(workOfCall.Microseconds())}
-				_, err := invoke(outgoing(callCtx, id, c, request), p, grpcnode.DoMethod, "x")
+				request := emulator.Request{WorkUS: float64(workPerCall.Microseconds())}
+				_, err := invoke(outgoingContext(callCtx, id, c, request), p, grpcnode.DoMethod, "x")
 				cancel()
 				out.printf("ended %s %v", id, err)
 			}
 		})
 	}
-	_, _ = bufio.NewReader(os.Stdin).ReadString('\n') // its end is what is waited for
+	_, _ = bufio.NewReader(os.Stdin).ReadString('\n') // returns when standard input ends
 	stop()
 	callers.Wait()
-	_ = p.Close() // always nil
+	_ = p.Close() // the error is always nil
 	out.printf("closed")
 }
 
-// The host stops all threads for 400 ms in the middle of calls, several times: every call has one result, nothing runs
-// twice that must not, and no endpoint is ejected, since none of them is at fault.
-func TestHostPausesAreNotHeldAgainstEndpoints(t *testing.T) {
+// The client's process is stopped for 400 ms in the middle of calls, several times, as by a pause of its host. Calls
+// then end late although the endpoints are not at fault: no endpoint may be ejected, every call must have one result,
+// and no call that must not be repeated may be executed twice.
+func TestHostPausesDoNotEjectEndpoints(t *testing.T) {
 	f := newGRPCFleet(t, []emulator.NodeConfig{
 		{Name: "n1", Zone: "a", Speed: 4},
 		{Name: "n2", Zone: "a", Speed: 4},
@@ -101,7 +103,7 @@
 		{Name: "n4", Zone: "a", Speed: 4},
 	}, pauseTraffic())
 	child := exec.CommandContext(t.Context(), os.Args[0])
-	child.Env = append(os.Environ(), childDiscovery+"="+f.Discovery.Addr())
+	child.Env = append(os.Environ(), childDiscoveryEnv+"="+f.Discovery.Addr())
 	in, err := child.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +115,7 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = child.Process.Kill() }() // fails if it has ended
+	defer func() { _ = child.Process.Kill() }() // fails if the process has ended
 	lines := make(chan string, 100_000)
 	go func() {
 		defer close(lines)
@@ -132,18 +134,18 @@
 		case strings.Contains(line, "process was stalled"):
 			stalls++
 		case strings.Contains(line, "eject"), strings.HasPrefix(line, "error"):
-			t.Error(line)
+			t.Errorf("the child printed an error or an ejection: %s", line)
 		}
 	}
-	awaitResults := func(n int) { // n further ones
+	awaitResults := func(n int) { // waits for n more results
 		for want := len(results) + n; len(results) < want; {
-			record(testutil.Receive(t, lines, "a line of the child"))
+			record(testutil.Receive(t, lines, "a line of the child's output"))
 		}
 	}
 	awaitResults(10 * concurrentCalls)
 	const pauses = 4
 	for range pauses {
-		// In the middle of a call: one that is queued at a node behind another.
+		// The pause begins in the middle of calls: when one of them is queued at a node behind another.
 		testutil.Until(t, "a queued call", func() bool {
 			for _, n := range f.Status() {
 				if n.InFlight > 1 {
@@ -170,13 +172,13 @@
 	}
 	for _, id := range asked {
 		if results[id] != 1 {
-			t.Errorf("call %s has %d results", id, results[id])
+			t.Errorf("call %s has %d results, want one", id, results[id])
 		}
 	}
-	if broken := f.Rules.Violations(); len(broken) > 0 {
-		t.Error(broken)
+	if violations := f.Rules.Violations(); len(violations) > 0 {
+		t.Errorf("violations: %v", violations)
 	}
 	if stalls < pauses {
-		t.Errorf("%d of %d pauses were noticed", stalls, pauses)
+		t.Errorf("%d stalls were logged for %d pauses", stalls, pauses)
 	}
 }
