--- a/internal/simulation/simulator/attempt.go
+++ b/internal/simulation/simulator/attempt.go
@@ -14,11 +14,12 @@
 	zone   int
 	sentAt time.Duration
 	conn   connection
-	// completed: its outcome has been delivered.
+	// completed is true once the attempt has its outcome, which may still wait for the end of a stall.
 	completed bool
-	// abandoned: the instance has given it up and ignores what comes back.
+	// abandoned is true once the instance has given the attempt up, by a timeout or a cancellation. A later answer is
+	// ignored.
 	abandoned bool
-	// written: its request is on its way, or further.
+	// written is true once the request has been written on the attempt's connection.
 	written bool
 	job     *job
 }
@@ -79,14 +80,14 @@
 		case n.vanished:
 		case n.dead || n.incarnation != a.conn.incarnation:
 			sim.reset(a)
-		case a.abandoned: // its connection was closed before the request arrived
+		case a.abandoned: // the instance closed the connection before the request arrived
 		case !n.accept(a):
 			sim.reply(a, balancer.Overloaded)
 		}
 	})
 }
 
-// reply sends an answer back: OK, or Overloaded for a request that was not executed.
+// reply sends the node's answer to the instance: OK, or Overloaded for a request that the node rejected.
 func (sim *simulation) reply(a *attempt, result balancer.Result) {
 	inFlight := float64(a.node.inFlight())
 	i := a.call.instance
@@ -117,7 +118,7 @@
 	}
 }
 
-// fail completes an attempt whose connection cannot be used any more.
+// fail completes an attempt whose connection has failed, and closes the connection.
 func (sim *simulation) fail(a *attempt, result balancer.Result) {
 	if a.completed || a.abandoned {
 		return
@@ -126,7 +127,7 @@
 	sim.complete(a, result, balancer.LoadReport{})
 }
 
-// abandon completes an attempt from the instance's side, and cancels it at the node.
+// abandon completes an attempt that the instance gives up, and cancels it at the node if its request was written.
 func (sim *simulation) abandon(a *attempt, result balancer.Result) {
 	if a.completed || a.abandoned {
 		return
@@ -150,20 +151,20 @@
 	sim.complete(a, result, balancer.LoadReport{})
 }
 
-// complete delivers an attempt's outcome, once.
+// complete ends an attempt and delivers its outcome. It is called once per attempt.
 func (sim *simulation) complete(a *attempt, result balancer.Result, load balancer.LoadReport) {
 	a.completed = true
 	sim.deliverOutcome(a, result, load)
 }
 
-// deliverOutcome hands an outcome to the policy, after the end of a stall of the instance.
+// deliverOutcome passes an outcome to the policy. During a stall of the instance it waits for the end of the stall.
 func (sim *simulation) deliverOutcome(a *attempt, result balancer.Result, load balancer.LoadReport) {
 	c := a.call
 	if sim.now < c.instance.stalledUntil {
 		sim.at(c.instance.stalledUntil, func() { sim.deliverOutcome(a, result, load) })
 		return
 	}
-	c.attemptsOut--
+	c.attemptsInFlight--
 	if result == balancer.OK && !c.answered {
 		c.answer(callServed, 0)
 	}
--- a/internal/simulation/simulator/call.go
+++ b/internal/simulation/simulator/call.go
@@ -7,7 +7,7 @@
 	"hazelwing/balancer"
 )
 
-// CallResult says how a call or a request ended.
+// callResult is how a call or a request ended.
 type callResult int
 
 // The results of calls.
@@ -15,31 +15,34 @@
 	callServed callResult = iota
 	callRejected
 	callFailed
-	// Unanswered: no final answer within the client's deadline.
+	// callUnanswered means that there was no final answer within the client's deadline.
 	callUnanswered
 
-	callResults = iota
+	callResultCount = iota
 )
 
-// call is one call of a client for a request, as an instance sees it.
+// call is one call that a client makes to an instance for a request. A request can take several calls.
 type call struct {
-	instance    *instance
-	id          string
-	request     *request
-	attempts    []*attempt
-	attemptsOut int
-	// read: the policy has been notified of it.
-	read     bool
+	instance         *instance
+	id               string
+	request          *request
+	attempts         []*attempt
+	attemptsInFlight int
+	// read is true once the instance has read the call and notified the policy of it.
+	read bool
+	// answered is true once the call has ended for the client, with a final answer or by a disconnect.
 	answered bool
-	// clientLeft: the client has disconnected; disconnectPending: the policy has not been notified yet.
+	// clientLeft is true once the client has disconnected, disconnectPending while the policy has yet to be notified of
+	// that.
 	clientLeft, disconnectPending bool
-	executions                    int
+	// executions counts how often nodes began to execute the call.
+	executions int
 }
 
-// beginCall hands a request to its instance, as one more call of its client.
+// beginCall makes the next call of a request to its instance.
 func (sim *simulation) beginCall(r *request) {
 	clients := &sim.config.Clients
-	if r.instance.stopped { // the client has stopped with it
+	if r.instance.stopped { // the client has stopped with its instance
 		r.calls = clients.MaxCalls
 		sim.callEnded(r, callFailed, 0)
 		return
@@ -57,13 +60,13 @@
 	sim.at(expiresAt, func() { sim.expire(c) })
 }
 
-// expire ends a call that was not answered in time.
+// expire ends a call that has no answer at its deadline.
 func (sim *simulation) expire(c *call) {
 	if c.answered {
 		return
 	}
 	r := c.request
-	// A stalled host or a full processor is not the policy's fault.
+	// A stall or a saturated processor of the instance is not a violation by the policy.
 	if sim.now >= r.instance.stalledUntil && sim.config.Host.Cores == 0 {
 		sim.metrics.violation("%s %d had no answer in its client's time", r.class.Name, r.number)
 	}
@@ -71,8 +74,8 @@
 	sim.callEnded(r, callUnanswered, 0)
 }
 
-// callEnded ends a call. The client calls again while it may; otherwise the request has ended, and the session's
-// next one follows.
+// callEnded handles the end of a call. The client calls again after a delay, if MaxCalls and the request's deadline
+// allow that. Otherwise the request has ended, and the next request of the session follows.
 func (sim *simulation) callEnded(r *request, result callResult, retryAfter time.Duration) {
 	clients := &sim.config.Clients
 	wait := max(clients.RetryDelay, retryAfter)
@@ -83,7 +86,7 @@
 	sim.openRequests--
 	sim.metrics.requestEnded(r, result)
 	if next := r.next; next != nil && sim.now+r.thinkTime < sim.config.Duration {
-		sim.openRequests++ // so that the run does not end before it
+		sim.openRequests++ // keeps the run from ending before the next request begins
 		sim.after(r.thinkTime, func() {
 			sim.openRequests--
 			sim.beginRequest(next)
@@ -91,14 +94,14 @@
 	}
 }
 
-// acceptCall takes a client's call; the policy is notified once the processor has read it.
+// acceptCall creates a client's call at an instance. The policy is notified once the processor has read the call.
 func (i *instance) acceptCall(r *request, expiresAt time.Duration) *call {
 	i.lastCallID++
 	c := &call{instance: i, id: strconv.Itoa(i.lastCallID), request: r}
 	i.calls[c.id] = c
 	timeout := expiresAt - i.sim.now
 	i.runOnProcessor(i.sim.config.Host.RequestCost, func() {
-		if c.clientLeft { // before the policy was notified
+		if c.clientLeft { // the client left before the call was read, so the policy never learns of it
 			delete(i.calls, c.id)
 			return
 		}
@@ -138,7 +141,8 @@
 	sim.callEnded(c.request, result, retryAfter)
 }
 
-// disconnectClient ends a call from the client's side. The policy is notified after the processor's backlog.
+// disconnectClient ends an unanswered call because its client disconnects. The policy is notified once the processor
+// has worked off its backlog, unless the call has not been read.
 func (i *instance) disconnectClient(c *call) {
 	if c.answered {
 		return
@@ -150,7 +154,7 @@
 	}
 }
 
-// notifyDisconnected tells the policy, after the end of a stall, that a client has disconnected.
+// notifyDisconnected notifies the policy that a client has disconnected, after the end of a stall if there is one.
 func (i *instance) notifyDisconnected(c *call) {
 	if i.sim.now < i.stalledUntil {
 		i.sim.at(i.stalledUntil, func() { i.notifyDisconnected(c) })
@@ -164,9 +168,9 @@
 	i.releaseIfDone(c)
 }
 
-// releaseIfDone forgets a call that is answered and has no attempt out.
+// releaseIfDone deletes a call that is answered, has no attempt in flight and no pending disconnect.
 func (i *instance) releaseIfDone(c *call) {
-	if c.answered && !c.disconnectPending && c.attemptsOut == 0 && i.calls[c.id] == c {
+	if c.answered && !c.disconnectPending && c.attemptsInFlight == 0 && i.calls[c.id] == c {
 		delete(i.calls, c.id)
 	}
 }
--- a/internal/simulation/simulator/config.go
+++ b/internal/simulation/simulator/config.go
@@ -10,26 +10,26 @@
 
 // Config describes a cluster, its traffic and its faults.
 type Config struct {
-	// Duration is how long requests arrive; a run goes on until all of them have ended.
+	// Duration is how long requests arrive. The run continues until all requests have ended.
 	Duration time.Duration
 	Classes  []Class
 	Nodes    []Node
 	Network  Network
-	// EndpointUpdates is how the endpoint list reaches the instances.
+	// EndpointUpdates describes how changes of the endpoint list reach the instances.
 	EndpointUpdates EndpointUpdates
 	Clients         Clients
-	// Discovery is the service that instances call for the endpoint list, if it is not pushed to them.
+	// Discovery is the service that instances call for the endpoint list, if the list is not pushed to them.
 	Discovery Discovery
 	Host      Host
 	Rules     Rules
 	Faults    []Fault
 
-	// Settings are the balancer settings of each instance that do not follow from the above: attempts, hedging, probes,
-	// prices.
+	// Settings are the balancer settings of each instance that do not follow from the other fields: attempts, hedging,
+	// probes, prices.
 	Settings balancer.Settings
 }
 
-// class returns the class of a name, or nil.
+// class returns the class with the given name, or nil.
 func (c *Config) class(name string) *Class {
 	for i := range c.Classes {
 		if c.Classes[i].Name == name {
@@ -42,11 +42,11 @@
 // Class is a class of requests.
 type Class struct {
 	balancer.Class
-	// Share of the requests that are of this class, relative to the other classes' shares.
+	// Share is the share of the requests that are of this class, relative to the shares of the other classes.
 	Share float64
 	Work  Work
-	// ExpectedWorkSpread makes a request's expected work its real work times a factor between 1/ExpectedWorkSpread and
-	// ExpectedWorkSpread; 0: requests state no expected work.
+	// ExpectedWorkSpread limits the error of the expected work that requests state: it is the real work times a random
+	// factor between 1/ExpectedWorkSpread and ExpectedWorkSpread. Below 1, requests state no expected work.
 	ExpectedWorkSpread float64
 }
 
@@ -62,7 +62,7 @@
 type Work struct {
 	Distribution string
 	Mean         time.Duration
-	// Shape is sigma of LogNormal, or alpha of Pareto, which is above 1.
+	// Shape is the parameter sigma of LogNormal, or alpha of Pareto, which has to be above 1.
 	Shape float64
 }
 
@@ -86,94 +86,102 @@
 	Cell             int
 	Cores            int
 	Speed            float64
-	// QueueLimit is how many requests may wait while all cores are busy; further ones are rejected.
+	// QueueLimit is the number of requests that may wait while all cores are busy. Further requests are rejected.
 	QueueLimit int
 }
 
-// Network is what messages pass through.
+// Network describes the delays and losses of messages, and the connections.
 type Network struct {
-	// SameZoneLatency and CrossZoneLatency are the shortest times of one way.
+	// SameZoneLatency and CrossZoneLatency are the one-way latencies without jitter.
 	SameZoneLatency, CrossZoneLatency time.Duration
-	// Jitter is the mean of what is added to the latency.
+	// Jitter is the mean of the exponentially distributed delay that is added to the latency.
 	Jitter time.Duration
-	// LossRate is the share of the messages that are lost, and arrive RetransmitDelay later.
+	// LossRate is the share of the messages that are lost and retransmitted, and so arrive RetransmitDelay later.
 	LossRate        float64
 	RetransmitDelay time.Duration
 	ConnectTimeout  time.Duration
-	// IdleTimeout is after how long an idle connection is closed.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
-	// Multiplexed gives an instance one connection to a node, as with HTTP/2: a reset ends all attempts on it.
+	// Multiplexed gives an instance one connection to each node, as with HTTP/2. A reset of the connection ends all
+	// attempts on it.
 	Multiplexed bool
 }
 
-// Host is the processor of each instance. Events wait in order while it is busy, and the instance does not see what a
-// request waits before it is read, as with sockets.
+// Host is the processor of each instance. Events wait in order while the processor is busy. As with sockets, the
+// instance does not see how long a request waits before it is read.
 type Host struct {
-	// Cores of the processor; 0: processor time is not simulated.
+	// Cores is the number of cores of the processor. If it is 0, processor time is not simulated.
 	Cores float64
-	// QuotaPeriod above 0 gives the instance a whole core until it has used Cores of a period, and nothing until
-	// the next period begins; at 0 it has a slower core.
+	// QuotaPeriod is the period of a CPU quota, as with a Linux cgroup: in each period the instance runs on a whole
+	// core until it has used the share Cores of the period, and is then throttled until the next period begins. If it
+	// is 0, the instance runs on a core of speed Cores instead.
 	QuotaPeriod time.Duration
-	// RequestCost is a whole core's time to read a request and to answer it.
+	// RequestCost is the time that a whole core takes to read a request and to answer it.
 	RequestCost time.Duration
-	// AttemptCost is the time to write an attempt and to read its answer.
+	// AttemptCost is the time that a whole core takes to write an attempt and to read its answer.
 	AttemptCost time.Duration
-	// ConnectCost is the time to open a connection.
+	// ConnectCost is the time that a whole core takes to open a connection.
 	ConnectCost time.Duration
 }
 
-// EndpointUpdates is how instances learn of changes to the endpoint list.
+// EndpointUpdates describes how instances learn of changes to the endpoint list.
 type EndpointUpdates struct {
-	// MinDelay and MaxDelay limit how late an update is, at each instance separately.
+	// MinDelay and MaxDelay limit the delay of an update, which is drawn for each instance separately.
 	MinDelay, MaxDelay time.Duration
-	// DetectionDelay passes in addition until a process that died or started is detected; nodes announce their own
-	// drains.
+	// DetectionDelay is the additional time until the end or the start of a process is detected. It does not apply to
+	// drains, which nodes announce themselves.
 	DetectionDelay time.Duration
 	// Reorder lets updates overtake each other.
 	Reorder bool
 }
 
-// Discovery is one service that all instances call for the endpoint list. It works through calls in order.
+// Discovery is a single service that all instances call for the endpoint list. It handles calls one after the other.
 type Discovery struct {
-	// Capacity is how many list entries a second it writes; 0: lists are pushed as EndpointUpdates says.
+	// Capacity is the number of list entries that the service writes per second. If it is 0, lists are pushed to the
+	// instances as EndpointUpdates describes.
 	Capacity float64
-	// CallCost is what a call costs besides the entries of its answer, in entries.
+	// CallCost is the cost of a call without the entries of its answer, in list entries.
 	CallCost float64
-	// Timeout is after how long a call fails; the service does the work of such a call all the same.
+	// Timeout is the time after which a call fails. The service still does the work of a call that timed out.
 	Timeout time.Duration
-	// MaxBacklog is the limit of waiting work, in Timeouts: a call whose answer would take longer is rejected; 0: 1.
+	// MaxBacklog is the limit of the waiting work, in multiples of Timeout. A call whose answer would take longer is
+	// rejected. If it is 0, the limit is one Timeout.
 	MaxBacklog float64
 }
 
 // Clients describes the clients of all instances.
 type Clients struct {
 	Instances int
-	// Rate is of requests a second, for all instances together.
+	// Rate is the number of requests per second, for all instances together.
 	Rate float64
-	// Weights are the instances' shares of Rate, relative to each other; empty: equal shares.
+	// Weights are the shares of Rate that the instances have, relative to each other. If it is empty, shares are equal.
 	Weights []float64
 	// Zones are assigned to the instances in turn.
 	Zones []string
-	// MaxCalls is how often a client calls for one request at most, the first call included.
+	// MaxCalls is the maximum number of calls for one request, the first call included.
 	MaxCalls int
-	// CallDeadlineShare is the share of the class's deadline that one call may take; 0: all that is left.
+	// CallDeadlineShare is the share of the class's deadline that one call may take. If it is 0, a call may take all
+	// the time that is left until the deadline.
 	CallDeadlineShare float64
-	// RetryDelay is what a client waits between calls.
+	// RetryDelay is the shortest time that a client waits between two calls for a request.
 	RetryDelay time.Duration
-	// AffinityKeys is how many different affinity keys requests have; 0: they have none.
+	// AffinityKeys is the number of different affinity keys. If it is 0, requests have none.
 	AffinityKeys int
-	// ImpatientShare of the requests have clients that call once and wait between half of Patience and Patience.
+	// ImpatientShare is the share of the requests whose clients call only once, and wait for a random time between half
+	// of Patience and Patience.
 	ImpatientShare float64
 	Patience       time.Duration
-	// RateCurve multiplies Rate, linearly between its points.
+	// RateCurve is the course over time of a factor of Rate, which is interpolated linearly between the points.
 	RateCurve []RatePoint
-	// SessionLength is the mean number of requests that a client sends one after the other; up to 1: single requests.
+	// SessionLength is the mean number of requests that a client sends one after the other. Up to 1, all requests are
+	// single.
 	SessionLength float64
-	// ThinkTime is the mean time between a session's requests.
+	// ThinkTime is the mean time between the end of a session's request and its next request.
 	ThinkTime time.Duration
-	// ClockSkew is by how much the instances' clocks differ from the nodes' at most.
+	// ClockSkew is the largest difference between the clock of an instance and the clocks of the nodes.
 	ClockSkew time.Duration
-	// Recorded requests are replayed in place of Rate, RateCurve and the classes' shares and work.
+	// Recorded requests are replayed in place of random ones. If there are any, Rate, RateCurve and the classes' shares
+	// and work have no effect.
 	Recorded []RecordedRequest
 }
 
@@ -191,7 +199,9 @@
 	AffinityKey        int
 }
 
-// Rules are the limits that policies have to keep; see the balancer.Settings of the same names.
+// Rules are the limits that policies have to keep. A node's process warms up for WarmUp, and its capacity rises from
+// the share InitialCapacity. Work of more than OverloadMultiple times its present capacity within OverloadDuration ends
+// the process. Requests may be sent to a node for DrainGrace after the instance was notified of its drain or removal.
 type Rules struct {
 	InitialCapacity  float64
 	WarmUp           time.Duration
--- a/internal/simulation/simulator/connections.go
+++ b/internal/simulation/simulator/connections.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// connections are those of an instance to one node.
+// connections are the connections of an instance to one node.
 type connections struct {
 	open int
-	idle []connection // the one idle for longest first
-	// shared is the only connection where attempts are multiplexed.
+	idle []connection // by idle time, the longest first
+	// shared is the only connection if attempts are multiplexed.
 	shared connection
 }
 
-// connection is one to a process of a node.
+// connection is a connection to the process of a node that has the given incarnation.
 type connection struct {
 	incarnation         int
 	openedAt, idleSince time.Duration
 }
 
-// openConnection counts a new connection.
+// openConnection counts a new connection to a node.
 func (i *instance) openConnection(n *node) {
 	i.connections[n.index].open++
 	n.connections++
@@ -28,7 +28,7 @@
 	n.connectionsOpened = n.connectionsOpened.add(i.sim.now)
 }
 
-// closeConnection closes one connection, or the shared one.
+// closeConnection closes one connection to a node. If attempts are multiplexed, it closes the shared connection.
 func (i *instance) closeConnection(n *node) {
 	c := &i.connections[n.index]
 	if i.sim.config.Network.Multiplexed {
@@ -40,7 +40,8 @@
 	n.connections--
 }
 
-// takeIdle gives an attempt the connection that was used last, or the shared one; false: there is none.
+// takeIdle gives an attempt the shared connection or the idle connection that was used last. It returns false if the
+// attempt needs a new connection.
 func (i *instance) takeIdle(n *node, a *attempt) bool {
 	c := &i.connections[n.index]
 	if i.sim.config.Network.Multiplexed && c.open > 0 && c.shared.openedAt > 0 {
@@ -54,7 +55,7 @@
 	return false
 }
 
-// putIdle keeps an attempt's connection for the next one.
+// putIdle returns an attempt's connection to the idle connections, for use by a later attempt.
 func (i *instance) putIdle(a *attempt) {
 	n := a.node
 	if i.sim.config.Network.Multiplexed {
@@ -68,7 +69,8 @@
 	}
 }
 
-// closeExpired closes connections that were idle for the timeout, and comes back while there are others.
+// closeExpired closes all connections to a node that have been idle for IdleTimeout. If others are idle, it schedules
+// itself for the time at which the next of them expires.
 func (i *instance) closeExpired(n *node) {
 	c := &i.connections[n.index]
 	timeout := i.sim.config.Network.IdleTimeout
@@ -81,7 +83,8 @@
 	}
 }
 
-// closeIdleConnections closes all idle connections to a process that has ended. Those in use end with their attempts.
+// closeIdleConnections closes all idle connections to a node whose process has ended. Connections in use are closed
+// when their attempts fail.
 func (sim *simulation) closeIdleConnections(n *node) {
 	for _, i := range sim.instances {
 		i.closeIdle(n)
--- a/internal/simulation/simulator/discovery.go
+++ b/internal/simulation/simulator/discovery.go
@@ -6,18 +6,18 @@
 	"hazelwing/balancer"
 )
 
-// rejectDelay is how soon discovery rejects a call.
+// rejectDelay is the time until the discovery service answers a call that it rejects.
 const rejectDelay = time.Millisecond
 
 // discovery is the state of the discovery service.
 type discovery struct {
-	busyUntil time.Duration // it works through calls until then
-	downUntil time.Duration // it answers no call before
+	busyUntil time.Duration // when all accepted calls are answered
+	downUntil time.Duration // when the latest outage ends
 	outages   int
 	known     []knownNode // by node
 }
 
-// knownNode is what discovery knows of a node, which is as late as an update.
+// knownNode is the state of a node as the discovery service knows it, which lags behind the node.
 type knownNode struct {
 	state     balancer.EndpointState
 	startedAt time.Duration
@@ -26,7 +26,8 @@
 // mustSubscribe reports whether instances have to subscribe to the endpoint list.
 func (sim *simulation) mustSubscribe() bool { return sim.config.Discovery.Capacity > 0 }
 
-// subscribe calls discovery for an instance. The call fails, or answers with the complete list, which updates follow.
+// subscribe calls the discovery service for an instance. The call fails, or returns the complete list and opens a watch
+// that delivers later updates. If lists are pushed, subscribe delivers the complete list at once.
 func (i *instance) subscribe() {
 	sim := i.sim
 	if !sim.mustSubscribe() {
@@ -49,7 +50,7 @@
 	})
 }
 
-// callDiscovery queues a call, and returns when it ends and whether it succeeds.
+// callDiscovery makes a call of the discovery service, and returns when it ends and whether it succeeds.
 func (sim *simulation) callDiscovery() (at time.Duration, ok bool) {
 	d, config := &sim.discovery, &sim.config.Discovery
 	cost := (config.CallCost + float64(len(sim.nodes))) / config.Capacity
@@ -73,7 +74,7 @@
 	}
 }
 
-// endpoints is the list that discovery knows, for an instance.
+// endpoints returns the endpoint list as the discovery service knows it, for an instance.
 func (d *discovery) endpoints(i *instance) (list []balancer.Endpoint) {
 	for n, known := range d.known {
 		if known.state != balancer.Removed {
@@ -83,7 +84,8 @@
 	return list
 }
 
-// publishToDiscovery tells discovery a node's state, late. Discovery sends it to the subscribed instances.
+// publishToDiscovery sends a node's state to the discovery service, where it arrives after a random delay. The service
+// forwards it to the subscribed instances.
 func (sim *simulation) publishToDiscovery(n *node, state balancer.EndpointState) {
 	startedAt := n.startedAt
 	sim.after(sim.updateDelay(), func() {
@@ -96,7 +98,7 @@
 	})
 }
 
-// sendUpdate sends one endpoint's update to a subscribed instance.
+// sendUpdate sends the update of one endpoint to a subscribed instance.
 func (sim *simulation) sendUpdate(i *instance, n *node, known knownNode) {
 	incarnation := i.incarnation
 	sim.after(sim.config.Network.SameZoneLatency, func() {
@@ -109,7 +111,8 @@
 	})
 }
 
-// failDiscovery ends all watches and calls, and rejects new calls for a while.
+// failDiscovery starts an outage of the discovery service: all watches and calls fail, and new calls are rejected until
+// its end.
 func (sim *simulation) failDiscovery(duration time.Duration) {
 	d := &sim.discovery
 	d.downUntil = sim.now + duration
--- a/internal/simulation/simulator/endpoints.go
+++ b/internal/simulation/simulator/endpoints.go
@@ -6,23 +6,26 @@
 	"hazelwing/balancer"
 )
 
-// endpointView is what an instance knows of the endpoint list, and when updates reach it.
+// endpointView is an instance's knowledge of the endpoint list, and the state of the delivery of updates to it.
 type endpointView struct {
-	// cached is the list as last received, where instances have to subscribe to it.
+	// cached is the list as last received. It is used only if instances have to subscribe to the list.
 	cached map[string]balancer.Endpoint
-	// subscribed: discovery sends it updates.
+	// subscribed is true while the discovery service sends updates to the instance.
 	subscribed bool
-	// removalNotifiedAt is, by node, since when the instance has known that it drains or has left; 0: it does not.
+	// removalNotifiedAt is, for each node, when the instance was notified that the node drains or was removed. It is 0
+	// if the node is active as far as the instance knows.
 	removalNotifiedAt []time.Duration
-	// blockedUntil: no update is delivered before.
+	// blockedUntil is the end of the latest FaultUpdatesBlocked. No update is delivered before it.
 	blockedUntil time.Duration
-	// pending updates wait for the end of a block or of a stall.
+	// pending are the updates that wait for the end of a FaultUpdatesBlocked or of a stall.
 	pending []func()
-	// lastArrivesAt is when the last update that was sent arrives.
+	// lastArrivesAt is when the last update that was pushed arrives. Unless Reorder is set, no later one arrives
+	// before.
 	lastArrivesAt time.Duration
 }
 
-// endpoint is a node as an instance sees it. Its start is a time of the node's clock, read on the instance's.
+// endpoint returns a node's entry of the endpoint list as an instance sees it. The node's start time differs by the
+// skew of the instance's clock.
 func (n *node) endpoint(i *instance, state balancer.EndpointState, startedAt time.Duration) balancer.Endpoint {
 	e := balancer.Endpoint{ID: n.Name, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: state}
 	if startedAt > 0 {
@@ -31,7 +34,7 @@
 	return e
 }
 
-// endpoints is the complete and current list, for an instance.
+// endpoints returns the complete and current endpoint list, for an instance.
 func (sim *simulation) endpoints(i *instance) (list []balancer.Endpoint) {
 	for _, n := range sim.nodes {
 		switch {
@@ -45,7 +48,8 @@
 	return list
 }
 
-// publish sends a node's state to all instances, each after a delay of its own.
+// publish sends a node's state to the discovery service if there is one, and otherwise to all instances, to each after
+// a separate delay.
 func (sim *simulation) publish(n *node, state balancer.EndpointState) {
 	if sim.mustSubscribe() {
 		sim.publishToDiscovery(n, state)
@@ -67,13 +71,14 @@
 	}
 }
 
-// updateDelay draws how late an endpoint update is.
+// updateDelay draws the delay of an endpoint update.
 func (sim *simulation) updateDelay() time.Duration {
 	u := &sim.config.EndpointUpdates
 	return u.MinDelay + time.Duration(sim.networkRand.Float64()*float64(u.MaxDelay-u.MinDelay))
 }
 
-// publishDetected publishes that a process has died or started once that is detected, unless another one runs by then.
+// publishDetected publishes the end or the start of a node's process after DetectionDelay, unless a process of the
+// node has ended in the meantime.
 func (sim *simulation) publishDetected(n *node, state balancer.EndpointState) {
 	incarnation := n.incarnation
 	sim.after(sim.config.EndpointUpdates.DetectionDelay, func() {
@@ -83,15 +88,16 @@
 	})
 }
 
-// deliverUpdate delivers an endpoint update, or keeps it until a block or a stall ends. Then it comes before all other
-// events that wait, as in the engine.
+// deliverUpdate delivers an endpoint update, or keeps it until a FaultUpdatesBlocked or a stall ends. It is then
+// delivered before all other events that wait, as the engine does.
 func (i *instance) deliverUpdate(update func()) {
 	i.endpoints.pending = append(i.endpoints.pending, update)
 	i.deliverPendingUpdates()
 }
 
-// deliverPendingUpdates delivers all updates that can be delivered now. It runs at the end of a block and of a stall,
-// before any event that arrived meanwhile: it was scheduled first.
+// deliverPendingUpdates delivers all pending updates, unless updates are blocked or the instance is stalled. It runs at
+// the end of a FaultUpdatesBlocked and of a stall, before the events that arrived meanwhile, because it was scheduled
+// before them.
 func (i *instance) deliverPendingUpdates() {
 	if i.sim.now < i.endpoints.blockedUntil || i.sim.now < i.stalledUntil {
 		return
@@ -103,12 +109,12 @@
 	}
 }
 
-// handleEndpoints hands an endpoint update to the policy and records what it has been notified of.
+// handleEndpoints passes an endpoint update to the policy, and records the list and the notified states of the nodes.
 func (i *instance) handleEndpoints(kind balancer.UpdateKind, list []balancer.Endpoint) {
 	if i.endpoints.cached == nil || kind != balancer.Delta {
 		previous := i.endpoints.cached
 		i.endpoints.cached = map[string]balancer.Endpoint{}
-		for name := range previous { // what a complete list does not name has been removed
+		for name := range previous { // a node that a complete list lacks has been removed
 			i.noteEndpointState(i.sim.nodesByName[name], balancer.Removed)
 		}
 	}
@@ -119,7 +125,7 @@
 	i.handle(balancer.EndpointUpdate{Kind: kind, Endpoints: list})
 }
 
-// noteEndpointState records since when an instance has known that a node drains or has left.
+// noteEndpointState records the time at which an instance is first notified that a node drains or was removed.
 func (i *instance) noteEndpointState(n *node, state balancer.EndpointState) {
 	notifiedAt := &i.endpoints.removalNotifiedAt[n.index]
 	if state == balancer.Active {
--- a/internal/simulation/simulator/everyfault.go
+++ b/internal/simulation/simulator/everyfault.go
@@ -9,10 +9,10 @@
 
 const ms = time.Millisecond
 
-// everyFaultNodeCount is how many nodes EveryFaultConfig has.
+// everyFaultNodeCount is the number of nodes of EveryFaultConfig.
 const everyFaultNodeCount = 12
 
-// EveryFaultConfig is a small cluster with faults of nearly every kind, for tests: a policy has to keep all rules
+// EveryFaultConfig returns a small cluster with faults of nearly every kind. Tests check that policies violate no rule
 // in it.
 func EveryFaultConfig(instances int, rate float64) Config {
 	return Config{
@@ -72,7 +72,7 @@
 	return nodes
 }
 
-// everyFaultClasses are an idempotent class, one that is not, and a keyed one.
+// everyFaultClasses returns an idempotent, a non-idempotent and a keyed class.
 func everyFaultClasses() []Class {
 	return []Class{
 		{
@@ -116,7 +116,7 @@
 	}
 }
 
-// everyFault has a fault of nearly every kind.
+// everyFault returns faults of nearly every kind.
 func everyFault() []Fault {
 	return []Fault{
 		{At: 2 * time.Second, Kind: FaultSlow, Share: 0.2, Factor: 6, Duration: 4 * time.Second},
--- a/internal/simulation/simulator/fault.go
+++ b/internal/simulation/simulator/fault.go
@@ -2,70 +2,74 @@
 
 import "time"
 
-// Fault is something that goes wrong, or changes, during a run.
+// Fault is a failure or a change of the cluster during a run.
 type Fault struct {
 	At   time.Duration
 	Kind FaultKind
-	// Node is a node's name; empty: Share of the nodes, drawn at random.
+	// Node is the name of the affected node. If it is empty, Zone and Share select the nodes.
 	Node string
-	// Zone is the partitioned one; for faults of nodes: all nodes of the zone, or Share of them.
+	// Zone is the partitioned zone. For a fault of nodes, it limits the fault to the nodes of that zone.
 	Zone string
-	// Share of the nodes, requests or instances.
+	// Share is the share of the nodes, requests or instances that are affected, drawn at random. For nodes of a Zone, 0
+	// selects all of them.
 	Share float64
-	// Factor is how many times slower or costlier, or the share of the answers that are reset.
-	Factor   float64
+	// Factor is the factor by which nodes slow down or requests become costlier, or the share of the answers that are
+	// reset.
+	Factor float64
+	// Duration is how long the fault lasts.
 	Duration time.Duration
-	// Interval repeats a pause or a flap within Duration.
+	// Interval is the period at which a pause or a flap repeats within Duration.
 	Interval time.Duration
 }
 
-// FaultKind names what happens, as experiment files do.
+// FaultKind is the kind of a fault, under its name in experiment files.
 type FaultKind string
 
 // The kinds of faults.
 const (
 	// FaultSlow makes nodes Factor times slower.
 	FaultSlow FaultKind = "slow"
-	// FaultPause stops nodes; with an Interval for half of each.
+	// FaultPause pauses nodes for Duration, or for the first half of each Interval within Duration.
 	FaultPause FaultKind = "pause"
 	// FaultCrash ends processes and resets their connections.
 	FaultCrash FaultKind = "crash"
-	// FaultVanish ends nodes without resetting connections.
+	// FaultVanish ends nodes without resetting their connections.
 	FaultVanish FaultKind = "vanish"
-	// FaultRestart starts a new process, which has to warm up.
+	// FaultRestart starts a new process on each node, which has to warm up.
 	FaultRestart FaultKind = "restart"
-	// FaultDrain announces a graceful shutdown; the node leaves when it has nothing in flight.
+	// FaultDrain shuts nodes down gracefully: a node announces that it drains, and ends once it has no request in
+	// flight.
 	FaultDrain FaultKind = "drain"
-	// FaultReplace drains nodes and starts a successor that has to warm up.
+	// FaultReplace drains nodes and starts a successor of each, which has to warm up.
 	FaultReplace FaultKind = "replace"
-	// FaultReset resets the connections of a share Factor of the answers.
+	// FaultReset resets the connection in place of the answer, for a share of Factor of the answers.
 	FaultReset FaultKind = "reset"
-	// FaultFlap removes nodes from the endpoint list and adds them again, in turn.
+	// FaultFlap repeatedly removes nodes from the endpoint list and adds them again.
 	FaultFlap FaultKind = "flap"
-	// FaultCut partitions Zone from all others.
+	// FaultCut partitions Zone from all other zones.
 	FaultCut FaultKind = "cut"
-	// FaultOneWayCut drops what leaves Zone for another zone.
+	// FaultOneWayCut drops all messages from Zone to other zones.
 	FaultOneWayCut FaultKind = "oneway"
-	// FaultUpdatesBlocked delivers no endpoint updates.
+	// FaultUpdatesBlocked holds back all endpoint updates until it ends.
 	FaultUpdatesBlocked FaultKind = "silent"
-	// FaultEmptyList sends an empty endpoint list.
+	// FaultEmptyList sends an empty endpoint list to all instances, and the complete list at its end.
 	FaultEmptyList FaultKind = "empty"
-	// FaultHalfOpen makes open connections silent; new ones work.
+	// FaultHalfOpen makes all open connections to nodes half open; new connections work.
 	FaultHalfOpen FaultKind = "halfopen"
 	// FaultStall stalls Share of the instances.
 	FaultStall FaultKind = "stall"
-	// FaultKill ends Share of the instances with their clients; they start again after Duration.
+	// FaultKill stops Share of the instances together with their clients, and restarts them after Duration.
 	FaultKill FaultKind = "kill"
-	// FaultDiscoveryDown stops discovery; watches and calls end.
+	// FaultDiscoveryDown stops the discovery service; its watches and calls fail.
 	FaultDiscoveryDown FaultKind = "down"
-	// FaultCost makes Share of the requests cost Factor times as much.
+	// FaultCost multiplies the work of Share of the requests by Factor.
 	FaultCost FaultKind = "cost"
 )
 
-// faultNeeds is which fields of a Fault its kind needs.
+// faultNeeds tells which fields of a Fault are required: a selection of nodes, Duration, Factor.
 type faultNeeds struct{ nodes, duration, factor bool }
 
-// faultKinds are all kinds with what they need.
+// faultKinds maps each kind of fault to its required fields.
 var faultKinds = map[FaultKind]faultNeeds{
 	FaultSlow:           {nodes: true, duration: true, factor: true},
 	FaultPause:          {nodes: true, duration: true},
--- a/internal/simulation/simulator/idempotency.go
+++ b/internal/simulation/simulator/idempotency.go
@@ -7,20 +7,20 @@
 	"hazelwing/balancer"
 )
 
-// keyedExecutions remembers, for the idempotency window, which keyed requests were executed in which scope.
+// keyedExecutions records for the idempotency window which keyed requests were executed in which scope.
 type keyedExecutions struct {
 	startedAt map[string]time.Duration // by class, scope and request
 	expiries  []keyExpiry              // oldest first
 }
 
-// keyExpiry is a key that is forgotten one window after its execution.
+// keyExpiry is a key whose record is deleted one idempotency window after the execution.
 type keyExpiry struct {
 	key        string
 	executedAt time.Duration
 }
 
-// recordExecution records that a node begins to execute an attempt; false: it repeats a key that the idempotency scope
-// remembers, and is not executed.
+// recordExecution records that a node begins to execute an attempt. It returns false if the idempotency scope has a
+// record of the attempt's key, so that the attempt must not be executed.
 func (sim *simulation) recordExecution(a *attempt) bool {
 	class := a.call.request.class
 	if class.Effect == balancer.Keyed {
@@ -35,7 +35,7 @@
 	return true
 }
 
-// scopeOf names the nodes that share idempotency records with a node.
+// scopeOf returns a name of the group of nodes that share idempotency records with a node.
 func scopeOf(n *node, scope balancer.IdempotencyScope) string {
 	switch scope {
 	case balancer.ScopeZone:
@@ -47,7 +47,7 @@
 	}
 }
 
-// expire forgets executions that are older than a window.
+// expire deletes the records of executions that are at least a window old.
 func (k *keyedExecutions) expire(now, window time.Duration) {
 	for len(k.expiries) > 0 && now-k.expiries[0].executedAt >= window {
 		if first := k.expiries[0]; k.startedAt[first.key] == first.executedAt {
@@ -57,7 +57,7 @@
 	}
 }
 
-// add records an execution; false: the key was executed before.
+// add records an execution. It returns false if there is a record of the key.
 func (k *keyedExecutions) add(key string, now time.Duration) bool {
 	if _, ok := k.startedAt[key]; ok {
 		return false
--- a/internal/simulation/simulator/inject.go
+++ b/internal/simulation/simulator/inject.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// drainPollInterval is how often a draining node checks whether it has anything in flight.
+	// drainPollInterval is the interval at which a draining node checks whether it has requests in flight.
 	drainPollInterval = 50 * time.Millisecond
 	// minFlapInterval is the shortest time between two changes of a flapping node.
 	minFlapInterval = 100 * time.Millisecond
@@ -29,7 +29,7 @@
 	return sampleShare(sim, candidates, f.Share)
 }
 
-// sampleShare draws a share of a list, at least one element.
+// sampleShare draws a share of a list at random, but at least one element.
 func sampleShare[T any](sim *simulation, all []T, share float64) (sample []T) {
 	n := max(1, int(share*float64(len(all))+0.5))
 	for _, x := range sim.faultRand.Perm(len(all))[:min(n, len(all))] {
@@ -38,7 +38,7 @@
 	return sample
 }
 
-// inject makes a fault happen now.
+// inject applies a fault now.
 func (sim *simulation) inject(f Fault) {
 	switch f.Kind {
 	case FaultCut, FaultOneWayCut:
@@ -77,12 +77,12 @@
 	}
 }
 
-// inject makes a fault happen to one node.
+// inject applies a fault to one node.
 func (n *node) inject(f Fault) {
 	switch f.Kind {
 	case FaultSlow:
 		n.updateSpeed(func() { n.slowdown = f.Factor })
-		n.afterInProcess(f.Duration, func() { n.updateSpeed(func() { n.slowdown = 1 }) })
+		n.afterUnlessTerminated(f.Duration, func() { n.updateSpeed(func() { n.slowdown = 1 }) })
 	case FaultPause:
 		n.pauseRepeatedly(f)
 	case FaultCrash, FaultVanish:
@@ -97,14 +97,14 @@
 		n.drain(f.Kind == FaultReplace)
 	case FaultReset:
 		n.resetShare = f.Factor
-		n.afterInProcess(f.Duration, func() { n.resetShare = 0 })
+		n.afterUnlessTerminated(f.Duration, func() { n.resetShare = 0 })
 	case FaultFlap:
 		n.flap(f)
 	}
 }
 
-// afterInProcess does something after a delay, unless the node's present process has ended by then.
-func (n *node) afterInProcess(delay time.Duration, do func()) {
+// afterUnlessTerminated calls do after a delay, unless the node's present process has ended by then.
+func (n *node) afterUnlessTerminated(delay time.Duration, do func()) {
 	incarnation := n.incarnation
 	n.sim.after(delay, func() {
 		if n.incarnation == incarnation {
@@ -120,17 +120,17 @@
 		return
 	}
 	for at := time.Duration(0); at < f.Duration; at += f.Interval {
-		n.afterInProcess(at, func() { n.pause(f.Interval / 2) })
+		n.afterUnlessTerminated(at, func() { n.pause(f.Interval / 2) })
 	}
 }
 
 func (n *node) pause(duration time.Duration) {
 	n.updateSpeed(func() { n.paused = true })
-	n.afterInProcess(duration, func() { n.updateSpeed(func() { n.paused = false }) })
+	n.afterUnlessTerminated(duration, func() { n.updateSpeed(func() { n.paused = false }) })
 }
 
-// drain shuts a node down gracefully: once the endpoint update has arrived everywhere and the grace has passed, it ends
-// as soon as nothing is in flight. A successor may take its place.
+// drain shuts a node down gracefully. Once the endpoint update has had time to arrive everywhere and the drain grace
+// has passed, the process ends as soon as nothing is in flight. With replace, a successor starts after it.
 func (n *node) drain(replace bool) {
 	if n.draining || n.dead || n.vanished {
 		return
@@ -141,7 +141,7 @@
 	var leave func()
 	leave = func() {
 		if n.inFlight() > 0 {
-			n.afterInProcess(drainPollInterval, leave)
+			n.afterUnlessTerminated(drainPollInterval, leave)
 			return
 		}
 		n.terminate(false)
@@ -153,16 +153,16 @@
 			})
 		}
 	}
-	n.afterInProcess(sim.config.EndpointUpdates.MaxDelay+sim.config.Rules.DrainGrace, leave)
+	n.afterUnlessTerminated(sim.config.EndpointUpdates.MaxDelay+sim.config.Rules.DrainGrace, leave)
 }
 
-// flap removes a node from the endpoint list and adds it again, in turn.
+// flap alternately removes a node from the endpoint list and adds it again.
 func (n *node) flap(f Fault) {
 	interval := max(f.Interval, minFlapInterval)
 	state := balancer.Active
 	for at := time.Duration(0); at < f.Duration; at += interval {
 		n.sim.after(at, func() {
-			state = balancer.Removed - state // the other one of the two
+			state = balancer.Removed - state // toggles between Active and Removed
 			n.sim.publish(n, state)
 		})
 	}
--- a/internal/simulation/simulator/instance.go
+++ b/internal/simulation/simulator/instance.go
@@ -7,29 +7,29 @@
 	"hazelwing/balancer"
 )
 
-// streamClockSkew is the stream of an instance's seed that its clock's skew is drawn from.
+// streamClockSkew is the random stream, under an instance's seed, of the instance's clock skew.
 const streamClockSkew = 5
 
-// instance is one balancer with its clients: it carries out the actions of its policy.
+// instance is one load balancer with its clients. It carries out the actions of its policy.
 type instance struct {
 	sim      *simulation
 	index    int
 	zone     int
 	policy   Policy
 	settings balancer.Settings
-	// weight is its share of the traffic, relative to the other instances'.
+	// weight is the instance's share of the traffic, relative to the other instances.
 	weight float64
-	// incarnation counts its processes.
+	// incarnation increases when a process of the instance stops, so that it tells processes apart.
 	incarnation int
-	// stopped: it was killed, and has not started again.
+	// stopped is true from when the instance is killed until it starts again.
 	stopped bool
-	// stalledUntil: it handles nothing before.
+	// stalledUntil is the end of the latest stall. The instance handles no event before it.
 	stalledUntil time.Duration
 	clockSkew    time.Duration
 
 	calls        map[string]*call
 	lastCallID   int
-	timerAt      time.Duration // when the policy's timer fires; 0: it has none
+	timerAt      time.Duration // when the policy's timer fires; 0 if it has none
 	actionBuffer []balancer.Action
 	connections  []connections // by node
 	endpoints    endpointView
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// instanceSettings are the settings of the instances in a zone.
+// instanceSettings returns the balancer settings of the instances in a zone.
 func (sim *simulation) instanceSettings(zone string) balancer.Settings {
 	settings, rules := sim.config.Settings, &sim.config.Rules
 	settings.Zone, settings.Balancers = zone, sim.config.Clients.Instances
@@ -89,7 +89,7 @@
 	return settings
 }
 
-// newProcess gives an instance a policy that has handled no event.
+// newProcess replaces an instance's policy by a new one that has handled no event.
 func (i *instance) newProcess(seed uint64) (err error) {
 	if i.policy, err = i.sim.newPolicy(i.settings, i.index, seed); err != nil {
 		return err
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// handle hands an event to the policy, after the end of a stall, and carries out its actions.
+// handle passes an event to the policy and carries out the policy's actions. During a stall it waits for the end of the
+// stall. A stopped instance drops the event.
 func (i *instance) handle(event balancer.Event) {
 	sim := i.sim
 	if i.stopped {
@@ -111,7 +112,7 @@
 		return
 	}
 	actions := i.policy.Handle(sim.now+clockOffset, event, i.actionBuffer[:0])
-	i.actionBuffer = nil // an action may lead to another call of handle
+	i.actionBuffer = nil // handle may be called again by an action, and must not overwrite the actions left to perform
 	for n := range actions {
 		i.perform(&actions[n])
 	}
@@ -158,11 +159,11 @@
 	}
 	attempt := &attempt{call: c, index: len(c.attempts), node: n}
 	c.attempts = append(c.attempts, attempt)
-	c.attemptsOut++
+	c.attemptsInFlight++
 	sim.startAttempt(attempt, a.Timeout)
 }
 
-// cancel abandons an attempt. Its outcome is an event of its own.
+// cancel abandons an attempt. The outcome is delivered by a separate event, not during the policy's Handle.
 func (i *instance) cancel(a *balancer.Action) {
 	if c := i.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) {
 		attempt := c.attempts[a.Attempt]
@@ -170,7 +171,7 @@
 	}
 }
 
-// setTimer wakes the policy at a time, or earlier if its timer fires before.
+// setTimer sets the policy's timer to a time, unless it is set to an earlier one.
 func (i *instance) setTimer(at time.Duration) {
 	if i.timerAt > 0 && at >= i.timerAt {
 		return
--- a/internal/simulation/simulator/job.go
+++ b/internal/simulation/simulator/job.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// job is an attempt at a node.
+// job is the work of a node on an attempt.
 type job struct {
 	attempt *attempt
 	node    *node
-	// remainingWork is of resumedAt, in seconds at speed 1.
+	// remainingWork is the work that was left at resumedAt, in seconds at speed 1.
 	remainingWork float64
 	resumedAt     time.Duration
 	speed         float64
-	// version counts schedules of the job's end; only the last one is valid.
+	// version counts how often the job's end was scheduled. Only the last schedule is valid.
 	version int
 	state   jobState
 }
@@ -23,7 +23,7 @@
 	jobDone
 )
 
-// remaining is the work that a running job still needs, in seconds at speed 1.
+// remaining returns the work that a running job still needs, in seconds at speed 1.
 func (j *job) remaining() float64 {
 	return max(0, j.remainingWork-(j.node.sim.now-j.resumedAt).Seconds()*j.speed)
 }
--- a/internal/simulation/simulator/metrics.go
+++ b/internal/simulation/simulator/metrics.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxViolations are kept with their texts; further ones are counted.
+	// maxViolations is the number of violations that are kept with their texts. Further ones are only counted.
 	maxViolations    = 20
 	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
-	// Significant digits of latencies, of a whole run and of one second.
+	// latencyDigits and secondLatencyDigits are the significant digits of the latencies of a run and of one second.
 	latencyDigits       = 3
 	secondLatencyDigits = 2
-	// maxSeconds is up to which length a run is measured by the second.
-	maxSeconds = 600
-	// minWeight keeps the service of a run without requests from being a division by zero.
+	// maxMeasuredSeconds is the longest duration, in seconds, of a run that is measured for each second.
+	maxMeasuredSeconds = 600
+	// minWeight prevents a division by zero in the service of a run without requests.
 	minWeight = 1e-12
 )
 
-// metrics counts what happens in a run.
+// metrics holds the measurements of a run.
 type metrics struct {
 	sim             *simulation
 	events          uint64
 	maxQueuedEvents int
 
 	requests                      int
-	results                       [callResults]int
+	results                       [callResultCount]int
 	requestedWeight, earnedWeight []float64 // by class
 	latencies                     *hdrhistogram.Histogram
 	seconds                       []*second
@@ -46,27 +46,27 @@
 	maxColdLoad         float64
 
 	discoveryCalls         int
-	discoveryCallRate      perSecond
+	discoveryCallRate      rateCounter
 	rejectedDiscoveryCalls int
 
 	violations     []string
 	violationCount int
 }
 
-// second counts what happens to the requests that arrive in one second.
+// second holds the measurements of the requests that arrive in one second.
 type second struct {
 	requestedWeight, earnedWeight float64
 	latencies                     *hdrhistogram.Histogram
 	Second
 }
 
-// perSecond counts events in the present second, and keeps the highest count of all seconds.
-type perSecond struct {
+// rateCounter counts events of the present second, and keeps the highest count of any second.
+type rateCounter struct {
 	second     time.Duration
 	count, max int
 }
 
-func (p perSecond) add(now time.Duration) perSecond {
+func (p rateCounter) add(now time.Duration) rateCounter {
 	if s := now / time.Second; s != p.second {
 		p.second, p.count = s, 0
 	}
@@ -84,7 +84,7 @@
 		latencies:        hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
 		executionsByNode: make([]int, len(sim.config.Nodes)),
 	}
-	if s := int(math.Ceil(sim.config.Duration.Seconds())); s <= maxSeconds {
+	if s := int(math.Ceil(sim.config.Duration.Seconds())); s <= maxMeasuredSeconds {
 		for range s {
 			latencies := hdrhistogram.New(1, maxLatencyMicros, secondLatencyDigits)
 			m.seconds = append(m.seconds, &second{latencies: latencies})
@@ -100,7 +100,8 @@
 	return m
 }
 
-// secondOf is the second of a time, or nil if the run is not measured by the second or the time is past its end.
+// secondOf returns the measurements of the second of a time. It returns nil if the run is not measured for each second
+// or the time is past its end.
 func (m *metrics) secondOf(at time.Duration) *second {
 	if i := int(at / time.Second); i < len(m.seconds) {
 		return m.seconds[i]
@@ -117,10 +118,11 @@
 	return 0
 }
 
-// weight is a request's priority weight, by its work.
+// weight returns a request's priority weight: the weight of its class times its work in seconds.
 func weight(r *request) float64 { return cmp.Or(r.class.Weight, 1) * r.work.Seconds() }
 
-// earned is the weight that an answer after a latency earns.
+// earned returns the weight that a request earns if it is answered after a latency: its whole weight within the latency
+// objective, the share LateWeight of it within the deadline, and 0 later.
 func earned(r *request, latency time.Duration) float64 {
 	switch {
 	case latency <= cmp.Or(r.class.LatencyObjective, r.class.Deadline):
@@ -132,7 +134,7 @@
 	}
 }
 
-// violation records that a rule was violated.
+// violation records a violation of a rule.
 func (m *metrics) violation(format string, args ...any) {
 	if m.violationCount++; m.violationCount <= maxViolations {
 		at := fmt.Sprintf("%v: ", m.sim.now.Round(time.Millisecond))
@@ -184,7 +186,7 @@
 // record adds a latency of at most maxLatencyMicros to a histogram.
 func record(h *hdrhistogram.Histogram, micros int64) {
 	if err := h.RecordValue(micros); err != nil {
-		panic(err) // the value is within the histogram's range
+		panic(err) // cannot happen: the value is within the histogram's range
 	}
 }
 
@@ -210,7 +212,7 @@
 	}
 }
 
-// result summarises the run.
+// result returns the summary of the run.
 func (m *metrics) result(seed uint64) *Result {
 	requests := float64(max(m.requests, 1))
 	r := &Result{
@@ -250,7 +252,7 @@
 	return r
 }
 
-// quantile is a histogram's latency at a quantile, in milliseconds.
+// quantile returns a histogram's latency at a quantile given in per cent, in milliseconds.
 func quantile(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/simulation/simulator/network.go
+++ b/internal/simulation/simulator/network.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// partition cuts a zone off from all others for a while.
+// partition separates a zone from all other zones until a time.
 type partition struct {
 	zone int
-	// oneWay drops only what leaves the zone.
+	// oneWay limits the partition to messages that leave the zone.
 	oneWay bool
 	until  time.Duration
 }
 
-// zoneIndex numbers zones in order of their first use.
+// zoneIndex returns the number of a zone. Zones are numbered in the order of their first use.
 func (sim *simulation) zoneIndex(name string) int {
 	z, ok := sim.zones[name]
 	if !ok {
@@ -23,14 +23,14 @@
 	return z
 }
 
-// partitioned reports whether nothing from one zone arrives in another.
+// partitioned reports whether a partition drops the messages from one zone to another.
 func (sim *simulation) partitioned(from, to int) bool {
 	return from != to && slices.ContainsFunc(sim.partitions, func(p partition) bool {
 		return sim.now < p.until && (p.zone == from || p.zone == to && !p.oneWay)
 	})
 }
 
-// minLatency is the shortest time of a message between zones.
+// minLatency returns the one-way latency between two zones, without jitter.
 func (sim *simulation) minLatency(from, to int) time.Duration {
 	if from != to {
 		return sim.config.Network.CrossZoneLatency
@@ -38,7 +38,7 @@
 	return sim.config.Network.SameZoneLatency
 }
 
-// messageDelay draws how long a message takes between zones; false: it does not arrive.
+// messageDelay draws the delay of a message between two zones. It returns false if the message does not arrive.
 func (sim *simulation) messageDelay(from, to int) (time.Duration, bool) {
 	if sim.partitioned(from, to) {
 		return 0, false
--- a/internal/simulation/simulator/node.go
+++ b/internal/simulation/simulator/node.go
@@ -12,35 +12,36 @@
 	Node
 	sim   *simulation
 	index int
-	// incarnation counts the machine's processes.
+	// incarnation increases when a process of the machine ends, so that it tells processes apart.
 	incarnation int
 	startedAt   time.Duration
-	dead        bool // refuses connections
-	vanished    bool // answers nothing
+	dead        bool // the process has ended, and the machine refuses connections
+	vanished    bool // the machine is unreachable and answers nothing
 	draining    bool
 	warmingUp   bool
 	slowdown    float64
 	paused      bool
-	// resetShare of the answers are lost with their connection.
+	// resetShare is the share of the answers in place of which the connection is reset.
 	resetShare float64
 	running    []*job
-	waiting    []*job // cancelled ones among them
-	queued     int    // those that are not cancelled
-	// recentArrivals and their work are counted while the process warms up.
+	waiting    []*job // jobs that wait for a core, including cancelled ones
+	queued     int    // the number of waiting jobs that are not cancelled
+	// recentArrivals are the requests of the last Rules.OverloadDuration, and recentWork is their work. Both are
+	// maintained only while the process warms up.
 	recentArrivals []arrival
 	recentWork     time.Duration
-	// halfOpenSince: connections that were opened before are half open.
+	// halfOpenSince is the time of the last FaultHalfOpen. Connections that were opened before it are half open.
 	halfOpenSince time.Duration
 
 	connections, maxConnections int
-	connectionsOpened           perSecond
+	connectionsOpened           rateCounter
 	probes                      int
 }
 
-// isHalfOpen reports whether nothing passes on a connection, without either side knowing.
+// isHalfOpen reports whether a connection is half open: it loses all messages, and neither side knows.
 func (n *node) isHalfOpen(c connection) bool { return c.openedAt < n.halfOpenSince }
 
-// speed is the present speed of a core.
+// speed returns the present speed of a core.
 func (n *node) speed() float64 {
 	if n.paused {
 		return 0
@@ -48,7 +49,7 @@
 	return n.unpausedSpeed()
 }
 
-// unpausedSpeed is the speed without pauses.
+// unpausedSpeed returns the speed that a core has while the node is not paused.
 func (n *node) unpausedSpeed() float64 { return n.Speed * n.warmUpShare() / max(n.slowdown, 1) }
 
 // rejects reports whether the node rejects new requests.
@@ -56,17 +57,17 @@
 	return n.draining || n.queued >= n.QueueLimit && len(n.running) >= n.Cores
 }
 
-// inFlight is how many requests run or wait at the node.
+// inFlight returns the number of requests that run or wait at the node.
 func (n *node) inFlight() int { return len(n.running) + n.queued }
 
-// accept runs or queues an attempt whose request has arrived; false: the node rejects it.
+// accept runs or queues an attempt whose request has arrived. It returns false if the node rejects the request.
 func (n *node) accept(a *attempt) bool {
 	if n.rejects() {
 		return false
 	}
 	n.checkColdLoad(a)
 	if n.dead {
-		return true // the request overloaded it
+		return true // the request has overloaded the process and ended it, so that nothing answers
 	}
 	j := &job{attempt: a, node: n, remainingWork: a.call.request.work.Seconds()}
 	a.job = j
@@ -79,7 +80,7 @@
 	return true
 }
 
-// startJob begins to execute a job, or replays the recorded answer of its idempotency key.
+// startJob begins to execute a job. If its idempotency key is recorded, it replays the recorded answer instead.
 func (n *node) startJob(j *job) {
 	if !n.sim.recordExecution(j.attempt) {
 		j.state = jobDone
@@ -92,7 +93,7 @@
 	n.scheduleCompletion(j)
 }
 
-// scheduleCompletion schedules the end of a running job at the present speed.
+// scheduleCompletion schedules the end of a running job at the node's present speed. It replaces an earlier schedule.
 func (n *node) scheduleCompletion(j *job) {
 	j.resumedAt, j.speed = n.sim.now, n.speed()
 	j.version++
@@ -107,7 +108,7 @@
 	})
 }
 
-// updateSpeed makes a change that the speed depends on, and schedules the running jobs anew.
+// updateSpeed calls change, which may change the node's speed, and reschedules the running jobs.
 func (n *node) updateSpeed(change func()) {
 	for _, j := range n.running {
 		j.remainingWork = j.remaining()
@@ -118,7 +119,7 @@
 	}
 }
 
-// finish answers a job that has been executed.
+// finish answers a job that has been executed, or resets its connection with probability resetShare.
 func (n *node) finish(j *job) {
 	n.removeRunning(j)
 	if n.resetShare > 0 && n.sim.faultRand.Float64() < n.resetShare {
@@ -132,7 +133,7 @@
 	n.startWaiting()
 }
 
-// resetConnection ends all jobs of an instance, whose only connection to the node was reset.
+// resetConnection ends all jobs of an instance whose multiplexed connection to the node was reset.
 func (n *node) resetConnection(i *instance) {
 	for _, j := range append(slices.Clone(n.running), n.waiting...) {
 		if j.state != jobDone && j.attempt.call.instance == i {
@@ -147,8 +148,8 @@
 	n.running = slices.DeleteFunc(n.running, func(x *job) bool { return x == j })
 }
 
-// startWaiting starts the next job that waits, if a core is free. startJob goes on with the one after where it does not
-// execute it.
+// startWaiting starts the next waiting job that is not cancelled, if a core is free. If startJob replays an answer and
+// so uses no core, it calls startWaiting again for the next job.
 func (n *node) startWaiting() {
 	for len(n.running) < n.Cores && len(n.waiting) > 0 {
 		j := n.waiting[0]
@@ -162,7 +163,7 @@
 	}
 }
 
-// cancel ends a job whose attempt was cancelled.
+// cancel ends a job whose attempt was cancelled. It has no effect on a job that is done.
 func (n *node) cancel(j *job) {
 	switch j.state {
 	case jobQueued:
@@ -174,8 +175,8 @@
 	}
 }
 
-// terminate ends the process. Its attempts are reset, or get no answer if the machine vanishes: then no instance is
-// notified and open connections stay open.
+// terminate ends the process. If the machine vanishes, its attempts get no answer, no instance is notified, and
+// connections stay open. Otherwise its attempts are reset and its idle connections closed.
 func (n *node) terminate(vanish bool) {
 	if n.dead || n.vanished {
 		return
--- a/internal/simulation/simulator/oracle.go
+++ b/internal/simulation/simulator/oracle.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// Oracle tells the true state of the cluster, which no instance can know. A policy that consults it shows the limit:
-// what it cannot serve would not have been served by any choice of nodes.
+// Oracle gives access to the true state of the cluster, which no instance can know. A policy that consults it shows an
+// upper limit for policies that choose nodes: a request that it cannot serve would not have been served at any node.
 type Oracle interface {
-	// ResponseTime is how long a request that is sent to a node now would take until its answer, if nothing
-	// changes: the way there and back, the work in flight at the node, and work of its own at speed 1. It returns
-	// false if there would be no answer.
+	// ResponseTime returns how long a request that is sent to a node now would take until its answer, if nothing
+	// changes: the round trip, the work in flight at the node, and the request's own work, which is given as a time at
+	// speed 1. It returns false if there would be no answer.
 	ResponseTime(node string, work time.Duration) (time.Duration, bool)
-	// Work is what the request of an ID really takes, at speed 1; 0: there is no such request.
+	// Work returns the real work of the request with the given ID as a time at speed 1, or 0 if there is no such
+	// request.
 	Work(requestID string) time.Duration
 }
 
-// OraclePolicy is a policy that consults an Oracle. The simulation calls SetOracle once, before any event. The
-// oracle may be consulted from Handle only.
+// OraclePolicy is a policy that consults an Oracle. The simulation calls SetOracle once, before any event. The policy
+// may consult the oracle only within Handle.
 type OraclePolicy interface {
 	Policy
 	SetOracle(Oracle)
 }
 
-// oracleColdShare is the share of a warming node's capacity that the oracle fills: other requests may be on their way.
+// oracleColdShare is the share of a warming node's capacity up to which the oracle predicts an answer. The rest is left
+// for requests that other instances have sent and that have not arrived.
 const oracleColdShare = 0.7
 
-// oracle is the Oracle of one instance.
+// oracle implements Oracle for one instance.
 type oracle struct{ instance *instance }
 
 // Work implements Oracle.
@@ -52,12 +54,12 @@
 	if n.inFlight() >= n.Cores {
 		wait = n.workLeft() / float64(n.Cores)
 	}
-	// A pause ends before anyone knows of it.
+	// Pauses are ignored: a pause ends before any instance knows of it.
 	atNode := time.Duration((wait + work.Seconds()) / n.unpausedSpeed() * float64(time.Second))
 	return 2*sim.minLatency(o.instance.zone, zone) + atNode, true
 }
 
-// workLeft is the work of all that a node has accepted, in seconds at speed 1.
+// workLeft returns the remaining work of all jobs that run or wait at a node, in seconds at speed 1.
 func (n *node) workLeft() float64 {
 	left := 0.0
 	for _, j := range n.running {
--- a/internal/simulation/simulator/probe.go
+++ b/internal/simulation/simulator/probe.go
@@ -6,10 +6,10 @@
 	"hazelwing/balancer"
 )
 
-// probeTimeout is when a probe without an answer ends.
+// probeTimeout is the time after which a probe without an answer ends.
 const probeTimeout = 400 * time.Millisecond
 
-// probe asks a node whether it is healthy and for its load.
+// probe sends a probe to a node, which answers with its load if it is reachable and not paused.
 func (i *instance) probe(n *node) {
 	sim := i.sim
 	if n == nil {
--- a/internal/simulation/simulator/processor.go
+++ b/internal/simulation/simulator/processor.go
@@ -5,15 +5,16 @@
 // processor is the state of an instance's processor.
 type processor struct {
 	busyUntil time.Duration
-	// used is the time of a whole core that was used in all.
+	// used is the total processor time that was used, as time of a whole core.
 	used time.Duration
-	// quotaPeriod is the number of the last period in which it was used, quotaLeft what is left of that period's quota.
+	// quotaPeriod is the number of the last quota period in which the processor was used, and quotaLeft the unused rest
+	// of that period's quota.
 	quotaPeriod int64
 	quotaLeft   time.Duration
 }
 
-// runOnProcessor does what costs some time of a whole core, after all that came before. What costs nothing is done at
-// once.
+// runOnProcessor queues a task that takes the time cost of a whole core, and calls do once the tasks queued before and
+// this one have run. It calls do at once if cost is 0 or processor time is not simulated.
 func (i *instance) runOnProcessor(cost time.Duration, do func()) {
 	host, p := &i.sim.config.Host, &i.processor
 	if host.Cores == 0 || cost == 0 {
@@ -29,7 +30,8 @@
 	i.sim.at(p.busyUntil, do)
 }
 
-// useQuota takes a cost out of the quota of the present period and, where that is used up, of the next ones.
+// useQuota takes a cost from the quota of the present period and, once that is used up, of the following periods. It
+// advances busyUntil to the time at which the cost is covered.
 func (p *processor) useQuota(now, cost time.Duration, host *Host) {
 	at := max(now, p.busyUntil)
 	for {
@@ -47,7 +49,8 @@
 	}
 }
 
-// runAfterBacklog does what costs next to nothing after all that came before.
+// runAfterBacklog calls do once the tasks that were queued on the processor before have run. The cost of do itself is
+// negligible.
 func (i *instance) runAfterBacklog(do func()) {
 	if i.processor.busyUntil <= i.sim.now {
 		do()
--- a/internal/simulation/simulator/restart.go
+++ b/internal/simulation/simulator/restart.go
@@ -9,11 +9,11 @@
 	"hazelwing/balancer"
 )
 
-// streamCachedList is the stream of an instance's seed that orders its cached list.
+// streamCachedList is the random stream, under an instance's seed, that shuffles its cached endpoint list.
 const streamCachedList = 1
 
-// stop ends an instance with its clients. After the downtime both start again, and the instance has the list that it
-// received last in its cache.
+// stop ends an instance together with its clients. Both start again after the downtime. The instance then begins with
+// the endpoint list that it received last, from its cache.
 func (i *instance) stop(downtime time.Duration) {
 	if i.stopped {
 		return
@@ -27,7 +27,7 @@
 	i.sim.after(downtime, func() { i.restart(i.sim.faultRand.Uint64()) })
 }
 
-// endCalls ends all calls of an instance that stops; their clients stop, too.
+// endCalls ends all calls of an instance that stops, as failed. Their clients make no further calls.
 func (i *instance) endCalls() {
 	byNumber := func(a, b *call) int { return a.request.number - b.request.number }
 	for _, c := range slices.SortedFunc(maps.Values(i.calls), byNumber) {
@@ -35,7 +35,7 @@
 			i.sim.abandon(a, balancer.Cancelled)
 		}
 		if !c.answered {
-			c.request.calls = i.sim.config.Clients.MaxCalls // so that its client makes no further call
+			c.request.calls = i.sim.config.Clients.MaxCalls // prevents a further call of the client
 			c.answer(callFailed, 0)
 		}
 		c.clientLeft = true
@@ -46,7 +46,7 @@
 // restart starts a new process of an instance that was stopped.
 func (i *instance) restart(seed uint64) {
 	if err := i.newProcess(seed); err != nil {
-		panic(err) // the same settings made a policy before
+		panic(err) // cannot happen: the same settings were accepted for the instance's first policy
 	}
 	i.stopped = false
 	var cached []balancer.Endpoint
--- a/internal/simulation/simulator/result.go
+++ b/internal/simulation/simulator/result.go
@@ -1,71 +1,78 @@
 package simulator
 
-// Result is what a run measured. Its JSON is the same for the same Config, policy and seed.
+// Result holds the measurements of a run. Its JSON is the same for the same Config, policy and seed.
 type Result struct {
 	Seed uint64 `json:"seed"`
 
-	// Service is the priority weight of the requests that were answered within the latency objective, and a share of it
-	// for those answered later, over the weight of all requests.
+	// Service is the earned share of the priority weight of all requests. A request earns its whole weight if it is
+	// answered within the latency objective, and the share LateWeight of it if it is answered later within the
+	// deadline.
 	Service float64 `json:"service"`
-	// WorstClassService is that of the class with the lowest service.
+	// WorstClassService is the service of the class with the lowest service.
 	WorstClassService float64 `json:"worst"`
-	// P50, P99 and P999 are latencies of served requests, over all calls, in milliseconds.
+	// P50, P99 and P999 are latency quantiles of served requests in milliseconds. A latency covers all calls of a
+	// request.
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
 	P999 float64 `json:"p999_ms"`
 
-	// Requests that arrived, and how their last call ended.
+	// Requests is the number of requests that arrived. Served, Rejected, Failed and Unanswered count them by the result
+	// of their last call.
 	Requests   int `json:"asked"`
 	Served     int `json:"served"`
 	Rejected   int `json:"refused"`
 	Failed     int `json:"failed"`
 	Unanswered int `json:"unanswered"`
 
-	// Means over the requests: calls of clients, attempts written to nodes, executions beyond the first of a call, new
-	// connections.
+	// The following are means per request: calls of clients, attempts written to nodes, executions beyond the first one
+	// of a call, and new connections.
 	CallsPerRequest      float64 `json:"tries"`
 	AttemptsPerRequest   float64 `json:"attempts"`
 	RepeatsPerRequest    float64 `json:"wasted"`
 	HandshakesPerRequest float64 `json:"handshakes"`
 
-	// CrossZoneShare is the share of the attempts at nodes of another zone.
+	// CrossZoneShare is the share of the attempts that went to a node of another zone than the instance's.
 	CrossZoneShare float64 `json:"crossing"`
-	// MaxConnections were open to one node.
+	// MaxConnections is the largest number of connections that were open to one node at the same time.
 	MaxConnections int `json:"conns"`
-	// MaxProbeRate is of the node that was probed most, in probes a second.
+	// MaxProbeRate is the mean rate of probes to the node that was probed most, in probes per second.
 	MaxProbeRate float64 `json:"probes"`
-	// MaxConnectionRate is how many connections were opened to one node within one second.
+	// MaxConnectionRate is the largest number of connections that were opened to one node within one second.
 	MaxConnectionRate int `json:"opens"`
-	// MaxColdLoad is the work sent to a node that warms up, over what overloads it.
+	// MaxColdLoad is the highest load of a node that was warming up, as the ratio of the work sent to it to the work
+	// beyond which it is overloaded.
 	MaxColdLoad float64 `json:"cold"`
-	// MaxDiscoveryCallRate is of calls of discovery within one second.
+	// MaxDiscoveryCallRate is the largest number of calls to the discovery service within one second.
 	MaxDiscoveryCallRate      int     `json:"calls"`
 	DiscoveryCallsPerInstance float64 `json:"asks"`
-	// RejectedDiscoveryCalls were rejected by discovery.
+	// RejectedDiscoveryCalls is the number of calls that the discovery service rejected because of its backlog.
 	RejectedDiscoveryCalls int `json:"turned"`
-	// MaxProcessorUse is the share of its processor that the busiest instance used.
+	// MaxProcessorUse is the share of its processor time that the busiest instance used.
 	MaxProcessorUse float64 `json:"host"`
-	// Imbalance is the largest number of executions of one node by its speed, over the mean of all.
+	// Imbalance is the largest number of executions of a node relative to its speed and cores, divided by the mean of
+	// that number over all nodes.
 	Imbalance float64 `json:"imbalance"`
-	// DuplicateExecutions counts repeated executions, within a call, of requests that are not idempotent, or keyed and
-	// outside their idempotency scope.
+	// DuplicateExecutions counts the executions beyond the first one of a call, for requests that are not idempotent. A
+	// keyed request counts if the idempotency scope of the node had no record of it.
 	DuplicateExecutions int `json:"twice"`
 
-	// Violations of rules, the first of ViolationCount.
+	// Violations are the texts of the first violations of rules. ViolationCount is the number of all violations.
 	Violations     []string `json:"broken,omitempty"`
 	ViolationCount int      `json:"breaks"`
 
-	// Quantiles of served requests' latencies, at the values of function Quantiles, in milliseconds.
+	// Quantiles are the latencies of served requests at the quantiles that the function Quantiles returns, in
+	// milliseconds.
 	Quantiles []float64 `json:"quantiles_ms"`
 
-	// Seconds of the run, by when requests arrived.
+	// Seconds are the measurements for each second of the run, by the arrival time of the requests.
 	Seconds []Second `json:"seconds,omitempty"`
-	// Events were handled, and at most MaxQueuedEvents scheduled at a time.
+	// Events is the number of events that were handled, and MaxQueuedEvents the largest number of events that were
+	// scheduled at the same time.
 	Events          uint64 `json:"events"`
 	MaxQueuedEvents int    `json:"waiting"`
 }
 
-// Second is one second of a run.
+// Second holds the measurements of one second of a run.
 type Second struct {
 	Service float64 `json:"service"`
 	// RequestedWeight is the priority weight of all requests.
@@ -74,13 +81,13 @@
 	P99             float64 `json:"p99_ms"`
 	Requests        int     `json:"asked"`
 	Rejected        int     `json:"refused"`
-	Failed          int     `json:"failed"` // or unanswered
+	Failed          int     `json:"failed"` // includes unanswered requests
 	Attempts        int     `json:"attempts"`
-	// InFlight is, by node, how many requests ran or waited there at the second's end.
+	// InFlight is the number of requests that ran or waited at each node at the end of the second.
 	InFlight []int `json:"held"`
 }
 
-// Quantiles returns what Result.Quantiles are at, in per cent.
+// Quantiles returns the quantiles of Result.Quantiles, in per cent.
 func Quantiles() (list []float64) {
 	for q := 0.0; q < 100; q += 2 {
 		list = append(list, q)
--- a/internal/simulation/simulator/simulation.go
+++ b/internal/simulation/simulator/simulation.go
@@ -7,8 +7,8 @@
 	"hazelwing/internal/simulation/simtime"
 )
 
-// Streams of random numbers, by what they decide: a policy that draws more of one does not change the others. Instances
-// have streams of their own, from streamInstances on.
+// The streams of random numbers. Each purpose has a stream of its own, so that a policy that causes more draws for one
+// purpose does not change the random numbers of the others. Instance i gets its seed from the stream streamInstances+i.
 const (
 	streamFaults    = 1
 	streamNetwork   = 2
@@ -30,7 +30,7 @@
 	instances   []*instance
 	zones       map[string]int
 	partitions  []partition
-	// costlyShare of the requests cost costFactor times as much.
+	// costlyShare is the share of the requests whose work is multiplied by costFactor.
 	costlyShare, costFactor float64
 	discovery               discovery
 	newPolicy               NewPolicy
@@ -40,7 +40,7 @@
 	trafficEnded            bool
 }
 
-// Run simulates a cluster whose instances use a policy.
+// Run simulates a cluster whose instances use the given policy.
 func Run(config Config, policy NewPolicy, seed uint64) (*Result, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 	}
 }
 
-// runEvents handles events until the traffic and all its requests have ended.
+// runEvents handles events until the traffic and all of its requests have ended.
 func (sim *simulation) runEvents() {
 	for sim.queue.Len() > 0 && (!sim.trafficEnded || sim.openRequests != 0) {
 		sim.metrics.maxQueuedEvents = max(sim.metrics.maxQueuedEvents, sim.queue.Len())
@@ -94,7 +94,7 @@
 	}
 }
 
-// at schedules an event at a time, or now if that has passed.
+// at schedules an event at time t, or now if t has passed.
 func (sim *simulation) at(t time.Duration, handle func()) { sim.queue.Push(max(t, sim.now), handle) }
 
 // after schedules an event after a delay.
--- a/internal/simulation/simulator/traffic.go
+++ b/internal/simulation/simulator/traffic.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// request is what a client wants, over all of its calls.
+// request is a request of a client, which can take several calls.
 type request struct {
 	number       int
 	class        *Class
-	affinityKey  int // 0: none
+	affinityKey  int // 0 if the request has none
 	work         time.Duration
 	expectedWork time.Duration
 	arrivedAt    time.Duration
 	expiresAt    time.Duration // when the client gives up
 	instance     *instance
 	calls        int
-	// patience is how long a client waits that calls once; 0: as long as the class allows.
+	// patience is how long an impatient client waits, which calls once. It is 0 if the client waits until the class's
+	// deadline.
 	patience time.Duration
-	// next is the session's next request, thinkTime after this one's end.
+	// next is the session's next request, which begins thinkTime after the end of this one. It is nil if there is none.
 	next      *request
 	thinkTime time.Duration
 }
@@ -53,8 +54,8 @@
 	t.scheduleArrival(maxFactor)
 }
 
-// scheduleArrival schedules the next session by thinning (Lewis and Shedler 1979): sessions arrive at the highest
-// rate of the curve, and each is kept with the share that the curve has at its time.
+// scheduleArrival schedules the next session by thinning (Lewis and Shedler 1979): candidates arrive at the highest
+// rate of the curve, and each is kept with a probability of the rate at its time over the highest rate.
 func (t *traffic) scheduleArrival(maxFactor float64) {
 	sim, clients := t.sim, &t.sim.config.Clients
 	interval := t.rng.ExpFloat64() / (clients.Rate * maxFactor) * max(clients.SessionLength, 1)
@@ -69,7 +70,7 @@
 	})
 }
 
-// rateFactor is the rate curve's factor at a time.
+// rateFactor returns the factor of the rate curve at a time.
 func (c *Clients) rateFactor(at time.Duration) float64 {
 	if len(c.RateCurve) == 0 {
 		return 1
@@ -87,7 +88,7 @@
 	return c.RateCurve[len(c.RateCurve)-1].Factor
 }
 
-// replay schedules the recorded requests from one on.
+// replay schedules the recorded requests from the one with index from on.
 func (t *traffic) replay(from int) {
 	recorded := t.sim.config.Clients.Recorded
 	if from == len(recorded) {
@@ -103,7 +104,7 @@
 	})
 }
 
-// session draws the requests of a session, which have one instance and one affinity key.
+// session draws the requests of a session, which share an instance and an affinity key. It returns the first request.
 func (t *traffic) session() *request {
 	clients := &t.sim.config.Clients
 	first := t.sampleRequest()
@@ -115,7 +116,7 @@
 	return first
 }
 
-// newRequest numbers a request and draws its instance.
+// newRequest returns a new request with a number and a randomly drawn instance.
 func (t *traffic) newRequest() *request {
 	t.lastNumber++
 	r := &request{number: t.lastNumber}
@@ -129,7 +130,7 @@
 	return r
 }
 
-// sampleRequest draws a request with its class and work.
+// sampleRequest draws a request with its class, work, affinity key and patience.
 func (t *traffic) sampleRequest() *request {
 	class := t.sampleClass()
 	r := t.newRequest()
@@ -145,7 +146,7 @@
 	return r
 }
 
-// sampleClass draws a class by the classes' shares.
+// sampleClass draws a class, with probabilities according to the classes' shares.
 func (t *traffic) sampleClass() (class *Class) {
 	x := t.rng.Float64() * t.totalShare
 	for n := range t.sim.config.Classes {
@@ -173,7 +174,7 @@
 	}
 }
 
-// beginRequest lets a request arrive now.
+// beginRequest makes a request arrive now, and makes its first call.
 func (sim *simulation) beginRequest(r *request) {
 	if r.instance.stopped {
 		return // its client has stopped with the instance
--- a/internal/simulation/simulator/validate.go
+++ b/internal/simulation/simulator/validate.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"slices"
 	"time"
 )
@@ -12,7 +13,8 @@
 	maxSessionLength = 1000
 )
 
-// Validate returns an error that says what in the configuration cannot be used.
+// Validate returns an error that describes the first invalid value of the configuration, or nil. The errors name values
+// by their keys in experiment files.
 func (c *Config) Validate() error {
 	for _, check := range []func() error{
 		c.validateNodes, c.validateTraffic, c.validateDiscovery, c.validateHost, c.validateSessions,
@@ -27,14 +29,23 @@
 
 func (c *Config) validateNodes() error {
 	names := map[string]bool{}
-	for _, n := range c.Nodes {
-		if n.Name == "" || names[n.Name] || n.Cores < 1 || !(n.Speed > 0) || n.QueueLimit < 0 {
-			return fmt.Errorf("node %q: its name is taken or empty, or its cores, speed or queue cannot be", n.Name)
+	for i, n := range c.Nodes {
+		switch {
+		case n.Name == "":
+			return fmt.Errorf("node %d has no name", i+1)
+		case names[n.Name]:
+			return fmt.Errorf("node %q: another node has the same name", n.Name)
+		case n.Cores < 1:
+			return fmt.Errorf("node %q: cores is %d, want at least 1", n.Name, n.Cores)
+		case !(n.Speed > 0):
+			return fmt.Errorf("node %q: speed is %v, want more than 0", n.Name, n.Speed)
+		case n.QueueLimit < 0:
+			return fmt.Errorf("node %q: queue is %d, want at least 0", n.Name, n.QueueLimit)
 		}
 		names[n.Name] = true
 	}
 	if len(c.Nodes) == 0 {
-		return errors.New("no nodes")
+		return errors.New("the cluster has no nodes, want at least 1")
 	}
 	return nil
 }
@@ -43,50 +54,82 @@
 	clients := &c.Clients
 	switch {
 	case c.Duration <= 0 || c.Duration > maxDuration:
-		return fmt.Errorf("length %v is not above 0 and up to a day", c.Duration)
-	case clients.Instances < 1 || !(clients.Rate > 0) && len(clients.Recorded) == 0:
-		return errors.New("clients: no instances, or no rate")
-	case !(clients.ImpatientShare >= 0 && clients.ImpatientShare <= 1),
-		clients.ImpatientShare > 0 && clients.Patience <= 0:
-		return fmt.Errorf("clients: impatient %v is not from 0 to 1, or there is no patience", clients.ImpatientShare)
+		return fmt.Errorf("length %v is out of range, want more than 0 and at most %v", c.Duration, maxDuration)
+	case clients.Instances < 1:
+		return fmt.Errorf("clients: instances is %d, want at least 1", clients.Instances)
+	case !(clients.Rate > 0) && len(clients.Recorded) == 0:
+		return fmt.Errorf("clients: rate is %v, want more than 0 unless requests are recorded", clients.Rate)
+	case !(clients.ImpatientShare >= 0 && clients.ImpatientShare <= 1):
+		return fmt.Errorf("clients: impatient is %v, want 0 to 1", clients.ImpatientShare)
+	case clients.ImpatientShare > 0 && clients.Patience <= 0:
+		return fmt.Errorf("clients: patience is %v, want more than 0 since impatient is %v",
+			clients.Patience, clients.ImpatientShare)
 	case len(clients.Weights) > 0 && len(clients.Weights) != clients.Instances:
-		return fmt.Errorf("clients: %d weights for %d instances", len(clients.Weights), clients.Instances)
+		return fmt.Errorf("clients: %d weights for %d instances, want one weight for each instance or none",
+			len(clients.Weights), clients.Instances)
 	}
 	return nil
 }
 
 func (c *Config) validateDiscovery() error {
 	d := &c.Discovery
-	isNegative := !(d.Capacity >= 0) || !(d.CallCost >= 0) || !(d.MaxBacklog >= 0) || d.Timeout < 0
-	if isNegative || d.Capacity > 0 && d.Timeout == 0 {
-		return errors.New("discovery: its capacity, call, overbook or timeout is below 0, or there is no timeout")
+	switch {
+	case !(d.Capacity >= 0):
+		return fmt.Errorf("discovery: capacity is %v, want at least 0", d.Capacity)
+	case !(d.CallCost >= 0):
+		return fmt.Errorf("discovery: call is %v, want at least 0", d.CallCost)
+	case !(d.MaxBacklog >= 0):
+		return fmt.Errorf("discovery: overbook is %v, want at least 0", d.MaxBacklog)
+	case d.Timeout < 0:
+		return fmt.Errorf("discovery: timeout is %v, want at least 0", d.Timeout)
+	case d.Capacity > 0 && d.Timeout == 0:
+		return fmt.Errorf("discovery: timeout is 0, want more than 0 since capacity is %v", d.Capacity)
 	}
 	return nil
 }
 
 func (c *Config) validateHost() error {
 	h := &c.Host
-	if !(h.Cores >= 0) || h.QuotaPeriod < 0 || h.RequestCost < 0 || h.AttemptCost < 0 || h.ConnectCost < 0 {
-		return errors.New("host: its cores or costs are below 0")
+	switch {
+	case !(h.Cores >= 0):
+		return fmt.Errorf("host: cores is %v, want at least 0", h.Cores)
+	case h.QuotaPeriod < 0:
+		return fmt.Errorf("host: period is %v, want at least 0", h.QuotaPeriod)
+	case h.RequestCost < 0:
+		return fmt.Errorf("host: request is %v, want at least 0", h.RequestCost)
+	case h.AttemptCost < 0:
+		return fmt.Errorf("host: attempt is %v, want at least 0", h.AttemptCost)
+	case h.ConnectCost < 0:
+		return fmt.Errorf("host: connect is %v, want at least 0", h.ConnectCost)
 	}
 	return nil
 }
 
 func (c *Config) validateSessions() error {
 	k := &c.Clients
-	lengthFits := k.SessionLength >= 0 && k.SessionLength <= maxSessionLength
-	if !lengthFits || k.ThinkTime < 0 || k.ClockSkew < 0 || k.ClockSkew >= clockOffset {
-		return fmt.Errorf("clients: session %v is not from 0 to %d, think is below 0, or skew is not from 0 to %v",
-			k.SessionLength, maxSessionLength, clockOffset)
+	switch {
+	case !(k.SessionLength >= 0 && k.SessionLength <= maxSessionLength):
+		return fmt.Errorf("clients: session is %v, want 0 to %d", k.SessionLength, maxSessionLength)
+	case k.ThinkTime < 0:
+		return fmt.Errorf("clients: think is %v, want at least 0", k.ThinkTime)
+	case k.ClockSkew < 0 || k.ClockSkew >= clockOffset:
+		return fmt.Errorf("clients: skew is %v, want at least 0 and less than %v", k.ClockSkew, clockOffset)
 	}
 	return nil
 }
 
 func (c *Config) validateRecorded() error {
 	for i, r := range c.Clients.Recorded {
-		isOutOfOrder := i > 0 && r.At < c.Clients.Recorded[i-1].At
-		if c.class(r.Class) == nil || r.At < 0 || r.Work < 0 || isOutOfOrder {
-			return fmt.Errorf("recorded request %d: its class %q is none, or its time or work cannot be", i+1, r.Class)
+		switch {
+		case c.class(r.Class) == nil:
+			return fmt.Errorf("recorded request %d: there is no class %q", i+1, r.Class)
+		case r.At < 0:
+			return fmt.Errorf("recorded request %d: its time is %v, want at least 0", i+1, r.At)
+		case r.Work < 0:
+			return fmt.Errorf("recorded request %d: its work is %v, want at least 0", i+1, r.Work)
+		case i > 0 && r.At < c.Clients.Recorded[i-1].At:
+			return fmt.Errorf("recorded request %d: its time is %v, want at least the previous request's %v",
+				i+1, r.At, c.Clients.Recorded[i-1].At)
 		}
 	}
 	return nil
@@ -96,13 +139,20 @@
 	totalShare := 0.0
 	for _, class := range c.Classes {
 		totalShare += class.Share
-		isParetoWithoutMean := class.Work.Distribution == Pareto && !(class.Work.Shape > 1)
-		if !(class.Share >= 0) || class.Work.Mean <= 0 || class.Deadline <= 0 || isParetoWithoutMean {
-			return fmt.Errorf("class %q: its share, work or deadline cannot be", class.Name)
+		switch work := class.Work; {
+		case !(class.Share >= 0):
+			return fmt.Errorf("class %q: share is %v, want at least 0", class.Name, class.Share)
+		case work.Mean <= 0:
+			return fmt.Errorf("class %q: work is %v, want more than 0", class.Name, work.Mean)
+		case class.Deadline <= 0:
+			return fmt.Errorf("class %q: deadline is %v, want more than 0", class.Name, class.Deadline)
+		case work.Distribution == Pareto && !(work.Shape > 1):
+			return fmt.Errorf("class %q: spread is %v, want more than 1 for kind %q, which has no mean otherwise",
+				class.Name, work.Shape, Pareto)
 		}
 	}
 	if !(totalShare > 0) {
-		return errors.New("no class has a share")
+		return errors.New("no class has a share above 0, want at least one")
 	}
 	return nil
 }
@@ -118,19 +168,33 @@
 
 func (c *Config) validateFault(f Fault) error {
 	needs, ok := faultKinds[f.Kind]
+	if !ok {
+		return fmt.Errorf("%q is none of the fault kinds %q", f.Kind, slices.Sorted(maps.Keys(faultKinds)))
+	}
+	if err := c.validateFaultNodes(f, needs.nodes); err != nil {
+		return err
+	}
+	switch {
+	case f.Kind == FaultDiscoveryDown && c.Discovery.Capacity == 0:
+		return errors.New("down needs a discovery service, but capacity of discovery is 0, so that lists are pushed")
+	case needs.duration && f.Duration <= 0:
+		return fmt.Errorf("%s: duration (key for) is %v, want more than 0", f.Kind, f.Duration)
+	case needs.factor && !(f.Factor > 0):
+		return fmt.Errorf("%s: factor (key times) is %v, want more than 0", f.Kind, f.Factor)
+	}
+	return nil
+}
+
+// validateFaultNodes checks the fields of a fault that select nodes.
+func (c *Config) validateFaultNodes(f Fault, needsNodes bool) error {
 	hasNode := func(matches func(Node) bool) bool { return slices.ContainsFunc(c.Nodes, matches) }
 	switch {
-	case !ok:
-		return fmt.Errorf("%q is none", f.Kind)
-	case needs.nodes && f.Node == "" && f.Zone == "" && !(f.Share > 0),
-		f.Node != "" && !hasNode(func(n Node) bool { return n.Name == f.Node }):
-		return fmt.Errorf("%s needs a node that there is, or a share", f.Kind)
-	case needs.nodes && f.Zone != "" && !hasNode(func(n Node) bool { return n.Zone == f.Zone }):
+	case needsNodes && f.Node == "" && f.Zone == "" && !(f.Share > 0):
+		return fmt.Errorf("%s needs a node, a zone or a share above 0; share is %v", f.Kind, f.Share)
+	case f.Node != "" && !hasNode(func(n Node) bool { return n.Name == f.Node }):
+		return fmt.Errorf("%s: there is no node %q", f.Kind, f.Node)
+	case needsNodes && f.Zone != "" && !hasNode(func(n Node) bool { return n.Zone == f.Zone }):
 		return fmt.Errorf("%s: no node is in zone %q", f.Kind, f.Zone)
-	case f.Kind == FaultDiscoveryDown && c.Discovery.Capacity == 0:
-		return errors.New("down needs a discovery, and lists come unasked")
-	case needs.duration && f.Duration <= 0, needs.factor && !(f.Factor > 0):
-		return fmt.Errorf("%s needs how long, or how much", f.Kind)
 	}
 	return nil
 }
--- a/internal/simulation/simulator/warmup.go
+++ b/internal/simulation/simulator/warmup.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// warmUpSteps is how often the speed of a process is updated while it warms up.
+// warmUpSteps is the number of times that the speed of a process is updated while it warms up.
 const warmUpSteps = 20
 
-// arrival is a request that arrived at a process that warms up.
+// arrival is the arrival of a request at a process that warms up.
 type arrival struct {
 	at   time.Duration
 	work time.Duration
@@ -29,7 +29,7 @@
 	}
 }
 
-// warmUpShare is the share of its full speed that a process has reached.
+// warmUpShare returns the share of its full speed that a process has reached.
 func (n *node) warmUpShare() float64 {
 	rules := &n.sim.config.Rules
 	if !n.warmingUp || rules.WarmUp == 0 {
@@ -39,8 +39,8 @@
 	return min(1, rules.InitialCapacity+progress)
 }
 
-// checkColdLoad counts an attempt at a process that warms up. More work than its capacity overloads the process, which
-// ends.
+// checkColdLoad adds an attempt to the load of a process that warms up. A load above coldCapacity ends the process and
+// is a violation.
 func (n *node) checkColdLoad(a *attempt) {
 	rules := &n.sim.config.Rules
 	if !n.warmingUp || rules.OverloadMultiple == 0 {
@@ -59,7 +59,8 @@
 	}
 }
 
-// coldCapacity is the work, in seconds at speed 1, that a process that warms up can take within Rules.OverloadDuration.
+// coldCapacity returns the work that a process that warms up can take within Rules.OverloadDuration, in seconds at
+// speed 1.
 func (n *node) coldCapacity() float64 {
 	rules := &n.sim.config.Rules
 	return rules.OverloadMultiple * n.Speed * float64(n.Cores) * n.warmUpShare() * rules.OverloadDuration.Seconds()
