--- a/internal/simulation/baseline/pickers.go
+++ b/internal/simulation/baseline/pickers.go
@@ -10,16 +10,16 @@
 	"hazelwing/balancer"
 )
 
-// ewmaDecay is the time constant with which peakEWMA forgets.
+// ewmaDecay is the time constant of the exponential decay of peakEWMA's estimates.
 const ewmaDecay = 10 * time.Second
 
-// maxRoundRobinStart limits the random start of roundRobin.
+// maxRoundRobinStart limits the random number with which roundRobin starts.
 const maxRoundRobinStart = 1 << 20
 
 // picker picks endpoints for a policy.
 type picker interface {
-	// pick picks one of the candidates, of which there is at least one. It returns nil if the request is to be
-	// given up.
+	// pick returns one of the candidates, of which there is at least one. It returns nil if the policy is to give up
+	// the request.
 	pick(r *request, candidates []*endpoint) *endpoint
 	// endpointsChanged is called when the endpoint list has changed.
 	endpointsChanged()
@@ -27,14 +27,14 @@
 	attemptEnded(e *endpoint, result balancer.Result, elapsed time.Duration, load balancer.LoadReport)
 }
 
-// pickerSource is a picker's constructor, and where it is described.
-type pickerSource struct {
-	source string
-	make   func(p *policy) picker
+// pickerDefinition holds a picker's constructor and its source, which tells where the picker is described.
+type pickerDefinition struct {
+	source    string
+	newPicker func(p *policy) picker
 }
 
-// pickers are by the names of their policies.
-var pickers = map[string]pickerSource{
+// pickers maps the names of the policies to their pickers.
+var pickers = map[string]pickerDefinition{
 	"round_robin": {
 		"gRPC's round_robin (grpc/doc/load-balancing.md)",
 		func(p *policy) picker { return &roundRobin{next: p.rng.IntN(maxRoundRobinStart)} },
@@ -57,8 +57,7 @@
 	},
 	Oracle: {
 		"no policy: each request goes where its answer would come first, told what really holds, and is refused " +
-			"where " +
-			"none would come in time",
+			"where none would come in time",
 		func(p *policy) picker { return &oraclePicker{basePicker{p}} },
 	},
 	"weighted": {
@@ -85,14 +84,14 @@
 
 func hashOf(s string) uint64 { return xxhash.Sum64String(s) }
 
-// basePicker ignores outcomes and changes of the list.
+// basePicker is the common part of pickers. It ignores outcomes and changes of the endpoint list.
 type basePicker struct{ policy *policy }
 
 func (basePicker) endpointsChanged() {}
 
 func (basePicker) attemptEnded(*endpoint, balancer.Result, time.Duration, balancer.LoadReport) {}
 
-// pickFirst keeps one endpoint while it is a candidate.
+// pickFirst picks the same endpoint as long as it is a candidate.
 type pickFirst struct {
 	basePicker
 	current *endpoint
@@ -116,7 +115,8 @@
 	return candidates[p.next%len(candidates)]
 }
 
-// oraclePicker picks the endpoint that would answer first, or none if that is too late to be worth anything.
+// oraclePicker picks the endpoint that would answer first. It picks none if that answer would be too late to earn any
+// weight: after the deadline, or after the latency objective if late answers of the class earn nothing.
 type oraclePicker struct{ basePicker }
 
 func (p *oraclePicker) pick(r *request, candidates []*endpoint) *endpoint {
@@ -134,14 +134,15 @@
 	return best
 }
 
-// random picks any candidate.
+// random picks a random candidate.
 type random struct{ basePicker }
 
 func (p *random) pick(_ *request, candidates []*endpoint) *endpoint {
 	return candidates[p.policy.rng.IntN(len(candidates))]
 }
 
-// leastRequests picks the candidate with the fewest requests in flight: of several, the first from a random one on.
+// leastRequests picks the candidate with the fewest requests in flight. Of several such candidates, it picks the first
+// one from a random position of the list on.
 type leastRequests struct{ basePicker }
 
 func (p *leastRequests) pick(_ *request, candidates []*endpoint) *endpoint {
@@ -155,7 +156,7 @@
 	return best
 }
 
-// powerOfTwo picks the one of two random candidates that has fewer requests in flight.
+// powerOfTwo picks the one of two random candidates with fewer requests in flight.
 type powerOfTwo struct{ basePicker }
 
 func (p *powerOfTwo) pick(_ *request, candidates []*endpoint) *endpoint {
@@ -170,12 +171,13 @@
 	return first
 }
 
-// peakEWMA picks by latency: the estimate jumps up to a slower answer and decays to faster ones.
+// peakEWMA picks the one of two random candidates with the lower cost: estimated latency times requests in flight. The
+// estimate rises to a higher latency at once and decays towards lower ones.
 type peakEWMA struct{ basePicker }
 
 func (p *peakEWMA) cost(e *endpoint) float64 {
 	if e.ewma == 0 && e.inFlight > 0 {
-		return math.Inf(1) // one request at a time until its latency is known
+		return math.Inf(1) // avoids a second request until the first one has shown the latency
 	}
 	return e.ewma * float64(e.inFlight+1)
 }
--- a/internal/simulation/baseline/policy.go
+++ b/internal/simulation/baseline/policy.go
@@ -1,10 +1,11 @@
-// Package baseline holds other ways to balance, for comparison in the simulator: small policies behind the interface of
-// the real balancer, each from its published description.
+// Package baseline provides well-known load-balancing policies for comparison with the real balancer in the simulator.
+// They are small, implement the same interface as the real balancer, and follow their published descriptions.
 //
-// They share what every client library has: one final answer in time, the rules on retries, no endpoint that is not in
-// the list, and gRPC's connection backoff for those that refuse connections (gRPC's connection-backoff.md: one second,
-// times 1.6, up to 120). They differ in which endpoint they pick. None hedges, rejects by itself, or spares
-// endpoints that warm up.
+// The policies share the basic features of client libraries: one final answer for each request before its deadline, the
+// rules on retries, no attempts at endpoints that are not in the endpoint list, and gRPC's connection backoff for
+// endpoints that refuse connections (gRPC's connection-backoff.md: one second, times 1.6 after each failure, up to 120
+// seconds). They differ in how they pick an endpoint. None of them hedges, sheds load, or limits the load of endpoints
+// that warm up.
 package baseline
 
 import (
@@ -22,20 +23,21 @@
 const (
 	// Hazelwing is the name of the real balancer.
 	Hazelwing = "hazelwing"
-	// Oracle is the name of the policy that consults simulator.Oracle: the limit of what picking endpoints can
-	// reach, but for what its greed costs.
+	// Oracle is the name of the policy that consults simulator.Oracle. It shows about the best service that picking
+	// endpoints can reach. It is not the exact optimum, since it decides greedily, request by request.
 	Oracle = "truth"
 
-	// randomStream is the stream of a seed that a policy draws from.
+	// randomStream is the random stream, under a policy's seed, of all its random numbers.
 	randomStream = 0x726976616c
-	// expiryMargin is how many ticks before a request's deadline, or the end of its idempotency window, no attempt
-	// is made.
-	expiryMargin = 2
-	// subscribeRetryDelay passes until a policy subscribes again after a failure. It has no jitter, as plain clients.
+	// expiryMarginTicks is the length of the time before a request's deadline, and before the end of its idempotency
+	// window, in which no attempt is made.
+	expiryMarginTicks = 2
+	// subscribeRetryDelay is the time from a failed subscription to the next one. It has no jitter, as in simple
+	// clients.
 	subscribeRetryDelay = time.Second
 )
 
-// Names lists the policies.
+// Names returns the names of all policies.
 func Names() []string {
 	names := slices.Sorted(maps.Keys(pickers))
 	for _, n := range slices.Clone(names) {
@@ -44,7 +46,7 @@
 	return append(names, Hazelwing)
 }
 
-// Source says where a policy is described; empty: there is no such policy.
+// Source returns where a policy is described, or an empty string if there is no such policy.
 func Source(name string) string {
 	if name == Hazelwing {
 		return "this project's balancer"
@@ -56,7 +58,7 @@
 	return p.source
 }
 
-// New returns the policy of a name.
+// New returns the constructor of the policy with the given name.
 func New(name string) (simulator.NewPolicy, error) {
 	if name == Hazelwing {
 		return func(
@@ -66,9 +68,9 @@
 		}, nil
 	}
 	base, hasRetryBudget := strings.CutSuffix(name, retryBudgetSuffix)
-	described, ok := pickers[base]
+	definition, ok := pickers[base]
 	if !ok {
-		return nil, fmt.Errorf("no policy %q: there are %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no policy %q, want one of %s", name, strings.Join(Names(), ", "))
 	}
 	return func(s balancer.Settings, instance int, seed uint64) (simulator.Policy, error) {
 		p := &policy{
@@ -83,12 +85,12 @@
 		for _, c := range s.Classes {
 			p.classes[c.Name] = c
 		}
-		p.picker = described.make(p)
+		p.picker = definition.newPicker(p)
 		return p, nil
 	}, nil
 }
 
-// policy is what all baseline policies share.
+// policy is the common part of all baseline policies.
 type policy struct {
 	settings      balancer.Settings
 	instance      int
@@ -98,7 +100,7 @@
 	classes       map[string]balancer.Class
 	endpointsByID map[string]*endpoint
 	endpoints     []*endpoint // in order of first appearance
-	candidates    []*endpoint // of the present pick
+	candidates    []*endpoint // the candidates of the present pick
 	requests      map[string]*request
 	timers        timers
 	picker        picker
@@ -106,24 +108,25 @@
 	budget        retryBudget
 }
 
-// endpoint is one of the endpoint list.
+// endpoint is an endpoint that is or was in the endpoint list.
 type endpoint struct {
 	id, zone string
 	cell     int
 	active   bool
 	inFlight int
 	addedAt  time.Duration
-	// connectFailures counts failed connections in a row; no connection is opened before backoffUntil.
+	// connectFailures counts consecutive failures to connect. backoffUntil is the end of the backoff after the last
+	// one.
 	connectFailures int
 	backoffUntil    time.Duration
 
-	// ewma is the latency in seconds, of peakEWMA.
+	// ewma is the latency estimate of peakEWMA, in seconds.
 	ewma float64
 	// updatedAt is the time of ewma or of reportedWeight.
 	updatedAt time.Duration
 
-	// The following are of weighted: reportedWeight is by the last load report, weight is in use, and nextTurn is the
-	// deadline of the endpoint's next turn.
+	// The following fields belong to the picker weighted. reportedWeight is the weight by the last load report, and
+	// weight is the one in use. nextTurn is the endpoint's deadline: the endpoint with the earliest one is picked next.
 	served         int
 	reportedWeight float64
 	weight         float64
@@ -155,7 +158,7 @@
 
 func (p *policy) add(a balancer.Action) { p.actions = append(p.actions, a) }
 
-// updateEndpoints takes over an endpoint update. An endpoint that is named again may connect at once.
+// updateEndpoints applies an endpoint update. It ends the connection backoff of the endpoints that the update contains.
 func (p *policy) updateEndpoints(e balancer.EndpointUpdate) {
 	if e.Kind == balancer.WatchFailed {
 		p.setTimer(timer{at: p.now + subscribeRetryDelay})
@@ -182,7 +185,7 @@
 	p.picker.endpointsChanged()
 }
 
-// sampleTwo draws two different endpoints, if there are two.
+// sampleTwo draws two different candidates at random, or returns the same one twice if it is the only one.
 func (p *policy) sampleTwo(candidates []*endpoint) (first, second *endpoint) {
 	i := p.rng.IntN(len(candidates))
 	if len(candidates) == 1 {
--- a/internal/simulation/baseline/requests.go
+++ b/internal/simulation/baseline/requests.go
@@ -8,8 +8,9 @@
 	"hazelwing/balancer"
 )
 
-// The connection backoff of gRPC: backoffBase, times backoffFactor after each failure, up to maxBackoff, and each wait
-// times a random factor from minBackoffJitter on, over a range of backoffJitterRange.
+// The connection backoff of gRPC: the first wait is backoffBase, and each further one is backoffFactor times the
+// previous one, up to maxBackoff. Each wait is multiplied by a random factor between minBackoffJitter and
+// minBackoffJitter plus backoffJitterRange.
 const (
 	backoffBase        = time.Second
 	backoffFactor      = 1.6
@@ -18,8 +19,9 @@
 	backoffJitterRange = 0.4
 )
 
-// A retry budget allows retriesPerRequest retries for each request and minRetriesPerSecond besides, saved up for
-// retryBudgetWindow, as Finagle's RetryBudget. retryBudgetSuffix gives it to the policy of the name before it.
+// A retry budget, as Finagle's RetryBudget, allows retriesPerRequest retries for each request and in addition
+// minRetriesPerSecond retries per second. Unused tokens accumulate up to the retries of minRetriesPerSecond over
+// retryBudgetWindow. A policy whose name ends with retryBudgetSuffix has a retry budget.
 const (
 	retryBudgetSuffix   = "+budget"
 	retriesPerRequest   = 0.2
@@ -27,42 +29,42 @@
 	retryBudgetWindow   = 10 * time.Second
 )
 
-// request is one that has no final answer yet, or has attempts out.
+// request is a request that has no final answer yet or has attempts in flight.
 type request struct {
-	id          string
-	affinityKey string
-	class       balancer.Class
-	arrivedAt   time.Duration
-	expiresAt   time.Duration
-	attempts    []*attempt
-	attemptsOut int
-	done        bool
+	id               string
+	affinityKey      string
+	class            balancer.Class
+	arrivedAt        time.Duration
+	expiresAt        time.Duration
+	attempts         []*attempt
+	attemptsInFlight int
+	done             bool
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
 	endpoint *endpoint
 	sentAt   time.Duration
-	out      bool
-	// mayHaveRun: it may have been executed.
+	inFlight bool
+	// mayHaveRun is false if the attempt is known not to have been executed.
 	mayHaveRun bool
 }
 
-// retryBudget limits retries by tokens.
+// retryBudget is a token bucket that limits retries.
 type retryBudget struct {
 	unlimited bool
 	tokens    float64
 	updatedAt time.Duration
 }
 
-// add adds the tokens of a request and of the time since the last one.
+// add adds the tokens for a request and for the time since the previous request.
 func (b *retryBudget) add(now time.Duration) {
 	b.tokens += retriesPerRequest + minRetriesPerSecond*(now-b.updatedAt).Seconds()
 	b.updatedAt = now
 	b.tokens = min(b.tokens, minRetriesPerSecond*retryBudgetWindow.Seconds())
 }
 
-// take takes a token for a retry; false: there is none.
+// take takes a token for a retry. It returns false if there is none.
 func (b *retryBudget) take() bool {
 	if b.unlimited {
 		return true
@@ -80,7 +82,7 @@
 		affinityKey: e.AffinityKey,
 		class:       p.classes[e.Class],
 		arrivedAt:   p.now,
-		expiresAt:   e.ExpiresAt - expiryMargin*p.settings.Tick,
+		expiresAt:   e.ExpiresAt - expiryMarginTicks*p.settings.Tick,
 	}
 	p.requests[r.id] = r
 	p.setTimer(timer{r.expiresAt, r})
@@ -88,14 +90,14 @@
 	p.sendNext(r)
 }
 
-// sendNext sends a request's next attempt, or gives the request up.
+// sendNext sends a request's next attempt. It gives the request up if no attempt is allowed or no endpoint is picked.
 func (p *policy) sendNext(r *request) {
 	if p.now >= r.expiresAt || len(r.attempts) >= max(p.settings.MaxAttempts, 1) {
 		p.giveUp(r)
 		return
 	}
 	p.collectCandidates(r, false)
-	if len(p.candidates) == 0 { // a channel that waits for its backoff would use any of them in the end
+	if len(p.candidates) == 0 { // a gRPC channel would wait for the end of a backoff and then use one of them
 		p.collectCandidates(r, true)
 	}
 	if len(p.candidates) == 0 {
@@ -107,8 +109,8 @@
 		p.giveUp(r)
 		return
 	}
-	r.attempts = append(r.attempts, &attempt{endpoint: picked, sentAt: p.now, out: true, mayHaveRun: true})
-	r.attemptsOut++
+	r.attempts = append(r.attempts, &attempt{endpoint: picked, sentAt: p.now, inFlight: true, mayHaveRun: true})
+	r.attemptsInFlight++
 	picked.inFlight++
 	p.add(balancer.Action{
 		Kind:     balancer.Send,
@@ -118,7 +120,8 @@
 	})
 }
 
-// collectCandidates collects the endpoints that a request may be sent to, with those that back off or without.
+// collectCandidates sets candidates to the endpoints that a request may be sent to. Endpoints in connection backoff are
+// included only if withBackoff is set.
 func (p *policy) collectCandidates(r *request, withBackoff bool) {
 	p.candidates = p.candidates[:0]
 	for _, e := range p.endpoints {
@@ -128,7 +131,9 @@
 	}
 }
 
-// mayRetryAt reports whether the rules on retries allow an attempt at an endpoint.
+// mayRetryAt reports whether the rules on retries allow an attempt of a request at an endpoint: after an attempt that
+// may have been executed, a non-idempotent request must not be sent again, and a keyed request only within its
+// idempotency scope and window.
 func (p *policy) mayRetryAt(r *request, e *endpoint) bool {
 	for _, a := range r.attempts {
 		if !a.mayHaveRun {
@@ -138,7 +143,7 @@
 		case balancer.NonIdempotent:
 			return false
 		case balancer.Keyed:
-			isTooLate := p.now-a.sentAt > r.class.IdempotencyWindow-expiryMargin*p.settings.Tick
+			isTooLate := p.now-a.sentAt > r.class.IdempotencyWindow-expiryMarginTicks*p.settings.Tick
 			if isTooLate || !inScope(r.class.IdempotencyScope, a.endpoint, e) {
 				return false
 			}
@@ -161,12 +166,12 @@
 
 func (p *policy) handleOutcome(e balancer.Outcome) {
 	r := p.requests[e.ID]
-	if r == nil || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].out {
+	if r == nil || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
 		return
 	}
 	a := r.attempts[e.Attempt]
-	a.out, a.mayHaveRun = false, e.Result.MayHaveRun()
-	r.attemptsOut--
+	a.inFlight, a.mayHaveRun = false, e.Result.MayHaveRun()
+	r.attemptsInFlight--
 	a.endpoint.inFlight--
 	p.updateBackoff(a.endpoint, e.Result)
 	p.picker.attemptEnded(a.endpoint, e.Result, e.Elapsed, e.Load)
@@ -182,7 +187,7 @@
 	}
 }
 
-// updateBackoff counts an endpoint's failed connections.
+// updateBackoff starts, extends or ends an endpoint's connection backoff according to the result of an attempt.
 func (p *policy) updateBackoff(e *endpoint, result balancer.Result) {
 	switch result {
 	case balancer.OK, balancer.Overloaded:
@@ -196,13 +201,14 @@
 	}
 }
 
-// giveUp ends a request without an answer: it is rejected if no attempt may have been executed or that does no harm.
+// giveUp ends a request without an answer from an endpoint. The request is rejected if no attempt may have been
+// executed or it is idempotent, and failed otherwise.
 func (p *policy) giveUp(r *request) {
 	if r.done {
 		return
 	}
 	for n, a := range r.attempts {
-		if a.out && p.settings.Cancellation {
+		if a.inFlight && p.settings.Cancellation {
 			p.add(balancer.Action{Kind: balancer.Cancel, ID: r.id, Attempt: n})
 		}
 	}
@@ -220,9 +226,9 @@
 	p.releaseIfDone(r)
 }
 
-// releaseIfDone forgets a request that has its final answer and no attempt out.
+// releaseIfDone deletes a request that has its final answer and no attempt in flight.
 func (p *policy) releaseIfDone(r *request) {
-	if r.done && r.attemptsOut == 0 {
+	if r.done && r.attemptsInFlight == 0 {
 		delete(p.requests, r.id)
 	}
 }
--- a/internal/simulation/baseline/ring.go
+++ b/internal/simulation/baseline/ring.go
@@ -8,18 +8,20 @@
 )
 
 const (
+	// pointsPerEndpoint is the number of points of the ring that belong to each endpoint.
 	pointsPerEndpoint = 64
-	// maxLoadFactor times the mean is how many requests in flight an endpoint may have.
+	// maxLoadFactor limits the requests in flight of an endpoint, as a multiple of the mean of all candidates.
 	maxLoadFactor = 1.25
 )
 
-// ring picks the first endpoint after the hash of the request's affinity key that has capacity.
+// ring implements consistent hashing with bounded loads: starting at the hash of the request's affinity key, or of its
+// ID if it has no key, it picks the first endpoint on the ring whose load is below the limit.
 type ring struct {
 	basePicker
 	points []ringPoint
 }
 
-// ringPoint is a point of the ring, which belongs to an endpoint.
+// ringPoint is a point of the ring and the endpoint that it belongs to.
 type ringPoint struct {
 	hash     uint64
 	endpoint *endpoint
--- a/internal/simulation/baseline/subset.go
+++ b/internal/simulation/baseline/subset.go
@@ -8,12 +8,14 @@
 )
 
 const (
+	// subsetSize is the number of endpoints in a subset.
 	subsetSize = 10
-	// subsetStream is the stream from which instances of a round shuffle alike.
+	// subsetStream is the random stream, with the round as seed, from which all instances of a round shuffle the list.
 	subsetStream = 1
 )
 
-// subset picks with two choices among a few endpoints.
+// subset picks by lessLoadedOfTwo among the members of a subset of the endpoints, or among all candidates if none of
+// them is a member.
 type subset struct {
 	basePicker
 	choose  func(p *policy, active []*endpoint) []*endpoint
@@ -48,7 +50,8 @@
 	return p.policy.lessLoadedOfTwo(members)
 }
 
-// randomSubset is the first endpoints in an order of the instance's own, which stays when other endpoints come and go.
+// randomSubset returns a random subset. It orders the endpoints by a hash of the instance and the endpoint's ID and
+// takes the first ones, so that the addition or removal of other endpoints changes the subset little.
 func randomSubset(p *policy, active []*endpoint) []*endpoint {
 	list := slices.Clone(active)
 	salt := strconv.Itoa(p.instance) + "/"
@@ -56,7 +59,8 @@
 	return list[:subsetSize]
 }
 
-// deterministicSubset is the algorithm of the book: the instances of a round shuffle alike, and divide the list.
+// deterministicSubset implements the algorithm of Site Reliability Engineering, chapter 20: all instances of a round
+// shuffle the list in the same way, and each takes a different part of it.
 func deterministicSubset(p *policy, active []*endpoint) []*endpoint {
 	count := len(active) / subsetSize
 	round := p.instance / count
--- a/internal/simulation/baseline/timers.go
+++ b/internal/simulation/baseline/timers.go
@@ -7,13 +7,13 @@
 	"hazelwing/balancer"
 )
 
-// timer is the end of a request or, without one, the time to subscribe again.
+// timer fires at a time. It then gives up its request or, if request is nil, subscribes to the endpoint list again.
 type timer struct {
 	at      time.Duration
 	request *request
 }
 
-// timers is a heap, the next timer first.
+// timers is a heap of timers, the earliest first.
 type timers []timer
 
 // Len implements heap.Interface.
@@ -40,13 +40,13 @@
 	return x
 }
 
-// setTimer adds a timer.
+// setTimer adds a timer, and sets the instance's timer to the earliest one.
 func (p *policy) setTimer(t timer) {
 	heap.Push(&p.timers, t)
 	p.add(balancer.Action{Kind: balancer.SetTimer, At: p.timers[0].at})
 }
 
-// handleTimers handles all timers that have fired.
+// handleTimers handles all timers that have fired, and sets the instance's timer to the next one.
 func (p *policy) handleTimers() {
 	for len(p.timers) > 0 && p.timers[0].at <= p.now {
 		r := p.timers[0].request
--- a/internal/simulation/baseline/weighted.go
+++ b/internal/simulation/baseline/weighted.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// weightUpdatePeriod is the shortest one that gRFC A58 allows.
+	// weightUpdatePeriod is the interval at which weights are updated: the shortest one that gRFC A58 allows.
 	weightUpdatePeriod = 100 * time.Millisecond
-	// weightExpiration is after how long without a report a weight is not used any more.
+	// weightExpiration is the time after the last load report at which a weight expires.
 	weightExpiration = 5 * time.Second
-	// fullInFlight is how many requests in flight count as a utilization of 1.
-	fullInFlight = 4.0
-	// minUtilization and minRateWindow, in seconds, keep weights finite.
+	// fullUtilizationInFlight is the number of requests in flight that counts as a utilization of 1.
+	fullUtilizationInFlight = 4.0
+	// minUtilization and minRateWindow limit the divisors of a weight from below, so that weights stay finite.
+	// minRateWindow is in seconds.
 	minUtilization = 0.01
 	minRateWindow  = 0.1
 )
 
-// weighted picks endpoints by weights: the requests a second over the utilization that the endpoints report.
-// Weights are updated every weightUpdatePeriod. The next endpoint is the one whose turn has the earliest deadline,
-// as in gRPC.
+// weighted implements gRPC's weighted round robin. The weight of an endpoint is its rate of successful requests divided
+// by the utilization that it reports. Weights are updated every weightUpdatePeriod. As in gRPC, the endpoint with the
+// earliest deadline is picked next, and its deadline advances by the inverse of its weight.
 type weighted struct {
 	basePicker
 	updatedAt time.Duration
@@ -41,7 +42,7 @@
 	return next
 }
 
-// update takes over the reported weights; an endpoint without one gets the mean of the others.
+// update applies the reported weights. An endpoint whose weight is missing or has expired gets the mean of the others.
 func (p *weighted) update() {
 	p.updatedAt = p.policy.now
 	sum, count := 0.0, 0.0
@@ -68,7 +69,7 @@
 	}
 	if load.Reported {
 		rate := max(1, float64(e.served)/max((p.policy.now-e.addedAt).Seconds(), minRateWindow))
-		utilization := min(1, max(minUtilization, load.InFlight/fullInFlight))
+		utilization := min(1, max(minUtilization, load.InFlight/fullUtilizationInFlight))
 		e.reportedWeight, e.updatedAt = rate/utilization, p.policy.now
 	}
 }
--- a/internal/simulation/runner/runner.go
+++ b/internal/simulation/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner has what the experiments of several simulations share: reading a file strictly, and simulating the
-// points of an experiment on several cores.
+// Package runner provides functions that the experiments of several simulations share. They read an experiment file
+// strictly, and run the points of an experiment in parallel.
 package runner
 
 import (
@@ -11,7 +11,7 @@
 )
 
 // ReadFile reads a TOML file into experiment, a pointer to a struct with toml tags. The error names the file and,
-// where a key is unknown or its value is of another kind, the line.
+// if a key is unknown or its value has the wrong type, the line.
 func ReadFile(path string, experiment any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// ForEach calls run for each number from 0 to n-1, at most maxParallel (at least one) at a time, and returns once all
-// calls have.
+// ForEach calls run for each number from 0 to n-1, and returns once all calls have returned. At most maxParallel calls
+// run at the same time, or one if maxParallel is below 1.
 func ForEach(n, maxParallel int, run func(i int)) {
 	slots := make(chan struct{}, max(1, maxParallel))
 	var calls sync.WaitGroup
--- a/internal/simulation/runner/runner_test.go
+++ b/internal/simulation/runner/runner_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A file is read into the fields of its keys. An error names the file, and the line of an unknown key.
+// ReadFile sets the fields of the file's keys. Its error for an unknown key contains the file and the line, and a
+// missing file gives an error that os.IsNotExist recognizes.
 func TestReadFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.toml")
 	read := func(text string) (seeds int, err error) {
@@ -22,17 +23,17 @@
 		return experiment.Seeds, err
 	}
 	if seeds, err := read("seeds = 3\n"); err != nil || seeds != 3 {
-		t.Errorf("%d seeds, %v", seeds, err)
+		t.Errorf("read %d seeds with error %v, want 3 seeds and no error", seeds, err)
 	}
 	if _, err := read("seeds = 3\nsieds = 4\n"); err == nil || !strings.Contains(err.Error(), path+":2:1") {
-		t.Errorf("%v, want an error at %s:2:1", err, path)
+		t.Errorf("unknown key: error %v, want one at %s:2:1", err, path)
 	}
 	if err := ReadFile(path+".absent", nil); !os.IsNotExist(err) {
-		t.Errorf("%v, want an error for a missing file", err)
+		t.Errorf("missing file: error %v, want one for which os.IsNotExist is true", err)
 	}
 }
 
-// Each number is run once, and no more at a time than allowed.
+// ForEach calls the function once for each number, with at most maxParallel calls at the same time.
 func TestForEach(t *testing.T) {
 	const n, maxParallel = 50, 3
 	var lock sync.Mutex
@@ -51,10 +52,11 @@
 	})
 	for i, count := range runs {
 		if count != 1 {
-			t.Errorf("%d was run %d times", i, count)
+			t.Errorf("%d calls for the number %d, want 1", count, i)
 		}
 	}
 	if highest > maxParallel || running != 0 {
-		t.Errorf("%d at a time, %d at the end", highest, running)
+		t.Errorf("%d calls at the same time, want at most %d; %d calls are running at the end, want 0",
+			highest, maxParallel, running)
 	}
 }
