--- a/internal/simulation/baseline/policy_test.go
+++ b/internal/simulation/baseline/policy_test.go
@@ -10,13 +10,13 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-// runEveryFault runs a policy through faults of nearly every kind, with warming nodes that can be overloaded or
-// without.
+// runEveryFault simulates a policy with faults of nearly every kind. With canOverload, nodes that warm up can be
+// overloaded.
 func runEveryFault(t *testing.T, name string, seed uint64, canOverload bool) *simulator.Result {
 	t.Helper()
 	p, err := New(name)
 	if err != nil || Source(name) == "" {
-		t.Fatal(err, Source(name))
+		t.Fatalf("policy %s: error %v, source %q", name, err, Source(name))
 	}
 	cfg := simulator.EveryFaultConfig(5, 100)
 	if !canOverload {
@@ -29,38 +29,42 @@
 	return r
 }
 
-// Faults of nearly every kind happen. A baseline that violates rules would not be a fair comparison. Each has to
-// keep them, but for the load of warming nodes, of which none knows, and has to serve.
-func TestAllKeepTheRules(t *testing.T) {
+// A baseline that violates rules would not be a fair comparison. With faults of nearly every kind, each policy must
+// keep the rules and serve most requests. Baselines are exempt from the limit on the load of nodes that warm up,
+// because they do not know it.
+func TestPoliciesViolateNoRule(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			r := runEveryFault(t, name, 1, name == Hazelwing)
 			if r.ViolationCount > 0 || r.Service < 0.4 || r.Unanswered > r.Requests/100 {
-				t.Errorf("service %.3f, %d of %d unanswered, %q", r.Service, r.Unanswered, r.Requests, r.Violations)
+				t.Errorf("service %.3f, want at least 0.4; "+
+					"%d of %d requests unanswered, want at most 1%%; violations %q",
+					r.Service, r.Unanswered, r.Requests, r.Violations)
 			}
 		})
 	}
 	if _, err := New("p3c"); err == nil {
-		t.Error("New accepts an unknown name")
+		t.Error("New returned no error for the unknown name p3c")
 	}
 }
 
-// The policy that consults the oracle serves more than every other one, where there is capacity.
-func TestOracleIsTheLimit(t *testing.T) {
+// The policy that consults the oracle must serve at least as much as every other policy, if the cluster has enough
+// capacity.
+func TestOraclePolicyServesMost(t *testing.T) {
 	top := runEveryFault(t, Oracle, 2, false).Service
 	for _, name := range Names() {
 		if strings.HasPrefix(name, Oracle) {
 			continue
 		}
 		if got := runEveryFault(t, name, 2, false).Service; got > top {
-			t.Errorf("%s serves %.3f, the oracle's policy %.3f", name, got, top)
+			t.Errorf("%s: service %.3f, want at most the %.3f of the oracle's policy", name, got, top)
 		}
 	}
 }
 
-// Of n requests that do not end, on n endpoints, the one with most has log log n / log 2 and a few with two choices
-// (Mitzenmacher 2001), and far more with one; least requests, round robin and the bounded ring have limits of their
-// own.
+// As many requests as there are endpoints are sent, and none of them ends. With two random choices, the endpoint with
+// the most requests must have about log log n / log 2 of them plus a small constant (Mitzenmacher 2001), and far more
+// with one choice. Least requests, round robin and the bounded ring have limits of their own.
 func TestMaximumLoad(t *testing.T) {
 	const n = 2000
 	for name, limits := range map[string][2]int{
@@ -83,12 +87,12 @@
 			}
 		}
 		if highest < limits[0] || highest > limits[1] {
-			t.Errorf("%s: one endpoint has %d, want %d to %d", name, highest, limits[0], limits[1])
+			t.Errorf("%s: the maximum load is %d requests, want %d to %d", name, highest, limits[0], limits[1])
 		}
 	}
 }
 
-// newWithEndpoints makes a policy that has a list of n endpoints.
+// newWithEndpoints returns a policy that has received a list of n endpoints.
 func newWithEndpoints(t *testing.T, name string, instance int, seed uint64, n int) simulator.Policy {
 	t.Helper()
 	newPolicy, err := New(name)
@@ -107,7 +111,8 @@
 	return p
 }
 
-// Deterministic subsets give each endpoint the same number of instances, random ones do not (the table in the book).
+// Deterministic subsets must give each endpoint the same number of instances, and random subsets must not, as a table
+// in Site Reliability Engineering, chapter 20, shows.
 func TestSubsetsSpreadConnections(t *testing.T) {
 	const endpoints, instances = 100, 100
 	spread := func(name string) (lowest, highest int) {
@@ -115,11 +120,11 @@
 		for i := range instances {
 			p, ok := newWithEndpoints(t, name, i, uint64(i), endpoints).(*policy)
 			if !ok {
-				t.Fatalf("%s is no baseline policy", name)
+				t.Fatalf("%s is not a baseline policy", name)
 			}
 			s, ok := p.picker.(*subset)
 			if !ok {
-				t.Fatalf("%s has no subset", name)
+				t.Fatalf("the picker of %s is not a subset", name)
 			}
 			for _, e := range s.members {
 				count[e.id]++
@@ -133,9 +138,9 @@
 		return lowest, highest
 	}
 	if lowest, highest := spread("subset_deterministic"); lowest != 10 || highest != 10 {
-		t.Errorf("deterministic: %d to %d instances an endpoint", lowest, highest)
+		t.Errorf("deterministic subsets: %d to %d instances per endpoint, want 10", lowest, highest)
 	}
 	if lowest, highest := spread("subset_random"); highest < 15 || lowest > 6 {
-		t.Errorf("random: %d to %d instances an endpoint", lowest, highest)
+		t.Errorf("random subsets: %d to %d instances per endpoint, want at most 6 and at least 15", lowest, highest)
 	}
 }
--- a/internal/simulation/simtime/queue.go
+++ b/internal/simulation/simtime/queue.go
@@ -6,7 +6,7 @@
 // Queue holds scheduled events ordered by time; events of the same time are in the order in which they were pushed.
 //
 // Most pending events are timeouts of clients and attempts: they lie seconds ahead and mostly have no effect. In a
-// single heap they would make each push and pop traverse all levels of a list that exceeds the CPU's caches. Therefore
+// single heap they would make each push and pop traverse all levels of a heap that exceeds the CPU's caches. Therefore
 // only the next events are in a heap (current). Events within one turn of the wheel are unsorted in the slot of their
 // time, and are sorted when that time comes. Events further ahead are in a heap of their own (overflow). BenchmarkQueue
 // compares the queue to a single heap.
--- a/internal/simulation/simtime/queue_test.go
+++ b/internal/simulation/simtime/queue_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Any sequence of pushes and pops gives the same events in the same order as a single heap.
+// Any sequence of pushes and pops must return the same events in the same order as a single heap does.
 func TestQueueMatchesSingleHeap(t *testing.T) {
 	distances := []time.Duration{
 		0,
@@ -46,8 +46,8 @@
 	})
 }
 
-// BenchmarkQueue pushes and pops as a simulation does: for each request five events that are near and one that is
-// seconds ahead.
+// BenchmarkQueue pushes and pops events as a simulation does: for each request, five events within 20 ms and one that
+// is seconds ahead.
 func BenchmarkQueue(b *testing.B) {
 	type pushPopper interface {
 		Push(at time.Duration, action func())
@@ -66,7 +66,7 @@
 					now, _ = queue.Pop()
 				}
 			}
-			for range 4000 { // timeouts that are pending at the start
+			for range 4000 { // the timeouts that are pending at the start
 				queue.Push(time.Duration(rng.IntN(int(4*time.Second))), nil)
 			}
 			for b.Loop() {
--- a/internal/simulation/simulator/balancercount_test.go
+++ b/internal/simulation/simulator/balancercount_test.go
@@ -10,9 +10,10 @@
 	"hazelwing/balancer"
 )
 
-// rollingReplacementConfig is a cluster of four zones in which six in ten nodes are replaced within four seconds, and a
-// tenth of them is slow. Some instances have far more traffic than others, and those of zone a have zoneFactor
-// times the traffic of the other zones.
+// rollingReplacementConfig returns the configuration of a cluster of four zones. Thirty per cent of the nodes, drawn at
+// random, are replaced from 2 s on, and once more thirty per cent from 5 s on. Ten per cent are slow from 1 s on. Some
+// instances have far more traffic than others, and the instances of zone a have zoneFactor times the traffic of those
+// of the other zones.
 func rollingReplacementConfig(instances, nodes int, zoneFactor float64) Config {
 	c := EveryFaultConfig(instances, 18*float64(nodes))
 	c.Duration = 10 * time.Second
@@ -46,10 +47,10 @@
 	return c
 }
 
-// The operator sets a number of balancers that is ten times too large or too small, or none, and nodes are replaced.
-// Balancers that share out warming nodes by a wrong number could overload them, or use too few. No rule may be
-// violated, and at most 0.05 of the service may be lost. docs/design/large-fleets.md has the costs, which -v
-// prints.
+// The configured number of balancers is ten times too large or too small, or 0, while nodes are replaced. Balancers use
+// the number to divide the capacity of warming nodes among themselves, so that a wrong number could overload these
+// nodes or leave them unused. No rule may be violated, and service may fall by at most 0.05. The test prints the costs
+// with -v; docs/design/large-fleets.md states them.
 func TestWrongNumberOfSidecars(t *testing.T) {
 	const instances, nodes, seeds = 80, 60, 3
 	service := map[string]float64{}
@@ -73,24 +74,26 @@
 				t.Fatal(err)
 			}
 			if r.ViolationCount > 0 {
-				t.Errorf("%s, seed %d: %q", c.name, seed, r.Violations)
+				t.Errorf("%s, seed %d: violations %q", c.name, seed, r.Violations)
 			}
 			service[c.name] += r.Service / seeds
 			coldLoad, crossZone = max(coldLoad, r.MaxColdLoad), crossZone+r.CrossZoneShare/seeds
 		}
-		t.Logf("%-10s service %.3f, cold %.2f, %.2f of the attempts cross",
+		t.Logf("%-10s service %.3f, cold load %.2f, %.2f of the attempts cross zones",
 			c.name, service[c.name], coldLoad, crossZone)
 		if lost := service["right"] - service[c.name]; lost > 0.05 {
-			t.Errorf("%s: %.3f of service, %.3f with the right number", c.name, service[c.name], service["right"])
+			t.Errorf("%s: service %.3f, want at most 0.05 below the %.3f with the right number",
+				c.name, service[c.name], service["right"])
 		}
 	}
 }
 
 var measureBalancerCount = flag.Bool("measure", false,
-	"TestCostOfWrongBalancerCount: measure what a wrong number of 300 balancers costs, and the cluster's count of "+
-		"them regains")
+	"run TestCostOfWrongBalancerCount, which measures the service that a wrong number of balancers costs, and that "+
+		"the number counted by the cluster regains")
 
-// correctedBalancer is the balancer with the number of balancers that the cluster counts half a second after the start.
+// correctedBalancer is a balancer that receives the number of balancers as counted by the cluster half a second after
+// the start.
 type correctedBalancer struct {
 	*balancer.Balancer
 	balancers int
@@ -105,27 +108,27 @@
 	return v.Balancer.Handle(now, e, actions)
 }
 
-// Measures the service with 300 balancers for a right and a wrong setting of their number, and for a wrong one that the
-// cluster's count corrects:
+// Measures the service of 300 balancers if the number of balancers is set right, if it is set wrong, and if the
+// cluster's count replaces the setting:
 //
 //	go test ./internal/simulation/simulator -run CostOfWrongBalancerCount -measure -v
 func TestCostOfWrongBalancerCount(t *testing.T) {
 	if !*measureBalancerCount {
-		t.Skip("a measurement: -measure")
+		t.Skip("skipping a measurement: run it with -measure")
 	}
 	const instances, nodes, seeds = 300, 80, 5
 	for _, c := range []struct {
 		name    string
 		set     int
-		counted int // by the cluster; 0: it does not count
+		counted int // the number that the cluster counts; 0 if it does not count
 	}{
 		{"right", instances, 0},
 		{"a tenth", instances / 10, 0},
 		{"ten times", instances * 10, 0},
-		{"a tenth, view", instances / 10, instances},
-		{"ten times, view", instances * 10, instances * 10},
-		{"ten times, view of an hour", instances * 10, instances},
-		{"half, as a cut would tell", instances / 2, 0},
+		{"a tenth, counted right", instances / 10, instances},
+		{"ten times, counted ten times", instances * 10, instances * 10},
+		{"ten times, counted right", instances * 10, instances},
+		{"half, as after a partition", instances / 2, 0},
 	} {
 		var service, coldLoad, connections float64
 		for seed := range uint64(seeds) {
@@ -145,16 +148,16 @@
 			coldLoad = max(coldLoad, r.MaxColdLoad)
 			connections = max(connections, float64(r.MaxConnections))
 			if r.ViolationCount > 0 {
-				t.Errorf("%s, seed %d: %q", c.name, seed, r.Violations)
+				t.Errorf("%s, seed %d: violations %q", c.name, seed, r.Violations)
 			}
 		}
-		t.Logf("%-28s service %.3f, cold %.2f, connections a server %.0f", c.name, service, coldLoad, connections)
+		t.Logf("%-28s service %.3f, cold load %.2f, connections per node %.0f", c.name, service, coldLoad, connections)
 	}
 }
 
-// One zone has half as much traffic again as the others while nodes are replaced. Its balancers prefer nodes of
-// their own zone and do not know how busy it is, so together they could overload a node that warms up. No node may
-// be overloaded.
+// One zone has 1.5 times the traffic of each other zone while nodes are replaced. Its balancers prefer nodes of their
+// own zone and do not know the zone's share of the traffic, so that together they could overload a node that warms up.
+// No node may be overloaded.
 func TestColdServersOfABusyZone(t *testing.T) {
 	worst := 0.0
 	for seed := range uint64(4) {
@@ -163,9 +166,10 @@
 			t.Fatal(err)
 		}
 		if r.ViolationCount > 0 || r.MaxColdLoad > 1 {
-			t.Errorf("seed %d: cold load %.2f of the capacity, %q", seed, r.MaxColdLoad, r.Violations)
+			t.Errorf("seed %d: cold load is %.2f of the capacity, want at most 1; violations %q",
+				seed, r.MaxColdLoad, r.Violations)
 		}
 		worst = max(worst, r.MaxColdLoad)
 	}
-	t.Logf("cold load %.2f of the capacity at most", worst)
+	t.Logf("the highest cold load is %.2f of the capacity", worst)
 }
--- a/internal/simulation/simulator/bench_test.go
+++ b/internal/simulation/simulator/bench_test.go
@@ -8,7 +8,7 @@
 	"hazelwing/balancer"
 )
 
-// BenchmarkSimulation measures how many requests a second one core simulates, without faults:
+// BenchmarkSimulation measures the number of requests that one core simulates per second, without faults:
 //
 //	go test ./internal/simulation/simulator -run xxx -bench Simulation -cpu 1
 func BenchmarkSimulation(b *testing.B) {
--- a/internal/simulation/simulator/discovery_test.go
+++ b/internal/simulation/simulator/discovery_test.go
@@ -10,11 +10,12 @@
 	"hazelwing/balancer"
 )
 
-// subscriber subscribes to the endpoint list when it starts and after failures, and logs the updates with their times.
+// subscriber subscribes to the endpoint list at its start and after failures, and logs each update with its time, kind
+// and number of endpoints.
 type subscriber struct {
 	roundRobin
-	retryDelay  time.Duration // from a failure to the next call; 0: it does not call again
-	subscribeAt time.Duration // when it calls next; 0: not
+	retryDelay  time.Duration // from a failure to the next call; 0 if there is no further call
+	subscribeAt time.Duration // time of the next call; 0 if none is scheduled
 	log         *[]string
 }
 
@@ -22,9 +23,9 @@
 	switch v := e.(type) {
 	case balancer.EndpointUpdate:
 		names := map[balancer.UpdateKind]string{
-			balancer.CompleteList: "full",
-			balancer.Delta:        "change",
-			balancer.CachedList:   "saved",
+			balancer.CompleteList: "complete",
+			balancer.Delta:        "delta",
+			balancer.CachedList:   "cached",
 			balancer.WatchFailed:  "failed",
 		}
 		*p.log = append(*p.log, fmt.Sprintf("%v %s %d", (now-clockOffset).Round(ms), names[v.Kind], len(v.Endpoints)))
@@ -44,10 +45,10 @@
 	return p.roundRobin.Handle(now, e, actions)
 }
 
-// Instances call a discovery service of fixed capacity at the same time, and again after failures and an outage. If it
-// accepted more than it can answer, or kept a watch open through an outage, the endpoint lists of the simulation
-// would not be those of a real service. Four nodes and a call of 6 entries at 100 entries a second take 100 ms; the
-// instant and the outcome of each call are known.
+// Instances call a discovery service of fixed capacity at the same time, and again after failures and an outage. If the
+// simulated service accepted more calls than it can answer, or kept a watch open through an outage, instances would get
+// lists that a real service would not send them. The service writes 100 entries per second, and a call costs 4 entries
+// for the nodes and 6 in addition, so that it takes 100 ms. The test compares the time and the result of each call.
 func TestDiscoveryOfFixedCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -61,35 +62,38 @@
 			name:       "calls are answered in order",
 			instances:  3,
 			maxBacklog: 1,
-			want:       []string{"3 0s saved 4", "100ms full 4", "200ms full 4", "300ms full 4"},
+			want:       []string{"3 0s cached 4", "100ms complete 4", "200ms complete 4", "300ms complete 4"},
 		},
 		{
-			name:       "what would wait too long is rejected, and the next call is accepted",
+			name:       "a call that would wait too long is rejected, and its retry is accepted",
 			instances:  4,
 			maxBacklog: 1,
 			retryDelay: 150 * ms,
 			want: []string{
-				"4 0s saved 4", "1ms failed 0", "100ms full 4", "200ms full 4", "300ms full 4", "400ms full 4",
+				"4 0s cached 4", "1ms failed 0", "100ms complete 4", "200ms complete 4", "300ms complete 4",
+				"400ms complete 4",
 			},
 		},
 		{
-			name:       "with a longer backlog, work is done for calls that time out",
+			name:       "with a longer backlog, the service also works on calls that time out",
 			instances:  6,
 			maxBacklog: 2,
 			want: []string{
-				"6 0s saved 4", "100ms full 4", "200ms full 4", "300ms full 4", "3 300ms failed 0",
+				"6 0s cached 4", "100ms complete 4", "200ms complete 4", "300ms complete 4", "3 300ms failed 0",
 			},
 		},
 		{
-			name:       "in an outage watches end and calls fail, until it is over",
+			name:       "watches and calls fail during an outage, and calls succeed after it",
 			instances:  1,
 			maxBacklog: 1,
 			retryDelay: 300 * ms,
 			faults:     []Fault{{At: time.Second, Kind: FaultDiscoveryDown, Duration: 500 * ms}},
-			want:       []string{"0s saved 4", "100ms full 4", "1.001s failed 0", "1.302s failed 0", "1.702s full 4"},
+			want: []string{
+				"0s cached 4", "100ms complete 4", "1.001s failed 0", "1.302s failed 0", "1.702s complete 4",
+			},
 		},
 		{
-			name:       "an instance that was killed has the cached list",
+			name:       "an instance that was killed starts with the cached list",
 			instances:  1,
 			maxBacklog: 1,
 			faults: []Fault{
@@ -97,7 +101,7 @@
 				{At: time.Second, Kind: FaultKill, Share: 1, Duration: time.Second},
 			},
 			want: []string{
-				"0s saved 4", "100ms full 4", "501ms change 1", "751ms change 1", "2s saved 4", "2.1s full 3",
+				"0s cached 4", "100ms complete 4", "501ms delta 1", "751ms delta 1", "2s cached 4", "2.1s complete 3",
 			},
 		},
 	} {
@@ -115,17 +119,17 @@
 			t.Fatal(err)
 		}
 		if got := countRepeats(log); !slices.Equal(got, c.want) {
-			t.Errorf("%s:\n got %q\nwant %q", c.name, got, c.want)
+			t.Errorf("%s: updates\n got %q\nwant %q", c.name, got, c.want)
 		}
 		if c.maxBacklog == 1 && c.instances == 4 &&
 			(r.RejectedDiscoveryCalls != 1 || r.MaxDiscoveryCallRate != 5 || r.DiscoveryCallsPerInstance != 1.25) {
-			t.Errorf("%d calls rejected, %d calls in a second, %v an instance",
+			t.Errorf("%d calls rejected, want 1; %d calls in one second, want 5; %v calls per instance, want 1.25",
 				r.RejectedDiscoveryCalls, r.MaxDiscoveryCallRate, r.DiscoveryCallsPerInstance)
 		}
 	}
 }
 
-// countRepeats replaces equal lines after each other by one line with their number in front.
+// countRepeats replaces consecutive equal lines by one line with their number in front.
 func countRepeats(lines []string) (out []string) {
 	for from := 0; from < len(lines); {
 		to := from + 1
@@ -142,14 +146,14 @@
 	return out
 }
 
-var clusters = flag.Uint64("fleets", 100, "how many clusters TestLargeFleetsKeepTheirBounds simulates")
+var clusterCount = flag.Uint64("fleets", 100, "number of clusters that TestLargeFleetsStayWithinLimits simulates")
 
-// The three worst kinds of days of a large cluster, in random combinations: discovery fails while most instances
-// restart; a zone vanishes, comes back and vanishes again; a third of the nodes is replaced twice. Instances that
-// call discovery or new nodes all at once would overload them. No rule may be violated, and calls, attempts and
-// load stay within limits.
-func TestLargeFleetsKeepTheirBounds(t *testing.T) {
-	for seed := range *clusters {
+// A large cluster goes through combinations of the three worst kinds of days: the discovery service fails while most
+// instances restart; a zone vanishes, comes back and vanishes again; thirty per cent of the nodes are replaced, two
+// times. Instances that all called the discovery service or new nodes at once would overload them. No rule may be
+// violated, and calls, attempts and load must stay within limits.
+func TestLargeFleetsStayWithinLimits(t *testing.T) {
+	for seed := range *clusterCount {
 		cfg := EveryFaultConfig(20, 400)
 		cfg.Duration = 8 * time.Second
 		cfg.Discovery = Discovery{Capacity: 400, CallCost: 30, Timeout: time.Second, MaxBacklog: 1}
@@ -177,13 +181,16 @@
 			t.Fatal(err)
 		}
 		if r.ViolationCount > 0 {
-			t.Errorf("seed %d: %q", seed, r.Violations)
+			t.Errorf("seed %d: violations %q", seed, r.Violations)
 		}
-		// Waits of 0.25 s and more, then of 0.5 s: three calls in a second at most (docs/design/large-fleets.md).
+		// An instance waits at least 0.25 s before its second call and 0.5 s before its third one, so that it makes at
+		// most three calls within a second (docs/design/large-fleets.md).
 		if r.MaxColdLoad > 1 || r.MaxDiscoveryCallRate > 3*cfg.Clients.Instances ||
 			r.AttemptsPerRequest > r.CallsPerRequest {
-			t.Errorf("seed %d: cold load %.2f, %d calls a second, %.2f attempts for %.2f calls",
-				seed, r.MaxColdLoad, r.MaxDiscoveryCallRate, r.AttemptsPerRequest, r.CallsPerRequest)
+			t.Errorf("seed %d: cold load is %.2f, want at most 1; %d discovery calls in one second, want at most %d; "+
+				"%.2f attempts per request, want at most the %.2f calls",
+				seed, r.MaxColdLoad, r.MaxDiscoveryCallRate, 3*cfg.Clients.Instances,
+				r.AttemptsPerRequest, r.CallsPerRequest)
 		}
 	}
 }
--- a/internal/simulation/simulator/models_test.go
+++ b/internal/simulation/simulator/models_test.go
@@ -12,7 +12,8 @@
 	"hazelwing/balancer"
 )
 
-// recorder takes nodes in turn, gives each attempt a second, and records the results of attempts and all events.
+// recorder picks nodes in turn with a timeout of one second per attempt. It records the results of attempts and passes
+// all events to observe.
 type recorder struct {
 	roundRobin
 	results *[]string
@@ -40,14 +41,14 @@
 	balancer.Reset:         "Reset",
 }
 
-// newRecorder makes a recorder for one node.
+// newRecorder returns the constructor of a recorder for one node.
 func newRecorder(results *[]string, observe func(now time.Duration, e balancer.Event)) NewPolicy {
 	return func(balancer.Settings, int, uint64) (Policy, error) {
 		return &recorder{roundRobin{nodes: 1}, results, observe}, nil
 	}
 }
 
-// mean is the mean latency of a result, from its quantiles, in milliseconds.
+// mean returns the mean latency of a result in milliseconds, as computed from its quantiles.
 func mean(r *Result) (sum float64) {
 	at := Quantiles()
 	for i := 1; i < len(at); i++ {
@@ -56,8 +57,9 @@
 	return sum
 }
 
-// A host's processor is a queue: M/D/1 on a share of a core. The time spent in it is not part of what the instance
-// measures, and at twice the processor's capacity clients are left without an answer.
+// The processor of an instance must behave as an M/D/1 queue on a share of a core. The time that requests wait there
+// must not be part of the latency that the instance measures, and at 1.6 times the processor's capacity many requests
+// must get no answer in time.
 func TestHostAgainstClosedForm(t *testing.T) {
 	const cost, cores, rho = 4 * ms, 0.5, 0.8
 	cfg := queueOnlyConfig(1, 1000, 0, rho*cores/cost.Seconds(), Work{"fixed", ms, 0}, 1000*time.Second)
@@ -66,7 +68,8 @@
 	r, err := Run(cfg, newRecorder(nil, nil), 1)
 	want := service*(1+rho/(2*(1-rho))) + 1
 	if err != nil || math.Abs(mean(r)-want) > 0.06*want || math.Abs(r.MaxProcessorUse-rho) > 0.02 {
-		t.Errorf("mean %.2f ms, want %.2f; it used %.3f of its processor, %v", mean(r), want, r.MaxProcessorUse, err)
+		t.Errorf("mean latency %.2f ms, want %.2f; processor use %.3f, want %.3f; error %v",
+			mean(r), want, r.MaxProcessorUse, rho, err)
 	}
 	cfg.Clients.Rate *= 2
 	cfg.Duration, cfg.Classes[0].Deadline = 20*time.Second, time.Second
@@ -77,20 +80,21 @@
 		}
 	}), 1)
 	if err != nil || r.Unanswered < r.Requests/4 || r.ViolationCount > 0 || slowest > 10*ms {
-		t.Errorf("%d of %d unanswered, %d violations, the slowest attempt took %v, %v",
+		t.Errorf("%d of %d requests unanswered, want at least a quarter; %d violations, want 0; "+
+			"the slowest attempt took %v, want at most 10ms; error %v",
 			r.Unanswered, r.Requests, r.ViolationCount, slowest, err)
 	}
 }
 
-// A node goes away without closing its connections, or its connections become half open. What is written to them
-// gets no answer. This has to cost the attempts on those connections, and no attempt on a new connection.
-func TestConnectionsThatSayNothing(t *testing.T) {
+// A node vanishes without closing its connections, or its connections become half open, so that requests on them get no
+// answer. Attempts on these connections must fail, but no attempt on a new connection to a running node.
+func TestUnresponsiveConnections(t *testing.T) {
 	for _, c := range []struct{ name, faults, want string }{
 		{"half open", "halfopen", "OK* Timeout OK*"},
-		{"half open, none", "", "OK*"},
-		{"vanished, and back", "vanish restart", "OK* Timeout ConnectFailed* OK*"},
-		{"vanished, and back before anything was written", "vanish restart-soon", "OK* Reset OK*"},
-		{"crashed, and back", "crash restart", "OK* ConnectFailed* OK*"},
+		{"no fault", "", "OK*"},
+		{"vanished and restarted", "vanish restart", "OK* Timeout ConnectFailed* OK*"},
+		{"vanished and restarted before the next request", "vanish restart-soon", "OK* Reset OK*"},
+		{"crashed and restarted", "crash restart", "OK* ConnectFailed* OK*"},
 		{"half open, multiplexed", "mux halfopen", "OK* Timeout*"},
 	} {
 		cfg := queueOnlyConfig(1, 1, 10, 0.5, Work{"fixed", ms, 0}, 60*time.Second)
@@ -119,13 +123,14 @@
 			}
 		}
 		if got := strings.Join(compressed, " "); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: results %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
-// Endpoint updates arrive in order unless they may be reordered, and clocks differ by the skew at most.
-func TestListsAndClocks(t *testing.T) {
+// Endpoint updates must arrive in order unless Reorder is set, and the instances' clocks must differ from the nodes' by
+// at most ClockSkew.
+func TestEndpointUpdateOrderAndClockSkew(t *testing.T) {
 	for _, reorder := range []bool{false, true} {
 		cfg := queueOnlyConfig(2, 1, 10, 1, Work{"fixed", ms, 0}, 30*time.Second)
 		cfg.EndpointUpdates = EndpointUpdates{MaxDelay: 2 * time.Second, Reorder: reorder}
@@ -155,21 +160,22 @@
 				}
 			}}, nil
 		}, 3)
-		if err != nil || (repeats > 8) != reorder { // the last update of all may repeat the state, once at each
-			t.Errorf("reorder %v: the same state %d times in a row, %v", reorder, repeats, err)
+		if err != nil || (repeats > 8) != reorder { // the last update may repeat the state, once at each instance
+			t.Errorf("reorder %v: %d updates repeated the state, want more than 8 with reorder and at most 8 without; "+
+				"error %v", reorder, repeats, err)
 		}
 		slices.Sort(startTimes)
 		if len(startTimes) != 8 || startTimes[0] < -2*time.Second || startTimes[7] > 2*time.Second ||
 			startTimes[7]-startTimes[0] < time.Second {
-			t.Errorf("clocks differ by %v", startTimes)
+			t.Errorf("start times differ from the node's clock by %v, want 8 values from -2s to 2s "+
+				"that span at least 1s", startTimes)
 		}
 	}
 }
 
-// Clocks differ by two seconds, hosts stall, connections become half open, and instances have a twentieth of a
-// core. Start times, timers and outcomes are then wrong or late. The real balancer may violate no rule all the
-// same.
-func TestRulesOfTheModule(t *testing.T) {
+// Clocks differ by up to two seconds, instances stall and have a twentieth of a core, and connections become half open,
+// so that start times are wrong and timers and outcomes late. The real balancer must still violate no rule.
+func TestNoViolationsWithSkewAndDelays(t *testing.T) {
 	for seed := range uint64(3) {
 		c := EveryFaultConfig(5, 200)
 		c.Clients.ClockSkew, c.Clients.SessionLength, c.Clients.ThinkTime = 2*time.Second, 4, time.Second
@@ -182,12 +188,14 @@
 		}
 		r, err := Run(c, newBalancer, seed)
 		if err != nil || r.ViolationCount > 0 || r.Service < 0.4 {
-			t.Errorf("seed %d: service %.3f, %q, %v", seed, r.Service, r.Violations, err)
+			t.Errorf("seed %d: service %.3f, want at least 0.4; violations %q; error %v",
+				seed, r.Service, r.Violations, err)
 		}
 	}
 }
 
-// Sessions add up to the configured rate of requests, and recorded requests arrive at their recorded times.
+// The requests of all sessions must add up to the configured rate, and recorded requests must arrive at their recorded
+// times.
 func TestSessionsAndRecordedTraffic(t *testing.T) {
 	cfg := queueOnlyConfig(1, 100, 0, 20, Work{"fixed", 100 * ms, 0}, 500*time.Second)
 	cfg.Clients.SessionLength, cfg.Clients.ThinkTime = 5, 200*ms
@@ -198,7 +206,8 @@
 		}
 	}), 2)
 	if err != nil || math.Abs(float64(r.Requests)/10000-1) > 0.05 || arrived != r.Requests {
-		t.Errorf("%d requests, want about 10000; %v", r.Requests, err)
+		t.Errorf("%d requests, want about 10000; %d of them reached the policy, want all; error %v",
+			r.Requests, arrived, err)
 	}
 	cfg.Clients.Recorded = []RecordedRequest{
 		{At: ms, Class: "c", Work: 5 * ms},
@@ -216,7 +225,7 @@
 	}), 2)
 	want := []string{"1ms  0s", "6ms done", "30ms 7 1ms", "30ms  0s", "31ms done", "80ms done"}
 	if err != nil || !slices.Equal(log, want) {
-		t.Errorf("%q, want %q; %v", log, want, err)
+		t.Errorf("events %q, want %q; error %v", log, want, err)
 	}
 	for _, bad := range [][]RecordedRequest{
 		{{Class: "none"}},
@@ -225,14 +234,14 @@
 	} {
 		cfg.Clients.Recorded = bad
 		if cfg.Validate() == nil {
-			t.Errorf("accepted: %v", bad)
+			t.Errorf("Validate accepted the recorded requests %v", bad)
 		}
 	}
 }
 
-// Requests arrive at three times the nodes' capacity. If retries or timers piled up, memory would grow with the
-// length of the overload. The number of scheduled events has to stay the same.
-func TestOverloadStaysBounded(t *testing.T) {
+// Requests arrive at three times the nodes' capacity. If retries or timers accumulated, memory would grow with the
+// length of the overload. The number of scheduled events must not depend on that length.
+func TestScheduledEventsBoundedInOverload(t *testing.T) {
 	maxQueuedEvents := func(length time.Duration) int {
 		c := EveryFaultConfig(5, 1)
 		c.Faults, c.Duration = nil, length
@@ -249,7 +258,7 @@
 		runtime.ReadMemStats(&before)
 		r, err := Run(c, newBalancer, 1)
 		if err != nil || r.ViolationCount > 0 {
-			t.Fatal(err, r.Violations)
+			t.Fatalf("error %v, violations %q", err, r.Violations)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -260,13 +269,14 @@
 	}
 	short, long := maxQueuedEvents(15*time.Second), maxQueuedEvents(time.Minute)
 	if float64(long) > 1.3*float64(short) {
-		t.Errorf("at most %d events scheduled in a minute, %d in a quarter of it", long, short)
+		t.Errorf("%d events scheduled at a time in a minute of overload, want at most 1.3 times the %d in 15s",
+			long, short)
 	}
 }
 
-// Attempts are multiplexed on one connection, and an answer is lost with it. All other attempts of the instance on that
-// connection have to end with a reset, too.
-func TestOneConnectionForAll(t *testing.T) {
+// A connection is reset in place of an answer. If attempts are multiplexed, all attempts of the instance on that
+// connection must end with a reset.
+func TestResetOfMultiplexedConnection(t *testing.T) {
 	for _, c := range []struct {
 		multiplexed bool
 		resets      int
@@ -281,12 +291,14 @@
 		r, err := Run(cfg, newRecorder(&log, nil), 1)
 		if got := strings.Count(strings.Join(log, " "), "Reset"); err != nil || got != c.resets || len(log) != 4 ||
 			r.MaxConnections > 4 {
-			t.Errorf("multiplexed %v: %v, %d connections, %v", c.multiplexed, log, r.MaxConnections, err)
+			t.Errorf("multiplexed %v: results %v, want 4 with %d resets; %d connections, want at most 4; error %v",
+				c.multiplexed, log, c.resets, r.MaxConnections, err)
 		}
 	}
 }
 
-// A processor quota gives a whole core until it is used up, and nothing until the next period begins.
+// With a processor quota, an instance must run on a whole core until the quota of a period is used up, and must then
+// wait for the next period.
 func TestHostWithQuota(t *testing.T) {
 	cfg := queueOnlyConfig(1, 1000, 0, 1, Work{"fixed", ms, 0}, time.Second)
 	cfg.Host = Host{Cores: 0.28, QuotaPeriod: 100 * ms, RequestCost: 10 * ms}
@@ -301,6 +313,7 @@
 	}), 1)
 	want := []time.Duration{20 * ms, 30 * ms, 102 * ms, 112 * ms, 260 * ms}
 	if err != nil || !slices.Equal(read, want) || r.MaxProcessorUse <= 0 {
-		t.Errorf("read at %v, want %v; %v", read, want, err)
+		t.Errorf("requests read at %v, want %v; processor use %v, want more than 0; error %v",
+			read, want, r.MaxProcessorUse, err)
 	}
 }
--- a/internal/simulation/simulator/oracle_test.go
+++ b/internal/simulation/simulator/oracle_test.go
@@ -7,7 +7,7 @@
 	"hazelwing/balancer"
 )
 
-// predictor takes nodes in turn, asks the oracle how long each request will take, and compares.
+// predictor picks nodes in turn, and compares the oracle's prediction of each response time with the actual one.
 type predictor struct {
 	roundRobin
 	oracle    Oracle
@@ -16,7 +16,7 @@
 	right     int
 }
 
-func (p *predictor) SetOracle(t Oracle) { p.oracle = t }
+func (p *predictor) SetOracle(o Oracle) { p.oracle = o }
 
 func (p *predictor) Handle(now time.Duration, e balancer.Event, actions []balancer.Action) []balancer.Action {
 	switch e := e.(type) {
@@ -38,7 +38,7 @@
 	return p.roundRobin.Handle(now, e, actions)
 }
 
-// With one core a node, no latency and no changes, a request takes as long as the oracle predicts.
+// With one core per node, no latency and no faults, each request must take as long as the oracle predicts.
 func TestOraclePredictsResponseTime(t *testing.T) {
 	p := &predictor{predicted: map[string]time.Duration{}}
 	cfg := queueOnlyConfig(2, 1, 1000, 60, Work{"exp", 10 * ms, 0}, 20*time.Second)
@@ -48,12 +48,12 @@
 		t.Fatal(err)
 	}
 	if p.wrong > 0 || p.right < 1000 {
-		t.Errorf("%d predictions came true, %d did not", p.right, p.wrong)
+		t.Errorf("%d right predictions, want at least 1000; %d wrong predictions, want 0", p.right, p.wrong)
 	}
 }
 
-// A fault of one kind hits the first node at 1 s, and the endpoint list does not show it. The oracle has to know
-// that the node would not answer, or how much slower it would.
+// A fault affects the first node at 1 s, and no endpoint update reports it. The oracle must know that the node would
+// not answer, or by how much its answer would be slower.
 func TestOracleKnowsFaults(t *testing.T) {
 	for kind, want := range map[string]struct {
 		ok     bool
@@ -63,7 +63,7 @@
 		cfg.Nodes[0].Zone, cfg.Nodes[1].Zone, cfg.Clients.Zones = "y", "x", []string{"x"}
 		// No update arrives during the run.
 		cfg.EndpointUpdates = EndpointUpdates{MinDelay: time.Hour, MaxDelay: time.Hour}
-		// A process that has restarted can take 2 ms of work.
+		// A process that has just restarted can take 2 ms of work.
 		cfg.Rules = Rules{InitialCapacity: 0.2, WarmUp: time.Minute, OverloadMultiple: 1, OverloadDuration: 10 * ms}
 		if kind != "nothing" {
 			f := Fault{At: time.Second, Kind: FaultKind(kind), Duration: time.Minute, Factor: 4}
@@ -82,22 +82,23 @@
 			requests++
 			d, ok := oracle.ResponseTime("n0", 10*ms)
 			if ok != want.ok || ok && d != time.Duration(want.factor*float64(10*ms)) {
-				t.Errorf("%s: %v, %v", kind, d, ok)
+				t.Errorf("%s: the response time of n0 is %v, %v, want %v times 10ms, %v",
+					kind, d, ok, want.factor, want.ok)
 			}
 			if _, ok := oracle.ResponseTime("n1", 10*ms); !ok {
-				t.Errorf("%s: the other node would not answer", kind)
+				t.Errorf("%s: the oracle predicts no answer of n1, which has no fault", kind)
 			}
 		}}
 		if _, err := Run(cfg, func(balancer.Settings, int, uint64) (Policy, error) { return a, nil }, 3); err != nil {
 			t.Fatal(err)
 		}
 		if requests == 0 {
-			t.Errorf("%s: there were no requests", kind)
+			t.Errorf("%s: no request arrived after 1.5s", kind)
 		}
 	}
 }
 
-// The oracle counts the requests that wait at a node, except the cancelled ones.
+// The oracle must count the requests that wait at a node, except the cancelled ones.
 func TestOracleCountsTheQueue(t *testing.T) {
 	sim := &simulation{
 		config:      queueOnlyConfig(1, 1, 10, 1, Work{"fixed", ms, 0}, time.Second),
@@ -114,21 +115,21 @@
 	sim.nodesByName[n.Name] = n
 	n.running[0].node = n
 	if d, ok := (oracle{&instance{sim: sim}}).ResponseTime(n.Name, 3*ms); !ok || d != 33*ms {
-		t.Errorf("%v, %v, want 33ms", d, ok)
+		t.Errorf("response time %v, %v, want 33ms, true", d, ok)
 	}
 	n.QueueLimit = 1
 	if _, ok := (oracle{&instance{sim: sim}}).ResponseTime(n.Name, 3*ms); ok {
-		t.Error("a full queue accepts more")
+		t.Error("the oracle predicts an answer of a node whose queue is full")
 	}
 }
 
-// oracleUser rejects every request, and consults the oracle each time.
+// oracleUser rejects all requests, and calls consult with the oracle for each of them.
 type oracleUser struct {
 	oracle  Oracle
 	consult func(time.Duration, Oracle)
 }
 
-func (a *oracleUser) SetOracle(t Oracle) { a.oracle = t }
+func (a *oracleUser) SetOracle(o Oracle) { a.oracle = o }
 
 func (a *oracleUser) Handle(now time.Duration, e balancer.Event, actions []balancer.Action) []balancer.Action {
 	if r, ok := e.(balancer.Request); ok {
--- a/internal/simulation/simulator/simulation_test.go
+++ b/internal/simulation/simulator/simulation_test.go
@@ -10,7 +10,7 @@
 	"hazelwing/balancer"
 )
 
-// roundRobin sends every request to the next node in turn and never retries, as the closed forms assume.
+// roundRobin sends each request to the next node in turn and never retries, as the closed forms assume.
 type roundRobin struct {
 	n, nodes int
 }
@@ -37,7 +37,8 @@
 	return actions
 }
 
-// queueOnlyConfig is a cluster that is nothing but a queue: one class, nodes with cores, a rate and no delays.
+// queueOnlyConfig returns a cluster whose only delays are those of the nodes' queues. It has one class and one
+// instance.
 func queueOnlyConfig(nodes, cores, queueLimit int, rate float64, work Work, length time.Duration) Config {
 	c := Config{
 		Duration: length,
@@ -53,7 +54,7 @@
 	return c
 }
 
-// erlangB is the share of the arrivals that M/M/c/c loses.
+// erlangB returns the share of the arrivals that an M/M/c/c queue rejects, at the offered load a.
 func erlangB(c int, a float64) float64 {
 	b := 1.0
 	for k := 1; k <= c; k++ {
@@ -62,15 +63,15 @@
 	return b
 }
 
-// erlangC is the share of the arrivals that wait in M/M/c.
+// erlangC returns the share of the arrivals that wait in an M/M/c queue, at the offered load a.
 func erlangC(c int, a float64) float64 {
 	b := erlangB(c, a)
 	rho := a / float64(c)
 	return b / (1 - rho*(1-b))
 }
 
-// Requests wait in a node's queue as long as the closed forms say: M/M/1, M/M/c, M/D/1 and M/G/1
-// (Pollaczek-Khinchine), and as many are lost as Erlang's formula says.
+// The mean waiting time in a node's queue must match the closed forms for M/M/1, M/M/c, M/D/1 and M/G/1
+// (Pollaczek-Khinchine), and the share of rejected requests must match the Erlang B formula.
 func TestQueuesAgainstClosedForms(t *testing.T) {
 	const unlimited = 1 << 30
 	mean := 10 * ms
@@ -79,7 +80,7 @@
 		cores int
 		rho   float64
 		work  Work
-		wait  float64 // mean, in services
+		wait  float64 // mean waiting time, in mean service times
 	}{
 		{"M/M/1 at 0.5", 1, 0.5, Work{"exp", mean, 0}, 1},
 		{"M/M/1 at 0.8", 1, 0.8, Work{"exp", mean, 0}, 0.8 / 0.2},
@@ -99,7 +100,8 @@
 		}
 		got := (sum/float64(n) - mean.Seconds()) / mean.Seconds()
 		if n != r.Served || math.Abs(got-c.wait) > 0.06*c.wait {
-			t.Errorf("%s: waits %.3f services, want %.3f (%d served)", c.name, got, c.wait, n)
+			t.Errorf("%s: the mean wait is %.3f service times, want %.3f; recorded %d of %d served requests",
+				c.name, got, c.wait, n, r.Served)
 		}
 	}
 	for _, c := range []struct {
@@ -113,12 +115,12 @@
 		}
 		got, want := float64(r.Rejected)/float64(r.Requests), erlangB(c.cores, c.load)
 		if math.Abs(got-want) > 0.01 {
-			t.Errorf("M/M/%d/%d: loses %.4f, want %.4f", c.cores, c.cores, got, want)
+			t.Errorf("M/M/%d/%d: the share of rejected requests is %.4f, want %.4f", c.cores, c.cores, got, want)
 		}
 	}
 }
 
-// latencyRecorder records how long each attempt took.
+// latencyRecorder records the latency of each successful attempt.
 type latencyRecorder struct {
 	roundRobin
 	record func(time.Duration)
@@ -131,13 +133,13 @@
 	return p.roundRobin.Handle(now, e, actions)
 }
 
-// newBalancer makes the real balancer.
+// newBalancer returns the real balancer.
 func newBalancer(s balancer.Settings, _ int, seed uint64) (Policy, error) {
 	return balancer.New(s, seed)
 }
 
-// The same seed gives the same bytes and another seed gives others, and the real balancer violates no rule while
-// faults of nearly every kind happen.
+// The same seed must give the same result, byte for byte, and another seed a different one. The real balancer must
+// violate no rule while faults of nearly every kind happen.
 func TestSameSeedSameBytes(t *testing.T) {
 	for _, instances := range []int{1, 5, 60, 5000} {
 		run := func(seed uint64) string {
@@ -146,9 +148,9 @@
 				t.Fatal(err)
 			}
 			if r.ViolationCount > 0 || r.Requests != r.Served+r.Rejected+r.Failed+r.Unanswered || r.Service < 0.5 {
-				t.Errorf("%d instances, seed %d: service %.3f, %d requests, %d served, %d rejected, %d failed, "+
-					"%d unanswered, %q", instances, seed, r.Service, r.Requests, r.Served, r.Rejected, r.Failed,
-					r.Unanswered, r.Violations)
+				t.Errorf("%d instances, seed %d: service %.3f, want at least 0.5; "+
+					"%d requests, want the sum of %d served, %d rejected, %d failed and %d unanswered; violations %q",
+					instances, seed, r.Service, r.Requests, r.Served, r.Rejected, r.Failed, r.Unanswered, r.Violations)
 			}
 			b, err := json.Marshal(r)
 			if err != nil {
@@ -158,18 +160,18 @@
 		}
 		one := run(1)
 		if run(1) != one {
-			t.Error("two runs with one seed differ")
+			t.Errorf("%d instances: two runs with seed 1 have different results", instances)
 		}
 		if run(2) == one {
-			t.Error("two seeds give the same")
+			t.Errorf("%d instances: runs with the seeds 1 and 2 have the same result", instances)
 		}
 	}
 }
 
-// Instances stall while a node crashes and another one drains. Requests arrive during the stall and wait, as the
-// endpoint updates do. If an instance handled the requests first, it would send them to nodes that have left long
-// ago. Updates have to be handled first, so that no rule is violated.
-func TestStalledHostReadsTheListFirst(t *testing.T) {
+// Instances stall while a node crashes and another one drains. Requests and endpoint updates arrive during the stall
+// and wait for its end. If an instance handled the requests first, it would send them to nodes that were removed long
+// before. It must handle the updates first, so that no rule is violated.
+func TestStalledInstanceHandlesUpdatesFirst(t *testing.T) {
 	c := EveryFaultConfig(3, 200)
 	c.Faults = nil
 	for i := range 4 {
@@ -181,16 +183,17 @@
 	}
 	r, err := Run(c, newBalancer, 1)
 	if err != nil || r.ViolationCount > 0 {
-		t.Errorf("%v, %q", err, r.Violations)
+		t.Errorf("error %v, violations %q", err, r.Violations)
 	}
 }
 
-// An impatient client calls once and waits for its patience, whatever the class allows; the others call again.
+// An impatient client must call once and wait only for its patience, whatever the class allows. Other clients must call
+// again.
 func TestImpatientClients(t *testing.T) {
 	for _, c := range []struct {
 		impatient float64
 		patience  time.Duration
-		calls     float64 // for each request
+		calls     float64 // calls per request
 	}{{0, 0, 3}, {1, 20 * ms, 1}} {
 		cfg := queueOnlyConfig(1, 1, 1000, 1, Work{"fixed", time.Minute, 0}, 20*time.Second)
 		cfg.Classes[0].Deadline = time.Second
@@ -198,7 +201,7 @@
 		cfg.Clients.ImpatientShare, cfg.Clients.Patience = c.impatient, c.patience
 		r, err := Run(cfg, newBalancer, 1)
 		if err != nil || r.Requests == 0 || r.CallsPerRequest != c.calls || r.Service > 0 {
-			t.Errorf("%+v: %v calls for each of %d requests, service %v, %v",
+			t.Errorf("%+v: %v calls per request for %d requests, service %v, want 0; error %v",
 				c, r.CallsPerRequest, r.Requests, r.Service, err)
 		}
 		for _, bad := range []Clients{
@@ -208,7 +211,7 @@
 		} {
 			cfg.Clients.ImpatientShare, cfg.Clients.Patience = bad.ImpatientShare, bad.Patience
 			if cfg.Validate() == nil {
-				t.Errorf("accepted: %+v", bad)
+				t.Errorf("Validate accepted impatient %v with patience %v", bad.ImpatientShare, bad.Patience)
 			}
 		}
 	}
