--- a/internal/simulation/baseline/pickers.go
+++ b/internal/simulation/baseline/pickers.go
@@ -141,8 +141,8 @@
 	return candidates[p.policy.rng.IntN(len(candidates))]
 }
 
-// leastRequests picks the candidate with the fewest requests in flight. Of several such candidates, it picks the first
-// one from a random position of the list on.
+// leastRequests picks the candidate with the fewest requests in flight. If several have the fewest, it
+// picks the first of them after a random position in the list.
 type leastRequests struct{ basePicker }
 
 func (p *leastRequests) pick(_ *request, candidates []*endpoint) *endpoint {
--- a/internal/simulation/baseline/policy.go
+++ b/internal/simulation/baseline/policy.go
@@ -23,14 +23,14 @@
 const (
 	// Hazelwing is the name of the real balancer.
 	Hazelwing = "hazelwing"
-	// Oracle is the name of the policy that consults simulator.Oracle. It shows about the best service that picking
-	// endpoints can reach. It is not the exact optimum, since it decides greedily, request by request.
+	// Oracle is the name of the policy that consults simulator.Oracle. Its service is a limit
+	// for policies that only pick endpoints, but not the exact optimum, since it decides greedily, request by request.
 	Oracle = "truth"
 
-	// randomStream is the random stream, under a policy's seed, of all its random numbers.
+	// randomStream is the number of the random stream that a policy draws from. Its seed is the policy's seed.
 	randomStream = 0x726976616c
-	// expiryMarginTicks is the length of the time before a request's deadline, and before the end of its idempotency
-	// window, in which no attempt is made.
+	// expiryMarginTicks is how long before a request's deadline or the end of its idempotency window attempts cease, in
+	// ticks.
 	expiryMarginTicks = 2
 	// subscribeRetryDelay is the time from a failed subscription to the next one. It has no jitter, as in simple
 	// clients.
@@ -122,11 +122,12 @@
 
 	// ewma is the latency estimate of peakEWMA, in seconds.
 	ewma float64
-	// updatedAt is the time of ewma or of reportedWeight.
+	// updatedAt is the time at which ewma or reportedWeight was last updated.
 	updatedAt time.Duration
 
-	// The following fields belong to the picker weighted. reportedWeight is the weight by the last load report, and
-	// weight is the one in use. nextTurn is the endpoint's deadline: the endpoint with the earliest one is picked next.
+	// The following fields belong to the picker weighted. served counts successful requests. reportedWeight is the
+	// weight that follows from the last load report, and weight is the weight in use. nextTurn is the endpoint's
+	// deadline: the endpoint with the earliest deadline is picked next.
 	served         int
 	reportedWeight float64
 	weight         float64
--- a/internal/simulation/baseline/policy_test.go
+++ b/internal/simulation/baseline/policy_test.go
@@ -141,6 +141,7 @@
 		t.Errorf("deterministic subsets: %d to %d instances per endpoint, want 10", lowest, highest)
 	}
 	if lowest, highest := spread("subset_random"); highest < 15 || lowest > 6 {
-		t.Errorf("random subsets: %d to %d instances per endpoint, want at most 6 and at least 15", lowest, highest)
+		t.Errorf("random subsets: %d to %d instances per endpoint, "+
+			"want a minimum of at most 6 and a maximum of at least 15", lowest, highest)
 	}
 }
--- a/internal/simulation/baseline/requests.go
+++ b/internal/simulation/baseline/requests.go
@@ -90,7 +90,7 @@
 	p.sendNext(r)
 }
 
-// sendNext sends a request's next attempt. It gives the request up if no attempt is allowed or no endpoint is picked.
+// sendNext sends the next attempt of a request, or gives up the request if no attempt is allowed or no endpoint picked.
 func (p *policy) sendNext(r *request) {
 	if p.now >= r.expiresAt || len(r.attempts) >= max(p.settings.MaxAttempts, 1) {
 		p.giveUp(r)
--- a/internal/simulation/baseline/subset.go
+++ b/internal/simulation/baseline/subset.go
@@ -10,7 +10,8 @@
 const (
 	// subsetSize is the number of endpoints in a subset.
 	subsetSize = 10
-	// subsetStream is the random stream, with the round as seed, from which all instances of a round shuffle the list.
+	// subsetStream is the number of the random stream that shuffles the list. Its seed is the round, so that all
+	// instances of a round get the same order.
 	subsetStream = 1
 )
 
--- a/internal/simulation/simulator/balancercount_test.go
+++ b/internal/simulation/simulator/balancercount_test.go
@@ -10,8 +10,8 @@
 	"hazelwing/balancer"
 )
 
-// rollingReplacementConfig returns the configuration of a cluster of four zones. Thirty per cent of the nodes, drawn at
-// random, are replaced from 2 s on, and once more thirty per cent from 5 s on. Ten per cent are slow from 1 s on. Some
+// rollingReplacementConfig returns the configuration of a cluster of four zones. At 2 s and again at 5 s, thirty per
+// cent of the nodes, drawn at random, begin to be replaced. Ten per cent of the nodes are slow from 1 s on. Some
 // instances have far more traffic than others, and the instances of zone a have zoneFactor times the traffic of those
 // of the other zones.
 func rollingReplacementConfig(instances, nodes int, zoneFactor float64) Config {
@@ -108,8 +108,8 @@
 	return v.Balancer.Handle(now, e, actions)
 }
 
-// Measures the service of 300 balancers if the number of balancers is set right, if it is set wrong, and if the
-// cluster's count replaces the setting:
+// Measures the service of 300 balancers with a right and a wrong setting of their number, and with a wrong setting that
+// the cluster's count replaces:
 //
 //	go test ./internal/simulation/simulator -run CostOfWrongBalancerCount -measure -v
 func TestCostOfWrongBalancerCount(t *testing.T) {
--- a/internal/simulation/simulator/call.go
+++ b/internal/simulation/simulator/call.go
@@ -32,8 +32,8 @@
 	read bool
 	// answered is true once the call has ended for the client, with a final answer or by a disconnect.
 	answered bool
-	// clientLeft is true once the client has disconnected, disconnectPending while the policy has yet to be notified of
-	// that.
+	// clientLeft is true once the client has disconnected. disconnectPending is true while the policy has yet to be
+	// notified of the disconnect.
 	clientLeft, disconnectPending bool
 	// executions counts how often nodes began to execute the call.
 	executions int
@@ -142,7 +142,7 @@
 }
 
 // disconnectClient ends an unanswered call because its client disconnects. The policy is notified once the processor
-// has worked off its backlog, unless the call has not been read.
+// has worked off its backlog. If the call has not been read yet, the policy learns neither of the call nor of its end.
 func (i *instance) disconnectClient(c *call) {
 	if c.answered {
 		return
--- a/internal/simulation/simulator/config.go
+++ b/internal/simulation/simulator/config.go
@@ -10,7 +10,7 @@
 
 // Config describes a cluster, its traffic and its faults.
 type Config struct {
-	// Duration is how long requests arrive. The run continues until all requests have ended.
+	// Duration is the time during which requests arrive. The run continues until all requests have ended.
 	Duration time.Duration
 	Classes  []Class
 	Nodes    []Node
@@ -171,7 +171,7 @@
 	// of Patience and Patience.
 	ImpatientShare float64
 	Patience       time.Duration
-	// RateCurve is the course over time of a factor of Rate, which is interpolated linearly between the points.
+	// RateCurve gives a factor of Rate that changes over time. It is interpolated linearly between the points.
 	RateCurve []RatePoint
 	// SessionLength is the mean number of requests that a client sends one after the other. Up to 1, all requests are
 	// single.
@@ -199,9 +199,10 @@
 	AffinityKey        int
 }
 
-// Rules are the limits that policies have to keep. A node's process warms up for WarmUp, and its capacity rises from
-// the share InitialCapacity. Work of more than OverloadMultiple times its present capacity within OverloadDuration ends
-// the process. Requests may be sent to a node for DrainGrace after the instance was notified of its drain or removal.
+// Rules are the limits that policies have to keep. A new process of a node warms up for WarmUp. Meanwhile its capacity
+// rises from the share InitialCapacity to the full capacity. Work of more than OverloadMultiple times its present
+// capacity within OverloadDuration ends the process. Requests may be sent to a node for DrainGrace after the instance
+// was notified of its drain or removal.
 type Rules struct {
 	InitialCapacity  float64
 	WarmUp           time.Duration
--- a/internal/simulation/simulator/connections.go
+++ b/internal/simulation/simulator/connections.go
@@ -13,7 +13,7 @@
 	shared connection
 }
 
-// connection is a connection to the process of a node that has the given incarnation.
+// connection is a connection to one process of a node, which incarnation identifies.
 type connection struct {
 	incarnation         int
 	openedAt, idleSince time.Duration
--- a/internal/simulation/simulator/discovery.go
+++ b/internal/simulation/simulator/discovery.go
@@ -13,11 +13,11 @@
 type discovery struct {
 	busyUntil time.Duration // when all accepted calls are answered
 	downUntil time.Duration // when the latest outage ends
-	outages   int
-	known     []knownNode // by node
+	outages   int           // the number of outages so far
+	known     []knownNode   // the state of the nodes as the service knows it, by node
 }
 
-// knownNode is the state of a node as the discovery service knows it, which lags behind the node.
+// knownNode is the state of a node as the discovery service knows it. It lags behind the node's true state.
 type knownNode struct {
 	state     balancer.EndpointState
 	startedAt time.Duration
--- a/internal/simulation/simulator/discovery_test.go
+++ b/internal/simulation/simulator/discovery_test.go
@@ -149,9 +149,9 @@
 var clusterCount = flag.Uint64("fleets", 100, "number of clusters that TestLargeFleetsStayWithinLimits simulates")
 
 // A large cluster goes through combinations of the three worst kinds of days: the discovery service fails while most
-// instances restart; a zone vanishes, comes back and vanishes again; thirty per cent of the nodes are replaced, two
-// times. Instances that all called the discovery service or new nodes at once would overload them. No rule may be
-// violated, and calls, attempts and load must stay within limits.
+// instances restart; a zone vanishes, comes back and vanishes again; thirty per cent of the nodes are replaced, and a
+// second later another thirty per cent. Instances that all called the discovery service or new nodes at once would
+// overload them. No rule may be violated, and calls, attempts and load must stay within limits.
 func TestLargeFleetsStayWithinLimits(t *testing.T) {
 	for seed := range *clusterCount {
 		cfg := EveryFaultConfig(20, 400)
@@ -188,7 +188,7 @@
 		if r.MaxColdLoad > 1 || r.MaxDiscoveryCallRate > 3*cfg.Clients.Instances ||
 			r.AttemptsPerRequest > r.CallsPerRequest {
 			t.Errorf("seed %d: cold load is %.2f, want at most 1; %d discovery calls in one second, want at most %d; "+
-				"%.2f attempts per request, want at most the %.2f calls",
+				"%.2f attempts per request, want at most %.2f, the number of calls per request",
 				seed, r.MaxColdLoad, r.MaxDiscoveryCallRate, 3*cfg.Clients.Instances,
 				r.AttemptsPerRequest, r.CallsPerRequest)
 		}
--- a/internal/simulation/simulator/endpoints.go
+++ b/internal/simulation/simulator/endpoints.go
@@ -12,15 +12,15 @@
 	cached map[string]balancer.Endpoint
 	// subscribed is true while the discovery service sends updates to the instance.
 	subscribed bool
-	// removalNotifiedAt is, for each node, when the instance was notified that the node drains or was removed. It is 0
-	// if the node is active as far as the instance knows.
+	// removalNotifiedAt holds for each node the time at which the instance was notified that the node drains or was
+	// removed, or 0 if the node is active as far as the instance knows.
 	removalNotifiedAt []time.Duration
-	// blockedUntil is the end of the latest FaultUpdatesBlocked. No update is delivered before it.
+	// blockedUntil is the end of the latest fault FaultUpdatesBlocked. No update is delivered before it.
 	blockedUntil time.Duration
-	// pending are the updates that wait for the end of a FaultUpdatesBlocked or of a stall.
+	// pending holds the updates that wait for the end of a stall or of a fault FaultUpdatesBlocked.
 	pending []func()
-	// lastArrivesAt is when the last update that was pushed arrives. Unless Reorder is set, no later one arrives
-	// before.
+	// lastArrivesAt is the arrival time of the update that was pushed last. Unless Reorder is set, later updates do not
+	// arrive before it.
 	lastArrivesAt time.Duration
 }
 
@@ -88,15 +88,15 @@
 	})
 }
 
-// deliverUpdate delivers an endpoint update, or keeps it until a FaultUpdatesBlocked or a stall ends. It is then
-// delivered before all other events that wait, as the engine does.
+// deliverUpdate delivers an endpoint update, or keeps it while updates are blocked or the instance is stalled. The
+// update is then delivered before all other waiting events, as in the engine.
 func (i *instance) deliverUpdate(update func()) {
 	i.endpoints.pending = append(i.endpoints.pending, update)
 	i.deliverPendingUpdates()
 }
 
 // deliverPendingUpdates delivers all pending updates, unless updates are blocked or the instance is stalled. It runs at
-// the end of a FaultUpdatesBlocked and of a stall, before the events that arrived meanwhile, because it was scheduled
+// the end of each block and stall. It runs before the events that arrived in the meantime, because it was scheduled
 // before them.
 func (i *instance) deliverPendingUpdates() {
 	if i.sim.now < i.endpoints.blockedUntil || i.sim.now < i.stalledUntil {
--- a/internal/simulation/simulator/fault.go
+++ b/internal/simulation/simulator/fault.go
@@ -50,9 +50,9 @@
 	FaultCut FaultKind = "cut"
 	// FaultOneWayCut drops all messages from Zone to other zones.
 	FaultOneWayCut FaultKind = "oneway"
-	// FaultUpdatesBlocked holds back all endpoint updates until it ends.
+	// FaultUpdatesBlocked holds back all endpoint updates until the fault ends.
 	FaultUpdatesBlocked FaultKind = "silent"
-	// FaultEmptyList sends an empty endpoint list to all instances, and the complete list at its end.
+	// FaultEmptyList sends an empty endpoint list to all instances, and the complete list when the fault ends.
 	FaultEmptyList FaultKind = "empty"
 	// FaultHalfOpen makes all open connections to nodes half open; new connections work.
 	FaultHalfOpen FaultKind = "halfopen"
--- a/internal/simulation/simulator/idempotency.go
+++ b/internal/simulation/simulator/idempotency.go
@@ -35,7 +35,8 @@
 	return true
 }
 
-// scopeOf returns a name of the group of nodes that share idempotency records with a node.
+// scopeOf returns a key that is the same for all nodes that share idempotency records with a node: its zone, its cell,
+// or an empty string if all nodes share them.
 func scopeOf(n *node, scope balancer.IdempotencyScope) string {
 	switch scope {
 	case balancer.ScopeZone:
--- a/internal/simulation/simulator/instance.go
+++ b/internal/simulation/simulator/instance.go
@@ -7,7 +7,8 @@
 	"hazelwing/balancer"
 )
 
-// streamClockSkew is the random stream, under an instance's seed, of the instance's clock skew.
+// streamClockSkew is the number of the random stream that an instance's clock skew is drawn from. Its seed is the
+// instance's seed.
 const streamClockSkew = 5
 
 // instance is one load balancer with its clients. It carries out the actions of its policy.
@@ -19,7 +20,7 @@
 	settings balancer.Settings
 	// weight is the instance's share of the traffic, relative to the other instances.
 	weight float64
-	// incarnation increases when a process of the instance stops, so that it tells processes apart.
+	// incarnation identifies the instance's process. It increases when a process stops.
 	incarnation int
 	// stopped is true from when the instance is killed until it starts again.
 	stopped bool
--- a/internal/simulation/simulator/metrics.go
+++ b/internal/simulation/simulator/metrics.go
@@ -18,7 +18,7 @@
 	// latencyDigits and secondLatencyDigits are the significant digits of the latencies of a run and of one second.
 	latencyDigits       = 3
 	secondLatencyDigits = 2
-	// maxMeasuredSeconds is the longest duration, in seconds, of a run that is measured for each second.
+	// maxMeasuredSeconds is the longest duration, in seconds, of a run for which Result.Seconds is measured.
 	maxMeasuredSeconds = 600
 	// minWeight prevents a division by zero in the service of a run without requests.
 	minWeight = 1e-12
@@ -100,8 +100,8 @@
 	return m
 }
 
-// secondOf returns the measurements of the second of a time. It returns nil if the run is not measured for each second
-// or the time is past its end.
+// secondOf returns the measurements of the second that contains a time. It returns nil if the run is too long to be
+// measured by second, or the time is past the end of the traffic.
 func (m *metrics) secondOf(at time.Duration) *second {
 	if i := int(at / time.Second); i < len(m.seconds) {
 		return m.seconds[i]
@@ -252,7 +252,7 @@
 	return r
 }
 
-// quantile returns a histogram's latency at a quantile given in per cent, in milliseconds.
+// quantile returns a quantile of a histogram's latencies in milliseconds. The quantile is given in per cent.
 func quantile(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/simulation/simulator/node.go
+++ b/internal/simulation/simulator/node.go
@@ -12,7 +12,7 @@
 	Node
 	sim   *simulation
 	index int
-	// incarnation increases when a process of the machine ends, so that it tells processes apart.
+	// incarnation identifies the machine's process. It increases when a process ends.
 	incarnation int
 	startedAt   time.Duration
 	dead        bool // the process has ended, and the machine refuses connections
--- a/internal/simulation/simulator/processor.go
+++ b/internal/simulation/simulator/processor.go
@@ -13,8 +13,9 @@
 	quotaLeft   time.Duration
 }
 
-// runOnProcessor queues a task that takes the time cost of a whole core, and calls do once the tasks queued before and
-// this one have run. It calls do at once if cost is 0 or processor time is not simulated.
+// runOnProcessor queues a task on the processor and calls do once the task has run, after all tasks queued before. The
+// cost is the time that the task takes on a whole core. It calls do at once if the cost is 0 or processor time is not
+// simulated.
 func (i *instance) runOnProcessor(cost time.Duration, do func()) {
 	host, p := &i.sim.config.Host, &i.processor
 	if host.Cores == 0 || cost == 0 {
@@ -49,7 +50,7 @@
 	}
 }
 
-// runAfterBacklog calls do once the tasks that were queued on the processor before have run. The cost of do itself is
+// runAfterBacklog calls do once all tasks that are queued on the processor have run. It is for events whose own cost is
 // negligible.
 func (i *instance) runAfterBacklog(do func()) {
 	if i.processor.busyUntil <= i.sim.now {
--- a/internal/simulation/simulator/restart.go
+++ b/internal/simulation/simulator/restart.go
@@ -9,7 +9,8 @@
 	"hazelwing/balancer"
 )
 
-// streamCachedList is the random stream, under an instance's seed, that shuffles its cached endpoint list.
+// streamCachedList is the number of the random stream that shuffles the cached endpoint list of an instance that
+// restarts. Its seed is the instance's new seed.
 const streamCachedList = 1
 
 // stop ends an instance together with its clients. Both start again after the downtime. The instance then begins with
--- a/internal/simulation/simulator/result.go
+++ b/internal/simulation/simulator/result.go
@@ -31,7 +31,7 @@
 	RepeatsPerRequest    float64 `json:"wasted"`
 	HandshakesPerRequest float64 `json:"handshakes"`
 
-	// CrossZoneShare is the share of the attempts that went to a node of another zone than the instance's.
+	// CrossZoneShare is the share of the attempts whose node was not in the zone of the instance.
 	CrossZoneShare float64 `json:"crossing"`
 	// MaxConnections is the largest number of connections that were open to one node at the same time.
 	MaxConnections int `json:"conns"`
@@ -53,7 +53,7 @@
 	// that number over all nodes.
 	Imbalance float64 `json:"imbalance"`
 	// DuplicateExecutions counts the executions beyond the first one of a call, for requests that are not idempotent. A
-	// keyed request counts if the idempotency scope of the node had no record of it.
+	// keyed request is executed, and so counted, only if the idempotency scope of the node has no record of it.
 	DuplicateExecutions int `json:"twice"`
 
 	// Violations are the texts of the first violations of rules. ViolationCount is the number of all violations.
@@ -75,7 +75,7 @@
 // Second holds the measurements of one second of a run.
 type Second struct {
 	Service float64 `json:"service"`
-	// RequestedWeight is the priority weight of all requests.
+	// RequestedWeight is the sum of the priority weights of the requests that arrived in this second.
 	RequestedWeight float64 `json:"worth"`
 	P50             float64 `json:"p50_ms"`
 	P99             float64 `json:"p99_ms"`
--- a/internal/simulation/simulator/traffic.go
+++ b/internal/simulation/simulator/traffic.go
@@ -16,8 +16,7 @@
 	expiresAt    time.Duration // when the client gives up
 	instance     *instance
 	calls        int
-	// patience is how long an impatient client waits, which calls once. It is 0 if the client waits until the class's
-	// deadline.
+	// patience is how long an impatient client waits for its only call. It is 0 if the client is not impatient.
 	patience time.Duration
 	// next is the session's next request, which begins thinkTime after the end of this one. It is nil if there is none.
 	next      *request
@@ -29,8 +28,8 @@
 type traffic struct {
 	sim         *simulation
 	rng         *rand.Rand
-	totalShare  float64 // of the classes
-	totalWeight float64 // of the instances
+	totalShare  float64 // the sum of the classes' shares
+	totalWeight float64 // the sum of the instances' weights
 	lastNumber  int
 }
 
@@ -55,7 +54,7 @@
 }
 
 // scheduleArrival schedules the next session by thinning (Lewis and Shedler 1979): candidates arrive at the highest
-// rate of the curve, and each is kept with a probability of the rate at its time over the highest rate.
+// rate of the curve, and each is kept with a probability that is the rate at its time divided by the highest rate.
 func (t *traffic) scheduleArrival(maxFactor float64) {
 	sim, clients := t.sim, &t.sim.config.Clients
 	interval := t.rng.ExpFloat64() / (clients.Rate * maxFactor) * max(clients.SessionLength, 1)
@@ -88,7 +87,7 @@
 	return c.RateCurve[len(c.RateCurve)-1].Factor
 }
 
-// replay schedules the recorded requests from the one with index from on.
+// replay schedules the recorded requests, beginning with index from.
 func (t *traffic) replay(from int) {
 	recorded := t.sim.config.Clients.Recorded
 	if from == len(recorded) {
--- a/internal/simulation/simulator/validate.go
+++ b/internal/simulation/simulator/validate.go
@@ -169,7 +169,7 @@
 func (c *Config) validateFault(f Fault) error {
 	needs, ok := faultKinds[f.Kind]
 	if !ok {
-		return fmt.Errorf("%q is none of the fault kinds %q", f.Kind, slices.Sorted(maps.Keys(faultKinds)))
+		return fmt.Errorf("%q is none of the fault kinds, which are %q", f.Kind, slices.Sorted(maps.Keys(faultKinds)))
 	}
 	if err := c.validateFaultNodes(f, needs.nodes); err != nil {
 		return err
@@ -178,9 +178,9 @@
 	case f.Kind == FaultDiscoveryDown && c.Discovery.Capacity == 0:
 		return errors.New("down needs a discovery service, but capacity of discovery is 0, so that lists are pushed")
 	case needs.duration && f.Duration <= 0:
-		return fmt.Errorf("%s: duration (key for) is %v, want more than 0", f.Kind, f.Duration)
+		return fmt.Errorf("%s: its duration, key \"for\", is %v, want more than 0", f.Kind, f.Duration)
 	case needs.factor && !(f.Factor > 0):
-		return fmt.Errorf("%s: factor (key times) is %v, want more than 0", f.Kind, f.Factor)
+		return fmt.Errorf("%s: its factor, key \"times\", is %v, want more than 0", f.Kind, f.Factor)
 	}
 	return nil
 }
