--- a/internal/operator/config_test.go
+++ b/internal/operator/config_test.go
@@ -327,7 +327,7 @@
 		{
 			name: "ledger.remember is no duration",
 			text: ledger + "remember = \"5 minutes\"",
-			want: "3:12: \"5 minutes\" is no time such as",
+			want: "3:12: invalid duration \"5 minutes\": must be written like",
 		},
 		{
 			name: "ledger.remember out of bounds",
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -224,7 +224,7 @@
 		"\"random\"|\"p2c\"":                                     "p2c is there twice",
 		"\"random\"|\"magic\"":                                   "no policy \"magic\"",
 		"question = \"?\"|":                                      "question: an experiment asks one",
-		"length = \"2s\"|length = \"soon\"":                      "\"soon\" is no time",
+		"length = \"2s\"|length = \"soon\"":                      "invalid duration \"soon\"",
 		"length = \"2s\"|length = \"25h\"":                       "length 25h0m0s",
 		"load = 0.5|load = 0.5\nrate = 3.0":                      "load or rate, one of them",
 		"what = \"slow\"|what = \"melt\"":                        "fault 1: \"melt\" is none",
--- a/internal/strictdecode/decode_test.go
+++ b/internal/strictdecode/decode_test.go
@@ -41,7 +41,7 @@
 		},
 		"malformed duration": {
 			text: "\nwait = \"soon\"\n",
-			want: []string{"2:8: \"soon\" is no time such as \"100ms\" or \"10m\""},
+			want: []string{"2:8: invalid duration \"soon\": must be written like \"100ms\" or \"10m\""},
 		},
 		"malformed TOML": {
 			text: "name = \n",
--- a/internal/strictdecode/duration.go
+++ b/internal/strictdecode/duration.go
@@ -13,7 +13,7 @@
 	parsed, err := time.ParseDuration(string(text))
 	*d = Duration(parsed)
 	if err != nil {
-		return fmt.Errorf("%q is no time such as \"100ms\" or \"10m\"", text)
+		return fmt.Errorf("invalid duration %q: must be written like \"100ms\" or \"10m\"", text)
 	}
 	return nil
 }
