--- a/cmd/hazelwing/lab_results.go
+++ b/cmd/hazelwing/lab_results.go
@@ -21,7 +21,7 @@
 		Short: "Show the table of a run, and who broke a rule",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			header, runs, err := experiment.ReadRun(args[0])
+			header, runs, err := experiment.ReadResults(args[0])
 			if err != nil {
 				return err
 			}
@@ -56,11 +56,11 @@
 		Short: "Compare two runs of the same points and seeds; what may be noise is not called a difference",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			leftHeader, left, err := experiment.ReadRun(args[0])
+			leftHeader, left, err := experiment.ReadResults(args[0])
 			if err != nil {
 				return err
 			}
-			rightHeader, right, err := experiment.ReadRun(args[1])
+			rightHeader, right, err := experiment.ReadResults(args[1])
 			if err != nil {
 				return err
 			}
@@ -101,7 +101,7 @@
 		Short: "Write a run's report: one HTML file with tables and plots",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			header, runs, err := experiment.ReadRun(args[0])
+			header, runs, err := experiment.ReadResults(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/hazelwing/lab_run.go
+++ b/cmd/hazelwing/lab_run.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return false, err
 	}
-	header, _, err := experiment.ReadRun(runPath)
+	header, _, err := experiment.ReadResults(runPath)
 	if err != nil {
 		return false, err
 	}
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -109,7 +109,7 @@
 	}); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
-	if _, _, err := ReadRun(filepath.Join(dir, "ended")); err == nil || !strings.Contains(err.Error(), "of 72 runs") {
+	if _, _, err := ReadResults(filepath.Join(dir, "ended")); err == nil || !strings.Contains(err.Error(), "of 72 runs") {
 		t.Errorf("half a run is read: %v", err)
 	}
 	if again, _ := play("ended", 4); again != one {
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	ignoreProgress := func(int, int) {}
-	if _, err := e.Execute(t.Context(), filepath.Join(dir, "other"), 1, ignoreProgress); !errors.Is(err, ErrOtherRun) {
+	if _, err := e.Execute(t.Context(), filepath.Join(dir, "other"), 1, ignoreProgress); !errors.Is(err, ErrResultsMismatch) {
 		t.Errorf("a run of something else: %v", err)
 	}
 	// Tests are built without a commit: the program's checksum tells it from another build of the same experiment.
@@ -131,7 +131,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "built"), []byte(built), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := e.Execute(t.Context(), filepath.Join(dir, "built"), 1, ignoreProgress); !errors.Is(err, ErrOtherRun) {
+	if _, err := e.Execute(t.Context(), filepath.Join(dir, "built"), 1, ignoreProgress); !errors.Is(err, ErrResultsMismatch) {
 		t.Errorf("a run of another build: %v", err)
 	}
 	v, err := Judge(e.header(), runs)
@@ -141,7 +141,7 @@
 	if !v[0].Holds || v[0].Total != 24 || v[1].Holds || v[1].HoldsOn != 0 || v[2].Total != 2 {
 		t.Errorf("%+v", v)
 	}
-	h, read, err := ReadRun(filepath.Join(dir, "one"))
+	h, read, err := ReadResults(filepath.Join(dir, "one"))
 	if err != nil || len(read) != len(runs) {
 		t.Fatal(err)
 	}
--- a/internal/simulation/experiment/results.go
+++ b/internal/simulation/experiment/results.go
@@ -26,8 +26,8 @@
 	resultsMode    = 0o644
 )
 
-// ErrOtherRun is returned by Execute where the file holds results of something else.
-var ErrOtherRun = errors.New("it holds a run of another experiment or another program")
+// ErrResultsMismatch is returned by Execute where the file holds results of something else.
+var ErrResultsMismatch = errors.New("it holds a run of another experiment or another program")
 
 // Header is the first line of a file of results.
 type Header struct {
@@ -141,12 +141,12 @@
 	first, err := in.ReadBytes('\n')
 	if errors.Is(err, io.EOF) {
 		if len(first) > 0 && !bytes.HasPrefix(append(header, '\n'), first) {
-			return nil, ErrOtherRun
+			return nil, ErrResultsMismatch
 		}
 		return nil, writeHeader(f, header)
 	}
 	if err != nil || !bytes.Equal(bytes.TrimSuffix(first, []byte("\n")), header) {
-		return nil, cmp.Or(err, ErrOtherRun)
+		return nil, cmp.Or(err, ErrResultsMismatch)
 	}
 	end := int64(len(first))
 	var runs []Run
@@ -178,8 +178,8 @@
 	return err
 }
 
-// ReadRun reads a complete file of results.
-func ReadRun(path string) (h Header, runs []Run, err error) {
+// ReadResults reads a complete file of results.
+func ReadResults(path string) (h Header, runs []Run, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return h, nil, err
--- a/internal/simulation/experiment/stored_test.go
+++ b/internal/simulation/experiment/stored_test.go
@@ -101,7 +101,7 @@
 
 // A file of results of 593ba64 is read and judged, and its lines are written as they were.
 func TestStoredRunIsReadAndWritten(t *testing.T) {
-	h, runs, err := ReadRun(filepath.Join(storedDir, storedRun))
+	h, runs, err := ReadResults(filepath.Join(storedDir, storedRun))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 	if err != nil || !bytes.HasPrefix(text, kept) {
 		t.Errorf("what was there is\n%s, %v, want\n%s", text, err, kept)
 	}
-	if _, again, err := ReadRun(path); err != nil || len(again) != 8 {
+	if _, again, err := ReadResults(path); err != nil || len(again) != 8 {
 		t.Errorf("read again: %d runs, %v", len(again), err)
 	}
 }
--- a/internal/simulation/report/report_test.go
+++ b/internal/simulation/report/report_test.go
@@ -35,7 +35,7 @@
 	if _, err := e.Execute(t.Context(), filepath.Join(dir, "run"), 2, func(int, int) {}); err != nil {
 		t.Fatal(err)
 	}
-	h, runs, err := experiment.ReadRun(filepath.Join(dir, "run"))
+	h, runs, err := experiment.ReadResults(filepath.Join(dir, "run"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/worstcase/search_test.go
+++ b/internal/simulation/worstcase/search_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, _, err := experiment.ReadRun(run)
+	h, _, err := experiment.ReadResults(run)
 	if err != nil {
 		t.Fatal(err)
 	}
