--- a/internal/simulation/experiment/claim.go
+++ b/internal/simulation/experiment/claim.go
@@ -56,13 +56,13 @@
 		return out, fmt.Errorf("on = %q is not \"each\", \"mean\" or \"most\"", c.Scope)
 	}
 	words := strings.Fields(c.Text)
-	at := slices.IndexFunc(words, func(s string) bool { return slices.Contains(operators, s) })
-	if at < 0 {
+	operatorIndex := slices.IndexFunc(words, func(s string) bool { return slices.Contains(operators, s) })
+	if operatorIndex < 0 {
 		return out, errors.New("it compares nothing: <, <=, > or >= is missing")
 	}
-	out.operator = words[at]
-	if out.left, err = parseTerm(words[:at], policies); err == nil {
-		out.right, err = parseTerm(words[at+1:], policies)
+	out.operator = words[operatorIndex]
+	if out.left, err = parseTerm(words[:operatorIndex], policies); err == nil {
+		out.right, err = parseTerm(words[operatorIndex+1:], policies)
 	}
 	return out, err
 }
--- a/internal/simulation/experiment/config.go
+++ b/internal/simulation/experiment/config.go
@@ -93,9 +93,9 @@
 }
 
 // classes are in order of their names.
-func (w *Cluster) classes() (classes []simulator.Class, err error) {
-	for _, name := range slices.Sorted(maps.Keys(w.Classes)) {
-		class, err := w.Classes[name].config(name)
+func (cluster *Cluster) classes() (classes []simulator.Class, err error) {
+	for _, name := range slices.Sorted(maps.Keys(cluster.Classes)) {
+		class, err := cluster.Classes[name].config(name)
 		if err != nil {
 			return nil, err
 		}
@@ -136,33 +136,33 @@
 }
 
 // rate is the requests a second, as written or from the load.
-func (w *Cluster) rate(nodes []simulator.Node) (float64, error) {
-	rate := w.Rate
-	if w.Load > 0 {
+func (cluster *Cluster) rate(nodes []simulator.Node) (float64, error) {
+	rate := cluster.Rate
+	if cluster.Load > 0 {
 		capacity, shares, work := 0.0, 0.0, 0.0
 		for _, n := range nodes {
 			capacity += n.Speed * float64(n.Cores)
 		}
-		for _, name := range slices.Sorted(maps.Keys(w.Classes)) {
-			class := w.Classes[name]
+		for _, name := range slices.Sorted(maps.Keys(cluster.Classes)) {
+			class := cluster.Classes[name]
 			shares += class.Share
 			work += class.Share * time.Duration(class.Work).Seconds()
 		}
-		rate = w.Load * capacity / (work / shares)
+		rate = cluster.Load * capacity / (work / shares)
 	}
-	isOneGiven := (w.Load > 0) != (w.Rate > 0)
-	if w.Clients.RecordedTraffic == "" && (math.IsNaN(rate) || !isOneGiven) {
+	isOneGiven := (cluster.Load > 0) != (cluster.Rate > 0)
+	if cluster.Clients.RecordedTraffic == "" && (math.IsNaN(rate) || !isOneGiven) {
 		return 0, errors.New("world: it needs load or rate, one of them")
 	}
 	return rate, nil
 }
 
-func (w *Cluster) clients(rate float64) (clients simulator.Clients, err error) {
-	c := &w.Clients
+func (cluster *Cluster) clients(rate float64) (clients simulator.Clients, err error) {
+	c := &cluster.Clients
 	clients = simulator.Clients{
-		Instances:         w.Instances,
+		Instances:         cluster.Instances,
 		Rate:              rate,
-		Zones:             w.Nodes.Zones,
+		Zones:             cluster.Nodes.Zones,
 		MaxCalls:          max(c.MaxCalls, 1),
 		CallDeadlineShare: c.CallDeadlineShare,
 		RetryDelay:        time.Duration(c.RetryDelay),
@@ -179,7 +179,7 @@
 		}
 	}
 	if c.ZipfExponent > 0 {
-		for i := range w.Instances {
+		for i := range cluster.Instances {
 			clients.Weights = append(clients.Weights, math.Pow(float64(i+1), -c.ZipfExponent))
 		}
 	}
@@ -203,8 +203,8 @@
 }
 
 // orDefault is a duration, or its default if it is not given.
-func orDefault(d strictdecode.Duration, otherwise time.Duration) time.Duration {
-	return cmp.Or(time.Duration(d), otherwise)
+func orDefault(d strictdecode.Duration, defaultValue time.Duration) time.Duration {
+	return cmp.Or(time.Duration(d), defaultValue)
 }
 
 func (u *EndpointUpdates) config() simulator.EndpointUpdates {
--- a/internal/simulation/experiment/execute.go
+++ b/internal/simulation/experiment/execute.go
@@ -14,9 +14,9 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-// maxAheadPerCore limits how many results a core may be ahead of the one that is written next: results would pile up
+// maxUnwrittenPerCore limits how many results a core may be ahead of the one that is written next: results would pile up
 // behind a slow one.
-const maxAheadPerCore = 4
+const maxUnwrittenPerCore = 4
 
 // task is a run to be made.
 type task struct {
@@ -58,8 +58,8 @@
 	for _, result := range pool.results {
 		select {
 		case run := <-result:
-			<-pool.ahead
-			if err := writeLine(f, run); err != nil {
+			<-pool.unwritten
+			if err := writeRun(f, run); err != nil {
 				return nil, fmt.Errorf("%s: %w", path, err)
 			}
 			runs = append(runs, run)
@@ -71,8 +71,8 @@
 	return runs, nil
 }
 
-// writeLine writes a run as a line of JSON.
-func writeLine(w io.Writer, run Run) error {
+// writeRun writes a run as a line of JSON.
+func writeRun(w io.Writer, run Run) error {
 	line, err := json.Marshal(run)
 	if err != nil {
 		return err
@@ -86,13 +86,13 @@
 	workers sync.WaitGroup
 	// results get one run each, in the order of the tasks.
 	results []chan Run
-	// ahead has an element for each task that has been handed out and not been written.
-	ahead chan struct{}
+	// unwritten has an element for each task that has been handed out and not been written.
+	unwritten chan struct{}
 }
 
 // startWorkers starts a worker a core for some tasks. They end when all tasks are done or the context ends.
 func (e *Experiment) startWorkers(ctx context.Context, cores int, tasks []task) *pool {
-	p := &pool{results: make([]chan Run, len(tasks)), ahead: make(chan struct{}, maxAheadPerCore*cores)}
+	p := &pool{results: make([]chan Run, len(tasks)), unwritten: make(chan struct{}, maxUnwrittenPerCore*cores)}
 	for i := range p.results {
 		p.results[i] = make(chan Run, 1)
 	}
@@ -101,7 +101,7 @@
 		defer close(next)
 		for i := range tasks {
 			select {
-			case p.ahead <- struct{}{}:
+			case p.unwritten <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
@@ -125,13 +125,13 @@
 // executeTask simulates one policy. A panic becomes its error, and the other runs go on.
 func (e *Experiment) executeTask(t task) (run Run) {
 	run = Run{Point: t.point, Seed: t.seed, Policy: t.policy}
-	failed := func(reason string) {
+	setError := func(reason string) {
 		run.Error = reason
 		run.Result = &simulator.Result{ViolationCount: 1, Violations: []string{reason}}
 	}
 	defer func() {
 		if x := recover(); x != nil {
-			failed(fmt.Sprint("it crashed: ", x))
+			setError(fmt.Sprint("it crashed: ", x))
 		}
 	}()
 	policy, err := baseline.New(t.policy)
@@ -139,7 +139,7 @@
 		run.Result, err = simulator.Run(e.Points[t.point].Config, policy, uint64(t.seed))
 	}
 	if err != nil {
-		failed(err.Error())
+		setError(err.Error())
 	}
 	return run
 }
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -15,9 +15,9 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-var library = flag.Bool("lab", false, "TestLibrary plays all experiments with all their seeds")
+var runWholeLibrary = flag.Bool("lab", false, "TestLibrary plays all experiments with all their seeds")
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -65,8 +65,8 @@
 // An execution is interrupted at any byte of its file, or by its context, and executed again. Lost or doubled runs
 // would falsify the verdicts. The same experiment has to give the same bytes on one core, on four, and after an
 // interruption.
-func TestSameBytes(t *testing.T) {
-	e, err := Load(write(t, "small.toml", smallExperiment))
+func TestExecuteIsReproducible(t *testing.T) {
+	e, err := Load(writeFile(t, "small.toml", smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		t.Fatalf("%+v", e.Points)
 	}
 	dir := t.TempDir()
-	play := func(name string, cores int) (string, []Run) {
+	execute := func(name string, cores int) (string, []Run) {
 		path := filepath.Join(dir, name)
 		runs, err := e.Execute(t.Context(), path, cores, func(int, int) {})
 		if err != nil {
@@ -87,8 +87,8 @@
 		}
 		return string(b), runs
 	}
-	one, runs := play("one", 1)
-	if four, _ := play("four", 4); four != one {
+	one, runs := execute("one", 1)
+	if four, _ := execute("four", 4); four != one {
 		t.Error("one core and four differ")
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -97,7 +97,7 @@
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(one[:rng.IntN(len(one))]), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if again, _ := play(name, 3); again != one {
+		if again, _ := execute(name, 3); again != one {
 			t.Errorf("cut %d: not the same after it went on", i)
 		}
 	}
@@ -112,7 +112,7 @@
 	if _, _, err := ReadResults(filepath.Join(dir, "ended")); err == nil || !strings.Contains(err.Error(), "of 72 runs") {
 		t.Errorf("half a run is read: %v", err)
 	}
-	if again, _ := play("ended", 4); again != one {
+	if again, _ := execute("ended", 4); again != one {
 		t.Error("not the same after it was ended")
 	}
 	if err := os.WriteFile(filepath.Join(dir, "other"), []byte("{\"format\":\"x\"}\n"), 0o600); err != nil {
@@ -123,12 +123,12 @@
 		t.Errorf("a run of something else: %v", err)
 	}
 	// Tests are built without a commit: the program's checksum tells it from another build of the same experiment.
-	mark := regexp.MustCompile("program [0-9a-f]{16}").FindString(e.header().Program)
-	if mark == "" {
+	checksum := regexp.MustCompile("program [0-9a-f]{16}").FindString(e.header().Program)
+	if checksum == "" {
 		t.Fatalf("the program is %q", e.header().Program)
 	}
-	built := strings.Replace(one, mark, "program 0123456789abcdef", 1)
-	if err := os.WriteFile(filepath.Join(dir, "built"), []byte(built), 0o600); err != nil {
+	otherBuild := strings.Replace(one, checksum, "program 0123456789abcdef", 1)
+	if err := os.WriteFile(filepath.Join(dir, "built"), []byte(otherBuild), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := e.Execute(t.Context(), filepath.Join(dir, "built"), 1, ignoreProgress); !errors.Is(err, ErrResultsMismatch) {
@@ -181,7 +181,7 @@
 
 // One policy is better on one seed of twenty, on which it violates a rule; one cannot be simulated at all. A claim that
 // holds by luck must not hold, and the policy with the violation has to come first.
-func TestLuckAndCrashes(t *testing.T) {
+func TestJudgeWithOutlierAndFailedRun(t *testing.T) {
 	e := &Experiment{File: File{Policies: []string{"x", "y"}, Seeds: 20}, Points: []Point{{}}}
 	for _, on := range []string{"each", "most", "mean"} {
 		e.Claims = append(e.Claims, Claim{Text: "service of x > service of y", Scope: on})
@@ -217,7 +217,7 @@
 
 // An experiment with one error is loaded. Executing what was not meant would give figures for the wrong question.
 // Load has to fail, and to name the file and the error.
-func TestFaults(t *testing.T) {
+func TestLoadReportsErrors(t *testing.T) {
 	for change, want := range map[string]string{
 		"seeds = 6|seeds = 0":                                    "seeds: 0 is not from 1",
 		"seeds = 6|sieds = 6":                                    ":3:1: no such key: sieds",
@@ -244,7 +244,7 @@
 		if text == smallExperiment {
 			t.Fatalf("%q is not in the text", old)
 		}
-		path := write(t, "x.toml", text)
+		path := writeFile(t, "x.toml", text)
 		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), want) ||
 			!strings.Contains(err.Error(), "x.toml") {
 			t.Errorf("%s: %v", change, err)
@@ -268,7 +268,7 @@
 			continue
 		}
 		t.Run(e.Name, func(t *testing.T) {
-			if !*library {
+			if !*runWholeLibrary {
 				if e.Slow {
 					t.Skip("it takes longer than a test may")
 				}
@@ -288,7 +288,7 @@
 				t.Fatal(err)
 			}
 			for _, v := range list {
-				if *library && !v.Holds {
+				if *runWholeLibrary && !v.Holds {
 					t.Errorf("%s on %s: %d of %d, worst %s", v.Text, v.Scope, v.HoldsOn, v.Total, v.Worst)
 				}
 			}
--- a/internal/simulation/experiment/load.go
+++ b/internal/simulation/experiment/load.go
@@ -45,12 +45,12 @@
 	Config  simulator.Config
 }
 
-// tree is a TOML document: its tables, arrays and values by key.
-type tree = map[string]any
+// tomlTable is a TOML document: its tables, arrays and values by key.
+type tomlTable = map[string]any
 
 // Load reads an experiment.
 func Load(path string) (*Experiment, error) {
-	document, err := loadTree(path, maxBaseDepth)
+	document, err := loadDocument(path, maxBaseDepth)
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 	if e.Hash, err = hashOf(document); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if e.File, err = decodeTree(document); err != nil {
+	if e.File, err = decodeDocument(document); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := e.validate(); err != nil {
@@ -76,7 +76,7 @@
 }
 
 // hashOf is the hash of a document and the recorded traffic that it names.
-func hashOf(document tree) (string, error) {
+func hashOf(document tomlTable) (string, error) {
 	text, err := toml.Marshal(document)
 	if err != nil {
 		return "", err
@@ -92,8 +92,8 @@
 	return hex.EncodeToString(sum[:hashLength]), nil
 }
 
-// loadTree reads a file strictly, and lays its keys over those of its base.
-func loadTree(path string, depth int) (tree, error) {
+// loadDocument reads a file strictly, and lays its keys over those of its base.
+func loadDocument(path string, depth int) (tomlTable, error) {
 	if depth == 0 {
 		return nil, fmt.Errorf("%s: bases of bases of bases: do they go in a circle?", path)
 	}
@@ -105,7 +105,7 @@
 	if err := decodeStrict(text, &file); err != nil {
 		return nil, fmt.Errorf("%s:%w", path, err)
 	}
-	document := tree{}
+	document := tomlTable{}
 	if err := toml.Unmarshal(text, &document); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -118,23 +118,23 @@
 	if file.Base == "" {
 		return document, nil
 	}
-	base, err := loadTree(filepath.Join(filepath.Dir(path), file.Base), depth-1)
+	base, err := loadDocument(filepath.Join(filepath.Dir(path), file.Base), depth-1)
 	if err != nil {
 		return nil, fmt.Errorf("%s: base: %w", path, err)
 	}
 	for _, own := range []string{"question", "found", "claim", "slow"} {
 		delete(base, own)
 	}
-	return overlay(base, document), nil
+	return mergeTables(base, document), nil
 }
 
-// overlay lays tables over each other; all other values are replaced.
-func overlay(under, over tree) tree {
-	out := maps.Clone(under)
-	for key, value := range over {
-		if table, ok := value.(tree); ok {
-			if below, ok := out[key].(tree); ok {
-				value = overlay(below, table)
+// mergeTables lays tables over each other; all other values are replaced.
+func mergeTables(base, override tomlTable) tomlTable {
+	out := maps.Clone(base)
+	for key, value := range override {
+		if table, ok := value.(tomlTable); ok {
+			if below, ok := out[key].(tomlTable); ok {
+				value = mergeTables(below, table)
 			}
 		}
 		out[key] = value
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func decodeTree(document tree) (f File, err error) {
+func decodeDocument(document tomlTable) (f File, err error) {
 	text, err := toml.Marshal(document)
 	if err != nil {
 		return f, err
@@ -185,14 +185,14 @@
 }
 
 // expandSweep makes all points of a sweep; the values of the last factor change first.
-func expandSweep(document tree, values map[string][]any) ([]Point, error) {
+func expandSweep(document tomlTable, values map[string][]any) ([]Point, error) {
 	s := &sweep{values: values}
 	err := s.expand(document, slices.Sorted(maps.Keys(values)), nil)
 	return s.points, err
 }
 
 // expand adds the points with all values of the factors that are left.
-func (s *sweep) expand(document tree, left, factors []string) error {
+func (s *sweep) expand(document tomlTable, left, factors []string) error {
 	if len(s.points) > maxPoints {
 		return fmt.Errorf("sweep: more than %d points", maxPoints)
 	}
@@ -212,8 +212,8 @@
 	return nil
 }
 
-func (s *sweep) add(document tree, factors []string) error {
-	f, err := decodeTree(document)
+func (s *sweep) add(document tomlTable, factors []string) error {
+	f, err := decodeDocument(document)
 	if err != nil {
 		return fmt.Errorf("sweep at %s: %w", strings.Join(factors, ", "), err)
 	}
@@ -226,14 +226,14 @@
 }
 
 // withValue returns a document with one value replaced. Elements of arrays are numbered from 1.
-func withValue(document tree, path []string, value any) (tree, error) {
+func withValue(document tomlTable, path []string, value any) (tomlTable, error) {
 	out := maps.Clone(document)
 	if len(path) == 1 {
 		out[path[0]] = value
 		return out, nil
 	}
 	switch inner := out[path[0]].(type) {
-	case tree:
+	case tomlTable:
 		changed, err := withValue(inner, path[1:], value)
 		out[path[0]] = changed
 		return out, err
@@ -251,7 +251,7 @@
 	if err != nil || number < 1 || number > len(array) || len(path) < 2 {
 		return nil, fmt.Errorf("there is no element %s", path[0])
 	}
-	table, ok := array[number-1].(tree)
+	table, ok := array[number-1].(tomlTable)
 	if !ok {
 		return nil, fmt.Errorf("element %s is no table", path[0])
 	}
--- a/internal/simulation/experiment/measures.go
+++ b/internal/simulation/experiment/measures.go
@@ -2,14 +2,14 @@
 
 import "hazelwing/internal/simulation/simulator"
 
-// worstSpan is how many seconds in a row worstTenSeconds looks at.
-const worstSpan = 10
+// worstWindowSeconds is how many seconds in a row worstTenSeconds looks at.
+const worstWindowSeconds = 10
 
 // measures are the figures of a result that claims and tables name.
 var measures = map[string]func(r *simulator.Result) float64{
 	"service":    func(r *simulator.Result) float64 { return r.Service },
 	"worst":      func(r *simulator.Result) float64 { return r.WorstClassService },
-	"worst10":    worstTenSeconds,
+	"worst10":    lowestServiceOfWindow,
 	"recovered":  lastQuarterService,
 	"p50":        func(r *simulator.Result) float64 { return r.P50 },
 	"p99":        func(r *simulator.Result) float64 { return r.P99 },
@@ -49,18 +49,18 @@
 	return sum / float64(max(requests, 1))
 }
 
-// worstTenSeconds is the lowest service of ten seconds in a row.
-func worstTenSeconds(r *simulator.Result) float64 {
+// lowestServiceOfWindow is the lowest service of ten seconds in a row.
+func lowestServiceOfWindow(r *simulator.Result) float64 {
 	worst, requested, earned := r.Service, 0.0, 0.0
 	for n, s := range r.Seconds {
 		requested += s.RequestedWeight
 		earned += s.RequestedWeight * s.Service
-		if n >= worstSpan {
-			old := r.Seconds[n-worstSpan]
+		if n >= worstWindowSeconds {
+			old := r.Seconds[n-worstWindowSeconds]
 			requested -= old.RequestedWeight
 			earned -= old.RequestedWeight * old.Service
 		}
-		if n >= worstSpan-1 && requested > 0 {
+		if n >= worstWindowSeconds-1 && requested > 0 {
 			worst = min(worst, earned/requested)
 		}
 	}
--- a/internal/simulation/experiment/recorded.go
+++ b/internal/simulation/experiment/recorded.go
@@ -8,9 +8,9 @@
 )
 
 // trafficPath is the file of recorded traffic that a document names; empty: none.
-func trafficPath(document tree) string {
+func trafficPath(document tomlTable) string {
 	for _, name := range []string{"world", "clients"} {
-		table, ok := document[name].(tree)
+		table, ok := document[name].(tomlTable)
 		if !ok {
 			return ""
 		}
--- a/internal/simulation/experiment/recorded_test.go
+++ b/internal/simulation/experiment/recorded_test.go
@@ -56,11 +56,11 @@
 	if again, err := Load(path); err != nil || again.Hash == e.Hash {
 		t.Errorf("another recording, the same hash: %v", err)
 	}
-	for _, spoil := range []func() error{
+	for _, damage := range []func() error{
 		func() error { return os.WriteFile(filepath.Join(dir, "day.jsonl"), []byte("{}"), 0o600) },
 		func() error { return os.Remove(filepath.Join(dir, "day.jsonl")) },
 	} {
-		if err := spoil(); err != nil {
+		if err := damage(); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "day.jsonl") {
--- a/internal/simulation/experiment/stored_test.go
+++ b/internal/simulation/experiment/stored_test.go
@@ -18,7 +18,7 @@
 
 const storedRun = "stored-c46d0c9710a5a1fa.jsonl"
 
-func stored(t *testing.T, name string) []byte {
+func readStored(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(storedDir, name))
 	if err != nil {
@@ -30,7 +30,7 @@
 // Each key of an experiment's file, by the name that it had in 593ba64, is read into the field that it was read into.
 func TestEveryKeyKeepsItsName(t *testing.T) {
 	var f File
-	if err := decodeStrict(stored(t, "every-key.toml"), &f); err != nil {
+	if err := decodeStrict(readStored(t, "every-key.toml"), &f); err != nil {
 		t.Fatal(err)
 	}
 	for _, path := range testutil.UnsetFields(f) {
@@ -38,26 +38,26 @@
 			t.Errorf("no key has set %s", path)
 		}
 	}
-	if got, want := testutil.FieldValues(f), string(stored(t, "every-key.values")); got != want {
+	if got, want := testutil.FieldValues(f), string(readStored(t, "every-key.values")); got != want {
 		t.Errorf("it is read as\n%s, want\n%s", got, want)
 	}
 }
 
-// fill gives each field, at any depth, a value of its own.
-func fill(v reflect.Value, n *int) {
+// fillWithDistinctValues gives each field, at any depth, a value of its own.
+func fillWithDistinctValues(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), n)
+			fillWithDistinctValues(v.Field(i), n)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fillWithDistinctValues(v.Elem(), n)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0), n)
-		fill(v.Index(1), n)
+		fillWithDistinctValues(v.Index(0), n)
+		fillWithDistinctValues(v.Index(1), n)
 	case reflect.String:
 		v.SetString(fmt.Sprint("text ", *n))
 	case reflect.Int:
@@ -77,8 +77,8 @@
 	var header, againHeader Header
 	var run, againRun Run
 	n := 0
-	fill(reflect.ValueOf(&header).Elem(), &n)
-	fill(reflect.ValueOf(&run).Elem(), &n)
+	fillWithDistinctValues(reflect.ValueOf(&header).Elem(), &n)
+	fillWithDistinctValues(reflect.ValueOf(&run).Elem(), &n)
 	var out []byte
 	for _, v := range []any{header, run, Header{}, Run{}} {
 		line, err := json.Marshal(v)
@@ -87,7 +87,7 @@
 		}
 		out = append(append(out, line...), '\n')
 	}
-	if want := stored(t, "run-line.json"); !bytes.Equal(out, want) {
+	if want := readStored(t, "run-line.json"); !bytes.Equal(out, want) {
 		t.Errorf("they are\n%s, want\n%s", out, want)
 	}
 	lines := bytes.Split(out, []byte("\n"))
@@ -129,7 +129,7 @@
 		}
 		enc(r)
 	}
-	if want := stored(t, storedRun); !bytes.Equal(out.Bytes(), want) {
+	if want := readStored(t, storedRun); !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("written again it is\n%s, want\n%s", out.Bytes(), want)
 	}
 	verdicts, err := Judge(h, runs)
@@ -149,15 +149,15 @@
 	if e.Hash != "c46d0c9710a5a1fa" {
 		t.Errorf("the experiment's hash is %s", e.Hash)
 	}
-	was := stored(t, storedRun)
+	storedText := readStored(t, storedRun)
 	path := filepath.Join(t.TempDir(), storedRun)
-	if err := os.WriteFile(path, was, 0o600); err != nil {
+	if err := os.WriteFile(path, storedText, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := e.Execute(context.Background(), path, 1, func(int, int) {}); err == nil {
 		t.Error("results of another program were continued")
 	}
-	if text, err := os.ReadFile(path); err != nil || !bytes.Equal(text, was) {
+	if text, err := os.ReadFile(path); err != nil || !bytes.Equal(text, storedText) {
 		t.Errorf("a refused run has changed: %v", err)
 	}
 
@@ -165,7 +165,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := bytes.SplitAfter(was, []byte("\n"))
+	lines := bytes.SplitAfter(storedText, []byte("\n"))
 	kept := append(append(head, '\n'), bytes.Join(lines[1:6], nil)...)
 	if err := os.WriteFile(path, append(bytes.Clone(kept), lines[6][:40]...), 0o600); err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 
 // Each boolean key sets its own field: among other true values a mix-up would not show.
 func TestBooleanKeysKeepTheirNames(t *testing.T) {
-	for key, of := range map[string]func(s *Settings) bool{
+	for key, field := range map[string]func(s *Settings) bool{
 		"copies":     func(s *Settings) bool { return s.Hedging },
 		"cancelling": func(s *Settings) bool { return s.Cancellation },
 		"probes":     func(s *Settings) bool { return s.Probes },
@@ -199,7 +199,7 @@
 		if err := decodeStrict([]byte("[world.settings]\n"+key+" = true\n"), &f); err != nil {
 			t.Fatal(err)
 		}
-		if !of(&f.Cluster.Settings) || len(testutil.UnsetFields(f.Cluster.Settings)) != 6 { // all others
+		if !field(&f.Cluster.Settings) || len(testutil.UnsetFields(f.Cluster.Settings)) != 6 { // all others
 			t.Errorf("%s is read as %+v", key, f.Cluster.Settings)
 		}
 	}
--- a/internal/simulation/report/plots.go
+++ b/internal/simulation/report/plots.go
@@ -23,7 +23,7 @@
 // timePlot is a figure that is drawn by the second, as the mean of the seeds.
 type timePlot struct {
 	title, axis string
-	figure      func(s simulator.Second) float64
+	value       func(s simulator.Second) float64
 }
 
 var timePlots = []timePlot{
@@ -92,7 +92,7 @@
 				if i == len(points) {
 					points = append(points, plotter.XY{X: float64(i)})
 				}
-				points[i].Y += t.figure(s) / float64(seeds)
+				points[i].Y += t.value(s) / float64(seeds)
 			}
 		}
 		if err := addLine(p, policy, points); err != nil {
--- a/internal/simulation/worstcase/sample.go
+++ b/internal/simulation/worstcase/sample.go
@@ -32,7 +32,7 @@
 	kind                 simulator.FaultKind
 	minFactor, maxFactor float64
 	maxShare             float64
-	ofZone               bool
+	affectsZone          bool
 	isRepeated           bool
 	hasDuration          bool
 }
@@ -45,8 +45,8 @@
 	{kind: simulator.FaultReplace, maxShare: 0.4},
 	{kind: simulator.FaultReset, minFactor: 0.05, maxFactor: 0.5, maxShare: 0.5, hasDuration: true},
 	{kind: simulator.FaultFlap, maxShare: 0.4, hasDuration: true, isRepeated: true},
-	{kind: simulator.FaultCut, ofZone: true, hasDuration: true},
-	{kind: simulator.FaultOneWayCut, ofZone: true, hasDuration: true},
+	{kind: simulator.FaultCut, affectsZone: true, hasDuration: true},
+	{kind: simulator.FaultOneWayCut, affectsZone: true, hasDuration: true},
 	{kind: simulator.FaultUpdatesBlocked, hasDuration: true},
 	{kind: simulator.FaultStall, maxShare: 0.5, hasDuration: true},
 	{kind: simulator.FaultCost, minFactor: 3, maxFactor: 20, maxShare: 0.05, hasDuration: true},
@@ -69,7 +69,7 @@
 
 // sample draws a case.
 func (s *searcher) sample(rng *rand.Rand) Case {
-	c := Case{Load: roundToPercent(minLoad + rng.Float64()*(maxLoad-minLoad))}
+	c := Case{Load: roundToHundredth(minLoad + rng.Float64()*(maxLoad-minLoad))}
 	for range 1 + rng.IntN(maxFaults) {
 		c.Faults = append(c.Faults, s.sampleFault(rng))
 	}
@@ -79,24 +79,24 @@
 // sampleFault draws a fault in the first part of the experiment.
 func (s *searcher) sampleFault(rng *rand.Rand) experiment.Fault {
 	length := time.Duration(s.experiment.Cluster.Duration)
-	between := func(from, span time.Duration) strictdecode.Duration {
+	sampleDuration := func(from, span time.Duration) strictdecode.Duration {
 		return strictdecode.Duration((from + time.Duration(rng.Int64N(int64(span)))).Round(timeStep))
 	}
 	template := faultTemplates[rng.IntN(len(faultTemplates))]
-	f := experiment.Fault{Kind: string(template.kind), At: between(length/10, length/2)}
+	f := experiment.Fault{Kind: string(template.kind), At: sampleDuration(length/10, length/2)}
 	if template.hasDuration {
-		f.Duration = between(time.Second, length/3)
+		f.Duration = sampleDuration(time.Second, length/3)
 	}
 	if template.maxFactor > 0 {
-		f.Factor = roundToPercent(template.minFactor + rng.Float64()*(template.maxFactor-template.minFactor))
+		f.Factor = roundToHundredth(template.minFactor + rng.Float64()*(template.maxFactor-template.minFactor))
 	}
 	if template.maxShare > 0 {
-		f.Share = max(minShare, roundToPercent(rng.Float64()*template.maxShare))
+		f.Share = max(minShare, roundToHundredth(rng.Float64()*template.maxShare))
 	}
 	if template.isRepeated {
-		f.Interval = between(minFaultInterval, faultIntervalRange)
+		f.Interval = sampleDuration(minFaultInterval, faultIntervalRange)
 	}
-	if zones := s.experiment.Cluster.Nodes.Zones; template.ofZone && len(zones) > 0 {
+	if zones := s.experiment.Cluster.Nodes.Zones; template.affectsZone && len(zones) > 0 {
 		f.Zone = zones[rng.IntN(len(zones))]
 	}
 	return f
@@ -108,7 +108,7 @@
 	switch rng.IntN(4) {
 	case 0:
 		load := c.Load + maxLoadStep*(rng.Float64()-0.5)
-		c.Load = roundToPercent(min(maxLoad, max(minLoad, load)))
+		c.Load = roundToHundredth(min(maxLoad, max(minLoad, load)))
 	case 1:
 		if len(c.Faults) < maxFaults {
 			c.Faults = append(c.Faults, s.sampleFault(rng))
@@ -126,4 +126,4 @@
 	return c
 }
 
-func roundToPercent(x float64) float64 { return math.Round(x*100) / 100 }
+func roundToHundredth(x float64) float64 { return math.Round(x*100) / 100 }
--- a/internal/simulation/worstcase/search.go
+++ b/internal/simulation/worstcase/search.go
@@ -116,8 +116,8 @@
 	}
 	c.Loss, c.Violations = 0, 0
 	for seed := uint64(1); seed <= seedsPerCase; seed++ {
-		result, err := run(config, s.options.Policy, seed)
-		baselineResult, baselineErr := run(config, s.options.Baseline, seed)
+		result, err := simulate(config, s.options.Policy, seed)
+		baselineResult, baselineErr := simulate(config, s.options.Baseline, seed)
 		if err := errors.Join(err, baselineErr); err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func run(config simulator.Config, policy string, seed uint64) (*simulator.Result, error) {
+func simulate(config simulator.Config, policy string, seed uint64) (*simulator.Result, error) {
 	newPolicy, err := baseline.New(policy)
 	if err != nil {
 		return nil, err
--- a/internal/simulation/worstcase/search_test.go
+++ b/internal/simulation/worstcase/search_test.go
@@ -24,15 +24,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{Policy: "random", Baseline: "least", Candidates: 24, Seed: 1, Cores: 2}
-	d, err := Search(t.Context(), e, o)
-	if err != nil || d.Loss < 0.02 || len(d.Faults) > maxFaults {
-		t.Fatalf("%+v, %v", d, err)
+	options := Options{Policy: "random", Baseline: "least", Candidates: 24, Seed: 1, Cores: 2}
+	worst, err := Search(t.Context(), e, options)
+	if err != nil || worst.Loss < 0.02 || len(worst.Faults) > maxFaults {
+		t.Fatalf("%+v, %v", worst, err)
 	}
-	if again, err := Search(t.Context(), e, o); err != nil || !reflect.DeepEqual(again, d) {
+	if again, err := Search(t.Context(), e, options); err != nil || !reflect.DeepEqual(again, worst) {
 		t.Errorf("another case: %+v, %v", again, err)
 	}
-	text, err := Experiment(e, o, d, dir)
+	text, err := Experiment(e, options, worst, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,12 +40,12 @@
 	if err := os.WriteFile(found, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x, err := experiment.Load(found)
+	foundExperiment, err := experiment.Load(found)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
 	run := filepath.Join(dir, "run")
-	runs, err := x.Execute(t.Context(), run, 2, func(int, int) {})
+	runs, err := foundExperiment.Execute(t.Context(), run, 2, func(int, int) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,9 +53,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := experiment.Judge(h, runs)
-	if err != nil || v[0].Holds || !v[1].Holds {
-		t.Errorf("%+v, %v\n%s", v, err, text)
+	verdicts, err := experiment.Judge(h, runs)
+	if err != nil || verdicts[0].Holds || !verdicts[1].Holds {
+		t.Errorf("%+v, %v\n%s", verdicts, err, text)
 	}
 	if _, err := Search(t.Context(), e, Options{Policy: "luck", Baseline: "least", Candidates: 1}); err == nil ||
 		!strings.Contains(err.Error(), "luck") {
--- a/internal/simulation/worstcase/shrink.go
+++ b/internal/simulation/worstcase/shrink.go
@@ -49,7 +49,7 @@
 			add(func(x *Case) { x.Faults[i].Duration = half(x.Faults[i].Duration) })
 		}
 		if c.Faults[i].Share >= minShrunkShare {
-			add(func(x *Case) { x.Faults[i].Share = roundToPercent(x.Faults[i].Share / 2) })
+			add(func(x *Case) { x.Faults[i].Share = roundToHundredth(x.Faults[i].Share / 2) })
 		}
 	}
 	return smaller
