--- a/internal/simulation/experiment/claim.go
+++ b/internal/simulation/experiment/claim.go
@@ -11,36 +11,38 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-// Scopes of claims: what a claim has to hold on.
+// The scopes of a claim.
 const (
-	scopeEach = "each" // seed
-	scopeMean = "mean" // of the seeds
-	scopeMost = "most" // seeds: a share of mostSeedsShare
+	scopeEach = "each" // the claim has to hold with each seed
+	scopeMean = "mean" // the claim has to hold for the means of the seeds
+	scopeMost = "most" // the claim has to hold with a share of at least mostSeedsShare of the seeds
 )
 
-// Claim is a claim as it is written: "MEASURE of POLICY OP TERM", where OP is <, <=, > or >=, and TERM is a number or
-// "MEASURE of POLICY", which may be multiplied by a number before it and have one added or subtracted after it:
+// Claim is a claim in the notation of an experiment's file: "TERM OP TERM", where OP is <, <=, > or >=. A term is a
+// number or "MEASURE of POLICY", which may be multiplied by a number before it and may have a number added or
+// subtracted after it:
 //
 //	service of hazelwing >= service of p2c - 0.01
 //	p99 of hazelwing <= 0.8 * p99 of round_robin
 //	breaks of hazelwing <= 0
 type Claim struct {
 	Text string `toml:"says" json:"says"`
-	// Scope is what it has to hold on: "each" seed (the default), the "mean" of the seeds, or "most" (nine in ten
-	// seeds); at every point of the sweep that Where leaves.
+	// Scope says for which seeds the claim has to hold at the points of the sweep that Where selects: "each" seed (the
+	// default), the "mean" of the seeds, or "most" (nine in ten of the seeds at all these points together).
 	Scope string `toml:"on" json:"on"`
-	// Where is "FACTOR = VALUE": the claim is for the points with it; empty: for all.
+	// Where selects the points of the sweep that have this factor, in the form "FACTOR = VALUE"; empty: all points.
 	Where string `toml:"where" json:"where"`
 }
 
-// parsedClaim is a claim: left operator right.
+// parsedClaim is a claim with its parsed comparison: left operator right.
 type parsedClaim struct {
 	Claim
 	left, right term
 	operator    string
 }
 
-// term is factor x measure of policy + offset, or offset alone.
+// term is one side of a claim: factor times the measure of the policy, plus offset. Without a measure, it is the number
+// offset.
 type term struct {
 	factor, offset  float64
 	measure, policy string
@@ -53,12 +55,12 @@
 	switch c.Scope {
 	case "", scopeEach, scopeMean, scopeMost:
 	default:
-		return out, fmt.Errorf("on = %q is not \"each\", \"mean\" or \"most\"", c.Scope)
+		return out, fmt.Errorf("on must be \"each\", \"mean\" or \"most\", got %q", c.Scope)
 	}
 	words := strings.Fields(c.Text)
 	operatorIndex := slices.IndexFunc(words, func(s string) bool { return slices.Contains(operators, s) })
 	if operatorIndex < 0 {
-		return out, errors.New("it compares nothing: <, <=, > or >= is missing")
+		return out, errors.New("no comparison operator: one of <, <=, > and >= must stand between two terms")
 	}
 	out.operator = words[operatorIndex]
 	if out.left, err = parseTerm(words[:operatorIndex], policies); err == nil {
@@ -68,25 +70,28 @@
 }
 
 func parseTerm(words, policies []string) (t term, err error) {
-	invalid := fmt.Errorf("%q is no number, and not \"[NUMBER *] MEASURE of CONTESTANT [+|- NUMBER]\"",
-		strings.Join(words, " "))
+	text := strings.Join(words, " ")
+	invalid := fmt.Errorf("term %q must be NUMBER or \"[NUMBER *] MEASURE of CONTESTANT [+|- NUMBER]\"", text)
 	t.factor = 1
 	if len(words) == 1 {
 		t.offset, err = strconv.ParseFloat(words[0], 64)
-		if err != nil || math.IsNaN(t.offset) {
+		switch {
+		case err != nil:
 			return t, invalid
+		case math.IsNaN(t.offset):
+			return t, fmt.Errorf("term %q is not a number that can be compared", text)
 		}
 		return t, nil
 	}
 	if len(words) > 2 && words[1] == "*" {
 		if t.factor, err = strconv.ParseFloat(words[0], 64); err != nil {
-			return t, invalid
+			return t, fmt.Errorf("term %q: factor must be a number, got %q", text, words[0])
 		}
 		words = words[2:]
 	}
 	if len(words) == 5 && (words[3] == "+" || words[3] == "-") {
 		if t.offset, err = strconv.ParseFloat(words[3]+words[4], 64); err != nil {
-			return t, invalid
+			return t, fmt.Errorf("term %q: offset must be a number, got %q", text, words[4])
 		}
 		words = words[:3]
 	}
@@ -97,18 +102,18 @@
 	return t, t.validate(policies)
 }
 
-// validate checks that the term's measure and policy exist.
+// validate returns an error if the term's measure does not exist, or if its policy is not one of policies.
 func (t term) validate(policies []string) error {
 	if measures[t.measure] == nil {
-		return fmt.Errorf("there is no measure %q", t.measure)
+		return unknownMeasure(t.measure)
 	}
 	if !slices.Contains(policies, t.policy) {
-		return fmt.Errorf("%q is no contestant here", t.policy)
+		return fmt.Errorf("unknown contestant %q: must be one of %s", t.policy, strings.Join(policies, ", "))
 	}
 	return nil
 }
 
-// value is the term's value with the results of all policies.
+// value returns the value of the term for the results of all policies, by the names of the policies.
 func (t term) value(results map[string]*simulator.Result) float64 {
 	if t.measure == "" {
 		return t.offset
@@ -116,7 +121,8 @@
 	return t.factor*measures[t.measure](results[t.policy]) + t.offset
 }
 
-// margin is by how much a claim holds; below 0 it does not, and at 0 only with an operator that allows it.
+// margin returns the difference of the two sides, which is positive if the claim holds and negative if it does not. If
+// it is 0, the claim holds only with <= and >=.
 func (c *parsedClaim) margin(left, right float64) (margin float64, holds bool) {
 	margin = right - left
 	if strings.HasPrefix(c.operator, ">") {
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	resamples = 2000
-	// tailShare is the share of the means on each side of the interval of 95 per cent.
+	resamples = 2000 // number of bootstrap samples
+	// tailShare is the share of the sample means that lie outside of the 95 % interval on each side.
 	tailShare = 0.025
-	// minSeeds are needed to tell a difference from noise.
+	// minSeeds is the smallest number of seeds with which a difference can be told from noise.
 	minSeeds = 5
 )
 
-// Difference is how a measure differs between two files of results with the same points and seeds.
+// Difference compares a measure of one policy at one point between two files of results with the same points and seeds.
 type Difference struct {
 	Point   int    `json:"Point"`
 	Policy  string `json:"Contestant"`
 	Measure string `json:"Measure"`
-	// Left and Right are the means of the two.
+	// Left and Right are the means of the measure over the seeds, in the first and in the second file.
 	Left  float64 `json:"Left"`
 	Right float64 `json:"Right"`
-	// Mean is that of Right - Left, seed by seed; Low and High are its interval of 95 per cent.
+	// Mean is the mean over the seeds of the difference Right - Left. Low and High limit its 95 % interval.
 	Mean float64 `json:"Mean"`
 	Low  float64 `json:"Low"`
 	High float64 `json:"High"`
-	// Differs: the interval leaves out zero; otherwise the difference may be noise.
+	// Differs reports whether the interval excludes 0. If it does not, the difference may be noise.
 	Differs bool `json:"Differs"`
 }
 
-// bootstrap is the paired bootstrap's interval of the mean of differences (Efron and Tibshirani 1993, chapter 13).
+// bootstrap returns the mean of the differences and its 95 % interval by the paired percentile bootstrap (Efron and
+// Tibshirani 1993, chapter 13). Its random numbers depend only on the number of differences.
 func bootstrap(differences []float64) (mean, low, high float64) {
 	n := float64(len(differences))
 	rng := rand.New(rand.NewPCG(1, uint64(len(differences))))
@@ -51,15 +52,20 @@
 	return mean, means[int(tailShare*resamples)], means[int((1-tailShare)*resamples)-1]
 }
 
-// Compare compares two files of results of the same points and seeds, policy by policy, in some measures.
+// Compare compares the named measures of two files of results with the same points and seeds, for each point and each
+// policy that is in both files.
 func Compare(leftHeader Header, left []Run, rightHeader Header, right []Run, names []string) ([]Difference, error) {
-	if len(leftHeader.Points) != len(rightHeader.Points) || leftHeader.Seeds != rightHeader.Seeds {
-		return nil, fmt.Errorf("%d points and %d seeds against %d and %d: the runs are of different experiments",
-			len(leftHeader.Points), leftHeader.Seeds, len(rightHeader.Points), rightHeader.Seeds)
+	if len(leftHeader.Points) != len(rightHeader.Points) {
+		return nil, fmt.Errorf("files of results must have the same points: the first has %d points, the second %d",
+			len(leftHeader.Points), len(rightHeader.Points))
+	}
+	if leftHeader.Seeds != rightHeader.Seeds {
+		return nil, fmt.Errorf("files of results must have the same seeds: the first has %d seeds, the second %d",
+			leftHeader.Seeds, rightHeader.Seeds)
 	}
 	if leftHeader.Seeds < minSeeds {
-		return nil, fmt.Errorf("%d seeds are too few to tell a difference from noise: %d at least",
-			leftHeader.Seeds, minSeeds)
+		return nil, fmt.Errorf("a comparison needs at least %d seeds to tell a difference from noise, got %d",
+			minSeeds, leftHeader.Seeds)
 	}
 	var out []Difference
 	for point := range leftHeader.Points {
@@ -71,7 +77,7 @@
 			rightResults := resultsBySeed(right, point, leftHeader.Seeds, policy)
 			for _, name := range names {
 				if measures[name] == nil {
-					return nil, fmt.Errorf("there is no measure %q", name)
+					return nil, unknownMeasure(name)
 				}
 				d := difference(name, leftResults, rightResults)
 				d.Point, d.Policy = point, policy
@@ -82,7 +88,7 @@
 	return out, nil
 }
 
-// resultsBySeed are the results of a policy at a point, in order of the seeds from 1 on.
+// resultsBySeed returns the results of a policy at a point, in the order of the seeds from 1 on.
 func resultsBySeed(runs []Run, point, seeds int, policy string) []*simulator.Result {
 	out := make([]*simulator.Result, seeds)
 	for _, r := range runs {
@@ -93,7 +99,7 @@
 	return out
 }
 
-// difference compares a measure of results with the same seeds.
+// difference compares a measure of two lists of results, whose elements at the same index have the same seed.
 func difference(name string, left, right []*simulator.Result) Difference {
 	d := Difference{Measure: name}
 	seeds := float64(len(left))
--- a/internal/simulation/experiment/config.go
+++ b/internal/simulation/experiment/config.go
@@ -2,11 +2,11 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"maps"
 	"math"
 	"slices"
+	"strings"
 	"time"
 
 	"hazelwing/balancer"
@@ -14,17 +14,17 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// Defaults of keys that are optional.
+// The defaults of optional keys.
 const (
 	defaultQueueLimit     = 64
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultIdleTimeout    = 15 * time.Second
 	defaultTick           = 5 * time.Millisecond
-	// retransmitDelay is no key: all experiments have it.
+	// retransmitDelay cannot be configured: it is the same in all experiments.
 	retransmitDelay = 200 * time.Millisecond
 )
 
-// effects are the names of effects in files.
+// effects maps the values of the key "effect".
 var effects = map[string]balancer.Effect{
 	"":       balancer.Idempotent,
 	"safe":   balancer.Idempotent,
@@ -32,7 +32,7 @@
 	"unsafe": balancer.NonIdempotent,
 }
 
-// idempotencyScopes are the names of scopes in files.
+// idempotencyScopes maps the values of the key "group".
 var idempotencyScopes = map[string]balancer.IdempotencyScope{
 	"":     balancer.ScopeAll,
 	"all":  balancer.ScopeAll,
@@ -40,10 +40,11 @@
 	"cell": balancer.ScopeCell,
 }
 
-// distributions are the names of distributions in files.
+// distributions has the values of the key "kind" of a class. The empty one stands for the default.
 var distributions = []string{"", simulator.Exponential, simulator.Fixed, simulator.LogNormal, simulator.Pareto}
 
-// Config is the simulator's configuration of a file, faults included.
+// Config returns the simulator's configuration for the cluster and the faults of the file. The configuration is
+// validated.
 func (f *File) Config() (c simulator.Config, err error) {
 	c.Duration = time.Duration(f.Cluster.Duration)
 	c.Nodes = f.Cluster.Nodes.config()
@@ -92,7 +93,7 @@
 	return nodes
 }
 
-// classes are in order of their names.
+// classes returns the classes in the order of their names.
 func (cluster *Cluster) classes() (classes []simulator.Class, err error) {
 	for _, name := range slices.Sorted(maps.Keys(cluster.Classes)) {
 		class, err := cluster.Classes[name].config(name)
@@ -107,12 +108,17 @@
 func (c Class) config(name string) (simulator.Class, error) {
 	effect, isEffect := effects[c.Effect]
 	scope, isScope := idempotencyScopes[c.IdempotencyScope]
-	if !isEffect || !isScope {
-		return simulator.Class{}, fmt.Errorf("world.class.%s: effect %q or group %q is none",
-			name, c.Effect, c.IdempotencyScope)
+	if !isEffect {
+		return simulator.Class{}, fmt.Errorf("world.class.%s: effect must be \"safe\", \"keyed\" or \"unsafe\", got %q",
+			name, c.Effect)
+	}
+	if !isScope {
+		return simulator.Class{}, fmt.Errorf("world.class.%s: group must be \"all\", \"zone\" or \"cell\", got %q",
+			name, c.IdempotencyScope)
 	}
 	if !slices.Contains(distributions, c.Distribution) {
-		return simulator.Class{}, fmt.Errorf("world.class.%s: kind %q is none", name, c.Distribution)
+		return simulator.Class{}, fmt.Errorf("world.class.%s: kind must be one of %s, got %q",
+			name, strings.Join(distributions[1:], ", "), c.Distribution)
 	}
 	return simulator.Class{
 		Class: balancer.Class{
@@ -135,7 +141,8 @@
 	}, nil
 }
 
-// rate is the requests a second, as written or from the load.
+// rate returns the rate of requests per second: the key "rate", or the rate that causes the load of the key "load" on
+// the nodes. One of the two keys has to be set, unless the requests come from recorded traffic.
 func (cluster *Cluster) rate(nodes []simulator.Node) (float64, error) {
 	rate := cluster.Rate
 	if cluster.Load > 0 {
@@ -150,9 +157,19 @@
 		}
 		rate = cluster.Load * capacity / (work / shares)
 	}
-	isOneGiven := (cluster.Load > 0) != (cluster.Rate > 0)
-	if cluster.Clients.RecordedTraffic == "" && (math.IsNaN(rate) || !isOneGiven) {
-		return 0, errors.New("world: it needs load or rate, one of them")
+	if cluster.Clients.RecordedTraffic != "" {
+		return rate, nil
+	}
+	switch {
+	case cluster.Load > 0 && cluster.Rate > 0:
+		return 0, fmt.Errorf("world: load and rate exclude each other, got load = %v and rate = %v",
+			cluster.Load, cluster.Rate)
+	case !(cluster.Load > 0) && !(cluster.Rate > 0):
+		return 0, fmt.Errorf("world: load or rate must be above 0, got load = %v and rate = %v",
+			cluster.Load, cluster.Rate)
+	case math.IsNaN(rate):
+		return 0, fmt.Errorf("world: no rate causes load = %v: nodes need a capacity, and classes a share and work",
+			cluster.Load)
 	}
 	return rate, nil
 }
@@ -202,7 +219,7 @@
 	}
 }
 
-// orDefault is a duration, or its default if it is not given.
+// orDefault returns d, or defaultValue if d is 0.
 func orDefault(d strictdecode.Duration, defaultValue time.Duration) time.Duration {
 	return cmp.Or(time.Duration(d), defaultValue)
 }
--- a/internal/simulation/experiment/execute.go
+++ b/internal/simulation/experiment/execute.go
@@ -14,17 +14,17 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-// maxUnwrittenPerCore limits how many results a core may be ahead of the one that is written next: results would pile up
-// behind a slow one.
+// maxUnwrittenPerCore limits the tasks per core that have been started and whose results have not been written. Results
+// are written in order: without a limit, they would accumulate in memory while an earlier task is slow.
 const maxUnwrittenPerCore = 4
 
-// task is a run to be made.
+// task is one simulation: a policy at a point with a seed.
 type task struct {
 	point, seed int
 	policy      string
 }
 
-// tasks are all runs, in the order of their lines.
+// tasks returns the tasks of all runs, in the order of the runs in the file of results.
 func (e *Experiment) tasks() (list []task) {
 	for p := range e.Points {
 		for s := range e.Seeds {
@@ -36,10 +36,11 @@
 	return list
 }
 
-// Execute simulates an experiment on a number of cores (0: all) and writes its runs to a file, in an order that
-// does not depend on the cores: the same experiment, program and seeds give the same bytes. Runs that an
-// interrupted execution has left in the file are kept. progress is called after each run, by one goroutine at a
-// time.
+// Execute simulates an experiment on a number of cores (0: all) and writes its runs to the file of results at path. The
+// order of the runs does not depend on the number of cores: the same experiment, program and seeds give the same bytes.
+// Runs that an interrupted execution has left in the file are kept, and only the missing ones are simulated. It returns
+// ErrResultsMismatch if the file has results of another experiment or program. It calls progress at the start and after
+// each run, from one goroutine at a time.
 func (e *Experiment) Execute(
 	ctx context.Context, path string, cores int, progress func(done, total int),
 ) (runs []Run, err error) {
@@ -81,16 +82,16 @@
 	return err
 }
 
-// pool is the workers of one execution.
+// pool has the workers of one execution.
 type pool struct {
 	workers sync.WaitGroup
-	// results get one run each, in the order of the tasks.
+	// results has a channel for each task, in the order of the tasks. Each of them receives one run.
 	results []chan Run
-	// unwritten has an element for each task that has been handed out and not been written.
+	// unwritten is a semaphore with an element for each task that has been started and whose run has not been written.
 	unwritten chan struct{}
 }
 
-// startWorkers starts a worker a core for some tasks. They end when all tasks are done or the context ends.
+// startWorkers starts one worker per core for the tasks. The workers end when all tasks are done or the context ends.
 func (e *Experiment) startWorkers(ctx context.Context, cores int, tasks []task) *pool {
 	p := &pool{results: make([]chan Run, len(tasks)), unwritten: make(chan struct{}, maxUnwrittenPerCore*cores)}
 	for i := range p.results {
@@ -122,7 +123,8 @@
 	return p
 }
 
-// executeTask simulates one policy. A panic becomes its error, and the other runs go on.
+// executeTask simulates one policy at one point with one seed. An error or a panic becomes the error of the run, so
+// that the other runs go on. The text of the error is part of the results.
 func (e *Experiment) executeTask(t task) (run Run) {
 	run = Run{Point: t.point, Seed: t.seed, Policy: t.policy}
 	setError := func(reason string) {
@@ -144,8 +146,8 @@
 	return run
 }
 
-// EstimateRemaining estimates the time to the end from how long the runs so far took: startedAt is when the execution
-// began, with initial runs that were done before.
+// EstimateRemaining estimates the time to the end of an execution from the time that the runs have taken since it began
+// at startedAt. Of the done runs, the initial ones were in the file before.
 func EstimateRemaining(startedAt time.Time, initial, done, total int) time.Duration {
 	if done <= initial {
 		return 0
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -15,7 +15,8 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-var runWholeLibrary = flag.Bool("lab", false, "TestLibrary plays all experiments with all their seeds")
+var runWholeLibrary = flag.Bool("lab", false,
+	"run all experiments of TestLibrary with all their seeds and judge their claims")
 
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
@@ -26,7 +27,7 @@
 	return path
 }
 
-// smallExperiment takes a moment.
+// smallExperiment is an experiment that runs within moments.
 const smallExperiment = `question = "?"
 contestants = ["hazelwing", "p2c", "random"]
 seeds = 6
@@ -62,9 +63,9 @@
 where = "world.load = 0.7"
 `
 
-// An execution is interrupted at any byte of its file, or by its context, and executed again. Lost or doubled runs
-// would falsify the verdicts. The same experiment has to give the same bytes on one core, on four, and after an
-// interruption.
+// The same experiment gives the same bytes on one core, on four, and after an execution that was interrupted at any
+// byte of its file or by its context. Runs that were lost or written twice would falsify the verdicts. A file of
+// another experiment or another build is not continued.
 func TestExecuteIsReproducible(t *testing.T) {
 	e, err := Load(writeFile(t, "small.toml", smallExperiment))
 	if err != nil {
@@ -72,7 +73,7 @@
 	}
 	if len(e.Points) != 4 || strings.Join(e.Points[1].Factors, ";") != "fault.1.times = 2;world.load = 0.7" ||
 		e.Points[1].Config.Faults[0].Factor != 2 {
-		t.Fatalf("%+v", e.Points)
+		t.Fatalf("points of the sweep are %+v", e.Points)
 	}
 	dir := t.TempDir()
 	execute := func(name string, cores int) (string, []Run) {
@@ -89,7 +90,7 @@
 	}
 	one, runs := execute("one", 1)
 	if four, _ := execute("four", 4); four != one {
-		t.Error("one core and four differ")
+		t.Error("results of one core and of four cores differ")
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 8 {
@@ -98,7 +99,7 @@
 			t.Fatal(err)
 		}
 		if again, _ := execute(name, 3); again != one {
-			t.Errorf("cut %d: not the same after it went on", i)
+			t.Errorf("file %d: results differ after a truncated file was continued", i)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -107,51 +108,55 @@
 			stop()
 		}
 	}); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("cancelled execution returned error %v, want context.Canceled", err)
 	}
-	if _, _, err := ReadResults(filepath.Join(dir, "ended")); err == nil || !strings.Contains(err.Error(), "of 72 runs") {
-		t.Errorf("half a run is read: %v", err)
+	_, _, err = ReadResults(filepath.Join(dir, "ended"))
+	if err == nil || !strings.Contains(err.Error(), "of 72 runs") {
+		t.Errorf("reading incomplete results gave error %v, want one with the number of runs", err)
 	}
 	if again, _ := execute("ended", 4); again != one {
-		t.Error("not the same after it was ended")
+		t.Error("results differ after a cancelled execution was continued")
 	}
 	if err := os.WriteFile(filepath.Join(dir, "other"), []byte("{\"format\":\"x\"}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	ignoreProgress := func(int, int) {}
-	if _, err := e.Execute(t.Context(), filepath.Join(dir, "other"), 1, ignoreProgress); !errors.Is(err, ErrResultsMismatch) {
-		t.Errorf("a run of something else: %v", err)
+	_, err = e.Execute(t.Context(), filepath.Join(dir, "other"), 1, ignoreProgress)
+	if !errors.Is(err, ErrResultsMismatch) {
+		t.Errorf("continuing a file of another format gave error %v, want %v", err, ErrResultsMismatch)
 	}
-	// Tests are built without a commit: the program's checksum tells it from another build of the same experiment.
+	// Tests are built without a commit, so that only the checksum distinguishes this program from another build.
 	checksum := regexp.MustCompile("program [0-9a-f]{16}").FindString(e.header().Program)
 	if checksum == "" {
-		t.Fatalf("the program is %q", e.header().Program)
+		t.Fatalf("program version %q has no checksum", e.header().Program)
 	}
 	otherBuild := strings.Replace(one, checksum, "program 0123456789abcdef", 1)
 	if err := os.WriteFile(filepath.Join(dir, "built"), []byte(otherBuild), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := e.Execute(t.Context(), filepath.Join(dir, "built"), 1, ignoreProgress); !errors.Is(err, ErrResultsMismatch) {
-		t.Errorf("a run of another build: %v", err)
+	_, err = e.Execute(t.Context(), filepath.Join(dir, "built"), 1, ignoreProgress)
+	if !errors.Is(err, ErrResultsMismatch) {
+		t.Errorf("continuing results of another build gave error %v, want %v", err, ErrResultsMismatch)
 	}
 	v, err := Judge(e.header(), runs)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !v[0].Holds || v[0].Total != 24 || v[1].Holds || v[1].HoldsOn != 0 || v[2].Total != 2 {
-		t.Errorf("%+v", v)
+		t.Errorf("verdicts are %+v", v)
 	}
 	h, read, err := ReadResults(filepath.Join(dir, "one"))
 	if err != nil || len(read) != len(runs) {
-		t.Fatal(err)
+		t.Fatalf("read %d runs, want %d; error %v", len(read), len(runs), err)
 	}
 	same, err := Compare(h, read, h, read, []string{"service"})
 	if err != nil || len(same) != 12 || same[0].Differs || same[0].Mean != 0 {
-		t.Errorf("a run beside itself: %+v, %v", same, err)
+		t.Errorf("comparison of results with themselves: %+v, error %v", same, err)
 	}
 }
 
-// Compare does not report noise as a difference, and reports a difference that is there on every seed.
+// Compare does not report noise as a difference, but reports a small difference that most seeds have. It rejects
+// results with too few seeds.
 func TestCompare(t *testing.T) {
 	h := Header{Seeds: 20, Points: [][]string{nil}, Policies: []string{"x"}}
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -167,20 +172,21 @@
 	}
 	d, err := Compare(h, left, h, noise, []string{"service"})
 	if err != nil || d[0].Differs {
-		t.Errorf("%+v, %v", d, err)
+		t.Errorf("noise was compared as %+v, error %v", d, err)
 	}
 	if d, err = Compare(h, left, h, better, []string{"service"}); err != nil || !d[0].Differs || d[0].Low <= 0 {
-		t.Errorf("%+v, %v", d, err)
+		t.Errorf("higher service was compared as %+v, error %v", d, err)
 	}
 	few := h
 	few.Seeds = 3
 	if _, err := Compare(few, left, few, noise, []string{"service"}); err == nil {
-		t.Error("three seeds tell a difference")
+		t.Error("results with three seeds were compared")
 	}
 }
 
-// One policy is better on one seed of twenty, on which it violates a rule; one cannot be simulated at all. A claim that
-// holds by luck must not hold, and the policy with the violation has to come first.
+// A policy is better than another with only one seed of twenty, with which it violates a rule. The claim that it is
+// better must not hold with any scope, and Summarise lists the policy first because of the violation. A simulation that
+// fails gives a run with an error.
 func TestJudgeWithOutlierAndFailedRun(t *testing.T) {
 	e := &Experiment{File: File{Policies: []string{"x", "y"}, Seeds: 20}, Points: []Point{{}}}
 	for _, on := range []string{"each", "most", "mean"} {
@@ -202,64 +208,72 @@
 	}
 	for _, v := range list {
 		if v.Holds || v.Scope == "each" && (v.HoldsOn != 1 || v.Total != 20) {
-			t.Errorf("%+v", v)
+			t.Errorf("verdict %+v, want one that does not hold", v)
 		}
 	}
 	s := Summarise(Header{Points: [][]string{nil}, Policies: []string{"y", "x"}}, runs)
 	if s[0].Policy != "x" || s[0].SeedsWithViolations != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("summaries are %+v, want the policy with the violation first", s)
 	}
-	e.Points[0].Config = simulator.Config{} // no nodes: it cannot be played
+	e.Points[0].Config = simulator.Config{} // cannot be simulated without nodes
 	if r := e.executeTask(task{0, 1, "p2c"}); r.Error == "" || r.Result.ViolationCount != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("run that cannot be simulated is %+v, want an error and one violation", r)
 	}
 }
 
-// An experiment with one error is loaded. Executing what was not meant would give figures for the wrong question.
-// Load has to fail, and to name the file and the error.
+// Load rejects an experiment with an error, and names the file and the error. An experiment that was executed other
+// than its author meant it would give results for another question.
 func TestLoadReportsErrors(t *testing.T) {
 	for change, want := range map[string]string{
-		"seeds = 6|seeds = 0":                                    "seeds: 0 is not from 1",
-		"seeds = 6|sieds = 6":                                    ":3:1: no such key: sieds",
-		"\"random\"|\"p2c\"":                                     "p2c is there twice",
-		"\"random\"|\"magic\"":                                   "no policy \"magic\"",
-		"question = \"?\"|":                                      "question: an experiment asks one",
-		"length = \"2s\"|length = \"soon\"":                      "invalid duration \"soon\"",
-		"length = \"2s\"|length = \"25h\"":                       "length 25h0m0s",
-		"load = 0.5|load = 0.5\nrate = 3.0":                      "load or rate, one of them",
-		"what = \"slow\"|what = \"melt\"":                        "fault 1: \"melt\" is none",
-		"what = \"slow\"|what = \"slow\"\nzone = \"nowhere\"":    "fault 1: slow: no node is in zone \"nowhere\"",
-		"what = \"slow\"|what = \"down\"":                        "fault 1: down needs a discovery",
-		"\"fault.1.times\"|\"fault.2.times\"":                    "sweep: fault.2.times: there is no element 2",
-		"\"world.load\"|\"world.lode\"":                          "no such key: world.lode",
-		"service of hazelwing >= 0|service of hazelwing is good": "claim 1",
-		"service of hazelwing >= 0|luck of hazelwing >= 0":       "no measure \"luck\"",
-		"service of hazelwing >= 0|service of least >= 0":        "\"least\" is no contestant",
-		"on = \"mean\"|on = \"sundays\"":                         "on = \"sundays\"",
-		"contestants =|base = \"absent.toml\"\ncontestants =":    "absent.toml",
-		"contestants =|base = \"x.toml\"\ncontestants =":         "circle",
+		"seeds = 6|seeds = 0":               "seeds: must be from 1 to 1000, got 0",
+		"seeds = 6|sieds = 6":               ":3:1: no such key: sieds",
+		"\"random\"|\"p2c\"":                "contestants: \"p2c\" is listed twice",
+		"\"random\"|\"magic\"":              "no policy \"magic\"",
+		"question = \"?\"|":                 "question: must not be empty",
+		"length = \"2s\"|length = \"soon\"": "invalid duration \"soon\"",
+		"length = \"2s\"|length = \"25h\"":  "length 25h0m0s",
+		"load = 0.5|load = 0.5\nrate = 3.0": "world: load and rate exclude each other, " +
+			"got load = 0.4 and rate = 3",
+		"what = \"slow\"|what = \"melt\"":                     "fault 1: \"melt\" is none",
+		"what = \"slow\"|what = \"slow\"\nzone = \"nowhere\"": "fault 1: slow: no node is in zone \"nowhere\"",
+		"what = \"slow\"|what = \"down\"":                     "fault 1: down needs a discovery",
+		"\"fault.1.times\"|\"fault.2.times\"": "sweep: fault.2.times: there is no element 2: " +
+			"elements are numbered from 1, and the array has 1",
+		"\"world.load\"|\"world.lode\"": "no such key: world.lode",
+		"service of hazelwing >= 0|service of hazelwing is good": "claim 1, \"service of hazelwing is good\": " +
+			"no comparison operator",
+		"service of hazelwing >= 0|luck of hazelwing >= 0": "unknown measure \"luck\": " +
+			"must be one of asks, attempts,",
+		"service of hazelwing >= 0|service of least >= 0": "unknown contestant \"least\": " +
+			"must be one of hazelwing, p2c, random",
+		"on = \"mean\"|on = \"sundays\"": "on must be \"each\", \"mean\" or \"most\", " +
+			"got \"sundays\"",
+		"contestants =|base = \"absent.toml\"\ncontestants =": "absent.toml",
+		"contestants =|base = \"x.toml\"\ncontestants =": "chain of base files must have at most 8 files: " +
+			"it may be a cycle",
 	} {
 		old, now, _ := strings.Cut(change, "|")
 		text := strings.Replace(smallExperiment, old, now, 1)
 		if text == smallExperiment {
-			t.Fatalf("%q is not in the text", old)
+			t.Fatalf("the experiment does not contain %q", old)
 		}
 		path := writeFile(t, "x.toml", text)
 		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), want) ||
 			!strings.Contains(err.Error(), "x.toml") {
-			t.Errorf("%s: %v", change, err)
+			t.Errorf("change %q: error %v, want one with x.toml and %q", change, err, want)
 		}
 	}
 }
 
-// The experiments of lab/ can be loaded, and the balancer violates no rule in them; with -lab all their claims are
-// judged on all their seeds:
+// The experiments of the directory lab can be loaded, and the balancer violates no rule in them. By default, the slow
+// ones are skipped, and the others run with one seed at their first point. With the flag -lab, all of them run with all
+// seeds, and their claims have to hold:
 //
 //	go test ./internal/simulation/experiment -run Library -lab -timeout 60m
 func TestLibrary(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(paths) < 20 {
-		t.Fatalf("%d experiments, %v", len(paths), err)
+		t.Fatalf("found %d experiments, want at least 20; error %v", len(paths), err)
 	}
 	for _, path := range paths {
 		e, err := Load(path)
@@ -270,7 +284,7 @@
 		t.Run(e.Name, func(t *testing.T) {
 			if !*runWholeLibrary {
 				if e.Slow {
-					t.Skip("it takes longer than a test may")
+					t.Skip("experiment is marked as slow: set the flag -lab to run it")
 				}
 				e.Seeds, e.Points = 1, e.Points[:1]
 			}
@@ -280,7 +294,7 @@
 			}
 			for _, r := range runs {
 				if r.Policy == "hazelwing" && r.Result.ViolationCount > 0 {
-					t.Errorf("seed %d: %q", r.Seed, r.Result.Violations)
+					t.Errorf("seed %d: hazelwing violated rules: %q", r.Seed, r.Result.Violations)
 				}
 			}
 			list, err := Judge(e.header(), runs)
@@ -289,7 +303,8 @@
 			}
 			for _, v := range list {
 				if *runWholeLibrary && !v.Holds {
-					t.Errorf("%s on %s: %d of %d, worst %s", v.Text, v.Scope, v.HoldsOn, v.Total, v.Worst)
+					t.Errorf("claim %q on %s holds in %d of %d cases; the worst is %s",
+						v.Text, v.Scope, v.HoldsOn, v.Total, v.Worst)
 				}
 			}
 		})
--- a/internal/simulation/experiment/file.go
+++ b/internal/simulation/experiment/file.go
@@ -1,21 +1,22 @@
 // Package experiment reads experiments from files, simulates them on all cores, and judges their claims.
 //
 // A file is TOML: a question, a cluster, the policies under comparison, factors to sweep, seeds, and claims.
-// docs/operators/lab.md describes each key. Unknown keys, values of another kind and claims that cannot be parsed are
-// errors that name the file and the line.
+// docs/operators/lab.md describes each key. Unknown keys and values of the wrong type are errors that name the file and
+// the line. Claims that cannot be parsed are errors that name the file and the claim.
 package experiment
 
 import "hazelwing/internal/strictdecode"
 
-// File is an experiment as it is written. The zero values of optional keys stand for their defaults.
+// File is the content of an experiment's file. The zero values of optional keys stand for their defaults.
 type File struct {
-	// Base is a file whose keys hold where this one has none.
+	// Base is the path of another experiment's file, relative to this one, which supplies the keys that this file
+	// lacks.
 	Base     string   `toml:"base"`
 	Question string   `toml:"question"`
 	Found    string   `toml:"found"`
 	Policies []string `toml:"contestants"`
 	Seeds    int      `toml:"seeds"`
-	// Slow: it takes more than a minute, and tests do not play it.
+	// Slow marks an experiment that takes more than a minute. TestLibrary skips it unless its flag -lab is set.
 	Slow    bool             `toml:"slow"`
 	Sweep   map[string][]any `toml:"sweep"`
 	Cluster Cluster          `toml:"world"`
@@ -23,10 +24,11 @@
 	Claims  []Claim          `toml:"claim"`
 }
 
-// Cluster is a cluster with its traffic, as it is written. Durations are as Go writes them.
+// Cluster is the TOML table of a cluster and its traffic. Durations are in the notation of Go.
 type Cluster struct {
 	Duration strictdecode.Duration `toml:"length"`
-	// Load is the work that requests need, over the capacity of the nodes; or Rate is the requests a second.
+	// Load is the work of the requests per second as a share of the nodes' capacity. Rate is the number of requests per
+	// second. Exactly one of them is set, unless the requests come from recorded traffic.
 	Load            float64          `toml:"load"`
 	Rate            float64          `toml:"rate"`
 	Instances       int              `toml:"instances"`
@@ -41,7 +43,8 @@
 	Classes         map[string]Class `toml:"class"`
 }
 
-// Nodes describes all nodes. Zones, and Speeds with their kinds, are assigned in turn.
+// Nodes is the TOML table that describes all nodes. Zones, speeds and cells are assigned to the nodes round-robin;
+// nodes of the same element of Speeds are of the same kind.
 type Nodes struct {
 	Count      int       `toml:"count"`
 	Zones      []string  `toml:"zones"`
@@ -51,12 +54,12 @@
 	Cells      int       `toml:"cells"`
 }
 
-// Clients are simulator.Clients as they are written.
+// Clients is the TOML table for simulator.Clients.
 type Clients struct {
 	MaxCalls          int                   `toml:"tries"`
 	CallDeadlineShare float64               `toml:"try_share"`
 	RetryDelay        strictdecode.Duration `toml:"wait"`
-	// ZipfExponent is that of the instances' shares of the traffic; 0: equal shares.
+	// ZipfExponent is the exponent of the Zipf distribution of the traffic over the instances; 0: equal shares.
 	ZipfExponent float64 `toml:"uneven"`
 	AffinityKeys int     `toml:"keys"`
 
@@ -68,17 +71,18 @@
 	SessionLength float64               `toml:"session"`
 	ThinkTime     strictdecode.Duration `toml:"think"`
 	ClockSkew     strictdecode.Duration `toml:"skew"`
-	// RecordedTraffic is a file beside the experiment's; empty: requests are drawn.
+	// RecordedTraffic is the path of a file of recorded requests, relative to the experiment's file; empty: requests
+	// are drawn at random.
 	RecordedTraffic string `toml:"traffic"`
 }
 
-// RatePoint is a point of the curve that the rate follows.
+// RatePoint is the TOML table of a point of the curve by which the rate changes over time.
 type RatePoint struct {
 	At     strictdecode.Duration `toml:"at"`
 	Factor float64               `toml:"times"`
 }
 
-// Network is simulator.Network as it is written.
+// Network is the TOML table for simulator.Network.
 type Network struct {
 	SameZoneLatency  strictdecode.Duration `toml:"same"`
 	CrossZoneLatency strictdecode.Duration `toml:"cross"`
@@ -89,7 +93,7 @@
 	Multiplexed      bool                  `toml:"multiplexed"`
 }
 
-// EndpointUpdates are simulator.EndpointUpdates as they are written.
+// EndpointUpdates is the TOML table for simulator.EndpointUpdates.
 type EndpointUpdates struct {
 	MinDelay       strictdecode.Duration `toml:"least"`
 	MaxDelay       strictdecode.Duration `toml:"most"`
@@ -97,7 +101,7 @@
 	Reorder        bool                  `toml:"reorder"`
 }
 
-// Discovery is simulator.Discovery as it is written.
+// Discovery is the TOML table for simulator.Discovery.
 type Discovery struct {
 	Capacity   float64               `toml:"capacity"`
 	CallCost   float64               `toml:"call"`
@@ -105,7 +109,7 @@
 	MaxBacklog float64               `toml:"overbook"`
 }
 
-// Host is simulator.Host as it is written.
+// Host is the TOML table for simulator.Host.
 type Host struct {
 	Cores       float64               `toml:"cores"`
 	QuotaPeriod strictdecode.Duration `toml:"period"`
@@ -114,7 +118,7 @@
 	ConnectCost strictdecode.Duration `toml:"connect"`
 }
 
-// Rules are simulator.Rules as it is written.
+// Rules is the TOML table for simulator.Rules.
 type Rules struct {
 	InitialCapacity  float64               `toml:"cold_from"`
 	WarmUp           strictdecode.Duration `toml:"warm_up"`
@@ -123,7 +127,7 @@
 	DrainGrace       strictdecode.Duration `toml:"drain_grace"`
 }
 
-// Settings are balancer.Settings as they are written.
+// Settings is the TOML table for balancer.Settings.
 type Settings struct {
 	Tick           strictdecode.Duration `toml:"tick"`
 	MaxAttempts    int                   `toml:"attempts"`
@@ -134,7 +138,7 @@
 	PriceCrossZone float64               `toml:"cross_zone"`
 }
 
-// Class is a class of requests as it is written.
+// Class is the TOML table of a class of requests.
 type Class struct {
 	Share              float64               `toml:"share"`
 	Weight             float64               `toml:"worth"`
@@ -150,7 +154,7 @@
 	IdempotencyWindow  strictdecode.Duration `toml:"window"`
 }
 
-// Fault is simulator.Fault as it is written.
+// Fault is the TOML table for simulator.Fault.
 type Fault struct {
 	At       strictdecode.Duration `toml:"at"`
 	Kind     string                `toml:"what"`
--- a/internal/simulation/experiment/format_test.go
+++ b/internal/simulation/experiment/format_test.go
@@ -10,7 +10,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each key of an experiment's file is read under its name and with its form.
+// Each key of an experiment's file is decoded under its name and from its notation.
 func TestExperimentFileFormatIsStable(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.toml")
 	if err != nil {
@@ -29,7 +29,7 @@
 	testutil.Golden(t, "every-key-decoded.toml", decoded)
 }
 
-// The keys of what `lab compare --json` prints are stable.
+// The JSON keys of the output of `lab compare --json` are stable.
 func TestComparisonFormatIsStable(t *testing.T) {
 	difference := Difference{
 		Point:   1,
@@ -48,7 +48,8 @@
 	testutil.Golden(t, "comparison.json", text)
 }
 
-// The keys of verdicts, headers and runs are explicit tags; stored_test.go holds the files.
+// The JSON keys of headers, runs, claims and verdicts are set by struct tags, so that renaming a field does not change
+// them. The tests in stored_test.go check the stored form.
 func TestRunNamesAreExplicit(t *testing.T) {
 	for _, v := range []any{Header{}, Run{}, Claim{}, Verdict{}} {
 		testutil.ExplicitNames(t, "json", v)
--- a/internal/simulation/experiment/load.go
+++ b/internal/simulation/experiment/load.go
@@ -22,33 +22,34 @@
 const (
 	maxPoints = 1000
 	maxSeeds  = 1000
-	// maxBaseDepth is how many files may be the base of each other.
+	// maxBaseDepth limits the number of files in a chain of bases.
 	maxBaseDepth = 8
-	// hashLength is the length of an experiment's hash in bytes.
+	// hashLength is the length in bytes of the hashes of experiments and of the program.
 	hashLength = 8
 )
 
-// Experiment is a file that was read and can be executed.
+// Experiment is an experiment that was loaded from a file and can be executed.
 type Experiment struct {
 	File
 	Path string
 	Name string
-	// Hash is of all that is executed: the keys of the file and its bases, and the recorded traffic.
+	// Hash covers everything that determines the results besides the program: the keys of the file and of its bases,
+	// and the recorded traffic.
 	Hash   string
 	Points []Point
 }
 
 // Point is a point of the sweep.
 type Point struct {
-	// Factors are "name = value", in order of the names.
+	// Factors has the values of the factors as "name = value", in the order of the names.
 	Factors []string
 	Config  simulator.Config
 }
 
-// tomlTable is a TOML document: its tables, arrays and values by key.
+// tomlTable is a TOML document or table: its tables, arrays and values by key.
 type tomlTable = map[string]any
 
-// Load reads an experiment.
+// Load reads an experiment from a file and validates it. Its errors name the file.
 func Load(path string) (*Experiment, error) {
 	document, err := loadDocument(path, maxBaseDepth)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return e, nil
 }
 
-// hashOf is the hash of a document and the recorded traffic that it names.
+// hashOf returns the hash of a document and of the file of recorded traffic that it names.
 func hashOf(document tomlTable) (string, error) {
 	text, err := toml.Marshal(document)
 	if err != nil {
@@ -92,10 +93,12 @@
 	return hex.EncodeToString(sum[:hashLength]), nil
 }
 
-// loadDocument reads a file strictly, and lays its keys over those of its base.
+// loadDocument reads a file strictly and merges its keys into those of its base. At most depth files may be in the
+// chain of bases, this file included.
 func loadDocument(path string, depth int) (tomlTable, error) {
 	if depth == 0 {
-		return nil, fmt.Errorf("%s: bases of bases of bases: do they go in a circle?", path)
+		return nil, fmt.Errorf("%s: chain of base files must have at most %d files: it may be a cycle",
+			path, maxBaseDepth)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -109,7 +112,7 @@
 	if err := toml.Unmarshal(text, &document); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if traffic := file.Cluster.Clients.RecordedTraffic; traffic != "" { // beside the file that names it
+	if traffic := file.Cluster.Clients.RecordedTraffic; traffic != "" { // the path is relative to this file
 		trafficFile := filepath.Join(filepath.Dir(path), traffic)
 		if document, err = withValue(document, []string{"world", "clients", "traffic"}, trafficFile); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
@@ -128,13 +131,14 @@
 	return mergeTables(base, document), nil
 }
 
-// mergeTables lays tables over each other; all other values are replaced.
+// mergeTables returns a copy of base in which the values of override replace those of the same keys. Tables that both
+// have are merged in the same way.
 func mergeTables(base, override tomlTable) tomlTable {
 	out := maps.Clone(base)
 	for key, value := range override {
 		if table, ok := value.(tomlTable); ok {
-			if below, ok := out[key].(tomlTable); ok {
-				value = mergeTables(below, table)
+			if baseTable, ok := out[key].(tomlTable); ok {
+				value = mergeTables(baseTable, table)
 			}
 		}
 		out[key] = value
@@ -161,51 +165,52 @@
 func (e *Experiment) validate() error {
 	switch {
 	case e.Question == "":
-		return errors.New("question: an experiment asks one")
+		return errors.New("question: must not be empty")
 	case len(e.Policies) == 0:
-		return errors.New("contestants: there are none")
+		return errors.New("contestants: must not be empty")
 	case e.Seeds < 1 || e.Seeds > maxSeeds:
-		return fmt.Errorf("seeds: %d is not from 1 to %d", e.Seeds, maxSeeds)
+		return fmt.Errorf("seeds: must be from 1 to %d, got %d", maxSeeds, e.Seeds)
 	}
 	for i, name := range e.Policies {
 		if _, err := baseline.New(name); err != nil {
 			return fmt.Errorf("contestants: %w", err)
 		}
 		if slices.Contains(e.Policies[:i], name) {
-			return fmt.Errorf("contestants: %s is there twice", name)
+			return fmt.Errorf("contestants: %q is listed twice", name)
 		}
 	}
 	return nil
 }
 
-// sweep makes the points of a document with each combination of the factors' values.
+// sweep collects the points of a document with all combinations of the values of the factors.
 type sweep struct {
-	values map[string][]any // by factor
+	values map[string][]any // the values of each factor
 	points []Point
 }
 
-// expandSweep makes all points of a sweep; the values of the last factor change first.
+// expandSweep returns all points of a sweep, in an order in which the value of the last factor changes fastest.
 func expandSweep(document tomlTable, values map[string][]any) ([]Point, error) {
 	s := &sweep{values: values}
 	err := s.expand(document, slices.Sorted(maps.Keys(values)), nil)
 	return s.points, err
 }
 
-// expand adds the points with all values of the factors that are left.
-func (s *sweep) expand(document tomlTable, left, factors []string) error {
+// expand adds the points with all combinations of the values of the remaining factors. The document has the values of
+// the other factors, which are listed in factors.
+func (s *sweep) expand(document tomlTable, remaining, factors []string) error {
 	if len(s.points) > maxPoints {
-		return fmt.Errorf("sweep: more than %d points", maxPoints)
+		return fmt.Errorf("sweep: must have at most %d points", maxPoints)
 	}
-	if len(left) == 0 {
+	if len(remaining) == 0 {
 		return s.add(document, factors)
 	}
-	for _, value := range s.values[left[0]] {
-		changed, err := withValue(document, strings.Split(left[0], "."), value)
+	for _, value := range s.values[remaining[0]] {
+		changed, err := withValue(document, strings.Split(remaining[0], "."), value)
 		if err != nil {
-			return fmt.Errorf("sweep: %s: %w", left[0], err)
+			return fmt.Errorf("sweep: %s: %w", remaining[0], err)
 		}
-		factor := fmt.Sprintf("%s = %v", left[0], value)
-		if err := s.expand(changed, left[1:], append(slices.Clone(factors), factor)); err != nil {
+		factor := fmt.Sprintf("%s = %v", remaining[0], value)
+		if err := s.expand(changed, remaining[1:], append(slices.Clone(factors), factor)); err != nil {
 			return err
 		}
 	}
@@ -225,7 +230,8 @@
 	return nil
 }
 
-// withValue returns a document with one value replaced. Elements of arrays are numbered from 1.
+// withValue returns a copy of a document in which the value at a path of keys is replaced. In the path, the elements of
+// arrays are numbered from 1.
 func withValue(document tomlTable, path []string, value any) (tomlTable, error) {
 	out := maps.Clone(document)
 	if len(path) == 1 {
@@ -242,18 +248,25 @@
 		out[path[0]] = changed
 		return out, err
 	}
-	return nil, fmt.Errorf("there is no table %s", path[0])
+	return nil, fmt.Errorf("there is no table or array of tables %q", path[0])
 }
 
-// withElementValue returns an array of tables with one value of one element replaced.
+// withElementValue returns a copy of an array of tables in which one value of one element is replaced. The path begins
+// with the number of the element.
 func withElementValue(array []any, path []string, value any) ([]any, error) {
 	number, err := strconv.Atoi(path[0])
-	if err != nil || number < 1 || number > len(array) || len(path) < 2 {
-		return nil, fmt.Errorf("there is no element %s", path[0])
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("element of an array must be given by its number, got %q", path[0])
+	case number < 1 || number > len(array):
+		return nil, fmt.Errorf("there is no element %d: elements are numbered from 1, and the array has %d",
+			number, len(array))
+	case len(path) < 2:
+		return nil, fmt.Errorf("element %d must be followed by a key", number)
 	}
 	table, ok := array[number-1].(tomlTable)
 	if !ok {
-		return nil, fmt.Errorf("element %s is no table", path[0])
+		return nil, fmt.Errorf("element %d is not a table", number)
 	}
 	changed, err := withValue(table, path[1:], value)
 	out := slices.Clone(array)
--- a/internal/simulation/experiment/measures.go
+++ b/internal/simulation/experiment/measures.go
@@ -1,11 +1,18 @@
 package experiment
 
-import "hazelwing/internal/simulation/simulator"
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
 
-// worstWindowSeconds is how many seconds in a row worstTenSeconds looks at.
+	"hazelwing/internal/simulation/simulator"
+)
+
+// worstWindowSeconds is the length of the window of lowestServiceOfWindow.
 const worstWindowSeconds = 10
 
-// measures are the figures of a result that claims and tables name.
+// measures has the functions that compute a measure of a result, by the names that claims and tables use.
 var measures = map[string]func(r *simulator.Result) float64{
 	"service":    func(r *simulator.Result) float64 { return r.Service },
 	"worst":      func(r *simulator.Result) float64 { return r.WorstClassService },
@@ -34,11 +41,19 @@
 	"breaks":     func(r *simulator.Result) float64 { return float64(r.ViolationCount) },
 }
 
+// unknownMeasure returns the error for a measure that does not exist.
+func unknownMeasure(name string) error {
+	return fmt.Errorf("unknown measure %q: must be one of %s",
+		name, strings.Join(slices.Sorted(maps.Keys(measures)), ", "))
+}
+
+// shareOfRequests returns n as a share of the requests of a result.
 func shareOfRequests(r *simulator.Result, n int) float64 {
 	return float64(n) / float64(max(r.Requests, 1))
 }
 
-// lastQuarterService is the service of the run's last quarter: it shows whether a fault that is over still has effects.
+// lastQuarterService returns the service of the run's last quarter. It shows whether a fault that has ended still has
+// effects.
 func lastQuarterService(r *simulator.Result) float64 {
 	n := len(r.Seconds)
 	sum, requests := 0.0, 0
@@ -49,7 +64,7 @@
 	return sum / float64(max(requests, 1))
 }
 
-// lowestServiceOfWindow is the lowest service of ten seconds in a row.
+// lowestServiceOfWindow returns the lowest service of all windows of worstWindowSeconds consecutive seconds.
 func lowestServiceOfWindow(r *simulator.Result) float64 {
 	worst, requested, earned := r.Service, 0.0, 0.0
 	for n, s := range r.Seconds {
--- a/internal/simulation/experiment/recorded.go
+++ b/internal/simulation/experiment/recorded.go
@@ -7,7 +7,8 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-// trafficPath is the file of recorded traffic that a document names; empty: none.
+// trafficPath returns the path of the file of recorded traffic that a document names, or an empty string if it names
+// none.
 func trafficPath(document tomlTable) string {
 	for _, name := range []string{"world", "clients"} {
 		table, ok := document[name].(tomlTable)
@@ -22,7 +23,7 @@
 	return ""
 }
 
-// loadRecorded reads recorded traffic for the simulator.
+// loadRecorded reads a file of recorded traffic and converts it for the simulator.
 func loadRecorded(path string) ([]simulator.RecordedRequest, error) {
 	t, err := emulator.LoadTraffic(path)
 	if err != nil {
@@ -31,8 +32,8 @@
 	return RecordedRequests(t), nil
 }
 
-// RecordedRequests converts recorded traffic for the simulator. Affinity keys become numbers, in order of their first
-// appearance.
+// RecordedRequests converts recorded traffic for the simulator. Affinity keys are numbered from 1 in the order of their
+// first appearance; requests without one get 0.
 func RecordedRequests(t *emulator.Traffic) (list []simulator.RecordedRequest) {
 	micros := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	keys := map[string]int{"": 0}
--- a/internal/simulation/experiment/recorded_test.go
+++ b/internal/simulation/experiment/recorded_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// Recorded traffic beside the file takes the place of drawn requests, its text is part of the hash, and an error
-// names a file that cannot be read.
+// Recorded traffic replaces the randomly drawn requests, its content is part of the experiment's hash, and the error
+// for a file that is invalid or missing names that file.
 func TestRecordedTraffic(t *testing.T) {
 	dir := t.TempDir()
 	text := strings.Replace(testutil.Experiment("?", "hazelwing", "random", 1), "load = 0.6\n", "", 1)
@@ -46,15 +46,15 @@
 	if w.Clients.ClockSkew != 2*time.Second || w.Clients.SessionLength != 3 ||
 		w.Host.QuotaPeriod != 100*time.Millisecond || !w.Network.Multiplexed ||
 		w.EndpointUpdates.DetectionDelay != time.Second || !w.EndpointUpdates.Reorder {
-		t.Errorf("%+v", w)
+		t.Errorf("configuration is %+v", w)
 	}
 	runs, err := e.Execute(t.Context(), filepath.Join(dir, "run"), 1, func(int, int) {})
 	if err != nil || runs[0].Result.Requests != n || runs[0].Result.MaxProcessorUse <= 0 {
-		t.Errorf("%v, %+v, want %d", err, runs, n)
+		t.Errorf("execution gave %+v, error %v, want %d requests and processor use above 0", runs, err, n)
 	}
 	record(2)
 	if again, err := Load(path); err != nil || again.Hash == e.Hash {
-		t.Errorf("another recording, the same hash: %v", err)
+		t.Errorf("hash did not change with the recorded traffic, error %v", err)
 	}
 	for _, damage := range []func() error{
 		func() error { return os.WriteFile(filepath.Join(dir, "day.jsonl"), []byte("{}"), 0o600) },
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "day.jsonl") {
-			t.Errorf("%v", err)
+			t.Errorf("loading with invalid or missing traffic gave error %v, want one that names day.jsonl", err)
 		}
 	}
 }
--- a/internal/simulation/experiment/results.go
+++ b/internal/simulation/experiment/results.go
@@ -26,17 +26,18 @@
 	resultsMode    = 0o644
 )
 
-// ErrResultsMismatch is returned by Execute where the file holds results of something else.
-var ErrResultsMismatch = errors.New("it holds a run of another experiment or another program")
+// ErrResultsMismatch is returned by Execute if the header of the existing file differs from that of the experiment.
+var ErrResultsMismatch = errors.New("file has results of another experiment or of another build of the program")
 
 // Header is the first line of a file of results.
 type Header struct {
 	Format   string `json:"format"`
 	Name     string `json:"name"`
 	Question string `json:"question"`
-	// Hash is the experiment's.
+	// Hash is Experiment.Hash.
 	Hash string `json:"hash"`
-	// Program is its commit, or "unknown"; with its checksum where it was built with changes or without a commit.
+	// Program is the commit of the program, or "unknown". If the program was built with uncommitted changes or without
+	// a commit, its checksum follows.
 	Program   string     `json:"commit"`
 	GoVersion string     `json:"go"`
 	Policies  []string   `json:"contestants"`
@@ -46,12 +47,13 @@
 	Claims    []Claim    `json:"claims"`
 }
 
-// Run is a line of a file of results: one policy at one point with one seed.
+// Run is a line of a file of results: the result of one policy at one point with one seed.
 type Run struct {
 	Point  int    `json:"point"`
 	Seed   int    `json:"seed"`
 	Policy string `json:"contestant"`
-	// Error says why there is no result: the policy panicked, or could not be made.
+	// Error is the reason why the simulation gave no result, such as a panic of the policy. Result then has this error
+	// as its only violation.
 	Error  string            `json:"error,omitempty"`
 	Result *simulator.Result `json:"result"`
 }
@@ -77,8 +79,8 @@
 	return h
 }
 
-// programVersion names the program by its commit and, where that is not all of it, by its own bytes too. This prevents
-// results of two builds from standing in one file.
+// programVersion returns the version for Header.Program. If the commit does not identify the program, the version has a
+// checksum of the executable too, which prevents that a file gets results of two builds.
 var programVersion = sync.OnceValue(func() string {
 	commit, isClean := vcsRevision()
 	if isClean {
@@ -96,7 +98,8 @@
 	return fmt.Sprintf("%s, program %x", commit, sum[:hashLength])
 })
 
-// vcsRevision is the commit that the program was built from, and whether it was built without changes.
+// vcsRevision returns the commit that the program was built from, or unknownVersion, and whether it was built without
+// uncommitted changes.
 func vcsRevision() (commit string, isClean bool) {
 	commit = unknownVersion
 	info, ok := debug.ReadBuildInfo()
@@ -114,7 +117,8 @@
 	return commit, isClean
 }
 
-// openResults opens a file of results and reads what is in it already. Half a line at its end is cut off.
+// openResults opens or creates a file of results and returns it with the runs that it has. An incomplete line at its
+// end is removed.
 func (e *Experiment) openResults(path string, maxRuns int) (*os.File, []Run, error) {
 	if err := os.MkdirAll(filepath.Dir(path), resultsDirMode); err != nil {
 		return nil, nil, err
@@ -130,8 +134,8 @@
 	return f, runs, nil
 }
 
-// resume reads the runs of a file and leaves it at the end of the last whole one. It writes the header if there is
-// none, or half of it.
+// resume reads the runs of a file, removes everything after the last complete run, and sets the position of the file to
+// its end. It writes the header if the file has none or an incomplete one.
 func (e *Experiment) resume(f *os.File, maxRuns int) ([]Run, error) {
 	header, err := json.Marshal(e.header())
 	if err != nil {
@@ -166,7 +170,7 @@
 	return runs, err
 }
 
-// writeHeader makes a header the only line of a file.
+// writeHeader replaces the content of a file with a header and sets the position of the file to its end.
 func writeHeader(f *os.File, header []byte) error {
 	if err := f.Truncate(0); err != nil {
 		return err
@@ -178,7 +182,8 @@
 	return err
 }
 
-// ReadResults reads a complete file of results.
+// ReadResults reads a file of results. It returns an error if the number of runs is not the one that the header
+// implies.
 func ReadResults(path string) (h Header, runs []Run, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -186,8 +191,11 @@
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
 	in := json.NewDecoder(f)
-	if err := in.Decode(&h); err != nil || h.Format != resultsFormat {
-		return h, nil, fmt.Errorf("%s: it is no run of the lab: %w", path, cmp.Or(err, errors.New(h.Format)))
+	if err := in.Decode(&h); err != nil {
+		return h, nil, fmt.Errorf("%s: invalid header of a file of results: %w", path, err)
+	}
+	if h.Format != resultsFormat {
+		return h, nil, fmt.Errorf("%s: format must be %q, got %q", path, resultsFormat, h.Format)
 	}
 	for in.More() {
 		var r Run
@@ -196,8 +204,12 @@
 		}
 		runs = append(runs, r)
 	}
-	if want := len(h.Points) * h.Seeds * len(h.Policies); len(runs) != want {
-		return h, nil, fmt.Errorf("%s: %d of %d runs: play it to its end first", path, len(runs), want)
+	switch want := len(h.Points) * h.Seeds * len(h.Policies); {
+	case len(runs) < want:
+		return h, nil, fmt.Errorf("%s: results are incomplete, with %d of %d runs: run the experiment to its end first",
+			path, len(runs), want)
+	case len(runs) > want:
+		return h, nil, fmt.Errorf("%s: file has %d runs, but its header describes %d", path, len(runs), want)
 	}
 	return h, runs, nil
 }
--- a/internal/simulation/experiment/stored_test.go
+++ b/internal/simulation/experiment/stored_test.go
@@ -13,7 +13,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// storedDir holds files that the program of 593ba64 has written: see its README.
+// storedDir has files that the program of commit 593ba64 wrote or read. Its README.md describes them.
 const storedDir = "testdata/version-593ba64"
 
 const storedRun = "stored-c46d0c9710a5a1fa.jsonl"
@@ -27,23 +27,23 @@
 	return text
 }
 
-// Each key of an experiment's file, by the name that it had in 593ba64, is read into the field that it was read into.
+// Each key that an experiment's file could have at commit 593ba64 is still decoded into the same field.
 func TestEveryKeyKeepsItsName(t *testing.T) {
 	var f File
 	if err := decodeStrict(readStored(t, "every-key.toml"), &f); err != nil {
 		t.Fatal(err)
 	}
 	for _, path := range testutil.UnsetFields(f) {
-		if path != ".Base" { // an empty one is there, since the base would be read
-			t.Errorf("no key has set %s", path)
+		if path != ".Base" { // the file sets it to an empty string: another value would have to name an existing file
+			t.Errorf("field %s was not set by any key", path)
 		}
 	}
 	if got, want := testutil.FieldValues(f), string(readStored(t, "every-key.values")); got != want {
-		t.Errorf("it is read as\n%s, want\n%s", got, want)
+		t.Errorf("every-key.toml is decoded as\n%s, want\n%s", got, want)
 	}
 }
 
-// fillWithDistinctValues gives each field, at any depth, a value of its own.
+// fillWithDistinctValues sets each field at any depth to a different value.
 func fillWithDistinctValues(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -71,8 +71,7 @@
 	}
 }
 
-// The header and a line of a run's file with a value in each field keep the bytes that they had in 593ba64, and are
-// read as what they were.
+// The header and a run with a value in each field are encoded as by commit 593ba64, and are decoded to the same values.
 func TestRunLinesKeepTheirBytes(t *testing.T) {
 	var header, againHeader Header
 	var run, againRun Run
@@ -88,18 +87,18 @@
 		out = append(append(out, line...), '\n')
 	}
 	if want := readStored(t, "run-line.json"); !bytes.Equal(out, want) {
-		t.Errorf("they are\n%s, want\n%s", out, want)
+		t.Errorf("header and run are encoded as\n%s, want\n%s", out, want)
 	}
 	lines := bytes.Split(out, []byte("\n"))
 	if err := json.Unmarshal(lines[0], &againHeader); err != nil || !reflect.DeepEqual(againHeader, header) {
-		t.Errorf("the header is read as %+v, %v", againHeader, err)
+		t.Errorf("header is decoded as %+v, error %v, want %+v", againHeader, err, header)
 	}
 	if err := json.Unmarshal(lines[1], &againRun); err != nil || !reflect.DeepEqual(againRun, run) {
-		t.Errorf("the line is read as %+v, %v", againRun, err)
+		t.Errorf("run is decoded as %+v, error %v, want %+v", againRun, err, run)
 	}
 }
 
-// A file of results of 593ba64 is read and judged, and its lines are written as they were.
+// A file of results that commit 593ba64 wrote can be read and judged, and encoding it again gives the same bytes.
 func TestStoredRunIsReadAndWritten(t *testing.T) {
 	h, runs, err := ReadResults(filepath.Join(storedDir, storedRun))
 	if err != nil {
@@ -108,7 +107,7 @@
 	if h.Name != "stored" || h.Hash != "c46d0c9710a5a1fa" || h.Seeds != 2 || len(h.Policies) != 2 ||
 		len(h.Points) != 2 ||
 		len(h.Claims) != 2 || len(h.Sources) != 2 || h.Claims[1].Where != "world.load = 0.3" || len(runs) != 8 {
-		t.Errorf("%+v, %d runs", h, len(runs))
+		t.Errorf("header is read as %+v, with %d runs", h, len(runs))
 	}
 	var out bytes.Buffer
 	enc := func(v any) {
@@ -125,29 +124,29 @@
 			r.Policy != want.policy ||
 			r.Error != "" || r.Result == nil || r.Result.Seed != uint64(want.seed) || r.Result.Requests < 100 ||
 			len(r.Result.Seconds) == 0 {
-			t.Errorf("run %d: %+v", i+1, r)
+			t.Errorf("run %d is read as %+v, want one of %+v", i+1, r, want)
 		}
 		enc(r)
 	}
 	if want := readStored(t, storedRun); !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("written again it is\n%s, want\n%s", out.Bytes(), want)
+		t.Errorf("results are encoded as\n%s, want\n%s", out.Bytes(), want)
 	}
 	verdicts, err := Judge(h, runs)
 	if err != nil || len(verdicts) != 2 || !verdicts[0].Holds || !verdicts[1].Holds {
-		t.Errorf("%+v, %v", verdicts, err)
+		t.Errorf("verdicts are %+v, error %v, want two that hold", verdicts, err)
 	}
 }
 
-// An interrupted file of results is executed further. If the hash had changed, or the results of another program were
-// continued, one file would hold figures of two programs. The hash has to be that of 593ba64, a file of another program
-// has to stay as it is, and the runs of a file with its own header have to be kept.
+// The hash of an experiment is the one that commit 593ba64 computed, since a file of results is found by it. A file of
+// another program is not changed, since it would get results of two programs. In an interrupted file of the same
+// program, the complete runs are kept and only the missing ones are simulated.
 func TestInterruptedRunIsResumed(t *testing.T) {
 	e, err := Load(filepath.Join(storedDir, "stored.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if e.Hash != "c46d0c9710a5a1fa" {
-		t.Errorf("the experiment's hash is %s", e.Hash)
+		t.Errorf("hash of the experiment is %s, want c46d0c9710a5a1fa", e.Hash)
 	}
 	storedText := readStored(t, storedRun)
 	path := filepath.Join(t.TempDir(), storedRun)
@@ -158,7 +157,7 @@
 		t.Error("results of another program were continued")
 	}
 	if text, err := os.ReadFile(path); err != nil || !bytes.Equal(text, storedText) {
-		t.Errorf("a refused run has changed: %v", err)
+		t.Errorf("rejected file of results was changed, error %v", err)
 	}
 
 	head, err := json.Marshal(e.header())
@@ -177,18 +176,19 @@
 		}
 	})
 	if err != nil || len(runs) != 8 || from != 5 {
-		t.Fatalf("%d runs, from %d on, %v", len(runs), from, err)
+		t.Fatalf("execution returned %d runs, want 8, after %d kept ones, want 5; error %v", len(runs), from, err)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil || !bytes.HasPrefix(text, kept) {
-		t.Errorf("what was there is\n%s, %v, want\n%s", text, err, kept)
+		t.Errorf("continued file is\n%s, error %v, want it to begin with\n%s", text, err, kept)
 	}
 	if _, again, err := ReadResults(path); err != nil || len(again) != 8 {
-		t.Errorf("read again: %d runs, %v", len(again), err)
+		t.Errorf("continued file is read as %d runs, want 8; error %v", len(again), err)
 	}
 }
 
-// Each boolean key sets its own field: among other true values a mix-up would not show.
+// Each boolean key sets its own field and no other one. TestEveryKeyKeepsItsName would not detect that two of them are
+// exchanged, since it sets all of them to true.
 func TestBooleanKeysKeepTheirNames(t *testing.T) {
 	for key, field := range map[string]func(s *Settings) bool{
 		"copies":     func(s *Settings) bool { return s.Hedging },
@@ -199,8 +199,9 @@
 		if err := decodeStrict([]byte("[world.settings]\n"+key+" = true\n"), &f); err != nil {
 			t.Fatal(err)
 		}
-		if !field(&f.Cluster.Settings) || len(testutil.UnsetFields(f.Cluster.Settings)) != 6 { // all others
-			t.Errorf("%s is read as %+v", key, f.Cluster.Settings)
+		// The six other fields have to be unset.
+		if !field(&f.Cluster.Settings) || len(testutil.UnsetFields(f.Cluster.Settings)) != 6 {
+			t.Errorf("key %s = true is decoded as %+v", key, f.Cluster.Settings)
 		}
 	}
 }
--- a/internal/simulation/experiment/summary.go
+++ b/internal/simulation/experiment/summary.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// Summary is a policy's results at a point, over the seeds.
+// Summary summarises the results of a policy at a point over the seeds.
 type Summary struct {
 	Point  int
 	Policy string
-	// Mean is by measure.
+	// Mean has the mean of each measure.
 	Mean map[string]float64
-	// MinService and MaxService are of the seeds.
+	// MinService and MaxService are the lowest and the highest service of a seed.
 	MinService float64
 	MaxService float64
-	// SeedsWithViolations counts the seeds on which a rule was violated, or the policy panicked.
+	// SeedsWithViolations counts the seeds with which a rule was violated or the simulation failed.
 	SeedsWithViolations int
 }
 
-// Summarise makes the table of a file of results. At each point the policies that violated a rule come first.
+// Summarise returns the summaries of all policies at all points, ordered by point. At each point the policies that
+// violated a rule come first.
 func Summarise(h Header, runs []Run) (out []Summary) {
 	for point := range h.Points {
 		first := len(out)
--- a/internal/simulation/experiment/verdict.go
+++ b/internal/simulation/experiment/verdict.go
@@ -10,22 +10,22 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-// mostSeedsShare of the seeds have to hold where a claim is on "most".
+// mostSeedsShare is the share of its cases in which a claim with the scope "most" has to hold.
 const mostSeedsShare = 0.9
 
-// Verdict says whether a claim holds.
+// Verdict reports whether a claim holds.
 type Verdict struct {
 	Text  string `json:"says"`
 	Scope string `json:"on"`
 	Holds bool   `json:"holds"`
-	// HoldsOn is on how many of Total it holds, and Worst the case with the smallest margin: the cases are the
-	// seeds at all points or, with scope "mean", the points.
+	// HoldsOn is the number of cases in which the claim holds, of Total. A case is a seed at a point or, with the scope
+	// "mean", a point. Worst describes the case with the smallest margin.
 	HoldsOn int    `json:"good"`
 	Total   int    `json:"of"`
 	Worst   string `json:"worst"`
 }
 
-// Judge judges the claims of a complete file of results.
+// Judge judges the claims of a file of results. The runs have to be complete and in order, as ReadResults returns them.
 func Judge(h Header, runs []Run) (verdicts []Verdict, err error) {
 	for i, claim := range h.Claims {
 		c, err := claim.parse(h.Policies)
@@ -37,14 +37,14 @@
 	return verdicts, nil
 }
 
-// judgement counts the cases of a claim.
+// judgement collects the cases of a claim.
 type judgement struct {
 	claim       *parsedClaim
 	verdict     Verdict
 	worstMargin float64
 }
 
-// add counts a case.
+// add counts the case at the given point and seed, with the values of the two sides of the claim.
 func (j *judgement) add(where string, left, right float64) {
 	margin, holds := j.claim.margin(left, right)
 	j.verdict.Total++
@@ -77,7 +77,7 @@
 	return v
 }
 
-// addPoint counts the seeds of a point, or their mean.
+// addPoint adds one case for each seed at a point or, with the scope "mean", one case for their mean.
 func (j *judgement) addPoint(h Header, runs []Run, point int) {
 	where := strings.Join(h.Points[point], ", ")
 	leftSum, rightSum := 0.0, 0.0
@@ -94,7 +94,8 @@
 	}
 }
 
-// results are those of all policies at a point with a seed. The runs have to be complete and in order.
+// results returns the results of all policies at a point with a seed, by policy. The runs have to be complete and in
+// order.
 func (h Header) results(runs []Run, point, seed int) map[string]*simulator.Result {
 	out := map[string]*simulator.Result{}
 	from := (point*h.Seeds + seed - 1) * len(h.Policies)
