--- a/internal/simulation/report/plots.go
+++ b/internal/simulation/report/plots.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxHeatMaps is for how many policies the requests in flight are shown.
+	// maxHeatMaps limits the number of policies whose requests in flight are drawn as a heat map.
 	maxHeatMaps = 2
 	// heatMapColours is the number of colours of a heat map.
 	heatMapColours = 64
 )
 
-// timePlot is a figure that is drawn by the second, as the mean of the seeds.
+// timePlot describes a plot of a value over the seconds of a run, as the mean of the seeds.
 type timePlot struct {
 	title, axis string
 	value       func(s simulator.Second) float64
@@ -41,7 +41,7 @@
 	},
 }
 
-// pointPlots are the plots of one point of the sweep.
+// pointPlots returns the plots for one point of the sweep.
 func pointPlots(h experiment.Header, runs []experiment.Run, point int) ([]svgPlot, error) {
 	results := resultsByPolicy(h, runs, point)
 	var plots []svgPlot
@@ -69,7 +69,7 @@
 	return plots, nil
 }
 
-// resultsByPolicy are the results of a point without an error, in the order of the policies.
+// resultsByPolicy returns the results of the runs at a point that have no error, in the order of the header's policies.
 func resultsByPolicy(h experiment.Header, runs []experiment.Run, point int) [][]*simulator.Result {
 	results := make([][]*simulator.Result, len(h.Policies))
 	for i, name := range h.Policies {
@@ -82,7 +82,7 @@
 	return results
 }
 
-// draw draws the figure with a curve for each policy.
+// draw draws the plot with a curve for each policy.
 func (t timePlot) draw(seeds int, results [][]*simulator.Result) (svgPlot, error) {
 	p := newPlot("second", t.axis)
 	for policy, list := range results {
@@ -102,7 +102,7 @@
 	return render(t.title, p)
 }
 
-// latencyPlot draws the distributions of the latencies.
+// latencyPlot draws the cumulative distribution of the latencies of each policy, as the mean of the seeds.
 func latencyPlot(results [][]*simulator.Result) (svgPlot, error) {
 	p := newPlot("ms, logarithmic", "share served within")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -126,7 +126,8 @@
 	return render("Latency of served requests, over all tries", p)
 }
 
-// heatMapOf draws the requests in flight at each node with a policy's first seed; false: there is nothing to see.
+// heatMapOf draws the requests in flight at each node over time, for the first seed of a policy. It draws nothing
+// and reports false if there is no result, if there are fewer than two seconds or nodes, or if all values are equal.
 func heatMapOf(policy string, results []*simulator.Result) (svgPlot, bool, error) {
 	if len(results) == 0 || len(results[0].Seconds) <= 1 || len(results[0].Seconds[0].InFlight) <= 1 {
 		return svgPlot{}, false, nil
@@ -143,7 +144,7 @@
 	return drawn, err == nil, err
 }
 
-// grid is the requests in flight by second and node.
+// grid has the requests in flight by second and node for a heat map.
 type grid []simulator.Second
 
 // Dims implements plotter.GridXYZ.
@@ -158,7 +159,8 @@
 // Z implements plotter.GridXYZ.
 func (g grid) Z(c, r int) float64 { return float64(g[c].InFlight[r]) }
 
-// sweepPlots are curves over the one factor of a sweep, if its values are numbers.
+// sweepPlots returns plots of some measures over the factor of a sweep. It returns none if the sweep has several
+// factors or values that are not numbers.
 func sweepPlots(h experiment.Header, rows []experiment.Summary) ([]svgPlot, error) {
 	factor, values := numericFactor(h.Points)
 	if values == nil {
@@ -185,7 +187,8 @@
 	return plots, nil
 }
 
-// numericFactor is the name and the values of the one factor of several points; nil if there is no such factor.
+// numericFactor returns the name and the values of the factor by which the points differ. The values are nil if there
+// are fewer than two points, more than one factor, or values that are not numbers.
 func numericFactor(points [][]string) (name string, values []float64) {
 	if len(points) < 2 || len(points[0]) != 1 {
 		return "", nil
@@ -201,7 +204,8 @@
 	return name, values
 }
 
-// addSweepLine adds the curve of a policy and, for the service, the range of the seeds.
+// addSweepLine adds the curve of a policy and, for the service, a vertical line over the range of the seeds at each
+// point.
 func addSweepLine(
 	p *plot.Plot, policy int, name, measure string, values []float64, rows []experiment.Summary,
 ) error {
@@ -215,12 +219,12 @@
 		if measure != "service" {
 			continue
 		}
-		seeds, err := plotter.NewLine(plotter.XYs{{X: x, Y: r.MinService}, {X: x, Y: r.MaxService}})
+		seedRange, err := plotter.NewLine(plotter.XYs{{X: x, Y: r.MinService}, {X: x, Y: r.MaxService}})
 		if err != nil {
 			return err
 		}
-		seeds.Color = policyColour(policy)
-		p.Add(seeds)
+		seedRange.Color = policyColour(policy)
+		p.Add(seedRange)
 	}
 	return addLine(p, policy, points)
 }
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the results of an experiment as one HTML file that needs no network: claims first, then tables,
-// then plots as SVG. It is legible on light and dark backgrounds.
+// Package report writes the results of an experiment as one HTML file that loads nothing else. The file has the
+// verdicts on the claims, and for each point a table and plots as SVG. It is legible on light and dark backgrounds.
 package report
 
 import (
@@ -12,7 +12,7 @@
 	"hazelwing/internal/simulation/experiment"
 )
 
-// maxViolations are listed in a report.
+// maxViolations limits the number of violations that a report lists.
 const maxViolations = 200
 
 //go:embed report.html
@@ -20,16 +20,16 @@
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"join":   func(s []string) string { return strings.Join(s, ", ") },
-	"figure": func(x float64) string { return fmt.Sprintf("%.4g", x) },
+	"format": func(x float64) string { return fmt.Sprintf("%.4g", x) },
 }).Parse(page))
 
-// tableMeasures are the columns of the tables.
+// tableMeasures has the measures that are columns of the tables.
 var tableMeasures = []string{
 	"service", "worst", "recovered", "p50", "p99", "p999", "refused", "failed", "tries", "attempts", "wasted",
 	"handshakes", "crossing", "conns", "imbalance",
 }
 
-// reportData is what the page's template gets.
+// reportData is the data for the template of the page.
 type reportData struct {
 	experiment.Header
 	Verdicts   []experiment.Verdict
@@ -46,7 +46,7 @@
 // legendEntry is a policy with its description and colour.
 type legendEntry struct{ Policy, Source, Colour string }
 
-// section is a point of the sweep.
+// section is the part of the report for one point of the sweep.
 type section struct {
 	Title string
 	Rows  []experiment.Summary
@@ -59,7 +59,8 @@
 	SVG   template.HTML
 }
 
-// Write writes the report of a complete file of results.
+// Write writes the report of a file of results. The runs have to be complete and in order, as experiment.ReadResults
+// returns them.
 func Write(out io.Writer, h experiment.Header, runs []experiment.Run) error {
 	verdicts, err := experiment.Judge(h, runs)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return pageTemplate.Execute(out, data)
 }
 
-// violations are the first ones of all runs.
+// violations returns the violations of all runs, at most maxViolations.
 func violations(h experiment.Header, runs []experiment.Run) (list []violation) {
 	for _, r := range runs {
 		for _, text := range r.Result.Violations {
--- a/internal/simulation/report/report_test.go
+++ b/internal/simulation/report/report_test.go
@@ -14,7 +14,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// The report is one page that loads nothing else, has the claims before the figures and every plot, and escapes texts.
+// The report is one page that loads nothing else, lists violations and claims before the results, has all plots, and
+// escapes texts of the experiment.
 func TestWrite(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "x.toml")
@@ -46,22 +47,23 @@
 	}
 	page := out.String()
 	if _, err := html.Parse(strings.NewReader(page)); err != nil {
-		t.Error(err)
+		t.Errorf("page is not valid HTML: %v", err)
 	}
-	// Two swatches; the sweep has three plots; each of two points six time lines, the latencies, and a map for each
-	// policy.
+	// The legend has two swatches, the sweep three plots, and each of the two points six plots over time, one of the
+	// latencies, and a heat map for each policy.
 	if n := strings.Count(page, "<svg"); n != 2+3+2*(6+1+2) || strings.Contains(page, "<?xml") {
-		t.Errorf("%d plots", n)
+		t.Errorf("page has %d SVG elements, want 23 without an XML prolog", n)
 	}
 	if regexp.MustCompile(`(?i)(src|href)=|<script|@import|url\(`).MatchString(page) {
-		t.Error("the page loads something else")
+		t.Error("page refers to another resource or has a script")
 	}
 	violation := strings.Index(page, "a &lt;script&gt; ran")
 	claims := strings.Index(page, "service of p2c &gt;= 2")
-	figures := strings.Index(page, "<h2>world.load = 0.4")
-	if violation < 0 || claims < violation || figures < claims ||
+	results := strings.Index(page, "<h2>world.load = 0.4")
+	if violation < 0 || claims < violation || results < claims ||
 		!strings.Contains(page, "Is &lt;b&gt;that&lt;/b&gt; so?") ||
 		strings.Count(page, `class="fails">fails`) != 1 || strings.Count(page, `class="holds">holds`) != 1 {
-		t.Errorf("violation at %d, claims at %d, figures at %d", violation, claims, figures)
+		t.Errorf("violation at %d, claims at %d, results at %d, want this order, an escaped question, "+
+			"one claim that holds and one that fails", violation, claims, results)
 	}
 }
--- a/internal/simulation/report/style.go
+++ b/internal/simulation/report/style.go
@@ -11,28 +11,28 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	// The format of the plots.
+	// Registers the format "svg", which render uses.
 	_ "gonum.org/v1/plot/vg/vgsvg"
 )
 
 const (
 	plotWidth  = 14 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
-	// Widths of lines, and the lengths of a dash and a gap, in points.
+	// lineWidth, dashLength and gapLength are in points.
 	lineWidth  = 1.2
 	dashLength = 3
 	gapLength  = 2
 )
 
-// policyColours distinguish policies, also for readers with a colour vision deficiency (Okabe and Ito 2008), on
-// light and dark backgrounds.
+// policyColours are the colours of the policies, in their order. They can be distinguished with a colour vision
+// deficiency (Okabe and Ito 2008) and on light and dark backgrounds.
 var policyColours = []color.NRGBA{
 	rgb(
 		0x0072b2,
 	), rgb(0xe69f00), rgb(0x009e73), rgb(0xd55e00), rgb(0xcc79a7), rgb(0x56b4e9), rgb(0x999999), rgb(0xa0a020),
 }
 
-// axisColour is of axes and labels: a grey that is legible on both backgrounds.
+// axisColour is the colour of axes and labels: a grey that is legible on light and dark backgrounds.
 var axisColour = rgb(0x808890)
 
 func rgb(x uint32) color.NRGBA {
@@ -41,7 +41,7 @@
 
 func policyColour(i int) color.NRGBA { return policyColours[i%len(policyColours)] }
 
-// cssColour is a policy's colour in CSS.
+// cssColour returns the colour of the policy with index i in the notation of CSS.
 func cssColour(i int) string {
 	c := policyColour(i)
 	return fmt.Sprintf("#%02x%02x%02x", c.R, c.G, c.B)
@@ -60,7 +60,8 @@
 	return p
 }
 
-// addLine adds the curve of a policy. The page has the legend.
+// addLine adds the curve of a policy, dashed if its colour is already that of an earlier policy. The legend is part of
+// the page, not of the plot.
 func addLine(p *plot.Plot, policy int, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
@@ -77,10 +78,10 @@
 	return nil
 }
 
-// prolog is what stands before the element in an SVG file.
+// prolog matches the part of an SVG file up to the name of its root element.
 var prolog = regexp.MustCompile(`(?s)^.*?<svg`)
 
-// render draws a plot as an SVG element.
+// render returns a plot as an SVG element without the prolog of an SVG file, so that it can stand in HTML.
 func render(title string, p *plot.Plot) (svgPlot, error) {
 	w, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
@@ -90,6 +91,7 @@
 	if _, err := w.WriteTo(&b); err != nil {
 		return svgPlot{}, err
 	}
-	// The library made it from numbers and from names that were validated with the file: none of it is a script.
+	// The SVG is safe to embed: the library generated it from numbers and from names that were validated when the
+	// experiment was loaded, so that it contains no script.
 	return svgPlot{title, template.HTML(prolog.ReplaceAllString(b.String(), "<svg"))}, nil
 }
--- a/internal/simulation/slope/forecast.go
+++ b/internal/simulation/slope/forecast.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Forecast compares the prediction that a fit to smaller sizes makes for a larger size to what was measured there.
+// Forecast compares the value that a fit to smaller sizes predicts for a larger size with the measured value.
 type Forecast struct {
 	Size                int // number of members
 	Measured, Predicted float64
@@ -24,8 +24,9 @@
 	return (f.Predicted - f.Measured) / f.Measured
 }
 
-// Extrapolate fits a model to the points of sizes up to maxFittedSize and predicts the larger sizes, each of which is
-// compared to the mean of its points. The forecasts are ordered by size. It returns New's errors.
+// Extrapolate fits a model to the points of sizes up to maxFittedSize and predicts the values of the larger sizes. Each
+// prediction is compared with the mean of the points of its size. The forecasts are ordered by size. The errors are
+// those of New.
 func Extrapolate(points []Point, maxFittedSize int) (Fit, []Forecast, error) {
 	var fitted []Point
 	sum, count := map[int]float64{}, map[int]float64{}
--- a/internal/simulation/slope/slope.go
+++ b/internal/simulation/slope/slope.go
@@ -1,10 +1,10 @@
-// Package slope describes how a figure grows with the number of members: as the sum of a constant, a part that grows
-// with log n and a part that grows with n. None of them is negative; they are fitted by least squares. The package
-// computes on numbers and does no I/O.
+// Package slope fits how a measured value grows with the number of members n. The model is the sum of a constant, a
+// part that is proportional to log n, and a part that is proportional to n. None of the parts is negative. They are
+// fitted by least squares. The package computes on numbers and does no I/O.
 //
-// The fit minimizes relative errors, since the figures span an order of magnitude and their noise is proportional to
-// them: each point is weighted by the inverse of its value. Of the models whose largest relative residual is within the
-// noise, the one with the fewest parts is taken.
+// The fit minimizes relative errors: each point is weighted by the inverse of its value. The values span an order of
+// magnitude, and their noise is proportional to them. Of the models whose largest relative residual is within the
+// noise, the one with the fewest parts is chosen.
 package slope
 
 import (
@@ -17,10 +17,10 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Point is a figure measured with a number of members.
+// Point is a value measured with a number of members.
 type Point struct {
 	Size  int     // number of members, at least 1
-	Value float64 // the figure in any unit, finite and not negative
+	Value float64 // measured value in any unit, finite and not negative
 }
 
 // Model is the function Const + Log x log2 n + Linear x n of the number of members n.
@@ -55,16 +55,16 @@
 // Fit is a model fitted to points.
 type Fit struct {
 	Model
-	Residual     float64 // the largest residual, relative to the measured value
-	ExceedsNoise bool    // Residual is larger than the noise explains: no model of these parts fits
-	Sizes        int     // the number of different sizes that the fit is based on
+	Residual     float64 // largest residual, relative to the measured value
+	ExceedsNoise bool    // whether Residual is larger than the noise, so that no model of these parts fits
+	Sizes        int     // number of different sizes that the fit is based on
 }
 
-// Tolerance is the relative residual that is attributed to noise. Where a size was measured more than once, twice the
-// largest relative deviation of a point from the mean of its size is used instead if it is larger.
+// Tolerance is the smallest relative residual that is attributed to noise. If sizes were measured more than once, twice
+// the largest relative deviation of a point from the mean of its size is used instead if it is larger.
 const Tolerance = 0.05
 
-// maxWeightRatio is the largest ratio of a point's weight to that of the point with the largest value.
+// maxWeightRatio limits the ratio of a point's weight to the weight of the point with the largest value.
 const maxWeightRatio = 100
 
 // basis has the functions of the number of members that a model combines, in the order of Model's fields.
@@ -74,11 +74,11 @@
 	func(n float64) float64 { return n },
 }
 
-// errNoSolution is returned by solve if there is no model of the chosen parts with factors that are not negative.
-var errNoSolution = errors.New("no model with factors of 0 and more")
+// errNoSolution is returned by solve if no model of the chosen parts has only factors that are not negative.
+var errNoSolution = errors.New("no least-squares solution without negative factors")
 
 // New fits a model to points. It returns an error if the points have fewer than two sizes, or if one of them is
-// invalid.
+// invalid. The texts of these errors are part of the output of the command "lab slopes".
 func New(points []Point) (Fit, error) {
 	valuesBySize := map[int][]float64{}
 	for _, p := range points {
@@ -93,7 +93,7 @@
 	allowed := noise(valuesBySize)
 	weights := inverseWeights(points)
 	best := Fit{Residual: math.Inf(1)}
-	// A model with as many parts as there are sizes would pass through all points whatever they are.
+	// A model with as many parts as there are sizes would fit any values and predict nothing.
 	for parts := 1; parts <= min(len(basis), len(valuesBySize)-1); parts++ {
 		best = bestFit(best, points, weights, parts)
 		if best.Residual <= allowed {
@@ -122,7 +122,7 @@
 	return best
 }
 
-// basisIndexes returns the positions of the bits that are set.
+// basisIndexes returns the indexes of the functions in basis whose bits are set.
 func basisIndexes(set uint) []int {
 	var indexes []int
 	for i := range basis {
@@ -133,7 +133,8 @@
 	return indexes
 }
 
-// noise returns the relative residual that the points' own scatter explains, at least Tolerance.
+// noise returns the relative residual that is attributed to noise: Tolerance, or more if the values of a size scatter
+// more.
 func noise(valuesBySize map[int][]float64) float64 {
 	allowed := Tolerance
 	for _, values := range valuesBySize {
@@ -152,7 +153,7 @@
 }
 
 // inverseWeights returns the inverse of each point's value. The weights of values of 0 or close to it are limited by
-// maxWeightRatio. This prevents a division by 0, and that a single such point determines the fit.
+// maxWeightRatio. This prevents a division by 0, and prevents that a single such point determines the fit.
 func inverseWeights(points []Point) []float64 {
 	largest := 0.0
 	for _, p := range points {
--- a/internal/simulation/slope/slope_test.go
+++ b/internal/simulation/slope/slope_test.go
@@ -22,14 +22,14 @@
 	return points
 }
 
-// A figure with known parts is fitted by these parts, also with noise of one per cent, and the small sizes predict the
-// large ones.
+// Values of a function with known parts are fitted by exactly these parts, even with noise of 1 %, and the fit to small
+// sizes predicts the large ones.
 func TestNewFindsKnownParts(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		function func(n float64) float64
 		spread   float64
-		// The parts that the fit must have; it must have no others.
+		// Whether the fit must have each part. It must have no other parts.
 		wantConst, wantLog, wantLinear bool
 	}{
 		{"zero", func(float64) float64 { return 0 }, 0, false, false, false},
@@ -46,16 +46,17 @@
 			points := samplePoints(test.function, test.spread)
 			fit, err := New(points)
 			if err != nil || fit.ExceedsNoise {
-				t.Errorf("fit %+v, error %v", fit, err)
+				t.Errorf("fit %+v, error %v, want one within the noise", fit, err)
 			}
 			if (fit.Const > 0) != test.wantConst ||
 				(fit.Log > 0) != test.wantLog ||
 				(fit.Linear > 0) != test.wantLinear {
-				t.Errorf("fitted as %v", fit)
+				t.Errorf("fit %v, want parts const %v, log %v, linear %v",
+					fit, test.wantConst, test.wantLog, test.wantLinear)
 			}
 			_, forecasts, err := Extrapolate(points, 295)
 			if err != nil || len(forecasts) != 2 || forecasts[0].Size != 590 || forecasts[1].Size != 1180 {
-				t.Fatalf("forecasts %v, error %v", forecasts, err)
+				t.Fatalf("forecasts %v, error %v, want sizes 590 and 1180", forecasts, err)
 			}
 			for _, f := range forecasts {
 				if math.Abs(f.RelativeError()) > maxForecastError {
@@ -70,14 +71,15 @@
 func TestNewFindsFactors(t *testing.T) {
 	fit, err := New(samplePoints(func(n float64) float64 { return 100 + 0.5*n }, 0))
 	if err != nil || math.Abs(fit.Const-100) > 1e-6 || math.Abs(fit.Linear-0.5) > 1e-9 {
-		t.Errorf("fit %+v, error %v", fit, err)
+		t.Errorf("fit %+v, error %v, want const 100, linear 0.5", fit, err)
 	}
 	if fit.String() != "100 + 0.5 n" || fit.Sizes != len(testSizes) {
-		t.Errorf("fit %v of %d sizes", fit, fit.Sizes)
+		t.Errorf("fit %v of %d sizes, want 100 + 0.5 n of %d sizes", fit, fit.Sizes, len(testSizes))
 	}
 }
 
-// A figure that grows differently beyond the fitted sizes is not predicted: the comparison can fail.
+// The forecasts show it if a value grows differently beyond the fitted sizes, or in another way than the model can
+// describe: they then have a large error.
 func TestExtrapolateMissesOtherGrowth(t *testing.T) {
 	for name, function := range map[string]func(n float64) float64{
 		"square beyond the fit": func(n float64) float64 { return 100 + n + max(0, n-295)*max(0, n-295)/100 },
@@ -97,26 +99,28 @@
 				largest = max(largest, math.Abs(f.RelativeError()))
 			}
 			if largest <= maxForecastError {
-				t.Errorf("predicted within %.2f: %+v", largest, forecasts)
+				t.Errorf("largest error of the forecasts is %.2f, want more than %.2f: %+v",
+					largest, maxForecastError, forecasts)
 			}
 		})
 	}
 }
 
-// A figure that no model without negative factors fits is reported, and measured noise is tolerated.
+// ExceedsNoise is set if no model without negative factors fits the values. It is not set for the scatter of repeated
+// measurements.
 func TestNewReportsExceededNoise(t *testing.T) {
 	fit, err := New(samplePoints(func(n float64) float64 { return 1000 / n }, 0))
 	if err != nil || !fit.ExceedsNoise || fit.Linear != 0 || fit.Log != 0 {
-		t.Errorf("decreasing figure: fit %+v, error %v", fit, err)
+		t.Errorf("decreasing values: fit %+v, error %v, want ExceedsNoise", fit, err)
 	}
 	repeated := []Point{{74, 90}, {74, 110}, {148, 90}, {148, 110}, {295, 105}, {295, 95}}
 	fit, err = New(repeated)
 	if err != nil || fit.ExceedsNoise || math.Abs(fit.Const-100) > 3 || fit.Log+fit.Linear != 0 {
-		t.Errorf("constant measured twice: fit %+v, error %v", fit, err)
+		t.Errorf("noisy constant measured twice: fit %+v, error %v, want const 100 within the noise", fit, err)
 	}
 }
 
-// Too few sizes and invalid points are errors, since a fit to them could not be told from noise.
+// New returns an error for fewer than two sizes, since any model would fit them, and for invalid points.
 func TestNewRejectsUnusablePoints(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -131,11 +135,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if fit, err := New(test.points); err == nil {
-				t.Errorf("%v fitted as %+v", test.points, fit)
+				t.Errorf("points %v were fitted as %+v, want an error", test.points, fit)
 			}
 		})
 	}
 	if _, _, err := Extrapolate([]Point{{295, 1}, {590, 2}}, 295); err == nil {
-		t.Error("a single fitted size gave forecasts")
+		t.Error("fit to a single size gave forecasts, want an error")
 	}
 }
--- a/internal/simulation/worstcase/sample.go
+++ b/internal/simulation/worstcase/sample.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// maxFaults are drawn for a case, and a load from minLoad to maxLoad.
+	// maxFaults limits the number of faults of a case; minLoad and maxLoad limit its load.
 	maxFaults = 5
 	minLoad   = 0.3
 	maxLoad   = 0.95
-	// maxLoadStep is the range of a mutation's change of the load.
+	// maxLoadStep is the width of the range of load changes: a mutation changes the load by up to half of it up or
+	// down.
 	maxLoadStep = 0.1
 	// minShare is the smallest share of nodes that is drawn.
 	minShare = 0.01
 	// timeStep is the precision of drawn times.
 	timeStep = 100 * time.Millisecond
-	// minFaultInterval and faultIntervalRange limit the intervals of repeated faults.
+	// Intervals of repeated faults are drawn from minFaultInterval up to minFaultInterval + faultIntervalRange.
 	minFaultInterval   = 200 * time.Millisecond
 	faultIntervalRange = 2 * time.Second
 )
 
-// faultTemplate is a kind of fault that is drawn, and the limits of its fields; those with a limit of 0 are not drawn.
+// faultTemplate is a kind of fault, with the limits between which the fields of its faults are drawn. The factor and
+// the share are not drawn if their upper limit is 0.
 type faultTemplate struct {
 	kind                 simulator.FaultKind
 	minFactor, maxFactor float64
@@ -52,7 +54,7 @@
 	{kind: simulator.FaultCost, minFactor: 3, maxFactor: 20, maxShare: 0.05, hasDuration: true},
 }
 
-// sampleBatch draws cases; every other one is a mutation of the worst one so far, if there is one.
+// sampleBatch draws a batch of cases. If there is a worst case already, every second one is a mutation of it.
 func (s *searcher) sampleBatch(rng *rand.Rand, worst Case, size int) []Case {
 	var cases []Case
 	for range size {
@@ -67,7 +69,7 @@
 	return cases
 }
 
-// sample draws a case.
+// sample draws a case at random.
 func (s *searcher) sample(rng *rand.Rand) Case {
 	c := Case{Load: roundToHundredth(minLoad + rng.Float64()*(maxLoad-minLoad))}
 	for range 1 + rng.IntN(maxFaults) {
@@ -76,7 +78,7 @@
 	return c
 }
 
-// sampleFault draws a fault in the first part of the experiment.
+// sampleFault draws a fault that begins after the first tenth and before 60 % of the experiment's duration.
 func (s *searcher) sampleFault(rng *rand.Rand) experiment.Fault {
 	length := time.Duration(s.experiment.Cluster.Duration)
 	sampleDuration := func(from, span time.Duration) strictdecode.Duration {
@@ -102,7 +104,8 @@
 	return f
 }
 
-// mutate changes a case's load, or adds, removes or replaces one of its faults.
+// mutate returns a copy of a case in which the load is changed, or one fault is added, removed or replaced. The copy is
+// unchanged if the number of faults allows no addition or removal.
 func (s *searcher) mutate(rng *rand.Rand, c Case) Case {
 	c.Faults = slices.Clone(c.Faults)
 	switch rng.IntN(4) {
--- a/internal/simulation/worstcase/search.go
+++ b/internal/simulation/worstcase/search.go
@@ -1,7 +1,7 @@
-// Package worstcase searches for the faults and the load with which a policy loses most against a baseline, or
-// violates a rule: it draws faults and loads for the cluster of an experiment, keeps the worst case, shrinks it to
-// the smallest one that still has the effect, and writes it as an experiment of its own. The same experiment, seed
-// and number of candidates find the same case.
+// Package worstcase searches for the faults and the load with which a policy has the largest loss of service against a
+// baseline, or violates a rule. It draws random faults and loads for the cluster of an experiment, keeps the worst
+// case, shrinks it to a smaller one that still has most of the loss, and encodes it as an experiment of its own. The
+// same experiment, seed, number of candidates and number of cores find the same case.
 package worstcase
 
 import (
@@ -19,40 +19,41 @@
 )
 
 const (
-	// randomStream is the stream of a seed that candidates are drawn from.
+	// randomStream is the second seed of the random number generator that candidates are drawn from.
 	randomStream = 0x68756e74
-	// seedsPerCase is with how many seeds each case is simulated.
+	// seedsPerCase is the number of seeds with which each case is simulated.
 	seedsPerCase = 3
-	// violationLoss is added to the loss of a case with a violation.
+	// violationLoss is added to the loss of a case with a violation, so that it ranks above cases without one.
 	violationLoss = 10
-	// candidatesPerCore are drawn at a time.
+	// candidatesPerCore is the number of candidates per core in a batch.
 	candidatesPerCore = 4
 )
 
-// Options say what is searched for.
+// Options are the parameters of a search.
 type Options struct {
-	// Policy is searched for its losses against Baseline.
+	// Policy is the name of the policy whose losses against Baseline are searched for.
 	Policy, Baseline string
-	// Candidates is how many cases are drawn, with Seed.
+	// Candidates is the number of cases that are drawn. Seed seeds the random number generator for them.
 	Candidates int
 	Seed       uint64
-	// Cores simulate at the same time; 0: all.
+	// Cores is the number of cases that are simulated at the same time; 0: one per core.
 	Cores int
-	// Progress is called after each batch, if it is set.
+	// Progress, if set, is called after each batch with the number of candidates so far, their total, and the largest
+	// loss.
 	Progress func(done, total int, worst float64)
 }
 
-// Case is a load and faults, with what they cost.
+// Case is a load and a list of faults, with their effect on the policy.
 type Case struct {
 	Load   float64
 	Faults []experiment.Fault
-	// Loss is by how much the baseline's service is higher, as the mean of the seeds; with a violation of the
-	// policy it is higher by violationLoss.
+	// Loss is the service of the baseline minus that of the policy, as the mean of the seeds. If the policy violates a
+	// rule, violationLoss is added.
 	Loss       float64
-	Violations int
+	Violations int // by the policy, with all seeds
 }
 
-// searcher is a search over the cluster of an experiment.
+// searcher searches for the worst case of the cluster of an experiment.
 type searcher struct {
 	experiment *experiment.Experiment
 	options    Options
@@ -60,7 +61,8 @@
 
 func (s *searcher) cores() int { return cmp.Or(s.options.Cores, runtime.GOMAXPROCS(0)) }
 
-// Search searches over the cluster of an experiment.
+// Search returns the worst case that it finds for the cluster of an experiment, after shrinking it. The faults and the
+// load of the experiment itself are not used.
 func Search(ctx context.Context, e *experiment.Experiment, options Options) (Case, error) {
 	for _, name := range []string{options.Policy, options.Baseline} {
 		if _, err := baseline.New(name); err != nil {
@@ -88,7 +90,7 @@
 	return s.shrink(ctx, worst)
 }
 
-// evaluateAll measures the losses of cases.
+// evaluateAll simulates the cases in parallel and sets their losses and violations.
 func (s *searcher) evaluateAll(ctx context.Context, cases []Case) error {
 	var workers sync.WaitGroup
 	errs := make([]error, len(cases))
@@ -106,7 +108,7 @@
 	return cmp.Or(errs...)
 }
 
-// evaluate measures the loss of a case.
+// evaluate simulates a case and sets its loss and violations.
 func (s *searcher) evaluate(c *Case) error {
 	file := s.experiment.File
 	file.Cluster.Load, file.Cluster.Rate, file.Faults = c.Load, 0, c.Faults
--- a/internal/simulation/worstcase/search_test.go
+++ b/internal/simulation/worstcase/search_test.go
@@ -11,12 +11,13 @@
 	"hazelwing/internal/testutil"
 )
 
-// A search finds a case in which random choice loses to least requests, finds the same one again, and writes it as an
-// experiment that can be executed and whose claim fails.
+// Search finds a case in which random choice has a lower service than the choice of the node with the least requests,
+// and finds the same case again. Its experiment can be loaded and executed, and the claim that random choice is as good
+// fails.
 func TestSearch(t *testing.T) {
 	dir := t.TempDir()
 	t.Chdir(dir)
-	path := "base.toml" // relative, while the directory of the found case is absolute
+	path := "base.toml" // a relative path, while the directory of the new experiment is an absolute one
 	if err := os.WriteFile(path, []byte(testutil.Experiment("?", "random", "least", 2)), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -27,10 +28,11 @@
 	options := Options{Policy: "random", Baseline: "least", Candidates: 24, Seed: 1, Cores: 2}
 	worst, err := Search(t.Context(), e, options)
 	if err != nil || worst.Loss < 0.02 || len(worst.Faults) > maxFaults {
-		t.Fatalf("%+v, %v", worst, err)
+		t.Fatalf("search found %+v, error %v, want a loss of at least 0.02 with at most %d faults",
+			worst, err, maxFaults)
 	}
 	if again, err := Search(t.Context(), e, options); err != nil || !reflect.DeepEqual(again, worst) {
-		t.Errorf("another case: %+v, %v", again, err)
+		t.Errorf("second search found %+v, error %v, want %+v", again, err, worst)
 	}
 	text, err := Experiment(e, options, worst, dir)
 	if err != nil {
@@ -42,7 +44,7 @@
 	}
 	foundExperiment, err := experiment.Load(found)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, text)
+		t.Fatalf("loading the found experiment: %v\n%s", err, text)
 	}
 	run := filepath.Join(dir, "run")
 	runs, err := foundExperiment.Execute(t.Context(), run, 2, func(int, int) {})
@@ -55,10 +57,10 @@
 	}
 	verdicts, err := experiment.Judge(h, runs)
 	if err != nil || verdicts[0].Holds || !verdicts[1].Holds {
-		t.Errorf("%+v, %v\n%s", verdicts, err, text)
+		t.Errorf("verdicts are %+v, error %v, want a claim that fails and one that holds\n%s", verdicts, err, text)
 	}
 	if _, err := Search(t.Context(), e, Options{Policy: "luck", Baseline: "least", Candidates: 1}); err == nil ||
 		!strings.Contains(err.Error(), "luck") {
-		t.Errorf("%v", err)
+		t.Errorf("search with an unknown policy gave error %v, want one that names it", err)
 	}
 }
--- a/internal/simulation/worstcase/shrink.go
+++ b/internal/simulation/worstcase/shrink.go
@@ -10,14 +10,16 @@
 
 const (
 	// minKeptLoss is the share of its loss that a case has to keep when it is made one step smaller.
-	minKeptLoss     = 0.8
+	minKeptLoss = 0.8
+	// maxShrinkRounds limits the number of steps.
 	maxShrinkRounds = 10
-	// minShrunkDuration and minShrunkShare are the smallest durations and shares that are halved.
+	// minShrunkDuration and minShrunkShare are the smallest duration and share of a fault that are halved.
 	minShrunkDuration = 2 * time.Second
 	minShrunkShare    = 0.1
 )
 
-// shrink removes what the loss does not need, one step a round: a fault, or half of its duration or share.
+// shrink makes a case smaller, one step per round, as long as it keeps its violation, if any, and most of its loss. A
+// step removes one fault, or halves the duration or share of one.
 func (s *searcher) shrink(ctx context.Context, c Case) (Case, error) {
 	for range maxShrinkRounds {
 		smaller := smallerCases(c)
@@ -35,7 +37,8 @@
 	return c, nil
 }
 
-// smallerCases are the cases that are smaller by one step; for each fault the case without it comes first.
+// smallerCases returns all cases that are one step smaller. For each fault, the case without it comes before those in
+// which its duration or share is halved.
 func smallerCases(c Case) (smaller []Case) {
 	add := func(change func(*Case)) {
 		x := c
--- a/internal/simulation/worstcase/write.go
+++ b/internal/simulation/worstcase/write.go
@@ -11,11 +11,11 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// writtenSeeds is the number of seeds of an experiment that is written.
+// writtenSeeds is the number of seeds of the experiment that Experiment returns.
 const writtenSeeds = 10
 
-// Experiment returns a case as the text of an experiment for a file in dir. Its base is the experiment that was
-// searched.
+// Experiment returns the TOML of an experiment with the load and the faults of a case, for a file in the directory dir.
+// Its base is the file of the experiment e that was searched.
 func Experiment(e *experiment.Experiment, options Options, c Case, dir string) ([]byte, error) {
 	base, err := relativePath(dir, e.Path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return slices.Concat(head, []byte("\n"), tables), err
 }
 
-// relativePath is the path to a file from a directory.
+// relativePath returns the path of a file relative to a directory.
 func relativePath(dir, path string) (string, error) {
 	from, err := filepath.Abs(dir)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return filepath.Rel(from, to)
 }
 
-// faultTable is a fault's keys that are set.
+// faultTable returns the TOML table of a fault, with only the keys that are set.
 func faultTable(f experiment.Fault) map[string]any {
 	table := map[string]any{"at": f.At, "what": f.Kind}
 	for key, value := range map[string]strictdecode.Duration{"for": f.Duration, "every": f.Interval} {
