--- a/internal/simulation/experiment/claim.go
+++ b/internal/simulation/experiment/claim.go
@@ -34,7 +34,7 @@
 	Where string `toml:"where" json:"where"`
 }
 
-// parsedClaim is a claim with its parsed comparison: left operator right.
+// parsedClaim is a claim whose text has been parsed. The claim is that left compares with right as the operator says.
 type parsedClaim struct {
 	Claim
 	left, right term
--- a/internal/simulation/experiment/config.go
+++ b/internal/simulation/experiment/config.go
@@ -168,8 +168,8 @@
 		return 0, fmt.Errorf("world: load or rate must be above 0, got load = %v and rate = %v",
 			cluster.Load, cluster.Rate)
 	case math.IsNaN(rate):
-		return 0, fmt.Errorf("world: no rate causes load = %v: nodes need a capacity, and classes a share and work",
-			cluster.Load)
+		return 0, fmt.Errorf("world: cannot compute the rate for load = %v: "+
+			"the capacity of the nodes and the share and work of the classes must be above 0", cluster.Load)
 	}
 	return rate, nil
 }
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -73,7 +73,7 @@
 	}
 	if len(e.Points) != 4 || strings.Join(e.Points[1].Factors, ";") != "fault.1.times = 2;world.load = 0.7" ||
 		e.Points[1].Config.Faults[0].Factor != 2 {
-		t.Fatalf("points of the sweep are %+v", e.Points)
+		t.Fatalf("points of the sweep are %+v, want four, the second with times 2 and load 0.7", e.Points)
 	}
 	dir := t.TempDir()
 	execute := func(name string, cores int) (string, []Run) {
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	if !v[0].Holds || v[0].Total != 24 || v[1].Holds || v[1].HoldsOn != 0 || v[2].Total != 2 {
-		t.Errorf("verdicts are %+v", v)
+		t.Errorf("verdicts are %+v, want the first to hold and the second not to", v)
 	}
 	h, read, err := ReadResults(filepath.Join(dir, "one"))
 	if err != nil || len(read) != len(runs) {
@@ -151,7 +151,7 @@
 	}
 	same, err := Compare(h, read, h, read, []string{"service"})
 	if err != nil || len(same) != 12 || same[0].Differs || same[0].Mean != 0 {
-		t.Errorf("comparison of results with themselves: %+v, error %v", same, err)
+		t.Errorf("results compared with themselves give %+v, error %v, want no difference", same, err)
 	}
 }
 
@@ -172,15 +172,15 @@
 	}
 	d, err := Compare(h, left, h, noise, []string{"service"})
 	if err != nil || d[0].Differs {
-		t.Errorf("noise was compared as %+v, error %v", d, err)
+		t.Errorf("noise is reported as the difference %+v, error %v", d, err)
 	}
 	if d, err = Compare(h, left, h, better, []string{"service"}); err != nil || !d[0].Differs || d[0].Low <= 0 {
-		t.Errorf("higher service was compared as %+v, error %v", d, err)
+		t.Errorf("higher service is not reported as a difference: %+v, error %v", d, err)
 	}
 	few := h
 	few.Seeds = 3
 	if _, err := Compare(few, left, few, noise, []string{"service"}); err == nil {
-		t.Error("results with three seeds were compared")
+		t.Error("results with three seeds were compared, want an error")
 	}
 }
 
--- a/internal/simulation/experiment/recorded_test.go
+++ b/internal/simulation/experiment/recorded_test.go
@@ -46,7 +46,7 @@
 	if w.Clients.ClockSkew != 2*time.Second || w.Clients.SessionLength != 3 ||
 		w.Host.QuotaPeriod != 100*time.Millisecond || !w.Network.Multiplexed ||
 		w.EndpointUpdates.DetectionDelay != time.Second || !w.EndpointUpdates.Reorder {
-		t.Errorf("configuration is %+v", w)
+		t.Errorf("keys of the file are not all set in the configuration %+v", w)
 	}
 	runs, err := e.Execute(t.Context(), filepath.Join(dir, "run"), 1, func(int, int) {})
 	if err != nil || runs[0].Result.Requests != n || runs[0].Result.MaxProcessorUse <= 0 {
--- a/internal/simulation/experiment/stored_test.go
+++ b/internal/simulation/experiment/stored_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	for _, path := range testutil.UnsetFields(f) {
-		if path != ".Base" { // the file sets it to an empty string: another value would have to name an existing file
+		if path != ".Base" { // the file sets it to an empty string, since Load would read the base
 			t.Errorf("field %s was not set by any key", path)
 		}
 	}
@@ -107,7 +107,7 @@
 	if h.Name != "stored" || h.Hash != "c46d0c9710a5a1fa" || h.Seeds != 2 || len(h.Policies) != 2 ||
 		len(h.Points) != 2 ||
 		len(h.Claims) != 2 || len(h.Sources) != 2 || h.Claims[1].Where != "world.load = 0.3" || len(runs) != 8 {
-		t.Errorf("header is read as %+v, with %d runs", h, len(runs))
+		t.Errorf("stored header is read as %+v, with %d runs, want 8", h, len(runs))
 	}
 	var out bytes.Buffer
 	enc := func(v any) {
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	if _, err := e.Execute(context.Background(), path, 1, func(int, int) {}); err == nil {
-		t.Error("results of another program were continued")
+		t.Error("results of another program were continued, want an error")
 	}
 	if text, err := os.ReadFile(path); err != nil || !bytes.Equal(text, storedText) {
 		t.Errorf("rejected file of results was changed, error %v", err)
--- a/internal/simulation/experiment/summary.go
+++ b/internal/simulation/experiment/summary.go
@@ -11,7 +11,7 @@
 	Policy string
 	// Mean has the mean of each measure.
 	Mean map[string]float64
-	// MinService and MaxService are the lowest and the highest service of a seed.
+	// MinService and MaxService are the lowest and the highest service among the seeds.
 	MinService float64
 	MaxService float64
 	// SeedsWithViolations counts the seeds with which a rule was violated or the simulation failed.
--- a/internal/simulation/experiment/verdict.go
+++ b/internal/simulation/experiment/verdict.go
@@ -25,7 +25,7 @@
 	Worst   string `json:"worst"`
 }
 
-// Judge judges the claims of a file of results. The runs have to be complete and in order, as ReadResults returns them.
+// Judge judges the claims of a file of results. The runs have to be complete and in order, as Execute writes them.
 func Judge(h Header, runs []Run) (verdicts []Verdict, err error) {
 	for i, claim := range h.Claims {
 		c, err := claim.parse(h.Policies)
--- a/internal/simulation/report/plots.go
+++ b/internal/simulation/report/plots.go
@@ -85,7 +85,7 @@
 // draw draws the plot with a curve for each policy.
 func (t timePlot) draw(seeds int, results [][]*simulator.Result) (svgPlot, error) {
 	p := newPlot("second", t.axis)
-	for policy, list := range results {
+	for policyIndex, list := range results {
 		var points plotter.XYs
 		for _, r := range list {
 			for i, s := range r.Seconds {
@@ -95,7 +95,7 @@
 				points[i].Y += t.value(s) / float64(seeds)
 			}
 		}
-		if err := addLine(p, policy, points); err != nil {
+		if err := addLine(p, policyIndex, points); err != nil {
 			return svgPlot{}, err
 		}
 	}
@@ -106,7 +106,7 @@
 func latencyPlot(results [][]*simulator.Result) (svgPlot, error) {
 	p := newPlot("ms, logarithmic", "share served within")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	for policy, list := range results {
+	for policyIndex, list := range results {
 		var points plotter.XYs
 		for i, quantile := range simulator.Quantiles() {
 			point := plotter.XY{Y: quantile / 100}
@@ -119,7 +119,7 @@
 				points = append(points, point)
 			}
 		}
-		if err := addLine(p, policy, points); err != nil {
+		if err := addLine(p, policyIndex, points); err != nil {
 			return svgPlot{}, err
 		}
 	}
@@ -169,8 +169,8 @@
 	var plots []svgPlot
 	for _, measure := range []string{"service", "p99", "attempts"} {
 		p := newPlot(factor, measure)
-		for policy, name := range h.Policies {
-			if err := addSweepLine(p, policy, name, measure, values, rows); err != nil {
+		for policyIndex, name := range h.Policies {
+			if err := addSweepLine(p, policyIndex, name, measure, values, rows); err != nil {
 				return nil, err
 			}
 		}
@@ -207,7 +207,7 @@
 // addSweepLine adds the curve of a policy and, for the service, a vertical line over the range of the seeds at each
 // point.
 func addSweepLine(
-	p *plot.Plot, policy int, name, measure string, values []float64, rows []experiment.Summary,
+	p *plot.Plot, policyIndex int, name, measure string, values []float64, rows []experiment.Summary,
 ) error {
 	var points plotter.XYs
 	for _, r := range rows {
@@ -223,8 +223,8 @@
 		if err != nil {
 			return err
 		}
-		seedRange.Color = policyColour(policy)
+		seedRange.Color = policyColour(policyIndex)
 		p.Add(seedRange)
 	}
-	return addLine(p, policy, points)
+	return addLine(p, policyIndex, points)
 }
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the results of an experiment as one HTML file that loads nothing else. The file has the
-// verdicts on the claims, and for each point a table and plots as SVG. It is legible on light and dark backgrounds.
+// Package report writes the results of an experiment as one HTML file that loads nothing else. The file has
+// violations and the verdicts on the claims first, and then a table and SVG plots for each point. It is legible on light and dark backgrounds.
 package report
 
 import (
@@ -59,8 +59,8 @@
 	SVG   template.HTML
 }
 
-// Write writes the report of a file of results. The runs have to be complete and in order, as experiment.ReadResults
-// returns them.
+// Write writes the report of a file of results. The runs have to be complete and in order, as Execute writes
+// them.
 func Write(out io.Writer, h experiment.Header, runs []experiment.Run) error {
 	verdicts, err := experiment.Judge(h, runs)
 	if err != nil {
--- a/internal/simulation/report/style.go
+++ b/internal/simulation/report/style.go
@@ -62,7 +62,7 @@
 
 // addLine adds the curve of a policy, dashed if its colour is already that of an earlier policy. The legend is part of
 // the page, not of the plot.
-func addLine(p *plot.Plot, policy int, points plotter.XYs) error {
+func addLine(p *plot.Plot, policyIndex int, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
 	}
@@ -70,8 +70,8 @@
 	if err != nil {
 		return err
 	}
-	line.Color, line.Width = policyColour(policy), vg.Points(lineWidth)
-	if policy >= len(policyColours) {
+	line.Color, line.Width = policyColour(policyIndex), vg.Points(lineWidth)
+	if policyIndex >= len(policyColours) {
 		line.Dashes = []vg.Length{vg.Points(dashLength), vg.Points(gapLength)}
 	}
 	p.Add(line)
--- a/internal/simulation/slope/slope.go
+++ b/internal/simulation/slope/slope.go
@@ -1,6 +1,6 @@
-// Package slope fits how a measured value grows with the number of members n. The model is the sum of a constant, a
-// part that is proportional to log n, and a part that is proportional to n. None of the parts is negative. They are
-// fitted by least squares. The package computes on numbers and does no I/O.
+// Package slope fits a model of how a measured value grows with the number of members n. The model is the sum of a
+// constant, a part that is proportional to log n, and a part that is proportional to n. None of the parts is negative.
+// They are fitted by least squares. The package computes on numbers and does no I/O.
 //
 // The fit minimizes relative errors: each point is weighted by the inverse of its value. The values span an order of
 // magnitude, and their noise is proportional to them. Of the models whose largest relative residual is within the
