--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -1,5 +1,6 @@
-// Package report writes the results of an experiment as one HTML file that loads nothing else. The file has
-// violations and the verdicts on the claims first, and then a table and SVG plots for each point. It is legible on light and dark backgrounds.
+// Package report writes the results of an experiment as one HTML file that loads nothing else. The file has violations
+// and the verdicts on the claims first, and then a table and SVG plots for each point. It is legible on light and dark
+// backgrounds.
 package report
 
 import (
