--- a/internal/simulation/worstcase/sample.go
+++ b/internal/simulation/worstcase/sample.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// maxFaults are drawn for a case, and a load from minLoad to maxLoad.
+	// maxFaults limits the number of faults of a case; minLoad and maxLoad limit its load.
 	maxFaults = 5
 	minLoad   = 0.3
 	maxLoad   = 0.95
-	// maxLoadStep is the range of a mutation's change of the load.
+	// maxLoadStep is the width of the range of load changes: a mutation changes the load by up to half of it up or
+	// down.
 	maxLoadStep = 0.1
 	// minShare is the smallest share of nodes that is drawn.
 	minShare = 0.01
 	// timeStep is the precision of drawn times.
 	timeStep = 100 * time.Millisecond
-	// minFaultInterval and faultIntervalRange limit the intervals of repeated faults.
+	// Intervals of repeated faults are drawn from minFaultInterval up to minFaultInterval + faultIntervalRange.
 	minFaultInterval   = 200 * time.Millisecond
 	faultIntervalRange = 2 * time.Second
 )
 
-// faultTemplate is a kind of fault that is drawn, and the limits of its fields; those with a limit of 0 are not drawn.
+// faultTemplate is a kind of fault, with the limits between which the fields of its faults are drawn. The factor and
+// the share are not drawn if their upper limit is 0.
 type faultTemplate struct {
 	kind                 simulator.FaultKind
 	minFactor, maxFactor float64
 	maxShare             float64
-	ofZone               bool
+	affectsZone          bool
 	isRepeated           bool
 	hasDuration          bool
 }
@@ -45,14 +47,14 @@
 	{kind: simulator.FaultReplace, maxShare: 0.4},
 	{kind: simulator.FaultReset, minFactor: 0.05, maxFactor: 0.5, maxShare: 0.5, hasDuration: true},
 	{kind: simulator.FaultFlap, maxShare: 0.4, hasDuration: true, isRepeated: true},
-	{kind: simulator.FaultCut, ofZone: true, hasDuration: true},
-	{kind: simulator.FaultOneWayCut, ofZone: true, hasDuration: true},
+	{kind: simulator.FaultCut, affectsZone: true, hasDuration: true},
+	{kind: simulator.FaultOneWayCut, affectsZone: true, hasDuration: true},
 	{kind: simulator.FaultUpdatesBlocked, hasDuration: true},
 	{kind: simulator.FaultStall, maxShare: 0.5, hasDuration: true},
 	{kind: simulator.FaultCost, minFactor: 3, maxFactor: 20, maxShare: 0.05, hasDuration: true},
 }
 
-// sampleBatch draws cases; every other one is a mutation of the worst one so far, if there is one.
+// sampleBatch draws a batch of cases. If there is a worst case already, every second one is a mutation of it.
 func (s *searcher) sampleBatch(rng *rand.Rand, worst Case, size int) []Case {
 	var cases []Case
 	for range size {
@@ -67,48 +69,49 @@
 	return cases
 }
 
-// sample draws a case.
+// sample draws a case at random.
 func (s *searcher) sample(rng *rand.Rand) Case {
-	c := Case{Load: roundToPercent(minLoad + rng.Float64()*(maxLoad-minLoad))}
+	c := Case{Load: roundToHundredth(minLoad + rng.Float64()*(maxLoad-minLoad))}
 	for range 1 + rng.IntN(maxFaults) {
 		c.Faults = append(c.Faults, s.sampleFault(rng))
 	}
 	return c
 }
 
-// sampleFault draws a fault in the first part of the experiment.
+// sampleFault draws a fault that begins after the first tenth and before 60 % of the experiment's duration.
 func (s *searcher) sampleFault(rng *rand.Rand) experiment.Fault {
 	length := time.Duration(s.experiment.Cluster.Duration)
-	between := func(from, span time.Duration) strictdecode.Duration {
+	sampleDuration := func(from, span time.Duration) strictdecode.Duration {
 		return strictdecode.Duration((from + time.Duration(rng.Int64N(int64(span)))).Round(timeStep))
 	}
 	template := faultTemplates[rng.IntN(len(faultTemplates))]
-	f := experiment.Fault{Kind: string(template.kind), At: between(length/10, length/2)}
+	f := experiment.Fault{Kind: string(template.kind), At: sampleDuration(length/10, length/2)}
 	if template.hasDuration {
-		f.Duration = between(time.Second, length/3)
+		f.Duration = sampleDuration(time.Second, length/3)
 	}
 	if template.maxFactor > 0 {
-		f.Factor = roundToPercent(template.minFactor + rng.Float64()*(template.maxFactor-template.minFactor))
+		f.Factor = roundToHundredth(template.minFactor + rng.Float64()*(template.maxFactor-template.minFactor))
 	}
 	if template.maxShare > 0 {
-		f.Share = max(minShare, roundToPercent(rng.Float64()*template.maxShare))
+		f.Share = max(minShare, roundToHundredth(rng.Float64()*template.maxShare))
 	}
 	if template.isRepeated {
-		f.Interval = between(minFaultInterval, faultIntervalRange)
+		f.Interval = sampleDuration(minFaultInterval, faultIntervalRange)
 	}
-	if zones := s.experiment.Cluster.Nodes.Zones; template.ofZone && len(zones) > 0 {
+	if zones := s.experiment.Cluster.Nodes.Zones; template.affectsZone && len(zones) > 0 {
 		f.Zone = zones[rng.IntN(len(zones))]
 	}
 	return f
 }
 
-// mutate changes a case's load, or adds, removes or replaces one of its faults.
+// mutate returns a copy of a case in which the load is changed, or one fault is added, removed or replaced. The copy is
+// unchanged if the number of faults allows no addition or removal.
 func (s *searcher) mutate(rng *rand.Rand, c Case) Case {
 	c.Faults = slices.Clone(c.Faults)
 	switch rng.IntN(4) {
 	case 0:
 		load := c.Load + maxLoadStep*(rng.Float64()-0.5)
-		c.Load = roundToPercent(min(maxLoad, max(minLoad, load)))
+		c.Load = roundToHundredth(min(maxLoad, max(minLoad, load)))
 	case 1:
 		if len(c.Faults) < maxFaults {
 			c.Faults = append(c.Faults, s.sampleFault(rng))
@@ -126,4 +129,4 @@
 	return c
 }
 
-func roundToPercent(x float64) float64 { return math.Round(x*100) / 100 }
+func roundToHundredth(x float64) float64 { return math.Round(x*100) / 100 }
