--- a/internal/simulation/callgraph/callgraph_test.go
+++ b/internal/simulation/callgraph/callgraph_test.go
@@ -77,7 +77,7 @@
 }
 
 // The same experiment gives the same points, on any number of cores.
-func TestSameCourse(t *testing.T) {
+func TestSameResultsOnAnyCores(t *testing.T) {
 	one, err := smallExperiment().Run(1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/callgraph/graph.go
+++ b/internal/simulation/callgraph/graph.go
@@ -27,8 +27,8 @@
 	instances []*instance
 }
 
-// call adds a service to those that it calls.
-func (s *service) call(called *service) {
+// addCallee adds a service to those that it calls.
+func (s *service) addCallee(called *service) {
 	if !slices.Contains(s.calls, called) {
 		s.calls = append(s.calls, called)
 		called.callers++
@@ -69,12 +69,12 @@
 func connectLayers(callers, called []*service, rng *rand.Rand) {
 	for _, s := range callers {
 		first := rng.IntN(len(called))
-		s.call(called[first])
-		s.call(called[(first+1+rng.IntN(max(1, len(called)-1)))%len(called)])
+		s.addCallee(called[first])
+		s.addCallee(called[(first+1+rng.IntN(max(1, len(called)-1)))%len(called)])
 	}
 	for i, s := range called {
 		if s.callers == 0 {
-			callers[i%len(callers)].call(s)
+			callers[i%len(callers)].addCallee(s)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		if left < 0 {
 			step = -1
 		}
-		i := neediest(list, counts, step)
+		i := serviceToAdjust(list, counts, step)
 		if i < 0 {
 			break
 		}
@@ -111,17 +111,17 @@
 	return counts
 }
 
-// neediest is the service with the most demand for one of its instances (step 1), or with the least that has an
+// serviceToAdjust is the service with the most demand for one of its instances (step 1), or with the least that has an
 // instance to give away (step -1); below 0: there is none.
-func neediest(list []*service, counts []int, step int) int {
-	best, bestNeed := -1, 0.0
+func serviceToAdjust(list []*service, counts []int, step int) int {
+	best, bestPriority := -1, 0.0
 	for i, s := range list {
 		if step < 0 && counts[i] <= minInstancesPerService {
 			continue
 		}
-		need := float64(step) * s.demand / float64(counts[i])
-		if best < 0 || need > bestNeed {
-			best, bestNeed = i, need
+		priority := float64(step) * s.demand / float64(counts[i])
+		if best < 0 || priority > bestPriority {
+			best, bestPriority = i, priority
 		}
 	}
 	return best
--- a/internal/simulation/callgraph/instance.go
+++ b/internal/simulation/callgraph/instance.go
@@ -58,7 +58,7 @@
 	begin := sim.now
 	sim.after(work, func() {
 		n.busy = false
-		sim.metrics.worked(a, begin)
+		sim.metrics.workDone(a, begin)
 		if isFaulty && sim.mode == ModeFail {
 			a.answer(balancer.ServerError)
 		} else {
@@ -82,7 +82,7 @@
 		if !isPlanned(path, n.service.callProbability) {
 			continue
 		}
-		n.sim.metrics.called(a)
+		n.sim.metrics.callStarted(a)
 		n.sidecars[i].call(path, a.depth+1, a.expiresAt, func(ok bool) {
 			if ok {
 				n.callNext(a, i+1)
--- a/internal/simulation/callgraph/metrics.go
+++ b/internal/simulation/callgraph/metrics.go
@@ -31,8 +31,8 @@
 // secondMetrics are of what arrived in one second.
 type secondMetrics struct{ plannedLeafCalls, leafAttempts int }
 
-// spareSeconds are more than the last answers may take after the fault.
-const spareSeconds = 3
+// trailingSeconds are more than the last answers may take after the fault.
+const trailingSeconds = 3
 
 func newMetrics(sim *simulation, userRate float64) *metrics {
 	e := sim.experiment
@@ -42,13 +42,13 @@
 		userRate:       userRate,
 		callsPerUser:   callsPerUser(sim.services),
 		timeLeft:       make([][]float32, e.Depth+1),
-		seconds:        make([]secondMetrics, int(length.Seconds())+spareSeconds),
+		seconds:        make([]secondMetrics, int(length.Seconds())+trailingSeconds),
 		attemptsBefore: map[*instance]int{},
 	}
 }
 
-// second is the present second of the fault; nil: it has not begun.
-func (m *metrics) second() *secondMetrics {
+// currentSecond is the present currentSecond of the fault; nil: it has not begun.
+func (m *metrics) currentSecond() *secondMetrics {
 	warmUp := time.Duration(m.sim.experiment.WarmUpTime)
 	if m.sim.now < warmUp {
 		return nil
@@ -56,9 +56,9 @@
 	return &m.seconds[min(int((m.sim.now-warmUp).Seconds()), len(m.seconds)-1)]
 }
 
-// userCalled counts a user's call; false: it does not count.
-func (m *metrics) userCalled(path uint64) bool {
-	s := m.second()
+// userCallStarted counts a user's call; false: it does not count.
+func (m *metrics) userCallStarted(path uint64) bool {
+	s := m.currentSecond()
 	if s == nil {
 		return false
 	}
@@ -79,7 +79,7 @@
 
 // attemptArrived counts an attempt that arrives at an instance.
 func (m *metrics) attemptArrived(a *attempt) {
-	s := m.second()
+	s := m.currentSecond()
 	if s == nil {
 		m.attemptsBefore[a.at]++
 		return
@@ -97,9 +97,9 @@
 	m.timeLeft[a.depth] = append(m.timeLeft[a.depth], left)
 }
 
-// worked counts an instance's own work for an attempt, which began at a time and ends now.
-func (m *metrics) worked(a *attempt, begin time.Duration) {
-	if m.second() == nil {
+// workDone counts an instance's own work for an attempt, which began at a time and ends now.
+func (m *metrics) workDone(a *attempt, begin time.Duration) {
+	if m.currentSecond() == nil {
 		return
 	}
 	m.work += m.sim.now - begin
@@ -108,9 +108,9 @@
 	}
 }
 
-// called counts a call to a next service for an attempt.
-func (m *metrics) called(a *attempt) {
-	if m.second() == nil {
+// callStarted counts a call to a next service for an attempt.
+func (m *metrics) callStarted(a *attempt) {
+	if m.currentSecond() == nil {
 		return
 	}
 	m.calls++
@@ -119,9 +119,9 @@
 	}
 }
 
-// rejected counts a call that a balancer rejected after a number of attempts.
-func (m *metrics) rejected(attempts int) {
-	if m.second() != nil && attempts == 0 {
+// callRejected counts a call that a balancer callRejected after a number of attempts.
+func (m *metrics) callRejected(attempts int) {
+	if m.currentSecond() != nil && attempts == 0 {
 		m.rejectedUnsent++
 	}
 }
--- a/internal/simulation/callgraph/sidecar.go
+++ b/internal/simulation/callgraph/sidecar.go
@@ -100,7 +100,7 @@
 		cancelled := s.calls[a.ID].attempts[a.Attempt]
 		s.sim.after(0, func() { cancelled.end(balancer.Cancelled) }) // its outcome is an event of its own
 	case balancer.Reject, balancer.Fail:
-		s.sim.metrics.rejected(len(s.calls[a.ID].attempts))
+		s.sim.metrics.callRejected(len(s.calls[a.ID].attempts))
 		s.finish(s.calls[a.ID], false)
 	case balancer.SetTimer:
 		s.setTimer(max(a.At-clockOffset, s.sim.now))
--- a/internal/simulation/callgraph/simulation.go
+++ b/internal/simulation/callgraph/simulation.go
@@ -99,17 +99,17 @@
 	if sim.now >= time.Duration(sim.experiment.WarmUpTime+sim.experiment.FaultDuration) {
 		return
 	}
-	sim.userCalls(rng)
+	sim.startUserCall(rng)
 	interval := rng.ExpFloat64() / rate * float64(time.Second)
 	sim.after(time.Duration(interval), func() { sim.userArrives(rng, rate) })
 }
 
-// userCalls lets a user call an instance of the first service, once.
-func (sim *simulation) userCalls(rng *rand.Rand) {
+// startUserCall lets a user call an instance of the first service, once.
+func (sim *simulation) startUserCall(rng *rand.Rand) {
 	path := childPath(rng.Uint64(), 0)
 	entry := sim.services[0].instances
 	begin := sim.now
-	isCounted := sim.metrics.userCalled(path)
+	isCounted := sim.metrics.userCallStarted(path)
 	deadline := time.Duration(sim.experiment.Deadline)
 	a := &attempt{at: entry[rng.IntN(len(entry))], path: path, sentAt: sim.now, expiresAt: sim.now + deadline}
 	a.end = func(result balancer.Result) {
--- a/internal/simulation/capacity/capacity_test.go
+++ b/internal/simulation/capacity/capacity_test.go
@@ -18,7 +18,7 @@
 
 // The counts of the control plane stay within their limits at a small size: in a start, a quiet time, a short day,
 // and a restart of all members at once.
-func TestSmall(t *testing.T) {
+func TestSmallCluster(t *testing.T) {
 	e, err := ReadExperiment("testdata/small.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 }
 
 // The project's own files can be read.
-func TestFiles(t *testing.T) {
+func TestLabFilesAreReadable(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/capacity/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no files", err)
--- a/internal/simulation/capacity/day.go
+++ b/internal/simulation/capacity/day.go
@@ -71,8 +71,8 @@
 // event is something that happens at a member.
 type event func(ctx context.Context, m *hollow.Member) error
 
-// scaled is how many of a number of events of the day a cluster of this size has.
-func (r *run) scaled(n int) int {
+// scaledCount is how many of a number of events of the day a cluster of this size has.
+func (r *run) scaledCount(n int) int {
 	if n == 0 {
 		return 0
 	}
@@ -84,7 +84,7 @@
 	d := &dayEvents{cluster: r.cluster, endpoints: cmp.Or(r.Endpoints, r.size), restarts: map[int]int{}}
 	var events []event
 	addEvents := func(n int, e event) {
-		for range r.scaled(n) {
+		for range r.scaledCount(n) {
 			events = append(events, e)
 		}
 	}
@@ -106,7 +106,7 @@
 	if err := r.measure(perSecond, func() error { return runEvents(ctx, events, members, length) }); err != nil {
 		return err
 	}
-	if err := r.waitWhole(ctx); err != nil {
+	if err := r.waitConverged(ctx); err != nil {
 		return err
 	}
 	if err := r.endDay(ctx, d); err != nil {
@@ -121,11 +121,11 @@
 	var running sync.WaitGroup
 	errs := make([]error, len(events))
 	begin := time.Now()
-	for i, happen := range events {
+	for i, runEvent := range events {
 		if err := sleep(ctx, time.Until(begin.Add(time.Duration(i)*interval))); err != nil {
 			break
 		}
-		running.Go(func() { errs[i] = happen(ctx, members[i]) })
+		running.Go(func() { errs[i] = runEvent(ctx, members[i]) })
 	}
 	running.Wait()
 	if err := cmp.Or(errs...); err != nil {
@@ -142,5 +142,5 @@
 	for _, m := range d.failed {
 		d.setHealth(m, healthServing, 1)
 	}
-	return r.waitWholeSilently(ctx)
+	return r.waitConvergedUnmeasured(ctx)
 }
--- a/internal/simulation/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -208,7 +208,7 @@
 func (c Claim) judge(results []Result, sizes []int) (errs []error) {
 	measured := map[int]bool{}
 	for _, r := range results {
-		if !c.isFor(r) {
+		if !c.matches(r) {
 			continue
 		}
 		measured[r.Size] = true
@@ -227,7 +227,7 @@
 	return errs
 }
 
-func (c Claim) isFor(r Result) bool {
+func (c Claim) matches(r Result) bool {
 	return r.Figure == c.Figure && r.Role == c.Role && r.Phase == c.Phase && (c.Size == 0 || r.Size == c.Size)
 }
 
--- a/internal/simulation/capacity/phases.go
+++ b/internal/simulation/capacity/phases.go
@@ -20,19 +20,19 @@
 	phaseJoined: (*run).startJoined,
 	"quiet":     (*run).quiet,
 	"day":       (*run).day,
-	"rack":      (*run).cutRack,
-	"zone":      (*run).cutZone,
-	"region":    (*run).cutRegion,
+	"rack":      (*run).isolateRack,
+	"zone":      (*run).isolateZone,
+	"region":    (*run).partitionRegions,
 	"restart":   (*run).restart,
 }
 
 // The racks, zones and regions that are cut off.
 const (
-	cutRackArea   = hollow.Area("k2")
-	cutZoneArea   = hollow.Area("z2")
-	cutRegionArea = hollow.Area("r1")
-	// restArea is all that is not in the other area.
-	restArea = hollow.Area("rest")
+	isolatedRack   = hollow.Area("k2")
+	isolatedZone   = hollow.Area("z2")
+	isolatedRegion = hollow.Area("r1")
+	// allOtherAreas is all that is not in the other area.
+	allOtherAreas = hollow.Area("rest")
 )
 
 // The health of endpoints, as discovery states it.
@@ -51,7 +51,7 @@
 		if err := r.cluster.Start(r.cluster.Members...); err != nil {
 			return err
 		}
-		return r.waitWhole(ctx)
+		return r.waitConverged(ctx)
 	})
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 		if err := r.cluster.Start(r.cluster.Members...); err != nil {
 			return err
 		}
-		return r.waitWhole(ctx)
+		return r.waitConverged(ctx)
 	})
 	if err != nil {
 		return err
@@ -102,19 +102,19 @@
 	return r.settle(ctx)
 }
 
-// cutOff cuts an area off from all others, calls whileCut, changes the list, and measures how long the cluster
+// isolate cuts an area off from all others, calls whileCut, changes the list, and measures how long the cluster
 // takes to be whole again.
-func (r *run) cutOff(ctx context.Context, a hollow.Area, whileCut func() error) error {
+func (r *run) isolate(ctx context.Context, a hollow.Area, whileIsolated func() error) error {
 	err := r.measure(inTotal, func() error {
-		if err := r.cluster.Links.Set(a, restArea, hollow.Link{Cut: true}); err != nil {
+		if err := r.cluster.Links.Set(a, allOtherAreas, hollow.Link{Cut: true}); err != nil {
 			return err
 		}
-		if err := whileCut(); err != nil {
+		if err := whileIsolated(); err != nil {
 			return err
 		}
 		r.changeList()
 		r.cluster.Links.Heal()
-		return r.waitWhole(ctx)
+		return r.waitConverged(ctx)
 	})
 	r.cluster.Links.Heal()
 	if err != nil {
@@ -131,31 +131,31 @@
 	r.cluster.Discovery.Set(e)
 }
 
-func (r *run) cutRack(ctx context.Context) error { return r.cutArea(ctx, cutRackArea) }
+func (r *run) isolateRack(ctx context.Context) error { return r.isolateArea(ctx, isolatedRack) }
 
-func (r *run) cutZone(ctx context.Context) error { return r.cutArea(ctx, cutZoneArea) }
+func (r *run) isolateZone(ctx context.Context) error { return r.isolateArea(ctx, isolatedZone) }
 
-// cutArea cuts an area off until the other members have declared its members dead.
-func (r *run) cutArea(ctx context.Context, a hollow.Area) error {
+// isolateArea cuts an area off until the other members have declared its members dead.
+func (r *run) isolateArea(ctx context.Context, a hollow.Area) error {
 	if n := len(r.cluster.MembersIn(a)); n == 0 || n == r.size {
 		return fmt.Errorf("%s has none or all of the members", a)
 	}
 	outside := func(l hollow.Location) bool { return !a.Contains(l) }
-	return r.cutOff(ctx, a, func() error {
+	return r.isolate(ctx, a, func() error {
 		return r.waitUntil(ctx, "others know", func() string { return r.cluster.Disagreement(outside) })
 	})
 }
 
-// cutRegion cuts the regions off from each other for PartitionTime.
-func (r *run) cutRegion(ctx context.Context) error {
+// partitionRegions cuts the regions off from each other for PartitionTime.
+func (r *run) partitionRegions(ctx context.Context) error {
 	if r.Regions < 2 {
 		return errOneRegion
 	}
-	outside := func(l hollow.Location) bool { return !cutRegionArea.Contains(l) }
-	return r.cutOff(ctx, cutRegionArea, func() error {
+	outside := func(l hollow.Location) bool { return !isolatedRegion.Contains(l) }
+	return r.isolate(ctx, isolatedRegion, func() error {
 		begin := time.Now()
 		err := r.waitUntil(ctx, "each side knows itself alone", func() string {
-			if problem := r.cluster.Disagreement(cutRegionArea.Contains); problem != "" {
+			if problem := r.cluster.Disagreement(isolatedRegion.Contains); problem != "" {
 				return problem
 			}
 			return r.cluster.Disagreement(outside)
--- a/internal/simulation/capacity/process.go
+++ b/internal/simulation/capacity/process.go
@@ -64,7 +64,7 @@
 	referenceSteps     = 20_000_000
 	referenceSeed      = 88172645463325252
 	stepsPerReference  = 1_000_000
-	referencesMeasured = referenceSteps / stepsPerReference
+	referenceUnits = referenceSteps / stepsPerReference
 )
 
 // Sink keeps the compiler from removing the reference loop.
@@ -83,7 +83,7 @@
 		x ^= x << 17
 	}
 	Sink = x
-	return (processorTimeUsed(usageOfThread) - begin) / referencesMeasured
+	return (processorTimeUsed(usageOfThread) - begin) / referenceUnits
 }
 
 // loadAverage is how many processes wanted a core of this machine in the last minute, on average; 0: not known.
--- a/internal/simulation/capacity/run.go
+++ b/internal/simulation/capacity/run.go
@@ -93,21 +93,21 @@
 	return fmt.Errorf("%s: not within %v: %s", figure, time.Duration(r.Timeout), last)
 }
 
-func everywhere(hollow.Location) bool { return true }
+func allLocations(hollow.Location) bool { return true }
 
-// viewProblem describes a view that is not right; empty: all are.
-func (r *run) viewProblem() string { return r.cluster.Disagreement(everywhere) }
+// viewDisagreement describes a view that is not right; empty: all are.
+func (r *run) viewDisagreement() string { return r.cluster.Disagreement(allLocations) }
 
-// listProblem says how many members do not have the latest list; empty: all have.
-func (r *run) listProblem() string {
-	if n := r.cluster.CountOutdated(everywhere); n > 0 {
+// outdatedLists says how many members do not have the latest list; empty: all have.
+func (r *run) outdatedLists() string {
+	if n := r.cluster.CountOutdated(allLocations); n > 0 {
 		return fmt.Sprintf("%d do not have discovery's list", n)
 	}
 	return ""
 }
 
-// waitWhole waits for the views and the lists at the same time, and adds how long each took.
-func (r *run) waitWhole(ctx context.Context) error {
+// waitConverged waits for the views and the lists at the same time, and adds how long each took.
+func (r *run) waitConverged(ctx context.Context) error {
 	var waits sync.WaitGroup
 	begin := time.Now()
 	var viewsAt, listsAt time.Duration
@@ -121,8 +121,8 @@
 			time.Sleep(waitInterval)
 		}
 	}
-	waits.Go(func() { wait(&viewsAt, &problems[0], r.viewProblem) })
-	waits.Go(func() { wait(&listsAt, &problems[1], r.listProblem) })
+	waits.Go(func() { wait(&viewsAt, &problems[0], r.viewDisagreement) })
+	waits.Go(func() { wait(&listsAt, &problems[1], r.outdatedLists) })
 	waits.Wait()
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("not whole: %q: %w", problems, err)
@@ -135,10 +135,10 @@
 	return nil
 }
 
-// waitWholeSilently waits for the views and the lists, and adds no figure.
-func (r *run) waitWholeSilently(ctx context.Context) error {
+// waitConvergedUnmeasured waits for the views and the lists, and adds no figure.
+func (r *run) waitConvergedUnmeasured(ctx context.Context) error {
 	for begin := time.Now(); ; {
-		problems := [2]string{r.viewProblem(), r.listProblem()}
+		problems := [2]string{r.viewDisagreement(), r.outdatedLists()}
 		if problems == [2]string{} {
 			return nil
 		}
--- a/internal/simulation/capacity/stored_test.go
+++ b/internal/simulation/capacity/stored_test.go
@@ -27,7 +27,7 @@
 }
 
 // A file of results of 593ba64 is read, extended, and read again; its rows keep their bytes.
-func TestResultsOfTheVersionBefore(t *testing.T) {
+func TestResultsOfEarlierVersion(t *testing.T) {
 	path := filepath.Join(storedDir, "results.json")
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/simulation/configsim/change.go
+++ b/internal/simulation/configsim/change.go
@@ -19,8 +19,8 @@
 	rejectedRetryDelay = 100 * time.Millisecond
 	// maxPushTime is when a push is given up.
 	maxPushTime = 2 * time.Minute
-	// settleStep is the precision of the times that are measured.
-	settleStep = 10 * time.Millisecond
+	// measurementStep is the precision of the times that are measured.
+	measurementStep = 10 * time.Millisecond
 )
 
 // Change is a change of the configuration, and when it became active where.
@@ -34,7 +34,7 @@
 	ReportedAt time.Duration
 
 	activeAt map[int]time.Duration // by member
-	origin   int                   // that it goes to next
+	nextOrigin   int                   // that it goes to next
 }
 
 // Filter says whether a member counts; nil: all do.
@@ -46,7 +46,7 @@
 // Push gives a text to an origin as `config push` does: without an answer in time, or with the connection lost, the
 // next one gets the same under the same ID.
 func (c *Cluster) Push(id string, at int) *Change {
-	change := &Change{ID: id, PushedAt: c.Now, activeAt: map[int]time.Duration{}, origin: at}
+	change := &Change{ID: id, PushedAt: c.Now, activeAt: map[int]time.Duration{}, nextOrigin: at}
 	text := make([]byte, c.config.TextSize)
 	for i := range text {
 		text[i] = '#'
@@ -85,10 +85,10 @@
 // propose gives a change to the next origin of the region from which it is pushed, which is that of the first one.
 func (c *Cluster) propose(change *Change, proposal origin.Propose, first int) {
 	region := c.region(&c.originAt(first).machine)
-	for c.partitioned && c.region(&c.originAt(change.origin).machine) != region {
-		change.origin++
+	for c.partitioned && c.region(&c.originAt(change.nextOrigin).machine) != region {
+		change.nextOrigin++
 	}
-	o := c.originAt(change.origin)
+	o := c.originAt(change.nextOrigin)
 	if o.up {
 		c.handleOrigin(o, proposal)
 	}
@@ -108,7 +108,7 @@
 		return
 	}
 	delete(c.results, change.ID)
-	change.origin++
+	change.nextOrigin++
 	delay := pushRetryDelay
 	if isRejected {
 		delay = rejectedRetryDelay
@@ -146,14 +146,14 @@
 // false: it is not active.
 func (c *Cluster) waitActive(timeout time.Duration, change *Change, filter Filter) bool {
 	for end := c.Now + timeout; c.Now < end; {
-		c.Run(settleStep)
+		c.Run(measurementStep)
 		count := 0
 		for _, m := range c.Members {
 			if filter.counts(m) {
 				count++
 			}
 		}
-		if change.ReportedAt == 0 && change.AnsweredAt > 0 && c.reported(change, count) {
+		if change.ReportedAt == 0 && change.AnsweredAt > 0 && c.isReported(change, count) {
 			change.ReportedAt = c.Now
 		}
 		if change.ActiveAfter(c, filter, 1, 0) >= 0 && (change.ReportedAt > 0 || filter != nil) {
@@ -163,8 +163,8 @@
 	return change.ActiveAfter(c, filter, 1, 0) >= 0
 }
 
-// reported tells whether the summed report of some origin has a number of members on the change.
-func (c *Cluster) reported(change *Change, members int) bool {
+// isReported tells whether the summed report of some origin has a number of members on the change.
+func (c *Cluster) isReported(change *Change, members int) bool {
 	for _, o := range c.Origins {
 		if !o.up || o.frozen || o.frame.Revision != change.Answer.Revision {
 			continue
--- a/internal/simulation/configsim/cluster.go
+++ b/internal/simulation/configsim/cluster.go
@@ -12,8 +12,8 @@
 const (
 	// clusterStream is the stream of a seed that a cluster draws from.
 	clusterStream = 9
-	// longAgo is when the machines of a new cluster started.
-	longAgo = -time.Hour
+	// initialChangeTime is when the machines of a new cluster started.
+	initialChangeTime = -time.Hour
 )
 
 // Cluster is the state of a simulation.
@@ -53,7 +53,7 @@
 			name:      fmt.Sprint("origin", i+1),
 			zone:      i % config.Zones,
 			rack:      -1 - i,
-			changedAt: longAgo,
+			changedAt: initialChangeTime,
 		}
 		c.Origins = append(c.Origins, &Origin{machine: o})
 	}
@@ -63,7 +63,7 @@
 			name:      fmt.Sprint("member", i),
 			zone:      i % config.Zones,
 			rack:      i / config.Zones % config.Racks,
-			changedAt: longAgo,
+			changedAt: initialChangeTime,
 		}})
 	}
 	for k := range c.views {
@@ -75,7 +75,7 @@
 	for i, m := range c.Members {
 		m.up = true // so that the view has all of them
 		c.StartMember(i)
-		m.changedAt = longAgo
+		m.changedAt = initialChangeTime
 	}
 	c.checkConnections()
 	c.exchangeRevisions()
@@ -107,14 +107,14 @@
 func (c *Cluster) Freeze(m *machine, frozen bool) { m.frozen, m.changedAt = frozen, c.Now }
 
 // stopAll loses all machines that a filter names.
-func (c *Cluster) stopAll(which func(m *machine) bool) {
+func (c *Cluster) stopAll(matches func(m *machine) bool) {
 	for _, o := range c.Origins {
-		if which(&o.machine) {
+		if matches(&o.machine) {
 			c.Stop(&o.machine, false)
 		}
 	}
 	for _, m := range c.Members {
-		if which(&m.machine) {
+		if matches(&m.machine) {
 			c.Stop(&m.machine, false)
 		}
 	}
--- a/internal/simulation/configsim/configsim_test.go
+++ b/internal/simulation/configsim/configsim_test.go
@@ -82,7 +82,7 @@
 // The regions are cut off from each other. If both accepted changes, they would disagree for good. The larger
 // region has to accept them, the smaller one has to accept none and keep what it has, and after the partition all
 // have to have the last change within 4 s.
-func TestRegionsCut(t *testing.T) {
+func TestRegionPartition(t *testing.T) {
 	partition := time.Minute
 	if *long {
 		partition = time.Hour
@@ -100,7 +100,7 @@
 // 1,700 changes a day with 63 replacements, and ten times as many of both: the slowest change stays within the
 // limits, and a member sends less than 7 KB a second on the mean. What a member with 16 subscribers sends grows
 // with the text's size, and docs/CAPACITY.md says how much.
-func TestDays(t *testing.T) {
+func TestChangesAndReplacements(t *testing.T) {
 	const maxMeanFrameRate = 7000
 	duration := 30 * time.Second
 	var outcomes []Outcome
@@ -159,7 +159,7 @@
 // version is higher would never get a change again. Members have to follow the new epoch from its first change on, also
 // one that was away meanwhile; and an origin of the old epoch that comes back must not bring anybody back.
 func TestHigherEpoch(t *testing.T) {
-	const away = 7
+	const absent = 7
 	c, err := New(Config{Members: 60, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 			t.Fatalf("%s is active at %d", id, len(change.activeAt))
 		}
 	}
-	c.Freeze(&c.Members[away].machine, true)
+	c.Freeze(&c.Members[absent].machine, true)
 	var oldStates []*origin.State
 	for _, o := range c.Origins {
 		c.Stop(&o.machine, false)
@@ -187,14 +187,14 @@
 	}
 	c.Run(5 * time.Second)
 	change := c.Push("again", 0)
-	present := func(m *Member) bool { return m.index != away }
+	present := func(m *Member) bool { return m.index != absent }
 	isActive := c.waitActive(10*time.Second, change, present)
 	if r := change.Answer.Revision; !isActive || r.Epoch != 2 || r.Version != 1 {
 		t.Fatalf("active at %d, %v", len(change.activeAt), r)
 	}
-	c.Freeze(&c.Members[away].machine, false)
+	c.Freeze(&c.Members[absent].machine, false)
 	c.Run(4 * time.Second)
-	if r := c.Members[away].follower.Stats().Active; r != change.Answer.Revision {
+	if r := c.Members[absent].follower.Stats().Active; r != change.Answer.Revision {
 		t.Errorf("%v is active at the member that was away", r)
 	}
 	c.Stop(&c.Origins[4].machine, true)
--- a/internal/simulation/configsim/connection.go
+++ b/internal/simulation/configsim/connection.go
@@ -52,17 +52,17 @@
 	return conn.member.follower.Frame()
 }
 
-// chooseUpstream connects a member to the upstream that bootstrap.Selector selects.
-func (c *Cluster) chooseUpstream(m *Member) {
+// selectUpstream connects a member to the upstream that bootstrap.Selector selects.
+func (c *Cluster) selectUpstream(m *Member) {
 	if m.frozen { // checkMember goes on once it is not
-		m.mustSelect = true
+		m.selectionPending = true
 		return
 	}
-	m.mustSelect = false
+	m.selectionPending = false
 	m.selections++
 	selection := m.selector.Select(c.Now)
 	if selection.Delay > 0 {
-		c.chooseAgain(m, m.selections, min(selection.Delay, maxSelectionDelay))
+		c.scheduleSelection(m, m.selections, min(selection.Delay, maxSelectionDelay))
 		return
 	}
 	conn := &connection{child: m}
@@ -79,11 +79,11 @@
 	c.subscribe(conn, selection, m.selections)
 }
 
-// chooseAgain lets a member choose an upstream after a delay, unless it has chosen since.
-func (c *Cluster) chooseAgain(m *Member, number int, delay time.Duration) {
-	c.After(delay, c.inProcess(m, func() {
+// scheduleSelection lets a member choose an upstream after a delay, unless it has chosen since.
+func (c *Cluster) scheduleSelection(m *Member, number int, delay time.Duration) {
+	c.After(delay, c.whileRunning(m, func() {
 		if m.selections == number && m.upstream == nil {
-			c.chooseUpstream(m)
+			c.selectUpstream(m)
 		}
 	}))
 }
@@ -91,11 +91,11 @@
 // subscribe asks a server to accept a member, for its selection of a number.
 func (c *Cluster) subscribe(conn *connection, selection bootstrap.Selection, number int) {
 	m, server := conn.child, conn.server()
-	c.After(c.config.DialTimeout, c.inProcess(m, func() { c.subscribeFailed(m, selection, number) }))
+	c.After(c.config.DialTimeout, c.whileRunning(m, func() { c.subscribeFailed(m, selection, number) }))
 	conn.childIncarnation, conn.serverIncarnation = m.incarnation, server.incarnation
 	c.send(&m.machine, server, subscribeSize, func() {
 		accepted := c.accepts(conn)
-		c.send(server, &m.machine, subscribeAnswer, func() {
+		c.send(server, &m.machine, subscribeAnswerSize, func() {
 			switch {
 			case m.selections != number || m.upstream != nil || conn.closed:
 			case accepted:
@@ -120,7 +120,7 @@
 		m.selector.ReportFailure(c.Now, selection)
 		m.failedOrigins = 0
 	}
-	c.chooseAgain(m, number, retryDelay)
+	c.scheduleSelection(m, number, retryDelay)
 }
 
 // subscribed makes an accepted connection the member's upstream.
@@ -228,7 +228,7 @@
 		m.selector.ReportFailure(c.Now, m.selection)
 	}
 	m.failedOrigins = 0
-	c.chooseUpstream(m)
+	c.selectUpstream(m)
 }
 
 // checkConnections runs once a heartbeat: it updates the views, sends heartbeats, closes silent connections, and lets
@@ -266,8 +266,8 @@
 }
 
 func (c *Cluster) checkMember(m *Member) {
-	if m.upstream == nil && m.mustSelect {
-		c.chooseUpstream(m)
+	if m.upstream == nil && m.selectionPending {
+		c.selectUpstream(m)
 	}
 	if m.upstream != nil && m.selector.ShouldSwitch(c.Now, m.selection) {
 		c.close(m.upstream)
--- a/internal/simulation/configsim/machine.go
+++ b/internal/simulation/configsim/machine.go
@@ -10,11 +10,11 @@
 // Sizes of messages in bytes.
 const (
 	frameOverhead   = 180
-	reportHead      = 150 // the head of the request that carries a report
+	reportOverhead      = 150 // the head of the request that carries a report
 	revisionSize    = 62  // a datagram of the membership view without entries
 	fetchSize       = 200
 	subscribeSize   = 250
-	subscribeAnswer = 100
+	subscribeAnswerSize = 100
 )
 
 // Traffic counts the bytes of frames and reports that one process sent, and of reports that it received.
@@ -73,5 +73,5 @@
 	if err != nil {
 		panic(err) // a report is plain data
 	}
-	return len(data) + reportHead
+	return len(data) + reportOverhead
 }
--- a/internal/simulation/configsim/member.go
+++ b/internal/simulation/configsim/member.go
@@ -36,8 +36,8 @@
 	failedOrigins int
 	// selections counts its choices of an upstream; a later one makes the earlier ones' events void.
 	selections int
-	// mustSelect: it was frozen when it had to choose an upstream.
-	mustSelect bool
+	// selectionPending: it was frozen when it had to choose an upstream.
+	selectionPending bool
 	// viewVersion is that of the membership view that its selector has.
 	viewVersion uint64
 	// Fetches counts snapshots that it fetched from peers.
@@ -68,11 +68,11 @@
 	m.tickAt = 0
 	c.perform(m, actions)
 	startDelay := time.Duration(c.rng.Int64N(int64(maxStartDelay)))
-	c.After(startDelay, c.inProcess(m, func() { c.chooseUpstream(m) }))
+	c.After(startDelay, c.whileRunning(m, func() { c.selectUpstream(m) }))
 }
 
-// inProcess is a function that does nothing once the member's present process has ended.
-func (c *Cluster) inProcess(m *Member, do func()) func() {
+// whileRunning is a function that does nothing once the member's present process has ended.
+func (c *Cluster) whileRunning(m *Member, do func()) func() {
 	incarnation := m.incarnation
 	return func() {
 		if m.incarnation == incarnation && m.up {
@@ -93,7 +93,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case controlplane.Apply:
-			c.After(c.config.ApplyTime, c.inProcess(m, func() { c.apply(m, a.Snapshot.Revision) }))
+			c.After(c.config.ApplyTime, c.whileRunning(m, func() { c.apply(m, a.Snapshot.Revision) }))
 		case controlplane.Save:
 			cached := a.Cached
 			m.cached = &cached
@@ -126,7 +126,7 @@
 	}
 	m.tickAt = max(at, c.Now+minTickDelay)
 	scheduled := m.tickAt
-	c.After(scheduled-c.Now, c.inProcess(m, func() {
+	c.After(scheduled-c.Now, c.whileRunning(m, func() {
 		if m.tickAt != scheduled {
 			return
 		}
@@ -199,7 +199,7 @@
 func (c *Cluster) exchangeRevisions() {
 	for _, m := range c.Members {
 		delay := time.Duration(c.rng.Int64N(int64(exchangeInterval)))
-		c.After(delay, c.inProcess(m, func() {
+		c.After(delay, c.whileRunning(m, func() {
 			to := c.Members[c.rng.IntN(len(c.Members))]
 			c.sendRevision(m, to)
 			if c.reachable(&m.machine, &to.machine) {
--- a/internal/simulation/configsim/scenario.go
+++ b/internal/simulation/configsim/scenario.go
@@ -13,8 +13,8 @@
 	firstChangeTimeout = 20 * time.Second
 	// faultLead is the time between a fault and the push before or after it: too short for the fault to be detected.
 	faultLead = 10 * time.Millisecond
-	// defaultWait is how long a scenario waits for its change.
-	defaultWait = 8 * time.Second
+	// scenarioTimeout is how long a scenario waits for its change.
+	scenarioTimeout = 8 * time.Second
 	// defaultMaxP99 is the limit of Outcome.P99 where a scenario states no other.
 	defaultMaxP99 = time.Second
 	// electionMaxP99 is the limit with an election, lossMaxP99 with an election after the loss of several machines.
@@ -70,7 +70,7 @@
 		c.Run(faultLead)
 		filter = s.After(c)
 	}
-	c.waitActive(defaultWait, change, filter)
+	c.waitActive(scenarioTimeout, change, filter)
 	outcome := c.outcome(s.Name, change, filter, change.PushedAt)
 	outcome.Fetches = c.fetches() - fetchesBefore
 	return outcome, nil
--- a/internal/simulation/configsim/view.go
+++ b/internal/simulation/configsim/view.go
@@ -14,9 +14,9 @@
 func (c *Cluster) updateViews() {
 	sides := 1
 	sinceChange := c.Now - c.partitionChangedAt
-	hasSplit := c.partitioned && sinceChange >= c.config.DeathDetection
-	hasNotRejoined := !c.partitioned && c.partitionChangedAt > 0 && sinceChange < c.config.StartDetection
-	if hasSplit || hasNotRejoined {
+	isPartitionDetected := c.partitioned && sinceChange >= c.config.DeathDetection
+	isRejoinUndetected := !c.partitioned && c.partitionChangedAt > 0 && sinceChange < c.config.StartDetection
+	if isPartitionDetected || isRejoinUndetected {
 		sides = 2
 	}
 	for side := range sides {
@@ -27,7 +27,7 @@
 		if sides == 2 {
 			side = c.region(&m.machine)
 		}
-		c.handView(m, side)
+		c.deliverView(m, side)
 	}
 }
 
@@ -36,7 +36,7 @@
 	v := &c.views[side]
 	changed := v.version == 0
 	for i, m := range c.Members {
-		live := c.seenLive(m, v.live[i])
+		live := c.detectedLive(m, v.live[i])
 		if sides == 2 && c.region(&m.machine) != side {
 			live = false
 		}
@@ -56,22 +56,22 @@
 	}
 }
 
-// seenLive reports whether a member counts as live: its death and its start are detected late.
-func (c *Cluster) seenLive(m *Member, wasLive bool) bool {
+// detectedLive reports whether a member counts as live: its death and its start are detected late.
+func (c *Cluster) detectedLive(m *Member, wasLive bool) bool {
 	sinceChange := c.Now - m.changedAt
-	isDeathUnseen := wasLive && sinceChange < c.config.DeathDetection
+	isDeathUndetected := wasLive && sinceChange < c.config.DeathDetection
 	switch {
 	case m.frozen:
-		return isDeathUnseen
+		return isDeathUndetected
 	case m.up:
 		return sinceChange >= c.config.StartDetection
 	default:
-		return isDeathUnseen
+		return isDeathUndetected
 	}
 }
 
-// handView hands a side's view to a member, unless it has it.
-func (c *Cluster) handView(m *Member, side int) {
+// deliverView hands a side's view to a member, unless it has it.
+func (c *Cluster) deliverView(m *Member, side int) {
 	v := &c.views[side]
 	version := v.version<<1 | uint64(side)
 	if !m.up || m.viewVersion == version {
--- a/internal/simulation/fleetsim/convergence.go
+++ b/internal/simulation/fleetsim/convergence.go
@@ -55,13 +55,13 @@
 func viewDifference(m *Member, running map[string]cluster.Incarnation) string {
 	n := 0
 	for _, x := range m.Protocol.Members() {
-		incarnation, runs := running[x.Name]
+		incarnation, isRunning := running[x.Name]
 		switch {
-		case runs && (x.State != cluster.Alive || x.Incarnation != incarnation):
+		case isRunning && (x.State != cluster.Alive || x.Incarnation != incarnation):
 			return fmt.Sprintf("has %s as %v %+v, and it is alive %+v", x.Name, x.State, x.Incarnation, incarnation)
-		case !runs && x.State < cluster.Dead:
+		case !isRunning && x.State < cluster.Dead:
 			return fmt.Sprintf("has %s as %v, and it does not run or is cut off", x.Name, x.State)
-		case runs:
+		case isRunning:
 			n++
 		}
 	}
--- a/internal/simulation/fleetsim/events.go
+++ b/internal/simulation/fleetsim/events.go
@@ -80,9 +80,9 @@
 }
 
 // RunWith runs for a time and calls each before every step of it.
-func (s *Simulation) RunWith(d, step time.Duration, each func()) {
+func (s *Simulation) RunWith(d, step time.Duration, beforeStep func()) {
 	for end := s.Now + d; s.Now < end; {
-		each()
+		beforeStep()
 		s.Run(min(step, end-s.Now))
 	}
 }
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -43,7 +43,7 @@
 
 // A third of the members dies at once, and half of it restarts 50 ms later under the same names. The death of an
 // earlier process could be held against the new one. The views have to converge within a minute.
-func TestAThirdDies(t *testing.T) {
+func TestDeathOfAThird(t *testing.T) {
 	s := startJoined(t, Config{Members: 30, Seed: 1})
 	for i := range 10 {
 		s.Kill(i)
@@ -57,7 +57,7 @@
 
 // A partition of any length cuts two halves off from each other, until each has declared the other dead and has
 // forgotten it. The cluster would stay split for good. After the partition the views have to converge.
-func TestHalvesMeetAgain(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	for _, c := range []struct {
 		partition, deadMemberTTL time.Duration
 		members                  int
@@ -89,7 +89,7 @@
 // A process stalls right after it has sent a probe, and continues seconds later. It would suspect the probed
 // member, which answered during the stall. It must suspect nobody and must refute the suspicions of itself; without
 // Lifeguard it does suspect others, which shows that the test can fail.
-func TestStandingStill(t *testing.T) {
+func TestStalledProber(t *testing.T) {
 	suspicions := func(disableLifeguard bool) int {
 		s := startJoined(t, Config{
 			Members: 12,
@@ -152,7 +152,7 @@
 
 // Ten members join and ten die in each second of a minute. Updates could overtake each other, or tables grow. After
 // it the views have to converge.
-func TestTenJoinsAndDeathsASecond(t *testing.T) {
+func TestChurn(t *testing.T) {
 	s := New(Config{Members: 60, Seed: 5})
 	for i := range 30 {
 		s.Start(i, 0, 1)
@@ -197,7 +197,7 @@
 // follows the reachable members would fall during a partition, and the load on the rest would rise. The estimate has to
 // be the real size, at once if it is above the configured one and later if it is below; it must not fall during a
 // partition, and has to fall after real deaths.
-func TestCountInACut(t *testing.T) {
+func TestEstimatedSizeInPartition(t *testing.T) {
 	for _, configured := range []int{2, 20, 200} {
 		s := startJoined(t, Config{Members: 20, Seed: 7, ConfiguredSize: configured})
 		count := func(i int) int { return coreOf(t, s, i).Stats().EstimatedSize }
--- a/internal/simulation/fleetsim/point.go
+++ b/internal/simulation/fleetsim/point.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// never stands for a time that is not reached, in seconds.
-const never = 1e9
+// unreachedSeconds stands for a time that is not reached, in seconds.
+const unreachedSeconds = 1e9
 
 // Point is what one protocol did at one point, over all seeds. Times are a list, one a seed; -1: not within the
 // time limit.
@@ -67,7 +67,7 @@
 	out := 0.0
 	for _, d := range times {
 		if d < 0 {
-			return never
+			return unreachedSeconds
 		}
 		out = max(out, d.Seconds())
 	}
--- a/internal/simulation/fleetsim/run.go
+++ b/internal/simulation/fleetsim/run.go
@@ -110,16 +110,16 @@
 // runPartition cuts two halves off from each other, and measures the traffic and how long they take to converge again.
 func (e *Experiment) runPartition(s *Simulation, p *Point, pause func()) {
 	half := p.Members / 2
-	allSeeds := float64(e.Seeds * p.Members)
+	memberRuns := float64(e.Seeds * p.Members)
 	s.Connected = func(from, to int) bool { return (from < half) == (to < half) }
 	before := s.bytesSent()
 	s.RunWith(time.Duration(e.PartitionDuration), stepTime, pause)
-	p.PartitionByteRate += float64(s.bytesSent()-before) / time.Duration(e.PartitionDuration).Seconds() / allSeeds
+	p.PartitionByteRate += float64(s.bytesSent()-before) / time.Duration(e.PartitionDuration).Seconds() / memberRuns
 	before = s.bytesSent()
 	s.Connected = nil
 	healTime := s.RunUntil(detectionTimeout, stepTime, func() bool { return s.Converged(nil) })
 	p.HealTimes = append(p.HealTimes, healTime)
-	p.HealBytes += float64(s.bytesSent()-before) / allSeeds
+	p.HealBytes += float64(s.bytesSent()-before) / memberRuns
 }
 
 // bytesSent is what all members have sent.
