--- a/internal/simulation/capacity/process.go
+++ b/internal/simulation/capacity/process.go
@@ -61,10 +61,10 @@
 
 const (
 	// referenceSteps are of the loop that processor time is compared with: a step is one of xorshift64.
-	referenceSteps     = 20_000_000
-	referenceSeed      = 88172645463325252
-	stepsPerReference  = 1_000_000
-	referenceUnits = referenceSteps / stepsPerReference
+	referenceSteps    = 20_000_000
+	referenceSeed     = 88172645463325252
+	stepsPerReference = 1_000_000
+	referenceUnits    = referenceSteps / stepsPerReference
 )
 
 // Sink keeps the compiler from removing the reference loop.
--- a/internal/simulation/configsim/change.go
+++ b/internal/simulation/configsim/change.go
@@ -10,41 +10,43 @@
 )
 
 const (
-	// pushTimeout is when a push without an answer goes to the next origin.
+	// pushTimeout is the time without an answer after which a change is pushed to the next origin.
 	pushTimeout = 1500 * time.Millisecond
-	// pushPollInterval is how often a push looks for its answer.
+	// pushPollInterval is the time between checks for the answer to a push.
 	pushPollInterval = 2 * time.Millisecond
-	// pushRetryDelay and rejectedRetryDelay pass until the next origin is tried, after no answer and after a rejection.
+	// pushRetryDelay and rejectedRetryDelay are the delays before the next origin is tried, after a missing answer and
+	// after a rejection.
 	pushRetryDelay     = 10 * time.Millisecond
 	rejectedRetryDelay = 100 * time.Millisecond
-	// maxPushTime is when a push is given up.
+	// maxPushTime limits the time for which a push is retried.
 	maxPushTime = 2 * time.Minute
-	// measurementStep is the precision of the times that are measured.
+	// measurementStep is the simulated time between checks of a change, and so the precision of ReportedAt.
 	measurementStep = 10 * time.Millisecond
 )
 
-// Change is a change of the configuration, and when it became active where.
+// Change is a change of the configuration, with the times at which it became active at each member.
 type Change struct {
 	ID       string
 	PushedAt time.Duration
-	// AnsweredAt is when an origin accepted it, or answered that it conflicts; 0: not yet.
+	// AnsweredAt is the time at which an origin accepted the change or answered that it conflicts; 0: not yet.
 	AnsweredAt time.Duration
 	Answer     origin.Result
-	// ReportedAt is when an origin's summed report had all members on it; 0: not yet.
+	// ReportedAt is the time at which an origin's aggregated report counted all members as having the change active;
+	// 0: not yet.
 	ReportedAt time.Duration
 
-	activeAt map[int]time.Duration // by member
-	nextOrigin   int                   // that it goes to next
+	activeAt   map[int]time.Duration // by member index
+	nextOrigin int                   // index of the origin to push to next; may be beyond the last one
 }
 
-// Filter says whether a member counts; nil: all do.
+// Filter reports whether a member counts in a measurement; nil: all members count.
 type Filter func(m *Member) bool
 
-// counts reports whether a member that can act counts.
+// counts reports whether a member counts. A member that is stopped or frozen never does.
 func (f Filter) counts(m *Member) bool { return m.up && !m.frozen && (f == nil || f(m)) }
 
-// Push gives a text to an origin as `config push` does: without an answer in time, or with the connection lost, the
-// next one gets the same under the same ID.
+// Push pushes a text to an origin as the command `config push` does. If the origin does not answer in time or stops,
+// the same text is pushed to the next origin under the same ID.
 func (c *Cluster) Push(id string, at int) *Change {
 	change := &Change{ID: id, PushedAt: c.Now, activeAt: map[int]time.Duration{}, nextOrigin: at}
 	text := make([]byte, c.config.TextSize)
@@ -58,7 +60,7 @@
 	return change
 }
 
-// latestRevision is the latest that an origin which can act has published.
+// latestRevision returns the latest published revision of the origins that are neither stopped nor frozen.
 func (c *Cluster) latestRevision() (latest controlplane.Revision) {
 	for _, o := range c.Origins {
 		if o.up && !o.frozen && o.frame.Revision.Compare(latest) > 0 {
@@ -68,7 +70,7 @@
 	return latest
 }
 
-// recordActive records when a change, or a later one, becomes active at each member.
+// recordActive records the time at which a change, or a later one, becomes active at each member.
 func (c *Cluster) recordActive(change *Change, hash string) {
 	previous := c.OnActive
 	c.OnActive = func(m *Member, revision controlplane.Revision) {
@@ -82,7 +84,8 @@
 	}
 }
 
-// propose gives a change to the next origin of the region from which it is pushed, which is that of the first one.
+// propose sends a change to its next origin. During a partition it skips origins outside the region of the first one,
+// since the client that pushes the change is in that region.
 func (c *Cluster) propose(change *Change, proposal origin.Propose, first int) {
 	region := c.region(&c.originAt(first).machine)
 	for c.partitioned && c.region(&c.originAt(change.nextOrigin).machine) != region {
@@ -95,7 +98,8 @@
 	c.awaitAnswer(change, proposal, o, first, c.Now+pushTimeout)
 }
 
-// awaitAnswer polls for an origin's answer, and proposes the change to the next one if it does not come or rejects.
+// awaitAnswer polls for an origin's answer. If the answer is a rejection or does not come by the deadline, it proposes
+// the change to the next origin.
 func (c *Cluster) awaitAnswer(change *Change, proposal origin.Propose, o *Origin, first int, deadline time.Duration) {
 	answer, ok := c.results[change.ID]
 	if ok && (answer.Outcome == origin.OutcomeAccepted || answer.Outcome == origin.OutcomeConflict) {
@@ -118,7 +122,8 @@
 	}
 }
 
-// ActiveAfter is how long after a time a change was active at a share of the members that count; below 0: it is not.
+// ActiveAfter returns the time from a given moment until the change was active at a share of the members that count.
+// It returns a negative value if the change is not active at that many members.
 func (change *Change) ActiveAfter(c *Cluster, filter Filter, share float64, from time.Duration) time.Duration {
 	var times []time.Duration
 	for _, m := range c.Members {
@@ -142,8 +147,9 @@
 	return max(at-from, 0)
 }
 
-// waitActive runs until a change is active at all members that count and the origins report it, or a time has passed;
-// false: it is not active.
+// waitActive runs the simulation until a change is active at all members that count, or until the timeout. Without a
+// filter it also waits until an origin reports the change as active at all members. It returns whether the change is
+// active at all members that count.
 func (c *Cluster) waitActive(timeout time.Duration, change *Change, filter Filter) bool {
 	for end := c.Now + timeout; c.Now < end; {
 		c.Run(measurementStep)
@@ -163,7 +169,8 @@
 	return change.ActiveAfter(c, filter, 1, 0) >= 0
 }
 
-// isReported tells whether the summed report of some origin has a number of members on the change.
+// isReported reports whether some origin's aggregated report counts at least a number of members as having the change
+// active.
 func (c *Cluster) isReported(change *Change, members int) bool {
 	for _, o := range c.Origins {
 		if !o.up || o.frozen || o.frame.Revision != change.Answer.Revision {
--- a/internal/simulation/configsim/cluster.go
+++ b/internal/simulation/configsim/cluster.go
@@ -10,35 +10,37 @@
 )
 
 const (
-	// clusterStream is the stream of a seed that a cluster draws from.
+	// clusterStream selects the stream of random numbers that a cluster draws from its seed.
 	clusterStream = 9
-	// initialChangeTime is when the machines of a new cluster started.
+	// initialChangeTime is the start time of the machines of a new cluster. It lies so far back that their starts count
+	// as detected.
 	initialChangeTime = -time.Hour
 )
 
-// Cluster is the state of a simulation.
+// Cluster is the state of a simulated cluster.
 type Cluster struct {
 	// Now is the simulated time.
 	Now     time.Duration
 	Members []*Member
 	Origins []*Origin
-	// OnActive is called when a snapshot becomes active at a member; nil: nothing is.
+	// OnActive, if not nil, is called when a snapshot becomes active at a member.
 	OnActive func(m *Member, revision controlplane.Revision)
 
 	config    Config
 	rng       *rand.Rand
 	events    eventQueue
 	lastEvent int
-	// partitioned: the regions do not reach each other; partitionChangedAt is when that began or ended.
+	// partitioned is set while the regions cannot reach each other. partitionChangedAt is the time at which a partition
+	// last began or ended.
 	partitioned        bool
 	partitionChangedAt time.Duration
-	// views of the membership, by region during a partition; the first one is for all otherwise.
+	// views are the membership views, by region during a partition. Otherwise the first one is for all members.
 	views [2]membershipView
-	// results of proposals, by the ID of the change.
+	// results are the origins' answers to proposals, by the ID of the change.
 	results map[string]origin.Result
 }
 
-// New makes a cluster and starts its machines.
+// New returns a cluster whose machines have all started.
 func New(config Config) (*Cluster, error) {
 	config = config.withDefaults()
 	c := &Cluster{
@@ -47,7 +49,7 @@
 		results: map[string]origin.Result{},
 	}
 	for i := range config.Origins {
-		// Each origin has a rack of its own.
+		// Negative rack numbers keep each origin in a rack of its own.
 		o := machine{
 			index:     i,
 			name:      fmt.Sprint("origin", i+1),
@@ -73,7 +75,7 @@
 		return nil, err
 	}
 	for i, m := range c.Members {
-		m.up = true // so that the view has all of them
+		m.up = true // the first view shows all members as live
 		c.StartMember(i)
 		m.changedAt = initialChangeTime
 	}
@@ -82,19 +84,20 @@
 	return c, nil
 }
 
-// Partition cuts the regions off from each other, or ends that.
+// Partition starts or ends a network partition between the regions.
 func (c *Cluster) Partition(partitioned bool) {
 	c.partitioned, c.partitionChangedAt = partitioned, c.Now
 }
 
-// Stop ends a machine. A process that is killed resets its connections; a machine that is lost does not.
+// Stop stops a machine. reset says whether its connections are reset, as when a process is killed. If a whole machine
+// is lost, they are not, and its peers have to time out.
 func (c *Cluster) Stop(m *machine, reset bool) {
 	m.up, m.changedAt = false, c.Now
 	m.incarnation++
 	if !reset {
 		return
 	}
-	m.up = true // for the resets to be sent
+	m.up = true // a stopped machine could not send the resets
 	for _, conn := range c.connections() {
 		if conn.server() == m || &conn.child.machine == m {
 			c.close(conn)
@@ -103,10 +106,10 @@
 	m.up = false
 }
 
-// Freeze keeps a machine from doing anything, or lets it go on.
+// Freeze suspends a machine, or resumes it.
 func (c *Cluster) Freeze(m *machine, frozen bool) { m.frozen, m.changedAt = frozen, c.Now }
 
-// stopAll loses all machines that a filter names.
+// stopAll stops all machines that a filter matches, without resetting their connections.
 func (c *Cluster) stopAll(matches func(m *machine) bool) {
 	for _, o := range c.Origins {
 		if matches(&o.machine) {
--- a/internal/simulation/configsim/config.go
+++ b/internal/simulation/configsim/config.go
@@ -1,11 +1,12 @@
-// Package configsim simulates how a whole cluster distributes configuration: the real cores (controlplane.Follower,
-// origin.Node, bootstrap.Selector) in simulated time, with a network by location between them and faults. It has no
-// socket and no goroutine; one seed gives one course, so its figures do not depend on the machine.
+// Package configsim simulates how a whole cluster distributes configuration. It runs the production state machines
+// (controlplane.Follower, origin.Node, bootstrap.Selector) in simulated time, connects them by a network whose delays
+// depend on the machines' locations, and injects faults. It uses no sockets and no goroutines. A run is determined by
+// its seed, so the figures do not depend on the machine that runs it.
 //
-// Not simulated: the membership view is not that of internal/cluster but computed (a death is detected after
-// DeathDetection, a start after StartDetection), datagrams carry nothing but revisions, and a connection is a delay, a
-// bandwidth at its sender, and ConnectionTimeout until a silent one is closed. Texts are comments of a size; a
-// snapshot is active ApplyTime after it was offered.
+// Several parts are simplified. The membership view is computed instead of coming from internal/cluster: a death is
+// detected after DeathDetection, a start after StartDetection. Datagrams carry only revisions. A connection has a
+// delay, the bandwidth of its sender, and is closed after ConnectionTimeout without contact. A snapshot's text is a
+// TOML comment of the configured size, and a snapshot becomes active ApplyTime after the daemon was told to apply it.
 package configsim
 
 import (
@@ -13,42 +14,45 @@
 	"time"
 )
 
-// Config describes a cluster. Zero fields get the defaults that their comments name.
+// Config describes a simulated cluster. A field that is zero gets the default that its comment gives in parentheses.
 type Config struct {
-	// Members (590) and Origins (5) are the machines.
+	// Members (590) and Origins (5) are the numbers of machines of each kind.
 	Members, Origins int
-	// Zones (4) are in all, Racks (4) in each zone; the first half of the zones is region 0.
+	// Zones (4) is the number of zones in total, Racks (4) the number of racks in each zone. The first half of the
+	// zones is region 0, the second half region 1.
 	Zones, Racks int
 	Seed         uint64
-	// Roots (3) is how many members subscribe to origins.
+	// Roots (3) is the number of members that subscribe to origins.
 	Roots int
-	// FanOut (16) is how many subscribers a member has.
+	// FanOut (16) is the number of subscribers that a member serves.
 	FanOut int
-	// MaxCallRate (200) is how many calls a second the origins get from members that have no upstream.
+	// MaxCallRate (200) is the rate, in calls per second, at which members without an upstream call the origins.
 	MaxCallRate int
 	// TextSize (8 KiB) is the size of a snapshot's text in bytes.
 	TextSize int
-	// FetchDelay is controlplane.FollowerConfig.FetchDelay.
+	// FetchDelay is passed on as controlplane.FollowerConfig.FetchDelay.
 	FetchDelay time.Duration
-	// PushFanOut (5) is how many random members are sent a revision at once that is new to one; below 0: none.
-	// Besides that each member exchanges revisions with one other a second, as the membership probes do.
+	// PushFanOut (5) is the number of random members that a member immediately tells about a revision that is new to
+	// it; a negative value disables this. Independently, each member exchanges revisions with one other member per
+	// second, as the membership probes do.
 	PushFanOut int
 
-	// CrossRegionDelay (30 ms) and RegionDelay (0.5 ms) are the times of one way.
+	// CrossRegionDelay (30 ms) and RegionDelay (0.5 ms) are the one-way network delays between regions and within one.
 	CrossRegionDelay, RegionDelay time.Duration
-	// ApplyTime (5 ms) is a daemon's time to apply a snapshot, SyncTime (5 ms) an origin's time to sync its disk.
+	// ApplyTime (5 ms) is the time that a daemon takes to apply a snapshot, SyncTime (5 ms) the time that an origin
+	// takes to sync its disk.
 	ApplyTime, SyncTime time.Duration
-	// DeathDetection (6 s) and StartDetection (1 s) pass until the membership view has a change.
+	// DeathDetection (6 s) and StartDetection (1 s) are the times until the membership view shows a death or a start.
 	DeathDetection, StartDetection time.Duration
 	// HeartbeatInterval (500 ms) is the time between heartbeats on a connection.
 	HeartbeatInterval time.Duration
-	// ConnectionTimeout (1.5 s) is when a silent connection is closed.
+	// ConnectionTimeout (1.5 s) is the time without contact after which a connection is closed.
 	ConnectionTimeout time.Duration
-	// DialTimeout (500 ms) is when a connection attempt without an answer fails.
+	// DialTimeout (500 ms) is the time without an answer after which a connection attempt fails.
 	DialTimeout time.Duration
-	// ElectionTick is origin.Config.TickInterval.
+	// ElectionTick is passed on as origin.Config.TickInterval.
 	ElectionTick time.Duration
-	// Bandwidth (12.5 MB/s) is how many bytes a second one machine sends.
+	// Bandwidth (12.5 MB/s) limits the bytes per second that one machine sends.
 	Bandwidth float64
 }
 
--- a/internal/simulation/configsim/configsim_test.go
+++ b/internal/simulation/configsim/configsim_test.go
@@ -11,14 +11,14 @@
 
 var (
 	long = flag.Bool("long", false,
-		"590 members, 8 seeds for each scenario, an hour's partition, changes at several sizes")
-	seeds = flag.Uint64("seeds", 8, "seeds of the long form")
+		"run the long form: 590 members, several seeds per scenario, a partition of one hour, several snapshot sizes")
+	seeds = flag.Uint64("seeds", 8, "number of seeds per scenario in the long form")
 )
 
-// maxTime is the limit of Outcome.Max in every scenario.
+// maxTime limits Outcome.Max in every scenario.
 const maxTime = 4 * time.Second
 
-// members is how many members a cluster has in the present form of the tests.
+// members returns the size of the simulated cluster, which depends on the form of the tests (-long).
 func members() int {
 	if *long {
 		return 590
@@ -26,11 +26,11 @@
 	return 130
 }
 
-// A fault happens around a push: origins, relays, racks or zones are lost, members restart, regions are cut off. A
-// change that does not reach a member, or reaches it late, leaves it with the old configuration. In each fault that
-// leaves a path the change has to be active at all members that can be reached within 4 s, and at 99 in 100 within
-// 1 s unless the scenario says why not. The short form has one seed; the long one (-long) is that of
-// docs/design/controlplane.md and shows the slowest of its seeds.
+// A fault occurs shortly before or after a push: origins, relays, racks or zones are lost, members restart, or regions
+// are partitioned. A change that reaches a member late, or not at all, leaves it with the old configuration. The change
+// has to be active at all reachable members within 4 s, and at 99 % of them within 1 s unless the scenario sets a
+// higher limit and gives the reason. The short form runs one seed. The long form (-long), whose figures are in
+// docs/design/controlplane.md, runs several and shows the slowest time of each scenario.
 func TestScenarios(t *testing.T) {
 	last := uint64(1)
 	if *long {
@@ -45,8 +45,9 @@
 				t.Fatal(err)
 			}
 			if o.Missing > 0 || o.Max > maxTime || o.P99 > s.Limit() || o.Accepted < 0 {
-				t.Errorf("%s, seed %d: accepted after %v, 99 %% after %v (%v allowed; %s), all after %v (%v), "+
-					"%d lack it", s.Name, seed, o.Accepted, o.P99, s.Limit(), s.Reason, o.Max, maxTime, o.Missing)
+				t.Errorf("%s, seed %d: accepted after %v, active at 99 %% after %v (limit %v; %s) and at all "+
+					"members after %v (limit %v), missing at %d members",
+					s.Name, seed, o.Accepted, o.P99, s.Limit(), s.Reason, o.Max, maxTime, o.Missing)
 			}
 			worst = slowest(worst, o)
 		}
@@ -55,7 +56,7 @@
 	logTable(t, outcomes)
 }
 
-// slowest takes the worse of each figure.
+// slowest returns an outcome with the worse value of each figure.
 func slowest(x, y Outcome) Outcome {
 	later := func(a, b time.Duration) time.Duration {
 		if a < 0 || b < 0 {
@@ -79,9 +80,9 @@
 	t.Log("\n" + b.String())
 }
 
-// The regions are cut off from each other. If both accepted changes, they would disagree for good. The larger
-// region has to accept them, the smaller one has to accept none and keep what it has, and after the partition all
-// have to have the last change within 4 s.
+// The regions are partitioned. If both accepted changes, their configurations would diverge permanently. The region
+// with the majority of the origins has to accept a change, the other one must not accept any and has to keep its
+// configuration, and the last change has to be active at all members within 4 s of the end of the partition.
 func TestRegionPartition(t *testing.T) {
 	partition := time.Minute
 	if *long {
@@ -92,14 +93,15 @@
 		t.Fatal(err)
 	}
 	if o.Max < 0 || o.Max > maxTime {
-		t.Errorf("all after %v, %d lack it", o.Max, o.Missing)
+		t.Errorf("active at all members %v after the partition (limit %v), missing at %d members",
+			o.Max, maxTime, o.Missing)
 	}
 	logTable(t, []Outcome{o})
 }
 
-// 1,700 changes a day with 63 replacements, and ten times as many of both: the slowest change stays within the
-// limits, and a member sends less than 7 KB a second on the mean. What a member with 16 subscribers sends grows
-// with the text's size, and docs/CAPACITY.md says how much.
+// Changes at a rate of 17,000 per day with 630 replacements per day; in the long form also a tenth of both. The slowest
+// change has to stay within the limits, and a member has to send at most 7 kB of frames per second on average. The
+// traffic of a member with 16 subscribers grows with the size of the text; docs/CAPACITY.md has the figures.
 func TestChangesAndReplacements(t *testing.T) {
 	const maxMeanFrameRate = 7000
 	duration := 30 * time.Second
@@ -110,8 +112,9 @@
 			t.Fatal(err)
 		}
 		if o.P99 > time.Second || o.Max > maxTime || o.Missing > 0 || o.MeanFrameRate > maxMeanFrameRate {
-			t.Errorf("%s: 99 %% after %v, all after %v, %d lack it, %.0f B/s mean",
-				o.Name, o.P99, o.Max, o.Missing, o.MeanFrameRate)
+			t.Errorf("%s: active at 99 %% after %v (limit %v) and at all members after %v (limit %v), "+
+				"missing at %d members, %.0f B/s of frames per member (limit %d)",
+				o.Name, o.P99, time.Second, o.Max, maxTime, o.Missing, o.MeanFrameRate, maxMeanFrameRate)
 		}
 		outcomes = append(outcomes, o)
 	}
@@ -125,9 +128,9 @@
 	logTable(t, outcomes)
 }
 
-// The same faults happen, but revisions are not pushed to random members, a fetch waits for a second, and a silent
-// connection is closed after three. If no change were late then, the scenarios would not test the settings. At
-// least one has to be late.
+// The scenarios run with slower settings: revisions are not pushed to random members, a fetch waits 1 s, and a silent
+// connection is closed only after 3 s. At least one change has to exceed its limits; otherwise the scenarios would not
+// depend on these settings.
 func TestSlowerSettings(t *testing.T) {
 	late := 0
 	var outcomes []Outcome
@@ -150,14 +153,15 @@
 		outcomes = append(outcomes, o)
 	}
 	if late == 0 {
-		t.Error("no change is late: the settings have no effect, or the scenarios do not test them")
+		t.Error("no scenario exceeded its limits with slower settings: the scenarios do not depend on these settings")
 	}
 	logTable(t, outcomes)
 }
 
-// All origins are lost, and new ones are founded with a higher epoch. A member that kept to the old epoch because its
-// version is higher would never get a change again. Members have to follow the new epoch from its first change on, also
-// one that was away meanwhile; and an origin of the old epoch that comes back must not bring anybody back.
+// All origins are lost, and new ones are bootstrapped with a higher epoch. Versions start again at 1, so a member that
+// compared versions alone would stay with the old epoch and never apply a change again. All members have to follow the
+// new epoch from its first change on, including one that was frozen in between, and an origin of the old epoch that
+// starts again must not lead any member back.
 func TestHigherEpoch(t *testing.T) {
 	const absent = 7
 	c, err := New(Config{Members: 60, Seed: 1})
@@ -167,7 +171,7 @@
 	c.Run(10 * time.Second)
 	for _, id := range []string{"1", "2", "3"} {
 		if change := c.Push(id, 0); !c.waitActive(10*time.Second, change, nil) {
-			t.Fatalf("%s is active at %d", id, len(change.activeAt))
+			t.Fatalf("change %s is active at %d of %d members", id, len(change.activeAt), len(c.Members))
 		}
 	}
 	c.Freeze(&c.Members[absent].machine, true)
@@ -179,7 +183,7 @@
 	c.Run(5 * time.Second)
 	for _, m := range c.Members {
 		if r := m.follower.Stats().Active; r.Epoch != 1 || r.Version != 3 {
-			t.Fatalf("%v is active at %s without origins", r, m.name)
+			t.Fatalf("without origins, %s has revision %v active, want epoch 1, version 3", m.name, r)
 		}
 	}
 	if err := c.Bootstrap(2); err != nil {
@@ -190,12 +194,13 @@
 	present := func(m *Member) bool { return m.index != absent }
 	isActive := c.waitActive(10*time.Second, change, present)
 	if r := change.Answer.Revision; !isActive || r.Epoch != 2 || r.Version != 1 {
-		t.Fatalf("active at %d, %v", len(change.activeAt), r)
+		t.Fatalf("the first change of the new epoch has revision %v and is active at %d members, "+
+			"want epoch 2, version 1 at all members but one", r, len(change.activeAt))
 	}
 	c.Freeze(&c.Members[absent].machine, false)
 	c.Run(4 * time.Second)
 	if r := c.Members[absent].follower.Stats().Active; r != change.Answer.Revision {
-		t.Errorf("%v is active at the member that was away", r)
+		t.Errorf("the member that was frozen has revision %v active, want %v", r, change.Answer.Revision)
 	}
 	c.Stop(&c.Origins[4].machine, true)
 	c.Origins[4].state = oldStates[4]
@@ -205,10 +210,12 @@
 	c.Run(20 * time.Second)
 	for _, m := range c.Members {
 		if r := m.follower.Stats().Active; r != change.Answer.Revision {
-			t.Fatalf("%v is active at %s", r, m.name)
+			t.Fatalf("beside an origin of the old epoch, %s has revision %v active, want %v",
+				m.name, r, change.Answer.Revision)
 		}
 	}
 	if change := c.Push("more", 0); !c.waitActive(10*time.Second, change, nil) {
-		t.Errorf("beside an origin of the old epoch a change is active at %d", len(change.activeAt))
+		t.Errorf("beside an origin of the old epoch, a change is active at %d of %d members",
+			len(change.activeAt), len(c.Members))
 	}
 }
--- a/internal/simulation/configsim/connection.go
+++ b/internal/simulation/configsim/connection.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// maxPathLength is how many members may be between an origin and a member, as in internal/discovery/relay.
+	// maxPathLength limits the number of members between an origin and a member, as in internal/discovery/relay.
 	maxPathLength = 8
-	// maxSelectionDelay is when a member selects again at the latest: the membership view may change meanwhile.
+	// maxSelectionDelay limits the delay until a member selects again, since the membership view may change in between.
 	maxSelectionDelay = time.Second
-	// retryDelay is what a member waits after a failed connection attempt.
+	// retryDelay is the delay after a failed connection attempt.
 	retryDelay = 10 * time.Millisecond
 )
 
-// connection is one of a member to its upstream, an origin or another member.
+// connection is a member's connection to its upstream, which is an origin or another member.
 type connection struct {
-	child  *Member
-	member *Member // or
+	child *Member
+	// Exactly one of member and origin is set: the upstream.
+	member *Member
 	origin *Origin
-	// childIncarnation and serverIncarnation are those of the processes at its ends.
+	// childIncarnation and serverIncarnation identify the processes at the two ends.
 	childIncarnation, serverIncarnation int
-	// silentSince is since when its ends do not reach each other; 0: they do.
+	// silentSince is the time since which the two ends cannot reach each other; 0: they can.
 	silentSince time.Duration
 	closed      bool
 }
 
-// isStale reports whether one of its ends is another process by now.
+// isStale reports whether the process at one of the ends has been replaced.
 func (conn *connection) isStale() bool {
 	return conn.childIncarnation != conn.child.incarnation || conn.serverIncarnation != conn.server().incarnation
 }
 
-// server is the machine that the member is subscribed to.
+// server returns the machine of the upstream.
 func (conn *connection) server() *machine {
 	if conn.origin != nil {
 		return &conn.origin.machine
@@ -44,7 +45,7 @@
 	return &conn.member.machine
 }
 
-// frame is the server's frame.
+// frame returns the frame that the upstream has; false: it has none.
 func (conn *connection) frame() (controlplane.Frame, bool) {
 	if conn.origin != nil {
 		return conn.origin.frame, !conn.origin.frame.Revision.IsZero()
@@ -52,9 +53,9 @@
 	return conn.member.follower.Frame()
 }
 
-// selectUpstream connects a member to the upstream that bootstrap.Selector selects.
+// selectUpstream makes a member select an upstream with its bootstrap.Selector and connect to it.
 func (c *Cluster) selectUpstream(m *Member) {
-	if m.frozen { // checkMember goes on once it is not
+	if m.frozen { // checkMember repeats the selection once the member is resumed
 		m.selectionPending = true
 		return
 	}
@@ -79,7 +80,8 @@
 	c.subscribe(conn, selection, m.selections)
 }
 
-// scheduleSelection lets a member choose an upstream after a delay, unless it has chosen since.
+// scheduleSelection makes a member select an upstream after a delay, unless it has one by then or has made another
+// selection than the given one since.
 func (c *Cluster) scheduleSelection(m *Member, number int, delay time.Duration) {
 	c.After(delay, c.whileRunning(m, func() {
 		if m.selections == number && m.upstream == nil {
@@ -88,7 +90,7 @@
 	}))
 }
 
-// subscribe asks a server to accept a member, for its selection of a number.
+// subscribe asks a server to accept a member as a subscriber. number is that of the member's selection.
 func (c *Cluster) subscribe(conn *connection, selection bootstrap.Selection, number int) {
 	m, server := conn.child, conn.server()
 	c.After(c.config.DialTimeout, c.whileRunning(m, func() { c.subscribeFailed(m, selection, number) }))
@@ -110,7 +112,8 @@
 	})
 }
 
-// subscribeFailed lets a member choose again. Origins are one source, which has failed once all of them have.
+// subscribeFailed makes a member select again. The selector treats the origins as one source, so their failure is
+// reported to it only once all of them have failed.
 func (c *Cluster) subscribeFailed(m *Member, selection bootstrap.Selection, number int) {
 	if m.selections != number || m.upstream != nil {
 		return
@@ -123,7 +126,7 @@
 	c.scheduleSelection(m, number, retryDelay)
 }
 
-// subscribed makes an accepted connection the member's upstream.
+// subscribed makes an accepted connection the member's upstream and exchanges the current frame and report over it.
 func (c *Cluster) subscribed(conn *connection, selection bootstrap.Selection) {
 	m := conn.child
 	m.failedOrigins = 0
@@ -139,9 +142,9 @@
 	c.sendReport(m, m.follower.Report())
 }
 
-// accepts reports whether a server accepts a member as a subscriber: it does not if the member has a later
-// revision, and a member does not if it has no upstream itself, gets its snapshots through that member, or is too
-// far from the origins.
+// accepts reports whether the server accepts the child as a subscriber. No server accepts a child that has a later
+// revision. A server that is a member also has to have an upstream, must not receive its own snapshots through the
+// child, and must have fewer than maxPathLength members between itself and an origin.
 func (c *Cluster) accepts(conn *connection) bool {
 	if frame, _ := conn.frame(); frame.Revision.Compare(conn.child.follower.Stats().Published) < 0 {
 		return false
@@ -153,7 +156,7 @@
 	return p.upstream != nil && !slices.Contains(p.path, conn.child.index) && len(p.path) < maxPathLength
 }
 
-// publish sends a frame to all subscribers of a machine.
+// publish sends a frame to all subscribers of a machine, in order of their indexes.
 func (c *Cluster) publish(m *machine, frame controlplane.Frame) {
 	for _, i := range slices.Sorted(maps.Keys(m.subscribers)) {
 		if conn := m.subscribers[i]; !conn.closed {
@@ -172,7 +175,7 @@
 	})
 }
 
-// connections are all that are open, each once.
+// connections returns all open connections, each once, in a fixed order.
 func (c *Cluster) connections() (open []*connection) {
 	seen := map[*connection]bool{}
 	add := func(conn *connection) {
@@ -196,7 +199,7 @@
 	return open
 }
 
-// close ends a connection at both of its ends.
+// close closes a connection at both ends. A child that loses its upstream this way selects another one.
 func (c *Cluster) close(conn *connection) {
 	if conn.closed {
 		return
@@ -218,8 +221,8 @@
 	}
 }
 
-// upstreamLost lets a member choose another upstream. The other origins are tried before they count as failed: they are
-// one source.
+// upstreamLost makes a member select another upstream. The loss of one origin is not reported to the selector as a
+// failure: the origins count as one source, and the member tries the other ones first.
 func (c *Cluster) upstreamLost(m *Member, conn *connection) {
 	if !m.up {
 		return
@@ -231,8 +234,8 @@
 	c.selectUpstream(m)
 }
 
-// checkConnections runs once a heartbeat: it updates the views, sends heartbeats, closes silent connections, and lets
-// members without an upstream choose one.
+// checkConnections runs once per heartbeat interval. It updates the membership views, confirms connections whose ends
+// can reach each other, closes the silent ones, and checks each member (checkMember).
 func (c *Cluster) checkConnections() {
 	c.updateViews()
 	for _, conn := range c.connections() {
@@ -246,6 +249,8 @@
 	c.After(c.config.HeartbeatInterval, c.checkConnections)
 }
 
+// checkConnection confirms a connection, or closes it if it is stale, no longer used by the child, or silent for too
+// long.
 func (c *Cluster) checkConnection(conn *connection) {
 	child, server := conn.child, conn.server()
 	switch {
@@ -256,7 +261,7 @@
 		if child.upstream == conn {
 			c.handle(child, controlplane.UpstreamConfirmed{From: server.name})
 		} else if child.upstream != nil {
-			c.close(conn) // the child has another one by now
+			c.close(conn) // the child has another upstream by now
 		}
 	case conn.silentSince == 0:
 		conn.silentSince = c.Now
@@ -265,6 +270,8 @@
 	}
 }
 
+// checkMember catches up on the actions that a member missed while it was frozen, and closes its connection if its
+// selector wants to switch to another upstream.
 func (c *Cluster) checkMember(m *Member) {
 	if m.upstream == nil && m.selectionPending {
 		c.selectUpstream(m)
--- a/internal/simulation/configsim/events.go
+++ b/internal/simulation/configsim/events.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a time; events of the same time happen in order of their numbers.
+// event is a function that is called at a simulated time. Events of the same time are handled in order of their
+// numbers.
 type event struct {
 	at     time.Duration
 	number int
 	handle func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events, the next one first.
 type eventQueue []event
 
 // Len implements heap.Interface.
@@ -48,7 +49,7 @@
 	heap.Push(&c.events, event{c.Now + delay, c.lastEvent, handle})
 }
 
-// Run lets simulated time pass.
+// Run advances the simulated time by d and handles the events that are due.
 func (c *Cluster) Run(d time.Duration) {
 	end := c.Now + d
 	for len(c.events) > 0 && c.events[0].at <= end {
--- a/internal/simulation/configsim/longrun.go
+++ b/internal/simulation/configsim/longrun.go
@@ -1,31 +1,32 @@
 package configsim
 
 import (
-	"errors"
 	"fmt"
 	"time"
 )
 
 const (
-	// partitionChangeTimeout is when a change during a partition has to be active in the larger region.
+	// partitionChangeTimeout limits the time until a change that is pushed during a partition is active in the larger
+	// region.
 	partitionChangeTimeout = 10 * time.Second
-	// smallerPushTime is how long the smaller region gets to accept a change, which it must not.
+	// smallerPushTime is the time for which the smaller region is checked not to accept a change.
 	smallerPushTime = 5 * time.Second
-	// rejoinTimeout is when all members have to have the last change after a partition.
+	// rejoinTimeout limits the time after a partition until the last change is active at all members.
 	rejoinTimeout = 15 * time.Second
 
 	day = 24 * time.Hour
-	// replacementsPerDay members are replaced at changesPerDay, and proportionally more at a higher rate of changes.
+	// replacementsPerDay is the number of members that are replaced per day if there are changesPerDay changes. The
+	// replacements grow in proportion to the changes.
 	replacementsPerDay = 63
 	changesPerDay      = 1700
-	// replacementTime is how long a member is away that is replaced.
+	// replacementTime is the time between the stop of a replaced member and the start of its successor.
 	replacementTime = 2 * time.Second
-	// maxChangeWait is how long a run of many changes waits for one.
+	// maxChangeWait limits the time that RunChanges waits for one change to become active.
 	maxChangeWait = 4 * time.Second
 )
 
-// RunPartition cuts the regions for a time, pushes changes meanwhile, and measures the time from the end of the
-// partition until all members have the last one.
+// RunPartition partitions the regions for a time and pushes changes to both of them during it. It measures the time
+// from the end of the partition until the last change is active at all members.
 func RunPartition(config Config, duration time.Duration) (Outcome, error) {
 	c, err := newRunning(config)
 	if err != nil {
@@ -35,17 +36,22 @@
 	c.Run(duration / 2)
 	change := c.Push("meanwhile", 0)
 	if !c.waitActive(partitionChangeTimeout, change, c.inLargerRegion) {
-		return Outcome{}, errors.New("the larger region lacks what was pushed there")
+		return Outcome{}, fmt.Errorf("the change that was pushed to the larger region is not active there after %v",
+			partitionChangeTimeout)
 	}
 	smaller := c.Push("smaller", 2)
 	c.Run(smallerPushTime)
 	if smaller.AnsweredAt > 0 {
-		return Outcome{}, fmt.Errorf("the smaller region accepted a push: %v", smaller.Answer)
+		return Outcome{}, fmt.Errorf("the smaller region answered a push during the partition: %v", smaller.Answer)
 	}
 	c.Run(duration/2 - rejoinTimeout)
 	for _, m := range c.Members {
-		if _, ok := change.activeAt[m.index]; ok != c.inLargerRegion(m) {
-			return Outcome{}, fmt.Errorf("%s: active %v", m.name, ok)
+		switch _, ok := change.activeAt[m.index]; {
+		case ok && !c.inLargerRegion(m):
+			return Outcome{}, fmt.Errorf("%s in the smaller region has the larger region's change during the partition",
+				m.name)
+		case !ok && c.inLargerRegion(m):
+			return Outcome{}, fmt.Errorf("%s in the larger region does not have its region's change", m.name)
 		}
 	}
 	c.Partition(false)
@@ -55,8 +61,8 @@
 	return c.outcome(name, change, func(m *Member) bool { return !c.inLargerRegion(m) }, healedAt), nil
 }
 
-// RunChanges pushes changes at an even rate a day for a time, while members are replaced, and measures the slowest
-// change and what the machines send.
+// RunChanges pushes changes at an even rate, given per day, for a time, while members are replaced. It measures the
+// slowest change and the traffic of the machines.
 func RunChanges(config Config, perDay float64, duration time.Duration) (Outcome, error) {
 	c, err := newRunning(config)
 	if err != nil {
@@ -88,7 +94,7 @@
 	return slowest, nil
 }
 
-// scheduleReplacements replaces members, whose cached snapshots are lost with them.
+// scheduleReplacements schedules replacements of random members. A replaced member loses its cached snapshot.
 func (c *Cluster) scheduleReplacements(changes float64, duration time.Duration) {
 	interval := time.Duration(float64(day) / replacementsPerDay / (changes / changesPerDay))
 	for at := interval / 2; at < duration; at += interval {
--- a/internal/simulation/configsim/machine.go
+++ b/internal/simulation/configsim/machine.go
@@ -9,45 +9,45 @@
 
 // Sizes of messages in bytes.
 const (
-	frameOverhead   = 180
-	reportOverhead      = 150 // the head of the request that carries a report
-	revisionSize    = 62  // a datagram of the membership view without entries
-	fetchSize       = 200
-	subscribeSize   = 250
+	frameOverhead       = 180
+	reportOverhead      = 150 // the head of the HTTP request that carries a report
+	revisionSize        = 62  // a membership datagram without entries
+	fetchSize           = 200
+	subscribeSize       = 250
 	subscribeAnswerSize = 100
 )
 
-// Traffic counts the bytes of frames and reports that one process sent, and of reports that it received.
+// Traffic counts the bytes of frames and reports that a machine sent, and of reports that it received.
 type Traffic struct{ FramesOut, ReportsOut, ReportsIn int }
 
-// machine is what members and origins have in common.
+// machine is the common part of members and origins: location, state and network link.
 type machine struct {
 	index, zone, rack int
 	name              string
-	// incarnation counts the machine's processes.
+	// incarnation is the number of processes that the machine has started or ended; it tells one process from the next.
 	incarnation int
 	up          bool
 	frozen      bool
-	// changedAt is when it started, stopped, froze or thawed.
+	// changedAt is the time of the last start, stop, freeze or resumption.
 	changedAt time.Duration
-	// busyUntil is when its link has sent what was handed to it.
+	// busyUntil is the time at which the outgoing link has sent all bytes queued so far.
 	busyUntil time.Duration
-	// subscribers are connections by the subscribing member's index.
+	// subscribers holds the connections from subscribers by the subscriber's member index.
 	subscribers map[int]*connection
 	Traffic
 }
 
-// region is the half of the zones that a machine is in.
+// region returns the region of a machine, 0 or 1: the half of the zones that it is in.
 func (c *Cluster) region(m *machine) int { return m.zone * 2 / c.config.Zones }
 
-// reachable reports whether bytes get from one machine to another now.
+// reachable reports whether one machine can currently send bytes to another.
 func (c *Cluster) reachable(from, to *machine) bool {
 	isCut := c.partitioned && c.region(from) != c.region(to)
 	return from.up && to.up && !from.frozen && !to.frozen && !isCut
 }
 
-// send brings bytes to another machine and calls receive there. They are lost if the machine cannot be reached when
-// they arrive, or if one of the two is another process by then.
+// send transmits a message of a size to another machine and calls receive when it arrives. The message is lost if the
+// machine is not reachable at that time, or if one of the two machines runs another process by then.
 func (c *Cluster) send(from, to *machine, size int, receive func()) {
 	begin := max(c.Now, from.busyUntil)
 	from.busyUntil = begin + time.Duration(float64(size)/c.config.Bandwidth*float64(time.Second))
@@ -64,14 +64,14 @@
 	})
 }
 
-// frameSize is the size of a frame on the wire: JSON, with the text in base64.
+// frameSize returns the size of a frame on the wire, which is JSON with the text in base64.
 func frameSize(f *controlplane.Frame) int { return (len(f.Text)+2)/3*4 + frameOverhead }
 
-// reportSize is the size of a report on the wire.
+// reportSize returns the size of a report on the wire.
 func reportSize(r *controlplane.Report) int {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a report is plain data
+		panic(err) // cannot happen: every report can be encoded
 	}
 	return len(data) + reportOverhead
 }
--- a/internal/simulation/configsim/member.go
+++ b/internal/simulation/configsim/member.go
@@ -10,41 +10,43 @@
 )
 
 const (
-	// maxStartDelay is how long after its start a member chooses an upstream at the latest.
+	// maxStartDelay limits the random time between a member's start and its first selection of an upstream.
 	maxStartDelay = 20 * time.Millisecond
-	// minTickDelay is the shortest time to a follower's next tick.
+	// minTickDelay is the minimum delay until a follower's next tick.
 	minTickDelay = time.Millisecond
-	// exchangeInterval is how often a member exchanges revisions with another one.
+	// exchangeInterval is the time between a member's exchanges of revisions with a random other member.
 	exchangeInterval = time.Second
 )
 
-// Member is a sidecar.
+// Member is a sidecar that takes part in the distribution of configuration.
 type Member struct {
 	machine
 	follower *controlplane.Follower
 	selector *bootstrap.Selector
-	// cached is the stored snapshot, which the next process starts with.
+	// cached is the snapshot on disk, with which the member's next process starts.
 	cached *controlplane.CachedSnapshot
-	// selection is what the selector chose, upstream the connection that came of it.
+	// upstream is the connection to the member's current upstream, nil if there is none; selection is the selector's
+	// choice that led to it.
 	selection bootstrap.Selection
 	upstream  *connection
-	// path is the members between it and an origin, nearest first.
+	// path holds the indexes of the members between this member and an origin, the nearest one first.
 	path   []int
 	tickAt time.Duration
-	// nextOrigin is the origin that it calls next; failedOrigins counts the failures in a row.
+	// nextOrigin is the index of the origin that the member calls next. failedOrigins is the number of consecutive
+	// failures.
 	nextOrigin    int
 	failedOrigins int
-	// selections counts its choices of an upstream; a later one makes the earlier ones' events void.
+	// selections is the number of upstream selections so far. Events of earlier selections are ignored.
 	selections int
-	// selectionPending: it was frozen when it had to choose an upstream.
+	// selectionPending is set if the member was frozen when it had to select an upstream.
 	selectionPending bool
-	// viewVersion is that of the membership view that its selector has.
+	// viewVersion is the version of the membership view that the selector has.
 	viewVersion uint64
-	// Fetches counts snapshots that it fetched from peers.
+	// Fetches is the number of snapshots that the member fetched from peers.
 	Fetches int
 }
 
-// StartMember starts a member with its cached snapshot.
+// StartMember starts a new process of a member, with the member's cached snapshot.
 func (c *Cluster) StartMember(i int) {
 	m := c.Members[i]
 	m.incarnation++
@@ -71,7 +73,7 @@
 	c.After(startDelay, c.whileRunning(m, func() { c.selectUpstream(m) }))
 }
 
-// whileRunning is a function that does nothing once the member's present process has ended.
+// whileRunning wraps a function so that it does nothing once the member's current process has ended.
 func (c *Cluster) whileRunning(m *Member, do func()) func() {
 	incarnation := m.incarnation
 	return func() {
@@ -81,14 +83,14 @@
 	}
 }
 
-// handle hands an event to a member's follower and carries out its actions.
+// handle passes an event to a member's follower and performs the resulting actions.
 func (c *Cluster) handle(m *Member, event controlplane.Event) {
 	if m.up && !m.frozen {
 		c.perform(m, m.follower.Handle(c.Now, event))
 	}
 }
 
-// perform carries out a follower's actions and schedules its next tick.
+// perform performs a follower's actions and schedules its next tick.
 func (c *Cluster) perform(m *Member, actions []controlplane.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -118,7 +120,7 @@
 	}
 }
 
-// scheduleTick schedules the follower's next tick, if it is earlier than the one that is scheduled.
+// scheduleTick schedules the follower's next tick unless an earlier one is already scheduled.
 func (c *Cluster) scheduleTick(m *Member) {
 	at := m.follower.NextTick()
 	if !m.up || m.tickAt > c.Now && at >= m.tickAt {
@@ -138,7 +140,7 @@
 	}))
 }
 
-// fetch gets the frame of another member.
+// fetch requests the current frame of the member with a given name.
 func (c *Cluster) fetch(m *Member, name string) {
 	m.Fetches++
 	for _, peer := range c.Members {
@@ -159,7 +161,7 @@
 	}
 }
 
-// sendReport sends a member's report upstream.
+// sendReport sends a member's report to its upstream.
 func (c *Cluster) sendReport(m *Member, report controlplane.Report) {
 	upstream := m.upstream
 	if upstream == nil || upstream.closed {
@@ -180,7 +182,7 @@
 	})
 }
 
-// sendRevision tells another member which revision a member has.
+// sendRevision sends the revision of a member's snapshot to another member.
 func (c *Cluster) sendRevision(m, to *Member) {
 	if m == to || !m.up || m.frozen {
 		return
@@ -195,7 +197,8 @@
 	})
 }
 
-// exchangeRevisions lets each member exchange revisions with a random one every second, as the membership probes do.
+// exchangeRevisions makes each member exchange revisions with a random other one in every exchangeInterval, as the
+// membership probes do.
 func (c *Cluster) exchangeRevisions() {
 	for _, m := range c.Members {
 		delay := time.Duration(c.rng.Int64N(int64(exchangeInterval)))
@@ -210,12 +213,12 @@
 	c.After(exchangeInterval, c.exchangeRevisions)
 }
 
-// LargestRelay is the member that most others get their snapshots through.
+// LargestRelay returns the member through which the most other members receive their snapshots.
 func (c *Cluster) LargestRelay() *Member {
 	return slices.MaxFunc(c.Members, func(x, y *Member) int { return c.descendants(x) - c.descendants(y) })
 }
 
-// descendants counts the members that get their snapshots through a member.
+// descendants returns the number of members that receive their snapshots through a member.
 func (c *Cluster) descendants(m *Member) (n int) {
 	for _, other := range c.Members {
 		if slices.Contains(other.path, m.index) {
--- a/internal/simulation/configsim/origin.go
+++ b/internal/simulation/configsim/origin.go
@@ -7,21 +7,21 @@
 	"hazelwing/internal/controlplane/origin"
 )
 
-// clusterName is the name in the origins' and the followers' configuration.
+// clusterName is the name of the cluster in the configuration of origins and followers.
 const clusterName = "f"
 
-// originTick is how often an origin's node gets a tick.
+// originTick is the time between the ticks of an origin's node.
 const originTick = 50 * time.Millisecond
 
-// Origin is a machine that runs an origin of the configuration.
+// Origin is a machine that runs an origin.
 type Origin struct {
 	machine
 	node  *origin.Node
-	state *origin.State
-	frame controlplane.Frame
+	state *origin.State      // on disk; the next process starts with it
+	frame controlplane.Frame // published last
 }
 
-// Bootstrap founds a new cluster of origins for an epoch, with empty stores, and starts them.
+// Bootstrap creates a new cluster of origins with a given epoch and empty stores, and starts the origins.
 func (c *Cluster) Bootstrap(epoch uint64) error {
 	bootstrapConfig := origin.BootstrapConfig{Cluster: clusterName, Epoch: epoch}
 	for _, o := range c.Origins {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// StartOrigin starts an origin with its stored state.
+// StartOrigin starts a new process of an origin, with the origin's stored state.
 func (c *Cluster) StartOrigin(i int) error {
 	o := c.Origins[i]
 	o.incarnation++
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// tickOrigin schedules the ticks of one process of an origin.
+// tickOrigin schedules the next tick of an origin, and so all further ones of this process.
 func (c *Cluster) tickOrigin(o *Origin, incarnation int) {
 	c.After(originTick, func() {
 		if o.incarnation != incarnation || !o.up {
@@ -68,14 +68,14 @@
 	})
 }
 
-// handleOrigin hands an event to an origin and carries out its actions.
+// handleOrigin passes an event to an origin's node and performs the resulting actions.
 func (c *Cluster) handleOrigin(o *Origin, event origin.Event) {
 	if o.up && !o.frozen {
 		c.performOrigin(o, o.node.Handle(c.Now, event))
 	}
 }
 
-// performOrigin carries out an origin's actions in order: what follows a Persist waits for the disk.
+// performOrigin performs an origin's actions in order. Actions after a Persist wait until the disk is synced.
 func (c *Cluster) performOrigin(o *Origin, actions []origin.Action) {
 	incarnation, syncTime := o.incarnation, time.Duration(0)
 	afterSync := func(do func()) {
@@ -117,10 +117,10 @@
 	}
 }
 
-// originAt is the origin of an index, which may be beyond the last one.
+// originAt returns the origin with an index, modulo the number of origins.
 func (c *Cluster) originAt(i int) *Origin { return c.Origins[i%c.config.Origins] }
 
-// Leader is the index of the origin that leads, or 0.
+// Leader returns the index of the origin that is the leader, or 0 if there is none.
 func (c *Cluster) Leader() int {
 	for i, o := range c.Origins {
 		if o.up && o.node.Status().Role == origin.RoleLeader {
--- a/internal/simulation/configsim/outcome.go
+++ b/internal/simulation/configsim/outcome.go
@@ -9,26 +9,28 @@
 	"hazelwing/internal/controlplane/origin"
 )
 
-// Outcome is what a scenario measured; a time below 0: it did not happen.
+// Outcome holds the measurements of a scenario. A negative time means that the event did not happen.
 type Outcome struct {
-	Name     string
+	Name string
+	// Accepted is the time from the push until an origin accepted the change.
 	Accepted time.Duration
-	// P50, P99 and Max are when the change was active at 50, 99 and 100 % of the members that can be reached.
+	// P50, P99 and Max are the times until the change was active at 50, 99 and 100 % of the members that count.
 	P50, P99, Max time.Duration
-	// Missing is at how many of them it was not active in the end.
+	// Missing is the number of these members at which the change was not active in the end.
 	Missing int
+	// Fetches is the number of snapshots that members fetched from peers.
 	Fetches int
-	// Reported is when the origins' summed report said so.
+	// Reported is the time until an origin's aggregated report counted the change as active at all members.
 	Reported time.Duration
-	// Rates are in bytes a second: what a member sent in frames and in reports, and what the origin with most of it
-	// sent and received.
+	// The rates are in bytes per second: frames sent by a member (mean and maximum), reports sent by a member
+	// (maximum), and the most that any origin sent in frames and received in reports.
 	MeanFrameRate, MaxFrameRate float64
 	MaxReportRate               float64
 	MaxOriginSendRate           float64
 	MaxOriginReceiveRate        float64
 }
 
-// outcome measures a change, in times from a moment on.
+// outcome returns the measurements of a change. All times except Accepted count from a given moment.
 func (c *Cluster) outcome(name string, change *Change, filter Filter, from time.Duration) Outcome {
 	o := Outcome{
 		Name:     name,
@@ -52,7 +54,7 @@
 	return o
 }
 
-// addSlowest keeps the slowest times of several changes, and adds up where they are missing.
+// addSlowest merges in the outcome of another change: the slower of each time, and the sum of the missing members.
 func (o *Outcome) addSlowest(other Outcome) {
 	o.Accepted = max(o.Accepted, other.Accepted)
 	o.P50, o.P99 = max(o.P50, other.P50), max(o.P99, other.P99)
@@ -60,7 +62,7 @@
 	o.Missing += other.Missing
 }
 
-// addTraffic adds what the machines have sent and received in a time.
+// addTraffic adds the traffic of all machines over a duration.
 func (o *Outcome) addTraffic(c *Cluster, duration time.Duration) {
 	seconds := duration.Seconds()
 	for _, m := range c.Members {
--- a/internal/simulation/configsim/scenario.go
+++ b/internal/simulation/configsim/scenario.go
@@ -6,49 +6,52 @@
 )
 
 const (
-	// warmUp is how long a new cluster runs before the first change, settleTime how long after it.
+	// warmUp is the time that a new cluster runs before the first change, settleTime the time that it runs after it.
 	warmUp     = 10 * time.Second
 	settleTime = 5 * time.Second
-	// firstChangeTimeout is when the first change has to be active everywhere.
+	// firstChangeTimeout limits the time until the first change is active at all members.
 	firstChangeTimeout = 20 * time.Second
-	// faultLead is the time between a fault and the push before or after it: too short for the fault to be detected.
+	// faultLead is the time between a fault and the push before or after it. It is too short for the cluster to detect
+	// the fault before the push.
 	faultLead = 10 * time.Millisecond
-	// scenarioTimeout is how long a scenario waits for its change.
+	// scenarioTimeout limits the time that a scenario waits for its change to become active.
 	scenarioTimeout = 8 * time.Second
-	// defaultMaxP99 is the limit of Outcome.P99 where a scenario states no other.
+	// defaultMaxP99 is the limit of Outcome.P99 for scenarios that do not set a higher one.
 	defaultMaxP99 = time.Second
-	// electionMaxP99 is the limit with an election, lossMaxP99 with an election after the loss of several machines.
+	// electionMaxP99 is the limit for scenarios with an election, lossMaxP99 for those that also lose several machines.
 	electionMaxP99 = 3 * time.Second
 	lossMaxP99     = 4 * time.Second
-	// restartTime is the time within which the members of a mass restart come back.
+	// restartTime is the time within which all members of a mass restart have started again.
 	restartTime = time.Second
 )
 
-// Scenario is one fault around a push.
+// Scenario is a fault that occurs shortly before or after a push.
 type Scenario struct {
 	Name string
-	// Before happens just before the push, or Lead earlier; After just after it. They return which members count.
+	// Before injects a fault just before the push, or Lead before it if Lead is longer; After injects one just after
+	// the push. They return the filter of the members that the outcome counts.
 	Before, After func(c *Cluster) Filter
 	Lead          time.Duration
-	// Origin is the index of the one that gets the push; nil: the first.
+	// Origin returns the index of the origin that receives the push; nil: the first origin.
 	Origin func(c *Cluster) int
-	// MaxP99 is the limit of Outcome.P99; 0: defaultMaxP99. Reason says why it is more.
+	// MaxP99 is the limit of Outcome.P99; 0: defaultMaxP99. Reason states why the limit is above the default.
 	MaxP99 time.Duration
 	Reason string
 }
 
 const (
-	electionReason = "an election comes first: its leader is silent for 1 s, and 1 to 2 s pass until another one leads"
-	noPathReason   = "all upstreams that follow origins may have lost theirs, and a silent connection is closed " +
-		"after 1.5 s"
-	restartReason = "the members come back within a second, and a start waits up to a second for the membership view " +
+	electionReason = "the change waits for an election, which starts 1 s after the last contact with the leader and " +
+		"takes 1 to 2 s"
+	noPathReason = "every member that subscribes to an origin may have lost its connection, which is closed only " +
+		"after 1.5 s of silence"
+	restartReason = "the members start again within 1 s, and each then waits up to 1 s for the membership view " +
 		"(recovery.joinWait)"
 )
 
-// Limit is the limit of Outcome.P99.
+// Limit returns the limit of Outcome.P99.
 func (s Scenario) Limit() time.Duration { return max(s.MaxP99, defaultMaxP99) }
 
-// Run simulates a scenario.
+// Run simulates the scenario and returns what it measured.
 func (s Scenario) Run(config Config) (Outcome, error) {
 	c, err := newRunning(config)
 	if err != nil {
@@ -76,7 +79,7 @@
 	return outcome, nil
 }
 
-// newRunning makes a cluster in which a first change is active everywhere.
+// newRunning returns a cluster in which a first change is active at all members.
 func newRunning(config Config) (*Cluster, error) {
 	c, err := New(config)
 	if err != nil {
@@ -84,12 +87,13 @@
 	}
 	c.Run(warmUp)
 	if first := c.Push("first", 0); !c.waitActive(firstChangeTimeout, first, nil) {
-		return nil, fmt.Errorf("the first push is active at %d of %d", len(first.activeAt), len(c.Members))
+		return nil, fmt.Errorf("the first change is active at %d of %d members after %v",
+			len(first.activeAt), len(c.Members), firstChangeTimeout)
 	}
 	return c, nil
 }
 
-// fetches counts the snapshots that members have fetched from peers.
+// fetches returns the number of snapshots that all members have fetched from peers.
 func (c *Cluster) fetches() (n int) {
 	for _, m := range c.Members {
 		n += m.Fetches
@@ -97,7 +101,7 @@
 	return n
 }
 
-// Scenarios are those of docs/design/controlplane.md.
+// Scenarios returns the scenarios of docs/design/controlplane.md.
 func Scenarios() []Scenario {
 	scenarios := []Scenario{{Name: "quiet"}}
 	scenarios = append(scenarios, originScenarios()...)
@@ -110,7 +114,7 @@
 func secondOrigin(*Cluster) int        { return 1 }
 func originAfterLeader(c *Cluster) int { return c.Leader() + 1 }
 
-// originScenarios are failures of origins.
+// originScenarios returns the scenarios in which origins fail.
 func originScenarios() []Scenario {
 	return []Scenario{
 		{
@@ -146,7 +150,7 @@
 	}
 }
 
-// relayScenarios are failures of the member that most others depend on, and of racks.
+// relayScenarios returns the scenarios in which the member with the most descendants, or a rack, fails.
 func relayScenarios() []Scenario {
 	freezeLargest := func(c *Cluster) Filter {
 		c.Freeze(&c.LargestRelay().machine, true)
@@ -174,7 +178,7 @@
 	}
 }
 
-// zoneScenarios are losses of zones, and a restart of half of the members.
+// zoneScenarios returns the scenarios in which a zone is lost, and the one in which half of the members restart.
 func zoneScenarios() []Scenario {
 	loseZone := func(c *Cluster, zone int) Filter {
 		c.stopAll(func(m *machine) bool { return m.zone == zone })
@@ -210,7 +214,7 @@
 	}
 }
 
-// restartHalf kills every other member; each starts again within restartTime.
+// restartHalf kills every other member. Each of them starts again within restartTime.
 func restartHalf(c *Cluster) Filter {
 	for i, m := range c.Members {
 		if i%2 == 0 {
@@ -221,7 +225,8 @@
 	return nil
 }
 
-// partitionScenarios are partitions of the regions; the members of the larger one, with three of five origins, count.
+// partitionScenarios returns the scenarios in which the regions are partitioned. Their outcomes count the members of
+// the larger region, which has three of the five origins.
 func partitionScenarios() []Scenario {
 	partition := func(c *Cluster) Filter {
 		c.Partition(true)
@@ -231,7 +236,7 @@
 		{
 			Name:   "regions cut just before: the larger part's",
 			MaxP99: lossMaxP99,
-			Reason: noPathReason + "; the leader may be on the other side",
+			Reason: noPathReason + "; the leader may be in the other region",
 			Origin: firstOrigin,
 			Before: partition,
 		},
@@ -244,5 +249,5 @@
 	}
 }
 
-// inLargerRegion reports whether a member is in the region with most origins.
+// inLargerRegion reports whether a member is in the region with the majority of the origins.
 func (c *Cluster) inLargerRegion(m *Member) bool { return c.region(&m.machine) == 0 }
--- a/internal/simulation/configsim/view.go
+++ b/internal/simulation/configsim/view.go
@@ -2,15 +2,16 @@
 
 import "hazelwing/internal/discovery/bootstrap"
 
-// membershipView is which members are live, as one side of a partition sees it.
+// membershipView is the set of live members as one side of a partition sees it.
 type membershipView struct {
-	// version changes with the view; 0: it has not been computed.
+	// version changes whenever the view changes; 0 before the view is first computed.
 	version uint64
-	live    []bool // by member
+	live    []bool // by member index
 	members []bootstrap.Member
 }
 
-// updateViews computes the membership views and hands them to the selectors.
+// updateViews computes the membership views and passes them to the members' selectors. The two regions have different
+// views while a partition is detected, and until its end is detected.
 func (c *Cluster) updateViews() {
 	sides := 1
 	sinceChange := c.Now - c.partitionChangedAt
@@ -31,7 +32,7 @@
 	}
 }
 
-// updateView computes the view of one side.
+// updateView computes the view of one side. With one side, the view covers all members.
 func (c *Cluster) updateView(side, sides int) {
 	v := &c.views[side]
 	changed := v.version == 0
@@ -56,7 +57,8 @@
 	}
 }
 
-// detectedLive reports whether a member counts as live: its death and its start are detected late.
+// detectedLive reports whether the view shows a member as live. A death shows only after DeathDetection, a start only
+// after StartDetection.
 func (c *Cluster) detectedLive(m *Member, wasLive bool) bool {
 	sinceChange := c.Now - m.changedAt
 	isDeathUndetected := wasLive && sinceChange < c.config.DeathDetection
@@ -70,7 +72,7 @@
 	}
 }
 
-// deliverView hands a side's view to a member, unless it has it.
+// deliverView passes a side's view to a member's selector, unless the member already has this version.
 func (c *Cluster) deliverView(m *Member, side int) {
 	v := &c.views[side]
 	version := v.version<<1 | uint64(side)
