--- a/internal/simulation/fleetsim/convergence.go
+++ b/internal/simulation/fleetsim/convergence.go
@@ -6,15 +6,15 @@
 	"hazelwing/internal/cluster"
 )
 
-// Group is a set of members; nil: all of them.
+// Group reports whether a member, given by its index, belongs to a set of members; nil: all members do.
 type Group func(member int) bool
 
 func (g Group) contains(i int) bool { return g == nil || g(i) }
 
-// Converged reports whether each running member of a group sees exactly the running ones of it as alive, in their
-// latest incarnations.
+// Converged reports whether each running member of a group sees exactly the running members of the group as alive, in
+// their latest incarnations.
 func (s *Simulation) Converged(group Group) bool {
-	// Comparing complete views costs the square of the members, so their fingerprints are compared first.
+	// Comparing complete views takes time quadratic in the number of members, so fingerprints are compared first.
 	var first *cluster.Core
 	for i, m := range s.Members {
 		core, ok := m.Protocol.(*cluster.Core)
@@ -32,7 +32,8 @@
 	return s.Disagreement(group) == ""
 }
 
-// Disagreement describes the first difference between a view and the truth; empty: there is none.
+// Disagreement describes the first difference between a member's view and the actual state of the group; it is empty
+// if there is none.
 func (s *Simulation) Disagreement(group Group) string {
 	running := map[string]cluster.Incarnation{}
 	for i, m := range s.Members {
@@ -51,22 +52,24 @@
 	return ""
 }
 
-// viewDifference describes how a member's view differs from the running members.
+// viewDifference describes the first difference between a member's view and the running members; it is empty if there
+// is none. running maps their names to their incarnations.
 func viewDifference(m *Member, running map[string]cluster.Incarnation) string {
 	n := 0
 	for _, x := range m.Protocol.Members() {
 		incarnation, isRunning := running[x.Name]
 		switch {
 		case isRunning && (x.State != cluster.Alive || x.Incarnation != incarnation):
-			return fmt.Sprintf("has %s as %v %+v, and it is alive %+v", x.Name, x.State, x.Incarnation, incarnation)
+			return fmt.Sprintf("sees %s as %v in incarnation %+v, but it is alive in %+v",
+				x.Name, x.State, x.Incarnation, incarnation)
 		case !isRunning && x.State < cluster.Dead:
-			return fmt.Sprintf("has %s as %v, and it does not run or is cut off", x.Name, x.State)
+			return fmt.Sprintf("sees %s as %v, but it does not run or is not in the group", x.Name, x.State)
 		case isRunning:
 			n++
 		}
 	}
 	if n != len(running) {
-		return fmt.Sprintf("knows %d of %d", n, len(running))
+		return fmt.Sprintf("knows %d of the %d running members", n, len(running))
 	}
 	return ""
 }
--- a/internal/simulation/fleetsim/events.go
+++ b/internal/simulation/fleetsim/events.go
@@ -7,21 +7,22 @@
 	"hazelwing/internal/cluster"
 )
 
-// minTickDelay is the shortest time to a member's next tick.
+// minTickDelay is the minimum delay until a member's next tick.
 const minTickDelay = time.Microsecond
 
-// event is a message that arrives at a member, or its tick. Events of the same time are in order of their numbers.
+// event is the arrival of a message at a member, or a tick of a member. Events of the same time are handled in order of
+// their numbers.
 type event struct {
 	at     time.Duration
 	number uint64
 	member int
-	// incarnation of the member that the event is for.
+	// incarnation of the member's process that the event is for; other processes ignore the event.
 	incarnation uint64
-	message     *cluster.Message // nil: a tick
+	message     *cluster.Message // nil: the event is a tick
 	cancelled   bool
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events, the next one first.
 type eventQueue []*event
 
 // Len implements heap.Interface.
@@ -57,7 +58,7 @@
 	heap.Push(&s.events, e)
 }
 
-// Run lets simulated time pass.
+// Run advances the simulated time by d and handles the events that are due.
 func (s *Simulation) Run(d time.Duration) {
 	end := s.Now + d
 	for len(s.events) > 0 && s.events[0].at <= end {
@@ -68,8 +69,8 @@
 	s.Now = end
 }
 
-// RunUntil runs until a condition holds, checking it at an interval, for at most a time. It returns how long that took;
-// -1: the condition did not hold.
+// RunUntil runs until a condition holds, which it checks at an interval. It returns the time that this took, or -1 if
+// the condition did not hold within the timeout.
 func (s *Simulation) RunUntil(timeout, interval time.Duration, holds func() bool) time.Duration {
 	for begin := s.Now; s.Now-begin <= timeout; s.Run(interval) {
 		if holds() {
@@ -79,7 +80,7 @@
 	return -1
 }
 
-// RunWith runs for a time and calls each before every step of it.
+// RunWith runs for a time in steps and calls beforeStep before each of them.
 func (s *Simulation) RunWith(d, step time.Duration, beforeStep func()) {
 	for end := s.Now + d; s.Now < end; {
 		beforeStep()
@@ -87,7 +88,7 @@
 	}
 }
 
-// handle hands an event to its member, or puts it off while the member is frozen.
+// handle passes an event to its member. If the member is frozen, it postpones the event until the member is resumed.
 func (s *Simulation) handle(e *event) {
 	if e.cancelled {
 		return
@@ -111,7 +112,7 @@
 	s.scheduleTick(e.member)
 }
 
-// perform carries out a member's actions.
+// perform performs a member's actions.
 func (s *Simulation) perform(i int, actions []cluster.Action) {
 	for _, a := range actions {
 		switch {
@@ -123,7 +124,7 @@
 	}
 }
 
-// send sends a message through the network.
+// send sends a message through the simulated network, which may lose, delay or duplicate it.
 func (s *Simulation) send(from int, a cluster.Action) {
 	m := s.Members[from]
 	m.MessagesSent++
@@ -137,7 +138,7 @@
 	if !ok || s.Connected != nil && !s.Connected(from, to) || s.Members[to].Protocol == nil {
 		return
 	}
-	message := *a.Message // its lists are shared: cores do not change what they receive
+	message := *a.Message // a shallow copy is enough, since cores do not modify received lists
 	for range s.copies(a) {
 		at := s.Now + time.Duration(float64(s.config.Latency)*(0.5+s.rng.Float64()))
 		if !a.Stream && s.rng.Float64() < s.config.DelayedRate {
@@ -147,7 +148,7 @@
 	}
 }
 
-// copies draws how often a message arrives: streams arrive once, datagrams may be lost or duplicated.
+// copies draws the number of times that a message arrives: once over a stream; 0, 1 or 2 times as a datagram.
 func (s *Simulation) copies(a cluster.Action) int {
 	switch {
 	case a.Stream:
@@ -161,7 +162,7 @@
 	}
 }
 
-// scheduleTick schedules a member's next tick.
+// scheduleTick schedules a member's next tick and cancels the one that was scheduled before.
 func (s *Simulation) scheduleTick(i int) {
 	m := s.Members[i]
 	at := max(m.Protocol.NextTick()-m.ClockOffset, s.Now+minTickDelay)
--- a/internal/simulation/fleetsim/experiment.go
+++ b/internal/simulation/fleetsim/experiment.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"slices"
+	"time"
 
 	"hazelwing/internal/simulation/runner"
 	"hazelwing/internal/strictdecode"
@@ -15,57 +16,59 @@
 	maxMembers = 10_000
 )
 
-// Experiment is a file: every protocol at every size, loss and share of slow members, with every seed.
+// Experiment is the content of an experiment's file. Every protocol is simulated at every combination of cluster size,
+// loss rate and share of slow members, with every seed.
 type Experiment struct {
 	Question string `toml:"question"`
-	// Protocols are names of protocols.
+	// Protocols are the names of the protocols to compare.
 	Protocols []string `toml:"contestants"`
-	// Members are the sizes of the cluster.
+	// Members are the cluster sizes, in members.
 	Members []int `toml:"members"`
-	// LossRates are of datagrams.
+	// LossRates are the shares of datagrams that are lost.
 	LossRates []float64 `toml:"loss"`
-	// SlowShares are shares of the members that stop for PauseDuration in every PauseInterval.
+	// SlowShares are the shares of members that are slow: each freezes for PauseDuration once in every PauseInterval.
 	SlowShares    []float64             `toml:"slow"`
 	PauseDuration strictdecode.Duration `toml:"slow_for"`
 	PauseInterval strictdecode.Duration `toml:"slow_every"`
-	// QuietDuration is simulated before the fault; false suspicions and traffic are counted in it.
+	// QuietDuration is the simulated time before the fault in which false suspicions and traffic are counted.
 	QuietDuration strictdecode.Duration `toml:"quiet"`
-	// Deaths members die at once, or DeathShare of all.
+	// Deaths is the number of members that die at once. DeathShare states it as a share of all members instead.
 	Deaths     int     `toml:"kill"`
 	DeathShare float64 `toml:"kill_share"`
-	// PartitionDuration is how long two halves are cut off from each other; 0: they are not.
+	// PartitionDuration is the duration of a partition into two halves; 0: no partition.
 	PartitionDuration strictdecode.Duration `toml:"cut"`
 	Seeds             int                   `toml:"seeds"`
 	ProbeInterval     strictdecode.Duration `toml:"probe"`
 	Claims            []Claim               `toml:"claim"`
 }
 
-// Claim limits a measure of a protocol, at every point of the experiment up to a loss rate and a share of slow members.
+// Claim is an upper limit for a measure of a protocol. It applies to all points up to a loss rate and a share of slow
+// members.
 type Claim struct {
 	Protocol string `toml:"of"`
-	// Measure is first, all, heal (seconds, the slowest); accused, buried (an hour of a member); messages, bytes,
-	// cut_bytes (a second of a member); heal_bytes (of a member).
+	// Measure is one of: first, all, heal (the slowest time, in seconds); accused, buried (per member and hour);
+	// messages, bytes, cut_bytes (per member and second); heal_bytes (per member).
 	Measure      string  `toml:"measure"`
 	Max          float64 `toml:"most"`
 	MaxLossRate  float64 `toml:"loss"`
 	MaxSlowShare float64 `toml:"slow"`
 }
 
-// protocols are what changes a Config to run a protocol.
+// protocols maps the name of each protocol to a function that makes a Config use it.
 var protocols = map[string]func(*Config){
 	protocolLifeguard:  func(*Config) {},
 	protocolSWIM:       func(c *Config) { c.Core.DisableLifeguard = true },
 	protocolHeartbeats: func(c *Config) { c.NewProtocol = newHeartbeats },
 }
 
-// The names of protocols.
+// Names of the protocols.
 const (
 	protocolLifeguard  = "lifeguard"
 	protocolSWIM       = "swim"
 	protocolHeartbeats = "heartbeats"
 )
 
-// ReadExperiment reads a file. Its error names the file.
+// ReadExperiment reads and validates an experiment's file. Its error names the file.
 func ReadExperiment(path string) (*Experiment, error) {
 	e := new(Experiment)
 	if err := runner.ReadFile(path, e); err != nil {
@@ -83,7 +86,7 @@
 	return e, nil
 }
 
-// validate returns the first error, in the order of these checks.
+// validate returns the first error in the order of its checks.
 func (e *Experiment) validate() error {
 	for _, check := range []func() error{
 		e.validateRequired,
@@ -101,26 +104,37 @@
 }
 
 func (e *Experiment) validateRequired() error {
-	if len(e.Protocols) == 0 || len(e.Members) == 0 || e.Seeds < 1 {
-		return errors.New("contestants, members and seeds are wanted")
+	switch {
+	case len(e.Protocols) == 0:
+		return errors.New("contestants: no protocol is given")
+	case len(e.Members) == 0:
+		return errors.New("members: no cluster size is given")
+	case e.Seeds < 1:
+		return fmt.Errorf("seeds: %d is below 1", e.Seeds)
 	}
 	return nil
 }
 
-// validateFault checks that there is one fault at most.
+// validateFault checks that there is at most one kind of fault.
 func (e *Experiment) validateFault() error {
 	switch {
-	case (e.Deaths > 0 || e.DeathShare > 0) && e.PartitionDuration > 0:
-		return errors.New("kill and cut do not go together")
-	case e.Deaths > 0 && e.DeathShare > 0 || e.DeathShare < 0 || e.DeathShare >= 1:
-		return errors.New("kill, or a kill_share from 0 to below 1, is wanted")
+	case e.Deaths > 0 && e.PartitionDuration > 0:
+		return errors.New("kill and cut cannot both be set")
+	case e.DeathShare > 0 && e.PartitionDuration > 0:
+		return errors.New("kill_share and cut cannot both be set")
+	case e.Deaths > 0 && e.DeathShare > 0:
+		return errors.New("kill and kill_share cannot both be set")
+	case e.DeathShare < 0 || e.DeathShare >= 1:
+		return fmt.Errorf("kill_share: %v is not in the range from 0 to below 1", e.DeathShare)
 	}
 	return nil
 }
 
 func (e *Experiment) validateMembers() error {
-	if slices.Max(e.Members) > maxMembers || slices.Min(e.Members) < minMembers {
-		return errors.New("3 to 10,000 members can be")
+	for _, n := range e.Members {
+		if n < minMembers || n > maxMembers {
+			return fmt.Errorf("members: %d is not in the range from %d to %d", n, minMembers, maxMembers)
+		}
 	}
 	return nil
 }
@@ -128,30 +142,37 @@
 func (e *Experiment) validateProtocols() error {
 	for _, name := range e.Protocols {
 		if protocols[name] == nil {
-			return fmt.Errorf("no contestant %q", name)
+			return fmt.Errorf("contestants: unknown protocol %q; the protocols are %s, %s and %s",
+				name, protocolLifeguard, protocolSWIM, protocolHeartbeats)
 		}
 	}
 	return nil
 }
 
 func (e *Experiment) validateClaims() error {
-	for _, c := range e.Claims {
+	for i, c := range e.Claims {
 		if _, ok := (Point{}).measure(c.Measure); !ok {
-			return fmt.Errorf("no measure %q", c.Measure)
+			return fmt.Errorf("claim %d: unknown measure %q", i+1, c.Measure)
 		}
 	}
 	return nil
 }
 
-// validatePauses checks that slow members pause, and run in between.
+// validatePauses checks that slow members, if there are any, pause and run in between.
 func (e *Experiment) validatePauses() error {
-	if slices.Max(e.SlowShares) > 0 && (e.PauseDuration <= 0 || e.PauseInterval <= e.PauseDuration) {
-		return errors.New("slow members need slow_for, and a slow_every that is longer")
+	duration, interval := time.Duration(e.PauseDuration), time.Duration(e.PauseInterval)
+	switch {
+	case !(slices.Max(e.SlowShares) > 0):
+		return nil
+	case duration <= 0:
+		return fmt.Errorf("slow_for: %v is not above 0, as slow members require", duration)
+	case interval <= duration:
+		return fmt.Errorf("slow_every: %v is not above slow_for (%v)", interval, duration)
 	}
 	return nil
 }
 
-// deaths is how many of a number of members die at once.
+// deaths returns the number of members that die at once in a cluster of a size.
 func (e *Experiment) deaths(members int) int {
 	if e.DeathShare > 0 {
 		return int(math.Round(e.DeathShare * float64(members)))
@@ -169,7 +190,7 @@
 			}
 			if value, _ := p.measure(c.Measure); value > c.Max {
 				errs = append(errs, fmt.Errorf(
-					"%s of %s is %.2f with %d members, loss %.2f, slow %.2f; at most %.2f is claimed",
+					"%s of %s is %.2f with %d members, loss %.2f, slow %.2f; the claim is at most %.2f",
 					c.Measure, c.Protocol, value, p.Members, p.LossRate, p.SlowShare, c.Max))
 			}
 		}
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -10,9 +10,9 @@
 	"hazelwing/internal/cluster"
 )
 
-var histories = flag.Int("histories", 100, "random histories of TestRandomHistories")
+var histories = flag.Int("histories", 100, "number of random histories in TestRandomHistories")
 
-// startJoined starts a cluster with member 0 as the seed of all members.
+// startJoined starts a cluster with member 0 as the seed of all members, and waits until all members have joined.
 func startJoined(t *testing.T, c Config) *Simulation {
 	t.Helper()
 	s := New(c)
@@ -20,29 +20,29 @@
 		s.Start(i, 0)
 	}
 	if took := s.RunUntil(30*time.Second, 100*time.Millisecond, func() bool { return s.Converged(nil) }); took < 0 {
-		t.Fatalf("the members did not join: %s", s.Disagreement(nil))
+		t.Fatalf("the members did not join within 30 s: %s", s.Disagreement(nil))
 	}
 	return s
 }
 
 // waitConverged runs until the views of a group have converged, and returns how long that took.
-func waitConverged(t *testing.T, s *Simulation, within time.Duration, group Group, what string) time.Duration {
+func waitConverged(t *testing.T, s *Simulation, timeout time.Duration, group Group, phase string) time.Duration {
 	t.Helper()
-	took := s.RunUntil(within, 100*time.Millisecond, func() bool { return s.Converged(group) })
+	took := s.RunUntil(timeout, 100*time.Millisecond, func() bool { return s.Converged(group) })
 	if took < 0 {
-		t.Fatalf("%s: not within %v: %s", what, within, s.Disagreement(group))
+		t.Fatalf("%s: the views did not converge within %v: %s", phase, timeout, s.Disagreement(group))
 	}
 	return took
 }
 
-// halves connects members of the same half.
+// halves returns a function for Simulation.Connected that connects only members of the same half.
 func halves(s *Simulation) func(from, to int) bool {
 	n := len(s.Members) / 2
 	return func(from, to int) bool { return (from < n) == (to < n) }
 }
 
-// A third of the members dies at once, and half of it restarts 50 ms later under the same names. The death of an
-// earlier process could be held against the new one. The views have to converge within a minute.
+// A third of the members dies at once, and half of these restart 50 ms later under the same names. A member could take
+// the death of an earlier process for that of its successor. The views have to converge within a minute.
 func TestDeathOfAThird(t *testing.T) {
 	s := startJoined(t, Config{Members: 30, Seed: 1})
 	for i := range 10 {
@@ -55,8 +55,9 @@
 	t.Log(waitConverged(t, s, time.Minute, nil, "after the deaths"))
 }
 
-// A partition of any length cuts two halves off from each other, until each has declared the other dead and has
-// forgotten it. The cluster would stay split for good. After the partition the views have to converge.
+// In a partition, each half declares the members of the other half dead, and forgets them if the partition is long
+// enough. The cluster could then stay split after the network works again. The views have to converge after partitions
+// of any length.
 func TestPartitionHeals(t *testing.T) {
 	for _, c := range []struct {
 		partition, deadMemberTTL time.Duration
@@ -81,14 +82,14 @@
 				waitConverged(t, s, time.Minute, func(i int) bool { return i >= n }, "the second half")
 			}
 			s.Connected = nil
-			t.Log(waitConverged(t, s, 90*time.Second, nil, "after the cut"))
+			t.Log(waitConverged(t, s, 90*time.Second, nil, "after the partition"))
 		})
 	}
 }
 
-// A process stalls right after it has sent a probe, and continues seconds later. It would suspect the probed
-// member, which answered during the stall. It must suspect nobody and must refute the suspicions of itself; without
-// Lifeguard it does suspect others, which shows that the test can fail.
+// A process stalls right after it has sent a probe and continues seconds later. When it finds the probe unanswered, it
+// could suspect the probed member, although the answer arrived during the stall. It must not suspect any member, and
+// must refute suspicions of itself. Without Lifeguard it does suspect members, which shows that the test can fail.
 func TestStalledProber(t *testing.T) {
 	suspicions := func(disableLifeguard bool) int {
 		s := startJoined(t, Config{
@@ -104,7 +105,7 @@
 			}
 		}
 		for range 8 {
-			// It stalls right after the first datagram of a probe.
+			// The member stalls right after the first datagram of a probe.
 			s.OnSend = func(i int, a cluster.Action) {
 				if i == 4 && a.Message.Kind == cluster.Ping {
 					s.Freeze(4, 5*time.Second)
@@ -113,20 +114,20 @@
 			}
 			s.RunUntil(20*time.Second, 10*time.Millisecond, func() bool { return s.OnSend == nil })
 			s.Run(5 * time.Second)
-			waitConverged(t, s, time.Minute, nil, "after it woke")
+			waitConverged(t, s, time.Minute, nil, "after the stall")
 		}
 		return count
 	}
 	if n := suspicions(false); n > 0 {
-		t.Errorf("it suspected %d members because of its own stall", n)
+		t.Errorf("with Lifeguard, the stalled member suspected others %d times, want 0", n)
 	}
 	if suspicions(true) == 0 {
-		t.Error("without Lifeguard nobody was suspected: the test shows nothing")
+		t.Error("without Lifeguard, the stalled member suspected no other member: the test cannot detect the failure")
 	}
 }
 
-// A member leaves while it is suspected, and another one during a partition. Others could take them for dead, or
-// wait for them. They have to be seen as left, and the views have to converge.
+// One member leaves while it is suspected, another one during a partition. Others could treat them as dead or keep
+// them as alive. The first one has to be seen as left by all, and after the partition the views have to converge.
 func TestLeaving(t *testing.T) {
 	s := startJoined(t, Config{Members: 12, Seed: 4})
 	s.Freeze(3, 4*time.Second)
@@ -139,7 +140,8 @@
 		}
 		for _, x := range m.Protocol.Members() {
 			if x.Name == "m0003" && x.State != cluster.Left {
-				t.Errorf("%s sees it as %v", m.Name, x.State)
+				t.Errorf("%s sees m0003, which left while it was suspected, as %v, want %v",
+					m.Name, x.State, cluster.Left)
 			}
 		}
 	}
@@ -147,11 +149,11 @@
 	s.Leave(4)
 	s.Run(3 * time.Minute)
 	s.Connected = nil
-	waitConverged(t, s, 90*time.Second, nil, "after the cut")
+	waitConverged(t, s, 90*time.Second, nil, "after the partition")
 }
 
-// Ten members join and ten die in each second of a minute. Updates could overtake each other, or tables grow. After
-// it the views have to converge.
+// For a minute, ten members join and ten die per second. Updates could overtake each other. After the churn the views
+// have to converge.
 func TestChurn(t *testing.T) {
 	s := New(Config{Members: 60, Seed: 5})
 	for i := range 30 {
@@ -162,7 +164,7 @@
 		up, down := []int{}, []int{}
 		for i, m := range s.Members {
 			switch {
-			case i < 2: // the seeds stay
+			case i < 2: // the seeds keep running
 			case m.Protocol != nil:
 				up = append(up, i)
 			default:
@@ -176,8 +178,8 @@
 	t.Log(waitConverged(t, s, 2*time.Minute, nil, "after the churn"))
 }
 
-// Clocks differ by minutes, and a member restarts with a clock far behind. Comparing the times of two members would
-// give wrong suspicions. Joins and deaths have to be seen as usual.
+// The members' clocks differ by minutes, and one member restarts with a clock that is far behind. A protocol that
+// compared times of different members would suspect members wrongly. Joins and deaths have to be detected as usual.
 func TestClocksDiffer(t *testing.T) {
 	s := New(Config{Members: 12, Seed: 6})
 	for i, m := range s.Members {
@@ -186,70 +188,70 @@
 	}
 	waitConverged(t, s, 30*time.Second, nil, "with different clocks")
 	s.Kill(3)
-	s.Members[3].ClockOffset = 0 // it comes back with a clock far behind
+	s.Members[3].ClockOffset = 0 // its clock is now 21 minutes behind its former one
 	s.Start(3, 1)
 	waitConverged(t, s, 30*time.Second, nil, "after a restart with a clock far behind")
 	s.Kill(4)
 	waitConverged(t, s, 90*time.Second, nil, "after a death")
 }
 
-// The configured size is ten times too high or too low, and a partition cuts off half of the members. An estimate that
-// follows the reachable members would fall during a partition, and the load on the rest would rise. The estimate has to
-// be the real size, at once if it is above the configured one and later if it is below; it must not fall during a
-// partition, and has to fall after real deaths.
+// The configured size is right, or ten times too low or too high, and a partition isolates half of the members. If the
+// estimated size followed the reachable members, it would fall during a partition, and the load on the rest would rise.
+// The estimate has to equal the real size: at once if the configured size is not above it, otherwise within minutes. It
+// must not fall during a partition, and has to fall after real deaths.
 func TestEstimatedSizeInPartition(t *testing.T) {
 	for _, configured := range []int{2, 20, 200} {
 		s := startJoined(t, Config{Members: 20, Seed: 7, ConfiguredSize: configured})
 		count := func(i int) int { return coreOf(t, s, i).Stats().EstimatedSize }
 		if configured <= 20 && count(0) != 20 {
-			t.Errorf("configured %d: %d before the cut", configured, count(0))
+			t.Errorf("configured size %d: estimate %d after the join, want 20", configured, count(0))
 		}
 		s.Run(5 * time.Minute)
 		if n := count(0); n != 20 {
-			t.Errorf("configured %d: %d after five minutes", configured, n)
+			t.Errorf("configured size %d: estimate %d after five minutes, want 20", configured, n)
 		}
 		s.Connected = halves(s)
 		for range 50 {
 			s.Run(time.Minute)
 			for i := range s.Members {
 				if n := count(i); n < 20 {
-					t.Fatalf("configured %d, %v: member %d estimates %d of 20 during the partition",
+					t.Fatalf("configured size %d, %v: member %d estimates %d during the partition, want at least 20",
 						configured, s.Now, i, n)
 				}
 			}
 		}
 		s.Connected = nil
-		waitConverged(t, s, time.Minute, nil, "after the cut")
-		for i := range 6 { // fewer than a third: they count as dead after a minute
+		waitConverged(t, s, time.Minute, nil, "after the partition")
+		for i := range 6 { // fewer than a third of the members, so the estimate falls after a minute
 			s.Kill(i)
 		}
 		s.Run(4 * time.Minute)
 		if n := count(19); n != 14 {
-			t.Errorf("configured %d: %d four minutes after six of twenty died", configured, n)
+			t.Errorf("configured size %d: estimate %d four minutes after 6 of 20 members died, want 14", configured, n)
 		}
 	}
 }
 
-// Members start, die, leave, restart and freeze, and the network is cut in one or both directions, in random order.
-// Whatever the history, no incarnation may go back, and once the network works no live member may stay dead in a
-// view and the views have to converge.
+// Members start, die, leave, restart and freeze, and network links fail in one or both directions, in random order. In
+// any such history, the incarnation of a member must never decrease in a view, and the views have to converge once the
+// network works again.
 func TestRandomHistories(t *testing.T) {
 	for n := range *histories {
 		checkHistory(t, uint64(n))
 	}
 }
 
-// history is a random history of a cluster.
+// history is a random sequence of changes of a cluster and its network.
 type history struct {
 	t    *testing.T
 	seed uint64
 	rng  *rand.Rand
 	*Simulation
 	seeds   []int
-	blocked map[[2]int]bool // directions, from one member to another, in which nothing arrives
+	blocked map[[2]int]bool // pairs of members; messages from the first to the second are lost
 }
 
-// checkHistory simulates a random history.
+// checkHistory simulates one random history and checks it.
 func checkHistory(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	members := 3 + rng.IntN(14)
@@ -284,7 +286,7 @@
 
 func (h *history) start(i int) { h.Start(i, h.seeds...) }
 
-// checkIncarnations fails the test when an incarnation goes back in the view of a process.
+// checkIncarnations fails the test when the incarnation of a member decreases in the view of a process.
 func (h *history) checkIncarnations() {
 	type viewEntry struct {
 		member, incarnation, name int
@@ -297,14 +299,14 @@
 			return
 		}
 		if previous := latest[k]; n.Compare(previous) < 0 {
-			h.t.Errorf("seed %d, %v: %d: %s went back from %+v to %+v (%s)",
+			h.t.Errorf("seed %d, %v: in the view of member %d, the incarnation of %s decreased from %+v to %+v (%s)",
 				h.seed, h.Now, i, n.Name, previous, n.Incarnation, n.Reason)
 		}
 		latest[k] = n.Incarnation
 	}
 }
 
-// step changes a random member or the network.
+// step makes one random change to a member or to the network.
 func (h *history) step() {
 	i := h.rng.IntN(len(h.Members))
 	switch kind := h.rng.IntN(9); {
@@ -321,7 +323,7 @@
 	}
 }
 
-// stepRunning changes a member that runs.
+// stepRunning makes a change to a running member.
 func (h *history) stepRunning(i, kind int) {
 	switch kind {
 	case 0:
@@ -336,7 +338,7 @@
 	}
 }
 
-// blockSomeDirections blocks random pairs of members, each direction for itself.
+// blockSomeDirections blocks random pairs of members, each direction independently.
 func (h *history) blockSomeDirections() {
 	for a := range h.Members {
 		for b := range h.Members {
@@ -347,7 +349,7 @@
 	}
 }
 
-// partition cuts the members into three random parts.
+// partition splits the members into three random groups that cannot reach each other.
 func (h *history) partition() {
 	side := make([]int, len(h.Members))
 	for a := range side {
@@ -360,7 +362,7 @@
 	}
 }
 
-// recover lets the network work and some members start again, a seed among them.
+// recover unblocks all links and starts some of the stopped members, so that at least one seed runs.
 func (h *history) recover() {
 	clear(h.blocked)
 	h.config.LossRate, h.config.DelayedRate = min(h.config.LossRate, 0.05), 0
@@ -374,16 +376,18 @@
 	}
 }
 
-// checkConverged fails the test if the views do not converge, or a core has rejected messages or has too many members.
+// checkConverged fails the test if the views do not converge, or if a core has rejected messages or knows more members
+// than there are.
 func (h *history) checkConverged() {
 	took := h.RunUntil(5*time.Minute, time.Second, func() bool { return h.Converged(nil) })
 	if took < 0 {
-		h.t.Errorf("seed %d: %s", h.seed, h.Disagreement(nil))
+		h.t.Errorf("seed %d: the views did not converge within 5 minutes: %s", h.seed, h.Disagreement(nil))
 	}
 	for _, m := range h.Members {
 		if core, ok := m.Protocol.(*cluster.Core); ok {
 			if stats := core.Stats(); stats.Rejected > 0 || stats.KnownMembers > len(h.Members) {
-				h.t.Errorf("seed %d: %s: %+v", h.seed, m.Name, stats)
+				h.t.Errorf("seed %d: %s rejected messages or knows more than %d members: %+v",
+					h.seed, m.Name, len(h.Members), stats)
 			}
 		}
 	}
@@ -393,7 +397,7 @@
 	t.Helper()
 	core, ok := s.Members[i].Protocol.(*cluster.Core)
 	if !ok {
-		t.Fatalf("member %d runs no core", i)
+		t.Fatalf("member %d runs no cluster.Core", i)
 	}
 	return core
 }
--- a/internal/simulation/fleetsim/heartbeats.go
+++ b/internal/simulation/fleetsim/heartbeats.go
@@ -9,15 +9,15 @@
 	"hazelwing/internal/cluster"
 )
 
-// maxMissedHeartbeats is after how many intervals without a heartbeat a member is declared dead: deaths are
-// detected about as late as by the other protocols.
+// maxMissedHeartbeats is the number of intervals without a heartbeat after which a member is declared dead. With this
+// value deaths are detected about as late as by the other protocols.
 const maxMissedHeartbeats = 5
 
-// heartbeatReason is the reason of all transitions.
+// heartbeatReason is the reason that all transitions of this protocol give.
 const heartbeatReason = "heartbeats"
 
-// heartbeats is all-to-all heartbeating, a baseline: each member sends all others a heartbeat in each probe
-// interval, so its traffic grows with the cluster.
+// heartbeats implements all-to-all heartbeating as a baseline: each member sends a heartbeat to all others in each
+// probe interval, so a member's traffic grows with the size of the cluster.
 type heartbeats struct {
 	config   cluster.Config
 	now      time.Duration
@@ -26,7 +26,7 @@
 	peers    map[string]*peer
 }
 
-// peer is another member as a heartbeating member sees it.
+// peer is a member's knowledge of another member.
 type peer struct {
 	cluster.Entry
 	lastHeartbeat, changedAt time.Duration
@@ -52,7 +52,7 @@
 // NextTick implements Protocol.
 func (h *heartbeats) NextTick() time.Duration { return h.nextTick }
 
-// Leave implements Protocol: it announces nothing.
+// Leave implements Protocol. The protocol has no message that announces it.
 func (h *heartbeats) Leave(time.Duration) []cluster.Action { return nil }
 
 // Receive implements Protocol.
@@ -77,7 +77,7 @@
 	return actions
 }
 
-// transition changes a peer's state.
+// transition changes a peer's state and returns the action that reports the change.
 func (h *heartbeats) transition(p *peer, state cluster.State) cluster.Action {
 	previous := p.State
 	p.State, p.changedAt = state, h.now
--- a/internal/simulation/fleetsim/point.go
+++ b/internal/simulation/fleetsim/point.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
-// unreachedSeconds stands for a time that is not reached, in seconds.
+// unreachedSeconds is the time in seconds that claims are compared with if an event did not happen within the time
+// limit. It is far above any limit of a claim.
 const unreachedSeconds = 1e9
 
-// Point is what one protocol did at one point, over all seeds. Times are a list, one a seed; -1: not within the
-// time limit.
+// Point holds the measurements of one protocol at one combination of cluster size, loss rate and share of slow members,
+// over all seeds. Lists of times have one entry per seed; -1 means that the event did not happen within the time limit.
 type Point struct {
 	Protocol            string
 	Members             int
 	LossRate, SlowShare float64
-	// FirstDetections and FullDetections are the times from deaths until one member has detected one, and until all
-	// have detected all.
+	// FirstDetections are the times from the deaths until the first member has detected a death, FullDetections those
+	// until all members have detected all deaths.
 	FirstDetections, FullDetections []time.Duration
-	// HealTimes are from the end of a partition until the views have converged.
+	// HealTimes are the times from the end of a partition until the views have converged.
 	HealTimes []time.Duration
-	// FalseSuspicions are suspicions of members that run, FalseDeaths those that any member declared dead, an hour of a
-	// member.
+	// FalseSuspicions is the number of suspicions of running members, FalseDeaths the number of times that a running
+	// member was declared dead. Both are per member and hour.
 	FalseSuspicions float64
 	FalseDeaths     float64
-	// MessageRate and ByteRate are what a member sends in a second.
+	// MessageRate and ByteRate are the messages and bytes that a member sends per second.
 	MessageRate float64
 	ByteRate    float64
-	// PartitionByteRate is the same during a partition, HealBytes what a member sends from its end until the views have
-	// converged.
+	// PartitionByteRate is the number of bytes that a member sends per second during a partition. HealBytes is the
+	// number of bytes that it sends from the end of the partition until the views have converged.
 	PartitionByteRate float64
 	HealBytes         float64
 
+	// quietMemberSeconds is the simulated time without faults, summed over members and seeds.
 	quietMemberSeconds float64
 }
 
-// measure is a figure by its name in claims; false: there is none.
+// measure returns the measure with a name that claims use; false: there is no such measure.
 func (p Point) measure(name string) (float64, bool) {
 	switch name {
 	case "first":
@@ -62,7 +64,7 @@
 	return 0, false
 }
 
-// slowest is the longest time in seconds.
+// slowest returns the longest of several times in seconds, or unreachedSeconds if one was not reached.
 func slowest(times []time.Duration) float64 {
 	out := 0.0
 	for _, d := range times {
@@ -78,7 +80,7 @@
 const tableHeader = "who\tmembers\tloss\tslow\tfirst p50\tworst\tall p50\tworst\theal p50\tworst\t" +
 	"accused/h\tburied/h\tmessages/s\tbytes/s\tcut bytes/s\theal bytes\n"
 
-// WriteTable writes points as a table.
+// WriteTable writes points as a table, one row per point.
 func WriteTable(w io.Writer, points []Point) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := io.WriteString(t, tableHeader); err != nil {
@@ -96,7 +98,7 @@
 	return t.Flush()
 }
 
-// medianAndSlowest are two columns.
+// medianAndSlowest returns the two table columns of a list of times. If a time was not reached, both are "never".
 func medianAndSlowest(times []time.Duration) string {
 	if len(times) == 0 {
 		return "-\t-"
--- a/internal/simulation/fleetsim/quiet_test.go
+++ b/internal/simulation/fleetsim/quiet_test.go
@@ -8,8 +8,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// What a member of a quiet cluster of 74 sends is as docs/CAPACITY.md says. It is counted in simulated time, and so the
-// same on any machine.
+// The traffic of a member of a quiet cluster of 74 members matches docs/CAPACITY.md. It is measured in simulated time,
+// so it is the same on any machine.
 func TestQuietTraffic(t *testing.T) {
 	e := &Experiment{
 		Protocols:     []string{"lifeguard"},
--- a/internal/simulation/fleetsim/run.go
+++ b/internal/simulation/fleetsim/run.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	// joinTime is simulated first, until the members have exchanged all that they know.
+	// joinTime is simulated before any measurement, so that the members finish exchanging their initial views.
 	joinTime = 90 * time.Second
-	// detectionTimeout is how long deaths and the end of a partition may take to be seen by all.
+	// detectionTimeout limits the time until all members have detected the deaths, or the views have converged after a
+	// partition.
 	detectionTimeout = 3 * time.Minute
-	// stepTime is the precision of measured times.
+	// stepTime is the simulated time between checks of the members, and so the precision of FullDetections and
+	// HealTimes.
 	stepTime = 100 * time.Millisecond
 
 	secondsPerHour = 3600
 )
 
-// Run simulates all points of an experiment on some cores. The same file gives the same points.
+// Run simulates all points of an experiment in parallel on a number of cores. The number of cores does not affect the
+// points.
 func (e *Experiment) Run(cores int) []Point {
 	var points []Point
 	for _, name := range e.Protocols {
@@ -44,7 +47,7 @@
 	return points
 }
 
-// runSeed simulates a point with one seed, and adds what is measured.
+// runSeed simulates a point with one seed and adds the measurements to it.
 func (e *Experiment) runSeed(p *Point, seed uint64) {
 	config := Config{
 		Members:     p.Members,
@@ -67,7 +70,7 @@
 	}
 }
 
-// encodedSize is the size of a message on the wire.
+// encodedSize returns the size of a message on the wire, or 0 if it cannot be encoded.
 func encodedSize(m *cluster.Message) int {
 	frame, err := gossip.Encode(m)
 	if err != nil {
@@ -76,7 +79,7 @@
 	return len(frame)
 }
 
-// runQuiet counts traffic, and false suspicions and deaths, while no member dies.
+// runQuiet runs the cluster without faults for QuietDuration and counts its traffic, false suspicions and false deaths.
 func (e *Experiment) runQuiet(s *Simulation, p *Point, pause func()) {
 	for _, m := range s.Members {
 		m.MessagesSent, m.BytesSent = 0, 0
@@ -107,7 +110,8 @@
 	}
 }
 
-// runPartition cuts two halves off from each other, and measures the traffic and how long they take to converge again.
+// runPartition partitions the cluster into two halves, heals the partition, and measures the traffic and the time until
+// the views have converged.
 func (e *Experiment) runPartition(s *Simulation, p *Point, pause func()) {
 	half := p.Members / 2
 	memberRuns := float64(e.Seeds * p.Members)
@@ -122,7 +126,7 @@
 	p.HealBytes += float64(s.bytesSent()-before) / memberRuns
 }
 
-// bytesSent is what all members have sent.
+// bytesSent returns the number of bytes that all members have sent.
 func (s *Simulation) bytesSent() (sum int) {
 	for _, m := range s.Members {
 		sum += m.BytesSent
@@ -130,8 +134,8 @@
 	return sum
 }
 
-// newPauses returns a function that freezes the slow members whenever it is their time. They are the last members,
-// while the first ones die.
+// newPauses returns a function that freezes each slow member whose next pause is due. The slow members are the last
+// ones, so that they are not among the members that runDeaths kills, which are the first ones.
 func (e *Experiment) newPauses(s *Simulation, share float64) func() {
 	first := len(s.Members) - int(share*float64(len(s.Members)))
 	nextPause := make([]time.Duration, len(s.Members))
@@ -148,7 +152,8 @@
 	}
 }
 
-// runDeaths kills the first members, and measures when another member, and when all other members have detected it.
+// runDeaths kills the first members of the cluster. It measures the time until the first detection of a death, and the
+// time until all remaining members have detected all deaths.
 func (p *Point) runDeaths(s *Simulation, deaths int, pause func()) {
 	type detection struct{ by, dead int }
 	begin := s.Now
--- a/internal/simulation/fleetsim/simulation.go
+++ b/internal/simulation/fleetsim/simulation.go
@@ -1,6 +1,6 @@
-// Package fleetsim simulates many cores of internal/cluster together: a network that loses, delays, duplicates and
-// drops messages, and members that die, freeze, are slow and come back. It has no I/O and no goroutine; one seed
-// gives one course.
+// Package fleetsim simulates a cluster of many members that each run a cluster.Core. The network loses, delays and
+// duplicates messages, and members die, freeze, pause repeatedly and restart. The package uses no I/O and no
+// goroutines, and a run is determined by its seed.
 package fleetsim
 
 import (
@@ -13,7 +13,7 @@
 )
 
 const (
-	// randomStream is the stream of a seed that a simulation draws from.
+	// randomStream selects the stream of random numbers that a simulation draws from its seed.
 	randomStream = 1
 	// memberPort is the port of all members' addresses.
 	memberPort = 7946
@@ -22,28 +22,30 @@
 	defaultProbeInterval = time.Second
 )
 
-// Config describes a cluster of members.
+// Config describes a simulated cluster.
 type Config struct {
 	Members int
 	Seed    uint64
 	// Core is the configuration of all members, except for their names, addresses, process IDs, seeds and random seeds.
 	Core cluster.Config
-	// Latency is of one way, times a random factor from 0.5 to 1.5; 0: 1 ms.
+	// Latency is the mean one-way network delay; 0: 1 ms. The delay of each message is this value times a random
+	// factor from 0.5 to 1.5.
 	Latency time.Duration
-	// LossRate, DuplicateRate and DelayedRate are shares of the datagrams; delayed ones are later by ExtraDelay.
+	// LossRate, DuplicateRate and DelayedRate are the shares of the datagrams that are lost, duplicated, and delayed by
+	// ExtraDelay.
 	LossRate      float64
 	DuplicateRate float64
 	DelayedRate   float64
 	ExtraDelay    time.Duration
-	// ConfiguredSize is how many members the settings say there are; 0: Members.
+	// ConfiguredSize is the number of members that the members' settings state; 0: Members.
 	ConfiguredSize int
-	// NewProtocol makes what a member runs; nil: a cluster.Core.
+	// NewProtocol returns the protocol that a member runs; nil: a cluster.Core.
 	NewProtocol func(config cluster.Config, now time.Duration) Protocol
-	// MessageSize is how many bytes a message has on the wire; nil: bytes are not counted.
+	// MessageSize returns the size of a message on the wire in bytes; nil: bytes are not counted.
 	MessageSize func(*cluster.Message) int
 }
 
-// Protocol is what a member runs, as cluster.Core does.
+// Protocol is a membership protocol; cluster.Core implements it.
 type Protocol interface {
 	Receive(now time.Duration, message *cluster.Message) []cluster.Action
 	Tick(now time.Duration) []cluster.Action
@@ -53,36 +55,37 @@
 	Incarnation() cluster.Incarnation
 }
 
-// Member is a member's process, or the place of one.
+// Member is a member of the cluster, whether or not its process runs.
 type Member struct {
 	Name string
 	Addr netip.AddrPort
-	// Protocol is what its process runs; nil: there is no process.
+	// Protocol is the protocol instance of the member's process; nil: no process runs.
 	Protocol Protocol
-	// ClockOffset is what its clock shows beyond the simulated time.
+	// ClockOffset is the difference between the member's clock and the simulated time.
 	ClockOffset time.Duration
-	// MessagesSent and BytesSent count what it has sent.
+	// MessagesSent and BytesSent count the messages and bytes that the member has sent.
 	MessagesSent, BytesSent int
 
-	// incarnation counts its processes.
+	// incarnation is increased by each start and kill; it tells one process from the next.
 	incarnation uint64
 	frozenUntil time.Duration
-	tick        *event
+	tick        *event // the next tick; nil: none is scheduled
 }
 
-// clock is what the member's clock shows at a simulated time.
+// clock returns the member's clock at a simulated time.
 func (m *Member) clock(now time.Duration) time.Duration { return now + m.ClockOffset }
 
-// Simulation is the members and the network between them.
+// Simulation is the state of a simulated cluster: its members and the network between them.
 type Simulation struct {
 	// Now is the simulated time.
 	Now     time.Duration
 	Members []*Member
-	// Connected reports whether a message gets from one member to another now; nil: always.
+	// Connected reports whether the network currently delivers messages from one member to another; nil: it does
+	// between all members.
 	Connected func(from, to int) bool
-	// OnTransition is called with each transition that a member records; nil: nothing is.
+	// OnTransition, if not nil, is called for each transition of a member's view.
 	OnTransition func(member int, transition cluster.Transition)
-	// OnSend is called with each message that a member sends; nil: nothing is.
+	// OnSend, if not nil, is called for each message that a member sends.
 	OnSend func(member int, action cluster.Action)
 
 	config    Config
@@ -93,12 +96,12 @@
 	lastEvent uint64
 }
 
-// New makes a simulation in which no member runs.
+// New returns a simulation in which no member runs yet.
 func New(config Config) *Simulation {
 	if config.Latency == 0 {
 		config.Latency = defaultLatency
 	}
-	if config.Core.ProbeInterval == 0 { // without an interval, heartbeats would tick forever at one instant
+	if config.Core.ProbeInterval == 0 { // the heartbeats protocol would tick endlessly without advancing the time
 		config.Core.ProbeInterval = defaultProbeInterval
 	}
 	if config.ConfiguredSize == 0 {
@@ -118,12 +121,12 @@
 	return s
 }
 
-// addressOf is the address of a member.
+// addressOf returns the address of the member with an index.
 func addressOf(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), memberPort)
 }
 
-// Start starts a member's process without any state. seeds are indexes of members.
+// Start starts a new process of a member, without state of an earlier one. seeds are the indexes of its seed members.
 func (s *Simulation) Start(i int, seeds ...int) {
 	m := s.Members[i]
 	m.incarnation++
@@ -139,7 +142,7 @@
 	} else {
 		core, err := cluster.New(config, m.clock(s.Now), s.config.ConfiguredSize)
 		if err != nil {
-			panic(err) // the simulation's configuration is invalid
+			panic(err) // the caller passed an invalid Config
 		}
 		m.Protocol = core
 	}
@@ -147,7 +150,8 @@
 	s.scheduleTick(i)
 }
 
-// StartJoined starts all members that do not run, and tells each about all others: a cluster that has run for long.
+// StartJoined starts all members that do not run and tells each member about all others, as in a cluster that has run
+// for a long time.
 func (s *Simulation) StartJoined() {
 	var entries []cluster.Entry
 	for i, m := range s.Members {
@@ -168,7 +172,7 @@
 	}
 }
 
-// Kill ends a member's process.
+// Kill ends a member's process without any announcement.
 func (s *Simulation) Kill(i int) {
 	m := s.Members[i]
 	m.Protocol = nil
@@ -178,12 +182,12 @@
 	}
 }
 
-// Leave ends a member's process, which announces it.
+// Leave makes a member announce that it leaves, and ends its process.
 func (s *Simulation) Leave(i int) {
 	m := s.Members[i]
 	s.perform(i, m.Protocol.Leave(m.clock(s.Now)))
 	s.Kill(i)
 }
 
-// Freeze stops a process for a while; what arrives meanwhile waits.
+// Freeze suspends a member's process for a time. Messages that arrive in between are handled when it is resumed.
 func (s *Simulation) Freeze(i int, d time.Duration) { s.Members[i].frozenUntil = s.Now + d }
