--- a/internal/simulation/callgraph/callgraph_test.go
+++ b/internal/simulation/callgraph/callgraph_test.go
@@ -14,7 +14,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// smallExperiment takes a moment.
+// smallExperiment returns an experiment that runs in a fraction of a second.
 func smallExperiment() *Experiment {
 	return &Experiment{
 		Services:      7,
@@ -35,8 +35,9 @@
 	}
 }
 
-// A graph has all services, in layers of the wanted depth; each is called by one of the layer above, and has
-// instances by its demand. What is planned for a user's call is what the demands say, on the mean.
+// A graph has the configured number of services in the configured number of layers. Each service below the first layer
+// has a caller, each one above the last layer calls another one, and each has at least two instances. The mean number
+// of planned calls to the leaf for each call of a user equals its demand.
 func TestGraph(t *testing.T) {
 	for _, c := range []Experiment{
 		{Services: 34, Depth: 9, FanOut: 1.1, Instances: 590},
@@ -46,20 +47,22 @@
 		for seed := range uint64(20) {
 			list := newGraph(&c, rand.New(rand.NewPCG(seed, 1)))
 			if len(list) != c.Services || list[len(list)-1].layer != c.Depth {
-				t.Fatalf("%d services of %d, %d deep", len(list), c.Services, list[len(list)-1].layer)
+				t.Fatalf("seed %d: %d services with %d layers below the first, want %d and %d",
+					seed, len(list), list[len(list)-1].layer, c.Services, c.Depth)
 			}
 			sum := 0
 			for i, n := range assignInstances(list, c.Instances) {
 				if sum += n; n < 2 {
-					t.Errorf("service %d has %d instances", i, n)
+					t.Errorf("seed %d: service %d has %d instances, want at least 2", seed, i, n)
 				}
 			}
 			if sum != c.Instances {
-				t.Errorf("%d instances of %d", sum, c.Instances)
+				t.Errorf("seed %d: %d instances in total, want %d", seed, sum, c.Instances)
 			}
 			for _, s := range list {
 				if s.layer > 0 && s.callers == 0 || s.layer < c.Depth && len(s.calls) == 0 {
-					t.Errorf("service %d of layer %d: %d callers, calls %d", s.index, s.layer, s.callers, len(s.calls))
+					t.Errorf("seed %d: service %d of layer %d has %d callers and calls %d services",
+						seed, s.index, s.layer, s.callers, len(s.calls))
 				}
 			}
 		}
@@ -72,11 +75,11 @@
 		n += plannedCalls(list[0], leaf, childPath(rng.Uint64(), 0))
 	}
 	if got := float64(n) / users; math.Abs(got-leaf.demand)/leaf.demand > 0.05 {
-		t.Errorf("the leaf is called %.3f times for a call of a user, %.3f by its callers", got, leaf.demand)
+		t.Errorf("%.3f planned calls to the leaf for each call of a user, want its demand, %.3f", got, leaf.demand)
 	}
 }
 
-// The same experiment gives the same points, on any number of cores.
+// An experiment gives the same points on any number of cores.
 func TestSameResultsOnAnyCores(t *testing.T) {
 	one, err := smallExperiment().Run(1)
 	if err != nil {
@@ -84,13 +87,14 @@
 	}
 	two, err := smallExperiment().Run(2)
 	if err != nil || !reflect.DeepEqual(one, two) {
-		t.Errorf("%v\n%+v\n%+v", err, one, two)
+		t.Errorf("error %v, points on two cores\n%+v\nwant those on one core\n%+v", err, two, one)
 	}
 }
 
-// A leaf service fails, many layers below the users. If every layer retried without limits, the attempts would multiply
-// from layer to layer. While no call fails, each planned call has to be one attempt and each user has to be served;
-// while the leaf fails, the attempts grow by retries; with one attempt for a call they must not.
+// A leaf service fails several layers below the users. If every layer retried without limits, the attempts would
+// multiply from layer to layer. While no call fails, each planned call has to result in one attempt and each user has
+// to be served. While the leaf fails, retries increase the number of attempts; if calls have only one attempt, the
+// number must not increase.
 func TestAttempts(t *testing.T) {
 	c := smallExperiment()
 	list, err := c.Run(2)
@@ -99,23 +103,25 @@
 	}
 	if p := list[0]; p.Served != 1 || math.Abs(p.Amplification-1) > 0.02 || p.AbandonedWork != 0 ||
 		p.AbandonedCalls != 0 || p.RejectedUnsent != 0 {
-		t.Errorf("no call fails: %+v", p)
+		t.Errorf("without a fault: %+v", p)
 	}
 	if p := list[1]; p.Amplification < 1.5 || p.Served > 0.95 {
-		t.Errorf("the leaf fails: %+v", p)
+		t.Errorf("the leaf fails: %+v; want an amplification of at least 1.5 and at most 0.95 served", p)
 	}
 	if p := list[1]; len(p.TimeLeft) != c.Depth || p.TimeLeft[0].P50 < p.TimeLeft[c.Depth-1].P50 ||
 		p.TimeLeft[0].Max > 1 {
-		t.Errorf("time left by depth: %+v", p.TimeLeft)
+		t.Errorf("time left by depth: %+v; want %d depths, shares up to 1, and less time left at the last depth",
+			p.TimeLeft, c.Depth)
 	}
 	c.MaxAttempts = 1
 	if list, err = c.Run(2); err != nil || list[1].Amplification > 1.02 || list[1].Served > 0.95 {
-		t.Errorf("one attempt: %v, %+v", err, list[1])
+		t.Errorf("the leaf fails, one attempt per call: error %v, %+v; "+
+			"want an amplification of at most 1.02 and at most 0.95 served", err, list[1])
 	}
 }
 
-// Calls of the leaf take longer than the deadline, and their callers give up. Their work, which nobody waits for
-// any more, has to be counted as abandoned.
+// Calls to the leaf take longer than the deadline, so that their callers give up. The leaf's work after that has to be
+// counted as abandoned.
 func TestAbandonedWork(t *testing.T) {
 	c := smallExperiment()
 	c.Modes, c.Slowdown = []string{ModeSlow}, 400
@@ -124,11 +130,11 @@
 		t.Fatal(err)
 	}
 	if p := list[1]; p.AbandonedWork < 0.2 || p.Served > 0.95 {
-		t.Errorf("%+v", p)
+		t.Errorf("%+v; want at least 0.2 of the work abandoned and at most 0.95 served", p)
 	}
 }
 
-// The claims of the experiment that runs in every test hold.
+// All claims of small.toml hold, and a claim that cannot hold is reported.
 func TestSmallExperiment(t *testing.T) {
 	c, err := ReadExperiment("../../../lab/callgraph/small.toml")
 	if err != nil {
@@ -152,15 +158,16 @@
 		list[3].Amplification, 0.1)
 	c.Claims = []Claim{{Measure: "times", Mode: ModeFail, Max: 1.5}}
 	if err := c.Judge(list); err == nil || !strings.Contains(err.Error(), "times is ") {
-		t.Errorf("a claim that cannot hold: %v", err)
+		t.Errorf("a claim that cannot hold: got error %v, want one on the measure times", err)
 	}
 }
 
-// All experiments of lab/callgraph can be read. A file has one error: reading it has to fail, and to name the file.
+// All experiments of lab/callgraph can be read. Reading a file with one wrong key fails with an error that names the
+// file.
 func TestReadExperiment(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/callgraph/*.toml")
 	if err != nil || len(files) < 3 {
-		t.Fatal(files, err)
+		t.Fatalf("%d files in lab/callgraph, want at least 3; error: %v", len(files), err)
 	}
 	for _, f := range files {
 		if _, err := ReadExperiment(f); err != nil {
@@ -190,14 +197,14 @@
 	} {
 		text := strings.Replace(string(good), c[0], c[1], 1)
 		if text == string(good) {
-			t.Fatalf("no %q", c[0])
+			t.Fatalf("small.toml does not contain %q", c[0])
 		}
 		path := filepath.Join(t.TempDir(), "bad.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := ReadExperiment(path); err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%q for %q: %v", c[1], c[0], err)
+			t.Errorf("%q instead of %q: got error %v, want one that names the file", c[1], c[0], err)
 		}
 	}
 }
--- a/internal/simulation/callgraph/experiment.go
+++ b/internal/simulation/callgraph/experiment.go
@@ -10,13 +10,13 @@
 	"hazelwing/internal/strictdecode"
 )
 
-// The modes of the faulty service.
+// Modes of the faulty service.
 const (
-	// ModeHealthy: no call fails.
+	// ModeHealthy is the mode without a fault.
 	ModeHealthy = "well"
-	// ModeFail: calls are answered with an error once their own work is done.
+	// ModeFail is the mode in which faulty calls are answered with an error after their own work.
 	ModeFail = "fail"
-	// ModeSlow: the own work of calls takes Slowdown as long.
+	// ModeSlow is the mode in which the own work of faulty calls takes Slowdown times as long.
 	ModeSlow = "slow"
 )
 
@@ -30,56 +30,57 @@
 	maxCalls               = 200_000_000
 )
 
-// Experiment is a file: a graph of services, its traffic, and the faults of one service.
+// Experiment is the content of an experiment's file: a graph of services, its traffic, and the faults of one service.
 type Experiment struct {
 	Question string `toml:"question"`
-	// Services includes the one that users call.
+	// Services is the number of services, including the one that users call.
 	Services int `toml:"services"`
-	// Depth is how many calls it is from there to the last layer.
+	// Depth is the number of layers below the service that users call.
 	Depth int `toml:"depth"`
-	// Instances are of all services together, assigned by demand.
+	// Instances is the total number of instances of all services. They are assigned by demand.
 	Instances int `toml:"instances"`
-	// CallRate is how many calls a second the sidecars make together, if no call fails.
+	// CallRate is the number of calls per second that all sidecars together make if no call fails.
 	CallRate float64 `toml:"calls"`
 	// FanOut is the mean number of calls to the next layer that one call makes.
 	FanOut float64 `toml:"fan"`
-	// MeanWork is of a call's own work, which has an exponential distribution.
+	// MeanWork is the mean of the time for a call's own work, which is distributed exponentially.
 	MeanWork strictdecode.Duration `toml:"work"`
-	// QueueLimit is how many calls may wait at an instance.
+	// QueueLimit is the maximum number of calls that wait at an instance.
 	QueueLimit int `toml:"queue"`
-	// HopLatency is of one way between instances, sidecars included.
+	// HopLatency is the one-way delay between two instances, including their sidecars.
 	HopLatency strictdecode.Duration `toml:"hop"`
-	// Deadline is of a user's call.
+	// Deadline is the deadline of a user's call.
 	Deadline    strictdecode.Duration `toml:"deadline"`
 	MaxAttempts int                   `toml:"attempts"`
 	Hedging     bool                  `toml:"copies"`
-	// WarmUpTime is before the fault, and not measured; FaultDuration is the length of the fault.
+	// WarmUpTime is the simulated time before the fault, which is not measured. FaultDuration is the duration of the
+	// fault.
 	WarmUpTime    strictdecode.Duration `toml:"warm"`
 	FaultDuration strictdecode.Duration `toml:"length"`
-	// Modes and Shares of the faulty service's calls are combined; the faulty service is the last one of the last
-	// layer.
+	// Modes are the modes of the faulty service, and Shares the shares of its calls with the fault; each combination is
+	// simulated. The faulty service is the last one of the last layer.
 	Modes  []string  `toml:"modes"`
 	Shares []float64 `toml:"shares"`
-	// Slowdown is how many times longer the work of a slow call takes.
+	// Slowdown is the factor by which the own work of a slow call takes longer.
 	Slowdown float64 `toml:"times"`
 	Seed     uint64  `toml:"seed"`
-	// Long: it takes more than a minute. It is for readers of the file.
+	// Long tells readers of the file that the experiment runs for more than a minute. It has no effect.
 	Long   bool    `toml:"long"`
 	Claims []Claim `toml:"claim"`
 }
 
-// Claim limits a measure at the points of a mode.
+// Claim is a limit for a measure at the points of a mode.
 type Claim struct {
 	Measure string `toml:"measure"`
 	Mode    string `toml:"mode"`
-	// MaxShare: the claim is for points with up to this share; 0: for all.
+	// MaxShare is the highest share of faulty calls that the claim applies to; 0: it applies to all shares.
 	MaxShare float64 `toml:"share"`
-	// Max is not a limit if it is 0.
+	// Max is the upper limit; 0: there is none.
 	Max float64 `toml:"most"`
 	Min float64 `toml:"least"`
 }
 
-// ReadExperiment reads a file. Its error names the file.
+// ReadExperiment reads and validates an experiment's file. Its error names the file.
 func ReadExperiment(path string) (*Experiment, error) {
 	e := new(Experiment)
 	if err := runner.ReadFile(path, e); err != nil {
@@ -96,56 +97,91 @@
 func (e *Experiment) validateGraph() error {
 	switch {
 	case e.Depth < 1 || e.Depth > maxDepth:
-		return fmt.Errorf("depth is 1 to %d", maxDepth)
+		return fmt.Errorf("depth: %d is not in the range from 1 to %d", e.Depth, maxDepth)
 	case e.Services <= e.Depth || e.Services > maxServices:
-		return fmt.Errorf("services: %d to %d for a depth of %d", e.Depth+1, maxServices, e.Depth)
+		return fmt.Errorf("services: %d is not in the range from %d to %d for a depth of %d",
+			e.Services, e.Depth+1, maxServices, e.Depth)
 	case e.Instances < minInstancesPerService*e.Services || e.Instances > maxInstances:
-		return fmt.Errorf("instances: two a service at least, %d, and %d at most",
-			minInstancesPerService*e.Services, maxInstances)
+		return fmt.Errorf("instances: %d is not in the range from %d (%d per service) to %d",
+			e.Instances, minInstancesPerService*e.Services, minInstancesPerService, maxInstances)
 	}
 	return nil
 }
 
 func (e *Experiment) validateTraffic() error {
 	length := time.Duration(e.WarmUpTime) + time.Duration(e.FaultDuration)
-	switch {
-	case !(e.CallRate > 0) || e.CallRate*length.Seconds() > maxCalls:
-		return fmt.Errorf("calls: above 0, and %d in all at most", maxCalls)
+	switch total := e.CallRate * length.Seconds(); {
+	case !(e.CallRate > 0):
+		return fmt.Errorf("calls: %v is not above 0", e.CallRate)
+	case total > maxCalls:
+		return fmt.Errorf("calls: %v per second for %v are %.0f calls in total, more than %d",
+			e.CallRate, length, total, maxCalls)
 	case !(e.FanOut > 0) || e.FanOut > maxFanOut:
-		return fmt.Errorf("fan is above 0, and %d at most", maxFanOut)
-	case e.MeanWork <= 0 || e.Deadline <= 0 || e.FaultDuration <= 0 || e.WarmUpTime <= 0 || e.HopLatency < 0:
-		return errors.New("work, deadline, warm and length are wanted, and hop is not below 0")
-	case e.QueueLimit < 1 || e.MaxAttempts < 1:
-		return errors.New("queue and attempts are wanted")
+		return fmt.Errorf("fan: %v is not above 0 and at most %d", e.FanOut, maxFanOut)
+	}
+	if err := e.validateTimes(); err != nil {
+		return err
+	}
+	switch {
+	case e.QueueLimit < 1:
+		return fmt.Errorf("queue: %d is below 1", e.QueueLimit)
+	case e.MaxAttempts < 1:
+		return fmt.Errorf("attempts: %d is below 1", e.MaxAttempts)
+	}
+	return nil
+}
+
+func (e *Experiment) validateTimes() error {
+	for _, t := range []struct {
+		key  string
+		time strictdecode.Duration
+	}{
+		{"work", e.MeanWork},
+		{"deadline", e.Deadline},
+		{"warm", e.WarmUpTime},
+		{"length", e.FaultDuration},
+	} {
+		if t.time <= 0 {
+			return fmt.Errorf("%s: %v is not above 0", t.key, time.Duration(t.time))
+		}
+	}
+	if e.HopLatency < 0 {
+		return fmt.Errorf("hop: %v is below 0", time.Duration(e.HopLatency))
 	}
 	return nil
 }
 
 func (e *Experiment) validateFaults() error {
-	switch {
-	case slices.ContainsFunc(e.Modes, func(m string) bool { return m != ModeFail && m != ModeSlow }):
-		return errors.New("modes are fail and slow")
-	case slices.ContainsFunc(e.Shares, func(s float64) bool { return !(s > 0 && s <= 1) }):
-		return errors.New("shares are above 0, and 1 at most")
-	case slices.Contains(e.Modes, ModeSlow) && !(e.Slowdown > 1):
-		return errors.New("times is above 1")
+	for _, mode := range e.Modes {
+		if mode != ModeFail && mode != ModeSlow {
+			return fmt.Errorf("modes: unknown mode %q; the modes are %s and %s", mode, ModeFail, ModeSlow)
+		}
+	}
+	for _, share := range e.Shares {
+		if !(share > 0 && share <= 1) {
+			return fmt.Errorf("shares: %v is not above 0 and at most 1", share)
+		}
+	}
+	if slices.Contains(e.Modes, ModeSlow) && !(e.Slowdown > 1) {
+		return fmt.Errorf("times: %v is not above 1, as mode %s requires", e.Slowdown, ModeSlow)
 	}
 	return nil
 }
 
 func (e *Experiment) validateClaims() error {
-	for _, c := range e.Claims {
+	for i, c := range e.Claims {
 		if _, ok := (Point{}).measure(c.Measure); !ok {
-			return fmt.Errorf("claim: no measure %q", c.Measure)
+			return fmt.Errorf("claim %d: unknown measure %q", i+1, c.Measure)
 		}
 		if c.Mode != ModeHealthy && !slices.Contains(e.Modes, c.Mode) {
-			return fmt.Errorf("claim: no mode %q is played", c.Mode)
+			return fmt.Errorf("claim %d: mode %q is neither %q nor one of modes", i+1, c.Mode, ModeHealthy)
 		}
 	}
 	return nil
 }
 
-// Run simulates all points on some cores, the healthy one first. The same file gives the same points.
+// Run simulates all points of an experiment in parallel on a number of cores and returns the one without a fault first.
+// The number of cores does not affect the points.
 func (e *Experiment) Run(cores int) ([]Point, error) {
 	points := []Point{{Mode: ModeHealthy}}
 	for _, mode := range e.Modes {
@@ -168,10 +204,18 @@
 			if p.Mode != c.Mode || c.MaxShare > 0 && p.Share > c.MaxShare {
 				continue
 			}
-			if value, _ := p.measure(c.Measure); value < c.Min || c.Max > 0 && value > c.Max {
-				errs = append(errs, fmt.Errorf("%s is %.3f where a share of %.2f is %s; %.3f to %.3f is claimed",
-					c.Measure, value, p.Share, p.Mode, c.Min, c.Max))
+			value, _ := p.measure(c.Measure)
+			var limit string
+			switch {
+			case value < c.Min:
+				limit = fmt.Sprintf("at least %.3f", c.Min)
+			case c.Max > 0 && value > c.Max:
+				limit = fmt.Sprintf("at most %.3f", c.Max)
+			default:
+				continue
 			}
+			errs = append(errs, fmt.Errorf("%s is %.3f in mode %s with a share of %.2f; the claim is %s",
+				c.Measure, value, p.Mode, p.Share, limit))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/simulation/callgraph/experiment_test.go
+++ b/internal/simulation/callgraph/experiment_test.go
@@ -8,26 +8,34 @@
 	"testing"
 )
 
-// Of several errors in a file, the first one of a fixed order is reported: where each key from one on is wrong, it is
-// the error of this one.
+// If a file has several errors, the first one in the fixed order of the checks is reported. In each case, a key and all
+// keys that are checked after it are wrong, and the error has to be that of the key.
 func TestFirstErrorOfWrongFile(t *testing.T) {
 	keys := []struct{ valid, wrong, want string }{
-		{"depth = 2", "depth = 21", "depth is 1 to 20"},
-		{"services = 5", "services = 1001", "services: 3 to 1000 for a depth of 2"},
-		{"instances = 10", "instances = 9", "instances: two a service at least, 10, and 100000 at most"},
-		{"calls = 10.0", "calls = 1e9", "calls: above 0, and 200000000 in all at most"},
-		{"fan = 2.0", "fan = 2.1", "fan is above 0, and 2 at most"},
-		{"work = \"1ms\"", "hop = \"-1s\"", "work, deadline, warm and length are wanted, and hop is not below 0"},
-		{"queue = 1", "queue = 0", "queue and attempts are wanted"},
-		{"modes = [\"slow\"]", "modes = [\"slow\", \"odd\"]", "modes are fail and slow"},
-		{"shares = [0.5]", "shares = [1.5]", "shares are above 0, and 1 at most"},
-		{"times = 2.0", "times = 1.0", "times is above 1"},
+		{"depth = 2", "depth = 21", "depth: 21 is not in the range from 1 to 20"},
+		{"services = 5", "services = 1001", "services: 1001 is not in the range from 3 to 1000 for a depth of 2"},
+		{"instances = 10", "instances = 9", "instances: 9 is not in the range from 10 (2 per service) to 100000"},
+		{
+			"calls = 10.0",
+			"calls = 1e9",
+			"calls: 1e+09 per second for 2s are 2000000000 calls in total, more than 200000000",
+		},
+		{"fan = 2.0", "fan = 2.1", "fan: 2.1 is not above 0 and at most 2"},
+		{"work = \"1ms\"", "hop = \"-1s\"", "work: 0s is not above 0"},
+		{"queue = 1", "queue = 0", "queue: 0 is below 1"},
+		{"modes = [\"slow\"]", "modes = [\"slow\", \"odd\"]", `modes: unknown mode "odd"; the modes are fail and slow`},
+		{"shares = [0.5]", "shares = [1.5]", "shares: 1.5 is not above 0 and at most 1"},
+		{"times = 2.0", "times = 1.0", "times: 1 is not above 1, as mode slow requires"},
 		{
 			"[[claim]]\nmeasure = \"times\"\nmode = \"well\"",
 			"[[claim]]\nmeasure = \"none\"",
-			`claim: no measure "none"`,
+			`claim 1: unknown measure "none"`,
+		},
+		{
+			"",
+			"[[claim]]\nmeasure = \"times\"\nmode = \"fail\"",
+			`claim 2: mode "fail" is neither "well" nor one of modes`,
 		},
-		{"", "[[claim]]\nmeasure = \"times\"\nmode = \"fail\"", `claim: no mode "fail" is played`},
 	}
 	for first, key := range keys {
 		lines := []string{"deadline = \"1s\"\nwarm = \"1s\"\nlength = \"1s\"\nattempts = 1"}
@@ -49,3 +57,40 @@
 		})
 	}
 }
+
+// Each wrong key that TestFirstErrorOfWrongFile leaves valid has an error of its own.
+func TestErrorOfOneWrongKey(t *testing.T) {
+	const valid = `depth = 2
+services = 5
+instances = 10
+calls = 10.0
+fan = 2.0
+work = "1ms"
+hop = "1ms"
+deadline = "1s"
+warm = "1s"
+length = "1s"
+queue = 1
+attempts = 1
+`
+	for _, c := range []struct{ valid, wrong, want string }{
+		{"calls = 10.0", "calls = 0.0", "calls: 0 is not above 0"},
+		{"calls = 10.0", "calls = nan", "calls: NaN is not above 0"},
+		{`deadline = "1s"`, "", "deadline: 0s is not above 0"},
+		{`warm = "1s"`, `warm = "-2s"`, "warm: -2s is not above 0"},
+		{`length = "1s"`, `length = "0s"`, "length: 0s is not above 0"},
+		{`hop = "1ms"`, `hop = "-1s"`, "hop: -1s is below 0"},
+		{"attempts = 1", "", "attempts: 0 is below 1"},
+	} {
+		t.Run(c.want, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "wrong.toml")
+			text := strings.Replace(valid, c.valid, c.wrong, 1)
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := ReadExperiment(path); err == nil || err.Error() != path+": "+c.want {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
+	}
+}
--- a/internal/simulation/callgraph/format_test.go
+++ b/internal/simulation/callgraph/format_test.go
@@ -6,7 +6,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// The keys of an experiment's file are explicit tags.
+// Each key of an experiment's file is given by a tag, so that renaming a field does not change the key.
 func TestExperimentFileNamesAreExplicit(t *testing.T) {
 	testutil.ExplicitNames(t, "toml", Experiment{})
 }
--- a/internal/simulation/callgraph/graph.go
+++ b/internal/simulation/callgraph/graph.go
@@ -1,13 +1,13 @@
-// Package callgraph simulates services that call each other many layers deep while one of the last layer fails or
-// is slow. Every call from one service to the next goes through a real balancer.Balancer in the sidecar of the
-// calling instance, so that its retry budget, its deadlines and its ejections decide what is retried. It has no I/O
-// and no goroutine; one seed gives one course.
+// Package callgraph simulates services that call each other across many layers while one service of the last layer
+// fails or is slow. Every call from one service to another goes through a balancer.Balancer in the sidecar of the
+// calling instance, whose retry budget, deadlines and ejections decide which calls are retried. The package uses no I/O
+// and no goroutines, and a run is determined by its seed.
 //
-// Modelled: an instance has one core and a queue; a call's own work comes first, then its calls to the next
-// services, one after the other, each within what is left of the deadline of the call that it serves; a call that
-// fails, or whose own calls fail, is answered with an error. Not modelled: connections, drains, restarts, zones,
-// applications that retry by themselves or go on without an answer. Work that has begun goes on when its caller has
-// given up, as it does behind HTTP/1.1.
+// An instance has one core and a queue. For each call that it serves, it first does the call's own work. It then calls
+// the services of the next layer one after the other, each within the rest of the served call's deadline. A call that
+// fails, or one of whose calls to the next layer fails, is answered with an error. Work that has begun continues after
+// its caller has given up, as it does behind HTTP/1.1. Not modelled are connections, drains, restarts, zones, and
+// applications that retry calls themselves or answer without the result of a call.
 package callgraph
 
 import (
@@ -15,19 +15,19 @@
 	"slices"
 )
 
-// service is one of the graph.
+// service is a service of the graph.
 type service struct {
 	index, layer int
-	calls        []*service
-	// callProbability is that of a call to each of these, for one call that it serves.
+	calls        []*service // the services that it calls
+	// callProbability is the probability that serving one call includes a call to a given one of them.
 	callProbability float64
-	callers         int
-	// demand is the mean number of calls of it for each call of a user.
+	callers         int // number of services that call it
+	// demand is the mean number of calls to the service for each call of a user.
 	demand    float64
 	instances []*instance
 }
 
-// addCallee adds a service to those that it calls.
+// addCallee adds a service to the ones that s calls, unless it is one of them already.
 func (s *service) addCallee(called *service) {
 	if !slices.Contains(s.calls, called) {
 		s.calls = append(s.calls, called)
@@ -35,8 +35,9 @@
 	}
 }
 
-// newGraph draws the services in layers, in their order: users call the first one, and the others are in Depth
-// layers below it. Each service calls two of the next layer, or more if they would have no caller.
+// newGraph returns a random graph of services, ordered by layer. Users call the first service, and the others are in
+// Depth layers below it. Each service calls two services of the next layer, or one if there is only one. It calls more
+// if a service of the next layer would otherwise have no caller.
 func newGraph(e *Experiment, rng *rand.Rand) (list []*service) {
 	layers := make([][]*service, e.Depth+1)
 	add := func(layer int) {
@@ -65,7 +66,7 @@
 	return list
 }
 
-// connectLayers draws which services of a layer call which of the next one.
+// connectLayers randomly selects the services of a layer that each service of the layer above calls.
 func connectLayers(callers, called []*service, rng *rand.Rand) {
 	for _, s := range callers {
 		first := rng.IntN(len(called))
@@ -79,7 +80,7 @@
 	}
 }
 
-// callsPerUser is the mean number of calls that one of a user makes in all, itself not included, if no call fails.
+// callsPerUser returns the mean number of calls between services for each call of a user, if no call fails.
 func callsPerUser(list []*service) (sum float64) {
 	for _, s := range list[1:] {
 		sum += s.demand
@@ -87,7 +88,8 @@
 	return sum
 }
 
-// assignInstances assigns instances to the services by demand, those with the largest remainders first.
+// assignInstances returns the number of instances of each service. They are in proportion to demand, but at least
+// minInstancesPerService; instances that rounding leaves over or lacks are added or taken away one by one.
 func assignInstances(list []*service, instances int) []int {
 	total := callsPerUser(list) + list[0].demand
 	counts := make([]int, len(list))
@@ -111,8 +113,9 @@
 	return counts
 }
 
-// serviceToAdjust is the service with the most demand for one of its instances (step 1), or with the least that has an
-// instance to give away (step -1); below 0: there is none.
+// serviceToAdjust returns the index of the service whose number of instances is to change by a step. For step 1 it is
+// the service with the most demand per instance. For step -1 it is the one with the least demand per instance among
+// those with more than minInstancesPerService. It returns -1 if there is none.
 func serviceToAdjust(list []*service, counts []int, step int) int {
 	best, bestPriority := -1, 0.0
 	for i, s := range list {
@@ -127,10 +130,11 @@
 	return best
 }
 
-// isPlanned reports whether a user's call goes this way: retries go the same way. The path stands for the calls above.
+// isPlanned reports whether a call with this path is part of its user's call. The decision depends only on the path,
+// which identifies the chain of calls from the user's call on, so a retry leads to the same further calls.
 func isPlanned(path uint64, probability float64) bool { return float64(path>>11)/(1<<53) < probability }
 
-// childPath is the path to the n-th call of a call: a hash of both.
+// childPath returns the path of the n-th call that a call makes, as a hash of the path of that call and n.
 func childPath(path uint64, n int) uint64 {
 	x := path + uint64(n+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -138,7 +142,8 @@
 	return x ^ x>>31
 }
 
-// plannedCalls is how many calls of a service a call of another one makes, if no call fails.
+// plannedCalls returns the number of calls to one service that result from a call to another one with a given path, if
+// no call fails.
 func plannedCalls(from, to *service, path uint64) (n int) {
 	if from == to {
 		return 1
--- a/internal/simulation/callgraph/instance.go
+++ b/internal/simulation/callgraph/instance.go
@@ -6,31 +6,32 @@
 	"hazelwing/balancer"
 )
 
-// instance is one of a service: one core, a queue, and a sidecar for each service that it calls.
+// instance is an instance of a service. It has one core, a queue, and a sidecar for each service that it calls.
 type instance struct {
 	sim      *simulation
 	service  *service
 	sidecars []*sidecar // in the order of service.calls
 	busy     bool
-	waiting  []*attempt // whose own work has not begun
+	waiting  []*attempt // queued attempts, the oldest first
 }
 
-// attempt is one at an instance.
+// attempt is an attempt of a call at an instance.
 type attempt struct {
-	// call is what it is an attempt of; nil: it is a user's.
+	// call is the call that the attempt belongs to; nil for a user's call.
 	call      *call
-	index     int
+	index     int // among the attempts of the call
 	at        *instance
 	path      uint64
-	depth     int
+	depth     int // number of layers below the service that users call
 	sentAt    time.Duration
 	expiresAt time.Duration
-	// endedAt is when its caller got an answer or gave up; 0: it waits.
+	// endedAt is the time at which the caller got an answer or gave up; 0: it still waits.
 	endedAt time.Duration
-	end     func(balancer.Result)
+	// end ends the attempt for its caller; calls after the first one have no effect.
+	end func(balancer.Result)
 }
 
-// accept queues an attempt, or rejects it if too many wait.
+// accept queues an attempt, or rejects it if the queue is full.
 func (n *instance) accept(a *attempt) {
 	n.sim.metrics.attemptArrived(a)
 	if len(n.waiting) >= n.sim.experiment.QueueLimit {
@@ -41,7 +42,7 @@
 	n.startNext()
 }
 
-// startNext begins the work of the attempt that has waited longest, if the core is free.
+// startNext starts the work of the oldest queued attempt if the core is free.
 func (n *instance) startNext() {
 	if n.busy || len(n.waiting) == 0 {
 		return
@@ -68,14 +69,15 @@
 	})
 }
 
-// drawFault draws whether an attempt has the fault of the service.
+// drawFault reports whether an attempt at this instance is faulty, which is random during the fault.
 func (n *instance) drawFault() bool {
 	sim := n.sim
 	hasBegun := sim.now >= time.Duration(sim.experiment.WarmUpTime)
 	return n.service == sim.faulty && hasBegun && sim.faultRand.Float64() < sim.faultyShare
 }
 
-// callNext makes the calls of an attempt from the i-th service on, one after the other, and then answers the attempt.
+// callNext makes the calls that an attempt requires, one after the other, beginning with the i-th called service. It
+// then answers the attempt, with an error as soon as a call fails.
 func (n *instance) callNext(a *attempt, i int) {
 	for ; i < len(n.sidecars); i++ {
 		path := childPath(a.path, i)
@@ -95,7 +97,7 @@
 	a.answer(balancer.OK)
 }
 
-// answer sends an answer back; a user's arrives at once.
+// answer sends an attempt's answer to its caller. An answer to a user arrives without delay.
 func (a *attempt) answer(result balancer.Result) {
 	if a.call == nil {
 		a.end(result)
--- a/internal/simulation/callgraph/metrics.go
+++ b/internal/simulation/callgraph/metrics.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// metrics measure a run from the fault on.
+// metrics collects the measurements of a run. All but attemptsBefore begin with the fault.
 type metrics struct {
 	sim                    *simulation
 	userRate, callsPerUser float64
 	events                 int
 
 	users, usersServed int
-	latencies          []time.Duration // of the served ones
+	latencies          []time.Duration // of the users' calls that were served
 
 	plannedLeafCalls int
 	leafAttempts     int
@@ -22,16 +22,17 @@
 	work, abandonedWork   time.Duration
 	calls, abandonedCalls int
 	rejectedUnsent        int
-	// timeLeft is by depth, as shares of the users' deadline.
+	// timeLeft holds, by depth, the time that each attempt had left on arrival, as a share of the users' deadline.
 	timeLeft [][]float32
-	// attemptsBefore counts attempts before the fault.
+	// attemptsBefore counts the attempts at each instance before the fault.
 	attemptsBefore map[*instance]int
 }
 
-// secondMetrics are of what arrived in one second.
+// secondMetrics counts the planned calls and the attempts at the leaf in one second.
 type secondMetrics struct{ plannedLeafCalls, leafAttempts int }
 
-// trailingSeconds are more than the last answers may take after the fault.
+// trailingSeconds is the number of seconds counted beyond the fault and one deadline. It is more than the last answers
+// can take.
 const trailingSeconds = 3
 
 func newMetrics(sim *simulation, userRate float64) *metrics {
@@ -47,7 +48,7 @@
 	}
 }
 
-// currentSecond is the present currentSecond of the fault; nil: it has not begun.
+// currentSecond returns the metrics of the current second since the start of the fault; nil: it has not started.
 func (m *metrics) currentSecond() *secondMetrics {
 	warmUp := time.Duration(m.sim.experiment.WarmUpTime)
 	if m.sim.now < warmUp {
@@ -56,7 +57,7 @@
 	return &m.seconds[min(int((m.sim.now-warmUp).Seconds()), len(m.seconds)-1)]
 }
 
-// userCallStarted counts a user's call; false: it does not count.
+// userCallStarted counts a user's call. It returns false if the call is before the fault and does not count.
 func (m *metrics) userCallStarted(path uint64) bool {
 	s := m.currentSecond()
 	if s == nil {
@@ -69,7 +70,7 @@
 	return true
 }
 
-// userAnswered counts the answer of a user's call that counts.
+// userAnswered counts the answer to a user's call that userCallStarted has counted.
 func (m *metrics) userAnswered(ok bool, latency time.Duration) {
 	if ok {
 		m.usersServed++
@@ -97,7 +98,7 @@
 	m.timeLeft[a.depth] = append(m.timeLeft[a.depth], left)
 }
 
-// workDone counts an instance's own work for an attempt, which began at a time and ends now.
+// workDone counts an instance's own work for an attempt, from begin to the current time.
 func (m *metrics) workDone(a *attempt, begin time.Duration) {
 	if m.currentSecond() == nil {
 		return
@@ -108,7 +109,7 @@
 	}
 }
 
-// callStarted counts a call to a next service for an attempt.
+// callStarted counts a call to a service of the next layer, made to serve an attempt.
 func (m *metrics) callStarted(a *attempt) {
 	if m.currentSecond() == nil {
 		return
@@ -119,14 +120,14 @@
 	}
 }
 
-// callRejected counts a call that a balancer callRejected after a number of attempts.
+// callRejected counts a call that a balancer ended with an error, if it had made no attempt.
 func (m *metrics) callRejected(attempts int) {
 	if m.currentSecond() != nil && attempts == 0 {
 		m.rejectedUnsent++
 	}
 }
 
-// ratio is a/b, or 0 where there is no b.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -134,7 +135,7 @@
 	return a / b
 }
 
-// point summarises the run.
+// point returns the measurements of the run as a Point.
 func (m *metrics) point() Point {
 	users := float64(m.users)
 	p := Point{
@@ -170,7 +171,8 @@
 	return p
 }
 
-// peakAmplification is of the worst second, without the few calls after the end of the fault.
+// peakAmplification returns the amplification in the worst second. Seconds with at most half the mean number of
+// planned calls are left out, such as those after the end of the fault, since few calls would distort the figure.
 func (m *metrics) peakAmplification() (peak float64) {
 	for _, s := range m.seconds {
 		if s.plannedLeafCalls*len(m.seconds) > m.plannedLeafCalls/2 {
@@ -180,7 +182,7 @@
 	return peak
 }
 
-// lateAmplification is of the last quarter of the fault.
+// lateAmplification returns the amplification in the last quarter of the fault.
 func (m *metrics) lateAmplification() float64 {
 	length := time.Duration(m.sim.experiment.FaultDuration).Seconds()
 	var late secondMetrics
@@ -191,7 +193,7 @@
 	return ratio(float64(late.leafAttempts), float64(late.plannedLeafCalls))
 }
 
-// sidecarRates are of the instances before the fault.
+// sidecarRates returns the rates of attempts at the instances before the fault.
 func (m *metrics) sidecarRates() Rates {
 	var rates []float64
 	for _, n := range m.attemptsBefore {
--- a/internal/simulation/callgraph/point.go
+++ b/internal/simulation/callgraph/point.go
@@ -7,53 +7,56 @@
 	"text/tabwriter"
 )
 
-// Point is what one run measured from the fault on. The leaf is the service that fails or is slow.
+// Point holds the measurements of one run. All but SidecarRates begin with the fault. The leaf is the service that
+// fails or is slow.
 type Point struct {
 	Mode  string
 	Share float64
 
-	// UserRate is of users' calls a second, each of which makes CallsPerUser calls of services as planned.
+	// UserRate is the number of users' calls per second. Each leads to CallsPerUser calls between services on average,
+	// if no call fails.
 	UserRate     float64
 	CallsPerUser float64
-	// SidecarRates are of the attempts a second at an instance before the fault.
+	// SidecarRates are the attempts per second at an instance before the fault.
 	SidecarRates Rates
-	// Users counts the users' calls, of which the share Served was served with latencies of P50 and P99 milliseconds.
+	// Users is the number of users' calls, Served the share of them that was served. P50 and P99 are percentiles of the
+	// latencies of the served ones in milliseconds.
 	Users    int
 	Served   float64
 	P50, P99 float64
-	// PlannedLeafCalls and LeafAttempts are for each call of a user.
+	// PlannedLeafCalls and LeafAttempts are the planned calls and the attempts at the leaf for each call of a user.
 	PlannedLeafCalls float64
 	LeafAttempts     float64
-	// Amplification is the attempts at the leaf for each planned call of it: in all, in the worst second, and in
-	// the last quarter of the fault.
+	// Amplification is the number of attempts at the leaf for each planned call to it. PeakAmplification is the same
+	// for the worst second, LateAmplification for the last quarter of the fault.
 	Amplification     float64
 	PeakAmplification float64
 	LateAmplification float64
-	// TotalAmplification is the attempts at all services for each planned call.
+	// TotalAmplification is the number of attempts at all services for each planned call.
 	TotalAmplification float64
 	// RejectedUnsent is the share of the calls between services that were rejected before any attempt.
 	RejectedUnsent float64
-	// AbandonedWork is the share of the cores' time for calls whose caller had given up, AbandonedCalls that of the
-	// calls to next services.
+	// AbandonedWork is the share of the cores' work, and AbandonedCalls the share of the calls between services, for
+	// attempts whose caller had already given up.
 	AbandonedWork  float64
 	AbandonedCalls float64
-	// TimeLeft is by depth.
+	// TimeLeft has one entry for each depth at which attempts arrived.
 	TimeLeft []TimeLeft
-	// Events were simulated.
+	// Events is the number of simulated events.
 	Events int
 }
 
-// Rates are of the instances with the fewest, the median and the most.
+// Rates are the minimum, median and maximum of a rate over all instances.
 type Rates struct{ Min, Median, Max float64 }
 
-// TimeLeft is the time that attempts at a depth had left when they arrived, as shares of the user's deadline. What the
-// first service calls has depth 1.
+// TimeLeft holds percentiles and the maximum of the time that attempts at a depth had left when they arrived, as shares
+// of the user's deadline. Calls that the first service makes have depth 1.
 type TimeLeft struct {
 	Depth        int
 	P1, P50, Max float64
 }
 
-// measure is a figure by its name in claims; false: there is none.
+// measure returns the measure with a name that claims use; false: there is no such measure.
 func (p Point) measure(name string) (float64, bool) {
 	switch name {
 	case "times":
@@ -81,7 +84,7 @@
 	"in the worst second\tin the last quarter\tall services: times\trefused unsent\twork for the gone\tcalls for " +
 	"the gone\n"
 
-// WriteTables writes points as tables.
+// WriteTables writes points as two tables: their measures, and the time left by depth.
 func WriteTables(w io.Writer, points []Point) error {
 	if len(points) > 0 {
 		p := points[0]
@@ -118,7 +121,7 @@
 	return writeTable(w, rows.String())
 }
 
-// writeTable aligns the columns of rows.
+// writeTable writes rows of tab-separated columns with the columns aligned.
 func writeTable(w io.Writer, rows string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := io.WriteString(t, rows); err != nil {
--- a/internal/simulation/callgraph/sidecar.go
+++ b/internal/simulation/callgraph/sidecar.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// All instances are in one zone and of one kind.
+	// zoneName and kindName are the zone and the kind of all instances.
 	zoneName = "a"
 	kindName = "m"
-	// lateWeight is the weight of a late answer, over that of one in time.
+	// lateWeight is the weight of a late answer relative to that of one in time.
 	lateWeight     = 0.5
 	connectTimeout = time.Second
 )
 
-// sidecar is the balancer of one instance for the calls to one service.
+// sidecar runs the balancer of one instance for its calls to one service.
 type sidecar struct {
 	sim        *simulation
 	balancer   *balancer.Balancer
 	instances  map[string]*instance // by endpoint ID
 	calls      map[string]*call
 	lastCallID int
-	timerAt    time.Duration // 0: none is set
-	// buffers are for actions; an action may lead to another call of handle.
+	timerAt    time.Duration // 0: no timer is set
+	// buffers are unused slices for actions. There can be several, since performing an action can call handle again.
 	buffers [][]balancer.Action
 }
 
-// call is one of an instance to a service.
+// call is a call from an instance to a service.
 type call struct {
 	id       string
 	path     uint64
 	depth    int
 	attempts []*attempt
 	done     bool
-	end      func(ok bool)
+	end      func(ok bool) // called once with whether the call was served
 }
 
-// newSidecar makes the sidecar of an instance of one service for calls to another.
+// newSidecar returns the sidecar of an instance of one service for calls to another service.
 func (sim *simulation) newSidecar(caller, called *service, seed uint64) (*sidecar, error) {
 	deadline := time.Duration(sim.experiment.Deadline)
 	b, err := balancer.New(balancer.Settings{
@@ -71,7 +71,7 @@
 	return s, nil
 }
 
-// call makes a call. end is called once with whether it was served.
+// call makes a call. It calls end once, with whether the call was served.
 func (s *sidecar) call(path uint64, depth int, expiresAt time.Duration, end func(ok bool)) {
 	s.lastCallID++
 	c := &call{id: strconv.Itoa(s.lastCallID), path: path, depth: depth, end: end}
@@ -79,7 +79,7 @@
 	s.handle(balancer.Request{ID: c.id, Class: className, ExpiresAt: expiresAt + clockOffset})
 }
 
-// handle hands an event to the balancer and carries out its actions.
+// handle passes an event to the balancer and performs the resulting actions.
 func (s *sidecar) handle(event balancer.Event) {
 	var actions []balancer.Action
 	if n := len(s.buffers); n > 0 {
@@ -98,7 +98,8 @@
 		s.send(s.calls[a.ID], s.instances[a.Endpoint], a.Timeout)
 	case balancer.Cancel:
 		cancelled := s.calls[a.ID].attempts[a.Attempt]
-		s.sim.after(0, func() { cancelled.end(balancer.Cancelled) }) // its outcome is an event of its own
+		// The outcome is an event of its own, so it is handled after the current one.
+		s.sim.after(0, func() { cancelled.end(balancer.Cancelled) })
 	case balancer.Reject, balancer.Fail:
 		s.sim.metrics.callRejected(len(s.calls[a.ID].attempts))
 		s.finish(s.calls[a.ID], false)
@@ -107,7 +108,7 @@
 	}
 }
 
-// setTimer wakes the balancer at a time, or earlier if its timer fires before.
+// setTimer makes the balancer's timer fire at a time, unless it is already set to fire earlier.
 func (s *sidecar) setTimer(at time.Duration) {
 	if s.timerAt > 0 && at >= s.timerAt {
 		return
@@ -121,7 +122,7 @@
 	})
 }
 
-// send sends an attempt of a call to an instance.
+// send sends a new attempt of a call to an instance.
 func (s *sidecar) send(c *call, to *instance, timeout time.Duration) {
 	sim := s.sim
 	a := &attempt{
@@ -143,7 +144,7 @@
 	sim.after(time.Duration(sim.experiment.HopLatency), func() { to.accept(a) })
 }
 
-// attemptEnded hands an attempt's outcome to the balancer.
+// attemptEnded passes the outcome of an attempt to the balancer and finishes its call if the attempt succeeded.
 func (s *sidecar) attemptEnded(a *attempt, result balancer.Result) {
 	c := a.call
 	a.endedAt = max(s.sim.now, 1)
@@ -161,7 +162,7 @@
 	s.releaseIfDone(c)
 }
 
-// finish gives a call its one answer, after the balancer has handled the present event.
+// finish ends a call unless it has ended. The caller is told after the balancer has handled the current event.
 func (s *sidecar) finish(c *call, ok bool) {
 	if c.done {
 		return
@@ -171,7 +172,7 @@
 	s.releaseIfDone(c)
 }
 
-// releaseIfDone forgets a call that is answered and has no attempt out.
+// releaseIfDone deletes a call that has ended and has no attempt in flight.
 func (s *sidecar) releaseIfDone(c *call) {
 	if !c.done {
 		return
--- a/internal/simulation/callgraph/simulation.go
+++ b/internal/simulation/callgraph/simulation.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// clockOffset is how long the sidecars' clocks have run when the traffic begins.
+	// clockOffset is the time that the sidecars' clocks show when the traffic begins.
 	clockOffset = time.Hour
-	// className is the one class of calls.
+	// className is the name of the class of all calls.
 	className = "call"
 )
 
-// Streams of random numbers, by what they decide.
+// Numbers of the independent streams of random numbers that are drawn from the seed, by purpose.
 const (
 	streamGraph   = 1
 	streamWork    = 2
@@ -23,13 +23,13 @@
 	streamTraffic = 4
 )
 
-// simulation is the state of one run.
+// simulation is the state of the simulation of one point.
 type simulation struct {
 	experiment *Experiment
 	now        time.Duration
 	queue      simtime.Queue
 	services   []*service
-	// faulty is the service of whose calls faultyShare fail or are slow.
+	// faulty is the service with the fault, faultyShare the share of its calls that fail or are slow.
 	faulty      *service
 	faultyShare float64
 	mode        string
@@ -38,12 +38,12 @@
 	metrics     *metrics
 }
 
-// after schedules an event after a delay.
+// after schedules an event after a delay; a negative delay counts as 0.
 func (sim *simulation) after(delay time.Duration, handle func()) {
 	sim.queue.Push(sim.now+max(delay, 0), handle)
 }
 
-// simulate simulates one point: a mode of the faulty service, and the share of its calls with the fault.
+// simulate simulates one point, given by the mode of the faulty service and the share of its calls with the fault.
 func simulate(e *Experiment, mode string, share float64) (Point, error) {
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(e.Seed, n)) }
 	graphRand := stream(streamGraph)
@@ -72,7 +72,7 @@
 	return sim.metrics.point(), nil
 }
 
-// addInstances makes the instances of all services, with their sidecars.
+// addInstances creates the instances of all services and their sidecars.
 func (sim *simulation) addInstances(rng *rand.Rand) error {
 	counts := assignInstances(sim.services, sim.experiment.Instances)
 	for i, s := range sim.services {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// userArrives lets a user call, and schedules the next one until the end of the fault.
+// userArrives starts a user's call and schedules the arrival of the next user, until the end of the fault.
 func (sim *simulation) userArrives(rng *rand.Rand, rate float64) {
 	if sim.now >= time.Duration(sim.experiment.WarmUpTime+sim.experiment.FaultDuration) {
 		return
@@ -104,7 +104,7 @@
 	sim.after(time.Duration(interval), func() { sim.userArrives(rng, rate) })
 }
 
-// startUserCall lets a user call an instance of the first service, once.
+// startUserCall makes a user's call to a random instance of the first service. A user does not retry.
 func (sim *simulation) startUserCall(rng *rand.Rand) {
 	path := childPath(rng.Uint64(), 0)
 	entry := sim.services[0].instances
--- a/internal/simulation/callgraph/stored_test.go
+++ b/internal/simulation/callgraph/stored_test.go
@@ -7,10 +7,11 @@
 	"hazelwing/internal/testutil"
 )
 
-// storedDir holds a file with each key that 593ba64 knew, and what it read them into: see its README.
+// storedDir holds an experiment's file with every key of commit 593ba64, and the values that this commit read from it.
+// Its README describes both.
 const storedDir = "testdata/version-593ba64"
 
-// Each key of an experiment's file, by the name that it had in 593ba64, is read into the field that it was read into.
+// Files of commit 593ba64 are still read: each key sets the field that it set in that commit.
 func TestEveryKeyKeepsItsName(t *testing.T) {
 	testutil.CheckStoredKeys(t, storedDir, func(text []byte) any {
 		var e Experiment
