--- a/internal/simulation/capacity/capacity_test.go
+++ b/internal/simulation/capacity/capacity_test.go
@@ -13,11 +13,12 @@
 	"hazelwing/internal/testutil"
 )
 
-// No test leaves a goroutine behind.
+// TestMain fails if a test leaves a goroutine running.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The counts of the control plane stay within their limits at a small size: in a start, a quiet time, a short day,
-// and a restart of all members at once.
+// In a small cluster, the traffic and resources of the control plane stay within the limits of small.toml during a
+// start, a quiet time, a short day, and a restart of all members at once. Some figures are also compared with
+// docs/CAPACITY.md.
 func TestSmallCluster(t *testing.T) {
 	e, err := ReadExperiment("testdata/small.toml")
 	if err != nil {
@@ -39,7 +40,8 @@
 		}
 		return -1
 	}
-	// Members that started together probe together: a round at the edge of the 8 s falls in it or not.
+	// Members that started together probe at the same times. A round of probes at the end of the 8 s of the quiet phase
+	// may or may not be counted, so the figures vary by up to one round.
 	testutil.CheckCapacityBound(t, "control: bytes a second that a quiet sidecar of small.toml sends",
 		quiet(RoleLeaf, "bytes sent"), 0.05)
 	testutil.CheckCapacityBound(t, "control: messages a second of these",
@@ -59,15 +61,15 @@
 		t.Fatal(err)
 	}
 	if again, err := ReadResults(path); err != nil || !reflect.DeepEqual(again, list) {
-		t.Errorf("%v: what was written is not what is read", err)
+		t.Errorf("read %+v from the written file, error %v; want %+v", again, err, list)
 	}
 }
 
-// The project's own files can be read.
+// All experiments in lab/capacity can be read.
 func TestLabFilesAreReadable(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/capacity/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no files", err)
+		t.Fatalf("no experiments in lab/capacity, error: %v", err)
 	}
 	for _, path := range files {
 		if _, err := ReadExperiment(path); err != nil {
@@ -76,31 +78,39 @@
 	}
 }
 
-// A file has one error. Running what was not meant would measure for minutes for nothing. Reading it has to fail,
-// and to name the file and the line or the key.
+// A file with one error is rejected when it is read, since an experiment can run for minutes. The error names the file
+// and the line or the key.
 func TestBadFiles(t *testing.T) {
+	const claim = "[[claim]]\nfigure = \"heap\"\n"
 	const good = "question = \"q\"\nsizes = [4]\nphases = [\"start\", \"quiet\"]\n"
 	for more, want := range map[string]string{
-		"zone = 3\n":             "bad.toml:4:1: no such key: zone",
-		"settle = \"soon\"\n":    "bad.toml:4",
-		"regions = 5\n":          "bad.toml: zones: ",
-		"wait = \"1h\"\n":        "bad.toml: wait: ",
-		"[day]\nfailures = -1\n": "bad.toml: day: ",
-		"[[claim]]\nfigure = \"heap\"\nrole = \"all\"\nphase = \"quiet\"\n":              "claim 1: most or least",
-		"[[claim]]\nfigure = \"heap\"\nrole = \"all\"\nphase = \"zone\"\nmost = 1.0\n":   "claim 1: phase \"zone\"",
-		"[[claim]]\nfigure = \"heap\"\nrole = \"boss\"\nphase = \"quiet\"\nmost = 1.0\n": "claim 1: no role \"boss\"",
+		"zone = 3\n":                 "bad.toml:4:1: no such key: zone",
+		"settle = \"soon\"\n":        "bad.toml:4",
+		"regions = 5\n":              "bad.toml: zones: 4 is below the number of regions, 5",
+		"wait = \"1h\"\n":            "bad.toml: wait: ",
+		"[day]\nfailures = -1\n":     "bad.toml: day.failures: -1 is below 0",
+		"upstreams = -1\n":           "bad.toml: upstreams: -1 is below 0",
+		"services = 0\n":             "bad.toml: services: 0 is below 1",
+		"regions = 0\n":              "bad.toml: regions: 0 is below 1",
+		"rack = 0\n":                 "bad.toml: rack: 0 is below 1",
+		"[day]\nof = 0\n":            "bad.toml: day.of: 0 is below 1",
+		"[day]\nreplacements = -1\n": "bad.toml: day.replacements: -1 is below 0",
+		"[day]\ndrains = -1\n":       "bad.toml: day.drains: -1 is below 0",
+		claim + "role = \"all\"\nphase = \"quiet\"\n":              "claim 1: neither most nor least is given",
+		claim + "role = \"all\"\nphase = \"zone\"\nmost = 1.0\n":   `claim 1: phase "zone" is not one of phases`,
+		claim + "role = \"boss\"\nphase = \"quiet\"\nmost = 1.0\n": `claim 1: unknown role "boss"`,
 	} {
 		path := filepath.Join(t.TempDir(), "bad.toml")
 		if err := os.WriteFile(path, []byte(good+more), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := ReadExperiment(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", more, err, want)
+			t.Errorf("%q: got error %v, want one with %q", more, err, want)
 		}
 	}
 }
 
-// A claim does not hold if its figure is above or below the limit or was not measured, at the sizes that it is for.
+// A claim does not hold if, at a size that it applies to, its figure is outside the limits or was not measured.
 func TestJudge(t *testing.T) {
 	f := func(x float64) *float64 { return &x }
 	list := []Result{{"e", 4, RoleAll, "quiet", "heap", "B", 10, 4}, {"e", 8, RoleAll, "quiet", "heap", "B", 30, 8}}
@@ -120,7 +130,7 @@
 		c.claim.Role, c.claim.Phase = RoleAll, "quiet"
 		err := (&Experiment{Sizes: []int{4, 8}, Claims: []Claim{c.claim}}).Judge(list)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: %v, want %q", c.claim, err, c.want)
+			t.Errorf("%+v: got error %v, want one with %q (empty: no error)", c.claim, err, c.want)
 		}
 	}
 }
--- a/internal/simulation/capacity/day.go
+++ b/internal/simulation/capacity/day.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// dayStream is the stream of random numbers of a day, by the size of the cluster.
+	// dayStream selects the stream of random numbers of a day. The seed is the size of the cluster.
 	dayStream = 7
-	// drainTime is how long an endpoint drains that serves again.
+	// drainTime is the time for which an endpoint drains before it serves again (Day.Drains).
 	drainTime = time.Second
 )
 
-// dayEvents are the events of a day, each of which happens at a member of its own.
+// dayEvents performs the events of a day. Each event of a day affects a different member.
 type dayEvents struct {
 	cluster   *hollow.Cluster
 	endpoints int
 
 	mu       sync.Mutex
-	restarts map[int]int // by endpoint
-	failed   []*hollow.Member
+	restarts map[int]int      // by index of the endpoint
+	failed   []*hollow.Member // killed for the rest of the day
 }
 
-// setHealth sets the health of a member's endpoint, which may have restarted.
+// setHealth sets the health of a member's endpoint and adds to the number of its restarts.
 func (d *dayEvents) setHealth(m *hollow.Member, health string, restarts int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,7 +38,7 @@
 	d.cluster.Discovery.Set(d.cluster.Endpoint(i, health, d.restarts[i]))
 }
 
-// fail kills a member for the rest of the day.
+// fail kills a member for the rest of the day and removes its endpoint.
 func (d *dayEvents) fail(_ context.Context, m *hollow.Member) error {
 	d.cluster.Kill(m)
 	d.setHealth(m, healthRemoved, 0)
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// replace lets an endpoint drain and be removed, and its sidecar leave; both come back.
+// replace drains and removes an endpoint while its sidecar leaves the cluster, and starts both again.
 func (d *dayEvents) replace(_ context.Context, m *hollow.Member) error {
 	d.setHealth(m, healthDraining, 0)
 	d.cluster.Leave(m)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// drain lets an endpoint drain and serve again.
+// drain drains an endpoint for drainTime, after which it serves again.
 func (d *dayEvents) drain(ctx context.Context, m *hollow.Member) error {
 	d.setHealth(m, healthDraining, 0)
 	err := sleep(ctx, drainTime)
@@ -68,10 +68,11 @@
 	return err
 }
 
-// event is something that happens at a member.
+// event performs one event of a day at a member.
 type event func(ctx context.Context, m *hollow.Member) error
 
-// scaledCount is how many of a number of events of the day a cluster of this size has.
+// scaledCount scales a number of events of the day from the reference size to the size of the cluster. It returns at
+// least 1, or 0 for 0 events.
 func (r *run) scaledCount(n int) int {
 	if n == 0 {
 		return 0
@@ -79,7 +80,7 @@
 	return max(1, int(math.Round(float64(n)*float64(r.size)/float64(r.Day.ReferenceSize))))
 }
 
-// day runs the events of a day, evenly over its time, in a random order and at random members.
+// day runs the events of a day, evenly spread over its duration, in a random order and at random members.
 func (r *run) day(ctx context.Context) error {
 	d := &dayEvents{cluster: r.cluster, endpoints: cmp.Or(r.Endpoints, r.size), restarts: map[int]int{}}
 	var events []event
@@ -92,7 +93,7 @@
 	addEvents(r.Day.Replacements, d.replace)
 	addEvents(r.Day.Drains, d.drain)
 	if len(events) > r.size {
-		return fmt.Errorf("%d events at %d members", len(events), r.size)
+		return fmt.Errorf("the day has %d events, but only %d members for one event each", len(events), r.size)
 	}
 	rng := rand.New(rand.NewPCG(uint64(r.size), dayStream))
 	rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
@@ -115,7 +116,7 @@
 	return r.settle(ctx)
 }
 
-// runEvents runs events at members, evenly over a time.
+// runEvents runs each event at the member of the same index, evenly spread over a time.
 func runEvents(ctx context.Context, events []event, members []*hollow.Member, length time.Duration) error {
 	interval := length / time.Duration(max(1, len(events)))
 	var running sync.WaitGroup
@@ -134,7 +135,7 @@
 	return sleep(ctx, time.Until(begin.Add(length)))
 }
 
-// endDay starts the members that have failed.
+// endDay starts the members that were killed during the day, and waits until the cluster has converged again.
 func (r *run) endDay(ctx context.Context, d *dayEvents) error {
 	if err := r.cluster.Start(d.failed...); err != nil {
 		return err
--- a/internal/simulation/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -13,64 +13,69 @@
 	"hazelwing/internal/testcluster/hollow"
 )
 
-// maxPhaseTime limits each time of an experiment.
+// maxPhaseTime limits each duration in an experiment's file.
 const maxPhaseTime = 10 * time.Minute
 
-// Experiment is a file: the same phases at every size, in a cluster of its own each.
+// minMembers is the smallest size of a cluster.
+const minMembers = 2
+
+// Experiment is the content of an experiment's file. The same phases run at every size, each time in a new cluster.
 type Experiment struct {
 	Question string `toml:"question"`
-	// Sizes are numbers of members.
+	// Sizes are the cluster sizes, in members.
 	Sizes []int `toml:"sizes"`
-	// Endpoints is how many the list has; 0: one for each member.
+	// Endpoints is the number of endpoints in the list; 0: one for each member.
 	Endpoints int `toml:"upstreams"`
 	Services  int `toml:"services"`
 	Regions   int `toml:"regions"`
 	Zones     int `toml:"zones"`
-	// RackSize is how many members a rack has.
+	// RackSize is the number of members in a rack.
 	RackSize int      `toml:"rack"`
 	Phases   []string `toml:"phases"`
-	// SettleTime passes after most phases, before the next one.
+	// SettleTime is the waiting time after most phases, before the next one.
 	SettleTime strictdecode.Duration `toml:"settle"`
 	QuietTime  strictdecode.Duration `toml:"quiet"`
-	// PartitionTime is how long regions are cut off from each other.
+	// PartitionTime is the duration of the partition between regions.
 	PartitionTime strictdecode.Duration `toml:"apart"`
-	// Timeout is how long views may take to agree, and lists to be current.
+	// Timeout limits the time until all views agree and all members have the current list.
 	Timeout strictdecode.Duration `toml:"wait"`
 	Day     Day                   `toml:"day"`
-	// ClusterKeys are more keys of the members' [fleet], BootstrapKeys those of their [recovery].
+	// ClusterKeys and BootstrapKeys are additional lines of the sections [fleet] and [recovery] in the members'
+	// settings.
 	ClusterKeys   string  `toml:"fleet"`
 	BootstrapKeys string  `toml:"recovery"`
 	Claims        []Claim `toml:"claim"`
 
-	// Name is the file's, without its extension.
+	// Name is the file's name without directory and extension.
 	Name string `toml:"-"`
 }
 
-// Day is an ordinary day, in a shorter time. Its events are those of a cluster of ReferenceSize members; at another
-// size they are in proportion, at least one.
+// Day describes an ordinary day, which is simulated in a shorter time. The numbers of events are for a cluster of
+// ReferenceSize members and scale with the size of the cluster; a number above 0 remains at least 1.
 type Day struct {
 	Duration      strictdecode.Duration `toml:"for"`
 	ReferenceSize int                   `toml:"of"`
-	// Failures are members that are killed, and stay away until the day is over.
+	// Failures is the number of members that are killed and start again only after the day.
 	Failures int `toml:"failures"`
-	// Replacements: an endpoint drains and is removed, its sidecar leaves; both come back.
+	// Replacements is the number of times that an endpoint drains and is removed, its sidecar leaves, and both start
+	// again.
 	Replacements int `toml:"replacements"`
-	// Drains: an endpoint drains, and serves again.
+	// Drains is the number of times that an endpoint drains and then serves again.
 	Drains int `toml:"drains"`
 }
 
-// Claim limits a figure, at every size that has it, or at one.
+// Claim limits a figure of a role in a phase, at all sizes or at one.
 type Claim struct {
 	Figure string   `toml:"figure"`
 	Role   string   `toml:"role"`
 	Phase  string   `toml:"phase"`
-	Size   int      `toml:"size"` // 0: all
+	Size   int      `toml:"size"` // 0: all sizes
 	Max    *float64 `toml:"most"`
 	Min    *float64 `toml:"least"`
 }
 
-// ReadExperiment reads a file. Its error names the file and, where the key is unknown or of another kind, the line.
-// Other errors are reported all together.
+// ReadExperiment reads and validates an experiment's file. Its error names the file and, if a key is unknown or has a
+// value of the wrong type, the line. All errors of validation are reported together.
 func ReadExperiment(path string) (*Experiment, error) {
 	e := defaultExperiment()
 	e.Name = strings.TrimSuffix(filepath.Base(path), ".toml")
@@ -84,7 +89,7 @@
 	return e, errors.Join(errs...)
 }
 
-// defaultExperiment has the defaults of keys that are optional.
+// defaultExperiment returns an experiment with the defaults of the optional keys.
 func defaultExperiment() *Experiment {
 	return &Experiment{
 		Services:      34,
@@ -105,7 +110,7 @@
 	}
 }
 
-// validate returns all errors, in the order of these checks.
+// validate returns all errors in the order of its checks.
 func (e *Experiment) validate() []error {
 	return slices.Concat(
 		e.validateLayout(),
@@ -118,28 +123,54 @@
 
 func (e *Experiment) validateLayout() (errs []error) {
 	if e.Question == "" {
-		errs = append(errs, errors.New("question: is wanted"))
+		errs = append(errs, errors.New("question: missing or empty"))
+	}
+	if len(e.Sizes) == 0 {
+		errs = append(errs, errors.New("sizes: no size is given"))
+	}
+	for _, n := range e.Sizes {
+		if n < minMembers || n > hollow.MaxMembers {
+			errs = append(errs,
+				fmt.Errorf("sizes: %d is not in the range from %d to %d", n, minMembers, hollow.MaxMembers))
+		}
 	}
-	if len(e.Sizes) == 0 || slices.Min(e.Sizes) < 2 || slices.Max(e.Sizes) > hollow.MaxMembers {
-		errs = append(errs, fmt.Errorf("sizes: %v: sizes from 2 to %d are wanted", e.Sizes, hollow.MaxMembers))
+	for _, k := range []struct {
+		key          string
+		value, least int
+	}{
+		{"upstreams", e.Endpoints, 0},
+		{"services", e.Services, 1},
+		{"regions", e.Regions, 1},
+		{"rack", e.RackSize, 1},
+	} {
+		if k.value < k.least {
+			errs = append(errs, fmt.Errorf("%s: %d is below %d", k.key, k.value, k.least))
+		}
 	}
-	if e.Endpoints < 0 || e.Services < 1 || e.Regions < 1 || e.Zones < e.Regions || e.RackSize < 1 {
-		errs = append(errs,
-			fmt.Errorf("zones: %d upstreams in %d services, %d regions with %d zones, racks of %d cannot be",
-				e.Endpoints, e.Services, e.Regions, e.Zones, e.RackSize))
+	if e.Zones < e.Regions {
+		errs = append(errs, fmt.Errorf("zones: %d is below the number of regions, %d", e.Zones, e.Regions))
 	}
 	return errs
 }
 
-// validatePhases checks that one phase starts the cluster, and that all exist.
+// validatePhases checks that all phases exist, and that the first one and no other starts the cluster.
 func (e *Experiment) validatePhases() (errs []error) {
 	starts := func(phase string) bool { return phase == phaseStart || phase == phaseJoined }
-	if len(e.Phases) == 0 || !starts(e.Phases[0]) || slices.ContainsFunc(e.Phases[1:], starts) {
-		errs = append(errs, fmt.Errorf("phases: %q: \"start\" or \"known\" is the first, and that alone", e.Phases))
+	if len(e.Phases) == 0 {
+		return []error{errors.New("phases: no phase is given")}
+	}
+	if first := e.Phases[0]; !starts(first) {
+		errs = append(errs, fmt.Errorf("phases: the first one is %q, and has to be %q or %q",
+			first, phaseStart, phaseJoined))
+	}
+	for _, name := range e.Phases[1:] {
+		if starts(name) {
+			errs = append(errs, fmt.Errorf("phases: %q can only be the first one, since it starts the cluster", name))
+		}
 	}
 	for _, name := range e.Phases {
 		if phases[name] == nil {
-			errs = append(errs, fmt.Errorf("phases: no phase %q", name))
+			errs = append(errs, fmt.Errorf("phases: unknown phase %q", name))
 		}
 	}
 	return errs
@@ -157,20 +188,32 @@
 		{"day.for", e.Day.Duration},
 	} {
 		if d := time.Duration(t.time); d <= 0 || d > maxPhaseTime {
-			errs = append(errs, fmt.Errorf("%s: %v is not above 0 and up to %v", t.key, d, maxPhaseTime))
+			errs = append(errs, fmt.Errorf("%s: %v is not above 0 and at most %v", t.key, d, maxPhaseTime))
 		}
 	}
 	return errs
 }
 
-func (e *Experiment) validateDay() []error {
+func (e *Experiment) validateDay() (errs []error) {
 	d := e.Day
-	isNegative := min(d.Failures, d.Replacements, d.Drains) < 0
-	if d.ReferenceSize < 1 || isNegative || d.Failures+d.Replacements > d.ReferenceSize {
-		return []error{fmt.Errorf("day: %d failures and %d replacements of %d members cannot be",
-			d.Failures, d.Replacements, d.ReferenceSize)}
+	for _, k := range []struct {
+		key          string
+		value, least int
+	}{
+		{"of", d.ReferenceSize, 1},
+		{"failures", d.Failures, 0},
+		{"replacements", d.Replacements, 0},
+		{"drains", d.Drains, 0},
+	} {
+		if k.value < k.least {
+			errs = append(errs, fmt.Errorf("day.%s: %d is below %d", k.key, k.value, k.least))
+		}
+	}
+	if len(errs) == 0 && d.Failures+d.Replacements > d.ReferenceSize {
+		errs = append(errs, fmt.Errorf("day: %d failures and %d replacements are more than the %d members of day.of",
+			d.Failures, d.Replacements, d.ReferenceSize))
 	}
-	return nil
+	return errs
 }
 
 func (e *Experiment) validateClaims() (errs []error) {
@@ -184,18 +227,21 @@
 
 func (e *Experiment) validateClaim(c Claim) (errs []error) {
 	if c.Max == nil && c.Min == nil {
-		errs = append(errs, errors.New("most or least is wanted"))
+		errs = append(errs, errors.New("neither most nor least is given"))
+	}
+	if !slices.Contains(e.Phases, c.Phase) {
+		errs = append(errs, fmt.Errorf("phase %q is not one of phases", c.Phase))
 	}
-	if !slices.Contains(e.Phases, c.Phase) || c.Size != 0 && !slices.Contains(e.Sizes, c.Size) {
-		errs = append(errs, fmt.Errorf("phase %q and size %d are not played", c.Phase, c.Size))
+	if c.Size != 0 && !slices.Contains(e.Sizes, c.Size) {
+		errs = append(errs, fmt.Errorf("size %d is not one of sizes", c.Size))
 	}
 	if !slices.Contains([]string{RoleLeaf, RoleRoot, RoleRelay, RoleDiscovery, RoleAll}, c.Role) {
-		errs = append(errs, fmt.Errorf("no role %q", c.Role))
+		errs = append(errs, fmt.Errorf("unknown role %q", c.Role))
 	}
 	return errs
 }
 
-// Judge returns an error for each claim that does not hold. A claim on a figure that was not measured does not.
+// Judge returns an error for each claim that does not hold. A claim on a figure that was not measured does not hold.
 func (e *Experiment) Judge(results []Result) error {
 	var errs []error
 	for _, c := range e.Claims {
@@ -213,7 +259,7 @@
 		}
 		measured[r.Size] = true
 		if !c.allows(r.Value) {
-			errs = append(errs, fmt.Errorf("%s of %s in %s is %.4g %s at %d members; %s is claimed",
+			errs = append(errs, fmt.Errorf("%s of %s in %s is %.4g %s at %d members; the claim is %s",
 				c.Figure, c.Role, c.Phase, r.Value, r.Unit, r.Size, c.limits()))
 		}
 	}
@@ -227,15 +273,17 @@
 	return errs
 }
 
+// matches reports whether the claim applies to a result.
 func (c Claim) matches(r Result) bool {
 	return r.Figure == c.Figure && r.Role == c.Role && r.Phase == c.Phase && (c.Size == 0 || r.Size == c.Size)
 }
 
-// allows reports whether a value is within the limits; no number is.
+// allows reports whether a value is within the limits of the claim. NaN never is.
 func (c Claim) allows(value float64) bool {
 	return (c.Max == nil || value <= *c.Max) && (c.Min == nil || value >= *c.Min)
 }
 
+// limits describes the limits of the claim.
 func (c Claim) limits() string {
 	var list []string
 	if c.Min != nil {
--- a/internal/simulation/capacity/experiment_test.go
+++ b/internal/simulation/capacity/experiment_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// errorsOf returns the errors of a wrong file, without its name.
+// errorsOf returns the errors of reading a file with a given text, without the file's name.
 func errorsOf(t *testing.T, text string) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "wrong.toml")
@@ -17,20 +17,20 @@
 	}
 	_, err := ReadExperiment(path)
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatal("the file was read without an error")
 	}
 	lines := strings.Split(err.Error(), "\n")
 	for i, line := range lines {
 		rest, named := strings.CutPrefix(line, path+": ")
 		if !named {
-			t.Errorf("%q does not name the file", line)
+			t.Errorf("error %q does not begin with the name of the file", line)
 		}
 		lines[i] = rest
 	}
 	return lines
 }
 
-// All errors of a file are reported, in a fixed order.
+// All errors of a file are reported together, in a fixed order.
 func TestAllErrorsOfWrongFile(t *testing.T) {
 	const valid = "question = \"q\"\nsizes = [4]\nphases = [\"start\", \"quiet\"]\n"
 	for name, c := range map[string]struct {
@@ -40,26 +40,28 @@
 		"empty file": {
 			"",
 			[]string{
-				"question: is wanted",
-				"sizes: []: sizes from 2 to 2500 are wanted",
-				`phases: []: "start" or "known" is the first, and that alone`,
+				"question: missing or empty",
+				"sizes: no size is given",
+				"phases: no phase is given",
 			},
 		},
 		"all keys": {
 			"sizes = [4, 1]\nupstreams = -1\nphases = [\"quiet\", \"x\", \"known\", \"y\"]\nwait = \"11m\"\n" +
 				"[day]\nof = 4\nfailures = 5\n[[claim]]\nphase = \"drain\"\nsize = 3\nrole = \"none\"\n",
 			[]string{
-				"question: is wanted",
-				"sizes: [4 1]: sizes from 2 to 2500 are wanted",
-				"zones: -1 upstreams in 34 services, 2 regions with 4 zones, racks of 10 cannot be",
-				`phases: ["quiet" "x" "known" "y"]: "start" or "known" is the first, and that alone`,
-				`phases: no phase "x"`,
-				`phases: no phase "y"`,
-				"wait: 11m0s is not above 0 and up to 10m0s",
-				"day: 5 failures and 63 replacements of 4 members cannot be",
-				"claim 1: most or least is wanted",
-				`claim 1: phase "drain" and size 3 are not played`,
-				`claim 1: no role "none"`,
+				"question: missing or empty",
+				"sizes: 1 is not in the range from 2 to 2500",
+				"upstreams: -1 is below 0",
+				`phases: the first one is "quiet", and has to be "start" or "known"`,
+				`phases: "known" can only be the first one, since it starts the cluster`,
+				`phases: unknown phase "x"`,
+				`phases: unknown phase "y"`,
+				"wait: 11m0s is not above 0 and at most 10m0s",
+				"day: 5 failures and 63 replacements are more than the 4 members of day.of",
+				"claim 1: neither most nor least is given",
+				`claim 1: phase "drain" is not one of phases`,
+				"claim 1: size 3 is not one of sizes",
+				`claim 1: unknown role "none"`,
 			},
 		},
 		"several claims": {
@@ -68,11 +70,11 @@
 				"[[claim]]\nphase = \"quiet\"\nrole = \"all\"\nleast = 1.0\n" +
 				"[[claim]]\nphase = \"quiet\"\nsize = 5\nrole = \"\"\nleast = 1.0\n",
 			[]string{
-				"quiet: 0s is not above 0 and up to 10m0s",
-				"claim 1: most or least is wanted",
-				`claim 2: no role "none"`,
-				`claim 4: phase "quiet" and size 5 are not played`,
-				`claim 4: no role ""`,
+				"quiet: 0s is not above 0 and at most 10m0s",
+				"claim 1: neither most nor least is given",
+				`claim 2: unknown role "none"`,
+				"claim 4: size 5 is not one of sizes",
+				`claim 4: unknown role ""`,
 			},
 		},
 	} {
@@ -84,16 +86,16 @@
 	}
 }
 
-// Each wrong time of a file is reported.
+// Each duration of a file that is out of range is reported.
 func TestWrongTimesOfFile(t *testing.T) {
 	got := errorsOf(t, "question = \"q\"\nsizes = [4]\nphases = [\"start\"]\n"+
 		"settle = \"-1s\"\nquiet = \"0s\"\napart = \"11m\"\nwait = \"12m\"\n[day]\nfor = \"13m\"\n")
 	want := []string{
-		"apart: 11m0s is not above 0 and up to 10m0s",
-		"day.for: 13m0s is not above 0 and up to 10m0s",
-		"quiet: 0s is not above 0 and up to 10m0s",
-		"settle: -1s is not above 0 and up to 10m0s",
-		"wait: 12m0s is not above 0 and up to 10m0s",
+		"apart: 11m0s is not above 0 and at most 10m0s",
+		"day.for: 13m0s is not above 0 and at most 10m0s",
+		"quiet: 0s is not above 0 and at most 10m0s",
+		"settle: -1s is not above 0 and at most 10m0s",
+		"wait: 12m0s is not above 0 and at most 10m0s",
 	}
 	if slices.Sort(got); !slices.Equal(got, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
--- a/internal/simulation/capacity/format_test.go
+++ b/internal/simulation/capacity/format_test.go
@@ -2,17 +2,20 @@
 
 import (
 	"bytes"
+	"os"
+	"path/filepath"
+	"strings"
 	"testing"
 
 	"hazelwing/internal/testutil"
 )
 
-// The keys of an experiment's file are explicit tags.
+// Each key of an experiment's file is given by a tag, so that renaming a field does not change the key.
 func TestExperimentFileNamesAreExplicit(t *testing.T) {
 	testutil.ExplicitNames(t, "toml", Experiment{})
 }
 
-// A row of a file of results keeps its form, as written and as read.
+// The format of a row in a file of results does not change, neither when it is written nor when it is read.
 func TestCapacityResultFormatIsStable(t *testing.T) {
 	result := Result{
 		Experiment: "e",
@@ -33,6 +36,28 @@
 	testutil.Golden(t, "results.json", out.Bytes())
 	read, err := ReadResults("testdata/results-one.json")
 	if err != nil || len(read) != 1 || read[0] != result {
-		t.Errorf("%v: %+v", err, read)
+		t.Errorf("read %+v, error %v; want %+v", read, err, result)
+	}
+}
+
+// A row without one of its keys is rejected. The error names the file, the row and the key.
+func TestIncompleteResult(t *testing.T) {
+	const complete = `{"experiment":"e","size":4,"role":"all","phase":"quiet","figure":"heap","n":1}`
+	for key, want := range map[string]string{
+		`"experiment":"e",`: "experiment is missing or empty",
+		`"role":"all",`:     "role is missing or empty",
+		`"phase":"quiet",`:  "phase is missing or empty",
+		`"figure":"heap",`:  "figure is missing or empty",
+		`"size":4,`:         "size is 0, below 1",
+		`,"n":1`:            "n is 0, below 1",
+	} {
+		path := filepath.Join(t.TempDir(), "results.json")
+		text := "[" + complete + "," + strings.Replace(complete, key, "", 1) + "]"
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := ReadResults(path); err == nil || err.Error() != path+": row 2: "+want {
+			t.Errorf("without %s: got error %v, want %q", key, err, want)
+		}
 	}
 }
--- a/internal/simulation/capacity/measure.go
+++ b/internal/simulation/capacity/measure.go
@@ -13,26 +13,26 @@
 	unitCount   = "1"
 	unitSeconds = "s"
 	unitMillis  = "ms"
-	// perSecondSuffix follows the unit of a rate.
+	// perSecondSuffix is appended to the unit of a rate.
 	perSecondSuffix = "/s"
 )
 
-// basis is what a figure of a measurement is given for.
+// basis is the basis of a measurement's figures: a second or the whole measurement.
 type basis int
 
 const (
-	// perSecond is for what goes on at a rate.
+	// perSecond is the basis for phases of a steady state, whose figures are rates.
 	perSecond basis = iota
-	// inTotal is for what has an end.
+	// inTotal is the basis for phases that end by themselves, whose figures are totals.
 	inTotal
 )
 
-// snapshot is where a measurement begins or ends.
+// snapshot holds all counters at the begin or the end of a measurement.
 type snapshot struct {
 	at        time.Time
 	usage     processUsage
 	counts    []hollow.Counts // by member
-	roles     []string        // by member; empty: it does not run
+	roles     []string        // by member; empty: the member does not run
 	discovery hollow.Counts
 }
 
@@ -48,7 +48,7 @@
 	return s, nil
 }
 
-// roleOf is a member's role in the relay tree of the list; empty: it does not run.
+// roleOf returns a member's role in the relay tree of the endpoint list, or an empty string if the member does not run.
 func roleOf(m *hollow.Member) string {
 	state, ok := m.SourceState()
 	switch {
@@ -63,7 +63,7 @@
 	}
 }
 
-// measure adds what goes on while do runs.
+// measure runs a function and adds the figures of the time that it took.
 func (r *run) measure(b basis, do func() error) error {
 	begin, err := r.snapshot()
 	if err != nil {
@@ -75,10 +75,11 @@
 	return r.addSince(begin, b)
 }
 
-// addSince adds what went on since a snapshot, as a mean of the members of each role: the one that a member had
-// then, or has now if it did not run then.
+// addSince adds the figures of the time since a snapshot, as means over the members of each role. The role of a member
+// is the one in the snapshot, or the current one if the member did not run at the snapshot.
 func (r *run) addSince(begin snapshot, b basis) error {
-	processorTime := processorTimeUsed(usageOfProcess) // the snapshot costs some itself
+	// The processor time is read first, since taking the snapshot uses some itself.
+	processorTime := processorTimeUsed(usageOfProcess)
 	seconds := time.Since(begin.at).Seconds()
 	end, err := r.snapshot()
 	if err != nil {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// addCounts adds what went over the sockets of each role, and returns how many members have it.
+// addCounts adds the traffic over the sockets of the members of each role. It returns the number of members by role.
 func (r *run) addCounts(begin, end snapshot, divisor float64, suffix string) (members map[string]int) {
 	sums := map[string]hollow.Counts{RoleDiscovery: end.discovery.Minus(begin.discovery)}
 	members = map[string]int{RoleDiscovery: 1}
@@ -136,7 +137,8 @@
 	return members
 }
 
-// addUsage adds what a member uses now, after the runtime has given back what it does not use.
+// addUsage adds the current use of memory, descriptors and goroutines per member, after the runtime has returned unused
+// memory to the system.
 func (r *run) addUsage() error {
 	debug.FreeOSMemory()
 	now, err := readUsage()
--- a/internal/simulation/capacity/phases.go
+++ b/internal/simulation/capacity/phases.go
@@ -8,13 +8,13 @@
 	"hazelwing/internal/testcluster/hollow"
 )
 
-// The names of phases that begin an experiment.
+// Names of the phases that can be the first one of an experiment.
 const (
 	phaseStart  = "start"
 	phaseJoined = "known"
 )
 
-// phases are by their names in files.
+// phases maps the names of phases in experiments' files to their implementations.
 var phases = map[string]func(*run, context.Context) error{
 	phaseStart:  (*run).start,
 	phaseJoined: (*run).startJoined,
@@ -26,26 +26,26 @@
 	"restart":   (*run).restart,
 }
 
-// The racks, zones and regions that are cut off.
+// The areas that phases isolate.
 const (
 	isolatedRack   = hollow.Area("k2")
 	isolatedZone   = hollow.Area("z2")
 	isolatedRegion = hollow.Area("r1")
-	// allOtherAreas is all that is not in the other area.
+	// allOtherAreas is the other side of a link: all members that are not in the isolated area.
 	allOtherAreas = hollow.Area("rest")
 )
 
-// The health of endpoints, as discovery states it.
+// Health states of endpoints in the answers of discovery.
 const (
 	healthServing  = "SERVING"
 	healthDraining = "DRAINING"
 	healthRemoved  = "DELETED"
 )
 
-// settle lets the cluster come to rest after a phase.
+// settle waits for SettleTime, so that the traffic of one phase does not fall into the next one.
 func (r *run) settle(ctx context.Context) error { return sleep(ctx, time.Duration(r.SettleTime)) }
 
-// start starts all members at once.
+// start starts all members at once and measures until the cluster has converged.
 func (r *run) start(ctx context.Context) error {
 	err := r.measure(inTotal, func() error {
 		if err := r.cluster.Start(r.cluster.Members...); err != nil {
@@ -60,7 +60,7 @@
 	return r.settle(ctx)
 }
 
-// startJoined starts a cluster as if it had run for long.
+// startJoined starts all members with complete views, as in a cluster that has run for a long time.
 func (r *run) startJoined(ctx context.Context) error {
 	err := r.measure(inTotal, func() error { return r.cluster.StartJoined(ctx, time.Duration(r.Timeout)) })
 	if err != nil {
@@ -70,13 +70,13 @@
 	return r.settle(ctx)
 }
 
-// addDiscoveryCalls adds how often discovery was called since a count.
+// addDiscoveryCalls adds the number of calls to discovery since an earlier count.
 func (r *run) addDiscoveryCalls(before int) {
 	calls, _ := r.cluster.Discovery.Calls()
 	r.add(RoleDiscovery, "calls", unitCount, float64(calls-before), 1)
 }
 
-// quiet measures a cluster in which nothing happens.
+// quiet measures a cluster without any changes for QuietTime.
 func (r *run) quiet(ctx context.Context) error {
 	err := r.measure(perSecond, func() error { return sleep(ctx, time.Duration(r.QuietTime)) })
 	if err != nil {
@@ -85,7 +85,7 @@
 	return r.addUsage()
 }
 
-// restart kills all members at once and starts them again.
+// restart kills all members at once, starts them again, and measures until the cluster has converged.
 func (r *run) restart(ctx context.Context) error {
 	before, _ := r.cluster.Discovery.Calls()
 	err := r.measure(inTotal, func() error {
@@ -102,8 +102,8 @@
 	return r.settle(ctx)
 }
 
-// isolate cuts an area off from all others, calls whileCut, changes the list, and measures how long the cluster
-// takes to be whole again.
+// isolate cuts the links between an area and all others, calls whileIsolated, changes the list and restores the links.
+// It measures the whole process until the cluster has converged.
 func (r *run) isolate(ctx context.Context, a hollow.Area, whileIsolated func() error) error {
 	err := r.measure(inTotal, func() error {
 		if err := r.cluster.Links.Set(a, allOtherAreas, hollow.Link{Cut: true}); err != nil {
@@ -123,7 +123,7 @@
 	return r.settle(ctx)
 }
 
-// changeList lets one endpoint drain and serve again, which members that are cut off do not learn.
+// changeList makes one endpoint drain and serve again. Isolated members miss these changes of the list.
 func (r *run) changeList() {
 	e := r.cluster.Endpoint(0, healthDraining, 0)
 	r.cluster.Discovery.Set(e)
@@ -135,10 +135,10 @@
 
 func (r *run) isolateZone(ctx context.Context) error { return r.isolateArea(ctx, isolatedZone) }
 
-// isolateArea cuts an area off until the other members have declared its members dead.
+// isolateArea isolates an area until the other members have declared its members dead.
 func (r *run) isolateArea(ctx context.Context, a hollow.Area) error {
 	if n := len(r.cluster.MembersIn(a)); n == 0 || n == r.size {
-		return fmt.Errorf("%s has none or all of the members", a)
+		return fmt.Errorf("area %s has %d of the %d members; isolating it needs members on both sides", a, n, r.size)
 	}
 	outside := func(l hollow.Location) bool { return !a.Contains(l) }
 	return r.isolate(ctx, a, func() error {
@@ -146,7 +146,7 @@
 	})
 }
 
-// partitionRegions cuts the regions off from each other for PartitionTime.
+// partitionRegions isolates one region from the others for PartitionTime, or longer if views take longer to change.
 func (r *run) partitionRegions(ctx context.Context) error {
 	if r.Regions < 2 {
 		return errOneRegion
--- a/internal/simulation/capacity/process.go
+++ b/internal/simulation/capacity/process.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// Whose processor time getrusage reports.
+// Arguments of getrusage that select the process or the current thread.
 const (
 	usageOfProcess = syscall.RUSAGE_SELF
 	usageOfThread  = 1 // RUSAGE_THREAD
 )
 
-// processUsage is what this process has used so far, or uses now.
+// processUsage is the resource usage of this process: processor time and allocations since its start, and the current
+// values of all others.
 type processUsage struct {
 	processorTime time.Duration
 	allocations   uint64
-	heap          uint64 // bytes, after a collection
+	heap          uint64 // bytes, after a garbage collection
 	resident      uint64 // bytes
 	descriptors   int
 	goroutines    int
 }
 
-// readUsage collects garbage first, so that the heap is what lives.
+// readUsage returns the current usage. It collects garbage first, so that the heap contains only live objects.
 func readUsage() (u processUsage, err error) {
 	runtime.GC()
 	var m runtime.MemStats
@@ -50,28 +51,29 @@
 	return u, nil
 }
 
-// processorTimeUsed is that of the process or of the thread.
+// processorTimeUsed returns the processor time that the process or the current thread has used.
 func processorTimeUsed(who int) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(who, &u); err != nil {
-		panic(err) // there is no other cause than a wrong argument
+		panic(err) // fails only for a wrong argument
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
 const (
-	// referenceSteps are of the loop that processor time is compared with: a step is one of xorshift64.
+	// referenceSteps is the number of steps of the reference loop, with which processor times are compared. A step is
+	// one step of xorshift64.
 	referenceSteps    = 20_000_000
 	referenceSeed     = 88172645463325252
 	stepsPerReference = 1_000_000
 	referenceUnits    = referenceSteps / stepsPerReference
 )
 
-// Sink keeps the compiler from removing the reference loop.
+// Sink receives the result of the reference loop, so that the compiler does not remove the loop.
 var Sink uint64
 
-// Reference is the processor time that a million steps of the reference loop take here and now. It takes a core for
-// some tens of milliseconds.
+// Reference measures the processor time of a million steps of the reference loop on this machine. The measurement
+// occupies a core for some tens of milliseconds.
 func Reference() time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -86,7 +88,7 @@
 	return (processorTimeUsed(usageOfThread) - begin) / referenceUnits
 }
 
-// loadAverage is how many processes wanted a core of this machine in the last minute, on average; 0: not known.
+// loadAverage returns the machine's load average over the last minute, or 0 if it cannot be read.
 func loadAverage() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/simulation/capacity/result.go
+++ b/internal/simulation/capacity/result.go
@@ -1,28 +1,29 @@
-// Package capacity runs clusters of growing size without traffic (internal/testcluster/hollow) and measures what the
-// control plane costs each role: an experiment is a file, its results are rows that slopes are fitted to. See
-// docs/design/capacity.md.
+// Package capacity measures the resources that the control plane uses in each role, in clusters of different sizes
+// without application traffic (internal/testcluster/hollow). Experiments are read from files. Their results are rows,
+// to which slopes over the cluster size are fitted. See docs/design/capacity.md.
 package capacity
 
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
 	"slices"
 )
 
-// Roles are whose figures a row has.
+// Roles of members and services that figures are measured for.
 const (
 	// RoleLeaf subscribes to another member, and has no subscribers.
 	RoleLeaf = "sidecar"
-	// RoleRoot has its list from discovery itself.
+	// RoleRoot gets its list directly from discovery.
 	RoleRoot = "asks"
 	// RoleRelay subscribes to another member, and has subscribers.
 	RoleRelay = "followed"
 	// RoleDiscovery is the emulated discovery service.
 	RoleDiscovery = "discovery"
-	// RoleAll is a mean over all members, or of the whole process.
+	// RoleAll stands for the mean over all members, or for the whole process.
 	RoleAll = "all"
 )
 
@@ -31,16 +32,16 @@
 	Experiment string `json:"experiment"`
 	// Size is the number of members.
 	Size int `json:"size"`
-	// Role is one of the roles.
+	// Role is one of the Role constants.
 	Role string `json:"role"`
 	// Phase is start, known, quiet, day, rack, zone, region or restart.
 	Phase string `json:"phase"`
-	// Figure is what was measured, for example "bytes sent".
+	// Figure is the name of the figure, for example "bytes sent".
 	Figure string `json:"figure"`
 	// Unit is "B/s", "1/s", "s", "B", "1" and the like.
 	Unit  string  `json:"unit"`
 	Value float64 `json:"value"`
-	// N is how many members or runs Value is a mean of.
+	// N is the number of members or runs that Value is a mean of.
 	N int `json:"n"`
 }
 
@@ -55,15 +56,33 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for i, r := range list {
-		hasText := r.Experiment != "" && r.Role != "" && r.Phase != "" && r.Figure != ""
-		if !hasText || r.Size < 1 || r.N < 1 {
-			return nil, fmt.Errorf("%s: row %d has no experiment, size, role, phase, figure or n", path, i+1)
+		if err := r.validate(); err != nil {
+			return nil, fmt.Errorf("%s: row %d: %w", path, i+1, err)
 		}
 	}
 	return list, nil
 }
 
-// WriteResults writes results, one a line.
+// validate returns an error if a key is missing or empty.
+func (r Result) validate() error {
+	switch {
+	case r.Experiment == "":
+		return errors.New("experiment is missing or empty")
+	case r.Role == "":
+		return errors.New("role is missing or empty")
+	case r.Phase == "":
+		return errors.New("phase is missing or empty")
+	case r.Figure == "":
+		return errors.New("figure is missing or empty")
+	case r.Size < 1:
+		return fmt.Errorf("size is %d, below 1", r.Size)
+	case r.N < 1:
+		return fmt.Errorf("n is %d, below 1", r.N)
+	}
+	return nil
+}
+
+// WriteResults writes results as a JSON array with one result per line.
 func WriteResults(w io.Writer, list []Result) error {
 	open := "[\n"
 	for _, r := range list {
@@ -84,8 +103,8 @@
 	return err
 }
 
-// Replace replaces the old results of the experiments and sizes that there are new ones of. The results are in order of
-// experiments and sizes.
+// Replace returns the newer results, and those older ones for whose experiment and size there is no newer result. They
+// are sorted by experiment and size.
 func Replace(older, newer []Result) []Result {
 	type run struct {
 		experiment string
--- a/internal/simulation/capacity/run.go
+++ b/internal/simulation/capacity/run.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// waitInterval is how often a wait checks its condition.
+	// waitInterval is the time between checks of a condition that is waited for.
 	waitInterval = 20 * time.Millisecond
-	// clusterSeed is that of the members' random numbers.
+	// clusterSeed is the seed of the members' random numbers.
 	clusterSeed = 1
 )
 
-// run is one size of an experiment that is being run.
+// run is the state of running an experiment at one size.
 type run struct {
 	*Experiment
 	size    int
 	cluster *hollow.Cluster
-	// before is what the process used before there was a cluster.
+	// before is the usage of the process before the cluster was created.
 	before  processUsage
 	results []Result
 	phase   string
 }
 
-// Run runs an experiment at one size. It returns what was measured also where it fails. Only one may run at a time in a
-// process. progress is called after each phase.
+// Run runs an experiment at one size and calls progress after each phase. If a phase fails, it returns the results up
+// to then with the error. Only one experiment may run in a process at a time, since some figures are those of the
+// process.
 func (e *Experiment) Run(ctx context.Context, size int, progress func(format string, args ...any)) ([]Result, error) {
 	r := &run{Experiment: e, size: size}
 	var err error
 	if r.before, err = readUsage(); err != nil {
 		return nil, err
 	}
-	//nolint:contextcheck // the cluster and its discovery listen on loopback, which does not wait
+	//nolint:contextcheck // New only listens on loopback, which does not block
 	r.cluster, err = hollow.New(hollow.Config{
 		Members:       size,
 		Endpoints:     e.Endpoints,
@@ -63,7 +64,7 @@
 	return r.results, nil
 }
 
-// add adds a figure of the present phase, which is a mean of n values.
+// add adds a figure of the current phase, which is a mean of n values.
 func (r *run) add(role, figure, unit string, value float64, n int) {
 	r.results = append(r.results, Result{r.Name, r.size, role, r.phase, figure, unit, value, n})
 }
@@ -78,7 +79,7 @@
 	}
 }
 
-// waitUntil waits until problem returns nothing, and adds how long that took.
+// waitUntil waits until problem returns an empty string, and adds the time that this took as a figure.
 func (r *run) waitUntil(ctx context.Context, figure string, problem func() string) error {
 	begin, last := time.Now(), ""
 	for time.Since(begin) < time.Duration(r.Timeout) {
@@ -90,23 +91,23 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%s: not within %v: %s", figure, time.Duration(r.Timeout), last)
+	return fmt.Errorf("condition %q not reached within %v: %s", figure, time.Duration(r.Timeout), last)
 }
 
 func allLocations(hollow.Location) bool { return true }
 
-// viewDisagreement describes a view that is not right; empty: all are.
+// viewDisagreement describes a member's view that differs from the actual members; it is empty if there is none.
 func (r *run) viewDisagreement() string { return r.cluster.Disagreement(allLocations) }
 
-// outdatedLists says how many members do not have the latest list; empty: all have.
+// outdatedLists describes how many members do not have the latest list; it is empty if all have it.
 func (r *run) outdatedLists() string {
 	if n := r.cluster.CountOutdated(allLocations); n > 0 {
-		return fmt.Sprintf("%d do not have discovery's list", n)
+		return fmt.Sprintf("%d members do not have the latest list of discovery", n)
 	}
 	return ""
 }
 
-// waitConverged waits for the views and the lists at the same time, and adds how long each took.
+// waitConverged waits until all views agree and all lists are current, and adds the time that each of the two took.
 func (r *run) waitConverged(ctx context.Context) error {
 	var waits sync.WaitGroup
 	begin := time.Now()
@@ -125,17 +126,17 @@
 	waits.Go(func() { wait(&listsAt, &problems[1], r.outdatedLists) })
 	waits.Wait()
 	if err := ctx.Err(); err != nil {
-		return fmt.Errorf("not whole: %q: %w", problems, err)
+		return fmt.Errorf("cancelled before views and lists converged: %q: %w", problems, err)
 	}
 	if problems != [2]string{} {
-		return fmt.Errorf("not whole within %v: %q", time.Duration(r.Timeout), problems)
+		return fmt.Errorf("views and lists did not converge within %v: %q", time.Duration(r.Timeout), problems)
 	}
 	r.add(RoleAll, "views agree", unitSeconds, viewsAt.Seconds(), 1)
 	r.add(RoleAll, "lists current", unitSeconds, listsAt.Seconds(), 1)
 	return nil
 }
 
-// waitConvergedUnmeasured waits for the views and the lists, and adds no figure.
+// waitConvergedUnmeasured waits until all views agree and all lists are current, without adding a figure.
 func (r *run) waitConvergedUnmeasured(ctx context.Context) error {
 	for begin := time.Now(); ; {
 		problems := [2]string{r.viewDisagreement(), r.outdatedLists()}
@@ -143,7 +144,8 @@
 			return nil
 		}
 		if time.Since(begin) > time.Duration(r.Timeout) {
-			return fmt.Errorf("not whole again within %v: %q", time.Duration(r.Timeout), problems)
+			return fmt.Errorf("views and lists did not converge after the day within %v: %q",
+				time.Duration(r.Timeout), problems)
 		}
 		if err := sleep(ctx, waitInterval); err != nil {
 			return err
@@ -151,4 +153,4 @@
 	}
 }
 
-var errOneRegion = errors.New("there is one region")
+var errOneRegion = errors.New("a partition of regions needs at least 2 regions")
--- a/internal/simulation/capacity/stored_test.go
+++ b/internal/simulation/capacity/stored_test.go
@@ -11,10 +11,11 @@
 	"hazelwing/internal/testutil"
 )
 
-// storedDir holds a file with each key that 593ba64 knew, and what it read them into: see its README.
+// storedDir holds files of commit 593ba64: an experiment's file with every key, the values that this commit read from
+// it, and a file of results. Its README describes them.
 const storedDir = "testdata/version-593ba64"
 
-// Each key of an experiment's file, by the name that it had in 593ba64, is read into the field that it was read into.
+// Files of commit 593ba64 are still read: each key sets the field that it set in that commit.
 func TestEveryKeyKeepsItsName(t *testing.T) {
 	testutil.CheckStoredKeys(t, storedDir, func(text []byte) any {
 		var e Experiment
@@ -26,7 +27,8 @@
 	})
 }
 
-// A file of results of 593ba64 is read, extended, and read again; its rows keep their bytes.
+// A file of results of commit 593ba64 is read, and written again byte for byte. Results can be added to it, and the
+// file is then read as expected.
 func TestResultsOfEarlierVersion(t *testing.T) {
 	path := filepath.Join(storedDir, "results.json")
 	text, err := os.ReadFile(path)
@@ -51,11 +53,11 @@
 		{Experiment: "quiet", Size: 24, Role: RoleAll, Phase: "start", Figure: "joined", Unit: "s", Value: 0, N: 1},
 	}
 	if !slices.Equal(list, want) {
-		t.Errorf("read as %+v", list)
+		t.Errorf("read %+v, want %+v", list, want)
 	}
 	var out bytes.Buffer
 	if err := WriteResults(&out, list); err != nil || out.String() != string(text) {
-		t.Errorf("written as\n%s, %v, want\n%s", &out, err, text)
+		t.Errorf("wrote\n%s\nwith error %v, want\n%s", &out, err, text)
 	}
 	added := Result{
 		Experiment: "day",
@@ -76,20 +78,20 @@
 		t.Fatal(err)
 	}
 	if again, err := ReadResults(copied); err != nil || !slices.Equal(again, append([]Result{added}, want...)) {
-		t.Errorf("read again as %+v, %v", again, err)
+		t.Errorf("read %+v from the extended file, error %v; want %+v before %+v", again, err, added, want)
 	}
 }
 
-// The results in the repository, which earlier versions have written, are read.
+// The results in lab/capacity/results, which earlier versions have written, can still be read.
 func TestCommittedResultsAreRead(t *testing.T) {
 	list, err := filepath.Glob(filepath.Join(testutil.RepositoryRoot(t), "lab", "capacity", "results", "*.json"))
 	if err != nil || len(list) == 0 {
-		t.Fatalf("%q, %v", list, err)
+		t.Fatalf("no files of results in lab/capacity/results: %q, error %v", list, err)
 	}
 	for _, path := range list {
 		rows, err := ReadResults(path)
 		if err != nil || len(rows) == 0 {
-			t.Errorf("%s: %d rows, %v", path, len(rows), err)
+			t.Errorf("%s: read %d rows, error %v; want at least one row", path, len(rows), err)
 		}
 	}
 }
--- a/internal/simulation/capacity/table.go
+++ b/internal/simulation/capacity/table.go
@@ -8,10 +8,10 @@
 	"text/tabwriter"
 )
 
-// tableLine is a line of a table: a figure of a role in a phase.
+// tableLine identifies a line of a table: a figure of a role in a phase.
 type tableLine struct{ phase, role, figure, unit string }
 
-// WriteTable writes results as a table: a line for each figure, a column for each size.
+// WriteTable writes results as a table with a line for each figure and a column for each size.
 func WriteTable(w io.Writer, results []Result) error {
 	var lines []tableLine
 	var sizes []int
