--- a/internal/simulation/callgraph/callgraph_test.go
+++ b/internal/simulation/callgraph/callgraph_test.go
@@ -103,7 +103,8 @@
 	}
 	if p := list[0]; p.Served != 1 || math.Abs(p.Amplification-1) > 0.02 || p.AbandonedWork != 0 ||
 		p.AbandonedCalls != 0 || p.RejectedUnsent != 0 {
-		t.Errorf("without a fault: %+v", p)
+		t.Errorf("without a fault: %+v; want all users served, one attempt per planned call, and no abandoned work, "+
+			"abandoned calls or calls without an attempt", p)
 	}
 	if p := list[1]; p.Amplification < 1.5 || p.Served > 0.95 {
 		t.Errorf("the leaf fails: %+v; want an amplification of at least 1.5 and at most 0.95 served", p)
--- a/internal/simulation/callgraph/experiment.go
+++ b/internal/simulation/callgraph/experiment.go
@@ -117,7 +117,7 @@
 		return fmt.Errorf("calls: %v per second for %v are %.0f calls in total, more than %d",
 			e.CallRate, length, total, maxCalls)
 	case !(e.FanOut > 0) || e.FanOut > maxFanOut:
-		return fmt.Errorf("fan: %v is not above 0 and at most %d", e.FanOut, maxFanOut)
+		return fmt.Errorf("fan: %v is out of range; above 0 and at most %d is allowed", e.FanOut, maxFanOut)
 	}
 	if err := e.validateTimes(); err != nil {
 		return err
@@ -159,11 +159,11 @@
 	}
 	for _, share := range e.Shares {
 		if !(share > 0 && share <= 1) {
-			return fmt.Errorf("shares: %v is not above 0 and at most 1", share)
+			return fmt.Errorf("shares: %v is out of range; above 0 and at most 1 is allowed", share)
 		}
 	}
 	if slices.Contains(e.Modes, ModeSlow) && !(e.Slowdown > 1) {
-		return fmt.Errorf("times: %v is not above 1, as mode %s requires", e.Slowdown, ModeSlow)
+		return fmt.Errorf("times: mode %s requires a factor above 1, got %v", ModeSlow, e.Slowdown)
 	}
 	return nil
 }
--- a/internal/simulation/callgraph/graph.go
+++ b/internal/simulation/callgraph/graph.go
@@ -66,7 +66,7 @@
 	return list
 }
 
-// connectLayers randomly selects the services of a layer that each service of the layer above calls.
+// connectLayers selects at random which services of the next layer (called) each service of a layer (callers) calls.
 func connectLayers(callers, called []*service, rng *rand.Rand) {
 	for _, s := range callers {
 		first := rng.IntN(len(called))
@@ -89,7 +89,7 @@
 }
 
 // assignInstances returns the number of instances of each service. They are in proportion to demand, but at least
-// minInstancesPerService; instances that rounding leaves over or lacks are added or taken away one by one.
+// minInstancesPerService. Where rounding makes the sum differ from the total, the numbers are adjusted one by one.
 func assignInstances(list []*service, instances int) []int {
 	total := callsPerUser(list) + list[0].demand
 	counts := make([]int, len(list))
--- a/internal/simulation/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -188,7 +188,8 @@
 		{"day.for", e.Day.Duration},
 	} {
 		if d := time.Duration(t.time); d <= 0 || d > maxPhaseTime {
-			errs = append(errs, fmt.Errorf("%s: %v is not above 0 and at most %v", t.key, d, maxPhaseTime))
+			errs = append(errs,
+				fmt.Errorf("%s: %v is out of range; above 0 and at most %v is allowed", t.key, d, maxPhaseTime))
 		}
 	}
 	return errs
--- a/internal/simulation/capacity/experiment_test.go
+++ b/internal/simulation/capacity/experiment_test.go
@@ -56,7 +56,7 @@
 				`phases: "known" can only be the first one, since it starts the cluster`,
 				`phases: unknown phase "x"`,
 				`phases: unknown phase "y"`,
-				"wait: 11m0s is not above 0 and at most 10m0s",
+				"wait: 11m0s is out of range; above 0 and at most 10m0s is allowed",
 				"day: 5 failures and 63 replacements are more than the 4 members of day.of",
 				"claim 1: neither most nor least is given",
 				`claim 1: phase "drain" is not one of phases`,
@@ -70,7 +70,7 @@
 				"[[claim]]\nphase = \"quiet\"\nrole = \"all\"\nleast = 1.0\n" +
 				"[[claim]]\nphase = \"quiet\"\nsize = 5\nrole = \"\"\nleast = 1.0\n",
 			[]string{
-				"quiet: 0s is not above 0 and at most 10m0s",
+				"quiet: 0s is out of range; above 0 and at most 10m0s is allowed",
 				"claim 1: neither most nor least is given",
 				`claim 2: unknown role "none"`,
 				"claim 4: size 5 is not one of sizes",
@@ -91,11 +91,11 @@
 	got := errorsOf(t, "question = \"q\"\nsizes = [4]\nphases = [\"start\"]\n"+
 		"settle = \"-1s\"\nquiet = \"0s\"\napart = \"11m\"\nwait = \"12m\"\n[day]\nfor = \"13m\"\n")
 	want := []string{
-		"apart: 11m0s is not above 0 and at most 10m0s",
-		"day.for: 13m0s is not above 0 and at most 10m0s",
-		"quiet: 0s is not above 0 and at most 10m0s",
-		"settle: -1s is not above 0 and at most 10m0s",
-		"wait: 12m0s is not above 0 and at most 10m0s",
+		"apart: 11m0s is out of range; above 0 and at most 10m0s is allowed",
+		"day.for: 13m0s is out of range; above 0 and at most 10m0s is allowed",
+		"quiet: 0s is out of range; above 0 and at most 10m0s is allowed",
+		"settle: -1s is out of range; above 0 and at most 10m0s is allowed",
+		"wait: 12m0s is out of range; above 0 and at most 10m0s is allowed",
 	}
 	if slices.Sort(got); !slices.Equal(got, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
--- a/internal/simulation/capacity/measure.go
+++ b/internal/simulation/capacity/measure.go
@@ -17,17 +17,17 @@
 	perSecondSuffix = "/s"
 )
 
-// basis is the basis of a measurement's figures: a second or the whole measurement.
+// basis says whether the figures of a measurement are rates or totals.
 type basis int
 
 const (
-	// perSecond is the basis for phases of a steady state, whose figures are rates.
+	// perSecond gives rates, for measurements of a fixed duration.
 	perSecond basis = iota
-	// inTotal is the basis for phases that end by themselves, whose figures are totals.
+	// inTotal gives totals, for measurements that last until the cluster has converged.
 	inTotal
 )
 
-// snapshot holds all counters at the begin or the end of a measurement.
+// snapshot holds all counters at the beginning or the end of a measurement.
 type snapshot struct {
 	at        time.Time
 	usage     processUsage
--- a/internal/simulation/configsim/connection.go
+++ b/internal/simulation/configsim/connection.go
@@ -80,8 +80,8 @@
 	c.subscribe(conn, selection, m.selections)
 }
 
-// scheduleSelection makes a member select an upstream after a delay, unless it has one by then or has made another
-// selection than the given one since.
+// scheduleSelection makes a member select an upstream after a delay. It does nothing if the member has an upstream by
+// then, or has made another selection since the one with the given number.
 func (c *Cluster) scheduleSelection(m *Member, number int, delay time.Duration) {
 	c.After(delay, c.whileRunning(m, func() {
 		if m.selections == number && m.upstream == nil {
@@ -90,7 +90,8 @@
 	}))
 }
 
-// subscribe asks a server to accept a member as a subscriber. number is that of the member's selection.
+// subscribe asks a server to accept a member as a subscriber. number is the member's count of selections at the time of
+// this selection.
 func (c *Cluster) subscribe(conn *connection, selection bootstrap.Selection, number int) {
 	m, server := conn.child, conn.server()
 	c.After(c.config.DialTimeout, c.whileRunning(m, func() { c.subscribeFailed(m, selection, number) }))
--- a/internal/simulation/configsim/member.go
+++ b/internal/simulation/configsim/member.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// scheduleTick schedules the follower's next tick unless an earlier one is already scheduled.
+// scheduleTick schedules the follower's next tick, unless one at the same time or earlier is already scheduled.
 func (c *Cluster) scheduleTick(m *Member) {
 	at := m.follower.NextTick()
 	if !m.up || m.tickAt > c.Now && at >= m.tickAt {
--- a/internal/simulation/fleetsim/experiment.go
+++ b/internal/simulation/fleetsim/experiment.go
@@ -165,9 +165,9 @@
 	case !(slices.Max(e.SlowShares) > 0):
 		return nil
 	case duration <= 0:
-		return fmt.Errorf("slow_for: %v is not above 0, as slow members require", duration)
+		return fmt.Errorf("slow_for: slow members require a duration above 0, got %v", duration)
 	case interval <= duration:
-		return fmt.Errorf("slow_every: %v is not above slow_for (%v)", interval, duration)
+		return fmt.Errorf("slow_every: %v is not longer than slow_for, %v", interval, duration)
 	}
 	return nil
 }
--- a/internal/simulation/fleetsim/experiment_test.go
+++ b/internal/simulation/fleetsim/experiment_test.go
@@ -61,11 +61,11 @@
 		},
 		"duration of pauses before interval": {
 			valid + "slow = [0.1]\n",
-			"slow_for: 0s is not above 0, as slow members require",
+			"slow_for: slow members require a duration above 0, got 0s",
 		},
 		"interval of pauses": {
 			valid + "slow = [0.0, 0.1]\nslow_for = \"2s\"\nslow_every = \"2s\"\n",
-			"slow_every: 2s is not above slow_for (2s)",
+			"slow_every: 2s is not longer than slow_for, 2s",
 		},
 		"members above the maximum": {
 			"contestants = [\"nobody\"]\nmembers = [10001]\nseeds = 1\n",
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -52,7 +52,7 @@
 	for i := range 5 {
 		s.Start(i, 20, 21)
 	}
-	t.Log(waitConverged(t, s, time.Minute, nil, "after the deaths"))
+	t.Logf("the views converged %v after the restarts", waitConverged(t, s, time.Minute, nil, "after the deaths"))
 }
 
 // In a partition, each half declares the members of the other half dead, and forgets them if the partition is long
@@ -82,7 +82,8 @@
 				waitConverged(t, s, time.Minute, func(i int) bool { return i >= n }, "the second half")
 			}
 			s.Connected = nil
-			t.Log(waitConverged(t, s, 90*time.Second, nil, "after the partition"))
+			took := waitConverged(t, s, 90*time.Second, nil, "after the partition")
+			t.Logf("the views converged %v after the partition", took)
 		})
 	}
 }
@@ -175,7 +176,8 @@
 		s.Start(down[s.rng.IntN(len(down))], 0, 1)
 		s.Run(100 * time.Millisecond)
 	}
-	t.Log(waitConverged(t, s, 2*time.Minute, nil, "after the churn"))
+	took := waitConverged(t, s, 2*time.Minute, nil, "after the churn")
+	t.Logf("the views converged %v after the churn", took)
 }
 
 // The members' clocks differ by minutes, and one member restarts with a clock that is far behind. A protocol that
