--- a/internal/simulation/callgraph/experiment.go
+++ b/internal/simulation/callgraph/experiment.go
@@ -61,7 +61,7 @@
 	// simulated. The faulty service is the last one of the last layer.
 	Modes  []string  `toml:"modes"`
 	Shares []float64 `toml:"shares"`
-	// Slowdown is the factor by which the own work of a slow call takes longer.
+	// Slowdown is the factor that multiplies the duration of a slow call's own work.
 	Slowdown float64 `toml:"times"`
 	Seed     uint64  `toml:"seed"`
 	// Long tells readers of the file that the experiment runs for more than a minute. It has no effect.
@@ -174,7 +174,7 @@
 			return fmt.Errorf("claim %d: unknown measure %q", i+1, c.Measure)
 		}
 		if c.Mode != ModeHealthy && !slices.Contains(e.Modes, c.Mode) {
-			return fmt.Errorf("claim %d: mode %q is neither %q nor one of modes", i+1, c.Mode, ModeHealthy)
+			return fmt.Errorf("claim %d: mode %q is neither %q nor one of the file's modes", i+1, c.Mode, ModeHealthy)
 		}
 	}
 	return nil
--- a/internal/simulation/callgraph/experiment_test.go
+++ b/internal/simulation/callgraph/experiment_test.go
@@ -34,7 +34,7 @@
 		{
 			"",
 			"[[claim]]\nmeasure = \"times\"\nmode = \"fail\"",
-			`claim 2: mode "fail" is neither "well" nor one of modes`,
+			`claim 2: mode "fail" is neither "well" nor one of the file's modes`,
 		},
 	}
 	for first, key := range keys {
--- a/internal/simulation/callgraph/instance.go
+++ b/internal/simulation/callgraph/instance.go
@@ -69,7 +69,8 @@
 	})
 }
 
-// drawFault reports whether an attempt at this instance is faulty, which is random during the fault.
+// drawFault reports whether an attempt at this instance has the fault. After the warm-up, each attempt at the faulty
+// service has it with the probability faultyShare.
 func (n *instance) drawFault() bool {
 	sim := n.sim
 	hasBegun := sim.now >= time.Duration(sim.experiment.WarmUpTime)
--- a/internal/simulation/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -231,10 +231,10 @@
 		errs = append(errs, errors.New("neither most nor least is given"))
 	}
 	if !slices.Contains(e.Phases, c.Phase) {
-		errs = append(errs, fmt.Errorf("phase %q is not one of phases", c.Phase))
+		errs = append(errs, fmt.Errorf("phase %q is not one of the file's phases", c.Phase))
 	}
 	if c.Size != 0 && !slices.Contains(e.Sizes, c.Size) {
-		errs = append(errs, fmt.Errorf("size %d is not one of sizes", c.Size))
+		errs = append(errs, fmt.Errorf("size %d is not one of the file's sizes", c.Size))
 	}
 	if !slices.Contains([]string{RoleLeaf, RoleRoot, RoleRelay, RoleDiscovery, RoleAll}, c.Role) {
 		errs = append(errs, fmt.Errorf("unknown role %q", c.Role))
