--- a/internal/simulation/callgraph/metrics.go
+++ b/internal/simulation/callgraph/metrics.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// metrics measure a run from the fault on.
+// metrics collects the measurements of a run. All but attemptsBefore begin with the fault.
 type metrics struct {
 	sim                    *simulation
 	userRate, callsPerUser float64
 	events                 int
 
 	users, usersServed int
-	latencies          []time.Duration // of the served ones
+	latencies          []time.Duration // of the users' calls that were served
 
 	plannedLeafCalls int
 	leafAttempts     int
@@ -22,17 +22,18 @@
 	work, abandonedWork   time.Duration
 	calls, abandonedCalls int
 	rejectedUnsent        int
-	// timeLeft is by depth, as shares of the users' deadline.
+	// timeLeft holds, by depth, the time that each attempt had left on arrival, as a share of the users' deadline.
 	timeLeft [][]float32
-	// attemptsBefore counts attempts before the fault.
+	// attemptsBefore counts the attempts at each instance before the fault.
 	attemptsBefore map[*instance]int
 }
 
-// secondMetrics are of what arrived in one second.
+// secondMetrics counts the planned calls and the attempts at the leaf in one second.
 type secondMetrics struct{ plannedLeafCalls, leafAttempts int }
 
-// spareSeconds are more than the last answers may take after the fault.
-const spareSeconds = 3
+// trailingSeconds is the number of seconds counted beyond the fault and one deadline. It is more than the last answers
+// can take.
+const trailingSeconds = 3
 
 func newMetrics(sim *simulation, userRate float64) *metrics {
 	e := sim.experiment
@@ -42,13 +43,13 @@
 		userRate:       userRate,
 		callsPerUser:   callsPerUser(sim.services),
 		timeLeft:       make([][]float32, e.Depth+1),
-		seconds:        make([]secondMetrics, int(length.Seconds())+spareSeconds),
+		seconds:        make([]secondMetrics, int(length.Seconds())+trailingSeconds),
 		attemptsBefore: map[*instance]int{},
 	}
 }
 
-// second is the present second of the fault; nil: it has not begun.
-func (m *metrics) second() *secondMetrics {
+// currentSecond returns the metrics of the current second since the start of the fault; nil: it has not started.
+func (m *metrics) currentSecond() *secondMetrics {
 	warmUp := time.Duration(m.sim.experiment.WarmUpTime)
 	if m.sim.now < warmUp {
 		return nil
@@ -56,9 +57,9 @@
 	return &m.seconds[min(int((m.sim.now-warmUp).Seconds()), len(m.seconds)-1)]
 }
 
-// userCalled counts a user's call; false: it does not count.
-func (m *metrics) userCalled(path uint64) bool {
-	s := m.second()
+// userCallStarted counts a user's call. It returns false if the call is before the fault and does not count.
+func (m *metrics) userCallStarted(path uint64) bool {
+	s := m.currentSecond()
 	if s == nil {
 		return false
 	}
@@ -69,7 +70,7 @@
 	return true
 }
 
-// userAnswered counts the answer of a user's call that counts.
+// userAnswered counts the answer to a user's call that userCallStarted has counted.
 func (m *metrics) userAnswered(ok bool, latency time.Duration) {
 	if ok {
 		m.usersServed++
@@ -79,7 +80,7 @@
 
 // attemptArrived counts an attempt that arrives at an instance.
 func (m *metrics) attemptArrived(a *attempt) {
-	s := m.second()
+	s := m.currentSecond()
 	if s == nil {
 		m.attemptsBefore[a.at]++
 		return
@@ -97,9 +98,9 @@
 	m.timeLeft[a.depth] = append(m.timeLeft[a.depth], left)
 }
 
-// worked counts an instance's own work for an attempt, which began at a time and ends now.
-func (m *metrics) worked(a *attempt, begin time.Duration) {
-	if m.second() == nil {
+// workDone counts an instance's own work for an attempt, from begin to the current time.
+func (m *metrics) workDone(a *attempt, begin time.Duration) {
+	if m.currentSecond() == nil {
 		return
 	}
 	m.work += m.sim.now - begin
@@ -108,9 +109,9 @@
 	}
 }
 
-// called counts a call to a next service for an attempt.
-func (m *metrics) called(a *attempt) {
-	if m.second() == nil {
+// callStarted counts a call to a service of the next layer, made to serve an attempt.
+func (m *metrics) callStarted(a *attempt) {
+	if m.currentSecond() == nil {
 		return
 	}
 	m.calls++
@@ -119,14 +120,14 @@
 	}
 }
 
-// rejected counts a call that a balancer rejected after a number of attempts.
-func (m *metrics) rejected(attempts int) {
-	if m.second() != nil && attempts == 0 {
+// callRejected counts a call that a balancer ended with an error, if it had made no attempt.
+func (m *metrics) callRejected(attempts int) {
+	if m.currentSecond() != nil && attempts == 0 {
 		m.rejectedUnsent++
 	}
 }
 
-// ratio is a/b, or 0 where there is no b.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -134,7 +135,7 @@
 	return a / b
 }
 
-// point summarises the run.
+// point returns the measurements of the run as a Point.
 func (m *metrics) point() Point {
 	users := float64(m.users)
 	p := Point{
@@ -170,7 +171,8 @@
 	return p
 }
 
-// peakAmplification is of the worst second, without the few calls after the end of the fault.
+// peakAmplification returns the amplification in the worst second. Seconds with at most half the mean number of
+// planned calls are left out, such as those after the end of the fault, since few calls would distort the figure.
 func (m *metrics) peakAmplification() (peak float64) {
 	for _, s := range m.seconds {
 		if s.plannedLeafCalls*len(m.seconds) > m.plannedLeafCalls/2 {
@@ -180,7 +182,7 @@
 	return peak
 }
 
-// lateAmplification is of the last quarter of the fault.
+// lateAmplification returns the amplification in the last quarter of the fault.
 func (m *metrics) lateAmplification() float64 {
 	length := time.Duration(m.sim.experiment.FaultDuration).Seconds()
 	var late secondMetrics
@@ -191,7 +193,7 @@
 	return ratio(float64(late.leafAttempts), float64(late.plannedLeafCalls))
 }
 
-// sidecarRates are of the instances before the fault.
+// sidecarRates returns the rates of attempts at the instances before the fault.
 func (m *metrics) sidecarRates() Rates {
 	var rates []float64
 	for _, n := range m.attemptsBefore {
--- a/internal/simulation/configsim/view.go
+++ b/internal/simulation/configsim/view.go
@@ -2,21 +2,22 @@
 
 import "hazelwing/internal/discovery/bootstrap"
 
-// membershipView is which members are live, as one side of a partition sees it.
+// membershipView is the set of live members as one side of a partition sees it.
 type membershipView struct {
-	// version changes with the view; 0: it has not been computed.
+	// version changes whenever the view changes; 0 before the view is first computed.
 	version uint64
-	live    []bool // by member
+	live    []bool // by member index
 	members []bootstrap.Member
 }
 
-// updateViews computes the membership views and hands them to the selectors.
+// updateViews computes the membership views and passes them to the members' selectors. The two regions have different
+// views while a partition is detected, and until its end is detected.
 func (c *Cluster) updateViews() {
 	sides := 1
 	sinceChange := c.Now - c.partitionChangedAt
-	hasSplit := c.partitioned && sinceChange >= c.config.DeathDetection
-	hasNotRejoined := !c.partitioned && c.partitionChangedAt > 0 && sinceChange < c.config.StartDetection
-	if hasSplit || hasNotRejoined {
+	isPartitionDetected := c.partitioned && sinceChange >= c.config.DeathDetection
+	isRejoinUndetected := !c.partitioned && c.partitionChangedAt > 0 && sinceChange < c.config.StartDetection
+	if isPartitionDetected || isRejoinUndetected {
 		sides = 2
 	}
 	for side := range sides {
@@ -27,16 +28,16 @@
 		if sides == 2 {
 			side = c.region(&m.machine)
 		}
-		c.handView(m, side)
+		c.deliverView(m, side)
 	}
 }
 
-// updateView computes the view of one side.
+// updateView computes the view of one side. With one side, the view covers all members.
 func (c *Cluster) updateView(side, sides int) {
 	v := &c.views[side]
 	changed := v.version == 0
 	for i, m := range c.Members {
-		live := c.seenLive(m, v.live[i])
+		live := c.detectedLive(m, v.live[i])
 		if sides == 2 && c.region(&m.machine) != side {
 			live = false
 		}
@@ -56,22 +57,23 @@
 	}
 }
 
-// seenLive reports whether a member counts as live: its death and its start are detected late.
-func (c *Cluster) seenLive(m *Member, wasLive bool) bool {
+// detectedLive reports whether the view shows a member as live. A death shows only after DeathDetection, a start only
+// after StartDetection.
+func (c *Cluster) detectedLive(m *Member, wasLive bool) bool {
 	sinceChange := c.Now - m.changedAt
-	isDeathUnseen := wasLive && sinceChange < c.config.DeathDetection
+	isDeathUndetected := wasLive && sinceChange < c.config.DeathDetection
 	switch {
 	case m.frozen:
-		return isDeathUnseen
+		return isDeathUndetected
 	case m.up:
 		return sinceChange >= c.config.StartDetection
 	default:
-		return isDeathUnseen
+		return isDeathUndetected
 	}
 }
 
-// handView hands a side's view to a member, unless it has it.
-func (c *Cluster) handView(m *Member, side int) {
+// deliverView passes a side's view to a member's selector, unless the member already has this version.
+func (c *Cluster) deliverView(m *Member, side int) {
 	v := &c.views[side]
 	version := v.version<<1 | uint64(side)
 	if !m.up || m.viewVersion == version {
