--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -115,7 +115,7 @@
 		Seed:            1,
 		Dir:             t.TempDir(),
 		Program:         []string{os.Args[0]},
-		Env:             []string{testRun + "=1"},
+		Env:             []string{daemonVariable + "=1"},
 		ClusterOptions:  settings,
 		OperatorOptions: "[recovery]\n" + recovery,
 		WithoutClients:  true,
--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -31,7 +31,7 @@
 		}
 		path := filepath.Join(root, r.Sources[0])
 		if strings.HasPrefix(r.Sources[1], "Test") {
-			if !holds(t, path, r) {
+			if !hasBoundCheck(t, path, r) {
 				t.Errorf("%s: no %s of %s holds it", r.Name, r.Sources[1], r.Sources[0])
 			}
 			continue
@@ -45,8 +45,8 @@
 	}
 }
 
-// holds reports whether a package has the test of a row, and a call that compares a count with the row.
-func holds(t *testing.T, dir string, r testutil.CapacityBound) bool {
+// hasBoundCheck reports whether a package has the test of a row, and a call that compares a count with the row.
+func hasBoundCheck(t *testing.T, dir string, r testutil.CapacityBound) bool {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -23,8 +23,8 @@
 
 var configLong = flag.Bool("config.long", false, "TestConfigFaults: 30 members and 5 origins, and every fault")
 
-// configRig is a test cluster with origins.
-type configRig struct {
+// configCluster is a test cluster with origins.
+type configCluster struct {
 	*testcluster.Cluster
 	t       *testing.T
 	members int
@@ -32,43 +32,43 @@
 	pushes  int // snapshots that were written by file
 }
 
-func newConfigRig(t *testing.T, members, origins int) *configRig {
+func newConfigCluster(t *testing.T, members, origins int) *configCluster {
 	t.Helper()
 	c := testcluster.Config{
 		Origins:         origins,
 		OperatorOptions: "[recovery]\nask = 2\nfan = 4\n",
 		ConfigOptions:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
 	}
-	r := &configRig{t: t, members: members, origins: origins, Cluster: newFleetRig(t, members, 7, c)}
+	r := &configCluster{t: t, members: members, origins: origins, Cluster: newTestCluster(t, members, 7, c)}
 	r.play("start origins\nstart all\nsettle 500ms 60s")
 	return r
 }
 
-func (r *configRig) play(script string) {
+func (r *configCluster) play(script string) {
 	r.t.Helper()
 	if err := r.Play(r.t.Context(), script); err != nil {
 		r.fail(err)
 	}
 }
 
-func (r *configRig) fail(err error) {
+func (r *configCluster) fail(err error) {
 	r.t.Helper()
 	lines := strings.Split(r.Timeline(), "\n")
-	r.t.Fatalf("%v\n%s", err, strings.Join(lines[max(0, len(lines)-maxStoryLines):], "\n"))
+	r.t.Fatalf("%v\n%s", err, strings.Join(lines[max(0, len(lines)-maxTimelineLines):], "\n"))
 }
 
-// numbered returns the numbers from one to another.
-func numbered(from, to int) (list []int) {
+// numberRange returns the numbers from one to another.
+func numberRange(from, to int) (list []int) {
 	for n := from; n <= to; n++ {
 		list = append(list, n)
 	}
 	return list
 }
 
-func (r *configRig) all() []int { return numbered(1, r.members) }
+func (r *configCluster) all() []int { return numberRange(1, r.members) }
 
-// file writes a snapshot with unique content and returns its path.
-func (r *configRig) file(more string) string {
+// writeSnapshot writes a snapshot with unique content and returns its path.
+func (r *configCluster) writeSnapshot(more string) string {
 	r.t.Helper()
 	r.pushes++
 	path := filepath.Join(r.t.TempDir(), "snapshot.toml")
@@ -80,7 +80,7 @@
 }
 
 // push runs the command that pushes to an origin.
-func (r *configRig) push(k int, file string, args ...string) (result pushResult, err error) {
+func (r *configCluster) push(k int, file string, args ...string) (result pushResult, err error) {
 	r.t.Helper()
 	command := []string{"config", "push", file, "--fleet", "rig", "--origin", r.OriginAddr(k), "--json"}
 	out, err := execute(append(command, args...)...)
@@ -92,7 +92,7 @@
 
 // pushUntilAccepted repeats a push under its ID until it is accepted, as an operator would while the origins elect a
 // leader. It returns the revision, and when the first push was started.
-func (r *configRig) pushUntilAccepted(k int, file string) (controlplane.Revision, time.Time) {
+func (r *configCluster) pushUntilAccepted(k int, file string) (controlplane.Revision, time.Time) {
 	r.t.Helper()
 	startedAt := time.Now()
 	for id := fmt.Sprintf("push-%d", r.pushes); ; {
@@ -107,7 +107,7 @@
 }
 
 // appliedAt returns when members of a group applied a revision or a later one, by their logs.
-func (r *configRig) appliedAt(revision controlplane.Revision, group []int) map[int]time.Time {
+func (r *configCluster) appliedAt(revision controlplane.Revision, group []int) map[int]time.Time {
 	r.t.Helper()
 	const message = `msg="configuration applied" component=controlplane revision=`
 	times := map[int]time.Time{}
@@ -133,10 +133,10 @@
 	return times
 }
 
-// inForce waits until all members of a group have applied a revision or a later one, and logs the times since an
+// waitApplied waits until all members of a group have applied a revision or a later one, and logs the times since an
 // instant by which 50, 99 and 100 in 100 have. In the long form these may not exceed maxTime; 0: no such limit, for
 // members that were unreachable.
-func (r *configRig) inForce(
+func (r *configCluster) waitApplied(
 	what string, revision controlplane.Revision, since time.Time, group []int, maxTime time.Duration,
 ) {
 	r.t.Helper()
@@ -164,13 +164,13 @@
 }
 
 // state returns the state of a member; it is zero if the member does not respond.
-func (r *configRig) state(n int) (state transport.MemberState) {
+func (r *configCluster) state(n int) (state transport.MemberState) {
 	_ = r.ReadAdmin(n, "config", &state) // callers check or poll the state
 	return state
 }
 
-// mostFollowed returns the member with the most subscribers, except the excluded ones.
-func (r *configRig) mostFollowed(excluded ...int) (member int) {
+// mostSubscribed returns the member with the most subscribers, except the excluded ones.
+func (r *configCluster) mostSubscribed(excluded ...int) (member int) {
 	maxSubscribers := -1
 	for _, n := range r.all() {
 		state := r.state(n)
@@ -183,7 +183,7 @@
 }
 
 // leader waits until an origin is the leader, and returns its number.
-func (r *configRig) leader() (k int) {
+func (r *configCluster) leader() (k int) {
 	r.t.Helper()
 	testutil.Until(r.t, "an origin leads", func() bool {
 		for k = 1; k <= r.origins; k++ {
@@ -197,20 +197,20 @@
 	return k
 }
 
-// end checks that no rule was broken, and that requests were served.
-func (r *configRig) end() {
+// checkFinalState checks that no rule was broken, and that requests were served.
+func (r *configCluster) checkFinalState() {
 	r.t.Helper()
 	for _, f := range r.Violations() {
 		r.t.Error(f)
 	}
-	logAnswers(r.t, r.Cluster)
+	logOutcomes(r.t, r.Cluster)
 	if r.Outcomes.Served.Load() == 0 {
 		r.t.Error("nothing was served")
 	}
 }
 
-// allHaveDiscoverysList reports whether all members have the current endpoint list of the current discovery service.
-func (r *configRig) allHaveDiscoverysList() bool {
+// allHaveDiscoveryList reports whether all members have the current endpoint list of the current discovery service.
+func (r *configCluster) allHaveDiscoveryList() bool {
 	discovery := r.Servers.Discovery
 	for _, n := range r.all() {
 		var source relay.SourceState
@@ -222,8 +222,8 @@
 	return true
 }
 
-// soon is the limit of inForce for members that can be reached.
-const soon = 4 * time.Second
+// maxApplyTime is the limit of inForce for members that can be reached.
+const maxApplyTime = 4 * time.Second
 
 // During each fault, changes get in force at all members that can be reached, and at the others once these can be
 // reached again; in the long form within 4 s of either. No accepted change is lost and no older one returns.
@@ -236,14 +236,14 @@
 	if *configLong {
 		members, origins = 30, 5
 	}
-	r := newConfigRig(t, members, origins)
+	r := newConfigCluster(t, members, origins)
 	half := members / 2
 
-	s, at := r.pushUntilAccepted(1, r.file(""))
-	r.inForce("the first change, pushed as the origins start", s, at, r.all(), 0)
+	s, at := r.pushUntilAccepted(1, r.writeSnapshot(""))
+	r.waitApplied("the first change, pushed as the origins start", s, at, r.all(), 0)
 
 	// Two at once under one version: one is accepted, the other has a conflict by name.
-	files := []string{r.file("# a"), r.file("# b")}
+	files := []string{r.writeSnapshot("# a"), r.writeSnapshot("# b")}
 	answers := make([]pushResult, 2)
 	var both sync.WaitGroup
 	for i := range files {
@@ -256,13 +256,13 @@
 		t.Errorf("two pushes under one version: %+v", answers)
 	}
 	s.Version++
-	r.inForce("two at once under one version", s, at, r.all(), soon)
+	r.waitApplied("two at once under one version", s, at, r.all(), maxApplyTime)
 
 	// The address of discovery changes for all: few call the new one, and relay the list to the others.
 	before, _ := r.Servers.Discovery.Calls()
-	s, at = r.pushUntilAccepted(2, r.file(fmt.Sprintf("[discovery]\naddr = %q", r.Servers.Discovery.Addr())))
-	r.inForce("discovery is moved", s, at, r.all(), soon)
-	testutil.Until(t, "all have the list from it, by way of the fleet", r.allHaveDiscoverysList)
+	s, at = r.pushUntilAccepted(2, r.writeSnapshot(fmt.Sprintf("[discovery]\naddr = %q", r.Servers.Discovery.Addr())))
+	r.waitApplied("discovery is moved", s, at, r.all(), maxApplyTime)
+	testutil.Until(t, "all have the list from it, by way of the fleet", r.allHaveDiscoveryList)
 	if after, _ := r.Servers.Discovery.Calls(); after-before >= members {
 		t.Errorf("%d calls of discovery when %d sidecars are moved", after-before, members)
 	} else {
@@ -272,60 +272,60 @@
 	// One after the other without waiting.
 	at = time.Now()
 	for i := range 10 {
-		s, _ = r.pushUntilAccepted(1+i%origins, r.file(""))
+		s, _ = r.pushUntilAccepted(1+i%origins, r.writeSnapshot(""))
 	}
-	r.inForce("the last of ten in a row", s, at, r.all(), soon)
+	r.waitApplied("the last of ten in a row", s, at, r.all(), maxApplyTime)
 
 	// The leader is killed in the middle of a push.
 	leader := r.leader()
-	file := r.file("")
+	file := r.writeSnapshot("")
 	done := make(chan bool)
 	go func() { s, at = r.pushUntilAccepted(1+leader%origins, file); close(done) }()
 	r.play(fmt.Sprintf("kill o%d", leader))
 	<-done
-	r.inForce("the origin that leads is killed in mid-push", s, at, r.all(), soon)
+	r.waitApplied("the origin that leads is killed in mid-push", s, at, r.all(), maxApplyTime)
 	r.play(fmt.Sprintf("start o%d", leader))
 
 	// A member with subscribers is stopped.
-	still := r.mostFollowed()
+	still := r.mostSubscribed()
 	r.play(fmt.Sprintf("freeze %d", still))
 	others := slices.DeleteFunc(r.all(), func(n int) bool { return n == still })
-	s, at = r.pushUntilAccepted(1, r.file(""))
-	r.inForce("a member that is followed stands still", s, at, others, soon)
+	s, at = r.pushUntilAccepted(1, r.writeSnapshot(""))
+	r.waitApplied("a member that is followed stands still", s, at, others, maxApplyTime)
 	at = time.Now()
 	r.play(fmt.Sprintf("thaw %d", still))
-	r.inForce("it goes on", s, at, []int{still}, soon)
+	r.waitApplied("it goes on", s, at, []int{still}, maxApplyTime)
 
 	// Half of the fleet is restarted during a push.
-	file = r.file("")
+	file = r.writeSnapshot("")
 	done = make(chan bool)
 	go func() { s, at = r.pushUntilAccepted(2, file); close(done) }()
 	r.play(fmt.Sprintf("restart 1-%d", half))
 	<-done
-	r.inForce("half of the fleet restarts: the others", s, at, numbered(half+1, members), soon)
+	r.waitApplied("half of the fleet restarts: the others", s, at, numberRange(half+1, members), maxApplyTime)
 	for n := range half {
 		if st := r.state(n + 1); !st.Ready && st.CachedAge == "" {
 			t.Errorf("%d takes requests, and neither has it nor says what it acts on: %+v", n+1, st)
 		}
 	}
-	r.inForce("half of the fleet restarts: that half", s, time.Now(), numbered(1, half), soon)
+	r.waitApplied("half of the fleet restarts: that half", s, time.Now(), numberRange(1, half), maxApplyTime)
 
 	// The regions lose each other, with a majority of the origins on one side.
 	r.play(fmt.Sprintf("cut 1-%d,o1 %d-%d,o2-%d", half, half+1, members, origins))
-	if p, err := r.push(1, r.file(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
+	if p, err := r.push(1, r.writeSnapshot(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
 		t.Errorf("a side without a majority has accepted a change: %+v", p)
 	}
-	s, at = r.pushUntilAccepted(2, r.file(""))
-	r.inForce("regions are cut: the side with a majority", s, at, numbered(half+1, members), soon)
-	if got := r.appliedAt(s, numbered(1, half)); len(got) > 0 {
+	s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
+	r.waitApplied("regions are cut: the side with a majority", s, at, numberRange(half+1, members), maxApplyTime)
+	if got := r.appliedAt(s, numberRange(1, half)); len(got) > 0 {
 		t.Errorf("the other side has it: %v", got)
 	}
 	at = time.Now()
 	r.play("heal")
-	r.inForce("healed: the other side", s, at, numbered(1, half), soon)
+	r.waitApplied("healed: the other side", s, at, numberRange(1, half), maxApplyTime)
 
 	if *configLong {
 		r.testLongFaults()
 	}
-	r.end()
+	r.checkFinalState()
 }
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -26,12 +26,12 @@
 // send them. A member that restarts without any origin acts on its cached snapshot and says so.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
-	r := newConfigRig(t, 3, 1)
+	r := newConfigCluster(t, 3, 1)
 	originFlags := []string{"--fleet", "rig", "--origin", r.OriginAddr(1)}
 	run := func(args ...string) (string, error) {
 		return execute(append(append([]string{"config"}, args...), originFlags...)...)
 	}
-	good := r.file("")
+	good := r.writeSnapshot("")
 	text, err := os.ReadFile(good)
 	if err != nil {
 		t.Fatal(err)
@@ -74,8 +74,8 @@
 		t.Errorf("an origin that cannot be reached: %v", err)
 	}
 
-	r.hostile()
-	file := r.file("")
+	r.sendInvalidRequests()
+	file := r.writeSnapshot("")
 	r.play("freeze 3")
 	out, err = run("push", file, "--wait", "1s")
 	const want = "accepted as 1.2, and not in force everywhere within 1s: 1 lack it"
@@ -86,7 +86,7 @@
 
 	// Without any origin.
 	r.play("kill o1")
-	r.inForce("before the origin went", controlplane.Revision{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
+	r.waitApplied("before the origin went", controlplane.Revision{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
 	testutil.Until(t, "the snapshot is cached", func() bool { return r.state(2).Active.Version == 2 })
 	r.play("kill all\nstart all")
 	if s := r.state(2); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active.Version != 2 {
@@ -95,11 +95,11 @@
 	if !strings.Contains(r.Log(2), "acting on the last known one, 1.2, confirmed") {
 		t.Error("the log has no line about the cached snapshot")
 	}
-	r.end()
+	r.checkFinalState()
 }
 
 // testInvalidPushes checks that the command, the origin and a foreign cluster's name reject a push.
-func (r *configRig) testInvalidPushes(validText []byte, originFlags []string) {
+func (r *configCluster) testInvalidPushes(validText []byte, originFlags []string) {
 	r.t.Helper()
 	bad := filepath.Join(r.t.TempDir(), "bad.toml")
 	badText := []byte("[limits]\nmax_attempts = 99\n[class.look]\nworth = 0.0\n")
@@ -136,8 +136,8 @@
 	return exitStatus(err)
 }
 
-// hostile sends a member and an origin invalid requests. They close just the connection of each.
-func (r *configRig) hostile() {
+// sendInvalidRequests sends a member and an origin invalid requests. They close just the connection of each.
+func (r *configCluster) sendInvalidRequests() {
 	r.t.Helper()
 	member := fmt.Sprint(r.GossipAddr(1))
 	var all sync.WaitGroup
@@ -182,7 +182,7 @@
 }
 
 // waitClosed sends a text and waits until the peer closes the connection.
-func (r *configRig) waitClosed(addr, text string) {
+func (r *configCluster) waitClosed(addr, text string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		r.t.Error(err)
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -17,22 +17,22 @@
 
 // testLongFaults plays the faults of the long form: 30 members and 5 origins, of which a third is in no area that is
 // cut off.
-func (r *configRig) testLongFaults() {
+func (r *configCluster) testLongFaults() {
 	r.testCutAreas()
 	r.testReplacements()
 	r.testFlood()
 	r.testLargestSnapshot()
-	r.testTrafficOfChanges()
+	r.testChangeTraffic()
 	backup := r.testRolledBackOrigin()
 	r.testAllOriginsRolledBack(backup)
 }
 
 // except returns all members but some.
-func (r *configRig) except(excluded []int) []int {
+func (r *configCluster) except(excluded []int) []int {
 	return slices.DeleteFunc(r.all(), func(n int) bool { return slices.Contains(excluded, n) })
 }
 
-func (r *configRig) testCutAreas() {
+func (r *configCluster) testCutAreas() {
 	r.t.Helper()
 	for _, area := range []struct {
 		name    string
@@ -40,27 +40,27 @@
 		rest    string
 		members []int
 	}{
-		{name: "a rack", cut: "1-4", rest: "5-30,origins", members: numbered(1, 4)},
-		{name: "a zone with an origin", cut: "8-15,o1", rest: "1-7,16-30,o2-5", members: numbered(8, 15)},
+		{name: "a rack", cut: "1-4", rest: "5-30,origins", members: numberRange(1, 4)},
+		{name: "a zone with an origin", cut: "8-15,o1", rest: "1-7,16-30,o2-5", members: numberRange(8, 15)},
 	} {
 		r.play("cut " + area.cut + " " + area.rest)
-		s, at := r.pushUntilAccepted(3, r.file(""))
-		r.inForce(area.name+" is cut off: the others, at once", s, at, r.except(area.members), soon)
+		s, at := r.pushUntilAccepted(3, r.writeSnapshot(""))
+		r.waitApplied(area.name+" is cut off: the others, at once", s, at, r.except(area.members), maxApplyTime)
 		time.Sleep(8 * time.Second) // until the others have declared these dead
-		s, at = r.pushUntilAccepted(3, r.file(""))
-		r.inForce(area.name+" is cut off: the others, 8 s later", s, at, r.except(area.members), soon)
+		s, at = r.pushUntilAccepted(3, r.writeSnapshot(""))
+		r.waitApplied(area.name+" is cut off: the others, 8 s later", s, at, r.except(area.members), maxApplyTime)
 		at = time.Now()
 		r.play("heal")
-		r.inForce(area.name+": those, after the healing", s, at, area.members, soon)
+		r.waitApplied(area.name+": those, after the healing", s, at, area.members, maxApplyTime)
 	}
 	r.play("settle 500ms 60s")
 }
 
 // testReplacements replaces members one after the other, as on a usual day, with a change during each.
-func (r *configRig) testReplacements() {
+func (r *configCluster) testReplacements() {
 	r.t.Helper()
 	for n := 1; n <= r.members; n += 5 {
-		file, done := r.file(""), make(chan bool)
+		file, done := r.writeSnapshot(""), make(chan bool)
 		var s controlplane.Revision
 		var at time.Time
 		go func() {
@@ -69,12 +69,12 @@
 		}()
 		r.play(fmt.Sprintf("restart %d 50ms", n))
 		<-done
-		r.inForce(fmt.Sprintf("m%02d is replaced meanwhile: the others", n), s, at, r.except([]int{n}), soon)
+		r.waitApplied(fmt.Sprintf("m%02d is replaced meanwhile: the others", n), s, at, r.except([]int{n}), maxApplyTime)
 	}
 }
 
 // testFlood pushes from four clients as fast as possible, to different origins.
-func (r *configRig) testFlood() {
+func (r *configCluster) testFlood() {
 	r.t.Helper()
 	const duration = 10 * time.Second
 	var all sync.WaitGroup
@@ -98,39 +98,39 @@
 	}
 	all.Wait()
 	r.t.Logf("a flood of pushes for 10 s: %v accepted", accepted)
-	s, at := r.pushUntilAccepted(2, r.file(""))
-	r.inForce("after a flood", s, at, r.all(), soon)
+	s, at := r.pushUntilAccepted(2, r.writeSnapshot(""))
+	r.waitApplied("after a flood", s, at, r.all(), maxApplyTime)
 }
 
 // testLargestSnapshot pushes a snapshot of the maximum size that compresses badly.
-func (r *configRig) testLargestSnapshot() {
+func (r *configCluster) testLargestSnapshot() {
 	r.t.Helper()
 	const size = controlplane.MaxSnapshotSize - 200
 	text := new(strings.Builder)
 	for i := 0; text.Len() < size; i++ {
 		fmt.Fprintf(text, "# %x\n", controlplane.HashText(fmt.Append(nil, i)))
 	}
-	s, at := r.pushUntilAccepted(2, r.file(text.String()[:size]))
-	r.inForce("a snapshot of 256 KiB", s, at, r.all(), soon)
-	r.pushUntilAccepted(2, r.file(""))
+	s, at := r.pushUntilAccepted(2, r.writeSnapshot(text.String()[:size]))
+	r.waitApplied("a snapshot of 256 KiB", s, at, r.all(), maxApplyTime)
+	r.pushUntilAccepted(2, r.writeSnapshot(""))
 }
 
-// testTrafficOfChanges logs the traffic without and with changes.
-func (r *configRig) testTrafficOfChanges() {
+// testChangeTraffic logs the traffic without and with changes.
+func (r *configCluster) testChangeTraffic() {
 	r.t.Helper()
 	r.logTraffic("quiet", 30*time.Second, func() {})
 	r.logTraffic("a change each 5 s, ten times 1,700 a day", 30*time.Second, func() {
 		for range 6 {
-			r.pushUntilAccepted(2, r.file(""))
+			r.pushUntilAccepted(2, r.writeSnapshot(""))
 			time.Sleep(5 * time.Second)
 		}
 	})
-	s, at := r.pushUntilAccepted(2, r.file(""))
-	r.inForce("after it", s, at, r.all(), soon)
+	s, at := r.pushUntilAccepted(2, r.writeSnapshot(""))
+	r.waitApplied("after it", s, at, r.all(), maxApplyTime)
 }
 
 // backUp copies the store of an origin that does not run, and returns the copy's directory.
-func (r *configRig) backUp(k int) string {
+func (r *configCluster) backUp(k int) string {
 	r.t.Helper()
 	dir := r.t.TempDir() + "/yesterday"
 	if err := os.CopyFS(dir, os.DirFS(r.OriginDir(k))); err != nil {
@@ -140,7 +140,7 @@
 }
 
 // restore replaces the store of an origin that does not run by a copy.
-func (r *configRig) restore(k int, backup string) {
+func (r *configCluster) restore(k int, backup string) {
 	r.t.Helper()
 	if err := os.RemoveAll(r.OriginDir(k)); err != nil {
 		r.t.Fatal(err)
@@ -151,7 +151,7 @@
 }
 
 // testRolledBackOrigin restores an older store of one origin. It returns the directory of that store.
-func (r *configRig) testRolledBackOrigin() (backup string) {
+func (r *configCluster) testRolledBackOrigin() (backup string) {
 	r.t.Helper()
 	client := transport.NewClient("rig", r.OriginAddr(5))
 	var s controlplane.Revision
@@ -159,7 +159,7 @@
 	backup = r.backUp(5)
 	r.play("start o5")
 	for range 3 {
-		s, _ = r.pushUntilAccepted(1, r.file(""))
+		s, _ = r.pushUntilAccepted(1, r.writeSnapshot(""))
 	}
 	testutil.Until(r.t, "the origin has what its store is to lose", func() bool {
 		status, err := client.Status(r.t.Context())
@@ -172,14 +172,14 @@
 		status, err := client.Status(r.t.Context())
 		return err == nil && status.Role == origin.RoleRolledBack
 	})
-	s, at := r.pushUntilAccepted(1, r.file(""))
-	r.inForce("with an origin whose store was rolled back", s, at, r.all(), soon)
+	s, at := r.pushUntilAccepted(1, r.writeSnapshot(""))
+	r.waitApplied("with an origin whose store was rolled back", s, at, r.all(), maxApplyTime)
 	return backup
 }
 
 // testAllOriginsRolledBack restores older stores of all origins, so that only the members have the latest revision.
 // No older one returns, and pushes fail with the reason until the origins are bootstrapped with a higher epoch.
-func (r *configRig) testAllOriginsRolledBack(backupOfLast string) {
+func (r *configCluster) testAllOriginsRolledBack(backupOfLast string) {
 	r.t.Helper()
 	r.play("kill o1-4")
 	backups := []string{r.backUp(1), r.backUp(2), r.backUp(3), r.backUp(4)}
@@ -187,9 +187,9 @@
 	var s controlplane.Revision
 	var at time.Time
 	for range 3 {
-		s, at = r.pushUntilAccepted(2, r.file(""))
+		s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
 	}
-	r.inForce("before all origins are rolled back", s, at, r.all(), soon)
+	r.waitApplied("before all origins are rolled back", s, at, r.all(), maxApplyTime)
 	r.play("kill origins")
 	for i, backup := range backups {
 		r.restore(i+1, backup)
@@ -197,7 +197,7 @@
 	r.restore(5, backupOfLast)
 	r.play("start origins")
 	testutil.Until(r.t, "an origin hears that members hold a later one", func() bool { return r.isAnyOriginBehind(s) })
-	if result, err := r.push(2, r.file(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
+	if result, err := r.push(2, r.writeSnapshot(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
 		r.t.Errorf("accepted although the members hold a later one: %+v", result)
 	} else {
 		r.t.Logf("a push is turned away: %v", err)
@@ -212,15 +212,15 @@
 		r.t.Fatal(err)
 	}
 	r.play("start origins")
-	s, at = r.pushUntilAccepted(2, r.file(""))
+	s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
 	if s.Epoch != 2 {
 		r.t.Errorf("%v", s)
 	}
-	r.inForce("a higher epoch is founded", s, at, r.all(), 0)
+	r.waitApplied("a higher epoch is founded", s, at, r.all(), 0)
 }
 
 // isAnyOriginBehind reports whether an origin knows that members have a revision that the origins lack.
-func (r *configRig) isAnyOriginBehind(revision controlplane.Revision) bool {
+func (r *configCluster) isAnyOriginBehind(revision controlplane.Revision) bool {
 	for k := range r.origins {
 		status, err := transport.NewClient("rig", r.OriginAddr(k+1)).Status(r.t.Context())
 		if err == nil && status.Ahead.Compare(revision) == 0 {
@@ -232,7 +232,7 @@
 
 // logTraffic logs the bytes that members sent and received, a second, while a function runs and until the duration is
 // over.
-func (r *configRig) logTraffic(what string, duration time.Duration, during func()) {
+func (r *configCluster) logTraffic(what string, duration time.Duration, during func()) {
 	r.t.Helper()
 	type traffic struct{ out, in testcluster.Bytes }
 	read := func(n int) (t traffic) {
--- a/cmd/hazelwing/cost_test.go
+++ b/cmd/hazelwing/cost_test.go
@@ -19,7 +19,7 @@
 	if !*costFigures {
 		t.Skip("-cost.figures is not set")
 	}
-	r := newDaemonRig(t, "")
+	r := newDaemonProcess(t, "")
 	const length = 8 * time.Second
 	shot := load.ScheduledRequest{
 		Class:    "look",
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -71,8 +71,8 @@
 	return connections
 }
 
-// descriptors returns the number of descriptors that a process has open.
-func descriptors(pid int) int {
+// openDescriptors returns the number of openDescriptors that a process has open.
+func openDescriptors(pid int) int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return 0
@@ -112,13 +112,13 @@
 			}
 			discovery := down.Addr().String()
 			down.Close()
-			text := strings.ReplaceAll(fmt.Sprintf(testutil.PlatformConfig, discovery, neverUp(t)),
+			text := strings.ReplaceAll(fmt.Sprintf(testutil.PlatformConfig, discovery, unresponsiveAddr(t)),
 				`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, test.platformSockets))
 			log := new(logBuffer)
 			start := func(addr string) (*exec.Cmd, string) {
 				script := fmt.Sprintf("ulimit -n %d && exec \"$0\"", limit)
 				cmd := exec.CommandContext(t.Context(), "/bin/sh", "-c", script, os.Args[0])
-				return cmd, startAt(t, cmd, text, addr, log)
+				return cmd, startDaemonAt(t, cmd, text, addr, log)
 			}
 			signal := func(cmd *exec.Cmd, s syscall.Signal) {
 				t.Helper()
@@ -138,7 +138,7 @@
 			clients.Go(func() {
 				n := 0
 				for ; ctx.Err() == nil; time.Sleep(2 * time.Millisecond) {
-					n = max(n, descriptors(int(watched.Load())))
+					n = max(n, openDescriptors(int(watched.Load())))
 				}
 				maxDescriptors <- n
 			})
@@ -259,8 +259,8 @@
 	return response.StatusCode
 }
 
-// neverUp returns the address of a listener with which no connection is established.
-func neverUp(t *testing.T) string {
+// unresponsiveAddr returns the address of a listener with which no connection is established.
+func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/cmd/hazelwing/leave_test.go
+++ b/cmd/hazelwing/disconnect_test.go
@@ -21,8 +21,8 @@
 )
 
 var (
-	leaves    = flag.Int("leaves", 0, "how many clients TestLeavesUnderLoad lets leave; 0: it is not run")
-	leaveSeed = flag.Uint64("leaves.seed", 1, "seed of TestLeavesUnderLoad")
+	disconnectClients = flag.Int("leaves", 0, "how many clients TestLeavesUnderLoad lets leave; 0: it is not run")
+	disconnectSeed    = flag.Uint64("leaves.seed", 1, "seed of TestLeavesUnderLoad")
 )
 
 // disconnection is one way to disconnect, and the outcomes of its clients' requests.
@@ -46,8 +46,8 @@
 // receive is compared with when its client disconnected. The daemon may be stopped between its last check of the client
 // and the write, so that no attempt may be later than one stop. More than two that are later than 0.1 s violate the
 // operators' terms.
-func TestLeavesUnderLoad(t *testing.T) {
-	if *leaves == 0 {
+func TestDisconnectsUnderLoad(t *testing.T) {
+	if *disconnectClients == 0 {
 		t.Skip("a measurement: -leaves 2000")
 	}
 	const (
@@ -74,7 +74,7 @@
 		}
 	})
 	cmd := exec.CommandContext(t.Context(), "/usr/bin/env", "GOMAXPROCS=1", os.Args[0])
-	addr := startAlone(t, cmd, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream), nil)
+	addr := startDaemon(t, cmd, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream), nil)
 	signal := func(s syscall.Signal) {
 		if err := cmd.Process.Signal(s); err != nil {
 			t.Error(err)
@@ -101,14 +101,14 @@
 		{name: "FIN behind far more", extraBytes: 512 << 10},
 		{name: "reset behind far more", extraBytes: 512 << 10, reset: true},
 	}
-	rng := rand.New(rand.NewPCG(*leaveSeed, 1))
+	rng := rand.New(rand.NewPCG(*disconnectSeed, 1))
 	type disconnectedClient struct {
 		at  time.Time
 		way *disconnection
 	}
 	disconnected := map[string]disconnectedClient{} // by request ID
 	var clients sync.WaitGroup
-	for i := range *leaves {
+	for i := range *disconnectClients {
 		id := fmt.Sprint("r", i)
 		wait := time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
 		way := ways[rng.IntN(len(ways))]
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -18,8 +18,8 @@
 	"hazelwing/internal/testcluster"
 )
 
-// maxStoryLines is the number of lines of logs that a failure prints: the first hundred and the last ones.
-const maxStoryLines = 400
+// maxTimelineLines is the number of lines of logs that a failure prints: the first hundred and the last ones.
+const maxTimelineLines = 400
 
 var (
 	fleetRounds = flag.Int("fleet.rounds", 1, "how often TestFleet plays each script, with another seed each time")
@@ -27,8 +27,8 @@
 	fleetSeed   = flag.Uint64("fleet.seed", 1, "the first seed of TestFleet")
 )
 
-// fastFleet has intervals with which a script of many faults passes within seconds.
-const fastFleet = `probe = "250ms"
+// fastClusterOptions has intervals with which a script of many faults passes within seconds.
+const fastClusterOptions = `probe = "250ms"
 timeout = "120ms"
 gossip = "40ms"
 sync = "2s"
@@ -37,16 +37,16 @@
 keep_words = "8s"
 `
 
-// newFleetRig returns a test cluster whose processes run this test's own program.
-func newFleetRig(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Cluster {
+// newTestCluster returns a test cluster whose processes run this test's own program.
+func newTestCluster(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Cluster {
 	t.Helper()
 	c.Members = members
 	c.Seed = seed
 	c.Dir = t.TempDir()
 	c.Program = []string{os.Args[0]}
-	c.Env = []string{testRun + "=1"}
+	c.Env = []string{daemonVariable + "=1"}
 	if c.ClusterOptions == "" {
-		c.ClusterOptions = fastFleet
+		c.ClusterOptions = fastClusterOptions
 	}
 	r, err := testcluster.New(c)
 	if err != nil {
@@ -56,27 +56,27 @@
 	return r
 }
 
-// playFleet plays a script. A failure prints the script, the seed and all logs, ordered by time.
-func playFleet(t *testing.T, r *testcluster.Cluster, script string) {
+// playScript plays a script. A failure prints the script, the seed and all logs, ordered by time.
+func playScript(t *testing.T, r *testcluster.Cluster, script string) {
 	t.Helper()
 	if err := r.Play(t.Context(), script); err != nil {
 		story := r.Timeline()
-		if lines := strings.Split(story, "\n"); len(lines) > maxStoryLines {
-			story = strings.Join(append(append(lines[:100:100], "..."), lines[len(lines)-maxStoryLines+100:]...), "\n")
+		if lines := strings.Split(story, "\n"); len(lines) > maxTimelineLines {
+			story = strings.Join(append(append(lines[:100:100], "..."), lines[len(lines)-maxTimelineLines+100:]...), "\n")
 		}
 		t.Fatalf("%v\n%s", err, story)
 	}
 	for _, w := range r.Waits {
 		t.Logf("%-40s %v", w.Step, w.Duration)
 	}
-	logAnswers(t, r)
+	logOutcomes(t, r)
 	if r.Outcomes.Served.Load() == 0 {
 		t.Error("nothing was served")
 	}
 }
 
-// logAnswers logs how the requests to a test cluster ended.
-func logAnswers(t *testing.T, r *testcluster.Cluster) {
+// logOutcomes logs how the requests to a test cluster ended.
+func logOutcomes(t *testing.T, r *testcluster.Cluster) {
 	t.Helper()
 	a := &r.Outcomes
 	t.Logf("served %d, refused %d, failed %d, broken off %d",
@@ -99,8 +99,8 @@
 		}
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) {
 			for round := range *fleetRounds {
-				r := newFleetRig(t, *fleetSize, *fleetSeed+uint64(round), testcluster.Config{})
-				playFleet(t, r, string(text))
+				r := newTestCluster(t, *fleetSize, *fleetSeed+uint64(round), testcluster.Config{})
+				playScript(t, r, string(text))
 				r.Close()
 			}
 		})
@@ -109,8 +109,8 @@
 
 // The command shows the view of a running sidecar, and its exit status tells whether all members are alive.
 func TestFleetCommand(t *testing.T) {
-	r := newFleetRig(t, 3, 1, testcluster.Config{})
-	playFleet(t, r, "start all\nsettle 1s 30s")
+	r := newTestCluster(t, 3, 1, testcluster.Config{})
+	playScript(t, r, "start all\nsettle 1s 30s")
 	out, err := execute("fleet", "--admin", r.AdminAddr(1))
 	if err != nil ||
 		!strings.Contains(out, "m01 (itself)") ||
@@ -156,7 +156,7 @@
 	if *fleetTimes == 0 {
 		t.Skip("a measurement: -fleet.times")
 	}
-	r := newFleetRig(t, *fleetSize, *fleetSeed, testcluster.Config{})
+	r := newTestCluster(t, *fleetSize, *fleetSeed, testcluster.Config{})
 	half := *fleetSize / 2
 	times := map[string][]time.Duration{}
 	play := func(script string, names ...string) {
@@ -194,5 +194,5 @@
 	for _, f := range r.Violations() {
 		t.Error(f)
 	}
-	logAnswers(t, r)
+	logOutcomes(t, r)
 }
--- a/cmd/hazelwing/hup_test.go
+++ b/cmd/hazelwing/hup_test.go
@@ -32,7 +32,7 @@
 	}
 	defer log.Close()
 	cmd := exec.CommandContext(t.Context(), "/bin/sh", "-c", string(m[1])+`kill -HUP $$; exec "$0"`, os.Args[0])
-	startAlone(t, cmd, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, testutil.UnusedAddr), log)
+	startDaemon(t, cmd, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, testutil.UnusedAddr), log)
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -23,26 +23,26 @@
 )
 
 var (
-	kills    = flag.Int("kills", 6, "how often TestKilled kills the daemon, for each durability")
-	killMode = flag.String("kill.durable", "",
+	kills          = flag.Int("kills", 6, "how often TestKilled kills the daemon, for each durability")
+	killDurability = flag.String("kill.durable", "",
 		"TestKilled with this durability only: \"off\" shows what the disk is for")
 	killSeed = flag.Uint64("kill.seed", 1, "seed of TestKilled")
 )
 
-// testRun is the environment variable that makes this test's program the daemon.
-const testRun = "HAZELWING_TEST_RUN"
+// daemonVariable is the environment variable that makes this test's program the daemon.
+const daemonVariable = "HAZELWING_TEST_RUN"
 
 // The test's own program is also the daemon, the emulated nodes and the forwarder that tests start as processes.
 func TestMain(m *testing.M) {
-	if os.Getenv(testRun) != "" {
+	if os.Getenv(daemonVariable) != "" {
 		daemonMain()
 		return
 	}
-	if os.Getenv(testServers) != "" {
+	if os.Getenv(serversVariable) != "" {
 		serversMain()
 		return
 	}
-	if os.Getenv(testForward) != "" {
+	if os.Getenv(forwardVariable) != "" {
 		forwardMain()
 		return
 	}
@@ -55,8 +55,8 @@
 	{Name: "pay", Effect: "keyed", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
 }
 
-// daemonRig is a daemon as a process of its own, with emulated nodes in this one.
-type daemonRig struct {
+// daemonProcess is a daemon as a process of its own, with emulated nodes in this one.
+type daemonProcess struct {
 	t          *testing.T
 	fleet      *emulator.Fleet
 	addr       string
@@ -73,9 +73,9 @@
 	generation int64 // of the daemon that it has connections to
 }
 
-// newDaemonRig returns a daemon that is not started yet. The text of the operator's file, empty for none, has DIR for
+// newDaemonProcess returns a daemon that is not started yet. The text of the operator's file, empty for none, has DIR for
 // an empty directory.
-func newDaemonRig(t *testing.T, operator string) *daemonRig {
+func newDaemonProcess(t *testing.T, operator string) *daemonProcess {
 	t.Helper()
 	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}
 	var nodes []emulator.NodeConfig
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &daemonRig{t: t, fleet: fleet, addr: l.Addr().String()}
+	r := &daemonProcess{t: t, fleet: fleet, addr: l.Addr().String()}
 	l.Close()
 	text, err := emulator.PlatformConfig(traffic, r.addr, fleet.Discovery.Addr(), "7")
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 	dir := t.TempDir()
 	write := func(name, text string) string { return testutil.WriteFile(t, dir, name, text) }
-	r.env = append(os.Environ(), testRun+"=1", "RELAY_CONFIG="+write("platform.json", string(text)))
+	r.env = append(os.Environ(), daemonVariable+"=1", "RELAY_CONFIG="+write("platform.json", string(text)))
 	if operator != "" {
 		operatorText := strings.ReplaceAll(operator, "DIR", filepath.Join(dir, "ledger"))
 		r.env = append(r.env, operatorVariable+"="+write("operator.toml", operatorText))
@@ -119,7 +119,7 @@
 	return r
 }
 
-func (r *daemonRig) start() {
+func (r *daemonProcess) start() {
 	r.t.Helper()
 	r.cmd = exec.CommandContext(r.t.Context(), os.Args[0])
 	r.cmd.Env = r.env
@@ -137,7 +137,7 @@
 	r.generation.Add(1)
 }
 
-func (r *daemonRig) kill() {
+func (r *daemonProcess) kill() {
 	if r.cmd != nil {
 		r.generation.Add(1)
 		_ = r.cmd.Process.Kill() // it may have ended
@@ -151,7 +151,7 @@
 
 const (
 	served attemptOutcome = iota
-	refused
+	rejected
 	failed
 	broken // the connection, with the daemon
 
@@ -159,7 +159,7 @@
 )
 
 // attempt sends one request with an ID of its own. A daemon that runs all the while must respond to it.
-func (r *daemonRig) attempt(c *killClient, class emulator.TrafficClass, key, id string) attemptOutcome {
+func (r *daemonProcess) attempt(c *killClient, class emulator.TrafficClass, key, id string) attemptOutcome {
 	generation := r.generation.Load()
 	if generation != c.generation { // connections to another daemon are of no use
 		c.transport.CloseIdleConnections()
@@ -187,7 +187,7 @@
 	return outcome
 }
 
-func (r *daemonRig) exchange(
+func (r *daemonProcess) exchange(
 	client *http.Client, req *http.Request, class emulator.TrafficClass, key, id string,
 ) attemptOutcome {
 	resp, err := client.Do(req)
@@ -208,7 +208,7 @@
 		if runs := r.fleet.Rules.KeyExecutions(key); runs > 0 && class.Effect == "unsafe" {
 			r.t.Errorf("%s with key %s was refused after it ran", id, key)
 		}
-		return refused
+		return rejected
 	case resp.StatusCode == http.StatusBadGateway, resp.StatusCode == http.StatusGatewayTimeout:
 		return failed
 	}
@@ -223,14 +223,14 @@
 //	go test ./cmd/hazelwing -run Killed -kills 200 -timeout 30m
 func TestKilled(t *testing.T) {
 	for _, durable := range []string{"always", "batch"} {
-		if *killMode != "" {
-			durable = *killMode
+		if *killDurability != "" {
+			durable = *killDurability
 		}
 		t.Run(durable, func(t *testing.T) {
 			t.Parallel()
 			testKilled(t, durable)
 		})
-		if *killMode != "" {
+		if *killDurability != "" {
 			break
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // runKillClient sends requests until stop is closed, with up to four attempts for each.
-func (r *daemonRig) runKillClient(n int, stop <-chan struct{}, counts *killCounts) {
+func (r *daemonProcess) runKillClient(n int, stop <-chan struct{}, counts *killCounts) {
 	const attempts = 4
 	rng := rand.New(rand.NewPCG(*killSeed, uint64(n)))
 	transport := &http.Transport{DisableKeepAlives: rng.IntN(2) == 0}
@@ -281,7 +281,7 @@
 	if durable != "off" {
 		operator += "dir = \"DIR\"\n"
 	}
-	r := newDaemonRig(t, operator)
+	r := newDaemonProcess(t, operator)
 	r.start()
 	const clients = 12
 	stop := make(chan struct{})
@@ -305,8 +305,8 @@
 	ends, later := &counts.all, &counts.afterKill
 	t.Logf("%s: %d kills, %d executions; tries served %d, refused %d, failed %d, broken off %d; "+
 		"after a kill served %d, refused %d, failed %d", durable, *kills, total,
-		ends[served].Load(), ends[refused].Load(), ends[failed].Load(), ends[broken].Load(),
-		later[served].Load(), later[refused].Load(), later[failed].Load())
+		ends[served].Load(), ends[rejected].Load(), ends[failed].Load(), ends[broken].Load(),
+		later[served].Load(), later[rejected].Load(), later[failed].Load())
 	if ends[served].Load() == 0 || later[failed].Load() == 0 {
 		t.Error("nothing was served, or no repeat came to a daemon that had been killed")
 	}
@@ -342,7 +342,7 @@
 			default:
 				operator = fmt.Sprintf("[ledger]\ndurable = %q\ndir = \"DIR\"\n", mode)
 			}
-			r := newDaemonRig(t, operator)
+			r := newDaemonProcess(t, operator)
 			r.start()
 			do, idle := emulator.HTTPClient(r.addr, r.fleet.Rules)
 			var unsafe, safe *emulator.Report
--- a/cmd/hazelwing/links_test.go
+++ b/cmd/hazelwing/links_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// formerPagesFolder holds what was written earlier and stays as it was, links included.
-const formerPagesFolder = moduleRoot + "/journal"
+// journalFolder holds what was written earlier and stays as it was, links included.
+const journalFolder = moduleRoot + "/journal"
 
 var (
 	// pageLink is a link of Markdown with its target.
@@ -30,7 +30,7 @@
 func TestPageLinksLeadSomewhere(t *testing.T) {
 	checked := 0
 	walkFiles(t, moduleRoot, ".md", func(name string) {
-		if strings.HasPrefix(filepath.ToSlash(name), formerPagesFolder+"/") {
+		if strings.HasPrefix(filepath.ToSlash(name), journalFolder+"/") {
 			return
 		}
 		page, err := os.ReadFile(name)
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -28,23 +28,23 @@
 
 // The groups of the mixed fleet. Origin 1 runs the older program, the other origins the newer one.
 const (
-	mixedMembers  = 6
-	mixedOrigins  = 3
-	olderGroup    = "1-3"
-	newerGroup    = "4-6"
-	olderOrigin   = 1
-	originEpoch   = 2
-	maxElections  = 16
-	mixedPatience = 2 * testutil.WaitTimeout
-	// longMemory keeps the dead in the members' views for longer than any wait of this test, so that a wait
+	mixedMembers     = 6
+	mixedOrigins     = 3
+	olderGroup       = "1-3"
+	newerGroup       = "4-6"
+	olderOrigin      = 1
+	originEpoch      = 2
+	maxElections     = 16
+	mixedWaitTimeout = 2 * testutil.WaitTimeout
+	// longForgetOption keeps the dead in the members' views for longer than any wait of this test, so that a wait
 	// for "dead" cannot miss it.
-	longMemory = "forget = \"2m\"\n"
+	longForgetOption = "forget = \"2m\"\n"
 )
 
-// mixedRig is a cluster of members and origins of which some run the older program and some the newer one.
-type mixedRig struct {
-	*configRig
-	list  *listRig
+// mixedCluster is a cluster of members and origins of which some run the older program and some the newer one.
+type mixedCluster struct {
+	*configCluster
+	list  *listCluster
 	newer []string // the command of the newer program
 }
 
@@ -58,28 +58,28 @@
 		t.Log("not run: -older names no program")
 		return
 	}
-	r := newMixedRig(t)
+	r := newMixedCluster(t)
 	r.checkGossip()
-	r.checkServerList()
+	r.checkEndpointList()
 	revision := r.checkConfiguration()
 	r.checkUpgrade(revision)
-	r.end()
+	r.checkFinalState()
 }
 
-// newMixedRig starts the fleet with discovery out of reach of the newer members.
-func newMixedRig(t *testing.T) *mixedRig {
+// newMixedCluster starts the fleet with discovery out of reach of the newer members.
+func newMixedCluster(t *testing.T) *mixedCluster {
 	t.Helper()
 	config := testcluster.Config{
 		Origins:         mixedOrigins,
-		ClusterOptions:  strings.Replace(fastFleet, "forget = \"6s\"\n", longMemory, 1),
+		ClusterOptions:  strings.Replace(fastClusterOptions, "forget = \"6s\"\n", longForgetOption, 1),
 		OperatorOptions: "[recovery]\nask = 2\nfan = 4\n",
 		ConfigOptions:   "ask = 3\nfan = 4\nwait = \"1s\"\n",
 	}
-	cluster := newFleetRig(t, mixedMembers, 7, config)
-	r := &mixedRig{
-		configRig: &configRig{Cluster: cluster, t: t, members: mixedMembers, origins: mixedOrigins},
-		list:      &listRig{Cluster: cluster, t: t, members: mixedMembers},
-		newer:     []string{os.Args[0]},
+	cluster := newTestCluster(t, mixedMembers, 7, config)
+	r := &mixedCluster{
+		configCluster: &configCluster{Cluster: cluster, t: t, members: mixedMembers, origins: mixedOrigins},
+		list:          &listCluster{Cluster: cluster, t: t, members: mixedMembers},
+		newer:         []string{os.Args[0]},
 	}
 	r.setProgram(olderGroup, *olderProgram)
 	r.setProgram(fmt.Sprintf("o%d", olderOrigin), *olderProgram)
@@ -93,7 +93,7 @@
 	return r
 }
 
-func (r *mixedRig) setProgram(group string, program ...string) {
+func (r *mixedCluster) setProgram(group string, program ...string) {
 	r.t.Helper()
 	if err := r.SetProgram(group, program...); err != nil {
 		r.t.Fatal(err)
@@ -101,19 +101,19 @@
 }
 
 // olderMembers are the numbers of olderGroup.
-func olderMembers() []int { return numbered(1, 3) }
+func olderMembers() []int { return numberRange(1, 3) }
 
 // newerMembers are the numbers of newerGroup.
-func newerMembers() []int { return numbered(4, 6) }
+func newerMembers() []int { return numberRange(4, 6) }
 
 // originStatus returns the status of an origin.
-func (r *mixedRig) originStatus(number int) (origin.Status, error) {
+func (r *mixedCluster) originStatus(number int) (origin.Status, error) {
 	return transport.NewClient("rig", r.OriginAddr(number)).Status(r.t.Context())
 }
 
 // checkGossip compares the views of both versions with what runs, before, during and after the loss of a member
 // of each version.
-func (r *mixedRig) checkGossip() {
+func (r *mixedCluster) checkGossip() {
 	r.t.Helper()
 	for _, n := range r.all() {
 		r.checkExecutable(n)
@@ -121,7 +121,7 @@
 	r.checkNothingRejected()
 	for _, killed := range []int{olderMembers()[0], newerMembers()[0]} {
 		others := slices.DeleteFunc(r.all(), func(n int) bool { return n == killed })
-		r.play(fmt.Sprintf("kill %d\nwait state %d dead 30s %s", killed, killed, numbers(others)))
+		r.play(fmt.Sprintf("kill %d\nwait state %d dead 30s %s", killed, killed, joinNumbers(others)))
 		r.play(fmt.Sprintf("start %d\nsettle 500ms 30s", killed))
 	}
 	r.checkNothingRejected()
@@ -129,7 +129,7 @@
 }
 
 // checkExecutable verifies that a member runs the program of its version.
-func (r *mixedRig) checkExecutable(n int) {
+func (r *mixedCluster) checkExecutable(n int) {
 	r.t.Helper()
 	path := r.newer[0]
 	if slices.Contains(olderMembers(), n) {
@@ -150,7 +150,7 @@
 
 // checkNothingRejected verifies that no process has dropped a message of another one as unreadable or
 // foreign: redundant paths would hide it from the other checks.
-func (r *mixedRig) checkNothingRejected() {
+func (r *mixedCluster) checkNothingRejected() {
 	r.t.Helper()
 	for _, n := range r.all() {
 		var view gossip.Status
@@ -175,9 +175,9 @@
 	}
 }
 
-// checkServerList lets only one version reach discovery, then only the other: each change of the list has
+// checkEndpointList lets only one version reach discovery, then only the other: each change of the list has
 // to cross the versions.
-func (r *mixedRig) checkServerList() {
+func (r *mixedCluster) checkEndpointList() {
 	r.t.Helper()
 	r.checkListCrosses("n1", olderMembers(), newerMembers())
 	r.play("discovery all heal\ndiscovery " + olderGroup + " cut")
@@ -188,7 +188,7 @@
 
 // checkListCrosses drains a server and verifies that the group that cannot reach discovery learns it from
 // the group that can.
-func (r *mixedRig) checkListCrosses(server string, from, to []int) {
+func (r *mixedCluster) checkListCrosses(server string, from, to []int) {
 	r.t.Helper()
 	before := r.Servers.Discovery.Version()
 	r.play("server " + server + " drain")
@@ -217,17 +217,17 @@
 
 // checkConfiguration pushes changes through every origin and by both versions' command, across the versions
 // of the members, and under a leader of each version, which is then killed. It returns the latest revision.
-func (r *mixedRig) checkConfiguration() (revision controlplane.Revision) {
+func (r *mixedCluster) checkConfiguration() (revision controlplane.Revision) {
 	r.t.Helper()
 	for k := 1; k <= r.origins; k++ {
-		revision, _ = r.pushUntilAccepted(k, r.file(""))
+		revision, _ = r.pushUntilAccepted(k, r.writeSnapshot(""))
 		r.waitInForce(fmt.Sprintf("pushed to origin %d", k), revision)
 	}
 	revision = r.pushByOlderCommand(mixedOrigins, revision)
 	r.waitInForce("pushed by the older command to a newer origin", revision)
 	for _, unreachable := range []string{olderGroup, newerGroup} {
 		r.play("cut " + unreachable + " origins")
-		revision, _ = r.pushUntilAccepted(mixedOrigins, r.file(""))
+		revision, _ = r.pushUntilAccepted(mixedOrigins, r.writeSnapshot(""))
 		r.waitInForce("members "+unreachable+" reach no origin", revision)
 		r.play("heal")
 	}
@@ -239,11 +239,11 @@
 }
 
 // pushByOlderCommand pushes a change by the older program's command line.
-func (r *mixedRig) pushByOlderCommand(number int, latest controlplane.Revision) controlplane.Revision {
+func (r *mixedCluster) pushByOlderCommand(number int, latest controlplane.Revision) controlplane.Revision {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.WaitTimeout)
 	defer cancel()
-	command := exec.CommandContext(ctx, *olderProgram, "config", "push", r.file(""),
+	command := exec.CommandContext(ctx, *olderProgram, "config", "push", r.writeSnapshot(""),
 		"--fleet", "rig", "--origin", r.OriginAddr(number),
 		"--after", fmt.Sprint(latest.Version), "--wait", "0", "--json")
 	output, err := command.Output()
@@ -259,15 +259,15 @@
 
 // checkLeader makes an origin of a version the leader, pushes through it, kills it and pushes again. It
 // returns the latest revision.
-func (r *mixedRig) checkLeader(older bool) (revision controlplane.Revision) {
+func (r *mixedCluster) checkLeader(older bool) (revision controlplane.Revision) {
 	r.t.Helper()
 	leader := r.elect(older)
 	for k := 1; k <= r.origins; k++ {
-		revision, _ = r.pushUntilAccepted(k, r.file(""))
+		revision, _ = r.pushUntilAccepted(k, r.writeSnapshot(""))
 	}
 	r.waitInForce(fmt.Sprintf("origin %d leads", leader), revision)
 	r.play(fmt.Sprintf("kill o%d", leader))
-	revision, _ = r.pushUntilAccepted(1+leader%r.origins, r.file(""))
+	revision, _ = r.pushUntilAccepted(1+leader%r.origins, r.writeSnapshot(""))
 	r.waitInForce(fmt.Sprintf("origin %d, which led, is killed", leader), revision)
 	r.play(fmt.Sprintf("start o%d", leader))
 	r.waitOrigins(revision)
@@ -275,7 +275,7 @@
 }
 
 // elect kills and restarts leaders until one of the wanted version leads.
-func (r *mixedRig) elect(older bool) (leader int) {
+func (r *mixedCluster) elect(older bool) (leader int) {
 	r.t.Helper()
 	for range maxElections {
 		if leader = r.leader(); (leader == olderOrigin) == older {
@@ -291,7 +291,7 @@
 
 // waitInForce waits until all members act on a revision, and until the report of each running origin agrees. It
 // reads the admin endpoints and not the logs, whose messages may differ between the versions.
-func (r *mixedRig) waitInForce(what string, revision controlplane.Revision) {
+func (r *mixedCluster) waitInForce(what string, revision controlplane.Revision) {
 	r.t.Helper()
 	startedAt := time.Now()
 	r.waitUntil(what, func() error {
@@ -310,7 +310,7 @@
 }
 
 // reportsDiffer returns an error unless all origins that respond count all members as acting on a revision.
-func (r *mixedRig) reportsDiffer(revision controlplane.Revision) error {
+func (r *mixedCluster) reportsDiffer(revision controlplane.Revision) error {
 	expected := controlplane.RevisionCount{Revision: revision, Count: r.members}
 	responses := 0
 	for k := 1; k <= r.origins; k++ {
@@ -330,7 +330,7 @@
 }
 
 // waitOrigins waits until every origin has a revision.
-func (r *mixedRig) waitOrigins(revision controlplane.Revision) {
+func (r *mixedCluster) waitOrigins(revision controlplane.Revision) {
 	r.t.Helper()
 	r.waitUntil("all origins have the latest change", func() error {
 		for k := 1; k <= r.origins; k++ {
@@ -347,16 +347,16 @@
 }
 
 // waitUntil waits until a condition returns no error.
-func (r *mixedRig) waitUntil(what string, condition func() error) {
+func (r *mixedCluster) waitUntil(what string, condition func() error) {
 	r.t.Helper()
-	deadline := time.Now().Add(mixedPatience)
+	deadline := time.Now().Add(mixedWaitTimeout)
 	for {
 		err := condition()
 		if err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			r.fail(fmt.Errorf("%s: not within %v: %w", what, mixedPatience, err))
+			r.fail(fmt.Errorf("%s: not within %v: %w", what, mixedWaitTimeout, err))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -364,7 +364,7 @@
 
 // checkUpgrade restarts an older member and the older origin by the newer program, each without
 // others to call: they continue with the state that the older program stored. Then the whole cluster is started.
-func (r *mixedRig) checkUpgrade(revision controlplane.Revision) {
+func (r *mixedCluster) checkUpgrade(revision controlplane.Revision) {
 	r.t.Helper()
 	const upgraded = 1
 	for _, n := range r.all() {
@@ -386,14 +386,14 @@
 	}
 
 	r.play("start 2-6\nstart o2-3\nsettle 500ms 30s")
-	revision, _ = r.pushUntilAccepted(olderOrigin, r.file(""))
+	revision, _ = r.pushUntilAccepted(olderOrigin, r.writeSnapshot(""))
 	r.waitInForce("a member and the older origin were upgraded", revision)
 	r.waitOrigins(revision)
 	r.checkNothingRejected()
 }
 
 // waitStored waits until a member's directory holds a revision as its last known one.
-func (r *mixedRig) waitStored(n int, revision controlplane.Revision) {
+func (r *mixedCluster) waitStored(n int, revision controlplane.Revision) {
 	r.t.Helper()
 	r.waitUntil(fmt.Sprintf("member %d stores %v", n, revision), func() error {
 		text, err := os.ReadFile(filepath.Join(r.ConfigDir(n), "last-known.json"))
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// listRig is a test cluster whose members get the endpoint list from each other.
-type listRig struct {
+// listCluster is a test cluster whose members get the endpoint list from each other.
+type listCluster struct {
 	*testcluster.Cluster
 	t       *testing.T
 	members int
@@ -21,7 +21,7 @@
 
 // sources returns from whom each member of a group has its endpoint list, as text, which of them call discovery
 // themselves, and whether all have discovery's version from a source that works.
-func (r *listRig) sources(group []int) (text []string, callers []int, current bool) {
+func (r *listCluster) sources(group []int) (text []string, callers []int, current bool) {
 	current = true
 	for _, n := range group {
 		var s relay.SourceState
@@ -39,7 +39,7 @@
 
 // waitCurrent waits until all members of a group have discovery's version from a source that works. It returns those
 // that call discovery themselves.
-func (r *listRig) waitCurrent(what string, group []int) (callers []int) {
+func (r *listCluster) waitCurrent(what string, group []int) (callers []int) {
 	r.t.Helper()
 	startedAt := time.Now()
 	var text []string
@@ -55,27 +55,27 @@
 	return callers
 }
 
-func (r *listRig) play(script string) {
+func (r *listCluster) play(script string) {
 	r.t.Helper()
 	if err := r.Play(r.t.Context(), script); err != nil {
 		r.t.Fatalf("%v\n%s", err, r.Timeline())
 	}
 }
 
-// numbers returns a list of members as scripts have it.
-func numbers(list []int) string {
+// joinNumbers returns a list of members as scripts have it.
+func joinNumbers(list []int) string {
 	return strings.Trim(strings.ReplaceAll(fmt.Sprint(list), " ", ","), "[]")
 }
 
 // The endpoint list is relayed by the cluster: a few members call discovery, also when all start at once or restart.
 // When these are killed or cannot reach discovery, others do. Each change reaches all members.
-func TestListByWayOfTheFleet(t *testing.T) {
+func TestEndpointListIsRelayed(t *testing.T) {
 	const members, wantCallers = 12, 2
 	config := testcluster.Config{
 		OperatorOptions: "[recovery]\nask = 2\nfan = 3\nrate = 5.0\n",
 		Servers:         6,
 	}
-	r := &listRig{t: t, members: members, Cluster: newFleetRig(t, members, 3, config)}
+	r := &listCluster{t: t, members: members, Cluster: newTestCluster(t, members, 3, config)}
 	var all []int
 	for n := 1; n <= members; n++ {
 		all = append(all, n)
@@ -90,7 +90,7 @@
 	r.play("server n1 drain")
 	r.waitCurrent("a server drains", all)
 
-	r.play("kill " + numbers(callers))
+	r.play("kill " + joinNumbers(callers))
 	var left []int
 	for _, n := range all {
 		if !slices.Contains(callers, n) {
@@ -100,10 +100,10 @@
 	r.waitCurrent("those who ask were killed", left)
 	r.play("server n2 drain")
 	r.waitCurrent("a server drains meanwhile", left)
-	r.play("start " + numbers(callers) + "\nsettle 500ms 30s")
+	r.play("start " + joinNumbers(callers) + "\nsettle 500ms 30s")
 	callers = r.waitCurrent("they came back", all)
 
-	r.play("discovery " + numbers(callers) + " cut\nserver n3 drain")
+	r.play("discovery " + joinNumbers(callers) + " cut\nserver n3 drain")
 	r.waitCurrent("those who ask cannot reach discovery", all)
 	r.play("discovery all heal\nsettle 500ms 30s")
 
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -19,13 +19,13 @@
 )
 
 var (
-	shareLength  = flag.Duration("share.length", 0, "TestShare: how long each run takes; 0: it is skipped")
-	shareServers = flag.String("share.servers", "60,590,2000", "TestShare: numbers of servers")
-	shareRates   = flag.String("share.rates", "59,400", "TestShare: requests a second")
-	shareOthers  = flag.String("share.balancers", "590,1", "TestShare: sidecars that the settings tell")
-	shareCopies  = flag.Bool("share.copies", false, "TestShare: the settings allow second copies")
-	shareRounds  = flag.Int("share.rounds", 1, "TestShare: how often each run is made, in turns")
-	shareProfile = flag.String("share.profile", "",
+	shareLength    = flag.Duration("share.length", 0, "TestShare: how long each run takes; 0: it is skipped")
+	shareServers   = flag.String("share.servers", "60,590,2000", "TestShare: numbers of servers")
+	shareRates     = flag.String("share.rates", "59,400", "TestShare: requests a second")
+	shareBalancers = flag.String("share.balancers", "590,1", "TestShare: sidecars that the settings tell")
+	shareHedging   = flag.Bool("share.copies", false, "TestShare: the settings allow second copies")
+	shareRounds    = flag.Int("share.rounds", 1, "TestShare: how often each run is made, in turns")
+	shareProfile   = flag.String("share.profile", "",
 		"TestShare: directory for the sidecar's processor profiles; they cost some of what they measure")
 )
 
@@ -47,11 +47,11 @@
 	next    atomic.Int64
 
 	mu     sync.Mutex // guards served
-	served []timing
+	served []timedRequest
 }
 
-// timing is a served request.
-type timing struct {
+// timedRequest is a served request.
+type timedRequest struct {
 	due      time.Time // when it was to be sent
 	route    route
 	duration time.Duration // from then
@@ -67,7 +67,7 @@
 		due := deadline.Add(-s.Deadline)
 		duration := time.Since(due)
 		r.mu.Lock()
-		r.served = append(r.served, timing{due, by, duration})
+		r.served = append(r.served, timedRequest{due, by, duration})
 		r.mu.Unlock()
 	}
 	return kind
@@ -76,7 +76,7 @@
 // undisturbed returns the requests of those windows of a tenth of a second in which no call of the other routes took
 // more than 1.5 times the median of its route. The sidecar's own requests are not considered. This excludes figures
 // of a busy machine.
-func undisturbed(timings []timing) (selected []timing) {
+func undisturbed(timings []timedRequest) (selected []timedRequest) {
 	const window = 100 * time.Millisecond
 	quantile := quantiles(timings)
 	disturbed := map[time.Time]bool{}
@@ -95,7 +95,7 @@
 
 // quantiles returns a function for the quantiles of a route's durations, in milliseconds; 0 where there are no
 // requests.
-func quantiles(timings []timing) func(by route, q float64) float64 {
+func quantiles(timings []timedRequest) func(by route, q float64) float64 {
 	var durations [routes][]time.Duration
 	for _, t := range timings {
 		durations[t.route] = append(durations[t.route], t.duration)
@@ -114,7 +114,7 @@
 
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-func countRoute(timings []timing, by route) (n int) {
+func countRoute(timings []timedRequest, by route) (n int) {
 	for _, t := range timings {
 		if t.route == by {
 			n++
@@ -124,7 +124,7 @@
 }
 
 // addedLatency returns how much longer a route takes than direct calls on open connections, at four quantiles.
-func addedLatency(timings []timing, by route) string {
+func addedLatency(timings []timedRequest, by route) string {
 	quantile := quantiles(timings)
 	var columns []string
 	for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
@@ -161,7 +161,7 @@
 	for round := range *shareRounds {
 		for _, n := range parseNumbers(t, *shareServers) {
 			for _, rate := range parseNumbers(t, *shareRates) {
-				for _, balancers := range parseNumbers(t, *shareOthers) {
+				for _, balancers := range parseNumbers(t, *shareBalancers) {
 					name := fmt.Sprintf("%d/%d servers/%d a second/%d sidecars", round, n, rate, balancers)
 					t.Run(name, func(t *testing.T) { testShare(t, n, rate, balancers) })
 				}
@@ -207,9 +207,9 @@
 		profile = filepath.Join(*shareProfile, fmt.Sprintf("share-%d-%d-%d.pprof", n, rate, balancers))
 	}
 	s := startServers(t, n, 2*time.Millisecond)
-	sidecar := startSidecar(t, s, balancers, *shareCopies, profile)
-	forwarder := startHelper(t, 1, testForward+"="+s.addrs[0], "GOMAXPROCS=1")
-	run := func(plan load.Plan) ([]timing, load.Report) {
+	sidecar := startSidecar(t, s, balancers, *shareHedging, profile)
+	forwarder := startHelper(t, 1, forwardVariable+"="+s.addrs[0], "GOMAXPROCS=1")
+	run := func(plan load.Plan) ([]timedRequest, load.Report) {
 		newTarget := func(addr string) load.Target {
 			h := load.NewHTTP("http://" + addr)
 			t.Cleanup(h.Close)
@@ -249,7 +249,7 @@
 }
 
 // latencyColumns returns the columns of TestShare's table from the added latency to the latency of direct calls.
-func latencyColumns(timings []timing) string {
+func latencyColumns(timings []timedRequest) string {
 	quantile, quiet := quantiles(timings), undisturbed(timings)
 	return fmt.Sprintf("%s | %s | %d | %s | %s | %.2f | %.2f",
 		addedLatency(timings, viaSidecar), addedLatency(quiet, viaSidecar), countRoute(quiet, viaSidecar),
@@ -259,7 +259,7 @@
 
 // usageColumns returns the columns of TestShare's table from the attempts of a request to the forwarder's context
 // switches.
-func usageColumns(timings []timing, before, after shareUsage) string {
+func usageColumns(timings []timedRequest, before, after shareUsage) string {
 	served := float64(countRoute(timings, viaSidecar))
 	otherRequests := int64(len(timings)) - int64(served)
 	otherConns := int64(countRoute(timings, directNewConn))
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -26,15 +26,15 @@
 
 // Environment variables of this test's program as a process of its own.
 const (
-	testServers = "HAZELWING_TEST_SERVERS" // runs this number of plain servers
-	testWork    = "HAZELWING_TEST_WORK"    // the time that their responses take
-	testProfile = "HAZELWING_TEST_PROFILE" // the file for the daemon's processor profile
-	testForward = "HAZELWING_TEST_FORWARD" // only forwards bytes to this address
+	serversVariable = "HAZELWING_TEST_SERVERS" // runs this number of plain servers
+	workVariable    = "HAZELWING_TEST_WORK"    // the time that their responses take
+	profileVariable = "HAZELWING_TEST_PROFILE" // the file for the daemon's processor profile
+	forwardVariable = "HAZELWING_TEST_FORWARD" // only forwards bytes to this address
 )
 
 // daemonMain is main, with a processor profile if testProfile names a file.
 func daemonMain() {
-	path := os.Getenv(testProfile)
+	path := os.Getenv(profileVariable)
 	if path == "" {
 		main()
 		return
@@ -63,8 +63,8 @@
 // connections open. It prints their addresses, a line each, and then their counts for each line on standard input. It
 // ends with that.
 func serversMain() {
-	n, err := strconv.Atoi(os.Getenv(testServers))
-	work, workErr := time.ParseDuration(os.Getenv(testWork))
+	n, err := strconv.Atoi(os.Getenv(serversVariable))
+	work, workErr := time.ParseDuration(os.Getenv(workVariable))
 	if err = errors.Join(err, workErr); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -131,7 +131,7 @@
 			}
 			go func() {
 				defer in.Close()
-				out, err := net.Dial("tcp", os.Getenv(testForward))
+				out, err := net.Dial("tcp", os.Getenv(forwardVariable))
 				if err != nil {
 					return
 				}
@@ -152,8 +152,8 @@
 	_, _ = io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
 
-// servers are plain servers in a process of their own.
-type servers struct {
+// helperProcess are plain helperProcess in a process of their own.
+type helperProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
 	addrs  []string
@@ -161,13 +161,13 @@
 	stdout *bufio.Reader
 }
 
-func startServers(t *testing.T, n int, work time.Duration) *servers {
+func startServers(t *testing.T, n int, work time.Duration) *helperProcess {
 	t.Helper()
-	return startHelper(t, n, fmt.Sprintf("%s=%d", testServers, n), fmt.Sprintf("%s=%v", testWork, work))
+	return startHelper(t, n, fmt.Sprintf("%s=%d", serversVariable, n), fmt.Sprintf("%s=%v", workVariable, work))
 }
 
 // startHelper starts this test's program as another one, which prints n addresses.
-func startHelper(t *testing.T, n int, env ...string) *servers {
+func startHelper(t *testing.T, n int, env ...string) *helperProcess {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), env...)
@@ -187,7 +187,7 @@
 		stdin.Close()
 		_ = cmd.Wait() // its status says nothing about the test
 	})
-	s := &servers{t: t, cmd: cmd, stdin: stdin, stdout: bufio.NewReader(stdout)}
+	s := &helperProcess{t: t, cmd: cmd, stdin: stdin, stdout: bufio.NewReader(stdout)}
 	for range n {
 		line, err := s.stdout.ReadString('\n')
 		if err != nil {
@@ -198,7 +198,7 @@
 	return s
 }
 
-func (s *servers) counts() (c serverCounts) {
+func (s *helperProcess) counts() (c serverCounts) {
 	s.t.Helper()
 	if _, err := io.WriteString(s.stdin, "\n"); err != nil {
 		s.t.Fatal(err)
@@ -210,9 +210,9 @@
 	return c
 }
 
-// shareRig is a sidecar as a process of its own, on one core, with the list of all servers and the number of sidecars
+// sidecarProcess is a sidecar as a process of its own, on one core, with the list of all servers and the number of sidecars
 // in its configuration.
-type shareRig struct {
+type sidecarProcess struct {
 	t    *testing.T
 	addr string
 	cmd  *exec.Cmd
@@ -244,7 +244,7 @@
 }
 
 // startSidecar starts a sidecar of a number of sidecars. It writes a processor profile to a file; empty: none.
-func startSidecar(t *testing.T, s *servers, balancers int, hedging bool, profile string) *shareRig {
+func startSidecar(t *testing.T, s *helperProcess, balancers int, hedging bool, profile string) *sidecarProcess {
 	t.Helper()
 	discovery, err := emulator.NewDiscovery()
 	if err != nil {
@@ -264,7 +264,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &shareRig{t: t, addr: l.Addr().String()}
+	r := &sidecarProcess{t: t, addr: l.Addr().String()}
 	l.Close()
 	text := sharePlatformConfig(t, r.addr, discovery, hosts, balancers, hedging)
 	dir := t.TempDir()
@@ -279,7 +279,7 @@
 	}
 	defer out.Close()
 	r.cmd = exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0]) // stop ends it
-	r.cmd.Env = append(os.Environ(), testRun+"=1", "RELAY_CONFIG="+path, "GOMAXPROCS=1", testProfile+"="+profile)
+	r.cmd.Env = append(os.Environ(), daemonVariable+"=1", "RELAY_CONFIG="+path, "GOMAXPROCS=1", profileVariable+"="+profile)
 	r.cmd.Stderr = out
 	if err := r.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -296,7 +296,7 @@
 }
 
 // stop ends the sidecar as the platform does.
-func (r *shareRig) stop() {
+func (r *sidecarProcess) stop() {
 	if r.cmd != nil {
 		_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
 		_ = r.cmd.Wait()                          // its status is no part of the measurement
--- a/cmd/hazelwing/start_test.go
+++ b/cmd/hazelwing/start_test.go
@@ -27,13 +27,13 @@
 	if set == nil {
 		t.Fatal("run sets nothing before it starts the program")
 	}
-	r := newDaemonRig(t, "")
+	r := newDaemonProcess(t, "")
 	r.env = append(r.env, set[1])
 	minThreads := 1 << 20 // on a busy machine a system call may last long enough for the runtime to start another
 	for range 5 {
 		r.start()
-		threads := processFigure(t, r.cmd, "Threads")
-		t.Logf("%d threads, %d switches of its own will", threads, processFigure(t, r.cmd, "voluntary_ctxt_switches"))
+		threads := processStatusValue(t, r.cmd, "Threads")
+		t.Logf("%d threads, %d switches of its own will", threads, processStatusValue(t, r.cmd, "voluntary_ctxt_switches"))
 		r.kill()
 		minThreads = min(minThreads, threads)
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// processFigure returns a number from the kernel's status of a process.
-func processFigure(t *testing.T, c *exec.Cmd, name string) int {
+// processStatusValue returns a number from the kernel's status of a process.
+func processStatusValue(t *testing.T, c *exec.Cmd, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
 	if err != nil {
--- a/cmd/hazelwing/alone_test.go
+++ b/cmd/hazelwing/startdaemon_test.go
@@ -12,16 +12,16 @@
 	"hazelwing/internal/testutil"
 )
 
-// startAlone starts a command, which runs the test's own program, as a daemon with this configuration, and waits
+// startDaemon starts a command, which runs the test's own program, as a daemon with this configuration, and waits
 // until it listens at the address that is returned. Its log is written to log, unless that is nil. It is killed at
 // the end of the test.
-func startAlone(t *testing.T, cmd *exec.Cmd, text string, log io.Writer) (addr string) {
+func startDaemon(t *testing.T, cmd *exec.Cmd, text string, log io.Writer) (addr string) {
 	t.Helper()
-	return startAt(t, cmd, text, "", log)
+	return startDaemonAt(t, cmd, text, "", log)
 }
 
-// startAt is startAlone for a given address; empty: any.
-func startAt(t *testing.T, cmd *exec.Cmd, text, addr string, log io.Writer) string {
+// startDaemonAt is startAlone for a given address; empty: any.
+func startDaemonAt(t *testing.T, cmd *exec.Cmd, text, addr string, log io.Writer) string {
 	t.Helper()
 	if addr == "" {
 		l, err := net.Listen("tcp", net.JoinHostPort(emulator.LoopbackHost(), "0"))
@@ -35,7 +35,7 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd.Env = append(os.Environ(), testRun+"=1", "RELAY_CONFIG="+config, "RELAY_LISTEN="+addr)
+	cmd.Env = append(os.Environ(), daemonVariable+"=1", "RELAY_CONFIG="+config, "RELAY_LISTEN="+addr)
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -68,7 +68,7 @@
 			text := strings.ReplaceAll(fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, upstream),
 				`"DeadlineMs":20000`, fmt.Sprintf(`"DeadlineMs":%d`, longest.Milliseconds()))
 			cmd := exec.CommandContext(t.Context(), os.Args[0])
-			addr := startAlone(t, cmd, text, nil)
+			addr := startDaemon(t, cmd, text, nil)
 			send := func(c net.Conn, id string) (hangResponse, error) {
 				if err := c.SetDeadline(time.Now().Add(testutil.WaitTimeout)); err != nil {
 					return hangResponse{}, err
