--- a/cmd/hazelwing/check.go
+++ b/cmd/hazelwing/check.go
@@ -10,22 +10,22 @@
 func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check an operator's file, and name each line that cannot be used",
+		Short: "Check operator's files and report each invalid line",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var latest error // printed by main; those before it are printed here
+			var lastErr error // main prints the last error; the earlier ones are printed here
 			for _, path := range args {
 				err := checkOperatorFile(path)
 				if err == nil {
 					printf(cmd.OutOrStdout(), "%s: good\n", path)
 					continue
 				}
-				if latest != nil {
-					printLine(cmd.ErrOrStderr(), latest)
+				if lastErr != nil {
+					printLine(cmd.ErrOrStderr(), lastErr)
 				}
-				latest = err
+				lastErr = err
 			}
-			return latest
+			return lastErr
 		},
 	}
 }
--- a/cmd/hazelwing/commands_full.go
+++ b/cmd/hazelwing/commands_full.go
@@ -9,17 +9,18 @@
 	"hazelwing/internal/load/grpcload"
 )
 
-// hasGRPC says that this build can load gRPC targets.
+// hasGRPC is true, because this build can send load to gRPC targets.
 const hasGRPC = true
 
-// optionalCommands returns the commands that a build with the tag "small" omits: the lab, whose plots and their fonts
-// make up half of the program.
+// optionalCommands returns the commands that a build with the tag "small" omits: only the lab. The code and the fonts
+// of its plots make up half of the program's size.
 func optionalCommands() []*cobra.Command { return []*cobra.Command{newLabCommand()} }
 
 // optionalDemos returns the demonstrations that a build with the tag "small" omits.
 func optionalDemos() []*cobra.Command { return []*cobra.Command{newDemoGraphQLCommand()} }
 
-// newGRPCTarget returns a gRPC method as a target, and what closes it. The body is the encoded request.
+// newGRPCTarget returns a target that calls a gRPC method, and a function that closes it. The body is the encoded
+// request.
 func newGRPCTarget(address string, body []byte) (load.Target, func() error, error) {
 	target, err := grpcload.Dial(address, body)
 	if err != nil {
--- a/cmd/hazelwing/commands_small.go
+++ b/cmd/hazelwing/commands_small.go
@@ -10,7 +10,7 @@
 	"hazelwing/internal/load"
 )
 
-// hasGRPC says that this build cannot load gRPC targets.
+// hasGRPC is false, because this build cannot send load to gRPC targets.
 const hasGRPC = false
 
 // optionalCommands returns the commands that only the full build has: none.
--- a/cmd/hazelwing/config.go
+++ b/cmd/hazelwing/config.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// originRequestTimeout limits one request to an origin, which answers a push within 4 s.
+	// originRequestTimeout limits one request to an origin. It exceeds the 4 s within which an origin answers a push.
 	originRequestTimeout = 8 * time.Second
 
-	// statusLaggards is the exit status if sidecars that can be reached have not activated the snapshot.
+	// statusLaggards is the exit status if reachable sidecars have not activated the snapshot, or if the origin
+	// cannot accept changes.
 	statusLaggards = 2
 )
 
 func newConfigCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "config",
-		Short: "Change what a running fleet acts on, and see who does",
+		Short: "Change the configuration of a running fleet, and show which sidecars have activated it",
 		Args:  cobra.NoArgs,
 		RunE:  printHelp,
 	}
@@ -48,27 +49,30 @@
 func (o *originOptions) addFlags(c *cobra.Command) {
 	flags := c.Flags()
 	flags.StringVar(&o.addr, "origin", os.Getenv("HAZELWING_ORIGIN"),
-		"the address of an origin (or HAZELWING_ORIGIN)")
-	flags.StringVar(&o.cluster, "fleet", os.Getenv("HAZELWING_FLEET"), "the fleet's name (or HAZELWING_FLEET)")
-	flags.BoolVar(&o.asJSON, "json", false, "as JSON")
+		"address of an origin (or HAZELWING_ORIGIN)")
+	flags.StringVar(&o.cluster, "fleet", os.Getenv("HAZELWING_FLEET"), "name of the fleet (or HAZELWING_FLEET)")
+	flags.BoolVar(&o.asJSON, "json", false, "print JSON")
 }
 
 func (o *originOptions) newClient() (*transport.Client, error) {
-	if o.addr == "" || o.cluster == "" {
-		return nil, errors.New("config: --origin and --fleet are wanted")
+	if o.addr == "" {
+		return nil, errors.New("config: the address of an origin is missing: set --origin or HAZELWING_ORIGIN")
+	}
+	if o.cluster == "" {
+		return nil, errors.New("config: the name of the fleet is missing: set --fleet or HAZELWING_FLEET")
 	}
 	return transport.NewClient(o.cluster, o.addr), nil
 }
 
-// callOrigin runs one request to an origin with its timeout.
+// callOrigin sends one request to an origin, limited by originRequestTimeout.
 func callOrigin[T any](ctx context.Context, request func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, originRequestTimeout)
 	defer cancel()
 	return request(ctx)
 }
 
-// isInForce reports whether all members that are counted have activated a revision or a later one. Members that
-// cannot be reached are not counted; the report names them.
+// isInForce reports whether all members that the report counts have activated a revision or a later one. The report
+// does not count unreachable members, but names them.
 func isInForce(report *controlplane.Report, revision controlplane.Revision) bool {
 	active := 0
 	for _, a := range report.Active {
--- a/cmd/hazelwing/config_check.go
+++ b/cmd/hazelwing/config_check.go
@@ -14,7 +14,7 @@
 func newConfigCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check snapshots, and name each line that cannot be used",
+		Short: "Check configuration snapshots and report each invalid line",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var errs []error
@@ -30,14 +30,15 @@
 	}
 }
 
-// readSnapshot reads a file and validates it. The error names the file with each fault.
+// readSnapshot reads a snapshot from a file and validates it. Each line of a validation error begins with the path.
 func readSnapshot(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > controlplane.MaxSnapshotSize {
-		return nil, fmt.Errorf("%s:1:1: %d bytes are more than %d", path, info.Size(), controlplane.MaxSnapshotSize)
+		return nil, fmt.Errorf("%s:1:1: the snapshot has %d bytes, want at most %d",
+			path, info.Size(), controlplane.MaxSnapshotSize)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/hazelwing/config_push.go
+++ b/cmd/hazelwing/config_push.go
@@ -18,23 +18,24 @@
 	"hazelwing/internal/controlplane/transport"
 )
 
-// pushPollInterval is the time between two requests for the status after a push.
+// pushPollInterval is the time between two status requests after a push.
 const pushPollInterval = 50 * time.Millisecond
 
 type pushOptions struct {
 	originOptions
-	after int64 // the version that the change was made after; below 0: the latest
+	after int64 // version on which the change is based; negative: the latest one
 	wait  time.Duration
-	id    string // identifies the push, so that repeating it is idempotent; empty: one is drawn
+	id    string // ID that makes repeating the push idempotent; empty: a random one
 }
 
-// pushResult is what push prints as JSON.
+// pushResult is the JSON output of the command push.
 type pushResult struct {
 	origin.Result
 	After uint64 `json:"after"`
-	// Took is the time until a majority of the origins had accepted it.
+	// Took is the time until a majority of the origins had accepted the snapshot.
 	Took string `json:"took,omitempty"`
-	// Within is the time from then until all members that can be reached had activated it; empty if they did not.
+	// Within is the time from the acceptance until all reachable members had activated the snapshot; empty if they
+	// did not.
 	Within string               `json:"within,omitempty"`
 	Report *controlplane.Report `json:"report,omitempty"`
 }
@@ -43,17 +44,14 @@
 	var options pushOptions
 	c := &cobra.Command{
 		Use:   "push FILE",
-		Short: "Push a snapshot, and wait until it is in force",
-		Long: `Push a snapshot to an origin. It is checked here, there, and by each sidecar; ` +
-			`a fault names file, line, column and key.
---after is the version that the change was made after, by default the one that the origin has now: where ` +
-			`another change came
-between, nothing is changed, and the push says so.
+		Short: "Push a configuration snapshot and wait until it is in force",
+		Long: `Push a snapshot to an origin. This command, the origin and each sidecar validate the snapshot; an
+error names file, line, column and key. --after is the version on which the change is based, by default the latest one.
+If another change has been accepted since that version, the push fails and changes nothing.
 
-The status is 0 where every sidecar that can be reached acts on it within --wait, 2 where it is accepted ` +
-			`and some lack it, ` +
-			`and 1 where it
-was not accepted, or nobody knows yet whether it was: then the same push with the --id that is printed is safe.`,
+The exit status is 0 if every reachable sidecar has activated the snapshot within --wait, 2 if the snapshot was accepted
+but some sidecars lack it, and 1 if it was not accepted or the outcome is unknown. If the outcome is unknown, it is safe
+to repeat the push with the --id that is printed.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return options.run(cmd.Context(), cmd.OutOrStdout(), args[0])
@@ -62,10 +60,10 @@
 	options.addFlags(c)
 	flags := c.Flags()
 	flags.Int64Var(&options.after, "after", -1,
-		"the version that the change was made after; below 0: the latest")
+		"version on which the change is based; negative: the latest one")
 	flags.DurationVar(&options.wait, "wait", 4*time.Second,
-		"how long to wait until it is in force everywhere; 0: not")
-	flags.StringVar(&options.id, "id", "", "of this push: again under the same one is safe")
+		"how long to wait until all reachable sidecars have activated the snapshot; 0: do not wait")
+	flags.StringVar(&options.id, "id", "", "ID of the push; it is safe to repeat a push with its ID")
 	return c
 }
 
@@ -105,14 +103,14 @@
 		return client.Push(ctx, id, after, text)
 	})
 	if err != nil {
-		return nil, fmt.Errorf("config: %w; whether it was accepted is not known: push again with --id %s --after %d",
+		return nil, fmt.Errorf("config: %w; the outcome of the push is unknown: repeat it with --id %s --after %d",
 			err, id, after)
 	}
 	took := time.Since(startedAt).Round(time.Millisecond)
 	return &pushResult{Result: result, After: after, Took: took.String()}, nil
 }
 
-// baseVersion returns the version that the change was made after.
+// baseVersion returns the version on which the change is based.
 func (o *pushOptions) baseVersion(ctx context.Context, client *transport.Client) (uint64, error) {
 	if o.after >= 0 {
 		return uint64(o.after), nil
@@ -121,13 +119,13 @@
 		return client.Show(ctx, false)
 	})
 	if err != nil {
-		return 0, fmt.Errorf("config: which version is the latest: %w", err)
+		return 0, fmt.Errorf("config: cannot get the latest version: %w", err)
 	}
 	return latest.Result.Revision.Version, nil
 }
 
-// waitInForce polls the origin until all members that can be reached have activated what was pushed, or a later
-// revision.
+// waitInForce polls the status until all reachable members have activated the pushed revision or a later one, or until
+// wait has passed.
 func waitInForce(ctx context.Context, client *transport.Client, result *pushResult, wait time.Duration) {
 	startedAt := time.Now()
 	for {
@@ -145,28 +143,30 @@
 	}
 }
 
-// checkPushResult returns the error, with its exit status, for a push that is not in force.
+// checkPushResult returns an error if the pushed snapshot was not accepted, or was not in force everywhere in time.
 func checkPushResult(result *pushResult, file string, wait time.Duration) error {
 	switch result.Outcome {
 	case origin.OutcomeAccepted:
 	case origin.OutcomeConflict:
-		return fmt.Errorf("config: another change came first: the latest is %v, and this one was made after version %d",
+		return fmt.Errorf("config: another change came first: the latest revision is %v, this change is based on %d",
 			result.Revision, result.After)
 	case origin.OutcomeRejected:
-		return fmt.Errorf("config: not accepted: %s", strings.ReplaceAll(result.Error, "\n", "\n"+file+":"))
+		return fmt.Errorf("config: the origin rejected the snapshot: %s",
+			strings.ReplaceAll(result.Error, "\n", "\n"+file+":"))
 	default:
-		return fmt.Errorf("config: %s: %s; it may come to be: push again with --id %s --after %d",
+		return fmt.Errorf("config: the outcome of the push is %s: %s; it may still be accepted: "+
+			"repeat it with --id %s --after %d",
 			result.Outcome, result.Error, result.ID, result.After)
 	}
 	if wait <= 0 || result.Within != "" {
 		return nil
 	}
-	reason := "nobody has told whether it acts on it"
+	reason := "no status was received from the origin"
 	if report := result.Report; report != nil {
-		reason = fmt.Sprintf("%d lack it", len(report.Laggards)+report.UnnamedLaggards)
+		reason = fmt.Sprintf("%d sidecars lack it", len(report.Laggards)+report.UnnamedLaggards)
 	}
 	return exitError{
-		err: fmt.Errorf("config: accepted as %v, and not in force everywhere within %v: %s",
+		err: fmt.Errorf("config: accepted as %v, but not in force everywhere within %v: %s",
 			result.Revision, wait, reason),
 		status: statusLaggards,
 	}
--- a/cmd/hazelwing/config_show.go
+++ b/cmd/hazelwing/config_show.go
@@ -10,7 +10,7 @@
 	"hazelwing/internal/controlplane/transport"
 )
 
-// shownSnapshot is what show prints as JSON.
+// shownSnapshot is the JSON output of the command show.
 type shownSnapshot struct {
 	Revision controlplane.Revision `json:"stamp"`
 	Text     string                `json:"text"`
@@ -21,7 +21,7 @@
 	var local bool
 	c := &cobra.Command{
 		Use:   "show",
-		Short: "Print the latest snapshot, confirmed by a majority of the origins",
+		Short: "Print the latest configuration snapshot, confirmed by a majority of the origins",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			client, err := options.newClient()
@@ -43,6 +43,6 @@
 		},
 	}
 	options.addFlags(c)
-	c.Flags().BoolVar(&local, "local", false, "as this origin has it, without asking the others")
+	c.Flags().BoolVar(&local, "local", false, "print the latest snapshot of this origin, without asking the others")
 	return c
 }
--- a/cmd/hazelwing/config_status.go
+++ b/cmd/hazelwing/config_status.go
@@ -14,14 +14,12 @@
 	var options originOptions
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Show which snapshot is in force where, and who lacks the latest and why",
-		Long: `Show what an origin knows: its part, the latest snapshot, how many sidecars act on which one, ` +
-			`and who lacks the latest and why.
+		Short: "Show which snapshots the sidecars have activated, and which sidecars lack the latest one and why",
+		Long: `Show the status of an origin: its role, the latest snapshot, how many sidecars have activated which
+snapshot, and which sidecars lack the latest one and why.
 
-The status is 0 where all that can be reached act on the latest, 2 where some lack it or the origin cannot ` +
-			`take changes, ` +
-			`and 1 where it
-cannot be asked.`,
+The exit status is 0 if all reachable sidecars have activated the latest snapshot, 2 if some lack it or the origin
+cannot accept changes, and 1 if the origin does not answer.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			client, err := options.newClient()
@@ -50,18 +48,18 @@
 	return printReport(out, &status.Report)
 }
 
-// checkOriginStatus returns an exitError if the origin cannot accept changes, or if the latest snapshot is not in
-// force.
+// checkOriginStatus returns an exitError if the origin cannot accept changes, if sidecars have a later revision than
+// the origins, or if the latest snapshot is not in force.
 func checkOriginStatus(status *origin.Status) error {
 	var err error
 	switch {
 	case status.Role != origin.RoleLeader && status.Role != origin.RoleFollower:
-		err = fmt.Errorf("config: %s takes no changes: %s", status.Self, status.Role)
+		err = fmt.Errorf("config: origin %s cannot accept changes: its role is %q", status.Self, status.Role)
 	case status.Ahead.Compare(status.Revision) > 0:
 		err = fmt.Errorf("config: sidecars act on %v, which is later than what the origins have: found a higher epoch",
 			status.Ahead)
 	case status.Report.Members > 0 && !isInForce(&status.Report, status.Revision):
-		err = errors.New("config: the latest is not in force everywhere")
+		err = errors.New("config: the latest snapshot is not in force everywhere")
 	default:
 		return nil
 	}
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -49,7 +49,8 @@
 		t.Errorf("again with its ID: %v\n%s", err, out)
 	}
 	out, err = run("push", good, "--after", "0", "--id", "two")
-	if status(err) != statusFailure || !strings.Contains(err.Error(), "another change came first: the latest is 1.1") {
+	if status(err) != statusFailure ||
+		!strings.Contains(err.Error(), "another change came first: the latest revision is 1.1") {
 		t.Errorf("after an older version: %v\n%s", err, out)
 	}
 	r.testInvalidPushes(text, originFlags)
@@ -65,10 +66,14 @@
 		len(s.Report.Active) != 1 || s.Report.Active[0].Count != 3 {
 		t.Errorf("%+v", s)
 	}
-	_, err = execute("config", "status")
-	if err == nil || !strings.Contains(err.Error(), "--origin and --fleet are wanted") {
+	_, err = execute("config", "status", "--origin", "", "--fleet", "")
+	if err == nil || !strings.Contains(err.Error(), "set --origin or HAZELWING_ORIGIN") {
 		t.Errorf("without an address: %v", err)
 	}
+	_, err = execute("config", "status", "--origin", r.OriginAddr(1), "--fleet", "")
+	if err == nil || !strings.Contains(err.Error(), "set --fleet or HAZELWING_FLEET") {
+		t.Errorf("without a fleet: %v", err)
+	}
 	_, err = execute("config", "status", "--fleet", "rig", "--origin", "127.0.0.1:9")
 	if status(err) != statusFailure {
 		t.Errorf("an origin that cannot be reached: %v", err)
@@ -78,7 +83,7 @@
 	file := r.writeSnapshot("")
 	r.play("freeze 3")
 	out, err = run("push", file, "--wait", "1s")
-	const want = "accepted as 1.2, and not in force everywhere within 1s: 1 lack it"
+	const want = "accepted as 1.2, but not in force everywhere within 1s: 1 sidecars lack it"
 	if status(err) != statusLaggards || !strings.Contains(err.Error(), want) || !strings.Contains(out, "m03") {
 		t.Errorf("%v\n%s", err, out)
 	}
--- a/cmd/hazelwing/demo.go
+++ b/cmd/hazelwing/demo.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -25,30 +24,30 @@
 type demoOptions struct {
 	demo.Options
 	trafficFile string // empty: traffic is generated
-	scriptFile  string // empty: the demonstration's own faults
+	scriptFile  string // empty: the built-in fault script
 }
 
 func newDemoCommand() *cobra.Command {
 	var options demoOptions
 	c := &cobra.Command{
 		Use:   "demo",
-		Short: "Show the daemon at work on loopback, while nodes slow, drain and crash",
-		Long: `Play recorded or generated traffic through a daemon against stand-in nodes, all in this ` +
-			`process and on loopback, while
-a fault script makes nodes slow, pause, drain, crash and restart. It ends by itself with a summary, and with status 1
-where a rule broke: one final answer for each request, no effect twice, nothing new to a node 250 ms after its drain was
-told, no cold node pushed over.`,
+		Short: "Run the daemon on loopback against emulated nodes that slow down, drain and crash",
+		Long: `Play recorded or generated traffic through a daemon to emulated nodes, all in this process and on
+loopback, while a fault script makes nodes slow down, pause, drain, crash and restart. The demo ends by itself with a
+summary, and with status 1 if a rule was violated. The rules: each request gets one final answer, no effect is executed
+twice, a node gets no new request later than 250 ms after its drain was announced, and no cold node is overloaded.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	c.AddCommand(optionalDemos()...)
 	flags := c.Flags()
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the traffic and of the daemon")
-	flags.Float64Var(&options.Rate, "rate", 250, "requests a second, on average")
-	flags.DurationVar(&options.Length, "length", 12*time.Second, "how long the traffic goes on")
-	flags.IntVar(&options.Nodes, "nodes", 7, "stand-in nodes: n1, n2, ...")
-	flags.StringVar(&options.trafficFile, "traffic", "", "recorded traffic to play in place of generated one")
-	flags.StringVar(&options.scriptFile, "script", "", "fault script to play in place of the demo's own")
+	flags.Float64Var(&options.Rate, "rate", 250, "mean request rate, in requests per second")
+	flags.DurationVar(&options.Length, "length", 12*time.Second, "duration of the traffic")
+	flags.IntVar(&options.Nodes, "nodes", 7, "number of emulated nodes, which are named n1, n2, ...")
+	flags.StringVar(&options.trafficFile, "traffic", "",
+		"file of recorded traffic to play instead of generated traffic")
+	flags.StringVar(&options.scriptFile, "script", "", "file with a fault script to play instead of the built-in one")
 	return c
 }
 
@@ -64,10 +63,13 @@
 
 // load checks the options and reads the files that they name.
 func (o *demoOptions) load() (err error) {
-	if !(o.Rate > 0) || o.Rate > maxDemoRate ||
-		o.Length <= 0 || o.Length > maxDemoLength ||
-		o.Nodes < 1 || o.Nodes > maxDemoNodes {
-		return errors.New("--rate is 1 to 5000, --length up to 10m, --nodes 1 to 200")
+	switch {
+	case !(o.Rate > 0) || o.Rate > maxDemoRate:
+		return fmt.Errorf("--rate is %v, want above 0 and at most %d", o.Rate, maxDemoRate)
+	case o.Length <= 0 || o.Length > maxDemoLength:
+		return fmt.Errorf("--length is %v, want above 0 and at most %v", o.Length, maxDemoLength)
+	case o.Nodes < 1 || o.Nodes > maxDemoNodes:
+		return fmt.Errorf("--nodes is %d, want 1 to %d", o.Nodes, maxDemoNodes)
 	}
 	if o.trafficFile != "" {
 		if o.Traffic, err = emulator.LoadTraffic(o.trafficFile); err != nil {
@@ -88,5 +90,5 @@
 	return nil
 }
 
-// closeReader closes what was only read from: an error has nothing to say about what was read.
+// closeReader closes a reader. It ignores the error, which does not affect the data that was read.
 func closeReader(c io.Closer) { _ = c.Close() }
--- a/cmd/hazelwing/demo_graphql.go
+++ b/cmd/hazelwing/demo_graphql.go
@@ -3,7 +3,7 @@
 package main
 
 import (
-	"errors"
+	"fmt"
 	"os"
 	"os/signal"
 	"syscall"
@@ -23,17 +23,18 @@
 	var options gqldemo.Options
 	c := &cobra.Command{
 		Use:   "graphql",
-		Short: "Show GraphQL at work on loopback, while nodes crash and spoil answers",
-		Long: `Play requests that mix queries and mutations through a daemon's GraphQL front against stand-in nodes, ` +
-			`one of which crashes
-every second, while one answer in fifty is spoilt. It ends by itself with a summary, and with status 1 ` +
-			`where a rule broke:
-one answer for each request in its client's time, no mutation twice, and no answer that the nodes' counters deny.`,
+		Short: "Run the GraphQL front on loopback against emulated nodes that crash and corrupt answers",
+		Long: `Play a mix of queries and mutations through the GraphQL front of a daemon to emulated nodes. One node
+crashes every second, and one answer in fifty is corrupted. The demo ends by itself with a summary, and with status 1 if
+a rule was violated. The rules: each request gets one answer within the client's timeout, no mutation is executed twice,
+and no answer contradicts the counters of the nodes.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if !(options.Rate > 0) || options.Rate > maxGraphQLDemoRate ||
-				options.Length <= 0 || options.Length > maxGraphQLDemoLength {
-				return errors.New("--rate is above 0 and up to 2000, --length up to 10m")
+			switch {
+			case !(options.Rate > 0) || options.Rate > maxGraphQLDemoRate:
+				return fmt.Errorf("--rate is %v, want above 0 and at most %d", options.Rate, maxGraphQLDemoRate)
+			case options.Length <= 0 || options.Length > maxGraphQLDemoLength:
+				return fmt.Errorf("--length is %v, want above 0 and at most %v", options.Length, maxGraphQLDemoLength)
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -42,7 +43,7 @@
 	}
 	flags := c.Flags()
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the requests and the crashes")
-	flags.Float64Var(&options.Rate, "rate", 150, "requests a second, on average")
-	flags.DurationVar(&options.Length, "length", 8*time.Second, "how long they go on")
+	flags.Float64Var(&options.Rate, "rate", 150, "mean request rate, in requests per second")
+	flags.DurationVar(&options.Length, "length", 8*time.Second, "duration of the traffic")
 	return c
 }
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -33,22 +33,20 @@
 	adminAddr    string
 	asJSON       bool
 	watch        bool
-	interval     time.Duration // with watch
+	interval     time.Duration // between two outputs with watch
 }
 
 func newFleetCommand() *cobra.Command {
 	var options fleetOptions
 	c := &cobra.Command{
 		Use:   "fleet",
-		Short: "Show the view that a running sidecar has of the others",
-		Long: `Show the view that a running sidecar has of the others: name, life, state, since when, told by whom, ` +
-			`and its own health.
-It is asked at its admin endpoint: --admin, or admin.listen of the operator's file (--operator, or HAZELWING_OPERATOR).
+		Short: "Show the membership view of a running sidecar",
+		Long: `Show the membership view of a running sidecar and its own health. For each member, the view has the
+name, address, incarnation, state, age of the state and the member that reported it. The view is read from the admin
+endpoint of the sidecar: --admin, or admin.listen of the operator's file (--operator, or HAZELWING_OPERATOR).
 
-The status is 0 where all are alive or have left, 2 where somebody is suspect or dead or the sidecar has ` +
-			`not joined yet, ` +
-			`and 1
-where it cannot be asked.`,
+The exit status is 0 if all members are alive or have left, 2 if a member is suspect or dead or the sidecar has not
+joined yet, and 1 if the sidecar does not answer.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			addr, err := options.address()
@@ -61,11 +59,12 @@
 		},
 	}
 	flags := c.Flags()
-	flags.StringVar(&options.operatorFile, "operator", os.Getenv(operatorVariable), "the operator's file")
-	flags.StringVar(&options.adminAddr, "admin", "", "the admin endpoint's address")
-	flags.BoolVar(&options.asJSON, "json", false, "as JSON")
-	flags.BoolVar(&options.watch, "watch", false, "again and again")
-	flags.DurationVar(&options.interval, "every", time.Second, "with --watch: how often")
+	flags.StringVar(&options.operatorFile, "operator", os.Getenv(operatorVariable),
+		"path of the operator's file (or HAZELWING_OPERATOR)")
+	flags.StringVar(&options.adminAddr, "admin", "", "address of the admin endpoint, such as 127.0.0.1:9180")
+	flags.BoolVar(&options.asJSON, "json", false, "print JSON")
+	flags.BoolVar(&options.watch, "watch", false, "print the view repeatedly until interrupted")
+	flags.DurationVar(&options.interval, "every", time.Second, "interval between two outputs with --watch")
 	return c
 }
 
@@ -74,24 +73,24 @@
 	addr := o.adminAddr
 	if addr == "" {
 		if o.operatorFile == "" {
-			return "", errors.New("fleet: --admin or --operator is wanted")
+			return "", errors.New("fleet: the address of the admin endpoint is missing: set --admin or --operator")
 		}
 		config, err := operator.Load(o.operatorFile)
 		if err != nil {
 			return "", err
 		}
 		if config.Admin == nil {
-			return "", fmt.Errorf("%s: there is no [admin] to ask", o.operatorFile)
+			return "", fmt.Errorf("%s: the table [admin] with the address of the admin endpoint is missing", o.operatorFile)
 		}
 		addr = config.Admin.Listen
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return "", fmt.Errorf("fleet: --admin: %q is no address such as \"127.0.0.1:9180\"", addr)
+		return "", fmt.Errorf("fleet: --admin: %q is not an address and port such as \"127.0.0.1:9180\"", addr)
 	}
 	return addr, nil
 }
 
-// run prints the status of the cluster once, or with watch until ctx is done.
+// run prints the membership view once, or with watch repeatedly until ctx is done.
 func (o *fleetOptions) run(ctx context.Context, out io.Writer, addr string) error {
 	for {
 		status, err := fetchFleetStatus(ctx, addr)
@@ -112,7 +111,7 @@
 	}
 }
 
-// fetchFleetStatus returns the view that the sidecar with this admin endpoint has of the cluster.
+// fetchFleetStatus returns the membership view of the sidecar whose admin endpoint has the given address.
 func fetchFleetStatus(ctx context.Context, addr string) (gossip.Status, error) {
 	var status gossip.Status
 	ctx, cancel := context.WithTimeout(ctx, fleetRequestTimeout)
@@ -127,14 +126,14 @@
 	}
 	defer closeReader(response.Body)
 	if response.StatusCode != http.StatusOK {
-		return status, fmt.Errorf("fleet: %s answers %s: its operator's file has no [fleet], perhaps",
+		return status, fmt.Errorf("fleet: %s answered with status %q: its operator's file may have no table [fleet]",
 			addr, response.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxFleetStatusBytes)).Decode(&status); err != nil {
 		return status, fmt.Errorf("fleet: %s: %w", addr, err)
 	}
 	if status.Name == "" {
-		return status, fmt.Errorf("fleet: %s: the sidecar is too busy to say", addr)
+		return status, fmt.Errorf("fleet: %s: the sidecar is too busy to report its view", addr)
 	}
 	return status, nil
 }
@@ -179,7 +178,7 @@
 		}
 	}
 	if unhealthy > 0 {
-		return exitError{fmt.Errorf("fleet: %d suspect or dead", unhealthy), statusUnsettled}
+		return exitError{fmt.Errorf("fleet: %d members are suspect or dead", unhealthy), statusUnsettled}
 	}
 	return nil
 }
--- a/cmd/hazelwing/lab.go
+++ b/cmd/hazelwing/lab.go
@@ -15,7 +15,7 @@
 	"hazelwing/internal/simulation/experiment"
 )
 
-// labDir is the directory of runs unless --out names another.
+// labDir is the default directory for the files of runs.
 const labDir = "logs/lab"
 
 // labGCPercent is the growth of the heap between two collections, in per cent of the live heap.
@@ -26,11 +26,12 @@
 func newLabCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "lab",
-		Short: "Play experiments with emulated fleets, and judge what they claim",
+		Short: "Run experiments with simulated fleets and check their claims",
 		Args:  cobra.NoArgs,
 		RunE:  printHelp,
 		PersistentPreRun: func(*cobra.Command, []string) {
-			// Simulations have small heaps and make much garbage: this makes them twice as fast for some tens of MB.
+			// Simulations have small heaps and produce much garbage. Fewer collections make them twice as fast, at the
+			// cost of some tens of MB of memory.
 			if os.Getenv("GOGC") == "" {
 				debug.SetGCPercent(labGCPercent)
 			}
@@ -52,7 +53,7 @@
 	return c
 }
 
-// printClaims prints the verdicts and reports whether all claims hold.
+// printClaims prints a line for each claim and reports whether all claims hold.
 func printClaims(out io.Writer, verdicts []experiment.Verdict) bool {
 	allHold := true
 	for _, v := range verdicts {
@@ -66,14 +67,14 @@
 	return allHold
 }
 
-// tableMeasures returns the measures that are columns of a run's table.
+// tableMeasures returns the measures that have a column in the table of a run.
 func tableMeasures() []string {
 	return []string{
 		"service", "worst", "recovered", "p50", "p99", "refused", "failed", "attempts", "wasted", "conns", "imbalance",
 	}
 }
 
-// printRunTable prints a row for each point and contestant.
+// printRunTable prints the table of a run, which has a row for each point and contestant.
 func printRunTable(out io.Writer, header experiment.Header, runs []experiment.Run) error {
 	measures := tableMeasures()
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/cmd/hazelwing/lab_callgraph.go
+++ b/cmd/hazelwing/lab_callgraph.go
@@ -13,12 +13,12 @@
 )
 
 func newLabCallgraphCommand() *cobra.Command {
-	const short = "Play services that call each other many deep, in simulated time, while a leaf fails or is slow; " +
-		"status 1 where a claim does not hold"
+	const short = "Simulate deep graphs of services that call each other, while a leaf fails or is slow; " +
+		"status 1 if a claim does not hold"
 	return newExperimentsCommand("callgraph FILE...", short, runCallgraphExperiment)
 }
 
-// runCallgraphExperiment runs the experiment of a file. An error that wraps errClaim says that a claim does not hold.
+// runCallgraphExperiment runs the experiment in a file. The error wraps errClaim if a claim does not hold.
 func runCallgraphExperiment(out io.Writer, path string, cores int) error {
 	e, err := callgraph.ReadExperiment(path)
 	if err != nil {
--- a/cmd/hazelwing/lab_capacity.go
+++ b/cmd/hazelwing/lab_capacity.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// capacityMemoryLimit is the heap size in bytes from which the collector works harder. This prevents hundreds of
-	// queues from filling the memory while the process is short of processor time.
+	// capacityMemoryLimit is the memory use in bytes near which the garbage collector runs more often. This prevents
+	// hundreds of queues from filling the memory while the process is short of processor time.
 	capacityMemoryLimit = 6 << 30
 
-	// capacityGCPercent is the daemon's value, not the lab's, because memory is measured.
+	// capacityGCPercent is the value of the daemon and not labGCPercent, because the experiments measure memory.
 	capacityGCPercent = 100
 
 	resultsFileMode = 0o644
@@ -32,8 +32,8 @@
 type capacityRun struct {
 	out      io.Writer
 	progress io.Writer
-	outPath  string // of the results; empty: they are only shown
-	sizes    []int  // in place of the experiments' sizes, if any
+	outPath  string // file for the results; empty: they are only printed
+	sizes    []int  // replace the sizes of the experiments unless empty
 	results  []capacity.Result
 }
 
@@ -41,11 +41,11 @@
 	var run capacityRun
 	c := &cobra.Command{
 		Use: "capacity FILE...",
-		Short: "Measure what control costs each role in fleets of growing size, on real sockets; " +
-			"status 1 where a claim does not hold",
-		Long: `Play experiments with sidecars without traffic, hundreds in this process, ` +
-			`and write what was measured as JSON, a row a figure.
-Counts do not depend on the machine; times and processor time do: it should do nothing else meanwhile.`,
+		Short: "Measure the cost of the control plane for each role in fleets of growing size, on real sockets; " +
+			"status 1 if a claim does not hold",
+		Long: `Run experiments with hundreds of sidecars without traffic, all in this process, and write the results
+as JSON, one row per figure. Counts do not depend on the machine, but times and processor time do: the machine should
+be otherwise idle.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if os.Getenv("GOGC") == "" {
@@ -67,12 +67,12 @@
 		},
 	}
 	c.Flags().StringVar(&run.outPath, "out", "",
-		"file for the results, in which those of other experiments and sizes stay; none: they are shown alone")
-	c.Flags().IntSliceVar(&run.sizes, "sizes", nil, "members, in place of the files' sizes")
+		"file for the results, which keeps those of other experiments and sizes; empty: results are only printed")
+	c.Flags().IntSliceVar(&run.sizes, "sizes", nil, "numbers of members that replace the sizes in the files")
 	return c
 }
 
-// runFile runs the experiment of a file. An error that wraps errClaim says that a claim does not hold.
+// runFile runs the experiment in a file. The error wraps errClaim if a claim does not hold.
 func (r *capacityRun) runFile(ctx context.Context, path string) error {
 	e, err := capacity.ReadExperiment(path)
 	if err != nil {
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// runSize runs an experiment at one size. What was measured until an error is written too.
+// runSize runs an experiment at one size. After an error it still writes the results that were measured before.
 func (r *capacityRun) runSize(ctx context.Context, e *capacity.Experiment, size int) error {
-	results, playErr := e.Run(ctx, size, func(format string, args ...any) {
+	results, runErr := e.Run(ctx, size, func(format string, args ...any) {
 		printf(r.progress, format+"\n", args...)
 	})
 	r.results = append(r.results, results...)
@@ -108,10 +108,10 @@
 			return err
 		}
 	}
-	return playErr
+	return runErr
 }
 
-// saveResults writes results to a file, in place of those in it that are of the same experiment and size.
+// saveResults writes results to a file. They replace the results of the same experiment and size in it.
 func saveResults(path string, results []capacity.Result) error {
 	saved, err := capacity.ReadResults(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // fails once the file has been renamed
+	defer func() { _ = os.Remove(file.Name()) }() // fails if the file has been renamed
 	err = errors.Join(
 		capacity.WriteResults(file, capacity.Replace(saved, results)),
 		file.Chmod(resultsFileMode),
--- a/cmd/hazelwing/lab_experiments.go
+++ b/cmd/hazelwing/lab_experiments.go
@@ -10,12 +10,11 @@
 	"github.com/spf13/cobra"
 )
 
-// runExperiment runs the experiment of a file on a number of cores. An error that wraps errClaim says that a claim
-// does not hold.
+// runExperiment runs the experiment in a file on a number of cores. The error wraps errClaim if a claim does not hold.
 type runExperiment func(out io.Writer, path string, cores int) error
 
-// newExperimentsCommand returns a command that runs the experiments of files, one after another. It goes on after an
-// experiment with a claim that does not hold, and ends at any other error.
+// newExperimentsCommand returns a command that runs the experiments in files, one after another. The command continues
+// after an experiment with a claim that does not hold, and stops at any other error.
 func newExperimentsCommand(use, short string, run runExperiment) *cobra.Command {
 	var cores int
 	c := &cobra.Command{
@@ -34,6 +33,6 @@
 			return errors.Join(failedClaims...)
 		},
 	}
-	c.Flags().IntVar(&cores, "cores", runtime.NumCPU(), "points that are played at a time")
+	c.Flags().IntVar(&cores, "cores", runtime.NumCPU(), "number of points that are simulated at the same time")
 	return c
 }
--- a/cmd/hazelwing/lab_files.go
+++ b/cmd/hazelwing/lab_files.go
@@ -12,13 +12,13 @@
 	"hazelwing/internal/simulation/experiment"
 )
 
-// defaultExperimentDir is the directory whose experiments are listed unless another is given.
+// defaultExperimentDir is the directory whose experiments the command list shows by default.
 const defaultExperimentDir = "lab"
 
 func newLabCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check experiments, and name what cannot be used",
+		Short: "Check experiment files and report what is invalid",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var errs []error
@@ -39,7 +39,7 @@
 func newLabListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list [DIR]",
-		Short: "List the experiments of a directory, and what each asks",
+		Short: "List the experiments of a directory with their questions",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			dir := defaultExperimentDir
@@ -47,8 +47,11 @@
 				dir = args[0]
 			}
 			paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
-			if err != nil || len(paths) == 0 {
-				return fmt.Errorf("%s: no experiments", dir)
+			if err != nil {
+				return fmt.Errorf("%s: cannot list the experiments: %w", dir, err)
+			}
+			if len(paths) == 0 {
+				return fmt.Errorf("%s: there are no experiments (*.toml)", dir)
 			}
 			table := newTable(cmd.OutOrStdout())
 			for _, path := range paths {
--- a/cmd/hazelwing/lab_fleet.go
+++ b/cmd/hazelwing/lab_fleet.go
@@ -12,12 +12,12 @@
 )
 
 func newLabFleetCommand() *cobra.Command {
-	const short = "Play the sidecars' view of each other in simulated time, beside plain SWIM and heartbeats; " +
-		"status 1 where a claim does not hold"
+	const short = "Simulate the membership protocol of the sidecars, and plain SWIM and heartbeats for comparison; " +
+		"status 1 if a claim does not hold"
 	return newExperimentsCommand("fleet FILE...", short, runFleetExperiment)
 }
 
-// runFleetExperiment runs the experiment of a file. An error that wraps errClaim says that a claim does not hold.
+// runFleetExperiment runs the experiment in a file. The error wraps errClaim if a claim does not hold.
 func runFleetExperiment(out io.Writer, path string, cores int) error {
 	e, err := fleetsim.ReadExperiment(path)
 	if err != nil {
--- a/cmd/hazelwing/lab_hunt.go
+++ b/cmd/hazelwing/lab_hunt.go
@@ -24,22 +24,21 @@
 
 type huntOptions struct {
 	worstcase.Options
-	outPath string // of the experiment that is written
+	outPath string // file for the experiment that was found
 }
 
 func newLabHuntCommand() *cobra.Command {
 	var options huntOptions
 	c := &cobra.Command{
 		Use:   "hunt FILE",
-		Short: "Search for the day on which hazelwing loses most against a rival, or breaks a rule",
-		Long: `Draw loads and fault scripts over an experiment's world, keep the day on which the ` +
-			`contestant loses most against the
-rival or breaks a rule, shrink it to the least script that still does it, and write it as an experiment. The same file,
-seed and number of tries find the same day.`,
+		Short: "Search for the load and faults with which a policy loses most against a baseline, or violates a rule",
+		Long: `Generate random loads and fault scripts for the world of an experiment, and keep the case in which the
+contestant loses most against the baseline or violates a rule. Shrink it to the shortest script with the same effect,
+and write it as an experiment. The same file, seed and number of tries give the same case.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if options.Candidates < 1 || options.Candidates > maxHuntTries {
-				return fmt.Errorf("--tries is from 1 to %d", maxHuntTries)
+				return fmt.Errorf("--tries is %d, want 1 to %d", options.Candidates, maxHuntTries)
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -47,16 +46,16 @@
 		},
 	}
 	flags := c.Flags()
-	flags.StringVar(&options.Policy, "contestant", baseline.Hazelwing, "who is hunted")
-	flags.StringVar(&options.Baseline, "against", "p2c", "the rival")
-	flags.IntVar(&options.Candidates, "tries", 200, "days that are drawn")
-	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the drawing")
-	flags.IntVar(&options.Cores, "cores", 0, "days played at a time; 0: one a core")
-	flags.StringVar(&options.outPath, "out", "found/day.toml", "the experiment to write; it must not be there")
+	flags.StringVar(&options.Policy, "contestant", baseline.Hazelwing, "policy whose worst case is searched for")
+	flags.StringVar(&options.Baseline, "against", "p2c", "baseline with which the contestant is compared")
+	flags.IntVar(&options.Candidates, "tries", 200, "number of cases that are generated")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the generated cases")
+	flags.IntVar(&options.Cores, "cores", 0, "number of cases that are simulated at the same time; 0: one per core")
+	flags.StringVar(&options.outPath, "out", "found/day.toml", "file for the experiment, which must not exist yet")
 	return c
 }
 
-// run searches for the worst case of the experiment in a file and writes it as an experiment.
+// run searches for the worst case of the experiment in a file, and writes it as a new experiment.
 func (o *huntOptions) run(ctx context.Context, out, progressOut io.Writer, path string) error {
 	e, err := experiment.Load(path)
 	if err != nil {
@@ -95,7 +94,7 @@
 	return worst, err
 }
 
-// writeNewFile writes a file in a directory that is made where it is missing. It fails where the file exists.
+// writeNewFile writes a new file, and creates its directory if there is none. It fails if the file exists.
 func writeNewFile(path string, text []byte) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
--- a/cmd/hazelwing/lab_results.go
+++ b/cmd/hazelwing/lab_results.go
@@ -18,7 +18,7 @@
 func newLabShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show RUN",
-		Short: "Show the table of a run, and who broke a rule",
+		Short: "Show the table of a run and its rule violations",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			header, runs, err := experiment.ReadRun(args[0])
@@ -31,20 +31,20 @@
 			for _, run := range runs {
 				printViolations(out, header, run)
 			}
-			_ = printRunTable(out, header, runs) // nothing is left to do where the output is not read
+			_ = printRunTable(out, header, runs) // a failed write does not fail the command, as with printf
 			return nil
 		},
 	}
 }
 
-// printBrokenRules prints a line for each rule that was broken in a run.
+// printViolations prints a line for each rule violation in a run.
 func printViolations(out io.Writer, header experiment.Header, run experiment.Run) {
 	point := ""
 	if values := header.Points[run.Point]; len(values) > 0 {
 		point = ", " + strings.Join(values, ", ")
 	}
-	for _, broken := range run.Result.Violations {
-		printf(out, "rule broken: %s, seed %d%s: %s\n", run.Policy, run.Seed, point, broken)
+	for _, violation := range run.Result.Violations {
+		printf(out, "rule broken: %s, seed %d%s: %s\n", run.Policy, run.Seed, point, violation)
 	}
 }
 
@@ -53,7 +53,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "compare RUN RUN",
-		Short: "Compare two runs of the same points and seeds; what may be noise is not called a difference",
+		Short: "Compare two runs of the same points and seeds, and tell differences from noise",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			leftHeader, left, err := experiment.ReadRun(args[0])
@@ -74,7 +74,7 @@
 			return printDifferences(cmd.OutOrStdout(), leftHeader, differences)
 		},
 	}
-	c.Flags().StringSliceVar(&measures, "measure", []string{"service", "p99", "attempts"}, "what to compare")
+	c.Flags().StringSliceVar(&measures, "measure", []string{"service", "p99", "attempts"}, "measures to compare")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
@@ -119,6 +119,6 @@
 			return err
 		},
 	}
-	c.Flags().StringVar(&outPath, "out", "", "the file to write; else the run's name with .html")
+	c.Flags().StringVar(&outPath, "out", "", "file for the report; empty: the name of the run with the extension .html")
 	return c
 }
--- a/cmd/hazelwing/lab_run.go
+++ b/cmd/hazelwing/lab_run.go
@@ -18,22 +18,22 @@
 	"hazelwing/internal/simulation/experiment"
 )
 
-// progressBarWidth is in characters.
+// progressBarWidth is the width of the progress bar in characters.
 const progressBarWidth = 30
 
 type labRunOptions struct {
-	dir   string // of the runs
-	cores int    // simulations that run at the same time; 0: one a core
+	dir   string // for the files of runs
+	cores int    // number of simulations that run at the same time; 0: one per core
 }
 
 func newLabRunCommand() *cobra.Command {
 	var options labRunOptions
 	c := &cobra.Command{
 		Use:   "run FILE...",
-		Short: "Play experiments; status 1 where a claim does not hold",
-		Long: `Play experiments on all cores and judge their claims. A run is kept in a file, ` +
-			`a line for each contestant, point and seed;
-one that was ended goes on where it was. The same experiment and program give the same bytes.`,
+		Short: "Run experiments; status 1 if a claim does not hold",
+		Long: `Run experiments on all cores and check their claims. The results of a run are written to a file with a
+line for each contestant, point and seed; an interrupted run continues where it stopped. The same experiment and program
+give the same file.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
@@ -52,12 +52,12 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&options.dir, "out", labDir, "directory for the runs")
-	c.Flags().IntVar(&options.cores, "cores", 0, "worlds played at a time; 0: one a core")
+	c.Flags().StringVar(&options.dir, "out", labDir, "directory for the files of runs")
+	c.Flags().IntVar(&options.cores, "cores", 0, "number of simulations that run at the same time; 0: one per core")
 	return c
 }
 
-// runFile runs the experiment of a file, prints its claims and its table, and reports whether the claims hold.
+// runFile runs the experiment in a file, prints its claims and its table, and reports whether the claims hold.
 func (o *labRunOptions) runFile(ctx context.Context, out, progressOut io.Writer, path string) (bool, error) {
 	e, err := experiment.Load(path)
 	if err != nil {
@@ -80,18 +80,18 @@
 		return false, err
 	}
 	holds := printClaims(out, verdicts)
-	_ = printRunTable(out, header, runs) // the status says whether the claims hold, also where the output is not read
+	_ = printRunTable(out, header, runs) // a failed write does not fail the command, as with printf
 	printLine(out)
 	return holds, nil
 }
 
-// labProgress shows a bar on a terminal while an experiment runs, and nothing elsewhere.
+// labProgress shows a progress bar while an experiment runs, if standard error is a terminal.
 type labProgress struct {
 	out        io.Writer
 	name       string
 	isTerminal bool
 	startedAt  time.Time
-	initial    int // what was done before, by an interrupted run; -1: not known yet
+	initial    int // simulations done by an interrupted earlier run; -1 until the first update
 }
 
 func newLabProgress(out io.Writer, name string) *labProgress {
--- a/cmd/hazelwing/lab_slopes.go
+++ b/cmd/hazelwing/lab_slopes.go
@@ -19,8 +19,8 @@
 var errForecast = errors.New("a fit of the smaller sizes does not predict the larger ones")
 
 type slopesOptions struct {
-	maxFittedSize int     // the prediction is fitted to the sizes up to this one
-	tolerance     float64 // of a prediction, as a fraction of the measured value
+	maxFittedSize int     // largest size to which the predicting fit is made
+	tolerance     float64 // maximum error of a prediction, as a fraction of the measured value
 	figures       []string
 	phases        []string
 }
@@ -29,11 +29,11 @@
 	var options slopesOptions
 	c := &cobra.Command{
 		Use: "slopes FILE...",
-		Short: "Fit how each figure of capacity's results grows with the members; " +
-			"status 1 where small sizes do not predict large ones",
-		Long: `Fit each figure of each role and phase, by least squares, as a constant, ` +
-			`a part that grows with log n and one that grows
-with n. A fit of the sizes up to --to has to predict each larger size within --within of what was measured there.`,
+		Short: "Fit the growth of each figure of capacity results with the number of members; " +
+			"status 1 if small sizes do not predict large ones",
+		Long: `Fit each figure of each role and phase, by least squares, as the sum of a constant, a part that is
+proportional to log n and a part that is proportional to n, where n is the number of members. A fit to the sizes up to
+--to has to predict the value that was measured at each larger size, with a relative error of at most --within.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			results, err := options.read(args)
@@ -44,11 +44,11 @@
 		},
 	}
 	flags := c.Flags()
-	flags.IntVar(&options.maxFittedSize, "to", 295, "the largest size that the prediction rests on")
+	flags.IntVar(&options.maxFittedSize, "to", 295, "largest size to which the predicting fit is made")
 	flags.Float64Var(&options.tolerance, "within", 0.15,
-		"how far from what was measured a prediction may be, as a share of it")
-	flags.StringSliceVar(&options.figures, "figure", nil, "these figures only")
-	flags.StringSliceVar(&options.phases, "phase", nil, "these phases only")
+		"maximum error of a prediction, as a fraction of the measured value")
+	flags.StringSliceVar(&options.figures, "figure", nil, "figures to fit; empty: all")
+	flags.StringSliceVar(&options.phases, "phase", nil, "phases to fit; empty: all")
 	return c
 }
 
@@ -83,7 +83,7 @@
 	points []slope.Point
 }
 
-// groupBySeries returns the series in the order of their first results.
+// groupBySeries groups results into series, which are in the order of their first results.
 func groupBySeries(results []capacity.Result) []*series {
 	var order []*series
 	byKey := map[seriesKey]*series{}
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// printForecast prints the columns of the fit to the smaller sizes and of its predictions. It reports whether all of
-// these are within the tolerance.
+// printForecast prints the columns of the fit to the smaller sizes and of its predictions. It reports whether all
+// predictions are within the tolerance.
 func (o *slopesOptions) printForecast(out io.Writer, points []slope.Point) bool {
 	fit, forecasts, err := slope.Extrapolate(points, o.maxFittedSize)
 	if err != nil {
@@ -159,7 +159,7 @@
 	printf(out, "%v\t%s\n", fit, residualText(fit))
 }
 
-// residualText returns a fit's largest residual, and whether it is larger than noise explains.
+// residualText returns the largest residual of a fit as text, with a remark if it is larger than noise explains.
 func residualText(fit slope.Fit) string {
 	text := fmt.Sprintf("%.1f %%", 100*fit.Residual)
 	if fit.ExceedsNoise {
--- a/cmd/hazelwing/load.go
+++ b/cmd/hazelwing/load.go
@@ -23,7 +23,7 @@
 
 type loadOptions struct {
 	loadPlanOptions
-	messageFile string // the encoded request of gRPC targets
+	messageFile string // contains the encoded request for gRPC targets; empty: a default request
 	asJSON      bool
 }
 
@@ -31,29 +31,30 @@
 	var options loadOptions
 	c := &cobra.Command{
 		Use:   "load URL...",
-		Short: "Load one or more HTTP or gRPC targets, all with the same requests at the same time",
-		Long: `Send requests as the platform's applications do, open loop: each has a time at which it is ` +
-			`to be sent, whatever the
-answers before it did, and its latency counts from then. A target is http://HOST:PORT, or
-grpc://HOST:PORT/SERVICE/METHOD. With several targets all get the same requests at the same times.
-Where the machine was too slow to keep its times, the figures say so, and the status is 1.`,
+		Short: "Send load to HTTP or gRPC targets, the same requests at the same times to each",
+		Long: `Send requests as the platform's applications do, in an open loop: each request is sent at a scheduled
+time, whether or not earlier ones have been answered, and its latency is measured from that time. A target is
+http://HOST:PORT or grpc://HOST:PORT/SERVICE/METHOD. Several targets all get the same requests at the same times.
+If this machine was too slow to send requests on time, the report says so, and the exit status is 1.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return options.run(cmd.Context(), cmd.OutOrStdout(), cmd.ErrOrStderr(), args)
 		},
 	}
 	flags := c.Flags()
-	flags.Uint64Var(&options.seed, "seed", 1, "seed of the times")
-	flags.Float64Var(&options.rate, "rate", 100, "requests a second, on average")
-	flags.StringVar(&options.ramp, "ramp", "", "in place of --rate: points such as \"0s:100,10s:400,20s:100\"")
-	flags.DurationVar(&options.length, "length", 10*time.Second, "how long")
-	flags.StringVar(&options.trafficFile, "traffic", "", "recorded traffic to play in place of all these")
-	flags.StringVar(&options.request.Class, "class", "seat-search", "the requests' class")
-	flags.StringVar(&options.request.Effect, "effect", "safe", "safe, keyed or unsafe")
-	flags.DurationVar(&options.request.Deadline, "deadline", 2*time.Second, "how long an answer is waited for")
-	flags.DurationVar(&options.request.Work, "work", 0, "work told to stand-in nodes, and as the hint")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of the schedule")
+	flags.Float64Var(&options.rate, "rate", 100, "mean request rate, in requests per second")
+	flags.StringVar(&options.ramp, "ramp", "",
+		"request rate over time instead of --rate: points such as \"0s:100,10s:400,20s:100\"")
+	flags.DurationVar(&options.length, "length", 10*time.Second, "duration of the load")
+	flags.StringVar(&options.trafficFile, "traffic", "", "file of recorded traffic to play instead of a schedule")
+	flags.StringVar(&options.request.Class, "class", "seat-search", "class of the requests")
+	flags.StringVar(&options.request.Effect, "effect", "safe", "effect of the requests: safe, keyed or unsafe")
+	flags.DurationVar(&options.request.Deadline, "deadline", 2*time.Second, "deadline of each request")
+	flags.DurationVar(&options.request.Work, "work", 0,
+		"work of each request at emulated nodes, also sent as the cost hint")
 	flags.StringVar(&options.messageFile, "message", "",
-		"file with the encoded request of gRPC targets; none: a google.protobuf.StringValue")
+		"file with the encoded request for gRPC targets; empty: a google.protobuf.StringValue")
 	flags.BoolVar(&options.asJSON, "json", false, "print JSON")
 	return c
 }
@@ -69,7 +70,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = closeTarget() }() // its requests have ended
+		defer func() { _ = closeTarget() }() // an error does not matter: its requests have ended
 		targets = append(targets, target)
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
@@ -85,15 +86,21 @@
 	return printLoadReports(out, load.Run(ctx, plan, targets, progress.count), o.asJSON)
 }
 
-// newLoadTarget returns the target with an address, and a function that closes it.
+// newLoadTarget returns the target for an address, and a function that closes it.
 func newLoadTarget(address, messageFile string) (load.Target, func() error, error) {
 	u, err := url.Parse(address)
-	if err == nil && u.Scheme == "grpc" {
+	switch {
+	case err != nil:
+		return nil, nil, fmt.Errorf("target %q is not a URL such as http://127.0.0.1:8081: %w", address, err)
+	case u.Scheme == "grpc":
 		return newGRPCLoadTarget(address, messageFile)
-	}
-	if err != nil || u.Scheme != "http" || u.Host == "" || strings.Trim(u.Path, "/") != "" {
-		return nil, nil, fmt.Errorf("%q is no target such as http://127.0.0.1:8081 or "+
-			"grpc://127.0.0.1:8081/booking.v1.Booking/Do", address)
+	case u.Scheme != "http":
+		return nil, nil, fmt.Errorf("target %q has the scheme %q, want a target such as http://127.0.0.1:8081 or "+
+			"grpc://127.0.0.1:8081/booking.v1.Booking/Do", address, u.Scheme)
+	case u.Host == "":
+		return nil, nil, fmt.Errorf("target %q has no host, want a target such as http://127.0.0.1:8081", address)
+	case strings.Trim(u.Path, "/") != "":
+		return nil, nil, fmt.Errorf("target %q has the path %q, want an HTTP target without a path", address, u.Path)
 	}
 	target := load.NewHTTP(address)
 	closeTarget := func() error {
@@ -105,7 +112,7 @@
 
 func newGRPCLoadTarget(address, messageFile string) (load.Target, func() error, error) {
 	if !hasGRPC {
-		return nil, nil, fmt.Errorf("%s: this build (tag small) has no gRPC", address)
+		return nil, nil, fmt.Errorf("%s: this build (tag small) does not support gRPC targets", address)
 	}
 	var body []byte
 	if messageFile != "" {
@@ -157,8 +164,7 @@
 	counts []map[load.Outcome]int
 }
 
-// start prints the counts at intervals, in a goroutine. The function that it returns ends the goroutine and waits for
-// it.
+// start prints the counts at intervals in a goroutine. The returned function stops the goroutine and waits for its end.
 func (p *loadProgress) start(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wait sync.WaitGroup
@@ -169,7 +175,7 @@
 	}
 }
 
-// count counts the end of a request. load.Run calls it from the goroutines of the requests.
+// count counts a request that has ended. load.Run calls it from the goroutines of the requests.
 func (p *loadProgress) count(target int, kind load.Outcome, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/hazelwing/load_plan.go
+++ b/cmd/hazelwing/load_plan.go
@@ -10,13 +10,13 @@
 	"hazelwing/internal/load"
 )
 
-// loadPlanOptions say which requests are sent when.
+// loadPlanOptions determine which requests are sent, and when.
 type loadPlanOptions struct {
 	seed        uint64
 	rate        float64 // requests a second
-	ramp        string  // in place of rate; see parseRamp
+	ramp        string  // replaces rate unless empty; parseRamp describes its form
 	length      time.Duration
-	trafficFile string // in place of all others
+	trafficFile string // replaces all other options unless empty
 	request     load.ScheduledRequest
 }
 
@@ -32,10 +32,13 @@
 	switch o.request.Effect {
 	case "safe", "keyed", "unsafe":
 	default:
-		return nil, fmt.Errorf("--effect %q is not safe, keyed or unsafe", o.request.Effect)
+		return nil, fmt.Errorf("--effect is %q, want safe, keyed or unsafe", o.request.Effect)
 	}
-	if o.request.Deadline <= 0 || o.request.Class == "" {
-		return nil, errors.New("--deadline is above 0, and --class is not empty")
+	if o.request.Deadline <= 0 {
+		return nil, fmt.Errorf("--deadline is %v, want above 0", o.request.Deadline)
+	}
+	if o.request.Class == "" {
+		return nil, errors.New("--class is empty, want the name of a class")
 	}
 	curve := []load.Point{{Rate: o.rate}}
 	if o.ramp != "" {
@@ -47,7 +50,7 @@
 	return load.Poisson(o.seed, curve, o.length, o.request)
 }
 
-// recordedPlan returns the requests of recorded traffic.
+// recordedPlan returns the plan that plays recorded traffic.
 func recordedPlan(traffic *emulator.Traffic) load.Plan {
 	var plan load.Plan
 	for _, request := range traffic.Requests {
@@ -75,8 +78,13 @@
 		at, atErr := time.ParseDuration(atText)
 		point := load.Point{At: at}
 		_, rateErr := fmt.Sscan(rateText, &point.Rate)
-		if !hasRate || atErr != nil || rateErr != nil {
-			return nil, fmt.Errorf("--ramp: %q is no point such as 10s:400", pointText)
+		switch {
+		case !hasRate:
+			return nil, fmt.Errorf("--ramp: point %q has no colon, want a time and a rate such as 10s:400", pointText)
+		case atErr != nil:
+			return nil, fmt.Errorf("--ramp: point %q: time %q is not a duration such as 10s", pointText, atText)
+		case rateErr != nil:
+			return nil, fmt.Errorf("--ramp: point %q: rate %q is not a number", pointText, rateText)
 		}
 		curve = append(curve, point)
 	}
--- a/cmd/hazelwing/main.go
+++ b/cmd/hazelwing/main.go
@@ -16,13 +16,13 @@
 	}
 }
 
-// newRootCommand returns the whole command line; each command has a file of its own.
+// newRootCommand returns the root command with all subcommands.
 func newRootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "hazelwing",
 		Short: "A client-side load balancer",
-		Long: `hazelwing balances requests on the client's side. ` +
-			`Without a command it is the daemon, as with "run".`,
+		Long: `hazelwing is a client-side load balancer. ` +
+			`Without a command it runs the daemon, like "hazelwing run".`,
 		Args:          cobra.NoArgs,
 		RunE:          func(*cobra.Command, []string) error { return runDaemon(os.Getenv(operatorVariable)) },
 		SilenceUsage:  true,
@@ -44,5 +44,5 @@
 	return c
 }
 
-// printHelp is what a command does that only has subcommands.
+// printHelp prints the help of a command that only groups subcommands.
 func printHelp(cmd *cobra.Command, _ []string) error { return cmd.Help() }
--- a/cmd/hazelwing/origin.go
+++ b/cmd/hazelwing/origin.go
@@ -23,23 +23,21 @@
 func newOriginCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "origin",
-		Short: "Be one of the machines that hold a fleet's configuration",
+		Short: "Create or run an origin, a server that holds the configuration of a fleet",
 		Args:  cobra.NoArgs,
 		RunE:  printHelp,
 	}
 	bootstrap := newOriginSubcommand(bootstrapOrigin)
 	bootstrap.Use = "found"
-	bootstrap.Short = "Found an origin: make its store, empty, for the file's fleet, epoch and peers"
-	bootstrap.Long = `Found an origin, once on each of the machines set aside, with the same fleet, epoch ` +
-		`and peers in each file. ` +
-		`A store of a lower epoch is
-replaced; one of the same epoch or a higher one is left as it is, and the status is 1.`
+	bootstrap.Short = "Create the empty store of an origin, with the fleet, epoch and peers of its file"
+	bootstrap.Long = `Create the store of an origin. This is done once on each machine that is to run an origin, with
+the same fleet, epoch and peers in each file. A store of a lower epoch is replaced. A store of the same or a higher epoch is
+left unchanged, and the exit status is 1.`
 	run := newOriginSubcommand(func(_ io.Writer, config *operator.Origin) error { return runOrigin(config) })
 	run.Use = "run"
-	run.Short = "Run an origin that was founded"
-	run.Long = `Run an origin until SIGTERM or SIGINT. It ends with status 1 and one line where it cannot start, ` +
-		`or where something that others were to
-rely on could not be made durable.`
+	run.Short = "Run an origin whose store exists"
+	run.Long = `Run an origin until SIGTERM or SIGINT. It exits with status 1 and one line on standard error if it
+cannot start, or if it cannot make data durable that other processes would rely on.`
 	c.AddCommand(bootstrap, run)
 	return c
 }
@@ -51,7 +49,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if file == "" {
-				return errors.New("origin: --file is wanted")
+				return errors.New("origin: the origin's file is missing: set --file or HAZELWING_ORIGIN_FILE")
 			}
 			config, err := operator.LoadOrigin(file)
 			if err != nil {
@@ -61,7 +59,7 @@
 		},
 	}
 	c.Flags().StringVar(&file, "file", os.Getenv("HAZELWING_ORIGIN_FILE"),
-		"the origin's file (or HAZELWING_ORIGIN_FILE)")
+		"path of the origin's file (or HAZELWING_ORIGIN_FILE)")
 	return c
 }
 
--- a/cmd/hazelwing/output.go
+++ b/cmd/hazelwing/output.go
@@ -7,11 +7,11 @@
 	"text/tabwriter"
 )
 
-// printf writes to a command's output. A failed write does not fail the command: its exit status tells the command's
-// result, also where the reader of the output has left, as head does.
+// printf writes formatted text to a command's output. It ignores write errors: the exit status reports the result of
+// the command even if the reader of the output, such as head, has closed the pipe.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
-// printLine is printf for a line without a format.
+// printLine writes its arguments and a newline to a command's output. Like printf it ignores write errors.
 func printLine(out io.Writer, args ...any) { _, _ = fmt.Fprintln(out, args...) }
 
 // printJSON writes a value as indented JSON.
@@ -21,5 +21,5 @@
 	return encoder.Encode(value)
 }
 
-// newTable returns a writer that aligns columns, which are separated by tabs. They are written when it is flushed.
+// newTable returns a writer that aligns columns separated by tabs. It writes them when it is flushed.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
--- a/cmd/hazelwing/run.go
+++ b/cmd/hazelwing/run.go
@@ -14,33 +14,32 @@
 	"hazelwing/internal/platform"
 )
 
-// operatorVariable is the environment variable with the path of the operator's file, where no flag has it.
+// operatorVariable is the environment variable that holds the default path of the operator's file.
 const operatorVariable = "HAZELWING_OPERATOR"
 
 func newRunCommand() *cobra.Command {
 	var operatorFile string
 	c := &cobra.Command{
 		Use:   "run",
-		Short: "Run the daemon, as the platform's RELAY_ variables say",
-		Long: `Run the daemon: it serves the application beside it at RELAY_LISTEN and sends its requests ` +
-			`on to upstreams, as the
-JSON file says that RELAY_CONFIG names. It ends with status 0 after SIGTERM or SIGINT, and with status 1 and one line on
-standard error when it cannot start or serve. On SIGHUP it reads its configuration again.
+		Short: "Run the daemon, configured by the platform's RELAY_ variables",
+		Long: `Run the daemon. It serves the application beside it at RELAY_LISTEN and forwards its requests to
+upstreams, as configured in the JSON file that RELAY_CONFIG names. It exits with status 0 after SIGTERM or SIGINT, and
+with status 1 and one line on standard error if it cannot start or serve. On SIGHUP it reloads its configuration.
 
-What is beyond the platform's configuration, such as the ledger of effects, is set in the operator's file ` +
-			`(--operator, or
-the variable HAZELWING_OPERATOR). Without one all of it is off.`,
+Features that the platform's configuration does not cover, such as the idempotency ledger, are set in the operator's
+file (--operator, or the variable HAZELWING_OPERATOR). Without this file they are off.`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return runDaemon(operatorFile) },
 	}
-	c.Flags().StringVar(&operatorFile, "operator", os.Getenv(operatorVariable), "the operator's file")
+	c.Flags().StringVar(&operatorFile, "operator", os.Getenv(operatorVariable),
+		"path of the operator's file (or HAZELWING_OPERATOR)")
 	return c
 }
 
-// runDaemon runs the daemon until SIGTERM or SIGINT. The path of the operator's file is empty where there is none.
+// runDaemon runs the daemon until SIGTERM or SIGINT. The path of the operator's file is empty if there is no such file.
 func runDaemon(operatorFile string) error {
-	// This comes before all else, because SIGHUP would end the program before it is caught. The channel holds one
-	// signal, which stands for all that follow until it is received.
+	// SIGHUP is caught before anything else is done, because its default action would end the program. The channel
+	// holds one signal: until the daemon receives it, further ones would request the same reload.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	platformConfig, err := platform.Load(os.Getenv)
--- a/cmd/hazelwing/store.go
+++ b/cmd/hazelwing/store.go
@@ -13,25 +13,25 @@
 	"hazelwing/internal/store"
 )
 
-var errDamaged = errors.New("the disk has changed what was written: see docs/operators/store.md")
+var errDamaged = errors.New("the store is damaged: see docs/operators/store.md")
 
-// storeAction is what a subcommand does with the store in a directory.
+// storeAction carries out a subcommand on the store in a directory.
 type storeAction func(out io.Writer, dir string, fs store.FS, asJSON bool) error
 
 func newStoreCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "store",
-		Short: "Look at, check or compact the directory of a ledger of effects",
+		Short: "Inspect, verify or compact the directory of an idempotency ledger",
 		Args:  cobra.NoArgs,
 		RunE:  printHelp,
 	}
 	asJSON := c.PersistentFlags().Bool("json", false, "print JSON")
 	c.AddCommand(
-		newStoreSubcommand("inspect DIR", "Say what is remembered; the daemon may run meanwhile",
+		newStoreSubcommand("inspect DIR", "List the idempotency records; the daemon may be running",
 			inspectStore, asJSON),
-		newStoreSubcommand("verify DIR", "Read every record, and end with status 1 where the disk has changed one",
+		newStoreSubcommand("verify DIR", "Read every record; the exit status is 1 if the store is damaged",
 			verifyStore, asJSON),
-		newStoreSubcommand("compact DIR", "Give back the place of what counts no more; the daemon must not run",
+		newStoreSubcommand("compact DIR", "Free the space of obsolete records; the daemon must not be running",
 			compactStore, asJSON),
 	)
 	return c
@@ -107,7 +107,7 @@
 	return table.Flush()
 }
 
-// compactionResult is what compact prints as JSON.
+// compactionResult is the JSON output of the command compact.
 type compactionResult struct {
 	After  store.Stats `json:"after"`
 	Before store.Stats `json:"before"`
--- a/cmd/hazelwing/traffic.go
+++ b/cmd/hazelwing/traffic.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/emulator"
 )
 
-// maxGeneratedRequests is the number of requests that --rate and --length may give on average. It is half of what a
-// file may hold, because the number that is drawn varies.
+// maxGeneratedRequests limits the mean number of generated requests, which is the product of --rate and --length. It is
+// half of what a file may hold, because the number varies around the mean.
 const maxGeneratedRequests = emulator.MaxRequests / 2
 
 type trafficOptions struct {
@@ -27,7 +27,7 @@
 	var check bool
 	c := &cobra.Command{
 		Use:   "traffic FILE",
-		Short: "Write generated traffic to a file, or check one that is there (--check)",
+		Short: "Write generated traffic to a new file, or check an existing one with --check",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if check {
@@ -37,10 +37,10 @@
 		},
 	}
 	flags := c.Flags()
-	flags.BoolVar(&check, "check", false, "read the file, and say what is in it or which line cannot be used")
-	flags.Uint64Var(&options.seed, "seed", 1, "seed: the same one gives the same traffic")
-	flags.Float64Var(&options.rate, "rate", 250, "requests a second, on average")
-	flags.DurationVar(&options.length, "length", 12*time.Second, "how long it goes on")
+	flags.BoolVar(&check, "check", false, "read the file, and print a summary or the line that is invalid")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of the traffic; the same seed gives the same traffic")
+	flags.Float64Var(&options.rate, "rate", 250, "mean request rate, in requests per second")
+	flags.DurationVar(&options.length, "length", 12*time.Second, "duration of the traffic")
 	return c
 }
 
@@ -53,10 +53,16 @@
 	return nil
 }
 
-// write generates traffic and writes it to a new file. It fails where the file exists.
+// write generates traffic and writes it to a new file. It fails if the file exists.
 func (o *trafficOptions) write(path string) error {
-	if !(o.rate > 0) || o.length <= 0 || o.rate*o.length.Seconds() > maxGeneratedRequests {
-		return fmt.Errorf("--rate and --length are above 0, and give at most %d requests", maxGeneratedRequests)
+	switch meanRequests := o.rate * o.length.Seconds(); {
+	case !(o.rate > 0):
+		return fmt.Errorf("--rate is %v, want above 0", o.rate)
+	case o.length <= 0:
+		return fmt.Errorf("--length is %v, want above 0", o.length)
+	case meanRequests > maxGeneratedRequests:
+		return fmt.Errorf("--rate and --length give %.0f requests on average, want at most %d",
+			meanRequests, maxGeneratedRequests)
 	}
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
