--- a/cmd/hazelwing/architecture_test.go
+++ b/cmd/hazelwing/architecture_test.go
@@ -18,17 +18,18 @@
 )
 
 var (
-	// codeSpan is a piece of code in a Markdown page.
+	// codeSpan matches a code span in a Markdown page.
 	codeSpan = regexp.MustCompile("`([^`]+)`")
-	// packagePath is the path of a package below the module's root.
+	// packagePath matches the path of a package below the module's root.
 	packagePath = regexp.MustCompile(`^(balancer|(cmd|internal|rpc)/[a-z0-9/]+)$`)
-	// diagramPath finds package paths in the page's diagram, which has no code spans.
+	// diagramPath matches a package path in the page's diagram, which has no code spans.
 	diagramPath = regexp.MustCompile(`\b(?:cmd|internal|rpc)/[a-z0-9/]+`)
-	// qualifiedName is an exported identifier with its package, and a method or field of it.
+	// qualifiedName matches an exported identifier with its package, or a method or field of it.
 	qualifiedName = regexp.MustCompile(`^([a-z0-9]+)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
 )
 
-// The architecture page names packages and exported identifiers that exist.
+// All packages and exported identifiers that the architecture page names exist. The test guards against renames that
+// miss the page.
 func TestArchitecturePageNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(architecturePage)
 	if err != nil {
@@ -56,7 +57,7 @@
 		}
 	}
 	if checked < 30 {
-		t.Errorf("%d identifiers were found on the page, 30 or more are expected", checked)
+		t.Errorf("%d identifiers were found on the page, want at least 30", checked)
 	}
 }
 
@@ -69,13 +70,13 @@
 	return err == nil && len(files)+len(below) > 0
 }
 
-// testName is the name of a test, a fuzz test or a benchmark.
+// testName matches the name of a test, a fuzz test or a benchmark.
 var testName = regexp.MustCompile(`^(?:Test|Fuzz|Benchmark)[A-Z]\w*$`)
 
-// formerNamesPage is the page of names that are gone.
+// formerNamesPage is the page of former names, which no longer exist in the code.
 const formerNamesPage = "RENAMED.md"
 
-// Tests that pages name exist.
+// All tests that the pages name exist.
 func TestPagesNameExistingTests(t *testing.T) {
 	declared := map[string]bool{}
 	walkFiles(t, moduleRoot, "_test.go", func(name string) {
@@ -98,7 +99,7 @@
 	})
 }
 
-// Packages and test data that pages name exist.
+// All packages and test data folders that the pages name exist.
 func TestPagesNameExistingPackages(t *testing.T) {
 	checked := 0
 	walkPages(t, func(name, page string) {
@@ -114,17 +115,17 @@
 	})
 	const minPaths = 100
 	if checked < minPaths {
-		t.Errorf("%d package paths were found on the pages, %d or more are expected", checked, minPaths)
+		t.Errorf("%d package paths were found on the pages, want at least %d", checked, minPaths)
 	}
 }
 
-// isTestData reports whether a name is a folder of test data, or what the names of files in one begin with.
+// isTestData reports whether a name is a folder of test data, or the common prefix of file names in such a folder.
 func isTestData(name string) bool {
 	files, err := filepath.Glob(filepath.Join(moduleRoot, name+"*"))
 	return err == nil && len(files) > 0 && strings.Contains(name, "/testdata")
 }
 
-// walkPages calls visit with each page of README.md and docs, but the one of names that are gone.
+// walkPages calls visit with README.md and each page of docs except formerNamesPage.
 func walkPages(t *testing.T, visit func(name, page string)) {
 	t.Helper()
 	read := func(name string) {
@@ -141,7 +142,7 @@
 	walkFiles(t, moduleRoot+"/docs", ".md", read)
 }
 
-// walkFiles calls visit for each file below a folder whose name ends in suffix.
+// walkFiles calls visit for each file below a folder if the name of the file ends in suffix.
 func walkFiles(t *testing.T, root, suffix string, visit func(name string)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
--- a/cmd/hazelwing/build_test.go
+++ b/cmd/hazelwing/build_test.go
@@ -15,7 +15,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// deployKey returns a value of the deploy file.
+// deployKey returns the value of a key in deploy/balancer.toml.
 func deployKey(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -24,17 +24,17 @@
 	}
 	m := regexp.MustCompile(`(?m)^` + name + ` = "(.*?)"`).FindStringSubmatch(string(text))
 	if m == nil {
-		t.Fatalf("the deploy file has no %s", name)
+		t.Fatalf("deploy/balancer.toml has no key %s", name)
 	}
 	return m[1]
 }
 
-// The program is started while it is being built. The compiler removes the old file and copies the new one into its
-// place, so that the start would find no program or half of one. It has to run the old one or the new one. A fake
-// compiler stops half way.
+// The build replaces the program atomically. A compiler removes its output file and then writes it, so that a start
+// during the build could find no program or an incomplete one. A fake compiler pauses after writing half of the
+// program.
 func TestBuildReplacesProgramAtomically(t *testing.T) {
 	if runtime.GOOS != "linux" {
-		t.Skip("the platform's programs are Linux's")
+		t.Skip("the platform runs programs on Linux only")
 	}
 	dir := t.TempDir()
 	const compiler = `#!/bin/sh
@@ -65,30 +65,30 @@
 	if err := build.Start(); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "the compiler is half way", func() bool {
+	testutil.Until(t, "the compiler has written half of the program", func() bool {
 		_, err := os.Stat(filepath.Join(dir, "half"))
 		return err == nil
 	})
 	if p := program(); p != "old" {
-		t.Errorf("while it is built the program is %q, want the old one", p)
+		t.Errorf("during the build the program is %q, want \"old\"", p)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "go-on"), nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if err := build.Wait(); err != nil || program() != "new" {
-		t.Errorf("%v: the program is %q, want the new one", err, program())
+		t.Errorf("after the build: error %v, program %q, want \"new\"", err, program())
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "bin/*")); len(left) != 1 {
-		t.Errorf("beside the program there is %v", left)
+		t.Errorf("the build left the files %v, want only the program", left)
 	}
 }
 
-// deploymentBuild carries the deploy file's build line out, with the program's folder replaced by dir, and returns its
-// output. env is added to the environment.
+// deploymentBuild runs the build command of deploy/balancer.toml, with dir in place of the program's folder, and
+// returns its output. env is added to the environment.
 func deploymentBuild(t *testing.T, dir string, env ...string) (string, error) {
 	t.Helper()
 	if runtime.GOOS != "linux" {
-		t.Skip("the platform's programs are Linux's")
+		t.Skip("the platform runs programs on Linux only")
 	}
 	c := exec.CommandContext(t.Context(), "/bin/sh", "-c", strings.ReplaceAll(deployKey(t, "build"), "bin", dir))
 	c.Dir = "../.."
@@ -97,7 +97,7 @@
 	return string(out), err
 }
 
-// openDeployedProgram builds the program as the deploy file says, and opens its file.
+// openDeployedProgram builds the program with the build command of deploy/balancer.toml, and opens its file.
 func openDeployedProgram(t *testing.T) *elf.File {
 	t.Helper()
 	dir := t.TempDir()
@@ -112,45 +112,45 @@
 	return f
 }
 
-// The run line of the deploy file starts one process, which the platform's signals reach: the program replaces the
-// shell.
+// The run command of deploy/balancer.toml replaces the shell by the program, so that there is one process, which gets
+// the platform's signals.
 func TestRunLineEndsInOneProcess(t *testing.T) {
 	if run := deployKey(t, "run"); run != "export GOMAXPROCS=1; trap '' HUP; exec bin/hazelwing" {
-		t.Errorf("run %q: it has to end in one process, by exec", run)
+		t.Errorf("the run command is %q, want one that replaces the shell by exec", run)
 	}
 }
 
-// The build line of the deploy file makes a dynamically linked program.
+// The build command of deploy/balancer.toml gives a dynamically linked program.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	libs, err := openDeployedProgram(t).ImportedLibraries()
 	if err != nil || !slices.Contains(libs, "libc.so.6") {
-		t.Errorf("libraries %v, %v: the C library is not one", libs, err)
+		t.Errorf("libraries %v, error %v, want libc.so.6 among them", libs, err)
 	}
 }
 
-// The program has no code that starts others, which the platform rejects on large fleets.
+// The program has no code that starts other programs, because the platform rejects such programs on large fleets.
 func TestDeployedProgramCannotStartOthers(t *testing.T) {
 	symbols, err := openDeployedProgram(t).Symbols()
 	if err != nil || len(symbols) == 0 {
-		t.Fatal("no symbols", err)
+		t.Fatalf("%d symbols, error %v", len(symbols), err)
 	}
 	for _, s := range symbols {
 		for _, prefix := range []string{"os/exec.", "os.StartProcess", "net.ListenUnix"} {
 			if strings.HasPrefix(s.Name, prefix) {
-				t.Errorf("the program can start others, or listens on Unix sockets: %s", s.Name)
+				t.Errorf("the program has code that starts programs or listens on Unix sockets: %s", s.Name)
 			}
 		}
 	}
 }
 
-// Without a C compiler the build fails and says so, also where there is a program of an earlier build.
+// Without a C compiler the build fails and names the compiler, even if the program of an earlier build exists.
 func TestBuildNamesMissingCompiler(t *testing.T) {
-	const missing = "a-compiler-that-is-not-there"
+	const missing = "missing-compiler"
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "hazelwing"), []byte("old"), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := deploymentBuild(t, dir, "CC="+missing); err == nil || !strings.Contains(out, missing) {
-		t.Errorf("without a compiler: %v\n%s", err, out)
+		t.Errorf("build without a compiler: error %v, want output that names %s\n%s", err, missing, out)
 	}
 }
--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -23,15 +23,15 @@
 
 var (
 	calibrateFor = flag.Duration("calibrate.for", 5*time.Second,
-		"how long TestCalibration measures; above 30s the fleet has the daemon's own times, "+
-			"and both are measured one after the other")
-	calibrateMembers = flag.Int("calibrate.members", 6, "members of TestCalibration, at most 30")
+		"how long TestCalibration measures; above 30s the sidecars use the daemon's default intervals, "+
+			"and both kinds are measured one after the other")
+	calibrateMembers = flag.Int("calibrate.members", 6, "number of members in TestCalibration, at most 30")
 )
 
 // isLongCalibration reports whether the long form of TestCalibration is run.
 func isLongCalibration() bool { return *calibrateFor > 30*time.Second }
 
-// memberCost is the cost of a sidecar of one kind in a quiet cluster, a second of a member.
+// memberCost is the cost of one sidecar of a kind in a quiet cluster. Traffic and processor time are per second.
 type memberCost struct {
 	bytesOut    float64
 	bytesIn     float64
@@ -40,7 +40,7 @@
 	processor   float64 // ms
 	resident    float64 // MB
 	heap        float64 // MB
-	disturbed   int     // suspicions, refutations and stalls of all members; above 0: the cluster was not quiet
+	disturbed   int     // suspicions, refutations and stalls of all members; positive: the cluster was not quiet
 }
 
 func (c memberCost) String() string {
@@ -56,25 +56,26 @@
 	return text
 }
 
-// A hollow sidecar costs a quiet cluster what a real one does: bytes and messages within 10 %. Those of real ones are
-// counted by the links between their processes, those of hollow ones by their sockets. Names, list and settings are
-// the same, so the relay tree of the list is the same, too. Processor time and memory are only logged: hollow
-// sidecars share a process. The long form is
+// In a quiet cluster, hollow sidecars send and receive as many bytes and messages as real ones, within 10 %. The
+// traffic of real sidecars is counted by the links between their processes, that of hollow ones by their sockets.
+// Member names, endpoint list and settings are the same for both, and so is the relay tree of the list. Processor time
+// and memory are only logged, because hollow sidecars share one process. The long form is
 //
 //	go test ./cmd/hazelwing -run Calibration -calibrate.for 2m -calibrate.members 24 -timeout 20m -v
 func TestCalibration(t *testing.T) {
-	// Without push-pull, which is rare in a short time; all else has a fixed rate.
+	// The short form excludes push-pull, which is too rare to measure in a short time. All other traffic has a fixed
+	// rate.
 	settings := "probe = \"250ms\"\ntimeout = \"240ms\"\nsync = \"10m\"\n"
 	if isLongCalibration() {
-		// The daemon's own intervals. A late response on a busy machine leads to no further probes, with which the
-		// cluster would not be quiet.
+		// The daemon's default intervals apply. The long probe timeout prevents late responses on a busy machine from
+		// causing indirect probes, which would disturb the cluster.
 		settings = "timeout = \"900ms\"\n"
 	}
 	const recovery = "ask = 2\nfan = 3\n"
 	var realCost, hollowCost memberCost
 	measureReal := func() { realCost = calibrateReal(t, settings, recovery) }
 	measureHollow := func() { hollowCost = calibrateHollow(t, settings, recovery) }
-	if isLongCalibration() { // the processor time of this process is then that of one kind
+	if isLongCalibration() { // so that the processor time of this process is that of one kind
 		measureReal()
 		measureHollow()
 	} else {
@@ -100,7 +101,7 @@
 		{"messages received", realCost.messagesIn, hollowCost.messagesIn},
 	} {
 		if off := figure.hollow/figure.real - 1; !(math.Abs(off) <= 0.1) {
-			t.Errorf("%s: a hollow one %.2f a second, a real one %.2f: %+.1f %%",
+			t.Errorf("%s per second: hollow sidecar %.2f, real sidecar %.2f: difference %+.1f %%, want at most 10 %%",
 				figure.name, figure.hollow, figure.real, 100*off)
 		} else {
 			t.Logf("%s: %+.1f %%", figure.name, 100*off)
@@ -108,7 +109,7 @@
 	}
 }
 
-// calibrateReal measures sidecars that are processes of their own.
+// calibrateReal measures real sidecars, each of which is a process.
 func calibrateReal(t *testing.T, settings, recovery string) (cost memberCost) {
 	r, err := testcluster.New(testcluster.Config{
 		Members:         *calibrateMembers,
@@ -152,7 +153,7 @@
 	startedAt, before := time.Now(), read()
 	time.Sleep(*calibrateFor)
 	cost = costBetween(before, read(), time.Since(startedAt), members)
-	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // otherwise it was not quiet
+	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // an error means that the cluster was not quiet
 		t.Errorf("%v\n%s", err, r.Timeline())
 	}
 	return cost
@@ -208,8 +209,8 @@
 	return cost
 }
 
-// waitQuiet waits until a cluster has disseminated what is new, and in the long form until members that called
-// discovery for lack of a peer follow one again, after the settle time of internal/discovery/bootstrap.
+// waitQuiet waits until a cluster has disseminated all updates. In the long form it also waits for the settle time of
+// internal/discovery/bootstrap, after which members that called discovery for lack of a peer follow a peer again.
 func waitQuiet() {
 	if isLongCalibration() {
 		time.Sleep(40 * time.Second)
@@ -218,7 +219,7 @@
 	time.Sleep(time.Second)
 }
 
-// costBetween returns the cost of a member a second from the totals at two times.
+// costBetween returns the mean cost of a member from the totals of all members at two times.
 func costBetween(before, after memberCost, elapsed time.Duration, members int) memberCost {
 	memberSeconds := elapsed.Seconds() * float64(members)
 	return memberCost{
--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -15,24 +15,24 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each row of the capacity page's table of bounds is the value of a constant of the code, or is counted by a test
-// that exists and compares its count with the row (testutil.CheckCapacityBound). So a change of a bound fails until the
-// page is updated.
+// Each row in the capacity page's table of bounds has the value of a constant in the code, or names a test that
+// compares its own count with the row (testutil.CheckCapacityBound). A change of a bound therefore fails until the page
+// is updated.
 func TestCapacityPageBounds(t *testing.T) {
 	root := testutil.RepositoryRoot(t)
 	rows := testutil.CapacityBounds(t)
 	if len(rows) < 10 {
-		t.Fatalf("%d rows", len(rows))
+		t.Fatalf("the table of bounds has %d rows, want at least 10", len(rows))
 	}
 	for _, r := range rows {
 		if len(r.Sources) != 2 {
-			t.Errorf("%s: it is from %q, want a file or package and a name", r.Name, r.Sources)
+			t.Errorf("%s: the source is %q, want a file or package and a name", r.Name, r.Sources)
 			continue
 		}
 		path := filepath.Join(root, r.Sources[0])
 		if strings.HasPrefix(r.Sources[1], "Test") {
 			if !hasBoundCheck(t, path, r) {
-				t.Errorf("%s: no %s of %s holds it", r.Name, r.Sources[1], r.Sources[0])
+				t.Errorf("%s: no test %s in %s compares a count with this row", r.Name, r.Sources[1], r.Sources[0])
 			}
 			continue
 		}
@@ -40,12 +40,13 @@
 		if err != nil {
 			t.Errorf("%s: %v", r.Name, err)
 		} else if math.Abs(got-r.Figure) > 1e-9*math.Abs(r.Figure) {
-			t.Errorf("%s: %s has %v, docs/CAPACITY.md says %v", r.Name, r.Sources[1], got, r.Figure)
+			t.Errorf("%s: %s is %v, docs/CAPACITY.md has %v", r.Name, r.Sources[1], got, r.Figure)
 		}
 	}
 }
 
-// hasBoundCheck reports whether a package has the test of a row, and a call that compares a count with the row.
+// hasBoundCheck reports whether a package declares the test of a row, and compares a count with the row in the
+// same file.
 func hasBoundCheck(t *testing.T, dir string, r testutil.CapacityBound) bool {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	if err != nil {
--- a/cmd/hazelwing/ci_test.go
+++ b/cmd/hazelwing/ci_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// A small module in which .ci/run runs in seconds. The linter and the search for unreachable functions are programs
-// of its own that find nothing; the tests of .ci/run's calls put others in their place.
+// smallModule has the files of a small module in which .ci/run takes seconds. Its linter and its search for unreachable
+// functions are fakes that find nothing; tests replace them to check the calls.
 var smallModule = map[string]string{
 	"go.mod":                       "module small\n\ngo 1.26\n",
 	"README.md":                    "    go test ./...\n",
@@ -23,8 +23,8 @@
 	"linter/deadcode/main.go":      "package main\n\nfunc main() {}\n",
 }
 
-// runCI writes the small module, with some files added or replaced, runs .ci/run in it and returns its output, and
-// whether it succeeded.
+// runCI writes smallModule with some files added or replaced, and runs .ci/run in it. It returns the output, and
+// whether the run succeeded.
 func runCI(t *testing.T, files map[string]string) (output string, green bool) {
 	t.Helper()
 	dir := t.TempDir()
@@ -46,7 +46,7 @@
 	return string(out), err == nil
 }
 
-// writeFile writes a file and makes its directory.
+// writeFile writes a file, and creates its directory if needed.
 func writeFile(t *testing.T, path, text string, mode os.FileMode) {
 	t.Helper()
 	err := errors.Join(
@@ -58,13 +58,14 @@
 	}
 }
 
-// knownRedEntry is an entry of KNOWN-RED.txt for the test TestRed in the package a, with one of its lines replaced.
+// knownRedEntry returns an entry of KNOWN-RED.txt for the test TestRed in package a, in which the given line replaces
+// the line of the same field.
 func knownRedEntry(line string) string {
 	lines := []string{
 		"test: a TestRed",
 		"command: go test ./a -run TestRed",
 		"seed: none",
-		"seen: the pool forgets a connection under load",
+		"seen: the pool loses a connection under load",
 		"issue: 43",
 	}
 	field, _, _ := strings.Cut(line, ":")
@@ -76,10 +77,10 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// .ci/run with KNOWN-RED.txt, on a small module with a test that fails: it passes over just the listed tests and prints
-// their entries. An entry for a longer form of a test is printed, and the plain run of the test stays in force. A list
-// with an entry that lacks a field, names no open issue or a test that does not exist, or with more than three entries
-// fails. Without the file nothing is passed over.
+// With a failing test, .ci/run skips only the tests listed in KNOWN-RED.txt and prints their entries. If an entry is
+// for a longer form of a test, .ci/run prints it and still runs the plain form. A list is invalid if it has more than
+// three entries, or an entry that lacks a field, names no open issue or names a test that does not exist. Without the
+// file no test is skipped.
 func TestKnownRed(t *testing.T) {
 	const red = `package %s
 
@@ -101,12 +102,12 @@
 	for _, c := range []struct {
 		name       string
 		list       string
-		a, b       string // test files in place of the red one of a and the green one of b
+		a, b       string // replace the failing test file of a and the passing one of b unless empty
 		green      bool
 		wantOutput string
 	}{
 		{"no file", "", "", "", false, "it is red"},
-		{"listed", entry, "", "", true, "    seen: the pool forgets a connection under load\n"},
+		{"listed", entry, "", "", true, "    seen: the pool loses a connection under load\n"},
 		{"listed, and said to be", entry, "", "", true, "passed over, by KNOWN-RED.txt: a TestRed\n"},
 		{"whole run as the command", knownRedEntry("command: go test ./..."), "", "", true, "ok  \tsmall/b"},
 		{"anchored pattern", knownRedEntry("command: go test ./a -run '^TestRed$'"), "", "", true, "ok  \tsmall/b"},
@@ -159,7 +160,7 @@
 			}
 			out, green := runCI(t, files)
 			if green != c.green || !strings.Contains(out, c.wantOutput) {
-				t.Errorf("green is %v, want %v, with %q in\n%s", green, c.green, c.wantOutput, out)
+				t.Errorf("success is %v, want %v, and %q in the output:\n%s", green, c.green, c.wantOutput, out)
 			}
 		})
 	}
@@ -193,14 +194,14 @@
 			})
 			const called = "linter called with [run ./...]"
 			if green != test.green || !strings.Contains(out, called) {
-				t.Errorf("green is %v, want %v, with %q in\n%s", green, test.green, called, out)
+				t.Errorf("success is %v, want %v, and %q in the output:\n%s", green, test.green, called, out)
 			}
 		})
 	}
 }
 
-// .ci/run searches the whole module, tests included, for functions that nothing reaches. The tool succeeds whether it
-// finds any or not, so .ci/run fails if it prints one, or if the tool itself fails.
+// .ci/run searches the whole module, tests included, for unreachable functions. The search tool succeeds even if it
+// finds some, so .ci/run fails if the tool prints any, or if the tool itself fails.
 func TestUnreachableFunctionsFail(t *testing.T) {
 	const tool = `package main
 
@@ -231,7 +232,7 @@
 			main := strings.NewReplacer("FOUND", test.found, "STATUS", test.status).Replace(tool)
 			out, green := runCI(t, map[string]string{"linter/deadcode/main.go": main})
 			if green != test.green || !strings.Contains(out, test.wantOutput) {
-				t.Errorf("green is %v, want %v, with %q in\n%s", green, test.green, test.wantOutput, out)
+				t.Errorf("success is %v, want %v, and %q in the output:\n%s", green, test.green, test.wantOutput, out)
 			}
 		})
 	}
--- a/cmd/hazelwing/codenames_test.go
+++ b/cmd/hazelwing/codenames_test.go
@@ -15,25 +15,26 @@
 	"time"
 )
 
-// codeNames is what the code declares, for tests that hold pages to it. Packages go by the last element of their path.
+// codeNames has the declarations of the code, with which tests compare the pages. A package is named by the last
+// element of its path.
 type codeNames struct {
-	names     map[string]bool   // package.Name and package.Type.Member, members being methods and fields
-	functions map[string]string // those of names that are functions or methods, with their comments
-	constants map[string]packageConstants
-	literals  map[string]bool // string literals
+	names     map[string]bool             // package.Name, and package.Type.Member for methods and fields
+	functions map[string]string           // comments of the functions and methods, by their entries in names
+	constants map[string]packageConstants // by package
+	literals  map[string]bool             // string literals
 }
 
-// codePatterns are the packages of codeNames, in which tests are left out.
+// codePatterns match the packages that codeNames covers.
 var codePatterns = []string{"balancer", "internal/*", "internal/*/*", "rpc/*"}
 
-// parsedCode holds the result of parseCode: several tests need it.
+// parsedCode caches the result of readCode, which several tests need.
 var parsedCode struct {
 	once sync.Once
 	code codeNames
 	err  error
 }
 
-// parseCode returns what the code declares.
+// parseCode returns the declarations of the code. It parses the code once.
 func parseCode(t *testing.T) codeNames {
 	t.Helper()
 	parsedCode.once.Do(func() { parsedCode.code, parsedCode.err = readCode() })
@@ -114,7 +115,7 @@
 	}
 }
 
-// commentsOf returns the text of a function's own comment and of those in its body.
+// commentsOf returns the text of a function's doc comment and of the comments in its body.
 func commentsOf(file *ast.File, function *ast.FuncDecl) string {
 	text := function.Doc.Text()
 	for _, comment := range file.Comments {
@@ -144,7 +145,7 @@
 	return names
 }
 
-// receiverName is the name of a method's type.
+// receiverName returns the name of a method's receiver type.
 func receiverName(receiver *ast.FieldList) string {
 	expression := receiver.List[0].Type
 	if pointer, ok := expression.(*ast.StarExpr); ok {
@@ -215,7 +216,7 @@
 	case *ast.BinaryExpr:
 		return c.evaluateBinary(e)
 	}
-	return 0, fmt.Errorf("expression %T is no number that can be read here", expr)
+	return 0, fmt.Errorf("expressions of type %T cannot be evaluated", expr)
 }
 
 func (c packageConstants) evaluateBinary(e *ast.BinaryExpr) (float64, error) {
@@ -242,7 +243,7 @@
 	return 0, fmt.Errorf("operator %s is not supported", e.Op)
 }
 
-// timeUnit returns the constant of package time with a name.
+// timeUnit returns the constant of package time that has the given name.
 func timeUnit(name string) (time.Duration, bool) {
 	switch name {
 	case "Microsecond":
--- a/cmd/hazelwing/command_test.go
+++ b/cmd/hazelwing/command_test.go
@@ -18,30 +18,30 @@
 	return out.String(), err
 }
 
-// Without arguments the program is the daemon, as with run: the platform starts it so.
+// Without arguments the program is the daemon, as with "run". The platform starts it without arguments.
 func TestDaemonIsTheDefault(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", t.TempDir()+"/absent.json")
 	for _, args := range [][]string{{}, {"run"}} {
 		if _, err := execute(args...); err == nil || !strings.Contains(err.Error(), "absent.json") {
-			t.Errorf("%q: %v", args, err)
+			t.Errorf("%q: error %v, want one that names absent.json", args, err)
 		}
 	}
 	if _, err := execute("nothing"); err == nil || !strings.Contains(err.Error(), "nothing") {
-		t.Errorf("an unknown command: %v", err)
+		t.Errorf("unknown command: error %v, want one that names the command", err)
 	}
 }
 
-// A command that help does not list is found by nobody.
+// The help lists the commands. A user would not find a command that is missing there.
 func TestHelpListsTheCommands(t *testing.T) {
 	out, err := execute("help")
 	for _, want := range []string{"run", "demo", "traffic"} {
 		if err != nil || !strings.Contains(out, "\n  "+want+" ") {
-			t.Errorf("%q is missing from:\n%s", want, out)
+			t.Errorf("error %v, want %q in the help:\n%s", err, want, out)
 		}
 	}
 }
 
-// Generated traffic does not overwrite a file, and the error for a file that cannot be used names it and the line.
+// Generated traffic does not overwrite a file, and the error for an invalid file names the file and the line.
 func TestTrafficCommand(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t.jsonl")
 	if _, err := execute("traffic", path, "--length", "1s"); err != nil {
@@ -52,7 +52,7 @@
 	}
 	before, _ := os.ReadFile(path)
 	if _, err := execute("traffic", path, "--length", "2s"); err == nil {
-		t.Error("a file was overwritten")
+		t.Error("no error when the file exists")
 	}
 	if after, _ := os.ReadFile(path); !bytes.Equal(before, after) {
 		t.Error("the file has changed")
@@ -73,7 +73,7 @@
 		{"traffic", path + "2", "--rate", "-1"},
 	} {
 		if _, err := execute(args...); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want one line", args, err)
+			t.Errorf("%q: error %v, want one of one line", args, err)
 		}
 	}
 }
--- a/cmd/hazelwing/commandspage_test.go
+++ b/cmd/hazelwing/commandspage_test.go
@@ -12,18 +12,18 @@
 )
 
 var (
-	// testPackage is the package of a command that runs tests.
+	// testPackage matches the package of a "go test" command.
 	testPackage = regexp.MustCompile(`(?:^| )(\./[\w./]+)`)
-	// testSelection is a flag of such a command that selects tests, benchmarks or fuzz tests, with its pattern.
+	// testSelection matches a flag of a "go test" command that selects tests, benchmarks or fuzz tests by a pattern.
 	testSelection = regexp.MustCompile(`(?:^| )-(run|bench|fuzz) ('[^']*'|\S+)`)
-	// selectsNothing are patterns by which a command runs none of a kind.
+	// selectsNothing has the patterns that intentionally select no test.
 	selectsNothing = map[string]bool{"^$": true, "xxx": true}
-	// selectedPrefix is what the names begin with that a flag selects from.
+	// selectedPrefix is the prefix of the function names among which a flag selects.
 	selectedPrefix = map[string]string{"run": "Test", "bench": "Benchmark", "fuzz": "Fuzz"}
 )
 
-// A test is renamed, and the command on a page that measured a figure runs nothing any more and passes: each pattern of
-// a page's "go test" commands selects a test of its package.
+// Each pattern in the "go test" commands on the pages selects a test of its package. After a rename of the test, such a
+// command would run nothing and pass.
 func TestPagesRunExistingTests(t *testing.T) {
 	checked := 0
 	walkPages(t, func(name, page string) {
@@ -35,11 +35,11 @@
 	})
 	const minCommands = 40
 	if checked < minCommands {
-		t.Errorf("%d patterns were found on the pages, %d or more are expected", checked, minCommands)
+		t.Errorf("%d patterns were found on the pages, want at least %d", checked, minCommands)
 	}
 }
 
-// The check finds patterns that select nothing, also where a command is wrapped, and passes the right ones.
+// The check reports patterns that select nothing, also if the command has a line break, and accepts valid ones.
 func TestTestCommandCheckFindsWrongPatterns(t *testing.T) {
 	for page, isGood := range map[string]bool{
 		"`go test ./internal/backoff -run Scheduler -v`":                true,
@@ -53,12 +53,12 @@
 		"    go test ./internal/backoff -run Scheduler -bench None\n\n": false,
 	} {
 		if _, problems := checkTestCommands(page); (len(problems) == 0) != isGood {
-			t.Errorf("%q: problems %q", page, problems)
+			t.Errorf("%q: problems %q, want none: %v", page, problems, isGood)
 		}
 	}
 }
 
-// checkTestCommands returns how many patterns a page's commands have, and those that select nothing.
+// checkTestCommands returns the number of patterns in a page's commands, and a problem for each that selects nothing.
 func checkTestCommands(page string) (count int, problems []string) {
 	for _, command := range strings.Split(strings.ReplaceAll(page, "\n", " "), "go test ")[1:] {
 		command, _, _ = strings.Cut(command, "`")
@@ -81,7 +81,7 @@
 	return count, problems
 }
 
-// checkSelection returns an error if a pattern selects none of a package's functions of a kind.
+// checkSelection returns an error if a pattern selects no test function of a package. The kind is the flag's name.
 func checkSelection(packagePattern, kind, pattern string) error {
 	topLevel, _, _ := strings.Cut(pattern, "/")
 	selected, err := regexp.Compile(topLevel)
@@ -108,7 +108,7 @@
 	return fmt.Errorf("-%s %s selects nothing in %s", kind, pattern, packagePattern)
 }
 
-// declaresSelected reports whether a file declares a function with a prefix that a pattern selects.
+// declaresSelected reports whether a file declares a function whose name has the prefix and matches the pattern.
 func declaresSelected(name, prefix string, selected *regexp.Regexp) (bool, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
 	if err != nil {
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -21,7 +21,8 @@
 	"hazelwing/internal/testutil"
 )
 
-var configLong = flag.Bool("config.long", false, "TestConfigFaults: 30 members and 5 origins, and every fault")
+var configLong = flag.Bool("config.long", false,
+	"run the long form of TestConfigFaults: 30 members, 5 origins and all faults")
 
 // configCluster is a test cluster with origins.
 type configCluster struct {
@@ -29,7 +30,7 @@
 	t       *testing.T
 	members int
 	origins int
-	pushes  int // snapshots that were written by file
+	pushes  int // number of snapshots that writeSnapshot has written
 }
 
 func newConfigCluster(t *testing.T, members, origins int) *configCluster {
@@ -57,7 +58,7 @@
 	r.t.Fatalf("%v\n%s", err, strings.Join(lines[max(0, len(lines)-maxTimelineLines):], "\n"))
 }
 
-// numberRange returns the numbers from one to another.
+// numberRange returns the numbers from one number to another, both included.
 func numberRange(from, to int) (list []int) {
 	for n := from; n <= to; n++ {
 		list = append(list, n)
@@ -67,7 +68,7 @@
 
 func (r *configCluster) all() []int { return numberRange(1, r.members) }
 
-// writeSnapshot writes a snapshot with unique content and returns its path.
+// writeSnapshot writes a snapshot with unique content to a file, and returns its path.
 func (r *configCluster) writeSnapshot(more string) string {
 	r.t.Helper()
 	r.pushes++
@@ -79,19 +80,19 @@
 	return path
 }
 
-// push runs the command that pushes to an origin.
+// push runs the command that pushes a snapshot to an origin.
 func (r *configCluster) push(k int, file string, args ...string) (result pushResult, err error) {
 	r.t.Helper()
 	command := []string{"config", "push", file, "--fleet", "rig", "--origin", r.OriginAddr(k), "--json"}
 	out, err := execute(append(command, args...)...)
 	if json.Unmarshal([]byte(out), &result) != nil && err == nil {
-		r.t.Fatalf("no JSON: %s", out)
+		r.t.Fatalf("the output of push is not valid JSON: %s", out)
 	}
 	return result, err
 }
 
 // pushUntilAccepted repeats a push under its ID until it is accepted, as an operator would while the origins elect a
-// leader. It returns the revision, and when the first push was started.
+// leader. It returns the revision, and the time at which the first push started.
 func (r *configCluster) pushUntilAccepted(k int, file string) (controlplane.Revision, time.Time) {
 	r.t.Helper()
 	startedAt := time.Now()
@@ -101,12 +102,12 @@
 			return result.Revision, startedAt
 		}
 		if time.Since(startedAt) > 2*testutil.WaitTimeout {
-			r.fail(fmt.Errorf("not accepted: %+v, %w", result, err))
+			r.fail(fmt.Errorf("the push was not accepted in time: %+v, %w", result, err))
 		}
 	}
 }
 
-// appliedAt returns when members of a group applied a revision or a later one, by their logs.
+// appliedAt returns the times at which members of a group applied a revision or a later one, according to their logs.
 func (r *configCluster) appliedAt(revision controlplane.Revision, group []int) map[int]time.Time {
 	r.t.Helper()
 	const message = `msg="configuration applied" component=controlplane revision=`
@@ -119,7 +120,7 @@
 			}
 			var applied controlplane.Revision
 			_, err := fmt.Sscanf(strings.TrimSpace(rest), "%d.%d", &applied.Epoch, &applied.Version)
-			if err != nil || applied.Compare(revision) < 0 { // an error: the line is not whole yet
+			if err != nil || applied.Compare(revision) < 0 { // after an error: the line is not complete yet
 				continue
 			}
 			at, err := time.Parse(time.RFC3339, strings.TrimPrefix(line[:strings.IndexByte(line, ' ')], "time="))
@@ -134,20 +135,20 @@
 }
 
 // waitApplied waits until all members of a group have applied a revision or a later one, and logs the times since an
-// instant by which 50, 99 and 100 in 100 have. In the long form these may not exceed maxTime; 0: no such limit, for
-// members that were unreachable.
+// instant at the 50th, 99th and 100th percentiles. In the long form the longest may not exceed maxTime; 0 means no
+// limit, for members that were unreachable.
 func (r *configCluster) waitApplied(
 	what string, revision controlplane.Revision, since time.Time, group []int, maxTime time.Duration,
 ) {
 	r.t.Helper()
 	var appliedAt map[int]time.Time
 	startedAt := time.Now()
-	testutil.Until(r.t, what+": in force", func() bool {
+	testutil.Until(r.t, what+": all members have applied the revision", func() bool {
 		appliedAt = r.appliedAt(revision, group)
 		return len(appliedAt) == len(group) || time.Since(startedAt) > testutil.WaitTimeout-time.Second
 	})
 	if len(appliedAt) < len(group) {
-		r.fail(fmt.Errorf("%s: %v in force at %d of %d", what, revision, len(appliedAt), len(group)))
+		r.fail(fmt.Errorf("%s: %v was applied by %d of %d members", what, revision, len(appliedAt), len(group)))
 	}
 	var times []time.Duration
 	for _, at := range slices.SortedFunc(maps.Values(appliedAt), time.Time.Compare) {
@@ -157,9 +158,9 @@
 	quantile := func(q float64) float64 { return times[min(n-1, int(q*float64(n)))].Seconds() }
 	longest := times[n-1]
 	r.t.Logf("| %-52s | %2d | %.3f | %.3f | %.3f |", what, n, quantile(0.5), quantile(0.99), longest.Seconds())
-	// The short form only waits for the event: a busy disk or processor is no fault of the cluster.
+	// The short form has no limit, because it also runs on machines with a busy disk or processor.
 	if *configLong && maxTime > 0 && longest > maxTime {
-		r.fail(fmt.Errorf("%s: in force after %v, want %v", what, longest, maxTime))
+		r.fail(fmt.Errorf("%s: applied after %v, want at most %v", what, longest, maxTime))
 	}
 }
 
@@ -169,7 +170,7 @@
 	return state
 }
 
-// mostSubscribed returns the member with the most subscribers, except the excluded ones.
+// mostSubscribed returns the member that has the most subscribers, not counting the excluded ones.
 func (r *configCluster) mostSubscribed(excluded ...int) (member int) {
 	maxSubscribers := -1
 	for _, n := range r.all() {
@@ -185,7 +186,7 @@
 // leader waits until an origin is the leader, and returns its number.
 func (r *configCluster) leader() (k int) {
 	r.t.Helper()
-	testutil.Until(r.t, "an origin leads", func() bool {
+	testutil.Until(r.t, "an origin is the leader", func() bool {
 		for k = 1; k <= r.origins; k++ {
 			status, err := transport.NewClient("rig", r.OriginAddr(k)).Status(r.t.Context())
 			if err == nil && status.Role == origin.RoleLeader {
@@ -197,7 +198,7 @@
 	return k
 }
 
-// checkFinalState checks that no rule was broken, and that requests were served.
+// checkFinalState checks that no rule was violated, and that requests were served.
 func (r *configCluster) checkFinalState() {
 	r.t.Helper()
 	for _, f := range r.Violations() {
@@ -205,7 +206,7 @@
 	}
 	logOutcomes(r.t, r.Cluster)
 	if r.Outcomes.Served.Load() == 0 {
-		r.t.Error("nothing was served")
+		r.t.Error("no request was served")
 	}
 }
 
@@ -222,12 +223,12 @@
 	return true
 }
 
-// maxApplyTime is the limit of inForce for members that can be reached.
+// maxApplyTime is the time within which reachable members have to apply a revision.
 const maxApplyTime = 4 * time.Second
 
-// During each fault, changes get in force at all members that can be reached, and at the others once these can be
-// reached again; in the long form within 4 s of either. No accepted change is lost and no older one returns.
-// Meanwhile each request gets one response and no rule is broken. The long form is
+// During each fault, all reachable members apply the changes; the others apply them when they are reachable again. In
+// the long form, both take at most maxApplyTime. No accepted change is lost, and no member returns to an older one.
+// Meanwhile each request gets one response and no rule is violated. The long form is
 //
 //	go test ./cmd/hazelwing -run ConfigFaults -config.long -timeout 1h -v
 func TestConfigFaults(t *testing.T) {
@@ -240,9 +241,9 @@
 	half := members / 2
 
 	s, at := r.pushUntilAccepted(1, r.writeSnapshot(""))
-	r.waitApplied("the first change, pushed as the origins start", s, at, r.all(), 0)
+	r.waitApplied("first change, pushed while the origins start", s, at, r.all(), 0)
 
-	// Two at once under one version: one is accepted, the other has a conflict by name.
+	// Two concurrent pushes are based on one version: one is accepted, the other is a conflict.
 	files := []string{r.writeSnapshot("# a"), r.writeSnapshot("# b")}
 	answers := make([]pushResult, 2)
 	var both sync.WaitGroup
@@ -253,76 +254,77 @@
 	both.Wait()
 	outcomes := []string{string(answers[0].Outcome), string(answers[1].Outcome)}
 	if slices.Sort(outcomes); !slices.Equal(outcomes, []string{"accepted", "conflict"}) {
-		t.Errorf("two pushes under one version: %+v", answers)
+		t.Errorf("two concurrent pushes based on one version: %+v, want one accepted and one conflict", answers)
 	}
 	s.Version++
-	r.waitApplied("two at once under one version", s, at, r.all(), maxApplyTime)
+	r.waitApplied("two concurrent pushes on one version", s, at, r.all(), maxApplyTime)
 
-	// The address of discovery changes for all: few call the new one, and relay the list to the others.
+	// The address of discovery changes for all members: few of them call the new address, and relay the list to the
+	// others.
 	before, _ := r.Servers.Discovery.Calls()
 	s, at = r.pushUntilAccepted(2, r.writeSnapshot(fmt.Sprintf("[discovery]\naddr = %q", r.Servers.Discovery.Addr())))
-	r.waitApplied("discovery is moved", s, at, r.all(), maxApplyTime)
-	testutil.Until(t, "all have the list from it, by way of the fleet", r.allHaveDiscoveryList)
+	r.waitApplied("change of the discovery address", s, at, r.all(), maxApplyTime)
+	testutil.Until(t, "all members have the list of the new address", r.allHaveDiscoveryList)
 	if after, _ := r.Servers.Discovery.Calls(); after-before >= members {
-		t.Errorf("%d calls of discovery when %d sidecars are moved", after-before, members)
+		t.Errorf("%d calls of discovery after its address changed for %d sidecars, want fewer", after-before, members)
 	} else {
-		t.Logf("%d calls of discovery when %d sidecars are moved", after-before, members)
+		t.Logf("%d calls of discovery after its address changed for %d sidecars", after-before, members)
 	}
 
-	// One after the other without waiting.
+	// Ten pushes follow each other without a wait.
 	at = time.Now()
 	for i := range 10 {
 		s, _ = r.pushUntilAccepted(1+i%origins, r.writeSnapshot(""))
 	}
-	r.waitApplied("the last of ten in a row", s, at, r.all(), maxApplyTime)
+	r.waitApplied("last of ten consecutive changes", s, at, r.all(), maxApplyTime)
 
-	// The leader is killed in the middle of a push.
+	// The leader is killed during a push.
 	leader := r.leader()
 	file := r.writeSnapshot("")
 	done := make(chan bool)
 	go func() { s, at = r.pushUntilAccepted(1+leader%origins, file); close(done) }()
 	r.play(fmt.Sprintf("kill o%d", leader))
 	<-done
-	r.waitApplied("the origin that leads is killed in mid-push", s, at, r.all(), maxApplyTime)
+	r.waitApplied("leader killed during a push", s, at, r.all(), maxApplyTime)
 	r.play(fmt.Sprintf("start o%d", leader))
 
-	// A member with subscribers is stopped.
-	still := r.mostSubscribed()
-	r.play(fmt.Sprintf("freeze %d", still))
-	others := slices.DeleteFunc(r.all(), func(n int) bool { return n == still })
+	// A member with subscribers is frozen.
+	frozen := r.mostSubscribed()
+	r.play(fmt.Sprintf("freeze %d", frozen))
+	others := slices.DeleteFunc(r.all(), func(n int) bool { return n == frozen })
 	s, at = r.pushUntilAccepted(1, r.writeSnapshot(""))
-	r.waitApplied("a member that is followed stands still", s, at, others, maxApplyTime)
+	r.waitApplied("frozen member with subscribers: the others", s, at, others, maxApplyTime)
 	at = time.Now()
-	r.play(fmt.Sprintf("thaw %d", still))
-	r.waitApplied("it goes on", s, at, []int{still}, maxApplyTime)
+	r.play(fmt.Sprintf("thaw %d", frozen))
+	r.waitApplied("frozen member with subscribers: after the thaw", s, at, []int{frozen}, maxApplyTime)
 
-	// Half of the fleet is restarted during a push.
+	// Half of the members restart during a push.
 	file = r.writeSnapshot("")
 	done = make(chan bool)
 	go func() { s, at = r.pushUntilAccepted(2, file); close(done) }()
 	r.play(fmt.Sprintf("restart 1-%d", half))
 	<-done
-	r.waitApplied("half of the fleet restarts: the others", s, at, numberRange(half+1, members), maxApplyTime)
+	r.waitApplied("half of the members restart: the others", s, at, numberRange(half+1, members), maxApplyTime)
 	for n := range half {
 		if st := r.state(n + 1); !st.Ready && st.CachedAge == "" {
-			t.Errorf("%d takes requests, and neither has it nor says what it acts on: %+v", n+1, st)
+			t.Errorf("member %d is neither ready nor reports a cached snapshot: %+v", n+1, st)
 		}
 	}
-	r.waitApplied("half of the fleet restarts: that half", s, time.Now(), numberRange(1, half), maxApplyTime)
+	r.waitApplied("half of the members restart: that half", s, time.Now(), numberRange(1, half), maxApplyTime)
 
-	// The regions lose each other, with a majority of the origins on one side.
+	// The cluster is partitioned, with a majority of the origins on one side.
 	r.play(fmt.Sprintf("cut 1-%d,o1 %d-%d,o2-%d", half, half+1, members, origins))
 	if p, err := r.push(1, r.writeSnapshot(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
-		t.Errorf("a side without a majority has accepted a change: %+v", p)
+		t.Errorf("the side without a majority of the origins accepted a change: %+v", p)
 	}
 	s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
-	r.waitApplied("regions are cut: the side with a majority", s, at, numberRange(half+1, members), maxApplyTime)
+	r.waitApplied("partition: the side with a majority", s, at, numberRange(half+1, members), maxApplyTime)
 	if got := r.appliedAt(s, numberRange(1, half)); len(got) > 0 {
-		t.Errorf("the other side has it: %v", got)
+		t.Errorf("the side without a majority applied the change: %v", got)
 	}
 	at = time.Now()
 	r.play("heal")
-	r.waitApplied("healed: the other side", s, at, numberRange(1, half), maxApplyTime)
+	r.waitApplied("partition healed: the other side", s, at, numberRange(1, half), maxApplyTime)
 
 	if *configLong {
 		r.testLongFaults()
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -21,9 +21,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// The commands push and show, and their exit status tells the outcome. An invalid snapshot is rejected with file,
-// line and key, and changes nothing; a push is idempotent under its ID. Members survive what broken and hostile peers
-// send them. A member that restarts without any origin acts on its cached snapshot and says so.
+// The commands push and show snapshots, and their exit status reports the outcome. An invalid snapshot is rejected with
+// file, line and key, and changes nothing. A push is idempotent under its ID. Members survive invalid requests of
+// broken or hostile peers. A member that restarts without any origin acts on its cached snapshot and reports this.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
 	r := newConfigCluster(t, 3, 1)
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 
-	r.pushUntilAccepted(1, good) // with an ID of its own; then again with the same one
+	r.pushUntilAccepted(1, good) // chooses the ID push-1, with which the push is repeated
 	out, err := run("push", good, "--wait", "15s", "--id", fmt.Sprintf("push-%d", r.pushes), "--after", "0")
 	if err != nil ||
 		!strings.Contains(out, "accepted: 1.1, id push-1, after version 0") ||
@@ -46,19 +46,19 @@
 	}
 	out, err = run("push", good, "--after", "0", "--id", "push-1", "--wait", "0")
 	if err != nil || !strings.Contains(out, "accepted: 1.1") {
-		t.Errorf("again with its ID: %v\n%s", err, out)
+		t.Errorf("push repeated with its ID: %v\n%s", err, out)
 	}
 	out, err = run("push", good, "--after", "0", "--id", "two")
 	if status(err) != statusFailure ||
 		!strings.Contains(err.Error(), "another change came first: the latest revision is 1.1") {
-		t.Errorf("after an older version: %v\n%s", err, out)
+		t.Errorf("push based on an older version: %v\n%s", err, out)
 	}
 	r.testInvalidPushes(text, originFlags)
 	if out, err := run("show"); err != nil || out != "# 1.1\n"+string(text) {
 		t.Errorf("%v\n%s", err, out)
 	}
 	var s origin.Status
-	testutil.Until(t, "all are counted", func() bool {
+	testutil.Until(t, "the origin counts all members", func() bool {
 		out, err := run("status", "--json")
 		return json.Unmarshal([]byte(out), &s) == nil && err == nil && s.Report.Members == 3
 	})
@@ -76,7 +76,7 @@
 	}
 	_, err = execute("config", "status", "--fleet", "rig", "--origin", "127.0.0.1:9")
 	if status(err) != statusFailure {
-		t.Errorf("an origin that cannot be reached: %v", err)
+		t.Errorf("unreachable origin: error %v, want exit status 1", err)
 	}
 
 	r.sendInvalidRequests()
@@ -89,13 +89,13 @@
 	}
 	r.play("thaw 3")
 
-	// Without any origin.
+	// Members restart without any origin.
 	r.play("kill o1")
-	r.waitApplied("before the origin went", controlplane.Revision{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
+	r.waitApplied("before the origin is killed", controlplane.Revision{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
 	testutil.Until(t, "the snapshot is cached", func() bool { return r.state(2).Active.Version == 2 })
 	r.play("kill all\nstart all")
 	if s := r.state(2); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active.Version != 2 {
-		t.Errorf("ready, or the cached snapshot is not reported: %+v", s)
+		t.Errorf("the member is ready, or does not report that it acts on the cached snapshot: %+v", s)
 	}
 	if !strings.Contains(r.Log(2), "acting on the last known one, 1.2, confirmed") {
 		t.Error("the log has no line about the cached snapshot")
@@ -103,7 +103,8 @@
 	r.checkFinalState()
 }
 
-// testInvalidPushes checks that the command, the origin and a foreign cluster's name reject a push.
+// testInvalidPushes checks that the command and the origin reject an invalid snapshot, and that the origin rejects a
+// push for another cluster.
 func (r *configCluster) testInvalidPushes(validText []byte, originFlags []string) {
 	r.t.Helper()
 	bad := filepath.Join(r.t.TempDir(), "bad.toml")
@@ -119,7 +120,7 @@
 			r.t.Errorf("%q: %v", args, err)
 		}
 	}
-	// Without the command's own validation.
+	// The origin validates the snapshot if the command does not.
 	client := transport.NewClient("rig", r.OriginAddr(1))
 	result, err := client.Push(r.t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
 	if err != nil || result.Outcome != origin.OutcomeRejected ||
@@ -129,11 +130,11 @@
 	foreignClient := transport.NewClient("other", r.OriginAddr(1))
 	_, err = foreignClient.Push(r.t.Context(), "four", 1, validText)
 	if err == nil || !strings.Contains(err.Error(), "another fleet's") {
-		r.t.Errorf("another fleet's push: %v", err)
+		r.t.Errorf("push for another cluster: error %v, want one that says so", err)
 	}
 }
 
-// status returns the exit status for an error; nil: 0.
+// status returns the exit status for an error, which is 0 for nil.
 func status(err error) int {
 	if err == nil {
 		return 0
@@ -141,7 +142,8 @@
 	return exitStatus(err)
 }
 
-// sendInvalidRequests sends a member and an origin invalid requests. They close just the connection of each.
+// sendInvalidRequests sends invalid requests to a member and an origin, which close only the connections of these
+// requests. Other connections send nothing or do not read.
 func (r *configCluster) sendInvalidRequests() {
 	r.t.Helper()
 	member := fmt.Sprint(r.GossipAddr(1))
@@ -159,7 +161,7 @@
 	send(r.OriginAddr(1), "POST /config/push?after=1&id=x", "rig",
 		"Content-Length: 300000\r\n\r\n"+strings.Repeat("#", 300000))
 	all.Wait()
-	// Connections that send nothing, and a subscriber that does not read.
+	// Some connections send nothing, and a subscriber does not read.
 	for range 3 {
 		c, err := net.Dial("tcp", member)
 		if err != nil {
@@ -186,7 +188,7 @@
 	}
 }
 
-// waitClosed sends a text and waits until the peer closes the connection.
+// waitClosed sends a text on a new connection and waits until the peer closes it.
 func (r *configCluster) waitClosed(addr, text string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -198,11 +200,11 @@
 		r.t.Error(err)
 		return
 	}
-	_, _ = io.WriteString(c, text) // fails where the peer closes the connection first
+	_, _ = io.WriteString(c, text) // fails if the peer closes the connection first
 	for buffer := make([]byte, 1<<10); ; {
 		if _, err := c.Read(buffer); err != nil {
 			if netErr, ok := errors.AsType[net.Error](err); ok && netErr.Timeout() {
-				r.t.Errorf("the connection with %.60q is still open", text)
+				r.t.Errorf("the connection on which %.60q was sent is still open", text)
 			}
 			return
 		}
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -15,8 +15,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// testLongFaults plays the faults of the long form: 30 members and 5 origins, of which a third is in no area that is
-// cut off.
+// testLongFaults plays the faults of the long form, which has 30 members and 5 origins. A third of these is in no area
+// that is cut off.
 func (r *configCluster) testLongFaults() {
 	r.testCutAreas()
 	r.testReplacements()
@@ -27,7 +27,7 @@
 	r.testAllOriginsRolledBack(backup)
 }
 
-// except returns all members but some.
+// except returns all members except the excluded ones.
 func (r *configCluster) except(excluded []int) []int {
 	return slices.DeleteFunc(r.all(), func(n int) bool { return slices.Contains(excluded, n) })
 }
@@ -45,18 +45,19 @@
 	} {
 		r.play("cut " + area.cut + " " + area.rest)
 		s, at := r.pushUntilAccepted(3, r.writeSnapshot(""))
-		r.waitApplied(area.name+" is cut off: the others, at once", s, at, r.except(area.members), maxApplyTime)
-		time.Sleep(8 * time.Second) // until the others have declared these dead
+		r.waitApplied(area.name+" is cut off: the others, immediately", s, at, r.except(area.members), maxApplyTime)
+		time.Sleep(8 * time.Second) // until the others have declared the members of the area dead
 		s, at = r.pushUntilAccepted(3, r.writeSnapshot(""))
 		r.waitApplied(area.name+" is cut off: the others, 8 s later", s, at, r.except(area.members), maxApplyTime)
 		at = time.Now()
 		r.play("heal")
-		r.waitApplied(area.name+": those, after the healing", s, at, area.members, maxApplyTime)
+		r.waitApplied(area.name+" is reconnected: its members", s, at, area.members, maxApplyTime)
 	}
 	r.play("settle 500ms 60s")
 }
 
-// testReplacements replaces members one after the other, as on a usual day, with a change during each.
+// testReplacements restarts members one after the other, as in a rolling update, and pushes a change during each
+// restart.
 func (r *configCluster) testReplacements() {
 	r.t.Helper()
 	for n := 1; n <= r.members; n += 5 {
@@ -69,7 +70,7 @@
 		}()
 		r.play(fmt.Sprintf("restart %d 50ms", n))
 		<-done
-		r.waitApplied(fmt.Sprintf("m%02d is replaced meanwhile: the others", n), s, at, r.except([]int{n}), maxApplyTime)
+		r.waitApplied(fmt.Sprintf("m%02d restarts: the others", n), s, at, r.except([]int{n}), maxApplyTime)
 	}
 }
 
@@ -97,12 +98,12 @@
 		})
 	}
 	all.Wait()
-	r.t.Logf("a flood of pushes for 10 s: %v accepted", accepted)
+	r.t.Logf("pushes of four clients for %v: %v accepted", duration, accepted)
 	s, at := r.pushUntilAccepted(2, r.writeSnapshot(""))
-	r.waitApplied("after a flood", s, at, r.all(), maxApplyTime)
+	r.waitApplied("change after many pushes", s, at, r.all(), maxApplyTime)
 }
 
-// testLargestSnapshot pushes a snapshot of the maximum size that compresses badly.
+// testLargestSnapshot pushes a snapshot of nearly the maximum size whose text compresses badly.
 func (r *configCluster) testLargestSnapshot() {
 	r.t.Helper()
 	const size = controlplane.MaxSnapshotSize - 200
@@ -115,21 +116,21 @@
 	r.pushUntilAccepted(2, r.writeSnapshot(""))
 }
 
-// testChangeTraffic logs the traffic without and with changes.
+// testChangeTraffic logs the traffic without and with configuration changes.
 func (r *configCluster) testChangeTraffic() {
 	r.t.Helper()
 	r.logTraffic("quiet", 30*time.Second, func() {})
-	r.logTraffic("a change each 5 s, ten times 1,700 a day", 30*time.Second, func() {
+	r.logTraffic("a change every 5 s, ten times 1,700 a day", 30*time.Second, func() {
 		for range 6 {
 			r.pushUntilAccepted(2, r.writeSnapshot(""))
 			time.Sleep(5 * time.Second)
 		}
 	})
 	s, at := r.pushUntilAccepted(2, r.writeSnapshot(""))
-	r.waitApplied("after it", s, at, r.all(), maxApplyTime)
+	r.waitApplied("change after these", s, at, r.all(), maxApplyTime)
 }
 
-// backUp copies the store of an origin that does not run, and returns the copy's directory.
+// backUp copies the store of an origin that is not running, and returns the directory of the copy.
 func (r *configCluster) backUp(k int) string {
 	r.t.Helper()
 	dir := r.t.TempDir() + "/yesterday"
@@ -139,7 +140,7 @@
 	return dir
 }
 
-// restore replaces the store of an origin that does not run by a copy.
+// restore replaces the store of an origin that is not running by a copy.
 func (r *configCluster) restore(k int, backup string) {
 	r.t.Helper()
 	if err := os.RemoveAll(r.OriginDir(k)); err != nil {
@@ -150,7 +151,7 @@
 	}
 }
 
-// testRolledBackOrigin restores an older store of one origin. It returns the directory of that store.
+// testRolledBackOrigin restores an older store of one origin, and returns the directory of that store.
 func (r *configCluster) testRolledBackOrigin() (backup string) {
 	r.t.Helper()
 	client := transport.NewClient("rig", r.OriginAddr(5))
@@ -161,19 +162,19 @@
 	for range 3 {
 		s, _ = r.pushUntilAccepted(1, r.writeSnapshot(""))
 	}
-	testutil.Until(r.t, "the origin has what its store is to lose", func() bool {
+	testutil.Until(r.t, "the origin has the revisions that its older store lacks", func() bool {
 		status, err := client.Status(r.t.Context())
 		return err == nil && status.Revision == s
 	})
 	r.play("kill o5")
 	r.restore(5, backup)
 	r.play("start o5")
-	testutil.Until(r.t, "the origin says that its store was rolled back", func() bool {
+	testutil.Until(r.t, "the origin reports that its store was rolled back", func() bool {
 		status, err := client.Status(r.t.Context())
 		return err == nil && status.Role == origin.RoleRolledBack
 	})
 	s, at := r.pushUntilAccepted(1, r.writeSnapshot(""))
-	r.waitApplied("with an origin whose store was rolled back", s, at, r.all(), maxApplyTime)
+	r.waitApplied("change with one rolled-back origin", s, at, r.all(), maxApplyTime)
 	return backup
 }
 
@@ -189,22 +190,24 @@
 	for range 3 {
 		s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
 	}
-	r.waitApplied("before all origins are rolled back", s, at, r.all(), maxApplyTime)
+	r.waitApplied("change before all origins are rolled back", s, at, r.all(), maxApplyTime)
 	r.play("kill origins")
 	for i, backup := range backups {
 		r.restore(i+1, backup)
 	}
 	r.restore(5, backupOfLast)
 	r.play("start origins")
-	testutil.Until(r.t, "an origin hears that members hold a later one", func() bool { return r.isAnyOriginBehind(s) })
+	testutil.Until(r.t, "an origin learns that members have a later revision", func() bool {
+		return r.isAnyOriginBehind(s)
+	})
 	if result, err := r.push(2, r.writeSnapshot(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
-		r.t.Errorf("accepted although the members hold a later one: %+v", result)
+		r.t.Errorf("the push was accepted although the members have a later revision: %+v", result)
 	} else {
-		r.t.Logf("a push is turned away: %v", err)
+		r.t.Logf("the push was rejected: %v", err)
 	}
 	for _, n := range r.all() {
 		if state := r.state(n); state.Active.Compare(s) != 0 {
-			r.t.Errorf("m%02d acts on %v after the origins were rolled back, and on %v before", n, state.Active, s)
+			r.t.Errorf("m%02d acts on %v after the origins were rolled back, want %v as before", n, state.Active, s)
 		}
 	}
 	r.play("kill origins")
@@ -214,9 +217,9 @@
 	r.play("start origins")
 	s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
 	if s.Epoch != 2 {
-		r.t.Errorf("%v", s)
+		r.t.Errorf("revision %v, want epoch 2", s)
 	}
-	r.waitApplied("a higher epoch is founded", s, at, r.all(), 0)
+	r.waitApplied("change of a higher epoch", s, at, r.all(), 0)
 }
 
 // isAnyOriginBehind reports whether an origin knows that members have a revision that the origins lack.
@@ -230,8 +233,8 @@
 	return false
 }
 
-// logTraffic logs the bytes that members sent and received, a second, while a function runs and until the duration is
-// over.
+// logTraffic logs the bytes per second that members send and receive during a function, and after it until the duration
+// is over.
 func (r *configCluster) logTraffic(what string, duration time.Duration, during func()) {
 	r.t.Helper()
 	type traffic struct{ out, in testcluster.Bytes }
@@ -254,7 +257,7 @@
 		list = append(list, float64(a.out.EndpointList+a.in.EndpointList-b.out.EndpointList-b.in.EndpointList)/seconds)
 		config = append(config, float64(a.out.Config+a.in.Config-b.out.Config-b.in.Config)/seconds)
 	}
-	r.t.Logf("| %s | bytes a second a member, sent and received, mean (most): "+
+	r.t.Logf("| %s | bytes per second and member, sent and received, mean (maximum): "+
 		"view %.0f (%.0f), list %.0f (%.0f), configuration %.0f (%.0f)", what,
 		mean(view), slices.Max(view), mean(list), slices.Max(list), mean(config), slices.Max(config))
 }
--- a/cmd/hazelwing/cost_test.go
+++ b/cmd/hazelwing/cost_test.go
@@ -9,10 +9,11 @@
 	"hazelwing/internal/testutil"
 )
 
-var costFigures = flag.Bool("cost.figures", false, "TestProcessorTime: measure what a request costs the daemon")
+var costFigures = flag.Bool("cost.figures", false,
+	"run TestProcessorTime, which measures the processor time of a request")
 
-// The processor time, user and system, that a request costs the daemon, which runs as a process of its own beside six
-// emulated nodes. The costs of the lab's hosts are taken from it:
+// TestProcessorTime measures the user and system time that a request takes in the daemon, which is a process with six
+// emulated nodes as upstreams. The lab uses the results as the costs of its simulated hosts:
 //
 //	go test ./cmd/hazelwing -run ProcessorTime -cost.figures -v
 func TestProcessorTime(t *testing.T) {
@@ -21,7 +22,7 @@
 	}
 	r := newDaemonProcess(t, "")
 	const length = 8 * time.Second
-	shot := load.ScheduledRequest{
+	request := load.ScheduledRequest{
 		Class:    "look",
 		Effect:   "safe",
 		Deadline: testutil.WaitTimeout,
@@ -29,7 +30,7 @@
 	}
 	measure := func(rate float64) (time.Duration, load.Report) {
 		r.start()
-		plan, err := load.Poisson(1, []load.Point{{Rate: max(rate, 1)}}, length, shot)
+		plan, err := load.Poisson(1, []load.Point{{Rate: max(rate, 1)}}, length, request)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,10 +49,11 @@
 			requests += count
 		}
 		perRequest := ((processorTime - idle) / time.Duration(requests)).Round(time.Microsecond)
-		t.Logf("%.0f a second: %v of a core's time a request, %.2f of a core; p50 %.1f ms, p99 %.1f ms; %v",
+		t.Logf("%.0f requests per second: %v of processor time per request, %.2f of a core; "+
+			"p50 %.1f ms, p99 %.1f ms; %v",
 			rate, perRequest, processorTime.Seconds()/length.Seconds(), report.P50, report.P99, report.Outcomes)
 		if report.Outcomes["served"] < requests*9/10 {
-			t.Errorf("%.0f a second: %v", rate, report.Outcomes)
+			t.Errorf("%.0f requests per second: outcomes %v, want at least 90 %% served", rate, report.Outcomes)
 		}
 	}
 }
--- a/cmd/hazelwing/crossingspage_test.go
+++ b/cmd/hazelwing/crossingspage_test.go
@@ -10,8 +10,8 @@
 
 const crossingsPage = moduleRoot + "/docs/design/crossings.md"
 
-// The page of races names for each of them the guard that prevents it. A guard that was renamed or removed is noticed:
-// every identifier on the page is one of the code, and constants with a value have that value.
+// The page of races names, for each race, the guard in the code that prevents it. The test notices a guard that was
+// renamed or removed: the code declares every identifier on the page, and constants have the values on the page.
 func TestCrossingsPageNamesTheCode(t *testing.T) {
 	text, err := os.ReadFile(crossingsPage)
 	if err != nil {
@@ -21,7 +21,7 @@
 	identifiers, problems := code.checkIdentifiers(page)
 	const minIdentifiers = 60
 	if identifiers < minIdentifiers {
-		t.Errorf("%d identifiers were found on the page, %d or more are expected", identifiers, minIdentifiers)
+		t.Errorf("%d identifiers were found on the page, want at least %d", identifiers, minIdentifiers)
 	}
 	_, valueProblems := code.checkValues(page)
 	problems = append(problems, valueProblems...)
@@ -30,8 +30,8 @@
 	}
 }
 
-// checkIdentifiers returns how many identifiers with a package of the code a page has, and those that the code does not
-// declare.
+// checkIdentifiers returns the number of identifiers on a page that belong to a package of the code, and a problem for
+// each that the code does not declare.
 func (c codeNames) checkIdentifiers(page string) (count int, problems []string) {
 	for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
 		match := pageIdentifier.FindStringSubmatch(span[1])
@@ -46,14 +46,14 @@
 	return count, problems
 }
 
-// guardsHeader is the head of the page's tables of races. In their rows the third cell is the guard.
+// guardsHeader is the header of the page's tables of races, in which the third cell of a row is the guard.
 const guardsHeader = "| crossing | bad order | guard | test |"
 
-// guardComment is what the comment of a guard says: which failure it prevents.
+// guardComment matches the comment of a guard that names the failure that it prevents.
 var guardComment = regexp.MustCompile(`Guard:|[Pp]revent`)
 
-// checkGuards returns the races on a page without a guard in code, that is without a piece of code in the third cell,
-// and those of whose guards, as far as they are functions, none has a comment that says what it prevents.
+// checkGuards returns a problem for each race on a page whose third cell has no code span, and for each race whose
+// guards include functions, none of which has a comment that names the prevented failure.
 func (c codeNames) checkGuards(page string) (problems []string) {
 	inTable := false
 	for line := range strings.Lines(page) {
@@ -66,16 +66,16 @@
 		case inTable && !strings.HasPrefix(line, "| ---"):
 			cells := strings.Split(strings.Trim(line, "|"), "|")
 			if len(cells) != 4 || !codeSpan.MatchString(cells[2]) {
-				problems = append(problems, fmt.Sprintf("no guard in code: %.60s", line))
+				problems = append(problems, fmt.Sprintf("the row names no guard in the code: %.60s", line))
 			} else if !c.isExplained(cells[2]) {
-				problems = append(problems, "no guard's comment says what it prevents:"+cells[2])
+				problems = append(problems, "no comment of these guards names the prevented failure:"+cells[2])
 			}
 		}
 	}
 	return problems
 }
 
-// isExplained reports whether a cell names no function, or one whose comment says what it prevents.
+// isExplained reports whether a cell names no function, or one whose comment names the prevented failure.
 func (c codeNames) isExplained(cell string) bool {
 	namesFunction := false
 	for _, span := range codeSpan.FindAllStringSubmatch(cell, -1) {
@@ -88,7 +88,8 @@
 	return !namesFunction
 }
 
-// A row whose guard is only told or not explained in code, or that has no such cell, is found.
+// The check reports rows without a guard in the code, with a guard that has no explaining comment, or without that
+// cell.
 func TestCrossingsPageCheckFindsRowsWithoutGuard(t *testing.T) {
 	code := codeNames{functions: map[string]string{
 		"engine.Engine.step":      "Guard: one goroutine handles events. This prevents two results.",
@@ -103,7 +104,7 @@
 		"| a | b | `NewlyReached` of an update | `TestX` |\n":  true,
 	} {
 		if problems := code.checkGuards(table + row); (len(problems) == 0) != isGood {
-			t.Errorf("%q: problems %q", row, problems)
+			t.Errorf("%q: problems %q, want none: %v", row, problems, isGood)
 		}
 	}
 }
--- a/cmd/hazelwing/decisionspage_test.go
+++ b/cmd/hazelwing/decisionspage_test.go
@@ -25,31 +25,32 @@
 	decisionsPage = moduleRoot + "/docs/DECISIONS.md"
 
 	// decisionCells is the number of cells of a decision: question, rule, function, inputs, constants and settings,
-	// what shows it, promise.
+	// log messages and admin fields that show it, promise.
 	decisionCells = 7
-	// minDecisions and minConstants guard against a page whose rows the test no longer finds.
+	// minDecisions and minConstants make the test fail if a new form of the page hides rows from it.
 	minDecisions = 70
 	minConstants = 100
 )
 
 var (
-	// pageIdentifier is an identifier of the code with its package, and a method or field of it.
+	// pageIdentifier matches an identifier of the code with its package, or a method or field of it.
 	pageIdentifier = regexp.MustCompile(`^([a-z][a-z0-9]*)\.(\w+)(?:\.(\w+))?$`)
-	// constantWithValue is an identifier with its value behind it. What begins with a digit is taken for a value.
+	// constantWithValue matches an identifier that is followed by its value, a text in parentheses that begins with a
+	// digit.
 	constantWithValue = regexp.MustCompile("`([a-z][a-z0-9]*\\.\\w+)` \\((\\d[^)]*)\\)")
-	// operatorKey is a key of the operator's file with its table.
+	// operatorKey matches a table of the operator's file, or a key with its table.
 	operatorKey = regexp.MustCompile(`^\[([a-z_.]+)\](?: (\w+))?$`)
-	// adminField is a section of the admin endpoint, and a field of it.
+	// adminField matches a section of the admin endpoint, or a field of one.
 	adminField = regexp.MustCompile(`^GET /(\w+)(?:: ([\w.]+))?$`)
-	// commandLine is a command of the program.
+	// commandLine matches a command of the program.
 	commandLine = regexp.MustCompile(`^hazelwing ([a-z ]+)$`)
-	// platformKey is a key of the settings in the platform's file.
+	// platformKey matches a key of the settings in the platform's file.
 	platformKey = regexp.MustCompile(`^[A-Z]\w+(?:\.\w+)?$`)
-	// pageValue is a number with its unit; a fraction has no unit.
+	// pageValue matches a number with an optional unit, or a fraction.
 	pageValue = regexp.MustCompile(`^(\d[\d,.]*)(?:/(\d+)| (ms|s|min|h|KiB|MiB))?$`)
 )
 
-// adminSections are the types of what the admin endpoint's sections show.
+// adminSections has the type of each section of the admin endpoint.
 var adminSections = map[string]reflect.Type{
 	"bounds":   reflect.TypeFor[limits.State](),
 	"config":   reflect.TypeFor[transport.MemberState](),
@@ -60,8 +61,8 @@
 	"recovery": reflect.TypeFor[relay.SourceState](),
 }
 
-// On-call looks a decision up by the names on the page. Names and values that the code no longer has would send them to
-// the wrong place: functions, constants with their values, settings, log messages and admin fields are the code's.
+// The functions, constants with their values, settings, log messages and admin fields on the page exist in the code.
+// Wrong ones would mislead on-call engineers, who look up a decision by the names on the page.
 func TestDecisionsPageNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(decisionsPage)
 	if err != nil {
@@ -73,11 +74,11 @@
 	}
 	values, problems := code.checkValues(string(page))
 	if values < minConstants {
-		t.Errorf("%d constants with a value were found on the page, %d or more are expected", values, minConstants)
+		t.Errorf("%d constants with a value were found on the page, want at least %d", values, minConstants)
 	}
 	rows, rowProblems := code.checkDecisions(string(page))
 	if rows < minDecisions {
-		t.Errorf("%d decisions were found on the page, %d or more are expected", rows, minDecisions)
+		t.Errorf("%d decisions were found on the page, want at least %d", rows, minDecisions)
 	}
 	for _, problem := range append(problems, rowProblems...) {
 		t.Error(problem)
@@ -89,20 +90,21 @@
 	"backoff", "balancer", "bootstrap", "clientconn", "engine", "http1", "httpfront", "relay", "watch",
 }
 
-// notDecisions are constants of decisionPackages that decide nothing an engineer would look up, with the reason.
+// notDecisions has the constants of decisionPackages that are no thresholds of a decision, each with the reason.
 var notDecisions = map[string]string{
-	"balancer.minServedRate":      "keeps a divisor above 0",
-	"balancer.minAgeDivisor":      "bounds the error of a rate that has just begun",
+	"balancer.minServedRate":      "keeps a divisor positive",
+	"balancer.minAgeDivisor":      "limits the error of a rate with little data",
 	"bootstrap.randomStream":      "a seed",
 	"clientconn.chunkSize":        "size of a buffer",
 	"engine.clockHeadStart":       "the origin of a clock",
-	"engine.queueLength":          "whoever finds no room waits",
+	"engine.queueLength":          "senders wait if the queue is full",
 	"http1.initialBodyBuffer":     "size of a buffer",
 	"httpfront.initialBodyBuffer": "size of a buffer",
 }
 
-// A threshold that the page lacks would be looked for in vain: each number that a package of decisionPackages names is
-// on the page, but for notDecisions. The values of enumerations, and of most seeds, are none that value reads.
+// Each numeric constant of decisionPackages is on the page, except notDecisions. On-call engineers would look for a
+// missing threshold in vain. The check omits enumerations and most seeds, whose expressions packageConstants cannot
+// evaluate.
 func TestDecisionsPageHasAllThresholds(t *testing.T) {
 	page, err := os.ReadFile(decisionsPage)
 	if err != nil {
@@ -126,12 +128,12 @@
 	}
 	for name := range notDecisions {
 		if !code.names[name] {
-			t.Errorf("there is no constant %s any more", name)
+			t.Errorf("notDecisions has %s, but there is no such constant", name)
 		}
 	}
 }
 
-// The check finds each kind of wrong name, and passes the right ones.
+// The check reports each kind of wrong name, and accepts valid ones.
 func TestDecisionsPageCheckFindsWrongNames(t *testing.T) {
 	code := parseCode(t)
 	const handle = "`balancer.Balancer.Handle`"
@@ -141,7 +143,7 @@
 	for _, c := range []struct {
 		name string
 		page string
-		want string // in the problem; empty: there is none
+		want string // part of the problem; empty: no problem
 	}{
 		{"function", handle, ""},
 		{"unknown function", "`balancer.Balancer.Handel`", "declares no balancer.Balancer.Handel"},
@@ -190,7 +192,7 @@
 	}
 }
 
-// checkSpans returns what is wrong with the pieces of code on a page: each has to be something that the code has.
+// checkSpans returns a problem for each code span on a page that names nothing in the code.
 func (c codeNames) checkSpans(page string) (problems []string) {
 	for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
 		if problem := c.checkSpan(span[1]); problem != "" {
@@ -200,7 +202,7 @@
 	return problems
 }
 
-// checkSpan returns what is wrong with a piece of code; empty: nothing.
+// checkSpan returns the problem of a code span, which is empty if there is none.
 func (c codeNames) checkSpan(span string) string {
 	if c.literals[span] || testName.MatchString(span) { // TestPagesNameExistingTests checks the names of tests
 		return ""
@@ -254,7 +256,7 @@
 	return hasField(reflect.TypeFor[wire.Env](), "json", match[0])
 }
 
-// hasField reports whether a type has a field by the names in its tags, at any depth, such as "core.health".
+// hasField reports whether a type has a field by its tagged name, or by a path of such names as in "core.health".
 func hasField(structType reflect.Type, tag, name string) bool {
 	for structType.Kind() == reflect.Pointer || structType.Kind() == reflect.Slice {
 		structType = structType.Elem()
@@ -275,7 +277,7 @@
 	return false
 }
 
-// checkValues compares the constants on a page with the values behind them. It returns how many there are.
+// checkValues compares the values of constants on a page with the code. It returns the number of these constants.
 func (c codeNames) checkValues(page string) (count int, problems []string) {
 	for _, match := range constantWithValue.FindAllStringSubmatch(page, -1) {
 		name, text := match[1], match[2]
@@ -296,7 +298,7 @@
 	return count, problems
 }
 
-// parsePageValue returns a value on a page, in seconds or bytes if it has a unit.
+// parsePageValue parses a value on a page. It converts units of time to seconds, and units of size to bytes.
 func parsePageValue(text string) (value float64, ok bool) {
 	match := pageValue.FindStringSubmatch(text)
 	if match == nil {
@@ -314,8 +316,8 @@
 	return value * units[match[3]], true
 }
 
-// checkDecisions checks the form of a page's decisions, the table rows that begin with a question. It returns how many
-// there are.
+// checkDecisions checks the form of the decisions on a page, which are the table rows that begin with a question. It
+// returns the number of decisions.
 func (c codeNames) checkDecisions(page string) (count int, problems []string) {
 	for line := range strings.Lines(page) {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
@@ -335,11 +337,11 @@
 		}
 		functions := codeSpan.FindAllStringSubmatch(cells[2], -1)
 		if len(functions) == 0 {
-			problems = append(problems, question+": it names no function")
+			problems = append(problems, question+": the row names no function")
 		}
 		for _, span := range functions {
 			if _, ok := c.functions[span[1]]; !ok {
-				problems = append(problems, fmt.Sprintf("%s: %s names no function", question, span[1]))
+				problems = append(problems, fmt.Sprintf("%s: %s names no function of the code", question, span[1]))
 			}
 		}
 	}
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -24,7 +24,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// logBuffer is a log that may be read while it is written.
+// logBuffer is a buffer for a log that may be read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -42,8 +42,8 @@
 	return r.text.String()
 }
 
-// flood runs idle clients until ctx is done: they connect, send nothing or half a line, are disconnected or
-// disconnect, and connect again at once. It returns the count of their connections.
+// flood runs idle clients until ctx is done. They connect, send nothing or half a line, wait until the daemon closes
+// the connection or close it themselves, and reconnect immediately. flood returns the count of their connections.
 func flood(ctx context.Context, all *sync.WaitGroup, addr string, clients int) *atomic.Int64 {
 	connections := new(atomic.Int64)
 	for i := range clients {
@@ -71,7 +71,7 @@
 	return connections
 }
 
-// openDescriptors returns the number of openDescriptors that a process has open.
+// openDescriptors returns the number of open descriptors of a process; 0 if the process has ended.
 func openDescriptors(pid int) int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -80,23 +80,22 @@
 	return len(list)
 }
 
-// A daemon whose descriptors the kernel limits to the platform's number or less: idle clients flood it, are
-// disconnected and connect again; discovery is down; requests are in flight, and connections to the one known
-// upstream are not established. It is terminated during that, and a new process takes its place. The new one responds
-// to /up; once discovery is back, the list is fetched at once, and the requests in flight get their upstream. With one
-// descriptor too few the process could neither accept nor dial: no process may reach its limit.
+// The daemon never reaches its limit of descriptors, at which it could neither accept nor dial. The kernel's limit is
+// the platform's number or less. Idle clients flood the daemon, discovery is down, and dials to the only known upstream
+// time out. The daemon is terminated and replaced by a new process, which must respond to /up. When discovery is back,
+// the new process must fetch the list at once and serve the requests in flight.
 func TestDescriptorsUnderFlood(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("descriptors are counted in /proc")
 	}
 	for _, test := range []struct {
 		name            string
-		limit           int // the kernel's
-		platformSockets int // the platform's
+		limit           int // of the kernel
+		platformSockets int // in the platform's configuration
 	}{
 		{name: "64", limit: 64, platformSockets: 64},
 		{name: "512", limit: 512, platformSockets: 512},
-		{name: "64, and the platform tells more", limit: 64, platformSockets: 1024},
+		{name: "64, and the platform allows more", limit: 64, platformSockets: 1024},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			limit := test.limit
@@ -144,12 +143,14 @@
 			})
 			waitUp := func() time.Duration {
 				startedAt := time.Now()
-				testutil.Until(t, "the response to /up", func() bool { return isUp(t, addr) })
+				testutil.Until(t, "the daemon responds to /up", func() bool { return isUp(t, addr) })
 				return time.Since(startedAt)
 			}
-			testutil.Until(t, "the flood", func() bool { return connections.Load() > int64(3*limit) })
-			t.Logf("/up under the flood after %v", waitUp().Round(time.Millisecond))
-			// The restart, during the flood.
+			testutil.Until(t, "the clients have flooded the daemon", func() bool {
+				return connections.Load() > int64(3*limit)
+			})
+			t.Logf("response to /up under the flood after %v", waitUp().Round(time.Millisecond))
+			// The daemon is restarted during the flood.
 			terminatedAt := time.Now()
 			signal(first, syscall.SIGTERM)
 			if err := first.Wait(); err != nil {
@@ -158,9 +159,9 @@
 			shutdownTime := time.Since(terminatedAt)
 			second, _ := start(addr)
 			watched.Store(int64(second.Process.Pid))
-			t.Logf("SIGTERM to the end %v, /up of the next one %v later",
+			t.Logf("shutdown took %v; response to /up of the next daemon %v later",
 				shutdownTime.Round(time.Millisecond), waitUp().Round(time.Millisecond))
-			// Requests are sent, each of which dials.
+			// Each of these requests makes the daemon dial.
 			requests := platform.Limits{Sockets: limit}.MaxClientConns()
 			statuses := make(chan int, requests)
 			for i := range requests {
@@ -189,7 +190,7 @@
 			d := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				const list = `{"seq":2,"whole":true,"hosts":[{"host":"new","dial":%q,"site":"a","class":"m",` +
 					`"block":0,"health":"SERVING","share":1.0,"born_ms":0}]}` + "\n"
-				_, _ = fmt.Fprintf(w, list, serving) // the daemon calls again
+				_, _ = fmt.Fprintf(w, list, serving) // after a failure the daemon calls again
 				w.(http.Flusher).Flush()
 				select {
 				case calledAfter <- time.Since(discoveryUpAt):
@@ -199,28 +200,29 @@
 			})}
 			clients.Go(func() { _ = d.Serve(l) }) // until it is closed
 			defer d.Close()
-			t.Logf("the list was asked for %v after discovery's return",
-				testutil.Receive(t, calledAfter, "the call").Round(time.Millisecond))
-			signal(second, syscall.SIGHUP) // the old watch stays until the new one has answered
+			t.Logf("the list was requested %v after the restart of discovery",
+				testutil.Receive(t, calledAfter, "the call of discovery").Round(time.Millisecond))
+			signal(second, syscall.SIGHUP) // the daemon keeps the old watch until the new one has answered
 			served := 0
 			for range requests {
-				if testutil.Receive(t, statuses, "a request's end") == http.StatusOK {
+				if testutil.Receive(t, statuses, "the outcome of a request") == http.StatusOK {
 					served++
 				}
 			}
-			t.Logf("%d of %d requests served, the last %v after discovery's return",
+			t.Logf("%d of %d requests were served, the last one %v after the restart of discovery",
 				served, requests, time.Since(discoveryUpAt).Round(time.Millisecond))
 			if served < requests {
 				t.Errorf("%d of %d requests in flight were served", served, requests)
 			}
 			stop()
-			n := testutil.Receive(t, maxDescriptors, "the count")
-			t.Logf("%d connections of clients came; %d descriptors at most of %d", connections.Load(), n, limit)
+			n := testutil.Receive(t, maxDescriptors, "the number of descriptors")
+			t.Logf("%d connections of clients; at most %d descriptors were open, the limit is %d",
+				connections.Load(), n, limit)
 			if n >= limit {
-				t.Errorf("%d descriptors of %d were open", n, limit)
+				t.Errorf("%d descriptors were open, want fewer than the limit %d", n, limit)
 			}
 			if strings.Contains(log.String(), "too many open files") {
-				t.Errorf("a daemon reached its limit:\n%s", log)
+				t.Errorf("a daemon reached its limit of descriptors:\n%s", log)
 			}
 		})
 	}
@@ -242,8 +244,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// requestStatus sends a request on a new connection and returns the status of the response, or the former status if
-// there is none.
+// requestStatus sends a request on a new connection and returns the status of the response. Without a response it
+// returns former.
 func requestStatus(t *testing.T, addr, id string, former int) int {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -259,7 +261,7 @@
 	return response.StatusCode
 }
 
-// unresponsiveAddr returns the address of a listener with which no connection is established.
+// unresponsiveAddr returns the address of a listener whose backlog is full, so that dials to it time out.
 func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -278,7 +280,7 @@
 		t.Fatal(err)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
-	c, err := net.Dial("tcp", addr) // occupies the one place of the backlog
+	c, err := net.Dial("tcp", addr) // fills the backlog, which has one place
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/hazelwing/disconnect_test.go
+++ b/cmd/hazelwing/disconnect_test.go
@@ -21,34 +21,35 @@
 )
 
 var (
-	disconnectClients = flag.Int("leaves", 0, "how many clients TestLeavesUnderLoad lets leave; 0: it is not run")
-	disconnectSeed    = flag.Uint64("leaves.seed", 1, "seed of TestLeavesUnderLoad")
+	disconnectClients = flag.Int("leaves", 0,
+		"number of clients that disconnect in TestDisconnectsUnderLoad; 0: the test is skipped")
+	disconnectSeed = flag.Uint64("leaves.seed", 1, "seed of TestDisconnectsUnderLoad")
 )
 
-// disconnection is one way to disconnect, and the outcomes of its clients' requests.
+// disconnection is a way to disconnect, with counts of the requests whose clients disconnected in this way.
 type disconnection struct {
 	name       string
-	extraBytes int // sent before
+	extraBytes int // sent before the disconnect
 	reset      bool
 
 	clients  int
-	waiting  int // clients whose request was not being forwarded at that time
-	first    int // first attempts afterwards
-	retries  int // further attempts afterwards
-	maxDelay time.Duration
-	late     int // attempts that were later than allowed
+	waiting  int           // clients whose request was waiting for its first attempt or a retry
+	first    int           // first attempts after the disconnect
+	retries  int           // retries after the disconnect
+	maxDelay time.Duration // longest time from a disconnect to an attempt
+	late     int           // attempts that were later than allowed
 }
 
-// A daemon with a small fraction of a core, which is repeatedly run for 20 ms and stopped for 180 ms, notices
-// disconnects late, and would forward requests for nobody. Each client sends a request and disconnects some time later
-// by FIN or reset, some after further bytes, or after more than is read ahead and than the kernel buffers. Upstreams
-// reject half of the requests without processing them, late, so that there are retries. Each attempt that upstreams
-// receive is compared with when its client disconnected. The daemon may be stopped between its last check of the client
-// and the write, so that no attempt may be later than one stop. More than two that are later than 0.1 s violate the
-// operators' terms.
+// The daemon forwards almost no requests of clients that have disconnected, even if it has a small fraction of a core
+// and notices disconnects late. The daemon repeatedly runs for 20 ms and is stopped for 180 ms. Each client sends a
+// request and disconnects some time later by FIN or reset, some after further bytes, some after more bytes than the
+// daemon reads ahead and the kernel buffers. Upstreams reject half of the requests late and unprocessed, which leads to
+// retries. The time of each attempt is compared with the time at which its client disconnected. An attempt may be late
+// by one stop, since the daemon may be stopped between its last check of the client and the write. The operators' terms
+// allow at most two attempts that are later than 0.1 s.
 func TestDisconnectsUnderLoad(t *testing.T) {
 	if *disconnectClients == 0 {
-		t.Skip("a measurement: -leaves 2000")
+		t.Skip("this measurement runs only with -leaves, for example -leaves 2000")
 	}
 	const (
 		runTime         = 20 * time.Millisecond
@@ -97,9 +98,9 @@
 	ways := []*disconnection{
 		{name: "FIN"},
 		{name: "reset", reset: true},
-		{name: "FIN behind more", extraBytes: 100},
-		{name: "FIN behind far more", extraBytes: 512 << 10},
-		{name: "reset behind far more", extraBytes: 512 << 10, reset: true},
+		{name: "FIN after 100 bytes", extraBytes: 100},
+		{name: "FIN after 512 KiB", extraBytes: 512 << 10},
+		{name: "reset after 512 KiB", extraBytes: 512 << 10, reset: true},
 	}
 	rng := rand.New(rand.NewPCG(*disconnectSeed, 1))
 	type disconnectedClient struct {
@@ -125,7 +126,7 @@
 			_ = testutil.Request(t, "http://"+addr, method, class, id, body).Write(c) // a lost request is not counted
 			time.Sleep(wait)
 			_ = c.SetWriteDeadline(time.Now().Add(time.Second))
-			_, _ = c.Write(bytes.Repeat([]byte{'x'}, way.extraBytes)) // the kernel may not buffer all of it
+			_, _ = c.Write(bytes.Repeat([]byte{'x'}, way.extraBytes)) // the kernel may not buffer all bytes
 			if way.reset {
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
@@ -137,12 +138,12 @@
 		time.Sleep(4 * time.Millisecond)
 	}
 	clients.Wait()
-	time.Sleep(2 * time.Second) // for attempts that are still to be started
+	time.Sleep(2 * time.Second) // for attempts that the daemon has not started yet
 	close(done)
 	stopping.Wait()
 	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid)); err == nil {
 		fields := strings.Fields(string(stat)) // 13 and 14: user and system time, in units of 10 ms
-		t.Logf("the daemon took %s0 ms of processor time and %s0 ms of the kernel's", fields[13], fields[14])
+		t.Logf("the daemon used %s0 ms of user time and %s0 ms of system time", fields[13], fields[14])
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -151,7 +152,7 @@
 		way, attempts := client.way, attemptsAt[id]
 		way.clients++
 		if len(attempts) == 0 || attempts[len(attempts)-1].After(client.at) {
-			way.waiting++ // before the first attempt or a retry
+			way.waiting++ // the first attempt or a retry was pending
 		}
 		for i, at := range attempts {
 			delay := at.Sub(client.at)
@@ -171,12 +172,14 @@
 		}
 	}
 	for _, way := range ways {
-		t.Logf("%-22s %4d left, %4d of them while their request waited: sent on afterwards %d first and "+
-			"%d further attempts, %v later at worst, %d of them later than %v",
+		t.Logf("%-22s %4d clients, %4d of them with a waiting request; "+
+			"attempts after the disconnect: %d first ones and "+
+			"%d retries, the latest after %v, %d of them later than %v",
 			way.name, way.clients, way.waiting, way.first, way.retries,
 			way.maxDelay.Round(100*time.Microsecond), way.late, maxDelay)
 	}
 	if lateAttempts > maxLateAttempts {
-		t.Errorf("%d attempts were started more than %v after their clients disconnected", lateAttempts, maxDelay)
+		t.Errorf("%d attempts were started more than %v after their clients disconnected, want at most %d",
+			lateAttempts, maxDelay, maxLateAttempts)
 	}
 }
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -80,7 +80,8 @@
 			return "", err
 		}
 		if config.Admin == nil {
-			return "", fmt.Errorf("%s: the table [admin] with the address of the admin endpoint is missing", o.operatorFile)
+			return "", fmt.Errorf("%s: the table [admin] with the address of the admin endpoint is missing",
+				o.operatorFile)
 		}
 		addr = config.Admin.Listen
 	}
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -18,16 +18,17 @@
 	"hazelwing/internal/testcluster"
 )
 
-// maxTimelineLines is the number of lines of logs that a failure prints: the first hundred and the last ones.
+// maxTimelineLines limits the log lines that a failure prints, which are the first hundred and the last ones.
 const maxTimelineLines = 400
 
 var (
-	fleetRounds = flag.Int("fleet.rounds", 1, "how often TestFleet plays each script, with another seed each time")
-	fleetSize   = flag.Int("fleet.members", 9, "processes of TestFleet, 9 to 20")
-	fleetSeed   = flag.Uint64("fleet.seed", 1, "the first seed of TestFleet")
+	fleetRounds = flag.Int("fleet.rounds", 1,
+		"number of times that TestFleet plays each script, each with its own seed")
+	fleetSize = flag.Int("fleet.members", 9, "number of member processes in TestFleet, 9 to 20")
+	fleetSeed = flag.Uint64("fleet.seed", 1, "first seed of TestFleet")
 )
 
-// fastClusterOptions has intervals with which a script of many faults passes within seconds.
+// fastClusterOptions has short intervals, with which a script of many faults takes seconds.
 const fastClusterOptions = `probe = "250ms"
 timeout = "120ms"
 gossip = "40ms"
@@ -37,7 +38,7 @@
 keep_words = "8s"
 `
 
-// newTestCluster returns a test cluster whose processes run this test's own program.
+// newTestCluster returns a test cluster whose processes run this test's program.
 func newTestCluster(t *testing.T, members int, seed uint64, c testcluster.Config) *testcluster.Cluster {
 	t.Helper()
 	c.Members = members
@@ -56,35 +57,38 @@
 	return r
 }
 
-// playScript plays a script. A failure prints the script, the seed and all logs, ordered by time.
+// playScript plays a script. If it fails, playScript prints the script, the seed and all logs in the order of
+// time.
 func playScript(t *testing.T, r *testcluster.Cluster, script string) {
 	t.Helper()
 	if err := r.Play(t.Context(), script); err != nil {
-		story := r.Timeline()
-		if lines := strings.Split(story, "\n"); len(lines) > maxTimelineLines {
-			story = strings.Join(append(append(lines[:100:100], "..."), lines[len(lines)-maxTimelineLines+100:]...), "\n")
+		timeline := r.Timeline()
+		if lines := strings.Split(timeline, "\n"); len(lines) > maxTimelineLines {
+			const first = 100
+			lines = slices.Concat(lines[:first], []string{"..."}, lines[len(lines)-maxTimelineLines+first:])
+			timeline = strings.Join(lines, "\n")
 		}
-		t.Fatalf("%v\n%s", err, story)
+		t.Fatalf("%v\n%s", err, timeline)
 	}
 	for _, w := range r.Waits {
 		t.Logf("%-40s %v", w.Step, w.Duration)
 	}
 	logOutcomes(t, r)
 	if r.Outcomes.Served.Load() == 0 {
-		t.Error("nothing was served")
+		t.Error("no request was served")
 	}
 }
 
-// logOutcomes logs how the requests to a test cluster ended.
+// logOutcomes logs the outcomes of the requests to a test cluster.
 func logOutcomes(t *testing.T, r *testcluster.Cluster) {
 	t.Helper()
 	a := &r.Outcomes
-	t.Logf("served %d, refused %d, failed %d, broken off %d",
+	t.Logf("requests: %d served, %d rejected, %d failed, %d broken connections",
 		a.Served.Load(), a.Rejected.Load(), a.Failed.Load(), a.Broken.Load())
 }
 
-// Many processes of the program agree on one view of each other, whatever happens between them. Meanwhile each
-// request gets one response and no rule is broken. The scripts are in testdata/fleet; the long form is
+// The members of a cluster of processes agree on one membership view, despite faults of the members and the network.
+// Meanwhile each request gets one response and no rule is violated. The scripts are in testdata/fleet; the long form is
 //
 //	go test ./cmd/hazelwing -run Fleet -fleet.rounds 10 -fleet.members 20 -timeout 2h -v
 func TestFleet(t *testing.T) {
@@ -107,7 +111,8 @@
 	}
 }
 
-// The command shows the view of a running sidecar, and its exit status tells whether all members are alive.
+// The command shows the membership view of a running sidecar, and its exit status reports whether all members are
+// alive.
 func TestFleetCommand(t *testing.T) {
 	r := newTestCluster(t, 3, 1, testcluster.Config{})
 	playScript(t, r, "start all\nsettle 1s 30s")
@@ -135,7 +140,7 @@
 	}
 	_, err = execute("fleet", "--operator", "")
 	if err == nil || !strings.Contains(err.Error(), "--admin or --operator") {
-		t.Errorf("without an address: %v", err)
+		t.Errorf("without an address: error %v, want one that names the flags", err)
 	}
 	type limit struct {
 		Name string `json:"bound"`
@@ -147,14 +152,14 @@
 	}
 }
 
-var fleetTimes = flag.Int("fleet.times", 0, "TestFleetTimes: how many runs of each fault; 0: it is skipped")
+var fleetTimes = flag.Int("fleet.times", 0, "number of runs of each fault in TestFleetTimes; 0: the test is skipped")
 
-// The times of failure detection, dissemination and recovery among real processes:
+// TestFleetTimes measures the times of failure detection, dissemination and recovery among real processes:
 //
 //	go test ./cmd/hazelwing -run FleetTimes -fleet.times 100 -timeout 2h -v
 func TestFleetTimes(t *testing.T) {
 	if *fleetTimes == 0 {
-		t.Skip("a measurement: -fleet.times")
+		t.Skip("this measurement runs only with -fleet.times")
 	}
 	r := newTestCluster(t, *fleetSize, *fleetSeed, testcluster.Config{})
 	half := *fleetSize / 2
@@ -175,15 +180,15 @@
 	for range *fleetTimes {
 		n := 1 + rng.IntN(*fleetSize)
 		play(fmt.Sprintf("kill %d\nwait state %d dead|unknown 60s\nstart %d\nwait agree 60s", n, n, n),
-			"a death is known to all", "a new life is known to all")
-		play(fmt.Sprintf("restart %d 0ms\nwait agree 60s", n), "a restart at once is known to all")
+			"all know of a death", "all know of a restart after a death")
+		play(fmt.Sprintf("restart %d 0ms\nwait agree 60s", n), "all know of an immediate restart")
 		play(fmt.Sprintf("term %d\nwait state %d left|unknown 60s\nstart %d\nwait agree 60s", n, n, n),
-			"a leaving is known to all", "")
+			"all know that a member left", "")
 		play(fmt.Sprintf("freeze %d\nwait state %d suspect|dead 60s\nthaw %d\nwait agree 60s", n, n, n),
-			"one that stands still is suspected by all", "one that stood still is back for all")
+			"all suspect a frozen member", "all know that a frozen member is back")
 		play(fmt.Sprintf("cut 1-%d %d-%d\nwait agree 60s 1-%d\nwait agree 60s %d-%d\nheal\nwait agree 60s",
 			half, half+1, *fleetSize, half, half+1, *fleetSize),
-			"", "", "halves are one again")
+			"", "", "two halves have merged")
 	}
 	for _, name := range slices.Sorted(maps.Keys(times)) {
 		sorted := slices.Sorted(slices.Values(times[name]))
--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -21,7 +21,7 @@
 )
 
 // executeWithServer runs a command against a server that answers each method and path with a file of testdata/format.
-// ADDRESS in the arguments is the server's address.
+// It replaces ADDRESS in the arguments by the server's address.
 func executeWithServer(t *testing.T, answers map[string]string, args ...string) (string, error) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,12 +39,12 @@
 	return execute(args...)
 }
 
-// failureText returns an error, with the exit status, as it is in the golden files.
+// failureText returns an error with its exit status, in the form of the golden files.
 func failureText(err error) string {
 	return fmt.Sprintf("\nstatus %d: %v\n", exitStatus(err), err)
 }
 
-// What config status and config show print for an origin's responses, as JSON and as text.
+// The output of config status and config show for given responses of an origin is stable, as JSON and as text.
 func TestConfigCommandOutputIsStable(t *testing.T) {
 	answers := map[string]string{"GET /config/status": "origin-status.json", "GET /config/show": "origin-show.json"}
 	for _, c := range []struct {
@@ -64,7 +64,7 @@
 	}
 }
 
-// What hazelwing fleet prints for a sidecar's response, as JSON and as text.
+// The output of the command fleet for a given response of a sidecar is stable, as JSON and as text.
 func TestFleetCommandOutputIsStable(t *testing.T) {
 	for file, args := range map[string][]string{
 		"fleet.json": {"fleet", "--json", "--admin", "ADDRESS"},
@@ -78,7 +78,7 @@
 	}
 }
 
-// What config push prints as JSON.
+// The JSON output of config push is stable.
 func TestPushOutputFormatIsStable(t *testing.T) {
 	revision := controlplane.Revision{Epoch: 3, Version: 17, Hash: "h"}
 	laggard := controlplane.Laggard{
@@ -117,7 +117,7 @@
 	}
 }
 
-// What hazelwing load prints as JSON, and the names of kinds in it.
+// The JSON output of the command load is stable, including the names of the outcomes.
 func TestLoadReportFormatIsStable(t *testing.T) {
 	report := load.Report{
 		Target:       "http://127.0.0.1:8080",
@@ -143,7 +143,7 @@
 	testutil.Golden(t, "format/load-report.json", out.Bytes())
 }
 
-// What hazelwing store prints as JSON, and GET /ledger.
+// The JSON output of the store commands and of GET /ledger is stable.
 func TestStoreOutputFormatIsStable(t *testing.T) {
 	at := time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC)
 	stats := store.Stats{
--- a/cmd/hazelwing/glossarypage_test.go
+++ b/cmd/hazelwing/glossarypage_test.go
@@ -11,13 +11,13 @@
 const (
 	glossaryPage = moduleRoot + "/docs/GLOSSARY.md"
 
-	// glossaryHeader is the head of the page's tables of terms.
+	// glossaryHeader is the header of the page's tables of terms.
 	glossaryHeader = "| there | term here | meaning | in the code |"
 	glossaryCells  = 4
 )
 
-// A newcomer looks a word of the operators up and goes to the code from there. Each term of the glossary has a meaning
-// and an identifier, package or file that exists, and no word is explained twice.
+// Each term of the glossary has a meaning and an identifier, package or file that exists, and no term has two rows. A
+// newcomer uses the glossary to find the code for a term of the operators.
 func TestGlossaryNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(glossaryPage)
 	if err != nil {
@@ -26,31 +26,31 @@
 	terms, problems := parseCode(t).checkGlossary(string(page))
 	const minTerms = 80
 	if terms < minTerms {
-		t.Errorf("%d terms were found on the page, %d or more are expected", terms, minTerms)
+		t.Errorf("%d terms were found on the page, want at least %d", terms, minTerms)
 	}
 	for _, problem := range problems {
 		t.Error(problem)
 	}
 }
 
-// The check finds each kind of wrong row, and passes the right ones.
+// The check reports each kind of wrong row, and accepts valid ones.
 func TestGlossaryCheckFindsWrongRows(t *testing.T) {
 	code := parseCode(t)
 	for _, c := range []struct {
 		rows string
-		want string // in the problem; empty: there is none
+		want string // part of the problem; empty: no problem
 	}{
 		{"| told | notified | it has arrived | `backoff.NotificationDeadline` |\n", ""},
 		{"| rig | test cluster | many processes | `internal/testcluster` |\n", ""},
 		{"| told | notified | it has arrived | `backoff.ToldDeadline` |\n", "has no backoff.ToldDeadline"},
 		{"| told | notified | it has arrived | `balancer.Told` and `balancer.Reject` |\n", "has no balancer.Told"},
 		{"| rig | test cluster | many processes | `internal/rig` |\n", "has no internal/rig"},
-		{"| told | notified | it has arrived | the schedule |\n", "names nothing of the code"},
+		{"| told | notified | it has arrived | the schedule |\n", "names nothing in the code"},
 		{"| told | notified | | `balancer.Reject` |\n", "empty"},
 		{"| told | notified | `balancer.Reject` |\n", "3 cells"},
 		{
 			"| told | a | it has arrived | `balancer.Reject` |\n| told | b | it has arrived | `balancer.Reject` |\n",
-			"twice",
+			"two rows",
 		},
 	} {
 		_, problems := code.checkGlossary(glossaryHeader + "\n| --- | --- | --- | --- |\n" + c.rows)
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkGlossary returns how many terms a page has, and what is wrong with them.
+// checkGlossary returns the number of terms on a page, and the problems of their rows.
 func (c codeNames) checkGlossary(page string) (count int, problems []string) {
 	inTable := false
 	seen := map[string]bool{}
@@ -79,7 +79,7 @@
 				cells[i] = strings.TrimSpace(cells[i])
 			}
 			if seen[cells[0]] {
-				problems = append(problems, cells[0]+": it is there twice")
+				problems = append(problems, cells[0]+": the term has two rows")
 			}
 			seen[cells[0]] = true
 			problems = append(problems, c.checkTerm(cells)...)
@@ -88,7 +88,7 @@
 	return count, problems
 }
 
-// checkTerm returns what is wrong with the cells of a term.
+// checkTerm returns the problems of a row, given its cells.
 func (c codeNames) checkTerm(cells []string) (problems []string) {
 	word := cells[0]
 	if len(cells) != glossaryCells {
@@ -101,7 +101,7 @@
 	}
 	spans := codeSpan.FindAllStringSubmatch(cells[glossaryCells-1], -1)
 	if len(spans) == 0 {
-		problems = append(problems, word+": it names nothing of the code")
+		problems = append(problems, word+": the row names nothing in the code")
 	}
 	for _, span := range spans {
 		if !c.names[span[1]] && !isPackage(span[1]) && !isFile(span[1]) {
--- a/cmd/hazelwing/hup_test.go
+++ b/cmd/hazelwing/hup_test.go
@@ -13,9 +13,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// The platform sends SIGHUP before the program handles it. By its default action it would end the program, and the
-// application would have no sidecar: the run line of the deploy file must ignore it from the shell on, and the
-// configuration be read after that. A later one must reload the configuration.
+// A SIGHUP before the program handles the signal does not end the program, which would leave the application without a
+// sidecar. The shell of the run command in deploy/balancer.toml must ignore the signal, and the program must read its
+// configuration after that. A later SIGHUP must reload the configuration.
 func TestEarlyHangUp(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	m := regexp.MustCompile(`(?m)^run = "(.*)exec bin/hazelwing"`).FindSubmatch(text)
 	if m == nil {
-		t.Fatal("the deploy file's run does not end in the program")
+		t.Fatal("the run command of deploy/balancer.toml does not end with exec bin/hazelwing")
 	}
 	logPath := filepath.Join(t.TempDir(), "log")
 	log, err := os.Create(logPath)
@@ -36,7 +36,7 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "the new configuration", func() bool {
+	testutil.Until(t, "the daemon has reloaded its configuration", func() bool {
 		text, err := os.ReadFile(logPath)
 		return err == nil && strings.Contains(string(text), `msg="discovery address changed"`)
 	})
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -23,16 +23,17 @@
 )
 
 var (
-	kills          = flag.Int("kills", 6, "how often TestKilled kills the daemon, for each durability")
+	kills          = flag.Int("kills", 6, "number of times that TestKilled kills the daemon, for each durability")
 	killDurability = flag.String("kill.durable", "",
-		"TestKilled with this durability only: \"off\" shows what the disk is for")
+		"run TestKilled with this durability only; \"off\" shows the results without a disk")
 	killSeed = flag.Uint64("kill.seed", 1, "seed of TestKilled")
 )
 
-// daemonVariable is the environment variable that makes this test's program the daemon.
+// daemonVariable is the environment variable that makes this test's program run as the daemon.
 const daemonVariable = "HAZELWING_TEST_RUN"
 
-// The test's own program is also the daemon, the emulated nodes and the forwarder that tests start as processes.
+// TestMain runs the tests, or one of the processes that tests start from the same program: the daemon, the emulated
+// nodes or the forwarder.
 func TestMain(m *testing.M) {
 	if os.Getenv(daemonVariable) != "" {
 		daemonMain()
@@ -55,7 +56,7 @@
 	{Name: "pay", Effect: "keyed", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
 }
 
-// daemonProcess is a daemon as a process of its own, with emulated nodes in this one.
+// daemonProcess is a daemon in a separate process, with emulated nodes in this process as its upstreams.
 type daemonProcess struct {
 	t          *testing.T
 	fleet      *emulator.Fleet
@@ -63,18 +64,18 @@
 	env        []string
 	cmd        *exec.Cmd
 	log        *os.File
-	generation atomic.Int64 // of the daemon; odd while one runs
+	generation atomic.Int64 // number of starts and kills of the daemon; odd while it runs
 }
 
-// killClient is a client that sends one request at a time, on connections of its own.
+// killClient is a client that sends one request at a time, on its own connections.
 type killClient struct {
 	client     *http.Client
 	transport  *http.Transport
-	generation int64 // of the daemon that it has connections to
+	generation int64 // of the daemon to which the open connections lead
 }
 
-// newDaemonProcess returns a daemon that is not started yet. The text of the operator's file, empty for none, has DIR for
-// an empty directory.
+// newDaemonProcess returns a daemon that is not started yet. operator is the text of the operator's file, empty for
+// none; DIR in it stands for an empty directory.
 func newDaemonProcess(t *testing.T, operator string) *daemonProcess {
 	t.Helper()
 	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}
@@ -127,7 +128,7 @@
 	if err := r.cmd.Start(); err != nil {
 		r.t.Fatal(err)
 	}
-	testutil.Until(r.t, "the daemon", func() bool {
+	testutil.Until(r.t, "the daemon listens", func() bool {
 		c, err := net.Dial("tcp", r.addr)
 		if err == nil {
 			c.Close()
@@ -141,7 +142,7 @@
 	if r.cmd != nil {
 		r.generation.Add(1)
 		_ = r.cmd.Process.Kill() // it may have ended
-		_ = r.cmd.Wait()         // the status of a killed process
+		_ = r.cmd.Wait()         // a killed process has an error status
 		r.cmd = nil
 	}
 }
@@ -153,15 +154,15 @@
 	served attemptOutcome = iota
 	rejected
 	failed
-	broken // the connection, with the daemon
+	broken // the connection with the daemon was lost
 
-	attemptOutcomes // their number
+	attemptOutcomes // number of outcomes
 )
 
-// attempt sends one request with an ID of its own. A daemon that runs all the while must respond to it.
+// attempt sends one request with a unique ID. If the daemon runs during the whole attempt, it must respond.
 func (r *daemonProcess) attempt(c *killClient, class emulator.TrafficClass, key, id string) attemptOutcome {
 	generation := r.generation.Load()
-	if generation != c.generation { // connections to another daemon are of no use
+	if generation != c.generation { // the connections to the former daemon are broken
 		c.transport.CloseIdleConnections()
 		c.generation = generation
 	}
@@ -182,7 +183,7 @@
 	}
 	outcome := r.exchange(c.client, req, class, key, id)
 	if outcome == broken && generation%2 == 1 && r.generation.Load() == generation {
-		r.t.Errorf("%s had no response from a daemon that runs", id)
+		r.t.Errorf("%s got no response although the daemon ran", id)
 	}
 	return outcome
 }
@@ -201,24 +202,25 @@
 		return broken
 	case resp.StatusCode == http.StatusOK:
 		if !strings.HasPrefix(string(text), id) {
-			r.t.Errorf("%s was served with %q", id, text)
+			r.t.Errorf("%s was served with the body %q, want one that begins with the ID", id, text)
 		}
 		return served
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		if runs := r.fleet.Rules.KeyExecutions(key); runs > 0 && class.Effect == "unsafe" {
-			r.t.Errorf("%s with key %s was refused after it ran", id, key)
+			r.t.Errorf("%s with key %s was rejected after it had been executed", id, key)
 		}
 		return rejected
 	case resp.StatusCode == http.StatusBadGateway, resp.StatusCode == http.StatusGatewayTimeout:
 		return failed
 	}
-	r.t.Errorf("%s: %s %s", id, resp.Status, text)
+	r.t.Errorf("%s: unexpected response %s %s", id, resp.Status, text)
 	return failed
 }
 
-// The daemon is killed at any moment and restarted, while clients retry with new IDs and the same key, whatever the
-// response. What the killed process knew of attempts would be lost, and their effects come about twice: nothing that is
-// not idempotent may run twice, and nothing keyed twice within its idempotency scope and window. The long form is
+// The daemon is killed at random times and restarted, while clients retry with new IDs and the same key, whatever the
+// response. A killed daemon loses its knowledge of attempts in memory, so that their effects could be executed twice.
+// No request that is not idempotent may be executed twice, and no keyed one twice within its idempotency scope and
+// window. The long form is
 //
 //	go test ./cmd/hazelwing -run Killed -kills 200 -timeout 30m
 func TestKilled(t *testing.T) {
@@ -239,10 +241,10 @@
 // killCounts counts the attempts of TestKilled's clients by their outcome.
 type killCounts struct {
 	all       [attemptOutcomes]atomic.Int64
-	afterKill [attemptOutcomes]atomic.Int64 // those that are not safe, after a connection broke
+	afterKill [attemptOutcomes]atomic.Int64 // attempts of unsafe and keyed requests after a broken connection
 }
 
-// runKillClient sends requests until stop is closed, with up to four attempts for each.
+// runKillClient sends requests until stop is closed, with up to four attempts each.
 func (r *daemonProcess) runKillClient(n int, stop <-chan struct{}, counts *killCounts) {
 	const attempts = 4
 	rng := rand.New(rand.NewPCG(*killSeed, uint64(n)))
@@ -299,22 +301,23 @@
 	close(stop)
 	all.Wait()
 	for _, rule := range r.fleet.Rules.Violations() {
-		t.Error("rule broken:", rule)
+		t.Error("rule violated:", rule)
 	}
 	total, _ := r.fleet.Rules.Executions("")
 	ends, later := &counts.all, &counts.afterKill
-	t.Logf("%s: %d kills, %d executions; tries served %d, refused %d, failed %d, broken off %d; "+
-		"after a kill served %d, refused %d, failed %d", durable, *kills, total,
+	t.Logf("%s: %d kills, %d executions; attempts: %d served, %d rejected, %d failed, %d broken; "+
+		"after a kill: %d served, %d rejected, %d failed", durable, *kills, total,
 		ends[served].Load(), ends[rejected].Load(), ends[failed].Load(), ends[broken].Load(),
 		later[served].Load(), later[rejected].Load(), later[failed].Load())
 	if ends[served].Load() == 0 || later[failed].Load() == 0 {
-		t.Error("nothing was served, or no repeat came to a daemon that had been killed")
+		t.Errorf("%d attempts were served and %d retries failed after a kill, want both above 0",
+			ends[served].Load(), later[failed].Load())
 	}
 }
 
-var cost = flag.Duration("cost", 0, "TestCost: how long each run takes; 0: it is skipped")
+var cost = flag.Duration("cost", 0, "duration of each run of TestCost; 0: the test is skipped")
 
-// TestCost measures the latency that the idempotency records add to a request, for each durability, in turns:
+// TestCost measures the latency that idempotency records add to a request, for each durability in turn:
 //
 //	go test ./cmd/hazelwing -run Cost -v -cost 10s -timeout 30m
 func TestCost(t *testing.T) {
--- a/cmd/hazelwing/lab_callgraph_test.go
+++ b/cmd/hazelwing/lab_callgraph_test.go
@@ -10,7 +10,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// A call graph is simulated; a claim that does not hold is an error, and the error for an invalid file names it.
+// The command simulates a call graph. A claim that does not hold is an error, and the error for an invalid file names
+// the file.
 func TestLabCallgraph(t *testing.T) {
 	text := `question = "Does it run?"
 services = 3
--- a/cmd/hazelwing/lab_slopes_test.go
+++ b/cmd/hazelwing/lab_slopes_test.go
@@ -13,8 +13,8 @@
 	"hazelwing/internal/simulation/capacity"
 )
 
-// The slopes of a file of results: the error names the series that the small sizes do not predict, or the file that
-// cannot be read.
+// The command fits the series in a file of results. The error names each series that the small sizes do not predict, or
+// the file that cannot be read.
 func TestLabSlopes(t *testing.T) {
 	var rows []capacity.Result
 	for _, n := range []int{74, 148, 295, 590, 1180} {
--- a/cmd/hazelwing/lab_test.go
+++ b/cmd/hazelwing/lab_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// An experiment is checked, listed, run, shown, reported and compared; a claim that does not hold is an error, and
-// a hunt does not overwrite what an earlier one found.
+// The commands check, list, run, show, compare and report an experiment. A claim that does not hold is an error, and a
+// hunt does not overwrite the result of an earlier one.
 func TestLabCommands(t *testing.T) {
 	dir := t.TempDir()
 	labText := testutil.Experiment("Does it run?", "p2c", "random", 5)
@@ -50,7 +50,7 @@
 	want("2 contestants, 2 claims", "lab", "check", found)
 	_, err = execute("lab", "hunt", good, "--contestant", "random", "--tries", "1", "--out", found)
 	if err == nil || !strings.Contains(err.Error(), found) {
-		t.Errorf("what an earlier hunt found is overwritten: %v", err)
+		t.Errorf("hunt with the file of an earlier one: error %v, want one that names the file", err)
 	}
 	for _, args := range [][]string{
 		{"check", write("odd.toml", labText+"[[clam]]\n")},
--- a/cmd/hazelwing/links_test.go
+++ b/cmd/hazelwing/links_test.go
@@ -9,24 +9,24 @@
 	"testing"
 )
 
-// journalFolder holds what was written earlier and stays as it was, links included.
+// journalFolder holds journal entries, which are not changed any more, and whose links are not checked.
 const journalFolder = moduleRoot + "/journal"
 
 var (
-	// pageLink is a link of Markdown with its target.
+	// pageLink matches a Markdown link, with its target.
 	pageLink = regexp.MustCompile(`\]\(([^()\s]+)\)`)
-	// externalLink is a target outside of the repository.
+	// externalLink matches a link target outside the repository.
 	externalLink = regexp.MustCompile(`^[a-z]+:`)
-	// pageHeading is a heading of Markdown with its text.
+	// pageHeading matches a Markdown heading, with its text.
 	pageHeading = regexp.MustCompile(`(?m)^#{1,6} +(.+?) *$`)
-	// fencedCode is code in which nothing is a link or a heading.
+	// fencedCode matches a fenced code block, which has no links or headings.
 	fencedCode = regexp.MustCompile("(?ms)^```.*?^```")
-	// notInAnchors are the characters that an anchor leaves out of its heading.
+	// notInAnchors matches the characters of a heading that its anchor omits.
 	notInAnchors = regexp.MustCompile(`[^\p{L}\p{N}\p{M}_ -]`)
 )
 
-// A page is moved or a heading reworded, and another page's link leads nowhere: each link of the pages leads to a file
-// or folder of the repository, and each anchor to a heading of its page.
+// Each link on the pages leads to a file or folder of the repository, and each anchor to a heading of its page. The
+// test guards against broken links after a page is moved or a heading reworded.
 func TestPageLinksLeadSomewhere(t *testing.T) {
 	checked := 0
 	walkFiles(t, moduleRoot, ".md", func(name string) {
@@ -45,11 +45,11 @@
 	})
 	const minLinks = 100
 	if checked < minLinks {
-		t.Errorf("%d links were found, %d or more are expected", checked, minLinks)
+		t.Errorf("%d links were found, want at least %d", checked, minLinks)
 	}
 }
 
-// The check finds links that lead nowhere, and passes the right ones.
+// The check reports broken links, and accepts valid ones.
 func TestPageLinkCheckFindsWrongLinks(t *testing.T) {
 	for _, c := range []struct {
 		link  string
@@ -68,12 +68,12 @@
 		page := "## A heading, with `code` and a comma\n\n[here](" + c.link + ")\n"
 		links, problems := checkLinks(moduleRoot+"/docs/PAGE.md", page)
 		if links != 1 || (len(problems) == 0) != c.works {
-			t.Errorf("%s: %d links, problems %q, works %v", c.link, links, problems, c.works)
+			t.Errorf("%s: %d links, problems %q, want one link, valid: %v", c.link, links, problems, c.works)
 		}
 	}
 }
 
-// checkLinks returns how many links a page has, and what is wrong with those that lead nowhere.
+// checkLinks returns the number of links on a page, and a problem for each broken one.
 func checkLinks(name, page string) (count int, problems []string) {
 	for _, match := range pageLink.FindAllStringSubmatch(fencedCode.ReplaceAllString(page, ""), -1) {
 		count++
@@ -84,7 +84,7 @@
 	return count, problems
 }
 
-// checkLink returns what is wrong with a link; empty: nothing.
+// checkLink returns the problem of a link, which is empty if the link is valid.
 func checkLink(name, page, link string) string {
 	if externalLink.MatchString(link) {
 		return ""
@@ -93,10 +93,10 @@
 	if file != "" {
 		target := filepath.Join(filepath.Dir(name), file)
 		if outside, err := filepath.Rel(moduleRoot, target); err != nil || strings.HasPrefix(outside, "..") {
-			return "it leads out of the repository"
+			return "the target is outside the repository"
 		}
 		if _, err := os.Stat(target); err != nil {
-			return "there is no such file"
+			return "the target does not exist"
 		}
 		if !hasAnchor {
 			return ""
@@ -108,12 +108,13 @@
 		page = string(text)
 	}
 	if !anchorsOf(page)[anchor] {
-		return "the page has no such heading"
+		return "the page has no heading with this anchor"
 	}
 	return ""
 }
 
-// anchorsOf returns the anchors of a page's headings. Further headings of the same text get a number.
+// anchorsOf returns the anchors of a page's headings. If several headings have the same anchor, it numbers all but the
+// first.
 func anchorsOf(page string) map[string]bool {
 	anchors := map[string]bool{}
 	for _, heading := range pageHeading.FindAllStringSubmatch(fencedCode.ReplaceAllString(page, ""), -1) {
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// unfinishedPackages are all that may stand in the list of packages that the linter passes over,
-// linters.exclusions.paths in .golangci.yml. The list only shrinks: a package leaves it by its line there, and leaves
-// this table with the next landing at the latest. Nothing is ever added here.
+// unfinishedPackages has the packages that the linter may exclude, in the list linters.exclusions.paths of
+// .golangci.yml. The list may only shrink: when the line of a package is removed there, the package is removed here
+// with the next merge at the latest. No package may be added.
 var unfinishedPackages = []string{}
 
-// A line of the list: the files of one package, and what is left to do in it.
+// unfinishedLine matches a line of the list, which has the files of one package and the work that is left to do.
 var unfinishedLine = regexp.MustCompile(`^      - \^([a-z0-9_/]+)/\[\^/\]\+\$ # (\S.*)$`)
 
-// readUnfinished gives the packages of the list in the text of a .golangci.yml, where the list is the file's end.
+// readUnfinished returns the packages of the list in the text of a .golangci.yml, which ends with the list.
 func readUnfinished(config string) ([]string, error) {
 	const start = "\n    paths:\n"
 	before, list, found := strings.Cut(config, start)
@@ -26,7 +26,7 @@
 		return nil, nil
 	}
 	if strings.Contains(before, "paths:") || strings.Contains(list, "paths:") {
-		return nil, fmt.Errorf("there is more than one list of paths")
+		return nil, fmt.Errorf("the configuration has more than one list of paths")
 	}
 	var packages []string
 	for line := range strings.Lines(list) {
@@ -36,24 +36,25 @@
 		}
 		match := unfinishedLine.FindStringSubmatch(line)
 		if match == nil {
-			return nil, fmt.Errorf("%q is not of the form \"- ^PACKAGE/[^/]+$ # what is left to do\"", line)
+			return nil, fmt.Errorf("%q is not of the form \"- ^PACKAGE/[^/]+$ # WORK LEFT\"", line)
 		}
 		packages = append(packages, match[1])
 	}
 	return packages, nil
 }
 
-// checkUnfinished returns an error if a list of unfinished packages of the checkout at root is not valid.
+// checkUnfinished returns an error if the list of unfinished packages is not sorted, has a package twice, or has a
+// package that is not allowed or does not exist below root.
 func checkUnfinished(root string, packages, allowed []string) error {
 	if !slices.IsSorted(packages) {
 		return fmt.Errorf("the list is not sorted")
 	}
 	for i, name := range packages {
 		if i > 0 && packages[i-1] == name {
-			return fmt.Errorf("%s stands twice", name)
+			return fmt.Errorf("%s is in the list twice", name)
 		}
 		if !slices.Contains(allowed, name) {
-			return fmt.Errorf("%s is new in the list, which may only shrink", name)
+			return fmt.Errorf("%s is new in the list, to which no package may be added", name)
 		}
 		files, err := filepath.Glob(filepath.Join(root, name, "*.go"))
 		if err != nil {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// The linter's list of unfinished packages names packages that are there, and has not grown.
+// The linter's list of unfinished packages names existing packages, and has not grown.
 func TestUnfinishedPackagesOnlyShrink(t *testing.T) {
 	config, err := os.ReadFile("../../.golangci.yml")
 	if err != nil {
@@ -82,8 +83,8 @@
 	t.Logf("%d packages are unfinished", len(packages))
 }
 
-// Nothing but that list confines a rule to some packages of the product: the exclusion rules name tests and the
-// cores' clock, and nothing else.
+// Only the list of unfinished packages disables linter rules for some packages of the product. The exclusion rules
+// apply to tests, and to the use of the clock outside the packages of the deterministic cores.
 func TestNoRuleIsOffForAPackage(t *testing.T) {
 	config, err := os.ReadFile("../../.golangci.yml")
 	if err != nil {
@@ -99,19 +100,19 @@
 		isForTests := line == `- path: _test\.go$`
 		isForCores := strings.HasPrefix(line, "- path-except: ^(balancer|internal/")
 		if strings.HasPrefix(line, "- ") && !isForTests && !isForCores {
-			t.Errorf("a rule for other files than tests: %s", line)
+			t.Errorf("exclusion rule for files that are not tests: %s", line)
 		}
 	}
 	for _, word := range []string{"presets:", "generated:", "paths-except:", "disable:", "exclude"} {
 		for line := range strings.Lines(string(config)) {
 			if strings.HasPrefix(strings.TrimSpace(line), word) {
-				t.Errorf("there is %q", strings.TrimSpace(line))
+				t.Errorf("the configuration has %q, which could disable rules", strings.TrimSpace(line))
 			}
 		}
 	}
 }
 
-// Each way in which the list could grow or lose its form is an error: otherwise it would grow unnoticed.
+// Each way in which the list could grow or lose its form is an error, so that it cannot grow unnoticed.
 func TestReadAndCheckUnfinished(t *testing.T) {
 	root := t.TempDir()
 	for _, name := range []string{"a", "b/c"} {
@@ -128,14 +129,14 @@
 	}{
 		{"empty", "", ""},
 		{"one", a, ""},
-		{"all that is allowed", a + c, ""},
-		{"with a comment line", "      # Left to do.\n" + a + c, ""},
+		{"all allowed packages", a + c, ""},
+		{"with a comment line", "      # A comment.\n" + a + c, ""},
 		{"not allowed", a + "      - ^b/d/[^/]+$ # lll 3\n", "b/d is new"},
 		{"no such package", a + gone, "no package gone"},
 		{"twice", a + a, "twice"},
 		{"not sorted", c + a, "not sorted"},
-		{"nothing said to be left", "      - ^a/[^/]+$\n", "not of the form"},
-		{"a directory with all below it", "      - ^b/ # lll 3\n", "not of the form"},
+		{"no work left", "      - ^a/[^/]+$\n", "not of the form"},
+		{"a directory with all packages below it", "      - ^b/ # lll 3\n", "not of the form"},
 		{"a pattern", "      - ^.*/[^/]+$ # lll 3\n", "not of the form"},
 		{"a second list", a + "    paths:\n" + c, "more than one"},
 	} {
--- a/cmd/hazelwing/load_test.go
+++ b/cmd/hazelwing/load_test.go
@@ -10,13 +10,13 @@
 	"hazelwing/internal/load"
 )
 
-// Two targets get the same requests; the error for invalid arguments is one line.
+// Two targets get the same requests. The error for invalid arguments is one line.
 func TestLoadCommand(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
 	out, err := execute("load", server.URL, server.URL,
 		"--rate", "200", "--length", "300ms", "--effect", "keyed", "--json")
-	if err != nil && !strings.Contains(err.Error(), "too slow") { // a busy machine says so
+	if err != nil && !strings.Contains(err.Error(), "too slow") { // a busy machine may be too slow
 		t.Fatal(err)
 	}
 	var reports []load.Report
@@ -39,7 +39,7 @@
 		{"load", server.URL, "--traffic", "/absent"},
 	} {
 		if _, err := execute(args...); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", args, err)
+			t.Errorf("%q: error %v, want one of one line", args, err)
 		}
 	}
 }
--- a/cmd/hazelwing/loggingpage_test.go
+++ b/cmd/hazelwing/loggingpage_test.go
@@ -14,8 +14,8 @@
 
 const loggingPage = moduleRoot + "/docs/operators/logging.md"
 
-// loggingPackages are the packages whose log lines an operator sees: those of the daemon, of an origin and of the
-// plug-in.
+// loggingPackages are the packages whose log lines an operator sees, which are those of the daemon, of an origin and of
+// the plug-in.
 var loggingPackages = []string{
 	"balancer",
 	"cmd/hazelwing",
@@ -40,16 +40,16 @@
 }
 
 var (
-	// loggingRow is a row of the page's table of messages: its first cell is the message.
+	// loggingRow matches a row of the page's table of messages, whose first cell is the message.
 	loggingRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| (?:debug|info|warn|error) \\|")
-	// loggerName ends the expression that a message is logged through.
+	// loggerName matches the name of a logger, which is the last identifier before a logging method.
 	loggerName = regexp.MustCompile(`(?i)(log|logger)$`)
 )
 
-// logMethods are the methods that take a message as their first argument. The balancer's own is log.
+// logMethods are the logging methods, whose first argument is the message. Balancer.log is one of them.
 var logMethods = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "log": true}
 
-// The page of log messages has a row for each message in the code, and none that the code does not log.
+// The page of log messages has a row for each message in the code, and only for these.
 func TestLoggingPageHasAllMessages(t *testing.T) {
 	page, err := os.ReadFile(loggingPage)
 	if err != nil {
@@ -67,13 +67,13 @@
 	}
 	for message := range documented {
 		if !literals[message] {
-			t.Errorf("the page has %q, which the code does not have", message)
+			t.Errorf("the page has %q, which is no string literal of the code", message)
 		}
 	}
 }
 
-// loggedMessages returns the messages that are logged by a literal, each with a place that logs it, and all string
-// literals: some messages are passed on before they are logged.
+// loggedMessages returns the messages that are literal arguments of logging methods, each with a place that logs it,
+// and all string literals, because some messages are passed on before they are logged.
 func loggedMessages(t *testing.T) (messages map[string]string, literals map[string]bool) {
 	t.Helper()
 	messages, literals = map[string]string{}, map[string]bool{}
@@ -107,7 +107,7 @@
 	return messages, literals
 }
 
-// literalText is the text of a string literal, empty for others.
+// literalText returns the text of a string literal, and an empty text for other literals.
 func literalText(literal *ast.BasicLit) string {
 	if literal.Kind != token.STRING {
 		return ""
@@ -119,7 +119,7 @@
 	return text
 }
 
-// loggedMessage returns the constant message of a call that logs one.
+// loggedMessage returns the literal message of a logging call, and whether the call is one.
 func loggedMessage(call *ast.CallExpr) (string, bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !logMethods[method.Sel.Name] || len(call.Args) == 0 {
@@ -136,7 +136,7 @@
 	return message, message != ""
 }
 
-// lastName is the last identifier of an expression such as c.cfg.Log.
+// lastName returns the last identifier of an expression such as c.cfg.Log.
 func lastName(expression ast.Expr) string {
 	switch expression := expression.(type) {
 	case *ast.Ident:
--- a/cmd/hazelwing/main_test.go
+++ b/cmd/hazelwing/main_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The platform's file is missing. Who started the daemon sees only what it prints: one line that names the file.
+// If the platform's file is missing, the error is one line that names the file. An operator sees only this line.
 func TestBadConfigurationIsAnError(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", t.TempDir()+"/absent.json")
 	err := runDaemon("")
@@ -19,8 +19,8 @@
 	}
 }
 
-// SIGHUP comes while the program still starts: its configuration is a pipe to which nothing has been written yet. By
-// its default action the signal would end the program: it must not, from the program's first step on.
+// A SIGHUP during the start does not end the program, as the signal's default action would. The configuration is a pipe
+// to which nothing has been written yet, so that the program is still starting when the signal arrives.
 func TestReloadSignalDoesNotEndTheProgram(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -29,7 +29,7 @@
 	t.Setenv("RELAY_CONFIG", path)
 	done := make(chan error, 1)
 	go func() { done <- runDaemon("") }()
-	file, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once runDaemon has opened it, too
+	file, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when runDaemon has opened the pipe, too
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,6 +46,6 @@
 			t.Error("an invalid configuration was accepted")
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the program hangs")
+		t.Error("the program did not end within 20 s")
 	}
 }
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -24,9 +24,9 @@
 )
 
 var olderProgram = flag.String("older", "",
-	"TestMixedVersions: absolute path of the older program; empty: the test does not run")
+	"absolute path of the older program for TestMixedVersions; empty: the test does not run")
 
-// The groups of the mixed fleet. Origin 1 runs the older program, the other origins the newer one.
+// Sizes and groups of the mixed cluster. Origin 1 runs the older program, the other origins the newer one.
 const (
 	mixedMembers     = 6
 	mixedOrigins     = 3
@@ -36,8 +36,8 @@
 	originEpoch      = 2
 	maxElections     = 16
 	mixedWaitTimeout = 2 * testutil.WaitTimeout
-	// longForgetOption keeps the dead in the members' views for longer than any wait of this test, so that a wait
-	// for "dead" cannot miss it.
+	// longForgetOption keeps dead members in the membership views for longer than any wait of this test, so that a
+	// wait for the state "dead" cannot miss it.
 	longForgetOption = "forget = \"2m\"\n"
 )
 
@@ -45,17 +45,17 @@
 type mixedCluster struct {
 	*configCluster
 	list  *listCluster
-	newer []string // the command of the newer program
+	newer []string // command line of the newer program
 }
 
-// TestMixedVersions runs an older program, given by its path, and this one in one cluster: their gossip, the
-// relayed endpoint list, the pushed configuration, the election of origins, and the stored state of a process
-// that is upgraded. Without a path nothing is started.
+// TestMixedVersions runs an older program and this one in one cluster. It checks that both versions understand each
+// other's gossip, endpoint list, configuration and election messages, and that an upgraded process reads the state that
+// the older one stored.
 //
 //	go test ./cmd/hazelwing -run TestMixedVersions -older PATH -v
 func TestMixedVersions(t *testing.T) {
 	if *olderProgram == "" {
-		t.Log("not run: -older names no program")
+		t.Log("not run: -older is not set")
 		return
 	}
 	r := newMixedCluster(t)
@@ -66,7 +66,7 @@
 	r.checkFinalState()
 }
 
-// newMixedCluster starts the fleet with discovery out of reach of the newer members.
+// newMixedCluster starts a mixed cluster in which the newer members cannot reach discovery.
 func newMixedCluster(t *testing.T) *mixedCluster {
 	t.Helper()
 	config := testcluster.Config{
@@ -83,8 +83,8 @@
 	}
 	r.setProgram(olderGroup, *olderProgram)
 	r.setProgram(fmt.Sprintf("o%d", olderOrigin), *olderProgram)
-	// The harness has founded all origins by the newer program. A higher epoch lets each found its store by
-	// its own program.
+	// The test cluster has bootstrapped all origins with the newer program. Bootstrapping with a higher epoch lets each
+	// origin replace its store with its own program.
 	if err := r.BootstrapOrigins(originEpoch, "origins"); err != nil {
 		t.Fatal(err)
 	}
@@ -100,10 +100,10 @@
 	}
 }
 
-// olderMembers are the numbers of olderGroup.
+// olderMembers returns the numbers of the members in olderGroup.
 func olderMembers() []int { return numberRange(1, 3) }
 
-// newerMembers are the numbers of newerGroup.
+// newerMembers returns the numbers of the members in newerGroup.
 func newerMembers() []int { return numberRange(4, 6) }
 
 // originStatus returns the status of an origin.
@@ -111,7 +111,7 @@
 	return transport.NewClient("rig", r.OriginAddr(number)).Status(r.t.Context())
 }
 
-// checkGossip compares the views of both versions with what runs, before, during and after the loss of a member
+// checkGossip checks that the membership views of both versions are right before, during and after the loss of a member
 // of each version.
 func (r *mixedCluster) checkGossip() {
 	r.t.Helper()
@@ -128,7 +128,7 @@
 	r.t.Log("gossip: each version sees all members, and the death and the return of a member of each version")
 }
 
-// checkExecutable verifies that a member runs the program of its version.
+// checkExecutable checks that a member runs the program of its version.
 func (r *mixedCluster) checkExecutable(n int) {
 	r.t.Helper()
 	path := r.newer[0]
@@ -148,8 +148,8 @@
 	}
 }
 
-// checkNothingRejected verifies that no process has dropped a message of another one as unreadable or
-// foreign: redundant paths would hide it from the other checks.
+// checkNothingRejected checks that no process has dropped a message of another one as unreadable or foreign. The other
+// checks cannot notice this, because messages arrive on redundant paths.
 func (r *mixedCluster) checkNothingRejected() {
 	r.t.Helper()
 	for _, n := range r.all() {
@@ -175,8 +175,8 @@
 	}
 }
 
-// checkEndpointList lets only one version reach discovery, then only the other: each change of the list has
-// to cross the versions.
+// checkEndpointList lets first only the older version reach discovery and then only the newer one, so that each change
+// of the endpoint list has to be relayed between the versions.
 func (r *mixedCluster) checkEndpointList() {
 	r.t.Helper()
 	r.checkListCrosses("n1", olderMembers(), newerMembers())
@@ -186,13 +186,13 @@
 	r.checkNothingRejected()
 }
 
-// checkListCrosses drains a server and verifies that the group that cannot reach discovery learns it from
-// the group that can.
+// checkListCrosses drains a server, and checks that the group that cannot reach discovery learns this from the group
+// that can.
 func (r *mixedCluster) checkListCrosses(server string, from, to []int) {
 	r.t.Helper()
 	before := r.Servers.Discovery.Version()
 	r.play("server " + server + " drain")
-	r.list.waitCurrent(fmt.Sprintf("server list from %v to %v", from, to), r.all())
+	r.list.waitCurrent(fmt.Sprintf("endpoint list from %v to %v", from, to), r.all())
 	if after := r.Servers.Discovery.Version(); after <= before {
 		r.t.Fatalf("discovery is still at version %d", after)
 	}
@@ -204,7 +204,7 @@
 			r.t.Fatal(err)
 		}
 		if s.Source == "discovery" {
-			r.t.Errorf("member %d has the list from discovery, which it cannot reach", n)
+			r.t.Errorf("member %d has the endpoint list from discovery, which it should not reach", n)
 		}
 		if slices.ContainsFunc(from, func(m int) bool { return s.Source == fmt.Sprintf("m%02d", m) }) {
 			crossings++
@@ -215,8 +215,8 @@
 	}
 }
 
-// checkConfiguration pushes changes through every origin and by both versions' command, across the versions
-// of the members, and under a leader of each version, which is then killed. It returns the latest revision.
+// checkConfiguration pushes changes with the commands of both versions, to each origin, while one group of members
+// cannot reach the origins, and under a leader of each version, which is then killed. It returns the latest revision.
 func (r *mixedCluster) checkConfiguration() (revision controlplane.Revision) {
 	r.t.Helper()
 	for k := 1; k <= r.origins; k++ {
@@ -238,7 +238,7 @@
 	return revision
 }
 
-// pushByOlderCommand pushes a change by the older program's command line.
+// pushByOlderCommand pushes a change with the command of the older program.
 func (r *mixedCluster) pushByOlderCommand(number int, latest controlplane.Revision) controlplane.Revision {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), testutil.WaitTimeout)
@@ -257,24 +257,24 @@
 	return answer.Revision
 }
 
-// checkLeader makes an origin of a version the leader, pushes through it, kills it and pushes again. It
-// returns the latest revision.
+// checkLeader makes an origin of one version the leader, pushes changes to all origins, kills the leader and pushes
+// again. It returns the latest revision.
 func (r *mixedCluster) checkLeader(older bool) (revision controlplane.Revision) {
 	r.t.Helper()
 	leader := r.elect(older)
 	for k := 1; k <= r.origins; k++ {
 		revision, _ = r.pushUntilAccepted(k, r.writeSnapshot(""))
 	}
-	r.waitInForce(fmt.Sprintf("origin %d leads", leader), revision)
+	r.waitInForce(fmt.Sprintf("origin %d is the leader", leader), revision)
 	r.play(fmt.Sprintf("kill o%d", leader))
 	revision, _ = r.pushUntilAccepted(1+leader%r.origins, r.writeSnapshot(""))
-	r.waitInForce(fmt.Sprintf("origin %d, which led, is killed", leader), revision)
+	r.waitInForce(fmt.Sprintf("origin %d, the former leader, is killed", leader), revision)
 	r.play(fmt.Sprintf("start o%d", leader))
 	r.waitOrigins(revision)
 	return revision
 }
 
-// elect kills and restarts leaders until one of the wanted version leads.
+// elect kills and restarts leaders until an origin of the wanted version is the leader.
 func (r *mixedCluster) elect(older bool) (leader int) {
 	r.t.Helper()
 	for range maxElections {
@@ -289,7 +289,7 @@
 	return 0
 }
 
-// waitInForce waits until all members act on a revision, and until the report of each running origin agrees. It
+// waitInForce waits until all members act on a revision, and until the reports of all running origins say so. It
 // reads the admin endpoints and not the logs, whose messages may differ between the versions.
 func (r *mixedCluster) waitInForce(what string, revision controlplane.Revision) {
 	r.t.Helper()
@@ -316,7 +316,7 @@
 	for k := 1; k <= r.origins; k++ {
 		s, err := r.originStatus(k)
 		if err != nil {
-			continue // it was killed
+			continue // the origin was killed
 		}
 		responses++
 		if s.Report.Members != r.members || len(s.Report.Active) != 1 || s.Report.Active[0] != expected {
@@ -356,14 +356,14 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			r.fail(fmt.Errorf("%s: not within %v: %w", what, mixedWaitTimeout, err))
+			r.fail(fmt.Errorf("%s: not reached within %v: %w", what, mixedWaitTimeout, err))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// checkUpgrade restarts an older member and the older origin by the newer program, each without
-// others to call: they continue with the state that the older program stored. Then the whole cluster is started.
+// checkUpgrade restarts an older member and the older origin with the newer program, while no other process runs. Both
+// must continue with the state that the older program stored. Then checkUpgrade starts the whole cluster.
 func (r *mixedCluster) checkUpgrade(revision controlplane.Revision) {
 	r.t.Helper()
 	const upgraded = 1
@@ -392,7 +392,7 @@
 	r.checkNothingRejected()
 }
 
-// waitStored waits until a member's directory holds a revision as its last known one.
+// waitStored waits until the last known snapshot that a member has stored is the one of a revision.
 func (r *mixedCluster) waitStored(n int, revision controlplane.Revision) {
 	r.t.Helper()
 	r.waitUntil(fmt.Sprintf("member %d stores %v", n, revision), func() error {
@@ -405,7 +405,7 @@
 			return err
 		}
 		if stored.Frame.Revision != revision {
-			return fmt.Errorf("stored is %v", stored.Frame.Revision)
+			return fmt.Errorf("the stored revision is %v", stored.Frame.Revision)
 		}
 		return nil
 	})
--- a/cmd/hazelwing/origin.go
+++ b/cmd/hazelwing/origin.go
@@ -31,8 +31,8 @@
 	bootstrap.Use = "found"
 	bootstrap.Short = "Create the empty store of an origin, with the fleet, epoch and peers of its file"
 	bootstrap.Long = `Create the store of an origin. This is done once on each machine that is to run an origin, with
-the same fleet, epoch and peers in each file. A store of a lower epoch is replaced. A store of the same or a higher epoch is
-left unchanged, and the exit status is 1.`
+the same fleet, epoch and peers in each file. A store of a lower epoch is replaced. A store of the same or a higher
+epoch is left unchanged, and the exit status is 1.`
 	run := newOriginSubcommand(func(_ io.Writer, config *operator.Origin) error { return runOrigin(config) })
 	run.Use = "run"
 	run.Short = "Run an origin whose store exists"
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -12,15 +12,15 @@
 	"hazelwing/internal/testutil"
 )
 
-// listCluster is a test cluster whose members get the endpoint list from each other.
+// listCluster is a test cluster whose members relay the endpoint list to each other.
 type listCluster struct {
 	*testcluster.Cluster
 	t       *testing.T
 	members int
 }
 
-// sources returns from whom each member of a group has its endpoint list, as text, which of them call discovery
-// themselves, and whether all have discovery's version from a source that works.
+// sources returns a description of each member's source of the endpoint list, the members that call discovery
+// themselves, and whether all members of the group have the current version of the list from a live source.
 func (r *listCluster) sources(group []int) (text []string, callers []int, current bool) {
 	current = true
 	for _, n := range group {
@@ -37,8 +37,8 @@
 	return text, callers, current
 }
 
-// waitCurrent waits until all members of a group have discovery's version from a source that works. It returns those
-// that call discovery themselves.
+// waitCurrent waits until all members of a group have the current version of the endpoint list from a live source. It
+// returns the members that call discovery themselves.
 func (r *listCluster) waitCurrent(what string, group []int) (callers []int) {
 	r.t.Helper()
 	startedAt := time.Now()
@@ -46,11 +46,12 @@
 	for current := false; !current; time.Sleep(20 * time.Millisecond) {
 		text, callers, current = r.sources(group)
 		if time.Since(startedAt) > 2*testutil.WaitTimeout {
-			r.t.Fatalf("%s: not current: %s\n%s", what, strings.Join(text, "; "), r.Timeline())
+			r.t.Fatalf("%s: the endpoint list is not current everywhere: %s\n%s",
+				what, strings.Join(text, "; "), r.Timeline())
 		}
 	}
 	calls, _ := r.Servers.Discovery.Calls()
-	r.t.Logf("%-40s %6.2f s, %d calls so far, %d members call",
+	r.t.Logf("%-40s %6.2f s, %d calls of discovery so far, by %d members now",
 		what, time.Since(startedAt).Seconds(), calls, len(callers))
 	return callers
 }
@@ -62,13 +63,13 @@
 	}
 }
 
-// joinNumbers returns a list of members as scripts have it.
+// joinNumbers returns the numbers of members in the form that scripts have.
 func joinNumbers(list []int) string {
 	return strings.Trim(strings.ReplaceAll(fmt.Sprint(list), " ", ","), "[]")
 }
 
-// The endpoint list is relayed by the cluster: a few members call discovery, also when all start at once or restart.
-// When these are killed or cannot reach discovery, others do. Each change reaches all members.
+// Members relay the endpoint list to each other, and only a few of them call discovery, even if all start or restart at
+// once. If these members are killed or cannot reach discovery, others call it. Each change reaches all members.
 func TestEndpointListIsRelayed(t *testing.T) {
 	const members, wantCallers = 12, 2
 	config := testcluster.Config{
@@ -83,9 +84,11 @@
 	r.play("start all\nsettle 500ms 30s")
 	callers := r.waitCurrent("all started at once", all)
 	calls, _ := r.Servers.Discovery.Calls()
-	// If starting them takes more than a second, more than wantCallers of them call; without the cluster each would.
+	// More than wantCallers members call discovery if starting all members takes more than a second. Without the relay
+	// all of them would call it.
 	if len(callers) < wantCallers || calls >= members {
-		t.Errorf("%d members made %d calls, want %d members", len(callers), calls, wantCallers)
+		t.Errorf("%d members call discovery and made %d calls in all, want about %d members",
+			len(callers), calls, wantCallers)
 	}
 	r.play("server n1 drain")
 	r.waitCurrent("a server drains", all)
@@ -97,14 +100,14 @@
 			left = append(left, n)
 		}
 	}
-	r.waitCurrent("those who ask were killed", left)
+	r.waitCurrent("the members that call discovery were killed", left)
 	r.play("server n2 drain")
-	r.waitCurrent("a server drains meanwhile", left)
+	r.waitCurrent("another server drains", left)
 	r.play("start " + joinNumbers(callers) + "\nsettle 500ms 30s")
-	callers = r.waitCurrent("they came back", all)
+	callers = r.waitCurrent("the killed members are back", all)
 
 	r.play("discovery " + joinNumbers(callers) + " cut\nserver n3 drain")
-	r.waitCurrent("those who ask cannot reach discovery", all)
+	r.waitCurrent("the members that call discovery cannot reach it", all)
 	r.play("discovery all heal\nsettle 500ms 30s")
 
 	before, _ := r.Servers.Discovery.Calls()
@@ -112,12 +115,13 @@
 	callers = r.waitCurrent("all were restarted at once", all)
 	after, _ := r.Servers.Discovery.Calls()
 	if after-before >= members {
-		t.Errorf("%d calls when all %d restart at once, want %d", after-before, members, wantCallers)
+		t.Errorf("%d calls of discovery when all %d members restart at once, want about %d",
+			after-before, members, wantCallers)
 	}
 	if list := r.Violations(); len(list) > 0 {
 		t.Error(list)
 	}
 	a := &r.Outcomes
-	t.Logf("served %d, refused %d, failed %d, broken off %d; %v call",
+	t.Logf("requests: %d served, %d rejected, %d failed, %d broken connections; members %v call discovery",
 		a.Served.Load(), a.Rejected.Load(), a.Failed.Load(), a.Broken.Load(), callers)
 }
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -19,29 +19,29 @@
 )
 
 var (
-	shareLength    = flag.Duration("share.length", 0, "TestShare: how long each run takes; 0: it is skipped")
-	shareServers   = flag.String("share.servers", "60,590,2000", "TestShare: numbers of servers")
-	shareRates     = flag.String("share.rates", "59,400", "TestShare: requests a second")
-	shareBalancers = flag.String("share.balancers", "590,1", "TestShare: sidecars that the settings tell")
-	shareHedging   = flag.Bool("share.copies", false, "TestShare: the settings allow second copies")
-	shareRounds    = flag.Int("share.rounds", 1, "TestShare: how often each run is made, in turns")
+	shareLength    = flag.Duration("share.length", 0, "duration of each run of TestShare; 0: the test is skipped")
+	shareServers   = flag.String("share.servers", "60,590,2000", "numbers of servers in TestShare")
+	shareRates     = flag.String("share.rates", "59,400", "request rates in TestShare, in requests per second")
+	shareBalancers = flag.String("share.balancers", "590,1", "numbers of sidecars in the settings of TestShare")
+	shareHedging   = flag.Bool("share.copies", false, "allow hedged requests in TestShare")
+	shareRounds    = flag.Int("share.rounds", 1, "number of rounds of all runs in TestShare")
 	shareProfile   = flag.String("share.profile", "",
-		"TestShare: directory for the sidecar's processor profiles; they cost some of what they measure")
+		"directory for CPU profiles of the sidecar in TestShare; profiling adds to the measured costs")
 )
 
-// route is a way to a server.
+// route is a way by which requests reach a server.
 type route int
 
 const (
 	viaSidecar    route = iota
-	direct              // on a connection that stays open
+	direct              // on a persistent connection
 	directNewConn       // on a new connection
-	forwarded           // through a process that only forwards bytes
+	forwarded           // through a process that forwards bytes
 
-	routes // their number
+	routes // number of routes
 )
 
-// roundRobinTarget sends requests by each route in turn, so that all are under the same conditions.
+// roundRobinTarget sends requests by each route in turn, so that all routes have the same conditions.
 type roundRobinTarget struct {
 	targets [routes]load.Target
 	next    atomic.Int64
@@ -52,12 +52,12 @@
 
 // timedRequest is a served request.
 type timedRequest struct {
-	due      time.Time // when it was to be sent
+	due      time.Time // scheduled time
 	route    route
-	duration time.Duration // from then
+	duration time.Duration // from the scheduled time to the response
 }
 
-func (r *roundRobinTarget) Name() string { return "in turns" }
+func (r *roundRobinTarget) Name() string { return "round robin" }
 
 func (r *roundRobinTarget) Send(ctx context.Context, id string, s load.ScheduledRequest) load.Outcome {
 	by := route((r.next.Add(1) - 1) % int64(routes))
@@ -73,9 +73,8 @@
 	return kind
 }
 
-// undisturbed returns the requests of those windows of a tenth of a second in which no call of the other routes took
-// more than 1.5 times the median of its route. The sidecar's own requests are not considered. This excludes figures
-// of a busy machine.
+// undisturbed returns the requests in those windows of 0.1 s in which no request by a route other than viaSidecar took
+// more than 1.5 times the median of its route. This excludes measurements while the machine was busy.
 func undisturbed(timings []timedRequest) (selected []timedRequest) {
 	const window = 100 * time.Millisecond
 	quantile := quantiles(timings)
@@ -93,7 +92,7 @@
 	return selected
 }
 
-// quantiles returns a function for the quantiles of a route's durations, in milliseconds; 0 where there are no
+// quantiles returns a function that returns a quantile of a route's durations in milliseconds, or 0 if the route has no
 // requests.
 func quantiles(timings []timedRequest) func(by route, q float64) float64 {
 	var durations [routes][]time.Duration
@@ -123,7 +122,8 @@
 	return n
 }
 
-// addedLatency returns how much longer a route takes than direct calls on open connections, at four quantiles.
+// addedLatency returns the columns with the latency that a route adds to that of direct requests on persistent
+// connections, at four quantiles.
 func addedLatency(timings []timedRequest, by route) string {
 	quantile := quantiles(timings)
 	var columns []string
@@ -133,7 +133,7 @@
 	return strings.Join(columns, " | ")
 }
 
-// newConnTarget is a target that is called on a new connection each time.
+// newConnTarget is a target that gets each request on a new connection.
 type newConnTarget struct{ addr string }
 
 func (n newConnTarget) Name() string { return n.addr }
@@ -144,25 +144,26 @@
 	return h.Send(ctx, id, s)
 }
 
-// The latency that a sidecar adds to a call, compared with direct calls in turns with it, its connections and its
-// resource usage:
+// TestShare measures the share that a sidecar has in the latency of a request, its connections and its resource usage.
+// It compares requests through the sidecar with direct requests, which are sent in turn with them:
 //
 //	go test ./cmd/hazelwing -run 'TestShare$' -share.length 30s -timeout 1h -v
 func TestShare(t *testing.T) {
 	if *shareLength == 0 {
-		t.Skip("-share.length is not set")
+		t.Skip("this measurement runs only with -share.length")
 	}
 	const added = "p50 | p90 | p99 | p99.9"
-	t.Log("| load average | servers | sidecars told | requests a second | added ms " + added +
-		" | in undisturbed windows " + added + " | requests in them | passing bytes on adds there " + added +
-		" | a new connection adds there " + added + " | direct p50 | p99 | attempts a request | opened a request" +
-		" | servers used | user us a request | system us | waited for a core us | waits a request" +
-		" | passing bytes on costs us a request | waited for a core us | waits | idle % of a core | resident MB |")
+	t.Log("| load average | servers | sidecars in the settings | requests per second | added ms " + added +
+		" | added in undisturbed windows " + added + " | requests in these | added by forwarding " + added +
+		" | added by a new connection " + added + " | direct p50 | p99" +
+		" | attempts per request | connections per request" +
+		" | servers used | user us per request | system us | run queue us | context switches per request" +
+		" | forwarder us per request | run queue us | context switches | idle % of a core | resident MB |")
 	for round := range *shareRounds {
 		for _, n := range parseNumbers(t, *shareServers) {
 			for _, rate := range parseNumbers(t, *shareRates) {
 				for _, balancers := range parseNumbers(t, *shareBalancers) {
-					name := fmt.Sprintf("%d/%d servers/%d a second/%d sidecars", round, n, rate, balancers)
+					name := fmt.Sprintf("%d/%d servers/%d per second/%d sidecars", round, n, rate, balancers)
 					t.Run(name, func(t *testing.T) { testShare(t, n, rate, balancers) })
 				}
 			}
@@ -183,18 +184,18 @@
 	return numbers
 }
 
-// sharePlan returns requests for all routes, with the given rate for each.
+// sharePlan returns a plan of requests for all routes, with the given rate for each route.
 func sharePlan(t *testing.T, rate int, length time.Duration, seed uint64) load.Plan {
 	t.Helper()
-	shot := load.ScheduledRequest{Class: "look", Effect: "safe", Deadline: 4 * time.Second}
-	plan, err := load.Poisson(seed, []load.Point{{Rate: float64(int(routes) * rate)}}, length, shot)
+	request := load.ScheduledRequest{Class: "look", Effect: "safe", Deadline: 4 * time.Second}
+	plan, err := load.Poisson(seed, []load.Point{{Rate: float64(int(routes) * rate)}}, length, request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return plan
 }
 
-// shareUsage is what the processes of a measurement have used since their starts.
+// shareUsage is the resource usage of the processes of a measurement since their starts.
 type shareUsage struct {
 	sidecar   resourceUsage
 	forwarder resourceUsage
@@ -227,7 +228,7 @@
 	usage := func() shareUsage {
 		return shareUsage{usageOf(t, sidecar.cmd), usageOf(t, forwarder.cmd), s.counts()}
 	}
-	run(sharePlan(t, rate, 3*time.Second, 2)) // until connections, estimates and the heap are as they stay
+	run(sharePlan(t, rate, 3*time.Second, 2)) // warms up connections, estimates and the heap
 	const idleTime = 2 * time.Second
 	idleBefore := usageOf(t, sidecar.cmd)
 	time.Sleep(idleTime)
@@ -241,14 +242,15 @@
 		latencyColumns(timings), usageColumns(timings, before, after),
 		100*idleUsed.Seconds()/idleTime.Seconds(), float64(after.sidecar.resident)/(1<<20))
 	if report.Slow {
-		t.Logf("one in a hundred requests was sent %.1f ms late", report.SendDelayP99)
+		t.Logf("1 %% of the requests were sent at least %.1f ms late", report.SendDelayP99)
 	}
 	if served < 0.95*float64(rate)*shareLength.Seconds() {
-		t.Errorf("%.0f served of %.0f: %v", served, float64(rate)*shareLength.Seconds(), report.Outcomes)
+		t.Errorf("%.0f requests of %.0f were served, want at least 95 %%: %v",
+			served, float64(rate)*shareLength.Seconds(), report.Outcomes)
 	}
 }
 
-// latencyColumns returns the columns of TestShare's table from the added latency to the latency of direct calls.
+// latencyColumns returns the columns of TestShare's table from the added latency to the latency of direct requests.
 func latencyColumns(timings []timedRequest) string {
 	quantile, quiet := quantiles(timings), undisturbed(timings)
 	return fmt.Sprintf("%s | %s | %d | %s | %s | %.2f | %.2f",
@@ -257,7 +259,7 @@
 		quantile(direct, 0.5), quantile(direct, 0.99))
 }
 
-// usageColumns returns the columns of TestShare's table from the attempts of a request to the forwarder's context
+// usageColumns returns the columns of TestShare's table from the attempts per request to the forwarder's context
 // switches.
 func usageColumns(timings []timedRequest, before, after shareUsage) string {
 	served := float64(countRoute(timings, viaSidecar))
@@ -297,10 +299,9 @@
 	return one
 }
 
-// The connections of a quiet sidecar: one of many sidecars opens a connection to each of the ten servers of its
-// subset and keeps it. One of few draws from all servers. Twenty requests are no more than twenty a second, however
-// slow or fast the machine is, and a subset of ten is what that rate leads to. The capacity page relies on these
-// counts.
+// A sidecar under little load keeps one connection to each of the ten servers of its subset if there are many sidecars.
+// If there are few, it selects from all servers. The test sends twenty requests, so that the rate is at most twenty per
+// second on any machine, and this rate leads to a subset of ten. The capacity page relies on these counts.
 func TestShareCounts(t *testing.T) {
 	const n, requests = 60, 20
 	s := startServers(t, n, 0)
@@ -322,7 +323,7 @@
 			cancel()
 			if kind != load.Served {
 				text, _ := os.ReadFile(r.log)
-				t.Fatalf("request %d was %v\n%s", i, kind, text)
+				t.Fatalf("request %d: outcome %v, want served\n%s", i, kind, text)
 			}
 		}
 		after := s.counts()
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -24,15 +24,15 @@
 	"hazelwing/internal/testutil"
 )
 
-// Environment variables of this test's program as a process of its own.
+// Environment variables for the processes that tests start from this test's program.
 const (
-	serversVariable = "HAZELWING_TEST_SERVERS" // runs this number of plain servers
-	workVariable    = "HAZELWING_TEST_WORK"    // the time that their responses take
-	profileVariable = "HAZELWING_TEST_PROFILE" // the file for the daemon's processor profile
-	forwardVariable = "HAZELWING_TEST_FORWARD" // only forwards bytes to this address
+	serversVariable = "HAZELWING_TEST_SERVERS" // number of plain servers to run
+	workVariable    = "HAZELWING_TEST_WORK"    // response time of the plain servers
+	profileVariable = "HAZELWING_TEST_PROFILE" // file for the CPU profile of the daemon
+	forwardVariable = "HAZELWING_TEST_FORWARD" // address to which the process forwards bytes
 )
 
-// daemonMain is main, with a processor profile if testProfile names a file.
+// daemonMain runs main, and writes a CPU profile of it if profileVariable names a file.
 func daemonMain() {
 	path := os.Getenv(profileVariable)
 	if path == "" {
@@ -59,9 +59,9 @@
 	Servers  int64 // that received a request
 }
 
-// serversMain runs plain servers, each on an address of its own, that respond to each request after a time and keep
-// connections open. It prints their addresses, a line each, and then their counts for each line on standard input. It
-// ends with that.
+// serversMain runs plain servers, each on its own address. They respond to each request after a fixed time and keep
+// connections open. serversMain prints the addresses, one per line, and then prints the counts for each line that it
+// reads from standard input. It returns at the end of the input.
 func serversMain() {
 	n, err := strconv.Atoi(os.Getenv(serversVariable))
 	work, workErr := time.ParseDuration(os.Getenv(workVariable))
@@ -72,7 +72,7 @@
 	var conns, requests, used atomic.Int64
 	pid := os.Getpid()
 	for i := range n {
-		// A network of its own for each process, so that no process reuses the ports of another.
+		// Each process has its own network, so that no process reuses the ports of another.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid%64, i/250+8*(pid/64%30), 1+i%250))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -114,8 +114,8 @@
 	}
 }
 
-// forwardMain forwards the bytes of each connection to an address, on a connection for each: the cost of any Go
-// process in between. It prints its address, and ends with standard input.
+// forwardMain forwards the bytes of each connection to an address on another connection. Its cost is the minimum for a
+// Go process between client and server. It prints its address, and returns at the end of standard input.
 func forwardMain() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -147,12 +147,13 @@
 	_, _ = io.Copy(io.Discard, os.Stdin) // until its end
 }
 
-// copyBuffered copies through a buffer, as a proxy does, and not within the kernel. An error ends the connection.
+// copyBuffered copies through a buffer in user space, as a proxy does. It hides methods that would copy in the kernel.
+// It returns at an error, after which the caller closes the connection.
 func copyBuffered(to io.Writer, from io.Reader) {
 	_, _ = io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
 
-// helperProcess are plain helperProcess in a process of their own.
+// helperProcess is a process that runs plain servers or the forwarder.
 type helperProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -166,7 +167,7 @@
 	return startHelper(t, n, fmt.Sprintf("%s=%d", serversVariable, n), fmt.Sprintf("%s=%v", workVariable, work))
 }
 
-// startHelper starts this test's program as another one, which prints n addresses.
+// startHelper starts this test's program as a helper process, and reads the n addresses that it prints.
 func startHelper(t *testing.T, n int, env ...string) *helperProcess {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
@@ -185,13 +186,13 @@
 	}
 	t.Cleanup(func() {
 		stdin.Close()
-		_ = cmd.Wait() // its status says nothing about the test
+		_ = cmd.Wait() // the exit status is irrelevant to the test
 	})
 	s := &helperProcess{t: t, cmd: cmd, stdin: stdin, stdout: bufio.NewReader(stdout)}
 	for range n {
 		line, err := s.stdout.ReadString('\n')
 		if err != nil {
-			t.Fatal("the servers have ended: ", err)
+			t.Fatal("the helper process ended before it printed its addresses: ", err)
 		}
 		s.addrs = append(s.addrs, strings.TrimSpace(line))
 	}
@@ -210,8 +211,8 @@
 	return c
 }
 
-// sidecarProcess is a sidecar as a process of its own, on one core, with the list of all servers and the number of sidecars
-// in its configuration.
+// sidecarProcess is a sidecar in a separate process, on one core. Its configuration has the list of all servers and the
+// number of sidecars.
 type sidecarProcess struct {
 	t    *testing.T
 	addr string
@@ -243,7 +244,8 @@
 	return text
 }
 
-// startSidecar starts a sidecar of a number of sidecars. It writes a processor profile to a file; empty: none.
+// startSidecar starts a sidecar whose settings have the given number of sidecars. The sidecar writes a CPU profile to
+// the file profile unless that is empty.
 func startSidecar(t *testing.T, s *helperProcess, balancers int, hedging bool, profile string) *sidecarProcess {
 	t.Helper()
 	discovery, err := emulator.NewDiscovery()
@@ -278,14 +280,15 @@
 		t.Fatal(err)
 	}
 	defer out.Close()
-	r.cmd = exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0]) // stop ends it
-	r.cmd.Env = append(os.Environ(), daemonVariable+"=1", "RELAY_CONFIG="+path, "GOMAXPROCS=1", profileVariable+"="+profile)
+	r.cmd = exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0]) // ended by stop
+	r.cmd.Env = append(os.Environ(), daemonVariable+"=1", "RELAY_CONFIG="+path, "GOMAXPROCS=1",
+		profileVariable+"="+profile)
 	r.cmd.Stderr = out
 	if err := r.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.stop)
-	testutil.Until(t, "the sidecar", func() bool {
+	testutil.Until(t, "the sidecar listens", func() bool {
 		c, err := net.Dial("tcp", r.addr)
 		if err == nil {
 			c.Close()
@@ -295,22 +298,22 @@
 	return r
 }
 
-// stop ends the sidecar as the platform does.
+// stop ends the sidecar with SIGTERM, as the platform does.
 func (r *sidecarProcess) stop() {
 	if r.cmd != nil {
 		_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
-		_ = r.cmd.Wait()                          // its status is no part of the measurement
+		_ = r.cmd.Wait()                          // the exit status is irrelevant to the measurement
 		r.cmd = nil
 	}
 }
 
-// resourceUsage is what a process has used since its start.
+// resourceUsage is the resource usage of a process since its start.
 type resourceUsage struct {
-	user     time.Duration // processor time
-	system   time.Duration // processor time of the kernel
-	queued   time.Duration // runnable, but another process had the core
+	user     time.Duration // processor time in user mode
+	system   time.Duration // processor time in the kernel
+	queued   time.Duration // time in the run queue, while other processes had the core
 	switches int           // voluntary context switches
-	resident int           // bytes
+	resident int           // resident memory in bytes
 }
 
 // clockTick is the unit in which the kernel counts the processor time of a process.
--- a/cmd/hazelwing/start_test.go
+++ b/cmd/hazelwing/start_test.go
@@ -11,38 +11,39 @@
 	"testing"
 )
 
-// maxStartThreads is the number of threads that a sidecar may have when it responds for the first time: the runtime's
-// own (its monitor, one that waits for the network, one that runs, one for signals) and two that are started for
+// maxStartThreads limits the threads of a sidecar when it responds for the first time. The runtime has four: its
+// monitor, one that waits for the network, one that runs goroutines, and one for signals. Two more may be started for
 // system calls.
 const maxStartThreads = 6
 
-// The start of a sidecar is cheap for a platform that starts three hundred of them, each on a fraction of a core:
-// with the run line of the deploy file, the runtime uses one core from its first instruction on. This prevents
-// threads that spin for each other, and the stop of the world that reducing the number of cores later takes.
+// The start of a sidecar is cheap, since the platform may start three hundred of them, each on a fraction of a core.
+// With the run command of deploy/balancer.toml, the runtime uses one core from the beginning. This prevents threads
+// that spin while they wait for each other, and the stop of the world that a later reduction of GOMAXPROCS takes.
 func TestStartIsCheap(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("threads are read from /proc")
 	}
 	set := regexp.MustCompile(`^export (\w+=\w+);`).FindStringSubmatch(deployKey(t, "run"))
 	if set == nil {
-		t.Fatal("run sets nothing before it starts the program")
+		t.Fatal("the run command of deploy/balancer.toml sets no environment variable before it starts the program")
 	}
 	r := newDaemonProcess(t, "")
 	r.env = append(r.env, set[1])
-	minThreads := 1 << 20 // on a busy machine a system call may last long enough for the runtime to start another
+	minThreads := 1 << 20 // minimum, as on a busy machine a long system call makes the runtime start another thread
 	for range 5 {
 		r.start()
 		threads := processStatusValue(t, r.cmd, "Threads")
-		t.Logf("%d threads, %d switches of its own will", threads, processStatusValue(t, r.cmd, "voluntary_ctxt_switches"))
+		t.Logf("%d threads, %d voluntary context switches",
+			threads, processStatusValue(t, r.cmd, "voluntary_ctxt_switches"))
 		r.kill()
 		minThreads = min(minThreads, threads)
 	}
 	if minThreads > maxStartThreads {
-		t.Errorf("%d threads or more at the start, want %d at most", minThreads, maxStartThreads)
+		t.Errorf("at least %d threads in each of five starts, want at most %d", minThreads, maxStartThreads)
 	}
 }
 
-// processStatusValue returns a number from the kernel's status of a process.
+// processStatusValue returns a number from the status file that the kernel has for a process.
 func processStatusValue(t *testing.T, c *exec.Cmd, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
@@ -58,6 +59,6 @@
 			return n
 		}
 	}
-	t.Fatalf("the kernel reports no %s", name)
+	t.Fatalf("the status file has no number %s", name)
 	return 0
 }
--- a/cmd/hazelwing/startdaemon_test.go
+++ b/cmd/hazelwing/startdaemon_test.go
@@ -12,15 +12,15 @@
 	"hazelwing/internal/testutil"
 )
 
-// startDaemon starts a command, which runs the test's own program, as a daemon with this configuration, and waits
-// until it listens at the address that is returned. Its log is written to log, unless that is nil. It is killed at
-// the end of the test.
+// startDaemon starts a command that runs this test's program, as a daemon with the given configuration. It waits until
+// the daemon listens, and returns its address. The daemon logs to log unless that is nil. It is killed at the end of
+// the test.
 func startDaemon(t *testing.T, cmd *exec.Cmd, text string, log io.Writer) (addr string) {
 	t.Helper()
 	return startDaemonAt(t, cmd, text, "", log)
 }
 
-// startDaemonAt is startAlone for a given address; empty: any.
+// startDaemonAt is like startDaemon, but the daemon listens at addr; empty: a free address.
 func startDaemonAt(t *testing.T, cmd *exec.Cmd, text, addr string, log io.Writer) string {
 	t.Helper()
 	if addr == "" {
@@ -42,9 +42,9 @@
 	}
 	t.Cleanup(func() {
 		_ = cmd.Process.Kill() // it may have ended
-		_ = cmd.Wait()         // the status of a killed process
+		_ = cmd.Wait()         // a killed process has an error status
 	})
-	testutil.Until(t, "the daemon", func() bool {
+	testutil.Until(t, "the daemon listens", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -15,7 +15,8 @@
 	"hazelwing/internal/store"
 )
 
-// A directory is inspected, verified and compacted. The error names a directory that is corrupt, in use or missing.
+// The commands inspect, verify and compact a directory. Their errors name a directory that is damaged, in use or
+// missing.
 func TestStoreCommand(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "ledger")
 	fs, err := store.Dir(dir)
@@ -54,7 +55,7 @@
 		}
 	}
 	if _, err := execute("store", "compact", dir); err == nil || !strings.Contains(err.Error(), dir) {
-		t.Errorf("compacting one that is in use: %v", err)
+		t.Errorf("compacting a directory that is in use: error %v, want one that names it", err)
 	}
 	out, err := execute("store", "inspect", dir)
 	payment, booking := strings.Index(out, "payment-record"), strings.Index(out, "confirm-booking")
@@ -89,7 +90,7 @@
 	}
 	out, err = execute("store", "verify", dir)
 	if err == nil || !strings.Contains(err.Error(), dir) || !strings.Contains(out, segments[0].Name) {
-		t.Errorf("the disk has changed a record: %v\n%s", err, out)
+		t.Errorf("verifying a damaged record: error %v, want one that names the directory\n%s", err, out)
 	}
 	absent := filepath.Join(dir, "absent")
 	for _, sub := range []string{"inspect", "verify", "compact"} {
@@ -98,11 +99,11 @@
 		}
 	}
 	if _, err := os.Stat(absent); err == nil {
-		t.Error("a directory was made")
+		t.Error("a command created the missing directory")
 	}
 }
 
-// The example is valid as it stands, and with every setting in it enabled.
+// The example of an operator's file is valid, also with all of its settings enabled.
 func TestCheckCommand(t *testing.T) {
 	const example = "../../deploy/hazelwing.toml"
 	text, err := os.ReadFile(example)
@@ -112,7 +113,7 @@
 	if !hasGRPC { // a build with the tag "small" has no GraphQL
 		text, _, _ = bytes.Cut(text, []byte("# GraphQL over HTTP"))
 	}
-	var enabled []string // the lines of the example with all settings
+	var enabled []string // lines of the example with all settings enabled
 	for line := range strings.Lines(string(text)) {
 		rest, isComment := strings.CutPrefix(line, "# ")
 		if isComment && (strings.HasPrefix(rest, "[") || strings.Contains(rest, " = ")) {
@@ -153,6 +154,6 @@
 	}
 	t.Setenv("RELAY_CONFIG", t.TempDir()+"/absent.json")
 	if _, err := execute("run", "--operator", path); err == nil || !strings.Contains(err.Error(), "absent.json") {
-		t.Errorf("the platform's file comes first: %v", err)
+		t.Errorf("run without a platform's file: error %v, want one that names this file first", err)
 	}
 }
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -19,17 +19,17 @@
 
 // sentRequest is a request of TestTermWhileUpstreamsHang's clients.
 type sentRequest struct {
-	at       time.Duration // when it was written, after SIGTERM
-	duration time.Duration // until its end
-	retried  bool          // its connection was closed as it was written, and it was sent again on a new one
+	at       time.Duration // from SIGTERM until the request was written
+	duration time.Duration // from then until its end
+	retried  bool          // sent again on a new connection, because the first one was closed meanwhile
 	status   int           // 0: no response
 	err      error
 }
 
-// hangResponse is what TestTermWhileUpstreamsHang uses of a response.
+// hangResponse has the properties of a response that TestTermWhileUpstreamsHang checks.
 type hangResponse struct {
 	status int
-	close  bool // the daemon closes the connection
+	close  bool // the response announces that the daemon closes the connection
 }
 
 // readHangResponse reads a whole response.
@@ -39,14 +39,14 @@
 		return hangResponse{}, err
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // the status is what counts
+	_, _ = io.Copy(io.Discard, response.Body) // only the header matters
 	return hangResponse{status: response.StatusCode, close: response.Close}, nil
 }
 
-// At SIGTERM all upstreams hang. Clients go on sending on every connection until it is closed, and on new ones for
-// 0.4 s, until the earliest SIGKILL: the longest deadline and 0.7 s after SIGTERM. What SIGKILL finds open is reset:
-// each request must have a response by then, whenever it was sent; one that crosses the close of its connection is sent
-// on a new one.
+// Each request gets a response before the platform's earliest SIGKILL, even if all upstreams hang from SIGTERM on.
+// SIGKILL would reset the open connections. It comes at the earliest 0.7 s and the longest deadline after SIGTERM.
+// Clients keep sending on each connection until it is closed, and on new connections for 0.4 s. They repeat a request
+// on a new connection if the daemon closed the connection while the request was on its way.
 func TestTermWhileUpstreamsHang(t *testing.T) {
 	for _, longest := range []time.Duration{400 * time.Millisecond, 3 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
@@ -61,7 +61,7 @@
 					silent := hang
 					mu.Unlock()
 					if !silent {
-						_, _ = io.WriteString(c, testutil.OKResponse) // the client notices the failure
+						_, _ = io.WriteString(c, testutil.OKResponse) // a failure shows at the client
 					}
 				}
 			})
@@ -103,13 +103,14 @@
 			for i := range conns {
 				all.Go(func() {
 					c, fresh := conns[i], false
-					// Some send at once, others during the time in which new connections are opened, or at its end.
+					// The clients send at different times of the period in which they open new connections.
 					next := time.Duration(i%6) * newcomers / 5
 					for n := 0; ; n++ {
 						time.Sleep(time.Until(term.Add(next)))
 						request := sentRequest{at: time.Since(term)}
 						response, err := send(c, fmt.Sprint(i, "-", n))
-						if err != nil && !fresh && time.Since(term) < newcomers { // its close crossed the request
+						if err != nil && !fresh && time.Since(term) < newcomers {
+							// The daemon closed the connection meanwhile.
 							c.Close()
 							if c, err = net.Dial("tcp", addr); err == nil {
 								request.retried = true
@@ -141,7 +142,7 @@
 					}
 				})
 			}
-			// Clients that connect in time and send late, while the connection is open.
+			// Other clients connect now and send the rest of their request late, while the connection is open.
 			for _, at := range []time.Duration{600, 700, 1000, 1600} {
 				if at*time.Millisecond >= kill {
 					break
@@ -150,7 +151,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if _, err := io.WriteString(c, "GE"); err != nil { // the request has started
+				if _, err := io.WriteString(c, "GE"); err != nil { // the beginning of a request
 					t.Fatal(err)
 				}
 				all.Go(func() {
@@ -167,7 +168,7 @@
 						return
 					}
 					response, err := readHangResponse(c)
-					if err != nil && at > 1250 { // longer than a header may take: it was closed before
+					if err != nil && at > 1250 { // the daemon closes a connection whose header takes that long
 						return
 					}
 					request.duration = time.Since(term) - request.at
@@ -185,15 +186,16 @@
 					retried++
 				}
 				if request.status == 0 || request.at+request.duration > kill {
-					t.Errorf("a request %v after SIGTERM: status %d, %v, %v later; SIGKILL comes %v after",
+					t.Errorf("request sent %v after SIGTERM: status %d, error %v, ended %v later; "+
+						"want a response before %v",
 						request.at.Round(time.Millisecond), request.status, request.err,
 						request.duration.Round(time.Millisecond), kill)
 				}
 			}
 			if len(requests) < clients/3 {
-				t.Errorf("%d requests only", len(requests))
+				t.Errorf("%d requests were sent, want at least %d", len(requests), clients/3)
 			}
-			t.Logf("%d requests, %d of them were sent again on a new connection", len(requests), retried)
+			t.Logf("%d requests, %d of which were sent again on a new connection", len(requests), retried)
 			if err := cmd.Wait(); err != nil {
 				t.Errorf("the daemon ended with %v", err)
 			}
