--- a/cmd/hazelwing/build_test.go
+++ b/cmd/hazelwing/build_test.go
@@ -102,7 +102,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	if out, err := deploymentBuild(t, dir); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("the build failed: %v\n%s", err, out)
 	}
 	f, err := elf.Open(filepath.Join(dir, "hazelwing"))
 	if err != nil {
--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -127,7 +127,7 @@
 	}
 	defer r.Close()
 	if err := r.Play(t.Context(), "start all\nsettle 1s 60s"); err != nil {
-		t.Errorf("%v\n%s", err, r.Timeline())
+		t.Errorf("starting the real sidecars: %v\n%s", err, r.Timeline())
 		return cost
 	}
 	waitQuiet()
@@ -154,7 +154,7 @@
 	time.Sleep(*calibrateFor)
 	cost = costBetween(before, read(), time.Since(startedAt), members)
 	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // an error means that the cluster was not quiet
-		t.Errorf("%v\n%s", err, r.Timeline())
+		t.Errorf("the real sidecars did not agree at the end: %v\n%s", err, r.Timeline())
 	}
 	return cost
 }
--- a/cmd/hazelwing/codenames_test.go
+++ b/cmd/hazelwing/codenames_test.go
@@ -169,7 +169,7 @@
 // packageConstants are the constants of a package, or of one file of it.
 type packageConstants struct {
 	exprs  map[string]ast.Expr         // by name
-	others map[string]packageConstants // of other packages, by their names; may be nil
+	others map[string]packageConstants // constants of all packages by package name; may be nil
 }
 
 // add adds the constants that a file declares with an expression.
--- a/cmd/hazelwing/command_test.go
+++ b/cmd/hazelwing/command_test.go
@@ -48,21 +48,21 @@
 		t.Fatal(err)
 	}
 	if out, err := execute("traffic", "--check", path); err != nil || !strings.Contains(out, "of 4 classes") {
-		t.Errorf("%s, %v", out, err)
+		t.Errorf("traffic --check: error %v, want a summary with 4 classes:\n%s", err, out)
 	}
 	before, _ := os.ReadFile(path)
 	if _, err := execute("traffic", path, "--length", "2s"); err == nil {
 		t.Error("no error when the file exists")
 	}
 	if after, _ := os.ReadFile(path); !bytes.Equal(before, after) {
-		t.Error("the file has changed")
+		t.Error("the failed command changed the file")
 	}
 	if err := os.WriteFile(path, append(before, "half"...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, err := execute("traffic", "--check", path)
 	if err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), "line ") {
-		t.Errorf("%v", err)
+		t.Errorf("traffic --check of an invalid file: error %v, want one that names the file and the line", err)
 	}
 	for _, args := range [][]string{
 		{"demo", "--rate", "0"},
--- a/cmd/hazelwing/commandspage_test.go
+++ b/cmd/hazelwing/commandspage_test.go
@@ -81,7 +81,7 @@
 	return count, problems
 }
 
-// checkSelection returns an error if a pattern selects no test function of a package. The kind is the flag's name.
+// checkSelection returns an error if the pattern of the flag run, bench or fuzz selects no function of a package.
 func checkSelection(packagePattern, kind, pattern string) error {
 	topLevel, _, _ := strings.Cut(pattern, "/")
 	selected, err := regexp.Compile(topLevel)
--- a/cmd/hazelwing/config_push.go
+++ b/cmd/hazelwing/config_push.go
@@ -148,7 +148,8 @@
 	switch result.Outcome {
 	case origin.OutcomeAccepted:
 	case origin.OutcomeConflict:
-		return fmt.Errorf("config: another change came first: the latest revision is %v, this change is based on %d",
+		return fmt.Errorf("config: another change came first: the latest revision is %v, "+
+			"this change is based on version %d",
 			result.Revision, result.After)
 	case origin.OutcomeRejected:
 		return fmt.Errorf("config: the origin rejected the snapshot: %s",
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -55,7 +55,7 @@
 func (r *configCluster) fail(err error) {
 	r.t.Helper()
 	lines := strings.Split(r.Timeline(), "\n")
-	r.t.Fatalf("%v\n%s", err, strings.Join(lines[max(0, len(lines)-maxTimelineLines):], "\n"))
+	r.t.Fatalf("%v; last lines of the logs:\n%s", err, strings.Join(lines[max(0, len(lines)-maxTimelineLines):], "\n"))
 }
 
 // numberRange returns the numbers from one number to another, both included.
@@ -166,7 +166,7 @@
 
 // state returns the state of a member; it is zero if the member does not respond.
 func (r *configCluster) state(n int) (state transport.MemberState) {
-	_ = r.ReadAdmin(n, "config", &state) // callers check or poll the state
+	_ = r.ReadAdmin(n, "config", &state) // an error leaves the state zero, which callers check
 	return state
 }
 
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -42,20 +42,20 @@
 	if err != nil ||
 		!strings.Contains(out, "accepted: 1.1, id push-1, after version 0") ||
 		!strings.Contains(out, "in force at 3 sidecars") {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("repeated push: error %v, want revision 1.1 in force at 3 sidecars:\n%s", err, out)
 	}
 	out, err = run("push", good, "--after", "0", "--id", "push-1", "--wait", "0")
 	if err != nil || !strings.Contains(out, "accepted: 1.1") {
-		t.Errorf("push repeated with its ID: %v\n%s", err, out)
+		t.Errorf("push repeated with its ID: error %v, want revision 1.1 again:\n%s", err, out)
 	}
 	out, err = run("push", good, "--after", "0", "--id", "two")
 	if status(err) != statusFailure ||
 		!strings.Contains(err.Error(), "another change came first: the latest revision is 1.1") {
-		t.Errorf("push based on an older version: %v\n%s", err, out)
+		t.Errorf("push based on an older version: error %v, want a conflict with 1.1:\n%s", err, out)
 	}
 	r.testInvalidPushes(text, originFlags)
 	if out, err := run("show"); err != nil || out != "# 1.1\n"+string(text) {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("show: error %v, want the text of revision 1.1:\n%s", err, out)
 	}
 	var s origin.Status
 	testutil.Until(t, "the origin counts all members", func() bool {
@@ -64,15 +64,15 @@
 	})
 	if s.Role != origin.RoleLeader || s.Revision.Version != 1 ||
 		len(s.Report.Active) != 1 || s.Report.Active[0].Count != 3 {
-		t.Errorf("%+v", s)
+		t.Errorf("status %+v, want a leader with version 1, active at 3 members", s)
 	}
 	_, err = execute("config", "status", "--origin", "", "--fleet", "")
 	if err == nil || !strings.Contains(err.Error(), "set --origin or HAZELWING_ORIGIN") {
-		t.Errorf("without an address: %v", err)
+		t.Errorf("without an address: error %v, want one that names --origin", err)
 	}
 	_, err = execute("config", "status", "--origin", r.OriginAddr(1), "--fleet", "")
 	if err == nil || !strings.Contains(err.Error(), "set --fleet or HAZELWING_FLEET") {
-		t.Errorf("without a fleet: %v", err)
+		t.Errorf("without a fleet: error %v, want one that names --fleet", err)
 	}
 	_, err = execute("config", "status", "--fleet", "rig", "--origin", "127.0.0.1:9")
 	if status(err) != statusFailure {
@@ -85,7 +85,7 @@
 	out, err = run("push", file, "--wait", "1s")
 	const want = "accepted as 1.2, but not in force everywhere within 1s: 1 sidecars lack it"
 	if status(err) != statusLaggards || !strings.Contains(err.Error(), want) || !strings.Contains(out, "m03") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("push with a frozen member: error %v, want %q, and m03 in the output:\n%s", err, want, out)
 	}
 	r.play("thaw 3")
 
@@ -117,7 +117,7 @@
 		if status(err) != statusFailure ||
 			!strings.Contains(err.Error(), bad+":2:1: limits.max_attempts: 99") ||
 			!strings.Contains(err.Error(), bad+":4:1: class.look.worth") {
-			r.t.Errorf("%q: %v", args, err)
+			r.t.Errorf("%q: error %v, want one with both invalid lines", args, err)
 		}
 	}
 	// The origin validates the snapshot if the command does not.
@@ -125,7 +125,7 @@
 	result, err := client.Push(r.t.Context(), "three", 1, []byte("[limits]\nmax_attempts = 99\n"))
 	if err != nil || result.Outcome != origin.OutcomeRejected ||
 		!strings.Contains(result.Error, "2:1: limits.max_attempts") {
-		r.t.Errorf("%+v, %v", result, err)
+		r.t.Errorf("push of an invalid snapshot to the origin: %+v, error %v, want it rejected at 2:1", result, err)
 	}
 	foreignClient := transport.NewClient("other", r.OriginAddr(1))
 	_, err = foreignClient.Push(r.t.Context(), "four", 1, validText)
@@ -180,11 +180,11 @@
 	request.Header.Set("X-Config-For", "slow")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil || response.StatusCode != http.StatusOK {
-		r.t.Fatalf("%v, %v", err, response)
+		r.t.Fatalf("watch request: error %v, response %v, want status 200", err, response)
 	}
 	response.Body.Close()
 	if s := r.state(1); s.Server.OtherCluster == 0 || s.Active.Version != 1 {
-		r.t.Errorf("%+v", s)
+		r.t.Errorf("state %+v, want version 1 active and a count of requests for another cluster", s)
 	}
 }
 
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -68,7 +68,7 @@
 			lines = slices.Concat(lines[:first], []string{"..."}, lines[len(lines)-maxTimelineLines+first:])
 			timeline = strings.Join(lines, "\n")
 		}
-		t.Fatalf("%v\n%s", err, timeline)
+		t.Fatalf("the script failed: %v\n%s", err, timeline)
 	}
 	for _, w := range r.Waits {
 		t.Logf("%-40s %v", w.Step, w.Duration)
@@ -120,20 +120,20 @@
 	if err != nil ||
 		!strings.Contains(out, "m01 (itself)") ||
 		!strings.Contains(out, "3 live of 3 known, reckons with 3") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("fleet: error %v, want 3 live members and m01 as itself:\n%s", err, out)
 	}
 	out, err = execute("fleet", "--json", "--admin", r.AdminAddr(2))
 	var status gossip.Status
 	decodeErr := json.Unmarshal([]byte(out), &status)
 	if err != nil || decodeErr != nil || status.Name != "m02" ||
 		len(status.Members) != 3 || status.Members[0].State != cluster.Alive {
-		t.Errorf("%v, %v\n%s", err, decodeErr, out)
+		t.Errorf("fleet --json: errors %v and %v, want m02 with 3 members that are alive:\n%s", err, decodeErr, out)
 	}
 	if err := r.Play(t.Context(), "kill 3\nwait state 3 dead 30s 1-2"); err != nil {
 		t.Fatal(err)
 	}
 	if _, err = execute("fleet", "--admin", r.AdminAddr(1)); err == nil || exitStatus(err) != statusUnsettled {
-		t.Errorf("with a dead member: %v", err)
+		t.Errorf("with a dead member: error %v, want exit status 2", err)
 	}
 	if _, err := execute("fleet", "--admin", r.AdminAddr(3)); err == nil {
 		t.Error("no error for a sidecar that does not run")
@@ -148,7 +148,7 @@
 	var limits []limit
 	err = r.ReadAdmin(1, "bounds", &limits)
 	if err != nil || !slices.Contains(limits, limit{Name: "members of the fleet"}) {
-		t.Errorf("%v, %+v", err, limits)
+		t.Errorf("limits of the admin endpoint: error %v, want the members of the fleet in %+v", err, limits)
 	}
 }
 
@@ -167,7 +167,7 @@
 	play := func(script string, names ...string) {
 		r.Waits = nil
 		if err := r.Play(t.Context(), script); err != nil {
-			t.Fatalf("%v\n%s", err, r.Timeline())
+			t.Fatalf("the script failed: %v\n%s", err, r.Timeline())
 		}
 		for i, w := range r.Waits {
 			if i < len(names) && names[i] != "" {
--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -27,7 +27,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, err := os.ReadFile("testdata/format/" + answers[r.Method+" "+r.URL.Path])
 		if err != nil {
-			t.Errorf("%s %s: %v", r.Method, r.URL, err)
+			t.Errorf("%s %s: no response file: %v", r.Method, r.URL, err)
 		}
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(text) // the command reports a response that it cannot read
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -71,7 +71,7 @@
 type killClient struct {
 	client     *http.Client
 	transport  *http.Transport
-	generation int64 // of the daemon to which the open connections lead
+	generation int64 // generation of the daemon to which the client is connected
 }
 
 // newDaemonProcess returns a daemon that is not started yet. operator is the text of the operator's file, empty for
--- a/cmd/hazelwing/lab_callgraph_test.go
+++ b/cmd/hazelwing/lab_callgraph_test.go
@@ -33,14 +33,14 @@
 	write := func(name, text string) string { return testutil.WriteFile(t, dir, name, text) }
 	out, err := execute("lab", "callgraph", write("good.toml", text))
 	if err != nil || !strings.Contains(out, "Does it run?") || !strings.Contains(out, "fail") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("valid experiment: error %v, want its question and mode in the output:\n%s", err, out)
 	}
 	bad := write("bad.toml", text+"[[claim]]\nmeasure = \"times\"\nmode = \"fail\"\nmost = 1.0\n")
 	if _, err := execute("lab", "callgraph", bad); !errors.Is(err, errClaim) || !strings.Contains(err.Error(), bad) {
-		t.Errorf("%v", err)
+		t.Errorf("claim that does not hold: error %v, want errClaim with the file", err)
 	}
 	odd := write("odd.toml", text+"depht = 1\n")
 	if _, err := execute("lab", "callgraph", odd); err == nil || !strings.Contains(err.Error(), odd+":16:1") {
-		t.Errorf("%v", err)
+		t.Errorf("unknown key: error %v, want its file, line and column", err)
 	}
 }
--- a/cmd/hazelwing/lab_slopes_test.go
+++ b/cmd/hazelwing/lab_slopes_test.go
@@ -56,7 +56,7 @@
 	if !errors.Is(err, errForecast) ||
 		!strings.Contains(fmt.Sprint(err), "e quiet sidecar storm") ||
 		strings.Contains(fmt.Sprint(err), "bytes sent") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want errForecast for the series storm only", err)
 	}
 	for _, want := range []string{"139", "360 n", "holds", "MISSES", "two at least"} {
 		if !strings.Contains(out, want) {
@@ -65,10 +65,10 @@
 	}
 	out, err = execute("lab", "slopes", path, "--figure", "view,bytes sent")
 	if err != nil || strings.Contains(out, "storm") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("with --figure: error %v, want none, and no storm in the output:\n%s", err, out)
 	}
 	if out, err := execute("lab", "slopes", path, "--figure", "storm", "--within", "1000"); err != nil {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("with a large tolerance: error %v, want none\n%s", err, out)
 	}
 	for _, text := range []string{"", "{}", `[{"experiment":"e"}]`} {
 		bad := filepath.Join(t.TempDir(), "bad.json")
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		if _, err := execute("lab", "slopes", bad); err == nil || !strings.Contains(err.Error(), bad) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("file with the text %q: error %v, want one that names the file", text, err)
 		}
 	}
 }
--- a/cmd/hazelwing/lab_test.go
+++ b/cmd/hazelwing/lab_test.go
@@ -23,7 +23,7 @@
 	want := func(wanted string, args ...string) {
 		t.Helper()
 		if out, err := execute(args...); err != nil || !strings.Contains(out, wanted) {
-			t.Errorf("%q: %v\n%s", args, err, out)
+			t.Errorf("%q: error %v, want %q in the output:\n%s", args, err, wanted, out)
 		}
 	}
 	want("1 points, 5 seeds, 2 contestants, 1 claims", "lab", "check", good)
@@ -31,7 +31,7 @@
 	want("holds  service of p2c >= 0 (on each: 5 of 5", "lab", "run", "--out", runs, good)
 	files, err := filepath.Glob(filepath.Join(runs, "good-*.jsonl"))
 	if err != nil || len(files) != 1 {
-		t.Fatal(files, err)
+		t.Fatalf("files %q of the run, error %v, want one file", files, err)
 	}
 	want("random", "lab", "show", files[0])
 	want("noise", "lab", "compare", files[0], files[0])
@@ -43,7 +43,7 @@
 	bad := write("bad.toml", labText+"[[claim]]\nsays = \"service of p2c >= 2\"\n")
 	out, err := execute("lab", "run", "--out", runs, bad)
 	if !errors.Is(err, errClaim) || !strings.Contains(out, "FAILS") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("claim that does not hold: error %v, want errClaim, and FAILS in the output:\n%s", err, out)
 	}
 	found := filepath.Join(dir, "found", "day.toml")
 	want("loses", "lab", "hunt", good, "--contestant", "random", "--tries", "4", "--out", found)
@@ -60,7 +60,7 @@
 		{"hunt", good, "--tries", "0"},
 	} {
 		if _, err := execute(append([]string{"lab"}, args...)...); err == nil {
-			t.Errorf("%q: no error", args)
+			t.Errorf("%q: no error for invalid arguments", args)
 		}
 	}
 }
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -84,7 +84,7 @@
 }
 
 // Only the list of unfinished packages disables linter rules for some packages of the product. The exclusion rules
-// apply to tests, and to the use of the clock outside the packages of the deterministic cores.
+// may only name tests, and the packages to which the rule against reading the clock is confined.
 func TestNoRuleIsOffForAPackage(t *testing.T) {
 	config, err := os.ReadFile("../../.golangci.yml")
 	if err != nil {
--- a/cmd/hazelwing/load.go
+++ b/cmd/hazelwing/load.go
@@ -70,7 +70,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = closeTarget() }() // an error does not matter: its requests have ended
+		defer func() { _ = closeTarget() }() // an error has no effect, since all requests have ended
 		targets = append(targets, target)
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
--- a/cmd/hazelwing/load_test.go
+++ b/cmd/hazelwing/load_test.go
@@ -23,7 +23,7 @@
 	if err := json.Unmarshal([]byte(out), &reports); err != nil || len(reports) != 2 ||
 		reports[0].Outcomes["served"] == 0 ||
 		reports[0].Outcomes["served"] != reports[1].Outcomes["served"] {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("error %v, want two reports with the same number of served requests:\n%s", err, out)
 	}
 	for _, args := range [][]string{
 		{"load"},
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -375,14 +375,14 @@
 	r.setProgram(fmt.Sprint(upgraded), r.newer...)
 	r.play(fmt.Sprintf("start %d", upgraded))
 	if s := r.state(upgraded); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active != revision {
-		r.t.Errorf("upgraded member does not act on the stored %v: %+v", revision, s)
+		r.t.Errorf("upgraded member: state %+v, want the stored revision %v active from its cache", s, revision)
 	}
 
 	r.setProgram(fmt.Sprintf("o%d", olderOrigin), r.newer...)
 	r.play(fmt.Sprintf("start o%d", olderOrigin))
 	s, err := r.originStatus(olderOrigin)
 	if err != nil || s.Epoch != originEpoch || s.Revision != revision || s.Role == origin.RoleRolledBack {
-		r.t.Errorf("upgraded origin does not have the stored %v: %v, %+v", revision, err, s)
+		r.t.Errorf("upgraded origin: error %v, status %+v, want the stored revision %v", err, s, revision)
 	}
 
 	r.play("start 2-6\nstart o2-3\nsettle 500ms 30s")
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -59,7 +59,7 @@
 func (r *listCluster) play(script string) {
 	r.t.Helper()
 	if err := r.Play(r.t.Context(), script); err != nil {
-		r.t.Fatalf("%v\n%s", err, r.Timeline())
+		r.t.Fatalf("the script failed: %v\n%s", err, r.Timeline())
 	}
 }
 
@@ -119,7 +119,7 @@
 			after-before, members, wantCallers)
 	}
 	if list := r.Violations(); len(list) > 0 {
-		t.Error(list)
+		t.Errorf("rules violated: %q", list)
 	}
 	a := &r.Outcomes
 	t.Logf("requests: %d served, %d rejected, %d failed, %d broken connections; members %v call discovery",
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -122,8 +122,8 @@
 	return n
 }
 
-// addedLatency returns the columns with the latency that a route adds to that of direct requests on persistent
-// connections, at four quantiles.
+// addedLatency returns the difference between the latency of a route and that of direct requests on persistent
+// connections, as four columns for p50, p90, p99 and p99.9.
 func addedLatency(timings []timedRequest, by route) string {
 	quantile := quantiles(timings)
 	var columns []string
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -60,24 +60,24 @@
 	out, err := execute("store", "inspect", dir)
 	payment, booking := strings.Index(out, "payment-record"), strings.Index(out, "confirm-booking")
 	if err != nil || payment < 0 || booking < payment || !strings.Contains(out, "2 remembered") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("inspect: error %v, want two records, the older one first:\n%s", err, out)
 	}
 	out, err = execute("store", "inspect", dir, "--json")
 	var records []middleware.RecordInfo
 	decodeErr := json.Unmarshal([]byte(out), &records)
 	if err != nil || decodeErr != nil || len(records) != 2 ||
 		records[1].State != "open" || records[1].Locations != "upper-hill/0" {
-		t.Errorf("%v, %v\n%s", err, decodeErr, out)
+		t.Errorf("inspect --json: errors %v and %v, want two records, the second one open:\n%s", err, decodeErr, out)
 	}
 	s.Close()
 	if out, err := execute("store", "compact", dir); err != nil || !strings.Contains(out, "2 entries: 1 segments") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("compact: error %v, want 2 entries in one segment:\n%s", err, out)
 	}
 	var segments []store.SegmentReport
 	out, err = execute("store", "verify", "--json", dir)
 	decodeErr = json.Unmarshal([]byte(out), &segments)
 	if err != nil || decodeErr != nil || len(segments) != 1 || segments[0].Puts != 2 {
-		t.Fatalf("%v, %v\n%s", err, decodeErr, out)
+		t.Fatalf("verify --json: errors %v and %v, want one segment with 2 puts:\n%s", err, decodeErr, out)
 	}
 	path := filepath.Join(dir, segments[0].Name)
 	b, err := os.ReadFile(path)
@@ -95,7 +95,7 @@
 	absent := filepath.Join(dir, "absent")
 	for _, sub := range []string{"inspect", "verify", "compact"} {
 		if _, err := execute("store", sub, absent); err == nil || !strings.Contains(err.Error(), absent) {
-			t.Errorf("%s: %v", sub, err)
+			t.Errorf("%s of a missing directory: error %v, want one that names it", sub, err)
 		}
 	}
 	if _, err := os.Stat(absent); err == nil {
@@ -144,13 +144,13 @@
 		t.Fatal(err)
 	}
 	if out, err := execute("check", example, path); err != nil || strings.Count(out, ": good") != 2 {
-		t.Errorf("%v\n%s\n%s", err, out, strings.Join(enabled, ""))
+		t.Errorf("check: error %v, want two valid files:\n%s\n%s", err, out, strings.Join(enabled, ""))
 	}
 	if err := os.WriteFile(path, []byte("[ledger]\ndir = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := execute("check", path); err == nil || !strings.Contains(err.Error(), path+":2:") {
-		t.Errorf("%v", err)
+		t.Errorf("check of an invalid file: error %v, want one that names the file and line 2", err)
 	}
 	t.Setenv("RELAY_CONFIG", t.TempDir()+"/absent.json")
 	if _, err := execute("run", "--operator", path); err == nil || !strings.Contains(err.Error(), "absent.json") {
