--- a/cmd/hazelwing/config_push.go
+++ b/cmd/hazelwing/config_push.go
@@ -28,7 +28,7 @@
 	id    string // ID that makes repeating the push idempotent; empty: a random one
 }
 
-// pushResult is the JSON output of the command push.
+// pushResult is the JSON output of "config push".
 type pushResult struct {
 	origin.Result
 	After uint64 `json:"after"`
--- a/cmd/hazelwing/config_show.go
+++ b/cmd/hazelwing/config_show.go
@@ -10,7 +10,7 @@
 	"hazelwing/internal/controlplane/transport"
 )
 
-// shownSnapshot is the JSON output of the command show.
+// shownSnapshot is the JSON output of "config show".
 type shownSnapshot struct {
 	Revision controlplane.Revision `json:"stamp"`
 	Text     string                `json:"text"`
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -49,7 +49,7 @@
 		t.Errorf("push repeated with its ID: error %v, want revision 1.1 again:\n%s", err, out)
 	}
 	out, err = run("push", good, "--after", "0", "--id", "two")
-	if status(err) != statusFailure ||
+	if statusOf(err) != statusFailure ||
 		!strings.Contains(err.Error(), "another change came first: the latest revision is 1.1") {
 		t.Errorf("push based on an older version: error %v, want a conflict with 1.1:\n%s", err, out)
 	}
@@ -75,7 +75,7 @@
 		t.Errorf("without a fleet: error %v, want one that names --fleet", err)
 	}
 	_, err = execute("config", "status", "--fleet", "rig", "--origin", "127.0.0.1:9")
-	if status(err) != statusFailure {
+	if statusOf(err) != statusFailure {
 		t.Errorf("unreachable origin: error %v, want exit status 1", err)
 	}
 
@@ -84,7 +84,7 @@
 	r.play("freeze 3")
 	out, err = run("push", file, "--wait", "1s")
 	const want = "accepted as 1.2, but not in force everywhere within 1s: 1 sidecars lack it"
-	if status(err) != statusLaggards || !strings.Contains(err.Error(), want) || !strings.Contains(out, "m03") {
+	if statusOf(err) != statusLaggards || !strings.Contains(err.Error(), want) || !strings.Contains(out, "m03") {
 		t.Errorf("push with a frozen member: error %v, want %q, and m03 in the output:\n%s", err, want, out)
 	}
 	r.play("thaw 3")
@@ -114,7 +114,7 @@
 	}
 	for _, args := range [][]string{{"config", "check", bad}, append([]string{"config", "push", bad}, originFlags...)} {
 		_, err := execute(args...)
-		if status(err) != statusFailure ||
+		if statusOf(err) != statusFailure ||
 			!strings.Contains(err.Error(), bad+":2:1: limits.max_attempts: 99") ||
 			!strings.Contains(err.Error(), bad+":4:1: class.look.worth") {
 			r.t.Errorf("%q: error %v, want one with both invalid lines", args, err)
@@ -134,8 +134,8 @@
 	}
 }
 
-// status returns the exit status for an error, which is 0 for nil.
-func status(err error) int {
+// statusOf returns the exit status for an error, which is 0 for nil.
+func statusOf(err error) int {
 	if err == nil {
 		return 0
 	}
--- a/cmd/hazelwing/demo.go
+++ b/cmd/hazelwing/demo.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxDemoRate   = 5000 // requests a second
+	maxDemoRate   = 5000 // requests per second
 	maxDemoLength = 10 * time.Minute
 	maxDemoNodes  = 200
 )
--- a/cmd/hazelwing/demo_graphql.go
+++ b/cmd/hazelwing/demo_graphql.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxGraphQLDemoRate   = 2000 // requests a second
+	maxGraphQLDemoRate   = 2000 // requests per second
 	maxGraphQLDemoLength = 10 * time.Minute
 )
 
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -154,7 +154,7 @@
 			terminatedAt := time.Now()
 			signal(first, syscall.SIGTERM)
 			if err := first.Wait(); err != nil {
-				t.Errorf("the first daemon ended with %v", err)
+				t.Errorf("the first daemon ended with the error %v, want exit status 0", err)
 			}
 			shutdownTime := time.Since(terminatedAt)
 			second, _ := start(addr)
--- a/cmd/hazelwing/exiterror.go
+++ b/cmd/hazelwing/exiterror.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// statusFailure is the exit status of an error that has no status of its own.
+// statusFailure is the exit status for an error that wraps no exitError.
 const statusFailure = 1
 
-// exitError is an error with an exit status of its own.
+// exitError is an error that determines the exit status of the program.
 type exitError struct {
 	err    error
 	status int
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -23,7 +23,7 @@
 )
 
 var (
-	kills          = flag.Int("kills", 6, "number of times that TestKilled kills the daemon, for each durability")
+	killCount      = flag.Int("kills", 6, "number of times that TestKilled kills the daemon, for each durability")
 	killDurability = flag.String("kill.durable", "",
 		"run TestKilled with this durability only; \"off\" shows the results without a disk")
 	killSeed = flag.Uint64("kill.seed", 1, "seed of TestKilled")
@@ -50,7 +50,7 @@
 	os.Exit(m.Run())
 }
 
-var killClasses = []emulator.TrafficClass{
+var trafficClasses = []emulator.TrafficClass{
 	{Name: "look", Effect: "safe", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
 	{Name: "book", Effect: "unsafe", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
 	{Name: "pay", Effect: "keyed", ObjectiveMS: 1000, DeadlineMS: 4000, Weight: 1, LateWeight: 0.5},
@@ -78,7 +78,7 @@
 // none; DIR in it stands for an empty directory.
 func newDaemonProcess(t *testing.T, operator string) *daemonProcess {
 	t.Helper()
-	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}
+	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: trafficClasses}}
 	var nodes []emulator.NodeConfig
 	for i := range 6 {
 		nodes = append(nodes, emulator.NodeConfig{
@@ -255,7 +255,7 @@
 		transport: transport,
 	}
 	for i := 0; ; i++ {
-		class := killClasses[rng.IntN(len(killClasses))]
+		class := trafficClasses[rng.IntN(len(trafficClasses))]
 		key := fmt.Sprintf("k%d-%d", n, i)
 		afterKill := false
 		for attempt := range attempts {
@@ -293,7 +293,7 @@
 		all.Go(func() { r.runKillClient(n, stop, &counts) })
 	}
 	rng := rand.New(rand.NewPCG(*killSeed, 1000))
-	for range *kills {
+	for range *killCount {
 		time.Sleep(time.Duration(20+rng.IntN(200)) * time.Millisecond)
 		r.kill()
 		r.start()
@@ -306,7 +306,7 @@
 	total, _ := r.fleet.Rules.Executions("")
 	ends, later := &counts.all, &counts.afterKill
 	t.Logf("%s: %d kills, %d executions; attempts: %d served, %d rejected, %d failed, %d broken; "+
-		"after a kill: %d served, %d rejected, %d failed", durable, *kills, total,
+		"after a kill: %d served, %d rejected, %d failed", durable, *killCount, total,
 		ends[served].Load(), ends[rejected].Load(), ends[failed].Load(), ends[broken].Load(),
 		later[served].Load(), later[rejected].Load(), later[failed].Load())
 	if ends[served].Load() == 0 || later[failed].Load() == 0 {
@@ -315,19 +315,19 @@
 	}
 }
 
-var cost = flag.Duration("cost", 0, "duration of each run of TestCost; 0: the test is skipped")
+var costRunLength = flag.Duration("cost", 0, "duration of each run of TestCost; 0: the test is skipped")
 
 // TestCost measures the latency that idempotency records add to a request, for each durability in turn:
 //
 //	go test ./cmd/hazelwing -run Cost -v -cost 10s -timeout 30m
 func TestCost(t *testing.T) {
-	if *cost == 0 {
+	if *costRunLength == 0 {
 		t.Skip("-cost is not set")
 	}
 	traffic := func(class string, rate float64) *emulator.Traffic {
-		out := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}
+		out := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: trafficClasses}}
 		rng := rand.New(rand.NewPCG(1, 1))
-		for at := 0.0; at < cost.Seconds(); at += rng.ExpFloat64() / rate {
+		for at := 0.0; at < costRunLength.Seconds(); at += rng.ExpFloat64() / rate {
 			request := emulator.Request{AtMS: at * 1000, Class: class, WorkUS: 2000, ExpectedWorkUS: 2000}
 			out.Requests = append(out.Requests, request)
 		}
--- a/cmd/hazelwing/load_plan.go
+++ b/cmd/hazelwing/load_plan.go
@@ -13,7 +13,7 @@
 // loadPlanOptions determine which requests are sent, and when.
 type loadPlanOptions struct {
 	seed        uint64
-	rate        float64 // requests a second
+	rate        float64 // requests per second
 	ramp        string  // replaces rate unless empty; parseRamp describes its form
 	length      time.Duration
 	trafficFile string // replaces all other options unless empty
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -392,7 +392,7 @@
 	r.checkNothingRejected()
 }
 
-// waitStored waits until the last known snapshot that a member has stored is the one of a revision.
+// waitStored waits until the snapshot that a member has cached on disk is that of the given revision.
 func (r *mixedCluster) waitStored(n int, revision controlplane.Revision) {
 	r.t.Helper()
 	r.waitUntil(fmt.Sprintf("member %d stores %v", n, revision), func() error {
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -225,7 +225,7 @@
 	t *testing.T, addr string, discovery *emulator.Discovery, hosts []emulator.Endpoint, balancers int, hedging bool,
 ) []byte {
 	t.Helper()
-	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: killClasses}}
+	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: trafficClasses}}
 	text, err := emulator.PlatformConfig(traffic, addr, discovery.Addr(), "7")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hazelwing/store.go
+++ b/cmd/hazelwing/store.go
@@ -107,7 +107,7 @@
 	return table.Flush()
 }
 
-// compactionResult is the JSON output of the command compact.
+// compactionResult is the JSON output of "store compact".
 type compactionResult struct {
 	After  store.Stats `json:"after"`
 	Before store.Stats `json:"before"`
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -51,8 +51,8 @@
 	for _, longest := range []time.Duration{400 * time.Millisecond, 3 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel() // it waits in real time
-			const newcomers, clients = 400 * time.Millisecond, 24
-			kill := longest + 700*time.Millisecond
+			const newConnPeriod, clients = 400 * time.Millisecond, 24
+			sigkillAfter := longest + 700*time.Millisecond
 			var mu sync.Mutex
 			hang := false
 			upstream := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -99,17 +99,17 @@
 			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
-			term := time.Now()
+			sigtermAt := time.Now()
 			for i := range conns {
 				all.Go(func() {
 					c, fresh := conns[i], false
 					// The clients send at different times of the period in which they open new connections.
-					next := time.Duration(i%6) * newcomers / 5
+					next := time.Duration(i%6) * newConnPeriod / 5
 					for n := 0; ; n++ {
-						time.Sleep(time.Until(term.Add(next)))
-						request := sentRequest{at: time.Since(term)}
+						time.Sleep(time.Until(sigtermAt.Add(next)))
+						request := sentRequest{at: time.Since(sigtermAt)}
 						response, err := send(c, fmt.Sprint(i, "-", n))
-						if err != nil && !fresh && time.Since(term) < newcomers {
+						if err != nil && !fresh && time.Since(sigtermAt) < newConnPeriod {
 							// The daemon closed the connection meanwhile.
 							c.Close()
 							if c, err = net.Dial("tcp", addr); err == nil {
@@ -118,7 +118,7 @@
 							}
 						}
 						crossed := err != nil && !fresh // the daemon did not accept the request
-						request.duration = time.Since(term) - request.at
+						request.duration = time.Since(sigtermAt) - request.at
 						request.status = response.status
 						request.err = err
 						if !crossed {
@@ -126,8 +126,8 @@
 							requests = append(requests, request)
 							mu.Unlock()
 						}
-						next = time.Since(term)
-						if crossed || err != nil || response.close && next > newcomers {
+						next = time.Since(sigtermAt)
+						if crossed || err != nil || response.close && next > newConnPeriod {
 							if c != nil {
 								c.Close()
 							}
@@ -144,7 +144,7 @@
 			}
 			// Other clients connect now and send the rest of their request late, while the connection is open.
 			for _, at := range []time.Duration{600, 700, 1000, 1600} {
-				if at*time.Millisecond >= kill {
+				if at*time.Millisecond >= sigkillAfter {
 					break
 				}
 				c, err := net.Dial("tcp", addr)
@@ -156,8 +156,8 @@
 				}
 				all.Go(func() {
 					defer c.Close()
-					time.Sleep(time.Until(term.Add(at * time.Millisecond)))
-					request := sentRequest{at: time.Since(term)}
+					time.Sleep(time.Until(sigtermAt.Add(at * time.Millisecond)))
+					request := sentRequest{at: time.Since(sigtermAt)}
 					if err := c.SetDeadline(time.Now().Add(testutil.WaitTimeout)); err != nil {
 						t.Error(err)
 					}
@@ -171,7 +171,7 @@
 					if err != nil && at > 1250 { // the daemon closes a connection whose header takes that long
 						return
 					}
-					request.duration = time.Since(term) - request.at
+					request.duration = time.Since(sigtermAt) - request.at
 					request.status = response.status
 					request.err = err
 					mu.Lock()
@@ -185,11 +185,11 @@
 				if request.retried {
 					retried++
 				}
-				if request.status == 0 || request.at+request.duration > kill {
+				if request.status == 0 || request.at+request.duration > sigkillAfter {
 					t.Errorf("request sent %v after SIGTERM: status %d, error %v, ended %v later; "+
 						"want a response before %v",
 						request.at.Round(time.Millisecond), request.status, request.err,
-						request.duration.Round(time.Millisecond), kill)
+						request.duration.Round(time.Millisecond), sigkillAfter)
 				}
 			}
 			if len(requests) < clients/3 {
@@ -197,7 +197,7 @@
 			}
 			t.Logf("%d requests, %d of which were sent again on a new connection", len(requests), retried)
 			if err := cmd.Wait(); err != nil {
-				t.Errorf("the daemon ended with %v", err)
+				t.Errorf("the daemon ended with the error %v, want exit status 0", err)
 			}
 		})
 	}
--- a/cmd/hazelwing/traffic.go
+++ b/cmd/hazelwing/traffic.go
@@ -18,7 +18,7 @@
 
 type trafficOptions struct {
 	seed   uint64
-	rate   float64 // requests a second
+	rate   float64 // requests per second
 	length time.Duration
 }
 
