--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -209,8 +209,9 @@
 	return cost
 }
 
-// waitQuiet waits until a cluster has disseminated all updates. In the long form it also waits for the settle time of
-// internal/discovery/bootstrap, after which members that called discovery for lack of a peer follow a peer again.
+// waitQuiet waits until a cluster has disseminated all updates. In the long form it also waits until members
+// that called discovery for lack of a peer follow a peer again, which takes the settle time of
+// internal/discovery/bootstrap.
 func waitQuiet() {
 	if isLongCalibration() {
 		time.Sleep(40 * time.Second)
--- a/cmd/hazelwing/commandspage_test.go
+++ b/cmd/hazelwing/commandspage_test.go
@@ -53,7 +53,7 @@
 		"    go test ./internal/backoff -run Scheduler -bench None\n\n": false,
 	} {
 		if _, problems := checkTestCommands(page); (len(problems) == 0) != isGood {
-			t.Errorf("%q: problems %q, want none: %v", page, problems, isGood)
+			t.Errorf("%q: problems %q, want problems unless the command is valid (%v)", page, problems, isGood)
 		}
 	}
 }
--- a/cmd/hazelwing/crossingspage_test.go
+++ b/cmd/hazelwing/crossingspage_test.go
@@ -104,7 +104,7 @@
 		"| a | b | `NewlyReached` of an update | `TestX` |\n":  true,
 	} {
 		if problems := code.checkGuards(table + row); (len(problems) == 0) != isGood {
-			t.Errorf("%q: problems %q, want none: %v", row, problems, isGood)
+			t.Errorf("%q: problems %q, want problems unless the row is valid (%v)", row, problems, isGood)
 		}
 	}
 }
--- a/cmd/hazelwing/links_test.go
+++ b/cmd/hazelwing/links_test.go
@@ -68,7 +68,8 @@
 		page := "## A heading, with `code` and a comma\n\n[here](" + c.link + ")\n"
 		links, problems := checkLinks(moduleRoot+"/docs/PAGE.md", page)
 		if links != 1 || (len(problems) == 0) != c.works {
-			t.Errorf("%s: %d links, problems %q, want one link, valid: %v", c.link, links, problems, c.works)
+			t.Errorf("%s: %d links, problems %q, want one link and problems unless it is valid (%v)",
+				c.link, links, problems, c.works)
 		}
 	}
 }
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -92,7 +92,7 @@
 	}
 	_, exclusions, found := strings.Cut(string(config), "\n  exclusions:\n")
 	if !found {
-		t.Fatal("there are no exclusions")
+		t.Fatal("the configuration has no section exclusions")
 	}
 	rules, _, _ := strings.Cut(exclusions, "\n    paths:\n")
 	for line := range strings.Lines(rules) {
