--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -15,24 +15,24 @@
 	"hazelwing/internal/testutil"
 )
 
-// testLongFaults plays the faults of the long form: 30 members and 5 origins, of which a third is in no area that is
-// cut off.
-func (r *configRig) testLongFaults() {
+// testLongFaults plays the faults of the long form, which has 30 members and 5 origins. A third of these is in no area
+// that is cut off.
+func (r *configCluster) testLongFaults() {
 	r.testCutAreas()
 	r.testReplacements()
 	r.testFlood()
 	r.testLargestSnapshot()
-	r.testTrafficOfChanges()
+	r.testChangeTraffic()
 	backup := r.testRolledBackOrigin()
 	r.testAllOriginsRolledBack(backup)
 }
 
-// except returns all members but some.
-func (r *configRig) except(excluded []int) []int {
+// except returns all members except the excluded ones.
+func (r *configCluster) except(excluded []int) []int {
 	return slices.DeleteFunc(r.all(), func(n int) bool { return slices.Contains(excluded, n) })
 }
 
-func (r *configRig) testCutAreas() {
+func (r *configCluster) testCutAreas() {
 	r.t.Helper()
 	for _, area := range []struct {
 		name    string
@@ -40,27 +40,28 @@
 		rest    string
 		members []int
 	}{
-		{name: "a rack", cut: "1-4", rest: "5-30,origins", members: numbered(1, 4)},
-		{name: "a zone with an origin", cut: "8-15,o1", rest: "1-7,16-30,o2-5", members: numbered(8, 15)},
+		{name: "a rack", cut: "1-4", rest: "5-30,origins", members: numberRange(1, 4)},
+		{name: "a zone with an origin", cut: "8-15,o1", rest: "1-7,16-30,o2-5", members: numberRange(8, 15)},
 	} {
 		r.play("cut " + area.cut + " " + area.rest)
-		s, at := r.pushUntilAccepted(3, r.file(""))
-		r.inForce(area.name+" is cut off: the others, at once", s, at, r.except(area.members), soon)
-		time.Sleep(8 * time.Second) // until the others have declared these dead
-		s, at = r.pushUntilAccepted(3, r.file(""))
-		r.inForce(area.name+" is cut off: the others, 8 s later", s, at, r.except(area.members), soon)
+		s, at := r.pushUntilAccepted(3, r.writeSnapshot(""))
+		r.waitApplied(area.name+" is cut off: the others, immediately", s, at, r.except(area.members), maxApplyTime)
+		time.Sleep(8 * time.Second) // until the others have declared the members of the area dead
+		s, at = r.pushUntilAccepted(3, r.writeSnapshot(""))
+		r.waitApplied(area.name+" is cut off: the others, 8 s later", s, at, r.except(area.members), maxApplyTime)
 		at = time.Now()
 		r.play("heal")
-		r.inForce(area.name+": those, after the healing", s, at, area.members, soon)
+		r.waitApplied(area.name+" is reconnected: its members", s, at, area.members, maxApplyTime)
 	}
 	r.play("settle 500ms 60s")
 }
 
-// testReplacements replaces members one after the other, as on a usual day, with a change during each.
-func (r *configRig) testReplacements() {
+// testReplacements restarts members one after the other, as in a rolling update, and pushes a change during each
+// restart.
+func (r *configCluster) testReplacements() {
 	r.t.Helper()
 	for n := 1; n <= r.members; n += 5 {
-		file, done := r.file(""), make(chan bool)
+		file, done := r.writeSnapshot(""), make(chan bool)
 		var s controlplane.Revision
 		var at time.Time
 		go func() {
@@ -69,12 +70,12 @@
 		}()
 		r.play(fmt.Sprintf("restart %d 50ms", n))
 		<-done
-		r.inForce(fmt.Sprintf("m%02d is replaced meanwhile: the others", n), s, at, r.except([]int{n}), soon)
+		r.waitApplied(fmt.Sprintf("m%02d restarts: the others", n), s, at, r.except([]int{n}), maxApplyTime)
 	}
 }
 
 // testFlood pushes from four clients as fast as possible, to different origins.
-func (r *configRig) testFlood() {
+func (r *configCluster) testFlood() {
 	r.t.Helper()
 	const duration = 10 * time.Second
 	var all sync.WaitGroup
@@ -97,40 +98,40 @@
 		})
 	}
 	all.Wait()
-	r.t.Logf("a flood of pushes for 10 s: %v accepted", accepted)
-	s, at := r.pushUntilAccepted(2, r.file(""))
-	r.inForce("after a flood", s, at, r.all(), soon)
+	r.t.Logf("pushes of four clients for %v: %v accepted", duration, accepted)
+	s, at := r.pushUntilAccepted(2, r.writeSnapshot(""))
+	r.waitApplied("change after many pushes", s, at, r.all(), maxApplyTime)
 }
 
-// testLargestSnapshot pushes a snapshot of the maximum size that compresses badly.
-func (r *configRig) testLargestSnapshot() {
+// testLargestSnapshot pushes a snapshot of nearly the maximum size whose text compresses badly.
+func (r *configCluster) testLargestSnapshot() {
 	r.t.Helper()
 	const size = controlplane.MaxSnapshotSize - 200
 	text := new(strings.Builder)
 	for i := 0; text.Len() < size; i++ {
 		fmt.Fprintf(text, "# %x\n", controlplane.HashText(fmt.Append(nil, i)))
 	}
-	s, at := r.pushUntilAccepted(2, r.file(text.String()[:size]))
-	r.inForce("a snapshot of 256 KiB", s, at, r.all(), soon)
-	r.pushUntilAccepted(2, r.file(""))
+	s, at := r.pushUntilAccepted(2, r.writeSnapshot(text.String()[:size]))
+	r.waitApplied("a snapshot of 256 KiB", s, at, r.all(), maxApplyTime)
+	r.pushUntilAccepted(2, r.writeSnapshot(""))
 }
 
-// testTrafficOfChanges logs the traffic without and with changes.
-func (r *configRig) testTrafficOfChanges() {
+// testChangeTraffic logs the traffic without and with configuration changes.
+func (r *configCluster) testChangeTraffic() {
 	r.t.Helper()
 	r.logTraffic("quiet", 30*time.Second, func() {})
-	r.logTraffic("a change each 5 s, ten times 1,700 a day", 30*time.Second, func() {
+	r.logTraffic("a change every 5 s, ten times 1,700 a day", 30*time.Second, func() {
 		for range 6 {
-			r.pushUntilAccepted(2, r.file(""))
+			r.pushUntilAccepted(2, r.writeSnapshot(""))
 			time.Sleep(5 * time.Second)
 		}
 	})
-	s, at := r.pushUntilAccepted(2, r.file(""))
-	r.inForce("after it", s, at, r.all(), soon)
+	s, at := r.pushUntilAccepted(2, r.writeSnapshot(""))
+	r.waitApplied("change after these", s, at, r.all(), maxApplyTime)
 }
 
-// backUp copies the store of an origin that does not run, and returns the copy's directory.
-func (r *configRig) backUp(k int) string {
+// backUp copies the store of an origin that is not running, and returns the directory of the copy.
+func (r *configCluster) backUp(k int) string {
 	r.t.Helper()
 	dir := r.t.TempDir() + "/yesterday"
 	if err := os.CopyFS(dir, os.DirFS(r.OriginDir(k))); err != nil {
@@ -139,8 +140,8 @@
 	return dir
 }
 
-// restore replaces the store of an origin that does not run by a copy.
-func (r *configRig) restore(k int, backup string) {
+// restore replaces the store of an origin that is not running by a copy.
+func (r *configCluster) restore(k int, backup string) {
 	r.t.Helper()
 	if err := os.RemoveAll(r.OriginDir(k)); err != nil {
 		r.t.Fatal(err)
@@ -150,8 +151,8 @@
 	}
 }
 
-// testRolledBackOrigin restores an older store of one origin. It returns the directory of that store.
-func (r *configRig) testRolledBackOrigin() (backup string) {
+// testRolledBackOrigin restores an older store of one origin, and returns the directory of that store.
+func (r *configCluster) testRolledBackOrigin() (backup string) {
 	r.t.Helper()
 	client := transport.NewClient("rig", r.OriginAddr(5))
 	var s controlplane.Revision
@@ -159,27 +160,27 @@
 	backup = r.backUp(5)
 	r.play("start o5")
 	for range 3 {
-		s, _ = r.pushUntilAccepted(1, r.file(""))
+		s, _ = r.pushUntilAccepted(1, r.writeSnapshot(""))
 	}
-	testutil.Until(r.t, "the origin has what its store is to lose", func() bool {
+	testutil.Until(r.t, "the origin has the revisions that its older store lacks", func() bool {
 		status, err := client.Status(r.t.Context())
 		return err == nil && status.Revision == s
 	})
 	r.play("kill o5")
 	r.restore(5, backup)
 	r.play("start o5")
-	testutil.Until(r.t, "the origin says that its store was rolled back", func() bool {
+	testutil.Until(r.t, "the origin reports that its store was rolled back", func() bool {
 		status, err := client.Status(r.t.Context())
 		return err == nil && status.Role == origin.RoleRolledBack
 	})
-	s, at := r.pushUntilAccepted(1, r.file(""))
-	r.inForce("with an origin whose store was rolled back", s, at, r.all(), soon)
+	s, at := r.pushUntilAccepted(1, r.writeSnapshot(""))
+	r.waitApplied("change with one rolled-back origin", s, at, r.all(), maxApplyTime)
 	return backup
 }
 
 // testAllOriginsRolledBack restores older stores of all origins, so that only the members have the latest revision.
 // No older one returns, and pushes fail with the reason until the origins are bootstrapped with a higher epoch.
-func (r *configRig) testAllOriginsRolledBack(backupOfLast string) {
+func (r *configCluster) testAllOriginsRolledBack(backupOfLast string) {
 	r.t.Helper()
 	r.play("kill o1-4")
 	backups := []string{r.backUp(1), r.backUp(2), r.backUp(3), r.backUp(4)}
@@ -187,24 +188,26 @@
 	var s controlplane.Revision
 	var at time.Time
 	for range 3 {
-		s, at = r.pushUntilAccepted(2, r.file(""))
+		s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
 	}
-	r.inForce("before all origins are rolled back", s, at, r.all(), soon)
+	r.waitApplied("change before all origins are rolled back", s, at, r.all(), maxApplyTime)
 	r.play("kill origins")
 	for i, backup := range backups {
 		r.restore(i+1, backup)
 	}
 	r.restore(5, backupOfLast)
 	r.play("start origins")
-	testutil.Until(r.t, "an origin hears that members hold a later one", func() bool { return r.isAnyOriginBehind(s) })
-	if result, err := r.push(2, r.file(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
-		r.t.Errorf("accepted although the members hold a later one: %+v", result)
+	testutil.Until(r.t, "an origin learns that members have a later revision", func() bool {
+		return r.isAnyOriginBehind(s)
+	})
+	if result, err := r.push(2, r.writeSnapshot(""), "--wait", "0", "--after", fmt.Sprint(s.Version)); err == nil {
+		r.t.Errorf("the push was accepted although the members have a later revision: %+v", result)
 	} else {
-		r.t.Logf("a push is turned away: %v", err)
+		r.t.Logf("the push was rejected: %v", err)
 	}
 	for _, n := range r.all() {
 		if state := r.state(n); state.Active.Compare(s) != 0 {
-			r.t.Errorf("m%02d acts on %v after the origins were rolled back, and on %v before", n, state.Active, s)
+			r.t.Errorf("m%02d acts on %v after the origins were rolled back, want %v as before", n, state.Active, s)
 		}
 	}
 	r.play("kill origins")
@@ -212,15 +215,15 @@
 		r.t.Fatal(err)
 	}
 	r.play("start origins")
-	s, at = r.pushUntilAccepted(2, r.file(""))
+	s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
 	if s.Epoch != 2 {
-		r.t.Errorf("%v", s)
+		r.t.Errorf("revision %v, want epoch 2", s)
 	}
-	r.inForce("a higher epoch is founded", s, at, r.all(), 0)
+	r.waitApplied("change of a higher epoch", s, at, r.all(), 0)
 }
 
 // isAnyOriginBehind reports whether an origin knows that members have a revision that the origins lack.
-func (r *configRig) isAnyOriginBehind(revision controlplane.Revision) bool {
+func (r *configCluster) isAnyOriginBehind(revision controlplane.Revision) bool {
 	for k := range r.origins {
 		status, err := transport.NewClient("rig", r.OriginAddr(k+1)).Status(r.t.Context())
 		if err == nil && status.Ahead.Compare(revision) == 0 {
@@ -230,9 +233,9 @@
 	return false
 }
 
-// logTraffic logs the bytes that members sent and received, a second, while a function runs and until the duration is
-// over.
-func (r *configRig) logTraffic(what string, duration time.Duration, during func()) {
+// logTraffic logs the bytes per second that members send and receive during a function, and after it until the duration
+// is over.
+func (r *configCluster) logTraffic(what string, duration time.Duration, during func()) {
 	r.t.Helper()
 	type traffic struct{ out, in testcluster.Bytes }
 	read := func(n int) (t traffic) {
@@ -254,7 +257,7 @@
 		list = append(list, float64(a.out.EndpointList+a.in.EndpointList-b.out.EndpointList-b.in.EndpointList)/seconds)
 		config = append(config, float64(a.out.Config+a.in.Config-b.out.Config-b.in.Config)/seconds)
 	}
-	r.t.Logf("| %s | bytes a second a member, sent and received, mean (most): "+
+	r.t.Logf("| %s | bytes per second and member, sent and received, mean (maximum): "+
 		"view %.0f (%.0f), list %.0f (%.0f), configuration %.0f (%.0f)", what,
 		mean(view), slices.Max(view), mean(list), slices.Max(list), mean(config), slices.Max(config))
 }
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -15,7 +15,8 @@
 	"hazelwing/internal/store"
 )
 
-// A directory is inspected, verified and compacted. The error names a directory that is corrupt, in use or missing.
+// The commands inspect, verify and compact a directory. Their errors name a directory that is damaged, in use or
+// missing.
 func TestStoreCommand(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "ledger")
 	fs, err := store.Dir(dir)
@@ -54,29 +55,29 @@
 		}
 	}
 	if _, err := execute("store", "compact", dir); err == nil || !strings.Contains(err.Error(), dir) {
-		t.Errorf("compacting one that is in use: %v", err)
+		t.Errorf("compacting a directory that is in use: error %v, want one that names it", err)
 	}
 	out, err := execute("store", "inspect", dir)
 	payment, booking := strings.Index(out, "payment-record"), strings.Index(out, "confirm-booking")
 	if err != nil || payment < 0 || booking < payment || !strings.Contains(out, "2 remembered") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("inspect: error %v, want two records, the older one first:\n%s", err, out)
 	}
 	out, err = execute("store", "inspect", dir, "--json")
 	var records []middleware.RecordInfo
 	decodeErr := json.Unmarshal([]byte(out), &records)
 	if err != nil || decodeErr != nil || len(records) != 2 ||
 		records[1].State != "open" || records[1].Locations != "upper-hill/0" {
-		t.Errorf("%v, %v\n%s", err, decodeErr, out)
+		t.Errorf("inspect --json: errors %v and %v, want two records, the second one open:\n%s", err, decodeErr, out)
 	}
 	s.Close()
 	if out, err := execute("store", "compact", dir); err != nil || !strings.Contains(out, "2 entries: 1 segments") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("compact: error %v, want 2 entries in one segment:\n%s", err, out)
 	}
 	var segments []store.SegmentReport
 	out, err = execute("store", "verify", "--json", dir)
 	decodeErr = json.Unmarshal([]byte(out), &segments)
 	if err != nil || decodeErr != nil || len(segments) != 1 || segments[0].Puts != 2 {
-		t.Fatalf("%v, %v\n%s", err, decodeErr, out)
+		t.Fatalf("verify --json: errors %v and %v, want one segment with 2 puts:\n%s", err, decodeErr, out)
 	}
 	path := filepath.Join(dir, segments[0].Name)
 	b, err := os.ReadFile(path)
@@ -89,20 +90,20 @@
 	}
 	out, err = execute("store", "verify", dir)
 	if err == nil || !strings.Contains(err.Error(), dir) || !strings.Contains(out, segments[0].Name) {
-		t.Errorf("the disk has changed a record: %v\n%s", err, out)
+		t.Errorf("verifying a damaged record: error %v, want one that names the directory\n%s", err, out)
 	}
 	absent := filepath.Join(dir, "absent")
 	for _, sub := range []string{"inspect", "verify", "compact"} {
 		if _, err := execute("store", sub, absent); err == nil || !strings.Contains(err.Error(), absent) {
-			t.Errorf("%s: %v", sub, err)
+			t.Errorf("%s of a missing directory: error %v, want one that names it", sub, err)
 		}
 	}
 	if _, err := os.Stat(absent); err == nil {
-		t.Error("a directory was made")
+		t.Error("a command created the missing directory")
 	}
 }
 
-// The example is valid as it stands, and with every setting in it enabled.
+// The example of an operator's file is valid, also with all of its settings enabled.
 func TestCheckCommand(t *testing.T) {
 	const example = "../../deploy/hazelwing.toml"
 	text, err := os.ReadFile(example)
@@ -112,7 +113,7 @@
 	if !hasGRPC { // a build with the tag "small" has no GraphQL
 		text, _, _ = bytes.Cut(text, []byte("# GraphQL over HTTP"))
 	}
-	var enabled []string // the lines of the example with all settings
+	var enabled []string // lines of the example with all settings enabled
 	for line := range strings.Lines(string(text)) {
 		rest, isComment := strings.CutPrefix(line, "# ")
 		if isComment && (strings.HasPrefix(rest, "[") || strings.Contains(rest, " = ")) {
@@ -143,16 +144,16 @@
 		t.Fatal(err)
 	}
 	if out, err := execute("check", example, path); err != nil || strings.Count(out, ": good") != 2 {
-		t.Errorf("%v\n%s\n%s", err, out, strings.Join(enabled, ""))
+		t.Errorf("check: error %v, want two valid files:\n%s\n%s", err, out, strings.Join(enabled, ""))
 	}
 	if err := os.WriteFile(path, []byte("[ledger]\ndir = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := execute("check", path); err == nil || !strings.Contains(err.Error(), path+":2:") {
-		t.Errorf("%v", err)
+		t.Errorf("check of an invalid file: error %v, want one that names the file and line 2", err)
 	}
 	t.Setenv("RELAY_CONFIG", t.TempDir()+"/absent.json")
 	if _, err := execute("run", "--operator", path); err == nil || !strings.Contains(err.Error(), "absent.json") {
-		t.Errorf("the platform's file comes first: %v", err)
+		t.Errorf("run without a platform's file: error %v, want one that names this file first", err)
 	}
 }
