--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	faultsEnded := make(chan error, 1)
-	go func() { faultsEnded <- fleet.Play(ctx, script) }()
+	go func() { faultsEnded <- fleet.RunScript(ctx, script) }()
 	client, closeIdle := emulator.HTTPClient(daemon.Addr, fleet.Rules)
 	defer closeIdle()
 	report := replay(ctx, traffic, cmp.Or(options.Grace, defaultGrace), client, view)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// Play injects the faults of a script at their times. It returns after the last one, or when ctx ends.
-func (f *Fleet) Play(ctx context.Context, script []Fault) error {
+// RunScript injects the faults of a script at their times. It returns after the last one, or when ctx ends.
+func (f *Fleet) RunScript(ctx context.Context, script []Fault) error {
 	for _, fault := range script {
 		if f.find(fault.Node) == nil {
 			return fmt.Errorf("fault script: no node %q", fault.Node)
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -235,7 +235,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var playing sync.WaitGroup
 	playing.Go(func() {
-		_ = f.Play(ctx, faults) // returns an error if ctx ends before the script
+		_ = f.RunScript(ctx, faults) // returns an error if ctx ends before the script
 	})
 	report := emulator.Replay(ctx, traffic, options.grace, do)
 	time.Sleep(200 * time.Millisecond) // waits for hedged requests that are still in flight
