--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -146,13 +146,13 @@
 		for ctx.Err() == nil {
 			node := fmt.Sprint("n", rng.IntN(6))
 			//nolint:contextcheck // nodes live longer than the calls of the test
-			_ = g.fleet.Fault(emulator.Fault{Verb: "crash", Node: node})
+			_ = g.fleet.InjectFault(emulator.Fault{Verb: "crash", Node: node})
 			select {
 			case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 			case <-ctx.Done():
 			}
 			//nolint:contextcheck // nodes live longer than the calls of the test
-			if err := g.fleet.Fault(emulator.Fault{Verb: "restart", Node: node}); err != nil {
+			if err := g.fleet.InjectFault(emulator.Fault{Verb: "restart", Node: node}); err != nil {
 				t.Error(err)
 			}
 		}
@@ -237,7 +237,7 @@
 	}
 	measure := func(split bool) *results {
 		g := startGraphQLSidecar(t, nodeConfigs(12), gqlnode.FaultShares{})
-		_ = g.fleet.Fault(emulator.Fault{Verb: "slow", Node: "n1", Factor: 20, Duration: time.Hour})
+		_ = g.fleet.InjectFault(emulator.Fault{Verb: "slow", Node: "n1", Factor: 20, Duration: time.Hour})
 		g.fleet.Node("n2").Die()
 		f := &results{query: load.NewHistogram(), mutation: load.NewHistogram()}
 		plan, err := load.Poisson(1, []load.Point{{Rate: rate}}, length, load.ScheduledRequest{})
--- a/internal/demo/gqldemo/crashes.go
+++ b/internal/demo/gqldemo/crashes.go
@@ -29,7 +29,7 @@
 			}
 			// A node that cannot be restarted stays down, which is a fault like any other.
 			//nolint:contextcheck // listening on loopback does not wait, and a restarted node runs until Close
-			_ = fleet.Fault(emulator.Fault{Verb: verb, Node: node})
+			_ = fleet.InjectFault(emulator.Fault{Verb: verb, Node: node})
 		}
 	}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -213,15 +213,15 @@
 			return ctx.Err()
 		}
 		//nolint:contextcheck // listening on loopback does not block, and a restarted process outlives the script
-		if err := f.Fault(fault); err != nil {
+		if err := f.InjectFault(fault); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Fault injects a fault now, whatever its time. The node must exist.
-func (f *Fleet) Fault(fault Fault) error {
+// InjectFault injects a fault now, whatever its time. The node must exist.
+func (f *Fleet) InjectFault(fault Fault) error {
 	p := f.find(fault.Node)
 	switch fault.Verb {
 	case "slow":
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -61,7 +61,7 @@
 	case "server":
 		fault := emulator.Fault{Node: args.at(0), Verb: args.at(1)}
 		//nolint:contextcheck // listening on loopback does not block, and a restarted server outlives the step
-		return c.Servers.Fault(fault)
+		return c.Servers.InjectFault(fault)
 	}
 	return errors.New("no such step")
 }
--- a/rpc/grpcbalancer/endpoints_test.go
+++ b/rpc/grpcbalancer/endpoints_test.go
@@ -86,7 +86,7 @@
 	})
 	go func() {
 		time.Sleep(traffic.Length() / 4)
-		if err := f.Fault(emulator.Fault{Verb: "drain", Node: "n1"}); err != nil {
+		if err := f.InjectFault(emulator.Fault{Verb: "drain", Node: "n1"}); err != nil {
 			t.Error(err)
 		}
 	}()
