--- a/internal/emulator/replay.go
+++ b/internal/emulator/replay.go
@@ -21,8 +21,8 @@
 	Unanswered // no final response before the client's deadline
 )
 
-// Grace is how long after the client's deadline a final response still counts, for delays of sockets.
-const Grace = 70 * time.Millisecond
+// ResponseGrace is how long after the client's deadline a final response still counts, for delays of sockets.
+const ResponseGrace = 70 * time.Millisecond
 
 // RequestFunc carries out one request as a client; number identifies it. The context's deadline is that of the client.
 type RequestFunc func(ctx context.Context, number int, class TrafficClass, r Request) Outcome
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -265,7 +265,7 @@
 			var running sync.WaitGroup
 			for i, c := range candidates {
 				running.Go(func() {
-					results[i] = c.run(t, traffic, scenario.script, seed, runOptions{grace: emulator.Grace})
+					results[i] = c.run(t, traffic, scenario.script, seed, runOptions{grace: emulator.ResponseGrace})
 				})
 			}
 			running.Wait()
