--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -136,7 +136,7 @@
 		OmitFields:  0.01,
 		WrongAlias:  0.01,
 		NullData:    0.005,
-		Garbage:     0.01,
+		InvalidJSON: 0.01,
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
--- a/internal/demo/gqldemo/gqldemo.go
+++ b/internal/demo/gqldemo/gqldemo.go
@@ -52,10 +52,10 @@
 		Nodes:   emulator.MixedNodes(nodeCount),
 		Effects: traffic.Effects(),
 		NewServer: gqlnode.New(gqlnode.FaultShares{
-			ResetAfter: faultShare,
-			Truncate:   faultShare,
-			OmitFields: faultShare,
-			Garbage:    faultShare,
+			ResetAfter:  faultShare,
+			Truncate:    faultShare,
+			OmitFields:  faultShare,
+			InvalidJSON: faultShare,
 		}),
 		DrainSlack: options.Grace,
 	})
--- a/internal/emulator/gqlnode/faults.go
+++ b/internal/emulator/gqlnode/faults.go
@@ -19,7 +19,7 @@
 	OmitFields  float64 // the JSON is complete but lacks half of the fields
 	WrongAlias  float64 // the first field has an alias that the request does not have
 	NullData    float64 // data is null, with an error
-	Garbage     float64 // the response is not JSON
+	InvalidJSON float64 // the response is not JSON
 }
 
 // faultDraw is a random number in [0, 1) from which the shares of faults are taken one after the other.
@@ -57,7 +57,7 @@
 		}
 	case draw.isIn(shares.NullData):
 		response = []byte(`{"data":null,"errors":[{"message":"on purpose"}]}`)
-	case draw.isIn(shares.Garbage):
+	case draw.isIn(shares.InvalidJSON):
 		response = []byte(strings.Repeat("\x00\x9f{", 40))
 	}
 	_, _ = w.Write(response)
