--- a/internal/emulator/rawh2/stream.go
+++ b/internal/emulator/rawh2/stream.go
@@ -50,8 +50,8 @@
 	s.conn.close()
 }
 
-// Break closes the connection without a frame.
-func (s *Stream) Break() { s.conn.close() }
+// CloseConn closes the connection without a frame.
+func (s *Stream) CloseConn() { s.conn.close() }
 
 // Header sends the headers of a response.
 func (s *Stream) Header() {
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -330,12 +330,12 @@
 // status must not count as the server's response, and in particular not as a final one.
 func TestLocallyGeneratedStatusIsNotAResponse(t *testing.T) {
 	for name, end := range map[string]func(*rawh2.Stream){
-		"broken": (*rawh2.Stream).Break,
+		"broken": (*rawh2.Stream).CloseConn,
 		"reset":  (*rawh2.Stream).Reset,
 		"broken after an invalid message": func(s *rawh2.Stream) {
 			s.Header()
 			s.Message([]byte("\xff\xff"))
-			s.Break()
+			s.CloseConn()
 		},
 	} {
 		addr := rawh2.Start(t, func(s *rawh2.Stream) {
--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -67,13 +67,13 @@
 		"REFUSED_STREAM":                 {(*rawh2.Stream).Refuse, true},
 		"GOAWAY with a lower stream ID":  {(*rawh2.Stream).GoAway, true},
 		"trailer x-not-run 1":            {func(s *rawh2.Stream) { s.TrailersOnly("14", "x-not-run", "1") }, true},
-		"disconnect before the response": {(*rawh2.Stream).Break, false},
+		"disconnect before the response": {(*rawh2.Stream).CloseConn, false},
 		"stream reset":                   {(*rawh2.Stream).Reset, false},
 		"UNAVAILABLE":                    {func(s *rawh2.Stream) { s.TrailersOnly("14") }, false},
 		"RESOURCE_EXHAUSTED":             {func(s *rawh2.Stream) { s.TrailersOnly("8") }, false},
 		"trailer x-not-run 0":            {func(s *rawh2.Stream) { s.TrailersOnly("14", "x-not-run", "0") }, false},
 		"INTERNAL":                       {func(s *rawh2.Stream) { s.TrailersOnly("13") }, false},
-		"disconnect in the response":     {func(s *rawh2.Stream) { s.Header(); s.Break() }, false},
+		"disconnect in the response":     {func(s *rawh2.Stream) { s.Header(); s.CloseConn() }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoints, received := startTwoServers(t, func(s *rawh2.Stream, before int32) {
@@ -142,7 +142,7 @@
 func TestRetryOfInterceptorIsNotSent(t *testing.T) {
 	endpoints, received := startTwoServers(t, func(s *rawh2.Stream, before int32) {
 		if before == 0 {
-			s.Break()
+			s.CloseConn()
 		} else {
 			s.OK(okMessage)
 		}
@@ -223,9 +223,9 @@
 		want     []string
 		ok       bool
 	}{
-		"breaks after a message":     {sendOneThen((*rawh2.Stream).Break), 1, []string{"ok"}, false},
+		"breaks after a message":     {sendOneThen((*rawh2.Stream).CloseConn), 1, []string{"ok"}, false},
 		"is refused after a message": {sendOneThen((*rawh2.Stream).Refuse), 1, []string{"ok"}, false},
-		"breaks before a message":    {func(s *rawh2.Stream) { s.Header(); s.Break() }, 2, []string{"ok", "ok"}, true},
+		"breaks before a message":    {func(s *rawh2.Stream) { s.Header(); s.CloseConn() }, 2, []string{"ok", "ok"}, true},
 		"is refused":                 {(*rawh2.Stream).Refuse, 2, []string{"ok", "ok"}, true},
 		"ends without a message":     {func(s *rawh2.Stream) { s.Header(); s.End("0") }, 1, nil, true},
 		"not found":                  {func(s *rawh2.Stream) { s.TrailersOnly("5") }, 1, nil, false},
