--- a/internal/emulator/faultscript.go
+++ b/internal/emulator/faultscript.go
@@ -30,14 +30,14 @@
 	"restart": 0,
 }
 
-// leadingWords are the words of each line before those of faultArguments: time, verb and node.
-const leadingWords = 3
+// wordsBeforeArguments are the words of each line before those of faultArguments: time, verb and node.
+const wordsBeforeArguments = 3
 
 // maxSlowFactor bounds the factor of a slow fault.
 const maxSlowFactor = 1e6
 
-// errNoFault says that a line has fewer words than any fault.
-var errNoFault = errors.New("want a time, a verb and a node")
+// errTooFewWords says that a line has fewer words than any fault.
+var errTooFewWords = errors.New("want a time, a verb and a node")
 
 // ReadScript reads a fault script, which has one fault a line:
 //
@@ -71,8 +71,8 @@
 
 // parseFault parses the words of a line.
 func parseFault(words []string) (fault Fault, err error) {
-	if len(words) < leadingWords {
-		return fault, errNoFault
+	if len(words) < wordsBeforeArguments {
+		return fault, errTooFewWords
 	}
 	if fault.At, err = time.ParseDuration(words[0]); err != nil || fault.At < 0 {
 		return fault, fmt.Errorf("%q is no time", words[0])
@@ -82,13 +82,13 @@
 	if !ok {
 		return fault, fmt.Errorf("%q is no fault", fault.Verb)
 	}
-	if len(words) != leadingWords+arguments {
-		return fault, fmt.Errorf("%s takes %d more words, not %d", fault.Verb, arguments, len(words)-leadingWords)
+	if len(words) != wordsBeforeArguments+arguments {
+		return fault, fmt.Errorf("%s takes %d more words, not %d", fault.Verb, arguments, len(words)-wordsBeforeArguments)
 	}
 	if arguments == 0 {
 		return fault, nil
 	}
-	if fault.Factor, err = parseFactor(fault.Verb, words[leadingWords]); err != nil {
+	if fault.Factor, err = parseFactor(fault.Verb, words[wordsBeforeArguments]); err != nil {
 		return fault, err
 	}
 	last := words[len(words)-1]
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -34,7 +34,7 @@
 	Discovery *Discovery
 	Rules     *RuleChecker
 
-	order     []string // names of the nodes, as configured
+	nodeNames []string // names of the nodes, as configured
 	tasks     sync.WaitGroup
 	closeOnce sync.Once
 	closed    chan struct{}
@@ -115,7 +115,7 @@
 			f.Close()
 			return nil, err
 		}
-		f.order = append(f.order, n.Name)
+		f.nodeNames = append(f.nodeNames, n.Name)
 		f.announce(p, healthServing)
 	}
 	return f, nil
@@ -267,7 +267,7 @@
 
 // Status returns the state of all nodes, in the order of the configuration.
 func (f *Fleet) Status() (list []Status) {
-	for _, name := range f.order {
+	for _, name := range f.nodeNames {
 		list = append(list, f.Node(name).Status())
 	}
 	return list
--- a/internal/emulator/gqlnode/faults.go
+++ b/internal/emulator/gqlnode/faults.go
@@ -25,8 +25,8 @@
 // faultDraw is a random number in [0, 1) from which the shares of faults are taken one after the other.
 type faultDraw struct{ x float64 }
 
-// isIn reports whether the number is in the next interval, which has the width of share.
-func (d *faultDraw) isIn(share float64) bool {
+// selects reports whether the number is in the next interval, which has the width of share.
+func (d *faultDraw) selects(share float64) bool {
 	d.x -= share
 	return d.x < 0 && d.x >= -share && share > 0
 }
@@ -41,23 +41,23 @@
 func (s *server) writeResponse(w http.ResponseWriter, draw *faultDraw, op *ast.OperationDefinition, response []byte) {
 	shares := s.faults
 	switch {
-	case draw.isIn(shares.ResetAfter):
+	case draw.selects(shares.ResetAfter):
 		panic(http.ErrAbortHandler)
-	case draw.isIn(shares.Truncate):
+	case draw.selects(shares.Truncate):
 		w.Header().Set("Content-Length", fmt.Sprint(len(response)))
 		_, _ = w.Write(response[:len(response)/2])
 		_ = http.NewResponseController(w).Flush() // fails once the client has disconnected
 		panic(http.ErrAbortHandler)
-	case draw.isIn(shares.OmitFields):
+	case draw.selects(shares.OmitFields):
 		response = omitFields(response)
-	case draw.isIn(shares.WrongAlias):
+	case draw.selects(shares.WrongAlias):
 		if field, ok := op.SelectionSet[0].(*ast.Field); ok {
 			key, wrongKey := `"`+field.Alias+`":`, `"zz_`+field.Alias+`":`
 			response = bytes.Replace(response, []byte(key), []byte(wrongKey), 1)
 		}
-	case draw.isIn(shares.NullData):
+	case draw.selects(shares.NullData):
 		response = []byte(`{"data":null,"errors":[{"message":"on purpose"}]}`)
-	case draw.isIn(shares.InvalidJSON):
+	case draw.selects(shares.InvalidJSON):
 		response = []byte(strings.Repeat("\x00\x9f{", 40))
 	}
 	_, _ = w.Write(response)
--- a/internal/emulator/gqlnode/gqlnode.go
+++ b/internal/emulator/gqlnode/gqlnode.go
@@ -87,7 +87,7 @@
 		return
 	}
 	draw := s.drawFault()
-	if draw.isIn(s.faults.ResetBefore) {
+	if draw.selects(s.faults.ResetBefore) {
 		panic(http.ErrAbortHandler)
 	}
 	if len(body) > 0 && body[0] == '[' {
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -33,8 +33,8 @@
 const NotRunTrailer = "x-not-run"
 
 const (
-	// utilizedJobs is the number of jobs in flight that counts as full utilization.
-	utilizedJobs = 4
+	// jobsAtFullUtilization is the number of jobs in flight that counts as full utilization.
+	jobsAtFullUtilization = 4
 	// minUtilization and minQPS keep the weight that clients compute from both finite and positive.
 	minUtilization = 0.01
 	minQPS         = 1
@@ -140,7 +140,7 @@
 	}
 	inFlight := float64(s.node.InFlight())
 	recorder.SetNamedMetric("queue", inFlight)
-	recorder.SetApplicationUtilization(min(1, max(minUtilization, inFlight/utilizedJobs)))
+	recorder.SetApplicationUtilization(min(1, max(minUtilization, inFlight/jobsAtFullUtilization)))
 	recorder.SetQPS(max(minQPS, s.node.Rate()))
 }
 
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -61,10 +61,10 @@
 	defaultQueue = 64
 	// nodeStream is the random stream of a node's decisions.
 	nodeStream = 0x6e6f6465
-	// workInterval is how often a running job checks the state of its node and of its client.
-	workInterval = 2 * time.Millisecond
-	// minWorkInterval bounds that interval from below, near the end of a job.
-	minWorkInterval = 50 * time.Microsecond
+	// speedCheckInterval is how often a running job checks the state of its node and of its client.
+	speedCheckInterval = 2 * time.Millisecond
+	// minSpeedCheckInterval bounds that interval from below, near the end of a job.
+	minSpeedCheckInterval = 50 * time.Microsecond
 )
 
 // Node is a server with a queue and one core, which executes one job at a time. Its methods may be called from any
@@ -159,14 +159,14 @@
 
 // work spends core time, given at speed 1. It stops when the client disconnects or the node dies.
 func (n *Node) work(ctx context.Context, amount time.Duration) Reply {
-	timer := time.NewTimer(workInterval)
+	timer := time.NewTimer(speedCheckInterval)
 	defer timer.Stop()
 	remaining := amount.Seconds()
 	for last := time.Now(); ; {
 		n.mu.Lock()
 		speed := n.currentSpeed(last)
 		n.mu.Unlock()
-		timer.Reset(workWait(remaining, speed))
+		timer.Reset(nextSpeedCheck(remaining, speed))
 		select {
 		case <-ctx.Done():
 			return ClientDisconnected
@@ -183,13 +183,13 @@
 	}
 }
 
-// workWait returns how long to wait before the next check, for a job with remaining seconds of work.
-func workWait(remaining, speed float64) time.Duration {
+// nextSpeedCheck returns how long to wait before the next check, for a job with remaining seconds of work.
+func nextSpeedCheck(remaining, speed float64) time.Duration {
 	if speed <= 0 {
-		return workInterval
+		return speedCheckInterval
 	}
 	untilDone := time.Duration(remaining / speed * float64(time.Second))
-	return min(workInterval, max(untilDone, minWorkInterval))
+	return min(speedCheckInterval, max(untilDone, minSpeedCheckInterval))
 }
 
 // finish ends a job that was executed.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -11,7 +11,7 @@
 // Outcome is the result of a request.
 type Outcome int
 
-// The outcomes.
+// The outcomeCount.
 const (
 	Served   Outcome = iota
 	Rejected         // 429 or 503: a retry is harmless
@@ -19,11 +19,11 @@
 	Broken           // no connection, or one that broke before the answer was complete
 	TimedOut         // no answer before the deadline
 	Unsent           // omitted because too many were open
-	outcomes
+	outcomeCount
 )
 
 // outcomeNames are the names in reports, which are part of the command's output.
-var outcomeNames = [outcomes]string{"served", "refused", "failed", "broken", "late", "unsent"}
+var outcomeNames = [outcomeCount]string{"served", "refused", "failed", "broken", "late", "unsent"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
