--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Endpoint is an entry of the endpoint list, in the platform's form.
+// Endpoint is an entry of the endpoint list, in the platform's format.
 type Endpoint struct {
 	Name         string  `json:"host"`
 	Address      string  `json:"dial"`
@@ -19,7 +19,7 @@
 	Cell         int     `json:"block"`
 	Health       string  `json:"health"` // SERVING, DRAINING, DELETED
 	TrafficShare float64 `json:"share"`
-	StartedAtMS  float64 `json:"born_ms"` // Unix time in milliseconds; 0: unknown
+	StartedAtMS  float64 `json:"born_ms"` // start of the process, Unix time in milliseconds; 0: unknown
 }
 
 // listing is a response of discovery, or one line of the response to a watch.
@@ -38,8 +38,8 @@
 	healthDraining    = "DRAINING"
 )
 
-// Discovery is the platform's discovery service on loopback. It returns the complete endpoint list, or a watch that
-// sends its changes. Its methods may be called from any goroutine.
+// Discovery emulates the platform's discovery service on loopback. It serves the complete endpoint list, and watches
+// that receive the changes of the list. Its methods may be called from any goroutine.
 type Discovery struct {
 	listener net.Listener
 	server   *http.Server
@@ -47,12 +47,12 @@
 	mu        sync.Mutex
 	version   int64
 	endpoints map[string]Endpoint
-	changes   []listing     // entry i has the version i+1
+	changes   []listing     // the version of entry i is i+1
 	changed   chan struct{} // closed and replaced at each change
 
-	callTime      time.Duration // that each call occupies the service; 0: none
-	maxWait       time.Duration // calls that would wait longer are rejected
-	busyUntil     time.Time     // when the admitted calls will have been processed
+	callTime      time.Duration // time for which each call occupies the service; 0: none
+	maxWait       time.Duration // longest wait of a call; one that would wait longer is rejected
+	busyUntil     time.Time     // end of the processing of the admitted calls
 	calls         int
 	rejectedCalls int
 }
@@ -72,7 +72,7 @@
 // Addr returns the address on which the service listens.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Close ends the service and all watches.
+// Close stops the service and ends all watches.
 func (d *Discovery) Close() { _ = d.server.Close() }
 
 // Limit gives the service a fixed capacity: each call occupies it for callTime, calls are processed one after the
@@ -83,7 +83,7 @@
 	d.callTime, d.maxWait = callTime, maxWait
 }
 
-// Calls returns the number of calls, and how many of them were rejected.
+// Calls returns the number of all calls and of those that were rejected.
 func (d *Discovery) Calls() (total, rejected int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +113,7 @@
 	d.changed = make(chan struct{})
 }
 
-// admit returns how long a call waits for its response, or false for a call that is rejected.
+// admit returns how long a call waits for its response, or false if the call is rejected.
 func (d *Discovery) admit() (wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,8 +134,8 @@
 	return wait, true
 }
 
-// updatesAfter returns what a watch at a version has to send, and a channel that is closed at the next change. A watch
-// without a valid version gets the complete list.
+// updatesAfter returns the listings that a watch at a version has to send, and a channel that is closed at the next
+// change. A watch without a valid version gets the complete list.
 func (d *Discovery) updatesAfter(version int64) ([]listing, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,8 +149,8 @@
 	return []listing{complete}, d.changed
 }
 
-// ServeHTTP returns the complete list. With the parameter watch, it sends changes from the version in the parameter
-// from on, until the client disconnects.
+// ServeHTTP responds with the complete list. If the query parameter "watch" is set, it sends the changes after the
+// version in the query parameter "from", until the client disconnects.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != discoveryPath {
 		http.NotFound(w, r)
@@ -176,7 +176,7 @@
 	d.serveWatch(w, r, version)
 }
 
-// serveWatch sends changes until the client disconnects, which is also when its writes begin to fail.
+// serveWatch sends changes until the client disconnects. It ignores errors of writes, which fail only after that.
 func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request, version int64) {
 	encoder := json.NewEncoder(w)
 	ticker := time.NewTicker(keepAliveInterval)
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -10,7 +10,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// readLines returns the first lines of a response of discovery.
+// readLines returns the first count lines of a response of the discovery service.
 func readLines(t *testing.T, d *Discovery, query string, count int) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
@@ -33,7 +33,8 @@
 	return string(text)
 }
 
-// A watch gets the complete list first and then each change, and one that resumes gets the changes since its version.
+// A new watch receives the complete list first and then each change. A watch that resumes receives only the changes
+// since its version.
 func TestDiscovery(t *testing.T) {
 	d, err := NewDiscovery()
 	if err != nil {
@@ -45,16 +46,16 @@
 	d.Set(Endpoint{Name: "a", Health: "DELETED"})
 	if got := readLines(t, d, "", 1); !strings.Contains(got, `"seq":3,"whole":true`) || !strings.Contains(got, `"b"`) ||
 		strings.Contains(got, `"a"`) {
-		t.Errorf("the list: %s", got)
+		t.Errorf("list is %s; want the complete list of version 3 with b and without a", got)
 	}
 	if got := readLines(t, d, "?watch=1&from=0", 1); !strings.Contains(got, `"whole":true`) {
-		t.Errorf("a watch from the start: %s", got)
+		t.Errorf("watch from version 0 began with %s; want the complete list", got)
 	}
 	if got := readLines(t, d, "?watch=1&from=1", 2); strings.Contains(got, `"whole":true`) ||
 		strings.Index(got, `"b"`) > strings.Index(got, "DELETED") {
-		t.Errorf("a watch from 1: %s", got)
+		t.Errorf("watch from version 1 sent %s; want the addition of b and then the deletion of a", got)
 	}
 	if got := readLines(t, d, "?watch=1&from=3", 1); got != "\n" {
-		t.Errorf("a watch without changes: %q", got)
+		t.Errorf("watch without changes sent %q; want an empty line", got)
 	}
 }
--- a/internal/emulator/faultscript.go
+++ b/internal/emulator/faultscript.go
@@ -13,11 +13,11 @@
 
 // Fault is one line of a fault script.
 type Fault struct {
-	At       time.Duration
-	Verb     string // slow, pause, reset, drain, crash, restart
+	At       time.Duration // time since the start of the script
+	Verb     string        // slow, pause, reset, drain, crash, restart
 	Node     string
-	Factor   float64       // slow: how many times slower; reset: share of the responses
-	Duration time.Duration // slow, pause, reset: how long it lasts
+	Factor   float64       // slow: how many times slower; reset: share of the jobs whose connection is reset
+	Duration time.Duration // slow, pause, reset: how long the fault lasts
 }
 
 // faultArguments is the number of words that follow the node, by verb.
@@ -30,26 +30,26 @@
 	"restart": 0,
 }
 
-// wordsBeforeArguments are the words of each line before those of faultArguments: time, verb and node.
+// wordsBeforeArguments is the number of words of a line before its arguments: time, verb and node.
 const wordsBeforeArguments = 3
 
-// maxSlowFactor bounds the factor of a slow fault.
+// maxSlowFactor is the highest factor of a slow fault.
 const maxSlowFactor = 1e6
 
-// errTooFewWords says that a line has fewer words than any fault.
-var errTooFewWords = errors.New("want a time, a verb and a node")
+// errTooFewWords is the error for a line that has fewer words than the shortest fault.
+var errTooFewWords = errors.New("too few words; want at least a time, a verb and a node")
 
 // ReadScript reads a fault script, which has one fault a line:
 //
-//	# at  what     node  how
-//	2s    slow     n1    8 3s     # 8 times slower, for 3 s
-//	3s    pause    n2    400ms    # stalls
-//	3s    reset    n5    0.2 2s   # 20 % of its connections are reset after the request was executed, for 2 s
-//	4s    drain    n3             # discovery lists it as draining; it stops once no job is in flight
-//	5s    crash    n4             # resets its connections; discovery notices a second later
-//	6s    restart  n4             # a new process with the same name, which warms up
+//	# time  verb     node  arguments
+//	2s      slow     n1    8 3s     # the core is 8 times slower for 3 s
+//	3s      pause    n2    400ms    # the core does no work for 400 ms
+//	3s      reset    n5    0.2 2s   # for 2 s, the connection of 20 % of the jobs is reset after their execution
+//	4s      drain    n3             # discovery lists the node as draining; it stops once no job is in flight
+//	5s      crash    n4             # the node resets its connections; discovery notices the crash a second later
+//	6s      restart  n4             # a new process with the same name starts and warms up
 //
-// Errors name the line. Faults need not be in order of time; they are returned in that order.
+// Errors name the line. The lines may be in any order; the faults are returned in order of time.
 func ReadScript(r io.Reader) ([]Fault, error) {
 	var faults []Fault
 	lines := bufio.NewScanner(r)
@@ -72,18 +72,22 @@
 // parseFault parses the words of a line.
 func parseFault(words []string) (fault Fault, err error) {
 	if len(words) < wordsBeforeArguments {
-		return fault, errTooFewWords
+		return fault, fmt.Errorf("%w; got %q", errTooFewWords, strings.Join(words, " "))
 	}
-	if fault.At, err = time.ParseDuration(words[0]); err != nil || fault.At < 0 {
-		return fault, fmt.Errorf("%q is no time", words[0])
+	if fault.At, err = time.ParseDuration(words[0]); err != nil {
+		return fault, fmt.Errorf("time %q is not a duration such as 2s or 400ms", words[0])
+	}
+	if fault.At < 0 {
+		return fault, fmt.Errorf("time %q is negative; want 0 or more", words[0])
 	}
 	fault.Verb, fault.Node = words[1], words[2]
 	arguments, ok := faultArguments[fault.Verb]
 	if !ok {
-		return fault, fmt.Errorf("%q is no fault", fault.Verb)
+		return fault, fmt.Errorf("unknown verb %q; want slow, reset, pause, drain, crash or restart", fault.Verb)
 	}
 	if len(words) != wordsBeforeArguments+arguments {
-		return fault, fmt.Errorf("%s takes %d more words, not %d", fault.Verb, arguments, len(words)-wordsBeforeArguments)
+		return fault, fmt.Errorf("%s takes %d arguments after the node, got %d",
+			fault.Verb, arguments, len(words)-wordsBeforeArguments)
 	}
 	if arguments == 0 {
 		return fault, nil
@@ -92,25 +96,34 @@
 		return fault, err
 	}
 	last := words[len(words)-1]
-	if fault.Duration, err = time.ParseDuration(last); err != nil || fault.Duration <= 0 {
-		return fault, fmt.Errorf("%q is no time", last)
+	if fault.Duration, err = time.ParseDuration(last); err != nil {
+		return fault, fmt.Errorf("length %q is not a duration such as 2s or 400ms", last)
+	}
+	if fault.Duration <= 0 {
+		return fault, fmt.Errorf("length %q is not above 0", last)
 	}
 	return fault, nil
 }
 
-// parseFactor parses the factor of a verb; verbs without one have 0.
+// parseFactor parses the factor of a fault. It returns 0 for verbs that have no factor.
 func parseFactor(verb, text string) (float64, error) {
 	switch verb {
 	case "slow":
 		factor, err := strconv.ParseFloat(text, 64)
-		if inRange := factor >= 1 && factor <= maxSlowFactor; err != nil || !inRange {
-			return 0, fmt.Errorf("%q is no factor of 1 or more", text)
+		if err != nil {
+			return 0, fmt.Errorf("factor %q is not a valid number", text)
+		}
+		if inRange := factor >= 1 && factor <= maxSlowFactor; !inRange {
+			return 0, fmt.Errorf("factor %q is out of range; want 1 to %v", text, maxSlowFactor)
 		}
 		return factor, nil
 	case "reset":
 		share, err := strconv.ParseFloat(text, 64)
-		if inRange := share > 0 && share <= 1; err != nil || !inRange {
-			return 0, fmt.Errorf("%q is no share above 0 and up to 1", text)
+		if err != nil {
+			return 0, fmt.Errorf("share %q is not a valid number", text)
+		}
+		if inRange := share > 0 && share <= 1; !inRange {
+			return 0, fmt.Errorf("share %q is out of range; want above 0 and at most 1", text)
 		}
 		return share, nil
 	}
--- a/internal/emulator/faultscript_test.go
+++ b/internal/emulator/faultscript_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Faults are returned in order of time, and a line that is no fault is an error that names it.
+// Faults are returned in order of time. The error for an invalid line names the line and the invalid word.
 func TestReadScript(t *testing.T) {
 	const script = `
 # nothing
@@ -18,16 +18,16 @@
 `
 	faults, err := ReadScript(strings.NewReader(script))
 	if err != nil || len(faults) != 5 {
-		t.Fatalf("%v, %v", faults, err)
+		t.Fatalf("ReadScript returned %v, error %v; want five faults", faults, err)
 	}
 	if faults[0] != (Fault{At: 2 * time.Second, Verb: "slow", Node: "n1", Factor: 8, Duration: 3 * time.Second}) ||
 		faults[1] != (Fault{At: 3 * time.Second, Verb: "pause", Node: "n2", Duration: 400 * time.Millisecond}) {
-		t.Errorf("%+v", faults)
+		t.Errorf("first faults are %+v; want slow n1 and pause n2", faults[:2])
 	}
 	for text, want := range map[string]string{
 		"2s slow":          "line 1",
-		"\nsoon crash n1":  "line 2: \"soon\"",
-		"-1s crash n1":     "no time",
+		"\nsoon crash n1":  "line 2: time \"soon\"",
+		"-1s crash n1":     "\"-1s\" is negative",
 		"2s explode n1":    "explode",
 		"2s crash n1 now":  "crash takes 0",
 		"2s slow n1 x 3s":  "\"x\"",
@@ -37,7 +37,7 @@
 		"2s pause n1 long": "\"long\"",
 	} {
 		if _, err := ReadScript(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("script %q: error %v; want one that contains %q", text, err, want)
 		}
 	}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"net"
+	"strings"
 	"sync"
 	"time"
 )
@@ -11,18 +12,18 @@
 // FleetConfig describes a fleet.
 type FleetConfig struct {
 	Nodes   []NodeConfig
-	Effects map[string]Effect // of the request classes, by name
-	// NewServer returns the server of a node; nil: NewHTTP.
+	Effects map[string]Effect // effects of the request classes, by name
+	// NewServer returns the server of a node. If it is nil, NewHTTP is used.
 	NewServer func(n *Node, effects map[string]Effect) Server
-	// DrainSlack is added to the nodes' DrainGrace; 0: 50 ms. Tests whose verdict must not depend on the load of the
-	// machine take more.
+	// DrainSlack is added to the nodes' DrainGrace; 0: 50 ms. Tests whose result must not depend on the load of the
+	// machine set a higher value.
 	DrainSlack time.Duration
-	// DiscoveryDelay is how long discovery takes to notice that a process died or started; 0: 1 s.
+	// DiscoveryDelay is the time until discovery notices that a process died or started; 0: 1 s.
 	DiscoveryDelay time.Duration
 }
 
 const (
-	// defaultDiscoveryDelay is the value of FleetConfig.DiscoveryDelay where that is 0.
+	// defaultDiscoveryDelay is used if FleetConfig.DiscoveryDelay is 0.
 	defaultDiscoveryDelay = time.Second
 	// drainCheckInterval is how often a draining node is checked for jobs in flight.
 	drainCheckInterval = 20 * time.Millisecond
@@ -34,23 +35,23 @@
 	Discovery *Discovery
 	Rules     *RuleChecker
 
-	nodeNames []string // names of the nodes, as configured
+	nodeNames []string // names of the nodes, in the order of the configuration
 	tasks     sync.WaitGroup
 	closeOnce sync.Once
 	closed    chan struct{}
 
 	mu        sync.Mutex
-	processes map[string]*process // the latest of each name
+	processes map[string]*process // latest process of each node, by the node's name
 }
 
-// process is a node's process.
+// process is a process of a node. Each restart creates a new one.
 type process struct {
 	*Node
 	addr   string
 	server Server
 }
 
-// machineKinds are the machines of a booking site in the middle of a replacement of its systems.
+// machineKinds are the kinds and speeds of machines at a booking site that is replacing its old machines.
 var machineKinds = []struct {
 	kind  string
 	speed float64
@@ -64,8 +65,8 @@
 	{"old-slow", 0.65},
 }
 
-// MixedNodes returns count nodes like those of a booking site in the middle of a replacement of its systems, in zones a
-// to d.
+// MixedNodes returns count nodes, named n1, n2 and so on, with machines like those of a booking site that is replacing
+// its old machines, in zones a to d.
 func MixedNodes(count int) []NodeConfig {
 	const zones = 4
 	var nodes []NodeConfig
@@ -87,7 +88,7 @@
 	return nodes
 }
 
-// NewFleet starts a fleet whose nodes are warm and listed.
+// NewFleet starts a fleet whose nodes are warm and listed by discovery.
 func NewFleet(config FleetConfig) (*Fleet, error) {
 	if config.NewServer == nil {
 		config.NewServer = func(n *Node, effects map[string]Effect) Server { return NewHTTP(n, effects) }
@@ -121,7 +122,7 @@
 	return f, nil
 }
 
-// start starts a process on an address of its own. startedAt is zero for a node that is warm.
+// start starts a process of a node, which listens on a new port. startedAt is zero for a node that is warm.
 func (f *Fleet) start(config NodeConfig, startedAt time.Time) (*process, error) {
 	address := net.JoinHostPort(LoopbackHost(), "0")
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
@@ -138,7 +139,8 @@
 	return p, nil
 }
 
-// supervise stops the server of a process that dies, which resets its connections, and has discovery notice it.
+// supervise waits until a process dies or the fleet is closed, and then stops the server, which resets its connections.
+// If the process died, discovery removes it after DiscoveryDelay.
 func (f *Fleet) supervise(p *process) {
 	select {
 	case <-p.Dead():
@@ -172,7 +174,7 @@
 	f.Discovery.Set(endpoint)
 }
 
-// after calls do after a delay, unless the fleet is closed by then.
+// after calls do after a delay, unless the fleet is closed before.
 func (f *Fleet) after(delay time.Duration, do func()) {
 	f.tasks.Go(func() {
 		select {
@@ -183,14 +185,14 @@
 	})
 }
 
-// find returns the latest process of a name, or nil.
+// find returns the latest process of the node with a name, or nil if there was none.
 func (f *Fleet) find(name string) *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[name]
 }
 
-// Node returns the latest process of a name, or nil if there was none.
+// Node returns the latest instance of the node with a name, or nil if there was none.
 func (f *Fleet) Node(name string) *Node {
 	if p := f.find(name); p != nil {
 		return p.Node
@@ -198,11 +200,12 @@
 	return nil
 }
 
-// RunScript injects the faults of a script at their times. It returns after the last one, or when ctx ends.
+// RunScript injects the faults of a script at their times. It returns after the last fault, or when ctx ends.
 func (f *Fleet) RunScript(ctx context.Context, script []Fault) error {
 	for _, fault := range script {
 		if f.find(fault.Node) == nil {
-			return fmt.Errorf("fault script: no node %q", fault.Node)
+			return fmt.Errorf("fault script: node %q does not exist; want one of %s",
+				fault.Node, strings.Join(f.nodeNames, ", "))
 		}
 	}
 	start := time.Now()
@@ -220,7 +223,7 @@
 	return nil
 }
 
-// InjectFault injects a fault now, whatever its time. The node must exist.
+// InjectFault injects a fault immediately; the field At is ignored. The node must exist.
 func (f *Fleet) InjectFault(fault Fault) error {
 	p := f.find(fault.Node)
 	switch fault.Verb {
@@ -233,7 +236,7 @@
 	case "pause":
 		p.Pause(fault.Duration)
 	case "drain":
-		// The node's DrainGrace counts from when discovery lists it as draining.
+		// The node's DrainGrace begins when discovery lists the node as draining.
 		f.announce(p, healthDraining)
 		p.Drain()
 		f.tasks.Go(func() { f.stopWhenDrained(p) })
@@ -250,7 +253,7 @@
 	return nil
 }
 
-// stopWhenDrained ends a process that drains once it has no job in flight and discovery has listed it as draining for
+// stopWhenDrained ends a draining process once it has no job in flight and discovery has listed it as draining for
 // DiscoveryDelay.
 func (f *Fleet) stopWhenDrained(p *process) {
 	for start := time.Now(); time.Since(start) < f.config.DiscoveryDelay || p.InFlight() > 0; {
--- a/internal/emulator/format_test.go
+++ b/internal/emulator/format_test.go
@@ -8,7 +8,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// The response of the emulated discovery service.
+// Daemons decode the response of the emulated discovery service, so its JSON format must not change.
 func TestDiscoveryListingFormatIsStable(t *testing.T) {
 	list := listing{
 		Version:  7,
@@ -30,11 +30,11 @@
 	testutil.Golden(t, "listing.json", text)
 	var read listing
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, list)
+		t.Errorf("listing decodes to\n%+v, error %v; want\n%+v", read, err, list)
 	}
 }
 
-// The configuration that the emulated platform gives to a daemon.
+// The emulated platform gives a daemon its configuration in the platform's format, which must not change.
 func TestPlatformConfigFormatIsStable(t *testing.T) {
 	traffic := new(Traffic)
 	traffic.Classes = []TrafficClass{{
--- a/internal/emulator/generate.go
+++ b/internal/emulator/generate.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BookingClasses are like those of a booking site, ten times as fast.
+// BookingClasses are request classes like those of a booking site, with times that are ten times shorter.
 var BookingClasses = []TrafficClass{
 	{Name: "seat-search", Effect: "safe", ObjectiveMS: 80, DeadlineMS: 400, Weight: 3, LateWeight: 0.3},
 	{Name: "coach-map", Effect: "safe", ObjectiveMS: 60, DeadlineMS: 400, Weight: 3, LateWeight: 0.3},
@@ -16,17 +16,18 @@
 }
 
 const (
-	// trafficStream is the random stream of generated traffic.
+	// trafficStream selects the random stream of generated traffic.
 	trafficStream = 0x7261696c
 	// workSigma is the standard deviation of the logarithm of a request's work.
 	workSigma = 0.5
-	// hintSigma is that of the ratio of the expected work to the work.
+	// hintSigma is the standard deviation of the logarithm of the ratio of a request's expected work to its work.
 	hintSigma = 0.2
 	// generatedKeys is the number of different affinity keys.
 	generatedKeys = 500
 )
 
-// bookingMix is the cumulative share of the requests and the mean work in microseconds, in the order of BookingClasses.
+// bookingMix lists the cumulative share of the requests and the mean work in microseconds, in the order of
+// BookingClasses.
 var bookingMix = []struct {
 	cumulativeShare float64
 	meanWorkUS      float64
@@ -37,8 +38,8 @@
 	{1, 19000},
 }
 
-// Generate draws traffic of BookingClasses: requests arrive as a Poisson process with the given average rate a second,
-// and their work has a lognormal distribution. The same seed gives the same traffic.
+// Generate draws traffic of BookingClasses. Requests arrive as a Poisson process with the given average rate per
+// second, and their work has a lognormal distribution. The same seed gives the same traffic.
 func Generate(seed uint64, rate float64, length time.Duration) *Traffic {
 	rng := rand.New(rand.NewPCG(seed, trafficStream))
 	traffic := &Traffic{TrafficHeader: TrafficHeader{Classes: BookingClasses}}
@@ -48,7 +49,7 @@
 	return traffic
 }
 
-// generateRequest draws a request that is sent at a time in seconds.
+// generateRequest draws a request that is sent at the given number of seconds after the start.
 func generateRequest(rng *rand.Rand, at float64) Request {
 	x, class := rng.Float64(), 0
 	for x > bookingMix[class].cumulativeShare {
--- a/internal/emulator/httpclient.go
+++ b/internal/emulator/httpclient.go
@@ -11,13 +11,13 @@
 	"hazelwing/internal/load"
 )
 
-// responseTimeout is how long after a request's deadline its response is still awaited. This distinguishes a late
-// response from one that never comes.
+// responseTimeout is how long the client waits for a response after the request's deadline, to distinguish a late
+// response from a missing one.
 const responseTimeout = 10 * time.Second
 
 // HTTPClient returns a function that sends recorded requests to the daemon at addr as the platform's protocol
-// specifies. A request that is served with the response of another is a violation of the rules. The caller calls
-// closeIdle when all requests have ended.
+// specifies. It reports a violation to rules if a request is served with the response to another request. The caller
+// calls closeIdle when all requests have ended.
 func HTTPClient(addr string, rules *RuleChecker) (do RequestFunc, closeIdle func()) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxOpen, DisableCompression: true}
 	c := &httpClient{
@@ -28,14 +28,14 @@
 	return c.do, transport.CloseIdleConnections
 }
 
-// httpClient is an application beside a daemon.
+// httpClient sends requests to a daemon as the application beside it does.
 type httpClient struct {
 	baseURL string
 	client  *http.Client
 	rules   *RuleChecker
 }
 
-// do is a RequestFunc.
+// do sends one request. It is a RequestFunc.
 func (c *httpClient) do(ctx context.Context, number int, class TrafficClass, r Request) Outcome {
 	deadline, _ := ctx.Deadline()
 	responseCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline.Add(responseTimeout))
@@ -57,7 +57,7 @@
 	return c.outcome(resp.StatusCode, string(body), id, class)
 }
 
-// newRequest returns the HTTP request of a recorded one.
+// newRequest returns the HTTP request for a recorded request.
 func (c *httpClient) newRequest(
 	ctx context.Context, id string, timeout time.Duration, class TrafficClass, r Request,
 ) (*http.Request, error) {
--- a/internal/emulator/httpserver.go
+++ b/internal/emulator/httpserver.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Server serves a node on a listener, in some protocol. Stop ends it as the death of a process does: open connections
-// are reset.
+// Server serves a node on a listener. Each implementation supports one protocol. Stop resets all open connections, as a
+// crash of the process does.
 type Server interface {
 	Serve(listener net.Listener) error
 	Stop()
 }
 
-// Names of the headers, or gRPC metadata, that emulated servers read.
+// Names of the HTTP headers or gRPC metadata that emulated servers read.
 const (
 	RequestIDHeader      = "x-request-id"
 	IdempotencyKeyHeader = "idempotency-key"
@@ -25,10 +25,10 @@
 	ExtrasHeader         = "x-extras" // contains work=MICROSECONDS
 )
 
-// maxWorkUS bounds the work of a request, in microseconds.
+// maxWorkUS is the exclusive upper limit of the work of a request, in microseconds.
 const maxWorkUS = 1e9
 
-// WorkFromExtras returns the work that a request states in its extras header, or 0 if there is none that can be used.
+// WorkFromExtras returns the work that a request states in its extras header, or 0 if the header has no valid value.
 func WorkFromExtras(extras string) time.Duration {
 	for field := range strings.SplitSeq(extras, ",") {
 		text, ok := strings.CutPrefix(field, "work=")
@@ -49,7 +49,7 @@
 	effects map[string]Effect
 }
 
-// NewHTTP returns a server of the node; effects are those of the request classes, by name.
+// NewHTTP returns a server of the node. effects has the effects of the request classes, by name.
 func NewHTTP(node *Node, effects map[string]Effect) *HTTP {
 	h := &HTTP{node: node, effects: effects}
 	h.ResettingServer = NewResettingServer(h)
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Effect says what a second execution of a request would do.
+// Effect determines how often a request may be sent and executed.
 type Effect int
 
-// Idempotent requests may be executed any number of times, Keyed ones as well if they carry the same idempotency key,
-// and NonIdempotent ones at most once.
+// Idempotent requests may be executed any number of times. Keyed requests may be sent any number of times with the same
+// idempotency key, since the nodes of a zone discard repeats. NonIdempotent requests may be executed at most once.
 const (
 	Idempotent Effect = iota
 	Keyed
@@ -21,49 +21,50 @@
 
 // Job is a request as it reaches a node.
 type Job struct {
-	ID             string // of the request; all attempts of one call have the same
+	ID             string // request ID, which all attempts of one call share
 	Class          string
 	Effect         Effect
-	IdempotencyKey string // of a keyed request
-	Work           time.Duration
+	IdempotencyKey string        // idempotency key of a keyed request
+	Work           time.Duration // time that the job takes on a core of speed 1
 }
 
 // Reply is the result of a job.
 type Reply int
 
-// The replies. A job that ended with QueueFull or Draining was not executed.
+// Values of Reply. A job that ended with QueueFull or Draining was not executed.
 const (
 	Done               Reply = iota
-	QueueFull                // rejected: too many jobs are waiting
+	QueueFull                // rejected: too many jobs wait or run
 	Draining                 // rejected: the node drains
-	NodeDied                 // the node died, and sends no response
-	ClientDisconnected       // the work was abandoned
+	NodeDied                 // the node died and sends no response
+	ClientDisconnected       // the client disconnected, and the work was abandoned
 	ConnectionBroken         // executed, but the connection breaks before the response
 )
 
-// NodeConfig describes a node's machine.
+// NodeConfig describes a node and its machine.
 type NodeConfig struct {
 	Name, Zone, Kind string
 	Cell             int
-	Speed            float64       // of its core; a job takes Work / Speed
+	Speed            float64       // speed of the core; a job takes Work / Speed
 	Queue            int           // maximum number of jobs that wait or run; 0: 64
 	InitialCapacity  float64       // share of Speed right after the start, if WarmUp is set
-	WarmUp           time.Duration // after the start, until the node has its full speed
-	// OverloadMultiple is how many times the work that a warming node can do in OverloadWindow kills it; 0: none does.
+	WarmUp           time.Duration // time from the start until the node has its full speed
+	// OverloadMultiple limits the work that arrives at a warming node within OverloadWindow, as a multiple of the work
+	// that the node can do in that time. A node that gets more dies. 0: no limit.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
-	DrainGrace       time.Duration // after its drain; a job that arrives later violates a rule
-	Seed             uint64        // of its random decisions
+	DrainGrace       time.Duration // time after the start of a drain, after which a job violates a rule; 0: none does
+	Seed             uint64        // seed of the node's random decisions
 }
 
 const (
-	// defaultQueue is the value of NodeConfig.Queue where that is 0.
+	// defaultQueue is used if NodeConfig.Queue is 0.
 	defaultQueue = 64
-	// nodeStream is the random stream of a node's decisions.
+	// nodeStream selects the random stream of a node's decisions.
 	nodeStream = 0x6e6f6465
-	// speedCheckInterval is how often a running job checks the state of its node and of its client.
+	// speedCheckInterval is how often a running job reads the current speed of its node.
 	speedCheckInterval = 2 * time.Millisecond
-	// minSpeedCheckInterval bounds that interval from below, near the end of a job.
+	// minSpeedCheckInterval is the shortest wait between two readings of the speed, near the end of a job.
 	minSpeedCheckInterval = 50 * time.Microsecond
 )
 
@@ -72,21 +73,21 @@
 type Node struct {
 	NodeConfig
 	rules     *RuleChecker
-	startedAt time.Time     // of its process; zero: long ago
-	createdAt time.Time     // of this object
+	startedAt time.Time     // start of the process; zero for a node that is warm
+	createdAt time.Time     // creation of this object
 	core      chan struct{} // holds a token while the core is idle
 	dead      chan struct{} // closed when the node dies, with mu locked
 
 	mu             sync.Mutex
 	slowFactor     float64   // how many times slower the core is
-	pausedUntil    time.Time // the core does no work until then
-	resetShare     float64   // of the jobs, those that end with ConnectionBroken
+	pausedUntil    time.Time // end of the pause, before which the core does no work
+	resetShare     float64   // share of the jobs that end with ConnectionBroken
 	rng            *rand.Rand
-	drainingSince  time.Time // zero: it does not drain
-	overloaded     bool      // it died of overload while warming up
-	inFlight       int       // jobs that wait or run
+	drainingSince  time.Time // start of the drain; zero if the node does not drain
+	overloaded     bool      // whether the node died of overload while warming up
+	inFlight       int       // number of jobs that wait or run
 	served         int
-	recentArrivals []arrival // while warming up, those of the last OverloadWindow
+	recentArrivals []arrival // arrivals of the last OverloadWindow; only recorded during warm-up
 }
 
 // arrival is a job that reached a node that was warming up.
@@ -95,7 +96,7 @@
 	work time.Duration
 }
 
-// NewNode starts a node. startedAt is when its process started, zero for a node that is warm.
+// NewNode starts a node. startedAt is the start of its process, or zero for a node that is warm.
 func NewNode(config NodeConfig, startedAt time.Time, rules *RuleChecker) *Node {
 	if config.Queue == 0 {
 		config.Queue = defaultQueue
@@ -114,7 +115,7 @@
 	return n
 }
 
-// Do executes a job, and returns when it is done or will not be.
+// Do executes a job. It returns once the job is done or can no longer be done.
 func (n *Node) Do(ctx context.Context, job Job) Reply {
 	if reply, admitted := n.admit(job); !admitted {
 		return reply
@@ -124,7 +125,7 @@
 		n.inFlight--
 		n.mu.Unlock()
 	}()
-	select { // waiting jobs get the core in order of arrival, as the runtime serves receivers
+	select { // the runtime serves receivers in order, so waiting jobs get the core in order of arrival
 	case <-n.core:
 	case <-ctx.Done():
 		return ClientDisconnected
@@ -138,7 +139,7 @@
 	return n.work(ctx, job.Work)
 }
 
-// admit counts a job as in flight, or returns why it is not accepted.
+// admit counts a job as in flight and returns true, or returns false and the reply to a job that is not accepted.
 func (n *Node) admit(job Job) (Reply, bool) {
 	now := time.Now()
 	n.mu.Lock()
@@ -157,7 +158,8 @@
 	return Done, true
 }
 
-// work spends core time, given at speed 1. It stops when the client disconnects or the node dies.
+// work occupies the core for an amount of time, given at speed 1. It returns early if the client disconnects or the
+// node dies.
 func (n *Node) work(ctx context.Context, amount time.Duration) Reply {
 	timer := time.NewTimer(speedCheckInterval)
 	defer timer.Stop()
@@ -183,7 +185,7 @@
 	}
 }
 
-// nextSpeedCheck returns how long to wait before the next check, for a job with remaining seconds of work.
+// nextSpeedCheck returns how long a job with remaining seconds of work waits before it reads the speed again.
 func nextSpeedCheck(remaining, speed float64) time.Duration {
 	if speed <= 0 {
 		return speedCheckInterval
@@ -192,7 +194,7 @@
 	return min(speedCheckInterval, max(untilDone, minSpeedCheckInterval))
 }
 
-// finish ends a job that was executed.
+// finish returns the reply to a job that was executed.
 func (n *Node) finish() Reply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -211,7 +213,8 @@
 	return n.Speed / n.slowFactor * n.capacityShare(now)
 }
 
-// capacityShare returns the share of its full speed that the node has at a time: it grows linearly during warm-up.
+// capacityShare returns the share of its full speed that the node has at a time. The share grows linearly during
+// warm-up.
 func (n *Node) capacityShare(now time.Time) float64 {
 	if n.startedAt.IsZero() || n.WarmUp == 0 {
 		return 1
@@ -220,8 +223,8 @@
 	return min(1, n.InitialCapacity+(1-n.InitialCapacity)*progress)
 }
 
-// checkOverload counts the work sent to a node that is warming up, and kills the node if it is too much. n.mu must be
-// locked.
+// checkOverload counts the work sent to a node that is warming up, and kills the node if the work of the last
+// OverloadWindow exceeds the limit that OverloadMultiple sets. n.mu must be locked.
 func (n *Node) checkOverload(now time.Time, work time.Duration) {
 	share := n.capacityShare(now)
 	if share >= 1 || n.OverloadMultiple == 0 {
@@ -251,35 +254,35 @@
 	}
 }
 
-// die ends the process, once. n.mu must be locked.
+// die ends the process, unless it has already ended. n.mu must be locked.
 func (n *Node) die() {
 	if !n.isDead() {
 		close(n.dead)
 	}
 }
 
-// Slow makes the core slower by a factor of at least 1.
+// Slow divides the speed of the core by a factor. A factor below 1 counts as 1.
 func (n *Node) Slow(factor float64) {
 	n.mu.Lock()
 	n.slowFactor = math.Max(factor, 1)
 	n.mu.Unlock()
 }
 
-// BreakConnections makes a share of the jobs end with a connection that breaks after their execution.
+// BreakConnections makes the connections of a share of the jobs break after their execution.
 func (n *Node) BreakConnections(share float64) {
 	n.mu.Lock()
 	n.resetShare = share
 	n.mu.Unlock()
 }
 
-// Pause stops the core for a while.
+// Pause stops the core for a duration.
 func (n *Node) Pause(d time.Duration) {
 	n.mu.Lock()
 	n.pausedUntil = time.Now().Add(d)
 	n.mu.Unlock()
 }
 
-// Drain makes the node reject new jobs. A job that arrives more than DrainGrace from now violates a rule.
+// Drain makes the node reject new jobs. A job that arrives more than DrainGrace after the first call violates a rule.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	if n.drainingSince.IsZero() {
@@ -305,14 +308,14 @@
 	return n.inFlight
 }
 
-// stateOverloaded is the state of a node that died of overload while warming up, as the operators' pages name it.
+// stateOverloaded is the name, in the operators' pages, of the state of a node that died of overload while warming up.
 const stateOverloaded = "pushed over"
 
 // Status is a node's state at one moment.
 type Status struct {
 	Name, Zone, State string
 	InFlight, Served  int
-	CapacityShare     float64 // of the node's full speed
+	CapacityShare     float64 // share of the node's full speed
 }
 
 // Status returns the state of the node.
@@ -331,7 +334,7 @@
 	}
 }
 
-// state names the state of the node, as the operators' pages do. n.mu must be locked.
+// state returns the name that the operators' pages use for the state of the node. n.mu must be locked.
 func (n *Node) state(now time.Time, capacityShare float64) string {
 	switch {
 	case n.overloaded:
@@ -352,10 +355,10 @@
 	return "serving"
 }
 
-// minRateSeconds bounds the time over which Rate averages from below.
+// minRateSeconds is the shortest time over which Rate averages.
 const minRateSeconds = 0.1
 
-// Rate returns the number of jobs served a second since the node was created.
+// Rate returns the average number of jobs served per second since the node was created.
 func (n *Node) Rate() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -9,8 +9,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// A node gets more than it can take while it warms up. If it lived on, tests would not see that a balancer overloads
-// new endpoints. It dies, and stays dead.
+// A node that receives too much work while it warms up must die. If it survived, tests would not detect a balancer that
+// overloads new endpoints.
 func TestOverloadKillsWarmingNode(t *testing.T) {
 	config := NodeConfig{
 		Name:             "a",
@@ -22,34 +22,34 @@
 		Queue:            1000,
 	}
 	n := NewNode(config, time.Now(), NewRuleChecker())
-	for i := range 9 { // 54 s of work in less than a minute, which 3 x 0.3 permits
+	for i := range 9 { // 54 s of work within a minute, exactly the limit of 3 x 0.3 x 60 s
 		go n.Do(t.Context(), Job{ID: fmt.Sprint(i), Work: 6 * time.Second})
 	}
 	testutil.Until(t, "nine jobs in flight", func() bool { return n.InFlight() == 9 })
 	if s := n.Status(); s.State != "cold" {
-		t.Errorf("state %s", s.State)
+		t.Errorf("state is %q at the limit; want cold", s.State)
 	}
 	if got := n.Do(t.Context(), Job{ID: "one more", Work: 3 * time.Second}); got != NodeDied {
-		t.Errorf("one more job: %v", got)
+		t.Errorf("job beyond the limit ended with reply %v; want NodeDied (%v)", got, NodeDied)
 	}
 	if s := n.Status(); s.State != stateOverloaded {
-		t.Errorf("state %s after the overload", s.State)
+		t.Errorf("state after the overload is %q; want %q", s.State, stateOverloaded)
 	}
 }
 
-// A node works at its speed, on one job at a time, and not for clients that have disconnected.
+// A node executes jobs at its speed, rejects jobs beyond its queue, and abandons the jobs of clients that disconnect.
 func TestNodeWorks(t *testing.T) {
 	n := NewNode(NodeConfig{Name: "a", Speed: 2, Queue: 2}, time.Time{}, NewRuleChecker())
 	start := time.Now()
 	reply := n.Do(t.Context(), Job{ID: "1", Work: 100 * time.Millisecond})
 	if reply != Done || time.Since(start) < 45*time.Millisecond {
-		t.Errorf("100 ms of work at twice the speed took %v", time.Since(start))
+		t.Errorf("100 ms of work at speed 2 took %v, reply %v; want 50 ms, Done", time.Since(start), reply)
 	}
 	n.Slow(4)
 	start = time.Now()
 	reply = n.Do(t.Context(), Job{ID: "2", Work: 50 * time.Millisecond})
 	if reply != Done || time.Since(start) < 90*time.Millisecond {
-		t.Errorf("50 ms at half the speed took %v", time.Since(start))
+		t.Errorf("50 ms of work at speed 0.5 took %v, reply %v; want 100 ms, Done", time.Since(start), reply)
 	}
 	n.Pause(time.Hour)
 	ctx, disconnect := context.WithCancel(t.Context())
@@ -59,16 +59,17 @@
 	}
 	testutil.Until(t, "two jobs in flight", func() bool { return n.InFlight() == 2 })
 	if got := n.Do(t.Context(), Job{ID: "3"}); got != QueueFull {
-		t.Errorf("beyond the queue: %v", got)
+		t.Errorf("job beyond the queue ended with reply %v; want QueueFull (%v)", got, QueueFull)
 	}
 	disconnect()
 	for range 2 {
 		if got := testutil.Receive(t, replies, "the reply"); got != ClientDisconnected {
-			t.Errorf("for a client that disconnected: %v", got)
+			t.Errorf("job of a disconnected client ended with reply %v; want ClientDisconnected (%v)",
+				got, ClientDisconnected)
 		}
 	}
 	n.Die()
 	if got := n.Do(t.Context(), Job{ID: "4"}); got != NodeDied {
-		t.Errorf("after its death: %v", got)
+		t.Errorf("job on a dead node ended with reply %v; want NodeDied (%v)", got, NodeDied)
 	}
 }
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// semanticsByEffect maps the effects of traffic files to the semantics of the platform's settings.
+// semanticsByEffect maps the effects in traffic files to the values of Semantics in the platform's settings.
 var semanticsByEffect = map[string]string{
 	"safe":   "retryable",
 	"keyed":  "dedup",
@@ -10,7 +10,8 @@
 }
 
 // PlatformConfig returns the configuration that the platform would give to a daemon that serves clients of recorded
-// traffic: one core, listening on a loopback address. The endpoint list is empty at first and comes from discovery.
+// traffic. The daemon has one balancer and listens on the address listen. Its endpoint list is empty at first; it gets
+// the list from the service at the address discovery.
 func PlatformConfig(traffic *Traffic, listen, discovery, seed string) ([]byte, error) {
 	type object = map[string]any
 	var classes []object
--- a/internal/emulator/readtraffic.go
+++ b/internal/emulator/readtraffic.go
@@ -39,7 +39,7 @@
 		return nil, lineError(number+1, err)
 	}
 	if number == 0 {
-		return nil, lineError(1, errors.New("no head"))
+		return nil, lineError(1, errors.New("file is empty; want a header"))
 	}
 	return reader.traffic, nil
 }
@@ -71,42 +71,68 @@
 	return nil
 }
 
-// checkRequest checks a request, which has to follow those read so far.
+// checkRequest checks a request that follows those read so far.
 func (r *trafficReader) checkRequest(request Request) error {
 	requests := r.traffic.Requests
 	switch last := len(requests) - 1; {
 	case !r.classes[request.Class]:
-		return fmt.Errorf("class %q is not in the head", request.Class)
-	case !isValidNumber(request.AtMS), !isValidNumber(request.WorkUS), !isValidNumber(request.ExpectedWorkUS):
-		return errors.New("at_ms, work_us or hint_us is negative or too large")
+		return fmt.Errorf("class %q is not defined in the header", request.Class)
+	case !isValidNumber(request.AtMS):
+		return rangeError("at_ms", request.AtMS)
+	case !isValidNumber(request.WorkUS):
+		return rangeError("work_us", request.WorkUS)
+	case !isValidNumber(request.ExpectedWorkUS):
+		return rangeError("hint_us", request.ExpectedWorkUS)
 	case last >= 0 && request.AtMS < requests[last].AtMS:
-		return fmt.Errorf("at_ms %v is before the line above", request.AtMS)
+		return fmt.Errorf("at_ms %v is less than that of the previous request, %v", request.AtMS, requests[last].AtMS)
 	case last+1 >= MaxRequests:
-		return fmt.Errorf("more than %d requests", MaxRequests)
+		return fmt.Errorf("recording has more than %d requests", MaxRequests)
 	}
 	return nil
 }
 
 func isValidNumber(x float64) bool { return x >= 0 && x < maxTrafficNumber }
 
+func rangeError(key string, value float64) error {
+	return fmt.Errorf("%s %v is out of range; want at least 0 and less than %v", key, value, maxTrafficNumber)
+}
+
 // check checks the header and adds the names of its classes to names.
 func (h *TrafficHeader) check(names map[string]bool) error {
-	if h.Format != trafficFormat || h.Version != trafficVersion {
-		return fmt.Errorf("format %q, version %d: want %q, version %d",
-			h.Format, h.Version, trafficFormat, trafficVersion)
+	if h.Format != trafficFormat {
+		return fmt.Errorf("format %q is not supported; want %q", h.Format, trafficFormat)
+	}
+	if h.Version != trafficVersion {
+		return fmt.Errorf("version %d is not supported; want %d", h.Version, trafficVersion)
 	}
 	for _, class := range h.Classes {
-		if names[class.Name] || !class.isValid() {
-			const want = "a name of its own, an effect, aim_ms, deadline_ms, worth and late_share are wanted"
-			return fmt.Errorf("class %q: %s", class.Name, want)
+		if names[class.Name] {
+			return fmt.Errorf("class %q is defined more than once", class.Name)
+		}
+		if err := class.check(); err != nil {
+			return fmt.Errorf("class %q: %w", class.Name, err)
 		}
 		names[class.Name] = true
 	}
 	return nil
 }
 
-// isValid reports whether all fields of a class are set to values that can be used.
-func (c TrafficClass) isValid() bool {
+// check returns an error if a field of the class is missing or out of range.
+func (c TrafficClass) check() error {
 	_, hasEffect := effectNames[c.Effect]
-	return c.Name != "" && hasEffect && c.ObjectiveMS > 0 && c.DeadlineMS > 0 && c.Weight >= 0 && c.LateWeight >= 0
+	switch {
+	case c.Name == "":
+		return errors.New("name is empty")
+	case !hasEffect:
+		return fmt.Errorf("effect %q is unknown; want safe, keyed or unsafe", c.Effect)
+	case c.ObjectiveMS <= 0:
+		return fmt.Errorf("aim_ms is %v; want above 0", c.ObjectiveMS)
+	case c.DeadlineMS <= 0:
+		return fmt.Errorf("deadline_ms is %v; want above 0", c.DeadlineMS)
+	case c.Weight < 0:
+		return fmt.Errorf("worth is %v; want 0 or more", c.Weight)
+	case c.LateWeight < 0:
+		return fmt.Errorf("late_share is %v; want 0 or more", c.LateWeight)
+	}
+	return nil
 }
--- a/internal/emulator/replay.go
+++ b/internal/emulator/replay.go
@@ -10,10 +10,10 @@
 	"hazelwing/internal/load"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request for its client.
 type Outcome int
 
-// The outcomes.
+// Values of Outcome.
 const (
 	Served Outcome = iota
 	Rejected
@@ -21,17 +21,18 @@
 	Unanswered // no final response before the client's deadline
 )
 
-// ResponseGrace is how long after the client's deadline a final response still counts, for delays of sockets.
+// ResponseGrace is how long after the client's deadline a final response still counts. It allows for delays of sockets.
 const ResponseGrace = 70 * time.Millisecond
 
-// RequestFunc carries out one request as a client; number identifies it. The context's deadline is that of the client.
+// RequestFunc sends one request as a client and returns its outcome. number identifies the request. The context's
+// deadline is that of the client.
 type RequestFunc func(ctx context.Context, number int, class TrafficClass, r Request) Outcome
 
 // Report is the result of a replay.
 type Report struct {
 	Sent, Served, WithinObjective, Rejected, Failed, Unanswered int
 
-	Service        float64       // weight served, a late response at LateWeight, over the weight of all requests
+	Service        float64       // share of the total weight that was served; a late response counts LateWeight of it
 	P50, P99, P999 time.Duration // latency of all requests, whatever their outcome
 
 	ServedP50, ServedP99 time.Duration // latency of the requests that were served
@@ -45,12 +46,13 @@
 	servedLatency *load.Histogram
 }
 
-// maxOpen bounds the number of requests that a replay has open. Those beyond are not sent, and count as unanswered.
+// maxOpen limits the number of requests that a replay has in flight. Requests beyond the limit are not sent and count
+// as unanswered.
 const maxOpen = 4096
 
-// Replay sends recorded traffic at its own pace, regardless of the responses, and returns when all requests have ended.
-// A response that arrives more than grace after the client's deadline does not count. The weight of a request is that
-// of its class times its work, as booking sites account for it.
+// Replay sends each request of recorded traffic at its recorded time, regardless of earlier responses, and returns when
+// all requests have ended. A response that arrives more than grace after the client's deadline does not count. The
+// weight of a request is the weight of its class times its work, as in the accounting of booking sites.
 func Replay(ctx context.Context, traffic *Traffic, grace time.Duration, do RequestFunc) *Report {
 	r := &Report{grace: grace, latency: load.NewHistogram(), servedLatency: load.NewHistogram()}
 	classes := map[string]TrafficClass{}
@@ -78,8 +80,8 @@
 // unanswered is the RequestFunc of requests that are not sent.
 func unanswered(context.Context, int, TrafficClass, Request) Outcome { return Unanswered }
 
-// send carries out one request and counts its outcome. Latency counts from the intended time of the request, also where
-// it was sent late.
+// send sends one request and counts its outcome. Latency counts from the intended time of the request, even if the
+// request was sent late.
 func (r *Report) send(
 	ctx context.Context, number int, class TrafficClass, request Request, intended time.Time, do RequestFunc,
 ) {
@@ -131,7 +133,7 @@
 	return r
 }
 
-// reportPrecision is that of the latencies in a printed report.
+// reportPrecision is the precision of the latencies in a printed report.
 const reportPrecision = 100 * time.Microsecond
 
 // String returns the report as the demonstration prints it.
--- a/internal/emulator/resetting.go
+++ b/internal/emulator/resetting.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// headerTimeout bounds how long the emulator's HTTP servers wait for the headers of a request.
+// headerTimeout limits how long the emulator's HTTP servers wait for the headers of a request.
 const headerTimeout = 10 * time.Second
 
-// ResettingServer serves an HTTP handler until Stop, which resets all connections, as the death of a process does.
+// ResettingServer serves an HTTP handler until Stop, which resets all connections, as a crash of the process does.
 type ResettingServer struct {
 	server *http.Server
 
@@ -18,7 +18,7 @@
 	conns map[net.Conn]bool
 }
 
-// NewResettingServer returns a server that does not listen yet.
+// NewResettingServer returns a server of handler. The server accepts no connections before Serve is called.
 func NewResettingServer(handler http.Handler) *ResettingServer {
 	r := &ResettingServer{conns: map[net.Conn]bool{}}
 	r.server = &http.Server{
--- a/internal/emulator/rulechecker.go
+++ b/internal/emulator/rulechecker.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// RuleChecker counts, for a fleet, the executions of requests, and records each violation of the rules: a second
-// execution of a request that is not idempotent or of one idempotency key, and a job that is sent to a node after the
-// grace of its drain. Its methods may be called from any goroutine.
+// RuleChecker counts the executions of the requests of a fleet and records violations of the rules. It detects a second
+// execution of a non-idempotent request or with the same idempotency key, and a job sent to a node after its drain
+// grace. Its methods may be called from any goroutine.
 type RuleChecker struct {
-	IdempotencyWindow time.Duration // for which the nodes of a zone discard repeats of a key
-	DrainSlack        time.Duration // added to a node's DrainGrace, for delays of sockets and of the scheduler
+	IdempotencyWindow time.Duration // time for which the nodes of a zone discard repeats of a key
+	DrainSlack        time.Duration // added to a node's DrainGrace to allow for delays of sockets and of the scheduler
 
 	mu            sync.Mutex
 	executions    map[string]int                  // by request ID
 	keyStartedAt  map[string]map[string]time.Time // by zone and idempotency key
 	keyExecutions map[string]int                  // by idempotency key
-	total         int                             // executions of all requests
+	total         int                             // number of executions of all requests
 	violations    []string
 }
 
 const (
 	defaultIdempotencyWindow = 6 * time.Second
 	defaultDrainSlack        = 50 * time.Millisecond
-	// maxViolations bounds the list of violations; further ones are not recorded.
+	// maxViolations limits the list of violations. Further ones are not recorded.
 	maxViolations = 100
 )
 
-// NewRuleChecker returns a RuleChecker that has seen nothing.
+// NewRuleChecker returns a RuleChecker with default limits, without executions and violations.
 func NewRuleChecker() *RuleChecker {
 	return &RuleChecker{
 		IdempotencyWindow: defaultIdempotencyWindow,
@@ -39,8 +39,9 @@
 	}
 }
 
-// beginExecution counts an execution that begins. It returns false for the repeat of a key that the nodes of the zone
-// remember, which is not executed. Both happen under one lock, since two nodes of a zone may begin at the same moment.
+// beginExecution counts the start of an execution and returns true. It returns false for a keyed job whose key was
+// executed in the zone within IdempotencyWindow; such a repeat is not executed. One lock covers the lookup of the key
+// and the count, since two nodes of a zone may begin an execution at the same moment.
 func (r *RuleChecker) beginExecution(job Job, zone string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +64,8 @@
 	return true
 }
 
-// checkExecutions records a violation if the execution that begins is one too many. r.mu must be locked.
+// checkExecutions records a violation if a job has been executed more often than its effect permits. r.mu must be
+// locked.
 func (r *RuleChecker) checkExecutions(job Job) {
 	executions, keyExecutions := r.executions[job.ID], r.keyExecutions[job.IdempotencyKey]
 	switch {
@@ -74,8 +76,8 @@
 	}
 }
 
-// checkDrain records a violation if a job reaches a node too late after its drain; drainingSince is zero for a node
-// that does not drain.
+// checkDrain records a violation if a job reaches a draining node after the drain grace. drainingSince is zero for a
+// node that does not drain.
 func (r *RuleChecker) checkDrain(node *Node, now, drainingSince time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,14 +96,14 @@
 	}
 }
 
-// ReportViolation records a violation that was detected elsewhere.
+// ReportViolation records a violation that the caller has detected.
 func (r *RuleChecker) ReportViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.addViolation(format, args...)
 }
 
-// Violations returns the violations so far, up to 100.
+// Violations returns the violations recorded so far, at most 100.
 func (r *RuleChecker) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/rulechecker_test.go
+++ b/internal/emulator/rulechecker_test.go
@@ -10,7 +10,7 @@
 	return Job{ID: id, Class: "c", Effect: effect, IdempotencyKey: "k" + id, Work: time.Millisecond}
 }
 
-// The checker detects each violation: otherwise every test that relies on it would pass.
+// The checker must detect each kind of violation. Otherwise the tests that rely on it would pass whatever happens.
 func TestRuleCheckerDetectsViolations(t *testing.T) {
 	ctx := t.Context()
 	newNode := func(name, zone string, rules *RuleChecker) *Node {
@@ -34,7 +34,7 @@
 			a, b := newNode("a", "a", rules), newNode("b", "a", rules)
 			a.Do(ctx, testJob("1", Keyed))
 			if b.Do(ctx, testJob("1", Keyed)) != Done {
-				rules.ReportViolation("the repeat got no response")
+				rules.ReportViolation("repeat in the same zone did not end with Done")
 			}
 		}, ""},
 		"safe twice": {func(rules *RuleChecker) {
@@ -46,7 +46,7 @@
 			a := NewNode(NodeConfig{Name: "a", Speed: 1, DrainGrace: time.Millisecond}, time.Time{}, rules)
 			a.Drain()
 			if a.Do(ctx, testJob("1", Idempotent)) != Draining {
-				rules.ReportViolation("it was not rejected")
+				rules.ReportViolation("draining node did not reject the job")
 			}
 			time.Sleep(defaultDrainSlack + 5*time.Millisecond)
 			a.Do(ctx, testJob("2", Idempotent))
@@ -56,7 +56,7 @@
 		c.do(rules)
 		got := strings.Join(rules.Violations(), "; ")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) || strings.Count(got, ";") > 0 {
-			t.Errorf("%s: %q, want %q", name, got, c.want)
+			t.Errorf("%s: violations are %q; want one that contains %q (empty: none)", name, got, c.want)
 		}
 	}
 }
--- a/internal/emulator/stored_test.go
+++ b/internal/emulator/stored_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A traffic file of version 593ba64 is read completely. This version writes the same bytes again, generates the same
-// traffic from the same seed, and reads a file that it has extended.
+// A traffic file that commit 593ba64 wrote must remain readable. This version must also write the same bytes, generate
+// the same traffic from the same seed, and read the file after it has appended a request.
 func TestTrafficOfEarlierVersion(t *testing.T) {
 	path := filepath.Join("testdata", "version-593ba64", "traffic.jsonl")
 	text, err := os.ReadFile(path)
@@ -23,11 +23,12 @@
 	}
 	if tr.Format != "hazelwing-traffic" || tr.Version != 1 || !slices.Equal(tr.Classes, BookingClasses) ||
 		len(tr.Requests) != 35 {
-		t.Errorf("head %+v, %d requests", tr.TrafficHeader, len(tr.Requests))
+		t.Errorf("header is %+v with %d requests; want BookingClasses and 35 requests",
+			tr.TrafficHeader, len(tr.Requests))
 	}
 	first := Request{AtMS: 64.232, Class: "seat-search", AffinityKey: "u131", WorkUS: 11858, ExpectedWorkUS: 9239}
 	if got := tr.Requests[0]; got != first || got.At() != 64232*time.Microsecond {
-		t.Errorf("first request %+v, want %+v", got, first)
+		t.Errorf("first request is %+v; want %+v", got, first)
 	}
 	effects := map[string]Effect{
 		"seat-search":     Idempotent,
@@ -38,7 +39,7 @@
 	for i, q := range tr.Requests {
 		if effect, ok := effects[q.Class]; !ok || q.AffinityKey == "" || q.WorkUS <= 0 || q.ExpectedWorkUS <= 0 ||
 			tr.Effects()[q.Class] != effect {
-			t.Errorf("request %d: %+v", i+1, q)
+			t.Errorf("request %d is %+v; want a known class, an affinity key, work and expected work", i+1, q)
 		}
 	}
 	for what, made := range map[string]*Traffic{"read": tr, "generated": Generate(3, 15, 2*time.Second)} {
@@ -47,11 +48,11 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(out.Bytes(), text) {
-			t.Errorf("%s traffic is written as\n%s, want\n%s", what, out.Bytes(), text)
+			t.Errorf("%s traffic is written as\n%s\nwant\n%s", what, out.Bytes(), text)
 		}
 	}
 
-	// Extended by a request without a key and expected work, which are then omitted.
+	// A request without an affinity key and expected work is written without these fields.
 	copied := filepath.Join(t.TempDir(), "traffic.jsonl")
 	added := `{"at_ms":2500,"class":"coach-map","work_us":7}` + "\n"
 	tr.Requests = append(tr.Requests, Request{AtMS: 2500, Class: "coach-map", WorkUS: 7})
@@ -66,9 +67,9 @@
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(copied); err != nil || string(got) != string(text)+added {
-		t.Errorf("the extended file is\n%s, %v", got, err)
+		t.Errorf("extended file is\n%s\nerror %v; want the original with the line\n%s", got, err, added)
 	}
 	if again, err := LoadTraffic(copied); err != nil || !slices.Equal(again.Requests, tr.Requests) {
-		t.Errorf("read again: %+v, %v", again, err)
+		t.Errorf("extended file was read as %+v, error %v; want requests %+v", again, err, tr.Requests)
 	}
 }
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Recorded traffic is a file of JSON objects, one a line: first a TrafficHeader, then a Request for each that a client
-// sent, in order of time. docs/operators/traffic.md describes the format.
+// Recorded traffic is a file with one JSON object per line: first a TrafficHeader, then a Request for each request that
+// a client sent, in order of time. docs/operators/traffic.md describes the format.
 
 // TrafficHeader is the first line of recorded traffic.
 type TrafficHeader struct {
@@ -22,25 +22,25 @@
 type TrafficClass struct {
 	Name        string  `json:"name"`
 	Effect      string  `json:"effect"` // safe, keyed, unsafe
-	ObjectiveMS float64 `json:"aim_ms"`
+	ObjectiveMS float64 `json:"aim_ms"` // latency objective
 	DeadlineMS  float64 `json:"deadline_ms"`
 	Weight      float64 `json:"worth"`
-	LateWeight  float64 `json:"late_share"` // share of Weight that a response after the objective has
+	LateWeight  float64 `json:"late_share"` // share of Weight that counts for a response after the objective
 }
 
-// Request is one that a client sent.
+// Request is a request that a client sent.
 type Request struct {
-	AtMS           float64 `json:"at_ms"` // since the start of the recording
+	AtMS           float64 `json:"at_ms"` // time since the start of the recording
 	Class          string  `json:"class"`
-	AffinityKey    string  `json:"key,omitempty"` // names what the request is about
-	WorkUS         float64 `json:"work_us"`       // at speed 1
+	AffinityKey    string  `json:"key,omitempty"` // affinity key, which names the object of the request
+	WorkUS         float64 `json:"work_us"`       // work at speed 1
 	ExpectedWorkUS float64 `json:"hint_us,omitempty"`
 }
 
-// At returns when the request was sent, since the start of the recording.
+// At returns the time from the start of the recording to the request.
 func (r Request) At() time.Duration { return time.Duration(r.AtMS * float64(time.Millisecond)) }
 
-// Traffic is a recording.
+// Traffic is recorded or generated traffic.
 type Traffic struct {
 	TrafficHeader
 	Requests []Request
@@ -49,11 +49,11 @@
 const (
 	trafficFormat  = "hazelwing-traffic"
 	trafficVersion = 1
-	// MaxRequests bounds the number of requests of a recording.
+	// MaxRequests limits the number of requests of a recording.
 	MaxRequests = 10_000_000
-	// maxLineBytes bounds the length of a line.
+	// maxLineBytes limits the length of a line.
 	maxLineBytes = 64 << 10
-	// maxTrafficNumber bounds times and works, in their units.
+	// maxTrafficNumber is the exclusive upper limit of at_ms, work_us and hint_us.
 	maxTrafficNumber = 1e12
 )
 
@@ -69,7 +69,7 @@
 	return out
 }
 
-// Length returns when the last request was sent, since the start of the recording.
+// Length returns the time from the start of the recording to the last request.
 func (t *Traffic) Length() time.Duration {
 	if len(t.Requests) == 0 {
 		return 0
--- a/internal/emulator/traffic_test.go
+++ b/internal/emulator/traffic_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Generated traffic is the same for the same seed and is read as it was written; an error names the line that is not
-// valid.
+// The same seed generates the same traffic, and traffic is read as it was written. The error for an invalid file names
+// the line.
 func TestTraffic(t *testing.T) {
 	generated := Generate(7, 200, 2*time.Second)
 	repeated := Generate(7, 200, 2*time.Second)
@@ -20,10 +20,11 @@
 	read, err := ReadTraffic(&first)
 	if err != nil || len(read.Requests) != len(generated.Requests) || read.Requests[5] != generated.Requests[5] ||
 		len(read.Classes) != 4 {
-		t.Fatalf("%d requests of %d, %v", len(read.Requests), len(generated.Requests), err)
+		t.Fatalf("read %d requests, error %v; want the %d that were written, and 4 classes",
+			len(read.Requests), err, len(generated.Requests))
 	}
 	if count := len(generated.Requests); count < 300 || count > 500 {
-		t.Errorf("%d requests in 2 s at 200 a second", count)
+		t.Errorf("generated %d requests in 2 s at 200 per second; want 300 to 500", count)
 	}
 	header, _, _ := strings.Cut(text, "\n")
 	const coachMapAt9 = "\n{\"class\":\"coach-map\",\"at_ms\":9}\n"
@@ -31,7 +32,7 @@
 		text string
 		want string
 	}{
-		{"", "line 1: no head"},
+		{"", "line 1: file is empty"},
 		{"{", "line 1"},
 		{strings.Replace(header, `"version":1`, `"version":2`, 1), "version 2"},
 		{strings.Replace(header, "unsafe", "odd", 1), `"confirm-booking"`},
@@ -43,7 +44,7 @@
 		{header + coachMapAt9 + strings.Repeat("x", maxLineBytes+1) + "\n", "line 3"},
 	} {
 		if _, err := ReadTraffic(strings.NewReader(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%.60q: %v, want %q", c.text, err, c.want)
+			t.Errorf("file %.60q: error %v; want one that contains %q", c.text, err, c.want)
 		}
 	}
 }
