--- a/internal/emulator/dnsserver/dnsserver.go
+++ b/internal/emulator/dnsserver/dnsserver.go
@@ -1,5 +1,5 @@
-// Package dnsserver is an emulated DNS server on loopback, over UDP and TCP, which responds as a test specifies and so
-// can misbehave on purpose.
+// Package dnsserver is an emulated DNS server on loopback, over UDP and TCP. Tests specify its responses, which may be
+// invalid or missing.
 package dnsserver
 
 import (
@@ -12,16 +12,17 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// maxDatagramBytes is the size of the buffer for queries over UDP.
+// maxDatagramBytes is the size in bytes of the buffer for queries over UDP.
 const maxDatagramBytes = 64 << 10
 
-// ReplyFunc returns the packed messages that respond to a query; with none, the server does not respond. Over UDP each
-// is sent in a datagram of its own, over TCP only the first is sent. The goroutines of the server call it.
+// ReplyFunc returns the packed messages that respond to a query. If it returns none, the server does not respond. Over
+// UDP, each message is sent in a datagram of its own; over TCP, only the first message is sent. The goroutines of the
+// server call the function.
 type ReplyFunc func(query dnsmessage.Message, tcp bool) [][]byte
 
 // Server is an emulated DNS server. Its methods may be called from any goroutine.
 type Server struct {
-	Addr string // the same for UDP and TCP
+	Addr string // address, the same for UDP and TCP
 
 	udp   net.PacketConn
 	tcp   net.Listener
@@ -65,7 +66,7 @@
 	return s.queries
 }
 
-// Close ends the server and waits for its goroutines.
+// Close stops the server and waits for its goroutines.
 func (s *Server) Close() {
 	_ = s.udp.Close()
 	_ = s.tcp.Close()
@@ -93,12 +94,12 @@
 			return
 		}
 		for _, response := range s.respond(buffer[:n], false) {
-			_, _ = s.udp.WriteTo(response, from) // a lost datagram is for the client to notice
+			_, _ = s.udp.WriteTo(response, from) // clients have to handle lost datagrams anyway
 		}
 	}
 }
 
-// serveTCP serves one connection after the other, with one query each.
+// serveTCP serves connections one after the other, and one query per connection.
 func (s *Server) serveTCP() {
 	for {
 		conn, err := s.tcp.Accept()
@@ -153,7 +154,7 @@
 	}
 }
 
-// Pack returns the wire form of a message. It panics on a message that cannot be packed, which is an error of the test.
+// Pack returns the wire format of a message. It panics if the message cannot be packed, which is a mistake in the test.
 func Pack(message dnsmessage.Message) []byte {
 	packed, err := message.Pack()
 	if err != nil {
--- a/internal/emulator/faultfs/faultfs.go
+++ b/internal/emulator/faultfs/faultfs.go
@@ -1,5 +1,5 @@
-// Package faultfs is a file system in memory that fails as disks do: a crash at any byte and between any two
-// operations, loss of writes and directory changes that were not synced, torn sectors, a full disk, failing writes and
+// Package faultfs is a file system in memory that emulates the faults of disks: a crash at any byte and between any two
+// operations, loss of writes and directory changes that were not synced, torn sectors, a full disk, failed writes and
 // syncs, and flipped bits. Random decisions are seeded.
 package faultfs
 
@@ -16,30 +16,31 @@
 	"hazelwing/internal/store"
 )
 
-// ErrCrashed is returned by every call after the crash.
-var ErrCrashed = errors.New("faultfs: the machine has stopped")
+// ErrCrashed is returned after the crash by Open, by List and by every call that changes the disk.
+var ErrCrashed = errors.New("faultfs: emulated machine has crashed")
 
-// sectorBytes is the size of a sector, which a disk writes completely or not at all.
+// sectorBytes is the size in bytes of a sector, which a disk writes completely or not at all.
 const sectorBytes = 512
 
 // FS is one directory of an emulated disk. Its methods may be called from any goroutine; the exported fields are set
 // before its first use, or by Update.
 type FS struct {
 	mu      sync.Mutex        // guards all fields
-	files   map[string]*inode // as programs see them
-	durable map[string]*inode // as of the last SyncDir
+	files   map[string]*inode // files as programs see them
+	durable map[string]*inode // files as of the last SyncDir
 	locked  bool
 	crashed bool
-	used    int64 // bytes
+	used    int64 // bytes in use
 
-	// CrashAfter is the number of steps until the crash; -1: none. A byte written is a step, and so is each other call
-	// that changes the disk.
+	// CrashAfter is the number of steps until the crash; -1: none. Each byte written is a step, and so is each other
+	// call that changes the disk.
 	CrashAfter int64
 	// Steps is the number of steps so far.
 	Steps int64
 	// Capacity is the size of the disk in bytes; -1: unlimited.
 	Capacity int64
-	// FailSyncs, FailWrites and FailRemoves are how many of the next calls fail with EIO.
+	// FailSyncs, FailWrites and FailRemoves are the numbers of the next calls of Sync, Write and Remove that fail with
+	// EIO.
 	FailSyncs, FailWrites, FailRemoves int
 	// SyncTime is how long a Sync takes.
 	SyncTime time.Duration
@@ -47,12 +48,12 @@
 
 // inode is the content of a file.
 type inode struct {
-	data   []byte // as programs see it
-	synced []byte // what is certain to be on the disk
-	lost   []span // written before a sync that failed, and never durable
+	data   []byte // content as programs see it
+	synced []byte // content that is certain to be on the disk
+	lost   []span // ranges written before a failed sync, which never become durable
 }
 
-// span is a range of a file: from is its first byte, to the first one after it.
+// span is the range of the bytes of a file from the offset from up to but not including the offset to.
 type span struct{ from, to int }
 
 // New returns an empty directory on a disk that does not fail.
@@ -60,7 +61,7 @@
 	return &FS{files: map[string]*inode{}, durable: map[string]*inode{}, CrashAfter: -1, Capacity: -1}
 }
 
-// step takes n steps, or as many as remain until the crash, and returns their number. f.mu must be locked.
+// step counts n steps, or as many as remain until the crash, and returns the number counted. f.mu must be locked.
 func (f *FS) step(n int64) (int64, error) {
 	if f.crashed {
 		return 0, ErrCrashed
@@ -89,7 +90,7 @@
 	return &file{f, f.files[name]}, nil
 }
 
-// Open opens a file that exists.
+// Open opens an existing file.
 func (f *FS) Open(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// List returns the names of the files in order.
+// List returns the names of the files in ascending order.
 func (f *FS) List() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,7 +171,7 @@
 	inode *inode
 }
 
-// ReadAt is io.ReaderAt's.
+// ReadAt implements io.ReaderAt.
 func (f *file) ReadAt(b []byte, offset int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
@@ -185,7 +186,7 @@
 }
 
 // Write appends to the file. A write that fails with EIO has written half of b, one that fails with ENOSPC as much as
-// fits on the disk, and one during the crash what came before it.
+// fits on the disk, and one that fails because of the crash the bytes before the crash.
 func (f *file) Write(b []byte) (int, error) {
 	fs := f.fs
 	fs.mu.Lock()
@@ -208,7 +209,7 @@
 	return int(n), errors.Join(err, errFull)
 }
 
-// Sync makes the content durable, but for what was written before a sync that failed.
+// Sync makes the content durable, except for the bytes that were written before a failed sync.
 func (f *file) Sync() error {
 	f.fs.mu.Lock()
 	wait := f.fs.SyncTime
@@ -253,10 +254,11 @@
 	return int64(len(f.inode.data)), nil
 }
 
-// Close does nothing: open files need no resources.
+// Close does nothing: open files hold no resources.
 func (f *file) Close() error { return nil }
 
-// AfterKill returns the directory that a new process finds after the old one was killed: all that it had written.
+// AfterKill returns the directory that a new process finds after the old process was killed. It has all data that the
+// old process wrote.
 func (f *FS) AfterKill() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -267,8 +269,8 @@
 	return after
 }
 
-// AfterPowerLoss returns the directory that is on the disk after a loss of power: any part of what was not synced, in
-// any order of sectors and names, where the last sector may be torn.
+// AfterPowerLoss returns the directory that is on the disk after a loss of power. It has a random part of the sectors
+// and names that were not synced, whatever their order. The last sector may be torn.
 func (f *FS) AfterPowerLoss(rng *rand.Rand) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -292,7 +294,7 @@
 	return after
 }
 
-// afterPowerLoss returns the content of a file after a loss of power.
+// afterPowerLoss returns the content of a file after a loss of power, with random parts of what was not synced.
 func (i *inode) afterPowerLoss(rng *rand.Rand) []byte {
 	if len(i.data) <= len(i.synced) { // nothing was added, but the file may have been truncated
 		if rng.IntN(2) == 0 {
@@ -328,10 +330,10 @@
 	f.files[name].data[offset] ^= 1 << bit
 }
 
-// Truncate shortens a file, durably.
+// Truncate shortens a file and makes the change durable.
 func (f *FS) Truncate(name string, size int64) { f.SetContent(name, f.Content(name)[:size]) }
 
-// SetContent sets the durable content of a file, which need not exist.
+// SetContent sets the durable content of a file. The file need not exist.
 func (f *FS) SetContent(name string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/emulator/gqlnode/claims.go
+++ b/internal/emulator/gqlnode/claims.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// Execution is what a response says about the execution of a mutation.
+// Execution is the result of a mutation that a response states.
 type Execution string
 
-// The values of Execution.
+// Values of Execution.
 const (
 	Executed    Execution = "ran"
 	NotExecuted Execution = "never"
-	Unknown     Execution = "open" // it may have been executed
+	Unknown     Execution = "open" // the mutation may have been executed
 )
 
-// executionByCode maps the codes of errors in a response of the daemon.
+// executionByCode maps the error codes in responses of the daemon to the results that they state.
 var executionByCode = map[string]Execution{
 	"REFUSED":      NotExecuted,
 	"NOT_STARTED":  NotExecuted,
@@ -23,14 +23,14 @@
 	"EXECUTED":     Executed,
 }
 
-// Claim is what a response says about the mutation with a token.
+// Claim is the statement of a response about the mutation with a token.
 type Claim struct {
 	Token     string
 	Execution Execution
 }
 
-// Contradicts reports whether the number of executions that the nodes counted contradicts the claim, or is more than
-// any mutation may have.
+// Contradicts reports whether the claim contradicts the number of executions that the nodes counted. More than one
+// execution contradicts any claim, since no mutation may be executed twice.
 func (c Claim) Contradicts(executions int) bool {
 	return executions > 1 ||
 		c.Execution == Executed && executions != 1 ||
@@ -52,15 +52,16 @@
 	} `json:"Extensions"`
 }
 
-// ReadClaims returns what a response says about each mutation of one operation. It returns an error if the response is
-// not valid, or says nothing or several things about a mutation.
+// ReadClaims returns the claims of a response to one operation, one for each mutation. tokens has the tokens of the
+// mutations, whose aliases are m0, m1 and so on. ReadClaims returns an error if the response is not valid, or if it
+// states no result or several results of a mutation.
 func ReadClaims(body json.RawMessage, tokens []string) (claims []Claim, err error) {
 	var r response
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, err
 	}
 	if r.Data == nil && len(r.Errors) == 0 {
-		return nil, fmt.Errorf("neither data nor errors: %s", body)
+		return nil, fmt.Errorf("response has neither data nor errors: %s", body)
 	}
 	for i, token := range tokens {
 		alias := fmt.Sprint("m", i)
@@ -70,7 +71,7 @@
 		}
 		if execution == "" {
 			if len(r.Errors) == 0 {
-				return nil, fmt.Errorf("%s: nothing is said of it: %s", alias, body)
+				return nil, fmt.Errorf("response states no result of mutation %s: %s", alias, body)
 			}
 			execution = Unknown // a node responded with null data
 		}
@@ -79,7 +80,7 @@
 	return claims, nil
 }
 
-// executionOf returns what the response says about the root field with an alias, or "" if it says nothing.
+// executionOf returns the result that the response states for the root field with an alias, or "" if it states none.
 func (r response) executionOf(alias string) (execution Execution, err error) {
 	if value, ok := r.Data[alias]; ok && string(value) != "null" {
 		execution = Executed
@@ -89,8 +90,11 @@
 			continue
 		}
 		byCode := executionByCode[e.Extensions.Code]
-		if byCode == "" || execution != "" {
-			return "", fmt.Errorf("%s: %q after %q", alias, byCode, execution)
+		if byCode == "" {
+			return "", fmt.Errorf("mutation %s has an error with the unknown code %q", alias, e.Extensions.Code)
+		}
+		if execution != "" {
+			return "", fmt.Errorf("response states two results of mutation %s: %q and %q", alias, execution, byCode)
 		}
 		execution = byCode
 	}
--- a/internal/emulator/gqlnode/faults.go
+++ b/internal/emulator/gqlnode/faults.go
@@ -10,22 +10,23 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// FaultShares are shares of the requests that a node responds to with a fault, after their execution unless said
-// otherwise. Their sum is at most 1.
+// FaultShares are the shares of the requests that end with a fault. All faults except ResetBefore happen after the
+// execution of the request. The sum of the shares is at most 1.
 type FaultShares struct {
 	ResetBefore float64 // the connection is reset before the execution
 	ResetAfter  float64 // the connection is reset before the response
 	Truncate    float64 // the connection is reset after half of the response
-	OmitFields  float64 // the JSON is complete but lacks half of the fields
-	WrongAlias  float64 // the first field has an alias that the request does not have
+	OmitFields  float64 // the response is valid JSON but lacks half of the root fields
+	WrongAlias  float64 // the first root field has an alias that the request does not have
 	NullData    float64 // data is null, with an error
 	InvalidJSON float64 // the response is not JSON
 }
 
-// faultDraw is a random number in [0, 1) from which the shares of faults are taken one after the other.
+// faultDraw selects at most one fault for a request. x is a random number in [0, 1), from which the shares of the
+// faults are subtracted one after the other.
 type faultDraw struct{ x float64 }
 
-// selects reports whether the number is in the next interval, which has the width of share.
+// selects subtracts the share of the next fault and reports whether that fault is selected.
 func (d *faultDraw) selects(share float64) bool {
 	d.x -= share
 	return d.x < 0 && d.x >= -share && share > 0
@@ -37,7 +38,8 @@
 	return &faultDraw{s.rng.Float64()}
 }
 
-// writeResponse writes a response, or the fault that was drawn. Writes fail once the client has disconnected.
+// writeResponse writes a response, with the fault that the draw selects. Errors of writes are ignored: they occur only
+// after the client has disconnected.
 func (s *server) writeResponse(w http.ResponseWriter, draw *faultDraw, op *ast.OperationDefinition, response []byte) {
 	shares := s.faults
 	switch {
@@ -68,13 +70,13 @@
 	var complete struct {
 		Data map[string]json.RawMessage `json:"Data"`
 	}
-	_ = json.Unmarshal(response, &complete) // the node has encoded it
+	_ = json.Unmarshal(response, &complete) // cannot fail: the node has encoded the response
 	remaining := len(complete.Data) / 2
 	for key := range complete.Data {
 		if len(complete.Data) > remaining {
 			delete(complete.Data, key)
 		}
 	}
-	partial, _ := json.Marshal(map[string]any{"data": complete.Data}) // cannot fail, as above
+	partial, _ := json.Marshal(map[string]any{"data": complete.Data}) // cannot fail: the values were decoded from JSON
 	return partial
 }
--- a/internal/emulator/gqlnode/gqlnode.go
+++ b/internal/emulator/gqlnode/gqlnode.go
@@ -1,5 +1,5 @@
-// Package gqlnode serves emulated nodes by GraphQL over HTTP: they validate and execute documents on a schema of seats,
-// coaches, bookings and payments, count each mutation that they execute, and inject faults into their responses.
+// Package gqlnode serves emulated nodes by GraphQL over HTTP. The nodes validate and execute documents on a schema of
+// seats, coaches, bookings and payments, count each mutation that they execute, and inject faults into their responses.
 package gqlnode
 
 import (
@@ -31,11 +31,11 @@
 
 const (
 	responseType = "application/graphql-response+json"
-	// faultStream is the random stream of a node's faults.
+	// faultStream selects the random stream of a node's faults.
 	faultStream = 0x67716c
 )
 
-// New returns a function that makes servers of nodes, which inject faults.
+// New returns a function that creates the servers of nodes. The servers inject faults.
 func New(faults FaultShares) func(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 	schema := gqlparser.MustLoadSchema(&ast.Source{Name: "booking.graphql", Input: SDL})
 	return func(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
@@ -51,7 +51,7 @@
 	}
 }
 
-// server serves a node.
+// server serves a node by GraphQL.
 type server struct {
 	*emulator.ResettingServer
 	node    *emulator.Node
@@ -101,8 +101,8 @@
 	}
 }
 
-// serveBatch executes a batch, whose requests have IDs of their own and no idempotency keys. If one is rejected, so is
-// the batch.
+// serveBatch executes a batch, whose requests have their own IDs and no idempotency keys. If one request is rejected,
+// the whole batch is rejected.
 func (s *server) serveBatch(w http.ResponseWriter, r *http.Request, body []byte, id string) {
 	var batch []json.RawMessage
 	if err := json.Unmarshal(body, &batch); err != nil {
@@ -122,7 +122,7 @@
 	_, _ = w.Write(append(array, ']')) // fails once the client has disconnected
 }
 
-// execute executes one request. If it does not, it writes the HTTP response itself and returns a nil operation.
+// execute executes one request. If it cannot, it writes the HTTP response itself and returns a nil operation.
 func (s *server) execute(
 	w http.ResponseWriter, r *http.Request, body []byte, id, key string,
 ) ([]byte, *ast.OperationDefinition) {
@@ -182,7 +182,8 @@
 	return parsedRequest{document, op, variables}, nil
 }
 
-// jobOf returns the job of a request, with the work that its header and the arguments of its root fields state.
+// jobOf returns the job of a request. Its work is the sum of the work in the extras header and in the arguments of the
+// root fields.
 func (s *server) jobOf(r *http.Request, parsed parsedRequest) emulator.Job {
 	class := r.Header.Get(emulator.ClassHeader)
 	effect := s.effects[class]
@@ -206,7 +207,7 @@
 	return job
 }
 
-// writeBadRequest rejects a request that is not valid.
+// writeBadRequest responds to a request that is not valid.
 func writeBadRequest(w http.ResponseWriter, message string) {
 	w.Header().Set("Content-Type", responseType)
 	w.WriteHeader(http.StatusBadRequest)
--- a/internal/emulator/gqlnode/requests.go
+++ b/internal/emulator/gqlnode/requests.go
@@ -17,7 +17,8 @@
 	{Name: "pay", Effect: "keyed", ObjectiveMS: 1000, DeadlineMS: 8000, Weight: 1, LateWeight: 0.5},
 }
 
-// OperatorConfig is the part of an operator's file for the schema. LISTEN and SCHEMA stand for an address and a file.
+// OperatorConfig is the section of an operator's file for the schema. LISTEN and SCHEMA are placeholders for an address
+// and the name of a file.
 const OperatorConfig = `[graphql]
 listen = "LISTEN"
 schema = "SCHEMA"
@@ -42,7 +43,7 @@
 key = "input.key"
 `
 
-// searchDocument is a seat search and a coach map.
+// searchDocument is a query document with a seat search and a coach map.
 const searchDocument = `query Q($t: ID!) { seats(train: $t, work: 500) { id coach { number } } ` +
 	`c: coach(id: "c", work: 500) { ...C } items { __typename } } fragment C on Coach { id seats { id } }`
 
@@ -51,8 +52,8 @@
 	return map[string]any{"query": searchDocument, "variables": map[string]any{"t": train}}
 }
 
-// RandomRequest draws a request: a query, some mutations, or a batch of both. number is part of all tokens. tokens has,
-// for each operation of the request, those of its mutations m0, m1 and so on.
+// RandomRequest draws a request: a query, some mutations, or a batch of both. number is part of all tokens. For each
+// operation of the request, tokens has the tokens of its mutations, whose aliases are m0, m1 and so on.
 func RandomRequest(rng *rand.Rand, number int) (body []byte, tokens [][]string) {
 	if rng.IntN(3) > 0 {
 		operation, operationTokens := randomOperation(rng, number, 0)
@@ -67,7 +68,7 @@
 	return encode(batch), tokens
 }
 
-// randomOperation draws one operation of a request; index is its place there.
+// randomOperation draws one operation of a request. index is its position in the batch.
 func randomOperation(rng *rand.Rand, number, index int) (operation map[string]any, tokens []string) {
 	if rng.IntN(3) == 0 {
 		return SearchQuery(fmt.Sprint("T", number)), nil
@@ -86,7 +87,7 @@
 	return map[string]any{"query": document}, tokens
 }
 
-// encode encodes a request, which is made of strings and so cannot fail.
+// encode returns the JSON of a request. It cannot fail, since requests consist of maps, lists and strings.
 func encode(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/emulator/gqlnode/resolve.go
+++ b/internal/emulator/gqlnode/resolve.go
@@ -13,13 +13,14 @@
 	errOnPurpose   = errors.New("it fails on purpose")
 )
 
-// root resolves the root fields. All values are made of the arguments, so that nodes differ by their name only.
+// root resolves the root fields. All values are derived from the arguments, so that the responses of two nodes differ
+// only in the node's name.
 type root struct {
 	operation ast.Operation
 	node      string
 }
 
-// Type is exec.Object's.
+// Type implements exec.Object.
 func (r root) Type() string {
 	if r.operation == ast.Mutation {
 		return "Mutation"
@@ -27,7 +28,7 @@
 	return "Query"
 }
 
-// Resolve is exec.Object's.
+// Resolve implements exec.Object.
 func (r root) Resolve(field string, args map[string]any) (any, error) {
 	arg := func(name string) string { return fmt.Sprint(args[name]) }
 	switch field {
@@ -56,13 +57,14 @@
 	return nil, errNoSuchField
 }
 
-// object is an object of any type; all of its fields follow from its ID.
+// object is an object of any type. Its fields are derived from its ID, except for the field by, which is the name of
+// the node.
 type object struct{ typeName, id, node string }
 
-// Type is exec.Object's.
+// Type implements exec.Object.
 func (o object) Type() string { return o.typeName }
 
-// Resolve is exec.Object's.
+// Resolve implements exec.Object.
 func (o object) Resolve(field string, _ map[string]any) (any, error) {
 	switch field {
 	case "id":
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -1,6 +1,6 @@
 // Package grpcnode serves emulated nodes over gRPC. The service uses well-known messages only
 // (google.protobuf.StringValue), so that it needs no generated code: /booking.v1.Booking/Do is unary, and
-// /booking.v1.Booking/Follow streams as many messages as its request has letters.
+// /booking.v1.Booking/Follow streams one message for each character of its request.
 package grpcnode
 
 import (
@@ -43,18 +43,18 @@
 // FollowDesc describes the streaming method.
 var FollowDesc = grpc.StreamDesc{StreamName: "Follow", ServerStreams: true}
 
-// server serves a node.
+// server serves a node over gRPC.
 type server struct {
 	node    *emulator.Node
 	effects map[string]emulator.Effect
 	grpc    *grpc.Server
 
 	mu    sync.Mutex
-	conns []net.Conn // all accepted so far
+	conns []net.Conn // all connections accepted so far
 }
 
-// New returns the server of a node; effects are those of the request classes, by name. It serves grpc.health.v1 as
-// well, and reports the jobs in flight by ORCA (named metric "queue").
+// New returns the server of a node. effects has the effects of the request classes, by name. The server also serves
+// grpc.health.v1, and reports the number of jobs in flight by ORCA (named metric "queue").
 func New(n *emulator.Node, effects map[string]emulator.Effect) emulator.Server {
 	s := &server{node: n, effects: effects}
 	s.grpc = grpc.NewServer(orca.CallMetricsServerOption(nil), grpc.ChainUnaryInterceptor(s.reportLoadOfCall))
@@ -74,7 +74,7 @@
 	server *server
 }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
@@ -85,12 +85,12 @@
 	return conn, err
 }
 
-// Serve is emulator.Server's.
+// Serve implements emulator.Server.
 func (s *server) Serve(listener net.Listener) error {
 	return s.grpc.Serve(trackingListener{listener, s})
 }
 
-// Stop is emulator.Server's: it resets all connections.
+// Stop implements emulator.Server. It resets all connections.
 func (s *server) Stop() {
 	s.mu.Lock()
 	for _, conn := range s.conns {
@@ -100,7 +100,7 @@
 	s.grpc.Stop()
 }
 
-// resetConn resets a TCP connection. Both calls fail on one that is closed already.
+// resetConn resets a TCP connection. Errors are ignored: both calls fail only if the connection is closed already.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -108,7 +108,7 @@
 	}
 }
 
-// resetConnOf resets the connection of a call, with all other calls on it.
+// resetConnOf resets the connection of a call, which also ends all other calls on it.
 func (s *server) resetConnOf(ctx context.Context) {
 	client, ok := peer.FromContext(ctx)
 	if !ok {
@@ -123,7 +123,7 @@
 	}
 }
 
-// reportLoadOfCall is an interceptor that adds the load report to every response, those of grpc.health.v1 included.
+// reportLoadOfCall is an interceptor that adds the load report to every response, including those of grpc.health.v1.
 func (s *server) reportLoadOfCall(
 	ctx context.Context, req any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler,
 ) (any, error) {
@@ -131,8 +131,8 @@
 	return handler(ctx, req)
 }
 
-// reportLoad adds the load report to the response of a call. weighted_round_robin reads queries per second and
-// utilization of it.
+// reportLoad adds the load report to the response of a call. The policy weighted_round_robin reads the queries per
+// second and the utilization from the report.
 func (s *server) reportLoad(ctx context.Context) {
 	recorder := orca.CallMetricsRecorderFromContext(ctx)
 	if recorder == nil {
@@ -144,7 +144,7 @@
 	recorder.SetQPS(max(minQPS, s.node.Rate()))
 }
 
-// firstValue returns the first value of a name in metadata, or "".
+// firstValue returns the first value of a name in metadata, or "" if there is none.
 func firstValue(md metadata.MD, name string) string {
 	if values := md.Get(name); len(values) > 0 {
 		return values[0]
@@ -152,7 +152,7 @@
 	return ""
 }
 
-// execute executes the job of a call on the node. It returns the status of a call whose job was not done.
+// execute executes the job of a call on the node. It returns nil if the job was done, otherwise the status of the call.
 func (s *server) execute(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	job := emulator.Job{
@@ -168,10 +168,10 @@
 	job.Effect = effect
 	switch s.node.Do(ctx, job) {
 	case emulator.QueueFull, emulator.Draining:
-		_ = grpc.SetTrailer(ctx, metadata.Pairs(NotRunTrailer, "1")) // ctx is that of a call
+		_ = grpc.SetTrailer(ctx, metadata.Pairs(NotRunTrailer, "1")) // fails only if ctx is not that of a call
 		return status.Error(codes.Unavailable, "turned away")
 	case emulator.NodeDied:
-		<-ctx.Done() // Stop is about to reset the connection, and no response may precede it
+		<-ctx.Done() // Stop is about to reset the connection, and no response may be sent before that
 		return status.Error(codes.Unavailable, "dying")
 	case emulator.ConnectionBroken:
 		s.resetConnOf(ctx)
@@ -182,7 +182,8 @@
 	return nil
 }
 
-// do handles the unary method. grpc calls it with the interceptors of the server chained: ORCA's and reportLoadOfCall.
+// do handles the unary method. interceptor is the chain of the server's interceptors, which are that of ORCA and
+// reportLoadOfCall.
 func (s *server) do(
 	_ any, ctx context.Context, decode func(any) error, interceptor grpc.UnaryServerInterceptor,
 ) (any, error) {
@@ -199,7 +200,7 @@
 	return interceptor(ctx, in, &grpc.UnaryServerInfo{Server: s, FullMethod: DoMethod}, handler)
 }
 
-// follow handles the streaming method: each message is a job of its own.
+// follow handles the streaming method. It executes a job for each message that it sends.
 func (s *server) follow(_ any, stream grpc.ServerStream) error {
 	in := new(wrapperspb.StringValue)
 	if err := stream.RecvMsg(in); err != nil {
--- a/internal/emulator/rawh2/rawh2.go
+++ b/internal/emulator/rawh2/rawh2.go
@@ -1,6 +1,6 @@
-// Package rawh2 is a gRPC server written frame by frame, for what has to happen at a moment that a test chooses: it
-// refuses streams, sends GOAWAY below an open stream, does not read, or closes the connection after it has read a
-// complete request (RFC 9113; gRPC over HTTP/2).
+// Package rawh2 is a gRPC server that tests control at the level of HTTP/2 frames, for faults at an exact moment. It
+// can refuse streams, send GOAWAY with a last stream ID below that of an open stream, stop reading, or close the
+// connection after it has read a complete request (RFC 9113; gRPC over HTTP/2).
 package rawh2
 
 import (
@@ -14,11 +14,11 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// headerTableBytes is the size of the table for header compression (RFC 7541, 4.2).
+// headerTableBytes is the size in bytes of the table for header compression (RFC 7541, 4.2).
 const headerTableBytes = 4096
 
-// Server accepts connections until Close. It calls the function given to New for each stream once its headers have been
-// read, and again for each DATA frame of it, in the goroutine of the connection.
+// Server accepts connections until Close. For each stream it calls the function given to New once the headers have been
+// read, and again after each DATA frame, in the goroutine of the connection.
 type Server struct {
 	listener   net.Listener
 	serve      func(s *Stream)
@@ -30,10 +30,10 @@
 	conns map[net.Conn]bool
 }
 
-// Option changes a server.
+// Option configures a server.
 type Option func(*Server)
 
-// MaxStreams sets the maximum number of concurrent streams that the server announces; 0: none is announced.
+// MaxStreams sets the maximum number of concurrent streams that the server announces; 0: no limit is announced.
 func MaxStreams(n uint32) Option { return func(s *Server) { s.maxStreams = n } }
 
 // OnReset sets a function that is called when a client resets a stream, in the goroutine of the connection.
@@ -67,7 +67,7 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the server and all connections, and waits for their goroutines.
+// Close stops the server, closes all connections and waits for their goroutines.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// serveConn reads the frames of a connection until it ends.
+// serveConn reads and handles the frames of a connection until it ends.
 func (s *Server) serveConn(netConn net.Conn) {
 	defer func() { _ = netConn.Close() }()
 	preface := make([]byte, len(http2.ClientPreface))
@@ -114,7 +114,8 @@
 	}
 }
 
-// handleFrame responds to a frame of the connection, or passes it to its stream.
+// handleFrame responds to a frame that concerns the connection, or updates the stream of the frame and calls the
+// server's function for it.
 func (s *Server) handleFrame(c *conn, streams map[uint32]*Stream, frame http2.Frame) {
 	switch frame := frame.(type) {
 	case *http2.SettingsFrame:
@@ -142,8 +143,8 @@
 	}
 }
 
-// conn is a connection. Its goroutine alone reads frames; any goroutine may write them, since the connection's own
-// acknowledges pings while tests write to streams.
+// conn is a connection. Only the goroutine of serveConn reads frames. Any goroutine may write frames, since that of
+// serveConn acknowledges pings while tests write to streams.
 type conn struct {
 	netConn net.Conn
 	framer  *http2.Framer
@@ -157,7 +158,8 @@
 	return &conn{netConn: netConn, framer: framer}
 }
 
-// write writes a frame. A write fails once the connection has ended, which its reads notice as well.
+// write calls do to write a frame. The error is ignored: a write fails only after the connection has ended, and then
+// reads fail too.
 func (c *conn) write(do func(f *http2.Framer) error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/internal/emulator/rawh2/stream.go
+++ b/internal/emulator/rawh2/stream.go
@@ -8,7 +8,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// messageHeaderBytes is the size of what precedes a gRPC message: a compression flag and the length in four bytes.
+// messageHeaderBytes is the size of the header of a gRPC message: a compression flag and the length in four bytes.
 const messageHeaderBytes = 5
 
 // Stream is a stream that a client opened. The goroutine of the connection sets its fields; the methods may be called
@@ -17,8 +17,8 @@
 	ID        uint32
 	Path      string
 	RequestID string
-	Data      []byte // of the DATA frames so far
-	Complete  bool   // the last DATA frame has been read
+	Data      []byte // content of the DATA frames read so far
+	Complete  bool   // whether the last DATA frame has been read
 
 	conn *conn
 }
@@ -33,24 +33,24 @@
 	return s
 }
 
-// Refuse resets the stream with REFUSED_STREAM: the request was not processed.
+// Refuse resets the stream with REFUSED_STREAM, which states that the request was not processed.
 func (s *Stream) Refuse() { s.reset(http2.ErrCodeRefusedStream) }
 
-// Reset resets the stream with INTERNAL_ERROR: the request may have been processed.
+// Reset resets the stream with INTERNAL_ERROR, after which the request may have been processed.
 func (s *Stream) Reset() { s.reset(http2.ErrCodeInternal) }
 
 func (s *Stream) reset(code http2.ErrCode) {
 	s.conn.write(func(f *http2.Framer) error { return f.WriteRSTStream(s.ID, code) })
 }
 
-// GoAway sends a GOAWAY that says that this stream and later ones were not and will not be processed, and closes the
-// connection.
+// GoAway sends GOAWAY with a last stream ID below that of this stream, which states that this stream and later ones are
+// not processed, and closes the connection.
 func (s *Stream) GoAway() {
 	s.conn.write(func(f *http2.Framer) error { return f.WriteGoAway(s.ID-1, http2.ErrCodeNo, nil) })
 	s.conn.close()
 }
 
-// CloseConn closes the connection without a frame.
+// CloseConn closes the connection without sending a frame.
 func (s *Stream) CloseConn() { s.conn.close() }
 
 // Header sends the headers of a response.
@@ -65,12 +65,12 @@
 	s.conn.write(func(f *http2.Framer) error { return f.WriteData(s.ID, false, append(header, data...)) })
 }
 
-// End sends the trailers of a response; pairs are further names and values.
+// End sends the trailers of a response. pairs are names and values of further trailers.
 func (s *Stream) End(status string, pairs ...string) {
 	s.writeHeaders(true, append([]string{"grpc-status", status}, pairs...)...)
 }
 
-// TrailersOnly sends a response that consists of trailers; pairs are further names and values.
+// TrailersOnly sends a response that consists of trailers only. pairs are names and values of further trailers.
 func (s *Stream) TrailersOnly(status string, pairs ...string) {
 	fields := []string{":status", "200", "content-type", "application/grpc", "grpc-status", status}
 	s.writeHeaders(true, append(fields, pairs...)...)
@@ -88,7 +88,8 @@
 	var block bytes.Buffer
 	encoder := hpack.NewEncoder(&block)
 	for i := 0; i < len(pairs); i += 2 {
-		_ = encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}) // a bytes.Buffer takes all
+		// A write to a bytes.Buffer does not fail.
+		_ = encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]})
 	}
 	headers := http2.HeadersFrameParam{
 		StreamID:      s.ID,
