--- a/internal/load/grpcload/grpcload.go
+++ b/internal/load/grpcload/grpcload.go
@@ -1,9 +1,10 @@
-// Package grpcload generates load on gRPC servers, directly or through a client in this process: unary calls with the
-// platform's metadata, paced and counted by package load.
+// Package grpcload generates load on gRPC servers, directly or through a client in this process. It makes unary calls
+// with the platform's metadata. Package load paces the calls and counts their outcomes.
 package grpcload
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/url"
 	"strings"
@@ -27,7 +28,7 @@
 	ExtrasKey       = "x-extras"
 	IdempotencyKey  = "idempotency-key"
 
-	// notExecutedKey is the key of a trailer: the call was rejected before it was executed.
+	// notExecutedKey is the key of the trailer that marks a call as rejected before its execution.
 	notExecutedKey = "x-not-run"
 )
 
@@ -45,12 +46,13 @@
 	return md
 }
 
-// Target calls a method. Its fields do not change after its creation; Send is safe for concurrent use.
+// Target is a load.Target that calls a gRPC method. Its fields do not change after its creation, and Send is safe for
+// concurrent use.
 type Target struct {
 	name   string
 	method string
 	conn   grpc.ClientConnInterface
-	body   []byte // nil: a google.protobuf.StringValue of the request's ID
+	body   []byte // encoded request message; nil: a google.protobuf.StringValue of the request's ID
 	close  func() error
 }
 
@@ -66,11 +68,15 @@
 	}
 }
 
-// Dial returns a target for "grpc://HOST:PORT/PACKAGE.SERVICE/METHOD", in clear text. It connects at the first call.
+// Dial returns a target for "grpc://HOST:PORT/PACKAGE.SERVICE/METHOD", without TLS. It connects at the first call.
 func Dial(address string, body []byte) (*Target, error) {
 	u, err := url.Parse(address)
-	if err != nil || !isMethodURL(u) {
-		return nil, fmt.Errorf("%q is no target such as grpc://127.0.0.1:8081/booking.v1.Booking/Do", address)
+	if err != nil {
+		return nil, fmt.Errorf("target is not a valid URL: %w", err)
+	}
+	if err := checkMethodURL(u); err != nil {
+		const example = "grpc://127.0.0.1:8081/booking.v1.Booking/Do"
+		return nil, fmt.Errorf("target %q %w; want a URL such as %s", address, err, example)
 	}
 	conn, err := grpc.NewClient(
 		"passthrough:///"+u.Host,
@@ -78,19 +84,30 @@
 		grpc.WithDisableRetry(),
 	)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", address, err)
+		return nil, fmt.Errorf("cannot create a gRPC client for %s: %w", address, err)
 	}
 	t := New(address, conn, u.Path, body)
 	t.close = conn.Close
 	return t, nil
 }
 
-func isMethodURL(u *url.URL) bool {
+// checkMethodURL returns an error if a URL is not that of a gRPC method.
+func checkMethodURL(u *url.URL) error {
 	isMethod := strings.Count(u.Path, "/") == 2 && !strings.HasSuffix(u.Path, "/")
-	return u.Scheme == "grpc" && u.Host != "" && isMethod && u.RawQuery == ""
+	switch {
+	case u.Scheme != "grpc":
+		return fmt.Errorf("has the scheme %q instead of grpc", u.Scheme)
+	case u.Host == "":
+		return errors.New("has no host")
+	case !isMethod:
+		return fmt.Errorf("has the path %q instead of /PACKAGE.SERVICE/METHOD", u.Path)
+	case u.RawQuery != "":
+		return fmt.Errorf("has the query %q, which is not permitted", u.RawQuery)
+	}
+	return nil
 }
 
-// Name returns the address, or the name given to New.
+// Name returns the address given to Dial, or the name given to New.
 func (t *Target) Name() string { return t.name }
 
 // Close closes the connection that Dial created.
@@ -116,7 +133,7 @@
 	return outcomeOf(ctx, err, trailer)
 }
 
-// outcomeOf returns the outcome of a call. An unavailable server has rejected the call if the trailer marks it as not
+// outcomeOf returns the outcome of a call. A call with status UNAVAILABLE was rejected if the trailer marks it as not
 // executed, or if the status has details (when to retry); otherwise the connection broke.
 func outcomeOf(ctx context.Context, err error, trailer metadata.MD) load.Outcome {
 	st := status.Convert(err)
@@ -134,7 +151,7 @@
 	return load.Failed
 }
 
-// rawCodec passes encoded messages through.
+// rawCodec passes on encoded messages unchanged.
 type rawCodec struct{}
 
 func (rawCodec) Name() string { return "proto" }
@@ -142,7 +159,7 @@
 func (rawCodec) Marshal(v any) ([]byte, error) {
 	b, ok := v.([]byte)
 	if !ok {
-		return nil, fmt.Errorf("grpcload: %T is no encoded message", v)
+		return nil, fmt.Errorf("grpcload: cannot encode a %T; want []byte", v)
 	}
 	return b, nil
 }
@@ -150,7 +167,7 @@
 func (rawCodec) Unmarshal(data []byte, v any) error {
 	p, ok := v.(*[]byte)
 	if !ok {
-		return fmt.Errorf("grpcload: %T takes no encoded message", v)
+		return fmt.Errorf("grpcload: cannot decode into a %T; want *[]byte", v)
 	}
 	*p = append((*p)[:0], data...)
 	return nil
--- a/internal/load/grpcload/grpcload_test.go
+++ b/internal/load/grpcload/grpcload_test.go
@@ -16,8 +16,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each result of a call has its outcome, and the metadata and the body arrive. Where the client's time runs out, the
-// server does not answer before that: its own end of the call could otherwise arrive first.
+// Send maps each result of a call to its outcome, and the metadata and the body reach the server. In the case of a
+// time-out, the server responds only after the client has an outcome; otherwise its response could arrive before the
+// client's deadline.
 func TestOutcomes(t *testing.T) {
 	type seen struct {
 		md   metadata.MD
@@ -82,7 +83,7 @@
 		cancel()
 		call := testutil.Receive(t, calls, "the call")
 		if got != test.want || call.body != "r1" {
-			t.Errorf("%v: outcome %v, want %v; body %q", test.err, got, test.want, call.body)
+			t.Errorf("server status %v: outcome %v, body %q; want %v and r1", test.err, got, call.body, test.want)
 		}
 		for key, want := range map[string]string{
 			IdempotencyKey: "kr1",
@@ -91,7 +92,7 @@
 			RequestIDKey:   "r1",
 		} {
 			if got := call.md.Get(key)[0]; got != want {
-				t.Errorf("%v: %s is %q, want %q", test.err, key, got, want)
+				t.Errorf("server status %v: metadata %s is %q; want %q", test.err, key, got, want)
 			}
 		}
 	}
@@ -100,7 +101,7 @@
 		"http://x/S/M", "grpc:///S/M", "grpc://x/S/M?q",
 	} {
 		if _, err := Dial(bad, nil); err == nil {
-			t.Errorf("accepted: %q", bad)
+			t.Errorf("Dial accepted the invalid target %q", bad)
 		}
 	}
 	unreachable, err := Dial("grpc://"+testutil.UnusedAddr+"/a.B/C", []byte{1})
@@ -111,6 +112,6 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	if got := unreachable.Send(ctx, "r", load.ScheduledRequest{}); got != load.Broken {
-		t.Errorf("no server: %v", got)
+		t.Errorf("call of an unreachable server has the outcome %v; want %v", got, load.Broken)
 	}
 }
--- a/internal/load/histogram.go
+++ b/internal/load/histogram.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxMicroseconds is the largest duration that a histogram tells apart; longer ones count as this.
+	// maxMicroseconds is the longest duration that a histogram records. Longer ones are counted as this duration.
 	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 	percent           = 100
--- a/internal/load/http.go
+++ b/internal/load/http.go
@@ -16,11 +16,12 @@
 	Effect       string        // safe, keyed, unsafe
 	Key          string        // idempotency key; not sent if empty
 	Timeout      time.Duration // how long the client waits for the answer
-	Work         time.Duration // requested of emulated nodes
+	Work         time.Duration // work that emulated nodes are to perform
 	ExpectedWork time.Duration // the client's estimate of the work
 }
 
-// Request returns the HTTP request for the daemon at a URL without a path. The client does not resend it by itself.
+// Request returns the HTTP request for the daemon at a URL without a path. The request has no GetBody, so that net/http
+// does not resend a request with a body.
 func (m Message) Request(ctx context.Context, url string) (*http.Request, error) {
 	method, body := http.MethodGet, io.Reader(nil)
 	if m.Effect != "safe" {
@@ -42,18 +43,18 @@
 	return req, nil
 }
 
-// FormatMicroseconds returns a duration in microseconds, as headers have it.
+// FormatMicroseconds returns a duration in microseconds, in the format of the request headers.
 func FormatMicroseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Microsecond), 'f', -1, 64)
 }
 
-// HTTP is a target that speaks the platform's protocol, as an application does.
+// HTTP is a target that is called by the platform's HTTP protocol, as applications call the daemon.
 type HTTP struct {
 	url    string
 	client *http.Client
 }
 
-// NewHTTP returns a target for a URL without a path. The caller closes it.
+// NewHTTP returns a target for a URL without a path. The caller closes the target.
 func NewHTTP(url string) *HTTP {
 	return &HTTP{
 		url: strings.TrimSuffix(url, "/"),
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -11,23 +11,24 @@
 // Outcome is the result of a request.
 type Outcome int
 
-// The outcomeCount.
+// Values of Outcome.
 const (
-	Served   Outcome = iota
-	Rejected         // 429 or 503: a retry is harmless
-	Failed           // any other answer
-	Broken           // no connection, or one that broke before the answer was complete
-	TimedOut         // no answer before the deadline
-	Unsent           // omitted because too many were open
-	outcomeCount
+	Served       Outcome = iota
+	Rejected             // status 429 or 503: a retry is harmless
+	Failed               // any other status
+	Broken               // no connection, or one that broke before the answer was complete
+	TimedOut             // no answer before the deadline
+	Unsent               // omitted, since too many requests were open
+	outcomeCount         // number of values of Outcome
 )
 
-// outcomeNames are the names in reports, which are part of the command's output.
+// outcomeNames are the names of the outcomes in reports, which are part of the command's output.
 var outcomeNames = [outcomeCount]string{"served", "refused", "failed", "broken", "late", "unsent"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Target is what is loaded. Send is called from many goroutines; it returns when ctx is done, or soon after.
+// Target receives the requests of a plan. Send is called from many goroutines. It returns at the latest soon after ctx
+// is done.
 type Target interface {
 	Name() string
 	Send(ctx context.Context, id string, r ScheduledRequest) Outcome
@@ -37,7 +38,7 @@
 // target that does not answer, and takes more memory and connections.
 const maxOpen = 4096
 
-// Report is the result of a plan at one target.
+// Report is the result of running a plan against one target.
 type Report struct {
 	Target   string         `json:"target"`
 	Outcomes map[string]int `json:"kinds"`
@@ -50,13 +51,13 @@
 	// Delays from the intended to the actual send times, in milliseconds.
 	SendDelayP50 float64 `json:"late_p50_ms"`
 	SendDelayP99 float64 `json:"late_p99_ms"`
-	// Slow is set if the delays were too long: the machine was too slow, and the figures are the generator's, not the
-	// target's.
+	// Slow is set if the send delays were too long. The machine was then too slow, and the latencies contain delays of
+	// the generator.
 	Slow bool `json:"slow"`
 }
 
 // maxSendDelay limits the 99th percentile of the send delay of a valid report. A higher value accepts reports of slower
-// machines, whose latencies are those of the generator.
+// machines, whose latencies contain longer delays of the generator.
 const maxSendDelay = 5 * time.Millisecond
 
 // Run runs a plan against all targets at the same time. It calls observe at the end of each request, from many
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -30,11 +30,11 @@
 	return plan
 }
 
-var measure = flag.Bool("load.figures", false, "TestFigures: compare with the closed form, on a quiet machine")
+var measure = flag.Bool("load.figures", false, "run TestFigures; it needs an idle machine")
 
 func ignoreOutcome(int, Outcome, time.Duration) {}
 
-// Requests arrive as the platform's applications send them, and each result has its outcome.
+// Requests arrive with the method and key of their effect, and the report counts each response as its outcome.
 func TestOutcomes(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]int{}
@@ -57,16 +57,16 @@
 	plan := newPlan(60, time.Millisecond, testutil.WaitTimeout)
 	r := Run(t.Context(), plan, []Target{target}, ignoreOutcome)[0]
 	if seen["GET key false"] != 20 || seen["POST key true"] != 20 || seen["POST key false"] != 20 {
-		t.Errorf("requests by method and key: %v; want 20 each", seen)
+		t.Errorf("requests by method and key are %v; want 20 each", seen)
 	}
 	served, rejected, failed := r.Outcomes["served"], r.Outcomes["refused"], r.Outcomes["failed"]
 	if served < 30 || rejected < 5 || failed < 5 || served+rejected+failed != 60 || r.P50 <= 0 || r.Max < r.P99 {
-		t.Errorf("report: %+v", r)
+		t.Errorf("report is %+v; want 60 outcomes, of which 30 served, 5 refused and 5 failed or more", r)
 	}
 }
 
-// startListener passes each accepted connection to handle, in a goroutine of its own, and returns the URL. The
-// connections stay open until the test ends.
+// startListener starts a listener and returns its URL. It passes each accepted connection to handle in a new goroutine.
+// Connections that handle does not close stay open until the test ends.
 func startListener(t *testing.T, handle func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,8 +87,8 @@
 	return "http://" + listener.Addr().String()
 }
 
-// A target accepts and never answers, stops reading, resets every connection or does not exist. The generator could
-// hang, or omit requests from its report. Every request of the plan has an outcome.
+// A target that never answers, never reads, resets every connection or does not exist must not make the generator hang
+// or omit requests from its report: every request of the plan has an outcome.
 func TestBadTargets(t *testing.T) {
 	neverAnswer := func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }
 	reset := func(conn net.Conn) {
@@ -112,7 +112,8 @@
 		target.Close()
 		timedOut, broken := r.Outcomes["late"], r.Outcomes["broken"]
 		if timedOut+broken != 100 || timedOut < test.minTimedOut || broken < test.minBroken {
-			t.Errorf("%s: %+v", test.name, r)
+			t.Errorf("target that %s: report is %+v; want 100 late or broken requests, late %d and broken %d or more",
+				test.name, r, test.minTimedOut, test.minBroken)
 		}
 	}
 }
@@ -127,8 +128,8 @@
 	return Served
 }
 
-// A target answers nothing. The schedule could wait for it, and the report show a lower load than was planned. Requests
-// beyond the limit are counted, and not waited for.
+// A target that does not answer must not delay the schedule; otherwise the load would be lower than planned. Requests
+// beyond the limit of open ones are counted as unsent.
 func TestUnsent(t *testing.T) {
 	target := blockedTarget{make(chan struct{})}
 	const excess = 100
@@ -138,24 +139,24 @@
 			select {
 			case <-target.release:
 			default:
-				close(target.release) // at the first one beyond the limit: if the schedule waited, there would be none
+				close(target.release) // at the first unsent request, which there is only if the schedule does not wait
 			}
 		}
 	})[0]
 	if r.Outcomes["unsent"] < 1 || r.Outcomes["unsent"]+r.Outcomes["served"] != maxOpen+excess {
-		t.Errorf("report: %+v", r)
+		t.Errorf("report is %+v; want %d served or unsent, at least 1 of them unsent", r, maxOpen+excess)
 	}
 }
 
-// A stalled interval at the start of every stallPeriod.
+// The server of TestFigures stalls for stallDuration at the start of every stallPeriod.
 const (
 	stallPeriod   = 10 * time.Second
 	stallDuration = time.Second
 )
 
-// A server stalls for one second in every ten. A tenth of evenly spaced requests meets the stall, and their waits are
-// spread evenly up to one second, so p95 is 0.5 s and p99 is 0.9 s. The test also logs the send delays at 1,000 and
-// 10,000 requests a second:
+// A server stalls for one second in every ten. A tenth of evenly spaced requests arrives during the stall, and their
+// waits are spread evenly up to one second, so p95 is 0.5 s and p99 is 0.9 s. The test also logs the send delays at
+// 1,000 and 10,000 requests per second:
 //
 //	go test ./internal/load -run Figures -load.figures -v
 func TestFigures(t *testing.T) {
@@ -173,10 +174,10 @@
 	defer target.Close()
 	plan := newPlan(20_000, time.Millisecond, testutil.WaitTimeout)
 	r := Run(t.Context(), plan, []Target{target}, ignoreOutcome)[0]
-	t.Logf("stalled for one second in every ten, 1,000 a second: p90 %.1f ms, p99 %.1f ms, max %.1f ms; "+
+	t.Logf("stalled for one second in every ten, 1,000 requests per second: p90 %.1f ms, p99 %.1f ms, max %.1f ms; "+
 		"send delay p50 %.3f, p99 %.3f ms", r.P90, r.P99, r.Max, r.SendDelayP50, r.SendDelayP99)
 	if r.P99 < 850 || r.P99 > 950 || r.P90 > 50 {
-		t.Errorf("p90 %.1f ms, p99 %.1f ms; want below 50, and 900", r.P90, r.P99)
+		t.Errorf("p90 is %.1f ms, p99 is %.1f ms; want p90 of at most 50 ms, p99 of 850 to 950 ms", r.P90, r.P99)
 	}
 	const requests = 50_000
 	next := func(n int) (time.Duration, bool) {
@@ -184,6 +185,6 @@
 	}
 	ignore := func(int, time.Time) {}
 	delay := Pace(t.Context(), next, maxOpen, ignore, ignore).SendDelay
-	t.Logf("10,000 a second: send delay p50 %v, p99 %v, p99.9 %v",
+	t.Logf("10,000 requests per second: send delay p50 %v, p99 %v, p99.9 %v",
 		delay.Quantile(0.5), delay.Quantile(0.99), delay.Quantile(0.999))
 }
--- a/internal/load/pace.go
+++ b/internal/load/pace.go
@@ -1,10 +1,11 @@
 // Package load generates load on real sockets. It is an open-loop generator: each request has an intended send time,
-// and its latency counts from that time, whatever happened to earlier requests. A stalled server is therefore charged
-// with every request that waited (coordinated omission: Tene, "How NOT to Measure Latency", 2015).
+// and its latency counts from that time, regardless of earlier requests. The latencies therefore include the waits of
+// all requests during a stall of the server, which a closed loop would omit (coordinated omission: Tene, "How NOT to
+// Measure Latency", 2015).
 //
 // The pacer keeps its schedule against targets that stop reading, never answer or reset every connection: requests
-// beyond the limit of open ones are counted and omitted. It also measures itself: if its own sending was delayed, the
-// machine was too slow for the figures to be meaningful, and the report states it.
+// beyond the limit of open ones are counted and omitted. It also measures its own send delay: if that was too long, the
+// machine was too slow for the figures to be meaningful, and the report states so.
 package load
 
 import (
@@ -14,8 +15,8 @@
 	"time"
 )
 
-// The runtime's timers fire up to a millisecond late. The last part of the wait for a send time therefore sleeps in the
-// kernel, whose timers are late by some tens of microseconds, and the very last part spins.
+// The runtime's timers fire up to a millisecond late, those of the kernel only some tens of microseconds. For the last
+// sleepBelow before a send time, the pacer therefore sleeps in the kernel, and for the last spinBelow it spins.
 const (
 	sleepBelow = 1500 * time.Microsecond
 	spinBelow  = 80 * time.Microsecond
@@ -38,14 +39,14 @@
 // PaceResult is the result of a paced schedule.
 type PaceResult struct {
 	Sent      int
-	Unsent    int        // omitted because too many were open
-	SendDelay *Histogram // from the intended to the actual send time
+	Unsent    int        // omitted, since too many requests were open
+	SendDelay *Histogram // time from the intended to the actual send time
 }
 
 // Pace calls send for each time of a schedule, each in a goroutine of its own, and returns once all calls have
 // returned. It stops early when ctx is done. next returns the n-th time relative to the start, in ascending order, or
-// false at the end of the schedule. At most limit calls are open at a time: for those beyond, Pace calls unsent from
-// its own goroutine.
+// false at the end of the schedule. At most limit calls are open at a time. For each time beyond the limit, Pace calls
+// unsent from its own goroutine.
 func Pace(
 	ctx context.Context,
 	next func(n int) (at time.Duration, ok bool),
@@ -99,7 +100,7 @@
 	}
 	if d := time.Until(intended); d > spinBelow {
 		remaining := syscall.NsecToTimespec(int64(d - spinBelow))
-		// A sleep that a signal interrupts is completed by the loop below.
+		// If a signal interrupts the sleep, the following loop waits for the rest of the time.
 		_ = syscall.Nanosleep(&remaining, nil)
 	}
 	for time.Until(intended) > 0 {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,7 +1,6 @@
 package load
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"time"
@@ -13,42 +12,48 @@
 	Class    string
 	Effect   string // safe, keyed, unsafe
 	Deadline time.Duration
-	Work     time.Duration // requested of emulated nodes, and sent as the expected work
+	Work     time.Duration // work that emulated nodes are to perform; also sent as the expected work
 }
 
 // Plan is a schedule of requests.
 type Plan []ScheduledRequest
 
-// Point is a point of a rate curve, which is linear between points.
+// Point is a point of a rate curve. The curve is linear between its points.
 type Point struct {
 	At   time.Duration
 	Rate float64 // requests per second
 }
 
 const (
+	// maxRequests limits the size of a plan.
 	maxRequests = 10_000_000
 	// poissonStream selects the random stream of plans.
 	poissonStream = 0x6c6f6164
 )
 
-// Errors of Poisson.
-var (
-	errRateCurve = errors.New("the rate's points are in order of time, and none is below 0")
-	errPlanSize  = fmt.Errorf("a rate above 0 for a length above 0, and %d requests at most", maxRequests)
-)
-
-// Poisson returns a plan whose requests are a Poisson process with a rate that follows a curve (by thinning: Lewis and
-// Shedler, 1979). The same seed gives the same plan.
+// Poisson returns a plan whose requests arrive as a Poisson process with a rate that follows a curve (by thinning:
+// Lewis and Shedler, 1979). The same seed gives the same plan.
 func Poisson(seed uint64, curve []Point, length time.Duration, request ScheduledRequest) (Plan, error) {
 	maxRate := 0.0
 	for i, p := range curve {
-		if !(p.Rate >= 0) || i > 0 && p.At <= curve[i-1].At {
-			return nil, errRateCurve
+		if !(p.Rate >= 0) {
+			return nil, fmt.Errorf("point %d of the rate curve has the rate %v; want 0 or more", i+1, p.Rate)
+		}
+		if i > 0 && p.At <= curve[i-1].At {
+			const format = "point %d of the rate curve is at %v; want a time after that of the previous point, %v"
+			return nil, fmt.Errorf(format, i+1, p.At, curve[i-1].At)
 		}
 		maxRate = max(maxRate, p.Rate)
 	}
-	if !(maxRate > 0) || length <= 0 || maxRate*length.Seconds() > maxRequests {
-		return nil, errPlanSize
+	if !(maxRate > 0) {
+		return nil, fmt.Errorf("highest rate is %v requests per second; want above 0", maxRate)
+	}
+	if length <= 0 {
+		return nil, fmt.Errorf("length is %v; want above 0", length)
+	}
+	if requests := maxRate * length.Seconds(); requests > maxRequests {
+		const format = "highest rate for %v would give %.0f requests; want at most %d"
+		return nil, fmt.Errorf(format, length, requests, maxRequests)
 	}
 	rng := rand.New(rand.NewPCG(seed, poissonStream))
 	var plan Plan
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A plan follows its curve, and is the same for the same seed.
+// A plan follows its rate curve and is the same for the same seed. Invalid curves are rejected.
 func TestPoisson(t *testing.T) {
 	curve := []Point{{0, 100}, {10 * time.Second, 300}}
 	plan, err := Poisson(1, curve, 20*time.Second, ScheduledRequest{})
@@ -19,7 +19,7 @@
 	first, second := 0, 0
 	for i, request := range plan {
 		if again[i] != request || i > 0 && request.At < plan[i-1].At {
-			t.Fatalf("request %d differs between plans, or is out of order", i)
+			t.Fatalf("request %d is out of order or differs from that of the second plan: %v, %v", i, request, again[i])
 		}
 		if request.At < 10*time.Second {
 			first++
@@ -29,11 +29,11 @@
 	}
 	// The means are 2,000 and 3,000; the limits are a little more than three standard deviations away.
 	if first < 1850 || first > 2150 || second < 2800 || second > 3200 {
-		t.Errorf("%d and %d requests in the halves; want about 2,000 and 3,000", first, second)
+		t.Errorf("halves have %d and %d requests; want about 2,000 and 3,000", first, second)
 	}
 	for _, curve := range [][]Point{nil, {{0, 0}}, {{0, -1}}, {{time.Second, 1}, {0, 1}}} {
 		if _, err := Poisson(1, curve, time.Second, ScheduledRequest{}); err == nil {
-			t.Errorf("curve %v was accepted", curve)
+			t.Errorf("Poisson accepted the invalid curve %v", curve)
 		}
 	}
 }
