--- a/internal/demo/daemon.go
+++ b/internal/demo/daemon.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// listenTimeout limits the time until a daemon listens.
+	// listenTimeout limits the time from the start of a daemon until it accepts connections.
 	listenTimeout = 10 * time.Second
-	// listenCheckInterval is the pause between two checks whether it does.
+	// listenCheckInterval is the pause between two attempts to connect to a daemon that starts.
 	listenCheckInterval = 5 * time.Millisecond
 )
 
-// DaemonConfig describes a daemon beside emulated nodes.
+// DaemonConfig describes a daemon that sends requests to emulated nodes.
 type DaemonConfig struct {
-	Traffic   *emulator.Traffic // whose classes it serves
+	Traffic   *emulator.Traffic // traffic whose classes the daemon serves
 	Operator  *operator.Config
 	Discovery string // address of the discovery service
 	Seed      uint64
@@ -33,13 +33,13 @@
 
 // Daemon is a daemon that runs in this process.
 type Daemon struct {
-	Addr string // where it listens for requests
+	Addr string // address on which the daemon listens for requests
 
 	ended chan error
 }
 
-// StartDaemon runs a daemon in this process until ctx ends, with settings as the platform writes them. It returns once
-// the daemon listens.
+// StartDaemon runs a daemon in this process until ctx ends, with settings in the platform's format. It returns once the
+// daemon accepts connections.
 func StartDaemon(ctx context.Context, config DaemonConfig) (*Daemon, error) {
 	addr, err := FreeAddr(ctx)
 	if err != nil {
@@ -57,16 +57,16 @@
 	return d, nil
 }
 
-// Wait waits for the daemon's end, which follows that of StartDaemon's context, and returns its error. It may be called
-// once.
+// Wait waits until the daemon has ended and returns its error. The daemon ends after the context of StartDaemon. Wait
+// may be called only once.
 func (d *Daemon) Wait() error {
 	if err := <-d.ended; err != nil {
-		return fmt.Errorf("the daemon: %w", err)
+		return fmt.Errorf("daemon failed: %w", err)
 	}
 	return nil
 }
 
-// FreeAddr returns an address on loopback where nothing listens, for a daemon that will.
+// FreeAddr returns a loopback address on which nothing listens, for a daemon that is about to start.
 func FreeAddr(ctx context.Context) (string, error) {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,8 +75,8 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// loadPlatformConfig returns the platform's settings for a daemon at addr, written to a file and read from it as the
-// daemon's command does.
+// loadPlatformConfig returns the platform's settings for a daemon at addr. It writes them to a file and reads the file
+// as the daemon's command does.
 func loadPlatformConfig(config DaemonConfig, addr string) (*platform.Config, error) {
 	text, err := emulator.PlatformConfig(config.Traffic, addr, config.Discovery, fmt.Sprintf("%x", config.Seed))
 	if err != nil {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left is one small temporary file
+	defer func() { _ = os.RemoveAll(dir) }() // a failure leaves one small temporary file
 	path := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("the daemon does not listen: %w", err)
+			return fmt.Errorf("daemon does not accept connections on %s: %w", addr, err)
 		case <-time.After(listenCheckInterval):
 		}
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the daemon at work: emulated nodes, their discovery service, the daemon and clients in one process
-// on loopback, while one node slows, one drains and one crashes.
+// Package demo demonstrates the daemon. It runs emulated nodes, their discovery service, the daemon and clients in one
+// process on loopback, while one node becomes slow, one drains and one crashes.
 package demo
 
 import (
@@ -18,36 +18,36 @@
 
 // Options describe a demonstration.
 type Options struct {
-	Seed    uint64            // of generated traffic and of the daemon
-	Rate    float64           // of generated traffic: requests per second
-	Length  time.Duration     // of generated traffic
+	Seed    uint64            // seed of generated traffic and of the daemon
+	Rate    float64           // rate of generated traffic in requests per second
+	Length  time.Duration     // length of generated traffic
 	Nodes   int               // number of emulated nodes
-	Traffic *emulator.Traffic // nil: generated
-	Script  []emulator.Fault  // nil: DefaultScript
+	Traffic *emulator.Traffic // recorded traffic; nil: traffic is generated
+	Script  []emulator.Fault  // faults to inject; nil: those of DefaultScript
 	Live    bool              // whether the view is redrawn in place; otherwise a line is printed every second
-	// Grace is how long after its client's deadline an answer still counts; 0: 250 ms.
+	// Grace is how long after its client's deadline a response still counts; 0: 250 ms.
 	Grace time.Duration
 	// DrainSlack is added to the nodes' drain grace; 0: 50 ms.
 	DrainSlack time.Duration
 }
 
-// DefaultScript has the faults of a demonstration without a script of its own.
+// DefaultScript is the fault script of a demonstration whose options have none.
 const DefaultScript = `
 2s   slow     n1   8 3s   # eight times slower
-5s   drain    n3          # listed as draining, then gone
+5s   drain    n3          # listed as draining, then stopped
 7s   crash    n4          # discovery notices a second later
-9s   restart  n4          # a new process, cold
+9s   restart  n4          # a new process, which warms up
 `
 
 const (
-	// defaultGrace is the value of Options.Grace where that is 0. The machine may run other programs beside this one.
+	// defaultGrace is used if Options.Grace is 0. It allows for delays by other programs on the same machine.
 	defaultGrace = 250 * time.Millisecond
-	// settleTime is how long the attempts of the last request may go on after its answer.
+	// settleTime is how long the demonstration waits after the last response for attempts that are still in flight.
 	settleTime = 300 * time.Millisecond
 )
 
-// Run plays the traffic and the faults, writes the view and a summary to out, and returns ErrRuleBroken if a rule was
-// broken. It ends early when ctx does.
+// Run replays the traffic, injects the faults, and writes the view and a summary to out. It returns ErrRuleBroken if a
+// rule was broken. It ends early when ctx ends.
 func Run(ctx context.Context, options Options, out io.Writer) error {
 	traffic, script, err := options.input()
 	if err != nil {
@@ -64,7 +64,7 @@
 	defer fleet.Close()
 	for _, fault := range script {
 		if fleet.Node(fault.Node) == nil {
-			return fmt.Errorf("fault script: no node %q among %d", fault.Node, options.Nodes)
+			return fmt.Errorf("fault script: node %q does not exist; want n1 to n%d", fault.Node, options.Nodes)
 		}
 	}
 	ctx, stop := context.WithCancel(ctx)
@@ -97,8 +97,8 @@
 	return printVerdict(out, report, fleet.Rules.Violations())
 }
 
-// input returns the traffic and the faults that the options name, or else generated traffic and the faults of
-// DefaultScript.
+// input returns the traffic and the faults of the options. It generates traffic if the options have none, and reads
+// DefaultScript if they have no faults.
 func (o *Options) input() (traffic *emulator.Traffic, script []emulator.Fault, err error) {
 	traffic, script = o.Traffic, o.Script
 	if traffic == nil {
@@ -110,7 +110,7 @@
 	return traffic, script, err
 }
 
-// replay sends the traffic and shows its progress in the view, until the attempts of the last request have settled.
+// replay sends the traffic and shows its progress in the view. It returns settleTime after the last response.
 func replay(
 	ctx context.Context, traffic *emulator.Traffic, grace time.Duration, client emulator.RequestFunc, view *view,
 ) *emulator.Report {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -10,9 +10,9 @@
 	"hazelwing/internal/emulator"
 )
 
-// A node slows, one drains, one crashes and comes back while requests arrive. A daemon that lost an answer, ran an
-// effect twice or kept sending to the draining node would break a rule. The demonstration has to end by itself, to show
-// what happens to the nodes and to find all rules kept.
+// One node becomes slow, one drains, and one crashes and restarts while requests arrive. A daemon that lost a response,
+// executed an effect twice or kept sending to the draining node would break a rule. The demonstration must end by
+// itself, show the faults of the nodes and report that all rules were kept.
 func TestFaultsBreakNoRule(t *testing.T) {
 	const faults = "300ms slow n1 8 1s\n400ms drain n3\n900ms crash n4\n1200ms restart n4"
 	for name, live := range map[string]bool{"lines": false, "live": true} {
@@ -34,19 +34,19 @@
 				DrainSlack: 500 * time.Millisecond,
 			}
 			if err := Run(t.Context(), options, &out); err != nil {
-				t.Fatalf("%v\n%s", err, &out)
+				t.Fatalf("Run failed: %v; its output:\n%s", err, &out)
 			}
 			for _, want := range []string{"n1", "slow", "n3", "service ", "all rules kept", "executions for"} {
 				if !strings.Contains(out.String(), want) {
-					t.Errorf("%q is missing from:\n%s", want, &out)
+					t.Errorf("%q is missing from the output:\n%s", want, &out)
 				}
 			}
 		})
 	}
 }
 
-// A script may name a node that the fleet does not have. Without a check the demonstration would play until that fault
-// and then fail, so it fails at the start, with the node's name.
+// A script may name a node that the fleet does not have. Without a check, the demonstration would run until that fault
+// and only then fail. It must fail at the start, with an error that names the node.
 func TestUnknownNode(t *testing.T) {
 	options := Options{
 		Seed:   1,
@@ -56,22 +56,22 @@
 		Script: []emulator.Fault{{Verb: "crash", Node: "n9"}},
 	}
 	if err := Run(t.Context(), options, new(bytes.Buffer)); err == nil || !strings.Contains(err.Error(), "n9") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v; want one that names n9", err)
 	}
 }
 
-// A broken rule has to reach the exit status.
+// A broken rule must result in an error, from which the command derives its exit status.
 func TestBrokenRuleIsAnError(t *testing.T) {
 	var out bytes.Buffer
 	err := printVerdict(&out, &emulator.Report{}, []string{"confirm-booking 1 ran 2 times"})
 	if !errors.Is(err, ErrRuleBroken) || !strings.Contains(out.String(), "ran 2 times") {
-		t.Errorf("%v, %s", err, &out)
+		t.Errorf("repeated execution: error %v, output %q; want ErrRuleBroken and the violation", err, &out)
 	}
 	err = printVerdict(&out, &emulator.Report{Unanswered: 2}, nil)
 	if !errors.Is(err, ErrRuleBroken) || !strings.Contains(out.String(), "2 requests") {
-		t.Errorf("%v, %s", err, &out)
+		t.Errorf("two unanswered requests: error %v, output %q; want ErrRuleBroken and their number", err, &out)
 	}
 	if err := printVerdict(&out, &emulator.Report{}, nil); err != nil {
-		t.Error(err)
+		t.Errorf("no violation: error %v; want none", err)
 	}
 }
--- a/internal/demo/gqldemo/client.go
+++ b/internal/demo/gqldemo/client.go
@@ -14,19 +14,19 @@
 	"hazelwing/internal/load"
 )
 
-// requestTimeout is how long a client waits for a response, as it tells the daemon.
+// requestTimeout is the deadline that a client sends to the daemon.
 const requestTimeout = 2 * time.Second
 
-// client sends random requests and records what their responses say.
+// client sends random requests and records their results.
 type client struct {
 	url     string
 	http    *http.Client
 	seed    uint64
-	grace   time.Duration // added to requestTimeout before a response counts as late
+	grace   time.Duration // time after requestTimeout from which a response counts as late
 	results *tally
 }
 
-// sendAll sends the requests of a plan at their times and returns once all have ended. It sends no more when ctx ends.
+// sendAll sends the requests of a plan at their times and returns once all have ended. It stops sending when ctx ends.
 func (c *client) sendAll(ctx context.Context, plan load.Plan) {
 	next := func(number int) (time.Duration, bool) {
 		if number >= len(plan) {
@@ -45,20 +45,23 @@
 	load.Pace(ctx, next, maxOpen, send, unsent)
 }
 
-// send sends a request and records what its response says. It returns an error if there is no response, or one with
-// another number of operations.
+// send sends a request and records the results that its response states. It returns an error if there is no response,
+// or if the response has a different number of operations than the request.
 func (c *client) send(ctx context.Context, number int) error {
 	body, tokens := gqlnode.RandomRequest(rand.New(rand.NewPCG(c.seed, uint64(number))), number)
 	start := time.Now()
-	// An interrupt ends the sending. Requests in flight still get their response, as the daemon promises.
+	// An interrupt stops the sending, but requests in flight wait for their response, which the daemon guarantees.
 	status, text, err := c.post(context.WithoutCancel(ctx), number, body)
 	if err != nil {
 		return err
 	}
 	responses := []json.RawMessage{text}
 	if isBatch := body[0] == '['; isBatch {
-		if err := json.Unmarshal(text, &responses); err != nil || len(responses) != len(tokens) {
-			return fmt.Errorf("request %d has %d answers for %d", number, len(responses), len(tokens))
+		if err := json.Unmarshal(text, &responses); err != nil {
+			return fmt.Errorf("response to batch %d is not a JSON array: %w", number, err)
+		}
+		if len(responses) != len(tokens) {
+			return fmt.Errorf("response to batch %d has %d parts; want %d", number, len(responses), len(tokens))
 		}
 	}
 	isLate := time.Since(start) > requestTimeout+c.grace
@@ -83,12 +86,12 @@
 	request.Header.Set("X-Deadline-Ms", fmt.Sprint(requestTimeout.Milliseconds()))
 	response, err := c.http.Do(request)
 	if err != nil {
-		return 0, nil, fmt.Errorf("request %d has no answer: %w", number, err)
+		return 0, nil, fmt.Errorf("request %d has no response: %w", number, err)
 	}
-	defer func() { _ = response.Body.Close() }() // nothing is left to read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	text, err = io.ReadAll(response.Body)
 	if err != nil {
-		return 0, nil, fmt.Errorf("request %d has half an answer: %w", number, err)
+		return 0, nil, fmt.Errorf("request %d has an incomplete response: %w", number, err)
 	}
 	return response.StatusCode, text, nil
 }
--- a/internal/demo/gqldemo/crashes.go
+++ b/internal/demo/gqldemo/crashes.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// crashStream is the stream of random numbers that choose the nodes, beside those of the requests.
+	// crashStream selects the random stream for the choice of nodes, which is separate from those of the requests.
 	crashStream = 0x64656d6f
-	// faultInterval is the time from a node's restart to the next crash, and from a crash to the restart.
+	// faultInterval is the time from a crash to the node's restart, and from there to the next crash.
 	faultInterval = 500 * time.Millisecond
 )
 
-// crashNodes crashes a random node every second and restarts it, until ctx ends.
+// crashNodes crashes a random node every second and restarts it half a second later, until ctx ends.
 func crashNodes(ctx context.Context, seed uint64, fleet *emulator.Fleet) {
 	rng := rand.New(rand.NewPCG(seed, crashStream))
 	for {
@@ -27,7 +27,7 @@
 			case <-ctx.Done():
 				return
 			}
-			// A node that cannot be restarted stays down, which is a fault like any other.
+			// The error is ignored: a node that cannot be restarted stays down, which is one more fault.
 			//nolint:contextcheck // listening on loopback does not wait, and a restarted node runs until Close
 			_ = fleet.InjectFault(emulator.Fault{Verb: verb, Node: node})
 		}
--- a/internal/demo/gqldemo/gqldemo.go
+++ b/internal/demo/gqldemo/gqldemo.go
@@ -1,6 +1,6 @@
-// Package gqldemo shows GraphQL at work: emulated nodes that execute a schema and spoil responses, the daemon with its
-// GraphQL front, and clients that mix queries and mutations, while a node crashes every second. At the end each
-// response is compared with the nodes' own counters.
+// Package gqldemo demonstrates the GraphQL front. It runs emulated nodes that execute a schema and inject faults into
+// responses, the daemon with its GraphQL front, and clients that send queries and mutations, while a node crashes every
+// second. At the end, it compares the results that the responses state with the nodes' counters of executions.
 package gqldemo
 
 import (
@@ -28,23 +28,23 @@
 	Seed   uint64
 	Rate   float64 // requests per second
 	Length time.Duration
-	// Grace is how long after its client's deadline a response still counts; 0: 500 ms.
+	// Grace is how long after its client's deadline a response still counts as in time; 0: 500 ms.
 	Grace time.Duration
 }
 
 const (
-	// defaultGrace is the value of Options.Grace where that is 0.
+	// defaultGrace is used if Options.Grace is 0.
 	defaultGrace = 500 * time.Millisecond
 	// nodeCount is the number of emulated nodes.
 	nodeCount = 7
 	// maxOpen limits the requests in flight.
 	maxOpen = 1024
-	// faultShare is the share of responses that is spoilt in each of four ways.
+	// faultShare is the share of responses with each of the four injected faults.
 	faultShare = 0.005
 )
 
-// Run plays the requests and the crashes and writes a line every second and a summary to out. It returns
-// demo.ErrRuleBroken if a rule was broken. It ends early when ctx does.
+// Run sends the requests and crashes nodes, and writes a line every second and a summary to out. It returns
+// demo.ErrRuleBroken if a rule was broken. It ends early when ctx ends.
 func Run(ctx context.Context, options Options, out io.Writer) error {
 	options.Grace = cmp.Or(options.Grace, defaultGrace)
 	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: gqlnode.Classes}}
@@ -91,11 +91,11 @@
 	if err := daemon.Wait(); err != nil {
 		return err
 	}
-	fleet.Close() // ends the executions that the counters lack
+	fleet.Close() // ends all executions, so that the counters are final
 	return results.printVerdict(out, fleet.Rules)
 }
 
-// startDaemon starts a daemon with a GraphQL front and returns the URL of that.
+// startDaemon starts a daemon with a GraphQL front and returns the URL of the front.
 func startDaemon(
 	ctx context.Context, seed uint64, traffic *emulator.Traffic, discovery string,
 ) (url string, daemon *demo.Daemon, err error) {
@@ -107,7 +107,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left is one small temporary file
+	defer func() { _ = os.RemoveAll(dir) }() // a failure leaves one small temporary file
 	schema := filepath.Join(dir, "booking.graphql")
 	if err := os.WriteFile(schema, []byte(gqlnode.SDL), 0o600); err != nil {
 		return "", nil, err
@@ -127,5 +127,6 @@
 	return "http://" + addr + "/graphql", daemon, err
 }
 
-// printLine writes to the user's terminal or file. An error is ignored: the exit status tells the verdict without it.
+// printLine writes to the user's terminal or file. It ignores errors, since the exit status does not depend on the
+// output.
 func printLine(out io.Writer, args ...any) { _, _ = fmt.Fprintln(out, args...) }
--- a/internal/demo/gqldemo/tally.go
+++ b/internal/demo/gqldemo/tally.go
@@ -12,24 +12,25 @@
 	"hazelwing/internal/emulator/gqlnode"
 )
 
-// maxViolations limits the violations that are kept while requests are sent.
+// maxViolations limits the number of violations that are recorded while requests are sent.
 const maxViolations = 20
 
-// tally counts responses and keeps what they say about mutations. Its methods may be called from any goroutine.
+// tally counts requests and records the results of mutations that the responses state. Its methods may be called from
+// any goroutine.
 type tally struct {
 	mu         sync.Mutex
 	requests   int
-	late       int // answered after their client's deadline
+	late       int // requests with a response after the client's deadline and the grace
 	rejected   int
 	queries    int
-	executions map[gqlnode.Execution]int // of mutations, by what their response says
+	executions map[gqlnode.Execution]int // number of mutations, by the result that the response states
 	claims     []gqlnode.Claim
 	violations []string
 }
 
 func newTally() *tally { return &tally{executions: map[gqlnode.Execution]int{}} }
 
-// addViolation keeps the violation of a rule, up to maxViolations.
+// addViolation records the violation of a rule. It ignores violations beyond maxViolations.
 func (t *tally) addViolation(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,7 +39,7 @@
 	}
 }
 
-// addRequest counts an answered request.
+// addRequest counts a request that has a response.
 func (t *tally) addRequest(isLate, isRejected bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// addOperation counts an operation of a request: a query, or the mutations that its response makes claims about.
+// addOperation counts an operation of a request. claims are those of the response about the operation's mutations.
 func (t *tally) addOperation(isQuery bool, claims []gqlnode.Claim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,7 +90,7 @@
 		}
 	}
 	if len(violations) == 0 && len(t.claims) == 0 {
-		return errors.New("nothing was played")
+		return errors.New("no response stated the result of a mutation, so there was nothing to compare")
 	}
 	return demo.PrintVerdict(out, violations, fmt.Sprintf("all rules kept: one answer each, no mutation twice, "+
 		"and none of %d answers on mutations is denied by the nodes' counters", len(t.claims)))
--- a/internal/demo/verdict.go
+++ b/internal/demo/verdict.go
@@ -8,8 +8,8 @@
 	"hazelwing/internal/emulator"
 )
 
-// ErrRuleBroken is returned if a rule was broken. The output has the details.
-var ErrRuleBroken = errors.New("a rule broke")
+// ErrRuleBroken is returned if a rule was broken. The output lists the violations.
+var ErrRuleBroken = errors.New("at least one rule was broken")
 
 // PrintVerdict writes the violations of rules to out and returns ErrRuleBroken. If there are none, it writes summary.
 func PrintVerdict(out io.Writer, violations []string, summary string) error {
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// printVerdict is PrintVerdict of a replay and of the violations that the nodes have seen.
+// printVerdict calls PrintVerdict with the violations that the nodes detected and the unanswered requests of a replay.
 func printVerdict(out io.Writer, report *emulator.Report, violations []string) error {
 	if report.Unanswered > 0 {
 		unanswered := fmt.Sprintf("%d requests got no final answer in their client's time", report.Unanswered)
@@ -33,5 +33,5 @@
 		"all rules kept: one final answer each, no effect twice, drains kept, no cold node pushed over")
 }
 
-// printf writes to the user's terminal or file. An error is ignored: the exit status tells the verdict without it.
+// printf writes to the user's terminal or file. It ignores errors, since the exit status does not depend on the output.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
--- a/internal/demo/view.go
+++ b/internal/demo/view.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	redrawInterval = 250 * time.Millisecond // of a live view
-	lineInterval   = time.Second            // of a view that is not live
+	redrawInterval = 250 * time.Millisecond // interval of a live view
+	lineInterval   = time.Second            // interval of a view that is not live
 	// displayedResolution is the resolution of the latencies shown.
 	displayedResolution = 100 * time.Microsecond
-	maxLogLines         = 6  // the last lines of the daemon's log that are shown
-	maxBarLength        = 40 // of the bar of a node's requests in flight
+	maxLogLines         = 6  // number of the last lines of the daemon's log that are shown
+	maxBarLength        = 40 // maximum length of the bar of a node's requests in flight
 	percent             = 100
-	// clearScreen moves the cursor home and clears a terminal (ECMA-48).
+	// clearScreen moves the cursor to the upper left corner and clears a terminal (ECMA-48).
 	clearScreen = "\x1b[H\x1b[2J"
 	// serving is the state of a node without a fault.
 	serving = "serving"
 )
 
-// view shows the progress of a demonstration. As an io.Writer it takes the daemon's log. Its methods may be called from
-// any goroutine.
+// view shows the progress of a demonstration. It is also the io.Writer of the daemon's log. Its methods may be called
+// from any goroutine.
 type view struct {
 	out    io.Writer
 	live   bool
@@ -40,7 +40,7 @@
 	mu       sync.Mutex
 	recent   window
 	logLines []string
-	outcomes map[emulator.Outcome]int // number of all requests that have ended
+	outcomes map[emulator.Outcome]int // number of ended requests, by outcome
 }
 
 func newView(out io.Writer, live bool, fleet *emulator.Fleet, traffic *emulator.Traffic) *view {
@@ -62,7 +62,7 @@
 	v.recent.add(class, outcome, latency)
 }
 
-// Write takes lines of the daemon's log.
+// Write adds lines of the daemon's log to the view.
 func (v *view) Write(text []byte) (int, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// drawLine prints one line with the nodes that are not serving.
+// drawLine prints one line with the figures and the nodes that are not serving.
 func (v *view) drawLine(summary windowSummary, elapsed time.Duration) {
 	var notServing []string
 	for _, node := range v.fleet.Status() {
@@ -135,10 +135,10 @@
 		printf(table, "%s\t%s\t%s\t%.0f%%\t%d\t%d\t%s\n", node.Name, node.Zone, node.State,
 			percent*node.CapacityShare, node.InFlight, node.Served, bar)
 	}
-	_ = table.Flush() // as printf
+	_ = table.Flush() // errors are ignored, as in printf
 }
 
-// close writes the summary.
+// close draws a live view once more and writes the summary.
 func (v *view) close(report *emulator.Report) {
 	if v.live {
 		v.draw()
--- a/internal/demo/window.go
+++ b/internal/demo/window.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// windowLength is the time that the view's figures cover.
+	// windowLength is the period that the view's figures cover.
 	windowLength = time.Second
 
 	millisecondsPerSecond = 1000
 )
 
-// window has the requests that ended within the last windowLength, oldest first. It is not safe for concurrent use.
+// window holds the requests that ended within the last windowLength, oldest first. It is not safe for concurrent use.
 type window []endedRequest
 
 // endedRequest is a request that has ended.
@@ -24,7 +24,7 @@
 	latency         time.Duration
 }
 
-// windowSummary has the view's figures.
+// windowSummary holds the view's figures.
 type windowSummary struct {
 	requests        int
 	withinObjective float64 // share of the requests
