--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -56,7 +56,7 @@
 		Script: []emulator.Fault{{Verb: "crash", Node: "n9"}},
 	}
 	if err := Run(t.Context(), options, new(bytes.Buffer)); err == nil || !strings.Contains(err.Error(), "n9") {
-		t.Errorf("error %v; want one that names n9", err)
+		t.Errorf("script with the unknown node n9: error %v; want one that names n9", err)
 	}
 }
 
--- a/internal/demo/gqldemo/client.go
+++ b/internal/demo/gqldemo/client.go
@@ -22,7 +22,7 @@
 	url     string
 	http    *http.Client
 	seed    uint64
-	grace   time.Duration // time after requestTimeout from which a response counts as late
+	grace   time.Duration // time by which a response may exceed requestTimeout before it counts as late
 	results *tally
 }
 
--- a/internal/demo/gqldemo/tally.go
+++ b/internal/demo/gqldemo/tally.go
@@ -20,7 +20,7 @@
 type tally struct {
 	mu         sync.Mutex
 	requests   int
-	late       int // requests with a response after the client's deadline and the grace
+	late       int // requests whose response exceeded the client's deadline by more than the grace
 	rejected   int
 	queries    int
 	executions map[gqlnode.Execution]int // number of mutations, by the result that the response states
--- a/internal/emulator/generate.go
+++ b/internal/emulator/generate.go
@@ -26,8 +26,8 @@
 	generatedKeys = 500
 )
 
-// bookingMix lists the cumulative share of the requests and the mean work in microseconds, in the order of
-// BookingClasses.
+// bookingMix has an entry for each of BookingClasses, in the same order: the share of the requests that are of this or
+// an earlier class, and the mean work of the class in microseconds.
 var bookingMix = []struct {
 	cumulativeShare float64
 	meanWorkUS      float64
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -43,13 +43,13 @@
 	start := time.Now()
 	reply := n.Do(t.Context(), Job{ID: "1", Work: 100 * time.Millisecond})
 	if reply != Done || time.Since(start) < 45*time.Millisecond {
-		t.Errorf("100 ms of work at speed 2 took %v, reply %v; want 50 ms, Done", time.Since(start), reply)
+		t.Errorf("100 ms of work at speed 2 took %v, reply %v; want at least 45 ms, Done", time.Since(start), reply)
 	}
 	n.Slow(4)
 	start = time.Now()
 	reply = n.Do(t.Context(), Job{ID: "2", Work: 50 * time.Millisecond})
 	if reply != Done || time.Since(start) < 90*time.Millisecond {
-		t.Errorf("50 ms of work at speed 0.5 took %v, reply %v; want 100 ms, Done", time.Since(start), reply)
+		t.Errorf("50 ms of work at speed 0.5 took %v, reply %v; want at least 90 ms, Done", time.Since(start), reply)
 	}
 	n.Pause(time.Hour)
 	ctx, disconnect := context.WithCancel(t.Context())
--- a/internal/emulator/readtraffic.go
+++ b/internal/emulator/readtraffic.go
@@ -44,7 +44,7 @@
 	return reader.traffic, nil
 }
 
-func lineError(number int, err error) error { return fmt.Errorf("traffic, line %d: %w", number, err) }
+func lineError(number int, err error) error { return fmt.Errorf("traffic file, line %d: %w", number, err) }
 
 // trafficReader is the state of reading a recording.
 type trafficReader struct {
@@ -84,7 +84,7 @@
 	case !isValidNumber(request.ExpectedWorkUS):
 		return rangeError("hint_us", request.ExpectedWorkUS)
 	case last >= 0 && request.AtMS < requests[last].AtMS:
-		return fmt.Errorf("at_ms %v is less than that of the previous request, %v", request.AtMS, requests[last].AtMS)
+		return fmt.Errorf("at_ms %v is less than at_ms %v of the previous request", request.AtMS, requests[last].AtMS)
 	case last+1 >= MaxRequests:
 		return fmt.Errorf("recording has more than %d requests", MaxRequests)
 	}
--- a/internal/emulator/rulechecker.go
+++ b/internal/emulator/rulechecker.go
@@ -14,9 +14,9 @@
 	DrainSlack        time.Duration // added to a node's DrainGrace to allow for delays of sockets and of the scheduler
 
 	mu            sync.Mutex
-	executions    map[string]int                  // by request ID
-	keyStartedAt  map[string]map[string]time.Time // by zone and idempotency key
-	keyExecutions map[string]int                  // by idempotency key
+	executions    map[string]int                  // number of executions, by request ID
+	keyStartedAt  map[string]map[string]time.Time // start of the latest execution, by zone and key
+	keyExecutions map[string]int                  // number of executions, by idempotency key
 	total         int                             // number of executions of all requests
 	violations    []string
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -61,7 +61,7 @@
 	}
 	served, rejected, failed := r.Outcomes["served"], r.Outcomes["refused"], r.Outcomes["failed"]
 	if served < 30 || rejected < 5 || failed < 5 || served+rejected+failed != 60 || r.P50 <= 0 || r.Max < r.P99 {
-		t.Errorf("report is %+v; want 60 outcomes, of which 30 served, 5 refused and 5 failed or more", r)
+		t.Errorf("report is %+v; want 60 outcomes, at least 30 served, 5 refused and 5 failed", r)
 	}
 }
 
@@ -112,7 +112,7 @@
 		target.Close()
 		timedOut, broken := r.Outcomes["late"], r.Outcomes["broken"]
 		if timedOut+broken != 100 || timedOut < test.minTimedOut || broken < test.minBroken {
-			t.Errorf("target that %s: report is %+v; want 100 late or broken requests, late %d and broken %d or more",
+			t.Errorf("target that %s: report is %+v; want 100 late or broken, at least %d late and %d broken",
 				test.name, r, test.minTimedOut, test.minBroken)
 		}
 	}
