--- a/internal/emulator/readtraffic.go
+++ b/internal/emulator/readtraffic.go
@@ -44,7 +44,9 @@
 	return reader.traffic, nil
 }
 
-func lineError(number int, err error) error { return fmt.Errorf("traffic file, line %d: %w", number, err) }
+func lineError(number int, err error) error {
+	return fmt.Errorf("traffic file, line %d: %w", number, err)
+}
 
 // trafficReader is the state of reading a recording.
 type trafficReader struct {
