--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -102,8 +102,8 @@
 			UnnamedLaggards: 4,
 		},
 	}
-	testutil.Filled(t, push)
-	testutil.ExplicitNames(t, "json", push)
+	testutil.CheckFieldsSet(t, push)
+	testutil.CheckExplicitNames(t, "json", push)
 	var out bytes.Buffer
 	for _, v := range []pushResult{push, {}} {
 		if err := printJSON(&out, v); err != nil {
@@ -134,8 +134,8 @@
 	for kind := load.Served; kind <= load.Unsent; kind++ {
 		report.Outcomes[kind.String()] = int(kind) + 1
 	}
-	testutil.Filled(t, report)
-	testutil.ExplicitNames(t, "json", report)
+	testutil.CheckFieldsSet(t, report)
+	testutil.CheckExplicitNames(t, "json", report)
 	var out bytes.Buffer
 	if err := printLoadReports(&out, []load.Report{report}, true); err != nil {
 		out.WriteString(failureText(err))
@@ -197,8 +197,8 @@
 			Store:              &stats,
 		},
 	} {
-		testutil.Filled(t, v)
-		testutil.ExplicitNames(t, "json", v)
+		testutil.CheckFieldsSet(t, v)
+		testutil.CheckExplicitNames(t, "json", v)
 		var out bytes.Buffer
 		for _, value := range []any{v, reflect.Zero(reflect.TypeOf(v)).Interface()} {
 			if err := printJSON(&out, value); err != nil {
--- a/internal/cluster/gossip/format_test.go
+++ b/internal/cluster/gossip/format_test.go
@@ -217,8 +217,8 @@
 // programs read it.
 func TestFleetStateFormatIsStable(t *testing.T) {
 	status := sampleStatus()
-	testutil.Filled(t, status)
-	testutil.ExplicitNames(t, "json", status)
+	testutil.CheckFieldsSet(t, status)
+	testutil.CheckExplicitNames(t, "json", status)
 	text := testutil.IndentedJSON(t, status)
 	testutil.Golden(t, "state.json", text)
 	var decoded Status
--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -65,8 +65,8 @@
 		"follower-stats": stats,
 	} {
 		t.Run(name, func(t *testing.T) {
-			testutil.Filled(t, v)
-			testutil.ExplicitNames(t, "json", v)
+			testutil.CheckFieldsSet(t, v)
+			testutil.CheckExplicitNames(t, "json", v)
 			text := testutil.IndentedJSON(t, v)
 			testutil.Golden(t, "format/"+name+".json", text)
 			empty, err := json.Marshal(reflect.New(reflect.TypeOf(v)).Interface())
@@ -140,8 +140,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testutil.Filled(t, snapshot.Settings)
-	testutil.ExplicitNames(t, "toml", snapshot.Settings)
+	testutil.CheckFieldsSet(t, snapshot.Settings)
+	testutil.CheckExplicitNames(t, "toml", snapshot.Settings)
 	decoded, err := toml.Marshal(snapshot.Settings)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -87,7 +87,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			testutil.Filled(t, v)
+			testutil.CheckFieldsSet(t, v)
 			data := encode(v)
 			testutil.GoldenBinary(t, name+".cbor.hex", data)
 			read := reflect.New(reflect.TypeOf(v))
@@ -229,8 +229,8 @@
 	}
 	answer := Result{ID: "push-1", Outcome: OutcomeAccepted, Revision: testRevision(17), Error: "why"}
 	for name, v := range map[string]any{"status": status, "answer": answer, "founding": testBootstrapConfig()} {
-		testutil.Filled(t, v)
-		testutil.ExplicitNames(t, "json", v)
+		testutil.CheckFieldsSet(t, v)
+		testutil.CheckExplicitNames(t, "json", v)
 		for file, value := range map[string]any{
 			name + ".json":       v,
 			name + "-empty.json": reflect.Zero(reflect.TypeOf(v)).Interface(),
--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -49,8 +49,8 @@
 // also checks that the JSON of v can be decoded.
 func checkGolden(t *testing.T, name string, v any) {
 	t.Helper()
-	testutil.Filled(t, v)
-	testutil.ExplicitNames(t, "json", v)
+	testutil.CheckFieldsSet(t, v)
+	testutil.CheckExplicitNames(t, "json", v)
 	testutil.Golden(t, name+".json", testutil.IndentedJSON(t, v))
 	testutil.Golden(t, name+"-empty.json", testutil.IndentedJSON(t, reflect.Zero(reflect.TypeOf(v)).Interface()))
 	read := reflect.New(reflect.TypeOf(v))
@@ -105,7 +105,7 @@
 			BytesSent:       14,
 		},
 	})
-	testutil.ExplicitNames(t, "json", serverState{})
+	testutil.CheckExplicitNames(t, "json", serverState{})
 }
 
 // A subscription starts with a line with the upstream's path and revision, followed by the snapshot. The path is sent
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -65,7 +65,7 @@
 		level:   new(slog.LevelVar),
 	}
 	state := m.state()
-	testutil.ExplicitNames(t, "json", state)
+	testutil.CheckExplicitNames(t, "json", state)
 	text, err := json.Marshal(state)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/mergedsource/format_test.go
+++ b/internal/discovery/mergedsource/format_test.go
@@ -33,8 +33,8 @@
 		Sources:  []string{"discovery", "dns"},
 		Since:    1500 * time.Millisecond,
 	}, {}}
-	testutil.Filled(t, list[0])
-	testutil.ExplicitNames(t, "json", list)
+	testutil.CheckFieldsSet(t, list[0])
+	testutil.CheckExplicitNames(t, "json", list)
 	text := testutil.IndentedJSON(t, list)
 	testutil.Golden(t, "list.json", text)
 	var read []discovery.EndpointStatus
--- a/internal/discovery/relay/format_test.go
+++ b/internal/discovery/relay/format_test.go
@@ -96,8 +96,8 @@
 		Server:  ServerState{Version: 5, Live: true, Path: []string{"m2", "m3"}, Followers: 6, Rejected: 7},
 		Group:   "10.0.0.9:8500",
 	}
-	testutil.Filled(t, state)
-	testutil.ExplicitNames(t, "json", state)
+	testutil.CheckFieldsSet(t, state)
+	testutil.CheckExplicitNames(t, "json", state)
 	text := testutil.IndentedJSON(t, []SourceState{state, {}})
 	testutil.Golden(t, "state.json", text)
 }
@@ -116,8 +116,8 @@
 		StartedAtMS: 1700000000000.5,
 	}
 	event := watch.Event{Version: 7, Complete: true, Endpoints: []watch.Endpoint{endpoint, {}}}
-	testutil.Filled(t, event)
-	testutil.ExplicitNames(t, "json", event)
+	testutil.CheckFieldsSet(t, event)
+	testutil.CheckExplicitNames(t, "json", event)
 	text := testutil.IndentedJSON(t, event)
 	testutil.Golden(t, "listing.json", text)
 	var read watch.Event
--- a/internal/emulator/format_test.go
+++ b/internal/emulator/format_test.go
@@ -24,8 +24,8 @@
 			StartedAtMS:  1700000000000.5,
 		}},
 	}
-	testutil.Filled(t, list)
-	testutil.ExplicitNames(t, "json", list)
+	testutil.CheckFieldsSet(t, list)
+	testutil.CheckExplicitNames(t, "json", list)
 	text := testutil.IndentedJSON(t, list)
 	testutil.Golden(t, "listing.json", text)
 	var read listing
--- a/internal/front/graphqlfront/format_test.go
+++ b/internal/front/graphqlfront/format_test.go
@@ -20,8 +20,8 @@
 		PartsInFlight:   8,
 		CachedDocuments: 9,
 	}
-	testutil.Filled(t, state)
-	testutil.ExplicitNames(t, "json", state)
+	testutil.CheckFieldsSet(t, state)
+	testutil.CheckExplicitNames(t, "json", state)
 	text := testutil.IndentedJSON(t, state)
 	testutil.Golden(t, "state.json", text)
 }
@@ -34,8 +34,8 @@
 	if err := json.Unmarshal([]byte(text), &p); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Filled(t, p)
-	testutil.ExplicitNames(t, "json", p)
+	testutil.CheckFieldsSet(t, p)
+	testutil.CheckExplicitNames(t, "json", p)
 	decoded := testutil.IndentedJSON(t, p)
 	testutil.Golden(t, "parameters.json", decoded)
 }
--- a/internal/limits/format_test.go
+++ b/internal/limits/format_test.go
@@ -20,8 +20,8 @@
 		StartedAt: at,
 		ReachedAt: at.Add(time.Second),
 	}
-	testutil.Filled(t, state)
-	testutil.ExplicitNames(t, "json", state)
+	testutil.CheckFieldsSet(t, state)
+	testutil.CheckExplicitNames(t, "json", state)
 	list := []State{state, NewMeter("connections of clients", 7).State()}
 	text := testutil.IndentedJSON(t, list)
 	testutil.Golden(t, "state.json", text)
--- a/internal/operator/format_test.go
+++ b/internal/operator/format_test.go
@@ -24,8 +24,8 @@
 	for _, fault := range strictdecode.Decode(text, v) {
 		t.Errorf("%s:%v", path, fault)
 	}
-	testutil.Filled(t, v)
-	testutil.ExplicitNames(t, "toml", v)
+	testutil.CheckFieldsSet(t, v)
+	testutil.CheckExplicitNames(t, "toml", v)
 	got, err := toml.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/format_test.go
+++ b/internal/platform/format_test.go
@@ -23,8 +23,8 @@
 	if err := decoder.Decode(&config); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Filled(t, config)
-	testutil.ExplicitNames(t, "json", config)
+	testutil.CheckFieldsSet(t, config)
+	testutil.CheckExplicitNames(t, "json", config)
 	decoded := testutil.IndentedJSON(t, config)
 	testutil.Golden(t, "configuration-decoded.json", decoded)
 }
--- a/internal/simulation/callgraph/format_test.go
+++ b/internal/simulation/callgraph/format_test.go
@@ -8,5 +8,5 @@
 
 // The keys of an experiment's file are explicit tags.
 func TestExperimentFileNamesAreExplicit(t *testing.T) {
-	testutil.ExplicitNames(t, "toml", Experiment{})
+	testutil.CheckExplicitNames(t, "toml", Experiment{})
 }
--- a/internal/simulation/capacity/format_test.go
+++ b/internal/simulation/capacity/format_test.go
@@ -9,7 +9,7 @@
 
 // The keys of an experiment's file are explicit tags.
 func TestExperimentFileNamesAreExplicit(t *testing.T) {
-	testutil.ExplicitNames(t, "toml", Experiment{})
+	testutil.CheckExplicitNames(t, "toml", Experiment{})
 }
 
 // A row of a file of results keeps its form, as written and as read.
@@ -24,8 +24,8 @@
 		Value:      1.5,
 		N:          3,
 	}
-	testutil.Filled(t, result)
-	testutil.ExplicitNames(t, "json", result)
+	testutil.CheckFieldsSet(t, result)
+	testutil.CheckExplicitNames(t, "json", result)
 	var out bytes.Buffer
 	if err := WriteResults(&out, []Result{result, {}}); err != nil {
 		t.Fatal(err)
--- a/internal/simulation/experiment/format_test.go
+++ b/internal/simulation/experiment/format_test.go
@@ -20,8 +20,8 @@
 	for _, fault := range strictdecode.Decode(text, &file) {
 		t.Errorf("every-key.toml:%v", fault)
 	}
-	testutil.Filled(t, file)
-	testutil.ExplicitNames(t, "toml", file)
+	testutil.CheckFieldsSet(t, file)
+	testutil.CheckExplicitNames(t, "toml", file)
 	decoded, err := toml.Marshal(file)
 	if err != nil {
 		t.Fatal(err)
@@ -42,8 +42,8 @@
 		High:    1.25,
 		Differs: true,
 	}
-	testutil.Filled(t, difference)
-	testutil.ExplicitNames(t, "json", difference)
+	testutil.CheckFieldsSet(t, difference)
+	testutil.CheckExplicitNames(t, "json", difference)
 	text := testutil.IndentedJSON(t, []Difference{difference, {}})
 	testutil.Golden(t, "comparison.json", text)
 }
@@ -51,6 +51,6 @@
 // The keys of verdicts, headers and runs are explicit tags; stored_test.go holds the files.
 func TestRunNamesAreExplicit(t *testing.T) {
 	for _, v := range []any{Header{}, Run{}, Claim{}, Verdict{}} {
-		testutil.ExplicitNames(t, "json", v)
+		testutil.CheckExplicitNames(t, "json", v)
 	}
 }
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -60,10 +60,10 @@
 	return append(text, '\n')
 }
 
-// Filled fails the test for each exported field of v, at any depth, that has its zero value or is an empty slice or
+// CheckFieldsSet fails the test for each exported field of v, at any depth, that has its zero value or is an empty slice or
 // map: a golden file of such a value would not show the field's encoding. Fields that are never encoded, which have the
 // name "-" in a tag, are skipped. Of a slice, only the first element is visited.
-func Filled(t testing.TB, v any) {
+func CheckFieldsSet(t testing.TB, v any) {
 	t.Helper()
 	walkEncoded(reflect.ValueOf(v), reflect.TypeOf(v).String(), func(path string, field reflect.Value) {
 		isCollection := field.Kind() == reflect.Slice || field.Kind() == reflect.Map
@@ -106,16 +106,16 @@
 	return field.Tag.Get("json") == "-" || field.Tag.Get("toml") == "-"
 }
 
-// ExplicitNames fails the test for each exported field of the type of v, at any depth, that has no name in a struct tag
+// CheckExplicitNames fails the test for each exported field of the type of v, at any depth, that has no name in a struct tag
 // with the given key: its encoded name would be that of the Go field, so that a rename would change the format.
 // Embedded structs have no name of their own, and types that encode themselves as text are not visited.
-func ExplicitNames(t testing.TB, key string, v any) {
+func CheckExplicitNames(t testing.TB, key string, v any) {
 	t.Helper()
-	explicitNames(t, key, reflect.TypeOf(v), map[reflect.Type]bool{})
+	checkExplicitNames(t, key, reflect.TypeOf(v), map[reflect.Type]bool{})
 }
 
-// explicitNames checks one type and those that it is made of, each once.
-func explicitNames(t testing.TB, key string, kind reflect.Type, seen map[reflect.Type]bool) {
+// checkExplicitNames checks one type and those that it is made of, each once.
+func checkExplicitNames(t testing.TB, key string, kind reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
 	if seen[kind] {
 		return
@@ -123,7 +123,7 @@
 	seen[kind] = true
 	switch kind.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-		explicitNames(t, key, kind.Elem(), seen)
+		checkExplicitNames(t, key, kind.Elem(), seen)
 	case reflect.Struct:
 		if encodesItself(kind) {
 			return
@@ -136,7 +136,7 @@
 			case name == "" && !field.Anonymous:
 				t.Errorf("%v.%s has no name in a %s tag", kind, field.Name, key)
 			default:
-				explicitNames(t, key, field.Type, seen)
+				checkExplicitNames(t, key, field.Type, seen)
 			}
 		}
 	}
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -25,8 +25,8 @@
 	if err := decoder.Decode(v); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Filled(t, v)
-	testutil.ExplicitNames(t, "json", v)
+	testutil.CheckFieldsSet(t, v)
+	testutil.CheckExplicitNames(t, "json", v)
 }
 
 // Each field of a batch and of its events is decoded from the simulator's field name.
@@ -182,8 +182,8 @@
 		Enable:       true,
 		Text:         "why",
 	}
-	testutil.Filled(t, full)
-	testutil.ExplicitNames(t, "json", full)
+	testutil.CheckFieldsSet(t, full)
+	testutil.CheckExplicitNames(t, "json", full)
 	if err := out.Encode(full); err != nil {
 		t.Fatal(err)
 	}
