--- a/internal/testcluster/admin.go
+++ b/internal/testcluster/admin.go
@@ -11,15 +11,16 @@
 	"hazelwing/internal/cluster/gossip"
 )
 
-// maxAdminBytes bounds a response of an admin endpoint.
+// maxAdminBytes limits the bytes that are read of an admin endpoint's response.
 const maxAdminBytes = 16 << 20
 
-// ReadAdmin decodes the JSON of a path of a member's admin endpoint into v.
+// ReadAdmin requests a path from a member's admin endpoint and decodes the JSON response into v.
 func (c *Cluster) ReadAdmin(n int, path string, v any) error {
 	return c.readAdmin(context.Background(), n, path, v)
 }
 
-// readAdmin is ReadAdmin for callers with a context. Its end does not interrupt the request, which has a timeout.
+// readAdmin is ReadAdmin for callers with a context. Cancelling ctx does not interrupt the request, which ends after
+// adminTimeout at the latest.
 func (c *Cluster) readAdmin(ctx context.Context, n int, path string, v any) error {
 	resp, err := c.get(ctx, "http://"+c.members[n].admin+"/"+path, nil)
 	if err != nil {
@@ -43,8 +44,8 @@
 	return c.admin.Do(req)
 }
 
-// views asks all members of a group that run and are not frozen for their view, concurrently. The view of one that does
-// not respond is empty.
+// views reads the view of each member of a group that runs and is not frozen, concurrently. The view of a member that
+// does not respond is empty.
 func (c *Cluster) views(ctx context.Context, group []int) map[int]gossip.Status {
 	views := map[int]gossip.Status{}
 	var mu sync.Mutex
@@ -68,7 +69,8 @@
 	return views
 }
 
-// responds reports whether a process has come up. A member has once it accepts requests as well.
+// responds reports whether a process is ready: an origin answers, and a member's admin endpoint does. In a cluster with
+// origins a member must also accept requests.
 func (c *Cluster) responds(ctx context.Context, n int) bool {
 	if n > originBase {
 		return c.originResponds(ctx, n)
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -23,20 +23,21 @@
 
 const (
 	clientTimeout = 3 * time.Second
-	clientSlack   = 3 * time.Second // after clientTimeout, for a busy machine
+	clientSlack   = 3 * time.Second // wait beyond clientTimeout for a response, since a busy machine is late
 	clientWork    = 3 * time.Millisecond
-	// clientStreamBase is added to a member's number in the random stream of its client.
+	// clientStreamBase is added to a member's number to select the random stream of its client.
 	clientStreamBase = 1000
-	// A client pauses for minClientPause and up to clientPauseRange milliseconds more between two requests.
+	// Between two requests a client pauses for at least minClientPause milliseconds and for less than clientPauseRange
+	// milliseconds more, drawn at random.
 	minClientPause   = 10
 	clientPauseRange = 40
 )
 
-// Outcomes counts how requests ended, over all clients.
+// Outcomes counts the requests of all clients by outcome. Broken are requests without a complete response.
 type Outcomes struct{ Served, Rejected, Failed, Broken atomic.Int64 }
 
-// runClient is the client beside a member. It sends one request after the other, without retries, and checks that the
-// member responds to each.
+// runClient runs the client of a member. It sends one request at a time, without retries, and checks that the member
+// responds to each.
 func (c *Cluster) runClient(ctx context.Context, p *process) {
 	rng := rand.New(rand.NewPCG(c.config.Seed, uint64(clientStreamBase+p.number)))
 	transport := &http.Transport{}
@@ -62,7 +63,7 @@
 	}
 }
 
-// sendRequest sends one request and counts its outcome. The end of ctx does not interrupt it.
+// sendRequest sends one request and counts its outcome. Cancelling ctx does not interrupt the request.
 func (c *Cluster) sendRequest(
 	ctx context.Context, client *http.Client, p *process, transitions int64, class emulator.TrafficClass, id string,
 ) {
@@ -81,7 +82,7 @@
 	defer cancel()
 	req, err := message.Request(ctx, "http://"+p.listen)
 	if err != nil {
-		c.violations.add("%s: %v", id, err)
+		c.violations.add("request %s cannot be created: %v", id, err)
 		return
 	}
 	status, body, err := roundTrip(client, req)
@@ -89,7 +90,7 @@
 		c.Outcomes.Broken.Add(1)
 		// A process that was killed, terminated or frozen in the meantime need not respond.
 		if p.transitions.Load() == transitions && p.freezes.Load() == freezes && !p.stopped.Load() {
-			c.violations.add("%s had no answer from a sidecar that runs: %v", id, err)
+			c.violations.add("request %s got no response from a running sidecar: %v", id, err)
 		}
 		return
 	}
@@ -107,18 +108,19 @@
 	return resp.StatusCode, string(text), err
 }
 
-// countResponse counts a response, and reports one that violates the rules.
+// countResponse counts a response, and records a violation if the response breaks a rule.
 func (c *Cluster) countResponse(status int, body string, class emulator.TrafficClass, id string) {
 	switch status {
 	case http.StatusOK:
 		c.Outcomes.Served.Add(1)
 		if !strings.HasPrefix(body, id) {
-			c.violations.add("%s was served with %q", id, body)
+			c.violations.add("request %s was served with body %q, want the prefix %q", id, body, id)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		c.Outcomes.Rejected.Add(1)
 		if _, executions := c.Servers.Rules.Executions(id); executions > 0 && class.Effect == "unsafe" {
-			c.violations.add("%s was refused after it ran", id)
+			c.violations.add("request %s of class %s was rejected although it was executed %d times",
+				id, class.Name, executions)
 		}
 	default:
 		c.Outcomes.Failed.Add(1)
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,12 +1,12 @@
-// Package testcluster starts many processes of the program on loopback, with a link of its own for each direction
-// between each two, emulated servers that count executions, and a client beside each. A script cuts, slows and heals
-// links, and kills, freezes, starves and restarts processes; its steps wait for what the admin endpoints report.
-// docs/operators/rig.md describes the steps.
+// Package testcluster starts a cluster of real sidecar processes on loopback. Each ordered pair of processes has a link
+// that forwards the traffic from the first to the second. Emulated servers count executions, and each member has a
+// client that sends requests. A script cuts, slows and heals links, and kills, freezes, starves and restarts processes;
+// its wait steps poll the members' admin endpoints. docs/operators/rig.md describes the steps.
 //
-// # Bounds
+// # Limits
 //
-// A cluster has at most 30 members, two sockets for each direction between two, and one client a member. It ends only
-// processes that it has started.
+// A cluster has at most 30 members, two sockets for each link, and one client for each member. It kills only processes
+// that it has started.
 package testcluster
 
 import (
@@ -27,46 +27,46 @@
 const (
 	defaultServers = 4
 	serverSpeed    = 8
-	serverSlack    = 2 * time.Second // added to the servers' drain grace, for a busy machine
+	serverSlack    = 2 * time.Second // added to the servers' drain grace, since processes on a busy machine react late
 	adminTimeout   = 2 * time.Second
 )
 
 // Config describes a cluster.
 type Config struct {
 	Members int
-	Program []string // the command that runs the daemon
-	Env     []string // added to the daemon's own variables
-	Dir     string   // for files and logs; empty at first
+	Program []string // command line that runs the daemon
+	Env     []string // variables added to the environment of this process
+	Dir     string   // directory for files and logs; must be empty when the cluster is created
 	Seed    uint64
-	Servers int // emulated servers; 0: 4
-	// OperatorOptions is added to each member's operator's file, below [fleet] and [admin]. DIR in it is replaced by
-	// the member's directory.
+	Servers int // number of emulated servers; 0 means 4
+	// OperatorOptions is text that is added to each member's operator file, after the tables [admin] and [fleet]. DIR
+	// in it is replaced by the member's directory.
 	OperatorOptions string
-	// ClusterOptions are further keys of [fleet].
+	// ClusterOptions has further keys of the table [fleet].
 	ClusterOptions  string
-	PlatformMembers int // Balancers of the platform's file; 0: Members
+	PlatformMembers int // value of Balancers in the platform configuration; 0 means Members
 	WithoutClients  bool
-	// Origins is the number of replicas of the configuration service. If it is not 0, the operator's files have
+	// Origins is the number of replicas of the configuration service. If it is not 0, each operator file has a table
 	// [config], with ConfigOptions as further keys.
 	Origins       int
 	ConfigOptions string
 }
 
-// Cluster is a set of processes and what they run against. One goroutine at a time calls its methods; clients run in
-// goroutines of their own, which Close waits for.
+// Cluster is a set of member and origin processes, the links between them, and their emulated servers and clients. Its
+// methods must not be called concurrently. The clients run in their own goroutines; Close waits for them.
 type Cluster struct {
 	config    Config
 	Servers   *emulator.Fleet
 	Outcomes  Outcomes
-	members   []*process // from 1
-	origins   []*process // from 1, if there are any
+	members   []*process // indexed from 1; the element 0 is nil
+	origins   []*process // indexed from 1; nil if there are no origins
 	links     map[linkKey]*link
 	seeds     []string
 	startedAt time.Time
 	script    string
 	timeline  []timelineEntry
 	admin     *http.Client
-	// Waits is how long each wait of the script took, in order.
+	// Waits has the duration of each wait and settle step of the scripts, in order.
 	Waits []Wait
 
 	stopClients context.CancelFunc
@@ -75,16 +75,16 @@
 	violations  violations
 }
 
-// Wait is a wait of a script and how long it took.
+// Wait is a wait or settle step of a script and its duration.
 type Wait struct {
 	Step     string
 	Duration time.Duration
 }
 
-// New creates a cluster in which no member runs yet. The caller closes it.
+// New creates a cluster in which no member runs yet. The caller must close it.
 func New(config Config) (_ *Cluster, err error) {
 	if config.Members < 1 || config.Members > MaxMembers {
-		return nil, fmt.Errorf("test cluster: %d members, 1 to %d are possible", config.Members, MaxMembers)
+		return nil, fmt.Errorf("test cluster: Members is %d, want 1 to %d", config.Members, MaxMembers)
 	}
 	if config.Servers == 0 {
 		config.Servers = defaultServers
@@ -124,7 +124,7 @@
 	return c, nil
 }
 
-// startServers starts the emulated servers, in two zones.
+// startServers starts the emulated servers, alternately in two zones.
 func (c *Cluster) startServers(traffic *emulator.Traffic) (err error) {
 	var nodes []emulator.NodeConfig
 	for i := range c.config.Servers {
@@ -182,7 +182,7 @@
 	}
 }
 
-// Close ends all processes and waits for all that the cluster started. It may be called more than once.
+// Close kills all processes, and stops the clients, links and servers. It may be called more than once.
 func (c *Cluster) Close() { c.closeOnce.Do(c.close) }
 
 func (c *Cluster) close() {
@@ -206,7 +206,8 @@
 	}
 }
 
-// Violations returns the violations of the rules, and processes that have exited by themselves, up to now.
+// Violations returns the rule violations that clients and servers have recorded so far, and the processes that have
+// exited unexpectedly since the last check.
 func (c *Cluster) Violations() []string {
 	list := c.violations.all()
 	for _, p := range c.processes() {
@@ -217,10 +218,10 @@
 	return append(list, c.Servers.Rules.Violations()...)
 }
 
-// maxViolations bounds the list of violations; further ones are not recorded.
+// maxViolations limits the number of violations that are recorded; further ones are dropped.
 const maxViolations = 50
 
-// violations are those that clients have seen.
+// violations is the list of rule violations that clients have detected.
 type violations struct {
 	mu   sync.Mutex
 	list []string
@@ -240,8 +241,8 @@
 	return slices.Clone(v.list)
 }
 
-// SetProgram sets the command that runs the members or origins of a group from their next start on, and that bootstraps
-// these origins. This allows processes of several versions of the program in one cluster.
+// SetProgram sets the command that runs the members or origins of a group from their next start on; it also bootstraps
+// these origins. One cluster can so have processes of several versions of the program.
 func (c *Cluster) SetProgram(group string, program ...string) error {
 	numbers, err := c.group(group)
 	if err != nil {
@@ -253,7 +254,7 @@
 	return nil
 }
 
-// process returns a member or an origin by its number.
+// process returns the member or origin with the given number.
 func (c *Cluster) process(n int) *process {
 	if n > originBase {
 		return c.origins[n-originBase]
@@ -282,7 +283,7 @@
 // AdminAddr returns the address of a member's admin endpoint.
 func (c *Cluster) AdminAddr(n int) string { return c.members[n].admin }
 
-// GossipAddr returns the address of a member's gossip, not behind a link.
+// GossipAddr returns the address at which a member listens for gossip, which bypasses the links.
 func (c *Cluster) GossipAddr(n int) string {
 	return fmt.Sprintf("%s:%d", memberAddr(n), c.members[n].port)
 }
--- a/internal/testcluster/cluster_test.go
+++ b/internal/testcluster/cluster_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// No two listeners of a cluster share an address: a port that is free for one could be that of another, whose start
-// would fail.
+// No two listeners of a cluster share an IP address. On a shared one, a port that was free when it was chosen for one
+// listener can also be chosen for another, which then cannot start.
 func TestListenersHaveAddressesOfTheirOwn(t *testing.T) {
 	c, err := New(Config{Members: 3, Dir: t.TempDir()})
 	if err != nil {
@@ -18,7 +18,7 @@
 		for _, address := range []string{c.members[n].listen, c.members[n].admin, c.GossipAddr(n)} {
 			host := netip.MustParseAddrPort(address).Addr()
 			if seen[host] != "" {
-				t.Errorf("%s and %s share an address", address, seen[host])
+				t.Errorf("%s and %s share an IP address, want a separate one for each listener", address, seen[host])
 			}
 			seen[host] = address
 		}
--- a/internal/testcluster/hollow/cluster.go
+++ b/internal/testcluster/hollow/cluster.go
@@ -1,25 +1,25 @@
-// Package hollow runs hundreds of sidecars without traffic in one process: the real parts of the control plane,
-// opened as the daemon opens them (internal/cluster/node), on real sockets, each member at a loopback address of
-// its own. Links between locations are cut, slowed and healed by a script (Links). The term is that of Kubernetes'
-// kubemark.
+// Package hollow runs hundreds of sidecars without request traffic in one process, to measure the cost of the control
+// plane. Each hollow member runs the real control plane code, opened as the daemon opens it (internal/cluster/node), on
+// real sockets and at a separate loopback address. A script cuts, slows and heals the links between locations (Links).
+// The term "hollow" is that of Kubernetes' kubemark.
 //
-// # What a hollow sidecar leaves out
+// # Differences from a real sidecar
 //
-// - the fronts, the engine with its balancer, the transport: no request, no connection to an endpoint, no probe of
-// one;
-//   - the endpoints themselves: the list names them, and nothing listens there;
-//   - the idempotency records and the store, the admin endpoint, the platform's file and the signals;
-//   - the log: lines are made and discarded;
-//   - a process of its own: one heap, one collector, one scheduler and one table of descriptors are shared by all;
-//   - a host of its own: one clock, and no network but loopback. Headers of packets are not counted.
+//   - There are no fronts, no engine with a balancer and no transport, hence no requests, connections to endpoints or
+//     probes.
+//   - The endpoints in the list do not exist: nothing listens at their addresses.
+//   - There are no idempotency records, store, admin endpoint, platform configuration or signal handling.
+//   - Log lines are formatted and discarded, unless Config.Log is set.
+//   - Members are not separate processes: they share one heap, garbage collector, scheduler and file descriptor table.
+//   - Members are not on separate hosts: they share one clock and use only loopback. Packet headers are not counted.
 //
-// Where the engine subscribes again to a lost list when its balancer says so, Member.watchEndpoints does, with
-// about the balancer's delays.
+// In a real sidecar the engine subscribes again to a lost endpoint list when its balancer decides so. Here
+// Member.watchEndpoints does it, with about the same delays.
 //
 // # Limits
 //
-// A cluster has up to MaxMembers members. A quiet one has four descriptors and two for each subscriber; all ends with
-// Close.
+// A cluster has at most MaxMembers members. A member of a quiet cluster uses four file descriptors, and two more for
+// each of its subscribers. Close releases all of them.
 package hollow
 
 import (
@@ -36,7 +36,7 @@
 	"hazelwing/internal/emulator"
 )
 
-// MaxMembers is how many members a cluster may have.
+// MaxMembers is the maximum number of members of a cluster.
 const MaxMembers = 2500
 
 // Defaults of Config.
@@ -52,42 +52,44 @@
 const (
 	// memberPort is the port of all members.
 	memberPort = 7946
-	// Clusters have the addresses 127.N.0.0/16 for one N of these.
+	// A cluster uses the addresses 127.N.0.0/16, with one N from firstAddressBlock to lastAddressBlock.
 	firstAddressBlock = 140
 	lastAddressBlock  = 199
-	// addressesPerByte is how many values of an address' last byte are used.
-	addressesPerByte = 250
-	// restartAddresses is how many different addresses an endpoint has in the course of its restarts.
-	restartAddresses = 200
+	// hostsPerSubnet is the number of values of the last byte of an address that are used.
+	hostsPerSubnet = 250
+	// endpointAddresses is the number of addresses that an endpoint uses in turn, a new one after each restart.
+	endpointAddresses = 200
 )
 
-// healthServing is the health of the endpoints at first, as discovery states it.
+// healthServing is the initial health of the endpoints, in the form that discovery uses.
 const healthServing = "SERVING"
 
 // Config describes a cluster.
 type Config struct {
 	Members int
-	// Endpoints is how many the list has; 0: one for each member. They belong to Services (34).
+	// Endpoints is the number of endpoints in the list; 0 means one for each member. Services is the number of services
+	// that they belong to; 0 means 34.
 	Endpoints int
 	Services  int
-	// Regions (2) and Zones (4) are in all; racks have RackSize (10) members.
+	// Regions and Zones are the numbers of regions and zones in the whole cluster, and RackSize is the number of
+	// members in a rack; 0 means 2, 4 and 10.
 	Regions  int
 	Zones    int
 	RackSize int
-	// ConfiguredSize is how many sidecars the setting says there are; 0: Members.
+	// ConfiguredSize is the number of sidecars that the members' configuration gives; 0 means Members.
 	ConfiguredSize int
 	Seed           uint64
-	// Name is the cluster's; empty: hollow.
+	// Name is the cluster's name; "" means hollow.
 	Name string
-	// MemberName is a format of the members' names, with their number; empty: sidecar-%04d.
+	// MemberName is the format of a member's name, with the member's number as its argument; "" means sidecar-%04d.
 	MemberName string
-	// ClusterKeys are more keys of [fleet] in the operator's file, BootstrapKeys those of [recovery].
+	// ClusterKeys has further keys of the table [fleet] of the operator file, BootstrapKeys those of [recovery].
 	ClusterKeys   string
 	BootstrapKeys string
-	// Attach is called at each start of a member, before anything of it is open; nil: nothing else runs. It must
-	// not wait for the member.
+	// Attach is called at each start of a member, before its sockets are opened, and returns additional code to run at
+	// the member's address. It may be nil, and must not wait for the member.
 	Attach func(m *Member) Attachment
-	// Log gets the members' lines; nil: they are discarded.
+	// Log receives the members' log lines; nil discards them.
 	Log *slog.Logger
 }
 
@@ -110,31 +112,39 @@
 func (c Config) validate() error {
 	switch {
 	case c.Members < 1 || c.Members > MaxMembers:
-		return fmt.Errorf("hollow: %d members, 1 to %d can be", c.Members, MaxMembers)
-	case c.Endpoints < 0 || c.Services < 1 || c.RackSize < 1 || c.Regions < 1 || c.Zones < c.Regions:
-		return fmt.Errorf("hollow: %d endpoints in %d services, %d regions with %d zones, racks of %d cannot be",
-			c.Endpoints, c.Services, c.Regions, c.Zones, c.RackSize)
+		return fmt.Errorf("hollow: Members is %d, want 1 to %d", c.Members, MaxMembers)
+	case c.Endpoints < 0:
+		return fmt.Errorf("hollow: Endpoints is %d, want 0 or more", c.Endpoints)
+	case c.Services < 1:
+		return fmt.Errorf("hollow: Services is %d, want 1 or more", c.Services)
+	case c.RackSize < 1:
+		return fmt.Errorf("hollow: RackSize is %d, want 1 or more", c.RackSize)
+	case c.Regions < 1:
+		return fmt.Errorf("hollow: Regions is %d, want 1 or more", c.Regions)
+	case c.Zones < c.Regions:
+		return fmt.Errorf("hollow: Zones is %d, want at least one for each of %d regions", c.Zones, c.Regions)
 	}
 	return nil
 }
 
-// Cluster is hollow sidecars, their discovery service, and the links between them.
+// Cluster is a set of hollow sidecars, their discovery service, and the links between them.
 type Cluster struct {
 	Discovery *emulator.Discovery
 	Links     *Links
-	// Members have numbers from 1.
+	// Members are in order of their numbers, which begin at 1: Members[0] has the number 1.
 	Members []*Member
 
 	config Config
-	seeds  string // as the operator's file has them
-	// reservation holds the cluster's addresses, which are those of its addressBlock, against other processes.
+	seeds  string // seeds in the form of the operator file: a list in JSON
+	// reservation is a listener that keeps other processes from using the same addressBlock, which is the second byte
+	// of all addresses of the cluster.
 	reservation  net.Listener
 	addressBlock byte
 	discovery    trafficCounter
 	closeOnce    sync.Once
 }
 
-// New makes a cluster in which no member runs. It has to be closed.
+// New creates a cluster in which no member runs yet. The caller must close it.
 func New(config Config) (*Cluster, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -158,7 +168,8 @@
 	return c, nil
 }
 
-// addMembers adds the members. The first ones of the first racks, which are in different zones, are seeds.
+// addMembers adds the members. The first member of each of the first racks, which are in different zones, is a seed;
+// there is at most one seed for each zone.
 func (c *Cluster) addMembers() error {
 	var seeds []string
 	for n := 1; n <= c.config.Members; n++ {
@@ -179,23 +190,24 @@
 	return err
 }
 
-// addressOf is the address of a member, from 1.
+// addressOf returns the address of the member with the given number, which begins at 1.
 func (c *Cluster) addressOf(n int) netip.Addr {
-	third, fourth := byte((n-1)/addressesPerByte+1), byte((n-1)%addressesPerByte+1)
+	third, fourth := byte((n-1)/hostsPerSubnet+1), byte((n-1)%hostsPerSubnet+1)
 	return netip.AddrFrom4([4]byte{127, c.addressBlock, third, fourth})
 }
 
-// locationOf is the location of an address; one that is no member's is discovery's.
+// locationOf returns the location of the member at an address. Any other address is taken to be that of discovery.
 func (c *Cluster) locationOf(a netip.Addr) Location {
 	b := a.Unmap().As4()
-	n := (int(b[2])-1)*addressesPerByte + int(b[3])
+	n := (int(b[2])-1)*hostsPerSubnet + int(b[3])
 	if b[1] == c.addressBlock && n >= 1 && n <= len(c.Members) {
 		return c.Members[n-1].Location
 	}
 	return discoveryLocation
 }
 
-// reserveAddresses finds 127.N.0.0/16 that no other cluster on this machine has.
+// reserveAddresses finds an N such that no other cluster on this machine uses 127.N.0.0/16. It returns N and a listener
+// that reserves the addresses.
 func reserveAddresses() (net.Listener, byte, error) {
 	var errs []error
 	for n := firstAddressBlock; n <= lastAddressBlock; n++ {
@@ -205,17 +217,20 @@
 		}
 		errs = append(errs, err)
 	}
-	return nil, 0, fmt.Errorf("hollow: no addresses are free: %w", errors.Join(errs...))
+	return nil, 0, fmt.Errorf(
+		"hollow: no block of loopback addresses is free: tried 127.%d.0.0/16 to 127.%d.0.0/16: %w",
+		firstAddressBlock, lastAddressBlock, errors.Join(errs...),
+	)
 }
 
-// Endpoint is an entry of the list, from 0, after a number of restarts.
+// Endpoint returns the entry of the endpoint list with index i, which begins at 0, after the given number of restarts.
 func (c *Cluster) Endpoint(i int, health string, restarts int) emulator.Endpoint {
 	location := LocationOf(i+1, c.config.Regions, c.config.Zones, c.config.RackSize)
 	service := i%c.config.Services + 1
 	e := emulator.Endpoint{
 		Name: fmt.Sprintf("s%02d-%04d", service, i+1),
 		Address: fmt.Sprintf("10.%d.%d.%d:8080",
-			restarts%restartAddresses, i/addressesPerByte+1, i%addressesPerByte+1),
+			restarts%endpointAddresses, i/hostsPerSubnet+1, i%hostsPerSubnet+1),
 		Zone:   fmt.Sprint("z", location.Zone),
 		Kind:   fmt.Sprint("s", service),
 		Cell:   location.Rack,
@@ -227,7 +242,7 @@
 	return e
 }
 
-// MembersIn are the members of an area.
+// MembersIn returns the members in an area.
 func (c *Cluster) MembersIn(a Area) (list []*Member) {
 	for _, m := range c.Members {
 		if a.Contains(m.Location) {
@@ -237,8 +252,8 @@
 	return list
 }
 
-// Disagreement describes the first difference between the views of the running members of an area and the truth, if
-// only those of the area can be reached; empty: there is none.
+// Disagreement describes the first difference between the view of a running member of an area and the running members
+// of this area, which assumes that members outside the area cannot be reached; "" if there is none.
 func (c *Cluster) Disagreement(in func(Location) bool) string {
 	var sum uint64
 	var running []*Member
@@ -246,25 +261,25 @@
 	for _, m := range c.Members {
 		if p := m.running(); p != nil && in(m.Location) {
 			running = append(running, m)
-			keys[m] = p.key
-			sum += p.key
+			keys[m] = p.hash
+			sum += p.hash
 		}
 	}
 	for _, m := range running {
 		v := m.view.Load()
 		switch {
 		case v == nil || !v.joined && len(running) > 1:
-			return m.Name + " has not joined"
+			return m.Name + " has not joined the cluster"
 		case v.live != len(running)-1:
-			return fmt.Sprintf("%s knows %d of %d others", m.Name, v.live, len(running)-1)
+			return fmt.Sprintf("%s sees %d other members, want %d", m.Name, v.live, len(running)-1)
 		case v.hash != sum-keys[m]:
-			return m.Name + " knows others than there are"
+			return m.Name + " sees the right number of members, but not the running ones"
 		}
 	}
 	return ""
 }
 
-// CountOutdated is how many running members of an area do not have discovery's latest list.
+// CountOutdated returns the number of running members in an area that do not have discovery's latest endpoint list.
 func (c *Cluster) CountOutdated(in func(Location) bool) (n int) {
 	version := c.Discovery.Version()
 	for _, m := range c.Members {
@@ -275,13 +290,13 @@
 	return n
 }
 
-// Close ends all members and discovery, and waits for them. It may be called again.
+// Close kills all members and closes the links and discovery. It may be called more than once.
 func (c *Cluster) Close() {
 	c.closeOnce.Do(func() {
 		c.Links.Heal()
 		c.Kill(c.Members...)
 		c.Links.close()
 		c.Discovery.Close()
-		_ = c.reservation.Close() // it accepts nothing
+		_ = c.reservation.Close() // the listener has no connections to lose
 	})
 }
--- a/internal/testcluster/hollow/counts.go
+++ b/internal/testcluster/hollow/counts.go
@@ -1,14 +1,15 @@
 package hollow
 
-// Counts are what went over a member's sockets, in all its processes. Messages are datagrams and writes to streams.
+// Counts is the traffic over a member's sockets, summed over all its processes. Each datagram, each write to a stream
+// and each read from one counts as a message.
 type Counts struct {
 	BytesOut, BytesIn       int64
 	MessagesOut, MessagesIn int64
-	// StreamOut and StreamIn are the bytes in streams, of these.
+	// StreamOut and StreamIn are the bytes in streams, which BytesOut and BytesIn include.
 	StreamOut, StreamIn int64
 }
 
-// Minus is what was added to older counts.
+// Minus returns the increase since older counts.
 func (c Counts) Minus(older Counts) Counts {
 	return Counts{
 		BytesOut:    c.BytesOut - older.BytesOut,
@@ -20,7 +21,7 @@
 	}
 }
 
-// Plus is the sum of both.
+// Plus returns the sum of both counts.
 func (c Counts) Plus(other Counts) Counts {
 	return Counts{
 		BytesOut:    c.BytesOut + other.BytesOut,
@@ -43,7 +44,7 @@
 	}
 }
 
-// Counts are what was counted so far.
+// Counts returns the member's traffic so far.
 func (m *Member) Counts() Counts {
 	c := m.traffic.counts()
 	m.mu.Lock()
@@ -59,5 +60,5 @@
 	return c
 }
 
-// DiscoveryCounts are discovery's, as its callers see them.
+// DiscoveryCounts returns discovery's traffic so far, as the members that call it have counted it.
 func (c *Cluster) DiscoveryCounts() Counts { return c.discovery.counts() }
--- a/internal/testcluster/hollow/hollow_test.go
+++ b/internal/testcluster/hollow/hollow_test.go
@@ -16,10 +16,10 @@
 	"hazelwing/internal/testutil"
 )
 
-// No test leaves a goroutine behind.
+// TestMain fails if a test leaves a goroutine behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fastKeys are settings with which faults are detected within seconds.
+// fastKeys are keys of the table [fleet] with which a cluster detects faults within seconds.
 const fastKeys = "probe = \"150ms\"\ntimeout = \"70ms\"\ngossip = \"20ms\"\nsync = \"1s\"\nretry = " +
 	"\"400ms\"\nsuspicion = 1.5\n"
 
@@ -35,7 +35,7 @@
 
 func everywhere(Location) bool { return true }
 
-// waitAgreed waits until the members of an area know just each other.
+// waitAgreed waits until each running member of an area sees exactly the other running members of the area.
 func waitAgreed(t *testing.T, c *Cluster, what string, in func(Location) bool) {
 	t.Helper()
 	begin, last := time.Now(), ""
@@ -48,17 +48,17 @@
 	t.Fatalf("%s: %s", what, last)
 }
 
-// waitCurrent waits until all have the latest list.
+// waitCurrent waits until all running members have the latest endpoint list.
 func waitCurrent(t *testing.T, c *Cluster, what string) {
 	t.Helper()
 	testutil.Until(t, what, func() bool { return c.CountOutdated(everywhere) == 0 })
 }
 
-// Links between regions and racks are cut and healed, members are killed, leave and start again. If the parts of a
-// hollow member did not work as those of a sidecar, measurements with them would say nothing. The members have to
-// join and get the list through a tree whose roots alone call discovery, and after each fault the views and the
-// lists have to be right.
-func TestFleet(t *testing.T) {
+// Measurements with hollow members are valid only if these behave like sidecars. The test cuts and heals links between
+// regions and racks, kills members, and lets members leave and start again. The members have to join the cluster and
+// get the endpoint list through a tree of which only the roots call discovery. After each fault, all views and lists
+// have to be correct.
+func TestClusterThroughFaults(t *testing.T) {
 	c := newCluster(t, Config{
 		Members:       16,
 		Endpoints:     40,
@@ -69,9 +69,9 @@
 	if err := c.Start(c.Members...); err != nil {
 		t.Fatal(err)
 	}
-	waitAgreed(t, c, "all know all", everywhere)
-	waitCurrent(t, c, "all have the list")
-	testutil.Until(t, "two are roots, and the tree has three levels", func() bool {
+	waitAgreed(t, c, "all members see all others", everywhere)
+	waitCurrent(t, c, "all members have the list")
+	testutil.Until(t, "a tree with two roots and at least three levels", func() bool {
 		roots, depth := 0, 0
 		for _, m := range c.Members {
 			s, _ := m.SourceState()
@@ -83,61 +83,62 @@
 		return roots == 2 && depth >= 2
 	})
 	c.Discovery.Set(c.Endpoint(3, "DRAINING", 0))
-	waitCurrent(t, c, "all know of a drain")
+	waitCurrent(t, c, "all members have the list with the draining endpoint")
 
 	one, two := Area("r1"), Area("r2")
 	if len(c.MembersIn(one)) != 8 || len(c.MembersIn(two)) != 8 || len(c.MembersIn("k1")) != 2 ||
 		c.Members[15].Location != (Location{2, 4, 8}) {
 		t.Fatalf(
-			"%d and %d in the regions, the last at %+v", len(c.MembersIn(one)), len(c.MembersIn(two)),
-			c.Members[15].Location,
+			"got %d and %d members in the regions, %d in rack 1 and the last member at %+v, want 8, 8, 2 and {2 4 8}",
+			len(c.MembersIn(one)), len(c.MembersIn(two)), len(c.MembersIn("k1")), c.Members[15].Location,
 		)
 	}
 	if err := c.Links.Apply("cut r1 r2"); err != nil {
 		t.Fatal(err)
 	}
 	c.Discovery.Set(c.Endpoint(4, "DRAINING", 0))
-	waitAgreed(t, c, "each region knows itself alone", one.Contains)
-	waitAgreed(t, c, "and the other one", two.Contains)
-	testutil.Until(t, "the list goes on in discovery's region", func() bool {
+	waitAgreed(t, c, "during the cut, region 1 sees only its own members", one.Contains)
+	waitAgreed(t, c, "during the cut, region 2 sees only its own members", two.Contains)
+	testutil.Until(t, "updates of the list in discovery's region during the cut", func() bool {
 		return c.CountOutdated(
 			one.Contains,
 		) == 0
 	})
 	if n := c.CountOutdated(two.Contains); n != 8 {
-		t.Errorf("%d of 8 do not have the update from behind the cut", n)
+		t.Errorf("%d members of region 2 lack the update that was made during the cut, want all 8", n)
 	}
 	c.Links.Heal()
-	waitAgreed(t, c, "whole again", everywhere)
-	waitCurrent(t, c, "the other region has caught up")
+	waitAgreed(t, c, "after the cut, all members see all others", everywhere)
+	waitCurrent(t, c, "after the cut, all members have the list")
 
 	if err := c.Links.Apply("cut k2 rest"); err != nil {
 		t.Fatal(err)
 	}
-	waitAgreed(t, c, "a rack is gone", func(p Location) bool { return p.Rack != 2 })
+	outside := func(p Location) bool { return p.Rack != 2 }
+	waitAgreed(t, c, "members outside the rack that was cut off see only each other", outside)
 	c.Links.Heal()
-	waitAgreed(t, c, "a rack is back", everywhere)
+	waitAgreed(t, c, "after the rack's return, all members see all others", everywhere)
 
 	c.Kill(c.Members[0], c.Members[5])
-	waitAgreed(t, c, "two were killed", everywhere)
+	waitAgreed(t, c, "after two members were killed", everywhere)
 	c.Leave(c.Members[9])
-	waitAgreed(t, c, "one has left", everywhere)
+	waitAgreed(t, c, "after one member has left", everywhere)
 	if err := c.Start(c.Members[0], c.Members[5], c.Members[9]); err != nil {
 		t.Fatal(err)
 	}
-	waitAgreed(t, c, "all are back, as other processes", everywhere)
-	waitCurrent(t, c, "with the list")
+	waitAgreed(t, c, "after the three members were started again", everywhere)
+	waitCurrent(t, c, "members that were started again have the list")
 }
 
-// In a cluster that was started joined, one member calls discovery and each other one subscribes to its parent.
-// Both ends count the same: what a member receives is what others sent, and what discovery sent was read.
-func TestStandingFleet(t *testing.T) {
+// In a cluster started by StartJoined, one member subscribes to discovery and each other member to its parent in the
+// tree. The sums of the bytes sent and of the bytes received by the members and discovery have to be about equal.
+func TestStartJoined(t *testing.T) {
 	c := newCluster(t, Config{Members: 8, ClusterKeys: fastKeys, BootstrapKeys: "ask = 1\nfan = 2"})
 	if err := c.StartJoined(t.Context(), testutil.WaitTimeout); err != nil {
 		t.Fatal(err)
 	}
-	waitAgreed(t, c, "all know all", everywhere)
-	waitCurrent(t, c, "all have the list")
+	waitAgreed(t, c, "all members see all others", everywhere)
+	waitCurrent(t, c, "all members have the list")
 	ranks := map[int]string{}
 	for _, m := range c.Members {
 		s, _ := m.SourceState()
@@ -150,7 +151,7 @@
 			want = ranks[(s.Rank-1)/2]
 		}
 		if s.Source != want {
-			t.Errorf("%s, at %d, has the list from %s, want %s", m.Name, s.Rank, s.Source, want)
+			t.Errorf("%s, which has rank %d, gets the list from %s, want %s", m.Name, s.Rank, s.Source, want)
 		}
 	}
 	total := func() (sum Counts) {
@@ -159,28 +160,28 @@
 		}
 		return sum.Plus(c.DiscoveryCounts())
 	}
-	before := total() // what StartJoined sent was received, and sent by no member
+	before := total() // members have received bytes of StartJoined, which no member sent
 	for i := range 40 {
 		c.Discovery.Set(c.Endpoint(i%8, "DRAINING", 0))
 	}
-	waitCurrent(t, c, "all have the changes")
+	waitCurrent(t, c, "all members have the changes")
 	c.Kill(c.Members...)
 	sum := total().Minus(before)
-	// some were on their way
+	// Some bytes were still in transit when the members were killed.
 	if sum.StreamOut < 40*8*100 || math.Abs(float64(sum.BytesIn)/float64(sum.BytesOut)-1) > 0.1 {
-		t.Errorf("%+v in all", sum)
+		t.Errorf("%+v in total, want StreamOut of at least %d, and BytesIn within 10%% of BytesOut", sum, 40*8*100)
 	}
 }
 
-// What is attached to a member answers at its address, is notified of changes of its view, reaches others over the
-// links, and ends with it.
+// An attachment responds at its member's address, is notified when the member's view changes, reaches other members
+// over the cluster's links, and ends with its member.
 func TestAttach(t *testing.T) {
 	var changes, ended atomic.Int64
 	c := newCluster(t, Config{Members: 4, RackSize: 1, ClusterKeys: fastKeys, Attach: func(m *Member) Attachment {
 		return Attachment{
 			Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if _, err := w.Write([]byte(m.Name)); err != nil {
-					t.Log(err) // the client has gone
+					t.Log(err) // the client has closed the connection
 				}
 			}),
 			OnMembersChanged: func([]cluster.Member, bool) { changes.Add(1) },
@@ -190,7 +191,7 @@
 	if err := c.Start(c.Members...); err != nil {
 		t.Fatal(err)
 	}
-	waitAgreed(t, c, "all know all", everywhere)
+	waitAgreed(t, c, "all members see all others", everywhere)
 	transport := &http.Transport{DialContext: c.Members[0].Network().Dial, DisableKeepAlives: true}
 	get := func(timeout time.Duration) (string, error) {
 		client := http.Client{Transport: transport, Timeout: timeout}
@@ -208,44 +209,46 @@
 		return string(text), err
 	}
 	if text, err := get(testutil.WaitTimeout); text != "sidecar-0003" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("response of the attached handler: %q, %v, want sidecar-0003", text, err)
 	}
 	if err := c.Links.Apply("cut z1 z3"); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := get(50 * time.Millisecond); err == nil {
-		t.Errorf("over a cut link: %q", text)
+		t.Errorf("got response %q over a cut link, want an error", text)
 	}
-	if err := c.Links.Apply("slow z1 z3 30ms"); err != nil { // in place of the cut
+	if err := c.Links.Apply("slow z1 z3 30ms"); err != nil { // replaces the cut
 		t.Fatal(err)
 	}
 	begun := time.Now()
 	if text, err := get(testutil.WaitTimeout); text != "sidecar-0003" || time.Since(begun) < 60*time.Millisecond {
-		t.Errorf("over a slow link: %q, %v after %v", text, err, time.Since(begun))
+		t.Errorf("response over a link with 30 ms delay: %q, %v after %v, want sidecar-0003 after at least 60ms",
+			text, err, time.Since(begun))
 	}
 	c.Close()
 	if changes.Load() < 4 || ended.Load() != 4 {
-		t.Errorf("%d changes of views, %d of 4 ended", changes.Load(), ended.Load())
+		t.Errorf("got %d changes of views, want at least 4; Run returned in %d attachments, want 4",
+			changes.Load(), ended.Load())
 	}
 }
 
-// Steps that mean nothing, and configurations that cannot be, are errors that say what is wrong.
+// Invalid steps are rejected with an error that names the mistake, and invalid configurations are rejected.
 func TestBadInput(t *testing.T) {
 	l := newLinks()
 	defer l.close()
 	for step, want := range map[string]string{
-		"cut r1":          "two places",
-		"cut r1 x2":       "x2",
-		"cut r0 r1":       "r0",
-		"slow r1 r2":      "4 are wanted",
+		"cut r1":          "want a verb and two areas",
+		"cut r1 x2":       `"x2" is not an area`,
+		"cut r0 r1":       `"r0" is not an area`,
+		"slow r1 r2":      "got 3 words, want 4",
 		"slow r1 r2 fast": "fast",
-		"lose r1 r2 2":    "loss",
-		"melt r1 r2":      "verb",
-		"cut rest r1":     "rest",
-		"heal r1":         "two places",
+		"lose r1 r2 2":    "loss rate is 2",
+		"melt r1 r2":      `unknown verb "melt"`,
+		"cut rest r1":     `"rest" is not an area`,
+		"heal r1":         "want a verb and two areas",
 	} {
 		if err := l.Apply(step); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", step, err, want)
+			t.Errorf("step %q: got error %v, want one that contains %q", step, err, want)
 		}
 	}
 	for _, config := range []Config{
@@ -256,7 +259,7 @@
 	} {
 		if c, err := New(config); err == nil {
 			c.Close()
-			t.Errorf("%+v was accepted", config)
+			t.Errorf("configuration %+v was accepted, want an error", config)
 		}
 	}
 }
--- a/internal/testcluster/hollow/links.go
+++ b/internal/testcluster/hollow/links.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// Link is the state of the network between two locations. Streams are cut and delayed only: the kernel retransmits lost
-// packets.
+// Link is the state of the network between two locations. Loss does not apply to streams, since the kernel retransmits
+// lost packets.
 type Link struct {
 	Cut bool
-	// LossRate is of datagrams.
+	// LossRate is the share of datagrams that are lost.
 	LossRate float64
-	// Delay is of one way.
+	// Delay is the delay in each direction.
 	Delay time.Duration
 }
 
-// Links are between all locations of a cluster. Its methods may be called from any goroutine.
+// Links has the state of the links between all locations of a cluster. Its methods may be called concurrently.
 //
-// A stream that is cut stalls: nothing is read or written until the link is healed. If it is closed
-// meanwhile, the other side sees that only then, as no packet gets there.
+// A stream over a cut link stalls: nothing is read or written until the link is healed. If one side closes the stream
+// in the meantime, the other side sees the close only after the link is healed, since no packet arrives before.
 type Links struct {
 	mu      sync.Mutex
 	rules   atomic.Pointer[[]rule]
 	changed chan struct{} // closed when the rules change
-	// closing streams have been closed while their link was cut.
+	// closing has the streams that were closed while their link was cut and whose connection is still open.
 	closing map[*stream]bool
 	done    chan struct{}
-	delayed sync.WaitGroup // datagrams on their way
+	delayed sync.WaitGroup // datagrams that are being delayed
 }
 
 func newLinks() *Links {
@@ -42,7 +42,8 @@
 	return l
 }
 
-// Set sets the link between two areas, in place of what was set between just these before; b may be "rest".
+// Set sets the link between two areas, and replaces a link that was set between the same areas in the same order
+// before. b may be "rest", which means all locations outside a. The zero Link removes the setting.
 func (l *Links) Set(a, b Area, link Link) error {
 	added, err := newRule(a, b, link)
 	if err != nil {
@@ -58,10 +59,11 @@
 	return nil
 }
 
-// Heal removes all that was set.
+// Heal removes all links that were set.
 func (l *Links) Heal() { l.change(func([]rule) []rule { return nil }) }
 
-// change replaces the rules, and closes the streams that were closed during a cut that is over.
+// change replaces the rules. If that heals a cut link, it closes the connections of streams that were closed during the
+// cut.
 func (l *Links) change(newRules func([]rule) []rule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,13 +73,13 @@
 	l.changed = make(chan struct{})
 	for s := range l.closing {
 		if !l.linkBetween(s.from, s.to).Cut {
-			_ = s.Conn.Close() // nobody is left to be told
+			_ = s.Conn.Close() // the stream's user has closed it already, so there is no one to report an error to
 			delete(l.closing, s)
 		}
 	}
 }
 
-// linkBetween is the worst of all that is set between two locations.
+// linkBetween returns the link between two locations. If several rules apply, it has the worst value of each property.
 func (l *Links) linkBetween(p, q Location) (link Link) {
 	for _, r := range *l.rules.Load() {
 		if r.matches(p, q) {
@@ -88,14 +90,15 @@
 	return link
 }
 
-// nextChange is closed when the rules change.
+// nextChange returns a channel that is closed when the rules change.
 func (l *Links) nextChange() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// waitOpen waits while a link is cut, and for its delay; false: cancelled or the end of the links came first.
+// waitOpen waits until the link between two locations is not cut, and then for its delay. It returns false if cancelled
+// or the links are closed first.
 func (l *Links) waitOpen(p, q Location, cancelled <-chan struct{}) bool {
 	for {
 		changed := l.nextChange()
@@ -119,7 +122,7 @@
 	}
 }
 
-// sendDatagram calls send now, later or never.
+// sendDatagram calls send at once, or after the link's delay, or not at all if the link is cut or loses the datagram.
 func (l *Links) sendDatagram(p, q Location, send func()) {
 	link := l.linkBetween(p, q)
 	switch {
@@ -137,7 +140,7 @@
 	}
 }
 
-// dial opens a stream from a member's own address.
+// dial opens a stream to addr from the address self, as soon as the link permits.
 func (l *Links) dial(ctx context.Context, self netip.Addr, from, to Location, addr string) (net.Conn, error) {
 	if !l.waitOpen(from, to, ctx.Done()) {
 		return nil, fmt.Errorf("dial %s: %w", addr, context.Cause(ctx))
@@ -146,12 +149,12 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// close closes all streams and waits for delayed datagrams.
+// close closes the streams that were closed during a cut, and cancels and waits for delayed datagrams.
 func (l *Links) close() {
 	l.mu.Lock()
 	close(l.done)
 	for s := range l.closing {
-		_ = s.Conn.Close() // nobody is left to be told
+		_ = s.Conn.Close() // the stream's user has closed it already, so there is no one to report an error to
 	}
 	l.closing = nil
 	l.mu.Unlock()
--- a/internal/testcluster/hollow/location.go
+++ b/internal/testcluster/hollow/location.go
@@ -6,31 +6,31 @@
 	"strconv"
 )
 
-// Location is the region, zone and rack of a member, each from 1; 0 is none.
+// Location is the region, zone and rack of a member, each numbered from 1; 0 means none.
 type Location struct{ Region, Zone, Rack int }
 
-// discoveryLocation is that of discovery: the first zone of the first region, in no rack.
+// discoveryLocation is the location of discovery: the first zone of the first region, in no rack.
 var discoveryLocation = Location{Region: 1, Zone: 1}
 
-// LocationOf is the location of a member, from 1: racks fill one after another and take turns in the zones, and a
-// region has neighbouring zones.
+// LocationOf returns the location of the member with number n, which begins at 1. Members fill one rack after another,
+// consecutive racks are in different zones in turn, and each region has zones with consecutive numbers.
 func LocationOf(n, regions, zones, rackSize int) Location {
 	rack := (n - 1) / rackSize
 	zone := rack % zones
 	return Location{Region: zone*regions/zones + 1, Zone: zone + 1, Rack: rack + 1}
 }
 
-// Area is a set of locations: "all", or "r1", "z2", "k3" for a region, a zone and a rack.
+// Area is a set of locations: "all", or a region such as "r1", a zone such as "z2" or a rack such as "k3".
 type Area string
 
 // Areas that are not a region, zone or rack.
 const (
 	areaAll = Area("all")
-	// areaRest is all that is not in the other area of a link.
+	// areaRest is the set of locations outside the other area of a link.
 	areaRest = Area("rest")
 )
 
-// The first letters of areas.
+// The first letters of the names of areas.
 const (
 	regionLetter = 'r'
 	zoneLetter   = 'z'
@@ -42,19 +42,19 @@
 		return nil
 	}
 	if _, err := a.number(); err != nil {
-		return fmt.Errorf("%q is no place such as r1, z2, k3 or all", a)
+		return fmt.Errorf("%q is not an area such as r1, z2, k3 or all", a)
 	}
 	return nil
 }
 
-// number is that of the area's region, zone or rack.
+// number returns the number of the area's region, zone or rack.
 func (a Area) number() (int, error) {
 	if len(a) < 2 || a[0] != regionLetter && a[0] != zoneLetter && a[0] != rackLetter {
-		return 0, errors.New("no region, zone or rack")
+		return 0, fmt.Errorf("area %q does not name a region, zone or rack", string(a))
 	}
 	n, err := strconv.Atoi(string(a[1:]))
 	if err == nil && n < 1 {
-		err = errors.New("numbers are from 1 on")
+		err = fmt.Errorf("area %q has the number %d, want 1 or more", string(a), n)
 	}
 	return n, err
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// rule is a link between two areas, in both directions.
+// rule sets the link between two areas, in both directions.
 type rule struct {
 	a, b Area
 	link Link
@@ -89,13 +89,16 @@
 	if b != areaRest {
 		err = errors.Join(err, b.validate())
 	}
-	if l.LossRate < 0 || l.LossRate > 1 || l.Delay < 0 {
-		err = errors.Join(err, fmt.Errorf("loss %v, delay %v: 0 to 1, and not below 0 are wanted", l.LossRate, l.Delay))
+	if l.LossRate < 0 || l.LossRate > 1 {
+		err = errors.Join(err, fmt.Errorf("loss rate is %v, want 0 to 1", l.LossRate))
+	}
+	if l.Delay < 0 {
+		err = errors.Join(err, fmt.Errorf("delay is %v, want 0 or more", l.Delay))
 	}
 	return rule{a, b, l}, err
 }
 
-// matches reports whether the rule is for two locations.
+// matches reports whether the rule applies between two locations.
 func (r rule) matches(p, q Location) bool {
 	if r.b == areaRest {
 		return r.a.Contains(p) != r.a.Contains(q)
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -22,18 +22,19 @@
 	"hazelwing/internal/operator"
 )
 
-// The delays after which the daemon's balancer subscribes again to a lost list: doubled from the first to the last.
+// The delay before a subscription to a lost endpoint list is renewed doubles from minRetryDelay to maxRetryDelay, as in
+// the daemon's balancer.
 const (
 	minRetryDelay = 500 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 )
 
-// seedsPerCluster separates the members' random seeds of two clusters.
-const seedsPerCluster = 1_000_003
+// memberSeedStride multiplies a cluster's seed, so that clusters with different seeds have no member seed in common.
+const memberSeedStride = 1_000_003
 
-// operatorFile is the operator's file of a member: the cluster's name, the member's address, the seeds, and the keys of
-// Config.
-const operatorFile = `[fleet]
+// operatorFileFormat is the format of a member's operator file. Its arguments are the cluster's name, the member's
+// address, the seeds, ClusterKeys and BootstrapKeys.
+const operatorFileFormat = `[fleet]
 name = %q
 listen = %q
 seeds = %s
@@ -43,66 +44,66 @@
 %s
 `
 
-// Attachment is what else runs at a member's address, for one process of it. All of it may be nil.
+// Attachment is additional code that runs at a member's address for one run of the member. Each field may be nil.
 type Attachment struct {
-	// Handler answers peers besides the list; see node.Config.
+	// Handler responds to requests of peers for paths other than the endpoint list; see node.Config.
 	Handler http.Handler
-	// OnMembersChanged and OnConfigRevision are gossip.Config's.
+	// OnMembersChanged and OnConfigRevision are the callbacks of gossip.Config.
 	OnMembersChanged func(others []cluster.Member, joined bool)
 	OnConfigRevision func(from cluster.Entry, epoch, number uint64)
-	// Run runs until the context ends, in a goroutine of its own.
+	// Run is called in a new goroutine and must return when the context ends.
 	Run func(ctx context.Context)
-	// OnOpened is called once with the member's node, before it runs.
+	// OnOpened is called once with the member's gossip node, before the node runs.
 	OnOpened func(node *gossip.Node)
 }
 
-// Member is one hollow sidecar, or the place of one.
+// Member is a hollow sidecar, which may be running or not.
 type Member struct {
-	Number   int // from 1
+	Number   int // position in the cluster, which begins at 1
 	Name     string
 	Addr     netip.AddrPort
 	Location Location
 
 	cluster *Cluster
-	traffic trafficCounter // of all its processes
+	traffic trafficCounter // traffic of all its processes
 
 	mu sync.Mutex
-	// network is that of the process that runs or is being started; nil: there is none.
+	// network is the network of the process that runs or is being started; nil if there is none.
 	network *network
-	// process is the one that runs; nil: there is none, or it is being started.
+	// process is the running process; nil if there is none or it is being started.
 	process *process
-	// endedStats are what the processes that have ended received in datagrams.
+	// endedStats counts the datagrams that the member's ended processes received.
 	endedStats gossip.NetworkStats
 
 	listVersion atomic.Int64
 	view        atomic.Pointer[view]
 }
 
-// view is the members that a member sees as alive.
+// view summarizes the other members that a member sees as alive.
 type view struct {
-	live   int
-	hash   uint64
-	joined bool
+	live   int    // their number
+	hash   uint64 // the sum of their processHash values
+	joined bool   // whether the member has joined the cluster
 }
 
-// process is one run of a member.
+// process is one run of a member, from its start to its end.
 type process struct {
 	node *node.Node
-	key  uint64
-	// join starts its part in the cluster, subscribe its subscription to the list.
+	hash uint64
+	// join starts its participation in the cluster, subscribe its subscription to the endpoint list.
 	join, subscribe func()
 	stop            context.CancelFunc
 	goroutines      sync.WaitGroup
 }
 
-// processKey tells a process of a member from all others.
-func processKey(name string, processID uint64) uint64 {
+// processHash returns a hash that identifies a process of a member.
+func processHash(name string, processID uint64) uint64 {
 	x := (xxhash.Sum64String(name) ^ processID) * 0x9e3779b97f4a7c15
 	return x ^ x>>31
 }
 
-// Network is what its parts reach others through, in the process that runs or is being started; nil: there is none.
-// It is for attachments.
+// Network returns the network of the member's process that runs or is being started, or nil if there is none.
+// Attachments use it to reach other members.
 func (m *Member) Network() gossip.Network {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,7 +113,7 @@
 	return m.network
 }
 
-// start starts a process without any state.
+// start starts a process, which has no state from earlier ones.
 func (m *Member) start() error {
 	if err := m.open(); err != nil {
 		return err
@@ -123,10 +124,11 @@
 	return nil
 }
 
-// open opens the sockets of a new process. It does nothing until its join and subscribe are called.
+// open creates a new process and opens its sockets. The process does nothing until its join and subscribe are called.
 func (m *Member) open() error {
 	c := m.cluster
-	file := fmt.Sprintf(operatorFile, c.config.Name, m.Addr, c.seeds, c.config.ClusterKeys, c.config.BootstrapKeys)
+	file := fmt.Sprintf(operatorFileFormat, c.config.Name, m.Addr, c.seeds,
+		c.config.ClusterKeys, c.config.BootstrapKeys)
 	operatorConfig, err := operator.Parse([]byte(file))
 	if err != nil {
 		return err
@@ -152,33 +154,33 @@
 	if attached.OnOpened != nil {
 		attached.OnOpened(p.node.Gossip)
 	}
-	p.key = processKey(m.Name, p.node.Gossip.ProcessID())
-	m.prepare(p, source, attached)
+	p.hash = processHash(m.Name, p.node.Gossip.ProcessID())
+	m.setRunFuncs(p, source, attached)
 	m.mu.Lock()
 	m.process = p
 	m.mu.Unlock()
 	return nil
 }
 
-// beginProcess makes the network of a new process; it fails if there is one.
+// beginProcess creates the network of a new process. It fails if a process runs or is being started.
 func (m *Member) beginProcess() (*network, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.network != nil {
-		return nil, fmt.Errorf("hollow: %s runs already", m.Name)
+		return nil, fmt.Errorf("hollow: %s is already running or being started", m.Name)
 	}
 	m.network = newNetwork(m)
 	return m.network, nil
 }
 
-// openNode opens the process's node and the source of its endpoint list.
+// openNode opens the process's node and creates the source of its endpoint list.
 func (m *Member) openNode(
 	p *process, config *operator.Config, network *network, attached Attachment,
 ) (*mergedsource.Source, error) {
 	c := m.cluster
 	nodeConfig := node.Config{
 		Name:             m.Name,
-		RandomSeed:       c.config.Seed*seedsPerCluster + uint64(m.Number),
+		RandomSeed:       c.config.Seed*memberSeedStride + uint64(m.Number),
 		ConfiguredSize:   c.config.ConfiguredSize,
 		Log:              c.config.Log,
 		Network:          network,
@@ -206,8 +208,8 @@
 	return source, nil
 }
 
-// prepare sets what starts and stops the process.
-func (m *Member) prepare(p *process, source *mergedsource.Source, attached Attachment) {
+// setRunFuncs sets the functions that start and stop the goroutines of the process.
+func (m *Member) setRunFuncs(p *process, source *mergedsource.Source, attached Attachment) {
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	p.join = func() {
@@ -222,7 +224,8 @@
 	}
 }
 
-// watchEndpoints watches the endpoint list and subscribes again when the watch fails, in the engine's place.
+// watchEndpoints watches the endpoint list and subscribes again when the watch fails, as the engine of a real sidecar
+// does.
 func (m *Member) watchEndpoints(ctx context.Context, source engine.Source) {
 	version, delay := int64(engine.NoVersion), time.Duration(0)
 	for ctx.Err() == nil {
@@ -249,16 +252,16 @@
 	}
 }
 
-// membersChanged is called by the node's goroutine.
+// membersChanged records the member's new view. The node's goroutine calls it.
 func (m *Member) membersChanged(others []cluster.Member, joined bool) {
 	v := &view{joined: joined, live: len(others)}
 	for i := range others {
-		v.hash += processKey(others[i].Name, others[i].ProcessID)
+		v.hash += processHash(others[i].Name, others[i].ProcessID)
 	}
 	m.view.Store(v)
 }
 
-// kill ends the process without an announcement, and waits for its end.
+// kill ends the process without informing the other members, and waits for its end.
 func (m *Member) kill() {
 	m.mu.Lock()
 	p, network := m.process, m.network
@@ -269,13 +272,14 @@
 	}
 }
 
-// leave ends the process, which announces it, and waits for its end.
+// leave ends the process, which tells the other members that it leaves, and waits for its end.
 func (m *Member) leave() {
 	if p := m.running(); p != nil {
 		m.end(p)
 	}
 }
 
+// end stops the goroutines of the process, waits for them and adds the process's statistics to those of the member.
 func (m *Member) end(p *process) {
 	p.stop()
 	p.goroutines.Wait()
@@ -287,20 +291,21 @@
 	m.process, m.network = nil, nil
 }
 
-// running is the process that runs, or nil.
+// running returns the running process, or nil if there is none.
 func (m *Member) running() *process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
 }
 
-// IsRunning reports whether a process runs.
+// IsRunning reports whether the member has a running process.
 func (m *Member) IsRunning() bool { return m.running() != nil }
 
-// ListVersion is the version of the list that it has; engine.NoVersion: none.
+// ListVersion returns the version of the member's endpoint list, or engine.NoVersion if it has none.
 func (m *Member) ListVersion() int64 { return m.listVersion.Load() }
 
-// SourceState says from whom its list comes, and who subscribes to it; false: it does not run.
+// SourceState returns the source of the member's endpoint list and its subscribers. It returns false if the member does
+// not run.
 func (m *Member) SourceState() (relay.SourceState, bool) {
 	if p := m.running(); p != nil {
 		return p.node.EndpointSource.State(), true
@@ -308,7 +313,7 @@
 	return relay.SourceState{}, false
 }
 
-// Status is that of its node; empty: it does not run. It asks the node, and waits for its answer.
+// Status returns the status of the member's gossip node, for which it waits. It is empty if the member does not run.
 func (m *Member) Status() gossip.Status {
 	if p := m.running(); p != nil {
 		return p.node.Gossip.Status()
--- a/internal/testcluster/hollow/network.go
+++ b/internal/testcluster/hollow/network.go
@@ -10,29 +10,30 @@
 	"hazelwing/internal/cluster/gossip"
 )
 
-var errKilled = errors.New("this member was killed")
+var errKilled = errors.New("hollow: member has been killed")
 
-// network is between the parts of one process of a member and their sockets. It is a gossip.Network.
+// network is the gossip.Network of one process of a member. It applies the cluster's links to the process's datagrams
+// and streams, and counts their traffic.
 type network struct {
 	member *Member
 
 	mu     sync.Mutex
-	killed bool // nothing gets out any more
+	killed bool // whether the process was killed; nothing is sent after that
 	conns  map[net.Conn]bool
 }
 
 func newNetwork(m *Member) *network { return &network{member: m, conns: map[net.Conn]bool{}} }
 
-// NetworkAt is the network of something that is no sidecar and has the location and address of a member, from 1, for as
-// long as the cluster exists: what it dials goes over the cluster's links, and what listens at that address is
-// reached over them. Whoever uses it closes its connections.
+// NetworkAt returns a network and its address for a process that is not a sidecar, at the location and address of the
+// member with number n, which begins at 1. Connections from and to this address use the cluster's links. The network
+// can be used as long as the cluster exists, and the caller must close its connections.
 func (c *Cluster) NetworkAt(n int) (gossip.Network, netip.Addr) {
 	at := c.Members[n-1]
 	m := &Member{Number: n, Name: "machine", Addr: at.Addr, Location: at.Location, cluster: c}
 	return newNetwork(m), at.Addr.Addr()
 }
 
-// track keeps a connection to be closed when the member is killed; false: it was killed.
+// track records a connection so that kill closes it. It returns false if the process has already been killed.
 func (n *network) track(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,7 +49,7 @@
 	delete(n.conns, c)
 }
 
-// kill closes all connections, as the end of a process does, and lets nothing out from now on.
+// kill closes all connections, as the end of a real process does, and prevents that anything is sent from now on.
 func (n *network) kill() {
 	n.mu.Lock()
 	n.killed = true
@@ -56,7 +57,7 @@
 	n.conns = map[net.Conn]bool{}
 	n.mu.Unlock()
 	for c := range conns {
-		_ = c.Close() // as the end of a process, it reports nothing
+		_ = c.Close() // the end of a real process reports no errors either
 	}
 }
 
@@ -66,7 +67,7 @@
 	return n.killed
 }
 
-// SendDatagram implements gossip.Network. A datagram that the link loses counts as sent.
+// SendDatagram implements gossip.Network. A datagram that is lost on the link counts as sent.
 func (n *network) SendDatagram(to netip.AddrPort, size int, send func()) {
 	if n.isKilled() {
 		return
@@ -113,7 +114,7 @@
 // Listen implements gossip.Network.
 func (n *network) Listen(l net.Listener) net.Listener { return &listener{l, n} }
 
-// listener accepts connections that are counted, and closed when the member is killed.
+// listener accepts connections, whose traffic it counts and which are closed when the member is killed.
 type listener struct {
 	net.Listener
 	network *network
@@ -128,7 +129,7 @@
 	a := &acceptedConn{Conn: conn, counter: &l.network.member.traffic}
 	a.onClose = func() { l.network.release(a) }
 	if !l.network.track(a) {
-		_ = conn.Close() // the caller sees that it is closed
+		_ = conn.Close() // the caller learns of it from its first Read
 	}
 	return a, nil
 }
--- a/internal/testcluster/hollow/start.go
+++ b/internal/testcluster/hollow/start.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// waitInterval is how often a wait checks its condition.
+	// waitInterval is the time between two checks of a wait's condition.
 	waitInterval = 20 * time.Millisecond
-	// statusInterval is between two checks of all members' statuses: a status costs a member as much as it knows.
+	// statusInterval is the time between two checks of all members' statuses. It is longer than waitInterval since the
+	// cost of a status grows with the number of members that a member sees.
 	statusInterval = time.Second
-	// subscribeBatch is how many members subscribe at a time, in the order of their ranks: one whose parent has no
-	// list yet would wait for a second.
+	// subscribeBatch is the number of members that subscribe to the list at a time. They do so in order of their ranks,
+	// because a member whose parent has no list yet would wait for a second.
 	subscribeBatch = 50
 )
 
-// Start starts members in parallel, and returns when they have been.
+// Start starts members in parallel, and returns when all have been started.
 func (c *Cluster) Start(members ...*Member) error { return forEach(members, (*Member).start) }
 
-// Kill ends members as a kill of their processes does, and returns when they have ended.
+// Kill ends members without informing the others, as SIGKILL ends a real process, and returns when all have ended.
 func (c *Cluster) Kill(members ...*Member) { endAll(members, (*Member).kill) }
 
-// Leave ends members that announce it, and returns when they have ended.
+// Leave ends members, which tell the others that they leave, and returns when all have ended.
 func (c *Cluster) Leave(members ...*Member) { endAll(members, (*Member).leave) }
 
-// forEach calls a function for members in parallel.
+// forEach calls a function for each of the members in parallel, and returns their joined errors.
 func forEach(members []*Member, do func(*Member) error) error {
 	errs := make([]error, len(members))
 	var calls sync.WaitGroup
@@ -51,12 +52,13 @@
 	calls.Wait()
 }
 
-// StartJoined starts all members, tells each about all others at once and, when there is nothing left to gossip,
-// lets them subscribe to the list in the order of their ranks: a cluster that has run for long. No member may run
-// before; each step may take up to timeout.
+// StartJoined starts all members and brings the cluster into the state of one that has run for a long time. It sends
+// each member a list of all others at once, waits until there are no updates left to gossip, and lets the members
+// subscribe to the endpoint list in order of their ranks. No member may be running when it is called. Each of these
+// steps may take up to timeout.
 //
-// Hundreds of members that start in one process and learn of each other step by step are short of processor time, as no
-// sidecar on a machine of its own is, and would declare each other dead. This prevents that.
+// With Start, hundreds of members in one process learn of each other by gossip and so run short of processor time,
+// which sidecars on separate machines do not. They would declare each other dead.
 func (c *Cluster) StartJoined(ctx context.Context, timeout time.Duration) error {
 	if err := forEach(c.Members, (*Member).open); err != nil {
 		return err
@@ -71,13 +73,13 @@
 	if err := waitUntil(ctx, timeout, func() string { return c.Disagreement(everywhere) }); err != nil {
 		return err
 	}
-	if err := waitUntil(ctx, timeout, c.queuedBroadcasts); err != nil {
+	if err := waitUntil(ctx, timeout, c.pendingUpdates); err != nil {
 		return err
 	}
 	return c.subscribeByRank(ctx, timeout)
 }
 
-// introduceAll sends each member a push-pull response with all members.
+// introduceAll sends each member a push-pull response that lists all members.
 func (c *Cluster) introduceAll(ctx context.Context) error {
 	entries := make([]cluster.Entry, len(c.Members))
 	for i, m := range c.Members {
@@ -107,7 +109,7 @@
 	})
 }
 
-// introduction is a push-pull response with its length in front, as streams have it.
+// introduction returns the encoded push-pull response, preceded by its length as on a stream.
 func (c *Cluster) introduction(from cluster.Entry, entries []cluster.Entry) ([]byte, error) {
 	frame, err := gossip.Encode(&cluster.Message{
 		Kind:        cluster.PushPullResponse,
@@ -121,23 +123,24 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))), frame...), nil
 }
 
-// queuedBroadcasts names a member that has updates to gossip; empty: there is none.
-func (c *Cluster) queuedBroadcasts() string {
+// pendingUpdates describes a member that has updates left to gossip; "" if there is none.
+func (c *Cluster) pendingUpdates() string {
 	for _, m := range c.Members {
 		if n := m.Status().Core.QueuedBroadcasts; n > 0 {
 			time.Sleep(statusInterval)
-			return fmt.Sprintf("%s has %d to tell", m.Name, n)
+			return fmt.Sprintf("%s has %d updates left to gossip", m.Name, n)
 		}
 	}
 	return ""
 }
 
-// subscribeByRank lets the members subscribe to the list: the root first, and the others in batches.
+// subscribeByRank lets the members subscribe to the endpoint list in order of their ranks: first the member with rank
+// 0, which is a root, and then the others in batches.
 func (c *Cluster) subscribeByRank(ctx context.Context, timeout time.Duration) error {
 	byRank := make([]*Member, len(c.Members))
 	for _, m := range c.Members {
 		state, _ := m.SourceState()
-		byRank[state.Rank] = m // the views agree, so the ranks differ
+		byRank[state.Rank] = m // the members' views agree, so no two have the same rank
 	}
 	batchSize := 1
 	for len(byRank) > 0 {
@@ -149,7 +152,7 @@
 		err := waitUntil(ctx, timeout, func() string {
 			for _, m := range batch {
 				if m.ListVersion() != c.Discovery.Version() {
-					return m.Name + " has no list"
+					return m.Name + " does not have the latest endpoint list"
 				}
 			}
 			return ""
@@ -161,7 +164,8 @@
 	return nil
 }
 
-// waitUntil waits until problem returns nothing, or the context ends.
+// waitUntil polls problem until it returns "". It returns an error when the context ends, or with the last problem
+// after the timeout.
 func waitUntil(ctx context.Context, timeout time.Duration, problem func() string) error {
 	for begin := time.Now(); ; time.Sleep(waitInterval) {
 		if ctx.Err() != nil {
@@ -172,7 +176,7 @@
 			return nil
 		}
 		if time.Since(begin) > timeout {
-			return fmt.Errorf("hollow: not within %v: %s", timeout, text)
+			return fmt.Errorf("hollow: cluster not ready within %v: %s", timeout, text)
 		}
 	}
 }
--- a/internal/testcluster/hollow/steps.go
+++ b/internal/testcluster/hollow/steps.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The verbs of steps.
+// The verbs of link steps.
 const (
 	stepCut  = "cut"
 	stepSlow = "slow"
@@ -16,8 +16,9 @@
 	stepHeal = "heal"
 )
 
-// Apply applies a step of a script: "cut A B", "slow A B 40ms", "lose A B 0.1", "heal A B" or "heal". Each takes
-// the place of what was set between just these two areas.
+// Apply applies a step of a script: "cut A B", "slow A B 40ms", "lose A B 0.1", "heal A B" or "heal". A step with two
+// areas replaces the link that an earlier step has set between the same areas in the same order; "heal" removes all
+// links that were set.
 func (l *Links) Apply(step string) error {
 	words := strings.Fields(step)
 	if len(words) == 1 && words[0] == stepHeal {
@@ -34,10 +35,10 @@
 	return nil
 }
 
-// parseLink is the link that the words of a step set.
+// parseLink returns the link that a step sets.
 func parseLink(words []string) (link Link, err error) {
 	if len(words) < 3 {
-		return link, errors.New("two places are wanted")
+		return link, errors.New("too few words, want a verb and two areas")
 	}
 	verb, values := words[0], words[3:]
 	wantValues := 0
@@ -46,10 +47,10 @@
 	case stepSlow, stepLose:
 		wantValues = 1
 	default:
-		return link, errors.New("no such verb")
+		return link, fmt.Errorf("unknown verb %q, want cut, slow, lose or heal", verb)
 	}
 	if len(values) != wantValues {
-		return link, fmt.Errorf("%d words, %d are wanted", len(words), 3+wantValues)
+		return link, fmt.Errorf("got %d words, want %d", len(words), 3+wantValues)
 	}
 	switch verb {
 	case stepCut:
--- a/internal/testcluster/hollow/stream.go
+++ b/internal/testcluster/hollow/stream.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// trafficCounter counts the streams of one member, or of discovery, and the datagrams that it sends.
+// trafficCounter counts the stream traffic of a member or of discovery, and the datagrams that it sends.
 type trafficCounter struct {
 	bytesWritten, bytesRead          atomic.Int64
 	writes, reads                    atomic.Int64
 	datagramsSent, datagramBytesSent atomic.Int64
 }
 
-func (t *trafficCounter) addRead(n int) {
+func (t *trafficCounter) countRead(n int) {
 	t.bytesRead.Add(int64(n))
 	t.reads.Add(1)
 }
 
-func (t *trafficCounter) addWrite(n int) {
+func (t *trafficCounter) countWrite(n int) {
 	t.bytesWritten.Add(int64(n))
 	t.writes.Add(1)
 }
 
-// stream is the dialling side of a connection between two locations.
+// stream is the dialling side of a connection between two locations. It applies the cuts and delays of their link.
 type stream struct {
 	net.Conn
 	links    *Links
 	from, to Location
 	counter  *trafficCounter
-	// peerCounter is that of an accepting side that does not count itself; nil: it does.
+	// peerCounter is the counter of the accepting side; nil if that side counts its traffic itself.
 	peerCounter *trafficCounter
 	closed      chan struct{}
 	once        sync.Once
@@ -44,9 +44,9 @@
 		return 0, net.ErrClosed
 	}
 	if n > 0 {
-		s.counter.addRead(n)
+		s.counter.countRead(n)
 		if s.peerCounter != nil {
-			s.peerCounter.addWrite(n)
+			s.peerCounter.countWrite(n)
 		}
 	}
 	return n, err
@@ -58,14 +58,14 @@
 		return 0, net.ErrClosed
 	}
 	n, err := s.Conn.Write(b)
-	s.counter.addWrite(n)
+	s.counter.countWrite(n)
 	if s.peerCounter != nil {
-		s.peerCounter.addRead(n)
+		s.peerCounter.countRead(n)
 	}
 	return n, err
 }
 
-// Close implements net.Conn. The other side sees it at once or, if the link is cut, once that is healed.
+// Close implements net.Conn. The other side sees the close at once, or if the link is cut, when the link is healed.
 func (s *stream) Close() (err error) {
 	s.once.Do(func() {
 		close(s.closed)
@@ -73,7 +73,7 @@
 		s.links.mu.Lock()
 		defer s.links.mu.Unlock()
 		if s.links.closing != nil && s.links.linkBetween(s.from, s.to).Cut {
-			err = s.SetReadDeadline(time.Unix(1, 0)) // ends a Read that waits
+			err = s.SetReadDeadline(time.Unix(1, 0)) // unblocks a pending Read
 			s.links.closing[s] = true
 			return
 		}
@@ -82,7 +82,7 @@
 	return err
 }
 
-// acceptedConn is the accepting side of a connection: it counts.
+// acceptedConn is the accepting side of a connection. It counts the traffic.
 type acceptedConn struct {
 	net.Conn
 	counter *trafficCounter
@@ -94,7 +94,7 @@
 func (c *acceptedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.counter.addRead(n)
+		c.counter.countRead(n)
 	}
 	return n, err
 }
@@ -102,7 +102,7 @@
 // Write implements net.Conn.
 func (c *acceptedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.counter.addWrite(n)
+	c.counter.countWrite(n)
 	return n, err
 }
 
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -13,34 +13,34 @@
 	"time"
 )
 
-// Conditions are what a link does to datagrams, as shares of them. Streams are only cut and delayed: the kernel hides
-// the rest.
+// Conditions are the faults that a link applies. Loss, Duplicate, Reorder and Corrupt are probabilities for each
+// datagram. Streams are only cut and delayed, since the kernel hides the other faults from the users of a stream.
 type Conditions struct {
 	Cut          bool
 	Loss         float64
 	Duplicate    float64
-	Reorder      float64 // delivered ReorderDelay later, after others
+	Reorder      float64 // probability of being delivered ReorderDelay late, so that later datagrams overtake it
 	ReorderDelay time.Duration
 	Delay        time.Duration
-	Corrupt      float64 // have one byte changed
+	Corrupt      float64 // probability of having one byte changed
 }
 
 const (
-	// discoveryNumber is the number of discovery in links.
+	// discoveryNumber is the number of the discovery service in link keys and link addresses.
 	discoveryNumber  = 250
 	maxDatagramBytes = 64 << 10
 	streamBuffer     = 32 << 10
 	dialTimeout      = time.Second
 )
 
-// Members listen on 127.77.0.N. What member I sends to member J goes to 127.(100+I).0.J, where the link of that
-// direction listens. So each direction of each pair has a link of its own, without privileges.
+// Member N listens on 127.77.0.N. Member I sends to member J by way of 127.(100+I).0.J, where the link from I to J
+// listens. Each direction of each pair of members so has its own link, and no privileges are needed.
 const (
-	loopbackOctet = 127 // first of all addresses
-	memberOctet   = 77  // second of the members' gossip addresses
-	requestOctet  = 78  // second of the members' addresses for requests; one more for their admin endpoints
-	linkOctet     = 100 // second of the links' addresses, less the number of the sender
-	prefixBits    = 24  // of the addresses of members, and of the links of one sender
+	loopbackOctet = 127 // first octet of all addresses
+	memberOctet   = 77  // second octet of the members' gossip addresses
+	requestOctet  = 78  // second octet of the members' addresses for requests; that of admin endpoints is one higher
+	linkOctet     = 100 // the second octet of a link's address is this plus the sender's number
+	prefixBits    = 24  // length of the prefix of all members' addresses, and of that of one sender's links
 )
 
 func memberAddr(n int) netip.Addr {
@@ -53,17 +53,18 @@
 func linkPrefix(from int) netip.Prefix { return netip.PrefixFrom(linkAddr(from, 0), prefixBits) }
 func memberPrefix() netip.Prefix       { return netip.PrefixFrom(memberAddr(0), prefixBits) }
 
-// linkKey are the numbers of a link's sender and receiver.
+// linkKey identifies a link by the numbers of its sender and its receiver.
 type linkKey struct{ from, to int }
 
-// link forwards what one process sends to another.
+// link forwards datagrams and streams from one process, the sender, to another, the receiver.
 type link struct {
 	target   netip.AddrPort
 	udp      *net.UDPConn
 	listener net.Listener
 	tasks    sync.WaitGroup
 
-	sent, returned purposeCounters // from the sender; to it, on its streams
+	// sent counts traffic from the sender, returned the receiver's on the sender's streams.
+	sent, returned purposeCounters
 
 	mu         sync.Mutex
 	rng        *rand.Rand
@@ -73,7 +74,7 @@
 	conns      map[net.Conn]bool
 }
 
-// newLink creates a link that listens where the sender sees the receiver, and forwards to target.
+// newLink creates a link that listens at the address at which the sender reaches the receiver, and forwards to target.
 func newLink(key linkKey, port uint16, target netip.AddrPort, seed uint64) (*link, error) {
 	l := &link{
 		target:  target,
@@ -97,7 +98,7 @@
 	return l, nil
 }
 
-// newLinks creates the links between members 1 to count; ports are the members'.
+// newLinks creates the links between the members 1 to count. ports has the members' gossip ports, by number.
 func newLinks(count int, ports []uint16, seed uint64) (map[linkKey]*link, error) {
 	links := map[linkKey]*link{}
 	for from := 1; from <= count; from++ {
@@ -127,7 +128,8 @@
 	l.changed = make(chan struct{})
 }
 
-// changeConditions is called by one goroutine at a time, that of the script.
+// changeConditions applies change to the link's conditions. It must not be called concurrently, and is called only by
+// the goroutine that plays the script.
 func (l *link) changeConditions(change func(*Conditions)) {
 	conditions, _ := l.currentConditions()
 	change(&conditions)
@@ -141,8 +143,9 @@
 	return l.conditions, l.changed
 }
 
-// happens draws whether something with a probability happens. It draws nothing for probability 0.
-func (l *link) happens(probability float64) bool {
+// drawEvent draws whether an event of the given probability occurs. For probability 0 it does not advance the random
+// stream.
+func (l *link) drawEvent(probability float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return probability > 0 && l.rng.Float64() < probability
@@ -173,23 +176,23 @@
 	}
 }
 
-// forwardDatagram forwards copies of one datagram, as the conditions permit.
+// forwardDatagram drops, duplicates, delays or corrupts a datagram according to the conditions, and forwards the rest.
 func (l *link) forwardDatagram(datagram []byte) {
 	conditions, _ := l.currentConditions()
-	if conditions.Cut || l.happens(conditions.Loss) {
+	if conditions.Cut || l.drawEvent(conditions.Loss) {
 		return
 	}
 	copies := 1
-	if l.happens(conditions.Duplicate) {
+	if l.drawEvent(conditions.Duplicate) {
 		copies = 2
 	}
 	for range copies {
 		delay := conditions.Delay
-		if l.happens(conditions.Reorder) {
+		if l.drawEvent(conditions.Reorder) {
 			delay += conditions.ReorderDelay
 		}
 		datagram := append([]byte(nil), datagram...)
-		if l.happens(conditions.Corrupt) {
+		if l.drawEvent(conditions.Corrupt) {
 			l.corrupt(datagram)
 		}
 		if delay == 0 {
@@ -207,7 +210,7 @@
 	datagram[l.rng.IntN(len(datagram))] ^= byte(1 + l.rng.IntN(255))
 }
 
-// writeDatagram sends a datagram to the receiver. It may be lost, as datagrams are, if nothing listens there or the
+// writeDatagram sends a datagram to the receiver. The datagram is lost without an error if nothing listens there or the
 // link has been closed.
 func (l *link) writeDatagram(datagram []byte) {
 	_, _ = l.udp.WriteToUDPAddrPort(datagram, l.target)
@@ -224,7 +227,7 @@
 	}
 }
 
-// track records a connection for close, or closes it if the link is closed.
+// track records a connection so that close closes it. If the link is already closed, it closes the connection at once.
 func (l *link) track(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -242,7 +245,7 @@
 	delete(l.conns, conn)
 }
 
-// waitUntilOpen waits until the link is not cut, and for its delay. It returns false if the link is closed.
+// waitUntilOpen waits until the link is not cut, and then for the link's delay. It returns false if the link is closed.
 func (l *link) waitUntilOpen() bool {
 	for {
 		conditions, changed := l.currentConditions()
@@ -262,7 +265,7 @@
 	}
 }
 
-// forwardStream forwards what both ends of a stream write, as the conditions permit.
+// forwardStream dials the receiver and forwards a stream in both directions, with the link's cuts and delay.
 func (l *link) forwardStream(sender net.Conn) {
 	defer l.release(sender)
 	if !l.waitUntilOpen() {
@@ -292,8 +295,8 @@
 	<-returned
 }
 
-// copyStream copies one direction of a stream and calls count with what it reads. At the end of from it closes the
-// write side of to; an error closes both connections.
+// copyStream copies one direction of a stream and calls count with each piece of data that it reads. At the end of from
+// it closes the write side of to; an error closes both connections.
 func (l *link) copyStream(from, to net.Conn, count func([]byte)) {
 	buffer := make([]byte, streamBuffer)
 	for {
@@ -311,7 +314,7 @@
 			continue
 		}
 		if tcp, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-			_ = tcp.CloseWrite() // fails if to has ended as well
+			_ = tcp.CloseWrite() // the error says only that to is closed already
 			return
 		}
 		break
@@ -320,7 +323,7 @@
 	_ = to.Close()
 }
 
-// close ends the link and its streams, and waits for their goroutines.
+// close closes the link and its streams, and waits for their goroutines.
 func (l *link) close() {
 	l.mu.Lock()
 	close(l.closed)
--- a/internal/testcluster/linksteps.go
+++ b/internal/testcluster/linksteps.go
@@ -2,15 +2,15 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// forLinks calls do with the links from one group to another, and with those back if bothWays.
-func (c *Cluster) forLinks(from, to string, bothWays bool, do func(*link)) error {
+// forEachLink calls do with each link from one group to the other, and if bothWays is set also with those in the
+// opposite direction.
+func (c *Cluster) forEachLink(from, to string, bothWays bool, do func(*link)) error {
 	fromGroup, err := c.group(from)
 	if err != nil {
 		return err
@@ -34,12 +34,12 @@
 
 // cut cuts links ("cut", or "cut>" for one direction) or restores them ("join").
 func (c *Cluster) cut(step, from, to string) error {
-	return c.forLinks(from, to, step != "cut>", func(l *link) {
+	return c.forEachLink(from, to, step != "cut>", func(l *link) {
 		l.changeConditions(func(conditions *Conditions) { conditions.Cut = step != "join" })
 	})
 }
 
-// cutDiscovery cuts or restores the links of a group to discovery.
+// cutDiscovery cuts or restores the links from a group to discovery.
 func (c *Cluster) cutDiscovery(groupText string, cut bool) error {
 	group, err := c.group(groupText)
 	if err != nil {
@@ -52,12 +52,15 @@
 	return nil
 }
 
-// flap cuts and restores links several times, with an interval after each change.
+// flap cuts and restores links the given number of times, and waits for the interval after each change.
 func (c *Cluster) flap(ctx context.Context, from, to, intervalText, timesText string) error {
 	interval, errInterval := time.ParseDuration(intervalText)
 	times, errTimes := strconv.Atoi(timesText)
-	if errInterval != nil || errTimes != nil {
-		return errors.New("a time and a number are wanted")
+	if errInterval != nil {
+		return fmt.Errorf("interval %q is not a duration such as 500ms", intervalText)
+	}
+	if errTimes != nil {
+		return fmt.Errorf("number of cuts %q is not an integer", timesText)
 	}
 	for range times {
 		for _, step := range []string{"cut", "join"} {
@@ -74,8 +77,8 @@
 	return nil
 }
 
-// setConditions sets the conditions of all links, for example loss=0.3 double=0.1 late=0.1 lateby=1s delay=5ms
-// corrupt=0.01. Cut links stay cut.
+// setConditions sets the conditions of all links, given as words such as loss=0.3 double=0.1 late=0.1 lateby=1s
+// delay=5ms corrupt=0.01. Conditions that are not given become 0, and cut links stay cut.
 func (c *Cluster) setConditions(words []string) error {
 	var conditions Conditions
 	for _, word := range words {
@@ -92,7 +95,7 @@
 	return nil
 }
 
-// parse sets one condition from a word like loss=0.3. A value that cannot be parsed is 0.
+// parse sets one condition from a word such as loss=0.3. A value that cannot be parsed counts as 0.
 func (c *Conditions) parse(word string) error {
 	key, value, _ := strings.Cut(word, "=")
 	duration, _ := time.ParseDuration(value)
@@ -111,7 +114,7 @@
 	case "delay":
 		c.Delay = duration
 	default:
-		return fmt.Errorf("%q is no property of a link", key)
+		return fmt.Errorf("unknown link condition %q, want loss, double, late, lateby, delay or corrupt", key)
 	}
 	return nil
 }
--- a/internal/testcluster/linktraffic.go
+++ b/internal/testcluster/linktraffic.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// Traffic is what crossed links. Messages are datagrams and single reads of streams.
+// Traffic is an amount of traffic over links. Each datagram and each read from a stream counts as a message.
 type Traffic struct{ Bytes, Messages int64 }
 
 func (t *Traffic) add(o Traffic) {
@@ -13,7 +13,7 @@
 	t.Messages += o.Messages
 }
 
-// trafficCounter is a Traffic to which several goroutines add.
+// trafficCounter is a Traffic that several goroutines may increase concurrently.
 type trafficCounter struct{ bytes, messages atomic.Int64 }
 
 func (c *trafficCounter) add(bytes int) {
@@ -23,16 +23,16 @@
 
 func (c *trafficCounter) read() Traffic { return Traffic{c.bytes.Load(), c.messages.Load()} }
 
-// The purposes of traffic. That of a stream is the purpose of its first request.
+// The purposes of traffic. Datagrams are for membership. The first request of a stream determines the stream's purpose.
 const (
 	membershipPurpose = iota
 	endpointListPurpose
 	configPurpose
-	purposes
+	purposeCount
 )
 
-// purposeCounters are counters by purpose.
-type purposeCounters [purposes]trafficCounter
+// purposeCounters is a traffic counter for each purpose.
+type purposeCounters [purposeCount]trafficCounter
 
 func (p *purposeCounters) total() (sum Traffic) {
 	for i := range p {
@@ -59,8 +59,8 @@
 	return membershipPurpose
 }
 
-// Traffic returns what a member has sent and received over its links, to and from other members and discovery,
-// including what the links dropped.
+// Traffic returns the traffic that a member has sent and received over its links to and from other members, origins and
+// discovery. Datagrams that a link dropped count as sent and as received.
 func (c *Cluster) Traffic(n int) (sent, received Traffic) {
 	for key, l := range c.links {
 		switch n {
@@ -75,7 +75,7 @@
 	return sent, received
 }
 
-// Bytes is the number of bytes that crossed links, by purpose.
+// Bytes is a number of bytes over links for each purpose.
 type Bytes struct{ Membership, EndpointList, Config int64 }
 
 func (b *Bytes) add(counters *purposeCounters) {
@@ -84,7 +84,7 @@
 	b.Config += counters[configPurpose].read().Bytes
 }
 
-// Bytes returns what a member has sent and received so far, over all links.
+// Bytes returns the bytes that a member has sent and received over all its links so far.
 func (c *Cluster) Bytes(n int) (sent, received Bytes) {
 	for key, l := range c.links {
 		switch n {
--- a/internal/testcluster/memberfiles.go
+++ b/internal/testcluster/memberfiles.go
@@ -14,7 +14,8 @@
 	"hazelwing/internal/emulator"
 )
 
-// writeMemberFiles creates a member's directory, chooses its addresses and writes its files.
+// writeMemberFiles creates a member's directory, chooses its addresses, links it to discovery and writes its
+// configuration files.
 func (c *Cluster) writeMemberFiles(p *process, traffic *emulator.Traffic) error {
 	if err := p.openLog(); err != nil {
 		return err
@@ -42,9 +43,9 @@
 	return c.writeOperatorFile(p)
 }
 
-// chooseAddresses sets the member's address for requests and that of its admin endpoint: ports that are free now and
-// are used when it starts. Each is on a host of its own, where nothing else listens: on a shared one, a port that is
-// free for one of them may be that which was found for another.
+// chooseAddresses sets the member's address for requests and the address of its admin endpoint. Their ports are free
+// now; the member listens on them when it starts. Each address has a separate IP address on which nothing else listens:
+// on a shared one, the same free port could be chosen for two listeners.
 func (p *process) chooseAddresses() error {
 	for i, address := range []*string{&p.listen, &p.admin} {
 		host := netip.AddrFrom4([4]byte{loopbackOctet, byte(requestOctet + i), 0, byte(p.number)})
@@ -58,10 +59,10 @@
 	return nil
 }
 
-// errNoSettings says that the emulator's platform configuration has no settings.
-var errNoSettings = errors.New("test cluster: the platform's configuration has no settings")
+// errNoSettings means that the platform configuration made by the emulator has no object "settings".
+var errNoSettings = errors.New("test cluster: platform configuration has no object \"settings\"")
 
-// platformConfig returns the configuration that the platform gives to a member.
+// platformConfig returns the platform configuration of a member, as JSON.
 func (c *Cluster) platformConfig(p *process, traffic *emulator.Traffic, discovery string) ([]byte, error) {
 	seed := fmt.Sprintf("%016x", c.config.Seed*1000+uint64(p.number))
 	text, err := emulator.PlatformConfig(traffic, p.listen, discovery, seed)
@@ -81,7 +82,7 @@
 	return json.Marshal(platform)
 }
 
-// linkToDiscovery creates the link of a member to discovery, and returns its address.
+// linkToDiscovery creates the link from a member to discovery, and returns the address of the link.
 func (c *Cluster) linkToDiscovery(p *process) (string, error) {
 	target, err := netip.ParseAddrPort(c.Servers.Discovery.Addr())
 	if err != nil {
@@ -101,10 +102,11 @@
 	return netip.AddrPortFrom(host, port).String(), nil
 }
 
-// operatorFileName is the name of a member's operator's file in its directory.
+// operatorFileName is the name of the operator file in a member's directory.
 const operatorFileName = "operator.toml"
 
-// writeOperatorFile writes a member's operator's file, with the current seeds. Origins have none.
+// writeOperatorFile writes a member's operator file with the current seeds. For an origin, which has no such file, it
+// does nothing.
 func (c *Cluster) writeOperatorFile(p *process) error {
 	if p.number > originBase {
 		return nil
--- a/internal/testcluster/origins.go
+++ b/internal/testcluster/origins.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// Origins are processes like the members, each on an address of its own and behind links of its own, so that the same
-// steps of scripts cut, kill and freeze them.
+// Origins are processes like the members. Each has its own address and links, so that the script steps that cut, kill
+// and freeze members apply to origins too.
 const (
-	originBase = 100 // origin 1 has the number 101
+	originBase = 100 // added to an origin's index to get its number: origin 1 has the number 101
 	maxOrigins = 7
 )
 
-// clusterName is the name of the cluster in all files.
+// clusterName is the name of the cluster in all configuration files.
 const clusterName = "rig"
 
-// originFileName is the name of an origin's file in its directory.
+// originFileName is the name of the configuration file in an origin's directory.
 const originFileName = "origin.toml"
 
 // createOrigins creates the origins and the links to them, and bootstraps them.
@@ -28,7 +28,7 @@
 		return nil
 	}
 	if c.config.Origins > maxOrigins {
-		return fmt.Errorf("test cluster: %d origins, at most %d are possible", c.config.Origins, maxOrigins)
+		return fmt.Errorf("test cluster: Origins is %d, want at most %d", c.config.Origins, maxOrigins)
 	}
 	c.origins = []*process{nil}
 	for k := 1; k <= c.config.Origins; k++ {
@@ -65,7 +65,7 @@
 	return p, nil
 }
 
-// linkOrigins creates the links from all processes to the origins.
+// linkOrigins creates the links from all processes to all origins.
 func (c *Cluster) linkOrigins() error {
 	for _, from := range c.processes() {
 		for _, to := range c.origins[1:] {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// BootstrapOrigins bootstraps the origins of a group in an epoch.
+// BootstrapOrigins writes the configuration files of the origins of a group and bootstraps their stores for an epoch.
 func (c *Cluster) BootstrapOrigins(epoch int, group string) error {
 	numbers, err := c.group(group)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// originFile returns the text of an origin's file.
+// originFile returns the text of an origin's configuration file.
 func (c *Cluster) originFile(p *process, epoch int) string {
 	var peers []string
 	for _, to := range c.origins[1:] {
@@ -120,21 +120,22 @@
 	return text.String()
 }
 
-// originLinkAddr returns the address at which a process reaches an origin: that of a link of its own.
+// originLinkAddr returns the address at which a process reaches an origin, which is the address of the link between
+// them.
 func originLinkAddr(from, to *process) string {
 	return netip.AddrPortFrom(linkAddr(from.number, to.number), to.port).String()
 }
 
-// OriginAddr returns the address of an origin, not behind a link.
+// OriginAddr returns the address at which an origin listens, which bypasses the links.
 func (c *Cluster) OriginAddr(k int) string { return c.origins[k].listen }
 
 // OriginDir returns the directory of an origin's store.
 func (c *Cluster) OriginDir(k int) string { return filepath.Join(c.origins[k].dir, "store") }
 
-// ConfigDir returns the directory of a member's last known configuration.
+// ConfigDir returns the directory in which a member stores its last known configuration.
 func (c *Cluster) ConfigDir(n int) string { return filepath.Join(c.members[n].dir, "config") }
 
-// configSection returns [config] of a member's operator's file.
+// configSection returns the table [config] of a member's operator file, or "" if the cluster has no origins.
 func (c *Cluster) configSection(p *process) string {
 	if c.config.Origins == 0 {
 		return ""
@@ -143,6 +144,6 @@
 	for _, to := range c.origins[1:] {
 		addrs = append(addrs, originLinkAddr(p, to))
 	}
-	list, _ := json.Marshal(addrs) // strings can be encoded
+	list, _ := json.Marshal(addrs) // encoding strings does not fail
 	return fmt.Sprintf("[config]\norigins = %s\ndir = %q\n%s\n", list, c.ConfigDir(p.number), c.config.ConfigOptions)
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -16,31 +16,31 @@
 	"time"
 )
 
-// process is a member or an origin: a place for one process of the program at a time. The goroutine that plays scripts
-// owns it; clients read the atomic fields.
+// process is a member or an origin, which runs at most one operating system process at a time. Only the goroutine that
+// plays scripts accesses it, except for the atomic fields, which clients read.
 type process struct {
 	number        int
 	name          string
-	listen, admin string // addresses
-	port          uint16 // of gossip, or an origin's
+	listen, admin string // addresses for requests and of the admin endpoint
+	port          uint16 // port for gossip; an origin's only port
 	dir           string
 	env           []string
-	program       []string // the command that runs it
-	arguments     []string // after those of program
+	program       []string // program that runs it, with its first arguments
+	arguments     []string // further arguments when it is started
 	log           *os.File
-	command       *exec.Cmd // nil: it does not run
+	command       *exec.Cmd // nil if it does not run
 	exited        chan error
 	frozen        bool
 
-	transitions atomic.Int64 // its starts and ends; odd while it runs and is not being ended
-	responded   atomic.Bool  // since its start
-	stopped     atomic.Bool  // by SIGSTOP, now
-	freezes     atomic.Int64 // number of SIGSTOP and SIGCONT sent
+	transitions atomic.Int64 // number of starts and ends; odd while it runs and is not being ended
+	responded   atomic.Bool  // whether it has responded since its start
+	stopped     atomic.Bool  // whether it is stopped by SIGSTOP now
+	freezes     atomic.Int64 // number of SIGSTOP and SIGCONT signals sent to it
 }
 
 func (p *process) running() bool { return p.command != nil }
 
-// newCommand returns a command of the process's program with its environment, not started.
+// newCommand returns a command that runs the process's program with its environment and the given arguments.
 func (p *process) newCommand(arguments ...string) *exec.Cmd {
 	all := slices.Concat(p.program[1:], arguments)
 	command := exec.CommandContext(context.Background(), p.program[0], all...)
@@ -48,10 +48,10 @@
 	return command
 }
 
-// start starts the process and returns at once.
+// start starts the process. It does not wait until the process responds.
 func (p *process) start() error {
 	if p.running() {
-		return fmt.Errorf("%s runs already", p.name)
+		return fmt.Errorf("%s is already running", p.name)
 	}
 	command := p.newCommand(p.arguments...)
 	command.Stdout, command.Stderr = p.log, p.log
@@ -71,25 +71,25 @@
 
 func (p *process) signal(signal syscall.Signal) error {
 	if !p.running() {
-		return fmt.Errorf("%s does not run", p.name)
+		return fmt.Errorf("%s is not running", p.name)
 	}
 	return p.command.Process.Signal(signal)
 }
 
 const (
-	// stopTimeout is how long a SIGSTOP may take. A higher value tolerates a busier machine.
+	// stopTimeout limits the time until a SIGSTOP has taken effect. A higher value tolerates a busier machine.
 	stopTimeout      = 5 * time.Second
 	stopPollInterval = time.Millisecond
 )
 
-// Modes of a process's directory and files.
+// Permissions of a process's directory and files.
 const (
 	dirMode  = 0o755
 	fileMode = 0o600
 )
 
-// awaitStopped waits until a SIGSTOP has taken effect in all threads of the process. Without it a busy machine lets a
-// process that counts as frozen act on what comes right after the signal.
+// awaitStopped waits until a SIGSTOP has taken effect in all threads of the process. Without this wait, a process on a
+// busy machine can still act on messages that arrive just after the signal, although it counts as frozen.
 func (p *process) awaitStopped() error {
 	for deadline := time.Now().Add(stopTimeout); time.Now().Before(deadline); time.Sleep(stopPollInterval) {
 		stopped, err := p.isStopped()
@@ -97,10 +97,10 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%s did not stop in %v", p.name, stopTimeout)
+	return fmt.Errorf("%s did not stop within %v of SIGSTOP", p.name, stopTimeout)
 }
 
-// isStopped reports whether all threads of the process are in the state T of proc(5).
+// isStopped reports whether all threads of the process are in the state T (stopped, see proc(5)).
 func (p *process) isStopped() (bool, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.command.Process.Pid))
 	if err != nil {
@@ -114,7 +114,7 @@
 		if err != nil {
 			return false, err
 		}
-		// The state follows the name of the program, which is in parentheses and may contain some itself.
+		// The state follows the program name, which is in parentheses and may itself contain parentheses.
 		_, state, _ := strings.Cut(string(stat[bytes.LastIndexByte(stat, ')'):]), " ")
 		if !strings.HasPrefix(state, "T") {
 			return false, nil
@@ -123,18 +123,19 @@
 	return true, nil
 }
 
-// kill ends the process by SIGKILL, if it runs.
+// kill ends the process with SIGKILL, if it runs, and waits until it has exited.
 func (p *process) kill() {
 	if !p.running() {
 		return
 	}
 	p.transitions.Add(1)
 	_ = p.command.Process.Kill() // fails if the process has exited
-	<-p.exited                   //nolint:errcheck // the error is that it was killed
+	<-p.exited                   //nolint:errcheck // the error says only that it was killed
 	p.command = nil
 }
 
-// terminate ends the process by SIGTERM, and waits until it has exited with status 0.
+// terminate sends SIGTERM to the process and waits until it has exited. It returns an error if the process exits with a
+// status other than 0 or does not exit within the timeout.
 func (p *process) terminate(timeout time.Duration) error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
@@ -144,15 +145,15 @@
 	case err := <-p.exited:
 		p.command = nil
 		if err != nil {
-			return fmt.Errorf("%s ended with %w", p.name, err)
+			return fmt.Errorf("%s exited after SIGTERM: %w", p.name, err)
 		}
 		return nil
 	case <-time.After(timeout):
-		return fmt.Errorf("%s did not end in %v", p.name, timeout)
+		return fmt.Errorf("%s did not exit within %v of SIGTERM", p.name, timeout)
 	}
 }
 
-// checkExit returns an error if the process has exited by itself since the last check.
+// checkExit returns an error if the process has exited unexpectedly since the last check.
 func (p *process) checkExit() error {
 	if !p.running() {
 		return nil
@@ -161,7 +162,7 @@
 	case err := <-p.exited:
 		p.command = nil
 		p.transitions.Add(1)
-		return errors.Join(fmt.Errorf("%s ended by itself", p.name), err)
+		return errors.Join(fmt.Errorf("%s exited unexpectedly", p.name), err)
 	default:
 		return nil
 	}
@@ -177,19 +178,19 @@
 	return err
 }
 
-// logName is the name of the file with the output of a process.
+// logName is the name of the file in a process's directory that receives its output.
 const logName = "log"
 
-// writeFile writes a file of the process's directory, and returns its path.
+// writeFile writes a file in the process's directory, and returns its path.
 func (p *process) writeFile(name, text string) (string, error) {
 	path := filepath.Join(p.dir, name)
 	return path, os.WriteFile(path, []byte(text), fileMode)
 }
 
-// portAttempts bounds the search for a port that is free for both protocols.
+// portAttempts limits the number of ports that are tried to find one that is free for both TCP and UDP.
 const portAttempts = 50
 
-// freePort returns a port that is free for UDP and TCP on a host.
+// freePort returns a port of a host that is free for both UDP and TCP.
 func freePort(host string) (uint16, error) {
 	var config net.ListenConfig
 	ctx := context.Background()
@@ -206,5 +207,5 @@
 			return uint16(port), nil
 		}
 	}
-	return 0, errors.New("no port is free for datagrams and streams")
+	return 0, fmt.Errorf("no port of %s is free for both TCP and UDP: tried %d", host, portAttempts)
 }
--- a/internal/testcluster/processsteps.go
+++ b/internal/testcluster/processsteps.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	pollInterval = 25 * time.Millisecond // between two checks of a condition
-	startTimeout = 20 * time.Second      // until a started process responds
-	termTimeout  = 15 * time.Second      // until a process ends after SIGTERM
-	starveTurn   = 50 * time.Millisecond
+	pollInterval = 25 * time.Millisecond // time between two checks of a condition
+	startTimeout = 20 * time.Second      // limit for a started process to respond
+	termTimeout  = 15 * time.Second      // limit for a process to exit after SIGTERM
+	starvePeriod = 50 * time.Millisecond // length of a cycle in which a starved process is stopped and continued
 )
 
-// setSeeds sets the seeds of the processes that start from now on: members, or an address that no process has.
+// setSeeds sets the seeds of the members that start from now on. The text is a list of members and addresses, separated
+// by commas; an address may be one at which no process listens.
 func (c *Cluster) setSeeds(text string) error {
 	c.seeds = nil
 	for part := range strings.SplitSeq(text, ",") {
@@ -40,7 +41,7 @@
 func (c *Cluster) start(ctx context.Context, group []int) error {
 	for _, n := range group {
 		p := c.process(n)
-		//nolint:contextcheck // the process outlives the step, and Close ends it
+		//nolint:contextcheck // the process outlives the step, and Close kills it
 		if err := errors.Join(c.writeOperatorFile(p), p.start()); err != nil {
 			return err
 		}
@@ -48,20 +49,20 @@
 	for _, n := range group {
 		p := c.process(n)
 		var exited error
-		ok := waitUntil(ctx, startTimeout, func() bool {
+		ok := pollUntil(ctx, startTimeout, func() bool {
 			exited = p.checkExit()
 			return exited != nil || c.responds(ctx, n)
 		})
 		if !ok || exited != nil {
-			return errors.Join(fmt.Errorf("%s is not up", p.name), exited)
+			return errors.Join(fmt.Errorf("%s does not respond after its start", p.name), exited)
 		}
 		p.responded.Store(true)
 	}
 	return nil
 }
 
-// waitUntil polls a condition, and returns false after a timeout or when ctx has ended.
-func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+// pollUntil polls a condition until it holds. It returns false after the timeout or when ctx has ended.
+func pollUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(timeout); ; {
 		if condition() {
 			return true
@@ -79,7 +80,7 @@
 	}
 }
 
-// restart kills the processes of a group and starts them after a pause, which may be "".
+// restart kills the processes of a group and starts them again after a pause; "" means no pause.
 func (c *Cluster) restart(ctx context.Context, group []int, pauseText string) error {
 	var pause time.Duration
 	if pauseText != "" {
@@ -102,7 +103,8 @@
 	return nil
 }
 
-// freeze stops the processes of a group, and continues them after a pause unless that is "".
+// freeze stops the processes of a group with SIGSTOP. It continues them after the given pause, or leaves them stopped
+// if the pause is "".
 func (c *Cluster) freeze(group []int, pauseText string) error {
 	if err := c.setFrozen(group, true); err != nil {
 		return err
@@ -141,22 +143,26 @@
 	return nil
 }
 
-// starve lets the processes of a group run for a share of a duration only, in turns of 50 ms.
+// starve stops and continues the processes of a group in cycles of starvePeriod for a duration, so that they run for
+// only the given share of it.
 func (c *Cluster) starve(ctx context.Context, group []int, shareText, durationText string) error {
 	share, errShare := strconv.ParseFloat(shareText, 64)
 	duration, errDuration := time.ParseDuration(durationText)
-	if errShare != nil || errDuration != nil || share <= 0 || share >= 1 {
-		return fmt.Errorf("starve: %q, %q: a share and a time are wanted", shareText, durationText)
+	if errShare != nil || share <= 0 || share >= 1 {
+		return fmt.Errorf("share of time to run %q is not a number between 0 and 1, both excluded", shareText)
+	}
+	if errDuration != nil {
+		return fmt.Errorf("duration %q is not a duration such as 5s", durationText)
 	}
 	for deadline := time.Now().Add(duration); time.Now().Before(deadline) && ctx.Err() == nil; {
 		if err := c.setFrozen(group, true); err != nil {
 			return err
 		}
-		time.Sleep(time.Duration((1 - share) * float64(starveTurn)))
+		time.Sleep(time.Duration((1 - share) * float64(starvePeriod)))
 		if err := c.setFrozen(group, false); err != nil {
 			return err
 		}
-		time.Sleep(time.Duration(share * float64(starveTurn)))
+		time.Sleep(time.Duration(share * float64(starvePeriod)))
 	}
 	return nil
 }
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -11,8 +11,8 @@
 	"hazelwing/internal/emulator"
 )
 
-// Play plays a script, one step a line, and stops at the first that fails or after which a rule is violated.
-// docs/operators/rig.md describes the steps.
+// Play runs a script, which has one step on each line. It stops at the first step that fails or is followed by a rule
+// violation. docs/operators/rig.md describes the steps.
 func (c *Cluster) Play(ctx context.Context, script string) error {
 	c.script = script
 	for line := range strings.Lines(script) {
@@ -36,7 +36,7 @@
 // arguments are the words that follow the name of a step.
 type arguments []string
 
-// at returns an argument, or "" if there are fewer.
+// at returns the argument with index i, or "" if there is none.
 func (a arguments) at(i int) string {
 	if i < len(a) {
 		return a[i]
@@ -44,7 +44,7 @@
 	return ""
 }
 
-// play plays one step.
+// play runs one step.
 func (c *Cluster) play(ctx context.Context, words []string) error {
 	args := arguments(words[1:])
 	switch name := words[0]; name {
@@ -63,10 +63,10 @@
 		//nolint:contextcheck // listening on loopback does not block, and a restarted server outlives the step
 		return c.Servers.Fault(fault)
 	}
-	return errors.New("no such step")
+	return errors.New("unknown step")
 }
 
-// playProcessStep plays a step on the processes of a group.
+// playProcessStep runs a step that acts on the processes of a group.
 func (c *Cluster) playProcessStep(ctx context.Context, name string, args arguments) error {
 	group, err := c.group(args.at(0))
 	if err != nil {
@@ -90,7 +90,7 @@
 	return c.starve(ctx, group, args.at(1), args.at(2))
 }
 
-// playLinkStep plays a step on the links between members.
+// playLinkStep runs a step that acts on links.
 func (c *Cluster) playLinkStep(ctx context.Context, name string, args arguments) error {
 	switch name {
 	case "heal":
@@ -108,8 +108,8 @@
 	return c.cut(name, args.at(0), args.at(1))
 }
 
-// group parses a group of members, like "1-4,7"; "all" and "" are all members. "o1-3" are origins, and "origins" all of
-// them.
+// group parses a group of processes and returns their numbers. "1-4,7" are members, "all" and "" all members, "o1-3"
+// origins, and "origins" all origins.
 func (c *Cluster) group(text string) (group []int, err error) {
 	if text == "" {
 		text = "all"
@@ -133,7 +133,8 @@
 		first, errFirst := strconv.Atoi(firstText)
 		last, errLast := strconv.Atoi(lastText)
 		if errFirst != nil || errLast != nil || first < 1 || last > maxNumber || first > last {
-			return nil, fmt.Errorf("%q are no members", text)
+			return nil, fmt.Errorf(
+				"group %q: %q is not a number or range of numbers from 1 to %d", text, part, maxNumber)
 		}
 		for n := first; n <= last; n++ {
 			group = append(group, base+n)
--- a/internal/testcluster/timeline.go
+++ b/internal/testcluster/timeline.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// timelineEntry is a step of the script and when it began.
+// timelineEntry is a line of the timeline, such as a script step or a log line, and its time.
 type timelineEntry struct {
 	at   time.Time
 	text string
 }
 
-// Timeline returns what a failed run shows: the seed, the script, and all logs merged by time.
+// Timeline returns the report that a failed run prints: the seed, the script, and its steps and all logs merged by
+// time.
 func (c *Cluster) Timeline() string {
 	var lines []timelineEntry
 	for _, n := range c.timeline {
@@ -26,14 +27,14 @@
 	}
 	slices.SortStableFunc(lines, func(a, b timelineEntry) int { return a.at.Compare(b.at) })
 	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d, script:\n%s\ntime line:\n", c.config.Seed, c.script)
+	fmt.Fprintf(&text, "seed %d, script:\n%s\ntimeline:\n", c.config.Seed, c.script)
 	for _, line := range lines {
 		fmt.Fprintf(&text, "%8.3f %s\n", line.at.Sub(c.startedAt).Seconds(), line.text)
 	}
 	return text.String()
 }
 
-// logLines returns the lines of a process's log. A line without a time has that of the line before.
+// logLines returns the lines of a process's log. A line without a time gets the time of the line before it.
 func (c *Cluster) logLines(p *process) (lines []timelineEntry) {
 	last := c.startedAt
 	for line := range strings.Lines(p.logText()) {
@@ -48,11 +49,11 @@
 	return lines
 }
 
-// logText returns the process's log, or what can be read of it.
+// logText returns the process's log, or as much of it as can be read.
 func (p *process) logText() string {
 	text, _ := os.ReadFile(filepath.Join(p.dir, logName))
 	return string(text)
 }
 
-// Log returns what a member or an origin has logged so far.
+// Log returns the log of a member or an origin.
 func (c *Cluster) Log(n int) string { return c.process(n).logText() }
--- a/internal/testcluster/waitsteps.go
+++ b/internal/testcluster/waitsteps.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -14,18 +13,20 @@
 	"hazelwing/internal/cluster/gossip"
 )
 
-// waitCondition is what a wait step waits for: that the views of a group, by member, do not differ from those expected.
+// waitCondition is the condition of a wait step: within a timeout, the views of the members of a group have to be as
+// expected.
 type waitCondition struct {
 	timeout, group string
-	difference     func(views map[int]gossip.Status) string // the first difference, or ""
+	// difference describes the first difference of the views from the expected ones; "" if there is none.
+	difference func(views map[int]gossip.Status) string
 }
 
 // wait waits for a condition:
 //
-//	wait agree TIMEOUT [GROUP]                 the views of the group are equal and correct
+//	wait agree TIMEOUT [GROUP]                 the views of the group's members are equal and correct
 //	wait state MEMBERS STATES TIMEOUT [GROUP]  the group sees the members in one of the states, separated by |
 //	wait count N TIMEOUT [GROUP]               the group estimates the size of the cluster to be N
-//	wait out SERVER TIMEOUT [GROUP]            the endpoint lists of the group no longer have the server
+//	wait out SERVER TIMEOUT [GROUP]            the endpoint lists of the group do not contain the server
 func (c *Cluster) wait(ctx context.Context, args arguments) error {
 	condition, err := c.parseWait(ctx, args)
 	if err != nil {
@@ -40,11 +41,11 @@
 		return err
 	}
 	start, difference := time.Now(), ""
-	if !waitUntil(ctx, timeout, func() bool {
+	if !pollUntil(ctx, timeout, func() bool {
 		difference = condition.difference(c.views(ctx, group))
 		return difference == ""
 	}) {
-		return fmt.Errorf("not within %v: %s", timeout, difference)
+		return fmt.Errorf("condition does not hold within %v: %s", timeout, difference)
 	}
 	c.Waits = append(c.Waits, Wait{strings.Join(args, " "), time.Since(start)})
 	return nil
@@ -69,20 +70,23 @@
 		}}, nil
 	case "out":
 		return waitCondition{args.at(2), args.at(3), func(views map[int]gossip.Status) string {
-			return c.listedIn(ctx, views, args.at(1))
+			return c.listedDifference(ctx, views, args.at(1))
 		}}, nil
 	}
-	return waitCondition{}, errors.New("nothing of that name can be waited for")
+	return waitCondition{}, fmt.Errorf("unknown condition %q, want agree, state, count or out", args.at(0))
 }
 
-// settle waits until all views of the group have been equal and correct for a length without interruption. This
-// prevents a wait from succeeding at a moment of agreement by chance: a probe that was sent before a fault ended may
-// still lead to a suspicion.
+// settle waits until all views of the group have been equal and correct for an uninterrupted length of time. A plain
+// wait can succeed at a moment when the views agree by chance: a probe that was sent before a fault ended can still
+// lead to a suspicion.
 func (c *Cluster) settle(ctx context.Context, lengthText, timeoutText, groupText string) error {
 	length, errLength := time.ParseDuration(lengthText)
 	timeout, errTimeout := time.ParseDuration(timeoutText)
-	if errLength != nil || errTimeout != nil {
-		return errors.New("two times are wanted: for how long, and within which time")
+	if errLength != nil {
+		return fmt.Errorf("length of agreement %q is not a duration such as 5s", lengthText)
+	}
+	if errTimeout != nil {
+		return fmt.Errorf("timeout %q is not a duration such as 30s", timeoutText)
 	}
 	group, err := c.group(groupText)
 	if err != nil {
@@ -90,24 +94,25 @@
 	}
 	start := time.Now()
 	agreedSince, lastDifference := start, ""
-	if !waitUntil(ctx, timeout, func() bool {
+	if !pollUntil(ctx, timeout, func() bool {
 		if difference := c.disagreement(c.views(ctx, group)); difference != "" {
 			agreedSince, lastDifference = time.Now(), difference
 		}
 		return time.Since(agreedSince) >= length
 	}) {
-		return fmt.Errorf("not within %v: last %s", timeout, lastDifference)
+		return fmt.Errorf("views do not agree for %v within %v: last difference: %s", length, timeout, lastDifference)
 	}
 	c.Waits = append(c.Waits, Wait{"settle " + lengthText + " " + groupText, time.Since(start) - length})
 	return nil
 }
 
-// disagreement returns the first difference of the views from each other or from the processes that run, or "".
+// disagreement describes the first difference between the views, or between a view and the running processes; "" if
+// there is none.
 func (c *Cluster) disagreement(views map[int]gossip.Status) string {
 	running := map[string]cluster.Incarnation{}
 	for n, view := range views {
 		if view.Name == "" {
-			return fmt.Sprintf("%s does not answer", c.members[n].name)
+			return fmt.Sprintf("admin endpoint of %s does not respond", c.members[n].name)
 		}
 		for _, member := range view.Members {
 			if member.Self {
@@ -123,28 +128,29 @@
 	return ""
 }
 
-// viewDifference returns the first difference of a member's view from the members that run, or "".
+// viewDifference describes the first difference between a member's view and the running members; "" if there is none.
 func viewDifference(viewer string, view gossip.Status, running map[string]cluster.Incarnation) string {
 	seen := 0
 	for _, member := range view.Members {
 		incarnation, runs := running[member.Name]
 		switch {
 		case runs && (member.State != cluster.Alive || member.Incarnation != incarnation):
-			return fmt.Sprintf("%s holds %s for %v %d.%d, and it is alive %d.%d", viewer, member.Name, member.State,
+			return fmt.Sprintf("%s sees %s as %v %d.%d, want alive %d.%d", viewer, member.Name, member.State,
 				member.Generation, member.Refutations, incarnation.Generation, incarnation.Refutations)
 		case !runs && member.State < cluster.Dead:
-			return fmt.Sprintf("%s holds %s for %v, and it does not run or is apart", viewer, member.Name, member.State)
+			return fmt.Sprintf("%s sees %s as %v, but it does not run or is outside the group",
+				viewer, member.Name, member.State)
 		case runs:
 			seen++
 		}
 	}
 	if seen != len(running) {
-		return fmt.Sprintf("%s knows %d of %d", viewer, seen, len(running))
+		return fmt.Sprintf("%s sees %d of %d running members", viewer, seen, len(running))
 	}
 	return ""
 }
 
-// stateDifference returns the first view in which one of the members has none of the states, or "".
+// stateDifference describes a view in which one of the members has none of the given states; "" if there is none.
 func (c *Cluster) stateDifference(views map[int]gossip.Status, members []int, states []string) string {
 	for viewer, view := range views {
 		for _, n := range members {
@@ -153,14 +159,15 @@
 			}
 			name := c.members[n].name
 			if state := stateIn(view, name); !slices.Contains(states, state) {
-				return fmt.Sprintf("%s holds %s for %s", c.members[viewer].name, name, state)
+				return fmt.Sprintf("%s sees %s as %s, want %s", c.members[viewer].name, name, state,
+					strings.Join(states, " or "))
 			}
 		}
 	}
 	return ""
 }
 
-// stateIn returns the state of a member in a view.
+// stateIn returns the state of a member in a view; "unknown" if the view does not contain the member.
 func stateIn(view gossip.Status, name string) string {
 	state := "unknown"
 	for _, member := range view.Members {
@@ -171,18 +178,19 @@
 	return state
 }
 
-// sizeDifference returns the first view whose estimate of the cluster's size is not count, or "".
+// sizeDifference describes a view whose estimate of the cluster's size is not count; "" if there is none.
 func sizeDifference(views map[int]gossip.Status, count string) string {
 	for n, view := range views {
 		if strconv.Itoa(view.Core.EstimatedSize) != count {
-			return fmt.Sprintf("%d reckons with %d", n, view.Core.EstimatedSize)
+			return fmt.Sprintf("member %d estimates the cluster size to be %d, want %s",
+				n, view.Core.EstimatedSize, count)
 		}
 	}
 	return ""
 }
 
-// listedIn returns the first member that has a server in its endpoint list, or "".
-func (c *Cluster) listedIn(ctx context.Context, views map[int]gossip.Status, server string) string {
+// listedDifference describes a member whose endpoint list contains the server or cannot be read; "" if there is none.
+func (c *Cluster) listedDifference(ctx context.Context, views map[int]gossip.Status, server string) string {
 	for n := range views {
 		var endpoints []struct {
 			ID     string `json:"ID"`
@@ -193,7 +201,7 @@
 		}
 		for _, endpoint := range endpoints {
 			if endpoint.ID == server && endpoint.Listed {
-				return fmt.Sprintf("%s lists %s", c.members[n].name, server)
+				return fmt.Sprintf("endpoint list of %s still contains %s", c.members[n].name, server)
 			}
 		}
 	}
