--- a/internal/testutil/capacitypage.go
+++ b/internal/testutil/capacitypage.go
@@ -12,14 +12,14 @@
 type CapacityBound struct {
 	Name   string
 	Figure float64
-	// Sources are a file and the name of a constant, or a package and the name of a test, without backquotes.
+	// Sources names where the figure comes from: a file and a constant, or a package and a test, without backquotes.
 	Sources []string
 }
 
 const (
 	// boundsTitle is the heading above the table of bounds.
 	boundsTitle = "## Bounds that tests hold"
-	// boundsCells is the number of parts of a row split at "|", with the empty ones at both ends.
+	// boundsCells is the number of parts of a row split at "|", including the empty ones at both ends.
 	boundsCells = 5
 )
 
@@ -36,7 +36,7 @@
 		}
 		parent := filepath.Dir(dir)
 		if parent == dir {
-			t.Fatal("no go.mod in a parent directory of the test")
+			t.Fatal("neither the working directory nor a parent directory of it has a go.mod")
 		}
 		dir = parent
 	}
@@ -61,7 +61,7 @@
 		}
 		figure, err := strconv.ParseFloat(strings.ReplaceAll(strings.TrimSpace(cells[2]), ",", ""), 64)
 		if err != nil {
-			t.Fatalf("docs/CAPACITY.md: %v: %s", err, line)
+			t.Fatalf("docs/CAPACITY.md: figure of a bound is not a number: %v, in the row %s", err, line)
 		}
 		bounds = append(bounds, CapacityBound{
 			Name:    strings.TrimSpace(cells[1]),
@@ -72,18 +72,20 @@
 	return bounds
 }
 
-// isBoundsRow reports whether the cells are those of a row with a figure, not of the table's heading.
+// isBoundsRow reports whether the cells are those of a row with a figure, and not of the table's heading, of the line
+// below it or of other text.
 func isBoundsRow(cells []string) bool {
 	if len(cells) != boundsCells {
 		return false
 	}
-	isRule := strings.HasPrefix(strings.TrimSpace(cells[1]), "---")
+	isSeparator := strings.HasPrefix(strings.TrimSpace(cells[1]), "---")
 	isHeading := strings.TrimSpace(cells[2]) == "figure"
-	return !isRule && !isHeading
+	return !isSeparator && !isHeading
 }
 
 // CheckCapacityBound fails the test if a measured value differs from the figure in docs/CAPACITY.md by more than
-// tolerance, a share of the figure. Then either the change that moved the value is wrong, or the page is outdated.
+// tolerance, which is a share of the figure. In that case either the change that altered the value is wrong, or the
+// page is outdated.
 func CheckCapacityBound(t testing.TB, name string, measured, tolerance float64) {
 	t.Helper()
 	for _, bound := range CapacityBounds(t) {
@@ -92,9 +94,10 @@
 		}
 		margin := tolerance * bound.Figure
 		if measured < bound.Figure-margin || measured > bound.Figure+margin {
-			t.Errorf("%s: measured %.4g, docs/CAPACITY.md says %.4g", name, measured, bound.Figure)
+			t.Errorf("%s: measured %.4g, docs/CAPACITY.md has %.4g, want a difference of at most %.4g",
+				name, measured, bound.Figure, margin)
 		}
 		return
 	}
-	t.Errorf("docs/CAPACITY.md has no row %q among its bounds", name)
+	t.Errorf("docs/CAPACITY.md has no row %q in the table of bounds", name)
 }
--- a/internal/testutil/fieldvalues.go
+++ b/internal/testutil/fieldvalues.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// FieldValues returns the values of the exported fields of v at any depth, in order of declaration, one a line and
-// without their names: a golden file of them shows what the keys of a format are decoded into, and stays valid when a
-// Go field is renamed.
+// FieldValues returns the values of the exported fields of v, at any depth, in order of declaration. There is one value
+// on each line, without the field's name. A golden file of this text shows into which values the keys of a format are
+// decoded, and stays valid when a Go field is renamed.
 func FieldValues(v any) string {
 	var out strings.Builder
 	walkFields(reflect.ValueOf(v), "", func(_ string, leaf reflect.Value) { fmt.Fprintf(&out, "%v\n", leaf) })
@@ -30,7 +30,8 @@
 	return paths
 }
 
-// walkFields calls leaf for each value that has no parts, which includes empty slices and maps and nil pointers.
+// walkFields calls leaf with the path and value of each part of v that has no parts itself. That includes empty slices,
+// empty maps and nil pointers.
 func walkFields(v reflect.Value, path string, leaf func(path string, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -82,9 +83,9 @@
 	}
 }
 
-// CheckStoredKeys checks that each key of a format has kept its name: dir has the file every-key.toml, which sets all
-// keys, and every-key.values, the values of the fields that an earlier version decoded it into. decode decodes the text
-// of such a file.
+// CheckStoredKeys checks that each key of a format has kept its name and meaning. The directory dir has two files:
+// every-key.toml sets all keys, and every-key.values has the field values that an earlier version decoded from it.
+// decode decodes the text of the first file.
 func CheckStoredKeys(t testing.TB, dir string, decode func(text []byte) any) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, "every-key.toml"))
@@ -97,9 +98,9 @@
 	}
 	v := decode(text)
 	for _, path := range UnsetFields(v) {
-		t.Errorf("no key has set %s", path)
+		t.Errorf("field %s is not set by any key of %s/every-key.toml", path, dir)
 	}
 	if got := FieldValues(v); got != string(want) {
-		t.Errorf("it is read as\n%s, want\n%s", got, want)
+		t.Errorf("%s/every-key.toml is decoded into the values\n%s\nwant\n%s", dir, got, want)
 	}
 }
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -12,17 +12,18 @@
 	"time"
 )
 
-// UpdateGolden is the environment variable that makes Golden write its file instead of comparing with it. It is for a
-// format that changes on purpose, and is never set in CI.
+// UpdateGolden is the name of the environment variable that makes Golden write the file instead of comparing with it.
+// It is meant for deliberate changes of a format, and is never set in CI.
 const UpdateGolden = "HAZELWING_UPDATE_GOLDEN"
 
-// Modes of a golden file and its directory, as git checks them out.
+// Permissions of a golden file and its directory, the same as in a git checkout.
 const (
 	goldenDirMode  = 0o755
 	goldenFileMode = 0o644
 )
 
-// Golden compares encoded bytes with the file of that name in the testdata directory of the package under test.
+// Golden fails the test if the encoded bytes got differ from the file with the given name in the testdata directory of
+// the package under test.
 func Golden(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -40,17 +41,17 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("format of %s has changed:\n%s\nwant\n%s", path, got, want)
+		t.Errorf("encoding differs from golden file %s: got\n%s\nwant\n%s", path, got, want)
 	}
 }
 
-// GoldenBinary is Golden for bytes that are not text: the file contains their hexadecimal dump (encoding/hex.Dump).
+// GoldenBinary is Golden for bytes that are not text. The file contains their hexadecimal dump (encoding/hex.Dump).
 func GoldenBinary(t testing.TB, name string, got []byte) {
 	t.Helper()
 	Golden(t, name, []byte(hex.Dump(got)))
 }
 
-// IndentedJSON returns the JSON of v in the form of the golden files: indented, with a newline at the end.
+// IndentedJSON returns v as JSON in the form of the golden files, which is indented and ends with a newline.
 func IndentedJSON(t testing.TB, v any) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(v, "", "  ")
@@ -60,20 +61,20 @@
 	return append(text, '\n')
 }
 
-// CheckFieldsSet fails the test for each exported field of v, at any depth, that has its zero value or is an empty slice or
-// map: a golden file of such a value would not show the field's encoding. Fields that are never encoded, which have the
-// name "-" in a tag, are skipped. Of a slice, only the first element is visited.
+// CheckFieldsSet fails the test for each exported field of v, at any depth, that has its zero value or is an empty
+// slice or map. A golden file of such a value would not show the field's encoding. Fields that are never encoded, which
+// have the name "-" in a json or toml tag, are skipped. Only the first element of a slice is checked.
 func CheckFieldsSet(t testing.TB, v any) {
 	t.Helper()
 	walkEncoded(reflect.ValueOf(v), reflect.TypeOf(v).String(), func(path string, field reflect.Value) {
 		isCollection := field.Kind() == reflect.Slice || field.Kind() == reflect.Map
 		if field.IsZero() || isCollection && field.Len() == 0 {
-			t.Errorf("%s is not set", path)
+			t.Errorf("field %s is empty or zero: a golden file would not show its encoding", path)
 		}
 	})
 }
 
-// walkEncoded calls visit for each exported field that an encoder writes, before it descends into the field.
+// walkEncoded calls visit for each exported field that an encoder writes. It visits a field before the field's parts.
 func walkEncoded(v reflect.Value, path string, visit func(path string, field reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -106,15 +107,15 @@
 	return field.Tag.Get("json") == "-" || field.Tag.Get("toml") == "-"
 }
 
-// CheckExplicitNames fails the test for each exported field of the type of v, at any depth, that has no name in a struct tag
-// with the given key: its encoded name would be that of the Go field, so that a rename would change the format.
-// Embedded structs have no name of their own, and types that encode themselves as text are not visited.
+// CheckExplicitNames fails the test for each exported field of the type of v, at any depth, that has no name in a
+// struct tag with the given key. The encoded name of such a field would be that of the Go field, so that a rename would
+// change the format. Embedded structs need no name, and types with methods that encode or decode them are not checked.
 func CheckExplicitNames(t testing.TB, key string, v any) {
 	t.Helper()
 	checkExplicitNames(t, key, reflect.TypeOf(v), map[reflect.Type]bool{})
 }
 
-// checkExplicitNames checks one type and those that it is made of, each once.
+// checkExplicitNames checks a type and the types of its parts, except those already in seen.
 func checkExplicitNames(t testing.TB, key string, kind reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
 	if seen[kind] {
@@ -134,7 +135,7 @@
 			switch {
 			case name == "-" || !field.IsExported() && !field.Anonymous:
 			case name == "" && !field.Anonymous:
-				t.Errorf("%v.%s has no name in a %s tag", kind, field.Name, key)
+				t.Errorf("field %v.%s has no name in a %s tag: a rename would change the format", kind, field.Name, key)
 			default:
 				checkExplicitNames(t, key, field.Type, seen)
 			}
--- a/internal/testutil/rapidseed.go
+++ b/internal/testutil/rapidseed.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// rapidSeed is the seed of property tests, in rapid's flag.
+// rapidSeed is the default seed of property tests, as a value of the flag -rapid.seed.
 const rapidSeed = "44"
 
-// exitUsage is the status of a test program whose flags cannot be set.
+// exitUsage is the exit status of a test program whose seed flag cannot be set.
 const exitUsage = 2
 
-// RunWithRapidSeed runs the tests of a package that has property tests (pgregory.net/rapid) with one seed, so that the
-// verdict is the same every time, and exits. The flag -rapid.seed sets another one. TestMain calls it.
+// RunWithRapidSeed runs the tests of a package and exits. Property tests (pgregory.net/rapid) get a fixed seed, so that
+// each run has the same result; the flag -rapid.seed sets another seed. TestMain calls RunWithRapidSeed.
 func RunWithRapidSeed(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		if err := f.Value.Set(rapidSeed); err != nil {
-			fmt.Fprintln(os.Stderr, err)
+			fmt.Fprintf(os.Stderr, "flag -rapid.seed cannot be set to %s: %v\n", rapidSeed, err)
 			os.Exit(exitUsage)
 		}
 	}
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,5 +1,5 @@
-// Package testutil holds what tests of several packages share: TCP servers that respond byte by byte as a test
-// specifies, bounded waits, golden files of encoded formats, and the table of bounds of the capacity page.
+// Package testutil has helpers for the tests of several packages: TCP servers that respond byte by byte as a test
+// specifies, waits with a time limit, golden files of encoded formats, and the table of bounds in docs/CAPACITY.md.
 package testutil
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// WaitTimeout bounds a test's wait for an event that is certain to occur. It is generous: the machine may be busy.
+// WaitTimeout limits a test's wait for an event that is certain to occur. It is long because the machine may be busy.
 const WaitTimeout = 20 * time.Second
 
 // OKResponse is a complete HTTP/1.1 response with the body "ok".
@@ -28,8 +28,8 @@
 // UnusedAddr is a loopback address on which nothing listens.
 const UnusedAddr = "127.0.0.1:1"
 
-// ServeRaw accepts TCP connections on loopback and calls serve for each in a goroutine of its own, with the number of
-// the connection, counted from 0. It returns the address of the listener. The listener and all connections are closed
+// ServeRaw accepts TCP connections on loopback and calls serve for each in a new goroutine, with the number of the
+// connection, which begins at 0. It returns the address of the listener. The listener and all connections are closed
 // when the test ends, which ends the goroutines that read from them.
 func ServeRaw(t testing.TB, serve func(number int, conn net.Conn, reader *bufio.Reader)) string {
 	t.Helper()
@@ -66,7 +66,8 @@
 	return req
 }
 
-// Request returns a request as the application sends it to a daemon at url. Class "pay" gets an idempotency key.
+// Request returns a request as the application sends it to a daemon at url. A request of the class "pay" has an
+// idempotency key.
 func Request(t testing.TB, url, method, class, id, body string) *http.Request {
 	t.Helper()
 	target := url + "/" + class + "/a%2Fb?q=1"
@@ -101,24 +102,26 @@
 	return resp, string(body)
 }
 
-// Receive returns the next value of a channel. It fails the test after WaitTimeout, and names the value by what.
+// Receive returns the next value of a channel. It fails the test after WaitTimeout with a message that names the value
+// by the text what.
 func Receive[T any](t testing.TB, values <-chan T, what string) T {
 	t.Helper()
 	select {
 	case value := <-values:
 		return value
 	case <-time.After(WaitTimeout):
-		t.Fatalf("timed out waiting for %s", what)
+		t.Fatalf("timed out after %v waiting for %s", WaitTimeout, what)
 		panic("unreachable")
 	}
 }
 
-// Until polls a condition until it is true. It fails the test after WaitTimeout, and names the condition by what.
+// Until polls a condition until it is true. It fails the test after WaitTimeout with a message that names the condition
+// by the text what.
 func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out waiting for %s", what)
+			t.Fatalf("timed out after %v waiting for %s", WaitTimeout, what)
 		}
 		time.Sleep(pollInterval)
 	}
