--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -35,7 +35,7 @@
 type Config struct {
 	Members int
 	Program []string // command line that runs the daemon
-	Env     []string // variables added to the environment of this process
+	Env     []string // variables added to the environment that the processes inherit
 	Dir     string   // directory for files and logs; must be empty when the cluster is created
 	Seed    uint64
 	Servers int // number of emulated servers; 0 means 4
@@ -182,7 +182,8 @@
 	}
 }
 
-// Close kills all processes, and stops the clients, links and servers. It may be called more than once.
+// Close kills all processes, stops the clients, links and servers, and waits until all have ended. It may be called
+// more than once.
 func (c *Cluster) Close() { c.closeOnce.Do(c.close) }
 
 func (c *Cluster) close() {
@@ -242,7 +243,7 @@
 }
 
 // SetProgram sets the command that runs the members or origins of a group from their next start on; it also bootstraps
-// these origins. One cluster can so have processes of several versions of the program.
+// these origins. This permits a cluster with processes of several versions of the program.
 func (c *Cluster) SetProgram(group string, program ...string) error {
 	numbers, err := c.group(group)
 	if err != nil {
--- a/internal/testcluster/hollow/cluster.go
+++ b/internal/testcluster/hollow/cluster.go
@@ -57,7 +57,7 @@
 	lastAddressBlock  = 199
 	// hostsPerSubnet is the number of values of the last byte of an address that are used.
 	hostsPerSubnet = 250
-	// endpointAddresses is the number of addresses that an endpoint uses in turn, a new one after each restart.
+	// endpointAddresses is the number of different addresses of an endpoint, which gets the next one at each restart.
 	endpointAddresses = 200
 )
 
@@ -168,8 +168,7 @@
 	return c, nil
 }
 
-// addMembers adds the members. The first member of each of the first racks, which are in different zones, is a seed;
-// there is at most one seed for each zone.
+// addMembers adds the members and chooses the seeds. The first member of the first rack in each zone is a seed.
 func (c *Cluster) addMembers() error {
 	var seeds []string
 	for n := 1; n <= c.config.Members; n++ {
@@ -290,7 +289,8 @@
 	return n
 }
 
-// Close kills all members and closes the links and discovery. It may be called more than once.
+// Close kills all members, closes the links and discovery, and waits until they have ended. It may be called more than
+// once.
 func (c *Cluster) Close() {
 	c.closeOnce.Do(func() {
 		c.Links.Heal()
--- a/internal/testcluster/hollow/hollow_test.go
+++ b/internal/testcluster/hollow/hollow_test.go
@@ -169,7 +169,8 @@
 	sum := total().Minus(before)
 	// Some bytes were still in transit when the members were killed.
 	if sum.StreamOut < 40*8*100 || math.Abs(float64(sum.BytesIn)/float64(sum.BytesOut)-1) > 0.1 {
-		t.Errorf("%+v in total, want StreamOut of at least %d, and BytesIn within 10%% of BytesOut", sum, 40*8*100)
+		t.Errorf("total traffic is %+v, want StreamOut of at least %d, and BytesIn within 10%% of BytesOut",
+			sum, 40*8*100)
 	}
 }
 
--- a/internal/testcluster/hollow/network.go
+++ b/internal/testcluster/hollow/network.go
@@ -49,7 +49,7 @@
 	delete(n.conns, c)
 }
 
-// kill closes all connections, as the end of a real process does, and prevents that anything is sent from now on.
+// kill closes all connections, as the end of a real process does, and prevents anything from being sent after it.
 func (n *network) kill() {
 	n.mu.Lock()
 	n.killed = true
--- a/internal/testcluster/hollow/start.go
+++ b/internal/testcluster/hollow/start.go
@@ -57,8 +57,9 @@
 // subscribe to the endpoint list in order of their ranks. No member may be running when it is called. Each of these
 // steps may take up to timeout.
 //
-// With Start, hundreds of members in one process learn of each other by gossip and so run short of processor time,
-// which sidecars on separate machines do not. They would declare each other dead.
+// With Start, hundreds of members in one process would learn of each other by gossip. That takes more processor time
+// than one process has, although sidecars on separate machines have enough, and the members would declare each other
+// dead.
 func (c *Cluster) StartJoined(ctx context.Context, timeout time.Duration) error {
 	if err := forEach(c.Members, (*Member).open); err != nil {
 		return err
--- a/internal/testcluster/hollow/steps.go
+++ b/internal/testcluster/hollow/steps.go
@@ -16,9 +16,15 @@
 	stepHeal = "heal"
 )
 
-// Apply applies a step of a script: "cut A B", "slow A B 40ms", "lose A B 0.1", "heal A B" or "heal". A step with two
-// areas replaces the link that an earlier step has set between the same areas in the same order; "heal" removes all
-// links that were set.
+// Apply applies a step of a script. The steps are:
+//
+//	cut A B         cuts the link between the areas A and B
+//	slow A B 40ms   delays it
+//	lose A B 0.1    loses the given share of its datagrams
+//	heal A B        removes the setting of an earlier step for A B
+//	heal            removes all settings
+//
+// Each step replaces the setting of an earlier step for the same areas in the same order.
 func (l *Links) Apply(step string) error {
 	words := strings.Fields(step)
 	if len(words) == 1 && words[0] == stepHeal {
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -34,7 +34,7 @@
 )
 
 // Member N listens on 127.77.0.N. Member I sends to member J by way of 127.(100+I).0.J, where the link from I to J
-// listens. Each direction of each pair of members so has its own link, and no privileges are needed.
+// listens. This gives each direction of each pair of members a separate link without any privileges.
 const (
 	loopbackOctet = 127 // first octet of all addresses
 	memberOctet   = 77  // second octet of the members' gossip addresses
@@ -63,7 +63,7 @@
 	listener net.Listener
 	tasks    sync.WaitGroup
 
-	// sent counts traffic from the sender, returned the receiver's on the sender's streams.
+	// sent counts the traffic from the sender to the receiver, returned the receiver's answers on the sender's streams.
 	sent, returned purposeCounters
 
 	mu         sync.Mutex
@@ -176,7 +176,7 @@
 	}
 }
 
-// forwardDatagram drops, duplicates, delays or corrupts a datagram according to the conditions, and forwards the rest.
+// forwardDatagram forwards a datagram, unless the conditions drop it. They may also duplicate, delay or corrupt it.
 func (l *link) forwardDatagram(datagram []byte) {
 	conditions, _ := l.currentConditions()
 	if conditions.Cut || l.drawEvent(conditions.Loss) {
--- a/internal/testcluster/processsteps.go
+++ b/internal/testcluster/processsteps.go
@@ -54,7 +54,7 @@
 			return exited != nil || c.responds(ctx, n)
 		})
 		if !ok || exited != nil {
-			return errors.Join(fmt.Errorf("%s does not respond after its start", p.name), exited)
+			return errors.Join(fmt.Errorf("%s has not responded since its start", p.name), exited)
 		}
 		p.responded.Store(true)
 	}
@@ -152,7 +152,7 @@
 		return fmt.Errorf("share of time to run %q is not a number between 0 and 1, both excluded", shareText)
 	}
 	if errDuration != nil {
-		return fmt.Errorf("duration %q is not a duration such as 5s", durationText)
+		return fmt.Errorf("length of starvation %q is not a duration such as 5s", durationText)
 	}
 	for deadline := time.Now().Add(duration); time.Now().Before(deadline) && ctx.Err() == nil; {
 		if err := c.setFrozen(group, true); err != nil {
