--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// UpdateGolden is the name of the environment variable that makes Golden write the file instead of comparing with it.
-// It is meant for deliberate changes of a format, and is never set in CI.
+// UpdateGolden is the name of an environment variable. If it is set, Golden overwrites the golden file instead of
+// comparing with it. It is meant for deliberate changes of a format, and is never set in CI.
 const UpdateGolden = "HAZELWING_UPDATE_GOLDEN"
 
 // Permissions of a golden file and its directory, the same as in a git checkout.
