--- a/internal/simulation/callgraph/format_test.go
+++ b/internal/simulation/callgraph/format_test.go
@@ -8,5 +8,5 @@
 
 // Each key of an experiment's file is given by a tag, so that renaming a field does not change the key.
 func TestExperimentFileNamesAreExplicit(t *testing.T) {
-	testutil.ExplicitNames(t, "toml", Experiment{})
+	testutil.CheckExplicitNames(t, "toml", Experiment{})
 }
--- a/internal/simulation/capacity/format_test.go
+++ b/internal/simulation/capacity/format_test.go
@@ -12,7 +12,7 @@
 
 // Each key of an experiment's file is given by a tag, so that renaming a field does not change the key.
 func TestExperimentFileNamesAreExplicit(t *testing.T) {
-	testutil.ExplicitNames(t, "toml", Experiment{})
+	testutil.CheckExplicitNames(t, "toml", Experiment{})
 }
 
 // The format of a row in a file of results does not change, neither when it is written nor when it is read.
@@ -27,8 +27,8 @@
 		Value:      1.5,
 		N:          3,
 	}
-	testutil.Filled(t, result)
-	testutil.ExplicitNames(t, "json", result)
+	testutil.CheckFieldsSet(t, result)
+	testutil.CheckExplicitNames(t, "json", result)
 	var out bytes.Buffer
 	if err := WriteResults(&out, []Result{result, {}}); err != nil {
 		t.Fatal(err)
