--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -225,10 +225,15 @@
 	}{
 		"breaks after a message":     {sendOneThen((*rawh2.Stream).CloseConn), 1, []string{"ok"}, false},
 		"is refused after a message": {sendOneThen((*rawh2.Stream).Refuse), 1, []string{"ok"}, false},
-		"breaks before a message":    {func(s *rawh2.Stream) { s.Header(); s.CloseConn() }, 2, []string{"ok", "ok"}, true},
-		"is refused":                 {(*rawh2.Stream).Refuse, 2, []string{"ok", "ok"}, true},
-		"ends without a message":     {func(s *rawh2.Stream) { s.Header(); s.End("0") }, 1, nil, true},
-		"not found":                  {func(s *rawh2.Stream) { s.TrailersOnly("5") }, 1, nil, false},
+		"breaks before a message": {
+			func(s *rawh2.Stream) { s.Header(); s.CloseConn() },
+			2,
+			[]string{"ok", "ok"},
+			true,
+		},
+		"is refused":             {(*rawh2.Stream).Refuse, 2, []string{"ok", "ok"}, true},
+		"ends without a message": {func(s *rawh2.Stream) { s.Header(); s.End("0") }, 1, nil, true},
+		"not found":              {func(s *rawh2.Stream) { s.TrailersOnly("5") }, 1, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoints, received := startTwoServers(t, func(s *rawh2.Stream, before int32) {
