--- a/cmd/hazelwing/glossarypage_test.go
+++ b/cmd/hazelwing/glossarypage_test.go
@@ -12,7 +12,7 @@
 	glossaryPage = moduleRoot + "/docs/GLOSSARY.md"
 
 	// glossaryHeader is the header of the page's tables of terms.
-	glossaryHeader = "| there | term here | meaning | in the code |"
+	glossaryHeader = "| elsewhere | in this code | meaning | where |"
 	glossaryCells  = 4
 )
 
