--- a/internal/controlplane/aggregator.go
+++ b/internal/controlplane/aggregator.go
@@ -117,9 +117,9 @@
 // LocalMember describes the member that builds a report, for its own entry in that report.
 type LocalMember struct {
 	Name        string
-	Published   Revision // revision that it passes on to its subscribers
+	Published   Revision // revision that the member passes on to its subscribers
 	Active      Revision
-	Err         error // why Published cannot be activated; nil if it is active or not applied yet
+	Err         error // why the published snapshot cannot be activated; nil if it is active or not applied yet
 	GracePeriod bool  // laggards with ReasonBehind are counted but not named
 }
 
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -22,7 +22,7 @@
 type PeerRevision struct {
 	Name     string
 	Address  string
-	Revision Revision // without hash
+	Revision Revision // announced revision, without its hash
 }
 
 // ApplyResult is the result of an Apply. The caller sends exactly one for each Apply, in the same order.
@@ -56,8 +56,8 @@
 // in order.
 type Action interface{ followerAction() }
 
-// Apply activates a snapshot. The caller responds with an ApplyResult, at once or later. There is no further Apply
-// until it does.
+// Apply activates a snapshot. The caller responds with an ApplyResult, at once or later. The Follower
+// returns no further Apply before that.
 type Apply struct{ Snapshot *Snapshot }
 
 // Save stores the snapshot from which the member begins at its next start, replacing the stored one. The caller may
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -27,7 +27,7 @@
 type FollowerConfig struct {
 	Cluster string
 	Self    string          // the member's name
-	Cached  *CachedSnapshot // from the previous run; nil if there is none
+	Cached  *CachedSnapshot // cached by the previous run; nil if there is none
 	// FetchDelay is how long the upstream may take to deliver a revision that a peer is known to have; default 300 ms.
 	// A higher value makes fewer fetches while a change spreads, but delays the change where the upstream is broken.
 	FetchDelay time.Duration
@@ -39,9 +39,9 @@
 	// 1 s. Most members need less time, and their names would make up most of the size of all reports. A higher value
 	// sends fewer bytes, but names later the members that stay behind.
 	LaggardGracePeriod time.Duration
-	// DisconnectedRetention is how long a disconnected subscriber is named as such; default 60 s. It is no longer
-	// counted from the moment that it disconnects. A higher value leaves more time to find it, but members that were
-	// shut down are named for longer.
+	// DisconnectedRetention is how long a disconnected subscriber is named as such; default 60 s. The
+	// subscriber is not counted during this time. A higher value leaves operators more time to find the subscriber, but
+	// members that were shut down are named for longer.
 	DisconnectedRetention time.Duration
 	// Parse parses a snapshot's text; nil means ParseSnapshot. Tests set another function to act as an older program.
 	Parse func(text []byte) (*Snapshot, error)
@@ -88,7 +88,7 @@
 	confirmedAt time.Duration // when an upstream last confirmed the published snapshot or sent a later one
 	applying    *Snapshot     // snapshot of the outstanding Apply; nil if there is none
 	queued      *Snapshot     // latest snapshot that waits for the outstanding Apply; nil if there is none
-	rejection   error         // why published cannot be activated; nil if it is active or not applied yet
+	rejection   error         // why the published snapshot cannot be activated; nil if it is active or not applied yet
 
 	fetch       fetchHint
 	subscribers ReportAggregator
--- a/internal/controlplane/origin/config.go
+++ b/internal/controlplane/origin/config.go
@@ -35,8 +35,8 @@
 // origin joins or leaves. To change the set of origins, bootstrap a higher epoch.
 type BootstrapConfig struct {
 	Cluster string   `json:"fleet"`
-	Epoch   uint64   `json:"epoch"`   // from 1; a higher one replaces the cluster's earlier origins
-	Origins []string `json:"origins"` // names, at most MaxOrigins
+	Epoch   uint64   `json:"epoch"`   // at least 1; origins of a higher epoch replace the cluster's earlier ones
+	Origins []string `json:"origins"` // names of the origins, at most MaxOrigins
 }
 
 // Validate checks the configuration. Its errors name the keys of the origin's settings.
@@ -93,7 +93,7 @@
 
 // Config configures a Node. A duration of 0 means its default, which the field's comment gives.
 type Config struct {
-	BootstrapConfig        // empty to take that of the store; otherwise it must be equal to that of the store
+	BootstrapConfig        // empty: the store's is used; otherwise both must be equal
 	Self            string // this origin's name; one of Origins
 	Seed            uint64 // seed of the random election timeouts
 	// TickInterval is the unit of time: a leader sends heartbeats every 2 ticks, and an election starts after 10 to 20
@@ -105,13 +105,13 @@
 	// may wait longer for an answer.
 	RequestTimeout time.Duration
 	// StartupGracePeriod is how long after its start an origin accepts no change while no member has reported its
-	// revision; default 3 s. If all origins were rolled back together, only the members know it. Without this time, the
-	// origins would accept changes under versions that members already have. A higher value leaves members more time to
-	// report, but accepts the first change later in a cluster without members.
+	// revision; default 3 s. If all origins were rolled back together, only the members' reports show that.
+	// Without this time, the origins would accept changes under versions that members already have. A higher value
+	// leaves members more time to report, but accepts the first change later in a cluster without members.
 	StartupGracePeriod time.Duration
 }
 
-// bootstrapMismatchError says that a store was bootstrapped with a different configuration than that of the settings.
+// bootstrapMismatchError says that a store was bootstrapped with another configuration than the settings give.
 type bootstrapMismatchError struct{ stored, configured BootstrapConfig }
 
 func (e *bootstrapMismatchError) Error() string {
--- a/internal/controlplane/origin/election.go
+++ b/internal/controlplane/origin/election.go
@@ -10,8 +10,8 @@
 
 // Times in ticks of Config.TickInterval.
 const (
-	// heartbeatTicks is the time between two heartbeats of a leader. A higher value sends fewer messages, but fewer of
-	// them may be lost before the followers start an election.
+	// heartbeatTicks is the time between two heartbeats of a leader. A higher value sends fewer messages, but then
+	// fewer lost heartbeats are enough to make the followers start an election.
 	heartbeatTicks = 2
 	// electionTicks is the minimum time without a message from the leader before an election; the maximum is twice as
 	// long. A higher value tolerates more loss and delay, but leaves the origins without a leader for longer after one
--- a/internal/controlplane/origin/events.go
+++ b/internal/controlplane/origin/events.go
@@ -90,7 +90,7 @@
 type Result struct {
 	ID       string                `json:"id"`
 	Outcome  Outcome               `json:"outcome"`
-	Revision controlplane.Revision `json:"stamp"` // with OutcomeAccepted that of the change, otherwise the latest
+	Revision controlplane.Revision `json:"stamp"` // with OutcomeAccepted the change's revision, otherwise the latest
 	Error    string                `json:"err,omitempty"`
 }
 
--- a/internal/controlplane/origin/messages.go
+++ b/internal/controlplane/origin/messages.go
@@ -65,7 +65,7 @@
 //
 // This prevents an origin whose store was rolled back from voting twice in a term, or from acknowledging other entries
 // in place of those that it had acknowledged: an accepted change could be lost. Before the origin participates, another
-// origin that knows of its lost writes has sent it a higher write number than that of its store.
+// origin that knows of its lost writes has sent it a higher write number than its own store has.
 func (n *Node) tryParticipate() {
 	if n.participating || n.rollbackReason != "" || n.raft == nil {
 		return
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -44,7 +44,7 @@
 	rng          *rand.Rand
 
 	raft *raft.RawNode       // nil if the store is damaged so that nothing can be served
-	log  *raft.MemoryStorage // nil if raft is
+	log  *raft.MemoryStorage // nil if raft is nil
 
 	// State of the store.
 	root           rootRecord
@@ -76,7 +76,7 @@
 	memberReports controlplane.ReportAggregator // reports of members that receive the snapshot from this origin
 	peerReports   controlplane.ReportAggregator // reports of the other origins
 	sentReport    controlplane.Report           // report that was last sent to the other origins
-	sentReportAt  int                           // tick at which it was sent
+	sentReportAt  int                           // tick at which sentReport was sent
 
 	role            Role // role that was logged last
 	logThrottle     controlplane.LogThrottle
@@ -95,7 +95,7 @@
 }
 
 // NewNode returns a Node that starts at now from the state of its store, and the first actions. If
-// Config.BootstrapConfig is not empty, it must be equal to that of the store.
+// Config.BootstrapConfig is not empty, it must be equal to the bootstrap configuration in the store.
 func NewNode(c Config, s *State, now time.Duration) (*Node, []Action, error) {
 	c, err := c.complete(s.Bootstrap)
 	if err != nil {
@@ -136,7 +136,7 @@
 	return n, actions, nil
 }
 
-// restore sets the node's state from that of its store. If the store is damaged, the node withdraws from consensus; if
+// restore sets the node's state from its store. If the store is damaged, the node withdraws from consensus; if
 // not even a snapshot can be read, raft and log stay nil.
 func (n *Node) restore(s *State) error {
 	log, root, err := s.restore()
@@ -298,7 +298,7 @@
 	return send
 }
 
-// applySnapshot replaces the state machine by that of the leader's snapshot.
+// applySnapshot replaces the state machine by the one in the leader's snapshot.
 func (n *Node) applySnapshot(snapshot *raftpb.Snapshot, actions []Action) []Action {
 	var state stateMachine
 	if err := decode(snapshot.GetData(), &state); err != nil {
--- a/internal/controlplane/origin/persist.go
+++ b/internal/controlplane/origin/persist.go
@@ -20,7 +20,7 @@
 	parts       int // number of records in which it is stored
 }
 
-// deletes returns records that delete those of the entry.
+// deletes returns the deletions of all records in which the entry is stored.
 func (e storedEntry) deletes() []Record { return deleteParts(entryKey(e.index, e.term), e.parts) }
 
 func deleteParts(key string, parts int) (deletes []Record) {
@@ -77,8 +77,8 @@
 	return puts, deletes
 }
 
-// truncateStored removes the stored entries that a new entry replaces. It returns records that delete theirs, except
-// for those that the new entry overwrites.
+// truncateStored removes the stored entries that a new entry replaces. It returns the deletions of their records,
+// except for records that the new entry overwrites.
 func (n *Node) truncateStored(e *raftpb.Entry) (deletes []Record) {
 	for last := len(n.storedEntries) - 1; last >= 0 && n.storedEntries[last].index >= e.GetIndex(); last-- {
 		if old := n.storedEntries[last]; old.index != e.GetIndex() || old.term != e.GetTerm() {
--- a/internal/controlplane/origin/requests.go
+++ b/internal/controlplane/origin/requests.go
@@ -44,7 +44,7 @@
 		reason := fmt.Sprintf("a push has an ID of 1 to %d bytes", MaxIDLength)
 		return append(actions, n.result(ev.ID, OutcomeRejected, reason))
 	}
-	if outcome, ok := n.state.find(ev.ID); ok { // it was proposed before
+	if outcome, ok := n.state.find(ev.ID); ok { // the change was proposed before
 		return append(actions, n.resultOf(outcome, controlplane.HashText(ev.Text)))
 	}
 	if outcome, reason := n.checkProposal(now, &ev); reason != "" {
--- a/internal/controlplane/origin/state.go
+++ b/internal/controlplane/origin/state.go
@@ -24,7 +24,8 @@
 // ErrNotBootstrapped says that a store has no bootstrap configuration.
 var ErrNotBootstrapped = errors.New("the store was never bootstrapped: run hazelwing origin found")
 
-// errDamagedStore says that the store has no valid root, or lacks records that the root references.
+// errDamagedStore says that the store has no valid root, or that a record that the root references is missing or
+// invalid. The errors that wrap it name the record. Operators see these texts as the reason why the origin withdrew.
 var errDamagedStore = errors.New("its store lacks what it had made durable")
 
 // alreadyBootstrappedError says that a store was bootstrapped for the same or a higher epoch, or for another cluster.
@@ -142,8 +143,9 @@
 	return c.Validate()
 }
 
-// restore returns raft's log and the root. If the error is errDamagedStore, they contain only what could be read, from
-// which the origin may serve but not participate in consensus; each is nil if it could not be read.
+// restore returns raft's log and the root. If the error is errDamagedStore, log and root contain only what could be
+// read, and each is nil if it could not be read. The origin may then serve the snapshot in the log, but must not
+// participate in consensus.
 func (s *State) restore() (log *raft.MemoryStorage, root *rootRecord, err error) {
 	root = new(rootRecord)
 	data, ok := s.Records[rootRecordKey]
@@ -214,7 +216,8 @@
 	return c
 }
 
-// unreferenced returns records that delete all those that the root does not reference. A crash may have left them.
+// unreferenced returns the deletions of all records that the root does not reference. A crash may have left such
+// records.
 func (s *State) unreferenced(root *rootRecord, log *raft.MemoryStorage) (deletes []Record) {
 	referenced := map[string]bool{snapshotKey(root.SnapshotIndex): true}
 	for i := root.SnapshotIndex + 1; i <= root.LastIndex; i++ {
--- a/internal/controlplane/origin/writable.go
+++ b/internal/controlplane/origin/writable.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// comparableRevision returns the revision to compare with those of the members: the latest revision, or, before the
+// comparableRevision returns the revision to compare with the members' revisions: the latest revision, or, before the
 // first change of an epoch, one that is higher than all revisions of earlier epochs. Otherwise members that still have
 // a revision of an earlier epoch would prevent the first change forever.
 func (n *Node) comparableRevision() controlplane.Revision {
--- a/internal/controlplane/parse.go
+++ b/internal/controlplane/parse.go
@@ -48,8 +48,8 @@
 
 // ParseSnapshot parses a snapshot's text and validates its size, syntax, keys and values, and that all its keys may
 // change while running. The error joins errors of strictdecode and ValidationErrors, or wraps ErrSnapshotTooLarge; each
-// line of its text describes one fault, with line and column. Only the hash of the result's Revision is set. It may be
-// called from any goroutine, and the result retains text.
+// line of its text describes one fault, with line and column. Only the hash of the result's Revision is set.
+// ParseSnapshot may be called from any goroutine. The result retains text.
 func ParseSnapshot(text []byte) (*Snapshot, error) {
 	switch {
 	case len(text) > MaxSnapshotSize:
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -19,7 +19,7 @@
 // Report describes a member or an origin together with all members that receive the snapshot through it.
 type Report struct {
 	Members         int             `json:"members"`           // number of members, each counted once
-	Latest          Revision        `json:"latest"`            // highest revision that any of them has
+	Latest          Revision        `json:"latest"`            // highest revision that any of these members has
 	Active          []RevisionCount `json:"acting,omitempty"`  // members by active revision, highest first
 	OtherRevisions  int             `json:"others,omitempty"`  // members whose active revision is not in Active
 	Laggards        []Laggard       `json:"lacking,omitempty"` // members on which Latest is not active
@@ -55,8 +55,8 @@
 	Name        string        `json:"name"`
 	Active      Revision      `json:"acts"` // active revision, as last reported
 	Reason      LaggardReason `json:"why"`
-	Error       string        `json:"err,omitempty"`   // with ReasonRejected: the first MaxErrorLength bytes
-	Descendants int           `json:"below,omitempty"` // unnamed members below it that lag for the same reason
+	Error       string        `json:"err,omitempty"`   // with ReasonRejected: the error's first MaxErrorLength bytes
+	Descendants int           `json:"below,omitempty"` // unnamed members below this one that lag for the same reason
 }
 
 // Equal reports whether two reports have the same content.
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -19,8 +19,8 @@
 	Log       *Log              `toml:"log"`
 	Limits    *Limits           `toml:"limits"`
 	Price     *Price            `toml:"price"`
-	Class     map[string]Class  `toml:"class"`  // by name; a member ignores classes that it does not have
-	Tenant    map[string]Tenant `toml:"tenant"` // by name; a member ignores tenants that it does not have
+	Class     map[string]Class  `toml:"class"`  // classes by name; a member ignores classes that it does not have
+	Tenant    map[string]Tenant `toml:"tenant"` // tenants by name; a member ignores tenants that it does not have
 }
 
 // Discovery configures the source of the endpoint list.
@@ -38,7 +38,7 @@
 	Level *string `toml:"level"` // "debug", "info", "warn", "error"
 }
 
-// Limits are limits that the balancer reads at each of its decisions. They can only lower those of the platform.
+// Limits are limits that the balancer reads at each of its decisions. They can only lower the platform's limits.
 type Limits struct {
 	MaxAttempts  *int64 `toml:"max_attempts"`  // attempts of one request; 1 to 16
 	SecondCopies *bool  `toml:"second_copies"` // false: requests are not hedged
@@ -54,7 +54,7 @@
 
 // Class holds the settings of a request class that can change while running.
 type Class struct {
-	Worth     *float64 `toml:"worth"`      // priority weight of its requests; above 0
+	Worth     *float64 `toml:"worth"`      // priority weight of the class's requests; above 0
 	LateShare *float64 `toml:"late_share"` // fraction of Worth that a late response still earns; 0 to 1
 }
 
--- a/internal/controlplane/transport/latest.go
+++ b/internal/controlplane/transport/latest.go
@@ -32,8 +32,8 @@
 	return value
 }
 
-// putBack stores a value again that was taken and could not be used, unless there is a later one by now. It does not
-// wake the receiving goroutine.
+// putBack stores a value that was taken but could not be used, unless a later value was put in the meantime. It does
+// not wake the receiving goroutine.
 func (l *latest[T]) putBack(value *T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -73,7 +73,7 @@
 	bytesReceived atomic.Int64  // bytes of snapshot text from upstreams
 
 	subscribeFromMu sync.Mutex
-	subscribeFrom   controlplane.Revision // published by the core; the next subscription requests later ones
+	subscribeFrom   controlplane.Revision // revision published by the core; the next subscription requests later ones
 
 	mu            sync.Mutex
 	selector      *bootstrap.Selector
--- a/internal/controlplane/transport/memberloop.go
+++ b/internal/controlplane/transport/memberloop.go
@@ -21,7 +21,7 @@
 // because the path has changed.
 type upstreamAnnounced struct {
 	from     string                // name of the upstream
-	revision controlplane.Revision // of the upstream
+	revision controlplane.Revision // the upstream's own revision
 	isFirst  bool                  // first announcement of this subscription
 }
 
@@ -42,8 +42,8 @@
 type memberLoop struct {
 	*Member
 	tasks     *sync.WaitGroup        // goroutines that Run waits for; fetches are added
-	published controlplane.Revision  // last one passed to OnRevision
-	announced *controlplane.Revision // last one that an upstream announced; nil if none has yet
+	published controlplane.Revision  // last revision passed to OnRevision
+	announced *controlplane.Revision // last revision that an upstream announced; nil if none has yet
 	isReady   bool
 }
 
@@ -150,8 +150,8 @@
 	}
 }
 
-// startFetch fetches a snapshot from a peer in a goroutine, for which Run waits. If maxConcurrentFetches are already
-// running, it does nothing.
+// startFetch starts a goroutine that fetches a snapshot from a peer; Run waits until it has ended. If
+// maxConcurrentFetches fetches are already running, startFetch does nothing.
 func (l *memberLoop) startFetch(ctx context.Context, fetch controlplane.Fetch) {
 	select {
 	case l.fetchSlots <- struct{}{}:
--- a/internal/controlplane/transport/memberstate.go
+++ b/internal/controlplane/transport/memberstate.go
@@ -21,7 +21,7 @@
 	UpstreamAddr   string              `json:"upstream_addr,omitempty"`
 	UpstreamCount  int                 `json:"upstreams"` // subscriptions since the start
 	BytesReceived  int64               `json:"got"`       // bytes of snapshot text from upstreams
-	Report         controlplane.Report `json:"report"`    // of this member and its descendants
+	Report         controlplane.Report `json:"report"`    // report of this member and its descendants
 	Server         serverState         `json:"serves"`
 }
 
--- a/internal/controlplane/transport/origin.go
+++ b/internal/controlplane/transport/origin.go
@@ -46,7 +46,7 @@
 	// networks are closed before any data is read from them.
 	AllowedNetworks *netipx.IPSet
 	MaxSubscribers  int      // 0: 256
-	Dial            DialFunc // to the other origins; nil: net.Dialer
+	Dial            DialFunc // connects to the other origins; nil: net.Dialer
 	Log             *slog.Logger
 }
 
@@ -57,7 +57,7 @@
 //	GET  /config/push?id=ID           the outcome of a push
 //	GET  /config/show                 the latest snapshot, confirmed by a majority; ?local=1: this origin's latest
 //	GET  /config/status               the state of this origin
-//	GET  /config/alive                204 if it participates in the consensus, 205 if it does not
+//	GET  /config/alive                204 if this origin participates in the consensus, 205 if it does not
 //	POST /origin/message              a message from another origin
 type Origin struct {
 	cfg            OriginConfig
--- a/internal/controlplane/transport/protocol.go
+++ b/internal/controlplane/transport/protocol.go
@@ -65,7 +65,7 @@
 // line is one line of a subscription. An empty line is a keep-alive.
 type line struct {
 	Path     []string               `json:"path,omitempty"`  // names from the upstream to the origin
-	Revision *controlplane.Revision `json:"holds,omitempty"` // of the upstream; set beside Path
+	Revision *controlplane.Revision `json:"holds,omitempty"` // the upstream's own revision; set beside Path
 	// NonParticipating is set beside Path by an origin that does not participate in the consensus and therefore
 	// receives no changes.
 	NonParticipating bool                `json:"idle,omitempty"`
--- a/internal/controlplane/transport/server.go
+++ b/internal/controlplane/transport/server.go
@@ -28,7 +28,7 @@
 	revision         controlplane.Revision
 	frame            []byte         // the published frame as a line; nil if there is none
 	path             []string       // names from this process to the origin; replaced as a whole, never modified
-	nonParticipating bool           // an origin that does not participate; its subscribers look for another one
+	nonParticipating bool           // this process is an origin that does not participate; its subscribers leave it
 	upstreamHealthy  bool           // whether this process has an upstream; always true for an origin
 	changed          chan struct{}  // closed and replaced at each change of the fields above
 	subscribers      map[string]int // open subscriptions, by the subscriber's name
@@ -179,7 +179,7 @@
 type serverState struct {
 	Path            []string `json:"path"`      // names from this process to the origin
 	UpstreamHealthy bool     `json:"live"`      // whether this process has an upstream
-	Subscribers     int      `json:"following"` // current number
+	Subscribers     int      `json:"following"` // current number of subscribers
 	Rejected        int      `json:"turned"`    // subscribers rejected since the start
 	OtherCluster    int      `json:"foreign"`   // requests for another cluster since the start
 	BytesSent       int64    `json:"sent"`      // bytes sent to subscribers since the start
--- a/internal/controlplane/transport/subscribe.go
+++ b/internal/controlplane/transport/subscribe.go
@@ -24,7 +24,7 @@
 
 // target is a possible upstream.
 type target struct {
-	name string // empty for an origin, whose name is known only from its path
+	name string // empty for an origin, whose name is known only from the path that it sends
 	addr string
 }
 
@@ -50,10 +50,10 @@
 // subscribeRace is the state of one call of subscribe.
 type subscribeRace struct {
 	client  *peerClient
-	path    string // of the request, with the query
+	path    string // URL path and query of the requests
 	targets []target
 	started int                  // number of targets requested so far
-	cancels []context.CancelFunc // of the requests to these targets
+	cancels []context.CancelFunc // cancel the requests to the targets
 	results chan subscribeResult // buffers the results of all targets
 	winner  *subscription
 	errs    []error
@@ -100,7 +100,7 @@
 // hasNext reports whether the next target may be requested.
 func (r *subscribeRace) hasNext() bool { return r.winner == nil && r.started < len(r.targets) }
 
-// startNext sends the request to the next target in a goroutine, for whose result subscribe waits.
+// startNext starts a goroutine that sends the request to the next target. subscribe waits for the result.
 func (r *subscribeRace) startNext(ctx context.Context) {
 	next := r.targets[r.started]
 	r.started++
@@ -179,11 +179,11 @@
 	var l line
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &l); err != nil {
-			return line{}, fmt.Errorf("decode line: %w", err)
+			return line{}, fmt.Errorf("decode line of %d bytes as JSON: %w", len(text), err)
 		}
 	}
 	if err := l.unpack(); err != nil {
-		return line{}, fmt.Errorf("decompress frame: %w", err)
+		return line{}, fmt.Errorf("decompress the frame in a line of %d bytes: %w", len(text), err)
 	}
 	return l, nil
 }
--- a/internal/controlplane/transport/upstream.go
+++ b/internal/controlplane/transport/upstream.go
@@ -75,7 +75,7 @@
 
 // awaitSelection waits until the selector may be called again: after delay or upstreamCheckInterval, whichever is
 // shorter, or when the membership view changes. If the view has not changed, a member that should subscribe to an
-// origin then probes the next one, and tells the selector if it responds.
+// origin then probes the next one, and tells the selector if that origin responds.
 func (m *Member) awaitSelection(
 	ctx context.Context, delay time.Duration, viewChanged <-chan struct{}, originIndex *int,
 ) {
@@ -150,10 +150,12 @@
 type upstreamSession struct {
 	member           *Member
 	selection        bootstrap.Selection
-	upstream         target      // with the name from its latest path
+	upstream         target      // target of the subscription, with the name from the latest path that it sent
 	identified       bool        // whether the upstream has sent its path
 	nonParticipating atomic.Bool // whether the upstream is an origin that does not participate
-	originIndex      int         // of the last probed origin; owned by awaitBetterUpstream while that runs
+	// originIndex is the index of the origin that was subscribed to or probed last. Only awaitBetterUpstream uses it
+	// while that runs.
+	originIndex int
 }
 
 // receive handles a line of the subscription.
@@ -249,9 +251,9 @@
 // whether it responds at all. If so, it also tells the selector.
 //
 // The selector avoids an origin for some time after it was unreachable. Without probes, a member would stay with a
-// peer, or without an upstream, until this time has passed, although the network has recovered. Probes are sent only
-// by members that should subscribe to an origin, or are subscribed to one that does not participate, and by each at
-// most once per upstreamCheckInterval.
+// peer, or without an upstream, until this time has passed, although the network has recovered. Only members that
+// should subscribe to an origin, or are subscribed to an origin that does not participate, send probes, each at most
+// one per upstreamCheckInterval.
 func (m *Member) probeNextOrigin(ctx context.Context, originIndex *int, acceptNonParticipating bool) bool {
 	*originIndex++
 	origin := m.cfg.Origins[*originIndex%len(m.cfg.Origins)]
