--- a/internal/controlplane/follower_test.go
+++ b/internal/controlplane/follower_test.go
@@ -50,7 +50,7 @@
 	follower *Follower
 
 	cached    *CachedSnapshot     // snapshot of the last Save; kept over restarts
-	active    Revision            // active revision; after a restart that of the cached snapshot
+	active    Revision            // active revision; after a restart the revision of the cached snapshot
 	hashes    map[Revision]string // by revision without hash: the hash that was cached, or published first in this run
 	applying  *Snapshot
 	published Revision
--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -109,7 +109,7 @@
 		ReasonRejected:     "refused",
 	} {
 		if string(reason) != want {
-			t.Errorf("%q, want %q", reason, want)
+			t.Errorf("the reason is sent as %q, want %q", reason, want)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 func TestRevisionTextIsStable(t *testing.T) {
 	for want, revision := range map[string]Revision{"none": {}, "3.17": testRevision(17)} {
 		if got := revision.String(); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("the text of %#v is %q, want %q", revision, got, want)
 		}
 	}
 }
--- a/internal/controlplane/origin/bench_test.go
+++ b/internal/controlplane/origin/bench_test.go
@@ -27,7 +27,7 @@
 	for b.Loop() {
 		id := fmt.Sprint("p", v)
 		if a := w.push(0, id, v, append(text[:len(text):len(text)], id...)); a.Outcome != OutcomeAccepted {
-			b.Fatalf("push %s has outcome %q: %s", id, a.Outcome, a.Error)
+			b.Fatalf("push %s: outcome %q, error %q; want outcome %q", id, a.Outcome, a.Error, OutcomeAccepted)
 		}
 		v++
 	}
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -123,10 +123,12 @@
 		testutil.GoldenBinary(t, name+".hex", data)
 		e, m, err := receiver.decodeEnvelope(data)
 		if err != nil || e.From != 2 || !slices.Equal(e.WriteNumbers, []uint64{9, 300, 70000}) || !e.RolledBack {
-			t.Fatalf("%s: decoded as %+v: %v", name, e, err)
+			t.Fatalf("%s: decoded as %+v, error %v; want sender 2, write numbers 9, 300 and 70000, rolled back",
+				name, e, err)
 		}
 		if (m != nil) != (name == "message") || m != nil && (m.GetCommit() != 11 || m.GetTerm() != 4) {
-			t.Errorf("%s: raft's message is decoded as %v", name, m)
+			t.Errorf("%s: raft's message is decoded as %v, want commit 11 and term 4 in \"message\", otherwise none",
+				name, m)
 		}
 	}
 	testutil.GoldenBinary(t, "founding-key.hex", []byte(bootstrap.key()))
@@ -136,22 +138,22 @@
 func TestOriginBootstrapRecordsAreStable(t *testing.T) {
 	goldenRecords(t, "founded.txt", bootstrapRecords(testBootstrapConfig()))
 	if got, want := entryKey(0x1f, 3), "e/000000000000001f/0000000000000003"; got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("the key of entry 31 of term 3 is %s, want %s", got, want)
 	}
 	if got, want := snapshotKey(0x1f), "s/000000000000001f"; got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("the key of the snapshot at index 31 is %s, want %s", got, want)
 	}
 	long := bytes.Repeat([]byte("0123456789"), 13_000)
 	parts := splitValue("s/1", long)
 	records := map[string][]byte{}
 	for i, p := range parts {
 		if want := fmt.Sprintf("s/1/%x", i); p.Key != want {
-			t.Errorf("part %d is %s, want %s", i, p.Key, want)
+			t.Errorf("part %d has the key %s, want %s", i, p.Key, want)
 		}
 		records[p.Key] = p.Value
 	}
 	if whole, ok := joinValue(records, "s/1"); len(parts) != 3 || !ok || !bytes.Equal(whole, long) {
-		t.Errorf("the value has %d parts, want 3; joining them returns the original value: %t",
+		t.Errorf("the value has %d parts, want 3; joining them returns the original value: %t, want true",
 			len(parts), ok && bytes.Equal(whole, long))
 	}
 }
@@ -198,7 +200,7 @@
 		},
 	}
 	if !reflect.DeepEqual(results, want) {
-		t.Fatalf("%+v, want %+v", results, want)
+		t.Fatalf("the results are %+v, want %+v", results, want)
 	}
 	goldenRecords(t, "store.txt", written)
 
@@ -211,7 +213,8 @@
 	}
 	if frame, ok := again.Frame(); !ok || frame.Revision != testRevision(1) || string(frame.Text) != "# text\n" ||
 		frame.Cluster != "booking" {
-		t.Errorf("after the restart the frame is %+v, present: %t", frame, ok)
+		t.Errorf("after the restart the frame is %+v (ok %t), want revision %v, cluster booking and text \"# text\\n\"",
+			frame, ok, testRevision(1))
 	}
 }
 
@@ -257,18 +260,18 @@
 		OutcomeCurrent:  "current",
 	} {
 		if string(outcome) != want {
-			t.Errorf("%q, want %q", outcome, want)
+			t.Errorf("the outcome is sent as %q, want %q", outcome, want)
 		}
 	}
-	for part, want := range map[Role]string{
+	for role, want := range map[Role]string{
 		RoleStarting:   "starting",
 		RoleLeader:     "leads",
 		RoleFollower:   "follows",
 		RoleNoLeader:   "no majority",
 		RoleRolledBack: "rolled back",
 	} {
-		if string(part) != want {
-			t.Errorf("%q, want %q", part, want)
+		if string(role) != want {
+			t.Errorf("the role is sent as %q, want %q", role, want)
 		}
 	}
 }
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -26,7 +26,7 @@
 	t            *rapid.T
 	attempts     []*attempt
 	backups      map[int]map[string][]byte // copies of disks, by origin
-	rolledBack   map[int]bool              // by origin
+	rolledBack   map[int]bool              // whether an origin's store was rolled back, by origin
 	maxRollbacks int                       // maximum number of origins that are rolled back
 }
 
@@ -150,8 +150,8 @@
 		h.t.Fatalf("decoding the root in a backup of %s: %v", p.name, err)
 	}
 	if lost := after.WriteNumber < before; lost != (p.node.rollbackReason != "") && !h.rolledBack[i] {
-		h.t.Fatalf("the store of %s went from write number %d to %d, and its rollback reason is %q\n%s", p.name, before,
-			after.WriteNumber, p.node.rollbackReason, h.describe())
+		h.t.Fatalf("the store of %s went from write number %d to %d, its rollback reason is %q; want a reason: %t\n%s",
+			p.name, before, after.WriteNumber, p.node.rollbackReason, lost, h.describe())
 	} else if lost {
 		h.rolledBack[i] = true
 	}
@@ -173,11 +173,11 @@
 	h.run(5 * time.Second) // delayed messages have arrived, or their requests have expired
 	for i, p := range h.machines {
 		if p.node == nil {
-			h.t.Fatalf("%s is down", p.name)
+			h.t.Fatalf("%s is down, want all machines to run at the end", p.name)
 		}
 		if (p.node.rollbackReason != "") != h.rolledBack[i] {
-			h.t.Fatalf("%s has rollback reason %q, and its store was rolled back: %t", p.name, p.node.rollbackReason,
-				h.rolledBack[i])
+			h.t.Fatalf("%s has rollback reason %q, want one: %t, since that tells whether its store was rolled back",
+				p.name, p.node.rollbackReason, h.rolledBack[i])
 		}
 	}
 	h.waitUntil(20*time.Second, "agreement and a leader", func() bool { return h.allAgree() && h.leader() >= 0 })
@@ -204,7 +204,8 @@
 	version := state.Version
 	last := &attempt{id: "last", text: textOf("last")}
 	if a := h.push(leader, last.id, version, last.text); a.Outcome != OutcomeAccepted {
-		h.t.Fatalf("the last push has outcome %q: %s\n%s", a.Outcome, a.Error, h.describe())
+		h.t.Fatalf("the last push: outcome %q, error %q; want outcome %q\n%s", a.Outcome, a.Error, OutcomeAccepted,
+			h.describe())
 	}
 	h.waitUntil(5*time.Second, "all agree on the last push", func() bool {
 		return h.allAgree() && state.Version == version+1
@@ -216,11 +217,11 @@
 func (h *history) checkPublished(latest uint64) {
 	for v := uint64(1); v < latest; v++ {
 		if h.published[v] == "" {
-			h.t.Fatalf("version %d was never published, and the latest is %d", v, latest)
+			h.t.Fatalf("version %d was never published, want all versions up to the latest, %d", v, latest)
 		}
 	}
 	if len(h.published) != int(latest) {
-		h.t.Fatalf("%d versions were published, and the latest is %d", len(h.published), latest)
+		h.t.Fatalf("%d versions were published, want %d, the latest version", len(h.published), latest)
 	}
 }
 
@@ -234,19 +235,20 @@
 		isFinal := a.Outcome == OutcomeRejected || a.Outcome == OutcomeConflict
 		switch {
 		case a.Outcome == OutcomeAccepted && (version != a.Revision.Version || a.Revision.Hash != hash):
-			h.t.Fatalf("%s was acknowledged as %v with hash %.12s, and is version %d with hash %.12s", x.id, a.Revision,
+			h.t.Fatalf("%s was acknowledged as %v with hash %.12s, want version %d with hash %.12s", x.id, a.Revision,
 				a.Revision.Hash, version, hash)
 		case isFinal && !x.ambiguous && version > 0:
-			h.t.Fatalf("the result of %s is %q, and yet it is version %d", x.id, a.Outcome, version)
+			h.t.Fatalf("%s has the final result %q, but became version %d; want no version", x.id, a.Outcome, version)
 		}
 	}
 	if isConflict && version > 0 {
-		h.t.Fatalf("the result of %s is %q, and yet it is version %d", x.id, OutcomeConflict, version)
+		h.t.Fatalf("%s has a result %q, but became version %d; want no version", x.id, OutcomeConflict, version)
 	}
 	if version == 0 && len(results) == 0 {
 		return
 	}
 	if a := h.query(leader, x.id); a.Outcome == OutcomeAccepted != (version > 0) {
-		h.t.Fatalf("%s is version %d, and a query returns %q", x.id, version, a.Outcome)
+		h.t.Fatalf("%s is version %d (0: none), and a query returns %q; want %q exactly if it has a version", x.id,
+			version, a.Outcome, OutcomeAccepted)
 	}
 }
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -99,10 +99,11 @@
 		}
 	}
 	if a := w.push(1, "later", 7, textOf("later")); a.Outcome != OutcomeConflict {
-		t.Errorf("a push with a base version that does not exist has outcome %q: %s", a.Outcome, a.Error)
+		t.Errorf("a push with a base version that does not exist: outcome %q, error %q; want outcome %q", a.Outcome,
+			a.Error, OutcomeConflict)
 	}
 	if a := w.query(2, "unknown"); a.Outcome != OutcomeNotFound {
-		t.Errorf("a query of an unknown ID has outcome %q: %s", a.Outcome, a.Error)
+		t.Errorf("a query of an unknown ID: outcome %q, error %q; want outcome %q", a.Outcome, a.Error, OutcomeNotFound)
 	}
 }
 
@@ -189,14 +190,16 @@
 			b := w.query(other, "mid")
 			if b.Outcome != OutcomeAccepted && b.Outcome != OutcomeNotFound ||
 				a.Outcome == OutcomeAccepted && b.Outcome != OutcomeAccepted {
-				t.Fatalf("crash after %d steps: the push has outcome %q, and a later query %q: %s",
-					steps, a.Outcome, b.Outcome, b.Error)
+				t.Fatalf("crash after %d steps: the push has outcome %q, and a later query %q (%s); want %q, or %q "+
+					"if the push was not accepted", steps, a.Outcome, b.Outcome, b.Error, OutcomeAccepted,
+					OutcomeNotFound)
 			}
 			outcomes[fmt.Sprintf("push %q, query %q", a.Outcome, b.Outcome)]++
 			w.start(i)
 			w.run(5 * time.Second)
 			if c := w.query(i, "mid"); b.Outcome == OutcomeAccepted && c.Outcome != OutcomeAccepted {
-				t.Fatalf("crash after %d steps: a query returns %q, and a later one %q", steps, b.Outcome, c.Outcome)
+				t.Fatalf("crash after %d steps: a query returns %q, and a later one %q, want the same",
+					steps, b.Outcome, c.Outcome)
 			}
 			checkResult(t, "again", w.push(other, "mid", 1, textOf("mid")), OutcomeAccepted, 2)
 			w.waitUntil(5*time.Second, "all agree", w.allAgree)
@@ -228,7 +231,8 @@
 		// The smaller side may still have a leader now, but this change never gets a majority.
 		if a := w.push(small[0], "at once", 1, textOf("at once")); a.Outcome != OutcomeUnknown &&
 			a.Outcome != OutcomeRejected {
-			t.Fatalf("a push to the smaller part at once has outcome %q (the leader was %d)", a.Outcome, old)
+			t.Fatalf("a push to the smaller side of the network: outcome %q, want %q or %q (the leader was %d)",
+				a.Outcome, OutcomeUnknown, OutcomeRejected, old)
 		}
 		w.waitUntil(6*time.Second, "a leader of the larger part",
 			func() bool { l := w.leader(); return l >= 0 && w.partition[l] == 0 })
@@ -237,13 +241,14 @@
 			w.run(part)
 			if a := w.push(small[1], fmt.Sprint("small", v), 1, textOf("small")); a.Outcome != OutcomeRejected ||
 				!strings.Contains(a.Error, "majority") {
-				t.Fatalf("a push to the smaller part has outcome %q: %s", a.Outcome, a.Error)
+				t.Fatalf("a push to an origin without a majority: outcome %q, error %q; want outcome %q, error with %q",
+					a.Outcome, a.Error, OutcomeRejected, "majority")
 			}
 			if a := w.query(small[1], "unknown"); a.Outcome != OutcomeUnknown {
-				t.Fatalf("a query in the smaller part has outcome %q", a.Outcome)
+				t.Fatalf("a query in the smaller side of the network: outcome %q, want %q", a.Outcome, OutcomeUnknown)
 			}
 			if f, ok := w.machines[small[1]].node.Frame(); !ok || f.Revision.Version != 1 {
-				t.Fatalf("the smaller part serves %v, want version 1", f.Revision)
+				t.Fatalf("the smaller side of the network serves %v, want version 1", f.Revision)
 			}
 			id := fmt.Sprint("large", v)
 			checkResult(t, id, w.push(big, id, v, textOf(id)), OutcomeAccepted, v+1)
@@ -255,10 +260,10 @@
 		}
 		t.Log("all agree after", w.waitUntil(5*time.Second, "all agree", w.allAgree))
 		if got := w.machines[big].node.root.Term; got != terms {
-			t.Errorf("the return of the smaller part led to an election: the term was %d, and is now %d", terms, got)
+			t.Errorf("the return of the smaller side led to an election: the term is %d, want %d as before", got, terms)
 		}
 		if a := w.query(small[0], "at once"); a.Outcome != OutcomeNotFound {
-			t.Errorf("a query of the push to the smaller part has outcome %q", a.Outcome)
+			t.Errorf("a query of the push to the smaller side: outcome %q, want %q", a.Outcome, OutcomeNotFound)
 		}
 		for k := range v - 1 {
 			checkResult(t, "large", w.query(small[1], fmt.Sprint("large", k+1)), OutcomeAccepted, k+2)
@@ -302,7 +307,8 @@
 		checkResult(t, "a push to another origin", w.push((i+1)%5, "31", 30, textOf("31")), OutcomeAccepted, 31)
 		if a := w.push(i, "32", 31, textOf("32")); a.Outcome != OutcomeRejected ||
 			!strings.Contains(a.Error, "rolled back") {
-			t.Errorf("a push to the withdrawn origin has outcome %q: %s", a.Outcome, a.Error)
+			t.Errorf("a push to the withdrawn origin: outcome %q, error %q; want outcome %q, error with %q",
+				a.Outcome, a.Error, OutcomeRejected, "rolled back")
 		}
 		w.stop(i)
 		w.start(i)
@@ -350,14 +356,16 @@
 	w.waitUntil(10*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 	if a := w.push(w.leader(), "early", 1, textOf("early")); a.Outcome != OutcomeRejected ||
 		!strings.Contains(a.Error, "no member has told") {
-		t.Fatalf("a push at once has outcome %q: %s", a.Outcome, a.Error)
+		t.Fatalf("a push before any report: outcome %q, error %q; want outcome %q, error with \"no member has told\"",
+			a.Outcome, a.Error, OutcomeRejected)
 	}
 	w.handle(1, ReportReceived{"m1", reportOf200(later)})
 	w.run(time.Second)
 	for i, p := range w.machines {
 		if a := w.push(i, "new", 1, textOf("new")); a.Outcome != OutcomeRejected ||
 			!strings.Contains(a.Error, "members hold 1.5") || !strings.Contains(a.Error, "higher epoch") {
-			t.Errorf("a push to %s has outcome %q: %s", p.name, a.Outcome, a.Error)
+			t.Errorf("a push to %s: outcome %q, error %q; want outcome %q, error with \"members hold 1.5\" and "+
+				"\"higher epoch\"", p.name, a.Outcome, a.Error, OutcomeRejected)
 		}
 		if s := p.node.Status(); s.Ahead != later || s.Report.Members != 200 {
 			t.Errorf("%s knows revision %v of members as ahead, and %d members; want %v and 200", p.name, s.Ahead,
@@ -371,7 +379,8 @@
 	w.run(time.Second)
 	if a := w.push(1, "new2", 1, textOf("new")); a.Outcome != OutcomeRejected ||
 		!strings.Contains(a.Error, "(000000000000)") {
-		t.Errorf("while members have different content, a push has outcome %q: %s", a.Outcome, a.Error)
+		t.Errorf("a push while members have different content: outcome %q, error %q; want outcome %q, error with "+
+			"\"(000000000000)\"", a.Outcome, a.Error, OutcomeRejected)
 	}
 	// Once all members report the revision that the origins have, changes are accepted again.
 	clear(w.published)
@@ -406,7 +415,8 @@
 	report(2, 4)
 	if a := w.push(0, "behind", 0, textOf("behind")); a.Outcome != OutcomeRejected ||
 		!strings.Contains(a.Error, "members hold 2.4") {
-		t.Errorf("while members have a later revision of this epoch, a push has outcome %q: %s", a.Outcome, a.Error)
+		t.Errorf("a push while members have a later revision of this epoch: outcome %q, error %q; want outcome %q, "+
+			"error with \"members hold 2.4\"", a.Outcome, a.Error, OutcomeRejected)
 	}
 	report(1, 603)
 	if s := w.machines[0].node.Status(); !s.Ahead.IsZero() {
@@ -496,13 +506,15 @@
 func TestStateMachine(t *testing.T) {
 	m := new(stateMachine)
 	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 {
-		t.Fatalf("a push with a base version that does not exist has outcome %+v", e)
+		t.Fatalf("a push with a base version that does not exist: %+v (changed %t), want version 0 and no change", e,
+			fresh)
 	}
 	if e, fresh := m.apply(&logEntry{"first", 0, textOf("first")}); !fresh || e.Version != 1 {
-		t.Fatalf("the first push has outcome %+v, want version 1", e)
+		t.Fatalf("the first push: %+v (changed %t), want version 1 and a change", e, fresh)
 	}
 	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 || m.Version != 1 {
-		t.Fatalf("a repeated push that was in conflict has outcome %+v, and the version is %d, want 1", e, m.Version)
+		t.Fatalf("a repeated push that was in conflict: %+v (changed %t), want version 0 and no change; the version "+
+			"is %d, want 1", e, fresh, m.Version)
 	}
 	for i := range 2 * MaxOutcomes {
 		m.apply(&logEntry{fmt.Sprint(i), 0, textOf("x")})
@@ -548,13 +560,13 @@
 	}
 	w.handle(i, w.forge(l, i, m))
 	if n.corruptMessages != 1 || n.root.LastIndex != index {
-		t.Errorf("%d messages count as corrupt, and the last entry is %d; want 1 and %d", n.corruptMessages,
-			n.root.LastIndex, index)
+		t.Errorf("after a message that is too long: %d corrupt messages, want 1; the last index is %d, want %d",
+			n.corruptMessages, n.root.LastIndex, index)
 	}
 }
 
-// A starting origin waits for messages from all other origins before it participates, because the only one that knows
-// of writes that its store has lost may respond last.
+// A starting origin waits for messages from all other origins before it participates, because the only origin
+// that knows of the writes that the store has lost may respond last.
 func TestStartWaitsForOtherOrigins(t *testing.T) {
 	w := newRunningSimulation(t, 5, 1)
 	i := 0
@@ -570,7 +582,7 @@
 		}
 	}
 	lost := w.machines[knows].node.writeNumbers[i]
-	w.partition = []int{0, 1, 0, 0, 0} // so that it cannot tell the others meanwhile
+	w.partition = []int{0, 1, 0, 0, 0} // so that this origin cannot tell the others meanwhile
 	w.machines[i].disk = backup
 	w.start(i)
 	w.run(2 * time.Second)
--- a/internal/controlplane/origin/simulation_test.go
+++ b/internal/controlplane/origin/simulation_test.go
@@ -41,7 +41,7 @@
 	incarnation  int   // number of starts
 	disk         map[string][]byte
 	startedAt    time.Duration // simulated time at which this incarnation started
-	clockOffset  time.Duration // time that the node's clock shows then
+	clockOffset  time.Duration // time on the node's clock at startedAt
 	stepsToCrash int           // number of actions and records until the machine stops; negative if it does not
 	published    controlplane.Revision
 	logged       []string
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -77,10 +77,12 @@
 				}
 			}
 			if n.rollbackReason != "" {
-				t.Fatalf("run %d: the origin has withdrawn: %s", run, n.rollbackReason)
+				t.Fatalf("run %d: the origin has withdrawn, although its store was not rolled back: %s", run,
+					n.rollbackReason)
 			}
 			if n.state.Version < version {
-				t.Fatalf("run %d: the origin is at version %d, and had acknowledged %d", run, n.state.Version, version)
+				t.Fatalf("run %d: the origin is at version %d, want at least %d, which it had acknowledged", run,
+					n.state.Version, version)
 			}
 			if !ok {
 				fs = fs.AfterPowerLoss(rand.New(rand.NewPCG(uint64(crash), 1)))
@@ -183,7 +185,7 @@
 	}
 	for _, f := range []BootstrapConfig{{"f", 3, originNames(3)}, {"f", 4, originNames(3)}, {"g", 5, originNames(3)}} {
 		if err := Bootstrap(st, f); err == nil {
-			t.Errorf("Bootstrap with %v over epoch 4 of cluster f returned no error", f)
+			t.Errorf("Bootstrap with %v over epoch 4 of cluster f returned no error, want one", f)
 		}
 	}
 	if err := Bootstrap(st, BootstrapConfig{"f", 5, originNames(5)}); err != nil {
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -45,7 +45,7 @@
 	return fs
 }
 
-// writeDisk makes the records of a store equal to those of a simulated disk.
+// writeDisk makes the records of a store equal to the records on a simulated disk.
 func writeDisk(t *testing.T, st *store.Store, disk map[string][]byte) {
 	t.Helper()
 	before, err := readState(st)
--- a/internal/controlplane/transport/helpers_test.go
+++ b/internal/controlplane/transport/helpers_test.go
@@ -205,7 +205,8 @@
 	return cached.Frame.Revision.Version
 }
 
-// awaitVersion waits until a version is active at all of the given members. what describes this in case of a failure.
+// awaitVersion waits until a version is active at all of the given members. what describes the wait in the message of a
+// failure.
 func awaitVersion(t *testing.T, what string, version uint64, members ...*testMember) {
 	t.Helper()
 	testutil.Until(t, what, func() bool {
--- a/internal/controlplane/transport/hollow_long_test.go
+++ b/internal/controlplane/transport/hollow_long_test.go
@@ -14,7 +14,7 @@
 	// changeInterval is the time between changes while traffic is measured. It gives 17,280 changes a day, about ten
 	// times 1,700.
 	changeInterval = 5 * time.Second
-	// cutDuration is the time that an area is cut off before the second change.
+	// cutDuration is how long an area is cut off before the second change.
 	cutDuration = 12 * time.Second
 	// replacedMembers is the number of members that are replaced at once.
 	replacedMembers = 63
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -341,7 +341,7 @@
 	}
 	if len(missing) > 0 {
 		h.logStates(missing)
-		h.t.Fatalf("%s: revision %v is active at %d of %d members; missing: %.300s",
+		h.t.Fatalf("%s: revision %v is active at %d of %d members, want all; missing: %.300s",
 			what, revision, len(took), len(members), strings.Join(missing, " "))
 	}
 	slices.Sort(took)
