--- a/internal/front/clientconn/serving.go
+++ b/internal/front/clientconn/serving.go
@@ -9,7 +9,7 @@
 
 // Timeouts are the timeouts of a server for the reads from and the writes to its clients.
 type Timeouts struct {
-	Header time.Duration // for a request's header, from the start of the connection or its first byte
+	Header time.Duration // for a request's header, from the start of the connection or the header's first byte
 	Body   time.Duration // for a request's body
 	Idle   time.Duration // for the next request on a connection
 	Write  time.Duration // for writing a response, after the request's deadline
@@ -43,8 +43,8 @@
 	ended    chan struct{} // closed when server.Serve has returned
 }
 
-// Serve starts server in a goroutine, which Drain waits for. The server's requests can get their connection by
-// FromRequest.
+// Serve starts server in a goroutine; Drain waits until the goroutine has ended. A handler gets the connection of its
+// request from FromRequest.
 func (l *Listener) Serve(server *http.Server) *Serving {
 	l.attach(server)
 	s := &Serving{listener: l, server: server, ended: make(chan struct{})}
--- a/internal/front/graphqlfront/coalesce.go
+++ b/internal/front/graphqlfront/coalesce.go
@@ -44,7 +44,7 @@
 
 // waiter is a caller that waits for a flight.
 type waiter struct {
-	disconnected func() bool // reports whether its client has disconnected; called from any goroutine
+	disconnected func() bool // reports whether the caller's client has disconnected; called from any goroutine
 }
 
 // joinedFlight is a flight together with one of the callers that have joined it.
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -92,7 +92,7 @@
 	second := front.dial(t)
 	write(t, first, post("{s}"))
 	call := testutil.Receive(t, calls, "the call")
-	// It expires earlier, so that it may join the flight.
+	// The second request expires earlier than the first, so that it may join the flight.
 	shorter := strings.Replace(post("{s}"), "Host: h", "Host: h\r\nX-Deadline-Ms: 30000", 1)
 	write(t, second, shorter)
 	testutil.Until(t, "the second client to join", func() bool { return front.server.State().CoalescedParts == 1 })
@@ -103,7 +103,7 @@
 	}
 	closeConn(t, second)
 	if ended := testutil.Receive(t, aborted, "the call's end"); ended != call {
-		t.Errorf("the context of call %+v ended, want that of %+v", ended, call)
+		t.Errorf("the context of call %+v ended, want the context of call %+v to end", ended, call)
 	}
 	if !call.Disconnected() {
 		t.Error("the call does not report that all clients have disconnected")
--- a/internal/front/graphqlfront/mediatype.go
+++ b/internal/front/graphqlfront/mediatype.go
@@ -19,7 +19,7 @@
 	isExact   bool    // the client named the type instead of a wildcard
 }
 
-// isBetterThan reports whether a is preferred to best, the best type of those before it.
+// isBetterThan reports whether a is preferred to best, the best of the types that come before a.
 func (a acceptedType) isBetterThan(best acceptedType) bool {
 	if a.quality != best.quality {
 		return a.quality > best.quality
--- a/internal/front/graphqlfront/serve.go
+++ b/internal/front/graphqlfront/serve.go
@@ -13,7 +13,7 @@
 // Time limits for clients. With higher values, clients that stop in the middle of a request keep their connections for
 // longer; with lower ones, clients on slow links are disconnected.
 const (
-	headerTimeout  = 2 * time.Second  // for a request's header, from the start of the connection or its first byte
+	headerTimeout  = 2 * time.Second  // for a request's header, from the connection's start or the header's first byte
 	bodyTimeout    = 5 * time.Second  // for a request's body
 	idleTimeout    = 30 * time.Second // for the next request on a connection
 	writeAllowance = time.Second      // for writing a response, after the request's deadline
--- a/internal/front/graphqlfront/serve_test.go
+++ b/internal/front/graphqlfront/serve_test.go
@@ -41,7 +41,7 @@
 }
 
 // startHangingFront starts a front whose calls get no result before their clients disconnect. Each call is sent to
-// calls when it begins, and to aborted when its context ends.
+// the channel calls when it begins, and to the channel aborted when its context ends.
 func startHangingFront(t *testing.T) (front *runningFront, calls, aborted chan *engine.Call) {
 	t.Helper()
 	calls = make(chan *engine.Call, 10)
@@ -147,7 +147,7 @@
 	for name, conn := range map[string]net.Conn{"first": first, "later": later} {
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			t.Errorf("the %s request: %v", name, err)
+			t.Errorf("reading the response to the %s request: %v", name, err)
 			continue
 		}
 		if response.StatusCode != http.StatusOK || !response.Close {
--- a/internal/front/graphqlfront/server.go
+++ b/internal/front/graphqlfront/server.go
@@ -60,7 +60,7 @@
 	config          Config
 	documents       *lru.Cache[string, *plan.Document] // validated documents by their text
 	persisted       *lru.Cache[string, string]         // registered texts by their hash
-	trusted         map[string]*plan.Document          // by ID
+	trusted         map[string]*plan.Document          // trusted documents by ID
 	partSlots       chan struct{}                      // has one element for each part in flight
 	flights         flightGroup
 	requestIDPrefix string
@@ -83,7 +83,7 @@
 	Parts           uint64 `json:"parts"`        // parts executed
 	RejectedParts   uint64 `json:"refused"`      // parts rejected
 	UnknownParts    uint64 `json:"may_have_run"` // parts that failed and may have run
-	InvalidRequests uint64 `json:"rejected"`     // HTTP requests rejected as invalid, of which nothing was sent
+	InvalidRequests uint64 `json:"rejected"`     // HTTP requests rejected as invalid; none of their parts was sent
 	CoalescedParts  uint64 `json:"shared"`       // parts that used the result of an identical part
 	PartsInFlight   int    `json:"in_hand"`
 	CachedDocuments int    `json:"documents"`
--- a/internal/front/httpfront/races_test.go
+++ b/internal/front/httpfront/races_test.go
@@ -67,7 +67,7 @@
 				c := testutil.Receive(t, d.calls, "the call")
 				disconnect(t, conn)
 				if ended := testutil.Receive(t, d.disconnected, "the disconnect"); ended != c {
-					t.Errorf("the context of call %+v ended, want that of %+v", ended, c)
+					t.Errorf("the context of call %+v ended, want the context of call %+v to end", ended, c)
 				}
 				if !c.Disconnected() {
 					t.Error("the call does not report that its client disconnected")
--- a/internal/front/httpfront/response.go
+++ b/internal/front/httpfront/response.go
@@ -41,7 +41,7 @@
 }
 
 // failedResponse returns a response that does not tell whether a retry is safe. Both of its status codes differ from
-// that of a rejection.
+// the status code of a rejection.
 func failedResponse(timedOut bool) httpmsg.Response {
 	if timedOut {
 		return plainText(http.StatusGatewayTimeout, "no answer in time")
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -12,7 +12,7 @@
 // Time limits for clients. With higher values, clients that stop in the middle of a request keep their connections for
 // longer; with lower ones, clients on slow links are disconnected.
 const (
-	headerTimeout  = 1250 * time.Millisecond // for a request's header, from the connection's start or its first byte
+	headerTimeout  = 1250 * time.Millisecond // for a header, from the connection's start or the header's first byte
 	bodyTimeout    = 1250 * time.Millisecond // for a request's body
 	idleTimeout    = 2250 * time.Millisecond // for the next request on a connection
 	writeAllowance = time.Second             // for writing a response, after the request's deadline
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -185,8 +185,9 @@
 	}
 }
 
-// fakeEngine is a front together with a fake engine that the test controls. The front's calls are sent to calls, and
-// those whose client has disconnected to disconnected. The results of calls are received from results.
+// fakeEngine is a front together with a fake engine that the test controls. Each call of the front is sent to
+// the channel calls, and to the channel disconnected when its client has disconnected. The result of a call is received
+// from the channel results.
 type fakeEngine struct {
 	*testFront
 	calls, disconnected chan *engine.Call
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -53,7 +53,7 @@
 	testutil.Until(t, "the written data", func() bool { return Peek(local) == Readable })
 	close(start)
 	if b := testutil.Receive(t, read, "the first byte"); b != 'x' || Peek(local) != Readable {
-		t.Errorf("read %q and state is %d; want 'x' and Readable", b, Peek(local))
+		t.Errorf("read %q, then the state is %d; want 'x' and Readable", b, Peek(local))
 	}
 	var rest [1]byte
 	if _, err := local.Read(rest[:]); err != nil {
--- a/internal/transport/grpc/disconnect_test.go
+++ b/internal/transport/grpc/disconnect_test.go
@@ -61,7 +61,7 @@
 	b := newBusyEndpoint(t)
 	b.cancelSecond()
 	if o := testutil.Receive(t, b.secondOutcome, "the outcome of the second attempt"); o.Result.MayHaveRun() {
-		t.Errorf("the second attempt has result %d (%v), which may have run", o.Result, o.Err)
+		t.Errorf("the second attempt has result %d (%v), want one that proves that it never ran", o.Result, o.Err)
 	}
 	b.first.OK(nil)
 	o := testutil.Receive(t, b.firstOutcome, "the outcome of the first attempt")
@@ -78,10 +78,10 @@
 	b.disconnected.Store(true)
 	b.first.OK(nil)
 	if o := testutil.Receive(t, b.secondOutcome, "the outcome of the second attempt"); o.Result != balancer.Cancelled {
-		t.Errorf("result %d (%v), want Cancelled, which is no evidence about the endpoint", o.Result, o.Err)
+		t.Errorf("the second attempt has result %d (%v), want Cancelled (%d)", o.Result, o.Err, balancer.Cancelled)
 	}
 	testutil.Receive(t, b.resets, "the reset of the stream")
 	if b.messages.Load() != 1 {
-		t.Errorf("the endpoint received %d messages, want only that of the first attempt", b.messages.Load())
+		t.Errorf("the endpoint received %d messages, want 1, the message of the first attempt", b.messages.Load())
 	}
 }
--- a/internal/transport/grpc/gate.go
+++ b/internal/transport/grpc/gate.go
@@ -115,7 +115,7 @@
 type gateKey struct{}
 
 // statsHandler notifies the gate of a call, which is a value of the call's context, of the events of its streams. It
-// has no state. grpc-go calls it from the goroutine of the call and from those of the connection.
+// has no state. grpc-go calls it from the goroutine of the call and from the goroutines of the connection.
 type statsHandler struct{}
 
 // HandleRPC notifies the gate of a transparent retry, of written headers and of a received trailer.
--- a/internal/transport/grpc/outcome.go
+++ b/internal/transport/grpc/outcome.go
@@ -21,15 +21,16 @@
 //
 // Each of the following proves that an attempt never ran. In all other cases without an answer, it may have run.
 //
-//   - Its headers were not counted (stats.OutHeader), so none of it was written to the connection.
+//   - grpc-go did not report that its headers were written (stats.OutHeader), so none of it was written to the
+//     connection.
 //   - grpc-go started a transparent retry (stats.Begin). It does so only if the server did not process the attempt:
 //     after REFUSED_STREAM, or after a GOAWAY whose last stream ID is lower (RFC 9113, sections 6.8 and 8.7; gRFC A6,
 //     "transparent retries"). The status alone proves nothing, because a connection that breaks later also results in
 //     UNAVAILABLE.
-//   - The server reports it in NotExecutedTrailer.
+//   - The server set NotExecutedTrailer to "1".
 //
-// A status code never proves it, not even RESOURCE_EXHAUSTED, UNAVAILABLE or UNIMPLEMENTED, because applications return
-// these codes too.
+// A status code never proves that an attempt never ran, not even RESOURCE_EXHAUSTED, UNAVAILABLE or UNIMPLEMENTED,
+// because applications return these codes too.
 func classify(ctx context.Context, g *gate, err error, trailer metadata.MD) (result balancer.Result, final bool) {
 	if err == nil {
 		return balancer.OK, true
--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -145,7 +145,7 @@
 }
 
 // maySend reports whether a new stream may be written to e's process. It returns true while e is active, and for the
-// drain grace after the notification that it is not.
+// drain grace after the notification that e is no longer active.
 func (t *Transport) maySend(e *endpoint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -87,7 +87,7 @@
 	awaitOpened(t, second)
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now())
 	if o := testutil.Receive(t, secondOutcome, "the outcome of the second attempt"); o.Result.MayHaveRun() {
-		t.Errorf("the second attempt has result %d (%v), which may have run", o.Result, o.Err)
+		t.Errorf("the second attempt has result %d (%v), want one that proves that it never ran", o.Result, o.Err)
 	}
 	first.Load().OK(nil)
 	if o := testutil.Receive(t, firstOutcome, "the outcome of the first attempt"); o.Result != balancer.OK {
@@ -269,7 +269,7 @@
 }
 
 // The load must be the largest of the configured metrics. A report without these metrics, or with a corrupt value, must
-// count as no report: otherwise an endpoint whose load is unknown would look like one without load.
+// be treated as missing: otherwise an endpoint whose load is unknown would look idle.
 func TestLoadReport(t *testing.T) {
 	tr := newTransport(t, time.Second)
 	report := func(metrics map[string]float64) string {
--- a/internal/transport/http1/conn.go
+++ b/internal/transport/http1/conn.go
@@ -14,12 +14,12 @@
 	net.Conn
 	process       process           // process that the connection was opened to
 	limitedReader *io.LimitedReader // limits the bytes of one response
-	reader        *bufio.Reader     // reads from limited
+	reader        *bufio.Reader     // reads from limitedReader
 	idleSince     time.Time         // zero before the first request
 	releaseSlot   func()            // frees the connection's slot; further calls have no effect
 
 	responsePauseTimeout time.Duration // longest pause within a response
-	responsePauseTimer   *time.Timer   // expires at the longest pause; nil unless a response is being read
+	responsePauseTimer   *time.Timer   // expires after responsePauseTimeout; nil unless a response is being read
 }
 
 // dial opens a connection to a process. The caller has acquired a slot for it; if dialling fails, dial releases the
--- a/internal/transport/http1/exchange.go
+++ b/internal/transport/http1/exchange.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		return engine.Outcome{Result: x.unsentResult(err), Err: err}
 	}
-	returned := false // to the pool
+	returned := false // whether c was returned to the pool
 	defer func() {
 		if !returned {
 			_ = c.Close() // the exchange already has its outcome
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -68,7 +68,7 @@
 func wantResult(t *testing.T, o engine.Outcome, want balancer.Result) {
 	t.Helper()
 	if o.Result != want {
-		t.Fatalf("result %d (%v), want %d", o.Result, o.Err, want)
+		t.Fatalf("the exchange has result %d (%v), want %d", o.Result, o.Err, want)
 	}
 }
 
@@ -488,8 +488,8 @@
 	}
 }
 
-// The load must be the larger one of the two counts in a report. A report without a count, or with a corrupt one, must
-// count as no report: otherwise an endpoint whose load is unknown would look like one without load.
+// LoadReport.InFlight must be the larger of the numbers inflight and queue in a report. A report without a valid
+// number must be treated as missing: otherwise an endpoint whose load is unknown would look idle.
 func TestLoadReport(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -572,7 +572,8 @@
 		wantResult(t, o, c.want)
 		unused := o.Answer == nil && o.Result.MayHaveRun()
 		if o.Final != (c.want == balancer.OK) || c.want == balancer.ServerError && !unused {
-			t.Errorf("status %s, check error %v: unexpected outcome %+v", c.status, c.err, o)
+			t.Errorf("status %s, check error %v: outcome %+v, want final %t; after a failed check also no answer, and "+
+				"that the request may have run", c.status, c.err, o, c.want == balancer.OK)
 		}
 	}
 }
--- a/internal/transport/http1/outcome.go
+++ b/internal/transport/http1/outcome.go
@@ -19,8 +19,9 @@
 // Some of the results that they return do not prove it; balancer.Result.MayHaveRun distinguishes these.
 
 // unsentResult returns the result of an exchange whose request was not written completely. err is nil if the exchange
-// was not allowed to start. NotSent and ConnectFailed prove that the request never ran. A cancelled exchange is
-// Cancelled, which counts as may have run although this request did not; this errs on the safe side.
+// was not allowed to start. NotSent and ConnectFailed prove that the request never ran. A cancelled exchange has
+// the result Cancelled. For Cancelled, MayHaveRun returns true, although this request never ran; this errs on the safe
+// side.
 func (x *exchange) unsentResult(err error) balancer.Result {
 	switch {
 	case errors.Is(x.ctx.Err(), context.Canceled):
@@ -99,7 +100,7 @@
 const maxReportedInFlight = 10_000
 
 // loadReportFromResponse returns the load report in the response to a probe. The number of requests in flight is the
-// larger one of the values "inflight" and "queue". Reported is false if there is neither.
+// larger one of the values "inflight" and "queue". Reported is false if neither has a valid value.
 func loadReportFromResponse(r *httpmsg.Response) balancer.LoadReport {
 	if r == nil || r.Status != http.StatusOK {
 		return balancer.LoadReport{}
--- a/internal/transport/http1/pool.go
+++ b/internal/transport/http1/pool.go
@@ -79,7 +79,7 @@
 	// of a request's time; with a lower one, a slow endpoint counts as failed.
 	ConnectTimeout time.Duration
 	// EndpointIdleTimeout is the time for which endpoints keep idle connections open. The default is 10 s. The pool
-	// retains idle connections for 3/4 of it.
+	// retains idle connections for 3/4 of this time.
 	EndpointIdleTimeout time.Duration
 	// DrainGrace is the time for which a draining or removed endpoint is remembered. The default is 250 ms. No request
 	// is written to the endpoint in this time, so a higher value only takes more memory.
--- a/internal/transport/http1/reuse.go
+++ b/internal/transport/http1/reuse.go
@@ -77,8 +77,8 @@
 //
 // Guard: prevents a second response that arrives after the first byte of the next request from being mistaken for the
 // answer to that request: a client would get another client's answer. This holds after the first unsolicited response
-// was detected, for responses that arrive within reuseDelay. Other ones cannot be detected, because a response does not
-// identify its request.
+// was detected, for responses that arrive within reuseDelay. Other second responses cannot be detected, because a
+// response does not identify its request.
 func (p *Pool) recordUnsolicitedData() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
