--- a/internal/controlplane/fetch.go
+++ b/internal/controlplane/fetch.go
@@ -7,8 +7,8 @@
 
 const (
 	// maxFetchBackoff limits the time between two unsuccessful fetches, as a multiple of FollowerConfig.FetchDelay.
-	// The backoff bounds the number of fetches for a revision that no member has. A higher value makes fewer of these,
-	// but finds a revision later after many failed fetches.
+	// The backoff bounds the number of fetches for a revision that no member has. With a higher value, fewer
+	// fetches fail, but a revision is found later after many failed fetches.
 	maxFetchBackoff = 16
 	// fetchBackoffFactor is the factor by which the time between fetches grows with each of them. A higher value
 	// reaches maxFetchBackoff sooner.
--- a/internal/controlplane/origin/election.go
+++ b/internal/controlplane/origin/election.go
@@ -106,9 +106,9 @@
 		_ = n.raft.ForgetLeader() // an error does not matter: the campaign does not depend on it
 	}
 	if n.leaderSilence >= n.electionTimeout {
-		// If this campaign fails, the next one is due soon: the others may have received a later message of the leader
-		// and still wait for it, or two origins may have campaigned at once. Because of PreVote, further campaigns do
-		// not disturb a working leader.
+		// If this campaign fails, the next one is due soon: the other origins may have heard from the leader later than
+		// this one, and not vote yet, or two origins may have campaigned at once. Because of PreVote, further campaigns
+		// do not disturb a working leader.
 		n.leaderSilence = 0
 		n.electionTimeout = minElectionRetryTicks + n.rng.IntN(electionTicks-minElectionRetryTicks)
 		_ = n.raft.Campaign() // after an error the next campaign follows
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -184,7 +184,7 @@
 	leader := h.leader()
 	version := h.proposeLast(leader)
 	h.checkPublished(version)
-	accepted := map[string]uint64{} // by hash
+	accepted := map[string]uint64{} // versions by hash
 	for v, hash := range h.published {
 		accepted[hash] = v
 	}
--- a/internal/controlplane/transport/hollow_long_test.go
+++ b/internal/controlplane/transport/hollow_long_test.go
@@ -12,7 +12,7 @@
 
 const (
 	// changeInterval is the time between changes while traffic is measured. It gives 17,280 changes a day, about ten
-	// times 1,700.
+	// times the 1,700 that package configsim assumes (changesPerDay).
 	changeInterval = 5 * time.Second
 	// cutDuration is how long an area is cut off before the second change.
 	cutDuration = 12 * time.Second
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -54,7 +54,7 @@
 	allowed     *netipx.IPSet
 
 	mu            sync.Mutex
-	active        map[string]activeRevision    // by the member's name
+	active        map[string]activeRevision    // active revisions by the member's name
 	configMembers map[string]*transport.Member // by the member's name
 	configBytes   map[string]*atomic.Int64     // bytes of configuration, by address
 }
--- a/internal/controlplane/transport/origin.go
+++ b/internal/controlplane/transport/origin.go
@@ -73,7 +73,7 @@
 
 	mu        sync.Mutex
 	waiting   map[string]chan origin.Result // result channels of pending requests, by ID
-	readCount uint64                        // number of reads so far, from which their IDs are made
+	readCount uint64                        // number of reads so far; the ID of a read is made from it
 }
 
 // NewOrigin returns an Origin that listens for connections. It serves and sends nothing before Run.
--- a/internal/controlplane/transport/protocol.go
+++ b/internal/controlplane/transport/protocol.go
@@ -41,7 +41,7 @@
 	writeTimeout = 3 * time.Second
 	// upstreamWait limits how long a request for a subscription waits for this process to get an upstream itself. The
 	// wait prevents rejections at all levels of the tree when all members of a cluster start at once. A higher value
-	// rejects fewer subscribers, but a subscriber of a process that gets no upstream looks for another one later.
+	// rejects fewer subscribers, but a subscriber of a process that gets no upstream turns to another process later.
 	upstreamWait = time.Second
 	// maxIntermediates limits the number of members between a member and the origin. A higher value allows deeper
 	// trees, in which changes arrive later because each member adds its own delay.
--- a/internal/controlplane/transport/watch.go
+++ b/internal/controlplane/transport/watch.go
@@ -75,8 +75,8 @@
 	return validatePath(s.path, name)
 }
 
-// remove removes a subscriber whose subscription has ended. A subscriber that reconnects may have several
-// subscriptions for a short time.
+// remove removes one subscription of a subscriber. onDisconnect is called only after the last one: a subscriber that
+// reconnects may have several subscriptions for a short time.
 func (s *subscriptionServer) remove(name string) {
 	s.mu.Lock()
 	last := s.subscribers[name] == 1
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// Accept returns the next connection, and evicts an idle one if the limit is reached. A new connection for which no
-// other one can be evicted is closed. Accept must be called from one goroutine.
+// Accept returns the next connection, and evicts an idle one if the limit is reached. If none can be
+// evicted, the new connection is closed. Accept must be called from one goroutine.
 //
 // Guard: prevents new clients from waiting indefinitely if the process has no file descriptor left although the
 // connection limit is not reached; accept would fail with EMFILE repeatedly. This holds as long as a connection is
--- a/internal/front/clientconn/serving.go
+++ b/internal/front/clientconn/serving.go
@@ -9,10 +9,10 @@
 
 // Timeouts are the timeouts of a server for the reads from and the writes to its clients.
 type Timeouts struct {
-	Header time.Duration // for a request's header, from the start of the connection or the header's first byte
-	Body   time.Duration // for a request's body
-	Idle   time.Duration // for the next request on a connection
-	Write  time.Duration // for writing a response, after the request's deadline
+	Header time.Duration // time to read a request's header, from the connection's start or the header's first byte
+	Body   time.Duration // time to read a request's body
+	Idle   time.Duration // time to wait for the next request on a connection
+	Write  time.Duration // time to write a response, after the request's deadline
 }
 
 // NewServer returns a server for requests whose deadlines are at most maxDeadline. It closes the connection of a client
--- a/internal/front/graphqlfront/coalesce.go
+++ b/internal/front/graphqlfront/coalesce.go
@@ -54,7 +54,7 @@
 }
 
 // runFunc executes a part. ctx ends when all callers have left; abandoned reports whether the clients of all callers
-// have disconnected. aborted reports whether the execution ended for that reason.
+// have disconnected. aborted reports whether the execution ended because these clients had disconnected.
 type runFunc func(ctx context.Context, abandoned func() bool) (outcome plan.Outcome, aborted bool)
 
 // flightKey returns a key that is equal for identical parts, that is, for parts with the same class, body and headers.
--- a/internal/front/graphqlfront/params.go
+++ b/internal/front/graphqlfront/params.go
@@ -70,7 +70,7 @@
 	return p, p.validate()
 }
 
-// paramsFromBody returns the parameters in the body of a request: those of one operation, or of a batch of at most
+// paramsFromBody returns the parameters in the body of a request, which contains one operation or a batch of at most
 // maxBatch operations.
 func paramsFromBody(body []byte, maxBatch int) (list []params, isBatch bool, err error) {
 	if !utf8.Valid(body) {
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -39,8 +39,8 @@
 	maxExtraOpen = time.Second
 )
 
-// SIGKILL is sent at the earliest killGrace plus the longest deadline after SIGTERM. At most maxKillDelay of the
-// deadline counts (see stopTimeoutFor).
+// The platform sends SIGKILL no sooner after SIGTERM than killGrace plus the longest deadline of a class. A deadline
+// longer than maxKillDelay counts as maxKillDelay (see stopTimeoutFor).
 const (
 	// killGrace and maxKillDelay are defined by the platform's protocol page. If a value here is higher than the
 	// platform's, requests may still be open at SIGKILL.
--- a/internal/transport/grpc/connection.go
+++ b/internal/transport/grpc/connection.go
@@ -54,7 +54,7 @@
 
 // conn returns the connection to e, which may not be ready, and creates one if there is none. It replaces a failed
 // connection, because grpc-go reports TransientFailure until the connection is ready again: the outcome of a new
-// connection attempt could not be distinguished from that of the earlier one.
+// connection attempt could not be distinguished from the outcome of the earlier attempt.
 func (t *Transport) conn(e *endpoint) (*grpc.ClientConn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +69,7 @@
 	return conn, err
 }
 
-// dialOptions returns the configured options, followed by those of the transport, which take precedence.
+// dialOptions returns the configured options, then the transport's own options, which take precedence.
 func (t *Transport) dialOptions() []grpc.DialOption {
 	return append(append([]grpc.DialOption(nil), t.cfg.DialOptions...),
 		grpc.WithDisableRetry(),
--- a/internal/transport/grpc/exchange.go
+++ b/internal/transport/grpc/exchange.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// transportCallOptions is the number of options that callOptions adds to those of a request.
+	// transportCallOptions is the number of options that callOptions adds to the request's own options.
 	transportCallOptions = 5
 	// retryBufferOverhead is the space, in bytes, that grpc-go's replay buffer needs in addition to the message.
 	retryBufferOverhead = 1024
@@ -175,8 +175,8 @@
 	return outcome
 }
 
-// callOptions returns the options of the request, followed by those of the transport, followed by the given ones. If
-// options conflict, the last one takes effect.
+// callOptions returns the request's options, then the transport's options, then the given options. If options conflict,
+// the last one takes effect.
 func (x *exchange) callOptions(more ...grpc.CallOption) []grpc.CallOption {
 	r := x.request
 	opts := make([]grpc.CallOption, 0, len(r.CallOptions)+len(more)+transportCallOptions)
--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -128,7 +128,7 @@
 
 // markRemoved marks e as draining, removed or replaced since notifiedAt. At the end of the drain grace, it cancels the
 // exchanges of e that have not been written. Otherwise, streams that wait in grpc-go for capacity on the connection
-// would be written as soon as there is some. The caller holds t.mu.
+// would be written as soon as there is capacity. The caller holds t.mu.
 func (t *Transport) markRemoved(e *endpoint, notifiedAt time.Time) {
 	if !e.removedAt.IsZero() {
 		return
--- a/internal/transport/http1/outcome.go
+++ b/internal/transport/http1/outcome.go
@@ -16,7 +16,7 @@
 
 // Only two functions, both in this file, decide that a request never ran, by the rules of the platform's protocol page:
 // unsentResult, for a request that was not written completely, and resultFromResponse, for a response that says so.
-// Some of the results that they return do not prove it; balancer.Result.MayHaveRun distinguishes these.
+// They also return results that do not prove this; balancer.Result.MayHaveRun returns true for these.
 
 // unsentResult returns the result of an exchange whose request was not written completely. err is nil if the exchange
 // was not allowed to start. NotSent and ConnectFailed prove that the request never ran. A cancelled exchange has
