--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -54,7 +54,7 @@
 	allowed     *netipx.IPSet
 
 	mu            sync.Mutex
-	active        map[string]activeRevision    // by the member's name
+	active        map[string]activeRevision    // active revisions by the member's name
 	configMembers map[string]*transport.Member // by the member's name
 	configBytes   map[string]*atomic.Int64     // bytes of configuration, by address
 }
@@ -341,7 +341,7 @@
 	}
 	if len(missing) > 0 {
 		h.logStates(missing)
-		h.t.Fatalf("%s: revision %v is active at %d of %d members; missing: %.300s",
+		h.t.Fatalf("%s: revision %v is active at %d of %d members, want all; missing: %.300s",
 			what, revision, len(took), len(members), strings.Join(missing, " "))
 	}
 	slices.Sort(took)
--- a/internal/controlplane/transport/origin.go
+++ b/internal/controlplane/transport/origin.go
@@ -46,7 +46,7 @@
 	// networks are closed before any data is read from them.
 	AllowedNetworks *netipx.IPSet
 	MaxSubscribers  int      // 0: 256
-	Dial            DialFunc // to the other origins; nil: net.Dialer
+	Dial            DialFunc // connects to the other origins; nil: net.Dialer
 	Log             *slog.Logger
 }
 
@@ -57,7 +57,7 @@
 //	GET  /config/push?id=ID           the outcome of a push
 //	GET  /config/show                 the latest snapshot, confirmed by a majority; ?local=1: this origin's latest
 //	GET  /config/status               the state of this origin
-//	GET  /config/alive                204 if it participates in the consensus, 205 if it does not
+//	GET  /config/alive                204 if this origin participates in the consensus, 205 if it does not
 //	POST /origin/message              a message from another origin
 type Origin struct {
 	cfg            OriginConfig
@@ -73,7 +73,7 @@
 
 	mu        sync.Mutex
 	waiting   map[string]chan origin.Result // result channels of pending requests, by ID
-	readCount uint64                        // number of reads so far, from which their IDs are made
+	readCount uint64                        // number of reads so far; the ID of a read is made from it
 }
 
 // NewOrigin returns an Origin that listens for connections. It serves and sends nothing before Run.
--- a/internal/front/graphqlfront/coalesce.go
+++ b/internal/front/graphqlfront/coalesce.go
@@ -44,7 +44,7 @@
 
 // waiter is a caller that waits for a flight.
 type waiter struct {
-	disconnected func() bool // reports whether its client has disconnected; called from any goroutine
+	disconnected func() bool // reports whether the caller's client has disconnected; called from any goroutine
 }
 
 // joinedFlight is a flight together with one of the callers that have joined it.
@@ -54,7 +54,7 @@
 }
 
 // runFunc executes a part. ctx ends when all callers have left; abandoned reports whether the clients of all callers
-// have disconnected. aborted reports whether the execution ended for that reason.
+// have disconnected. aborted reports whether the execution ended because these clients had disconnected.
 type runFunc func(ctx context.Context, abandoned func() bool) (outcome plan.Outcome, aborted bool)
 
 // flightKey returns a key that is equal for identical parts, that is, for parts with the same class, body and headers.
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -12,7 +12,7 @@
 // Time limits for clients. With higher values, clients that stop in the middle of a request keep their connections for
 // longer; with lower ones, clients on slow links are disconnected.
 const (
-	headerTimeout  = 1250 * time.Millisecond // for a request's header, from the connection's start or its first byte
+	headerTimeout  = 1250 * time.Millisecond // for a header, from the connection's start or the header's first byte
 	bodyTimeout    = 1250 * time.Millisecond // for a request's body
 	idleTimeout    = 2250 * time.Millisecond // for the next request on a connection
 	writeAllowance = time.Second             // for writing a response, after the request's deadline
@@ -39,8 +39,8 @@
 	maxExtraOpen = time.Second
 )
 
-// SIGKILL is sent at the earliest killGrace plus the longest deadline after SIGTERM. At most maxKillDelay of the
-// deadline counts (see stopTimeoutFor).
+// The platform sends SIGKILL no sooner after SIGTERM than killGrace plus the longest deadline of a class. A deadline
+// longer than maxKillDelay counts as maxKillDelay (see stopTimeoutFor).
 const (
 	// killGrace and maxKillDelay are defined by the platform's protocol page. If a value here is higher than the
 	// platform's, requests may still be open at SIGKILL.
