--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -36,8 +36,9 @@
 	shed
 )
 
-// admissionControl sheds requests of the lowest rank, according to the pressure and to consecutive late
-// requests.
+// admissionControl sheds arriving requests of low rank, either because the pressure (pressure.go) is too
+// high for their rank, or because so many recent requests ended late that only higher ranks are admitted
+// (admissionlimits.go).
 type admissionControl struct {
 	meter   pressureMeter
 	limits  admissionLimits
--- a/balancer/admissionlimits.go
+++ b/balancer/admissionlimits.go
@@ -18,7 +18,7 @@
 	// sheds fewer requests and lets more of them end late.
 	maxWaitLimit = 0.65
 	// minWaitLimit is the lower bound of the wait limit, reached where endpoints are overloaded. A higher
-	// value has the same trade-off as a higher maxWaitLimit.
+	// value sheds fewer requests there and lets more of them end late.
 	minWaitLimit = 0.33
 	// waitLimitStep is the relative decrease of the wait limit for each request that an overloaded endpoint
 	// made late. A higher value follows a slowdown sooner, but also reacts more to chance.
--- a/balancer/affinity.go
+++ b/balancer/affinity.go
@@ -13,8 +13,8 @@
 	// lower load can be chosen. A higher value balances loads better and causes more cache misses.
 	minKeyEndpoints = 2
 	// keySpread determines how many endpoints a key gets in addition to minKeyEndpoints: their share of all
-	// endpoints is keySpread times the key's share of requests. A higher value has the same trade-off as a
-	// higher minKeyEndpoints, for keys with much traffic.
+	// endpoints is keySpread times the key's share of requests. A higher value balances the load of keys
+	// with much traffic better, and causes more cache misses.
 	keySpread = 2.0
 	// keyFrequencyMemory is the number of recent requests from which the shares of keys are computed. A
 	// higher value makes shares steadier, and a key that becomes hot spreads to more endpoints later.
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -31,8 +31,8 @@
 	// value, fewer healthy endpoints are ejected, but failing ones get more requests.
 	ejectionThreshold = 3
 	// minSilentFailures is the number of consecutive failures from which an endpoint that does not answer
-	// may count as silent. One failure happens by chance. A higher value has the same trade-off as a higher
-	// silenceObjectives.
+	// may count as silent. One failure happens by chance. With a higher value, fewer slow endpoints are
+	// ejected, but hung ones get more requests.
 	minSilentFailures = 2
 	// silenceObjectives is the time, in mean latency objectives, after which an endpoint that fails and
 	// does not answer counts as silent. With a higher value, fewer slow endpoints are ejected, but hung
--- a/balancer/pressure.go
+++ b/balancer/pressure.go
@@ -26,9 +26,9 @@
 	// same weight as the current values. With a higher value, a quiet sidecar sheds fewer requests by
 	// chance, but notices an overload later.
 	smallInFlight = 8.0
-	// servedMemory is the time over which the rate of answers is averaged. It is also the time without
-	// shedding after which the end of shedding is logged. A higher value is steadier, but a slowdown is
-	// noticed later.
+	// servedMemory is the time over which the rate of answers is averaged. The end of load shedding is
+	// logged when no request has been shed for this long. With a higher value, the rate is steadier, but a
+	// slowdown is noticed later.
 	servedMemory = 2 * time.Second
 	// slowServedMemory is the averaging time of the means that are used if few requests are in flight.
 	slowServedMemory = 10 * time.Second
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -22,8 +22,8 @@
 	// probes are used more often, but cost more than they gain.
 	maxPairProbePrice = 0.02
 	// cheapPairProbePrice is the price of probing a pair up to which probes are cheap. Cheap probes are
-	// used by any sidecar, and also for admission control. A higher value has the same trade-off as a
-	// higher maxPairProbePrice.
+	// used by any sidecar, and also for admission control. With a higher value, both use probes at higher
+	// prices, and these probes may cost more than they gain.
 	cheapPairProbePrice = 0.01
 	// maxProbeLatencies is the latency of probes, as a multiple of the mean latency of requests, above
 	// which probes are slow. With a higher value, more requests wait longer for probes.
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -263,7 +263,8 @@
 		s.PriceProbe, s.Balancers = c.price, c.balancers
 		b := newHarness(t, s).b
 		if cheap, used := b.probesAreCheap(), b.probesBeforePick(); cheap != c.wantCheap || used != c.wantUsed {
-			t.Errorf("%+v: cheap %v, used %v, want %v and %v", c, cheap, used, c.wantCheap, c.wantUsed)
+			t.Errorf("%+v: probes are cheap: %v, want %v; probes are used: %v, want %v",
+				c, cheap, c.wantCheap, used, c.wantUsed)
 		}
 	}
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -120,7 +120,8 @@
 		return
 	}
 	b.refreshSubset()
-	b.offeredRate.add(r.relativeWork, b.now) // excludes rejected requests, whose retries would count again
+	// Shed requests returned above: if they were counted here, a retry by the client would be counted again.
+	b.offeredRate.add(r.relativeWork, b.now)
 	b.advance(r)
 }
 
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -16,7 +16,8 @@
 	// value, more requests survive failures, but failing endpoints get more load.
 	retryRatio = 0.25
 	// retryBurst is the minimum capacity of the retry budget, in retries and hedges. It allows a quiet
-	// sidecar to retry at all. A higher value has the same trade-off as a higher retryRatio.
+	// sidecar to retry at all. With a higher value, more requests survive failures, but failing endpoints
+	// get more load.
 	retryBurst = 10.0
 )
 
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -122,7 +122,7 @@
 		budget.earn(100)
 	}
 	if budget.tokens != 25 { // a quarter of 100 per second
-		t.Errorf("%v tokens at 100 requests per second, want 25", budget.tokens)
+		t.Errorf("the retry budget has %v tokens after 1000 requests at 100 per second, want 25", budget.tokens)
 	}
 	for range 25 {
 		if budget.isSpent() {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -17,8 +17,8 @@
 	// With a higher value, endpoints get more load during that time, but are overloaded sooner.
 	warmUpSafety = 0.85
 	// maxWarmUpKindRatio is the maximum of kindRatio, the factor by which the budget of an endpoint follows
-	// the speed of its kind relative to the mean. Slower kinds have a factor below 1. A higher value has
-	// the same trade-off as a higher warmUpSafety, for fast kinds.
+	// the speed of its kind relative to the mean. Slower kinds have a factor below 1. With a higher value,
+	// endpoints of fast kinds get more load while they warm up, but are overloaded sooner.
 	maxWarmUpKindRatio = 1.5
 	// burstsPerOverload determines the size of a burst, which is the number of tokens that an endpoint can
 	// accumulate: the tokens of OverloadDuration make up this many bursts. With a higher value, bursts are
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -19,8 +19,8 @@
 	// value, endpoints are loaded more evenly, but their estimates are older.
 	minSubsetSize = 10.0
 	// subsetPeriod is the time in which each endpoint of a subset should get one request: a subset has as
-	// many endpoints as requests arrive in this time. A higher value has the same trade-off as a higher
-	// minSubsetSize.
+	// many endpoints as requests arrive in this time. With a higher value, endpoints are loaded more
+	// evenly, but their estimates are older.
 	subsetPeriod = time.Second / 2
 	// maxSubsetAge is the age from which the next request causes a subset to be chosen again. A higher
 	// value means less work, but the subset follows ejections and load changes later.
@@ -86,16 +86,18 @@
 	return b.probesBeforePick() && b.probesAreCheap() || b.settings.Balancers < smallFleet
 }
 
-// homeSubsetSize returns how many endpoints of a subset are chosen from the home zone first, if cross-zone
-// attempts have a price. The less this price affects picks in a fleet of this size, the more endpoints are
-// chosen. A subset drawn from all zones has only two or three endpoints in the home zone, and the better of
-// these is often worse than the better of the others. Where picks themselves prefer the home zone, a subset
-// with few endpoints of other zones would leave no alternative.
+// homeSubsetSize returns how many endpoints of the home zone are added to a subset before the rest is drawn
+// from all zones. It is used if cross-zone attempts have a price.
 //
-// The result is 0 for up to crossZoneBalancers sidecars, where the price has its full weight. The subset is
-// then drawn from all zones alike. An attempt goes to another zone if no endpoint of the home zone in the
-// subset is eligible, although there may be healthy ones outside the subset: pick looks at other zones
-// before it looks outside the subset.
+// In a large fleet, picks give this price little weight, and the number is high: a subset drawn from all
+// zones would have only two or three endpoints in the home zone, and the better of these would often be
+// worse than the better of the others, so many attempts would go to other zones.
+//
+// Up to crossZoneBalancers sidecars, the price has its full weight, so picks prefer the home zone anyway.
+// The number is then 0, and the subset is drawn from all zones alike, which keeps alternatives to an
+// overloaded home zone. If no endpoint of the home zone in the subset is eligible, an attempt goes to
+// another zone even if the home zone has healthy endpoints outside the subset, because pick looks at other
+// zones before it looks outside the subset.
 func (b *Balancer) homeSubsetSize(size int) int {
 	return int(math.Round(homeSubsetShare * (1 - b.crossZoneWeight()) * float64(size)))
 }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -14,8 +14,8 @@
 	// home zone is left later.
 	crossZoneObjectives = 3.5
 	// crossZoneBalancers is the number of sidecars above which the price of cross-zone attempts is weighted
-	// in inverse proportion to their number. A higher value has the same trade-off as a higher
-	// crossZoneObjectives, for large fleets.
+	// in inverse proportion to their number. With a higher value, there are fewer cross-zone attempts in
+	// large fleets, but an overloaded home zone is left later.
 	crossZoneBalancers = 32.0
 	// minCrossZoneLatencies is the equivalent latency, as a multiple of the mean latency of requests, below
 	// which the price of a cross-zone attempt is ignored. With a higher value, the home zone is preferred
--- a/internal/cluster/script_test.go
+++ b/internal/cluster/script_test.go
@@ -17,7 +17,7 @@
 //
 //	new [seeds=(b,c)] [size=N] [KEY=VALUE]   creates the Core of member a, process 100, with a probe interval of 1 s
 //	tick DURATION                            advances the time and calls Tick whenever it is due
-//	stall DURATION                           calls Tick once, by DURATION later than it is due
+//	stall DURATION                           advances the time to DURATION after Tick is due, then calls Tick once
 //	recv KIND from=b [process=N] [generation=N] [refutations=N] [left] [seq=N] [target=x] [at=x] [buckets=all]
 //	     [join] [cluster=x]                  receives a message; "at" names the member at the target's address
 //	     The input of recv has a line for each entry, such as "c suspect 1.200.0 by=d age=5s",
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -91,7 +91,8 @@
 func (m *model) drawUpdate(t *rapid.T, source string) Update {
 	m.seq[source]++
 	update := Update{Source: source, Seq: m.seq[source], Complete: rapid.Bool().Draw(t, "complete")}
-	states := []int{0, 0, 0, 0, 0, 1, 2} // mostly active
+	// Values of balancer.EndpointState: 0 (Active) is drawn most often; 1 is Draining and 2 is Removed.
+	states := []int{0, 0, 0, 0, 0, 1, 2}
 	for _, id := range modelIDs {
 		if rapid.IntRange(0, 3).Draw(t, "listed") == 0 {
 			continue
--- a/internal/discovery/reconcile.go
+++ b/internal/discovery/reconcile.go
@@ -137,7 +137,7 @@
 	return r.changes, r.nextTick
 }
 
-// updateListed removes the endpoints that the target lacks from the list, and updates the attributes of the others.
+// updateListed removes the listed endpoints that are not in the target, and updates the attributes of the others.
 func (m *Merger) updateListed(r *reconciliation) {
 	for _, id := range slices.Sorted(maps.Keys(m.listed)) {
 		current := m.listed[id]
--- a/internal/discovery/relay/server.go
+++ b/internal/discovery/relay/server.go
@@ -27,8 +27,8 @@
 	groupHeader = "X-List-Discovery"
 
 	// keepAliveInterval is the time between empty lines while the list does not change. It must be below the silence
-	// timeout of a watch. A higher value sends fewer bytes, but shorter network delays make followers abandon this
-	// member.
+	// timeout of a watch. A higher value sends fewer bytes, but then even a short network delay makes followers abandon
+	// this member.
 	keepAliveInterval = time.Second
 	// writeTimeout limits the time to write a list or its changes to a follower. This prevents a follower that does not
 	// read from occupying one of the maxFollowers places and a goroutine forever. A higher value tolerates slower
--- a/internal/discovery/relay/source.go
+++ b/internal/discovery/relay/source.go
@@ -44,7 +44,7 @@
 	discovery      engine.Source
 	membersChanged chan struct{} // closed when the membership view changes
 	latestWatch    int           // number of the latest call of Watch; only the updates of this one are relayed
-	independent    bool          // discovery is not that of the peers, so that versions cannot be compared
+	independent    bool          // discovery differs from the peers' service, so versions cannot be compared
 	group          string        // discovery service of the members to follow and to serve; empty for the initial one
 	maxVersion     int64         // highest version that was delivered, whether by discovery or by a peer
 	upstreamName   string        // name of the present or last upstream
--- a/internal/discovery/watch/session.go
+++ b/internal/discovery/watch/session.go
@@ -19,9 +19,9 @@
 	tracker *listTracker // its times are durations since start
 	deliver func(engine.EndpointUpdate)
 
-	// The goroutines of the attempts to open the watch set the following fields.
+	// reached and eventsLost are atomic because the attempts to open the watch set them, each in its own goroutine.
 	reached    atomic.Bool // a failed attempt has reached the service
-	eventsLost atomic.Bool // the watch has delivered data that could not be read
+	eventsLost atomic.Bool // events may be lost: data could not be read, or the complete list was not obtained
 }
 
 // listResult is the result of a request for the complete list.
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -90,13 +90,16 @@
 	})
 	e.step(nil)
 	e.handleCall(newTestCall("1", "look"))
-	if previous.contextErr() != nil ||
-		f.endpoints["m0"].State == balancer.Active ||
+	if err := previous.contextErr(); err != nil {
+		t.Errorf("context error of the previous watch: %v, want none", err)
+	}
+	if f.endpoints["m0"].State == balancer.Active ||
 		f.endpoints["m2"].State == balancer.Active ||
-		f.endpoints["new"].ID != "" ||
-		e.version != UnknownVersion {
-		t.Errorf("endpoints %v, version %d, context error of the previous watch: %v; "+
-			"want only m1 active, UnknownVersion and no error", f.endpoints, e.version, previous.contextErr())
+		f.endpoints["new"].ID != "" {
+		t.Errorf("endpoints %v, want m0 and m2 not active, and none with the ID new", f.endpoints)
+	}
+	if e.version != UnknownVersion {
+		t.Errorf("version %d, want %d (UnknownVersion)", e.version, UnknownVersion)
 	}
 	attempt := testutil.Receive(t, f.attempts, "the attempt")
 	if attempt.endpoint != "m1" {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -161,8 +161,14 @@
 		t.Errorf("a put was rejected with ErrFull: %v, want true; statistics %+v, want at most %d bytes",
 			isFull, stats, 4<<10)
 	}
-	if err := errors.Join(s.Delete("k"), s.Compact(), s.Put("k", make([]byte, 300), hour)); err != nil {
-		t.Errorf("delete, compaction and put in a full store: %v", err)
+	if err := s.Delete("k"); err != nil {
+		t.Errorf("Delete in a full store: %v, want no error", err)
+	}
+	if err := s.Compact(); err != nil {
+		t.Errorf("Compact after Delete in a full store: %v, want no error", err)
+	}
+	if err := s.Put("k", make([]byte, 300), hour); err != nil {
+		t.Errorf("Put after Delete and Compact in a full store: %v, want no error", err)
 	}
 	s.Close()
 	if err := s.Put("k", nil, hour); !errors.Is(err, store.ErrClosed) {
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -190,7 +190,7 @@
 	testutil.Golden(t, "actions.jsonl", lines.Bytes())
 }
 
-// The replies to the smoke transcript must be identical byte for byte.
+// The replies to the events in testdata/smoke.jsonl must equal the golden file smoke-replies.jsonl byte for byte.
 func TestWireRepliesAreStable(t *testing.T) {
 	in, err := os.ReadFile("testdata/smoke.jsonl")
 	if err != nil {
