--- a/balancer/firstattempt.go
+++ b/balancer/firstattempt.go
@@ -29,8 +29,8 @@
 	// first attempts are mistaken for retries.
 	arrivalToleranceTicks = 2
 	// minArrivalTolerance is the minimum tolerance for the arrival time of a client's first attempt,
-	// because deadlines are in whole milliseconds and delayed by the network. A higher value has the same
-	// trade-off as a higher arrivalToleranceTicks.
+	// because deadlines are in whole milliseconds and delayed by the network. With a higher value, client
+	// retries are recognized over slower networks, but more first attempts are mistaken for retries.
 	minArrivalTolerance = 5 * time.Millisecond
 	// maxTimeLeftVotes is the maximum number of votes for the usual time left. With a higher value, a
 	// change of the clients' timeouts is followed later, and chance changes the result less often.
--- a/balancer/frequencies.go
+++ b/balancer/frequencies.go
@@ -17,7 +17,7 @@
 	total  float64
 }
 
-// add counts a name and returns its share of the names that were added recently, which are about as many as
+// add counts a name and returns its share among the most recently added names, whose number is roughly
 // memory. The share is low while few names have been added.
 func (f *frequencies) add(name string, memory float64) float64 {
 	if f.counts == nil {
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -32,9 +32,9 @@
 
 // handleOverdueAttempt sends a hedge in addition to an overdue attempt. If hedging is off, it cancels the
 // attempt instead, to be followed by another one, provided that the endpoint has not answered since the
-// attempt was sent. This helps if endpoints pause or hang. It stops by itself in overload: the retry budget
-// is relative to first attempts, an attempt is overdue relative to the usual latency, and high pressure
-// prevents it.
+// attempt was sent. Both help if endpoints pause or hang, and both stop by themselves in overload: the retry
+// budget is relative to first attempts, an attempt is overdue relative to the usual latency, and neither is
+// done above maxHedgePressure.
 func (b *Balancer) handleOverdueAttempt(r *request) {
 	if r.outstanding == 0 || b.now < r.overdueAt || b.retries.isSpent() || b.pressure() > maxHedgePressure {
 		return
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -1,11 +1,11 @@
 package balancer
 
-// The load of an endpoint is an estimate of the time that a request would take there. Two endpoints are
+// The load of an endpoint is an estimate of the time that a request to it would take. Two endpoints are
 // compared by their loads.
 //
 // Inputs: the endpoint's latency estimate and the mean of its kind (s), the age (s) and number of the
-// sidecar's outstanding attempts there, and the requests in flight that the endpoint has reported, with an
-// answer or to a probe.
+// sidecar's outstanding attempts at the endpoint, and the requests in flight that the endpoint has reported
+// with an answer or in response to a probe.
 //
 // Why: neither latency nor the number of outstanding attempts alone shows a load that other sidecars cause.
 // The combination does, and a recent load report is better than both.
--- a/balancer/pairadmission.go
+++ b/balancer/pairadmission.go
@@ -18,9 +18,9 @@
 	// maxProbedPairs is the number of pairs that are probed before a request is given up for their load.
 	// With a higher value, fewer requests are given up by chance, but they wait longer.
 	maxProbedPairs = 4
-	// minOverloadTolerance is the share of the time left to its objective that a request of the lowest rank
-	// may take at the pair; a request of the highest rank may take all of it. With a higher value, fewer
-	// requests are shed and more end late.
+	// minOverloadTolerance limits the expected time of a request at the pair: a request of the lowest rank
+	// may take this share of the time left to its objective, one of the highest rank all of that time. With
+	// a higher value, fewer requests are shed and more end late.
 	minOverloadTolerance = 0.6
 )
 
--- a/balancer/pressure.go
+++ b/balancer/pressure.go
@@ -58,10 +58,10 @@
 	return b.admission.meter.measure(b.now, b.admission.limits.wait, endpointsPerSidecar)
 }
 
-// measure returns the pressure: the answers per second that the requests in flight need, divided by those
-// that can be expected within the wait limit (Little's law). Above 1, the requests would on average take
-// longer than the wait limit allows. This prevents queues that grow faster than late answers show, and
-// congestion that sustains itself.
+// measure returns the pressure: the answers per second that the requests in flight need, divided by the
+// answers per second that can be expected within the wait limit (Little's law). Above 1, the requests would
+// on average take longer than the wait limit allows. Limiting the pressure prevents queues that grow faster
+// than late answers show, and congestion that sustains itself.
 //
 //	pressure = ageFactor × min(maxPressure, neededRate / (waitLimit × servedRate))
 //
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -24,7 +24,7 @@
 	// accumulate: the tokens of OverloadDuration make up this many bursts. With a higher value, bursts are
 	// smaller, but more requests wait for a token.
 	burstsPerOverload = 10
-	// minWarmUpBurst is the minimum size of a burst in tokens: that of one request.
+	// minWarmUpBurst is the minimum size of a burst in tokens: enough for one mean request.
 	minWarmUpBurst = 1
 	// subsetWarmUpShare is the share of an endpoint's mean load that is sent by the sidecars that have it
 	// in their subset. With a higher value, the other sidecars send it less, and use it later if their
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -71,8 +71,8 @@
 // crossZoneCost returns the price of a cross-zone attempt as a latency in seconds, or 0 if it is
 // negligible. It is compared with loads, which are latency × (outstanding + 1). In a small fleet, each
 // sidecar notices an overloaded zone by its own outstanding attempts; in a large fleet, only latency shows
-// the overload. The weight prevents the sidecars of a large fleet from rejecting requests for the home
-// zone, each because of its own few requests in flight, while other zones are idle.
+// the overload. Without the weight, the sidecars of a large fleet, each with few requests in flight, would
+// keep requests in an overloaded home zone and reject them while other zones are idle.
 func (b *Balancer) crossZoneCost() float64 {
 	cost := b.settings.PriceCrossZone * crossZoneObjectives * b.meanObjective
 	if cost < minCrossZoneLatencies*b.latency.meanNormalized {
--- a/internal/cluster/broadcast.go
+++ b/internal/cluster/broadcast.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// takeLevel does the work of take for one level. It appends the broadcasts for which visit
-// returned true for taken to the argument taken, and returns the result.
+// takeLevel does the work of take for one level. It appends the broadcasts that visit has
+// taken to the slice taken, and returns the extended slice.
 func (q *broadcastQueue) takeLevel(
 	level int, taken []transmission, visit func(broadcast) (taken, more bool),
 ) (_ []transmission, more bool) {
@@ -155,7 +155,7 @@
 	if slices.ContainsFunc(msg.Entries, func(e Entry) bool { return e.Name == name }) {
 		return true
 	}
-	e := c.self // The header has it too, but other members pass on only the entries.
+	e := c.self // The header has this entry too, but other members pass on only the entries.
 	if name != c.self.Name {
 		p := c.peers[name]
 		if p == nil {
--- a/internal/cluster/core.go
+++ b/internal/cluster/core.go
@@ -8,10 +8,10 @@
 )
 
 // Core is one member's view of the cluster and the state machine of the protocol.
-// Receive, Tick, Announce, SetConfiguredSize, GossipNow and Leave are its events;
-// each returns the actions to carry out, in order. The time passed to an event should
-// not be earlier than that of a previous event; if it is, the previous time is used. A
-// Core is not safe for concurrent use.
+// Receive, Tick, Announce, SetConfiguredSize, GossipNow and Leave are its events; each
+// returns the actions to carry out, in order. The time passed to an event should not be
+// earlier than the time passed to the event before; if it is, that earlier event's time
+// is used. A Core is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	random  *rand.Rand
@@ -91,8 +91,9 @@
 	minJitter   = 0.75
 	jitterRange = 0.5
 
-	// sweepsPerTTL is the number of sweeps for expired members and notices in the shorter of their times to live. A
-	// higher value removes them sooner after they expire, and iterates over all of them more often.
+	// sweepsPerTTL is the number of sweeps for expired members and notices in the shorter of Config.DeadMemberTTL and
+	// Config.NoticeTTL. A higher value removes them sooner after they expire, and iterates over all of them more
+	// often.
 	sweepsPerTTL = 8
 
 	// A selection of n random peers makes at most drawsPerPeer*n + extraDraws draws. Higher values find more peers if
--- a/internal/cluster/gossip/config.go
+++ b/internal/cluster/gossip/config.go
@@ -37,8 +37,9 @@
 	// OnMembersChanged is called with the alive and suspect members other than this one
 	// when they change. joined reports whether a message of another member has arrived.
 	OnMembersChanged func(others []cluster.Member, joined bool)
-	// OnConfigRevision is called for each message whose sender applies another revision
-	// of the configuration than this member (see Node.SetConfigRevision).
+	// OnConfigRevision is called for each message whose sender applies a revision of the
+	// configuration that differs from the revision of this member (see
+	// Node.SetConfigRevision).
 	OnConfigRevision func(from cluster.Entry, epoch, version uint64)
 
 	// Handler answers peers that send HTTP requests to the address of the streams; nil
--- a/internal/cluster/gossip/limits.go
+++ b/internal/cluster/gossip/limits.go
@@ -11,8 +11,8 @@
 // fan-out, 64 for the configuration, and 64 for load reports.
 const MaxHTTPConns = 192
 
-// MaxDescriptors is the maximum number of file descriptors that a Node has open, without
-// those of HTTP connections (MaxHTTPConns). It counts one socket each for datagrams and
+// MaxDescriptors is the maximum number of file descriptors that a Node has open, not
+// counting HTTP connections (MaxHTTPConns). It counts one socket each for datagrams and
 // for the stream listener, the accepted streams, one more stream that is being rejected,
 // and the outgoing streams.
 const MaxDescriptors = 2 + maxInboundStreams + 1 + maxOutboundStreams
@@ -37,7 +37,7 @@
 	streamTimeout = 5 * time.Second
 
 	// acceptRetryDelay is the pause after Accept has failed, for example because the process has no file descriptors
-	// left. A higher value takes less processor time until then, and accepts the next stream later.
+	// left. A higher value takes less processor time while Accept fails, and accepts the next stream later.
 	acceptRetryDelay = 100 * time.Millisecond
 
 	// datagramReadBytes is the size of the buffer into which datagrams are read. No UDP datagram is larger.
--- a/internal/cluster/gossip/observe.go
+++ b/internal/cluster/gossip/observe.go
@@ -34,8 +34,9 @@
 	n.cfg.OnMembersChanged(others, joined)
 }
 
-// reportConfigRevision calls Config.OnConfigRevision if the sender of a message belongs to
-// this cluster and applies another revision of the configuration than this member.
+// reportConfigRevision calls Config.OnConfigRevision if the sender of a message belongs
+// to this cluster and applies a revision of the configuration that differs from the
+// revision of this member.
 func (n *Node) reportConfigRevision(m *cluster.Message) {
 	if n.cfg.OnConfigRevision == nil || m.ConfigEpoch == 0 {
 		return
--- a/internal/cluster/gossip/status.go
+++ b/internal/cluster/gossip/status.go
@@ -35,8 +35,8 @@
 	BytesIn           int64 `json:"bytes_in"`
 
 	DatagramsIn    int64 `json:"datagrams_in"`
-	StreamBytesOut int64 `json:"stream_bytes_out"` // those of BytesOut sent in streams; the rest was sent in datagrams
-	StreamBytesIn  int64 `json:"stream_bytes_in"`  // those of BytesIn received in streams
+	StreamBytesOut int64 `json:"stream_bytes_out"` // part of BytesOut sent in streams; the rest was sent in datagrams
+	StreamBytesIn  int64 `json:"stream_bytes_in"`  // part of BytesIn received in streams
 }
 
 // counters are the counters of NetworkStats. Any goroutine may add to them.
--- a/internal/cluster/limits.go
+++ b/internal/cluster/limits.go
@@ -21,7 +21,7 @@
 // Upper bounds of encoded sizes, in bytes. Higher values leave more of a datagram unused; lower ones let a datagram
 // exceed Config.MaxDatagramBytes.
 const (
-	entryBytes  = 72  // of an entry without its names
-	noticeBytes = 56  // of a notice without its names
-	headerBytes = 300 // of a message without its entries and notices
+	entryBytes  = 72  // size of an entry without its names
+	noticeBytes = 56  // size of a notice without its names
+	headerBytes = 300 // size of a message without its entries and notices
 )
--- a/internal/cluster/merge.go
+++ b/internal/cluster/merge.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// suspectInIncarnation sets a peer's refutation counter to that of e and starts a suspicion.
+// suspectInIncarnation sets a peer's refutation counter to the one in e and starts a suspicion.
 func (c *Core) suspectInIncarnation(p *peer, e Entry, reason string) {
 	c.toggleInDigest(p)
 	p.Refutations = e.Refutations
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -110,7 +110,7 @@
 }
 
 // membersChanged passes the live members to the source of the endpoint list, which may
-// follow them, and to the callback of the configuration. The goroutine of Gossip.Run calls
+// follow one of them, and to Config.OnMembersChanged. The goroutine of Gossip.Run calls
 // it.
 func (n *Node) membersChanged(others []cluster.Member, joined bool) {
 	if n.EndpointSource != nil {
--- a/internal/cluster/pushpull.go
+++ b/internal/cluster/pushpull.go
@@ -110,7 +110,7 @@
 }
 
 // entriesInBuckets returns the entries of the peers in the buckets of mask, sorted by
-// name. They include those of dead peers.
+// name. Entries of dead peers are included.
 func (c *Core) entriesInBuckets(mask uint64) (entries []Entry) {
 	for _, p := range c.peers {
 		if mask&(1<<bucketOf(p.Name)) != 0 {
--- a/internal/cluster/reconnect.go
+++ b/internal/cluster/reconnect.go
@@ -25,8 +25,8 @@
 	c.removedAddresses = append(c.removedAddresses, addr)
 }
 
-// reconnect probes one random dead address: that of a dead member, or that of a removed
-// member or a seed if no live member has this address.
+// reconnect probes one random dead address. A dead address is the address of a dead
+// member, or an address of a removed member or a seed that no live member has.
 //
 // Whether a probe is sent is random, with a probability that depends on the numbers of
 // live members and of dead addresses. All members together probe each dead address
--- a/internal/cluster/size.go
+++ b/internal/cluster/size.go
@@ -12,8 +12,8 @@
 	// small steps. Each step multiplies it by sizeDecayFactor, the eighth root of a half.
 	sizeDecayInterval = sizeHoldTime / 8
 	sizeDecayFactor   = 0.917
-	// minLiveFraction is the fraction of live members among the counted ones that has to be
-	// exceeded for dead members to stop counting. With a higher value, the estimate also
+	// minLiveFraction is a fraction of the counted members: dead members stop counting
+	// only while more than this fraction is live. With a higher value, the estimate also
 	// withstands the apparent loss of a smaller part of the members. If these members are
 	// really dead, however, it falls only when they are removed from the table.
 	minLiveFraction = 2.0 / 3
--- a/internal/discovery/config.go
+++ b/internal/discovery/config.go
@@ -15,9 +15,9 @@
 	// Rank is the precedence of the source. The zone, kind and other attributes of an endpoint are taken from the
 	// source with the lowest Rank that lists it.
 	Rank int
-	// AbsenceMeansRemoved controls how the Merger treats an endpoint that the source listed before and that a complete
-	// list of the source lacks. If true, the source counts as having removed the endpoint. If false, the source
-	// merely stops listing it, because its list may be partial, as a DNS answer may be.
+	// AbsenceMeansRemoved controls how the Merger treats an endpoint that the source listed before and that is
+	// missing from its latest complete list. If true, the source counts as having removed the endpoint. If false, the
+	// source merely stops listing it, because its list may be partial, as a DNS answer may be.
 	AbsenceMeansRemoved bool
 	// Indirect marks a source that only relays removals that other members have been notified of. It does not list
 	// endpoints: an Active endpoint in its update withdraws an earlier removal. Config.MaxRemovalShare limits all
--- a/internal/discovery/dns/answer.go
+++ b/internal/discovery/dns/answer.go
@@ -43,14 +43,15 @@
 	return !l.RejectLocal || !isLocal
 }
 
-// inZone reports whether a name is that of the zone or of a domain below it.
+// inZone reports whether a name is the name of the zone or of a domain below the zone.
 func inZone(name, zone string) bool {
 	zone = strings.ToLower(strings.TrimSuffix(zone, ".")) + "."
 	return name == zone || strings.HasSuffix(name, "."+zone)
 }
 
-// MaxAliases limits the number of aliases (CNAME records) in a chain that is followed. This prevents a cycle of aliases
-// from being followed forever. A higher value allows longer chains, of which each alias may require a query.
+// MaxAliases limits the number of aliases (CNAME records) in a chain that is followed. This prevents a cycle of
+// aliases from being followed forever. A higher value allows longer chains, and each alias in a chain may require a
+// query.
 const MaxAliases = 8
 
 // Target is a host that offers a service.
--- a/internal/discovery/dns/exchange.go
+++ b/internal/discovery/dns/exchange.go
@@ -91,7 +91,8 @@
 	return errors.Is(err, errTruncated) || errors.Is(err, errServerFailure) || errors.Is(err, errAliasChain)
 }
 
-// exchangeTCP sends a query over TCP and reads its answer. A length of two bytes precedes each of them.
+// exchangeTCP sends a query over TCP and reads its answer. The query and the answer are each preceded by their length
+// in two bytes.
 func (r *Resolver) exchangeTCP(ctx context.Context, server string, q *query) (Answer, error) {
 	conn, err := dial(ctx, "tcp", server)
 	if err != nil {
--- a/internal/discovery/dns/parse.go
+++ b/internal/discovery/dns/parse.go
@@ -70,8 +70,8 @@
 	ttl     time.Duration // shortest TTL of the records used so far
 }
 
-// limitTTL limits the TTL of the answer to that of a record. A TTL with the highest bit set counts as 0; see RFC 2181,
-// section 8.
+// limitTTL limits the TTL of the answer to the TTL of a record. A TTL with the highest bit set counts as 0; see RFC
+// 2181, section 8.
 func (r *answerReader) limitTTL(seconds uint32) {
 	if seconds > maxTTLSeconds {
 		seconds = 0
@@ -93,7 +93,7 @@
 	}
 }
 
-// aliasOf returns the name of which the given name is an alias; empty if the name is not an alias.
+// aliasOf returns the name that the given name is an alias of; empty if the name is not an alias.
 func (r *answerReader) aliasOf(name string) string {
 	next := ""
 	for _, record := range r.message.Answers {
@@ -147,8 +147,9 @@
 	})
 }
 
-// readEmptyAnswer handles an answer without records of name, to which the aliases of queryName lead. Either name must
-// be looked up by another query, or no such records exist.
+// readEmptyAnswer handles an answer without records of name, the name at the end of the aliases of queryName. If name
+// is an alias and the server has sent no authority records, name must be looked up by another query. Otherwise, no
+// such records exist.
 func (r *answerReader) readEmptyAnswer(queryName, name string) {
 	found := r.message.RCode == dnsmessage.RCodeSuccess
 	if name != queryName && found && len(r.message.Authorities) == 0 {
--- a/internal/discovery/dns/resolver.go
+++ b/internal/discovery/dns/resolver.go
@@ -26,8 +26,8 @@
 	Limits   Limits
 }
 
-// LookupSRV looks up the targets of a service, and the addresses of those targets that the answer contains without
-// addresses. If no server answers, the error joins the errors of all servers.
+// LookupSRV looks up the targets of a service, and the addresses of those targets for which the answer contains none.
+// If no server answers, the error joins the errors of all servers.
 func (r *Resolver) LookupSRV(ctx context.Context, name string) (Answer, error) {
 	answer, err := r.lookup(ctx, name, dnsmessage.TypeSRV)
 	if err != nil || answer.NotFound {
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -38,7 +38,7 @@
 type Update struct {
 	Source string // the name of the source
 	// Seq is the sequence number of the update. It increases with each update of a source. An update whose Seq is not
-	// higher than that of the previous one is a delayed copy, and is ignored.
+	// higher than the Seq of the previous update is a delayed copy, and is ignored.
 	Seq int64
 	// Complete means that Endpoints is the source's complete list. If it is false, Endpoints contains the changes since
 	// the previous update.
--- a/internal/discovery/mergedsource/endpoints.go
+++ b/internal/discovery/mergedsource/endpoints.go
@@ -10,9 +10,9 @@
 	"hazelwing/internal/engine"
 )
 
-// applyPlatformUpdate passes an update of the platform's discovery service to the merger. The endpoints that a complete
-// list lacks are passed as explicitly removed, as the platform's protocol defines. If they were only absent from the
-// update, the merger could defer their removal.
+// applyPlatformUpdate passes an update of the platform's discovery service to the merger. The listed endpoints that
+// are missing from a complete list are passed as explicitly removed, as the platform's protocol defines. If they were
+// only absent from the update, the merger could defer their removal.
 func (s *Source) applyPlatformUpdate(
 	now time.Duration,
 	received engine.EndpointUpdate,
--- a/internal/discovery/mergedsource/source.go
+++ b/internal/discovery/mergedsource/source.go
@@ -144,7 +144,7 @@
 }
 
 // Watch implements engine.Source. It watches the platform's discovery service, and notifies the caller of the changes
-// that this and the additional sources cause in the merged list.
+// that this service and the additional sources cause in the merged list.
 func (s *Source) Watch(version int64, delay time.Duration, notify func(engine.EndpointUpdate)) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	s.mu.Lock()
--- a/internal/discovery/reconcile.go
+++ b/internal/discovery/reconcile.go
@@ -55,8 +55,8 @@
 }
 
 // addToTarget adds an endpoint that a source lists to the target, or records why it is excluded. If several sources
-// list the endpoint, its attributes are those of the source with the lowest rank, and its address is that of its latest
-// start.
+// list the endpoint, its attributes come from the source with the lowest rank, and its address from the source that
+// reports its latest start.
 func (m *Merger) addToTarget(now time.Duration, target *targetList, s *source, e Endpoint) {
 	if reason := m.removalReason(now, &e); reason != "" {
 		target.excluded[e.ID] = reason
@@ -168,7 +168,7 @@
 	m.remove(r, current, r.target.excluded[current.ID])
 }
 
-// remove removes an endpoint from the list. If reason is empty, the reason is that of the endpoint's tombstones.
+// remove removes an endpoint from the list. If reason is empty, the reason comes from the endpoint's tombstones.
 func (m *Merger) remove(r *reconciliation, current *listedEndpoint, reason string) {
 	removed := current.Endpoint
 	removed.State = m.removedState(&current.Endpoint)
@@ -225,9 +225,9 @@
 	return fmt.Sprintf(reasonWindowFormat, s.Name), retryAt
 }
 
-// removingSource returns a source that has a tombstone for an endpoint; nil if there is none. confirmed reports whether
-// the source has reported the removal explicitly and is not indirect. If no source has, removingSource returns the one
-// with the highest rank.
+// removingSource returns a source that has a tombstone for an endpoint; nil if there is none. confirmed reports
+// whether the source has reported the removal explicitly and is not indirect. If there is no such source,
+// removingSource returns the source with the highest rank among those that have a tombstone for the endpoint.
 func (m *Merger) removingSource(e *Endpoint) (removing *source, confirmed bool) {
 	for _, s := range m.byRank {
 		for _, t := range s.tombstones {
@@ -243,7 +243,8 @@
 	return removing, false
 }
 
-// addMissing adds the endpoints of the target that the list lacks, at most once per Config.AdditionInterval.
+// addMissing adds the endpoints of the target that are missing from the list, at most once per
+// Config.AdditionInterval.
 //
 // The interval prevents a source that reports endpoints one by one from changing the balancer's choice of endpoints
 // with each of them. The newer process of an endpoint that has restarted is added at once, because the endpoint would
--- a/internal/discovery/relay/changelog.go
+++ b/internal/discovery/relay/changelog.go
@@ -50,7 +50,7 @@
 func (l *ChangeLog) SourceLost() { l.live = false }
 
 // Apply applies an update of the source. A complete list replaces the present list, whatever its version. A delta is
-// ignored if there is no complete list yet, or if its version is lower than that of the list.
+// ignored if there is no complete list yet, or if its version is lower than the version of the list.
 func (l *ChangeLog) Apply(update engine.EndpointUpdate) {
 	switch update.Kind {
 	case balancer.CompleteList:
@@ -92,10 +92,10 @@
 // CheckFollower returns nil if a member whose list has the given version may follow this one, otherwise an error with
 // the reason.
 //
-// The source of this member must work, and its list must not be older than that of the follower. This prevents a member
-// that is cut off from relaying an old list, whose endpoints may have been removed in the meantime. The follower must
-// not be in the path of the list, which must have less than maxPathLength members. This prevents members from following
-// each other in a cycle, which no change from the discovery service would reach.
+// The source of this member must work, and its list must not be older than the follower's list. This prevents a
+// member that is cut off from relaying an old list, whose endpoints may have been removed in the meantime. The
+// follower must not be in the path of the list, which must have less than maxPathLength members. This prevents
+// members from following each other in a cycle, which no change from the discovery service would reach.
 func (l *ChangeLog) CheckFollower(version int64, follower string) error {
 	switch {
 	case !l.complete || !l.live:
--- a/internal/discovery/relay/server.go
+++ b/internal/discovery/relay/server.go
@@ -35,7 +35,7 @@
 	// followers.
 	writeTimeout = 3 * time.Second
 	// maxListWait limits how long a follower waits until this member has a list. If all members of a cluster start at
-	// once, each would otherwise reject its followers, and all of these would call the discovery service. A higher
+	// once, each would otherwise reject its followers, and all followers would call the discovery service. A higher
 	// value makes fewer such calls, but delays the start of a follower whose peer obtains no list.
 	maxListWait = time.Second
 )
@@ -211,8 +211,8 @@
 // checkFollower returns nil if a follower may be admitted, otherwise an error with the reason. The caller holds s.mu.
 //
 // The follower must use the same discovery service, because versions of different discovery services cannot be
-// compared: it could mistake an old list for a new one. ChangeLog.CheckFollower must accept it, and the server must
-// have fewer than maxFollowers.
+// compared: the follower could mistake an old list for a new one. ChangeLog.CheckFollower must accept the follower,
+// and the server must have fewer than maxFollowers.
 func (s *Server) checkFollower(r watchRequest) error {
 	if s.group != r.group {
 		return errOtherDiscovery
--- a/internal/discovery/relay/source.go
+++ b/internal/discovery/relay/source.go
@@ -87,8 +87,9 @@
 	s.membersChanged = make(chan struct{})
 }
 
-// SetDiscovery replaces the discovery service of this sidecar only. From then on the sidecar always calls that service
-// itself and relays no list, because the versions of the service cannot be compared with those of the other members.
+// SetDiscovery replaces the discovery service of this sidecar only. From then on the sidecar always calls that
+// service itself and relays no list, because the service's versions cannot be compared with the versions of the other
+// members' service.
 func (s *Source) SetDiscovery(discovery engine.Source) {
 	s.mu.Lock()
 	s.discovery, s.independent = discovery, true
@@ -151,7 +152,7 @@
 
 // SourceState is the state of a Source for the admin endpoint.
 type SourceState struct {
-	Source  string      `json:"source"`  // name of the present or last upstream: that of a member, or "discovery"
+	Source  string      `json:"source"`  // the present or last upstream: a member's name, or "discovery"
 	Rank    int         `json:"rank"`    // see bootstrap.Selector.Rank
 	Changes int         `json:"changes"` // number of upstreams so far that have delivered an update
 	Server  ServerState `json:"relay"`
--- a/internal/discovery/relay/sourcewatch.go
+++ b/internal/discovery/relay/sourcewatch.go
@@ -217,7 +217,8 @@
 	}
 }
 
-// relay applies a change to the server, if this is the latest watch and the discovery service is that of the peers.
+// relay applies a change to the server, if this is the latest watch and this sidecar uses the peers' discovery
+// service.
 func (w *sourceWatch) relay(change func(*Server)) {
 	s := w.source
 	s.mu.Lock()
--- a/internal/discovery/watch/errors.go
+++ b/internal/discovery/watch/errors.go
@@ -15,7 +15,7 @@
 	errMalformedEvent = errors.New("malformed watch event")
 	// errWatchEnded is the reason for the failure of a watch that the service ended between two events.
 	errWatchEnded = errors.New("the service ended the watch")
-	// errNotComplete is returned for a response to a request for the complete list that is a delta.
+	// errNotComplete is returned if the response to a request for the complete list is a delta.
 	errNotComplete = errors.New("the response is not marked as a complete list")
 )
 
--- a/internal/discovery/watch/listtracker.go
+++ b/internal/discovery/watch/listtracker.go
@@ -57,8 +57,8 @@
 // applyEvent processes an event of the watch, or an empty line if update is nil. It returns the updates to deliver.
 //
 // Events are delivered at once even while the complete list is missing, because they may report draining endpoints.
-// There are two exceptions: a delta whose version is not higher than that of the list, and any event before the engine
-// has a list.
+// There are two exceptions: a delta whose version is not higher than the version of the list, and any event before
+// the engine has a list.
 func (t *listTracker) applyEvent(now time.Duration, update *engine.EndpointUpdate) []engine.EndpointUpdate {
 	first := !t.established
 	switch {
@@ -120,9 +120,9 @@
 	return t.canDelay && len(t.pendingChanges) <= maxPendingChanges
 }
 
-// applyList processes the complete list, and returns the updates to deliver. Changes of the watch with a version above
-// that of the list take precedence: the list may be older than the changes, and could restore endpoints that were
-// removed.
+// applyList processes the complete list, and returns the updates to deliver. Changes of the watch with a version
+// above the version of the list take precedence: the list may be older than the changes, and could restore endpoints
+// that were removed.
 func (t *listTracker) applyList(list engine.EndpointUpdate) []engine.EndpointUpdate {
 	t.listInFlight = false
 	if !t.listMissing { // the watch has delivered a complete list in the meantime
--- a/internal/discovery/watch/objectreader.go
+++ b/internal/discovery/watch/objectreader.go
@@ -9,10 +9,10 @@
 )
 
 // objectReader splits the body of a watch into JSON objects. An object may occupy one line or several, and may arrive
-// in parts or together with other objects. It finds the end of an object by counting braces and brackets outside
-// strings; line ends within an object do not matter. If it read one object per line, a watch of a service that indents
-// its lists would fail at the first line, and no change would arrive. Except for partial, it is used by one goroutine
-// at a time.
+// in parts or together with other objects. objectReader finds the end of an object by counting braces and brackets
+// outside strings; line ends within an object do not matter. If it read one object per line, a watch of a service
+// that indents its lists would fail at the first line, and no change would arrive. Except for partial, it is used by
+// one goroutine at a time.
 type objectReader struct {
 	partial atomic.Bool // an object has begun and is not complete; may be read by any goroutine
 
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -19,8 +19,8 @@
 	PriorAttempts []PriorAttempt
 	// ExpectedWork is the work that the client expects the call to cause at the endpoint; 0 if unknown.
 	ExpectedWork time.Duration
-	// ExpiresAt is when the client stops waiting. The engine delivers the Result earlier than that by twice
-	// Settings.Tick.
+	// ExpiresAt is when the client stops waiting. The engine delivers the Result no later than twice Settings.Tick
+	// before this time.
 	ExpiresAt time.Time
 	// Payload is used by the transport only. Several attempts may read it concurrently, so it must not be modified.
 	Payload any
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -74,7 +74,7 @@
 	sourceChangedAt   time.Time
 	watch             *watch
 	previousWatch     *watch             // watch of the previous source; open until the current source has answered
-	version           int64              // of the endpoint list
+	version           int64              // version of the endpoint list
 	activeProcesses   map[string]float64 // StartedAtMS of each active endpoint, by endpoint ID
 	drains            map[string]drain   // by endpoint ID; entries expire after staleListPeriod
 	pushedWatchFailed bool               // the watch of a pushed list has failed, and no update has arrived since
--- a/internal/engine/sourcechange.go
+++ b/internal/engine/sourcechange.go
@@ -90,8 +90,8 @@
 	e.applyDrains(u.Version, drained)
 }
 
-// applyFromReplaced decides which part of an update is applied that was in progress when its watch was closed: only
-// drains and removals of active processes.
+// applyFromReplaced decides which part is applied of an update that was being delivered while its watch was closed:
+// only drains and removals of active processes.
 //
 // Guard: prevents the loss of a drain that was delivered while its watch was being closed. The next watch may not
 // repeat the drain, and requests would continue to go to an endpoint that stops. Applying the drain is safe because a
--- a/internal/idempotency/decisions.go
+++ b/internal/idempotency/decisions.go
@@ -116,9 +116,9 @@
 	})
 }
 
-// hasLocationOutside decides whether a zone and cell are forbidden to another attempt, because an earlier one may have
-// run outside their idempotency scope: the endpoints there would not recognize the duplicate. For a NonIdempotent class
-// every earlier attempt counts as outside.
+// hasLocationOutside reports whether another attempt must not be sent to a zone and cell, because an earlier attempt
+// may have run outside their idempotency scope: the endpoints in this zone and cell would not recognize the
+// duplicate. For a NonIdempotent class every earlier attempt counts as outside.
 func (e *entry) hasLocationOutside(class balancer.Class, zone string, cell int) bool {
 	return slices.ContainsFunc(e.locations, func(l *location) bool {
 		switch {
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -12,21 +12,21 @@
 	effect         balancer.Effect
 	class          string
 	state          State
-	intendedAt     Time // intent of the first attempt; 0 before it
+	intendedAt     Time // time of the first attempt's intent; 0 if there has been no attempt
 	expiresAt      Time
 	locations      []*location
 	requests       int  // number of requests in flight
 	attempts       int  // number of attempts that have begun and not ended
 	writeInFlight  bool // the record is being written
 	writeAttempted bool // the record was written, or may have been
-	isReleased     bool // no longer needed, but in Tracker.byExpiry until expire or release removes it there
+	isReleased     bool // no longer needed, but still in Tracker.byExpiry until expire or release removes it
 	isRestored     bool // restored from an earlier run of the program
 }
 
 // location is a Location with the state that is not stored.
 type location struct {
 	Location
-	possibleRuns int  // number of attempts that may have run there
+	possibleRuns int  // number of attempts that may have run at the location
 	isDurable    bool // a durable record contains the location
 }
 
--- a/internal/idempotency/middleware/status.go
+++ b/internal/idempotency/middleware/status.go
@@ -15,7 +15,7 @@
 
 	Remembered        int     `json:"remembered"`    // number of fingerprints
 	Open              int     `json:"open"`          // number of intents of this process without an outcome
-	RestoredOpen      int     `json:"left_open"`     // number of intents without an outcome of earlier processes
+	RestoredOpen      int     `json:"left_open"`     // number of intents of earlier processes without an outcome
 	OldestOpenSeconds float64 `json:"oldest_open_s"` // age of the oldest intent counted in Open or RestoredOpen
 
 	Failed     uint64 `json:"failed"`    // requests that failed because their operation may already have run
--- a/internal/idempotency/middleware/transport.go
+++ b/internal/idempotency/middleware/transport.go
@@ -100,7 +100,8 @@
 	x.Exchange.CancelUnsent()
 }
 
-// abandon prevents the wrapped exchange from being started. It has no effect if that has happened already.
+// abandon prevents the wrapped exchange from being started. It has no effect if the wrapped exchange has been started
+// already.
 func (x *exchange) abandon() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -117,9 +118,9 @@
 // start decides whether the wrapped exchange may run, which is the case unless it has been abandoned. After start has
 // returned true, abandon has no effect.
 //
-// Guard: prevents an attempt from being sent whose record became durable only after its call had a result or its client
-// had disconnected. Nobody would receive its response, and its record would be deleted as that of an attempt that never
-// ran. It holds because abandon and start take the same lock.
+// Guard: prevents an attempt from being sent whose record became durable only after its call had a result or its
+// client had disconnected. Nobody would receive its response, and its record would be deleted, as if the attempt had
+// never run. It holds because abandon and start take the same lock.
 func (x *exchange) start() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -110,7 +110,7 @@
 	return records, clock, err
 }
 
-// parseEntry decodes an entry of the store as a record. ok is false if the entry is not one.
+// parseEntry decodes an entry of the store as a record. ok is false if the entry is not a record.
 func parseEntry(key string, value []byte) (fp idempotency.Fingerprint, record idempotency.Record, ok bool) {
 	if len(key) != len(fp) {
 		return fp, idempotency.Record{}, false
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -16,7 +16,7 @@
 type Location struct {
 	Zone       string
 	Cell       int
-	SentAt     Time   // intent of the first attempt there
+	SentAt     Time   // time of the intent of the first attempt at this location
 	BootNumber uint32 // number of the machine's boot in which SentAt was read
 }
 
@@ -25,7 +25,7 @@
 	Effect     balancer.Effect
 	Class      string
 	State      State
-	IntendedAt Time // intent of the first attempt
+	IntendedAt Time // time of the intent of the first attempt
 	ExpiresAt  Time
 	Locations  []Location
 }
--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -64,8 +64,8 @@
 }
 
 // abandonActive seals the active segment after a failed write or sync. It is unknown whether the bytes after the
-// confirmed ones are on the disk, and a later successful sync would not show it. This prevents an entry from being
-// confirmed and then lost by a power loss.
+// confirmed ones are on the disk, and a later successful sync would not show whether they are. This prevents an entry
+// from being confirmed and then lost by a power loss.
 func (s *Store) abandonActive() {
 	g := s.active
 	_ = g.file.Truncate(g.size) // if this fails, recovery skips the bytes that are not a valid record
@@ -119,7 +119,7 @@
 		}
 	}
 	if err != nil {
-		// If removing the file fails, recovery does it, since the segment has no records.
+		// If removing the file fails, recovery removes it, since the segment has no records.
 		_ = f.Close()
 		_ = s.fs.Remove(segmentName(number))
 		return nil, err
--- a/internal/store/maintain.go
+++ b/internal/store/maintain.go
@@ -19,8 +19,8 @@
 	minWasteSegments = 2
 	minWasteShare    = 0.5
 	// Segments are also compacted when their size exceeds the share fullShare of Options.MaxBytes, and has grown by
-	// more than the share fullStep of it since the last compaction. With higher values compactions come later and less
-	// often, but the store is more likely to reject entries with ErrFull.
+	// more than the share fullStep of Options.MaxBytes since the last compaction. With higher values compactions come
+	// later and less often, but the store is more likely to reject entries with ErrFull.
 	fullShare = 0.75
 	fullStep  = 0.0625
 )
@@ -93,8 +93,9 @@
 	return err
 }
 
-// dropSegments removes the oldest sealed segments as long as they contain no live record. It stops at the first segment
-// that does: a delete in a later segment has to stay as long as a put of its key may be in an earlier one.
+// dropSegments removes the oldest sealed segments as long as they contain no live record. It stops at the first
+// segment that contains one: a delete in a later segment has to stay as long as a put of its key may be in an earlier
+// one.
 func (s *Store) dropSegments() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -131,9 +132,10 @@
 	return true
 }
 
-// removeFiles removes the files of segments in the given order, and after those of earlier calls. Each removal is made
-// durable before the next, so that a put never stays on the disk longer than the delete of its key. Files that could
-// not be removed stay in pendingRemovals, and the next call tries again. The caller holds compactMu.
+// removeFiles removes the files of segments in the given order, after the files that earlier calls could not remove.
+// Each removal is made durable before the next, so that a put never stays on the disk longer than the delete of its
+// key. Files that could not be removed stay in pendingRemovals, and the next call tries again. The caller holds
+// compactMu.
 func (s *Store) removeFiles(list ...*segment) error {
 	s.pendingRemovals = append(s.pendingRemovals, list...)
 	for len(s.pendingRemovals) > 0 {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -111,7 +111,7 @@
 	return g, nil
 }
 
-// addRecord adds a put to the index, unless a newer one of its key is there, or a delete to r.deletes.
+// addRecord adds a put to the index, unless the index has a newer put of its key, or a delete to r.deletes.
 func (r *recovery) addRecord(segment uint64, rec *record, offset, size int64) {
 	r.nextSequence = max(r.nextSequence, rec.sequence+1)
 	if rec.kind == kindDelete {
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -33,7 +33,7 @@
 	hintTried bool
 
 	entries    int   // number of index entries whose record is in the segment
-	live       int64 // total size of their records, in bytes
+	live       int64 // total size of the records of these entries, in bytes
 	lastExpiry int64 // latest expiry of these entries, including entries that have been removed, Unix ms
 }
 
--- a/internal/store/stats.go
+++ b/internal/store/stats.go
@@ -2,9 +2,9 @@
 
 // Stats describes the state of a Store.
 type Stats struct {
-	Entries  int   `json:"entries"` // including expired ones whose space has not been reclaimed yet
+	Entries  int   `json:"entries"` // entries, including expired ones whose space has not been reclaimed yet
 	Segments int   `json:"segments"`
-	Bytes    int64 `json:"bytes"`    // of all segments
+	Bytes    int64 `json:"bytes"`    // size of all segments
 	Live     int64 `json:"live"`     // bytes of the records of all entries
 	Damaged  int64 `json:"damaged"`  // bytes that are damaged on disk
 	Unsynced int   `json:"unsynced"` // changes that were confirmed with Options.SyncEvery and have not been synced
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -82,8 +82,8 @@
 	damaged  int64               // bytes that are damaged on disk
 	counters counters
 
-	// The following fields are used by the writer's goroutine only. It changes unsynced with mu held, since Stats reads
-	// it.
+	// The following fields are used by the writer's goroutine only. The writer changes unsynced with mu held, since
+	// Stats reads it.
 	active       *segment // segment to which batches are written; nil if the next batch has to create one
 	nextSegment  uint64
 	nextSequence uint64
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -154,7 +154,7 @@
 }
 
 // rotate seals the active segment. It passes to the op the sealed segments and a number for the segment to which they
-// may be compacted, which is lower than that of the next active segment.
+// may be compacted, which is lower than the number of the next active segment.
 func (s *Store) rotate(o op) {
 	s.syncConfirmed()
 	if len(s.unsynced) > 0 {
