--- a/balancer/admissionlimits.go
+++ b/balancer/admissionlimits.go
@@ -17,8 +17,8 @@
 	// maxWaitLimit is the largest share of their objective that requests in flight may wait. A higher value
 	// sheds fewer requests and lets more of them end late.
 	maxWaitLimit = 0.65
-	// minWaitLimit is the lower bound of the wait limit, reached where endpoints are overloaded. A higher
-	// value sheds fewer requests there and lets more of them end late.
+	// minWaitLimit is the lower bound of the wait limit, reached where endpoints are overloaded. With a
+	// higher value, fewer requests are shed while endpoints are overloaded, and more of them end late.
 	minWaitLimit = 0.33
 	// waitLimitStep is the relative decrease of the wait limit for each request that an overloaded endpoint
 	// made late. A higher value follows a slowdown sooner, but also reacts more to chance.
--- a/balancer/affinity_test.go
+++ b/balancer/affinity_test.go
@@ -52,7 +52,7 @@
 // One key accounts for half of the traffic and would overload a pair of endpoints. The number of endpoints that serve
 // a key must grow with its share of the traffic.
 func TestHotKeyIsSpread(t *testing.T) {
-	attempts := attemptsWithKey(t, true, 1, 400, 1) // every other request
+	attempts := attemptsWithKey(t, true, 1, 400, 1) // every other request has the key
 	if len(attempts) < 12 {
 		t.Errorf("half of the traffic went to %d of 20 endpoints, want at least 12", len(attempts))
 	}
--- a/balancer/deadline_test.go
+++ b/balancer/deadline_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The deadline of a request is much earlier than that of its class, and no endpoint answers. An answer at the class's
-// deadline would be too late; the deadline of the request must be met.
+// The deadline of a request is much earlier than the deadline of its class, and no endpoint answers. An answer at the
+// class's deadline would be too late; the deadline of the request must be met.
 func TestAnswersBeforeTheDeadlineOfTheRequest(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWeight = 0.5
@@ -50,10 +50,10 @@
 }
 
 // A client retries a request after its latency objective. An answer would be worth nothing, and working on it would
-// delay other requests, so the retry must be rejected at once. It is recognized by a shorter remaining time than that
-// of first attempts, which the deadline of all of the client's attempts limits: that deadline shows when the first
-// attempt arrived. A retry that is early enough must be served. So must a first attempt with an unusually short
-// timeout, which is distinguished from a retry because no unserved request arrived one Deadline before its expiry.
+// delay other requests, so the retry must be rejected at once. It is recognized because it has less time left than
+// first attempts: the deadline of all of the client's attempts limits its time, and shows when the first attempt
+// arrived. A retry that is early enough must be served. So must a first attempt with an unusually short timeout, which
+// is distinguished from a retry because no unserved request arrived one Deadline before its expiry.
 func TestStaleClientRetryIsRejected(t *testing.T) {
 	h := newHarness(t, testSettings()) // objective 200 ms, deadline 1 s
 	h.addEndpoints(3)
@@ -123,7 +123,7 @@
 }
 
 // An answer has its full weight up to the objective. Without a late weight, a request is given up one tick before the
-// objective; with one, two ticks before the client's deadline.
+// objective; with a late weight, two ticks before the client's deadline.
 func TestDeadlinesOfARequest(t *testing.T) {
 	for lateWeight, want := range map[float64]time.Duration{0: 195 * ms, 0.5: 490 * ms} {
 		s := testSettings() // objective 200 ms, tick 5 ms
@@ -132,8 +132,9 @@
 		h.b.now = h.now
 		r := h.b.newRequest(Request{ID: "1", Class: "c", ExpiresAt: h.now + 500*ms}, h.b.classes["c"])
 		if r.objectiveAt != h.now+200*ms || r.deadline != h.now+want || r.lateClientRetry {
-			t.Errorf("late weight %v: objective after %v, deadline after %v, late client retry %v",
-				lateWeight, r.objectiveAt-h.now, r.deadline-h.now, r.lateClientRetry)
+			t.Errorf("late weight %v: objective after %v, want 200ms; deadline after %v, want %v; "+
+				"late client retry %v, want false",
+				lateWeight, r.objectiveAt-h.now, r.deadline-h.now, want, r.lateClientRetry)
 		}
 	}
 }
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -119,11 +119,11 @@
 	breakConnection("1")
 	breakConnection("2")
 	if ep.health.ejectedUntil > h.now {
-		t.Error("ejected after two consecutive broken connections")
+		t.Error("endpoint ejected after two consecutive broken connections, want three")
 	}
 	breakConnection("3")
 	if ep.health.ejectedUntil <= h.now {
-		t.Error("not ejected after three consecutive broken connections")
+		t.Error("endpoint not ejected after three consecutive broken connections")
 	}
 }
 
@@ -227,9 +227,9 @@
 	}
 }
 
-// All sidecars together overload the home zone. In a small fleet, each sidecar notices it by its own outstanding
-// attempts. In a large fleet no sidecar does, and requests would wait or be rejected at home although other zones
-// have capacity. There, latency alone must make sidecars leave the home zone.
+// All sidecars together overload the home zone. In a small fleet, each sidecar notices the overload by its own
+// outstanding attempts. In a large fleet no sidecar does, and requests would wait or be rejected at home although other
+// zones have capacity. In a large fleet, latency alone must make sidecars leave the home zone.
 func TestOverloadedHomeZoneIsLeftInALargeFleet(t *testing.T) {
 	for _, c := range []struct {
 		sidecars           int
--- a/balancer/idempotency_test.go
+++ b/balancer/idempotency_test.go
@@ -108,7 +108,8 @@
 			first := byID[h.wantSend(h.request("1", "k", time.Second))]
 			for _, a := range actionsOfKind(h.reportOutcome("1", 0, ServerError, 10*ms), Send) {
 				if !sameScope(first, byID[a.Endpoint]) {
-					t.Fatalf("scope %d: first attempt on %+v, retry on %+v", scope, first, byID[a.Endpoint])
+					t.Fatalf("scope %d: first attempt on %+v, retry on %+v, want a retry in the same scope",
+						scope, first, byID[a.Endpoint])
 				}
 			}
 		}
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("weights not applied: %+v, want Weight 7 and LateWeight 0.5", c)
 	}
 	if c.Effect != Idempotent || c.Deadline != time.Second || c.LatencyObjective != 200*ms {
-		t.Errorf("effect, deadline or objective of the class changed: %+v", c)
+		t.Errorf("class %+v, want the effect Idempotent, the deadline 1s and the objective 200ms unchanged", c)
 	}
 	if h.b.settings.MaxAttempts != 1 {
 		t.Errorf("MaxAttempts %d, want 1", h.b.settings.MaxAttempts)
--- a/balancer/validation_test.go
+++ b/balancer/validation_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if _, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}}, 1); err != nil {
-		t.Errorf("settings with one class and otherwise absent values: %v", err)
+		t.Errorf("settings with one class and otherwise absent values: error %v, want none", err)
 	}
 }
 
@@ -121,11 +121,11 @@
 	}
 	first, second := run(), run()
 	if len(first) != len(second) {
-		t.Fatalf("two identical runs returned %d and %d actions", len(first), len(second))
+		t.Fatalf("two identical runs returned %d and %d actions, want the same number", len(first), len(second))
 	}
 	for i := range first {
 		if !reflect.DeepEqual(first[i], second[i]) {
-			t.Fatalf("two identical runs differ in action %d: %+v and %+v", i, first[i], second[i])
+			t.Fatalf("two identical runs returned different actions with index %d: %+v and %+v", i, first[i], second[i])
 		}
 	}
 }
--- a/internal/cluster/gossip/format_test.go
+++ b/internal/cluster/gossip/format_test.go
@@ -149,13 +149,14 @@
 			var decoded cluster.State
 			err = decoded.UnmarshalText([]byte(test.name))
 			if test.state != cluster.Unknown && (err != nil || decoded != test.state) {
-				t.Errorf("UnmarshalText(%q) returned error %v and state %v", test.name, err, decoded)
+				t.Errorf("UnmarshalText(%q) returned error %v and state %v, want no error and state %v",
+					test.name, err, decoded, test.state)
 			}
 		})
 	}
 	var decoded cluster.State
 	if decoded.UnmarshalText([]byte("unknown")) == nil {
-		t.Error(`UnmarshalText("unknown") returned no error`)
+		t.Error(`UnmarshalText("unknown") returned no error, want one`)
 	}
 }
 
--- a/internal/cluster/script_test.go
+++ b/internal/cluster/script_test.go
@@ -46,7 +46,7 @@
 type scriptRunner struct {
 	core        *Core
 	now         time.Duration
-	syntaxError string // of the latest directive; empty if there is none
+	syntaxError string // syntax error of the latest directive; empty if there is none
 }
 
 // run runs a directive and returns its output.
--- a/internal/discovery/dns/parse.go
+++ b/internal/discovery/dns/parse.go
@@ -148,8 +148,8 @@
 }
 
 // readEmptyAnswer handles an answer without records of name, the name at the end of the aliases of queryName. If name
-// is an alias and the server has sent no authority records, name must be looked up by another query. Otherwise, no
-// such records exist.
+// differs from queryName and the server has sent neither an error nor authority records, name must be looked up by
+// another query. Otherwise, no such records exist.
 func (r *answerReader) readEmptyAnswer(queryName, name string) {
 	found := r.message.RCode == dnsmessage.RCodeSuccess
 	if name != queryName && found && len(r.message.Authorities) == 0 {
--- a/internal/discovery/dns/refresher_test.go
+++ b/internal/discovery/dns/refresher_test.go
@@ -42,7 +42,7 @@
 			case "fail":
 				return formatDecision(refresher.HandleFailure(now, errors.New("time-out")), now)
 			}
-			d.Fatalf(t, "unknown command")
+			d.Fatalf(t, "unknown command %q", d.Cmd)
 			return ""
 		})
 	})
--- a/internal/discovery/mergedsource/source_test.go
+++ b/internal/discovery/mergedsource/source_test.go
@@ -136,8 +136,8 @@
 	h.watch.notify(engine.EndpointUpdate{Kind: kind, Version: version, Endpoints: endpoints(names...)})
 }
 
-// wantUpdate receives an update, and fails the test unless it is the one described by text, "KIND VERSION: ID ...". An
-// ID after a minus sign is that of an endpoint that is draining or removed.
+// wantUpdate receives an update, and fails the test unless it is the one described by text, "KIND VERSION: ID ...". A
+// minus sign before an ID means that the endpoint is draining or removed.
 func (h *harness) wantUpdate(text string) engine.EndpointUpdate {
 	h.t.Helper()
 	update := testutil.Receive(h.t, h.updates, "update: "+text)
--- a/internal/discovery/merger_test.go
+++ b/internal/discovery/merger_test.go
@@ -9,8 +9,8 @@
 	"hazelwing/balancer"
 )
 
-// An invalid configuration is rejected. A source that sends more endpoints than allowed, or removes ever new ones, must
-// not make the memory grow: neither the list nor the tombstones exceed their limits.
+// An invalid configuration is rejected. A source that sends more endpoints than allowed, or that removes new
+// endpoints again and again, must not make the memory grow: neither the list nor the tombstones exceed their limits.
 func TestConfigAndLimits(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"no sources":        func(c *Config) { c.Sources = nil },
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -17,7 +17,7 @@
 	second := c.fromUnixMS(startedAtMS)
 	beforeBase := c.fromUnixMS(float64(c.base.UnixMilli() - 1))
 	if first != second {
-		t.Errorf("fromUnixMS(%v) returned %v, then %v", startedAtMS, first, second)
+		t.Errorf("fromUnixMS(%v) returned %v, then %v, want the same time twice", startedAtMS, first, second)
 	}
 	if unixZero := c.fromUnixMS(0); unixZero != 0 || beforeBase != 0 {
 		t.Errorf("Unix time 0 is %v, and 1 ms before the clock's base is %v, want 0 for both", unixZero, beforeBase)
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -47,7 +47,8 @@
 		}
 		e = newEngine(t, f, settings, 0)
 		if e.cachedList.Version != NoVersion {
-			t.Errorf("pushed %v: an empty cached list has version %d, want NoVersion", pushed, e.cachedList.Version)
+			t.Errorf("pushed %v: an empty cached list has version %d, want %d (NoVersion)",
+				pushed, e.cachedList.Version, NoVersion)
 		}
 	}
 }
@@ -64,7 +65,7 @@
 	}
 	sourceChanged{next}.handle(e)
 	if w := testutil.Receive(t, next.watches, "the new watch"); w.version != UnknownVersion {
-		t.Errorf("the watch starts from version %d, want UnknownVersion", w.version)
+		t.Errorf("the watch starts from version %d, want %d (UnknownVersion)", w.version, UnknownVersion)
 	}
 }
 
@@ -118,9 +119,11 @@
 	w = testutil.Receive(t, next.watches, "the next watch")
 	w.notify(EndpointUpdate{Kind: balancer.Delta, Version: 3})
 	e.step(nil)
-	if previous.contextErr() == nil || e.version != 3 {
-		t.Errorf("after the new source's answer: version %d, context error of the previous watch: %v; "+
-			"want version 3 and an error", e.version, previous.contextErr())
+	if previous.contextErr() == nil {
+		t.Error("after the new source's answer: the context of the previous watch has no error, want one")
+	}
+	if e.version != 3 {
+		t.Errorf("after the new source's answer: version %d, want 3", e.version)
 	}
 	updateCount := f.updateCount
 	previous.notify(EndpointUpdate{Kind: balancer.Delta, Version: 9, Endpoints: testEndpoints(1)})
--- a/internal/engine/races_test.go
+++ b/internal/engine/races_test.go
@@ -230,7 +230,7 @@
 			e.sourceChangedAt = e.sourceChangedAt.Add(-staleListPeriod)
 			w := testutil.Receive(t, next.watches, "the watch for the complete list")
 			if w.version != UnknownVersion {
-				t.Errorf("the watch starts from version %d, want UnknownVersion", w.version)
+				t.Errorf("the watch starts from version %d, want %d (UnknownVersion)", w.version, UnknownVersion)
 			}
 			w.notify(EndpointUpdate{Kind: balancer.CompleteList, Version: 6, Endpoints: testEndpoints(2)})
 			e.step(nil)
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -10,9 +10,9 @@
 
 const ms = time.Millisecond
 
-// This process is stalled while attempts are outstanding. Uncorrected, their outcomes would cause healthy endpoints to
-// be ejected; corrected without need, they would excuse unresponsive endpoints. Only outcomes that the stall affected
-// may change.
+// This process is stalled while attempts are outstanding. Without a correction, their outcomes would cause healthy
+// endpoints to be ejected; a correction of outcomes that the stall did not affect would excuse unresponsive
+// endpoints. Only outcomes that the stall affected may change.
 func TestStallCorrectsOutcomes(t *testing.T) {
 	at := time.Now().Add
 	var s stalls
--- a/internal/idempotency/middleware/middleware_test.go
+++ b/internal/idempotency/middleware/middleware_test.go
@@ -104,7 +104,7 @@
 		done := p.send("look", "")
 		a := p.nextAttempt()
 		if a.call.Class != "look" {
-			t.Fatalf("request with an intent that is not durable was sent after %v, after %d idempotent requests",
+			t.Fatalf("request was sent after %v and %d idempotent requests, want it to wait for its durable intent",
 				time.Since(start), i)
 		}
 		a.answer()
@@ -126,8 +126,8 @@
 }
 
 // Guards against an attempt that is sent although its client disconnected while the intent was being written, and
-// against a record of it that stays and makes the client's retry fail needlessly. No attempt must be sent, and the
-// record must be removed.
+// against a record of this attempt that stays and makes the client's retry fail needlessly. No attempt must be sent,
+// and the record must be removed.
 func TestDisconnectDuringWrite(t *testing.T) {
 	fs := faultfs.New()
 	p := startProgram(t, newMachine(), fs, nil)
--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// readLog reads the records and the clock's state. It skips and logs entries that it cannot decode. If the clock's state
-// cannot be decoded, the zero state is returned, and ResumeClock continues at the later of wall time and the latest time
-// in any record.
+// readLog reads the records and the clock's state. It skips and logs entries that it cannot decode. If it cannot decode
+// the clock's state, it returns the zero state, and ResumeClock then continues at the later of wall time and the latest
+// time in any record.
 func (d *Deduplicator) readLog() (map[idempotency.Fingerprint]idempotency.Record, idempotency.ClockState, error) {
 	records := map[idempotency.Fingerprint]idempotency.Record{}
 	var clock idempotency.ClockState
--- a/internal/idempotency/random_test.go
+++ b/internal/idempotency/random_test.go
@@ -17,7 +17,7 @@
 	eventNotRun        = 9 // an attempt ends, and is proved not to have run
 	eventEndRequest    = 10
 	eventAdvance       = 11 // 11 and 12: time passes
-	eventWallBack      = 13 // never forwards: entries could expire early without any clock showing it
+	eventWallBack      = 13 // wall time is set back, never forward: entries could expire early and no clock would show it
 	eventRestart       = 14
 	eventRebootMachine = 15
 )
@@ -49,7 +49,7 @@
 	t        *testing.T
 	event    int                       // index of the current event
 	trueTime time.Duration             // elapsed time, independent of the simulated clocks
-	sent     map[string][]*sentAttempt // by operation
+	sent     map[string][]*sentAttempt // attempts that were sent, by operation
 	requests map[string]int            // number of requests in flight, by operation
 	open     []*openAttempt
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -95,7 +95,7 @@
 				t.Errorf("%d balancers, want 0", n)
 			}
 			if _, err := balancer.New(cfg.Settings.Settings(), 1); err != nil {
-				t.Errorf("balancer.New: %v", err)
+				t.Errorf("balancer.New returned the error %v, want none", err)
 			}
 		})
 	}
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -76,7 +76,8 @@
 				got, ok, err := s.Get(key)
 				isIntact := ok && string(got) == "value of "+key
 				if err != nil || key != damagedKey && !isIntact || key == damagedKey && ok {
-					t.Fatalf("bit %d of byte %d of key %q flipped: Get(%q) returns %q, %v, error %v",
+					t.Fatalf("bit %d of byte %d of key %q flipped: Get(%q) returns %q, %v, error %v, "+
+						"want the put value unless the key is the damaged one, and no error",
 						bit, at, damagedKey, key, got, ok, err)
 				}
 			}
@@ -114,7 +115,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	fs.FlipBit(names[0], headerSize, 0) // in the length of the record
+	fs.FlipBit(names[0], headerSize, 0) // changes the length of the record
 	s, err = store.Open(fs, testOptions())
 	if err != nil {
 		t.Fatal(err)
@@ -231,9 +232,9 @@
 	}
 }
 
-// Guards against an entry that is confirmed and then lost by a power loss, because the sync after a failed one succeeds
-// although the bytes of the first are not on the disk. A failed sync must not confirm an entry, and neither may a later
-// sync of the same bytes.
+// Guards against an entry that is confirmed and then lost by a power loss, because the sync after a failed sync
+// succeeds although the bytes of the failed sync are not on the disk. A failed sync must not confirm an entry, and
+// neither may a later sync of the same bytes.
 func TestFailedSync(t *testing.T) {
 	fs, s := openStore(t)
 	hour := epoch.Add(time.Hour)
