--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,8 +1,8 @@
 package balancer
 
 // This file holds the state on which decisions are based and dispatches events to the rules. Each rule has
-// its own file and, where it keeps state, its own type there. Fields and parameters of type time.Duration
-// are times of Handle's clock, unless their names denote durations.
+// its own file and, if it keeps state, its own type in that file. Fields and parameters of type
+// time.Duration are times of Handle's clock, unless their names denote durations.
 
 import (
 	"math/rand/v2"
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -6,7 +6,7 @@
 // clock).
 //
 // Why: a draining or removed endpoint gets no new attempts from the update on. A restarted process is a new
-// endpoint of which nothing is known.
+// endpoint, and nothing that was learned about the former process applies to it.
 
 import (
 	"slices"
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// An endpoint hangs: it accepts requests and never responds, so that requests would wait there until their deadlines.
+// An endpoint hangs: it accepts requests and never responds, so that requests to it would wait until their deadlines.
 // It must be avoided because of the age of its outstanding attempts, and ejected because it is silent.
 func TestHungEndpointIsAvoided(t *testing.T) {
 	for _, hedging := range []bool{true, false} {
@@ -54,8 +54,8 @@
 	}
 }
 
-// An endpoint pauses repeatedly, each time too briefly for a health check to notice. The requests that wait there
-// would be late. Hedges must prevent this.
+// An endpoint pauses repeatedly, each time too briefly for a health check to notice. Requests that wait for this
+// endpoint would be late. Hedges must prevent this.
 func TestPauseIsCoveredByHedges(t *testing.T) {
 	var w *workload
 	w = newWorkload(t, testSettings(), func(endpoint string) (Result, time.Duration) {
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -3,9 +3,9 @@
 // Idempotency determines whether another attempt could have a request's effect a second time, and whether a
 // rejection may tell the client that a retry is harmless.
 //
-// Inputs: the class's effect, idempotency scope and window (duration); for each attempt, including those of
-// earlier requests with the same effect, whether it may have run, where (zone, cell) and when it was sent;
-// the tick.
+// Inputs: the class's effect, idempotency scope and window (duration); for each attempt, including attempts
+// of earlier requests with the same effect, whether it may have run, where (zone, cell) and when it was
+// sent; the tick.
 //
 // Why: no effect may happen twice. Endpoints deduplicate a keyed request only within its scope and window,
 // and nothing deduplicates a request that is not idempotent.
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -172,8 +172,8 @@
 	h.updateEndpoints(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: h.now})
 	attempts = 0
 	runSecond()
-	// The limit is about twice that of TestWarmUpBudget, because half of the endpoints may have been removed
-	// permanently.
+	// The limit is about twice the limit in TestWarmUpBudget, because half of the endpoints may have been
+	// removed permanently.
 	if attempts == 0 || attempts > 16 {
 		t.Errorf("%d requests to the first endpoint in the first second of its warm-up, want 1 to 16", attempts)
 	}
@@ -320,9 +320,9 @@
 	}
 }
 
-// This is the example in the comment of warmUpRate: ten sidecars with 40 mean requests per second each and 50
-// endpoints, of which a subset has 20. If the budget were not divided among the sidecars, they would together
-// overload a cold endpoint. They must stay below three times its current capacity.
+// This is the example in the comment of warmUpRate: ten sidecars with 40 mean requests per second each and
+// 50 endpoints. A subset has 20 of these. If the budget were not divided among the sidecars, they would
+// together overload a cold endpoint. They must stay below three times its current capacity.
 func TestWarmUpRateOfAllSidecars(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.InitialCapacity, s.OverloadMultiple = 10, 0.3, 3
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -43,9 +43,9 @@
 	return true
 }
 
-// pickByZone picks an endpoint of the home zone as long as it is about as good as those of other zones, to
-// avoid the price of cross-zone attempts. If crossZoneCost is 0, zones are not distinguished. The probed
-// pair and the endpoints of the affinity key are considered only in the home zone.
+// pickByZone picks an endpoint of the home zone as long as it is about as good as the endpoints of other
+// zones, to avoid the price of cross-zone attempts. If crossZoneCost is 0, zones are not distinguished. The
+// probed pair and the endpoints of the affinity key are considered only in the home zone.
 func (b *Balancer) pickByZone(r *request, relaxed relaxation) *endpoint {
 	cost := b.crossZoneCost()
 	if cost == 0 {
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// mergeNotices merges those of the first maxNotices notices that other members reported.
+// mergeNotices considers the first maxNotices notices of a message, and merges the
+// notices among them that other members reported.
 func (c *Core) mergeNotices(notices []EndpointNotice) {
 	for i := range notices {
 		if i >= maxNotices {
--- a/internal/cluster/self.go
+++ b/internal/cluster/self.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// raiseGeneration sets this member's generation to one more than that of another process
-// with the same name.
+// raiseGeneration sets this member's generation to one more than the generation of
+// another process with the same name.
 //
 // The rate of such raises is limited (maxNameConflicts), because each raise is gossiped to
 // the whole cluster. This prevents two processes that run under one name at the same time
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -23,7 +23,7 @@
 	TrafficShare float64 `json:"Share"`
 }
 
-// addrKeyPrefix is the prefix of the key and the ID of an endpoint of which only the address is known.
+// addrKeyPrefix is the prefix of the key and the ID of an endpoint that is known only by its address.
 const addrKeyPrefix = "addr "
 
 // key returns the key of an endpoint in the list of one source.
--- a/internal/discovery/mergedsource/source_test.go
+++ b/internal/discovery/mergedsource/source_test.go
@@ -174,9 +174,9 @@
 	h.wantUpdate("out-of-band 0: addr x:d")
 }
 
-// A complete list of the platform lacks most of the cached endpoints. All of them must be removed at once, unlike
-// endpoints that a name service stops listing: if the removal were deferred, requests would go to processes that no
-// longer exist.
+// Most of the cached endpoints are missing from a complete list of the platform. All of them must be removed at once,
+// unlike endpoints that a name service stops listing: if the removal were deferred, requests would go to processes
+// that no longer exist.
 func TestCompleteListOfPlatform(t *testing.T) {
 	h := start(t, 0, "a", "b", "c", "d")
 	h.sendPlatformUpdate(balancer.CompleteList, 12, "d", "e")
--- a/internal/discovery/merger.go
+++ b/internal/discovery/merger.go
@@ -62,8 +62,8 @@
 }
 
 // Apply processes an update of a source. It ignores an update of an unknown source, and an update whose sequence
-// number is not higher than that of the source's previous update. It returns the changes of the merged list and the
-// time at which the caller must call Tick; 0 means that no call is needed before the next event.
+// number is not higher than the number of the source's previous update. It returns the changes of the merged list and
+// the time at which the caller must call Tick; 0 means that no call is needed before the next event.
 func (m *Merger) Apply(now time.Duration, update Update) (changes []Change, nextTick time.Duration) {
 	s := m.sources[update.Source]
 	if s == nil || s.hasUpdate && update.Seq <= s.seq {
--- a/internal/discovery/relay/changelog.go
+++ b/internal/discovery/relay/changelog.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxEvents limits the changes that a ChangeLog retains for followers. A follower that lacks more changes receives
-	// the complete list. A higher value sends fewer complete lists, but uses more memory.
+	// maxEvents limits the changes that a ChangeLog retains for followers. A follower that has missed more changes
+	// receives the complete list. A higher value sends fewer complete lists, but uses more memory.
 	maxEvents = 1024
 	// maxPathLength limits the members that relay the list between the discovery service and a member. A higher value
 	// allows a larger tree, but changes may arrive later, because each member adds its own delay.
--- a/internal/discovery/relay/changelog_test.go
+++ b/internal/discovery/relay/changelog_test.go
@@ -118,7 +118,7 @@
 }
 
 // The number of retained changes is limited, so that changes which no follower reads do not exhaust the memory. A
-// follower that lacks more changes receives the complete list.
+// follower that has missed more changes receives the complete list.
 func TestRetainedEventsAreBounded(t *testing.T) {
 	log := newTestLog()
 	for i := range int64(3000) {
--- a/internal/discovery/relay/source_test.go
+++ b/internal/discovery/relay/source_test.go
@@ -178,8 +178,8 @@
 	return resp.StatusCode
 }
 
-// testIndependentDiscovery replaces the discovery service of one member only. The member must call that service itself,
-// and must not relay its list, whose versions cannot be compared with those of other members.
+// testIndependentDiscovery replaces the discovery service of one member only. The member must call that service
+// itself, and must not relay its list, whose versions cannot be compared with the versions of other members.
 func testIndependentDiscovery(t *testing.T, s *Source, updates *updateRecorder) {
 	t.Helper()
 	var discovery fakeSource
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -114,7 +114,7 @@
 	return stop
 }
 
-// stream is the response to a watch call, of which the first event has been read.
+// stream is the response to a watch call. Its first event has been read.
 type stream struct {
 	body    io.Closer
 	objects *objectReader
--- a/internal/engine/sourcechange.go
+++ b/internal/engine/sourcechange.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// changeSource opens a watch of another source at once. The versions of the new source may be unrelated to those of the
-// old one, and the Balancer's backoff after failures applies only to the old source. Meanwhile, calls use the known
-// list. The old watch stays open until the new one has answered, because until then only the old watch reports drains.
-// At most two watches are open.
+// changeSource opens a watch of another source at once. The versions of the new source may be unrelated to the old
+// source's versions, and the Balancer's backoff after failures applies only to the old source. Meanwhile, calls use
+// the known list. The old watch stays open until the new one has answered, because until then only the old watch
+// reports drains. At most two watches are open.
 //
 // Guard: prevents requests to draining endpoints while the new source is unreachable, or while it rejects engines that
 // all switched to it at once. These requests would fail when the processes stop. This holds because drains are applied
--- a/internal/idempotency/random_test.go
+++ b/internal/idempotency/random_test.go
@@ -17,7 +17,7 @@
 	eventNotRun        = 9 // an attempt ends, and is proved not to have run
 	eventEndRequest    = 10
 	eventAdvance       = 11 // 11 and 12: time passes
-	eventWallBack      = 13 // wall time is set back, never forward: entries could expire early and no clock would show it
+	eventWallBack      = 13 // wall time is set back, never forward: entries could expire early unnoticed by any clock
 	eventRestart       = 14
 	eventRebootMachine = 15
 )
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -46,7 +46,7 @@
 	maxUnsyncedOps = 4096
 )
 
-// Errors of the store, besides those of the file system.
+// Errors of the store. Errors of the file system are returned in addition to these.
 var (
 	ErrClosed = errors.New("store: closed")
 	ErrFull   = errors.New("store: adding the entry would exceed the size limit")
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// gather returns a batch of the deferred ops, the first op for which a caller waits, and the other ops that wait in the
-// queue, up to maxBatch or to a rotation. The deferred ops come first, because for each key they were requested
-// earlier.
+// gather returns a batch of the deferred ops, the given first op, for which a caller waits, and the other ops that
+// wait in the queue, up to maxBatch or to a rotation. The deferred ops come first, because for each key they were
+// requested earlier.
 func (s *Store) gather(deferred []op, first op) []op {
 	batch := append(s.appendDeferred(deferred), first)
 	for n := 1; n < maxBatch && batch[len(batch)-1].rotate == nil; n++ {
