--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// An endpoint hangs: it accepts requests and never responds, so that requests would wait there until their deadlines.
+// An endpoint hangs: it accepts requests and never responds, so that requests to it would wait until their deadlines.
 // It must be avoided because of the age of its outstanding attempts, and ejected because it is silent.
 func TestHungEndpointIsAvoided(t *testing.T) {
 	for _, hedging := range []bool{true, false} {
@@ -54,8 +54,8 @@
 	}
 }
 
-// An endpoint pauses repeatedly, each time too briefly for a health check to notice. The requests that wait there
-// would be late. Hedges must prevent this.
+// An endpoint pauses repeatedly, each time too briefly for a health check to notice. Requests that wait for this
+// endpoint would be late. Hedges must prevent this.
 func TestPauseIsCoveredByHedges(t *testing.T) {
 	var w *workload
 	w = newWorkload(t, testSettings(), func(endpoint string) (Result, time.Duration) {
@@ -119,11 +119,11 @@
 	breakConnection("1")
 	breakConnection("2")
 	if ep.health.ejectedUntil > h.now {
-		t.Error("ejected after two consecutive broken connections")
+		t.Error("endpoint ejected after two consecutive broken connections, want three")
 	}
 	breakConnection("3")
 	if ep.health.ejectedUntil <= h.now {
-		t.Error("not ejected after three consecutive broken connections")
+		t.Error("endpoint not ejected after three consecutive broken connections")
 	}
 }
 
@@ -227,9 +227,9 @@
 	}
 }
 
-// All sidecars together overload the home zone. In a small fleet, each sidecar notices it by its own outstanding
-// attempts. In a large fleet no sidecar does, and requests would wait or be rejected at home although other zones
-// have capacity. There, latency alone must make sidecars leave the home zone.
+// All sidecars together overload the home zone. In a small fleet, each sidecar notices the overload by its own
+// outstanding attempts. In a large fleet no sidecar does, and requests would wait or be rejected at home although other
+// zones have capacity. In a large fleet, latency alone must make sidecars leave the home zone.
 func TestOverloadedHomeZoneIsLeftInALargeFleet(t *testing.T) {
 	for _, c := range []struct {
 		sidecars           int
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -14,8 +14,8 @@
 	// home zone is left later.
 	crossZoneObjectives = 3.5
 	// crossZoneBalancers is the number of sidecars above which the price of cross-zone attempts is weighted
-	// in inverse proportion to their number. A higher value has the same trade-off as a higher
-	// crossZoneObjectives, for large fleets.
+	// in inverse proportion to their number. With a higher value, there are fewer cross-zone attempts in
+	// large fleets, but an overloaded home zone is left later.
 	crossZoneBalancers = 32.0
 	// minCrossZoneLatencies is the equivalent latency, as a multiple of the mean latency of requests, below
 	// which the price of a cross-zone attempt is ignored. With a higher value, the home zone is preferred
@@ -43,9 +43,9 @@
 	return true
 }
 
-// pickByZone picks an endpoint of the home zone as long as it is about as good as those of other zones, to
-// avoid the price of cross-zone attempts. If crossZoneCost is 0, zones are not distinguished. The probed
-// pair and the endpoints of the affinity key are considered only in the home zone.
+// pickByZone picks an endpoint of the home zone as long as it is about as good as the endpoints of other
+// zones, to avoid the price of cross-zone attempts. If crossZoneCost is 0, zones are not distinguished. The
+// probed pair and the endpoints of the affinity key are considered only in the home zone.
 func (b *Balancer) pickByZone(r *request, relaxed relaxation) *endpoint {
 	cost := b.crossZoneCost()
 	if cost == 0 {
@@ -71,8 +71,8 @@
 // crossZoneCost returns the price of a cross-zone attempt as a latency in seconds, or 0 if it is
 // negligible. It is compared with loads, which are latency × (outstanding + 1). In a small fleet, each
 // sidecar notices an overloaded zone by its own outstanding attempts; in a large fleet, only latency shows
-// the overload. The weight prevents the sidecars of a large fleet from rejecting requests for the home
-// zone, each because of its own few requests in flight, while other zones are idle.
+// the overload. Without the weight, the sidecars of a large fleet, each with few requests in flight, would
+// keep requests in an overloaded home zone and reject them while other zones are idle.
 func (b *Balancer) crossZoneCost() float64 {
 	cost := b.settings.PriceCrossZone * crossZoneObjectives * b.meanObjective
 	if cost < minCrossZoneLatencies*b.latency.meanNormalized {
--- a/internal/discovery/mergedsource/source_test.go
+++ b/internal/discovery/mergedsource/source_test.go
@@ -136,8 +136,8 @@
 	h.watch.notify(engine.EndpointUpdate{Kind: kind, Version: version, Endpoints: endpoints(names...)})
 }
 
-// wantUpdate receives an update, and fails the test unless it is the one described by text, "KIND VERSION: ID ...". An
-// ID after a minus sign is that of an endpoint that is draining or removed.
+// wantUpdate receives an update, and fails the test unless it is the one described by text, "KIND VERSION: ID ...". A
+// minus sign before an ID means that the endpoint is draining or removed.
 func (h *harness) wantUpdate(text string) engine.EndpointUpdate {
 	h.t.Helper()
 	update := testutil.Receive(h.t, h.updates, "update: "+text)
@@ -174,9 +174,9 @@
 	h.wantUpdate("out-of-band 0: addr x:d")
 }
 
-// A complete list of the platform lacks most of the cached endpoints. All of them must be removed at once, unlike
-// endpoints that a name service stops listing: if the removal were deferred, requests would go to processes that no
-// longer exist.
+// Most of the cached endpoints are missing from a complete list of the platform. All of them must be removed at once,
+// unlike endpoints that a name service stops listing: if the removal were deferred, requests would go to processes
+// that no longer exist.
 func TestCompleteListOfPlatform(t *testing.T) {
 	h := start(t, 0, "a", "b", "c", "d")
 	h.sendPlatformUpdate(balancer.CompleteList, 12, "d", "e")
--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -82,7 +82,9 @@
 	return nil
 }
 
-// readLog reads the records and the clock's state. It skips and logs entries that it cannot decode.
+// readLog reads the records and the clock's state. It skips and logs entries that it cannot decode. If it cannot decode
+// the clock's state, it returns the zero state, and ResumeClock then continues at the later of wall time and the latest
+// time in any record.
 func (d *Deduplicator) readLog() (map[idempotency.Fingerprint]idempotency.Record, idempotency.ClockState, error) {
 	records := map[idempotency.Fingerprint]idempotency.Record{}
 	var clock idempotency.ClockState
@@ -108,7 +110,7 @@
 	return records, clock, err
 }
 
-// parseEntry decodes an entry of the store as a record. ok is false if the entry is not one.
+// parseEntry decodes an entry of the store as a record. ok is false if the entry is not a record.
 func parseEntry(key string, value []byte) (fp idempotency.Fingerprint, record idempotency.Record, ok bool) {
 	if len(key) != len(fp) {
 		return fp, idempotency.Record{}, false
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// gather returns a batch of the deferred ops, the first op for which a caller waits, and the other ops that wait in the
-// queue, up to maxBatch or to a rotation. The deferred ops come first, because for each key they were requested
-// earlier.
+// gather returns a batch of the deferred ops, the given first op, for which a caller waits, and the other ops that
+// wait in the queue, up to maxBatch or to a rotation. The deferred ops come first, because for each key they were
+// requested earlier.
 func (s *Store) gather(deferred []op, first op) []op {
 	batch := append(s.appendDeferred(deferred), first)
 	for n := 1; n < maxBatch && batch[len(batch)-1].rotate == nil; n++ {
@@ -154,7 +154,7 @@
 }
 
 // rotate seals the active segment. It passes to the op the sealed segments and a number for the segment to which they
-// may be compacted, which is lower than that of the next active segment.
+// may be compacted, which is lower than the number of the next active segment.
 func (s *Store) rotate(o op) {
 	s.syncConfirmed()
 	if len(s.unsynced) > 0 {
