--- a/internal/demo/daemon.go
+++ b/internal/demo/daemon.go
@@ -57,8 +57,8 @@
 	return d, nil
 }
 
-// Wait waits until the daemon has ended and returns its error. The daemon ends after the context of StartDaemon. Wait
-// may be called only once.
+// Wait waits until the daemon has ended and returns its error. The daemon ends once the context that was given to
+// StartDaemon has ended. Wait may be called only once.
 func (d *Daemon) Wait() error {
 	if err := <-d.ended; err != nil {
 		return fmt.Errorf("daemon failed: %w", err)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -23,7 +23,7 @@
 	Length  time.Duration     // length of generated traffic
 	Nodes   int               // number of emulated nodes
 	Traffic *emulator.Traffic // recorded traffic; nil: traffic is generated
-	Script  []emulator.Fault  // faults to inject; nil: those of DefaultScript
+	Script  []emulator.Fault  // faults to inject; nil: the faults of DefaultScript
 	Live    bool              // whether the view is redrawn in place; otherwise a line is printed every second
 	// Grace is how long after its client's deadline a response still counts; 0: 250 ms.
 	Grace time.Duration
--- a/internal/demo/gqldemo/crashes.go
+++ b/internal/demo/gqldemo/crashes.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// crashStream selects the random stream for the choice of nodes, which is separate from those of the requests.
+	// crashStream selects the random stream for the choice of nodes, separate from the random streams of the requests.
 	crashStream = 0x64656d6f
 	// faultInterval is the time from a crash to the node's restart, and from there to the next crash.
 	faultInterval = 500 * time.Millisecond
--- a/internal/demo/gqldemo/tally.go
+++ b/internal/demo/gqldemo/tally.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// addOperation counts an operation of a request. claims are those of the response about the operation's mutations.
+// addOperation counts an operation of a request. claims are the response's claims about its mutations.
 func (t *tally) addOperation(isQuery bool, claims []gqlnode.Claim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/demo/window.go
+++ b/internal/demo/window.go
@@ -27,7 +27,7 @@
 // windowSummary holds the view's figures.
 type windowSummary struct {
 	requests        int
-	withinObjective float64 // share of the requests
+	withinObjective float64 // share of the requests that were served within the latency objective
 	p50, p99        time.Duration
 }
 
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -51,7 +51,7 @@
 	changed   chan struct{} // closed and replaced at each change
 
 	callTime      time.Duration // time for which each call occupies the service; 0: none
-	maxWait       time.Duration // longest wait of a call; one that would wait longer is rejected
+	maxWait       time.Duration // longest wait of a call; a call that would wait longer is rejected
 	busyUntil     time.Time     // end of the processing of the admitted calls
 	calls         int
 	rejectedCalls int
@@ -171,12 +171,12 @@
 		_ = json.NewEncoder(w).Encode(updates[0]) // fails once the client has disconnected
 		return
 	}
-	// A version that cannot be parsed is 0, for which the watch begins with the complete list.
+	// A version that cannot be parsed counts as 0. The watch then begins with the complete list.
 	version, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	d.serveWatch(w, r, version)
 }
 
-// serveWatch sends changes until the client disconnects. It ignores errors of writes, which fail only after that.
+// serveWatch sends changes until the client disconnects. Write errors are ignored: they occur only after that.
 func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request, version int64) {
 	encoder := json.NewEncoder(w)
 	ticker := time.NewTicker(keepAliveInterval)
--- a/internal/emulator/dnsserver/dnsserver.go
+++ b/internal/emulator/dnsserver/dnsserver.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// Record returns a resource record of class IN. Its type is that of its body; ttl is in seconds.
+// Record returns a resource record of class IN. The body determines the record's type; ttl is in seconds.
 func Record(name string, ttl uint32, body dnsmessage.ResourceBody) dnsmessage.Resource {
 	return dnsmessage.Resource{
 		Header: dnsmessage.ResourceHeader{
--- a/internal/emulator/faultfs/faultfs.go
+++ b/internal/emulator/faultfs/faultfs.go
@@ -39,8 +39,8 @@
 	Steps int64
 	// Capacity is the size of the disk in bytes; -1: unlimited.
 	Capacity int64
-	// FailSyncs, FailWrites and FailRemoves are the numbers of the next calls of Sync, Write and Remove that fail with
-	// EIO.
+	// FailSyncs, FailWrites and FailRemoves are how many of the next calls of Sync, Write and Remove fail with EIO.
+	// Each call that fails for this reason lowers its count by one.
 	FailSyncs, FailWrites, FailRemoves int
 	// SyncTime is how long a Sync takes.
 	SyncTime time.Duration
@@ -185,8 +185,9 @@
 	return n, nil
 }
 
-// Write appends to the file. A write that fails with EIO has written half of b, one that fails with ENOSPC as much as
-// fits on the disk, and one that fails because of the crash the bytes before the crash.
+// Write appends to the file. A write that fails with EIO has written half of b. A write that fails with ENOSPC has
+// written as much of b as fits on the disk. A write that fails because of the crash has written the bytes of b before
+// the crash.
 func (f *file) Write(b []byte) (int, error) {
 	fs := f.fs
 	fs.mu.Lock()
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -51,7 +51,7 @@
 	server Server
 }
 
-// machineKinds are the kinds and speeds of machines at a booking site that is replacing its old machines.
+// machineKinds are the kinds and speeds of the machines in a fleet with old, standard and new machines.
 var machineKinds = []struct {
 	kind  string
 	speed float64
@@ -65,8 +65,8 @@
 	{"old-slow", 0.65},
 }
 
-// MixedNodes returns count nodes, named n1, n2 and so on, with machines like those of a booking site that is replacing
-// its old machines, in zones a to d.
+// MixedNodes returns count nodes, named n1, n2 and so on, in zones a to d. Their kinds and speeds are the entries of
+// machineKinds in turn: a mix of old, standard and new machines.
 func MixedNodes(count int) []NodeConfig {
 	const zones = 4
 	var nodes []NodeConfig
@@ -185,14 +185,14 @@
 	})
 }
 
-// find returns the latest process of the node with a name, or nil if there was none.
+// find returns the latest process of the node with a name, or nil if there was no process.
 func (f *Fleet) find(name string) *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[name]
 }
 
-// Node returns the latest instance of the node with a name, or nil if there was none.
+// Node returns the Node of the latest process of the node with a name, or nil if there was no process.
 func (f *Fleet) Node(name string) *Node {
 	if p := f.find(name); p != nil {
 		return p.Node
--- a/internal/emulator/generate.go
+++ b/internal/emulator/generate.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BookingClasses are request classes like those of a booking site, with times that are ten times shorter.
+// BookingClasses resemble the request classes of a booking site, but their times are ten times shorter.
 var BookingClasses = []TrafficClass{
 	{Name: "seat-search", Effect: "safe", ObjectiveMS: 80, DeadlineMS: 400, Weight: 3, LateWeight: 0.3},
 	{Name: "coach-map", Effect: "safe", ObjectiveMS: 60, DeadlineMS: 400, Weight: 3, LateWeight: 0.3},
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -168,7 +168,7 @@
 	job.Effect = effect
 	switch s.node.Do(ctx, job) {
 	case emulator.QueueFull, emulator.Draining:
-		_ = grpc.SetTrailer(ctx, metadata.Pairs(NotRunTrailer, "1")) // fails only if ctx is not that of a call
+		_ = grpc.SetTrailer(ctx, metadata.Pairs(NotRunTrailer, "1")) // fails only if ctx is not the context of a call
 		return status.Error(codes.Unavailable, "turned away")
 	case emulator.NodeDied:
 		<-ctx.Done() // Stop is about to reset the connection, and no response may be sent before that
@@ -182,8 +182,7 @@
 	return nil
 }
 
-// do handles the unary method. interceptor is the chain of the server's interceptors, which are that of ORCA and
-// reportLoadOfCall.
+// do handles the unary method. interceptor runs the server's interceptors: first ORCA's, then reportLoadOfCall.
 func (s *server) do(
 	_ any, ctx context.Context, decode func(any) error, interceptor grpc.UnaryServerInterceptor,
 ) (any, error) {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -53,8 +53,9 @@
 	// that the node can do in that time. A node that gets more dies. 0: no limit.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
-	DrainGrace       time.Duration // time after the start of a drain, after which a job violates a rule; 0: none does
-	Seed             uint64        // seed of the node's random decisions
+	// DrainGrace is how long jobs may arrive after the start of a drain. A later job violates a rule. 0: no limit.
+	DrainGrace time.Duration
+	Seed       uint64 // seed of the node's random decisions
 }
 
 const (
--- a/internal/emulator/rawh2/rawh2.go
+++ b/internal/emulator/rawh2/rawh2.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// conn is a connection. Only the goroutine of serveConn reads frames. Any goroutine may write frames, since that of
-// serveConn acknowledges pings while tests write to streams.
+// conn is a connection. Only the goroutine that runs serveConn reads frames. Several goroutines write frames: serveConn
+// acknowledges pings while a test writes to a stream. Therefore writeMu guards writes.
 type conn struct {
 	netConn net.Conn
 	framer  *http2.Framer
--- a/internal/emulator/replay.go
+++ b/internal/emulator/replay.go
@@ -24,15 +24,15 @@
 // ResponseGrace is how long after the client's deadline a final response still counts. It allows for delays of sockets.
 const ResponseGrace = 70 * time.Millisecond
 
-// RequestFunc sends one request as a client and returns its outcome. number identifies the request. The context's
-// deadline is that of the client.
+// RequestFunc sends one request as a client and returns its outcome. number identifies the request. The context
+// ends at the client's deadline.
 type RequestFunc func(ctx context.Context, number int, class TrafficClass, r Request) Outcome
 
 // Report is the result of a replay.
 type Report struct {
 	Sent, Served, WithinObjective, Rejected, Failed, Unanswered int
 
-	Service        float64       // share of the total weight that was served; a late response counts LateWeight of it
+	Service        float64       // share of the total weight that was served; late responses count with LateWeight
 	P50, P99, P999 time.Duration // latency of all requests, whatever their outcome
 
 	ServedP50, ServedP99 time.Duration // latency of the requests that were served
--- a/internal/emulator/rulechecker.go
+++ b/internal/emulator/rulechecker.go
@@ -7,8 +7,8 @@
 )
 
 // RuleChecker counts the executions of the requests of a fleet and records violations of the rules. It detects a second
-// execution of a non-idempotent request or with the same idempotency key, and a job sent to a node after its drain
-// grace. Its methods may be called from any goroutine.
+// execution of a non-idempotent request, a second execution with the same idempotency key, and a job that reaches a
+// draining node after the drain grace. Its methods may be called from any goroutine.
 type RuleChecker struct {
 	IdempotencyWindow time.Duration // time for which the nodes of a zone discard repeats of a key
 	DrainSlack        time.Duration // added to a node's DrainGrace to allow for delays of sockets and of the scheduler
--- a/internal/load/grpcload/grpcload.go
+++ b/internal/load/grpcload/grpcload.go
@@ -91,7 +91,7 @@
 	return t, nil
 }
 
-// checkMethodURL returns an error if a URL is not that of a gRPC method.
+// checkMethodURL returns an error if a URL does not name a gRPC method.
 func checkMethodURL(u *url.URL) error {
 	isMethod := strings.Count(u.Path, "/") == 2 && !strings.HasSuffix(u.Path, "/")
 	switch {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -16,7 +16,7 @@
 	Served       Outcome = iota
 	Rejected             // status 429 or 503: a retry is harmless
 	Failed               // any other status
-	Broken               // no connection, or one that broke before the answer was complete
+	Broken               // no connection, or the connection broke before the answer was complete
 	TimedOut             // no answer before the deadline
 	Unsent               // omitted, since too many requests were open
 	outcomeCount         // number of values of Outcome
--- a/internal/load/pace.go
+++ b/internal/load/pace.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// The runtime's timers fire up to a millisecond late, those of the kernel only some tens of microseconds. For the last
+// The runtime's timers fire up to a millisecond late, the kernel's timers only some tens of microseconds. For the last
 // sleepBelow before a send time, the pacer therefore sleeps in the kernel, and for the last spinBelow it spins.
 const (
 	sleepBelow = 1500 * time.Microsecond
