--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -23,7 +23,7 @@
 
 const (
 	clientTimeout = 3 * time.Second
-	clientSlack   = 3 * time.Second // wait beyond clientTimeout for a response, since a busy machine is late
+	clientSlack   = 3 * time.Second // added to clientTimeout when waiting for a response, since a busy machine is slow
 	clientWork    = 3 * time.Millisecond
 	// clientStreamBase is added to a member's number to select the random stream of its client.
 	clientStreamBase = 1000
--- a/internal/testcluster/hollow/cluster.go
+++ b/internal/testcluster/hollow/cluster.go
@@ -83,7 +83,7 @@
 	Name string
 	// MemberName is the format of a member's name, with the member's number as its argument; "" means sidecar-%04d.
 	MemberName string
-	// ClusterKeys has further keys of the table [fleet] of the operator file, BootstrapKeys those of [recovery].
+	// ClusterKeys and BootstrapKeys have further keys of the operator file's tables [fleet] and [recovery].
 	ClusterKeys   string
 	BootstrapKeys string
 	// Attach is called at each start of a member, before its sockets are opened, and returns additional code to run at
@@ -195,7 +195,7 @@
 	return netip.AddrFrom4([4]byte{127, c.addressBlock, third, fourth})
 }
 
-// locationOf returns the location of the member at an address. Any other address is taken to be that of discovery.
+// locationOf returns the location of the member at an address. Any other address counts as discovery's.
 func (c *Cluster) locationOf(a netip.Addr) Location {
 	b := a.Unmap().As4()
 	n := (int(b[2])-1)*hostsPerSubnet + int(b[3])
@@ -251,8 +251,9 @@
 	return list
 }
 
-// Disagreement describes the first difference between the view of a running member of an area and the running members
-// of this area, which assumes that members outside the area cannot be reached; "" if there is none.
+// Disagreement compares the view of each running member of an area with the actual running members of this area. It
+// describes the first difference, or returns "" if there is none. It assumes that members outside the area cannot be
+// reached.
 func (c *Cluster) Disagreement(in func(Location) bool) string {
 	var sum uint64
 	var running []*Member
--- a/internal/testcluster/hollow/hollow_test.go
+++ b/internal/testcluster/hollow/hollow_test.go
@@ -89,8 +89,10 @@
 	if len(c.MembersIn(one)) != 8 || len(c.MembersIn(two)) != 8 || len(c.MembersIn("k1")) != 2 ||
 		c.Members[15].Location != (Location{2, 4, 8}) {
 		t.Fatalf(
-			"got %d and %d members in the regions, %d in rack 1 and the last member at %+v, want 8, 8, 2 and {2 4 8}",
-			len(c.MembersIn(one)), len(c.MembersIn(two)), len(c.MembersIn("k1")), c.Members[15].Location,
+			"members in region 1: %d, want 8; in region 2: %d, want 8; in rack 1: %d, want 2; "+
+				"location of the last member: %+v, want %+v",
+			len(c.MembersIn(one)), len(c.MembersIn(two)), len(c.MembersIn("k1")),
+			c.Members[15].Location, Location{2, 4, 8},
 		)
 	}
 	if err := c.Links.Apply("cut r1 r2"); err != nil {
--- a/internal/testcluster/hollow/links.go
+++ b/internal/testcluster/hollow/links.go
@@ -97,8 +97,8 @@
 	return l.changed
 }
 
-// waitOpen waits until the link between two locations is not cut, and then for its delay. It returns false if cancelled
-// or the links are closed first.
+// waitOpen waits until the link between two locations is not cut, and then for its delay. If the rules change during
+// the delay, the wait begins again. It returns false if cancelled or the links are closed first.
 func (l *Links) waitOpen(p, q Location, cancelled <-chan struct{}) bool {
 	for {
 		changed := l.nextChange()
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -65,7 +65,7 @@
 	Location Location
 
 	cluster *Cluster
-	traffic trafficCounter // traffic of all its processes
+	traffic trafficCounter // traffic of all processes of the member
 
 	mu sync.Mutex
 	// network is the network of the process that runs or is being started; nil if there is none.
@@ -81,8 +81,8 @@
 
 // view summarizes the other members that a member sees as alive.
 type view struct {
-	live   int    // their number
-	hash   uint64 // the sum of their processHash values
+	live   int    // number of members seen as alive
+	hash   uint64 // sum of the processHash values of these members
 	joined bool   // whether the member has joined the cluster
 }
 
@@ -90,7 +90,7 @@
 type process struct {
 	node *node.Node
 	hash uint64
-	// join starts its participation in the cluster, subscribe its subscription to the endpoint list.
+	// join starts the participation in the cluster, and subscribe the subscription to the endpoint list.
 	join, subscribe func()
 	stop            context.CancelFunc
 	goroutines      sync.WaitGroup
@@ -279,7 +279,7 @@
 	}
 }
 
-// end stops the goroutines of the process, waits for them and adds the process's statistics to those of the member.
+// end stops the goroutines of the process, waits for them and adds the process's statistics to the member's.
 func (m *Member) end(p *process) {
 	p.stop()
 	p.goroutines.Wait()
--- a/internal/testcluster/hollow/network.go
+++ b/internal/testcluster/hollow/network.go
@@ -49,7 +49,7 @@
 	delete(n.conns, c)
 }
 
-// kill closes all connections, as the end of a real process does, and prevents anything from being sent after it.
+// kill closes all connections, as the end of a real process does. After kill nothing more is sent.
 func (n *network) kill() {
 	n.mu.Lock()
 	n.killed = true
@@ -114,7 +114,7 @@
 // Listen implements gossip.Network.
 func (n *network) Listen(l net.Listener) net.Listener { return &listener{l, n} }
 
-// listener accepts connections, whose traffic it counts and which are closed when the member is killed.
+// listener accepts connections and counts their traffic. They are closed when the member is killed.
 type listener struct {
 	net.Listener
 	network *network
@@ -129,7 +129,7 @@
 	a := &acceptedConn{Conn: conn, counter: &l.network.member.traffic}
 	a.onClose = func() { l.network.release(a) }
 	if !l.network.track(a) {
-		_ = conn.Close() // the caller learns of it from its first Read
+		_ = conn.Close() // the caller's first Read returns an error
 	}
 	return a, nil
 }
--- a/internal/testcluster/hollow/steps.go
+++ b/internal/testcluster/hollow/steps.go
@@ -19,8 +19,8 @@
 // Apply applies a step of a script. The steps are:
 //
 //	cut A B         cuts the link between the areas A and B
-//	slow A B 40ms   delays it
-//	lose A B 0.1    loses the given share of its datagrams
+//	slow A B 40ms   delays datagrams and streams on this link
+//	lose A B 0.1    loses the given share of the link's datagrams
 //	heal A B        removes the setting of an earlier step for A B
 //	heal            removes all settings
 //
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -38,9 +38,9 @@
 const (
 	loopbackOctet = 127 // first octet of all addresses
 	memberOctet   = 77  // second octet of the members' gossip addresses
-	requestOctet  = 78  // second octet of the members' addresses for requests; that of admin endpoints is one higher
+	requestOctet  = 78  // second octet of the members' addresses for requests; one less than for admin endpoints
 	linkOctet     = 100 // the second octet of a link's address is this plus the sender's number
-	prefixBits    = 24  // length of the prefix of all members' addresses, and of that of one sender's links
+	prefixBits    = 24  // length of the prefix that all members' addresses, or all links of one sender, have in common
 )
 
 func memberAddr(n int) netip.Addr {
--- a/internal/testcluster/processsteps.go
+++ b/internal/testcluster/processsteps.go
@@ -53,8 +53,13 @@
 			exited = p.checkExit()
 			return exited != nil || c.responds(ctx, n)
 		})
-		if !ok || exited != nil {
-			return errors.Join(fmt.Errorf("%s has not responded since its start", p.name), exited)
+		switch {
+		case exited != nil:
+			return fmt.Errorf("waiting for the first response of %s: %w", p.name, exited)
+		case !ok && ctx.Err() != nil:
+			return fmt.Errorf("waiting for the first response of %s: the step was cancelled", p.name)
+		case !ok:
+			return fmt.Errorf("%s did not respond within %v of its start", p.name, startTimeout)
 		}
 		p.responded.Store(true)
 	}
