--- a/internal/simulation/baseline/requests.go
+++ b/internal/simulation/baseline/requests.go
@@ -90,7 +90,8 @@
 	p.sendNext(r)
 }
 
-// sendNext sends the next attempt of a request, or gives up the request if no attempt is allowed or no endpoint picked.
+// sendNext sends the next attempt of a request. If no attempt is allowed or no endpoint is picked, it gives up the
+// request.
 func (p *policy) sendNext(r *request) {
 	if p.now >= r.expiresAt || len(r.attempts) >= max(p.settings.MaxAttempts, 1) {
 		p.giveUp(r)
--- a/internal/simulation/baseline/weighted.go
+++ b/internal/simulation/baseline/weighted.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// weightUpdatePeriod is the interval at which weights are updated: the shortest one that gRFC A58 allows.
+	// weightUpdatePeriod is the interval at which weights are updated: the shortest interval that gRFC A58 allows.
 	weightUpdatePeriod = 100 * time.Millisecond
 	// weightExpiration is the time after the last load report at which a weight expires.
 	weightExpiration = 5 * time.Second
--- a/internal/simulation/callgraph/experiment.go
+++ b/internal/simulation/callgraph/experiment.go
@@ -114,7 +114,7 @@
 	case !(e.CallRate > 0):
 		return fmt.Errorf("calls: %v is not above 0", e.CallRate)
 	case total > maxCalls:
-		return fmt.Errorf("calls: %v per second for %v are %.0f calls in total, more than %d",
+		return fmt.Errorf("calls: %v per second for %v are %.0f calls in total, want at most %d",
 			e.CallRate, length, total, maxCalls)
 	case !(e.FanOut > 0) || e.FanOut > maxFanOut:
 		return fmt.Errorf("fan: %v is out of range; above 0 and at most %d is allowed", e.FanOut, maxFanOut)
--- a/internal/simulation/callgraph/experiment_test.go
+++ b/internal/simulation/callgraph/experiment_test.go
@@ -18,7 +18,7 @@
 		{
 			"calls = 10.0",
 			"calls = 1e9",
-			"calls: 1e+09 per second for 2s are 2000000000 calls in total, more than 200000000",
+			"calls: 1e+09 per second for 2s are 2000000000 calls in total, want at most 200000000",
 		},
 		{"fan = 2.0", "fan = 2.1", "fan: 2.1 is out of range; above 0 and at most 2 is allowed"},
 		{"work = \"1ms\"", "hop = \"-1s\"", "work: 0s is not above 0"},
@@ -52,7 +52,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ReadExperiment(path); err == nil || err.Error() != path+": "+key.want {
-				t.Errorf("got %v, want %s", err, key.want)
+				t.Errorf("ReadExperiment: error %v, want %s: %s", err, path, key.want)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ReadExperiment(path); err == nil || err.Error() != path+": "+c.want {
-				t.Errorf("got %v, want %s", err, c.want)
+				t.Errorf("ReadExperiment: error %v, want %s: %s", err, path, c.want)
 			}
 		})
 	}
--- a/internal/simulation/callgraph/graph.go
+++ b/internal/simulation/callgraph/graph.go
@@ -18,16 +18,16 @@
 // service is a service of the graph.
 type service struct {
 	index, layer int
-	calls        []*service // the services that it calls
+	calls        []*service // services that this service calls
 	// callProbability is the probability that serving one call includes a call to a given one of them.
 	callProbability float64
-	callers         int // number of services that call it
+	callers         int // number of services that call this service
 	// demand is the mean number of calls to the service for each call of a user.
 	demand    float64
 	instances []*instance
 }
 
-// addCallee adds a service to the ones that s calls, unless it is one of them already.
+// addCallee adds a service to the services that s calls, unless s calls it already.
 func (s *service) addCallee(called *service) {
 	if !slices.Contains(s.calls, called) {
 		s.calls = append(s.calls, called)
--- a/internal/simulation/callgraph/instance.go
+++ b/internal/simulation/callgraph/instance.go
@@ -19,7 +19,7 @@
 type attempt struct {
 	// call is the call that the attempt belongs to; nil for a user's call.
 	call      *call
-	index     int // among the attempts of the call
+	index     int // position among the attempts of the call; the first has 0
 	at        *instance
 	path      uint64
 	depth     int // number of layers below the service that users call
--- a/internal/simulation/callgraph/metrics.go
+++ b/internal/simulation/callgraph/metrics.go
@@ -12,7 +12,7 @@
 	events                 int
 
 	users, usersServed int
-	latencies          []time.Duration // of the users' calls that were served
+	latencies          []time.Duration // latencies of the users' calls that were served
 
 	plannedLeafCalls int
 	leafAttempts     int
--- a/internal/simulation/callgraph/sidecar.go
+++ b/internal/simulation/callgraph/sidecar.go
@@ -12,7 +12,7 @@
 	// zoneName and kindName are the zone and the kind of all instances.
 	zoneName = "a"
 	kindName = "m"
-	// lateWeight is the weight of a late answer relative to that of one in time.
+	// lateWeight is the weight of an answer after the latency objective, relative to an answer in time.
 	lateWeight     = 0.5
 	connectTimeout = time.Second
 )
@@ -21,10 +21,10 @@
 type sidecar struct {
 	sim        *simulation
 	balancer   *balancer.Balancer
-	instances  map[string]*instance // by endpoint ID
+	instances  map[string]*instance // instances of the called service, by endpoint ID
 	calls      map[string]*call
 	lastCallID int
-	timerAt    time.Duration // 0: no timer is set
+	timerAt    time.Duration // time at which the balancer's timer fires; 0: no timer is set
 	// buffers are unused slices for actions. There can be several, since performing an action can call handle again.
 	buffers [][]balancer.Action
 }
--- a/internal/simulation/capacity/day.go
+++ b/internal/simulation/capacity/day.go
@@ -25,8 +25,8 @@
 	endpoints int
 
 	mu       sync.Mutex
-	restarts map[int]int      // by index of the endpoint
-	failed   []*hollow.Member // killed for the rest of the day
+	restarts map[int]int      // number of restarts, by index of the endpoint
+	failed   []*hollow.Member // members that were killed for the rest of the day
 }
 
 // setHealth sets the health of a member's endpoint and adds to the number of its restarts.
--- a/internal/simulation/capacity/measure.go
+++ b/internal/simulation/capacity/measure.go
@@ -31,7 +31,7 @@
 type snapshot struct {
 	at        time.Time
 	usage     processUsage
-	counts    []hollow.Counts // by member
+	counts    []hollow.Counts // traffic by member
 	roles     []string        // by member; empty: the member does not run
 	discovery hollow.Counts
 }
--- a/internal/simulation/capacity/run.go
+++ b/internal/simulation/capacity/run.go
@@ -29,7 +29,7 @@
 }
 
 // Run runs an experiment at one size and calls progress after each phase. If a phase fails, it returns the results up
-// to then with the error. Only one experiment may run in a process at a time, since some figures are those of the
+// to then with the error. Only one experiment may run in a process at a time, since some figures cover the whole
 // process.
 func (e *Experiment) Run(ctx context.Context, size int, progress func(format string, args ...any)) ([]Result, error) {
 	r := &run{Experiment: e, size: size}
--- a/internal/simulation/configsim/machine.go
+++ b/internal/simulation/configsim/machine.go
@@ -10,7 +10,7 @@
 // Sizes of messages in bytes.
 const (
 	frameOverhead       = 180
-	reportOverhead      = 150 // the head of the HTTP request that carries a report
+	reportOverhead      = 150 // head of the HTTP request that carries a report
 	revisionSize        = 62  // a membership datagram without entries
 	fetchSize           = 200
 	subscribeSize       = 250
--- a/internal/simulation/fleetsim/heartbeats.go
+++ b/internal/simulation/fleetsim/heartbeats.go
@@ -52,7 +52,8 @@
 // NextTick implements Protocol.
 func (h *heartbeats) NextTick() time.Duration { return h.nextTick }
 
-// Leave implements Protocol. The protocol has no message that announces it.
+// Leave implements Protocol. It does nothing, because this protocol has no message by which a member announces that it
+// leaves.
 func (h *heartbeats) Leave(time.Duration) []cluster.Action { return nil }
 
 // Receive implements Protocol.
--- a/internal/simulation/simulator/connections.go
+++ b/internal/simulation/simulator/connections.go
@@ -8,7 +8,7 @@
 // connections are the connections of an instance to one node.
 type connections struct {
 	open int
-	idle []connection // by idle time, the longest first
+	idle []connection // idle connections, in order of idle time, the longest first
 	// shared is the only connection if attempts are multiplexed.
 	shared connection
 }
--- a/internal/simulation/simulator/discovery.go
+++ b/internal/simulation/simulator/discovery.go
@@ -11,8 +11,8 @@
 
 // discovery is the state of the discovery service.
 type discovery struct {
-	busyUntil time.Duration // when all accepted calls are answered
-	downUntil time.Duration // when the latest outage ends
+	busyUntil time.Duration // time at which all accepted calls are answered
+	downUntil time.Duration // time at which the latest outage ends
 	outages   int           // the number of outages so far
 	known     []knownNode   // the state of the nodes as the service knows it, by node
 }
--- a/internal/simulation/simulator/endpoints.go
+++ b/internal/simulation/simulator/endpoints.go
@@ -114,7 +114,7 @@
 	if i.endpoints.cached == nil || kind != balancer.Delta {
 		previous := i.endpoints.cached
 		i.endpoints.cached = map[string]balancer.Endpoint{}
-		for name := range previous { // a node that a complete list lacks has been removed
+		for name := range previous { // a node that is missing in a complete list has been removed
 			i.noteEndpointState(i.sim.nodesByName[name], balancer.Removed)
 		}
 	}
--- a/internal/simulation/simulator/idempotency.go
+++ b/internal/simulation/simulator/idempotency.go
@@ -9,8 +9,8 @@
 
 // keyedExecutions records for the idempotency window which keyed requests were executed in which scope.
 type keyedExecutions struct {
-	startedAt map[string]time.Duration // by class, scope and request
-	expiries  []keyExpiry              // oldest first
+	startedAt map[string]time.Duration // start of the execution, by class, scope and request
+	expiries  []keyExpiry              // expiries of the records, oldest first
 }
 
 // keyExpiry is a key whose record is deleted one idempotency window after the execution.
--- a/internal/simulation/simulator/instance.go
+++ b/internal/simulation/simulator/instance.go
@@ -32,7 +32,7 @@
 	lastCallID   int
 	timerAt      time.Duration // when the policy's timer fires; 0 if it has none
 	actionBuffer []balancer.Action
-	connections  []connections // by node
+	connections  []connections // connections to each node, by node
 	endpoints    endpointView
 	processor    processor
 }
--- a/internal/simulation/simulator/metrics.go
+++ b/internal/simulation/simulator/metrics.go
@@ -32,7 +32,7 @@
 
 	requests                      int
 	results                       [callResultCount]int
-	requestedWeight, earnedWeight []float64 // by class
+	requestedWeight, earnedWeight []float64 // sums of priority weight, by class
 	latencies                     *hdrhistogram.Histogram
 	seconds                       []*second
 
--- a/internal/simulation/simulator/models_test.go
+++ b/internal/simulation/simulator/models_test.go
@@ -57,9 +57,9 @@
 	return sum
 }
 
-// The processor of an instance must behave as an M/D/1 queue on a share of a core. The time that requests wait there
-// must not be part of the latency that the instance measures, and at 1.6 times the processor's capacity many requests
-// must get no answer in time.
+// Requests must wait for the host's processor as in an M/D/1 queue whose server is the instance's share of a core. This
+// wait must not be part of the latency that the balancer is told (Outcome.Elapsed). With 1.6 times the load that the
+// processor can serve, at least a quarter of the requests must get no answer before their deadline.
 func TestHostAgainstClosedForm(t *testing.T) {
 	const cost, cores, rho = 4 * ms, 0.5, 0.8
 	cfg := queueOnlyConfig(1, 1000, 0, rho*cores/cost.Seconds(), Work{"fixed", ms, 0}, 1000*time.Second)
--- a/internal/simulation/simulator/oracle_test.go
+++ b/internal/simulation/simulator/oracle_test.go
@@ -82,8 +82,8 @@
 			requests++
 			d, ok := oracle.ResponseTime("n0", 10*ms)
 			if ok != want.ok || ok && d != time.Duration(want.factor*float64(10*ms)) {
-				t.Errorf("%s: the response time of n0 is %v, %v, want %v times 10ms, %v",
-					kind, d, ok, want.factor, want.ok)
+				t.Errorf("%s: predicted response time of n0 %v (answer expected: %v), want %v (answer expected: %v)",
+					kind, d, ok, time.Duration(want.factor*float64(10*ms)), want.ok)
 			}
 			if _, ok := oracle.ResponseTime("n1", 10*ms); !ok {
 				t.Errorf("%s: the oracle predicts no answer of n1, which has no fault", kind)
--- a/internal/simulation/simulator/simulation_test.go
+++ b/internal/simulation/simulator/simulation_test.go
@@ -147,10 +147,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.ViolationCount > 0 || r.Requests != r.Served+r.Rejected+r.Failed+r.Unanswered || r.Service < 0.5 {
-				t.Errorf("%d instances, seed %d: service %.3f, want at least 0.5; "+
-					"%d requests, want the sum of %d served, %d rejected, %d failed and %d unanswered; violations %q",
-					instances, seed, r.Service, r.Requests, r.Served, r.Rejected, r.Failed, r.Unanswered, r.Violations)
+			if r.ViolationCount > 0 {
+				t.Errorf("%d instances, seed %d: %d violations, want 0: %q",
+					instances, seed, r.ViolationCount, r.Violations)
+			}
+			if r.Requests != r.Served+r.Rejected+r.Failed+r.Unanswered {
+				t.Errorf("%d instances, seed %d: %d requests, want the sum of %d served, %d rejected, %d failed "+
+					"and %d unanswered", instances, seed, r.Requests, r.Served, r.Rejected, r.Failed, r.Unanswered)
+			}
+			if r.Service < 0.5 {
+				t.Errorf("%d instances, seed %d: service %.3f, want at least 0.5", instances, seed, r.Service)
 			}
 			b, err := json.Marshal(r)
 			if err != nil {
--- a/internal/simulation/simulator/traffic.go
+++ b/internal/simulation/simulator/traffic.go
@@ -13,7 +13,7 @@
 	work         time.Duration
 	expectedWork time.Duration
 	arrivedAt    time.Duration
-	expiresAt    time.Duration // when the client gives up
+	expiresAt    time.Duration // time at which the client gives up
 	instance     *instance
 	calls        int
 	// patience is how long an impatient client waits for its only call. It is 0 if the client is not impatient.
--- a/internal/simulation/slope/forecast.go
+++ b/internal/simulation/slope/forecast.go
@@ -26,7 +26,7 @@
 
 // Extrapolate fits a model to the points of sizes up to maxFittedSize and predicts the values of the larger sizes. Each
 // prediction is compared with the mean of the points of its size. The forecasts are ordered by size. The errors are
-// those of New.
+// the same as for New.
 func Extrapolate(points []Point, maxFittedSize int) (Fit, []Forecast, error) {
 	var fitted []Point
 	sum, count := map[int]float64{}, map[int]float64{}
--- a/internal/simulation/worstcase/search.go
+++ b/internal/simulation/worstcase/search.go
@@ -47,10 +47,10 @@
 type Case struct {
 	Load   float64
 	Faults []experiment.Fault
-	// Loss is the service of the baseline minus that of the policy, as the mean of the seeds. If the policy violates a
+	// Loss is the baseline's service minus the policy's service, as the mean of the seeds. If the policy violates a
 	// rule, violationLoss is added.
 	Loss       float64
-	Violations int // by the policy, with all seeds
+	Violations int // rule violations by the policy, summed over all seeds
 }
 
 // searcher searches for the worst case of the cluster of an experiment.
