--- a/internal/simulation/baseline/policy_test.go
+++ b/internal/simulation/baseline/policy_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	p, err := New(name)
 	if err != nil || Source(name) == "" {
-		t.Fatalf("policy %s: error %v, source %q", name, err, Source(name))
+		t.Fatalf("policy %s: error %v, want none; source %q, want a text", name, err, Source(name))
 	}
 	cfg := simulator.EveryFaultConfig(5, 100)
 	if !canOverload {
@@ -38,7 +38,7 @@
 			r := runEveryFault(t, name, 1, name == Hazelwing)
 			if r.ViolationCount > 0 || r.Service < 0.4 || r.Unanswered > r.Requests/100 {
 				t.Errorf("service %.3f, want at least 0.4; "+
-					"%d of %d requests unanswered, want at most 1%%; violations %q",
+					"%d of %d requests unanswered, want at most 1%%; violations %q, want none",
 					r.Service, r.Unanswered, r.Requests, r.Violations)
 			}
 		})
--- a/internal/simulation/callgraph/callgraph_test.go
+++ b/internal/simulation/callgraph/callgraph_test.go
@@ -61,8 +61,9 @@
 			}
 			for _, s := range list {
 				if s.layer > 0 && s.callers == 0 || s.layer < c.Depth && len(s.calls) == 0 {
-					t.Errorf("seed %d: service %d of layer %d has %d callers and calls %d services",
-						seed, s.index, s.layer, s.callers, len(s.calls))
+					t.Errorf("seed %d: service %d of layer %d has %d callers, want at least 1 below layer 0; "+
+						"it calls %d services, want at least 1 above the last layer, %d",
+						seed, s.index, s.layer, s.callers, len(s.calls), c.Depth)
 				}
 			}
 		}
--- a/internal/simulation/callgraph/experiment_test.go
+++ b/internal/simulation/callgraph/experiment_test.go
@@ -9,7 +9,7 @@
 )
 
 // If a file has several errors, the first one in the fixed order of the checks is reported. In each case, a key and all
-// keys that are checked after it are wrong, and the error has to be that of the key.
+// keys that are checked after it are wrong. The error has to name the first of them.
 func TestFirstErrorOfWrongFile(t *testing.T) {
 	keys := []struct{ valid, wrong, want string }{
 		{"depth = 2", "depth = 21", "depth: 21 is not in the range from 1 to 20"},
--- a/internal/simulation/capacity/experiment_test.go
+++ b/internal/simulation/capacity/experiment_test.go
@@ -17,7 +17,7 @@
 	}
 	_, err := ReadExperiment(path)
 	if err == nil {
-		t.Fatal("the file was read without an error")
+		t.Fatal("ReadExperiment accepted a wrong file, want an error")
 	}
 	lines := strings.Split(err.Error(), "\n")
 	for i, line := range lines {
@@ -80,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := errorsOf(t, c.text); !slices.Equal(got, c.want) {
-				t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(c.want, "\n"))
+				t.Errorf("ReadExperiment: errors\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(c.want, "\n"))
 			}
 		})
 	}
@@ -98,6 +98,6 @@
 		"wait: 12m0s is out of range; above 0 and at most 10m0s is allowed",
 	}
 	if slices.Sort(got); !slices.Equal(got, want) {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("ReadExperiment: errors\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
--- a/internal/simulation/capacity/stored_test.go
+++ b/internal/simulation/capacity/stored_test.go
@@ -86,7 +86,7 @@
 func TestCommittedResultsAreRead(t *testing.T) {
 	list, err := filepath.Glob(filepath.Join(testutil.RepositoryRoot(t), "lab", "capacity", "results", "*.json"))
 	if err != nil || len(list) == 0 {
-		t.Fatalf("no files of results in lab/capacity/results: %q, error %v", list, err)
+		t.Fatalf("files of results in lab/capacity/results: %q, want at least one; error %v", list, err)
 	}
 	for _, path := range list {
 		rows, err := ReadResults(path)
--- a/internal/simulation/configsim/configsim_test.go
+++ b/internal/simulation/configsim/configsim_test.go
@@ -171,7 +171,8 @@
 	c.Run(10 * time.Second)
 	for _, id := range []string{"1", "2", "3"} {
 		if change := c.Push(id, 0); !c.waitActive(10*time.Second, change, nil) {
-			t.Fatalf("change %s is active at %d of %d members", id, len(change.activeAt), len(c.Members))
+			t.Fatalf("after 10 s, change %s is active at %d of %d members, want all",
+				id, len(change.activeAt), len(c.Members))
 		}
 	}
 	c.Freeze(&c.Members[absent].machine, true)
@@ -215,7 +216,7 @@
 		}
 	}
 	if change := c.Push("more", 0); !c.waitActive(10*time.Second, change, nil) {
-		t.Errorf("beside an origin of the old epoch, a change is active at %d of %d members",
+		t.Errorf("beside an origin of the old epoch, a change is active at %d of %d members after 10 s, want all",
 			len(change.activeAt), len(c.Members))
 	}
 }
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -172,10 +172,11 @@
 	}
 	d, err := Compare(h, left, h, noise, []string{"service"})
 	if err != nil || d[0].Differs {
-		t.Errorf("noise is reported as the difference %+v, error %v", d, err)
+		t.Errorf("Compare with noise: differences %+v, want Differs false; error %v, want none", d, err)
 	}
 	if d, err = Compare(h, left, h, better, []string{"service"}); err != nil || !d[0].Differs || d[0].Low <= 0 {
-		t.Errorf("higher service is not reported as a difference: %+v, error %v", d, err)
+		t.Errorf("Compare with higher service: differences %+v, want Differs true and Low above 0; error %v, want none",
+			d, err)
 	}
 	few := h
 	few.Seeds = 3
@@ -221,8 +222,8 @@
 	}
 }
 
-// Load rejects an experiment with an error, and names the file and the error. An experiment that was executed other
-// than its author meant it would give results for another question.
+// Load rejects an experiment with an error, and names the file and the error. An experiment that is executed
+// differently from what its author meant would answer another question.
 func TestLoadReportsErrors(t *testing.T) {
 	for change, want := range map[string]string{
 		"seeds = 6|seeds = 0":               "seeds: must be from 1 to 1000, got 0",
--- a/internal/simulation/experiment/stored_test.go
+++ b/internal/simulation/experiment/stored_test.go
@@ -157,7 +157,8 @@
 		t.Error("results of another program were continued, want an error")
 	}
 	if text, err := os.ReadFile(path); err != nil || !bytes.Equal(text, storedText) {
-		t.Errorf("rejected file of results was changed, error %v", err)
+		t.Errorf("reading the rejected file of results: error %v, want none; text\n%s\nwant it unchanged:\n%s",
+			err, text, storedText)
 	}
 
 	head, err := json.Marshal(e.header())
@@ -199,9 +200,9 @@
 		if err := decodeStrict([]byte("[world.settings]\n"+key+" = true\n"), &f); err != nil {
 			t.Fatal(err)
 		}
-		// The six other fields have to be unset.
+		// The six fields that do not belong to the key have to be unset.
 		if !field(&f.Cluster.Settings) || len(testutil.UnsetFields(f.Cluster.Settings)) != 6 {
-			t.Errorf("key %s = true is decoded as %+v", key, f.Cluster.Settings)
+			t.Errorf("%s = true is decoded as %+v, want only the field of this key set", key, f.Cluster.Settings)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -41,8 +41,8 @@
 	return func(from, to int) bool { return (from < n) == (to < n) }
 }
 
-// A third of the members dies at once, and half of these restart 50 ms later under the same names. A member could take
-// the death of an earlier process for that of its successor. The views have to converge within a minute.
+// A third of the members dies at once, and half of these restart 50 ms later under the same names. A member could
+// apply the death of an earlier process to its successor. The views have to converge within a minute.
 func TestDeathOfAThird(t *testing.T) {
 	s := startJoined(t, Config{Members: 30, Seed: 1})
 	for i := range 10 {
@@ -387,9 +387,13 @@
 	}
 	for _, m := range h.Members {
 		if core, ok := m.Protocol.(*cluster.Core); ok {
-			if stats := core.Stats(); stats.Rejected > 0 || stats.KnownMembers > len(h.Members) {
-				h.t.Errorf("seed %d: %s rejected messages or knows more than %d members: %+v",
-					h.seed, m.Name, len(h.Members), stats)
+			stats := core.Stats()
+			if stats.Rejected > 0 {
+				h.t.Errorf("seed %d: %s rejected %d messages, want 0", h.seed, m.Name, stats.Rejected)
+			}
+			if stats.KnownMembers > len(h.Members) {
+				h.t.Errorf("seed %d: %s knows %d members, want at most %d",
+					h.seed, m.Name, stats.KnownMembers, len(h.Members))
 			}
 		}
 	}
--- a/internal/simulation/simulator/balancercount_test.go
+++ b/internal/simulation/simulator/balancercount_test.go
@@ -12,8 +12,8 @@
 
 // rollingReplacementConfig returns the configuration of a cluster of four zones. At 2 s and again at 5 s, thirty per
 // cent of the nodes, drawn at random, begin to be replaced. Ten per cent of the nodes are slow from 1 s on. Some
-// instances have far more traffic than others, and the instances of zone a have zoneFactor times the traffic of those
-// of the other zones.
+// instances have far more traffic than others, and the instances of zone a have zoneFactor times the traffic of the
+// instances of the other zones.
 func rollingReplacementConfig(instances, nodes int, zoneFactor float64) Config {
 	c := EveryFaultConfig(instances, 18*float64(nodes))
 	c.Duration = 10 * time.Second
@@ -74,7 +74,7 @@
 				t.Fatal(err)
 			}
 			if r.ViolationCount > 0 {
-				t.Errorf("%s, seed %d: violations %q", c.name, seed, r.Violations)
+				t.Errorf("%s, seed %d: violations %q, want none", c.name, seed, r.Violations)
 			}
 			service[c.name] += r.Service / seeds
 			coldLoad, crossZone = max(coldLoad, r.MaxColdLoad), crossZone+r.CrossZoneShare/seeds
@@ -148,7 +148,7 @@
 			coldLoad = max(coldLoad, r.MaxColdLoad)
 			connections = max(connections, float64(r.MaxConnections))
 			if r.ViolationCount > 0 {
-				t.Errorf("%s, seed %d: violations %q", c.name, seed, r.Violations)
+				t.Errorf("%s, seed %d: violations %q, want none", c.name, seed, r.Violations)
 			}
 		}
 		t.Logf("%-28s service %.3f, cold load %.2f, connections per node %.0f", c.name, service, coldLoad, connections)
@@ -166,7 +166,7 @@
 			t.Fatal(err)
 		}
 		if r.ViolationCount > 0 || r.MaxColdLoad > 1 {
-			t.Errorf("seed %d: cold load is %.2f of the capacity, want at most 1; violations %q",
+			t.Errorf("seed %d: cold load is %.2f of the capacity, want at most 1; violations %q, want none",
 				seed, r.MaxColdLoad, r.Violations)
 		}
 		worst = max(worst, r.MaxColdLoad)
--- a/internal/simulation/simulator/discovery_test.go
+++ b/internal/simulation/simulator/discovery_test.go
@@ -181,7 +181,7 @@
 			t.Fatal(err)
 		}
 		if r.ViolationCount > 0 {
-			t.Errorf("seed %d: violations %q", seed, r.Violations)
+			t.Errorf("seed %d: violations %q, want none", seed, r.Violations)
 		}
 		// An instance waits at least 0.25 s before its second call and 0.5 s before its third one, so that it makes at
 		// most three calls within a second (docs/design/large-fleets.md).
--- a/internal/simulation/simulator/models_test.go
+++ b/internal/simulation/simulator/models_test.go
@@ -188,7 +188,7 @@
 		}
 		r, err := Run(c, newBalancer, seed)
 		if err != nil || r.ViolationCount > 0 || r.Service < 0.4 {
-			t.Errorf("seed %d: service %.3f, want at least 0.4; violations %q; error %v",
+			t.Errorf("seed %d: service %.3f, want at least 0.4; violations %q, want none; error %v",
 				seed, r.Service, r.Violations, err)
 		}
 	}
@@ -258,7 +258,7 @@
 		runtime.ReadMemStats(&before)
 		r, err := Run(c, newBalancer, 1)
 		if err != nil || r.ViolationCount > 0 {
-			t.Fatalf("error %v, violations %q", err, r.Violations)
+			t.Fatalf("Run: error %v, want none; violations %q, want none", err, r.Violations)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/simulation/simulator/oracle_test.go
+++ b/internal/simulation/simulator/oracle_test.go
@@ -115,7 +115,7 @@
 	sim.nodesByName[n.Name] = n
 	n.running[0].node = n
 	if d, ok := (oracle{&instance{sim: sim}}).ResponseTime(n.Name, 3*ms); !ok || d != 33*ms {
-		t.Errorf("response time %v, %v, want 33ms, true", d, ok)
+		t.Errorf("predicted response time %v (answer expected: %v), want 33ms (answer expected: true)", d, ok)
 	}
 	n.QueueLimit = 1
 	if _, ok := (oracle{&instance{sim: sim}}).ResponseTime(n.Name, 3*ms); ok {
--- a/internal/simulation/simulator/simulation_test.go
+++ b/internal/simulation/simulator/simulation_test.go
@@ -37,8 +37,7 @@
 	return actions
 }
 
-// queueOnlyConfig returns a cluster whose only delays are those of the nodes' queues. It has one class and one
-// instance.
+// queueOnlyConfig returns a cluster in which only the nodes' queues cause delays. It has one class and one instance.
 func queueOnlyConfig(nodes, cores, queueLimit int, rate float64, work Work, length time.Duration) Config {
 	c := Config{
 		Duration: length,
@@ -189,7 +188,7 @@
 	}
 	r, err := Run(c, newBalancer, 1)
 	if err != nil || r.ViolationCount > 0 {
-		t.Errorf("error %v, violations %q", err, r.Violations)
+		t.Errorf("Run: error %v, want none; violations %q, want none", err, r.Violations)
 	}
 }
 
--- a/internal/simulation/slope/slope_test.go
+++ b/internal/simulation/slope/slope_test.go
@@ -60,7 +60,8 @@
 			}
 			for _, f := range forecasts {
 				if math.Abs(f.RelativeError()) > maxForecastError {
-					t.Errorf("%d members: %.3g predicted, %.3g measured", f.Size, f.Predicted, f.Measured)
+					t.Errorf("%d members: %.3g predicted, %.3g measured, relative error %.3g, want at most %.3g",
+						f.Size, f.Predicted, f.Measured, f.RelativeError(), maxForecastError)
 				}
 			}
 		})
@@ -78,8 +79,8 @@
 	}
 }
 
-// The forecasts show it if a value grows differently beyond the fitted sizes, or in another way than the model can
-// describe: they then have a large error.
+// If a value grows differently beyond the fitted sizes, or in a way that the model cannot describe, the forecasts must
+// have a large error.
 func TestExtrapolateMissesOtherGrowth(t *testing.T) {
 	for name, function := range map[string]func(n float64) float64{
 		"square beyond the fit": func(n float64) float64 { return 100 + n + max(0, n-295)*max(0, n-295)/100 },
--- a/internal/testcluster/hollow/hollow_test.go
+++ b/internal/testcluster/hollow/hollow_test.go
@@ -56,7 +56,7 @@
 
 // Measurements with hollow members are valid only if these behave like sidecars. The test cuts and heals links between
 // regions and racks, kills members, and lets members leave and start again. The members have to join the cluster and
-// get the endpoint list through a tree of which only the roots call discovery. After each fault, all views and lists
+// get the endpoint list through a tree in which only the roots call discovery. After each fault, all views and lists
 // have to be correct.
 func TestClusterThroughFaults(t *testing.T) {
 	c := newCluster(t, Config{
@@ -212,7 +212,7 @@
 		return string(text), err
 	}
 	if text, err := get(testutil.WaitTimeout); text != "sidecar-0003" {
-		t.Errorf("response of the attached handler: %q, %v, want sidecar-0003", text, err)
+		t.Errorf("response of the attached handler: %q, error %v, want sidecar-0003 without an error", text, err)
 	}
 	if err := c.Links.Apply("cut z1 z3"); err != nil {
 		t.Fatal(err)
@@ -225,7 +225,7 @@
 	}
 	begun := time.Now()
 	if text, err := get(testutil.WaitTimeout); text != "sidecar-0003" || time.Since(begun) < 60*time.Millisecond {
-		t.Errorf("response over a link with 30 ms delay: %q, %v after %v, want sidecar-0003 after at least 60ms",
+		t.Errorf("response over a link with 30 ms delay: %q, error %v, after %v, want sidecar-0003 after at least 60ms",
 			text, err, time.Since(begun))
 	}
 	c.Close()
