--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -11,7 +11,7 @@
 )
 
 // One node becomes slow, one drains, and one crashes and restarts while requests arrive. A daemon that lost a response,
-// executed an effect twice or kept sending to the draining node would break a rule. The demonstration must end by
+// caused a second execution or kept sending to the draining node would break a rule. The demonstration must end by
 // itself, show the faults of the nodes and report that all rules were kept.
 func TestFaultsBreakNoRule(t *testing.T) {
 	const faults = "300ms slow n1 8 1s\n400ms drain n3\n900ms crash n4\n1200ms restart n4"
--- a/internal/emulator/rawh2/rawh2.go
+++ b/internal/emulator/rawh2/rawh2.go
@@ -1,5 +1,5 @@
 // Package rawh2 is a gRPC server that tests control at the level of HTTP/2 frames, for faults at an exact moment. It
-// can refuse streams, send GOAWAY with a last stream ID below that of an open stream, stop reading, or close the
+// can refuse streams, send GOAWAY with a last stream ID below an open stream's ID, stop reading, or close the
 // connection after it has read a complete request (RFC 9113; gRPC over HTTP/2).
 package rawh2
 
--- a/internal/emulator/rawh2/stream.go
+++ b/internal/emulator/rawh2/stream.go
@@ -43,8 +43,8 @@
 	s.conn.write(func(f *http2.Framer) error { return f.WriteRSTStream(s.ID, code) })
 }
 
-// GoAway sends GOAWAY with a last stream ID below that of this stream, which states that this stream and later ones are
-// not processed, and closes the connection.
+// GoAway sends GOAWAY with a last stream ID below this stream's ID, and closes the connection. The frame states that
+// this stream and later ones are not processed.
 func (s *Stream) GoAway() {
 	s.conn.write(func(f *http2.Framer) error { return f.WriteGoAway(s.ID-1, http2.ErrCodeNo, nil) })
 	s.conn.close()
--- a/internal/simulation/configsim/longrun.go
+++ b/internal/simulation/configsim/longrun.go
@@ -9,7 +9,7 @@
 	// partitionChangeTimeout limits the time until a change that is pushed during a partition is active in the larger
 	// region.
 	partitionChangeTimeout = 10 * time.Second
-	// smallerPushTime is the time for which the smaller region is checked not to accept a change.
+	// smallerPushTime is how long the smaller region is observed. It must not accept a change in this time.
 	smallerPushTime = 5 * time.Second
 	// rejoinTimeout limits the time after a partition until the last change is active at all members.
 	rejoinTimeout = 15 * time.Second
--- a/internal/simulation/configsim/member.go
+++ b/internal/simulation/configsim/member.go
@@ -197,8 +197,8 @@
 	})
 }
 
-// exchangeRevisions makes each member exchange revisions with a random other one in every exchangeInterval, as the
-// membership probes do.
+// exchangeRevisions makes each member exchange revisions with another member, chosen at random, in every
+// exchangeInterval, as the membership probes do.
 func (c *Cluster) exchangeRevisions() {
 	for _, m := range c.Members {
 		delay := time.Duration(c.rng.Int64N(int64(exchangeInterval)))
--- a/internal/simulation/configsim/origin.go
+++ b/internal/simulation/configsim/origin.go
@@ -17,8 +17,8 @@
 type Origin struct {
 	machine
 	node  *origin.Node
-	state *origin.State      // on disk; the next process starts with it
-	frame controlplane.Frame // published last
+	state *origin.State      // state on disk, with which the next process starts
+	frame controlplane.Frame // frame that was published last
 }
 
 // Bootstrap creates a new cluster of origins with a given epoch and empty stores, and starts the origins.
--- a/internal/simulation/configsim/scenario.go
+++ b/internal/simulation/configsim/scenario.go
@@ -18,7 +18,8 @@
 	scenarioTimeout = 8 * time.Second
 	// defaultMaxP99 is the limit of Outcome.P99 for scenarios that do not set a higher one.
 	defaultMaxP99 = time.Second
-	// electionMaxP99 is the limit for scenarios with an election, lossMaxP99 for those that also lose several machines.
+	// electionMaxP99 is the limit for scenarios with an election. lossMaxP99 is the limit if the scenario also loses
+	// several machines.
 	electionMaxP99 = 3 * time.Second
 	lossMaxP99     = 4 * time.Second
 	// restartTime is the time within which all members of a mass restart have started again.
--- a/internal/simulation/configsim/view.go
+++ b/internal/simulation/configsim/view.go
@@ -6,7 +6,7 @@
 type membershipView struct {
 	// version changes whenever the view changes; 0 before the view is first computed.
 	version uint64
-	live    []bool // by member index
+	live    []bool // whether each member is live, by member index
 	members []bootstrap.Member
 }
 
--- a/internal/simulation/experiment/load.go
+++ b/internal/simulation/experiment/load.go
@@ -93,7 +93,7 @@
 	return hex.EncodeToString(sum[:hashLength]), nil
 }
 
-// loadDocument reads a file strictly and merges its keys into those of its base. At most depth files may be in the
+// loadDocument reads a file strictly and merges its keys into the keys of its base. At most depth files may be in the
 // chain of bases, this file included.
 func loadDocument(path string, depth int) (tomlTable, error) {
 	if depth == 0 {
@@ -131,8 +131,8 @@
 	return mergeTables(base, document), nil
 }
 
-// mergeTables returns a copy of base in which the values of override replace those of the same keys. Tables that both
-// have are merged in the same way.
+// mergeTables returns a copy of base in which the values of override replace the values of the same keys. Tables
+// that both documents have are merged in the same way.
 func mergeTables(base, override tomlTable) tomlTable {
 	out := maps.Clone(base)
 	for key, value := range override {
--- a/internal/simulation/experiment/results.go
+++ b/internal/simulation/experiment/results.go
@@ -26,7 +26,7 @@
 	resultsMode    = 0o644
 )
 
-// ErrResultsMismatch is returned by Execute if the header of the existing file differs from that of the experiment.
+// ErrResultsMismatch is returned by Execute if the existing file's header differs from the experiment's.
 var ErrResultsMismatch = errors.New("file has results of another experiment or of another build of the program")
 
 // Header is the first line of a file of results.
--- a/internal/simulation/fleetsim/point.go
+++ b/internal/simulation/fleetsim/point.go
@@ -18,8 +18,8 @@
 	Protocol            string
 	Members             int
 	LossRate, SlowShare float64
-	// FirstDetections are the times from the deaths until the first member has detected a death, FullDetections those
-	// until all members have detected all deaths.
+	// FirstDetections are the times from the deaths until the first member has detected a death, FullDetections
+	// the times until all members have detected all deaths.
 	FirstDetections, FullDetections []time.Duration
 	// HealTimes are the times from the end of a partition until the views have converged.
 	HealTimes []time.Duration
--- a/internal/simulation/simulator/node.go
+++ b/internal/simulation/simulator/node.go
@@ -21,7 +21,7 @@
 	warmingUp   bool
 	slowdown    float64
 	paused      bool
-	// resetShare is the share of the answers in place of which the connection is reset.
+	// resetShare is the share of the answers that are replaced by a reset of the connection.
 	resetShare float64
 	running    []*job
 	waiting    []*job // jobs that wait for a core, including cancelled ones
--- a/internal/simulation/simulator/policy.go
+++ b/internal/simulation/simulator/policy.go
@@ -12,7 +12,7 @@
 	Handle(now time.Duration, event balancer.Event, actions []balancer.Action) []balancer.Action
 }
 
-// NewPolicy returns a new policy for an instance. Instances are numbered from 0. The settings are those of the Config,
+// NewPolicy returns a new policy for an instance. Instances are numbered from 0. The settings are Config.Settings,
 // completed with the values that depend on the instance, such as its zone.
 type NewPolicy func(settings balancer.Settings, instance int, seed uint64) (Policy, error)
 
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -313,7 +313,7 @@
 	return relay.SourceState{}, false
 }
 
-// Status returns the status of the member's gossip node, for which it waits. It is empty if the member does not run.
+// Status waits for the member's gossip node and returns its status. It is empty if the member does not run.
 func (m *Member) Status() gossip.Status {
 	if p := m.running(); p != nil {
 		return p.node.Gossip.Status()
--- a/internal/testcluster/linktraffic.go
+++ b/internal/testcluster/linktraffic.go
@@ -60,7 +60,7 @@
 }
 
 // Traffic returns the traffic that a member has sent and received over its links to and from other members, origins and
-// discovery. Datagrams that a link dropped count as sent and as received.
+// discovery. Datagrams that a link dropped count as sent by the sender and as received by the receiver.
 func (c *Cluster) Traffic(n int) (sent, received Traffic) {
 	for key, l := range c.links {
 		switch n {
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -21,12 +21,12 @@
 type process struct {
 	number        int
 	name          string
-	listen, admin string // addresses for requests and of the admin endpoint
+	listen, admin string // addresses of the listener for requests and of the admin endpoint
 	port          uint16 // port for gossip; an origin's only port
 	dir           string
 	env           []string
-	program       []string // program that runs it, with its first arguments
-	arguments     []string // further arguments when it is started
+	program       []string // program that the process runs, with its first arguments
+	arguments     []string // further arguments of the program
 	log           *os.File
 	command       *exec.Cmd // nil if it does not run
 	exited        chan error
--- a/internal/testutil/capacitypage.go
+++ b/internal/testutil/capacitypage.go
@@ -72,8 +72,8 @@
 	return bounds
 }
 
-// isBoundsRow reports whether the cells are those of a row with a figure, and not of the table's heading, of the line
-// below it or of other text.
+// isBoundsRow reports whether the cells belong to a row with a figure, and not to the table's heading, the line below
+// the heading or other text.
 func isBoundsRow(cells []string) bool {
 	if len(cells) != boundsCells {
 		return false
