--- a/internal/emulator/traffic_test.go
+++ b/internal/emulator/traffic_test.go
@@ -14,7 +14,7 @@
 	repeated := Generate(7, 200, 2*time.Second)
 	var first, second bytes.Buffer
 	if generated.Write(&first) != nil || repeated.Write(&second) != nil || !bytes.Equal(first.Bytes(), second.Bytes()) {
-		t.Fatal("the same seed gives different traffic")
+		t.Fatal("two calls of Generate with the same seed gave different traffic; want the same")
 	}
 	text := first.String()
 	read, err := ReadTraffic(&first)
--- a/internal/load/grpcload/grpcload_test.go
+++ b/internal/load/grpcload/grpcload_test.go
@@ -101,7 +101,7 @@
 		"http://x/S/M", "grpc:///S/M", "grpc://x/S/M?q",
 	} {
 		if _, err := Dial(bad, nil); err == nil {
-			t.Errorf("Dial accepted the invalid target %q", bad)
+			t.Errorf("Dial accepted the invalid target %q; want an error", bad)
 		}
 	}
 	unreachable, err := Dial("grpc://"+testutil.UnusedAddr+"/a.B/C", []byte{1})
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -18,8 +18,11 @@
 	}
 	first, second := 0, 0
 	for i, request := range plan {
-		if again[i] != request || i > 0 && request.At < plan[i-1].At {
-			t.Fatalf("request %d is out of order or differs from that of the second plan: %v, %v", i, request, again[i])
+		if again[i] != request {
+			t.Fatalf("request %d of the second plan is %v; want %v as in the first", i, again[i], request)
+		}
+		if i > 0 && request.At < plan[i-1].At {
+			t.Fatalf("request %d is at %v; want at least %v, as the one before", i, request.At, plan[i-1].At)
 		}
 		if request.At < 10*time.Second {
 			first++
@@ -33,7 +36,7 @@
 	}
 	for _, curve := range [][]Point{nil, {{0, 0}}, {{0, -1}}, {{time.Second, 1}, {0, 1}}} {
 		if _, err := Poisson(1, curve, time.Second, ScheduledRequest{}); err == nil {
-			t.Errorf("Poisson accepted the invalid curve %v", curve)
+			t.Errorf("Poisson accepted the invalid curve %v; want an error", curve)
 		}
 	}
 }
