--- a/internal/simulation/configsim/member.go
+++ b/internal/simulation/configsim/member.go
@@ -33,7 +33,7 @@
 	path   []int
 	tickAt time.Duration
 	// nextOrigin is the index of the origin that the member calls next. failedOrigins is the number of consecutive
-	// failures.
+	// failed subscriptions.
 	nextOrigin    int
 	failedOrigins int
 	// selections is the number of upstream selections so far. Events of earlier selections are ignored.
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -63,7 +62,8 @@
 		//nolint:contextcheck // listening on loopback does not block, and a restarted server outlives the step
 		return c.Servers.InjectFault(fault)
 	}
-	return errors.New("unknown step")
+	return fmt.Errorf("unknown step %q, want start, kill, restart, term, freeze, thaw, starve, cut, cut>, join, heal, "+
+		"net, flap, discovery, seeds, wait, settle or server", words[0])
 }
 
 // playProcessStep runs a step that acts on the processes of a group.
--- a/internal/testcluster/waitsteps.go
+++ b/internal/testcluster/waitsteps.go
@@ -45,6 +45,9 @@
 		difference = condition.difference(c.views(ctx, group))
 		return difference == ""
 	}) {
+		if ctx.Err() != nil {
+			return fmt.Errorf("cancelled before the condition held: %s", difference)
+		}
 		return fmt.Errorf("condition does not hold within %v: %s", timeout, difference)
 	}
 	c.Waits = append(c.Waits, Wait{strings.Join(args, " "), time.Since(start)})
@@ -100,6 +103,9 @@
 		}
 		return time.Since(agreedSince) >= length
 	}) {
+		if ctx.Err() != nil {
+			return fmt.Errorf("cancelled before the views agreed for %v: last difference: %s", length, lastDifference)
+		}
 		return fmt.Errorf("views do not agree for %v within %v: last difference: %s", length, timeout, lastDifference)
 	}
 	c.Waits = append(c.Waits, Wait{"settle " + lengthText + " " + groupText, time.Since(start) - length})
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// PlatformConfig is the format of a platform configuration file. Its arguments are the address of discovery and that of
-// the only endpoint of the initial list.
+// PlatformConfig is the format of a platform configuration file. Its arguments are the address of discovery and the
+// address of the only endpoint of the initial list.
 const PlatformConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"00000000000000ff",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "known":{"seq":1,"whole":true,` +
