--- a/internal/simulation/simulator/policy.go
+++ b/internal/simulation/simulator/policy.go
@@ -13,7 +13,7 @@
 }
 
 // NewPolicy returns a new policy for an instance. Instances are numbered from 0. The settings are Config.Settings,
-// completed with the values that depend on the instance, such as its zone.
+// completed with the instance's zone and with values that follow from the other fields of the Config.
 type NewPolicy func(settings balancer.Settings, instance int, seed uint64) (Policy, error)
 
 // clockOffset is the time that the instances' clocks show when the traffic begins. It is above 0 so that a node that
