--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -58,8 +58,13 @@
 	checkCache(t, dir, 2, 2, storedText)
 	m := startMember(t, "m", dir, unreachableOrigin)
 	awaitVersion(t, "the stored snapshot is active", 2, m)
-	if s, _ := m.State(); s.Active != testFrame(2, storedText).Revision || !s.FromCache {
-		t.Errorf("state is %+v, want the stored snapshot active", s)
+	var state MemberState
+	testutil.Until(t, "the state shows that the stored snapshot is active", func() bool {
+		state, _ = m.State()
+		return state.Active == testFrame(2, storedText).Revision
+	})
+	if !state.FromCache {
+		t.Errorf("state is %+v, want an active snapshot from the cache", state)
 	}
 	m.stop()
 
