--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -320,7 +320,8 @@
 	s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
 	r.waitApplied("partition: the side with a majority", s, at, numberRange(half+1, members), maxApplyTime)
 	if got := r.appliedAt(s, numberRange(1, half)); len(got) > 0 {
-		t.Errorf("the side without a majority applied the change: %v", got)
+		t.Errorf("members on the side without a majority of the origins applied the change, want none; "+
+			"times by member number: %v", got)
 	}
 	at = time.Now()
 	r.play("heal")
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -217,7 +217,7 @@
 	r.play("start origins")
 	s, at = r.pushUntilAccepted(2, r.writeSnapshot(""))
 	if s.Epoch != 2 {
-		r.t.Errorf("revision %v, want epoch 2", s)
+		r.t.Errorf("after the bootstrap with epoch 2, the change has epoch %d (revision %v), want epoch 2", s.Epoch, s)
 	}
 	r.waitApplied("change of a higher epoch", s, at, r.all(), 0)
 }
--- a/cmd/hazelwing/crossingspage_test.go
+++ b/cmd/hazelwing/crossingspage_test.go
@@ -52,8 +52,8 @@
 // guardComment matches the comment of a guard that names the failure that it prevents.
 var guardComment = regexp.MustCompile(`Guard:|[Pp]revent`)
 
-// checkGuards returns a problem for each race on a page whose third cell has no code span, and for each race whose
-// guards include functions, none of which has a comment that names the prevented failure.
+// checkGuards returns a problem for each race on a page that names no guard in the code (its third cell has no code
+// span), and for each race that names guard functions although no comment of theirs names the prevented failure.
 func (c codeNames) checkGuards(page string) (problems []string) {
 	inTable := false
 	for line := range strings.Lines(page) {
@@ -75,7 +75,8 @@
 	return problems
 }
 
-// isExplained reports whether a cell names no function, or one whose comment names the prevented failure.
+// isExplained reports whether a cell needs no explanation, because it names no function, or names at least one function
+// with a comment that names the prevented failure.
 func (c codeNames) isExplained(cell string) bool {
 	namesFunction := false
 	for _, span := range codeSpan.FindAllStringSubmatch(cell, -1) {
@@ -88,8 +89,8 @@
 	return !namesFunction
 }
 
-// The check reports rows without a guard in the code, with a guard that has no explaining comment, or without that
-// cell.
+// The check reports a row with no guard in the code, a row with a guard function whose comment does not name the
+// prevented failure, and a row with too few cells.
 func TestCrossingsPageCheckFindsRowsWithoutGuard(t *testing.T) {
 	code := codeNames{functions: map[string]string{
 		"engine.Engine.step":      "Guard: one goroutine handles events. This prevents two results.",
--- a/cmd/hazelwing/decisionspage_test.go
+++ b/cmd/hazelwing/decisionspage_test.go
@@ -143,7 +143,7 @@
 	for _, c := range []struct {
 		name string
 		page string
-		want string // part of the problem; empty: no problem
+		want string // text that the reported problem must contain; empty: no problem may be reported
 	}{
 		{"function", handle, ""},
 		{"unknown function", "`balancer.Balancer.Handel`", "declares no balancer.Balancer.Handel"},
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -90,8 +90,8 @@
 	}
 	for _, test := range []struct {
 		name            string
-		limit           int // of the kernel
-		platformSockets int // in the platform's configuration
+		limit           int // the kernel's limit of descriptors for the daemon (ulimit -n)
+		platformSockets int // number of sockets in the platform's configuration
 	}{
 		{name: "64", limit: 64, platformSockets: 64},
 		{name: "512", limit: 512, platformSockets: 512},
--- a/cmd/hazelwing/disconnect_test.go
+++ b/cmd/hazelwing/disconnect_test.go
@@ -29,7 +29,7 @@
 // disconnection is a way to disconnect, with counts of the requests whose clients disconnected in this way.
 type disconnection struct {
 	name       string
-	extraBytes int // sent before the disconnect
+	extraBytes int // number of further bytes sent before the disconnect
 	reset      bool
 
 	clients  int
@@ -37,7 +37,7 @@
 	first    int           // first attempts after the disconnect
 	retries  int           // retries after the disconnect
 	maxDelay time.Duration // longest time from a disconnect to an attempt
-	late     int           // attempts that were later than allowed
+	late     int           // attempts that began more than 100 ms after the disconnect
 }
 
 // The daemon forwards almost no requests of clients that have disconnected, even if it has a small fraction of a core
@@ -58,7 +58,7 @@
 		maxLateAttempts = 2
 	)
 	var mu sync.Mutex
-	attemptsAt := map[string][]time.Time{} // of each request
+	attemptsAt := map[string][]time.Time{} // arrival times of the attempts of each request, by request ID
 	var n atomic.Int64
 	upstream := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for q := testutil.ReadRequest(r); q != nil; q = testutil.ReadRequest(r) {
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -127,7 +127,8 @@
 	decodeErr := json.Unmarshal([]byte(out), &status)
 	if err != nil || decodeErr != nil || status.Name != "m02" ||
 		len(status.Members) != 3 || status.Members[0].State != cluster.Alive {
-		t.Errorf("fleet --json: errors %v and %v, want m02 with 3 members that are alive:\n%s", err, decodeErr, out)
+		t.Errorf("fleet --json: command error %v, JSON error %v; "+
+			"want none and the view of m02 with 3 members, the first one alive:\n%s", err, decodeErr, out)
 	}
 	if err := r.Play(t.Context(), "kill 3\nwait state 3 dead 30s 1-2"); err != nil {
 		t.Fatal(err)
--- a/cmd/hazelwing/glossarypage_test.go
+++ b/cmd/hazelwing/glossarypage_test.go
@@ -38,7 +38,7 @@
 	code := parseCode(t)
 	for _, c := range []struct {
 		rows string
-		want string // part of the problem; empty: no problem
+		want string // text that the reported problem must contain; empty: no problem may be reported
 	}{
 		{"| told | notified | it has arrived | `backoff.NotificationDeadline` |\n", ""},
 		{"| rig | test cluster | many processes | `internal/testcluster` |\n", ""},
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -67,7 +67,8 @@
 	decodeErr := json.Unmarshal([]byte(out), &records)
 	if err != nil || decodeErr != nil || len(records) != 2 ||
 		records[1].State != "open" || records[1].Locations != "upper-hill/0" {
-		t.Errorf("inspect --json: errors %v and %v, want two records, the second one open:\n%s", err, decodeErr, out)
+		t.Errorf("inspect --json: command error %v, JSON error %v; "+
+			"want none and two records, the second one open at upper-hill/0:\n%s", err, decodeErr, out)
 	}
 	s.Close()
 	if out, err := execute("store", "compact", dir); err != nil || !strings.Contains(out, "2 entries: 1 segments") {
@@ -77,7 +78,8 @@
 	out, err = execute("store", "verify", "--json", dir)
 	decodeErr = json.Unmarshal([]byte(out), &segments)
 	if err != nil || decodeErr != nil || len(segments) != 1 || segments[0].Puts != 2 {
-		t.Fatalf("verify --json: errors %v and %v, want one segment with 2 puts:\n%s", err, decodeErr, out)
+		t.Fatalf("verify --json: command error %v, JSON error %v; want none and one segment with 2 puts:\n%s",
+			err, decodeErr, out)
 	}
 	path := filepath.Join(dir, segments[0].Name)
 	b, err := os.ReadFile(path)
--- a/internal/daemon/disconnect_test.go
+++ b/internal/daemon/disconnect_test.go
@@ -74,7 +74,8 @@
 	return c.(*net.TCPConn)
 }
 
-// checkOtherClientIsServed sends the request of a client that waits for its response.
+// checkOtherClientIsServed sends a request as a second client, which stays connected, and checks that the response has
+// status 200.
 func (r *testSidecar) checkOtherClientIsServed(t *testing.T) {
 	t.Helper()
 	if resp, _ := r.do(t, r.request(t, "GET", "look", "stays", "")); resp.StatusCode != http.StatusOK {
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -295,11 +295,10 @@
 	for _, split := range []bool{true, false} {
 		f := measure(split)
 		n := float64(f.sent.Load())
-		t.Logf("split %v: share of queries answered %.4f, within %v %.4f, latency p50 %v, p99 %v; "+
-			"share of mutations answered %.4f, within %v %.4f, latency p50 %v, p99 %v", split,
-			float64(f.query.Count())/n, objective, float64(f.inTime[0].Load())/n,
-			f.query.Quantile(0.5), f.query.Quantile(0.99),
-			float64(f.mutation.Count())/n, objective, float64(f.inTime[1].Load())/n,
+		const format = "split %v: %s: share answered %.4f, share answered within %v %.4f, latency p50 %v, p99 %v"
+		t.Logf(format, split, "queries", float64(f.query.Count())/n, objective, float64(f.inTime[0].Load())/n,
+			f.query.Quantile(0.5), f.query.Quantile(0.99))
+		t.Logf(format, split, "mutations", float64(f.mutation.Count())/n, objective, float64(f.inTime[1].Load())/n,
 			f.mutation.Quantile(0.5), f.mutation.Quantile(0.99))
 	}
 }
--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -19,8 +19,8 @@
 
 	rootFields []*rootField
 	metaValues map[string]json.RawMessage // values of the meta fields, by response key
-	// partIndex is the index in Parts of the part that has a root field, by the field's response key. Meta fields have
-	// none.
+	// partIndex maps the response key of each root field to the index in Parts of the part that contains the field. Meta
+	// fields belong to no part and have no entry.
 	partIndex map[string]int
 }
 
