--- a/cmd/hazelwing/check.go
+++ b/cmd/hazelwing/check.go
@@ -13,7 +13,7 @@
 		Short: "Check operator's files and report each invalid line",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var lastErr error // main prints the last error; the earlier ones are printed here
+			var lastErr error // main prints the last error; earlier errors are printed in the loop
 			for _, path := range args {
 				err := checkOperatorFile(path)
 				if err == nil {
--- a/cmd/hazelwing/config.go
+++ b/cmd/hazelwing/config.go
@@ -71,8 +71,8 @@
 	return request(ctx)
 }
 
-// isInForce reports whether all members that the report counts have activated a revision or a later one. The report
-// does not count unreachable members, but names them.
+// isInForce reports whether all reachable members have activated a revision or a later one. Unreachable members are
+// named in the report, but not counted.
 func isInForce(report *controlplane.Report, revision controlplane.Revision) bool {
 	active := 0
 	for _, a := range report.Active {
--- a/cmd/hazelwing/config_push.go
+++ b/cmd/hazelwing/config_push.go
@@ -25,7 +25,7 @@
 	originOptions
 	after int64 // version on which the change is based; negative: the latest one
 	wait  time.Duration
-	id    string // ID that makes repeating the push idempotent; empty: a random one
+	id    string // ID of the push, with which the push can be repeated safely; empty: a random ID
 }
 
 // pushResult is the JSON output of "config push".
@@ -34,8 +34,8 @@
 	After uint64 `json:"after"`
 	// Took is the time until a majority of the origins had accepted the snapshot.
 	Took string `json:"took,omitempty"`
-	// Within is the time from the acceptance until all reachable members had activated the snapshot; empty if they
-	// did not.
+	// Within is the time from the acceptance until all reachable members had activated the snapshot; empty if not all
+	// of them activated it before the command stopped waiting.
 	Within string               `json:"within,omitempty"`
 	Report *controlplane.Report `json:"report,omitempty"`
 }
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -33,7 +33,7 @@
 	adminAddr    string
 	asJSON       bool
 	watch        bool
-	interval     time.Duration // between two outputs with watch
+	interval     time.Duration // time between two outputs with watch
 }
 
 func newFleetCommand() *cobra.Command {
--- a/cmd/hazelwing/lab.go
+++ b/cmd/hazelwing/lab.go
@@ -67,7 +67,7 @@
 	return allHold
 }
 
-// tableMeasures returns the measures that have a column in the table of a run.
+// tableMeasures returns the names of the measures that have a column in the table of a run.
 func tableMeasures() []string {
 	return []string{
 		"service", "worst", "recovered", "p50", "p99", "refused", "failed", "attempts", "wasted", "conns", "imbalance",
--- a/cmd/hazelwing/lab_capacity.go
+++ b/cmd/hazelwing/lab_capacity.go
@@ -22,7 +22,8 @@
 	// hundreds of queues from filling the memory while the process is short of processor time.
 	capacityMemoryLimit = 6 << 30
 
-	// capacityGCPercent is the value of the daemon and not labGCPercent, because the experiments measure memory.
+	// capacityGCPercent is the garbage collector's target in the daemon. Capacity experiments measure memory, which
+	// labGCPercent would increase.
 	capacityGCPercent = 100
 
 	resultsFileMode = 0o644
--- a/cmd/hazelwing/lab_files.go
+++ b/cmd/hazelwing/lab_files.go
@@ -12,7 +12,7 @@
 	"hazelwing/internal/simulation/experiment"
 )
 
-// defaultExperimentDir is the directory whose experiments "lab list" shows by default.
+// defaultExperimentDir is the directory that "lab list" lists by default.
 const defaultExperimentDir = "lab"
 
 func newLabCheckCommand() *cobra.Command {
--- a/cmd/hazelwing/lab_hunt.go
+++ b/cmd/hazelwing/lab_hunt.go
@@ -24,7 +24,7 @@
 
 type huntOptions struct {
 	worstcase.Options
-	outPath string // file for the experiment that was found
+	outPath string // file for the experiment with the worst case
 }
 
 func newLabHuntCommand() *cobra.Command {
--- a/cmd/hazelwing/lab_run.go
+++ b/cmd/hazelwing/lab_run.go
@@ -22,7 +22,7 @@
 const progressBarWidth = 30
 
 type labRunOptions struct {
-	dir   string // for the files of runs
+	dir   string // directory for the files of runs
 	cores int    // number of simulations that run at the same time; 0: one per core
 }
 
--- a/cmd/hazelwing/lab_slopes.go
+++ b/cmd/hazelwing/lab_slopes.go
@@ -19,7 +19,7 @@
 var errForecast = errors.New("a fit of the smaller sizes does not predict the larger ones")
 
 type slopesOptions struct {
-	maxFittedSize int     // largest size to which the predicting fit is made
+	maxFittedSize int     // largest size in the fit whose predictions are checked
 	tolerance     float64 // maximum error of a prediction, as a fraction of the measured value
 	figures       []string
 	phases        []string
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// printForecast prints the columns of the fit to the smaller sizes and of its predictions. It reports whether all
-// predictions are within the tolerance.
+// printForecast prints the columns of the fit to the sizes up to maxFittedSize, and the predictions of this fit for the
+// larger sizes. It reports whether all predictions are within the tolerance.
 func (o *slopesOptions) printForecast(out io.Writer, points []slope.Point) bool {
 	fit, forecasts, err := slope.Extrapolate(points, o.maxFittedSize)
 	if err != nil {
@@ -149,7 +149,7 @@
 	return misses == nil
 }
 
-// printFitOfAll prints the last columns of a row, those of the fit to all sizes.
+// printFitOfAll prints the last columns of a row, which describe the fit to all sizes.
 func printFitOfAll(out io.Writer, points []slope.Point) {
 	fit, err := slope.New(points)
 	if err != nil {
--- a/cmd/hazelwing/load_plan.go
+++ b/cmd/hazelwing/load_plan.go
@@ -70,7 +70,8 @@
 	return plan
 }
 
-// parseRamp parses points such as "0s:100,10s:400": a time and the rate at it, in requests a second.
+// parseRamp parses points such as "0s:100,10s:400". Each point has a time and the rate at this time, in requests per
+// second.
 func parseRamp(text string) ([]load.Point, error) {
 	var curve []load.Point
 	for pointText := range strings.SplitSeq(text, ",") {
--- a/cmd/hazelwing/store.go
+++ b/cmd/hazelwing/store.go
@@ -43,7 +43,7 @@
 		Short: short,
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if _, err := os.Stat(args[0]); err != nil { // store.Dir would create the directory
+			if _, err := os.Stat(args[0]); err != nil { // store.Dir would create a missing directory
 				return err
 			}
 			fs, err := store.Dir(args[0])
--- a/cmd/hazelwing/traffic.go
+++ b/cmd/hazelwing/traffic.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/emulator"
 )
 
-// maxGeneratedRequests limits the mean number of generated requests, which is the product of --rate and --length. It is
-// half of what a file may hold, because the number varies around the mean.
+// maxGeneratedRequests limits the mean number of generated requests, which is the product of --rate and --length. The
+// limit is half of the number that a file may hold, because the generated number varies around the mean.
 const maxGeneratedRequests = emulator.MaxRequests / 2
 
 type trafficOptions struct {
