--- a/internal/daemon/component.go
+++ b/internal/daemon/component.go
@@ -10,8 +10,8 @@
 	"hazelwing/internal/admin"
 )
 
-// component is a part of the sidecar. All parts are started, stopped and shown by the admin endpoint in this form. A
-// function is nil if the part does not need it.
+// component describes how a part of the sidecar is run, closed and shown at the admin endpoint. The functions that a
+// part does not need are nil.
 type component struct {
 	// name is the name of the component's section at the admin endpoint.
 	name string
@@ -24,8 +24,8 @@
 	state func() any
 }
 
-// components returns the sidecar's components in the order in which they start. They stop at the same time, because
-// none needs another one after its context has ended, and are closed in reverse order. Components that the
+// components returns the sidecar's components in the order in which they start. Their contexts end at the same time,
+// because no component needs another one after that. They are closed in reverse order. Components that the
 // configuration does not enable are not in the list.
 func (s *sidecar) components() []component {
 	var list []component
@@ -80,8 +80,8 @@
 	return list
 }
 
-// startAll starts the components in order. running counts those that have not returned; they return after ctx has
-// ended.
+// startAll starts the components in order. running counts the components that have not returned. They return after ctx
+// has ended.
 func startAll(ctx context.Context, components []component, running *sync.WaitGroup) {
 	for _, c := range components {
 		if c.run != nil {
--- a/internal/daemon/configmember.go
+++ b/internal/daemon/configmember.go
@@ -18,28 +18,29 @@
 type configMember struct {
 	member           *transport.Member
 	sidecar          *sidecar
-	platformSettings balancer.Settings // in effect for everything that a snapshot does not set
+	platformSettings balancer.Settings // the platform's settings, in effect where a snapshot sets no value
 	level            *slog.LevelVar
 	readyTimeout     time.Duration
 	log              *slog.Logger
 
 	initialDiscovery string // discovery's address in the platform's configuration at the start
 
-	// The sidecar's reconfigureMu guards these fields of the snapshot that was applied last.
-	snapshotDiscovery string // discovery's address; empty if the snapshot does not set it
-	clusterSize       int    // configured size of the cluster
+	// The sidecar's reconfigureMu guards snapshotDiscovery and clusterSize, which belong to the latest applied
+	// snapshot.
+	snapshotDiscovery string // discovery's address in the snapshot; empty if the snapshot does not set it
+	clusterSize       int    // the cluster's size in the snapshot, or else in the platform's settings
 }
 
 const (
-	// fetchDelay is how long a member waits for its upstream to send a snapshot that another member has already, before
-	// it fetches the snapshot from that other member. The delay is many times longer than a change takes to pass
-	// through the whole tree. With a higher value, members behind a stalled upstream use old settings for longer. With
-	// a lower value, members fetch snapshots that are already on their way to them.
+	// fetchDelay is how long a member that learns of a newer snapshot waits for its upstream to send it. After that,
+	// the member fetches the snapshot from the member that announced it. The delay is many times longer than a change
+	// takes to pass through the whole tree. With a higher value, members behind a stalled upstream use old settings for
+	// longer. With a lower value, members fetch snapshots that are already on their way to them.
 	fetchDelay = 300 * time.Millisecond
-	// maxSubscribersPerFanOut limits the subscribers that a member accepts, as a multiple of its fan-out. The value 2
-	// allows for the subscribers according to the current view of the cluster, and for as many according to an earlier
-	// view. A higher value costs connections. With a lower value, members are rejected while the membership changes,
-	// and fall back to an origin.
+	// maxSubscribersPerFanOut limits the subscribers that a member accepts, as a multiple of its fan-out. While the
+	// membership changes, a member may have the subscribers of the current tree and also those of the previous tree, so
+	// the value is 2. A higher value costs connections. With a lower value, members are rejected while the membership
+	// changes, and fall back to an origin.
 	maxSubscribersPerFanOut = 2
 )
 
@@ -110,7 +111,7 @@
 		clusterSize = int(*settings.Fleet.Sidecars)
 	}
 	change := engine.Reconfiguration{Settings: effectiveSettings(m.platformSettings, settings)}
-	// A cluster that counts its members starts from the configured size, and informs the engine of the size itself.
+	// If the cluster counts its members, the cluster informs the engine of the size, starting from the configured size.
 	clusterCounts := s.cluster.HasSizeListener()
 	if !clusterCounts {
 		change.Balancers = clusterSize
@@ -128,10 +129,10 @@
 	return nil
 }
 
-// newSource returns the new source of the endpoint list if a snapshot changes it, and nil otherwise. The snapshot
-// changes the source if its address differs from the previous snapshot's and from the address that is currently
-// followed. An empty address stands for the platform's address. The caller holds reconfigureMu and passes the source to
-// the engine.
+// newSource returns the new source of the endpoint list if a snapshot changes the source, and nil otherwise. discovery
+// is the address in the snapshot; an empty one stands for the platform's address. The snapshot changes the source if
+// its address differs from the previous snapshot's address and from the address that is currently followed. The caller
+// holds reconfigureMu and passes the source to the engine.
 func (m *configMember) newSource(discovery string, settings balancer.Settings) (engine.Source, error) {
 	addr := cmp.Or(discovery, m.sidecar.platformDiscovery)
 	if discovery == m.snapshotDiscovery || addr == m.sidecar.currentDiscovery {
@@ -146,9 +147,9 @@
 }
 
 // discoveryGroup returns the name of the group of members that follow the same discovery because of a snapshot. The
-// name is the snapshot's address of discovery. It is empty, as for all members at the start, if the snapshot sets no
-// address. In this case discoveryGroup returns nil if SIGHUP has changed the platform's address, because this sidecar
-// does not know which members follow that address.
+// name is the snapshot's address of discovery. If the snapshot sets no address, the name is empty, as it is for all
+// members at the start. If the snapshot sets no address and SIGHUP has changed the platform's address, discoveryGroup
+// returns nil, because this sidecar does not know which members follow the platform's new address.
 func (m *configMember) discoveryGroup(discovery string) *string {
 	if discovery == "" && m.sidecar.platformDiscovery != m.initialDiscovery {
 		return nil
@@ -156,8 +157,9 @@
 	return &discovery
 }
 
-// setClusterSize passes a configured size to the cluster, if the cluster counts its members. It passes only changes,
-// because the cluster replaces the configured size by the counted size over time. The caller holds reconfigureMu.
+// setClusterSize passes a configured size to the cluster, if the cluster counts its members. An unchanged size is not
+// passed again, because it would undo the cluster's gradual change from the configured size to the counted size. The
+// caller holds reconfigureMu.
 func (m *configMember) setClusterSize(size int, clusterCounts bool) {
 	if clusterCounts && size != m.clusterSize {
 		m.sidecar.cluster.Gossip.SetConfiguredSize(size)
@@ -186,8 +188,8 @@
 	m.sidecar.cluster.Gossip.SetConfigRevision(revision.Epoch, revision.Version)
 }
 
-// waitReady waits up to readyTimeout for the member to have the latest configuration. It logs the state, so that a
-// sidecar that starts to serve with old settings has a log line that shows it.
+// waitReady waits up to readyTimeout for the member to have the latest configuration. It logs the member's state, so
+// that the log shows whether the sidecar starts to serve with old settings.
 func (m *configMember) waitReady(ctx context.Context) {
 	started := time.Now()
 	state := m.member.WaitReady(ctx, m.readyTimeout)
@@ -198,7 +200,7 @@
 // configState is the section of the admin endpoint for distributed configuration.
 type configState struct {
 	transport.MemberState
-	Discovery string `json:"discovery"` // address of discovery that is followed
+	Discovery string `json:"discovery"` // discovery's address that is currently followed
 	Level     string `json:"level"`     // level of the log
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -41,7 +41,7 @@
 			return err
 		}
 	}
-	// The fronts need the components until they have answered all requests, which takes longer than ctx lasts.
+	// The components run until the fronts have answered all requests, which is after ctx has ended.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
 	startAll(work, s.components(), &running)
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -19,8 +19,8 @@
 	// configDescriptors is the number of descriptors that a member uses for distributed configuration: its watch, its
 	// report, two fetches, the search for a better upstream, and the file of the cached snapshot.
 	configDescriptors = 6
-	// storeFiles is the number of files that the store of idempotency records has open in addition to its segments:
-	// the directory, its lock, and the files that compaction reads and writes.
+	// storeFiles is the number of descriptors that the store of idempotency records uses in addition to its segments:
+	// the directory, the lock file, the file that compaction reads and the file that it writes.
 	storeFiles = 4
 )
 
@@ -41,7 +41,7 @@
 		count += gossip.MaxDescriptors
 	}
 	if operatorConfig.Bootstrap != nil || operatorConfig.ControlPlane != nil {
-		count += gossip.MaxHTTPConns // connections of subscribers
+		count += gossip.MaxHTTPConns // connections from subscribers to this member
 	}
 	if operatorConfig.Bootstrap != nil {
 		count += connsPerRoot * int(operatorConfig.Bootstrap.Roots)
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -14,7 +14,7 @@
 
 // additionalFront is a front in addition to the platform's, with its own listener.
 type additionalFront struct {
-	name     string // name of its section at the admin endpoint, and of its table in the operator's file
+	name     string // name of the front's section at the admin endpoint and of its table in the operator's file
 	addr     string // address to listen on
 	listener net.Listener
 	// serve serves until ctx ends, and then until every accepted request is answered.
@@ -34,9 +34,9 @@
 // errGraphQLNotBuilt reports that the operator's file has the table [graphql] but the build has no GraphQL.
 var errGraphQLNotBuilt = errors.New("graphql: this build (tag small) has no GraphQL")
 
-// Check reports errors of an operator's file that can be found only with the files that it names: errors of the GraphQL
-// schema, of the mapping of the schema's fields, and of the trusted documents. It does not check whether the platform
-// has the classes of the mapping.
+// Check reports the errors that depend on other files which an operator's file names: errors in the GraphQL schema, in
+// the mapping of the schema's fields, and in the trusted documents. Check does not know the platform's configuration,
+// and so does not check whether the classes of the mapping exist.
 func Check(operatorConfig *operator.Config) error {
 	if operatorConfig.GraphQL == nil {
 		return nil
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -154,7 +154,7 @@
 	return os.ReadFile(path)
 }
 
-// withPositions adds the position in the operator's file to each error of the field mapping. Errors of the schema
+// withPositions adds the position in the operator's file to each error in the field mapping. Errors in the schema
 // already have a position in the schema file.
 func withPositions(operatorConfig *operator.Config, err error) error {
 	errs := []error{err}
--- a/internal/daemon/idempotency.go
+++ b/internal/daemon/idempotency.go
@@ -65,7 +65,8 @@
 
 // checkRetention returns a *retentionError if the retention is too short for a class of requests that are not
 // idempotent. A record is needed until the last attempt of its request has ended, which takes up to the deadline. After
-// that it is needed for as long as a client may repeat the request, or endpoints recognize a repetition of it.
+// that, the record is needed for a further deadline, in which a client may repeat the request, or for the class's
+// IdempotencyWindow, in which endpoints recognize a repetition, whichever is longer.
 func checkRetention(table *operator.Idempotency, classes []balancer.Class) error {
 	retention := time.Duration(table.Retention)
 	for _, class := range classes {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// setPlatformDiscovery follows discovery at the platform's new address, even if a snapshot has set another address
-// before.
+// setPlatformDiscovery makes the sidecar follow discovery at the platform's new address, even if a snapshot has set
+// another address before.
 func (s *sidecar) setPlatformDiscovery(addr string) {
 	s.reconfigureMu.Lock()
 	defer s.reconfigureMu.Unlock()
@@ -44,10 +44,9 @@
 	s.engine.SetSource(s.discoverySource(addr, nil))
 }
 
-// discoverySource returns the source of the endpoint list with discovery at a new address. group is the name of the
-// group of members that follow this discovery, if all members of the cluster change to the address, so that they
-// continue to relay its list to each other. group is nil if only this sidecar changes. The caller holds reconfigureMu
-// and passes the source to the engine.
+// discoverySource returns the source of the endpoint list with discovery at a new address. If all members of the
+// cluster change to this address, group is the name of their group: members of the same group relay the list to each
+// other. group is nil if only this sidecar changes. The caller holds reconfigureMu and passes the source to the engine.
 func (s *sidecar) discoverySource(addr string, group *string) engine.Source {
 	s.log.Info("discovery address changed", "component", "daemon", "addr", addr)
 	s.currentDiscovery = addr
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -24,7 +24,7 @@
 	front            *httpfront.Server
 	additionalFronts []*additionalFront
 
-	endpoints     *mergedsource.Source     // merges discovery with other sources; nil if there are none
+	endpoints     *mergedsource.Source     // merges discovery with other sources; nil without other sources
 	relaySource   *relay.Source            // relays discovery's list through the cluster; nil if there is no relay
 	cluster       *node.Node               // nil if the sidecar is not in a cluster
 	configMember  *configMember            // nil if the configuration is read only at the start
@@ -33,11 +33,11 @@
 	reloads       reloads                  // set by Run
 
 	sharedDiscovery bool         // discovery is one service for all sidecars, not an agent on this machine
-	log             *slog.Logger // has the level of the distributed configuration if there is a configMember
+	log             *slog.Logger // logger whose level distributed configuration can change, if there is a configMember
 	processLog      *slog.Logger // the logger that was passed to Run
 
-	// reconfigureMu is held while discovery's address or the engine's settings change. It guards platformDiscovery,
-	// currentDiscovery, and the fields of configMember that say so.
+	// reconfigureMu is held while discovery's address or the engine's settings change. It guards platformDiscovery and
+	// currentDiscovery, and the fields snapshotDiscovery and clusterSize of configMember.
 	reconfigureMu     sync.Mutex
 	platformDiscovery string // discovery's address in the platform's configuration
 	currentDiscovery  string // discovery's address that is currently followed
--- a/internal/daemon/snapshotsettings.go
+++ b/internal/daemon/snapshotsettings.go
@@ -9,8 +9,8 @@
 	"hazelwing/internal/controlplane"
 )
 
-// effectiveSettings returns the platform's settings, overridden by the values that a snapshot sets. Limits never exceed
-// the platform's limits. Classes and tenants that this sidecar does not have are ignored.
+// effectiveSettings returns the platform's settings, overridden by the values that a snapshot sets. No resulting limit
+// exceeds the platform's limit. Classes and tenants of the snapshot that this sidecar does not have are ignored.
 func effectiveSettings(platform balancer.Settings, snapshot *controlplane.Settings) balancer.Settings {
 	settings := platform
 	if limits := snapshot.Limits; limits != nil {
