--- a/internal/graphql/exec/exec.go
+++ b/internal/graphql/exec/exec.go
@@ -46,8 +46,8 @@
 	errors []Error
 }
 
-// Run executes an operation. vars are the coerced variables. The root fields are resolved one after the other, as is
-// required for mutations, up to the first one that makes the data null.
+// Run executes an operation. vars are the coerced variables. The root fields are resolved one after the other, as the
+// specification requires for mutations. Root fields after the first one that makes the data null are not resolved.
 func Run(
 	schema *ast.Schema, query *ast.QueryDocument, op *ast.OperationDefinition, vars map[string]any, root Object,
 ) Result {
@@ -116,8 +116,8 @@
 type fieldCollector struct {
 	execution      *execution
 	object         Object
-	responseKeys   []string                // in the order of their first selection
-	selections     map[string][]*ast.Field // by response key
+	responseKeys   []string                // keys in the order of their first selection
+	selections     map[string][]*ast.Field // selections of fields, by response key
 	visitedSpreads map[string]bool
 }
 
@@ -202,8 +202,8 @@
 	return x.completeValue(definition.Type, selections, value, path)
 }
 
-// definitionOf returns the definition of a field in the object's own type. An interface on which the field is selected
-// may define it as nullable where the object type defines it as non-null.
+// definitionOf returns the definition of a field in the object's own type. If the field is selected on an interface,
+// field.Definition is the definition in the interface, which may be nullable where the object type's is non-null.
 func (x *execution) definitionOf(field *ast.Field, object Object) *ast.FieldDefinition {
 	objectType := x.schema.Types[object.Type()]
 	if objectType == nil || strings.HasPrefix(field.Name, "__") {
@@ -271,7 +271,7 @@
 	return encoded.Bytes(), true
 }
 
-// completeLeaf encodes a scalar or an enum value. It returns false if it cannot be encoded.
+// completeLeaf encodes a scalar or an enum value. It returns false if the value cannot be encoded.
 func (x *execution) completeLeaf(value any, path []any) (json.RawMessage, bool) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/graphql/exec/introspection.go
+++ b/internal/graphql/exec/introspection.go
@@ -14,7 +14,7 @@
 const (
 	schemaField           = "__schema"
 	deprecatedDirective   = "deprecated"
-	defaultReason         = "No longer supported" // default of @deprecated's reason, by the specification
+	defaultReason         = "No longer supported" // default of @deprecated's argument reason, from the specification
 	specifiedByDirective  = "specifiedBy"
 	oneOfDirective        = "oneOf"
 	includeDeprecatedFlag = "includeDeprecated"
--- a/internal/graphql/plan/collect.go
+++ b/internal/graphql/plan/collect.go
@@ -17,7 +17,7 @@
 	document       *Document
 	rootType       *ast.Definition
 	vars           map[string]any
-	rootFields     []*rootField // in the order of their first selection
+	rootFields     []*rootField // root fields in the order of their first selection
 	byResponseKey  map[string]*rootField
 	visitedSpreads map[string]bool
 	// dependsOnVariables is true if the condition of a @skip or @include is a variable.
--- a/internal/graphql/plan/document.go
+++ b/internal/graphql/plan/document.go
@@ -23,8 +23,8 @@
 	layouts map[string]*layout
 }
 
-// ParseDocument parses a text, checks it against the limits and validates it. Its errors apply to the whole request, of
-// which nothing was executed.
+// ParseDocument parses a text, checks it against the limits and validates it. Its errors apply to the whole request:
+// no part of the request may be sent.
 func (s *Schema) ParseDocument(text string) (*Document, []*Error) {
 	query, err := s.parseQuery(text)
 	if err != nil {
--- a/internal/graphql/plan/errors.go
+++ b/internal/graphql/plan/errors.go
@@ -15,12 +15,12 @@
 	CodeUnavailable = "UNAVAILABLE"
 	// CodeRejected is the code of a field whose endpoint rejected the request before it executed anything.
 	CodeRejected = "REJECTED"
-	// CodeExecuted is the code of a mutation that ran and whose result is lost: another field, which is non-null but
-	// has no value, made the whole data null.
+	// CodeExecuted is the code of a mutation that ran, but whose result is lost because the whole data is null: another
+	// field is non-null and has no value.
 	CodeExecuted = "EXECUTED"
 )
 
-// Values of extensions.code for errors of whole requests, of which nothing was sent.
+// Values of extensions.code for errors of whole requests. No part of such a request was sent.
 const (
 	CodeParseFailed           = "GRAPHQL_PARSE_FAILED"
 	CodeValidationFailed      = "GRAPHQL_VALIDATION_FAILED"
@@ -32,8 +32,8 @@
 	CodeDuplicateKey          = "KEY_TWICE"
 )
 
-// maxQuotedText is the maximum length, in bytes, of a text in an error message that quotes a client's request: a name,
-// or a message of the parser, the validator or the JSON package.
+// maxQuotedText is the maximum length, in bytes, of a text that an error message takes from a client's request: a name,
+// or a message of the parser, the validator or the JSON package, which may quote the request.
 const maxQuotedText = 500
 
 // Error is an entry of a response's errors (section 7.1.2 of the GraphQL specification).
--- a/internal/graphql/plan/key.go
+++ b/internal/graphql/plan/key.go
@@ -10,8 +10,8 @@
 // maxKeyLength is the maximum length, in bytes, of an idempotency or affinity key that fronts and endpoints accept.
 const maxKeyLength = 200
 
-// argumentKey returns the value at a path of argument and input field names, such as input.idempotencyKey, as a key. It
-// is empty if there is no such value.
+// argumentKey returns the value at a path of argument and input field names, such as input.idempotencyKey, as a key.
+// The key is empty if the arguments have no such value.
 func argumentKey(arguments map[string]any, path string) string {
 	var value any = arguments
 	for name := range strings.SplitSeq(path, ".") {
--- a/internal/graphql/plan/layout.go
+++ b/internal/graphql/plan/layout.go
@@ -85,8 +85,8 @@
 	return l, nil
 }
 
-// compatiblePart returns the part that a query's field may join, or nil if there is none. All fields of a part have the
-// same class, deadline and coalescing.
+// compatiblePart returns the part that a query's field with this mapping may join, or nil if the layout has no such
+// part. The mappings of all fields of a part have the same Class, Deadline and Coalesce.
 func (l *layout) compatiblePart(mapping FieldMapping, mappings map[string]FieldMapping) *partTemplate {
 	for _, part := range l.parts {
 		first := mappings[part.rootFields[0].coordinate]
--- a/internal/graphql/plan/limits.go
+++ b/internal/graphql/plan/limits.go
@@ -52,7 +52,7 @@
 type sizer struct {
 	query      *ast.QueryDocument
 	measured   map[string]selectionSize
-	inProgress map[string]bool // fragments that are being measured
+	inProgress map[string]bool // names of the fragments that are being measured
 }
 
 // selectionSet returns the size of a selection set, or an error if a fragment spreads itself.
@@ -116,7 +116,7 @@
 // document is validated.
 func (l *Limits) checkDocument(query *ast.QueryDocument) *Error {
 	z := &sizer{query: query, measured: map[string]selectionSize{}, inProgress: map[string]bool{}}
-	for _, fragment := range query.Fragments { // also those that no operation uses, because validation visits them
+	for _, fragment := range query.Fragments { // unused fragments too, because validation visits them
 		if err := l.checkSelectionSet(z, fragment.SelectionSet); err != nil {
 			return err
 		}
--- a/internal/graphql/plan/mapping.go
+++ b/internal/graphql/plan/mapping.go
@@ -18,8 +18,8 @@
 	// The key is the idempotency key of a mutation and the affinity key of a query. Empty if there is none.
 	KeyArgument  string
 	Cost         int           // counted against Limits.MaxCost; 0 counts as 1
-	ExpectedWork time.Duration // at an endpoint; 0 if unknown
-	Deadline     time.Duration // replaces the deadline of the class if it is shorter; 0 if there is none
+	ExpectedWork time.Duration // expected work of the field at an endpoint; 0 if unknown
+	Deadline     time.Duration // time limit of the part, if shorter than the class's deadline; 0: only the class's
 	Coalesce     bool          // whether identical parts in flight may share one execution; for queries only
 }
 
@@ -35,7 +35,7 @@
 // Unwrap returns the error in the mapping, without the field.
 func (e FieldMappingError) Unwrap() error { return e.Err }
 
-// checkMapping checks the mapping of a root field against the schema and the classes, if these are known.
+// checkMapping checks the mapping of a root field against the schema, and against the classes if these are known.
 func (s *Schema) checkMapping(rootType *ast.Definition, field *ast.FieldDefinition, mapping FieldMapping) error {
 	isQuery := rootType == s.ast.Query
 	class, known := s.classes[mapping.Class]
--- a/internal/graphql/plan/merge.go
+++ b/internal/graphql/plan/merge.go
@@ -9,7 +9,8 @@
 // Response is the response to the client.
 type Response struct {
 	Body []byte
-	// Rejected is true if no part of the operation ran, because each was rejected or not started.
+	// Rejected is true if no part of the operation ran: each part was rejected before any endpoint executed it, or was
+	// not sent.
 	Rejected bool
 	// RetryAfter is how long the client of a rejected operation should wait before it retries; 0 if unknown.
 	RetryAfter time.Duration
--- a/internal/graphql/plan/outcome.go
+++ b/internal/graphql/plan/outcome.go
@@ -27,8 +27,9 @@
 	Reason     string            // the error message for the client if there is no Response
 }
 
-// MayContinueAfter reports whether the part after one with the given outcome may be sent. It may be sent only after a
-// response whose data is not null: it shows that the part was executed and did not make the merged data null.
+// MayContinueAfter reports whether the next part may be sent after a part with the given outcome. The next part may be
+// sent only if the outcome has a response whose data is not null. Such a response shows that the part was executed and
+// did not make the merged data null.
 func (p *Plan) MayContinueAfter(outcome Outcome) bool {
 	return outcome.Kind == OutcomeExecuted && outcome.Response.values != nil
 }
--- a/internal/graphql/plan/part.go
+++ b/internal/graphql/plan/part.go
@@ -17,7 +17,7 @@
 	Effect         balancer.Effect
 	IdempotencyKey string        // key of a mutation, the same in all attempts and retries; empty if there is none
 	AffinityKey    string        // key of a query; empty if its fields have no key argument or different keys
-	ExpectedWork   time.Duration // sum over the root fields; 0 if unknown
+	ExpectedWork   time.Duration // sum of the expected work of the root fields; 0 if unknown
 	Deadline       time.Duration // counted from when the part is sent; 0 if there is none
 	Coalesce       bool          // whether identical parts in flight may share one execution
 	ResponseKeys   []string      // response keys of the root fields, in the operation's order
@@ -38,7 +38,7 @@
 	schema       *Schema
 	operation    *ast.OperationDefinition
 	vars         map[string]any             // the coerced variables
-	rawVariables map[string]json.RawMessage // as the client sent them
+	rawVariables map[string]json.RawMessage // the variables as the client sent them
 	requestKey   string
 }
 
@@ -64,8 +64,8 @@
 	return part, nil
 }
 
-// applyMappings applies the mappings of a part's root fields. It returns the value of their key arguments, or an empty
-// string if there is none or they differ.
+// applyMappings applies the mappings of a part's root fields. It returns the value of the fields' key arguments, or an
+// empty string if no field has a key argument or the values differ.
 func (b *partBuilder) applyMappings(part *Part, template *partTemplate) string {
 	keys := map[string]bool{}
 	for _, field := range template.rootFields {
@@ -92,8 +92,9 @@
 	return key
 }
 
-// setIdempotencyKey sets the idempotency key of a mutation: the value of its key argument, or else a key derived from
-// the request's key. It returns an error if the class is keyed and there is neither.
+// setIdempotencyKey sets the idempotency key of a mutation: argument, which is the value of the mutation's key
+// argument, or else a key derived from the request's key. It returns an error if the class is keyed and both keys are
+// empty.
 func (b *partBuilder) setIdempotencyKey(part *Part, argument, coordinate string) *Error {
 	responseKey := part.ResponseKeys[0]
 	part.IdempotencyKey = argument
--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -19,15 +19,15 @@
 
 	rootFields []*rootField
 	metaValues map[string]json.RawMessage // values of the meta fields, by response key
-	// partIndex maps the response key of each root field to the index in Parts of the part that contains the field. Meta
-	// fields belong to no part and have no entry.
+	// partIndex maps the response key of each root field to the index in Parts of the part that contains the field.
+	// Meta fields belong to no part and have no entry.
 	partIndex map[string]int
 }
 
 // Plan plans an operation of the document. The operation's name may be empty if there is only one. requestKey is the
 // client's idempotency key for the whole request, or empty if there is none. The key of a mutation without a key
-// argument is derived from requestKey and its response key. An error applies to the whole request, and no part of the
-// operation may be sent.
+// argument is derived from requestKey and the mutation's response key. An error applies to the whole request, and no
+// part of the operation may be sent.
 func (d *Document) Plan(
 	operationName string, variables map[string]json.RawMessage, requestKey string,
 ) (*Plan, *Error) {
--- a/internal/graphql/plan/response.go
+++ b/internal/graphql/plan/response.go
@@ -10,14 +10,15 @@
 
 // EndpointResponse is an endpoint's response to one part.
 type EndpointResponse struct {
-	values     map[string]json.RawMessage // by response key; nil if data is null or absent
+	values     map[string]json.RawMessage // values in data, by response key; nil if data is null or absent
 	executed   bool                       // whether data is present, even if it is null
 	errors     []nodeError
 	extensions json.RawMessage
 }
 
-// nodeError is an entry of the errors of an endpoint's response. Its locations are dropped: they refer to the part's
-// document, and not to the client's. The type must not be renamed, because errors of encoding/json contain its name.
+// nodeError is an entry of the errors of an endpoint's response. The locations in the entry are dropped, because they
+// refer to the part's document and not to the client's document. The type must not be renamed, because errors of
+// encoding/json contain its name.
 type nodeError struct {
 	Message    string            `json:"message"`
 	Path       []json.RawMessage `json:"path,omitempty"`
@@ -118,8 +119,8 @@
 	return nil
 }
 
-// parseObject parses a text that consists of one JSON object. It rejects repeated member names, of which encoding/json
-// would keep the last value.
+// parseObject parses a text that consists of one JSON object. It rejects an object that has a member name twice:
+// encoding/json would silently keep the last value.
 func parseObject(text []byte) (map[string]json.RawMessage, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
--- a/internal/graphql/plan/schema.go
+++ b/internal/graphql/plan/schema.go
@@ -21,7 +21,7 @@
 	SchemaFile    string // the name of the file that SDL was read from, for error messages
 	SDL           string // the schema in the schema definition language
 	Fields        map[string]FieldMapping
-	Classes       []balancer.Class // nil if not known yet; the classes of Fields are then not checked
+	Classes       []balancer.Class // if nil, the classes are not known, and those in Fields are not checked
 	Limits        Limits
 	Introspection bool // whether __schema and __type are resolved
 }
@@ -29,15 +29,15 @@
 // Schema parses and plans operations.
 type Schema struct {
 	ast           *ast.Schema
-	mappings      map[string]FieldMapping   // by schema coordinate, such as Query.seats
-	classes       map[string]balancer.Class // by name; nil if not known yet
+	mappings      map[string]FieldMapping   // mappings of root fields, by schema coordinate such as Query.seats
+	classes       map[string]balancer.Class // classes by name; nil if the classes are not known
 	limits        Limits
 	introspection bool
 	rules         *rules.Rules
 }
 
-// New returns a Schema. Its error joins all problems of the configuration. Problems of the SDL, and root fields without
-// a mapping, are reported with the position in the SDL; each problem of a mapping is a FieldMappingError.
+// New returns a Schema. Its error joins all problems in the configuration. A problem in the SDL and a root field
+// without a mapping are reported with the position in the SDL. A problem in a mapping is a FieldMappingError.
 func New(config Config) (*Schema, error) {
 	parsed, err := parseSDL(config)
 	if err != nil {
--- a/internal/graphql/plan/subdocument.go
+++ b/internal/graphql/plan/subdocument.go
@@ -8,7 +8,7 @@
 )
 
 // formatPart sets the text of a part and the names of its variables. The text is an operation with the part's root
-// fields, and has only the fragments and variables that these use.
+// fields, and has only the fragments and variables that these root fields use.
 func (d *Document) formatPart(op *ast.OperationDefinition, part *partTemplate) {
 	used := &usage{query: d.query, variables: map[string]bool{}, fragments: map[string]bool{}}
 	subdocument := &ast.QueryDocument{}
@@ -59,7 +59,7 @@
 	}
 }
 
-// addFragment adds a fragment and what it uses, once.
+// addFragment adds a fragment, and the variables and fragments that it uses, unless it was added before.
 func (u *usage) addFragment(name string) {
 	fragment := u.query.Fragments.ForName(name)
 	if fragment == nil || u.fragments[name] {
