--- a/internal/operator/bootstrap.go
+++ b/internal/operator/bootstrap.go
@@ -17,7 +17,7 @@
 	minMaxCallRate     = 0.1
 	largestMaxCallRate = 10_000
 
-	// Both limits apply to [recovery] and to [config].
+	// maxRoots and maxFanOut apply to [recovery] and to [config].
 	maxFanOut = 32
 	maxRoots  = 100
 )
--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -15,7 +15,7 @@
 type Cluster struct {
 	Name      string   `toml:"name"`
 	Listen    string   `toml:"listen"`
-	Advertise string   `toml:"advertise"` // the address of Listen if empty
+	Advertise string   `toml:"advertise"` // address at which peers reach this member; empty: the address of Listen
 	Seeds     []string `toml:"seeds"`
 	SeedsFile string   `toml:"seeds_file"`
 	Networks  []string `toml:"networks"`
@@ -24,29 +24,29 @@
 	ProbeTimeout       strictdecode.Duration `toml:"timeout"`
 	GossipInterval     strictdecode.Duration `toml:"gossip"`
 	PushPullInterval   strictdecode.Duration `toml:"sync"`
-	ReconnectInterval  strictdecode.Duration `toml:"retry"`      // between attempts to reach dead members
+	ReconnectInterval  strictdecode.Duration `toml:"retry"`      // time between attempts to reach dead members
 	DeadMemberTTL      strictdecode.Duration `toml:"forget"`     // how long records of dead members are kept
 	NoticeTTL          strictdecode.Duration `toml:"keep_words"` // how long gossiped endpoint updates are valid
-	IndirectChecks     int64                 `toml:"indirect"`   // number of members that probe on behalf of another
+	IndirectChecks     int64                 `toml:"indirect"`   // number of members asked for an indirect probe
 	SuspicionMult      float64               `toml:"suspicion"`
 	MaxMembers         int64                 `toml:"most"`
 	DisableNotices     bool                  `toml:"no_words"` // ignores gossiped endpoint updates
 	DisableSizeUpdates bool                  `toml:"no_count"` // does not pass the cluster's size to the engine
 	Translations       []Translation         `toml:"translate"`
 
-	// validate sets these fields.
+	// AdvertiseAddr, SeedAddrs and AllowedNetworks are not in the file; validate sets them.
 	AdvertiseAddr   netip.AddrPort   `toml:"-"`
 	SeedAddrs       []netip.AddrPort `toml:"-"` // addresses in Seeds, then addresses in SeedsFile
 	AllowedNetworks *netipx.IPSet    `toml:"-"`
 }
 
-// Translation maps the addresses of one network prefix to the prefix under which this sidecar reaches them. Both
-// prefixes have the same length, and each address keeps the bits after the prefix.
+// Translation maps the addresses with one network prefix to addresses with another prefix, at which this sidecar
+// reaches the same peers. Both prefixes have the same length, and each address keeps the bits after the prefix.
 type Translation struct {
 	From string `toml:"from"`
 	To   string `toml:"to"`
 
-	// validate sets these fields.
+	// FromPrefix and ToPrefix are not in the file; validate sets them.
 	FromPrefix, ToPrefix netip.Prefix `toml:"-"`
 }
 
--- a/internal/operator/controlplane.go
+++ b/internal/operator/controlplane.go
@@ -23,7 +23,7 @@
 	FanOut int64 `toml:"fan"`
 }
 
-// maxOrigins is the largest number of origins of which a quorum still answers in reasonable time. See
+// maxOrigins limits the number of origins. With more origins, a quorum would not answer in reasonable time. See
 // docs/design/controlplane.md.
 const maxOrigins = 7
 
--- a/internal/operator/decodeerror.go
+++ b/internal/operator/decodeerror.go
@@ -84,7 +84,7 @@
 	"Translation":  "Translate",
 }
 
-// fieldTypesInErrors replaces renamed types of fields, in this package and in others, by their names in error texts.
+// fieldTypesInErrors replaces the name of a renamed field type, of this package or another, by its name in error texts.
 var fieldTypesInErrors = strings.NewReplacer(
 	"middleware.Durability", "guard.Durability",
 	"middleware.FailurePolicy", "guard.Trouble",
@@ -97,7 +97,7 @@
 	"operator.Translation", "operator.Translate",
 )
 
-// stableErrors returns the decoder's errors, with renamed identifiers in their texts replaced by stableErrorText. It
+// stableErrors returns the decoder's errors, after stableErrorText has replaced renamed identifiers in their texts. It
 // returns nil if there are no errors.
 func stableErrors(decodeErrors []*strictdecode.DecodeError) []error {
 	var errs []error
--- a/internal/operator/discovery.go
+++ b/internal/operator/discovery.go
@@ -25,8 +25,8 @@
 type SRV struct {
 	Name           string                `toml:"name"`
 	NameServers    []string              `toml:"servers"`
-	Attempts       int64                 `toml:"tries"`   // per name server
-	Timeout        strictdecode.Duration `toml:"timeout"` // per attempt
+	Attempts       int64                 `toml:"tries"`   // number of attempts per name server
+	Timeout        strictdecode.Duration `toml:"timeout"` // timeout of each attempt
 	MinTTL         strictdecode.Duration `toml:"min_ttl"`
 	MaxTTL         strictdecode.Duration `toml:"max_ttl"`
 	StaleAnswerTTL strictdecode.Duration `toml:"stale"` // how long an answer is used after its TTL
@@ -41,11 +41,11 @@
 	maxNameServers = 8
 
 	maxDomainNameLength = 253 // RFC 1035, section 2.3.4
-	minServiceLabels    = 3   // a service, a protocol and a domain
+	minServiceLabels    = 3   // labels of the service, the protocol and the domain
 )
 
-// DefaultDiscovery returns the default limits of the merge, for a file that has no [members] but another table that
-// merges endpoint lists.
+// DefaultDiscovery returns the default limits of the merge. They apply if the file has no [members], but another table
+// makes the sidecar merge endpoint lists.
 func DefaultDiscovery() *Discovery {
 	c := new(Discovery)
 	c.validateMerge(validator{report: func(string, string) {}})
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -25,7 +25,7 @@
 	Networks     []string              `toml:"networks"`
 	TickInterval strictdecode.Duration `toml:"tick"`
 
-	// validate sets these fields.
+	// AllowedNetworks, OriginAddrs and OriginNames are not in the file; validate sets them.
 	AllowedNetworks *netipx.IPSet     `toml:"-"`
 	OriginAddrs     map[string]string `toml:"-"` // addresses of all origins by name
 	OriginNames     []string          `toml:"-"` // names of all origins, sorted
@@ -49,7 +49,7 @@
 		positions := strictdecode.FindPositions(text)
 		o.validate(validator{report: func(key, text string) {
 			err := positions.Errorf(key, "%s", text)
-			// Errors about a key that the file does not have are reported at the start of the file.
+			// An error about a missing key has line 0 and column 0, and is reported at the start of the file.
 			err.Line = max(err.Line, 1)
 			err.Column = max(err.Column, 1)
 			decodeErrors = append(decodeErrors, err)
--- a/internal/operator/validator.go
+++ b/internal/operator/validator.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// address parses an address to listen at, or of a server, and reports an invalid one. Port 0 is valid, and means a port
-// that the system chooses.
+// address parses the address of a listener or of a server, and reports an invalid address. Port 0 is valid: the system
+// chooses the port of the listener.
 func (v validator) address(key, text, example string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 }
 
-// parsePeerAddress parses an address to connect to. Port 0 is an error, and the address is returned all the same.
+// parsePeerAddress parses an address to connect to. For port 0 it returns an error and also the parsed address.
 func parsePeerAddress(text, example string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
 	switch {
@@ -100,7 +100,7 @@
 		}
 		builder.AddPrefix(prefix)
 	}
-	// IPSet returns an error only for invalid prefixes, and these were parsed successfully.
+	// IPSet returns an error only for invalid prefixes. All prefixes were parsed successfully.
 	set, _ := builder.IPSet()
 	return set
 }
--- a/internal/strictdecode/positions.go
+++ b/internal/strictdecode/positions.go
@@ -15,7 +15,7 @@
 	positions := Positions{}
 	var parser unstable.Parser
 	parser.Reset(text)
-	table := "" // name of the current table and a dot; empty before the first table
+	table := "" // name of the current table with a dot at the end; empty before the first table
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		if expression.Kind != unstable.Table && expression.Kind != unstable.KeyValue {
