--- a/cmd/hazelwing/architecture_test.go
+++ b/cmd/hazelwing/architecture_test.go
@@ -22,14 +22,14 @@
 	codeSpan = regexp.MustCompile("`([^`]+)`")
 	// packagePath matches the path of a package below the module's root.
 	packagePath = regexp.MustCompile(`^(balancer|(cmd|internal|rpc)/[a-z0-9/]+)$`)
-	// diagramPath matches a package path in the page's diagram, which has no code spans.
+	// diagramPath matches a package path in the page's diagram, where paths are not in code spans.
 	diagramPath = regexp.MustCompile(`\b(?:cmd|internal|rpc)/[a-z0-9/]+`)
-	// qualifiedName matches an exported identifier with its package, or a method or field of it.
+	// qualifiedName matches an exported identifier with its package, or a method or field of such an identifier.
 	qualifiedName = regexp.MustCompile(`^([a-z0-9]+)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
 )
 
-// All packages and exported identifiers that the architecture page names exist. The test guards against renames that
-// miss the page.
+// All packages and exported identifiers that the architecture page names exist in the code. The test fails if an
+// identifier is renamed in the code but not on the page.
 func TestArchitecturePageNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(architecturePage)
 	if err != nil {
--- a/cmd/hazelwing/build_test.go
+++ b/cmd/hazelwing/build_test.go
@@ -29,9 +29,9 @@
 	return m[1]
 }
 
-// The build replaces the program atomically. A compiler removes its output file and then writes it, so that a start
-// during the build could find no program or an incomplete one. A fake compiler pauses after writing half of the
-// program.
+// The build replaces the program atomically: during the build, the old program stays complete. A compiler first removes
+// its output file and then writes the new one. If it wrote to the program's own path, a start during the build could
+// find no program or an incomplete one. The test's fake compiler pauses after writing half of the program.
 func TestBuildReplacesProgramAtomically(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("the platform runs programs on Linux only")
@@ -132,7 +132,7 @@
 func TestDeployedProgramCannotStartOthers(t *testing.T) {
 	symbols, err := openDeployedProgram(t).Symbols()
 	if err != nil || len(symbols) == 0 {
-		t.Fatalf("%d symbols, error %v", len(symbols), err)
+		t.Fatalf("reading the program's symbols: got %d symbols, error %v; want at least one symbol", len(symbols), err)
 	}
 	for _, s := range symbols {
 		for _, prefix := range []string{"os/exec.", "os.StartProcess", "net.ListenUnix"} {
--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -40,7 +40,7 @@
 	processor   float64 // ms
 	resident    float64 // MB
 	heap        float64 // MB
-	disturbed   int     // suspicions, refutations and stalls of all members; positive: the cluster was not quiet
+	disturbed   int     // number of suspicions, refutations and stalls of all members; above 0: not quiet
 }
 
 func (c memberCost) String() string {
@@ -56,10 +56,10 @@
 	return text
 }
 
-// In a quiet cluster, hollow sidecars send and receive as many bytes and messages as real ones, within 10 %. The
-// traffic of real sidecars is counted by the links between their processes, that of hollow ones by their sockets.
-// Member names, endpoint list and settings are the same for both, and so is the relay tree of the list. Processor time
-// and memory are only logged, because hollow sidecars share one process. The long form is
+// In a quiet cluster, hollow sidecars send and receive as many bytes and messages as real ones, within 10 %. The links
+// between processes count the traffic of real sidecars, and sockets count the traffic of hollow ones. Both clusters
+// have the same member names, endpoint list, settings and relay tree of the list. Processor time and memory are only
+// logged, because hollow sidecars share one process. The long form is
 //
 //	go test ./cmd/hazelwing -run Calibration -calibrate.for 2m -calibrate.members 24 -timeout 20m -v
 func TestCalibration(t *testing.T) {
@@ -75,7 +75,7 @@
 	var realCost, hollowCost memberCost
 	measureReal := func() { realCost = calibrateReal(t, settings, recovery) }
 	measureHollow := func() { hollowCost = calibrateHollow(t, settings, recovery) }
-	if isLongCalibration() { // so that the processor time of this process is that of one kind
+	if isLongCalibration() { // so that this process spends processor time on one kind only
 		measureReal()
 		measureHollow()
 	} else {
@@ -209,9 +209,9 @@
 	return cost
 }
 
-// waitQuiet waits until a cluster has disseminated all updates. In the long form it also waits until members
-// that called discovery for lack of a peer follow a peer again, which takes the settle time of
-// internal/discovery/bootstrap.
+// waitQuiet waits until a cluster has disseminated all updates. A member that finds no peer at the start calls
+// discovery, and follows a peer again after the settle time of internal/discovery/bootstrap. In the long form,
+// waitQuiet also waits for this.
 func waitQuiet() {
 	if isLongCalibration() {
 		time.Sleep(40 * time.Second)
--- a/cmd/hazelwing/capacitypage_test.go
+++ b/cmd/hazelwing/capacitypage_test.go
@@ -16,8 +16,8 @@
 )
 
 // Each row in the capacity page's table of bounds has the value of a constant in the code, or names a test that
-// compares its own count with the row (testutil.CheckCapacityBound). A change of a bound therefore fails until the page
-// is updated.
+// compares its own count with the row (testutil.CheckCapacityBound). If a bound changes in the code, the tests fail
+// until the page is updated.
 func TestCapacityPageBounds(t *testing.T) {
 	root := testutil.RepositoryRoot(t)
 	rows := testutil.CapacityBounds(t)
--- a/cmd/hazelwing/ci_test.go
+++ b/cmd/hazelwing/ci_test.go
@@ -11,7 +11,7 @@
 )
 
 // smallModule has the files of a small module in which .ci/run takes seconds. Its linter and its search for unreachable
-// functions are fakes that find nothing; tests replace them to check the calls.
+// functions are fakes that find nothing. Tests replace these fakes to check how .ci/run calls them.
 var smallModule = map[string]string{
 	"go.mod":                       "module small\n\ngo 1.26\n",
 	"README.md":                    "    go test ./...\n",
@@ -58,8 +58,8 @@
 	}
 }
 
-// knownRedEntry returns an entry of KNOWN-RED.txt for the test TestRed in package a, in which the given line replaces
-// the line of the same field.
+// knownRedEntry returns an entry of KNOWN-RED.txt for the test TestRed in package a. The given line replaces the
+// entry's line for the same field.
 func knownRedEntry(line string) string {
 	lines := []string{
 		"test: a TestRed",
@@ -77,10 +77,10 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// With a failing test, .ci/run skips only the tests listed in KNOWN-RED.txt and prints their entries. If an entry is
-// for a longer form of a test, .ci/run prints it and still runs the plain form. A list is invalid if it has more than
+// .ci/run skips only the tests that are listed in KNOWN-RED.txt, and prints their entries. If an entry is for a
+// longer form of a test, .ci/run prints the entry and still runs the plain form. A list is invalid if it has more than
 // three entries, or an entry that lacks a field, names no open issue or names a test that does not exist. Without the
-// file no test is skipped.
+// file KNOWN-RED.txt, no test is skipped.
 func TestKnownRed(t *testing.T) {
 	const red = `package %s
 
@@ -102,7 +102,7 @@
 	for _, c := range []struct {
 		name       string
 		list       string
-		a, b       string // replace the failing test file of a and the passing one of b unless empty
+		a, b       string // test files of packages a and b; empty: the failing file of a, the passing file of b
 		green      bool
 		wantOutput string
 	}{
@@ -200,8 +200,8 @@
 	}
 }
 
-// .ci/run searches the whole module, tests included, for unreachable functions. The search tool succeeds even if it
-// finds some, so .ci/run fails if the tool prints any, or if the tool itself fails.
+// .ci/run searches the whole module, tests included, for unreachable functions. The search tool exits with status 0
+// even if it finds such functions. So .ci/run must fail if the tool prints a function, and also if the tool fails.
 func TestUnreachableFunctionsFail(t *testing.T) {
 	const tool = `package main
 
--- a/cmd/hazelwing/codenames_test.go
+++ b/cmd/hazelwing/codenames_test.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-// codeNames has the declarations of the code, with which tests compare the pages. A package is named by the last
-// element of its path.
+// codeNames has the declarations of the code. Tests compare the pages with these. Packages are named by the last
+// element of their paths.
 type codeNames struct {
-	names     map[string]bool             // package.Name, and package.Type.Member for methods and fields
-	functions map[string]string           // comments of the functions and methods, by their entries in names
-	constants map[string]packageConstants // by package
+	names     map[string]bool             // declared names: package.Name, and package.Type.Member for members
+	functions map[string]string           // comments of functions and methods, by the name as in names
+	constants map[string]packageConstants // constants by package
 	literals  map[string]bool             // string literals
 }
 
@@ -168,8 +168,8 @@
 
 // packageConstants are the constants of a package, or of one file of it.
 type packageConstants struct {
-	exprs  map[string]ast.Expr         // by name
-	others map[string]packageConstants // constants of all packages by package name; may be nil
+	exprs  map[string]ast.Expr         // expressions of the constants, by name
+	others map[string]packageConstants // constants of all packages, by package; nil: not known
 }
 
 // add adds the constants that a file declares with an expression.
--- a/cmd/hazelwing/commandspage_test.go
+++ b/cmd/hazelwing/commandspage_test.go
@@ -16,7 +16,7 @@
 	testPackage = regexp.MustCompile(`(?:^| )(\./[\w./]+)`)
 	// testSelection matches a flag of a "go test" command that selects tests, benchmarks or fuzz tests by a pattern.
 	testSelection = regexp.MustCompile(`(?:^| )-(run|bench|fuzz) ('[^']*'|\S+)`)
-	// selectsNothing has the patterns that intentionally select no test.
+	// selectsNothing has the patterns that are on the pages in order to select no test.
 	selectsNothing = map[string]bool{"^$": true, "xxx": true}
 	// selectedPrefix is the prefix of the function names among which a flag selects.
 	selectedPrefix = map[string]string{"run": "Test", "bench": "Benchmark", "fuzz": "Fuzz"}
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -134,9 +134,9 @@
 	return times
 }
 
-// waitApplied waits until all members of a group have applied a revision or a later one, and logs the times since an
-// instant at the 50th, 99th and 100th percentiles. In the long form the longest may not exceed maxTime; 0 means no
-// limit, for members that were unreachable.
+// waitApplied waits until all members of a group have applied a revision or a later one. It logs the times that this
+// took since a given instant, at the 50th, 99th and 100th percentiles. In the long form the longest time may not exceed
+// maxTime. For members that were unreachable, maxTime is 0, which means no limit.
 func (r *configCluster) waitApplied(
 	what string, revision controlplane.Revision, since time.Time, group []int, maxTime time.Duration,
 ) {
@@ -206,7 +206,7 @@
 	}
 	logOutcomes(r.t, r.Cluster)
 	if r.Outcomes.Served.Load() == 0 {
-		r.t.Error("no request was served")
+		r.t.Error("no request was served, want at least one")
 	}
 }
 
@@ -226,9 +226,9 @@
 // maxApplyTime is the time within which reachable members have to apply a revision.
 const maxApplyTime = 4 * time.Second
 
-// During each fault, all reachable members apply the changes; the others apply them when they are reachable again. In
-// the long form, both take at most maxApplyTime. No accepted change is lost, and no member returns to an older one.
-// Meanwhile each request gets one response and no rule is violated. The long form is
+// During each fault, all reachable members apply the changes. The other members apply the changes when they are
+// reachable again. In the long form, both take at most maxApplyTime. No accepted change is lost, and no member returns
+// to an older change. Meanwhile each request gets one response and no rule is violated. The long form is
 //
 //	go test ./cmd/hazelwing -run ConfigFaults -config.long -timeout 1h -v
 func TestConfigFaults(t *testing.T) {
@@ -243,7 +243,7 @@
 	s, at := r.pushUntilAccepted(1, r.writeSnapshot(""))
 	r.waitApplied("first change, pushed while the origins start", s, at, r.all(), 0)
 
-	// Two concurrent pushes are based on one version: one is accepted, the other is a conflict.
+	// Two concurrent pushes are based on the same version: one push is accepted, and the other fails as a conflict.
 	files := []string{r.writeSnapshot("# a"), r.writeSnapshot("# b")}
 	answers := make([]pushResult, 2)
 	var both sync.WaitGroup
@@ -266,7 +266,8 @@
 	r.waitApplied("change of the discovery address", s, at, r.all(), maxApplyTime)
 	testutil.Until(t, "all members have the list of the new address", r.allHaveDiscoveryList)
 	if after, _ := r.Servers.Discovery.Calls(); after-before >= members {
-		t.Errorf("%d calls of discovery after its address changed for %d sidecars, want fewer", after-before, members)
+		t.Errorf("after the change of discovery's address, %d sidecars made %d calls of discovery; want fewer calls "+
+			"than sidecars", members, after-before)
 	} else {
 		t.Logf("%d calls of discovery after its address changed for %d sidecars", after-before, members)
 	}
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -95,7 +95,7 @@
 	testutil.Until(t, "the snapshot is cached", func() bool { return r.state(2).Active.Version == 2 })
 	r.play("kill all\nstart all")
 	if s := r.state(2); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active.Version != 2 {
-		t.Errorf("the member is ready, or does not report that it acts on the cached snapshot: %+v", s)
+		t.Errorf("member that restarted without any origin: state %+v, want it not ready and on the cached snapshot", s)
 	}
 	if !strings.Contains(r.Log(2), "acting on the last known one, 1.2, confirmed") {
 		t.Error("the log has no line about the cached snapshot")
@@ -130,7 +130,7 @@
 	foreignClient := transport.NewClient("other", r.OriginAddr(1))
 	_, err = foreignClient.Push(r.t.Context(), "four", 1, validText)
 	if err == nil || !strings.Contains(err.Error(), "another fleet's") {
-		r.t.Errorf("push for another cluster: error %v, want one that says so", err)
+		r.t.Errorf("push for another cluster: error %v, want one that contains \"another fleet's\"", err)
 	}
 }
 
@@ -142,8 +142,9 @@
 	return exitStatus(err)
 }
 
-// sendInvalidRequests sends invalid requests to a member and an origin, which close only the connections of these
-// requests. Other connections send nothing or do not read.
+// sendInvalidRequests sends invalid requests to a member and an origin, and checks that they close the connections of
+// these requests. It also opens connections that send nothing, and a subscription whose response
+// is not read.
 func (r *configCluster) sendInvalidRequests() {
 	r.t.Helper()
 	member := fmt.Sprint(r.GossipAddr(1))
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -178,8 +178,9 @@
 	return backup
 }
 
-// testAllOriginsRolledBack restores older stores of all origins, so that only the members have the latest revision.
-// No older one returns, and pushes fail with the reason until the origins are bootstrapped with a higher epoch.
+// testAllOriginsRolledBack restores older stores of all origins, so that only the members have the latest revision. The
+// members must not return to an older revision. Pushes must fail, with the reason, until the origins are bootstrapped
+// with a higher epoch.
 func (r *configCluster) testAllOriginsRolledBack(backupOfLast string) {
 	r.t.Helper()
 	r.play("kill o1-4")
@@ -233,8 +234,8 @@
 	return false
 }
 
-// logTraffic logs the bytes per second that members send and receive during a function, and after it until the duration
-// is over.
+// logTraffic calls a function, waits until the duration is over, and logs the bytes per second that members sent and
+// received in this time.
 func (r *configCluster) logTraffic(what string, duration time.Duration, during func()) {
 	r.t.Helper()
 	type traffic struct{ out, in testcluster.Bytes }
--- a/cmd/hazelwing/crossingspage_test.go
+++ b/cmd/hazelwing/crossingspage_test.go
@@ -10,8 +10,9 @@
 
 const crossingsPage = moduleRoot + "/docs/design/crossings.md"
 
-// The page of races names, for each race, the guard in the code that prevents it. The test notices a guard that was
-// renamed or removed: the code declares every identifier on the page, and constants have the values on the page.
+// The page of races names, for each race, the guard in the code that prevents the race. The test fails if a guard was
+// renamed or removed: the code must declare every identifier on the page, and constants must have the values on the
+// page.
 func TestCrossingsPageNamesTheCode(t *testing.T) {
 	text, err := os.ReadFile(crossingsPage)
 	if err != nil {
--- a/cmd/hazelwing/decisionspage_test.go
+++ b/cmd/hazelwing/decisionspage_test.go
@@ -27,13 +27,13 @@
 	// decisionCells is the number of cells of a decision: question, rule, function, inputs, constants and settings,
 	// log messages and admin fields that show it, promise.
 	decisionCells = 7
-	// minDecisions and minConstants make the test fail if a new form of the page hides rows from it.
+	// minDecisions and minConstants make the test fail if the page's form changes so that rows are not found.
 	minDecisions = 70
 	minConstants = 100
 )
 
 var (
-	// pageIdentifier matches an identifier of the code with its package, or a method or field of it.
+	// pageIdentifier matches an identifier of the code with its package, or a method or field of such an identifier.
 	pageIdentifier = regexp.MustCompile(`^([a-z][a-z0-9]*)\.(\w+)(?:\.(\w+))?$`)
 	// constantWithValue matches an identifier that is followed by its value, a text in parentheses that begins with a
 	// digit.
@@ -90,7 +90,7 @@
 	"backoff", "balancer", "bootstrap", "clientconn", "engine", "http1", "httpfront", "relay", "watch",
 }
 
-// notDecisions has the constants of decisionPackages that are no thresholds of a decision, each with the reason.
+// notDecisions has the constants of decisionPackages that are not thresholds of a decision, each with the reason.
 var notDecisions = map[string]string{
 	"balancer.minServedRate":      "keeps a divisor positive",
 	"balancer.minAgeDivisor":      "limits the error of a rate with little data",
@@ -102,9 +102,9 @@
 	"httpfront.initialBodyBuffer": "size of a buffer",
 }
 
-// Each numeric constant of decisionPackages is on the page, except notDecisions. On-call engineers would look for a
-// missing threshold in vain. The check omits enumerations and most seeds, whose expressions packageConstants cannot
-// evaluate.
+// Each numeric constant of decisionPackages is on the page, except the constants in notDecisions. On-call engineers
+// would look for a missing threshold in vain. The check omits enumerations and most seeds, because packageConstants
+// cannot evaluate their expressions.
 func TestDecisionsPageHasAllThresholds(t *testing.T) {
 	page, err := os.ReadFile(decisionsPage)
 	if err != nil {
@@ -122,7 +122,7 @@
 				continue
 			}
 			if !strings.Contains(string(page), "`"+name+"`") {
-				t.Errorf("the page lacks %s", name)
+				t.Errorf("the page lacks the constant %s, which is not in notDecisions either", name)
 			}
 		}
 	}
@@ -316,8 +316,8 @@
 	return value * units[match[3]], true
 }
 
-// checkDecisions checks the form of the decisions on a page, which are the table rows that begin with a question. It
-// returns the number of decisions.
+// checkDecisions checks the form of the decisions on a page. A decision is a table row that begins with a question.
+// checkDecisions returns the number of decisions.
 func (c codeNames) checkDecisions(page string) (count int, problems []string) {
 	for line := range strings.Lines(page) {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -71,7 +71,7 @@
 	return connections
 }
 
-// openDescriptors returns the number of open descriptors of a process; 0 if the process has ended.
+// openDescriptors returns the number of open descriptors of a process, or 0 if the process has ended.
 func openDescriptors(pid int) int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -80,10 +80,10 @@
 	return len(list)
 }
 
-// The daemon never reaches its limit of descriptors, at which it could neither accept nor dial. The kernel's limit is
-// the platform's number or less. Idle clients flood the daemon, discovery is down, and dials to the only known upstream
-// time out. The daemon is terminated and replaced by a new process, which must respond to /up. When discovery is back,
-// the new process must fetch the list at once and serve the requests in flight.
+// The daemon must never reach its limit of descriptors, because then it could neither accept nor dial. The limit is the
+// kernel's limit, which is at most the platform's number of sockets. Idle clients flood the daemon, discovery is down,
+// and dials to the only known upstream time out. The daemon is terminated and replaced by a new process, which must
+// respond to /up. When discovery is back, the new process must fetch the list at once and serve the requests in flight.
 func TestDescriptorsUnderFlood(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("descriptors are counted in /proc")
@@ -99,7 +99,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			limit := test.limit
-			t.Parallel() // it waits in real time
+			t.Parallel() // the test waits in real time
 			serving := testutil.ServeRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for testutil.ReadRequest(r) != nil {
 					_, _ = io.WriteString(c, testutil.OKResponse) // the daemon may have closed the connection
@@ -212,7 +212,7 @@
 			t.Logf("%d of %d requests were served, the last one %v after the restart of discovery",
 				served, requests, time.Since(discoveryUpAt).Round(time.Millisecond))
 			if served < requests {
-				t.Errorf("%d of %d requests in flight were served", served, requests)
+				t.Errorf("%d of %d requests in flight were served, want all", served, requests)
 			}
 			stop()
 			n := testutil.Receive(t, maxDescriptors, "the number of descriptors")
@@ -244,8 +244,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// requestStatus sends a request on a new connection and returns the status of the response. Without a response it
-// returns former.
+// requestStatus sends a request on a new connection and returns the status of the response. If there is no response, it
+// returns former, the status of the previous try.
 func requestStatus(t *testing.T, addr, id string, former int) int {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/hazelwing/disconnect_test.go
+++ b/cmd/hazelwing/disconnect_test.go
@@ -34,19 +34,20 @@
 
 	clients  int
 	waiting  int           // clients whose request was waiting for its first attempt or a retry
-	first    int           // first attempts after the disconnect
-	retries  int           // retries after the disconnect
+	first    int           // first attempts that began after the disconnect
+	retries  int           // retries that began after the disconnect
 	maxDelay time.Duration // longest time from a disconnect to an attempt
 	late     int           // attempts that began more than 100 ms after the disconnect
 }
 
 // The daemon forwards almost no requests of clients that have disconnected, even if it has a small fraction of a core
 // and notices disconnects late. The daemon repeatedly runs for 20 ms and is stopped for 180 ms. Each client sends a
-// request and disconnects some time later by FIN or reset, some after further bytes, some after more bytes than the
-// daemon reads ahead and the kernel buffers. Upstreams reject half of the requests late and unprocessed, which leads to
-// retries. The time of each attempt is compared with the time at which its client disconnected. An attempt may be late
-// by one stop, since the daemon may be stopped between its last check of the client and the write. The operators' terms
-// allow at most two attempts that are later than 0.1 s.
+// request and disconnects some time later by FIN or reset. Some clients send further bytes before they disconnect, and
+// some of these send more bytes than the daemon reads ahead and the kernel buffers. Upstreams reject half of the
+// requests late and unprocessed, which leads to retries. The time of each attempt is compared with the time at which
+// its client disconnected. An attempt may be late by one stop of the daemon, since the daemon may be stopped between
+// its last check of the client and the write. The operators' terms allow at most two attempts that are more than 0.1 s
+// late.
 func TestDisconnectsUnderLoad(t *testing.T) {
 	if *disconnectClients == 0 {
 		t.Skip("this measurement runs only with -leaves, for example -leaves 2000")
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -18,7 +18,7 @@
 	"hazelwing/internal/testcluster"
 )
 
-// maxTimelineLines limits the log lines that a failure prints, which are the first hundred and the last ones.
+// maxTimelineLines limits the log lines that a failure prints: the first hundred lines, and then the last lines.
 const maxTimelineLines = 400
 
 var (
@@ -94,7 +94,7 @@
 func TestFleet(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/fleet/*.txt")
 	if err != nil || len(scripts) == 0 {
-		t.Fatal("no scripts", err)
+		t.Fatalf("scripts in testdata/fleet: found none, error %v", err)
 	}
 	for _, path := range scripts {
 		text, err := os.ReadFile(path)
@@ -137,7 +137,7 @@
 		t.Errorf("with a dead member: error %v, want exit status 2", err)
 	}
 	if _, err := execute("fleet", "--admin", r.AdminAddr(3)); err == nil {
-		t.Error("no error for a sidecar that does not run")
+		t.Error("fleet, for a sidecar that does not run: no error, want one")
 	}
 	_, err = execute("fleet", "--operator", "")
 	if err == nil || !strings.Contains(err.Error(), "--admin or --operator") {
--- a/cmd/hazelwing/format_test.go
+++ b/cmd/hazelwing/format_test.go
@@ -113,7 +113,7 @@
 	testutil.Golden(t, "format/config-push.json", out.Bytes())
 	var read pushResult
 	if err := json.NewDecoder(&out).Decode(&read); err != nil || !reflect.DeepEqual(read, push) {
-		t.Errorf("%v: read back as\n%+v, want\n%+v", err, read, push)
+		t.Errorf("the output read back: error %v, got\n%+v, want\n%+v", err, read, push)
 	}
 }
 
--- a/cmd/hazelwing/glossarypage_test.go
+++ b/cmd/hazelwing/glossarypage_test.go
@@ -16,8 +16,8 @@
 	glossaryCells  = 4
 )
 
-// Each term of the glossary has a meaning and an identifier, package or file that exists, and no term has two rows. A
-// newcomer uses the glossary to find the code for a term of the operators.
+// Each term of the glossary has a meaning, and an existing identifier, package or file. No term has two rows. Newcomers
+// use the glossary to find the code for a term of the operators.
 func TestGlossaryNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(glossaryPage)
 	if err != nil {
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -64,7 +64,7 @@
 	env        []string
 	cmd        *exec.Cmd
 	log        *os.File
-	generation atomic.Int64 // number of starts and kills of the daemon; odd while it runs
+	generation atomic.Int64 // number of starts and kills of the daemon so far; odd while the daemon runs
 }
 
 // killClient is a client that sends one request at a time, on its own connections.
@@ -183,7 +183,7 @@
 	}
 	outcome := r.exchange(c.client, req, class, key, id)
 	if outcome == broken && generation%2 == 1 && r.generation.Load() == generation {
-		r.t.Errorf("%s got no response although the daemon ran", id)
+		r.t.Errorf("request %s got no response although the daemon ran during the whole attempt", id)
 	}
 	return outcome
 }
@@ -202,12 +202,12 @@
 		return broken
 	case resp.StatusCode == http.StatusOK:
 		if !strings.HasPrefix(string(text), id) {
-			r.t.Errorf("%s was served with the body %q, want one that begins with the ID", id, text)
+			r.t.Errorf("request %s was served with the body %q, want one that begins with the ID", id, text)
 		}
 		return served
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		if runs := r.fleet.Rules.KeyExecutions(key); runs > 0 && class.Effect == "unsafe" {
-			r.t.Errorf("%s with key %s was rejected after it had been executed", id, key)
+			r.t.Errorf("request %s with key %s was rejected after it had been executed", id, key)
 		}
 		return rejected
 	case resp.StatusCode == http.StatusBadGateway, resp.StatusCode == http.StatusGatewayTimeout:
@@ -217,10 +217,10 @@
 	return failed
 }
 
-// The daemon is killed at random times and restarted, while clients retry with new IDs and the same key, whatever the
-// response. A killed daemon loses its knowledge of attempts in memory, so that their effects could be executed twice.
-// No request that is not idempotent may be executed twice, and no keyed one twice within its idempotency scope and
-// window. The long form is
+// The daemon is killed at random times and restarted. Clients retry with new IDs and the same key, whatever the
+// response was. A killed daemon loses its records of attempts in memory, so that effects of these attempts could be
+// executed twice. No request that is not idempotent may be executed twice, and no keyed request may be executed twice
+// within its idempotency scope and window. The long form is
 //
 //	go test ./cmd/hazelwing -run Killed -kills 200 -timeout 30m
 func TestKilled(t *testing.T) {
--- a/cmd/hazelwing/lab_slopes_test.go
+++ b/cmd/hazelwing/lab_slopes_test.go
@@ -60,7 +60,7 @@
 	}
 	for _, want := range []string{"139", "360 n", "holds", "MISSES", "two at least"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("no %q in\n%s", want, out)
+			t.Errorf("the output lacks %q:\n%s", want, out)
 		}
 	}
 	out, err = execute("lab", "slopes", path, "--figure", "view,bytes sent")
--- a/cmd/hazelwing/lab_test.go
+++ b/cmd/hazelwing/lab_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// The commands check, list, run, show, compare and report an experiment. A claim that does not hold is an error, and a
-// hunt does not overwrite the result of an earlier one.
+// The commands check, list, run, show, compare and report an experiment. A claim that does not hold is an error. A hunt
+// does not overwrite the result of an earlier hunt.
 func TestLabCommands(t *testing.T) {
 	dir := t.TempDir()
 	labText := testutil.Experiment("Does it run?", "p2c", "random", 5)
--- a/cmd/hazelwing/links_test.go
+++ b/cmd/hazelwing/links_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// journalFolder holds journal entries, which are not changed any more, and whose links are not checked.
+// journalFolder holds journal entries. Their links are not checked, because entries are not changed any more.
 const journalFolder = moduleRoot + "/journal"
 
 var (
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// The linter's list of unfinished packages names existing packages, and has not grown.
+// The linter's list of unfinished packages names only existing packages, and only packages in unfinishedPackages.
 func TestUnfinishedPackagesOnlyShrink(t *testing.T) {
 	config, err := os.ReadFile("../../.golangci.yml")
 	if err != nil {
--- a/cmd/hazelwing/loggingpage_test.go
+++ b/cmd/hazelwing/loggingpage_test.go
@@ -14,7 +14,7 @@
 
 const loggingPage = moduleRoot + "/docs/operators/logging.md"
 
-// loggingPackages are the packages whose log lines an operator sees, which are those of the daemon, of an origin and of
+// loggingPackages are the packages whose log lines an operator sees: the packages of the daemon, of an origin and of
 // the plug-in.
 var loggingPackages = []string{
 	"balancer",
@@ -49,7 +49,7 @@
 // logMethods are the logging methods, whose first argument is the message. Balancer.log is one of them.
 var logMethods = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "log": true}
 
-// The page of log messages has a row for each message in the code, and only for these.
+// The page of log messages has a row for each message in the code, and no other rows.
 func TestLoggingPageHasAllMessages(t *testing.T) {
 	page, err := os.ReadFile(loggingPage)
 	if err != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// loggedMessages returns the messages that are literal arguments of logging methods, each with a place that logs it,
-// and all string literals, because some messages are passed on before they are logged.
+// loggedMessages returns the messages that are literal arguments of logging methods, each with a place that logs it. It
+// also returns all string literals of the code, because some messages reach a logging method through a variable.
 func loggedMessages(t *testing.T) (messages map[string]string, literals map[string]bool) {
 	t.Helper()
 	messages, literals = map[string]string{}, map[string]bool{}
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -41,16 +41,16 @@
 	longForgetOption = "forget = \"2m\"\n"
 )
 
-// mixedCluster is a cluster of members and origins of which some run the older program and some the newer one.
+// mixedCluster is a cluster in which some members and origins run the older program, and the others the newer one.
 type mixedCluster struct {
 	*configCluster
 	list  *listCluster
 	newer []string // command line of the newer program
 }
 
-// TestMixedVersions runs an older program and this one in one cluster. It checks that both versions understand each
-// other's gossip, endpoint list, configuration and election messages, and that an upgraded process reads the state that
-// the older one stored.
+// TestMixedVersions runs an older version and the current version of the program in one cluster. It checks that both
+// versions understand each other's gossip, endpoint list, configuration and election messages, and that an upgraded
+// process reads the state that the older version stored.
 //
 //	go test ./cmd/hazelwing -run TestMixedVersions -older PATH -v
 func TestMixedVersions(t *testing.T) {
@@ -148,29 +148,29 @@
 	}
 }
 
-// checkNothingRejected checks that no process has dropped a message of another one as unreadable or foreign. The other
-// checks cannot notice this, because messages arrive on redundant paths.
+// checkNothingRejected checks that no process has dropped a message of another process as unreadable or foreign. The
+// other checks cannot notice a dropped message, because messages arrive on redundant paths.
 func (r *mixedCluster) checkNothingRejected() {
 	r.t.Helper()
 	for _, n := range r.all() {
 		var view gossip.Status
 		if err := r.ReadAdmin(n, "fleet", &view); err != nil {
-			r.t.Errorf("member %d: %v", n, err)
+			r.t.Errorf("membership view of member %d: %v", n, err)
 			continue
 		}
 		unreadable := view.Network.Corrupt + view.Network.VersionMismatches
 		unusable := view.Core.ForeignMessages + view.Core.Rejected
 		if unreadable != 0 || unusable != 0 {
-			r.t.Errorf("member %d has rejected gossip: %+v, %+v", n, view.Network, view.Core)
+			r.t.Errorf("member %d has dropped gossip, want none: network %+v, core %+v", n, view.Network, view.Core)
 		}
 		if s := r.state(n); s.Foreign != 0 || s.Corrupt != 0 || s.Rejected != 0 || s.Conflicts != 0 {
-			r.t.Errorf("member %d has rejected a configuration: %+v", n, s.FollowerStats)
+			r.t.Errorf("member %d has dropped a configuration message, want none: %+v", n, s.FollowerStats)
 		}
 	}
 	for k := 1; k <= r.origins; k++ {
 		s, err := r.originStatus(k)
 		if err != nil || s.ForeignMessages != 0 || s.CorruptMessages != 0 || len(s.RolledBack) != 0 {
-			r.t.Errorf("origin %d: %v, %+v", k, err, s)
+			r.t.Errorf("origin %d: error %v, status %+v; want no dropped messages and no rollback", k, err, s)
 		}
 	}
 }
@@ -211,12 +211,13 @@
 		}
 	}
 	if crossings == 0 {
-		r.t.Errorf("none of %v follows one of %v", to, from)
+		r.t.Errorf("none of the members %v follows one of the members %v, want at least one", to, from)
 	}
 }
 
-// checkConfiguration pushes changes with the commands of both versions, to each origin, while one group of members
-// cannot reach the origins, and under a leader of each version, which is then killed. It returns the latest revision.
+// checkConfiguration pushes changes with the commands of both versions, and to each origin. It does so while one group
+// of members cannot reach the origins, and under a leader of each version, which is then killed. It returns the latest
+// revision.
 func (r *mixedCluster) checkConfiguration() (revision controlplane.Revision) {
 	r.t.Helper()
 	for k := 1; k <= r.origins; k++ {
@@ -289,8 +290,8 @@
 	return 0
 }
 
-// waitInForce waits until all members act on a revision, and until the reports of all running origins say so. It
-// reads the admin endpoints and not the logs, whose messages may differ between the versions.
+// waitInForce waits until all members act on a revision, and until all running origins report this. It reads the admin
+// endpoints and not the logs, because log messages may differ between the versions.
 func (r *mixedCluster) waitInForce(what string, revision controlplane.Revision) {
 	r.t.Helper()
 	startedAt := time.Now()
@@ -392,7 +393,7 @@
 	r.checkNothingRejected()
 }
 
-// waitStored waits until the snapshot that a member has cached on disk is that of the given revision.
+// waitStored waits until the snapshot that a member has cached on disk has the given revision.
 func (r *mixedCluster) waitStored(n int, revision controlplane.Revision) {
 	r.t.Helper()
 	r.waitUntil(fmt.Sprintf("member %d stores %v", n, revision), func() error {
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -68,8 +68,9 @@
 	return strings.Trim(strings.ReplaceAll(fmt.Sprint(list), " ", ","), "[]")
 }
 
-// Members relay the endpoint list to each other, and only a few of them call discovery, even if all start or restart at
-// once. If these members are killed or cannot reach discovery, others call it. Each change reaches all members.
+// Members relay the endpoint list to each other, and only a few members call discovery, even if all start or restart at
+// once. If these few are killed or cannot reach discovery, other members call discovery. Each change of the list
+// reaches all members.
 func TestEndpointListIsRelayed(t *testing.T) {
 	const members, wantCallers = 12, 2
 	config := testcluster.Config{
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -54,7 +54,7 @@
 type timedRequest struct {
 	due      time.Time // scheduled time
 	route    route
-	duration time.Duration // from the scheduled time to the response
+	duration time.Duration // time from the scheduled time to the response
 }
 
 func (r *roundRobinTarget) Name() string { return "round robin" }
@@ -122,7 +122,7 @@
 	return n
 }
 
-// addedLatency returns the difference between the latency of a route and that of direct requests on persistent
+// addedLatency returns how much the latency of a route exceeds the latency of direct requests on persistent
 // connections, as four columns for p50, p90, p99 and p99.9.
 func addedLatency(timings []timedRequest, by route) string {
 	quantile := quantiles(timings)
@@ -299,9 +299,10 @@
 	return one
 }
 
-// A sidecar under little load keeps one connection to each of the ten servers of its subset if there are many sidecars.
-// If there are few, it selects from all servers. The test sends twenty requests, so that the rate is at most twenty per
-// second on any machine, and this rate leads to a subset of ten. The capacity page relies on these counts.
+// If there are many sidecars, a sidecar under little load keeps one connection to each of the ten servers of its
+// subset. If there are few sidecars, it selects from all servers. The test sends twenty requests, so that the rate is
+// at most twenty per second on any machine. This rate leads to a subset of ten. The capacity page relies on these
+// counts.
 func TestShareCounts(t *testing.T) {
 	const n, requests = 60, 20
 	s := startServers(t, n, 0)
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -54,9 +54,9 @@
 
 // serverCounts are the counts of plain servers.
 type serverCounts struct {
-	Conns    int64 // accepted
+	Conns    int64 // number of accepted connections
 	Requests int64
-	Servers  int64 // that received a request
+	Servers  int64 // number of servers that received a request
 }
 
 // serversMain runs plain servers, each on its own address. They respond to each request after a fixed time and keep
@@ -144,7 +144,7 @@
 			}()
 		}
 	}()
-	_, _ = io.Copy(io.Discard, os.Stdin) // until its end
+	_, _ = io.Copy(io.Discard, os.Stdin) // returns at the end of standard input
 }
 
 // copyBuffered copies through a buffer in user space, as a proxy does. It hides methods that would copy in the kernel.
--- a/cmd/hazelwing/start_test.go
+++ b/cmd/hazelwing/start_test.go
@@ -16,9 +16,9 @@
 // system calls.
 const maxStartThreads = 6
 
-// The start of a sidecar is cheap, since the platform may start three hundred of them, each on a fraction of a core.
-// With the run command of deploy/balancer.toml, the runtime uses one core from the beginning. This prevents threads
-// that spin while they wait for each other, and the stop of the world that a later reduction of GOMAXPROCS takes.
+// The start of a sidecar must be cheap, because the platform may start three hundred sidecars, each on a fraction of a
+// core. With the run command of deploy/balancer.toml, the Go runtime uses one core from the beginning. So no threads
+// spin while they wait for each other, and no later reduction of GOMAXPROCS has to stop the world.
 func TestStartIsCheap(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("threads are read from /proc")
@@ -29,7 +29,7 @@
 	}
 	r := newDaemonProcess(t, "")
 	r.env = append(r.env, set[1])
-	minThreads := 1 << 20 // minimum, as on a busy machine a long system call makes the runtime start another thread
+	minThreads := 1 << 20 // minimum of the starts: a long system call on a busy machine adds a thread
 	for range 5 {
 		r.start()
 		threads := processStatusValue(t, r.cmd, "Threads")
--- a/cmd/hazelwing/startdaemon_test.go
+++ b/cmd/hazelwing/startdaemon_test.go
@@ -13,14 +13,14 @@
 )
 
 // startDaemon starts a command that runs this test's program, as a daemon with the given configuration. It waits until
-// the daemon listens, and returns its address. The daemon logs to log unless that is nil. It is killed at the end of
-// the test.
+// the daemon listens, and returns its address. The daemon logs to log, unless log is nil. The daemon is killed at the
+// end of the test.
 func startDaemon(t *testing.T, cmd *exec.Cmd, text string, log io.Writer) (addr string) {
 	t.Helper()
 	return startDaemonAt(t, cmd, text, "", log)
 }
 
-// startDaemonAt is like startDaemon, but the daemon listens at addr; empty: a free address.
+// startDaemonAt is like startDaemon, but the daemon listens at addr, or at a free address if addr is empty.
 func startDaemonAt(t *testing.T, cmd *exec.Cmd, text, addr string, log io.Writer) string {
 	t.Helper()
 	if addr == "" {
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// The example of an operator's file is valid, also with all of its settings enabled.
+// The example of an operator's file is valid as it stands, and also with all of its settings enabled.
 func TestCheckCommand(t *testing.T) {
 	const example = "../../deploy/hazelwing.toml"
 	text, err := os.ReadFile(example)
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -19,17 +19,17 @@
 
 // sentRequest is a request of TestTermWhileUpstreamsHang's clients.
 type sentRequest struct {
-	at       time.Duration // from SIGTERM until the request was written
-	duration time.Duration // from then until its end
-	retried  bool          // sent again on a new connection, because the first one was closed meanwhile
-	status   int           // 0: no response
+	at       time.Duration // time from SIGTERM until the request was written
+	duration time.Duration // time from the writing of the request until its response or error
+	retried  bool          // whether the request was sent again, after the daemon had closed the connection
+	status   int           // status of the response; 0: no response
 	err      error
 }
 
 // hangResponse has the properties of a response that TestTermWhileUpstreamsHang checks.
 type hangResponse struct {
 	status int
-	close  bool // the response announces that the daemon closes the connection
+	close  bool // whether the response announces that the daemon closes the connection
 }
 
 // readHangResponse reads a whole response.
@@ -44,13 +44,14 @@
 }
 
 // Each request gets a response before the platform's earliest SIGKILL, even if all upstreams hang from SIGTERM on.
-// SIGKILL would reset the open connections. It comes at the earliest 0.7 s and the longest deadline after SIGTERM.
+// SIGKILL would reset the open connections. The earliest time of SIGKILL is 0.7 s plus the longest deadline after
+// SIGTERM.
 // Clients keep sending on each connection until it is closed, and on new connections for 0.4 s. They repeat a request
 // on a new connection if the daemon closed the connection while the request was on its way.
 func TestTermWhileUpstreamsHang(t *testing.T) {
 	for _, longest := range []time.Duration{400 * time.Millisecond, 3 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
-			t.Parallel() // it waits in real time
+			t.Parallel() // the test waits in real time
 			const newConnPeriod, clients = 400 * time.Millisecond, 24
 			sigkillAfter := longest + 700*time.Millisecond
 			var mu sync.Mutex
@@ -88,7 +89,7 @@
 				}
 				response, err := send(conns[i], fmt.Sprint("before", i))
 				if err != nil || response.status != http.StatusOK {
-					t.Fatalf("before: %v %v", response, err)
+					t.Fatalf("request before SIGTERM: response %+v, error %v; want status 200", response, err)
 				}
 			}
 			mu.Lock()
