--- a/internal/daemon/allocs_test.go
+++ b/internal/daemon/allocs_test.go
@@ -11,9 +11,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// The number of allocations for a request on open connections is limited, in the front, the engine, the balancer and
-// the transport together. It is a count and not a time, so it is the same on all machines. The client and the server of
-// the test allocate nothing.
+// The front, the engine, the balancer and the transport together may make only a limited number of allocations for a
+// request on open connections. Unlike a time, this number is the same on all machines. The client and the server of the
+// test allocate nothing.
 func TestAllocationsOfARequest(t *testing.T) {
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
 		answer, buf := []byte(testutil.OKResponse), make([]byte, 4096)
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -56,7 +56,7 @@
 	if err := newGoroutines(new(operator.Config)); err != nil {
 		t.Errorf("goroutines before Run without [fleet]: %v", err)
 	}
-	_ = newGoroutines(clusterConfig(t, "")) // checks only that the parts exist; goroutines are expected
+	_ = newGoroutines(clusterConfig(t, "")) // checks that the parts exist; ignores goroutines, which are expected
 	cfg := config(t, testutil.UnusedAddr, testutil.UnusedAddr)
 	s, err := build(t.Context(), cfg, clusterConfig(t, "no_words = true\n"), discardLog)
 	if err != nil {
@@ -68,9 +68,9 @@
 	}
 }
 
-// Other members gossip that endpoints drain. A faulty member could remove all endpoints, or add one that does not
-// exist. So gossiped updates remove at most the configured share of the endpoints, and never add one. An endpoint
-// returns to the list when its update has expired.
+// Other members gossip that endpoints drain. A faulty member could remove all endpoints, or add an endpoint that does
+// not exist. So gossiped updates may remove at most the configured share of the endpoints, and never add an endpoint. A
+// removed endpoint returns to the list when the update about it has expired.
 func TestNoticesRemoveEndpoints(t *testing.T) {
 	op := clusterConfig(t, "")
 	b, err := newBuilder(config(t, testutil.UnusedAddr, testutil.UnusedAddr), op, discardLog)
@@ -144,7 +144,7 @@
 	return func() {}
 }
 
-// The cluster reports its size to the engine, also a size that was known before the engine was created.
+// The cluster reports its size to the engine. It also reports the size that was known before the engine was created.
 func TestClusterSizeReachesTheEngine(t *testing.T) {
 	member := new(node.Node)
 	member.SizeChanged(7)
--- a/internal/daemon/component_test.go
+++ b/internal/daemon/component_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Components run until their context ends. All of them are closed in reverse order, also after one has returned an
-// error.
+// Components run until their context ends. All components are closed in reverse order, even if closing one of them
+// returns an error.
 func TestComponentsAreClosedInReverse(t *testing.T) {
 	var closed []string
 	failure := errors.New("disk full")
--- a/internal/daemon/configmember_test.go
+++ b/internal/daemon/configmember_test.go
@@ -79,8 +79,8 @@
 }
 
 // A snapshot that is applied in part would leave the sidecar with settings that nobody has pushed. When apply returns,
-// all settings of the snapshot are in effect, and all others have the platform's values. A snapshot that the module
-// rejects changes nothing.
+// all settings of the snapshot are in effect, and all other settings have the platform's values. A snapshot that the
+// balancer module rejects changes nothing.
 func TestSnapshotIsAppliedCompletely(t *testing.T) {
 	addr, calls, _ := startSilentDiscovery(t)
 	other, otherCalls, _ := startSilentDiscovery(t)
@@ -91,20 +91,21 @@
 		t.Fatal(err)
 	}
 	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.configMember.clusterSize != 7 {
-		t.Errorf("the snapshot is not in effect: debug log %v, cluster size %d; want true, 7",
+		t.Errorf("after the first snapshot: debug log %v, cluster size %d; want true and 7",
 			r.log.Enabled(t.Context(), slog.LevelDebug), r.configMember.clusterSize)
 	}
 	bad := parseSnapshot(t, 2, fmt.Sprintf("[log]\nlevel = \"error\"\n[discovery]\naddr = %q\n", other))
 	nan := math.NaN()
-	// Validation rejects this value already, but the module has to reject it too.
+	// Validation of snapshots rejects NaN already. Here the balancer module has to reject it.
 	bad.Settings.Price = &controlplane.Price{Probe: &nan}
 	if err := r.configMember.apply(bad); err == nil || !strings.Contains(err.Error(), "PriceProbe") {
 		t.Errorf("apply: got error %v, want one that names PriceProbe", err)
 	}
 	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.currentDiscovery != addr ||
 		r.configMember.snapshotDiscovery != "" || len(otherCalls) > 0 {
-		t.Errorf("a part of the rejected snapshot was applied: debug log %v, discovery at %s, its address %q, %d calls",
-			r.log.Enabled(t.Context(), slog.LevelDebug), r.currentDiscovery,
+		t.Errorf("a part of the rejected snapshot was applied: debug log %v, want true; discovery at %s, want %s; "+
+			"discovery in the latest applied snapshot %q, want none; %d calls to the rejected address, want none",
+			r.log.Enabled(t.Context(), slog.LevelDebug), r.currentDiscovery, addr,
 			r.configMember.snapshotDiscovery, len(otherCalls))
 	}
 	if err := r.configMember.apply(parseSnapshot(t, 3, "# no settings")); err != nil {
@@ -116,8 +117,8 @@
 	}
 }
 
-// A snapshot sets limits above the platform's, and names classes and tenants that this sidecar does not have. It must
-// never allow more than the platform allows, and the unknown classes and tenants are ignored.
+// A snapshot sets limits above the platform's limits, and names classes and tenants that this sidecar does not have.
+// The effective settings must not allow more than the platform's limits. Unknown classes and tenants must be ignored.
 func TestEffectiveSettingsStayWithinThePlatforms(t *testing.T) {
 	base := balancer.Settings{
 		MaxAttempts: 3,
@@ -132,10 +133,10 @@
 	class := balancer.Class{Name: "look", Weight: 4, LateWeight: 0.5, Effect: balancer.NonIdempotent}
 	if s.MaxAttempts != 3 || s.Hedging || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 ||
 		len(s.Classes) != 1 || len(s.Tenants) != 1 || s.Classes[0] != class || s.Tenants[0].Fraction != 0.25 {
-		t.Errorf("effective settings exceed the platform's or miss the snapshot's: %+v", s)
+		t.Errorf("effective settings: got %+v, want the snapshot's values within the platform's limits", s)
 	}
 	if base.Classes[0].Weight != 1 || base.Tenants[0].Fraction != 0.5 {
-		t.Errorf("the platform's settings were changed: %+v", base)
+		t.Errorf("the platform's settings were changed: got %+v, want the weight 1 and the fraction 0.5", base)
 	}
 	if s := effectiveSettings(base, &parseSnapshot(t, 1, "[limits]\nmax_attempts = 2\n").Settings); s.MaxAttempts != 2 {
 		t.Errorf("max_attempts of the snapshot: got %d, want 2", s.MaxAttempts)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -38,7 +38,8 @@
 		resp, body := r.do(t, req)
 		if resp.StatusCode != 200 || body != "seat" ||
 			resp.Header.Get("Content-Type") != "text/x-seat" || resp.Header.Get("Keep-Alive") != "" {
-			t.Errorf("class %s: the response has changed: %s %q %v", c.class, resp.Status, body, resp.Header)
+			t.Errorf("class %s: the sidecar changed the response: got status %s, body %q, header %v",
+				c.class, resp.Status, body, resp.Header)
 		}
 		q := testutil.Receive(t, seen, "the request")
 		got, _ := io.ReadAll(q.Body)
@@ -47,13 +48,14 @@
 			q.Header.Get("X-Request-Id") != id ||
 			q.Header.Get("Idempotency-Key") != req.Header.Get("Idempotency-Key") ||
 			q.Header.Get("X-Other") != "kept" || q.Header.Get("Te") != "" || left <= 0 || left > 15000 {
-			t.Errorf("class %s: the request has changed: %s %s %q %v", c.class, q.Method, q.RequestURI, got, q.Header)
+			t.Errorf("class %s: the sidecar changed the request: got %s %s, body %q, header %v",
+				c.class, q.Method, q.RequestURI, got, q.Header)
 		}
 	}
 }
 
-// A 503 response of an endpoint does not say whether the request ran. The sidecar must not forward it for a request
-// that is not idempotent, because the client would take it for a rejection and repeat a request that must not run
+// A 503 response of an endpoint does not say whether the request ran. If the request is not idempotent, the sidecar
+// must not forward the 503 response: the client would take it for a rejection and repeat a request that must not run
 // twice.
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	for name, reply := range map[string]string{
@@ -164,8 +166,8 @@
 	}))
 	defer discovery.Close()
 	r := startSidecar(t, discovery.Listener.Addr().String(), testutil.UnusedAddr, `"ask"`, strconv.Quote(mode))
-	// The sidecar rejects requests until the list replaces the initial address, which refuses connections. The client
-	// repeats them.
+	// The initial address refuses connections. The sidecar rejects requests until the list replaces this address, and
+	// the client repeats rejected requests.
 	started := time.Now()
 	for n := 0; ; n++ {
 		resp, body := r.do(t, r.request(t, "GET", "look", strconv.Itoa(n), ""))
--- a/internal/daemon/deploy_test.go
+++ b/internal/daemon/deploy_test.go
@@ -23,9 +23,9 @@
 var deploy = flag.Bool("deploy", false,
 	"run TestDeployWithALateList, which takes a minute: measures the share of requests served during a deploy")
 
-// A deploy replaces six nodes one after the other. A name service lists each replacement at once, the endpoint list
-// five seconds later. The test measures the share of requests that is served with the list alone, with the name service
-// alone and with both.
+// A deploy replaces six nodes one after the other. A name service lists each replacement at once. The endpoint list has
+// the replacement five seconds later. The test measures the share of requests that is served with the list alone, with
+// the name service alone and with both.
 //
 //	go test ./internal/daemon -run DeployWithALateList -deploy -v
 func TestDeployWithALateList(t *testing.T) {
@@ -61,7 +61,7 @@
 	dns       *dnsserver.Server
 	servers   [deployNodes]*httptest.Server
 	hosts     [deployNodes]emulator.Endpoint
-	ports     [deployNodes]string // ports that the name service lists; empty: none for this node
+	ports     [deployNodes]string // port of each node that the name service lists; empty: not listed
 }
 
 // startNode starts a node that answers each request with "ok".
--- a/internal/daemon/disconnect_test.go
+++ b/internal/daemon/disconnect_test.go
@@ -21,8 +21,8 @@
 )
 
 // The tests in this file disconnect a client while its request waits, as docs/design/crossings.md describes. They
-// record the requests that arrive at the endpoint's socket. At the end another client sends a request, so that no
-// earlier request can still be in flight.
+// record the requests that arrive at the endpoint's socket. At the end, a second client sends a request. When the
+// second client has its response, no request of the first client can still be in flight.
 
 // disconnects are the ways in which a client disconnects.
 var disconnects = map[string]func(c *net.TCPConn){
@@ -79,7 +79,7 @@
 func (r *testSidecar) checkOtherClientIsServed(t *testing.T) {
 	t.Helper()
 	if resp, _ := r.do(t, r.request(t, "GET", "look", "stays", "")); resp.StatusCode != http.StatusOK {
-		t.Errorf("the other client got %s, want 200", resp.Status)
+		t.Errorf("the client that stays connected got %s, want 200", resp.Status)
 	}
 }
 
@@ -90,7 +90,7 @@
 	for name, disconnect := range disconnects {
 		for _, a := range disconnectRequests {
 			t.Run(name+" "+a.class, func(t *testing.T) {
-				t.Parallel() // some wait for kernel timers
+				t.Parallel() // some of the tests wait for kernel timers
 				test(t, a.method, a.class, disconnect)
 			})
 		}
@@ -98,7 +98,7 @@
 }
 
 // waitForDisconnect waits until the kernel on the sidecar's side knows that the client has disconnected. From then on
-// the sidecar can know it.
+// the sidecar can detect the disconnect.
 func waitForDisconnect(t *testing.T, client net.Conn) {
 	t.Helper()
 	testutil.Until(t, "the client's disconnect", func() bool {
@@ -133,8 +133,8 @@
 	return false
 }
 
-// A request waits because there is no endpoint. Its client disconnects, and then an endpoint is added. No attempt may
-// start, because no client waits for the response.
+// A request waits because the sidecar has no endpoint. The request's client disconnects, and then an endpoint is added.
+// No attempt may start, because no client waits for the response.
 func TestDisconnectBeforeThereIsAnEndpoint(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
 		var arrived arrivals
@@ -215,8 +215,8 @@
 	}
 }
 
-// The backlog of an endpoint is full, so that a connection to it is established only after the client has disconnected.
-// The request must not be written then, because no client waits for the response.
+// The backlog of an endpoint is full, so that the connection to the endpoint is established only after the client has
+// disconnected. The request must not be written to this connection, because no client waits for the response.
 func TestDisconnectWhileDialing(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, method, class string, disconnect func(*net.TCPConn)) {
 		l := listenWithMinimalBacklog(t)
--- a/internal/daemon/drainnotice_test.go
+++ b/internal/daemon/drainnotice_test.go
@@ -24,9 +24,9 @@
 var noticeRuns = flag.Int("plays", 1, "number of times that TestDrainIsNoticedInTime runs each path")
 
 const (
-	// maxNoticeDelay is the time after which the sidecar must know a change. It is measured from the time at which
-	// discovery has the change and can be reached. A request to a draining server breaks a rule if it is sent more than
-	// grace after maxNoticeDelay.
+	// maxNoticeDelay is the time within which the sidecar must know a change. It is measured from the time at which
+	// discovery has the change and can be reached. A request to a draining server breaks a rule if it is sent later
+	// than maxNoticeDelay plus grace.
 	maxNoticeDelay = 6 * time.Second
 	grace          = 250 * time.Millisecond
 	// slack is the delay that a busy machine may add to a worst case.
@@ -93,12 +93,12 @@
 	// outage is how long discovery cannot be reached after the loss of the watch. The drain is measured from the end of
 	// the outage.
 	outage time.Duration
-	// moved makes the sidecar follow another discovery as soon as the watch is lost.
+	// moved makes the test move the sidecar to another discovery as soon as the watch is lost.
 	moved bool
 	// viaCompleteList makes the watch of the other discovery work without reporting the drain. In this case calls
 	// handles the calls for the complete list.
 	viaCompleteList bool
-	// alsoPushed runs the path a second time, with an agent that pushes the list.
+	// alsoPushed makes the test run the path a second time, with an agent that pushes the list.
 	alsoPushed bool
 }
 
@@ -320,8 +320,8 @@
 	if err != nil {
 		return 0, err
 	}
-	// Requests to the second server for some time would reveal a drain that was not noticed, because a server in use
-	// gets every second request.
+	// The client continues for some time. If the sidecar had not noticed the drain, the first server would still get
+	// requests in this time, because a server in use gets every second request.
 	if err := d.waitUntilUsed(1, "requests to the second server"); err != nil {
 		return 0, err
 	}
@@ -374,8 +374,8 @@
 	return drainedAt, nil
 }
 
-// waitUntilUsed waits until a server gets a request more than half a second after a reference time. This is the current
-// time for the first server, and the time of the server's last request for the second one.
+// waitUntilUsed waits until a server gets a request more than half a second after a reference time. For the first
+// server, the reference time is the current time. For the second server, it is the time of that server's last request.
 func (d *drainRun) waitUntilUsed(server int, what string) error {
 	since := time.Now().UnixNano()
 	if server == 1 {
@@ -384,8 +384,8 @@
 	return waitUntil(what, func() bool { return d.lastRequest[server].Load() > since+int64(500*time.Millisecond) })
 }
 
-// waitUntil waits for a condition. Unlike testutil.Until it returns an error, because it runs in goroutines that must
-// not end the test.
+// waitUntil waits for a condition. Unlike testutil.Until, it returns an error after a timeout, because it is called in
+// goroutines that must not end the test.
 func waitUntil(what string, ok func() bool) error {
 	for deadline := time.Now().Add(testutil.WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -445,8 +445,10 @@
 			t.Errorf("%s: no request was sent to the server after it drained, so the path tests nothing", name)
 		}
 		if last > d.worstCase+slack || d.worstCase > maxNoticeDelay || last > maxNoticeDelay+grace {
-			t.Errorf("%s: the last request was sent %v after the drain, with %d calls to discovery; worst case %v",
-				name, last.Round(10*time.Millisecond), d.callsMade.Load(), d.worstCase)
+			t.Errorf("%s: the last request was sent %v after the drain, with %d calls to discovery; "+
+				"want at most %v (worst case %v plus %v) and %v, and a worst case of at most %v",
+				name, last.Round(10*time.Millisecond), d.callsMade.Load(),
+				d.worstCase+slack, d.worstCase, slack, maxNoticeDelay+grace, maxNoticeDelay)
 		}
 		d.stop()
 	}
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -20,8 +20,8 @@
 
 const bookingService = "_booking._tcp.example.org."
 
-// srvReply returns the replies of a name service that lists ports of 127.0.0.1, with a TTL of 0, which the sidecar
-// raises to min_ttl.
+// srvReply returns the replies of a name service that lists ports of 127.0.0.1. The TTL of the replies is 0, which the
+// sidecar raises to min_ttl.
 func srvReply(ports ...string) dnsserver.ReplyFunc {
 	return func(q dnsmessage.Message, _ bool) [][]byte {
 		var list []dnsmessage.Resource
@@ -44,8 +44,8 @@
 }
 
 // A name service is an additional source besides discovery. An endpoint that only the name service lists gets requests.
-// An endpoint that discovery reports as draining gets no new requests after the grace, although the name service still
-// lists it. If the name service stops answering, the endpoints that it listed stay.
+// An endpoint that discovery reports as draining gets no new requests after the drain grace, although the name service
+// still lists this endpoint. If the name service stops answering, the endpoints that it listed stay in the list.
 func TestSRVBesideDiscovery(t *testing.T) {
 	var seen [2]atomic.Int64
 	var ports [2]string
@@ -98,7 +98,7 @@
 	host.Health = "DRAINING"
 	drainedAt := time.Now()
 	d.Set(host)
-	for time.Since(drainedAt) < 600*time.Millisecond { // the grace, plus a delay for a busy machine
+	for time.Since(drainedAt) < 600*time.Millisecond { // the drain grace, plus a delay for a busy machine
 		request()
 	}
 	before := seen[0].Load()
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -77,6 +77,6 @@
 	}
 	var local struct{ Discovery, Level string }
 	if err := json.Unmarshal(text, &local); err != nil || local.Discovery != "10.0.0.2:8500" || local.Level != "INFO" {
-		t.Errorf("got %+v, error %v; want discovery 10.0.0.2:8500 and level INFO", local, err)
+		t.Errorf("GET /config: got %+v, error %v; want discovery 10.0.0.2:8500 and level INFO", local, err)
 	}
 }
--- a/internal/daemon/graphql_disconnect_test.go
+++ b/internal/daemon/graphql_disconnect_test.go
@@ -13,12 +13,12 @@
 	"hazelwing/internal/testutil"
 )
 
-// A GraphQL client disconnects when two parts of its request have a connection and two are still dialing. If the
-// dialing parts were sent later, they would run although no client waits for the result. So they must not be sent.
+// A GraphQL client disconnects when two parts of its request have a connection and two are still dialing. The two
+// dialing parts must not be sent: they would run although no client waits for their result.
 func TestGraphQLDisconnectWhilePartsAreDialing(t *testing.T) {
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // waits for kernel timers
+			t.Parallel() // the test waits for kernel timers
 			schema := filepath.Join(t.TempDir(), "s.graphql")
 			if err := os.WriteFile(schema, []byte("type Query { a: Int b: Int c: Int d: Int }"), 0o600); err != nil {
 				t.Fatal(err)
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -97,13 +97,13 @@
 	req.Header.Set("X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds()))
 	resp, err := g.client.Do(req)
 	if err != nil {
-		t.Errorf("no response: %v", err)
+		t.Errorf("the front sent no response: %v", err)
 		return 0, nil
 	}
 	defer resp.Body.Close()
 	out, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Errorf("incomplete response: %v", err)
+		t.Errorf("the front sent an incomplete response: %v", err)
 	}
 	return resp.StatusCode, out
 }
@@ -215,14 +215,14 @@
 	}
 	t.Logf("%d operations, %d mutations: %v; statuses %v", *gqlOperations, len(claims), counts, statuses)
 	if counts[gqlnode.Executed] < len(claims)/4 || counts[gqlnode.Unknown] == 0 || counts[gqlnode.NotExecuted] == 0 {
-		t.Errorf("executions in %d responses: got %v, want a quarter executed, and some unknown and not executed",
-			len(claims), counts)
+		t.Errorf("%d mutations by the execution in the response: got %v, want at least a quarter executed, "+
+			"some unknown and some not executed", len(claims), counts)
 	}
 }
 
-// Of twelve nodes, one is twenty times slower and one dies at the start. Each request is a batch of a seat search and a
-// booking. The test measures the same requests twice: split by the GraphQL front, and unsplit through the platform's
-// front, as one class that is not idempotent.
+// One of twelve nodes is twenty times slower than the others, and one dies at the start. Each request is a batch of a
+// seat search and a booking. The test measures the same requests twice: split by the GraphQL front, and unsplit through
+// the platform's front, in a class that is not idempotent.
 //
 //	go test ./internal/daemon -run GraphQLGoodput -gql.figures -v
 func TestGraphQLGoodput(t *testing.T) {
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -25,7 +25,7 @@
 }
 
 // With idempotency records, clients may send keys with requests that are not idempotent. A repetition of a request that
-// may have run fails at once, also at the next daemon that uses the same directory.
+// may have run fails at once. It also fails at a later daemon that uses the same directory.
 func TestIdempotencyRecords(t *testing.T) {
 	attempts := make(chan bool, 100)
 	addr := testutil.ServeRaw(t, func(_ int, conn net.Conn, r *bufio.Reader) {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -34,7 +34,7 @@
 }
 
 // SIGHUP reloads a changed file of the platform. The watch moves to the new address at once. It starts from the first
-// version, because the versions of another discovery are unrelated. An invalid file changes nothing, so that the
+// version, because versions of different discovery services are unrelated. An invalid file changes nothing, so that the
 // sidecar keeps its list.
 func TestReload(t *testing.T) {
 	oldAddr, oldCalls, oldEnds := startSilentDiscovery(t)
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -19,7 +19,7 @@
 // deployment is a platform's configuration with settings that an operator could choose.
 type deployment struct {
 	name    string
-	classes []string // classes as JSON objects; the classes of testutil.PlatformConfig if empty
+	classes []string // classes as JSON objects; empty: the classes of testutil.PlatformConfig
 	change  []string // pairs of old and new text in testutil.PlatformConfig
 }
 
--- a/internal/daemon/sidecar_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -113,7 +113,7 @@
 	return reply{StatusCode: resp.StatusCode, Status: resp.Status, Header: resp.Header}, body
 }
 
-// send writes text. It ignores errors, because these tests also close connections on the other side.
+// send writes text. It ignores errors, because some tests close the connection on the other side.
 func send(w io.Writer, text string) {
 	_, _ = io.WriteString(w, text)
 }
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -28,16 +28,16 @@
 		`"health":"SERVING","share":1.0,"born_ms":0}`, name, dial)
 }
 
-// knownEndpoints returns the change of testutil.PlatformConfig, as for config, that replaces its one upstream by
-// entries. The upstream must have the address testutil.UnusedAddr.
+// knownEndpoints returns a change, in the form that the function config accepts. The change replaces the one upstream
+// of testutil.PlatformConfig by entries. The upstream must have the address testutil.UnusedAddr.
 func knownEndpoints(entries []string) []string {
 	return []string{endpointEntry("s", testutil.UnusedAddr), strings.Join(entries, ",")}
 }
 
-// A sidecar restarts while discovery cannot be reached. A quarter of its cached list is wrong: nothing listens at the
-// address, or another process does. If the sidecar waited for discovery, it would serve no requests. It must be ready
-// and serve from the cached list, each wrong entry may cost only a few attempts, and no request that is not idempotent
-// may run twice.
+// A sidecar restarts while discovery cannot be reached. A quarter of the entries in its cached list are wrong: nothing
+// or another process listens at the address. If the sidecar waited for discovery, it would serve no requests. It must
+// be ready and serve from the cached list. Each wrong entry may cost only a few attempts, and no request that is not
+// idempotent may run twice.
 func TestStartWithStaleListServes(t *testing.T) {
 	const members, wrong, requests = 12, 3, 150
 	var mu sync.Mutex
@@ -88,7 +88,8 @@
 	}
 	// Only requests that were written completely to the other process may have run there, so only these may fail.
 	if lost := requests - served; lost > int(otherRequests.Load()) {
-		t.Errorf("%d requests failed, but only %d were written to the other process", lost, otherRequests.Load())
+		t.Errorf("%d requests failed, want at most the %d that were written to the other process",
+			lost, otherRequests.Load())
 	}
 	if n := otherRequests.Load(); n > 3+requests/25 {
 		t.Errorf("%d requests were sent to the other process, want at most %d", n, 3+requests/25)
@@ -97,16 +98,16 @@
 	defer mu.Unlock()
 	for id, n := range ran {
 		if i, _ := strconv.Atoi(id); n > 1 && i%3 == 0 {
-			t.Errorf("non-idempotent request %s ran %d times", id, n)
+			t.Errorf("non-idempotent request %s ran %d times, want at most once", id, n)
 		}
 	}
 }
 
 var drains = flag.Int("drains", 10, "number of drains in TestDrainGrace")
 
-// Discovery reports that a node drains while requests are sent to it. The node resets requests that it gets too late.
-// So the first byte of the last request must be sent within the grace from the report, plus a delay for a busy machine.
-// docs/design/large-fleets.md has the distribution over more drains.
+// Discovery reports that a node drains while requests are sent to it. The node resets requests that it gets later than
+// the drain grace after the report. So the first byte of the last request must be sent within the drain grace, plus a
+// delay for a busy machine. docs/design/large-fleets.md has the distribution over more drains.
 func TestDrainGrace(t *testing.T) {
 	const grace, slack = 250 * time.Millisecond, 250 * time.Millisecond
 	d, err := emulator.NewDiscovery()
@@ -178,8 +179,8 @@
 	}
 }
 
-// The memory that a sidecar uses for each endpoint is limited, for lists of any length. It consists of the entry in the
-// list, the estimates and the transport's entry.
+// The memory that a sidecar uses for each endpoint is limited, for lists of any length. This memory consists of the
+// entry in the list, the estimates and the transport's entry.
 func TestMemoryByEndpoints(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
