--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -202,8 +202,8 @@
 	return text
 }
 
-// parseOutcome parses a line of a script. problem describes an error in the line or in the response that it holds; it
-// is empty if there is none.
+// parseOutcome parses a line of a script. problem describes an error in the line, or in the response that the line
+// holds. It is empty if there is no error.
 func parseOutcome(part *Part, line string) (outcome Outcome, problem string) {
 	kind, argument, _ := strings.Cut(line, " ")
 	switch kind {
@@ -320,7 +320,7 @@
 }
 
 // A document is planned for several requests with different variables. If a plan used the variables of an earlier
-// request, the client would receive another client's data, or repeat its mutation.
+// request, the client would receive another client's data, or repeat the other client's mutation.
 func TestCachedLayoutUsesOwnVariables(t *testing.T) {
 	const text = `query ($b: Boolean!, $t: ID!) {
 		seats(train: $t) { id }
@@ -338,7 +338,8 @@
 		}
 		p, err := document.Plan("", variables, "")
 		if err != nil || len(p.Parts) != want || !strings.Contains(string(p.Parts[0].Body), `"variables":{"t":`+train) {
-			t.Errorf("request %d: %d parts, want %d with train %s; error %v", i, len(p.Parts), want, train, err)
+			t.Errorf("request %d: error %v, got %d parts, want %d parts that have the train %s",
+				i, err, len(p.Parts), want, train)
 		}
 	}
 }
--- a/internal/graphql/plan/property_test.go
+++ b/internal/graphql/plan/property_test.go
@@ -16,9 +16,9 @@
 	"hazelwing/internal/graphql/exec"
 )
 
-// TestPlanEqualsDirectExecution checks that splitting an operation, executing its parts and merging the responses gives
-// the same response as executing the operation directly on one endpoint. It does so for generated schemas, operations,
-// variables, nulls and errors.
+// TestPlanEqualsDirectExecution splits an operation, executes its parts and merges the responses. It checks that the
+// merged response is the same as when one endpoint executes the operation directly. Schemas, operations, variables,
+// nulls and errors are generated.
 func TestPlanEqualsDirectExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		generated := newGeneratedSchema(t)
@@ -58,7 +58,8 @@
 		if string(got.Data) != string(want.Data) {
 			t.Fatalf("merged data %s\nwant %s\noperation %s\nschema %s", got.Data, want.Data, text, generated.sdl)
 		}
-		// Direct execution of a query stops at the first null that makes the data null, but all parts are executed.
+		// Direct execution of a query stops at the first null that makes the data null. In a split query, all parts are
+		// executed, and may have more errors.
 		mayHaveMore := !p.Serial && string(want.Data) == "null"
 		for e, n := range errorDifference(got, want) {
 			if n < 0 || n > 0 && !mayHaveMore {
--- a/internal/operator/config_test.go
+++ b/internal/operator/config_test.go
@@ -470,7 +470,7 @@
 		_, err := Parse(text)
 		var joined interface{ Unwrap() []error }
 		if err != nil && (!errors.As(err, &joined) || len(joined.Unwrap()) == 0) {
-			t.Errorf("error %v does not join the errors of the file", err)
+			t.Errorf("got error %v, want one that joins the errors of the file", err)
 		}
 	})
 }
--- a/internal/operator/format_test.go
+++ b/internal/operator/format_test.go
@@ -13,8 +13,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// checkDecoding decodes a file of testdata into v. It fails the test if v has no field for a key or if the file leaves
-// a field unset. It encodes the decoded value as TOML again, and compares the text with a golden file.
+// checkDecoding decodes a file of testdata into v. It fails the test if v has no field for a key of the file, or if the
+// file leaves a field of v unset. It encodes v as TOML again, and compares the text with a golden file.
 func checkDecoding(t *testing.T, path, golden string, v any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
