--- a/rpc/grpcbalancer/call_test.go
+++ b/rpc/grpcbalancer/call_test.go
@@ -75,7 +75,7 @@
 	t.Cleanup(func() {
 		conn.Close()
 		if calls.Load() != 1 {
-			t.Errorf("the application's interceptor ran %d times for one call", calls.Load())
+			t.Errorf("the application's interceptor ran %d times for one call, want once", calls.Load())
 		}
 	})
 	return conn
@@ -134,10 +134,10 @@
 		}
 	})
 	if _, ok := Rejected(errors.New("other")); ok {
-		t.Error("Rejected returns true for an error without a status")
+		t.Error("Rejected returns true for an error without a status, want false")
 	}
 	if _, ok := Rejected(nil); ok {
-		t.Error("Rejected returns true for nil")
+		t.Error("Rejected returns true for nil, want false")
 	}
 }
 
@@ -191,7 +191,7 @@
 		if _, err := invoke(ctx, p, c.method, "seat", c.opts...); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		} else if _, rejected := Rejected(err); rejected {
-			t.Errorf("%s: error %v is a rejection, which clients retry", name, err)
+			t.Errorf("%s: error %v is a rejection, which clients retry; want no rejection", name, err)
 		}
 	}
 	_, err := p.NewStream(t.Context(), &grpc.StreamDesc{ClientStreams: true}, follow)
@@ -199,11 +199,11 @@
 		t.Errorf("client-streaming call: error %v, want UNIMPLEMENTED", err)
 	}
 	if received.Load() != 0 {
-		t.Errorf("%d invalid calls were sent", received.Load())
+		t.Errorf("%d invalid calls were sent, want none", received.Load())
 	}
 }
 
-// All attempts of a call have the same request ID. It is the application's request ID if it sets one.
+// All attempts of a call have the same request ID. If the application sets a request ID, the attempts have this ID.
 func TestAttemptsHaveTheSameRequestID(t *testing.T) {
 	ids := make(chan string, 10)
 	endpoints, _ := startTwoServers(t, func(s *rawh2.Stream, before int32) {
@@ -225,7 +225,8 @@
 		}
 		a, b := <-ids, <-ids
 		if a == "" || a != b || own != "" && a != own {
-			t.Errorf("the attempts have the request IDs %q and %q, the application set %q", a, b, own)
+			t.Errorf("the attempts have the request IDs %q and %q, want equal ones, not empty; the application set %q",
+				a, b, own)
 		}
 	}
 }
@@ -287,7 +288,7 @@
 	)))
 	for range 5 {
 		if _, err := invoke(t.Context(), p, book, "seat"); err != nil {
-			t.Errorf("call with one reachable endpoint: %v", err)
+			t.Errorf("call with one reachable endpoint: error %v, want none", err)
 		}
 	}
 }
--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -65,7 +65,7 @@
 // candidate is a kind of client in the comparison.
 type candidate struct {
 	name      string
-	policy    string                                                           // its name in package baseline
+	policy    string                                                           // the policy's name in package baseline
 	newServer func(*emulator.Node, map[string]emulator.Effect) emulator.Server // nil for HTTP
 	start     startClient
 }
@@ -202,7 +202,7 @@
 // result is the result of one candidate in one scenario with one seed.
 type result struct {
 	*emulator.Report
-	wasted     int // executions beyond one for each request served
+	wasted     int // number of executions, minus one for each request served
 	violations []string
 	simulated  *simulator.Result // result of the same run in the simulator
 }
@@ -245,8 +245,9 @@
 	return result{Report: report, wasted: total - report.Served, violations: f.Rules.Violations()}
 }
 
-// TestCompare compares the daemon, the plug-in and grpc-go's own policies. They run at the same time with the same
-// recorded traffic and faults, each with a fleet of its own. It also compares the results with the simulator.
+// TestCompare compares the daemon, the plug-in and grpc-go's own policies. All of them run at the same time with the
+// same recorded traffic and faults, each with a separate fleet. The test also compares the results with the
+// simulator's.
 //
 //	go test ./rpc/grpcbalancer -run TestCompare -v -timeout 30m -compare -compare.seeds 3
 func TestCompare(t *testing.T) {
@@ -274,10 +275,10 @@
 				r.simulated = simulate(t, candidates[i], traffic, scenario.script, seed)
 				all[i] = append(all[i], r)
 				if requests := len(traffic.Requests); r.Sent != requests {
-					t.Errorf("%s, %s: %d results for %d requests", scenario.name, name, r.Sent, requests)
+					t.Errorf("%s, %s: %d results for %d requests, want one each", scenario.name, name, r.Sent, requests)
 				}
 				if i < 2 && (len(r.violations) > 0 || r.Unanswered > 0) {
-					t.Errorf("%s, %s, seed %d: %d requests unanswered, violations %v",
+					t.Errorf("%s, %s, seed %d: %d requests unanswered, violations %v; want none",
 						scenario.name, name, seed, r.Unanswered, r.violations)
 				}
 			}
@@ -312,7 +313,7 @@
 }
 
 // The daemon and the plug-in cause no violations while nodes slow down, drain, crash, pause, reset streams and restart.
-// This is a short form of TestCompare. Its verdict does not depend on the speed of the machine.
+// The test is a short form of TestCompare. Its result does not depend on the speed of the machine.
 func TestDaemonAndPluginHaveNoViolations(t *testing.T) {
 	traffic := emulator.Generate(5, 60, 3*time.Second)
 	const script = "300ms slow n1 8 1s\n500ms drain n3\n800ms crash n4\n1s pause n2 300ms\n" +
@@ -327,7 +328,7 @@
 					r.Sent, len(traffic.Requests), r.Report)
 			}
 			if len(r.violations) > 0 {
-				t.Errorf("violations: %v", r.violations)
+				t.Errorf("violations %v, want none", r.violations)
 			}
 		})
 	}
--- a/rpc/grpcbalancer/disconnect_test.go
+++ b/rpc/grpcbalancer/disconnect_test.go
@@ -31,8 +31,8 @@
 type streamRecord struct {
 	stream     *rawh2.Stream
 	requestID  string
-	openedAt   time.Time // when its headers were received
-	hasMessage bool      // whether a part of its message was received
+	openedAt   time.Time // when the stream's headers were received
+	hasMessage bool      // whether a part of the stream's message was received
 }
 
 // recordingServer is a server that records all streams. It responds to all complete requests except those with one
@@ -104,12 +104,12 @@
 func streamWaitsForCapacity() bool {
 	return slices.ContainsFunc(goroutinesIn("transport.(*http2Client).NewStream"), func(stack string) bool {
 		header, _, _ := strings.Cut(stack, "\n")
-		return strings.Contains(header, "[select") // not runnable: it is blocked in the select
+		return strings.Contains(header, "[select") // the goroutine is blocked in the select, not runnable
 	})
 }
 
-// blockingCredentials are per-call credentials. GetRequestMetadata notifies the test on asked and returns when release
-// allows it.
+// blockingCredentials are per-call credentials. GetRequestMetadata notifies the test on the channel asked, and returns
+// when the test sends on the channel release or closes it.
 type blockingCredentials struct{ asked, release chan bool }
 
 func (c blockingCredentials) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
@@ -192,8 +192,8 @@
 	}
 }
 
-// waitForStreamCapacity returns the case of a call that waits for stream capacity on the connection, which becomes free
-// only after disconnectAllowance. No stream may be opened then.
+// waitForStreamCapacity returns the case of a call that waits for stream capacity on the connection. The capacity
+// becomes free only after disconnectAllowance, and no stream may be opened then.
 func waitForStreamCapacity(t *testing.T) *waitCase {
 	w, held := newCapacityWait(t)
 	w.unblock = func() {
@@ -203,8 +203,8 @@
 	return w
 }
 
-// waitForCrossingStreamCapacity returns the case of a call that waits for stream capacity, which becomes free at about
-// the same time as the client disconnects.
+// waitForCrossingStreamCapacity returns the case of a call that waits for stream capacity. The capacity becomes free at
+// about the same time as the client disconnects.
 func waitForCrossingStreamCapacity(t *testing.T) *waitCase {
 	w, held := newCapacityWait(t)
 	w.unblock, w.mayOpenStream = func() { held().OK(okMessage) }, true
@@ -304,7 +304,7 @@
 				})
 				// When this call is served, the server has received everything that was written before it.
 				if _, err := invoke(withRequestID(t.Context(), "connected"), p, look, "x"); err != nil {
-					t.Errorf("call of a connected client: %v", err)
+					t.Errorf("call of a client that stays connected: error %v, want none", err)
 				}
 				w.check(t, cancelledAt)
 			})
@@ -327,7 +327,8 @@
 		}
 	}
 	if opened-crossed != w.attemptsBefore {
-		t.Errorf("%d streams were opened, %d of them within the allowance after the disconnect; want %d before it",
+		t.Errorf("%d streams were opened, %d of them within the allowance after the disconnect; "+
+			"want %d streams before the disconnect",
 			opened, crossed, w.attemptsBefore)
 	}
 	if messages != w.attemptsBefore {
--- a/rpc/grpcbalancer/endpoints_test.go
+++ b/rpc/grpcbalancer/endpoints_test.go
@@ -16,8 +16,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// Calls go to the endpoints of a gRPC resolver, also after it updates them. An empty update or an error of the resolver
-// does not change the endpoint list.
+// Calls go to the endpoints that a gRPC resolver reports, also after the resolver has reported other endpoints. An
+// empty update or an error of the resolver does not change the endpoint list.
 func TestResolverUpdatesTheEndpointList(t *testing.T) {
 	startNode := func(name string) string {
 		return rawh2.Start(t, func(s *rawh2.Stream) {
--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -203,12 +203,13 @@
 	testutil.Receive(t, resets, "the attempt's reset") // without a reset, the server would continue the attempt
 	_ = p.Close()                                      // the error is always nil
 	if len(headers) > 0 {
-		t.Error("the cancelled call was retried")
+		t.Error("the cancelled call was retried, want no retry")
 	}
 }
 
-// A stream breaks. After a message was delivered, a retry would give the application messages of two attempts, so that
-// the stream must not be retried. Before the first message, it is retried if its class allows that.
+// A stream breaks. After a message was delivered, the stream must not be retried, because a retry would give the
+// application messages of two attempts. Before the first message, the stream is retried if the call's class allows
+// that.
 func TestStreamIsRetriedOnlyBeforeItsFirstMessage(t *testing.T) {
 	sendOneThen := func(end func(*rawh2.Stream)) func(*rawh2.Stream) {
 		return func(s *rawh2.Stream) {
@@ -253,7 +254,7 @@
 					got, err, received.Load(), c.want, c.attempts)
 			}
 			if _, rejected := Rejected(err); rejected {
-				t.Errorf("error %v is a rejection, but an attempt was executed", err)
+				t.Errorf("error %v is a rejection, want none, because an attempt was executed", err)
 			}
 		})
 	}
@@ -278,8 +279,8 @@
 	testutil.Receive(t, resets, "the stream's reset")
 }
 
-// An application calls RecvMsg on a stream for which it has not called SendMsg and CloseSend. There will be no result,
-// so that RecvMsg must return when the stream's context ends.
+// An application calls RecvMsg on a stream for which it has not called SendMsg and CloseSend. Such a stream gets no
+// result, so RecvMsg must return when the stream's context ends.
 func TestStreamWithoutRequestEndsWithItsContext(t *testing.T) {
 	p := start(t, testConfig(Static(Endpoint{Addr: testutil.UnusedAddr})))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -370,9 +371,9 @@
 			first, second, n, afterClose.Load())
 	}
 	if otherServed.Load() == 0 {
-		t.Error("the other plug-in served no call after the first was closed")
+		t.Error("the other plug-in served no call after the first was closed, want at least one")
 	}
 	if violations := f.Rules.Violations(); len(violations) > 0 {
-		t.Errorf("violations: %v", violations)
+		t.Errorf("violations %v, want none", violations)
 	}
 }
--- a/rpc/grpcbalancer/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -93,8 +93,8 @@
 }
 
 // The client's process is stopped for 400 ms in the middle of calls, several times, as by a pause of its host. Calls
-// then end late although the endpoints are not at fault: no endpoint may be ejected, every call must have one result,
-// and no call that must not be repeated may be executed twice.
+// then end late although the endpoints are not at fault. So no endpoint may be ejected. Every call must have one
+// result, and no call that must not be repeated may be executed twice.
 func TestHostPausesDoNotEjectEndpoints(t *testing.T) {
 	f := newGRPCFleet(t, []emulator.NodeConfig{
 		{Name: "n1", Zone: "a", Speed: 4},
@@ -176,9 +176,9 @@
 		}
 	}
 	if violations := f.Rules.Violations(); len(violations) > 0 {
-		t.Errorf("violations: %v", violations)
+		t.Errorf("violations %v, want none", violations)
 	}
 	if stalls < pauses {
-		t.Errorf("%d stalls were logged for %d pauses", stalls, pauses)
+		t.Errorf("%d stalls were logged for %d pauses, want at least one for each", stalls, pauses)
 	}
 }
--- a/rpc/grpcbalancer/simulation_test.go
+++ b/rpc/grpcbalancer/simulation_test.go
@@ -111,7 +111,7 @@
 	rows         strings.Builder
 	orderChanges strings.Builder    // pairs of candidates that rank differently on sockets and in the simulator
 	scenario     string             // the current scenario
-	services     []candidateService // services of the candidates in the current scenario
+	services     []candidateService // service of each candidate in the current scenario
 }
 
 // candidateService is the mean service of a candidate in a scenario, on sockets and in the simulator.
@@ -145,7 +145,7 @@
 		p50, simulatedP50, p99, simulatedP99, 100*(simulatedP99/p99-1))
 }
 
-// compareOrder compares the ranking of the current scenario's candidates on sockets with that in the simulator.
+// compareOrder compares how the current scenario's candidates rank on sockets with how they rank in the simulator.
 func (s *simulatorReport) compareOrder() {
 	differ := func(x float64) bool { return max(x, -x) > minDifference }
 	for i, a := range s.services {
