--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -143,8 +143,8 @@
 }
 
 // sendInvalidRequests sends invalid requests to a member and an origin, and checks that they close the connections of
-// these requests. It also opens connections that send nothing, and a subscription whose response
-// is not read.
+// these requests. It also opens connections that send nothing, and a subscription that
+// it closes without reading the response.
 func (r *configCluster) sendInvalidRequests() {
 	r.t.Helper()
 	member := fmt.Sprint(r.GossipAddr(1))
@@ -162,7 +162,7 @@
 	send(r.OriginAddr(1), "POST /config/push?after=1&id=x", "rig",
 		"Content-Length: 300000\r\n\r\n"+strings.Repeat("#", 300000))
 	all.Wait()
-	// Some connections send nothing, and a subscriber does not read.
+	// Some connections send nothing, and a subscriber closes its connection without reading the response.
 	for range 3 {
 		c, err := net.Dial("tcp", member)
 		if err != nil {
