--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -143,8 +143,8 @@
 }
 
 // sendInvalidRequests sends invalid requests to a member and an origin, and checks that they close the connections of
-// these requests. It also opens connections that send nothing, and a subscription that
-// it closes without reading the response.
+// these requests. It also opens connections that send nothing, and a subscription that it closes without
+// reading the response.
 func (r *configCluster) sendInvalidRequests() {
 	r.t.Helper()
 	member := fmt.Sprint(r.GossipAddr(1))
