--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -18,7 +18,7 @@
 	"hazelwing/internal/testcluster"
 )
 
-// maxTimelineLines limits the log lines that a failure prints, which are the first hundred and the last ones.
+// maxTimelineLines limits the log lines that a failure prints: the first hundred lines, and then the last lines.
 const maxTimelineLines = 400
 
 var (
@@ -94,7 +94,7 @@
 func TestFleet(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/fleet/*.txt")
 	if err != nil || len(scripts) == 0 {
-		t.Fatal("no scripts", err)
+		t.Fatalf("scripts in testdata/fleet: found none, error %v", err)
 	}
 	for _, path := range scripts {
 		text, err := os.ReadFile(path)
@@ -127,7 +127,8 @@
 	decodeErr := json.Unmarshal([]byte(out), &status)
 	if err != nil || decodeErr != nil || status.Name != "m02" ||
 		len(status.Members) != 3 || status.Members[0].State != cluster.Alive {
-		t.Errorf("fleet --json: errors %v and %v, want m02 with 3 members that are alive:\n%s", err, decodeErr, out)
+		t.Errorf("fleet --json: command error %v, JSON error %v; "+
+			"want none and the view of m02 with 3 members, the first one alive:\n%s", err, decodeErr, out)
 	}
 	if err := r.Play(t.Context(), "kill 3\nwait state 3 dead 30s 1-2"); err != nil {
 		t.Fatal(err)
@@ -136,7 +137,7 @@
 		t.Errorf("with a dead member: error %v, want exit status 2", err)
 	}
 	if _, err := execute("fleet", "--admin", r.AdminAddr(3)); err == nil {
-		t.Error("no error for a sidecar that does not run")
+		t.Error("fleet, for a sidecar that does not run: no error, want one")
 	}
 	_, err = execute("fleet", "--operator", "")
 	if err == nil || !strings.Contains(err.Error(), "--admin or --operator") {
--- a/cmd/hazelwing/glossarypage_test.go
+++ b/cmd/hazelwing/glossarypage_test.go
@@ -16,8 +16,8 @@
 	glossaryCells  = 4
 )
 
-// Each term of the glossary has a meaning and an identifier, package or file that exists, and no term has two rows. A
-// newcomer uses the glossary to find the code for a term of the operators.
+// Each term of the glossary has a meaning, and an existing identifier, package or file. No term has two rows. Newcomers
+// use the glossary to find the code for a term of the operators.
 func TestGlossaryNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(glossaryPage)
 	if err != nil {
@@ -38,7 +38,7 @@
 	code := parseCode(t)
 	for _, c := range []struct {
 		rows string
-		want string // part of the problem; empty: no problem
+		want string // text that the reported problem must contain; empty: no problem may be reported
 	}{
 		{"| told | notified | it has arrived | `backoff.NotificationDeadline` |\n", ""},
 		{"| rig | test cluster | many processes | `internal/testcluster` |\n", ""},
