--- a/internal/discovery/watch/misbehaving_test.go
+++ b/internal/discovery/watch/misbehaving_test.go
@@ -67,12 +67,12 @@
 func TestMisbehavingDiscovery(t *testing.T) {
 	reject := func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter) { panic(http.ErrAbortHandler) }
-	sends := func(text string) func(http.ResponseWriter) {
+	sendText := func(text string) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { send(w, text) }
 	}
 	for name, c := range map[string]struct {
 		onWatch func(http.ResponseWriter) // called for the open watch before it ends; may be nil
-		then    func(http.ResponseWriter) // responds to the next two calls
+		onRetry func(http.ResponseWriter) // responds to the next two calls
 		log     string                    // text that the log must contain
 	}{
 		"rejects": {
@@ -82,20 +82,20 @@
 			reset, reset, "EOF",
 		},
 		"stops in the middle of an event": {
-			sends(`{"seq":7,"whole":true,"hosts":[{"host":"b","di`), reset, "malformed watch event",
+			sendText(`{"seq":7,"whole":true,"hosts":[{"host":"b","di`), reset, "malformed watch event",
 		},
 		"an event over the limit": {
-			sends(`{"seq":7,"x":"` + strings.Repeat("x", maxEventBytes+1)), reject,
+			sendText(`{"seq":7,"x":"` + strings.Repeat("x", maxEventBytes+1)), reject,
 			"malformed watch event: the object is longer than",
 		},
 		"no object at all": {
-			sends("xyz"), reject, "malformed watch event: found 'x', want the '{' of an object",
+			sendText("xyz"), reject, "malformed watch event: found 'x', want the '{' of an object",
 		},
 		"an event that cannot be decoded": {
-			sends("{\"seq\":7,\"whole\":true,\"hosts\":7}\n"), reject, "malformed watch event",
+			sendText("{\"seq\":7,\"whole\":true,\"hosts\":7}\n"), reject, "malformed watch event",
 		},
 		"an older version": {
-			sends(eventJSON(5, false, "b") + "\n"), reject, "the service ended the watch",
+			sendText(eventJSON(5, false, "b") + "\n"), reject, "the service ended the watch",
 		},
 		"a response that is not HTTP": {
 			nil, sendNotHTTP, "malformed HTTP",
@@ -103,7 +103,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // the test waits in real time
-			testMisbehavior(t, &misbehavingService{onWatch: c.onWatch, then: c.then}, c.log)
+			testMisbehavior(t, &misbehavingService{onWatch: c.onWatch, onRetry: c.onRetry}, c.log)
 		})
 	}
 }
@@ -111,7 +111,7 @@
 // misbehavingService is a discovery service whose first watch delivers two events and then misbehaves. It also
 // misbehaves in the next two calls, and works from the fourth call on.
 type misbehavingService struct {
-	onWatch, then func(http.ResponseWriter)
+	onWatch, onRetry func(http.ResponseWriter)
 
 	calls     atomic.Int32
 	recovered atomic.Bool
@@ -125,7 +125,7 @@
 			m.onWatch(w)
 		}
 	case call <= 3:
-		m.then(w)
+		m.onRetry(w)
 	case isListRequest(r):
 		_, _ = io.WriteString(w, eventJSON(8, true, "a", "c", "d"))
 	default:
