--- a/internal/discovery/bootstrap/exclusion.go
+++ b/internal/discovery/bootstrap/exclusion.go
@@ -41,8 +41,8 @@
 	return now < l.sources[name].until
 }
 
-// add excludes a source that has failed at now. random is a random number from 0 to 1. If the list is full, the source
-// is not excluded.
+// add excludes a source that has failed at now. random is a random number from 0 to 1. Before a source is added to a
+// full list, expired exclusions are removed. While the list is full, add has no effect, even for a source in the list.
 func (l *exclusionList) add(now time.Duration, name string, random float64) {
 	e := l.sources[name]
 	duration := min(minExclusion<<min(e.failures, maxDoublings), maxExclusion)
--- a/internal/discovery/bootstrap/selector.go
+++ b/internal/discovery/bootstrap/selector.go
@@ -77,7 +77,7 @@
 	startedAt time.Duration
 
 	order         []Member      // all members including this one, ordered by the hashes of their names
-	rank          int           // index of this member in order
+	rank          int           // index of this member in order, from 0
 	joined        bool          // this member has reached another member at least once
 	viewChangedAt time.Duration // time of the last call of UpdateMembers
 	exclusions    *exclusionList
@@ -123,7 +123,7 @@
 	if s.isRoot() && !s.exclusions.contains(now, discoveryName) {
 		return Selection{Discovery: true}
 	}
-	if s.fallbackAt == 0 || now < s.fallbackAt { // a drawn time stays valid while further peers are tried
+	if s.fallbackAt == 0 || now < s.fallbackAt { // from fallbackAt on, no further peer is tried
 		if peer, ok := s.selectPeer(now); ok {
 			return Selection{Peer: peer}
 		}
--- a/internal/discovery/bootstrap/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -58,7 +58,7 @@
 				s.UpdateMembers(0, without(members, m.Name), true)
 				switch selected := s.Select(maxJoinDelay); {
 				case selected.Delay > 0:
-					t.Fatalf("%s selects no source for %v, want one after maxJoinDelay", m.Name, selected.Delay)
+					t.Fatalf("%s: Select at maxJoinDelay returned the delay %v, want a source", m.Name, selected.Delay)
 				case selected.Discovery:
 					callers++
 				default:
@@ -119,7 +119,7 @@
 				continue
 			}
 			if !selected.Discovery && selected.Peer.Name == self {
-				t.Fatal("the selector returned the member itself as its peer")
+				t.Fatalf("the selector of the member %s returned the peer %s, want another member", self, self)
 			}
 			if !selected.Discovery && s.exclusions.contains(now, selected.Peer.Name) {
 				t.Fatalf("the selector returned the peer %s, which is excluded after a failure", selected.Peer.Name)
@@ -129,7 +129,7 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 		}
 		if !discoveryCalled {
-			t.Fatal("the selector never returned the discovery service")
+			t.Fatal("none of 200 selections was the discovery service, want at least one")
 		}
 		if n := len(s.exclusions.sources); n > maxExclusions {
 			t.Fatalf("%d sources are excluded, want at most %d", n, maxExclusions)
@@ -224,15 +224,15 @@
 	}
 	s.ReportSuccess(now, selected)
 	if s.ShouldSwitch(now+minSourceTime/2, selected) {
-		t.Error("ShouldSwitch returned true before minSourceTime has passed")
+		t.Errorf("ShouldSwitch returned true after %v, want false before %v", minSourceTime/2, minSourceTime)
 	}
 	if !s.ShouldSwitch(now+minSourceTime, selected) {
-		t.Error("ShouldSwitch returned false after minSourceTime, want a switch to a peer")
+		t.Error("ShouldSwitch returned false for the discovery service after minSourceTime, want true")
 	}
 	peer := Selection{Peer: Member{Name: order[1]}}
 	s.ReportSuccess(now, peer)
 	s.UpdateMembers(now, nil, true)
 	if !s.ShouldSwitch(now+2*minSourceTime, peer) {
-		t.Error("ShouldSwitch returned false for the only member, want a switch to the discovery service")
+		t.Error("ShouldSwitch returned false for a peer of the only member, want true")
 	}
 }
--- a/internal/discovery/bootstrap/tree.go
+++ b/internal/discovery/bootstrap/tree.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxFailedPeers is the number of excluded peers from which on a member calls the discovery service instead of trying
-// further peers. A higher value makes fewer such calls, but leaves a member without a list for longer.
+// maxFailedPeers is the number of excluded peers at which a member stops trying further peers, and calls the discovery
+// service instead. A higher value makes fewer such calls, but leaves a member without a list for longer.
 const maxFailedPeers = 3
 
 // UpdateMembers sets the membership view. others are the live members without this one; joined reports whether this
@@ -50,7 +50,7 @@
 // the followers of a failed member spread over all earlier members and do not overload a single one. A root, which only
 // follows a peer if it cannot reach the discovery service, selects any member at random.
 func (s *Selector) selectPeer(now time.Duration) (Member, bool) {
-	candidates := s.order // the path that accompanies a list prevents members from following each other
+	candidates := s.order // for a root also its followers: the path of their list contains the root, which rejects it
 	if !s.isRoot() {
 		parent := s.order[(s.rank-s.cfg.Roots)/s.cfg.FanOut]
 		if !s.exclusions.contains(now, parent.Name) {
--- a/internal/discovery/config.go
+++ b/internal/discovery/config.go
@@ -45,7 +45,7 @@
 	// value applies the removals of a source sooner, but lets a faulty source remove more of the list.
 	MaxRemovalShare float64
 	// RemovalWindow is the period to which MaxRemovalShare applies. A higher value leaves more time to notice a faulty
-	// source, but keeps endpoints in the list for longer that no longer exist.
+	// source, but keeps endpoints that no longer exist in the list for longer.
 	RemovalWindow time.Duration
 }
 
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -40,8 +40,8 @@
 	// Seq is the sequence number of the update. It increases with each update of a source. An update whose Seq is not
 	// higher than the Seq of the previous update is a delayed copy, and is ignored.
 	Seq int64
-	// Complete means that Endpoints is the source's complete list. If it is false, Endpoints contains the changes since
-	// the previous update.
+	// Complete means that Endpoints is the source's complete list. If Complete is false, Endpoints contains the changes
+	// since the previous update.
 	Complete  bool
 	Endpoints []Endpoint
 }
@@ -67,16 +67,17 @@
 // Values of Change.Reason and EndpointStatus.Reason. They appear in the response to GET /members and in the log.
 const (
 	reasonListed      = "listed"
-	reasonDescription = "it is described anew"
-	reasonRestarted   = "a newer start is told"
-	reasonUnlisted    = "no source lists it any more"
+	reasonDescription = "it is described anew"        // attributes of the endpoint have changed
+	reasonRestarted   = "a newer start is told"       // a source reports a later start time
+	reasonUnlisted    = "no source lists it any more" // no source has a tombstone for the endpoint either
 
+	// Reasons for which the removal of an endpoint is deferred; see Merger.deferRemoval.
 	reasonLastEndpoint = "held: it is the last one"
-	reasonShareFormat  = "held: %s may not take out so large a share"
-	reasonWindowFormat = "held: %s has taken out its share"
+	reasonShareFormat  = "held: %s may not take out so large a share" // one endpoint exceeds MaxRemovalShare
+	reasonWindowFormat = "held: %s has taken out its share"           // one more exceeds MaxRemovalShare
 
-	// These are appended to the name of a source.
-	reasonSourceFailed    = " has failed, and may not add"
-	reasonReportedRemoved = " says that it has left"
-	reasonNotListed       = " no longer lists it"
+	// The following texts are appended to the name of a source.
+	reasonSourceFailed    = " has failed, and may not add" // see source.mayAdd
+	reasonReportedRemoved = " says that it has left"       // the tombstone is explicit
+	reasonNotListed       = " no longer lists it"          // the tombstone is not explicit
 )
--- a/internal/discovery/merger.go
+++ b/internal/discovery/merger.go
@@ -3,13 +3,13 @@
 // docs/design/membership.md contains a table of the rules.
 //
 // Removals take precedence over additions. An endpoint that a source reports as draining or removed stays out of the
-// merged list until the same source lists it again, or until any source reports a newer start of it. A delayed copy
-// of an old list therefore cannot restore the endpoint. The endpoints of a source that has failed stay in the merged
-// list. After SourceConfig.StaleTTL such a source may no longer add endpoints.
+// merged list until the same source lists it again, or until any source lists it with a later start time. A delayed
+// copy of an old list therefore cannot restore the endpoint. The endpoints of a source that has failed stay in the
+// merged list. After SourceConfig.StaleTTL such a source may no longer add endpoints.
 //
-// The removal of an endpoint that a source has stopped listing, without reporting its removal, may be deferred. This
-// way a single source can neither empty the list nor remove more than Config.MaxRemovalShare of it within
-// Config.RemovalWindow. Removals are returned at once, additions at most once per Config.AdditionInterval.
+// The removal of an endpoint that a source has stopped listing, without reporting its removal, may be deferred. By such
+// removals a single source can neither empty the list nor remove more than Config.MaxRemovalShare of it within
+// Config.RemovalWindow. Other removals are returned at once, additions at most once per Config.AdditionInterval.
 //
 // # Limits
 //
@@ -36,7 +36,7 @@
 
 	lastAdditionAt time.Duration
 	hasAdded       bool // lastAdditionAt is valid
-	dropped        int  // endpoints of updates beyond Config.MaxEndpoints
+	dropped        int  // number of endpoints that were ignored; see Dropped
 }
 
 // listedEndpoint is an endpoint of the merged list.
--- a/internal/discovery/merger_test.go
+++ b/internal/discovery/merger_test.go
@@ -18,7 +18,7 @@
 		"no endpoints":      func(c *Config) { c.MaxEndpoints = 0 },
 		"no removal window": func(c *Config) { c.RemovalWindow = 0 },
 		"duplicate name":    func(c *Config) { c.Sources[1].Name = "watch" },
-		"negative lifetime": func(c *Config) { c.Sources[0].StaleTTL = -1 },
+		"negative StaleTTL": func(c *Config) { c.Sources[0].StaleTTL = -1 },
 		"no tombstone TTL":  func(c *Config) { c.TombstoneTTL = 0 },
 	} {
 		cfg := testConfig()
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -30,8 +30,8 @@
 
 // Two sources list and remove endpoints, stop listing them, fail, and repeat old updates, all at random. This must
 // neither restore a removed endpoint nor empty the list. The test checks that:
-//   - an endpoint that a source has explicitly removed is not in the list until that source lists it again, or a newer
-//     start of it is reported;
+//   - an endpoint that a source has explicitly removed is not in the list until that source lists it again, or any
+//     source lists it with a later start time;
 //   - the list does not become empty unless an endpoint was explicitly removed;
 //   - once both sources list the same endpoints, so does the merged list after some removal windows.
 func TestModel(t *testing.T) {
@@ -61,7 +61,8 @@
 				t.Fatalf("%d tombstones of the source watch, want at most %d", n, testConfig().MaxEndpoints)
 			}
 			if len(merger.listed) != len(m.list) {
-				t.Fatalf("the merger lists %d endpoints, want %d after its changes", len(merger.listed), len(m.list))
+				t.Fatalf("the merger lists %d endpoints, want %d as in the changes that it returned",
+					len(merger.listed), len(m.list))
 			}
 		}
 		m.checkAgreement(t)
--- a/internal/discovery/reconcile.go
+++ b/internal/discovery/reconcile.go
@@ -73,7 +73,7 @@
 	switch {
 	case !exists:
 		target.endpoints[e.ID] = e
-	case e.StartedAtMS > old.StartedAtMS: // a later start means a newer process, whichever source reports it
+	case e.StartedAtMS > old.StartedAtMS: // a later start time means a newer process, whichever source reports it
 		old.StartedAtMS, old.Addr = e.StartedAtMS, e.Addr
 		target.endpoints[e.ID] = old
 	}
@@ -83,8 +83,9 @@
 // also updates tombstone.lastListedAt of each tombstone that covers the endpoint.
 //
 // A tombstone of any source takes precedence over all sources that list the endpoint. This prevents a delayed copy of
-// an old list from restoring an endpoint that is draining or gone, to which requests would be sent and fail. It holds
-// because only the source that removed an endpoint can withdraw the tombstone, and only a newer start is not covered.
+// an old list from restoring an endpoint that is draining or gone, to which requests would be sent and fail. Other
+// sources cannot withdraw the tombstone; they can only list the endpoint with a later start time, which the tombstone
+// does not cover.
 func (m *Merger) removalReason(now time.Duration, e *Endpoint) string {
 	reason := ""
 	for _, s := range m.byRank {
@@ -107,8 +108,8 @@
 type reconciliation struct {
 	now    time.Duration
 	target targetList
-	// restarted has the IDs of endpoints that are replaced by a newer process. Adding them is not delayed, because the
-	// endpoint would be missing from the list in the meantime.
+	// restarted has the IDs of endpoints that are replaced by a newer process. The newer process is added without
+	// delay, because the endpoint would be missing from the list in the meantime.
 	restarted map[string]bool
 	changes   []Change
 	nextTick  time.Duration // when Tick must be called; 0 means that no call is needed
@@ -226,8 +227,8 @@
 }
 
 // removingSource returns a source that has a tombstone for an endpoint; nil if there is none. confirmed reports
-// whether the source has reported the removal explicitly and is not indirect. If there is no such source,
-// removingSource returns the source with the highest rank among those that have a tombstone for the endpoint.
+// whether the source has reported the removal explicitly and is not indirect. Among several sources, removingSource
+// prefers one that confirms the removal; if none does, it returns the source with the highest Rank.
 func (m *Merger) removingSource(e *Endpoint) (removing *source, confirmed bool) {
 	for _, s := range m.byRank {
 		for _, t := range s.tombstones {
--- a/internal/discovery/script_test.go
+++ b/internal/discovery/script_test.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// runCommand runs any command of a script but new, and returns its output.
+// runCommand runs a command of a script other than new, and returns its output.
 func runCommand(t *testing.T, merger *Merger, d *datadriven.TestData) string {
 	t.Helper()
 	var at, source string
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// apply applies the endpoints of an update to the source's list and returns their keys. New endpoints are ignored
-// while the list holds maxEndpoints.
+// apply applies the endpoints of an update to the source's list and tombstones, and returns their keys. New endpoints
+// are ignored while the list holds maxEndpoints. The list of an indirect source stays empty.
 func (s *source) apply(now time.Duration, endpoints []Endpoint, maxEndpoints int) (received map[string]bool) {
 	received = map[string]bool{}
 	for _, e := range endpoints {
@@ -65,8 +65,8 @@
 	return received
 }
 
-// removeAbsent deletes the endpoints that a complete update does not contain from the source's list. Each of them gets
-// a tombstone if SourceConfig.AbsenceMeansRemoved is set.
+// removeAbsent deletes from the source's list the endpoints that are missing from a complete update. received has the
+// keys of the update's endpoints. Each deleted endpoint gets a tombstone if SourceConfig.AbsenceMeansRemoved is set.
 func (s *source) removeAbsent(now time.Duration, received map[string]bool) {
 	for _, key := range slices.Sorted(maps.Keys(s.endpoints)) {
 		switch {
@@ -101,9 +101,9 @@
 
 // mayAdd reports whether the source's list may add endpoints that are not in the merged list.
 //
-// A source that works may add endpoints, and one that has failed may do so until StaleTTL has passed. This prevents an
-// outdated list from adding endpoints that no longer exist. Endpoints that are in the merged list already stay there,
-// because the failure of a source is no evidence that they are gone.
+// A source that works may add endpoints. A source that has failed may add endpoints until StaleTTL has passed. This
+// limit prevents an outdated list from adding endpoints that no longer exist. Endpoints that are in the merged list
+// already stay there, because the failure of a source is no evidence that they are gone.
 func (s *source) mayAdd(now time.Duration) bool { return !s.hasFailed() || now-s.failedAt < s.StaleTTL }
 
 // mayRemoveOne reports whether the source may remove one more of numListed endpoints. If it may not, retryAt is when
