--- a/internal/discovery/dns/answer.go
+++ b/internal/discovery/dns/answer.go
@@ -67,8 +67,8 @@
 	Targets  []Target
 	TTL      time.Duration // how long the answer is valid
 	NotFound bool          // the name does not exist, or has no records of the requested type
-	// Alias is set if the requested name is an alias of another name, and the message has no records of that name. It
-	// is the other name, which must be looked up by another query.
+	// Alias is the name of which the requested name is an alias, if the message has no records of Alias; otherwise it
+	// is empty. Alias must be looked up by another query.
 	Alias   string
 	Dropped int // number of targets and addresses that were invalid or exceeded Limits
 }
--- a/internal/discovery/dns/parse.go
+++ b/internal/discovery/dns/parse.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// aliasOf returns the name that the given name is an alias of; empty if the name is not an alias.
+// aliasOf returns the target of the CNAME record of name; empty if the message has no such record.
 func (r *answerReader) aliasOf(name string) string {
 	next := ""
 	for _, record := range r.message.Answers {
--- a/internal/discovery/dns/parse_test.go
+++ b/internal/discovery/dns/parse_test.go
@@ -196,7 +196,7 @@
 	}
 	cyclic := []byte{0, 7, 0x80, 0, 0, 1, 0, 1, 0, 0, 0, 0, 0xc0, 12, 0, 33, 0, 1} // its name is a pointer to itself
 	if _, err := parse(cyclic, 7, question, &testLimits); err == nil {
-		t.Error("a message with a compressed name that points to itself was accepted")
+		t.Error("parse returned no error for a compressed name that points to itself, want an error")
 	}
 }
 
--- a/internal/discovery/dns/refresher.go
+++ b/internal/discovery/dns/refresher.go
@@ -30,7 +30,7 @@
 
 const (
 	// defaultStaleTTL is the default of RefresherConfig.StaleTTL. A higher value tolerates longer outages of the name
-	// servers, but uses addresses for longer that may be wrong.
+	// servers, but uses addresses that may be wrong for longer.
 	defaultStaleTTL = 24 * time.Hour
 	// defaultMinRetry and defaultMaxRetry are the defaults of RefresherConfig.MinRetry and MaxRetry. Higher values make
 	// fewer lookups while the name servers fail, but obtain a new answer later.
--- a/internal/discovery/dns/refresher_test.go
+++ b/internal/discovery/dns/refresher_test.go
@@ -80,11 +80,11 @@
 	var hostPort string
 	var target Target
 	if _, err := fmt.Sscan(line, &hostPort, &target.Priority, &target.Weight); err != nil {
-		t.Fatalf("%q: %v", line, err)
+		t.Fatalf("target %q: %v", line, err)
 	}
 	host, port, _ := strings.Cut(hostPort, ":")
 	if _, err := fmt.Sscan(port, &target.Port); err != nil {
-		t.Fatalf("%q: %v", line, err)
+		t.Fatalf("port of the target %q: %v", line, err)
 	}
 	for _, addr := range strings.Split(host, "+") {
 		target.Addrs = append(target.Addrs, netip.MustParseAddr(addr))
--- a/internal/discovery/dns/resolver.go
+++ b/internal/discovery/dns/resolver.go
@@ -50,7 +50,7 @@
 		}
 		host, err := r.lookup(ctx, target.Host, recordType)
 		if err != nil {
-			return fmt.Errorf("%s: %w", target.Host, err)
+			return fmt.Errorf("addresses of the target %s: %w", target.Host, err)
 		}
 		if len(host.Targets) > 0 {
 			target.Addrs = host.Targets[0].Addrs
@@ -67,7 +67,7 @@
 	for range MaxAliases + 1 {
 		wireName, err := dnsmessage.NewName(name)
 		if err != nil {
-			return Answer{}, fmt.Errorf("%q: %w", name, err)
+			return Answer{}, fmt.Errorf("name %q: %w", name, err)
 		}
 		question := dnsmessage.Question{Name: wireName, Type: recordType, Class: dnsmessage.ClassINET}
 		answer, err := r.queryServers(ctx, question)
@@ -94,7 +94,7 @@
 			if ctx.Err() != nil {
 				return Answer{}, errors.Join(append(failures, ctx.Err())...)
 			}
-			failures = append(failures, fmt.Errorf("%s: %w", server, err))
+			failures = append(failures, fmt.Errorf("server %s: %w", server, err))
 		}
 		if attempt+1 < r.Attempts {
 			r.pause(ctx)
--- a/internal/discovery/dns/resolver_test.go
+++ b/internal/discovery/dns/resolver_test.go
@@ -74,7 +74,7 @@
 	return [][]byte{dnsserver.Pack(m)}
 }
 
-// aliasReply replies to a query for the service that it is an alias, and to a query for the aliased name with a target.
+// aliasReply answers a query for the service with an alias, and a query for the name behind the alias with a target.
 func aliasReply(query dnsmessage.Message, tcp bool) [][]byte {
 	question := query.Questions[0]
 	if question.Name.String() == service {
--- a/internal/discovery/dns/source_test.go
+++ b/internal/discovery/dns/source_test.go
@@ -65,7 +65,7 @@
 		results <- result
 	}
 	for _, want := range []string{"10.0.0.1:80", "time-out", "10.0.0.2:80"} {
-		if got := testutil.Receive(t, events, want); got != want {
+		if got := testutil.Receive(t, events, "the event "+want); got != want {
 			t.Errorf("received the event %q, want %q", got, want)
 		}
 	}
--- a/internal/discovery/mergedsource/format_test.go
+++ b/internal/discovery/mergedsource/format_test.go
@@ -39,7 +39,7 @@
 	testutil.Golden(t, "list.json", text)
 	var read []discovery.EndpointStatus
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, list) {
-		t.Errorf("the golden file was decoded with the error %v as\n%+v, want\n%+v", err, read, list)
+		t.Errorf("the encoded list was decoded with the error %v as\n%+v, want\n%+v", err, read, list)
 	}
 }
 
--- a/internal/discovery/mergedsource/run.go
+++ b/internal/discovery/mergedsource/run.go
@@ -10,8 +10,8 @@
 	"hazelwing/internal/engine"
 )
 
-// Run runs all sources, and notifies the caller of the latest Watch of changes, until ctx ends. The additional
-// sources start with the first call of Watch, because there is no caller to notify before.
+// Run runs all sources until ctx ends, and passes changes to the caller of the latest Watch. The additional sources
+// start with the first call of Watch, because before that call there is no caller to notify.
 func (s *Source) Run(ctx context.Context) {
 	s.startedAt = time.Now()
 	s.log = s.cfg.Log.With("component", "discovery")
@@ -67,7 +67,7 @@
 	}
 }
 
-// startPlatformWatch stops the present watch of the platform's discovery service, and starts the one last requested.
+// startPlatformWatch stops the present watch of the platform's discovery service, and starts the watch requested last.
 func (s *Source) startPlatformWatch(ctx context.Context) {
 	s.mu.Lock()
 	request := s.request
@@ -108,7 +108,7 @@
 
 func (e platformEvent) handle(s *Source) time.Duration {
 	if e.request != s.current {
-		return 0 // the update is of a replaced watch; the present watch started from an earlier version
+		return 0 // the watch of this update has been replaced; the present watch started from an earlier version
 	}
 	if e.update.Kind == balancer.WatchFailed {
 		changes, nextTick := s.merger.SourceFailed(s.now(), PlatformSourceName)
--- a/internal/discovery/mergedsource/source.go
+++ b/internal/discovery/mergedsource/source.go
@@ -3,9 +3,9 @@
 //
 // # Goroutines
 //
-// Only the goroutine of Run uses the merger and notifies the engine. Watch and the function that it returns pass a
-// request to Run and return at once. The goroutines of the sources send their events through a queue of
-// eventQueueLength events, and block while it is full.
+// Only the goroutine of Run uses the merger and notifies the engine. Watch passes a request to Run and returns at once.
+// The function that Watch returns cancels the context of that request, and returns at once too. The goroutines of the
+// sources send their events through a queue of eventQueueLength events, and block while the queue is full.
 package mergedsource
 
 import (
@@ -49,7 +49,7 @@
 type Config struct {
 	Platform   engine.Source // the platform's discovery service
 	Additional []AdditionalSource
-	CachedList []engine.Endpoint // the list with which the engine has started
+	CachedList []engine.Endpoint // the list with which the engine starts
 
 	// These fields are passed to the merger; see discovery.Config.
 	MaxEndpoints     int
@@ -86,7 +86,7 @@
 	platformSeq       int64              // sequence number of the platform's last update
 	platformIDs       map[string]bool    // IDs of the endpoints that the platform lists
 	hasReported       map[string]bool    // names of the additional sources that have sent an update
-	initialAddrs      map[string]bool    // addresses in the first updates of the additional sources
+	initialAddrs      map[string]bool    // addresses in the first update of each additional source
 }
 
 // watchRequest holds the arguments of a call of Watch, and its context.
@@ -138,7 +138,7 @@
 		hasReported:    map[string]bool{},
 		initialAddrs:   map[string]bool{},
 	}
-	// The changes are not passed to the engine, because it has this list already.
+	// The changes are not passed to the engine, because the engine has the cached list already.
 	s.applyPlatformUpdate(0, engine.EndpointUpdate{Kind: balancer.CompleteList, Endpoints: cfg.CachedList})
 	return s, nil
 }
--- a/internal/discovery/mergedsource/source_test.go
+++ b/internal/discovery/mergedsource/source_test.go
@@ -136,11 +136,11 @@
 	h.watch.notify(engine.EndpointUpdate{Kind: kind, Version: version, Endpoints: endpoints(names...)})
 }
 
-// wantUpdate receives an update, and fails the test unless it is the one described by text, "KIND VERSION: ID ...". A
-// minus sign before an ID means that the endpoint is draining or removed.
+// wantUpdate receives an update, and fails the test unless text describes it. The form of text is
+// "KIND VERSION: ID ...", in which a minus sign before an ID means that the endpoint is draining or removed.
 func (h *harness) wantUpdate(text string) engine.EndpointUpdate {
 	h.t.Helper()
-	update := testutil.Receive(h.t, h.updates, "update: "+text)
+	update := testutil.Receive(h.t, h.updates, "the update "+text)
 	kinds := map[balancer.UpdateKind]string{
 		balancer.Delta:       "delta",
 		balancer.OutOfBand:   "out-of-band",
@@ -231,7 +231,7 @@
 	h.sendAddrs("g")
 	select {
 	case update := <-h.updates:
-		t.Errorf("received the update %+v after the watch was stopped", update)
+		t.Errorf("received the update %+v after the watch was stopped, want none", update)
 	case <-time.After(10 * time.Millisecond):
 	}
 }
@@ -244,7 +244,7 @@
 	h.wantUpdate("delta 8: -b")
 	select {
 	case update := <-h.updates:
-		t.Errorf("received an addition within the addition interval: %+v", update)
+		t.Errorf("received the update %+v within the addition interval, want none", update)
 	case <-time.After(10 * time.Millisecond):
 	}
 	h = start(t, 20*time.Millisecond, "a")
