--- a/internal/discovery/relay/changelog.go
+++ b/internal/discovery/relay/changelog.go
@@ -19,13 +19,20 @@
 	maxPathLength = 8
 )
 
-// Reasons for which a follower is rejected. These texts are sent to the follower.
+// Reasons for which a follower is rejected. The texts are sent to the follower; "this one" in a text is the member that
+// rejects it.
 var (
-	errNoLiveList       = errors.New("no list from a source that works")
-	errFollowerAhead    = errors.New("a later version is held than this one has")
-	errFollowerInPath   = errors.New("this one has its list from there")
-	errPathTooLong      = errors.New("too far from discovery")
-	errOtherDiscovery   = errors.New("another discovery is followed here")
+	// errNoLiveList means that this member has no complete list, or that the source of its list does not work.
+	errNoLiveList = errors.New("no list from a source that works")
+	// errFollowerAhead means that the follower's list has a later version than the list of this member.
+	errFollowerAhead = errors.New("a later version is held than this one has")
+	// errFollowerInPath means that the follower relays the list of this member.
+	errFollowerInPath = errors.New("this one has its list from there")
+	// errPathTooLong means that maxPathLength members already relay the list of this member.
+	errPathTooLong = errors.New("too far from discovery")
+	// errOtherDiscovery means that the follower's versions come from another discovery service.
+	errOtherDiscovery = errors.New("another discovery is followed here")
+	// errTooManyFollowers means that this member already has Server.maxFollowers followers.
 	errTooManyFollowers = errors.New("enough follow this one")
 )
 
@@ -36,7 +43,7 @@
 	live        bool                       // the source of the list works
 	endpoints   map[string]engine.Endpoint // endpoints that are active or draining, by ID
 	events      []watch.Event              // retained changes, oldest first
-	baseVersion int64                      // version of the list before the first of events
+	baseVersion int64                      // version of the list before the first retained change
 	// path holds the names of the members that relay the list, nearest first. It is empty if the source is the
 	// discovery service.
 	path []string
--- a/internal/discovery/relay/changelog_test.go
+++ b/internal/discovery/relay/changelog_test.go
@@ -85,12 +85,12 @@
 func TestCheckFollower(t *testing.T) {
 	var empty ChangeLog
 	if err := empty.CheckFollower(0, "b"); err == nil {
-		t.Error("a log without a list accepted a follower")
+		t.Error("CheckFollower returned no error for a log without a list, want a rejection")
 	}
 	empty.Apply(delta(3, "x", balancer.Active)) // ignored, because there is no complete list
 	empty.Apply(completeList(5, "x", "y"))
 	if err := empty.CheckFollower(0, "b"); err == nil {
-		t.Error("a log without a working source accepted a follower")
+		t.Error("CheckFollower returned no error for a log without a working source, want a rejection")
 	}
 	log := newTestLog()
 	for _, c := range []struct {
@@ -109,11 +109,11 @@
 	}
 	log.SourceStarted(make([]string, maxPathLength))
 	if log.CheckFollower(0, "b") == nil {
-		t.Errorf("a log with a path of %d members accepted a follower", maxPathLength)
+		t.Errorf("CheckFollower returned no error for a path of %d members, want a rejection", maxPathLength)
 	}
 	log.SourceLost()
 	if log.CheckFollower(7, "b") == nil {
-		t.Error("a log whose source was lost accepted a follower")
+		t.Error("CheckFollower returned no error for a log whose source was lost, want a rejection")
 	}
 }
 
@@ -124,10 +124,13 @@
 	for i := range int64(3000) {
 		log.Apply(delta(8+i, "x", balancer.Active))
 	}
-	sinceOldVersion := formatEvents(log.EventsSince(100))
-	if len(log.events) != maxEvents || !strings.HasPrefix(sinceOldVersion, "3007 whole") ||
-		len(log.EventsSince(log.baseVersion)) != maxEvents {
-		t.Errorf("%d events are retained, want %d; the events since version 100 are %.40q, want the complete list",
-			len(log.events), maxEvents, sinceOldVersion)
+	if n := len(log.events); n != maxEvents {
+		t.Errorf("%d events are retained, want %d", n, maxEvents)
+	}
+	if got := formatEvents(log.EventsSince(100)); !strings.HasPrefix(got, "3007 whole") {
+		t.Errorf("the events since version 100 are %.40q, want the complete list, \"3007 whole ...\"", got)
+	}
+	if n := len(log.EventsSince(log.baseVersion)); n != maxEvents {
+		t.Errorf("there are %d events since the oldest retained version, want %d", n, maxEvents)
 	}
 }
--- a/internal/discovery/relay/format_test.go
+++ b/internal/discovery/relay/format_test.go
@@ -122,6 +122,6 @@
 	testutil.Golden(t, "listing.json", text)
 	var read watch.Event
 	if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(read, event) {
-		t.Errorf("the golden file was decoded with the error %v as\n%+v, want\n%+v", err, read, event)
+		t.Errorf("the encoded event was decoded with the error %v as\n%+v, want\n%+v", err, read, event)
 	}
 }
--- a/internal/discovery/relay/server.go
+++ b/internal/discovery/relay/server.go
@@ -48,13 +48,14 @@
 	self         string
 	maxFollowers int
 
-	mu        sync.Mutex
-	log       ChangeLog
-	changed   chan struct{} // closed at each change
-	epoch     int           // incremented when the source is lost, which disconnects the followers of earlier epochs
-	group     string        // discovery service from which the log's versions come; empty for the initial one
-	followers int           // number of followers at present
-	rejected  int           // number of followers rejected since the start
+	mu      sync.Mutex
+	log     ChangeLog
+	changed chan struct{} // closed at each change
+	// epoch is incremented when the source is lost or the log is reset. Followers of earlier epochs are disconnected.
+	epoch     int
+	group     string // discovery service from which the log's versions come; empty for the initial one
+	followers int    // number of followers at present
+	rejected  int    // number of followers rejected since the start
 }
 
 // NewServer returns the Server of the member self, which serves at most maxFollowers followers at a time.
@@ -212,7 +213,7 @@
 //
 // The follower must use the same discovery service, because versions of different discovery services cannot be
 // compared: the follower could mistake an old list for a new one. ChangeLog.CheckFollower must accept the follower,
-// and the server must have fewer than maxFollowers.
+// and the server must have fewer than maxFollowers followers.
 func (s *Server) checkFollower(r watchRequest) error {
 	if s.group != r.group {
 		return errOtherDiscovery
--- a/internal/discovery/relay/source_test.go
+++ b/internal/discovery/relay/source_test.go
@@ -104,7 +104,7 @@
 	// The test requires that "head" precedes "other" in the order of the members.
 	s.UpdateMembers([]bootstrap.Member{{Name: "head", Addr: netip.MustParseAddrPort(addr)}}, true)
 	if s.selector.Rank() != 1 {
-		t.Fatalf("the member \"other\" has the rank %d, want 1", s.selector.Rank())
+		t.Fatalf("the member \"other\" has the rank %d, want 1, after \"head\"", s.selector.Rank())
 	}
 	return s
 }
@@ -117,47 +117,50 @@
 	root, server := newRoot(t, &rootDiscovery)
 	stopRoot := root.Watch(engine.NoVersion, 0, rootUpdates.record)
 	defer stopRoot()
-	testutil.Until(t, "the root calls the discovery service", func() bool { return rootDiscovery.watches() == 1 })
+	testutil.Until(t, "the root's call of the discovery service", func() bool { return rootDiscovery.watches() == 1 })
 	follower := newFollower(t, &followerDiscovery, server.Listener.Addr().String())
 	defer follower.Watch(engine.NoVersion, 0, followerUpdates.record)()
 	rootDiscovery.deliver(completeList(5, "x", "y"))
-	testutil.Until(t, "the follower received the complete list for which the peer had waited", func() bool {
+	testutil.Until(t, "the complete list at the follower", func() bool {
 		return followerUpdates.has(balancer.CompleteList, 5)
 	})
 	rootDiscovery.deliver(delta(6, "x", balancer.Draining))
-	testutil.Until(t, "the follower received a change", func() bool { return followerUpdates.has(balancer.Delta, 6) })
+	testutil.Until(t, "the change of version 6 at the follower", func() bool {
+		return followerUpdates.has(balancer.Delta, 6)
+	})
 	if s := follower.State(); s.Source != "head" || strings.Join(s.Server.Path, " ") != "head" ||
 		!s.Server.Live || root.State().Server.Followers != 1 {
 		t.Errorf("the follower has the state %+v, want a live list from head; the root has %+v, want one follower",
 			s, root.State())
 	}
 	if followerDiscovery.watches() != 0 {
-		t.Error("the follower called the discovery service although its peer works")
+		t.Errorf("the follower called the discovery service %d times although its peer works, want no call",
+			followerDiscovery.watches())
 	}
 	// The root loses its source. It disconnects its followers at once, and they call the discovery service from their
 	// present version.
 	rootDiscovery.deliver(engine.EndpointUpdate{Kind: balancer.WatchFailed, Version: 6, Err: errors.New("lost")})
-	testutil.Until(t, "the follower calls the discovery service", func() bool {
+	testutil.Until(t, "the follower's call of the discovery service", func() bool {
 		return followerDiscovery.watches() == 1
 	})
 	if followerDiscovery.versions[0] != 6 {
 		t.Errorf("the follower watches the discovery service from version %d, want 6", followerDiscovery.versions[0])
 	}
 	followerDiscovery.deliver(delta(9, "y", balancer.Removed))
-	testutil.Until(t, "the follower received a change from the discovery service", func() bool {
+	testutil.Until(t, "the change of version 9 at the follower", func() bool {
 		return followerUpdates.has(balancer.Delta, 9)
 	})
 	// The root works again, with an older list. It must reject a follower with a later version.
 	stopRoot()
 	defer root.Watch(engine.NoVersion, 0, rootUpdates.record)()
-	testutil.Until(t, "the root calls the discovery service again", func() bool { return rootDiscovery.watches() == 2 })
+	testutil.Until(t, "the root's second call", func() bool { return rootDiscovery.watches() == 2 })
 	rootDiscovery.deliver(completeList(7, "x", "y"))
-	testutil.Until(t, "the root relays its list", func() bool { return root.State().Server.Live })
+	testutil.Until(t, "the root's server to be live", func() bool { return root.State().Server.Live })
 	if status := watchStatus(t, server.URL, 9); status != http.StatusServiceUnavailable {
 		t.Errorf("a follower with a later version received status %d, want 503", status)
 	}
 	if followerUpdates.has(balancer.CompleteList, 7) {
-		t.Error("the follower delivered an older list")
+		t.Error("the follower delivered the root's list of version 7 after version 9, want no older list")
 	}
 	testIndependentDiscovery(t, follower, &followerUpdates)
 }
@@ -186,13 +189,13 @@
 	s.SetDiscovery(&discovery)
 	stop := s.Watch(engine.UnknownVersion, 0, updates.record)
 	defer stop()
-	testutil.Until(t, "the other discovery service is called", func() bool { return discovery.watches() == 1 })
+	testutil.Until(t, "the call of the other discovery service", func() bool { return discovery.watches() == 1 })
 	discovery.deliver(completeList(1, "z"))
-	testutil.Until(t, "the list of the other discovery service arrived", func() bool {
+	testutil.Until(t, "the list of the other discovery service", func() bool {
 		return updates.has(balancer.CompleteList, 1)
 	})
 	if s.State().Server.Live {
-		t.Error("the member relays the list of another discovery service")
+		t.Error("the member's server is live after SetDiscovery, want no relayed list")
 	}
 }
 
@@ -219,7 +222,7 @@
 			s.maxVersion = 20
 			var recorder updateRecorder
 			defer s.Watch(engine.NoVersion, 0, recorder.record)()
-			testutil.Until(t, "the discovery service is called", func() bool {
+			testutil.Until(t, "the follower's call of the discovery service", func() bool {
 				return discovery.watches() == 1
 			})
 			if len(recorder.updates) > 0 {
--- a/internal/discovery/relay/sourcewatch.go
+++ b/internal/discovery/relay/sourcewatch.go
@@ -20,10 +20,10 @@
 
 var (
 	// errOutdatedList is the reason for leaving a peer whose complete list is older than one that was delivered.
-	errOutdatedList = errors.New("the complete list is older than the one delivered before")
-	// errPathHasSelf is the reason for not following a peer whose list this member relays itself.
+	errOutdatedList = errors.New("the complete list of the peer is older than one delivered before")
+	// errPathHasSelf is the reason for not following a peer that has its list from this member.
 	errPathHasSelf = errors.New("the path of the list contains this member")
-	// errPathOverLimit is the reason for not following a peer whose list too many members relay.
+	// errPathOverLimit is the reason for not following a peer whose list is relayed by more than maxPathLength members.
 	errPathOverLimit = errors.New("the path of the list is too long")
 )
 
@@ -154,7 +154,8 @@
 			case update.Kind == balancer.WatchFailed:
 				return followResult{version: update.Version, reachable: update.Reachable, err: update.Err}
 			case w.outdated(selected, &update):
-				return followResult{version: version, reachable: true, err: errOutdatedList}
+				err := fmt.Errorf("%w: it has the version %d", errOutdatedList, update.Version)
+				return followResult{version: version, reachable: true, err: err}
 			}
 			version = update.Version
 			w.apply(selected, from, update, first)
@@ -163,10 +164,10 @@
 	}
 }
 
-// outdated reports whether an update of a peer is a complete list that is older than one that was delivered. This check
-// prevents a peer that does not reject this member, although its list is older, from restoring endpoints that were
-// removed in the meantime: requests would go to processes that no longer exist. It is reliable because the maximum
-// version never decreases within a group.
+// outdated reports whether an update of a peer is a complete list that is older than one that was delivered. A peer
+// with an older list should reject this member. If the peer does not, this check prevents the older list from restoring
+// endpoints that were removed in the meantime: requests would go to processes that no longer exist. The check is
+// reliable because the maximum version never decreases within a group.
 func (w *sourceWatch) outdated(selected bootstrap.Selection, update *engine.EndpointUpdate) bool {
 	if selected.Discovery || update.Kind != balancer.CompleteList {
 		return false
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -198,9 +198,9 @@
 
 // fetchList requests the complete list, with a hedged request.
 //
-// Guard: prevents a response that never ends from blocking the request for as long as the watch is open: the list would
-// remain incomplete, and would not be requested again. It holds because each call is abandoned after silenceTimeout,
-// whatever data it has received.
+// Each call is abandoned after silenceTimeout, whatever data it has received. This prevents a response that never ends
+// from blocking the request for as long as the watch is open: the list would remain incomplete, and would not be
+// requested again.
 func (c *Client) fetchList(ctx context.Context) (engine.EndpointUpdate, error) {
 	attempt, _, err := hedge(ctx, c.silenceTimeout, c.hedge, c.fetchListOnce)
 	if err != nil {
--- a/internal/discovery/watch/errors.go
+++ b/internal/discovery/watch/errors.go
@@ -10,8 +10,8 @@
 var (
 	// errNoData is the reason for abandoning a call that has received no data within its timeout.
 	errNoData = errors.New("no data received")
-	// errMalformedEvent is returned for data that is not an event of a watch. The service would send the same data
-	// again.
+	// errMalformedEvent is returned for data that is not an event of a watch. The next watch starts from the complete
+	// list, because the service would send the same data again.
 	errMalformedEvent = errors.New("malformed watch event")
 	// errWatchEnded is the reason for the failure of a watch that the service ended between two events.
 	errWatchEnded = errors.New("the service ended the watch")
--- a/internal/discovery/watch/hedge.go
+++ b/internal/discovery/watch/hedge.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// attempt is one call of a hedged request. The context of a successful attempt remains valid after hedge has returned;
-// timeout cancels it unless the timer is reset or stopped.
+// attempt is one call of a hedged request. The context of a successful attempt remains valid after hedge has returned.
+// When timeout expires, it cancels the context; the caller can reset or stop it before.
 type attempt[T any] struct {
 	value   T
 	cancel  context.CancelCauseFunc
@@ -41,9 +41,9 @@
 // that at most two calls are in flight at a time. hedge returns the first attempt that succeeds, with its context, and
 // ends the others. If all calls in flight have failed, it returns the last error.
 //
-// Guard: prevents a call that hangs from delaying a change beyond backoff.NotificationDeadline: requests would still be
-// sent to draining endpoints. It holds because the next call has its own connection, and does not wait for the result
-// of the first call.
+// Hedging prevents a call that hangs from delaying a change beyond backoff.NotificationDeadline: requests would still
+// be sent to draining endpoints. The next call has its own connection, and does not wait for the result of the first
+// call.
 func hedge[T any](
 	ctx context.Context, timeout time.Duration, policy hedgePolicy, call func(context.Context) (T, error),
 ) (*attempt[T], context.Context, error) {
--- a/internal/discovery/watch/listtracker.go
+++ b/internal/discovery/watch/listtracker.go
@@ -11,9 +11,9 @@
 	"hazelwing/internal/engine"
 )
 
-// maxPendingChanges limits the endpoints that are remembered until the complete list has arrived. If there are more, a
-// failed request for the list ends the watch, and the next watch starts from the complete list. A higher value
-// continues the watch despite more changes, but uses more memory.
+// maxPendingChanges limits listTracker.pendingChanges when a request for the complete list fails. If there are more
+// changes, the watch ends, and the next watch starts from the complete list. A higher value continues the watch despite
+// more changes, but uses more memory.
 const maxPendingChanges = 100_000
 
 // listTracker decides which updates of a watch to deliver, and when to request the complete list. It performs no I/O;
@@ -64,7 +64,7 @@
 	switch {
 	case update == nil && !first: // the list has not changed
 		return nil
-	case update == nil: // the list has not changed; the empty update shows that the service has responded
+	case update == nil: // the list has not changed; an update without endpoints tells the engine of the response
 		update = &engine.EndpointUpdate{Kind: balancer.Delta, Version: t.version}
 	case !first && update.Kind == balancer.Delta && update.Version <= t.version:
 		return nil // the list includes this delta already; an old delta could restore endpoints that were removed
@@ -150,11 +150,9 @@
 
 // resumeVersion returns the version from which the next watch starts. eventsLost reports whether this watch has
 // delivered data that could not be read. In this case the next watch starts from the complete list, and the engine
-// keeps its present list, if any, until then.
-//
-// Guard: prevents an event that could not be read, or was incomplete, from being skipped: the service counts it as
-// delivered, and a draining endpoint in it would be used until its next change. It holds because the next watch does
-// not start from the version of this one.
+// keeps its present list, if any, until then. This prevents an event that could not be read, or was incomplete, from
+// being skipped: the service counts the event as delivered, and a draining endpoint in the event would be used until
+// its next change.
 func (t *listTracker) resumeVersion(eventsLost bool) int64 {
 	switch {
 	case t.listMissing && !t.hasList:
--- a/internal/discovery/watch/misbehaving_test.go
+++ b/internal/discovery/watch/misbehaving_test.go
@@ -62,8 +62,8 @@
 	return l.text.String()
 }
 
-// A discovery service delivers the list and a draining endpoint, and then misbehaves. The sidecar must keep its list
-// without the draining endpoint, log the reason for the failure, and call the service again until it recovers.
+// A discovery service delivers the list and the removal of an endpoint, and then misbehaves. The sidecar must keep its
+// list without the removed endpoint, log the reason for the failure, and call the service again until it recovers.
 func TestMisbehavingDiscovery(t *testing.T) {
 	reject := func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter) { panic(http.ErrAbortHandler) }
@@ -163,7 +163,7 @@
 	defer stop()
 	running.Go(func() { e.Run(ctx) })
 	testutil.Until(t, "the second call", func() bool { return service.calls.Load() > 1 })
-	for !service.recovered.Load() { // until then, the list is the known one without the draining endpoint
+	for !service.recovered.Load() { // until the recovery, the list must stay a and c, without the removed endpoint b
 		if got := endpoints.String(); service.calls.Load() < 4 && got != "[a c]" {
 			t.Fatalf("the endpoints %s are listed while the discovery service misbehaves, want [a c]", got)
 		}
--- a/internal/discovery/watch/objectreader.go
+++ b/internal/discovery/watch/objectreader.go
@@ -11,7 +11,7 @@
 // objectReader splits the body of a watch into JSON objects. An object may occupy one line or several, and may arrive
 // in parts or together with other objects. objectReader finds the end of an object by counting braces and brackets
 // outside strings; line ends within an object do not matter. If it read one object per line, a watch of a service
-// that indents its lists would fail at the first line, and no change would arrive. Except for partial, it is used by
+// that indents its lists would fail at the first line, and no change would arrive. All fields but partial are used by
 // one goroutine at a time.
 type objectReader struct {
 	partial atomic.Bool // an object has begun and is not complete; may be read by any goroutine
@@ -32,9 +32,8 @@
 // next returns the text of the next object, which is valid until the next call, or nil for an empty line between two
 // objects.
 //
-// Guard: prevents a change from being delayed until the next line arrives, which may be the next empty line: draining
-// endpoints would be used in the meantime. It holds because an object is returned as soon as its last brace has
-// arrived.
+// An object is returned as soon as its last brace has arrived. This prevents a change from being delayed until the next
+// line arrives, which may be the next empty line: draining endpoints would be used in the meantime.
 func (o *objectReader) next() ([]byte, error) {
 	o.object = o.object[:0]
 	for {
--- a/internal/discovery/watch/session.go
+++ b/internal/discovery/watch/session.go
@@ -94,9 +94,9 @@
 // next waits for one event of the session, and returns the updates to deliver. The watch fails if neither an event nor
 // an empty line arrives within silenceTimeout.
 //
-// Guard: prevents a service that hangs, or sends bytes that complete no event, from being mistaken for a service
-// without changes: draining endpoints would still be used. It holds because only an event or an empty line resets the
-// timeout, and because the timeout cancels ctx, which also aborts a read in progress.
+// The timeout prevents a service that hangs, or sends bytes that complete no event, from being mistaken for a service
+// without changes: draining endpoints would still be used. Only an event or an empty line resets the timeout. When it
+// expires, it cancels ctx, which also aborts a read in progress.
 func (s *session) next(
 	ctx context.Context, watch *attempt[*stream], events <-chan streamEvent, lists chan listResult,
 ) ([]engine.EndpointUpdate, error) {
--- a/internal/discovery/watch/startup_test.go
+++ b/internal/discovery/watch/startup_test.go
@@ -28,7 +28,7 @@
 // listRecorder is a transport that records when the complete list of the discovery service arrives.
 type listRecorder struct {
 	noTransport
-	cachedSeen bool         // the cached list has arrived, which is always the first one
+	cachedSeen bool         // the cached list, which always arrives first, has arrived
 	arrivedAt  atomic.Int64 // time at which the list arrived, in Unix nanoseconds
 	arrived    atomic.Bool  // the list has arrived
 	endpoints  atomic.Int64 // number of endpoints in the list
@@ -135,7 +135,7 @@
 		calls, max(rate.max, calls-rate.callsBefore), rejected, delays[len(delays)/2].Round(time.Millisecond),
 		delays[len(delays)*9/10].Round(time.Millisecond), last.Round(time.Millisecond), late)
 	if rejected == 0 {
-		t.Error("the service rejected no call, so its limits were not tested")
+		t.Errorf("the setup did not overload the service, which rejected none of %d calls, want at least one", calls)
 	}
 	if maxCalls := *sidecars * (2 + int(last/(450*time.Millisecond))); calls > maxCalls {
 		t.Errorf("the service received %d calls in %v, want at most %d", calls, last, maxCalls)
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -34,7 +34,7 @@
 	return startWatchFrom(t, startVersion, silenceTimeout, serve)
 }
 
-// startWatchFrom does the same as startWatch from any version.
+// startWatchFrom starts a watch like startWatch, but from the given version.
 func startWatchFrom(
 	t *testing.T, version int64, silenceTimeout time.Duration, serve http.HandlerFunc,
 ) <-chan engine.EndpointUpdate {
@@ -89,7 +89,7 @@
 		version   int64
 		endpoints int
 	}{
-		{balancer.Delta, startVersion, 0}, // the service has responded, and the list has not changed
+		{balancer.Delta, startVersion, 0}, // the service has responded with an empty line
 		{balancer.CompleteList, 43, 1},
 		{balancer.Delta, 44, 1},
 		{balancer.WatchFailed, 44, 0}, // the connection has ended
@@ -115,7 +115,7 @@
 }
 
 // A watch from NoVersion delivers the complete list first, whether or not the service treats version 0 as an ordinary
-// version, and delivers nothing older after it.
+// version. After the list, the watch delivers no older change.
 func TestCompleteListIsDeliveredFirst(t *testing.T) {
 	delta0 := eventJSON(0, false)
 	delta1 := eventJSON(1, false, "b")
@@ -156,7 +156,7 @@
 					continue
 				}
 				if first && update.Kind != balancer.CompleteList {
-					t.Errorf("the watch delivered %+v before the complete list", update)
+					t.Errorf("the first update is %+v, want the complete list", update)
 				}
 				apply(listed, update)
 				got = fmt.Sprint(update.Version, " ", slices.Sorted(maps.Keys(listed)))
@@ -183,7 +183,7 @@
 
 // When a watch is migrated to another discovery service, its first changes must be delivered at once, even if the
 // service rejects requests for the complete list. Otherwise the sidecar would send requests to endpoints that were
-// reported as draining. Such a rejection must not end the watch.
+// reported as removed. Such a rejection must not end the watch.
 func TestMigratedWatchDeliversAtOnce(t *testing.T) {
 	for name, shared := range map[string]bool{"shared service": true, "local agent": false} {
 		t.Run(name, func(t *testing.T) {
@@ -262,7 +262,7 @@
 	testutil.Receive(t, updates, "the list")
 	update := testutil.Receive(t, updates, "the failure")
 	if update.Kind != balancer.WatchFailed || update.Version != engine.UnknownVersion {
-		t.Errorf("the watch delivered %+v, want a failure that resumes from the complete list", update)
+		t.Errorf("the watch delivered %+v, want a failure with version %d", update, engine.UnknownVersion)
 	}
 }
 
@@ -410,8 +410,8 @@
 }
 
 // The watch works, but the responses to requests for the complete list never end. The request must be hedged and then
-// abandoned, and so must the watch if the engine has no list: otherwise the list would remain incomplete for as long as
-// the watch is open.
+// abandoned. If the engine has no list, the watch must be abandoned too: otherwise the list would remain incomplete for
+// as long as the watch is open.
 func TestCompleteListNeverEnds(t *testing.T) {
 	var calls atomic.Int32
 	updates := startWatchFrom(t, engine.NoVersion, 200*time.Millisecond,
@@ -427,6 +427,7 @@
 		})
 	update := testutil.Receive(t, updates, "the failure")
 	if update.Kind != balancer.WatchFailed || calls.Load() != backoff.MaxAttempts {
-		t.Errorf("delivered %+v after %d calls, want a failure after %d", update, calls.Load(), backoff.MaxAttempts)
+		t.Errorf("the watch delivered %+v after %d requests for the list, want a failure after %d requests",
+			update, calls.Load(), backoff.MaxAttempts)
 	}
 }
