--- a/internal/discovery/bootstrap/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -113,16 +113,16 @@
 			selected := s.Select(now)
 			if selected.Delay > 0 {
 				if selected.Delay > maxDelay {
-					t.Fatalf("the selector returned a delay of %v, want at most %v", selected.Delay, maxDelay)
+					t.Fatalf("Select returned a delay of %v, want at most %v", selected.Delay, maxDelay)
 				}
 				now += selected.Delay
 				continue
 			}
 			if !selected.Discovery && selected.Peer.Name == self {
-				t.Fatalf("the selector of the member %s returned the peer %s, want another member", self, self)
+				t.Fatalf("Select of the member %s returned the peer %s, want another member", self, self)
 			}
 			if !selected.Discovery && s.exclusions.contains(now, selected.Peer.Name) {
-				t.Fatalf("the selector returned the peer %s, which is excluded after a failure", selected.Peer.Name)
+				t.Fatalf("Select returned the peer %s, want none that is excluded after a failure", selected.Peer.Name)
 			}
 			discoveryCalled = discoveryCalled || selected.Discovery
 			s.ReportFailure(now, selected)
@@ -204,23 +204,24 @@
 	}
 	s := newSelector(order[5])
 	if selected := s.Select(0); selected.Delay != viewStableTime {
-		t.Fatalf("selection at the start: %+v, want a delay of %v", selected, viewStableTime)
+		t.Fatalf("Select at the start returned %+v, want a delay of %v", selected, viewStableTime)
 	}
 	now := maxJoinDelay
 	if selected := s.Select(now); selected.Peer.Name != order[1] {
-		t.Fatalf("selected %+v, want the parent %s; the order is %s", selected, order[1], strings.Join(order, " "))
+		t.Fatalf("Select at %v returned %+v, want the parent %s; the order is %s",
+			now, selected, order[1], strings.Join(order, " "))
 	}
 	for range 3 { // the parent and two other peers fail, so that the discovery service is selected after a short delay
 		s.ReportFailure(now, s.Select(now))
 	}
 	selected := s.Select(now)
 	if selected.Delay == 0 || selected.Delay > 20*time.Millisecond {
-		t.Fatalf("selected %+v after three failures, want a delay of at most 20 ms", selected)
+		t.Fatalf("Select after three failures returned %+v, want a delay of at most 20 ms", selected)
 	}
 	now += selected.Delay
 	selected = s.Select(now)
 	if !selected.Discovery {
-		t.Fatalf("selected %+v after the delay, want the discovery service", selected)
+		t.Fatalf("Select after the delay returned %+v, want the discovery service", selected)
 	}
 	s.ReportSuccess(now, selected)
 	if s.ShouldSwitch(now+minSourceTime/2, selected) {
--- a/internal/discovery/dns/answer.go
+++ b/internal/discovery/dns/answer.go
@@ -27,7 +27,8 @@
 	// Zone is the domain to which targets must belong; empty allows any domain. This prevents an answer from directing
 	// requests to hosts outside the zone.
 	Zone string
-	// RejectLocal rejects loopback, unspecified, multicast and link-local unicast addresses.
+	// RejectLocal rejects loopback, multicast and link-local unicast addresses. Unspecified addresses are always
+	// rejected.
 	RejectLocal bool
 }
 
--- a/internal/discovery/dns/refresher.go
+++ b/internal/discovery/dns/refresher.go
@@ -129,7 +129,8 @@
 	return Decision{NextLookup: now + time.Duration(r.rng.Float64()*float64(r.cfg.InitialJitter))}
 }
 
-// HandleAnswer processes an answer. The next lookup starts before the TTL of the answer ends.
+// HandleAnswer processes an answer. The next lookup starts before the TTL of the answer ends, unless the TTL is below
+// RefresherConfig.MinRetry.
 //
 // If the name does not exist, the update has no endpoints. Such an update does not remove endpoints that other sources
 // list, because discovery.SourceConfig.AbsenceMeansRemoved is not set for this source.
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -73,8 +73,8 @@
 
 	// Reasons for which the removal of an endpoint is deferred; see Merger.deferRemoval.
 	reasonLastEndpoint = "held: it is the last one"
-	reasonShareFormat  = "held: %s may not take out so large a share" // one endpoint exceeds MaxRemovalShare
-	reasonWindowFormat = "held: %s has taken out its share"           // one more exceeds MaxRemovalShare
+	reasonShareFormat  = "held: %s may not take out so large a share" // a single removal exceeds MaxRemovalShare
+	reasonWindowFormat = "held: %s has taken out its share"           // one more removal exceeds MaxRemovalShare
 
 	// The following texts are appended to the name of a source.
 	reasonSourceFailed    = " has failed, and may not add" // see source.mayAdd
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -61,7 +61,7 @@
 				t.Fatalf("%d tombstones of the source watch, want at most %d", n, testConfig().MaxEndpoints)
 			}
 			if len(merger.listed) != len(m.list) {
-				t.Fatalf("the merger lists %d endpoints, want %d as in the changes that it returned",
+				t.Fatalf("the merger lists %d endpoints, want %d according to the changes that it returned",
 					len(merger.listed), len(m.list))
 			}
 		}
--- a/internal/discovery/relay/changelog.go
+++ b/internal/discovery/relay/changelog.go
@@ -26,9 +26,9 @@
 	errNoLiveList = errors.New("no list from a source that works")
 	// errFollowerAhead means that the follower's list has a later version than the list of this member.
 	errFollowerAhead = errors.New("a later version is held than this one has")
-	// errFollowerInPath means that the follower relays the list of this member.
+	// errFollowerInPath means that the follower is among the members that relay the list to this member.
 	errFollowerInPath = errors.New("this one has its list from there")
-	// errPathTooLong means that maxPathLength members already relay the list of this member.
+	// errPathTooLong means that maxPathLength members or more relay the list to this member.
 	errPathTooLong = errors.New("too far from discovery")
 	// errOtherDiscovery means that the follower's versions come from another discovery service.
 	errOtherDiscovery = errors.New("another discovery is followed here")
@@ -101,7 +101,7 @@
 //
 // The source of this member must work, and its list must not be older than the follower's list. This prevents a
 // member that is cut off from relaying an old list, whose endpoints may have been removed in the meantime. The
-// follower must not be in the path of the list, which must have less than maxPathLength members. This prevents
+// follower must not be in the path of the list, which must have fewer than maxPathLength members. This prevents
 // members from following each other in a cycle, which no change from the discovery service would reach.
 func (l *ChangeLog) CheckFollower(version int64, follower string) error {
 	switch {
--- a/internal/discovery/relay/changelog_test.go
+++ b/internal/discovery/relay/changelog_test.go
@@ -131,6 +131,6 @@
 		t.Errorf("the events since version 100 are %.40q, want the complete list, \"3007 whole ...\"", got)
 	}
 	if n := len(log.EventsSince(log.baseVersion)); n != maxEvents {
-		t.Errorf("there are %d events since the oldest retained version, want %d", n, maxEvents)
+		t.Errorf("EventsSince(%d) returned %d events, want all %d that are retained", log.baseVersion, n, maxEvents)
 	}
 }
--- a/internal/discovery/relay/source_test.go
+++ b/internal/discovery/relay/source_test.go
@@ -104,7 +104,7 @@
 	// The test requires that "head" precedes "other" in the order of the members.
 	s.UpdateMembers([]bootstrap.Member{{Name: "head", Addr: netip.MustParseAddrPort(addr)}}, true)
 	if s.selector.Rank() != 1 {
-		t.Fatalf("the member \"other\" has the rank %d, want 1, after \"head\"", s.selector.Rank())
+		t.Fatalf("the member \"other\" has the rank %d, want 1: \"head\" must precede it", s.selector.Rank())
 	}
 	return s
 }
--- a/internal/discovery/watch/errors.go
+++ b/internal/discovery/watch/errors.go
@@ -8,7 +8,8 @@
 )
 
 var (
-	// errNoData is the reason for abandoning a call that has received no data within its timeout.
+	// errNoData is the reason for abandoning a call whose timeout has expired. A call that had received part of an
+	// event or of the complete list is abandoned for the same reason.
 	errNoData = errors.New("no data received")
 	// errMalformedEvent is returned for data that is not an event of a watch. The next watch starts from the complete
 	// list, because the service would send the same data again.
@@ -45,8 +46,8 @@
 }
 
 // reachedService reports whether a call that failed with err reached the service, which responded or closed the
-// connection. It returns false if the dial failed or the call received no data. A service that is reached again after
-// an outage is called at the fast interval again (backoff.Scheduler.CallFailed).
+// connection. It returns false if the dial failed or the timeout of the call expired. A service that is reached again
+// after an outage is called at the fast interval again (backoff.Scheduler.CallFailed).
 func reachedService(err error) bool {
 	if errors.Is(err, errNoData) {
 		return false
--- a/internal/discovery/watch/listtracker.go
+++ b/internal/discovery/watch/listtracker.go
@@ -11,9 +11,9 @@
 	"hazelwing/internal/engine"
 )
 
-// maxPendingChanges limits listTracker.pendingChanges when a request for the complete list fails. If there are more
-// changes, the watch ends, and the next watch starts from the complete list. A higher value continues the watch despite
-// more changes, but uses more memory.
+// maxPendingChanges is the maximum number of pending changes with which a watch continues after a request for the
+// complete list has failed. With more changes, the watch ends, and the next watch starts from the complete list. A
+// higher value continues the watch despite more changes, but uses more memory.
 const maxPendingChanges = 100_000
 
 // listTracker decides which updates of a watch to deliver, and when to request the complete list. It performs no I/O;
@@ -57,8 +57,8 @@
 // applyEvent processes an event of the watch, or an empty line if update is nil. It returns the updates to deliver.
 //
 // Events are delivered at once even while the complete list is missing, because they may report draining endpoints.
-// There are two exceptions: a delta whose version is not higher than the version of the list, and any event before
-// the engine has a list.
+// There are two exceptions: a delta after the first event whose version is not higher than the version of the latest
+// event, and any delta before the engine has a list.
 func (t *listTracker) applyEvent(now time.Duration, update *engine.EndpointUpdate) []engine.EndpointUpdate {
 	first := !t.established
 	switch {
@@ -113,7 +113,7 @@
 // listRequestFailed records that the request for the complete list has failed, and reports whether the watch continues.
 // If it continues, the request is repeated as backoff.ListConfig specifies. The watch ends if the request cannot be
 // delayed, for example because the engine has no list. The balancer then decides when to watch again, because it knows
-// how long the engine has had no list. The watch also ends if more than maxPendingChanges are remembered.
+// how long the engine has had no list. The watch also ends if there are more than maxPendingChanges pending changes.
 func (t *listTracker) listRequestFailed(now time.Duration) bool {
 	t.listInFlight = false
 	t.nextRequest = t.requests.CallFailed(now, false)
