--- a/internal/discovery/bootstrap/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -58,7 +58,7 @@
 				s.UpdateMembers(0, without(members, m.Name), true)
 				switch selected := s.Select(maxJoinDelay); {
 				case selected.Delay > 0:
-					t.Fatalf("%s selects no source for %v, want one after maxJoinDelay", m.Name, selected.Delay)
+					t.Fatalf("%s: Select at maxJoinDelay returned the delay %v, want a source", m.Name, selected.Delay)
 				case selected.Discovery:
 					callers++
 				default:
@@ -113,23 +113,23 @@
 			selected := s.Select(now)
 			if selected.Delay > 0 {
 				if selected.Delay > maxDelay {
-					t.Fatalf("the selector returned a delay of %v, want at most %v", selected.Delay, maxDelay)
+					t.Fatalf("Select returned a delay of %v, want at most %v", selected.Delay, maxDelay)
 				}
 				now += selected.Delay
 				continue
 			}
 			if !selected.Discovery && selected.Peer.Name == self {
-				t.Fatal("the selector returned the member itself as its peer")
+				t.Fatalf("Select of the member %s returned the peer %s, want another member", self, self)
 			}
 			if !selected.Discovery && s.exclusions.contains(now, selected.Peer.Name) {
-				t.Fatalf("the selector returned the peer %s, which is excluded after a failure", selected.Peer.Name)
+				t.Fatalf("Select returned the peer %s, want none that is excluded after a failure", selected.Peer.Name)
 			}
 			discoveryCalled = discoveryCalled || selected.Discovery
 			s.ReportFailure(now, selected)
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 		}
 		if !discoveryCalled {
-			t.Fatal("the selector never returned the discovery service")
+			t.Fatal("none of 200 selections was the discovery service, want at least one")
 		}
 		if n := len(s.exclusions.sources); n > maxExclusions {
 			t.Fatalf("%d sources are excluded, want at most %d", n, maxExclusions)
@@ -204,35 +204,36 @@
 	}
 	s := newSelector(order[5])
 	if selected := s.Select(0); selected.Delay != viewStableTime {
-		t.Fatalf("selection at the start: %+v, want a delay of %v", selected, viewStableTime)
+		t.Fatalf("Select at the start returned %+v, want a delay of %v", selected, viewStableTime)
 	}
 	now := maxJoinDelay
 	if selected := s.Select(now); selected.Peer.Name != order[1] {
-		t.Fatalf("selected %+v, want the parent %s; the order is %s", selected, order[1], strings.Join(order, " "))
+		t.Fatalf("Select at %v returned %+v, want the parent %s; the order is %s",
+			now, selected, order[1], strings.Join(order, " "))
 	}
 	for range 3 { // the parent and two other peers fail, so that the discovery service is selected after a short delay
 		s.ReportFailure(now, s.Select(now))
 	}
 	selected := s.Select(now)
 	if selected.Delay == 0 || selected.Delay > 20*time.Millisecond {
-		t.Fatalf("selected %+v after three failures, want a delay of at most 20 ms", selected)
+		t.Fatalf("Select after three failures returned %+v, want a delay of at most 20 ms", selected)
 	}
 	now += selected.Delay
 	selected = s.Select(now)
 	if !selected.Discovery {
-		t.Fatalf("selected %+v after the delay, want the discovery service", selected)
+		t.Fatalf("Select after the delay returned %+v, want the discovery service", selected)
 	}
 	s.ReportSuccess(now, selected)
 	if s.ShouldSwitch(now+minSourceTime/2, selected) {
-		t.Error("ShouldSwitch returned true before minSourceTime has passed")
+		t.Errorf("ShouldSwitch returned true after %v, want false before %v", minSourceTime/2, minSourceTime)
 	}
 	if !s.ShouldSwitch(now+minSourceTime, selected) {
-		t.Error("ShouldSwitch returned false after minSourceTime, want a switch to a peer")
+		t.Error("ShouldSwitch returned false for the discovery service after minSourceTime, want true")
 	}
 	peer := Selection{Peer: Member{Name: order[1]}}
 	s.ReportSuccess(now, peer)
 	s.UpdateMembers(now, nil, true)
 	if !s.ShouldSwitch(now+2*minSourceTime, peer) {
-		t.Error("ShouldSwitch returned false for the only member, want a switch to the discovery service")
+		t.Error("ShouldSwitch returned false for a peer of the only member, want true")
 	}
 }
--- a/internal/discovery/dns/answer.go
+++ b/internal/discovery/dns/answer.go
@@ -27,7 +27,8 @@
 	// Zone is the domain to which targets must belong; empty allows any domain. This prevents an answer from directing
 	// requests to hosts outside the zone.
 	Zone string
-	// RejectLocal rejects loopback, unspecified, multicast and link-local unicast addresses.
+	// RejectLocal rejects loopback, multicast and link-local unicast addresses. Unspecified addresses are always
+	// rejected.
 	RejectLocal bool
 }
 
@@ -67,8 +68,8 @@
 	Targets  []Target
 	TTL      time.Duration // how long the answer is valid
 	NotFound bool          // the name does not exist, or has no records of the requested type
-	// Alias is set if the requested name is an alias of another name, and the message has no records of that name. It
-	// is the other name, which must be looked up by another query.
+	// Alias is the name of which the requested name is an alias, if the message has no records of Alias; otherwise it
+	// is empty. Alias must be looked up by another query.
 	Alias   string
 	Dropped int // number of targets and addresses that were invalid or exceeded Limits
 }
--- a/internal/discovery/dns/refresher.go
+++ b/internal/discovery/dns/refresher.go
@@ -30,7 +30,7 @@
 
 const (
 	// defaultStaleTTL is the default of RefresherConfig.StaleTTL. A higher value tolerates longer outages of the name
-	// servers, but uses addresses for longer that may be wrong.
+	// servers, but uses addresses that may be wrong for longer.
 	defaultStaleTTL = 24 * time.Hour
 	// defaultMinRetry and defaultMaxRetry are the defaults of RefresherConfig.MinRetry and MaxRetry. Higher values make
 	// fewer lookups while the name servers fail, but obtain a new answer later.
@@ -129,7 +129,8 @@
 	return Decision{NextLookup: now + time.Duration(r.rng.Float64()*float64(r.cfg.InitialJitter))}
 }
 
-// HandleAnswer processes an answer. The next lookup starts before the TTL of the answer ends.
+// HandleAnswer processes an answer. The next lookup starts before the TTL of the answer ends, unless the TTL is below
+// RefresherConfig.MinRetry.
 //
 // If the name does not exist, the update has no endpoints. Such an update does not remove endpoints that other sources
 // list, because discovery.SourceConfig.AbsenceMeansRemoved is not set for this source.
