--- a/internal/cluster/action.go
+++ b/internal/cluster/action.go
@@ -23,13 +23,14 @@
 // The kinds of actions.
 const (
 	SendMessage    ActionKind = iota
-	MemberChanged             // a member's state changed; to be logged
+	MemberChanged             // a member changed as Transition describes; to be logged
 	NoticeReceived            // another member reported an endpoint as draining or removed
 	NoticeExpired             // the notice about an endpoint is older than Config.NoticeTTL and no longer valid
 	SizeChanged               // the estimated number of members changed
 )
 
-// Transition is a change of one member's state.
+// Transition is a change of one member's state. From and To may be equal, for example if
+// the member has restarted, was removed from the table, or has a name conflict.
 type Transition struct {
 	Name string
 	Incarnation
@@ -56,7 +57,7 @@
 // it dead, although this member considered it alive.
 func reportedDeadBy(member string) string { return "reported dead by " + member }
 
-// notRefutedWithin returns the reason for declaring a member dead whose suspicion lasted for d.
+// notRefutedWithin returns the reason of a transition to Dead after a suspicion that lasted for d.
 func notRefutedWithin(d time.Duration) string {
 	return "not refuted within " + d.Round(time.Millisecond).String()
 }
--- a/internal/cluster/broadcast.go
+++ b/internal/cluster/broadcast.go
@@ -4,10 +4,10 @@
 
 const (
 	// If more than pushPullBacklog broadcasts are queued, gossip also compares views
-	// (push-pull) once in pushPullBacklogRounds gossip intervals, because datagrams alone
-	// would take too long to send them. This prevents the views from differing for minutes
-	// after a partition of a large cluster has healed. With a higher value of either
-	// constant, views are compared less often and differ for longer.
+	// (push-pull) once in pushPullBacklogRounds gossip intervals, because sending so many
+	// broadcasts in datagrams alone would take too long. This prevents the views from
+	// differing for minutes after a partition of a large cluster has healed. With a higher
+	// value of either constant, views are compared less often and differ for longer.
 	pushPullBacklog       = 2 * maxEntries
 	pushPullBacklogRounds = 3
 )
@@ -23,9 +23,8 @@
 func memberBroadcast(name string) broadcast       { return broadcast{member: name} }
 func endpointBroadcast(endpoint string) broadcast { return broadcast{endpoint: endpoint} }
 
-// broadcastQueue is the queue of broadcasts. Those with the fewest transmissions come
-// first. A broadcast that is added again replaces the queued one, and its transmissions
-// are counted from 0 again.
+// broadcastQueue is the queue of broadcasts, ordered by the number of transmissions so far.
+// If a broadcast is added while it is queued, its number of transmissions restarts at 0.
 type broadcastQueue struct {
 	levels     [][]queuedBroadcast  // indexed by the number of transmissions so far
 	serials    map[broadcast]uint64 // serial of the valid element for each broadcast
@@ -40,7 +39,7 @@
 // transmission is a broadcast that was appended to a message.
 type transmission struct {
 	queuedBroadcast
-	level int // number of its transmissions before this one
+	level int // number of transmissions of the broadcast before this transmission
 }
 
 func (q *broadcastQueue) len() int { return len(q.serials) }
@@ -82,8 +81,8 @@
 	}
 }
 
-// takeLevel does the work of take for one level. It appends the broadcasts that visit has
-// taken to the slice taken, and returns the extended slice.
+// takeLevel does the work of take for one level. It appends the broadcasts for which visit
+// has returned true for taken to the slice taken, and returns the extended slice.
 func (q *broadcastQueue) takeLevel(
 	level int, taken []transmission, visit func(broadcast) (taken, more bool),
 ) (_ []transmission, more bool) {
@@ -155,7 +154,7 @@
 	if slices.ContainsFunc(msg.Entries, func(e Entry) bool { return e.Name == name }) {
 		return true
 	}
-	e := c.self // The header has this entry too, but other members pass on only the entries.
+	e := c.self // The message's header has this entry as well.
 	if name != c.self.Name {
 		p := c.peers[name]
 		if p == nil {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -47,7 +47,7 @@
 	// IndirectChecks is the number of members that are asked for an indirect probe after a direct probe has failed.
 	// Default: 3. A higher value tolerates more message loss, and sends more messages for each failed probe.
 	IndirectChecks int
-	// SuspicionMult is the multiplier in the timeout of a fully confirmed suspicion,
+	// SuspicionMult scales the timeouts of suspicions. A suspicion with maxConfirmations confirmations lasts for
 	// SuspicionMult x max(1, log10 n) x ProbeInterval, where n is the number of live members. Default: 4. A higher
 	// value gives a suspect more time to refute, and declares members dead later.
 	SuspicionMult float64
@@ -57,7 +57,7 @@
 	// GossipFanout is the number of members that receive a message in each gossip round. Default: 3. A higher value
 	// spreads updates faster, and sends more messages.
 	GossipFanout int
-	// RetransmitMult is the multiplier in the number of times that each member sends an update,
+	// RetransmitMult scales the number of times that each member sends an update. This number is
 	// RetransmitMult x ceil(log10(n+1)), where n is the number of live members. Default: 4. A higher value tolerates
 	// more message loss, and sends more bytes.
 	RetransmitMult int
@@ -84,7 +84,7 @@
 	AllowAddress func(Address) bool
 }
 
-// setDefaults sets the fields that have a default and are not positive, and truncates the list of seeds.
+// setDefaults sets the fields that are not positive to their defaults, and truncates the list of seeds to maxSeeds.
 func (c *Config) setDefaults() {
 	setDefault(&c.ProbeInterval, defaultProbeInterval)
 	setDefault(&c.ProbeTimeout, c.ProbeInterval*defaultProbeTimeoutPercent/percent)
@@ -102,7 +102,7 @@
 	c.Seeds = c.Seeds[:min(len(c.Seeds), maxSeeds)]
 }
 
-// setDefault replaces *value by defaultValue if it is not positive.
+// setDefault replaces *value by defaultValue if *value is not positive.
 func setDefault[T time.Duration | int | float64](value *T, defaultValue T) {
 	if *value <= 0 {
 		*value = defaultValue
--- a/internal/cluster/core.go
+++ b/internal/cluster/core.go
@@ -9,9 +9,9 @@
 
 // Core is one member's view of the cluster and the state machine of the protocol.
 // Receive, Tick, Announce, SetConfiguredSize, GossipNow and Leave are its events; each
-// returns the actions to carry out, in order. The time passed to an event should not be
-// earlier than the time passed to the event before; if it is, that earlier event's time
-// is used. A Core is not safe for concurrent use.
+// returns the actions to carry out, in order. The times passed to successive events should
+// not decrease; an event with an earlier time than the previous event is handled as if it
+// had the previous event's time. A Core is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	random  *rand.Rand
@@ -22,14 +22,14 @@
 	joined  bool // whether a message of another member has arrived
 
 	peers            map[string]*peer // by name
-	livePeers        []*peer          // those that are alive or suspect
+	livePeers        []*peer          // peers that are alive or suspect
 	digest           Digest
 	broadcasts       broadcastQueue
 	notices          map[string]*notice // by endpoint
 	removedAddresses []Address          // addresses of dead members that were removed, oldest first
 	size             sizeEstimator
 
-	probeOrder    []*peer // peers of the current round of probes; those from probeIndex on are still to be probed
+	probeOrder    []*peer // peers of the current round of probes; peers from probeIndex on are still to be probed
 	probeIndex    int
 	probe         probe
 	relayedProbes []relayedProbe // sorted by deadline
@@ -40,8 +40,8 @@
 	due                   schedule
 	joinBackoff           time.Duration
 	nextReconnectPushPull time.Duration   // earliest time of a push-pull with a dead member that is alive again
-	nextBacklogPushPull   time.Duration   // earliest time of a push-pull because of a backlog
-	pushPullTokens        float64         // number of push-pull requests that may be answered now
+	nextBacklogPushPull   time.Duration   // earliest time of the next push-pull because of a backlog of broadcasts
+	pushPullTokens        float64         // number of push-pull requests that may be answered with entries now
 	tokensUpdatedAt       time.Duration   // time at which pushPullTokens was last updated
 	nameConflicts         []time.Duration // times at which the generation was raised, oldest first
 	stats                 Stats
@@ -92,8 +92,8 @@
 	jitterRange = 0.5
 
 	// sweepsPerTTL is the number of sweeps for expired members and notices in the shorter of Config.DeadMemberTTL and
-	// Config.NoticeTTL. A higher value removes them sooner after they expire, and iterates over all of them more
-	// often.
+	// Config.NoticeTTL. A higher value removes expired members and notices sooner, and iterates over all members
+	// and notices more often.
 	sweepsPerTTL = 8
 
 	// A selection of n random peers makes at most drawsPerPeer*n + extraDraws draws. Higher values find more peers if
@@ -125,8 +125,8 @@
 	return list
 }
 
-// broadcastRounds returns the number of gossip rounds that reach all of n live members,
-// ceil(log10(n+1)).
+// broadcastRounds returns ceil(log10(n+1)), where n is the number of live members. The
+// number of gossip rounds in which an update reaches all members grows like this value.
 func (c *Core) broadcastRounds() int {
 	return int(math.Ceil(math.Log10(float64(c.NumLive() + 1))))
 }
--- a/internal/cluster/digest.go
+++ b/internal/cluster/digest.go
@@ -12,8 +12,8 @@
 
 // Digest summarizes a view: for each bucket of names it has the XOR of the hashes of the
 // live members in that bucket. A comparison of equal views takes one datagram in each
-// direction. If two views differ, only the buckets that differ are exchanged. Dead members
-// are not included, because members remove them from their tables at different times.
+// direction. If two views differ, only the buckets that differ are exchanged. Members that
+// died or left are not included, because tables drop such members at different times.
 type Digest [numBuckets]uint64
 
 // toggleInDigest adds a live peer to the digest, or removes it if it was added before. It
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -5,22 +5,25 @@
 // (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More
 // Accurate Failure Detection", 2018).
 //
-// The package does no I/O and reads no clock. Each method of [Core] that takes an
-// event returns the actions to carry out. Package internal/cluster/gossip supplies
-// sockets and a clock, package internal/simulation/fleetsim simulated time.
+// The package does no I/O and reads no clock. The methods of [Core] that handle an event
+// return the actions that the caller has to carry out. Package internal/cluster/gossip
+// runs a Core with sockets and a clock. Package internal/simulation/fleetsim runs many of
+// them in simulated time.
 // docs/design/fleet.md has the table of states and the alternatives considered.
 //
 // # Protocol
 //
 // In every probe interval a member probes one peer, round robin in a shuffled
-// order. If the peer does not answer, a few other members are asked to probe it,
-// and if none of them reaches it either, it is suspected. A suspicion is gossiped.
-// The suspect refutes it with a higher refutation counter; otherwise it is declared
-// dead when the suspicion times out. The timeout becomes shorter with each member
-// that confirms the suspicion. Updates are piggybacked on probes and acknowledgements
-// and sent in gossip messages of their own. Each member sends an update a number of times
-// that grows with the logarithm of the cluster's size. Members periodically compare their views by digest and exchange
-// only the entries that differ (push-pull). Dead members are probed for as long as the
+// order. If the peer does not answer, the member asks a few others to probe the peer. If
+// none of them reaches the peer either, the member suspects it. A suspicion is gossiped.
+// The suspect can refute the suspicion with a higher refutation counter; otherwise the
+// suspect is declared dead when the suspicion times out. The timeout becomes shorter with
+// each member that confirms the suspicion.
+//
+// Updates are piggybacked on probes and acknowledgements and sent in gossip messages of
+// their own. Each member sends an update a number of times that grows with the logarithm
+// of the cluster's size. Members periodically compare their views by digest and exchange
+// only the parts that differ (push-pull). Dead members are probed for as long as the
 // process runs, so that two halves that have declared each other dead merge again.
 //
 // # Order without clocks
--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -16,8 +16,8 @@
 	return c.endEvent()
 }
 
-// Announce gossips a notice about an endpoint that is draining or was removed, as this
-// member learned from discovery. It sets the notice's ReportedBy and Age.
+// Announce gossips a notice that an endpoint is draining or was removed. The caller has
+// learned this from discovery. Announce sets ReportedBy and Age of the gossiped notice.
 func (c *Core) Announce(now time.Duration, n EndpointNotice) []Action {
 	c.beginEvent(now)
 	n.ReportedBy = c.self.Name
@@ -33,8 +33,9 @@
 	return c.endEvent()
 }
 
-// GossipNow immediately sends a gossip message to GossipFanout members. It is called after
-// the revision of the configuration, which every message carries, has changed.
+// GossipNow immediately sends a gossip message to GossipFanout members. The caller uses it
+// after its revision of the configuration has changed, because gossip messages carry the
+// revision.
 func (c *Core) GossipNow(now time.Duration) []Action {
 	c.beginEvent(now)
 	if !c.leaving {
@@ -43,13 +44,13 @@
 	return c.endEvent()
 }
 
-// leaveFanoutMult is the number of members that are informed when this one leaves, as a
-// multiple of GossipFanout. The message is sent only once, so it goes to more members than
-// other gossip. A higher value tolerates more message loss, and sends more messages.
+// leaveFanoutMult is the number of members to which Leave sends the announcement, as a
+// multiple of GossipFanout. The announcement is sent only once, so it goes to more members
+// than other gossip. A higher value tolerates more message loss, and sends more messages.
 const leaveFanoutMult = 2
 
-// Leave announces to a few members that this one leaves the cluster. They gossip it to the
-// others.
+// Leave announces to a few members that this one leaves the cluster. These members gossip
+// the announcement to the others.
 func (c *Core) Leave(now time.Duration) []Action {
 	c.beginEvent(now)
 	if !c.leaving {
@@ -86,8 +87,9 @@
 	return next
 }
 
-// beginEvent sets the time. If it is later than NextTick by more than ProbeTimeout, the
-// process was stalled, and beginEvent calls compensateStall.
+// beginEvent sets the time of the event. A time that is later than NextTick by more than
+// ProbeTimeout shows that the process was stalled, and beginEvent then calls
+// compensateStall.
 func (c *Core) beginEvent(now time.Duration) {
 	now = max(now, c.now)
 	if delay := now - c.NextTick(); delay > c.cfg.ProbeTimeout && !c.cfg.DisableLifeguard {
@@ -98,11 +100,11 @@
 	c.tokensUpdatedAt = now
 }
 
-// compensateStall discards the probe in progress and extends all suspicions by the time
-// that this process was stalled, because it could not receive answers in that time. This
-// prevents a process that resumes after a SIGSTOP, or did not get a processor, from
-// suspecting healthy peers. The symptom would be many members declared dead by one member
-// at the same moment.
+// compensateStall discards the probe in progress and the relayed probes, and extends all
+// suspicions by delay, the time for which this process was stalled and could not receive
+// answers. This prevents a process that resumes after a SIGSTOP, or did not get a
+// processor, from suspecting healthy peers. The symptom would be that one member
+// declares many members dead at the same moment.
 func (c *Core) compensateStall(delay time.Duration) {
 	c.stats.Stalls++
 	c.stats.LastStallNS = int64(delay)
--- a/internal/cluster/gossip/codec.go
+++ b/internal/cluster/gossip/codec.go
@@ -113,7 +113,7 @@
 }
 
 // carriesRevision reports whether messages of a kind carry the revision of the
-// configuration. These messages have no digest, and the revision is encoded in its field.
+// configuration. These messages have no digest, so wireMessage.Digest has the revision.
 func carriesRevision(k cluster.Kind) bool { return k <= cluster.Gossip }
 
 // toMilliseconds returns a duration in whole milliseconds, or 0 if it is negative.
--- a/internal/cluster/gossip/codec_test.go
+++ b/internal/cluster/gossip/codec_test.go
@@ -86,7 +86,7 @@
 		}
 		got, err := Decode(frame)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Fatalf("Decode returned error %v and message\n%+v, want\n%+v", err, got, m)
+			t.Fatalf("Decode returned error %v and message\n%+v, want no error and message\n%+v", err, got, m)
 		}
 		i := rapid.IntRange(0, len(frame)-1).Draw(t, "byte")
 		if _, err := Decode(frame[:i]); !errors.Is(err, ErrCorrupt) {
@@ -94,7 +94,7 @@
 		}
 		frame[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		if _, err := Decode(frame); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnsupportedVersion) {
-			t.Fatalf("Decode with byte %d changed returned error %v, want %v or %v",
+			t.Fatalf("Decode of a frame with byte %d changed returned error %v, want %v or %v",
 				i, err, ErrCorrupt, ErrUnsupportedVersion)
 		}
 	})
@@ -116,7 +116,7 @@
 	})
 }
 
-// longName returns a name of the maximum length that ends with n.
+// longName returns a name of the maximum length: repetitions of fill, which is one character, and n in eight digits.
 func longName(fill string, n int) string {
 	return fmt.Sprintf("%s%0*d", strings.Repeat(fill, cluster.MaxNameLength-8), 8, n)
 }
@@ -136,7 +136,8 @@
 	}
 }
 
-// largeMessage returns the nth message to the member with longName("a", 0).
+// largeMessage returns a message from the member longName("b", n) to the member longName("a", 0), with the longest
+// names, addresses and numbers. The kind is PingReq if n is a multiple of 3, and Ping otherwise.
 func largeMessage(n int) *cluster.Message {
 	m := &cluster.Message{
 		ClusterName: strings.Repeat("f", cluster.MaxClusterNameLength),
@@ -188,7 +189,7 @@
 			a.Message.ConfigEpoch, a.Message.ConfigVersion = 1<<64-1, 1<<64-1
 			frame, err := Encode(a.Message)
 			if err != nil {
-				t.Fatalf("Encode of a message of kind %d: %v", a.Message.Kind, err)
+				t.Fatalf("Encode of a message of kind %d returned error %v, want none", a.Message.Kind, err)
 			}
 			if len(frame) > maxDatagramBytes {
 				t.Fatalf("a datagram of kind %d has %d bytes, want at most %d",
@@ -208,7 +209,7 @@
 	}
 	for _, k := range []cluster.Kind{cluster.Ping, cluster.Ack, cluster.Nack, cluster.PingReq, cluster.Gossip} {
 		if kinds[k] == 0 {
-			t.Errorf("no datagram of kind %d was sent", k)
+			t.Errorf("the core sent no datagram of kind %d, want at least one", k)
 		}
 	}
 	t.Logf("the largest datagram has %d bytes", largest)
--- a/internal/cluster/gossip/config.go
+++ b/internal/cluster/gossip/config.go
@@ -22,23 +22,24 @@
 	AllowedPeers   *netipx.IPSet  // networks of the peers; messages from others are dropped
 	Translations   []AddressTranslation
 
-	// OnNotice is called with a notice of another member about an endpoint, and with
-	// active set to false when the notice has expired. It must not be nil.
+	// OnNotice is called with active set to true when a notice of another member about an
+	// endpoint arrives, and with active set to false when the notice has expired. It must
+	// not be nil.
 	OnNotice func(notice cluster.EndpointNotice, active bool)
 	// OnSizeChanged is called with the estimated number of members when it changes. It
 	// must not be nil.
 	OnSizeChanged func(size int)
-	// OnTableFull is called, from any goroutine, when a member is rejected because the
-	// table of members is full.
+	// OnTableFull is called when a member is rejected because the table of members is full.
 	OnTableFull func()
-	// OnQueueFull is called, from any goroutine, when a message is dropped because the
-	// queue is full.
+	// OnQueueFull is called, from any goroutine, when an event (see QueueCapacity) is
+	// dropped because the queue of events is full.
 	OnQueueFull func()
-	// OnMembersChanged is called with the alive and suspect members other than this one
-	// when they change. joined reports whether a message of another member has arrived.
+	// OnMembersChanged is called when the alive and suspect members change, or when joined
+	// changes. others has these members without this one. joined reports whether a message
+	// of another member has arrived.
 	OnMembersChanged func(others []cluster.Member, joined bool)
-	// OnConfigRevision is called for each message whose sender applies a revision of the
-	// configuration that differs from the revision of this member (see
+	// OnConfigRevision is called for each message of this cluster that carries a revision
+	// of the configuration other than the revision of this member (see
 	// Node.SetConfigRevision).
 	OnConfigRevision func(from cluster.Entry, epoch, version uint64)
 
@@ -51,8 +52,8 @@
 	Log     *slog.Logger
 }
 
-// Network intercepts, delays and counts what a node sends and receives. Its methods
-// are called from any goroutine of the Node.
+// Network intercepts, delays and counts the datagrams that a node sends and the streams
+// that it opens and accepts. Its methods are called from any goroutine of the Node.
 type Network interface {
 	// Listen returns a listener that replaces l for incoming streams. Closing it closes l.
 	Listen(l net.Listener) net.Listener
--- a/internal/cluster/gossip/datagram.go
+++ b/internal/cluster/gossip/datagram.go
@@ -51,7 +51,7 @@
 			return
 		}
 		if err != nil {
-			continue // for example, an ICMP error in response to a datagram that was sent
+			continue // The error may be an ICMP error in response to a datagram that was sent.
 		}
 		if !n.isAllowed(from.Addr()) {
 			continue
--- a/internal/cluster/gossip/doc.go
+++ b/internal/cluster/gossip/doc.go
@@ -4,13 +4,13 @@
 //
 // # Goroutines
 //
-// Run owns the core. One goroutine reads datagrams, one accepts streams, each
+// [Node.Run] owns the core. One goroutine reads datagrams, one accepts streams, each
 // accepted stream is read by a goroutine of its own, and a fixed number of goroutines
-// dial outgoing streams. Run starts all of these goroutines and waits for them. They
-// pass received messages to Run through a queue of QueueCapacity. If the queue is full,
-// the message is dropped. Run never blocks on the other goroutines: it writes datagrams
-// without blocking, and drops frames if the queue for outgoing streams is full. The
-// protocol tolerates this, because a network may lose messages as well.
+// dial outgoing streams. Run starts all of these goroutines and waits for them. The
+// goroutines that read pass messages to Run through a queue of QueueCapacity events. A
+// message is dropped if this queue is full. Run never blocks on the other goroutines: it
+// writes datagrams without blocking, and drops frames if the queue for outgoing streams is
+// full. The protocol tolerates dropped messages, because a network may lose messages too.
 //
 // # Limits
 //
--- a/internal/cluster/gossip/eventloop.go
+++ b/internal/cluster/gossip/eventloop.go
@@ -10,7 +10,7 @@
 	"hazelwing/internal/cluster"
 )
 
-// event is one element of the queue for the core. One of message, decodeErr,
+// event is one element of the queue for the core. Exactly one of message, decodeErr,
 // statusRequest, notice and gossipNow is set. peer is the sender of a message or of a
 // frame with a decoding error.
 type event struct {
@@ -126,8 +126,9 @@
 	n.log.Warn("cannot decode message", "peer", peer, "error", err)
 }
 
-// receive passes a message to the core, and calls the callbacks that its revision or a
-// full table require.
+// receive passes a message to the core. It also calls OnConfigRevision if the message's
+// revision requires this, and OnTableFull if the core rejects a member because its table is
+// full.
 func (n *Node) receive(m *cluster.Message) {
 	n.reportConfigRevision(m)
 	tableFull := n.core.TableFull()
--- a/internal/cluster/gossip/format_test.go
+++ b/internal/cluster/gossip/format_test.go
@@ -95,7 +95,8 @@
 			testutil.GoldenBinary(t, "frame-"+test.name+".hex", frame)
 			decoded, err := Decode(frame)
 			if err != nil || !reflect.DeepEqual(decoded, message) {
-				t.Errorf("Decode returned error %v and message\n%+v, want\n%+v", err, decoded, message)
+				t.Errorf("Decode returned error %v and message\n%+v, want no error and message\n%+v",
+					err, decoded, message)
 			}
 		})
 	}
@@ -120,7 +121,7 @@
 	}
 	testutil.GoldenBinary(t, "frame-without-revision.hex", frame)
 	if decoded, err := Decode(frame); err != nil || !reflect.DeepEqual(decoded, message) {
-		t.Errorf("Decode returned error %v and message\n%+v, want\n%+v", err, decoded, message)
+		t.Errorf("Decode returned error %v and message\n%+v, want no error and message\n%+v", err, decoded, message)
 	}
 }
 
@@ -156,7 +157,7 @@
 	}
 	var decoded cluster.State
 	if decoded.UnmarshalText([]byte("unknown")) == nil {
-		t.Error(`UnmarshalText("unknown") returned no error, want one`)
+		t.Error(`UnmarshalText("unknown") returned no error, want an error`)
 	}
 }
 
@@ -224,7 +225,7 @@
 	testutil.Golden(t, "state.json", text)
 	var decoded Status
 	if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(decoded, status) {
-		t.Errorf("Unmarshal returned error %v and status\n%+v, want\n%+v", err, decoded, status)
+		t.Errorf("Unmarshal returned error %v and status\n%+v, want no error and status\n%+v", err, decoded, status)
 	}
 
 	// Optional fields are omitted.
@@ -278,16 +279,17 @@
 	receiver := &Node{events: make(chan event, 1)}
 	writeConn, readConn := net.Pipe()
 	go func() {
-		_, _ = io.Copy(writeConn, bytes.NewReader(stream)) // If this fails, the message is missing.
+		_, _ = io.Copy(writeConn, bytes.NewReader(stream)) // If this fails, readStream queues no message.
 		writeConn.Close()
 	}()
 	receiver.readStream(t.Context(), readConn, to.Addr())
 	select {
 	case got := <-receiver.events:
 		if got.decodeErr != nil || !reflect.DeepEqual(got.message, message) {
-			t.Errorf("readStream queued error %v and message\n%+v, want\n%+v", got.decodeErr, got.message, message)
+			t.Errorf("readStream queued error %v and message\n%+v, want no error and message\n%+v",
+				got.decodeErr, got.message, message)
 		}
 	default:
-		t.Error("readStream queued no message")
+		t.Error("readStream queued no event, want one with the message")
 	}
 }
--- a/internal/cluster/gossip/http.go
+++ b/internal/cluster/gossip/http.go
@@ -39,7 +39,7 @@
 // close stops serving and closes all connections.
 func (s *httpServer) close() {
 	_ = s.Close()        // The error is always nil.
-	_ = s.server.Close() // No request in progress is completed, so an error has no consequence.
+	_ = s.server.Close() // Requests in progress are aborted, so an error has no consequence.
 }
 
 // offer hands a connection over to the server. If MaxHTTPConns connections are open or the
--- a/internal/cluster/gossip/limits.go
+++ b/internal/cluster/gossip/limits.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// QueueCapacity limits the queue of events for the core, most of which are messages; further ones are dropped and
-// counted. A higher value tolerates longer bursts, and takes more memory.
+// QueueCapacity limits the queue of events for the core. Most events are received messages. Events that find the queue
+// full are dropped and counted. A higher value tolerates longer bursts, and takes more memory.
 const QueueCapacity = 1024
 
 // MaxHTTPConns is the maximum number of open HTTP connections, including those that wait
--- a/internal/cluster/gossip/node.go
+++ b/internal/cluster/gossip/node.go
@@ -109,9 +109,10 @@
 	n.enqueue(event{notice: &notice})
 }
 
-// SetConfigRevision sets the revision of the configuration that this member applies. All
-// later messages carry it. A gossip message is sent to some members immediately, so that a
-// member whose connection to the configuration service is broken soon learns of a change.
+// SetConfigRevision sets the revision of the configuration that this member applies. Later
+// messages carry the revision, except push-pull messages. A gossip message is sent to some
+// members immediately, so that a member whose connection to the configuration service is
+// broken soon learns of a change.
 func (n *Node) SetConfigRevision(epoch, version uint64) {
 	n.revision.Store(&configRevision{epoch, version})
 	n.enqueue(event{gossipNow: true})
--- a/internal/cluster/gossip/node_test.go
+++ b/internal/cluster/gossip/node_test.go
@@ -116,7 +116,7 @@
 	if n.Node, err = New(cfg); err != nil {
 		t.Fatal(err)
 	}
-	// t.Context would be canceled before the cleanups run, and one of them stops the node.
+	// t.Context would stop the node too early: it is canceled before the cleanup calls stop.
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -142,7 +142,7 @@
 // waitForMembers waits until each node knows the given number of members, including itself.
 func waitForMembers(t *testing.T, members int, nodes ...*testNode) {
 	t.Helper()
-	testutil.Until(t, fmt.Sprintf("each node knows %d members", members), func() bool {
+	testutil.Until(t, fmt.Sprintf("each node to know %d members", members), func() bool {
 		for _, n := range nodes {
 			if len(n.memberStates()) != members {
 				return false
@@ -162,7 +162,7 @@
 	waitForMembers(t, 3, a, b, c)
 	b.Announce(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 5})
 	want := cluster.EndpointNotice{Endpoint: "s1", Removed: true, ReportedBy: "b"}
-	testutil.Until(t, "all others receive the notice and estimate a size of 3", func() bool {
+	testutil.Until(t, "a and c to receive the notice of b and to estimate a size of 3", func() bool {
 		for _, n := range []*testNode{a, c} {
 			if !n.receivedOnly(want) || n.lastSize() != 3 {
 				return false
@@ -171,21 +171,21 @@
 		return true
 	})
 	b.stop()
-	testutil.Until(t, "the others know that b has left", func() bool {
+	testutil.Until(t, "a and c to know that b has left", func() bool {
 		return a.memberStates()["b"] == cluster.Left && c.memberStates()["b"] == cluster.Left
 	})
 	if s := other.Status(); len(s.Members) != 1 || s.Core.ForeignMessages > 0 && s.Members[0].Name != "x" {
-		t.Errorf("the member x of another cluster has the status %+v, want x as the only member", s)
+		t.Errorf("the status of x, a member of another cluster, is %+v, want x as the only member", s)
 	}
 	if s := a.Status(); s.Core.ForeignMessages == 0 {
-		t.Errorf("ForeignMessages is 0 after messages of another cluster, want more; statistics: %+v", s.Core)
+		t.Errorf("ForeignMessages of a is 0 after messages of x, want at least 1; statistics: %+v", s.Core)
 	}
 }
 
-// Datagrams carry the revision of the sender's configuration. A member reports a received
-// revision that differs from its own, but not one from a member of another cluster. Members
-// with and without a revision join the same cluster. A change of the configured size takes
-// effect.
+// A node that receives a message of its own cluster with a revision other than its own
+// calls OnConfigRevision. It does not call OnConfigRevision for an equal revision, or for a
+// message of another cluster. Nodes with a revision and nodes without one form one cluster.
+// SetConfiguredSize changes the estimated size.
 func TestConfigRevisionIsGossiped(t *testing.T) {
 	type revision struct {
 		name           string
@@ -201,12 +201,12 @@
 		}
 	})
 	a.SetConfigRevision(3, 7)
-	b := startNode(t, "b", nil, a.addr) // a member without a revision
+	b := startNode(t, "b", nil, a.addr) // has no revision
 	b.SetConfiguredSize(40)
 	c := startNode(t, "c", nil, a.addr)
 	c.SetConfigRevision(3, 7)
 	waitForMembers(t, 3, a, b, c)
-	testutil.Until(t, "b uses the configured size", func() bool { return b.lastSize() == 40 })
+	testutil.Until(t, "b to estimate the configured size of 40", func() bool { return b.lastSize() == 40 })
 
 	foreign, err := Encode(&cluster.Message{
 		Kind:        cluster.Ping,
@@ -224,12 +224,12 @@
 	}
 	peer := dialDatagrams(t, "127.0.0.1", a.addr)
 	writeDatagram(t, peer, foreign)
-	testutil.Until(t, "the message of another cluster is counted", func() bool {
+	testutil.Until(t, "a to count the message of another cluster", func() bool {
 		return a.Status().Core.ForeignMessages > 0
 	})
 	c.SetConfigRevision(4, 1)
-	if got := testutil.Receive(t, received, "the revision"); got != (revision{"c", 4, 1}) {
-		t.Errorf("received the revision %+v, want %+v", got, revision{"c", 4, 1})
+	if got := testutil.Receive(t, received, "a call of OnConfigRevision"); got != (revision{"c", 4, 1}) {
+		t.Errorf("the first call of OnConfigRevision has the arguments %+v, want %+v", got, revision{"c", 4, 1})
 	}
 }
 
@@ -305,9 +305,9 @@
 }
 
 // A faulty or hostile peer sends corrupt frames, frames of another protocol version, wrong
-// lengths, too many members, and a flood of messages. This could make the node run out of
-// memory or connections, fill its log, or stop. The node has to enforce its limits, ignore
-// peers outside of the allowed networks, and continue to work.
+// lengths, too many members, and a flood of messages. Without limits, the node could run
+// out of memory or connections, fill its log, or stop. The node has to enforce its limits,
+// ignore peers outside of the allowed networks, and continue to work.
 func TestMisbehavingPeersAreBounded(t *testing.T) {
 	a := startNode(t, "a", func(cfg *Config) { cfg.AllowedPeers = ipSet(t, "127.0.0.1/32", allowedIP+"/32") })
 	valid, err := Encode(messageFromZ(cluster.Ping))
@@ -336,29 +336,30 @@
 		frame := frameOfManyEntries(t, part)
 		sendRawStream(t, allowedIP, a.addr, uint32(len(frame)), frame)
 	}
-	for range 3000 { // a flood of messages, to which the node must not send more messages than it receives
+	for range 3000 { // a flood of more messages than the queue holds
 		writeDatagram(t, peer, valid)
 	}
-	testutil.Until(t, "everything is counted, and the node still answers", func() bool {
+	testutil.Until(t, "the node to count all datagrams and entries that it rejects", func() bool {
 		s := a.Status()
 		return s.Network.DisallowedPeers >= 1 && s.Network.Corrupt >= 5 &&
 			s.Network.VersionMismatches >= 1 && s.Core.Rejected > 100_000
 	})
 	if s := a.Status(); s.Core.KnownMembers > 1000 || len(s.Members) > 1000 {
-		t.Errorf("%d known members and %d in the status, want at most 1,000 each", s.Core.KnownMembers, len(s.Members))
+		t.Errorf("a knows %d members and lists %d in its status, want at most 1,000 each",
+			s.Core.KnownMembers, len(s.Members))
 	}
 	b := startNode(t, "b", nil, a.addr)
-	testutil.Until(t, "the node knows a new member", func() bool {
+	testutil.Until(t, "a to know the new member b", func() bool {
 		_, ok := a.memberStates()["b"]
 		return ok
 	})
-	testutil.Until(t, "the new member knows the node", func() bool {
+	testutil.Until(t, "the new member b to know a", func() bool {
 		return b.memberStates()["a"] == cluster.Alive
 	})
 }
 
-// An address is translated by the first translation whose From prefix contains it, and is
-// unchanged if there is none.
+// An address is translated by the first translation whose From prefix contains the address.
+// If no translation does, the address is unchanged.
 func TestTranslate(t *testing.T) {
 	n := &Node{cfg: Config{Translations: []AddressTranslation{
 		{From: netip.MustParsePrefix("10.1.0.0/16"), To: netip.MustParsePrefix("172.20.0.0/16")},
--- a/internal/cluster/gossip/observe.go
+++ b/internal/cluster/gossip/observe.go
@@ -11,8 +11,9 @@
 	digest   cluster.Digest
 }
 
-// reportMembers calls Config.OnMembersChanged if the live members have changed. Run calls
-// it after each event. If nothing has changed, it only compares two fingerprints.
+// reportMembers calls Config.OnMembersChanged if the live members have changed since the
+// last call, or if this member has joined. Run calls reportMembers after each event. If
+// nothing has changed, reportMembers only compares two fingerprints.
 func (n *Node) reportMembers() {
 	if n.cfg.OnMembersChanged == nil {
 		return
--- a/internal/cluster/gossip/status.go
+++ b/internal/cluster/gossip/status.go
@@ -27,7 +27,7 @@
 	DisallowedPeers   int64 `json:"outside"`   // dropped datagrams and streams from outside of the allowed networks
 	Corrupt           int64 `json:"corrupt"`   // dropped frames that were too long, truncated or not decodable
 	VersionMismatches int64 `json:"version"`   // dropped frames of another protocol version
-	QueueFull         int64 `json:"full"`      // events dropped due to a full queue, streams due to maxInboundStreams
+	QueueFull         int64 `json:"full"`      // events dropped (queue full) and streams rejected (maxInboundStreams)
 	Unsent            int64 `json:"unsent"`    // frames that could not be sent
 	DatagramsOut      int64 `json:"datagrams"` // datagrams sent
 	StreamsOut        int64 `json:"streams"`   // streams sent
@@ -55,7 +55,7 @@
 	streamBytesIn     atomic.Int64
 }
 
-// Status requests the current status from the goroutine of Run and returns it. It returns
+// Status returns the current status, which it requests from the goroutine of Run. It returns
 // the zero Status if Run does not answer within statusTimeout or is not running.
 func (n *Node) Status() Status {
 	answer := make(chan Status, 1)
--- a/internal/cluster/gossip/stream.go
+++ b/internal/cluster/gossip/stream.go
@@ -71,7 +71,7 @@
 }
 
 // closeWhenDone arranges for a connection to be closed when ctx is done, so that blocked
-// reads and writes return. The returned function cancels this.
+// reads and writes return. The function stop cancels the arrangement.
 func closeWhenDone(ctx context.Context, conn net.Conn) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = conn.Close() }) // The blocked read or write returns an error.
 }
--- a/internal/cluster/gossip/translation.go
+++ b/internal/cluster/gossip/translation.go
@@ -4,7 +4,8 @@
 
 // AddressTranslation maps each address of the prefix From to the address at which this
 // process reaches it: the address in To with the same host bits. Both prefixes have the
-// same length. It is used for clusters that span networks with address translation.
+// same length. Translations are used for clusters that span networks with address
+// translation.
 type AddressTranslation struct{ From, To netip.Prefix }
 
 const bitsPerByte = 8
@@ -21,7 +22,7 @@
 }
 
 // translate returns the address at which this process reaches a peer's advertised address.
-// The first translation that contains the address is used.
+// The first translation whose prefix From contains the advertised address is used.
 func (n *Node) translate(addr netip.AddrPort) netip.AddrPort {
 	for _, t := range n.cfg.Translations {
 		if t.From.Contains(addr.Addr()) {
--- a/internal/cluster/merge.go
+++ b/internal/cluster/merge.go
@@ -5,9 +5,9 @@
 // mergeEntry merges an entry into the view. direct is set for the sender's own entry in
 // a message's header.
 //
-// An entry about a newer process replaces the known one, an entry about an older process
-// is ignored, and for entries about the same process updatePeer decides. This prevents an
-// old update that arrives late from reviving a member that has left.
+// An entry about a newer process replaces the known entry. An entry about an older process
+// is ignored. updatePeer handles an entry about the same process. This prevents an old
+// update that arrives late from reviving a member that has left.
 func (c *Core) mergeEntry(e Entry, direct bool) {
 	if !c.isValidEntry(&e) {
 		c.stats.Rejected++
@@ -27,8 +27,8 @@
 	case p.SameProcess(e.Incarnation):
 		c.updatePeer(p, e)
 	case e.Compare(p.Incarnation) < 0:
-		// The entry is about an older process, or about a new one with a lower ID. The latter takes the next
-		// generation when it receives the known entry (see contradictions).
+		// The entry is about an older process, or about a new process with a lower ID. A new process takes the
+		// next generation when it receives the known entry (see contradictions).
 		return
 	default:
 		c.replaceProcess(p, e)
@@ -104,7 +104,7 @@
 	}
 }
 
-// updatePeer merges an entry about the same process.
+// updatePeer merges an entry about the known process of a peer.
 func (c *Core) updatePeer(p *peer, e Entry) {
 	if p.State == Left {
 		return // Left is the final state of a process.
@@ -150,9 +150,10 @@
 }
 
 // updateDead merges an entry that reports the peer dead. A peer that is alive in this
-// member's view is only suspected: a partition may separate it from one of the two
-// members, and it may refute the suspicion. This prevents a member that was cut off and
-// declared all others dead from having them removed from all views once it reconnects.
+// member's view is only suspected, because a partition may separate the peer from the
+// reporting member alone, and the peer can refute a suspicion. Otherwise a member that was
+// cut off and declared all others dead would remove them from all views once it
+// reconnects.
 func (c *Core) updateDead(p *peer, e Entry) {
 	switch {
 	case e.Refutations < p.Refutations || p.State == Dead:
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -19,7 +19,7 @@
 }
 
 // EndpointNotice is a gossiped update about an endpoint that is draining or was removed
-// from the endpoint list. One member learned of it from discovery.
+// from the endpoint list. One member learned of this change from discovery.
 type EndpointNotice struct {
 	Endpoint   string
 	Removed    bool          // whether the endpoint was removed; otherwise it is draining
@@ -28,9 +28,9 @@
 	Age        time.Duration // time since the member reported the change
 }
 
-// supersedes reports whether n replaces old, a notice about the same endpoint. It does
-// if it is about a later process of the endpoint, or if both are about the same process
-// and n reports it as removed while old reports it as draining.
+// supersedes reports whether n replaces old, a notice about the same endpoint. A notice
+// about a later process of the endpoint replaces a notice about an earlier process. For the
+// same process, a notice of removal replaces a notice of draining.
 func (n *EndpointNotice) supersedes(old *EndpointNotice) bool {
 	if n.StartedMS != old.StartedMS {
 		return n.StartedMS > old.StartedMS
@@ -50,7 +50,7 @@
 	Gossip                       // Entries, Notices
 	PushPullRequest              // Digest, Join: request for the entries of the buckets that differ from Digest
 	PushPullResponse             // BucketMask, Entries, Notices: the sender's entries of the buckets that differ
-	PushPullFinal                // Entries, Notices: the requester's entries of those buckets
+	PushPullFinal                // Entries, Notices: the requester's entries of the buckets that differ
 	numKinds
 )
 
@@ -59,7 +59,7 @@
 type Message struct {
 	Kind        Kind
 	ClusterName string
-	From        Entry // entry of the sender, in the state Alive, or Left if it leaves the cluster
+	From        Entry // entry of the sender, in the state Alive, or Left if the sender leaves the cluster
 	Seq         uint64
 	Target      string // name of the probed member; in a Ping, empty to probe any member at the address
 	TargetAddr  Address
@@ -70,6 +70,6 @@
 	Join        bool   // whether all entries are requested, because the sender joins the cluster
 	// ConfigEpoch and ConfigVersion are the revision of the configuration that the
 	// sender applies; both are 0 if it does not use a distributed configuration. Core
-	// ignores them.
+	// ignores them. Package gossip transmits them in the kinds from Ping to Gossip only.
 	ConfigEpoch, ConfigVersion uint64
 }
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -14,9 +14,10 @@
 	"hazelwing/internal/operator"
 )
 
-// followersPerFanOut limits the followers that a member serves, as a multiple of the fan-out of the tree. The value
-// leaves room for followers whose parent has failed, and for members with different views. A higher value lets more of
-// them find a new parent, and puts more load on the members that remain.
+// followersPerFanOut limits the followers of a member, which are the peers to which it relays the endpoint list. The
+// limit is a multiple of the fan-out of the tree of members that relay the list. The value leaves room for followers
+// whose parent has failed, and for members with different views. A higher value lets more followers find a new parent,
+// and puts more load on the members that remain.
 const followersPerFanOut = 2
 
 // endpointListPath is the path under which peers request the endpoint list. Requests for
--- a/internal/cluster/node/notices.go
+++ b/internal/cluster/node/notices.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// noticeSourceName is the name of the source of endpoints that gossiped notices form.
+	// noticeSourceName is the name of the source of endpoints that noticeSource returns.
 	noticeSourceName = "fleet"
 	// noticeSourceRank is the lowest precedence, so that the attributes of any other source take precedence.
 	noticeSourceRank = 9
@@ -40,8 +40,8 @@
 	}
 }
 
-// AnnounceEndpoint gossips that an endpoint is draining or was removed, as this
-// process learned from discovery. It does not block.
+// AnnounceEndpoint gossips that an endpoint is draining or was removed. This process has
+// learned of the change from discovery. AnnounceEndpoint does not block.
 func (n *Node) AnnounceEndpoint(e engine.Endpoint) {
 	n.Gossip.Announce(cluster.EndpointNotice{
 		Endpoint:  e.ID,
@@ -77,10 +77,10 @@
 	return c
 }
 
-// noticeSource returns the source of endpoints that the notices form. It may remove
-// endpoints within the merged source's limit on removals, and cannot add any. This
-// prevents a faulty peer from emptying the list, or from directing requests to addresses
-// of its choice.
+// noticeSource returns a source of endpoints that reports the changes from gossiped notices.
+// The source can remove endpoints within the merged source's limit on removals, and cannot
+// add endpoints. This prevents a faulty peer from emptying the list, or from directing
+// requests to addresses of its choice.
 func (n *Node) noticeSource() mergedsource.AdditionalSource {
 	return mergedsource.AdditionalSource{
 		SourceConfig: discovery.SourceConfig{
--- a/internal/cluster/notices.go
+++ b/internal/cluster/notices.go
@@ -19,9 +19,10 @@
 	return current
 }
 
-// mergeNotice accepts an endpoint notice if none about the endpoint is known or it
-// supersedes the known one. An accepted notice is valid until NoticeTTL after it was
-// first reported. It is reported to the caller once and gossiped.
+// mergeNotice accepts an endpoint notice if no notice about the endpoint is known, or if
+// the new notice supersedes the known one. An accepted notice is valid until NoticeTTL
+// after it was first reported. It is gossiped and, if another member reported it, passed to
+// the caller in a NoticeReceived action.
 //
 // A notice about a later process of the endpoint takes precedence, and for the same
 // process removal takes precedence over draining. This prevents a notice about a process
@@ -46,8 +47,8 @@
 	}
 }
 
-// removeExpiredNotices removes notices older than NoticeTTL. This limits the duration of
-// the effect of a notice that is wrong, or about a process that has been replaced.
+// removeExpiredNotices removes notices older than NoticeTTL. This limits how long a notice
+// has an effect if it is wrong, or if the endpoint's process has been replaced.
 func (c *Core) removeExpiredNotices() {
 	var expired []string
 	for endpoint, n := range c.notices {
--- a/internal/cluster/peer.go
+++ b/internal/cluster/peer.go
@@ -71,11 +71,11 @@
 	}
 }
 
-// evictPeer makes room in the full table for another member, and reports whether it
-// succeeded. It removes the peer that died or left first. If there is no such peer, and
-// the new member has sent a message itself (direct), it removes a peer that has not sent
-// any. This prevents a faulty peer from filling the table with invented names, so that no
-// other member can join.
+// evictPeer removes a peer from the full table to make room for a new member, and reports
+// whether it removed a peer. It removes the peer that died or left first. If all peers are
+// live and direct is set, it removes a peer that has sent no message; direct means that the
+// new member has sent a message itself. This prevents a faulty peer from filling the table
+// with invented names and keeping out all other members.
 func (c *Core) evictPeer(direct bool) bool {
 	victim := c.earliestDeparted()
 	if victim == nil && direct {
@@ -105,8 +105,8 @@
 	return p.departedAt < other.departedAt || p.departedAt == other.departedAt && p.Name < other.Name
 }
 
-// firstNeverHeardFrom returns, of the peers that have sent no message, the first one by
-// name, or nil if there is none.
+// firstNeverHeardFrom returns the first peer by name among the peers that have sent no
+// message, or nil if there is none.
 func (c *Core) firstNeverHeardFrom() (first *peer) {
 	for _, p := range c.peers {
 		if !p.heardFrom && (first == nil || p.Name < first.Name) {
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -21,9 +21,9 @@
 	return p.deadline
 }
 
-// runProbe requests indirect probes when the deadline of the direct probe has passed, ends
-// the probe in progress when its own deadline has passed, and starts the next probe when it
-// is due.
+// runProbe does the steps of probing that are due: it requests indirect probes after the
+// deadline of the direct probe, ends the probe in progress after the deadline of the direct
+// and indirect probes, and starts the next probe.
 func (c *Core) runProbe() {
 	if p := &c.probe; p.active && p.directDeadline > 0 && c.now >= p.directDeadline {
 		p.directDeadline = 0
@@ -102,8 +102,9 @@
 //
 // The target is suspected if no acknowledgement has arrived, either directly or through a
 // helper, within ProbeInterval times 1 + the health score, and if no newer incarnation of
-// the target is known. Helpers that did not send a nack either are evidence that this
-// member itself is slow or cut off, so they raise the health score.
+// the target is known. A helper that sent no nack either is evidence that this member
+// itself is slow or cut off, so the health score rises by 1 for each missing nack. If there
+// was no helper, the score rises by 1.
 func (c *Core) failProbe() {
 	failed := c.probe
 	c.probe.active = false
--- a/internal/cluster/pushpull.go
+++ b/internal/cluster/pushpull.go
@@ -15,10 +15,10 @@
 	// more views at once.
 	pushPullRate = 50.0
 
-	// A member that has not reached another one asks seeds again after minJoinBackoff. The
-	// time between attempts is multiplied by joinBackoffFactor each time, up to
-	// maxJoinBackoff. With higher values, a member sends fewer messages to seeds that are
-	// not up yet, and joins later.
+	// Until a message of another member arrives, a member asks seeds again after
+	// minJoinBackoff. The time between attempts is multiplied by joinBackoffFactor each
+	// time, up to maxJoinBackoff. With higher values, a member sends fewer messages to seeds
+	// that are not up yet, and joins later.
 	minJoinBackoff    = 200 * time.Millisecond
 	maxJoinBackoff    = 5 * time.Second
 	joinBackoffFactor = 2
@@ -27,7 +27,7 @@
 	maxJoinSeeds = 3
 )
 
-// join asks random seeds for their whole views. It is repeated with backoff until a
+// join asks random seeds for their whole views. Core repeats this with backoff until a
 // message of another member has arrived.
 func (c *Core) join() {
 	c.due.join = c.now + c.jitter(c.joinBackoff)
@@ -57,7 +57,8 @@
 }
 
 // pushPullAfterReconnect compares views with a peer that this member considered dead and
-// that is alive again. The peer may belong to a partition with more members.
+// that is alive again, because other members of the peer's partition may be alive again
+// too. It does nothing within ProbeInterval after the latest push-pull request.
 func (c *Core) pushPullAfterReconnect(p *peer) {
 	if c.now >= c.nextReconnectPushPull {
 		c.requestPushPull(p.Addr, false)
@@ -66,10 +67,10 @@
 
 // receivePushPullRequest answers with the entries of the buckets that differ.
 //
-// At most pushPullRate requests per second are answered with entries. The confirmation of
-// equal views is not limited. The limit prevents many members that join at once, or that
-// repeat their requests, from overloading this member: its own probes and its answers
-// would be late, and it would be suspected.
+// At most pushPullRate requests per second are answered with entries. Answers that only
+// confirm equal views are not limited. The limit prevents many members that join at once,
+// or that repeat their requests, from overloading this member: its own probes and its
+// answers would be late, and other members would suspect it.
 func (c *Core) receivePushPullRequest(msg *Message) {
 	if len(msg.Digest) != numBuckets {
 		c.stats.Rejected++
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -39,7 +39,8 @@
 		(c.cfg.AllowAddress == nil || c.cfg.AllowAddress(e.Addr))
 }
 
-// mergeEntries merges the entries of a message, up to the limit for its kind.
+// mergeEntries merges at most maxEntries entries of a Gossip message, and at most MaxMembers
+// entries of any message. It counts further entries as rejected.
 func (c *Core) mergeEntries(msg *Message) {
 	for i := range msg.Entries {
 		if i >= maxEntries && msg.Kind == Gossip || i >= c.cfg.MaxMembers {
@@ -50,8 +51,8 @@
 	}
 }
 
-// mergeNotices considers the first maxNotices notices of a message, and merges the
-// notices among them that other members reported.
+// mergeNotices merges the first maxNotices notices of a message, except notices that this
+// member reported itself.
 func (c *Core) mergeNotices(notices []EndpointNotice) {
 	for i := range notices {
 		if i >= maxNotices {
@@ -93,9 +94,9 @@
 }
 
 // contradictions returns the known entry with the sender's name if it contradicts the
-// sender's own entry, so that the sender can refute it or take the next generation. This
-// prevents a member that was declared dead from staying dead although it answers. p is
-// the peer with that name, or nil.
+// sender's own entry, so that the sender can refute the known entry or take the next
+// generation. Otherwise it returns nil. This prevents a member that was declared dead from
+// staying dead although it answers. p is the peer with the sender's name, or nil.
 func (c *Core) contradictions(p *peer, from *Entry) []Entry {
 	if from.Name == c.self.Name {
 		return []Entry{c.self}
--- a/internal/cluster/reconnect.go
+++ b/internal/cluster/reconnect.go
@@ -34,8 +34,9 @@
 // not grow with the cluster. If there are few live members and many dead addresses, each
 // call probes one address.
 //
-// This prevents two halves of a cluster that have declared each other dead from staying
-// separate after the network has healed, because no member would send to the other half.
+// Without these probes, two halves of a cluster that have declared each other dead would
+// stay separate after the network has healed, because no member would send to the other
+// half.
 func (c *Core) reconnect() {
 	dead, addresses := c.reconnectCandidates()
 	candidates := len(dead) + len(addresses)
@@ -54,9 +55,9 @@
 	c.send(dead[i].Addr, ping)
 }
 
-// reconnectCandidates returns the dead peers sorted by name, and those addresses of
-// removed members and seeds that no live member has. It also forgets the addresses of
-// removed members that a live member has.
+// reconnectCandidates returns the dead peers sorted by name, and the addresses of removed
+// members and seeds that no live member has. It also removes addresses that a live member
+// has from removedAddresses.
 func (c *Core) reconnectCandidates() (dead []*peer, addresses []Address) {
 	isUnused := map[Address]bool{} // for each address of a removed member or seed: whether no live member has it
 	for _, addr := range append(slices.Clone(c.removedAddresses), c.cfg.Seeds...) {
--- a/internal/cluster/script_test.go
+++ b/internal/cluster/script_test.go
@@ -15,11 +15,12 @@
 // TestScripts runs the scripts in testdata. Each directive is followed by its expected
 // output: the actions of an event, or the requested view or statistics.
 //
-//	new [seeds=(b,c)] [size=N] [KEY=VALUE]   creates the Core of member a, process 100, with a probe interval of 1 s
+//	new [seeds=(b,c)] [size=N] [KEY=VALUE]   creates the Core of member a, process 100, with a probe interval of 1 s;
+//	                                         KEY is push-pull, dead-ttl, notice-ttl, max or reconnect (see newCore)
 //	tick DURATION                            advances the time and calls Tick whenever it is due
 //	stall DURATION                           advances the time to DURATION after Tick is due, then calls Tick once
 //	recv KIND from=b [process=N] [generation=N] [refutations=N] [left] [seq=N] [target=x] [at=x] [buckets=all]
-//	     [join] [cluster=x]                  receives a message; "at" names the member at the target's address
+//	     [join] [cluster=x]                  receives a message; "at" is the member whose address is TargetAddr
 //	     The input of recv has a line for each entry, such as "c suspect 1.200.0 by=d age=5s",
 //	     and a line for each notice, such as "notice s1 removed started=5 by=d age=1s".
 //	announce ENDPOINT [removed] [started=N]  announces a notice about an endpoint
@@ -131,8 +132,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, name[0]}), 7946)
 }
 
-// argument returns the value of a directive's argument, "yes" if it has none, and
-// defaultValue if the argument is missing.
+// argument returns the value of a directive's argument, "yes" if the argument has no value,
+// and defaultValue if the directive does not have the argument.
 func argument(d *datadriven.TestData, key, defaultValue string) string {
 	for _, arg := range d.CmdArgs {
 		if arg.Key != key {
--- a/internal/cluster/self.go
+++ b/internal/cluster/self.go
@@ -4,21 +4,22 @@
 
 const (
 	// A member that has raised its generation maxNameConflicts times in nameConflictWindow
-	// waits for nameConflictPause before it raises it again. Higher values of the window
-	// and the pause send fewer updates while two processes use the same name. A higher
-	// maxNameConflicts tolerates more restarts under one name.
+	// raises it again only after nameConflictPause has passed since the latest raise. Higher
+	// values of the window and the pause send fewer updates while two processes use the same
+	// name. A higher maxNameConflicts tolerates more restarts under one name.
 	nameConflictWindow = time.Minute
 	maxNameConflicts   = 3
 	nameConflictPause  = 30 * time.Second
 )
 
-// mergeOwnEntry handles an entry about this member. Depending on the state and the
-// incarnation of the entry, it refutes a wrong entry, or takes the next generation. The
-// latter is needed if another process has had this name, or if the entry reports this
-// process as left, which is a final state.
+// mergeOwnEntry handles an entry with this member's name. It refutes an entry that reports
+// this process suspect or dead. It takes the next generation if the entry is about another
+// process and takes precedence, or if the entry reports this process as left, which is a
+// final state.
 //
-// The refutation has a higher counter than the suspicion, so every member accepts it.
-// This prevents a live member from being declared dead because of one lost probe.
+// The refutation has a higher counter than the refuted entry, so every member accepts the
+// refutation. This prevents a live member from being declared dead because of one lost
+// probe.
 func (c *Core) mergeOwnEntry(e Entry) {
 	if !e.SameProcess(c.self.Incarnation) {
 		if e.Compare(c.self.Incarnation) > 0 {
@@ -28,7 +29,8 @@
 	}
 	switch {
 	case c.leaving || e.State == Alive:
-		// Another process claimed to be this one. The counter of later updates must not be lower.
+		// A higher counter means that another process claimed to be this one. Later updates must not have a lower
+		// counter.
 		c.self.Refutations = max(c.self.Refutations, e.Refutations)
 	case e.State == Left:
 		c.raiseGeneration(e.Incarnation)
@@ -40,12 +42,12 @@
 	}
 }
 
-// raiseGeneration sets this member's generation to one more than the generation of
-// another process with the same name.
+// raiseGeneration sets this member's generation to one more than the generation of other,
+// the incarnation of an entry with this member's name.
 //
 // The rate of such raises is limited (maxNameConflicts), because each raise is gossiped to
-// the whole cluster. This prevents two processes that run under one name at the same time
-// from exceeding each other's generation again and again without limit.
+// the whole cluster. Without the limit, two processes that run under one name would raise
+// their generations above each other's again and again.
 func (c *Core) raiseGeneration(other Incarnation) {
 	if other.Generation >= MaxCounter {
 		c.stats.Rejected++
--- a/internal/cluster/size.go
+++ b/internal/cluster/size.go
@@ -19,9 +19,9 @@
 	minLiveFraction = 2.0 / 3
 )
 
-// sizeEstimator estimates the number of members. The balancer derives from it the size of
-// each member's subset of endpoints, the weight of other zones, and whether probes are
-// worth their cost. If the members of each half of a partitioned cluster counted only
+// sizeEstimator estimates the number of members. From the estimate, the balancer derives
+// the size of each member's subset of endpoints, the weight of other zones, and whether
+// probes are worth their cost. If the members of each half of a partitioned cluster counted only
 // their own half, they would load endpoints like members of a small cluster. Therefore the
 // estimate rises at once and falls late:
 //
@@ -51,7 +51,7 @@
 // setConfigured replaces the configured size.
 func (s *sizeEstimator) setConfigured(size int) { s.configured = float64(max(size, 1)) }
 
-// countDead counts a member that has died. It does nothing for one that has left.
+// countDead counts a peer that has died. It does nothing for a peer that has left.
 func (s *sizeEstimator) countDead(p *peer) {
 	if p.State == Dead && !p.countedDead {
 		p.countedDead = true
@@ -67,7 +67,7 @@
 	}
 }
 
-// update updates the estimate, and returns it and whether it has changed.
+// update updates the estimate. It returns the estimate and whether the estimate has changed.
 func (s *sizeEstimator) update(c *Core) (estimate int, changed bool) {
 	former := s.estimate
 	if !c.joined {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -8,7 +8,7 @@
 // State is the state of a member.
 type State uint8
 
-// The states of a member. Within one incarnation, a state takes precedence over those listed before it.
+// The states of a member. Within one incarnation, a state takes precedence over the states listed before it.
 const (
 	Alive   State = iota
 	Suspect       // did not answer a probe, and may still refute the suspicion
--- a/internal/cluster/stats.go
+++ b/internal/cluster/stats.go
@@ -37,8 +37,8 @@
 	Stalls             int   `json:"stalls"`        // number of times that this process was stalled
 	NameConflicts      int   `json:"conflicts"`     // conflicts with another process that uses this member's name
 	ForeignMessages    int   `json:"foreign"`       // messages of other clusters
-	Rejected           int   `json:"refused"`       // entries and messages that are invalid or exceed a limit
-	Suspicions         int   `json:"accused"`       // suspicions that this member started
+	Rejected           int   `json:"refused"`       // messages, entries and notices that are invalid or exceed a limit
+	Suspicions         int   `json:"accused"`       // suspicions that this member started after a failed probe
 	DeclaredDead       int   `json:"buried"`        // members that this member declared dead
 	TableFull          int   `json:"full"`          // updates about new members rejected because of a full table
 	PushPullsThrottled int   `json:"unasked"`       // push-pull requests not answered because of the rate limit
--- a/internal/cluster/suspicion.go
+++ b/internal/cluster/suspicion.go
@@ -9,9 +9,10 @@
 
 const (
 	// suspicionMaxTimeoutMult is the timeout of an unconfirmed suspicion as a multiple of
-	// the timeout of a fully confirmed one (memberlist's SuspicionMaxTimeoutMult). A
-	// higher value gives a suspect more time if only one member cannot reach it. It also
-	// delays the detection of a failure that few other members notice.
+	// the timeout with maxConfirmations confirmations (memberlist's
+	// SuspicionMaxTimeoutMult). A higher value gives a suspect more time if only one member
+	// cannot reach the suspect, and delays the detection of a failure that few members
+	// notice.
 	suspicionMaxTimeoutMult = 6
 	// maxConfirmations is the number of confirmations that shorten a suspicion. With a
 	// higher value, more members have to agree to reach the shortest timeout.
@@ -21,7 +22,7 @@
 	nonConfirming = 2
 )
 
-// suspicion is the suspicion of one peer. It lasts until the peer refutes it or it times out.
+// suspicion is the suspicion of one peer. It ends when the peer refutes it, or at timeoutAt.
 type suspicion struct {
 	target     *peer // suspected peer; nil after the suspicion was canceled
 	startedAt  time.Duration
@@ -49,11 +50,11 @@
 
 // newSuspicion returns a suspicion that starts now.
 //
-// The timeout depends on the number of live members and on the settings. It is
-// SuspicionMult probe intervals if maxConfirmations other members confirm the suspicion,
-// and suspicionMaxTimeoutMult times as long if none does. Both grow with the logarithm of
-// the number of members, because the time in which updates spread grows likewise. In a
-// cluster with too few members for maxConfirmations, the shorter timeout applies.
+// With maxConfirmations confirmations, the timeout is minTimeout: SuspicionMult probe
+// intervals times max(1, log10 n), where n is the number of live members. The factor
+// reflects that updates take longer to spread in larger clusters. Without confirmations, the
+// timeout is suspicionMaxTimeoutMult times as long. If there are too few live members for
+// maxConfirmations confirmations, or Lifeguard is disabled, the timeout is always minTimeout.
 func (c *Core) newSuspicion(p *peer, reporter string) *suspicion {
 	scale := max(1, math.Log10(float64(c.NumLive())))
 	minTimeout := time.Duration(c.cfg.SuspicionMult * scale * float64(c.cfg.ProbeInterval))
@@ -74,14 +75,14 @@
 
 // timeout returns the timeout for the current number of reporters. It falls from
 // maxTimeout to minTimeout with the logarithm of that number, as in Lifeguard: the first
-// confirmation shortens it most.
+// confirmation shortens the timeout most.
 func (s *suspicion) timeout() time.Duration {
 	fraction := math.Log(float64(len(s.reporters))) / math.Log(maxConfirmations+1)
 	return max(s.minTimeout, s.maxTimeout-time.Duration(fraction*float64(s.maxTimeout-s.minTimeout)))
 }
 
-// confirm adds a reporter to the suspicion of a peer, and gossips the suspicion again, so
-// that it becomes shorter at the other members as well.
+// confirm adds a reporter to the suspicion of a peer, which shortens the timeout. It gossips
+// the suspicion again, so that the other members shorten the timeout too.
 func (c *Core) confirm(p *peer, reporter string) {
 	s := p.suspicion
 	if s == nil || c.cfg.DisableLifeguard {
@@ -106,8 +107,8 @@
 	}
 }
 
-// expireSuspicions declares the peers dead whose suspicions have timed out. No other
-// function declares a peer dead without a report of another member (see updateDead).
+// expireSuspicions declares each peer dead whose suspicion has timed out. Elsewhere, a peer
+// becomes dead only by a report of another member (see updateDead).
 func (c *Core) expireSuspicions() {
 	for s := c.suspicions.popExpired(c.now); s != nil; s = c.suspicions.popExpired(c.now) {
 		c.declareDead(s)
@@ -127,8 +128,8 @@
 	})
 }
 
-// suspicionHeap is a heap of suspicions, with the one that times out first at index 0. It
-// implements heap.Interface. Canceled suspicions are dropped when they reach index 0.
+// suspicionHeap is a heap of suspicions, with the suspicion that times out first at index 0.
+// It implements heap.Interface. Canceled suspicions are dropped when they reach index 0.
 type suspicionHeap []*suspicion
 
 func (h suspicionHeap) Len() int           { return len(h) }
--- a/internal/controlplane/aggregator.go
+++ b/internal/controlplane/aggregator.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxSubscribers limits how many subscribers one member or origin aggregates, and how many it lists as disconnected. A
-// higher value allows larger clusters, but lets a faulty peer take more memory.
+// maxSubscribers limits the subscribers whose reports one member or origin combines, and also the subscribers that it
+// lists as disconnected. A higher value allows larger clusters, but lets a faulty peer take more memory.
 const maxSubscribers = 1024
 
 // ReportAggregator combines the reports of subscribers into one. The zero value is empty. It is not safe for
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Disconnect stops counting a subscriber and lists it as disconnected for the retention time. So a member that moves to
-// another upstream is not counted twice, and a member that is gone can be found by its name.
+// Disconnect stops counting a subscriber and lists it as disconnected for the retention time. A member that moves to
+// another upstream is thus not counted twice, and operators can find a member that is gone by its name.
 func (a *ReportAggregator) Disconnect(now time.Duration, subscriber string, retention time.Duration) {
 	subscriber = printable(subscriber, MaxNameLength)
 	s, ok := a.subscribers[subscriber]
@@ -74,16 +74,17 @@
 	delete(a.disconnected, subscriber)
 }
 
-// MarkReachable removes a member from the disconnected ones, because another source shows that it is reachable. It
-// reports whether the member was listed as disconnected.
+// MarkReachable removes a member from the list of disconnected members, because another source shows that the member is
+// reachable. It reports whether the member was in the list.
 func (a *ReportAggregator) MarkReachable(name string) bool {
 	before := len(a.disconnected)
 	delete(a.disconnected, printable(name, MaxNameLength))
 	return len(a.disconnected) != before
 }
 
-// Expire disconnects subscribers that sent no report for maxSilence, and removes disconnected ones whose retention time
-// has passed. It reports whether anything has changed, and returns when the next entry expires; 0 if there is none.
+// Expire disconnects subscribers that sent no report for maxSilence, and removes disconnected subscribers whose
+// retention time has passed. It reports whether anything has changed, and returns the time at which the next entry
+// expires, or 0 if there is no entry.
 func (a *ReportAggregator) Expire(now, maxSilence, retention time.Duration) (changed bool, next time.Duration) {
 	for name, s := range a.subscribers {
 		if now-s.receivedAt >= maxSilence {
@@ -120,10 +121,10 @@
 	Published   Revision // revision that the member passes on to its subscribers
 	Active      Revision
 	Err         error // why the published snapshot cannot be activated; nil if it is active or not applied yet
-	GracePeriod bool  // laggards with ReasonBehind are counted but not named
+	GracePeriod bool  // whether the report counts laggards with ReasonBehind without naming them
 }
 
-// Aggregate returns one report of all subscribers and, unless it is nil, the local member. latest is the highest
+// Aggregate returns one report of all subscribers and, unless local is nil, of the local member. latest is the highest
 // revision that the caller knows; a subscriber may know a higher one.
 func (a *ReportAggregator) Aggregate(latest Revision, local *LocalMember) Report {
 	names := slices.Sorted(maps.Keys(a.subscribers))
--- a/internal/controlplane/designpage_test.go
+++ b/internal/controlplane/designpage_test.go
@@ -31,7 +31,7 @@
 			row = fmt.Sprintf("| `%s` | cannot: %s |\n", k.Key, k.FixedReason)
 		}
 		if !strings.Contains(page, row) {
-			t.Errorf("the page lacks the row %s", row)
+			t.Errorf("the page has no row %q", row)
 		}
 	}
 	if rows != len(rules) {
@@ -53,7 +53,7 @@
 		before, _, ok := strings.Cut(page, "(`"+name+"`)")
 		line := before[strings.LastIndexByte(before, '\n')+1:]
 		if !ok || !strings.Contains(line, fmt.Sprint(value, " ")) {
-			t.Errorf("the page does not say that %s is %d: %q", name, value, line)
+			t.Errorf("the page does not give the limit %s as %d; its line before the name is %q", name, value, line)
 		}
 	}
 }
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -28,7 +28,7 @@
 // ApplyResult is the result of an Apply. The caller sends exactly one for each Apply, in the same order.
 type ApplyResult struct {
 	Revision Revision
-	Err      error // nil if the snapshot is active; otherwise the previous one stays active, unchanged
+	Err      error // nil if the snapshot is active; otherwise the previous snapshot stays active, unchanged
 }
 
 // ReportReceived is a subscriber's report; From is the subscriber's name.
@@ -56,17 +56,16 @@
 // in order.
 type Action interface{ followerAction() }
 
-// Apply activates a snapshot. The caller responds with an ApplyResult, at once or later. The Follower
-// returns no further Apply before that.
+// Apply activates a snapshot. The caller responds with an ApplyResult, at once or later. The Follower returns no
+// further Apply before the ApplyResult.
 type Apply struct{ Snapshot *Snapshot }
 
-// Save stores the snapshot from which the member begins at its next start, replacing the stored one. The caller may
-// skip it while the disk fails.
+// Save stores the snapshot with which the member begins at its next start, replacing the stored snapshot. The caller
+// may skip a Save while the disk fails.
 type Save struct{ Cached CachedSnapshot }
 
-// Publish sets the frame that subscribers receive from now on, replacing any earlier frame that is not sent yet. It may
-// be a frame that this member itself cannot activate, for example because its program is older: its subscribers must
-// receive it nevertheless.
+// Publish sets the frame that subscribers receive from now on, replacing any earlier frame that is not sent yet. The
+// subscribers must receive the frame even if this member cannot activate it, for example because its program is older.
 type Publish struct{ Frame Frame }
 
 // Fetch requests the snapshot of a peer once. The caller passes on the response as SnapshotReceived; a failure needs no
@@ -79,8 +78,8 @@
 // SendReport sends a report to the upstream, replacing any earlier report that is not sent yet.
 type SendReport struct{ Report Report }
 
-// LogMessage is a message for the log. At most one of each kind is logged in 10 s; Count includes those that were held
-// back.
+// LogMessage is a message for the log. At most one message of each kind is logged in 10 s; Count includes the messages
+// that were held back.
 type LogMessage struct {
 	Kind  LogKind
 	Text  string
@@ -92,7 +91,7 @@
 	LogActivated LogKind = "in force" // a snapshot is active
 	LogRejected  LogKind = "refused"  // a snapshot cannot be activated
 	LogConflict  LogKind = "conflict" // a known revision arrived with different content
-	LogStale     LogKind = "older"    // a frame is older than one that was accepted
+	LogStale     LogKind = "older"    // a frame is older than the highest accepted revision
 	LogCorrupt   LogKind = "broken"   // a frame, or the cached snapshot, is invalid
 	LogForeign   LogKind = "foreign"  // a frame belongs to another cluster
 	LogFetch     LogKind = "fetch"    // a snapshot is fetched from a peer
--- a/internal/controlplane/fetch.go
+++ b/internal/controlplane/fetch.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// maxFetchBackoff limits the time between two unsuccessful fetches, as a multiple of FollowerConfig.FetchDelay.
-	// The backoff bounds the number of fetches for a revision that no member has. With a higher value, fewer
-	// fetches fail, but a revision is found later after many failed fetches.
+	// maxFetchBackoff limits the time between two fetches, as a multiple of FollowerConfig.FetchDelay. The backoff
+	// bounds the number of fetches for a revision that no member has. With a higher value, fewer fetches fail, but the
+	// first fetch after many failed ones starts later.
 	maxFetchBackoff = 16
 	// fetchBackoffFactor is the factor by which the time between fetches grows with each of them. A higher value
 	// reaches maxFetchBackoff sooner.
 	fetchBackoffFactor = 2
 )
 
-// fetchHint records that a peer has a later snapshot than this member, and when to fetch it.
+// fetchHint records that a peer has a later snapshot than this member, and the time at which to fetch this snapshot.
 type fetchHint struct {
 	peer       PeerRevision
 	dueAt      time.Duration // time of the fetch; 0 if there is no hint
 	earliestAt time.Duration // no fetch starts before this time
-	backoff    time.Duration // minimum time from the next fetch to the one after it
+	backoff    time.Duration // minimum time between the next fetch and the fetch after it
 }
 
 // handlePeerRevision records the highest revision that any peer announced by gossip, and schedules a fetch from that
 // peer.
 //
 // The fetch is due FetchDelay after the first hint, unless the upstream has delivered the snapshot by then. Later hints
-// do not postpone it. This prevents a member whose upstream is unreachable from keeping an old configuration, and all
-// members from fetching a change that their upstreams deliver in time.
+// do not postpone the fetch. The fetch prevents a member whose upstream is unreachable from keeping an old
+// configuration. The delay prevents all members from fetching a change that their upstreams deliver in time.
 func (f *Follower) handlePeerRevision(now time.Duration, p PeerRevision) {
 	p.Revision.Hash = ""
 	order := p.Revision.Compare(f.published.Revision)
@@ -46,7 +46,7 @@
 	}
 }
 
-// fetchIfDue fetches a snapshot from a peer if the upstream has not delivered it in time.
+// fetchIfDue fetches the snapshot of the recorded hint if the upstream has not delivered it in time.
 func (f *Follower) fetchIfDue(now time.Duration, actions []Action) []Action {
 	h := &f.fetch
 	if h.dueAt == 0 || now < h.dueAt {
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -28,20 +28,21 @@
 	Cluster string
 	Self    string          // the member's name
 	Cached  *CachedSnapshot // cached by the previous run; nil if there is none
-	// FetchDelay is how long the upstream may take to deliver a revision that a peer is known to have; default 300 ms.
-	// A higher value makes fewer fetches while a change spreads, but delays the change where the upstream is broken.
+	// FetchDelay is the time that the upstream has to deliver a revision after a peer has announced it by gossip;
+	// default 300 ms. A higher value makes fewer fetches while a change spreads, but delays the change where the
+	// upstream is broken.
 	FetchDelay time.Duration
 	// MinReportInterval and MaxReportInterval limit the time between two reports to the upstream; defaults 100 ms and
 	// 10 s. ReportDelay is how long a change waits for further changes to go into the same report; default 30 ms.
 	// Higher values send fewer reports, but show later on which members a change is active.
 	MinReportInterval, MaxReportInterval, ReportDelay time.Duration
-	// LaggardGracePeriod is how long after a new snapshot members that are behind are counted but not named; default
-	// 1 s. Most members need less time, and their names would make up most of the size of all reports. A higher value
-	// sends fewer bytes, but names later the members that stay behind.
+	// LaggardGracePeriod is the time after a new snapshot during which reports count members that are behind, but do
+	// not name them; default 1 s. Most members need less time, and their names would make up most of the size of all
+	// reports. A higher value sends fewer bytes, but names later the members that stay behind.
 	LaggardGracePeriod time.Duration
-	// DisconnectedRetention is how long a disconnected subscriber is named as such; default 60 s. The
-	// subscriber is not counted during this time. A higher value leaves operators more time to find the subscriber, but
-	// members that were shut down are named for longer.
+	// DisconnectedRetention is the time for which reports name a subscriber that has disconnected; default 60 s. The
+	// reports do not count the subscriber during this time. A higher value leaves operators more time to find the
+	// subscriber, but members that were shut down are named for longer.
 	DisconnectedRetention time.Duration
 	// Parse parses a snapshot's text; nil means ParseSnapshot. Tests set another function to act as an older program.
 	Parse func(text []byte) (*Snapshot, error)
@@ -68,7 +69,7 @@
 	FromCache      bool          `json:"kept"`    // Active is from the previous run and not confirmed yet
 	ConfirmedAt    time.Duration `json:"-"`       // when an upstream last confirmed the snapshot, on the caller's clock
 	Rejected       int           `json:"refused"` // snapshots that cannot be activated
-	Stale          int           `json:"older"`   // frames older than one that was accepted
+	Stale          int           `json:"older"`   // frames older than the highest accepted revision
 	Conflicts      int           `json:"conflicts"`
 	Corrupt        int           `json:"broken"` // frames whose hash, size or revision is wrong
 	Foreign        int           `json:"foreign"`
@@ -131,7 +132,7 @@
 		actions = f.handleSnapshot(now, ev, actions)
 	case UpstreamConfirmed:
 		f.confirm(now)
-	case UpstreamLost: // the active snapshot stays
+	case UpstreamLost: // the active snapshot stays active
 	case PeerRevision:
 		f.handlePeerRevision(now, ev)
 	case ApplyResult:
@@ -156,10 +157,10 @@
 
 // handleSnapshot accepts a frame or logs why it is rejected.
 //
-// It compares the frame with the highest revision that was ever accepted, including by earlier runs. It rejects, in
-// this order: a frame of another cluster; a corrupt frame; a frame that is older than the highest accepted one, as a
-// relay or origin sends it after it was disconnected or rolled back; and different content of the accepted revision.
-// This prevents a change that the operator has reverted from taking effect again.
+// It compares the frame with the highest revision that this member has ever accepted, also in earlier runs. It rejects,
+// in this order: a frame of another cluster; a corrupt frame; a frame that is older than the highest accepted revision;
+// and a frame that has the accepted revision but different content. An upstream that was disconnected or rolled back
+// may send an older frame. The rejection prevents a change that the operator has reverted from taking effect again.
 func (f *Follower) handleSnapshot(now time.Duration, ev SnapshotReceived, actions []Action) []Action {
 	revision := ev.Frame.Revision
 	if err := ev.Frame.Validate(f.cfg.Cluster); err != nil {
@@ -196,8 +197,8 @@
 	return f.logMessage(now, actions, kind, fmt.Sprintf("from %s: %v", from, err))
 }
 
-// publish passes a frame on to subscribers and applies its snapshot, at once or after the one that is being applied. A
-// snapshot that this program cannot parse is passed on nevertheless: subscribers with a newer program need it.
+// publish passes a frame on to subscribers and applies its snapshot, at once or after the outstanding Apply. A snapshot
+// that this program cannot parse is passed on nevertheless: subscribers with a newer program need it.
 func (f *Follower) publish(now time.Duration, frame Frame, actions []Action) []Action {
 	f.published = frame
 	f.rejection = nil
@@ -218,7 +219,7 @@
 	return append(actions, Apply{s})
 }
 
-// rejectSnapshot records that the published snapshot cannot be activated. The active one stays.
+// rejectSnapshot records that the published snapshot cannot be activated. The active snapshot stays active.
 func (f *Follower) rejectSnapshot(now time.Duration, err error, actions []Action) []Action {
 	f.rejection = err
 	f.reports.changed = true
--- a/internal/controlplane/follower_test.go
+++ b/internal/controlplane/follower_test.go
@@ -33,12 +33,12 @@
 		return out
 	}
 	if early, late := run(0), run(time.Hour); !reflect.DeepEqual(early, late) {
-		t.Errorf("actions from 0 s on: %q, from 1 h on: %q, want equal ones", early, late)
+		t.Errorf("actions of a run from 0 s on: %q, of a run from 1 h on: %q, want equal actions", early, late)
 	}
 	for _, x := range []any{Frame{}, Report{}, CachedSnapshot{}, RevisionCount{}, Laggard{}, Revision{}} {
 		for f := range reflect.TypeOf(x).Fields() {
 			if name := f.Type.String(); strings.HasPrefix(name, "time.") {
-				t.Errorf("%T has a field for a time: %s", x, f.Name)
+				t.Errorf("%T has the field %s with a type of package time, want no such field", x, f.Name)
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 
 	cached    *CachedSnapshot     // snapshot of the last Save; kept over restarts
 	active    Revision            // active revision; after a restart the revision of the cached snapshot
-	hashes    map[Revision]string // by revision without hash: the hash that was cached, or published first in this run
+	hashes    map[Revision]string // hash by revision without hash, as cached or as first published in this run
 	applying  *Snapshot
 	published Revision
 }
@@ -76,21 +76,23 @@
 	r.check(actions)
 }
 
-// check checks each action against the earlier ones.
+// check fails the test if an action contradicts earlier actions or events.
 func (r *followerRun) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Apply:
 			if r.applying != nil {
-				r.t.Fatalf("%v is applied while %v is being applied", a.Snapshot.Revision, r.applying.Revision)
+				r.t.Fatalf("Apply of %v before the result of the Apply of %v, want one Apply at a time",
+					a.Snapshot.Revision, r.applying.Revision)
 			}
 			r.applying = a.Snapshot
 		case Publish:
 			r.checkPublish(a.Frame)
 		case Save:
 			if a.Cached.Frame.Revision != r.active || a.Cached.Highest.Compare(a.Cached.Frame.Revision) < 0 {
-				r.t.Fatalf("saved %v with highest revision %v while %v is active", a.Cached.Frame.Revision,
-					a.Cached.Highest, r.active)
+				r.t.Fatalf("Save of %v with highest revision %v, want the active revision %v "+
+					"and a highest revision that is not lower",
+					a.Cached.Frame.Revision, a.Cached.Highest, r.active)
 			}
 			cached := a.Cached
 			r.cached = &cached
@@ -103,17 +105,19 @@
 	order := Revision{Epoch: revision.Epoch, Version: revision.Version}
 	switch known := r.hashes[order]; {
 	case revision.Compare(r.published) <= 0:
-		r.t.Fatalf("%v is published after %v", revision, r.published)
+		r.t.Fatalf("Publish of %v after %v, want a higher revision", revision, r.published)
 	case known != "" && known != revision.Hash:
-		r.t.Fatalf("%v is published with hash %.8s, and was published before with %.8s", revision, revision.Hash, known)
+		r.t.Fatalf("Publish of %v with hash %.8s, want %.8s, with which the revision was cached or published before",
+			revision, revision.Hash, known)
 	case revision.Hash != HashText(f.Text):
-		r.t.Fatalf("%v is published with hash %.8s, and its text has %.8s", revision, revision.Hash, HashText(f.Text))
+		r.t.Fatalf("Publish of %v with hash %.8s, want the hash %.8s of its text",
+			revision, revision.Hash, HashText(f.Text))
 	}
 	r.published = revision
 	r.hashes[order] = revision.Hash
 }
 
-// drawEvent draws the next event; nil if it drew an ApplyResult while nothing is being applied.
+// drawEvent returns a random event, or nil if it drew an ApplyResult while nothing is being applied.
 func (r *followerRun) drawEvent() Event {
 	contents := []string{"", "", "", "other", "\n[log]\nlevel = \"info\"", "\n[log]\nlevel = \"loud\""}
 	revision := Revision{
@@ -142,11 +146,11 @@
 	result := ApplyResult{Revision: r.applying.Revision}
 	r.applying = nil
 	if rapid.IntRange(0, 3).Draw(r.t, "refused") == 0 {
-		result.Err = errors.New("it cannot")
+		result.Err = errors.New("the caller cannot apply the snapshot")
 		return result
 	}
 	if result.Revision.Compare(r.active) < 0 {
-		r.t.Fatalf("%v is activated after %v", result.Revision, r.active)
+		r.t.Fatalf("%v is activated after %v, want a revision that is not lower", result.Revision, r.active)
 	}
 	r.active = result.Revision
 	return result
@@ -159,11 +163,11 @@
 	if after.Active.Compare(before.Active) < 0 ||
 		after.Highest.Compare(before.Highest) < 0 ||
 		after.Highest.Compare(after.Published) < 0 {
-		r.t.Fatalf("a revision went back, or the highest is below the published one: stats were %+v, now %+v",
-			before, after)
+		r.t.Fatalf("stats before an event %+v, after it %+v, want active and highest revisions that do not decrease, "+
+			"and a highest revision that is not below the published one", before, after)
 	}
 	if r.follower.NextTick() < now {
-		r.t.Fatalf("at %v the next tick is due at %v, which is in the past", now, r.follower.NextTick())
+		r.t.Fatalf("at %v NextTick returned %v, want a time that is not in the past", now, r.follower.NextTick())
 	}
 }
 
--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -74,13 +74,13 @@
 				t.Fatal(err)
 			}
 			testutil.Golden(t, "format/"+name+"-empty.json", append(empty, '\n'))
-			if name == "follower-stats" { // Highest and ConfirmedAt are not encoded
+			if name == "follower-stats" { // Highest and ConfirmedAt are not encoded, so decoding cannot restore them.
 				return
 			}
 			read := reflect.New(reflect.TypeOf(v))
 			err = json.Unmarshal(text, read.Interface())
 			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), v) {
-				t.Errorf("decoding returned error %v and\n%+v, want\n%+v", err, read.Elem(), v)
+				t.Errorf("decoding returned error %v and\n%+v, want no error and\n%+v", err, read.Elem(), v)
 			}
 		})
 	}
@@ -96,12 +96,12 @@
 		testutil.GoldenBinary(t, "format/"+name+".cbor.hex", data)
 		var read Report
 		if err := cbor.Unmarshal(data, &read); err != nil || !reflect.DeepEqual(read, report) {
-			t.Errorf("decoding returned error %v and\n%+v, want\n%+v", err, read, report)
+			t.Errorf("decoding returned error %v and\n%+v, want no error and\n%+v", err, read, report)
 		}
 	}
 }
 
-// Reasons are sent as these words.
+// The names of reasons in reports stay the same.
 func TestReasonNamesAreStable(t *testing.T) {
 	for reason, want := range map[LaggardReason]string{
 		ReasonBehind:       "behind",
@@ -109,12 +109,12 @@
 		ReasonRejected:     "refused",
 	} {
 		if string(reason) != want {
-			t.Errorf("the reason is sent as %q, want %q", reason, want)
+			t.Errorf("the name of a reason in reports is %q, want %q", reason, want)
 		}
 	}
 }
 
-// Each key of a snapshot is decoded into the field of its name.
+// Each key of a snapshot is decoded into the field for this key.
 func TestSnapshotFormatIsStable(t *testing.T) {
 	text := `[discovery]
 addr = "10.0.0.2:8500"
@@ -163,7 +163,7 @@
 		"tenant.one.fraction":   *got.Tenant["one"].Fraction == 0.25,
 	} {
 		if !equal {
-			t.Errorf("the field of %s does not have the value from the text", key)
+			t.Errorf("the field for the key %s does not have the value that the text gives the key", key)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 func TestRevisionTextIsStable(t *testing.T) {
 	for want, revision := range map[string]Revision{"none": {}, "3.17": testRevision(17)} {
 		if got := revision.String(); got != want {
-			t.Errorf("the text of %#v is %q, want %q", revision, got, want)
+			t.Errorf("String of %#v returned %q, want %q", revision, got, want)
 		}
 	}
 }
--- a/internal/controlplane/parse.go
+++ b/internal/controlplane/parse.go
@@ -46,9 +46,9 @@
 }
 func (e *sizeError) Unwrap() error { return ErrSnapshotTooLarge }
 
-// ParseSnapshot parses a snapshot's text and validates its size, syntax, keys and values, and that all its keys may
-// change while running. The error joins errors of strictdecode and ValidationErrors, or wraps ErrSnapshotTooLarge; each
-// line of its text describes one fault, with line and column. Only the hash of the result's Revision is set.
+// ParseSnapshot parses a snapshot's text and validates its size, syntax, keys and values. It rejects keys that cannot
+// change while running. The error joins errors of strictdecode or ValidationErrors, or wraps ErrSnapshotTooLarge. Each
+// line of the error's text describes one fault, with line and column. Only the hash of the result's Revision is set.
 // ParseSnapshot may be called from any goroutine. The result retains text.
 func ParseSnapshot(text []byte) (*Snapshot, error) {
 	switch {
@@ -77,7 +77,7 @@
 	return s, nil
 }
 
-// joinErrors joins the first maxErrors errors and says how many more there are.
+// joinErrors joins the first maxErrors errors and an error that gives the number of further ones, if there are any.
 func joinErrors(errs []error) error {
 	if more := len(errs) - maxErrors; more > 0 {
 		errs = append(errs[:maxErrors:maxErrors], fmt.Errorf("and %d more", more))
@@ -172,7 +172,7 @@
 	return slices.Contains([]string{"debug", "info", "warn", "error"}, text)
 }
 
-// checkAddress returns why text is not HOST:PORT with a port from 1 to 65535; it returns "" if it is.
+// checkAddress returns why text is not HOST:PORT with a port from 1 to 65535, or "" if text is valid.
 func checkAddress(text string) (problem string) {
 	host, port, err := net.SplitHostPort(text)
 	switch {
--- a/internal/controlplane/parse_test.go
+++ b/internal/controlplane/parse_test.go
@@ -72,7 +72,7 @@
 		}
 		value, ok := example[k.Key]
 		if ok != (k.EffectiveFrom != "") {
-			t.Errorf("%s: has an example value: %t, want %t", k.Key, ok, !ok)
+			t.Errorf("%s: the test has an example value: %t, want %t", k.Key, ok, !ok)
 			continue
 		}
 		if !ok {
@@ -83,7 +83,7 @@
 		}
 		_, err := ParseSnapshot([]byte(k.Key + " = " + value))
 		if (err == nil) != ok {
-			t.Errorf("%s: error %v, want accepted: %t", k.Key, err, ok)
+			t.Errorf("%s: ParseSnapshot returned error %v, want it to accept the key: %t", k.Key, err, ok)
 		}
 	}
 }
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -23,7 +23,7 @@
 	Active          []RevisionCount `json:"acting,omitempty"`  // members by active revision, highest first
 	OtherRevisions  int             `json:"others,omitempty"`  // members whose active revision is not in Active
 	Laggards        []Laggard       `json:"lacking,omitempty"` // members on which Latest is not active
-	UnnamedLaggards int             `json:"more,omitempty"`    // further laggards, not in Laggards
+	UnnamedLaggards int             `json:"more,omitempty"`    // number of laggards that are not in Laggards
 }
 
 // RevisionCount is the number of members on which a revision is active.
@@ -37,8 +37,10 @@
 
 // Reasons of a Laggard.
 const (
-	ReasonBehind       LaggardReason = "behind"  // the member has not reported yet that the snapshot is active
-	ReasonDisconnected LaggardReason = "cut"     // the member's connection has ended, and gossip has not shown it since
+	ReasonBehind LaggardReason = "behind" // the member has not reported yet that the snapshot is active
+	// ReasonDisconnected means that the member's connection has ended, and that gossip has not shown since then that
+	// the member is reachable.
+	ReasonDisconnected LaggardReason = "cut"
 	ReasonRejected     LaggardReason = "refused" // the member cannot activate the snapshot; Error says why
 )
 
@@ -46,8 +48,8 @@
 // operator can help them.
 var laggardReasonOrder = []LaggardReason{ReasonRejected, ReasonDisconnected, ReasonBehind}
 
-// rank returns the index of a reason in laggardReasonOrder. An unknown reason, as another version of the program may
-// send, comes first.
+// rank returns the index of a reason in laggardReasonOrder. It returns 0 for an unknown reason, which another version
+// of the program may send, so that such laggards come first.
 func (r LaggardReason) rank() int { return max(slices.Index(laggardReasonOrder, r), 0) }
 
 // Laggard is a member on which the latest snapshot is not active.
@@ -90,8 +92,8 @@
 	return best.Revision
 }
 
-// truncate sorts the lists of a report and limits their lengths. Entries that it leaves out are added to OtherRevisions
-// and UnnamedLaggards.
+// truncate sorts the lists of a report and limits their lengths. It adds the counts of the entries that it removes to
+// OtherRevisions and UnnamedLaggards.
 func (r *Report) truncate() {
 	slices.SortFunc(r.Active, func(x, y RevisionCount) int {
 		return cmp.Or(
--- a/internal/controlplane/report_test.go
+++ b/internal/controlplane/report_test.go
@@ -20,7 +20,7 @@
 		aggregators := make([]ReportAggregator, n)
 		want := map[Revision]int{}
 		var root Report
-		for i := n - 1; i >= 0; i-- { // a parent comes before its children
+		for i := n - 1; i >= 0; i-- { // a parent has a lower index than its children
 			local := LocalMember{Name: fmt.Sprint("m", i), Published: latest, Active: latest}
 			switch rapid.IntRange(0, 5).Draw(t, "state") {
 			case 0:
@@ -39,14 +39,16 @@
 			}
 		}
 		if root.Members != n || root.Latest != latest || root.ActiveOn(latest) != want[latest] {
-			t.Fatalf("latest %v, %d members, %d of them on the latest, want %v, %d, %d", root.Latest, root.Members,
-				root.ActiveOn(latest), latest, n, want[latest])
+			t.Fatalf("the root's report has %d members, %d on the latest revision %v, "+
+				"want %d members, %d on the latest revision %v",
+				root.Members, root.ActiveOn(latest), root.Latest, n, want[latest], latest)
 		}
 		sum := root.OtherRevisions
 		for _, c := range root.Active {
 			sum += c.Count
 			if c.Count > want[c.Revision] {
-				t.Fatalf("%d members on %v, want at most %d", c.Count, c.Revision, want[c.Revision])
+				t.Fatalf("the root's report has %d members with active revision %v, want at most %d",
+					c.Count, c.Revision, want[c.Revision])
 			}
 		}
 		laggards := root.UnnamedLaggards
@@ -88,15 +90,16 @@
 	var aggregator ReportAggregator
 	for i := range maxSubscribers + 10 {
 		if aggregator.Add(0, fmt.Sprint(i), oversized) != (i < maxSubscribers) {
-			t.Fatalf("subscriber %d is accepted: %t, want %t", i, i >= maxSubscribers, i < maxSubscribers)
+			t.Fatalf("Add of subscriber %d returned %t, want %t", i, i >= maxSubscribers, i < maxSubscribers)
 		}
 	}
 	r := aggregator.Aggregate(Revision{}, nil)
 	text, err := json.Marshal(r)
 	if err != nil || len(text) > MaxReportSize ||
 		len(r.Laggards) != MaxLaggards || len(r.Active) != MaxRevisionCounts {
-		t.Errorf("the report has %d bytes, want at most %d; it has %d laggards, want %d, and %d revisions, want %d: %v",
-			len(text), MaxReportSize, len(r.Laggards), MaxLaggards, len(r.Active), MaxRevisionCounts, err)
+		t.Errorf("the report has %d bytes (error %v), %d laggards and %d revisions, "+
+			"want at most %d bytes (no error), %d laggards and %d revisions",
+			len(text), err, len(r.Laggards), len(r.Active), MaxReportSize, MaxLaggards, MaxRevisionCounts)
 	}
 	t.Logf("the longest report has %d bytes", len(text))
 	for i := range maxSubscribers {
--- a/internal/controlplane/reporting.go
+++ b/internal/controlplane/reporting.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxSilentIntervals limits how long a connected subscriber may send no report, as a multiple of
-// FollowerConfig.MaxReportInterval. After that it counts as disconnected. A higher value tolerates more lost reports,
-// but counts a subscriber that hangs for longer.
+// maxSilentIntervals is the time without a report after which a subscriber is treated as disconnected, as a multiple
+// of FollowerConfig.MaxReportInterval. A higher value tolerates more lost reports, but counts a subscriber that hangs
+// for longer.
 const maxSilentIntervals = 3
 
 // reportSchedule decides when a Follower reports to its upstream.
@@ -34,8 +34,8 @@
 	s.graceEndsAt = until
 }
 
-// expireSubscribers disconnects subscribers that have sent no report for too long, and removes disconnected ones whose
-// retention time has passed.
+// expireSubscribers disconnects subscribers that have sent no report for too long, and removes disconnected subscribers
+// whose retention time has passed.
 func (f *Follower) expireSubscribers(now time.Duration) {
 	s := &f.reports
 	if s.expiresAt != 0 && now < s.expiresAt && !s.changed {
@@ -49,9 +49,9 @@
 
 // reportIfDue sends a report if the maximum interval has passed, or if the report has changed and is due.
 //
-// A changed report is due after a delay, which depends on the times of the last report and of the change. This prevents
-// a new snapshot, which reaches all members at once, from making each member send one report upstream for each of its
-// subscribers.
+// A changed report is due after a delay, which depends on the times of the last report and of the change. Without the
+// delay, each member would send one report upstream for each of its subscribers after a new snapshot, because a new
+// snapshot reaches all members at once.
 func (f *Follower) reportIfDue(now time.Duration, actions []Action) []Action {
 	s := &f.reports
 	if s.gracePeriod && now >= s.graceEndsAt {
@@ -76,13 +76,14 @@
 	return actions
 }
 
-// changeDue returns when a change is reported. The delay lets further changes go into the same report.
+// changeDue returns the time at which a pending change is due to be reported. The delay lets further changes go into
+// the same report.
 func (f *Follower) changeDue() time.Duration {
 	return max(f.reports.sentAt+f.cfg.MinReportInterval, f.reports.pendingSince+f.cfg.ReportDelay)
 }
 
-// nextReport returns the next time at which a report is due, or may change because an entry or the grace period
-// expires.
+// nextReport returns the next time at which a report is due, or may change because an entry of Follower.subscribers
+// expires or the grace period ends.
 func (f *Follower) nextReport() time.Duration {
 	s := &f.reports
 	at := s.sentAt + f.cfg.MaxReportInterval
@@ -98,8 +99,8 @@
 	return at
 }
 
-// Report returns the report of this member and those below it. The caller sends it once when it connects to an
-// upstream; later reports are sent by SendReport.
+// Report returns the report of this member and the members below it. The caller sends this report once when it connects
+// to an upstream. Handle returns later reports as SendReport actions.
 func (f *Follower) Report() Report {
 	return f.subscribers.Aggregate(f.published.Revision, &LocalMember{
 		Name:        f.cfg.Self,
--- a/internal/controlplane/revision.go
+++ b/internal/controlplane/revision.go
@@ -31,7 +31,7 @@
 type Revision struct {
 	Epoch   uint64 `json:"epoch"`   // chosen by the operator when the origins are bootstrapped
 	Version uint64 `json:"version"` // number of changes that the origins accepted in the epoch, from 1
-	Hash    string `json:"hash"`    // hexadecimal SHA-256 of the text; empty in gossip, which does not carry it
+	Hash    string `json:"hash"`    // hexadecimal SHA-256 of the text; empty in a revision received by gossip
 }
 
 // Compare orders revisions by epoch, then by version. It returns -1, 0 or 1. Two revisions that compare equal and
@@ -59,7 +59,7 @@
 	r.Hash = printable(r.Hash, maxHashLength)
 }
 
-// Frame is a snapshot as it is sent. It is always complete, never a difference to another snapshot.
+// Frame is a snapshot in the form in which it is sent. It is always complete, never a difference to another snapshot.
 type Frame struct {
 	Cluster  string   `json:"fleet"`
 	Revision Revision `json:"stamp"`
--- a/internal/controlplane/script_test.go
+++ b/internal/controlplane/script_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// argument returns the value of an argument, "yes" if it has no value, or defaultValue if it is absent.
+// argument returns the value of an argument, "yes" for an argument without value, or defaultValue if it is absent.
 func argument(d *datadriven.TestData, key, defaultValue string) string {
 	for _, a := range d.CmdArgs {
 		if a.Key != key {
@@ -83,7 +83,7 @@
 	epoch, err1 := strconv.ParseUint(epochText, 10, 64)
 	version, err2 := strconv.ParseUint(versionText, 10, 64)
 	if !ok || err1 != nil || err2 != nil {
-		t.Fatalf("%q is not a revision", text)
+		t.Fatalf("%q is not a revision, want EPOCH.VERSION", text)
 	}
 	return Revision{Epoch: epoch, Version: version}
 }
@@ -171,7 +171,7 @@
 	case "reported":
 		return ReportReceived{From: d.CmdArgs[0].Key, Report: s.report(d)}
 	}
-	s.t.Fatalf("unknown directive %q", d.Cmd)
+	s.t.Fatalf("unknown directive %q, want one that the comment of TestScripts lists", d.Cmd)
 	return nil
 }
 
@@ -194,7 +194,7 @@
 	var out []string
 	for n := 0; s.follower.NextTick() <= end; n++ {
 		if n > maxTicks {
-			s.t.Fatalf("the follower needs more than %d ticks in %v", maxTicks, d)
+			s.t.Fatalf("NextTick returns %v after %d ticks, want a time after %v", s.follower.NextTick(), n, end)
 		}
 		s.now = max(s.now, s.follower.NextTick())
 		for _, line := range formatActions(s.follower.Handle(s.now, Tick{})) {
@@ -233,7 +233,7 @@
 		case "more":
 			r.UnnamedLaggards = s.number(w[1])
 		default:
-			s.t.Fatalf("unknown line %q in a report", line)
+			s.t.Fatalf("unknown line %q in a report, want members, latest, active, laggard or more", line)
 		}
 	}
 	return r
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -9,8 +9,8 @@
 	Settings Settings
 }
 
-// Settings are the values of a snapshot. A nil value leaves the setting of the process's start unchanged. settingRules
-// lists when a change of each setting takes effect.
+// Settings are the values of a snapshot. For a nil value, the value with which the process started applies.
+// settingRules lists when a change of each setting takes effect.
 //
 // The names of these types and fields must not change, since they appear in errors of the decoder, which operators see.
 type Settings struct {
@@ -30,7 +30,7 @@
 
 // Fleet describes the cluster.
 type Fleet struct {
-	Sidecars *int64 `toml:"sidecars"` // number of members, for a member that starts and knows no other; 1 to 100,000
+	Sidecars *int64 `toml:"sidecars"` // number of members from which the estimate of the size starts; 1 to 100,000
 }
 
 // Log configures the daemon's own log.
@@ -41,10 +41,10 @@
 // Limits are limits that the balancer reads at each of its decisions. They can only lower the platform's limits.
 type Limits struct {
 	MaxAttempts  *int64 `toml:"max_attempts"`  // attempts of one request; 1 to 16
-	SecondCopies *bool  `toml:"second_copies"` // false: requests are not hedged
+	SecondCopies *bool  `toml:"second_copies"` // whether requests may be hedged
 }
 
-// Price sets the prices in balancer.Settings, in points of service. Each is from 0 to 1,000,000.
+// Price sets the prices in balancer.Settings, in shares of service as defined there. Each is from 0 to 1,000,000.
 type Price struct {
 	CrossZone *float64 `toml:"cross_zone"`
 	Open      *float64 `toml:"open"`
@@ -80,8 +80,8 @@
 	effectiveNextAdmission = "the next admission"
 )
 
-// settingRules is the table of docs/design/controlplane.md. A key without a rule is rejected too: an older program must
-// reject keys that it does not know.
+// settingRules has the rules that docs/design/controlplane.md lists. A key without a rule is rejected too: an older
+// program must reject keys that it does not know.
 var settingRules = []SettingRule{
 	{
 		Key: "discovery.addr",
