--- a/internal/cluster/core.go
+++ b/internal/cluster/core.go
@@ -97,7 +97,7 @@
 	sweepsPerTTL = 8
 
 	// A selection of n random peers makes at most drawsPerPeer*n + extraDraws draws. Higher values find more peers if
-	// most are excluded, and waste more draws if all are excluded.
+	// most peers are excluded, and waste more draws if all peers are excluded.
 	drawsPerPeer = 4
 	extraDraws   = 8
 )
--- a/internal/cluster/gossip/config.go
+++ b/internal/cluster/gossip/config.go
@@ -19,7 +19,7 @@
 	Core           cluster.Config // ProcessID and AllowAddress are set by New
 	ConfiguredSize int            // number of members according to the settings
 	Listen         string         // IP address and port at which the node receives datagrams and streams
-	AllowedPeers   *netipx.IPSet  // networks of the peers; messages from others are dropped
+	AllowedPeers   *netipx.IPSet  // networks of the peers; messages from other addresses are dropped
 	Translations   []AddressTranslation
 
 	// OnNotice is called with active set to true when a notice of another member about an
--- a/internal/cluster/gossip/http.go
+++ b/internal/cluster/gossip/http.go
@@ -89,7 +89,7 @@
 type peekedConn struct {
 	net.Conn
 	head    []byte // bytes read from Conn and not yet returned by Read
-	onClose func() // called by each call of Close; may be nil
+	onClose func() // each call of Close calls onClose; may be nil
 }
 
 // Read returns the bytes in head first, and then reads from the connection.
--- a/internal/cluster/notices.go
+++ b/internal/cluster/notices.go
@@ -12,7 +12,7 @@
 	reportedAt time.Duration
 }
 
-// currentNotice returns a notice for a message, with its current age.
+// currentNotice returns n in the form for a message, with the current age of the notice.
 func (c *Core) currentNotice(n *notice) EndpointNotice {
 	current := n.EndpointNotice
 	current.Age = c.now - n.reportedAt
--- a/internal/controlplane/fetch.go
+++ b/internal/controlplane/fetch.go
@@ -10,7 +10,7 @@
 	// bounds the number of fetches for a revision that no member has. With a higher value, fewer fetches fail, but the
 	// first fetch after many failed ones starts later.
 	maxFetchBackoff = 16
-	// fetchBackoffFactor is the factor by which the time between fetches grows with each of them. A higher value
+	// fetchBackoffFactor is the factor by which the time between fetches grows with each fetch. A higher value
 	// reaches maxFetchBackoff sooner.
 	fetchBackoffFactor = 2
 )
--- a/internal/controlplane/parse_test.go
+++ b/internal/controlplane/parse_test.go
@@ -72,7 +72,7 @@
 		}
 		value, ok := example[k.Key]
 		if ok != (k.EffectiveFrom != "") {
-			t.Errorf("%s: the test has an example value: %t, want %t", k.Key, ok, !ok)
+			t.Errorf("%s: the map example has a value for this key: %t, want %t", k.Key, ok, !ok)
 			continue
 		}
 		if !ok {
