--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -3,13 +3,13 @@
 // Admission control decides which requests are shed on arrival, that is, rejected without an attempt, so
 // that the remaining ones are served in time.
 //
-// A request is shed while the pressure is above the level that its rank allows, or while so many requests
-// end late that requests of its rank are no longer admitted. Where probes are cheap, such a request is not
-// shed at once but marked undecided; the load that a pair of probed endpoints reports then decides
+// A request is shed if the pressure is above the level that its rank allows, or if so many requests end
+// late that requests of its rank are no longer admitted. Where probes are cheap, such a request is not shed
+// at once but marked undecided; the load that a pair of probed endpoints reports then decides
 // (pairadmission.go).
 //
-// Inputs: the rank of the request's weight among recent ones (0 to 1; weight.go), the pressure
-// (pressure.go) and the admitted share (share of requests; admissionlimits.go).
+// Inputs: the rank of the request's weight among the weights of recent requests (0 to 1; weight.go), the
+// pressure (pressure.go) and the admitted share (share of requests; admissionlimits.go).
 //
 // Why: if all requests wait while the load exceeds the capacity, all of them end late, and late work
 // displaces work that could still be in time. Requests of the lowest weight are shed first.
@@ -43,14 +43,14 @@
 	meter   pressureMeter
 	limits  admissionLimits
 	weights recentRanks
-	shedAt  time.Duration // when a request was last shed or undecided on arrival; 0 if shedding has stopped
+	shedAt  time.Duration // when a request was last shed or undecided on arrival; 0 if load shedding has stopped
 }
 
 func newAdmissionControl() admissionControl {
 	return admissionControl{meter: newPressureMeter(), limits: newAdmissionLimits()}
 }
 
-// admit decides whether an arriving request is admitted.
+// admit sets the rank of an arriving request and decides whether the request is admitted.
 func (b *Balancer) admit(r *request) admissionVerdict {
 	r.rank = b.admission.weights.rankAndAdd(b.weightOf(r), b.rng.Float64())
 	ok := b.admission.allows(r.rank, b.pressure())
@@ -69,9 +69,9 @@
 	return pressure <= fullPressure+rankAllowance*rank && rank >= 1-a.limits.admittedShare
 }
 
-// logShedding logs when requests start and stop being refused admission on arrival. An undecided request
-// counts as refused, even though its pair may still admit it. Requests that admitToPair sheds do not count
-// and appear in no log line.
+// logShedding logs the start and the end of load shedding on arrival; ok reports whether the arriving
+// request was admitted. An undecided request counts as shed, although its pair may still admit it. Requests
+// that admitToPair sheds later are not logged.
 func (b *Balancer) logShedding(ok bool) {
 	a := &b.admission
 	if !ok && a.shedAt == 0 {
--- a/balancer/admissionlimits.go
+++ b/balancer/admissionlimits.go
@@ -8,32 +8,32 @@
 // Inputs: when a request ended and its objective (times of Handle's clock), the pressure, and whether the
 // endpoint of its latest attempt has answered since that attempt was sent.
 //
-// Why: endpoints that slow down under overload do so long before latencies approach objectives that are
-// many times the work of a request, so the wait limit adapts to them. Pressure does not detect congestion
-// that many quiet sidecars sustain with one or two requests in flight each; lowering the admitted share
-// ends it.
+// Why: if objectives are many times the work of a request, endpoints may slow down under overload long
+// before latencies approach the objectives. A lower wait limit then keeps the queues short. Pressure does
+// not detect the congestion that many quiet sidecars sustain with one or two requests in flight each. A
+// lower admitted share ends this congestion.
 
 const (
-	// maxWaitLimit is the largest share of their objective that requests in flight may wait. A higher value
-	// sheds fewer requests and lets more of them end late.
+	// maxWaitLimit is the upper bound of the wait limit. With a higher value, fewer requests are shed, and
+	// more of them end late.
 	maxWaitLimit = 0.65
 	// minWaitLimit is the lower bound of the wait limit, reached where endpoints are overloaded. With a
 	// higher value, fewer requests are shed while endpoints are overloaded, and more of them end late.
 	minWaitLimit = 0.33
 	// waitLimitStep is the relative decrease of the wait limit for each request that an overloaded endpoint
-	// made late. A higher value follows a slowdown sooner, but also reacts more to chance.
+	// made late. With a higher value, the limit follows a slowdown sooner, but also reacts more to chance.
 	waitLimitStep = 0.06
 	// allowedLateShare is the share of late requests that leaves the wait limit unchanged: a request in
-	// time raises the limit by allowedLateShare times as much as a late one lowers it. A higher value sheds
-	// fewer requests and lets more of them end late.
+	// time raises the limit by allowedLateShare times as much as a late one lowers it. With a higher value,
+	// fewer requests are shed, and more of them end late.
 	allowedLateShare = 0.05
 	// admittedIncrease multiplies the admitted share for each request in time, and admittedDecrease for
 	// each late one. They balance when four in ten requests are late. Values closer to 1 make the share
 	// steadier, and congestion lasts longer.
 	admittedIncrease = 1.3
 	admittedDecrease = 0.7
-	// minAdmittedShare is the smallest share of requests that is admitted. A higher value detects the end
-	// of congestion sooner, but admits more work that sustains it.
+	// minAdmittedShare is the smallest share of requests that is admitted. With a higher value, the end of
+	// congestion is detected sooner, but more requests are admitted that sustain the congestion.
 	minAdmittedShare = 0.1
 	// maxAdmittedShare is the upper bound of the admitted share. It is above 1 because a few consecutive
 	// late requests happen by chance. With a higher value, it takes more consecutive late requests until
@@ -44,7 +44,7 @@
 // admissionLimits are the limits that late requests lower. A request is in time if it ends, answered or
 // not, before its objective less the deadline margin; otherwise it is late.
 type admissionLimits struct {
-	wait          float64 // share of their objective that requests in flight may wait
+	wait          float64 // wait limit: share of its objective that a request in flight may wait
 	admittedShare float64 // share of requests to admit, highest ranks first; 1 or more admits all
 }
 
@@ -68,9 +68,10 @@
 }
 
 // adaptLimits raises the limits after a request that ended in time, and lowers them after one that ended
-// late. It lowers the admitted share in any case, but the wait limit only under pressure and if the
-// endpoint has answered since it was sent the latest attempt: an endpoint that has not answered is paused
-// or hung, not overloaded.
+// late. A late request always lowers the admitted share. It lowers the wait limit only if the pressure is
+// above fullPressure and the endpoint of the latest attempt has answered since that attempt was sent: an
+// endpoint that has not answered is paused or hung, not overloaded. A request without an attempt changes no
+// limit.
 func (b *Balancer) adaptLimits(r *request) {
 	if len(r.attempts) == 0 {
 		return
--- a/balancer/affinity.go
+++ b/balancer/affinity.go
@@ -9,15 +9,15 @@
 // overload a small number of endpoints.
 
 const (
-	// minKeyEndpoints is the minimum number of endpoints for each key. It is two, so that the one with the
-	// lower load can be chosen. A higher value balances loads better and causes more cache misses.
+	// minKeyEndpoints is the minimum number of endpoints for each key. With two endpoints, the one with the
+	// lower load can be picked. A higher value balances loads better and causes more cache misses.
 	minKeyEndpoints = 2
-	// keySpread determines how many endpoints a key gets in addition to minKeyEndpoints: their share of all
-	// endpoints is keySpread times the key's share of requests. A higher value balances the load of keys
+	// keySpread determines how many endpoints a key gets in addition to minKeyEndpoints: the number of all
+	// endpoints times keySpread times the key's share of requests. A higher value balances the load of keys
 	// with much traffic better, and causes more cache misses.
 	keySpread = 2.0
-	// keyFrequencyMemory is the number of recent requests from which the shares of keys are computed. A
-	// higher value makes shares steadier, and a key that becomes hot spreads to more endpoints later.
+	// keyFrequencyMemory is the number of recent requests from which the shares of keys are computed. With
+	// a higher value, the shares are steadier, but a key whose traffic grows gets more endpoints later.
 	keyFrequencyMemory = 200.0
 )
 
@@ -31,9 +31,10 @@
 	r.keyEndpointCount = minKeyEndpoints + int(share*float64(len(b.endpoints)))
 }
 
-// withAffinity restricts the candidates to the endpoints of the request's key, if it has one. They are
-// chosen by rendezvous hashing of the key, so that all sidecars choose the same ones and requests reach
-// endpoints that have the result cached. Among them, the endpoint with the lower load is still preferred.
+// withAffinity restricts the candidates to the endpoints of the request's key, if the request has a key.
+// Rendezvous hashing of the key chooses these endpoints: all sidecars choose the same ones, so that
+// requests reach endpoints that have the result cached. The pick among these endpoints still depends on
+// their loads.
 func (b *Balancer) withAffinity(c candidates) candidates {
 	r := c.request
 	if r.keyHash == 0 {
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -77,25 +77,25 @@
 	PriceHandshake      float64 // price of one new connection for each request
 	PriceProbe          float64 // price of one probe for each request
 
-	OverQuotaWeight float64 // factor, as a share, on the weight of requests beyond their tenant's quota
+	OverQuotaWeight float64 // share of their weight that requests beyond their tenant's quota keep
 	WeightByWork    bool    // weights are per unit of work, not per request
 
 	// Settings of slow start (slowstart.go).
 
-	// InitialCapacity is the share of its full capacity, 0 to 1, that an endpoint has at least when it has just
-	// started. If absent, it is 1. With a higher value, an endpoint gets more load from the start and is overloaded
-	// if its actual capacity is lower.
+	// InitialCapacity is the minimum capacity of an endpoint that has just started, as a share of its full capacity, 0
+	// to 1. If absent, it is 1. With a higher value, an endpoint gets more load from the start and is overloaded if its
+	// actual capacity is lower.
 	InitialCapacity float64
-	// WarmUp is the time after its start at which an endpoint has its full capacity. With a higher value, slow start
+	// WarmUp is the time from the start of an endpoint until it has its full capacity. With a higher value, slow start
 	// takes longer, and requests wait where many endpoints start together.
 	WarmUp time.Duration
 	// OverloadMultiple determines the load that overloads an endpoint that is warming up: OverloadMultiple times its
-	// current capacity, for OverloadDuration. If absent, there is no such limit, and the endpoint gets its share of
-	// the load in proportion to its current capacity. With a higher value, the endpoint gets more load and fewer
-	// requests wait, but it is overloaded if it tolerates less.
+	// current capacity, for OverloadDuration. If absent, the endpoint gets at most the mean load in proportion to its
+	// current capacity. A higher value allows more load, so that fewer requests wait, but if it is too high, the
+	// endpoint is overloaded.
 	OverloadMultiple float64
-	// OverloadDuration limits the length of bursts to an endpoint that is warming up. A higher value allows longer
-	// bursts.
+	// OverloadDuration is how long the load that OverloadMultiple determines must last to overload the endpoint. It
+	// determines the size of bursts to the endpoint. A higher value allows larger bursts.
 	OverloadDuration time.Duration
 }
 
@@ -139,10 +139,10 @@
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
-	// NewlyReached reports, for kind WatchFailed, that the service that failed the call can now be reached, as far as
-	// is known, and could not be reached before. The pauses between calls then start again from the first one.
-	// Otherwise, a service that comes back and at first rejects all callers would still be called at the intervals of
-	// a long outage, and draining endpoints would be noticed seconds late.
+	// NewlyReached reports, for kind WatchFailed, that the service that failed the call has become reachable again, as
+	// far as is known. The pauses between calls then start again from the first pause. Otherwise, a service that comes
+	// back and at first rejects all callers would still be called at the intervals of a long outage, and draining
+	// endpoints would be noticed seconds late.
 	NewlyReached bool
 }
 
@@ -262,8 +262,8 @@
 	Log
 )
 
-// Action is an instruction to the sidecar. Only the fields that the comment of its kind names are set, and ID if it
-// concerns a request.
+// Action is an instruction to the sidecar. The comment of its kind names the fields that are set. ID is also set if the
+// action concerns a request.
 type Action struct {
 	Kind       ActionKind
 	ID         string
@@ -272,10 +272,10 @@
 	Timeout    time.Duration
 	RetryAfter time.Duration
 	At         time.Duration
-	// NotAfter is when the endpoints may have dropped the record of a keyed request that was sent before; 0 if there
-	// is no limit. It prevents a retry that was decided inside the idempotency window from waiting for a connection,
-	// being written after the window and running a second time. The transport compares it with the clock immediately
-	// before it writes the first byte.
+	// NotAfter is the time from which the endpoints may have dropped the record of a keyed request that was sent
+	// before; 0 if there is no limit. It prevents a second run of a request whose retry is decided inside the
+	// idempotency window, but waits for a connection until the window is over. The transport compares NotAfter with the
+	// clock immediately before it writes the first byte.
 	NotAfter   time.Duration
 	Text       string
 	Attributes []Attribute
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -30,7 +30,7 @@
 	classes       map[string]*classState
 	requests      map[string]*request
 	endpointsByID map[string]*endpoint
-	endpoints     []*endpoint // in order of first appearance; picks depend on no other order
+	endpoints     []*endpoint // in order of first appearance, which makes picks reproducible
 
 	subscription   subscription
 	latency        latencyEstimates
@@ -77,7 +77,7 @@
 }
 
 // Handle processes the event e, which happened at now, appends the resulting actions to actions and returns
-// the extended slice. If now is before the time of an earlier call, that time is used.
+// the extended slice. If now is before the time of an earlier call, the time of that call is used.
 func (b *Balancer) Handle(now time.Duration, e Event, actions []Action) []Action {
 	b.now = max(now, b.now)
 	b.actions = actions
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -5,11 +5,12 @@
 //
 // A request has three time limits:
 //
-//   - Objective (objectiveAt): an answer up to this time has its full weight; a later one has LateWeight of
-//     it.
+//   - Objective (objectiveAt): an answer up to this time has its full weight. A later answer has only the
+//     share LateWeight of the weight.
 //   - Deadline (deadline): at this time the sidecar gives the request up and answers it itself.
-//   - Expiry (expiresAt): at this time the client stops waiting. The deadline precedes it by a margin for
-//     the delivery of the answer, and also precedes the objective if a late answer has no weight.
+//   - Expiry (expiresAt): at this time the client stops waiting. The deadline is earlier than the expiry by
+//     a margin for the delivery of the answer. If a late answer has no weight, the deadline is also earlier
+//     than the objective.
 //
 // Inputs: the class's latency objective, objective stretch, deadline and late weight; the expected work;
 // the client's deadline; the tick; and the arrival time of the client's first attempt (firstattempt.go).
@@ -23,18 +24,18 @@
 
 // Times in ticks are multiples of Settings.Tick, which is the longest delay before the sidecar can act.
 const (
-	// deadlineMarginTicks is the margin, in ticks, before each time limit that others enforce: the client's
-	// deadline, the objective, and the end of an idempotency window. It covers the delivery if the next
-	// events are handled a tick late. With a higher value, fewer answers and attempts are too late, but all
+	// deadlineMarginTicks is the margin, in ticks, before the client's deadline, the objective, and the end
+	// of an idempotency window. It leaves time to deliver an answer or an attempt if the sidecar handles
+	// the next events a tick late. With a higher value, fewer answers and attempts are too late, but all
 	// have less time.
 	deadlineMarginTicks = 2
 	// noWeightMarginTicks is the margin, in ticks, before the time from which an answer has no weight. With
-	// a higher value, fewer requests are served in vain, but more are given up that would just have been in
-	// time.
+	// a higher value, fewer requests are served in vain, but more requests are given up that would just
+	// have been in time.
 	noWeightMarginTicks = 1
 )
 
-// deadlineMargin returns the margin that is kept before each time limit for the delivery.
+// deadlineMargin returns the margin of deadlineMarginTicks as a duration.
 func (s *Settings) deadlineMargin() time.Duration { return deadlineMarginTicks * s.Tick }
 
 // setDeadlines sets r's objective and deadline, and whether r is a late client retry.
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -12,9 +12,9 @@
 import "time"
 
 const (
-	// minEjection is the duration of the first ejection. The duration doubles with each failed trial, up to
-	// maxEjection. With higher values, fewer requests are lost to trials, but endpoints that recover return
-	// later.
+	// minEjection is the duration of the first ejection. After an ejection, the endpoint gets single
+	// attempts as trials (isHealthyFor). The duration doubles with each failed trial, up to maxEjection.
+	// With higher values, fewer requests are lost to trials, but endpoints that recover return later.
 	minEjection = time.Second
 	maxEjection = 8 * time.Second
 	// maxEjectionDoublings limits the number of doublings, so that the duration cannot overflow before
@@ -26,7 +26,7 @@
 	minEjectionJitter  = 0.75
 	ejectionJitterSpan = 0.5
 	// ejectionThreshold is the number of consecutive error answers or broken connections that causes an
-	// ejection. Two happen by chance, because connections may break although the process is running, and if
+	// ejection. Two happen by chance, because connections may break although the process is running. If
 	// several healthy endpoints were ejected together, the others would get all of the load. With a higher
 	// value, fewer healthy endpoints are ejected, but failing ones get more requests.
 	ejectionThreshold = 3
@@ -52,7 +52,7 @@
 	errorAnswers int           // consecutive error answers
 	ejections    int           // consecutive ejections without a successful answer between them
 	ejectedUntil time.Duration
-	unreachable  bool // ejected for silence or refused or broken connections, not for error answers
+	unreachable  bool // ejected for silence or for refused or broken connections, not for error answers
 }
 
 // isEjected reports whether the endpoint is ejected at now.
@@ -61,7 +61,8 @@
 // isOnTrial reports whether the endpoint has not answered successfully since it was ejected.
 func (h *health) isOnTrial() bool { return h.ejections > 0 }
 
-// recordAnswer records an answer, which shows that the endpoint is healthy or is able to reject requests.
+// recordAnswer resets the health after a successful answer or a rejection: both show that the endpoint
+// works.
 func (h *health) recordAnswer(now time.Duration) { *h = health{answeredAt: now} }
 
 // recordFailure counts an attempt, sent at sentAt, that ended without an answer.
@@ -83,10 +84,10 @@
 	return !ep.health.isOnTrial() || len(ep.outstanding) == 0 && r.class.Effect != NonIdempotent
 }
 
-// updateHealth ejects an endpoint that refuses a connection, breaks several in a row, answers only with
-// errors, or is silent. This covers crashed endpoints, whose immediate refusals look fast, hung ones, and
-// failing ones. An error answer already counts as a long latency (penaltyObjectives), but if the queues of
-// all other endpoints take longer than that, the failing endpoint still looks fast.
+// updateHealth ejects an endpoint that refuses a connection, breaks several connections in a row, answers
+// only with errors, or is silent. Such an endpoint has crashed, fails or hangs. An error answer already
+// counts as a long latency (penaltyObjectives), but if requests wait longer than that in the queues of all
+// other endpoints, the failing endpoint still looks fast.
 func (b *Balancer) updateHealth(a *attempt, result Result, elapsed time.Duration) {
 	switch result {
 	case OK, Overloaded:
@@ -103,7 +104,7 @@
 		b.log("endpoint returned after ejection",
 			Attribute{"endpoint", ep.id}, Attribute{"ejections", ep.health.ejections})
 		if ep.health.unreachable && !ep.warmUp.active && b.settings.WarmUp > 0 {
-			b.startWarmUp(ep, b.now) // may be a new process that the list shows only seconds later
+			b.startWarmUp(ep, b.now) // ep may be a new process that the list shows only seconds later
 		}
 	}
 	ep.health.recordAnswer(b.now)
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -27,7 +27,7 @@
 	latency     peakEWMA   // normalized latency
 	outstanding []*attempt // oldest first
 
-	inFlight       float64       // reported requests in flight plus those sent since the report
+	inFlight       float64       // requests in flight at the latest load report, plus attempts sent since
 	reportedAt     time.Duration // when a load report was last received; 0 if never
 	reportFailedAt time.Duration // when a probe last ended without a load report
 	probeSentAt    time.Duration // when the outstanding probe was sent; 0 if there is none
@@ -43,7 +43,8 @@
 		b.handleWatchFailed(e)
 		return
 	}
-	// The subscription is also confirmed if the Balancer did not ask for it: the sidecar may have its own.
+	// The subscription is also confirmed if the Balancer did not request it: the sidecar may have
+	// subscribed by itself.
 	if e.Kind != OutOfBand && (b.subscription.pending || e.Kind != CachedList) {
 		b.confirmSubscription()
 	}
@@ -85,8 +86,9 @@
 	ep.cell = entry.Cell
 }
 
-// addEndpoint adds an endpoint for entry. It replaces previous, the former process with that ID, or is
-// appended to the list if previous is nil. Nothing that was learned about the former process is kept.
+// addEndpoint adds an endpoint for entry. The new endpoint replaces previous, the former process with the
+// same ID. If previous is nil, the new endpoint is appended to the list. Nothing that was learned about the
+// former process is kept.
 func (b *Balancer) addEndpoint(entry Endpoint, previous *endpoint) *endpoint {
 	ep := &endpoint{
 		id:        entry.ID,
@@ -101,7 +103,7 @@
 	b.endpointsByID[ep.id] = ep
 	if i := slices.Index(b.endpoints, previous); previous != nil && i >= 0 {
 		b.endpoints[i] = ep
-		previous.listed = false // requests that probed it still refer to it
+		previous.listed = false // requests whose probed pair contains previous still refer to it
 	} else {
 		b.endpoints = append(b.endpoints, ep)
 	}
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -7,39 +7,39 @@
 // seconds; normalized latencies are divided by the relative expected work.
 //
 // Why: decisions compare endpoints by the time that they take for the same work. An error, or an attempt
-// that was ended early, must not make an endpoint look fast, and a costly request must not make one look
-// slow.
+// that was ended early, must not make an endpoint look fast, and a costly request must not make an endpoint
+// look slow.
 
 import "time"
 
 // Constants whose names contain "Objectives" are multiples of the mean latency objective over all classes.
 const (
-	// decayObjectives is the time in which an endpoint's latency estimate decays. It is long enough to get
-	// answers from all endpoints. A higher value makes estimates steadier, and a change of an endpoint is
-	// noticed later.
+	// decayObjectives is the time in which the weight of an endpoint's latency estimate falls to 1/e. The
+	// time is long enough to get answers from all endpoints. A higher value makes estimates steadier, and a
+	// change of an endpoint is noticed later.
 	decayObjectives = 4.0
 	// penaltyObjectives is the minimum latency that an error answer counts as: it is as bad as a missed
 	// objective. With a higher value, endpoints that return errors get fewer requests.
 	penaltyObjectives = 1.0
-	// objectivePerLatency is the assumed ratio of the objective to the mean latency until latency has been
-	// measured.
+	// objectivePerLatency is the ratio of the latency objective to the mean latency that the initial
+	// estimates assume.
 	objectivePerLatency = 4.0
-	// initialOverdueObjectives is the latency from which an attempt is overdue until latency has been
-	// measured.
+	// initialOverdueObjectives is the initial estimate of the latency beyond which an attempt is overdue.
 	initialOverdueObjectives = 0.5
 	// meanWeight is the weight of a new sample in exponentially weighted means: roughly the last 50 samples
 	// count. A higher value makes the means follow a change sooner and makes them noisier.
 	meanWeight = 0.02
-	// kindWeight is the weight of a new sample in the means of a kind of endpoint, which gets fewer
-	// samples.
+	// kindWeight is the weight of a new sample in the mean of one kind of endpoint. It is higher than
+	// meanWeight, because each kind gets fewer samples.
 	kindWeight = 0.05
 	// medianProbability is the quantile of normalized latency that counts as the usual latency.
-	// overdueProbability is the quantile beyond which an attempt is overdue; with a higher value, fewer
-	// attempts count as overdue, but hung attempts are noticed later.
-	medianProbability  = 0.5
+	medianProbability = 0.5
+	// overdueProbability is the quantile of normalized latency beyond which an attempt is overdue. With a
+	// higher value, fewer attempts count as overdue, but hung attempts are noticed later.
 	overdueProbability = 0.8
-	// minRelativeWork and maxRelativeWork limit the expected work of a request, in mean requests. With a
-	// wider range, costly requests count for more, even if the expectation is wrong.
+	// minRelativeWork and maxRelativeWork are the bounds of a request's expected work, as a multiple of
+	// that of the mean request (relativeWork). With a wider range, unusually cheap and costly requests are
+	// estimated more exactly if their expected work is right, and less exactly if it is wrong.
 	minRelativeWork = 0.25
 	maxRelativeWork = 8.0
 	// offeredRateMemory is the time over which rates of arriving work are averaged. A higher value makes
@@ -52,7 +52,7 @@
 	mean             float64             // mean latency, in seconds
 	meanNormalized   float64             // mean normalized latency
 	kindMeans        map[string]*float64 // mean normalized latency by kind and zone
-	meanExpectedWork float64             // mean expected work, in seconds; 0 if no request had one
+	meanExpectedWork float64             // mean expected work, in seconds; 0 until it is known for a request
 	median           quantile            // median of normalized latency
 	overdue          quantile            // normalized latency beyond which an attempt is overdue
 }
@@ -96,7 +96,7 @@
 	return min(max(relative, minRelativeWork), maxRelativeWork)
 }
 
-// decayTime returns the time in which an endpoint's latency estimate decays.
+// decayTime returns the time in which the weight of an endpoint's latency estimate falls to 1/e.
 func (b *Balancer) decayTime() time.Duration { return seconds(decayObjectives * b.meanObjective) }
 
 // usualLatency returns the median latency of attempts with the expected work of r.
--- a/balancer/firstattempt.go
+++ b/balancer/firstattempt.go
@@ -4,7 +4,7 @@
 // Requests do not indicate that they are retries; they are recognized by how long the client will still wait.
 //
 // Inputs: the client's deadline, the class's deadline, the tick, the time left to the deadline with which
-// requests of the class usually arrive, and the arrival times of requests that nobody served. All are
+// requests of the class usually arrive, and the arrival times of requests that no endpoint served. All are
 // durations or times of Handle's clock.
 //
 // Why: a client retry that arrives after the objective of its first attempt is worth less, or nothing
@@ -41,11 +41,11 @@
 )
 
 // firstAttemptAt returns the arrival time of the client's first attempt at a request that arrives now. It
-// returns now unless the request is recognized as a client retry by its expiry. Most requests of a class
-// have the usual time left. Any other request may have been limited by the deadline of all of the client's
-// attempts, one Deadline after the first. It counts as a retry only if a request that nobody served arrived
-// at that time: requests of clients with a shorter timeout than usual look the same and must not be
-// rejected.
+// returns now unless it recognizes the request as a client retry. A request with the usual time left is not
+// recognized as a retry. Any other expiry may be the deadline of all of the client's attempts, which is one
+// Deadline after the first attempt arrived. The request counts as a retry only if a request arrived at the
+// time of that first attempt and was not served. Without this condition, requests of clients with an
+// unusually short timeout could also count as retries and be rejected.
 func (c *classState) firstAttemptAt(now, expiresAt, tick time.Duration) time.Duration {
 	tolerance := arrivalToleranceTicks * tick
 	if c.timeLeft.observe(expiresAt-now, tolerance) {
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -19,8 +19,8 @@
 const maxHedgePressure = 0.7
 
 // overdueAfter returns how long the latest attempt may be outstanding before it is overdue. If hedging is
-// off, the attempt has to be cancelled before another one is sent, and loses its place in the endpoint's
-// queue. It is then not overdue until the time left is just enough for another attempt.
+// off, the attempt must be cancelled before another one is sent, and its place in the endpoint's queue is
+// lost. The attempt is therefore not overdue until the time left is just enough for another attempt.
 func (b *Balancer) overdueAfter(r *request) time.Duration {
 	factor := float64(int(1) << max(r.outstanding-1, 0)) // doubles with each hedge
 	d := seconds(b.latency.overdue.value * r.relativeWork * factor)
@@ -32,9 +32,9 @@
 
 // handleOverdueAttempt sends a hedge in addition to an overdue attempt. If hedging is off, it cancels the
 // attempt instead, to be followed by another one, provided that the endpoint has not answered since the
-// attempt was sent. Both help if endpoints pause or hang, and both stop by themselves in overload: the retry
-// budget is relative to first attempts, an attempt is overdue relative to the usual latency, and neither is
-// done above maxHedgePressure.
+// attempt was sent. Hedges and replacements help if endpoints pause or hang. In overload both stop: the
+// retry budget is relative to first attempts, the latency beyond which attempts are overdue rises with the
+// measured latencies, and handleOverdueAttempt does nothing above maxHedgePressure.
 func (b *Balancer) handleOverdueAttempt(r *request) {
 	if r.outstanding == 0 || b.now < r.overdueAt || b.retries.isSpent() || b.pressure() > maxHedgePressure {
 		return
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -45,9 +45,9 @@
 // retryForbidden reports whether no further attempt may follow, because an attempt may have run and the
 // request is not idempotent, or it is keyed and its idempotency window is over.
 //
-// Guard: prevents a second effect if a connection breaks after the request was written. That is reported as
-// a reset, which does not prove that the request did not run. It holds because mayAttempt calls
-// retryForbidden before each attempt.
+// Guard: prevents a second effect if a connection breaks after the request was written. The result of such
+// an attempt is Reset, which does not prove that the request did not run. mayAttempt calls retryForbidden
+// before each attempt.
 func (b *Balancer) retryForbidden(r *request) bool {
 	first, ok := r.firstPossibleRun()
 	if !ok {
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -13,8 +13,8 @@
 import "math"
 
 const (
-	// secondsPerRequestWeight is the weight of a new sample of the latency per request in flight. A higher
-	// value follows a slowdown sooner and is noisier.
+	// secondsPerRequestWeight is the weight of a new sample of the latency per request in flight. With a
+	// higher value, the estimate follows a slowdown sooner and is noisier.
 	secondsPerRequestWeight = 0.1
 	// maxPlausibleInFlight is the limit above which a reported load is considered an error of the endpoint.
 	// The transports have their own limits on the reports that they pass on.
@@ -23,7 +23,7 @@
 
 // loadEstimates holds estimates from load reports, over all endpoints.
 type loadEstimates struct {
-	secondsPerRequest runningMean // latency divided by the reported requests in flight of the endpoint
+	secondsPerRequest runningMean // latency per request in flight at the endpoint, including the request itself
 	meanInFlight      float64     // mean of reported requests in flight
 }
 
@@ -31,10 +31,12 @@
 	return loadEstimates{secondsPerRequest: runningMean{weight: secondsPerRequestWeight}}
 }
 
-// loadOf returns latency × (outstanding attempts + 1), with two exceptions. The estimate of an idle
-// endpoint decays towards the mean of its kind, not to zero, because an idle endpoint is not necessarily
-// fast. The latency is at least the age of the oldest outstanding attempt, divided by the expected work of
-// its request.
+// loadOf returns latency × (requests in flight + 1). The latency estimate of an idle endpoint decays
+// towards the mean of its kind, not to zero, because an idle endpoint is not necessarily fast. The latency
+// is at least the age of the oldest outstanding attempt, divided by the expected work of its request. If ep
+// has recently reported its load, the requests in flight are those of the report plus the attempts sent
+// since; otherwise they are the mean of the reported numbers. They are at least the sidecar's own
+// outstanding attempts.
 func (b *Balancer) loadOf(ep *endpoint) float64 {
 	ownWeight := ep.latency.decayFactor(b.now, b.decayTime())
 	latency := ep.latency.value*ownWeight + *ep.kindMean*(1-ownWeight)
@@ -46,7 +48,7 @@
 	if ep.reportedAt > 0 && b.now-ep.reportedAt < seconds(b.latency.meanNormalized) {
 		inFlight = max(inFlight, ep.inFlight)
 	} else {
-		inFlight = max(inFlight, b.load.meanInFlight) // comparable to endpoints that have reported
+		inFlight = max(inFlight, b.load.meanInFlight) // makes ep comparable to endpoints that have reported
 	}
 	return latency * (inFlight + 1)
 }
--- a/balancer/pairadmission.go
+++ b/balancer/pairadmission.go
@@ -5,18 +5,18 @@
 // sent if the pair has capacity, and an admitted one is given up if the pair is overloaded and no better
 // pair is found.
 //
-// Inputs: the requests in flight that the pair has reported and the latency for each of them (s, load.go),
-// the time left to the objective (s), the request's rank (0 to 1) and expected work (relative to the mean
-// request), and the decision on arrival (admission.go).
+// Inputs: the requests in flight that the pair has reported and the latency per request in flight (s,
+// load.go), the time left to the objective (s), the request's rank (0 to 1) and expected work (relative to
+// the mean request), and the decision on arrival (admission.go).
 //
-// Why: pressure is a coarse measure, which with two requests in flight depends mostly on chance, and a
-// request that is sent to an overloaded pair ends late.
+// Why: pressure is a coarse measure: with two requests in flight, it depends mostly on chance. A request
+// that is sent to an overloaded pair ends late.
 
 import "math"
 
 const (
-	// maxProbedPairs is the number of pairs that are probed before a request is given up for their load.
-	// With a higher value, fewer requests are given up by chance, but they wait longer.
+	// maxProbedPairs is the number of pairs that are probed before a request is given up because of their
+	// load. With a higher value, fewer requests are given up by chance, but they wait longer.
 	maxProbedPairs = 4
 	// minOverloadTolerance limits the expected time of a request at the pair: a request of the lowest rank
 	// may take this share of the time left to its objective, one of the highest rank all of that time. With
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -42,8 +42,8 @@
 
 // pick returns the endpoint for r's next attempt, or nil. In the ordinary case, it draws two random
 // eligible endpoints of the subset that r has not tried, and returns the one with the lower load (power of
-// two choices). If there is none, the conditions are dropped one by one. Ejected endpoints are used only if
-// r has no outstanding attempt.
+// two choices). If no endpoint meets these conditions, they are dropped one by one (relaxation). Ejected
+// endpoints are used only if r has no outstanding attempt.
 func (b *Balancer) pick(r *request) *endpoint {
 	last := allowTried
 	if r.outstanding == 0 {
@@ -68,8 +68,8 @@
 	return b.isInZones(c.zones, ep) && b.isEligible(c.request, ep, c.relaxed)
 }
 
-// isEligible reports whether ep meets all conditions that relaxed does not drop. Health is one of them
-// (isHealthyFor).
+// isEligible reports whether ep meets all conditions that relaxed does not drop, and those of mayAttempt,
+// which are never dropped.
 func (b *Balancer) isEligible(r *request, ep *endpoint, relaxed relaxation) bool {
 	if relaxed < allowOutsideSubset && !ep.inSubset && r.keyHash == 0 {
 		return false
--- a/balancer/pressure.go
+++ b/balancer/pressure.go
@@ -6,8 +6,8 @@
 // Inputs: the number, ages (s) and objectives (s) of the requests in flight, the rates of answers (1/s),
 // the wait limit (share of an objective, admissionlimits.go), and the number of endpoints per sidecar.
 //
-// Why: queues grow faster than late answers show. By Little's law, the number of requests in flight and the
-// rate of answers show immediately how long a request will take.
+// Why: when answers are late, the queues are already long. By Little's law, the number of requests in
+// flight and the rate of answers show immediately how long a request will take.
 
 import "time"
 
@@ -18,9 +18,9 @@
 	// fullPressureAge is the mean age, as a share of the objective, from which requests in flight count in
 	// full. With a higher value, longer bursts are admitted, but an overload is noticed later.
 	fullPressureAge = 0.25
-	// minPressureInFlight is the number of requests in flight below which the pressure is 0. If there are
-	// more endpoints per sidecar than that, their number is used instead. With a higher value, a quiet
-	// sidecar sheds fewer requests by chance, but adds more to congestion.
+	// minPressureInFlight is the number of requests in flight below which the pressure is 0. If the number
+	// of endpoints per sidecar is higher, it is used instead. With a higher value, a quiet sidecar sheds
+	// fewer requests by chance, but adds more to congestion.
 	minPressureInFlight = 2
 	// smallInFlight is the number of requests in flight at which the means over slowServedMemory have the
 	// same weight as the current values. With a higher value, a quiet sidecar sheds fewer requests by
@@ -40,8 +40,8 @@
 // pressureMeter tracks the values from which pressure is computed.
 type pressureMeter struct {
 	inFlight   inFlightRequests
-	served     rate // rate of answers
-	slowServed rate // rate of answers over a longer time
+	served     rate // rate of successful answers, averaged over servedMemory
+	slowServed rate // rate of successful answers, averaged over slowServedMemory
 }
 
 func newPressureMeter() pressureMeter {
@@ -59,9 +59,9 @@
 }
 
 // measure returns the pressure: the answers per second that the requests in flight need, divided by the
-// answers per second that can be expected within the wait limit (Little's law). Above 1, the requests would
-// on average take longer than the wait limit allows. Limiting the pressure prevents queues that grow faster
-// than late answers show, and congestion that sustains itself.
+// rate of answers times the wait limit (Little's law). Above 1, the requests would on average take longer
+// than the wait limit allows. Limiting the pressure prevents queues that are already long when answers are
+// late, and congestion that sustains itself.
 //
 //	pressure = ageFactor × min(maxPressure, neededRate / (waitLimit × servedRate))
 //
@@ -69,9 +69,10 @@
 // flight needs 1/0.2 = 5 answers per second to be in time. 13 requests need 65, and 65 / (0.65 × 100) = 1.
 // 20 requests need 100, which is a pressure of 1.54.
 //
-// Requests that have just arrived count less, so that a burst is admitted if the load was low before, and a
-// few requests may always be in flight. At a quiet sidecar, the number in flight depends on chance: the
-// fewer there are, the more weight the means over slowServedMemory have relative to the current values.
+// Requests that have just arrived count less, so that a burst is admitted if the load was low before. A few
+// requests in flight cause no pressure (minPressureInFlight). At a quiet sidecar, the number in flight
+// depends on chance: the fewer there are, the more weight the means over slowServedMemory have relative to
+// the current values.
 func (m *pressureMeter) measure(now time.Duration, waitLimit, endpointsPerSidecar float64) float64 {
 	n := float64(m.inFlight.count)
 	if n < max(minPressureInFlight, endpointsPerSidecar) {
@@ -87,7 +88,7 @@
 	return ageFactor * min(maxPressure, neededRate/(waitLimit*max(servedRate, minServedRate)))
 }
 
-// recordAnswer counts an endpoint's answer.
+// recordAnswer counts a successful answer of an endpoint.
 func (m *pressureMeter) recordAnswer(now time.Duration) {
 	m.served.add(1, now)
 	m.slowServed.add(1, now)
@@ -99,7 +100,7 @@
 	count                 int
 	arrivalSum            time.Duration // sum of arrival times; may overflow and wrap around
 	inverseObjectives     float64       // sum of 1/objective: answers per second needed to be in time
-	inverseObjectivesMean rate          // mean of inverseObjectives over a longer time
+	inverseObjectivesMean rate          // mean of inverseObjectives over slowServedMemory
 	changedAt             time.Duration // when inverseObjectives last changed
 }
 
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -6,8 +6,9 @@
 // Inputs: the price of a probe (share of service), the number of sidecars, the latency of probes and the
 // mean normalized latency (s), the tick, and the settings Probes and ProbesReportLoad.
 //
-// Why: if there are many sidecars and each sends an endpoint few requests, its own outstanding attempts do
-// not show the load of the endpoint. A probe does, but it has a price and the request has to wait.
+// Why: if there are many sidecars and each sends an endpoint few requests, a sidecar's own outstanding
+// attempts do not show the load of the endpoint. A probe shows it, but has a price, and the request has to
+// wait.
 
 import (
 	"math"
@@ -19,11 +20,11 @@
 	// probesPerPair is the number of probes before one pick.
 	probesPerPair = 2
 	// maxPairProbePrice is the maximum price of probing a pair, as a share of service. With a higher value,
-	// probes are used more often, but cost more than they gain.
+	// probes are used more often, but may cost more than they gain.
 	maxPairProbePrice = 0.02
 	// cheapPairProbePrice is the price of probing a pair up to which probes are cheap. Cheap probes are
-	// used by any sidecar, and also for admission control. With a higher value, both use probes at higher
-	// prices, and these probes may cost more than they gain.
+	// used by any sidecar, and also for admission control. With a higher value, small fleets and admission
+	// control use probes at higher prices, at which probes may cost more than they gain.
 	cheapPairProbePrice = 0.01
 	// maxProbeLatencies is the latency of probes, as a multiple of the mean latency of requests, above
 	// which probes are slow. With a higher value, more requests wait longer for probes.
--- a/balancer/quantile.go
+++ b/balancer/quantile.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// quantileStep is the step size by which the logarithm of an estimated quantile moves. A higher value
-// follows a change sooner and is noisier.
+// quantileStep is the step size by which the logarithm of an estimated quantile moves. With a higher value,
+// the estimate follows a change sooner and is noisier.
 const quantileStep = 0.1
 
 // quantile estimates the quantile, for the given probability, of a series of values. Each added value moves
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -45,7 +45,7 @@
 	Class
 	meanSeconds      float64        // mean latency, in seconds
 	timeLeft         usualTimeLeft  // usual time from arrival to the deadline
-	unservedArrivals recentArrivals // requests that got no answer from an endpoint
+	unservedArrivals recentArrivals // arrival times of requests that no endpoint served
 }
 
 // attempt is one attempt of a request at an endpoint.
@@ -82,7 +82,7 @@
 	streaming       bool          // a streamed answer has started
 	overdueAt       time.Duration // when the latest attempt is overdue
 
-	keyHash          uint64 // hash of the affinity key; 0 if it has none or endpoints do not cache by key
+	keyHash          uint64 // hash of the affinity key; 0 if there is none or KeyAffinity is off
 	keyEndpointCount int    // number of endpoints that serve the key
 
 	rank        float64 // rank of its weight among recent requests, 0 to 1
@@ -120,7 +120,7 @@
 		return
 	}
 	b.refreshSubset()
-	// Shed requests returned above: if they were counted here, a retry by the client would be counted again.
+	// Shed requests are not counted: a client that retries one would make the same work count twice.
 	b.offeredRate.add(r.relativeWork, b.now)
 	b.advance(r)
 }
@@ -141,9 +141,9 @@
 }
 
 // advance decides about the next attempt of a request that has none outstanding: the request waits for
-// probes, is given up, is sent, or waits until an endpoint may be sent it. Each wait ends with another
-// call, from handleProbeResult or for timerAdvance. handleRequest makes the first call, and handleOutcome
-// calls advance after an attempt has ended.
+// probes, is given up, is sent, or waits for an endpoint that is allowed to serve it. Each wait ends with
+// another call, from handleProbeResult or for timerAdvance. handleRequest makes the first call, and
+// handleOutcome calls advance after an attempt has ended.
 func (b *Balancer) advance(r *request) {
 	if len(r.attempts) > 0 && b.now+b.usualLatency(r) > r.deadline {
 		b.giveUp(r)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -13,22 +13,22 @@
 import "time"
 
 const (
-	// warmUpSafety is the share of the overloading load that an endpoint is sent at most while it warms up.
-	// With a higher value, endpoints get more load during that time, but are overloaded sooner.
+	// warmUpSafety is the maximum load of an endpoint that is warming up, as a share of the load that would
+	// overload it. With a higher value, such endpoints get more load, but are overloaded sooner.
 	warmUpSafety = 0.85
-	// maxWarmUpKindRatio is the maximum of kindRatio, the factor by which the budget of an endpoint follows
-	// the speed of its kind relative to the mean. Slower kinds have a factor below 1. With a higher value,
+	// maxWarmUpKindRatio is the maximum of kindRatio, the speed of an endpoint's kind relative to the mean,
+	// by which the endpoint's budget is multiplied. Slower kinds have a ratio below 1. With a higher value,
 	// endpoints of fast kinds get more load while they warm up, but are overloaded sooner.
 	maxWarmUpKindRatio = 1.5
-	// burstsPerOverload determines the size of a burst, which is the number of tokens that an endpoint can
-	// accumulate: the tokens of OverloadDuration make up this many bursts. With a higher value, bursts are
-	// smaller, but more requests wait for a token.
+	// burstsPerOverload determines the size of a burst, which is the maximum number of tokens that an
+	// endpoint accumulates: the tokens that accrue in OverloadDuration, divided by burstsPerOverload. With
+	// a higher value, bursts are smaller, but more requests wait for a token.
 	burstsPerOverload = 10
 	// minWarmUpBurst is the minimum size of a burst in tokens: enough for one mean request.
 	minWarmUpBurst = 1
 	// subsetWarmUpShare is the share of an endpoint's mean load that is sent by the sidecars that have it
-	// in their subset. With a higher value, the other sidecars send it less, and use it later if their
-	// subsets are exhausted.
+	// in their subset. With a higher value, the other sidecars have smaller budgets, so that they wait
+	// longer for the endpoint if no endpoint of their subsets is eligible.
 	subsetWarmUpShare = 0.8
 	// homeZoneSkew is the ratio of the load of the busiest zone to the mean load of a zone. It is assumed,
 	// because the loads of zones are not reported. With a higher value, budgets in the home zone are
@@ -37,9 +37,9 @@
 	// listSizeMemory is how long the size of a longer endpoint list is remembered. With a higher value, the
 	// first endpoints that return after a failure of most endpoints have a small budget for longer.
 	listSizeMemory = 60 * time.Second
-	// maxListShrinkage divides the remembered list size: the list is assumed not to have shrunk by more
-	// than this factor, because a rolling deployment leaves more than half of the endpoints in place. With
-	// a higher value, the first endpoints that return get more load.
+	// maxListShrinkage is the maximum factor by which the endpoint list is assumed to have shrunk
+	// permanently. A rolling deployment leaves more than half of the endpoints in place. With a higher
+	// value, the first endpoints that return get more load.
 	maxListShrinkage = 2
 )
 
@@ -53,7 +53,7 @@
 // with the endpoint's capacity.
 type warmUp struct {
 	active   bool
-	from     time.Duration
+	from     time.Duration // start of the warm-up
 	tokens   float64
 	tokensAt time.Duration // when tokens were last refilled
 }
@@ -88,13 +88,13 @@
 // spend removes the tokens for a request with this expected work.
 func (w *warmUp) spend(relativeWork float64) { w.tokens -= relativeWork }
 
-// startWarmUp starts ep's slow start, which is counted from the time from.
+// startWarmUp starts ep's slow start, whose warm-up period begins at from.
 func (b *Balancer) startWarmUp(ep *endpoint, from time.Duration) {
 	// The bucket starts with a random part of a token: all sidecars learn of ep at the same time, and one
 	// immediate request from each of them would be a burst.
 	ep.warmUp = warmUp{active: true, from: from, tokens: b.rng.Float64(), tokensAt: b.now}
 	// With only part of its capacity, ep takes longer in proportion. If the estimate started at the mean of
-	// its kind, ep would seem as fast as a warm endpoint, and idle as well, so it would be preferred until
+	// its kind, ep would seem as fast as a warm endpoint and be idle, so that it would be preferred until
 	// it has answered.
 	ep.latency = peakEWMA{*ep.kindMean / b.capacityShare(ep), b.now}
 }
@@ -198,8 +198,8 @@
 	return max(n, s.longest/maxListShrinkage)
 }
 
-// logWarmUpDelay logs that slow start may delay a request. It does so once, until an endpoint has warmed
-// up.
+// logWarmUpDelay logs that slow start may delay requests. It logs this only once until an endpoint has
+// warmed up.
 func (b *Balancer) logWarmUpDelay() {
 	if warmingUp := b.warmingUpCount(); warmingUp > 0 && !b.slowStart.delayLogged {
 		b.slowStart.delayLogged = true
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -69,10 +69,11 @@
 }
 
 // crossZoneCost returns the price of a cross-zone attempt as a latency in seconds, or 0 if it is
-// negligible. It is compared with loads, which are latency × (outstanding + 1). In a small fleet, each
-// sidecar notices an overloaded zone by its own outstanding attempts; in a large fleet, only latency shows
-// the overload. Without the weight, the sidecars of a large fleet, each with few requests in flight, would
-// keep requests in an overloaded home zone and reject them while other zones are idle.
+// negligible. pickByZone multiplies it by the mean number of reported requests in flight + 1, to compare it
+// with loads (loadOf). In a small fleet, each sidecar notices an overloaded zone by its own outstanding
+// attempts; in a large fleet, only latency shows the overload. Without crossZoneWeight, the sidecars of a
+// large fleet, each with few requests in flight, would keep requests in an overloaded home zone and reject
+// them while other zones are idle.
 func (b *Balancer) crossZoneCost() float64 {
 	cost := b.settings.PriceCrossZone * crossZoneObjectives * b.meanObjective
 	if cost < minCrossZoneLatencies*b.latency.meanNormalized {
