--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -27,17 +27,18 @@
 	attempts, requests := w.totalAttempts(), w.requests
 	w.run(3*time.Second, 200)
 	if got := w.totalAttempts() - attempts; got > (w.requests-requests)*3/10 {
-		t.Errorf("%d attempts for %d requests during the overload, want at most 3 of 10", got, w.requests-requests)
+		t.Errorf("%d attempts for %d requests during the overload, want at most 3 for 10 requests",
+			got, w.requests-requests)
 	}
 	latency = 20 * ms
 	w.run(3*time.Second, 200)
 	succeeded, requests := w.succeeded, w.requests
 	w.run(3*time.Second, 200)
 	if got := w.succeeded - succeeded; float64(got) < 0.95*float64(w.requests-requests) {
-		t.Errorf("%d of %d requests succeeded after the overload, want 95%%", got, w.requests-requests)
+		t.Errorf("%d of %d requests succeeded after the overload, want at least 95%%", got, w.requests-requests)
 	}
 	if !w.logged("load shedding started") || !w.logged("load shedding stopped") {
-		t.Errorf("start or end of load shedding not logged: %q", w.logLines)
+		t.Errorf("log lines %q, want the start and the end of load shedding", w.logLines)
 	}
 }
 
@@ -79,7 +80,7 @@
 	s.Tenants = []Tenant{{Name: "big", Fraction: 0.5}, {Name: "small", Fraction: 0.5}}
 	s.OverQuotaWeight = 0.1
 	h := newHarness(t, s)
-	lowered := map[int]int{} // by tenant
+	lowered := map[int]int{} // number of requests of lower weight by tenant
 	for i := range 1000 {
 		h.b.now += ms
 		tenant := min(i%10/9, 1) // nine of ten requests are from the first tenant
@@ -88,13 +89,13 @@
 			lowered[tenant]++
 		}
 	}
-	if lowered[1] != 0 || lowered[0] < 300 || lowered[0] > 500 { // (0.9-0.5)/0.9 of 900
-		t.Errorf("requests of lower weight by tenant: %v; want 300 to 500 for 0 and none for 1", lowered)
+	if lowered[1] != 0 || lowered[0] < 300 || lowered[0] > 500 { // 400 expected: (0.9-0.5)/0.9 of 900
+		t.Errorf("requests of lower weight by tenant: %v; want 300 to 500 for tenant 0 and none for tenant 1", lowered)
 	}
 }
 
-// The highest rank is admitted up to 1.5 times the pressure that the lowest rank is admitted at. With a lower
-// admitted share, only the highest ranks are admitted.
+// The lowest rank is admitted up to a pressure of 1, the highest rank up to a pressure of 1.5. With an admitted share
+// below 1, only the highest ranks are admitted.
 func TestAdmissionByRank(t *testing.T) {
 	for _, c := range []struct {
 		rank, pressure, admittedShare float64
--- a/balancer/admissionlimits_test.go
+++ b/balancer/admissionlimits_test.go
@@ -22,12 +22,13 @@
 	w.addEndpoints(4)
 	w.run(5*time.Second, 400)
 	if w.b.admission.limits.wait > minWaitLimit*1.2 {
-		t.Errorf("wait limit %.2f with half of all answers late, want about the minimum", w.b.admission.limits.wait)
+		t.Errorf("half of all answers late: wait limit %.2f, want at most %.2f",
+			w.b.admission.limits.wait, minWaitLimit*1.2)
 	}
 	overloaded = false
 	w.run(10*time.Second, 100)
 	if w.b.admission.limits.wait < maxWaitLimit {
-		t.Errorf("wait limit %.2f long after the overload, want the maximum", w.b.admission.limits.wait)
+		t.Errorf("10 s after the overload: wait limit %.2f, want %.2f", w.b.admission.limits.wait, maxWaitLimit)
 	}
 
 	// Requests that wait for hung endpoints do not lower the limit.
@@ -40,14 +41,14 @@
 	w.addEndpoints(4)
 	w.run(2*time.Second, 400)
 	if w.answers[Reject] == 0 || w.b.admission.limits.wait < maxWaitLimit*0.9 {
-		t.Errorf("hung endpoints: %d requests rejected, want some; wait limit %.2f, want about the maximum",
-			w.answers[Reject], w.b.admission.limits.wait)
+		t.Errorf("hung endpoints: %d requests rejected, want at least 1; wait limit %.2f, want at least %.2f",
+			w.answers[Reject], w.b.admission.limits.wait, maxWaitLimit*0.9)
 	}
 }
 
 // Endpoints are congested, and each of many sidecars always has one or two requests in flight, too few to cause
-// pressure. Together they would sustain the congestion for ever. After consecutive missed objectives, a sidecar must
-// admit a smaller share of requests, and must admit all again once they are served.
+// pressure. Together the sidecars would sustain the congestion for ever. After consecutive missed objectives, a sidecar
+// must admit a smaller share of requests. It must admit all requests again when they are served in time.
 func TestMissedObjectivesLowerTheAdmittedShare(t *testing.T) {
 	congested := true
 	w := newWorkload(t, testSettings(), func(string) (Result, time.Duration) {
@@ -72,29 +73,30 @@
 	}
 }
 
-// All requests are late, or all are in time, for a long time. Limits without bounds would then shed everything, or
-// need very long to shed anything. The limits must stay within their bounds, and requests that are late for another
-// reason than an overloaded endpoint must not lower the wait limit.
+// All requests are late, or all are in time, for a long time. Without bounds, the limits would then shed all requests,
+// or would take very long to shed any again. The limits must stay within their bounds, and a late request whose
+// endpoint is not overloaded must not lower the wait limit.
 func TestLimitsStayInTheirBounds(t *testing.T) {
 	l := newAdmissionLimits()
 	for range 1000 {
 		l.recordLate(false)
 	}
 	if l.admittedShare != minAdmittedShare || l.wait != maxWaitLimit {
-		t.Errorf("late, endpoint not overloaded: admitted share %v, wait limit %v, want the minimum and the maximum",
-			l.admittedShare, l.wait)
+		t.Errorf("1000 late requests, endpoint not overloaded: admitted share %v, want %v; wait limit %v, want %v",
+			l.admittedShare, minAdmittedShare, l.wait, maxWaitLimit)
 	}
 	for range 1000 {
 		l.recordLate(true)
 	}
 	if l.admittedShare != minAdmittedShare || l.wait != minWaitLimit {
-		t.Errorf("late, endpoint overloaded: admitted share %v, wait limit %v, want the minimum of both",
-			l.admittedShare, l.wait)
+		t.Errorf("1000 late requests, endpoint overloaded: admitted share %v, want %v; wait limit %v, want %v",
+			l.admittedShare, minAdmittedShare, l.wait, minWaitLimit)
 	}
 	for range 1000 {
 		l.recordInTime()
 	}
 	if l.admittedShare != maxAdmittedShare || l.wait != maxWaitLimit {
-		t.Errorf("in time: admitted share %v, wait limit %v, want the maximum of both", l.admittedShare, l.wait)
+		t.Errorf("1000 requests in time: admitted share %v, want %v; wait limit %v, want %v",
+			l.admittedShare, maxAdmittedShare, l.wait, maxWaitLimit)
 	}
 }
--- a/balancer/affinity_test.go
+++ b/balancer/affinity_test.go
@@ -41,11 +41,12 @@
 			attempts[endpoint] += n
 		}
 	}
-	if len(attempts) > 3 { // a share of 1/61 adds at most one endpoint to the pair
-		t.Errorf("a key was sent to %d endpoints, want at most 3: %v", len(attempts), attempts)
+	if len(attempts) > 3 { // 1/61 of the requests have the key, which adds at most one endpoint
+		t.Errorf("requests with one key were sent to %d endpoints, want at most 3: %v", len(attempts), attempts)
 	}
 	if attempts := attemptsWithKey(t, false, 1, 60, 0); len(attempts) < 10 {
-		t.Errorf("without key affinity, a key was sent to %d endpoints, want at least 10", len(attempts))
+		t.Errorf("without key affinity, requests with one key were sent to %d endpoints, want at least 10",
+			len(attempts))
 	}
 }
 
@@ -54,6 +55,6 @@
 func TestHotKeyIsSpread(t *testing.T) {
 	attempts := attemptsWithKey(t, true, 1, 400, 1) // every other request has the key
 	if len(attempts) < 12 {
-		t.Errorf("half of the traffic went to %d of 20 endpoints, want at least 12", len(attempts))
+		t.Errorf("requests with the hot key were sent to %d of 20 endpoints, want at least 12", len(attempts))
 	}
 }
--- a/balancer/deadline_test.go
+++ b/balancer/deadline_test.go
@@ -26,7 +26,7 @@
 // A request arrives while there is no endpoint. It must wait at first, but be rejected before its client's deadline.
 func TestWaitingRequestIsRejectedInTime(t *testing.T) {
 	h := newHarness(t, testSettings())
-	h.wantNoAttemptOrAnswer(h.request("1", "c", 100*ms)) // waits, since there is no endpoint
+	h.wantNoAttemptOrAnswer(h.request("1", "c", 100*ms)) // the request waits, since there is no endpoint
 	h.wantAnswer(h.advance(95*ms), Reject)
 }
 
@@ -38,8 +38,9 @@
 	h.wantSend(h.advance(20 * ms))
 }
 
-// An attempt times out exactly at the client's deadline. If nothing else happened, the client would get no answer.
-// The sidecar must answer at the timeout. Without a late weight, the answer could already come at the objective.
+// An attempt times out exactly at the client's deadline. If nothing else happened, the client would get no answer. The
+// sidecar must answer at the timeout. The class has a late weight, because otherwise the sidecar would already answer
+// at the objective.
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
 	h := newHarness(t, nonIdempotentSettings())
 	h.addEndpoints(2)
@@ -51,13 +52,13 @@
 
 // A client retries a request after its latency objective. An answer would be worth nothing, and working on it would
 // delay other requests, so the retry must be rejected at once. It is recognized because it has less time left than
-// first attempts: the deadline of all of the client's attempts limits its time, and shows when the first attempt
-// arrived. A retry that is early enough must be served. So must a first attempt with an unusually short timeout, which
-// is distinguished from a retry because no unserved request arrived one Deadline before its expiry.
+// first attempts: the deadline of all of the client's attempts limits its time, and this deadline shows when the first
+// attempt arrived. A retry that is early enough must be served. So must a first attempt with an unusually short
+// timeout, which is distinguished from a retry because no unserved request arrived one Deadline before its expiry.
 func TestStaleClientRetryIsRejected(t *testing.T) {
 	h := newHarness(t, testSettings()) // objective 200 ms, deadline 1 s
 	h.addEndpoints(3)
-	for i := range 20 { // first attempts have 600 ms
+	for i := range 20 { // first attempts have 600 ms left
 		id := time.Duration(i).String()
 		h.wantSend(h.request(id, "c", 600*ms))
 		h.reportOutcome(id, 0, OK, 10*ms)
@@ -81,7 +82,7 @@
 	h.reportOutcome("served", 0, OK, 10*ms)
 	deadline = h.now + time.Second
 	h.advance(450 * ms)
-	h.wantSend(h.request("long timeout", "c", deadline-h.now)) // no retry, since the first request was served
+	h.wantSend(h.request("long timeout", "c", deadline-h.now)) // a first attempt, since the earlier request was served
 	h.advance(200 * ms)
 	deadline = notServed("second")
 	h.advance(100 * ms)
@@ -103,22 +104,23 @@
 			u.observe(timeLeft, 10*ms)
 		}
 	}
-	observe(11, 600*ms) // the first one only sets the value and is no vote
+	observe(11, 600*ms) // the first request only sets the value and is no vote
 	if u.isKnown() {
-		t.Error("usual time left counts as known after ten votes, want eleven")
+		t.Error("usual time left is known after ten votes, want it known only after eleven")
 	}
 	observe(1, 605*ms) // within the tolerance
 	if !u.isKnown() || u.value != 600*ms {
-		t.Errorf("after eleven votes: %+v, want 600 ms and known", u)
+		t.Errorf("after eleven votes: usual time left %v, want 600ms; known %v, want true", u.value, u.isKnown())
 	}
 	observe(100, 600*ms)
 	observe(5, 50*ms)
 	if !u.isKnown() || u.value != 600*ms {
-		t.Errorf("after five unusual values: %+v, want 600 ms and known", u)
+		t.Errorf("after five unusual values: usual time left %v, want 600ms; known %v, want true", u.value, u.isKnown())
 	}
 	observe(16, 300*ms)
 	if u.isKnown() || u.value != 300*ms {
-		t.Errorf("after a change of all clients: %+v, want 300 ms and not yet known", u)
+		t.Errorf("after a change of all clients: usual time left %v, want 300ms; known %v, want false",
+			u.value, u.isKnown())
 	}
 }
 
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -33,7 +33,7 @@
 	}
 	h.b.recordAnswer(ep)
 	if ep.health.isEjected(h.now) || ep.health.isOnTrial() {
-		t.Errorf("still ejected or on trial after an answer: %+v", ep.health)
+		t.Errorf("health after an answer: %+v, want neither ejected nor on trial", ep.health)
 	}
 }
 
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -30,9 +30,9 @@
 
 // The endpoint watch fails, and so do the calls to subscribe again. If all sidecars called again at once, they would
 // keep the service down; if they did not retry, their lists would stay outdated. Calls that fail at once must start
-// about 0.6 s apart as long as the list that they return can arrive within the notification deadline. After that,
-// they must be as rare as the fleet's total call rate requires, but not more frequent than before. After a call that
-// takes a while to fail, the pause must be shorter.
+// about 0.6 s apart until the watch has failed for backoff.NotificationDeadline. After that, they must be as rare as
+// the limit on the fleet's total call rate requires, but not more frequent than before. After a call that takes a while
+// to fail, the pause must be shorter.
 func TestSubscribesAgainWithBackoff(t *testing.T) {
 	for _, c := range []struct {
 		sidecars     int
@@ -76,7 +76,7 @@
 		if n := len(actionsOfKind(h.advance(20*time.Second), Subscribe)); n != 0 {
 			t.Errorf("%d subscribe calls while subscribed, want none", n)
 		}
-		h.handle(EndpointUpdate{Kind: WatchFailed}) // the subscription broke
+		h.handle(EndpointUpdate{Kind: WatchFailed}) // the subscription breaks
 		if n := len(actionsOfKind(h.advance(2*time.Second), Subscribe)); n != 1 {
 			t.Errorf("%d subscribe calls in the 2 s after the subscription broke, want 1", n)
 		}
@@ -93,6 +93,8 @@
 	h.updateEndpoints(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: h.now - time.Second})
 	ep := h.b.endpointsByID["u0"]
 	if ep.latency.value > 1 || ep.health.ejectedUntil != 0 || !ep.warmUp.active || len(h.b.endpoints) != 2 {
-		t.Errorf("state of the former process remains: %+v", ep)
+		t.Errorf("restarted endpoint: latency %v, want at most 1; ejected until %v, want 0s; "+
+			"warming up %v, want true; %d endpoints, want 2",
+			ep.latency.value, ep.health.ejectedUntil, ep.warmUp.active, len(h.b.endpoints))
 	}
 }
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -30,7 +30,8 @@
 	} {
 		c.e.add(c.sample, c.now, decay)
 		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.updatedAt != c.wantNow {
-			t.Errorf("%s: got %v at %v, want %v at %v", c.name, c.e.value, c.e.updatedAt, c.want, c.wantNow)
+			t.Errorf("%s: estimate %v updated at %v, want %v updated at %v",
+				c.name, c.e.value, c.e.updatedAt, c.want, c.wantNow)
 		}
 	}
 }
@@ -60,7 +61,8 @@
 		h.b.now = h.now
 		h.b.observeOutcome(a, c.result, c.elapsed)
 		if !almostEqual(ep.latency.value, c.want) {
-			t.Errorf("result %d after %v: estimate %v, want %v", c.result, c.elapsed, ep.latency.value, c.want)
+			t.Errorf("outcome with result %d after %v: latency estimate %v, want %v",
+				c.result, c.elapsed, ep.latency.value, c.want)
 		}
 	}
 }
@@ -71,7 +73,7 @@
 	h.b.latency.meanNormalized = 0.033
 	h.addEndpoints(1)
 	if got := h.b.endpoints[0].latency; got.value != 0.033 || got.updatedAt != h.now {
-		t.Errorf("initial estimate %+v, want 0.033 at %v", got, h.now)
+		t.Errorf("initial estimate %+v, want value 0.033 and updatedAt %v", got, h.now)
 	}
 }
 
@@ -83,7 +85,7 @@
 	ep.latency = peakEWMA{0.04, h.now}
 	h.b.now = h.now
 	if got := h.b.loadOf(ep); !almostEqual(got, 0.04) {
-		t.Errorf("idle: load %v, want 0.04", got)
+		t.Errorf("idle endpoint: load %v, want 0.04", got)
 	}
 	h.b.send(&request{id: "x", class: h.b.classes["c"], relativeWork: 1, expiresAt: h.now + time.Second}, ep)
 	if got := h.b.loadOf(ep); !almostEqual(got, 0.08) {
@@ -104,7 +106,7 @@
 	h.b.endpoints[0].latency = peakEWMA{0.5, h.now}
 	h.b.now = h.now + time.Hour
 	if got := h.b.loadOf(h.b.endpoints[0]); !almostEqual(got, h.b.latency.meanNormalized) {
-		t.Errorf("idle for an hour: load %v, want the mean %v", got, h.b.latency.meanNormalized)
+		t.Errorf("endpoint idle for an hour: load %v, want the mean %v", got, h.b.latency.meanNormalized)
 	}
 }
 
@@ -119,7 +121,7 @@
 	for i, want := range []string{"u0", "u0", "u1", "u0", "u0"} {
 		got := h.wantSend(h.request(string(rune('a'+i)), "c", time.Second))
 		if got != want {
-			t.Fatalf("pick %d: %s, want %s", i, got, want)
+			t.Fatalf("request %d was sent to %s, want %s", i+1, got, want)
 		}
 	}
 }
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -16,8 +16,9 @@
 	}
 }
 
-// An endpoint crashes and refuses connections at once, so that it looks fast. It would attract picks, and each of
-// them would fail. It must get only single trials, and its share of requests again once it serves.
+// An endpoint crashes and refuses connections at once, so that it looks fast. It would attract picks, and each of these
+// attempts would fail. It must get only single trials until it serves requests again, and then its share of the
+// requests.
 func TestCrashedEndpointAttractsNoPicks(t *testing.T) {
 	w := newWorkload(t, testSettings(), respondExcept(ConnectFailed, 0))
 	w.addEndpoints(5)
@@ -26,7 +27,7 @@
 		t.Errorf("%d attempts on the crashed endpoint, want at most 10", w.attempts["u0"])
 	}
 	if w.answers[Reject]+w.answers[Fail] > 0 {
-		t.Errorf("requests not served although four endpoints are healthy, by kind of answer: %v", w.answers)
+		t.Errorf("rejections and failures by kind: %v, want none with four healthy endpoints", w.answers)
 	}
 	w.respond = respondOK
 	w.run(10*time.Second, 100)
@@ -34,7 +35,7 @@
 		t.Errorf("%d attempts on the recovered endpoint, want at least 50", w.attempts["u0"])
 	}
 	if !w.logged("endpoint ejected endpoint=u0 ") || !w.logged("endpoint returned after ejection endpoint=u0 ") {
-		t.Errorf("ejection or return not logged: %q", w.logLines)
+		t.Errorf("log lines %q, want the ejection and the return of u0", w.logLines)
 	}
 }
 
@@ -48,7 +49,8 @@
 		w.addEndpoints(5)
 		w.run(10*time.Second, 100)
 		if w.attempts["u0"] > 60 || w.succeeded < 950 {
-			t.Errorf("hedging %v: %d attempts on the hung endpoint, want at most 60; %d of %d succeeded, want 950",
+			t.Errorf("hedging %v: %d attempts on the hung endpoint, want at most 60; "+
+				"%d of %d requests succeeded, want at least 950",
 				hedging, w.attempts["u0"], w.succeeded, w.requests)
 		}
 	}
@@ -67,7 +69,7 @@
 	w.addEndpoints(4)
 	w.run(20*time.Second, 100)
 	if float64(w.succeeded) < 0.99*float64(w.requests-5) {
-		t.Errorf("%d of %d requests succeeded, want 99%%", w.succeeded, w.requests)
+		t.Errorf("endpoint with pauses: %d of %d requests succeeded, want at least 99%%", w.succeeded, w.requests)
 	}
 }
 
@@ -90,7 +92,7 @@
 	request := func(id string, expectedWork time.Duration) {
 		h.handle(Request{ID: id, Class: "c", ExpiresAt: h.now + time.Second, ExpectedWork: expectedWork})
 	}
-	for i := range 200 { // each with 20 ms of expected work and answered in 20 ms
+	for i := range 200 { // each has 20 ms of expected work and is answered in 20 ms
 		id := fmt.Sprint(i)
 		request(id, 20*ms)
 		h.reportOutcome(id, 0, OK, 20*ms)
@@ -101,7 +103,8 @@
 	h.now += 10 * ms
 	h.reportOutcome("big", 0, OK, 120*ms)
 	if after := h.b.endpoints[0].latency.value; after > 1.5*before {
-		t.Errorf("estimate rose from %v to %v after a request with six times the work and latency", before, after)
+		t.Errorf("request with six times the work and latency: estimate rose from %v to %v, want at most %v",
+			before, after, 1.5*before)
 	}
 }
 
@@ -119,11 +122,11 @@
 	breakConnection("1")
 	breakConnection("2")
 	if ep.health.ejectedUntil > h.now {
-		t.Error("endpoint ejected after two consecutive broken connections, want three")
+		t.Error("endpoint ejected after two consecutive broken connections, want it ejected only after three")
 	}
 	breakConnection("3")
 	if ep.health.ejectedUntil <= h.now {
-		t.Error("endpoint not ejected after three consecutive broken connections")
+		t.Error("endpoint not ejected after three consecutive broken connections, want it ejected")
 	}
 }
 
@@ -142,7 +145,7 @@
 	succeeded, requests := w.succeeded, w.requests
 	w.run(2*time.Second, 200)
 	if got := w.succeeded - succeeded; float64(got) < 0.95*float64(w.requests-requests) {
-		t.Errorf("%d of %d requests succeeded, want 95%%", got, w.requests-requests)
+		t.Errorf("crash during a deployment: %d of %d requests succeeded, want at least 95%%", got, w.requests-requests)
 	}
 	for i := 4; i < 8; i++ {
 		// An endpoint is overloaded by 3 times its current capacity, which is 0.2 to 0.36 of the full one. The mean
@@ -183,7 +186,7 @@
 	clear(w.attempts)
 	w.run(10*time.Second, 100)
 	if got := w.succeeded - succeeded; float64(got) < 0.97*float64(w.requests-requests) {
-		t.Errorf("%d of %d requests succeeded while the zone was cut off, want 97%%", got, w.requests-requests)
+		t.Errorf("%d of %d requests succeeded while the zone was cut off, want at least 97%%", got, w.requests-requests)
 	}
 	if n := attemptsInOtherZone(); n > 60 {
 		t.Errorf("%d attempts on the zone that was cut off, want at most 60", n)
@@ -242,7 +245,7 @@
 		s.PriceCrossZone, s.Balancers = 0.12, c.sidecars
 		w := newWorkload(t, s, func(endpoint string) (Result, time.Duration) {
 			if endpoint < "u5" {
-				return OK, 85 * ms // overloaded by all other sidecars
+				return OK, 85 * ms // all other sidecars overload these endpoints
 			}
 			return OK, 25 * ms
 		})
@@ -267,9 +270,9 @@
 	}
 }
 
-// An endpoint returns errors at once, while the queues of the others take longer than the penalty for an error. It
-// would look like the fastest and turn most requests into errors. It must be ejected, and return once it serves
-// requests.
+// An endpoint returns errors at once, while requests wait in the queues of the others for longer than the penalty for
+// an error. The failing endpoint would look like the fastest, and most requests would end with errors. It must be
+// ejected, and must be used again when it serves requests.
 func TestImmediateErrorsAttractNoPicks(t *testing.T) {
 	failing := true
 	s := testSettings()
@@ -278,7 +281,7 @@
 		if endpoint == "u0" && failing {
 			return ServerError, time.Millisecond
 		}
-		return OK, 150 * ms // each has ten or more outstanding: a load far above the penalty
+		return OK, 150 * ms // about ten attempts are outstanding at each, a load far above the penalty
 	})
 	w.addEndpoints(4)
 	w.run(10*time.Second, 250)
@@ -288,7 +291,7 @@
 	failing = false
 	w.run(10*time.Second, 250)
 	if w.attempts["u0"] < 200 || !w.logged("endpoint returned after ejection endpoint=u0 ") {
-		t.Errorf("endpoint not used or its return not logged after recovery: %d attempts, want 200; log %q",
+		t.Errorf("recovered endpoint: %d attempts, want at least 200; log lines %q, want its return",
 			w.attempts["u0"], w.logLines)
 	}
 }
--- a/balancer/firstattempt_test.go
+++ b/balancer/firstattempt_test.go
@@ -32,7 +32,7 @@
 			class.unservedArrivals.add(first)
 		}
 		if got := class.firstAttemptAt(c.now, c.expiresAt, ms); got != c.want {
-			t.Errorf("%s: first attempt at %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: arrival time of the first attempt %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/balancer/idempotency_test.go
+++ b/balancer/idempotency_test.go
@@ -64,7 +64,7 @@
 	h.addEndpoints(3)
 	h.wantSend(h.request("1", "x", time.Second))
 	if sends := actionsOfKind(h.advance(900*ms), Send); len(sends) > 0 {
-		t.Fatalf("request that is not idempotent was hedged: %+v", sends)
+		t.Fatalf("hedges of a request that is not idempotent: %+v, want none", sends)
 	}
 }
 
@@ -131,7 +131,7 @@
 }
 
 // The only attempt of a keyed request may have run. A rejection tells the client that a retry is harmless, even at an
-// endpoint outside the scope. The request may be rejected only if all endpoints share the memory of keys.
+// endpoint outside the scope. The request may be rejected only if all endpoints share their idempotency records.
 func TestKeyedRejection(t *testing.T) {
 	for scope, want := range map[IdempotencyScope]ActionKind{ScopeAll: Reject, ScopeZone: Fail, ScopeCell: Fail} {
 		s := keyedSettings(scope)
@@ -154,18 +154,18 @@
 	for range 80 {
 		actions := h.advance(5 * ms)
 		if len(actionsOfKind(actions, Send)) > 0 {
-			t.Fatal("second attempt sent while the first one was outstanding")
+			t.Fatal("second attempt sent while the first one was outstanding, want none")
 		}
 		cancelled = cancelled || len(actionsOfKind(actions, Cancel)) > 0
 	}
 	if !cancelled {
-		t.Fatal("unanswered attempt was not cancelled within 400 ms")
+		t.Fatal("unanswered attempt was not cancelled within 400 ms, want it cancelled")
 	}
 }
 
 // An earlier request with the same effect may have run. If this request were sent outside the scope or the window of
-// the earlier attempts, the effect would happen again, and a rejection would be wrong. The earlier attempts must
-// restrict the request like its own attempts do.
+// the earlier attempts, the effect would happen again, and a rejection would wrongly tell the client that a retry is
+// harmless. The earlier attempts must restrict the request like its own attempts do.
 func TestPriorAttempts(t *testing.T) {
 	const now = time.Minute // the harness's start time
 	for name, c := range map[string]struct {
@@ -252,7 +252,7 @@
 				sends := actionsOfKind(actions, Send)
 				for _, a := range sends {
 					if !strings.Contains(c.endpoints, a.Endpoint) {
-						t.Errorf("sent to %s, want one of %q", a.Endpoint, c.endpoints)
+						t.Errorf("sent to endpoint %s, want one of the endpoints %q", a.Endpoint, c.endpoints)
 					}
 					actions = h.reportOutcome("1", len(h.b.requests["1"].attempts)-1, Overloaded, ms)
 				}
--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -25,7 +25,7 @@
 		ep := h.b.endpointsByID["u0"]
 		reported := ep.reportedAt > 0
 		if reported != (c.want > 0) || reported && ep.inFlight != c.want {
-			t.Errorf("%+v: reported %v, want %v; in flight %v, want %v if reported",
+			t.Errorf("load report %+v: used %v, want %v; requests in flight %v, want %v if used",
 				c.load, reported, c.want > 0, ep.inFlight, c.want)
 		}
 	}
@@ -83,6 +83,7 @@
 		}
 	}
 	if attempts["u0"]*2 > attempts["u1"] {
-		t.Errorf("attempts %v: u0, which reported five in flight, got more than half as many as u1", attempts)
+		t.Errorf("attempts by endpoint: %v; want at most half as many on u0, which reported five in flight, as on u1",
+			attempts)
 	}
 }
--- a/balancer/names_test.go
+++ b/balancer/names_test.go
@@ -18,7 +18,8 @@
 	actions []Action // all returned actions
 }
 
-// handle passes e to the balancer, and then a random result for three of four of the resulting probes and attempts.
+// handle passes e to the balancer. It then reports random results for about three quarters of the resulting probes and
+// attempts.
 func (r *renamedRun) handle(e Event) {
 	actions := r.b.Handle(r.now, e, nil)
 	r.actions = append(r.actions, actions...)
@@ -111,10 +112,10 @@
 			return "class-" + name
 		})
 		if !reflect.DeepEqual(plain, renamed) {
-			t.Fatalf("seed %d: actions differ after renaming", seed)
+			t.Fatalf("seed %d: actions differ after renaming, want the same actions", seed)
 		}
 		if len(plain) < 100 {
-			t.Fatalf("seed %d: %d actions, want at least 100", seed, len(plain))
+			t.Fatalf("seed %d: the run had %d actions, want at least 100 to compare", seed, len(plain))
 		}
 	}
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -41,9 +41,8 @@
 	return files
 }
 
-// Operators read the decisions in the files that the deploy file names. It would not name a rule that was moved to a
-// new file, and it could name a file that no longer exists. The list must name exactly the package's files that make
-// decisions.
+// Operators read the decisions in the files that the deploy file lists. If a rule is moved to a new file or a file is
+// deleted, the list becomes wrong. It must name exactly the package's files that make decisions.
 func TestPolicyNamesEachDecisionFile(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -62,7 +61,7 @@
 	}
 	for _, file := range mechanismFiles {
 		if _, err := os.Stat(file); err != nil {
-			t.Errorf("mechanismFiles names %s: %v", file, err)
+			t.Errorf("mechanismFiles names %s, which cannot be examined: %v", file, err)
 		}
 	}
 }
--- a/balancer/pressure_test.go
+++ b/balancer/pressure_test.go
@@ -19,8 +19,9 @@
 	}
 	f := h.b.admission.meter.inFlight
 	if f.count != 1 || f.arrivalSum != h.now || f.inverseObjectives < 4.999 || f.inverseObjectives > 5.001 {
-		t.Errorf("one in flight since %v: count %d, sum of arrivals %v, sum of 1/objective %v, want 1, %v, 5",
-			h.now, f.count, f.arrivalSum, f.inverseObjectives, h.now)
+		t.Errorf("one request in flight: count %d, want 1; sum of arrival times %v, want %v; "+
+			"sum of 1/objective %v, want 5 ± 0.001",
+			f.count, f.arrivalSum, h.now, f.inverseObjectives)
 	}
 }
 
@@ -41,7 +42,7 @@
 	} {
 		h := newHarness(t, testSettings())
 		h.addEndpoints(4)
-		for i := range c.answered { // over 2 s
+		for i := range c.answered { // the answers are spread over 2 s
 			h.b.admission.meter.served.add(1, h.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
 		}
 		h.now += 2 * time.Second
@@ -50,8 +51,8 @@
 		h.now += c.age
 		h.handle(TimerFired{})
 		if p := h.b.pressure(); p > 1 != c.wantOverload {
-			t.Errorf("%d in flight for %v, %d answered: pressure %.2f, want above 1: %v",
-				c.inFlight, c.age, c.answered, p, c.wantOverload)
+			t.Errorf("%d requests in flight for %v, %d answers in 2 s before: pressure %.2f; above 1: %v, want %v",
+				c.inFlight, c.age, c.answered, p, p > 1, c.wantOverload)
 		}
 	}
 }
@@ -69,7 +70,7 @@
 func TestFewRequestsInFlightAreNotAnOverload(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
-	for i := range 120 { // ten per second, one after the other
+	for i := range 120 { // ten requests per second, one after the other
 		id := fmt.Sprint(i)
 		h.request(id, "c", time.Second)
 		h.now += 60 * ms
@@ -116,7 +117,7 @@
 			inFlight = append(inFlight, newRequest())
 			m.inFlight.add(inFlight[len(inFlight)-1], now)
 		}
-		for i := range 6000 { // for a minute, the oldest request is answered and another one arrives every 10 ms
+		for i := range 6000 { // every 10 ms for a minute, the oldest request is answered and another one arrives
 			now += 10 * ms
 			oldest := i % c.inFlight
 			m.recordAnswer(now)
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -33,7 +33,7 @@
 		h.wantNoAttemptOrAnswer(h.reportLoad(probes[0].Endpoint, 3))
 		got := h.wantSend(h.reportLoad(probes[1].Endpoint, 2))
 		if got != probes[1].Endpoint {
-			t.Errorf("sent to %s, which has more requests in flight than %s", got, probes[1].Endpoint)
+			t.Errorf("sent to %s, want %s, which reported fewer requests in flight", got, probes[1].Endpoint)
 		}
 	}
 }
@@ -55,8 +55,8 @@
 	}
 }
 
-// Some probe results are invalid, failed or unsolicited. If they counted as loads, they would draw all requests to an
-// endpoint or keep them away from it. They must be ignored, and the request must be sent without them.
+// Some probe results are invalid, failed or unsolicited. If such results counted as loads, they would draw all requests
+// to an endpoint or keep all requests away from it. They must be ignored, and the request must be sent without them.
 func TestInvalidProbeResultsAreIgnored(t *testing.T) {
 	for name, result := range map[string]ProbeResult{
 		"not a number": {Load: LoadReport{Reported: true, InFlight: math.NaN()}},
@@ -78,7 +78,7 @@
 		h.wantSend(actions)
 		for _, ep := range h.b.endpoints {
 			if ep.reportedAt != 0 {
-				t.Errorf("%s: probe result of %s was recorded as a load report", name, ep.id)
+				t.Errorf("%s: probe result of %s was recorded as a load report, want it ignored", name, ep.id)
 			}
 		}
 	}
@@ -109,7 +109,7 @@
 	h = newHarness(t, probeSettings())
 	h.addEndpoints(6)
 	total := 0
-	for i := range 200 { // probes that take as long as requests
+	for i := range 200 { // probes take as long as requests
 		probes := actionsOfKind(h.request(fmt.Sprint(i), "c", time.Second), Probe)
 		total += len(probes)
 		for _, probe := range probes {
@@ -139,12 +139,12 @@
 		var actions []Action
 		for _, probe := range actionsOfKind(h.request(fmt.Sprint(i), "c", time.Second), Probe) {
 			if probe.Endpoint[0] != 'n' {
-				t.Fatalf("probed %s, which is not in the home zone", probe.Endpoint)
+				t.Fatalf("probed %s, want n1 or n2, the endpoints of the home zone", probe.Endpoint)
 			}
 			actions = append(actions, h.reportLoad(probe.Endpoint, 4)...)
 		}
 		if endpoint := h.wantSend(actions); i > 80 && endpoint[0] != 'n' {
-			t.Fatalf("request %d was sent to %s, which is not in the home zone", i, endpoint)
+			t.Fatalf("request %d was sent to %s, want n1 or n2, the endpoints of the home zone", i, endpoint)
 		}
 		h.now += 20 * ms
 		h.reportOutcome(fmt.Sprint(i), 0, OK, 20*ms)
@@ -169,9 +169,9 @@
 }
 
 // Probes show that both endpoints of a pair have so many requests in flight that an attempt would miss its objective.
-// The sidecar's own count of two requests in flight depends on chance. Work that ends late would displace work in
-// time, so further pairs must be probed and then the request rejected without an attempt. A pair with a short queue
-// must be used.
+// The sidecar's own count of two requests in flight depends on chance. Work that ends late would displace work that
+// could be in time. Further pairs must be probed, and then the request must be rejected without an attempt. A pair with
+// a short queue must be used.
 func TestOverloadedPairGetsNoRequest(t *testing.T) {
 	h := newHarness(t, probeSettings())
 	h.addEndpoints(8)
@@ -182,7 +182,7 @@
 		h.now += 40 * ms
 		h.reportOutcome(id, 0, OK, 40*ms)
 	}
-	probes, actions := h.requestWithLoad("full", 30) // 600 ms, with an objective of 200 ms
+	probes, actions := h.requestWithLoad("full", 30) // takes about 600 ms, with an objective of 200 ms
 	h.wantAnswer(actions, Reject)
 	if probes != 2*maxProbedPairs {
 		t.Errorf("%d probes before the rejection, want %d for %d pairs", probes, 2*maxProbedPairs, maxProbedPairs)
@@ -205,7 +205,7 @@
 		h.updateEndpoints(Delta, Endpoint{ID: "u0", State: Draining})
 		for _, a := range actionsOfKind(h.advance(100*ms), Send) {
 			if a.Endpoint != "u1" {
-				t.Fatalf("sent to %s, which is draining", a.Endpoint)
+				t.Fatalf("sent to %s, which is draining, want u1", a.Endpoint)
 			}
 		}
 		h.reportOutcome(id, 0, OK, 20*ms)
@@ -220,25 +220,28 @@
 	two := &endpoint{}
 	p := probedPair{endpoints: [2]*endpoint{one, two}, drawnAt: drawnAt}
 	if !p.awaitsReport() || !math.IsInf(p.minInFlight(), 1) {
-		t.Errorf("report from before the draw: waits %v, want true; in flight %v, want +Inf",
+		t.Errorf("report from before the draw: awaits a report %v, want true; lowest requests in flight %v, want +Inf",
 			p.awaitsReport(), p.minInFlight())
 	}
 	two.reportedAt, two.inFlight = drawnAt, 7
 	if !p.awaitsReport() || p.minInFlight() != 7 {
-		t.Errorf("one report: waits %v, want true; in flight %v, want 7", p.awaitsReport(), p.minInFlight())
+		t.Errorf("one report: awaits a report %v, want true; lowest requests in flight %v, want 7",
+			p.awaitsReport(), p.minInFlight())
 	}
 	one.reportFailedAt = drawnAt + ms
 	if p.awaitsReport() || p.minInFlight() != 7 {
-		t.Errorf("one report and one failure: waits %v, want false; in flight %v, want 7",
+		t.Errorf("one report and one failure: awaits a report %v, want false; lowest requests in flight %v, want 7",
 			p.awaitsReport(), p.minInFlight())
 	}
 	one.reportedAt, one.inFlight = drawnAt+2*ms, 3
 	if p.awaitsReport() || p.minInFlight() != 3 {
-		t.Errorf("two reports: waits %v, want false; in flight %v, want 3", p.awaitsReport(), p.minInFlight())
+		t.Errorf("two reports: awaits a report %v, want false; lowest requests in flight %v, want 3",
+			p.awaitsReport(), p.minInFlight())
 	}
 	none := probedPair{}
 	if none.isDrawn() || none.awaitsReport() || !math.IsInf(none.minInFlight(), 1) {
-		t.Errorf("empty pair: drawn %v, waits %v, want false; in flight %v, want +Inf",
+		t.Errorf("empty pair: drawn %v, want false; awaits a report %v, want false; "+
+			"lowest requests in flight %v, want +Inf",
 			none.isDrawn(), none.awaitsReport(), none.minInFlight())
 	}
 }
@@ -278,7 +281,8 @@
 		t.Errorf("wait for probes %v, want 22 ms", got)
 	}
 	if p.isSlow(0.0121) || !p.isSlow(0.0119) {
-		t.Errorf("3 ms slow with a request latency of 12.1 ms: %v, want false; with 11.9 ms: %v, want true",
+		t.Errorf("probes of 3 ms count as slow at a request latency of 12.1 ms: %v, want false; "+
+			"at a request latency of 11.9 ms: %v, want true",
 			p.isSlow(0.0121), p.isSlow(0.0119))
 	}
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -16,7 +16,7 @@
 	sentAt     time.Duration
 	timeoutAt  time.Duration
 	inFlight   bool
-	mayHaveRun bool // the attempt may have run
+	mayHaveRun bool // false only if the result shows that the attempt did not run
 }
 
 // checkedRequest is the rule checker's record of a request.
@@ -24,7 +24,7 @@
 	class     Class
 	expiresAt time.Duration
 	attempts  []*checkedAttempt
-	finished  bool // it was answered, it succeeded, or its client disconnected
+	finished  bool // the request was answered, succeeded, or was abandoned by its client
 }
 
 // anyMayHaveRun reports whether an attempt of the request may have run.
@@ -47,7 +47,7 @@
 	openIDs  []string // IDs of requests that are unfinished or have attempts in flight, in order of arrival
 	active   map[string]Endpoint
 	timers   []time.Duration
-	probes   []string // endpoints of probes in flight; results arrive late, in any order, or never
+	probes   []string // endpoints of probes in flight; the results arrive late, in any order, or never
 }
 
 func newRuleChecker(t *testing.T, s Settings) *ruleChecker {
@@ -65,7 +65,7 @@
 	c.t.Helper()
 	q := c.requests[a.ID]
 	if q == nil && a.Kind <= Fail {
-		c.t.Fatalf("action for an unknown request: %+v", a)
+		c.t.Fatalf("action %+v is for an unknown request", a)
 	}
 	switch a.Kind {
 	case Send:
@@ -84,10 +84,10 @@
 func (c *ruleChecker) checkCancel(a Action, q *checkedRequest) {
 	c.t.Helper()
 	if !c.settings.Cancellation {
-		c.t.Fatalf("%s: attempt cancelled although Cancellation is off", a.ID)
+		c.t.Fatalf("request %s: attempt cancelled although Cancellation is off", a.ID)
 	}
 	if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
-		c.t.Fatalf("%s: cancelled attempt %d, want a number below %d", a.ID, a.Attempt, len(q.attempts))
+		c.t.Fatalf("request %s: cancelled attempt %d, want a number below %d", a.ID, a.Attempt, len(q.attempts))
 	}
 }
 
@@ -95,10 +95,10 @@
 	c.t.Helper()
 	retryable := q.class.Effect == Idempotent || q.class.Effect == Keyed && q.class.IdempotencyScope == ScopeAll
 	if a.Kind == Reject && !retryable && q.anyMayHaveRun() {
-		c.t.Fatalf("%s: rejected although it may have run and a retry is not safe", a.ID)
+		c.t.Fatalf("request %s: rejected although it may have run and a retry is not safe", a.ID)
 	}
 	if q.finished {
-		c.t.Fatalf("%s: second final answer", a.ID)
+		c.t.Fatalf("request %s: second final answer, want one", a.ID)
 	}
 	q.finished = true
 }
@@ -119,13 +119,13 @@
 	endpoint, listed := c.active[a.Endpoint]
 	switch {
 	case q.finished:
-		c.t.Fatalf("%s: attempt after the request was finished", a.ID)
+		c.t.Fatalf("request %s: attempt after the request was finished", a.ID)
 	case c.now >= q.expiresAt:
-		c.t.Fatalf("%s: attempt after the deadline", a.ID)
+		c.t.Fatalf("request %s: attempt after the deadline", a.ID)
 	case !listed:
-		c.t.Fatalf("%s: attempt on %s, which is draining or removed", a.ID, a.Endpoint)
+		c.t.Fatalf("request %s: attempt on %s, which is draining or removed", a.ID, a.Endpoint)
 	case len(q.attempts) >= c.settings.MaxAttempts:
-		c.t.Fatalf("%s: attempt %d, but MaxAttempts is %d", a.ID, len(q.attempts)+1, c.settings.MaxAttempts)
+		c.t.Fatalf("request %s: attempt %d, but MaxAttempts is %d", a.ID, len(q.attempts)+1, c.settings.MaxAttempts)
 	}
 	for _, prior := range q.attempts {
 		c.checkRepeat(a, q.class, prior, endpoint)
@@ -148,19 +148,19 @@
 func (c *ruleChecker) checkRepeat(a Action, class Class, prior *checkedAttempt, endpoint Endpoint) {
 	c.t.Helper()
 	if prior.inFlight && !c.settings.Hedging {
-		c.t.Fatalf("%s: two attempts in flight although Hedging is off", a.ID)
+		c.t.Fatalf("request %s: two attempts in flight although Hedging is off", a.ID)
 	}
 	if !prior.mayHaveRun {
 		return
 	}
 	if class.Effect == NonIdempotent {
-		c.t.Fatalf("%s: not idempotent, but sent again after an attempt that may have run", a.ID)
+		c.t.Fatalf("request %s: not idempotent, but sent again after an attempt that may have run", a.ID)
 	}
 	outsideWindow := c.now-prior.sentAt > class.IdempotencyWindow
 	outsideZone := class.IdempotencyScope == ScopeZone && prior.zone != endpoint.Zone
 	outsideCell := class.IdempotencyScope == ScopeCell && prior.cell != endpoint.Cell
 	if class.Effect == Keyed && (outsideWindow || outsideZone || outsideCell) {
-		c.t.Fatalf("%s: keyed, but sent outside its window (%v), zone (%v) or cell (%v)",
+		c.t.Fatalf("request %s: keyed, but sent outside its window (%v), zone (%v) or cell (%v)",
 			a.ID, outsideWindow, outsideZone, outsideCell)
 	}
 }
@@ -217,7 +217,7 @@
 		}
 		c.run(g, handle, 1200)
 		if n := len(b.requests); n != 0 {
-			t.Fatalf("seed %d: %d requests retained after all have finished", seed, n)
+			t.Fatalf("seed %d: %d requests retained after all have finished, want 0", seed, n)
 		}
 	}
 }
@@ -240,7 +240,7 @@
 	}
 	for id, q := range c.requests {
 		if !q.finished {
-			c.t.Fatalf("%s: never finished", id)
+			c.t.Fatalf("request %s never finished", id)
 		}
 	}
 }
@@ -364,7 +364,7 @@
 			c.randomOutcome(g, handle, id, n)
 		}
 		if !q.finished && c.now > q.expiresAt+20*ms {
-			c.t.Fatalf("%s: no answer %v after the deadline", id, c.now-q.expiresAt)
+			c.t.Fatalf("request %s: no answer %v after the deadline", id, c.now-q.expiresAt)
 		}
 	}
 	c.openIDs = slices.DeleteFunc(c.openIDs, func(id string) bool {
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -36,7 +36,7 @@
 			}
 		}, 400)
 		if n := len(b.requests); n != 0 {
-			t.Fatalf("seed %d: %d requests retained after all have finished", seed, n)
+			t.Fatalf("seed %d: %d requests retained after all have finished, want 0", seed, n)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	next := s
 	next.MaxAttempts, next.PriceProbe = 1, math.NaN()
 	if err := h.b.Reconfigure(next); err == nil || h.b.settings.MaxAttempts != 4 {
-		t.Errorf("invalid settings: error %v, want one; MaxAttempts %d, want 4", err, h.b.settings.MaxAttempts)
+		t.Errorf("invalid settings: error %v, want an error; MaxAttempts %d, want 4", err, h.b.settings.MaxAttempts)
 	}
 	next.PriceProbe = 0
 	next.Tenants = []Tenant{{"t", 0.25}, {"u", 0.25}}
@@ -66,13 +66,13 @@
 	}
 	c := h.b.classes["c"]
 	if c.Weight != 7 || c.LateWeight != 0.5 {
-		t.Errorf("weights not applied: %+v, want Weight 7 and LateWeight 0.5", c)
+		t.Errorf("valid settings: class %+v, want Weight 7 and LateWeight 0.5", c)
 	}
 	if c.Effect != Idempotent || c.Deadline != time.Second || c.LatencyObjective != 200*ms {
 		t.Errorf("class %+v, want the effect Idempotent, the deadline 1s and the objective 200ms unchanged", c)
 	}
 	if h.b.settings.MaxAttempts != 1 {
-		t.Errorf("MaxAttempts %d, want 1", h.b.settings.MaxAttempts)
+		t.Errorf("valid settings: MaxAttempts %d, want 1", h.b.settings.MaxAttempts)
 	}
 	if h.b.settings.Tenants[0].Fraction != 0.25 || len(h.b.settings.Tenants) != 1 || s.Tenants[0].Fraction != 0.5 {
 		t.Errorf("tenants %+v, want one with fraction 0.25; tenants of New's caller %+v, want fraction 0.5",
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -15,18 +15,18 @@
 	total := w.totalAttempts()
 	limit := float64(w.requests)*(1+retryRatio) + retryBurst
 	if float64(total) > limit {
-		t.Errorf("%d attempts for %d requests, want at most %.0f", total, w.requests, limit)
+		t.Errorf("%d attempts for %d requests that all fail, want at most %.0f", total, w.requests, limit)
 	}
 }
 
-// All endpoints refuse connections. Retries after refusals are not limited by the budget. If they could make it
+// All endpoints refuse connections. Retries after refusals are not limited by the budget. If they could make the budget
 // negative, there would be no hedge for a long time. The budget must not go below zero.
 func TestFailedConnectionsDoNotOverdrawTheBudget(t *testing.T) {
 	w := newWorkload(t, testSettings(), func(string) (Result, time.Duration) { return ConnectFailed, 0 })
 	w.addEndpoints(4)
 	w.run(5*time.Second, 100)
 	if w.b.retries.tokens < 0 {
-		t.Errorf("retry budget %v tokens, want at least 0", w.b.retries.tokens)
+		t.Errorf("retry budget after refused connections: %v tokens, want at least 0", w.b.retries.tokens)
 	}
 }
 
@@ -56,7 +56,7 @@
 	for _, c := range []struct {
 		inFlight   int
 		wantHedges bool
-	}{ // the limit is 26: 0.65 of the objective of 200 ms at 200 answers a second
+	}{ // the limit is 26 in flight: 0.65 of the objective of 200 ms at 200 answers per second
 		{15, true},
 		{24, false},
 	} {
@@ -82,8 +82,8 @@
 }
 
 // Each of many sidecars keeps an idle connection to each endpoint, which would fill the connection tables of all
-// endpoints. If an open connection costs more than a handshake, it must be closed after its last attempt, and
-// otherwise be kept.
+// endpoints. If these open connections cost more than handshakes, an idle connection must be closed after its last
+// attempt has ended. Otherwise it must be kept.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	for _, c := range []struct {
 		balancers       int
@@ -116,22 +116,23 @@
 	budget := newRetryBudget()
 	budget.earn(0)
 	if budget.tokens != retryBurst {
-		t.Errorf("a quiet sidecar has %v tokens, want %v", budget.tokens, retryBurst)
+		t.Errorf("retry budget of a quiet sidecar: %v tokens, want %v", budget.tokens, retryBurst)
 	}
 	for range 1000 {
 		budget.earn(100)
 	}
-	if budget.tokens != 25 { // a quarter of 100 per second
+	if budget.tokens != 25 { // retryRatio, a quarter, of 100 requests per second
 		t.Errorf("the retry budget has %v tokens after 1000 requests at 100 per second, want 25", budget.tokens)
 	}
 	for range 25 {
 		if budget.isSpent() {
-			t.Fatalf("budget counts as spent with %v tokens left", budget.tokens)
+			t.Fatalf("budget with %v tokens left counts as spent, want it to count as unspent", budget.tokens)
 		}
 		budget.spend()
 	}
 	budget.spend()
 	if !budget.isSpent() || budget.tokens != 0 {
-		t.Errorf("spent %v, %v tokens after all were spent; want true and 0", budget.isSpent(), budget.tokens)
+		t.Errorf("all tokens spent: budget counts as spent %v, want true; %v tokens, want 0",
+			budget.isSpent(), budget.tokens)
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -43,8 +43,8 @@
 		if seed > 0 {
 			continue
 		}
-		// At 20 requests per second over all endpoints, each of them would still answer too rarely for estimates that
-		// decay in a second.
+		// If 20 requests per second were spread over all endpoints, each endpoint would still answer too rarely for
+		// estimates that decay within a second.
 		if n := len(h.attemptsPerEndpoint("m", 200, 50*ms)); n > 14 {
 			t.Errorf("a sidecar with 20 requests per second used %d of 30 endpoints, want at most 14", n)
 		}
@@ -52,7 +52,7 @@
 			h.b.endpointsByID[endpoint].health.ejectedUntil = math.MaxInt64
 		}
 		if n := len(h.attemptsPerEndpoint("d", 60, 500*ms)); n < 4 {
-			t.Errorf("%d endpoints used after all of the subset were ejected, want at least 4", n)
+			t.Errorf("%d endpoints used after all endpoints of the subset were ejected, want at least 4", n)
 		}
 		for _, ep := range h.b.endpoints {
 			ep.health.ejectedUntil = 0
@@ -62,7 +62,7 @@
 		}
 	}
 	for endpoint, n := range subsets {
-		if n < 3 || n > 40 { // about 15 of 60
+		if n < 3 || n > 40 { // about 15 expected
 			t.Errorf("%s is in %d of 60 subsets, want 3 to 40", endpoint, n)
 		}
 	}
@@ -85,7 +85,7 @@
 		h.handle(ClientDisconnected{ID: fmt.Sprint(i)})
 	}
 	if len(probes) < 25 {
-		t.Errorf("probed %d of 30 endpoints, want at least 25", len(probes))
+		t.Errorf("a sidecar with cheap probes probed %d of 30 endpoints, want at least 25", len(probes))
 	}
 }
 
@@ -94,7 +94,7 @@
 	h := newHarness(t, testSettings())
 	h.addEndpoints(30)
 	if attempts := h.attemptsPerEndpoint("q", 200, 500*ms); len(attempts) < 25 {
-		t.Errorf("used %d of 30 endpoints, want at least 25", len(attempts))
+		t.Errorf("a sidecar of a small fleet used %d of 30 endpoints, want at least 25", len(attempts))
 	}
 }
 
@@ -123,10 +123,10 @@
 	return b
 }
 
-// If cross-zone attempts have a price but this price hardly affects picks, most of a subset must be from the home
-// zone. Otherwise a subset of ten has two or three endpoints of the home zone, and the better of these is often worse
-// than any of the others. Among 80 sidecars, the price still affects picks, and half of the subset is left for other
-// zones.
+// If cross-zone attempts have a price but this price hardly affects picks, most of a subset must be from the home zone.
+// Otherwise a subset of ten has two or three endpoints of the home zone, and the better of these is often worse than
+// any of the others. Among 80 sidecars, the price still affects picks, so that about half of the subset may be from
+// other zones.
 func TestMostOfASubsetIsFromTheHomeZone(t *testing.T) {
 	for _, c := range []struct{ sidecars, endpoints, atHome, minHome, maxHome int }{
 		{300, 60, 12, 8, 9},
@@ -147,7 +147,8 @@
 			}
 		}
 		if home < c.minHome || home > c.maxHome || home+others != 10 {
-			t.Errorf("%+v: subset has %d endpoints of the home zone and %d others, want 10 in total", c, home, others)
+			t.Errorf("%+v: subset has %d endpoints of the home zone, want %d to %d; %d others, want 10 in total",
+				c, home, c.minHome, c.maxHome, others)
 		}
 	}
 }
@@ -193,11 +194,12 @@
 	s.clear(endpoints)
 	s.add(endpoints, 20, all)
 	if len(before) != 10 || s.size != 20 {
-		t.Fatalf("subsets have %d and %d endpoints, want 10 and 20", len(before), s.size)
+		t.Fatalf("smaller subset has %d endpoints, want 10; larger subset has %d, want 20", len(before), s.size)
 	}
 	for _, ep := range before {
 		if !ep.inSubset {
-			t.Errorf("the endpoint with hash %016x is in the smaller subset but not in the larger one", ep.hash)
+			t.Errorf("the endpoint with hash %016x is in the smaller subset but not in the larger one, want it in both",
+				ep.hash)
 		}
 	}
 }
--- a/balancer/validation_test.go
+++ b/balancer/validation_test.go
@@ -70,9 +70,9 @@
 	h.wantNoAttemptOrAnswer(h.request("1", "c", time.Second))      // the same ID again
 	h.wantNoAttemptOrAnswer(h.reportOutcome("1", 5, OK, 10*ms))    // no such attempt
 	h.wantNoAttemptOrAnswer(h.reportOutcome("1", -1, OK, 10*ms))   // no such attempt
-	h.wantNoAttemptOrAnswer(h.reportOutcome("1", 0, OK, 10*ms))    // the outcome
+	h.wantNoAttemptOrAnswer(h.reportOutcome("1", 0, OK, 10*ms))    // the outcome of the attempt
 	h.wantNoAttemptOrAnswer(h.reportOutcome("1", 0, Reset, 10*ms)) // a second outcome
-	h.wantNoAttemptOrAnswer(h.handle(ClientDisconnected{ID: "1"})) // after the answer
+	h.wantNoAttemptOrAnswer(h.handle(ClientDisconnected{ID: "1"})) // the client disconnects after the answer
 	h.now -= time.Second                                           // a clock that steps back is treated as stopped
 	expiresAt := h.now + 3*time.Second
 	h.wantSend(h.handle(Request{ID: "2", Class: "c", Tenant: "no such tenant", ExpiresAt: expiresAt}))
@@ -99,7 +99,7 @@
 	h.advance(2 * time.Second)
 	b := h.b
 	if len(b.requests) != 0 || len(b.endpointsByID) != 1 || len(b.endpoints) != 1 || b.timers.Len() != 0 {
-		t.Errorf("%d requests, %d endpoints, %d listed endpoints, %d timers; want 0, 1, 1, 0",
+		t.Errorf("%d requests, want 0; %d endpoints by ID, want 1; %d endpoints in the list, want 1; %d timers, want 0",
 			len(b.requests), len(b.endpointsByID), len(b.endpoints), b.timers.Len())
 	}
 }
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Nearly all endpoints restart at once and are cold. The load of warm endpoints would overload them. Each must get at
-// most the share of the mean load that its current capacity allows, for all kinds of attempts: first attempts,
-// retries, and trials of ejected endpoints.
+// Nearly all endpoints restart at once and are cold. The load of warm endpoints would overload them. Each cold endpoint
+// must get at most the load that its current capacity allows, for all kinds of attempts: first attempts, retries, and
+// trials of ejected endpoints.
 func TestWarmUpBudget(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(10)
@@ -105,7 +105,7 @@
 		latency := time.Duration(float64(20*ms) / endpointSpeed(a.Endpoint))
 		restarted := slices.ContainsFunc(f.restarted, func(e Endpoint) bool { return e.ID == a.Endpoint })
 		if afterRestart && restarted {
-			latency = 4 * ms // it has no queue
+			latency = 4 * ms // a restarted endpoint has no queue
 		}
 		b.Handle(f.now, Outcome{ID: id, Elapsed: latency, Finished: true}, nil)
 	}
@@ -138,17 +138,19 @@
 			warm := 0.3 + 0.7*float64(from)/float64(s.WarmUp)
 			got := f.attemptsIn(endpoint, from)
 			if limit := 3 * capacity * warm * 2; float64(got) > limit {
-				t.Errorf("%s after %v: %d attempts in 2 s, want at most %.0f", endpoint.ID, from, got, limit)
+				t.Errorf("%s, %v after its restart: %d attempts in 2 s, want at most %.0f",
+					endpoint.ID, from, got, limit)
 			}
 			if want := 0.7 * meanLoad * warm * 2; speed > 1 && float64(got) < want {
-				t.Errorf("%s after %v: %d attempts in 2 s, want at least %.0f", endpoint.ID, from, got, want)
+				t.Errorf("%s, %v after its restart: %d attempts in 2 s, want at least %.0f",
+					endpoint.ID, from, got, want)
 			}
 		}
 	}
 }
 
-// All endpoints are removed and one returns, cold. If it were taken for the whole fleet, it would get all of the
-// load. It must get no more than its share of the load before the removal.
+// All endpoints are removed and one returns, cold. If the returned endpoint were taken for the whole fleet, it would
+// get all of the load. It must get no more than the load that its current capacity allows.
 func TestWarmUpBudgetOfTheFirstEndpointToReturn(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(10)
@@ -172,10 +174,10 @@
 	h.updateEndpoints(Delta, Endpoint{ID: "u0", Zone: "a", StartedAt: h.now})
 	attempts = 0
 	runSecond()
-	// The limit is about twice the limit in TestWarmUpBudget, because half of the endpoints may have been
-	// removed permanently.
+	// The budget of the endpoint is twice that of an endpoint in TestWarmUpBudget, because half of the endpoints may
+	// have been removed permanently. Only attempts that are sent when their request arrives are counted.
 	if attempts == 0 || attempts > 16 {
-		t.Errorf("%d requests to the first endpoint in the first second of its warm-up, want 1 to 16", attempts)
+		t.Errorf("%d requests to the returned endpoint in the first second of its warm-up, want 1 to 16", attempts)
 	}
 }
 
@@ -200,7 +202,7 @@
 	}
 	// With 200 requests per second over 4 endpoints at 0.2 to 0.4 of their capacity, about 60 per second may be sent.
 	if attempts > 160 || attempts < 40 || answers == 0 {
-		t.Errorf("%d requests sent, want 40 to 160; %d rejected or failed, want some", attempts, answers)
+		t.Errorf("%d requests sent, want 40 to 160; %d rejected or failed, want at least 1", attempts, answers)
 	}
 }
 
@@ -218,13 +220,13 @@
 		attempts[h.wantSend(h.request(string(rune('a'+i)), "c", time.Second))]++
 	}
 	if attempts["u0"] != 1 {
-		t.Errorf("%d concurrent trials, want 1", attempts["u0"])
+		t.Errorf("%d concurrent attempts on the endpoint on trial, want 1", attempts["u0"])
 	}
 	for i := range 5 {
 		h.reportOutcome(string(rune('a'+i)), 0, OK, 20*ms)
 	}
 	if ep.warmUp.active || ep.health.ejections != 0 {
-		t.Errorf("endpoint is warming up or still on trial after its return: %+v", ep)
+		t.Errorf("endpoint after its return: %+v, want it neither warming up nor on trial", ep)
 	}
 }
 
@@ -253,11 +255,12 @@
 		}
 		ep := w.b.endpointsByID["u0"]
 		if ep.warmUp.active != c.wantWarmUp || !returned() {
-			t.Errorf("%s: warming up %v, want %v; return logged %v", c.name, ep.warmUp.active, c.wantWarmUp, returned())
+			t.Errorf("%s: warming up %v, want %v; return logged %v, want true",
+				c.name, ep.warmUp.active, c.wantWarmUp, returned())
 		}
 		w.run(w.b.settings.WarmUp, 100)
 		if ep := w.b.endpointsByID["u0"]; w.b.capacityShare(ep) < 1 {
-			t.Errorf("%s: less than full capacity after the warm-up period", c.name)
+			t.Errorf("%s: capacity share %v after the warm-up period, want 1", c.name, w.b.capacityShare(ep))
 		}
 	}
 }
@@ -272,10 +275,10 @@
 		}
 	}
 	if w.end(from+period-1, period) || !w.active {
-		t.Error("warm-up ended before its period was over")
+		t.Error("warm-up ended before its period was over, want it active until then")
 	}
 	if !w.end(from+period, period) || w.active || w.end(from+period, period) {
-		t.Error("warm-up did not end exactly once when its period was over")
+		t.Error("end of the warm-up after its period: want it reported exactly once, and the warm-up inactive")
 	}
 	if got := w.capacityShare(from, 0.2, period); got != 1 {
 		t.Errorf("capacity share after the warm-up: %v, want 1", got)
@@ -300,8 +303,8 @@
 	}
 }
 
-// All endpoints are removed and return one by one. If only the listed endpoints counted, the first would get the
-// whole load. Half of the size of the longest list must count for a minute.
+// All endpoints are removed and return one by one. If only the listed endpoints counted, the first one would get the
+// whole load. For a minute, the size must count as at least half of that of the longest list.
 func TestListSizeRemembersTheLongest(t *testing.T) {
 	var s listSize
 	for _, c := range []struct {
@@ -315,7 +318,7 @@
 		{listSizeMemory + 1, 1, 1},
 	} {
 		if got := s.observe(c.n, time.Hour+c.at); got != c.want {
-			t.Errorf("%d endpoints after %v: list size %d, want %d", c.n, c.at, got, c.want)
+			t.Errorf("%d endpoints listed after %v: remembered list size %d, want %d", c.n, c.at, got, c.want)
 		}
 	}
 }
@@ -339,9 +342,10 @@
 	ep.inSubset = false
 	outside := h.b.warmUpRate(ep, s.InitialCapacity)
 	if inSubset < 1.22 || inSubset > 1.23 || outside < 0.12 || outside > 0.13 {
-		t.Errorf("budgets %.3f in the subset, want about 1.22; %.3f outside, want about 0.12", inSubset, outside)
+		t.Errorf("budget of a sidecar with ep in its subset %.3f, want 1.22 to 1.23; of others %.3f, want 0.12 to 0.13",
+			inSubset, outside)
 	}
 	if total := 4*inSubset + 6*outside; total < 5.6 || total > 5.65 {
-		t.Errorf("budgets of all sidecars together: %.3f per second, want about 5.6", total)
+		t.Errorf("budgets of all sidecars together: %.3f per second, want 5.6 to 5.65", total)
 	}
 }
--- a/balancer/workload_test.go
+++ b/balancer/workload_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// respondFunc returns the result of an attempt on an endpoint and the time until it arrives. A negative time means
-// that the endpoint never responds.
+// respondFunc returns the result of an attempt on an endpoint and the time until the result arrives. A negative time
+// means that the endpoint never responds.
 type respondFunc func(endpoint string) (Result, time.Duration)
 
-// workload sends requests at a constant rate to endpoints with scripted responses. It does not model a server.
+// workload sends requests at a constant rate to endpoints with scripted responses. The responses do not depend on the
+// load.
 type workload struct {
 	*harness
 	respond   respondFunc
 	inFlight  []scriptedAttempt
-	attempts  map[string]int     // by endpoint
-	answers   map[ActionKind]int // rejections and failures, by kind
+	attempts  map[string]int     // number of attempts by endpoint
+	answers   map[ActionKind]int // number of rejections and failures by kind
 	succeeded int
 	requests  int
 }
@@ -103,8 +104,8 @@
 	}
 }
 
-// reportFinished reports the outcomes that are due. Attempts that result from these are appended to inFlight and
-// examined as well.
+// reportFinished reports the outcomes that are due. New attempts that follow from these outcomes are appended to
+// inFlight and checked in the same call.
 func (w *workload) reportFinished(attemptsOf map[string]int) {
 	for i := 0; i < len(w.inFlight); i++ {
 		finished := w.inFlight[i]
