--- a/balancer/api.go
+++ b/balancer/api.go
@@ -153,7 +153,7 @@
 	Tenant       string
 	AffinityKey  string        // identifies the subject of the request, for caching; may be absent
 	ExpiresAt    time.Duration // clock time
-	ExpectedWork time.Duration // 0: unknown
+	ExpectedWork time.Duration // 0 if unknown
 	// PriorAttempts are attempts of earlier requests with the same effect that may have run. They restrict this
 	// request like its own attempts: it is sent only within their idempotency scope and idempotency window. The field
 	// is nil unless the request is keyed.
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -29,7 +29,7 @@
 	ep.health.ejections = 1000 // the doubling must not overflow
 	h.b.eject(ep)
 	if d := ep.health.ejectedUntil - h.now; d < 6*time.Second || d > 10*time.Second {
-		t.Errorf("ejection 1001 lasts %v, want 6 s to 10 s", d)
+		t.Errorf("ejection after 1000 others lasts %v, want 6 s to 10 s", d)
 	}
 	h.b.recordAnswer(ep)
 	if ep.health.isEjected(h.now) || ep.health.isOnTrial() {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -21,7 +21,7 @@
 		h.reportOutcome(id, 0, OK, 10*ms)
 		h.now += 10 * ms
 	}
-	h.updateEndpoints(CompleteList) // removes all
+	h.updateEndpoints(CompleteList) // removes all endpoints
 	h.wantNoAttemptOrAnswer(h.request("z", "c", time.Second))
 }
 
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -71,8 +71,9 @@
 }
 
 // kindMeanOf returns the mean normalized latency, in seconds, of the endpoints of one kind in one zone. A
-// new mean starts from the mean of all endpoints. Each zone has its own means: with a common one, the high
-// latencies of an overloaded home zone would also be assumed for other zones that have not answered yet.
+// new mean starts from the mean of all endpoints. Each zone has its own means: with a mean for all zones,
+// the high latencies of an overloaded home zone would also be assumed for other zones that have not
+// answered yet.
 func (l *latencyEstimates) kindMeanOf(kind, zone string) *float64 {
 	name := kind + "\x00" + zone
 	if l.kindMeans[name] == nil {
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -163,7 +163,7 @@
 			id := string(rune('A' + i))
 			endpoint := h.wantSend(h.request(id, "c", time.Second))
 			latency := 20 * ms
-			if endpoint[0]%2 == 0 { // b, d, f, h
+			if endpoint[0]%2 == 0 { // the slow endpoints b, d, f and h
 				latency = 90 * ms
 			}
 			h.now += latency
--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -60,7 +60,7 @@
 		h.handle(Outcome{ID: fmt.Sprint("s", i), Result: OK, Elapsed: 5 * ms, Finished: true})
 	}
 	if h.b.admission.meter.inFlight.count != 0 || len(h.b.requests) != 0 {
-		t.Errorf("after the streams: %d requests in flight, %d retained; want 0 for both",
+		t.Errorf("after all streams have ended: %d requests in flight, %d requests retained; want 0 for both",
 			h.b.admission.meter.inFlight.count, len(h.b.requests))
 	}
 }
--- a/balancer/pairadmission.go
+++ b/balancer/pairadmission.go
@@ -56,7 +56,7 @@
 type pairCapacity int
 
 const (
-	pairUnknown     pairCapacity = iota // there is no report, or reports come too late to be reliable
+	pairUnknown     pairCapacity = iota // no load report was received, or probes are not cheap
 	pairHasCapacity                     // the request can be served in time
 	pairOverloaded
 )
--- a/balancer/pressure.go
+++ b/balancer/pressure.go
@@ -81,7 +81,7 @@
 	meanAge := m.inFlight.ageSum(now).Seconds() / n
 	meanAgeInObjectives := meanAge * m.inFlight.inverseObjectives / n
 	ageFactor := min(1, meanAgeInObjectives/fullPressureAge)
-	currentWeight := n / (n + smallInFlight) // weight of current values against the longer means
+	currentWeight := n / (n + smallInFlight) // weight of current values, not of the means
 	neededRate := currentWeight*m.inFlight.inverseObjectives +
 		(1-currentWeight)*m.inFlight.inverseObjectivesMean.perSecond(now)
 	servedRate := currentWeight*m.served.perSecond(now) + (1-currentWeight)*m.slowServed.perSecond(now)
--- a/balancer/pressure_test.go
+++ b/balancer/pressure_test.go
@@ -85,7 +85,7 @@
 	if p := h.b.pressure(); p > 1 {
 		t.Errorf("two requests in flight for half of their objective: pressure %.2f, want at most 1", p)
 	}
-	for i := range 12 { // a queue is an overload
+	for i := range 12 { // these requests form a queue, which is an overload
 		h.request(fmt.Sprint("q", i), "c", time.Second)
 	}
 	h.now += 100 * ms
--- a/balancer/rate.go
+++ b/balancer/rate.go
@@ -6,8 +6,8 @@
 )
 
 // The memory of a rate divided by minAgeDivisor is its minimum age: a younger rate is computed as if it had
-// that age. With a higher value, a rate follows its first events more closely, and the first event alone
-// counts as a higher rate.
+// that age. With a higher value, a rate follows its first events more closely, but is too high after the
+// first event alone.
 const minAgeDivisor = 20
 
 // rate is an exponentially weighted moving rate of events.
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -77,7 +77,7 @@
 	priorAttempts   []PriorAttempt
 	attempts        []*attempt
 	outstanding     int
-	lateClientRetry bool // a client retry after the objective of the client's first attempt
+	lateClientRetry bool // a client retry that arrived after the objective of the first attempt
 	done            bool
 	streaming       bool          // a streamed answer has started
 	overdueAt       time.Duration // when the latest attempt is overdue
@@ -232,7 +232,7 @@
 	switch {
 	case r.done:
 		b.release(r)
-	case r.outstanding > 0 || r.streaming: // another attempt is outstanding, or the client will end the stream
+	case r.outstanding > 0 || r.streaming: // another attempt is outstanding, or an answer is being streamed
 	case e.Result != ConnectFailed && b.retries.isSpent():
 		b.giveUp(r)
 	default:
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -48,7 +48,7 @@
 		if n := len(h.attemptsPerEndpoint("m", 200, 50*ms)); n > 14 {
 			t.Errorf("a sidecar with 20 requests per second used %d of 30 endpoints, want at most 14", n)
 		}
-		for endpoint := range attempts { // all endpoints of the subset are ejected
+		for endpoint := range attempts { // eject all endpoints of the subset
 			h.b.endpointsByID[endpoint].health.ejectedUntil = math.MaxInt64
 		}
 		if n := len(h.attemptsPerEndpoint("d", 60, 500*ms)); n < 4 {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -19,7 +19,7 @@
 
 type timer struct {
 	at       time.Duration
-	sequence int // timers with the same time run in the order in which they were scheduled
+	sequence int // sequence number, which orders timers with the same time
 	kind     timerKind
 	request  *request // nil for timerSubscribe
 }
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -16,7 +16,7 @@
 	attempts := map[string]int{}
 	n := 0
 	runSecond := func() {
-		for range 200 { // 200 requests per second, answered at once
+		for range 200 { // 200 requests in a second, each answered at once
 			n++
 			id := string(rune('a'+n%26)) + time.Duration(n).String()
 			for _, a := range actionsOfKind(h.request(id, "c", time.Second), Send) {
@@ -247,7 +247,7 @@
 		w.run(5*time.Second, 100)
 		w.respond = respondOK
 		returned := func() bool { return w.logged("endpoint returned after ejection endpoint=u0 ") }
-		for range 100 { // until a trial has succeeded
+		for range 100 { // wait until a trial has succeeded
 			w.run(100*ms, 100)
 			if returned() {
 				break
