--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -25,7 +25,7 @@
 		ep := h.b.endpointsByID["u0"]
 		reported := ep.reportedAt > 0
 		if reported != (c.want > 0) || reported && ep.inFlight != c.want {
-			t.Errorf("%+v: reported %v, want %v; in flight %v, want %v if reported",
+			t.Errorf("load report %+v: used %v, want %v; requests in flight %v, want %v if used",
 				c.load, reported, c.want > 0, ep.inFlight, c.want)
 		}
 	}
@@ -60,7 +60,7 @@
 		h.handle(Outcome{ID: fmt.Sprint("s", i), Result: OK, Elapsed: 5 * ms, Finished: true})
 	}
 	if h.b.admission.meter.inFlight.count != 0 || len(h.b.requests) != 0 {
-		t.Errorf("after the streams: %d requests in flight, %d retained; want 0 for both",
+		t.Errorf("after all streams have ended: %d requests in flight, %d requests retained; want 0 for both",
 			h.b.admission.meter.inFlight.count, len(h.b.requests))
 	}
 }
@@ -83,6 +83,7 @@
 		}
 	}
 	if attempts["u0"]*2 > attempts["u1"] {
-		t.Errorf("attempts %v: u0, which reported five in flight, got more than half as many as u1", attempts)
+		t.Errorf("attempts by endpoint: %v; want at most half as many on u0, which reported five in flight, as on u1",
+			attempts)
 	}
 }
