--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -30,8 +30,8 @@
 	IndirectChecks     int64                 `toml:"indirect"`   // number of members asked for an indirect probe
 	SuspicionMult      float64               `toml:"suspicion"`
 	MaxMembers         int64                 `toml:"most"`
-	DisableNotices     bool                  `toml:"no_words"` // ignores gossiped endpoint updates
-	DisableSizeUpdates bool                  `toml:"no_count"` // does not pass the cluster's size to the engine
+	DisableNotices     bool                  `toml:"no_words"` // whether gossiped endpoint updates are ignored
+	DisableSizeUpdates bool                  `toml:"no_count"` // whether the cluster's size is withheld from the engine
 	Translations       []Translation         `toml:"translate"`
 
 	// AdvertiseAddr, SeedAddrs and AllowedNetworks are not in the file; validate sets them.
@@ -70,9 +70,10 @@
 func (c *Cluster) validate(v validator) {
 	switch {
 	case c.Name == "":
-		v.errorf("fleet.name", "must not be empty: a sidecar ignores sidecars whose fleet has another name")
+		v.errorf("fleet.name", "must have 1 to %d bytes, got none: "+
+			"a sidecar ignores sidecars whose fleet has another name", cluster.MaxClusterNameLength)
 	case len(c.Name) > cluster.MaxClusterNameLength:
-		v.errorf("fleet.name", "must have at most %d bytes, got %d", cluster.MaxClusterNameLength, len(c.Name))
+		v.errorf("fleet.name", "must have 1 to %d bytes, got %d", cluster.MaxClusterNameLength, len(c.Name))
 	}
 	c.validateAddresses(v)
 	c.validateIntervals(v)
@@ -93,7 +94,7 @@
 	c.AllowedNetworks = v.networks("fleet.networks", c.Networks)
 	c.loadSeeds(v)
 	if c.isOutsideNetworks(c.AdvertiseAddr) {
-		v.errorf("fleet.advertise", "%s is in none of fleet.networks, so other members would ignore it",
+		v.errorf("fleet.advertise", "%s is in none of fleet.networks, so other members would ignore this member",
 			c.AdvertiseAddr)
 	}
 }
--- a/internal/operator/config_test.go
+++ b/internal/operator/config_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Parse returns the table [graphql] with its defaults and its fields, and knows the positions of its keys.
+// Parse returns the table [graphql] with its defaults and its fields. Config.Position returns the position of a key.
 func TestParseGraphQL(t *testing.T) {
 	text := "[graphql]\nlisten = \"127.0.0.1:1\"\nschema = \"/s\"\n" +
 		"[graphql.field.\"Query.x\"]\nclass = \"c\"\nwork = \"2ms\"\n"
@@ -59,7 +59,7 @@
 func TestParseEmptyFile(t *testing.T) {
 	c, err := Parse(nil)
 	if err != nil || c.GraphQL != nil || c.Idempotency != nil || c.Admin != nil {
-		t.Errorf("an empty file: got %+v, %v; want a Config without tables", c, err)
+		t.Errorf("an empty file: got %+v, error %v; want a Config without tables, and no error", c, err)
 	}
 }
 
@@ -125,7 +125,7 @@
 		{
 			name: "fleet.name missing",
 			text: "[fleet]\nlisten = \"10.0.0.4:7946\"\nseeds = [\"10.0.0.5:7946\"]\nnetworks = [\"10.0.0.0/8\"]",
-			want: "1:2: fleet.name: must not be empty",
+			want: "1:2: fleet.name: must have 1 to 64 bytes, got none",
 		},
 		{
 			name: "fleet.listen has no port",
@@ -247,7 +247,8 @@
 		{
 			name: "graphql.only_trusted without graphql.trusted",
 			text: graphql + "only_trusted = true",
-			want: "4:1: graphql.only_trusted: requires graphql.trusted",
+			want: "4:1: graphql.only_trusted: requires graphql.trusted and graphql.persisted = false, " +
+				"but graphql.trusted is not set",
 		},
 		{
 			name: "graphql.deadline out of bounds",
@@ -447,7 +448,7 @@
 	}
 }
 
-// FileError has one line for each error, which begins with the file's name.
+// The text of a FileError has one line for each error. Each line begins with the file's name.
 func TestLoadNamesTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.toml")
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), path) {
@@ -470,7 +471,7 @@
 		_, err := Parse(text)
 		var joined interface{ Unwrap() []error }
 		if err != nil && (!errors.As(err, &joined) || len(joined.Unwrap()) == 0) {
-			t.Errorf("got error %v, want one that joins the errors of the file", err)
+			t.Errorf("%q: got error %v, want one that joins the errors of the file", text, err)
 		}
 	})
 }
@@ -536,7 +537,10 @@
 			":2:1: listen: must be an IP address and a port such as \"10.0.0.9:7950\", got \"10.0.0.9\"",
 		},
 		{"dir is not an absolute path", "\"/x\"", "\"x\"", ":3:1: dir: must be an absolute path, got \"x\""},
-		{"fleet missing", "fleet = \"f\"\n", "", ":1:1: fleet: must be the name of the sidecars' fleet"},
+		{
+			"fleet missing", "fleet = \"f\"\n", "",
+			":1:1: fleet: must be the name of the sidecars' fleet, 1 to 64 bytes, got none",
+		},
 		{"epoch too low", "epoch = 2", "epoch = 0", ":5:1: epoch: must be at least 1, got 0"},
 		{"peer listed twice", "name = \"a\"", "name = \"b\"", ":6:1: peers: the name \"b\" is listed twice"},
 		{
--- a/internal/operator/discovery.go
+++ b/internal/operator/discovery.go
@@ -10,11 +10,12 @@
 // Discovery is the table [members]. It configures how the endpoint list of the platform's discovery is merged with
 // other sources.
 type Discovery struct {
-	// AdditionInterval is how long additions are collected before they take effect.
+	// AdditionInterval is how long added endpoints are collected before they are used.
 	AdditionInterval strictdecode.Duration `toml:"settle"`
 	// TombstoneTTL is how long the record of a removed endpoint is kept.
 	TombstoneTTL strictdecode.Duration `toml:"forget"`
-	// MaxRemovalShare is the largest share of the list that other sources may remove within RemovalWindow.
+	// MaxRemovalShare is the largest share of the list that sources other than the platform's discovery may remove
+	// within RemovalWindow.
 	MaxRemovalShare float64               `toml:"share"`
 	RemovalWindow   strictdecode.Duration `toml:"window"`
 	MaxEndpoints    int64                 `toml:"most"`
--- a/internal/operator/graphql.go
+++ b/internal/operator/graphql.go
@@ -93,9 +93,11 @@
 	}
 	switch {
 	case c.TrustedOnly && c.TrustedFile == "":
-		v.errorf("graphql.only_trusted", "requires graphql.trusted")
+		v.errorf("graphql.only_trusted", "requires graphql.trusted and graphql.persisted = false, "+
+			"but graphql.trusted is not set")
 	case c.TrustedOnly && c.PersistedQueries:
-		v.errorf("graphql.only_trusted", "cannot be combined with graphql.persisted")
+		v.errorf("graphql.only_trusted", "requires graphql.trusted and graphql.persisted = false, "+
+			"but graphql.persisted is true")
 	}
 }
 
--- a/internal/operator/origin.go
+++ b/internal/operator/origin.go
@@ -65,9 +65,9 @@
 func (o *Origin) validate(v validator) {
 	switch {
 	case o.Name == "":
-		v.errorf("name", "must not be empty")
+		v.errorf("name", "must have 1 to %d bytes, got none", controlplane.MaxNameLength)
 	case len(o.Name) > controlplane.MaxNameLength:
-		v.errorf("name", "must have at most %d bytes, got %d", controlplane.MaxNameLength, len(o.Name))
+		v.errorf("name", "must have 1 to %d bytes, got %d", controlplane.MaxNameLength, len(o.Name))
 	}
 	v.address("listen", o.Listen, originExample)
 	if !filepath.IsAbs(o.Dir) {
@@ -75,13 +75,15 @@
 	}
 	switch {
 	case o.Cluster == "":
-		v.errorf("fleet", "must be the name of the sidecars' fleet, got an empty name")
+		v.errorf("fleet", "must be the name of the sidecars' fleet, 1 to %d bytes, got none",
+			cluster.MaxClusterNameLength)
 	case len(o.Cluster) > cluster.MaxClusterNameLength:
-		v.errorf("fleet", "must have at most %d bytes, got %d", cluster.MaxClusterNameLength, len(o.Cluster))
+		v.errorf("fleet", "must be the name of the sidecars' fleet, 1 to %d bytes, got %d",
+			cluster.MaxClusterNameLength, len(o.Cluster))
 	}
 	if o.Epoch < 1 {
 		v.errorf("epoch", "must be at least 1, got %d: all origins have the same epoch, "+
-			"and a higher one each time they are founded again", o.Epoch)
+			"which is raised each time their stores are created again", o.Epoch)
 	}
 	o.validatePeers(v)
 	v.duration("tick", &o.TickInterval, 50*time.Millisecond, 10*time.Millisecond, time.Second)
--- a/internal/operator/validator.go
+++ b/internal/operator/validator.go
@@ -95,7 +95,7 @@
 			return nil
 		}
 		if prefix.Bits() == 0 {
-			v.errorf(key, "%s contains every address, which would accept any peer", text)
+			v.errorf(key, "%s contains every address, so any peer would be accepted", text)
 			return nil
 		}
 		builder.AddPrefix(prefix)
