--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -4,14 +4,15 @@
 
 // Errors for calls that are rejected without the Balancer.
 var (
-	errClosed       = errors.New("closed")
-	errTooManyCalls = errors.New("too many calls in hand")
+	errClosed       = errors.New("engine is closed")
+	errTooManyCalls = errors.New("too many calls in flight")
 )
 
 // immediateResult decides which calls get their result without the Balancer; ok is false for all others. The decision
 // depends on whether the engine is stopping, the calls in flight, Config.MaxCalls and the call's context:
 //
-//   - During shutdown, a new call is rejected. This prevents an attempt that shutDown would not wait for.
+//   - During shutdown, a new call is rejected. The Balancer is not called any more, so the call would otherwise get no
+//     result before Run returns.
 //   - A call whose ID is already in flight is a Duplicate. This prevents two clients from ending each other's calls.
 //   - Calls beyond Config.MaxCalls are rejected. This prevents unbounded memory use if a front admits too many calls.
 //   - A call whose client disconnected while the call was queued gets a Disconnected result.
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -6,8 +6,8 @@
 	"hazelwing/balancer"
 )
 
-// probeTimeout is the maximum duration of a probe. A higher value detects an endpoint that hangs later; a lower value
-// treats an endpoint that is slow under load as unresponsive.
+// probeTimeout is the maximum duration of a probe. With a higher value, a hanging endpoint is detected later; with a
+// lower value, an endpoint that is slow under load is treated as unresponsive.
 const probeTimeout = 400 * time.Millisecond
 
 // noAttempt is used in place of an attempt's number if there is no attempt.
@@ -17,7 +17,7 @@
 type attempt struct {
 	exchange       Exchange
 	sentAt         time.Time
-	streamAccepted chan bool // receives Run's decision about a stream that has started; buffered
+	streamAccepted chan bool // receives whether the attempt's stream becomes the call's result; buffered
 }
 
 // streamStarted is the event that the stream of an attempt has started. The attempt's goroutine waits for
@@ -48,8 +48,8 @@
 
 func (v probeEnded) handle(e *Engine) { e.handleProbeEnd(v) }
 
-// send starts an attempt in its own goroutine, which queues the event attemptEnded when it ends. shutDown waits for
-// this event.
+// send performs a Send action. It starts the attempt in its own goroutine, which queues the event attemptEnded when the
+// attempt ends. shutDown waits for this event.
 func (e *Engine) send(a *balancer.Action) {
 	c := e.calls[a.ID]
 	if c == nil { // a bug: the Balancer sends attempts only for calls in flight
@@ -144,8 +144,8 @@
 	}
 }
 
-// probe starts a probe in its own goroutine, which queues the event probeEnded when it ends. shutDown waits for this
-// event.
+// probe starts a probe in its own goroutine, which queues the event probeEnded when the probe ends. shutDown waits for
+// this event.
 func (e *Engine) probe(endpoint string) {
 	x := e.transport.Probe(endpoint, probeTimeout)
 	if x == nil {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -12,8 +12,8 @@
 	Class       string // one of the classes of the settings
 	Tenant      string
 	AffinityKey string // object that the call concerns; optional
-	// IdempotencyKey is the client's key. All calls for one effect have the same key, even if their IDs differ.
-	// Optional.
+	// IdempotencyKey is the client's key; optional. All calls for one effect have the same key, even if their IDs
+	// differ.
 	IdempotencyKey string
 	// PriorAttempts lists attempts of other calls with this idempotency key that may have run; see balancer.Request.
 	PriorAttempts []PriorAttempt
@@ -24,8 +24,9 @@
 	ExpiresAt time.Time
 	// Payload is used by the transport only. Several attempts may read it concurrently, so it must not be modified.
 	Payload any
-	// Disconnected reports whether the client has disconnected. It may detect this before Do's context ends. If it is
-	// nil, only the context is checked. It must be safe for concurrent use and must not block.
+	// Disconnected reports whether the client has disconnected, which it may detect before Do's context ends. If
+	// Disconnected is nil, only the context is checked. Disconnected must be safe for concurrent use and must not
+	// block.
 	Disconnected func() bool
 
 	ctx      context.Context //nolint:containedctx // Do's context; MayStart's result checks it during the call.
@@ -93,19 +94,19 @@
 // The kinds of results.
 const (
 	Served       ResultKind = iota // Answer holds the answer that the transport returned
-	Streaming                      // Answer holds a stream that has begun; the client sees how it ends
+	Streaming                      // Answer holds a stream that has begun; the Result does not tell how the stream ends
 	Rejected                       // it is safe to retry
 	Failed                         // attempts may have run; it may be unsafe to retry
 	Duplicate                      // another call with this ID is in flight; this call was not processed
-	Disconnected                   // the client's context ended first
+	Disconnected                   // the client disconnected before the call had another result
 )
 
-// Result is the outcome of a Call.
+// Result is the outcome of a Call. The comment of a field names the kinds of results that have the field.
 type Result struct {
 	Kind       ResultKind
 	Answer     any           // Served, Streaming: the answer; Failed: the last answer of an attempt, or nil
 	RetryAfter time.Duration // Rejected: when to retry; 0: not specified
 	TimedOut   bool          // Failed: an attempt timed out or is still outstanding
 	Attempts   int           // number of attempts started
-	Err        error         // Rejected, Failed: the last error, if known; Disconnected: the context's cause
+	Err        error         // Rejected, Failed: the cause, if known; Disconnected: context.Cause of Do's context
 }
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// release removes a call that has been answered and has no outstanding attempts.
+// release removes a call from the calls in flight if it has been answered and has no outstanding attempts.
 func (e *Engine) release(c *Call) {
 	if !c.answered || c.outstanding > 0 || e.calls[c.ID] != c {
 		return
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -6,7 +6,9 @@
 // started shortly before the engine is still warming up, so the clock must be able to represent its start time.
 const clockHeadStart = time.Hour
 
-// clock is the Balancer's clock. It is monotonic, except for conversions of external times, which are wall-clock times.
+// clock is the Balancer's clock. It counts the time since base and is monotonic, so changes of the wall clock do not
+// affect now. Times without a monotonic reading are converted by the wall clock: all times given to fromUnixMS, and
+// times from outside the process given to fromTime.
 type clock struct{ base time.Time }
 
 func newClock() clock { return clock{time.Now().Add(-clockHeadStart)} }
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -22,7 +22,8 @@
 	if unixZero := c.fromUnixMS(0); unixZero != 0 || beforeBase != 0 {
 		t.Errorf("Unix time 0 is %v, and 1 ms before the clock's base is %v, want 0 for both", unixZero, beforeBase)
 	}
-	if now := c.now(); c.fromTime(c.toTime(now)) != now {
-		t.Error("fromTime does not invert toTime")
+	now := c.now()
+	if got := c.fromTime(c.toTime(now)); got != now {
+		t.Errorf("fromTime(toTime(%v)) returned %v, want the same time", now, got)
 	}
 }
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -7,14 +7,17 @@
 //   - a Transport prepares attempts and probes, each of which the engine runs as an Exchange;
 //   - a Source delivers the endpoint list and its changes.
 //
-// A single goroutine, the one that calls Run, handles all events and never waits for a socket. Everything that happens
-// is queued as an event. The engine carries out the Balancer's actions in order and runs each exchange in its own
-// goroutine. The engine guarantees to every front:
+// A single goroutine, the one that calls Run, handles all events and never waits for a socket. Other goroutines queue
+// events for it. The engine carries out the Balancer's actions in order and runs each exchange in its own goroutine.
+// The engine guarantees to every front:
 //
 //   - Each Call gets exactly one Result, even if its attempts fail, its client disconnects or the engine stops.
-//   - Once a Call has its Result, none of its attempts that have not begun to write will begin.
+//   - After a Call has its Result, no further attempt of the Call begins to write.
 //   - Updates of the endpoint list are handled before all other queued events.
-//   - After a stall of this process, its endpoints are not treated as unresponsive.
+//   - A stall of this process is not mistaken for unresponsive endpoints.
+//
+// The endpoint list is called pushed if the engine watches it from the start, instead of from the Balancer's first
+// Subscribe action on (see Config.Source).
 //
 // The Balancer decides which endpoint receives an attempt, whether to retry, and which calls to reject. The engine
 // makes only the following decisions, each in one place:
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -25,7 +25,9 @@
 	e.step(nil)
 	e.step(nil)
 	if e.watch != current || e.version == 9 || f.updateCount != updateCount || replaced.contextErr() == nil {
-		t.Error("an update of a replaced watch was applied")
+		t.Errorf("after updates of a replaced watch: current watch kept %v, version %d, %d list updates, "+
+			"replaced watch closed %v; want true, not version 9, %d and true",
+			e.watch == current, e.version, f.updateCount, replaced.contextErr() != nil, updateCount)
 	}
 }
 
@@ -92,7 +94,7 @@
 	e.step(nil)
 	e.handleCall(newTestCall("1", "look"))
 	if err := previous.contextErr(); err != nil {
-		t.Errorf("context error of the previous watch: %v, want none", err)
+		t.Errorf("before the new source's answer: the previous watch is closed (%v), want it open", err)
 	}
 	if f.endpoints["m0"].State == balancer.Active ||
 		f.endpoints["m2"].State == balancer.Active ||
@@ -120,7 +122,7 @@
 	w.notify(EndpointUpdate{Kind: balancer.Delta, Version: 3})
 	e.step(nil)
 	if previous.contextErr() == nil {
-		t.Error("after the new source's answer: the context of the previous watch has no error, want one")
+		t.Error("after the new source's answer: the previous watch is open, want it closed")
 	}
 	if e.version != 3 {
 		t.Errorf("after the new source's answer: version %d, want 3", e.version)
@@ -129,7 +131,8 @@
 	previous.notify(EndpointUpdate{Kind: balancer.Delta, Version: 9, Endpoints: testEndpoints(1)})
 	e.step(nil)
 	if f.updateCount != updateCount {
-		t.Error("an update of the previous source was applied after the new one had answered")
+		t.Errorf("an update of the previous source after the new one's answer: %d list updates applied, want %d",
+			f.updateCount, updateCount)
 	}
 }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A client disconnects while its attempt is outstanding. The client receives no answer, so the endpoint would process
-// an attempt that is written later for no one. Attempts of the call that have not been written must be cancelled.
+// A client disconnects while its attempt is outstanding. If the attempt were written later, its endpoint would do work
+// whose result no client receives. Attempts of the call that have not been written must be cancelled.
 func TestClientDisconnects(t *testing.T) {
 	f := newFakeNetwork()
 	e := newEngine(t, f, testSettings(), 2)
@@ -98,7 +98,7 @@
 	}
 	attemptEnded{first, 0, Outcome{Result: balancer.NotSent}}.handle(e)
 	if len(first.attempts) != 2 {
-		t.Error("the first call was not retried after its attempt failed")
+		t.Errorf("the first call has %d attempts after its attempt failed, want 2", len(first.attempts))
 	}
 }
 
@@ -134,7 +134,7 @@
 	(<-e.events).handle(e)
 	r := testutil.Receive(t, c.result, "the result")
 	if r.Kind != Streaming || r.Answer != "stream" || !<-hedge.accepted {
-		t.Errorf("result %+v, want Streaming with the accepted stream of the hedged request", r)
+		t.Errorf("result %+v, want Streaming with answer %q, and the hedged request's stream accepted", r, "stream")
 	}
 	(<-e.events).handle(e)
 	if <-first.accepted {
@@ -144,7 +144,8 @@
 	hedge.outcome <- Outcome{Result: balancer.Reset}
 	(<-e.events).handle(e)
 	if len(e.calls) != 0 || len(f.attempts) > 0 {
-		t.Errorf("%d calls in flight, %d more attempts, want none", len(e.calls), len(f.attempts))
+		t.Errorf("after both attempts ended: %d calls in flight and %d more attempts, want 0 and 0",
+			len(e.calls), len(f.attempts))
 	}
 }
 
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -65,7 +65,8 @@
 	return true
 }
 
-// checkStall detects a stall of the process before an event is handled that the stall may have caused.
+// checkStall detects and logs a stall of the process. It is called before each event is handled, because the stall may
+// have caused the event.
 func (e *Engine) checkStall() {
 	if d := e.stalls.detect(time.Now(), len(e.calls) > 0); d > 0 {
 		e.log.Warn("process was stalled", "duration", d.Round(time.Millisecond))
@@ -104,8 +105,8 @@
 // carryOut performs one action of the Balancer. It ignores a Subscribe action while a watch is open.
 //
 // Guard: prevents a Subscribe action after a backoff from replacing a watch that a change of the source has opened and
-// that has not answered yet: drains would be learned later than necessary. This holds because e.watch is nil after a
-// watch has failed.
+// that has not answered yet: drains would be learned later than necessary. This holds because e.watch is not nil while
+// such a watch is open.
 func (e *Engine) carryOut(a *balancer.Action) {
 	switch a.Kind {
 	case balancer.Send:
--- a/internal/engine/races_test.go
+++ b/internal/engine/races_test.go
@@ -26,11 +26,11 @@
 	attempt := testutil.Receive(t, f.attempts, "the attempt")
 	mayStart := attempt.call.MayStart()
 	if !mayStart() {
-		t.Error("an attempt for a connected client may not start")
+		t.Error("connected client: MayStart's function returned false, want true")
 	}
 	disconnected.Store(true)
 	if mayStart() {
-		t.Error("an attempt for a disconnected client may start")
+		t.Error("disconnected client: MayStart's function returned true, want false")
 	}
 	attempt.outcome <- Outcome{Result: balancer.Overloaded}
 	if r := testutil.Receive(t, results, "the result"); r.Kind != Disconnected || len(f.attempts) > 0 {
@@ -54,7 +54,7 @@
 	attemptEnded{first, 0, Outcome{Result: balancer.Overloaded}}.handle(e) // before callDisconnected{first}
 	e.handleCall(second)
 	if len(f.attempts) > 0 {
-		t.Error("an attempt was sent for a disconnected client")
+		t.Errorf("%d attempts were sent after the client disconnected, want none", len(f.attempts))
 	}
 	for _, c := range []*Call{first, second} {
 		if r := testutil.Receive(t, c.result, "the result"); r.Kind != Disconnected {
@@ -95,14 +95,14 @@
 	allowed := retryMayStart()
 	askedAfter := time.Since(startedAt)
 	if !allowed && askedAfter < window/2 {
-		t.Error("the retry may not start within the window")
+		t.Errorf("retry, %v into the window of %v: MayStart's function returned false, want true", askedAfter, window)
 	}
 	time.Sleep(time.Until(startedAt.Add(window)))
 	if retryMayStart() {
-		t.Error("the retry may start after the window")
+		t.Error("retry after the window: MayStart's function returned true, want false")
 	}
 	if !firstMayStart() {
-		t.Error("the first attempt may not start after the window, although no attempt preceded it")
+		t.Error("first attempt after the window: MayStart's function returned false, want true; no attempt preceded it")
 	}
 }
 
@@ -173,7 +173,7 @@
 				e.step(nil)
 			}
 			if got := f.endpoints["m0"].State != balancer.Active; got != c.wantDraining {
-				t.Errorf("draining: %v, want %v", got, c.wantDraining)
+				t.Errorf("m0 is draining: %v, want %v", got, c.wantDraining)
 			}
 		})
 	}
@@ -193,10 +193,10 @@
 	}
 }
 
-// The source changes, and the new source's list has a lower version and shows a draining process as active. Accepting
-// it would send requests to a process that stops. That process must stay draining, but a different process of the
-// endpoint must be used. The complete list must be requested again once the new source has had time to learn of the
-// drain.
+// The source changes, and the new source's list has a lower version and shows a draining process as active. If that
+// list were accepted, requests would be sent to a process that stops. That process must stay draining, but a different
+// process of the endpoint must be used. The complete list must be requested again once the new source has had time to
+// learn of the drain.
 func TestStaleListAfterSourceChange(t *testing.T) {
 	for name, c := range map[string]struct {
 		version      int64 // version of the new source's list
@@ -221,7 +221,7 @@
 			second.notify(EndpointUpdate{Kind: balancer.CompleteList, Version: c.version, Endpoints: list})
 			e.step(nil)
 			if got := f.endpoints["m0"].State != balancer.Active; got != c.wantDraining {
-				t.Fatalf("draining: %v, want %v", got, c.wantDraining)
+				t.Fatalf("m0 is draining: %v, want %v", got, c.wantDraining)
 			}
 			if !c.wantDraining {
 				return
@@ -234,8 +234,9 @@
 			}
 			w.notify(EndpointUpdate{Kind: balancer.CompleteList, Version: 6, Endpoints: testEndpoints(2)})
 			e.step(nil)
-			if f.endpoints["m0"].State != balancer.Active {
-				t.Error("m0 is still draining after staleListPeriod and a list that shows it as active")
+			if state := f.endpoints["m0"].State; state != balancer.Active {
+				t.Errorf("after staleListPeriod and a list that shows m0 as active: state %v, want %v (Active)",
+					state, balancer.Active)
 			}
 		})
 	}
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -44,9 +44,9 @@
 type Source interface {
 	// Watch starts to follow the changes of the list after version, once delay has passed. It returns at once. If
 	// version is NoVersion, the first update is of kind CompleteList or WatchFailed. Watch calls notify from its own
-	// goroutines, one call at a time. An update of kind WatchFailed is the last one. After stop has returned, notify is
-	// not called again, except for a call that is already in progress. stop does not block and may be called more than
-	// once. The engine calls Watch and stop from Run's goroutine only, and has at most two watches open, each of a
-	// different source.
+	// goroutines, one call at a time. After an update of kind WatchFailed, only updates of kind OutOfBand may
+	// follow. After stop has returned, notify is not called again, except for a call that is already in progress. stop
+	// does not block and may be called more than once. The engine calls Watch and stop from Run's goroutine only, and
+	// has at most two watches open, each of a different source.
 	Watch(version int64, delay time.Duration, notify func(EndpointUpdate)) (stop context.CancelFunc)
 }
--- a/internal/engine/sourcechange.go
+++ b/internal/engine/sourcechange.go
@@ -38,9 +38,9 @@
 }
 
 // changeSource opens a watch of another source at once. The versions of the new source may be unrelated to the old
-// source's versions, and the Balancer's backoff after failures applies only to the old source. Meanwhile, calls use
-// the known list. The old watch stays open until the new one has answered, because until then only the old watch
-// reports drains. At most two watches are open.
+// source's versions, and the Balancer's backoff after failures applies only to the old source. Until the new source has
+// answered, calls use the known list, and the old watch stays open, because only the old watch reports drains. At most
+// two watches are open.
 //
 // Guard: prevents requests to draining endpoints while the new source is unreachable, or while it rejects engines that
 // all switched to it at once. These requests would fail when the processes stop. This holds because drains are applied
@@ -90,7 +90,7 @@
 	e.applyDrains(u.Version, drained)
 }
 
-// applyFromReplaced decides which part is applied of an update that was being delivered while its watch was closed:
+// applyFromReplaced decides which part of an update is applied if its watch was closed before the update was handled:
 // only drains and removals of active processes.
 //
 // Guard: prevents the loss of a drain that was delivered while its watch was being closed. The next watch may not
--- a/internal/engine/stall.go
+++ b/internal/engine/stall.go
@@ -42,7 +42,7 @@
 	timersDelayedUntil time.Time // timers do not fire before this time
 }
 
-// start begins a period with heartbeats.
+// start records that the heartbeats start at now.
 func (s *stalls) start(now time.Time) { s.lastRunAt = now }
 
 // detect must be called whenever the process handles an event or a heartbeat. heartbeats reports whether the heartbeat
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if got := s.detect(at(630*ms), true); got != 400*ms {
-		t.Errorf("detected a stall of %v, want 400ms", got)
+		t.Errorf("heartbeat at 630ms: detected a stall of %v, want 400ms", got)
 	}
 	for _, c := range []struct {
 		name        string
@@ -38,10 +38,10 @@
 		{"sent during the stall", 430 * ms, 630 * ms, balancer.Timeout, 200 * ms, balancer.Cancelled, 0},
 		{"cancelled", 100 * ms, 640 * ms, balancer.Cancelled, 540 * ms, balancer.Cancelled, 0},
 		{"connect failed", 200 * ms, 640 * ms, balancer.ConnectFailed, 440 * ms, balancer.NotSent, 40 * ms},
-		{"refused after it", 630 * ms, 640 * ms, balancer.ConnectFailed, 10 * ms, balancer.ConnectFailed, 10 * ms},
+		{"refused after stall", 630 * ms, 640 * ms, balancer.ConnectFailed, 10 * ms, balancer.ConnectFailed, 10 * ms},
 		{"reset", 200 * ms, 640 * ms, balancer.Reset, 440 * ms, balancer.Reset, 40 * ms},
-		{"sent after it", 630 * ms, 900 * ms, balancer.Timeout, 270 * ms, balancer.Timeout, 270 * ms},
-		{"sent long after it", 2000 * ms, 2100 * ms, balancer.Timeout, 100 * ms, balancer.Timeout, 100 * ms},
+		{"sent after stall", 630 * ms, 900 * ms, balancer.Timeout, 270 * ms, balancer.Timeout, 270 * ms},
+		{"sent long after stall", 2000 * ms, 2100 * ms, balancer.Timeout, 100 * ms, balancer.Timeout, 100 * ms},
 	} {
 		got := Outcome{Result: c.result, Elapsed: c.elapsed}
 		s.correctOutcome(&got, at(c.sentAt), at(c.now))
@@ -49,14 +49,14 @@
 			t.Errorf("%s: result %d in %v, want %d in %v", c.name, got.Result, got.Elapsed, c.wantResult, c.wantElapsed)
 		}
 	}
-	if s.detect(at(5000*ms), false) != 0 {
-		t.Error("a stall was detected although no heartbeats were running")
+	if got := s.detect(at(5000*ms), false); got != 0 {
+		t.Errorf("without heartbeats: detected a stall of %v, want none", got)
 	}
 	for i := range 3 * maxStalls {
 		s.detect(at(time.Duration(6+i)*time.Second), true)
 	}
 	if len(s.recent) != maxStalls {
-		t.Errorf("%d stalls are remembered, want %d", len(s.recent), maxStalls)
+		t.Errorf("after %d more stalls: %d are remembered, want %d", 3*maxStalls, len(s.recent), maxStalls)
 	}
 }
 
@@ -83,6 +83,6 @@
 		e.step(nil)
 	}
 	if len(f.attempts) > 0 {
-		t.Error("a hedged request was sent although the answer had arrived")
+		t.Errorf("%d hedged requests were sent although the answer had arrived, want none", len(f.attempts))
 	}
 }
--- a/internal/engine/startup.go
+++ b/internal/engine/startup.go
@@ -8,8 +8,9 @@
 // a slow agent's first update arrives.
 const firstUpdateTimeout = 250 * time.Millisecond
 
-// publishCachedList applies the cached list before any watch is opened. A watch continues from the version of the
-// cached list and delivers only later changes, so the endpoints of the cached list would otherwise never be applied.
+// publishCachedList applies the cached list before any watch is opened, and then opens the watch of a pushed list. A
+// watch continues from the version of the cached list and delivers only later changes, so the endpoints of the cached
+// list would otherwise never be applied.
 func (e *Engine) publishCachedList() {
 	e.handleUpdate(watchUpdate{EndpointUpdate: e.cachedList})
 	e.cachedList.Endpoints = nil
@@ -18,11 +19,12 @@
 	}
 }
 
-// awaitFirstUpdate decides how long calls wait at startup if the list is pushed: until its first update arrives, but no
-// longer than firstUpdateTimeout. After that, calls use the cached list.
+// awaitFirstUpdate waits for the first update of a pushed list and handles it. If no update arrives within
+// firstUpdateTimeout, or if done is closed first, it returns without an update, and calls use the cached list.
 //
-// Guard: prevents the first calls from going to endpoints that started draining after the cached list was saved: they
-// would fail when the processes stop. This holds because no call is handled before awaitFirstUpdate returns.
+// Guard: prevents the first calls from going to endpoints that started draining after the cached list was saved: these
+// calls would fail when the endpoints stop. If the update arrives in time, this holds because no call is handled before
+// awaitFirstUpdate returns.
 func (e *Engine) awaitFirstUpdate(done <-chan struct{}) {
 	timeout := time.NewTimer(firstUpdateTimeout)
 	defer timeout.Stop()
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -11,7 +11,7 @@
 	// Result also determines whether the exchange may have run (see balancer.Result.MayHaveRun). Each transport
 	// documents how it can tell that an exchange did not run.
 	Result  balancer.Result
-	Elapsed time.Duration // from the request for the exchange to its end, or to the first part of a stream
+	Elapsed time.Duration // from the creation of the exchange to its end, or to the first part of a stream
 	Answer  any           // answer for the client; nil if there is none
 	// Final reports whether Answer is delivered to the client regardless of Result. It is set whenever Result is OK.
 	Final bool
