--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -5,9 +5,10 @@
 // Two requirements conflict. First, an endpoint counts as notified of a change [NotificationDeadline] after the service
 // had that change and was reachable, even if some calls fail in between; one of several calls must therefore succeed
 // within that time. Second, when the service fails or stops responding, all sidecars of a cluster call it again at the
-// same time. Calls are therefore spaced by the time between their starts: a call that is rejected late is followed
-// soon, a call that is rejected immediately is not, and no sidecar starts more than three calls in any second. Once the
-// deadline has passed, their spacing is determined by the maximum rate of all sidecars together.
+// same time. Calls are therefore spaced by the time between their starts: the next call starts soon after a call that
+// is rejected late, but not soon after a call that is rejected immediately. No sidecar starts more than three calls in
+// any second. Once NotificationDeadline has passed, the spacing is determined by the maximum rate of all sidecars
+// together.
 package backoff
 
 import (
@@ -17,10 +18,10 @@
 
 const (
 	// maxDoublings is the maximum number of times that the slow interval is doubled. This prevents an overflow of the
-	// shift. The exact value has no effect as long as MaxInterval is reached from SlowInterval.
+	// shift. The exact value has no effect if SlowInterval, doubled this often, is at least MaxInterval.
 	maxDoublings = 10
-	// neverStarted is the start time of the latest call before there has been a call. It is early enough not to delay
-	// the first call.
+	// neverStarted is the value of Scheduler.lastCallStart before the first call. It is early enough not to delay any
+	// call.
 	neverStarted = -time.Hour
 )
 
@@ -34,7 +35,9 @@
 	// differs from 1 by at most 1/intervalJitterDivisor. A higher value keeps intervals closer to their mean, and so
 	// spreads the calls of the sidecars less.
 	intervalJitterDivisor = 4
-	// listDelayJitterDivisor determines the jitter of ListDelay, as intervalJitterDivisor does for intervals.
+	// listDelayJitterDivisor determines the jitter of ListDelay, which is multiplied by a random factor that differs
+	// from 1 by at most 1/listDelayJitterDivisor. A higher value keeps the delays closer to ListDelay, and so spreads
+	// the calls of the sidecars less.
 	listDelayJitterDivisor = 2
 )
 
@@ -43,8 +46,8 @@
 type Scheduler struct {
 	Config
 	rng           *rand.Rand
-	failing       bool          // a call has failed, and none has succeeded since
-	failingSince  time.Duration // valid if failing
+	failing       bool          // see Failing
+	failingSince  time.Duration // time from which NotificationDeadline is measured; valid if failing
 	lastCallStart time.Duration
 	lateFailures  int // failures since NotificationDeadline passed
 }
@@ -60,7 +63,8 @@
 // CallSucceeded records that a call was answered.
 func (s *Scheduler) CallSucceeded() { s.failing = false }
 
-// Failing reports whether a call, or the watch that it opened, has failed and no call has succeeded since.
+// Failing reports whether no call has succeeded since a call, or the watch that it opened, failed. It also returns true
+// after DelayFirstCall, until a call succeeds.
 func (s *Scheduler) Failing() bool { return s.failing }
 
 // CallFailed records that a call, or the watch that it opened, failed at now. It returns the time at which the next
--- a/internal/backoff/config.go
+++ b/internal/backoff/config.go
@@ -13,8 +13,9 @@
 	SilenceTimeout = 2500 * time.Millisecond
 	// HedgeDelay is the time after which a call that has returned nothing is hedged by another call. This prevents a
 	// hanging call from using up the available time: if the call were abandoned before another one was started, no time
-	// would be left for a second failure. HedgeDelay is longer than the time for which the service may queue a call (1
-	// s on the platform). A higher value starts fewer calls to a slow service, and delays the answer if a call hangs.
+	// would be left for a second failure. HedgeDelay is longer than the time for which the service may queue a call,
+	// which is 1 s on the platform. A higher value starts fewer calls to a slow service, and delays the answer if a
+	// call hangs.
 	HedgeDelay = SilenceTimeout / 2
 	// MaxAttempts limits the calls of one hedged request; at most two of them are in flight at a time. A higher value
 	// tolerates more consecutive calls that hang, and calls a service that hangs more often.
--- a/internal/limits/meter.go
+++ b/internal/limits/meter.go
@@ -1,17 +1,17 @@
 // Package limits counts how often each configured limit of a process is reached, and decides when to log this. A Meter
-// counts for one limit without I/O and without reading the clock; a Set adds a logger and the current time to several
-// Meters.
+// counts for one limit, does no I/O and does not read the clock. A Set holds several Meters, gives them the current
+// time and logs their reports.
 package limits
 
 import "time"
 
 const (
-	// reportInterval is the minimum time between two reports of a limit within an episode. This prevents a full table
-	// from producing a log line for every request. A higher value produces fewer log lines and reports further
-	// occurrences later.
+	// reportInterval is the minimum time between two reports of a limit within an episode. This prevents a limit that
+	// every request reaches from producing a log line for every request. A higher value produces fewer log lines and
+	// reports further occurrences later.
 	reportInterval = 10 * time.Second
-	// episodeGap is the minimum time without the limit being reached after which the next occurrence starts a new
-	// episode. The first occurrence of an episode is reported at once. A higher value merges more bursts into one
+	// episodeGap separates episodes: if a limit is reached more than episodeGap after the previous time, a new episode
+	// starts. The first occurrence of an episode is reported at once. A higher value merges more bursts into one
 	// episode.
 	episodeGap = 30 * time.Second
 )
--- a/internal/netpeek/netpeek.go
+++ b/internal/netpeek/netpeek.go
@@ -31,8 +31,8 @@
 		return Closed
 	}
 	state := Closed
-	// raw.Read would wait for a concurrent Read to finish; raw.Control does not. It fails only if c was closed on this
-	// side.
+	// raw.Read would wait for a concurrent Read to finish; raw.Control does not wait. raw.Control fails only if c was
+	// closed on this side.
 	_ = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -66,8 +66,8 @@
 	peer.Close()
 	testutil.Until(t, "the close", func() bool { return Peek(local) == Closed })
 	pipe, _ := net.Pipe()
-	if Peek(pipe) != Closed {
-		t.Error("state of a net.Pipe, which has no file descriptor, is not Closed")
+	if state := Peek(pipe); state != Closed {
+		t.Errorf("state of a net.Pipe, which has no file descriptor: %d, want Closed", state)
 	}
 }
 
@@ -98,7 +98,7 @@
 			if c.closed {
 				testutil.Until(t, "the close", func() bool { return PeerClosed(local) })
 			} else if PeerClosed(local) {
-				t.Error("PeerClosed reports a close that did not happen")
+				t.Error("the peer has not closed the connection: PeerClosed returned true, want false")
 			}
 		})
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -71,7 +71,7 @@
 }
 
 // Reload reads the file again after it was replaced. Unlike in Load, the file takes precedence over the environment
-// variables, which keep their values from the start of the process.
+// variables, which keep their values from the start of the process. Reload ignores RELAY_NAME.
 func Reload(getenv func(string) string) (*Config, error) {
 	c, err := readFile(getenv)
 	if err != nil {
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -42,7 +42,8 @@
 	if cfg.Seed != 255 || cfg.Listen != "127.0.0.1:4" || cfg.Discovery != "127.0.0.1:2" ||
 		len(cfg.InitialEndpoints.Endpoints) != 1 || cfg.InitialEndpoints.Endpoints[0].Addr != "127.0.0.1:3" ||
 		cfg.Limits.Sockets != 1024 || len(cfg.Settings.Classes) != 3 {
-		t.Errorf("Load returned %+v, which differs from the file and the environment", cfg)
+		t.Errorf("got %+v, want seed 255, listen 127.0.0.1:4, discovery 127.0.0.1:2, the endpoint 127.0.0.1:3, "+
+			"1024 sockets and 3 classes", cfg)
 	}
 	if l := cfg.Limits; l.MaxClientConns()+l.MaxEndpointConns() >= l.Sockets {
 		t.Errorf("%d client connections and %d upstream connections leave none of %d descriptors for other purposes",
@@ -92,7 +93,7 @@
 				t.Fatal(err)
 			}
 			if n := cfg.Settings.Settings().Balancers; n != 0 {
-				t.Errorf("%d balancers, want 0", n)
+				t.Errorf("got %d balancers in the settings, want 0", n)
 			}
 			if _, err := balancer.New(cfg.Settings.Settings(), 1); err != nil {
 				t.Errorf("balancer.New returned the error %v, want none", err)
@@ -126,6 +127,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Reload(getenv); err == nil {
-		t.Error("Reload accepted a truncated file")
+		t.Error("Reload of a truncated file returned no error, want one")
 	}
 }
--- a/internal/platform/format_test.go
+++ b/internal/platform/format_test.go
@@ -54,6 +54,6 @@
 		t.Error(err)
 	}
 	if got, want := strings.Join(names, " "), "RELAY_CONFIG RELAY_NAME RELAY_LISTEN RELAY_DISCOVERY"; got != want {
-		t.Errorf("Load reads %s, want %s", got, want)
+		t.Errorf("Load reads the environment variables %s, want %s", got, want)
 	}
 }
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -69,7 +69,7 @@
 		{"DrainGrace", env.DrainGrace(), 250 * time.Millisecond},
 	} {
 		if check.got != check.want {
-			t.Errorf("%s: %v, want %v", check.name, check.got, check.want)
+			t.Errorf("setting %s: got %v, want %v", check.name, check.got, check.want)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 			Message:   "words",
 		})
 		if got != want {
-			t.Errorf("%s: %+v, want %+v", verb, got, want)
+			t.Errorf("event %s: translated to %+v, want %+v", verb, got, want)
 		}
 	}
 	for scope, want := range map[string]balancer.UpdateKind{
@@ -112,7 +112,7 @@
 	} {
 		translated := h.translate(&event{Verb: "Topology", Scope: scope, Table: 2})
 		if update, ok := translated.(balancer.EndpointUpdate); !ok || update.Kind != want {
-			t.Errorf("%s: %+v, want kind %v", scope, translated, want)
+			t.Errorf("endpoint update with scope %s: translated to %+v, want kind %v", scope, translated, want)
 		}
 	}
 	for code, want := range map[int]balancer.Result{
@@ -128,7 +128,7 @@
 		599: balancer.ServerError,
 	} {
 		if got := result(code); got != want {
-			t.Errorf("result %d: %v, want %v", code, got, want)
+			t.Errorf("result code %d: translated to %v, want %v", code, got, want)
 		}
 	}
 }
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -128,7 +128,7 @@
 	Text         string  `json:"ReasonText,omitempty"`
 }
 
-// microsecondsPerMillisecond relates the protocol's unit of time to the simulator's internal unit.
+// microsecondsPerMillisecond converts the protocol's unit of time, milliseconds, to the simulator's internal unit.
 const microsecondsPerMillisecond = 1000
 
 // Duration converts milliseconds to a time.Duration. It rounds to whole microseconds, the simulator's internal unit of
--- a/internal/wire/serve_test.go
+++ b/internal/wire/serve_test.go
@@ -19,7 +19,8 @@
 	return strings.Split(strings.TrimRight(out.String(), "\n"), "\n"), err
 }
 
-// The short transcript contains a list with a draining endpoint, a request, and a request of an unknown class.
+// The transcript contains a list with a draining endpoint, a request, and a request of an unknown class. Serve must
+// send the first request to the other endpoint and reject the second request.
 func TestTranscript(t *testing.T) {
 	in, err := os.ReadFile("testdata/smoke.jsonl")
 	if err != nil {
@@ -105,8 +106,8 @@
 	}
 }
 
-// The balancer panics. Unhandled, the panic would end the process and all other instances with it. It must become a
-// BailOut action with the panic's text, after the actions of earlier events.
+// A panic of one instance's balancer that is not recovered would end the process, and with it all other instances. The
+// panic must be recovered and reported as a BailOut action with its text, after the actions of earlier events.
 func TestPanicBecomesBailOut(t *testing.T) {
 	h := &host{}
 	got := h.decide(nil, 0, 3, balancer.TimerFired{}, []action{{Verb: "Emit"}})
@@ -216,7 +217,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := h.translate(&test.event); !reflect.DeepEqual(got, test.want) {
-				t.Errorf("%s: %+v, want %+v", test.event.Verb, got, test.want)
+				t.Errorf("event %s: translated to %+v, want %+v", test.event.Verb, got, test.want)
 			}
 		})
 	}
--- a/internal/wire/translate.go
+++ b/internal/wire/translate.go
@@ -91,6 +91,7 @@
 	return balancer.ServerError
 }
 
+// loadReport converts a load report. If it has both keys for the requests in flight, the higher value counts.
 func loadReport(values map[string]float64) balancer.LoadReport {
 	inFlight, hasInFlight := values[reportInFlight]
 	queueDepth, hasQueueDepth := values[reportQueueDepth]
