--- a/internal/backoff/config.go
+++ b/internal/backoff/config.go
@@ -71,7 +71,7 @@
 	FastInterval time.Duration
 	// SlowInterval replaces FastInterval once NotificationDeadline has passed. It doubles with each further failure.
 	SlowInterval time.Duration
-	// MaxInterval limits SlowInterval as it doubles.
+	// MaxInterval is the maximum to which SlowInterval doubles.
 	MaxInterval time.Duration
 }
 
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors for calls that are rejected without the Balancer.
+// Errors for calls that are rejected without the Balancer. Reconfigure also returns errClosed.
 var (
 	errClosed       = errors.New("engine is closed")
 	errTooManyCalls = errors.New("too many calls in flight")
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -67,7 +67,7 @@
 	e.release(c)
 }
 
-// reject answers a call as a Reject action requires.
+// reject performs a Reject action: it answers the call with the result Rejected.
 func (e *Engine) reject(a *balancer.Action) {
 	c := e.calls[a.ID]
 	if c == nil {
@@ -77,8 +77,8 @@
 	e.release(c)
 }
 
-// fail answers a call as a Fail action requires. The result is marked as timed out if an attempt timed out or is still
-// outstanding.
+// fail performs a Fail action: it answers the call with the result Failed, which is marked as timed out if an attempt
+// timed out or is still outstanding.
 func (e *Engine) fail(a *balancer.Action) {
 	c := e.calls[a.ID]
 	if c == nil {
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -102,7 +102,7 @@
 		t.Errorf("endpoints %v, want m0 and m2 not active, and none with the ID new", f.endpoints)
 	}
 	if e.version != UnknownVersion {
-		t.Errorf("version %d, want %d (UnknownVersion)", e.version, UnknownVersion)
+		t.Errorf("before the new source's answer: version %d, want %d (UnknownVersion)", e.version, UnknownVersion)
 	}
 	attempt := testutil.Receive(t, f.attempts, "the attempt")
 	if attempt.endpoint != "m1" {
@@ -148,7 +148,8 @@
 	w.notify(EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: []Endpoint{{ID: "out-of-band", Zone: "a"}}})
 	e.step(nil)
 	if f.endpoints["out-of-band"].ID == "" || e.version != 7 {
-		t.Errorf("endpoints %v, version %d, want the endpoint out-of-band and version 7", f.endpoints, e.version)
+		t.Errorf("endpoints %v, version %d, want an endpoint with the ID out-of-band, and version 7",
+			f.endpoints, e.version)
 	}
 	for len(f.watches) == 0 { // the Balancer still subscribes again
 		e.step(nil)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -76,7 +76,7 @@
 	previousWatch     *watch             // watch of the previous source; open until the current source has answered
 	version           int64              // version of the endpoint list
 	activeProcesses   map[string]float64 // StartedAtMS of each active endpoint, by endpoint ID
-	drains            map[string]drain   // by endpoint ID; entries expire after staleListPeriod
+	drains            map[string]drain   // by endpoint ID; keepDrains deletes drains after staleListPeriod
 	pushedWatchFailed bool               // the watch of a pushed list has failed, and no update has arrived since
 	sourceReachable   bool               // whether the source was reachable at its latest update or failure
 	watchBackoff      backoff.Scheduler  // for watches of a pushed list
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -189,7 +189,7 @@
 	if r := e.Do(t.Context(), newTestCall("2", "book")); r.Kind != Rejected {
 		t.Errorf("a call after the end of Run has result %+v, want Rejected", r)
 	}
-	e.SetSource(f) // must not block after the end of Run, like Do
+	e.SetSource(f) // like Do, must not block after the end of Run
 }
 
 // A call arrives while the engine stops. It is rejected, and its client disconnects immediately afterwards. A second
--- a/internal/engine/races_test.go
+++ b/internal/engine/races_test.go
@@ -34,7 +34,7 @@
 	}
 	attempt.outcome <- Outcome{Result: balancer.Overloaded}
 	if r := testutil.Receive(t, results, "the result"); r.Kind != Disconnected || len(f.attempts) > 0 {
-		t.Errorf("result %+v and %d more attempts, want Disconnected and none", r, len(f.attempts))
+		t.Errorf("result %+v and %d more attempts, want Disconnected and 0", r, len(f.attempts))
 	}
 }
 
--- a/internal/limits/meter.go
+++ b/internal/limits/meter.go
@@ -35,7 +35,7 @@
 	Name      string    `json:"bound"`
 	Limit     int       `json:"limit"`
 	Total     int       `json:"total"`    // times the limit was reached
-	Episodes  int       `json:"episodes"` // periods of reaching the limit, separated by more than episodeGap
+	Episodes  int       `json:"episodes"` // number of episodes; see episodeGap
 	StartedAt time.Time `json:"since"`    // start of the latest episode; zero: never reached
 	ReachedAt time.Time `json:"last"`     // latest time at which the limit was reached; zero: never
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -56,7 +56,7 @@
 	return c, nil
 }
 
-// Parse validates the text of a file. Its error joins *strictdecode.DecodeError values.
+// Parse decodes and validates the text of a file. Its error joins *strictdecode.DecodeError values.
 func Parse(text []byte) (*Config, error) {
 	c, errs := parse(text)
 	if len(errs) > 0 {
--- a/internal/operator/config_test.go
+++ b/internal/operator/config_test.go
@@ -503,7 +503,7 @@
 	want := "5:1: fleet.seeds_file: " + path +
 		":2: must be an IP address and a port such as \"10.0.0.4:7946\", got \"10.0.0.6\""
 	if _, err := Parse([]byte(head)); err == nil || !strings.Contains(err.Error(), want) {
-		t.Errorf("got error %v, want one with %q", err, want)
+		t.Errorf("seeds file with an invalid line: got error %v, want one with %q", err, want)
 	}
 }
 
--- a/internal/operator/controlplane.go
+++ b/internal/operator/controlplane.go
@@ -15,7 +15,7 @@
 	Origins []string `toml:"origins"`
 	// CacheDir is the absolute path of the directory that holds the last applied snapshot.
 	CacheDir string `toml:"dir"`
-	// ReadyTimeout limits how long the start waits for a snapshot.
+	// ReadyTimeout limits how long the sidecar waits for a snapshot when it starts.
 	ReadyTimeout strictdecode.Duration `toml:"wait"`
 	// Roots is the number of members that follow an origin directly.
 	Roots int64 `toml:"ask"`
--- a/internal/operator/discovery.go
+++ b/internal/operator/discovery.go
@@ -30,10 +30,10 @@
 	Timeout        strictdecode.Duration `toml:"timeout"` // timeout of each attempt
 	MinTTL         strictdecode.Duration `toml:"min_ttl"`
 	MaxTTL         strictdecode.Duration `toml:"max_ttl"`
-	StaleAnswerTTL strictdecode.Duration `toml:"stale"` // how long an answer is used after its TTL
-	StaleTTL       strictdecode.Duration `toml:"keep"`  // how long endpoints stay without an update from their source
+	StaleAnswerTTL strictdecode.Duration `toml:"stale"` // how long an answer is used after its TTL while lookups fail
+	StaleTTL       strictdecode.Duration `toml:"keep"`  // how long endpoints are kept without an update
 	InitialJitter  strictdecode.Duration `toml:"spread"`
-	Zone           string                `toml:"within"` // targets outside this DNS zone are rejected, unless empty
+	Zone           string                `toml:"within"` // DNS zone that all targets must be in; empty: any zone
 	// AllowLocal accepts loopback, link-local and other addresses that no name server should return.
 	AllowLocal bool `toml:"private"`
 }
@@ -57,7 +57,7 @@
 func (c *Discovery) validate(v validator) {
 	c.validateMerge(v)
 	if c.SRV == nil {
-		v.errorf("members", "must have a source of endpoints, and [members.srv] is missing")
+		v.errorf("members", "must have a source of endpoints, but [members.srv] is missing")
 		return
 	}
 	c.SRV.validate(v)
--- a/internal/wire/serve_test.go
+++ b/internal/wire/serve_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// The input contains a line that cannot be handled. In a long transcript, the line could not be found without its
-// number. The error must contain the line number and, if applicable, the event number.
+// The error for an input line that cannot be handled must contain the number of the line and, if applicable, the number
+// of the event. Without these numbers, the line could not be found in a long transcript.
 func TestErrorNamesInputLine(t *testing.T) {
 	for _, test := range []struct {
 		name  string
