--- a/internal/backoff/config.go
+++ b/internal/backoff/config.go
@@ -8,8 +8,8 @@
 	NotificationDeadline = 6 * time.Second
 	// SilenceTimeout is the maximum time without data on a watch or a call. After this time, a watch counts as broken,
 	// and a call that has returned nothing is abandoned. The service sends an empty line every 2 s. This prevents
-	// waiting for a service that is cut off, which TCP does not detect while nothing is sent. A higher value tolerates
-	// a slower service and detects a broken watch later.
+	// waiting for a service that is cut off: TCP does not detect this while nothing is sent. A higher value tolerates a
+	// slower service and detects a broken watch later.
 	SilenceTimeout = 2500 * time.Millisecond
 	// HedgeDelay is the time after which a call that has returned nothing is hedged by another call. This prevents a
 	// hanging call from using up the available time: if the call were abandoned before another one was started, no time
@@ -47,8 +47,9 @@
 // the agent's recovery later.
 const agentRetryDelay = 100 * time.Millisecond
 
-// Spacing of calls for the complete list while a watch is open, which delivers changes in any case; see Config. Higher
-// values put less load on a service that rejects these calls, and leave the list incomplete for longer.
+// Spacing of calls for the complete list while a watch is open; see Config. The watch delivers changes even while these
+// calls fail. Higher values put less load on a service that rejects these calls, and leave the list incomplete for
+// longer.
 const (
 	listFastInterval = 750 * time.Millisecond
 	listSlowInterval = 3 * time.Second
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -7,8 +7,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// A replaced watch still delivers updates. If they were applied, its failure would be mistaken for a failure of the new
-// watch. They must be ignored.
+// A replaced watch still delivers a failure and a complete list. If they were handled, the failure would count as a
+// failure of the new watch, and the list could be outdated. Both must be ignored.
 func TestUpdatesOfReplacedWatchAreIgnored(t *testing.T) {
 	f := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 1)
@@ -24,10 +24,15 @@
 	replaced.notify(EndpointUpdate{Kind: balancer.CompleteList, Version: 9})
 	e.step(nil)
 	e.step(nil)
-	if e.watch != current || e.version == 9 || f.updateCount != updateCount || replaced.contextErr() == nil {
-		t.Errorf("after updates of a replaced watch: current watch kept %v, version %d, %d list updates, "+
-			"replaced watch closed %v; want true, not version 9, %d and true",
-			e.watch == current, e.version, f.updateCount, replaced.contextErr() != nil, updateCount)
+	if e.watch != current {
+		t.Error("a failure of the replaced watch ended the current watch")
+	}
+	if e.version == 9 || f.updateCount != updateCount {
+		t.Errorf("after a list of the replaced watch: version %d and %d updates applied, want 7 and %d",
+			e.version, f.updateCount, updateCount)
+	}
+	if replaced.contextErr() == nil {
+		t.Error("the replaced watch is open, want it closed")
 	}
 }
 
--- a/internal/limits/meter_test.go
+++ b/internal/limits/meter_test.go
@@ -10,7 +10,7 @@
 )
 
 // The first occurrence of an episode is reported at once, later ones every 10 s with the number of occurrences since
-// the previous report. An occurrence after more than 30 s without one starts a new episode.
+// the previous report. An occurrence more than 30 s after the previous occurrence starts a new episode.
 func TestMeterReports(t *testing.T) {
 	m := NewMeter("upstream connections", 4)
 	due := func(count int, duration time.Duration) *Report {
@@ -31,7 +31,7 @@
 	} {
 		got, isDue := m.Reached(start.Add(c.at))
 		if isDue != (c.want != nil) || isDue && got != *c.want {
-			t.Errorf("at %v: report %+v, due %v, want %+v", c.at, got, isDue, c.want)
+			t.Errorf("at %v: report %+v, due %v, want %+v (nil: none due)", c.at, got, isDue, c.want)
 		}
 	}
 	s := m.State()
--- a/internal/netpeek/netpeek.go
+++ b/internal/netpeek/netpeek.go
@@ -20,7 +20,7 @@
 )
 
 // Peek returns the state of a TCP connection. It does not block, even while another goroutine waits in Read. It returns
-// Closed for a connection that was closed on this side, and for one that is not a TCP connection.
+// Closed for a connection that was closed on this side, and for a connection that is not a TCP connection.
 func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -105,7 +105,7 @@
 	return c.AllowedNetworks != nil && addr.IsValid() && !c.AllowedNetworks.Contains(addr.Addr())
 }
 
-// validateIntervals checks the intervals and timeouts of the protocol. Most defaults are multiples of the probe
+// validateIntervals checks the intervals and timeouts of the protocol. Most defaults are proportional to the probe
 // interval.
 func (c *Cluster) validateIntervals(v validator) {
 	v.duration("fleet.probe", &c.ProbeInterval, time.Second, 50*time.Millisecond, time.Minute)
--- a/internal/operator/validator.go
+++ b/internal/operator/validator.go
@@ -58,8 +58,8 @@
 	return addr
 }
 
-// peerAddress parses an address to connect to, and reports an invalid one. It converts an IPv4-mapped IPv6 address to
-// IPv4. The returned address is not valid if the text cannot be parsed.
+// peerAddress parses an address to connect to, and reports an invalid address. It converts an IPv4-mapped IPv6 address
+// to IPv4. The returned address is not valid if the text cannot be parsed.
 func (v validator) peerAddress(key, text, example string) netip.AddrPort {
 	addr, err := parsePeerAddress(text, example)
 	if err != nil {
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -110,7 +110,7 @@
 	verbPanic     = "BailOut"
 )
 
-// timerCookie identifies the timer of an instance. Each instance has only one.
+// timerCookie identifies the timer of an instance. Each instance has only one timer.
 const timerCookie = "w"
 
 // action holds the fields of all actions. The verb determines which fields are set.
