--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -4,7 +4,7 @@
 
 // Errors for calls that are rejected without the Balancer. Reconfigure also returns errClosed.
 var (
-	errClosed       = errors.New("engine is closed")
+	errClosed       = errors.New("closed")
 	errTooManyCalls = errors.New("too many calls in flight")
 )
 
