--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -2,10 +2,11 @@
 
 import "errors"
 
-// Errors for calls that are rejected without the Balancer. Reconfigure also returns errClosed.
+// Errors for calls that are rejected without the Balancer. Reconfigure also returns errClosed. The gRPC client's status
+// messages contain these texts.
 var (
 	errClosed       = errors.New("closed")
-	errTooManyCalls = errors.New("too many calls in flight")
+	errTooManyCalls = errors.New("too many calls in hand")
 )
 
 // immediateResult decides which calls get their result without the Balancer; ok is false for all others. The decision
