--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -67,7 +67,7 @@
 	e.release(c)
 }
 
-// reject answers a call as a Reject action requires.
+// reject performs a Reject action: it answers the call with the result Rejected.
 func (e *Engine) reject(a *balancer.Action) {
 	c := e.calls[a.ID]
 	if c == nil {
@@ -77,8 +77,8 @@
 	e.release(c)
 }
 
-// fail answers a call as a Fail action requires. The result is marked as timed out if an attempt timed out or is still
-// outstanding.
+// fail performs a Fail action: it answers the call with the result Failed, which is marked as timed out if an attempt
+// timed out or is still outstanding.
 func (e *Engine) fail(a *balancer.Action) {
 	c := e.calls[a.ID]
 	if c == nil {
@@ -115,7 +115,7 @@
 	}
 }
 
-// release removes a call that has been answered and has no outstanding attempts.
+// release removes a call from the calls in flight if it has been answered and has no outstanding attempts.
 func (e *Engine) release(c *Call) {
 	if !c.answered || c.outstanding > 0 || e.calls[c.ID] != c {
 		return
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -7,8 +7,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// A replaced watch still delivers updates. If they were applied, its failure would be mistaken for a failure of the new
-// watch. They must be ignored.
+// A replaced watch still delivers a failure and a complete list. If they were handled, the failure would count as a
+// failure of the new watch, and the list could be outdated. Both must be ignored.
 func TestUpdatesOfReplacedWatchAreIgnored(t *testing.T) {
 	f := newFakeNetwork()
 	e := newSteppedEngine(t, f, testSettings(), 1)
@@ -24,8 +24,15 @@
 	replaced.notify(EndpointUpdate{Kind: balancer.CompleteList, Version: 9})
 	e.step(nil)
 	e.step(nil)
-	if e.watch != current || e.version == 9 || f.updateCount != updateCount || replaced.contextErr() == nil {
-		t.Error("an update of a replaced watch was applied")
+	if e.watch != current {
+		t.Error("a failure of the replaced watch ended the current watch")
+	}
+	if e.version == 9 || f.updateCount != updateCount {
+		t.Errorf("after a list of the replaced watch: version %d and %d updates applied, want 7 and %d",
+			e.version, f.updateCount, updateCount)
+	}
+	if replaced.contextErr() == nil {
+		t.Error("the replaced watch is open, want it closed")
 	}
 }
 
@@ -92,7 +99,7 @@
 	e.step(nil)
 	e.handleCall(newTestCall("1", "look"))
 	if err := previous.contextErr(); err != nil {
-		t.Errorf("context error of the previous watch: %v, want none", err)
+		t.Errorf("before the new source's answer: the previous watch is closed (%v), want it open", err)
 	}
 	if f.endpoints["m0"].State == balancer.Active ||
 		f.endpoints["m2"].State == balancer.Active ||
@@ -100,7 +107,7 @@
 		t.Errorf("endpoints %v, want m0 and m2 not active, and none with the ID new", f.endpoints)
 	}
 	if e.version != UnknownVersion {
-		t.Errorf("version %d, want %d (UnknownVersion)", e.version, UnknownVersion)
+		t.Errorf("before the new source's answer: version %d, want %d (UnknownVersion)", e.version, UnknownVersion)
 	}
 	attempt := testutil.Receive(t, f.attempts, "the attempt")
 	if attempt.endpoint != "m1" {
@@ -120,7 +127,7 @@
 	w.notify(EndpointUpdate{Kind: balancer.Delta, Version: 3})
 	e.step(nil)
 	if previous.contextErr() == nil {
-		t.Error("after the new source's answer: the context of the previous watch has no error, want one")
+		t.Error("after the new source's answer: the previous watch is open, want it closed")
 	}
 	if e.version != 3 {
 		t.Errorf("after the new source's answer: version %d, want 3", e.version)
@@ -129,7 +136,8 @@
 	previous.notify(EndpointUpdate{Kind: balancer.Delta, Version: 9, Endpoints: testEndpoints(1)})
 	e.step(nil)
 	if f.updateCount != updateCount {
-		t.Error("an update of the previous source was applied after the new one had answered")
+		t.Errorf("an update of the previous source after the new one's answer: %d list updates applied, want %d",
+			f.updateCount, updateCount)
 	}
 }
 
@@ -145,7 +153,8 @@
 	w.notify(EndpointUpdate{Kind: balancer.OutOfBand, Endpoints: []Endpoint{{ID: "out-of-band", Zone: "a"}}})
 	e.step(nil)
 	if f.endpoints["out-of-band"].ID == "" || e.version != 7 {
-		t.Errorf("endpoints %v, version %d, want the endpoint out-of-band and version 7", f.endpoints, e.version)
+		t.Errorf("endpoints %v, version %d, want an endpoint with the ID out-of-band, and version 7",
+			f.endpoints, e.version)
 	}
 	for len(f.watches) == 0 { // the Balancer still subscribes again
 		e.step(nil)
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -110,7 +110,7 @@
 	verbPanic     = "BailOut"
 )
 
-// timerCookie identifies the timer of an instance. Each instance has only one.
+// timerCookie identifies the timer of an instance. Each instance has only one timer.
 const timerCookie = "w"
 
 // action holds the fields of all actions. The verb determines which fields are set.
@@ -128,7 +128,7 @@
 	Text         string  `json:"ReasonText,omitempty"`
 }
 
-// microsecondsPerMillisecond relates the protocol's unit of time to the simulator's internal unit.
+// microsecondsPerMillisecond converts the protocol's unit of time, milliseconds, to the simulator's internal unit.
 const microsecondsPerMillisecond = 1000
 
 // Duration converts milliseconds to a time.Duration. It rounds to whole microseconds, the simulator's internal unit of
