--- a/internal/idempotency/clock.go
+++ b/internal/idempotency/clock.go
@@ -27,9 +27,9 @@
 
 // ResumeClock decides where the timeline continues after a start of the program. Within the same boot of the machine it
 // continues on the boot clock. In another boot it continues at the latest of wall time, the stored state and latest,
-// with the next boot number. This prevents wall time that is set back from extending an idempotency window. stored is
-// the state that the last run of the program stored, zero if there is none; latest is the latest Time in any record.
-// The caller stores the state of the returned Clock if it differs from stored.
+// with the next boot number. This prevents wall time that is set back from extending an idempotency window, and from
+// moving the timeline back. stored is the state that the last run of the program stored, zero if there is none; latest
+// is the latest Time in any record. The caller stores the state of the returned Clock if it differs from stored.
 func ResumeClock(stored ClockState, latest Time, reading Reading) Clock {
 	if stored.BootNumber > 0 && stored.BootID == reading.BootID && reading.Uptime >= stored.Uptime {
 		return Clock{stored}
@@ -61,11 +61,11 @@
 // although their idempotency window may have passed.
 const unknownElapsed = 100 * 365 * 24 * time.Hour
 
-// MaxElapsedSince returns an upper bound of the time that has passed since an earlier instant. For instants of
-// different boots it returns unknownElapsed.
+// MaxElapsedSince returns an upper bound of the time from an earlier instant to i. The earlier instant is given by its
+// time and its boot number. For instants of different boots MaxElapsedSince returns unknownElapsed.
 func (i Instant) MaxElapsedSince(earlier Time, bootNumber uint32) time.Duration {
 	if bootNumber != i.BootNumber {
 		return unknownElapsed
 	}
-	return time.Duration(i.Time-earlier+1) * time.Millisecond // both were truncated to whole milliseconds
+	return time.Duration(i.Time-earlier+1) * time.Millisecond // +1 since both times are truncated to milliseconds
 }
--- a/internal/idempotency/decisions.go
+++ b/internal/idempotency/decisions.go
@@ -11,8 +11,8 @@
 
 // The decisions on a request.
 const (
-	Admit       RequestDecision = iota // the request proceeds, bound to the scope of earlier attempts
-	FailRequest                        // the request fails: its operation may have run, and nothing may be sent
+	Admit       RequestDecision = iota // the request proceeds, in the idempotency scope of earlier attempts
+	FailRequest                        // the request fails, because its operation may already have run or be running
 )
 
 // AttemptDecision is the decision of BeginAttempt on an attempt.
@@ -39,8 +39,8 @@
 //
 //   - If the class is NonIdempotent, the request fails if another request with the fingerprint is in flight or may have
 //     run.
-//   - If the class is Keyed, the request fails unless the idempotency window of each attempt that may have run has
-//     certainly not passed yet.
+//   - If the class is Keyed, the request fails if the idempotency window of any attempt that may have run has passed,
+//     or may have passed.
 //
 // This prevents a client's retry under a new request ID from executing its operation twice. If the decision is Admit,
 // the caller calls EndRequest once. The returned locations are those at which attempts of other requests with the same
@@ -66,17 +66,20 @@
 	return Admit, earlier
 }
 
-// BeginAttempt decides whether an attempt may be sent to an endpoint in the given zone and cell. It considers all
-// attempts with the fingerprint that may have run, including those that were sent after the request was admitted. The
-// attempt must be within their idempotency window and inside their scope, there must be room for its entry, and its
-// record must be durable first. This prevents an attempt that waited, or that another request with the same fingerprint
-// overtook, from executing the operation a second time, also after a restart.
+// BeginAttempt decides whether an attempt may be sent to an endpoint in the given zone and cell:
 //
-// Unless the decision is Forbid or TableFull, the caller calls EndAttempt once. If it is WriteRecord, the caller calls
-// RecordWritten before that, when the returned record is durable or could not be written.
+//   - The attempt must be within the idempotency window and inside the idempotency scope of all attempts with the
+//     fingerprint that may have run, including those that were sent after the request was admitted. This prevents an
+//     attempt that waited while another request with the fingerprint was sent from executing the operation again.
+//   - The record of the fingerprint must be durable before the attempt is sent. This prevents a duplicate from
+//     executing the operation again after a restart.
+//   - If the fingerprint had no attempt before, the number of entries must be below Config.MaxEntries.
+//
+// Unless the decision is Forbid or TableFull, the caller calls EndAttempt once. If the decision is WriteRecord, the
+// caller calls RecordWritten before EndAttempt, when the returned record is durable or could not be written.
 func (t *Tracker) BeginAttempt(now Instant, fp Fingerprint, zone string, cell int) (AttemptDecision, *Attempt, Record) {
 	e := t.entries[fp]
-	if e == nil { // the request was admitted, and has had its final answer since
+	if e == nil { // the request has had its final answer since it was admitted
 		return Forbid, nil, Record{}
 	}
 	class := t.classes[e.class]
@@ -106,9 +109,9 @@
 	return WriteRecord, attempt, e.record()
 }
 
-// withinWindow decides whether another attempt is in time: the idempotency window of the class has certainly not passed
-// since any attempt that may have run, so that the endpoints that received it still recognize a duplicate. A
-// NonIdempotent class has no window: for it, the result is true only if no attempt may have run.
+// withinWindow reports whether the idempotency window of every attempt that may have run is certainly still open. The
+// endpoints that received these attempts then recognize a duplicate. A NonIdempotent class has no window: for it, the
+// result is true only if no attempt may have run.
 func (e *entry) withinWindow(now Instant, class balancer.Class) bool {
 	return !slices.ContainsFunc(e.locations, func(l *location) bool {
 		elapsed := now.MaxElapsedSince(l.SentAt, l.BootNumber)
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -2,9 +2,10 @@
 // fingerprint, which requests may already have run, where, and since when. This way neither a client's retry under a
 // new request ID nor a restart of the program executes an operation a second time.
 //
-// The package does no I/O and reads no clock. Package middleware stores its records in a write-ahead log and places it
-// between a front, the engine and a transport. The intent of an attempt is the decision to send it; its record is
-// stored before the attempt is sent. The order of calls for a request that is not idempotent:
+// The package does no I/O and reads no clock. Package middleware calls it for each request and attempt, and stores its
+// records in a write-ahead log. The decision to send an attempt is called the intent of the attempt. It is stored, in
+// the record of the fingerprint, before the attempt is sent. The order of calls for a request of a Keyed or
+// NonIdempotent class:
 //
 //	AdmitRequest    when the request arrives: admits it, bound to the scope of earlier attempts, or fails it
 //	BeginAttempt    before each attempt: decides whether it may be sent, and which record has to be durable first
@@ -14,12 +15,12 @@
 //
 // # Guarantees
 //
-//   - A request that is not idempotent is sent only while no attempt with its fingerprint may have run, in this run of
-//     the program or, as far as the log preserves it, in an earlier one. Until Config.Retention has passed since that
-//     attempt, further requests with the fingerprint fail.
-//   - A request with an idempotency key is sent only to the scope in which earlier attempts with its fingerprint may
-//     have run, and only while the idempotency window of the first of them has certainly not passed. After that,
-//     further requests with the fingerprint fail until Config.Retention has passed.
-//   - A duration that cannot be measured, because the machine was restarted in between, is handled conservatively: an
-//     idempotency window counts as passed, and a retention period ends no earlier than the records' timeline says.
+//   - A request of a NonIdempotent class is sent only while no attempt with its fingerprint may have run, in this run
+//     of the program or, as far as the log preserves it, in an earlier one. Once an attempt may have run, further
+//     requests with the fingerprint fail until Config.Retention has passed since the first attempt.
+//   - A request of a Keyed class is sent only to the scope in which earlier attempts with its fingerprint may have run,
+//     and only while the idempotency window of the first of them has certainly not passed. After that, further requests
+//     with the fingerprint fail until Config.Retention has passed since the first attempt.
+//   - If the machine was restarted since an attempt, the time since the attempt is unknown, and its idempotency window
+//     counts as passed. Its retention ends by the timeline of the records, which never goes back (see Time).
 package idempotency
--- a/internal/idempotency/encoding.go
+++ b/internal/idempotency/encoding.go
@@ -9,14 +9,15 @@
 	"hazelwing/balancer"
 )
 
-// formatVersion is the version of the encodings of Record and ClockState. Numbers are little-endian; a Record is
+// formatVersion is the version of the encodings of Record and ClockState. Numbers are little-endian, and sizes in bytes
+// are given in parentheses. A Record is encoded as
 //
 //	version (1) | effect (1) | state (1) | intended at (8) | expires at (8) | class: length (1), text |
 //	locations: count (1), each: sent at (8) | boot number (4) | cell (4) | zone: length (1), text
 const formatVersion = 1
 
-// Limits of the encoding, whose lengths and counts take one byte. A record usually has one location. Further locations
-// are in the same idempotency scope, because the balancer keeps later attempts inside it.
+// Limits of the encoding, whose lengths and counts take one byte. The Tracker adds a location only to an entry without
+// one, so its records stay far below maxLocations.
 const (
 	maxTextBytes = 255
 	maxLocations = 255
@@ -28,8 +29,8 @@
 	uint64Bytes = 8
 )
 
-// ErrFormat is returned for stored data that is not in a format that this version of the program reads.
-var ErrFormat = errors.New("idempotency: stored data has an unknown format")
+// ErrFormat is returned for stored data that this version of the program cannot decode.
+var ErrFormat = errors.New("idempotency: stored data cannot be decoded")
 
 var errTruncated = fmt.Errorf("%w: data is truncated", ErrFormat)
 
@@ -91,8 +92,9 @@
 	return r, nil
 }
 
-// Append appends the encoding of the clock's state to b: version (1) | time (8) | uptime, ns (8) | boot number (4) |
-// boot ID.
+// Append appends the encoding of the clock's state to b. With sizes in bytes in parentheses, it is
+//
+//	version (1) | time, ms (8) | uptime, ns (8) | boot number (4) | boot ID
 func (s *ClockState) Append(b []byte) []byte {
 	b = append(b, formatVersion)
 	b = binary.LittleEndian.AppendUint64(b, uint64(s.Time))
--- a/internal/idempotency/encoding_test.go
+++ b/internal/idempotency/encoding_test.go
@@ -119,6 +119,6 @@
 		t.Error("a record with a trailing byte is decoded, want an error")
 	}
 	if NewFingerprint("a", "bc", "d") == NewFingerprint("ab", "c", "d") {
-		t.Error("the classes and identities \"a\", \"bc\" and \"ab\", \"c\" have the same fingerprint")
+		t.Error(`class "a", tenant "bc" has the same fingerprint as class "ab", tenant "c", want another fingerprint`)
 	}
 }
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -18,7 +18,7 @@
 	requests       int  // number of requests in flight
 	attempts       int  // number of attempts that have begun and not ended
 	writeInFlight  bool // the record is being written
-	writeAttempted bool // the record was written, or may have been
+	writeAttempted bool // a write of the record was started, so that the record may be stored
 	isReleased     bool // no longer needed, but still in Tracker.byExpiry until expire or release removes it
 	isRestored     bool // restored from an earlier run of the program
 }
@@ -30,10 +30,10 @@
 	isDurable    bool // a durable record contains the location
 }
 
-// addPossibleRun counts an attempt at the entry's last location, or at a new one if the entry has none. An existing
-// location represents the attempt's own zone and cell as well: BeginAttempt allows an attempt only inside the
-// idempotency scope of all locations, so the zone or cell that the scope compares is the same. The location keeps the
-// SentAt of its first attempt, from which the idempotency window ends sooner.
+// addPossibleRun counts an attempt at the entry's last location, or at a new location if the entry has none. The last
+// location is used even if the attempt is sent to another zone or cell: BeginAttempt allows an attempt only inside the
+// idempotency scope of all locations, so that both are in the same scope. The location keeps the SentAt of its first
+// attempt, whose idempotency window ends first.
 func (e *entry) addPossibleRun(now Instant, zone string, cell int) *location {
 	var l *location
 	if len(e.locations) > 0 {
@@ -46,7 +46,8 @@
 	return l
 }
 
-// removePossibleRun undoes addPossibleRun for an attempt that never ran. It removes the location with its last attempt.
+// removePossibleRun undoes addPossibleRun for an attempt that never ran. It removes the location if no other attempt
+// may have run there.
 func (e *entry) removePossibleRun(l *location) {
 	l.possibleRuns--
 	if l.possibleRuns == 0 {
--- a/internal/idempotency/harness_test.go
+++ b/internal/idempotency/harness_test.go
@@ -31,8 +31,8 @@
 	},
 }
 
-// machine simulates a machine whose clocks the test sets, and the program on it, which can be restarted. disk holds the
-// stored records.
+// machine simulates a machine with clocks that the test sets, a disk that holds the stored records, and the program,
+// which can be restarted.
 type machine struct {
 	tracker    *Tracker
 	clock      Clock
@@ -62,7 +62,7 @@
 	for fp, data := range m.disk {
 		record, err := ParseRecord(data)
 		if err != nil {
-			t.Fatalf("decoding the record of %v: %v", fp, err)
+			t.Fatalf("decoding the record of fingerprint %v: %v", fp, err)
 		}
 		records[fp] = record
 		latest = max(latest, record.Latest())
@@ -79,7 +79,7 @@
 
 func (m *machine) now() Instant { return m.clock.At(m.reading.Uptime) }
 
-// advance moves both clocks forward.
+// advance moves the boot clock and wall time forward.
 func (m *machine) advance(d time.Duration) {
 	m.reading.Uptime += d
 	m.reading.Wall = m.reading.Wall.Add(d)
--- a/internal/idempotency/middleware/doer.go
+++ b/internal/idempotency/middleware/doer.go
@@ -25,8 +25,8 @@
 
 // Do fails a call whose operation may already have run, rejects a call whose intent could not be made durable, and
 // passes any other call to the next Doer. If the next Doer rejects the call although an attempt with its fingerprint
-// may have run, Do returns a failure instead, because a rejection would say that the operation has not run. The
-// rejection stays if the idempotency scope is all endpoints, since each of them recognizes the duplicate of a retry.
+// may have run, Do returns a failure instead, because a rejection would say that the operation has not run. If the
+// idempotency scope is all endpoints, Do returns the rejection, since any endpoint recognizes a retry as a duplicate.
 func (r doer) Do(ctx context.Context, c *engine.Call) engine.Result {
 	d := r.deduplicator
 	if d.effects[c.Class] == balancer.Idempotent {
@@ -57,7 +57,7 @@
 		d.counters.failed++
 		return engine.Result{Kind: engine.Failed, Err: ErrMayHaveRun}, false
 	}
-	// This prevents each call from waiting for a disk that is known to fail.
+	// Rejecting a call that needs a new record prevents it from waiting for a disk that is known to fail.
 	if len(locations) == 0 && d.rejectsWrites() {
 		d.tracker.EndRequest(fp)
 		d.counters.rejected++
--- a/internal/idempotency/middleware/harness_test.go
+++ b/internal/idempotency/middleware/harness_test.go
@@ -49,7 +49,8 @@
 // maxAttempts is the maximum number of attempts of a request.
 const maxAttempts = 3
 
-// fakeTransport passes attempts to the test, which determines their outcomes. As an endpoint source it sends no update.
+// fakeTransport passes attempts to the test, which determines their outcomes. It is also the engine's source of
+// endpoints, and sends no update of them.
 type fakeTransport struct{ sent chan *sentAttempt }
 
 // sentAttempt is an attempt that the engine sent.
--- a/internal/idempotency/middleware/inspect.go
+++ b/internal/idempotency/middleware/inspect.go
@@ -36,7 +36,7 @@
 )
 
 // Inspect returns the records of a write-ahead log, oldest first. It changes nothing, so the daemon may be running. The
-// times are on the records' timeline, which equals wall time unless wall time was set back.
+// times are on the records' timeline, which differs from wall time if wall time was changed.
 func Inspect(fs store.FS) ([]RecordInfo, error) {
 	list := []RecordInfo{}
 	err := store.Read(fs, func(key string, value []byte, _ time.Time) {
@@ -66,9 +66,9 @@
 	}
 }
 
-// CompactionClock returns a clock for compacting a write-ahead log while no daemon runs. It always returns the earliest
-// time that the records' timeline may have reached, so that compaction drops no record that a daemon would still
-// remember.
+// CompactionClock returns a clock for compacting a write-ahead log while no daemon runs. The clock always returns the
+// latest time of an intent in any record. The records' timeline has certainly reached this time, so that compaction
+// drops no record that a daemon would still remember.
 func CompactionClock(fs store.FS) func() time.Time {
 	var latest time.Time
 	// If the directory cannot be read, the clock returns the zero time, at which no record has expired. The caller gets
--- a/internal/idempotency/middleware/middleware.go
+++ b/internal/idempotency/middleware/middleware.go
@@ -1,8 +1,11 @@
-// Package middleware places idempotency records between a front, the engine and a transport, and stores them in a
-// write-ahead log. As a Doer before the engine it fails requests whose operation may already have run. As a Transport
-// behind the engine it delays each attempt of a request that is not idempotent until its intent is durable, that is,
-// until the record of the decision to send it is stored. Idempotent requests pass unchanged. The engine's loop never
-// waits for the disk: an attempt waits in a goroutine of its own, within its own timeout.
+// Package middleware prevents requests from executing their operation twice. It applies the decisions of package
+// idempotency, and stores the records of that package in a write-ahead log.
+//
+// The middleware consists of a Doer and a Transport. The Doer is between a front and the engine. It fails requests
+// whose operation may already have run. The Transport is between the engine and another transport. It delays each
+// attempt of a request that is not idempotent until the intent of the attempt is durable; the intent is the decision to
+// send the attempt. Idempotent requests pass unchanged. The engine's loop never waits for the disk: each attempt waits
+// in its own goroutine, within the attempt's timeout.
 package middleware
 
 import (
@@ -42,7 +45,8 @@
 	OnFailure  FailurePolicy
 	Retention  time.Duration // see idempotency.Config
 	MaxEntries int           // see idempotency.Config
-	// RetryAfter is the Retry-After of requests that are rejected while intents cannot be made durable; 0 sends none.
+	// RetryAfter is the Retry-After time of requests that are rejected while intents cannot be made durable; with 0,
+	// rejections have no Retry-After.
 	RetryAfter time.Duration
 	FS         store.FS      // directory of the write-ahead log; nil with DurabilityOff
 	Store      store.Options // SyncEvery is used with DurabilityBatch only; Open sets Now and Logger
--- a/internal/idempotency/middleware/middleware_test.go
+++ b/internal/idempotency/middleware/middleware_test.go
@@ -51,7 +51,7 @@
 		p.nextAttempt().answer()
 		p.wantResult(last, engine.Served, "a request with a new key")
 		if len(p.transport.sent) > 0 {
-			t.Errorf("durability %s: a request was sent again", d)
+			t.Errorf("durability %s: duplicates were sent in %d attempts, want none", d, len(p.transport.sent))
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	p = startProgram(t, m, killed, nil)
 	p.wantResult(p.send("pay", "k"), engine.Failed, "a duplicate after the window")
 	if len(p.transport.sent) > 0 {
-		t.Error("a duplicate was sent after the window")
+		t.Errorf("a duplicate was sent in %d attempts after the window, want none", len(p.transport.sent))
 	}
 }
 
@@ -104,18 +104,18 @@
 		done := p.send("look", "")
 		a := p.nextAttempt()
 		if a.call.Class != "look" {
-			t.Fatalf("request was sent after %v and %d idempotent requests, want it to wait for its durable intent",
-				time.Since(start), i)
+			t.Fatalf("after %v and %d idempotent requests, an attempt of class %q is sent before its intent is durable",
+				time.Since(start), i, a.call.Class)
 		}
 		a.answer()
 		p.wantResult(done, engine.Served, "an idempotent request")
 	}
 	if len(booking) > 0 {
-		t.Fatal("request was answered before its intent was durable")
+		t.Fatal("the request of class \"book\" was answered before its intent was durable")
 	}
 	fs.Update(func(f *faultfs.FS) { f.SyncTime = 0 })
 	if a := p.nextAttempt(); time.Since(start) < 2*time.Second {
-		t.Errorf("request was sent after %v, want at least 2s", time.Since(start))
+		t.Errorf("the request of class \"book\" was sent after %v, want at least 2s", time.Since(start))
 	} else {
 		a.answer()
 	}
@@ -154,9 +154,9 @@
 	}
 }
 
-// Guards against a record that stays open for the whole retention and makes the client's retry fail. The client
-// disconnects while its intent waits for the sync of another intent, when the write of its record can no longer be
-// cancelled. The record has to be deleted after that write, not before it.
+// Guards against a record that stays open for the whole retention and makes the client's retry fail. A client
+// disconnects while the record of its request waits for the sync of another record. The write of the record can then no
+// longer be cancelled, and the record has to be deleted after the write, not before it.
 func TestDisconnectDuringOtherSync(t *testing.T) {
 	fs := faultfs.New()
 	p := startProgram(t, newMachine(), fs, nil)
@@ -200,13 +200,13 @@
 				p.nextAttempt().answer()
 				p.wantResult(idempotent, engine.Served, "an idempotent request")
 				s := p.deduplicator.Status()
-				counted := s.NotDurable == 20
+				counted, wantCount := s.NotDurable == 20, "NotDurable 20"
 				if policy == RejectOnFailure {
-					counted = s.Rejected >= 20
+					counted, wantCount = s.Rejected >= 20, "Rejected at least 20"
 				}
 				if s.WriteFailure == "" || !counted || s.Store.Failures == 0 || s.Store.Segments > 2 {
-					t.Errorf("status %+v, store %+v; want a write failure, 20 rejected or not durable requests, "+
-						"failures of the store and at most 2 segments", s, s.Store)
+					t.Errorf("status %+v, store %+v; want a write failure, %s, "+
+						"failures of the store and at most 2 segments", s, s.Store, wantCount)
 				}
 				fail(fs, false)
 				testutil.Until(t, "a durable intent", p.tryDurableWrite)
@@ -309,13 +309,13 @@
 	}
 }
 
-// Guards against an attempt that is sent after its call has a result, because its exchange was abandoned before it
-// registered its intent. It must not be sent, also if no record has to be written.
+// Guards against an attempt that is sent after its call has a result. The exchange is abandoned before it registers its
+// intent, and must not send the attempt, even though no record has to be written.
 func TestExchangeAbandonedBeforeItStarts(t *testing.T) {
 	p := startProgram(t, newMachine(), nil, func(c *Config) { c.Durability, c.FS = DurabilityOff, nil })
 	c := &engine.Call{ID: "1", Class: "book"}
 	if _, ok := p.deduplicator.admit(fingerprint(c), c); !ok {
-		t.Fatal("the first call was not admitted")
+		t.Fatal("the setup failed: the call was not admitted")
 	}
 	x := &exchange{
 		deduplicator: p.deduplicator,
@@ -325,7 +325,7 @@
 	}
 	x.abandon()
 	if _, err := x.awaitIntent(); !errors.Is(err, errAbandoned) || p.deduplicator.Status().Open != 0 {
-		t.Errorf("error %v, status %+v; want the error %v and no open intent",
+		t.Errorf("awaitIntent returns the error %v, status %+v; want the error %v and no open intent",
 			err, p.deduplicator.Status(), errAbandoned)
 	}
 }
--- a/internal/idempotency/middleware/status.go
+++ b/internal/idempotency/middleware/status.go
@@ -14,9 +14,9 @@
 	OnFailure    FailurePolicy `json:"on_failure"`
 
 	Remembered        int     `json:"remembered"`    // number of fingerprints
-	Open              int     `json:"open"`          // number of intents of this process without an outcome
-	RestoredOpen      int     `json:"left_open"`     // number of intents of earlier processes without an outcome
-	OldestOpenSeconds float64 `json:"oldest_open_s"` // age of the oldest intent counted in Open or RestoredOpen
+	Open              int     `json:"open"`          // number of fingerprints with an attempt in flight
+	RestoredOpen      int     `json:"left_open"`     // number of fingerprints that an earlier process left in flight
+	OldestOpenSeconds float64 `json:"oldest_open_s"` // age of the oldest intent of these fingerprints
 
 	Failed     uint64 `json:"failed"`    // requests that failed because their operation may already have run
 	Rejected   uint64 `json:"refused"`   // requests and attempts whose intent could not be made durable
--- a/internal/idempotency/middleware/stored_test.go
+++ b/internal/idempotency/middleware/stored_test.go
@@ -88,7 +88,7 @@
 		}
 		r.Locations, r.IntendedAt, r.ExpiresAt = "", r.IntendedAt.UTC(), r.ExpiresAt.UTC()
 		if r != want[i] {
-			t.Errorf("record\n%+v, want\n%+v", r, want[i])
+			t.Errorf("Inspect returns record %d as\n%+v, want\n%+v", i, r, want[i])
 		}
 	}
 	return zone[:1]
@@ -98,12 +98,13 @@
 func wantDuplicatesFail(t *testing.T, p *program, keys []string) {
 	t.Helper()
 	for _, key := range keys {
-		if got := p.wantResult(p.send("book", key), engine.Failed, key); !errors.Is(got.Err, ErrMayHaveRun) {
-			t.Errorf("request with key %q fails with the error %v, want %v", key, got.Err, ErrMayHaveRun)
+		got := p.wantResult(p.send("book", key), engine.Failed, "a duplicate with key "+key)
+		if !errors.Is(got.Err, ErrMayHaveRun) {
+			t.Errorf("a duplicate with key %q fails with the error %v, want %v", key, got.Err, ErrMayHaveRun)
 		}
 	}
 	if len(p.transport.sent) > 0 {
-		t.Error("a request that is not idempotent was sent again")
+		t.Errorf("duplicates of class \"book\" were sent in %d attempts, want none", len(p.transport.sent))
 	}
 }
 
@@ -118,7 +119,7 @@
 		t.Fatalf("Check returns %+v, error %v, want 1 segment and no error", segments, err)
 	}
 	if s := segments[0]; s.Damaged != 0 || s.Tail != 0 || s.Fault != "" {
-		t.Fatalf("stored segment is damaged: %+v", s)
+		t.Fatalf("Check reports the segment %+v, want no damaged bytes, no tail and no fault", s)
 	}
 	zone := wantRecords(t, fs, storedRecords())
 
@@ -161,7 +162,7 @@
 	wantDuplicatesFail(t, p, keys)
 	p.wantResult(p.send("pay", "open"), engine.Failed, "a keyed request after its window")
 	if len(p.transport.sent) > 0 {
-		t.Error("a keyed request was sent after its window")
+		t.Errorf("a keyed request was sent in %d attempts after its window, want none", len(p.transport.sent))
 	}
 	p.stop()
 
@@ -187,7 +188,7 @@
 	p.wantResult(p.send("pay", "open"), engine.Failed, "a keyed request")
 	p.wantResult(p.send("book", "open"), engine.Failed, "a request that is not idempotent")
 	if len(p.transport.sent) > 0 {
-		t.Error("a request was sent again")
+		t.Errorf("duplicates were sent in %d attempts after the restart, want none", len(p.transport.sent))
 	}
 	testutil.Until(t, "the end of all requests", func() bool { return p.deduplicator.Status().Open == 0 })
 }
--- a/internal/idempotency/middleware/transport.go
+++ b/internal/idempotency/middleware/transport.go
@@ -115,12 +115,12 @@
 	}
 }
 
-// start decides whether the wrapped exchange may run, which is the case unless it has been abandoned. After start has
-// returned true, abandon has no effect.
+// start reports whether the wrapped exchange may run: it may unless it has been abandoned. After start has returned
+// true, abandon has no effect.
 //
 // Guard: prevents an attempt from being sent whose record became durable only after its call had a result or its
 // client had disconnected. Nobody would receive its response, and its record would be deleted, as if the attempt had
-// never run. It holds because abandon and start take the same lock.
+// never run. abandon and start take the same lock, so that only the first of them takes effect.
 func (x *exchange) start() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -133,9 +133,9 @@
 	}
 }
 
-// awaitIntent registers the intent of an attempt, waits until it is durable or has failed to become so, and decides
-// whether the attempt may be sent. The error is the reason why it must not be sent. If both the attempt and the error
-// are nil, the attempt may be sent and is not remembered.
+// awaitIntent registers the intent of an attempt, waits until the intent is durable or could not be stored, and decides
+// whether the attempt may be sent. The error is the reason why the attempt must not be sent. If both the returned
+// attempt and the error are nil, the attempt may be sent and is not remembered.
 func (x *exchange) awaitIntent() (*idempotency.Attempt, error) {
 	d := x.deduplicator
 	attempt, written, err := d.beginAttempt(x.fingerprint, x.zone, x.cell)
@@ -156,8 +156,8 @@
 	return attempt, nil
 }
 
-// awaitWrite waits until a write has ended, which closes written. It returns an error if the attempt reaches its
-// deadline or is abandoned before that. If written is nil, it returns at once.
+// awaitWrite waits until written is closed, which shows that the write has ended. It returns an error if the attempt
+// reaches its deadline or is abandoned before that. If written is nil, it returns at once.
 func (x *exchange) awaitWrite(written <-chan struct{}) error {
 	if written == nil {
 		return nil
--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -11,16 +11,17 @@
 )
 
 // This file contains the write-ahead log of the records. No goroutine holds Deduplicator.mu while it waits for a write.
-// A write continues after its attempt was abandoned; once it has ended, its record is deleted again.
+// If an attempt is abandoned while its record is being written, the write continues. Once the write has ended, the
+// record is deleted unless another attempt may have run.
 
 const (
 	// clockKey is the key of the clock's state in the store. All other keys are fingerprints, which are longer.
 	clockKey = "clock"
 	// clockRetention is how long the clock's state is stored. It is longer than any record is stored.
 	clockRetention = 100 * 365 * 24 * time.Hour
-	// retryWriteAfter is how long no further write is tried after a failed one, with RejectOnFailure. With a higher
-	// value requests are rejected for longer after the disk works again; with a lower one more attempts wait for a disk
-	// that fails.
+	// retryWriteAfter is the time after a failed write during which no other write is tried, with RejectOnFailure. With
+	// a higher value requests are rejected for longer after the disk works again; with a lower one more attempts wait
+	// for a disk that fails.
 	retryWriteAfter = time.Second
 	// storeSlack is added to the expiry times of records in the store, so that a record expires by the tracker's clock
 	// before the store drops it. A higher value costs disk space; with a lower one a difference between the clocks
@@ -39,8 +40,8 @@
 func (d *Deduplicator) openLog(logger *slog.Logger) error {
 	options := d.config.Store
 	options.Logger = logger
-	// Until restore has resumed the clock, the zero clock lets no record expire: the current time on the records'
-	// timeline is only known from the stored records.
+	// The store's clock follows the records' timeline, whose current time is known only after restore has read the
+	// records. Until then d.clock is zero and Now returns a time near 1970, at which no record has expired.
 	options.Now = func() time.Time { return wallTime(d.now().Time) }
 	if d.config.Durability == DurabilityAlways {
 		options.SyncEvery = 0
@@ -59,7 +60,7 @@
 func (d *Deduplicator) restore() error {
 	records, stored, err := d.readLog()
 	if err != nil {
-		return fmt.Errorf("ledger: reading the stored records: %w", err)
+		return fmt.Errorf("reading the stored idempotency records: %w", err)
 	}
 	var latest idempotency.Time
 	for _, record := range records {
@@ -69,7 +70,7 @@
 	if d.clock.ClockState != stored {
 		expires := wallTime(d.clock.Time).Add(clockRetention)
 		if err := d.store.Put(clockKey, d.clock.Append(nil), expires); err != nil {
-			return fmt.Errorf("ledger: storing the clock state: %w", err)
+			return fmt.Errorf("storing the clock state of the idempotency records: %w", err)
 		}
 	}
 	now := d.now()
@@ -82,30 +83,31 @@
 	return nil
 }
 
-// readLog reads the records and the clock's state. It skips and logs entries that it cannot decode. If it cannot decode
-// the clock's state, it returns the zero state, and ResumeClock then continues at the later of wall time and the latest
-// time in any record.
+// readLog reads the records and the clock's state. It skips records that it cannot decode, and logs their number. If it
+// cannot decode the clock's state, it logs the error and returns the zero state. ResumeClock then continues at the
+// later of wall time and the latest time in any record.
 func (d *Deduplicator) readLog() (map[idempotency.Fingerprint]idempotency.Record, idempotency.ClockState, error) {
 	records := map[idempotency.Fingerprint]idempotency.Record{}
 	var clock idempotency.ClockState
-	unreadable := 0
+	undecodable := 0
 	err := d.store.Each(func(key string, value []byte, _ time.Time) bool {
 		if key == clockKey {
 			var err error
 			if clock, err = idempotency.ParseClockState(value); err != nil {
-				d.logger.Error("stored clock state cannot be read", "error", err)
+				d.logger.Error("cannot decode the stored clock state; "+
+					"resuming the clock from wall time and the stored idempotency records", "error", err)
 			}
 			return true
 		}
 		if fp, record, ok := parseEntry(key, value); ok {
 			records[fp] = record
 		} else {
-			unreadable++
+			undecodable++
 		}
 		return true
 	})
-	if err == nil && unreadable > 0 {
-		d.logger.Error("unreadable idempotency records skipped", "count", unreadable)
+	if err == nil && undecodable > 0 {
+		d.logger.Error("skipped stored idempotency records that cannot be decoded", "count", undecodable)
 	}
 	return records, clock, err
 }
@@ -129,9 +131,9 @@
 // beginAttempt registers the intent of an attempt, and starts to write its record if necessary. If the table is full,
 // Config.OnFailure decides whether the attempt is rejected, or sent without being remembered.
 //
-// The channel is closed when the write for which the attempt has to wait has ended; it is nil if there is none. If the
-// returned attempt is nil, the error is the reason why the attempt must not be sent; if the error is nil as well, the
-// attempt may be sent and is not remembered.
+// The returned channel is closed when the write that the attempt has to wait for has ended. It is nil if the attempt
+// does not have to wait. If the returned attempt is nil, the error is the reason why the attempt must not be sent; if
+// the error is nil as well, the attempt may be sent and is not remembered.
 func (d *Deduplicator) beginAttempt(
 	fp idempotency.Fingerprint, zone string, cell int,
 ) (*idempotency.Attempt, <-chan struct{}, error) {
@@ -208,8 +210,9 @@
 	return errNotDurable
 }
 
-// abandonAttempt ends an attempt that was not sent, once its write has ended. Before that, the store could execute the
-// delete of the record before the put, and the record would stay.
+// abandonAttempt ends an attempt that was not sent. If the record is being written, it first waits, in another
+// goroutine, until the write has ended: otherwise the store could execute the delete of the record before the put, and
+// the record would stay.
 func (d *Deduplicator) abandonAttempt(
 	fp idempotency.Fingerprint, attempt *idempotency.Attempt, written <-chan struct{},
 ) {
@@ -241,12 +244,12 @@
 	case idempotency.DeleteRecord:
 		ok = d.store.DeleteLater(string(fp[:]))
 	}
-	if !ok { // the stored record stays as it was, so that after a restart more duplicates fail than necessary
+	if !ok { // the stored record stays as it was; after a restart more duplicates may fail than necessary
 		d.counters.unrecordedOutcomes++
 	}
 }
 
-// rejectsWrites decides whether attempts are rejected without trying a write, which is the case with RejectOnFailure
+// rejectsWrites reports whether attempts are currently rejected without trying a write. With RejectOnFailure they are,
 // for retryWriteAfter after a failed write. This prevents each attempt from waiting for a disk that fails. The caller
 // holds the lock.
 func (d *Deduplicator) rejectsWrites() bool {
--- a/internal/idempotency/random_test.go
+++ b/internal/idempotency/random_test.go
@@ -10,14 +10,16 @@
 
 // Kinds of random events, encoded in the lower four bits of a byte. The upper four bits are the event's argument.
 const (
-	eventAdmit         = 0 // 0 to 2
-	eventAttempt       = 3 // 3 to 6
-	eventAnswer        = 7 // an attempt is answered
-	eventNoAnswer      = 8 // an attempt ends without an answer, and may have run
-	eventNotRun        = 9 // an attempt ends, and is proved not to have run
-	eventEndRequest    = 10
-	eventAdvance       = 11 // 11 and 12: time passes
-	eventWallBack      = 13 // wall time is set back, never forward: entries could expire early unnoticed by any clock
+	eventAdmit      = 0 // 0 to 2
+	eventAttempt    = 3 // 3 to 6
+	eventAnswer     = 7 // an attempt is answered
+	eventNoAnswer   = 8 // an attempt ends without an answer, and may have run
+	eventNotRun     = 9 // an attempt ends, and is proved not to have run
+	eventEndRequest = 10
+	eventAdvance    = 11 // 11 and 12: time passes
+	// Wall time is set back by a minute. It is never set forward: no clock could detect this after a restart of the
+	// machine, and entries would expire early.
+	eventWallBack      = 13
 	eventRestart       = 14
 	eventRebootMachine = 15
 )
@@ -72,7 +74,8 @@
 			t.Fatalf("event %d: %d entries, want at most %d", i, s.Entries, maxEntries)
 		}
 		if s.Open+s.RestoredOpen > s.Entries {
-			t.Fatalf("event %d: more open intents than entries: %+v", i, s)
+			t.Fatalf("event %d: %d open and %d restored open entries, want at most %d in total, the number of entries",
+				i, s.Open, s.RestoredOpen, s.Entries)
 		}
 	}
 }
@@ -140,7 +143,8 @@
 		}
 		elapsed := r.trueTime - earlier.at
 		if class == "book" {
-			r.t.Fatalf("event %d: %s, which is not idempotent, is sent again after %v", r.event, name, elapsed)
+			r.t.Fatalf("event %d: %s, which is not idempotent, is sent again %v after an attempt that may have run",
+				r.event, name, elapsed)
 		}
 		if earlier.zone != zone || elapsed >= 6*time.Second {
 			r.t.Fatalf("event %d: %s is sent to zone %s, %v after an attempt in zone %s; want the same zone within 6s",
@@ -160,7 +164,7 @@
 	r.end(o.attempt, !neverRan, event == eventAnswer)
 }
 
-// removeExpired removes the sent attempts whose retention has passed, so that their operations may be sent again.
+// removeExpired removes the sent attempts of the operations whose retention has passed: these may be sent again.
 func (r *randomRun) removeExpired() {
 	for name, list := range r.sent {
 		if len(list) > 0 && r.trueTime-list[0].at > time.Minute {
--- a/internal/idempotency/retention.go
+++ b/internal/idempotency/retention.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// release removes an entry without attempts in flight or possible runs. An entry of requests that are still in flight
-// is replaced by a new one.
+// release removes an entry unless an attempt is in flight or may have run. If requests with the fingerprint are still
+// in flight, a new entry takes its place.
 func (t *Tracker) release(e *entry) {
 	if len(e.locations) > 0 || e.attempts > 0 {
 		return
 	}
-	if e.intendedAt != 0 { // a later attempt of a request in flight has to start from a new entry
+	if e.intendedAt != 0 { // the entry had attempts; a later attempt of a request in flight needs a new entry
 		e.isReleased = true
 		t.releasedCount++
 		if t.releasedCount > len(t.byExpiry)/2 {
--- a/internal/idempotency/tracker.go
+++ b/internal/idempotency/tracker.go
@@ -161,9 +161,9 @@
 // Stats describes the state of a Tracker.
 type Stats struct {
 	Entries      int // number of fingerprints remembered
-	Open         int // number of intents of this run of the program without an outcome
-	RestoredOpen int // number of intents that an earlier run of the program left without an outcome
-	// OldestOpen is the time of the oldest intent counted in Open or RestoredOpen, 0 if there is none.
+	Open         int // number of fingerprints with an attempt in flight
+	RestoredOpen int // number of fingerprints whose attempt was in flight when an earlier run of the program ended
+	// OldestOpen is the time of the oldest intent of the fingerprints in Open and RestoredOpen, 0 if there are none.
 	OldestOpen Time
 }
 
