--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// This file contains the writer's access to the active segment.
+// This file contains the functions with which the writer creates, fills, syncs and seals the active segment.
 
 // appendBatch writes a batch to the active segment, syncs it if sync is set, and then adds it to the index.
 func (s *Store) appendBatch(batch []op, sync bool) error {
@@ -24,7 +24,8 @@
 	return nil
 }
 
-// encodeBatch encodes a batch to the buffer, and returns the locations of its records after the write.
+// encodeBatch encodes a batch to the buffer. It returns the locations that the records will have once the buffer has
+// been written to the active segment.
 func (s *Store) encodeBatch(batch []op) []location {
 	var locations []location
 	s.buffer = s.buffer[:0]
@@ -68,13 +69,14 @@
 // from being confirmed and then lost by a power loss.
 func (s *Store) abandonActive() {
 	g := s.active
-	_ = g.file.Truncate(g.size) // if this fails, recovery skips the bytes that are not a valid record
+	// If truncating fails, recovery skips incomplete records and may restore complete ones, whose ops had an error.
+	_ = g.file.Truncate(g.size)
 	s.sealActive()
 	if g.size > headerSize {
 		return
 	}
-	// Removing the segment prevents each attempt from leaving a segment without records while the disk fails. A segment
-	// that cannot be removed is compacted like any other.
+	// Removing the segment prevents each failed batch from leaving a segment without records while the disk fails. A
+	// segment that cannot be removed is compacted like any other.
 	if s.fs.Remove(segmentName(g.number)) == nil {
 		s.mu.Lock()
 		delete(s.segments, g.number)
@@ -149,8 +151,8 @@
 }
 
 // syncConfirmed syncs the ops that were confirmed with SyncEvery. After a failed sync none of them counts as durable,
-// and all are written again to a new segment. If that fails as well, they stay in unsynced and are tried again later,
-// so that no entry is lost while the process runs.
+// and the latest op of each key is written again to a new segment. If this write fails as well, the ops stay in
+// unsynced and are written again later, so that no entry is lost while the process runs.
 func (s *Store) syncConfirmed() {
 	if len(s.unsynced) == 0 {
 		return
@@ -180,8 +182,9 @@
 	s.counters.lost = 0
 }
 
-// latestPerKey returns the last op of each key, in order. Older ops must not be written again: if a crash then left
-// only an older op of a key on the disk, it would have a higher sequence number than the newer op from the first write.
+// latestPerKey returns the last op of each key, in order. Older ops must not be written again, since an op that is
+// written again gets a new sequence number. If a crash left only the new record of an older op on the disk, it would
+// apply instead of the first record of the newer op.
 func latestPerKey(ops []op) []op {
 	seen := map[string]bool{}
 	var latest []op
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -14,10 +14,10 @@
 	Bytes   int64  `json:"bytes"`
 	Puts    int    `json:"puts"`
 	Deletes int    `json:"deletes"`
-	Damaged int64  `json:"damaged"` // bytes before the end of the last record that are not part of a record
-	Tail    int64  `json:"tail"`    // bytes after the last record, usually from a write that a crash interrupted
-	Hint    string `json:"hint"`    // HintGood, HintMissing or HintDamaged
-	Fault   string `json:"fault,omitempty"`
+	Damaged int64  `json:"damaged"`         // bytes before the end of the last record that are not part of a record
+	Tail    int64  `json:"tail"`            // bytes after the last record, usually from a write cut off by a crash
+	Hint    string `json:"hint"`            // HintGood, HintMissing or HintDamaged
+	Fault   string `json:"fault,omitempty"` // fault of the header
 }
 
 // States of a hint file.
@@ -95,7 +95,7 @@
 	report := SegmentReport{Name: name, Bytes: int64(len(content)), Hint: HintMissing}
 	switch v := headerVersion(content); {
 	case v == 0:
-		report.Fault = "its header is not whole"
+		report.Fault = "header is incomplete or damaged"
 	case v != formatVersion:
 		report.Fault = (&versionError{v}).Error()
 	}
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -99,8 +99,8 @@
 		err = g.file.Sync()
 	}
 	if err != nil {
-		// The copies have to be removed before the next compaction, which removes deletes of their keys: a restart
-		// would then restore the copies.
+		// The copies have to be removed before a later compaction removes the delete of a copied key: otherwise a
+		// restart after that compaction would restore the copy.
 		_ = g.file.Close() // the segment is not used
 		return nil, nil, errors.Join(err, s.removeFiles(g))
 	}
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -19,10 +19,10 @@
 //	go test ./internal/store -run Schedules -store.schedules 100000
 var schedules = flag.Int("store.schedules", 2000, "number of seeded fault schedules to run")
 
-// Guards against losing a confirmed entry, or returning one that was never put, after a crash. The process is killed or
-// the power is lost after every byte that is written and between any two steps of the file system, and the store is
-// opened again. It has to hold all confirmed entries, may hold those whose result was uncertain and no others, and has
-// to stay usable.
+// Guards against losing a confirmed entry, or returning one that was never put, after a crash. The test crashes the
+// store after each written byte and each other change of the disk, by a kill of the process and by a power loss, and
+// opens the store again. The store has to hold all confirmed entries, may also hold entries whose calls returned an
+// error, and has to stay usable.
 func TestCrashAtEveryStep(t *testing.T) {
 	const seed, calls = 12, 70
 	fs := faultfs.New()
@@ -31,8 +31,8 @@
 	names, _ := fs.List()
 	hasHint := strings.Contains(strings.Join(names, " "), ".hint")
 	if stats.Segments < 2 || steps < 3000 || stats.Compactions < 2 || stats.Dropped < 2 || !hasHint {
-		t.Fatalf("the history does not rotate, compact and drop segments and write hint files: %d steps, %+v, files %v",
-			steps, stats, names)
+		t.Fatalf("the setup took %d steps, want at least 3000; statistics %+v, want at least 2 segments, "+
+			"2 compactions and 2 dropped segments; files %v, want a hint file", steps, stats, names)
 	}
 	for cut := range steps {
 		fs := faultfs.New()
@@ -74,11 +74,14 @@
 			}
 			for _, key := range keys {
 				got, ok, err := s.Get(key)
-				isIntact := ok && string(got) == "value of "+key
-				if err != nil || key != damagedKey && !isIntact || key == damagedKey && ok {
-					t.Fatalf("bit %d of byte %d of key %q flipped: Get(%q) returns %q, %v, error %v, "+
-						"want the put value unless the key is the damaged one, and no error",
-						bit, at, damagedKey, key, got, ok, err)
+				wantOK, want := true, "value of "+key
+				if key == damagedKey {
+					wantOK, want = false, ""
+				}
+				if err != nil || ok != wantOK || string(got) != want {
+					t.Fatalf("bit %d of byte %d flipped, in the record of key %q: "+
+						"Get(%q) returns %q, found %v, error %v, want %q, found %v, no error",
+						bit, at, damagedKey, key, got, ok, err, want, wantOK)
 				}
 			}
 			if stats := s.Stats(); damagedKey == "c" && stats.Damaged != ends[2]-ends[1] {
@@ -122,7 +125,7 @@
 	}
 	defer s.Close()
 	if value, ok, err := s.Get("inner"); ok || err != nil {
-		t.Errorf("Get(\"inner\") returns %q, %v, error %v, want no entry and no error", value, ok, err)
+		t.Errorf("Get(\"inner\") returns %q, found %v, error %v, want no entry and no error", value, ok, err)
 	}
 }
 
@@ -218,14 +221,14 @@
 	}
 	fs.Capacity = s.Stats().Bytes + 10
 	if put("b", "2") == nil || s.Compact() == nil {
-		t.Fatal("a put or a compaction succeeds on a full disk")
+		t.Fatal("on a full disk, Put or Compact returns no error, want an error from both")
 	}
 	if err := m.check(s, keys); err != nil {
 		t.Fatal(err)
 	}
 	fs.Capacity = -1
 	if err := errors.Join(put("b", "3"), s.Compact(), put("a", "4")); err != nil {
-		t.Fatalf("using the store after the disk has space again: %v", err)
+		t.Fatalf("using the store after the disk has space again: error %v, want none", err)
 	}
 	if err := m.check(s, keys); err != nil {
 		t.Fatal(err)
@@ -243,7 +246,7 @@
 	}
 	fs.FailSyncs = 1
 	if s.Put("b", []byte("2"), hour) == nil {
-		t.Fatal("an entry is confirmed although its sync failed")
+		t.Fatal("Put(\"b\") returns no error although its sync failed, want an error")
 	}
 	if err := s.Put("c", []byte("3"), hour); err != nil {
 		t.Fatal(err)
@@ -256,7 +259,7 @@
 	defer recovered.Close()
 	for _, key := range []string{"a", "c"} {
 		if _, ok, _ := recovered.Get(key); !ok {
-			t.Errorf("entry %q was confirmed and is lost", key)
+			t.Errorf("Get(%q) finds no entry after the power loss, want the confirmed entry", key)
 		}
 	}
 }
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -6,8 +6,8 @@
 //     have been synced. Recovery never loses a confirmed entry, no matter when the process or the machine stopped.
 //   - Recovery never returns an entry that was not put, nor one that combines parts of different entries. An entry
 //     whose Put returned an error, or had not returned, may be present or absent.
-//   - After a failed sync nothing that was written later to that segment counts as durable. The segment is sealed at
-//     its last confirmed byte, and the next batch is written to a new segment.
+//   - After a failed sync, no record that was written to the segment since its last successful sync counts as durable.
+//     The segment is sealed at its last confirmed byte, and the next batch is written to a new segment.
 //   - When the disk is full, Put fails and the store stays usable: existing entries stay, and the next Put tries again.
 //   - A record that was damaged on disk is detected by its checksum, skipped and reported. The records around it stay.
 //
@@ -35,13 +35,15 @@
 // end of its last valid record; bytes after it are ignored.
 //
 // A hint file lists the keys of its segment, so that the store can be opened without reading the values. It is written
-// after its segment has been sealed, and never synced. A hint file that is incomplete, belongs to another segment, or
-// describes a longer segment is not used and is written again.
-//
-// A store never appends to a segment that existed when it was opened: bytes that a crash left at its end stay there,
-// and are not a valid record. A record is live if it is a put that applies and has not expired. The oldest segments are
-// removed as long as they contain no live record. Compact copies the live records of all segments but the active one to
-// a segment with a lower number than the next active one, so that a delete during the compaction is in a later segment
-// than the copy of its entry. The old segments are removed in order, and each removal is made durable before the next,
-// so that a put never stays on the disk longer than the delete of its key.
+// after its segment has been sealed, and never synced. A hint file is not used, and is written again, if it is
+// incomplete, belongs to another segment, or states a segment end beyond the end of the segment's file.
+//
+// The segment to which records are written is called active, and the others are sealed. A store never appends to a
+// segment that existed when it was opened: bytes of an incomplete record that a crash left at its end stay there.
+//
+// A record is live if it is a put that applies and has not expired. The oldest segments are removed as long as they
+// contain no live record. Compact seals the active segment and copies the live records of all sealed segments to a new
+// segment. The number of the new segment is lower than that of the next active one, so that a delete during the
+// compaction is in a later segment than the copy of its entry. The old segments are removed in order, and each removal
+// is made durable before the next, so that a put never stays on the disk longer than the delete of its key.
 package store
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -5,8 +5,7 @@
 	"io"
 )
 
-// FS is a directory of a file system. The store calls its methods from several goroutines, but the methods for one
-// file from only one goroutine at a time.
+// FS is a directory of a file system. The store calls its methods, and those of its files, from several goroutines.
 type FS interface {
 	// Create creates a file for reading and appending. It fails if the file exists.
 	Create(name string) (File, error)
--- a/internal/store/hint.go
+++ b/internal/store/hint.go
@@ -90,7 +90,8 @@
 func hintedEnd(h []byte) int64 { return int64(binary.LittleEndian.Uint64(h[16:])) }
 
 // loadHint calls visit with each entry of a segment's hint file, and returns the end of the segment. ok is false if the
-// file cannot be used because it is incomplete or because the segment is shorter than the end that it states.
+// hint file cannot be used: it is unreadable or damaged, belongs to another segment, or states a segment end beyond the
+// end of the segment's file.
 func (s *Store) loadHint(g *segment, visit visitHint) (end int64, ok bool) {
 	h, err := readFile(s.fs, hintName(g.number))
 	if err != nil {
@@ -118,7 +119,7 @@
 		return err
 	}
 	_, err = f.Write(h)
-	_ = f.Close() // not necessary to check: the checksum shows whether the file is complete
+	_ = f.Close() // the error does not matter: the checksum shows whether the file is complete
 	if err != nil {
 		_ = s.fs.Remove(hintName(g.number)) // an incomplete file that stays is not used
 	}
--- a/internal/store/maintain.go
+++ b/internal/store/maintain.go
@@ -75,8 +75,8 @@
 	return list
 }
 
-// writeHints writes missing hint files. It tries each file only once, since a segment without one merely takes longer
-// to load.
+// writeHints writes missing hint files. It tries each file only once, since a segment without a hint file merely takes
+// longer to load.
 func (s *Store) writeHints() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -93,9 +93,9 @@
 	return err
 }
 
-// dropSegments removes the oldest sealed segments as long as they contain no live record. It stops at the first
-// segment that contains one: a delete in a later segment has to stay as long as a put of its key may be in an earlier
-// one.
+// dropSegments removes the oldest sealed segments as long as they contain no live record. It stops at the first segment
+// with a live record: a delete in a later segment has to stay as long as an earlier segment may contain a put of its
+// key.
 func (s *Store) dropSegments() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -103,7 +103,7 @@
 		if !s.drop(g) {
 			return nil
 		}
-		_ = g.file.Close() // the segment has no live record
+		_ = g.file.Close() // an error does not matter, since the segment has no live record
 		if err := s.removeFiles(g); err != nil {
 			return err
 		}
--- a/internal/store/maintain_test.go
+++ b/internal/store/maintain_test.go
@@ -13,9 +13,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// Guards against losing entries because a hint file that is truncated, damaged or belongs to another segment is used.
-// Opening the store with valid hint files has to restore the same entries as with the segments, and invalid ones must
-// not be used.
+// Guards against losing entries by using a hint file that is truncated, damaged or of another segment. With valid hint
+// files Open has to restore the same entries as from the segments, and it must not use invalid hint files.
 func TestHints(t *testing.T) {
 	fs := faultfs.New()
 	m, keys, _ := makeRandomCalls(fs, rand.New(rand.NewPCG(9, 0)), 200)
@@ -35,7 +34,7 @@
 		}
 	}
 	if len(hints) < 2 {
-		t.Fatalf("the directory has the files %v, want at least two hint files", names)
+		t.Fatalf("the setup left the files %v, want at least two hint files", names)
 	}
 	damaged := fs.AfterKill()
 	damaged.FlipBit(segments[0], 40, 0) // detected only if the segment itself is read
@@ -75,7 +74,8 @@
 		replaceHint(replaced)
 		m.checkRecovery(t, "hint file "+name, replaced, keys)
 		if left, _ := replaced.List(); strings.Contains(strings.Join(left, " "), "ff.hint") {
-			t.Errorf("hint file %s: the files %v include it, want it to be removed", name, left)
+			t.Errorf("hint file %s: after recovery the directory has the files %v, want no 00000000000000ff.hint",
+				name, left)
 		}
 	}
 }
@@ -113,20 +113,25 @@
 			maxBytes = max(maxBytes, s.Stats().Bytes)
 		}
 		stats := s.Stats()
+		if maxBytes > 24<<10 || stats.Entries > 300 {
+			t.Errorf("%s: maximum size is %d bytes, want at most %d; %d entries at the end, want at most 300",
+				name, maxBytes, 24<<10, stats.Entries)
+		}
 		dropped, compacted := stats.Dropped > 0, stats.Compactions > 0
-		isReclaimed := dropped != hasLongLived && compacted == hasLongLived
-		if maxBytes > 24<<10 || stats.Entries > 300 || !isReclaimed {
-			t.Errorf("%s: maximum size is %d bytes, want at most %d; statistics %+v", name, maxBytes, 24<<10, stats)
+		if dropped == hasLongLived || compacted != hasLongLived {
+			t.Errorf("%s: segments were dropped: %v, want %v; segments were compacted: %v, want %v",
+				name, dropped, !hasLongLived, compacted, hasLongLived)
 		}
 		if _, ok, err := s.Get("long"); ok != hasLongLived || err != nil {
-			t.Errorf("%s: Get(\"long\") finds %v, error %v, want %v and no error", name, ok, err, hasLongLived)
+			t.Errorf("%s: Get(\"long\") finds an entry: %v, error %v, want %v and no error",
+				name, ok, err, hasLongLived)
 		}
 		s.Close()
 	}
 }
 
-// Without Options.Manual, sealed segments get their hint files and the space of expired entries is reclaimed in the
-// background.
+// Without Options.Manual, the store drops segments with only expired entries in the background. More entries than fit
+// into the store can then be put, one after another.
 func TestMaintenanceInBackground(t *testing.T) {
 	fs := faultfs.New()
 	s, err := store.Open(fs, store.Options{SegmentSize: 1 << 10, MaxBytes: 8 << 10, MaintainEvery: time.Millisecond})
@@ -147,7 +152,7 @@
 		return puts >= 500
 	})
 	if stats := s.Stats(); stats.Dropped == 0 {
-		t.Errorf("statistics %+v, want dropped segments", stats)
+		t.Errorf("statistics %+v, want at least one dropped segment", stats)
 	}
 }
 
@@ -171,7 +176,7 @@
 		m.record(key, value, s.Put(key, value, epoch.Add(time.Hour)))
 	}
 	m.checkRecovery(t, "killed", fs.AfterKill(), keys)
-	testutil.Until(t, "the syncs", func() bool {
+	testutil.Until(t, "the sync of all entries after a failed sync", func() bool {
 		stats := s.Stats()
 		return stats.Unsynced == 0 && stats.Failures > 0
 	})
@@ -192,25 +197,26 @@
 	hour := time.Now().Add(time.Hour)
 	for i := range 200 {
 		if !s.DeleteLater("k") {
-			t.Fatal("a deferred delete was not accepted")
+			t.Fatalf("round %d: DeleteLater returns false, want true", i)
 		}
 		if err := s.Put("k", fmt.Append(nil, i), hour); err != nil {
 			t.Fatal(err)
 		}
 		if _, ok, err := s.Get("k"); !ok || err != nil {
-			t.Fatalf("round %d: Get finds %v, error %v: an older delete took effect after a newer put", i, ok, err)
+			t.Fatalf("round %d: Get(\"k\") finds an entry: %v, error %v, want true and no error, "+
+				"since the delete is older than the put", i, ok, err)
 		}
 	}
 	if !s.PutLater("later", nil, hour) {
-		t.Fatal("a deferred put was not accepted")
+		t.Fatal("PutLater returns false, want true")
 	}
-	testutil.Until(t, "the deferred put", func() bool {
+	testutil.Until(t, "the entry of the deferred put", func() bool {
 		_, ok, _ := s.Get("later")
 		return ok
 	})
 	if _, ok, err := s.Get("k"); !ok || err != nil {
-		t.Errorf("after the deferred put: Get finds %v, error %v: an older delete took effect after a newer put",
-			ok, err)
+		t.Errorf("after the deferred put: Get(\"k\") finds an entry: %v, error %v, want true and no error, "+
+			"since all deletes are older than the last put", ok, err)
 	}
 	fs.Update(func(f *faultfs.FS) { f.SyncTime = 50 * time.Millisecond })
 	const tooMany = 20_000
@@ -219,11 +225,11 @@
 		accepted++
 	}
 	if accepted == tooMany {
-		t.Errorf("%d deferred changes were accepted, want a limit", accepted)
+		t.Errorf("all %d calls of DeleteLater return true, want false once too many changes are waiting", accepted)
 	}
 	s.Close()
 	if s.DeleteLater("x") {
-		t.Error("a deferred delete was accepted after Close")
+		t.Error("DeleteLater returns true after Close, want false")
 	}
 }
 
@@ -245,7 +251,7 @@
 		m.record(key, []byte(key), s.Put(key, []byte(key), epoch.Add(time.Hour)))
 	}
 	if m.confirmed["a"] == nil || m.confirmed["b"] != nil || m.confirmed["c"] == nil {
-		t.Fatalf("confirmed entries are %q, want those of a and c", m.confirmed)
+		t.Fatalf("the setup confirmed the entries %q, want those of the keys a and c only", m.confirmed)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -264,7 +270,7 @@
 	fs.Update(func(f *faultfs.FS) { f.Capacity = 1000 })
 	for range 20 {
 		if s.Put("k", make([]byte, 5000), epoch.Add(time.Hour)) == nil {
-			t.Fatal("a put succeeds on a full disk")
+			t.Fatal("Put of 5000 bytes returns no error on a disk of 1000 bytes, want an error")
 		}
 	}
 	if names, _ := fs.List(); len(names) > 1 || s.Stats().Segments > 1 {
--- a/internal/store/measure/measure_test.go
+++ b/internal/store/measure/measure_test.go
@@ -18,8 +18,8 @@
 
 var (
 	appendDuration = flag.Duration("length", 2*time.Second, "duration of each run of TestAppends")
-	engineName     = flag.String("engine", "", "engine to measure, so that the memory of the process is that of this "+
-		"engine alone: store, bbolt or pebble (default all)")
+	engineName     = flag.String("engine", "", "engine to measure: store, bbolt or pebble; with the default, all, the "+
+		"memory of the process includes that of the engines measured before")
 	entryLifetime = flag.Duration("lives", time.Hour, "lifetime of an entry; TestChurn always uses 10s")
 	churnDuration = flag.Duration("churn", 40*time.Second, "duration of a run of TestChurn")
 	churnRate     = flag.Int("rate", 5000, "number of entries that TestChurn puts per second")
@@ -48,7 +48,7 @@
 // TestAppends measures durable appends with 1, 16 and 256 concurrent writers.
 func TestAppends(t *testing.T) {
 	fmt.Println("| engine | writers | durable appends a second | p50 ms | p99 ms" +
-		" | bytes given to the system for each byte kept |\n| --- | --- | --- | --- | --- | --- |")
+		" | bytes written per byte of entries |\n| --- | --- | --- | --- | --- | --- |")
 	for _, writers := range []int{1, 16, 256} {
 		for _, e := range selectedEngines() {
 			db, err := e.open(t.TempDir())
@@ -98,7 +98,7 @@
 
 // TestStart measures how long it takes to open an engine with many live entries, and the memory that it uses then.
 func TestStart(t *testing.T) {
-	fmt.Println("| engine | live entries | start s | memory for each entry, bytes | disk MB |" +
+	fmt.Println("| engine | live entries | start s | heap per entry, bytes | disk MB |" +
 		"\n| --- | --- | --- | --- | --- |")
 	for _, e := range selectedEngines() {
 		dir := t.TempDir()
@@ -129,8 +129,8 @@
 func TestChurn(t *testing.T) {
 	defer func(old time.Duration) { *entryLifetime = old }(*entryLifetime)
 	*entryLifetime = 10 * time.Second
-	fmt.Println("| engine | entries a second | p50 ms | p99 ms | most on disk, MB | disk at the end, MB" +
-		" | heap at the end, MB | process at most, MB | bytes given to the system for each byte kept" +
+	fmt.Println("| engine | entries a second | p50 ms | p99 ms | maximum on disk, MB | disk at the end, MB" +
+		" | heap at the end, MB | peak resident memory, MB | bytes written per byte of entries" +
 		" | processor time, s |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, e := range selectedEngines() {
 		dir := t.TempDir()
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -47,7 +47,7 @@
 		return
 	}
 	m.confirmed[key] = value
-	// Records of earlier calls that returned an error have lower sequence numbers, and no longer apply.
+	// Records of earlier calls that returned an error have lower sequence numbers than this one, and no longer apply.
 	delete(m.uncertain, key)
 }
 
@@ -69,13 +69,14 @@
 			got = nil
 		}
 		if other, isListed := listed[key]; isListed != ok || !bytes.Equal(other, got) {
-			return fmt.Errorf("entry %s: Get returns %q, but Each %q", key, got, other)
+			return fmt.Errorf("entry %s: Get returns %q, found %v, but Each returns %q, found %v",
+				key, got, ok, other, isListed)
 		}
 		delete(listed, key)
 		allowed := append(slices.Clone(m.uncertain[key]), m.confirmed[key])
 		if !slices.ContainsFunc(allowed, func(v []byte) bool { return (v == nil) == !ok && bytes.Equal(v, got) }) {
-			return fmt.Errorf("entry %s: value is %q, want the confirmed value %q or one of the uncertain values %q",
-				key, got, m.confirmed[key], m.uncertain[key])
+			return fmt.Errorf("entry %s: value is %q, found %v, want the confirmed value %q or an uncertain one of %q",
+				key, got, ok, m.confirmed[key], m.uncertain[key])
 		}
 	}
 	for key := range listed {
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// checkRecovery opens the store that a crash left, compares it with the model, and checks that it is usable. Failures
-// begin with what.
+// checkRecovery opens the store that a crash left, compares it with the model, and checks that it is usable. The text
+// what names the case in failure messages.
 func (m *model) checkRecovery(t *testing.T, what string, fs *faultfs.FS, keys []string) {
 	t.Helper()
 	s, err := store.Open(fs, testOptions())
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// read reads the record at a location. The caller holds the lock.
+// read reads the record at a location. The caller holds mu.
 func (s *Store) read(l location) (record, error) {
 	b := make([]byte, l.size)
 	if n, err := s.segments[l.segment].file.ReadAt(b, l.offset); n < len(b) {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// recovery is the state while a directory is read.
+// recovery is the state of recover while it reads the directory.
 type recovery struct {
 	*Store
 	hints   map[uint64]bool   // numbers of the hint files whose segment has not been loaded
@@ -14,8 +14,7 @@
 }
 
 // recover reads the directory: for each segment its hint file if it can be used, and the segment itself otherwise. It
-// removes segments without a record, which a crash left and which have no confirmed records, and hint files without a
-// segment.
+// removes hint files without a segment, and segments without records, which a crash may leave.
 func (s *Store) recover() error {
 	names, err := s.fs.List()
 	if err != nil {
@@ -27,7 +26,7 @@
 	if err := r.loadSegments(names); err != nil {
 		return err
 	}
-	for number := range r.hints { // loadSegments has removed those whose segment exists
+	for number := range r.hints { // the hint files without a segment; loadSegments has deleted the others from r.hints
 		if err := s.fs.Remove(hintName(number)); err != nil {
 			return fmt.Errorf("store: removing %s: %w", hintName(number), err)
 		}
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -19,7 +19,7 @@
 type versionError struct{ version byte }
 
 func (e *versionError) Error() string {
-	return fmt.Sprintf("format %d, this program knows %d", e.version, formatVersion)
+	return fmt.Sprintf("header has format version %d, want %d", e.version, formatVersion)
 }
 
 // segment is a file of the log. Store.mu protects its fields, except for number and file, which do not change, and
@@ -29,7 +29,7 @@
 	file   File
 	size   int64 // confirmed bytes
 	sealed bool  // no more records are written to the segment
-	// hintTried is set if the hint file exists, or if writing it has failed, which is not tried again.
+	// hintTried is set once the hint file exists or a write of it has failed; a failed write is not tried again.
 	hintTried bool
 
 	entries    int   // number of index entries whose record is in the segment
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Options configures a Store. A zero value selects the default.
+// Options configures a Store. A field with the zero value selects its default.
 type Options struct {
 	SegmentSize int64 // size at which a segment is sealed, in bytes; 4 MiB by default
 	// MaxBytes limits the size of all segments, in bytes; 256 MiB by default. If an entry would exceed it, Put fails
@@ -46,7 +46,7 @@
 	maxUnsyncedOps = 4096
 )
 
-// Errors of the store. Errors of the file system are returned in addition to these.
+// Errors of the store. Its methods also return errors of the file system.
 var (
 	ErrClosed = errors.New("store: closed")
 	ErrFull   = errors.New("store: adding the entry would exceed the size limit")
@@ -89,7 +89,7 @@
 	nextSequence uint64
 	buffer       []byte // encoded records of the current batch
 	unsynced     []op   // ops that were confirmed with SyncEvery and have not been synced, in order
-	mustRewrite  bool   // some of unsynced are in a sealed segment, which a sync of the active one does not cover
+	mustRewrite  bool   // some unsynced ops are in a sealed segment, which a sync of the active one does not cover
 }
 
 // location describes the record of an entry and its place in the segments.
@@ -104,7 +104,7 @@
 // op is a request to the writer: to write a record or, with rotate, to seal the active segment.
 type op struct {
 	record
-	// rotate receives the sealed segments and the number of the segment to which the caller may compact them.
+	// rotate, if not nil, receives the sealed segments and the number of the segment to which they may be compacted.
 	rotate func(output uint64, sealed []*segment)
 	done   chan error // receives the result of the op; nil if no caller waits for it
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -52,13 +52,17 @@
 	}
 	s.Close()
 	s = openDir(t, path, options)
-	check := func(when string, first int) {
+	check := func(when string, lastExpired int) { // the last put of key k<i> was number i+200, which is also its value
 		t.Helper()
 		for i := range 100 {
 			value, ok, err := s.Get(fmt.Sprint("k", i))
-			want := i != 7 && i+200 > first
-			if err != nil || ok != want || ok && string(value) != fmt.Sprint(i+200) {
-				t.Errorf("%s: Get(\"k%d\") returns %q, %v, error %v, want an entry: %v", when, i, value, ok, err, want)
+			wantOK, want := false, ""
+			if i != 7 && i+200 > lastExpired {
+				wantOK, want = true, fmt.Sprint(i+200)
+			}
+			if err != nil || ok != wantOK || string(value) != want {
+				t.Errorf("%s: Get(\"k%d\") returns %q, found %v, error %v, want %q, found %v, no error",
+					when, i, value, ok, err, want, wantOK)
 			}
 		}
 	}
@@ -79,7 +83,7 @@
 	check("after a compaction and a restart", 250)
 	now = epoch // when the clock is set back, the remaining entries must only live longer
 	if _, ok, _ := s.Get("k60"); !ok {
-		t.Error("entry k60 is not found after the clock was set back")
+		t.Error("Get(\"k60\") finds no entry after the clock was set back, want the entry")
 	}
 }
 
@@ -116,7 +120,7 @@
 					t.Error(err)
 				}
 				if got, ok, err := s.Get(key); !ok || err != nil || string(got) != value {
-					t.Errorf("Get(%q) returns %q, %v, error %v, want %q", key, got, ok, err, value)
+					t.Errorf("Get(%q) returns %q, found %v, error %v, want %q and no error", key, got, ok, err, value)
 				}
 			}
 		})
@@ -157,9 +161,11 @@
 	for i := 0; i < 100 && !isFull; i++ {
 		isFull = errors.Is(s.Put("k", make([]byte, 300), hour), store.ErrFull)
 	}
-	if stats := s.Stats(); !isFull || stats.Bytes > 4<<10 {
-		t.Errorf("a put was rejected with ErrFull: %v, want true; statistics %+v, want at most %d bytes",
-			isFull, stats, 4<<10)
+	if !isFull {
+		t.Errorf("none of 100 puts was rejected with %v, want a rejection", store.ErrFull)
+	}
+	if stats := s.Stats(); stats.Bytes > 4<<10 {
+		t.Errorf("statistics %+v, want at most %d bytes", stats, 4<<10)
 	}
 	if err := s.Delete("k"); err != nil {
 		t.Errorf("Delete in a full store: %v, want no error", err)
@@ -197,12 +203,11 @@
 	}
 	again := openDir(t, path, store.Options{})
 	if _, ok, err := again.Get("k"); !ok || err != nil {
-		t.Errorf("Get finds %v, error %v, want true and no error", ok, err)
+		t.Errorf("Get(\"k\") finds an entry: %v, error %v, want true and no error", ok, err)
 	}
 }
 
-// Guards against a slow sync that blocks readers, and with them requests. Writers have to wait for the sync, readers
-// must not.
+// Guards against a slow sync that blocks readers. Writers have to wait for the sync, readers must not.
 func TestSlowSync(t *testing.T) {
 	fs := faultfs.New()
 	s, err := store.Open(fs, store.Options{})
@@ -221,7 +226,7 @@
 	reads := 0
 	for len(done) == 0 {
 		if _, ok, err := s.Get("a"); !ok || err != nil {
-			t.Fatalf("Get finds %v, error %v, want true and no error", ok, err)
+			t.Fatalf("Get(\"a\") finds an entry: %v, error %v, want true and no error", ok, err)
 		}
 		reads++
 	}
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -88,7 +88,7 @@
 	}
 	for key, entry := range want {
 		if value, ok, err := s.Get(key); err != nil || !ok || string(value) != entry.value {
-			t.Errorf("Get(%q) returns %q, %v, error %v, want %q", key, value, ok, err, entry.value)
+			t.Errorf("Get(%q) returns %q, found %v, error %v, want %q and no error", key, value, ok, err, entry.value)
 		}
 	}
 	if stats := s.Stats(); stats.Damaged != 0 {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -23,7 +23,7 @@
 			batch = s.awaitBatch(first, deferralTimer)
 		case <-syncTimer.C:
 			s.syncConfirmed()
-			if len(s.unsynced) > 0 { // syncing them failed, and so did writing them again
+			if len(s.unsynced) > 0 { // the sync failed, and so did writing the ops again
 				syncTimer.Reset(s.options.SyncEvery)
 			}
 			continue
@@ -48,8 +48,8 @@
 	return timer
 }
 
-// awaitBatch returns a batch that starts with a deferred op. It waits for up to maxDeferral for further ops. If it
-// receives an op for which a caller waits, it returns a batch with all deferred ops and that op without waiting longer.
+// awaitBatch returns a batch that starts with a deferred op. It waits for up to maxDeferral, so that the batch contains
+// more deferred ops. It stops waiting when it receives an op for which a caller waits, and adds this op to the batch.
 func (s *Store) awaitBatch(first op, timer *time.Timer) []op {
 	batch := []op{first}
 	timer.Reset(maxDeferral)
@@ -76,9 +76,10 @@
 	}
 }
 
-// gather returns a batch of the deferred ops, the given first op, for which a caller waits, and the other ops that
-// wait in the queue, up to maxBatch or to a rotation. The deferred ops come first, because for each key they were
-// requested earlier.
+// gather returns a batch of the given and the waiting deferred ops, then first, which is an op for which a caller
+// waits, and then the other ops that wait in the queue. It stops after maxBatch ops for which callers wait, or after a
+// rotation. The deferred ops come first, so that they take effect before changes of the same key that were requested
+// after them.
 func (s *Store) gather(deferred []op, first op) []op {
 	batch := append(s.appendDeferred(deferred), first)
 	for n := 1; n < maxBatch && batch[len(batch)-1].rotate == nil; n++ {
@@ -115,8 +116,8 @@
 	s.rotate(last)
 }
 
-// commit makes a batch durable and reports the result of each op. Ops that would exceed the size limit of the store are
-// rejected first; the others succeed or fail together.
+// commit writes a batch, syncs it unless SyncEvery is set, and reports the result of each op. Puts that would exceed
+// the size limit of the store are rejected first; the other ops succeed or fail together.
 func (s *Store) commit(batch []op) {
 	batch = s.rejectOversize(batch)
 	if len(batch) == 0 {
@@ -153,8 +154,8 @@
 	})
 }
 
-// rotate seals the active segment. It passes to the op the sealed segments and a number for the segment to which they
-// may be compacted, which is lower than the number of the next active segment.
+// rotate seals the active segment. It passes the sealed segments to o.rotate, with a number for the segment to which
+// they may be compacted. This number is lower than that of the next active segment.
 func (s *Store) rotate(o op) {
 	s.syncConfirmed()
 	if len(s.unsynced) > 0 {
