--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -2,14 +2,14 @@
 // fingerprint, which requests may already have run, where, and since when. This way neither a client's retry under a
 // new request ID nor a restart of the program executes an operation a second time.
 //
-// The package does no I/O and reads no clock. Package middleware calls it for each request and attempt, and stores its
-// records in a write-ahead log. The decision to send an attempt is called the intent of the attempt. It is stored, in
-// the record of the fingerprint, before the attempt is sent. The order of calls for a request of a Keyed or
-// NonIdempotent class:
+// The package does no I/O and reads no clock. Package middleware calls this package for each request and attempt, and
+// stores the records in a write-ahead log. The decision to send an attempt is called the intent of the attempt. The
+// intent is stored, in the record of the fingerprint, before the attempt is sent. The order of calls for a request of a
+// Keyed or NonIdempotent class:
 //
-//	AdmitRequest    when the request arrives: admits it, bound to the scope of earlier attempts, or fails it
-//	BeginAttempt    before each attempt: decides whether it may be sent, and which record has to be durable first
-//	RecordWritten   when that record is durable, or could not be written
+//	AdmitRequest    when the request arrives: admits the request to the scope of earlier attempts, or fails it
+//	BeginAttempt    before each attempt: decides whether it may be sent, and returns the record to store before that
+//	RecordWritten   when the returned record is durable, or could not be written
 //	EndAttempt      when the attempt has ended, or was abandoned before it was sent
 //	EndRequest      when the request has its final answer
 //
--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -182,9 +182,9 @@
 	s.counters.lost = 0
 }
 
-// latestPerKey returns the last op of each key, in order. Older ops must not be written again, since an op that is
-// written again gets a new sequence number. If a crash left only the new record of an older op on the disk, it would
-// apply instead of the first record of the newer op.
+// latestPerKey returns the last op of each key, in order. Older ops of a key must not be written again, since each
+// record that is written gets a higher sequence number. If a crash then left the second record of an older op on the
+// disk, but not that of the last op, the older op would apply.
 func latestPerKey(ops []op) []op {
 	seen := map[string]bool{}
 	var latest []op
--- a/internal/store/hint.go
+++ b/internal/store/hint.go
@@ -5,9 +5,9 @@
 	"hash/crc32"
 )
 
-// A hint file lists the records of its segment without their values. Open reads it instead of the segment. It is
-// written after the segment has been sealed, and is used only if it is complete. If it is missing or damaged, opening
-// the store takes longer, but nothing is lost.
+// A hint file lists the records of its segment without their values. Open reads the hint file instead of the segment. A
+// hint file is written after its segment has been sealed, and is used only if it is complete. If a hint file is missing
+// or damaged, opening the store takes longer, but nothing is lost.
 
 const (
 	hintMagic      = "hzwhnt\x00\x01"
--- a/internal/store/maintain_test.go
+++ b/internal/store/maintain_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("the setup left the files %v, want at least two hint files", names)
 	}
 	damaged := fs.AfterKill()
-	damaged.FlipBit(segments[0], 40, 0) // detected only if the segment itself is read
+	damaged.FlipBit(segments[0], 40, 0) // this damage is detected only if the segment itself is read
 	s, err = store.Open(damaged, testOptions())
 	if err != nil {
 		t.Fatal(err)
