--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -95,7 +95,7 @@
 	report := SegmentReport{Name: name, Bytes: int64(len(content)), Hint: HintMissing}
 	switch v := headerVersion(content); {
 	case v == 0:
-		report.Fault = "header is incomplete or damaged"
+		report.Fault = "its header is not whole"
 	case v != formatVersion:
 		report.Fault = (&versionError{v}).Error()
 	}
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -19,7 +19,7 @@
 type versionError struct{ version byte }
 
 func (e *versionError) Error() string {
-	return fmt.Sprintf("header has format version %d, want %d", e.version, formatVersion)
+	return fmt.Sprintf("format %d, this program knows %d", e.version, formatVersion)
 }
 
 // segment is a file of the log. Store.mu protects its fields, except for number and file, which do not change, and
