--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -29,7 +29,7 @@
 	file   File
 	size   int64 // confirmed bytes
 	sealed bool  // no more records are written to the segment
-	// hintTried is set if the hint file exists, or if writing it has failed, which is not tried again.
+	// hintTried is set once the hint file exists or a write of it has failed; a failed write is not tried again.
 	hintTried bool
 
 	entries    int   // number of index entries whose record is in the segment
