--- a/internal/front/clientconn/bytequeue.go
+++ b/internal/front/clientconn/bytequeue.go
@@ -23,7 +23,7 @@
 	return len(q.chunks) == 0 || len(q.chunks) == 1 && q.start == q.end
 }
 
-// free returns the free space in the last chunk; if it is empty, the caller has to call grow. A caller that writes n
+// free returns the free space in the last chunk. If there is none, the caller has to call grow. A caller that writes n
 // bytes to the space must add n to end.
 func (q *byteQueue) free() []byte {
 	if len(q.chunks) == 0 {
--- a/internal/front/clientconn/conn.go
+++ b/internal/front/clientconn/conn.go
@@ -32,11 +32,11 @@
 	received    bool       // data was received since the last response began
 	readAhead   byteQueue  // data received while a request was open
 	borrowed    int        // bytes borrowed from the listener's pool for readAhead
-	paused      bool       // the read-ahead limit was reached: reading stops until the response begins
+	paused      bool       // the read-ahead limit was reached: Read returns data although a request is open
 }
 
-// BeginRequest marks the start of a valid request. Until the response is written, the connection is not evicted, and
-// data that the client sends is read ahead.
+// BeginRequest marks the start of a valid request. Data that the client sends is read ahead until the response begins.
+// The connection is not evicted until the response is written.
 func (c *Conn) BeginRequest() {
 	if c == nil {
 		return
@@ -67,7 +67,7 @@
 // Guard: prevents work for a client that has already disconnected, when this machine is slow. A close may stay unread
 // in the kernel for longer than clients wait, and a close that follows more data than the kernel buffers does not
 // arrive until that data is read. The symptom is an attempt that starts after its client has disconnected. This holds
-// for up to maxReadAhead bytes of data, because Disconnected reads ahead itself.
+// because Disconnected itself reads ahead, up to the limit of fillReadAhead.
 func (c *Conn) Disconnected() bool {
 	if c == nil {
 		return false
--- a/internal/front/clientconn/conn_test.go
+++ b/internal/front/clientconn/conn_test.go
@@ -80,8 +80,8 @@
 	}
 	size, pool := server.readAhead.size(), l.readAheadPool.Load()
 	if size > maxReadAhead || size < maxReadAhead/2 || pool != sharedReadAhead-int64(server.borrowed) {
-		t.Errorf("read ahead %d bytes, want %d to %d; the pool has %d bytes left",
-			size, maxReadAhead/2, maxReadAhead, pool)
+		t.Errorf("read ahead %d bytes, want %d to %d; the pool has %d bytes left, want %d",
+			size, maxReadAhead/2, maxReadAhead, pool, sharedReadAhead-int64(server.borrowed))
 	}
 	close(mayClose)
 	server.BeginResponse()
@@ -96,7 +96,8 @@
 		t.Error(err)
 	}
 	if l.readAheadPool.Load() != sharedReadAhead || !server.readAhead.isEmpty() {
-		t.Errorf("the pool has %d bytes after all data was read, want %d", l.readAheadPool.Load(), sharedReadAhead)
+		t.Errorf("after all data was read: the pool has %d bytes, want %d; read-ahead queue empty %v, want true",
+			l.readAheadPool.Load(), sharedReadAhead, server.readAhead.isEmpty())
 	}
 }
 
@@ -120,6 +121,6 @@
 	}
 	server.Close()
 	if l.readAheadPool.Load() != borrowStep {
-		t.Errorf("the pool has %d bytes after the close, want %d", l.readAheadPool.Load(), borrowStep)
+		t.Errorf("the pool has %d bytes after the connection was closed, want %d", l.readAheadPool.Load(), borrowStep)
 	}
 }
--- a/internal/front/clientconn/eviction.go
+++ b/internal/front/clientconn/eviction.go
@@ -13,8 +13,8 @@
 	maxEvictionChecks = 8
 )
 
-// evict closes a connection to make room for a new one, and reports whether it found one. It chooses the first of
-// these:
+// evict closes a connection to make room for a new one. It returns false if no connection can be closed. It chooses the
+// first of these:
 //
 //   - the longest idle connection that has not sent a valid request, and has no received data
 //   - the oldest connection that has not sent a valid request
@@ -29,7 +29,7 @@
 	l.mu.Lock()
 	oldest := longestIdle(&l.awaitingFirst)
 	if oldest == nil && l.awaitingFirst.Len() > 0 {
-		oldest = l.awaitingFirst.Front().Value.(*Conn) // each has sent some data, but may never complete its request
+		oldest = l.awaitingFirst.Front().Value.(*Conn) // has sent some data, but may never complete its request
 	}
 	if oldest == nil {
 		oldest = longestIdle(&l.awaitingNext)
@@ -51,9 +51,9 @@
 // longestIdle returns the longest idle connection among the first maxEvictionChecks of a queue, or nil. It skips
 // connections that have received data. The caller holds the listener's mutex.
 //
-// Guard: prevents closing a connection whose next request was read already, or is about to be. Its client would get a
-// reset instead of an answer, or a 400 for an ID that is still in flight. This holds because hasNoInput checks both the
-// data that was read and the unread data in the kernel.
+// Guard: prevents closing a connection on which a request has begun to arrive. Its client would get a reset instead of
+// an answer. If the client then retried with the same ID while the request is in flight, it would get a 400. This holds
+// because hasNoInput checks both the data that was read and the unread data in the kernel.
 func longestIdle(queue *list.List) *Conn {
 	checks := 0
 	for e := queue.Front(); e != nil && checks < maxEvictionChecks; e = e.Next() {
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -1,12 +1,12 @@
 // Package clientconn manages the connections of a front's clients. It decides which connections stay open, and detects
 // when clients disconnect.
 //
-// Every connection is accepted. If the number of connections exceeds the limit, the one that has been idle for longest,
-// without an open request, is closed. If the listener stopped accepting instead, clients that connect and send nothing,
-// or send one request and stay connected, would leave new clients with neither a response nor a close.
+// Every connection is accepted. If the number of connections exceeds the limit, an idle connection is closed, or the
+// new one if none can be closed. If the listener stopped accepting instead, clients that connect and send nothing, or
+// send one request and stay connected, would leave new clients with neither a response nor a close.
 //
-// A Listener uses at most this many file descriptors: its connection limit, one more while a new connection is
-// admitted, and its own.
+// A Listener uses at most two file descriptors more than its connection limit: its own, and the one of a connection
+// that is being admitted.
 //
 // The main decisions are made in these functions:
 //
@@ -72,12 +72,12 @@
 	}
 }
 
-// Accept returns the next connection, and evicts an idle one if the limit is reached. If none can be
-// evicted, the new connection is closed. Accept must be called from one goroutine.
+// Accept returns the next connection, and evicts an idle one if the limit is reached. If none can be evicted, the new
+// connection is closed. Accept must be called from one goroutine.
 //
 // Guard: prevents new clients from waiting indefinitely if the process has no file descriptor left although the
-// connection limit is not reached; accept would fail with EMFILE repeatedly. This holds as long as a connection is
-// idle, because that connection is closed to free a descriptor.
+// connection limit is not reached; accept would fail with EMFILE repeatedly. This holds as long as a connection can be
+// evicted, because its close frees a descriptor.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		tcp, err := l.AcceptTCP()
@@ -97,7 +97,7 @@
 		if c := l.admit(tcp); c != nil {
 			return c, nil
 		}
-		_ = tcp.Close() // all other connections have an open request
+		_ = tcp.Close() // no connection could be evicted for it
 	}
 }
 
--- a/internal/front/clientconn/listener_test.go
+++ b/internal/front/clientconn/listener_test.go
@@ -9,8 +9,8 @@
 )
 
 // A client connects while the listener is full. If the listener closed a connection on which a request has begun to
-// arrive, whether its first bytes were read or not, that request would be lost. It must close an idle connection
-// instead.
+// arrive, that request would be lost, whether its first bytes were read or not. The listener must close an idle
+// connection instead.
 func TestFullListenerKeepsConnectionsThatBeganARequest(t *testing.T) {
 	for name, read := range map[string]bool{"read": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/clientconn/read.go
+++ b/internal/front/clientconn/read.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// readSocket reads the available data from the socket, ahead while a request is open, and fills b with the data that
-// Read may return. The error is nil if there is such data, EAGAIN if there is none yet, and io.EOF at the end of the
-// stream.
+// readSocket reads the available data from the socket, and fills b with the data that Read may return. While a request
+// is open, it reads ahead. The error is nil if b has received data, EAGAIN if there is no data for b yet, and io.EOF at
+// the end of the stream.
 //
 // Guard: prevents closeIfIdle from closing a connection after data was read from the socket and before it is recorded
 // in c.received: the client of a request that has begun to arrive would get a reset. This holds because readMu is held
--- a/internal/front/clientconn/readahead.go
+++ b/internal/front/clientconn/readahead.go
@@ -6,8 +6,8 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// Limits on the data that is read ahead from a client while its request is open, in bytes. Beyond them, the connection
-// is not read until the response begins, and a disconnect after that much data goes unnoticed.
+// Limits on the data that is read ahead from a client while its request is open, in bytes. Data beyond the limits stays
+// in the kernel until the response begins. A disconnect after more data than the kernel buffers then goes unnoticed.
 const (
 	// minReadAhead is available to each connection at any time: the maximum size of one request.
 	minReadAhead = MaxHeaderBytes + httpmsg.MaxBodyBytes
@@ -29,14 +29,14 @@
 	chunkSize = 32 << 10
 )
 
-// fillReadAhead reads ahead all available data from a client with an open request, up to minReadAhead for each
-// connection, and up to maxReadAhead while the listener's pool has bytes to borrow. The error is EAGAIN if no more data
-// is available or the limit is reached. The caller holds readMu.
+// fillReadAhead reads ahead all available data from a client with an open request. It reads up to minReadAhead, and up
+// to maxReadAhead as long as the listener's pool has bytes to borrow. The error is EAGAIN if no more data is available
+// or the limit is reached. The caller holds readMu.
 //
 // Guard: prevents a close that follows unread data from going unnoticed. The background read of net/http ends with the
 // first byte, and a close that follows more data than the kernel buffers does not arrive at all. The symptom is work
-// for a disconnected client. This holds for up to maxReadAhead bytes of data; beyond that, the close cannot be
-// detected.
+// for a disconnected client. This holds for up to minReadAhead bytes of unread data, and for more, up to maxReadAhead,
+// if the pool has bytes to borrow. A close that follows more data may go unnoticed.
 func (c *Conn) fillReadAhead(fd int) error {
 	for {
 		space := c.readAhead.free()
@@ -58,8 +58,8 @@
 	}
 }
 
-// reserveChunk reports whether another chunk may be read ahead, and borrows for it if necessary. If the limit is
-// reached, it pauses reading. The caller holds readMu.
+// reserveChunk reports whether another chunk may be read ahead, and borrows bytes for the chunk if necessary. If the
+// limit is reached, it sets paused. The caller holds readMu.
 func (c *Conn) reserveChunk() bool {
 	for c.readAhead.size()+chunkSize > minReadAhead+c.borrowed {
 		if minReadAhead+c.borrowed == maxReadAhead || !c.listener.borrow() {
@@ -86,8 +86,8 @@
 	return c.takeBuffered(b)
 }
 
-// takeBuffered moves read-ahead data to b and returns its length. It moves nothing while a request is open, unless
-// reading is paused. The caller holds readMu.
+// takeBuffered moves read-ahead data to b and returns its length. It moves nothing while a request is open, unless the
+// read-ahead limit was reached. The caller holds readMu.
 func (c *Conn) takeBuffered(b []byte) int {
 	if c.requestOpen && !c.paused {
 		return 0
--- a/internal/front/clientconn/serving.go
+++ b/internal/front/clientconn/serving.go
@@ -66,7 +66,7 @@
 }
 
 // Drain closes the listener, waits until all connections are closed or the deadline has passed, and closes the server.
-// A client that does not read its response can delay it until the deadline.
+// A client that does not read its response can delay Drain until the deadline.
 //
 // Guard: prevents the loss of requests that are read during the stop. After a call of the server's Shutdown, net/http
 // would drop every request that it has just read, and close the connection without a response. This holds because the
--- a/internal/front/clientconn/stop.go
+++ b/internal/front/clientconn/stop.go
@@ -10,8 +10,8 @@
 // begun to arrive. From then on, each connection that becomes idle is closed in the same way.
 //
 // Guard: prevents the loss of a request that is written while its connection is closed. The platform's client retries
-// such a request once, on a new connection, which a closed listener would refuse. This holds because new connections
-// are accepted for at least minOpenAfterStop after CloseIdle.
+// such a request once, on a new connection, which a closed listener would refuse. This holds for httpfront, which keeps
+// its listener open for at least minOpenAfterStop after CloseIdle.
 func (l *Listener) CloseIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,9 +28,9 @@
 // closeIfIdle closes a connection on which a response was written, unless data was received since. The caller holds the
 // listener's mutex.
 //
-// Guard: prevents the loss of a request that arrives during the close: its client would get a reset, and might retry
-// with an ID that is still in flight. This holds because data is read and recorded while readMu is held, which
-// hasNoInput acquires.
+// Guard: prevents the loss of a request that another goroutine has read but not yet recorded: its client would get a
+// reset, and might retry with an ID that is still in flight. This holds because data is read and recorded while readMu
+// is held, and hasNoInput acquires readMu.
 func (c *Conn) closeIfIdle() {
 	if c.hasServed && c.hasNoInput() && c.markClosed() {
 		_ = c.closeSocket() // all responses were written
--- a/internal/front/graphqlfront/benchmark_test.go
+++ b/internal/front/graphqlfront/benchmark_test.go
@@ -64,7 +64,7 @@
 					d.calls = d.calls[:0]
 					w := send(s, request.body)
 					if w.Code != http.StatusOK || strings.Contains(w.Body.String(), "errors") {
-						b.Fatal(w.Body)
+						b.Fatalf("status %d, body %s; want status 200 and no errors", w.Code, w.Body)
 					}
 				}
 			})
--- a/internal/front/graphqlfront/coalesce.go
+++ b/internal/front/graphqlfront/coalesce.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxEarlierExpiry limits how much earlier than a part the flight that it joins may expire. This prevents a part
-	// from being bound by the much shorter deadline of another client. With a higher value, more parts are coalesced,
-	// but more of them fail.
+	// maxEarlierExpiry limits how much earlier a flight may expire than a part that joins it. This prevents a part from
+	// being bound by the much shorter deadline of another client. With a higher value, more parts are coalesced, but
+	// more of them fail.
 	maxEarlierExpiry = 50 * time.Millisecond
 	// responseMargin is the time before its own expiry at which a part stops waiting for a flight, so that the client
 	// can be answered in time. With a higher value, parts are given up that would have been answered in time; with a
@@ -97,7 +97,7 @@
 		waiters:   map[*waiter]bool{w: true},
 	}
 	g.flights[key] = f
-	go g.runFlight(ctx, key, f, run) // ends when its context is cancelled, at the latest when the last caller leaves
+	go g.runFlight(ctx, key, f, run) // ends when run returns; ctx is cancelled when the last caller leaves
 	return &joinedFlight{f, w}, false
 }
 
@@ -137,8 +137,8 @@
 // isAbandoned reports whether the clients of all waiters have disconnected. A flight must end then.
 //
 // Guard: prevents a part that several clients share from being sent after all of them have disconnected, and from being
-// ended when only one of them has. This holds because the transport calls isAbandoned, instead of checking the first
-// client alone, immediately before it writes the first byte.
+// ended when only one of them has disconnected. This holds because the transport calls isAbandoned, instead of checking
+// the first client alone, immediately before it writes the first byte.
 func (f *flight) isAbandoned() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -13,7 +13,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// connected reports for a connected client that it has not disconnected.
+// connected is the disconnected function of a waiter whose client stays connected.
 func connected() bool { return false }
 
 // returning returns a runFunc whose outcome has the given reason.
@@ -61,7 +61,7 @@
 	})
 	second, secondIsShared := group.join("k", expiresAt.Add(maxEarlierExpiry), connected, nil)
 	if isShared || !secondIsShared {
-		t.Error("the second caller did not join the flight of the first")
+		t.Errorf("shared flight: first caller %v, second caller %v; want false and true", isShared, secondIsShared)
 	}
 	if joined, _ := group.join("k", expiresAt.Add(2*maxEarlierExpiry), connected, nil); joined != nil {
 		t.Error("a caller with a much longer deadline joined the flight")
@@ -75,7 +75,7 @@
 	}
 	close(release)
 	if outcome, ok := second.wait(t.Context(), expiresAt); outcome.Reason != "first" || !ok {
-		t.Errorf("the caller that stayed received %+v (ok %v), want the reason \"first\"", outcome, ok)
+		t.Errorf("the caller that stayed received %+v, ok %v; want the reason \"first\", ok true", outcome, ok)
 	}
 	next, isShared := group.join("k", expiresAt, connected, returning("next"))
 	if outcome, _ := next.wait(t.Context(), expiresAt); isShared || outcome.Reason != "next" {
@@ -99,7 +99,8 @@
 	closeConn(t, first)
 	testutil.Until(t, "the first client to leave", func() bool { return front.server.flights.waiterCount() == 1 })
 	if len(aborted) > 0 || call.Disconnected() {
-		t.Error("the call ended with the first client")
+		t.Errorf("after the first client left: %d calls ended, Disconnected returned %v; want 0 and false",
+			len(aborted), call.Disconnected())
 	}
 	closeConn(t, second)
 	if ended := testutil.Receive(t, aborted, "the call's end"); ended != call {
@@ -145,7 +146,7 @@
 	joined, isShared := group.join("k", expiresAt, connected, nil)
 	close(release)
 	if _, ok := joined.wait(t.Context(), expiresAt); ok || !isShared {
-		t.Errorf("shared %v, ok %v; want to join the abandoned flight and to get no outcome from it", isShared, ok)
+		t.Errorf("joining the abandoned flight: shared %v, ok %v; want true and false", isShared, ok)
 	}
 	next, isShared := group.join("k", expiresAt, connected, returning("next"))
 	outcome, ok := next.wait(t.Context(), expiresAt)
--- a/internal/front/graphqlfront/documents_test.go
+++ b/internal/front/graphqlfront/documents_test.go
@@ -51,7 +51,7 @@
 		{restricted, persistedRequest("{a b}", hashOf("{a b}")), "PERSISTED_QUERY_NOT_FOUND"},
 	} {
 		if w := send(test.server, test.body); !strings.Contains(w.Body.String(), test.want) {
-			t.Errorf("test %d, request %s: response %s, want %s", i, test.body, w.Body, test.want)
+			t.Errorf("test %d, request %s: response %s, want one that contains %s", i, test.body, w.Body, test.want)
 		}
 	}
 	for n := range 30 { // more than MaxDocuments
--- a/internal/front/graphqlfront/execute.go
+++ b/internal/front/graphqlfront/execute.go
@@ -75,8 +75,8 @@
 	return forwarded
 }
 
-// planOperations plans the operations of a request. Two operations of a batch must not have the same effect, because
-// the second would be treated as a duplicate of the first.
+// planOperations plans the operations of a request. Two parts of a batch that have an effect must not share their class
+// and idempotency key, because the second would be treated as a duplicate of the first.
 func (s *Server) planOperations(r *http.Request, parsed request) []plannedOperation {
 	requestKey := r.Header.Get(httpmsg.IdempotencyKeyHeader)
 	operations := make([]plannedOperation, len(parsed.operations))
@@ -102,7 +102,8 @@
 	return operations
 }
 
-// addEffects adds the effects of a plan's parts to effects. It returns false if one of them is already in effects.
+// addEffects adds the effects of a plan's parts to effects, and returns false if one of them was already in effects. An
+// effect is identified by the class and the idempotency key of the part.
 func addEffects(effects map[string]bool, p *plan.Plan) bool {
 	for _, part := range p.Parts {
 		if part.Effect == balancer.Idempotent || part.IdempotencyKey == "" {
--- a/internal/front/graphqlfront/front_test.go
+++ b/internal/front/graphqlfront/front_test.go
@@ -104,7 +104,7 @@
 func (ones) Type() string                                { return "Query" }
 func (ones) Resolve(string, map[string]any) (any, error) { return 1, nil }
 
-// newTestServer returns a Server. Unless modify is nil, it modifies the configuration.
+// newTestServer returns a Server. If modify is not nil, newTestServer calls it to change the configuration.
 func newTestServer(tb testing.TB, d Doer, modify func(*Config)) *Server {
 	tb.Helper()
 	schema, err := plan.New(plan.Config{
--- a/internal/front/graphqlfront/http_test.go
+++ b/internal/front/graphqlfront/http_test.go
@@ -165,7 +165,7 @@
 		t.Run(accept, func(t *testing.T) {
 			got, ok := negotiate([]string{accept})
 			if got != want || ok != (want != "") {
-				t.Errorf("got media type %q (ok %v), want %q", got, ok, want)
+				t.Errorf("got media type %q, ok %v; want %q, %v", got, ok, want, want != "")
 			}
 		})
 	}
@@ -218,7 +218,7 @@
 		}
 	}
 	if d.calls[0].ID == d.calls[1].ID {
-		t.Errorf("both calls have the ID %s", d.calls[0].ID)
+		t.Errorf("both calls have the ID %s, want different IDs", d.calls[0].ID)
 	}
 }
 
--- a/internal/front/graphqlfront/limits_test.go
+++ b/internal/front/graphqlfront/limits_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// FuzzRequest checks that the response to any body is one well-formed response with a status.
+// FuzzRequest checks that the response to any body is valid JSON with a final status.
 //
 //	go test ./internal/front/graphqlfront -run xxx -fuzz Request -fuzztime 5m
 func FuzzRequest(f *testing.F) {
--- a/internal/front/graphqlfront/mediatype.go
+++ b/internal/front/graphqlfront/mediatype.go
@@ -27,9 +27,9 @@
 	return a.isExact && (!best.isExact || a.mediaType == graphqlMediaType)
 }
 
-// negotiate chooses the media type of the response according to the Accept header. It returns false if the client
-// accepts neither type. Without the header, or if the client prefers neither, it chooses
-// application/graphql-response+json, whose status tells whether anything was executed.
+// negotiate chooses one of the two media types for the response, according to the Accept header. It returns false if
+// the client accepts neither. Without the header, or if the client prefers neither, it chooses
+// application/graphql-response+json. With this type, the status of the response tells whether anything was executed.
 func negotiate(accept []string) (mediaType string, ok bool) {
 	if len(accept) == 0 {
 		return graphqlMediaType, true
--- a/internal/front/graphqlfront/part.go
+++ b/internal/front/graphqlfront/part.go
@@ -13,7 +13,7 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// noResponseInTime is the reason that clients see for a part of a query without a response.
+// noResponseInTime is the reason that clients see if a part of a query got no response in time.
 const noResponseInTime = "no node answered this in time"
 
 // runQueryPart executes a part of a query, or waits for the outcome of an identical one in flight if the part may be
--- a/internal/front/graphqlfront/server.go
+++ b/internal/front/graphqlfront/server.go
@@ -4,11 +4,10 @@
 //
 // # Limits
 //
-// At most Config.MaxConns connections are open; if more clients connect, the connections that have been idle for
-// longest are closed. A connection has at most one request at a time, of at most MaxBody bytes, and the parts of this
-// request. At most MaxParts parts of all requests together are in flight; further parts are rejected. The cache holds
-// at most MaxDocuments validated documents, each of at most plan.Limits.MaxBytes, and the same number of documents that
-// clients have registered by their hash.
+// At most Config.MaxConns connections are open; if more clients connect, idle connections are closed. Each connection
+// carries at most one request at a time, whose body has at most MaxBody bytes. At most MaxParts parts of all requests
+// together are in flight; further parts are rejected. The cache holds at most MaxDocuments validated documents, each of
+// at most plan.Limits.MaxBytes. At most MaxDocuments documents that clients have registered by their hash are stored.
 package graphqlfront
 
 import (
@@ -80,11 +79,11 @@
 type State struct {
 	Requests        uint64 `json:"requests"`     // HTTP requests received
 	Operations      uint64 `json:"operations"`   // operations planned
-	Parts           uint64 `json:"parts"`        // parts executed
+	Parts           uint64 `json:"parts"`        // parts passed to the engine
 	RejectedParts   uint64 `json:"refused"`      // parts rejected
 	UnknownParts    uint64 `json:"may_have_run"` // parts that failed and may have run
 	InvalidRequests uint64 `json:"rejected"`     // HTTP requests rejected as invalid; none of their parts was sent
-	CoalescedParts  uint64 `json:"shared"`       // parts that used the result of an identical part
+	CoalescedParts  uint64 `json:"shared"`       // parts that joined an identical part in flight
 	PartsInFlight   int    `json:"in_hand"`
 	CachedDocuments int    `json:"documents"`
 }
--- a/internal/front/httpfront/races_test.go
+++ b/internal/front/httpfront/races_test.go
@@ -159,8 +159,8 @@
 }
 
 // The program stops while endpoints hang. Requests that are open at SIGKILL are reset, and their clients do not learn
-// the outcome. They must be answered before the earliest SIGKILL, whatever their deadlines, and requests that arrive
-// after that must be rejected immediately.
+// the outcome. Open requests must be cancelled and answered before the earliest SIGKILL, whatever their deadlines.
+// Requests that arrive after the cancellation must be rejected immediately.
 func TestStopAnswersHangingRequests(t *testing.T) {
 	for name, deadline := range map[string]time.Duration{
 		"short deadlines": 300 * time.Millisecond,
--- a/internal/front/httpfront/request.go
+++ b/internal/front/httpfront/request.go
@@ -70,8 +70,8 @@
 		call.AffinityKey = cookie.Value
 	}
 	if hint, err := strconv.ParseFloat(r.Header.Get(httpmsg.CostHintHeader), 64); err == nil && hint > 0 {
-		// A hint above the longest deadline cannot be true for any request. It is limited because the balancer compares
-		// the other hints with it.
+		// A hint above the longest deadline cannot be true for any request. Hints are limited because the balancer
+		// compares them with each other.
 		hint = min(hint, float64(s.maxDeadline.Microseconds()))
 		call.ExpectedWork = time.Duration(hint * float64(time.Microsecond))
 	}
@@ -119,8 +119,8 @@
 // checkFraming checks that the end of a request is unambiguous and that its headers are valid. If not, ok is false and
 // errorResponse is the response to send. This prevents request smuggling, that is, requests hidden in the bodies of
 // others. If both Transfer-Encoding and Content-Length are present, net/http exposes only the former, so chunked
-// requests are not accepted at all. HTTP/1.0 is not accepted because it does not define Transfer-Encoding: a proxy that
-// uses it may ignore the header and find a different end of the request.
+// requests are not accepted at all. HTTP/1.0 is not accepted because it does not define Transfer-Encoding: an HTTP/1.0
+// proxy may ignore that header and find a different end of the request.
 func checkFraming(r *http.Request) (errorResponse httpmsg.Response, ok bool) {
 	switch {
 	case len(r.TransferEncoding) > 0:
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -39,8 +39,8 @@
 	maxExtraOpen = time.Second
 )
 
-// The platform sends SIGKILL no sooner after SIGTERM than killGrace plus the longest deadline of a class. A deadline
-// longer than maxKillDelay counts as maxKillDelay (see stopTimeoutFor).
+// After SIGTERM, the platform waits for at least killGrace plus the longest deadline of a class before it sends
+// SIGKILL. A deadline longer than maxKillDelay counts as maxKillDelay (see stopTimeoutFor).
 const (
 	// killGrace and maxKillDelay are defined by the platform's protocol page. If a value here is higher than the
 	// platform's, requests may still be open at SIGKILL.
@@ -60,7 +60,7 @@
 }
 
 // Serve serves the connections to l until ctx ends, and then until all accepted requests are answered. At most maxConns
-// connections are open. If more clients connect, the connections that have been idle for longest are closed.
+// connections are open. If more clients connect, idle connections are closed.
 func (s *Server) Serve(ctx context.Context, l net.Listener, maxConns int, log *slog.Logger) error {
 	listener := clientconn.New(l, maxConns, s.onConnLimit)
 	server := timeouts.NewServer(s, s.maxDeadline, log)
@@ -74,7 +74,7 @@
 }
 
 // stop closes the listener when no more connections are expected, waits until all requests are answered, and closes the
-// server. All requests have their result within stopTimeout after the stop, which is killGrace (0.7 s) plus the longest
+// server. All requests have their result within stopTimeout after the stop: killGrace (0.7 s) plus the longest
 // deadline, limited to maxKillDelay (3 s), minus stopMargin (0.2 s). Connections may stay open for headerTimeout,
 // bodyTimeout and writeAllowance longer (see clientconn.Timeouts.DrainTime).
 //
--- a/internal/front/httpfront/server.go
+++ b/internal/front/httpfront/server.go
@@ -37,7 +37,7 @@
 	stopping    atomic.Bool
 	// requestContext is the parent of the contexts of all requests. It ends when the open requests are cancelled at the
 	// stop.
-	requestContext context.Context //nolint:containedctx // net/http asks for it by a callback without parameters
+	requestContext context.Context //nolint:containedctx // BaseContext of net/http has no context parameter
 	cancelRequests context.CancelFunc
 }
 
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// fakeEngine is a front together with a fake engine that the test controls. Each call of the front is sent to
-// the channel calls, and to the channel disconnected when its client has disconnected. The result of a call is received
+// fakeEngine is a front together with a fake engine that the test controls. Each call of the front is sent to the
+// channel calls, and to the channel disconnected when its client has disconnected. The result of a call is received
 // from the channel results.
 type fakeEngine struct {
 	*testFront
@@ -274,8 +274,8 @@
 		go r.body(req)
 		c := testutil.Receive(t, r.calls, "the request")
 		disconnect()
-		if testutil.Receive(t, r.disconnected, "the disconnect") != c {
-			t.Errorf("%s: the context of another call ended", method)
+		if ended := testutil.Receive(t, r.disconnected, "the disconnect"); ended != c {
+			t.Errorf("%s: the context of call %+v ended, want the context of call %+v to end", method, ended, c)
 		}
 	}
 }
@@ -336,7 +336,8 @@
 	if c.ID != "77" || c.Class != "pay" || c.Tenant != "acme" || c.AffinityKey != "u1" ||
 		c.ExpectedWork != 1500500*time.Nanosecond || c.ExpiresAt.Sub(before) < 15*time.Second ||
 		string(m.Body) != "card" || m.URI != "/pay/a%2Fb?q=1" {
-		t.Errorf("call %+v with payload %+v differs from the request", c, m)
+		t.Errorf("call %+v with payload %+v; want ID 77, class pay, tenant acme, affinity key u1, expected work "+
+			"1.5005 ms, at least 15 s until the expiry, body \"card\" and URI /pay/a%%2Fb?q=1", c, m)
 	}
 	r.results <- servedResult("done")
 }
@@ -348,7 +349,7 @@
 		t.Errorf("rejection: %+v, want status 503 and Retry-After 1.25", a)
 	}
 	if a := rejectedResponse(0); a.Status != 503 || a.Header.Get("Retry-After") != "" {
-		t.Errorf("rejection without a time: %+v, want status 503 and no Retry-After", a)
+		t.Errorf("rejection without a retry time: %+v, want status 503 and no Retry-After", a)
 	}
 	for _, timedOut := range []bool{false, true} {
 		if a := failedResponse(timedOut); a.Status < 500 || a.Status == 503 || a.Header.Get("Retry-After") != "" {
@@ -395,8 +396,8 @@
 }
 
 // A client stops in the middle of a request. If the front waited for the rest, the client would keep its connection
-// indefinitely. It must get a response or a close within the time that the protocol page gives; a request whose body is
-// far too long must get it immediately.
+// indefinitely. The client must get a response or a close within the time that the protocol page gives. If the body is
+// far too long, the response must come immediately.
 func TestIncompleteRequestsEndInTime(t *testing.T) {
 	r := startFront(t, serveOK, 100)
 	head := "POST /book HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nX-Class: book\r\nX-Deadline-Ms: 9000\r\n"
@@ -424,8 +425,8 @@
 }
 
 // Clients connect and send nothing, or send one request and stay connected, until the connection limit is reached. New
-// clients would get neither an answer nor a close. Idle connections must be closed for them, first those that have
-// never sent a request, and never one with an open request.
+// clients would get neither an answer nor a close. Idle connections must be closed to admit new clients, first those on
+// which no request was sent. A connection with an open request must not be closed.
 func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
 	r, slow, answer := startFrontWithSlowRequest(t, 9)
 	request := func(conn net.Conn, id string) error {
@@ -453,7 +454,7 @@
 		t.Errorf("the connection without a request was not closed: read error %v, want EOF", err)
 	}
 	if err := request(served, "again"); err != nil {
-		t.Errorf("a connection with a request was closed before those without one: %v", err)
+		t.Errorf("a connection with a served request was closed before those without a request: %v", err)
 	}
 	for i := range 12 {
 		if err := request(r.dial(t), fmt.Sprint(i)); err != nil {
@@ -488,7 +489,7 @@
 func TestStopLosesNoRequest(t *testing.T) {
 	r, slow, answer := startFrontWithSlowRequest(t, 100)
 	r.stop()
-	closesAfter := func(n int) bool {
+	closesAfter := func(n int) bool { // reports whether the response to late request n closes its connection
 		t.Helper()
 		resp, err := r.client.Do(r.request(t, "GET", "look", fmt.Sprint("late", n), ""))
 		if err != nil {
@@ -501,9 +502,9 @@
 		return got.close
 	}
 	start, n := time.Now(), 0
-	for ; !closesAfter(n); n++ { // until a response has "Connection: close"
+	for ; !closesAfter(n); n++ {
 	}
-	time.Sleep(testMinOpen/3 - time.Since(start)) // then a new connection after a pause
+	time.Sleep(testMinOpen/3 - time.Since(start)) // the next request needs a new connection, which must be accepted
 	closesAfter(n + 1)
 	answer()
 	if got := testutil.Receive(t, slow, "the slow response"); got != "ok" {
--- a/internal/transport/grpc/connection.go
+++ b/internal/transport/grpc/connection.go
@@ -26,9 +26,9 @@
 
 // connect returns the connection to e when it is ready. It waits for at most Config.ConnectTimeout.
 //
-// A call that waits for the connection in grpc-go fails with the error of an earlier connection attempt, if there was
-// one. That error is stale, because the balancer decided on this attempt later. Therefore connect starts a connection
-// attempt of its own.
+// If an earlier connection attempt failed, a call that waits for the connection in grpc-go fails with the error of that
+// earlier attempt, which does not describe the endpoint's current state. Therefore connect starts a new connection
+// attempt if the last one failed.
 func (t *Transport) connect(ctx context.Context, e *endpoint) (*grpc.ClientConn, error) {
 	conn, err := t.conn(e)
 	if err != nil {
--- a/internal/transport/grpc/disconnect_test.go
+++ b/internal/transport/grpc/disconnect_test.go
@@ -54,31 +54,33 @@
 	return b
 }
 
-// The context of a call ends while its stream waits in grpc-go for capacity, and the engine has not processed that yet.
-// As soon as there is capacity, the stream would be written and its method run although no client waits for it. The
-// wait must end without the engine, and nothing of the call may be written.
+// The context of a call ends while its stream waits in grpc-go for capacity, and the engine has not processed the end
+// yet. As soon as there is capacity, the stream would be written and its method would run although no client waits for
+// it. The wait must end without the engine, and nothing of the call may be written.
 func TestContextEndsWhileWaitingForStreamCapacity(t *testing.T) {
 	b := newBusyEndpoint(t)
 	b.cancelSecond()
 	if o := testutil.Receive(t, b.secondOutcome, "the outcome of the second attempt"); o.Result.MayHaveRun() {
-		t.Errorf("the second attempt has result %d (%v), want one that proves that it never ran", o.Result, o.Err)
+		t.Errorf("the second attempt: result %d, error %v; want a result that proves that the attempt never ran",
+			o.Result, o.Err)
 	}
 	b.first.OK(nil)
 	o := testutil.Receive(t, b.firstOutcome, "the outcome of the first attempt")
 	if o.Result != balancer.OK || b.streamsOpened.Load() != 1 {
-		t.Errorf("the first attempt has result %d and %d streams were opened, want OK and 1",
-			o.Result, b.streamsOpened.Load())
+		t.Errorf("the first attempt has result %d, and %d streams were opened; want result %d (OK) and 1 stream",
+			o.Result, b.streamsOpened.Load(), balancer.OK)
 	}
 }
 
-// Capacity becomes available just as the client disconnects, so that the stream is opened. If the message were written,
-// the method would run although no client waits for it. No message may follow.
+// Capacity becomes available just as the client disconnects, and the headers of the waiting stream are written. If the
+// message were written too, the method would run although no client waits for it. No message may be written.
 func TestNoMessageForADisconnectedClient(t *testing.T) {
 	b := newBusyEndpoint(t)
 	b.disconnected.Store(true)
 	b.first.OK(nil)
 	if o := testutil.Receive(t, b.secondOutcome, "the outcome of the second attempt"); o.Result != balancer.Cancelled {
-		t.Errorf("the second attempt has result %d (%v), want Cancelled (%d)", o.Result, o.Err, balancer.Cancelled)
+		t.Errorf("the second attempt: result %d, error %v; want result %d (Cancelled)",
+			o.Result, o.Err, balancer.Cancelled)
 	}
 	testutil.Receive(t, b.resets, "the reset of the stream")
 	if b.messages.Load() != 1 {
--- a/internal/transport/grpc/exchange.go
+++ b/internal/transport/grpc/exchange.go
@@ -25,8 +25,8 @@
 
 // Request is the Payload of an engine.Call. It must not be modified after it was passed to the engine.
 type Request struct {
-	// Context is the application's context. Attempts inherit its values and outgoing metadata, and a stream ends when
-	// it ends.
+	// Context is the application's context. Attempts inherit its values and outgoing metadata. A stream ends at the
+	// latest when Context ends.
 	//
 	//nolint:containedctx // Request represents one request with its context, like net/http.Request
 	Context context.Context
@@ -118,8 +118,8 @@
 }
 
 // setContext derives the context of x from base. The timeout of a unary call or a probe becomes the deadline, which
-// grpc-go sends to the server. The timeout of a stream applies only until its first message, so its deadline is the
-// application's.
+// grpc-go sends to the server. The timeout of a stream applies only until its first message, so the deadline that
+// grpc-go sends for a stream is the application's.
 //
 // Guard: prevents an attempt from outliving its timeout while it waits in grpc-go for stream capacity, which the engine
 // cannot observe: it would be written as soon as there is capacity. This holds because grpc-go ends the call with this
--- a/internal/transport/grpc/gate.go
+++ b/internal/transport/grpc/gate.go
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// gate allows exactly one stream of an exchange. It uses two public interfaces of grpc-go: the call's credentials,
+// gate allows at most one stream of an exchange. It uses two public interfaces of grpc-go: the call's credentials,
 // which grpc-go asks for metadata before it opens each stream, and the statistics handler, which grpc-go notifies of
 // the events of each stream.
 //
@@ -114,8 +114,8 @@
 // gateKey is the context key of a call's gate.
 type gateKey struct{}
 
-// statsHandler notifies the gate of a call, which is a value of the call's context, of the events of its streams. It
-// has no state. grpc-go calls it from the goroutine of the call and from the goroutines of the connection.
+// statsHandler notifies the gate of a call of the events of the call's streams. It finds the gate in the call's context
+// and has no state of its own. grpc-go calls it from the goroutine of the call and from those of the connection.
 type statsHandler struct{}
 
 // HandleRPC notifies the gate of a transparent retry, of written headers and of a received trailer.
--- a/internal/transport/grpc/outcome.go
+++ b/internal/transport/grpc/outcome.go
@@ -50,7 +50,8 @@
 	case codes.NotFound, codes.AlreadyExists, codes.FailedPrecondition, codes.Aborted, codes.OutOfRange:
 		return balancer.OK, true // an answer of the application
 	case codes.InvalidArgument, codes.PermissionDenied, codes.Unauthenticated, codes.Unimplemented:
-		return balancer.NotSent, true // the call itself is invalid: no evidence about the endpoint
+		// The call itself is invalid, so the endpoint is not to blame. The final response prevents a retry.
+		return balancer.NotSent, true
 	case codes.DeadlineExceeded, codes.Canceled:
 		if ctx.Err() != nil { // this side's deadline passed, or this side cancelled
 			return unansweredResult(ctx, g), false
--- a/internal/transport/grpc/stream.go
+++ b/internal/transport/grpc/stream.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return s, err
 	}
-	// SendMsg returns io.EOF for any stream that has ended. RecvMsg returns the status.
+	// SendMsg returns io.EOF for any stream that has ended. RecvMsg then returns the status of the stream.
 	if err = s.SendMsg(&frame{x.request.Message}); ignoreEOF(err) == nil {
 		err = s.CloseSend()
 	}
@@ -104,8 +104,8 @@
 	}
 }
 
-// trailer returns the trailer of a stream that ended with err. It returns nil if err is not nil, because the trailer
-// may be read only after the stream has ended with status OK.
+// trailer returns the trailer of a stream that was finished with err. It returns nil if err is not nil, because the
+// server may not have ended the stream then, and grpc-go permits reading the trailer only after that.
 func (s *Stream) trailer(err error) metadata.MD {
 	if err != nil {
 		return nil
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -87,11 +87,13 @@
 	awaitOpened(t, second)
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now())
 	if o := testutil.Receive(t, secondOutcome, "the outcome of the second attempt"); o.Result.MayHaveRun() {
-		t.Errorf("the second attempt has result %d (%v), want one that proves that it never ran", o.Result, o.Err)
+		t.Errorf("the second attempt: result %d, error %v; want a result that proves that the attempt never ran",
+			o.Result, o.Err)
 	}
 	first.Load().OK(nil)
 	if o := testutil.Receive(t, firstOutcome, "the outcome of the first attempt"); o.Result != balancer.OK {
-		t.Errorf("the attempt in flight before the drain has result %d (%v), want OK", o.Result, o.Err)
+		t.Errorf("the attempt in flight before the drain: result %d, error %v; want %d (OK)",
+			o.Result, o.Err, balancer.OK)
 	}
 	if received.Load() != 1 {
 		t.Errorf("the endpoint received %d attempts, want 1 from before the drain", received.Load())
@@ -99,8 +101,8 @@
 }
 
 // A connection becomes ready only after the call has its result, after the drain grace of the endpoint, or after
-// another process has replaced it. An attempt that is written then runs for a disconnected client or is reset, so
-// nothing may be written.
+// another process has replaced the endpoint's process. An attempt on this connection would run for a disconnected
+// client or be reset, so nothing may be written.
 func TestLateConnectionIsNotWrittenTo(t *testing.T) {
 	var disconnected atomic.Bool
 	for name, interrupt := range map[string]func(tr *Transport, x engine.Exchange, addr string){
@@ -128,7 +130,7 @@
 			x := tr.Attempt("s", call, testutil.WaitTimeout)
 			interrupt(tr, x, addr)
 			if o := testutil.Receive(t, run(x), "the outcome"); o.Result != balancer.NotSent {
-				t.Errorf("result %d (%v), want NotSent", o.Result, o.Err)
+				t.Errorf("result %d, error %v; want result %d (NotSent)", o.Result, o.Err, balancer.NotSent)
 			}
 			if received.Load() != 0 {
 				t.Errorf("the endpoint received %d events of streams, want 0", received.Load())
@@ -147,8 +149,8 @@
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now().Add(-time.Second))
 	o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 	if o.Result != balancer.NotSent || received.Load() != 0 {
-		t.Errorf("result %d (%v) and %d events of streams at the endpoint, want NotSent and 0",
-			o.Result, o.Err, received.Load())
+		t.Errorf("result %d, error %v, %d events of streams at the endpoint; want result %d (NotSent) and 0 events",
+			o.Result, o.Err, received.Load(), balancer.NotSent)
 	}
 }
 
@@ -175,7 +177,7 @@
 	}
 	s.OK([]byte("\n\x01x"))
 	if o := testutil.Receive(t, outcome, "the outcome"); o.Result != balancer.OK {
-		t.Errorf("result %d (%v), want OK", o.Result, o.Err)
+		t.Errorf("result %d, error %v; want result %d (OK)", o.Result, o.Err, balancer.OK)
 	}
 	tr.mu.Lock()
 	if e.conn != nil {
@@ -194,8 +196,8 @@
 	}
 }
 
-// An attempt to an endpoint that refuses connections must fail immediately as not run, also a second time: grpc-go by
-// itself would wait for its backoff.
+// An attempt to an endpoint that refuses connections must fail immediately with the result ConnectFailed, also if an
+// earlier attempt has failed: grpc-go by itself would wait for its backoff first.
 func TestRefusedConnectionFailsAtOnce(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -208,8 +210,8 @@
 	for i := range 3 {
 		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 		if o.Result != balancer.ConnectFailed || o.Elapsed > 4*time.Second {
-			t.Errorf("attempt %d: result %d (%v) after %v, want ConnectFailed within 4 s",
-				i, o.Result, o.Err, o.Elapsed)
+			t.Errorf("attempt %d: result %d, error %v after %v; want result %d (ConnectFailed) within 4 s",
+				i, o.Result, o.Err, o.Elapsed, balancer.ConnectFailed)
 		}
 	}
 	if l, err = net.Listen("tcp", addr); err != nil {
@@ -222,7 +224,8 @@
 	ctx := metadata.AppendToOutgoingContext(t.Context(), "x-request-id", "1", "x-class", "c")
 	o := testutil.Receive(t, run(tr.Attempt("s", newCall(ctx), testutil.WaitTimeout)), "the outcome")
 	if o.Result != balancer.OK {
-		t.Errorf("after the endpoint listens again: result %d (%v), want OK", o.Result, o.Err)
+		t.Errorf("after the endpoint listens again: result %d, error %v; want result %d (OK)",
+			o.Result, o.Err, balancer.OK)
 	}
 }
 
@@ -246,7 +249,7 @@
 	tr.Update(true, endpointList(l.Addr().String(), balancer.Active), time.Now())
 	o := testutil.Receive(t, run(tr.Probe("s", testutil.WaitTimeout)), "the outcome of the probe")
 	if o.Result != balancer.OK || o.Load != (balancer.LoadReport{Reported: true, InFlight: 3}) {
-		t.Errorf("outcome %+v, want result OK and 3 requests in flight", o)
+		t.Errorf("outcome %+v, want result %d (OK) and 3 requests in flight", o, balancer.OK)
 	}
 }
 
@@ -326,8 +329,8 @@
 	}
 }
 
-// If the server has not ended a stream, grpc-go generates its status, which means that the connection failed. Such a
-// status must not count as the server's response, and in particular not as a final one.
+// If a stream is reset or its connection breaks before the server has sent a status, grpc-go generates the status of
+// the stream. Such a status must not count as a response of the server, and in particular not as a final one.
 func TestLocallyGeneratedStatusIsNotAResponse(t *testing.T) {
 	for name, end := range map[string]func(*rawh2.Stream){
 		"broken": (*rawh2.Stream).CloseConn,
@@ -347,7 +350,8 @@
 		tr.Update(true, endpointList(addr, balancer.Active), time.Now())
 		o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 		if o.Result != balancer.Reset || o.Final {
-			t.Errorf("%s: result %d, final %v (%v); want Reset and not final", name, o.Result, o.Final, o.Err)
+			t.Errorf("%s: result %d, final %v, error %v; want result %d (Reset), final false",
+				name, o.Result, o.Final, o.Err, balancer.Reset)
 		}
 	}
 }
--- a/internal/transport/http1/conn.go
+++ b/internal/transport/http1/conn.go
@@ -15,7 +15,7 @@
 	process       process           // process that the connection was opened to
 	limitedReader *io.LimitedReader // limits the bytes of one response
 	reader        *bufio.Reader     // reads from limitedReader
-	idleSince     time.Time         // zero before the first request
+	idleSince     time.Time         // when the connection was last returned to the pool; zero if never
 	releaseSlot   func()            // frees the connection's slot; further calls have no effect
 
 	responsePauseTimeout time.Duration // longest pause within a response
--- a/internal/transport/http1/exchange.go
+++ b/internal/transport/http1/exchange.go
@@ -92,10 +92,10 @@
 // if the exchange was cancelled, if the endpoint is known to drain or was replaced by another process, or if mayStart
 // returns false.
 //
-// Guard: prevents a dial that completes late from carrying a request whose client has disconnected, whose call already
-// has its result, or whose endpoint is stopping. The symptom is work that no client waits for, or a reset. This holds
-// because CancelUnsent acquires the same mutex, and because the client's connection is checked last: nothing blocks
-// between that check and the write.
+// Guard: prevents a connection that is established late from carrying a request whose client has disconnected, whose
+// call already has its result, or whose endpoint is stopping. The symptom is work that no client waits for, or a reset.
+// This holds because CancelUnsent acquires the same mutex, and because the client's connection is checked last: nothing
+// blocks between that check and the write.
 func (x *exchange) claimWrite(c *conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -109,10 +109,10 @@
 // maySend reports whether a request may still be written to a connection to the given process of e. It returns true
 // while e is active and still that process. The drain grace does not extend this (see Config.DrainGrace).
 //
-// Guard: prevents a dial that completes late, because the process was slow when its drain began, from carrying a
-// request to a stopping endpoint: the request would be reset. This holds because no request is written once the drain
-// is known. The drain grace is not used for this, because it counts from the time at which discovery recorded the
-// drain.
+// Guard: prevents a connection that is established late, because the endpoint was slow when its drain began, from
+// carrying a request to the stopping endpoint: the request would be reset. This holds because no request is written
+// once the drain is known. The drain grace does not permit later writes, because it counts from the time at which
+// discovery recorded the drain, and the notification may arrive much later.
 func (p *Pool) maySend(e *endpoint, to process) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -51,7 +51,7 @@
 	return e
 }
 
-// testRequest returns a function that builds requests, from a request as the front passes it to the transport.
+// testRequest returns a function for exchange.buildRequest that builds a forwarded request with the given method.
 func testRequest(method string) func(time.Duration) *http.Request {
 	r := &httpmsg.Request{
 		Method: method,
@@ -68,7 +68,7 @@
 func wantResult(t *testing.T, o engine.Outcome, want balancer.Result) {
 	t.Helper()
 	if o.Result != want {
-		t.Fatalf("the exchange has result %d (%v), want %d", o.Result, o.Err, want)
+		t.Fatalf("the exchange has result %d and error %v, want result %d", o.Result, o.Err, want)
 	}
 }
 
@@ -76,7 +76,7 @@
 // checks of the test detect that.
 func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// waitUntilNotIdle waits until data or a close arrives on an idle connection.
+// waitUntilNotIdle waits until data or a close arrives on an idle connection, for at most WaitTimeout.
 func waitUntilNotIdle(c *conn) {
 	for end := time.Now().Add(testutil.WaitTimeout); c.peek() == netpeek.Idle && time.Now().Before(end); {
 		runtime.Gosched()
@@ -85,7 +85,7 @@
 
 func bodyOf(o engine.Outcome) string { return string(o.Answer.(*httpmsg.Response).Body) }
 
-// The response decides whether a request may be sent again, so each response must have the correct result. In
+// The response decides whether a request may be sent again, so each response must lead to the correct result. In
 // particular, a non-idempotent request that may have run must not count as not run.
 func TestOutcomes(t *testing.T) {
 	const (
@@ -273,7 +273,7 @@
 	wantResult(t, testutil.Receive(t, done, "the outcome"), balancer.OK)
 	wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 	if n := testutil.Receive(t, received, "the second request"); n != 1 {
-		t.Errorf("the second request arrived on connection %d, want 1, to the new process", n)
+		t.Errorf("the second request arrived on connection %d, want connection 1, which leads to the new process", n)
 	}
 }
 
@@ -406,12 +406,12 @@
 	}
 	p.Update(false, drainingEndpoints(activeEndpoints(addr)), time.Now())
 	if len(e.idle) != 0 || p.openConns != 0 {
-		t.Errorf("a draining endpoint has %d idle and %d open connections, want 0", len(e.idle), p.openConns)
+		t.Errorf("a draining endpoint has %d idle and %d open connections, want 0 and 0", len(e.idle), p.openConns)
 	}
 }
 
-// Nothing may be sent for a call after its result, nor to an endpoint after its drain grace, however late a dial
-// completes.
+// Nothing may be sent for a call after its result, nor to an endpoint that is known to be draining or removed, even if
+// an exchange was already prepared.
 func TestNothingIsWrittenAfterCancelOrRemoval(t *testing.T) {
 	for name, c := range map[string]struct {
 		before func(p *Pool, x *exchange, addr string)
@@ -437,7 +437,7 @@
 			c.before(p, x, addr)
 			wantResult(t, run(x), c.want)
 			if copies.Load() != 0 {
-				t.Error("the endpoint received data, want none")
+				t.Errorf("data arrived on %d connections, want 0", copies.Load())
 			}
 		})
 	}
@@ -570,10 +570,12 @@
 		}}
 		o := p.Attempt("s", call, testutil.WaitTimeout).Run(nil)
 		wantResult(t, o, c.want)
-		unused := o.Answer == nil && o.Result.MayHaveRun()
-		if o.Final != (c.want == balancer.OK) || c.want == balancer.ServerError && !unused {
-			t.Errorf("status %s, check error %v: outcome %+v, want final %t; after a failed check also no answer, and "+
-				"that the request may have run", c.status, c.err, o, c.want == balancer.OK)
+		if o.Final != (c.want == balancer.OK) {
+			t.Errorf("status %s, check error %v: final %t, want %t", c.status, c.err, o.Final, c.want == balancer.OK)
+		}
+		if c.want == balancer.ServerError && (o.Answer != nil || !o.Result.MayHaveRun()) {
+			t.Errorf("status %s, check error %v: answer %v, may have run %t; want no answer and true",
+				c.status, c.err, o.Answer, o.Result.MayHaveRun())
 		}
 	}
 }
--- a/internal/transport/http1/outcome.go
+++ b/internal/transport/http1/outcome.go
@@ -34,8 +34,9 @@
 
 // brokenResult returns the result of an exchange whose request was written and whose response is incomplete or
 // unusable. It is Cancelled or Timeout if the context has ended, Reset if the connection has ended, and ServerError
-// otherwise. A response that arrived but is unusable comes from a live process. Counting it as ServerError prevents
-// such a process from being considered dead; a fault that corrupts its responses may affect all endpoints.
+// otherwise. A response that arrived but is unusable comes from a live process. Counting it as ServerError prevents the
+// process from being considered dead. Otherwise, a fault that corrupts the responses of all endpoints would make all of
+// them appear dead.
 func (x *exchange) brokenResult(err error) balancer.Result {
 	switch x.ctx.Err() {
 	case context.Canceled:
@@ -116,7 +117,7 @@
 			continue
 		}
 		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || !(number >= 0 && number <= maxReportedInFlight) { // false also for NaN
+		if err != nil || !(number >= 0 && number <= maxReportedInFlight) { // both comparisons are false for NaN
 			continue
 		}
 		report.Reported = true
--- a/internal/transport/http1/races_test.go
+++ b/internal/transport/http1/races_test.go
@@ -26,7 +26,7 @@
 	for name, c := range map[string]struct {
 		event func(p *Pool, x *exchange, disconnected *atomic.Bool, addr string)
 		want  balancer.Result
-		open  int
+		open  int // connection slots in use after the attempt
 	}{
 		"client disconnects": {
 			func(_ *Pool, _ *exchange, disconnected *atomic.Bool, _ string) { disconnected.Store(true) },
@@ -155,7 +155,8 @@
 
 // An endpoint sends a second response some milliseconds after the first. On a reused connection it would be mistaken
 // for the answer to the next request, and a client would get another client's answer. The connection on which it
-// arrived must not be reused, and for reuseDelayPeriod after that, no connection may be reused before reuseDelay.
+// arrived must not be reused. In the reuseDelayPeriod after that, no connection may be reused until it has been idle
+// for reuseDelay.
 func TestUnsolicitedResponseIsNotUsed(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	conns := make(chan net.Conn, 10)
--- a/internal/transport/http1/reuse.go
+++ b/internal/transport/http1/reuse.go
@@ -27,9 +27,9 @@
 )
 
 // get returns the connection to e that a request is written to: the most recently used idle connection, or a new one.
-// It ignores connections that have been idle for maxIdle or longer and, while reuses are delayed, for less than
-// reuseDelay. If the connection limit is reached, it closes the longest idle connection of some endpoint for the new
-// one. It returns errConnLimit if there is no slot.
+// It closes connections that have been idle for maxIdle or longer. Until reuseDelayedUntil, it ignores connections that
+// have been idle for less than reuseDelay. If the connection limit is reached, it closes the longest idle connection of
+// some endpoint for the new one. It returns errConnLimit if there is no slot.
 func (p *Pool) get(ctx context.Context, e *endpoint) (*conn, error) {
 	p.mu.Lock()
 	to := e.process
