--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -133,16 +133,16 @@
 	group := flightGroup{flights: map[string]*flight{}}
 	expiresAt := time.Now().Add(testutil.WaitTimeout)
 	disconnected := func() bool { return true }
-	looked := make(chan bool)
+	checked := make(chan bool)
 	release := make(chan bool)
 	run := func(_ context.Context, abandoned func() bool) (plan.Outcome, bool) {
 		aborted := abandoned()
-		looked <- true
+		checked <- true
 		<-release
 		return plan.Outcome{Kind: plan.OutcomeUnknown}, aborted
 	}
 	_, _ = group.join("k", expiresAt, disconnected, run)
-	<-looked
+	<-checked
 	joined, isShared := group.join("k", expiresAt, connected, nil)
 	close(release)
 	if _, ok := joined.wait(t.Context(), expiresAt); ok || !isShared {
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -489,7 +489,7 @@
 func TestStopLosesNoRequest(t *testing.T) {
 	r, slow, answer := startFrontWithSlowRequest(t, 100)
 	r.stop()
-	closesAfter := func(n int) bool { // reports whether the response to late request n closes its connection
+	requestCloses := func(n int) bool { // reports whether the response to late request n closes its connection
 		t.Helper()
 		resp, err := r.client.Do(r.request(t, "GET", "look", fmt.Sprint("late", n), ""))
 		if err != nil {
@@ -502,10 +502,10 @@
 		return got.close
 	}
 	start, n := time.Now(), 0
-	for ; !closesAfter(n); n++ {
+	for ; !requestCloses(n); n++ {
 	}
 	time.Sleep(testMinOpen/3 - time.Since(start)) // the next request needs a new connection, which must be accepted
-	closesAfter(n + 1)
+	requestCloses(n + 1)
 	answer()
 	if got := testutil.Receive(t, slow, "the slow response"); got != "ok" {
 		t.Errorf("the open request got the body %q, want \"ok\"", got)
