--- a/internal/front/clientconn/conn.go
+++ b/internal/front/clientconn/conn.go
@@ -14,8 +14,8 @@
 // Conn is a client's connection. While a request is open, it reads ahead: it stores data that the client sends after
 // the request, so that a disconnect after that data is noticed.
 //
-// The methods may be called from any goroutine. BeginRequest, BeginResponse, Disconnected and TooManyIdle may be called
-// on a nil Conn; they do nothing then, and the last two return false.
+// The methods may be called from any goroutine. On a nil Conn, BeginRequest and BeginResponse do nothing, and
+// Disconnected and TooManyIdle return false.
 type Conn struct {
 	*net.TCPConn
 	listener *Listener
@@ -78,13 +78,13 @@
 	case netpeek.Idle:
 		return false
 	}
-	// raw.Read would wait for a concurrent Read to finish; raw.Control does not. It fails only if c was closed on this
-	// side.
+	// raw.Read would wait for a concurrent Read to finish; raw.Control does not. raw.Control fails only if c was closed
+	// on this side.
 	_ = c.raw.Control(func(fd uintptr) {
 		c.readMu.Lock()
 		defer c.readMu.Unlock()
 		if c.requestOpen {
-			_ = c.fillReadAhead(int(fd)) // PeerClosed reports a close or a reset
+			_ = c.fillReadAhead(int(fd)) // PeerClosed below detects a close or a reset
 		}
 	})
 	return netpeek.PeerClosed(c.TCPConn)
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -49,7 +49,7 @@
 }
 
 // New wraps a TCP listener. At most maxConns connections are open at a time. onLimit is called, from the goroutine that
-// calls Accept, for each connection that is accepted while that many are open.
+// calls Accept, for each connection that is accepted while maxConns connections are open.
 func New(l net.Listener, maxConns int, onLimit func()) *Listener {
 	listener := &Listener{
 		TCPListener: l.(*net.TCPListener),
--- a/internal/front/clientconn/readahead.go
+++ b/internal/front/clientconn/readahead.go
@@ -9,10 +9,9 @@
 // Limits on the data that is read ahead from a client while its request is open, in bytes. Data beyond the limits stays
 // in the kernel until the response begins. A disconnect after more data than the kernel buffers then goes unnoticed.
 const (
-	// minReadAhead is available to each connection at any time: the maximum size of one request.
+	// minReadAhead is the limit if the listener's pool (sharedReadAhead) is exhausted: the maximum size of one request.
 	minReadAhead = MaxHeaderBytes + httpmsg.MaxBodyBytes
-	// maxReadAhead is the limit for a connection while the pool that all connections of a listener share is not
-	// exhausted.
+	// maxReadAhead is the limit if the pool has enough bytes to borrow.
 	maxReadAhead = minReadAhead + maxBorrowSteps*borrowStep
 	// sharedReadAhead is the size of the pool from which the connections of a listener borrow for read-ahead beyond
 	// minReadAhead. A higher value takes more memory if many clients send a lot; with a lower one, fewer of their
--- a/internal/front/clientconn/stop.go
+++ b/internal/front/clientconn/stop.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// closeIfIdle closes a connection on which a response was written, unless data was received since. The caller holds the
-// listener's mutex.
+// closeIfIdle closes a connection on which a response was written, unless data was received since the response began.
+// The caller holds the listener's mutex.
 //
 // Guard: prevents the loss of a request that another goroutine has read but not yet recorded: its client would get a
 // reset, and might retry with an ID that is still in flight. This holds because data is read and recorded while readMu
@@ -56,8 +56,8 @@
 // closeIfDrained closes the channel drained if no connection is open and no more can be accepted. The caller holds
 // l.mu.
 //
-// Guard: prevents the process from exiting before the last answer is written, which its client would see as a reset.
-// This holds because a connection is released only when it is closed, which is after its answer was written.
+// Guard: prevents the process from exiting before the last answer is written: the client would see a reset. This holds
+// because a connection is released only when it is closed, which is after its answer was written.
 func (l *Listener) closeIfDrained() {
 	if l.closed && l.openConns == 0 {
 		close(l.drained)
--- a/internal/front/graphqlfront/coalesce.go
+++ b/internal/front/graphqlfront/coalesce.go
@@ -17,8 +17,8 @@
 	// being bound by the much shorter deadline of another client. With a higher value, more parts are coalesced, but
 	// more of them fail.
 	maxEarlierExpiry = 50 * time.Millisecond
-	// responseMargin is the time before its own expiry at which a part stops waiting for a flight, so that the client
-	// can be answered in time. With a higher value, parts are given up that would have been answered in time; with a
+	// responseMargin is the time between the end of a part's wait for a flight and the part's expiry. The client is
+	// answered in this time. With a higher value, parts are given up that would have been answered in time; with a
 	// lower one, more clients are answered too late.
 	responseMargin = 10 * time.Millisecond
 )
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -64,14 +64,16 @@
 		t.Errorf("shared flight: first caller %v, second caller %v; want false and true", isShared, secondIsShared)
 	}
 	if joined, _ := group.join("k", expiresAt.Add(2*maxEarlierExpiry), connected, nil); joined != nil {
-		t.Error("a caller with a much longer deadline joined the flight")
+		t.Error("a caller with a much longer deadline joined the flight, want join to return nil")
 	}
 	cancel()
 	if outcome, _ := first.wait(canceled, expiresAt); outcome.Kind != plan.OutcomeUnknown {
-		t.Errorf("the caller whose context ended received %+v, want OutcomeUnknown", outcome)
+		t.Errorf("the caller whose context ended received %+v, want kind %v (OutcomeUnknown)",
+			outcome, plan.OutcomeUnknown)
 	}
 	if outcome, _ := first.wait(t.Context(), time.Now()); outcome.Kind != plan.OutcomeUnknown {
-		t.Errorf("the caller that has expired received %+v, want OutcomeUnknown", outcome)
+		t.Errorf("the caller that has expired received %+v, want kind %v (OutcomeUnknown)",
+			outcome, plan.OutcomeUnknown)
 	}
 	close(release)
 	if outcome, ok := second.wait(t.Context(), expiresAt); outcome.Reason != "first" || !ok {
@@ -79,7 +81,8 @@
 	}
 	next, isShared := group.join("k", expiresAt, connected, returning("next"))
 	if outcome, _ := next.wait(t.Context(), expiresAt); isShared || outcome.Reason != "next" {
-		t.Errorf("shared %v, outcome %+v; want a new flight after the first has ended", isShared, outcome)
+		t.Errorf("after the first flight has ended: shared %v, outcome %+v; want false and the reason \"next\"",
+			isShared, outcome)
 	}
 }
 
@@ -128,7 +131,7 @@
 }
 
 // A caller joins a flight just as the clients of all others have disconnected. If it received their result, it would
-// get an error for a valid query. It must start again instead.
+// get an error for a valid query. The caller must start a new flight instead.
 func TestJoiningAbandonedFlight(t *testing.T) {
 	group := flightGroup{flights: map[string]*flight{}}
 	expiresAt := time.Now().Add(testutil.WaitTimeout)
@@ -151,7 +154,8 @@
 	next, isShared := group.join("k", expiresAt, connected, returning("next"))
 	outcome, ok := next.wait(t.Context(), expiresAt)
 	if isShared || !ok || !strings.Contains(outcome.Reason, "next") {
-		t.Errorf("shared %v, ok %v, outcome %+v; want the outcome of a new flight", isShared, ok, outcome)
+		t.Errorf("after the abandoned flight has ended: shared %v, ok %v, outcome %+v; want false, true and the "+
+			"reason \"next\"", isShared, ok, outcome)
 	}
 }
 
--- a/internal/front/graphqlfront/http_test.go
+++ b/internal/front/graphqlfront/http_test.go
@@ -127,7 +127,8 @@
 			body := w.Body.String()
 			want, isAll := strings.CutPrefix(test.want, "= ")
 			if w.Code != test.status || isAll && body != want || !strings.Contains(body, want) {
-				t.Errorf("status %d, body %s; want status %d, body %s", w.Code, body, test.status, test.want)
+				t.Errorf("status %d, body %s; want status %d, body %s (all of it: %v)",
+					w.Code, body, test.status, want, isAll)
 			}
 			mediaType := graphqlMediaType
 			for _, part := range test.request {
@@ -222,7 +223,7 @@
 	}
 }
 
-// TestResults checks the effect of the results of calls on the fields and on the whole response.
+// TestResults checks the status, the error codes and the Retry-After header that the results of calls lead to.
 func TestResults(t *testing.T) {
 	rejected := engine.Result{Kind: engine.Rejected, RetryAfter: 1500 * time.Millisecond}
 	failed := engine.Result{Kind: engine.Failed, TimedOut: true}
--- a/internal/front/graphqlfront/limits_test.go
+++ b/internal/front/graphqlfront/limits_test.go
@@ -82,7 +82,7 @@
 // stays within limits of time and memory, and that no call is made.
 func TestExpensiveRequestsAreRejected(t *testing.T) {
 	const (
-		maxDuration = 10 * time.Second // about 1 s on an idle machine; higher because the machine may be busy
+		maxDuration = 10 * time.Second // an idle machine takes about 1 s, but the machine may be busy
 		maxMemory   = 16 << 20         // in addition to the request itself
 		maxResponse = 10_000
 	)
--- a/internal/front/graphqlfront/part.go
+++ b/internal/front/graphqlfront/part.go
@@ -16,13 +16,13 @@
 // noResponseInTime is the reason that clients see if a part of a query got no response in time.
 const noResponseInTime = "no node answered this in time"
 
-// runQueryPart executes a part of a query, or waits for the outcome of an identical one in flight if the part may be
-// coalesced.
+// runQueryPart executes a part of a query. If the part may be coalesced and an identical part is in flight, it waits
+// for the outcome of that part instead.
 func (x *execution) runQueryPart(ctx context.Context, part *plan.Part) plan.Outcome {
 	for part.Coalesce && !x.isDisconnected(ctx) {
 		expiresAt := x.partExpiry(part)
 		run := func(ctx context.Context, abandoned func() bool) (plan.Outcome, bool) {
-			flightExecution := *x // the flight must not end when only the first client disconnects
+			flightExecution := *x // a copy, because the flight must not end when only the first client disconnects
 			flightExecution.clientDisconnected = abandoned
 			return flightExecution.runPart(ctx, part)
 		}
--- a/internal/front/graphqlfront/request.go
+++ b/internal/front/graphqlfront/request.go
@@ -115,7 +115,7 @@
 		return nil, false, err
 	}
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(receivedAt.Add(bodyTimeout)) // fails on a closed connection, as the read does then
+	_ = controller.SetReadDeadline(receivedAt.Add(bodyTimeout)) // an error is reported by the read below
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.config.MaxBody))
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -124,7 +124,7 @@
 	case err != nil:
 		return nil, false, badRequest(errBodyTruncated)
 	}
-	_ = controller.SetReadDeadline(time.Time{}) // fails on a closed connection, as the write does then
+	_ = controller.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	if operations, isBatch, err = paramsFromBody(body, s.config.MaxBatch); err != nil {
 		return nil, false, badRequest(err)
 	}
--- a/internal/front/graphqlfront/server.go
+++ b/internal/front/graphqlfront/server.go
@@ -24,7 +24,7 @@
 	"hazelwing/internal/graphql/plan"
 )
 
-// Doer executes calls; the engine implements it. The goroutines of the requests call Do. It returns the only result of
+// Doer executes calls; the engine implements it. The goroutines of the requests call Do. Do returns the only result of
 // the call, or returns when ctx has ended because the client disconnected.
 type Doer interface {
 	Do(ctx context.Context, c *engine.Call) engine.Result
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -89,8 +89,8 @@
 	return serving.Drain(drainDeadline)
 }
 
-// waitForQuietPeriod returns when no connection has arrived for quietPeriod, but not before minOpenAfterStop, and at
-// most maxExtraOpen later.
+// waitForQuietPeriod waits for minOpenAfterStop, and then until no connection has arrived for quietPeriod, but for at
+// most about maxExtraOpen.
 //
 // Guard: prevents closing the listener while connections are in its backlog. The kernel has accepted these connections,
 // so their clients would get a reset. This holds because the platform routes new connections elsewhere by the time this
--- a/internal/front/httpfront/server.go
+++ b/internal/front/httpfront/server.go
@@ -58,9 +58,9 @@
 	return s
 }
 
-// AcceptIdempotencyKeys lets clients set an Idempotency-Key in non-idempotent requests. The engine must recognize
-// duplicates by this key. By default, such a request is rejected as malformed, as the platform's protocol requires.
-// AcceptIdempotencyKeys must be called before Serve.
+// AcceptIdempotencyKeys lets clients set an Idempotency-Key in non-idempotent requests. By default, a non-idempotent
+// request with a key is rejected as malformed, as the platform's protocol requires. AcceptIdempotencyKeys must be
+// called before Serve, and only if the engine recognizes duplicates by the key.
 func (s *Server) AcceptIdempotencyKeys() { s.acceptKeys = true }
 
 // OnConnLimit sets a function that is called for each connection that is accepted while the connection limit is
--- a/internal/front/httpfront/server_test.go
+++ b/internal/front/httpfront/server_test.go
@@ -260,8 +260,8 @@
 	}
 }
 
-// net/http detects a disconnect only after the request's body was read to its end. The front must do so, because no
-// work may be done for a client that has disconnected.
+// net/http detects a disconnect only after the request's body was read to its end. The front must read all of the body,
+// because no work may be done for a client that has disconnected.
 func TestDisconnectIsNoticedAfterTheBody(t *testing.T) {
 	r := startFakeEngine(t)
 	for _, method := range []string{"GET", "POST"} {
@@ -493,11 +493,11 @@
 		t.Helper()
 		resp, err := r.client.Do(r.request(t, "GET", "look", fmt.Sprint("late", n), ""))
 		if err != nil {
-			t.Fatalf("request after the stop: %v", err)
+			t.Fatalf("request %d after the stop: error %v, want a response", n, err)
 		}
 		got, err := readAll(resp)
 		if err != nil {
-			t.Errorf("response to a request after the stop: %v", err)
+			t.Errorf("reading the response to request %d after the stop: %v", n, err)
 		}
 		return got.close
 	}
--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -2,8 +2,8 @@
 // endpoint. Every stream on a connection is either an attempt that the balancer decided on, or a probe.
 //
 // grpc-go resends a call by itself if it knows that the call was not processed (transparent retry). This package must
-// prevent that, because an attempt is exactly one stream. The gate of a call refuses a second stream through public
-// interfaces of grpc-go.
+// prevent that, because an attempt is exactly one stream. The gate of an exchange refuses a second stream. It uses only
+// public interfaces of grpc-go.
 //
 // The main decisions are made in these functions:
 //
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -96,7 +96,7 @@
 			o.Result, o.Err, balancer.OK)
 	}
 	if received.Load() != 1 {
-		t.Errorf("the endpoint received %d attempts, want 1 from before the drain", received.Load())
+		t.Errorf("the endpoint received %d attempts, want 1, the attempt from before the drain", received.Load())
 	}
 }
 
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -323,7 +323,7 @@
 			o := testutil.Receive(t, done, "the outcome")
 			wantResult(t, o, c.want)
 			if c.want == balancer.Timeout && o.Elapsed < c.timeout {
-				t.Errorf("timed out after %v, want at least %v", o.Elapsed, c.timeout)
+				t.Errorf("the exchange timed out after %v, want at least %v", o.Elapsed, c.timeout)
 			}
 			testutil.Receive(t, closed, "the close of the connection")
 		})
@@ -371,7 +371,7 @@
 	wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
 	testutil.Receive(t, conns, "the first request").Close()
 	if len(e.idle) != 1 {
-		t.Fatalf("%d idle connections, want 1", len(e.idle))
+		t.Fatalf("after the first request: %d idle connections, want 1", len(e.idle))
 	}
 	waitUntilNotIdle(e.idle[0])
 	wantResult(t, run(p.newExchange(e, testutil.WaitTimeout, testRequest("POST"))), balancer.OK)
--- a/internal/transport/http1/races_test.go
+++ b/internal/transport/http1/races_test.go
@@ -186,7 +186,7 @@
 	}
 	first := request()
 	if request() != first {
-		t.Error("the idle connection was not reused before any unsolicited data arrived")
+		t.Error("the second request used a new connection although no unsolicited data had arrived")
 	}
 	write(first, second)
 	testutil.Until(t, "the second response", func() bool { return e.idle[0].peek() == netpeek.Readable })
@@ -195,7 +195,7 @@
 		t.Error("the connection with unsolicited data was reused")
 	}
 	if request() == next {
-		t.Error("a connection was reused before reuseDelay although an endpoint has sent unsolicited data")
+		t.Error("after unsolicited data had arrived, a connection was reused that was idle for less than reuseDelay")
 	}
 	if len(e.idle) != 2 || p.openConns != 2 {
 		t.Errorf("%d idle connections and %d slots in use, want 2 and 2", len(e.idle), p.openConns)
