--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -180,6 +180,6 @@
 	first := testutil.Receive(t, statuses, "the first response")
 	second := testutil.Receive(t, statuses, "the second response")
 	if first != http.StatusOK || second != http.StatusOK {
-		t.Errorf("the requests in flight got status %d and %d, want 200", first, second)
+		t.Errorf("the requests in flight got status %d and %d, want 200 for both", first, second)
 	}
 }
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -133,7 +133,7 @@
 				t.Errorf("result %d, error %v; want result %d (NotSent)", o.Result, o.Err, balancer.NotSent)
 			}
 			if received.Load() != 0 {
-				t.Errorf("the endpoint received %d events of streams, want 0", received.Load())
+				t.Errorf("the endpoint received headers or data %d times, want 0", received.Load())
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 	tr.Update(false, endpointList(addr, balancer.Draining), time.Now().Add(-time.Second))
 	o := testutil.Receive(t, run(tr.Attempt("s", newCall(t.Context()), testutil.WaitTimeout)), "the outcome")
 	if o.Result != balancer.NotSent || received.Load() != 0 {
-		t.Errorf("result %d, error %v, %d events of streams at the endpoint; want result %d (NotSent) and 0 events",
+		t.Errorf("result %d, error %v, headers or data received %d times; want result %d (NotSent), 0 times",
 			o.Result, o.Err, received.Load(), balancer.NotSent)
 	}
 }
--- a/internal/transport/http1/request.go
+++ b/internal/transport/http1/request.go
@@ -25,7 +25,7 @@
 	req.Header = r.Header.Clone()
 	req.Header.Set(httpmsg.DeadlineHeader, strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
 	if _, present := req.Header["User-Agent"]; !present {
-		req.Header["User-Agent"] = []string{""} // prevents net/http from adding its own
+		req.Header["User-Agent"] = []string{""} // prevents net/http from adding its own User-Agent
 	}
 	if req.Method != http.MethodGet || len(r.Body) > 0 {
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(r.Body)), int64(len(r.Body))
@@ -40,6 +40,6 @@
 func probeRequest(time.Duration) *http.Request {
 	// The error is always nil, because the method and the URL are constants.
 	req, _ := http.NewRequestWithContext(context.Background(), http.MethodGet, endpointURL+httpmsg.LoadPath, nil)
-	req.Header.Set("User-Agent", "") // prevents net/http from adding its own
+	req.Header.Set("User-Agent", "") // prevents net/http from adding its own User-Agent
 	return req
 }
