--- a/internal/front/clientconn/conn.go
+++ b/internal/front/clientconn/conn.go
@@ -14,8 +14,8 @@
 // Conn is a client's connection. While a request is open, it reads ahead: it stores data that the client sends after
 // the request, so that a disconnect after that data is noticed.
 //
-// The methods may be called from any goroutine. BeginRequest, BeginResponse, Disconnected and TooManyIdle may be called
-// on a nil Conn; they do nothing then, and the last two return false.
+// The methods may be called from any goroutine. On a nil Conn, BeginRequest and BeginResponse do nothing, and
+// Disconnected and TooManyIdle return false.
 type Conn struct {
 	*net.TCPConn
 	listener *Listener
@@ -32,11 +32,11 @@
 	received    bool       // data was received since the last response began
 	readAhead   byteQueue  // data received while a request was open
 	borrowed    int        // bytes borrowed from the listener's pool for readAhead
-	paused      bool       // the read-ahead limit was reached: reading stops until the response begins
+	paused      bool       // the read-ahead limit was reached: Read returns data although a request is open
 }
 
-// BeginRequest marks the start of a valid request. Until the response is written, the connection is not evicted, and
-// data that the client sends is read ahead.
+// BeginRequest marks the start of a valid request. Data that the client sends is read ahead until the response begins.
+// The connection is not evicted until the response is written.
 func (c *Conn) BeginRequest() {
 	if c == nil {
 		return
@@ -67,7 +67,7 @@
 // Guard: prevents work for a client that has already disconnected, when this machine is slow. A close may stay unread
 // in the kernel for longer than clients wait, and a close that follows more data than the kernel buffers does not
 // arrive until that data is read. The symptom is an attempt that starts after its client has disconnected. This holds
-// for up to maxReadAhead bytes of data, because Disconnected reads ahead itself.
+// because Disconnected itself reads ahead, up to the limit of fillReadAhead.
 func (c *Conn) Disconnected() bool {
 	if c == nil {
 		return false
@@ -78,13 +78,13 @@
 	case netpeek.Idle:
 		return false
 	}
-	// raw.Read would wait for a concurrent Read to finish; raw.Control does not. It fails only if c was closed on this
-	// side.
+	// raw.Read would wait for a concurrent Read to finish; raw.Control does not. raw.Control fails only if c was closed
+	// on this side.
 	_ = c.raw.Control(func(fd uintptr) {
 		c.readMu.Lock()
 		defer c.readMu.Unlock()
 		if c.requestOpen {
-			_ = c.fillReadAhead(int(fd)) // PeerClosed reports a close or a reset
+			_ = c.fillReadAhead(int(fd)) // PeerClosed below detects a close or a reset
 		}
 	})
 	return netpeek.PeerClosed(c.TCPConn)
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -13,7 +13,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// connected reports for a connected client that it has not disconnected.
+// connected is the disconnected function of a waiter whose client stays connected.
 func connected() bool { return false }
 
 // returning returns a runFunc whose outcome has the given reason.
@@ -61,25 +61,28 @@
 	})
 	second, secondIsShared := group.join("k", expiresAt.Add(maxEarlierExpiry), connected, nil)
 	if isShared || !secondIsShared {
-		t.Error("the second caller did not join the flight of the first")
+		t.Errorf("shared flight: first caller %v, second caller %v; want false and true", isShared, secondIsShared)
 	}
 	if joined, _ := group.join("k", expiresAt.Add(2*maxEarlierExpiry), connected, nil); joined != nil {
-		t.Error("a caller with a much longer deadline joined the flight")
+		t.Error("a caller with a much longer deadline joined the flight, want join to return nil")
 	}
 	cancel()
 	if outcome, _ := first.wait(canceled, expiresAt); outcome.Kind != plan.OutcomeUnknown {
-		t.Errorf("the caller whose context ended received %+v, want OutcomeUnknown", outcome)
+		t.Errorf("the caller whose context ended received %+v, want kind %v (OutcomeUnknown)",
+			outcome, plan.OutcomeUnknown)
 	}
 	if outcome, _ := first.wait(t.Context(), time.Now()); outcome.Kind != plan.OutcomeUnknown {
-		t.Errorf("the caller that has expired received %+v, want OutcomeUnknown", outcome)
+		t.Errorf("the caller that has expired received %+v, want kind %v (OutcomeUnknown)",
+			outcome, plan.OutcomeUnknown)
 	}
 	close(release)
 	if outcome, ok := second.wait(t.Context(), expiresAt); outcome.Reason != "first" || !ok {
-		t.Errorf("the caller that stayed received %+v (ok %v), want the reason \"first\"", outcome, ok)
+		t.Errorf("the caller that stayed received %+v, ok %v; want the reason \"first\", ok true", outcome, ok)
 	}
 	next, isShared := group.join("k", expiresAt, connected, returning("next"))
 	if outcome, _ := next.wait(t.Context(), expiresAt); isShared || outcome.Reason != "next" {
-		t.Errorf("shared %v, outcome %+v; want a new flight after the first has ended", isShared, outcome)
+		t.Errorf("after the first flight has ended: shared %v, outcome %+v; want false and the reason \"next\"",
+			isShared, outcome)
 	}
 }
 
@@ -99,7 +102,8 @@
 	closeConn(t, first)
 	testutil.Until(t, "the first client to leave", func() bool { return front.server.flights.waiterCount() == 1 })
 	if len(aborted) > 0 || call.Disconnected() {
-		t.Error("the call ended with the first client")
+		t.Errorf("after the first client left: %d calls ended, Disconnected returned %v; want 0 and false",
+			len(aborted), call.Disconnected())
 	}
 	closeConn(t, second)
 	if ended := testutil.Receive(t, aborted, "the call's end"); ended != call {
@@ -127,30 +131,31 @@
 }
 
 // A caller joins a flight just as the clients of all others have disconnected. If it received their result, it would
-// get an error for a valid query. It must start again instead.
+// get an error for a valid query. The caller must start a new flight instead.
 func TestJoiningAbandonedFlight(t *testing.T) {
 	group := flightGroup{flights: map[string]*flight{}}
 	expiresAt := time.Now().Add(testutil.WaitTimeout)
 	disconnected := func() bool { return true }
-	looked := make(chan bool)
+	checked := make(chan bool)
 	release := make(chan bool)
 	run := func(_ context.Context, abandoned func() bool) (plan.Outcome, bool) {
 		aborted := abandoned()
-		looked <- true
+		checked <- true
 		<-release
 		return plan.Outcome{Kind: plan.OutcomeUnknown}, aborted
 	}
 	_, _ = group.join("k", expiresAt, disconnected, run)
-	<-looked
+	<-checked
 	joined, isShared := group.join("k", expiresAt, connected, nil)
 	close(release)
 	if _, ok := joined.wait(t.Context(), expiresAt); ok || !isShared {
-		t.Errorf("shared %v, ok %v; want to join the abandoned flight and to get no outcome from it", isShared, ok)
+		t.Errorf("joining the abandoned flight: shared %v, ok %v; want true and false", isShared, ok)
 	}
 	next, isShared := group.join("k", expiresAt, connected, returning("next"))
 	outcome, ok := next.wait(t.Context(), expiresAt)
 	if isShared || !ok || !strings.Contains(outcome.Reason, "next") {
-		t.Errorf("shared %v, ok %v, outcome %+v; want the outcome of a new flight", isShared, ok, outcome)
+		t.Errorf("after the abandoned flight has ended: shared %v, ok %v, outcome %+v; want false, true and the "+
+			"reason \"next\"", isShared, ok, outcome)
 	}
 }
 
@@ -175,6 +180,6 @@
 	first := testutil.Receive(t, statuses, "the first response")
 	second := testutil.Receive(t, statuses, "the second response")
 	if first != http.StatusOK || second != http.StatusOK {
-		t.Errorf("the requests in flight got status %d and %d, want 200", first, second)
+		t.Errorf("the requests in flight got status %d and %d, want 200 for both", first, second)
 	}
 }
--- a/internal/transport/http1/races_test.go
+++ b/internal/transport/http1/races_test.go
@@ -26,7 +26,7 @@
 	for name, c := range map[string]struct {
 		event func(p *Pool, x *exchange, disconnected *atomic.Bool, addr string)
 		want  balancer.Result
-		open  int
+		open  int // connection slots in use after the attempt
 	}{
 		"client disconnects": {
 			func(_ *Pool, _ *exchange, disconnected *atomic.Bool, _ string) { disconnected.Store(true) },
@@ -155,7 +155,8 @@
 
 // An endpoint sends a second response some milliseconds after the first. On a reused connection it would be mistaken
 // for the answer to the next request, and a client would get another client's answer. The connection on which it
-// arrived must not be reused, and for reuseDelayPeriod after that, no connection may be reused before reuseDelay.
+// arrived must not be reused. In the reuseDelayPeriod after that, no connection may be reused until it has been idle
+// for reuseDelay.
 func TestUnsolicitedResponseIsNotUsed(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	conns := make(chan net.Conn, 10)
@@ -185,7 +186,7 @@
 	}
 	first := request()
 	if request() != first {
-		t.Error("the idle connection was not reused before any unsolicited data arrived")
+		t.Error("the second request used a new connection although no unsolicited data had arrived")
 	}
 	write(first, second)
 	testutil.Until(t, "the second response", func() bool { return e.idle[0].peek() == netpeek.Readable })
@@ -194,7 +195,7 @@
 		t.Error("the connection with unsolicited data was reused")
 	}
 	if request() == next {
-		t.Error("a connection was reused before reuseDelay although an endpoint has sent unsolicited data")
+		t.Error("after unsolicited data had arrived, a connection was reused that was idle for less than reuseDelay")
 	}
 	if len(e.idle) != 2 || p.openConns != 2 {
 		t.Errorf("%d idle connections and %d slots in use, want 2 and 2", len(e.idle), p.openConns)
