--- a/internal/demo/gqldemo/client.go
+++ b/internal/demo/gqldemo/client.go
@@ -22,7 +22,7 @@
 	url     string
 	http    *http.Client
 	seed    uint64
-	grace   time.Duration // time by which a response may exceed requestTimeout before it counts as late
+	grace   time.Duration // how long after requestTimeout a response still counts as in time
 	results *tally
 }
 
@@ -61,7 +61,7 @@
 			return fmt.Errorf("response to batch %d is not a JSON array: %w", number, err)
 		}
 		if len(responses) != len(tokens) {
-			return fmt.Errorf("response to batch %d has %d parts; want %d", number, len(responses), len(tokens))
+			return fmt.Errorf("response to batch %d has %d entries; want %d", number, len(responses), len(tokens))
 		}
 	}
 	isLate := time.Since(start) > requestTimeout+c.grace
--- a/internal/demo/gqldemo/tally.go
+++ b/internal/demo/gqldemo/tally.go
@@ -81,17 +81,19 @@
 	printLine(out, t)
 	violations := slices.Concat(t.violations, rules.Violations())
 	if t.late > 0 {
-		violations = append(violations, fmt.Sprintf("%d answers came after their client's time", t.late))
+		const format = "%d responses arrived later than the grace after their client's deadline"
+		violations = append(violations, fmt.Sprintf(format, t.late))
 	}
 	for _, claim := range t.claims {
 		if executions := rules.KeyExecutions(claim.Token); claim.Contradicts(executions) {
-			violations = append(violations,
-				fmt.Sprintf("%s: the answer says %q, and it ran %d times", claim.Token, claim.Execution, executions))
+			const format = "mutation %s: the response says %q, but it ran %d times"
+			violations = append(violations, fmt.Sprintf(format, claim.Token, claim.Execution, executions))
 		}
 	}
 	if len(violations) == 0 && len(t.claims) == 0 {
 		return errors.New("no response stated the result of a mutation, so there was nothing to compare")
 	}
-	return demo.PrintVerdict(out, violations, fmt.Sprintf("all rules kept: one answer each, no mutation twice, "+
-		"and none of %d answers on mutations is denied by the nodes' counters", len(t.claims)))
+	const format = "all rules kept: one response to each request, no mutation twice, " +
+		"and the nodes' counters contradict none of the stated results of %d mutations"
+	return demo.PrintVerdict(out, violations, fmt.Sprintf(format, len(t.claims)))
 }
--- a/internal/demo/verdict.go
+++ b/internal/demo/verdict.go
@@ -26,11 +26,12 @@
 // printVerdict calls PrintVerdict with the violations that the nodes detected and the unanswered requests of a replay.
 func printVerdict(out io.Writer, report *emulator.Report, violations []string) error {
 	if report.Unanswered > 0 {
-		unanswered := fmt.Sprintf("%d requests got no final answer in their client's time", report.Unanswered)
-		violations = append(violations, unanswered)
+		const format = "%d requests had no final response by their client's deadline plus the grace"
+		violations = append(violations, fmt.Sprintf(format, report.Unanswered))
 	}
 	return PrintVerdict(out, violations,
-		"all rules kept: one final answer each, no effect twice, drains kept, no cold node pushed over")
+		"all rules kept: one final response to each request, no effect twice, no job after a drain grace, "+
+			"no warming node overloaded")
 }
 
 // printf writes to the user's terminal or file. It ignores errors, since the exit status does not depend on the output.
--- a/internal/demo/view.go
+++ b/internal/demo/view.go
@@ -17,10 +17,10 @@
 const (
 	redrawInterval = 250 * time.Millisecond // interval of a live view
 	lineInterval   = time.Second            // interval of a view that is not live
-	// displayedResolution is the resolution of the latencies shown.
+	// displayedResolution is the resolution to which the view rounds latencies.
 	displayedResolution = 100 * time.Microsecond
-	maxLogLines         = 6  // number of the last lines of the daemon's log that are shown
-	maxBarLength        = 40 // maximum length of the bar of a node's requests in flight
+	maxLogLines         = 6  // the view shows this many of the latest lines of the daemon's log
+	maxBarLength        = 40 // maximum length of the bar that shows a node's jobs in flight
 	percent             = 100
 	// clearScreen moves the cursor to the upper left corner and clears a terminal (ECMA-48).
 	clearScreen = "\x1b[H\x1b[2J"
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -97,7 +97,7 @@
 	return d.version
 }
 
-// Set changes an entry of the list and notifies all watches. An endpoint whose health is DELETED is removed.
+// Set adds or replaces an entry of the list and notifies all watches. An endpoint whose health is DELETED is removed.
 func (d *Discovery) Set(endpoint Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,7 +176,8 @@
 	d.serveWatch(w, r, version)
 }
 
-// serveWatch sends changes until the client disconnects. Write errors are ignored: they occur only after that.
+// serveWatch sends changes until the client disconnects. Write errors are ignored: they occur only after the client has
+// disconnected.
 func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request, version int64) {
 	encoder := json.NewEncoder(w)
 	ticker := time.NewTicker(keepAliveInterval)
--- a/internal/emulator/dnsserver/dnsserver.go
+++ b/internal/emulator/dnsserver/dnsserver.go
@@ -16,8 +16,8 @@
 const maxDatagramBytes = 64 << 10
 
 // ReplyFunc returns the packed messages that respond to a query. If it returns none, the server does not respond. Over
-// UDP, each message is sent in a datagram of its own; over TCP, only the first message is sent. The goroutines of the
-// server call the function.
+// UDP, each message is sent in a datagram of its own; over TCP, only the first message is sent. The server may call the
+// function from two goroutines at the same time, one for UDP and one for TCP.
 type ReplyFunc func(query dnsmessage.Message, tcp bool) [][]byte
 
 // Server is an emulated DNS server. Its methods may be called from any goroutine.
--- a/internal/emulator/faultfs/faultfs.go
+++ b/internal/emulator/faultfs/faultfs.go
@@ -16,7 +16,7 @@
 	"hazelwing/internal/store"
 )
 
-// ErrCrashed is returned after the crash by Open, by List and by every call that changes the disk.
+// ErrCrashed is returned after the crash by Open, by List and by each call that counts as a step (see FS.CrashAfter).
 var ErrCrashed = errors.New("faultfs: emulated machine has crashed")
 
 // sectorBytes is the size in bytes of a sector, which a disk writes completely or not at all.
@@ -32,8 +32,8 @@
 	crashed bool
 	used    int64 // bytes in use
 
-	// CrashAfter is the number of steps until the crash; -1: none. Each byte written is a step, and so is each other
-	// call that changes the disk.
+	// CrashAfter is the number of steps until the crash; -1: no crash. Each byte written is a step. Each call of
+	// Create, Remove and SyncDir, and each call of Sync and Truncate on a file, is also a step.
 	CrashAfter int64
 	// Steps is the number of steps so far.
 	Steps int64
@@ -53,7 +53,7 @@
 	lost   []span // ranges written before a failed sync, which never become durable
 }
 
-// span is the range of the bytes of a file from the offset from up to but not including the offset to.
+// span is a range of the bytes of a file. It includes the offset from but not the offset to.
 type span struct{ from, to int }
 
 // New returns an empty directory on a disk that does not fail.
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Lock returns store.ErrLocked until the closer of an earlier call is closed.
+// Lock locks the directory until the returned closer is closed. It returns store.ErrLocked if the directory is locked.
 func (f *FS) Lock(string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,8 +186,8 @@
 }
 
 // Write appends to the file. A write that fails with EIO has written half of b. A write that fails with ENOSPC has
-// written as much of b as fits on the disk. A write that fails because of the crash has written the bytes of b before
-// the crash.
+// written as much of b as fits on the disk. A write that fails because of the crash has written those bytes of b that
+// precede the crash.
 func (f *file) Write(b []byte) (int, error) {
 	fs := f.fs
 	fs.mu.Lock()
@@ -210,7 +210,7 @@
 	return int(n), errors.Join(err, errFull)
 }
 
-// Sync makes the content durable, except for the bytes that were written before a failed sync.
+// Sync makes the content durable. Bytes that an earlier Sync failed to make durable are lost: on the disk, they are 0.
 func (f *file) Sync() error {
 	f.fs.mu.Lock()
 	wait := f.fs.SyncTime
@@ -270,8 +270,9 @@
 	return after
 }
 
-// AfterPowerLoss returns the directory that is on the disk after a loss of power. It has a random part of the sectors
-// and names that were not synced, whatever their order. The last sector may be torn.
+// AfterPowerLoss returns the directory that is on the disk after a loss of power. Of the sectors and directory changes
+// that were not synced, it has a random part, regardless of the order in which they were made. The last sector may be
+// torn.
 func (f *FS) AfterPowerLoss(rng *rand.Rand) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -295,7 +296,7 @@
 	return after
 }
 
-// afterPowerLoss returns the content of a file after a loss of power, with random parts of what was not synced.
+// afterPowerLoss returns the content of a file after a loss of power: the synced bytes and random parts of the others.
 func (i *inode) afterPowerLoss(rng *rand.Rand) []byte {
 	if len(i.data) <= len(i.synced) { // nothing was added, but the file may have been truncated
 		if rng.IntN(2) == 0 {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -51,7 +51,7 @@
 	server Server
 }
 
-// machineKinds are the kinds and speeds of the machines in a fleet with old, standard and new machines.
+// machineKinds are the kinds and speeds of the machines of the nodes that MixedNodes returns.
 var machineKinds = []struct {
 	kind  string
 	speed float64
@@ -154,7 +154,7 @@
 		p.server.Stop()
 	}
 	if p.Status().State == stateOverloaded {
-		f.Rules.ReportViolation("%s was pushed over while cold", p.Name)
+		f.Rules.ReportViolation("node %s was overloaded while it was warming up", p.Name)
 	}
 }
 
@@ -185,14 +185,14 @@
 	})
 }
 
-// find returns the latest process of the node with a name, or nil if there was no process.
+// find returns the latest process of the node with the given name, or nil if the fleet has no such node.
 func (f *Fleet) find(name string) *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[name]
 }
 
-// Node returns the Node of the latest process of the node with a name, or nil if there was no process.
+// Node returns the Node of the latest process of the node with the given name, or nil if the fleet has no such node.
 func (f *Fleet) Node(name string) *Node {
 	if p := f.find(name); p != nil {
 		return p.Node
--- a/internal/emulator/gqlnode/claims.go
+++ b/internal/emulator/gqlnode/claims.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Execution is the result of a mutation that a response states.
+// Execution is the statement of a response on whether a mutation was executed.
 type Execution string
 
 // Values of Execution.
@@ -15,7 +15,7 @@
 	Unknown     Execution = "open" // the mutation may have been executed
 )
 
-// executionByCode maps the error codes in responses of the daemon to the results that they state.
+// executionByCode maps the error codes in responses of the daemon to the statements that they make.
 var executionByCode = map[string]Execution{
 	"REFUSED":      NotExecuted,
 	"NOT_STARTED":  NotExecuted,
@@ -23,7 +23,7 @@
 	"EXECUTED":     Executed,
 }
 
-// Claim is the statement of a response about the mutation with a token.
+// Claim is the statement of a response on the execution of one mutation, which is identified by its token.
 type Claim struct {
 	Token     string
 	Execution Execution
--- a/internal/emulator/gqlnode/gqlnode.go
+++ b/internal/emulator/gqlnode/gqlnode.go
@@ -70,7 +70,7 @@
 	Variables map[string]any `json:"variables"`
 }
 
-// ServeHTTP executes a GraphQL request or a batch of them, or returns the load report of the node.
+// ServeHTTP executes a GraphQL request or a batch of them, or responds with the node's load report.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/metrics/load" {
 		_, _ = fmt.Fprintf(w, "queue=%d", s.node.InFlight()) // fails once the client has disconnected
--- a/internal/emulator/gqlnode/resolve.go
+++ b/internal/emulator/gqlnode/resolve.go
@@ -57,7 +57,7 @@
 	return nil, errNoSuchField
 }
 
-// object is an object of any type. Its fields are derived from its ID, except for the field by, which is the name of
+// object is an object of any type. Its fields are derived from its ID, except for the field "by", which has the name of
 // the node.
 type object struct{ typeName, id, node string }
 
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -1,6 +1,6 @@
-// Package grpcnode serves emulated nodes over gRPC. The service uses well-known messages only
-// (google.protobuf.StringValue), so that it needs no generated code: /booking.v1.Booking/Do is unary, and
-// /booking.v1.Booking/Follow streams one message for each character of its request.
+// Package grpcnode serves emulated nodes over gRPC. The method /booking.v1.Booking/Do is unary, and
+// /booking.v1.Booking/Follow streams one message for each character of its request. All messages are of the well-known
+// type google.protobuf.StringValue, so that the service needs no generated code.
 package grpcnode
 
 import (
--- a/internal/emulator/httpclient.go
+++ b/internal/emulator/httpclient.go
@@ -16,8 +16,8 @@
 const responseTimeout = 10 * time.Second
 
 // HTTPClient returns a function that sends recorded requests to the daemon at addr as the platform's protocol
-// specifies. It reports a violation to rules if a request is served with the response to another request. The caller
-// calls closeIdle when all requests have ended.
+// specifies. The function reports a violation to rules if a request is served with the response to another request, or
+// if a non-idempotent request is rejected after its execution. The caller calls closeIdle when all requests have ended.
 func HTTPClient(addr string, rules *RuleChecker) (do RequestFunc, closeIdle func()) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxOpen, DisableCompression: true}
 	c := &httpClient{
@@ -28,7 +28,7 @@
 	return c.do, transport.CloseIdleConnections
 }
 
-// httpClient sends requests to a daemon as the application beside it does.
+// httpClient sends requests to a daemon as an application does.
 type httpClient struct {
 	baseURL string
 	client  *http.Client
@@ -82,12 +82,13 @@
 	return req, nil
 }
 
-// outcome classifies a response, and reports one that violates the rules.
+// outcome returns the outcome of a request with the given response. It reports a violation if the response breaks a
+// rule.
 func (c *httpClient) outcome(status int, body, id string, class TrafficClass) Outcome {
 	switch status {
 	case http.StatusOK:
 		if !strings.HasPrefix(body, id) {
-			c.rules.ReportViolation("request %s was served with %q", id, body)
+			c.rules.ReportViolation("request %s was served with the response %q of another request", id, body)
 		}
 		return Served
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
--- a/internal/emulator/httpserver.go
+++ b/internal/emulator/httpserver.go
@@ -56,7 +56,7 @@
 	return h
 }
 
-// ServeHTTP executes a request on the node, or returns its load report.
+// ServeHTTP executes a request on the node, or responds with the node's load report.
 func (h *HTTP) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/metrics/load" {
 		_, _ = fmt.Fprintf(w, "queue=%d", h.node.InFlight()) // fails once the client has disconnected
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -49,8 +49,8 @@
 	Queue            int           // maximum number of jobs that wait or run; 0: 64
 	InitialCapacity  float64       // share of Speed right after the start, if WarmUp is set
 	WarmUp           time.Duration // time from the start until the node has its full speed
-	// OverloadMultiple limits the work that arrives at a warming node within OverloadWindow, as a multiple of the work
-	// that the node can do in that time. A node that gets more dies. 0: no limit.
+	// OverloadMultiple limits the work that arrives within OverloadWindow during warm-up, as a multiple of the work
+	// that the node can do in that time. A node that gets more work dies. 0: no limit.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 	// DrainGrace is how long jobs may arrive after the start of a drain. A later job violates a rule. 0: no limit.
@@ -159,8 +159,8 @@
 	return Done, true
 }
 
-// work occupies the core for an amount of time, given at speed 1. It returns early if the client disconnects or the
-// node dies.
+// work occupies the core until a job is done that takes the time amount at speed 1. It returns early if the client
+// disconnects or the node dies.
 func (n *Node) work(ctx context.Context, amount time.Duration) Reply {
 	timer := time.NewTimer(speedCheckInterval)
 	defer timer.Stop()
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -27,7 +27,7 @@
 	}
 	testutil.Until(t, "nine jobs in flight", func() bool { return n.InFlight() == 9 })
 	if s := n.Status(); s.State != "cold" {
-		t.Errorf("state is %q at the limit; want cold", s.State)
+		t.Errorf("state after 54 s of work, exactly the limit, is %q; want cold", s.State)
 	}
 	if got := n.Do(t.Context(), Job{ID: "one more", Work: 3 * time.Second}); got != NodeDied {
 		t.Errorf("job beyond the limit ended with reply %v; want NodeDied (%v)", got, NodeDied)
@@ -43,13 +43,15 @@
 	start := time.Now()
 	reply := n.Do(t.Context(), Job{ID: "1", Work: 100 * time.Millisecond})
 	if reply != Done || time.Since(start) < 45*time.Millisecond {
-		t.Errorf("100 ms of work at speed 2 took %v, reply %v; want at least 45 ms, Done", time.Since(start), reply)
+		t.Errorf("job of 100 ms at speed 2 ended after %v with reply %v; want at least 45 ms and Done (%v)",
+			time.Since(start), reply, Done)
 	}
 	n.Slow(4)
 	start = time.Now()
 	reply = n.Do(t.Context(), Job{ID: "2", Work: 50 * time.Millisecond})
 	if reply != Done || time.Since(start) < 90*time.Millisecond {
-		t.Errorf("50 ms of work at speed 0.5 took %v, reply %v; want at least 90 ms, Done", time.Since(start), reply)
+		t.Errorf("job of 50 ms at speed 0.5 ended after %v with reply %v; want at least 90 ms and Done (%v)",
+			time.Since(start), reply, Done)
 	}
 	n.Pause(time.Hour)
 	ctx, disconnect := context.WithCancel(t.Context())
--- a/internal/emulator/rawh2/rawh2.go
+++ b/internal/emulator/rawh2/rawh2.go
@@ -1,4 +1,4 @@
-// Package rawh2 is a gRPC server that tests control at the level of HTTP/2 frames, for faults at an exact moment. It
+// Package rawh2 is a gRPC server that tests control at the level of HTTP/2 frames to cause faults at exact moments. It
 // can refuse streams, send GOAWAY with a last stream ID below an open stream's ID, stop reading, or close the
 // connection after it has read a complete request (RFC 9113; gRPC over HTTP/2).
 package rawh2
--- a/internal/emulator/rawh2/stream.go
+++ b/internal/emulator/rawh2/stream.go
@@ -36,7 +36,7 @@
 // Refuse resets the stream with REFUSED_STREAM, which states that the request was not processed.
 func (s *Stream) Refuse() { s.reset(http2.ErrCodeRefusedStream) }
 
-// Reset resets the stream with INTERNAL_ERROR, after which the request may have been processed.
+// Reset resets the stream with INTERNAL_ERROR, which does not state whether the request was processed.
 func (s *Stream) Reset() { s.reset(http2.ErrCodeInternal) }
 
 func (s *Stream) reset(code http2.ErrCode) {
--- a/internal/emulator/readtraffic.go
+++ b/internal/emulator/readtraffic.go
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// checkRequest checks a request that follows those read so far.
+// checkRequest checks a request against the header and the requests read before it.
 func (r *trafficReader) checkRequest(request Request) error {
 	requests := r.traffic.Requests
 	switch last := len(requests) - 1; {
--- a/internal/emulator/rulechecker.go
+++ b/internal/emulator/rulechecker.go
@@ -85,7 +85,8 @@
 		return
 	}
 	if delay := now.Sub(drainingSince); delay > node.DrainGrace+r.DrainSlack {
-		r.addViolation("%s was sent to %v after its drain was told", node.Name, delay.Round(time.Millisecond))
+		const format = "node %s received a job %v after the start of its drain"
+		r.addViolation(format, node.Name, delay.Round(time.Millisecond))
 	}
 }
 
@@ -110,14 +111,14 @@
 	return append([]string(nil), r.violations...)
 }
 
-// Executions returns the number of executions that began in total, and of the request with the given ID.
+// Executions returns how many executions have begun in total, and how many of the request with the given ID.
 func (r *RuleChecker) Executions(id string) (total, ofID int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.total, r.executions[id]
 }
 
-// KeyExecutions returns the number of executions that began with an idempotency key.
+// KeyExecutions returns how many executions have begun with an idempotency key.
 func (r *RuleChecker) KeyExecutions(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/rulechecker_test.go
+++ b/internal/emulator/rulechecker_test.go
@@ -50,13 +50,14 @@
 			}
 			time.Sleep(defaultDrainSlack + 5*time.Millisecond)
 			a.Do(ctx, testJob("2", Idempotent))
-		}, "after its drain was told"},
+		}, "after the start of its drain"},
 	} {
 		rules := NewRuleChecker()
 		c.do(rules)
 		got := strings.Join(rules.Violations(), "; ")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) || strings.Count(got, ";") > 0 {
-			t.Errorf("%s: violations are %q; want one that contains %q (empty: none)", name, got, c.want)
+			t.Errorf("%s: violations are %q; want exactly one, which contains %q, or none if that is empty",
+				name, got, c.want)
 		}
 	}
 }
--- a/internal/emulator/stored_test.go
+++ b/internal/emulator/stored_test.go
@@ -23,12 +23,12 @@
 	}
 	if tr.Format != "hazelwing-traffic" || tr.Version != 1 || !slices.Equal(tr.Classes, BookingClasses) ||
 		len(tr.Requests) != 35 {
-		t.Errorf("header is %+v with %d requests; want BookingClasses and 35 requests",
-			tr.TrafficHeader, len(tr.Requests))
+		t.Errorf("header is %+v with %d requests; want format hazelwing-traffic, version 1, BookingClasses and "+
+			"35 requests", tr.TrafficHeader, len(tr.Requests))
 	}
 	first := Request{AtMS: 64.232, Class: "seat-search", AffinityKey: "u131", WorkUS: 11858, ExpectedWorkUS: 9239}
 	if got := tr.Requests[0]; got != first || got.At() != 64232*time.Microsecond {
-		t.Errorf("first request is %+v; want %+v", got, first)
+		t.Errorf("first request is %+v, sent at %v; want %+v, sent at 64.232 ms", got, got.At(), first)
 	}
 	effects := map[string]Effect{
 		"seat-search":     Idempotent,
@@ -39,7 +39,8 @@
 	for i, q := range tr.Requests {
 		if effect, ok := effects[q.Class]; !ok || q.AffinityKey == "" || q.WorkUS <= 0 || q.ExpectedWorkUS <= 0 ||
 			tr.Effects()[q.Class] != effect {
-			t.Errorf("request %d is %+v; want a known class, an affinity key, work and expected work", i+1, q)
+			t.Errorf("request %d is %+v with effect %v; want a known class, an affinity key, work, expected work and "+
+				"effect %v", i+1, q, tr.Effects()[q.Class], effect)
 		}
 	}
 	for what, made := range map[string]*Traffic{"read": tr, "generated": Generate(3, 15, 2*time.Second)} {
--- a/internal/emulator/traffic_test.go
+++ b/internal/emulator/traffic_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"errors"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -13,15 +15,20 @@
 	generated := Generate(7, 200, 2*time.Second)
 	repeated := Generate(7, 200, 2*time.Second)
 	var first, second bytes.Buffer
-	if generated.Write(&first) != nil || repeated.Write(&second) != nil || !bytes.Equal(first.Bytes(), second.Bytes()) {
+	if err := errors.Join(generated.Write(&first), repeated.Write(&second)); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(first.Bytes(), second.Bytes()) {
 		t.Fatal("two calls of Generate with the same seed gave different traffic; want the same")
 	}
 	text := first.String()
 	read, err := ReadTraffic(&first)
-	if err != nil || len(read.Requests) != len(generated.Requests) || read.Requests[5] != generated.Requests[5] ||
-		len(read.Classes) != 4 {
-		t.Fatalf("read %d requests, error %v; want the %d that were written, and 4 classes",
-			len(read.Requests), err, len(generated.Requests))
+	if err != nil {
+		t.Fatalf("ReadTraffic returned the error %v; want none", err)
+	}
+	if !slices.Equal(read.Requests, generated.Requests) || len(read.Classes) != 4 {
+		t.Fatalf("read %d requests and %d classes; want the %d requests that were written, and 4 classes",
+			len(read.Requests), len(read.Classes), len(generated.Requests))
 	}
 	if count := len(generated.Requests); count < 300 || count > 500 {
 		t.Errorf("generated %d requests in 2 s at 200 per second; want 300 to 500", count)
--- a/internal/graphql/exec/exec.go
+++ b/internal/graphql/exec/exec.go
@@ -31,7 +31,7 @@
 	Path    []any  `json:"path"`
 }
 
-// Result is the result of an operation. Data is null if a non-null field has no value and the null propagates to the
+// Result is the result of an operation. Data is null if a non-null field has no value and its null propagates to the
 // root.
 type Result struct {
 	Data   json.RawMessage `json:"data"`
@@ -60,7 +60,7 @@
 }
 
 // ResolveMetaField returns the value of __typename, __schema or __type on the root type of an operation. selections are
-// all selections of the field with one response key, and vars are the coerced variables.
+// all selections of the field that have the same response key. vars are the coerced variables.
 func ResolveMetaField(
 	schema *ast.Schema,
 	query *ast.QueryDocument,
--- a/internal/graphql/exec/introspection.go
+++ b/internal/graphql/exec/introspection.go
@@ -9,7 +9,7 @@
 )
 
 // This file implements introspection (section 4.2 of the GraphQL specification) for a parsed schema. Each object of the
-// introspection schema is a function that returns the value of a field.
+// introspection schema resolves its fields with a resolver.
 
 const (
 	schemaField           = "__schema"
--- a/internal/graphql/plan/errors.go
+++ b/internal/graphql/plan/errors.go
@@ -32,8 +32,8 @@
 	CodeDuplicateKey          = "KEY_TWICE"
 )
 
-// maxQuotedText is the maximum length, in bytes, of a text that an error message takes from a client's request: a name,
-// or a message of the parser, the validator or the JSON package, which may quote the request.
+// maxQuotedText is the maximum length, in bytes, of a text in an error message that may contain parts of a client's
+// request. Such a text is a name, or a message of the parser, the validator or encoding/json.
 const maxQuotedText = 500
 
 // Error is an entry of a response's errors (section 7.1.2 of the GraphQL specification).
--- a/internal/graphql/plan/limits.go
+++ b/internal/graphql/plan/limits.go
@@ -29,8 +29,8 @@
 	MaxCost:       100,
 }
 
-// maxSum is the value at which sums saturate. It prevents overflow, because a chain of fragments that each spread the
-// next one twice has an exponential size.
+// maxSum is the value at which sums saturate. Without it, sums could overflow, because a chain of fragments that each
+// spread the next one twice has an exponential size.
 const maxSum = 1 << 30
 
 func saturatingAdd(a, b int) int { return min(a+b, maxSum) }
--- a/internal/graphql/plan/mapping.go
+++ b/internal/graphql/plan/mapping.go
@@ -14,12 +14,13 @@
 // FieldMapping configures how a root field is sent to endpoints.
 type FieldMapping struct {
 	Class string
-	// KeyArgument names the argument that holds the field's key, or a field of an input object: "input.idempotencyKey".
-	// The key is the idempotency key of a mutation and the affinity key of a query. Empty if there is none.
+	// KeyArgument is the name of the argument that holds the key of the root field, or a path to a field of an input
+	// object, such as "input.idempotencyKey"; empty if no argument holds a key. The key is the idempotency key of a
+	// mutation and the affinity key of a query.
 	KeyArgument  string
 	Cost         int           // counted against Limits.MaxCost; 0 counts as 1
 	ExpectedWork time.Duration // expected work of the field at an endpoint; 0 if unknown
-	Deadline     time.Duration // time limit of the part, if shorter than the class's deadline; 0: only the class's
+	Deadline     time.Duration // time limit of the part if shorter than the class's deadline; 0: no such limit
 	Coalesce     bool          // whether identical parts in flight may share one execution; for queries only
 }
 
@@ -53,7 +54,8 @@
 	case mapping.Coalesce && !isQuery:
 		return errors.New("share is true, but only fields of Query may be shared")
 	case known && isQuery && class.Effect != balancer.Idempotent:
-		return fmt.Errorf("class %q is not safe to repeat, but a field of Query needs a class that is", mapping.Class)
+		const format = "class %q is not safe to repeat, but a field of Query needs a class that is safe to repeat"
+		return fmt.Errorf(format, mapping.Class)
 	}
 	if mapping.KeyArgument == "" {
 		return nil
--- a/internal/graphql/plan/merge.go
+++ b/internal/graphql/plan/merge.go
@@ -40,7 +40,7 @@
 	case OutcomeRejected:
 		r.RetryAfter = max(r.RetryAfter, outcome.RetryAfter)
 	case OutcomeNotStarted:
-		// The part did not run, so that the operation may still be rejected as a whole.
+		// The part did not run, so the operation may still count as rejected.
 	case OutcomeExecuted, OutcomeEndpointRejected, OutcomeUnknown:
 		r.Rejected = false
 	}
--- a/internal/graphql/plan/outcome.go
+++ b/internal/graphql/plan/outcome.go
@@ -29,7 +29,7 @@
 
 // MayContinueAfter reports whether the next part may be sent after a part with the given outcome. The next part may be
 // sent only if the outcome has a response whose data is not null. Such a response shows that the part was executed and
-// did not make the merged data null.
+// that no null propagated to the root of its data.
 func (p *Plan) MayContinueAfter(outcome Outcome) bool {
 	return outcome.Kind == OutcomeExecuted && outcome.Response.values != nil
 }
--- a/internal/graphql/plan/part.go
+++ b/internal/graphql/plan/part.go
@@ -92,12 +92,12 @@
 	return key
 }
 
-// setIdempotencyKey sets the idempotency key of a mutation: argument, which is the value of the mutation's key
-// argument, or else a key derived from the request's key. It returns an error if the class is keyed and both keys are
-// empty.
-func (b *partBuilder) setIdempotencyKey(part *Part, argument, coordinate string) *Error {
+// setIdempotencyKey sets the idempotency key of a mutation to argumentValue, the value of the mutation's key argument.
+// If argumentValue is empty, the idempotency key is derived from the request's key. setIdempotencyKey returns an error
+// if both keys are empty and the class needs a key.
+func (b *partBuilder) setIdempotencyKey(part *Part, argumentValue, coordinate string) *Error {
 	responseKey := part.ResponseKeys[0]
-	part.IdempotencyKey = argument
+	part.IdempotencyKey = argumentValue
 	if part.IdempotencyKey == "" && b.requestKey != "" {
 		part.IdempotencyKey = headerSafeKey(b.requestKey + ":" + responseKey)
 	}
--- a/internal/graphql/plan/plan.go
+++ b/internal/graphql/plan/plan.go
@@ -25,9 +25,9 @@
 }
 
 // Plan plans an operation of the document. The operation's name may be empty if there is only one. requestKey is the
-// client's idempotency key for the whole request, or empty if there is none. The key of a mutation without a key
-// argument is derived from requestKey and the mutation's response key. An error applies to the whole request, and no
-// part of the operation may be sent.
+// client's idempotency key for the whole request, or empty if there is none. If a mutation has no key argument or the
+// argument is empty, its idempotency key is derived from requestKey and its response key. An error applies to the whole
+// request, and no part of the operation may be sent.
 func (d *Document) Plan(
 	operationName string, variables map[string]json.RawMessage, requestKey string,
 ) (*Plan, *Error) {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// addParts builds the parts from their templates. Two parts of one class that is not idempotent must not have the same
-// idempotency key: the second part would be treated as a retry of the first.
+// addParts builds the parts from their templates. It returns an error if two parts of a class that is not idempotent
+// have the same idempotency key: the second part would be treated as a retry of the first.
 func (p *Plan) addParts(templates []*partTemplate, builder *partBuilder) *Error {
 	seen := map[string]bool{}
 	for i, template := range templates {
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -313,7 +313,7 @@
 			config := testConfig()
 			test.modify(&config)
 			if _, err := New(config); err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("error %v, want %s", err, test.want)
+				t.Errorf("New returned the error %v; want one that contains %q", err, test.want)
 			}
 		})
 	}
@@ -326,9 +326,10 @@
 		seats(train: $t) { id }
 		coach(id: "1") @include(if: $b) { id }
 	}`
-	document, errs := newTestSchema(t, nil).ParseDocument(text)
+	s := newTestSchema(t, nil)
+	document, errs := s.ParseDocument(text)
 	if len(errs) > 0 {
-		t.Fatal(errs)
+		t.Fatalf("ParseDocument returned the errors %v; want none", errs)
 	}
 	for i, want := range []int{2, 1, 2} {
 		train := fmt.Sprintf("%q", fmt.Sprint("T", i))
@@ -337,9 +338,12 @@
 			"t": json.RawMessage(train),
 		}
 		p, err := document.Plan("", variables, "")
-		if err != nil || len(p.Parts) != want || !strings.Contains(string(p.Parts[0].Body), `"variables":{"t":`+train) {
-			t.Errorf("request %d: error %v, got %d parts, want %d parts that have the train %s",
-				i, err, len(p.Parts), want, train)
+		if err != nil {
+			t.Fatalf("request %d: Plan returned the error %v; want none", i, err)
+		}
+		if len(p.Parts) != want || !strings.Contains(string(p.Parts[0].Body), `"variables":{"t":`+train) {
+			t.Errorf("request %d: parts are\n%s\nwant %d parts, the first with the train %s as variable t",
+				i, describeParts(t, s, p), want, train)
 		}
 	}
 }
@@ -370,7 +374,7 @@
 	}
 	const minBody = 20
 	if response := p.Merge(outcomes); len(response.Body) < minBody {
-		b.Fatal(string(response.Body))
+		b.Fatalf("merged response is %s; want at least %d bytes", response.Body, minBody)
 	}
 }
 
--- a/internal/graphql/plan/property_test.go
+++ b/internal/graphql/plan/property_test.go
@@ -38,7 +38,7 @@
 			},
 		})
 		if err != nil {
-			t.Fatal(err, generated.sdl)
+			t.Fatalf("New rejected the generated schema: %v\nschema %s", err, generated.sdl)
 		}
 		text, variables := generated.drawOperation(t)
 		document, errs := s.ParseDocument(text)
@@ -47,7 +47,7 @@
 		}
 		p, e := document.Plan("", variables, "k")
 		if e != nil {
-			t.Fatal(e, text)
+			t.Fatalf("Plan rejected the generated operation: %v\noperation %s", e, text)
 		}
 		node := &testNode{schema: s.ast, generated: generated}
 		var got mergedResponse
@@ -63,7 +63,8 @@
 		mayHaveMore := !p.Serial && string(want.Data) == "null"
 		for e, n := range errorDifference(got, want) {
 			if n < 0 || n > 0 && !mayHaveMore {
-				t.Fatalf("the number of errors %q differs by %+d from direct execution\noperation %s", e, n, text)
+				t.Fatalf("merged response has %+d errors %q compared with direct execution; want the same number"+
+					"\noperation %s", n, e, text)
 			}
 		}
 	})
@@ -143,7 +144,7 @@
 	op := query.Operations[0]
 	vars, err := validator.VariableValues(n.schema, op, decoded)
 	if err != nil {
-		t.Fatal(err, text)
+		t.Fatalf("VariableValues rejected the generated variables: %v\noperation %s", err, text)
 	}
 	root := "Query"
 	if op.Operation == ast.Mutation {
@@ -165,7 +166,7 @@
 	name        string
 	hasArgument bool
 	objectType  string // empty if the field's type is Int
-	typeFormat  string // format of the type with a verb for its name, such as "[%s!]"
+	typeFormat  string // fmt format of the type, with %s for the type's name, such as "[%s!]"
 }
 
 func newGeneratedSchema(t *rapid.T) *generatedSchema {
@@ -275,8 +276,8 @@
 	return b.String()
 }
 
-// generatedObject derives the values of its fields from their paths, their arguments and the schema's seed: whether a
-// field is null or fails, and how long a list is.
+// generatedObject derives the values of its fields from their paths, their arguments and the schema's seed. These also
+// determine whether a field is null or fails, and how long a list is.
 type generatedObject struct {
 	schema   *generatedSchema
 	typeName string
--- a/internal/graphql/plan/response.go
+++ b/internal/graphql/plan/response.go
@@ -37,8 +37,8 @@
 	errTrailingData     = errors.New("unexpected text after the JSON object")
 )
 
-// RejectedResponse returns a response with one error that has the given message. It stands for the response of an
-// endpoint that rejected the part otherwise than by a GraphQL error, such as by its HTTP status.
+// RejectedResponse returns a response with one error that has the given message. It represents the response of an
+// endpoint that rejected the part without a GraphQL error, for example with an HTTP status.
 func (p *Part) RejectedResponse(message string) *EndpointResponse {
 	return &EndpointResponse{errors: []nodeError{{Message: message}}}
 }
--- a/internal/graphql/plan/variables.go
+++ b/internal/graphql/plan/variables.go
@@ -13,8 +13,8 @@
 	"github.com/vektah/gqlparser/v2/validator"
 )
 
-// coerceVariables checks the variables of a request and converts them to the types of the operation (section 6.1.2 of
-// the GraphQL specification). Variables that the operation does not define are ignored.
+// coerceVariables checks the variables of a request and converts them to the types that the operation declares (section
+// 6.1.2 of the GraphQL specification). Variables that the operation does not declare are ignored.
 func (s *Schema) coerceVariables(
 	op *ast.OperationDefinition, encoded map[string]json.RawMessage,
 ) (map[string]any, *Error) {
@@ -51,7 +51,7 @@
 func (s *Schema) intsInRange(t *ast.Type, value any) bool {
 	switch value := value.(type) {
 	case json.Number:
-		return t.Name() != "Int" || isInt32(value) // t may be a list type, since a single value may stand for a list
+		return t.Name() != "Int" || isInt32(value) // t may be a list type: a single value may stand for a list
 	case []any:
 		element := cmp.Or(t.Elem, t) // t.Elem is nil if the list is the value of a custom scalar
 		return !slices.ContainsFunc(value, func(item any) bool { return !s.intsInRange(element, item) })
--- a/internal/load/grpcload/grpcload.go
+++ b/internal/load/grpcload/grpcload.go
@@ -134,7 +134,7 @@
 }
 
 // outcomeOf returns the outcome of a call. A call with status UNAVAILABLE was rejected if the trailer marks it as not
-// executed, or if the status has details (when to retry); otherwise the connection broke.
+// executed, or if the status has details, which state when to retry. Otherwise the connection broke.
 func outcomeOf(ctx context.Context, err error, trailer metadata.MD) load.Outcome {
 	st := status.Convert(err)
 	rejected := len(trailer.Get(notExecutedKey)) > 0 || len(st.Details()) > 0
--- a/internal/load/grpcload/grpcload_test.go
+++ b/internal/load/grpcload/grpcload_test.go
@@ -16,8 +16,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// Send maps each result of a call to its outcome, and the metadata and the body reach the server. In the case of a
-// time-out, the server responds only after the client has an outcome; otherwise its response could arrive before the
+// Send maps each result of a call to its outcome, and the metadata and the body reach the server. To cause a time-out,
+// the server waits until the client has an outcome before it responds. Otherwise the response could arrive before the
 // client's deadline.
 func TestOutcomes(t *testing.T) {
 	type seen struct {
@@ -83,7 +83,7 @@
 		cancel()
 		call := testutil.Receive(t, calls, "the call")
 		if got != test.want || call.body != "r1" {
-			t.Errorf("server status %v: outcome %v, body %q; want %v and r1", test.err, got, call.body, test.want)
+			t.Errorf("server status %v: outcome %v, body %q; want %v, body r1", test.err, got, call.body, test.want)
 		}
 		for key, want := range map[string]string{
 			IdempotencyKey: "kr1",
--- a/internal/load/histogram.go
+++ b/internal/load/histogram.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxMicroseconds is the longest duration that a histogram records. Longer ones are counted as this duration.
+	// maxMicroseconds is the longest duration that a histogram records. Longer durations are counted as this one.
 	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 	percent           = 100
--- a/internal/load/http.go
+++ b/internal/load/http.go
@@ -48,7 +48,7 @@
 	return strconv.FormatFloat(float64(d)/float64(time.Microsecond), 'f', -1, 64)
 }
 
-// HTTP is a target that is called by the platform's HTTP protocol, as applications call the daemon.
+// HTTP is a target that receives requests over the platform's HTTP protocol, as the daemon does from applications.
 type HTTP struct {
 	url    string
 	client *http.Client
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,8 +27,7 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Target receives the requests of a plan. Send is called from many goroutines. It returns at the latest soon after ctx
-// is done.
+// Target receives the requests of a plan. Send is called from many goroutines, and must return soon after ctx is done.
 type Target interface {
 	Name() string
 	Send(ctx context.Context, id string, r ScheduledRequest) Outcome
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -57,11 +57,13 @@
 	plan := newPlan(60, time.Millisecond, testutil.WaitTimeout)
 	r := Run(t.Context(), plan, []Target{target}, ignoreOutcome)[0]
 	if seen["GET key false"] != 20 || seen["POST key true"] != 20 || seen["POST key false"] != 20 {
-		t.Errorf("requests by method and key are %v; want 20 each", seen)
+		t.Errorf("requests by method and key are %v; want 20 GET without key, 20 POST with key, 20 POST without key",
+			seen)
 	}
 	served, rejected, failed := r.Outcomes["served"], r.Outcomes["refused"], r.Outcomes["failed"]
 	if served < 30 || rejected < 5 || failed < 5 || served+rejected+failed != 60 || r.P50 <= 0 || r.Max < r.P99 {
-		t.Errorf("report is %+v; want 60 outcomes, at least 30 served, 5 refused and 5 failed", r)
+		t.Errorf("report is %+v; want 60 outcomes, at least 30 served, 5 refused and 5 failed, P50 above 0 and "+
+			"Max at least P99", r)
 	}
 }
 
@@ -139,7 +141,7 @@
 			select {
 			case <-target.release:
 			default:
-				close(target.release) // at the first unsent request, which there is only if the schedule does not wait
+				close(target.release) // the first unsent request shows that the schedule did not wait
 			}
 		}
 	})[0]
--- a/internal/load/pace.go
+++ b/internal/load/pace.go
@@ -1,11 +1,11 @@
 // Package load generates load on real sockets. It is an open-loop generator: each request has an intended send time,
 // and its latency counts from that time, regardless of earlier requests. The latencies therefore include the waits of
-// all requests during a stall of the server, which a closed loop would omit (coordinated omission: Tene, "How NOT to
-// Measure Latency", 2015).
+// all requests during a stall of the server. A closed-loop generator would omit these waits (coordinated omission:
+// Tene, "How NOT to Measure Latency", 2015).
 //
-// The pacer keeps its schedule against targets that stop reading, never answer or reset every connection: requests
-// beyond the limit of open ones are counted and omitted. It also measures its own send delay: if that was too long, the
-// machine was too slow for the figures to be meaningful, and the report states so.
+// The pacer keeps its schedule against targets that stop reading, never answer or reset every connection. If too many
+// requests are open, it does not send further requests but counts them as unsent. It also measures its own send delay.
+// If the send delay was too long, the machine was too slow for the figures to be meaningful, and the report states so.
 package load
 
 import (
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -22,7 +22,8 @@
 			t.Fatalf("request %d of the second plan is %v; want %v as in the first", i, again[i], request)
 		}
 		if i > 0 && request.At < plan[i-1].At {
-			t.Fatalf("request %d is at %v; want at least %v, as the one before", i, request.At, plan[i-1].At)
+			t.Fatalf("request %d is at %v; want at least %v, the time of the previous request",
+				i, request.At, plan[i-1].At)
 		}
 		if request.At < 10*time.Second {
 			first++
@@ -32,7 +33,7 @@
 	}
 	// The means are 2,000 and 3,000; the limits are a little more than three standard deviations away.
 	if first < 1850 || first > 2150 || second < 2800 || second > 3200 {
-		t.Errorf("halves have %d and %d requests; want about 2,000 and 3,000", first, second)
+		t.Errorf("halves have %d and %d requests; want 1,850 to 2,150 and 2,800 to 3,200", first, second)
 	}
 	for _, curve := range [][]Point{nil, {{0, 0}}, {{0, -1}}, {{time.Second, 1}, {0, 1}}} {
 		if _, err := Poisson(1, curve, time.Second, ScheduledRequest{}); err == nil {
