--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -25,7 +25,7 @@
 	Traffic *emulator.Traffic // recorded traffic; nil: traffic is generated
 	Script  []emulator.Fault  // faults to inject; nil: the faults of DefaultScript
 	Live    bool              // whether the view is redrawn in place; otherwise a line is printed every second
-	// Grace is how long after its client's deadline a response still counts; 0: 250 ms.
+	// Grace is how long after the client's deadline a response still counts; 0: 250 ms.
 	Grace time.Duration
 	// DrainSlack is added to the nodes' drain grace; 0: 50 ms.
 	DrainSlack time.Duration
--- a/internal/demo/gqldemo/client.go
+++ b/internal/demo/gqldemo/client.go
@@ -40,7 +40,7 @@
 		}
 	}
 	unsent := func(number int, _ time.Time) {
-		c.results.addViolation("request %d was not sent: too many were open", number)
+		c.results.addViolation("request %d was not sent: the limit of %d open requests was reached", number, maxOpen)
 	}
 	load.Pace(ctx, next, maxOpen, send, unsent)
 }
--- a/internal/demo/gqldemo/gqldemo.go
+++ b/internal/demo/gqldemo/gqldemo.go
@@ -28,7 +28,7 @@
 	Seed   uint64
 	Rate   float64 // requests per second
 	Length time.Duration
-	// Grace is how long after its client's deadline a response still counts as in time; 0: 500 ms.
+	// Grace is how long after the client's deadline a response still counts as in time; 0: 500 ms.
 	Grace time.Duration
 }
 
--- a/internal/demo/gqldemo/gqldemo_test.go
+++ b/internal/demo/gqldemo/gqldemo_test.go
@@ -16,6 +16,6 @@
 	options := Options{Seed: 1, Rate: 60, Length: 2500 * time.Millisecond, Grace: testutil.WaitTimeout}
 	err := Run(t.Context(), options, &out)
 	if err != nil || !strings.Contains(out.String(), "all rules kept") {
-		t.Errorf("error %v; want none and \"all rules kept\" in the output:\n%s", err, out.String())
+		t.Errorf("Run returned the error %v; want none and \"all rules kept\" in the output:\n%s", err, out.String())
 	}
 }
--- a/internal/demo/gqldemo/tally.go
+++ b/internal/demo/gqldemo/tally.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// addOperation counts an operation of a request. claims are the response's claims about its mutations.
+// addOperation counts an operation of a request. claims has the response's claims about the operation's mutations.
 func (t *tally) addOperation(isQuery bool, claims []gqlnode.Claim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +81,7 @@
 	printLine(out, t)
 	violations := slices.Concat(t.violations, rules.Violations())
 	if t.late > 0 {
-		const format = "%d responses arrived later than the grace after their client's deadline"
+		const format = "%d responses arrived after their client's deadline plus the grace"
 		violations = append(violations, fmt.Sprintf(format, t.late))
 	}
 	for _, claim := range t.claims {
--- a/internal/demo/view.go
+++ b/internal/demo/view.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	redrawInterval = 250 * time.Millisecond // interval of a live view
-	lineInterval   = time.Second            // interval of a view that is not live
+	redrawInterval = 250 * time.Millisecond // time between two drawings of a live view
+	lineInterval   = time.Second            // time between two lines of a view that is not live
 	// displayedResolution is the resolution to which the view rounds latencies.
 	displayedResolution = 100 * time.Microsecond
 	maxLogLines         = 6  // the view shows this many of the latest lines of the daemon's log
--- a/internal/demo/window.go
+++ b/internal/demo/window.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// summary drops the requests that have left the window and returns the figures of the others.
+// summary removes the requests that have left the window and returns the figures of the remaining requests.
 func (w *window) summary() windowSummary {
 	start := time.Now().Add(-windowLength)
 	*w = slices.DeleteFunc(*w, func(r endedRequest) bool { return !r.endedAt.After(start) })
--- a/internal/emulator/dnsserver/dnsserver.go
+++ b/internal/emulator/dnsserver/dnsserver.go
@@ -73,7 +73,7 @@
 	s.tasks.Wait()
 }
 
-// respond returns the responses to a packed query; a query that is not valid gets none.
+// respond returns the responses to a packed query. It returns none if the query is invalid.
 func (s *Server) respond(packed []byte, tcp bool) [][]byte {
 	var query dnsmessage.Message
 	if query.Unpack(packed) != nil || len(query.Questions) != 1 {
--- a/internal/emulator/faultscript.go
+++ b/internal/emulator/faultscript.go
@@ -100,7 +100,7 @@
 		return fault, fmt.Errorf("length %q is not a duration such as 2s or 400ms", last)
 	}
 	if fault.Duration <= 0 {
-		return fault, fmt.Errorf("length %q is not above 0", last)
+		return fault, fmt.Errorf("length %q is out of range; want above 0", last)
 	}
 	return fault, nil
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -51,7 +51,7 @@
 	server Server
 }
 
-// machineKinds are the kinds and speeds of the machines of the nodes that MixedNodes returns.
+// machineKinds are the kinds and speeds of the machines on which the nodes of MixedNodes run.
 var machineKinds = []struct {
 	kind  string
 	speed float64
--- a/internal/emulator/gqlnode/claims.go
+++ b/internal/emulator/gqlnode/claims.go
@@ -15,7 +15,7 @@
 	Unknown     Execution = "open" // the mutation may have been executed
 )
 
-// executionByCode maps the error codes in responses of the daemon to the statements that they make.
+// executionByCode maps each error code in the daemon's responses to the Execution that the code states.
 var executionByCode = map[string]Execution{
 	"REFUSED":      NotExecuted,
 	"NOT_STARTED":  NotExecuted,
@@ -54,7 +54,7 @@
 
 // ReadClaims returns the claims of a response to one operation, one for each mutation. tokens has the tokens of the
 // mutations, whose aliases are m0, m1 and so on. ReadClaims returns an error if the response is not valid, or if it
-// states no result or several results of a mutation.
+// states no Execution or several of a mutation.
 func ReadClaims(body json.RawMessage, tokens []string) (claims []Claim, err error) {
 	var r response
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -80,7 +80,8 @@
 	return claims, nil
 }
 
-// executionOf returns the result that the response states for the root field with an alias, or "" if it states none.
+// executionOf returns the Execution that the response states for the root field with the given alias, or "" if the
+// response states none.
 func (r response) executionOf(alias string) (execution Execution, err error) {
 	if value, ok := r.Data[alias]; ok && string(value) != "null" {
 		execution = Executed
--- a/internal/emulator/gqlnode/gqlnode.go
+++ b/internal/emulator/gqlnode/gqlnode.go
@@ -1,4 +1,4 @@
-// Package gqlnode serves emulated nodes by GraphQL over HTTP. The nodes validate and execute documents on a schema of
+// Package gqlnode serves emulated nodes with GraphQL over HTTP. The nodes validate and execute documents on a schema of
 // seats, coaches, bookings and payments, count each mutation that they execute, and inject faults into their responses.
 package gqlnode
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// server serves a node by GraphQL.
+// server serves a node with GraphQL over HTTP.
 type server struct {
 	*emulator.ResettingServer
 	node    *emulator.Node
@@ -182,8 +182,8 @@
 	return parsedRequest{document, op, variables}, nil
 }
 
-// jobOf returns the job of a request. Its work is the sum of the work in the extras header and in the arguments of the
-// root fields.
+// jobOf returns the job of a request. The job's work is the sum of the work in the extras header and in the arguments
+// of the root fields.
 func (s *server) jobOf(r *http.Request, parsed parsedRequest) emulator.Job {
 	class := r.Header.Get(emulator.ClassHeader)
 	effect := s.effects[class]
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -35,7 +35,8 @@
 const (
 	// jobsAtFullUtilization is the number of jobs in flight that counts as full utilization.
 	jobsAtFullUtilization = 4
-	// minUtilization and minQPS keep the weight that clients compute from both finite and positive.
+	// minUtilization and minQPS are the lowest values that a node reports. Clients divide its queries per second by its
+	// utilization to get its weight, which must be finite and positive.
 	minUtilization = 0.01
 	minQPS         = 1
 )
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -195,7 +195,8 @@
 	return min(speedCheckInterval, max(untilDone, minSpeedCheckInterval))
 }
 
-// finish returns the reply to a job that was executed.
+// finish ends a job that was executed. It returns ConnectionBroken for a random share of the jobs, which
+// BreakConnections sets. Otherwise it counts the job as served and returns Done.
 func (n *Node) finish() Reply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -269,7 +270,7 @@
 	n.mu.Unlock()
 }
 
-// BreakConnections makes the connections of a share of the jobs break after their execution.
+// BreakConnections makes a random share of the jobs end with ConnectionBroken after their execution.
 func (n *Node) BreakConnections(share float64) {
 	n.mu.Lock()
 	n.resetShare = share
--- a/internal/emulator/rawh2/rawh2.go
+++ b/internal/emulator/rawh2/rawh2.go
@@ -158,8 +158,8 @@
 	return &conn{netConn: netConn, framer: framer}
 }
 
-// write calls do to write a frame. The error is ignored: a write fails only after the connection has ended, and then
-// reads fail too.
+// write writes a frame with the function do. The error is ignored: a write fails only after the connection has ended,
+// and then reads fail too.
 func (c *conn) write(do func(f *http2.Framer) error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/internal/emulator/readtraffic.go
+++ b/internal/emulator/readtraffic.go
@@ -48,7 +48,7 @@
 	return fmt.Errorf("traffic file, line %d: %w", number, err)
 }
 
-// trafficReader is the state of reading a recording.
+// trafficReader holds the parts of a recording that ReadTraffic has read so far.
 type trafficReader struct {
 	traffic *Traffic
 	classes map[string]bool // names of the header's classes
--- a/internal/emulator/replay.go
+++ b/internal/emulator/replay.go
@@ -18,7 +18,7 @@
 	Served Outcome = iota
 	Rejected
 	Failed
-	Unanswered // no final response before the client's deadline
+	Unanswered // no final response by the client's deadline plus the grace of the replay
 )
 
 // ResponseGrace is how long after the client's deadline a final response still counts. It allows for delays of sockets.
--- a/internal/emulator/rulechecker_test.go
+++ b/internal/emulator/rulechecker_test.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -56,8 +57,11 @@
 		c.do(rules)
 		got := strings.Join(rules.Violations(), "; ")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) || strings.Count(got, ";") > 0 {
-			t.Errorf("%s: violations are %q; want exactly one, which contains %q, or none if that is empty",
-				name, got, c.want)
+			want := "none"
+			if c.want != "" {
+				want = fmt.Sprintf("exactly one, which contains %q", c.want)
+			}
+			t.Errorf("%s: violations are %q; want %s", name, got, want)
 		}
 	}
 }
--- a/internal/graphql/exec/exec.go
+++ b/internal/graphql/exec/exec.go
@@ -203,7 +203,8 @@
 }
 
 // definitionOf returns the definition of a field in the object's own type. If the field is selected on an interface,
-// field.Definition is the definition in the interface, which may be nullable where the object type's is non-null.
+// field.Definition is the definition in the interface. The interface may declare the field as nullable although the
+// object's type declares it as non-null.
 func (x *execution) definitionOf(field *ast.Field, object Object) *ast.FieldDefinition {
 	objectType := x.schema.Types[object.Type()]
 	if objectType == nil || strings.HasPrefix(field.Name, "__") {
--- a/internal/graphql/plan/doc.go
+++ b/internal/graphql/plan/doc.go
@@ -8,8 +8,8 @@
 // A part is a separate GraphQL document of the same operation type. It has some of the root fields, and the fragments
 // and variables that these fields use. Fields of a query that map to the same class share a part, and all parts of a
 // query may be sent concurrently. Each root field of a mutation is a part, and these are sent one after the other, as
-// section 6.2.2 of the GraphQL specification requires. After a part, the next part is sent only if the response to the
-// part has data that is not null: it shows that the part was executed.
+// section 6.2.2 of the GraphQL specification requires. A part is sent only if the previous part has a response whose
+// data is not null. Such a response shows that the previous part was executed.
 //
 // # Guarantees of the error codes
 //
--- a/internal/graphql/plan/layout.go
+++ b/internal/graphql/plan/layout.go
@@ -26,8 +26,8 @@
 type partTemplate struct {
 	rootFields []*rootField
 	class      string
-	text       string   // the document
-	variables  []string // the names of the variables that the document uses
+	text       string   // text of the part's document
+	variables  []string // names of the variables that the document uses
 }
 
 // layoutOf returns the layout of an operation, from the cache if it does not depend on variables. vars are the coerced
--- a/internal/graphql/plan/part.go
+++ b/internal/graphql/plan/part.go
@@ -18,7 +18,7 @@
 	IdempotencyKey string        // key of a mutation, the same in all attempts and retries; empty if there is none
 	AffinityKey    string        // key of a query; empty if its fields have no key argument or different keys
 	ExpectedWork   time.Duration // sum of the expected work of the root fields; 0 if unknown
-	Deadline       time.Duration // counted from when the part is sent; 0 if there is none
+	Deadline       time.Duration // time limit, counted from the sending of the part; 0 if there is none
 	Coalesce       bool          // whether identical parts in flight may share one execution
 	ResponseKeys   []string      // response keys of the root fields, in the operation's order
 	Body           []byte        // body of the request, application/json
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// encodeBody encodes a part's request with the variables that it uses, as the client sent them.
+// encodeBody encodes a part's request. The variables that the part uses are encoded as the client sent them.
 func (b *partBuilder) encodeBody(template *partTemplate) ([]byte, *Error) {
 	body := request{
 		Query:         template.text,
--- a/internal/graphql/plan/plan_test.go
+++ b/internal/graphql/plan/plan_test.go
@@ -160,7 +160,7 @@
 			t.Fatal(err)
 		}
 		if _, errs := s.ParseDocument(body.Query); len(errs) > 0 {
-			fmt.Fprintf(&b, "   NOT VALID BY ITSELF: %s\n", errs[0].Message)
+			fmt.Fprintf(&b, "   the part is not a valid document by itself: %s\n", errs[0].Message)
 		}
 	}
 	if len(p.Parts) == 0 {
@@ -194,7 +194,7 @@
 	response := p.Merge(outcomes)
 	text := string(response.Body)
 	if !json.Valid(response.Body) {
-		text += "\nNOT JSON"
+		text += "\nthe response is not valid JSON"
 	}
 	if response.Rejected {
 		text += fmt.Sprintf("\nrejected as a whole, retry after %v", response.RetryAfter)
@@ -357,7 +357,7 @@
 	"m0":    []byte(`{"data":{"m0":{"id":"s"}}}`),
 }
 
-// planAndMerge plans a document, parses the responses to its parts and merges them.
+// planAndMerge plans a document, parses the responses to the parts of the plan and merges them.
 func planAndMerge(b *testing.B, document *Document, variables map[string]json.RawMessage) {
 	b.Helper()
 	p, err := document.Plan("", variables, "")
--- a/internal/graphql/plan/property_test.go
+++ b/internal/graphql/plan/property_test.go
@@ -302,7 +302,7 @@
 			return o.value(f, n, path), nil
 		}
 	}
-	return nil, errors.New("no such field")
+	return nil, fmt.Errorf("type %s has no field %q", o.typeName, name)
 }
 
 // value returns the value of a field that neither is null nor fails.
--- a/internal/graphql/plan/schema.go
+++ b/internal/graphql/plan/schema.go
@@ -18,10 +18,10 @@
 
 // Config is the configuration of a Schema.
 type Config struct {
-	SchemaFile    string // the name of the file that SDL was read from, for error messages
-	SDL           string // the schema in the schema definition language
+	SchemaFile    string // name of the file from which SDL was read, for error messages
+	SDL           string // schema in the schema definition language
 	Fields        map[string]FieldMapping
-	Classes       []balancer.Class // if nil, the classes are not known, and those in Fields are not checked
+	Classes       []balancer.Class // request classes; if nil, the classes in Fields are not checked
 	Limits        Limits
 	Introspection bool // whether __schema and __type are resolved
 }
--- a/internal/graphql/plan/variables.go
+++ b/internal/graphql/plan/variables.go
@@ -51,7 +51,7 @@
 func (s *Schema) intsInRange(t *ast.Type, value any) bool {
 	switch value := value.(type) {
 	case json.Number:
-		return t.Name() != "Int" || isInt32(value) // t may be a list type: a single value may stand for a list
+		return t.Name() != "Int" || isInt32(value) // t may be a list type: a single value is coerced to a list
 	case []any:
 		element := cmp.Or(t.Elem, t) // t.Elem is nil if the list is the value of a custom scalar
 		return !slices.ContainsFunc(value, func(item any) bool { return !s.intsInRange(element, item) })
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,7 +15,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// newPlan returns a plan of n requests at a constant interval, whose effects alternate.
+// newPlan returns a plan of n requests at a constant interval. Their effects are safe, keyed and unsafe in turn.
 func newPlan(n int, interval, deadline time.Duration) Plan {
 	effects := []string{"safe", "keyed", "unsafe"}
 	var plan Plan
--- a/internal/load/pace.go
+++ b/internal/load/pace.go
@@ -45,8 +45,8 @@
 
 // Pace calls send for each time of a schedule, each in a goroutine of its own, and returns once all calls have
 // returned. It stops early when ctx is done. next returns the n-th time relative to the start, in ascending order, or
-// false at the end of the schedule. At most limit calls are open at a time. For each time beyond the limit, Pace calls
-// unsent from its own goroutine.
+// false at the end of the schedule. At most limit calls are open at a time. If limit calls are open at a time of the
+// schedule, Pace calls unsent instead of send, from its own goroutine.
 func Pace(
 	ctx context.Context,
 	next func(n int) (at time.Duration, ok bool),
