--- a/internal/demo/gqldemo/client.go
+++ b/internal/demo/gqldemo/client.go
@@ -22,7 +22,7 @@
 	url     string
 	http    *http.Client
 	seed    uint64
-	grace   time.Duration // time by which a response may exceed requestTimeout before it counts as late
+	grace   time.Duration // how long after requestTimeout a response still counts as in time
 	results *tally
 }
 
@@ -40,7 +40,7 @@
 		}
 	}
 	unsent := func(number int, _ time.Time) {
-		c.results.addViolation("request %d was not sent: too many were open", number)
+		c.results.addViolation("request %d was not sent: the limit of %d open requests was reached", number, maxOpen)
 	}
 	load.Pace(ctx, next, maxOpen, send, unsent)
 }
@@ -61,7 +61,7 @@
 			return fmt.Errorf("response to batch %d is not a JSON array: %w", number, err)
 		}
 		if len(responses) != len(tokens) {
-			return fmt.Errorf("response to batch %d has %d parts; want %d", number, len(responses), len(tokens))
+			return fmt.Errorf("response to batch %d has %d entries; want %d", number, len(responses), len(tokens))
 		}
 	}
 	isLate := time.Since(start) > requestTimeout+c.grace
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -1,6 +1,6 @@
-// Package grpcnode serves emulated nodes over gRPC. The service uses well-known messages only
-// (google.protobuf.StringValue), so that it needs no generated code: /booking.v1.Booking/Do is unary, and
-// /booking.v1.Booking/Follow streams one message for each character of its request.
+// Package grpcnode serves emulated nodes over gRPC. The method /booking.v1.Booking/Do is unary, and
+// /booking.v1.Booking/Follow streams one message for each character of its request. All messages are of the well-known
+// type google.protobuf.StringValue, so that the service needs no generated code.
 package grpcnode
 
 import (
@@ -35,7 +35,8 @@
 const (
 	// jobsAtFullUtilization is the number of jobs in flight that counts as full utilization.
 	jobsAtFullUtilization = 4
-	// minUtilization and minQPS keep the weight that clients compute from both finite and positive.
+	// minUtilization and minQPS are the lowest values that a node reports. Clients divide its queries per second by its
+	// utilization to get its weight, which must be finite and positive.
 	minUtilization = 0.01
 	minQPS         = 1
 )
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -49,8 +49,8 @@
 	Queue            int           // maximum number of jobs that wait or run; 0: 64
 	InitialCapacity  float64       // share of Speed right after the start, if WarmUp is set
 	WarmUp           time.Duration // time from the start until the node has its full speed
-	// OverloadMultiple limits the work that arrives at a warming node within OverloadWindow, as a multiple of the work
-	// that the node can do in that time. A node that gets more dies. 0: no limit.
+	// OverloadMultiple limits the work that arrives within OverloadWindow during warm-up, as a multiple of the work
+	// that the node can do in that time. A node that gets more work dies. 0: no limit.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 	// DrainGrace is how long jobs may arrive after the start of a drain. A later job violates a rule. 0: no limit.
@@ -159,8 +159,8 @@
 	return Done, true
 }
 
-// work occupies the core for an amount of time, given at speed 1. It returns early if the client disconnects or the
-// node dies.
+// work occupies the core until a job is done that takes the time amount at speed 1. It returns early if the client
+// disconnects or the node dies.
 func (n *Node) work(ctx context.Context, amount time.Duration) Reply {
 	timer := time.NewTimer(speedCheckInterval)
 	defer timer.Stop()
@@ -195,7 +195,8 @@
 	return min(speedCheckInterval, max(untilDone, minSpeedCheckInterval))
 }
 
-// finish returns the reply to a job that was executed.
+// finish ends a job that was executed. It returns ConnectionBroken for a random share of the jobs, which
+// BreakConnections sets. Otherwise it counts the job as served and returns Done.
 func (n *Node) finish() Reply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -269,7 +270,7 @@
 	n.mu.Unlock()
 }
 
-// BreakConnections makes the connections of a share of the jobs break after their execution.
+// BreakConnections makes a random share of the jobs end with ConnectionBroken after their execution.
 func (n *Node) BreakConnections(share float64) {
 	n.mu.Lock()
 	n.resetShare = share
--- a/internal/emulator/rawh2/rawh2.go
+++ b/internal/emulator/rawh2/rawh2.go
@@ -1,4 +1,4 @@
-// Package rawh2 is a gRPC server that tests control at the level of HTTP/2 frames, for faults at an exact moment. It
+// Package rawh2 is a gRPC server that tests control at the level of HTTP/2 frames to cause faults at exact moments. It
 // can refuse streams, send GOAWAY with a last stream ID below an open stream's ID, stop reading, or close the
 // connection after it has read a complete request (RFC 9113; gRPC over HTTP/2).
 package rawh2
@@ -158,8 +158,8 @@
 	return &conn{netConn: netConn, framer: framer}
 }
 
-// write calls do to write a frame. The error is ignored: a write fails only after the connection has ended, and then
-// reads fail too.
+// write writes a frame with the function do. The error is ignored: a write fails only after the connection has ended,
+// and then reads fail too.
 func (c *conn) write(do func(f *http2.Framer) error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/internal/emulator/readtraffic.go
+++ b/internal/emulator/readtraffic.go
@@ -48,7 +48,7 @@
 	return fmt.Errorf("traffic file, line %d: %w", number, err)
 }
 
-// trafficReader is the state of reading a recording.
+// trafficReader holds the parts of a recording that ReadTraffic has read so far.
 type trafficReader struct {
 	traffic *Traffic
 	classes map[string]bool // names of the header's classes
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// checkRequest checks a request that follows those read so far.
+// checkRequest checks a request against the header and the requests read before it.
 func (r *trafficReader) checkRequest(request Request) error {
 	requests := r.traffic.Requests
 	switch last := len(requests) - 1; {
--- a/internal/emulator/rulechecker_test.go
+++ b/internal/emulator/rulechecker_test.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -50,13 +51,17 @@
 			}
 			time.Sleep(defaultDrainSlack + 5*time.Millisecond)
 			a.Do(ctx, testJob("2", Idempotent))
-		}, "after its drain was told"},
+		}, "after the start of its drain"},
 	} {
 		rules := NewRuleChecker()
 		c.do(rules)
 		got := strings.Join(rules.Violations(), "; ")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) || strings.Count(got, ";") > 0 {
-			t.Errorf("%s: violations are %q; want one that contains %q (empty: none)", name, got, c.want)
+			want := "none"
+			if c.want != "" {
+				want = fmt.Sprintf("exactly one, which contains %q", c.want)
+			}
+			t.Errorf("%s: violations are %q; want %s", name, got, want)
 		}
 	}
 }
--- a/internal/graphql/exec/exec.go
+++ b/internal/graphql/exec/exec.go
@@ -31,7 +31,7 @@
 	Path    []any  `json:"path"`
 }
 
-// Result is the result of an operation. Data is null if a non-null field has no value and the null propagates to the
+// Result is the result of an operation. Data is null if a non-null field has no value and its null propagates to the
 // root.
 type Result struct {
 	Data   json.RawMessage `json:"data"`
@@ -60,7 +60,7 @@
 }
 
 // ResolveMetaField returns the value of __typename, __schema or __type on the root type of an operation. selections are
-// all selections of the field with one response key, and vars are the coerced variables.
+// all selections of the field that have the same response key. vars are the coerced variables.
 func ResolveMetaField(
 	schema *ast.Schema,
 	query *ast.QueryDocument,
@@ -203,7 +203,8 @@
 }
 
 // definitionOf returns the definition of a field in the object's own type. If the field is selected on an interface,
-// field.Definition is the definition in the interface, which may be nullable where the object type's is non-null.
+// field.Definition is the definition in the interface. The interface may declare the field as nullable although the
+// object's type declares it as non-null.
 func (x *execution) definitionOf(field *ast.Field, object Object) *ast.FieldDefinition {
 	objectType := x.schema.Types[object.Type()]
 	if objectType == nil || strings.HasPrefix(field.Name, "__") {
