--- a/internal/controlplane/origin/bench_test.go
+++ b/internal/controlplane/origin/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Measures one second of five idle origins together.
+// BenchmarkIdleSecond measures one simulated second of five idle origins.
 func BenchmarkIdleSecond(b *testing.B) {
 	w := newRunningSimulation(b, 5, 1)
 	b.ReportAllocs()
@@ -15,7 +15,7 @@
 	}
 }
 
-// Measures a push of 8 KiB through five origins, without disks.
+// BenchmarkPush measures a push of 8 KiB to five origins whose stores are in memory.
 func BenchmarkPush(b *testing.B) {
 	w := newRunningSimulation(b, 5, 1)
 	text := make([]byte, 8<<10)
@@ -33,7 +33,7 @@
 	}
 }
 
-// Measures a start from a store that has a log of 15 changes of 8 KiB.
+// BenchmarkStart measures the start of an origin from a store with 15 changes of 8 KiB in its log.
 func BenchmarkStart(b *testing.B) {
 	w := newRunningSimulation(b, 1, 1)
 	for v := range uint64(15) {
--- a/internal/controlplane/origin/config.go
+++ b/internal/controlplane/origin/config.go
@@ -93,25 +93,25 @@
 
 // Config configures a Node. A duration of 0 means its default, which the field's comment gives.
 type Config struct {
-	BootstrapConfig        // empty: the store's is used; otherwise both must be equal
+	BootstrapConfig        // if empty, that of the store is used; otherwise it must be equal to that of the store
 	Self            string // this origin's name; one of Origins
 	Seed            uint64 // seed of the random election timeouts
 	// TickInterval is the unit of time: a leader sends heartbeats every 2 ticks, and an election starts after 10 to 20
 	// ticks without one; default 100 ms. A higher value tolerates slower networks and disks, but replaces a failed
 	// leader later.
 	TickInterval time.Duration
-	// RequestTimeout is how long a request may wait for its result; default 4 s. Then the outcome is OutcomeUnknown, or
-	// OutcomeRejected for a change that was never proposed. A higher value tolerates longer elections, but an operator
-	// may wait longer for an answer.
+	// RequestTimeout is the maximum time that a request waits for its result; default 4 s. After this time the outcome
+	// is OutcomeUnknown, or OutcomeRejected for a change that was never proposed to raft. A higher value tolerates
+	// longer elections, but an operator may wait longer for a result.
 	RequestTimeout time.Duration
-	// StartupGracePeriod is how long after its start an origin accepts no change while no member has reported its
-	// revision; default 3 s. If all origins were rolled back together, only the members' reports show that.
-	// Without this time, the origins would accept changes under versions that members already have. A higher value
-	// leaves members more time to report, but accepts the first change later in a cluster without members.
+	// StartupGracePeriod is the time after an origin's start during which it rejects changes as long as no member has
+	// reported a revision; default 3 s. If all origins were rolled back together, only the members' reports show that.
+	// Without the grace period, the origins could give new changes versions that members already have. A higher value
+	// leaves members more time to report, but delays the first change in a cluster without members.
 	StartupGracePeriod time.Duration
 }
 
-// bootstrapMismatchError says that a store was bootstrapped with another configuration than the settings give.
+// bootstrapMismatchError says that the settings and the store have different bootstrap configurations.
 type bootstrapMismatchError struct{ stored, configured BootstrapConfig }
 
 func (e *bootstrapMismatchError) Error() string {
--- a/internal/controlplane/origin/election.go
+++ b/internal/controlplane/origin/election.go
@@ -20,9 +20,9 @@
 	// minElectionRetryTicks is the minimum time from one campaign to the next; electionTicks is the maximum. A higher
 	// value makes colliding campaigns rarer, but elects a leader later after a collision.
 	minElectionRetryTicks = 2
-	// maxTicksAtOnce limits how many missed ticks one Tick event makes up for. This prevents an origin that was stopped
-	// from campaigning for all the time in which it received no messages. A higher value lets such an origin notice
-	// sooner that the leader has failed.
+	// maxTicksAtOnce limits how many missed ticks one Tick event makes up for. Without the limit, an origin that was
+	// suspended for a long time would campaign many times when it resumes, before it processes any message. A higher
+	// value makes up for longer delays, but allows more campaigns at once.
 	maxTicksAtOnce = 2 * electionTicks
 	// keepaliveTicks is the time after the last message to an origin until a keepalive is sent. A higher value sends
 	// fewer messages, but other origins learn this origin's write numbers later.
@@ -59,7 +59,7 @@
 	}
 }
 
-// handleTick counts the ticks that have passed, and executes what is due by then.
+// handleTick counts the ticks that have passed, and does the work that has become due.
 func (n *Node) handleTick(now time.Duration, actions []Action) []Action {
 	elapsed := int((now - n.tickedAt) / n.cfg.TickInterval)
 	n.tickedAt += time.Duration(elapsed) * n.cfg.TickInterval
@@ -88,7 +88,7 @@
 
 // tickElection passes a tick to raft on a leader, and runs the election timer on other origins. It replaces raft's own
 // election timer, whose random numbers cannot be seeded. This origin campaigns after a random number of ticks, at least
-// electionTicks, without a message from the leader, and sooner again after a failed campaign.
+// electionTicks, without a message from the leader. After a failed campaign it waits for fewer ticks.
 func (n *Node) tickElection() {
 	if n.raft.BasicStatus().RaftState == raft.StateLeader {
 		n.raft.Tick()
@@ -106,17 +106,17 @@
 		_ = n.raft.ForgetLeader() // an error does not matter: the campaign does not depend on it
 	}
 	if n.leaderSilence >= n.electionTimeout {
-		// If this campaign fails, the next one is due soon: the other origins may have heard from the leader later than
-		// this one, and not vote yet, or two origins may have campaigned at once. Because of PreVote, further campaigns
-		// do not disturb a working leader.
+		// If this campaign fails, the next one follows soon. A campaign fails if the other origins do not vote yet,
+		// because they have heard from the leader later than this one, or if two origins campaign at once. Because of
+		// PreVote, further campaigns do not disturb a working leader.
 		n.leaderSilence = 0
 		n.electionTimeout = minElectionRetryTicks + n.rng.IntN(electionTicks-minElectionRetryTicks)
-		_ = n.raft.Campaign() // after an error the next campaign follows
+		_ = n.raft.Campaign() // an error does not matter: another campaign follows
 	}
 }
 
-// sendKeepalives sends a message to each origin to which none was sent for a while. If a report of this origin's
-// members is due, it sends the message to all origins, with the report.
+// sendKeepalives sends a message to each other origin for which keepaliveDue returns true. If a report of this origin's
+// members is due, it sends a message with the report to all other origins instead.
 func (n *Node) sendKeepalives(actions []Action) []Action {
 	report := n.dueReport()
 	for i, name := range n.names {
@@ -129,8 +129,8 @@
 	return actions
 }
 
-// keepaliveDue reports whether no message was sent to another origin for a while. A starting origin sends sooner,
-// because it waits for the responses.
+// keepaliveDue reports whether the last message to another origin was sent so long ago that the next one is due. A
+// starting origin sends more often, because other origins that start at the same time wait for its messages.
 func (n *Node) keepaliveDue(peer int) bool {
 	isStarting := !n.participating && n.rollbackReason == ""
 	if isStarting && n.ticksSinceSend[peer] >= heartbeatTicks {
--- a/internal/controlplane/origin/envelope.go
+++ b/internal/controlplane/origin/envelope.go
@@ -15,10 +15,10 @@
 // checksumSize is the size of the checksum after an envelope, in bytes.
 const checksumSize = 4
 
-// envelope is a message between origins. It is followed by a little-endian CRC-32C of its bytes, because raft panics on
-// a message that was altered in transit so that its fields contradict each other.
+// envelope is a message between origins. It is followed by a little-endian CRC-32C of its bytes: raft panics on a
+// message whose fields contradict each other, for example because it was altered in transit.
 type envelope struct {
-	BootstrapKey []byte               `cbor:"1,keyasint"`           // origins of another bootstrap are rejected
+	BootstrapKey []byte               `cbor:"1,keyasint"`           // identifies the bootstrap; other ones are rejected
 	From         uint64               `cbor:"2,keyasint"`           // the sender's ID
 	WriteNumbers []uint64             `cbor:"3,keyasint"`           // highest known write numbers, by origin ID
 	RolledBack   bool                 `cbor:"4,keyasint,omitempty"` // the sender has withdrawn
@@ -35,7 +35,7 @@
 	errCorruptMessage = errors.New("invalid message")
 )
 
-// decodeEnvelope decodes and checks a message; m is nil if it contains no message of raft.
+// decodeEnvelope decodes and checks a message. m is nil if the envelope contains no message of raft.
 func (n *Node) decodeEnvelope(data []byte) (e *envelope, m *raftpb.Message, err error) {
 	body, err := verifyChecksum(data)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return body, nil
 }
 
-// encodeEnvelope updates this origin's own write number in n.writeNumbers, and encodes a message with these numbers. m
+// encodeEnvelope updates this origin's own write number in n.writeNumbers, and encodes a message with n.writeNumbers. m
 // and report may be nil.
 func (n *Node) encodeEnvelope(m *raftpb.Message, report *controlplane.Report) []byte {
 	n.writeNumbers[n.id-1] = n.writeNumber
--- a/internal/controlplane/origin/events.go
+++ b/internal/controlplane/origin/events.go
@@ -52,11 +52,12 @@
 // Action is an output of a Node: Persist, Send, Publish, Result or LogMessage. The caller executes them in order.
 type Action interface{ originAction() }
 
-// Persist must be durable before the actions after it are executed. Write writes it to an internal/store.
+// Persist is a batch of records that must be durable before the actions after it are executed. The function Write
+// writes them to a store (package internal/store).
 type Persist struct{ Records []Record }
 
-// Record is a write to the store: it sets the value of a key, or deletes the key. Records must become durable in order,
-// none without all earlier ones.
+// Record is a write to the store: it sets the value of a key, or deletes the key. Records must become durable in order:
+// a record must never be durable while an earlier one is not.
 type Record struct {
 	Key    string
 	Value  []byte
@@ -78,7 +79,7 @@
 
 // Outcomes.
 const (
-	OutcomeAccepted Outcome = "accepted" // a majority has the change; it is kept while a majority keeps its stores
+	OutcomeAccepted Outcome = "accepted" // a majority has stored the change; lost only if a majority loses its stores
 	OutcomeConflict Outcome = "conflict" // another change came first; Revision is the latest one
 	OutcomeRejected Outcome = "refused"  // this attempt has not taken effect and will not; Error says why
 	OutcomeUnknown  Outcome = "unknown"  // no majority responded in time: the change may still take effect; query by ID
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// The encoding of a message between origins stays the same: the envelope, raft's message and the checksum, with and
-// without a report. Another origin can decode it.
+// The encoding of a message between origins stays the same: the envelope and its checksum, once with a message of raft
+// and a report and once without both. Another origin can decode it.
 func TestOriginMessageFormatIsStable(t *testing.T) {
 	bootstrap := testBootstrapConfig()
 	sender := &Node{
@@ -243,7 +243,7 @@
 			read := reflect.New(reflect.TypeOf(v))
 			err := json.Unmarshal(text, read.Interface())
 			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
-				t.Errorf("decoding returned error %v and\n%+v, want\n%+v", err, read.Elem(), value)
+				t.Errorf("%s: decoding returned error %v and\n%+v, want\n%+v", file, err, read.Elem(), value)
 			}
 		}
 	}
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -26,7 +26,7 @@
 	t            *rapid.T
 	attempts     []*attempt
 	backups      map[int]map[string][]byte // copies of disks, by origin
-	rolledBack   map[int]bool              // whether an origin's store was rolled back, by origin
+	rolledBack   map[int]bool              // by origin: whether its store was rolled back
 	maxRollbacks int                       // maximum number of origins that are rolled back
 }
 
@@ -35,14 +35,16 @@
 //
 //   - all origins publish a version with the same content, and no origin publishes an older version after a later one
 //     (simulation.checkPublish);
-//   - at the end, an acknowledged change has its revision, and a change that was rejected or in conflict has none;
+//   - at the end, an acknowledged change has the revision in its result, and a change that was rejected or in conflict
+//     has none;
 //   - each proposal has one result, unless its origin stopped;
 //   - exactly the origins whose stores were rolled back have withdrawn;
 //   - once there are no more failures, all origins agree, and a change is accepted.
 //
 // Stores are rolled back only while the other origins run and are reachable, and only so many that the others are still
-// a majority, since origins do not guarantee more. To run more histories: go test ./internal/controlplane/origin -run
-// RandomHistories -rapid.checks=10000 -rapid.seed=N.
+// a majority: in other cases origins do not guarantee to detect a rollback. To run more histories:
+//
+//	go test ./internal/controlplane/origin -run RandomHistories -rapid.checks=10000 -rapid.seed=N
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5, 3, 1, 2, 4}).Draw(t, "origins")
@@ -130,7 +132,7 @@
 	h.handle(i, Propose{x.id, x.base, x.text})
 }
 
-// rollBackSafely rolls a store back to a backup if the origins can detect that; otherwise it does nothing.
+// rollBackSafely rolls a store back to a backup, unless the origins might not detect the rollback.
 func (h *history) rollBackSafely(i int) {
 	disk := h.backups[i]
 	if disk == nil || !h.rolledBack[i] && len(h.rolledBack) >= h.maxRollbacks {
@@ -150,7 +152,7 @@
 		h.t.Fatalf("decoding the root in a backup of %s: %v", p.name, err)
 	}
 	if lost := after.WriteNumber < before; lost != (p.node.rollbackReason != "") && !h.rolledBack[i] {
-		h.t.Fatalf("the store of %s went from write number %d to %d, its rollback reason is %q; want a reason: %t\n%s",
+		h.t.Fatalf("%s was rolled back from write number %d to %d and has rollback reason %q; want a reason: %t\n%s",
 			p.name, before, after.WriteNumber, p.node.rollbackReason, lost, h.describe())
 	} else if lost {
 		h.rolledBack[i] = true
@@ -170,13 +172,13 @@
 func (h *history) end() {
 	h.heal()
 	h.loss = 0
-	h.run(5 * time.Second) // delayed messages have arrived, or their requests have expired
+	h.run(5 * time.Second) // longer than any message delay and than RequestTimeout
 	for i, p := range h.machines {
 		if p.node == nil {
 			h.t.Fatalf("%s is down, want all machines to run at the end", p.name)
 		}
 		if (p.node.rollbackReason != "") != h.rolledBack[i] {
-			h.t.Fatalf("%s has rollback reason %q, want one: %t, since that tells whether its store was rolled back",
+			h.t.Fatalf("%s has rollback reason %q, and its store was rolled back: %t; want a reason exactly if it was",
 				p.name, p.node.rollbackReason, h.rolledBack[i])
 		}
 	}
@@ -190,7 +192,7 @@
 	}
 	for _, p := range h.machines {
 		if p.completed != len(p.attempts) {
-			h.t.Fatalf("%s returned %d results for %d proposals", p.name, p.completed, len(p.attempts))
+			h.t.Fatalf("%s returned %d results for %d proposals, want one each", p.name, p.completed, len(p.attempts))
 		}
 	}
 	for _, x := range h.attempts {
@@ -225,7 +227,7 @@
 	}
 }
 
-// checkOutcome checks the results of an attempt. version is the version that it became, or 0 if it was not accepted.
+// checkOutcome checks the results of an attempt. version is the version of its change; 0 if that was not accepted.
 func (h *history) checkOutcome(x *attempt, version uint64, leader int) {
 	hash := controlplane.HashText(x.text)
 	results := h.results[x.id]
@@ -235,20 +237,20 @@
 		isFinal := a.Outcome == OutcomeRejected || a.Outcome == OutcomeConflict
 		switch {
 		case a.Outcome == OutcomeAccepted && (version != a.Revision.Version || a.Revision.Hash != hash):
-			h.t.Fatalf("%s was acknowledged as %v with hash %.12s, want version %d with hash %.12s", x.id, a.Revision,
-				a.Revision.Hash, version, hash)
+			h.t.Fatalf("push %s was acknowledged as %v with hash %.12s, want version %d with hash %.12s", x.id,
+				a.Revision, a.Revision.Hash, version, hash)
 		case isFinal && !x.ambiguous && version > 0:
-			h.t.Fatalf("%s has the final result %q, but became version %d; want no version", x.id, a.Outcome, version)
+			h.t.Fatalf("push %s has the outcome %q, but became version %d; want no version", x.id, a.Outcome, version)
 		}
 	}
 	if isConflict && version > 0 {
-		h.t.Fatalf("%s has a result %q, but became version %d; want no version", x.id, OutcomeConflict, version)
+		h.t.Fatalf("push %s has the outcome %q, but became version %d; want no version", x.id, OutcomeConflict, version)
 	}
 	if version == 0 && len(results) == 0 {
 		return
 	}
 	if a := h.query(leader, x.id); a.Outcome == OutcomeAccepted != (version > 0) {
-		h.t.Fatalf("%s is version %d (0: none), and a query returns %q; want %q exactly if it has a version", x.id,
-			version, a.Outcome, OutcomeAccepted)
+		h.t.Fatalf("push %s became version %d (0: not accepted), and its query returns %q; want %q exactly if it was "+
+			"accepted", x.id, version, a.Outcome, OutcomeAccepted)
 	}
 }
--- a/internal/controlplane/origin/messages.go
+++ b/internal/controlplane/origin/messages.go
@@ -18,7 +18,8 @@
 	}
 	from := n.names[e.From-1]
 	n.mergeEnvelope(now, e, from)
-	// The store was rolled back: this origin has lost votes and acknowledgements on which other origins still rely.
+	// A higher write number shows that the store was rolled back: this origin has lost votes and acknowledgements on
+	// which other origins still rely.
 	if known := e.WriteNumbers[n.id-1]; known > n.writeNumber {
 		return n.withdraw(now, actions, fmt.Sprintf(
 			"its store was rolled back: %s knows of write %d, and the store's last is %d", from, known, n.writeNumber))
@@ -63,9 +64,9 @@
 // tryParticipate starts to participate in consensus once this origin has heard from all others since its start, or,
 // after startupTicks, from enough of them to form a majority with itself.
 //
-// This prevents an origin whose store was rolled back from voting twice in a term, or from acknowledging other entries
-// in place of those that it had acknowledged: an accepted change could be lost. Before the origin participates, another
-// origin that knows of its lost writes has sent it a higher write number than its own store has.
+// The wait prevents an origin whose store was rolled back from voting twice in a term, or from acknowledging other
+// entries in place of those that it had acknowledged. Either could lose an accepted change. During the wait, an origin
+// that knows of the lost writes sends a higher write number than the store has, and this origin withdraws.
 func (n *Node) tryParticipate() {
 	if n.participating || n.rollbackReason != "" || n.raft == nil {
 		return
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -24,10 +24,10 @@
 	maxInflightBytes    = 4 * controlplane.MaxSnapshotSize
 
 	// maxMemberSilence is how long a member may send no report before it counts as disconnected. A higher value
-	// tolerates more lost reports, but counts a member that hangs for longer.
+	// tolerates more lost reports, but a member that hangs counts as connected for longer.
 	maxMemberSilence = 30 * time.Second
-	// disconnectedRetention is how long a disconnected member is named. A higher value leaves more time to find it, but
-	// members that were shut down are named for longer.
+	// disconnectedRetention is how long reports name a disconnected member. A higher value leaves more time to find the
+	// member, but members that were shut down are named for longer.
 	disconnectedRetention = time.Minute
 	// maxPeerReportAge is how long the report of another origin is used. After this time, that origin's members may
 	// have moved to this origin, which would count them twice. A higher value tolerates longer partitions, but counts
@@ -43,7 +43,7 @@
 	bootstrapKey string
 	rng          *rand.Rand
 
-	raft *raft.RawNode       // nil if the store is damaged so that nothing can be served
+	raft *raft.RawNode       // nil if the damaged store has not even a snapshot
 	log  *raft.MemoryStorage // nil if raft is nil
 
 	// State of the store.
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("%q is not one of the bootstrapped origins %q", e.self, e.origins)
 }
 
-// NewNode returns a Node that starts at now from the state of its store, and the first actions. If
+// NewNode returns a Node that starts at now from the state of its store, and the first actions to execute. If
 // Config.BootstrapConfig is not empty, it must be equal to the bootstrap configuration in the store.
 func NewNode(c Config, s *State, now time.Duration) (*Node, []Action, error) {
 	c, err := c.complete(s.Bootstrap)
@@ -222,12 +222,13 @@
 // canStep reports whether raft may process messages, ticks and requests.
 func (n *Node) canStep() bool { return n.participating && n.rollbackReason == "" }
 
-// withdraw takes the origin out of consensus permanently: it participates again only after the bootstrap of a higher
-// epoch. The reason is made durable, so a restart does not change that.
+// withdraw takes the origin out of consensus permanently, because its store was rolled back. It records the reason in
+// the store, so the origin stays withdrawn after a restart. The origin participates again only after the bootstrap of a
+// higher epoch.
 //
-// Callers withdraw the origin because of the write numbers that others know of it, or the leader's commit index. This
-// prevents an origin whose store was rolled back from forming a majority without the changes that it had acknowledged:
-// accepted changes would be lost.
+// Two callers detect the rollback: handleMessage, if another origin knows a higher write number of this origin, and
+// stepRaft, if the leader has committed an entry that this origin's log lacks. If such an origin still participated, it
+// could form a majority without changes that it had acknowledged, and these accepted changes would be lost.
 func (n *Node) withdraw(now time.Duration, actions []Action, reason string) []Action {
 	if n.rollbackReason != "" {
 		return actions
@@ -286,13 +287,14 @@
 	return append(actions, n.persist(ready.Entries, snapshot))
 }
 
-// sendRaft sends a message of raft.
+// sendRaft returns the Send of a message of raft.
 func (n *Node) sendRaft(m *raftpb.Message) Send {
 	peer := m.GetTo() - 1
 	n.ticksSinceSend[peer] = 0
 	send := Send{To: n.names[peer], Data: n.encodeEnvelope(m, nil)}
 	if m.GetType() == raftpb.MsgSnap {
-		// If the snapshot is lost, raft sends it again once the follower's responses show that it is missing.
+		// The snapshot is reported as received at once. If it is lost, raft sends it again when the responses of the
+		// follower show that it is missing.
 		n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 	return send
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -122,7 +122,7 @@
 				sent++
 			}
 			if n := len(w.machines[i].node.pending); n > MaxPendingRequests {
-				t.Fatalf("%d requests are pending, want at most %d", n, MaxPendingRequests)
+				t.Fatalf("%s has %d pending requests, want at most %d", w.machines[i].name, n, MaxPendingRequests)
 			}
 		}
 		w.run(8 * time.Second)
@@ -135,13 +135,14 @@
 		count[list[0].Outcome]++
 	}
 	if len(w.results) != sent || count[OutcomeAccepted] != 3 {
-		t.Errorf("%d pushes of %d have a result, want all of them, and 3 accepted: %v", len(w.results), sent, count)
+		t.Errorf("%d of %d pushes have a result, want all, and 3 accepted; results by outcome: %v",
+			len(w.results), sent, count)
 	}
-	t.Log(count)
+	t.Log("results by outcome:", count)
 }
 
 // Snapshots at the size limit are accepted from any origin. An origin that was down receives the latest one in a
-// snapshot of the log. Messages (checked by simulation.send) and stores stay within their limits.
+// snapshot of raft's log. Messages (checked by simulation.send) and stores stay within their limits.
 func TestSnapshotAtTheSizeLimit(t *testing.T) {
 	w := newRunningSimulation(t, 3, 1)
 	away := (w.leader() + 1) % 3
@@ -168,9 +169,9 @@
 	}
 }
 
-// An origin crashes during a push, after each of its first 20 writes and sends. The operator does not know whether the
-// change was accepted, and a second push could apply it twice. Another origin can be queried by ID, the outcome does
-// not change later, and a repeated push with the same ID does no harm.
+// An origin crashes during a push, after 0 to 19 writes and sends. The operator does not know whether the change was
+// accepted, and a second push could apply it twice. The operator can query another origin for the push by its ID. An
+// accepted push stays accepted, and pushing again with the same ID does not apply the change twice.
 func TestCrashDuringPush(t *testing.T) {
 	outcomes := map[string]int{}
 	for _, leads := range []bool{true, false} {
@@ -198,14 +199,14 @@
 			w.start(i)
 			w.run(5 * time.Second)
 			if c := w.query(i, "mid"); b.Outcome == OutcomeAccepted && c.Outcome != OutcomeAccepted {
-				t.Fatalf("crash after %d steps: a query returns %q, and a later one %q, want the same",
+				t.Fatalf("crash after %d steps: the query returns %q, and a later query %q, want the same",
 					steps, b.Outcome, c.Outcome)
 			}
 			checkResult(t, "again", w.push(other, "mid", 1, textOf("mid")), OutcomeAccepted, 2)
 			w.waitUntil(5*time.Second, "all agree", w.allAgree)
 		}
 	}
-	t.Log(outcomes)
+	t.Log("outcomes of the push and of the query, with their numbers:", outcomes)
 	if len(outcomes) < 3 {
 		t.Errorf("the crashes led to %d different pairs of outcomes, want at least 3: %v", len(outcomes), outcomes)
 	}
@@ -280,8 +281,9 @@
 }
 
 // One origin starts with an older copy of its store, as from a backup. The copy lacks votes and changes that the origin
-// acknowledged, so it could take part in a majority without them, and raft panics on such a follower. The origin says
-// why it withdraws, and never votes or acknowledges again, even after a restart. The others continue.
+// acknowledged. The origin could form a majority without these changes, and raft panics if a follower lacks entries
+// that it acknowledged. The origin logs why it withdraws, and never votes or acknowledges again, even after a restart.
+// The others continue.
 func TestRolledBackStore(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		w := newRunningSimulation(t, 5, 3)
@@ -300,7 +302,8 @@
 			func() bool { return w.machines[i].node.Status().Role == RoleRolledBack })
 		if !slices.ContainsFunc(w.machines[i].logged,
 			func(s string) bool { return strings.HasPrefix(s, "rolled back: its store was rolled back") }) {
-			t.Errorf("the log lacks the reason of the withdrawal: %q", w.machines[i].logged)
+			t.Errorf("the origin logged %q, want a message that begins with %q", w.machines[i].logged,
+				"rolled back: its store was rolled back")
 		}
 		w.waitUntil(5*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 		w.run(3 * time.Second)
@@ -312,7 +315,8 @@
 		}
 		w.stop(i)
 		w.start(i)
-		if s := w.machines[i].node.Status(); s.Role != RoleRolledBack { // without a message from another origin
+		// The role follows from the store alone: no message from another origin has arrived yet.
+		if s := w.machines[i].node.Status(); s.Role != RoleRolledBack {
 			t.Errorf("after a restart the role is %q, want %q", s.Role, RoleRolledBack)
 		}
 		w.run(10 * time.Second)
@@ -368,8 +372,8 @@
 				"\"higher epoch\"", p.name, a.Outcome, a.Error, OutcomeRejected)
 		}
 		if s := p.node.Status(); s.Ahead != later || s.Report.Members != 200 {
-			t.Errorf("%s knows revision %v of members as ahead, and %d members; want %v and 200", p.name, s.Ahead,
-				s.Report.Members, later)
+			t.Errorf("the status of %s has %d members with the conflicting revision %v, want 200 with %v", p.name,
+				s.Report.Members, s.Ahead, later)
 		}
 	}
 	// The same version with different content prevents changes, too.
@@ -475,7 +479,7 @@
 	}
 	w.handle(i, Message{"o2", good})
 	if n.corruptMessages != sent+1 {
-		t.Error("the valid message counts as corrupt")
+		t.Errorf("after a valid message, %d messages count as corrupt, want %d as before", n.corruptMessages, sent+1)
 	}
 	checkResult(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 }
@@ -582,7 +586,7 @@
 		}
 	}
 	lost := w.machines[knows].node.writeNumbers[i]
-	w.partition = []int{0, 1, 0, 0, 0} // so that this origin cannot tell the others meanwhile
+	w.partition = []int{0, 1, 0, 0, 0} // cuts off the origin that knows, so that it cannot tell the others
 	w.machines[i].disk = backup
 	w.start(i)
 	w.run(2 * time.Second)
@@ -616,8 +620,8 @@
 }
 
 // The leader fails. If the others still followed it, each push would be sent to it and wait for its timeout. An origin
-// that has received no message from its leader for a second follows none. A push waits for the next leader, but is
-// rejected at once if there has been no leader for long.
+// that has received no message from its leader for a second stops following it. A push then waits for the next leader,
+// but is rejected at once if there has been no leader for two seconds.
 func TestSilentLeaderIsForgotten(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newRunningSimulation(t, 5, seed)
--- a/internal/controlplane/origin/persist.go
+++ b/internal/controlplane/origin/persist.go
@@ -53,7 +53,7 @@
 }
 
 // persistSnapshot returns records that write a snapshot, and records that delete the previous snapshot and the entries
-// up to the new one.
+// that the new snapshot covers.
 func (n *Node) persistSnapshot(snapshot *raftpb.Snapshot) (puts, deletes []Record) {
 	index, term := snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetTerm()
 	puts = splitValue(snapshotKey(index), snapshot.GetData())
--- a/internal/controlplane/origin/requests.go
+++ b/internal/controlplane/origin/requests.go
@@ -26,7 +26,7 @@
 	id         string
 	entry      []byte // proposals only: entry for the log
 	readID     uint64 // queries and reads only: ID of the read index request
-	readIndex  uint64 // queries and reads only: index to apply before the result; 0 if raft has not responded yet
+	readIndex  uint64 // queries and reads only: index to apply before the result is returned; 0 until raft responds
 	sentAtTick int    // tick of the last attempt
 	proposed   bool   // raft has accepted the proposal, which may take effect from then on
 	deadline   time.Duration
@@ -118,8 +118,8 @@
 	return actions
 }
 
-// readContextSize is the size of the context of a read index request, in bytes: this origin's ID and the request's, 8
-// bytes each.
+// readContextSize is the size of the context of a read index request, in bytes. The context contains the IDs of this
+// origin and of the request, 8 bytes each.
 const readContextSize = 16
 
 // requestReadIndex asks raft for the index that a majority has committed.
@@ -212,7 +212,8 @@
 	return n.result(p.id, OutcomeNotFound, fmt.Sprintf("none of the last %d pushes has this ID", MaxOutcomes))
 }
 
-// resultOf returns the result of a proposal from the known outcome of its ID. hash is the hash of the proposal's text.
+// resultOf returns the result for a change whose outcome is known. hash is the hash of the text that was proposed now;
+// a query passes o.Hash, since it has no text.
 func (n *Node) resultOf(o changeOutcome, hash string) Result {
 	switch {
 	case o.Hash != hash:
--- a/internal/controlplane/origin/simulation_test.go
+++ b/internal/controlplane/origin/simulation_test.go
@@ -24,7 +24,7 @@
 	serial    int
 	partition []int // by machine: machines with equal numbers reach each other
 	loss      float64
-	results   map[string][]Result // by ID, in order
+	results   map[string][]Result // by ID, in the order in which they were returned
 	published map[uint64]string   // hash of each version that was published
 }
 
@@ -196,7 +196,7 @@
 	}
 }
 
-// execute executes the actions of an origin, and stops its machine when that is due to crash.
+// execute executes the actions of an origin, and stops its machine if it is due to crash.
 func (w *simulation) execute(i int, actions []Action) {
 	w.t.Helper()
 	p := w.machines[i]
@@ -241,17 +241,17 @@
 	w.t.Helper()
 	r := f.Revision
 	if old, ok := w.published[r.Version]; ok && old != r.Hash {
-		w.t.Fatalf("at %v %s publishes %v with hash %.12s, which was published before with hash %.12s\n%s",
+		w.t.Fatalf("at %v %s publishes %v with hash %.12s, want %.12s, the hash with which it was published before\n%s",
 			w.now, p.name, r, r.Hash, old, w.describe())
 	}
 	if hash := controlplane.HashText(f.Text); r.Hash != hash {
-		w.t.Fatalf("%s publishes %v with hash %.12s, and its text has hash %.12s", p.name, r, r.Hash, hash)
+		w.t.Fatalf("%s publishes %v with hash %.12s, want %.12s, the hash of its text", p.name, r, r.Hash, hash)
 	}
 	if r.Epoch != w.epoch {
 		w.t.Fatalf("%s publishes %v, want epoch %d", p.name, r, w.epoch)
 	}
 	if r.Compare(p.published) <= 0 {
-		w.t.Fatalf("%s publishes %v after %v", p.name, r, p.published)
+		w.t.Fatalf("%s publishes %v after %v, want only later revisions", p.name, r, p.published)
 	}
 	w.published[r.Version] = r.Hash
 	p.published = r
@@ -320,7 +320,7 @@
 
 func textOf(id string) []byte { return []byte("# " + id + "\n") }
 
-// push proposes a change to an origin and waits for the result, which is empty if the origin stops.
+// push proposes a change to an origin and waits for the result. If the origin stops, the result has only the ID.
 func (w *simulation) push(i int, id string, after uint64, text []byte) Result {
 	w.t.Helper()
 	n := len(w.results[id])
--- a/internal/controlplane/origin/state.go
+++ b/internal/controlplane/origin/state.go
@@ -37,7 +37,7 @@
 }
 
 // Bootstrap writes the records of a new origin to a store. It overwrites a store of a lower epoch of the same cluster.
-// If the store is of the same or a higher epoch, or of another cluster, it returns an error.
+// It returns an error if the store is of the same or a higher epoch, or of another cluster.
 func Bootstrap(st *store.Store, c BootstrapConfig) error {
 	if err := c.Validate(); err != nil {
 		return err
@@ -143,9 +143,9 @@
 	return c.Validate()
 }
 
-// restore returns raft's log and the root. If the error is errDamagedStore, log and root contain only what could be
-// read, and each is nil if it could not be read. The origin may then serve the snapshot in the log, but must not
-// participate in consensus.
+// restore returns raft's log and the root. If the store is damaged, the error is errDamagedStore, the log ends before
+// the first entry that cannot be read, and the root or the log is nil if it cannot be read at all. The origin may then
+// serve the snapshot in the log, but must not participate in consensus.
 func (s *State) restore() (log *raft.MemoryStorage, root *rootRecord, err error) {
 	root = new(rootRecord)
 	data, ok := s.Records[rootRecordKey]
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -25,8 +25,7 @@
 }
 
 // An origin on the embedded store loses power after a varying number of steps of the file system, and restarts from the
-// remaining files. It must not lose changes that it acknowledged, nor withdraw because it takes its store for a rolled
-// back one.
+// remaining files. It must not lose changes that it acknowledged, nor withdraw although its store was not rolled back.
 func TestRestartAfterPowerLoss(t *testing.T) {
 	acknowledged, runs := 0, 0
 	for crash := int64(3000); crash < 60_000; crash += 1900 {
@@ -77,12 +76,12 @@
 				}
 			}
 			if n.rollbackReason != "" {
-				t.Fatalf("run %d: the origin has withdrawn, although its store was not rolled back: %s", run,
-					n.rollbackReason)
+				t.Fatalf("power loss after %d steps, run %d: the origin has withdrawn, although its store was not "+
+					"rolled back: %s", crash, run, n.rollbackReason)
 			}
 			if n.state.Version < version {
-				t.Fatalf("run %d: the origin is at version %d, want at least %d, which it had acknowledged", run,
-					n.state.Version, version)
+				t.Fatalf("power loss after %d steps, run %d: the origin is at version %d, want at least %d, which it "+
+					"had acknowledged", crash, run, n.state.Version, version)
 			}
 			if !ok {
 				fs = fs.AfterPowerLoss(rand.New(rand.NewPCG(uint64(crash), 1)))
@@ -121,24 +120,25 @@
 			switch {
 			case err != nil && key == bootstrapRecordKey:
 			case err != nil:
-				t.Errorf("%s %s: the origin cannot start: %v", key, what, err)
+				t.Errorf("record %s %s: starting the origin returned error %v, want none", key, what, err)
 			case got.rollbackReason == "":
-				t.Errorf("%s %s: the origin has not withdrawn", key, what)
+				t.Errorf("record %s %s: the origin has not withdrawn, want a rollback reason", key, what)
 			case got.state.Version > state.state.Version:
-				t.Errorf("%s %s: the origin is at version %d, want at most %d", key, what, got.state.Version,
+				t.Errorf("record %s %s: the origin is at version %d, want at most %d", key, what, got.state.Version,
 					state.state.Version)
 			}
 			if err == nil { // the origin must neither write nor accept a change
 				for now := range 100 {
 					for _, a := range got.Handle(time.Duration(now)*100*time.Millisecond, Tick{}) {
 						if _, ok := a.(Persist); ok {
-							t.Errorf("%s %s: the origin writes to its store", key, what)
+							t.Errorf("record %s %s: the origin writes to its store, want no write", key, what)
 						}
 					}
 				}
 				if out := got.Handle(10*time.Second,
 					Propose{"x", got.state.Version, textOf("x")}); out[len(out)-1].(Result).Outcome != OutcomeRejected {
-					t.Errorf("%s %s: a push leads to %v, want outcome %q", key, what, out, OutcomeRejected)
+					t.Errorf("record %s %s: a push returns the actions %v, want a result with outcome %q",
+						key, what, out, OutcomeRejected)
 				}
 			}
 		}
@@ -196,11 +196,11 @@
 		t.Fatalf("Load returned %+v and %v, want epoch 5", s, err)
 	}
 	if _, _, err := NewNode(Config{Self: "o9"}, s, 0); err == nil {
-		t.Error("NewNode accepted o9, which is none of the five origins")
+		t.Error("NewNode with the name o9 returned no error, want one: the store has the origins o1 to o5")
 	}
 	if _, _, err := NewNode(Config{Self: "o1", BootstrapConfig: BootstrapConfig{"f", 6, originNames(5)}}, s,
 		0); err == nil {
-		t.Error("NewNode accepted settings of epoch 6 for a store of epoch 5")
+		t.Error("NewNode with settings of epoch 6 and a store of epoch 5 returned no error, want one")
 	}
 	if err := Write(st, Persist{[]Record{{Key: "x", Value: make([]byte, store.MaxValue+1)}}}); !errors.Is(err,
 		store.ErrSize) {
--- a/internal/controlplane/origin/statemachine.go
+++ b/internal/controlplane/origin/statemachine.go
@@ -23,7 +23,7 @@
 	Hash    string `cbor:"3,keyasint"` // hash of the change's text
 }
 
-// logEntry is the content of a log entry, which is a change.
+// logEntry is a proposed change, the content of an entry of the log.
 type logEntry struct {
 	ID          string `cbor:"1,keyasint"`
 	BaseVersion uint64 `cbor:"2,keyasint"`
--- a/internal/controlplane/origin/status.go
+++ b/internal/controlplane/origin/status.go
@@ -31,7 +31,7 @@
 	Revision        controlplane.Revision `json:"stamp"`
 	Ahead           controlplane.Revision `json:"ahead"`  // revision of members that prevents changes; zero if none
 	RolledBack      []string              `json:"rolled"` // origins that have withdrawn
-	Report          controlplane.Report   `json:"report"` // report of all members, of this origin and of the others
+	Report          controlplane.Report   `json:"report"` // report of all members of the cluster
 	ForeignMessages int                   `json:"foreign"`
 	CorruptMessages int                   `json:"broken"`
 }
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -21,7 +21,7 @@
 	storedSecond = "# second\n[limits]\nmax_attempts = 2\n"
 )
 
-// copyStoredOrigin returns a copy of the directory of one of these origins.
+// copyStoredOrigin returns a copy of the directory of one of the origins in storedDir.
 func copyStoredOrigin(t *testing.T, name string) store.FS {
 	t.Helper()
 	path := t.TempDir()
@@ -86,7 +86,7 @@
 		}
 		got := n.state.revision(3)
 		if n.rollbackReason != "" || got != want || string(n.state.Text) != text {
-			t.Errorf("%s starts at %v with text %q, rolled back %q; want %v with text %q",
+			t.Errorf("%s starts at %v with text %q, rollback reason %q; want %v with text %q, no rollback reason",
 				m.name, got, n.state.Text, n.rollbackReason, want, text)
 		}
 	}
@@ -105,7 +105,7 @@
 	}
 	for _, g := range segments {
 		if g.Damaged != 0 || g.Tail != 0 || g.Fault != "" {
-			t.Errorf("a segment is damaged: %+v", g)
+			t.Errorf("a segment of the store is damaged, want none: %+v", g)
 		}
 	}
 	st := openStore(t, fs)
@@ -187,7 +187,7 @@
 		add(splitValue(snapshotKey(r.SnapshotIndex), new(stateMachine).marshal())...)
 		last, err := ms.LastIndex()
 		if err != nil || last != r.LastIndex || r.SnapshotIndex != 1 {
-			t.Fatalf("last index %d, root %+v: %v; want last index %d and a snapshot at index 1",
+			t.Fatalf("last index %d, root %+v, error %v; want last index %d and a snapshot at index 1",
 				last, r, err, r.LastIndex)
 		}
 		m := new(stateMachine)
--- a/internal/controlplane/origin/writable.go
+++ b/internal/controlplane/origin/writable.go
@@ -41,9 +41,9 @@
 
 // checkWritable returns why no change can be proposed now; nil if a change can be proposed.
 //
-// It checks the role of this origin, the time without a leader, and the revisions that members report. This prevents
-// changes under versions that members already have: two texts would have the same revision, and members would reject
-// the new one.
+// It checks the role of this origin, the time without a leader, and the revisions that members report. The last check
+// prevents changes under versions that members already have: two texts would have the same version, and members would
+// reject the new one.
 func (n *Node) checkWritable(now time.Duration) error {
 	report := n.clusterReport()
 	switch {
--- a/internal/controlplane/transport/allowedlistener.go
+++ b/internal/controlplane/transport/allowedlistener.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			return nil, err
 		}
-		remote, _ := netip.ParseAddrPort(conn.RemoteAddr().String()) // after an error, no network contains the address
+		remote, _ := netip.ParseAddrPort(conn.RemoteAddr().String()) // after an error, remote is in no network
 		if l.allowed.Contains(remote.Addr().Unmap()) {
 			return conn, nil
 		}
--- a/internal/controlplane/transport/cachefile.go
+++ b/internal/controlplane/transport/cachefile.go
@@ -13,8 +13,8 @@
 
 const (
 	// cacheFileName is the name of the file with the last known snapshot in a member's directory. Each update replaces
-	// the whole file. Its modification time is the time, by this machine's clock, at which an upstream last confirmed
-	// the content.
+	// the whole file. The file's modification time is the time, by this machine's clock, at which an upstream last
+	// confirmed the content.
 	cacheFileName = "last-known.json"
 	// maxCacheFileSize limits the size in bytes of a cache file that is loaded.
 	maxCacheFileSize = 2 * MaxLineSize
--- a/internal/controlplane/transport/doc.go
+++ b/internal/controlplane/transport/doc.go
@@ -10,7 +10,8 @@
 // A subscriber requests GET /config/watch?epoch=E&version=V&hash=H, where E, V and H
 // are the revision that it has, and receives lines of JSON until it disconnects:
 //   - first the path of the upstream (the names from the upstream to the origin) and the
-//     upstream's revision, and both again when the path changes;
+//     upstream's revision, and both again when the path changes, or when the upstream is
+//     an origin that stops or starts participating in the consensus;
 //   - a complete snapshot whenever the upstream has a later one than the subscriber;
 //   - an empty line every keepAliveInterval.
 //
--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -159,7 +159,7 @@
 		t.Fatalf("pack returns %+v, want a compressed text and a frame without text", packed)
 	}
 	if err := packed.unpack(); err != nil || !bytes.Equal(packed.Frame.Text, text) {
-		t.Errorf("decompressed text is %q, %v, want %q", packed.Frame.Text, err, text)
+		t.Errorf("decompressed text is %q, error %v, want %q", packed.Frame.Text, err, text)
 	}
 	stored, err := os.ReadFile("testdata/packed-line.json")
 	if err != nil {
@@ -171,7 +171,7 @@
 	}
 	err = read.unpack()
 	if err != nil || !bytes.Equal(read.Frame.Text, text) || read.Frame.Revision != formatRevision(17) {
-		t.Errorf("frame in testdata is %+v, %v, want revision %v with text %q",
+		t.Errorf("frame in testdata is %+v, error %v, want revision %v with text %q",
 			read.Frame, err, formatRevision(17), text)
 	}
 }
@@ -213,7 +213,7 @@
 	watch.close()
 	frame, err := c.fetchSnapshot(t.Context(), addr)
 	if err != nil || string(frame.Text) != "# text\n" || frame.Revision.Version != 17 {
-		t.Errorf("fetched frame is %+v, %v, want version 17 with text \"# text\\n\"", frame, err)
+		t.Errorf("fetched frame is %+v, error %v, want version 17 with text \"# text\\n\"", frame, err)
 	}
 	r.status, r.response = http.StatusNoContent, ""
 	if err := c.sendReport(t.Context(), addr, formatReport()); err != nil {
@@ -236,7 +236,8 @@
 	}
 	_, err := c.Push(t.Context(), "push 1", 16, []byte("# text\n"))
 	check(err)
-	var outcome origin.Result // no command sends this query, but origins serve it
+	// Origins serve the query for the outcome of a push. Client has no method for it, since no command sends it.
+	var outcome origin.Result
 	err = c.call(t.Context(), http.MethodGet, pushPath+"?id=push+1", nil, &outcome)
 	check(err)
 	_, err = c.Show(t.Context(), false)
@@ -282,7 +283,7 @@
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil || len(entries) != 1 || entries[0].Name() != "last-known.json" {
-		t.Fatalf("directory has %v, %v, want last-known.json", entries, err)
+		t.Fatalf("directory has %v, error %v, want only last-known.json", entries, err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "last-known.json"))
 	if err != nil {
@@ -291,6 +292,6 @@
 	testutil.Golden(t, "last-known.json", text)
 	read, _, err := loadCachedSnapshot("testdata")
 	if err != nil || !reflect.DeepEqual(read, cached) {
-		t.Errorf("loadCachedSnapshot returns\n%+v, %v, want\n%+v", read, err, cached)
+		t.Errorf("loadCachedSnapshot returns\n%+v, error %v, want\n%+v", read, err, cached)
 	}
 }
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -56,7 +56,7 @@
 	mu            sync.Mutex
 	active        map[string]activeRevision    // active revisions by the member's name
 	configMembers map[string]*transport.Member // by the member's name
-	configBytes   map[string]*atomic.Int64     // bytes of configuration, by address
+	configBytes   map[string]*atomic.Int64     // bytes of configuration sent and received, by address
 }
 
 // activeRevision is the active revision of a member, and the time at which it became active.
@@ -350,7 +350,7 @@
 	}
 	loadavg, _ := os.ReadFile("/proc/loadavg") // empty if the file does not exist
 	load, _, _ := strings.Cut(string(loadavg), " ")
-	h.t.Logf("| %-46s | %4d | %.3f | %.3f | %.3f | load %s",
+	h.t.Logf("| %-46s | %4d members | median %.3f s | 99th percentile %.3f s | maximum %.3f s | load average %s",
 		what, len(took), quantile(0.5), quantile(0.99), took[len(took)-1].Seconds(), load)
 	return took
 }
@@ -420,9 +420,12 @@
 	return all
 }
 
-// logTraffic logs how many bytes per second a member sends and receives while action runs, measured for at least d. It
-// logs the total, the datagrams of the membership view, the other streams, which carry the endpoint list and the
-// synchronization of views, and the configuration, in a row labeled what.
+// logTraffic runs action and logs how many bytes per second a member sends and receives in this time, which is at least
+// d. The row is labeled what, and has the mean and the maximum over the members for:
+//   - all traffic;
+//   - the datagrams of the membership view;
+//   - the streams with the endpoint list and the synchronization of views;
+//   - the configuration.
 func (h *hollowTest) logTraffic(what string, d time.Duration, action func()) {
 	before, startedAt := h.traffic(), time.Now()
 	action()
--- a/internal/controlplane/transport/memberloop.go
+++ b/internal/controlplane/transport/memberloop.go
@@ -132,7 +132,7 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case controlplane.Apply:
-			l.toApply <- action.Snapshot // does not block: the core sends the next one after the result
+			l.toApply <- action.Snapshot // does not block: the core returns no further Apply before the result
 		case controlplane.Save:
 			if l.cfg.CacheDir != "" {
 				l.toSave.put(&action.Cached)
--- a/internal/controlplane/transport/origin.go
+++ b/internal/controlplane/transport/origin.go
@@ -45,7 +45,7 @@
 	// AllowedNetworks are the networks of the cluster, the operators and the other origins. Connections from other
 	// networks are closed before any data is read from them.
 	AllowedNetworks *netipx.IPSet
-	MaxSubscribers  int      // 0: 256
+	MaxSubscribers  int      // 0: defaultOriginSubscribers
 	Dial            DialFunc // connects to the other origins; nil: net.Dialer
 	Log             *slog.Logger
 }
--- a/internal/controlplane/transport/originhttp.go
+++ b/internal/controlplane/transport/originhttp.go
@@ -117,7 +117,7 @@
 	o.serveResult(w, r, id, origin.Propose{ID: id, BaseVersion: baseVersion, Text: text})
 }
 
-// serveResult passes a push, or the query for the outcome of one, to the node and responds with the result.
+// serveResult passes a push, or a query for the outcome of a push, to the node and responds with the result.
 func (o *Origin) serveResult(w http.ResponseWriter, r *http.Request, id string, event origin.Event) {
 	result := o.request(r.Context(), id, event)
 	if result == nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// confirmLatest requests a majority of the origins to confirm the latest revision.
+// confirmLatest asks a majority of the origins to confirm the latest revision.
 func (o *Origin) confirmLatest(r *http.Request) origin.Result {
 	o.mu.Lock()
 	o.readCount++
--- a/internal/controlplane/transport/originpeers.go
+++ b/internal/controlplane/transport/originpeers.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// sendMessage sends one message, and ignores errors: the consensus protocol itself repeats what was lost.
+// sendMessage sends one message, and ignores errors: the consensus protocol tolerates lost messages.
 func (o *Origin) sendMessage(ctx context.Context, name string, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
--- a/internal/controlplane/transport/protocol.go
+++ b/internal/controlplane/transport/protocol.go
@@ -74,7 +74,8 @@
 	Packed []byte `json:"packed,omitempty"`
 }
 
-// pack returns a line with the frame. It compresses the frame's text unless the result is no shorter.
+// pack returns a line that contains the frame. If compression makes the frame's text shorter, the line has the
+// compressed text in Packed instead of the text in the frame.
 func pack(frame controlplane.Frame) line {
 	var packed bytes.Buffer
 	writer, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression) // fails only for unknown levels
@@ -88,8 +89,8 @@
 	return line{Frame: &withoutText, Packed: packed.Bytes()}
 }
 
-// unpack restores the frame's text from Packed. It returns errTextTooLong if the text exceeds
-// controlplane.MaxSnapshotSize, and decompresses at most one byte more than that.
+// unpack restores the frame's text from Packed. If the text exceeds controlplane.MaxSnapshotSize, unpack returns
+// errTextTooLong, and decompresses no more than the first byte beyond that size.
 func (l *line) unpack() error {
 	if l.Frame == nil || len(l.Packed) == 0 {
 		return nil
--- a/internal/controlplane/transport/reporter.go
+++ b/internal/controlplane/transport/reporter.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// sendReports sends each new report to the upstream, and retries while that fails. It runs until ctx is done.
+// sendReports sends the latest report to the upstream whenever there is a new one. It runs until ctx is done.
 func (m *Member) sendReports(ctx context.Context) {
 	for {
 		select {
@@ -15,7 +15,7 @@
 }
 
 // sendPendingReports sends reports until none is left or there is no upstream. Without an upstream the report is
-// dropped, since the next upstream is sent a new report once it has answered.
+// dropped, since the next upstream is sent a new report once it has sent its path and its revision.
 func (m *Member) sendPendingReports(ctx context.Context) {
 	for ctx.Err() == nil {
 		report := m.reports.take()
--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	cached, confirmedAt, err := loadCachedSnapshot(dir)
 	if err != nil || cached == nil {
-		t.Fatalf("loadCachedSnapshot returns %v, %v, want a snapshot", cached, err)
+		t.Fatalf("loadCachedSnapshot returns %v, error %v, want a snapshot", cached, err)
 	}
 	want := testFrame(version, text)
 	got := cached.Frame
@@ -79,7 +79,7 @@
 	testutil.Until(t, "the newer version is stored", func() bool { return cachedVersion(t, dir) == 3 })
 	m.stop()
 	if !slices.Equal(m.applied, []uint64{2, 3}) {
-		t.Errorf("versions %d became active, want 2 and 3", m.applied)
+		t.Errorf("versions %d became active, want 2, then 3", m.applied)
 	}
 
 	checkCache(t, dir, 3, 3, "# third\n")
@@ -102,10 +102,10 @@
 	}
 	list, err := os.ReadDir(dir)
 	if err != nil || len(list) != 1 || list[0].Name() != "last-known.json" {
-		t.Fatalf("directory has %v, %v, want last-known.json", list, err)
+		t.Fatalf("directory has %v, error %v, want only last-known.json", list, err)
 	}
 	got, err := os.ReadFile(filepath.Join(dir, "last-known.json"))
 	if err != nil || string(got) != string(want) {
-		t.Errorf("file is\n%s, %v, want\n%s", got, err, want)
+		t.Errorf("file is\n%s, error %v, want\n%s", got, err, want)
 	}
 }
--- a/internal/controlplane/transport/subscribe.go
+++ b/internal/controlplane/transport/subscribe.go
@@ -53,7 +53,7 @@
 	path    string // URL path and query of the requests
 	targets []target
 	started int                  // number of targets requested so far
-	cancels []context.CancelFunc // cancel the requests to the targets
+	cancels []context.CancelFunc // functions that cancel the requests, one per requested target
 	results chan subscribeResult // buffers the results of all targets
 	winner  *subscription
 	errs    []error
--- a/internal/controlplane/transport/upstream.go
+++ b/internal/controlplane/transport/upstream.go
@@ -74,8 +74,8 @@
 }
 
 // awaitSelection waits until the selector may be called again: after delay or upstreamCheckInterval, whichever is
-// shorter, or when the membership view changes. If the view has not changed, a member that should subscribe to an
-// origin then probes the next one, and tells the selector if that origin responds.
+// shorter, or when the membership view changes. If the view has not changed, and this member should subscribe to an
+// origin, awaitSelection then probes the next origin with probeNextOrigin.
 func (m *Member) awaitSelection(
 	ctx context.Context, delay time.Duration, viewChanged <-chan struct{}, originIndex *int,
 ) {
@@ -153,8 +153,8 @@
 	upstream         target      // target of the subscription, with the name from the latest path that it sent
 	identified       bool        // whether the upstream has sent its path
 	nonParticipating atomic.Bool // whether the upstream is an origin that does not participate
-	// originIndex is the index of the origin that was subscribed to or probed last. Only awaitBetterUpstream uses it
-	// while that runs.
+	// originIndex is the index of the origin that was subscribed to or probed last. While awaitBetterUpstream runs, no
+	// other function uses it.
 	originIndex int
 }
 
@@ -218,8 +218,8 @@
 //
 // A subscription to a peer ends when the selector prefers another upstream, or when this member should subscribe to an
 // origin and one participates. A subscription to an origin that does not participate ends when another origin does.
-// Otherwise a whole cluster could stay with the one origin that was reachable while the others were down, and that
-// itself receives no changes.
+// Otherwise a whole cluster could stay subscribed to an origin that receives no changes, because it was the only
+// reachable one for some time.
 func (s *upstreamSession) awaitBetterUpstream(ctx context.Context, leave context.CancelCauseFunc) {
 	for sleep(ctx, upstreamCheckInterval) {
 		if s.hasBetterUpstream(ctx) {
@@ -247,8 +247,9 @@
 	return m.selector.Rank() < m.cfg.Selector.Roots
 }
 
-// probeNextOrigin probes the next origin. It reports whether the origin participates or, with acceptNonParticipating,
-// whether it responds at all. If so, it also tells the selector.
+// probeNextOrigin probes the next origin and reports whether it participates. With acceptNonParticipating, it also
+// returns true for an origin that responds that it does not participate. Before it returns true, it reports the success
+// to the selector.
 //
 // The selector avoids an origin for some time after it was unreachable. Without probes, a member would stay with a
 // peer, or without an upstream, until this time has passed, although the network has recovered. Only members that
