--- a/internal/controlplane/origin/config.go
+++ b/internal/controlplane/origin/config.go
@@ -12,7 +12,7 @@
 	"hazelwing/internal/controlplane"
 )
 
-// Limits of an origin. Higher values accept more, but take more memory, disk space and messages.
+// Limits of an origin. Higher values accept more requests and data, but take more memory, disk space and traffic.
 const (
 	MaxOrigins         = 7         // maximum number of origins of a cluster
 	MaxPendingRequests = 64        // maximum number of requests without result at one origin
@@ -96,9 +96,9 @@
 	BootstrapConfig        // if empty, that of the store is used; otherwise it must be equal to that of the store
 	Self            string // this origin's name; one of Origins
 	Seed            uint64 // seed of the random election timeouts
-	// TickInterval is the unit of time: a leader sends heartbeats every 2 ticks, and an election starts after 10 to 20
-	// ticks without one; default 100 ms. A higher value tolerates slower networks and disks, but replaces a failed
-	// leader later.
+	// TickInterval is the length of a tick; default 100 ms. A leader sends heartbeats every 2 ticks, and an election
+	// starts after 10 to 20 ticks without a heartbeat. A higher value tolerates slower networks and disks, but replaces
+	// a failed leader later.
 	TickInterval time.Duration
 	// RequestTimeout is the maximum time that a request waits for its result; default 4 s. After this time the outcome
 	// is OutcomeUnknown, or OutcomeRejected for a change that was never proposed to raft. A higher value tolerates
--- a/internal/controlplane/origin/doc.go
+++ b/internal/controlplane/origin/doc.go
@@ -17,5 +17,5 @@
 // its store has, the store has lost writes that this origin had acknowledged. The origin then logs the reason,
 // withdraws from consensus permanently, and only serves the snapshot that it has. After a start an origin participates
 // in consensus only when it has heard from all others or, after a while, from enough of them to form a majority with
-// itself. docs/design/controlplane.md says which cases this covers.
+// itself. docs/design/controlplane.md says which rollbacks are detected.
 package origin
--- a/internal/controlplane/origin/election.go
+++ b/internal/controlplane/origin/election.go
@@ -54,7 +54,7 @@
 // heardLeader records a message from the leader.
 func (n *Node) heardLeader() {
 	n.leaderSilence = 0
-	if n.electionTimeout < electionTicks { // shortened by this origin's own campaign
+	if n.electionTimeout < electionTicks { // a campaign of this origin has shortened it
 		n.resetElectionTimeout()
 	}
 }
--- a/internal/controlplane/origin/envelope.go
+++ b/internal/controlplane/origin/envelope.go
@@ -18,7 +18,7 @@
 // envelope is a message between origins. It is followed by a little-endian CRC-32C of its bytes: raft panics on a
 // message whose fields contradict each other, for example because it was altered in transit.
 type envelope struct {
-	BootstrapKey []byte               `cbor:"1,keyasint"`           // identifies the bootstrap; other ones are rejected
+	BootstrapKey []byte               `cbor:"1,keyasint"`           // the sender's bootstrap; must equal the receiver's
 	From         uint64               `cbor:"2,keyasint"`           // the sender's ID
 	WriteNumbers []uint64             `cbor:"3,keyasint"`           // highest known write numbers, by origin ID
 	RolledBack   bool                 `cbor:"4,keyasint,omitempty"` // the sender has withdrawn
--- a/internal/controlplane/origin/events.go
+++ b/internal/controlplane/origin/events.go
@@ -95,8 +95,8 @@
 	Error    string                `json:"err,omitempty"`
 }
 
-// LogMessage is a message for the log. At most one of each kind is logged in 10 s; Count includes those that were held
-// back.
+// LogMessage is a message for the log. A Node returns at most one message of each kind in 10 s. Count is the number of
+// messages for which it stands: the message itself, and those of its kind that were not returned before.
 type LogMessage struct {
 	Kind  controlplane.LogKind
 	Text  string
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -200,7 +200,7 @@
 		},
 	}
 	if !reflect.DeepEqual(results, want) {
-		t.Fatalf("the results are %+v, want %+v", results, want)
+		t.Fatalf("the results of the two pushes are %+v, want %+v", results, want)
 	}
 	goldenRecords(t, "store.txt", written)
 
@@ -249,7 +249,7 @@
 	}
 }
 
-// Outcomes and roles are sent as these words.
+// The texts with which outcomes and roles are sent stay the same.
 func TestOutcomeAndRoleNamesAreStable(t *testing.T) {
 	for outcome, want := range map[Outcome]string{
 		OutcomeAccepted: "accepted",
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -132,7 +132,8 @@
 	h.handle(i, Propose{x.id, x.base, x.text})
 }
 
-// rollBackSafely rolls a store back to a backup, unless the origins might not detect the rollback.
+// rollBackSafely rolls a store back to a backup. It does nothing if there is no backup of the store, or if maxRollbacks
+// other stores were rolled back: the origins are not guaranteed to detect more rollbacks.
 func (h *history) rollBackSafely(i int) {
 	disk := h.backups[i]
 	if disk == nil || !h.rolledBack[i] && len(h.rolledBack) >= h.maxRollbacks {
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -43,7 +43,7 @@
 	bootstrapKey string
 	rng          *rand.Rand
 
-	raft *raft.RawNode       // nil if the damaged store has not even a snapshot
+	raft *raft.RawNode       // nil if the store is damaged and not even its snapshot can be read
 	log  *raft.MemoryStorage // nil if raft is nil
 
 	// State of the store.
@@ -287,7 +287,7 @@
 	return append(actions, n.persist(ready.Entries, snapshot))
 }
 
-// sendRaft returns the Send of a message of raft.
+// sendRaft returns a Send that contains a message of raft.
 func (n *Node) sendRaft(m *raftpb.Message) Send {
 	peer := m.GetTo() - 1
 	n.ticksSinceSend[peer] = 0
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -36,7 +36,7 @@
 		w.waitUntil(time.Second, "all agree", w.allAgree)
 		for _, p := range w.machines {
 			if f, ok := p.node.Frame(); !ok || string(f.Text) != "# p39\n" || f.Revision != p.published {
-				t.Errorf("%s has the frame %v %q, want %v with the text of the last push",
+				t.Errorf("%s has the frame %v with text %q, want %v with the text of the last push",
 					p.name, f.Revision, f.Text, p.published)
 			}
 			if len(p.disk) > 2*maxAppliedEntries+8 {
@@ -130,7 +130,7 @@
 	count := map[Outcome]int{}
 	for id, list := range w.results {
 		if len(list) != 1 {
-			t.Fatalf("%s has %d results, want 1", id, len(list))
+			t.Fatalf("push %s has %d results, want 1", id, len(list))
 		}
 		count[list[0].Outcome]++
 	}
@@ -141,8 +141,8 @@
 	t.Log("results by outcome:", count)
 }
 
-// Snapshots at the size limit are accepted from any origin. An origin that was down receives the latest one in a
-// snapshot of raft's log. Messages (checked by simulation.send) and stores stay within their limits.
+// Snapshots at the size limit are accepted from any origin. An origin that was down receives the latest
+// version in a snapshot of raft's log. Messages (checked by simulation.send) and stores stay within their limits.
 func TestSnapshotAtTheSizeLimit(t *testing.T) {
 	w := newRunningSimulation(t, 3, 1)
 	away := (w.leader() + 1) % 3
@@ -232,7 +232,7 @@
 		// The smaller side may still have a leader now, but this change never gets a majority.
 		if a := w.push(small[0], "at once", 1, textOf("at once")); a.Outcome != OutcomeUnknown &&
 			a.Outcome != OutcomeRejected {
-			t.Fatalf("a push to the smaller side of the network: outcome %q, want %q or %q (the leader was %d)",
+			t.Fatalf("a push to the smaller side of the network: outcome %q, want %q or %q (leader before: index %d)",
 				a.Outcome, OutcomeUnknown, OutcomeRejected, old)
 		}
 		w.waitUntil(6*time.Second, "a leader of the larger part",
@@ -259,7 +259,8 @@
 		for i := range w.partition {
 			w.partition[i] = 0
 		}
-		t.Log("all agree after", w.waitUntil(5*time.Second, "all agree", w.allAgree))
+		agreedAfter := w.waitUntil(5*time.Second, "all agree", w.allAgree)
+		t.Log("time from the end of the partition until all origins agreed:", agreedAfter)
 		if got := w.machines[big].node.root.Term; got != terms {
 			t.Errorf("the return of the smaller side led to an election: the term is %d, want %d as before", got, terms)
 		}
@@ -321,7 +322,7 @@
 		}
 		w.run(10 * time.Second)
 		if s := w.machines[(i+1)%5].node.Status(); !slices.Contains(s.RolledBack, w.machines[i].name) {
-			t.Errorf("the others list %q as rolled back, want %s among them", s.RolledBack, w.machines[i].name)
+			t.Errorf("another origin lists %q as rolled back, want %s in the list", s.RolledBack, w.machines[i].name)
 		}
 	}
 }
@@ -442,12 +443,12 @@
 		w.run(10 * time.Second)
 		n := w.machines[i].node
 		if n.Status().Role != RoleStarting || !n.state.revision(1).IsZero() || n.foreignMessages == 0 {
-			t.Errorf("%v: role %q, revision %v, %d foreign messages; want role %q, no revision, and foreign messages",
+			t.Errorf("bootstrap %v: role %q, revision %v, %d foreign messages; want role %q, no revision, at least 1",
 				f, n.Status().Role, n.revision(), n.foreignMessages, RoleStarting)
 		}
 		checkResult(t, "2", w.push((i+1)%3, "2", 1, textOf("2")), OutcomeAccepted, 2)
 		if a := w.push(i, "3", 2, textOf("3")); a.Outcome != OutcomeRejected {
-			t.Errorf("%v: a push to the starting origin has outcome %q, want %q", f, a.Outcome, OutcomeRejected)
+			t.Errorf("bootstrap %v: a push to the starting origin: outcome %q, want %q", f, a.Outcome, OutcomeRejected)
 		}
 	}
 }
@@ -510,22 +511,22 @@
 func TestStateMachine(t *testing.T) {
 	m := new(stateMachine)
 	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 {
-		t.Fatalf("a push with a base version that does not exist: %+v (changed %t), want version 0 and no change", e,
-			fresh)
+		t.Fatalf("push with a base version that does not exist: outcome %+v, changed %t; want version 0 and no change",
+			e, fresh)
 	}
 	if e, fresh := m.apply(&logEntry{"first", 0, textOf("first")}); !fresh || e.Version != 1 {
-		t.Fatalf("the first push: %+v (changed %t), want version 1 and a change", e, fresh)
+		t.Fatalf("the first push: outcome %+v, changed %t; want version 1 and a change", e, fresh)
 	}
 	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 || m.Version != 1 {
-		t.Fatalf("a repeated push that was in conflict: %+v (changed %t), want version 0 and no change; the version "+
-			"is %d, want 1", e, fresh, m.Version)
+		t.Fatalf("a repeated push that was in conflict: outcome %+v, changed %t; want version 0 and no change; "+
+			"the version of the state is %d, want 1", e, fresh, m.Version)
 	}
 	for i := range 2 * MaxOutcomes {
 		m.apply(&logEntry{fmt.Sprint(i), 0, textOf("x")})
 	}
 	if len(m.Outcomes) != MaxOutcomes || len(m.marshal()) > MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize {
-		t.Errorf("%d outcomes and %d bytes, want %d outcomes and at most %d bytes", len(m.Outcomes), len(m.marshal()),
-			MaxOutcomes, MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize)
+		t.Errorf("the state has %d outcomes and %d bytes, want %d outcomes and at most %d bytes", len(m.Outcomes),
+			len(m.marshal()), MaxOutcomes, MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize)
 	}
 }
 
@@ -546,7 +547,7 @@
 	w.handle(i, w.forge(l, i, &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), Term: &term, Commit: &commit}))
 	if s := w.machines[i].node.Status(); s.Role != RoleRolledBack ||
 		!strings.Contains(w.machines[i].node.rollbackReason, "counts on entry 999") {
-		t.Errorf("the role is %q with rollback reason %q, want %q because of entry 999", s.Role,
+		t.Errorf("the role is %q with rollback reason %q, want %q with a reason that names entry 999", s.Role,
 			w.machines[i].node.rollbackReason, RoleRolledBack)
 	}
 }
@@ -646,13 +647,13 @@
 	at := w.now
 	if a := w.push((l+2)%3, "y", 0, textOf("y")); a.Outcome != OutcomeRejected || a.Error != ErrNotLeader.Error() ||
 		w.now-at < 3*time.Second {
-		t.Errorf("a push without a leader has outcome %q after %v, want %q after at least 3 s: %s", a.Outcome, w.now-at,
-			OutcomeRejected, a.Error)
+		t.Errorf("a push without a leader: outcome %q, error %q after %v; want outcome %q, error %q after at least 3 s",
+			a.Outcome, a.Error, w.now-at, OutcomeRejected, ErrNotLeader)
 	}
 	at = w.now
 	if a := w.push((l+2)%3, "z", 0, textOf("z")); a.Outcome != OutcomeRejected || w.now-at > 100*time.Millisecond {
-		t.Errorf("a later push without a leader has outcome %q after %v, want %q within 100 ms: %s",
-			a.Outcome, w.now-at, OutcomeRejected, a.Error)
+		t.Errorf("a later push without a leader: outcome %q, error %q after %v; want outcome %q within 100 ms",
+			a.Outcome, a.Error, w.now-at, OutcomeRejected)
 	}
 }
 
@@ -690,7 +691,8 @@
 		t.Logf("%d origins failed: half of the elections took at most %v, 90 %% %v, all %v",
 			lost, all[12], all[22], all[24])
 		if all[12] > 1500*time.Millisecond || all[24] > 2*time.Second {
-			t.Errorf("the median election took %v and the slowest %v, want at most 1.5 s and 2 s", all[12], all[24])
+			t.Errorf("%d origins failed: the median election took %v and the slowest %v, want at most 1.5 s and 2 s",
+				lost, all[12], all[24])
 		}
 	}
 }
--- a/internal/controlplane/origin/persist.go
+++ b/internal/controlplane/origin/persist.go
@@ -30,8 +30,8 @@
 	return deletes
 }
 
-// persist returns a Persist that writes new entries, a new snapshot unless it is nil, and the root that references
-// them, and deletes the records that the root no longer references.
+// persist returns a Persist that writes new entries, a new snapshot (unless it is nil) and the root that references
+// them. The Persist also deletes the records that the root no longer references.
 func (n *Node) persist(entries []*raftpb.Entry, snapshot *raftpb.Snapshot) Persist {
 	var puts, deletes []Record
 	if snapshot != nil {
--- a/internal/controlplane/origin/records.go
+++ b/internal/controlplane/origin/records.go
@@ -27,11 +27,11 @@
 	SnapshotIndex  uint64    `cbor:"6,keyasint"`
 	SnapshotTerm   uint64    `cbor:"7,keyasint"`
 	LastIndex      uint64    `cbor:"8,keyasint"` // index of the last entry; SnapshotIndex if there is none
-	TermRuns       []termRun `cbor:"9,keyasint"` // terms of the entries
+	TermRuns       []termRun `cbor:"9,keyasint"` // terms of the entries, in order of the index
 	RollbackReason string    `cbor:"10,keyasint,omitempty"`
 }
 
-// termRun says that the entries from Index up to the next run have the term Term.
+// termRun says that the entries from Index to the one before the next run have the term Term.
 type termRun struct {
 	_     struct{} `cbor:",toarray"`
 	Index uint64
--- a/internal/controlplane/origin/requests.go
+++ b/internal/controlplane/origin/requests.go
@@ -122,7 +122,7 @@
 // origin and of the request, 8 bytes each.
 const readContextSize = 16
 
-// requestReadIndex asks raft for the index that a majority has committed.
+// requestReadIndex asks raft for the index of the last entry that a majority has committed.
 func (n *Node) requestReadIndex(readID uint64) {
 	if n.raft.BasicStatus().Lead == raft.None {
 		return
@@ -201,7 +201,7 @@
 	return Result{}, false
 }
 
-// completeRead returns the result of a query or read whose index was applied.
+// completeRead returns the result of a query or read whose readIndex was applied.
 func (n *Node) completeRead(p *pendingRequest, outcome changeOutcome, known bool) Result {
 	switch {
 	case p.kind == requestRead:
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -193,7 +193,7 @@
 	}
 	s, err := Load(st)
 	if err != nil || s.Bootstrap.Epoch != 5 {
-		t.Fatalf("Load returned %+v and %v, want epoch 5", s, err)
+		t.Fatalf("Load returned %+v, error %v; want epoch 5", s, err)
 	}
 	if _, _, err := NewNode(Config{Self: "o9"}, s, 0); err == nil {
 		t.Error("NewNode with the name o9 returned no error, want one: the store has the origins o1 to o5")
@@ -204,6 +204,6 @@
 	}
 	if err := Write(st, Persist{[]Record{{Key: "x", Value: make([]byte, store.MaxValue+1)}}}); !errors.Is(err,
 		store.ErrSize) {
-		t.Errorf("Write of a value that is too long returned %v, want %v", err, store.ErrSize)
+		t.Errorf("Write of a value that is too long returned error %v, want %v", err, store.ErrSize)
 	}
 }
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -27,7 +27,7 @@
 	path := t.TempDir()
 	logs, err := filepath.Glob(filepath.Join(storedDir, name, "*.log"))
 	if err != nil || len(logs) != 2 {
-		t.Fatalf("%s has %d segments, want 2: %v", name, len(logs), err)
+		t.Fatalf("%s has %d segments, error %v; want 2 segments", name, len(logs), err)
 	}
 	for _, file := range logs {
 		text, err := os.ReadFile(file)
@@ -122,8 +122,8 @@
 	return s
 }
 
-// Origins that start from the stores of commit 593ba64 have its changes and their outcomes, and accept another change.
-// After one more restart from their directories they have all three changes.
+// Origins that start from the stores of commit 593ba64 have the two stored changes with their outcomes, and accept
+// another change. After one more restart from their directories they have all three changes.
 func TestOriginsLoadStoresOfEarlierVersion(t *testing.T) {
 	var dirs []store.FS
 	for _, name := range originNames(3) {
--- a/internal/controlplane/transport/format_test.go
+++ b/internal/controlplane/transport/format_test.go
@@ -55,7 +55,7 @@
 	testutil.Golden(t, name+"-empty.json", testutil.IndentedJSON(t, reflect.Zero(reflect.TypeOf(v)).Interface()))
 	read := reflect.New(reflect.TypeOf(v))
 	if err := json.Unmarshal(testutil.IndentedJSON(t, v), read.Interface()); err != nil {
-		t.Errorf("decode %s: %v", name, err)
+		t.Errorf("%s: decoding returned error %v, want none", name, err)
 	}
 }
 
--- a/internal/controlplane/transport/hollow_long_test.go
+++ b/internal/controlplane/transport/hollow_long_test.go
@@ -132,7 +132,8 @@
 	if err := h.Start(h.Members...); err != nil {
 		h.t.Fatal(err)
 	}
-	h.t.Logf("stopped all members in %.1f s, started in %.1f s", stopTime.Seconds(), time.Since(startedAt).Seconds())
+	startTime := time.Since(startedAt)
+	h.t.Logf("stopped all members in %.1f s, started them in %.1f s", stopTime.Seconds(), startTime.Seconds())
 	h.awaitActive("restart of all, no cache: since first start", latest, startedAt, h.Members)
 	h.awaitAgreement()
 	revision, pushedAt := h.push(0, 1)
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -380,7 +380,7 @@
 		member := h.configMembers[name]
 		h.mu.Unlock()
 		state, ok := member.State()
-		h.t.Logf("state of member %s (answered: %v): %+v", name, ok, state)
+		h.t.Logf("state of member %s (event loop answered: %v): %+v", name, ok, state)
 	}
 	for _, addr := range h.originAddrs {
 		status, err := transport.NewClient(hollowCluster, addr).Status(h.t.Context())
--- a/internal/controlplane/transport/member_test.go
+++ b/internal/controlplane/transport/member_test.go
@@ -250,7 +250,7 @@
 	upstream.publish(testFrame(4, "# four"))
 	m := startMember(t, "m", dir, upstream.addr)
 	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "active revision: 1.4" {
-		t.Errorf("WaitReady returns %q, want revision 1.4", text)
+		t.Errorf("WaitReady returns %q, want \"active revision: 1.4\"", text)
 	}
 	path := filepath.Join(dir, cacheFileName)
 	testutil.Until(t, "the snapshot is stored", func() bool { _, err := os.Stat(path); return err == nil })
@@ -263,7 +263,7 @@
 	awaitVersion(t, "the cached snapshot is active", 4, m)
 	text := m.WaitReady(t.Context(), 50*time.Millisecond)
 	if !strings.Contains(text, "the last known one, 1.4, confirmed 25h0m") {
-		t.Errorf("WaitReady returns %q, want the last known revision of 25 hours ago", text)
+		t.Errorf("WaitReady returns %q, want the last known revision 1.4, confirmed 25 hours ago", text)
 	}
 	if s, _ := m.State(); !s.FromCache || s.Ready || !strings.HasPrefix(s.CachedAge, "25h0m") {
 		t.Errorf("state is %+v, want an unconfirmed snapshot that is 25 hours old", s)
@@ -271,7 +271,7 @@
 	m.stop()
 	m = startMember(t, "m", dir, upstream.addr)
 	if text := m.WaitReady(t.Context(), testutil.WaitTimeout); text != "active revision: 1.4" {
-		t.Errorf("WaitReady returns %q, want revision 1.4", text)
+		t.Errorf("WaitReady returns %q, want \"active revision: 1.4\"", text)
 	}
 	m.stop()
 	stored, err := os.ReadFile(path)
@@ -282,6 +282,6 @@
 	m = startMember(t, "m", dir, unreachableOrigin)
 	text = m.WaitReady(t.Context(), 50*time.Millisecond)
 	if !strings.Contains(text, "there is no usable cached snapshot: the platform's settings apply") {
-		t.Errorf("WaitReady returns %q, want no usable cached snapshot", text)
+		t.Errorf("WaitReady returns %q, want a text that says that there is no usable cached snapshot", text)
 	}
 }
--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -41,7 +41,8 @@
 	want := testFrame(version, text)
 	got := cached.Frame
 	if got.Cluster != "f" || got.Revision != want.Revision || string(got.Text) != text {
-		t.Errorf("cached frame is %+v with text %q, want %+v", got, got.Text, want)
+		t.Errorf("cached frame is %+v with text %q, want revision %v of cluster f with text %q",
+			got, got.Text, want.Revision, text)
 	}
 	if cached.Highest.Epoch != 1 || cached.Highest.Version != highest || time.Since(confirmedAt) > time.Minute {
 		t.Errorf("highest revision is %v, confirmed at %v, want 1.%d, confirmed in the last minute",
--- a/internal/controlplane/transport/watch.go
+++ b/internal/controlplane/transport/watch.go
@@ -36,8 +36,9 @@
 	return nil
 }
 
-// awaitUpstream waits until this process has an upstream or the maximum number of subscribers, at most until
-// upstreamWait has passed or ctx is done. The caller holds s.mu, which awaitUpstream unlocks while it waits.
+// awaitUpstream waits until this process has an upstream. It also returns when this process has the maximum number of
+// subscribers, upstreamWait has passed or ctx is done. The caller holds s.mu, which awaitUpstream unlocks while it
+// waits.
 func (s *subscriptionServer) awaitUpstream(ctx context.Context) {
 	timeout := time.After(upstreamWait)
 	for !s.upstreamHealthy && len(s.subscribers) < s.maxSubscribers {
