--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -510,16 +510,16 @@
 // base version is the latest version by then.
 func TestStateMachine(t *testing.T) {
 	m := new(stateMachine)
-	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 {
+	if e, changed := m.apply(&logEntry{"early", 1, textOf("early")}); changed || e.Version != 0 {
 		t.Fatalf("push with a base version that does not exist: outcome %+v, changed %t; want version 0 and no change",
-			e, fresh)
+			e, changed)
 	}
-	if e, fresh := m.apply(&logEntry{"first", 0, textOf("first")}); !fresh || e.Version != 1 {
-		t.Fatalf("the first push: outcome %+v, changed %t; want version 1 and a change", e, fresh)
+	if e, changed := m.apply(&logEntry{"first", 0, textOf("first")}); !changed || e.Version != 1 {
+		t.Fatalf("the first push: outcome %+v, changed %t; want version 1 and a change", e, changed)
 	}
-	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 || m.Version != 1 {
+	if e, changed := m.apply(&logEntry{"early", 1, textOf("early")}); changed || e.Version != 0 || m.Version != 1 {
 		t.Fatalf("a repeated push that was in conflict: outcome %+v, changed %t; want version 0 and no change; "+
-			"the version of the state is %d, want 1", e, fresh, m.Version)
+			"the version of the state is %d, want 1", e, changed, m.Version)
 	}
 	for i := range 2 * MaxOutcomes {
 		m.apply(&logEntry{fmt.Sprint(i), 0, textOf("x")})
--- a/internal/controlplane/transport/hollow_test.go
+++ b/internal/controlplane/transport/hollow_test.go
@@ -334,32 +334,32 @@
 ) []time.Duration {
 	h.t.Helper()
 	deadline := time.Now().Add(h.changeTimeout())
-	took, missing := h.activeAt(revision, since, members)
+	delays, missing := h.activeAt(revision, since, members)
 	for len(missing) > 0 && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
-		took, missing = h.activeAt(revision, since, members)
+		delays, missing = h.activeAt(revision, since, members)
 	}
 	if len(missing) > 0 {
 		h.logStates(missing)
 		h.t.Fatalf("%s: revision %v is active at %d of %d members, want all; missing: %.300s",
-			what, revision, len(took), len(members), strings.Join(missing, " "))
+			what, revision, len(delays), len(members), strings.Join(missing, " "))
 	}
-	slices.Sort(took)
+	slices.Sort(delays)
 	quantile := func(share float64) float64 {
-		return took[min(len(took)-1, int(share*float64(len(took))))].Seconds()
+		return delays[min(len(delays)-1, int(share*float64(len(delays))))].Seconds()
 	}
 	loadavg, _ := os.ReadFile("/proc/loadavg") // empty if the file does not exist
 	load, _, _ := strings.Cut(string(loadavg), " ")
 	h.t.Logf("| %-46s | %4d members | median %.3f s | 99th percentile %.3f s | maximum %.3f s | load average %s",
-		what, len(took), quantile(0.5), quantile(0.99), took[len(took)-1].Seconds(), load)
-	return took
+		what, len(delays), quantile(0.5), quantile(0.99), delays[len(delays)-1].Seconds(), load)
+	return delays
 }
 
 // activeAt returns the delays after since at which members activated a revision or a later one, and the names of the
 // members that have not activated it.
 func (h *hollowTest) activeAt(
 	revision controlplane.Revision, since time.Time, members []*hollow.Member,
-) (took []time.Duration, missing []string) {
+) (delays []time.Duration, missing []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, m := range members {
@@ -368,9 +368,9 @@
 			missing = append(missing, m.Name)
 			continue
 		}
-		took = append(took, max(0, active.since.Sub(since)))
+		delays = append(delays, max(0, active.since.Sub(since)))
 	}
-	return took, missing
+	return delays, missing
 }
 
 // logStates logs the state of the named members, but of at most maxLoggedMembers, and the status of all origins.
@@ -484,8 +484,8 @@
 		})
 	}
 	revision, pushedAt := h.push(0, 1)
-	took := h.awaitActive("a change", revision, pushedAt, h.Members)
-	if slowest := took[len(took)-1]; slowest > 4*time.Second {
+	delays := h.awaitActive("a change", revision, pushedAt, h.Members)
+	if slowest := delays[len(delays)-1]; slowest > 4*time.Second {
 		t.Errorf("change became active at all members after %v, want at most 4s", slowest)
 	}
 	if *hollowMembers > 0 {
