--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -127,8 +127,8 @@
 				name, e, err)
 		}
 		if (m != nil) != (name == "message") || m != nil && (m.GetCommit() != 11 || m.GetTerm() != 4) {
-			t.Errorf("%s: raft's message is decoded as %v, want commit 11 and term 4 in \"message\", otherwise none",
-				name, m)
+			t.Errorf("%s: decoded raft message %v, want one with commit 11 and term 4 for \"message\" and none for "+
+				"the other name", name, m)
 		}
 	}
 	testutil.GoldenBinary(t, "founding-key.hex", []byte(bootstrap.key()))
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -224,7 +224,7 @@
 		}
 	}
 	if len(h.published) != int(latest) {
-		h.t.Fatalf("%d versions were published, want %d, the latest version", len(h.published), latest)
+		h.t.Fatalf("%d versions were published, want %d, one for each up to the latest", len(h.published), latest)
 	}
 }
 
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -373,8 +373,8 @@
 				"\"higher epoch\"", p.name, a.Outcome, a.Error, OutcomeRejected)
 		}
 		if s := p.node.Status(); s.Ahead != later || s.Report.Members != 200 {
-			t.Errorf("the status of %s has %d members with the conflicting revision %v, want 200 with %v", p.name,
-				s.Report.Members, s.Ahead, later)
+			t.Errorf("the status of %s: %d members, conflicting revision %v; want 200 members, conflicting revision %v",
+				p.name, s.Report.Members, s.Ahead, later)
 		}
 	}
 	// The same version with different content prevents changes, too.
@@ -425,7 +425,7 @@
 	}
 	report(1, 603)
 	if s := w.machines[0].node.Status(); !s.Ahead.IsZero() {
-		t.Errorf("revision %v of members counts as ahead, want none", s.Ahead)
+		t.Errorf("the status has the conflicting revision %v of an earlier epoch, want none", s.Ahead)
 	}
 	checkResult(t, "a push in the new epoch", w.push(0, "anew", 0, textOf("anew")), OutcomeAccepted, 1)
 }
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -25,7 +25,8 @@
 }
 
 // An origin on the embedded store loses power after a varying number of steps of the file system, and restarts from the
-// remaining files. It must not lose changes that it acknowledged, nor withdraw although its store was not rolled back.
+// remaining files. It must not lose changes that it acknowledged. It must not withdraw either, since its store was not
+// rolled back.
 func TestRestartAfterPowerLoss(t *testing.T) {
 	acknowledged, runs := 0, 0
 	for crash := int64(3000); crash < 60_000; crash += 1900 {
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -208,10 +208,10 @@
 			add(splitValue(entryKey(i, e.GetTerm()), marshalEntry(e))...)
 		}
 		if m.Version != 2 || string(m.Text) != storedSecond {
-			t.Errorf("%s: the entries result in the state %+v, want version 2 with text %q", name, m, storedSecond)
+			t.Errorf("%s: the stored entries result in state %+v, want version 2 and text %q", name, m, storedSecond)
 		}
 		if !maps.EqualFunc(s.Records, want, bytes.Equal) {
-			t.Errorf("%s has the records\n%q, want\n%q", name, s.Records, want)
+			t.Errorf("the store of %s has the records\n%q, want\n%q", name, s.Records, want)
 		}
 	}
 }
--- a/internal/controlplane/transport/hollow_long_test.go
+++ b/internal/controlplane/transport/hollow_long_test.go
@@ -20,7 +20,7 @@
 	replacedMembers = 63
 )
 
-// applyNetworkStep changes the links of the emulated network as step describes.
+// applyNetworkStep applies a step, such as "cut z2 rest" or "heal", to the links of the emulated network.
 func (h *hollowTest) applyNetworkStep(step string) {
 	h.t.Helper()
 	if err := h.Links.Apply(step); err != nil {
@@ -102,7 +102,8 @@
 	h.awaitAgreement()
 }
 
-// replaceMembersDuringPush replaces many members at once while a change is pushed, and returns its revision.
+// replaceMembersDuringPush replaces many members at once while a change is pushed. It returns the revision of the
+// change.
 func (h *hollowTest) replaceMembersDuringPush() controlplane.Revision {
 	half := len(h.Members) / 2
 	replaced := h.Members[half:]
--- a/internal/controlplane/transport/originpeers.go
+++ b/internal/controlplane/transport/originpeers.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// sendMessage sends one message, and ignores errors: the consensus protocol tolerates lost messages.
+// sendMessage sends one message, and ignores errors: the consensus protocol tolerates lost messages, and sends again
+// those that are still needed.
 func (o *Origin) sendMessage(ctx context.Context, name string, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
--- a/internal/controlplane/transport/reporter.go
+++ b/internal/controlplane/transport/reporter.go
@@ -2,7 +2,8 @@
 
 import "context"
 
-// sendReports sends the latest report to the upstream whenever there is a new one. It runs until ctx is done.
+// sendReports sends the latest report to the upstream whenever there is a new one, and retries while that fails. It
+// runs until ctx is done.
 func (m *Member) sendReports(ctx context.Context) {
 	for {
 		select {
