--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -443,7 +443,8 @@
 		w.run(10 * time.Second)
 		n := w.machines[i].node
 		if n.Status().Role != RoleStarting || !n.state.revision(1).IsZero() || n.foreignMessages == 0 {
-			t.Errorf("bootstrap %v: role %q, revision %v, %d foreign messages; want role %q, no revision, at least 1",
+			t.Errorf("bootstrap %v: role %q, revision %v, %d foreign messages; want role %q, no revision, "+
+				"at least 1 foreign message",
 				f, n.Status().Role, n.revision(), n.foreignMessages, RoleStarting)
 		}
 		checkResult(t, "2", w.push((i+1)%3, "2", 1, textOf("2")), OutcomeAccepted, 2)
