--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// The encoding of a message between origins stays the same: the envelope, raft's message and the checksum, with and
-// without a report. Another origin can decode it.
+// The encoding of a message between origins stays the same: the envelope and its checksum, once with a message of raft
+// and a report and once without both. Another origin can decode it.
 func TestOriginMessageFormatIsStable(t *testing.T) {
 	bootstrap := testBootstrapConfig()
 	sender := &Node{
@@ -127,8 +127,8 @@
 				name, e, err)
 		}
 		if (m != nil) != (name == "message") || m != nil && (m.GetCommit() != 11 || m.GetTerm() != 4) {
-			t.Errorf("%s: raft's message is decoded as %v, want commit 11 and term 4 in \"message\", otherwise none",
-				name, m)
+			t.Errorf("%s: decoded raft message %v, want one with commit 11 and term 4 for \"message\" and none for "+
+				"the other name", name, m)
 		}
 	}
 	testutil.GoldenBinary(t, "founding-key.hex", []byte(bootstrap.key()))
@@ -200,7 +200,7 @@
 		},
 	}
 	if !reflect.DeepEqual(results, want) {
-		t.Fatalf("the results are %+v, want %+v", results, want)
+		t.Fatalf("the results of the two pushes are %+v, want %+v", results, want)
 	}
 	goldenRecords(t, "store.txt", written)
 
@@ -243,13 +243,13 @@
 			read := reflect.New(reflect.TypeOf(v))
 			err := json.Unmarshal(text, read.Interface())
 			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
-				t.Errorf("decoding returned error %v and\n%+v, want\n%+v", err, read.Elem(), value)
+				t.Errorf("%s: decoding returned error %v and\n%+v, want\n%+v", file, err, read.Elem(), value)
 			}
 		}
 	}
 }
 
-// Outcomes and roles are sent as these words.
+// The texts with which outcomes and roles are sent stay the same.
 func TestOutcomeAndRoleNamesAreStable(t *testing.T) {
 	for outcome, want := range map[Outcome]string{
 		OutcomeAccepted: "accepted",
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -36,7 +36,7 @@
 		w.waitUntil(time.Second, "all agree", w.allAgree)
 		for _, p := range w.machines {
 			if f, ok := p.node.Frame(); !ok || string(f.Text) != "# p39\n" || f.Revision != p.published {
-				t.Errorf("%s has the frame %v %q, want %v with the text of the last push",
+				t.Errorf("%s has the frame %v with text %q, want %v with the text of the last push",
 					p.name, f.Revision, f.Text, p.published)
 			}
 			if len(p.disk) > 2*maxAppliedEntries+8 {
@@ -122,7 +122,7 @@
 				sent++
 			}
 			if n := len(w.machines[i].node.pending); n > MaxPendingRequests {
-				t.Fatalf("%d requests are pending, want at most %d", n, MaxPendingRequests)
+				t.Fatalf("%s has %d pending requests, want at most %d", w.machines[i].name, n, MaxPendingRequests)
 			}
 		}
 		w.run(8 * time.Second)
@@ -130,18 +130,19 @@
 	count := map[Outcome]int{}
 	for id, list := range w.results {
 		if len(list) != 1 {
-			t.Fatalf("%s has %d results, want 1", id, len(list))
+			t.Fatalf("push %s has %d results, want 1", id, len(list))
 		}
 		count[list[0].Outcome]++
 	}
 	if len(w.results) != sent || count[OutcomeAccepted] != 3 {
-		t.Errorf("%d pushes of %d have a result, want all of them, and 3 accepted: %v", len(w.results), sent, count)
+		t.Errorf("%d of %d pushes have a result, want all, and 3 accepted; results by outcome: %v",
+			len(w.results), sent, count)
 	}
-	t.Log(count)
+	t.Log("results by outcome:", count)
 }
 
-// Snapshots at the size limit are accepted from any origin. An origin that was down receives the latest one in a
-// snapshot of the log. Messages (checked by simulation.send) and stores stay within their limits.
+// Snapshots at the size limit are accepted from any origin. An origin that was down receives the latest
+// version in a snapshot of raft's log. Messages (checked by simulation.send) and stores stay within their limits.
 func TestSnapshotAtTheSizeLimit(t *testing.T) {
 	w := newRunningSimulation(t, 3, 1)
 	away := (w.leader() + 1) % 3
@@ -168,9 +169,9 @@
 	}
 }
 
-// An origin crashes during a push, after each of its first 20 writes and sends. The operator does not know whether the
-// change was accepted, and a second push could apply it twice. Another origin can be queried by ID, the outcome does
-// not change later, and a repeated push with the same ID does no harm.
+// An origin crashes during a push, after 0 to 19 writes and sends. The operator does not know whether the change was
+// accepted, and a second push could apply it twice. The operator can query another origin for the push by its ID. An
+// accepted push stays accepted, and pushing again with the same ID does not apply the change twice.
 func TestCrashDuringPush(t *testing.T) {
 	outcomes := map[string]int{}
 	for _, leads := range []bool{true, false} {
@@ -198,14 +199,14 @@
 			w.start(i)
 			w.run(5 * time.Second)
 			if c := w.query(i, "mid"); b.Outcome == OutcomeAccepted && c.Outcome != OutcomeAccepted {
-				t.Fatalf("crash after %d steps: a query returns %q, and a later one %q, want the same",
+				t.Fatalf("crash after %d steps: the query returns %q, and a later query %q, want the same",
 					steps, b.Outcome, c.Outcome)
 			}
 			checkResult(t, "again", w.push(other, "mid", 1, textOf("mid")), OutcomeAccepted, 2)
 			w.waitUntil(5*time.Second, "all agree", w.allAgree)
 		}
 	}
-	t.Log(outcomes)
+	t.Log("outcomes of the push and of the query, with their numbers:", outcomes)
 	if len(outcomes) < 3 {
 		t.Errorf("the crashes led to %d different pairs of outcomes, want at least 3: %v", len(outcomes), outcomes)
 	}
@@ -231,7 +232,7 @@
 		// The smaller side may still have a leader now, but this change never gets a majority.
 		if a := w.push(small[0], "at once", 1, textOf("at once")); a.Outcome != OutcomeUnknown &&
 			a.Outcome != OutcomeRejected {
-			t.Fatalf("a push to the smaller side of the network: outcome %q, want %q or %q (the leader was %d)",
+			t.Fatalf("a push to the smaller side of the network: outcome %q, want %q or %q (leader before: index %d)",
 				a.Outcome, OutcomeUnknown, OutcomeRejected, old)
 		}
 		w.waitUntil(6*time.Second, "a leader of the larger part",
@@ -258,7 +259,8 @@
 		for i := range w.partition {
 			w.partition[i] = 0
 		}
-		t.Log("all agree after", w.waitUntil(5*time.Second, "all agree", w.allAgree))
+		agreedAfter := w.waitUntil(5*time.Second, "all agree", w.allAgree)
+		t.Log("time from the end of the partition until all origins agreed:", agreedAfter)
 		if got := w.machines[big].node.root.Term; got != terms {
 			t.Errorf("the return of the smaller side led to an election: the term is %d, want %d as before", got, terms)
 		}
@@ -280,8 +282,9 @@
 }
 
 // One origin starts with an older copy of its store, as from a backup. The copy lacks votes and changes that the origin
-// acknowledged, so it could take part in a majority without them, and raft panics on such a follower. The origin says
-// why it withdraws, and never votes or acknowledges again, even after a restart. The others continue.
+// acknowledged. The origin could form a majority without these changes, and raft panics if a follower lacks entries
+// that it acknowledged. The origin logs why it withdraws, and never votes or acknowledges again, even after a restart.
+// The others continue.
 func TestRolledBackStore(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		w := newRunningSimulation(t, 5, 3)
@@ -300,7 +303,8 @@
 			func() bool { return w.machines[i].node.Status().Role == RoleRolledBack })
 		if !slices.ContainsFunc(w.machines[i].logged,
 			func(s string) bool { return strings.HasPrefix(s, "rolled back: its store was rolled back") }) {
-			t.Errorf("the log lacks the reason of the withdrawal: %q", w.machines[i].logged)
+			t.Errorf("the origin logged %q, want a message that begins with %q", w.machines[i].logged,
+				"rolled back: its store was rolled back")
 		}
 		w.waitUntil(5*time.Second, "a leader", func() bool { return w.leader() >= 0 })
 		w.run(3 * time.Second)
@@ -312,12 +316,13 @@
 		}
 		w.stop(i)
 		w.start(i)
-		if s := w.machines[i].node.Status(); s.Role != RoleRolledBack { // without a message from another origin
+		// The role follows from the store alone: no message from another origin has arrived yet.
+		if s := w.machines[i].node.Status(); s.Role != RoleRolledBack {
 			t.Errorf("after a restart the role is %q, want %q", s.Role, RoleRolledBack)
 		}
 		w.run(10 * time.Second)
 		if s := w.machines[(i+1)%5].node.Status(); !slices.Contains(s.RolledBack, w.machines[i].name) {
-			t.Errorf("the others list %q as rolled back, want %s among them", s.RolledBack, w.machines[i].name)
+			t.Errorf("another origin lists %q as rolled back, want %s in the list", s.RolledBack, w.machines[i].name)
 		}
 	}
 }
@@ -368,8 +373,8 @@
 				"\"higher epoch\"", p.name, a.Outcome, a.Error, OutcomeRejected)
 		}
 		if s := p.node.Status(); s.Ahead != later || s.Report.Members != 200 {
-			t.Errorf("%s knows revision %v of members as ahead, and %d members; want %v and 200", p.name, s.Ahead,
-				s.Report.Members, later)
+			t.Errorf("the status of %s: %d members, conflicting revision %v; want 200 members, conflicting revision %v",
+				p.name, s.Report.Members, s.Ahead, later)
 		}
 	}
 	// The same version with different content prevents changes, too.
@@ -420,7 +425,7 @@
 	}
 	report(1, 603)
 	if s := w.machines[0].node.Status(); !s.Ahead.IsZero() {
-		t.Errorf("revision %v of members counts as ahead, want none", s.Ahead)
+		t.Errorf("the status has the conflicting revision %v of an earlier epoch, want none", s.Ahead)
 	}
 	checkResult(t, "a push in the new epoch", w.push(0, "anew", 0, textOf("anew")), OutcomeAccepted, 1)
 }
@@ -438,12 +443,13 @@
 		w.run(10 * time.Second)
 		n := w.machines[i].node
 		if n.Status().Role != RoleStarting || !n.state.revision(1).IsZero() || n.foreignMessages == 0 {
-			t.Errorf("%v: role %q, revision %v, %d foreign messages; want role %q, no revision, and foreign messages",
+			t.Errorf("bootstrap %v: role %q, revision %v, %d foreign messages; want role %q, no revision, "+
+				"at least 1 foreign message",
 				f, n.Status().Role, n.revision(), n.foreignMessages, RoleStarting)
 		}
 		checkResult(t, "2", w.push((i+1)%3, "2", 1, textOf("2")), OutcomeAccepted, 2)
 		if a := w.push(i, "3", 2, textOf("3")); a.Outcome != OutcomeRejected {
-			t.Errorf("%v: a push to the starting origin has outcome %q, want %q", f, a.Outcome, OutcomeRejected)
+			t.Errorf("bootstrap %v: a push to the starting origin: outcome %q, want %q", f, a.Outcome, OutcomeRejected)
 		}
 	}
 }
@@ -475,7 +481,7 @@
 	}
 	w.handle(i, Message{"o2", good})
 	if n.corruptMessages != sent+1 {
-		t.Error("the valid message counts as corrupt")
+		t.Errorf("after a valid message, %d messages count as corrupt, want %d as before", n.corruptMessages, sent+1)
 	}
 	checkResult(t, "1", w.push(0, "1", 0, textOf("1")), OutcomeAccepted, 1)
 }
@@ -505,23 +511,23 @@
 // base version is the latest version by then.
 func TestStateMachine(t *testing.T) {
 	m := new(stateMachine)
-	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 {
-		t.Fatalf("a push with a base version that does not exist: %+v (changed %t), want version 0 and no change", e,
-			fresh)
+	if e, changed := m.apply(&logEntry{"early", 1, textOf("early")}); changed || e.Version != 0 {
+		t.Fatalf("push with a base version that does not exist: outcome %+v, changed %t; want version 0 and no change",
+			e, changed)
 	}
-	if e, fresh := m.apply(&logEntry{"first", 0, textOf("first")}); !fresh || e.Version != 1 {
-		t.Fatalf("the first push: %+v (changed %t), want version 1 and a change", e, fresh)
+	if e, changed := m.apply(&logEntry{"first", 0, textOf("first")}); !changed || e.Version != 1 {
+		t.Fatalf("the first push: outcome %+v, changed %t; want version 1 and a change", e, changed)
 	}
-	if e, fresh := m.apply(&logEntry{"early", 1, textOf("early")}); fresh || e.Version != 0 || m.Version != 1 {
-		t.Fatalf("a repeated push that was in conflict: %+v (changed %t), want version 0 and no change; the version "+
-			"is %d, want 1", e, fresh, m.Version)
+	if e, changed := m.apply(&logEntry{"early", 1, textOf("early")}); changed || e.Version != 0 || m.Version != 1 {
+		t.Fatalf("a repeated push that was in conflict: outcome %+v, changed %t; want version 0 and no change; "+
+			"the version of the state is %d, want 1", e, changed, m.Version)
 	}
 	for i := range 2 * MaxOutcomes {
 		m.apply(&logEntry{fmt.Sprint(i), 0, textOf("x")})
 	}
 	if len(m.Outcomes) != MaxOutcomes || len(m.marshal()) > MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize {
-		t.Errorf("%d outcomes and %d bytes, want %d outcomes and at most %d bytes", len(m.Outcomes), len(m.marshal()),
-			MaxOutcomes, MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize)
+		t.Errorf("the state has %d outcomes and %d bytes, want %d outcomes and at most %d bytes", len(m.Outcomes),
+			len(m.marshal()), MaxOutcomes, MaxOutcomes*(MaxIDLength+100)+controlplane.MaxSnapshotSize)
 	}
 }
 
@@ -542,7 +548,7 @@
 	w.handle(i, w.forge(l, i, &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), Term: &term, Commit: &commit}))
 	if s := w.machines[i].node.Status(); s.Role != RoleRolledBack ||
 		!strings.Contains(w.machines[i].node.rollbackReason, "counts on entry 999") {
-		t.Errorf("the role is %q with rollback reason %q, want %q because of entry 999", s.Role,
+		t.Errorf("the role is %q with rollback reason %q, want %q with a reason that names entry 999", s.Role,
 			w.machines[i].node.rollbackReason, RoleRolledBack)
 	}
 }
@@ -582,7 +588,7 @@
 		}
 	}
 	lost := w.machines[knows].node.writeNumbers[i]
-	w.partition = []int{0, 1, 0, 0, 0} // so that this origin cannot tell the others meanwhile
+	w.partition = []int{0, 1, 0, 0, 0} // cuts off the origin that knows, so that it cannot tell the others
 	w.machines[i].disk = backup
 	w.start(i)
 	w.run(2 * time.Second)
@@ -616,8 +622,8 @@
 }
 
 // The leader fails. If the others still followed it, each push would be sent to it and wait for its timeout. An origin
-// that has received no message from its leader for a second follows none. A push waits for the next leader, but is
-// rejected at once if there has been no leader for long.
+// that has received no message from its leader for a second stops following it. A push then waits for the next leader,
+// but is rejected at once if there has been no leader for two seconds.
 func TestSilentLeaderIsForgotten(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newRunningSimulation(t, 5, seed)
@@ -642,13 +648,13 @@
 	at := w.now
 	if a := w.push((l+2)%3, "y", 0, textOf("y")); a.Outcome != OutcomeRejected || a.Error != ErrNotLeader.Error() ||
 		w.now-at < 3*time.Second {
-		t.Errorf("a push without a leader has outcome %q after %v, want %q after at least 3 s: %s", a.Outcome, w.now-at,
-			OutcomeRejected, a.Error)
+		t.Errorf("a push without a leader: outcome %q, error %q after %v; want outcome %q, error %q after at least 3 s",
+			a.Outcome, a.Error, w.now-at, OutcomeRejected, ErrNotLeader)
 	}
 	at = w.now
 	if a := w.push((l+2)%3, "z", 0, textOf("z")); a.Outcome != OutcomeRejected || w.now-at > 100*time.Millisecond {
-		t.Errorf("a later push without a leader has outcome %q after %v, want %q within 100 ms: %s",
-			a.Outcome, w.now-at, OutcomeRejected, a.Error)
+		t.Errorf("a later push without a leader: outcome %q, error %q after %v; want outcome %q within 100 ms",
+			a.Outcome, a.Error, w.now-at, OutcomeRejected)
 	}
 }
 
@@ -686,7 +692,8 @@
 		t.Logf("%d origins failed: half of the elections took at most %v, 90 %% %v, all %v",
 			lost, all[12], all[22], all[24])
 		if all[12] > 1500*time.Millisecond || all[24] > 2*time.Second {
-			t.Errorf("the median election took %v and the slowest %v, want at most 1.5 s and 2 s", all[12], all[24])
+			t.Errorf("%d origins failed: the median election took %v and the slowest %v, want at most 1.5 s and 2 s",
+				lost, all[12], all[24])
 		}
 	}
 }
--- a/internal/controlplane/origin/persist.go
+++ b/internal/controlplane/origin/persist.go
@@ -30,8 +30,8 @@
 	return deletes
 }
 
-// persist returns a Persist that writes new entries, a new snapshot unless it is nil, and the root that references
-// them, and deletes the records that the root no longer references.
+// persist returns a Persist that writes new entries, a new snapshot (unless it is nil) and the root that references
+// them. The Persist also deletes the records that the root no longer references.
 func (n *Node) persist(entries []*raftpb.Entry, snapshot *raftpb.Snapshot) Persist {
 	var puts, deletes []Record
 	if snapshot != nil {
@@ -53,7 +53,7 @@
 }
 
 // persistSnapshot returns records that write a snapshot, and records that delete the previous snapshot and the entries
-// up to the new one.
+// that the new snapshot covers.
 func (n *Node) persistSnapshot(snapshot *raftpb.Snapshot) (puts, deletes []Record) {
 	index, term := snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetTerm()
 	puts = splitValue(snapshotKey(index), snapshot.GetData())
--- a/internal/controlplane/origin/stored_test.go
+++ b/internal/controlplane/origin/stored_test.go
@@ -21,13 +21,13 @@
 	storedSecond = "# second\n[limits]\nmax_attempts = 2\n"
 )
 
-// copyStoredOrigin returns a copy of the directory of one of these origins.
+// copyStoredOrigin returns a copy of the directory of one of the origins in storedDir.
 func copyStoredOrigin(t *testing.T, name string) store.FS {
 	t.Helper()
 	path := t.TempDir()
 	logs, err := filepath.Glob(filepath.Join(storedDir, name, "*.log"))
 	if err != nil || len(logs) != 2 {
-		t.Fatalf("%s has %d segments, want 2: %v", name, len(logs), err)
+		t.Fatalf("%s has %d segments, error %v; want 2 segments", name, len(logs), err)
 	}
 	for _, file := range logs {
 		text, err := os.ReadFile(file)
@@ -86,7 +86,7 @@
 		}
 		got := n.state.revision(3)
 		if n.rollbackReason != "" || got != want || string(n.state.Text) != text {
-			t.Errorf("%s starts at %v with text %q, rolled back %q; want %v with text %q",
+			t.Errorf("%s starts at %v with text %q, rollback reason %q; want %v with text %q, no rollback reason",
 				m.name, got, n.state.Text, n.rollbackReason, want, text)
 		}
 	}
@@ -105,7 +105,7 @@
 	}
 	for _, g := range segments {
 		if g.Damaged != 0 || g.Tail != 0 || g.Fault != "" {
-			t.Errorf("a segment is damaged: %+v", g)
+			t.Errorf("a segment of the store is damaged, want none: %+v", g)
 		}
 	}
 	st := openStore(t, fs)
@@ -122,8 +122,8 @@
 	return s
 }
 
-// Origins that start from the stores of commit 593ba64 have its changes and their outcomes, and accept another change.
-// After one more restart from their directories they have all three changes.
+// Origins that start from the stores of commit 593ba64 have the two stored changes with their outcomes, and accept
+// another change. After one more restart from their directories they have all three changes.
 func TestOriginsLoadStoresOfEarlierVersion(t *testing.T) {
 	var dirs []store.FS
 	for _, name := range originNames(3) {
@@ -187,7 +187,7 @@
 		add(splitValue(snapshotKey(r.SnapshotIndex), new(stateMachine).marshal())...)
 		last, err := ms.LastIndex()
 		if err != nil || last != r.LastIndex || r.SnapshotIndex != 1 {
-			t.Fatalf("last index %d, root %+v: %v; want last index %d and a snapshot at index 1",
+			t.Fatalf("last index %d, root %+v, error %v; want last index %d and a snapshot at index 1",
 				last, r, err, r.LastIndex)
 		}
 		m := new(stateMachine)
@@ -208,10 +208,10 @@
 			add(splitValue(entryKey(i, e.GetTerm()), marshalEntry(e))...)
 		}
 		if m.Version != 2 || string(m.Text) != storedSecond {
-			t.Errorf("%s: the entries result in the state %+v, want version 2 with text %q", name, m, storedSecond)
+			t.Errorf("%s: the stored entries result in state %+v, want version 2 and text %q", name, m, storedSecond)
 		}
 		if !maps.EqualFunc(s.Records, want, bytes.Equal) {
-			t.Errorf("%s has the records\n%q, want\n%q", name, s.Records, want)
+			t.Errorf("the store of %s has the records\n%q, want\n%q", name, s.Records, want)
 		}
 	}
 }
--- a/internal/controlplane/transport/stored_test.go
+++ b/internal/controlplane/transport/stored_test.go
@@ -36,12 +36,13 @@
 	t.Helper()
 	cached, confirmedAt, err := loadCachedSnapshot(dir)
 	if err != nil || cached == nil {
-		t.Fatalf("loadCachedSnapshot returns %v, %v, want a snapshot", cached, err)
+		t.Fatalf("loadCachedSnapshot returns %v, error %v, want a snapshot", cached, err)
 	}
 	want := testFrame(version, text)
 	got := cached.Frame
 	if got.Cluster != "f" || got.Revision != want.Revision || string(got.Text) != text {
-		t.Errorf("cached frame is %+v with text %q, want %+v", got, got.Text, want)
+		t.Errorf("cached frame is %+v with text %q, want revision %v of cluster f with text %q",
+			got, got.Text, want.Revision, text)
 	}
 	if cached.Highest.Epoch != 1 || cached.Highest.Version != highest || time.Since(confirmedAt) > time.Minute {
 		t.Errorf("highest revision is %v, confirmed at %v, want 1.%d, confirmed in the last minute",
@@ -79,7 +80,7 @@
 	testutil.Until(t, "the newer version is stored", func() bool { return cachedVersion(t, dir) == 3 })
 	m.stop()
 	if !slices.Equal(m.applied, []uint64{2, 3}) {
-		t.Errorf("versions %d became active, want 2 and 3", m.applied)
+		t.Errorf("versions %d became active, want 2, then 3", m.applied)
 	}
 
 	checkCache(t, dir, 3, 3, "# third\n")
@@ -102,10 +103,10 @@
 	}
 	list, err := os.ReadDir(dir)
 	if err != nil || len(list) != 1 || list[0].Name() != "last-known.json" {
-		t.Fatalf("directory has %v, %v, want last-known.json", list, err)
+		t.Fatalf("directory has %v, error %v, want only last-known.json", list, err)
 	}
 	got, err := os.ReadFile(filepath.Join(dir, "last-known.json"))
 	if err != nil || string(got) != string(want) {
-		t.Errorf("file is\n%s, %v, want\n%s", got, err, want)
+		t.Errorf("file is\n%s, error %v, want\n%s", got, err, want)
 	}
 }
