--- a/cmd/hazelwing/architecture_test.go
+++ b/cmd/hazelwing/architecture_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, name := range diagramPath.FindAllString(string(page), -1) {
 		if !isPackage(name) {
-			t.Errorf("there is no package %s", name)
+			t.Errorf("the architecture page's diagram names the package %s, which does not exist", name)
 		}
 	}
 	declared := parseCode(t).names
@@ -47,20 +47,21 @@
 		switch {
 		case packagePath.MatchString(name):
 			if !isPackage(name) {
-				t.Errorf("there is no package %s", name)
+				t.Errorf("the architecture page names the package %s, which does not exist", name)
 			}
 		case qualifiedName.MatchString(name):
 			checked++
 			if !declared[name] {
-				t.Errorf("the code declares no %s", name)
+				t.Errorf("the architecture page names %s, which the code does not declare", name)
 			}
 		}
 	}
 	if checked < 30 {
-		t.Errorf("%d identifiers were found on the page, want at least 30", checked)
+		t.Errorf("%d identifiers were found on the architecture page, want at least 30", checked)
 	}
 }
 
+// isPackage reports whether a path below the module's root is a package or a folder of packages.
 func isPackage(name string) bool {
 	files, err := filepath.Glob(filepath.Join(moduleRoot, name, "*.go"))
 	if err != nil {
@@ -93,7 +94,7 @@
 	walkPages(t, func(name, page string) {
 		for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
 			if testName.MatchString(span[1]) && !declared[span[1]] {
-				t.Errorf("%s names %s, which does not exist", name, span[1])
+				t.Errorf("%s names the test %s, which no test file declares", name, span[1])
 			}
 		}
 	})
--- a/cmd/hazelwing/build_test.go
+++ b/cmd/hazelwing/build_test.go
@@ -112,11 +112,12 @@
 	return f
 }
 
-// The run command of deploy/balancer.toml replaces the shell by the program, so that there is one process, which gets
-// the platform's signals.
+// The run command of deploy/balancer.toml replaces the shell by the program. With the shell as a second process, the
+// platform's signals would reach the shell and not the program.
 func TestRunLineEndsInOneProcess(t *testing.T) {
-	if run := deployKey(t, "run"); run != "export GOMAXPROCS=1; trap '' HUP; exec bin/hazelwing" {
-		t.Errorf("the run command is %q, want one that replaces the shell by exec", run)
+	const want = "export GOMAXPROCS=1; trap '' HUP; exec bin/hazelwing"
+	if run := deployKey(t, "run"); run != want {
+		t.Errorf("the run command is %q, want %q", run, want)
 	}
 }
 
@@ -124,11 +125,12 @@
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	libs, err := openDeployedProgram(t).ImportedLibraries()
 	if err != nil || !slices.Contains(libs, "libc.so.6") {
-		t.Errorf("libraries %v, error %v, want libc.so.6 among them", libs, err)
+		t.Errorf("imported libraries %v, error %v, want libc.so.6 among them", libs, err)
 	}
 }
 
-// The program has no code that starts other programs, because the platform rejects such programs on large fleets.
+// The deployed program has no code that starts other programs, because the platform rejects a program with such code on
+// large fleets. It has no code that listens on Unix sockets either.
 func TestDeployedProgramCannotStartOthers(t *testing.T) {
 	symbols, err := openDeployedProgram(t).Symbols()
 	if err != nil || len(symbols) == 0 {
@@ -151,6 +153,6 @@
 		t.Fatal(err)
 	}
 	if out, err := deploymentBuild(t, dir, "CC="+missing); err == nil || !strings.Contains(out, missing) {
-		t.Errorf("build without a compiler: error %v, want output that names %s\n%s", err, missing, out)
+		t.Errorf("build without a compiler: error %v, want an error and output that names %s:\n%s", err, missing, out)
 	}
 }
--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -24,14 +24,15 @@
 var (
 	calibrateFor = flag.Duration("calibrate.for", 5*time.Second,
 		"how long TestCalibration measures; above 30s the sidecars use the daemon's default intervals, "+
-			"and both kinds are measured one after the other")
+			"and real and hollow sidecars are measured one after the other")
 	calibrateMembers = flag.Int("calibrate.members", 6, "number of members in TestCalibration, at most 30")
 )
 
 // isLongCalibration reports whether the long form of TestCalibration is run.
 func isLongCalibration() bool { return *calibrateFor > 30*time.Second }
 
-// memberCost is the cost of one sidecar of a kind in a quiet cluster. Traffic and processor time are per second.
+// memberCost is the mean cost of a real or a hollow sidecar in a quiet cluster, with traffic and processor time per
+// second. Before costBetween divides them, the values are totals of all sidecars.
 type memberCost struct {
 	bytesOut    float64
 	bytesIn     float64
@@ -56,10 +57,11 @@
 	return text
 }
 
-// In a quiet cluster, hollow sidecars send and receive as many bytes and messages as real ones, within 10 %. The links
-// between processes count the traffic of real sidecars, and sockets count the traffic of hollow ones. Both clusters
-// have the same member names, endpoint list, settings and relay tree of the list. Processor time and memory are only
-// logged, because hollow sidecars share one process. The long form is
+// In a quiet cluster, hollow sidecars send and receive as many bytes and messages as real ones, within 10 %. A hollow
+// sidecar runs only the control plane (internal/testcluster/hollow). The links between processes count the traffic of
+// real sidecars, and sockets count the traffic of hollow ones. Both clusters have the same member names, settings,
+// endpoint list, and tree in which members relay this list. Processor time and memory are only logged, because hollow
+// sidecars share one process. The long form is
 //
 //	go test ./cmd/hazelwing -run Calibration -calibrate.for 2m -calibrate.members 24 -timeout 20m -v
 func TestCalibration(t *testing.T) {
@@ -75,7 +77,7 @@
 	var realCost, hollowCost memberCost
 	measureReal := func() { realCost = calibrateReal(t, settings, recovery) }
 	measureHollow := func() { hollowCost = calibrateHollow(t, settings, recovery) }
-	if isLongCalibration() { // so that this process spends processor time on one kind only
+	if isLongCalibration() { // one after the other, so that this process works for one kind at a time
 		measureReal()
 		measureHollow()
 	} else {
@@ -184,7 +186,8 @@
 	startedAt := time.Now()
 	for fleet.Disagreement(everywhere) != "" || fleet.CountOutdated(everywhere) > 0 {
 		if time.Since(startedAt) > testutil.WaitTimeout { // testutil.Until may only be called from the test's goroutine
-			t.Errorf("the hollow members do not agree: %s", fleet.Disagreement(everywhere))
+			t.Errorf("the hollow members do not agree after %v: %s",
+				testutil.WaitTimeout, fleet.Disagreement(everywhere))
 			return cost
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -209,9 +212,9 @@
 	return cost
 }
 
-// waitQuiet waits until a cluster has disseminated all updates. A member that finds no peer at the start calls
-// discovery, and follows a peer again after the settle time of internal/discovery/bootstrap. In the long form,
-// waitQuiet also waits for this.
+// waitQuiet waits until a cluster has disseminated all updates. A member that finds no peer at the start gets the
+// endpoint list from discovery, and switches to a peer after at least 15 s (internal/discovery/bootstrap). In the long
+// form, waitQuiet also waits for these switches.
 func waitQuiet() {
 	if isLongCalibration() {
 		time.Sleep(40 * time.Second)
--- a/cmd/hazelwing/ci_test.go
+++ b/cmd/hazelwing/ci_test.go
@@ -77,19 +77,19 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// .ci/run skips only the tests that are listed in KNOWN-RED.txt, and prints their entries. If an entry is for a
-// longer form of a test, .ci/run prints the entry and still runs the plain form. A list is invalid if it has more than
-// three entries, or an entry that lacks a field, names no open issue or names a test that does not exist. Without the
-// file KNOWN-RED.txt, no test is skipped.
+// KNOWN-RED.txt lists tests that are known to fail. .ci/run skips only these tests, and prints their entries. If the
+// command of an entry is a longer form than a plain "go test" with or without -run, .ci/run prints the entry and still
+// runs the test in its plain form. A list is invalid if it has more than three entries, or an entry that lacks a field,
+// names no open issue or names a test that does not exist. Without the file KNOWN-RED.txt, no test is skipped.
 func TestKnownRed(t *testing.T) {
 	const red = `package %s
 
 import "testing"
 
-// It fails.
+// TestRed always fails.
 func TestRed(t *testing.T) { t.Fatal("it is red") }
 
-// It passes.
+// TestRedToo always passes.
 func TestRedToo(t *testing.T) {}
 `
 	entry := knownRedEntry("")
@@ -160,7 +160,7 @@
 			}
 			out, green := runCI(t, files)
 			if green != c.green || !strings.Contains(out, c.wantOutput) {
-				t.Errorf("success is %v, want %v, and %q in the output:\n%s", green, c.green, c.wantOutput, out)
+				t.Errorf("success is %v, want %v; want %q in the output:\n%s", green, c.green, c.wantOutput, out)
 			}
 		})
 	}
@@ -194,7 +194,7 @@
 			})
 			const called = "linter called with [run ./...]"
 			if green != test.green || !strings.Contains(out, called) {
-				t.Errorf("success is %v, want %v, and %q in the output:\n%s", green, test.green, called, out)
+				t.Errorf("success is %v, want %v; want %q in the output:\n%s", green, test.green, called, out)
 			}
 		})
 	}
@@ -232,7 +232,7 @@
 			main := strings.NewReplacer("FOUND", test.found, "STATUS", test.status).Replace(tool)
 			out, green := runCI(t, map[string]string{"linter/deadcode/main.go": main})
 			if green != test.green || !strings.Contains(out, test.wantOutput) {
-				t.Errorf("success is %v, want %v, and %q in the output:\n%s", green, test.green, test.wantOutput, out)
+				t.Errorf("success is %v, want %v; want %q in the output:\n%s", green, test.green, test.wantOutput, out)
 			}
 		})
 	}
--- a/cmd/hazelwing/codenames_test.go
+++ b/cmd/hazelwing/codenames_test.go
@@ -19,7 +19,7 @@
 // element of their paths.
 type codeNames struct {
 	names     map[string]bool             // declared names: package.Name, and package.Type.Member for members
-	functions map[string]string           // comments of functions and methods, by the name as in names
+	functions map[string]string           // comments of functions and methods, by their key in names
 	constants map[string]packageConstants // constants by package
 	literals  map[string]bool             // string literals
 }
@@ -169,7 +169,7 @@
 // packageConstants are the constants of a package, or of one file of it.
 type packageConstants struct {
 	exprs  map[string]ast.Expr         // expressions of the constants, by name
-	others map[string]packageConstants // constants of all packages, by package; nil: not known
+	others map[string]packageConstants // constants of all packages, by package; nil: only exprs can be evaluated
 }
 
 // add adds the constants that a file declares with an expression.
@@ -243,7 +243,7 @@
 	return 0, fmt.Errorf("operator %s is not supported", e.Op)
 }
 
-// timeUnit returns the constant of package time that has the given name.
+// timeUnit returns the unit that has the given name in package time, and whether there is one.
 func timeUnit(name string) (time.Duration, bool) {
 	switch name {
 	case "Microsecond":
--- a/cmd/hazelwing/command_test.go
+++ b/cmd/hazelwing/command_test.go
@@ -36,7 +36,7 @@
 	out, err := execute("help")
 	for _, want := range []string{"run", "demo", "traffic"} {
 		if err != nil || !strings.Contains(out, "\n  "+want+" ") {
-			t.Errorf("error %v, want %q in the help:\n%s", err, want, out)
+			t.Errorf("help: error %v, want the command %q in the output:\n%s", err, want, out)
 		}
 	}
 }
@@ -52,10 +52,10 @@
 	}
 	before, _ := os.ReadFile(path)
 	if _, err := execute("traffic", path, "--length", "2s"); err == nil {
-		t.Error("no error when the file exists")
+		t.Error("traffic with the path of an existing file: no error, want one")
 	}
 	if after, _ := os.ReadFile(path); !bytes.Equal(before, after) {
-		t.Error("the failed command changed the file")
+		t.Error("traffic with the path of an existing file: the file was changed, want it unchanged")
 	}
 	if err := os.WriteFile(path, append(before, "half"...), 0o600); err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 		{"traffic", path + "2", "--rate", "-1"},
 	} {
 		if _, err := execute(args...); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v, want one of one line", args, err)
+			t.Errorf("%q: error %v, want an error with a text of one line", args, err)
 		}
 	}
 }
--- a/cmd/hazelwing/commands_full.go
+++ b/cmd/hazelwing/commands_full.go
@@ -12,8 +12,8 @@
 // hasGRPC is true, because this build can send load to gRPC targets.
 const hasGRPC = true
 
-// optionalCommands returns the commands that a build with the tag "small" omits: only the lab. The code and the fonts
-// of its plots make up half of the program's size.
+// optionalCommands returns the commands that a build with the tag "small" omits: only the lab. The lab's code and the
+// fonts of its plots make up half of the program's size.
 func optionalCommands() []*cobra.Command { return []*cobra.Command{newLabCommand()} }
 
 // optionalDemos returns the demonstrations that a build with the tag "small" omits.
--- a/cmd/hazelwing/commandspage_test.go
+++ b/cmd/hazelwing/commandspage_test.go
@@ -16,14 +16,14 @@
 	testPackage = regexp.MustCompile(`(?:^| )(\./[\w./]+)`)
 	// testSelection matches a flag of a "go test" command that selects tests, benchmarks or fuzz tests by a pattern.
 	testSelection = regexp.MustCompile(`(?:^| )-(run|bench|fuzz) ('[^']*'|\S+)`)
-	// selectsNothing has the patterns that are on the pages in order to select no test.
+	// selectsNothing has the patterns on the pages that are meant to select no test.
 	selectsNothing = map[string]bool{"^$": true, "xxx": true}
-	// selectedPrefix is the prefix of the function names among which a flag selects.
+	// selectedPrefix has, for each of these flags, the prefix of the functions that the flag can select.
 	selectedPrefix = map[string]string{"run": "Test", "bench": "Benchmark", "fuzz": "Fuzz"}
 )
 
-// Each pattern in the "go test" commands on the pages selects a test of its package. After a rename of the test, such a
-// command would run nothing and pass.
+// Each pattern in the "go test" commands on the pages selects a test of its package. A command whose test has been
+// renamed would run nothing and pass.
 func TestPagesRunExistingTests(t *testing.T) {
 	checked := 0
 	walkPages(t, func(name, page string) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// The check reports patterns that select nothing, also if the command has a line break, and accepts valid ones.
+// The check reports patterns that select nothing, also if the command has a line break. It accepts valid patterns.
 func TestTestCommandCheckFindsWrongPatterns(t *testing.T) {
 	for page, isGood := range map[string]bool{
 		"`go test ./internal/backoff -run Scheduler -v`":                true,
@@ -53,12 +53,13 @@
 		"    go test ./internal/backoff -run Scheduler -bench None\n\n": false,
 	} {
 		if _, problems := checkTestCommands(page); (len(problems) == 0) != isGood {
-			t.Errorf("%q: problems %q, want problems unless the command is valid (%v)", page, problems, isGood)
+			t.Errorf("%q: valid is %v, want %v; problems: %q", page, len(problems) == 0, isGood, problems)
 		}
 	}
 }
 
-// checkTestCommands returns the number of patterns in a page's commands, and a problem for each that selects nothing.
+// checkTestCommands returns the number of patterns in a page's commands, and a problem for each pattern that selects
+// nothing.
 func checkTestCommands(page string) (count int, problems []string) {
 	for _, command := range strings.Split(strings.ReplaceAll(page, "\n", " "), "go test ")[1:] {
 		command, _, _ = strings.Cut(command, "`")
--- a/cmd/hazelwing/config_push.go
+++ b/cmd/hazelwing/config_push.go
@@ -32,7 +32,8 @@
 type pushResult struct {
 	origin.Result
 	After uint64 `json:"after"`
-	// Took is the time until a majority of the origins had accepted the snapshot.
+	// Took is the time until the origin answered the push. It answers that a snapshot is accepted when a majority of
+	// the origins has accepted it.
 	Took string `json:"took,omitempty"`
 	// Within is the time from the acceptance until all reachable members had activated the snapshot; empty if not all
 	// of them activated it before the command stopped waiting.
--- a/cmd/hazelwing/config_status.go
+++ b/cmd/hazelwing/config_status.go
@@ -56,8 +56,9 @@
 	case status.Role != origin.RoleLeader && status.Role != origin.RoleFollower:
 		err = fmt.Errorf("config: origin %s cannot accept changes: its role is %q", status.Self, status.Role)
 	case status.Ahead.Compare(status.Revision) > 0:
-		err = fmt.Errorf("config: sidecars act on %v, which is later than what the origins have: found a higher epoch",
-			status.Ahead)
+		err = fmt.Errorf("config: sidecars act on %v, which is later than the origins' %v: "+
+			"create the origins' stores again with a higher epoch (hazelwing origin found)",
+			status.Ahead, status.Revision)
 	case status.Report.Members > 0 && !isInForce(&status.Report, status.Revision):
 		err = errors.New("config: the latest snapshot is not in force everywhere")
 	default:
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -68,7 +68,8 @@
 
 func (r *configCluster) all() []int { return numberRange(1, r.members) }
 
-// writeSnapshot writes a snapshot with unique content to a file, and returns its path.
+// writeSnapshot writes a snapshot with unique content, at the end of which is the text more, to a file. It returns the
+// path of the file.
 func (r *configCluster) writeSnapshot(more string) string {
 	r.t.Helper()
 	r.pushes++
@@ -80,7 +81,7 @@
 	return path
 }
 
-// push runs the command that pushes a snapshot to an origin.
+// push runs the command that pushes a snapshot to origin k.
 func (r *configCluster) push(k int, file string, args ...string) (result pushResult, err error) {
 	r.t.Helper()
 	command := []string{"config", "push", file, "--fleet", "rig", "--origin", r.OriginAddr(k), "--json"}
@@ -136,7 +137,7 @@
 
 // waitApplied waits until all members of a group have applied a revision or a later one. It logs the times that this
 // took since a given instant, at the 50th, 99th and 100th percentiles. In the long form the longest time may not exceed
-// maxTime. For members that were unreachable, maxTime is 0, which means no limit.
+// maxTime, unless maxTime is 0.
 func (r *configCluster) waitApplied(
 	what string, revision controlplane.Revision, since time.Time, group []int, maxTime time.Duration,
 ) {
@@ -210,7 +211,8 @@
 	}
 }
 
-// allHaveDiscoveryList reports whether all members have the current endpoint list of the current discovery service.
+// allHaveDiscoveryList reports whether all members have the current endpoint list, from the discovery service at its
+// current address.
 func (r *configCluster) allHaveDiscoveryList() bool {
 	discovery := r.Servers.Discovery
 	for _, n := range r.all() {
@@ -227,8 +229,9 @@
 const maxApplyTime = 4 * time.Second
 
 // During each fault, all reachable members apply the changes. The other members apply the changes when they are
-// reachable again. In the long form, both take at most maxApplyTime. No accepted change is lost, and no member returns
-// to an older change. Meanwhile each request gets one response and no rule is violated. The long form is
+// reachable again. In the long form, members take at most maxApplyTime after the push or after they are reachable
+// again. No accepted change is lost, and no member returns to an older change. Meanwhile each request gets one response
+// and no rule is violated. The long form is
 //
 //	go test ./cmd/hazelwing -run ConfigFaults -config.long -timeout 1h -v
 func TestConfigFaults(t *testing.T) {
@@ -266,8 +269,8 @@
 	r.waitApplied("change of the discovery address", s, at, r.all(), maxApplyTime)
 	testutil.Until(t, "all members have the list of the new address", r.allHaveDiscoveryList)
 	if after, _ := r.Servers.Discovery.Calls(); after-before >= members {
-		t.Errorf("after the change of discovery's address, %d sidecars made %d calls of discovery; want fewer calls "+
-			"than sidecars", members, after-before)
+		t.Errorf("after the change of discovery's address: %d calls of discovery by %d sidecars, "+
+			"want fewer calls than sidecars", after-before, members)
 	} else {
 		t.Logf("%d calls of discovery after its address changed for %d sidecars", after-before, members)
 	}
@@ -308,7 +311,7 @@
 	r.waitApplied("half of the members restart: the others", s, at, numberRange(half+1, members), maxApplyTime)
 	for n := range half {
 		if st := r.state(n + 1); !st.Ready && st.CachedAge == "" {
-			t.Errorf("member %d is neither ready nor reports a cached snapshot: %+v", n+1, st)
+			t.Errorf("member %d after its restart: state %+v, want it ready or with a cached snapshot", n+1, st)
 		}
 	}
 	r.waitApplied("half of the members restart: that half", s, time.Now(), numberRange(1, half), maxApplyTime)
--- a/cmd/hazelwing/configcommand_test.go
+++ b/cmd/hazelwing/configcommand_test.go
@@ -68,15 +68,15 @@
 	}
 	_, err = execute("config", "status", "--origin", "", "--fleet", "")
 	if err == nil || !strings.Contains(err.Error(), "set --origin or HAZELWING_ORIGIN") {
-		t.Errorf("without an address: error %v, want one that names --origin", err)
+		t.Errorf("config status without an address: error %v, want one that names --origin", err)
 	}
 	_, err = execute("config", "status", "--origin", r.OriginAddr(1), "--fleet", "")
 	if err == nil || !strings.Contains(err.Error(), "set --fleet or HAZELWING_FLEET") {
-		t.Errorf("without a fleet: error %v, want one that names --fleet", err)
+		t.Errorf("config status without a fleet: error %v, want one that names --fleet", err)
 	}
 	_, err = execute("config", "status", "--fleet", "rig", "--origin", "127.0.0.1:9")
 	if statusOf(err) != statusFailure {
-		t.Errorf("unreachable origin: error %v, want exit status 1", err)
+		t.Errorf("config status with an unreachable origin: error %v, want exit status 1", err)
 	}
 
 	r.sendInvalidRequests()
@@ -91,14 +91,15 @@
 
 	// Members restart without any origin.
 	r.play("kill o1")
-	r.waitApplied("before the origin is killed", controlplane.Revision{Epoch: 1, Version: 2}, time.Now(), r.all(), 0)
-	testutil.Until(t, "the snapshot is cached", func() bool { return r.state(2).Active.Version == 2 })
+	latest := controlplane.Revision{Epoch: 1, Version: 2}
+	r.waitApplied("pushed before the origin was killed", latest, time.Now(), r.all(), 0)
+	testutil.Until(t, "version 2 is active at member 2", func() bool { return r.state(2).Active.Version == 2 })
 	r.play("kill all\nstart all")
 	if s := r.state(2); s.Ready || !s.FromCache || s.CachedAge == "" || s.Active.Version != 2 {
 		t.Errorf("member that restarted without any origin: state %+v, want it not ready and on the cached snapshot", s)
 	}
 	if !strings.Contains(r.Log(2), "acting on the last known one, 1.2, confirmed") {
-		t.Error("the log has no line about the cached snapshot")
+		t.Error("the log of member 2 does not say that it acts on the cached snapshot 1.2")
 	}
 	r.checkFinalState()
 }
@@ -117,7 +118,7 @@
 		if statusOf(err) != statusFailure ||
 			!strings.Contains(err.Error(), bad+":2:1: limits.max_attempts: 99") ||
 			!strings.Contains(err.Error(), bad+":4:1: class.look.worth") {
-			r.t.Errorf("%q: error %v, want one with both invalid lines", args, err)
+			r.t.Errorf("%q: error %v, want one that names lines 2 and 4 with their keys", args, err)
 		}
 	}
 	// The origin validates the snapshot if the command does not.
@@ -185,7 +186,7 @@
 	}
 	response.Body.Close()
 	if s := r.state(1); s.Server.OtherCluster == 0 || s.Active.Version != 1 {
-		r.t.Errorf("state %+v, want version 1 active and a count of requests for another cluster", s)
+		r.t.Errorf("state %+v, want version 1 active, and at least one request counted as for another cluster", s)
 	}
 }
 
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -15,8 +15,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// testLongFaults plays the faults of the long form, which has 30 members and 5 origins. A third of these is in no area
-// that is cut off.
+// testLongFaults plays the faults of the long form, which has 30 members and 5 origins.
 func (r *configCluster) testLongFaults() {
 	r.testCutAreas()
 	r.testReplacements()
@@ -32,6 +31,8 @@
 	return slices.DeleteFunc(r.all(), func(n int) bool { return slices.Contains(excluded, n) })
 }
 
+// testCutAreas cuts off a rack, and then a zone with an origin, and pushes changes to the other members. Members 5 to 7
+// and 16 to 30 are in neither area.
 func (r *configCluster) testCutAreas() {
 	r.t.Helper()
 	for _, area := range []struct {
@@ -127,7 +128,7 @@
 		}
 	})
 	s, at := r.pushUntilAccepted(2, r.writeSnapshot(""))
-	r.waitApplied("change after these", s, at, r.all(), maxApplyTime)
+	r.waitApplied("change after the traffic was measured", s, at, r.all(), maxApplyTime)
 }
 
 // backUp copies the store of an origin that is not running, and returns the directory of the copy.
--- a/cmd/hazelwing/crossingspage_test.go
+++ b/cmd/hazelwing/crossingspage_test.go
@@ -53,8 +53,9 @@
 // guardComment matches the comment of a guard that names the failure that it prevents.
 var guardComment = regexp.MustCompile(`Guard:|[Pp]revent`)
 
-// checkGuards returns a problem for each race on a page that names no guard in the code (its third cell has no code
-// span), and for each race that names guard functions although no comment of theirs names the prevented failure.
+// checkGuards returns a problem for each row of the page's tables of races that names no guard in the code: its third
+// cell has no code span. It also returns a problem for each row that names guard functions, none of which has a comment
+// that names the prevented failure.
 func (c codeNames) checkGuards(page string) (problems []string) {
 	inTable := false
 	for line := range strings.Lines(page) {
@@ -76,8 +77,8 @@
 	return problems
 }
 
-// isExplained reports whether a cell needs no explanation, because it names no function, or names at least one function
-// with a comment that names the prevented failure.
+// isExplained reports whether at least one function that a cell names has a comment that names the prevented failure.
+// It also returns true if the cell names no function.
 func (c codeNames) isExplained(cell string) bool {
 	namesFunction := false
 	for _, span := range codeSpan.FindAllStringSubmatch(cell, -1) {
@@ -106,7 +107,7 @@
 		"| a | b | `NewlyReached` of an update | `TestX` |\n":  true,
 	} {
 		if problems := code.checkGuards(table + row); (len(problems) == 0) != isGood {
-			t.Errorf("%q: problems %q, want problems unless the row is valid (%v)", row, problems, isGood)
+			t.Errorf("%q: valid is %v, want %v; problems: %q", row, len(problems) == 0, isGood, problems)
 		}
 	}
 }
--- a/cmd/hazelwing/decisionspage_test.go
+++ b/cmd/hazelwing/decisionspage_test.go
@@ -25,7 +25,7 @@
 	decisionsPage = moduleRoot + "/docs/DECISIONS.md"
 
 	// decisionCells is the number of cells of a decision: question, rule, function, inputs, constants and settings,
-	// log messages and admin fields that show it, promise.
+	// log messages and admin fields that show the decision, promise.
 	decisionCells = 7
 	// minDecisions and minConstants make the test fail if the page's form changes so that rows are not found.
 	minDecisions = 70
@@ -62,7 +62,7 @@
 }
 
 // The functions, constants with their values, settings, log messages and admin fields on the page exist in the code.
-// Wrong ones would mislead on-call engineers, who look up a decision by the names on the page.
+// Wrong names would mislead on-call engineers, who look up a decision by the names on the page.
 func TestDecisionsPageNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(decisionsPage)
 	if err != nil {
@@ -128,7 +128,7 @@
 	}
 	for name := range notDecisions {
 		if !code.names[name] {
-			t.Errorf("notDecisions has %s, but there is no such constant", name)
+			t.Errorf("notDecisions has %s, which the code does not declare", name)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 		{"field", "`balancer.Settings.Tick`", ""},
 		{"unknown field", "`balancer.Settings.Tock`", "declares no balancer.Settings.Tock"},
 		{"unknown constant", "`backoff.SilentTimeout`", "declares no backoff.SilentTimeout"},
-		{"unknown package", "`balancers.Balancer`", "is nothing that the code has"},
+		{"unknown package", "`balancers.Balancer`", "is not in the code"},
 		{"constant of another package", "`engine.staleListPeriod` (6 s)", ""},
 		{"milliseconds", "`backoff.SilenceTimeout` (2,500 ms)", ""},
 		{"wrong value", "`backoff.SilenceTimeout` (3 s)", "has 2.5, the page says 3 s"},
@@ -165,13 +165,13 @@
 		{"unknown key", "`[fleet] prope`", "is no key of the operator's file"},
 		{"unknown table", "`[fleets] probe`", "is no key of the operator's file"},
 		{"platform's key", "`Rules.WarmUpMs`", ""},
-		{"unknown platform's key", "`Rules.WarmUp`", "is nothing that the code has"},
+		{"unknown platform's key", "`Rules.WarmUp`", "is not in the code"},
 		{"admin field", "`GET /fleet: core.health`", ""},
 		{"field of an embedded struct", "`GET /config: older`", ""},
 		{"unknown admin field", "`GET /fleet: core.wealth`", "is no field of the admin endpoint"},
 		{"unknown section", "`GET /fleets`", "is no field of the admin endpoint"},
 		{"log message", "`process was stalled`", ""},
-		{"unknown log message", "`process has stalled`", "is nothing that the code has"},
+		{"unknown log message", "`process has stalled`", "is not in the code"},
 		{"command", "`hazelwing config status`", ""},
 		{"unknown command", "`hazelwing config state`", "is no command"},
 		{"decision", row(handle), ""},
@@ -186,7 +186,7 @@
 			_, rowProblems := code.checkDecisions(c.page)
 			got := strings.Join(append(append(problems, valueProblems...), rowProblems...), "\n")
 			if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
-				t.Errorf("%s: problems %q, want %q", c.page, got, c.want)
+				t.Errorf("%s: problems %q, want a problem with the text %q (none if empty)", c.page, got, c.want)
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 		{operatorKey, isOperatorKey, "no key of the operator's file"},
 		{adminField, isAdminField, "no field of the admin endpoint"},
 		{commandLine, isCommand, "no command"},
-		{platformKey, isPlatformKey, "nothing that the code has"},
+		{platformKey, isPlatformKey, "not in the code"},
 	} {
 		if match := kind.form.FindStringSubmatch(span); match != nil {
 			if !kind.exist(match) {
@@ -230,7 +230,7 @@
 			return ""
 		}
 	}
-	return fmt.Sprintf("%q is nothing that the code has", span)
+	return fmt.Sprintf("%q is not in the code", span)
 }
 
 func isOperatorKey(match []string) bool {
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -42,8 +42,9 @@
 	return r.text.String()
 }
 
-// flood runs idle clients until ctx is done. They connect, send nothing or half a line, wait until the daemon closes
-// the connection or close it themselves, and reconnect immediately. flood returns the count of their connections.
+// flood runs idle clients until ctx is done. Each client connects and sends nothing or half a line. It waits until the
+// daemon closes the connection, or closes the connection itself after 0.05 to 1.55 s. Then it reconnects within 20 ms.
+// flood returns the count of the clients' connections.
 func flood(ctx context.Context, all *sync.WaitGroup, addr string, clients int) *atomic.Int64 {
 	connections := new(atomic.Int64)
 	for i := range clients {
@@ -149,7 +150,7 @@
 			testutil.Until(t, "the clients have flooded the daemon", func() bool {
 				return connections.Load() > int64(3*limit)
 			})
-			t.Logf("response to /up under the flood after %v", waitUp().Round(time.Millisecond))
+			t.Logf("the first daemon responded to /up under the flood within %v", waitUp().Round(time.Millisecond))
 			// The daemon is restarted during the flood.
 			terminatedAt := time.Now()
 			signal(first, syscall.SIGTERM)
@@ -159,7 +160,7 @@
 			shutdownTime := time.Since(terminatedAt)
 			second, _ := start(addr)
 			watched.Store(int64(second.Process.Pid))
-			t.Logf("shutdown took %v; response to /up of the next daemon %v later",
+			t.Logf("the first daemon ended %v after SIGTERM; the second one responded to /up %v after it listened",
 				shutdownTime.Round(time.Millisecond), waitUp().Round(time.Millisecond))
 			// Each of these requests makes the daemon dial.
 			requests := platform.Limits{Sockets: limit}.MaxClientConns()
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -86,7 +86,7 @@
 		addr = config.Admin.Listen
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return "", fmt.Errorf("fleet: --admin: %q is not an address and port such as \"127.0.0.1:9180\"", addr)
+		return "", fmt.Errorf("fleet: admin endpoint: %q is not an address and port such as \"127.0.0.1:9180\"", addr)
 	}
 	return addr, nil
 }
@@ -170,7 +170,7 @@
 // checkFleetStatus returns an exitError if the sidecar has not joined the cluster, or if a member is suspect or dead.
 func checkFleetStatus(status gossip.Status) error {
 	if status.Core.Joining {
-		return exitError{errors.New("fleet: it has not joined yet"), statusUnsettled}
+		return exitError{errors.New("fleet: the sidecar has not joined the cluster yet"), statusUnsettled}
 	}
 	unhealthy := 0
 	for _, member := range status.Members {
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -75,7 +75,7 @@
 	}
 	logOutcomes(t, r)
 	if r.Outcomes.Served.Load() == 0 {
-		t.Error("no request was served")
+		t.Error("no request was served during the script, want at least one")
 	}
 }
 
@@ -134,14 +134,14 @@
 		t.Fatal(err)
 	}
 	if _, err = execute("fleet", "--admin", r.AdminAddr(1)); err == nil || exitStatus(err) != statusUnsettled {
-		t.Errorf("with a dead member: error %v, want exit status 2", err)
+		t.Errorf("fleet with a dead member: error %v, want exit status 2", err)
 	}
 	if _, err := execute("fleet", "--admin", r.AdminAddr(3)); err == nil {
 		t.Error("fleet, for a sidecar that does not run: no error, want one")
 	}
 	_, err = execute("fleet", "--operator", "")
 	if err == nil || !strings.Contains(err.Error(), "--admin or --operator") {
-		t.Errorf("without an address: error %v, want one that names the flags", err)
+		t.Errorf("fleet without an address: error %v, want one that names --admin and --operator", err)
 	}
 	type limit struct {
 		Name string `json:"bound"`
@@ -149,7 +149,7 @@
 	var limits []limit
 	err = r.ReadAdmin(1, "bounds", &limits)
 	if err != nil || !slices.Contains(limits, limit{Name: "members of the fleet"}) {
-		t.Errorf("limits of the admin endpoint: error %v, want the members of the fleet in %+v", err, limits)
+		t.Errorf("limits of the admin endpoint: error %v, want \"members of the fleet\" among %+v", err, limits)
 	}
 }
 
--- a/cmd/hazelwing/glossarypage_test.go
+++ b/cmd/hazelwing/glossarypage_test.go
@@ -56,7 +56,7 @@
 		_, problems := code.checkGlossary(glossaryHeader + "\n| --- | --- | --- | --- |\n" + c.rows)
 		got := strings.Join(problems, "\n")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
-			t.Errorf("%s: problems %q, want %q", c.rows, got, c.want)
+			t.Errorf("%s: problems %q, want a problem with the text %q (none if empty)", c.rows, got, c.want)
 		}
 	}
 }
--- a/cmd/hazelwing/hup_test.go
+++ b/cmd/hazelwing/hup_test.go
@@ -13,9 +13,9 @@
 	"hazelwing/internal/testutil"
 )
 
-// A SIGHUP before the program handles the signal does not end the program, which would leave the application without a
-// sidecar. The shell of the run command in deploy/balancer.toml must ignore the signal, and the program must read its
-// configuration after that. A later SIGHUP must reload the configuration.
+// A SIGHUP that arrives before the program handles this signal must not end the program, because the application would
+// then have no sidecar. The shell of the run command in deploy/balancer.toml must ignore the signal, and the program
+// that replaces the shell must start as usual. A later SIGHUP must reload the configuration.
 func TestEarlyHangUp(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -75,7 +75,7 @@
 }
 
 // newDaemonProcess returns a daemon that is not started yet. operator is the text of the operator's file, empty for
-// none; DIR in it stands for an empty directory.
+// none; DIR in it stands for a directory that does not exist yet.
 func newDaemonProcess(t *testing.T, operator string) *daemonProcess {
 	t.Helper()
 	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: trafficClasses}}
@@ -213,12 +213,12 @@
 	case resp.StatusCode == http.StatusBadGateway, resp.StatusCode == http.StatusGatewayTimeout:
 		return failed
 	}
-	r.t.Errorf("%s: unexpected response %s %s", id, resp.Status, text)
+	r.t.Errorf("request %s: status %q with the body %q, want status 200, 502, 503 or 504", id, resp.Status, text)
 	return failed
 }
 
-// The daemon is killed at random times and restarted. Clients retry with new IDs and the same key, whatever the
-// response was. A killed daemon loses its records of attempts in memory, so that effects of these attempts could be
+// The daemon is killed at random times and restarted. Clients retry a request that was not served with new IDs and the
+// same key. A killed daemon loses its records of attempts in memory, so that the effects of these attempts could be
 // executed twice. No request that is not idempotent may be executed twice, and no keyed request may be executed twice
 // within its idempotency scope and window. The long form is
 //
--- a/cmd/hazelwing/lab_slopes_test.go
+++ b/cmd/hazelwing/lab_slopes_test.go
@@ -56,7 +56,7 @@
 	if !errors.Is(err, errForecast) ||
 		!strings.Contains(fmt.Sprint(err), "e quiet sidecar storm") ||
 		strings.Contains(fmt.Sprint(err), "bytes sent") {
-		t.Errorf("error %v, want errForecast for the series storm only", err)
+		t.Errorf("without --figure: error %v, want errForecast for the series storm only", err)
 	}
 	for _, want := range []string{"139", "360 n", "holds", "MISSES", "two at least"} {
 		if !strings.Contains(out, want) {
--- a/cmd/hazelwing/lab_test.go
+++ b/cmd/hazelwing/lab_test.go
@@ -31,14 +31,14 @@
 	want("holds  service of p2c >= 0 (on each: 5 of 5", "lab", "run", "--out", runs, good)
 	files, err := filepath.Glob(filepath.Join(runs, "good-*.jsonl"))
 	if err != nil || len(files) != 1 {
-		t.Fatalf("files %q of the run, error %v, want one file", files, err)
+		t.Fatalf("result files of the run: found %q, error %v, want one file", files, err)
 	}
 	want("random", "lab", "show", files[0])
 	want("noise", "lab", "compare", files[0], files[0])
 	page := filepath.Join(dir, "page.html")
 	want(page, "lab", "report", files[0], "--out", page)
 	if b, err := os.ReadFile(page); err != nil || !strings.Contains(string(b), "<svg") {
-		t.Error(err)
+		t.Errorf("file of the report: error %v, %d bytes; want a page with a plot (<svg)", err, len(b))
 	}
 	bad := write("bad.toml", labText+"[[claim]]\nsays = \"service of p2c >= 2\"\n")
 	out, err := execute("lab", "run", "--out", runs, bad)
@@ -50,7 +50,7 @@
 	want("2 contestants, 2 claims", "lab", "check", found)
 	_, err = execute("lab", "hunt", good, "--contestant", "random", "--tries", "1", "--out", found)
 	if err == nil || !strings.Contains(err.Error(), found) {
-		t.Errorf("hunt with the file of an earlier one: error %v, want one that names the file", err)
+		t.Errorf("hunt with --out naming an existing file: error %v, want one that names the file", err)
 	}
 	for _, args := range [][]string{
 		{"check", write("odd.toml", labText+"[[clam]]\n")},
--- a/cmd/hazelwing/links_test.go
+++ b/cmd/hazelwing/links_test.go
@@ -45,7 +45,7 @@
 	})
 	const minLinks = 100
 	if checked < minLinks {
-		t.Errorf("%d links were found, want at least %d", checked, minLinks)
+		t.Errorf("%d links were found on the pages, want at least %d", checked, minLinks)
 	}
 }
 
@@ -68,8 +68,8 @@
 		page := "## A heading, with `code` and a comma\n\n[here](" + c.link + ")\n"
 		links, problems := checkLinks(moduleRoot+"/docs/PAGE.md", page)
 		if links != 1 || (len(problems) == 0) != c.works {
-			t.Errorf("%s: %d links, problems %q, want one link and problems unless it is valid (%v)",
-				c.link, links, problems, c.works)
+			t.Errorf("%s: %d links, valid is %v; want 1 link, valid %v; problems: %q",
+				c.link, links, len(problems) == 0, c.works, problems)
 		}
 	}
 }
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -10,15 +10,17 @@
 	"testing"
 )
 
-// unfinishedPackages has the packages that the linter may exclude, in the list linters.exclusions.paths of
-// .golangci.yml. The list may only shrink: when the line of a package is removed there, the package is removed here
-// with the next merge at the latest. No package may be added.
+// unfinishedPackages has the packages that may be in the list linters.exclusions.paths of .golangci.yml, which excludes
+// them from the linter. No package may be added. When a package is removed from that list, it is removed from
+// unfinishedPackages with the next merge at the latest.
 var unfinishedPackages = []string{}
 
-// unfinishedLine matches a line of the list, which has the files of one package and the work that is left to do.
+// unfinishedLine matches a line of linters.exclusions.paths: a pattern for the files of one package, and a comment with
+// the work that is left to do.
 var unfinishedLine = regexp.MustCompile(`^      - \^([a-z0-9_/]+)/\[\^/\]\+\$ # (\S.*)$`)
 
-// readUnfinished returns the packages of the list in the text of a .golangci.yml, which ends with the list.
+// readUnfinished returns the packages in linters.exclusions.paths, given the text of a .golangci.yml that ends with
+// this list.
 func readUnfinished(config string) ([]string, error) {
 	const start = "\n    paths:\n"
 	before, list, found := strings.Cut(config, start)
@@ -92,7 +94,7 @@
 	}
 	_, exclusions, found := strings.Cut(string(config), "\n  exclusions:\n")
 	if !found {
-		t.Fatal("the configuration has no section exclusions")
+		t.Fatal(".golangci.yml has no section exclusions")
 	}
 	rules, _, _ := strings.Cut(exclusions, "\n    paths:\n")
 	for line := range strings.Lines(rules) {
@@ -100,13 +102,13 @@
 		isForTests := line == `- path: _test\.go$`
 		isForCores := strings.HasPrefix(line, "- path-except: ^(balancer|internal/")
 		if strings.HasPrefix(line, "- ") && !isForTests && !isForCores {
-			t.Errorf("exclusion rule for files that are not tests: %s", line)
+			t.Errorf("exclusion rule %q, want only rules for tests and for the clock", line)
 		}
 	}
 	for _, word := range []string{"presets:", "generated:", "paths-except:", "disable:", "exclude"} {
 		for line := range strings.Lines(string(config)) {
 			if strings.HasPrefix(strings.TrimSpace(line), word) {
-				t.Errorf("the configuration has %q, which could disable rules", strings.TrimSpace(line))
+				t.Errorf(".golangci.yml has the line %q, which could disable rules", strings.TrimSpace(line))
 			}
 		}
 	}
--- a/cmd/hazelwing/load.go
+++ b/cmd/hazelwing/load.go
@@ -136,8 +136,8 @@
 	}
 	for _, r := range reports {
 		if r.Slow {
-			return fmt.Errorf("one in a hundred requests was sent %.1f ms late: "+
-				"this machine was too slow, and the figures mean nothing", r.SendDelayP99)
+			return fmt.Errorf("1 %% of the requests were sent at least %.1f ms late: "+
+				"this machine was too slow, so the figures are not valid", r.SendDelayP99)
 		}
 	}
 	return nil
--- a/cmd/hazelwing/load_test.go
+++ b/cmd/hazelwing/load_test.go
@@ -23,7 +23,8 @@
 	if err := json.Unmarshal([]byte(out), &reports); err != nil || len(reports) != 2 ||
 		reports[0].Outcomes["served"] == 0 ||
 		reports[0].Outcomes["served"] != reports[1].Outcomes["served"] {
-		t.Errorf("error %v, want two reports with the same number of served requests:\n%s", err, out)
+		t.Errorf("load with two targets: JSON error %v, "+
+			"want two reports with the same number of served requests:\n%s", err, out)
 	}
 	for _, args := range [][]string{
 		{"load"},
@@ -39,7 +40,7 @@
 		{"load", server.URL, "--traffic", "/absent"},
 	} {
 		if _, err := execute(args...); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v, want one of one line", args, err)
+			t.Errorf("%q: error %v, want an error with a text of one line", args, err)
 		}
 	}
 }
--- a/cmd/hazelwing/loggingpage_test.go
+++ b/cmd/hazelwing/loggingpage_test.go
@@ -119,7 +119,7 @@
 	return text
 }
 
-// loggedMessage returns the literal message of a logging call, and whether the call is one.
+// loggedMessage returns the message of a call, and whether the call is a logging call with a literal message.
 func loggedMessage(call *ast.CallExpr) (string, bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !logMethods[method.Sel.Name] || len(call.Args) == 0 {
--- a/cmd/hazelwing/main.go
+++ b/cmd/hazelwing/main.go
@@ -1,6 +1,6 @@
-// Command hazelwing is a client-side load balancer. Without arguments, or as "hazelwing run", it is the daemon: it
-// serves the application beside it at RELAY_LISTEN and forwards its requests to upstreams. "hazelwing help" lists the
-// other commands.
+// Command hazelwing is a client-side load balancer. Without arguments, or as "hazelwing run", it is the daemon, which
+// runs beside an application, receives the application's requests at RELAY_LISTEN and forwards them to upstreams.
+// "hazelwing help" lists the other commands.
 package main
 
 import (
--- a/cmd/hazelwing/main_test.go
+++ b/cmd/hazelwing/main_test.go
@@ -43,9 +43,9 @@
 	select {
 	case err := <-done:
 		if err == nil {
-			t.Error("an invalid configuration was accepted")
+			t.Error("runDaemon with an invalid configuration: no error, want one")
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the program did not end within 20 s")
+		t.Error("runDaemon with an invalid configuration did not return within 20 s")
 	}
 }
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -44,8 +44,8 @@
 // mixedCluster is a cluster in which some members and origins run the older program, and the others the newer one.
 type mixedCluster struct {
 	*configCluster
-	list  *listCluster
-	newer []string // command line of the newer program
+	list  *listCluster // the same cluster, with methods that check the endpoint list
+	newer []string     // command line of the newer program
 }
 
 // TestMixedVersions runs an older version and the current version of the program in one cluster. It checks that both
@@ -83,8 +83,8 @@
 	}
 	r.setProgram(olderGroup, *olderProgram)
 	r.setProgram(fmt.Sprintf("o%d", olderOrigin), *olderProgram)
-	// The test cluster has bootstrapped all origins with the newer program. Bootstrapping with a higher epoch lets each
-	// origin replace its store with its own program.
+	// The test cluster has created the stores of all origins with the newer program. A bootstrap with a higher epoch
+	// replaces each store by one that the program of its origin writes.
 	if err := r.BootstrapOrigins(originEpoch, "origins"); err != nil {
 		t.Fatal(err)
 	}
@@ -186,15 +186,15 @@
 	r.checkNothingRejected()
 }
 
-// checkListCrosses drains a server, and checks that the group that cannot reach discovery learns this from the group
-// that can.
+// checkListCrosses drains a server, and checks that the change of the endpoint list is relayed from the group that can
+// reach discovery to the group that cannot.
 func (r *mixedCluster) checkListCrosses(server string, from, to []int) {
 	r.t.Helper()
 	before := r.Servers.Discovery.Version()
 	r.play("server " + server + " drain")
 	r.list.waitCurrent(fmt.Sprintf("endpoint list from %v to %v", from, to), r.all())
 	if after := r.Servers.Discovery.Version(); after <= before {
-		r.t.Fatalf("discovery is still at version %d", after)
+		r.t.Fatalf("discovery has version %d after the drain of %s, want one above %d", after, server, before)
 	}
 	r.play("wait out " + server + " 10s")
 	crossings := 0
@@ -215,9 +215,9 @@
 	}
 }
 
-// checkConfiguration pushes changes with the commands of both versions, and to each origin. It does so while one group
-// of members cannot reach the origins, and under a leader of each version, which is then killed. It returns the latest
-// revision.
+// checkConfiguration pushes a change to each origin, and one with the command of the older program. Then it pushes
+// while each group of members in turn cannot reach the origins, and with a leader of each version (checkLeader). It
+// returns the latest revision.
 func (r *mixedCluster) checkConfiguration() (revision controlplane.Revision) {
 	r.t.Helper()
 	for k := 1; k <= r.origins; k++ {
@@ -250,10 +250,11 @@
 	output, err := command.Output()
 	var answer pushResult
 	if err = errors.Join(err, json.Unmarshal(output, &answer)); err != nil {
-		r.fail(fmt.Errorf("the older command's push: %w, %s", err, output))
+		r.fail(fmt.Errorf("push with the older program's command: %w; output: %s", err, output))
 	}
 	if answer.Outcome != origin.OutcomeAccepted {
-		r.fail(fmt.Errorf("the older command's push is not accepted: %s", output))
+		r.fail(fmt.Errorf("push with the older program's command: outcome %q, want accepted; output: %s",
+			answer.Outcome, output))
 	}
 	return answer.Revision
 }
@@ -310,7 +311,8 @@
 		what, revision, inForce.Seconds(), reported.Seconds())
 }
 
-// reportsDiffer returns an error unless all origins that respond count all members as acting on a revision.
+// reportsDiffer returns an error if an origin that responds does not report that all members act on a revision. It also
+// returns an error if only a minority of the origins respond.
 func (r *mixedCluster) reportsDiffer(revision controlplane.Revision) error {
 	expected := controlplane.RevisionCount{Revision: revision, Count: r.members}
 	responses := 0
@@ -357,14 +359,14 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			r.fail(fmt.Errorf("%s: not reached within %v: %w", what, mixedWaitTimeout, err))
+			r.fail(fmt.Errorf("%s: the condition did not hold within %v: %w", what, mixedWaitTimeout, err))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// checkUpgrade restarts an older member and the older origin with the newer program, while no other process runs. Both
-// must continue with the state that the older program stored. Then checkUpgrade starts the whole cluster.
+// checkUpgrade restarts an older member and the older origin with the newer program, while all other processes are
+// stopped. Both must continue with the state that the older program stored. Then checkUpgrade starts the whole cluster.
 func (r *mixedCluster) checkUpgrade(revision controlplane.Revision) {
 	r.t.Helper()
 	const upgraded = 1
--- a/cmd/hazelwing/output.go
+++ b/cmd/hazelwing/output.go
@@ -21,5 +21,5 @@
 	return encoder.Encode(value)
 }
 
-// newTable returns a writer that aligns columns separated by tabs. It writes them when it is flushed.
+// newTable returns a writer that aligns columns separated by tabs. The writer prints the columns when it is flushed.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -28,7 +28,8 @@
 		if err := r.ReadAdmin(n, "recovery", &s); err != nil {
 			return nil, nil, false
 		}
-		text = append(text, fmt.Sprintf("%d from %s at %d, %v", n, s.Source, s.Server.Version, s.Server.Live))
+		text = append(text, fmt.Sprintf("member %d: source %s, version %d, live %v",
+			n, s.Source, s.Server.Version, s.Server.Live))
 		if s.Source == "discovery" {
 			callers = append(callers, n)
 		}
@@ -51,7 +52,7 @@
 		}
 	}
 	calls, _ := r.Servers.Discovery.Calls()
-	r.t.Logf("%-40s %6.2f s, %d calls of discovery so far, by %d members now",
+	r.t.Logf("%-40s %6.2f s, %d calls of discovery so far, %d members get the list from it now",
 		what, time.Since(startedAt).Seconds(), calls, len(callers))
 	return callers
 }
@@ -63,7 +64,7 @@
 	}
 }
 
-// joinNumbers returns the numbers of members in the form that scripts have.
+// joinNumbers returns the numbers of members as a list for a script, such as "1,2,5".
 func joinNumbers(list []int) string {
 	return strings.Trim(strings.ReplaceAll(fmt.Sprint(list), " ", ","), "[]")
 }
@@ -85,11 +86,11 @@
 	r.play("start all\nsettle 500ms 30s")
 	callers := r.waitCurrent("all started at once", all)
 	calls, _ := r.Servers.Discovery.Calls()
-	// More than wantCallers members call discovery if starting all members takes more than a second. Without the relay
-	// all of them would call it.
+	// More than wantCallers members call discovery if starting all members takes more than a second. Without the relay,
+	// all members would call it.
 	if len(callers) < wantCallers || calls >= members {
-		t.Errorf("%d members call discovery and made %d calls in all, want about %d members",
-			len(callers), calls, wantCallers)
+		t.Errorf("%d members call discovery, and %d calls were made; want at least %d members and fewer than %d calls",
+			len(callers), calls, wantCallers, members)
 	}
 	r.play("server n1 drain")
 	r.waitCurrent("a server drains", all)
@@ -116,8 +117,8 @@
 	callers = r.waitCurrent("all were restarted at once", all)
 	after, _ := r.Servers.Discovery.Calls()
 	if after-before >= members {
-		t.Errorf("%d calls of discovery when all %d members restart at once, want about %d",
-			after-before, members, wantCallers)
+		t.Errorf("%d calls of discovery when all members restart at once, want fewer than the %d members",
+			after-before, members)
 	}
 	if list := r.Violations(); len(list) > 0 {
 		t.Errorf("rules violated: %q", list)
--- a/cmd/hazelwing/share_test.go
+++ b/cmd/hazelwing/share_test.go
@@ -144,8 +144,8 @@
 	return h.Send(ctx, id, s)
 }
 
-// TestShare measures the share that a sidecar has in the latency of a request, its connections and its resource usage.
-// It compares requests through the sidecar with direct requests, which are sent in turn with them:
+// TestShare measures the latency that a sidecar adds to a request, and the connections and resources that the sidecar
+// uses. It sends requests through the sidecar and by the other routes in turn, to compare their latencies:
 //
 //	go test ./cmd/hazelwing -run 'TestShare$' -share.length 30s -timeout 1h -v
 func TestShare(t *testing.T) {
@@ -195,7 +195,7 @@
 	return plan
 }
 
-// shareUsage is the resource usage of the processes of a measurement since their starts.
+// shareUsage is the resource usage of the processes in a measurement, each since the start of the process.
 type shareUsage struct {
 	sidecar   resourceUsage
 	forwarder resourceUsage
@@ -245,12 +245,13 @@
 		t.Logf("1 %% of the requests were sent at least %.1f ms late", report.SendDelayP99)
 	}
 	if served < 0.95*float64(rate)*shareLength.Seconds() {
-		t.Errorf("%.0f requests of %.0f were served, want at least 95 %%: %v",
+		t.Errorf("%.0f of %.0f requests through the sidecar were served, want at least 95 %%: %v",
 			served, float64(rate)*shareLength.Seconds(), report.Outcomes)
 	}
 }
 
-// latencyColumns returns the columns of TestShare's table from the added latency to the latency of direct requests.
+// latencyColumns returns the columns of TestShare's table with latencies, of which the first is "added ms p50" and the
+// last is the p99 of direct requests.
 func latencyColumns(timings []timedRequest) string {
 	quantile, quiet := quantiles(timings), undisturbed(timings)
 	return fmt.Sprintf("%s | %s | %d | %s | %s | %.2f | %.2f",
@@ -259,8 +260,8 @@
 		quantile(direct, 0.5), quantile(direct, 0.99))
 }
 
-// usageColumns returns the columns of TestShare's table from the attempts per request to the forwarder's context
-// switches.
+// usageColumns returns the columns of TestShare's table with counts and resource usage, of which the first is "attempts
+// per request" and the last is the forwarder's "context switches".
 func usageColumns(timings []timedRequest, before, after shareUsage) string {
 	served := float64(countRoute(timings, viaSidecar))
 	otherRequests := int64(len(timings)) - int64(served)
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -72,7 +72,7 @@
 	var conns, requests, used atomic.Int64
 	pid := os.Getpid()
 	for i := range n {
-		// Each process has its own network, so that no process reuses the ports of another.
+		// The loopback addresses depend on the process ID, so that no process reuses the address and port of another.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid%64, i/250+8*(pid/64%30), 1+i%250))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -147,8 +147,8 @@
 	_, _ = io.Copy(io.Discard, os.Stdin) // returns at the end of standard input
 }
 
-// copyBuffered copies through a buffer in user space, as a proxy does. It hides methods that would copy in the kernel.
-// It returns at an error, after which the caller closes the connection.
+// copyBuffered copies through a buffer in user space, as a proxy does. It hides the methods ReadFrom and WriteTo of the
+// connections, which would copy in the kernel. It returns at an error, after which the caller closes the connection.
 func copyBuffered(to io.Writer, from io.Reader) {
 	_, _ = io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
@@ -244,8 +244,8 @@
 	return text
 }
 
-// startSidecar starts a sidecar whose settings have the given number of sidecars. The sidecar writes a CPU profile to
-// the file profile unless that is empty.
+// startSidecar starts a sidecar whose settings give balancers as the number of sidecars. The sidecar writes a CPU
+// profile to the file profile, unless profile is empty.
 func startSidecar(t *testing.T, s *helperProcess, balancers int, hedging bool, profile string) *sidecarProcess {
 	t.Helper()
 	discovery, err := emulator.NewDiscovery()
--- a/cmd/hazelwing/start_test.go
+++ b/cmd/hazelwing/start_test.go
@@ -59,6 +59,6 @@
 			return n
 		}
 	}
-	t.Fatalf("the status file has no number %s", name)
+	t.Fatalf("/proc/%d/status has no field %s", c.Process.Pid, name)
 	return 0
 }
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -15,8 +15,8 @@
 	"hazelwing/internal/store"
 )
 
-// The commands inspect, verify and compact a directory. Their errors name a directory that is damaged, in use or
-// missing.
+// The commands inspect, verify and compact the store in a directory. Their errors name the directory of a store that is
+// damaged or in use, or a directory that is missing.
 func TestStoreCommand(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "ledger")
 	fs, err := store.Dir(dir)
@@ -92,7 +92,8 @@
 	}
 	out, err = execute("store", "verify", dir)
 	if err == nil || !strings.Contains(err.Error(), dir) || !strings.Contains(out, segments[0].Name) {
-		t.Errorf("verifying a damaged record: error %v, want one that names the directory\n%s", err, out)
+		t.Errorf("verifying a damaged store: error %v, "+
+			"want one that names the directory, and the segment %s in the output:\n%s", err, segments[0].Name, out)
 	}
 	absent := filepath.Join(dir, "absent")
 	for _, sub := range []string{"inspect", "verify", "compact"} {
--- a/cmd/hazelwing/term_test.go
+++ b/cmd/hazelwing/term_test.go
@@ -43,11 +43,10 @@
 	return hangResponse{status: response.StatusCode, close: response.Close}, nil
 }
 
-// Each request gets a response before the platform's earliest SIGKILL, even if all upstreams hang from SIGTERM on.
-// SIGKILL would reset the open connections. The earliest time of SIGKILL is 0.7 s plus the longest deadline after
-// SIGTERM.
-// Clients keep sending on each connection until it is closed, and on new connections for 0.4 s. They repeat a request
-// on a new connection if the daemon closed the connection while the request was on its way.
+// Each request gets a response before the platform may send SIGKILL, even if all upstreams hang from SIGTERM on.
+// SIGKILL would reset the open connections. The platform sends SIGKILL at the earliest 0.7 s plus the longest deadline
+// after SIGTERM. Clients keep sending on each connection until it is closed, and on new connections for 0.4 s. They
+// repeat a request on a new connection if the daemon closed the connection while the request was on its way.
 func TestTermWhileUpstreamsHang(t *testing.T) {
 	for _, longest := range []time.Duration{400 * time.Millisecond, 3 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
@@ -118,7 +117,8 @@
 								response, err = send(c, fmt.Sprint(i, "-", n))
 							}
 						}
-						crossed := err != nil && !fresh // the daemon did not accept the request
+						// The daemon may have closed the connection before it accepted the request.
+						crossed := err != nil && !fresh
 						request.duration = time.Since(sigtermAt) - request.at
 						request.status = response.status
 						request.err = err
@@ -194,7 +194,8 @@
 				}
 			}
 			if len(requests) < clients/3 {
-				t.Errorf("%d requests were sent, want at least %d", len(requests), clients/3)
+				t.Errorf("%d requests after SIGTERM were answered or failed on a new connection, want at least %d",
+					len(requests), clients/3)
 			}
 			t.Logf("%d requests, %d of which were sent again on a new connection", len(requests), retried)
 			if err := cmd.Wait(); err != nil {
