--- a/cmd/hazelwing/architecture_test.go
+++ b/cmd/hazelwing/architecture_test.go
@@ -28,7 +28,7 @@
 	qualifiedName = regexp.MustCompile(`^([a-z0-9]+)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
 )
 
-// All packages and exported identifiers that the architecture page names exist in the code. The test fails if an
+// The architecture page names only packages and exported identifiers that exist in the code. The test fails if an
 // identifier is renamed in the code but not on the page.
 func TestArchitecturePageNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(architecturePage)
@@ -77,7 +77,7 @@
 // formerNamesPage is the page of former names, which no longer exist in the code.
 const formerNamesPage = "RENAMED.md"
 
-// All tests that the pages name exist.
+// README.md and the pages of docs name only tests that exist.
 func TestPagesNameExistingTests(t *testing.T) {
 	declared := map[string]bool{}
 	walkFiles(t, moduleRoot, "_test.go", func(name string) {
@@ -100,7 +100,7 @@
 	})
 }
 
-// All packages and test data folders that the pages name exist.
+// README.md and the pages of docs name only packages and test data folders that exist.
 func TestPagesNameExistingPackages(t *testing.T) {
 	checked := 0
 	walkPages(t, func(name, page string) {
--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -41,7 +41,7 @@
 	processor   float64 // ms
 	resident    float64 // MB
 	heap        float64 // MB
-	disturbed   int     // number of suspicions, refutations and stalls of all members; above 0: not quiet
+	disturbed   int     // number of suspicions, refutations and stalls of all members; 0 in a quiet cluster
 }
 
 func (c memberCost) String() string {
@@ -77,7 +77,8 @@
 	var realCost, hollowCost memberCost
 	measureReal := func() { realCost = calibrateReal(t, settings, recovery) }
 	measureHollow := func() { hollowCost = calibrateHollow(t, settings, recovery) }
-	if isLongCalibration() { // one after the other, so that this process works for one kind at a time
+	if isLongCalibration() {
+		// One after the other, so that this process spends processor time on one kind of sidecar at a time.
 		measureReal()
 		measureHollow()
 	} else {
--- a/cmd/hazelwing/codenames_test.go
+++ b/cmd/hazelwing/codenames_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// codeNames has the declarations of the code. Tests compare the pages with these. Packages are named by the last
-// element of their paths.
+// codeNames has the declarations of the code, with which tests compare the names on documentation pages. Packages are
+// named by the last element of their paths.
 type codeNames struct {
 	names     map[string]bool             // declared names: package.Name, and package.Type.Member for members
 	functions map[string]string           // comments of functions and methods, by their key in names
--- a/cmd/hazelwing/commands_small.go
+++ b/cmd/hazelwing/commands_small.go
@@ -13,10 +13,10 @@
 // hasGRPC is false, because this build cannot send load to gRPC targets.
 const hasGRPC = false
 
-// optionalCommands returns the commands that only the full build has: none.
+// optionalCommands returns no commands, because only the full build has optional commands.
 func optionalCommands() []*cobra.Command { return nil }
 
-// optionalDemos returns the demonstrations that only the full build has: none.
+// optionalDemos returns no demonstrations, because only the full build has optional demonstrations.
 func optionalDemos() []*cobra.Command { return nil }
 
 // newGRPCTarget is never called, because hasGRPC is false.
--- a/cmd/hazelwing/commandspage_test.go
+++ b/cmd/hazelwing/commandspage_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// The check reports patterns that select nothing, also if the command has a line break. It accepts valid patterns.
+// checkTestCommands reports patterns that select nothing, also if the command has a line break. It accepts valid
+// patterns.
 func TestTestCommandCheckFindsWrongPatterns(t *testing.T) {
 	for page, isGood := range map[string]bool{
 		"`go test ./internal/backoff -run Scheduler -v`":                true,
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -68,8 +68,8 @@
 
 func (r *configCluster) all() []int { return numberRange(1, r.members) }
 
-// writeSnapshot writes a snapshot with unique content, at the end of which is the text more, to a file. It returns the
-// path of the file.
+// writeSnapshot writes a snapshot with unique content to a file, and returns its path. The text more is appended to the
+// snapshot.
 func (r *configCluster) writeSnapshot(more string) string {
 	r.t.Helper()
 	r.pushes++
@@ -121,7 +121,7 @@
 			}
 			var applied controlplane.Revision
 			_, err := fmt.Sscanf(strings.TrimSpace(rest), "%d.%d", &applied.Epoch, &applied.Version)
-			if err != nil || applied.Compare(revision) < 0 { // after an error: the line is not complete yet
+			if err != nil || applied.Compare(revision) < 0 { // an error means that the line is not complete yet
 				continue
 			}
 			at, err := time.Parse(time.RFC3339, strings.TrimPrefix(line[:strings.IndexByte(line, ' ')], "time="))
@@ -135,9 +135,9 @@
 	return times
 }
 
-// waitApplied waits until all members of a group have applied a revision or a later one. It logs the times that this
-// took since a given instant, at the 50th, 99th and 100th percentiles. In the long form the longest time may not exceed
-// maxTime, unless maxTime is 0.
+// waitApplied waits until all members of a group have applied a revision or a later one. It logs the 50th, 99th and
+// 100th percentiles of the members' times from since until they applied the revision. In the long form, the test fails
+// if the longest time exceeds maxTime, unless maxTime is 0.
 func (r *configCluster) waitApplied(
 	what string, revision controlplane.Revision, since time.Time, group []int, maxTime time.Duration,
 ) {
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// testRolledBackOrigin restores an older store of one origin, and returns the directory of that store.
+// testRolledBackOrigin restores an older store of one origin from a backup, and returns the directory of the backup.
 func (r *configCluster) testRolledBackOrigin() (backup string) {
 	r.t.Helper()
 	client := transport.NewClient("rig", r.OriginAddr(5))
--- a/cmd/hazelwing/crossingspage_test.go
+++ b/cmd/hazelwing/crossingspage_test.go
@@ -32,7 +32,7 @@
 }
 
 // checkIdentifiers returns the number of identifiers on a page that belong to a package of the code, and a problem for
-// each that the code does not declare.
+// each of these identifiers that the code does not declare.
 func (c codeNames) checkIdentifiers(page string) (count int, problems []string) {
 	for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
 		match := pageIdentifier.FindStringSubmatch(span[1])
@@ -53,9 +53,9 @@
 // guardComment matches the comment of a guard that names the failure that it prevents.
 var guardComment = regexp.MustCompile(`Guard:|[Pp]revent`)
 
-// checkGuards returns a problem for each row of the page's tables of races that names no guard in the code: its third
-// cell has no code span. It also returns a problem for each row that names guard functions, none of which has a comment
-// that names the prevented failure.
+// checkGuards returns a problem for each row of the page's tables of races that does not have four cells, or whose
+// third cell has no code span and so names no guard in the code. It also returns a problem for each row that names guard
+// functions, none of which has a comment that names the prevented failure.
 func (c codeNames) checkGuards(page string) (problems []string) {
 	inTable := false
 	for line := range strings.Lines(page) {
@@ -91,7 +91,7 @@
 	return !namesFunction
 }
 
-// The check reports a row with no guard in the code, a row with a guard function whose comment does not name the
+// checkGuards reports a row with no guard in the code, a row with a guard function whose comment does not name the
 // prevented failure, and a row with too few cells.
 func TestCrossingsPageCheckFindsRowsWithoutGuard(t *testing.T) {
 	code := codeNames{functions: map[string]string{
--- a/cmd/hazelwing/decisionspage_test.go
+++ b/cmd/hazelwing/decisionspage_test.go
@@ -24,8 +24,8 @@
 const (
 	decisionsPage = moduleRoot + "/docs/DECISIONS.md"
 
-	// decisionCells is the number of cells of a decision: question, rule, function, inputs, constants and settings,
-	// log messages and admin fields that show the decision, promise.
+	// decisionCells is the number of cells of a decision: question; rule; function; inputs; constants and settings;
+	// log messages and admin fields that show the decision; promise.
 	decisionCells = 7
 	// minDecisions and minConstants make the test fail if the page's form changes so that rows are not found.
 	minDecisions = 70
@@ -40,7 +40,7 @@
 	constantWithValue = regexp.MustCompile("`([a-z][a-z0-9]*\\.\\w+)` \\((\\d[^)]*)\\)")
 	// operatorKey matches a table of the operator's file, or a key with its table.
 	operatorKey = regexp.MustCompile(`^\[([a-z_.]+)\](?: (\w+))?$`)
-	// adminField matches a section of the admin endpoint, or a field of one.
+	// adminField matches a section of the admin endpoint, or a field of a section.
 	adminField = regexp.MustCompile(`^GET /(\w+)(?:: ([\w.]+))?$`)
 	// commandLine matches a command of the program.
 	commandLine = regexp.MustCompile(`^hazelwing ([a-z ]+)$`)
@@ -133,7 +133,7 @@
 	}
 }
 
-// The check reports each kind of wrong name, and accepts valid ones.
+// checkSpans, checkValues and checkDecisions report each kind of wrong name, value and row, and accept valid ones.
 func TestDecisionsPageCheckFindsWrongNames(t *testing.T) {
 	code := parseCode(t)
 	const handle = "`balancer.Balancer.Handle`"
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -33,7 +33,7 @@
 	adminAddr    string
 	asJSON       bool
 	watch        bool
-	interval     time.Duration // time between two outputs with watch
+	interval     time.Duration // time between two outputs if watch is set
 }
 
 func newFleetCommand() *cobra.Command {
@@ -91,7 +91,7 @@
 	return addr, nil
 }
 
-// run prints the membership view once, or with watch repeatedly until ctx is done.
+// run prints the membership view once or, if watch is set, repeatedly until ctx is done.
 func (o *fleetOptions) run(ctx context.Context, out io.Writer, addr string) error {
 	for {
 		status, err := fetchFleetStatus(ctx, addr)
--- a/cmd/hazelwing/fleet_test.go
+++ b/cmd/hazelwing/fleet_test.go
@@ -57,8 +57,8 @@
 	return r
 }
 
-// playScript plays a script. If it fails, playScript prints the script, the seed and all logs in the order of
-// time.
+// playScript plays a script. If the script fails, playScript prints the seed, the script, and its steps and all logs
+// merged by time, up to maxTimelineLines lines.
 func playScript(t *testing.T, r *testcluster.Cluster, script string) {
 	t.Helper()
 	if err := r.Play(t.Context(), script); err != nil {
--- a/cmd/hazelwing/glossarypage_test.go
+++ b/cmd/hazelwing/glossarypage_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// The check reports each kind of wrong row, and accepts valid ones.
+// checkGlossary reports each kind of wrong row, and accepts valid rows.
 func TestGlossaryCheckFindsWrongRows(t *testing.T) {
 	code := parseCode(t)
 	for _, c := range []struct {
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -32,8 +32,8 @@
 // daemonVariable is the environment variable that makes this test's program run as the daemon.
 const daemonVariable = "HAZELWING_TEST_RUN"
 
-// TestMain runs the tests, or one of the processes that tests start from the same program: the daemon, the emulated
-// nodes or the forwarder.
+// TestMain runs the tests. In a process that a test has started from the same program, it runs the daemon, the plain
+// servers (serversMain) or the forwarder (forwardMain) instead.
 func TestMain(m *testing.M) {
 	if os.Getenv(daemonVariable) != "" {
 		daemonMain()
@@ -217,10 +217,10 @@
 	return failed
 }
 
-// The daemon is killed at random times and restarted. Clients retry a request that was not served with new IDs and the
-// same key. A killed daemon loses its records of attempts in memory, so that the effects of these attempts could be
-// executed twice. No request that is not idempotent may be executed twice, and no keyed request may be executed twice
-// within its idempotency scope and window. The long form is
+// The daemon is killed at random times and restarted. If a request was not served, its client retries it with a new ID
+// and the same key. A killed daemon loses the records of attempts that it had in memory, so that the effects of these
+// attempts could be executed twice. No request that is not idempotent may be executed twice, and no keyed request may be
+// executed twice within its idempotency scope and window. The long form is
 //
 //	go test ./cmd/hazelwing -run Killed -kills 200 -timeout 30m
 func TestKilled(t *testing.T) {
@@ -317,7 +317,7 @@
 
 var costRunLength = flag.Duration("cost", 0, "duration of each run of TestCost; 0: the test is skipped")
 
-// TestCost measures the latency that idempotency records add to a request, for each durability in turn:
+// TestCost measures the latency that idempotency records add to a request: without records, and with each durability:
 //
 //	go test ./cmd/hazelwing -run Cost -v -cost 10s -timeout 30m
 func TestCost(t *testing.T) {
--- a/cmd/hazelwing/lab_capacity.go
+++ b/cmd/hazelwing/lab_capacity.go
@@ -22,8 +22,8 @@
 	// hundreds of queues from filling the memory while the process is short of processor time.
 	capacityMemoryLimit = 6 << 30
 
-	// capacityGCPercent is the garbage collector's target in the daemon. Capacity experiments measure memory, which
-	// labGCPercent would increase.
+	// capacityGCPercent is the garbage collector's target percentage (GOGC) in capacity experiments, the same as in the
+	// daemon. These experiments measure memory, which labGCPercent would increase.
 	capacityGCPercent = 100
 
 	resultsFileMode = 0o644
@@ -34,7 +34,7 @@
 	out      io.Writer
 	progress io.Writer
 	outPath  string // file for the results; empty: they are only printed
-	sizes    []int  // replace the sizes of the experiments unless empty
+	sizes    []int  // sizes that replace those of the experiments; empty: not replaced
 	results  []capacity.Result
 }
 
--- a/cmd/hazelwing/links_test.go
+++ b/cmd/hazelwing/links_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// The check reports broken links, and accepts valid ones.
+// checkLinks reports broken links, and accepts valid ones.
 func TestPageLinkCheckFindsWrongLinks(t *testing.T) {
 	for _, c := range []struct {
 		link  string
@@ -114,8 +114,8 @@
 	return ""
 }
 
-// anchorsOf returns the anchors of a page's headings. If several headings have the same anchor, it numbers all but the
-// first.
+// anchorsOf returns the anchors of a page's headings. If several headings would have the same anchor, a number is
+// appended to all but the first.
 func anchorsOf(page string) map[string]bool {
 	anchors := map[string]bool{}
 	for _, heading := range pageHeading.FindAllStringSubmatch(fencedCode.ReplaceAllString(page, ""), -1) {
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// Each way in which the list could grow or lose its form is an error, so that it cannot grow unnoticed.
+// readUnfinished and checkUnfinished return an error for each way in which the list could grow or lose its form.
+// Otherwise the list could grow unnoticed.
 func TestReadAndCheckUnfinished(t *testing.T) {
 	root := t.TempDir()
 	for _, name := range []string{"a", "b/c"} {
--- a/cmd/hazelwing/start_test.go
+++ b/cmd/hazelwing/start_test.go
@@ -29,7 +29,7 @@
 	}
 	r := newDaemonProcess(t, "")
 	r.env = append(r.env, set[1])
-	minThreads := 1 << 20 // minimum of the starts: a long system call on a busy machine adds a thread
+	minThreads := 1 << 20 // minimum of five starts, because a long system call on a busy machine adds a thread
 	for range 5 {
 		r.start()
 		threads := processStatusValue(t, r.cmd, "Threads")
@@ -43,7 +43,7 @@
 	}
 }
 
-// processStatusValue returns a number from the status file that the kernel has for a process.
+// processStatusValue returns a number from the file /proc/PID/status of a process.
 func processStatusValue(t *testing.T, c *exec.Cmd, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -13,7 +13,7 @@
 
 func main() { os.Exit(run(os.Stdin, os.Stdout, os.Stderr)) }
 
-// run serves stdin on stdout until stdin ends, and returns the exit status.
+// run handles the events on stdin until stdin ends, writes the actions to stdout, and returns the exit status.
 func run(stdin io.Reader, stdout, stderr io.Writer) int {
 	if err := wire.Serve(stdin, stdout); err != nil {
 		_, _ = fmt.Fprintln(stderr, "simadapter:", err) // the exit status reports the failure even if this write fails
