--- a/cmd/hazelwing/codenames_test.go
+++ b/cmd/hazelwing/codenames_test.go
@@ -169,7 +169,7 @@
 // packageConstants are the constants of a package, or of one file of it.
 type packageConstants struct {
 	exprs  map[string]ast.Expr         // expressions of the constants, by name
-	others map[string]packageConstants // constants of all packages, by package; nil: only exprs can be evaluated
+	others map[string]packageConstants // constants of all packages, by package; nil: no constants of other packages
 }
 
 // add adds the constants that a file declares with an expression.
--- a/cmd/hazelwing/configlong_test.go
+++ b/cmd/hazelwing/configlong_test.go
@@ -99,7 +99,7 @@
 		})
 	}
 	all.Wait()
-	r.t.Logf("pushes of four clients for %v: %v accepted", duration, accepted)
+	r.t.Logf("four clients pushed for %v; accepted pushes of each client: %v", duration, accepted)
 	s, at := r.pushUntilAccepted(2, r.writeSnapshot(""))
 	r.waitApplied("change after many pushes", s, at, r.all(), maxApplyTime)
 }
--- a/cmd/hazelwing/crossingspage_test.go
+++ b/cmd/hazelwing/crossingspage_test.go
@@ -54,8 +54,8 @@
 var guardComment = regexp.MustCompile(`Guard:|[Pp]revent`)
 
 // checkGuards returns a problem for each row of the page's tables of races that does not have four cells, or whose
-// third cell has no code span and so names no guard in the code. It also returns a problem for each row that names guard
-// functions, none of which has a comment that names the prevented failure.
+// third cell has no code span and so names no guard in the code. It also returns a problem for each row that names
+// guard functions, none of which has a comment that names the prevented failure.
 func (c codeNames) checkGuards(page string) (problems []string) {
 	inTable := false
 	for line := range strings.Lines(page) {
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -219,8 +219,8 @@
 
 // The daemon is killed at random times and restarted. If a request was not served, its client retries it with a new ID
 // and the same key. A killed daemon loses the records of attempts that it had in memory, so that the effects of these
-// attempts could be executed twice. No request that is not idempotent may be executed twice, and no keyed request may be
-// executed twice within its idempotency scope and window. The long form is
+// attempts could be executed twice. No request that is not idempotent may be executed twice, and no keyed request may
+// be executed twice within its idempotency scope and window. The long form is
 //
 //	go test ./cmd/hazelwing -run Killed -kills 200 -timeout 30m
 func TestKilled(t *testing.T) {
--- a/cmd/hazelwing/lab_capacity.go
+++ b/cmd/hazelwing/lab_capacity.go
@@ -112,7 +112,7 @@
 	return runErr
 }
 
-// saveResults writes results to a file. They replace the results of the same experiment and size in the file.
+// saveResults writes results to a file, in which they replace earlier results of the same experiment and size.
 func saveResults(path string, results []capacity.Result) error {
 	saved, err := capacity.ReadResults(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -299,7 +299,7 @@
 	r.waitUntil(what, func() error {
 		for _, n := range r.all() {
 			if s := r.state(n); s.Active != revision {
-				return fmt.Errorf("member %d acts on %v, not on %v", n, s.Active, revision)
+				return fmt.Errorf("member %d acts on %v, want %v", n, s.Active, revision)
 			}
 		}
 		return nil
@@ -323,11 +323,11 @@
 		}
 		responses++
 		if s.Report.Members != r.members || len(s.Report.Active) != 1 || s.Report.Active[0] != expected {
-			return fmt.Errorf("origin %d reports %+v, not %+v", k, s.Report, expected)
+			return fmt.Errorf("origin %d reports %+v, want only %+v as active", k, s.Report, expected)
 		}
 	}
 	if responses <= r.origins/2 {
-		return fmt.Errorf("%d of %d origins respond", responses, r.origins)
+		return fmt.Errorf("%d of %d origins respond, want a majority", responses, r.origins)
 	}
 	return nil
 }
@@ -342,7 +342,7 @@
 				return fmt.Errorf("origin %d: %w", k, err)
 			}
 			if status.Revision != revision {
-				return fmt.Errorf("origin %d: revision %v, not %v", k, status.Revision, revision)
+				return fmt.Errorf("origin %d has revision %v, want %v", k, status.Revision, revision)
 			}
 		}
 		return nil
@@ -408,7 +408,7 @@
 			return err
 		}
 		if stored.Frame.Revision != revision {
-			return fmt.Errorf("the stored revision is %v", stored.Frame.Revision)
+			return fmt.Errorf("the stored revision is %v, want %v", stored.Frame.Revision, revision)
 		}
 		return nil
 	})
--- a/cmd/hazelwing/recovery_test.go
+++ b/cmd/hazelwing/recovery_test.go
@@ -70,7 +70,7 @@
 }
 
 // Members relay the endpoint list to each other, and only a few members call discovery, even if all start or restart at
-// once. If these few are killed or cannot reach discovery, other members call discovery. Each change of the list
+// once. If the callers are killed or cannot reach discovery, other members call discovery. Each change of the list
 // reaches all members.
 func TestEndpointListIsRelayed(t *testing.T) {
 	const members, wantCallers = 12, 2
--- a/cmd/hazelwing/run.go
+++ b/cmd/hazelwing/run.go
@@ -39,7 +39,7 @@
 // runDaemon runs the daemon until SIGTERM or SIGINT. The path of the operator's file is empty if there is no such file.
 func runDaemon(operatorFile string) error {
 	// SIGHUP is caught before anything else is done, because its default action would end the program. The channel
-	// holds one signal: until the daemon receives it, further ones would request the same reload.
+	// holds one signal: until the daemon receives this signal, further signals would request the same reload.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	platformConfig, err := platform.Load(os.Getenv)
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -59,9 +59,9 @@
 	Servers  int64 // number of servers that received a request
 }
 
-// serversMain runs plain servers, each on its own address. They respond to each request after a fixed time and keep
-// connections open. serversMain prints the addresses, one per line, and then prints the counts for each line that it
-// reads from standard input. It returns at the end of the input.
+// serversMain runs plain servers, each on its own address. The servers respond to each request after a fixed time and
+// keep connections open. serversMain prints the addresses, one per line, and then prints the counts for each line that
+// it reads from standard input. It returns at the end of the input.
 func serversMain() {
 	n, err := strconv.Atoi(os.Getenv(serversVariable))
 	work, workErr := time.ParseDuration(os.Getenv(workVariable))
--- a/cmd/hazelwing/start_test.go
+++ b/cmd/hazelwing/start_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// maxStartThreads limits the threads of a sidecar when it responds for the first time. The runtime has four: its
-// monitor, one that waits for the network, one that runs goroutines, and one for signals. Two more may be started for
-// system calls.
+// maxStartThreads limits the threads of a sidecar when it responds for the first time. The Go runtime has four threads:
+// its monitor, a thread that waits for the network, a thread that runs goroutines, and a thread for signals. It may
+// start two more threads for system calls.
 const maxStartThreads = 6
 
 // The start of a sidecar must be cheap, because the platform may start three hundred sidecars, each on a fraction of a
