--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -131,7 +131,7 @@
 			addr, response.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxFleetStatusBytes)).Decode(&status); err != nil {
-		return status, fmt.Errorf("fleet: %s: %w", addr, err)
+		return status, fmt.Errorf("fleet: %s: cannot read the membership view: %w", addr, err)
 	}
 	if status.Name == "" {
 		return status, fmt.Errorf("fleet: %s: the sidecar is too busy to report its view", addr)
--- a/cmd/hazelwing/lintlist_test.go
+++ b/cmd/hazelwing/lintlist_test.go
@@ -152,7 +152,7 @@
 				t.Errorf("error %v, want none", err)
 			}
 			if test.wantError != "" && (err == nil || !strings.Contains(err.Error(), test.wantError)) {
-				t.Errorf("error %v, want one with %q", err, test.wantError)
+				t.Errorf("error %v, want one that contains %q", err, test.wantError)
 			}
 		})
 	}
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// checkEndpointList lets first only the older version reach discovery and then only the newer one, so that each change
-// of the endpoint list has to be relayed between the versions.
+// checkEndpointList changes the endpoint list while only the older version can reach discovery, and then while only the
+// newer version can. Each change has to be relayed between the versions.
 func (r *mixedCluster) checkEndpointList() {
 	r.t.Helper()
 	r.checkListCrosses("n1", olderMembers(), newerMembers())
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -244,8 +244,8 @@
 	return text
 }
 
-// startSidecar starts a sidecar whose settings give balancers as the number of sidecars. The sidecar writes a CPU
-// profile to the file profile, unless profile is empty.
+// startSidecar starts a sidecar. The parameter balancers is the number of sidecars in its settings. The sidecar writes a
+// CPU profile to the file profile, unless profile is empty.
 func startSidecar(t *testing.T, s *helperProcess, balancers int, hedging bool, profile string) *sidecarProcess {
 	t.Helper()
 	discovery, err := emulator.NewDiscovery()
