--- a/cmd/hazelwing/calibration_test.go
+++ b/cmd/hazelwing/calibration_test.go
@@ -156,7 +156,7 @@
 	startedAt, before := time.Now(), read()
 	time.Sleep(*calibrateFor)
 	cost = costBetween(before, read(), time.Since(startedAt), members)
-	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // an error means that the cluster was not quiet
+	if err := r.Play(t.Context(), "wait agree 1s"); err != nil { // it fails if the cluster was not quiet
 		t.Errorf("the real sidecars did not agree at the end: %v\n%s", err, r.Timeline())
 	}
 	return cost
--- a/cmd/hazelwing/ci_test.go
+++ b/cmd/hazelwing/ci_test.go
@@ -102,7 +102,7 @@
 	for _, c := range []struct {
 		name       string
 		list       string
-		a, b       string // test files of packages a and b; empty: the failing file of a, the passing file of b
+		a, b       string // test files of packages a and b; empty: redInA and greenInB
 		green      bool
 		wantOutput string
 	}{
--- a/cmd/hazelwing/config_test.go
+++ b/cmd/hazelwing/config_test.go
@@ -135,9 +135,9 @@
 	return times
 }
 
-// waitApplied waits until all members of a group have applied a revision or a later one. It logs the 50th, 99th and
-// 100th percentiles of the members' times from since until they applied the revision. In the long form, the test fails
-// if the longest time exceeds maxTime, unless maxTime is 0.
+// waitApplied waits until all members of a group have applied a revision or a later one. For each member it takes the
+// time from the instant since until the member applied the revision, and it logs the 50th, 99th and 100th percentiles
+// of these times. In the long form, the test fails if the longest time exceeds maxTime, unless maxTime is 0.
 func (r *configCluster) waitApplied(
 	what string, revision controlplane.Revision, since time.Time, group []int, maxTime time.Duration,
 ) {
--- a/cmd/hazelwing/descriptors_test.go
+++ b/cmd/hazelwing/descriptors_test.go
@@ -167,7 +167,7 @@
 			statuses := make(chan int, requests)
 			for i := range requests {
 				clients.Go(func() {
-					// A request that is disconnected or rejected is retried.
+					// The request is sent again if it is rejected, or if its connection is closed without a response.
 					status := 0
 					for n := 0; ctx.Err() == nil && (status == 0 || status == http.StatusServiceUnavailable); n++ {
 						if n > 0 {
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -141,7 +141,7 @@
 func (r *daemonProcess) kill() {
 	if r.cmd != nil {
 		r.generation.Add(1)
-		_ = r.cmd.Process.Kill() // it may have ended
+		_ = r.cmd.Process.Kill() // the process may have ended
 		_ = r.cmd.Wait()         // a killed process has an error status
 		r.cmd = nil
 	}
--- a/cmd/hazelwing/lab_capacity.go
+++ b/cmd/hazelwing/lab_capacity.go
@@ -34,7 +34,7 @@
 	out      io.Writer
 	progress io.Writer
 	outPath  string // file for the results; empty: they are only printed
-	sizes    []int  // sizes that replace those of the experiments; empty: not replaced
+	sizes    []int  // sizes to run; empty: the sizes in the experiment's file
 	results  []capacity.Result
 }
 
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -244,8 +244,8 @@
 	return text
 }
 
-// startSidecar starts a sidecar. The parameter balancers is the number of sidecars in its settings. The sidecar writes a
-// CPU profile to the file profile, unless profile is empty.
+// startSidecar starts a sidecar. The parameter balancers is the number of sidecars in its settings. The sidecar writes
+// a CPU profile to the file profile, unless profile is empty.
 func startSidecar(t *testing.T, s *helperProcess, balancers int, hedging bool, profile string) *sidecarProcess {
 	t.Helper()
 	discovery, err := emulator.NewDiscovery()
@@ -280,7 +280,7 @@
 		t.Fatal(err)
 	}
 	defer out.Close()
-	r.cmd = exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0]) // ended by stop
+	r.cmd = exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0]) // stop ends the process
 	r.cmd.Env = append(os.Environ(), daemonVariable+"=1", "RELAY_CONFIG="+path, "GOMAXPROCS=1",
 		profileVariable+"="+profile)
 	r.cmd.Stderr = out
@@ -301,7 +301,7 @@
 // stop ends the sidecar with SIGTERM, as the platform does.
 func (r *sidecarProcess) stop() {
 	if r.cmd != nil {
-		_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+		_ = r.cmd.Process.Signal(syscall.SIGTERM) // the process may have ended
 		_ = r.cmd.Wait()                          // the exit status is irrelevant to the measurement
 		r.cmd = nil
 	}
--- a/cmd/hazelwing/startdaemon_test.go
+++ b/cmd/hazelwing/startdaemon_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Process.Kill() // the process may have ended
 		_ = cmd.Wait()         // a killed process has an error status
 	})
 	testutil.Until(t, "the daemon listens", func() bool {
--- a/cmd/hazelwing/store_test.go
+++ b/cmd/hazelwing/store_test.go
@@ -157,6 +157,6 @@
 	}
 	t.Setenv("RELAY_CONFIG", t.TempDir()+"/absent.json")
 	if _, err := execute("run", "--operator", path); err == nil || !strings.Contains(err.Error(), "absent.json") {
-		t.Errorf("run without a platform's file: error %v, want one that names this file first", err)
+		t.Errorf("run without a platform's file: error %v, want one that names absent.json", err)
 	}
 }
