--- a/cmd/hazelwing/architecture_test.go
+++ b/cmd/hazelwing/architecture_test.go
@@ -28,7 +28,7 @@
 	qualifiedName = regexp.MustCompile(`^([a-z0-9]+)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
 )
 
-// All packages and exported identifiers that the architecture page names exist in the code. The test fails if an
+// The architecture page names only packages and exported identifiers that exist in the code. The test fails if an
 // identifier is renamed in the code but not on the page.
 func TestArchitecturePageNamesTheCode(t *testing.T) {
 	page, err := os.ReadFile(architecturePage)
@@ -37,7 +37,7 @@
 	}
 	for _, name := range diagramPath.FindAllString(string(page), -1) {
 		if !isPackage(name) {
-			t.Errorf("there is no package %s", name)
+			t.Errorf("the architecture page's diagram names the package %s, which does not exist", name)
 		}
 	}
 	declared := parseCode(t).names
@@ -47,20 +47,21 @@
 		switch {
 		case packagePath.MatchString(name):
 			if !isPackage(name) {
-				t.Errorf("there is no package %s", name)
+				t.Errorf("the architecture page names the package %s, which does not exist", name)
 			}
 		case qualifiedName.MatchString(name):
 			checked++
 			if !declared[name] {
-				t.Errorf("the code declares no %s", name)
+				t.Errorf("the architecture page names %s, which the code does not declare", name)
 			}
 		}
 	}
 	if checked < 30 {
-		t.Errorf("%d identifiers were found on the page, want at least 30", checked)
+		t.Errorf("%d identifiers were found on the architecture page, want at least 30", checked)
 	}
 }
 
+// isPackage reports whether a path below the module's root is a package or a folder of packages.
 func isPackage(name string) bool {
 	files, err := filepath.Glob(filepath.Join(moduleRoot, name, "*.go"))
 	if err != nil {
@@ -76,7 +77,7 @@
 // formerNamesPage is the page of former names, which no longer exist in the code.
 const formerNamesPage = "RENAMED.md"
 
-// All tests that the pages name exist.
+// README.md and the pages of docs name only tests that exist.
 func TestPagesNameExistingTests(t *testing.T) {
 	declared := map[string]bool{}
 	walkFiles(t, moduleRoot, "_test.go", func(name string) {
@@ -93,13 +94,13 @@
 	walkPages(t, func(name, page string) {
 		for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
 			if testName.MatchString(span[1]) && !declared[span[1]] {
-				t.Errorf("%s names %s, which does not exist", name, span[1])
+				t.Errorf("%s names the test %s, which no test file declares", name, span[1])
 			}
 		}
 	})
 }
 
-// All packages and test data folders that the pages name exist.
+// README.md and the pages of docs name only packages and test data folders that exist.
 func TestPagesNameExistingPackages(t *testing.T) {
 	checked := 0
 	walkPages(t, func(name, page string) {
--- a/cmd/hazelwing/crossingspage_test.go
+++ b/cmd/hazelwing/crossingspage_test.go
@@ -32,7 +32,7 @@
 }
 
 // checkIdentifiers returns the number of identifiers on a page that belong to a package of the code, and a problem for
-// each that the code does not declare.
+// each of these identifiers that the code does not declare.
 func (c codeNames) checkIdentifiers(page string) (count int, problems []string) {
 	for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
 		match := pageIdentifier.FindStringSubmatch(span[1])
@@ -53,8 +53,9 @@
 // guardComment matches the comment of a guard that names the failure that it prevents.
 var guardComment = regexp.MustCompile(`Guard:|[Pp]revent`)
 
-// checkGuards returns a problem for each race on a page that names no guard in the code (its third cell has no code
-// span), and for each race that names guard functions although no comment of theirs names the prevented failure.
+// checkGuards returns a problem for each row of the page's tables of races that does not have four cells, or whose
+// third cell has no code span and so names no guard in the code. It also returns a problem for each row that names
+// guard functions, none of which has a comment that names the prevented failure.
 func (c codeNames) checkGuards(page string) (problems []string) {
 	inTable := false
 	for line := range strings.Lines(page) {
@@ -76,8 +77,8 @@
 	return problems
 }
 
-// isExplained reports whether a cell needs no explanation, because it names no function, or names at least one function
-// with a comment that names the prevented failure.
+// isExplained reports whether at least one function that a cell names has a comment that names the prevented failure.
+// It also returns true if the cell names no function.
 func (c codeNames) isExplained(cell string) bool {
 	namesFunction := false
 	for _, span := range codeSpan.FindAllStringSubmatch(cell, -1) {
@@ -90,7 +91,7 @@
 	return !namesFunction
 }
 
-// The check reports a row with no guard in the code, a row with a guard function whose comment does not name the
+// checkGuards reports a row with no guard in the code, a row with a guard function whose comment does not name the
 // prevented failure, and a row with too few cells.
 func TestCrossingsPageCheckFindsRowsWithoutGuard(t *testing.T) {
 	code := codeNames{functions: map[string]string{
@@ -106,7 +107,7 @@
 		"| a | b | `NewlyReached` of an update | `TestX` |\n":  true,
 	} {
 		if problems := code.checkGuards(table + row); (len(problems) == 0) != isGood {
-			t.Errorf("%q: problems %q, want problems unless the row is valid (%v)", row, problems, isGood)
+			t.Errorf("%q: valid is %v, want %v; problems: %q", row, len(problems) == 0, isGood, problems)
 		}
 	}
 }
--- a/cmd/hazelwing/fleet.go
+++ b/cmd/hazelwing/fleet.go
@@ -33,7 +33,7 @@
 	adminAddr    string
 	asJSON       bool
 	watch        bool
-	interval     time.Duration // time between two outputs with watch
+	interval     time.Duration // time between two outputs if watch is set
 }
 
 func newFleetCommand() *cobra.Command {
@@ -86,12 +86,12 @@
 		addr = config.Admin.Listen
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return "", fmt.Errorf("fleet: --admin: %q is not an address and port such as \"127.0.0.1:9180\"", addr)
+		return "", fmt.Errorf("fleet: admin endpoint: %q is not an address and port such as \"127.0.0.1:9180\"", addr)
 	}
 	return addr, nil
 }
 
-// run prints the membership view once, or with watch repeatedly until ctx is done.
+// run prints the membership view once or, if watch is set, repeatedly until ctx is done.
 func (o *fleetOptions) run(ctx context.Context, out io.Writer, addr string) error {
 	for {
 		status, err := fetchFleetStatus(ctx, addr)
@@ -131,7 +131,7 @@
 			addr, response.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxFleetStatusBytes)).Decode(&status); err != nil {
-		return status, fmt.Errorf("fleet: %s: %w", addr, err)
+		return status, fmt.Errorf("fleet: %s: cannot read the membership view: %w", addr, err)
 	}
 	if status.Name == "" {
 		return status, fmt.Errorf("fleet: %s: the sidecar is too busy to report its view", addr)
@@ -170,7 +170,7 @@
 // checkFleetStatus returns an exitError if the sidecar has not joined the cluster, or if a member is suspect or dead.
 func checkFleetStatus(status gossip.Status) error {
 	if status.Core.Joining {
-		return exitError{errors.New("fleet: it has not joined yet"), statusUnsettled}
+		return exitError{errors.New("fleet: the sidecar has not joined the cluster yet"), statusUnsettled}
 	}
 	unhealthy := 0
 	for _, member := range status.Members {
--- a/cmd/hazelwing/kill_test.go
+++ b/cmd/hazelwing/kill_test.go
@@ -32,8 +32,8 @@
 // daemonVariable is the environment variable that makes this test's program run as the daemon.
 const daemonVariable = "HAZELWING_TEST_RUN"
 
-// TestMain runs the tests, or one of the processes that tests start from the same program: the daemon, the emulated
-// nodes or the forwarder.
+// TestMain runs the tests. In a process that a test has started from the same program, it runs the daemon, the plain
+// servers (serversMain) or the forwarder (forwardMain) instead.
 func TestMain(m *testing.M) {
 	if os.Getenv(daemonVariable) != "" {
 		daemonMain()
@@ -75,7 +75,7 @@
 }
 
 // newDaemonProcess returns a daemon that is not started yet. operator is the text of the operator's file, empty for
-// none; DIR in it stands for an empty directory.
+// none; DIR in it stands for a directory that does not exist yet.
 func newDaemonProcess(t *testing.T, operator string) *daemonProcess {
 	t.Helper()
 	traffic := &emulator.Traffic{TrafficHeader: emulator.TrafficHeader{Classes: trafficClasses}}
@@ -141,7 +141,7 @@
 func (r *daemonProcess) kill() {
 	if r.cmd != nil {
 		r.generation.Add(1)
-		_ = r.cmd.Process.Kill() // it may have ended
+		_ = r.cmd.Process.Kill() // the process may have ended
 		_ = r.cmd.Wait()         // a killed process has an error status
 		r.cmd = nil
 	}
@@ -213,14 +213,14 @@
 	case resp.StatusCode == http.StatusBadGateway, resp.StatusCode == http.StatusGatewayTimeout:
 		return failed
 	}
-	r.t.Errorf("%s: unexpected response %s %s", id, resp.Status, text)
+	r.t.Errorf("request %s: status %q with the body %q, want status 200, 502, 503 or 504", id, resp.Status, text)
 	return failed
 }
 
-// The daemon is killed at random times and restarted. Clients retry with new IDs and the same key, whatever the
-// response was. A killed daemon loses its records of attempts in memory, so that effects of these attempts could be
-// executed twice. No request that is not idempotent may be executed twice, and no keyed request may be executed twice
-// within its idempotency scope and window. The long form is
+// The daemon is killed at random times and restarted. If a request was not served, its client retries it with a new ID
+// and the same key. A killed daemon loses the records of attempts that it had in memory, so that the effects of these
+// attempts could be executed twice. No request that is not idempotent may be executed twice, and no keyed request may
+// be executed twice within its idempotency scope and window. The long form is
 //
 //	go test ./cmd/hazelwing -run Killed -kills 200 -timeout 30m
 func TestKilled(t *testing.T) {
@@ -317,7 +317,7 @@
 
 var costRunLength = flag.Duration("cost", 0, "duration of each run of TestCost; 0: the test is skipped")
 
-// TestCost measures the latency that idempotency records add to a request, for each durability in turn:
+// TestCost measures the latency that idempotency records add to a request: without records, and with each durability:
 //
 //	go test ./cmd/hazelwing -run Cost -v -cost 10s -timeout 30m
 func TestCost(t *testing.T) {
--- a/cmd/hazelwing/lab_capacity.go
+++ b/cmd/hazelwing/lab_capacity.go
@@ -22,8 +22,8 @@
 	// hundreds of queues from filling the memory while the process is short of processor time.
 	capacityMemoryLimit = 6 << 30
 
-	// capacityGCPercent is the garbage collector's target in the daemon. Capacity experiments measure memory, which
-	// labGCPercent would increase.
+	// capacityGCPercent is the garbage collector's target percentage (GOGC) in capacity experiments, the same as in the
+	// daemon. These experiments measure memory, which labGCPercent would increase.
 	capacityGCPercent = 100
 
 	resultsFileMode = 0o644
@@ -34,7 +34,7 @@
 	out      io.Writer
 	progress io.Writer
 	outPath  string // file for the results; empty: they are only printed
-	sizes    []int  // replace the sizes of the experiments unless empty
+	sizes    []int  // sizes to run; empty: the sizes in the experiment's file
 	results  []capacity.Result
 }
 
@@ -112,7 +112,7 @@
 	return runErr
 }
 
-// saveResults writes results to a file. They replace the results of the same experiment and size in it.
+// saveResults writes results to a file, in which they replace earlier results of the same experiment and size.
 func saveResults(path string, results []capacity.Result) error {
 	saved, err := capacity.ReadResults(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/cmd/hazelwing/links_test.go
+++ b/cmd/hazelwing/links_test.go
@@ -45,11 +45,11 @@
 	})
 	const minLinks = 100
 	if checked < minLinks {
-		t.Errorf("%d links were found, want at least %d", checked, minLinks)
+		t.Errorf("%d links were found on the pages, want at least %d", checked, minLinks)
 	}
 }
 
-// The check reports broken links, and accepts valid ones.
+// checkLinks reports broken links, and accepts valid ones.
 func TestPageLinkCheckFindsWrongLinks(t *testing.T) {
 	for _, c := range []struct {
 		link  string
@@ -68,8 +68,8 @@
 		page := "## A heading, with `code` and a comma\n\n[here](" + c.link + ")\n"
 		links, problems := checkLinks(moduleRoot+"/docs/PAGE.md", page)
 		if links != 1 || (len(problems) == 0) != c.works {
-			t.Errorf("%s: %d links, problems %q, want one link and problems unless it is valid (%v)",
-				c.link, links, problems, c.works)
+			t.Errorf("%s: %d links, valid is %v; want 1 link, valid %v; problems: %q",
+				c.link, links, len(problems) == 0, c.works, problems)
 		}
 	}
 }
@@ -114,8 +114,8 @@
 	return ""
 }
 
-// anchorsOf returns the anchors of a page's headings. If several headings have the same anchor, it numbers all but the
-// first.
+// anchorsOf returns the anchors of a page's headings. If several headings would have the same anchor, a number is
+// appended to all but the first.
 func anchorsOf(page string) map[string]bool {
 	anchors := map[string]bool{}
 	for _, heading := range pageHeading.FindAllStringSubmatch(fencedCode.ReplaceAllString(page, ""), -1) {
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -44,8 +44,8 @@
 // mixedCluster is a cluster in which some members and origins run the older program, and the others the newer one.
 type mixedCluster struct {
 	*configCluster
-	list  *listCluster
-	newer []string // command line of the newer program
+	list  *listCluster // the same cluster, with methods that check the endpoint list
+	newer []string     // command line of the newer program
 }
 
 // TestMixedVersions runs an older version and the current version of the program in one cluster. It checks that both
@@ -83,8 +83,8 @@
 	}
 	r.setProgram(olderGroup, *olderProgram)
 	r.setProgram(fmt.Sprintf("o%d", olderOrigin), *olderProgram)
-	// The test cluster has bootstrapped all origins with the newer program. Bootstrapping with a higher epoch lets each
-	// origin replace its store with its own program.
+	// The test cluster has created the stores of all origins with the newer program. A bootstrap with a higher epoch
+	// replaces each store by one that the program of its origin writes.
 	if err := r.BootstrapOrigins(originEpoch, "origins"); err != nil {
 		t.Fatal(err)
 	}
@@ -175,8 +175,8 @@
 	}
 }
 
-// checkEndpointList lets first only the older version reach discovery and then only the newer one, so that each change
-// of the endpoint list has to be relayed between the versions.
+// checkEndpointList changes the endpoint list while only the older version can reach discovery, and then while only the
+// newer version can. Each change has to be relayed between the versions.
 func (r *mixedCluster) checkEndpointList() {
 	r.t.Helper()
 	r.checkListCrosses("n1", olderMembers(), newerMembers())
@@ -186,15 +186,15 @@
 	r.checkNothingRejected()
 }
 
-// checkListCrosses drains a server, and checks that the group that cannot reach discovery learns this from the group
-// that can.
+// checkListCrosses drains a server, and checks that the change of the endpoint list is relayed from the group that can
+// reach discovery to the group that cannot.
 func (r *mixedCluster) checkListCrosses(server string, from, to []int) {
 	r.t.Helper()
 	before := r.Servers.Discovery.Version()
 	r.play("server " + server + " drain")
 	r.list.waitCurrent(fmt.Sprintf("endpoint list from %v to %v", from, to), r.all())
 	if after := r.Servers.Discovery.Version(); after <= before {
-		r.t.Fatalf("discovery is still at version %d", after)
+		r.t.Fatalf("discovery has version %d after the drain of %s, want one above %d", after, server, before)
 	}
 	r.play("wait out " + server + " 10s")
 	crossings := 0
@@ -215,9 +215,9 @@
 	}
 }
 
-// checkConfiguration pushes changes with the commands of both versions, and to each origin. It does so while one group
-// of members cannot reach the origins, and under a leader of each version, which is then killed. It returns the latest
-// revision.
+// checkConfiguration pushes a change to each origin, and one with the command of the older program. Then it pushes
+// while each group of members in turn cannot reach the origins, and with a leader of each version (checkLeader). It
+// returns the latest revision.
 func (r *mixedCluster) checkConfiguration() (revision controlplane.Revision) {
 	r.t.Helper()
 	for k := 1; k <= r.origins; k++ {
@@ -250,10 +250,11 @@
 	output, err := command.Output()
 	var answer pushResult
 	if err = errors.Join(err, json.Unmarshal(output, &answer)); err != nil {
-		r.fail(fmt.Errorf("the older command's push: %w, %s", err, output))
+		r.fail(fmt.Errorf("push with the older program's command: %w; output: %s", err, output))
 	}
 	if answer.Outcome != origin.OutcomeAccepted {
-		r.fail(fmt.Errorf("the older command's push is not accepted: %s", output))
+		r.fail(fmt.Errorf("push with the older program's command: outcome %q, want accepted; output: %s",
+			answer.Outcome, output))
 	}
 	return answer.Revision
 }
@@ -298,7 +299,7 @@
 	r.waitUntil(what, func() error {
 		for _, n := range r.all() {
 			if s := r.state(n); s.Active != revision {
-				return fmt.Errorf("member %d acts on %v, not on %v", n, s.Active, revision)
+				return fmt.Errorf("member %d acts on %v, want %v", n, s.Active, revision)
 			}
 		}
 		return nil
@@ -310,7 +311,8 @@
 		what, revision, inForce.Seconds(), reported.Seconds())
 }
 
-// reportsDiffer returns an error unless all origins that respond count all members as acting on a revision.
+// reportsDiffer returns an error if an origin that responds does not report that all members act on a revision. It also
+// returns an error if only a minority of the origins respond.
 func (r *mixedCluster) reportsDiffer(revision controlplane.Revision) error {
 	expected := controlplane.RevisionCount{Revision: revision, Count: r.members}
 	responses := 0
@@ -321,11 +323,11 @@
 		}
 		responses++
 		if s.Report.Members != r.members || len(s.Report.Active) != 1 || s.Report.Active[0] != expected {
-			return fmt.Errorf("origin %d reports %+v, not %+v", k, s.Report, expected)
+			return fmt.Errorf("origin %d reports %+v, want only %+v as active", k, s.Report, expected)
 		}
 	}
 	if responses <= r.origins/2 {
-		return fmt.Errorf("%d of %d origins respond", responses, r.origins)
+		return fmt.Errorf("%d of %d origins respond, want a majority", responses, r.origins)
 	}
 	return nil
 }
@@ -340,7 +342,7 @@
 				return fmt.Errorf("origin %d: %w", k, err)
 			}
 			if status.Revision != revision {
-				return fmt.Errorf("origin %d: revision %v, not %v", k, status.Revision, revision)
+				return fmt.Errorf("origin %d has revision %v, want %v", k, status.Revision, revision)
 			}
 		}
 		return nil
@@ -357,14 +359,14 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			r.fail(fmt.Errorf("%s: not reached within %v: %w", what, mixedWaitTimeout, err))
+			r.fail(fmt.Errorf("%s: the condition did not hold within %v: %w", what, mixedWaitTimeout, err))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// checkUpgrade restarts an older member and the older origin with the newer program, while no other process runs. Both
-// must continue with the state that the older program stored. Then checkUpgrade starts the whole cluster.
+// checkUpgrade restarts an older member and the older origin with the newer program, while all other processes are
+// stopped. Both must continue with the state that the older program stored. Then checkUpgrade starts the whole cluster.
 func (r *mixedCluster) checkUpgrade(revision controlplane.Revision) {
 	r.t.Helper()
 	const upgraded = 1
@@ -406,7 +408,7 @@
 			return err
 		}
 		if stored.Frame.Revision != revision {
-			return fmt.Errorf("the stored revision is %v", stored.Frame.Revision)
+			return fmt.Errorf("the stored revision is %v, want %v", stored.Frame.Revision, revision)
 		}
 		return nil
 	})
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -59,9 +59,9 @@
 	Servers  int64 // number of servers that received a request
 }
 
-// serversMain runs plain servers, each on its own address. They respond to each request after a fixed time and keep
-// connections open. serversMain prints the addresses, one per line, and then prints the counts for each line that it
-// reads from standard input. It returns at the end of the input.
+// serversMain runs plain servers, each on its own address. The servers respond to each request after a fixed time and
+// keep connections open. serversMain prints the addresses, one per line, and then prints the counts for each line that
+// it reads from standard input. It returns at the end of the input.
 func serversMain() {
 	n, err := strconv.Atoi(os.Getenv(serversVariable))
 	work, workErr := time.ParseDuration(os.Getenv(workVariable))
@@ -72,7 +72,7 @@
 	var conns, requests, used atomic.Int64
 	pid := os.Getpid()
 	for i := range n {
-		// Each process has its own network, so that no process reuses the ports of another.
+		// The loopback addresses depend on the process ID, so that no process reuses the address and port of another.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid%64, i/250+8*(pid/64%30), 1+i%250))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -147,8 +147,8 @@
 	_, _ = io.Copy(io.Discard, os.Stdin) // returns at the end of standard input
 }
 
-// copyBuffered copies through a buffer in user space, as a proxy does. It hides methods that would copy in the kernel.
-// It returns at an error, after which the caller closes the connection.
+// copyBuffered copies through a buffer in user space, as a proxy does. It hides the methods ReadFrom and WriteTo of the
+// connections, which would copy in the kernel. It returns at an error, after which the caller closes the connection.
 func copyBuffered(to io.Writer, from io.Reader) {
 	_, _ = io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
@@ -244,8 +244,8 @@
 	return text
 }
 
-// startSidecar starts a sidecar whose settings have the given number of sidecars. The sidecar writes a CPU profile to
-// the file profile unless that is empty.
+// startSidecar starts a sidecar. The parameter balancers is the number of sidecars in its settings. The sidecar writes
+// a CPU profile to the file profile, unless profile is empty.
 func startSidecar(t *testing.T, s *helperProcess, balancers int, hedging bool, profile string) *sidecarProcess {
 	t.Helper()
 	discovery, err := emulator.NewDiscovery()
@@ -280,7 +280,7 @@
 		t.Fatal(err)
 	}
 	defer out.Close()
-	r.cmd = exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0]) // ended by stop
+	r.cmd = exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0]) // stop ends the process
 	r.cmd.Env = append(os.Environ(), daemonVariable+"=1", "RELAY_CONFIG="+path, "GOMAXPROCS=1",
 		profileVariable+"="+profile)
 	r.cmd.Stderr = out
@@ -301,7 +301,7 @@
 // stop ends the sidecar with SIGTERM, as the platform does.
 func (r *sidecarProcess) stop() {
 	if r.cmd != nil {
-		_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+		_ = r.cmd.Process.Signal(syscall.SIGTERM) // the process may have ended
 		_ = r.cmd.Wait()                          // the exit status is irrelevant to the measurement
 		r.cmd = nil
 	}
--- a/cmd/hazelwing/start_test.go
+++ b/cmd/hazelwing/start_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// maxStartThreads limits the threads of a sidecar when it responds for the first time. The runtime has four: its
-// monitor, one that waits for the network, one that runs goroutines, and one for signals. Two more may be started for
-// system calls.
+// maxStartThreads limits the threads of a sidecar when it responds for the first time. The Go runtime has four threads:
+// its monitor, a thread that waits for the network, a thread that runs goroutines, and a thread for signals. It may
+// start two more threads for system calls.
 const maxStartThreads = 6
 
 // The start of a sidecar must be cheap, because the platform may start three hundred sidecars, each on a fraction of a
@@ -29,7 +29,7 @@
 	}
 	r := newDaemonProcess(t, "")
 	r.env = append(r.env, set[1])
-	minThreads := 1 << 20 // minimum of the starts: a long system call on a busy machine adds a thread
+	minThreads := 1 << 20 // minimum of five starts, because a long system call on a busy machine adds a thread
 	for range 5 {
 		r.start()
 		threads := processStatusValue(t, r.cmd, "Threads")
@@ -43,7 +43,7 @@
 	}
 }
 
-// processStatusValue returns a number from the status file that the kernel has for a process.
+// processStatusValue returns a number from the file /proc/PID/status of a process.
 func processStatusValue(t *testing.T, c *exec.Cmd, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
@@ -59,6 +59,6 @@
 			return n
 		}
 	}
-	t.Fatalf("the status file has no number %s", name)
+	t.Fatalf("/proc/%d/status has no field %s", c.Process.Pid, name)
 	return 0
 }
