--- a/internal/simulation/simulator/attempt.go
+++ b/internal/simulation/simulator/attempt.go
@@ -14,7 +14,7 @@
 	zone   int
 	sentAt time.Duration
 	conn   connection
-	// completed is true once the attempt has its outcome, which may still wait for the end of a stall.
+	// completed is true once the outcome is known. Its delivery to the policy may still wait for the end of a stall.
 	completed bool
 	// abandoned is true once the instance has given the attempt up, by a timeout or a cancellation. A later answer is
 	// ignored.
@@ -73,14 +73,14 @@
 	a.written = true
 	delay, arrives := sim.messageDelay(i.zone, a.zone)
 	if !arrives || n.isHalfOpen(a.conn) {
-		return // nothing comes back
+		return // the request is lost, so that no answer comes
 	}
 	sim.after(delay, func() {
 		switch {
 		case n.vanished:
 		case n.dead || n.incarnation != a.conn.incarnation:
 			sim.reset(a)
-		case a.abandoned: // the instance closed the connection before the request arrived
+		case a.abandoned: // the instance gave the attempt up before the request arrived, so that the node ignores it
 		case !n.accept(a):
 			sim.reply(a, balancer.Overloaded)
 		}
@@ -127,7 +127,8 @@
 	sim.complete(a, result, balancer.LoadReport{})
 }
 
-// abandon completes an attempt that the instance gives up, and cancels it at the node if its request was written.
+// abandon completes an attempt that the instance gives up, and cancels it at the node if its request was written. If
+// the request was not written, the outcome is NotSent, or ConnectFailed once ConnectTimeout has passed.
 func (sim *simulation) abandon(a *attempt, result balancer.Result) {
 	if a.completed || a.abandoned {
 		return
@@ -157,7 +158,7 @@
 	sim.deliverOutcome(a, result, load)
 }
 
-// deliverOutcome passes an outcome to the policy. During a stall of the instance it waits for the end of the stall.
+// deliverOutcome passes an outcome to the policy. If the instance is stalled, it does so at the end of the stall.
 func (sim *simulation) deliverOutcome(a *attempt, result balancer.Result, load balancer.LoadReport) {
 	c := a.call
 	if sim.now < c.instance.stalledUntil {
--- a/internal/simulation/simulator/balancercount_test.go
+++ b/internal/simulation/simulator/balancercount_test.go
@@ -59,9 +59,9 @@
 		wrong func(n int) int
 	}{
 		{"right", func(n int) int { return n }},
-		{"a tenth", func(n int) int { return n / 10 }},
-		{"ten times", func(n int) int { return n * 10 }},
-		{"none", func(int) int { return 0 }},
+		{"a tenth of the right one", func(n int) int { return n / 10 }},
+		{"ten times the right one", func(n int) int { return n * 10 }},
+		{"0", func(int) int { return 0 }},
 	} {
 		coldLoad, crossZone := 0.0, 0.0
 		for seed := range uint64(seeds) {
@@ -74,23 +74,24 @@
 				t.Fatal(err)
 			}
 			if r.ViolationCount > 0 {
-				t.Errorf("%s, seed %d: violations %q, want none", c.name, seed, r.Violations)
+				t.Errorf("number of balancers %s, seed %d: violations %q, want none", c.name, seed, r.Violations)
 			}
 			service[c.name] += r.Service / seeds
 			coldLoad, crossZone = max(coldLoad, r.MaxColdLoad), crossZone+r.CrossZoneShare/seeds
 		}
-		t.Logf("%-10s service %.3f, cold load %.2f, %.2f of the attempts cross zones",
+		t.Logf("number of balancers %s: service %.3f, highest cold load %.2f of the capacity, "+
+			"share of the attempts across zones %.2f",
 			c.name, service[c.name], coldLoad, crossZone)
 		if lost := service["right"] - service[c.name]; lost > 0.05 {
-			t.Errorf("%s: service %.3f, want at most 0.05 below the %.3f with the right number",
+			t.Errorf("number of balancers %s: service %.3f, want at most 0.05 below the %.3f with the right number",
 				c.name, service[c.name], service["right"])
 		}
 	}
 }
 
 var measureBalancerCount = flag.Bool("measure", false,
-	"run TestCostOfWrongBalancerCount, which measures the service that a wrong number of balancers costs, and that "+
-		"the number counted by the cluster regains")
+	"run TestCostOfWrongBalancerCount, which measures how much service a wrong number of balancers costs, and how "+
+		"much of it the number counted by the cluster regains")
 
 // correctedBalancer is a balancer that receives the number of balancers as counted by the cluster half a second after
 // the start.
@@ -108,8 +109,8 @@
 	return v.Balancer.Handle(now, e, actions)
 }
 
-// Measures the service of 300 balancers with a right and a wrong setting of their number, and with a wrong setting that
-// the cluster's count replaces:
+// The test measures the service of 300 balancers with a right and a wrong setting of their number, and with a wrong
+// setting that the cluster's count replaces:
 //
 //	go test ./internal/simulation/simulator -run CostOfWrongBalancerCount -measure -v
 func TestCostOfWrongBalancerCount(t *testing.T) {
@@ -148,10 +149,12 @@
 			coldLoad = max(coldLoad, r.MaxColdLoad)
 			connections = max(connections, float64(r.MaxConnections))
 			if r.ViolationCount > 0 {
-				t.Errorf("%s, seed %d: violations %q, want none", c.name, seed, r.Violations)
+				t.Errorf("number of balancers %s (set %d, counted %d), seed %d: violations %q, want none",
+					c.name, c.set, c.counted, seed, r.Violations)
 			}
 		}
-		t.Logf("%-28s service %.3f, cold load %.2f, connections per node %.0f", c.name, service, coldLoad, connections)
+		t.Logf("number of balancers %s (set %d, counted %d): service %.3f, highest cold load %.2f of the capacity, "+
+			"at most %.0f connections to one node", c.name, c.set, c.counted, service, coldLoad, connections)
 	}
 }
 
--- a/internal/simulation/simulator/call.go
+++ b/internal/simulation/simulator/call.go
@@ -15,7 +15,7 @@
 	callServed callResult = iota
 	callRejected
 	callFailed
-	// callUnanswered means that there was no final answer within the client's deadline.
+	// callUnanswered means that there was no final answer before the deadline of the call.
 	callUnanswered
 
 	callResultCount = iota
@@ -66,7 +66,7 @@
 		return
 	}
 	r := c.request
-	// A stall or a saturated processor of the instance is not a violation by the policy.
+	// The policy is not to blame if the instance is stalled, or if its simulated processor may be saturated.
 	if sim.now >= r.instance.stalledUntil && sim.config.Host.Cores == 0 {
 		sim.metrics.violation("%s %d had no answer in its client's time", r.class.Name, r.number)
 	}
@@ -74,8 +74,9 @@
 	sim.callEnded(r, callUnanswered, 0)
 }
 
-// callEnded handles the end of a call. The client calls again after a delay, if MaxCalls and the request's deadline
-// allow that. Otherwise the request has ended, and the next request of the session follows.
+// callEnded handles the end of a call. If the call was not served, the client calls again after a delay, as far as
+// MaxCalls and the request's deadline allow that. Otherwise the request has ended, and the next request of the session
+// begins after its think time.
 func (sim *simulation) callEnded(r *request, result callResult, retryAfter time.Duration) {
 	clients := &sim.config.Clients
 	wait := max(clients.RetryDelay, retryAfter)
--- a/internal/simulation/simulator/config.go
+++ b/internal/simulation/simulator/config.go
@@ -45,8 +45,9 @@
 	// Share is the share of the requests that are of this class, relative to the shares of the other classes.
 	Share float64
 	Work  Work
-	// ExpectedWorkSpread limits the error of the expected work that requests state: it is the real work times a random
-	// factor between 1/ExpectedWorkSpread and ExpectedWorkSpread. Below 1, requests state no expected work.
+	// ExpectedWorkSpread limits the error of the expected work that requests state. The expected work is the real work
+	// times a random factor between 1/ExpectedWorkSpread and ExpectedWorkSpread. If ExpectedWorkSpread is below 1,
+	// requests state no expected work.
 	ExpectedWorkSpread float64
 }
 
@@ -140,7 +141,7 @@
 	// Capacity is the number of list entries that the service writes per second. If it is 0, lists are pushed to the
 	// instances as EndpointUpdates describes.
 	Capacity float64
-	// CallCost is the cost of a call without the entries of its answer, in list entries.
+	// CallCost is the fixed cost of a call, in list entries. The entries of the answer are added to it.
 	CallCost float64
 	// Timeout is the time after which a call fails. The service still does the work of a call that timed out.
 	Timeout time.Duration
@@ -173,10 +174,10 @@
 	Patience       time.Duration
 	// RateCurve gives a factor of Rate that changes over time. It is interpolated linearly between the points.
 	RateCurve []RatePoint
-	// SessionLength is the mean number of requests that a client sends one after the other. Up to 1, all requests are
-	// single.
+	// SessionLength is the mean number of requests that a client sends one after the other. If it is at most 1, each
+	// session has a single request.
 	SessionLength float64
-	// ThinkTime is the mean time between the end of a session's request and its next request.
+	// ThinkTime is the mean time between the end of a request and the beginning of the session's next request.
 	ThinkTime time.Duration
 	// ClockSkew is the largest difference between the clock of an instance and the clocks of the nodes.
 	ClockSkew time.Duration
@@ -200,9 +201,9 @@
 }
 
 // Rules are the limits that policies have to keep. A new process of a node warms up for WarmUp. Meanwhile its capacity
-// rises from the share InitialCapacity to the full capacity. Work of more than OverloadMultiple times its present
-// capacity within OverloadDuration ends the process. Requests may be sent to a node for DrainGrace after the instance
-// was notified of its drain or removal.
+// rises from the share InitialCapacity to the full capacity. If the work that arrives within OverloadDuration is more
+// than OverloadMultiple times what its present capacity can do in that time, the process ends. Requests may be sent to
+// a node for DrainGrace after the instance was notified of its drain or removal.
 type Rules struct {
 	InitialCapacity  float64
 	WarmUp           time.Duration
--- a/internal/simulation/simulator/connections.go
+++ b/internal/simulation/simulator/connections.go
@@ -13,7 +13,7 @@
 	shared connection
 }
 
-// connection is a connection to one process of a node, which incarnation identifies.
+// connection is a connection to one process of a node. The field incarnation identifies the process.
 type connection struct {
 	incarnation         int
 	openedAt, idleSince time.Duration
--- a/internal/simulation/simulator/discovery.go
+++ b/internal/simulation/simulator/discovery.go
@@ -112,7 +112,7 @@
 }
 
 // failDiscovery starts an outage of the discovery service: all watches and calls fail, and new calls are rejected until
-// its end.
+// the outage ends.
 func (sim *simulation) failDiscovery(duration time.Duration) {
 	d := &sim.discovery
 	d.downUntil = sim.now + duration
--- a/internal/simulation/simulator/discovery_test.go
+++ b/internal/simulation/simulator/discovery_test.go
@@ -47,8 +47,8 @@
 
 // Instances call a discovery service of fixed capacity at the same time, and again after failures and an outage. If the
 // simulated service accepted more calls than it can answer, or kept a watch open through an outage, instances would get
-// lists that a real service would not send them. The service writes 100 entries per second, and a call costs 4 entries
-// for the nodes and 6 in addition, so that it takes 100 ms. The test compares the time and the result of each call.
+// lists that a real service would not send them. The service writes 100 entries per second. A call costs 10 entries, 4
+// for the nodes and 6 for the call itself, and so takes 100 ms. The test compares the time and the result of each call.
 func TestDiscoveryOfFixedCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -123,8 +123,8 @@
 		}
 		if c.maxBacklog == 1 && c.instances == 4 &&
 			(r.RejectedDiscoveryCalls != 1 || r.MaxDiscoveryCallRate != 5 || r.DiscoveryCallsPerInstance != 1.25) {
-			t.Errorf("%d calls rejected, want 1; %d calls in one second, want 5; %v calls per instance, want 1.25",
-				r.RejectedDiscoveryCalls, r.MaxDiscoveryCallRate, r.DiscoveryCallsPerInstance)
+			t.Errorf("%s: %d calls rejected, want 1; %d calls in one second, want 5; %v calls per instance, want 1.25",
+				c.name, r.RejectedDiscoveryCalls, r.MaxDiscoveryCallRate, r.DiscoveryCallsPerInstance)
 		}
 	}
 }
@@ -148,10 +148,11 @@
 
 var clusterCount = flag.Uint64("fleets", 100, "number of clusters that TestLargeFleetsStayWithinLimits simulates")
 
-// A large cluster goes through combinations of the three worst kinds of days: the discovery service fails while most
-// instances restart; a zone vanishes, comes back and vanishes again; thirty per cent of the nodes are replaced, and a
-// second later another thirty per cent. Instances that all called the discovery service or new nodes at once would
-// overload them. No rule may be violated, and calls, attempts and load must stay within limits.
+// A cluster in which some nodes are slow goes through one or two of three severe incidents: the discovery service fails
+// while most instances restart and some nodes crash; a zone vanishes, comes back and vanishes again; thirty per cent of
+// the nodes are replaced, and a second later another thirty per cent. Instances that all called the discovery service
+// or new nodes at once would overload them. No rule may be violated, and calls, attempts and load must stay within
+// limits.
 func TestLargeFleetsStayWithinLimits(t *testing.T) {
 	for seed := range *clusterCount {
 		cfg := EveryFaultConfig(20, 400)
@@ -183,8 +184,8 @@
 		if r.ViolationCount > 0 {
 			t.Errorf("seed %d: violations %q, want none", seed, r.Violations)
 		}
-		// An instance waits at least 0.25 s before its second call and 0.5 s before its third one, so that it makes at
-		// most three calls within a second (docs/design/large-fleets.md).
+		// An instance waits at least 0.25 s before its second call and 0.5 s before its third one. Therefore it makes
+		// at most three calls within a second (docs/design/large-fleets.md).
 		if r.MaxColdLoad > 1 || r.MaxDiscoveryCallRate > 3*cfg.Clients.Instances ||
 			r.AttemptsPerRequest > r.CallsPerRequest {
 			t.Errorf("seed %d: cold load is %.2f, want at most 1; %d discovery calls in one second, want at most %d; "+
--- a/internal/simulation/simulator/endpoints.go
+++ b/internal/simulation/simulator/endpoints.go
@@ -24,7 +24,7 @@
 	lastArrivesAt time.Duration
 }
 
-// endpoint returns a node's entry of the endpoint list as an instance sees it. The node's start time differs by the
+// endpoint returns a node's entry of the endpoint list as an instance sees it. The node's start time is shifted by the
 // skew of the instance's clock.
 func (n *node) endpoint(i *instance, state balancer.EndpointState, startedAt time.Duration) balancer.Endpoint {
 	e := balancer.Endpoint{ID: n.Name, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: state}
@@ -109,7 +109,8 @@
 	}
 }
 
-// handleEndpoints passes an endpoint update to the policy, and records the list and the notified states of the nodes.
+// handleEndpoints caches the endpoints of an update, notes which nodes drain or were removed, and passes the update to
+// the policy.
 func (i *instance) handleEndpoints(kind balancer.UpdateKind, list []balancer.Endpoint) {
 	if i.endpoints.cached == nil || kind != balancer.Delta {
 		previous := i.endpoints.cached
--- a/internal/simulation/simulator/inject.go
+++ b/internal/simulation/simulator/inject.go
@@ -113,7 +113,8 @@
 	})
 }
 
-// pauseRepeatedly pauses a node once, or for half of each of the fault's intervals.
+// pauseRepeatedly pauses a node for the fault's duration or, if the fault has an interval, for the first half of each
+// interval within the duration.
 func (n *node) pauseRepeatedly(f Fault) {
 	if f.Interval == 0 {
 		n.pause(f.Duration)
--- a/internal/simulation/simulator/instance.go
+++ b/internal/simulation/simulator/instance.go
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// handle passes an event to the policy and carries out the policy's actions. During a stall it waits for the end of the
-// stall. A stopped instance drops the event.
+// handle passes an event to the policy and carries out the policy's actions. If the instance is stalled, the event
+// waits for the end of the stall. A stopped instance drops the event.
 func (i *instance) handle(event balancer.Event) {
 	sim := i.sim
 	if i.stopped {
@@ -113,7 +113,7 @@
 		return
 	}
 	actions := i.policy.Handle(sim.now+clockOffset, event, i.actionBuffer[:0])
-	i.actionBuffer = nil // handle may be called again by an action, and must not overwrite the actions left to perform
+	i.actionBuffer = nil // an action may call handle again, which must not overwrite the remaining actions
 	for n := range actions {
 		i.perform(&actions[n])
 	}
--- a/internal/simulation/simulator/models_test.go
+++ b/internal/simulation/simulator/models_test.go
@@ -68,7 +68,7 @@
 	r, err := Run(cfg, newRecorder(nil, nil), 1)
 	want := service*(1+rho/(2*(1-rho))) + 1
 	if err != nil || math.Abs(mean(r)-want) > 0.06*want || math.Abs(r.MaxProcessorUse-rho) > 0.02 {
-		t.Errorf("mean latency %.2f ms, want %.2f; processor use %.3f, want %.3f; error %v",
+		t.Errorf("mean latency %.2f ms, want %.2f; processor use %.3f, want %.3f; error %v, want none",
 			mean(r), want, r.MaxProcessorUse, rho, err)
 	}
 	cfg.Clients.Rate *= 2
@@ -81,15 +81,22 @@
 	}), 1)
 	if err != nil || r.Unanswered < r.Requests/4 || r.ViolationCount > 0 || slowest > 10*ms {
 		t.Errorf("%d of %d requests unanswered, want at least a quarter; %d violations, want 0; "+
-			"the slowest attempt took %v, want at most 10ms; error %v",
+			"the slowest attempt took %v, want at most 10ms; error %v, want none",
 			r.Unanswered, r.Requests, r.ViolationCount, slowest, err)
 	}
 }
 
 // A node vanishes without closing its connections, or its connections become half open, so that requests on them get no
-// answer. Attempts on these connections must fail, but no attempt on a new connection to a running node.
+// answer. Attempts on these connections must fail. Attempts on a new connection to a running node must not.
 func TestUnresponsiveConnections(t *testing.T) {
-	for _, c := range []struct{ name, faults, want string }{
+	for _, c := range []struct {
+		name string
+		// faults has the kinds of the faults, of which the first happens at 20 s. The second one happens at 40 s or,
+		// with the suffix "-soon", immediately after the first. After "mux", attempts are multiplexed.
+		faults string
+		// want has the results of the attempts. A star after a result stands for several of them in a row.
+		want string
+	}{
 		{"half open", "halfopen", "OK* Timeout OK*"},
 		{"no fault", "", "OK*"},
 		{"vanished and restarted", "vanish restart", "OK* Timeout ConnectFailed* OK*"},
@@ -123,7 +130,7 @@
 			}
 		}
 		if got := strings.Join(compressed, " "); got != c.want {
-			t.Errorf("%s: results %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: results of the attempts %q, want %q", c.name, got, c.want)
 		}
 	}
 }
@@ -162,13 +169,13 @@
 		}, 3)
 		if err != nil || (repeats > 8) != reorder { // the last update may repeat the state, once at each instance
 			t.Errorf("reorder %v: %d updates repeated the state, want more than 8 with reorder and at most 8 without; "+
-				"error %v", reorder, repeats, err)
+				"error %v, want none", reorder, repeats, err)
 		}
 		slices.Sort(startTimes)
 		if len(startTimes) != 8 || startTimes[0] < -2*time.Second || startTimes[7] > 2*time.Second ||
 			startTimes[7]-startTimes[0] < time.Second {
-			t.Errorf("start times differ from the node's clock by %v, want 8 values from -2s to 2s "+
-				"that span at least 1s", startTimes)
+			t.Errorf("reorder %v: start times differ from the node's clock by %v, want 8 values from -2s to 2s "+
+				"that span at least 1s", reorder, startTimes)
 		}
 	}
 }
@@ -188,7 +195,7 @@
 		}
 		r, err := Run(c, newBalancer, seed)
 		if err != nil || r.ViolationCount > 0 || r.Service < 0.4 {
-			t.Errorf("seed %d: service %.3f, want at least 0.4; violations %q, want none; error %v",
+			t.Errorf("seed %d: service %.3f, want at least 0.4; violations %q, want none; error %v, want none",
 				seed, r.Service, r.Violations, err)
 		}
 	}
@@ -206,7 +213,7 @@
 		}
 	}), 2)
 	if err != nil || math.Abs(float64(r.Requests)/10000-1) > 0.05 || arrived != r.Requests {
-		t.Errorf("%d requests, want about 10000; %d of them reached the policy, want all; error %v",
+		t.Errorf("%d requests, want about 10000; %d of them reached the policy, want all; error %v, want none",
 			r.Requests, arrived, err)
 	}
 	cfg.Clients.Recorded = []RecordedRequest{
@@ -225,7 +232,7 @@
 	}), 2)
 	want := []string{"1ms  0s", "6ms done", "30ms 7 1ms", "30ms  0s", "31ms done", "80ms done"}
 	if err != nil || !slices.Equal(log, want) {
-		t.Errorf("events %q, want %q; error %v", log, want, err)
+		t.Errorf("events of the recorded requests are %q, want %q; error %v, want none", log, want, err)
 	}
 	for _, bad := range [][]RecordedRequest{
 		{{Class: "none"}},
@@ -234,7 +241,7 @@
 	} {
 		cfg.Clients.Recorded = bad
 		if cfg.Validate() == nil {
-			t.Errorf("Validate accepted the recorded requests %v", bad)
+			t.Errorf("Validate accepted the recorded requests %v, want an error", bad)
 		}
 	}
 }
@@ -269,7 +276,7 @@
 	}
 	short, long := maxQueuedEvents(15*time.Second), maxQueuedEvents(time.Minute)
 	if float64(long) > 1.3*float64(short) {
-		t.Errorf("%d events scheduled at a time in a minute of overload, want at most 1.3 times the %d in 15s",
+		t.Errorf("at most %d events scheduled at the same time in 1m of overload, want at most 1.3 times the %d in 15s",
 			long, short)
 	}
 }
@@ -291,8 +298,8 @@
 		r, err := Run(cfg, newRecorder(&log, nil), 1)
 		if got := strings.Count(strings.Join(log, " "), "Reset"); err != nil || got != c.resets || len(log) != 4 ||
 			r.MaxConnections > 4 {
-			t.Errorf("multiplexed %v: results %v, want 4 with %d resets; %d connections, want at most 4; error %v",
-				c.multiplexed, log, c.resets, r.MaxConnections, err)
+			t.Errorf("multiplexed %v: results %v, want 4 with %d resets; %d connections, want at most 4; "+
+				"error %v, want none", c.multiplexed, log, c.resets, r.MaxConnections, err)
 		}
 	}
 }
@@ -313,7 +320,7 @@
 	}), 1)
 	want := []time.Duration{20 * ms, 30 * ms, 102 * ms, 112 * ms, 260 * ms}
 	if err != nil || !slices.Equal(read, want) || r.MaxProcessorUse <= 0 {
-		t.Errorf("requests read at %v, want %v; processor use %v, want more than 0; error %v",
+		t.Errorf("requests read at %v, want %v; processor use %v, want more than 0; error %v, want none",
 			read, want, r.MaxProcessorUse, err)
 	}
 }
--- a/internal/simulation/simulator/node.go
+++ b/internal/simulation/simulator/node.go
@@ -80,7 +80,8 @@
 	return true
 }
 
-// startJob begins to execute a job. If its idempotency key is recorded, it replays the recorded answer instead.
+// startJob begins to execute a job. If there is a record of the job's idempotency key, the node replays the recorded
+// answer instead.
 func (n *node) startJob(j *job) {
 	if !n.sim.recordExecution(j.attempt) {
 		j.state = jobDone
--- a/internal/simulation/simulator/oracle.go
+++ b/internal/simulation/simulator/oracle.go
@@ -3,7 +3,8 @@
 import "time"
 
 // Oracle gives access to the true state of the cluster, which no instance can know. A policy that consults it shows an
-// upper limit for policies that choose nodes: a request that it cannot serve would not have been served at any node.
+// upper limit for policies that choose nodes: a request that this policy cannot serve would not have been served at any
+// node.
 type Oracle interface {
 	// ResponseTime returns how long a request that is sent to a node now would take until its answer, if nothing
 	// changes: the round trip, the work in flight at the node, and the request's own work, which is given as a time at
@@ -54,7 +55,7 @@
 	if n.inFlight() >= n.Cores {
 		wait = n.workLeft() / float64(n.Cores)
 	}
-	// Pauses are ignored: a pause ends before any instance knows of it.
+	// Pauses are ignored: the oracle assumes that a pause ends before any instance knows of it.
 	atNode := time.Duration((wait + work.Seconds()) / n.unpausedSpeed() * float64(time.Second))
 	return 2*sim.minLatency(o.instance.zone, zone) + atNode, true
 }
--- a/internal/simulation/simulator/oracle_test.go
+++ b/internal/simulation/simulator/oracle_test.go
@@ -58,14 +58,15 @@
 	for kind, want := range map[string]struct {
 		ok     bool
 		factor float64
-	}{"crash": {}, "vanish": {}, "drain": {}, "cut": {}, "restart": {}, "slow": {true, 4}, "nothing": {true, 1}} {
+	}{"crash": {}, "vanish": {}, "drain": {}, "cut": {}, "restart": {}, "slow": {true, 4}, "no fault": {true, 1}} {
 		cfg := queueOnlyConfig(2, 1, 0, 10, Work{"fixed", ms, 0}, 3*time.Second)
 		cfg.Nodes[0].Zone, cfg.Nodes[1].Zone, cfg.Clients.Zones = "y", "x", []string{"x"}
 		// No update arrives during the run.
 		cfg.EndpointUpdates = EndpointUpdates{MinDelay: time.Hour, MaxDelay: time.Hour}
-		// A process that has just restarted can take 2 ms of work.
+		// A process that has just restarted can take 2 ms of work, which is less than the 10 ms that the test asks the
+		// oracle about.
 		cfg.Rules = Rules{InitialCapacity: 0.2, WarmUp: time.Minute, OverloadMultiple: 1, OverloadDuration: 10 * ms}
-		if kind != "nothing" {
+		if kind != "no fault" {
 			f := Fault{At: time.Second, Kind: FaultKind(kind), Duration: time.Minute, Factor: 4}
 			if kind == "cut" {
 				f.Zone = "y"
@@ -86,14 +87,14 @@
 					kind, d, ok, time.Duration(want.factor*float64(10*ms)), want.ok)
 			}
 			if _, ok := oracle.ResponseTime("n1", 10*ms); !ok {
-				t.Errorf("%s: the oracle predicts no answer of n1, which has no fault", kind)
+				t.Errorf("%s: the oracle predicts no answer of n1, want one since n1 has no fault", kind)
 			}
 		}}
 		if _, err := Run(cfg, func(balancer.Settings, int, uint64) (Policy, error) { return a, nil }, 3); err != nil {
 			t.Fatal(err)
 		}
 		if requests == 0 {
-			t.Errorf("%s: no request arrived after 1.5s", kind)
+			t.Errorf("%s: no request arrived after 1.5s, want at least one", kind)
 		}
 	}
 }
@@ -119,7 +120,7 @@
 	}
 	n.QueueLimit = 1
 	if _, ok := (oracle{&instance{sim: sim}}).ResponseTime(n.Name, 3*ms); ok {
-		t.Error("the oracle predicts an answer of a node whose queue is full")
+		t.Error("the oracle predicts an answer of a node whose queue is full, want none")
 	}
 }
 
--- a/internal/simulation/simulator/policy.go
+++ b/internal/simulation/simulator/policy.go
@@ -16,6 +16,7 @@
 // completed with the instance's zone and with values that follow from the other fields of the Config.
 type NewPolicy func(settings balancer.Settings, instance int, seed uint64) (Policy, error)
 
-// clockOffset is the time that the instances' clocks show when the traffic begins. It is above 0 so that a node that
-// started earlier has a start time above 0.
+// clockOffset is the time that the instances' clocks show when the traffic begins. It is longer than any clock skew, so
+// that a node that restarts has a start time above 0 on all clocks. A start time of 0 would mean that the node started
+// long ago.
 const clockOffset = time.Hour
--- a/internal/simulation/simulator/simulation_test.go
+++ b/internal/simulation/simulator/simulation_test.go
@@ -165,10 +165,10 @@
 		}
 		one := run(1)
 		if run(1) != one {
-			t.Errorf("%d instances: two runs with seed 1 have different results", instances)
+			t.Errorf("%d instances: two runs with seed 1 have different results, want the same", instances)
 		}
 		if run(2) == one {
-			t.Errorf("%d instances: runs with the seeds 1 and 2 have the same result", instances)
+			t.Errorf("%d instances: runs with the seeds 1 and 2 have the same result, want different ones", instances)
 		}
 	}
 }
@@ -206,8 +206,9 @@
 		cfg.Clients.ImpatientShare, cfg.Clients.Patience = c.impatient, c.patience
 		r, err := Run(cfg, newBalancer, 1)
 		if err != nil || r.Requests == 0 || r.CallsPerRequest != c.calls || r.Service > 0 {
-			t.Errorf("%+v: %v calls per request for %d requests, service %v, want 0; error %v",
-				c, r.CallsPerRequest, r.Requests, r.Service, err)
+			t.Errorf("impatient %v, patience %v: %v calls per request, want %v; %d requests, want at least 1; "+
+				"service %v, want 0; error %v, want none",
+				c.impatient, c.patience, r.CallsPerRequest, c.calls, r.Requests, r.Service, err)
 		}
 		for _, bad := range []Clients{
 			{ImpatientShare: 2, Patience: ms},
@@ -216,7 +217,8 @@
 		} {
 			cfg.Clients.ImpatientShare, cfg.Clients.Patience = bad.ImpatientShare, bad.Patience
 			if cfg.Validate() == nil {
-				t.Errorf("Validate accepted impatient %v with patience %v", bad.ImpatientShare, bad.Patience)
+				t.Errorf("Validate accepted impatient %v with patience %v, want an error",
+					bad.ImpatientShare, bad.Patience)
 			}
 		}
 	}
--- a/internal/simulation/simulator/traffic.go
+++ b/internal/simulation/simulator/traffic.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// request is a request of a client, which can take several calls.
+// request is a request of a client. It can take several calls.
 type request struct {
 	number       int
 	class        *Class
--- a/internal/simulation/simulator/validate.go
+++ b/internal/simulation/simulator/validate.go
@@ -176,7 +176,7 @@
 	}
 	switch {
 	case f.Kind == FaultDiscoveryDown && c.Discovery.Capacity == 0:
-		return errors.New("down needs a discovery service, but capacity of discovery is 0, so that lists are pushed")
+		return errors.New("down needs a discovery service: discovery: capacity is 0, want more than 0")
 	case needs.duration && f.Duration <= 0:
 		return fmt.Errorf("%s: its duration, key \"for\", is %v, want more than 0", f.Kind, f.Duration)
 	case needs.factor && !(f.Factor > 0):
