--- a/internal/simulation/baseline/pickers.go
+++ b/internal/simulation/baseline/pickers.go
@@ -27,7 +27,7 @@
 	attemptEnded(e *endpoint, result balancer.Result, elapsed time.Duration, load balancer.LoadReport)
 }
 
-// pickerDefinition holds a picker's constructor and its source, which tells where the picker is described.
+// pickerDefinition holds a picker's constructor. The field source tells where the picker is described.
 type pickerDefinition struct {
 	source    string
 	newPicker func(p *policy) picker
@@ -141,8 +141,8 @@
 	return candidates[p.policy.rng.IntN(len(candidates))]
 }
 
-// leastRequests picks the candidate with the fewest requests in flight. If several have the fewest, it
-// picks the first of them after a random position in the list.
+// leastRequests picks the candidate with the fewest requests in flight. If several have the fewest, it picks the first
+// of them from a random position in the list on.
 type leastRequests struct{ basePicker }
 
 func (p *leastRequests) pick(_ *request, candidates []*endpoint) *endpoint {
--- a/internal/simulation/baseline/policy.go
+++ b/internal/simulation/baseline/policy.go
@@ -23,14 +23,14 @@
 const (
 	// Hazelwing is the name of the real balancer.
 	Hazelwing = "hazelwing"
-	// Oracle is the name of the policy that consults simulator.Oracle. Its service is a limit
-	// for policies that only pick endpoints, but not the exact optimum, since it decides greedily, request by request.
+	// Oracle is the name of the policy that consults simulator.Oracle. Its service is a limit for policies that only
+	// pick endpoints, but not the exact optimum, since it decides greedily, request by request.
 	Oracle = "truth"
 
 	// randomStream is the number of the random stream that a policy draws from. Its seed is the policy's seed.
 	randomStream = 0x726976616c
-	// expiryMarginTicks is how long before a request's deadline or the end of its idempotency window attempts cease, in
-	// ticks.
+	// expiryMarginTicks is a margin in ticks: no attempt is sent within this margin before the request's deadline, and
+	// no retry within it before the end of the idempotency window.
 	expiryMarginTicks = 2
 	// subscribeRetryDelay is the time from a failed subscription to the next one. It has no jitter, as in simple
 	// clients.
--- a/internal/simulation/baseline/policy_test.go
+++ b/internal/simulation/baseline/policy_test.go
@@ -10,8 +10,8 @@
 	"hazelwing/internal/simulation/simulator"
 )
 
-// runEveryFault simulates a policy with faults of nearly every kind. With canOverload, nodes that warm up can be
-// overloaded.
+// runEveryFault simulates a policy with faults of nearly every kind. If canOverload is false, nodes that warm up cannot
+// be overloaded.
 func runEveryFault(t *testing.T, name string, seed uint64, canOverload bool) *simulator.Result {
 	t.Helper()
 	p, err := New(name)
@@ -44,7 +44,7 @@
 		})
 	}
 	if _, err := New("p3c"); err == nil {
-		t.Error("New returned no error for the unknown name p3c")
+		t.Error("New returned no error for the unknown name p3c, want one")
 	}
 }
 
@@ -120,11 +120,11 @@
 		for i := range instances {
 			p, ok := newWithEndpoints(t, name, i, uint64(i), endpoints).(*policy)
 			if !ok {
-				t.Fatalf("%s is not a baseline policy", name)
+				t.Fatalf("%s: New returned another type than *policy", name)
 			}
 			s, ok := p.picker.(*subset)
 			if !ok {
-				t.Fatalf("the picker of %s is not a subset", name)
+				t.Fatalf("%s: the picker has type %T, want *subset", name, p.picker)
 			}
 			for _, e := range s.members {
 				count[e.id]++
--- a/internal/simulation/baseline/requests.go
+++ b/internal/simulation/baseline/requests.go
@@ -20,7 +20,7 @@
 )
 
 // A retry budget, as Finagle's RetryBudget, allows retriesPerRequest retries for each request and in addition
-// minRetriesPerSecond retries per second. Unused tokens accumulate up to the retries of minRetriesPerSecond over
+// minRetriesPerSecond retries per second. Unused retries accumulate up to minRetriesPerSecond times the length of
 // retryBudgetWindow. A policy whose name ends with retryBudgetSuffix has a retry budget.
 const (
 	retryBudgetSuffix   = "+budget"
@@ -50,7 +50,7 @@
 	mayHaveRun bool
 }
 
-// retryBudget is a token bucket that limits retries.
+// retryBudget is a token bucket that limits retries. Each retry takes a token.
 type retryBudget struct {
 	unlimited bool
 	tokens    float64
@@ -98,7 +98,9 @@
 		return
 	}
 	p.collectCandidates(r, false)
-	if len(p.candidates) == 0 { // a gRPC channel would wait for the end of a backoff and then use one of them
+	if len(p.candidates) == 0 {
+		// If any endpoint is allowed, it is in connection backoff. A gRPC channel would wait until the backoff of one
+		// of them ends.
 		p.collectCandidates(r, true)
 	}
 	if len(p.candidates) == 0 {
--- a/internal/simulation/baseline/subset.go
+++ b/internal/simulation/baseline/subset.go
@@ -10,8 +10,8 @@
 const (
 	// subsetSize is the number of endpoints in a subset.
 	subsetSize = 10
-	// subsetStream is the number of the random stream that shuffles the list. Its seed is the round, so that all
-	// instances of a round get the same order.
+	// subsetStream is the number of the random stream that shuffles the list for deterministicSubset. Its seed is the
+	// number of the round, so that all instances of a round get the same order.
 	subsetStream = 1
 )
 
@@ -60,8 +60,9 @@
 	return list[:subsetSize]
 }
 
-// deterministicSubset implements the algorithm of Site Reliability Engineering, chapter 20: all instances of a round
-// shuffle the list in the same way, and each takes a different part of it.
+// deterministicSubset implements the algorithm of Site Reliability Engineering, chapter 20: a round has as many
+// instances as the list has subsets. All instances of a round shuffle the list in the same way, and each takes a
+// different part of it.
 func deterministicSubset(p *policy, active []*endpoint) []*endpoint {
 	count := len(active) / subsetSize
 	round := p.instance / count
--- a/internal/simulation/runner/runner.go
+++ b/internal/simulation/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner provides functions that the experiments of several simulations share. They read an experiment file
-// strictly, and run the points of an experiment in parallel.
+// Package runner provides functions that the experiments of several simulations share. ReadFile reads the file of an
+// experiment, and ForEach runs the points of an experiment in parallel.
 package runner
 
 import (
--- a/internal/simulation/runner/runner_test.go
+++ b/internal/simulation/runner/runner_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("read %d seeds with error %v, want 3 seeds and no error", seeds, err)
 	}
 	if _, err := read("seeds = 3\nsieds = 4\n"); err == nil || !strings.Contains(err.Error(), path+":2:1") {
-		t.Errorf("unknown key: error %v, want one at %s:2:1", err, path)
+		t.Errorf("unknown key: error %v, want one that contains %s:2:1", err, path)
 	}
 	if err := ReadFile(path+".absent", nil); !os.IsNotExist(err) {
 		t.Errorf("missing file: error %v, want one for which os.IsNotExist is true", err)
--- a/internal/simulation/simtime/queue.go
+++ b/internal/simulation/simtime/queue.go
@@ -7,15 +7,15 @@
 //
 // Most pending events are timeouts of clients and attempts: they lie seconds ahead and mostly have no effect. In a
 // single heap they would make each push and pop traverse all levels of a heap that exceeds the CPU's caches. Therefore
-// only the next events are in a heap (current). Events within one turn of the wheel are unsorted in the slot of their
-// time, and are sorted when that time comes. Events further ahead are in a heap of their own (overflow). BenchmarkQueue
-// compares the queue to a single heap.
+// only the next events are in a heap (current). Events within one turn of the wheel wait unsorted in the slot of their
+// time. When that time comes, they move to the heap current. Events further ahead are in a heap of their own
+// (overflow). BenchmarkQueue compares the queue to a single heap.
 //
 // The zero value is an empty queue. A Queue is not safe for concurrent use.
 type Queue struct {
 	current     eventHeap // the events before the end of slot currentSlot
 	slots       [wheelSlots][]event
-	overflow    eventHeap // the events one turn of the wheel or more ahead of currentSlot
+	overflow    eventHeap // the events at least one turn of the wheel ahead of currentSlot
 	currentSlot int64     // the slot that current holds, counted from time 0
 	slotted     int       // the number of events in slots
 	lastSeq     uint64    // the sequence number of the event pushed last
--- a/internal/simulation/simtime/queue_test.go
+++ b/internal/simulation/simtime/queue_test.go
@@ -27,7 +27,7 @@
 		now := time.Duration(0)
 		for i := range rapid.IntRange(1, 400).Draw(t, "steps") {
 			if queue.Len() != len(heap) {
-				t.Fatalf("%d events pending, want %d", queue.Len(), len(heap))
+				t.Fatalf("step %d: %d events pending, want %d", i, queue.Len(), len(heap))
 			}
 			if len(heap) > 0 && rapid.IntRange(0, 2).Draw(t, "pop") == 0 {
 				got, want := queue.popEvent(), heap.pop()
