--- a/internal/simulation/experiment/claim.go
+++ b/internal/simulation/experiment/claim.go
@@ -34,7 +34,8 @@
 	Where string `toml:"where" json:"where"`
 }
 
-// parsedClaim is a claim whose text has been parsed. The claim is that left compares with right as the operator says.
+// parsedClaim is a claim whose text has been parsed. The claim holds if the comparison of left with right by the
+// operator is true.
 type parsedClaim struct {
 	Claim
 	left, right term
@@ -121,8 +122,8 @@
 	return t.factor*measures[t.measure](results[t.policy]) + t.offset
 }
 
-// margin returns the difference of the two sides, which is positive if the claim holds and negative if it does not. If
-// it is 0, the claim holds only with <= and >=.
+// margin returns the difference of the two sides, and whether the claim holds. The difference is positive if the claim
+// holds and negative if it does not. If the difference is 0, the claim holds only with <= and >=.
 func (c *parsedClaim) margin(left, right float64) (margin float64, holds bool) {
 	margin = right - left
 	if strings.HasPrefix(c.operator, ">") {
--- a/internal/simulation/experiment/config.go
+++ b/internal/simulation/experiment/config.go
@@ -24,7 +24,7 @@
 	retransmitDelay = 200 * time.Millisecond
 )
 
-// effects maps the values of the key "effect".
+// effects maps the values of the key "effect" of a class to effects of the balancer.
 var effects = map[string]balancer.Effect{
 	"":       balancer.Idempotent,
 	"safe":   balancer.Idempotent,
@@ -32,7 +32,7 @@
 	"unsafe": balancer.NonIdempotent,
 }
 
-// idempotencyScopes maps the values of the key "group".
+// idempotencyScopes maps the values of the key "group" of a class to idempotency scopes of the balancer.
 var idempotencyScopes = map[string]balancer.IdempotencyScope{
 	"":     balancer.ScopeAll,
 	"all":  balancer.ScopeAll,
--- a/internal/simulation/experiment/execute.go
+++ b/internal/simulation/experiment/execute.go
@@ -146,8 +146,9 @@
 	return run
 }
 
-// EstimateRemaining estimates the time to the end of an execution from the time that the runs have taken since it began
-// at startedAt. Of the done runs, the initial ones were in the file before.
+// EstimateRemaining estimates the time to the end of an execution that began at startedAt, from the time that its runs
+// have taken so far. initial is the number of runs that the file of results had when the execution began, done the
+// number that it has now, and total the number that it will have at the end.
 func EstimateRemaining(startedAt time.Time, initial, done, total int) time.Duration {
 	if done <= initial {
 		return 0
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -90,7 +90,7 @@
 	}
 	one, runs := execute("one", 1)
 	if four, _ := execute("four", 4); four != one {
-		t.Error("results of one core and of four cores differ")
+		t.Error("results of one core and of four cores differ, want the same bytes")
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 8 {
@@ -99,7 +99,7 @@
 			t.Fatal(err)
 		}
 		if again, _ := execute(name, 3); again != one {
-			t.Errorf("file %d: results differ after a truncated file was continued", i)
+			t.Errorf("continued truncated file %d: results differ from those of one core, want the same bytes", i)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -112,10 +112,10 @@
 	}
 	_, _, err = ReadResults(filepath.Join(dir, "ended"))
 	if err == nil || !strings.Contains(err.Error(), "of 72 runs") {
-		t.Errorf("reading incomplete results gave error %v, want one with the number of runs", err)
+		t.Errorf("reading incomplete results gave error %v, want one that contains \"of 72 runs\"", err)
 	}
 	if again, _ := execute("ended", 4); again != one {
-		t.Error("results differ after a cancelled execution was continued")
+		t.Error("continued cancelled execution: results differ from those of one core, want the same bytes")
 	}
 	if err := os.WriteFile(filepath.Join(dir, "other"), []byte("{\"format\":\"x\"}\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 	// Tests are built without a commit, so that only the checksum distinguishes this program from another build.
 	checksum := regexp.MustCompile("program [0-9a-f]{16}").FindString(e.header().Program)
 	if checksum == "" {
-		t.Fatalf("program version %q has no checksum", e.header().Program)
+		t.Fatalf("program version is %q, want one with a checksum", e.header().Program)
 	}
 	otherBuild := strings.Replace(one, checksum, "program 0123456789abcdef", 1)
 	if err := os.WriteFile(filepath.Join(dir, "built"), []byte(otherBuild), 0o600); err != nil {
@@ -143,7 +143,8 @@
 		t.Fatal(err)
 	}
 	if !v[0].Holds || v[0].Total != 24 || v[1].Holds || v[1].HoldsOn != 0 || v[2].Total != 2 {
-		t.Errorf("verdicts are %+v, want the first to hold and the second not to", v)
+		t.Errorf("verdicts are %+v, want the first to hold and to have 24 cases, the second to hold in no case, "+
+			"and the third to have 2 cases", v)
 	}
 	h, read, err := ReadResults(filepath.Join(dir, "one"))
 	if err != nil || len(read) != len(runs) {
@@ -151,7 +152,8 @@
 	}
 	same, err := Compare(h, read, h, read, []string{"service"})
 	if err != nil || len(same) != 12 || same[0].Differs || same[0].Mean != 0 {
-		t.Errorf("results compared with themselves give %+v, error %v, want no difference", same, err)
+		t.Errorf("results compared with themselves give %+v, want 12 differences, the first with Differs false and "+
+			"Mean 0; error %v, want none", same, err)
 	}
 }
 
@@ -209,21 +211,21 @@
 	}
 	for _, v := range list {
 		if v.Holds || v.Scope == "each" && (v.HoldsOn != 1 || v.Total != 20) {
-			t.Errorf("verdict %+v, want one that does not hold", v)
+			t.Errorf("verdict %+v, want Holds false and, with the scope \"each\", HoldsOn 1 and Total 20", v)
 		}
 	}
 	s := Summarise(Header{Points: [][]string{nil}, Policies: []string{"y", "x"}}, runs)
 	if s[0].Policy != "x" || s[0].SeedsWithViolations != 1 {
-		t.Errorf("summaries are %+v, want the policy with the violation first", s)
+		t.Errorf("summaries are %+v, want policy x first, with 1 seed with a violation", s)
 	}
 	e.Points[0].Config = simulator.Config{} // cannot be simulated without nodes
 	if r := e.executeTask(task{0, 1, "p2c"}); r.Error == "" || r.Result.ViolationCount != 1 {
-		t.Errorf("run that cannot be simulated is %+v, want an error and one violation", r)
+		t.Errorf("run of a configuration without nodes is %+v, want one with an error and one violation", r)
 	}
 }
 
-// Load rejects an experiment with an error, and names the file and the error. An experiment that is executed
-// differently from what its author meant would answer another question.
+// Load rejects the file of an experiment if it has an error. Its own error names the file and what is wrong in it. If
+// Load ignored the error, the experiment would answer another question than its author meant.
 func TestLoadReportsErrors(t *testing.T) {
 	for change, want := range map[string]string{
 		"seeds = 6|seeds = 0":               "seeds: must be from 1 to 1000, got 0",
@@ -295,7 +297,7 @@
 			}
 			for _, r := range runs {
 				if r.Policy == "hazelwing" && r.Result.ViolationCount > 0 {
-					t.Errorf("seed %d: hazelwing violated rules: %q", r.Seed, r.Result.Violations)
+					t.Errorf("seed %d: violations by hazelwing %q, want none", r.Seed, r.Result.Violations)
 				}
 			}
 			list, err := Judge(e.header(), runs)
@@ -304,7 +306,7 @@
 			}
 			for _, v := range list {
 				if *runWholeLibrary && !v.Holds {
-					t.Errorf("claim %q on %s holds in %d of %d cases; the worst is %s",
+					t.Errorf("claim %q fails, want it to hold: scope %q, holds in %d of %d cases; the worst is %s",
 						v.Text, v.Scope, v.HoldsOn, v.Total, v.Worst)
 				}
 			}
--- a/internal/simulation/experiment/file.go
+++ b/internal/simulation/experiment/file.go
@@ -44,7 +44,7 @@
 }
 
 // Nodes is the TOML table that describes all nodes. Zones, speeds and cells are assigned to the nodes round-robin;
-// nodes of the same element of Speeds are of the same kind.
+// nodes to which the same element of Speeds is assigned are of the same kind.
 type Nodes struct {
 	Count      int       `toml:"count"`
 	Zones      []string  `toml:"zones"`
--- a/internal/simulation/experiment/format_test.go
+++ b/internal/simulation/experiment/format_test.go
@@ -10,7 +10,7 @@
 	"hazelwing/internal/testutil"
 )
 
-// Each key of an experiment's file is decoded under its name and from its notation.
+// Each key of an experiment's file is decoded into its field, with the value that the golden file has.
 func TestExperimentFileFormatIsStable(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.toml")
 	if err != nil {
--- a/internal/simulation/experiment/recorded_test.go
+++ b/internal/simulation/experiment/recorded_test.go
@@ -46,17 +46,18 @@
 	if w.Clients.ClockSkew != 2*time.Second || w.Clients.SessionLength != 3 ||
 		w.Host.QuotaPeriod != 100*time.Millisecond || !w.Network.Multiplexed ||
 		w.EndpointUpdates.DetectionDelay != time.Second || !w.EndpointUpdates.Reorder {
-		t.Errorf("configuration %+v does not have all values of the file, such as ClockSkew 2s and SessionLength 3", w)
+		t.Errorf("configuration is %+v, want ClockSkew 2s, SessionLength 3, QuotaPeriod 100ms, Multiplexed true, "+
+			"DetectionDelay 1s and Reorder true", w)
 	}
 	runs, err := e.Execute(t.Context(), filepath.Join(dir, "run"), 1, func(int, int) {})
 	if err != nil || runs[0].Result.Requests != n || runs[0].Result.MaxProcessorUse <= 0 {
-		t.Errorf("execution gave %+v, error %v, want %d requests and processor use above 0", runs, err, n)
+		t.Errorf("execution gave %+v, want %d requests and processor use above 0; error %v, want none", runs, n, err)
 	}
 	record(2)
 	if again, err := Load(path); err != nil {
 		t.Errorf("Load with other recorded traffic: %v", err)
 	} else if again.Hash == e.Hash {
-		t.Errorf("hash %v did not change with the recorded traffic", e.Hash)
+		t.Errorf("hash is %s with both recorded traffics, want different hashes", e.Hash)
 	}
 	for _, damage := range []func() error{
 		func() error { return os.WriteFile(filepath.Join(dir, "day.jsonl"), []byte("{}"), 0o600) },
--- a/internal/simulation/experiment/results.go
+++ b/internal/simulation/experiment/results.go
@@ -79,8 +79,8 @@
 	return h
 }
 
-// programVersion returns the version for Header.Program. If the commit does not identify the program, the version has a
-// checksum of the executable too, which prevents that a file gets results of two builds.
+// programVersion returns the version for Header.Program. If the commit does not identify the program, the version also
+// has a checksum of the executable. The checksum prevents a file from getting the results of two builds.
 var programVersion = sync.OnceValue(func() string {
 	commit, isClean := vcsRevision()
 	if isClean {
--- a/internal/simulation/experiment/stored_test.go
+++ b/internal/simulation/experiment/stored_test.go
@@ -107,7 +107,8 @@
 	if h.Name != "stored" || h.Hash != "c46d0c9710a5a1fa" || h.Seeds != 2 || len(h.Policies) != 2 ||
 		len(h.Points) != 2 ||
 		len(h.Claims) != 2 || len(h.Sources) != 2 || h.Claims[1].Where != "world.load = 0.3" || len(runs) != 8 {
-		t.Errorf("stored header is read as %+v, with %d runs, want 8", h, len(runs))
+		t.Errorf("stored header is read as %+v, want name stored, hash c46d0c9710a5a1fa, 2 seeds, policies, points, "+
+			"claims and sources, and world.load = 0.3 in the second claim; %d runs, want 8", h, len(runs))
 	}
 	var out bytes.Buffer
 	enc := func(v any) {
@@ -124,7 +125,8 @@
 			r.Policy != want.policy ||
 			r.Error != "" || r.Result == nil || r.Result.Seed != uint64(want.seed) || r.Result.Requests < 100 ||
 			len(r.Result.Seconds) == 0 {
-			t.Errorf("run %d is read as %+v, want one of %+v", i+1, r, want)
+			t.Errorf("run %d is read as %+v, want one of %+v without error, with Seconds and at least 100 requests",
+				i+1, r, want)
 		}
 		enc(r)
 	}
@@ -202,7 +204,7 @@
 		}
 		// The six fields that do not belong to the key have to be unset.
 		if !field(&f.Cluster.Settings) || len(testutil.UnsetFields(f.Cluster.Settings)) != 6 {
-			t.Errorf("%s = true is decoded as %+v, want only the field of this key set", key, f.Cluster.Settings)
+			t.Errorf("%s = true is decoded as %+v, want only the field of this key to be set", key, f.Cluster.Settings)
 		}
 	}
 }
--- a/internal/simulation/report/report_test.go
+++ b/internal/simulation/report/report_test.go
@@ -55,7 +55,7 @@
 		t.Errorf("page has %d SVG elements, want 23 without an XML prolog", n)
 	}
 	if regexp.MustCompile(`(?i)(src|href)=|<script|@import|url\(`).MatchString(page) {
-		t.Error("page refers to another resource or has a script")
+		t.Error("page refers to another resource or has a script, want neither")
 	}
 	violation := strings.Index(page, "a &lt;script&gt; ran")
 	claims := strings.Index(page, "service of p2c &gt;= 2")
