--- a/internal/simulation/slope/forecast.go
+++ b/internal/simulation/slope/forecast.go
@@ -12,8 +12,8 @@
 	Measured, Predicted float64
 }
 
-// RelativeError returns the signed error of the prediction, relative to the measured value. If that is 0, it returns 0
-// for an exact prediction and +Inf for any other.
+// RelativeError returns the signed error of the prediction, relative to the measured value. If the measured value is 0,
+// RelativeError returns 0 for a prediction of 0 and +Inf for any other.
 func (f Forecast) RelativeError() float64 {
 	if f.Measured == 0 {
 		if f.Predicted == 0 {
@@ -25,8 +25,8 @@
 }
 
 // Extrapolate fits a model to the points of sizes up to maxFittedSize and predicts the values of the larger sizes. Each
-// prediction is compared with the mean of the points of its size. The forecasts are ordered by size. The errors are
-// the same as for New.
+// prediction is compared with the mean of the points of its size. The forecasts are ordered by size. Extrapolate
+// returns the errors of New for the points that it fits.
 func Extrapolate(points []Point, maxFittedSize int) (Fit, []Forecast, error) {
 	var fitted []Point
 	sum, count := map[int]float64{}, map[int]float64{}
--- a/internal/simulation/slope/slope.go
+++ b/internal/simulation/slope/slope.go
@@ -60,8 +60,9 @@
 	Sizes        int     // number of different sizes that the fit is based on
 }
 
-// Tolerance is the smallest relative residual that is attributed to noise. If sizes were measured more than once, twice
-// the largest relative deviation of a point from the mean of its size is used instead if it is larger.
+// Tolerance is the relative residual up to which deviations are attributed to noise. If sizes were measured more than
+// once, the limit rises to twice the largest relative deviation of a point from the mean of its size, if that is more
+// than Tolerance.
 const Tolerance = 0.05
 
 // maxWeightRatio limits the ratio of a point's weight to the weight of the point with the largest value.
@@ -74,11 +75,11 @@
 	func(n float64) float64 { return n },
 }
 
-// errNoSolution is returned by solve if no model of the chosen parts has only factors that are not negative.
+// errNoSolution is returned by solve if the solution for the chosen parts has a negative factor or cannot be computed.
 var errNoSolution = errors.New("no least-squares solution without negative factors")
 
-// New fits a model to points. It returns an error if the points have fewer than two sizes, or if one of them is
-// invalid. The texts of these errors are part of the output of the command "lab slopes".
+// New fits a model to points. It returns an error if the points have fewer than two sizes, or if a point is invalid.
+// The texts of these errors are part of the output of the command "lab slopes".
 func New(points []Point) (Fit, error) {
 	valuesBySize := map[int][]float64{}
 	for _, p := range points {
--- a/internal/simulation/slope/slope_test.go
+++ b/internal/simulation/slope/slope_test.go
@@ -29,7 +29,7 @@
 		name     string
 		function func(n float64) float64
 		spread   float64
-		// Whether the fit must have each part. It must have no other parts.
+		// wantConst, wantLog and wantLinear tell for each part whether the fit must have it or must not have it.
 		wantConst, wantLog, wantLinear bool
 	}{
 		{"zero", func(float64) float64 { return 0 }, 0, false, false, false},
@@ -46,17 +46,17 @@
 			points := samplePoints(test.function, test.spread)
 			fit, err := New(points)
 			if err != nil || fit.ExceedsNoise {
-				t.Errorf("fit %+v, error %v, want one within the noise", fit, err)
+				t.Errorf("fit %v: ExceedsNoise %v, want false; error %v, want none", fit, fit.ExceedsNoise, err)
 			}
 			if (fit.Const > 0) != test.wantConst ||
 				(fit.Log > 0) != test.wantLog ||
 				(fit.Linear > 0) != test.wantLinear {
-				t.Errorf("fit %v, want parts const %v, log %v, linear %v",
+				t.Errorf("fit %v, want it to have: constant part %v, log2 n part %v, n part %v",
 					fit, test.wantConst, test.wantLog, test.wantLinear)
 			}
 			_, forecasts, err := Extrapolate(points, 295)
 			if err != nil || len(forecasts) != 2 || forecasts[0].Size != 590 || forecasts[1].Size != 1180 {
-				t.Fatalf("forecasts %v, error %v, want sizes 590 and 1180", forecasts, err)
+				t.Fatalf("forecasts %+v, want the sizes 590 and 1180; error %v, want none", forecasts, err)
 			}
 			for _, f := range forecasts {
 				if math.Abs(f.RelativeError()) > maxForecastError {
@@ -72,7 +72,7 @@
 func TestNewFindsFactors(t *testing.T) {
 	fit, err := New(samplePoints(func(n float64) float64 { return 100 + 0.5*n }, 0))
 	if err != nil || math.Abs(fit.Const-100) > 1e-6 || math.Abs(fit.Linear-0.5) > 1e-9 {
-		t.Errorf("fit %+v, error %v, want const 100, linear 0.5", fit, err)
+		t.Errorf("Const %v, want 100; Linear %v, want 0.5; error %v, want none", fit.Const, fit.Linear, err)
 	}
 	if fit.String() != "100 + 0.5 n" || fit.Sizes != len(testSizes) {
 		t.Errorf("fit %v of %d sizes, want 100 + 0.5 n of %d sizes", fit, fit.Sizes, len(testSizes))
@@ -112,12 +112,14 @@
 func TestNewReportsExceededNoise(t *testing.T) {
 	fit, err := New(samplePoints(func(n float64) float64 { return 1000 / n }, 0))
 	if err != nil || !fit.ExceedsNoise || fit.Linear != 0 || fit.Log != 0 {
-		t.Errorf("decreasing values: fit %+v, error %v, want ExceedsNoise", fit, err)
+		t.Errorf("decreasing values: fit %v, want no log2 n part and no n part; ExceedsNoise %v, want true; "+
+			"error %v, want none", fit, fit.ExceedsNoise, err)
 	}
 	repeated := []Point{{74, 90}, {74, 110}, {148, 90}, {148, 110}, {295, 105}, {295, 95}}
 	fit, err = New(repeated)
 	if err != nil || fit.ExceedsNoise || math.Abs(fit.Const-100) > 3 || fit.Log+fit.Linear != 0 {
-		t.Errorf("noisy constant measured twice: fit %+v, error %v, want const 100 within the noise", fit, err)
+		t.Errorf("noisy constant measured twice: fit %v, want a constant from 97 to 103; ExceedsNoise %v, want false; "+
+			"error %v, want none", fit, fit.ExceedsNoise, err)
 	}
 }
 
--- a/internal/simulation/worstcase/sample.go
+++ b/internal/simulation/worstcase/sample.go
@@ -16,10 +16,10 @@
 	maxFaults = 5
 	minLoad   = 0.3
 	maxLoad   = 0.95
-	// maxLoadStep is the width of the range of load changes: a mutation changes the load by up to half of it up or
-	// down.
+	// maxLoadStep is the width of the range of load changes: a mutation raises or lowers the load by at most half of
+	// maxLoadStep.
 	maxLoadStep = 0.1
-	// minShare is the smallest share of nodes that is drawn.
+	// minShare is the smallest share that is drawn for a fault.
 	minShare = 0.01
 	// timeStep is the precision of drawn times.
 	timeStep = 100 * time.Millisecond
@@ -78,7 +78,7 @@
 	return c
 }
 
-// sampleFault draws a fault that begins after the first tenth and before 60 % of the experiment's duration.
+// sampleFault draws a fault that begins between 10 % and 60 % of the experiment's duration.
 func (s *searcher) sampleFault(rng *rand.Rand) experiment.Fault {
 	length := time.Duration(s.experiment.Cluster.Duration)
 	sampleDuration := func(from, span time.Duration) strictdecode.Duration {
--- a/internal/simulation/worstcase/search_test.go
+++ b/internal/simulation/worstcase/search_test.go
@@ -17,7 +17,7 @@
 func TestSearch(t *testing.T) {
 	dir := t.TempDir()
 	t.Chdir(dir)
-	path := "base.toml" // a relative path, while the directory of the new experiment is an absolute one
+	path := "base.toml" // relative, whereas the directory of the new experiment, dir, is absolute
 	if err := os.WriteFile(path, []byte(testutil.Experiment("?", "random", "least", 2)), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,8 @@
 	}
 	verdicts, err := experiment.Judge(h, runs)
 	if err != nil || verdicts[0].Holds || !verdicts[1].Holds {
-		t.Errorf("verdicts are %+v, error %v, want a claim that fails and one that holds\n%s", verdicts, err, text)
+		t.Errorf("verdicts are %+v, want the first claim to fail and the second to hold; error %v, want none\n%s",
+			verdicts, err, text)
 	}
 	if _, err := Search(t.Context(), e, Options{Policy: "luck", Baseline: "least", Candidates: 1}); err == nil ||
 		!strings.Contains(err.Error(), "luck") {
