--- a/internal/simulation/baseline/policy_test.go
+++ b/internal/simulation/baseline/policy_test.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		if got := runEveryFault(t, name, 2, false).Service; got > top {
-			t.Errorf("%s: service %.3f, want at most the %.3f of the oracle's policy", name, got, top)
+			t.Errorf("%s: service %.3f, want at most the %.3f of the policy %s", name, got, top, Oracle)
 		}
 	}
 }
@@ -118,9 +118,10 @@
 	spread := func(name string) (lowest, highest int) {
 		count := map[string]int{}
 		for i := range instances {
-			p, ok := newWithEndpoints(t, name, i, uint64(i), endpoints).(*policy)
+			made := newWithEndpoints(t, name, i, uint64(i), endpoints)
+			p, ok := made.(*policy)
 			if !ok {
-				t.Fatalf("%s: New returned another type than *policy", name)
+				t.Fatalf("%s: the policy has type %T, want *policy", name, made)
 			}
 			s, ok := p.picker.(*subset)
 			if !ok {
--- a/internal/simulation/baseline/requests.go
+++ b/internal/simulation/baseline/requests.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// giveUp ends a request without an answer from an endpoint. The request is rejected if no attempt may have been
-// executed or it is idempotent, and failed otherwise.
+// giveUp ends a request without an answer from an endpoint. The request fails if it is not idempotent and one of its
+// attempts may have been executed. Otherwise it is rejected.
 func (p *policy) giveUp(r *request) {
 	if r.done {
 		return
--- a/internal/simulation/experiment/claim.go
+++ b/internal/simulation/experiment/claim.go
@@ -42,8 +42,8 @@
 	operator    string
 }
 
-// term is one side of a claim: factor times the measure of the policy, plus offset. Without a measure, it is the number
-// offset.
+// term is one side of a claim: factor times the measure of the policy, plus offset. A term without a measure is the
+// number offset.
 type term struct {
 	factor, offset  float64
 	measure, policy string
--- a/internal/simulation/experiment/config.go
+++ b/internal/simulation/experiment/config.go
@@ -141,8 +141,8 @@
 	}, nil
 }
 
-// rate returns the rate of requests per second: the key "rate", or the rate that causes the load of the key "load" on
-// the nodes. One of the two keys has to be set, unless the requests come from recorded traffic.
+// rate returns the rate of requests per second: the value of the key "rate" or, if the key "load" is set, the rate that
+// puts this load on the nodes. One of the two keys has to be set, unless the requests come from recorded traffic.
 func (cluster *Cluster) rate(nodes []simulator.Node) (float64, error) {
 	rate := cluster.Rate
 	if cluster.Load > 0 {
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -148,7 +148,7 @@
 	}
 	h, read, err := ReadResults(filepath.Join(dir, "one"))
 	if err != nil || len(read) != len(runs) {
-		t.Fatalf("read %d runs, want %d; error %v", len(read), len(runs), err)
+		t.Fatalf("read %d runs, want %d; error %v, want none", len(read), len(runs), err)
 	}
 	same, err := Compare(h, read, h, read, []string{"service"})
 	if err != nil || len(same) != 12 || same[0].Differs || same[0].Mean != 0 {
@@ -187,9 +187,9 @@
 	}
 }
 
-// A policy is better than another with only one seed of twenty, with which it violates a rule. The claim that it is
-// better must not hold with any scope, and Summarise lists the policy first because of the violation. A simulation that
-// fails gives a run with an error.
+// One policy is better than the other with only one of twenty seeds, and violates a rule with that seed. The claim that
+// it is better must not hold with any scope, and Summarise lists the policy first because of the violation. A
+// simulation that fails gives a run with an error.
 func TestJudgeWithOutlierAndFailedRun(t *testing.T) {
 	e := &Experiment{File: File{Policies: []string{"x", "y"}, Seeds: 20}, Points: []Point{{}}}
 	for _, on := range []string{"each", "most", "mean"} {
@@ -258,12 +258,12 @@
 		old, now, _ := strings.Cut(change, "|")
 		text := strings.Replace(smallExperiment, old, now, 1)
 		if text == smallExperiment {
-			t.Fatalf("the experiment does not contain %q", old)
+			t.Fatalf("change %q: smallExperiment does not contain the text to replace, %q", change, old)
 		}
 		path := writeFile(t, "x.toml", text)
 		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), want) ||
 			!strings.Contains(err.Error(), "x.toml") {
-			t.Errorf("change %q: error %v, want one with x.toml and %q", change, err, want)
+			t.Errorf("change %q: error %v, want one that contains x.toml and %q", change, err, want)
 		}
 	}
 }
@@ -276,7 +276,7 @@
 func TestLibrary(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(paths) < 20 {
-		t.Fatalf("found %d experiments, want at least 20; error %v", len(paths), err)
+		t.Fatalf("found %d experiments, want at least 20; error %v, want none", len(paths), err)
 	}
 	for _, path := range paths {
 		e, err := Load(path)
--- a/internal/simulation/experiment/format_test.go
+++ b/internal/simulation/experiment/format_test.go
@@ -18,7 +18,7 @@
 	}
 	var file File
 	for _, fault := range strictdecode.Decode(text, &file) {
-		t.Errorf("every-key.toml:%v", fault)
+		t.Errorf("every-key.toml:%v, want no error", fault)
 	}
 	testutil.CheckFieldsSet(t, file)
 	testutil.CheckExplicitNames(t, "toml", file)
--- a/internal/simulation/experiment/recorded_test.go
+++ b/internal/simulation/experiment/recorded_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// Recorded traffic replaces the randomly drawn requests, its content is part of the experiment's hash, and the error
-// for a file that is invalid or missing names that file.
+// Recorded traffic replaces the randomly drawn requests. The experiment's hash covers the content of the file of
+// recorded traffic. If that file is invalid or missing, the error names it.
 func TestRecordedTraffic(t *testing.T) {
 	dir := t.TempDir()
 	text := strings.Replace(testutil.Experiment("?", "hazelwing", "random", 1), "load = 0.6\n", "", 1)
@@ -55,7 +55,7 @@
 	}
 	record(2)
 	if again, err := Load(path); err != nil {
-		t.Errorf("Load with other recorded traffic: %v", err)
+		t.Errorf("Load with other recorded traffic: error %v, want none", err)
 	} else if again.Hash == e.Hash {
 		t.Errorf("hash is %s with both recorded traffics, want different hashes", e.Hash)
 	}
--- a/internal/simulation/experiment/stored_test.go
+++ b/internal/simulation/experiment/stored_test.go
@@ -35,7 +35,7 @@
 	}
 	for _, path := range testutil.UnsetFields(f) {
 		if path != ".Base" { // the file sets it to an empty string, since Load would read the base
-			t.Errorf("field %s was not set by any key", path)
+			t.Errorf("no key of every-key.toml set the field %s, want all fields but .Base set", path)
 		}
 	}
 	if got, want := testutil.FieldValues(f), string(readStored(t, "every-key.values")); got != want {
@@ -91,10 +91,10 @@
 	}
 	lines := bytes.Split(out, []byte("\n"))
 	if err := json.Unmarshal(lines[0], &againHeader); err != nil || !reflect.DeepEqual(againHeader, header) {
-		t.Errorf("header is decoded as %+v, error %v, want %+v", againHeader, err, header)
+		t.Errorf("header is decoded as %+v, want %+v; error %v, want none", againHeader, header, err)
 	}
 	if err := json.Unmarshal(lines[1], &againRun); err != nil || !reflect.DeepEqual(againRun, run) {
-		t.Errorf("run is decoded as %+v, error %v, want %+v", againRun, err, run)
+		t.Errorf("run is decoded as %+v, want %+v; error %v, want none", againRun, run, err)
 	}
 }
 
@@ -135,13 +135,13 @@
 	}
 	verdicts, err := Judge(h, runs)
 	if err != nil || len(verdicts) != 2 || !verdicts[0].Holds || !verdicts[1].Holds {
-		t.Errorf("verdicts are %+v, error %v, want two that hold", verdicts, err)
+		t.Errorf("verdicts are %+v, want two that hold; error %v, want none", verdicts, err)
 	}
 }
 
-// The hash of an experiment is the one that commit 593ba64 computed, since a file of results is found by it. A file of
-// another program is not changed, since it would get results of two programs. In an interrupted file of the same
-// program, the complete runs are kept and only the missing ones are simulated.
+// The hash of an experiment must still be the one that commit 593ba64 computed, because the name of the file of results
+// contains it. A file of another program must not be changed: it would then have results of two programs. In an
+// interrupted file of the same program, the complete runs are kept and only the missing ones are simulated.
 func TestInterruptedRunIsResumed(t *testing.T) {
 	e, err := Load(filepath.Join(storedDir, "stored.toml"))
 	if err != nil {
@@ -179,14 +179,15 @@
 		}
 	})
 	if err != nil || len(runs) != 8 || from != 5 {
-		t.Fatalf("execution returned %d runs, want 8, after %d kept ones, want 5; error %v", len(runs), from, err)
+		t.Fatalf("execution returned %d runs, want 8; it kept %d of them, want 5; error %v, want none",
+			len(runs), from, err)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil || !bytes.HasPrefix(text, kept) {
-		t.Errorf("continued file is\n%s, error %v, want it to begin with\n%s", text, err, kept)
+		t.Errorf("continued file is\n%s, want it to begin with\n%s; error %v, want none", text, kept, err)
 	}
 	if _, again, err := ReadResults(path); err != nil || len(again) != 8 {
-		t.Errorf("continued file is read as %d runs, want 8; error %v", len(again), err)
+		t.Errorf("continued file is read as %d runs, want 8; error %v, want none", len(again), err)
 	}
 }
 
--- a/internal/simulation/experiment/verdict.go
+++ b/internal/simulation/experiment/verdict.go
@@ -18,8 +18,8 @@
 	Text  string `json:"says"`
 	Scope string `json:"on"`
 	Holds bool   `json:"holds"`
-	// HoldsOn is the number of cases in which the claim holds, of Total. A case is a seed at a point or, with the scope
-	// "mean", a point. Worst describes the case with the smallest margin.
+	// HoldsOn is the number of cases in which the claim holds, out of Total cases. A case is a seed at a point or, with
+	// the scope "mean", a point. Worst describes the case with the smallest margin.
 	HoldsOn int    `json:"good"`
 	Total   int    `json:"of"`
 	Worst   string `json:"worst"`
@@ -94,8 +94,8 @@
 	}
 }
 
-// results returns the results of all policies at a point with a seed, by policy. The runs have to be complete and in
-// order.
+// results returns the results of all policies at a point with a seed, by the names of the policies. The runs have to be
+// complete and in order.
 func (h Header) results(runs []Run, point, seed int) map[string]*simulator.Result {
 	out := map[string]*simulator.Result{}
 	from := (point*h.Seeds + seed - 1) * len(h.Policies)
--- a/internal/simulation/report/report_test.go
+++ b/internal/simulation/report/report_test.go
@@ -47,12 +47,13 @@
 	}
 	page := out.String()
 	if _, err := html.Parse(strings.NewReader(page)); err != nil {
-		t.Errorf("page is not valid HTML: %v", err)
+		t.Errorf("parsing the page as HTML: error %v, want none", err)
 	}
 	// The legend has two swatches, the sweep three plots, and each of the two points six plots over time, one of the
 	// latencies, and a heat map for each policy.
 	if n := strings.Count(page, "<svg"); n != 2+3+2*(6+1+2) || strings.Contains(page, "<?xml") {
-		t.Errorf("page has %d SVG elements, want 23 without an XML prolog", n)
+		t.Errorf("page has %d SVG elements, want 23; it has an XML prolog: %v, want false",
+			n, strings.Contains(page, "<?xml"))
 	}
 	if regexp.MustCompile(`(?i)(src|href)=|<script|@import|url\(`).MatchString(page) {
 		t.Error("page refers to another resource or has a script, want neither")
@@ -60,10 +61,15 @@
 	violation := strings.Index(page, "a &lt;script&gt; ran")
 	claims := strings.Index(page, "service of p2c &gt;= 2")
 	results := strings.Index(page, "<h2>world.load = 0.4")
-	if violation < 0 || claims < violation || results < claims ||
-		!strings.Contains(page, "Is &lt;b&gt;that&lt;/b&gt; so?") ||
-		strings.Count(page, `class="fails">fails`) != 1 || strings.Count(page, `class="holds">holds`) != 1 {
-		t.Errorf("violation at %d, claims at %d, results at %d, want this order, an escaped question, "+
-			"one claim that holds and one that fails", violation, claims, results)
+	if violation < 0 || claims < violation || results < claims {
+		t.Errorf("violation at byte %d, claims at byte %d, results at byte %d, want all of them in this order",
+			violation, claims, results)
+	}
+	if escaped := "Is &lt;b&gt;that&lt;/b&gt; so?"; !strings.Contains(page, escaped) {
+		t.Errorf("page does not contain the escaped question %q", escaped)
+	}
+	fails, holds := strings.Count(page, `class="fails">fails`), strings.Count(page, `class="holds">holds`)
+	if fails != 1 || holds != 1 {
+		t.Errorf("%d claims are shown as failed, want 1; %d as holding, want 1", fails, holds)
 	}
 }
--- a/internal/simulation/simulator/discovery_test.go
+++ b/internal/simulation/simulator/discovery_test.go
@@ -119,7 +119,7 @@
 			t.Fatal(err)
 		}
 		if got := countRepeats(log); !slices.Equal(got, c.want) {
-			t.Errorf("%s: updates\n got %q\nwant %q", c.name, got, c.want)
+			t.Errorf("%s: updates are\n%q, want\n%q", c.name, got, c.want)
 		}
 		if c.maxBacklog == 1 && c.instances == 4 &&
 			(r.RejectedDiscoveryCalls != 1 || r.MaxDiscoveryCallRate != 5 || r.DiscoveryCallsPerInstance != 1.25) {
--- a/internal/simulation/simulator/inject.go
+++ b/internal/simulation/simulator/inject.go
@@ -131,7 +131,7 @@
 }
 
 // drain shuts a node down gracefully. Once the endpoint update has had time to arrive everywhere and the drain grace
-// has passed, the process ends as soon as nothing is in flight. With replace, a successor starts after it.
+// has passed, the process ends as soon as nothing is in flight. If replace is true, a new process starts afterwards.
 func (n *node) drain(replace bool) {
 	if n.draining || n.dead || n.vanished {
 		return
--- a/internal/simulation/simulator/oracle.go
+++ b/internal/simulation/simulator/oracle.go
@@ -7,8 +7,8 @@
 // node.
 type Oracle interface {
 	// ResponseTime returns how long a request that is sent to a node now would take until its answer, if nothing
-	// changes: the round trip, the work in flight at the node, and the request's own work, which is given as a time at
-	// speed 1. It returns false if there would be no answer.
+	// changes: the round trip, the work in flight at the node, and the request's own work. The argument work is a time
+	// at speed 1. ResponseTime returns false if there would be no answer.
 	ResponseTime(node string, work time.Duration) (time.Duration, bool)
 	// Work returns the real work of the request with the given ID as a time at speed 1, or 0 if there is no such
 	// request.
@@ -23,7 +23,7 @@
 }
 
 // oracleColdShare is the share of a warming node's capacity up to which the oracle predicts an answer. The rest is left
-// for requests that other instances have sent and that have not arrived.
+// for requests that other instances have sent and that have not arrived yet.
 const oracleColdShare = 0.7
 
 // oracle implements Oracle for one instance.
--- a/internal/simulation/simulator/oracle_test.go
+++ b/internal/simulation/simulator/oracle_test.go
@@ -83,7 +83,7 @@
 			requests++
 			d, ok := oracle.ResponseTime("n0", 10*ms)
 			if ok != want.ok || ok && d != time.Duration(want.factor*float64(10*ms)) {
-				t.Errorf("%s: predicted response time of n0 %v (answer expected: %v), want %v (answer expected: %v)",
+				t.Errorf("%s: the oracle predicts the response time %v for n0 (answer: %v), want %v (answer: %v)",
 					kind, d, ok, time.Duration(want.factor*float64(10*ms)), want.ok)
 			}
 			if _, ok := oracle.ResponseTime("n1", 10*ms); !ok {
@@ -116,7 +116,7 @@
 	sim.nodesByName[n.Name] = n
 	n.running[0].node = n
 	if d, ok := (oracle{&instance{sim: sim}}).ResponseTime(n.Name, 3*ms); !ok || d != 33*ms {
-		t.Errorf("predicted response time %v (answer expected: %v), want 33ms (answer expected: true)", d, ok)
+		t.Errorf("the oracle predicts the response time %v (answer: %v), want 33ms (answer: true)", d, ok)
 	}
 	n.QueueLimit = 1
 	if _, ok := (oracle{&instance{sim: sim}}).ResponseTime(n.Name, 3*ms); ok {
--- a/internal/simulation/simulator/result.go
+++ b/internal/simulation/simulator/result.go
@@ -4,9 +4,9 @@
 type Result struct {
 	Seed uint64 `json:"seed"`
 
-	// Service is the earned share of the priority weight of all requests. A request earns its whole weight if it is
-	// answered within the latency objective, and the share LateWeight of it if it is answered later within the
-	// deadline.
+	// Service is the earned share of the priority weight of all requests. The priority weight of a request is the
+	// weight of its class times its work. A request earns its whole weight if it is answered within the latency
+	// objective, and the share LateWeight of it if it is answered later within the deadline.
 	Service float64 `json:"service"`
 	// WorstClassService is the service of the class with the lowest service.
 	WorstClassService float64 `json:"worst"`
@@ -39,8 +39,8 @@
 	MaxProbeRate float64 `json:"probes"`
 	// MaxConnectionRate is the largest number of connections that were opened to one node within one second.
 	MaxConnectionRate int `json:"opens"`
-	// MaxColdLoad is the highest load of a node that was warming up, as the ratio of the work sent to it to the work
-	// beyond which it is overloaded.
+	// MaxColdLoad is the highest load of a node that was warming up. The load is the work that arrived within
+	// Rules.OverloadDuration, divided by the work beyond which the node is overloaded.
 	MaxColdLoad float64 `json:"cold"`
 	// MaxDiscoveryCallRate is the largest number of calls to the discovery service within one second.
 	MaxDiscoveryCallRate      int     `json:"calls"`
--- a/internal/simulation/simulator/simulation_test.go
+++ b/internal/simulation/simulator/simulation_test.go
@@ -99,7 +99,7 @@
 		}
 		got := (sum/float64(n) - mean.Seconds()) / mean.Seconds()
 		if n != r.Served || math.Abs(got-c.wait) > 0.06*c.wait {
-			t.Errorf("%s: the mean wait is %.3f service times, want %.3f; recorded %d of %d served requests",
+			t.Errorf("%s: the mean wait is %.3f service times, want %.3f; recorded %d of %d served requests, want all",
 				c.name, got, c.wait, n, r.Served)
 		}
 	}
--- a/internal/simulation/slope/slope.go
+++ b/internal/simulation/slope/slope.go
@@ -23,7 +23,7 @@
 	Value float64 // measured value in any unit, finite and not negative
 }
 
-// Model is the function Const + Log x log2 n + Linear x n of the number of members n.
+// Model is the function Const + Log * log2(n) + Linear * n of the number of members n.
 type Model struct{ Const, Log, Linear float64 }
 
 // At returns the model's value for n members.
@@ -60,9 +60,8 @@
 	Sizes        int     // number of different sizes that the fit is based on
 }
 
-// Tolerance is the relative residual up to which deviations are attributed to noise. If sizes were measured more than
-// once, the limit rises to twice the largest relative deviation of a point from the mean of its size, if that is more
-// than Tolerance.
+// Tolerance is the relative residual up to which deviations are attributed to noise. Repeated measurements of a size
+// can raise this limit to twice the largest relative deviation of a point from the mean of its size.
 const Tolerance = 0.05
 
 // maxWeightRatio limits the ratio of a point's weight to the weight of the point with the largest value.
@@ -134,8 +133,8 @@
 	return indexes
 }
 
-// noise returns the relative residual that is attributed to noise: Tolerance, or more if the values of a size scatter
-// more.
+// noise returns the largest relative residual that is attributed to noise: Tolerance, or more if the values of a size
+// scatter more.
 func noise(valuesBySize map[int][]float64) float64 {
 	allowed := Tolerance
 	for _, values := range valuesBySize {
@@ -154,7 +153,7 @@
 }
 
 // inverseWeights returns the inverse of each point's value. The weights of values of 0 or close to it are limited by
-// maxWeightRatio. This prevents a division by 0, and prevents that a single such point determines the fit.
+// maxWeightRatio. The limit prevents a division by 0, and prevents a single such point from determining the fit.
 func inverseWeights(points []Point) []float64 {
 	largest := 0.0
 	for _, p := range points {
--- a/internal/simulation/slope/slope_test.go
+++ b/internal/simulation/slope/slope_test.go
@@ -22,8 +22,8 @@
 	return points
 }
 
-// Values of a function with known parts are fitted by exactly these parts, even with noise of 1 %, and the fit to small
-// sizes predicts the large ones.
+// The fit to values of a function must have exactly the parts of that function, even with noise of 1 %. The fit to
+// small sizes must predict the values of the large ones.
 func TestNewFindsKnownParts(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -51,7 +51,7 @@
 			if (fit.Const > 0) != test.wantConst ||
 				(fit.Log > 0) != test.wantLog ||
 				(fit.Linear > 0) != test.wantLinear {
-				t.Errorf("fit %v, want it to have: constant part %v, log2 n part %v, n part %v",
+				t.Errorf("fit %v, want: constant part %v, log2 n part %v, n part %v",
 					fit, test.wantConst, test.wantLog, test.wantLinear)
 			}
 			_, forecasts, err := Extrapolate(points, 295)
@@ -100,7 +100,7 @@
 				largest = max(largest, math.Abs(f.RelativeError()))
 			}
 			if largest <= maxForecastError {
-				t.Errorf("largest error of the forecasts is %.2f, want more than %.2f: %+v",
+				t.Errorf("largest error of the forecasts is %.2f, want more than %.2f; forecasts %+v",
 					largest, maxForecastError, forecasts)
 			}
 		})
@@ -143,6 +143,6 @@
 		})
 	}
 	if _, _, err := Extrapolate([]Point{{295, 1}, {590, 2}}, 295); err == nil {
-		t.Error("fit to a single size gave forecasts, want an error")
+		t.Error("Extrapolate from a single size returned no error, want one")
 	}
 }
--- a/internal/simulation/worstcase/search_test.go
+++ b/internal/simulation/worstcase/search_test.go
@@ -28,11 +28,11 @@
 	options := Options{Policy: "random", Baseline: "least", Candidates: 24, Seed: 1, Cores: 2}
 	worst, err := Search(t.Context(), e, options)
 	if err != nil || worst.Loss < 0.02 || len(worst.Faults) > maxFaults {
-		t.Fatalf("search found %+v, error %v, want a loss of at least 0.02 with at most %d faults",
-			worst, err, maxFaults)
+		t.Fatalf("search found %+v, want a loss of at least 0.02 with at most %d faults; error %v, want none",
+			worst, maxFaults, err)
 	}
 	if again, err := Search(t.Context(), e, options); err != nil || !reflect.DeepEqual(again, worst) {
-		t.Errorf("second search found %+v, error %v, want %+v", again, err, worst)
+		t.Errorf("second search found %+v, want %+v; error %v, want none", again, worst, err)
 	}
 	text, err := Experiment(e, options, worst, dir)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	foundExperiment, err := experiment.Load(found)
 	if err != nil {
-		t.Fatalf("loading the found experiment: %v\n%s", err, text)
+		t.Fatalf("loading the found experiment: error %v, want none; its text is\n%s", err, text)
 	}
 	run := filepath.Join(dir, "run")
 	runs, err := foundExperiment.Execute(t.Context(), run, 2, func(int, int) {})
@@ -62,6 +62,6 @@
 	}
 	if _, err := Search(t.Context(), e, Options{Policy: "luck", Baseline: "least", Candidates: 1}); err == nil ||
 		!strings.Contains(err.Error(), "luck") {
-		t.Errorf("search with an unknown policy gave error %v, want one that names it", err)
+		t.Errorf("search with the unknown policy luck gave error %v, want one that contains its name", err)
 	}
 }
