--- a/internal/simulation/worstcase/search.go
+++ b/internal/simulation/worstcase/search.go
@@ -1,7 +1,7 @@
 // Package worstcase searches for the faults and the load with which a policy has the largest loss of service against a
 // baseline, or violates a rule. It draws random faults and loads for the cluster of an experiment, keeps the worst
-// case, shrinks it to a smaller one that still has most of the loss, and encodes it as an experiment of its own. The
-// same experiment, seed, number of candidates and number of cores find the same case.
+// case, shrinks it in steps each of which keeps most of the loss, and encodes the result as an experiment of its own.
+// The same experiment, seed, number of candidates and number of cores find the same case.
 package worstcase
 
 import (
--- a/internal/simulation/worstcase/shrink.go
+++ b/internal/simulation/worstcase/shrink.go
@@ -18,8 +18,8 @@
 	minShrunkShare    = 0.1
 )
 
-// shrink makes a case smaller, one step per round, as long as it keeps its violation, if any, and most of its loss. A
-// step removes one fault, or halves the duration or share of one.
+// shrink makes a case smaller, one step per round, as long as a step keeps the violation, if any, and most of the loss
+// that the case had before the step. A step removes one fault, or halves the duration or share of one.
 func (s *searcher) shrink(ctx context.Context, c Case) (Case, error) {
 	for range maxShrinkRounds {
 		smaller := smallerCases(c)
