--- a/internal/simulation/experiment/claim.go
+++ b/internal/simulation/experiment/claim.go
@@ -34,15 +34,16 @@
 	Where string `toml:"where" json:"where"`
 }
 
-// parsedClaim is a claim whose text has been parsed. The claim is that left compares with right as the operator says.
+// parsedClaim is a claim whose text has been parsed. The claim holds if the comparison of left with right by the
+// operator is true.
 type parsedClaim struct {
 	Claim
 	left, right term
 	operator    string
 }
 
-// term is one side of a claim: factor times the measure of the policy, plus offset. Without a measure, it is the number
-// offset.
+// term is one side of a claim: factor times the measure of the policy, plus offset. A term without a measure is the
+// number offset.
 type term struct {
 	factor, offset  float64
 	measure, policy string
@@ -121,8 +122,8 @@
 	return t.factor*measures[t.measure](results[t.policy]) + t.offset
 }
 
-// margin returns the difference of the two sides, which is positive if the claim holds and negative if it does not. If
-// it is 0, the claim holds only with <= and >=.
+// margin returns the difference of the two sides, and whether the claim holds. The difference is positive if the claim
+// holds and negative if it does not. If the difference is 0, the claim holds only with <= and >=.
 func (c *parsedClaim) margin(left, right float64) (margin float64, holds bool) {
 	margin = right - left
 	if strings.HasPrefix(c.operator, ">") {
--- a/internal/simulation/experiment/recorded_test.go
+++ b/internal/simulation/experiment/recorded_test.go
@@ -12,8 +12,8 @@
 	"hazelwing/internal/testutil"
 )
 
-// Recorded traffic replaces the randomly drawn requests, its content is part of the experiment's hash, and the error
-// for a file that is invalid or missing names that file.
+// Recorded traffic replaces the randomly drawn requests. The experiment's hash covers the content of the file of
+// recorded traffic. If that file is invalid or missing, the error names it.
 func TestRecordedTraffic(t *testing.T) {
 	dir := t.TempDir()
 	text := strings.Replace(testutil.Experiment("?", "hazelwing", "random", 1), "load = 0.6\n", "", 1)
@@ -46,17 +46,18 @@
 	if w.Clients.ClockSkew != 2*time.Second || w.Clients.SessionLength != 3 ||
 		w.Host.QuotaPeriod != 100*time.Millisecond || !w.Network.Multiplexed ||
 		w.EndpointUpdates.DetectionDelay != time.Second || !w.EndpointUpdates.Reorder {
-		t.Errorf("configuration %+v does not have all values of the file, such as ClockSkew 2s and SessionLength 3", w)
+		t.Errorf("configuration is %+v, want ClockSkew 2s, SessionLength 3, QuotaPeriod 100ms, Multiplexed true, "+
+			"DetectionDelay 1s and Reorder true", w)
 	}
 	runs, err := e.Execute(t.Context(), filepath.Join(dir, "run"), 1, func(int, int) {})
 	if err != nil || runs[0].Result.Requests != n || runs[0].Result.MaxProcessorUse <= 0 {
-		t.Errorf("execution gave %+v, error %v, want %d requests and processor use above 0", runs, err, n)
+		t.Errorf("execution gave %+v, want %d requests and processor use above 0; error %v, want none", runs, n, err)
 	}
 	record(2)
 	if again, err := Load(path); err != nil {
-		t.Errorf("Load with other recorded traffic: %v", err)
+		t.Errorf("Load with other recorded traffic: error %v, want none", err)
 	} else if again.Hash == e.Hash {
-		t.Errorf("hash %v did not change with the recorded traffic", e.Hash)
+		t.Errorf("hash is %s with both recorded traffics, want different hashes", e.Hash)
 	}
 	for _, damage := range []func() error{
 		func() error { return os.WriteFile(filepath.Join(dir, "day.jsonl"), []byte("{}"), 0o600) },
--- a/internal/simulation/simulator/inject.go
+++ b/internal/simulation/simulator/inject.go
@@ -113,7 +113,8 @@
 	})
 }
 
-// pauseRepeatedly pauses a node once, or for half of each of the fault's intervals.
+// pauseRepeatedly pauses a node for the fault's duration or, if the fault has an interval, for the first half of each
+// interval within the duration.
 func (n *node) pauseRepeatedly(f Fault) {
 	if f.Interval == 0 {
 		n.pause(f.Duration)
@@ -130,7 +131,7 @@
 }
 
 // drain shuts a node down gracefully. Once the endpoint update has had time to arrive everywhere and the drain grace
-// has passed, the process ends as soon as nothing is in flight. With replace, a successor starts after it.
+// has passed, the process ends as soon as nothing is in flight. If replace is true, a new process starts afterwards.
 func (n *node) drain(replace bool) {
 	if n.draining || n.dead || n.vanished {
 		return
--- a/internal/simulation/simulator/oracle.go
+++ b/internal/simulation/simulator/oracle.go
@@ -3,11 +3,12 @@
 import "time"
 
 // Oracle gives access to the true state of the cluster, which no instance can know. A policy that consults it shows an
-// upper limit for policies that choose nodes: a request that it cannot serve would not have been served at any node.
+// upper limit for policies that choose nodes: a request that this policy cannot serve would not have been served at any
+// node.
 type Oracle interface {
 	// ResponseTime returns how long a request that is sent to a node now would take until its answer, if nothing
-	// changes: the round trip, the work in flight at the node, and the request's own work, which is given as a time at
-	// speed 1. It returns false if there would be no answer.
+	// changes: the round trip, the work in flight at the node, and the request's own work. The argument work is a time
+	// at speed 1. ResponseTime returns false if there would be no answer.
 	ResponseTime(node string, work time.Duration) (time.Duration, bool)
 	// Work returns the real work of the request with the given ID as a time at speed 1, or 0 if there is no such
 	// request.
@@ -22,7 +23,7 @@
 }
 
 // oracleColdShare is the share of a warming node's capacity up to which the oracle predicts an answer. The rest is left
-// for requests that other instances have sent and that have not arrived.
+// for requests that other instances have sent and that have not arrived yet.
 const oracleColdShare = 0.7
 
 // oracle implements Oracle for one instance.
@@ -54,7 +55,7 @@
 	if n.inFlight() >= n.Cores {
 		wait = n.workLeft() / float64(n.Cores)
 	}
-	// Pauses are ignored: a pause ends before any instance knows of it.
+	// Pauses are ignored: the oracle assumes that a pause ends before any instance knows of it.
 	atNode := time.Duration((wait + work.Seconds()) / n.unpausedSpeed() * float64(time.Second))
 	return 2*sim.minLatency(o.instance.zone, zone) + atNode, true
 }
