--- a/internal/simulation/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -134,25 +134,34 @@
 				fmt.Errorf("sizes: %d is not in the range from %d to %d", n, minMembers, hollow.MaxMembers))
 		}
 	}
-	for _, k := range []struct {
-		key          string
-		value, least int
-	}{
+	errs = append(errs, validateMinimums([]keyMinimum{
 		{"upstreams", e.Endpoints, 0},
 		{"services", e.Services, 1},
 		{"regions", e.Regions, 1},
 		{"rack", e.RackSize, 1},
-	} {
-		if k.value < k.least {
-			errs = append(errs, fmt.Errorf("%s: %d is below %d", k.key, k.value, k.least))
-		}
-	}
+	})...)
 	if e.Zones < e.Regions {
 		errs = append(errs, fmt.Errorf("zones: %d is below the number of regions, %d", e.Zones, e.Regions))
 	}
 	return errs
 }
 
+// keyMinimum is a key of an experiment's file, its value, and the minimum of the value.
+type keyMinimum struct {
+	key            string
+	value, minimum int
+}
+
+// validateMinimums returns an error for each key whose value is below the minimum.
+func validateMinimums(keys []keyMinimum) (errs []error) {
+	for _, k := range keys {
+		if k.value < k.minimum {
+			errs = append(errs, fmt.Errorf("%s: %d is below %d", k.key, k.value, k.minimum))
+		}
+	}
+	return errs
+}
+
 // validatePhases checks that all phases exist, and that the first one and no other starts the cluster.
 func (e *Experiment) validatePhases() (errs []error) {
 	starts := func(phase string) bool { return phase == phaseStart || phase == phaseJoined }
@@ -197,19 +206,12 @@
 
 func (e *Experiment) validateDay() (errs []error) {
 	d := e.Day
-	for _, k := range []struct {
-		key          string
-		value, least int
-	}{
-		{"of", d.ReferenceSize, 1},
-		{"failures", d.Failures, 0},
-		{"replacements", d.Replacements, 0},
-		{"drains", d.Drains, 0},
-	} {
-		if k.value < k.least {
-			errs = append(errs, fmt.Errorf("day.%s: %d is below %d", k.key, k.value, k.least))
-		}
-	}
+	errs = validateMinimums([]keyMinimum{
+		{"day.of", d.ReferenceSize, 1},
+		{"day.failures", d.Failures, 0},
+		{"day.replacements", d.Replacements, 0},
+		{"day.drains", d.Drains, 0},
+	})
 	if len(errs) == 0 && d.Failures+d.Replacements > d.ReferenceSize {
 		errs = append(errs, fmt.Errorf("day: %d failures and %d replacements are more than the %d members of day.of",
 			d.Failures, d.Replacements, d.ReferenceSize))
