--- a/internal/simulation/callgraph/callgraph_test.go
+++ b/internal/simulation/callgraph/callgraph_test.go
@@ -36,8 +36,8 @@
 }
 
 // A graph has the configured number of services in the configured number of layers. Each service below the first layer
-// has a caller, each one above the last layer calls another one, and each has at least two instances. The mean number
-// of planned calls to the leaf for each call of a user equals its demand.
+// has a caller, each service above the last layer calls another one, and all services have at least two instances. The
+// mean number of planned calls to the leaf for each call of a user equals its demand.
 func TestGraph(t *testing.T) {
 	for _, c := range []Experiment{
 		{Services: 34, Depth: 9, FanOut: 1.1, Instances: 590},
@@ -93,8 +93,8 @@
 }
 
 // A leaf service fails several layers below the users. If every layer retried without limits, the attempts would
-// multiply from layer to layer. While no call fails, each planned call has to result in one attempt and each user has
-// to be served. While the leaf fails, retries increase the number of attempts; if calls have only one attempt, the
+// multiply from layer to layer. Without a fault, each planned call has to result in one attempt, and each user has to
+// be served. While the leaf fails, retries increase the number of attempts. If calls may have only one attempt, the
 // number must not increase.
 func TestAttempts(t *testing.T) {
 	c := smallExperiment()
--- a/internal/simulation/callgraph/experiment.go
+++ b/internal/simulation/callgraph/experiment.go
@@ -14,9 +14,9 @@
 const (
 	// ModeHealthy is the mode without a fault.
 	ModeHealthy = "well"
-	// ModeFail is the mode in which faulty calls are answered with an error after their own work.
+	// ModeFail is the mode in which an instance answers a faulty call with an error after its work for the call.
 	ModeFail = "fail"
-	// ModeSlow is the mode in which the own work of faulty calls takes Slowdown times as long.
+	// ModeSlow is the mode in which the work of an instance for a faulty call takes Slowdown times as long.
 	ModeSlow = "slow"
 )
 
@@ -41,9 +41,10 @@
 	Instances int `toml:"instances"`
 	// CallRate is the number of calls per second that all sidecars together make if no call fails.
 	CallRate float64 `toml:"calls"`
-	// FanOut is the mean number of calls to the next layer that one call makes.
+	// FanOut is the mean number of calls to the next layer that serving one call takes.
 	FanOut float64 `toml:"fan"`
-	// MeanWork is the mean of the time for a call's own work, which is distributed exponentially.
+	// MeanWork is the mean time that an instance works on a call, without the calls to the next layer. The time is
+	// distributed exponentially.
 	MeanWork strictdecode.Duration `toml:"work"`
 	// QueueLimit is the maximum number of calls that wait at an instance.
 	QueueLimit int `toml:"queue"`
@@ -53,15 +54,15 @@
 	Deadline    strictdecode.Duration `toml:"deadline"`
 	MaxAttempts int                   `toml:"attempts"`
 	Hedging     bool                  `toml:"copies"`
-	// WarmUpTime is the simulated time before the fault, which is not measured. FaultDuration is the duration of the
-	// fault.
+	// WarmUpTime is the simulated time before the fault, in which only Point.SidecarRates is measured. FaultDuration is
+	// the duration of the fault.
 	WarmUpTime    strictdecode.Duration `toml:"warm"`
 	FaultDuration strictdecode.Duration `toml:"length"`
 	// Modes are the modes of the faulty service, and Shares the shares of its calls with the fault; each combination is
 	// simulated. The faulty service is the last one of the last layer.
 	Modes  []string  `toml:"modes"`
 	Shares []float64 `toml:"shares"`
-	// Slowdown is the factor that multiplies the duration of a slow call's own work.
+	// Slowdown is the factor that multiplies the time that an instance works on a slow call.
 	Slowdown float64 `toml:"times"`
 	Seed     uint64  `toml:"seed"`
 	// Long tells readers of the file that the experiment runs for more than a minute. It has no effect.
@@ -69,7 +70,7 @@
 	Claims []Claim `toml:"claim"`
 }
 
-// Claim is a limit for a measure at the points of a mode.
+// Claim limits a measure at the points of a mode.
 type Claim struct {
 	Measure string `toml:"measure"`
 	Mode    string `toml:"mode"`
@@ -77,7 +78,7 @@
 	MaxShare float64 `toml:"share"`
 	// Max is the upper limit; 0: there is none.
 	Max float64 `toml:"most"`
-	Min float64 `toml:"least"`
+	Min float64 `toml:"least"` // lower limit; 0 if there is none
 }
 
 // ReadExperiment reads and validates an experiment's file. Its error names the file.
@@ -174,14 +175,15 @@
 			return fmt.Errorf("claim %d: unknown measure %q", i+1, c.Measure)
 		}
 		if c.Mode != ModeHealthy && !slices.Contains(e.Modes, c.Mode) {
-			return fmt.Errorf("claim %d: mode %q is neither %q nor one of the file's modes", i+1, c.Mode, ModeHealthy)
+			return fmt.Errorf("claim %d: mode %q is neither %q nor one of the experiment's modes, which are %q",
+				i+1, c.Mode, ModeHealthy, e.Modes)
 		}
 	}
 	return nil
 }
 
-// Run simulates all points of an experiment in parallel on a number of cores and returns the one without a fault first.
-// The number of cores does not affect the points.
+// Run simulates all points of an experiment in parallel on a number of cores and returns the point without a fault
+// first. The number of cores does not affect the points.
 func (e *Experiment) Run(cores int) ([]Point, error) {
 	points := []Point{{Mode: ModeHealthy}}
 	for _, mode := range e.Modes {
@@ -214,7 +216,8 @@
 			default:
 				continue
 			}
-			errs = append(errs, fmt.Errorf("%s is %.3f in mode %s with a share of %.2f; the claim is %s",
+			errs = append(errs, fmt.Errorf(
+				"%s is %.3f in mode %s with a share of faulty calls of %.2f; the claim is %s",
 				c.Measure, value, p.Mode, p.Share, limit))
 		}
 	}
--- a/internal/simulation/callgraph/experiment_test.go
+++ b/internal/simulation/callgraph/experiment_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// If a file has several errors, the first one in the fixed order of the checks is reported. In each case, a key and all
-// keys that are checked after it are wrong. The error has to name the first of them.
+// If a file has several errors, only the first one in the fixed order of the checks is reported. In each case, one key
+// and all keys that are checked after it are wrong. The error has to name this key.
 func TestFirstErrorOfWrongFile(t *testing.T) {
 	keys := []struct{ valid, wrong, want string }{
 		{"depth = 2", "depth = 21", "depth: 21 is not in the range from 1 to 20"},
@@ -34,7 +34,7 @@
 		{
 			"",
 			"[[claim]]\nmeasure = \"times\"\nmode = \"fail\"",
-			`claim 2: mode "fail" is neither "well" nor one of the file's modes`,
+			`claim 2: mode "fail" is neither "well" nor one of the experiment's modes, which are ["slow"]`,
 		},
 	}
 	for first, key := range keys {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Each wrong key that TestFirstErrorOfWrongFile leaves valid has an error of its own.
+// Each of the checks that TestFirstErrorOfWrongFile does not cover reports its own error.
 func TestErrorOfOneWrongKey(t *testing.T) {
 	const valid = `depth = 2
 services = 5
--- a/internal/simulation/callgraph/graph.go
+++ b/internal/simulation/callgraph/graph.go
@@ -1,13 +1,13 @@
 // Package callgraph simulates services that call each other across many layers while one service of the last layer
 // fails or is slow. Every call from one service to another goes through a balancer.Balancer in the sidecar of the
-// calling instance, whose retry budget, deadlines and ejections decide which calls are retried. The package uses no I/O
-// and no goroutines, and a run is determined by its seed.
+// calling instance. The balancer's retry budget, deadlines and ejections decide which calls are retried. The package
+// uses no I/O and no goroutines, and a run is determined by its seed.
 //
 // An instance has one core and a queue. For each call that it serves, it first does the call's own work. It then calls
-// the services of the next layer one after the other, each within the rest of the served call's deadline. A call that
-// fails, or one of whose calls to the next layer fails, is answered with an error. Work that has begun continues after
-// its caller has given up, as it does behind HTTP/1.1. Not modelled are connections, drains, restarts, zones, and
-// applications that retry calls themselves or answer without the result of a call.
+// services of the next layer one after the other, each within the time that is left of the served call's deadline. A
+// call is answered with an error if it has the fault or if one of its calls to the next layer fails. Work that has
+// begun continues after its caller has given up, as it does with HTTP/1.1. The simulation does not model connections,
+// drains, restarts and zones. Its applications neither retry calls themselves nor answer without the result of a call.
 package callgraph
 
 import (
@@ -19,7 +19,8 @@
 type service struct {
 	index, layer int
 	calls        []*service // services that this service calls
-	// callProbability is the probability that serving one call includes a call to a given one of them.
+	// callProbability is the probability that this service, when it serves a call, calls a given one of the services in
+	// calls.
 	callProbability float64
 	callers         int // number of services that call this service
 	// demand is the mean number of calls to the service for each call of a user.
@@ -113,9 +114,9 @@
 	return counts
 }
 
-// serviceToAdjust returns the index of the service whose number of instances is to change by a step. For step 1 it is
-// the service with the most demand per instance. For step -1 it is the one with the least demand per instance among
-// those with more than minInstancesPerService. It returns -1 if there is none.
+// serviceToAdjust returns the index of the service whose number of instances is to change by a step. For step 1 this is
+// the service with the most demand per instance. For step -1 it is the service with the least demand per instance among
+// those with more than minInstancesPerService instances, or -1 if there is none.
 func serviceToAdjust(list []*service, counts []int, step int) int {
 	best, bestPriority := -1, 0.0
 	for i, s := range list {
@@ -130,11 +131,13 @@
 	return best
 }
 
-// isPlanned reports whether a call with this path is part of its user's call. The decision depends only on the path,
-// which identifies the chain of calls from the user's call on, so a retry leads to the same further calls.
+// isPlanned reports whether a call with the given path is made if no call fails. The decision depends only on the
+// probability and the path, which identifies the chain of calls that begins with the user's call. A retry has the same
+// path, so it leads to the same further calls.
 func isPlanned(path uint64, probability float64) bool { return float64(path>>11)/(1<<53) < probability }
 
-// childPath returns the path of the n-th call that a call makes, as a hash of the path of that call and n.
+// childPath returns the path of a call to the n-th called service, counted from 0, that is made to serve a call with
+// the given path. It is a hash of that path and n.
 func childPath(path uint64, n int) uint64 {
 	x := path + uint64(n+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -142,8 +145,8 @@
 	return x ^ x>>31
 }
 
-// plannedCalls returns the number of calls to one service that result from a call to another one with a given path, if
-// no call fails.
+// plannedCalls returns the number of calls to a service (to) that result from one call with a given path to another
+// service (from), if no call fails.
 func plannedCalls(from, to *service, path uint64) (n int) {
 	if from == to {
 		return 1
--- a/internal/simulation/callgraph/instance.go
+++ b/internal/simulation/callgraph/instance.go
@@ -15,17 +15,17 @@
 	waiting  []*attempt // queued attempts, the oldest first
 }
 
-// attempt is an attempt of a call at an instance.
+// attempt is an attempt of a call, made at one instance of the called service.
 type attempt struct {
 	// call is the call that the attempt belongs to; nil for a user's call.
 	call      *call
-	index     int // position among the attempts of the call; the first has 0
-	at        *instance
-	path      uint64
-	depth     int // number of layers below the service that users call
+	index     int       // number of earlier attempts of the same call
+	at        *instance // instance that the attempt is sent to
+	path      uint64    // path of the call; see childPath
+	depth     int       // layer of the called service; 0 for the service that users call
 	sentAt    time.Duration
 	expiresAt time.Duration
-	// endedAt is the time at which the caller got an answer or gave up; 0: it still waits.
+	// endedAt is the time at which the caller got an answer or gave up; 0 while the caller waits.
 	endedAt time.Duration
 	// end ends the attempt for its caller; calls after the first one have no effect.
 	end func(balancer.Result)
@@ -69,16 +69,17 @@
 	})
 }
 
-// drawFault reports whether an attempt at this instance has the fault. After the warm-up, each attempt at the faulty
-// service has it with the probability faultyShare.
+// drawFault draws whether an attempt at this instance is faulty. After the warm-up, each attempt at the faulty service
+// is faulty with the probability faultyShare.
 func (n *instance) drawFault() bool {
 	sim := n.sim
 	hasBegun := sim.now >= time.Duration(sim.experiment.WarmUpTime)
 	return n.service == sim.faulty && hasBegun && sim.faultRand.Float64() < sim.faultyShare
 }
 
-// callNext makes the calls that an attempt requires, one after the other, beginning with the i-th called service. It
-// then answers the attempt, with an error as soon as a call fails.
+// callNext makes the planned calls of an attempt to the services of the next layer, one after the other, beginning with
+// the one of n.sidecars[i]. It answers the attempt with OK after the last call, or with an error as soon as a call
+// fails.
 func (n *instance) callNext(a *attempt, i int) {
 	for ; i < len(n.sidecars); i++ {
 		path := childPath(a.path, i)
@@ -98,7 +99,8 @@
 	a.answer(balancer.OK)
 }
 
-// answer sends an attempt's answer to its caller. An answer to a user arrives without delay.
+// answer sends an attempt's answer to its caller. An answer to another service arrives after HopLatency, an answer to a
+// user without delay.
 func (a *attempt) answer(result balancer.Result) {
 	if a.call == nil {
 		a.end(result)
--- a/internal/simulation/callgraph/metrics.go
+++ b/internal/simulation/callgraph/metrics.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// metrics collects the measurements of a run. All but attemptsBefore begin with the fault.
+// metrics collects the measurements of a run. They cover the time since the start of the fault, except for events and
+// attemptsBefore.
 type metrics struct {
 	sim                    *simulation
 	userRate, callsPerUser float64
@@ -31,8 +32,8 @@
 // secondMetrics counts the planned calls and the attempts at the leaf in one second.
 type secondMetrics struct{ plannedLeafCalls, leafAttempts int }
 
-// trailingSeconds is the number of seconds counted beyond the fault and one deadline. It is more than the last answers
-// can take.
+// trailingSeconds is the number of entries of metrics.seconds for the time after the fault and one deadline. It is
+// longer than the last answers can take.
 const trailingSeconds = 3
 
 func newMetrics(sim *simulation, userRate float64) *metrics {
@@ -48,7 +49,7 @@
 	}
 }
 
-// currentSecond returns the metrics of the current second since the start of the fault; nil: it has not started.
+// currentSecond returns the metrics of the current second since the start of the fault, or nil before the fault.
 func (m *metrics) currentSecond() *secondMetrics {
 	warmUp := time.Duration(m.sim.experiment.WarmUpTime)
 	if m.sim.now < warmUp {
@@ -57,7 +58,7 @@
 	return &m.seconds[min(int((m.sim.now-warmUp).Seconds()), len(m.seconds)-1)]
 }
 
-// userCallStarted counts a user's call. It returns false if the call is before the fault and does not count.
+// userCallStarted counts a user's call. Before the fault it counts nothing and returns false.
 func (m *metrics) userCallStarted(path uint64) bool {
 	s := m.currentSecond()
 	if s == nil {
@@ -70,7 +71,7 @@
 	return true
 }
 
-// userAnswered counts the answer to a user's call that userCallStarted has counted.
+// userAnswered counts the outcome of a user's call that userCallStarted has counted.
 func (m *metrics) userAnswered(ok bool, latency time.Duration) {
 	if ok {
 		m.usersServed++
@@ -78,7 +79,8 @@
 	}
 }
 
-// attemptArrived counts an attempt that arrives at an instance.
+// attemptArrived counts an attempt that arrives at an instance. Users' calls, which have depth 0, count only before the
+// fault.
 func (m *metrics) attemptArrived(a *attempt) {
 	s := m.currentSecond()
 	if s == nil {
@@ -109,7 +111,7 @@
 	}
 }
 
-// callStarted counts a call to a service of the next layer, made to serve an attempt.
+// callStarted counts a call to a service of the next layer that is made to serve the attempt a.
 func (m *metrics) callStarted(a *attempt) {
 	if m.currentSecond() == nil {
 		return
@@ -120,7 +122,7 @@
 	}
 }
 
-// callRejected counts a call that a balancer ended with an error, if it had made no attempt.
+// callRejected counts a call that a balancer ended with an error, if the call had no attempts.
 func (m *metrics) callRejected(attempts int) {
 	if m.currentSecond() != nil && attempts == 0 {
 		m.rejectedUnsent++
--- a/internal/simulation/callgraph/point.go
+++ b/internal/simulation/callgraph/point.go
@@ -7,56 +7,58 @@
 	"text/tabwriter"
 )
 
-// Point holds the measurements of one run. All but SidecarRates begin with the fault. The leaf is the service that
-// fails or is slow.
+// Point holds the measurements of one run. They cover the time since the start of the fault, except for SidecarRates
+// and Events. The leaf is the service with the fault.
 type Point struct {
-	Mode  string
-	Share float64
+	Mode  string  // mode of the faulty service
+	Share float64 // share of the faulty service's calls that have the fault
 
-	// UserRate is the number of users' calls per second. Each leads to CallsPerUser calls between services on average,
-	// if no call fails.
+	// UserRate is the number of users' calls per second. Each of them leads to CallsPerUser calls between services on
+	// average, if no call fails.
 	UserRate     float64
 	CallsPerUser float64
-	// SidecarRates are the attempts per second at an instance before the fault.
+	// SidecarRates are the rates, in attempts per second, at which attempts arrived at the instances before the fault.
 	SidecarRates Rates
 	// Users is the number of users' calls, Served the share of them that was served. P50 and P99 are percentiles of the
-	// latencies of the served ones in milliseconds.
+	// latencies of the served calls, in milliseconds.
 	Users    int
 	Served   float64
 	P50, P99 float64
-	// PlannedLeafCalls and LeafAttempts are the planned calls and the attempts at the leaf for each call of a user.
+	// PlannedLeafCalls is the mean number of planned calls to the leaf for each call of a user, and LeafAttempts the
+	// mean number of attempts. A planned call is one that is made if no call fails.
 	PlannedLeafCalls float64
 	LeafAttempts     float64
-	// Amplification is the number of attempts at the leaf for each planned call to it. PeakAmplification is the same
-	// for the worst second, LateAmplification for the last quarter of the fault.
+	// Amplification is the number of attempts at the leaf for each planned call to it. PeakAmplification is this ratio
+	// in the worst second, and LateAmplification in the last quarter of the fault.
 	Amplification     float64
 	PeakAmplification float64
 	LateAmplification float64
-	// TotalAmplification is the number of attempts at all services for each planned call.
+	// TotalAmplification is the number of attempts between services, relative to the expected number of calls between
+	// services if no call fails.
 	TotalAmplification float64
-	// RejectedUnsent is the share of the calls between services that were rejected before any attempt.
+	// RejectedUnsent is the share of the calls between services that the balancer ended before any attempt.
 	RejectedUnsent float64
-	// AbandonedWork is the share of the cores' work, and AbandonedCalls the share of the calls between services, for
-	// attempts whose caller had already given up.
+	// AbandonedWork is the share of the cores' working time that was spent on attempts whose caller no longer waited.
+	// AbandonedCalls is the share of the calls between services that were made for such attempts.
 	AbandonedWork  float64
 	AbandonedCalls float64
 	// TimeLeft has one entry for each depth at which attempts arrived.
 	TimeLeft []TimeLeft
-	// Events is the number of simulated events.
+	// Events is the number of simulated events of the whole run.
 	Events int
 }
 
-// Rates are the minimum, median and maximum of a rate over all instances.
+// Rates are the minimum, median and maximum of a rate over all instances with at least one attempt.
 type Rates struct{ Min, Median, Max float64 }
 
-// TimeLeft holds percentiles and the maximum of the time that attempts at a depth had left when they arrived, as shares
-// of the user's deadline. Calls that the first service makes have depth 1.
+// TimeLeft holds percentiles and the maximum of the time that the attempts at one depth had left until their deadline
+// when they arrived, as shares of Experiment.Deadline. Calls by the service that users call have depth 1.
 type TimeLeft struct {
 	Depth        int
 	P1, P50, Max float64
 }
 
-// measure returns the measure with a name that claims use; false: there is no such measure.
+// measure returns the measure that claims call by the given name, or false if there is no such measure.
 func (p Point) measure(name string) (float64, bool) {
 	switch name {
 	case "times":
@@ -84,7 +86,7 @@
 	"in the worst second\tin the last quarter\tall services: times\trefused unsent\twork for the gone\tcalls for " +
 	"the gone\n"
 
-// WriteTables writes points as two tables: their measures, and the time left by depth.
+// WriteTables writes a line about the traffic, a table of the points' measures, and a table of their TimeLeft.
 func WriteTables(w io.Writer, points []Point) error {
 	if len(points) > 0 {
 		p := points[0]
--- a/internal/simulation/callgraph/sidecar.go
+++ b/internal/simulation/callgraph/sidecar.go
@@ -25,7 +25,7 @@
 	calls      map[string]*call
 	lastCallID int
 	timerAt    time.Duration // time at which the balancer's timer fires; 0: no timer is set
-	// buffers are unused slices for actions. There can be several, since performing an action can call handle again.
+	// buffers are slices for actions that are not in use. handle takes one for the time of the call.
 	buffers [][]balancer.Action
 }
 
@@ -36,10 +36,10 @@
 	depth    int
 	attempts []*attempt
 	done     bool
-	end      func(ok bool) // called once with whether the call was served
+	end      func(ok bool) // called once; ok is true if the call was served
 }
 
-// newSidecar returns the sidecar of an instance of one service for calls to another service.
+// newSidecar returns a sidecar for the calls of one instance of a service (caller) to another service (called).
 func (sim *simulation) newSidecar(caller, called *service, seed uint64) (*sidecar, error) {
 	deadline := time.Duration(sim.experiment.Deadline)
 	b, err := balancer.New(balancer.Settings{
@@ -71,7 +71,7 @@
 	return s, nil
 }
 
-// call makes a call. It calls end once, with whether the call was served.
+// call starts a call to the service. When the call has ended, end is called once; ok is true if the call was served.
 func (s *sidecar) call(path uint64, depth int, expiresAt time.Duration, end func(ok bool)) {
 	s.lastCallID++
 	c := &call{id: strconv.Itoa(s.lastCallID), path: path, depth: depth, end: end}
@@ -98,7 +98,7 @@
 		s.send(s.calls[a.ID], s.instances[a.Endpoint], a.Timeout)
 	case balancer.Cancel:
 		cancelled := s.calls[a.ID].attempts[a.Attempt]
-		// The outcome is an event of its own, so it is handled after the current one.
+		// The outcome is a separate event, so the balancer handles it after the current event.
 		s.sim.after(0, func() { cancelled.end(balancer.Cancelled) })
 	case balancer.Reject, balancer.Fail:
 		s.sim.metrics.callRejected(len(s.calls[a.ID].attempts))
@@ -108,7 +108,7 @@
 	}
 }
 
-// setTimer makes the balancer's timer fire at a time, unless it is already set to fire earlier.
+// setTimer sets the balancer's timer to fire at a time, unless it is already set to fire at that time or earlier.
 func (s *sidecar) setTimer(at time.Duration) {
 	if s.timerAt > 0 && at >= s.timerAt {
 		return
@@ -162,7 +162,8 @@
 	s.releaseIfDone(c)
 }
 
-// finish ends a call unless it has ended. The caller is told after the balancer has handled the current event.
+// finish ends a call, unless it has already ended. The caller is informed after the balancer has handled the current
+// event.
 func (s *sidecar) finish(c *call, ok bool) {
 	if c.done {
 		return
--- a/internal/simulation/callgraph/simulation.go
+++ b/internal/simulation/callgraph/simulation.go
@@ -15,7 +15,7 @@
 	className = "call"
 )
 
-// Numbers of the independent streams of random numbers that are drawn from the seed, by purpose.
+// Numbers of the streams of random numbers that are derived from the seed. Each purpose has an independent stream.
 const (
 	streamGraph   = 1
 	streamWork    = 2
@@ -38,7 +38,7 @@
 	metrics     *metrics
 }
 
-// after schedules an event after a delay; a negative delay counts as 0.
+// after schedules a call of handle after a delay; a negative delay counts as 0.
 func (sim *simulation) after(delay time.Duration, handle func()) {
 	sim.queue.Push(sim.now+max(delay, 0), handle)
 }
