--- a/internal/simulation/capacity/capacity_test.go
+++ b/internal/simulation/capacity/capacity_test.go
@@ -30,7 +30,8 @@
 	}
 	if err := e.Judge(list); err != nil {
 		var table bytes.Buffer
-		t.Errorf("%v\n%v%s", err, WriteTable(&table, list), &table)
+		t.Errorf("claims that do not hold:\n%v\nresults (error of WriteTable: %v):\n%s",
+			err, WriteTable(&table, list), &table)
 	}
 	quiet := func(role, figure string) float64 {
 		for _, r := range list {
@@ -69,7 +70,7 @@
 func TestLabFilesAreReadable(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/capacity/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no experiments in lab/capacity, error: %v", err)
+		t.Fatalf("%d files in lab/capacity, want at least 1; error: %v", len(files), err)
 	}
 	for _, path := range files {
 		if _, err := ReadExperiment(path); err != nil {
@@ -96,8 +97,9 @@
 		"[day]\nof = 0\n":            "bad.toml: day.of: 0 is below 1",
 		"[day]\nreplacements = -1\n": "bad.toml: day.replacements: -1 is below 0",
 		"[day]\ndrains = -1\n":       "bad.toml: day.drains: -1 is below 0",
-		claim + "role = \"all\"\nphase = \"quiet\"\n":              "claim 1: neither most nor least is given",
-		claim + "role = \"all\"\nphase = \"zone\"\nmost = 1.0\n":   `claim 1: phase "zone" is not one of the file`,
+		claim + "role = \"all\"\nphase = \"quiet\"\n": "claim 1: neither most nor least is given",
+		claim + "role = \"all\"\nphase = \"zone\"\nmost = 1.0\n": `claim 1: phase "zone" is not one of ` +
+			`the experiment's phases, which are ["start" "quiet"]`,
 		claim + "role = \"boss\"\nphase = \"quiet\"\nmost = 1.0\n": `claim 1: unknown role "boss"`,
 	} {
 		path := filepath.Join(t.TempDir(), "bad.toml")
@@ -105,7 +107,7 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadExperiment(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got error %v, want one with %q", more, err, want)
+			t.Errorf("valid file with %q added: got error %v, want one that contains %q", more, err, want)
 		}
 	}
 }
@@ -130,7 +132,7 @@
 		c.claim.Role, c.claim.Phase = RoleAll, "quiet"
 		err := (&Experiment{Sizes: []int{4, 8}, Claims: []Claim{c.claim}}).Judge(list)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: got error %v, want one with %q (empty: no error)", c.claim, err, c.want)
+			t.Errorf("%+v: got error %v, want one that contains %q (empty: no error)", c.claim, err, c.want)
 		}
 	}
 }
--- a/internal/simulation/capacity/day.go
+++ b/internal/simulation/capacity/day.go
@@ -29,7 +29,8 @@
 	failed   []*hollow.Member // members that were killed for the rest of the day
 }
 
-// setHealth sets the health of a member's endpoint and adds to the number of its restarts.
+// setHealth sets the health of a member's endpoint in the list of discovery, and increases the endpoint's number of
+// restarts.
 func (d *dayEvents) setHealth(m *hollow.Member, health string, restarts int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,7 +39,7 @@
 	d.cluster.Discovery.Set(d.cluster.Endpoint(i, health, d.restarts[i]))
 }
 
-// fail kills a member for the rest of the day and removes its endpoint.
+// fail kills a member for the rest of the day and removes its endpoint from the list.
 func (d *dayEvents) fail(_ context.Context, m *hollow.Member) error {
 	d.cluster.Kill(m)
 	d.setHealth(m, healthRemoved, 0)
@@ -48,7 +49,8 @@
 	return nil
 }
 
-// replace drains and removes an endpoint while its sidecar leaves the cluster, and starts both again.
+// replace replaces a sidecar and its endpoint. The endpoint drains, the sidecar leaves the cluster, the endpoint is
+// removed from the list, and both start again.
 func (d *dayEvents) replace(_ context.Context, m *hollow.Member) error {
 	d.setHealth(m, healthDraining, 0)
 	d.cluster.Leave(m)
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// drain drains an endpoint for drainTime, after which it serves again.
+// drain drains an endpoint for drainTime. After that the endpoint serves again, with one more restart.
 func (d *dayEvents) drain(ctx context.Context, m *hollow.Member) error {
 	d.setHealth(m, healthDraining, 0)
 	err := sleep(ctx, drainTime)
@@ -93,7 +95,7 @@
 	addEvents(r.Day.Replacements, d.replace)
 	addEvents(r.Day.Drains, d.drain)
 	if len(events) > r.size {
-		return fmt.Errorf("the day has %d events, but only %d members for one event each", len(events), r.size)
+		return fmt.Errorf("day has %d events, want at most one for each of the %d members", len(events), r.size)
 	}
 	rng := rand.New(rand.NewPCG(uint64(r.size), dayStream))
 	rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
@@ -116,7 +118,7 @@
 	return r.settle(ctx)
 }
 
-// runEvents runs each event at the member of the same index, evenly spread over a time.
+// runEvents runs each event at the member with the same index. The starts of the events are evenly spread over length.
 func runEvents(ctx context.Context, events []event, members []*hollow.Member, length time.Duration) error {
 	interval := length / time.Duration(max(1, len(events)))
 	var running sync.WaitGroup
--- a/internal/simulation/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -32,16 +32,16 @@
 	// RackSize is the number of members in a rack.
 	RackSize int      `toml:"rack"`
 	Phases   []string `toml:"phases"`
-	// SettleTime is the waiting time after most phases, before the next one.
+	// SettleTime is the waiting time after each phase except quiet.
 	SettleTime strictdecode.Duration `toml:"settle"`
 	QuietTime  strictdecode.Duration `toml:"quiet"`
-	// PartitionTime is the duration of the partition between regions.
+	// PartitionTime is the minimum duration of the partition between regions.
 	PartitionTime strictdecode.Duration `toml:"apart"`
-	// Timeout limits the time until all views agree and all members have the current list.
+	// Timeout limits each wait for a condition, such as that all views agree and all members have the current list.
 	Timeout strictdecode.Duration `toml:"wait"`
 	Day     Day                   `toml:"day"`
-	// ClusterKeys and BootstrapKeys are additional lines of the sections [fleet] and [recovery] in the members'
-	// settings.
+	// ClusterKeys and BootstrapKeys have further keys of the tables [fleet] and [recovery] in the members' operator
+	// files.
 	ClusterKeys   string  `toml:"fleet"`
 	BootstrapKeys string  `toml:"recovery"`
 	Claims        []Claim `toml:"claim"`
@@ -50,8 +50,8 @@
 	Name string `toml:"-"`
 }
 
-// Day describes an ordinary day, which is simulated in a shorter time. The numbers of events are for a cluster of
-// ReferenceSize members and scale with the size of the cluster; a number above 0 remains at least 1.
+// Day describes the events of an ordinary day, which run within the shorter time Duration. The numbers of events are
+// for a cluster of ReferenceSize members and scale with the size of the cluster. A number above 0 remains at least 1.
 type Day struct {
 	Duration      strictdecode.Duration `toml:"for"`
 	ReferenceSize int                   `toml:"of"`
@@ -69,9 +69,9 @@
 	Figure string   `toml:"figure"`
 	Role   string   `toml:"role"`
 	Phase  string   `toml:"phase"`
-	Size   int      `toml:"size"` // 0: all sizes
-	Max    *float64 `toml:"most"`
-	Min    *float64 `toml:"least"`
+	Size   int      `toml:"size"`  // 0: all sizes
+	Max    *float64 `toml:"most"`  // nil: no upper limit
+	Min    *float64 `toml:"least"` // nil: no lower limit
 }
 
 // ReadExperiment reads and validates an experiment's file. Its error names the file and, if a key is unknown or has a
@@ -233,10 +233,11 @@
 		errs = append(errs, errors.New("neither most nor least is given"))
 	}
 	if !slices.Contains(e.Phases, c.Phase) {
-		errs = append(errs, fmt.Errorf("phase %q is not one of the file's phases", c.Phase))
+		errs = append(errs,
+			fmt.Errorf("phase %q is not one of the experiment's phases, which are %q", c.Phase, e.Phases))
 	}
 	if c.Size != 0 && !slices.Contains(e.Sizes, c.Size) {
-		errs = append(errs, fmt.Errorf("size %d is not one of the file's sizes", c.Size))
+		errs = append(errs, fmt.Errorf("size %d is not one of the experiment's sizes, which are %d", c.Size, e.Sizes))
 	}
 	if !slices.Contains([]string{RoleLeaf, RoleRoot, RoleRelay, RoleDiscovery, RoleAll}, c.Role) {
 		errs = append(errs, fmt.Errorf("unknown role %q", c.Role))
@@ -253,7 +254,8 @@
 	return errors.Join(errs...)
 }
 
-// judge returns an error for each result that the claim does not allow, and for each size without a result.
+// judge returns an error for each result that the claim does not allow, and for each size that the claim applies to and
+// that has no result.
 func (c Claim) judge(results []Result, sizes []int) (errs []error) {
 	measured := map[int]bool{}
 	for _, r := range results {
@@ -262,15 +264,14 @@
 		}
 		measured[r.Size] = true
 		if !c.allows(r.Value) {
-			errs = append(errs, fmt.Errorf("%s of %s in %s is %.4g %s at %d members; the claim is %s",
+			errs = append(errs, fmt.Errorf("%s of role %s in phase %s is %.4g %s at %d members; the claim is %s",
 				c.Figure, c.Role, c.Phase, r.Value, r.Unit, r.Size, c.limits()))
 		}
 	}
 	for _, n := range sizes {
 		if !measured[n] && (c.Size == 0 || c.Size == n) {
-			errs = append(
-				errs, fmt.Errorf("%s of %s in %s was not measured at %d members", c.Figure, c.Role, c.Phase, n),
-			)
+			errs = append(errs, fmt.Errorf("%s of role %s in phase %s was not measured at %d members",
+				c.Figure, c.Role, c.Phase, n))
 		}
 	}
 	return errs
--- a/internal/simulation/capacity/format_test.go
+++ b/internal/simulation/capacity/format_test.go
@@ -15,7 +15,8 @@
 	testutil.CheckExplicitNames(t, "toml", Experiment{})
 }
 
-// The format of a row in a file of results does not change, neither when it is written nor when it is read.
+// The format of a row in a file of results stays the same: a written row equals the golden file, and a row in this
+// format can be read.
 func TestCapacityResultFormatIsStable(t *testing.T) {
 	result := Result{
 		Experiment: "e",
@@ -36,7 +37,7 @@
 	testutil.Golden(t, "results.json", out.Bytes())
 	read, err := ReadResults("testdata/results-one.json")
 	if err != nil || len(read) != 1 || read[0] != result {
-		t.Errorf("read %+v, error %v; want %+v", read, err, result)
+		t.Errorf("results-one.json: read %+v, error %v; want one result, %+v", read, err, result)
 	}
 }
 
--- a/internal/simulation/capacity/measure.go
+++ b/internal/simulation/capacity/measure.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// measure runs a function and adds the figures of the time that it took.
+// measure runs a function and adds the figures for the time in which it ran.
 func (r *run) measure(b basis, do func() error) error {
 	begin, err := r.snapshot()
 	if err != nil {
@@ -75,8 +75,8 @@
 	return r.addSince(begin, b)
 }
 
-// addSince adds the figures of the time since a snapshot, as means over the members of each role. The role of a member
-// is the one in the snapshot, or the current one if the member did not run at the snapshot.
+// addSince adds the figures for the time since a snapshot, as means over the members of each role. A member's role is
+// the one in the snapshot, or the current one if the member did not run when the snapshot was taken.
 func (r *run) addSince(begin snapshot, b basis) error {
 	// The processor time is read first, since taking the snapshot uses some itself.
 	processorTime := processorTimeUsed(usageOfProcess)
@@ -137,8 +137,8 @@
 	return members
 }
 
-// addUsage adds the current use of memory, descriptors and goroutines per member, after the runtime has returned unused
-// memory to the system.
+// addUsage adds the memory, descriptors and goroutines that the process uses more than before the cluster was created,
+// per member. The runtime first returns unused memory to the system.
 func (r *run) addUsage() error {
 	debug.FreeOSMemory()
 	now, err := readUsage()
--- a/internal/simulation/capacity/phases.go
+++ b/internal/simulation/capacity/phases.go
@@ -70,7 +70,7 @@
 	return r.settle(ctx)
 }
 
-// addDiscoveryCalls adds the number of calls to discovery since an earlier count.
+// addDiscoveryCalls adds the increase of the number of calls to discovery since an earlier count (before).
 func (r *run) addDiscoveryCalls(before int) {
 	calls, _ := r.cluster.Discovery.Calls()
 	r.add(RoleDiscovery, "calls", unitCount, float64(calls-before), 1)
@@ -103,7 +103,7 @@
 }
 
 // isolate cuts the links between an area and all others, calls whileIsolated, changes the list and restores the links.
-// It measures the whole process until the cluster has converged.
+// It measures from the cut until the cluster has converged.
 func (r *run) isolate(ctx context.Context, a hollow.Area, whileIsolated func() error) error {
 	err := r.measure(inTotal, func() error {
 		if err := r.cluster.Links.Set(a, allOtherAreas, hollow.Link{Cut: true}); err != nil {
--- a/internal/simulation/capacity/process.go
+++ b/internal/simulation/capacity/process.go
@@ -61,10 +61,11 @@
 }
 
 const (
-	// referenceSteps is the number of steps of the reference loop, with which processor times are compared. A step is
-	// one step of xorshift64.
-	referenceSteps    = 20_000_000
-	referenceSeed     = 88172645463325252
+	// referenceSteps is the number of steps of the reference loop. Processor times are compared with the time of this
+	// loop. A step is one step of xorshift64.
+	referenceSteps = 20_000_000
+	referenceSeed  = 88172645463325252
+	// stepsPerReference is the number of steps whose processor time Reference returns.
 	stepsPerReference = 1_000_000
 	referenceUnits    = referenceSteps / stepsPerReference
 )
--- a/internal/simulation/capacity/result.go
+++ b/internal/simulation/capacity/result.go
@@ -1,6 +1,6 @@
 // Package capacity measures the resources that the control plane uses in each role, in clusters of different sizes
-// without application traffic (internal/testcluster/hollow). Experiments are read from files. Their results are rows,
-// to which slopes over the cluster size are fitted. See docs/design/capacity.md.
+// without application traffic (internal/testcluster/hollow). Experiments are read from files. Their results are rows of
+// a table, to which internal/simulation/slope fits slopes over the cluster size. See docs/design/capacity.md.
 package capacity
 
 import (
@@ -13,7 +13,7 @@
 	"slices"
 )
 
-// Roles of members and services that figures are measured for.
+// Roles for which figures are measured.
 const (
 	// RoleLeaf subscribes to another member, and has no subscribers.
 	RoleLeaf = "sidecar"
@@ -63,7 +63,7 @@
 	return list, nil
 }
 
-// validate returns an error if a key is missing or empty.
+// validate returns an error if a required key is missing or empty, or if Size or N is below 1.
 func (r Result) validate() error {
 	switch {
 	case r.Experiment == "":
@@ -103,8 +103,8 @@
 	return err
 }
 
-// Replace returns the newer results, and those older ones for whose experiment and size there is no newer result. They
-// are sorted by experiment and size.
+// Replace returns the newer results, together with the older results whose combination of experiment and size has no
+// newer result. The returned list is sorted by experiment and size.
 func Replace(older, newer []Result) []Result {
 	type run struct {
 		experiment string
--- a/internal/simulation/capacity/run.go
+++ b/internal/simulation/capacity/run.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// waitInterval is the time between checks of a condition that is waited for.
+	// waitInterval is the time between two checks while waiting for a condition.
 	waitInterval = 20 * time.Millisecond
 	// clusterSeed is the seed of the members' random numbers.
 	clusterSeed = 1
@@ -64,7 +64,7 @@
 	return r.results, nil
 }
 
-// add adds a figure of the current phase, which is a mean of n values.
+// add adds a figure of the current phase. The figure is the mean of n values.
 func (r *run) add(role, figure, unit string, value float64, n int) {
 	r.results = append(r.results, Result{r.Name, r.size, role, r.phase, figure, unit, value, n})
 }
@@ -96,10 +96,11 @@
 
 func allLocations(hollow.Location) bool { return true }
 
-// viewDisagreement describes a member's view that differs from the actual members; it is empty if there is none.
+// viewDisagreement describes a member's view that differs from the actual members. It returns an empty string if there
+// is no such view.
 func (r *run) viewDisagreement() string { return r.cluster.Disagreement(allLocations) }
 
-// outdatedLists describes how many members do not have the latest list; it is empty if all have it.
+// outdatedLists describes how many members do not have the latest list. It returns an empty string if all have it.
 func (r *run) outdatedLists() string {
 	if n := r.cluster.CountOutdated(allLocations); n > 0 {
 		return fmt.Sprintf("%d members do not have the latest list of discovery", n)
@@ -107,7 +108,8 @@
 	return ""
 }
 
-// waitConverged waits until all views agree and all lists are current, and adds the time that each of the two took.
+// waitConverged waits until all views agree and all lists are current. It adds the time until the views agreed and the
+// time until the lists were current as figures.
 func (r *run) waitConverged(ctx context.Context) error {
 	var waits sync.WaitGroup
 	begin := time.Now()
--- a/internal/simulation/capacity/stored_test.go
+++ b/internal/simulation/capacity/stored_test.go
@@ -11,11 +11,11 @@
 	"hazelwing/internal/testutil"
 )
 
-// storedDir holds files of commit 593ba64: an experiment's file with every key, the values that this commit read from
-// it, and a file of results. Its README describes them.
+// storedDir holds files of commit 593ba64: an experiment's file with every key, the values that the program of that
+// commit read from it, and a file of results. The README of the directory describes them.
 const storedDir = "testdata/version-593ba64"
 
-// Files of commit 593ba64 are still read: each key sets the field that it set in that commit.
+// Files of commit 593ba64 can still be read: each key sets the field that it set in that commit.
 func TestEveryKeyKeepsItsName(t *testing.T) {
 	testutil.CheckStoredKeys(t, storedDir, func(text []byte) any {
 		var e Experiment
@@ -27,8 +27,8 @@
 	})
 }
 
-// A file of results of commit 593ba64 is read, and written again byte for byte. Results can be added to it, and the
-// file is then read as expected.
+// A file of results of commit 593ba64 can be read, and writing its results again gives the same bytes. After a result
+// has been added to the file, all its results can be read.
 func TestResultsOfEarlierVersion(t *testing.T) {
 	path := filepath.Join(storedDir, "results.json")
 	text, err := os.ReadFile(path)
