--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -204,19 +204,19 @@
 func TestEstimatedSizeInPartition(t *testing.T) {
 	for _, configured := range []int{2, 20, 200} {
 		s := startJoined(t, Config{Members: 20, Seed: 7, ConfiguredSize: configured})
-		count := func(i int) int { return coreOf(t, s, i).Stats().EstimatedSize }
-		if configured <= 20 && count(0) != 20 {
-			t.Errorf("configured size %d: estimate %d after the join, want 20", configured, count(0))
+		estimate := func(i int) int { return coreOf(t, s, i).Stats().EstimatedSize }
+		if configured <= 20 && estimate(0) != 20 {
+			t.Errorf("configured size %d: estimate %d after the join, want 20", configured, estimate(0))
 		}
 		s.Run(5 * time.Minute)
-		if n := count(0); n != 20 {
+		if n := estimate(0); n != 20 {
 			t.Errorf("configured size %d: estimate %d after five minutes, want 20", configured, n)
 		}
 		s.Connected = halves(s)
 		for range 50 {
 			s.Run(time.Minute)
 			for i := range s.Members {
-				if n := count(i); n < 20 {
+				if n := estimate(i); n < 20 {
 					t.Fatalf("configured size %d, %v: member %d estimates %d during the partition, want at least 20",
 						configured, s.Now, i, n)
 				}
@@ -228,7 +228,7 @@
 			s.Kill(i)
 		}
 		s.Run(4 * time.Minute)
-		if n := count(19); n != 14 {
+		if n := estimate(19); n != 14 {
 			t.Errorf("configured size %d: estimate %d four minutes after 6 of 20 members died, want 14", configured, n)
 		}
 	}
@@ -291,7 +291,7 @@
 // checkIncarnations fails the test when the incarnation of a member decreases in the view of a process.
 func (h *history) checkIncarnations() {
 	type viewEntry struct {
-		member, incarnation, name int
+		viewer, viewerIncarnation, member int
 	}
 	latest := map[viewEntry]cluster.Incarnation{}
 	h.OnTransition = func(i int, n cluster.Transition) {
