--- a/internal/simulation/configsim/change.go
+++ b/internal/simulation/configsim/change.go
@@ -14,13 +14,13 @@
 	pushTimeout = 1500 * time.Millisecond
 	// pushPollInterval is the time between checks for the answer to a push.
 	pushPollInterval = 2 * time.Millisecond
-	// pushRetryDelay and rejectedRetryDelay are the delays before the next origin is tried, after a missing answer and
+	// pushRetryDelay is the delay before the next origin is tried after a missing answer, rejectedRetryDelay the delay
 	// after a rejection.
 	pushRetryDelay     = 10 * time.Millisecond
 	rejectedRetryDelay = 100 * time.Millisecond
 	// maxPushTime limits the time for which a push is retried.
 	maxPushTime = 2 * time.Minute
-	// measurementStep is the simulated time between checks of a change, and so the precision of ReportedAt.
+	// measurementStep is the simulated time between two checks of a change. It determines the precision of ReportedAt.
 	measurementStep = 10 * time.Millisecond
 )
 
@@ -45,8 +45,8 @@
 // counts reports whether a member counts. A member that is stopped or frozen never does.
 func (f Filter) counts(m *Member) bool { return m.up && !m.frozen && (f == nil || f(m)) }
 
-// Push pushes a text to an origin as the command `config push` does. If the origin does not answer in time or stops,
-// the same text is pushed to the next origin under the same ID.
+// Push pushes a text to an origin as the command `config push` does. If the origin rejects the change, stops or does
+// not answer in time, the same text is pushed to the next origin under the same ID.
 func (c *Cluster) Push(id string, at int) *Change {
 	change := &Change{ID: id, PushedAt: c.Now, activeAt: map[int]time.Duration{}, nextOrigin: at}
 	text := make([]byte, c.config.TextSize)
--- a/internal/simulation/configsim/cluster.go
+++ b/internal/simulation/configsim/cluster.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// clusterStream selects the stream of random numbers that a cluster draws from its seed.
+	// clusterStream selects the stream of random numbers of a cluster, together with the cluster's seed.
 	clusterStream = 9
 	// initialChangeTime is the start time of the machines of a new cluster. It lies so far back that their starts count
 	// as detected.
@@ -34,7 +34,8 @@
 	// last began or ended.
 	partitioned        bool
 	partitionChangedAt time.Duration
-	// views are the membership views, by region during a partition. Otherwise the first one is for all members.
+	// views are the membership views. During a partition they are indexed by region; otherwise the first view is for
+	// all members.
 	views [2]membershipView
 	// results are the origins' answers to proposals, by the ID of the change.
 	results map[string]origin.Result
@@ -89,15 +90,15 @@
 	c.partitioned, c.partitionChangedAt = partitioned, c.Now
 }
 
-// Stop stops a machine. reset says whether its connections are reset, as when a process is killed. If a whole machine
-// is lost, they are not, and its peers have to time out.
+// Stop stops a machine. reset says whether its connections are reset, as the kernel does when a process is killed. If a
+// whole machine is lost, its connections are not reset, and its peers have to time out.
 func (c *Cluster) Stop(m *machine, reset bool) {
 	m.up, m.changedAt = false, c.Now
 	m.incarnation++
 	if !reset {
 		return
 	}
-	m.up = true // a stopped machine could not send the resets
+	m.up = true // m itself also handles the end of its connections
 	for _, conn := range c.connections() {
 		if conn.server() == m || &conn.child.machine == m {
 			c.close(conn)
--- a/internal/simulation/configsim/config.go
+++ b/internal/simulation/configsim/config.go
@@ -4,9 +4,9 @@
 // its seed, so the figures do not depend on the machine that runs it.
 //
 // Several parts are simplified. The membership view is computed instead of coming from internal/cluster: a death is
-// detected after DeathDetection, a start after StartDetection. Datagrams carry only revisions. A connection has a
-// delay, the bandwidth of its sender, and is closed after ConnectionTimeout without contact. A snapshot's text is a
-// TOML comment of the configured size, and a snapshot becomes active ApplyTime after the daemon was told to apply it.
+// detected after DeathDetection, a start after StartDetection. Datagrams carry only revisions. A connection has a delay
+// and the bandwidth of its sender, and is closed after ConnectionTimeout without contact. A snapshot's text is a TOML
+// comment of the configured size, and a snapshot becomes active ApplyTime after the daemon was told to apply it.
 package configsim
 
 import (
@@ -14,9 +14,10 @@
 	"time"
 )
 
-// Config describes a simulated cluster. A field that is zero gets the default that its comment gives in parentheses.
+// Config describes a simulated cluster. The default of a field is in parentheses after its name and replaces the value
+// zero.
 type Config struct {
-	// Members (590) and Origins (5) are the numbers of machines of each kind.
+	// Members (590) and Origins (5) are the numbers of members and origins.
 	Members, Origins int
 	// Zones (4) is the number of zones in total, Racks (4) the number of racks in each zone. The first half of the
 	// zones is region 0, the second half region 1.
@@ -26,7 +27,8 @@
 	Roots int
 	// FanOut (16) is the number of subscribers that a member serves.
 	FanOut int
-	// MaxCallRate (200) is the rate, in calls per second, at which members without an upstream call the origins.
+	// MaxCallRate (200) is the number of calls per second that all members without an upstream together make to the
+	// origins.
 	MaxCallRate int
 	// TextSize (8 KiB) is the size of a snapshot's text in bytes.
 	TextSize int
--- a/internal/simulation/configsim/configsim_test.go
+++ b/internal/simulation/configsim/configsim_test.go
@@ -29,8 +29,8 @@
 // A fault occurs shortly before or after a push: origins, relays, racks or zones are lost, members restart, or regions
 // are partitioned. A change that reaches a member late, or not at all, leaves it with the old configuration. The change
 // has to be active at all reachable members within 4 s, and at 99 % of them within 1 s unless the scenario sets a
-// higher limit and gives the reason. The short form runs one seed. The long form (-long), whose figures are in
-// docs/design/controlplane.md, runs several and shows the slowest time of each scenario.
+// higher limit and gives the reason. The short form runs one seed. The long form (-long) runs several seeds and shows
+// the slowest times of each scenario; docs/design/controlplane.md has its figures.
 func TestScenarios(t *testing.T) {
 	last := uint64(1)
 	if *long {
@@ -45,7 +45,7 @@
 				t.Fatal(err)
 			}
 			if o.Missing > 0 || o.Max > maxTime || o.P99 > s.Limit() || o.Accepted < 0 {
-				t.Errorf("%s, seed %d: accepted after %v, active at 99 %% after %v (limit %v; %s) and at all "+
+				t.Errorf("%s, seed %d: accepted after %v, active at 99 %% after %v (limit %v, reason %q) and at all "+
 					"members after %v (limit %v), missing at %d members",
 					s.Name, seed, o.Accepted, o.P99, s.Limit(), s.Reason, o.Max, maxTime, o.Missing)
 			}
@@ -56,7 +56,8 @@
 	logTable(t, outcomes)
 }
 
-// slowest returns an outcome with the worse value of each figure.
+// slowest returns an outcome with the worse value of each time and count of two outcomes. A negative time means that
+// the event did not happen, so it is the worst.
 func slowest(x, y Outcome) Outcome {
 	later := func(a, b time.Duration) time.Duration {
 		if a < 0 || b < 0 {
@@ -93,15 +94,16 @@
 		t.Fatal(err)
 	}
 	if o.Max < 0 || o.Max > maxTime {
-		t.Errorf("active at all members %v after the partition (limit %v), missing at %d members",
+		t.Errorf("the change is active at all members %v after the partition (limit %v), missing at %d members",
 			o.Max, maxTime, o.Missing)
 	}
 	logTable(t, []Outcome{o})
 }
 
-// Changes at a rate of 17,000 per day with 630 replacements per day; in the long form also a tenth of both. The slowest
-// change has to stay within the limits, and a member has to send at most 7 kB of frames per second on average. The
-// traffic of a member with 16 subscribers grows with the size of the text; docs/CAPACITY.md has the figures.
+// Changes are pushed at a rate of 17,000 per day while members are replaced at a rate of 630 per day. The long form
+// also runs a tenth of both rates. The slowest change has to stay within the limits, and a member has to send at most 7
+// kB of frames per second on average. The traffic of a member with 16 subscribers grows with the size of the text;
+// docs/CAPACITY.md has the figures.
 func TestChangesAndReplacements(t *testing.T) {
 	const maxMeanFrameRate = 7000
 	duration := 30 * time.Second
@@ -128,9 +130,9 @@
 	logTable(t, outcomes)
 }
 
-// The scenarios run with slower settings: revisions are not pushed to random members, a fetch waits 1 s, and a silent
-// connection is closed only after 3 s. At least one change has to exceed its limits; otherwise the scenarios would not
-// depend on these settings.
+// The scenarios run with slower settings: revisions are not pushed to random members, a fetch is delayed by 1 s, and a
+// silent connection is closed only after 3 s. At least one change has to exceed its limits; otherwise the scenarios
+// would not depend on these settings.
 func TestSlowerSettings(t *testing.T) {
 	late := 0
 	var outcomes []Outcome
--- a/internal/simulation/configsim/connection.go
+++ b/internal/simulation/configsim/connection.go
@@ -15,24 +15,24 @@
 	maxPathLength = 8
 	// maxSelectionDelay limits the delay until a member selects again, since the membership view may change in between.
 	maxSelectionDelay = time.Second
-	// retryDelay is the delay after a failed connection attempt.
+	// retryDelay is the delay between a failed connection attempt and the next selection of an upstream.
 	retryDelay = 10 * time.Millisecond
 )
 
 // connection is a member's connection to its upstream, which is an origin or another member.
 type connection struct {
 	child *Member
-	// Exactly one of member and origin is set: the upstream.
+	// The upstream is either member or origin; the other one is nil.
 	member *Member
 	origin *Origin
 	// childIncarnation and serverIncarnation identify the processes at the two ends.
 	childIncarnation, serverIncarnation int
-	// silentSince is the time since which the two ends cannot reach each other; 0: they can.
+	// silentSince is the time since which the two ends cannot reach each other; 0 if they can.
 	silentSince time.Duration
 	closed      bool
 }
 
-// isStale reports whether the process at one of the ends has been replaced.
+// isStale reports whether the process at one of the two ends has ended.
 func (conn *connection) isStale() bool {
 	return conn.childIncarnation != conn.child.incarnation || conn.serverIncarnation != conn.server().incarnation
 }
@@ -45,7 +45,7 @@
 	return &conn.member.machine
 }
 
-// frame returns the frame that the upstream has; false: it has none.
+// frame returns the current frame of the upstream, or false if it has none.
 func (conn *connection) frame() (controlplane.Frame, bool) {
 	if conn.origin != nil {
 		return conn.origin.frame, !conn.origin.frame.Revision.IsZero()
@@ -80,8 +80,8 @@
 	c.subscribe(conn, selection, m.selections)
 }
 
-// scheduleSelection makes a member select an upstream after a delay. It does nothing if the member has an upstream by
-// then, or has made another selection since the one with the given number.
+// scheduleSelection makes a member select an upstream after a delay. The selection is dropped if the member has an
+// upstream by then, or has made another selection since the one with the given number.
 func (c *Cluster) scheduleSelection(m *Member, number int, delay time.Duration) {
 	c.After(delay, c.whileRunning(m, func() {
 		if m.selections == number && m.upstream == nil {
@@ -250,8 +250,8 @@
 	c.After(c.config.HeartbeatInterval, c.checkConnections)
 }
 
-// checkConnection confirms a connection, or closes it if it is stale, no longer used by the child, or silent for too
-// long.
+// checkConnection confirms a connection to the child. It closes the connection if it is stale, if the child has another
+// upstream, or if it has been silent for too long.
 func (c *Cluster) checkConnection(conn *connection) {
 	child, server := conn.child, conn.server()
 	switch {
--- a/internal/simulation/configsim/longrun.go
+++ b/internal/simulation/configsim/longrun.go
@@ -9,14 +9,15 @@
 	// partitionChangeTimeout limits the time until a change that is pushed during a partition is active in the larger
 	// region.
 	partitionChangeTimeout = 10 * time.Second
-	// smallerPushTime is how long the smaller region is observed. It must not accept a change in this time.
+	// smallerPushTime is the time for which the smaller region is observed after a push to it. It must not accept the
+	// change in this time.
 	smallerPushTime = 5 * time.Second
 	// rejoinTimeout limits the time after a partition until the last change is active at all members.
 	rejoinTimeout = 15 * time.Second
 
 	day = 24 * time.Hour
-	// replacementsPerDay is the number of members that are replaced per day if there are changesPerDay changes. The
-	// replacements grow in proportion to the changes.
+	// replacementsPerDay is the number of members that are replaced per day if there are changesPerDay changes per day.
+	// The replacements are in proportion to the changes.
 	replacementsPerDay = 63
 	changesPerDay      = 1700
 	// replacementTime is the time between the stop of a replaced member and the start of its successor.
@@ -25,8 +26,9 @@
 	maxChangeWait = 4 * time.Second
 )
 
-// RunPartition partitions the regions for a time and pushes changes to both of them during it. It measures the time
-// from the end of the partition until the last change is active at all members.
+// RunPartition partitions the regions for a duration and pushes a change to each of them in the meantime. It measures
+// the time from the end of the partition until the change of the larger region is active at the members of the smaller
+// one.
 func RunPartition(config Config, duration time.Duration) (Outcome, error) {
 	c, err := newRunning(config)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return c.outcome(name, change, func(m *Member) bool { return !c.inLargerRegion(m) }, healedAt), nil
 }
 
-// RunChanges pushes changes at an even rate, given per day, for a time, while members are replaced. It measures the
+// RunChanges pushes perDay changes per day at an even rate for a duration, while members are replaced. It measures the
 // slowest change and the traffic of the machines.
 func RunChanges(config Config, perDay float64, duration time.Duration) (Outcome, error) {
 	c, err := newRunning(config)
--- a/internal/simulation/configsim/machine.go
+++ b/internal/simulation/configsim/machine.go
@@ -37,7 +37,7 @@
 	Traffic
 }
 
-// region returns the region of a machine, 0 or 1: the half of the zones that it is in.
+// region returns the region of a machine: 0 for the first half of the zones, 1 for the second half.
 func (c *Cluster) region(m *machine) int { return m.zone * 2 / c.config.Zones }
 
 // reachable reports whether one machine can currently send bytes to another.
@@ -47,7 +47,7 @@
 }
 
 // send transmits a message of a size to another machine and calls receive when it arrives. The message is lost if the
-// machine is not reachable at that time, or if one of the two machines runs another process by then.
+// receiver is not reachable at that time, or if one of the two machines runs another process by then.
 func (c *Cluster) send(from, to *machine, size int, receive func()) {
 	begin := max(c.Now, from.busyUntil)
 	from.busyUntil = begin + time.Duration(float64(size)/c.config.Bandwidth*float64(time.Second))
--- a/internal/simulation/configsim/member.go
+++ b/internal/simulation/configsim/member.go
@@ -23,7 +23,7 @@
 	machine
 	follower *controlplane.Follower
 	selector *bootstrap.Selector
-	// cached is the snapshot on disk, with which the member's next process starts.
+	// cached is the snapshot on disk. The member's next process starts with it.
 	cached *controlplane.CachedSnapshot
 	// upstream is the connection to the member's current upstream, nil if there is none; selection is the selector's
 	// choice that led to it.
@@ -140,7 +140,7 @@
 	}))
 }
 
-// fetch requests the current frame of the member with a given name.
+// fetch makes the member m request the current frame from the member with the given name.
 func (c *Cluster) fetch(m *Member, name string) {
 	m.Fetches++
 	for _, peer := range c.Members {
@@ -197,8 +197,8 @@
 	})
 }
 
-// exchangeRevisions makes each member exchange revisions with another member, chosen at random, in every
-// exchangeInterval, as the membership probes do.
+// exchangeRevisions makes each member exchange revisions with a random member once in each exchangeInterval, as the
+// membership probes do.
 func (c *Cluster) exchangeRevisions() {
 	for _, m := range c.Members {
 		delay := time.Duration(c.rng.Int64N(int64(exchangeInterval)))
@@ -213,7 +213,7 @@
 	c.After(exchangeInterval, c.exchangeRevisions)
 }
 
-// LargestRelay returns the member through which the most other members receive their snapshots.
+// LargestRelay returns the member with the most descendants.
 func (c *Cluster) LargestRelay() *Member {
 	return slices.MaxFunc(c.Members, func(x, y *Member) int { return c.descendants(x) - c.descendants(y) })
 }
--- a/internal/simulation/configsim/origin.go
+++ b/internal/simulation/configsim/origin.go
@@ -17,11 +17,11 @@
 type Origin struct {
 	machine
 	node  *origin.Node
-	state *origin.State      // state on disk, with which the next process starts
+	state *origin.State      // state on disk; the next process starts with it
 	frame controlplane.Frame // frame that was published last
 }
 
-// Bootstrap creates a new cluster of origins with a given epoch and empty stores, and starts the origins.
+// Bootstrap creates a new cluster of origins, which have a given epoch and empty stores, and starts the origins.
 func (c *Cluster) Bootstrap(epoch uint64) error {
 	bootstrapConfig := origin.BootstrapConfig{Cluster: clusterName, Epoch: epoch}
 	for _, o := range c.Origins {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// tickOrigin schedules the next tick of an origin, and so all further ones of this process.
+// tickOrigin schedules the next tick of an origin. Each tick schedules the one after it, until the process ends.
 func (c *Cluster) tickOrigin(o *Origin, incarnation int) {
 	c.After(originTick, func() {
 		if o.incarnation != incarnation || !o.up {
--- a/internal/simulation/configsim/outcome.go
+++ b/internal/simulation/configsim/outcome.go
@@ -16,14 +16,15 @@
 	Accepted time.Duration
 	// P50, P99 and Max are the times until the change was active at 50, 99 and 100 % of the members that count.
 	P50, P99, Max time.Duration
-	// Missing is the number of these members at which the change was not active in the end.
+	// Missing is the number of members that count and at which the change was not active in the end.
 	Missing int
 	// Fetches is the number of snapshots that members fetched from peers.
 	Fetches int
 	// Reported is the time until an origin's aggregated report counted the change as active at all members.
 	Reported time.Duration
-	// The rates are in bytes per second: frames sent by a member (mean and maximum), reports sent by a member
-	// (maximum), and the most that any origin sent in frames and received in reports.
+	// MeanFrameRate and MaxFrameRate are the mean and the maximum, over the members, of the rate of frames sent.
+	// MaxReportRate is the maximum rate of reports sent by a member. MaxOriginSendRate and MaxOriginReceiveRate are the
+	// maximum rates of frames sent and of reports received by an origin. All rates are in bytes per second.
 	MeanFrameRate, MaxFrameRate float64
 	MaxReportRate               float64
 	MaxOriginSendRate           float64
@@ -54,7 +55,8 @@
 	return o
 }
 
-// addSlowest merges in the outcome of another change: the slower of each time, and the sum of the missing members.
+// addSlowest merges the outcome of another change into o. It keeps the longer of the two for each time, and adds up the
+// missing members.
 func (o *Outcome) addSlowest(other Outcome) {
 	o.Accepted = max(o.Accepted, other.Accepted)
 	o.P50, o.P99 = max(o.P50, other.P50), max(o.P99, other.P99)
@@ -62,7 +64,7 @@
 	o.Missing += other.Missing
 }
 
-// addTraffic adds the traffic of all machines over a duration.
+// addTraffic adds the traffic of all machines during the given time to the outcome.
 func (o *Outcome) addTraffic(c *Cluster, duration time.Duration) {
 	seconds := duration.Seconds()
 	for _, m := range c.Members {
--- a/internal/simulation/configsim/scenario.go
+++ b/internal/simulation/configsim/scenario.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// warmUp is the time that a new cluster runs before the first change, settleTime the time that it runs after it.
+	// warmUp is the time that a new cluster runs before the first change, and settleTime the time that it runs once
+	// this change is active.
 	warmUp     = 10 * time.Second
 	settleTime = 5 * time.Second
 	// firstChangeTimeout limits the time until the first change is active at all members.
@@ -14,7 +15,7 @@
 	// faultLead is the time between a fault and the push before or after it. It is too short for the cluster to detect
 	// the fault before the push.
 	faultLead = 10 * time.Millisecond
-	// scenarioTimeout limits the time that a scenario waits for its change to become active.
+	// scenarioTimeout limits the wait of a scenario until its change is active.
 	scenarioTimeout = 8 * time.Second
 	// defaultMaxP99 is the limit of Outcome.P99 for scenarios that do not set a higher one.
 	defaultMaxP99 = time.Second
@@ -29,8 +30,8 @@
 // Scenario is a fault that occurs shortly before or after a push.
 type Scenario struct {
 	Name string
-	// Before injects a fault just before the push, or Lead before it if Lead is longer; After injects one just after
-	// the push. They return the filter of the members that the outcome counts.
+	// Before injects a fault before the push, at a distance of faultLead or of Lead, whichever is longer. After injects
+	// a fault faultLead after the push. Both return a filter for the members that the outcome counts.
 	Before, After func(c *Cluster) Filter
 	Lead          time.Duration
 	// Origin returns the index of the origin that receives the push; nil: the first origin.
@@ -52,7 +53,7 @@
 // Limit returns the limit of Outcome.P99.
 func (s Scenario) Limit() time.Duration { return max(s.MaxP99, defaultMaxP99) }
 
-// Run simulates the scenario and returns what it measured.
+// Run simulates the scenario and returns the measurements.
 func (s Scenario) Run(config Config) (Outcome, error) {
 	c, err := newRunning(config)
 	if err != nil {
@@ -88,7 +89,7 @@
 	}
 	c.Run(warmUp)
 	if first := c.Push("first", 0); !c.waitActive(firstChangeTimeout, first, nil) {
-		return nil, fmt.Errorf("the first change is active at %d of %d members after %v",
+		return nil, fmt.Errorf("the first change is active at %d of %d members after %v, want all",
 			len(first.activeAt), len(c.Members), firstChangeTimeout)
 	}
 	return c, nil
@@ -102,7 +103,7 @@
 	return n
 }
 
-// Scenarios returns the scenarios of docs/design/controlplane.md.
+// Scenarios returns all scenarios. docs/design/controlplane.md describes them.
 func Scenarios() []Scenario {
 	scenarios := []Scenario{{Name: "quiet"}}
 	scenarios = append(scenarios, originScenarios()...)
@@ -215,7 +216,7 @@
 	}
 }
 
-// restartHalf kills every other member. Each of them starts again within restartTime.
+// restartHalf kills every second member. Each killed member starts again within restartTime.
 func restartHalf(c *Cluster) Filter {
 	for i, m := range c.Members {
 		if i%2 == 0 {
--- a/internal/simulation/configsim/view.go
+++ b/internal/simulation/configsim/view.go
@@ -11,7 +11,7 @@
 }
 
 // updateViews computes the membership views and passes them to the members' selectors. The two regions have different
-// views while a partition is detected, and until its end is detected.
+// views from the detection of a partition until the detection of its end.
 func (c *Cluster) updateViews() {
 	sides := 1
 	sinceChange := c.Now - c.partitionChangedAt
@@ -32,7 +32,7 @@
 	}
 }
 
-// updateView computes the view of one side. With one side, the view covers all members.
+// updateView computes the view of one side. If there is only one side, the view covers all members.
 func (c *Cluster) updateView(side, sides int) {
 	v := &c.views[side]
 	changed := v.version == 0
@@ -57,8 +57,8 @@
 	}
 }
 
-// detectedLive reports whether the view shows a member as live. A death shows only after DeathDetection, a start only
-// after StartDetection.
+// detectedLive reports whether the view shows a member as live. The view shows a death only after DeathDetection, and a
+// start only after StartDetection.
 func (c *Cluster) detectedLive(m *Member, wasLive bool) bool {
 	sinceChange := c.Now - m.changedAt
 	isDeathUndetected := wasLive && sinceChange < c.config.DeathDetection
--- a/internal/simulation/fleetsim/convergence.go
+++ b/internal/simulation/fleetsim/convergence.go
@@ -32,8 +32,8 @@
 	return s.Disagreement(group) == ""
 }
 
-// Disagreement describes the first difference between a member's view and the actual state of the group; it is empty
-// if there is none.
+// Disagreement describes the first difference between a member's view and the actual state of the group. It returns an
+// empty string if there is none.
 func (s *Simulation) Disagreement(group Group) string {
 	running := map[string]cluster.Incarnation{}
 	for i, m := range s.Members {
@@ -52,15 +52,15 @@
 	return ""
 }
 
-// viewDifference describes the first difference between a member's view and the running members; it is empty if there
-// is none. running maps their names to their incarnations.
+// viewDifference describes the first difference between a member's view and the running members, or returns an empty
+// string if there is none. The map running has the incarnations of the running members by name.
 func viewDifference(m *Member, running map[string]cluster.Incarnation) string {
 	n := 0
 	for _, x := range m.Protocol.Members() {
 		incarnation, isRunning := running[x.Name]
 		switch {
 		case isRunning && (x.State != cluster.Alive || x.Incarnation != incarnation):
-			return fmt.Sprintf("sees %s as %v in incarnation %+v, but it is alive in %+v",
+			return fmt.Sprintf("sees %s as %v in incarnation %+v, but it runs in incarnation %+v",
 				x.Name, x.State, x.Incarnation, incarnation)
 		case !isRunning && x.State < cluster.Dead:
 			return fmt.Sprintf("sees %s as %v, but it does not run or is not in the group", x.Name, x.State)
--- a/internal/simulation/fleetsim/experiment.go
+++ b/internal/simulation/fleetsim/experiment.go
@@ -32,7 +32,8 @@
 	PauseInterval strictdecode.Duration `toml:"slow_every"`
 	// QuietDuration is the simulated time before the fault in which false suspicions and traffic are counted.
 	QuietDuration strictdecode.Duration `toml:"quiet"`
-	// Deaths is the number of members that die at once. DeathShare states it as a share of all members instead.
+	// Deaths is the number of members that die at once. DeathShare gives this number as a share of all members; at most
+	// one of the two is set.
 	Deaths     int     `toml:"kill"`
 	DeathShare float64 `toml:"kill_share"`
 	// PartitionDuration is the duration of a partition into two halves; 0: no partition.
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// validateFault checks that there is at most one kind of fault.
+// validateFault checks that at most one kind of fault is set, and that DeathShare is in its range.
 func (e *Experiment) validateFault() error {
 	switch {
 	case e.Deaths > 0 && e.PartitionDuration > 0:
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// validatePauses checks that slow members, if there are any, pause and run in between.
+// validatePauses checks that slow members, if there are any, pause for a time and also run between two pauses.
 func (e *Experiment) validatePauses() error {
 	duration, interval := time.Duration(e.PauseDuration), time.Duration(e.PauseInterval)
 	switch {
@@ -190,7 +191,8 @@
 			}
 			if value, _ := p.measure(c.Measure); value > c.Max {
 				errs = append(errs, fmt.Errorf(
-					"%s of %s is %.2f with %d members, loss %.2f, slow %.2f; the claim is at most %.2f",
+					"%s of %s is %.2f with %d members, loss rate %.2f and share of slow members %.2f; "+
+						"the claim is at most %.2f",
 					c.Measure, c.Protocol, value, p.Members, p.LossRate, p.SlowShare, c.Max))
 			}
 		}
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -12,7 +12,7 @@
 
 var histories = flag.Int("histories", 100, "number of random histories in TestRandomHistories")
 
-// startJoined starts a cluster with member 0 as the seed of all members, and waits until all members have joined.
+// startJoined starts a cluster in which member 0 is the seed of all members, and waits until all members have joined.
 func startJoined(t *testing.T, c Config) *Simulation {
 	t.Helper()
 	s := New(c)
@@ -41,8 +41,8 @@
 	return func(from, to int) bool { return (from < n) == (to < n) }
 }
 
-// A third of the members dies at once, and half of these restart 50 ms later under the same names. A member could
-// apply the death of an earlier process to its successor. The views have to converge within a minute.
+// A third of the members dies at once, and half of these restart 50 ms later under the same names. The other members
+// could apply the death of an earlier process to its successor. The views have to converge within a minute.
 func TestDeathOfAThird(t *testing.T) {
 	s := startJoined(t, Config{Members: 30, Seed: 1})
 	for i := range 10 {
@@ -88,9 +88,10 @@
 	}
 }
 
-// A process stalls right after it has sent a probe and continues seconds later. When it finds the probe unanswered, it
-// could suspect the probed member, although the answer arrived during the stall. It must not suspect any member, and
-// must refute suspicions of itself. Without Lifeguard it does suspect members, which shows that the test can fail.
+// A process stalls right after it has sent a probe and continues seconds later. When it continues, it could suspect the
+// probed member, although the answer arrived during the stall. The stalled member must not suspect any member, and must
+// refute suspicions of itself. Without Lifeguard it does suspect members, which shows that the test can detect the
+// failure.
 func TestStalledProber(t *testing.T) {
 	suspicions := func(disableLifeguard bool) int {
 		s := startJoined(t, Config{
@@ -127,8 +128,8 @@
 	}
 }
 
-// One member leaves while it is suspected, another one during a partition. Others could treat them as dead or keep
-// them as alive. The first one has to be seen as left by all, and after the partition the views have to converge.
+// One member leaves while it is suspected, another one during a partition. Other members could see them as dead or as
+// still alive. All members have to see the first one as left, and after the partition the views have to converge.
 func TestLeaving(t *testing.T) {
 	s := startJoined(t, Config{Members: 12, Seed: 4})
 	s.Freeze(3, 4*time.Second)
@@ -153,8 +154,8 @@
 	waitConverged(t, s, 90*time.Second, nil, "after the partition")
 }
 
-// For a minute, ten members join and ten die per second. Updates could overtake each other. After the churn the views
-// have to converge.
+// For a minute, ten members join and ten die per second. Updates about the same member could overtake each other. After
+// the minute the views have to converge.
 func TestChurn(t *testing.T) {
 	s := New(Config{Members: 60, Seed: 5})
 	for i := range 30 {
@@ -290,6 +291,7 @@
 
 // checkIncarnations fails the test when the incarnation of a member decreases in the view of a process.
 func (h *history) checkIncarnations() {
+	// viewEntry identifies the entry of a member in the view of one process of another member (the viewer).
 	type viewEntry struct {
 		viewer, viewerIncarnation, member int
 	}
--- a/internal/simulation/fleetsim/heartbeats.go
+++ b/internal/simulation/fleetsim/heartbeats.go
@@ -10,7 +10,7 @@
 )
 
 // maxMissedHeartbeats is the number of intervals without a heartbeat after which a member is declared dead. With this
-// value deaths are detected about as late as by the other protocols.
+// value, deaths are detected after about the same time as by the other protocols.
 const maxMissedHeartbeats = 5
 
 // heartbeatReason is the reason that all transitions of this protocol give.
--- a/internal/simulation/fleetsim/point.go
+++ b/internal/simulation/fleetsim/point.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// unreachedSeconds is the time in seconds that claims are compared with if an event did not happen within the time
-// limit. It is far above any limit of a claim.
+// unreachedSeconds is the value of a measure that is a time, in seconds, if an event did not happen within the time
+// limit. It is far above the limit of any claim.
 const unreachedSeconds = 1e9
 
 // Point holds the measurements of one protocol at one combination of cluster size, loss rate and share of slow members,
@@ -35,11 +35,11 @@
 	PartitionByteRate float64
 	HealBytes         float64
 
-	// quietMemberSeconds is the simulated time without faults, summed over members and seeds.
+	// quietMemberSeconds is the simulated time without faults in seconds, summed over members and seeds.
 	quietMemberSeconds float64
 }
 
-// measure returns the measure with a name that claims use; false: there is no such measure.
+// measure returns the measure that claims call by the given name, or false if there is no such measure.
 func (p Point) measure(name string) (float64, bool) {
 	switch name {
 	case "first":
@@ -64,7 +64,7 @@
 	return 0, false
 }
 
-// slowest returns the longest of several times in seconds, or unreachedSeconds if one was not reached.
+// slowest returns the longest of several times in seconds, or unreachedSeconds if one of the events did not happen.
 func slowest(times []time.Duration) float64 {
 	out := 0.0
 	for _, d := range times {
@@ -98,7 +98,8 @@
 	return t.Flush()
 }
 
-// medianAndSlowest returns the two table columns of a list of times. If a time was not reached, both are "never".
+// medianAndSlowest returns the two table columns of a list of times. If one of the events did not happen, both columns
+// are "never".
 func medianAndSlowest(times []time.Duration) string {
 	if len(times) == 0 {
 		return "-\t-"
--- a/internal/simulation/fleetsim/run.go
+++ b/internal/simulation/fleetsim/run.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// joinTime is simulated before any measurement, so that the members finish exchanging their initial views.
+	// joinTime is the time that is simulated before any measurement. In this time the members finish the exchange of
+	// their initial views.
 	joinTime = 90 * time.Second
 	// detectionTimeout limits the time until all members have detected the deaths, or the views have converged after a
 	// partition.
 	detectionTimeout = 3 * time.Minute
-	// stepTime is the simulated time between checks of the members, and so the precision of FullDetections and
-	// HealTimes.
+	// stepTime is the simulated time between two checks of the members. It determines the precision of FullDetections
+	// and HealTimes.
 	stepTime = 100 * time.Millisecond
 
 	secondsPerHour = 3600
@@ -80,6 +81,7 @@
 }
 
 // runQuiet runs the cluster without faults for QuietDuration and counts its traffic, false suspicions and false deaths.
+// The heartbeats protocol has no suspicions, so each of its transitions to dead counts as one.
 func (e *Experiment) runQuiet(s *Simulation, p *Point, pause func()) {
 	for _, m := range s.Members {
 		m.MessagesSent, m.BytesSent = 0, 0
@@ -135,7 +137,7 @@
 }
 
 // newPauses returns a function that freezes each slow member whose next pause is due. The slow members are the last
-// ones, so that they are not among the members that runDeaths kills, which are the first ones.
+// members of the cluster, since runDeaths kills the first ones.
 func (e *Experiment) newPauses(s *Simulation, share float64) func() {
 	first := len(s.Members) - int(share*float64(len(s.Members)))
 	nextPause := make([]time.Duration, len(s.Members))
--- a/internal/simulation/fleetsim/simulation.go
+++ b/internal/simulation/fleetsim/simulation.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// randomStream selects the stream of random numbers that a simulation draws from its seed.
+	// randomStream selects the stream of random numbers of a simulation, together with the simulation's seed.
 	randomStream = 1
 	// memberPort is the port of all members' addresses.
 	memberPort = 7946
@@ -26,7 +26,8 @@
 type Config struct {
 	Members int
 	Seed    uint64
-	// Core is the configuration of all members, except for their names, addresses, process IDs, seeds and random seeds.
+	// Core is the configuration of all members, except for their names, addresses, process IDs, seed members and random
+	// seeds.
 	Core cluster.Config
 	// Latency is the mean one-way network delay; 0: 1 ms. The delay of each message is this value times a random
 	// factor from 0.5 to 1.5.
@@ -80,10 +81,10 @@
 	// Now is the simulated time.
 	Now     time.Duration
 	Members []*Member
-	// Connected reports whether the network currently delivers messages from one member to another; nil: it does
-	// between all members.
+	// Connected reports whether the network currently delivers messages from one member to another. If it is nil, the
+	// network connects all members.
 	Connected func(from, to int) bool
-	// OnTransition, if not nil, is called for each transition of a member's view.
+	// OnTransition, if not nil, is called for each transition of another member's state in the view of member.
 	OnTransition func(member int, transition cluster.Transition)
 	// OnSend, if not nil, is called for each message that a member sends.
 	OnSend func(member int, action cluster.Action)
@@ -126,7 +127,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), memberPort)
 }
 
-// Start starts a new process of a member, without state of an earlier one. seeds are the indexes of its seed members.
+// Start starts a new process of a member, without the state of earlier processes. seeds are the indexes of its seed
+// members.
 func (s *Simulation) Start(i int, seeds ...int) {
 	m := s.Members[i]
 	m.incarnation++
