--- a/internal/testcluster/admin.go
+++ b/internal/testcluster/admin.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"sync"
@@ -28,7 +28,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return errors.New(resp.Status)
+		return fmt.Errorf("admin endpoint of %s: GET /%s: status %s, want 200 OK", c.members[n].name, path, resp.Status)
 	}
 	return json.NewDecoder(io.LimitReader(resp.Body, maxAdminBytes)).Decode(v)
 }
@@ -69,8 +69,8 @@
 	return views
 }
 
-// responds reports whether a process is ready: an origin answers, and a member's admin endpoint does. In a cluster with
-// origins a member must also accept requests.
+// responds reports whether a process is ready. An origin is ready when it answers. A member is ready when its admin
+// endpoint answers and, in a cluster with origins, its address for requests answers too.
 func (c *Cluster) responds(ctx context.Context, n int) bool {
 	if n > originBase {
 		return c.originResponds(ctx, n)
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -42,7 +42,7 @@
 	// OperatorOptions is text that is added to each member's operator file, after the tables [admin] and [fleet]. DIR
 	// in it is replaced by the member's directory.
 	OperatorOptions string
-	// ClusterOptions has further keys of the table [fleet].
+	// ClusterOptions is text with further keys of the table [fleet].
 	ClusterOptions  string
 	PlatformMembers int // value of Balancers in the platform configuration; 0 means Members
 	WithoutClients  bool
@@ -207,8 +207,8 @@
 	}
 }
 
-// Violations returns the rule violations that clients and servers have recorded so far, and the processes that have
-// exited unexpectedly since the last check.
+// Violations returns the rule violations that clients and servers have recorded so far, and an entry for each process
+// that has exited unexpectedly since the last check.
 func (c *Cluster) Violations() []string {
 	list := c.violations.all()
 	for _, p := range c.processes() {
@@ -242,8 +242,8 @@
 	return slices.Clone(v.list)
 }
 
-// SetProgram sets the command that runs the members or origins of a group from their next start on; it also bootstraps
-// these origins. This permits a cluster with processes of several versions of the program.
+// SetProgram sets the command that runs the members or origins of a group from their next start on. BootstrapOrigins
+// uses this command too. A cluster can thus have processes of several versions of the program.
 func (c *Cluster) SetProgram(group string, program ...string) error {
 	numbers, err := c.group(group)
 	if err != nil {
--- a/internal/testcluster/cluster_test.go
+++ b/internal/testcluster/cluster_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// No two listeners of a cluster share an IP address. On a shared one, a port that was free when it was chosen for one
-// listener can also be chosen for another, which then cannot start.
+// No two listeners of a cluster share an IP address. On a shared address, the same free port could be chosen for two
+// listeners, and the second one could not start.
 func TestListenersHaveAddressesOfTheirOwn(t *testing.T) {
 	c, err := New(Config{Members: 3, Dir: t.TempDir()})
 	if err != nil {
--- a/internal/testcluster/hollow/cluster.go
+++ b/internal/testcluster/hollow/cluster.go
@@ -136,8 +136,8 @@
 
 	config Config
 	seeds  string // seeds in the form of the operator file: a list in JSON
-	// reservation is a listener that keeps other processes from using the same addressBlock, which is the second byte
-	// of all addresses of the cluster.
+	// addressBlock is the second byte of all addresses of the cluster. reservation is a listener that keeps other
+	// processes from using the same block.
 	reservation  net.Listener
 	addressBlock byte
 	discovery    trafficCounter
@@ -252,8 +252,8 @@
 }
 
 // Disagreement compares the view of each running member of an area with the actual running members of this area. It
-// describes the first difference, or returns "" if there is none. It assumes that members outside the area cannot be
-// reached.
+// describes the first difference, or returns "" if there is none. A member in the view that is outside the area counts
+// as a difference.
 func (c *Cluster) Disagreement(in func(Location) bool) string {
 	var sum uint64
 	var running []*Member
@@ -290,8 +290,8 @@
 	return n
 }
 
-// Close kills all members, closes the links and discovery, and waits until they have ended. It may be called more than
-// once.
+// Close kills all members, closes the links and discovery, and waits until all of them have ended. It may be called
+// more than once.
 func (c *Cluster) Close() {
 	c.closeOnce.Do(func() {
 		c.Links.Heal()
--- a/internal/testcluster/hollow/hollow_test.go
+++ b/internal/testcluster/hollow/hollow_test.go
@@ -45,7 +45,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s: %s", what, last)
+	t.Fatalf("%s: timed out after %v: %s", what, testutil.WaitTimeout, last)
 }
 
 // waitCurrent waits until all running members have the latest endpoint list.
@@ -54,10 +54,10 @@
 	testutil.Until(t, what, func() bool { return c.CountOutdated(everywhere) == 0 })
 }
 
-// Measurements with hollow members are valid only if these behave like sidecars. The test cuts and heals links between
-// regions and racks, kills members, and lets members leave and start again. The members have to join the cluster and
-// get the endpoint list through a tree in which only the roots call discovery. After each fault, all views and lists
-// have to be correct.
+// Measurements with hollow members are valid only if the members behave like sidecars. The test cuts and heals links
+// between regions and racks, kills members, and lets members leave and start again. The members have to join the
+// cluster and get the endpoint list through a tree in which only the roots call discovery. After each fault, all views
+// and lists have to be correct.
 func TestClusterThroughFaults(t *testing.T) {
 	c := newCluster(t, Config{
 		Members:       16,
@@ -102,9 +102,7 @@
 	waitAgreed(t, c, "during the cut, region 1 sees only its own members", one.Contains)
 	waitAgreed(t, c, "during the cut, region 2 sees only its own members", two.Contains)
 	testutil.Until(t, "updates of the list in discovery's region during the cut", func() bool {
-		return c.CountOutdated(
-			one.Contains,
-		) == 0
+		return c.CountOutdated(one.Contains) == 0
 	})
 	if n := c.CountOutdated(two.Contains); n != 8 {
 		t.Errorf("%d members of region 2 lack the update that was made during the cut, want all 8", n)
@@ -133,7 +131,8 @@
 }
 
 // In a cluster started by StartJoined, one member subscribes to discovery and each other member to its parent in the
-// tree. The sums of the bytes sent and of the bytes received by the members and discovery have to be about equal.
+// tree. The total of the bytes that members and discovery have sent must differ by at most 10 % from the total that
+// they have received.
 func TestStartJoined(t *testing.T) {
 	c := newCluster(t, Config{Members: 8, ClusterKeys: fastKeys, BootstrapKeys: "ask = 1\nfan = 2"})
 	if err := c.StartJoined(t.Context(), testutil.WaitTimeout); err != nil {
@@ -162,7 +161,7 @@
 		}
 		return sum.Plus(c.DiscoveryCounts())
 	}
-	before := total() // members have received bytes of StartJoined, which no member sent
+	before := total() // StartJoined has sent bytes to the members, which count as received but not as sent
 	for i := range 40 {
 		c.Discovery.Set(c.Endpoint(i%8, "DRAINING", 0))
 	}
@@ -235,7 +234,7 @@
 	}
 }
 
-// Invalid steps are rejected with an error that names the mistake, and invalid configurations are rejected.
+// Invalid link steps are rejected with an error that names the mistake. Invalid configurations are rejected.
 func TestBadInput(t *testing.T) {
 	l := newLinks()
 	defer l.close()
--- a/internal/testcluster/hollow/links.go
+++ b/internal/testcluster/hollow/links.go
@@ -30,7 +30,7 @@
 	mu      sync.Mutex
 	rules   atomic.Pointer[[]rule]
 	changed chan struct{} // closed when the rules change
-	// closing has the streams that were closed while their link was cut and whose connection is still open.
+	// closing has the streams that were closed while their link was cut. Their connections are still open.
 	closing map[*stream]bool
 	done    chan struct{}
 	delayed sync.WaitGroup // datagrams that are being delayed
@@ -42,8 +42,8 @@
 	return l
 }
 
-// Set sets the link between two areas, and replaces a link that was set between the same areas in the same order
-// before. b may be "rest", which means all locations outside a. The zero Link removes the setting.
+// Set sets the link between two areas. It replaces an earlier setting for the same areas in the same order. b may be
+// "rest", which means all locations outside a. The zero Link removes the earlier setting.
 func (l *Links) Set(a, b Area, link Link) error {
 	added, err := newRule(a, b, link)
 	if err != nil {
@@ -62,8 +62,8 @@
 // Heal removes all links that were set.
 func (l *Links) Heal() { l.change(func([]rule) []rule { return nil }) }
 
-// change replaces the rules. If that heals a cut link, it closes the connections of streams that were closed during the
-// cut.
+// change replaces the rules. For links that are no longer cut, it closes the connections of streams that were closed
+// during the cut.
 func (l *Links) change(newRules func([]rule) []rule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,8 +97,9 @@
 	return l.changed
 }
 
-// waitOpen waits until the link between two locations is not cut, and then for its delay. If the rules change during
-// the delay, the wait begins again. It returns false if cancelled or the links are closed first.
+// waitOpen waits until the link between two locations is not cut, and then for the link's delay. If the rules change
+// during the delay, the wait begins again. It returns false if the channel cancelled or the links are closed during the
+// wait.
 func (l *Links) waitOpen(p, q Location, cancelled <-chan struct{}) bool {
 	for {
 		changed := l.nextChange()
--- a/internal/testcluster/hollow/location.go
+++ b/internal/testcluster/hollow/location.go
@@ -12,8 +12,8 @@
 // discoveryLocation is the location of discovery: the first zone of the first region, in no rack.
 var discoveryLocation = Location{Region: 1, Zone: 1}
 
-// LocationOf returns the location of the member with number n, which begins at 1. Members fill one rack after another,
-// consecutive racks are in different zones in turn, and each region has zones with consecutive numbers.
+// LocationOf returns the location of the member with number n, which begins at 1. Members fill one rack after another.
+// Consecutive racks are assigned to the zones in turn, and each region has zones with consecutive numbers.
 func LocationOf(n, regions, zones, rackSize int) Location {
 	rack := (n - 1) / rackSize
 	zone := rack % zones
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -90,7 +90,7 @@
 type process struct {
 	node *node.Node
 	hash uint64
-	// join starts the participation in the cluster, and subscribe the subscription to the endpoint list.
+	// join starts the participation in the cluster, and subscribe starts the subscription to the endpoint list.
 	join, subscribe func()
 	stop            context.CancelFunc
 	goroutines      sync.WaitGroup
@@ -173,7 +173,7 @@
 	return m.network, nil
 }
 
-// openNode opens the process's node and creates the source of its endpoint list.
+// openNode opens the process's node and returns the source of its endpoint list.
 func (m *Member) openNode(
 	p *process, config *operator.Config, network *network, attached Attachment,
 ) (*mergedsource.Source, error) {
@@ -208,7 +208,7 @@
 	return source, nil
 }
 
-// setRunFuncs sets the functions that start and stop the goroutines of the process.
+// setRunFuncs sets the functions join, subscribe and stop of the process.
 func (m *Member) setRunFuncs(p *process, source *mergedsource.Source, attached Attachment) {
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
@@ -272,7 +272,7 @@
 	}
 }
 
-// leave ends the process, which tells the other members that it leaves, and waits for its end.
+// leave ends the process and waits for its end. The process first tells the other members that it leaves.
 func (m *Member) leave() {
 	if p := m.running(); p != nil {
 		m.end(p)
@@ -304,8 +304,8 @@
 // ListVersion returns the version of the member's endpoint list, or engine.NoVersion if it has none.
 func (m *Member) ListVersion() int64 { return m.listVersion.Load() }
 
-// SourceState returns the source of the member's endpoint list and its subscribers. It returns false if the member does
-// not run.
+// SourceState returns the state of the member's endpoint source: its upstream, its subscribers and its rank. It returns
+// false if the member does not run.
 func (m *Member) SourceState() (relay.SourceState, bool) {
 	if p := m.running(); p != nil {
 		return p.node.EndpointSource.State(), true
@@ -313,7 +313,8 @@
 	return relay.SourceState{}, false
 }
 
-// Status waits for the member's gossip node and returns its status. It is empty if the member does not run.
+// Status waits for the member's gossip node and returns the node's status, or an empty status if the member does not
+// run.
 func (m *Member) Status() gossip.Status {
 	if p := m.running(); p != nil {
 		return p.node.Gossip.Status()
--- a/internal/testcluster/hollow/network.go
+++ b/internal/testcluster/hollow/network.go
@@ -114,7 +114,7 @@
 // Listen implements gossip.Network.
 func (n *network) Listen(l net.Listener) net.Listener { return &listener{l, n} }
 
-// listener accepts connections and counts their traffic. They are closed when the member is killed.
+// listener accepts connections and counts their traffic. The connections are closed when the member is killed.
 type listener struct {
 	net.Listener
 	network *network
--- a/internal/testcluster/hollow/start.go
+++ b/internal/testcluster/hollow/start.go
@@ -19,8 +19,8 @@
 	// statusInterval is the time between two checks of all members' statuses. It is longer than waitInterval since the
 	// cost of a status grows with the number of members that a member sees.
 	statusInterval = time.Second
-	// subscribeBatch is the number of members that subscribe to the list at a time. They do so in order of their ranks,
-	// because a member whose parent has no list yet would wait for a second.
+	// subscribeBatch is the number of members that subscribe to the endpoint list at a time. Members subscribe in order
+	// of their ranks, because a member whose parent has no list yet would wait for a second.
 	subscribeBatch = 50
 )
 
@@ -30,7 +30,7 @@
 // Kill ends members without informing the others, as SIGKILL ends a real process, and returns when all have ended.
 func (c *Cluster) Kill(members ...*Member) { endAll(members, (*Member).kill) }
 
-// Leave ends members, which tell the others that they leave, and returns when all have ended.
+// Leave ends members and returns when all have ended. The members first tell the others that they leave.
 func (c *Cluster) Leave(members ...*Member) { endAll(members, (*Member).leave) }
 
 // forEach calls a function for each of the members in parallel, and returns their joined errors.
@@ -54,12 +54,12 @@
 
 // StartJoined starts all members and brings the cluster into the state of one that has run for a long time. It sends
 // each member a list of all others at once, waits until there are no updates left to gossip, and lets the members
-// subscribe to the endpoint list in order of their ranks. No member may be running when it is called. Each of these
-// steps may take up to timeout.
+// subscribe to the endpoint list in order of their ranks. No member may be running when it is called. Each wait may
+// take up to timeout.
 //
 // With Start, hundreds of members in one process would learn of each other by gossip. That takes more processor time
-// than one process has, although sidecars on separate machines have enough, and the members would declare each other
-// dead.
+// than one process has, so the members would declare each other dead. Sidecars on separate machines have enough
+// processor time.
 func (c *Cluster) StartJoined(ctx context.Context, timeout time.Duration) error {
 	if err := forEach(c.Members, (*Member).open); err != nil {
 		return err
@@ -110,7 +110,8 @@
 	})
 }
 
-// introduction returns the encoded push-pull response, preceded by its length as on a stream.
+// introduction returns an encoded push-pull response from a member with the given entries, preceded by its length as on
+// a stream.
 func (c *Cluster) introduction(from cluster.Entry, entries []cluster.Entry) ([]byte, error) {
 	frame, err := gossip.Encode(&cluster.Message{
 		Kind:        cluster.PushPullResponse,
@@ -124,7 +125,7 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))), frame...), nil
 }
 
-// pendingUpdates describes a member that has updates left to gossip; "" if there is none.
+// pendingUpdates describes a member that has updates left to gossip, or returns "" if there is none.
 func (c *Cluster) pendingUpdates() string {
 	for _, m := range c.Members {
 		if n := m.Status().Core.QueuedBroadcasts; n > 0 {
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -19,10 +19,10 @@
 	Cut          bool
 	Loss         float64
 	Duplicate    float64
-	Reorder      float64 // probability of being delivered ReorderDelay late, so that later datagrams overtake it
+	Reorder      float64 // probability that a datagram is delayed by ReorderDelay, so that later ones overtake it
 	ReorderDelay time.Duration
 	Delay        time.Duration
-	Corrupt      float64 // probability of having one byte changed
+	Corrupt      float64 // probability that one byte of a datagram is changed
 }
 
 const (
@@ -38,7 +38,7 @@
 const (
 	loopbackOctet = 127 // first octet of all addresses
 	memberOctet   = 77  // second octet of the members' gossip addresses
-	requestOctet  = 78  // second octet of the members' addresses for requests; one less than for admin endpoints
+	requestOctet  = 78  // second octet of the members' addresses for requests; 79 is that for admin endpoints
 	linkOctet     = 100 // the second octet of a link's address is this plus the sender's number
 	prefixBits    = 24  // length of the prefix that all members' addresses, or all links of one sender, have in common
 )
@@ -227,7 +227,7 @@
 	}
 }
 
-// track records a connection so that close closes it. If the link is already closed, it closes the connection at once.
+// track records a connection, which close closes. If the link is already closed, it closes the connection at once.
 func (l *link) track(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testcluster/linksteps.go
+++ b/internal/testcluster/linksteps.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// forEachLink calls do with each link from one group to the other, and if bothWays is set also with those in the
-// opposite direction.
+// forEachLink calls do with each link from one group to the other. If bothWays is set, it also calls do with the links
+// in the opposite direction.
 func (c *Cluster) forEachLink(from, to string, bothWays bool, do func(*link)) error {
 	fromGroup, err := c.group(from)
 	if err != nil {
--- a/internal/testcluster/linktraffic.go
+++ b/internal/testcluster/linktraffic.go
@@ -31,7 +31,7 @@
 	purposeCount
 )
 
-// purposeCounters is a traffic counter for each purpose.
+// purposeCounters has a traffic counter for each purpose.
 type purposeCounters [purposeCount]trafficCounter
 
 func (p *purposeCounters) total() (sum Traffic) {
--- a/internal/testcluster/origins.go
+++ b/internal/testcluster/origins.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Origins are processes like the members. Each has its own address and links, so that the script steps that cut, kill
-// and freeze members apply to origins too.
+// Origins are processes like the members. Each origin has an address and links, so the script steps that cut, kill and
+// freeze members apply to origins too.
 const (
 	originBase = 100 // added to an origin's index to get its number: origin 1 has the number 101
 	maxOrigins = 7
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -17,7 +17,7 @@
 )
 
 // process is a member or an origin, which runs at most one operating system process at a time. Only the goroutine that
-// plays scripts accesses it, except for the atomic fields, which clients read.
+// plays scripts accesses it. The atomic fields are an exception: clients read them.
 type process struct {
 	number        int
 	name          string
@@ -28,14 +28,14 @@
 	program       []string // program that the process runs, with its first arguments
 	arguments     []string // further arguments of the program
 	log           *os.File
-	command       *exec.Cmd // nil if it does not run
+	command       *exec.Cmd // nil if the process does not run
 	exited        chan error
 	frozen        bool
 
-	transitions atomic.Int64 // number of starts and ends; odd while it runs and is not being ended
-	responded   atomic.Bool  // whether it has responded since its start
-	stopped     atomic.Bool  // whether it is stopped by SIGSTOP now
-	freezes     atomic.Int64 // number of SIGSTOP and SIGCONT signals sent to it
+	transitions atomic.Int64 // number of starts and ends; odd while the process runs and is not being ended
+	responded   atomic.Bool  // whether the process has responded since its start
+	stopped     atomic.Bool  // whether the process is stopped by SIGSTOP now
+	freezes     atomic.Int64 // number of SIGSTOP and SIGCONT signals sent to the process
 }
 
 func (p *process) running() bool { return p.command != nil }
--- a/internal/testcluster/processsteps.go
+++ b/internal/testcluster/processsteps.go
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// starve stops and continues the processes of a group in cycles of starvePeriod for a duration, so that they run for
-// only the given share of it.
+// starve stops and continues the processes of a group in cycles of starvePeriod. For the given duration, the processes
+// run for only the given share of each cycle.
 func (c *Cluster) starve(ctx context.Context, group []int, shareText, durationText string) error {
 	share, errShare := strconv.ParseFloat(shareText, 64)
 	duration, errDuration := time.ParseDuration(durationText)
--- a/internal/testcluster/timeline.go
+++ b/internal/testcluster/timeline.go
@@ -15,8 +15,8 @@
 	text string
 }
 
-// Timeline returns the report that a failed run prints: the seed, the script, and its steps and all logs merged by
-// time.
+// Timeline returns the report that a failed run prints. It has the seed, the script, and a list of the script's steps
+// and all log lines in order of time.
 func (c *Cluster) Timeline() string {
 	var lines []timelineEntry
 	for _, n := range c.timeline {
--- a/internal/testcluster/waitsteps.go
+++ b/internal/testcluster/waitsteps.go
@@ -17,7 +17,8 @@
 // expected.
 type waitCondition struct {
 	timeout, group string
-	// difference describes the first difference of the views from the expected ones; "" if there is none.
+	// difference describes the first difference between the views and the expected ones, or returns "" if there is
+	// none.
 	difference func(views map[int]gossip.Status) string
 }
 
@@ -48,7 +49,7 @@
 		if ctx.Err() != nil {
 			return fmt.Errorf("cancelled before the condition held: %s", difference)
 		}
-		return fmt.Errorf("condition does not hold within %v: %s", timeout, difference)
+		return fmt.Errorf("condition did not hold within %v: %s", timeout, difference)
 	}
 	c.Waits = append(c.Waits, Wait{strings.Join(args, " "), time.Since(start)})
 	return nil
@@ -79,9 +80,8 @@
 	return waitCondition{}, fmt.Errorf("unknown condition %q, want agree, state, count or out", args.at(0))
 }
 
-// settle waits until all views of the group have been equal and correct for an uninterrupted length of time. A plain
-// wait can succeed at a moment when the views agree by chance: a probe that was sent before a fault ended can still
-// lead to a suspicion.
+// settle waits until all views of the group have been equal and correct for a length of time without interruption. A
+// plain wait can succeed too early, since a probe that was sent before a fault ended can still lead to a suspicion.
 func (c *Cluster) settle(ctx context.Context, lengthText, timeoutText, groupText string) error {
 	length, errLength := time.ParseDuration(lengthText)
 	timeout, errTimeout := time.ParseDuration(timeoutText)
@@ -106,14 +106,15 @@
 		if ctx.Err() != nil {
 			return fmt.Errorf("cancelled before the views agreed for %v: last difference: %s", length, lastDifference)
 		}
-		return fmt.Errorf("views do not agree for %v within %v: last difference: %s", length, timeout, lastDifference)
+		return fmt.Errorf("views did not agree for %v without interruption within %v: last difference: %s",
+			length, timeout, lastDifference)
 	}
 	c.Waits = append(c.Waits, Wait{"settle " + lengthText + " " + groupText, time.Since(start) - length})
 	return nil
 }
 
-// disagreement describes the first difference between the views, or between a view and the running processes; "" if
-// there is none.
+// disagreement describes the first difference between a view and the running processes, or a member without a view. It
+// returns "" if there is neither.
 func (c *Cluster) disagreement(views map[int]gossip.Status) string {
 	running := map[string]cluster.Incarnation{}
 	for n, view := range views {
@@ -134,14 +135,16 @@
 	return ""
 }
 
-// viewDifference describes the first difference between a member's view and the running members; "" if there is none.
+// viewDifference describes the first difference between a member's view and the running members, or returns "" if there
+// is none.
 func viewDifference(viewer string, view gossip.Status, running map[string]cluster.Incarnation) string {
 	seen := 0
 	for _, member := range view.Members {
 		incarnation, runs := running[member.Name]
 		switch {
 		case runs && (member.State != cluster.Alive || member.Incarnation != incarnation):
-			return fmt.Sprintf("%s sees %s as %v %d.%d, want alive %d.%d", viewer, member.Name, member.State,
+			return fmt.Sprintf("%s sees %s as %v in generation %d with %d refutations, "+
+				"want alive in generation %d with %d refutations", viewer, member.Name, member.State,
 				member.Generation, member.Refutations, incarnation.Generation, incarnation.Refutations)
 		case !runs && member.State < cluster.Dead:
 			return fmt.Sprintf("%s sees %s as %v, but it does not run or is outside the group",
@@ -156,7 +159,8 @@
 	return ""
 }
 
-// stateDifference describes a view in which one of the members has none of the given states; "" if there is none.
+// stateDifference describes a view in which one of the members has none of the given states, or returns "" if there is
+// no such view.
 func (c *Cluster) stateDifference(views map[int]gossip.Status, members []int, states []string) string {
 	for viewer, view := range views {
 		for _, n := range members {
@@ -173,7 +177,7 @@
 	return ""
 }
 
-// stateIn returns the state of a member in a view; "unknown" if the view does not contain the member.
+// stateIn returns the state of a member in a view, or "unknown" if the view does not contain the member.
 func stateIn(view gossip.Status, name string) string {
 	state := "unknown"
 	for _, member := range view.Members {
@@ -184,7 +188,8 @@
 	return state
 }
 
-// sizeDifference describes a view whose estimate of the cluster's size is not count; "" if there is none.
+// sizeDifference describes a view whose estimate of the cluster's size is not count, or returns "" if there is no such
+// view.
 func sizeDifference(views map[int]gossip.Status, count string) string {
 	for n, view := range views {
 		if strconv.Itoa(view.Core.EstimatedSize) != count {
@@ -195,7 +200,8 @@
 	return ""
 }
 
-// listedDifference describes a member whose endpoint list contains the server or cannot be read; "" if there is none.
+// listedDifference describes a member whose endpoint list contains the server or cannot be read, or returns "" if there
+// is no such member.
 func (c *Cluster) listedDifference(ctx context.Context, views map[int]gossip.Status, server string) string {
 	for n := range views {
 		var endpoints []struct {
