--- a/internal/testutil/capacitypage.go
+++ b/internal/testutil/capacitypage.go
@@ -84,8 +84,8 @@
 }
 
 // CheckCapacityBound fails the test if a measured value differs from the figure in docs/CAPACITY.md by more than
-// tolerance, which is a share of the figure. In that case either the change that altered the value is wrong, or the
-// page is outdated.
+// tolerance, which is a share of the figure. In that case, either a change to the code has altered the value by
+// mistake, or the page is outdated.
 func CheckCapacityBound(t testing.TB, name string, measured, tolerance float64) {
 	t.Helper()
 	for _, bound := range CapacityBounds(t) {
--- a/internal/testutil/fieldvalues.go
+++ b/internal/testutil/fieldvalues.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// FieldValues returns the values of the exported fields of v, at any depth, in order of declaration. There is one value
-// on each line, without the field's name. A golden file of this text shows into which values the keys of a format are
-// decoded, and stays valid when a Go field is renamed.
+// FieldValues returns the values of the exported fields of v, at any depth, in order of declaration. Each line has one
+// value, without the field's name. A golden file of this text records the decoded values of a format's keys. It stays
+// valid when a Go field is renamed.
 func FieldValues(v any) string {
 	var out strings.Builder
 	walkFields(reflect.ValueOf(v), "", func(_ string, leaf reflect.Value) { fmt.Fprintf(&out, "%v\n", leaf) })
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// UpdateGolden is the name of an environment variable. If it is set, Golden overwrites the golden file instead of
-// comparing with it. It is meant for deliberate changes of a format, and is never set in CI.
+// UpdateGolden is the name of an environment variable. If the variable is set, Golden overwrites golden files instead
+// of comparing with them. The variable is meant for deliberate changes of a format, and is never set in CI.
 const UpdateGolden = "HAZELWING_UPDATE_GOLDEN"
 
-// Permissions of a golden file and its directory, the same as in a git checkout.
+// Permissions of a golden file and its directory. They are the same as in a git checkout.
 const (
 	goldenDirMode  = 0o755
 	goldenFileMode = 0o644
@@ -45,7 +45,8 @@
 	}
 }
 
-// GoldenBinary is Golden for bytes that are not text. The file contains their hexadecimal dump (encoding/hex.Dump).
+// GoldenBinary does the same as Golden for bytes that are not text. The file contains their hexadecimal dump
+// (encoding/hex.Dump).
 func GoldenBinary(t testing.TB, name string, got []byte) {
 	t.Helper()
 	Golden(t, name, []byte(hex.Dump(got)))
--- a/internal/testutil/rapidseed.go
+++ b/internal/testutil/rapidseed.go
@@ -10,7 +10,7 @@
 // rapidSeed is the default seed of property tests, as a value of the flag -rapid.seed.
 const rapidSeed = "44"
 
-// exitUsage is the exit status of a test program whose seed flag cannot be set.
+// exitUsage is the exit status of a test program if the flag -rapid.seed cannot be set.
 const exitUsage = 2
 
 // RunWithRapidSeed runs the tests of a package and exits. Property tests (pgregory.net/rapid) get a fixed seed, so that
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// WaitTimeout limits a test's wait for an event that is certain to occur. It is long because the machine may be busy.
+// WaitTimeout limits a test's wait for an event that has to occur. It is long because the machine may be busy.
 const WaitTimeout = 20 * time.Second
 
 // OKResponse is a complete HTTP/1.1 response with the body "ok".
@@ -66,8 +66,8 @@
 	return req
 }
 
-// Request returns a request as the application sends it to a daemon at url. A request of the class "pay" has an
-// idempotency key.
+// Request returns a request as an application sends it to the daemon at the address url. A request of the class "pay"
+// has an idempotency key.
 func Request(t testing.TB, url, method, class, id, body string) *http.Request {
 	t.Helper()
 	target := url + "/" + class + "/a%2Fb?q=1"
@@ -102,8 +102,8 @@
 	return resp, string(body)
 }
 
-// Receive returns the next value of a channel. It fails the test after WaitTimeout with a message that names the value
-// by the text what.
+// Receive returns the next value of a channel. It fails the test after WaitTimeout. what describes the value in the
+// message.
 func Receive[T any](t testing.TB, values <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -115,8 +115,8 @@
 	}
 }
 
-// Until polls a condition until it is true. It fails the test after WaitTimeout with a message that names the condition
-// by the text what.
+// Until polls a condition until it is true. It fails the test after WaitTimeout. what describes the condition in the
+// message.
 func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !condition(); runtime.Gosched() {
