--- a/internal/simulation/callgraph/callgraph_test.go
+++ b/internal/simulation/callgraph/callgraph_test.go
@@ -76,7 +76,8 @@
 		n += plannedCalls(list[0], leaf, childPath(rng.Uint64(), 0))
 	}
 	if got := float64(n) / users; math.Abs(got-leaf.demand)/leaf.demand > 0.05 {
-		t.Errorf("%.3f planned calls to the leaf for each call of a user, want its demand, %.3f", got, leaf.demand)
+		t.Errorf("%.3f planned calls to the leaf for each call of a user, want the leaf's demand, %.3f, within 5 %%",
+			got, leaf.demand)
 	}
 }
 
@@ -88,7 +89,7 @@
 	}
 	two, err := smallExperiment().Run(2)
 	if err != nil || !reflect.DeepEqual(one, two) {
-		t.Errorf("error %v, points on two cores\n%+v\nwant those on one core\n%+v", err, two, one)
+		t.Errorf("points on two cores, with error %v:\n%+v\nwant the points on one core:\n%+v", err, two, one)
 	}
 }
 
@@ -108,7 +109,7 @@
 			"abandoned calls or calls without an attempt", p)
 	}
 	if p := list[1]; p.Amplification < 1.5 || p.Served > 0.95 {
-		t.Errorf("the leaf fails: %+v; want an amplification of at least 1.5 and at most 0.95 served", p)
+		t.Errorf("the leaf fails: %+v; want Amplification of at least 1.5 and Served of at most 0.95", p)
 	}
 	if p := list[1]; len(p.TimeLeft) != c.Depth || p.TimeLeft[0].P50 < p.TimeLeft[c.Depth-1].P50 ||
 		p.TimeLeft[0].Max > 1 {
@@ -118,7 +119,7 @@
 	c.MaxAttempts = 1
 	if list, err = c.Run(2); err != nil || list[1].Amplification > 1.02 || list[1].Served > 0.95 {
 		t.Errorf("the leaf fails, one attempt per call: error %v, %+v; "+
-			"want an amplification of at most 1.02 and at most 0.95 served", err, list[1])
+			"want Amplification of at most 1.02 and Served of at most 0.95", err, list[1])
 	}
 }
 
@@ -132,7 +133,7 @@
 		t.Fatal(err)
 	}
 	if p := list[1]; p.AbandonedWork < 0.2 || p.Served > 0.95 {
-		t.Errorf("%+v; want at least 0.2 of the work abandoned and at most 0.95 served", p)
+		t.Errorf("the leaf is slow: %+v; want AbandonedWork of at least 0.2 and Served of at most 0.95", p)
 	}
 }
 
@@ -160,7 +161,7 @@
 		list[3].Amplification, 0.1)
 	c.Claims = []Claim{{Measure: "times", Mode: ModeFail, Max: 1.5}}
 	if err := c.Judge(list); err == nil || !strings.Contains(err.Error(), "times is ") {
-		t.Errorf("a claim that cannot hold: got error %v, want one on the measure times", err)
+		t.Errorf("Judge with a claim that cannot hold: got error %v, want one that contains %q", err, "times is ")
 	}
 }
 
@@ -206,7 +207,7 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadExperiment(path); err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%q instead of %q: got error %v, want one that names the file", c[1], c[0], err)
+			t.Errorf("small.toml with %q instead of %q: got error %v, want one that names the file", c[1], c[0], err)
 		}
 	}
 }
--- a/internal/simulation/callgraph/experiment.go
+++ b/internal/simulation/callgraph/experiment.go
@@ -37,11 +37,12 @@
 	Services int `toml:"services"`
 	// Depth is the number of layers below the service that users call.
 	Depth int `toml:"depth"`
-	// Instances is the total number of instances of all services. They are assigned by demand.
+	// Instances is the total number of instances of all services. The number of instances of a service is in proportion
+	// to its demand.
 	Instances int `toml:"instances"`
 	// CallRate is the number of calls per second that all sidecars together make if no call fails.
 	CallRate float64 `toml:"calls"`
-	// FanOut is the mean number of calls to the next layer that serving one call takes.
+	// FanOut is the mean number of calls to the next layer that an instance makes to serve one call.
 	FanOut float64 `toml:"fan"`
 	// MeanWork is the mean time that an instance works on a call, without the calls to the next layer. The time is
 	// distributed exponentially.
--- a/internal/simulation/callgraph/experiment_test.go
+++ b/internal/simulation/callgraph/experiment_test.go
@@ -52,7 +52,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ReadExperiment(path); err == nil || err.Error() != path+": "+key.want {
-				t.Errorf("ReadExperiment: error %v, want %s: %s", err, path, key.want)
+				t.Errorf("ReadExperiment: got error %v, want %s: %s", err, path, key.want)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ReadExperiment(path); err == nil || err.Error() != path+": "+c.want {
-				t.Errorf("ReadExperiment: error %v, want %s: %s", err, path, c.want)
+				t.Errorf("ReadExperiment: got error %v, want %s: %s", err, path, c.want)
 			}
 		})
 	}
--- a/internal/simulation/callgraph/graph.go
+++ b/internal/simulation/callgraph/graph.go
@@ -3,7 +3,7 @@
 // calling instance. The balancer's retry budget, deadlines and ejections decide which calls are retried. The package
 // uses no I/O and no goroutines, and a run is determined by its seed.
 //
-// An instance has one core and a queue. For each call that it serves, it first does the call's own work. It then calls
+// An instance has one core and a queue. For each call that it serves, it first does its own work. It then calls
 // services of the next layer one after the other, each within the time that is left of the served call's deadline. A
 // call is answered with an error if it has the fault or if one of its calls to the next layer fails. Work that has
 // begun continues after its caller has given up, as it does with HTTP/1.1. The simulation does not model connections,
@@ -15,7 +15,7 @@
 	"slices"
 )
 
-// service is a service of the graph.
+// service is a node of the graph of calls.
 type service struct {
 	index, layer int
 	calls        []*service // services that this service calls
--- a/internal/simulation/callgraph/metrics.go
+++ b/internal/simulation/callgraph/metrics.go
@@ -32,8 +32,8 @@
 // secondMetrics counts the planned calls and the attempts at the leaf in one second.
 type secondMetrics struct{ plannedLeafCalls, leafAttempts int }
 
-// trailingSeconds is the number of entries of metrics.seconds for the time after the fault and one deadline. It is
-// longer than the last answers can take.
+// trailingSeconds is the number of entries of metrics.seconds for the time after the fault and one deadline. This time
+// is longer than the last answers can take.
 const trailingSeconds = 3
 
 func newMetrics(sim *simulation, userRate float64) *metrics {
--- a/internal/simulation/callgraph/point.go
+++ b/internal/simulation/callgraph/point.go
@@ -58,7 +58,7 @@
 	P1, P50, Max float64
 }
 
-// measure returns the measure that claims call by the given name, or false if there is no such measure.
+// measure returns the value of a measure, given by its name in claims. It returns false if there is no such measure.
 func (p Point) measure(name string) (float64, bool) {
 	switch name {
 	case "times":
--- a/internal/simulation/callgraph/sidecar.go
+++ b/internal/simulation/callgraph/sidecar.go
@@ -25,7 +25,7 @@
 	calls      map[string]*call
 	lastCallID int
 	timerAt    time.Duration // time at which the balancer's timer fires; 0: no timer is set
-	// buffers are slices for actions that are not in use. handle takes one for the time of the call.
+	// buffers holds unused slices for actions. A call of handle uses one of them until it returns.
 	buffers [][]balancer.Action
 }
 
--- a/internal/simulation/capacity/capacity_test.go
+++ b/internal/simulation/capacity/capacity_test.go
@@ -132,7 +132,7 @@
 		c.claim.Role, c.claim.Phase = RoleAll, "quiet"
 		err := (&Experiment{Sizes: []int{4, 8}, Claims: []Claim{c.claim}}).Judge(list)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: got error %v, want one that contains %q (empty: no error)", c.claim, err, c.want)
+			t.Errorf("claim %+v: got error %v, want one that contains %q (empty: no error)", c.claim, err, c.want)
 		}
 	}
 }
--- a/internal/simulation/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -169,17 +170,18 @@
 		return []error{errors.New("phases: no phase is given")}
 	}
 	if first := e.Phases[0]; !starts(first) {
-		errs = append(errs, fmt.Errorf("phases: the first one is %q, and has to be %q or %q",
+		errs = append(errs, fmt.Errorf("phases: the first phase is %q, want %q or %q",
 			first, phaseStart, phaseJoined))
 	}
 	for _, name := range e.Phases[1:] {
 		if starts(name) {
-			errs = append(errs, fmt.Errorf("phases: %q can only be the first one, since it starts the cluster", name))
+			errs = append(errs, fmt.Errorf("phases: %q can only be the first phase, since it starts the cluster", name))
 		}
 	}
 	for _, name := range e.Phases {
 		if phases[name] == nil {
-			errs = append(errs, fmt.Errorf("phases: unknown phase %q", name))
+			errs = append(errs, fmt.Errorf("phases: unknown phase %q, want one of %q",
+				name, slices.Sorted(maps.Keys(phases))))
 		}
 	}
 	return errs
@@ -239,8 +241,9 @@
 	if c.Size != 0 && !slices.Contains(e.Sizes, c.Size) {
 		errs = append(errs, fmt.Errorf("size %d is not one of the experiment's sizes, which are %d", c.Size, e.Sizes))
 	}
-	if !slices.Contains([]string{RoleLeaf, RoleRoot, RoleRelay, RoleDiscovery, RoleAll}, c.Role) {
-		errs = append(errs, fmt.Errorf("unknown role %q", c.Role))
+	roles := []string{RoleLeaf, RoleRoot, RoleRelay, RoleDiscovery, RoleAll}
+	if !slices.Contains(roles, c.Role) {
+		errs = append(errs, fmt.Errorf("unknown role %q, want one of %q", c.Role, roles))
 	}
 	return errs
 }
@@ -287,7 +290,7 @@
 	return (c.Max == nil || value <= *c.Max) && (c.Min == nil || value >= *c.Min)
 }
 
-// limits describes the limits of the claim.
+// limits returns the limits of the claim as text.
 func (c Claim) limits() string {
 	var list []string
 	if c.Min != nil {
--- a/internal/simulation/capacity/experiment_test.go
+++ b/internal/simulation/capacity/experiment_test.go
@@ -23,7 +23,7 @@
 	for i, line := range lines {
 		rest, named := strings.CutPrefix(line, path+": ")
 		if !named {
-			t.Errorf("error %q does not begin with the name of the file", line)
+			t.Errorf("error %q does not begin with the name of the file, %s", line, path)
 		}
 		lines[i] = rest
 	}
@@ -32,7 +32,11 @@
 
 // All errors of a file are reported together, in a fixed order.
 func TestAllErrorsOfWrongFile(t *testing.T) {
-	const valid = "question = \"q\"\nsizes = [4]\nphases = [\"start\", \"quiet\"]\n"
+	const (
+		valid     = "question = \"q\"\nsizes = [4]\nphases = [\"start\", \"quiet\"]\n"
+		allPhases = `["day" "known" "quiet" "rack" "region" "restart" "start" "zone"]`
+		allRoles  = `["sidecar" "asks" "followed" "discovery" "all"]`
+	)
 	for name, c := range map[string]struct {
 		text string
 		want []string
@@ -52,16 +56,16 @@
 				"question: missing or empty",
 				"sizes: 1 is not in the range from 2 to 2500",
 				"upstreams: -1 is below 0",
-				`phases: the first one is "quiet", and has to be "start" or "known"`,
-				`phases: "known" can only be the first one, since it starts the cluster`,
-				`phases: unknown phase "x"`,
-				`phases: unknown phase "y"`,
+				`phases: the first phase is "quiet", want "start" or "known"`,
+				`phases: "known" can only be the first phase, since it starts the cluster`,
+				`phases: unknown phase "x", want one of ` + allPhases,
+				`phases: unknown phase "y", want one of ` + allPhases,
 				"wait: 11m0s is out of range; above 0 and at most 10m0s is allowed",
 				"day: 5 failures and 63 replacements are more than the 4 members of day.of",
 				"claim 1: neither most nor least is given",
 				`claim 1: phase "drain" is not one of the experiment's phases, which are ["quiet" "x" "known" "y"]`,
 				"claim 1: size 3 is not one of the experiment's sizes, which are [4 1]",
-				`claim 1: unknown role "none"`,
+				`claim 1: unknown role "none", want one of ` + allRoles,
 			},
 		},
 		"several claims": {
@@ -72,15 +76,16 @@
 			[]string{
 				"quiet: 0s is out of range; above 0 and at most 10m0s is allowed",
 				"claim 1: neither most nor least is given",
-				`claim 2: unknown role "none"`,
+				`claim 2: unknown role "none", want one of ` + allRoles,
 				"claim 4: size 5 is not one of the experiment's sizes, which are [4]",
-				`claim 4: unknown role ""`,
+				`claim 4: unknown role "", want one of ` + allRoles,
 			},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := errorsOf(t, c.text); !slices.Equal(got, c.want) {
-				t.Errorf("ReadExperiment: errors\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(c.want, "\n"))
+				t.Errorf("ReadExperiment: got errors\n%s\nwant\n%s",
+					strings.Join(got, "\n"), strings.Join(c.want, "\n"))
 			}
 		})
 	}
@@ -98,6 +103,6 @@
 		"wait: 12m0s is out of range; above 0 and at most 10m0s is allowed",
 	}
 	if slices.Sort(got); !slices.Equal(got, want) {
-		t.Errorf("ReadExperiment: errors\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("ReadExperiment: got errors\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
--- a/internal/simulation/capacity/format_test.go
+++ b/internal/simulation/capacity/format_test.go
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadResults(path); err == nil || err.Error() != path+": row 2: "+want {
-			t.Errorf("without %s: got error %v, want %q", key, err, want)
+			t.Errorf("row without %s: got error %v, want %s: row 2: %s", key, err, path, want)
 		}
 	}
 }
--- a/internal/simulation/capacity/run.go
+++ b/internal/simulation/capacity/run.go
@@ -128,10 +128,11 @@
 	waits.Go(func() { wait(&listsAt, &problems[1], r.outdatedLists) })
 	waits.Wait()
 	if err := ctx.Err(); err != nil {
-		return fmt.Errorf("cancelled before views and lists converged: %q: %w", problems, err)
+		return fmt.Errorf("cancelled before views and lists converged (last differences: %q): %w", problems, err)
 	}
 	if problems != [2]string{} {
-		return fmt.Errorf("views and lists did not converge within %v: %q", time.Duration(r.Timeout), problems)
+		return fmt.Errorf("views and lists did not converge within %v; last differences: %q",
+			time.Duration(r.Timeout), problems)
 	}
 	r.add(RoleAll, "views agree", unitSeconds, viewsAt.Seconds(), 1)
 	r.add(RoleAll, "lists current", unitSeconds, listsAt.Seconds(), 1)
@@ -146,7 +147,7 @@
 			return nil
 		}
 		if time.Since(begin) > time.Duration(r.Timeout) {
-			return fmt.Errorf("views and lists did not converge after the day within %v: %q",
+			return fmt.Errorf("views and lists did not converge within %v after the day; last differences: %q",
 				time.Duration(r.Timeout), problems)
 		}
 		if err := sleep(ctx, waitInterval); err != nil {
--- a/internal/simulation/capacity/stored_test.go
+++ b/internal/simulation/capacity/stored_test.go
@@ -53,11 +53,11 @@
 		{Experiment: "quiet", Size: 24, Role: RoleAll, Phase: "start", Figure: "joined", Unit: "s", Value: 0, N: 1},
 	}
 	if !slices.Equal(list, want) {
-		t.Errorf("read %+v, want %+v", list, want)
+		t.Errorf("%s: read %+v, want %+v", path, list, want)
 	}
 	var out bytes.Buffer
 	if err := WriteResults(&out, list); err != nil || out.String() != string(text) {
-		t.Errorf("wrote\n%s\nwith error %v, want\n%s", &out, err, text)
+		t.Errorf("%s: written again with error %v:\n%s\nwant\n%s", path, err, &out, text)
 	}
 	added := Result{
 		Experiment: "day",
--- a/internal/simulation/configsim/change.go
+++ b/internal/simulation/configsim/change.go
@@ -31,8 +31,8 @@
 	// AnsweredAt is the time at which an origin accepted the change or answered that it conflicts; 0: not yet.
 	AnsweredAt time.Duration
 	Answer     origin.Result
-	// ReportedAt is the time at which an origin's aggregated report counted all members as having the change active;
-	// 0: not yet.
+	// ReportedAt is the time at which the aggregated report of an origin first counted the change as active at all
+	// members; 0: not yet.
 	ReportedAt time.Duration
 
 	activeAt   map[int]time.Duration // by member index
@@ -169,8 +169,8 @@
 	return change.ActiveAfter(c, filter, 1, 0) >= 0
 }
 
-// isReported reports whether some origin's aggregated report counts at least a number of members as having the change
-// active.
+// isReported reports whether the aggregated report of some origin counts the change as active at the given number of
+// members or more.
 func (c *Cluster) isReported(change *Change, members int) bool {
 	for _, o := range c.Origins {
 		if !o.up || o.frozen || o.frame.Revision != change.Answer.Revision {
--- a/internal/simulation/configsim/configsim_test.go
+++ b/internal/simulation/configsim/configsim_test.go
@@ -56,8 +56,8 @@
 	logTable(t, outcomes)
 }
 
-// slowest returns an outcome with the worse value of each time and count of two outcomes. A negative time means that
-// the event did not happen, so it is the worst.
+// slowest combines two outcomes: it takes the worse value of each time and count. A negative time is the worst, since
+// it means that the event did not happen.
 func slowest(x, y Outcome) Outcome {
 	later := func(a, b time.Duration) time.Duration {
 		if a < 0 || b < 0 {
@@ -81,9 +81,9 @@
 	t.Log("\n" + b.String())
 }
 
-// The regions are partitioned. If both accepted changes, their configurations would diverge permanently. The region
-// with the majority of the origins has to accept a change, the other one must not accept any and has to keep its
-// configuration, and the last change has to be active at all members within 4 s of the end of the partition.
+// The regions are partitioned. If both regions accepted changes, their configurations would diverge permanently. The
+// region with the majority of the origins has to accept a change. The other region must not accept a change, and has to
+// keep its configuration. Within 4 s of the end of the partition, the accepted change has to be active at all members.
 func TestRegionPartition(t *testing.T) {
 	partition := time.Minute
 	if *long {
@@ -162,8 +162,8 @@
 
 // All origins are lost, and new ones are bootstrapped with a higher epoch. Versions start again at 1, so a member that
 // compared versions alone would stay with the old epoch and never apply a change again. All members have to follow the
-// new epoch from its first change on, including one that was frozen in between, and an origin of the old epoch that
-// starts again must not lead any member back.
+// new epoch from its first change on, including one that was frozen in between. An origin of the old epoch that starts
+// again must not lead any member back to the old epoch.
 func TestHigherEpoch(t *testing.T) {
 	const absent = 7
 	c, err := New(Config{Members: 60, Seed: 1})
@@ -213,12 +213,12 @@
 	c.Run(20 * time.Second)
 	for _, m := range c.Members {
 		if r := m.follower.Stats().Active; r != change.Answer.Revision {
-			t.Fatalf("beside an origin of the old epoch, %s has revision %v active, want %v",
+			t.Fatalf("after an origin of the old epoch has started again, %s has revision %v active, want %v",
 				m.name, r, change.Answer.Revision)
 		}
 	}
 	if change := c.Push("more", 0); !c.waitActive(10*time.Second, change, nil) {
-		t.Errorf("beside an origin of the old epoch, a change is active at %d of %d members after 10 s, want all",
+		t.Errorf("with an origin of the old epoch, a change is active at %d of %d members after 10 s, want all",
 			len(change.activeAt), len(c.Members))
 	}
 }
--- a/internal/simulation/configsim/connection.go
+++ b/internal/simulation/configsim/connection.go
@@ -127,7 +127,8 @@
 	c.scheduleSelection(m, number, retryDelay)
 }
 
-// subscribed makes an accepted connection the member's upstream and exchanges the current frame and report over it.
+// subscribed makes an accepted connection the member's upstream. The upstream sends its frame if it is newer than the
+// member's, and the member sends its report.
 func (c *Cluster) subscribed(conn *connection, selection bootstrap.Selection) {
 	m := conn.child
 	m.failedOrigins = 0
--- a/internal/simulation/configsim/longrun.go
+++ b/internal/simulation/configsim/longrun.go
@@ -9,8 +9,8 @@
 	// partitionChangeTimeout limits the time until a change that is pushed during a partition is active in the larger
 	// region.
 	partitionChangeTimeout = 10 * time.Second
-	// smallerPushTime is the time for which the smaller region is observed after a push to it. It must not accept the
-	// change in this time.
+	// smallerPushTime is the time for which the smaller region is observed after a push to it. The region must not
+	// accept the change in this time.
 	smallerPushTime = 5 * time.Second
 	// rejoinTimeout limits the time after a partition until the last change is active at all members.
 	rejoinTimeout = 15 * time.Second
@@ -44,16 +44,18 @@
 	smaller := c.Push("smaller", 2)
 	c.Run(smallerPushTime)
 	if smaller.AnsweredAt > 0 {
-		return Outcome{}, fmt.Errorf("the smaller region answered a push during the partition: %v", smaller.Answer)
+		return Outcome{}, fmt.Errorf("the smaller region answered a push during the partition with %+v, want no answer",
+			smaller.Answer)
 	}
 	c.Run(duration/2 - rejoinTimeout)
 	for _, m := range c.Members {
 		switch _, ok := change.activeAt[m.index]; {
 		case ok && !c.inLargerRegion(m):
-			return Outcome{}, fmt.Errorf("%s in the smaller region has the larger region's change during the partition",
-				m.name)
+			return Outcome{}, fmt.Errorf("during the partition, the larger region's change is active at %s, "+
+				"which is in the smaller region", m.name)
 		case !ok && c.inLargerRegion(m):
-			return Outcome{}, fmt.Errorf("%s in the larger region does not have its region's change", m.name)
+			return Outcome{}, fmt.Errorf("the larger region's change is not active at %s, which is in that region",
+				m.name)
 		}
 	}
 	c.Partition(false)
--- a/internal/simulation/configsim/machine.go
+++ b/internal/simulation/configsim/machine.go
@@ -46,8 +46,8 @@
 	return from.up && to.up && !from.frozen && !to.frozen && !isCut
 }
 
-// send transmits a message of a size to another machine and calls receive when it arrives. The message is lost if the
-// receiver is not reachable at that time, or if one of the two machines runs another process by then.
+// send transmits a message of the given size to another machine and calls receive when it arrives. The message is lost
+// if the receiver is not reachable at that time, or if one of the two machines runs another process by then.
 func (c *Cluster) send(from, to *machine, size int, receive func()) {
 	begin := max(c.Now, from.busyUntil)
 	from.busyUntil = begin + time.Duration(float64(size)/c.config.Bandwidth*float64(time.Second))
--- a/internal/simulation/configsim/origin.go
+++ b/internal/simulation/configsim/origin.go
@@ -13,7 +13,7 @@
 // originTick is the time between the ticks of an origin's node.
 const originTick = 50 * time.Millisecond
 
-// Origin is a machine that runs an origin.
+// Origin is a machine that runs an origin, which is a replica of the configuration service.
 type Origin struct {
 	machine
 	node  *origin.Node
--- a/internal/simulation/configsim/outcome.go
+++ b/internal/simulation/configsim/outcome.go
@@ -31,7 +31,7 @@
 	MaxOriginReceiveRate        float64
 }
 
-// outcome returns the measurements of a change. All times except Accepted count from a given moment.
+// outcome returns the measurements of a change. All times except Accepted are counted from the time from.
 func (c *Cluster) outcome(name string, change *Change, filter Filter, from time.Duration) Outcome {
 	o := Outcome{
 		Name:     name,
--- a/internal/simulation/configsim/scenario.go
+++ b/internal/simulation/configsim/scenario.go
@@ -30,8 +30,9 @@
 // Scenario is a fault that occurs shortly before or after a push.
 type Scenario struct {
 	Name string
-	// Before injects a fault before the push, at a distance of faultLead or of Lead, whichever is longer. After injects
-	// a fault faultLead after the push. Both return a filter for the members that the outcome counts.
+	// Before injects a fault before the push. The time between the two is the longer of faultLead and Lead. After
+	// injects a fault at the time faultLead after the push. Both return a filter for the members that the outcome
+	// counts.
 	Before, After func(c *Cluster) Filter
 	Lead          time.Duration
 	// Origin returns the index of the origin that receives the push; nil: the first origin.
--- a/internal/simulation/fleetsim/experiment.go
+++ b/internal/simulation/fleetsim/experiment.go
@@ -43,8 +43,8 @@
 	Claims            []Claim               `toml:"claim"`
 }
 
-// Claim is an upper limit for a measure of a protocol. It applies to all points up to a loss rate and a share of slow
-// members.
+// Claim is an upper limit for a measure of a protocol. It applies to the points of the protocol with a loss rate up to
+// MaxLossRate and a share of slow members up to MaxSlowShare.
 type Claim struct {
 	Protocol string `toml:"of"`
 	// Measure is one of: first, all, heal (the slowest time, in seconds); accused, buried (per member and hour);
--- a/internal/simulation/fleetsim/experiment_test.go
+++ b/internal/simulation/fleetsim/experiment_test.go
@@ -78,7 +78,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ReadExperiment(path); err == nil || err.Error() != path+": "+c.want {
-				t.Errorf("ReadExperiment: error %v, want %s: %s", err, path, c.want)
+				t.Errorf("ReadExperiment: got error %v, want %s: %s", err, path, c.want)
 			}
 		})
 	}
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -55,9 +55,8 @@
 	t.Logf("the views converged %v after the restarts", waitConverged(t, s, time.Minute, nil, "after the deaths"))
 }
 
-// In a partition, each half declares the members of the other half dead, and forgets them if the partition is long
-// enough. The cluster could then stay split after the network works again. The views have to converge after partitions
-// of any length.
+// In a partition, each half declares the members of the other half dead, and forgets them after a while. The cluster
+// could then stay split after the network works again. The views have to converge after partitions of any length.
 func TestPartitionHeals(t *testing.T) {
 	for _, c := range []struct {
 		partition, deadMemberTTL time.Duration
@@ -366,7 +365,8 @@
 	}
 }
 
-// recover unblocks all links and starts some of the stopped members, so that at least one seed runs.
+// recover unblocks all links, lowers the loss rate to at most 0.05 and ends the extra delay of datagrams. It starts
+// some of the stopped members, and at least one seed if none runs.
 func (h *history) recover() {
 	clear(h.blocked)
 	h.config.LossRate, h.config.DelayedRate = min(h.config.LossRate, 0.05), 0
@@ -405,7 +405,7 @@
 	t.Helper()
 	core, ok := s.Members[i].Protocol.(*cluster.Core)
 	if !ok {
-		t.Fatalf("member %d runs no cluster.Core", i)
+		t.Fatalf("member %d runs a %T, want a *cluster.Core", i, s.Members[i].Protocol)
 	}
 	return core
 }
--- a/internal/simulation/fleetsim/simulation.go
+++ b/internal/simulation/fleetsim/simulation.go
@@ -1,6 +1,6 @@
-// Package fleetsim simulates a cluster of many members that each run a cluster.Core. The network loses, delays and
-// duplicates messages, and members die, freeze, pause repeatedly and restart. The package uses no I/O and no
-// goroutines, and a run is determined by its seed.
+// Package fleetsim simulates a cluster of many members that each run a membership protocol, by default a cluster.Core.
+// The network loses, delays and duplicates messages, and members die, freeze, pause repeatedly and restart. The package
+// uses no I/O and no goroutines, and a run is determined by its seed.
 package fleetsim
 
 import (
@@ -191,5 +191,6 @@
 	s.Kill(i)
 }
 
-// Freeze suspends a member's process for a time. Messages that arrive in between are handled when it is resumed.
+// Freeze suspends a member's process for a time. Messages that arrive in the meantime are handled when the process is
+// resumed.
 func (s *Simulation) Freeze(i int, d time.Duration) { s.Members[i].frozenUntil = s.Now + d }
--- a/internal/testcluster/hollow/links.go
+++ b/internal/testcluster/hollow/links.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// linkBetween returns the link between two locations. If several rules apply, it has the worst value of each property.
+// linkBetween returns the link between two locations. If several rules apply, the link has the worst value of each
+// property.
 func (l *Links) linkBetween(p, q Location) (link Link) {
 	for _, r := range *l.rules.Load() {
 		if r.matches(p, q) {
@@ -98,7 +99,7 @@
 }
 
 // waitOpen waits until the link between two locations is not cut, and then for the link's delay. If the rules change
-// during the delay, the wait begins again. It returns false if the channel cancelled or the links are closed during the
+// during the delay, the wait begins again. It returns false if cancelled is closed, or the links are closed, during the
 // wait.
 func (l *Links) waitOpen(p, q Location, cancelled <-chan struct{}) bool {
 	for {
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -63,7 +63,8 @@
 	listener net.Listener
 	tasks    sync.WaitGroup
 
-	// sent counts the traffic from the sender to the receiver, returned the receiver's answers on the sender's streams.
+	// sent counts the traffic from the sender to the receiver. returned counts the receiver's answers on the sender's
+	// streams.
 	sent, returned purposeCounters
 
 	mu         sync.Mutex
@@ -128,8 +129,7 @@
 	l.changed = make(chan struct{})
 }
 
-// changeConditions applies change to the link's conditions. It must not be called concurrently, and is called only by
-// the goroutine that plays the script.
+// changeConditions applies change to the link's conditions. Only the goroutine that plays the script may call it.
 func (l *link) changeConditions(change func(*Conditions)) {
 	conditions, _ := l.currentConditions()
 	change(&conditions)
@@ -176,7 +176,7 @@
 	}
 }
 
-// forwardDatagram forwards a datagram, unless the conditions drop it. They may also duplicate, delay or corrupt it.
+// forwardDatagram forwards a datagram, or drops, duplicates, delays or corrupts it, as the link's conditions require.
 func (l *link) forwardDatagram(datagram []byte) {
 	conditions, _ := l.currentConditions()
 	if conditions.Cut || l.drawEvent(conditions.Loss) {
@@ -227,7 +227,8 @@
 	}
 }
 
-// track records a connection, which close closes. If the link is already closed, it closes the connection at once.
+// track records a connection so that close can close it. If the link is already closed, track closes the connection at
+// once.
 func (l *link) track(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -295,8 +296,8 @@
 	<-returned
 }
 
-// copyStream copies one direction of a stream and calls count with each piece of data that it reads. At the end of from
-// it closes the write side of to; an error closes both connections.
+// copyStream copies one direction of a stream and calls count with each piece of data that it reads. When from ends, it
+// closes the write side of to. After an error it closes both connections.
 func (l *link) copyStream(from, to net.Conn, count func([]byte)) {
 	buffer := make([]byte, streamBuffer)
 	for {
@@ -314,7 +315,7 @@
 			continue
 		}
 		if tcp, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-			_ = tcp.CloseWrite() // the error says only that to is closed already
+			_ = tcp.CloseWrite() // an error means only that to is already closed
 			return
 		}
 		break
--- a/internal/testcluster/memberfiles.go
+++ b/internal/testcluster/memberfiles.go
@@ -45,7 +45,7 @@
 
 // chooseAddresses sets the member's address for requests and the address of its admin endpoint. Their ports are free
 // now; the member listens on them when it starts. Each address has a separate IP address on which nothing else listens:
-// on a shared one, the same free port could be chosen for two listeners.
+// on a shared IP address, the same free port could be chosen for two listeners.
 func (p *process) chooseAddresses() error {
 	for i, address := range []*string{&p.listen, &p.admin} {
 		host := netip.AddrFrom4([4]byte{loopbackOctet, byte(requestOctet + i), 0, byte(p.number)})
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -130,7 +130,7 @@
 	}
 	p.transitions.Add(1)
 	_ = p.command.Process.Kill() // fails if the process has exited
-	<-p.exited                   //nolint:errcheck // the error says only that it was killed
+	<-p.exited                   //nolint:errcheck // the error says only that the process was killed
 	p.command = nil
 }
 
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -26,7 +26,7 @@
 			return fmt.Errorf("%s: %w", text, err)
 		}
 		if violations := c.Violations(); len(violations) > 0 {
-			return fmt.Errorf("after %s: %s", text, strings.Join(violations, "; "))
+			return fmt.Errorf("rule violations after the step %s: %s", text, strings.Join(violations, "; "))
 		}
 	}
 	return nil
--- a/internal/testutil/rapidseed.go
+++ b/internal/testutil/rapidseed.go
@@ -14,7 +14,8 @@
 const exitUsage = 2
 
 // RunWithRapidSeed runs the tests of a package and exits. Property tests (pgregory.net/rapid) get a fixed seed, so that
-// each run has the same result; the flag -rapid.seed sets another seed. TestMain calls RunWithRapidSeed.
+// each run has the same result. The flag -rapid.seed sets another seed. RunWithRapidSeed is meant to be called by
+// TestMain.
 func RunWithRapidSeed(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
