--- a/internal/simulation/callgraph/experiment_test.go
+++ b/internal/simulation/callgraph/experiment_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Each of the checks that TestFirstErrorOfWrongFile does not cover reports its own error.
+// Each check that TestFirstErrorOfWrongFile does not cover reports an error of its own.
 func TestErrorOfOneWrongKey(t *testing.T) {
 	const valid = `depth = 2
 services = 5
--- a/internal/simulation/configsim/outcome.go
+++ b/internal/simulation/configsim/outcome.go
@@ -55,7 +55,7 @@
 	return o
 }
 
-// addSlowest merges the outcome of another change into o. It keeps the longer of the two for each time, and adds up the
+// addSlowest merges the outcome of another change into o. Of each time it keeps the longer one, and it adds up the
 // missing members.
 func (o *Outcome) addSlowest(other Outcome) {
 	o.Accepted = max(o.Accepted, other.Accepted)
--- a/internal/testcluster/waitsteps.go
+++ b/internal/testcluster/waitsteps.go
@@ -47,9 +47,9 @@
 		return difference == ""
 	}) {
 		if ctx.Err() != nil {
-			return fmt.Errorf("cancelled before the condition held: %s", difference)
+			return fmt.Errorf("cancelled before the condition held; last difference: %s", difference)
 		}
-		return fmt.Errorf("condition did not hold within %v: %s", timeout, difference)
+		return fmt.Errorf("condition did not hold within %v; last difference: %s", timeout, difference)
 	}
 	c.Waits = append(c.Waits, Wait{strings.Join(args, " "), time.Since(start)})
 	return nil
@@ -104,9 +104,9 @@
 		return time.Since(agreedSince) >= length
 	}) {
 		if ctx.Err() != nil {
-			return fmt.Errorf("cancelled before the views agreed for %v: last difference: %s", length, lastDifference)
+			return fmt.Errorf("cancelled before the views agreed for %v; last difference: %s", length, lastDifference)
 		}
-		return fmt.Errorf("views did not agree for %v without interruption within %v: last difference: %s",
+		return fmt.Errorf("views did not agree for %v without interruption within %v; last difference: %s",
 			length, timeout, lastDifference)
 	}
 	c.Waits = append(c.Waits, Wait{"settle " + lengthText + " " + groupText, time.Since(start) - length})
