--- a/internal/simulation/callgraph/experiment_test.go
+++ b/internal/simulation/callgraph/experiment_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// If a file has several errors, the first one in the fixed order of the checks is reported. In each case, a key and all
-// keys that are checked after it are wrong. The error has to name the first of them.
+// If a file has several errors, only the first one in the fixed order of the checks is reported. In each case, one key
+// and all keys that are checked after it are wrong. The error has to name this key.
 func TestFirstErrorOfWrongFile(t *testing.T) {
 	keys := []struct{ valid, wrong, want string }{
 		{"depth = 2", "depth = 21", "depth: 21 is not in the range from 1 to 20"},
@@ -34,7 +34,7 @@
 		{
 			"",
 			"[[claim]]\nmeasure = \"times\"\nmode = \"fail\"",
-			`claim 2: mode "fail" is neither "well" nor one of the file's modes`,
+			`claim 2: mode "fail" is neither "well" nor one of the experiment's modes, which are ["slow"]`,
 		},
 	}
 	for first, key := range keys {
@@ -52,13 +52,13 @@
 				t.Fatal(err)
 			}
 			if _, err := ReadExperiment(path); err == nil || err.Error() != path+": "+key.want {
-				t.Errorf("ReadExperiment: error %v, want %s: %s", err, path, key.want)
+				t.Errorf("ReadExperiment: got error %v, want %s: %s", err, path, key.want)
 			}
 		})
 	}
 }
 
-// Each wrong key that TestFirstErrorOfWrongFile leaves valid has an error of its own.
+// Each check that TestFirstErrorOfWrongFile does not cover reports an error of its own.
 func TestErrorOfOneWrongKey(t *testing.T) {
 	const valid = `depth = 2
 services = 5
@@ -89,7 +89,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ReadExperiment(path); err == nil || err.Error() != path+": "+c.want {
-				t.Errorf("ReadExperiment: error %v, want %s: %s", err, path, c.want)
+				t.Errorf("ReadExperiment: got error %v, want %s: %s", err, path, c.want)
 			}
 		})
 	}
--- a/internal/simulation/capacity/experiment.go
+++ b/internal/simulation/capacity/experiment.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -32,16 +33,16 @@
 	// RackSize is the number of members in a rack.
 	RackSize int      `toml:"rack"`
 	Phases   []string `toml:"phases"`
-	// SettleTime is the waiting time after most phases, before the next one.
+	// SettleTime is the waiting time after each phase except quiet.
 	SettleTime strictdecode.Duration `toml:"settle"`
 	QuietTime  strictdecode.Duration `toml:"quiet"`
-	// PartitionTime is the duration of the partition between regions.
+	// PartitionTime is the minimum duration of the partition between regions.
 	PartitionTime strictdecode.Duration `toml:"apart"`
-	// Timeout limits the time until all views agree and all members have the current list.
+	// Timeout limits each wait for a condition, such as that all views agree and all members have the current list.
 	Timeout strictdecode.Duration `toml:"wait"`
 	Day     Day                   `toml:"day"`
-	// ClusterKeys and BootstrapKeys are additional lines of the sections [fleet] and [recovery] in the members'
-	// settings.
+	// ClusterKeys and BootstrapKeys have further keys of the tables [fleet] and [recovery] in the members' operator
+	// files.
 	ClusterKeys   string  `toml:"fleet"`
 	BootstrapKeys string  `toml:"recovery"`
 	Claims        []Claim `toml:"claim"`
@@ -50,8 +51,8 @@
 	Name string `toml:"-"`
 }
 
-// Day describes an ordinary day, which is simulated in a shorter time. The numbers of events are for a cluster of
-// ReferenceSize members and scale with the size of the cluster; a number above 0 remains at least 1.
+// Day describes the events of an ordinary day, which run within the shorter time Duration. The numbers of events are
+// for a cluster of ReferenceSize members and scale with the size of the cluster. A number above 0 remains at least 1.
 type Day struct {
 	Duration      strictdecode.Duration `toml:"for"`
 	ReferenceSize int                   `toml:"of"`
@@ -69,9 +70,9 @@
 	Figure string   `toml:"figure"`
 	Role   string   `toml:"role"`
 	Phase  string   `toml:"phase"`
-	Size   int      `toml:"size"` // 0: all sizes
-	Max    *float64 `toml:"most"`
-	Min    *float64 `toml:"least"`
+	Size   int      `toml:"size"`  // 0: all sizes
+	Max    *float64 `toml:"most"`  // nil: no upper limit
+	Min    *float64 `toml:"least"` // nil: no lower limit
 }
 
 // ReadExperiment reads and validates an experiment's file. Its error names the file and, if a key is unknown or has a
@@ -134,25 +135,34 @@
 				fmt.Errorf("sizes: %d is not in the range from %d to %d", n, minMembers, hollow.MaxMembers))
 		}
 	}
-	for _, k := range []struct {
-		key          string
-		value, least int
-	}{
+	errs = append(errs, validateMinimums([]keyMinimum{
 		{"upstreams", e.Endpoints, 0},
 		{"services", e.Services, 1},
 		{"regions", e.Regions, 1},
 		{"rack", e.RackSize, 1},
-	} {
-		if k.value < k.least {
-			errs = append(errs, fmt.Errorf("%s: %d is below %d", k.key, k.value, k.least))
-		}
-	}
+	})...)
 	if e.Zones < e.Regions {
 		errs = append(errs, fmt.Errorf("zones: %d is below the number of regions, %d", e.Zones, e.Regions))
 	}
 	return errs
 }
 
+// keyMinimum is a key of an experiment's file, its value, and the minimum of the value.
+type keyMinimum struct {
+	key            string
+	value, minimum int
+}
+
+// validateMinimums returns an error for each key whose value is below the minimum.
+func validateMinimums(keys []keyMinimum) (errs []error) {
+	for _, k := range keys {
+		if k.value < k.minimum {
+			errs = append(errs, fmt.Errorf("%s: %d is below %d", k.key, k.value, k.minimum))
+		}
+	}
+	return errs
+}
+
 // validatePhases checks that all phases exist, and that the first one and no other starts the cluster.
 func (e *Experiment) validatePhases() (errs []error) {
 	starts := func(phase string) bool { return phase == phaseStart || phase == phaseJoined }
@@ -160,17 +170,18 @@
 		return []error{errors.New("phases: no phase is given")}
 	}
 	if first := e.Phases[0]; !starts(first) {
-		errs = append(errs, fmt.Errorf("phases: the first one is %q, and has to be %q or %q",
+		errs = append(errs, fmt.Errorf("phases: the first phase is %q, want %q or %q",
 			first, phaseStart, phaseJoined))
 	}
 	for _, name := range e.Phases[1:] {
 		if starts(name) {
-			errs = append(errs, fmt.Errorf("phases: %q can only be the first one, since it starts the cluster", name))
+			errs = append(errs, fmt.Errorf("phases: %q can only be the first phase, since it starts the cluster", name))
 		}
 	}
 	for _, name := range e.Phases {
 		if phases[name] == nil {
-			errs = append(errs, fmt.Errorf("phases: unknown phase %q", name))
+			errs = append(errs, fmt.Errorf("phases: unknown phase %q, want one of %q",
+				name, slices.Sorted(maps.Keys(phases))))
 		}
 	}
 	return errs
@@ -197,19 +208,12 @@
 
 func (e *Experiment) validateDay() (errs []error) {
 	d := e.Day
-	for _, k := range []struct {
-		key          string
-		value, least int
-	}{
-		{"of", d.ReferenceSize, 1},
-		{"failures", d.Failures, 0},
-		{"replacements", d.Replacements, 0},
-		{"drains", d.Drains, 0},
-	} {
-		if k.value < k.least {
-			errs = append(errs, fmt.Errorf("day.%s: %d is below %d", k.key, k.value, k.least))
-		}
-	}
+	errs = validateMinimums([]keyMinimum{
+		{"day.of", d.ReferenceSize, 1},
+		{"day.failures", d.Failures, 0},
+		{"day.replacements", d.Replacements, 0},
+		{"day.drains", d.Drains, 0},
+	})
 	if len(errs) == 0 && d.Failures+d.Replacements > d.ReferenceSize {
 		errs = append(errs, fmt.Errorf("day: %d failures and %d replacements are more than the %d members of day.of",
 			d.Failures, d.Replacements, d.ReferenceSize))
@@ -231,13 +235,15 @@
 		errs = append(errs, errors.New("neither most nor least is given"))
 	}
 	if !slices.Contains(e.Phases, c.Phase) {
-		errs = append(errs, fmt.Errorf("phase %q is not one of the file's phases", c.Phase))
+		errs = append(errs,
+			fmt.Errorf("phase %q is not one of the experiment's phases, which are %q", c.Phase, e.Phases))
 	}
 	if c.Size != 0 && !slices.Contains(e.Sizes, c.Size) {
-		errs = append(errs, fmt.Errorf("size %d is not one of the file's sizes", c.Size))
+		errs = append(errs, fmt.Errorf("size %d is not one of the experiment's sizes, which are %d", c.Size, e.Sizes))
 	}
-	if !slices.Contains([]string{RoleLeaf, RoleRoot, RoleRelay, RoleDiscovery, RoleAll}, c.Role) {
-		errs = append(errs, fmt.Errorf("unknown role %q", c.Role))
+	roles := []string{RoleLeaf, RoleRoot, RoleRelay, RoleDiscovery, RoleAll}
+	if !slices.Contains(roles, c.Role) {
+		errs = append(errs, fmt.Errorf("unknown role %q, want one of %q", c.Role, roles))
 	}
 	return errs
 }
@@ -251,7 +257,8 @@
 	return errors.Join(errs...)
 }
 
-// judge returns an error for each result that the claim does not allow, and for each size without a result.
+// judge returns an error for each result that the claim does not allow, and for each size that the claim applies to and
+// that has no result.
 func (c Claim) judge(results []Result, sizes []int) (errs []error) {
 	measured := map[int]bool{}
 	for _, r := range results {
@@ -260,15 +267,14 @@
 		}
 		measured[r.Size] = true
 		if !c.allows(r.Value) {
-			errs = append(errs, fmt.Errorf("%s of %s in %s is %.4g %s at %d members; the claim is %s",
+			errs = append(errs, fmt.Errorf("%s of role %s in phase %s is %.4g %s at %d members; the claim is %s",
 				c.Figure, c.Role, c.Phase, r.Value, r.Unit, r.Size, c.limits()))
 		}
 	}
 	for _, n := range sizes {
 		if !measured[n] && (c.Size == 0 || c.Size == n) {
-			errs = append(
-				errs, fmt.Errorf("%s of %s in %s was not measured at %d members", c.Figure, c.Role, c.Phase, n),
-			)
+			errs = append(errs, fmt.Errorf("%s of role %s in phase %s was not measured at %d members",
+				c.Figure, c.Role, c.Phase, n))
 		}
 	}
 	return errs
@@ -284,7 +290,7 @@
 	return (c.Max == nil || value <= *c.Max) && (c.Min == nil || value >= *c.Min)
 }
 
-// limits describes the limits of the claim.
+// limits returns the limits of the claim as text.
 func (c Claim) limits() string {
 	var list []string
 	if c.Min != nil {
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -12,7 +12,7 @@
 
 var histories = flag.Int("histories", 100, "number of random histories in TestRandomHistories")
 
-// startJoined starts a cluster with member 0 as the seed of all members, and waits until all members have joined.
+// startJoined starts a cluster in which member 0 is the seed of all members, and waits until all members have joined.
 func startJoined(t *testing.T, c Config) *Simulation {
 	t.Helper()
 	s := New(c)
@@ -41,8 +41,8 @@
 	return func(from, to int) bool { return (from < n) == (to < n) }
 }
 
-// A third of the members dies at once, and half of these restart 50 ms later under the same names. A member could
-// apply the death of an earlier process to its successor. The views have to converge within a minute.
+// A third of the members dies at once, and half of these restart 50 ms later under the same names. The other members
+// could apply the death of an earlier process to its successor. The views have to converge within a minute.
 func TestDeathOfAThird(t *testing.T) {
 	s := startJoined(t, Config{Members: 30, Seed: 1})
 	for i := range 10 {
@@ -55,9 +55,8 @@
 	t.Logf("the views converged %v after the restarts", waitConverged(t, s, time.Minute, nil, "after the deaths"))
 }
 
-// In a partition, each half declares the members of the other half dead, and forgets them if the partition is long
-// enough. The cluster could then stay split after the network works again. The views have to converge after partitions
-// of any length.
+// In a partition, each half declares the members of the other half dead, and forgets them after a while. The cluster
+// could then stay split after the network works again. The views have to converge after partitions of any length.
 func TestPartitionHeals(t *testing.T) {
 	for _, c := range []struct {
 		partition, deadMemberTTL time.Duration
@@ -88,9 +87,10 @@
 	}
 }
 
-// A process stalls right after it has sent a probe and continues seconds later. When it finds the probe unanswered, it
-// could suspect the probed member, although the answer arrived during the stall. It must not suspect any member, and
-// must refute suspicions of itself. Without Lifeguard it does suspect members, which shows that the test can fail.
+// A process stalls right after it has sent a probe and continues seconds later. When it continues, it could suspect the
+// probed member, although the answer arrived during the stall. The stalled member must not suspect any member, and must
+// refute suspicions of itself. Without Lifeguard it does suspect members, which shows that the test can detect the
+// failure.
 func TestStalledProber(t *testing.T) {
 	suspicions := func(disableLifeguard bool) int {
 		s := startJoined(t, Config{
@@ -127,8 +127,8 @@
 	}
 }
 
-// One member leaves while it is suspected, another one during a partition. Others could treat them as dead or keep
-// them as alive. The first one has to be seen as left by all, and after the partition the views have to converge.
+// One member leaves while it is suspected, another one during a partition. Other members could see them as dead or as
+// still alive. All members have to see the first one as left, and after the partition the views have to converge.
 func TestLeaving(t *testing.T) {
 	s := startJoined(t, Config{Members: 12, Seed: 4})
 	s.Freeze(3, 4*time.Second)
@@ -153,8 +153,8 @@
 	waitConverged(t, s, 90*time.Second, nil, "after the partition")
 }
 
-// For a minute, ten members join and ten die per second. Updates could overtake each other. After the churn the views
-// have to converge.
+// For a minute, ten members join and ten die per second. Updates about the same member could overtake each other. After
+// the minute the views have to converge.
 func TestChurn(t *testing.T) {
 	s := New(Config{Members: 60, Seed: 5})
 	for i := range 30 {
@@ -204,19 +204,19 @@
 func TestEstimatedSizeInPartition(t *testing.T) {
 	for _, configured := range []int{2, 20, 200} {
 		s := startJoined(t, Config{Members: 20, Seed: 7, ConfiguredSize: configured})
-		count := func(i int) int { return coreOf(t, s, i).Stats().EstimatedSize }
-		if configured <= 20 && count(0) != 20 {
-			t.Errorf("configured size %d: estimate %d after the join, want 20", configured, count(0))
+		estimate := func(i int) int { return coreOf(t, s, i).Stats().EstimatedSize }
+		if configured <= 20 && estimate(0) != 20 {
+			t.Errorf("configured size %d: estimate %d after the join, want 20", configured, estimate(0))
 		}
 		s.Run(5 * time.Minute)
-		if n := count(0); n != 20 {
+		if n := estimate(0); n != 20 {
 			t.Errorf("configured size %d: estimate %d after five minutes, want 20", configured, n)
 		}
 		s.Connected = halves(s)
 		for range 50 {
 			s.Run(time.Minute)
 			for i := range s.Members {
-				if n := count(i); n < 20 {
+				if n := estimate(i); n < 20 {
 					t.Fatalf("configured size %d, %v: member %d estimates %d during the partition, want at least 20",
 						configured, s.Now, i, n)
 				}
@@ -228,7 +228,7 @@
 			s.Kill(i)
 		}
 		s.Run(4 * time.Minute)
-		if n := count(19); n != 14 {
+		if n := estimate(19); n != 14 {
 			t.Errorf("configured size %d: estimate %d four minutes after 6 of 20 members died, want 14", configured, n)
 		}
 	}
@@ -290,8 +290,9 @@
 
 // checkIncarnations fails the test when the incarnation of a member decreases in the view of a process.
 func (h *history) checkIncarnations() {
+	// viewEntry identifies the entry of a member in the view of one process of another member (the viewer).
 	type viewEntry struct {
-		member, incarnation, name int
+		viewer, viewerIncarnation, member int
 	}
 	latest := map[viewEntry]cluster.Incarnation{}
 	h.OnTransition = func(i int, n cluster.Transition) {
@@ -364,7 +365,8 @@
 	}
 }
 
-// recover unblocks all links and starts some of the stopped members, so that at least one seed runs.
+// recover unblocks all links, lowers the loss rate to at most 0.05 and ends the extra delay of datagrams. It starts
+// some of the stopped members, and at least one seed if none runs.
 func (h *history) recover() {
 	clear(h.blocked)
 	h.config.LossRate, h.config.DelayedRate = min(h.config.LossRate, 0.05), 0
@@ -403,7 +405,7 @@
 	t.Helper()
 	core, ok := s.Members[i].Protocol.(*cluster.Core)
 	if !ok {
-		t.Fatalf("member %d runs no cluster.Core", i)
+		t.Fatalf("member %d runs a %T, want a *cluster.Core", i, s.Members[i].Protocol)
 	}
 	return core
 }
