--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -94,8 +94,8 @@
 		if key == clockKey {
 			var err error
 			if clock, err = idempotency.ParseClockState(value); err != nil {
-				d.logger.Error("cannot decode the stored clock state; "+
-					"resuming the clock from wall time and the stored idempotency records", "error", err)
+				d.logger.Error("cannot decode the stored clock state; resuming from wall time and the stored records",
+					"error", err)
 			}
 			return true
 		}
