--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -38,7 +38,8 @@
 // Without [fleet] a sidecar has no node of a cluster, no merged source of endpoints, no section at the admin endpoint
 // and no goroutines of a cluster.
 func TestWithoutCluster(t *testing.T) {
-	// newGoroutines returns an error if build leaves goroutines. Goroutines of earlier tests are ignored.
+	// newGoroutines checks that build creates the parts of a cluster only if [fleet] is set. It returns an error if
+	// build leaves goroutines. Goroutines of earlier tests are ignored.
 	newGoroutines := func(op *operator.Config) error {
 		before := goleak.IgnoreCurrent()
 		s, err := build(t.Context(), config(t, testutil.UnusedAddr, testutil.UnusedAddr), op, discardLog)
@@ -48,15 +49,16 @@
 		defer func() { _ = s.close() }()
 		want := op.Cluster != nil
 		if (s.cluster != nil) != want || (s.endpoints != nil) != want || (s.sections()["fleet"] != nil) != want {
-			t.Errorf("[fleet] is set: %v; got node %v, merged source %v, section %v",
-				want, s.cluster != nil, s.endpoints != nil, s.sections()["fleet"] != nil)
+			t.Errorf("[fleet] set: %v: got node %v, merged source %v, section %v; want %v for each",
+				want, s.cluster != nil, s.endpoints != nil, s.sections()["fleet"] != nil, want)
 		}
 		return goleak.Find(before)
 	}
 	if err := newGoroutines(new(operator.Config)); err != nil {
-		t.Errorf("goroutines before Run without [fleet]: %v", err)
+		t.Errorf("goroutines that build leaves without [fleet]: %v; want none", err)
 	}
-	_ = newGoroutines(clusterConfig(t, "")) // checks that the parts exist; ignores goroutines, which are expected
+	_ = newGoroutines(clusterConfig(t, "")) // checks that the parts exist; with [fleet], build may leave goroutines
+	// The key no_words disables gossiped endpoint updates, and thereby the need for a merged source.
 	cfg := config(t, testutil.UnusedAddr, testutil.UnusedAddr)
 	s, err := build(t.Context(), cfg, clusterConfig(t, "no_words = true\n"), discardLog)
 	if err != nil {
@@ -114,8 +116,9 @@
 	member.ReceiveNotice(cluster.EndpointNotice{Endpoint: "s1", Removed: true, StartedMS: 1000, ReportedBy: "b"}, true)
 	member.ReceiveNotice(cluster.EndpointNotice{Endpoint: "unknown", ReportedBy: "b"}, true)
 	testutil.Until(t, "the removal of s1", func() bool { return strings.Join(removed(), " ") == "s1" })
-	// A faulty member reports that all endpoints have left. The share of 0.3 limits the removals to three.
-	reportAll := func(valid bool) {
+	// A faulty member reports that all endpoints have left. The share of 0.3 limits the removals to three. If active is
+	// false, the reports have expired.
+	reportAll := func(active bool) {
 		for i := range 10 {
 			notice := cluster.EndpointNotice{
 				Endpoint:   fmt.Sprint("s", i),
@@ -123,7 +126,7 @@
 				StartedMS:  1000,
 				ReportedBy: "faulty",
 			}
-			member.ReceiveNotice(notice, valid)
+			member.ReceiveNotice(notice, active)
 		}
 	}
 	reportAll(true)
--- a/internal/daemon/configmember.go
+++ b/internal/daemon/configmember.go
@@ -33,9 +33,10 @@
 
 const (
 	// fetchDelay is how long a member that learns of a newer snapshot waits for its upstream to send it. After that,
-	// the member fetches the snapshot from the member that announced it. The delay is many times longer than a change
-	// takes to pass through the whole tree. With a higher value, members behind a stalled upstream use old settings for
-	// longer. With a lower value, members fetch snapshots that are already on their way to them.
+	// the member fetches the snapshot from the member that announced it. The delay is many times longer than a snapshot
+	// takes to pass through the whole tree of upstreams and their subscribers. With a higher value, members behind a
+	// stalled upstream use old settings for longer. With a lower value, members fetch snapshots that are already on
+	// their way to them.
 	fetchDelay = 300 * time.Millisecond
 	// maxSubscribersPerFanOut limits the subscribers that a member accepts, as a multiple of its fan-out. While the
 	// membership changes, a member may have the subscribers of the current tree and also those of the previous tree, so
@@ -89,7 +90,7 @@
 }
 
 // apply applies a validated snapshot: either all of it or, on an error, none of it. No other function applies
-// snapshots. The module's settings, the number of sidecars and the source of the endpoint list change between two
+// snapshots. The balancer's settings, the number of sidecars and the source of the endpoint list change between two
 // events of the engine. Settings that the snapshot leaves out return to their values at the start. apply is called from
 // the member's own goroutine, one call at a time, and waits for the engine.
 //
@@ -138,8 +139,8 @@
 	if discovery == m.snapshotDiscovery || addr == m.sidecar.currentDiscovery {
 		return nil, nil
 	}
-	// The engine also rejects settings that the module does not accept, but only after the sources of the list have
-	// moved to the new address.
+	// The engine also rejects invalid settings, but only after the sources of the endpoint list have moved to the new
+	// address.
 	if _, err := balancer.New(settings, 0); err != nil {
 		return nil, err
 	}
@@ -167,8 +168,8 @@
 	m.clusterSize = size
 }
 
-// updateMembers informs the member of the other members in the cluster, which it may follow. It is called from the
-// goroutine of the cluster's node.
+// updateMembers passes the list of the cluster's other members to m.member, which may select one of them as its
+// upstream. It is called from the goroutine of the cluster's node.
 func (m *configMember) updateMembers(others []cluster.Member, joined bool) {
 	list := make([]bootstrap.Member, 0, len(others))
 	for _, other := range others {
@@ -177,7 +178,7 @@
 	m.member.UpdateMembers(list, joined)
 }
 
-// receivePeerRevision informs the member of the revision that a peer has. It is called from the goroutine of the
+// receivePeerRevision passes the revision that a peer has announced to m.member. It is called from the goroutine of the
 // cluster's node.
 func (m *configMember) receivePeerRevision(from cluster.Entry, epoch, version uint64) {
 	m.member.ReceivePeerRevision(from.Name, from.Addr.String(), epoch, version)
--- a/internal/daemon/configmember_test.go
+++ b/internal/daemon/configmember_test.go
@@ -99,7 +99,7 @@
 	// Validation of snapshots rejects NaN already. Here the balancer module has to reject it.
 	bad.Settings.Price = &controlplane.Price{Probe: &nan}
 	if err := r.configMember.apply(bad); err == nil || !strings.Contains(err.Error(), "PriceProbe") {
-		t.Errorf("apply: got error %v, want one that names PriceProbe", err)
+		t.Errorf("snapshot with the price NaN: got error %v, want one that names PriceProbe", err)
 	}
 	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.currentDiscovery != addr ||
 		r.configMember.snapshotDiscovery != "" || len(otherCalls) > 0 {
@@ -143,7 +143,8 @@
 	}
 }
 
-// Without [config] a sidecar has no configuration member and no section for it, and uses the logger that it was given.
+// Without [config] a sidecar has no configuration member and no section "config" at the admin endpoint. It uses the
+// logger that it was given.
 func TestWithoutControlPlane(t *testing.T) {
 	s, err := build(t.Context(), config(t, testutil.UnusedAddr, testutil.UnusedAddr), clusterConfig(t, ""), discardLog)
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,8 +19,9 @@
 // operatorConfig is an empty Config. For each signal in reload, Run calls load to read the platform's configuration.
 //
 // Run determines the order in which parts start and stop. The platform's listener opens last, when the sidecar can
-// serve and, if configuration is distributed, has the latest configuration. On stop the fronts answer their requests
-// first. Then the other components end at the same time, and are closed in the reverse order of components.
+// serve. If configuration is distributed, Run waits for the latest configuration before that, but only for a limited
+// time. On stop the fronts answer their requests first. Then the other components end at the same time, and are closed
+// in the reverse order of components.
 //
 // Guard: prevents a second SIGTERM, or a SIGHUP at the same time, from ending the process before it has answered all
 // requests. It holds because ctx stays ended after the first signal, and because signals stay caught until the program
@@ -48,7 +49,7 @@
 	defer running.Wait()
 	defer stop()
 	if s.configMember != nil {
-		// Before it accepts requests, the process has the latest configuration or has logged which one it starts with.
+		// The sidecar accepts requests only after it has the latest configuration or has waited for it long enough.
 		s.configMember.waitReady(ctx)
 		if listener, err = listen(ctx, platformConfig.Listen); err != nil {
 			return err
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -38,7 +38,8 @@
 		resp, body := r.do(t, req)
 		if resp.StatusCode != 200 || body != "seat" ||
 			resp.Header.Get("Content-Type") != "text/x-seat" || resp.Header.Get("Keep-Alive") != "" {
-			t.Errorf("class %s: the sidecar changed the response: got status %s, body %q, header %v",
+			t.Errorf("class %s: response to the client: got status %s, body %q, header %v; "+
+				"want 200, \"seat\", the endpoint's Content-Type and no Keep-Alive",
 				c.class, resp.Status, body, resp.Header)
 		}
 		q := testutil.Receive(t, seen, "the request")
@@ -48,7 +49,8 @@
 			q.Header.Get("X-Request-Id") != id ||
 			q.Header.Get("Idempotency-Key") != req.Header.Get("Idempotency-Key") ||
 			q.Header.Get("X-Other") != "kept" || q.Header.Get("Te") != "" || left <= 0 || left > 15000 {
-			t.Errorf("class %s: the sidecar changed the request: got %s %s, body %q, header %v",
+			t.Errorf("class %s: request to the endpoint: got %s %s, body %q, header %v; "+
+				"want the client's request without Te, and X-Deadline-Ms from 1 to 15000",
 				c.class, q.Method, q.RequestURI, got, q.Header)
 		}
 	}
--- a/internal/daemon/deploy_test.go
+++ b/internal/daemon/deploy_test.go
@@ -41,7 +41,8 @@
 		t.Logf("%-20s %.3f of the requests served", c.name, service[c.name])
 	}
 	if service["both"] <= service["list alone"] {
-		t.Errorf("the list with the name service must serve a larger share than the list alone, got %v", service)
+		t.Errorf("share of the requests served: got %.3f with both sources, want more than the %.3f of the list alone",
+			service["both"], service["list alone"])
 	}
 }
 
--- a/internal/daemon/disconnect_test.go
+++ b/internal/daemon/disconnect_test.go
@@ -22,7 +22,8 @@
 
 // The tests in this file disconnect a client while its request waits, as docs/design/crossings.md describes. They
 // record the requests that arrive at the endpoint's socket. At the end, a second client sends a request. When the
-// second client has its response, no request of the first client can still be in flight.
+// second client has its response, no request of the first client can still be in flight. The request of the first
+// client has the ID "leaves", and that of the second client has the ID "stays".
 
 // disconnects are the ways in which a client disconnects.
 var disconnects = map[string]func(c *net.TCPConn){
@@ -32,7 +33,7 @@
 		send(c, "GET /look/more HTTP/1.1\r\n")
 		c.Close()
 	},
-	"FIN after far more data": func(c *net.TCPConn) { // more than the read-ahead and the kernel buffer
+	"FIN after far more data": func(c *net.TCPConn) { // more data than the read-ahead and the kernel's buffer hold
 		_, _ = c.Write(make([]byte, 512<<10))
 		c.Close()
 	},
@@ -156,7 +157,7 @@
 		d.Set(emulator.Endpoint{Name: "s", Address: addr, Zone: "a", Kind: "m", Health: "SERVING"})
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "stays" {
-			t.Errorf("requests that arrived: got %q, want \"stays\"", got)
+			t.Errorf("IDs of the requests that arrived: got %q, want \"stays\"", got)
 		}
 	})
 }
@@ -231,7 +232,7 @@
 		arrived.serve(l)
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "stays" {
-			t.Errorf("requests that arrived: got %q, want \"stays\"", got)
+			t.Errorf("IDs of the requests that arrived: got %q, want \"stays\"", got)
 		}
 	})
 }
@@ -276,7 +277,7 @@
 		reject <- true
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "leaves stays" {
-			t.Errorf("requests that arrived: got %q, want \"leaves stays\"", got)
+			t.Errorf("IDs of the requests that arrived: got %q, want \"leaves stays\"", got)
 		}
 	})
 }
@@ -323,7 +324,7 @@
 		testutil.Until(t, "the end of the dial", func() bool { return !isDialing(t, other.Addr()) })
 		r.checkOtherClientIsServed(t)
 		if got := arrived.String(); got != "leaves stays" {
-			t.Errorf("requests that arrived: got %q, want \"leaves stays\"", got)
+			t.Errorf("IDs of the requests that arrived: got %q, want \"leaves stays\"", got)
 		}
 	})
 }
@@ -334,7 +335,7 @@
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	for name, disconnect := range disconnects {
 		if strings.Contains(name, "far") {
-			continue // a close after more data than the kernel buffers cannot be detected before the data is read
+			continue // the data exceeds the kernel's buffer, so the close cannot be detected before the data is read
 		}
 		t.Run(name, func(t *testing.T) {
 			var arrived arrivals
@@ -369,7 +370,7 @@
 			parts.Go(func() { _ = s.front.Serve(ctx, l, 10, discardLog) })
 			r.checkOtherClientIsServed(t)
 			if got := arrived.String(); got != "stays" {
-				t.Errorf("requests that arrived: got %q, want \"stays\"", got)
+				t.Errorf("IDs of the requests that arrived: got %q, want \"stays\"", got)
 			}
 			r.client.CloseIdleConnections()
 			end()
--- a/internal/daemon/drainnotice_test.go
+++ b/internal/daemon/drainnotice_test.go
@@ -80,23 +80,24 @@
 	return slices.Repeat([]callHandler{handler}, n)
 }
 
-// noticePath is a way in which the update about a drain arrives late, because calls to discovery fail after the watch
-// was lost.
+// noticePath is a case of TestDrainIsNoticedInTime. After the loss of the watch, the next calls to discovery may fail,
+// which delays the update about a drain.
 type noticePath struct {
 	name  string
 	calls []callHandler // handlers of the failing calls, in order; the call after them returns the update
 	// worstCase is the longest time from the drain to the beginning of the call that returns the update. It is computed
 	// in the terms of docs/design/crossings.md. At the time of the drain, discovery has the update and can be reached.
 	worstCase time.Duration
-	// endWatch ends the watch at the time of the drain. If it is nil, the watch stays open and sends nothing more.
+	// endWatch ends the watch at the time of the drain. If it is nil, the watch stays open, but sends only one more
+	// empty line.
 	endWatch callHandler
-	// outage is how long discovery cannot be reached after the loss of the watch. The drain is measured from the end of
+	// outage is how long discovery cannot be reached after the loss of the watch. Times are measured from the end of
 	// the outage.
 	outage time.Duration
-	// moved makes the test move the sidecar to another discovery as soon as the watch is lost.
+	// moved makes the test move the sidecar to another discovery, at the loss of the watch or at the end of the outage.
 	moved bool
-	// viaCompleteList makes the watch of the other discovery work without reporting the drain. In this case calls
-	// handles the calls for the complete list.
+	// viaCompleteList makes the watch of the other discovery send only heartbeats. The update is then in the complete
+	// list, and calls has the handlers of the failing calls for this list.
 	viaCompleteList bool
 	// alsoPushed makes the test run the path a second time, with an agent that pushes the list.
 	alsoPushed bool
@@ -295,7 +296,7 @@
 	})(w, r)
 }
 
-// run drains the first server. It returns the time from the drain to the beginning of the last attempt at that server.
+// run drains the first server. It returns the time from the drain to the last request that this server received.
 func (d *drainRun) run(t *testing.T, number int) (time.Duration, error) {
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
@@ -350,8 +351,9 @@
 	}
 }
 
-// drain ends the watch, makes discovery unreachable and moves the sidecar to the other discovery, as the path requires.
-// It returns the time from which the drain is measured.
+// drain makes the sidecar lose the watch. If the path has an outage, drain closes discovery, waits for the duration of
+// the outage, and reopens discovery unless moved is set. If moved is set, drain moves the sidecar to the other
+// discovery. It returns the time from which the path's times are measured.
 func (d *drainRun) drain() (time.Time, error) {
 	drainedAt := time.Now()
 	close(d.watchLost)
@@ -442,13 +444,16 @@
 		last := results[i].last
 		measured[name] = append(measured[name], fmt.Sprintf("%.2f", last.Seconds()))
 		if last <= 0 {
-			t.Errorf("%s: no request was sent to the server after it drained, so the path tests nothing", name)
+			t.Errorf("%s: the draining server received its last request %v after the drain, want a positive time: "+
+				"the client must still send requests to this server after the drain", name, last)
 		}
-		if last > d.worstCase+slack || d.worstCase > maxNoticeDelay || last > maxNoticeDelay+grace {
-			t.Errorf("%s: the last request was sent %v after the drain, with %d calls to discovery; "+
-				"want at most %v (worst case %v plus %v) and %v, and a worst case of at most %v",
-				name, last.Round(10*time.Millisecond), d.callsMade.Load(),
-				d.worstCase+slack, d.worstCase, slack, maxNoticeDelay+grace, maxNoticeDelay)
+		if d.worstCase > maxNoticeDelay {
+			t.Errorf("%s: the worst case is %v, want at most %v", name, d.worstCase, maxNoticeDelay)
+		}
+		if limit := min(d.worstCase+slack, maxNoticeDelay+grace); last > limit {
+			t.Errorf("%s: the draining server received its last request %v after the drain, want at most %v; "+
+				"%d calls to discovery were made after the loss of the watch",
+				name, last.Round(10*time.Millisecond), limit, d.callsMade.Load())
 		}
 		d.stop()
 	}
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -111,7 +111,8 @@
 	for _, e := range r.endpoints.Status() {
 		drains := e.Addr == host.Address || e.ID == "addr "+host.Address
 		if e.Listed == drains || drains && e.Reason != "list says that it has left" {
-			t.Errorf("endpoint %+v: want only the node that does not drain in the list", e)
+			t.Errorf("endpoint status: got %+v, want Listed %v, and a reason that it has left if it is not listed",
+				e, !drains)
 		}
 	}
 	dns.SetReply(func(dnsmessage.Message, bool) [][]byte { return nil })
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -207,13 +207,14 @@
 		counts[c.Execution]++
 		ran := g.fleet.Rules.KeyExecutions(c.Token)
 		if c.Contradicts(ran) {
-			t.Errorf("mutation %s: the response says %q, but it ran %d times", c.Token, c.Execution, ran)
+			t.Errorf("mutation %s: the response says %q, but the nodes ran it %d times", c.Token, c.Execution, ran)
 		}
 	}
 	for _, violation := range g.fleet.Rules.Violations() {
-		t.Errorf("rule violated: %v", violation)
+		t.Errorf("violation of a rule of the emulator: got %v, want none", violation)
 	}
-	t.Logf("%d operations, %d mutations: %v; statuses %v", *gqlOperations, len(claims), counts, statuses)
+	t.Logf("%d operations; %d mutations, by the execution in the response: %v; responses by HTTP status: %v",
+		*gqlOperations, len(claims), counts, statuses)
 	if counts[gqlnode.Executed] < len(claims)/4 || counts[gqlnode.Unknown] == 0 || counts[gqlnode.NotExecuted] == 0 {
 		t.Errorf("%d mutations by the execution in the response: got %v, want at least a quarter executed, "+
 			"some unknown and some not executed", len(claims), counts)
@@ -288,7 +289,7 @@
 			}
 		}, func(int, time.Time) {})
 		if violations := g.fleet.Rules.Violations(); len(violations) > 0 {
-			t.Errorf("rules violated: %v", violations)
+			t.Errorf("violations of the emulator's rules: got %v, want none", violations)
 		}
 		return f
 	}
@@ -346,7 +347,7 @@
 			t.Fatal(err)
 		}
 		if err := Check(op); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got error %v, want %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want one with %q (none if empty)", name, err, c.want)
 		}
 	}
 }
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	if r.adminListener == nil {
-		t.Error("there is no listener for the admin endpoint")
+		t.Error("admin endpoint: got no listener, want one")
 	}
 	stop()
 	r, stop = runWithOperatorFile(t, addr, text)
@@ -95,9 +95,9 @@
 	}
 }
 
-// A daemon that cannot open its idempotency records must not start, because it could cause an effect twice. The error
-// must name the key. The failed start must release everything that it had opened, because a daemon that leaves its
-// directory locked cannot be started again.
+// A daemon that cannot open its idempotency records must not start, because it could repeat a request that has already
+// run. The error must name the key in the operator's file. The failed start must release everything that it had opened,
+// because a daemon that leaves its directory locked cannot be started again.
 func TestIdempotencyRecordsCannotBeOpened(t *testing.T) {
 	dir := t.TempDir()
 	cfg := parseConfig(t, fmt.Sprintf(testutil.PlatformConfig, testutil.UnusedAddr, testutil.UnusedAddr))
@@ -135,8 +135,11 @@
 	defer stop()
 	op, _ := operator.Parse([]byte(fmt.Sprintf("[ledger]\ndir = %q", dir)))
 	_, err := build(t.Context(), cfg, op, discardLog)
-	if err == nil || !strings.Contains(err.Error(), "another process") || r.deduplicator == nil {
-		t.Errorf("a second daemon with the same directory: got error %v, want one about another process", err)
+	if err == nil || !strings.Contains(err.Error(), "another process") {
+		t.Errorf("a second daemon with the same directory: got error %v, want one with \"another process\"", err)
+	}
+	if r.deduplicator == nil {
+		t.Error("the first daemon has no idempotency records, want records")
 	}
 }
 
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -33,9 +33,9 @@
 	return server.Listener.Addr().String(), calls, ends
 }
 
-// SIGHUP reloads a changed file of the platform. The watch moves to the new address at once. It starts from the first
-// version, because versions of different discovery services are unrelated. An invalid file changes nothing, so that the
-// sidecar keeps its list.
+// SIGHUP reloads a changed configuration file of the platform. The watch moves to the new address at once. It starts
+// from version 0, because versions of different discovery services are unrelated. An invalid file changes nothing, so
+// that the sidecar keeps its list.
 func TestReload(t *testing.T) {
 	oldAddr, oldCalls, oldEnds := startSilentDiscovery(t)
 	newAddr, newCalls, _ := startSilentDiscovery(t)
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -229,7 +229,7 @@
 		served++
 	}
 	if served == 0 {
-		t.Errorf("class %q: none of the requests was served", c.name)
+		t.Errorf("class %q: got 0 of 3 requests served, want at least 1", c.name)
 	}
 }
 
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -28,8 +28,8 @@
 		`"health":"SERVING","share":1.0,"born_ms":0}`, name, dial)
 }
 
-// knownEndpoints returns a change, in the form that the function config accepts. The change replaces the one upstream
-// of testutil.PlatformConfig by entries. The upstream must have the address testutil.UnusedAddr.
+// knownEndpoints returns the argument change of the function config that replaces the only endpoint of
+// testutil.PlatformConfig by entries. The argument upstream of config must be testutil.UnusedAddr.
 func knownEndpoints(entries []string) []string {
 	return []string{endpointEntry("s", testutil.UnusedAddr), strings.Join(entries, ",")}
 }
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	if resp, _ := r.do(t, up); resp.StatusCode != http.StatusOK {
-		t.Fatalf("/up: got %v, want 200", resp)
+		t.Fatalf("GET /up: got %s, want 200", resp.Status)
 	}
 	served := 0
 	for i := range requests {
@@ -86,13 +86,14 @@
 			t.Errorf("idempotent request %d: got %s, want 200", i, resp.Status)
 		}
 	}
-	// Only requests that were written completely to the other process may have run there, so only these may fail.
-	if lost := requests - served; lost > int(otherRequests.Load()) {
-		t.Errorf("%d requests failed, want at most the %d that were written to the other process",
-			lost, otherRequests.Load())
+	// A request that is not idempotent may fail if the other process has received it completely, because it may have
+	// run there. No other request may fail.
+	if failed := requests - served; failed > int(otherRequests.Load()) {
+		t.Errorf("%d of %d requests failed, want at most %d, the number of requests that the other process received",
+			failed, requests, otherRequests.Load())
 	}
 	if n := otherRequests.Load(); n > 3+requests/25 {
-		t.Errorf("%d requests were sent to the other process, want at most %d", n, 3+requests/25)
+		t.Errorf("the other process received %d of %d requests, want at most %d", n, requests, 3+requests/25)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -105,9 +106,9 @@
 
 var drains = flag.Int("drains", 10, "number of drains in TestDrainGrace")
 
-// Discovery reports that a node drains while requests are sent to it. The node resets requests that it gets later than
-// the drain grace after the report. So the first byte of the last request must be sent within the drain grace, plus a
-// delay for a busy machine. docs/design/large-fleets.md has the distribution over more drains.
+// Discovery reports that a node drains while requests are sent to it. A node may reset requests that it gets later than
+// the drain grace after the report. So the node must get its last request within the drain grace, plus a delay for a
+// busy machine. docs/design/large-fleets.md has the distribution over more drains.
 func TestDrainGrace(t *testing.T) {
 	const grace, slack = 250 * time.Millisecond, 250 * time.Millisecond
 	d, err := emulator.NewDiscovery()
@@ -159,7 +160,9 @@
 	for range *drains {
 		began := time.Now().UnixNano()
 		testutil.Until(t, "a request to a node", func() bool { return max(last[0].Load(), last[1].Load()) > began })
-		i := 0 // index of the node in use, which drains; the other node may look slow until its estimate is updated
+		// The node that is in use drains. The other node may get no requests, because it may look slow until its
+		// estimate is updated.
+		i := 0
 		if last[1].Load() > last[0].Load() {
 			i = 1
 		}
@@ -172,8 +175,8 @@
 		d.Set(nodes[i])
 	}
 	slices.Sort(after)
-	t.Logf("%d drains: time to the last first byte: p50 %v, p99 %v, maximum %v", len(after), after[len(after)/2],
-		after[len(after)*99/100], after[len(after)-1])
+	t.Logf("%d drains: time from the drain to the last request: p50 %v, p99 %v, maximum %v", len(after),
+		after[len(after)/2], after[len(after)*99/100], after[len(after)-1])
 	if worst := after[len(after)-1]; worst > grace+slack {
 		t.Errorf("a node got a request %v after discovery had reported its drain, want at most %v", worst, grace+slack)
 	}
