--- a/rpc/grpcbalancer/compare_test.go
+++ b/rpc/grpcbalancer/compare_test.go
@@ -255,8 +255,8 @@
 		t.Skip("the comparison takes several minutes and runs only with the flag -compare")
 	}
 	var table bytes.Buffer
-	fmt.Fprintln(&table, "| day | who | service (mean, min to max) | p50 ms | p99 ms | p99.9 ms | unserved | wasted | "+
-		"rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	fmt.Fprintln(&table, "| scenario | candidate | service (mean, min to max) | p50 ms | p99 ms | p99.9 ms | "+
+		"unserved | wasted | violations |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	var simulation simulatorReport
 	for _, scenario := range scenarios {
 		all := make([][]result, len(candidates))
@@ -324,7 +324,7 @@
 			options := runOptions{grace: 10 * time.Second, slack: 500 * time.Millisecond}
 			r := c.run(t, traffic, script, 5, options)
 			if r.Sent != len(traffic.Requests) || r.Served == 0 || r.Unanswered > 0 {
-				t.Errorf("%d results for %d requests, want all answered and some served: %v",
+				t.Errorf("got %d results for %d requests, report %v; want one each, none unanswered, some served",
 					r.Sent, len(traffic.Requests), r.Report)
 			}
 			if len(r.violations) > 0 {
--- a/rpc/grpcbalancer/disconnect_test.go
+++ b/rpc/grpcbalancer/disconnect_test.go
@@ -87,7 +87,7 @@
 }
 
 // goroutinesIn returns the stacks of all goroutines that have a function on their stack. The name of the function may
-// lack its first part.
+// be given without the leading directories of its package path.
 func goroutinesIn(function string) (stacks []string) {
 	all := make([]byte, 4<<20)
 	all = all[:runtime.Stack(all, true)]
@@ -155,7 +155,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 			defer cancel()
 			if _, err := invoke(ctx, p, look, "later"); err == nil {
-				t.Error("a call was served before the balancer had an endpoint")
+				t.Error("call before the balancer has an endpoint: got a response, want an error")
 			}
 		},
 		unblock: func() { b.UpdateState(resolver.State{Addresses: []resolver.Address{{Addr: s.addr}}}) },
@@ -212,7 +212,7 @@
 }
 
 // waitForStreamLimitCheck returns the case of a client that disconnects after grpc-go has asked for the call's
-// credentials. grpc-go checks for stream capacity before or after the disconnect.
+// credentials. The order of the disconnect and of grpc-go's check for stream capacity is not determined.
 func waitForStreamLimitCheck(t *testing.T) *waitCase {
 	w, held := newCapacityWait(t)
 	c := blockingCredentials{make(chan bool, 1), make(chan bool)}
@@ -296,7 +296,7 @@
 				cancelledAt := time.Now()
 				cancel()
 				if err := testutil.Receive(t, done, "the result"); status.Code(err) != codes.Canceled {
-					t.Errorf("error %v, want CANCELLED", err)
+					t.Errorf("cancelled call: error %v, want CANCELLED", err)
 				}
 				w.unblock()
 				testutil.Until(t, "the attempts of the cancelled call to end", func() bool {
--- a/rpc/grpcbalancer/endpoints_test.go
+++ b/rpc/grpcbalancer/endpoints_test.go
@@ -93,6 +93,7 @@
 	r := emulator.Replay(t.Context(), traffic, 10*time.Second, unaryClient(p, f))
 	violations := f.Rules.Violations()
 	if len(violations) > 0 || r.Served == 0 || f.Node("n2").Status().Served == 0 {
-		t.Errorf("violations %v, report %v; want none, and calls that were served, some of them by n2", violations, r)
+		t.Errorf("violations %v, %d calls served, %d of them by n2; want no violations, and both numbers above 0",
+			violations, r.Served, f.Node("n2").Status().Served)
 	}
 }
--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -34,8 +34,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// startTwoServers starts two endpoints. Each complete request to either of them is counted and passed to serve, with
-// the number of complete requests that both have received before.
+// startTwoServers starts two endpoints. It passes each complete request to serve, with the number of complete requests
+// that the two endpoints received before. It returns the endpoints and a counter of the complete requests.
 func startTwoServers(t *testing.T, serve func(s *rawh2.Stream, before int32)) (EndpointSource, *atomic.Int32) {
 	t.Helper()
 	received := new(atomic.Int32)
@@ -198,7 +198,7 @@
 	testutil.Receive(t, headers, "the attempt")
 	cancel()
 	if err := testutil.Receive(t, done, "the result"); status.Code(err) != codes.Canceled {
-		t.Errorf("error %v, want CANCELLED", err)
+		t.Errorf("call that was cancelled while its request was written: error %v, want CANCELLED", err)
 	}
 	testutil.Receive(t, resets, "the attempt's reset") // without a reset, the server would continue the attempt
 	_ = p.Close()                                      // the error is always nil
@@ -250,8 +250,8 @@
 			p := start(t, testConfig(endpoints))
 			got, err := readStream(t.Context(), p, "abc")
 			if fmt.Sprint(got) != fmt.Sprint(c.want) || (err == nil) != c.ok || received.Load() != c.attempts {
-				t.Errorf("messages %q, error %v after %d attempts; want %q after %d",
-					got, err, received.Load(), c.want, c.attempts)
+				t.Errorf("got messages %q, error %v, %d attempts; want messages %q, an error: %v, %d attempts",
+					got, err, received.Load(), c.want, !c.ok, c.attempts)
 			}
 			if _, rejected := Rejected(err); rejected {
 				t.Errorf("error %v is a rejection, want none, because an attempt was executed", err)
@@ -290,7 +290,7 @@
 	}
 	cancel()
 	if err := s.RecvMsg(new(wrapperspb.StringValue)); status.Code(err) != codes.Canceled {
-		t.Errorf("error %v, want CANCELLED", err)
+		t.Errorf("RecvMsg after the cancellation: error %v, want CANCELLED", err)
 	}
 }
 
@@ -367,8 +367,8 @@
 	first := testutil.Receive(t, reports, "the report of the closed plug-in")
 	n := len(traffic.Requests)
 	if first.Sent != n || second.Sent != n || first.Unanswered+second.Unanswered > 0 || afterClose.Load() == 0 {
-		t.Errorf("closed plug-in: %v; other plug-in: %v; want %d results each; %d calls after Close, want at least one",
-			first, second, n, afterClose.Load())
+		t.Errorf("closed plug-in: %v; other plug-in: %v; want %d results each and no unanswered request; "+
+			"%d calls after Close, want at least one", first, second, n, afterClose.Load())
 	}
 	if otherServed.Load() == 0 {
 		t.Error("the other plug-in served no call after the first was closed, want at least one")
--- a/rpc/grpcbalancer/simulation_test.go
+++ b/rpc/grpcbalancer/simulation_test.go
@@ -153,7 +153,7 @@
 			onSockets, simulated := a.sockets-b.sockets, a.simulator-b.simulator
 			if onSockets*simulated < 0 && differ(onSockets) && differ(simulated) {
 				fmt.Fprintf(&s.orderChanges,
-					"%s: %s and %s change places: %.4f and %.4f on sockets, %.4f and %.4f in the lab\n",
+					"%s: %s and %s rank differently: %.4f and %.4f on sockets, %.4f and %.4f in the simulator\n",
 					s.scenario, a.name, b.name, a.sockets, b.sockets, a.simulator, b.simulator)
 			}
 		}
@@ -163,13 +163,14 @@
 
 func (s *simulatorReport) String() string {
 	s.compareOrder()
-	swaps := s.orderChanges.String()
-	if swaps == "" {
-		swaps = "the same ranking on every day\n"
+	changes := s.orderChanges.String()
+	if changes == "" {
+		changes = "the same ranking in all scenarios\n"
 	}
-	return "| day | who | service | in the lab | difference | p50 ms | lab | p99 ms | lab | difference |\n" +
+	return "| scenario | candidate | service | simulated | difference | p50 ms | simulated | p99 ms | simulated | " +
+		"difference |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n" +
-		s.rows.String() + "\n" + swaps
+		s.rows.String() + "\n" + changes
 }
 
 // The simulator replays all of the recorded traffic for each candidate, and grpc-go's policies repeat no request.
--- a/rpc/grpcbalancer/stream.go
+++ b/rpc/grpcbalancer/stream.go
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// setResult sets the result of the call. Only the first call has an effect.
+// setResult sets the result of the call, unless the result is set already.
 func (s *clientStream) setResult(response *transport.Response, err error) {
 	s.resultOnce.Do(func() {
 		s.response, s.err = response, err
