--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// Other members gossip that endpoints drain. A faulty member could remove all endpoints, or add an endpoint that does
-// not exist. So gossiped updates may remove at most the configured share of the endpoints, and never add an endpoint. A
-// removed endpoint returns to the list when the update about it has expired.
+// Other members gossip that endpoints drain or were removed. A faulty member could remove all endpoints, or add an
+// endpoint that does not exist. So gossiped updates may remove at most the configured share of the endpoints, and never
+// add an endpoint. A removed endpoint returns to the list when the update about it has expired.
 func TestNoticesRemoveEndpoints(t *testing.T) {
 	op := clusterConfig(t, "")
 	b, err := newBuilder(config(t, testutil.UnusedAddr, testutil.UnusedAddr), op, discardLog)
@@ -133,7 +133,7 @@
 	testutil.Until(t, "removals up to the share", func() bool { return len(removed()) == 3 })
 	for _, x := range s.Status() {
 		if x.ID == "unknown" {
-			t.Errorf("a gossiped update added an endpoint: %+v", x)
+			t.Errorf("endpoint that a gossiped update added: got %+v, want none", x)
 		}
 	}
 	reportAll(false)
--- a/internal/daemon/configmember_test.go
+++ b/internal/daemon/configmember_test.go
@@ -133,7 +133,8 @@
 	class := balancer.Class{Name: "look", Weight: 4, LateWeight: 0.5, Effect: balancer.NonIdempotent}
 	if s.MaxAttempts != 3 || s.Hedging || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 ||
 		len(s.Classes) != 1 || len(s.Tenants) != 1 || s.Classes[0] != class || s.Tenants[0].Fraction != 0.25 {
-		t.Errorf("effective settings: got %+v, want the snapshot's values within the platform's limits", s)
+		t.Errorf("effective settings: got %+v, want MaxAttempts 3, no hedging, PriceCrossZone 0.25, PriceProbe 0.5, "+
+			"the only class %+v and one tenant with the fraction 0.25", s, class)
 	}
 	if base.Classes[0].Weight != 1 || base.Tenants[0].Fraction != 0.5 {
 		t.Errorf("the platform's settings were changed: got %+v, want the weight 1 and the fraction 0.5", base)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -78,7 +78,8 @@
 			r := startSidecar(t, testutil.UnusedAddr, addr)
 			resp, _ := r.do(t, r.request(t, "POST", "book", "1", "x"))
 			if resp.StatusCode < 500 || resp.StatusCode == 503 || len(attempts) != 1 {
-				t.Errorf("got %s after %d attempts, want a 5xx other than 503 after 1", resp.Status, len(attempts))
+				t.Errorf("got %s after %d attempts, want a 5xx other than 503 after 1 attempt",
+					resp.Status, len(attempts))
 			}
 		})
 	}
@@ -96,7 +97,8 @@
 	r := startSidecar(t, testutil.UnusedAddr, upstream.Listener.Addr().String())
 	resp, body := r.do(t, r.request(t, "GET", "look", "1", ""))
 	if resp.StatusCode != 404 || body != "no such seat\n" || attempts.Load() != 1 {
-		t.Errorf("got %s %q after %d attempts, want the endpoint's 404 after 1", resp.Status, body, attempts.Load())
+		t.Errorf("got %s %q after %d attempts, want 404 with \"no such seat\" after 1 attempt",
+			resp.Status, body, attempts.Load())
 	}
 }
 
--- a/internal/daemon/sidecar_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -27,7 +27,7 @@
 	client *http.Client
 }
 
-// parseConfig loads a text of the platform's configuration.
+// parseConfig loads the platform's configuration from a text.
 func parseConfig(t *testing.T, text string) *platform.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -28,8 +28,8 @@
 		`"health":"SERVING","share":1.0,"born_ms":0}`, name, dial)
 }
 
-// knownEndpoints returns the argument change of the function config that replaces the only endpoint of
-// testutil.PlatformConfig by entries. The argument upstream of config must be testutil.UnusedAddr.
+// knownEndpoints returns a value for the parameter change of the function config. The change replaces the only endpoint
+// of testutil.PlatformConfig by entries, if config's argument upstream is testutil.UnusedAddr.
 func knownEndpoints(entries []string) []string {
 	return []string{endpointEntry("s", testutil.UnusedAddr), strings.Join(entries, ",")}
 }
--- a/rpc/grpcbalancer/disconnect_test.go
+++ b/rpc/grpcbalancer/disconnect_test.go
@@ -327,9 +327,8 @@
 		}
 	}
 	if opened-crossed != w.attemptsBefore {
-		t.Errorf("%d streams were opened, %d of them within the allowance after the disconnect; "+
-			"want %d streams before the disconnect",
-			opened, crossed, w.attemptsBefore)
+		t.Errorf("%d streams were opened, %d of them without a message and within the allowance after the disconnect; "+
+			"want %d besides these, all before the disconnect", opened, crossed, w.attemptsBefore)
 	}
 	if messages != w.attemptsBefore {
 		t.Errorf("%d messages were sent, want %d, all before the disconnect", messages, w.attemptsBefore)
--- a/rpc/grpcbalancer/failure_test.go
+++ b/rpc/grpcbalancer/failure_test.go
@@ -86,11 +86,13 @@
 			p := start(t, testConfig(endpoints))
 			text, err := invoke(t.Context(), p, book, "seat")
 			if c.retried && (err != nil || text != "ok" || received.Load() != 2) {
-				t.Errorf("response %q, error %v after %d attempts; want \"ok\" after two", text, err, received.Load())
+				t.Errorf("response %q, error %v after %d attempts; want \"ok\" after 2 attempts",
+					text, err, received.Load())
 			}
 			_, rejected := Rejected(err)
 			if !c.retried && (err == nil || rejected || received.Load() != 1) {
-				t.Errorf("error %v after %d attempts, want a failure after one", err, received.Load())
+				t.Errorf("error %v after %d attempts, want a failure that is no rejection, after 1 attempt",
+					err, received.Load())
 			}
 		})
 	}
@@ -166,7 +168,8 @@
 	p := start(t, cfg)
 	_, err := invoke(t.Context(), p, book, "seat")
 	if _, rejected := Rejected(err); err == nil || rejected || received.Load() != 1 || tries != 3 {
-		t.Errorf("error %v after %d attempts and %d tries of the interceptor, want a failure after 1 and 3",
+		t.Errorf("error %v after %d attempts and %d tries of the interceptor, "+
+			"want a failure that is no rejection, after 1 attempt and 3 tries",
 			err, received.Load(), tries)
 	}
 }
--- a/rpc/grpcbalancer/pause_test.go
+++ b/rpc/grpcbalancer/pause_test.go
@@ -134,7 +134,7 @@
 		case strings.Contains(line, "process was stalled"):
 			stalls++
 		case strings.Contains(line, "eject"), strings.HasPrefix(line, "error"):
-			t.Errorf("the child printed an error or an ejection: %s", line)
+			t.Errorf("line of the child's output: got %q, want no error and no ejection", line)
 		}
 	}
 	awaitResults := func(n int) { // waits for n more results
