--- a/internal/daemon/configmember.go
+++ b/internal/daemon/configmember.go
@@ -131,8 +131,8 @@
 }
 
 // newSource returns the new source of the endpoint list if a snapshot changes the source, and nil otherwise. discovery
-// is the address in the snapshot; an empty one stands for the platform's address. The snapshot changes the source if
-// its address differs from the previous snapshot's address and from the address that is currently followed. The caller
+// is the address in the snapshot; an empty one stands for the platform's address. The source changes if the snapshot's
+// address differs from the previous snapshot's address and from the address that is currently followed. The caller
 // holds reconfigureMu and passes the source to the engine.
 func (m *configMember) newSource(discovery string, settings balancer.Settings) (engine.Source, error) {
 	addr := cmp.Or(discovery, m.sidecar.platformDiscovery)
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -111,8 +111,8 @@
 	for _, e := range r.endpoints.Status() {
 		drains := e.Addr == host.Address || e.ID == "addr "+host.Address
 		if e.Listed == drains || drains && e.Reason != "list says that it has left" {
-			t.Errorf("endpoint status: got %+v, want Listed %v, and a reason that it has left if it is not listed",
-				e, !drains)
+			t.Errorf("endpoint status: got %+v, want Listed %v; the draining node needs the reason %q",
+				e, !drains, "list says that it has left")
 		}
 	}
 	dns.SetReply(func(dnsmessage.Message, bool) [][]byte { return nil })
