--- a/internal/daemon/configmember_test.go
+++ b/internal/daemon/configmember_test.go
@@ -99,7 +99,7 @@
 	// Validation of snapshots rejects NaN already. Here the balancer module has to reject it.
 	bad.Settings.Price = &controlplane.Price{Probe: &nan}
 	if err := r.configMember.apply(bad); err == nil || !strings.Contains(err.Error(), "PriceProbe") {
-		t.Errorf("apply: got error %v, want one that names PriceProbe", err)
+		t.Errorf("snapshot with the price NaN: got error %v, want one that names PriceProbe", err)
 	}
 	if !r.log.Enabled(t.Context(), slog.LevelDebug) || r.currentDiscovery != addr ||
 		r.configMember.snapshotDiscovery != "" || len(otherCalls) > 0 {
@@ -133,7 +133,8 @@
 	class := balancer.Class{Name: "look", Weight: 4, LateWeight: 0.5, Effect: balancer.NonIdempotent}
 	if s.MaxAttempts != 3 || s.Hedging || s.PriceCrossZone != 0.25 || s.PriceProbe != 0.5 ||
 		len(s.Classes) != 1 || len(s.Tenants) != 1 || s.Classes[0] != class || s.Tenants[0].Fraction != 0.25 {
-		t.Errorf("effective settings: got %+v, want the snapshot's values within the platform's limits", s)
+		t.Errorf("effective settings: got %+v, want MaxAttempts 3, no hedging, PriceCrossZone 0.25, PriceProbe 0.5, "+
+			"the only class %+v and one tenant with the fraction 0.25", s, class)
 	}
 	if base.Classes[0].Weight != 1 || base.Tenants[0].Fraction != 0.5 {
 		t.Errorf("the platform's settings were changed: got %+v, want the weight 1 and the fraction 0.5", base)
@@ -143,7 +144,8 @@
 	}
 }
 
-// Without [config] a sidecar has no configuration member and no section for it, and uses the logger that it was given.
+// Without [config] a sidecar has no configuration member and no section "config" at the admin endpoint. It uses the
+// logger that it was given.
 func TestWithoutControlPlane(t *testing.T) {
 	s, err := build(t.Context(), config(t, testutil.UnusedAddr, testutil.UnusedAddr), clusterConfig(t, ""), discardLog)
 	if err != nil {
