--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -118,9 +118,11 @@
 	case c.Deadline <= 0:
 		return fmt.Errorf("field Deadline: %v is not positive; it must be above 0", c.Deadline)
 	case c.Effect < Idempotent || c.Effect > NonIdempotent:
-		return fmt.Errorf("field Effect: unknown value %d; it must be 0 to 2", c.Effect)
+		return fmt.Errorf("field Effect: unknown value %d; it must be Idempotent (may run any number of times), "+
+			"Keyed (has an idempotency key) or NonIdempotent (must not run twice)", c.Effect)
 	case c.IdempotencyScope < ScopeAll || c.IdempotencyScope > ScopeCell:
-		return fmt.Errorf("field Group: unknown value %d; it must be 0 to 2", c.IdempotencyScope)
+		return fmt.Errorf("field Group: unknown value %d; it must be ScopeAll (all endpoints), "+
+			"ScopeZone (the endpoints of one zone) or ScopeCell (the endpoints of one cell)", c.IdempotencyScope)
 	}
 	for _, field := range []struct {
 		name  string
