--- a/balancer/api.go
+++ b/balancer/api.go
@@ -90,9 +90,9 @@
 	// takes longer, and requests wait where many endpoints start together.
 	WarmUp time.Duration
 	// OverloadMultiple determines the load that overloads an endpoint that is warming up: OverloadMultiple times its
-	// current capacity, for OverloadDuration. If absent, the endpoint gets at most the mean load in proportion to its
-	// current capacity. A higher value allows more load, so that fewer requests wait, but if it is too high, the
-	// endpoint is overloaded.
+	// current capacity, for OverloadDuration. If absent, an endpoint that has a share x of its full capacity gets at
+	// most x times the mean load. A higher value allows more load, so that fewer requests wait, but if it is too high,
+	// the endpoint is overloaded.
 	OverloadMultiple float64
 	// OverloadDuration is how long the load that OverloadMultiple determines must last to overload the endpoint. It
 	// determines the size of bursts to the endpoint. A higher value allows larger bursts.
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -42,8 +42,9 @@
 	// estimated more exactly if their expected work is right, and less exactly if it is wrong.
 	minRelativeWork = 0.25
 	maxRelativeWork = 8.0
-	// offeredRateMemory is the time over which rates of arriving work are averaged. A higher value makes
-	// the rates steadier, and they follow a change of the load later.
+	// offeredRateMemory is the time over which the rate of arriving work and the rates of the tenants'
+	// requests are averaged. A higher value makes the rates steadier, and they follow a change of the load
+	// later.
 	offeredRateMemory = 20 * time.Second
 )
 
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -3,9 +3,9 @@
 // The weight of a request determines which requests are shed first.
 //
 // Inputs: the class's weight and late weight, whether the request is a late client retry (deadline.go), its
-// expected work relative to the mean request, and the tenant's share of recent requests and its quota
-// (shares, 0 to 1). The weight has no unit; admission control ranks it among the weights of recent
-// requests.
+// expected work relative to the mean request, the tenant's share of recent requests and its quota (shares,
+// 0 to 1), and the settings WeightByWork and OverQuotaWeight (share). The weight has no unit; admission
+// control ranks it among the weights of recent requests.
 //
 // Why: those requests are shed that cost most relative to their value, and a tenant that exceeds its quota
 // does not displace the others.
