--- a/internal/daemon/configmember.go
+++ b/internal/daemon/configmember.go
@@ -132,8 +132,8 @@
 
 // newSource returns the new source of the endpoint list if a snapshot changes the source, and nil otherwise. discovery
 // is the address in the snapshot; an empty one stands for the platform's address. The source changes if the snapshot's
-// address differs from the previous snapshot's address and from the address that is currently followed. The caller
-// holds reconfigureMu and passes the source to the engine.
+// address differs from the previous snapshot's address and from discovery's present address. The caller holds
+// reconfigureMu and passes the source to the engine.
 func (m *configMember) newSource(discovery string, settings balancer.Settings) (engine.Source, error) {
 	addr := cmp.Or(discovery, m.sidecar.platformDiscovery)
 	if discovery == m.snapshotDiscovery || addr == m.sidecar.currentDiscovery {
@@ -201,7 +201,7 @@
 // configState is the section of the admin endpoint for distributed configuration.
 type configState struct {
 	transport.MemberState
-	Discovery string `json:"discovery"` // discovery's address that is currently followed
+	Discovery string `json:"discovery"` // discovery's present address
 	Level     string `json:"level"`     // level of the log
 }
 
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -40,7 +40,7 @@
 	// currentDiscovery, and the fields snapshotDiscovery and clusterSize of configMember.
 	reconfigureMu     sync.Mutex
 	platformDiscovery string // discovery's address in the platform's configuration
-	currentDiscovery  string // discovery's address that is currently followed
+	currentDiscovery  string // discovery's present address: the platform's, or that of a snapshot
 }
 
 // close closes all components. It must be called after all components have returned, or if none was started.
