--- a/internal/discovery/relay/server.go
+++ b/internal/discovery/relay/server.go
@@ -102,9 +102,11 @@
 
 // ServerState is the state of a Server for the admin endpoint.
 type ServerState struct {
-	Version   int64    `json:"version"`
-	Live      bool     `json:"live"`      // the list is complete and its source works, so that it is relayed
-	Path      []string `json:"path"`      // members that relay the list to this one, nearest first; empty for discovery
+	Version int64 `json:"version"`
+	Live    bool  `json:"live"` // the list is complete and its source works, so that it is relayed
+	// Path has the members that relay the list to this one, nearest first. It is empty if the list comes directly from
+	// discovery.
+	Path      []string `json:"path"`
 	Followers int      `json:"following"` // number of followers at present
 	Rejected  int      `json:"turned"`    // number of followers rejected since the start
 }
--- a/internal/front/graphqlfront/coalesce_test.go
+++ b/internal/front/graphqlfront/coalesce_test.go
@@ -36,7 +36,7 @@
 	start("X-Deadline-Ms: 30000", q)
 	testutil.Until(t, "the first call", func() bool { return d.count() == 1 })
 	for range 3 {
-		start("X-Deadline-Ms: 30000", q) // may join a flight that expires at most 50 ms earlier
+		start("X-Deadline-Ms: 30000", q) // joins the first flight unless it arrives more than maxEarlierExpiry later
 	}
 	start("X-Deadline-Ms: 30000", "Authorization: another", q)
 	start("X-Deadline-Ms: 50000", q)
--- a/internal/simulation/capacity/phases.go
+++ b/internal/simulation/capacity/phases.go
@@ -146,7 +146,8 @@
 	})
 }
 
-// partitionRegions isolates one region from the others for PartitionTime, or longer if views take longer to change.
+// partitionRegions isolates one region from the others for PartitionTime, or until the members of each side see only
+// each other, if that takes longer.
 func (r *run) partitionRegions(ctx context.Context) error {
 	if r.Regions < 2 {
 		return errOneRegion
--- a/internal/store/stats.go
+++ b/internal/store/stats.go
@@ -11,7 +11,7 @@
 
 	// Counts since the store was opened:
 	Syncs       uint64 `json:"syncs"`
-	Failures    uint64 `json:"failures"` // batches that could not be written or synced
+	Failures    uint64 `json:"failures"` // failed attempts to write or sync ops, including repeated attempts
 	Compactions uint64 `json:"compactions"`
 	Dropped     uint64 `json:"dropped"` // segments that were removed without a compaction, as they had no live record
 	// Lost is the current number of changes that were confirmed with Options.SyncEvery, could not be synced, and could
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -32,9 +32,9 @@
 	defaultMaxBytes      = 256 << 20
 	defaultMaintainEvery = 10 * time.Second
 
-	// maxBatch limits the number of ops in a batch for which a caller waits, and maxWaitingOps the number of ops that
-	// wait for the next batch. With higher values more entries are written per second, but the first op of a batch
-	// waits longer.
+	// maxBatch limits the number of ops in a batch, and maxWaitingOps the number of ops that wait for the next batch;
+	// deferred ops are not counted. With higher values more entries are written per second, but the first op of a
+	// batch waits longer.
 	maxBatch      = 1024
 	maxWaitingOps = 1024
 	// maxDeferredOps limits the number of ops of PutLater and DeleteLater that wait to be written, and maxDeferral how
--- a/internal/testcluster/hollow/stream.go
+++ b/internal/testcluster/hollow/stream.go
@@ -65,7 +65,8 @@
 	return n, err
 }
 
-// Close implements net.Conn. The other side sees the close at once, or if the link is cut, when the link is healed.
+// Close implements net.Conn. The other side sees the close at once or, if the link is cut, once the link has been
+// healed.
 func (s *stream) Close() (err error) {
 	s.once.Do(func() {
 		close(s.closed)
