--- a/internal/transport/http1/outcome.go
+++ b/internal/transport/http1/outcome.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -60,7 +61,7 @@
 	outcome := engine.Outcome{Result: resultFromResponse(resp), Answer: response}
 	if outcome.Result == balancer.OK && x.checkResponse != nil {
 		if err := x.checkResponse(response); err != nil { // the request has run, but its response is unusable
-			return engine.Outcome{Result: balancer.ServerError, Err: err}
+			return engine.Outcome{Result: balancer.ServerError, Err: fmt.Errorf("invalid response: %w", err)}
 		}
 	}
 	outcome.Final = outcome.Result == balancer.OK || httpmsg.IsRequestError(response.Status)
