--- a/cmd/hazelwing/commandspage_test.go
+++ b/cmd/hazelwing/commandspage_test.go
@@ -35,7 +35,7 @@
 	})
 	const minCommands = 40
 	if checked < minCommands {
-		t.Errorf("%d patterns were found on the pages, want at least %d", checked, minCommands)
+		t.Errorf("%d patterns of \"go test\" commands were found on the pages, want at least %d", checked, minCommands)
 	}
 }
 
--- a/internal/simulation/configsim/configsim_test.go
+++ b/internal/simulation/configsim/configsim_test.go
@@ -197,8 +197,8 @@
 	present := func(m *Member) bool { return m.index != absent }
 	isActive := c.waitActive(10*time.Second, change, present)
 	if r := change.Answer.Revision; !isActive || r.Epoch != 2 || r.Version != 1 {
-		t.Fatalf("the first change of the new epoch has revision %v and is active at %d members, "+
-			"want epoch 2, version 1 at all members but one", r, len(change.activeAt))
+		t.Fatalf("the first change of the new epoch has revision %v and is active at %d of %d members, "+
+			"want epoch 2, version 1 at all members but one", r, len(change.activeAt), len(c.Members))
 	}
 	c.Freeze(&c.Members[absent].machine, false)
 	c.Run(4 * time.Second)
--- a/internal/simulation/slope/slope_test.go
+++ b/internal/simulation/slope/slope_test.go
@@ -51,7 +51,7 @@
 			if (fit.Const > 0) != test.wantConst ||
 				(fit.Log > 0) != test.wantLog ||
 				(fit.Linear > 0) != test.wantLinear {
-				t.Errorf("fit %v, want: constant part %v, log2 n part %v, n part %v",
+				t.Errorf("fit %v; want a constant part: %v, a log2 n part: %v, an n part: %v",
 					fit, test.wantConst, test.wantLog, test.wantLinear)
 			}
 			_, forecasts, err := Extrapolate(points, 295)
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -402,7 +402,7 @@
 		}
 	}
 	if p.maxIdle >= 15*time.Second {
-		t.Errorf("idle connections are retained for %v, want less than the 15 s of the endpoint", p.maxIdle)
+		t.Errorf("idle connections are retained for %v, want less than the endpoint's idle timeout of 15 s", p.maxIdle)
 	}
 	p.Update(false, drainingEndpoints(activeEndpoints(addr)), time.Now())
 	if len(e.idle) != 0 || p.openConns != 0 {
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -128,7 +128,7 @@
 		599: balancer.ServerError,
 	} {
 		if got := result(code); got != want {
-			t.Errorf("result code %d: translated to %v, want %v", code, got, want)
+			t.Errorf("result code %d: translated to balancer.Result %d, want %d", code, got, want)
 		}
 	}
 }
