--- a/internal/cluster/broadcast.go
+++ b/internal/cluster/broadcast.go
@@ -81,8 +81,9 @@
 	}
 }
 
-// takeLevel does the work of take for one level. It appends the broadcasts for which visit
-// has returned true for taken to the slice taken, and returns the extended slice.
+// takeLevel does the work of take for one level. It calls visit with the broadcasts of the
+// level in turn until visit does not take one or returns false for more. It returns the
+// slice taken with the broadcasts that visit took appended.
 func (q *broadcastQueue) takeLevel(
 	level int, taken []transmission, visit func(broadcast) (taken, more bool),
 ) (_ []transmission, more bool) {
@@ -108,7 +109,8 @@
 	return taken, more
 }
 
-// piggyback appends queued broadcasts to a message until the datagram is full.
+// piggyback appends queued broadcasts to a message until the datagram is full or the message
+// has maxEntries entries and notices.
 func (c *Core) piggyback(msg *Message) {
 	if c.broadcasts.len() == 0 {
 		return
@@ -132,7 +134,7 @@
 }
 
 // appendNotice appends the notice about an endpoint and subtracts its size from room. It
-// returns false if there is not enough room. If the notice has expired, appendNotice
+// returns false if there is not enough room. If the notice was removed, appendNotice
 // returns true without appending anything.
 func (c *Core) appendNotice(msg *Message, room *int, endpoint string) bool {
 	n := c.notices[endpoint]
--- a/internal/controlplane/origin/election.go
+++ b/internal/controlplane/origin/election.go
@@ -13,11 +13,11 @@
 	// heartbeatTicks is the time between two heartbeats of a leader. A higher value sends fewer messages, but then
 	// fewer lost heartbeats are enough to make the followers start an election.
 	heartbeatTicks = 2
-	// electionTicks is the minimum time without a message from the leader before an election; the maximum is twice as
-	// long. A higher value tolerates more loss and delay, but leaves the origins without a leader for longer after one
-	// has failed.
+	// electionTicks is the minimum time without a message from the leader before an election; the maximum is one tick
+	// less than twice as long. A higher value tolerates more loss and delay, but leaves the origins without a leader
+	// for longer after one has failed.
 	electionTicks = 10
-	// minElectionRetryTicks is the minimum time from one campaign to the next; electionTicks is the maximum. A higher
+	// minElectionRetryTicks is the minimum time from one campaign to the next; electionTicks-1 is the maximum. A higher
 	// value makes colliding campaigns rarer, but elects a leader later after a collision.
 	minElectionRetryTicks = 2
 	// maxTicksAtOnce limits how many missed ticks one Tick event makes up for. Without the limit, an origin that was
@@ -44,8 +44,8 @@
 	maxReportTicks = 50
 )
 
-// resetElectionTimeout draws the time without a message from the leader after which this origin campaigns. It is
-// random, so that two origins do not repeatedly campaign at the same time.
+// resetElectionTimeout restarts the election timer: this origin campaigns if it gets no message from the leader for the
+// drawn number of ticks. The number is random, so that two origins do not repeatedly campaign at the same time.
 func (n *Node) resetElectionTimeout() {
 	n.leaderSilence = 0
 	n.electionTimeout = electionTicks + n.rng.IntN(electionTicks)
