--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -78,7 +78,9 @@
 	MaxMembers int
 	// MaxDatagramBytes limits the size of a datagram. Default: 1,200, which networks deliver without fragmentation.
 	MaxDatagramBytes int
-	// DisableLifeguard disables Lifeguard's extensions to SWIM, for comparison.
+	// DisableLifeguard disables Lifeguard's extensions to SWIM and the compensation of
+	// stalls, for comparison. A probe of a suspect still carries the suspicion (see
+	// startProbe).
 	DisableLifeguard bool
 	// AllowAddress reports whether a member may have an address. If it is nil, all addresses are allowed.
 	AllowAddress func(Address) bool
--- a/internal/cluster/core.go
+++ b/internal/cluster/core.go
@@ -75,7 +75,8 @@
 		pushPullTokens:  pushPullRate,
 		tokensUpdatedAt: now,
 	}
-	// The first times are random, so that members that start together do not probe at the same time.
+	// The first times, except those of join and sweep, are random, so that members that
+	// start together do not probe at the same time.
 	c.due.probe = now + time.Duration(c.random.Int64N(int64(cfg.ProbeInterval)))
 	c.due.gossip = now + time.Duration(c.random.Int64N(int64(cfg.GossipInterval)))
 	c.due.pushPull = now + c.jitter(cfg.PushPullInterval)
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -23,15 +23,17 @@
 // Updates are piggybacked on probes and acknowledgements and sent in gossip messages of
 // their own. Each member sends an update a number of times that grows with the logarithm
 // of the cluster's size. Members periodically compare their views by digest and exchange
-// only the parts that differ (push-pull). Dead members are probed for as long as the
-// process runs, so that two halves that have declared each other dead merge again.
+// only the parts that differ (push-pull). Dead members are still probed, so that two halves
+// that have declared each other dead merge again. Up to maxRemovedAddresses of them are also
+// probed after their removal from the table, for as long as the process runs.
 //
 // # Order without clocks
 //
 // An [Incarnation] is a generation, the random ID of the process, and a counter of
-// refutations. A process starts with generation 1. A member that knows another
-// process under the same name reports that process to the new one, which then takes
-// the next generation. Neither wall clocks nor a disk are needed.
+// refutations. A process starts with generation 1. If a member knows another process under
+// the same name with a higher generation, or with the same generation and a higher ID, it
+// reports that process to the new one, which then takes the next generation. Otherwise the
+// new process replaces the other one. Neither wall clocks nor a disk are needed.
 //
 // # Limits
 //
--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -33,9 +33,9 @@
 	return c.endEvent()
 }
 
-// GossipNow immediately sends a gossip message to GossipFanout members. The caller uses it
-// after its revision of the configuration has changed, because gossip messages carry the
-// revision.
+// GossipNow immediately sends a gossip message to up to GossipFanout live members. The
+// caller uses it after its revision of the configuration has changed, because gossip
+// messages carry the revision. After Leave, GossipNow sends nothing.
 func (c *Core) GossipNow(now time.Duration) []Action {
 	c.beginEvent(now)
 	if !c.leaving {
@@ -89,7 +89,7 @@
 
 // beginEvent sets the time of the event. A time that is later than NextTick by more than
 // ProbeTimeout shows that the process was stalled, and beginEvent then calls
-// compensateStall.
+// compensateStall, unless Lifeguard is disabled.
 func (c *Core) beginEvent(now time.Duration) {
 	now = max(now, c.now)
 	if delay := now - c.NextTick(); delay > c.cfg.ProbeTimeout && !c.cfg.DisableLifeguard {
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -7,7 +7,8 @@
 // overloaded for a long time suspects fewer peers, and returns later to the normal rate.
 const maxHealthScore = 8
 
-// adjustHealth adds delta to the health score (Lifeguard's local health multiplier).
+// adjustHealth adds delta to the health score (Lifeguard's local health multiplier). It does
+// nothing if Lifeguard is disabled.
 //
 // The score rises with each sign that this member itself is slow or cut off (a probe
 // without any answer, a missing nack, a refuted suspicion of itself, a stall), and falls
--- a/internal/cluster/limits.go
+++ b/internal/cluster/limits.go
@@ -3,7 +3,8 @@
 // Limits of names and counters.
 const (
 	// MaxCounter is the highest generation or refutation counter that is accepted. The
-	// limit prevents a peer from sending a counter that no member could exceed.
+	// limit prevents a peer from sending a counter that overflows when a member raises it.
+	// A peer can still send the limit itself, which no accepted counter exceeds.
 	MaxCounter = 1 << 48
 	// MaxNameLength is the maximum length of a member's or an endpoint's name, in bytes.
 	MaxNameLength = 64
--- a/internal/cluster/merge.go
+++ b/internal/cluster/merge.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// addPeer adds an unknown member to the table. A dead member is neither reported nor
-// gossiped, but it is probed by reconnect and counts for the estimated size. addPeer
-// returns nil if the table is full, or if the member died or left more than DeadMemberTTL
-// ago.
+// addPeer adds an unknown member to the table. A member that is dead or has left is neither
+// reported nor gossiped, but a dead one is probed by reconnect and counts for the estimated
+// size. addPeer returns nil if the table is full and evictPeer removes no peer, or if the
+// member died or left at least DeadMemberTTL ago.
 func (c *Core) addPeer(e Entry, direct bool) *peer {
 	if e.State >= Dead && e.Age >= c.cfg.DeadMemberTTL {
 		return nil
--- a/internal/cluster/notices.go
+++ b/internal/cluster/notices.go
@@ -19,10 +19,11 @@
 	return current
 }
 
-// mergeNotice accepts an endpoint notice if no notice about the endpoint is known, or if
-// the new notice supersedes the known one. An accepted notice is valid until NoticeTTL
-// after it was first reported. It is gossiped and, if another member reported it, passed to
-// the caller in a NoticeReceived action.
+// mergeNotice accepts an endpoint notice if no notice about the endpoint is known, or if the
+// new notice supersedes the known one. A notice that is invalid, older than NoticeTTL, or
+// about a further endpoint beyond maxNotices is rejected. An accepted notice is valid until
+// NoticeTTL after it was first reported. It is gossiped and, if another member reported it,
+// passed to the caller in a NoticeReceived action.
 //
 // A notice about a later process of the endpoint takes precedence, and for the same
 // process removal takes precedence over draining. This prevents a notice about a process
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -101,10 +101,11 @@
 // failProbe ends a probe that was not acknowledged.
 //
 // The target is suspected if no acknowledgement has arrived, either directly or through a
-// helper, within ProbeInterval times 1 + the health score, and if no newer incarnation of
-// the target is known. A helper that sent no nack either is evidence that this member
-// itself is slow or cut off, so the health score rises by 1 for each missing nack. If there
-// was no helper, the score rises by 1.
+// helper, within ProbeInterval times 1 + the health score, and if the target is still live
+// and no newer incarnation of it is known. If the target is suspected already, the failed
+// probe confirms the suspicion. A helper that sent no nack either is evidence that this
+// member itself is slow or cut off, so the health score rises by 1 for each missing nack. If
+// there was no helper, the score rises by 1.
 func (c *Core) failProbe() {
 	failed := c.probe
 	c.probe.active = false
--- a/internal/cluster/pushpull.go
+++ b/internal/cluster/pushpull.go
@@ -65,12 +65,14 @@
 	}
 }
 
-// receivePushPullRequest answers with the entries of the buckets that differ.
+// receivePushPullRequest answers with the notices and the entries of the buckets that
+// differ, or of all buckets if the sender joins.
 //
-// At most pushPullRate requests per second are answered with entries. Answers that only
-// confirm equal views are not limited. The limit prevents many members that join at once,
-// or that repeat their requests, from overloading this member: its own probes and its
-// answers would be late, and other members would suspect it.
+// On average, at most pushPullRate requests per second are answered with entries. After a
+// pause, up to pushPullRate requests are answered in a burst. Answers that only confirm
+// equal views are not limited. The limit prevents many members that join at once, or that
+// repeat their requests, from overloading this member: its own probes and its answers would
+// be late, and other members would suspect it.
 func (c *Core) receivePushPullRequest(msg *Message) {
 	if len(msg.Digest) != numBuckets {
 		c.stats.Rejected++
@@ -111,7 +113,7 @@
 }
 
 // entriesInBuckets returns the entries of the peers in the buckets of mask, sorted by
-// name. Entries of dead peers are included.
+// name. Entries of peers that are dead or have left are included.
 func (c *Core) entriesInBuckets(mask uint64) (entries []Entry) {
 	for _, p := range c.peers {
 		if mask&(1<<bucketOf(p.Name)) != 0 {
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -1,7 +1,9 @@
 package cluster
 
 // receive handles a message. It merges the sender's entry, then the other entries and the
-// notices, and then responds according to the kind of the message.
+// notices, and then responds according to the kind of the message. A member that is leaving
+// does not respond. Messages of other clusters, of this process itself, and invalid messages
+// are ignored.
 func (c *Core) receive(msg *Message) {
 	from := msg.From
 	switch {
--- a/internal/cluster/reconnect.go
+++ b/internal/cluster/reconnect.go
@@ -28,11 +28,11 @@
 // reconnect probes one random dead address. A dead address is the address of a dead
 // member, or an address of a removed member or a seed that no live member has.
 //
-// Whether a probe is sent is random, with a probability that depends on the numbers of
-// live members and of dead addresses. All members together probe each dead address
-// reconnectAttempts times per ReconnectInterval, so that the cost of a dead member does
-// not grow with the cluster. If there are few live members and many dead addresses, each
-// call probes one address.
+// Whether a probe is sent is random, with a probability that depends on the numbers of live
+// members and of dead addresses. On average, all members together probe each dead address
+// reconnectAttempts times per ReconnectInterval, so that the cost of a dead member does not
+// grow with the cluster. If there are few live members and many dead addresses, each call
+// probes one address.
 //
 // Without these probes, two halves of a cluster that have declared each other dead would
 // stay separate after the network has healed, because no member would send to the other
@@ -56,8 +56,8 @@
 }
 
 // reconnectCandidates returns the dead peers sorted by name, and the addresses of removed
-// members and seeds that no live member has. It also removes addresses that a live member
-// has from removedAddresses.
+// members and seeds that no live member has. It also removes from removedAddresses the
+// addresses that a live member has.
 func (c *Core) reconnectCandidates() (dead []*peer, addresses []Address) {
 	isUnused := map[Address]bool{} // for each address of a removed member or seed: whether no live member has it
 	for _, addr := range append(slices.Clone(c.removedAddresses), c.cfg.Seeds...) {
--- a/internal/cluster/relay.go
+++ b/internal/cluster/relay.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// expireRelayedProbes sends nacks for relayed probes that were not answered in time.
+// expireRelayedProbes ends the relayed probes that were not answered in time and, unless
+// Lifeguard is disabled, sends nacks for them.
 func (c *Core) expireRelayedProbes() {
 	for len(c.relayedProbes) > 0 && c.now >= c.relayedProbes[0].deadline {
 		r := c.relayedProbes[0]
--- a/internal/cluster/self.go
+++ b/internal/cluster/self.go
@@ -13,13 +13,14 @@
 )
 
 // mergeOwnEntry handles an entry with this member's name. It refutes an entry that reports
-// this process suspect or dead. It takes the next generation if the entry is about another
-// process and takes precedence, or if the entry reports this process as left, which is a
-// final state.
+// this process suspect or dead, unless this process has a higher counter already. It takes
+// the next generation if the entry is about another process and takes precedence, or if the
+// entry reports this process as left, which is a final state. A member that is leaving
+// refutes nothing.
 //
 // The refutation has a higher counter than the refuted entry, so every member accepts the
-// refutation. This prevents a live member from being declared dead because of one lost
-// probe.
+// refutation, unless the counter exceeds MaxCounter. This prevents a live member from being
+// declared dead because of one lost probe.
 func (c *Core) mergeOwnEntry(e Entry) {
 	if !e.SameProcess(c.self.Incarnation) {
 		if e.Compare(c.self.Incarnation) > 0 {
--- a/internal/cluster/size.go
+++ b/internal/cluster/size.go
@@ -34,7 +34,8 @@
 //
 // A configured size below the number of counted members has no effect. A configured size
 // above it falls by half in each sizeHoldTime, because the view becomes more reliable than
-// the settings with time.
+// the settings with time. It does not fall while at most minLiveFraction of the counted
+// members are live.
 type sizeEstimator struct {
 	estimate    int
 	configured  float64       // the configured size after its decay so far
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -44,9 +44,12 @@
 // Incarnation orders the updates about one name: by generation, then by process,
 // then by refutation counter.
 type Incarnation struct {
-	Generation  uint64 `json:"life"` // starts at 1 and is raised by each new process with the same name
-	ProcessID   uint64 `json:"run"`  // random ID of the process
-	Refutations uint64 `json:"inc"`  // counter, raised whenever the process refutes an update about itself
+	// Generation starts at 1. A process raises it above the generation of another process
+	// with the same name that takes precedence, and above its own if others know it as
+	// having left.
+	Generation  uint64 `json:"life"`
+	ProcessID   uint64 `json:"run"` // random ID of the process
+	Refutations uint64 `json:"inc"` // counter, raised whenever the process refutes an update about itself
 }
 
 // SameProcess reports whether both incarnations belong to the same process and generation.
--- a/internal/cluster/stats.go
+++ b/internal/cluster/stats.go
@@ -11,8 +11,10 @@
 	Name string  `json:"name"`
 	Addr Address `json:"addr"`
 	Incarnation
-	State      State         `json:"state"`
-	Since      time.Duration `json:"since_ns"` // time at which the member entered its state, on the Core's clock
+	State State `json:"state"`
+	// Since is the time on the Core's clock at which the member entered its state; 0 for the
+	// Core's own member.
+	Since      time.Duration `json:"since_ns"`
 	ReportedBy string        `json:"by,omitempty"`
 	Self       bool          `json:"self,omitempty"`
 }
@@ -35,7 +37,7 @@
 	// The following fields are counters, except LastStallNS.
 	Refutations        int   `json:"refuted"`       // updates about this member that it refuted
 	Stalls             int   `json:"stalls"`        // number of times that this process was stalled
-	NameConflicts      int   `json:"conflicts"`     // conflicts with another process that uses this member's name
+	NameConflicts      int   `json:"conflicts"`     // conflicts over this member's name beyond maxNameConflicts
 	ForeignMessages    int   `json:"foreign"`       // messages of other clusters
 	Rejected           int   `json:"refused"`       // messages, entries and notices that are invalid or exceed a limit
 	Suspicions         int   `json:"accused"`       // suspicions that this member started after a failed probe
@@ -88,8 +90,8 @@
 // Incarnation returns this member's own incarnation.
 func (c *Core) Incarnation() Incarnation { return c.self.Incarnation }
 
-// Fingerprint returns the number of live members and a digest of them, including this
-// member. Equal views have equal fingerprints.
+// Fingerprint returns the number of live members and a digest of them. Both include this
+// member; after Leave, the digest does not. Equal views have equal fingerprints.
 func (c *Core) Fingerprint() (live int, digest Digest) {
 	return c.NumLive(), Digest(c.digestWithSelf())
 }
--- a/internal/cluster/suspicion.go
+++ b/internal/cluster/suspicion.go
@@ -22,7 +22,8 @@
 	nonConfirming = 2
 )
 
-// suspicion is the suspicion of one peer. It ends when the peer refutes it, or at timeoutAt.
+// suspicion is the suspicion of one peer. It ends at timeoutAt, or earlier if the peer
+// refutes it, leaves, restarts or is removed, or if another member reports the peer dead.
 type suspicion struct {
 	target     *peer // suspected peer; nil after the suspicion was canceled
 	startedAt  time.Duration
@@ -82,7 +83,9 @@
 }
 
 // confirm adds a reporter to the suspicion of a peer, which shortens the timeout. It gossips
-// the suspicion again, so that the other members shorten the timeout too.
+// the suspicion again, so that the other members shorten the timeout too. It does nothing if
+// Lifeguard is disabled, if the reporter was added before, or if the suspicion has
+// maxConfirmations confirmations already.
 func (c *Core) confirm(p *peer, reporter string) {
 	s := p.suspicion
 	if s == nil || c.cfg.DisableLifeguard {
