--- a/internal/cluster/gossip/config.go
+++ b/internal/cluster/gossip/config.go
@@ -34,13 +34,14 @@
 	// OnQueueFull is called, from any goroutine, when an event (see QueueCapacity) is
 	// dropped because the queue of events is full.
 	OnQueueFull func()
-	// OnMembersChanged is called when the alive and suspect members change, or when joined
-	// changes. others has these members without this one. joined reports whether a message
-	// of another member has arrived.
+	// OnMembersChanged is called when Run starts, when the set of alive and suspect members
+	// or an incarnation of one of them changes, and when joined changes. It is not called
+	// when only a state changes from alive to suspect. others has these members without
+	// this one. joined reports whether a message of another member has arrived.
 	OnMembersChanged func(others []cluster.Member, joined bool)
 	// OnConfigRevision is called for each message of this cluster that carries a revision
 	// of the configuration other than the revision of this member (see
-	// Node.SetConfigRevision).
+	// Node.SetConfigRevision), if the sender's address is in the allowed networks.
 	OnConfigRevision func(from cluster.Entry, epoch, version uint64)
 
 	// Handler answers peers that send HTTP requests to the address of the streams; nil
--- a/internal/cluster/gossip/doc.go
+++ b/internal/cluster/gossip/doc.go
@@ -14,8 +14,8 @@
 //
 // # Limits
 //
-// A datagram has at most maxDatagramBytes bytes. A frame in a stream has at most
-// maxStreamBytes bytes, and a stream lasts for at most streamTimeout (limits.go).
-// Datagrams and streams from outside of the allowed networks are counted and dropped
-// before they are decoded.
+// A datagram has at most maxDatagramBytes bytes. A received frame in a stream has at most
+// maxStreamBytes bytes, and a stream lasts for at most streamTimeout (limits.go). Other
+// limits apply to HTTP connections. Datagrams and streams from outside of the allowed
+// networks are counted and dropped before they are decoded.
 package gossip
--- a/internal/cluster/gossip/eventloop.go
+++ b/internal/cluster/gossip/eventloop.go
@@ -34,7 +34,7 @@
 // Run runs the node until ctx is done. It then announces that this member leaves, closes
 // the sockets, waits for all goroutines and returns.
 func (n *Node) Run(ctx context.Context) {
-	// After ctx is done, the goroutines continue until the announcement has been sent.
+	// After ctx is done, the goroutines continue until leaveDuration after the announcement.
 	workerCtx, stopWorkers := context.WithCancel(context.WithoutCancel(ctx))
 	var workers sync.WaitGroup
 	workers.Go(n.readDatagrams)
--- a/internal/cluster/gossip/limits.go
+++ b/internal/cluster/gossip/limits.go
@@ -21,8 +21,8 @@
 	// maxDatagramBytes limits the size of a datagram. With a higher value, more frames are sent in datagrams, and
 	// networks fragment and lose datagrams more often.
 	maxDatagramBytes = 1400
-	// maxStreamBytes limits the size of a frame in a stream. A higher value allows for larger views, and takes more
-	// memory for each stream of a faulty peer.
+	// maxStreamBytes limits the size of a received frame in a stream. A higher value allows
+	// for larger views, and takes more memory for each stream of a faulty peer.
 	maxStreamBytes = 8 << 20
 
 	// maxInboundStreams and maxOutboundStreams limit the streams that are open at a time. Higher values serve more
--- a/internal/cluster/gossip/node.go
+++ b/internal/cluster/gossip/node.go
@@ -111,13 +111,13 @@
 
 // SetConfigRevision sets the revision of the configuration that this member applies. Later
 // messages carry the revision, except push-pull messages. A gossip message is sent to some
-// members immediately, so that a member whose connection to the configuration service is
-// broken soon learns of a change.
+// members immediately, unless the queue of events is full, so that a member whose connection
+// to the configuration service is broken soon learns of a change.
 func (n *Node) SetConfigRevision(epoch, version uint64) {
 	n.revision.Store(&configRevision{epoch, version})
 	n.enqueue(event{gossipNow: true})
 }
 
 // SetConfiguredSize replaces Config.ConfiguredSize. The core uses the new value after its
-// next event.
+// next event. A value below 1 has no effect.
 func (n *Node) SetConfiguredSize(members int) { n.configuredSize.Store(int64(members)) }
--- a/internal/cluster/gossip/observe.go
+++ b/internal/cluster/gossip/observe.go
@@ -11,9 +11,10 @@
 	digest   cluster.Digest
 }
 
-// reportMembers calls Config.OnMembersChanged if the live members have changed since the
-// last call, or if this member has joined. Run calls reportMembers after each event. If
-// nothing has changed, reportMembers only compares two fingerprints.
+// reportMembers calls Config.OnMembersChanged if the live members or their incarnations have
+// changed since the last call, if this member has joined, or if there was no call yet. Run
+// calls reportMembers after each event. If nothing has changed, reportMembers only compares
+// two fingerprints.
 func (n *Node) reportMembers() {
 	if n.cfg.OnMembersChanged == nil {
 		return
@@ -36,8 +37,8 @@
 }
 
 // reportConfigRevision calls Config.OnConfigRevision if the sender of a message belongs
-// to this cluster and applies a revision of the configuration that differs from the
-// revision of this member.
+// to this cluster, has an address in the allowed networks, and applies a revision of the
+// configuration that differs from the revision of this member.
 func (n *Node) reportConfigRevision(m *cluster.Message) {
 	if n.cfg.OnConfigRevision == nil || m.ConfigEpoch == 0 {
 		return
--- a/internal/cluster/node/config.go
+++ b/internal/cluster/node/config.go
@@ -25,8 +25,9 @@
 	// only at the start of the process.
 	OnConfigRevision func(from cluster.Entry, epoch, version uint64)
 
-	// Handler answers HTTP requests of peers to the cluster's address, except those for
-	// the endpoint list. It is nil if there are no other requests. See gossip.Config.
+	// Handler answers HTTP requests of peers to the cluster's address, except those for the
+	// endpoint list if Node.EndpointSource is set. It is nil if there are no other requests.
+	// See gossip.Config.
 	Handler http.Handler
 	// Network intercepts the traffic of this member; nil in the daemon. See gossip.Network.
 	Network gossip.Network
