--- a/internal/controlplane/aggregator.go
+++ b/internal/controlplane/aggregator.go
@@ -44,8 +44,9 @@
 	return true
 }
 
-// Disconnect stops counting a subscriber and lists it as disconnected for the retention time. A member that moves to
-// another upstream is thus not counted twice, and operators can find a member that is gone by its name.
+// Disconnect stops counting a subscriber and, unless maxSubscribers are listed already, lists it as disconnected for
+// the retention time. It does nothing for a subscriber that has sent no report. A member that moves to another upstream
+// is thus not counted twice, and operators can find a member that is gone by its name.
 func (a *ReportAggregator) Disconnect(now time.Duration, subscriber string, retention time.Duration) {
 	subscriber = printable(subscriber, MaxNameLength)
 	s, ok := a.subscribers[subscriber]
@@ -105,7 +106,7 @@
 	return changed, next
 }
 
-// With returns a copy of a that has one more subscriber. a is unchanged.
+// With returns a copy of a to which a subscriber's report was added as by Add. a is unchanged.
 func (a *ReportAggregator) With(subscriber string, r Report) *ReportAggregator {
 	w := &ReportAggregator{
 		subscribers:  maps.Clone(a.subscribers),
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -11,7 +11,7 @@
 }
 
 // UpstreamConfirmed says that the upstream is connected and has no later snapshot than this member. The caller sends it
-// at most once a second.
+// when the upstream announces a revision that is not later, and for each of its keep-alives, about twice a second.
 type UpstreamConfirmed struct{ From string }
 
 // UpstreamLost says that the connection to the upstream has ended. The active snapshot stays active.
--- a/internal/controlplane/fetch.go
+++ b/internal/controlplane/fetch.go
@@ -24,11 +24,13 @@
 }
 
 // handlePeerRevision records the highest revision that any peer announced by gossip, and schedules a fetch from that
-// peer.
+// peer, if the revision is later than the published one and no earlier than the highest accepted one. It also removes a
+// peer from the disconnected subscribers if the peer's revision is no earlier than the published one.
 //
-// The fetch is due FetchDelay after the first hint, unless the upstream has delivered the snapshot by then. Later hints
-// do not postpone the fetch. The fetch prevents a member whose upstream is unreachable from keeping an old
-// configuration. The delay prevents all members from fetching a change that their upstreams deliver in time.
+// The fetch is due FetchDelay after the first hint, or later if an earlier fetch requires a longer wait (backoff). It
+// is not made if the upstream has delivered the snapshot by then. Later hints do not postpone the fetch. The fetch
+// prevents a member whose upstream is unreachable from keeping an old configuration. The delay prevents all members
+// from fetching a change that their upstreams deliver in time.
 func (f *Follower) handlePeerRevision(now time.Duration, p PeerRevision) {
 	p.Revision.Hash = ""
 	order := p.Revision.Compare(f.published.Revision)
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -67,7 +67,7 @@
 	Active         Revision      `json:"acts"`
 	Highest        Revision      `json:"-"`       // highest revision ever accepted
 	FromCache      bool          `json:"kept"`    // Active is from the previous run and not confirmed yet
-	ConfirmedAt    time.Duration `json:"-"`       // when an upstream last confirmed the snapshot, on the caller's clock
+	ConfirmedAt    time.Duration `json:"-"`       // when an upstream last confirmed Published; at first the start
 	Rejected       int           `json:"refused"` // snapshots that cannot be activated
 	Stale          int           `json:"older"`   // frames older than the highest accepted revision
 	Conflicts      int           `json:"conflicts"`
@@ -86,7 +86,7 @@
 	highest     Revision      // highest revision ever accepted
 	active      Frame         // frame of the active snapshot
 	unconfirmed Revision      // revision of the cached snapshot until an upstream confirms or replaces it; then zero
-	confirmedAt time.Duration // when an upstream last confirmed the published snapshot or sent a later one
+	confirmedAt time.Duration // when an upstream last confirmed or sent the published snapshot; at first the start
 	applying    *Snapshot     // snapshot of the outstanding Apply; nil if there is none
 	queued      *Snapshot     // latest snapshot that waits for the outstanding Apply; nil if there is none
 	rejection   error         // why the published snapshot cannot be activated; nil if it is active or not applied yet
@@ -99,7 +99,8 @@
 }
 
 // NewFollower returns a Follower that starts at now. The actions publish and activate the cached snapshot, if there
-// is one.
+// is one. If its frame is invalid or cannot be parsed, they log this instead of activating it; an invalid frame is not
+// published either.
 func NewFollower(c FollowerConfig, now time.Duration) (*Follower, []Action) {
 	c = c.withDefaults()
 	cached := c.Cached
@@ -231,7 +232,8 @@
 	return append(actions, f.save())
 }
 
-// handleApplyResult records the result of an Apply and applies the queued snapshot, if there is one.
+// handleApplyResult records the result of an Apply and applies the queued snapshot, if there is one. A failure is not
+// recorded if a later snapshot has been published since the Apply.
 func (f *Follower) handleApplyResult(now time.Duration, ev ApplyResult, actions []Action) []Action {
 	s := f.applying
 	if s == nil || s.Revision != ev.Revision {
--- a/internal/controlplane/parse.go
+++ b/internal/controlplane/parse.go
@@ -48,8 +48,9 @@
 
 // ParseSnapshot parses a snapshot's text and validates its size, syntax, keys and values. It rejects keys that cannot
 // change while running. The error joins errors of strictdecode or ValidationErrors, or wraps ErrSnapshotTooLarge. Each
-// line of the error's text describes one fault, with line and column. Only the hash of the result's Revision is set.
-// ParseSnapshot may be called from any goroutine. The result retains text.
+// line of the error's text describes one fault, with line and column; after maxErrors faults, a last line has the
+// number of further ones. Only the hash of the result's Revision is set. ParseSnapshot may be called from any
+// goroutine. The result retains text.
 func ParseSnapshot(text []byte) (*Snapshot, error) {
 	switch {
 	case len(text) > MaxSnapshotSize:
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -38,8 +38,8 @@
 // Reasons of a Laggard.
 const (
 	ReasonBehind LaggardReason = "behind" // the member has not reported yet that the snapshot is active
-	// ReasonDisconnected means that the member's connection has ended, and that gossip has not shown since then that
-	// the member is reachable.
+	// ReasonDisconnected means that the member's connection has ended or that its reports have stopped, and that gossip
+	// has not shown since then that the member is reachable and has the latest snapshot.
 	ReasonDisconnected LaggardReason = "cut"
 	ReasonRejected     LaggardReason = "refused" // the member cannot activate the snapshot; Error says why
 )
