--- a/internal/controlplane/origin/config.go
+++ b/internal/controlplane/origin/config.go
@@ -19,8 +19,8 @@
 	MaxOutcomes        = 256       // number of latest changes whose outcome can be queried by ID
 	MaxIDLength        = 64        // maximum length of a change's ID, in bytes
 	MaxMessageSize     = 640 << 10 // maximum size of a message between origins, in bytes; longer ones are rejected
-	// MaxUncommittedSize is the maximum size of the changes that wait for a majority, in bytes. Further changes are
-	// rejected.
+	// MaxUncommittedSize is the maximum size of the changes that wait for a majority, in bytes. The leader rejects
+	// further changes. It drops those that another origin has forwarded, and that origin proposes them again later.
 	MaxUncommittedSize = 4 * controlplane.MaxSnapshotSize
 )
 
@@ -97,7 +97,7 @@
 	Self            string // this origin's name; one of Origins
 	Seed            uint64 // seed of the random election timeouts
 	// TickInterval is the length of a tick; default 100 ms. A leader sends heartbeats every 2 ticks, and an election
-	// starts after 10 to 20 ticks without a heartbeat. A higher value tolerates slower networks and disks, but replaces
+	// starts after 10 to 19 ticks without a heartbeat. A higher value tolerates slower networks and disks, but replaces
 	// a failed leader later.
 	TickInterval time.Duration
 	// RequestTimeout is the maximum time that a request waits for its result; default 4 s. After this time the outcome
--- a/internal/controlplane/origin/doc.go
+++ b/internal/controlplane/origin/doc.go
@@ -12,10 +12,10 @@
 //
 // # Stores that were rolled back
 //
-// Each Persist has a number, the write number. Each message between origins contains the sender's write number and the
-// highest write numbers that it knows of the others. If another origin knows a higher write number of this origin than
-// its store has, the store has lost writes that this origin had acknowledged. The origin then logs the reason,
-// withdraws from consensus permanently, and only serves the snapshot that it has. After a start an origin participates
-// in consensus only when it has heard from all others or, after a while, from enough of them to form a majority with
-// itself. docs/design/controlplane.md says which rollbacks are detected.
+// Each Persist that writes a root (see records.go) has a number, the write number. Each message between origins
+// contains the sender's write number and the highest write numbers that it knows of the others. If another origin knows
+// a higher write number of this origin than its store has, the store has lost writes that this origin had acknowledged.
+// The origin then logs the reason, withdraws from consensus permanently, and only serves the snapshot that it has.
+// After a start an origin participates in consensus only when it has heard from all others or, after a while, from
+// enough of them to form a majority with itself. docs/design/controlplane.md says which rollbacks are detected.
 package origin
--- a/internal/controlplane/origin/events.go
+++ b/internal/controlplane/origin/events.go
@@ -82,9 +82,12 @@
 	OutcomeAccepted Outcome = "accepted" // a majority has stored the change; lost only if a majority loses its stores
 	OutcomeConflict Outcome = "conflict" // another change came first; Revision is the latest one
 	OutcomeRejected Outcome = "refused"  // this attempt has not taken effect and will not; Error says why
-	OutcomeUnknown  Outcome = "unknown"  // no majority responded in time: the change may still take effect; query by ID
-	OutcomeNotFound Outcome = "missing"  // QueryOutcome only: the ID is not among the last MaxOutcomes changes
-	OutcomeCurrent  Outcome = "current"  // ReadLatest only: Revision is the latest one
+	// OutcomeUnknown means that no majority responded in time or that the origin has withdrawn: the change may still
+	// take effect; query by ID. For a QueryOutcome or ReadLatest it may also mean that the origin does not participate
+	// or has too many pending requests.
+	OutcomeUnknown  Outcome = "unknown"
+	OutcomeNotFound Outcome = "missing" // QueryOutcome only: the ID is not among the last MaxOutcomes changes
+	OutcomeCurrent  Outcome = "current" // ReadLatest only: Revision is the latest one
 )
 
 // Result is the result of the Propose, QueryOutcome or ReadLatest with the same ID.
--- a/internal/controlplane/origin/history_test.go
+++ b/internal/controlplane/origin/history_test.go
@@ -35,8 +35,8 @@
 //
 //   - all origins publish a version with the same content, and no origin publishes an older version after a later one
 //     (simulation.checkPublish);
-//   - at the end, an acknowledged change has the revision in its result, and a change that was rejected or in conflict
-//     has none;
+//   - at the end, an acknowledged change has the revision in its result, and a change that was in conflict, or that was
+//     rejected and is not ambiguous (attempt.ambiguous), has none;
 //   - each proposal has one result, unless its origin stopped;
 //   - exactly the origins whose stores were rolled back have withdrawn;
 //   - once there are no more failures, all origins agree, and a change is accepted.
--- a/internal/controlplane/origin/node.go
+++ b/internal/controlplane/origin/node.go
@@ -64,7 +64,7 @@
 	ticks           int           // ticks since the start
 	participating   bool          // whether this origin participates in consensus
 	heardFrom       []bool        // by origin: whether a message came since the start
-	leaderSilence   int           // ticks since the last message from the leader, or since this origin's last campaign
+	leaderSilence   int           // ticks since the leader's last message, or this origin's latest campaign or vote
 	leaderlessTicks int           // ticks without a known leader
 	electionTimeout int           // value of leaderSilence at which this origin campaigns
 	ticksSinceSend  []int         // by origin: ticks since the last message to it
@@ -78,7 +78,7 @@
 	sentReport    controlplane.Report           // report that was last sent to the other origins
 	sentReportAt  int                           // tick at which sentReport was sent
 
-	role            Role // role that was logged last
+	role            Role // role after the last event
 	logThrottle     controlplane.LogThrottle
 	foreignMessages int
 	corruptMessages int
@@ -241,7 +241,7 @@
 }
 
 // processReady executes the updates that raft has ready: first it persists entries and state, then it sends messages,
-// and then it applies committed entries.
+// and then it applies committed entries. On an origin that has withdrawn, it only publishes the snapshot, once.
 func (n *Node) processReady(now time.Duration, actions []Action) []Action {
 	for n.raft != nil && n.rollbackReason == "" && n.raft.HasReady() {
 		ready := n.raft.Ready()
--- a/internal/controlplane/origin/node_test.go
+++ b/internal/controlplane/origin/node_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// An invalid change is rejected before it is proposed to raft.
+// An invalid change is rejected before it is proposed to raft. A change whose base version is not the latest is in
+// conflict. A query of an unknown ID finds no change.
 func TestRejectedPushes(t *testing.T) {
 	w := newRunningSimulation(t, 3, 1)
 	checkResult(t, "first", w.push(0, "first", 0, textOf("first")), OutcomeAccepted, 1)
@@ -169,9 +170,9 @@
 	}
 }
 
-// An origin crashes during a push, after 0 to 19 writes and sends. The operator does not know whether the change was
-// accepted, and a second push could apply it twice. The operator can query another origin for the push by its ID. An
-// accepted push stays accepted, and pushing again with the same ID does not apply the change twice.
+// An origin crashes during a push, after 0 to 19 writes and other actions. The operator does not know whether the
+// change was accepted, and a second push could apply it twice. The operator can query another origin for the push by
+// its ID. An accepted push stays accepted, and pushing again with the same ID does not apply the change twice.
 func TestCrashDuringPush(t *testing.T) {
 	outcomes := map[string]int{}
 	for _, leads := range []bool{true, false} {
--- a/internal/controlplane/origin/requests.go
+++ b/internal/controlplane/origin/requests.go
@@ -91,7 +91,8 @@
 }
 
 // handleRead processes a QueryOutcome or a ReadLatest. The result must wait until this origin has applied all entries
-// that a majority has committed; raft's read index request returns the index of the last of them.
+// that a majority has committed; raft's read index request returns the index of the last of them. A query whose outcome
+// this origin knows already has its result at once.
 func (n *Node) handleRead(now time.Duration, id string, kind requestKind, actions []Action) []Action {
 	if outcome, ok := n.state.find(id); ok && kind == requestQuery {
 		return append(actions, n.resultOf(outcome, outcome.Hash))
@@ -122,7 +123,8 @@
 // origin and of the request, 8 bytes each.
 const readContextSize = 16
 
-// requestReadIndex asks raft for the index of the last entry that a majority has committed.
+// requestReadIndex asks raft for the index of the last entry that a majority has committed. Without a leader it does
+// nothing, and retryPending calls it again.
 func (n *Node) requestReadIndex(readID uint64) {
 	if n.raft.BasicStatus().Lead == raft.None {
 		return
--- a/internal/controlplane/origin/state.go
+++ b/internal/controlplane/origin/state.go
@@ -143,9 +143,9 @@
 	return c.Validate()
 }
 
-// restore returns raft's log and the root. If the store is damaged, the error is errDamagedStore, the log ends before
-// the first entry that cannot be read, and the root or the log is nil if it cannot be read at all. The origin may then
-// serve the snapshot in the log, but must not participate in consensus.
+// restore returns raft's log and the root. If the store is damaged, the error wraps errDamagedStore, the log ends
+// before the first entry that cannot be read, and the root or the log is nil if it cannot be read at all. The origin
+// may then serve the snapshot in the log, but must not participate in consensus.
 func (s *State) restore() (log *raft.MemoryStorage, root *rootRecord, err error) {
 	root = new(rootRecord)
 	data, ok := s.Records[rootRecordKey]
@@ -217,7 +217,8 @@
 }
 
 // unreferenced returns the deletions of all records that the root does not reference. A crash may have left such
-// records.
+// records. If the store is damaged, this includes the entries from the first one that could not be read, which are
+// missing in the log.
 func (s *State) unreferenced(root *rootRecord, log *raft.MemoryStorage) (deletes []Record) {
 	referenced := map[string]bool{snapshotKey(root.SnapshotIndex): true}
 	for i := root.SnapshotIndex + 1; i <= root.LastIndex; i++ {
--- a/internal/controlplane/origin/state_test.go
+++ b/internal/controlplane/origin/state_test.go
@@ -100,7 +100,7 @@
 
 // A disk loses, truncates or empties any one record of a store. The origin could vote twice, or lose changes that it
 // acknowledged. It must withdraw, write nothing and accept no change. Without a valid bootstrap configuration it must
-// not start.
+// not start. The first actions, which NewNode returns, are not checked; they may delete records.
 func TestDamagedStore(t *testing.T) {
 	w := newRunningSimulation(t, 1, 1)
 	for v := range uint64(20) {
--- a/internal/controlplane/origin/statemachine.go
+++ b/internal/controlplane/origin/statemachine.go
@@ -30,8 +30,8 @@
 	Text        []byte `cbor:"3,keyasint"`
 }
 
-// apply applies an entry. It returns the outcome, and whether the snapshot has changed. An entry whose ID was applied
-// before has no effect, since the client, or an origin on its behalf, may have sent the change twice.
+// apply applies an entry. It returns the outcome, and whether the snapshot has changed. An entry whose ID is
+// among Outcomes has no effect, since the client, or an origin on its behalf, may have sent the change twice.
 func (m *stateMachine) apply(c *logEntry) (outcome changeOutcome, changed bool) {
 	if outcome, ok := m.find(c.ID); ok {
 		return outcome, false
