--- a/internal/controlplane/transport/cachefile.go
+++ b/internal/controlplane/transport/cachefile.go
@@ -13,8 +13,9 @@
 
 const (
 	// cacheFileName is the name of the file with the last known snapshot in a member's directory. Each update replaces
-	// the whole file. The file's modification time is the time, by this machine's clock, at which an upstream last
-	// confirmed the content.
+	// the whole file. The file's modification time stands for the time, by this machine's clock, at which an upstream
+	// last confirmed the content. While there is an upstream it is updated every cacheTouchInterval. Each write sets it
+	// too, even the write of the cached snapshot itself after a start without an upstream.
 	cacheFileName = "last-known.json"
 	// maxCacheFileSize limits the size in bytes of a cache file that is loaded.
 	maxCacheFileSize = 2 * MaxLineSize
@@ -30,8 +31,8 @@
 	return fmt.Sprintf("%s has %d bytes, want at most %d", e.path, e.size, maxCacheFileSize)
 }
 
-// loadCachedSnapshot returns the content of the cache file in dir and the time at which it was last confirmed. The
-// snapshot is nil if there is no file. If the file cannot be read or decoded, loadCachedSnapshot returns an error and
+// loadCachedSnapshot returns the content of the cache file in dir and the file's modification time. The snapshot is nil
+// if there is no file. If the file is too large, or cannot be read or decoded, loadCachedSnapshot returns an error and
 // no snapshot. The core verifies the text by its hash.
 func loadCachedSnapshot(dir string) (*controlplane.CachedSnapshot, time.Time, error) {
 	path := filepath.Join(dir, cacheFileName)
--- a/internal/controlplane/transport/cachewriter.go
+++ b/internal/controlplane/transport/cachewriter.go
@@ -15,7 +15,7 @@
 )
 
 // saveSnapshots writes each new snapshot to the cache file, or only the latest one if they arrive faster than they can
-// be written. It runs until ctx is done.
+// be written. While there is an upstream, it also updates the file's modification time. It runs until ctx is done.
 func (m *Member) saveSnapshots(ctx context.Context) {
 	touch := time.NewTicker(cacheTouchInterval)
 	defer touch.Stop()
--- a/internal/controlplane/transport/doc.go
+++ b/internal/controlplane/transport/doc.go
@@ -12,7 +12,8 @@
 //   - first the path of the upstream (the names from the upstream to the origin) and the
 //     upstream's revision, and both again when the path changes, or when the upstream is
 //     an origin that stops or starts participating in the consensus;
-//   - a complete snapshot whenever the upstream has a later one than the subscriber;
+//   - a complete snapshot whenever the upstream has a later one than the subscriber, or one
+//     with the same version and different content;
 //   - an empty line every keepAliveInterval.
 //
 // A subscriber keeps its subscription when its upstream loses its own upstream. In a
@@ -47,6 +48,6 @@
 //	connections of an origin                 512; further ones wait to be accepted
 //	messages queued for another origin       64; the oldest is dropped
 //
-// A line that is too long, truncated or of another cluster closes only the connection on
-// which it arrives.
+// A line that is too long, truncated or not decodable closes only the connection on which it arrives. A snapshot of
+// another cluster is dropped, and its connection stays open.
 package transport
--- a/internal/controlplane/transport/member.go
+++ b/internal/controlplane/transport/member.go
@@ -83,7 +83,8 @@
 }
 
 // NewMember returns a Member, which sends no requests before Run. If the cache file cannot be loaded, NewMember logs
-// the error and starts without a cached snapshot.
+// the error and starts without a cached snapshot. It returns an error if there are no origins, or if the directory of
+// the cache file cannot be created.
 func NewMember(c MemberConfig) (*Member, error) {
 	if len(c.Origins) == 0 {
 		return nil, errNoOrigins
@@ -167,7 +168,7 @@
 
 // WaitReady waits until an upstream has announced a revision that is now active or was rejected, or has announced that
 // it has none. It returns earlier if ctx is done or timeout has passed. The result describes, for the log, the
-// configuration with which the process starts.
+// configuration with which the process starts; to get it from the event loop may take up to stateTimeout more.
 func (m *Member) WaitReady(ctx context.Context, timeout time.Duration) string {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/controlplane/transport/member_test.go
+++ b/internal/controlplane/transport/member_test.go
@@ -146,8 +146,9 @@
 	}
 }
 
-// An upstream sends lines that are too long, truncated, malformed or of another cluster. The member must not accept
-// such data, terminate, or stay with that upstream: it closes only that connection and subscribes to the next origin.
+// An upstream sends lines that are too long, truncated or malformed, or a path that contains the member, or rejects the
+// request as one of another cluster. The member must not accept such data, terminate, or stay with that upstream: it
+// closes only that connection and subscribes to the next origin.
 func TestMalformedUpstreams(t *testing.T) {
 	t.Parallel()
 	good := newFakeUpstream(t, "good", nil)
--- a/internal/controlplane/transport/memberloop.go
+++ b/internal/controlplane/transport/memberloop.go
@@ -18,7 +18,7 @@
 type stateRequest struct{ response chan<- MemberState }
 
 // upstreamAnnounced reports that an upstream has sent its path and its revision: at the start of a subscription, or
-// because the path has changed.
+// because the path has changed or an origin has started or stopped participating.
 type upstreamAnnounced struct {
 	from     string                // name of the upstream
 	revision controlplane.Revision // the upstream's own revision
@@ -161,7 +161,7 @@
 	l.tasks.Go(func() {
 		defer func() { <-l.fetchSlots }()
 		frame, err := l.client.fetchSnapshot(ctx, fetch.Address)
-		if err == nil { // after an error, the core requests another fetch
+		if err == nil { // after an error, a peer's next announcement causes another fetch
 			l.post(coreEvent{controlplane.SnapshotReceived{From: fetch.Name, Frame: frame}})
 		}
 	})
--- a/internal/controlplane/transport/memberstate.go
+++ b/internal/controlplane/transport/memberstate.go
@@ -11,11 +11,12 @@
 	controlplane.FollowerStats
 	Highest controlplane.Revision `json:"highest"` // highest revision ever accepted
 	Ready   bool                  `json:"ready"`
-	// CachedAge is the time since the active revision was last confirmed. It is set only while that revision comes
-	// from the cache file and no upstream has confirmed it since the start.
+	// CachedAge is the time since the active revision was last confirmed, according to the modification time that the
+	// cache file had at the start. It is set only while that revision comes from the cache file and no upstream has
+	// confirmed it since the start.
 	CachedAge string `json:"last_known,omitempty"`
-	// UnconfirmedFor is the time since an upstream last confirmed the active revision or, if none has, since the
-	// start.
+	// UnconfirmedFor is the time since an upstream last confirmed the revision that this member passes on or, if none
+	// has, since the start.
 	UnconfirmedFor string              `json:"not_confirmed_for"`
 	Upstream       string              `json:"upstream,omitempty"` // name of the upstream; empty if there is none
 	UpstreamAddr   string              `json:"upstream_addr,omitempty"`
--- a/internal/controlplane/transport/operatorclient.go
+++ b/internal/controlplane/transport/operatorclient.go
@@ -35,7 +35,7 @@
 }
 
 // Client sends the requests of the operator's commands to one origin. Its methods may be called from any goroutine.
-// The time that they take is limited only by their context.
+// The time that they take is limited only by their context, except that a dial takes at most dialTimeout.
 type Client struct {
 	addr string
 	peer peerClient
--- a/internal/controlplane/transport/originhttp.go
+++ b/internal/controlplane/transport/originhttp.go
@@ -21,8 +21,9 @@
 	// bodyReadTimeout limits the time to read the whole body of a request. A higher value tolerates slower clients,
 	// but a faulty one can occupy a connection for longer.
 	bodyReadTimeout = 5 * time.Second
-	// responseMargin is the time, in addition to the node's own request timeout, within which a response must be
-	// written. A higher value tolerates a slower event loop and slower clients.
+	// responseMargin is the time, in addition to OriginConfig.Node.RequestTimeout, within which a response must be
+	// written. If RequestTimeout is 0, the node's default of 4 s is not added. A higher value tolerates a slower event
+	// loop and slower clients.
 	responseMargin = 10 * time.Second
 )
 
@@ -38,8 +39,8 @@
 
 // ShowResponse is the response to a request for the latest snapshot.
 type ShowResponse struct {
-	Result origin.Result      `json:"answer"`
-	Frame  controlplane.Frame `json:"frame"` // Text is empty if there is no snapshot
+	Result origin.Result      `json:"answer"` // zero if no confirmation was requested
+	Frame  controlplane.Frame `json:"frame"`  // Text is empty if there is no snapshot, or if it was not confirmed
 }
 
 // ServeHTTP serves the requests of members, operators and other origins.
--- a/internal/controlplane/transport/server.go
+++ b/internal/controlplane/transport/server.go
@@ -79,7 +79,8 @@
 	s.update(func() { s.upstreamHealthy = false })
 }
 
-// setParticipating records whether this origin participates in the consensus.
+// setParticipating records whether this origin participates in the consensus; an origin that knows no leader does not.
+// runNode calls it at each tick. Before the first tick, the origin counts as participating.
 func (s *subscriptionServer) setParticipating(participating bool) {
 	s.mu.Lock()
 	unchanged := s.nonParticipating == !participating
--- a/internal/controlplane/transport/upstream.go
+++ b/internal/controlplane/transport/upstream.go
@@ -34,12 +34,13 @@
 // followUpstreams subscribes to one upstream after another, as the selector chooses them, until ctx is done.
 //
 // When an origin that had accepted the subscription is lost, followUpstreams subscribes to the next origin at once,
-// trying each origin once. After any other failure, and when all origins have been tried, it reports the failure to
-// the selector, which chooses again.
+// trying each origin once. A subscription that has lasted for more than keepAliveInterval starts this count again.
+// After any other failure, and when all origins have been tried, it reports the failure to the selector, which chooses
+// again. If a subscription ends because there is a better upstream, the selector chooses again without a report.
 func (m *Member) followUpstreams(ctx context.Context) {
 	// The members start with different origins, so that their subscriptions are spread over all origins.
 	originIndex := int(xxhash.Sum64String(m.cfg.Follower.Self) % uint64(len(m.cfg.Origins)))
-	failedOrigins := 0 // origins in a row that accepted the subscription and were then lost
+	failedOrigins := 0 // origins in a row that accepted the subscription and were then lost soon
 	for ctx.Err() == nil {
 		m.mu.Lock()
 		selection, viewChanged := m.selector.Select(m.now()), m.viewChanged
@@ -253,8 +254,8 @@
 //
 // The selector avoids an origin for some time after it was unreachable. Without probes, a member would stay with a
 // peer, or without an upstream, until this time has passed, although the network has recovered. Only members that
-// should subscribe to an origin, or are subscribed to an origin that does not participate, send probes, each at most
-// one per upstreamCheckInterval.
+// should subscribe to an origin, or are subscribed to an origin that does not participate, send probes, each about one
+// per upstreamCheckInterval.
 func (m *Member) probeNextOrigin(ctx context.Context, originIndex *int, acceptNonParticipating bool) bool {
 	*originIndex++
 	origin := m.cfg.Origins[*originIndex%len(m.cfg.Origins)]
--- a/internal/controlplane/transport/watch.go
+++ b/internal/controlplane/transport/watch.go
@@ -61,9 +61,9 @@
 
 // checkSubscriber returns the reason for rejecting a subscriber, or nil to admit it. The caller holds s.mu.
 //
-// It rejects the subscriber if this process has no upstream, too many subscribers, an older revision than the
-// subscriber (members only) or an unusable path. Otherwise a member that is behind or cut off could keep its
-// subscribers behind as well.
+// It rejects the subscriber if this process has no upstream, too many subscribers (unless the subscriber is one of them
+// already), an older revision than the subscriber (members only) or an unusable path. Otherwise a member that is behind
+// or cut off could keep its subscribers behind as well.
 func (s *subscriptionServer) checkSubscriber(name string, subscriberRevision controlplane.Revision) error {
 	switch {
 	case !s.upstreamHealthy:
