--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// A connection fails. An immediate refusal shows that no process is listening. A failure after most of the connect
-// timeout was caused by the network, and an ejection for it would exclude healthy endpoints.
+// A connection fails. The endpoint must be ejected only if this takes less than half of the connect timeout: a fast
+// refusal shows that no process is listening. A later failure was caused by the network, and an ejection for it would
+// exclude healthy endpoints.
 func TestOnlyFastRefusalsEject(t *testing.T) {
 	for elapsed, want := range map[time.Duration]bool{0: true, 99 * ms: true, 100 * ms: false, 200 * ms: false} {
 		h := newHarness(t, testSettings()) // the connect timeout is 200 ms
--- a/balancer/recent.go
+++ b/balancer/recent.go
@@ -35,9 +35,9 @@
 	count   int
 }
 
-// rankAndAdd returns the share of recent values below v, 0 to 1, and adds v to the recent values. The share
-// equalPart, 0 to 1, of the values that equal v counts as below it; a random equalPart gives equal values
-// different ranks.
+// rankAndAdd adds v to the recent values, and returns its rank among the earlier ones: the share of them, 0
+// to 1, that is below v, or 1 if there are none. Of the values equal to v, the part equalPart (0 to 1)
+// counts as below v. With a random equalPart, equal values get different ranks.
 func (r *recentRanks) rankAndAdd(v, equalPart float64) float64 {
 	lower, equal := 0.0, 0.0
 	n := min(r.count, maxRankSamples)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -54,11 +54,12 @@
 	}
 }
 
-// chooseSubset chooses the subset from which pairs are drawn: the first endpoints in an order that is
-// random for each sidecar. Their number is the number of requests that arrive in subsetPeriod, but at least
-// minSubsetSize. Ejected endpoints are skipped. Without subsets, the estimates of a long list would always
-// be out of date. Requests with an affinity key, and those that find no eligible endpoint in the subset,
-// use all endpoints.
+// chooseSubset chooses the subset from which pairs are drawn. If drawsFromAll, these are all endpoints.
+// Otherwise they are the first endpoints in an order that is random for each sidecar; if cross-zone
+// attempts have a cost, the first homeSubsetSize of them are taken from the home zone. Their number is the
+// number of requests that arrive in subsetPeriod, but at least minSubsetSize. Ejected endpoints are
+// skipped. Requests with an affinity key, and those that find no eligible endpoint in the subset, use all
+// endpoints.
 func (b *Balancer) chooseSubset() {
 	s := &b.subset
 	s.chosenAt = b.now
--- a/internal/limits/meter_test.go
+++ b/internal/limits/meter_test.go
@@ -36,7 +36,7 @@
 	}
 	s := m.State()
 	if s.Total != 7 || s.Episodes != 2 || s.StartedAt != start.Add(71*time.Second) || s.ReachedAt != s.StartedAt {
-		t.Errorf("state %+v, want Total 7, Episodes 2, and StartedAt and ReachedAt at 71 s", s)
+		t.Errorf("state %+v, want Total 7, Episodes 2, and StartedAt and ReachedAt %v", s, start.Add(71*time.Second))
 	}
 }
 
--- a/internal/operator/graphql.go
+++ b/internal/operator/graphql.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// validateFiles checks the paths of files. It does not read the files.
+// validateFiles checks the paths of the schema and of the trusted documents, and the settings that only_trusted
+// requires. It does not read the files.
 func (c *GraphQL) validateFiles(v validator) {
 	if !filepath.IsAbs(c.SchemaFile) {
 		v.errorf("graphql.schema", "must be the absolute path of a schema, got %q", c.SchemaFile)
