--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -13,8 +13,9 @@
 
 const (
 	// minEjection is the duration of the first ejection. After an ejection, the endpoint gets single
-	// attempts as trials (isHealthyFor). The duration doubles with each failed trial, up to maxEjection.
-	// With higher values, fewer requests are lost to trials, but endpoints that recover return later.
+	// attempts as trials (isHealthyFor). The duration doubles with each further ejection until a trial
+	// succeeds, up to maxEjection. With higher values, fewer requests are lost to trials, but endpoints
+	// that recover return later.
 	minEjection = time.Second
 	maxEjection = 8 * time.Second
 	// maxEjectionDoublings limits the number of doublings, so that the duration cannot overflow before
@@ -25,10 +26,11 @@
 	// endpoint are more spread out.
 	minEjectionJitter  = 0.75
 	ejectionJitterSpan = 0.5
-	// ejectionThreshold is the number of consecutive error answers or broken connections that causes an
-	// ejection. Two happen by chance, because connections may break although the process is running. If
-	// several healthy endpoints were ejected together, the others would get all of the load. With a higher
-	// value, fewer healthy endpoints are ejected, but failing ones get more requests.
+	// ejectionThreshold is the number of consecutive error answers that causes an ejection, and the number
+	// of consecutive failures from which a broken connection causes one. Two happen by chance, because
+	// connections may break although the process is running. If several healthy endpoints were ejected
+	// together, the others would get all of the load. With a higher value, fewer healthy endpoints are
+	// ejected, but failing ones get more requests.
 	ejectionThreshold = 3
 	// minSilentFailures is the number of consecutive failures from which an endpoint that does not answer
 	// may count as silent. One failure happens by chance. With a higher value, fewer slow endpoints are
@@ -50,15 +52,16 @@
 	failures     int           // failed attempts since answeredAt
 	silentSince  time.Duration // when the first of these failed attempts was sent
 	errorAnswers int           // consecutive error answers
-	ejections    int           // consecutive ejections without a successful answer between them
+	ejections    int           // ejections since the last successful answer or rejection
 	ejectedUntil time.Duration
-	unreachable  bool // ejected for silence or for refused or broken connections, not for error answers
+	unreachable  bool // a failure without an answer, not only error answers, caused one of these ejections
 }
 
 // isEjected reports whether the endpoint is ejected at now.
 func (h *health) isEjected(now time.Duration) bool { return now < h.ejectedUntil }
 
-// isOnTrial reports whether the endpoint has not answered successfully since it was ejected.
+// isOnTrial reports whether the endpoint has been ejected and has not answered successfully or rejected an
+// attempt since.
 func (h *health) isOnTrial() bool { return h.ejections > 0 }
 
 // recordAnswer resets the health after a successful answer or a rejection: both show that the endpoint
@@ -75,8 +78,8 @@
 
 // isHealthyFor reports whether ep is healthy enough to be sent r. After an ejection, an endpoint gets one
 // trial at a time, and no NonIdempotent request, because a failed trial could not be retried. The trials
-// end only with an attempt that is answered without an error (recordAnswer); an answered probe does not end
-// them.
+// end only with an attempt that is answered successfully or rejected (recordAnswer); an answered probe does
+// not end them.
 func (b *Balancer) isHealthyFor(ep *endpoint, r *request) bool {
 	if ep.health.isEjected(b.now) {
 		return false
@@ -84,10 +87,10 @@
 	return !ep.health.isOnTrial() || len(ep.outstanding) == 0 && r.class.Effect != NonIdempotent
 }
 
-// updateHealth ejects an endpoint that refuses a connection, breaks several connections in a row, answers
-// only with errors, or is silent. Such an endpoint has crashed, fails or hangs. An error answer already
-// counts as a long latency (penaltyObjectives), but if requests wait longer than that in the queues of all
-// other endpoints, the failing endpoint still looks fast.
+// updateHealth ejects an endpoint that refuses a connection, breaks a connection after other consecutive
+// failures, answers only with errors, is silent, or does not answer a trial. Such an endpoint has crashed,
+// fails or hangs. An error answer already counts as a long latency (penaltyObjectives), but if requests
+// wait longer than that in the queues of all other endpoints, the failing endpoint still looks fast.
 func (b *Balancer) updateHealth(a *attempt, result Result, elapsed time.Duration) {
 	switch result {
 	case OK, Overloaded:
@@ -135,9 +138,9 @@
 	}
 }
 
-// isUnreachable reports whether an endpoint, whose latest attempt ended with result, breaks consecutive
-// connections, refuses connections or is silent. A ConnectFailed that comes early counts as a refusal,
-// although it may also be a connection that broke while the request was being written.
+// isUnreachable reports whether an endpoint, whose latest attempt ended with result, breaks a connection
+// after other consecutive failures, refuses connections or is silent. A ConnectFailed that comes early
+// counts as a refusal, although it may also be a connection that broke while the request was being written.
 func (b *Balancer) isUnreachable(h *health, result Result, elapsed time.Duration) bool {
 	switch {
 	case result == Reset && h.failures >= ejectionThreshold:
@@ -152,13 +155,14 @@
 // isInconclusive reports whether an attempt that ended without an answer says nothing about its endpoint's
 // health:
 //
-//   - The endpoint has answered another attempt since this one was sent: it is slow, not silent.
+//   - The attempt timed out or was cancelled, but the endpoint has answered another attempt since this one
+//     was sent: it is slow, not silent.
 //   - The attempt was cancelled before it was overdue: the client disconnected, or another attempt was
 //     faster.
 //   - The attempt was cancelled, at any age, while hedging is off: the request was given up or is sent
 //     elsewhere (handleOverdueAttempt). The endpoint may only have a long queue.
 //
-// Any other attempt that timed out, or that was overdue when it was cancelled, is a failure.
+// Any other attempt without an answer is a failure, for example one that was overdue when it was cancelled.
 func (b *Balancer) isInconclusive(a *attempt, result Result, elapsed time.Duration) bool {
 	switch result {
 	case Timeout:
@@ -170,9 +174,9 @@
 	return false
 }
 
-// eject excludes ep from being picked. The duration doubles with each failed trial and has jitter, so that
-// sidecars do not return to the endpoint at the same time. Only the first of consecutive ejections is
-// logged; those after failed trials are not, until the endpoint has answered.
+// eject excludes ep from being picked. The duration doubles with each ejection since the last successful
+// answer or rejection, and has jitter, so that sidecars do not return to the endpoint at the same time.
+// Only the first of these ejections is logged.
 func (b *Balancer) eject(ep *endpoint) {
 	h := &ep.health
 	d := min(minEjection<<min(h.ejections, maxEjectionDoublings), maxEjection)
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -6,9 +6,9 @@
 // the mean request), and the load that its endpoint had reported (requests in flight). Latencies are in
 // seconds; normalized latencies are divided by the relative expected work.
 //
-// Why: decisions compare endpoints by the time that they take for the same work. An error, or an attempt
-// that was ended early, must not make an endpoint look fast, and a costly request must not make an endpoint
-// look slow.
+// Why: decisions compare endpoints by the time that they take for the same work. An error answer, a
+// rejection or a cancelled attempt must not make an endpoint look fast, and a costly request must not make
+// an endpoint look slow.
 
 import "time"
 
@@ -18,8 +18,9 @@
 	// time is long enough to get answers from all endpoints. A higher value makes estimates steadier, and a
 	// change of an endpoint is noticed later.
 	decayObjectives = 4.0
-	// penaltyObjectives is the minimum latency that an error answer counts as: it is as bad as a missed
-	// objective. With a higher value, endpoints that return errors get fewer requests.
+	// penaltyObjectives is the minimum latency that an error answer or a rejection counts as: it is as bad
+	// as a missed objective. With a higher value, endpoints that return errors or reject requests get fewer
+	// requests.
 	penaltyObjectives = 1.0
 	// objectivePerLatency is the ratio of the latency objective to the mean latency that the initial
 	// estimates assume.
@@ -107,7 +108,9 @@
 }
 
 // observeOutcome updates the estimates with the outcome of an attempt. Samples are normalized by the
-// expected work of the request, so that a costly request does not make its endpoint look slow.
+// expected work of the request, so that a costly request does not make its endpoint look slow. A time-out
+// and a failed or broken connection count with their elapsed time, even if that is below the estimate;
+// ejection.go excludes endpoints that fail fast.
 func (b *Balancer) observeOutcome(a *attempt, result Result, elapsed time.Duration) {
 	sample := elapsed.Seconds()
 	normalized := sample / a.request.relativeWork
@@ -140,8 +143,9 @@
 	}
 }
 
-// observeCutShort records an attempt that ended without an answer. Its elapsed time is a lower bound of the
-// latency, so it counts only where it is above the estimate.
+// observeCutShort records an attempt that was cancelled or timed out in the estimates over several
+// endpoints. Its elapsed time is a lower bound of the latency, so it counts only where it is above the
+// estimate.
 func (b *Balancer) observeCutShort(a *attempt, sample, normalized float64) {
 	if a.reportedInFlight != unreported {
 		inFlight := a.reportedInFlight + a.request.relativeWork
