--- a/balancer/firstattempt.go
+++ b/balancer/firstattempt.go
@@ -43,9 +43,10 @@
 // firstAttemptAt returns the arrival time of the client's first attempt at a request that arrives now. It
 // returns now unless it recognizes the request as a client retry. A request with the usual time left is not
 // recognized as a retry. Any other expiry may be the deadline of all of the client's attempts, which is one
-// Deadline after the first attempt arrived. The request counts as a retry only if a request arrived at the
-// time of that first attempt and was not served. Without this condition, requests of clients with an
-// unusually short timeout could also count as retries and be rejected.
+// Deadline after the first attempt arrived. The request counts as a retry only if the usual time left is
+// known, and a request arrived at the time of that first attempt and was not served. Without the latter
+// condition, requests of clients with an unusually short timeout could also count as retries and be
+// rejected.
 func (c *classState) firstAttemptAt(now, expiresAt, tick time.Duration) time.Duration {
 	tolerance := arrivalToleranceTicks * tick
 	if c.timeLeft.observe(expiresAt-now, tolerance) {
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -30,11 +30,12 @@
 	return d
 }
 
-// handleOverdueAttempt sends a hedge in addition to an overdue attempt. If hedging is off, it cancels the
-// attempt instead, to be followed by another one, provided that the endpoint has not answered since the
-// attempt was sent. Hedges and replacements help if endpoints pause or hang. In overload both stop: the
-// retry budget is relative to first attempts, the latency beyond which attempts are overdue rises with the
-// measured latencies, and handleOverdueAttempt does nothing above maxHedgePressure.
+// handleOverdueAttempt sends a hedge in addition to an overdue attempt. If hedging is off and Cancellation
+// is on, it cancels the attempt instead, to be followed by another one, provided that the endpoint has not
+// answered since the attempt was sent and that there is time for another attempt. Hedges and replacements
+// help if endpoints pause or hang. In overload both stop: the retry budget is relative to first attempts,
+// the latency beyond which attempts are overdue rises with the measured latencies, and handleOverdueAttempt
+// does nothing above maxHedgePressure.
 func (b *Balancer) handleOverdueAttempt(r *request) {
 	if r.outstanding == 0 || b.now < r.overdueAt || b.retries.isSpent() || b.pressure() > maxHedgePressure {
 		return
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -32,7 +32,7 @@
 }
 
 // outsideScope reports whether ep is outside the idempotency scope of an attempt that was sent to an
-// endpoint in zone and cell.
+// endpoint in zone and cell. It returns false for classes that are not keyed.
 func (c *classState) outsideScope(zone string, cell int, ep *endpoint) bool {
 	if c.Effect != Keyed {
 		return false
--- a/balancer/pairadmission.go
+++ b/balancer/pairadmission.go
@@ -28,14 +28,15 @@
 type pairVerdict int
 
 const (
-	pairAdmits   pairVerdict = iota // the attempt may be sent; also if no pair was probed
+	pairAdmits   pairVerdict = iota // the attempt may be sent
 	pairReplaced                    // another pair is being probed, and its load will decide
 	pairRejects                     // the request is to be given up
 )
 
 // admitToPair decides about an attempt after its pair was probed. An overloaded pair is replaced with
 // another one, as long as one can be probed and up to maxProbedPairs in total, before the request is given
-// up.
+// up. If the capacity is unknown, also because no pair was probed, the first attempt of an undecided
+// request is rejected, and any other attempt is admitted.
 func (b *Balancer) admitToPair(r *request) pairVerdict {
 	switch b.pairCapacity(r) {
 	case pairOverloaded:
@@ -62,8 +63,8 @@
 )
 
 // pairCapacity returns whether r can be served in time at the endpoint of the pair that reported the lower
-// load. The lower r's rank is, the sooner the pair counts as overloaded. The result is pairUnknown if
-// probes are expensive, because expensive probes report too late.
+// load. The lower r's rank is, the sooner the pair counts as overloaded. The result is pairUnknown if there
+// is no load report, or if probes are expensive, because expensive probes report too late.
 func (b *Balancer) pairCapacity(r *request) pairCapacity {
 	lowest := r.pair.minInFlight()
 	if math.IsInf(lowest, 1) || !b.probesAreCheap() {
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -27,7 +27,7 @@
 	strict             relaxation = iota
 	allowOutsideSubset            // also includes endpoints outside the subset
 	allowTried                    // also includes endpoints that the request has tried
-	allowEjected                  // also includes ejected endpoints, which are better than none
+	allowEjected                  // also includes endpoints that isHealthyFor excludes, which are better than none
 )
 
 // candidates describes the endpoints from which one is picked for a request.
@@ -42,8 +42,8 @@
 
 // pick returns the endpoint for r's next attempt, or nil. In the ordinary case, it draws two random
 // eligible endpoints of the subset that r has not tried, and returns the one with the lower load (power of
-// two choices). If no endpoint meets these conditions, they are dropped one by one (relaxation). Ejected
-// endpoints are used only if r has no outstanding attempt.
+// two choices). If no endpoint meets these conditions, they are dropped one by one (relaxation). Endpoints
+// that isHealthyFor excludes are used only if r has no outstanding attempt.
 func (b *Balancer) pick(r *request) *endpoint {
 	last := allowTried
 	if r.outstanding == 0 {
@@ -83,8 +83,9 @@
 	return b.mayAttempt(r, ep)
 }
 
-// powerOfTwoChoices draws two distinct random candidates and returns the one with the lower load, or nil if
-// there is no candidate (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing").
+// powerOfTwoChoices draws two distinct random candidates and returns the one with the lower load, the only
+// candidate if there is just one, or nil if there is none (M. Mitzenmacher, "The Power of Two Choices in
+// Randomized Load Balancing").
 func (b *Balancer) powerOfTwoChoices(c candidates) *endpoint {
 	first := b.draw(&c)
 	if first == nil {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -17,7 +17,8 @@
 //   - Waiting for an endpoint: no endpoint may be sent the next attempt, for example because all endpoints
 //     are warming up. timerAdvance calls advance after eligiblePollTicks.
 //   - Attempted: attempts are outstanding. The Outcome of the last one calls advance, unless it is the
-//     final answer or the retry budget is spent. timerOverdue may send a hedge or cancel the attempt.
+//     final answer. If the retry budget is spent, the request is given up instead, except after
+//     ConnectFailed. timerOverdue may send a hedge or cancel the attempt.
 //   - Streaming: a FirstByte was received. No more attempts are made, and the deadline no longer applies.
 //     The Outcome or ClientDisconnected ends the request.
 //   - Done: the request has its final answer. It is kept until its outstanding attempts have had their
@@ -34,7 +35,7 @@
 // one again. A higher value means less work for waiting requests, but they are sent later.
 const eligiblePollTicks = 2
 
-// unreported is the value of attempt.reportedInFlight if there was no load report.
+// unreported is the value of attempt.reportedInFlight if no pair was drawn or there was no load report.
 const unreported = -1
 
 // noAttempt is a number that no attempt has.
@@ -57,7 +58,7 @@
 	cell             int
 	sentAt           time.Duration
 	outstanding      bool
-	reportedInFlight float64 // load reported by the preceding probe, or unreported
+	reportedInFlight float64 // load that the endpoint reported since its pair was drawn, or unreported
 	mayHaveRun       bool    // false only if it is certain that the request did not run
 }
 
@@ -97,13 +98,14 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endpoint == ep })
 }
 
-// handleRequest admits a request and starts its first attempt, or rejects it.
+// handleRequest admits a request and calls advance for its first attempt, or gives it up. It rejects a
+// request of an unknown class, and ignores one whose ID is in use.
 func (b *Balancer) handleRequest(e Request) {
 	if b.requests[e.ID] != nil {
 		return
 	}
 	class := b.classes[e.Class]
-	if class == nil { // nothing has run, so the rejection is safe
+	if class == nil { // safe, because this request has not run; PriorAttempts are not checked
 		b.emit(Action{Kind: Reject, ID: e.ID})
 		return
 	}
@@ -272,7 +274,8 @@
 	b.finish(r, false)
 }
 
-// cancelOthers cancels all outstanding attempts except the one with number except.
+// cancelOthers cancels all outstanding attempts except the one with number except. It does nothing if
+// Cancellation is off.
 func (b *Balancer) cancelOthers(r *request, except int) {
 	for _, a := range r.attempts {
 		if a.outstanding && a.number != except && b.settings.Cancellation {
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -59,8 +59,8 @@
 	return home
 }
 
-// pickForRequest picks from the pair that was probed for the request, from the endpoints of its affinity
-// key, or from all candidates.
+// pickForRequest picks from the pair that was probed for the request. If it can pick neither, it picks from
+// the endpoints of the affinity key, or from all candidates if the request has no key.
 func (b *Balancer) pickForRequest(c candidates) *endpoint {
 	if ep := b.pickFromPair(c); ep != nil {
 		return ep
