--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -4,9 +4,9 @@
 // that the remaining ones are served in time.
 //
 // A request is shed if the pressure is above the level that its rank allows, or if so many requests end
-// late that requests of its rank are no longer admitted. Where probes are cheap, such a request is not shed
-// at once but marked undecided; the load that a pair of probed endpoints reports then decides
-// (pairadmission.go).
+// late that requests of its rank are no longer admitted. Where endpoints are probed before a pick and
+// probes are cheap, such a request is not shed at once but marked undecided; the load that a pair of probed
+// endpoints reports then decides (pairadmission.go).
 //
 // Inputs: the rank of the request's weight among the weights of recent requests (0 to 1; weight.go), the
 // pressure (pressure.go) and the admitted share (share of requests; admissionlimits.go).
@@ -43,7 +43,7 @@
 	meter   pressureMeter
 	limits  admissionLimits
 	weights recentRanks
-	shedAt  time.Duration // when a request was last shed or undecided on arrival; 0 if load shedding has stopped
+	shedAt  time.Duration // when a request was last shed or undecided on arrival; 0 if there is no load shedding
 }
 
 func newAdmissionControl() admissionControl {
@@ -70,8 +70,9 @@
 }
 
 // logShedding logs the start and the end of load shedding on arrival; ok reports whether the arriving
-// request was admitted. An undecided request counts as shed, although its pair may still admit it. Requests
-// that admitToPair sheds later are not logged.
+// request was admitted. The end is logged with the first admitted request after servedMemory without
+// shedding. An undecided request counts as shed, although its pair may still admit it. Requests that
+// admitToPair sheds later are not logged.
 func (b *Balancer) logShedding(ok bool) {
 	a := &b.admission
 	if !ok && a.shedAt == 0 {
--- a/balancer/admissionlimits.go
+++ b/balancer/admissionlimits.go
@@ -42,7 +42,8 @@
 )
 
 // admissionLimits are the limits that late requests lower. A request is in time if it ends, answered or
-// not, before its objective less the deadline margin; otherwise it is late.
+// not, before its objective less the deadline margin; otherwise it is late. A request with a streamed
+// answer ends with its stream.
 type admissionLimits struct {
 	wait          float64 // wait limit: share of its objective that a request in flight may wait
 	admittedShare float64 // share of requests to admit, highest ranks first; 1 or more admits all
@@ -70,8 +71,8 @@
 // adaptLimits raises the limits after a request that ended in time, and lowers them after one that ended
 // late. A late request always lowers the admitted share. It lowers the wait limit only if the pressure is
 // above fullPressure and the endpoint of the latest attempt has answered since that attempt was sent: an
-// endpoint that has not answered is paused or hung, not overloaded. A request without an attempt changes no
-// limit.
+// endpoint that has not answered is paused or hung, not overloaded. A request without an attempt, or whose
+// client disconnects, changes no limit.
 func (b *Balancer) adaptLimits(r *request) {
 	if len(r.attempts) == 0 {
 		return
--- a/balancer/affinity.go
+++ b/balancer/affinity.go
@@ -32,9 +32,9 @@
 }
 
 // withAffinity restricts the candidates to the endpoints of the request's key, if the request has a key.
-// Rendezvous hashing of the key chooses these endpoints: all sidecars choose the same ones, so that
-// requests reach endpoints that have the result cached. The pick among these endpoints still depends on
-// their loads.
+// Rendezvous hashing of the key chooses them among the candidates. Sidecars with the same candidates choose
+// the same ones, except that their number depends on the key's share at each sidecar, so that requests
+// reach endpoints that have the result cached. The pick among these endpoints still depends on their loads.
 func (b *Balancer) withAffinity(c candidates) candidates {
 	r := c.request
 	if r.keyHash == 0 {
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -27,7 +27,8 @@
 	Name string
 	// LatencyObjective is the latency up to which an answer has its full weight. If absent, it is Deadline.
 	LatencyObjective time.Duration
-	// ObjectiveStretch, multiplied by the request's expected work, is added to LatencyObjective.
+	// ObjectiveStretch, multiplied by the request's expected work, is added to LatencyObjective. The sum is limited to
+	// Deadline.
 	ObjectiveStretch float64
 	// Deadline is how long a client waits in total, over all of its own attempts.
 	Deadline time.Duration
@@ -77,7 +78,7 @@
 	PriceHandshake      float64 // price of one new connection for each request
 	PriceProbe          float64 // price of one probe for each request
 
-	OverQuotaWeight float64 // share of their weight that requests beyond their tenant's quota keep
+	OverQuotaWeight float64 // share of their weight that requests beyond their tenant's quota keep; absent: none
 	WeightByWork    bool    // weights are per unit of work, not per request
 
 	// Settings of slow start (slowstart.go).
@@ -146,7 +147,8 @@
 	NewlyReached bool
 }
 
-// Request is a client's request. It gets exactly one final answer before ExpiresAt.
+// Request is a client's request. It gets exactly one final answer before ExpiresAt, unless its client disconnects
+// first. A request is ignored if an earlier one with the same ID has no final answer yet or has outstanding attempts.
 type Request struct {
 	ID           string
 	Class        string
@@ -272,10 +274,10 @@
 	Timeout    time.Duration
 	RetryAfter time.Duration
 	At         time.Duration
-	// NotAfter is the time from which the endpoints may have dropped the record of a keyed request that was sent
-	// before; 0 if there is no limit. It prevents a second run of a request whose retry is decided inside the
-	// idempotency window, but waits for a connection until the window is over. The transport compares NotAfter with the
-	// clock immediately before it writes the first byte.
+	// NotAfter is the time from which the attempt could reach an endpoint after the endpoints have dropped the record
+	// of an earlier attempt of a keyed request; 0 if there is no limit. It prevents a second run of a request whose
+	// retry is decided inside the idempotency window, but waits for a connection until the window is over. The
+	// transport compares NotAfter with the clock immediately before it writes the first byte.
 	NotAfter   time.Duration
 	Text       string
 	Attributes []Attribute
--- a/balancer/connections.go
+++ b/balancer/connections.go
@@ -13,9 +13,9 @@
 // applies.
 const pricedConnections = 100
 
-// closeIdle closes the idle connections to ep if open connections are so expensive that one idle connection
-// of each sidecar to each endpoint costs more than a handshake for each request. It prevents connection
-// tables from filling up with idle connections.
+// closeIdle closes the idle connections to ep if it has no outstanding attempt and open connections are so
+// expensive that one idle connection of each sidecar to each endpoint costs more than a handshake for each
+// request. It prevents connection tables from filling up with idle connections.
 func (b *Balancer) closeIdle(ep *endpoint) {
 	openPrice := b.settings.PriceOpenConnection * float64(b.settings.Balancers)
 	if len(ep.outstanding) == 0 && openPrice > pricedConnections*b.settings.PriceHandshake {
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -35,9 +35,9 @@
 //	estimate.go         estimates of latencies and work from outcomes
 //	balancer.go         the state, and the dispatch of events to the rules
 //
-// Latencies are in seconds and normalized, that is, divided by the expected work of the request relative to the mean
-// request. All other files hold mechanisms that the rules use: timers, statistics, hashing and the validation of
-// settings.
+// Latencies are in seconds. A normalized latency is divided by the expected work of the request relative to the mean
+// request. All other files hold mechanisms that the rules use: timers, statistics, hashing, and the validation and
+// replacement of settings.
 //
 // # Invariants
 //
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -16,7 +16,7 @@
 	// secondsPerRequestWeight is the weight of a new sample of the latency per request in flight. With a
 	// higher value, the estimate follows a slowdown sooner and is noisier.
 	secondsPerRequestWeight = 0.1
-	// maxPlausibleInFlight is the limit above which a reported load is considered an error of the endpoint.
+	// maxPlausibleInFlight is the value from which a reported load is considered an error of the endpoint.
 	// The transports have their own limits on the reports that they pass on.
 	maxPlausibleInFlight = math.MaxInt32
 )
--- a/balancer/pressure.go
+++ b/balancer/pressure.go
@@ -27,8 +27,8 @@
 	// chance, but notices an overload later.
 	smallInFlight = 8.0
 	// servedMemory is the time over which the rate of answers is averaged. The end of load shedding is
-	// logged when no request has been shed for this long. With a higher value, the rate is steadier, but a
-	// slowdown is noticed later.
+	// logged when a request is admitted and none has been shed for this long. With a higher value, the rate
+	// is steadier, but a slowdown is noticed later.
 	servedMemory = 2 * time.Second
 	// slowServedMemory is the averaging time of the means that are used if few requests are in flight.
 	slowServedMemory = 10 * time.Second
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -156,9 +156,9 @@
 	return nil
 }
 
-// SetBalancers replaces the number of sidecars in the settings, from the next decision on. Subsets, the cost of
-// cross-zone attempts, the use of probes and the backoff of subscriptions depend on it. A number below 1 counts as 1.
-// It must be called from the goroutine that calls Handle.
+// SetBalancers replaces the number of sidecars in the settings, from the next decision on. Subsets, the pressure, the
+// cost of cross-zone attempts, the use of probes, the closing of idle connections and the backoff of subscriptions
+// depend on it. A number below 1 counts as 1. It must be called from the goroutine that calls Handle.
 func (b *Balancer) SetBalancers(n int) {
 	b.settings.Balancers = max(n, 1)
 	b.subscription.backoff.Config = backoff.ServiceConfig(b.settings.Balancers)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -176,7 +176,8 @@
 	return homeZoneSkew*fromHome/zones + (1-1/zones)*others/(all-all/zones)
 }
 
-// recentListSize returns the number of endpoints over which the load was recently spread.
+// recentListSize records the current length of the list and returns the number of endpoints over which
+// budgets assume the load to be spread (listSize).
 func (b *Balancer) recentListSize() int {
 	return b.slowStart.listSize.observe(len(b.endpoints), b.now)
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -82,8 +82,8 @@
 }
 
 // drawsFromAll reports whether pairs are drawn from all endpoints. They are if there are few sidecars,
-// whose subsets would load endpoints unevenly, or if probes are cheap, because these return the current
-// load.
+// whose subsets would load endpoints unevenly, or if endpoints are probed and probes are cheap, because
+// these return the current load.
 func (b *Balancer) drawsFromAll() bool {
 	return b.probesBeforePick() && b.probesAreCheap() || b.settings.Balancers < smallFleet
 }
