--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -2,15 +2,16 @@
 
 import "errors"
 
-// Errors for calls that are rejected without the Balancer. Reconfigure also returns errClosed. The gRPC client's status
-// messages contain these texts.
+// Errors for calls that are rejected without the Balancer. Calls in flight at shutdown also get errClosed, and
+// Reconfigure returns it. The gRPC client's status messages contain these texts.
 var (
 	errClosed       = errors.New("closed")
 	errTooManyCalls = errors.New("too many calls in hand")
 )
 
-// immediateResult decides which calls get their result without the Balancer; ok is false for all others. The decision
-// depends on whether the engine is stopping, the calls in flight, Config.MaxCalls and the call's context:
+// immediateResult decides which calls get their result without the Balancer; ok is false for all others. A call is
+// rejected here even if it has PriorAttempts, which may have run. The decision depends on whether the engine is
+// stopping, the calls in flight, Config.MaxCalls and the call's context:
 //
 //   - During shutdown, a new call is rejected. The Balancer is not called any more, so the call would otherwise get no
 //     result before Run returns.
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -19,8 +19,8 @@
 	PriorAttempts []PriorAttempt
 	// ExpectedWork is the work that the client expects the call to cause at the endpoint; 0 if unknown.
 	ExpectedWork time.Duration
-	// ExpiresAt is when the client stops waiting. The engine delivers the Result no later than twice Settings.Tick
-	// before this time.
+	// ExpiresAt is when the client stops waiting. A call that has no result by twice Settings.Tick before this time is
+	// given up; after a stall of this process, this may be later.
 	ExpiresAt time.Time
 	// Payload is used by the transport only. Several attempts may read it concurrently, so it must not be modified.
 	Payload any
@@ -31,7 +31,7 @@
 
 	ctx      context.Context //nolint:containedctx // Do's context; MayStart's result checks it during the call.
 	result   chan Result     // buffered for the one result
-	notAfter time.Time       // no further attempt may start after this time; zero: no limit
+	notAfter time.Time       // no further attempt may start from this time on; zero: no limit
 
 	// Only Run's goroutine uses the fields below.
 	attempts      []*attempt
@@ -106,7 +106,7 @@
 	Kind       ResultKind
 	Answer     any           // Served, Streaming: the answer; Failed: the last answer of an attempt, or nil
 	RetryAfter time.Duration // Rejected: when to retry; 0: not specified
-	TimedOut   bool          // Failed: an attempt timed out or is still outstanding
-	Attempts   int           // number of attempts started
-	Err        error         // Rejected, Failed: the cause, if known; Disconnected: context.Cause of Do's context
+	TimedOut   bool          // Failed: an attempt timed out or is still outstanding; not set at shutdown
+	Attempts   int           // number of attempts started; 0 for Disconnected
+	Err        error         // Rejected, Failed: the cause, if known; Disconnected: cause of Do's context, if it ended
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -6,7 +6,7 @@
 	"hazelwing/balancer"
 )
 
-// applyUpdate passes an update to the transport and the Balancer.
+// applyUpdate passes an update to the transport and the Balancer, and records the active processes and the drains.
 func (e *Engine) applyUpdate(u EndpointUpdate) {
 	complete := u.Kind == balancer.CompleteList || u.Kind == balancer.CachedList
 	e.transport.Update(complete, u.Endpoints, time.Now())
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -37,8 +37,9 @@
 	// Calls beyond the limit are rejected. A higher value uses more memory while endpoints are slow. 0 means no limit
 	// in the engine; the front limits the calls.
 	MaxCalls int
-	// CancelOnDisconnect cancels the attempts of a call when its client disconnects. If it is false, the attempts
-	// continue and the Balancer receives their outcomes.
+	// CancelOnDisconnect cancels the attempts of a call when its client disconnects. If it is false, attempts that have
+	// been written continue, except a stream that is just starting, and the others are cancelled. The Balancer receives
+	// the outcomes of all.
 	CancelOnDisconnect bool
 }
 
@@ -78,7 +79,7 @@
 	activeProcesses   map[string]float64 // StartedAtMS of each active endpoint, by endpoint ID
 	drains            map[string]drain   // by endpoint ID; keepDrains deletes drains after staleListPeriod
 	pushedWatchFailed bool               // the watch of a pushed list has failed, and no update has arrived since
-	sourceReachable   bool               // whether the source was reachable at its latest update or failure
+	sourceReachable   bool               // reachable at the latest update (also the cached list) or failure
 	watchBackoff      backoff.Scheduler  // for watches of a pushed list
 }
 
@@ -156,8 +157,8 @@
 // SetSource makes s the source of the endpoint list. It does not wait for s to answer.
 func (e *Engine) SetSource(s Source) { e.post(sourceChanged{s}) }
 
-// SetBalancers changes the number of sidecars in the settings. The change takes effect before the next event is
-// handled; SetBalancers does not wait for it.
+// SetBalancers changes the number of sidecars in the settings. It does not wait until the change takes effect; Run may
+// still handle one event with the old number. A number below 1 is ignored.
 func (e *Engine) SetBalancers(n int) { e.pendingBalancers.Store(int64(n)) }
 
 // post queues an event for Run. It returns false if Run has returned.
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -30,7 +30,7 @@
 	e.shutDown()
 }
 
-// step handles one event. It returns false once done is closed.
+// step handles one event. It returns false if done is closed, but may handle queued events first.
 //
 // Guard: prevents two results for a call whose deadline, time-out and answer coincide: its front would answer twice, or
 // an attempt would be sent for a call that already has its result. This holds because one goroutine handles all events
@@ -65,8 +65,8 @@
 	return true
 }
 
-// checkStall detects and logs a stall of the process. It is called before each event is handled, because the stall may
-// have caused the event.
+// checkStall detects and logs a stall of the process. step calls it before each event, because the stall may have
+// caused the event.
 func (e *Engine) checkStall() {
 	if d := e.stalls.detect(time.Now(), len(e.calls) > 0); d > 0 {
 		e.log.Warn("process was stalled", "duration", d.Round(time.Millisecond))
--- a/internal/engine/sourcechange.go
+++ b/internal/engine/sourcechange.go
@@ -14,7 +14,8 @@
 // requests to be sent to a draining endpoint again.
 const staleListPeriod = backoff.NotificationDeadline
 
-// drain records that an endpoint's process is draining or has been removed.
+// drain records that an update listed an active endpoint's process as draining or removed. Endpoints that are only
+// missing from a complete list of the current watch have none.
 type drain struct {
 	startedAtMS float64 // start time of the process
 	version     int64   // version of the list that contained the drain
--- a/internal/engine/startup.go
+++ b/internal/engine/startup.go
@@ -20,7 +20,8 @@
 }
 
 // awaitFirstUpdate waits for the first update of a pushed list and handles it. If no update arrives within
-// firstUpdateTimeout, or if done is closed first, it returns without an update, and calls use the cached list.
+// firstUpdateTimeout, or if done is closed first, it returns without an update. Calls then use the cached list, and
+// also if the first update is of kind WatchFailed.
 //
 // Guard: prevents the first calls from going to endpoints that started draining after the cached list was saved: these
 // calls would fail when the endpoints stop. If the update arrives in time, this holds because no call is handled before
--- a/internal/engine/watch.go
+++ b/internal/engine/watch.go
@@ -37,7 +37,8 @@
 	EndpointUpdate
 }
 
-// startWatch closes the open watch, if any, and opens a new one that begins after delay.
+// startWatch closes the current watch, if any, and opens a new one that begins after delay. The watch of the previous
+// source stays open.
 func (e *Engine) startWatch(delay time.Duration) {
 	e.watch.close()
 	w := new(watch)
