--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -59,7 +59,8 @@
 	_, _ = w.Write(append(body, '\n')) // fails if the client has disconnected
 }
 
-// Serve serves the sections on l until ctx is done. It closes l.
+// Serve serves the sections on l until ctx is done or l fails, which it logs. It closes
+// l.
 func Serve(ctx context.Context, l net.Listener, sections Sections, log *slog.Logger) {
 	server := &http.Server{
 		Handler:        sections,
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -2,7 +2,7 @@
 // complete endpoint list while a watch is open. It performs no I/O and does not read the clock. The scripts under
 // testdata are its tests; docs/design/crossings.md derives the constants.
 //
-// Two requirements conflict. First, an endpoint counts as notified of a change [NotificationDeadline] after the service
+// Two requirements conflict. First, a sidecar counts as notified of a change [NotificationDeadline] after the service
 // had that change and was reachable, even if some calls fail in between; one of several calls must therefore succeed
 // within that time. Second, when the service fails or stops responding, all sidecars of a cluster call it again at the
 // same time. Calls are therefore spaced by the time between their starts: the next call starts soon after a call that
--- a/internal/netpeek/netpeek.go
+++ b/internal/netpeek/netpeek.go
@@ -20,7 +20,8 @@
 )
 
 // Peek returns the state of a TCP connection. It does not block, even while another goroutine waits in Read. It returns
-// Closed for a connection that was closed on this side, and for a connection that is not a TCP connection.
+// Closed for a connection that was closed on this side, and for one that is not a syscall.Conn, such as a TLS
+// connection.
 func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -47,8 +48,8 @@
 }
 
 // PeerClosed reports whether the peer has closed or reset a TCP connection, even if unread data precedes the close. It
-// also returns true if the peer has closed only its sending half, which cannot be distinguished from a full close. It
-// does not block.
+// also returns true if the peer has closed only its sending half, which cannot be distinguished from a full close, and
+// in the other cases in which Peek returns Closed. It does not block.
 //
 // Guard: prevents a close that follows unread data from going unnoticed. A read or a peek would return the data first,
 // and work for the disconnected peer would continue. This holds because PeerClosed queries the TCP state in the kernel,
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -36,7 +36,7 @@
 }
 
 // Position returns the position of a key in the file, as "FILE:LINE:COLUMN". If the file does not have the key, it is
-// the position of the key's table.
+// the position of the key's top-level table.
 func (c *Config) Position(key string) string {
 	position := c.positions.Of(key)
 	return fmt.Sprintf("%s:%d:%d", c.path, position.Line, position.Column)
--- a/internal/operator/discovery.go
+++ b/internal/operator/discovery.go
@@ -63,7 +63,7 @@
 	c.SRV.validate(v)
 }
 
-// validateMerge checks the limits of the merge.
+// validateMerge fills in the defaults of the limits of the merge and checks them.
 func (c *Discovery) validateMerge(v validator) {
 	v.duration("members.settle", &c.AdditionInterval, 250*time.Millisecond, time.Millisecond, time.Minute)
 	v.duration("members.forget", &c.TombstoneTTL, time.Hour, time.Minute, 7*24*time.Hour)
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -13,7 +13,7 @@
 	Errs []error
 }
 
-// Error returns one line for each error, with the file, the line, the column and the key.
+// Error returns one line for each error, with the file, the line, the column and, if it is known, the key.
 func (e *FileError) Error() string {
 	lines := make([]string, 0, len(e.Errs))
 	for _, err := range e.Errs {
--- a/internal/operator/idempotency.go
+++ b/internal/operator/idempotency.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// validateDir checks that a directory is set if records are durable, and not set otherwise.
+// validateDir checks that Dir is an absolute path, or not set if durability is off.
 func (c *Idempotency) validateDir(v validator) {
 	switch {
 	case c.Durability == middleware.DurabilityOff && c.Dir != "":
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -98,7 +98,7 @@
 //
 // Guard: prevents many idle clients from using up the descriptors that discovery, the readiness check and connections
 // to endpoints need: the sidecar would accept connections and serve no requests. This holds because the limits of all
-// parts together do not exceed the number of descriptors.
+// parts together do not exceed the number of descriptors, unless the minimum of 1 applies.
 func (l Limits) MaxClientConns() int {
 	return max(1, (l.descriptors()-ownDescriptors-l.reserved)/descriptorsPerRequest)
 }
@@ -106,8 +106,8 @@
 // MaxEndpointConns returns the maximum number of connections to endpoints, including those being established.
 func (l Limits) MaxEndpointConns() int { return l.MaxClientConns() }
 
-// descriptors returns the number of file descriptors that the process may open: the platform's limit, or the kernel's
-// limit if it is lower.
+// descriptors returns the number of file descriptors that the process may open: the platform's limit, or
+// defaultDescriptors if there is none, or the kernel's limit if that is lower.
 //
 // Guard: prevents limits that exceed the kernel's limit: once that many connections are open, every accept would fail
 // with EMFILE. This holds because the kernel's limit is queried.
--- a/internal/strictdecode/decode.go
+++ b/internal/strictdecode/decode.go
@@ -13,8 +13,8 @@
 
 // DecodeError is an error at a position in a TOML text.
 type DecodeError struct {
-	Line   int // line number, from 1
-	Column int // column number in bytes, from 1
+	Line   int // line number, from 1; 0 if not known
+	Column int // column number in bytes, from 1; 0 if not known
 	// Key is the dotted name of the key with the error; empty if it is not known.
 	Key string
 	// Reason describes the error. It contains the key if UnknownKey is set, and does not contain it otherwise.
--- a/internal/strictdecode/positions.go
+++ b/internal/strictdecode/positions.go
@@ -10,7 +10,9 @@
 // Positions maps the dotted name of each key and table in a text to the position at which it begins.
 type Positions map[string]unstable.Position
 
-// FindPositions returns the positions of the keys and tables in a text that Decode accepts.
+// FindPositions returns the positions of the keys and tables in a text that Decode accepts. It skips the headers of
+// arrays of tables, such as [[peers]], and records the keys below them under the table that precedes them. It does not
+// record the keys in inline tables.
 func FindPositions(text []byte) Positions {
 	positions := Positions{}
 	var parser unstable.Parser
--- a/internal/wire/translate.go
+++ b/internal/wire/translate.go
@@ -126,8 +126,8 @@
 	return balancer.Active
 }
 
-// seedFrom converts a seed of the wire protocol, which may be a signed or unsigned integer. It returns 0 if there is no
-// valid seed.
+// seedFrom converts a seed of the wire protocol, a signed or unsigned integer. For an integer that is out of range, it
+// uses the nearest int64. It returns 0 if there is no seed.
 func seedFrom(number json.Number) uint64 {
 	var seed uint64
 	if _, err := fmt.Sscan(number.String(), &seed); err == nil {
