--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// The sample is the latency for a success, at least the penalty for an error answer, and the elapsed time for any
-// other result.
+// The sample is the latency for a success, at least the penalty for an error answer or a rejection, and the elapsed
+// time for any other result in the table.
 func TestObserveOutcome(t *testing.T) {
 	for _, c := range []struct {
 		result  Result
@@ -98,8 +98,8 @@
 	}
 }
 
-// The estimate of an idle endpoint decays towards the mean of all endpoints, not towards zero, because an idle
-// endpoint is not necessarily fast.
+// The estimate of an idle endpoint decays towards the mean of its kind, not towards zero, because an idle endpoint is
+// not necessarily fast.
 func TestIdleEstimateDecaysToMean(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -27,7 +27,7 @@
 	strict             relaxation = iota
 	allowOutsideSubset            // also includes endpoints outside the subset
 	allowTried                    // also includes endpoints that the request has tried
-	allowEjected                  // also includes endpoints that isHealthyFor excludes, which are better than none
+	allowEjected                  // also includes endpoints that isHealthyFor excludes: better than none
 )
 
 // candidates describes the endpoints from which one is picked for a request.
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -8,8 +8,7 @@
 )
 
 // Nearly all endpoints restart at once and are cold. The load of warm endpoints would overload them. Each cold endpoint
-// must get at most the load that its current capacity allows, for all kinds of attempts: first attempts, retries, and
-// trials of ejected endpoints.
+// must get at most the load that its current capacity allows. Only first attempts occur in this test.
 func TestWarmUpBudget(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(10)
@@ -206,9 +205,9 @@
 	}
 }
 
-// An endpoint returns from an ejection, for example after a pause. If this were treated as a restart, it would get
-// little load for the whole warm-up while the others are overloaded. It must get one trial and then its full share,
-// because only the endpoint list reports a restart.
+// An endpoint returns from an ejection that was not caused by a failure without an answer, so it has been running all
+// the time. If this were treated as a restart, it would get little load for the whole warm-up while the others are
+// overloaded. It must get one trial and must not warm up.
 func TestReturnFromEjectionStartsNoWarmUp(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.addEndpoints(2)
