--- a/balancer/idempotency_test.go
+++ b/balancer/idempotency_test.go
@@ -252,7 +252,8 @@
 				sends := actionsOfKind(actions, Send)
 				for _, a := range sends {
 					if !strings.Contains(c.endpoints, a.Endpoint) {
-						t.Errorf("sent to endpoint %s, want only endpoints in %q (empty: none)", a.Endpoint, c.endpoints)
+						t.Errorf("sent to endpoint %s, want only endpoints in %q (empty: none)",
+							a.Endpoint, c.endpoints)
 					}
 					actions = h.reportOutcome("1", len(h.b.requests["1"].attempts)-1, Overloaded, ms)
 				}
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -10,8 +10,9 @@
 )
 
 // immediateResult decides which calls get their result without the Balancer; ok is false for all others. A call is
-// rejected here even if it has PriorAttempts, which may have run. The decision depends on whether the engine is
-// stopping, the calls in flight, Config.MaxCalls and the call's context:
+// rejected here even if it has PriorAttempts, which may have run; the Deduplicator (internal/idempotency/middleware),
+// which sets PriorAttempts, turns such a rejection into Failed where a retry would not be safe. The decision depends on
+// whether the engine is stopping, the calls in flight, Config.MaxCalls and the call's context:
 //
 //   - During shutdown, a new call is rejected. The Balancer is not called any more, so the call would otherwise get no
 //     result before Run returns.
