--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -30,7 +30,7 @@
 	IndirectChecks     int64                 `toml:"indirect"`   // number of members asked for an indirect probe
 	SuspicionMult      float64               `toml:"suspicion"`
 	MaxMembers         int64                 `toml:"most"`
-	DisableNotices     bool                  `toml:"no_words"` // whether gossiped endpoint updates are ignored
+	DisableNotices     bool                  `toml:"no_words"` // whether endpoint updates are neither gossiped nor used
 	DisableSizeUpdates bool                  `toml:"no_count"` // whether the cluster's size is withheld from the engine
 	Translations       []Translation         `toml:"translate"`
 
--- a/internal/operator/discovery.go
+++ b/internal/operator/discovery.go
@@ -10,12 +10,12 @@
 // Discovery is the table [members]. It configures how the endpoint list of the platform's discovery is merged with
 // other sources.
 type Discovery struct {
-	// AdditionInterval is how long added endpoints are collected before they are used.
+	// AdditionInterval is the minimum time between two additions to the list, except of restarted endpoints.
 	AdditionInterval strictdecode.Duration `toml:"settle"`
-	// TombstoneTTL is how long the record of a removed endpoint is kept.
+	// TombstoneTTL is how long the record of a removed endpoint is kept after a source last listed the endpoint.
 	TombstoneTTL strictdecode.Duration `toml:"forget"`
-	// MaxRemovalShare is the largest share of the list that sources other than the platform's discovery may remove
-	// within RemovalWindow.
+	// MaxRemovalShare is the largest share of the list that one source may remove within RemovalWindow. Removals that a
+	// source reports explicitly do not count, unless the source is indirect (discovery.SourceConfig).
 	MaxRemovalShare float64               `toml:"share"`
 	RemovalWindow   strictdecode.Duration `toml:"window"`
 	MaxEndpoints    int64                 `toml:"most"`
@@ -31,7 +31,7 @@
 	MinTTL         strictdecode.Duration `toml:"min_ttl"`
 	MaxTTL         strictdecode.Duration `toml:"max_ttl"`
 	StaleAnswerTTL strictdecode.Duration `toml:"stale"` // how long an answer is used after its TTL while lookups fail
-	StaleTTL       strictdecode.Duration `toml:"keep"`  // how long endpoints are kept without an update
+	StaleTTL       strictdecode.Duration `toml:"keep"`  // how long the source may add endpoints after it has failed
 	InitialJitter  strictdecode.Duration `toml:"spread"`
 	Zone           string                `toml:"within"` // DNS zone that all targets must be in; empty: any zone
 	// AllowLocal accepts loopback, link-local and other addresses that no name server should return.
