--- a/internal/discovery/bootstrap/exclusion.go
+++ b/internal/discovery/bootstrap/exclusion.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	// minExclusion is how long a source is not selected after its first failure. A higher value makes fewer calls that
-	// fail, but returns later to a source that has only restarted.
+	// minExclusion is how long a source is not selected after its first failure, before the time is multiplied by the
+	// random factor. A higher value makes fewer calls that fail, but returns later to a source that has only restarted.
 	minExclusion = 2 * time.Second
-	// maxExclusion limits the time of an exclusion, which doubles with each failure. A higher value makes fewer calls
-	// to sources that no longer exist, but returns later to a source that has recovered.
+	// maxExclusion limits the time of an exclusion, which doubles with each failure, before it is multiplied by the
+	// random factor. A higher value makes fewer calls to sources that no longer exist, but returns later to a source
+	// that has recovered.
 	maxExclusion = time.Minute
 	// minExclusionFactor is the minimum of the random factor by which the time of an exclusion is multiplied; the
 	// maximum is higher by 1. The factor prevents the followers of a failed source from returning to it at the same
@@ -15,8 +16,8 @@
 	minExclusionFactor = 0.5
 	// maxDoublings limits how often the time of an exclusion is doubled. It prevents the shift from overflowing.
 	maxDoublings = 10
-	// maxExclusions limits the number of sources in an exclusionList. A higher value covers a larger cluster in which
-	// all sources fail, but uses more memory.
+	// maxExclusions limits the number of sources in an exclusionList. While it is reached, a further source that fails
+	// is not excluded. A higher value avoids this in a larger cluster in which all sources fail, but uses more memory.
 	maxExclusions = 256
 )
 
--- a/internal/discovery/bootstrap/selector.go
+++ b/internal/discovery/bootstrap/selector.go
@@ -110,8 +110,9 @@
 // Select returns the source from which to obtain the list.
 //
 // While the membership view is settling, Select returns a delay (joinDelay). A root selects the discovery service, and
-// any other member selects a peer, unless that source failed a short time ago (exclusionList). If no other member has
-// been reached, or if no peer is usable, Select returns the discovery service after a random delay (fallback).
+// any other member selects a peer, unless that source failed a short time ago (exclusionList); a root whose discovery
+// service failed selects a peer too. If other sidecars are configured but none has been reached, or if no peer is
+// usable, Select returns the discovery service after a random delay (fallback).
 func (s *Selector) Select(now time.Duration) Selection {
 	s.working = false
 	if delay := s.joinDelay(now); delay > 0 {
--- a/internal/discovery/mergedsource/endpoints.go
+++ b/internal/discovery/mergedsource/endpoints.go
@@ -74,10 +74,10 @@
 
 // engineEndpoints logs changes of the merged list and returns them as endpoints of the engine.
 //
-// An endpoint without a start time counts as started now if the platform does not list it and no additional source
-// listed its address in its first update. This prevents an endpoint that has just started from being treated as warm
-// and overloaded by all sidecars: a name service does not report start times, and may be the first source to list a
-// new endpoint.
+// An endpoint without a start time counts as started at the time of each change, also if only its description changes,
+// if the platform does not list it and no additional source listed its address in its first update. This prevents an
+// endpoint that has just started from being treated as warm and overloaded by all sidecars: a name service does not
+// report start times, and may be the first source to list a new endpoint.
 func (s *Source) engineEndpoints(changes []discovery.Change) []engine.Endpoint {
 	var list []engine.Endpoint
 	for _, change := range changes {
--- a/internal/discovery/mergedsource/source.go
+++ b/internal/discovery/mergedsource/source.go
@@ -3,9 +3,10 @@
 //
 // # Goroutines
 //
-// Only the goroutine of Run uses the merger and notifies the engine. Watch passes a request to Run and returns at once.
-// The function that Watch returns cancels the context of that request, and returns at once too. The goroutines of the
-// sources send their events through a queue of eventQueueLength events, and block while the queue is full.
+// After New, only the goroutine of Run uses the merger and notifies the engine. Watch passes a request to Run and
+// returns at once. The function that Watch returns cancels the context of that request, and returns at once too. The
+// goroutines of the sources send their events through a queue of eventQueueLength events, and block while the queue is
+// full.
 package mergedsource
 
 import (
@@ -40,8 +41,8 @@
 type AdditionalSource struct {
 	discovery.SourceConfig
 	// Run runs the source. It is called once, in a goroutine of its own, and returns soon after ctx ends. Run calls
-	// update with each update, and failed once its last update is too old to be used. It makes one call at a time;
-	// both functions may block.
+	// update with each update, and failed when it has no update that is recent enough to be used. It makes one call at
+	// a time; both functions may block.
 	Run func(ctx context.Context, update func(discovery.Update), failed func(error))
 }
 
@@ -51,7 +52,7 @@
 	Additional []AdditionalSource
 	CachedList []engine.Endpoint // the list with which the engine starts
 
-	// These fields are passed to the merger; see discovery.Config.
+	// These fields are passed to the merger; see discovery.Config. TombstoneTTL is also the StaleTTL of the platform.
 	MaxEndpoints     int
 	AdditionInterval time.Duration
 	TombstoneTTL     time.Duration
@@ -61,8 +62,8 @@
 	// OnDeparture is called with each endpoint that the platform reports as draining or removed, from Run's
 	// goroutine. It may be nil.
 	OnDeparture func(engine.Endpoint)
-	// Now returns the time that is set as the start of an endpoint that only an additional source lists. If it is
-	// nil, time.Now is used.
+	// Now returns the current time, which becomes the start time of some endpoints that the platform does not list; see
+	// engineEndpoints. If it is nil, time.Now is used.
 	Now func() time.Time
 	Log *slog.Logger
 }
@@ -165,7 +166,7 @@
 	s.platform = platform
 }
 
-// Status returns the status of each endpoint that is in the merged list or that a source lists; see
+// Status returns the status of the endpoints that are in the merged list or excluded from it; see
 // discovery.Merger.Status. It returns nil if Run does not answer within statusTimeout. It may be called from any
 // goroutine.
 func (s *Source) Status() []discovery.EndpointStatus {
