--- a/internal/discovery/config.go
+++ b/internal/discovery/config.go
@@ -13,7 +13,8 @@
 type SourceConfig struct {
 	Name string // unique among the sources
 	// Rank is the precedence of the source. The zone, kind and other attributes of an endpoint are taken from the
-	// source with the lowest Rank that lists it.
+	// source with the lowest Rank that lists it. Its start time and address are taken from the source that reports the
+	// latest start.
 	Rank int
 	// AbsenceMeansRemoved controls how the Merger treats an endpoint that the source listed before and that is
 	// missing from its latest complete list. If true, the source counts as having removed the endpoint. If false, the
@@ -34,15 +35,18 @@
 	// MaxEndpoints limits the endpoints and the tombstones of each source. A higher value allows larger lists, but
 	// lets a faulty source use more memory.
 	MaxEndpoints int
-	// AdditionInterval is the minimum time between two additions to the list. A higher value changes the list less
-	// often if endpoints are reported one by one, but delays the use of new endpoints.
+	// AdditionInterval is the minimum time between two additions to the list; the newer process of an endpoint that has
+	// restarted is added at once. A higher value changes the list less often if endpoints are reported one by one, but
+	// delays the use of new endpoints.
 	AdditionInterval time.Duration
 	// TombstoneTTL is how long a removal is remembered after any source last listed the endpoint. A higher value also
 	// excludes endpoints that a slow source lists again after a long time, but uses more memory.
 	TombstoneTTL time.Duration
-	// MaxRemovalShare is the share of the list, above 0 and at most 1, that may be removed within RemovalWindow
-	// because one source has stopped listing the endpoints. Such removals never remove the last endpoint. A higher
-	// value applies the removals of a source sooner, but lets a faulty source remove more of the list.
+	// MaxRemovalShare is the share of the list, above 0 and at most 1, that may be removed within RemovalWindow because
+	// one source has stopped listing the endpoints. The limit applies to sources with AbsenceMeansRemoved and to
+	// indirect sources, but not to endpoints that all sources merely stop listing. None of these removals removes the
+	// last endpoint. A higher value applies the removals of a source sooner, but lets a faulty source remove more of
+	// the list.
 	MaxRemovalShare float64
 	// RemovalWindow is the period to which MaxRemovalShare applies. A higher value leaves more time to notice a faulty
 	// source, but keeps endpoints that no longer exist in the list for longer.
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -53,13 +53,14 @@
 	Reason   string
 }
 
-// EndpointStatus describes an endpoint of the merged list, or one that a source lists but that is excluded from it.
+// EndpointStatus describes an endpoint of the merged list, or one that a source lists but that is excluded from it. Of
+// an excluded endpoint only the ID and the reason are set.
 type EndpointStatus struct {
 	Endpoint
 	Listed bool   `json:"In"`  // the endpoint is in the merged list
 	Reason string `json:"Why"` // why the endpoint is in the merged list or excluded from it
 	// Sources holds the names of the sources that list the endpoint, lowest rank first. It is empty if the endpoint is
-	// excluded.
+	// excluded or its removal is deferred.
 	Sources []string      `json:"Sources"`
 	Since   time.Duration `json:"Since"` // when the endpoint was added to the merged list; 0 if excluded
 }
--- a/internal/discovery/merger.go
+++ b/internal/discovery/merger.go
@@ -7,16 +7,19 @@
 // copy of an old list therefore cannot restore the endpoint. The endpoints of a source that has failed stay in the
 // merged list. After SourceConfig.StaleTTL such a source may no longer add endpoints.
 //
-// The removal of an endpoint that a source has stopped listing, without reporting its removal, may be deferred. By such
-// removals a single source can neither empty the list nor remove more than Config.MaxRemovalShare of it within
-// Config.RemovalWindow. Other removals are returned at once, additions at most once per Config.AdditionInterval.
+// The removal of an endpoint that a source with SourceConfig.AbsenceMeansRemoved has stopped listing, without reporting
+// its removal, may be deferred, and so may a removal that only an indirect source reports. By such removals a single
+// source can neither empty the list nor remove more than Config.MaxRemovalShare of it within Config.RemovalWindow. An
+// endpoint that all sources merely stop listing is removed at once, unless it is the last one. Other removals are
+// returned at once, additions at most once per Config.AdditionInterval. The newer process of an endpoint that has
+// restarted is added at once.
 //
 // # Limits
 //
 // The list of a source holds at most Config.MaxEndpoints endpoints. Endpoints of an update beyond this number are
-// dropped and counted. A tombstone (the record of a removal) is kept for Config.TombstoneTTL after any source last
-// listed its endpoint, and each source has at most Config.MaxEndpoints tombstones. A Merger is not safe for concurrent
-// use.
+// dropped and counted. New endpoints that an update adds to a full list are dropped and not counted. A tombstone (the
+// record of a removal) is kept for Config.TombstoneTTL after any source last listed its endpoint, and each source has
+// at most Config.MaxEndpoints tombstones. A Merger is not safe for concurrent use.
 package discovery
 
 import (
@@ -98,7 +101,7 @@
 }
 
 // Status returns the endpoints of the merged list, followed by the endpoints that a source lists but that are excluded
-// from the merged list. Each of the two parts is sorted by ID.
+// from the merged list. Each of the two parts is sorted by ID. Endpoints whose addition is delayed are in neither part.
 func (m *Merger) Status(now time.Duration) []EndpointStatus {
 	var list []EndpointStatus
 	target := m.target(now)
--- a/internal/discovery/reconcile.go
+++ b/internal/discovery/reconcile.go
@@ -14,7 +14,7 @@
 type targetList struct {
 	endpoints map[string]Endpoint // endpoints that should be in the merged list, by ID
 	sources   map[string][]string // names of the sources of each endpoint in endpoints, lowest rank first, by ID
-	excluded  map[string]string   // reasons why listed endpoints should not be in the merged list, by endpoint ID
+	excluded  map[string]string   // reasons why endpoints that sources list should not be in the merged list, by ID
 }
 
 // target returns the merged list that should result, regardless of the limits on additions and removals.
@@ -138,7 +138,8 @@
 	return r.changes, r.nextTick
 }
 
-// updateListed removes the listed endpoints that are not in the target, and updates the attributes of the others.
+// updateListed removes the listed endpoints that are not in the target, unless their removal is deferred, and those
+// that a newer process replaces. It updates the attributes of the others.
 func (m *Merger) updateListed(r *reconciliation) {
 	for _, id := range slices.Sorted(maps.Keys(m.listed)) {
 		current := m.listed[id]
@@ -169,7 +170,8 @@
 	m.remove(r, current, r.target.excluded[current.ID])
 }
 
-// remove removes an endpoint from the list. If reason is empty, the reason comes from the endpoint's tombstones.
+// remove removes an endpoint from the list. If reason is empty, the reason comes from the endpoint's tombstones, or is
+// reasonUnlisted if there are none.
 func (m *Merger) remove(r *reconciliation, current *listedEndpoint, reason string) {
 	removed := current.Endpoint
 	removed.State = m.removedState(&current.Endpoint)
