--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -29,8 +29,10 @@
 // Client calls a discovery service, or another sidecar that relays its list. It uses each connection for one call only,
 // so that the HTTP client never resends a request by itself.
 type Client struct {
-	addr   string
-	shared bool // all sidecars share the service, so that calls are limited; if false, it is an agent on this machine
+	addr string
+	// shared means that all sidecars share the service, so that calls are limited. If it is false, the service is an
+	// agent on this machine or another sidecar.
+	shared bool
 	log    *slog.Logger
 
 	client    *http.Client
@@ -94,7 +96,8 @@
 }
 
 // Watch implements [engine.Source]. It delivers the changes after version; from engine.NoVersion, it delivers the
-// complete list first. Unless the watch is stopped, its last update is of kind WatchFailed.
+// complete list first. From engine.UnknownVersion, it delivers the complete list too, but changes may precede it.
+// Unless the watch is stopped, its last update is of kind WatchFailed.
 func (c *Client) Watch(
 	version int64, delay time.Duration, deliver func(engine.EndpointUpdate),
 ) context.CancelFunc {
@@ -157,8 +160,8 @@
 	return streamEvent{update: &update}
 }
 
-// readEvents sends the events of a watch, starting with the first one, until the watch fails or ctx is done. The last
-// event has the error.
+// readEvents sends the events of a watch, starting with the first one, until the watch fails or ctx is done. If the
+// watch fails, the last event has the error.
 func (c *Client) readEvents(ctx context.Context, s *stream, events chan<- streamEvent) {
 	for event := s.first; ; event = c.nextEvent(s.objects) {
 		select {
--- a/internal/discovery/watch/hedge.go
+++ b/internal/discovery/watch/hedge.go
@@ -32,11 +32,11 @@
 
 // hedgePolicy controls when hedge makes another call; see backoff.HedgeDelay and backoff.MaxAttempts.
 type hedgePolicy struct {
-	delay       time.Duration // how long to wait for a result before starting the next call
+	delay       time.Duration // how long to wait for a success before starting the next call
 	maxAttempts int           // limits the calls of one request
 }
 
-// hedge makes a hedged request: one call, and another one each time that policy.delay has passed without a result, up
+// hedge makes a hedged request: one call, and another one each time that policy.delay has passed without a success, up
 // to policy.maxAttempts calls. Each call is abandoned after timeout. Callers set policy.delay to half of timeout, so
 // that at most two calls are in flight at a time. hedge returns the first attempt that succeeds, with its context, and
 // ends the others. If all calls in flight have failed, it returns the last error.
--- a/internal/discovery/watch/listtracker.go
+++ b/internal/discovery/watch/listtracker.go
@@ -40,8 +40,8 @@
 }
 
 // newListTracker returns the tracker of a watch that starts from version. shared reports whether all sidecars share the
-// discovery service; if not, it is an agent on this machine. Times are durations since an origin that the caller
-// chooses.
+// discovery service; if not, it is an agent on this machine or another sidecar. Times are durations since an origin
+// that the caller chooses.
 func newListTracker(version int64, shared bool, rng *rand.Rand) *listTracker {
 	hasList := version != engine.NoVersion
 	return &listTracker{
@@ -149,10 +149,10 @@
 }
 
 // resumeVersion returns the version from which the next watch starts. eventsLost reports whether this watch has
-// delivered data that could not be read. In this case the next watch starts from the complete list, and the engine
-// keeps its present list, if any, until then. This prevents an event that could not be read, or was incomplete, from
-// being skipped: the service counts the event as delivered, and a draining endpoint in the event would be used until
-// its next change.
+// delivered data that could not be read. In this case, or if the complete list is still missing, the next watch starts
+// from the complete list, and the engine keeps its present list, if any, until then. This prevents an event that could
+// not be read, or was incomplete, from being skipped: the service counts the event as delivered, and a draining
+// endpoint in the event would be used until its next change.
 func (t *listTracker) resumeVersion(eventsLost bool) int64 {
 	switch {
 	case t.listMissing && !t.hasList:
--- a/internal/discovery/watch/session.go
+++ b/internal/discovery/watch/session.go
@@ -12,7 +12,8 @@
 	"hazelwing/internal/engine"
 )
 
-// session runs one watch in one goroutine: a call that stays open, and the separate requests for the complete list.
+// session runs one watch: a call that stays open, and the separate requests for the complete list. Its methods except
+// open run in one goroutine.
 type session struct {
 	client  *Client
 	start   time.Time
