--- a/internal/discovery/relay/changelog.go
+++ b/internal/discovery/relay/changelog.go
@@ -57,7 +57,8 @@
 func (l *ChangeLog) SourceLost() { l.live = false }
 
 // Apply applies an update of the source. A complete list replaces the present list, whatever its version. A delta is
-// ignored if there is no complete list yet, or if its version is lower than the version of the list.
+// ignored if there is no complete list yet, or if its version is lower than the version of the list. A delta of the
+// same version changes the list, but is not retained for followers. Updates of other kinds are ignored.
 func (l *ChangeLog) Apply(update engine.EndpointUpdate) {
 	switch update.Kind {
 	case balancer.CompleteList:
@@ -118,7 +119,8 @@
 }
 
 // EventsSince returns the events for a follower whose list has the given version: the changes since that version or, if
-// not all of them are retained, the complete list.
+// not all of them are retained or the version is 0, the complete list. It returns none if the list of this member has
+// the same version, even if that is 0.
 func (l *ChangeLog) EventsSince(version int64) []watch.Event {
 	if version == l.version {
 		return nil
--- a/internal/discovery/relay/server.go
+++ b/internal/discovery/relay/server.go
@@ -170,8 +170,8 @@
 // admit admits a follower, or returns an error with the reason for which it is rejected. For an admitted follower it
 // returns the epoch and the path of the list, and the caller must call removeFollower at the end.
 //
-// While there is no list to relay, admit waits for one for at most maxListWait. It does not wait if the server has
-// maxFollowers already.
+// While there is no list of the follower's group to relay, admit waits for one for at most maxListWait. It does not
+// wait if the server has maxFollowers already.
 func (s *Server) admit(ctx context.Context, r watchRequest) (epoch int, path []string, err error) {
 	expired := time.After(maxListWait)
 	s.mu.Lock()
--- a/internal/discovery/relay/source.go
+++ b/internal/discovery/relay/source.go
@@ -46,7 +46,7 @@
 	latestWatch    int           // number of the latest call of Watch; only the updates of this one are relayed
 	independent    bool          // discovery differs from the peers' service, so versions cannot be compared
 	group          string        // discovery service of the members to follow and to serve; empty for the initial one
-	maxVersion     int64         // highest version that was delivered, whether by discovery or by a peer
+	maxVersion     int64         // highest version that discovery or a peer has delivered since group was set
 	upstreamName   string        // name of the present or last upstream
 	upstreamCount  int           // number of upstreams so far that have delivered an update
 }
@@ -87,9 +87,9 @@
 	s.membersChanged = make(chan struct{})
 }
 
-// SetDiscovery replaces the discovery service of this sidecar only. From then on the sidecar always calls that
-// service itself and relays no list, because the service's versions cannot be compared with the versions of the other
-// members' service.
+// SetDiscovery replaces the discovery service of this sidecar only. Until the next call of SetGroupDiscovery, the
+// sidecar selects only that service as its upstream and relays no list, because the service's versions cannot be
+// compared with the versions of the other members' service. A watch in progress keeps its present upstream.
 func (s *Source) SetDiscovery(discovery engine.Source) {
 	s.mu.Lock()
 	s.discovery, s.independent = discovery, true
@@ -97,7 +97,7 @@
 	s.server.sourceLost()
 }
 
-// SetGroupDiscovery replaces the discovery service of this sidecar and of all members that receive the same
+// SetGroupDiscovery replaces the discovery service of this sidecar, as all members do that receive the same
 // configuration snapshot. These members form a group: they continue to follow each other, and neither follow nor serve
 // members of other groups.
 func (s *Source) SetGroupDiscovery(discovery engine.Source, group string) {
--- a/internal/discovery/relay/sourcewatch.go
+++ b/internal/discovery/relay/sourcewatch.go
@@ -201,8 +201,8 @@
 	w.deliver(update)
 }
 
-// recordSuccess records that the selected upstream has delivered a version. first reports whether this is the
-// upstream's first update in this watch.
+// recordSuccess records that the selected upstream has delivered a version. It does nothing if the group has changed
+// since the watch started. first reports whether this is the first update since the upstream was selected.
 func (w *sourceWatch) recordSuccess(selected bootstrap.Selection, version int64, first bool) {
 	s := w.source
 	s.mu.Lock()
