--- a/internal/discovery/dns/answer.go
+++ b/internal/discovery/dns/answer.go
@@ -4,9 +4,10 @@
 //
 // # Limits
 //
-// A lookup follows at most MaxAliases aliases of a name. At most Limits.MaxTargets targets of an answer are used, and
-// at most Limits.MaxAddrs addresses of each. A message over TCP has at most 64 KiB. A lookup ends with its context, and
-// sends each question to each server at most Resolver.Attempts times.
+// A lookup follows at most MaxAliases aliases in one message, and sends at most MaxAliases further queries because of
+// aliases. At most Limits.MaxTargets targets of an answer are used, and at most Limits.MaxAddrs addresses of each. A
+// message over TCP has at most 64 KiB. A lookup ends with its context, and sends each question to each server at most
+// Resolver.Attempts times.
 package dns
 
 import (
@@ -24,8 +25,8 @@
 	MinTTL, MaxTTL time.Duration
 	MaxTargets     int // limits the targets of an answer
 	MaxAddrs       int // limits the addresses of a target
-	// Zone is the domain to which targets must belong; empty allows any domain. This prevents an answer from directing
-	// requests to hosts outside the zone.
+	// Zone is the domain to which targets must belong; empty allows any domain. A zone prevents an answer from
+	// directing requests to hosts outside it.
 	Zone string
 	// RejectLocal rejects loopback, multicast and link-local unicast addresses. Unspecified addresses are always
 	// rejected.
@@ -50,9 +51,9 @@
 	return name == zone || strings.HasSuffix(name, "."+zone)
 }
 
-// MaxAliases limits the number of aliases (CNAME records) in a chain that is followed. This prevents a cycle of
-// aliases from being followed forever. A higher value allows longer chains, and each alias in a chain may require a
-// query.
+// MaxAliases limits the number of aliases (CNAME records) that are followed in one message, and the number of further
+// queries that a lookup sends because of aliases. This prevents a cycle of aliases from being followed forever. A
+// higher value allows longer chains, and each alias in a chain may require a query.
 const MaxAliases = 8
 
 // Target is a host that offers a service.
@@ -65,11 +66,13 @@
 
 // Answer is the result of a query for the records of a name.
 type Answer struct {
-	Targets  []Target
-	TTL      time.Duration // how long the answer is valid
-	NotFound bool          // the name does not exist, or has no records of the requested type
-	// Alias is the name of which the requested name is an alias, if the message has no records of Alias; otherwise it
-	// is empty. Alias must be looked up by another query.
+	Targets []Target
+	TTL     time.Duration // how long the answer is valid
+	// NotFound means that the name does not exist, has no records of the requested type, or has only SRV records with
+	// the host ".", which means that the service is not available.
+	NotFound bool
+	// Alias is the name of which the requested name is an alias, if the message neither has records of Alias nor says
+	// that there are none; otherwise it is empty. Alias must be looked up by another query.
 	Alias   string
 	Dropped int // number of targets and addresses that were invalid or exceeded Limits
 }
--- a/internal/discovery/dns/exchange.go
+++ b/internal/discovery/dns/exchange.go
@@ -13,7 +13,7 @@
 
 const (
 	maxUDPSize = 1232     // maximum size of an answer over UDP, in bytes, offered by EDNS(0); see DNS flag day 2020
-	maxTCPSize = 64 << 10 // maximum size of an answer over TCP, in bytes
+	maxTCPSize = 64 << 10 // size of the buffer for answers over UDP, in bytes; no answer over UDP or TCP is longer
 )
 
 // query is a question, together with the ID that its answer must have.
--- a/internal/discovery/dns/parse.go
+++ b/internal/discovery/dns/parse.go
@@ -147,9 +147,9 @@
 	})
 }
 
-// readEmptyAnswer handles an answer without records of name, the name at the end of the aliases of queryName. If name
+// readEmptyAnswer handles an answer without targets for name, the name at the end of the aliases of queryName. If name
 // differs from queryName and the server has sent neither an error nor authority records, name must be looked up by
-// another query. Otherwise, no such records exist.
+// another query. Otherwise, there are no targets.
 func (r *answerReader) readEmptyAnswer(queryName, name string) {
 	found := r.message.RCode == dnsmessage.RCodeSuccess
 	if name != queryName && found && len(r.message.Authorities) == 0 {
--- a/internal/discovery/dns/refresher.go
+++ b/internal/discovery/dns/refresher.go
@@ -14,14 +14,15 @@
 	"hazelwing/internal/discovery"
 )
 
-// RefresherConfig configures a Refresher. Zero values have defaults.
+// RefresherConfig configures a Refresher. If StaleTTL, MinRetry or MaxRetry is 0, its default is used.
 type RefresherConfig struct {
 	SourceName string // name of the source in its updates
 	// StaleTTL is how long an answer is used after the end of its TTL while lookups fail (RFC 8767). After that the
 	// source counts as failed. The default is a day.
 	StaleTTL time.Duration
-	// MinRetry and MaxRetry are the minimum and the maximum time to wait before a lookup is repeated after a failure.
-	// The time doubles with each failure in a row. The defaults are 1 s and 30 s.
+	// MinRetry and MaxRetry are the minimum and the maximum time to wait before a lookup is repeated after a failure,
+	// before the time is multiplied by a random factor; see minRetryFactor. The time doubles with each failure in a
+	// row. The defaults are 1 s and 30 s. A TTL below MinRetry is replaced by MinRetry to schedule the next lookup.
 	MinRetry, MaxRetry time.Duration
 	// InitialJitter is the maximum of the random time before the first lookup; 0 means no wait. This prevents instances
 	// that start together from querying the same few servers at the same time.
@@ -103,8 +104,8 @@
 
 // Decision is the reaction of a Refresher to the start or to the result of a lookup.
 type Decision struct {
-	Update     *discovery.Update // update to send to the merger; nil if the endpoints have not changed
-	Failed     bool              // the source has failed: its last update is too old to be used
+	Update     *discovery.Update // update to send to the merger; nil if there is none
+	Failed     bool              // the source has failed: it has no update, or its last one is too old to be used
 	NextLookup time.Duration     // when to look the name up next
 	Log        LogEntry          // empty if there is nothing to log
 }
@@ -129,7 +130,8 @@
 	return Decision{NextLookup: now + time.Duration(r.rng.Float64()*float64(r.cfg.InitialJitter))}
 }
 
-// HandleAnswer processes an answer. The next lookup starts before the TTL of the answer ends, unless the TTL is below
+// HandleAnswer processes an answer. It returns an update if the endpoints have changed, or if this is the first answer
+// at all or since the source failed. The next lookup starts before the TTL of the answer ends, unless the TTL is below
 // RefresherConfig.MinRetry.
 //
 // If the name does not exist, the update has no endpoints. Such an update does not remove endpoints that other sources
@@ -175,7 +177,8 @@
 // HandleFailure processes a failed lookup. The time before the lookup is repeated doubles with each failure in a row.
 //
 // The last answer remains in use until RefresherConfig.StaleTTL after the end of its TTL; then the source has failed.
-// This prevents an outage of the name servers from removing endpoints that still work.
+// If there has been no answer, it fails at once. Using the last answer prevents an outage of the name servers from
+// removing endpoints that still work.
 func (r *Refresher) HandleFailure(now time.Duration, err error) Decision {
 	wait := min(r.cfg.MinRetry<<min(r.failures, maxRetryDoublings), r.cfg.MaxRetry)
 	r.failures++
--- a/internal/discovery/dns/resolver.go
+++ b/internal/discovery/dns/resolver.go
@@ -27,7 +27,8 @@
 }
 
 // LookupSRV looks up the targets of a service, and the addresses of those targets for which the answer contains none.
-// If no server answers, the error joins the errors of all servers.
+// If the addresses of one target cannot be looked up, the whole lookup fails. If no server answers, the error joins the
+// errors of all servers.
 func (r *Resolver) LookupSRV(ctx context.Context, name string) (Answer, error) {
 	answer, err := r.lookup(ctx, name, dnsmessage.TypeSRV)
 	if err != nil || answer.NotFound {
--- a/internal/discovery/dns/source.go
+++ b/internal/discovery/dns/source.go
@@ -21,8 +21,8 @@
 }
 
 // Run looks up the name periodically until ctx ends. It calls update with each new list of endpoints, and failed once
-// when the last list has become too old to be used. It makes one call at a time, from its own goroutine. Neither
-// function should block for long.
+// when the last list has become too old to be used, or when a lookup fails before there is a list. It makes one call at
+// a time, from its own goroutine. Neither function should block for long.
 func (s *Source) Run(ctx context.Context, update func(discovery.Update), failed func(err error)) {
 	log := s.Log.With("component", "dns", "name", s.Name)
 	startedAt := time.Now()
