--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -65,8 +65,9 @@
 }
 
 // abandonActive seals the active segment after a failed write or sync. It is unknown whether the bytes after the
-// confirmed ones are on the disk, and a later successful sync would not show whether they are. This prevents an entry
-// from being confirmed and then lost by a power loss.
+// confirmed ones are on the disk, and a later successful sync would not show whether they are. Sealing the segment
+// prevents an entry from being confirmed and then lost by a power loss. If no record of the segment is confirmed, its
+// file is removed.
 func (s *Store) abandonActive() {
 	g := s.active
 	// If truncating fails, recovery skips incomplete records and may restore complete ones, whose ops had an error.
@@ -151,8 +152,8 @@
 }
 
 // syncConfirmed syncs the ops that were confirmed with SyncEvery. After a failed sync none of them counts as durable,
-// and the latest op of each key is written again to a new segment. If this write fails as well, the ops stay in
-// unsynced and are written again later, so that no entry is lost while the process runs.
+// and the latest op of each key is written again. If this write fails as well, the ops stay in unsynced and are written
+// again later, so that no entry is lost while the process runs.
 func (s *Store) syncConfirmed() {
 	if len(s.unsynced) == 0 {
 		return
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -9,8 +9,8 @@
 const copyBufferSize = 256 << 10
 
 // Compact reclaims the space of entries that have expired, were deleted or were replaced. Reads and writes continue
-// meanwhile. After an error the entries are unchanged, but files that could not be removed may remain; the next removal
-// of segments tries to remove them again.
+// meanwhile. Entries that are damaged on disk are dropped, and counted in Stats.Damaged. After an error no other entry
+// is lost, but files that could not be removed may remain; the next removal of segments tries to remove them again.
 func (s *Store) Compact() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -10,6 +10,7 @@
 //     The segment is sealed at its last confirmed byte, and the next batch is written to a new segment.
 //   - When the disk is full, Put fails and the store stays usable: existing entries stay, and the next Put tries again.
 //   - A record that was damaged on disk is detected by its checksum, skipped and reported. The records around it stay.
+//     Damage after the last valid record of a segment looks like an interrupted write, and Open ignores it.
 //
 // An entry has an expiry time. After that it is not found, and Maintain reclaims its space. The clock has to continue
 // across restarts. A clock that is set back only makes entries live longer.
--- a/internal/store/maintain.go
+++ b/internal/store/maintain.go
@@ -155,7 +155,8 @@
 }
 
 // shouldCompact decides whether a compaction would reclaim enough space, from the size of all segments, the bytes in
-// them that are not part of live records, and the size after the last compaction.
+// them that are not part of live records, and the size after the last compaction. Records that have expired count as
+// live until the latest expiry of their segment.
 func (s *Store) shouldCompact() bool {
 	s.compactMu.Lock()
 	lastSize := s.sizeAfterCompaction
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -75,8 +75,9 @@
 		delete(listed, key)
 		allowed := append(slices.Clone(m.uncertain[key]), m.confirmed[key])
 		if !slices.ContainsFunc(allowed, func(v []byte) bool { return (v == nil) == !ok && bytes.Equal(v, got) }) {
-			return fmt.Errorf("entry %s: value is %q, found %v, want the confirmed value %q or an uncertain one of %q",
-				key, got, ok, m.confirmed[key], m.uncertain[key])
+			return fmt.Errorf("entry %s: value is %q, found %v, want the confirmed value %q, found %v, "+
+				"or an uncertain one of %q (an uncertain \"\" may mean no entry)",
+				key, got, ok, m.confirmed[key], m.confirmed[key] != nil, m.uncertain[key])
 		}
 	}
 	for key := range listed {
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -19,7 +19,7 @@
 }
 
 // Each calls visit with every entry that has not expired, in no particular order, until visit returns false. It skips
-// and logs entries that are damaged on disk.
+// and logs entries that are damaged on disk. It holds a lock, so visit must not call methods of the store.
 func (s *Store) Each(visit func(key string, value []byte, expiresAt time.Time) bool) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -14,7 +14,7 @@
 }
 
 // recover reads the directory: for each segment its hint file if it can be used, and the segment itself otherwise. It
-// removes hint files without a segment, and segments without records, which a crash may leave.
+// removes hint files without a segment, and segments without valid records, which a crash may leave.
 func (s *Store) recover() error {
 	names, err := s.fs.List()
 	if err != nil {
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// loadSegment reads a segment, or its hint file instead. It returns nil if the segment had no record and was removed.
+// loadSegment reads a segment, or its hint file instead. It returns nil if the segment had no valid record and was
+// removed.
 func (r *recovery) loadSegment(number uint64) (*segment, error) {
 	f, err := r.fs.Open(segmentName(number))
 	if err != nil {
--- a/internal/store/stats.go
+++ b/internal/store/stats.go
@@ -6,7 +6,7 @@
 	Segments int   `json:"segments"`
 	Bytes    int64 `json:"bytes"`    // size of all segments
 	Live     int64 `json:"live"`     // bytes of the records of all entries
-	Damaged  int64 `json:"damaged"`  // bytes that are damaged on disk
+	Damaged  int64 `json:"damaged"`  // bytes that Open or Compact found damaged on disk
 	Unsynced int   `json:"unsynced"` // changes that were confirmed with Options.SyncEvery and have not been synced
 
 	// Counts since the store was opened:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -41,8 +41,9 @@
 	// long they wait. With higher values fewer batches are written, but a crash loses more ops.
 	maxDeferredOps = 4096
 	maxDeferral    = 100 * time.Millisecond
-	// maxUnsyncedOps limits the number of ops that were confirmed with SyncEvery and have not been synced. A higher
-	// value tolerates a slower disk, but a power loss loses more ops.
+	// maxUnsyncedOps is the number of ops that were confirmed with SyncEvery and have not been synced, from which on
+	// the writer syncs them before it writes the next batch, and rejects that batch if this fails. The last batch may
+	// exceed it. A higher value tolerates a slower disk, but a power loss loses more ops.
 	maxUnsyncedOps = 4096
 )
 
@@ -79,7 +80,7 @@
 	mu       sync.RWMutex
 	index    map[string]location // locations of the entries, by key
 	segments map[uint64]*segment // by number
-	damaged  int64               // bytes that are damaged on disk
+	damaged  int64               // bytes that Open or Compact found damaged on disk
 	counters counters
 
 	// The following fields are used by the writer's goroutine only. The writer changes unsynced with mu held, since
@@ -175,8 +176,9 @@
 }
 
 // Put stores an entry and replaces an earlier one with the same key. It waits until the entry is confirmed. The error
-// is ErrSize, ErrFull, ErrClosed or an error of the file system. After an error the entry may be stored nevertheless,
-// unless the error is ErrSize or ErrFull.
+// is ErrSize, ErrFull, ErrClosed, an error of the file system or, with Options.SyncEvery, the error that too many
+// confirmed entries have not been synced. After an error the entry may be stored nevertheless, unless the error is
+// ErrSize or ErrFull.
 func (s *Store) Put(key string, value []byte, expiresAt time.Time) error {
 	if err := checkSize(key, value); err != nil {
 		return err
@@ -192,9 +194,10 @@
 	return s.submit(op{record: record{kind: kindDelete, key: key}})
 }
 
-// PutLater puts an entry with the next batch, within 100 ms. It does not block, and the entry is not confirmed. For
-// each key, changes by PutLater and DeleteLater take effect before any change that is requested after them. PutLater
-// returns false, and does nothing, if too many changes are waiting, the size is not valid, or the store is closed.
+// PutLater puts an entry with the next batch, within 100 ms if the writer is not busy. It does not block, and the entry
+// is not confirmed; if it cannot be written later, the caller is not told. For each key, changes by PutLater and
+// DeleteLater take effect before changes that are requested after them; for the exception see gather. PutLater returns
+// false, and does nothing, if too many changes are waiting, the size is not valid, or the store is closed.
 func (s *Store) PutLater(key string, value []byte, expiresAt time.Time) bool {
 	return checkSize(key, value) == nil && s.enqueue(op{record: newPut(key, value, expiresAt)})
 }
@@ -268,7 +271,8 @@
 	}
 }
 
-// Close waits until the requested changes have been executed, and closes the store.
+// Close waits until the requested changes have been executed, and closes the store. Further calls return nil without
+// waiting.
 func (s *Store) Close() error {
 	s.compactMu.Lock()
 	if s.isClosed() {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// This file contains the writer, a goroutine that makes batches of ops durable, each with one write and one sync.
+// This file contains the writer, a goroutine that writes each batch of ops with one write and, unless Options.SyncEvery
+// is set, one sync.
 
 // runWriter writes batches until the store is closed and no op is waiting.
 func (s *Store) runWriter() {
@@ -79,7 +80,8 @@
 // gather returns a batch of the given and the waiting deferred ops, then first, which is an op for which a caller
 // waits, and then the other ops that wait in the queue. It stops after maxBatch ops for which callers wait, or after a
 // rotation. The deferred ops come first, so that they take effect before changes of the same key that were requested
-// after them.
+// after them. A deferred op that is requested while gather takes the other ops is left to the next batch: it then takes
+// effect after an op of this batch even if that op was requested after it.
 func (s *Store) gather(deferred []op, first op) []op {
 	batch := append(s.appendDeferred(deferred), first)
 	for n := 1; n < maxBatch && batch[len(batch)-1].rotate == nil; n++ {
@@ -154,8 +156,9 @@
 	})
 }
 
-// rotate seals the active segment. It passes the sealed segments to o.rotate, with a number for the segment to which
-// they may be compacted. This number is lower than that of the next active segment.
+// rotate makes the confirmed ops durable and then seals the active segment; if the former fails, so does the op. It
+// passes the sealed segments to o.rotate, with a number for the segment to which they may be compacted. This number is
+// lower than that of the next active segment.
 func (s *Store) rotate(o op) {
 	s.syncConfirmed()
 	if len(s.unsynced) > 0 {
