--- a/internal/idempotency/clock.go
+++ b/internal/idempotency/clock.go
@@ -4,7 +4,8 @@
 
 // Time is a point on the timeline of the records, in milliseconds. The timeline continues across restarts of the
 // program and never goes back. While the machine is up, the timeline follows the boot clock and ignores changes of wall
-// time. After a restart of the machine it continues at wall time, or where it was if wall time is earlier.
+// time. After a restart of the machine it continues at wall time, or at the latest stored time of an intent or a start
+// if that is later.
 type Time int64
 
 // Reading holds the values of the machine's clocks at one moment.
@@ -29,7 +30,8 @@
 // continues on the boot clock. In another boot it continues at the latest of wall time, the stored state and latest,
 // with the next boot number. This prevents wall time that is set back from extending an idempotency window, and from
 // moving the timeline back. stored is the state that the last run of the program stored, zero if there is none; latest
-// is the latest Time in any record. The caller stores the state of the returned Clock if it differs from stored.
+// is the latest time of an intent in any record. The caller stores the state of the returned Clock if it differs from
+// stored.
 func ResumeClock(stored ClockState, latest Time, reading Reading) Clock {
 	if stored.BootNumber > 0 && stored.BootID == reading.BootID && reading.Uptime >= stored.Uptime {
 		return Clock{stored}
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -17,10 +17,10 @@
 //
 //   - A request of a NonIdempotent class is sent only while no attempt with its fingerprint may have run, in this run
 //     of the program or, as far as the log preserves it, in an earlier one. Once an attempt may have run, further
-//     requests with the fingerprint fail until Config.Retention has passed since the first attempt.
+//     requests with the fingerprint fail at least until Config.Retention has passed since the first attempt.
 //   - A request of a Keyed class is sent only to the scope in which earlier attempts with its fingerprint may have run,
 //     and only while the idempotency window of the first of them has certainly not passed. After that, further requests
-//     with the fingerprint fail until Config.Retention has passed since the first attempt.
+//     with the fingerprint fail at least until Config.Retention has passed since the first attempt.
 //   - If the machine was restarted since an attempt, the time since the attempt is unknown, and its idempotency window
 //     counts as passed. Its retention ends by the timeline of the records, which never goes back (see Time).
 package idempotency
--- a/internal/idempotency/middleware/inspect.go
+++ b/internal/idempotency/middleware/inspect.go
@@ -20,7 +20,7 @@
 	State       string    `json:"state"` // "open" (no outcome stored), "unknown" (may have run) or "ran" (answered)
 	IntendedAt  time.Time `json:"intended"`
 	ExpiresAt   time.Time `json:"expires"`
-	Locations   string    `json:"where"` // locations of the attempts as ZONE/CELL, separated by spaces
+	Locations   string    `json:"where"` // idempotency.Locations as ZONE/CELL, separated by spaces
 }
 
 var (
@@ -35,8 +35,9 @@
 	}
 )
 
-// Inspect returns the records of a write-ahead log, oldest first. It changes nothing, so the daemon may be running. The
-// times are on the records' timeline, which differs from wall time if wall time was changed.
+// Inspect returns the records of a write-ahead log, including expired ones, oldest first. It skips entries that cannot
+// be decoded. It changes nothing, so the daemon may be running. The times are on the records' timeline, which differs
+// from wall time if wall time was changed.
 func Inspect(fs store.FS) ([]RecordInfo, error) {
 	list := []RecordInfo{}
 	err := store.Read(fs, func(key string, value []byte, _ time.Time) {
--- a/internal/idempotency/middleware/middleware.go
+++ b/internal/idempotency/middleware/middleware.go
@@ -45,8 +45,8 @@
 	OnFailure  FailurePolicy
 	Retention  time.Duration // see idempotency.Config
 	MaxEntries int           // see idempotency.Config
-	// RetryAfter is the Retry-After time of requests that are rejected while intents cannot be made durable; with 0,
-	// rejections have no Retry-After.
+	// RetryAfter is the Retry-After time of requests that are rejected before any attempt while intents cannot be made
+	// durable; with 0, these rejections have no Retry-After.
 	RetryAfter time.Duration
 	FS         store.FS      // directory of the write-ahead log; nil with DurabilityOff
 	Store      store.Options // SyncEvery is used with DurabilityBatch only; Open sets Now and Logger
--- a/internal/idempotency/middleware/status.go
+++ b/internal/idempotency/middleware/status.go
@@ -10,7 +10,7 @@
 // Status describes a Deduplicator for operators.
 type Status struct {
 	Durability   Durability    `json:"durability"`
-	WriteFailure string        `json:"trouble,omitempty"` // reason why intents cannot currently be made durable
+	WriteFailure string        `json:"trouble,omitempty"` // latest failure; empty once a write succeeds
 	OnFailure    FailurePolicy `json:"on_failure"`
 
 	Remembered        int     `json:"remembered"`    // number of fingerprints
--- a/internal/idempotency/middleware/wal.go
+++ b/internal/idempotency/middleware/wal.go
@@ -19,9 +19,9 @@
 	clockKey = "clock"
 	// clockRetention is how long the clock's state is stored. It is longer than any record is stored.
 	clockRetention = 100 * 365 * 24 * time.Hour
-	// retryWriteAfter is the time after a failed write during which no other write is tried, with RejectOnFailure. With
-	// a higher value requests are rejected for longer after the disk works again; with a lower one more attempts wait
-	// for a disk that fails.
+	// retryWriteAfter is the time after a failed write, or after an attempt for which the table was full, during which
+	// no other write is tried, with RejectOnFailure. With a higher value requests are rejected for longer after the
+	// disk works again; with a lower one more attempts wait for a disk that fails.
 	retryWriteAfter = time.Second
 	// storeSlack is added to the expiry times of records in the store, so that a record expires by the tracker's clock
 	// before the store drops it. A higher value costs disk space; with a lower one a difference between the clocks
@@ -29,7 +29,8 @@
 	storeSlack = time.Minute
 )
 
-// writeFailure describes the current series of failed writes. Deduplicator.mu protects it.
+// writeFailure describes the current series of failed writes. An attempt for which the table is full counts as a failed
+// write. Deduplicator.mu protects writeFailure.
 type writeFailure struct {
 	err     error     // error of the latest write; nil if it succeeded
 	since   time.Time // time of the first failure of the series
@@ -85,7 +86,7 @@
 
 // readLog reads the records and the clock's state. It skips records that it cannot decode, and logs their number. If it
 // cannot decode the clock's state, it logs the error and returns the zero state. ResumeClock then continues at the
-// later of wall time and the latest time in any record.
+// later of wall time and the latest time of an intent in any record.
 func (d *Deduplicator) readLog() (map[idempotency.Fingerprint]idempotency.Record, idempotency.ClockState, error) {
 	records := map[idempotency.Fingerprint]idempotency.Record{}
 	var clock idempotency.ClockState
@@ -227,7 +228,7 @@
 }
 
 // endAttempt ends an attempt in the tracker and queues the resulting update of the stored record. It holds the lock
-// during both, so that the next intent with the same fingerprint is written after the update.
+// during both, so that the next intent with the same fingerprint is passed to the store after the update.
 func (d *Deduplicator) endAttempt(
 	fp idempotency.Fingerprint, attempt *idempotency.Attempt, mayHaveRun, wasAnswered bool,
 ) {
@@ -250,13 +251,14 @@
 }
 
 // rejectsWrites reports whether attempts are currently rejected without trying a write. With RejectOnFailure they are,
-// for retryWriteAfter after a failed write. This prevents each attempt from waiting for a disk that fails. The caller
+// for retryWriteAfter after writeFailed. This prevents each attempt from waiting for a disk that fails. The caller
 // holds the lock.
 func (d *Deduplicator) rejectsWrites() bool {
 	return d.failure.err != nil && d.config.OnFailure == RejectOnFailure && time.Now().Before(d.failure.retryAt)
 }
 
-// writeFailed records that a write failed, and logs the first failure of a series. The caller holds the lock.
+// writeFailed records that a write failed or that the table is full, and logs the first failure of a series. The caller
+// holds the lock.
 func (d *Deduplicator) writeFailed(err error) {
 	if d.failure.err == nil {
 		d.failure.since = time.Now()
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -12,7 +12,8 @@
 	StateExecuted State = 3 // at least one attempt was answered
 )
 
-// Location is a zone and cell in which attempts may have run.
+// Location stands for attempts in one idempotency scope that may have run. Zone and Cell are those of the first of
+// them.
 type Location struct {
 	Zone       string
 	Cell       int
--- a/internal/idempotency/tracker.go
+++ b/internal/idempotency/tracker.go
@@ -27,8 +27,9 @@
 	classes map[string]balancer.Class
 	entries map[Fingerprint]*entry
 
-	// byExpiry holds the entries with an intent, in order of expiresAt. It includes released entries that have not been
-	// removed yet.
+	// byExpiry holds the entries with an intent, in order of expiresAt. After a restart with a shorter
+	// Config.Retention, new entries may follow restored ones that expire later. It includes released entries that have
+	// not been removed yet.
 	byExpiry      []*entry
 	releasedCount int // number of released entries in byExpiry
 
@@ -58,7 +59,8 @@
 }
 
 // Restore adds a record of an earlier run of the program. Records may be restored in any order, before any other method
-// is called. Restore ignores a record that has expired or has no location, and a second record of a fingerprint.
+// is called. Restore ignores a record that has expired or has no location, and a second record of a fingerprint. It
+// does not apply Config.MaxEntries.
 func (t *Tracker) Restore(now Instant, fp Fingerprint, record Record) {
 	if record.ExpiresAt <= now.Time || t.entries[fp] != nil || len(record.Locations) == 0 {
 		return
@@ -160,7 +162,7 @@
 
 // Stats describes the state of a Tracker.
 type Stats struct {
-	Entries      int // number of fingerprints remembered
+	Entries      int // number of fingerprints, including those of requests in flight that have had no attempt
 	Open         int // number of fingerprints with an attempt in flight
 	RestoredOpen int // number of fingerprints whose attempt was in flight when an earlier run of the program ended
 	// OldestOpen is the time of the oldest intent of the fingerprints in Open and RestoredOpen, 0 if there are none.
