--- a/internal/store/measure/engines_test.go
+++ b/internal/store/measure/engines_test.go
@@ -47,8 +47,8 @@
 // loadBatch is the number of entries that bbolt and pebble load in one transaction or batch.
 const loadBatch = 10_000
 
-// entryKey and entryValue return entries of about the size of idempotency records: a fingerprint as the key, and a
-// value of about 50 bytes.
+// entryKey and entryValue return entries of about the size of idempotency records, which have a fingerprint as the key
+// and a value of about 50 bytes.
 func entryKey(i int) string { return fmt.Sprintf("book/%08x%08x", uint32(i)*2654435761, i) }
 
 func entryValue(i int) []byte {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -15,9 +15,9 @@
 	// MaxBytes limits the size of all segments, in bytes; 256 MiB by default. If an entry would exceed it, Put fails
 	// with ErrFull; Delete is not limited. While Compact runs, the copies of the live records are not counted.
 	MaxBytes int64
-	// SyncEvery, if above 0, is the longest time between the confirmation of an entry and its sync. Entries are
-	// confirmed once they have been passed to the operating system: they survive the end of the process, but a power
-	// loss may lose the latest ones. With 0 each batch is synced before it is confirmed.
+	// SyncEvery, if above 0, is the longest time between the confirmation of an entry and its sync, unless a sync
+	// fails. Entries are confirmed once they have been passed to the operating system: they survive the end of the
+	// process, but a power loss may lose the latest ones. With 0 each batch is synced before it is confirmed.
 	SyncEvery time.Duration
 	// Manual disables maintenance in the background; the caller calls Maintain. Otherwise a goroutine calls it whenever
 	// a segment is sealed or the store is full, and every MaintainEvery.
@@ -271,8 +271,8 @@
 	}
 }
 
-// Close waits until the requested changes have been executed, and closes the store. Further calls return nil without
-// waiting.
+// Close waits until the requested changes have been executed, syncs the confirmed entries, and closes the store. A
+// failure of this sync is only counted in Stats, and not returned. Further calls return nil without waiting.
 func (s *Store) Close() error {
 	s.compactMu.Lock()
 	if s.isClosed() {
