--- a/internal/discovery/bootstrap/selector_test.go
+++ b/internal/discovery/bootstrap/selector_test.go
@@ -45,8 +45,8 @@
 	return depth
 }
 
-// Whatever the size of the cluster, exactly Roots members call the discovery service, no member has more than FanOut
-// followers, and no member is more than four steps away from a root.
+// Whatever the size of the cluster, exactly Roots members call the discovery service (all members if there are fewer),
+// no member has more than FanOut followers, and no member is more than four steps away from a root.
 func TestSelectionsFormATree(t *testing.T) {
 	const roots, fanOut = 3, 16
 	for _, size := range []int{1, 2, 3, 4, 20, 300, 2000} {
--- a/internal/discovery/watch/startup_test.go
+++ b/internal/discovery/watch/startup_test.go
@@ -99,8 +99,9 @@
 }
 
 // Forty sidecars start at once. Their discovery service handles 40 calls per second, and rejects calls that it would
-// have to queue for more than 250 ms. All sidecars must receive the list, and none may call more often than its backoff
-// allows: there are at least 0.45 s between the starts of two calls, except once if the first call was rejected late.
+// have to queue for more than 250 ms. All sidecars must receive the list, and together they may not call more often
+// than their backoffs allow: there are at least 0.45 s between the starts of two calls of a sidecar, except once if the
+// first call was rejected late.
 func TestAllSidecarsStartAtOnce(t *testing.T) {
 	service, err := emulator.NewDiscovery()
 	if err != nil {
--- a/internal/idempotency/random_test.go
+++ b/internal/idempotency/random_test.go
@@ -11,7 +11,7 @@
 // Kinds of random events, encoded in the lower four bits of a byte. The upper four bits are the event's argument.
 const (
 	eventAdmit      = 0 // 0 to 2
-	eventAttempt    = 3 // 3 to 6
+	eventAttempt    = 3 // 3 to 6; if the operation has no request in flight, an attempt ends as for eventNoAnswer
 	eventAnswer     = 7 // an attempt is answered
 	eventNoAnswer   = 8 // an attempt ends without an answer, and may have run
 	eventNotRun     = 9 // an attempt ends, and is proved not to have run
