--- a/internal/discovery/merger.go
+++ b/internal/discovery/merger.go
@@ -17,9 +17,10 @@
 // # Limits
 //
 // The list of a source holds at most Config.MaxEndpoints endpoints. Endpoints of an update beyond this number are
-// dropped and counted. New endpoints that an update adds to a full list are dropped and not counted. A tombstone (the
-// record of a removal) is kept for Config.TombstoneTTL after any source last listed its endpoint, and each source has
-// at most Config.MaxEndpoints tombstones. A Merger is not safe for concurrent use.
+// dropped and counted. New endpoints that an update adds to a full list are dropped and not counted, also if a complete
+// update no longer lists the old ones. A tombstone (the record of a removal) is kept for Config.TombstoneTTL after any
+// source last listed its endpoint, and each source has at most Config.MaxEndpoints tombstones. A Merger is not safe for
+// concurrent use.
 package discovery
 
 import (
