--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -110,7 +110,8 @@
 	return traffic, script, err
 }
 
-// replay sends the traffic and shows its progress in the view. It returns settleTime after the last response.
+// replay sends the traffic and shows its progress in the view. After the last response it waits for settleTime, and
+// then returns the report.
 func replay(
 	ctx context.Context, traffic *emulator.Traffic, grace time.Duration, client emulator.RequestFunc, view *view,
 ) *emulator.Report {
--- a/internal/simulation/configsim/configsim_test.go
+++ b/internal/simulation/configsim/configsim_test.go
@@ -161,9 +161,9 @@
 }
 
 // All origins are lost, and new ones are bootstrapped with a higher epoch. Versions start again at 1, so a member that
-// compared versions alone would stay with the old epoch and never apply a change again. All members have to follow the
-// new epoch from its first change on, including one that was frozen in between. An origin of the old epoch that starts
-// again must not lead any member back to the old epoch.
+// compared versions alone would ignore the changes of the new epoch until their versions exceed that of its old
+// snapshot. All members have to follow the new epoch from its first change on, including one that was frozen in
+// between. An origin of the old epoch that starts again must not lead any member back to the old epoch.
 func TestHigherEpoch(t *testing.T) {
 	const absent = 7
 	c, err := New(Config{Members: 60, Seed: 1})
