--- a/internal/simulation/simtime/queue.go
+++ b/internal/simulation/simtime/queue.go
@@ -66,7 +66,8 @@
 }
 
 // advance turns the wheel to the next slot, or to the first slot of the overflow if the wheel is empty, and moves the
-// events of that slot into the current heap.
+// events of that slot into the current heap. It also moves events of the overflow that are now less than one turn ahead
+// into the wheel.
 func (q *Queue) advance() {
 	q.currentSlot++
 	if q.slotted == 0 {
--- a/internal/simulation/simulator/attempt.go
+++ b/internal/simulation/simulator/attempt.go
@@ -127,8 +127,9 @@
 	sim.complete(a, result, balancer.LoadReport{})
 }
 
-// abandon completes an attempt that the instance gives up, and cancels it at the node if its request was written. If
-// the request was not written, the outcome is NotSent, or ConnectFailed once ConnectTimeout has passed.
+// abandon completes an attempt that the instance gives up, and cancels it at the node if its request was written. It
+// closes the connection, except for a multiplexed one on which the request was written. If the request was not written,
+// the outcome is NotSent, or ConnectFailed once ConnectTimeout has passed.
 func (sim *simulation) abandon(a *attempt, result balancer.Result) {
 	if a.completed || a.abandoned {
 		return
--- a/internal/simulation/simulator/balancercount_test.go
+++ b/internal/simulation/simulator/balancercount_test.go
@@ -11,7 +11,7 @@
 )
 
 // rollingReplacementConfig returns the configuration of a cluster of four zones. At 2 s and again at 5 s, thirty per
-// cent of the nodes, drawn at random, begin to be replaced. Ten per cent of the nodes are slow from 1 s on. Some
+// cent of the nodes, drawn at random, begin to be replaced. Ten per cent of the nodes are slow from 1 s to 9 s. Some
 // instances have far more traffic than others, and the instances of zone a have zoneFactor times the traffic of the
 // instances of the other zones.
 func rollingReplacementConfig(instances, nodes int, zoneFactor float64) Config {
--- a/internal/simulation/simulator/call.go
+++ b/internal/simulation/simulator/call.go
@@ -75,8 +75,8 @@
 }
 
 // callEnded handles the end of a call. If the call was not served, the client calls again after a delay, as far as
-// MaxCalls and the request's deadline allow that. Otherwise the request has ended, and the next request of the session
-// begins after its think time.
+// MaxCalls and the request's deadline allow that. Otherwise the request has ended, and the next request of the session,
+// if there is one, begins after the think time, provided that this is before Config.Duration.
 func (sim *simulation) callEnded(r *request, result callResult, retryAfter time.Duration) {
 	clients := &sim.config.Clients
 	wait := max(clients.RetryDelay, retryAfter)
--- a/internal/simulation/simulator/config.go
+++ b/internal/simulation/simulator/config.go
@@ -101,10 +101,11 @@
 	LossRate        float64
 	RetransmitDelay time.Duration
 	ConnectTimeout  time.Duration
-	// IdleTimeout is the time after which an idle connection is closed.
+	// IdleTimeout is the time after which an idle connection is closed. It has no effect if Multiplexed is set.
 	IdleTimeout time.Duration
-	// Multiplexed gives an instance one connection to each node, as with HTTP/2. A reset of the connection ends all
-	// attempts on it.
+	// Multiplexed makes all attempts of an instance share one connection to each node, as with HTTP/2. Until one has
+	// been opened, each attempt opens a further one, and only the one opened last is used from then on. A reset of the
+	// connection ends all attempts on it.
 	Multiplexed bool
 }
 
@@ -127,12 +128,13 @@
 
 // EndpointUpdates describes how instances learn of changes to the endpoint list.
 type EndpointUpdates struct {
-	// MinDelay and MaxDelay limit the delay of an update, which is drawn for each instance separately.
+	// MinDelay and MaxDelay limit the delay of an update, which is drawn for each instance separately. With a discovery
+	// service it is drawn once, for the way to the service.
 	MinDelay, MaxDelay time.Duration
 	// DetectionDelay is the additional time until the end or the start of a process is detected. It does not apply to
 	// drains, which nodes announce themselves.
 	DetectionDelay time.Duration
-	// Reorder lets updates overtake each other.
+	// Reorder lets pushed updates overtake each other. Updates to a discovery service can always do so.
 	Reorder bool
 }
 
@@ -141,7 +143,7 @@
 	// Capacity is the number of list entries that the service writes per second. If it is 0, lists are pushed to the
 	// instances as EndpointUpdates describes.
 	Capacity float64
-	// CallCost is the fixed cost of a call, in list entries. The entries of the answer are added to it.
+	// CallCost is the fixed cost of a call, in list entries. The number of all nodes, listed or not, is added to it.
 	CallCost float64
 	// Timeout is the time after which a call fails. The service still does the work of a call that timed out.
 	Timeout time.Duration
@@ -159,7 +161,7 @@
 	Weights []float64
 	// Zones are assigned to the instances in turn.
 	Zones []string
-	// MaxCalls is the maximum number of calls for one request, the first call included.
+	// MaxCalls is the maximum number of calls for one request, the first call included; 0 counts as 1.
 	MaxCalls int
 	// CallDeadlineShare is the share of the class's deadline that one call may take. If it is 0, a call may take all
 	// the time that is left until the deadline.
@@ -181,8 +183,10 @@
 	ThinkTime time.Duration
 	// ClockSkew is the largest difference between the clock of an instance and the clocks of the nodes.
 	ClockSkew time.Duration
-	// Recorded requests are replayed in place of random ones. If there are any, Rate, RateCurve and the classes' shares
-	// and work have no effect.
+	// Recorded requests are replayed in place of random ones. Those after Duration arrive only as long as an earlier
+	// request has not ended. If there are any, nothing that determines random requests has an effect: Rate, RateCurve,
+	// the fields for affinity keys, impatience and sessions, the classes' shares, work and ExpectedWorkSpread, and
+	// faults of the kind FaultCost.
 	Recorded []RecordedRequest
 }
 
@@ -202,8 +206,9 @@
 
 // Rules are the limits that policies have to keep. A new process of a node warms up for WarmUp. Meanwhile its capacity
 // rises from the share InitialCapacity to the full capacity. If the work that arrives within OverloadDuration is more
-// than OverloadMultiple times what its present capacity can do in that time, the process ends. Requests may be sent to
-// a node for DrainGrace after the instance was notified of its drain or removal.
+// than OverloadMultiple times what its present capacity can do in that time, the process ends; an OverloadMultiple of 0
+// means no limit. Requests may be sent to a node for DrainGrace after the instance was notified of its drain or
+// removal.
 type Rules struct {
 	InitialCapacity  float64
 	WarmUp           time.Duration
--- a/internal/simulation/simulator/connections.go
+++ b/internal/simulation/simulator/connections.go
@@ -9,7 +9,7 @@
 type connections struct {
 	open int
 	idle []connection // idle connections, in order of idle time, the longest first
-	// shared is the only connection if attempts are multiplexed.
+	// shared is the connection that new attempts use if attempts are multiplexed: the one that was opened last.
 	shared connection
 }
 
@@ -28,7 +28,7 @@
 	n.connectionsOpened = n.connectionsOpened.add(i.sim.now)
 }
 
-// closeConnection closes one connection to a node. If attempts are multiplexed, it closes the shared connection.
+// closeConnection closes one connection to a node. If attempts are multiplexed, it closes all connections to the node.
 func (i *instance) closeConnection(n *node) {
 	c := &i.connections[n.index]
 	if i.sim.config.Network.Multiplexed {
--- a/internal/simulation/simulator/doc.go
+++ b/internal/simulation/simulator/doc.go
@@ -14,7 +14,8 @@
 //   - The network has a one-way latency, within a zone or across zones, and an exponential jitter. A lost message
 //     is retransmitted and arrives RetransmitDelay later. Between partitioned zones no message arrives, and no error is
 //     reported. Opening a connection costs a round trip.
-//   - An endpoint update reaches each instance separately, after a delay between MinDelay and MaxDelay.
+//   - An endpoint update reaches each instance separately, after a delay between MinDelay and MaxDelay. With a
+//     discovery service, this is the delay until the service knows the update.
 //   - Traffic is open-loop: sessions begin at a rate that does not depend on the answers. Within a session, each
 //     further request follows the end of the previous one. Each request has a deadline, a limit on the calls of its
 //     client, and a delay between the calls.
--- a/internal/simulation/simulator/fault.go
+++ b/internal/simulation/simulator/fault.go
@@ -10,15 +10,16 @@
 	Node string
 	// Zone is the partitioned zone. For a fault of nodes, it limits the fault to the nodes of that zone.
 	Zone string
-	// Share is the share of the nodes, requests or instances that are affected, drawn at random. For nodes of a Zone, 0
-	// selects all of them.
+	// Share is the share of the nodes, requests or instances that are affected, drawn at random. At least one node or
+	// instance is affected. For nodes of a Zone, 0 selects all of them.
 	Share float64
 	// Factor is the factor by which nodes slow down or requests become costlier, or the share of the answers that are
 	// reset.
 	Factor float64
 	// Duration is how long the fault lasts.
 	Duration time.Duration
-	// Interval is the period at which a pause or a flap repeats within Duration.
+	// Interval is the period at which a pause repeats within Duration, or the time between two changes of a flap, which
+	// is at least minFlapInterval.
 	Interval time.Duration
 }
 
--- a/internal/simulation/simulator/idempotency.go
+++ b/internal/simulation/simulator/idempotency.go
@@ -13,7 +13,7 @@
 	expiries  []keyExpiry              // expiries of the records, oldest first
 }
 
-// keyExpiry is a key whose record is deleted one idempotency window after the execution.
+// keyExpiry is a key and the time of its execution. The key's record is deleted by expire.
 type keyExpiry struct {
 	key        string
 	executedAt time.Duration
@@ -48,7 +48,8 @@
 	}
 }
 
-// expire deletes the records of executions that are at least a window old.
+// expire deletes the records of executions that are at least a window old. The window is that of the class that is to
+// be executed, also for the records of other classes.
 func (k *keyedExecutions) expire(now, window time.Duration) {
 	for len(k.expiries) > 0 && now-k.expiries[0].executedAt >= window {
 		if first := k.expiries[0]; k.startedAt[first.key] == first.executedAt {
--- a/internal/simulation/simulator/metrics.go
+++ b/internal/simulation/simulator/metrics.go
@@ -53,7 +53,7 @@
 	violationCount int
 }
 
-// second holds the measurements of the requests that arrive in one second.
+// second holds the measurements of one second, as described at Result.Seconds.
 type second struct {
 	requestedWeight, earnedWeight float64
 	latencies                     *hdrhistogram.Histogram
@@ -118,11 +118,13 @@
 	return 0
 }
 
-// weight returns a request's priority weight: the weight of its class times its work in seconds.
+// weight returns a request's priority weight: the weight of its class times its work in seconds. A class weight of 0
+// counts as 1.
 func weight(r *request) float64 { return cmp.Or(r.class.Weight, 1) * r.work.Seconds() }
 
 // earned returns the weight that a request earns if it is answered after a latency: its whole weight within the latency
-// objective, the share LateWeight of it within the deadline, and 0 later.
+// objective, the share LateWeight of it within the deadline, and 0 later. A latency objective of 0 stands for the
+// deadline.
 func earned(r *request, latency time.Duration) float64 {
 	switch {
 	case latency <= cmp.Or(r.class.LatencyObjective, r.class.Deadline):
--- a/internal/simulation/simulator/restart.go
+++ b/internal/simulation/simulator/restart.go
@@ -14,7 +14,8 @@
 const streamCachedList = 1
 
 // stop ends an instance together with its clients. Both start again after the downtime. The instance then begins with
-// the endpoint list that it received last, from its cache.
+// the endpoint list that it received last, from its cache; if lists are pushed, the cache is empty. Its multiplexed
+// connections stay open.
 func (i *instance) stop(downtime time.Duration) {
 	if i.stopped {
 		return
--- a/internal/simulation/simulator/result.go
+++ b/internal/simulation/simulator/result.go
@@ -37,12 +37,14 @@
 	MaxConnections int `json:"conns"`
 	// MaxProbeRate is the mean rate of probes to the node that was probed most, in probes per second.
 	MaxProbeRate float64 `json:"probes"`
-	// MaxConnectionRate is the largest number of connections that were opened to one node within one second.
+	// MaxConnectionRate is the largest number of connections that were opened to one node in any second of the run,
+	// counted from its start.
 	MaxConnectionRate int `json:"opens"`
 	// MaxColdLoad is the highest load of a node that was warming up. The load is the work that arrived within
 	// Rules.OverloadDuration, divided by the work beyond which the node is overloaded.
 	MaxColdLoad float64 `json:"cold"`
-	// MaxDiscoveryCallRate is the largest number of calls to the discovery service within one second.
+	// MaxDiscoveryCallRate is the largest number of calls to the discovery service in any second of the run, counted
+	// from its start.
 	MaxDiscoveryCallRate      int     `json:"calls"`
 	DiscoveryCallsPerInstance float64 `json:"asks"`
 	// RejectedDiscoveryCalls is the number of calls that the discovery service rejected because of its backlog.
@@ -64,7 +66,8 @@
 	// milliseconds.
 	Quantiles []float64 `json:"quantiles_ms"`
 
-	// Seconds are the measurements for each second of the run, by the arrival time of the requests.
+	// Seconds are the measurements for each second of Config.Duration. A request counts in the second of its arrival,
+	// an attempt in the second in which it is written. There are none if Config.Duration is above 10 minutes.
 	Seconds []Second `json:"seconds,omitempty"`
 	// Events is the number of events that were handled, and MaxQueuedEvents the largest number of events that were
 	// scheduled at the same time.
--- a/internal/simulation/simulator/traffic.go
+++ b/internal/simulation/simulator/traffic.go
@@ -54,7 +54,8 @@
 }
 
 // scheduleArrival schedules the next session by thinning (Lewis and Shedler 1979): candidates arrive at the highest
-// rate of the curve, and each is kept with a probability that is the rate at its time divided by the highest rate.
+// rate of the curve, or at Clients.Rate if that is higher, and each is kept with a probability that is the rate at its
+// time divided by the rate of the candidates.
 func (t *traffic) scheduleArrival(maxFactor float64) {
 	sim, clients := t.sim, &t.sim.config.Clients
 	interval := t.rng.ExpFloat64() / (clients.Rate * maxFactor) * max(clients.SessionLength, 1)
