--- a/internal/simulation/configsim/change.go
+++ b/internal/simulation/configsim/change.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// ActiveAfter returns the time from a given moment until the change was active at a share of the members that count.
-// It returns a negative value if the change is not active at that many members.
+// ActiveAfter returns the time from a given moment until the change was active at a share of the members that count. It
+// returns a negative value if the change is not active at that many members, or if no member counts.
 func (change *Change) ActiveAfter(c *Cluster, filter Filter, share float64, from time.Duration) time.Duration {
 	var times []time.Duration
 	for _, m := range c.Members {
--- a/internal/simulation/configsim/longrun.go
+++ b/internal/simulation/configsim/longrun.go
@@ -26,9 +26,9 @@
 	maxChangeWait = 4 * time.Second
 )
 
-// RunPartition partitions the regions for a duration and pushes a change to each of them in the meantime. It measures
-// the time from the end of the partition until the change of the larger region is active at the members of the smaller
-// one.
+// RunPartition partitions the regions for about the given duration, which must be at least twice rejoinTimeout, and
+// pushes a change to each of them in the meantime. It measures the time from the end of the partition until the change
+// of the larger region is active at the members of the smaller one.
 func RunPartition(config Config, duration time.Duration) (Outcome, error) {
 	c, err := newRunning(config)
 	if err != nil {
--- a/internal/simulation/configsim/member.go
+++ b/internal/simulation/configsim/member.go
@@ -32,8 +32,8 @@
 	// path holds the indexes of the members between this member and an origin, the nearest one first.
 	path   []int
 	tickAt time.Duration
-	// nextOrigin is the index of the origin that the member calls next. failedOrigins is the number of consecutive
-	// failed subscriptions.
+	// nextOrigin is the index of the origin that the member calls next. failedOrigins is the number of origins that
+	// failed one after the other; it is 0 again once the failure is reported to the selector.
 	nextOrigin    int
 	failedOrigins int
 	// selections is the number of upstream selections so far. Events of earlier selections are ignored.
@@ -83,7 +83,8 @@
 	}
 }
 
-// handle passes an event to a member's follower and performs the resulting actions.
+// handle passes an event to a member's follower and performs the resulting actions. A stopped or frozen member drops
+// the event.
 func (c *Cluster) handle(m *Member, event controlplane.Event) {
 	if m.up && !m.frozen {
 		c.perform(m, m.follower.Handle(c.Now, event))
--- a/internal/simulation/configsim/origin.go
+++ b/internal/simulation/configsim/origin.go
@@ -68,7 +68,8 @@
 	})
 }
 
-// handleOrigin passes an event to an origin's node and performs the resulting actions.
+// handleOrigin passes an event to an origin's node and performs the resulting actions. A stopped or frozen origin drops
+// the event.
 func (c *Cluster) handleOrigin(o *Origin, event origin.Event) {
 	if o.up && !o.frozen {
 		c.performOrigin(o, o.node.Handle(c.Now, event))
--- a/internal/simulation/configsim/outcome.go
+++ b/internal/simulation/configsim/outcome.go
@@ -55,8 +55,8 @@
 	return o
 }
 
-// addSlowest merges the outcome of another change into o. Of each time it keeps the longer one, and it adds up the
-// missing members.
+// addSlowest merges the outcome of another change into o. Of each time it keeps the longer one; a time of an event that
+// did not happen counts as the shorter one. It adds up the missing members.
 func (o *Outcome) addSlowest(other Outcome) {
 	o.Accepted = max(o.Accepted, other.Accepted)
 	o.P50, o.P99 = max(o.P50, other.P50), max(o.P99, other.P99)
--- a/internal/simulation/configsim/scenario.go
+++ b/internal/simulation/configsim/scenario.go
@@ -19,8 +19,8 @@
 	scenarioTimeout = 8 * time.Second
 	// defaultMaxP99 is the limit of Outcome.P99 for scenarios that do not set a higher one.
 	defaultMaxP99 = time.Second
-	// electionMaxP99 is the limit for scenarios with an election. lossMaxP99 is the limit if the scenario also loses
-	// several machines.
+	// electionMaxP99 is the limit for scenarios with an election or with a mass restart. lossMaxP99 is the limit if a
+	// scenario with an election also loses several machines, and for a partition just before the push.
 	electionMaxP99 = 3 * time.Second
 	lossMaxP99     = 4 * time.Second
 	// restartTime is the time within which all members of a mass restart have started again.
--- a/internal/simulation/configsim/view.go
+++ b/internal/simulation/configsim/view.go
@@ -58,7 +58,8 @@
 }
 
 // detectedLive reports whether the view shows a member as live. The view shows a death only after DeathDetection, and a
-// start only after StartDetection.
+// start or the end of a freeze only after StartDetection. Until then the member is not shown as live, even if its death
+// was not detected before.
 func (c *Cluster) detectedLive(m *Member, wasLive bool) bool {
 	sinceChange := c.Now - m.changedAt
 	isDeathUndetected := wasLive && sinceChange < c.config.DeathDetection
--- a/internal/simulation/fleetsim/experiment.go
+++ b/internal/simulation/fleetsim/experiment.go
@@ -181,7 +181,7 @@
 	return e.Deaths
 }
 
-// Judge returns an error for each claim that does not hold.
+// Judge returns an error for each claim and each point at which it does not hold.
 func (e *Experiment) Judge(points []Point) error {
 	var errs []error
 	for _, c := range e.Claims {
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -309,7 +309,7 @@
 	}
 }
 
-// step makes one random change to a member or to the network.
+// step makes one random change to a member or to the network, or none.
 func (h *history) step() {
 	i := h.rng.IntN(len(h.Members))
 	switch kind := h.rng.IntN(9); {
--- a/internal/simulation/fleetsim/point.go
+++ b/internal/simulation/fleetsim/point.go
@@ -24,7 +24,8 @@
 	// HealTimes are the times from the end of a partition until the views have converged.
 	HealTimes []time.Duration
 	// FalseSuspicions is the number of suspicions of running members, FalseDeaths the number of times that a running
-	// member was declared dead. Both are per member and hour.
+	// member was declared dead. Members that declare the same member dead count once, until one of them sees it as
+	// alive again. Both are per member and hour.
 	FalseSuspicions float64
 	FalseDeaths     float64
 	// MessageRate and ByteRate are the messages and bytes that a member sends per second.
@@ -99,7 +100,7 @@
 }
 
 // medianAndSlowest returns the two table columns of a list of times. If one of the events did not happen, both columns
-// are "never".
+// are "never"; without any times they are "-".
 func medianAndSlowest(times []time.Duration) string {
 	if len(times) == 0 {
 		return "-\t-"
