--- a/internal/simulation/baseline/pickers.go
+++ b/internal/simulation/baseline/pickers.go
@@ -171,8 +171,8 @@
 	return first
 }
 
-// peakEWMA picks the one of two random candidates with the lower cost: estimated latency times requests in flight. The
-// estimate rises to a higher latency at once and decays towards lower ones.
+// peakEWMA picks the one of two random candidates with the lower cost: estimated latency times requests in flight, the
+// new one included. The estimate rises to a higher latency at once and decays towards lower ones.
 type peakEWMA struct{ basePicker }
 
 func (p *peakEWMA) cost(e *endpoint) float64 {
--- a/internal/simulation/baseline/policy.go
+++ b/internal/simulation/baseline/policy.go
@@ -4,8 +4,8 @@
 // The policies share the basic features of client libraries: one final answer for each request before its deadline, the
 // rules on retries, no attempts at endpoints that are not in the endpoint list, and gRPC's connection backoff for
 // endpoints that refuse connections (gRPC's connection-backoff.md: one second, times 1.6 after each failure, up to 120
-// seconds). They differ in how they pick an endpoint. None of them hedges, sheds load, or limits the load of endpoints
-// that warm up.
+// seconds). They differ in how they pick an endpoint. None of them hedges or limits the load of endpoints that warm up,
+// and none except Oracle sheds load.
 package baseline
 
 import (
--- a/internal/simulation/baseline/requests.go
+++ b/internal/simulation/baseline/requests.go
@@ -50,7 +50,7 @@
 	mayHaveRun bool
 }
 
-// retryBudget is a token bucket that limits retries. Each retry takes a token.
+// retryBudget is a token bucket that limits retries. Each retry takes a token, unless it follows a failure to connect.
 type retryBudget struct {
 	unlimited bool
 	tokens    float64
--- a/internal/simulation/baseline/weighted.go
+++ b/internal/simulation/baseline/weighted.go
@@ -20,9 +20,10 @@
 	minRateWindow  = 0.1
 )
 
-// weighted implements gRPC's weighted round robin. The weight of an endpoint is its rate of successful requests divided
-// by the utilization that it reports. Weights are updated every weightUpdatePeriod. As in gRPC, the endpoint with the
-// earliest deadline is picked next, and its deadline advances by the inverse of its weight.
+// weighted implements gRPC's weighted round robin. The weight of an endpoint is its rate of successful requests since
+// it was added, but at least 1 per second, divided by the utilization that it reports. Weights are updated every
+// weightUpdatePeriod. As in gRPC, the endpoint with the earliest deadline is picked next, and its deadline advances by
+// the inverse of its weight.
 type weighted struct {
 	basePicker
 	updatedAt time.Duration
--- a/internal/simulation/callgraph/experiment.go
+++ b/internal/simulation/callgraph/experiment.go
@@ -42,7 +42,8 @@
 	Instances int `toml:"instances"`
 	// CallRate is the number of calls per second that all sidecars together make if no call fails.
 	CallRate float64 `toml:"calls"`
-	// FanOut is the mean number of calls to the next layer that an instance makes to serve one call.
+	// FanOut is the mean number of calls to the next layer that an instance makes to serve one call. It calls a service
+	// at most once, so a service that calls only one other makes at most one call.
 	FanOut float64 `toml:"fan"`
 	// MeanWork is the mean time that an instance works on a call, without the calls to the next layer. The time is
 	// distributed exponentially.
@@ -55,8 +56,8 @@
 	Deadline    strictdecode.Duration `toml:"deadline"`
 	MaxAttempts int                   `toml:"attempts"`
 	Hedging     bool                  `toml:"copies"`
-	// WarmUpTime is the simulated time before the fault, in which only Point.SidecarRates is measured. FaultDuration is
-	// the duration of the fault.
+	// WarmUpTime is the simulated time before the fault, in which only Point.SidecarRates and Point.Events are
+	// measured. FaultDuration is the duration of the fault.
 	WarmUpTime    strictdecode.Duration `toml:"warm"`
 	FaultDuration strictdecode.Duration `toml:"length"`
 	// Modes are the modes of the faulty service, and Shares the shares of its calls with the fault; each combination is
@@ -199,7 +200,7 @@
 	return points, errors.Join(errs...)
 }
 
-// Judge returns an error for each claim that does not hold.
+// Judge returns an error for each claim and each point at which it does not hold.
 func (e *Experiment) Judge(points []Point) error {
 	var errs []error
 	for _, c := range e.Claims {
--- a/internal/simulation/callgraph/graph.go
+++ b/internal/simulation/callgraph/graph.go
@@ -5,9 +5,10 @@
 //
 // An instance has one core and a queue. For each call that it serves, it first does its own work. It then calls
 // services of the next layer one after the other, each within the time that is left of the served call's deadline. A
-// call is answered with an error if it has the fault or if one of its calls to the next layer fails. Work that has
-// begun continues after its caller has given up, as it does with HTTP/1.1. The simulation does not model connections,
-// drains, restarts and zones. Its applications neither retry calls themselves nor answer without the result of a call.
+// call is answered with an error if the queue is full, if it has the fault of ModeFail, or if one of its calls to the
+// next layer fails. Work that has begun continues after its caller has given up, as it does with HTTP/1.1. The
+// simulation does not model connections, drains, restarts and zones. Its applications neither retry calls themselves
+// nor answer without the result of a call.
 package callgraph
 
 import (
--- a/internal/simulation/capacity/phases.go
+++ b/internal/simulation/capacity/phases.go
@@ -123,7 +123,8 @@
 	return r.settle(ctx)
 }
 
-// changeList makes one endpoint drain and serve again. Isolated members miss these changes of the list.
+// changeList makes one endpoint drain and serve again. During a cut, the members on the side without discovery miss
+// these changes of the list.
 func (r *run) changeList() {
 	e := r.cluster.Endpoint(0, healthDraining, 0)
 	r.cluster.Discovery.Set(e)
--- a/internal/simulation/capacity/result.go
+++ b/internal/simulation/capacity/result.go
@@ -45,7 +45,7 @@
 	N int `json:"n"`
 }
 
-// ReadResults reads a file of results. Its error names the file and the row.
+// ReadResults reads a file of results. Its error names the file and, if a result is invalid, its row.
 func ReadResults(path string) ([]Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/simulation/experiment/execute.go
+++ b/internal/simulation/experiment/execute.go
@@ -148,7 +148,8 @@
 
 // EstimateRemaining estimates the time to the end of an execution that began at startedAt, from the time that its runs
 // have taken so far. initial is the number of runs that the file of results had when the execution began, done the
-// number that it has now, and total the number that it will have at the end.
+// number that it has now, and total the number that it will have at the end. The estimate is 0 as long as no run has
+// ended.
 func EstimateRemaining(startedAt time.Time, initial, done, total int) time.Duration {
 	if done <= initial {
 		return 0
--- a/internal/simulation/experiment/file.go
+++ b/internal/simulation/experiment/file.go
@@ -10,7 +10,7 @@
 // File is the content of an experiment's file. The zero values of optional keys stand for their defaults.
 type File struct {
 	// Base is the path of another experiment's file, relative to this one, which supplies the keys that this file
-	// lacks.
+	// lacks, except for question, found, claim and slow.
 	Base     string   `toml:"base"`
 	Question string   `toml:"question"`
 	Found    string   `toml:"found"`
--- a/internal/simulation/experiment/load.go
+++ b/internal/simulation/experiment/load.go
@@ -93,8 +93,8 @@
 	return hex.EncodeToString(sum[:hashLength]), nil
 }
 
-// loadDocument reads a file strictly and merges its keys into the keys of its base. At most depth files may be in the
-// chain of bases, this file included.
+// loadDocument reads a file strictly and merges its keys into the keys of its base, except for those that a base does
+// not supply (File.Base). At most depth files may be in the chain of bases, this file included.
 func loadDocument(path string, depth int) (tomlTable, error) {
 	if depth == 0 {
 		return nil, fmt.Errorf("%s: chain of base files must have at most %d files: it may be a cycle",
--- a/internal/simulation/experiment/measures.go
+++ b/internal/simulation/experiment/measures.go
@@ -52,8 +52,9 @@
 	return float64(n) / float64(max(r.Requests, 1))
 }
 
-// lastQuarterService returns the service of the run's last quarter. It shows whether a fault that has ended still has
-// effects.
+// lastQuarterService returns the service of the run's last quarter: the mean over its seconds, weighted by their
+// requests. It is 0 if the quarter has no whole second or Result.Seconds is empty. It shows whether a fault that has
+// ended still has effects.
 func lastQuarterService(r *simulator.Result) float64 {
 	n := len(r.Seconds)
 	sum, requests := 0.0, 0
@@ -64,7 +65,8 @@
 	return sum / float64(max(requests, 1))
 }
 
-// lowestServiceOfWindow returns the lowest service of all windows of worstWindowSeconds consecutive seconds.
+// lowestServiceOfWindow returns the lowest service of the whole run and of all windows of worstWindowSeconds
+// consecutive seconds. Without Result.Seconds it is that of the whole run.
 func lowestServiceOfWindow(r *simulator.Result) float64 {
 	worst, requested, earned := r.Service, 0.0, 0.0
 	for n, s := range r.Seconds {
--- a/internal/simulation/experiment/verdict.go
+++ b/internal/simulation/experiment/verdict.go
@@ -13,7 +13,7 @@
 // mostSeedsShare is the share of its cases in which a claim with the scope "most" has to hold.
 const mostSeedsShare = 0.9
 
-// Verdict reports whether a claim holds.
+// Verdict reports whether a claim holds. A claim without cases, whose Where selects no point, does not hold.
 type Verdict struct {
 	Text  string `json:"says"`
 	Scope string `json:"on"`
--- a/internal/simulation/report/plots.go
+++ b/internal/simulation/report/plots.go
@@ -82,7 +82,7 @@
 	return results
 }
 
-// draw draws the plot with a curve for each policy.
+// draw draws the plot with a curve for each policy. A seed whose run has an error counts as 0 in the mean.
 func (t timePlot) draw(seeds int, results [][]*simulator.Result) (svgPlot, error) {
 	p := newPlot("second", t.axis)
 	for policyIndex, list := range results {
