--- a/internal/testcluster/admin.go
+++ b/internal/testcluster/admin.go
@@ -69,8 +69,8 @@
 	return views
 }
 
-// responds reports whether a process is ready. An origin is ready when it answers. A member is ready when its admin
-// endpoint answers and, in a cluster with origins, its address for requests answers too.
+// responds reports whether a process is ready. An origin is ready when it answers with status 204 or 205. A member is
+// ready when its admin endpoint answers and, in a cluster with origins, its address for requests answers too.
 func (c *Cluster) responds(ctx context.Context, n int) bool {
 	if n > originBase {
 		return c.originResponds(ctx, n)
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,12 +1,13 @@
-// Package testcluster starts a cluster of real sidecar processes on loopback. Each ordered pair of processes has a link
-// that forwards the traffic from the first to the second. Emulated servers count executions, and each member has a
-// client that sends requests. A script cuts, slows and heals links, and kills, freezes, starves and restarts processes;
-// its wait steps poll the members' admin endpoints. docs/operators/rig.md describes the steps.
+// Package testcluster starts a cluster of real sidecar processes on loopback. A link forwards the traffic from one
+// process to another: there is one for each ordered pair of members, from each process to each origin, and from each
+// member to the discovery service. Emulated servers count executions, and each member has a client that sends requests.
+// A script cuts, slows and heals links, and kills, freezes, starves and restarts processes; its wait steps poll the
+// members' admin endpoints. docs/operators/rig.md describes the steps.
 //
 // # Limits
 //
-// A cluster has at most 30 members, two sockets for each link, and one client for each member. It kills only processes
-// that it has started.
+// A cluster has at most 30 members and 7 origins, two listening sockets for each link, and one client for each member.
+// It kills only processes that it has started.
 package testcluster
 
 import (
@@ -66,7 +67,7 @@
 	script    string
 	timeline  []timelineEntry
 	admin     *http.Client
-	// Waits has the duration of each wait and settle step of the scripts, in order.
+	// Waits has the duration of each wait and settle step that succeeded, in order.
 	Waits []Wait
 
 	stopClients context.CancelFunc
@@ -75,7 +76,8 @@
 	violations  violations
 }
 
-// Wait is a wait or settle step of a script and its duration.
+// Wait is a wait or settle step of a script and its duration. That of a settle step does not include the time for which
+// the views then had to agree.
 type Wait struct {
 	Step     string
 	Duration time.Duration
--- a/internal/testcluster/hollow/cluster.go
+++ b/internal/testcluster/hollow/cluster.go
@@ -9,7 +9,7 @@
 //     probes.
 //   - The endpoints in the list do not exist: nothing listens at their addresses.
 //   - There are no idempotency records, store, admin endpoint, platform configuration or signal handling.
-//   - Log lines are formatted and discarded, unless Config.Log is set.
+//   - Log lines are discarded without being formatted, unless Config.Log is set.
 //   - Members are not separate processes: they share one heap, garbage collector, scheduler and file descriptor table.
 //   - Members are not on separate hosts: they share one clock and use only loopback. Packet headers are not counted.
 //
--- a/internal/testcluster/hollow/member.go
+++ b/internal/testcluster/hollow/member.go
@@ -90,7 +90,8 @@
 type process struct {
 	node *node.Node
 	hash uint64
-	// join starts the participation in the cluster, and subscribe starts the subscription to the endpoint list.
+	// join starts the participation in the cluster, and subscribe starts the subscription to the endpoint list and the
+	// attachment's Run.
 	join, subscribe func()
 	stop            context.CancelFunc
 	goroutines      sync.WaitGroup
@@ -301,7 +302,8 @@
 // IsRunning reports whether the member has a running process.
 func (m *Member) IsRunning() bool { return m.running() != nil }
 
-// ListVersion returns the version of the member's endpoint list, or engine.NoVersion if it has none.
+// ListVersion returns the version of the endpoint list of the member's latest process, which may have ended:
+// engine.NoVersion if that process has none, 0 before the member's first start.
 func (m *Member) ListVersion() int64 { return m.listVersion.Load() }
 
 // SourceState returns the state of the member's endpoint source: its upstream, its subscribers and its rank. It returns
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -17,7 +17,7 @@
 )
 
 // process is a member or an origin, which runs at most one operating system process at a time. Only the goroutine that
-// plays scripts accesses it. The atomic fields are an exception: clients read them.
+// plays scripts changes it. Clients read only its atomic fields and those that no longer change once the clients run.
 type process struct {
 	number        int
 	name          string
--- a/internal/testcluster/waitsteps.go
+++ b/internal/testcluster/waitsteps.go
@@ -22,7 +22,8 @@
 	difference func(views map[int]gossip.Status) string
 }
 
-// wait waits for a condition:
+// wait waits for a condition. Only the members of the group that run and are not frozen count; without any, the
+// condition holds at once:
 //
 //	wait agree TIMEOUT [GROUP]                 the views of the group's members are equal and correct
 //	wait state MEMBERS STATES TIMEOUT [GROUP]  the group sees the members in one of the states, separated by |
