--- a/internal/demo/gqldemo/client.go
+++ b/internal/demo/gqldemo/client.go
@@ -46,7 +46,7 @@
 }
 
 // send sends a request and records the results that its response states. It returns an error if there is no response,
-// or if the response has a different number of operations than the request.
+// or if the response to a batch is not an array with one entry for each operation.
 func (c *client) send(ctx context.Context, number int) error {
 	body, tokens := gqlnode.RandomRequest(rand.New(rand.NewPCG(c.seed, uint64(number))), number)
 	start := time.Now()
--- a/internal/demo/gqldemo/gqldemo.go
+++ b/internal/demo/gqldemo/gqldemo.go
@@ -39,7 +39,7 @@
 	nodeCount = 7
 	// maxOpen limits the requests in flight.
 	maxOpen = 1024
-	// faultShare is the share of responses with each of the four injected faults.
+	// faultShare is the share of the responses, apart from those to batches, with each of the four injected faults.
 	faultShare = 0.005
 )
 
--- a/internal/demo/gqldemo/tally.go
+++ b/internal/demo/gqldemo/tally.go
@@ -76,7 +76,7 @@
 }
 
 // printVerdict compares all claims with the nodes' counters and writes the counts and the verdict to out. It is called
-// once all requests have ended.
+// once all requests have ended. If there are neither violations nor claims, it returns an error.
 func (t *tally) printVerdict(out io.Writer, rules *emulator.RuleChecker) error {
 	printLine(out, t)
 	violations := slices.Concat(t.violations, rules.Violations())
--- a/internal/demo/view.go
+++ b/internal/demo/view.go
@@ -112,7 +112,7 @@
 		strings.Join(notServing, ", "))
 }
 
-// drawScreen fills the screen with the figures, a table of the nodes and the daemon's log.
+// drawScreen fills the screen with the figures, a table of the nodes and the daemon's log. v.mu must be locked.
 func (v *view) drawScreen(summary windowSummary, elapsed time.Duration) {
 	var screen bytes.Buffer
 	printf(&screen, "%shazelwing demo  %.1f of %.0f s\n\n", clearScreen, elapsed.Seconds(), v.length.Seconds())
--- a/internal/demo/window.go
+++ b/internal/demo/window.go
@@ -14,7 +14,8 @@
 	millisecondsPerSecond = 1000
 )
 
-// window holds the requests that ended within the last windowLength, oldest first. It is not safe for concurrent use.
+// window holds the requests that ended within the last windowLength, in the order in which they were added, and older
+// ones until the next call of summary. It is not safe for concurrent use.
 type window []endedRequest
 
 // endedRequest is a request that has ended.
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -135,7 +135,7 @@
 }
 
 // updatesAfter returns the listings that a watch at a version has to send, and a channel that is closed at the next
-// change. A watch without a valid version gets the complete list.
+// change. A watch without a valid version, or with version 0, gets the complete list.
 func (d *Discovery) updatesAfter(version int64) ([]listing, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/emulator/dnsserver/dnsserver.go
+++ b/internal/emulator/dnsserver/dnsserver.go
@@ -66,7 +66,8 @@
 	return s.queries
 }
 
-// Close stops the server and waits for its goroutines.
+// Close stops the server and waits for its goroutines. It does not close a TCP connection that is being served, but
+// waits until the client has sent its query or has closed the connection.
 func (s *Server) Close() {
 	_ = s.udp.Close()
 	_ = s.tcp.Close()
--- a/internal/emulator/faultfs/faultfs.go
+++ b/internal/emulator/faultfs/faultfs.go
@@ -32,8 +32,9 @@
 	crashed bool
 	used    int64 // bytes in use
 
-	// CrashAfter is the number of steps until the crash; -1: no crash. Each byte written is a step. Each call of
-	// Create, Remove and SyncDir, and each call of Sync and Truncate on a file, is also a step.
+	// CrashAfter is the number of steps until the crash; -1: no crash. Each byte written is a step, except in a write
+	// that fails with EIO. Each call of Create, Remove and SyncDir, and each call of Sync and Truncate on a file, is
+	// also a step.
 	CrashAfter int64
 	// Steps is the number of steps so far.
 	Steps int64
@@ -325,7 +326,7 @@
 	f.used += int64(len(data))
 }
 
-// FlipBit flips one bit of a file.
+// FlipBit flips one bit of a file, as programs see it.
 func (f *FS) FlipBit(name string, offset int64, bit uint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/emulator/faultscript.go
+++ b/internal/emulator/faultscript.go
@@ -49,7 +49,7 @@
 //	5s      crash    n4             # the node resets its connections; discovery notices the crash a second later
 //	6s      restart  n4             # a new process with the same name starts and warms up
 //
-// Errors name the line. The lines may be in any order; the faults are returned in order of time.
+// The error for an invalid line names it. The lines may be in any order; the faults are returned in order of time.
 func ReadScript(r io.Reader) ([]Fault, error) {
 	var faults []Fault
 	lines := bufio.NewScanner(r)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -200,7 +200,8 @@
 	return nil
 }
 
-// RunScript injects the faults of a script at their times. It returns after the last fault, or when ctx ends.
+// RunScript injects the faults of a script at their times. It returns after the last fault, or when ctx ends. If a node
+// of the script does not exist, it returns an error before the first fault.
 func (f *Fleet) RunScript(ctx context.Context, script []Fault) error {
 	for _, fault := range script {
 		if f.find(fault.Node) == nil {
--- a/internal/emulator/gqlnode/claims.go
+++ b/internal/emulator/gqlnode/claims.go
@@ -53,8 +53,9 @@
 }
 
 // ReadClaims returns the claims of a response to one operation, one for each mutation. tokens has the tokens of the
-// mutations, whose aliases are m0, m1 and so on. ReadClaims returns an error if the response is not valid, or if it
-// states no Execution or several of a mutation.
+// mutations, whose aliases are m0, m1 and so on. A mutation of which a response with errors states no Execution is
+// Unknown. ReadClaims returns an error if the response is not valid, if it states several Executions of a mutation, or
+// if it states none and has no errors.
 func ReadClaims(body json.RawMessage, tokens []string) (claims []Claim, err error) {
 	var r response
 	if err := json.Unmarshal(body, &r); err != nil {
--- a/internal/emulator/gqlnode/faults.go
+++ b/internal/emulator/gqlnode/faults.go
@@ -11,7 +11,7 @@
 )
 
 // FaultShares are the shares of the requests that end with a fault. All faults except ResetBefore happen after the
-// execution of the request. The sum of the shares is at most 1.
+// execution of the request, and not to batches. The sum of the shares is at most 1.
 type FaultShares struct {
 	ResetBefore float64 // the connection is reset before the execution
 	ResetAfter  float64 // the connection is reset before the response
--- a/internal/emulator/gqlnode/gqlnode.go
+++ b/internal/emulator/gqlnode/gqlnode.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// serveBatch executes a batch, whose requests have their own IDs and no idempotency keys. If one request is rejected,
-// the whole batch is rejected.
+// serveBatch executes a batch, whose requests have their own IDs and no idempotency keys. If one request is rejected or
+// invalid, its response is the response to the whole batch, although the requests before it have been executed.
 func (s *server) serveBatch(w http.ResponseWriter, r *http.Request, body []byte, id string) {
 	var batch []json.RawMessage
 	if err := json.Unmarshal(body, &batch); err != nil {
@@ -183,7 +183,7 @@
 }
 
 // jobOf returns the job of a request. The job's work is the sum of the work in the extras header and in the arguments
-// of the root fields.
+// of those root fields that are not in a fragment.
 func (s *server) jobOf(r *http.Request, parsed parsedRequest) emulator.Job {
 	class := r.Header.Get(emulator.ClassHeader)
 	effect := s.effects[class]
--- a/internal/emulator/grpcnode/grpcnode.go
+++ b/internal/emulator/grpcnode/grpcnode.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// reportLoadOfCall is an interceptor that adds the load report to every response, also to responses of grpc.health.v1.
+// reportLoadOfCall is an interceptor that adds the load report to the response of every unary call, also of
+// grpc.health.v1.
 func (s *server) reportLoadOfCall(
 	ctx context.Context, req any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler,
 ) (any, error) {
--- a/internal/emulator/replay.go
+++ b/internal/emulator/replay.go
@@ -32,7 +32,7 @@
 type Report struct {
 	Sent, Served, WithinObjective, Rejected, Failed, Unanswered int
 
-	Service        float64       // share of the total weight that was served; late responses count with LateWeight
+	Service        float64       // share of the total weight that was served, see count
 	P50, P99, P999 time.Duration // latency of all requests, whatever their outcome
 
 	ServedP50, ServedP99 time.Duration // latency of the requests that were served
@@ -96,7 +96,8 @@
 	r.count(class, request, outcome, latency, timeout)
 }
 
-// count adds the outcome of one request.
+// count adds the outcome of one request. Of its weight, the whole counts as served if the response came within the
+// latency objective, the share LateWeight if it came later but by the deadline, and nothing otherwise.
 func (r *Report) count(class TrafficClass, request Request, outcome Outcome, latency, timeout time.Duration) {
 	weight := class.Weight * request.WorkUS
 	r.mu.Lock()
--- a/internal/load/histogram.go
+++ b/internal/load/histogram.go
@@ -14,7 +14,8 @@
 	percent           = 100
 )
 
-// Histogram counts durations with a resolution of one microsecond, up to ten minutes. It is safe for concurrent use.
+// Histogram counts durations from one microsecond to ten minutes, with three significant digits. Durations outside of
+// this range count as its nearest limit. It is safe for concurrent use.
 type Histogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -59,8 +59,8 @@
 // machines, whose latencies contain longer delays of the generator.
 const maxSendDelay = 5 * time.Millisecond
 
-// Run runs a plan against all targets at the same time. It calls observe at the end of each request, from many
-// goroutines.
+// Run runs a plan against all targets at the same time. It calls observe at the end of each request and for each
+// request that is not sent, from many goroutines.
 func Run(
 	ctx context.Context, plan Plan, targets []Target, observe func(target int, o Outcome, latency time.Duration),
 ) []Report {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -18,7 +18,8 @@
 // Plan is a schedule of requests.
 type Plan []ScheduledRequest
 
-// Point is a point of a rate curve. The curve is linear between its points.
+// Point is a point of a rate curve. The curve is linear between its points, and constant before the first and after the
+// last one.
 type Point struct {
 	At   time.Duration
 	Rate float64 // requests per second
--- a/internal/testutil/fieldvalues.go
+++ b/internal/testutil/fieldvalues.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// walkMap visits the values in order of their keys, and treats an empty map as a nil one.
+// walkMap visits the values in order of their keys, which must be strings, and treats an empty map as a nil one.
 func walkMap(v reflect.Value, path string, leaf func(path string, v reflect.Value)) {
 	if v.Len() == 0 {
 		leaf(path, reflect.Zero(v.Type()))
