--- a/internal/front/clientconn/conn.go
+++ b/internal/front/clientconn/conn.go
@@ -22,14 +22,14 @@
 	raw      syscall.RawConn
 
 	// The fields of this group are guarded by the listener's mutex.
-	element   *list.Element // position in queue; nil while a request is open
+	element   *list.Element // position in queue; nil during a request and its response, and once closed
 	queue     *list.List    // idle queue that holds the connection
 	closed    bool
 	hasServed bool // at least one response was written
 
 	readMu      sync.Mutex // guards the fields of this group; acquired after the listener's mutex
 	requestOpen bool       // a valid request was received and its response has not begun
-	received    bool       // data was received since the last response began
+	received    bool       // data was received after the last response began, or was read ahead before that
 	readAhead   byteQueue  // data received while a request was open
 	borrowed    int        // bytes borrowed from the listener's pool for readAhead
 	paused      bool       // the read-ahead limit was reached: Read returns data although a request is open
--- a/internal/front/clientconn/eviction.go
+++ b/internal/front/clientconn/eviction.go
@@ -4,17 +4,17 @@
 
 const (
 	// maxIdleShare limits the connections that have sent a valid request, as a share of the connection limit. Above it,
-	// each response closes its connection. With a higher value, fewer clients have to reconnect; with a lower one, more
-	// connections remain available to new clients.
+	// each response of a front that calls TooManyIdle closes its connection. With a higher value, fewer clients have to
+	// reconnect; with a lower one, more connections remain available to new clients.
 	maxIdleShare = 1.0 / 3
-	// maxEvictionChecks limits how many idle connections are examined to find one to close. A higher value costs more
-	// system calls for each new connection while the connection limit is reached. With a lower value, a new connection
-	// may be closed although an idle one could have been closed instead.
+	// maxEvictionChecks limits how many connections of each idle queue are examined to find one without received data.
+	// A higher value costs more system calls for each new connection while the connection limit is reached. With a
+	// lower value, a new connection may be closed although an idle one could have been closed instead.
 	maxEvictionChecks = 8
 )
 
-// evict closes a connection to make room for a new one. It returns false if no connection can be closed. It chooses the
-// first of these:
+// evict closes a connection to make room for a new one. It returns false if it finds none that it may close. It chooses
+// the first of these; only the first maxEvictionChecks connections of a queue are checked for received data:
 //
 //   - the longest idle connection that has not sent a valid request, and has no received data
 //   - the oldest connection that has not sent a valid request
--- a/internal/front/clientconn/listener.go
+++ b/internal/front/clientconn/listener.go
@@ -82,8 +82,8 @@
 	for {
 		tcp, err := l.AcceptTCP()
 		if err != nil {
-			// The file descriptors are used up. If an idle connection can be closed, accept is called again at once;
-			// otherwise net/http calls Accept again after a delay.
+			// If the file descriptors are used up and an idle connection can be closed, accept is called again at once.
+			// If none can be closed, net/http calls Accept again after a delay.
 			if isOutOfDescriptors(err) && l.evict() {
 				continue
 			}
@@ -119,7 +119,7 @@
 // none can be evicted.
 func (l *Listener) admit(tcp *net.TCPConn) *Conn {
 	raw, err := tcp.SyscallConn()
-	if err != nil { // tcp is closed
+	if err != nil { // never happens: tcp is valid
 		return nil
 	}
 	if l.isFull() && !l.evict() {
--- a/internal/front/clientconn/readahead.go
+++ b/internal/front/clientconn/readahead.go
@@ -9,7 +9,8 @@
 // Limits on the data that is read ahead from a client while its request is open, in bytes. Data beyond the limits stays
 // in the kernel until the response begins. A disconnect after more data than the kernel buffers then goes unnoticed.
 const (
-	// minReadAhead is the limit if the listener's pool (sharedReadAhead) is exhausted: the maximum size of one request.
+	// minReadAhead is the limit if the listener's pool (sharedReadAhead) is exhausted: the maximum size of one request
+	// to httpfront.
 	minReadAhead = MaxHeaderBytes + httpmsg.MaxBodyBytes
 	// maxReadAhead is the limit if the pool has enough bytes to borrow.
 	maxReadAhead = minReadAhead + maxBorrowSteps*borrowStep
--- a/internal/front/clientconn/serving.go
+++ b/internal/front/clientconn/serving.go
@@ -70,7 +70,7 @@
 //
 // Guard: prevents the loss of requests that are read during the stop. After a call of the server's Shutdown, net/http
 // would drop every request that it has just read, and close the connection without a response. This holds because the
-// server keeps running until the last connection is closed.
+// server keeps running until the last connection is closed or the deadline has passed.
 func (s *Serving) Drain(deadline time.Time) error {
 	if err := s.listener.Close(); err != nil {
 		return err
--- a/internal/front/clientconn/stop.go
+++ b/internal/front/clientconn/stop.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// closeIfIdle closes a connection on which a response was written, unless data was received since the response began.
-// The caller holds the listener's mutex.
+// closeIfIdle closes a connection on which a response was written, unless its next request has begun to arrive. The
+// caller holds the listener's mutex.
 //
 // Guard: prevents the loss of a request that another goroutine has read but not yet recorded: its client would get a
 // reset, and might retry with an ID that is still in flight. This holds because data is read and recorded while readMu
@@ -38,7 +38,8 @@
 	}
 }
 
-// hasNoInput reports whether no data was received since the last response began.
+// hasNoInput reports whether no data of a next request was received: none was read ahead, none was read since the last
+// response began, and none waits in the kernel.
 func (c *Conn) hasNoInput() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
--- a/internal/front/httpfront/request.go
+++ b/internal/front/httpfront/request.go
@@ -87,10 +87,10 @@
 	return body.Bytes(), err
 }
 
-// checkClass checks that the class in the path is known and matches the class header, that the request has an ID and
-// the method of the class, and that it has an idempotency key if, and only if, the class is keyed. (A non-idempotent
-// class may have a key if AcceptIdempotencyKeys was called.) If a check fails, ok is false and errorResponse is the
-// response to send.
+// checkClass checks that the request target begins with a slash, that the class in the path is known and matches the
+// class header, that the request has an ID and the method of the class, and that it has an idempotency key if, and only
+// if, the class is keyed. (A non-idempotent class may have a key if AcceptIdempotencyKeys was called.) If a check
+// fails, ok is false and errorResponse is the response to send.
 func (s *Server) checkClass(r *http.Request, class string) (errorResponse httpmsg.Response, ok bool) {
 	effect, known := s.effectByClass[class]
 	method := http.MethodPost
@@ -116,11 +116,12 @@
 	return httpmsg.Response{}, true
 }
 
-// checkFraming checks that the end of a request is unambiguous and that its headers are valid. If not, ok is false and
-// errorResponse is the response to send. This prevents request smuggling, that is, requests hidden in the bodies of
-// others. If both Transfer-Encoding and Content-Length are present, net/http exposes only the former, so chunked
-// requests are not accepted at all. HTTP/1.0 is not accepted because it does not define Transfer-Encoding: an HTTP/1.0
-// proxy may ignore that header and find a different end of the request.
+// checkFraming checks that the end of a request is unambiguous, that a body is not too long and not in a GET, and that
+// the headers that maxIDBytes limits are valid. If not, ok is false and errorResponse is the response to send. This
+// prevents request smuggling, that is, requests hidden in the bodies of others. If both Transfer-Encoding and
+// Content-Length are present, net/http exposes only the former, so chunked requests are not accepted at all. HTTP/1.0
+// is not accepted because it does not define Transfer-Encoding: an HTTP/1.0 proxy may ignore that header and find a
+// different end of the request.
 func checkFraming(r *http.Request) (errorResponse httpmsg.Response, ok bool) {
 	switch {
 	case len(r.TransferEncoding) > 0:
--- a/internal/front/httpfront/serve.go
+++ b/internal/front/httpfront/serve.go
@@ -60,7 +60,7 @@
 }
 
 // Serve serves the connections to l until ctx ends, and then until all accepted requests are answered. At most maxConns
-// connections are open. If more clients connect, idle connections are closed.
+// connections are open. If more clients connect, idle connections are closed, or the new ones if none can be closed.
 func (s *Server) Serve(ctx context.Context, l net.Listener, maxConns int, log *slog.Logger) error {
 	listener := clientconn.New(l, maxConns, s.onConnLimit)
 	server := timeouts.NewServer(s, s.maxDeadline, log)
--- a/internal/front/httpfront/server.go
+++ b/internal/front/httpfront/server.go
@@ -19,7 +19,8 @@
 const readyPath = "/up"
 
 // Doer executes calls; the engine implements it. ServeHTTP calls Do from the goroutine of the client's connection and
-// waits for it. Do returns the only result of the call, or returns when ctx has ended because the client disconnected.
+// waits for it. Do returns the only result of the call, or returns when ctx has ended, because the client disconnected
+// or the open requests were cancelled at the stop.
 type Doer interface {
 	Do(ctx context.Context, c *engine.Call) engine.Result
 }
