--- a/internal/front/graphqlfront/coalesce.go
+++ b/internal/front/graphqlfront/coalesce.go
@@ -57,8 +57,9 @@
 // have disconnected. aborted reports whether the execution ended because these clients had disconnected.
 type runFunc func(ctx context.Context, abandoned func() bool) (outcome plan.Outcome, aborted bool)
 
-// flightKey returns a key that is equal for identical parts, that is, for parts with the same class, body and headers.
-// Because it includes the headers, no client receives a result that was made for another client.
+// flightKey returns a key that is equal for identical parts, that is, for parts with the same class, body and forwarded
+// headers. Host is not among these headers. Because the key includes the headers, no client receives a result that was
+// made for another client.
 func flightKey(part *plan.Part, header http.Header) string {
 	hash := sha256.New()
 	add := func(text string) { hash.Write(append([]byte(text), 0)) }
--- a/internal/front/graphqlfront/documents.go
+++ b/internal/front/graphqlfront/documents.go
@@ -49,7 +49,7 @@
 }
 
 // documentByID returns a trusted document, or one that a client registered. An operation that contains both the text
-// and the hash of a document registers it.
+// and the hash of a valid document registers it if Config.PersistedQueries is set and Config.TrustedOnly is not.
 func (s *Server) documentByID(id string, p *params) (*plan.Document, []*plan.Error) {
 	if document, ok := s.trusted[id]; ok && (p.Query == nil || hashOf(*p.Query) == id) {
 		return document, nil
--- a/internal/front/graphqlfront/execute.go
+++ b/internal/front/graphqlfront/execute.go
@@ -54,7 +54,8 @@
 	return newReply(mediaType, parsed.isBatch, operations, responses)
 }
 
-// partHeaders are the headers that are set for each part separately.
+// partHeaders are the headers of a client's request that are not forwarded. They are set for each part separately, or
+// are left out.
 var partHeaders = []string{
 	"Accept",
 	"Accept-Encoding",
@@ -102,8 +103,9 @@
 	return operations
 }
 
-// addEffects adds the effects of a plan's parts to effects, and returns false if one of them was already in effects. An
-// effect is identified by the class and the idempotency key of the part.
+// addEffects adds the effects of a plan's parts to effects, and returns false at the first one that was already in
+// effects. Parts that are idempotent or have no key are skipped. An effect is identified by the class and the
+// idempotency key of the part.
 func addEffects(effects map[string]bool, p *plan.Plan) bool {
 	for _, part := range p.Parts {
 		if part.Effect == balancer.Idempotent || part.IdempotencyKey == "" {
--- a/internal/front/graphqlfront/http_test.go
+++ b/internal/front/graphqlfront/http_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// malformedRequests returns requests that cannot be read as GraphQL requests.
+// malformedRequests returns requests that cannot be read as GraphQL requests, and mutations by GET.
 func malformedRequests() []httpTest {
 	const wrongType = "json: cannot unmarshal number into Go struct field "
 	return []httpTest{
@@ -102,7 +102,7 @@
 	}
 }
 
-// invalidOperations returns requests whose operations cannot be executed.
+// invalidOperations returns requests with an operation that cannot be executed.
 func invalidOperations() []httpTest {
 	const sameKeyTwice = `[{"query":"mutation{m(k:\"1\")}"},{"query":"mutation{m(k:\"1\")}"}]`
 	return []httpTest{
--- a/internal/front/graphqlfront/mediatype.go
+++ b/internal/front/graphqlfront/mediatype.go
@@ -46,8 +46,8 @@
 	return best.mediaType, best.mediaType != ""
 }
 
-// parseAccepted parses an element of an Accept header. It returns false if the element is malformed or names a type
-// that this front cannot send.
+// parseAccepted parses an element of an Accept header. It returns false if the element is malformed, has a quality of 0
+// or less, or names a type that this front cannot send.
 func parseAccepted(item string) (accepted acceptedType, ok bool) {
 	name, parameters, err := mime.ParseMediaType(strings.TrimSpace(item))
 	if err != nil {
--- a/internal/front/graphqlfront/part.go
+++ b/internal/front/graphqlfront/part.go
@@ -13,7 +13,8 @@
 	"hazelwing/internal/httpmsg"
 )
 
-// noResponseInTime is the reason that clients see if a part of a query got no response in time.
+// noResponseInTime is the reason that clients see if a part of an idempotent class got no usable response, whether none
+// came in time or the part failed.
 const noResponseInTime = "no node answered this in time"
 
 // runQueryPart executes a part of a query. If the part may be coalesced and an identical part is in flight, it waits
--- a/internal/front/graphqlfront/server.go
+++ b/internal/front/graphqlfront/server.go
@@ -4,10 +4,11 @@
 //
 // # Limits
 //
-// At most Config.MaxConns connections are open; if more clients connect, idle connections are closed. Each connection
-// carries at most one request at a time, whose body has at most MaxBody bytes. At most MaxParts parts of all requests
-// together are in flight; further parts are rejected. The cache holds at most MaxDocuments validated documents, each of
-// at most plan.Limits.MaxBytes. At most MaxDocuments documents that clients have registered by their hash are stored.
+// At most Config.MaxConns connections are open; if more clients connect, idle connections are closed, or the new ones
+// if none can be closed. Each connection carries at most one request at a time, whose body has at most MaxBody bytes.
+// At most MaxParts parts of all requests together are in flight; further parts are rejected. The cache holds at most
+// MaxDocuments validated documents, each of at most plan.Limits.MaxBytes. At most MaxDocuments documents that clients
+// have registered by their hash are stored.
 package graphqlfront
 
 import (
@@ -24,8 +25,9 @@
 	"hazelwing/internal/graphql/plan"
 )
 
-// Doer executes calls; the engine implements it. The goroutines of the requests call Do. Do returns the only result of
-// the call, or returns when ctx has ended because the client disconnected.
+// Doer executes calls; the engine implements it. Goroutines of requests and of flights call Do. Do returns the only
+// result of the call, or returns when ctx has ended, because the client disconnected or all callers have left the
+// flight.
 type Doer interface {
 	Do(ctx context.Context, c *engine.Call) engine.Result
 }
@@ -45,7 +47,7 @@
 	MaxBody      int64 // limit on the body of a request, in bytes
 	MaxBatch     int   // limit on the operations in one request
 	MaxParts     int   // limit on the parts in flight
-	MaxDocuments int   // limit on the cached documents
+	MaxDocuments int   // limit on the cached documents, and on the registered ones
 	// PersistedQueries lets clients register documents by their SHA-256 (automatic persisted queries).
 	PersistedQueries bool
 	// TrustedDocuments maps IDs, for example SHA-256 hashes in hexadecimal, to the texts of documents.
@@ -82,14 +84,14 @@
 	Parts           uint64 `json:"parts"`        // parts passed to the engine
 	RejectedParts   uint64 `json:"refused"`      // parts rejected
 	UnknownParts    uint64 `json:"may_have_run"` // parts that failed and may have run
-	InvalidRequests uint64 `json:"rejected"`     // HTTP requests rejected as invalid; none of their parts was sent
+	InvalidRequests uint64 `json:"rejected"`     // HTTP requests answered with 4xx; none of their parts was sent
 	CoalescedParts  uint64 `json:"shared"`       // parts that joined an identical part in flight
 	PartsInFlight   int    `json:"in_hand"`
 	CachedDocuments int    `json:"documents"`
 }
 
-// New returns a Server. It returns an error if a trusted document is not valid for the schema, or if a limit in the
-// configuration is invalid.
+// New returns a Server. It returns an error if a trusted document is not valid for the schema, or if MaxDocuments is
+// not positive.
 func New(config Config) (*Server, error) {
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
