--- a/internal/transport/grpc/exchange.go
+++ b/internal/transport/grpc/exchange.go
@@ -69,8 +69,8 @@
 	beginTimer *time.Timer // ends a stream that has no message within its timeout; nil for unary calls and probes
 }
 
-// Attempt prepares an attempt of a call whose Payload is a *Request. It returns nil if the endpoint is unknown or the
-// Payload has another type. The engine calls it from the goroutine of its Run.
+// Attempt prepares an attempt of a call whose Payload is a *Request. It returns nil if the endpoint is unknown, the
+// transport is closed, or the Payload has another type. The engine calls it from the goroutine of its Run.
 func (t *Transport) Attempt(id string, c *engine.Call, timeout time.Duration) engine.Exchange {
 	request, ok := c.Payload.(*Request)
 	if !ok {
@@ -87,7 +87,8 @@
 }
 
 // Probe prepares a probe, which calls Check of grpc.health.v1 and reads the ORCA report in the trailer, if there is
-// one. It returns nil if the endpoint is unknown. The engine calls it from the goroutine of its Run.
+// one. It returns nil if the endpoint is unknown or the transport is closed. The engine calls it from the goroutine of
+// its Run.
 func (t *Transport) Probe(id string, timeout time.Duration) engine.Exchange {
 	x := t.newExchange(id, nil, timeout)
 	if x == nil {
@@ -97,7 +98,7 @@
 }
 
 // newExchange returns an exchange with the endpoint of the given ID that ends after timeout, or nil if the endpoint is
-// unknown. The request is nil for a probe.
+// unknown or the transport is closed. The request is nil for a probe.
 func (t *Transport) newExchange(id string, request *Request, timeout time.Duration) *exchange {
 	x := &exchange{transport: t, request: request, startedAt: time.Now()}
 	base := context.Background()
--- a/internal/transport/grpc/gate.go
+++ b/internal/transport/grpc/gate.go
@@ -26,7 +26,7 @@
 // gate implements credentials.PerRPCCredentials. Its methods may be called from any goroutine.
 type gate struct {
 	credentials     credentials.PerRPCCredentials // credentials of the call; may be nil
-	mayOpenStream   func() bool                   // called immediately before the headers are written
+	mayOpenStream   func() bool                   // called before a stream is opened, which may then wait for capacity
 	mayWriteMessage func() bool                   // called immediately before the message is written; may be nil
 	cancel          context.CancelFunc            // ends the call
 
--- a/internal/transport/grpc/outcome.go
+++ b/internal/transport/grpc/outcome.go
@@ -17,7 +17,7 @@
 
 // classify returns the result of an attempt that has ended, and whether its response is final, that is, delivered to
 // the client regardless of the result. It decides by the events that the gate has recorded, the status and the trailer.
-// err is nil or a status error.
+// err is nil, a status error, or the error with which a stream that had begun was finished.
 //
 // Each of the following proves that an attempt never ran. In all other cases without an answer, it may have run.
 //
--- a/internal/transport/grpc/stream.go
+++ b/internal/transport/grpc/stream.go
@@ -58,7 +58,8 @@
 	return s, err
 }
 
-// awaitEnd waits until a stream that has begun is finished, or until the application's context ends.
+// awaitEnd waits until a stream that has begun is finished, or until its context ends, which happens at the latest with
+// the application's context.
 func (x *exchange) awaitEnd(s *Stream) engine.Outcome {
 	x.beginTimer.Stop()
 	release := context.AfterFunc(x.request.Context, x.cancel)
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/transport/grpc/transport_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// A connection becomes ready only after the call has its result, after the drain grace of the endpoint, or after
-// another process has replaced the endpoint's process. An attempt on this connection would run for a disconnected
-// client or be reset, so nothing may be written.
+// A connection becomes ready only after the client has disconnected, after the call has its result, after the drain
+// grace of the endpoint, or after another process has replaced the endpoint's process. An attempt on this connection
+// would run for a disconnected client or be reset, so nothing may be written.
 func TestLateConnectionIsNotWrittenTo(t *testing.T) {
 	var disconnected atomic.Bool
 	for name, interrupt := range map[string]func(tr *Transport, x engine.Exchange, addr string){
@@ -253,8 +253,8 @@
 	}
 }
 
-// A probe of a server without grpc.health.v1, which answers UNIMPLEMENTED, gives no evidence about the endpoint. Any
-// other error must count against the endpoint.
+// A probe of a server without grpc.health.v1, which answers UNIMPLEMENTED, gives no evidence about the endpoint.
+// UNAVAILABLE must count against the endpoint.
 func TestFailedProbe(t *testing.T) {
 	for status, want := range map[string]balancer.Result{"12": balancer.NotSent, "14": balancer.ServerError} {
 		addr := rawh2.Start(t, func(s *rawh2.Stream) {
