--- a/internal/transport/http1/exchange.go
+++ b/internal/transport/http1/exchange.go
@@ -22,7 +22,7 @@
 	pool      *Pool
 	endpoint  *endpoint
 	startedAt time.Time // when the engine created the exchange
-	// ctx ends at the exchange's timeout or when the engine calls Cancel, which may happen before Run.
+	// ctx ends at the exchange's timeout, or when the engine calls Cancel or CancelUnsent, which may happen before Run.
 	ctx           context.Context //nolint:containedctx // an exchange is one operation; Cancel ends it from outside
 	cancel        context.CancelFunc
 	buildRequest  func(timeLeft time.Duration) *http.Request
@@ -89,8 +89,8 @@
 }
 
 // claimWrite reports whether the request may be written to c, and if so records that the write starts. It returns false
-// if the exchange was cancelled, if the endpoint is known to drain or was replaced by another process, or if mayStart
-// returns false.
+// if the exchange was cancelled or has timed out, if the endpoint is known to drain or was replaced by another process,
+// or if mayStart returns false.
 //
 // Guard: prevents a connection that is established late from carrying a request whose client has disconnected, whose
 // call already has its result, or whose endpoint is stopping. The symptom is work that no client waits for, or a reset.
--- a/internal/transport/http1/pool.go
+++ b/internal/transport/http1/pool.go
@@ -169,8 +169,8 @@
 }
 
 // Update applies an update of the endpoint list that arrived at notifiedAt. If complete is true, endpoints that are not
-// in entries are removed. A draining or removed endpoint is remembered for the drain grace, because attempts to it may
-// be in flight; no new request is written to it.
+// in entries are removed. A draining or removed endpoint is remembered until the first update after the drain grace,
+// because attempts to it may be in flight; no new request is written to it.
 func (p *Pool) Update(complete bool, entries []engine.Endpoint, notifiedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/http1/response.go
+++ b/internal/transport/http1/response.go
@@ -18,7 +18,9 @@
 
 // Limits on a response, in bytes.
 const (
-	// maxResponseHeadBytes limits the head. With a higher value, an endless head takes more memory and time.
+	// maxResponseHeadBytes is the space for the heads of a response and of the interim responses before it. It is added
+	// to the limit on the body, and only the total is checked, so a head may be longer if the body is shorter. With a
+	// higher value, an endless head takes more memory and time.
 	maxResponseHeadBytes = 64 << 10
 	// minResponseLimit is the lowest limit on the body; Config.MaxResponseBytes may raise it. With a higher value,
 	// fewer responses are rejected as too long, but each attempt may take more memory.
@@ -29,9 +31,9 @@
 	initialBodyBuffer = 64 << 10
 )
 
-// readResponse reads a response. It returns an error unless the response is complete, has an unambiguous end, a head of
-// at most maxResponseHeadBytes and a body of at most maxBytes, and contains no pause longer than Config.ConnectTimeout.
-// It skips interim responses.
+// readResponse reads a response. It returns an error unless the response is complete, has an unambiguous end and a body
+// of at most maxBytes, and contains no pause longer than Config.ConnectTimeout. It skips interim responses.
+// c.limitedReader, whose limit transfer sets, bounds the total of all heads and the body.
 //
 // Guard: prevents malformed responses whose connection stays open, for example with an endless head or a wrong length,
 // from occupying the attempt until its deadline, from taking unlimited memory, and from being read as the answer to the
@@ -56,8 +58,9 @@
 	}
 }
 
-// readOneResponse reads one complete response. An interim response has no body. The body is not closed, because Close
-// would read the rest of a body that is too long.
+// readOneResponse reads one complete response. An interim response has no body. If a head is longer than the buffer of
+// c.reader, a Content-Length beside a chunked encoding is found only in the part of the head that fits. The body is not
+// closed, because Close would read the rest of a body that is too long.
 func (c *conn) readOneResponse(maxBytes int64) (*http.Response, []byte, error) {
 	head, err := c.peekHead()
 	if err != nil {
--- a/internal/transport/http1/reuse.go
+++ b/internal/transport/http1/reuse.go
@@ -53,9 +53,9 @@
 	return p.dial(ctx, to)
 }
 
-// put returns a connection whose response was read to its end to the pool. It closes the connection instead if unread
-// bytes remain, if e is no longer the process that the connection was opened to, or if other exchanges wait for its
-// slot.
+// put stores an idle connection in the pool: its response was read to its end, or no request was written to it. It
+// closes the connection instead if unread bytes remain, if e is draining, removed or no longer the process that the
+// connection was opened to, or if other exchanges wait for its slot.
 //
 // Guard: prevents a request from being sent to a process that was replaced, and from being answered by the bytes of
 // another response, so that a client would get another client's answer. This holds because get returns only new
@@ -70,7 +70,7 @@
 		return
 	}
 	p.mu.Unlock()
-	_ = c.Close() // the response was read
+	_ = c.Close() // it carries no request
 }
 
 // recordUnsolicitedData starts a reuseDelayPeriod after data has arrived on an idle connection.
