--- a/internal/graphql/plan/collect.go
+++ b/internal/graphql/plan/collect.go
@@ -20,7 +20,7 @@
 	rootFields     []*rootField // root fields in the order of their first selection
 	byResponseKey  map[string]*rootField
 	visitedSpreads map[string]bool
-	// dependsOnVariables is true if the condition of a @skip or @include is a variable.
+	// dependsOnVariables is true if a variable decides whether a root field is included.
 	dependsOnVariables bool
 }
 
--- a/internal/graphql/plan/doc.go
+++ b/internal/graphql/plan/doc.go
@@ -17,7 +17,8 @@
 // not run and will not run. MAY_HAVE_RUN guarantees nothing, and a retry may repeat the effect. UNAVAILABLE is the code
 // of a query field without a response; a query has no effect that a retry could repeat. EXECUTED means that a mutation
 // ran, but that its result is lost because the data is null. REJECTED means that an endpoint rejected the field and
-// executed nothing. All other codes apply to the whole request, and guarantee that no part of the request was sent.
+// executed nothing. All other codes apply to the whole request, and guarantee that no part of the request was sent. In
+// a batch, each operation is a request of its own.
 //
 // # Limits
 //
--- a/internal/graphql/plan/key.go
+++ b/internal/graphql/plan/key.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// maxKeyLength is the maximum length, in bytes, of an idempotency or affinity key that fronts and endpoints accept.
+// maxKeyLength is the length, in bytes, above which headerSafeKey replaces an idempotency or affinity key by its
+// checksum.
 const maxKeyLength = 200
 
 // argumentKey returns the value at a path of argument and input field names, such as input.idempotencyKey, as a key.
--- a/internal/graphql/plan/merge.go
+++ b/internal/graphql/plan/merge.go
@@ -10,7 +10,7 @@
 type Response struct {
 	Body []byte
 	// Rejected is true if no part of the operation ran: each part was rejected before any endpoint executed it, or was
-	// not sent.
+	// not sent. It is false if an endpoint responded to a part, even if it executed nothing, and if there are no parts.
 	Rejected bool
 	// RetryAfter is how long the client of a rejected operation should wait before it retries; 0 if unknown.
 	RetryAfter time.Duration
--- a/internal/graphql/plan/schema.go
+++ b/internal/graphql/plan/schema.go
@@ -36,8 +36,9 @@
 	rules         *rules.Rules
 }
 
-// New returns a Schema. Its error joins all problems in the configuration. A problem in the SDL and a root field
-// without a mapping are reported with the position in the SDL. A problem in a mapping is a FieldMappingError.
+// New returns a Schema. If the SDL is invalid, the error reports only that. Otherwise it joins all problems in the
+// configuration. A problem in the SDL and a root field without a mapping are reported with the position in the SDL. A
+// problem in a mapping is a FieldMappingError.
 func New(config Config) (*Schema, error) {
 	parsed, err := parseSDL(config)
 	if err != nil {
