--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -98,7 +98,8 @@
 	})
 }
 
-// readCachedList reads the initial endpoint list from the platform's configuration. It logs and skips invalid entries.
+// readCachedList reads the initial endpoint list from the platform's configuration. It logs an error that names the
+// entries with unknown health, which become draining endpoints.
 func (b *builder) readCachedList() {
 	endpoints, err := b.platformConfig.InitialEndpoints.ToEndpoints()
 	if err != nil {
@@ -120,8 +121,9 @@
 	return nil
 }
 
-// openSource assembles the source of the endpoint list. It is discovery, relayed by the cluster if [recovery] is set,
-// and merged with the other sources if there are any.
+// openSource assembles the source of the endpoint list, and opens the cluster's node and the member of the distributed
+// configuration if they are configured. The source is discovery, relayed by the cluster if [recovery] is set, and
+// merged with the other sources if there are any.
 func (b *builder) openSource(context.Context) error {
 	b.source = watch.NewClient(b.platformConfig.Discovery, b.sharedDiscovery, b.log)
 	if b.operatorConfig.Bootstrap != nil {
@@ -140,7 +142,8 @@
 	return b.mergeEndpoints()
 }
 
-// openEngine creates the engine, and makes the cluster inform it of the number of sidecars.
+// openEngine creates the engine. It makes the cluster, if there is one, inform the engine of the number of sidecars,
+// unless the operator's file disables this.
 func (b *builder) openEngine(context.Context) error {
 	var transport engine.Transport = b.pool
 	if b.deduplicator != nil {
@@ -169,7 +172,7 @@
 }
 
 // openFronts creates the platform's front, and creates the additional fronts with their listeners. Run opens the
-// listener of the platform's front when the sidecar is ready for requests.
+// listener of the platform's front after all others.
 func (b *builder) openFronts(ctx context.Context) error {
 	b.front = httpfront.New(b.doer, b.settings.Classes)
 	b.front.OnConnLimit(b.limits.Add("connections of clients", b.maxClientConns))
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -49,7 +49,7 @@
 		defer func() { _ = s.close() }()
 		want := op.Cluster != nil
 		if (s.cluster != nil) != want || (s.endpoints != nil) != want || (s.sections()["fleet"] != nil) != want {
-			t.Errorf("[fleet] set: %v: got node %v, merged source %v, section %v; want %v for each",
+			t.Errorf("[fleet] set: %v; has a cluster node: %v, a merged source: %v, a section: %v; want %v for each",
 				want, s.cluster != nil, s.endpoints != nil, s.sections()["fleet"] != nil, want)
 		}
 		return goleak.Find(before)
--- a/internal/daemon/configmember.go
+++ b/internal/daemon/configmember.go
@@ -91,8 +91,9 @@
 
 // apply applies a validated snapshot: either all of it or, on an error, none of it. No other function applies
 // snapshots. The balancer's settings, the number of sidecars and the source of the endpoint list change between two
-// events of the engine. Settings that the snapshot leaves out return to their values at the start. apply is called from
-// the member's own goroutine, one call at a time, and waits for the engine.
+// events of the engine. If the cluster counts its members, the number of sidecars reaches the engine through the
+// cluster instead. Settings that the snapshot leaves out, except discovery's address, return to their values at the
+// start. apply is called from the member's own goroutine, one call at a time, and waits for the engine.
 //
 // Discovery's address is set by the platform's configuration, which SIGHUP reloads, and by snapshots. The latest change
 // is in effect. A snapshot with the same address as the previous snapshot does not change the address, so that a
@@ -210,7 +211,8 @@
 	Error string `json:"error"`
 }
 
-// state returns the section for the admin endpoint.
+// state returns the section for the admin endpoint. It waits while a snapshot is applied or discovery's address is
+// changed, because that holds reconfigureMu.
 func (m *configMember) state() any {
 	state, ok := m.member.State()
 	if !ok {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,10 +18,10 @@
 // Run serves until ctx ends, and then until every accepted request is answered. Without an operator's file,
 // operatorConfig is an empty Config. For each signal in reload, Run calls load to read the platform's configuration.
 //
-// Run determines the order in which parts start and stop. The platform's listener opens last, when the sidecar can
-// serve. If configuration is distributed, Run waits for the latest configuration before that, but only for a limited
-// time. On stop the fronts answer their requests first. Then the other components end at the same time, and are closed
-// in the reverse order of components.
+// Run determines the order in which parts start and stop. The platform's listener opens after all others, before the
+// components start. If configuration is distributed, it opens only after the components have started and Run has waited
+// for the latest configuration for a limited time. On stop the fronts answer their requests first. Then the other
+// components end at the same time, and are closed in the reverse order of components.
 //
 // Guard: prevents a second SIGTERM, or a SIGHUP at the same time, from ending the process before it has answered all
 // requests. It holds because ctx stays ended after the first signal, and because signals stay caught until the program
--- a/internal/daemon/drainnotice_test.go
+++ b/internal/daemon/drainnotice_test.go
@@ -416,8 +416,8 @@
 	}
 }
 
-// runAllPaths runs each path once. For each run it appends the time from the drain to the last request, in seconds, to
-// the path's entry in measured.
+// runAllPaths runs each path once in each of its modes. For each run it appends the time from the drain to the last
+// request, in seconds, to the path's entry in measured.
 func runAllPaths(t *testing.T, measured map[string][]string) {
 	type result struct {
 		last time.Duration
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -35,8 +35,9 @@
 var errGraphQLNotBuilt = errors.New("graphql: this build (tag small) has no GraphQL")
 
 // Check reports the errors that depend on other files which an operator's file names: errors in the GraphQL schema, in
-// the mapping of the schema's fields, and in the trusted documents. Check does not know the platform's configuration,
-// and so does not check whether the classes of the mapping exist.
+// the mapping of the schema's fields, and in the trusted documents. In a build without GraphQL, it reports the table
+// [graphql] itself. Check does not know the platform's configuration, and so does not check whether the classes of the
+// mapping exist.
 func Check(operatorConfig *operator.Config) error {
 	if operatorConfig.GraphQL == nil {
 		return nil
