--- a/cmd/hazelwing/config.go
+++ b/cmd/hazelwing/config.go
@@ -18,8 +18,8 @@
 	// originRequestTimeout limits one request to an origin. It exceeds the 4 s within which an origin answers a push.
 	originRequestTimeout = 8 * time.Second
 
-	// statusLaggards is the exit status if reachable sidecars have not activated the snapshot, or if the origin
-	// cannot accept changes.
+	// statusLaggards is the exit status if reachable sidecars have not activated the snapshot, if the origin cannot
+	// accept changes, or if sidecars have a later revision than the origins.
 	statusLaggards = 2
 )
 
@@ -72,7 +72,7 @@
 }
 
 // isInForce reports whether all reachable members have activated a revision or a later one. Unreachable members are
-// named in the report, but not counted.
+// named in the report, but not counted. If there are no reachable members, isInForce returns false.
 func isInForce(report *controlplane.Report, revision controlplane.Revision) bool {
 	active := 0
 	for _, a := range report.Active {
--- a/cmd/hazelwing/config_push.go
+++ b/cmd/hazelwing/config_push.go
@@ -32,7 +32,7 @@
 type pushResult struct {
 	origin.Result
 	After uint64 `json:"after"`
-	// Took is the time until the origin answered the push. It answers that a snapshot is accepted when a majority of
+	// Took is the time until the origin answered the push. The origin reports a snapshot as accepted once a majority of
 	// the origins has accepted it.
 	Took string `json:"took,omitempty"`
 	// Within is the time from the acceptance until all reachable members had activated the snapshot; empty if not all
@@ -125,8 +125,8 @@
 	return latest.Result.Revision.Version, nil
 }
 
-// waitInForce polls the status until all reachable members have activated the pushed revision or a later one, or until
-// wait has passed.
+// waitInForce polls the status until all reachable members have activated the pushed revision or a later one, until
+// wait has passed, or until ctx has ended.
 func waitInForce(ctx context.Context, client *transport.Client, result *pushResult, wait time.Duration) {
 	startedAt := time.Now()
 	for {
@@ -144,7 +144,8 @@
 	}
 }
 
-// checkPushResult returns an error if the pushed snapshot was not accepted, or was not in force everywhere in time.
+// checkPushResult returns an error if the pushed snapshot was not accepted, or, if wait is above 0, was not in force
+// everywhere in time.
 func checkPushResult(result *pushResult, file string, wait time.Duration) error {
 	switch result.Outcome {
 	case origin.OutcomeAccepted:
--- a/cmd/hazelwing/lab_slopes.go
+++ b/cmd/hazelwing/lab_slopes.go
@@ -123,7 +123,7 @@
 }
 
 // printForecast prints the columns of the fit to the sizes up to maxFittedSize, and the predictions of this fit for the
-// larger sizes. It reports whether all predictions are within the tolerance.
+// larger sizes. It reports whether all predictions are within the tolerance; this is also so if there are none.
 func (o *slopesOptions) printForecast(out io.Writer, points []slope.Point) bool {
 	fit, forecasts, err := slope.Extrapolate(points, o.maxFittedSize)
 	if err != nil {
