--- a/internal/daemon/configmember.go
+++ b/internal/daemon/configmember.go
@@ -93,7 +93,8 @@
 // snapshots. The balancer's settings, the number of sidecars and the source of the endpoint list change between two
 // events of the engine. If the cluster counts its members, the number of sidecars reaches the engine through the
 // cluster instead. Settings that the snapshot leaves out, except discovery's address, return to their values at the
-// start. apply is called from the member's own goroutine, one call at a time, and waits for the engine.
+// start. apply is called from a goroutine of the member that does nothing else, one call at a time, and waits for the
+// engine.
 //
 // Discovery's address is set by the platform's configuration, which SIGHUP reloads, and by snapshots. The latest change
 // is in effect. A snapshot with the same address as the previous snapshot does not change the address, so that a
@@ -185,7 +186,8 @@
 	m.member.ReceivePeerRevision(from.Name, from.Addr.String(), epoch, version)
 }
 
-// announceRevision gossips the revision that this member has. It is called from the member's goroutine.
+// announceRevision gossips the revision that this member passes on to its subscribers. It is called from the goroutine
+// of the member's Run.
 func (m *configMember) announceRevision(revision controlplane.Revision) {
 	m.sidecar.cluster.Gossip.SetConfigRevision(revision.Epoch, revision.Version)
 }
--- a/internal/daemon/sidecar_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -56,7 +56,8 @@
 	return r
 }
 
-// run runs a sidecar until stop is called.
+// run builds a sidecar, and runs its engine, its merged source and the platform's front until stop is called. The other
+// components do not run.
 func run(t *testing.T, cfg *platform.Config, op *operator.Config) (r *testSidecar, stop func()) {
 	t.Helper()
 	s, err := build(t.Context(), cfg, op, discardLog)
