--- a/cmd/hazelwing/links_test.go
+++ b/cmd/hazelwing/links_test.go
@@ -25,8 +25,8 @@
 	notInAnchors = regexp.MustCompile(`[^\p{L}\p{N}\p{M}_ -]`)
 )
 
-// Each link on the pages leads to a file or folder of the repository, and each anchor to a heading of its page. The
-// test guards against broken links after a page is moved or a heading reworded.
+// Each link on the pages, except external ones, leads to a file or folder of the repository, and each anchor to a
+// heading of its page. The test guards against broken links after a page is moved or a heading reworded.
 func TestPageLinksLeadSomewhere(t *testing.T) {
 	checked := 0
 	walkFiles(t, moduleRoot, ".md", func(name string) {
--- a/cmd/hazelwing/shareproc_test.go
+++ b/cmd/hazelwing/shareproc_test.go
@@ -148,7 +148,8 @@
 }
 
 // copyBuffered copies through a buffer in user space, as a proxy does. It hides the methods ReadFrom and WriteTo of the
-// connections, which would copy in the kernel. It returns at an error, after which the caller closes the connection.
+// connections, which would copy in the kernel. It returns at the end of the stream or at an error, after which the
+// caller closes the connection.
 func copyBuffered(to io.Writer, from io.Reader) {
 	_, _ = io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
