--- a/balancer/api.go
+++ b/balancer/api.go
@@ -19,7 +19,7 @@
 const (
 	ScopeAll  IdempotencyScope = iota // all endpoints
 	ScopeZone                         // the endpoints of one zone
-	ScopeCell                         // the endpoints of one cell
+	ScopeCell                         // the endpoints with the same Endpoint.Cell
 )
 
 // Class describes one kind of request.
@@ -119,7 +119,7 @@
 	ID        string
 	Zone      string
 	Kind      string // machine type; endpoints of one kind are assumed to be equally fast until they have answered
-	Cell      int
+	Cell      int    // endpoints with the same Cell deduplicate keyed requests of ScopeCell together
 	State     EndpointState
 	StartedAt time.Duration // clock time of the latest start; 0 if it was long ago
 }
--- a/cmd/hazelwing/codenames_test.go
+++ b/cmd/hazelwing/codenames_test.go
@@ -5,6 +5,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"go/types"
 	"math"
 	"path"
 	"path/filepath"
@@ -240,7 +241,7 @@
 	case token.SHL:
 		return math.Ldexp(left, int(right)), nil
 	}
-	return 0, fmt.Errorf("operator %s is not supported", e.Op)
+	return 0, fmt.Errorf("expression %s: operator %s is not supported", types.ExprString(e), e.Op)
 }
 
 // timeUnit returns the unit that has the given name in package time, and whether there is one.
--- a/cmd/hazelwing/loggingpage_test.go
+++ b/cmd/hazelwing/loggingpage_test.go
@@ -49,7 +49,7 @@
 // logMethods are the logging methods, whose first argument is the message. Balancer.log is one of them.
 var logMethods = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "log": true}
 
-// The page of log messages has a row for each message in the code, and no row whose message is no string literal of the
+// The page of log messages has a row for each message in the code. The message of each row is a string literal of the
 // code.
 func TestLoggingPageHasAllMessages(t *testing.T) {
 	page, err := os.ReadFile(loggingPage)
--- a/cmd/hazelwing/mixedversions_test.go
+++ b/cmd/hazelwing/mixedversions_test.go
@@ -385,7 +385,8 @@
 	r.play(fmt.Sprintf("start o%d", olderOrigin))
 	s, err := r.originStatus(olderOrigin)
 	if err != nil || s.Epoch != originEpoch || s.Revision != revision || s.Role == origin.RoleRolledBack {
-		r.t.Errorf("upgraded origin: error %v, status %+v, want the stored revision %v", err, s, revision)
+		r.t.Errorf("upgraded origin: error %v, status %+v, want epoch %d, the stored revision %v "+
+			"and a role other than %q", err, s, originEpoch, revision, origin.RoleRolledBack)
 	}
 
 	r.play("start 2-6\nstart o2-3\nsettle 500ms 30s")
--- a/internal/controlplane/origin/format_test.go
+++ b/internal/controlplane/origin/format_test.go
@@ -218,7 +218,7 @@
 	}
 }
 
-// The JSON output of the commands config status and config push stays the same.
+// The JSON formats of Status, Result and BootstrapConfig stay the same.
 func TestOriginStatusFormatIsStable(t *testing.T) {
 	status := Status{
 		Self:       "o1",
--- a/internal/daemon/disconnect_test.go
+++ b/internal/daemon/disconnect_test.go
@@ -335,7 +335,9 @@
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	for name, disconnect := range disconnects {
 		if strings.Contains(name, "far") {
-			continue // the data exceeds the kernel's buffer, so the close cannot be detected before the data is read
+			// This client sends more data than the kernel's buffer holds before it closes, so the close cannot be
+			// detected before the data is read.
+			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			var arrived arrivals
--- a/internal/discovery/config.go
+++ b/internal/discovery/config.go
@@ -20,9 +20,9 @@
 	// missing from its latest complete list. If true, the source counts as having removed the endpoint. If false, the
 	// source merely stops listing it, because its list may be partial, as a DNS answer may be.
 	AbsenceMeansRemoved bool
-	// Indirect marks a source that only relays removals that other members have been notified of. It does not list
-	// endpoints: an Active endpoint in its update withdraws an earlier removal. Config.MaxRemovalShare limits all
-	// removals that it causes, including those that it reports explicitly.
+	// Indirect marks a source that only passes on removals that it has received from other members. It lists no
+	// endpoints: an Active endpoint in its update only withdraws an earlier removal. Config.MaxRemovalShare limits its
+	// removals, although they are explicit; explicit removals of other sources are not limited.
 	Indirect bool
 	// StaleTTL is how long the source's last list may add endpoints after the source has failed. A higher value
 	// tolerates longer outages of the source, but may add endpoints that no longer exist.
--- a/internal/front/clientconn/eviction.go
+++ b/internal/front/clientconn/eviction.go
@@ -3,9 +3,10 @@
 import "container/list"
 
 const (
-	// maxIdleShare limits the connections that have sent a valid request, as a share of the connection limit. Above it,
-	// each response of a front that calls TooManyIdle closes its connection. With a higher value, fewer clients have to
-	// reconnect; with a lower one, more connections remain available to new clients.
+	// maxIdleShare is the share of the connection limit above which TooManyIdle returns true; the front then closes the
+	// connection after the response. It applies to all connections that have sent a valid request, whether idle or not.
+	// With a higher value, fewer clients have to reconnect; with a lower one, more connections remain available to new
+	// clients.
 	maxIdleShare = 1.0 / 3
 	// maxEvictionChecks limits how many connections of each idle queue are examined to find one without received data.
 	// A higher value costs more system calls for each new connection while the connection limit is reached. With a
--- a/internal/idempotency/middleware/inspect.go
+++ b/internal/idempotency/middleware/inspect.go
@@ -41,7 +41,7 @@
 func Inspect(fs store.FS) ([]RecordInfo, error) {
 	list := []RecordInfo{}
 	err := store.Read(fs, func(key string, value []byte, _ time.Time) {
-		if fp, record, ok := parseEntry(key, value); ok { // the clock's state is not a record
+		if fp, record, ok := parseEntry(key, value); ok { // false for the entry at clockKey, and for a corrupt record
 			list = append(list, newRecordInfo(fp, &record))
 		}
 	})
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -13,13 +13,13 @@
 
 // Values of Outcome.
 const (
-	Served       Outcome = iota
-	Rejected             // status 429 or 503: a retry is harmless
-	Failed               // any other status
-	Broken               // no connection, or the connection broke before the answer was complete
-	TimedOut             // no answer before the deadline
-	Unsent               // omitted, since too many requests were open
-	outcomeCount         // number of values of Outcome
+	Served       Outcome = iota // success: an HTTP status 2xx, or OK in gRPC
+	Rejected                    // status 429 or 503: a retry is harmless
+	Failed                      // any other status
+	Broken                      // no connection, or the connection broke before the answer was complete
+	TimedOut                    // no answer before the deadline
+	Unsent                      // omitted, since too many requests were open
+	outcomeCount                // number of values of Outcome
 )
 
 // outcomeNames are the names of the outcomes in reports, which are part of the command's output.
--- a/internal/simulation/baseline/pickers.go
+++ b/internal/simulation/baseline/pickers.go
@@ -27,7 +27,8 @@
 	attemptEnded(e *endpoint, result balancer.Result, elapsed time.Duration, load balancer.LoadReport)
 }
 
-// pickerDefinition holds a picker's constructor. The field source tells where the picker is described.
+// pickerDefinition holds a picker's constructor. The field source describes the picker, and names the publication or
+// program that it follows, if any.
 type pickerDefinition struct {
 	source    string
 	newPicker func(p *policy) picker
--- a/internal/testcluster/hollow/links.go
+++ b/internal/testcluster/hollow/links.go
@@ -151,7 +151,8 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// close closes the streams that were closed during a cut, and cancels and waits for delayed datagrams.
+// close closes the connections of the streams in l.closing, cancels the delayed datagrams, and waits for their
+// goroutines.
 func (l *Links) close() {
 	l.mu.Lock()
 	close(l.done)
